--- a/internal/api/core.go
+++ b/internal/api/core.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/rpc"
 )
 
@@ -13,8 +13,8 @@
 
 // QuorumCall is a batch of messages in order.
 type QuorumCall struct {
-	From     string           `json:"from"`
-	Messages []quorum.Message `json:"m"`
+	From     string         `json:"from"`
+	Messages []raft.Message `json:"m"`
 }
 
 // QuorumAnswer is empty.
@@ -69,8 +69,8 @@
 
 // Lack is a run of changes, or a snapshot to begin with where the changes are gone.
 type Lack struct {
-	Snapshot *Snapshot      `json:"snapshot,omitempty"`
-	Changes  []quorum.Entry `json:"changes,omitempty"`
+	Snapshot *Snapshot    `json:"snapshot,omitempty"`
+	Changes  []raft.Entry `json:"changes,omitempty"`
 }
 
 // Snapshot names a snapshot to be fetched in chunks.
@@ -129,7 +129,7 @@
 
 // StatusAnswer is what `who` prints and what the drill waits for.
 type StatusAnswer struct {
-	Quorum  quorum.Status         `json:"quorum"`
+	Quorum  raft.Status           `json:"quorum"`
 	Applied uint64                `json:"applied"`
 	Ready   bool                  `json:"ready"`
 	Duties  map[string]DutyAnswer `json:"duties"`
--- a/internal/api/join.go
+++ b/internal/api/join.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/rpc"
 )
 
@@ -29,10 +29,10 @@
 	Digest   string            `json:"digest"` // of the members in its settings
 	// Leader is the address of the leader it knows in Term, if any. Members is the newest member set that it knows
 	// to be committed, by the entry at MembersAt.
-	Leader    string          `json:"leader,omitempty"`
-	Term      uint64          `json:"term,omitempty"`
-	Members   []quorum.Member `json:"members,omitempty"`
-	MembersAt uint64          `json:"members_at,omitempty"`
+	Leader    string        `json:"leader,omitempty"`
+	Term      uint64        `json:"term,omitempty"`
+	Members   []raft.Member `json:"members,omitempty"`
+	MembersAt uint64        `json:"members_at,omitempty"`
 }
 
 // Join asks the leader to take a node with an empty folder in: as a learner, then, once it has caught up, as a
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/api"
 	"crosstide/internal/errs"
 	"crosstide/internal/membership"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -57,7 +57,7 @@
 type Who struct {
 	Store     string            `json:"store"`
 	Sched     string            `json:"sched"`
-	Members   []quorum.Member   `json:"members"`
+	Members   []raft.Member     `json:"members"`
 	Evacuated []string          `json:"evacuated,omitempty"`
 	Status    *api.StatusAnswer `json:"status,omitempty"` // of the cplane that answers
 	Nodes     []membership.Seen `json:"nodes,omitempty"`  // as the cplane that answers knows them: all of a small fleet, else a part
--- a/internal/quorum/quorum.go
+++ b/internal/raft/raft.go
@@ -1,4 +1,4 @@
-// Package quorum is the replication core of the control store: Raft with pre-vote, check-quorum, a leader lease,
+// Package raft is the replication core of the control store: Raft with pre-vote, check-quorum, a leader lease,
 // learners, member changes one at a time, snapshots and pipelined appends. It is a pure step function: its
 // input is the time and messages, its output what is to be stored, sent and applied. It has no clock, socket, disk or
 // goroutine of its own and is not safe for concurrent use.
@@ -20,7 +20,7 @@
 //   - a new data folder gets a new ID. An empty one is booted empty, never with Founding.
 //
 // The first boot of a fleet passes Founding(members) on every founder; only an explicit order to found may do so.
-package quorum
+package raft
 
 import (
 	"cmp"
@@ -149,7 +149,7 @@
 // set; the runtime stores it as its first durable snapshot (the body is the empty state), so a later node can
 // fetch it. Example:
 //
-//	core, err := quorum.New(cfg, quorum.Founding(settings.Members), now)
+//	core, err := raft.New(cfg, raft.Founding(settings.Members), now)
 func Founding(members []Member) Boot {
 	ms := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	return Boot{Hard: Hard{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: ms}}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -114,7 +114,7 @@
 }
 
 // applyChanges applies changes in order. A version never goes back: what is at or below the index is passed over.
-func (r *Replica) applyChanges(changes []quorum.Entry) error {
+func (r *Replica) applyChanges(changes []raft.Entry) error {
 	before := r.st.Index
 	for _, e := range changes {
 		if e.Index <= r.st.Index {
@@ -124,7 +124,7 @@
 			return errs.New(errs.Stale, "changes skip from %d to %d", r.st.Index, e.Index)
 		}
 		data := e.Data
-		if e.Kind != quorum.Normal {
+		if e.Kind != raft.Normal {
 			data = nil
 		}
 		_, _ = command.Apply(r.st, e.Index, e.Term, data) // a refusal is the command's outcome, the same on every node
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -11,15 +11,15 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
 
 // history is a store's log of n entries with the state at each.
 type history struct {
-	log    []quorum.Entry // from index 2 on
-	states [][]byte       // encoded, by index
+	log    []raft.Entry // from index 2 on
+	states [][]byte     // encoded, by index
 }
 
 func newHistory(n int) history {
@@ -33,7 +33,7 @@
 		So(err, ShouldBeNil)
 		_, err = command.Apply(s, uint64(i), 1, data)
 		So(err, ShouldBeNil)
-		h.log = append(h.log, quorum.Entry{Term: 1, Index: uint64(i), Data: data})
+		h.log = append(h.log, raft.Entry{Term: 1, Index: uint64(i), Data: data})
 		body, err := s.Encode()
 		So(err, ShouldBeNil)
 		h.states = append(h.states, body)
@@ -50,7 +50,7 @@
 	return r
 }
 
-func (h history) changes(from, to uint64) []quorum.Entry { return h.log[from-2 : to-1] }
+func (h history) changes(from, to uint64) []raft.Entry { return h.log[from-2 : to-1] }
 
 // fake answers what the test lays out: the answers in turn, chunks of a body with a failure before some.
 type fake struct {
@@ -85,7 +85,7 @@
 func TestPulls(t *testing.T) {
 	Convey("whatever order answers come in, the replica never goes back and never skips a change", t, func() {
 		h := newHistory(6)
-		answers := [][]quorum.Entry{h.changes(2, 4), h.changes(2, 3), h.changes(4, 5), h.changes(6, 7), nil}
+		answers := [][]raft.Entry{h.changes(2, 4), h.changes(2, 3), h.changes(4, 5), h.changes(6, 7), nil}
 		orders, whole := 0, 0
 		var walk func(seq []int, used int)
 		walk = func(seq []int, used int) {
--- a/internal/store/apply_test.go
+++ b/internal/store/apply_test.go
@@ -5,14 +5,14 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 )
 
 func TestPassAppliesBoundedBatch(t *testing.T) {
 	Convey("Given a store with more committed entries than one pass applies", t, func() {
 		s := &Store{kick: make(chan struct{}, 1)}
 		for i := range 2*applyEntries + 8 {
-			s.unapplied = append(s.unapplied, quorum.Entry{Index: uint64(i + 1)})
+			s.unapplied = append(s.unapplied, raft.Entry{Index: uint64(i + 1)})
 		}
 		Convey("Then passes take them batch by batch, in order, and each asks for the next", func() {
 			var sizes []int
--- a/internal/store/catchup_test.go
+++ b/internal/store/catchup_test.go
@@ -5,12 +5,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 )
 
 func TestCatchUpBeforeTheShadow(t *testing.T) {
 	Convey("The shadow takes no entries while the live state has some to catch up on", t, func() {
-		s := &Store{durable: 9, committed: []quorum.Entry{{Index: 8}, {Index: 9}, {Index: 10}}, unapplied: []quorum.Entry{{Index: 11}}}
+		s := &Store{durable: 9, committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}, unapplied: []raft.Entry{{Index: 11}}}
 		_, batch := s.takeStored()
 		So(batch, ShouldBeEmpty)
 		s.unapplied = nil
@@ -19,7 +19,7 @@
 		So(s.committed, ShouldHaveLength, 1)
 	})
 	Convey("An image that is to be adopted does not wait for that", t, func() {
-		s := &Store{unapplied: []quorum.Entry{{Index: 11}}, install: &install{}}
+		s := &Store{unapplied: []raft.Entry{{Index: 11}}, install: &install{}}
 		in, _ := s.takeStored()
 		So(in, ShouldNotBeNil)
 	})
@@ -32,7 +32,7 @@
 		r.load("a", 60)
 		r.level()
 		So(r.clock.Now()-began, ShouldBeLessThan, takeOver)
-		So(s.Status().Quorum.Role, ShouldEqual, quorum.Leader)
+		So(s.Status().Quorum.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
 		r.until("the end of the take-over", func() bool { return r.clock.Now()-began > takeOver })
 		r.load("b", 1)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -8,7 +8,7 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
 )
@@ -19,9 +19,9 @@
 // work is what one Ready wants of the disk. Ready.Reset needs nothing here: writing the image that caused it
 // made the slot store let go of the same entries.
 type work struct {
-	hard   *quorum.Hard
-	append []quorum.Entry
-	after  []quorum.Message // may leave once all of it is synced
+	hard   *raft.Hard
+	append []raft.Entry
+	after  []raft.Message // may leave once all of it is synced
 }
 
 // disk stores all that is pending with one sync, again and again.
@@ -92,7 +92,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.diskBusy = 0
-	var last quorum.Entry
+	var last raft.Entry
 	for _, w := range batch {
 		s.route(w.after)
 		if n := len(w.append); n > 0 {
@@ -118,7 +118,7 @@
 // install is a snapshot of another member that takes the place of this node's state.
 type install struct {
 	image storage.Snapshot
-	meta  quorum.Meta
+	meta  raft.Meta
 	live  *state.State
 	done  chan struct{}
 }
@@ -184,7 +184,7 @@
 
 // takeStored takes the image that waits to be adopted, if any, and the entries that the shadow may apply. While the live
 // state has entries to catch up on it takes none: a node that came back serves the sooner, and each later pass asks again.
-func (s *Store) takeStored() (*install, []quorum.Entry) {
+func (s *Store) takeStored() (*install, []raft.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	in := s.install
@@ -204,11 +204,11 @@
 }
 
 // follow applies an entry to the shadow, and writes a slot when one is due.
-func (s *Store) follow(ctx context.Context, e quorum.Entry) error {
+func (s *Store) follow(ctx context.Context, e raft.Entry) error {
 	if e.Index <= s.shadow.Index {
 		return nil // an image that was adopted has it
 	}
-	if e.Kind == quorum.Members {
+	if e.Kind == raft.Members {
 		s.shadowMembers = nil
 		if err := json.Unmarshal(e.Data, &s.shadowMembers); err != nil {
 			return errs.Wrap(err, errs.Damaged, "members at %d", e.Index)
@@ -245,7 +245,7 @@
 	if err != nil {
 		return errs.Pass(err, "write a slot")
 	}
-	meta := quorum.Meta{Index: s.shadow.Index, Term: s.shadow.Term, Members: s.shadowMembers}
+	meta := raft.Meta{Index: s.shadow.Index, Term: s.shadow.Term, Members: s.shadowMembers}
 	raw, err := json.Marshal(meta)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the meta of a slot")
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -11,7 +11,7 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
 )
@@ -174,7 +174,7 @@
 }
 
 // fetch gets a snapshot from another member and installs it. When it fails, the core asks for it again.
-func (s *Store) fetch(ctx context.Context, want quorum.FetchSnapshot) {
+func (s *Store) fetch(ctx context.Context, want raft.FetchSnapshot) {
 	err := s.fetchOne(ctx, want)
 	if err != nil {
 		_ = level.Warn(s.log).Log("msg", "fetch a snapshot", "from", want.From, "err", err)
@@ -184,7 +184,7 @@
 	s.mu.Unlock()
 }
 
-func (s *Store) fetchOne(ctx context.Context, want quorum.FetchSnapshot) error {
+func (s *Store) fetchOne(ctx context.Context, want raft.FetchSnapshot) error {
 	in, err := s.download(ctx, want)
 	if err != nil {
 		return errs.Pass(err, "download")
@@ -206,7 +206,7 @@
 
 // download gets the parts in order. After a failure it goes on at the byte it reached; it gives up after a few
 // without progress.
-func (s *Store) download(ctx context.Context, want quorum.FetchSnapshot) (*install, error) {
+func (s *Store) download(ctx context.Context, want raft.FetchSnapshot) (*install, error) {
 	const tries = 8
 	var body []byte
 	var head api.ChunkAnswer
--- a/internal/store/found.go
+++ b/internal/store/found.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/api"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
@@ -59,7 +59,7 @@
 
 // begin makes the core of what the disk had.
 func (s *Store) begin(boot storage.Boot) error {
-	var b quorum.Boot
+	var b raft.Boot
 	live := state.New()
 	var err error
 	if img := boot.Snapshot; img != nil {
@@ -79,10 +79,10 @@
 			}
 			continue
 		}
-		b.Entries = append(b.Entries, quorum.Entry{Term: r.Term, Index: r.Index, Kind: quorum.EntryKind(r.Kind), Data: r.Data})
+		b.Entries = append(b.Entries, raft.Entry{Term: r.Term, Index: r.Index, Kind: raft.EntryKind(r.Kind), Data: r.Data})
 		s.durable = r.Index
 	}
-	core, err := quorum.New(quorum.Config{ID: s.id, Election: s.set.Election, Heartbeat: s.set.Heartbeat,
+	core, err := raft.New(raft.Config{ID: s.id, Election: s.set.Election, Heartbeat: s.set.Heartbeat,
 		Lease: s.set.Lease, Seed: s.opt.Seed}, b, s.clock.Now())
 	if err != nil {
 		return errs.Pass(err, "start the core")
@@ -237,11 +237,11 @@
 
 // found begins a fleet: the empty state at index 1 is the first slot.
 func (s *Store) found(founders map[string]string) error {
-	members := make([]quorum.Member, len(s.set.Members))
+	members := make([]raft.Member, len(s.set.Members))
 	for i, m := range s.set.Members {
-		members[i] = quorum.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
+		members[i] = raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
 	}
-	b := quorum.Founding(members)
+	b := raft.Founding(members)
 	first := state.New()
 	first.Index, first.Term = b.Snapshot.Index, b.Snapshot.Term
 	body, err := first.Encode()
@@ -344,7 +344,7 @@
 		place = name
 	}
 	if !named && !s.set.OpenMembership {
-		known := func(m quorum.Member) bool { return nameOf(m.ID) == name }
+		known := func(m raft.Member) bool { return nameOf(m.ID) == name }
 		first := func(m config.Member) bool { return m.ID == name }
 		if !slices.ContainsFunc(st.Members, known) && !slices.ContainsFunc(s.set.Members, first) {
 			return api.JoinAnswer{}, errs.Field(errs.Forbidden, "name",
@@ -355,8 +355,8 @@
 	if s.set.OpenMembership {
 		out.Again = joinEvery
 	}
-	var old *quorum.Member
-	next := make([]quorum.Member, 0, len(st.Members)+1)
+	var old *raft.Member
+	next := make([]raft.Member, 0, len(st.Members)+1)
 	at := -1
 	for _, m := range st.Members {
 		switch {
@@ -376,7 +376,7 @@
 		if err := s.checkNotRemoved(call); err != nil {
 			return api.JoinAnswer{}, errs.Pass(err, "join")
 		}
-		next = append(next, quorum.Member{ID: call.ID, Addr: call.Addr, Zone: call.Zone, Incarnation: incarnation, Learner: true})
+		next = append(next, raft.Member{ID: call.ID, Addr: call.Addr, Zone: call.Zone, Incarnation: incarnation, Learner: true})
 		return out, errs.Pass(s.change(st.Members, next), "join as a learner")
 	}
 	out.Learner = true
@@ -397,7 +397,7 @@
 }
 
 // change proposes the member set next, which was made from the set from; that it is committed shows in a later call.
-func (s *Store) change(from, next []quorum.Member) error {
+func (s *Store) change(from, next []raft.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.leads(); err != nil {
@@ -412,7 +412,7 @@
 
 // proposeMembers puts a member set into the log unless the set it was made from is not in force any more: it would
 // undo what another change did. Called under the lock.
-func (s *Store) proposeMembers(now time.Duration, from, next []quorum.Member) error {
+func (s *Store) proposeMembers(now time.Duration, from, next []raft.Member) error {
 	if !slices.Equal(from, s.core.Status().Members) {
 		return errs.New(errs.Unavailable, "the members changed meanwhile")
 	}
--- a/internal/store/full_test.go
+++ b/internal/store/full_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 )
 
 // loadAll submits until n jobs are acknowledged; what a change of leader leaves open is submitted again.
@@ -42,7 +42,7 @@
 		if err == nil { // the two others have it
 			r.acked["while full"] = 1
 		}
-		r.until("another leader", func() bool { return old.Status().Quorum.Role != quorum.Leader })
+		r.until("another leader", func() bool { return old.Status().Quorum.Role != raft.Leader })
 		at := old.durableIndex()
 		r.loadAll("without it", 200)
 		So(old.durableIndex(), ShouldEqual, at) // it acknowledges nothing
--- a/internal/store/hand.go
+++ b/internal/store/hand.go
@@ -7,7 +7,7 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -26,7 +26,7 @@
 //	for _, p := range h.Out() { send(p.Addr, p.Call) }
 type ManualDriver struct {
 	store *Store
-	want  *quorum.FetchSnapshot
+	want  *raft.FetchSnapshot
 	in    *install
 }
 
@@ -120,7 +120,7 @@
 func (b *Batch) Stored() { b.store.stored(b.work) }
 
 // Entries are those in the batch, in the order of writing.
-func (b *Batch) Entries() (out []quorum.Entry) {
+func (b *Batch) Entries() (out []raft.Entry) {
 	for _, w := range b.work {
 		out = append(out, w.append...)
 	}
@@ -231,4 +231,4 @@
 func (h *ManualDriver) Wants() bool { return h.want != nil && h.in == nil }
 
 // Core is the replication core, nil before the node knows who it is.
-func (h *ManualDriver) Core() *quorum.Core { return h.store.core }
+func (h *ManualDriver) Core() *raft.Core { return h.store.core }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -8,7 +8,7 @@
 	"github.com/go-kit/log/level"
 
 	"crosstide/internal/config"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 )
 
 // What the leader of an open fleet keeps to when it removes members that are silent.
@@ -43,7 +43,7 @@
 }
 
 // addressesOf gives the addresses of members, voters first.
-func addressesOf(members []quorum.Member) (out []string) {
+func addressesOf(members []raft.Member) (out []string) {
 	for _, learner := range []bool{false, true} {
 		for _, m := range members {
 			if m.Learner == learner {
@@ -55,7 +55,7 @@
 }
 
 // seedsOf gives members in the form of the settings.
-func seedsOf(members []quorum.Member) []config.Member {
+func seedsOf(members []raft.Member) []config.Member {
 	out := make([]config.Member, len(members))
 	for i, m := range members {
 		out[i] = config.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
@@ -64,8 +64,8 @@
 }
 
 // without gives a copy of members that leaves out the one with the ID.
-func without(members []quorum.Member, id string) []quorum.Member {
-	return slices.DeleteFunc(slices.Clone(members), func(m quorum.Member) bool { return m.ID == id })
+func without(members []raft.Member, id string) []raft.Member {
+	return slices.DeleteFunc(slices.Clone(members), func(m raft.Member) bool { return m.ID == id })
 }
 
 // LearnAddresses tells an open fleet's node of more nodes to ask for the fleet, such as new seeds. It never changes
@@ -106,7 +106,7 @@
 // removeSilent lets the leader of an open fleet remove a silent voter of an even set, which bears no more losses
 // than the odd set below it, or a silent learner. One change goes at a time. Called under the lock, at each tick.
 func (s *Store) removeSilent(now time.Duration) {
-	if !s.set.OpenMembership || s.status.Role != quorum.Leader {
+	if !s.set.OpenMembership || s.status.Role != raft.Leader {
 		return
 	}
 	members := s.status.Members
@@ -131,7 +131,7 @@
 }
 
 // silentVoter is silentIn at this moment.
-func (s *Store) silentVoter(members []quorum.Member) string {
+func (s *Store) silentVoter(members []raft.Member) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core == nil || !s.set.OpenMembership {
@@ -141,7 +141,7 @@
 }
 
 // silentIn gives the voter that has been silent for longest, RemoveAfter at least, if the others can do without it.
-func (s *Store) silentIn(now time.Duration, members []quorum.Member) (id string) {
+func (s *Store) silentIn(now time.Duration, members []raft.Member) (id string) {
 	longest := s.set.RemoveAfter
 	for _, m := range members {
 		if d := s.silence(now, m.ID); !m.Learner && d >= longest {
@@ -164,7 +164,7 @@
 }
 
 // standing tells whether a member set has voters enough and a majority of them was heard of within an Election.
-func (s *Store) standing(now time.Duration, members []quorum.Member) bool {
+func (s *Store) standing(now time.Duration, members []raft.Member) bool {
 	heard := 0
 	for _, m := range members {
 		if !m.Learner && s.silence(now, m.ID) < s.set.Election {
@@ -175,7 +175,7 @@
 	return voters >= leastVoters && heard > voters/2
 }
 
-func voterCount(members []quorum.Member) (n int) {
+func voterCount(members []raft.Member) (n int) {
 	for _, m := range members {
 		if !m.Learner {
 			n++
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state/query"
 	"crosstide/internal/storage"
 )
@@ -76,7 +76,7 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	for _, role := range []quorum.Role{quorum.Follower, quorum.PreCandidate, quorum.Candidate, quorum.Leader} {
+	for _, role := range []raft.Role{raft.Follower, raft.PreCandidate, raft.Candidate, raft.Leader} {
 		v := 0.0
 		if st.Role == role {
 			v = 1
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/api"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 )
 
@@ -160,7 +160,7 @@
 // Called under the lock.
 func (s *Store) voterForSure() bool {
 	_, members := s.core.CommittedMembers()
-	return slices.ContainsFunc(members, func(m quorum.Member) bool { return m.ID == s.id && !m.Learner })
+	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == s.id && !m.Learner })
 }
 
 // askToJoin moves this node one step towards being a voter. Failure Stale: it was removed, its folder is void.
@@ -184,7 +184,7 @@
 	switch {
 	case call.Since == 0:
 		return nil
-	case slices.ContainsFunc(members, func(m quorum.Member) bool { return m.ID == call.ID }):
+	case slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == call.ID }):
 		return errs.New(errs.Unavailable, "%s is being removed", call.ID)
 	case at > call.Since:
 		return errs.New(errs.Stale, "%s was a member at %d and is none at %d", call.ID, call.Since, at)
@@ -238,7 +238,7 @@
 func (s *Store) leaderless() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.status.Role != quorum.Leader && s.clock.Now()-s.toldAt > 2*s.set.Election
+	return s.status.Role != raft.Leader && s.clock.Now()-s.toldAt > 2*s.set.Election
 }
 
 // removedBy tells whether an answer proves that this node is no member any more: a set that was committed after the
@@ -248,6 +248,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.core.MemberSince()
-	is := func(m quorum.Member) bool { return m.ID == s.id }
+	is := func(m raft.Member) bool { return m.ID == s.id }
 	return since > 0 && a.MembersAt > since && !slices.ContainsFunc(a.Members, is)
 }
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -17,7 +17,7 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
 )
@@ -423,7 +423,7 @@
 	r.until("a leader of some", func() bool {
 		for _, n := range names {
 			if s := r.nodes[n]; s != nil {
-				if st := s.Status(); st.Ready && st.Quorum.Role == quorum.Leader {
+				if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader {
 					lead = s
 					return true
 				}
@@ -759,7 +759,7 @@
 				there++
 			}
 		}
-		if st := s.Status(); st.Ready && st.Quorum.Role == quorum.Leader && !r.cut[s.set.Name] && there > len(members)/2 {
+		if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader && !r.cut[s.set.Name] && there > len(members)/2 {
 			return true
 		}
 	}
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -7,7 +7,7 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -117,7 +117,7 @@
 		return errs.New(errs.Unavailable, "not part of a fleet yet")
 	case s.broken:
 		return errs.New(errs.Stopped, "the disk failed")
-	case s.status.Role != quorum.Leader:
+	case s.status.Role != raft.Leader:
 		err := errs.New(errs.NotLeader, "%s is %s in term %d", s.id, s.status.Role, s.status.Term)
 		errs.Of(err).Hint = s.leaderAddr()
 		return err
--- a/internal/store/send.go
+++ b/internal/store/send.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"crosstide/internal/api"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 )
 
 const (
@@ -17,13 +17,13 @@
 // peer is the way to another member: its pending messages go as one call, one call after the other, see post.
 type peer struct {
 	addr  string
-	queue []quorum.Message
+	queue []raft.Message
 	bytes int
 	kick  chan struct{}
 	stop  context.CancelFunc
 }
 
-func sizeOf(m quorum.Message) int {
+func sizeOf(m raft.Message) int {
 	n := 256
 	for _, e := range m.Entries {
 		n += len(e.Data) + entryRoom
@@ -32,7 +32,7 @@
 }
 
 // route puts messages into the queues of those they are for; called under the lock.
-func (s *Store) route(messages []quorum.Message) {
+func (s *Store) route(messages []raft.Message) {
 	if s.broken {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // take gives the messages of the next call.
-func (p *peer) take() []quorum.Message {
+func (p *peer) take() []raft.Message {
 	n, bytes := 0, 0
 	for n < len(p.queue) && (n == 0 || bytes+sizeOf(p.queue[n]) <= callBytes) {
 		bytes += sizeOf(p.queue[n])
@@ -132,7 +132,7 @@
 // post sends one call and waits until it is answered, or a heartbeat long: over a way that takes longer than that,
 // calls follow one another without waiting, up to the number of slots, so that the leader's lease does not hang
 // on a whole turn for each. The core bears messages that overtake one another. false: ctx has ended.
-func (s *Store) post(ctx context.Context, p *peer, batch []quorum.Message, slots chan struct{}) bool {
+func (s *Store) post(ctx context.Context, p *peer, batch []raft.Message, slots chan struct{}) bool {
 	select {
 	case slots <- struct{}{}:
 	case <-ctx.Done():
@@ -171,7 +171,7 @@
 			s.learnt[m.From] = call.From
 		}
 		s.core.Step(now, m)
-		if m.Kind == quorum.Append && m.To == s.id && m.Term >= s.status.Term {
+		if m.Kind == raft.Append && m.To == s.id && m.Term >= s.status.Term {
 			s.told, s.toldAt = m.Commit, now
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -23,7 +23,7 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -89,9 +89,9 @@
 	kick, diskKick, shadowKick chan struct{}
 
 	mu      sync.Mutex
-	core    *quorum.Core // nil until the node knows who it is
+	core    *raft.Core // nil until the node knows who it is
 	live    *state.State
-	status  quorum.Status // as of the last pass
+	status  raft.Status // as of the last pass
 	peers   map[string]*peer
 	learnt  map[string]string // addresses of nodes that are not in the member set yet, by ID
 	known   map[string]bool   // addresses of nodes that others told of; of an open fleet only
@@ -100,8 +100,8 @@
 	frozen  bool // a snapshot is being installed: nothing goes into the core or out of it
 	broken  bool // a write failed: nothing leaves any more
 
-	pending   []*waiter      // not in the log yet
-	unapplied []quorum.Entry // committed, not in the live state yet
+	pending   []*waiter    // not in the log yet
+	unapplied []raft.Entry // committed, not in the live state yet
 	waiters   map[uint64]*waiter
 	waiting   int // both, and their bytes
 	waitBytes int
@@ -112,14 +112,14 @@
 	told            uint64        // commit index the leader told
 	toldAt, levelAt time.Duration // told at, level at
 	fetching        bool
-	queue           []work         // for the disk
-	diskBusy        time.Duration  // since when the disk works on one batch, 0 when idle
-	durable         uint64         // the stored log equals the core's up to here
-	committed       []quorum.Entry // committed, for the shadow
-	behind          int            // their bytes, and of those the shadow applied since its last slot
-	shadow          *state.State   // the shadow goroutine's own; nil before it has something to apply
-	shadowImage     []byte         // the snapshot that the store began with, for the shadow to begin with; nil: none
-	shadowMembers   []quorum.Member
+	queue           []work        // for the disk
+	diskBusy        time.Duration // since when the disk works on one batch, 0 when idle
+	durable         uint64        // the stored log equals the core's up to here
+	committed       []raft.Entry  // committed, for the shadow
+	behind          int           // their bytes, and of those the shadow applied since its last slot
+	shadow          *state.State  // the shadow goroutine's own; nil before it has something to apply
+	shadowImage     []byte        // the snapshot that the store began with, for the shadow to begin with; nil: none
+	shadowMembers   []raft.Member
 	shadowSince     int
 	shadowBytes     int
 	newest          api.Snapshot // the newest slot
@@ -297,7 +297,7 @@
 // due is the time until the core needs a tick; a follower waits for messages until it may stand for leader.
 func (s *Store) due(now time.Duration) time.Duration {
 	next := s.ticked + s.tick()
-	if s.status.Role != quorum.Leader {
+	if s.status.Role != raft.Leader {
 		next = max(next, s.core.CampaignAt())
 	}
 	return max(0, next-now)
@@ -307,7 +307,7 @@
 func (s *Store) tick() time.Duration { return s.set.Heartbeat / ticksPerBeat }
 
 // apply brings committed entries into the live state and wakes who waits for them.
-func (s *Store) apply(entries []quorum.Entry) {
+func (s *Store) apply(entries []raft.Entry) {
 	s.unapplied = append(s.unapplied, entries...)
 	batch := s.nextApplied()
 	if len(batch) == 0 {
@@ -351,7 +351,7 @@
 }
 
 // nextApplied takes the committed entries that this pass applies. A store that is driven by hand applies all.
-func (s *Store) nextApplied() []quorum.Entry {
+func (s *Store) nextApplied() []raft.Entry {
 	n, bytes := 0, 0
 	for n < len(s.unapplied) && (s.hand != nil || n < applyEntries && bytes < applyBytes) {
 		bytes += len(s.unapplied[n].Data)
@@ -367,9 +367,9 @@
 }
 
 // applyTo applies one entry; members and the first entry of a leader move the index only.
-func applyTo(to *state.State, e quorum.Entry) (any, error) {
+func applyTo(to *state.State, e raft.Entry) (any, error) {
 	data := e.Data
-	if e.Kind != quorum.Normal {
+	if e.Kind != raft.Normal {
 		data = nil
 	}
 	answer, err := command.Apply(to, e.Index, e.Term, data)
@@ -377,13 +377,13 @@
 }
 
 // roles does what a change of leader or members asks for.
-func (s *Store) roles(before quorum.Status, now time.Duration) {
+func (s *Store) roles(before raft.Status, now time.Duration) {
 	st := &s.status
 	if before.Role != st.Role || before.Leader != st.Leader || before.Term != st.Term {
 		_ = level.Info(s.log).Log("msg", "role", "role", st.Role, "term", st.Term, "leader", st.Leader, "commit", st.Commit)
 	}
 	lead := uint64(0)
-	if st.Role == quorum.Leader {
+	if st.Role == raft.Leader {
 		lead = st.Term
 	}
 	if lead != s.leadTerm {
@@ -405,7 +405,7 @@
 // watchDisk gives the lead away when the own disk hangs: the others commit without it, but a node that cannot
 // store must not go on deciding for them.
 func (s *Store) watchDisk(now time.Duration) {
-	if s.status.Role == quorum.Leader && s.diskBusy != 0 && now-s.diskBusy > 2*s.set.Election {
+	if s.status.Role == raft.Leader && s.diskBusy != 0 && now-s.diskBusy > 2*s.set.Election {
 		if to := s.heir(); to != "" && s.core.Handover(now, to) == nil {
 			_ = level.Warn(s.log).Log("msg", "the disk hangs: handing over", "to", to, "for", now-s.diskBusy)
 		}
@@ -433,7 +433,7 @@
 // Handover gives the lead to another if this node has it, and waits until it is gone, for one Election at most.
 func (s *Store) Handover(ctx context.Context) {
 	s.mu.Lock()
-	if s.core == nil || s.status.Role != quorum.Leader {
+	if s.core == nil || s.status.Role != raft.Leader {
 		s.mu.Unlock()
 		return
 	}
@@ -447,7 +447,7 @@
 	}
 	for end := s.clock.Now() + s.set.Election; s.clock.Now() < end && s.rest(ctx, pollEvery); {
 		s.mu.Lock()
-		gone := s.status.Role != quorum.Leader
+		gone := s.status.Role != raft.Leader
 		s.mu.Unlock()
 		if gone {
 			_ = level.Info(s.log).Log("msg", "handed over", "to", to)
@@ -506,7 +506,7 @@
 		return errs.New(errs.Unavailable, "not part of a fleet yet")
 	case s.status.Leader == "":
 		return errs.New(errs.Unavailable, "no leader is known")
-	case s.status.Role == quorum.Leader:
+	case s.status.Role == raft.Leader:
 		if commit, ok := s.core.Confirmed(now); !ok || s.live.Index < commit {
 			return errs.New(errs.Unavailable, "the lead is not confirmed")
 		}
@@ -556,6 +556,6 @@
 // NameOf gives the name of the cplane that has a quorum ID.
 func NameOf(id string) string { return nameOf(id) }
 
-func decodeMeta(raw []byte) (m quorum.Meta, err error) {
+func decodeMeta(raw []byte) (m raft.Meta, err error) {
 	return m, errs.Wrap(json.Unmarshal(raw, &m), errs.Damaged, "meta of a slot")
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,7 +19,7 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
@@ -200,7 +200,7 @@
 	var found *Store
 	r.until("a ready leader", func() bool {
 		for _, s := range r.nodes {
-			if st := s.Status(); st.Ready && st.Quorum.Role == quorum.Leader {
+			if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader {
 				found = s
 				return true
 			}
@@ -454,7 +454,7 @@
 		r.load("b", 50)
 		r.level()
 		So(len(lead.Status().Quorum.Members), ShouldEqual, 3)
-		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m quorum.Member) bool { return m.ID == gone }), ShouldBeFalse)
+		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// The newcomer carries a majority, and keeps its new ID over a restart.
 		r.kill(gone)
@@ -488,7 +488,7 @@
 		So(err, ShouldBeNil)
 		r.until("the successor is a voter", func() bool { return fresh.Status().Quorum.Voter })
 		r.until("the old member is out", func() bool { return len(lead.Status().Quorum.Members) == 3 })
-		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m quorum.Member) bool { return m.ID == gone }), ShouldBeFalse)
+		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// It carries a majority with the one other that is left.
 		r.kill(lead.set.Name)
--- a/internal/testbed/sim/balances.go
+++ b/internal/testbed/sim/balances.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -197,7 +197,7 @@
 	}
 	s.on(in, func() {
 		for _, c := range s.cplanes {
-			if c.alive && c.hand != nil && c.hand.Core() != nil && c.hand.Core().Status().Role == quorum.Leader {
+			if c.alive && c.hand != nil && c.hand.Core() != nil && c.hand.Core().Status().Role == raft.Leader {
 				s.report.Faults[what]++
 				s.tell("fault %s: %s", what, c.addr)
 				c.crash(s.chance(0.5))
--- a/internal/testbed/sim/oracle.go
+++ b/internal/testbed/sim/oracle.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"crosstide/internal/api"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/sched"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -37,7 +37,7 @@
 	ref     *state.State
 	log     []record // from index 2 on
 	seen    map[*cplane]uint64
-	members []quorum.Member
+	members []raft.Member
 	jobs    map[string]*job
 
 	runIDs    map[uint64]*runID
@@ -92,7 +92,7 @@
 		ended: map[state.TaskRef][]*ending{}, evacuated: map[string]time.Duration{}, dueAt: map[state.TaskRef]time.Duration{},
 		idle: map[state.TaskRef]time.Duration{}, orders: map[*node]uint64{}}
 	for _, m := range s.members() {
-		o.members = append(o.members, quorum.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone})
+		o.members = append(o.members, raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone})
 	}
 	o.ref.Index, o.ref.Term = 1, 1
 	o.ref.Watch = func(n state.Note) {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (o *oracle) entry(c *cplane, e quorum.Entry) {
+func (o *oracle) entry(c *cplane, e raft.Entry) {
 	s := o.sim
 	r := record{e.Term, xxhash.Sum64(e.Data)}
 	if at := int(e.Index) - 2; at < len(o.log) {
@@ -162,15 +162,15 @@
 	if !o.durable(e.Index, e.Term) {
 		s.broke("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks", c.addr, e.Index, e.Term)
 	}
-	if e.Kind == quorum.Members {
-		ms, err := quorum.DecodeMembers(e)
+	if e.Kind == raft.Members {
+		ms, err := raft.DecodeMembers(e)
 		must(err)
 		o.members = ms
 		s.report.Counts["member changes"]++
 		s.tell("members: %v", ids(ms))
 	}
 	data := e.Data
-	if e.Kind != quorum.Normal {
+	if e.Kind != raft.Normal {
 		data = nil
 	}
 	s.money.apply(data, func() {
@@ -178,7 +178,7 @@
 	})
 }
 
-func ids(ms []quorum.Member) (out []string) {
+func ids(ms []raft.Member) (out []string) {
 	for _, m := range ms {
 		id := m.ID
 		if m.Learner {
@@ -195,13 +195,13 @@
 		return false
 	}
 	id := c.hand.Core().Status().ID
-	return slices.ContainsFunc(o.members, func(m quorum.Member) bool { return m.ID == id && !m.Learner })
+	return slices.ContainsFunc(o.members, func(m raft.Member) bool { return m.ID == id && !m.Learner })
 }
 
 // durable tells whether a majority of some member set in force has an entry on its disks.
 func (o *oracle) durable(index, term uint64) bool {
 	have := map[string]bool{}
-	sets := [][]quorum.Member{o.members}
+	sets := [][]raft.Member{o.members}
 	for _, c := range o.sim.cplanes {
 		if c.wiped != "" { // it may have said that it has it before it lost it
 			have[c.wiped] = have[c.wiped] || index <= c.hadTo || c.had[index] == term
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -2,7 +2,7 @@
 // is not synced, dplanes, minions of both kinds, clients and an operator, with faults on every side, and an oracle
 // that looks at what was really started, written and answered after every event.
 //
-// What decides is the daemons' own code: quorum.Core, the store (by hand, see store.Hand), storage.Store over
+// What decides is the daemons' own code: raft.Core, the store (by hand, see store.Hand), storage.Store over
 // storage.MemDisk, state and command, replica.Replica, sched.Core, minion.Core. Only the glue of dataplane.Node and of the
 // minion's host is written anew here, without goroutines. The same seed gives the same trace, byte for byte.
 package sim
