--- a/cmd/cplane/jobscore.go
+++ b/cmd/cplane/jobscore.go
@@ -14,6 +14,7 @@
 
 	"crosstide/internal/config"
 	"crosstide/internal/controller"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobsapi"
@@ -21,7 +22,6 @@
 	"crosstide/internal/node"
 	"crosstide/internal/operator"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/store"
 	"crosstide/internal/workerapi"
 )
--- a/cmd/cplane/jobscore_test.go
+++ b/cmd/cplane/jobscore_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/config"
-	"crosstide/internal/scheduler"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/workerapi"
 )
 
--- a/cmd/cplane/lease_test.go
+++ b/cmd/cplane/lease_test.go
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/scheduler"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/platform"
 )
 
--- a/cmd/cplane/platform.go
+++ b/cmd/cplane/platform.go
@@ -12,11 +12,11 @@
 
 	"crosstide/internal/config"
 	"crosstide/internal/controller"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
 	"crosstide/internal/node"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 	"crosstide/platform"
 )
 
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 )
 
 // Locate names the queue of a call: by host and path, as the configuration says.
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -10,7 +10,7 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/scheduler"
+	"crosstide/internal/controller/scheduler"
 )
 
 // healthEvery is the least pause between looks at the workers' health.
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-kit/log"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/scheduler"
+	"crosstide/internal/controller/scheduler"
 )
 
 func TestHealthLog(t *testing.T) {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -12,11 +12,11 @@
 	"github.com/go-kit/log/level"
 
 	"crosstide/internal/clock"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 const (
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -8,10 +8,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/routine"
-	"crosstide/internal/scheduler"
 )
 
 const mailTerm = 3
--- a/internal/controller/query_test.go
+++ b/internal/controller/query_test.go
@@ -11,9 +11,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/clock"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -15,10 +15,10 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/controller"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/store"
 )
 
--- a/internal/testbed/fleetsim/beats.go
+++ b/internal/testbed/fleetsim/beats.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 const (
--- a/internal/testbed/fleetsim/guards.go
+++ b/internal/testbed/fleetsim/guards.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 // Guard names a safety measure that a run can do without, to show that the oracle finds its lack.
--- a/internal/testbed/fleetsim/node.go
+++ b/internal/testbed/fleetsim/node.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 // node is a machine of the core: a replica of the table, and the loop of controller.Leader round a scheduler.Core.
--- a/internal/testbed/fleetsim/oracle.go
+++ b/internal/testbed/fleetsim/oracle.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 // Rule names a rule of the platform, or one of the simulator's own.
--- a/internal/testbed/fleetsim/orders.go
+++ b/internal/testbed/fleetsim/orders.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 // callTimeout bounds start and stop orders and the part of a hold call beyond its wait, as the controller's does.
--- a/internal/testbed/fleetsim/run.go
+++ b/internal/testbed/fleetsim/run.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 // order is what is known of the order that began a run.
--- a/internal/testbed/fleetsim/shortage.go
+++ b/internal/testbed/fleetsim/shortage.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"crosstide/internal/scheduler"
+	"crosstide/internal/controller/scheduler"
 )
 
 // shortage is a time in which a share of the leader's calls finds no connection. It is no disruption of any machine: rules
--- a/internal/testbed/fleetsim/worker.go
+++ b/internal/testbed/fleetsim/worker.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 )
 
 // What the platform's settings say of workers.
--- a/internal/testbed/worker/core.go
+++ b/internal/testbed/worker/core.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/workerapi"
 )
 
--- a/internal/testbed/worker/core_test.go
+++ b/internal/testbed/worker/core_test.go
@@ -6,9 +6,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/workerapi"
 )
 
--- a/internal/testbed/worker/host_test.go
+++ b/internal/testbed/worker/host_test.go
@@ -15,12 +15,12 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/controller"
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/jobsapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 	"crosstide/internal/workerapi"
 )
 
--- a/internal/workerapi/client.go
+++ b/internal/workerapi/client.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 )
 
 const (
--- a/internal/workerapi/client_test.go
+++ b/internal/workerapi/client_test.go
@@ -8,10 +8,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 )
 
 // answering runs test with a client whose worker answers every call with a status and a body, and tells the body of the
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
+	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/jobs"
 	"crosstide/internal/rpc"
-	"crosstide/internal/scheduler"
 )
 
 // Run names one run of a task: round, step and index count from 0, number from 1.
