--- a/cmd/dplane/main.go
+++ b/cmd/dplane/main.go
@@ -19,10 +19,10 @@
 	"crosstide/internal/config"
 	"crosstide/internal/daemon"
 	"crosstide/internal/dataplane"
+	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/membership"
 	"crosstide/internal/rpc"
-	"crosstide/internal/sched"
 )
 
 // version is set by the linker.
@@ -40,8 +40,8 @@
 	}
 }
 
-func passes(set config.Dplane) sched.Config {
-	cfg := sched.Defaults()
+func passes(set config.Dplane) scheduler.Config {
+	cfg := scheduler.Defaults()
 	cfg.Hold, cfg.HoldWait, cfg.StartWindow = set.Hold, set.HoldWait, set.StartWindow
 	cfg.Lateness, cfg.LeaseMargin = set.Lateness, set.LeaseMargin
 	cfg.Health.Share = float64(set.SickShare) / 100
--- a/internal/dataplane/confirm_test.go
+++ b/internal/dataplane/confirm_test.go
@@ -11,9 +11,9 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/clock"
+	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
-	"crosstide/internal/sched"
 	"crosstide/internal/state"
 )
 
@@ -27,7 +27,7 @@
 		})
 		So(srv.Start(), ShouldBeNil)
 		caller := rpc.NewCaller(rpc.CallerOptions{})
-		n := New(Options{Name: "d", Core: []string{srv.Addr()}, Sched: sched.Defaults(), CallTimeout: 20 * time.Second,
+		n := New(Options{Name: "d", Core: []string{srv.Addr()}, Sched: scheduler.Defaults(), CallTimeout: 20 * time.Second,
 			Clock: clock.Real{}, Logger: log.NewNopLogger(), Caller: caller, Minions: caller})
 		loop := routine.New(context.Background())
 		loop.Go(n.confirmer.run)
--- a/internal/dataplane/meter.go
+++ b/internal/dataplane/meter.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"crosstide/internal/sched"
+	"crosstide/internal/dataplane/scheduler"
 )
 
 // Meter shows a node's Figures to Prometheus.
@@ -53,7 +53,7 @@
 		to <- prometheus.MustNewConstMetric(m.desc[name], prometheus.CounterValue, float64(v))
 	}
 	holder := 0.0
-	if f.Phase == sched.Ready {
+	if f.Phase == scheduler.Ready {
 		holder = 1
 	}
 	gauge("replica_index", float64(f.Index))
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -13,11 +13,11 @@
 
 	"crosstide/internal/api"
 	"crosstide/internal/clock"
+	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/replica"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
-	"crosstide/internal/sched"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -26,7 +26,7 @@
 type Options struct {
 	Name, Addr, Boot string
 	Core             []string // cplane addresses
-	Sched            sched.Config
+	Sched            scheduler.Config
 	CallTimeout      time.Duration // of a call to a cplane, and of a minion's answer past its wait
 	QueueLimit       int           // bound of the inbox
 	Clock            clock.Clock
@@ -40,8 +40,8 @@
 	opt        Options
 	core       *coreClient
 	replica    *replica.Replica
-	sched      *sched.Core // under the replica's lock
-	leaseEpoch uint64      // epoch of the newest lease, and its end; under the replica's lock
+	sched      *scheduler.Core // under the replica's lock
+	leaseEpoch uint64          // epoch of the newest lease, and its end; under the replica's lock
 	leaseUntil time.Duration
 	group      *routine.Group
 	kick       chan struct{}
@@ -68,7 +68,7 @@
 		n.sched.Reset(opt.Clock.Now(), st)
 	})
 	st := n.replica.Lock()
-	n.sched = sched.New(opt.Sched, st)
+	n.sched = scheduler.New(opt.Sched, st)
 	n.replica.Unlock()
 	n.confirmer.node, n.confirmer.work = n, make(chan struct{}, 1)
 	return n
@@ -284,7 +284,7 @@
 }
 
 // connTo returns the connection for a call.
-func (n *Node) connTo(c sched.CallOut) *rpc.DedicatedConn {
+func (n *Node) connTo(c scheduler.CallOut) *rpc.DedicatedConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.minionConns[c.Minion]
@@ -304,7 +304,7 @@
 
 // send makes one hold call. Immediately before its bytes are written the lease is checked again, and for starts
 // the window; nothing is written after that.
-func (n *Node) send(ctx context.Context, c sched.CallOut) {
+func (n *Node) send(ctx context.Context, c scheduler.CallOut) {
 	check := func() error {
 		now := n.opt.Clock.Now()
 		n.replica.Lock()
@@ -378,10 +378,10 @@
 // Figures are what the node shows of itself.
 type Figures struct {
 	Index, Changes, Bytes, Snapshots uint64
-	Phase                            sched.Phase
+	Phase                            scheduler.Phase
 	Epoch                            uint64
 	QueueLength                      int
-	Counts                           sched.Counts
+	Counts                           scheduler.Counts
 	RunningCounts                    map[string]int
 	Jobs, Handles, Minions, Inbox    int
 	Sick                             []string       // minions held sick
--- a/internal/sched/gang_test.go
+++ b/internal/dataplane/scheduler/gang_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
--- a/internal/sched/sched.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package sched is the duty `sched`: the running counts, placement, run IDs and the hold calls to the minions.
+// Package scheduler is the duty `sched`: the running counts, placement, run IDs and the hold calls to the minions.
 //
 // Core is a step function without clock, socket or goroutine: its owner feeds it notes of the replicated state,
 // answers, failures and the time, and carries out what Pass gives. Runs and minions are records in tables; a pass
 // runs over those that changed, and over all on every sweep.
-package sched
+package scheduler
 
 import (
 	"cmp"
--- a/internal/testbed/sim/dplane.go
+++ b/internal/testbed/sim/dplane.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"crosstide/internal/api"
+	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/replica"
-	"crosstide/internal/sched"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 	"crosstide/internal/state/query"
@@ -23,7 +23,7 @@
 	*proc
 	boot    string
 	replica *replica.Replica
-	sched   *sched.Core
+	sched   *scheduler.Core
 	granted uint64
 	ready   bool // led once and not yielded, for the trace
 	passing bool
@@ -46,17 +46,17 @@
 	d.begin()
 	d.boot = fmt.Sprintf("%s-%d", d.addr, d.gen)
 	d.replica = replica.New(func(n state.Note) { d.sched.Note(n); d.wake() }, func(st *state.State) {
-		if d.sched.Phase() == sched.Ready {
+		if d.sched.Phase() == scheduler.Ready {
 			d.sim.report.Counts["holders that took a snapshot"]++
 			d.sim.tell("%s, which holds sched, takes a snapshot at %d", d.addr, st.Index)
 		}
 		d.sched.Reset(d.Now(), st)
 	})
-	cfg := sched.Defaults()
+	cfg := scheduler.Defaults()
 	if d.sim.opt.Break == "reserve" {
 		cfg.ReserveAfter = minion.Never
 	}
-	d.sched = sched.New(cfg, d.replica.Lock())
+	d.sched = scheduler.New(cfg, d.replica.Lock())
 	d.replica.Unlock()
 	d.granted, d.ready, d.passing, d.leader, d.source, d.reaches, d.leaving = 0, false, false, "", "", nil, false
 	d.lagUntil, d.planning = 0, false
@@ -334,7 +334,7 @@
 }
 
 // send makes one hold call; the lease is looked at immediately before the write.
-func (d *dplane) send(c sched.CallOut) {
+func (d *dplane) send(c scheduler.CallOut) {
 	s, now := d.sim, d.Now()
 	fail := func(err error, sent bool) {
 		d.sched.Failure(d.Now(), c.Minion, c.Order, c.Call, sent)
@@ -345,7 +345,7 @@
 		return
 	}
 	s.oracle.written(d, c)
-	s.ask(ask{from: d.proc, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: sched.Defaults().LeaseMargin / 2,
+	s.ask(ask{from: d.proc, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: scheduler.Defaults().LeaseMargin / 2,
 		serve: func(to *proc, reply func(any, error)) { s.minionAt(to).hold(c.Call, reply) },
 		back: func(a any, err error, sent bool) {
 			if err != nil {
--- a/internal/testbed/sim/oracle.go
+++ b/internal/testbed/sim/oracle.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"crosstide/internal/api"
+	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/raft"
-	"crosstide/internal/sched"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 	"crosstide/internal/testbed/journal"
@@ -264,7 +264,7 @@
 }
 
 // written takes in that a hold call leaves a dplane.
-func (o *oracle) written(d *dplane, c sched.CallOut) {
+func (o *oracle) written(d *dplane, c scheduler.CallOut) {
 	s := o.sim
 	s.held("fence")
 	if now := o.newest(o.ref.Index); c.Call.Epoch < now {
@@ -312,7 +312,7 @@
 }
 
 // heard takes in that a holder is told something.
-func (o *oracle) heard(d *dplane, c sched.CallOut, a api.HoldAnswer) {
+func (o *oracle) heard(d *dplane, c scheduler.CallOut, a api.HoldAnswer) {
 	if a.Call != c.Call.Call || c.Call.Epoch != d.sched.Epoch() {
 		return
 	}
