--- a/cmd/cplane/jobscore.go
+++ b/cmd/cplane/jobscore.go
@@ -18,8 +18,8 @@
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobsapi"
+	"crosstide/internal/jobsnode"
 	"crosstide/internal/membership"
-	"crosstide/internal/node"
 	"crosstide/internal/operator"
 	"crosstide/internal/rpc"
 	"crosstide/internal/store"
@@ -61,7 +61,7 @@
 	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
 		options := jobsOptions(set, profiles, logger)
 		options.Removed = removed
-		core, err := node.NewCore(ctx, options)
+		core, err := jobsnode.NewCore(ctx, options)
 		if err != nil {
 			return errs.Pass(err, "make the node")
 		}
@@ -71,9 +71,9 @@
 }
 
 // jobsOptions maps settings to a core node's options.
-func jobsOptions(set config.JobsCore, profiles bool, logger log.Logger) node.CoreOptions {
+func jobsOptions(set config.JobsCore, profiles bool, logger log.Logger) jobsnode.CoreOptions {
 	registry := daemon.Registry()
-	return node.CoreOptions{
+	return jobsnode.CoreOptions{
 		Store: set.Cplane, Open: open, Scheduler: jobsScheduler(set.Scheduler), KeepOver: set.KeepOver,
 		Workers: func(holds, starts *rpc.Caller) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
 		Control: set.Control,
--- a/cmd/cplane/platform.go
+++ b/cmd/cplane/platform.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
-	"crosstide/internal/node"
+	"crosstide/internal/jobsnode"
 	"crosstide/internal/rpc"
 	"crosstide/platform"
 )
@@ -50,7 +50,7 @@
 		first = false
 		options := coreOptions(core, logger)
 		options.Removed = removed
-		served, err := node.NewCore(ctx, options)
+		served, err := jobsnode.NewCore(ctx, options)
 		if err != nil {
 			return errs.Pass(err, "make the node")
 		}
@@ -73,8 +73,8 @@
 }
 
 // coreOptions maps the platform's settings to a core node's options.
-func coreOptions(core platform.CoreSettings, logger log.Logger) node.CoreOptions {
-	return node.CoreOptions{
+func coreOptions(core platform.CoreSettings, logger log.Logger) jobsnode.CoreOptions {
+	return jobsnode.CoreOptions{
 		Store: storeSettings(core), Open: open,
 		Scheduler: schedulerSettings(core.Scheduler, core.ContactTimeout), KeepOver: 2 * core.Scheduler.KeepStateFor,
 		Workers: func(holds, starts *rpc.Caller) scheduler.Workers {
@@ -89,7 +89,7 @@
 }
 
 // followSettings takes new seeds from the settings whenever the process is told that they changed.
-func followSettings(ctx context.Context, core *node.Core, changed <-chan os.Signal, logger log.Logger) {
+func followSettings(ctx context.Context, core *jobsnode.Core, changed <-chan os.Signal, logger log.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/cmd/dplane/jobsfront.go
+++ b/cmd/dplane/jobsfront.go
@@ -16,7 +16,7 @@
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobsapi"
-	"crosstide/internal/node"
+	"crosstide/internal/jobsnode"
 	"crosstide/internal/rpc"
 )
 
@@ -44,7 +44,7 @@
 }
 
 func serveJobs(ctx context.Context, set config.JobsFront, profiles bool, logger log.Logger) error {
-	front, err := node.NewFront(jobsOptions(set, profiles, logger))
+	front, err := jobsnode.NewFront(jobsOptions(set, profiles, logger))
 	if err != nil {
 		return errs.Pass(err, "make the node")
 	}
@@ -52,9 +52,9 @@
 }
 
 // jobsOptions maps settings to a front node's options.
-func jobsOptions(set config.JobsFront, profiles bool, logger log.Logger) node.FrontOptions {
+func jobsOptions(set config.JobsFront, profiles bool, logger log.Logger) jobsnode.FrontOptions {
 	registry := daemon.Registry()
-	return node.FrontOptions{
+	return jobsnode.FrontOptions{
 		Core: set.CoreAddresses(), Via: set.Via, Address: set.Addr,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) {
 			jobsapi.ServeClients(clients, client, set.CallTimeout)
--- a/cmd/dplane/platform.go
+++ b/cmd/dplane/platform.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/controller"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
-	"crosstide/internal/node"
+	"crosstide/internal/jobsnode"
 	"crosstide/internal/rpc"
 	"crosstide/platform"
 )
@@ -26,7 +26,7 @@
 func serveFront(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core := settings.Core()
 	daemon.LimitMemory(core.MemoryBytes)
-	front, err := node.NewFront(frontOptions(core, logger))
+	front, err := jobsnode.NewFront(frontOptions(core, logger))
 	if err != nil {
 		return errs.Pass(err, "make the node")
 	}
@@ -34,8 +34,8 @@
 }
 
 // frontOptions maps the platform's settings to a front node's options.
-func frontOptions(core platform.CoreSettings, logger log.Logger) node.FrontOptions {
-	return node.FrontOptions{
+func frontOptions(core platform.CoreSettings, logger log.Logger) jobsnode.FrontOptions {
+	return jobsnode.FrontOptions{
 		Core: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) { platform.NewIngress(client).Routes(clients) },
 		ServeReady:   platform.Readiness,
--- a/internal/node/core.go
+++ b/internal/jobsnode/core.go
@@ -1,7 +1,7 @@
-// Package node builds the two kinds of nodes that serve jobs, from typed options: a core node is a member of the
+// Package jobsnode builds the two kinds of nodes that serve jobs, from typed options: a core node is a member of the
 // replicated store with the leader's controller, a front node takes clients' calls and passes them on. What is said to
 // clients, workers and operators is the caller's to add.
-package node
+package jobsnode
 
 import (
 	"context"
@@ -76,7 +76,7 @@
 
 // NewCore makes a core node and opens its store, which may wait until ctx ends. Example:
 //
-//	core, err := node.NewCore(ctx, options)
+//	core, err := jobsnode.NewCore(ctx, options)
 //	if err != nil {
 //		return errs.Pass(err, "core node")
 //	}
--- a/internal/node/front.go
+++ b/internal/jobsnode/front.go
@@ -1,4 +1,4 @@
-package node
+package jobsnode
 
 import (
 	"context"
@@ -57,7 +57,7 @@
 
 // NewFront makes a front node. Too few descriptors are errs.Settings. Example:
 //
-//	front, err := node.NewFront(options)
+//	front, err := jobsnode.NewFront(options)
 //	if err != nil {
 //		return errs.Pass(err, "front node")
 //	}
--- a/internal/node/readiness_test.go
+++ b/internal/jobsnode/readiness_test.go
@@ -1,4 +1,4 @@
-package node
+package jobsnode
 
 import (
 	"testing"
--- a/internal/testbed/fleet/call.go
+++ b/internal/testbed/fleet/call.go
@@ -52,7 +52,7 @@
 // Call sends one request and reads the answer within bound; in is sent as JSON unless nil. Any answer at all is
 // a Reply. Faults: Internal (in is no JSON), Timeout (no whole answer: what was asked may have happened). Example:
 //
-//	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/who", nil, time.Second)
+//	reply, err := caller.Call(ctx, http.MethodGet, jobsnode.Addr, "/v1/who", nil, time.Second)
 func (c *Caller) Call(ctx context.Context, method, addr, path string, in any, bound time.Duration) (Reply, error) {
 	var body []byte
 	if in != nil {
--- a/internal/testbed/fleet/scrape.go
+++ b/internal/testbed/fleet/scrape.go
@@ -38,7 +38,7 @@
 
 // Scrape reads GET /metrics of a node. Faults: Timeout (no answer), Malformed (no metrics). Example:
 //
-//	now, err := fleet.Scrape(ctx, caller, node.Addr)
+//	now, err := fleet.Scrape(ctx, caller, jobsnode.Addr)
 //	syncs := now.Sum("crosstide_store_sync_seconds_count")
 func Scrape(ctx context.Context, c *Caller, addr string) (Figures, error) {
 	reply, err := c.Call(ctx, http.MethodGet, addr, "/metrics", nil, 5*time.Second)
--- a/internal/testbed/jobsdrill/run_test.go
+++ b/internal/testbed/jobsdrill/run_test.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/jobsapi"
-	"crosstide/internal/node"
+	"crosstide/internal/jobsnode"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/storage"
@@ -50,7 +50,7 @@
 	set.Seeds, set.Members = []string{inner}, []config.Member{{ID: "c1", Addr: inner, Zone: "z1"}}
 	logger := log.NewNopLogger()
 	ctx, end := context.WithCancel(context.Background())
-	core, err := node.NewCore(ctx, node.CoreOptions{
+	core, err := jobsnode.NewCore(ctx, jobsnode.CoreOptions{
 		Store: set, Scheduler: scheduler.Defaults(), Control: control, Logger: logger,
 		Open: func(ctx context.Context, opt store.Options, _ log.Logger) (*store.Store, error) {
 			disk, err := storage.OSDisk(filepath.Join(dir, "store"))
@@ -65,7 +65,7 @@
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
-	fronts, err := node.NewFront(node.FrontOptions{Core: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
+	fronts, err := jobsnode.NewFront(jobsnode.FrontOptions{Core: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
 		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
