--- a/cmd/cplane/account.go
+++ b/cmd/cplane/account.go
@@ -15,8 +15,8 @@
 	"github.com/urfave/cli/v3"
 
 	"crosstide/internal/account"
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/signature"
 	"crosstide/internal/state/command"
 )
@@ -49,7 +49,7 @@
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
-	in := api.AccountCreateCall{Order: orderID(cmd), Credit: cmd.Int64("credit")}
+	in := internalapi.AccountCreateCall{Order: orderID(cmd), Credit: cmd.Int64("credit")}
 	if key != nil {
 		in.By, in.Sig = key.Name, key.Sign(signature.AccountCreate(in.Order, a[0], in.Credit))
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return errs.Pass(err, "top-up")
 	}
-	in := api.TopUpCall{Key: orderID(cmd), Amount: amount}
+	in := internalapi.TopUpCall{Key: orderID(cmd), Amount: amount}
 	if key != nil {
 		in.By, in.Sig = key.Name, key.Sign(signature.AccountTopUp(in.Key, a[0], amount))
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return errs.Pass(err, "show")
 	}
-	var v api.AccountView
+	var v internalapi.AccountView
 	return errs.Pass(ask(ctx, cmd, accountPath(a[0], ""), &v, func(w io.Writer) {
 		fmt.Fprintf(w, "account\t%s\nbalance\t%d\nreserved\t%d\nspent\t%d\ntopped up\t%d\ncredit\t%d\n", v.Name, v.Balance, v.Reserved,
 			v.Spent, v.ToppedUp, v.Credit)
@@ -116,7 +116,7 @@
 }
 
 func accountList(ctx context.Context, cmd *cli.Command) error {
-	var list api.AccountsAnswer
+	var list internalapi.AccountsAnswer
 	return errs.Pass(ask(ctx, cmd, "/v1/accounts", &list, func(w io.Writer) {
 		fmt.Fprintln(w, "ACCOUNT\tBALANCE\tRESERVED\tSPENT\tTOPPED UP\tRUNS\tUNITS/S\tDRY IN\tWAITING\tWARNING")
 		for _, v := range list.Accounts {
@@ -129,7 +129,7 @@
 // perSecond shows a rate in units per second.
 func perSecond(r account.Rate) string { return fmt.Sprintf("%d.%03d", r/1000, r%1000) }
 
-func dryIn(v api.AccountView) string {
+func dryIn(v internalapi.AccountView) string {
 	if !v.Draws {
 		return "-"
 	}
@@ -142,7 +142,7 @@
 		return errs.Pass(err, "ledger")
 	}
 	path := fmt.Sprintf("/ledger?after=%d&limit=%d", cmd.Uint64("after"), cmd.Int("limit"))
-	var out api.LedgerAnswer
+	var out internalapi.LedgerAnswer
 	return errs.Pass(ask(ctx, cmd, accountPath(a[0], path), &out, func(w io.Writer) {
 		fmt.Fprintln(w, "NUMBER\tAT\tKIND\tKEY\tPART\tAMOUNT")
 		for _, e := range out.Entries {
--- a/cmd/cplane/run.go
+++ b/cmd/cplane/run.go
@@ -11,11 +11,11 @@
 	"github.com/go-kit/log/level"
 	"github.com/urfave/cli/v3"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
 	"crosstide/internal/operator"
 	"crosstide/internal/rpc"
@@ -65,7 +65,7 @@
 		seeds = append(seeds, m.Addr)
 	}
 	members := daemon.NewMembership(set.Common, membership.Cplane, seeds, caller, logger, reg, nil)
-	rpc.Handle(srv, api.Shuffle, members.Serve)
+	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
 	operator.Serve(srv, s, store.NameOf, members.Nodes)
 	daemon.Routes(srv, reg, s.Ready)
 	if profiles {
--- a/cmd/dplane/main.go
+++ b/cmd/dplane/main.go
@@ -13,7 +13,6 @@
 	"github.com/go-kit/log"
 	"github.com/urfave/cli/v3"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clientapi"
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
@@ -21,6 +20,7 @@
 	"crosstide/internal/dataplane"
 	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
 	"crosstide/internal/rpc"
 )
@@ -75,8 +75,8 @@
 	members := daemon.NewMembership(set.Common, membership.Dplane, set.Seeds, caller, logger, reg, learn)
 	srv := rpc.NewServer(rpc.ServerOptions{Addr: set.Addr, Logger: daemon.Part(logger, "rpc"), Registry: reg})
 	clientapi.Register(srv, n, clientapi.Options{Within: set.CallTimeout, Seed: uint64(boot[0])<<8 | uint64(boot[1])})
-	rpc.Handle(srv, api.Minions, n.Announce)
-	rpc.Handle(srv, api.Shuffle, members.Serve)
+	rpc.Handle(srv, internalapi.Minions, n.Announce)
+	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
 	n.Routes(srv)
 	daemon.Routes(srv, reg, n.Ready)
 	if profiles {
--- a/cmd/drill/balances.go
+++ b/cmd/drill/balances.go
@@ -14,9 +14,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/testbed/audit"
 	"crosstide/internal/testbed/fleet"
@@ -61,18 +61,18 @@
 
 // balancesReport is what the drill came to; times in seconds.
 type balancesReport struct {
-	Notes    []string        `json:"notes"`
-	Wrong    []string        `json:"wrong,omitempty"`
-	Resumed  []float64       `json:"resumed"`  // from the yes to a top-up until a job of the party started
-	Attached []float64       `json:"attached"` // from the loss of a minion until its lasting task ran again
-	Lowest   int64           `json:"lowest"`   // balance that was read
-	Account  api.AccountView `json:"account"`  // at the end
-	TopUps   int             `json:"top_ups"`  // acknowledged, each once
-	Sent     int             `json:"sent"`     // top-ups sent, again and again
-	Paid     load.Report     `json:"paid"`
-	Lasting  load.Report     `json:"lasting"`
-	Free     load.Report     `json:"free"`
-	Audit    []audit.Finding `json:"audit"`
+	Notes    []string                `json:"notes"`
+	Wrong    []string                `json:"wrong,omitempty"`
+	Resumed  []float64               `json:"resumed"`  // from the yes to a top-up until a job of the party started
+	Attached []float64               `json:"attached"` // from the loss of a minion until its lasting task ran again
+	Lowest   int64                   `json:"lowest"`   // balance that was read
+	Account  internalapi.AccountView `json:"account"`  // at the end
+	TopUps   int                     `json:"top_ups"`  // acknowledged, each once
+	Sent     int                     `json:"sent"`     // top-ups sent, again and again
+	Paid     load.Report             `json:"paid"`
+	Lasting  load.Report             `json:"lasting"`
+	Free     load.Report             `json:"free"`
+	Audit    []audit.Finding         `json:"audit"`
 }
 
 // payingStage is the drill at work.
@@ -153,7 +153,7 @@
 }
 
 // show reads the account and keeps the lowest balance.
-func (p *payingStage) show(ctx context.Context) (api.AccountView, error) {
+func (p *payingStage) show(ctx context.Context) (internalapi.AccountView, error) {
 	v, err := p.operator.Show(ctx, p.party)
 	if err == nil {
 		p.out.Lowest = min(p.out.Lowest, v.Balance)
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -8,10 +8,10 @@
 	"github.com/go-kit/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
 	"crosstide/internal/rpc"
 )
@@ -27,7 +27,7 @@
 		Self:  membership.Note{Name: set.Name, Addr: set.Addr, Zone: set.Zone, Role: role},
 		Seeds: seeds, Rnd: rand.Uint64(), Clock: clock.Real{}, Logger: Part(logger, "membership"), Registry: reg, Cplanes: cplanes,
 		Ask: func(ctx context.Context, addr string, m membership.Message) (membership.Message, error) {
-			a, err := rpc.Ask(ctx, k, addr, api.Shuffle, m, shuffleWithin)
+			a, err := rpc.Ask(ctx, k, addr, internalapi.Shuffle, m, shuffleWithin)
 			return a, errs.Pass(err, "shuffle")
 		},
 	})
--- a/internal/dataplane/confirm.go
+++ b/internal/dataplane/confirm.go
@@ -7,8 +7,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 )
 
 // confirmer asks the leader for a fresh index on behalf of all reads that wait, one call at a time: a read joins
@@ -75,7 +75,7 @@
 	n := c.node
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	a, err := toLeader(ctx, n.core, n, api.Confirm, api.ConfirmCall{}, n.opt.CallTimeout/2, true)
+	a, err := toLeader(ctx, n.core, n, internalapi.Confirm, internalapi.ConfirmCall{}, n.opt.CallTimeout/2, true)
 	r.index, r.err = a.Index, err
 	close(r.done)
 	if err == nil {
--- a/internal/dataplane/confirm_test.go
+++ b/internal/dataplane/confirm_test.go
@@ -9,9 +9,9 @@
 	"github.com/go-kit/log"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/dataplane/scheduler"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state"
@@ -21,9 +21,9 @@
 	Convey("many reads at once are all confirmed, by few calls, and the loop never stands still", t, func() {
 		var calls atomic.Int64
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		rpc.Handle(srv, api.Confirm, func(context.Context, api.ConfirmCall) (api.ConfirmAnswer, error) {
+		rpc.Handle(srv, internalapi.Confirm, func(context.Context, internalapi.ConfirmCall) (internalapi.ConfirmAnswer, error) {
 			calls.Add(1)
-			return api.ConfirmAnswer{}, nil
+			return internalapi.ConfirmAnswer{}, nil
 		})
 		So(srv.Start(), ShouldBeNil)
 		caller := rpc.NewCaller(rpc.CallerOptions{})
--- a/internal/dataplane/core.go
+++ b/internal/dataplane/core.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state/command"
 )
@@ -90,17 +90,17 @@
 	}
 }
 
-func (c *coreClient) propose(ctx context.Context, n *Node, cmd command.Command, again bool) (api.ProposeAnswer, error) {
+func (c *coreClient) propose(ctx context.Context, n *Node, cmd command.Command, again bool) (internalapi.ProposeAnswer, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
-		return api.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "encode %s", cmd.Op())
+		return internalapi.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "encode %s", cmd.Op())
 	}
-	a, err := toLeader(ctx, c, n, api.Propose, api.ProposeCall{Op: cmd.Op(), Body: body}, c.within, again)
+	a, err := toLeader(ctx, c, n, internalapi.Propose, internalapi.ProposeCall{Op: cmd.Op(), Body: body}, c.within, again)
 	return a, errs.Pass(err, "propose %s", cmd.Op())
 }
 
 // Follow asks the cplane it asked last, and another one after a failure.
-func (c *coreClient) Follow(ctx context.Context, call api.FollowCall) (api.FollowAnswer, error) {
+func (c *coreClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	c.mu.Lock()
 	if c.source == "" {
 		c.next++
@@ -108,7 +108,7 @@
 	}
 	addr := c.source
 	c.mu.Unlock()
-	a, err := rpc.Ask(ctx, c.caller, addr, api.Follow, call, call.Wait+c.within)
+	a, err := rpc.Ask(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.within)
 	if err != nil {
 		c.mu.Lock()
 		c.source = ""
@@ -118,13 +118,13 @@
 }
 
 // Chunk asks the cplane that is followed.
-func (c *coreClient) Chunk(ctx context.Context, call api.ChunkCall) (api.ChunkAnswer, error) {
+func (c *coreClient) Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.mu.Lock()
 	addr := c.source
 	c.mu.Unlock()
 	if addr == "" {
-		return api.ChunkAnswer{}, errs.New(errs.Unavailable, "no cplane is followed")
+		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "no cplane is followed")
 	}
-	a, err := rpc.Ask(ctx, c.caller, addr, api.Chunk, call, 5*c.within)
+	a, err := rpc.Ask(ctx, c.caller, addr, internalapi.Chunk, call, 5*c.within)
 	return a, errs.Pass(err, "chunk from %s", addr)
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -11,10 +11,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/replica"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
@@ -104,7 +104,7 @@
 	n.replica.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	if _, err := toLeader(ctx, n.core, n, api.Duty, n.claim(epoch, true), n.opt.CallTimeout, true); err != nil {
+	if _, err := toLeader(ctx, n.core, n, internalapi.Duty, n.claim(epoch, true), n.opt.CallTimeout, true); err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "giving the duty up failed, its lease will run out", "err", err)
 	}
 }
@@ -125,8 +125,8 @@
 	}
 }
 
-func (n *Node) claim(epoch uint64, giveUp bool) api.DutyCall {
-	return api.DutyCall{Duty: "sched", Holder: n.opt.Name, Addr: n.opt.Addr, Boot: n.opt.Boot, Epoch: epoch, GiveUp: giveUp}
+func (n *Node) claim(epoch uint64, giveUp bool) internalapi.DutyCall {
+	return internalapi.DutyCall{Duty: "sched", Holder: n.opt.Name, Addr: n.opt.Addr, Boot: n.opt.Boot, Epoch: epoch, GiveUp: giveUp}
 }
 
 // maxClaims is how many claims may be under way at once: a slow path to the leader must not let the lease run out
@@ -164,7 +164,7 @@
 	n.mu.Unlock()
 	for range 3 {
 		addr, sent := n.core.lead(), n.opt.Clock.Now()
-		a, err := rpc.Ask(ctx, n.opt.Caller, addr, api.Duty, n.claim(epoch, false), n.opt.CallTimeout)
+		a, err := rpc.Ask(ctx, n.opt.Caller, addr, internalapi.Duty, n.claim(epoch, false), n.opt.CallTimeout)
 		n.core.learn(addr, err)
 		switch {
 		case err == nil && a.Mine:
@@ -183,7 +183,7 @@
 }
 
 // take makes a grant good: the replica is followed up to the grant's index first, then the running counts are rebuilt.
-func (n *Node) take(ctx context.Context, a api.DutyAnswer, sent time.Duration) error {
+func (n *Node) take(ctx context.Context, a internalapi.DutyAnswer, sent time.Duration) error {
 	n.mu.Lock()
 	stale := a.Epoch < n.granted // answers of claims under way at once may cross
 	n.granted = max(n.granted, a.Epoch)
@@ -215,7 +215,7 @@
 
 // dutyLost records that another node has the duty. An answer with no newer epoch than the own grant crossed it, or
 // says that the epoch ends: its lease runs out by itself.
-func (n *Node) dutyLost(a api.DutyAnswer) {
+func (n *Node) dutyLost(a internalapi.DutyAnswer) {
 	n.mu.Lock()
 	had := n.granted
 	if had == 0 || a.Epoch <= had {
@@ -318,7 +318,7 @@
 		}
 		return nil
 	}
-	a, err := rpc.AskDedicated(ctx, n.connTo(c), api.Hold, c.Call, c.Call.Wait+n.opt.CallTimeout/2, check)
+	a, err := rpc.AskDedicated(ctx, n.connTo(c), internalapi.Hold, c.Call, c.Call.Wait+n.opt.CallTimeout/2, check)
 	now := n.opt.Clock.Now()
 	n.replica.Lock()
 	if err != nil {
@@ -403,8 +403,8 @@
 }
 
 // Announce makes a minion known to the store, if it is not known as it is.
-func (n *Node) Announce(ctx context.Context, c api.MinionCall) (api.MinionAnswer, error) {
-	answer := api.MinionAnswer{Again: 3 * time.Second}
+func (n *Node) Announce(ctx context.Context, c internalapi.MinionCall) (internalapi.MinionAnswer, error) {
+	answer := internalapi.MinionAnswer{Again: 3 * time.Second}
 	if c.Name == "" || c.Addr == "" {
 		return answer, errs.Field(errs.Invalid, "name", "a minion needs a name and an address")
 	}
--- a/internal/dataplane/rollout.go
+++ b/internal/dataplane/rollout.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state"
 )
@@ -20,7 +20,7 @@
 }
 
 // Follow is core's, with the node's bundle.
-func (p *puller) Follow(ctx context.Context, call api.FollowCall) (api.FollowAnswer, error) {
+func (p *puller) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	now := p.node.opt.Clock.Now()
 	if v := p.node.bundle(); v != p.version {
 		p.version, p.since = v, now
--- a/internal/dataplane/scheduler/again_test.go
+++ b/internal/dataplane/scheduler/again_test.go
@@ -6,8 +6,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -47,7 +47,7 @@
 				So(out.Plan, ShouldBeNil) // the old one is still under way
 				for _, c := range out.Calls {
 					So(c.Call.Call, ShouldBeGreaterThan, order.Call.Call)
-					d.answer(c, "check", api.HoldAnswer{Running: map[bool][]uint64{true: {runID}}[c.Minion == order.Minion]})
+					d.answer(c, "check", internalapi.HoldAnswer{Running: map[bool][]uint64{true: {runID}}[c.Minion == order.Minion]})
 				}
 			}
 			So(d.st.Handles[runID], ShouldNotBeNil)
@@ -74,13 +74,13 @@
 		d.greet("check")
 		d.submit("j1", state.StepSpec{})
 		first := order(d.settle())
-		d.answer(*first, "check", api.HoldAnswer{Running: []uint64{1}})
+		d.answer(*first, "check", internalapi.HoldAnswer{Running: []uint64{1}})
 		d.submit("j2", state.StepSpec{})
 		second := order(d.settle())
 		waiting := d.wait["m1"] // sent before it
 		So(waiting.Call.Call, ShouldBeLessThan, second.Call.Call)
-		d.answer(*second, "check", api.HoldAnswer{Running: []uint64{1, 2}})
-		d.answer(waiting, "check", api.HoldAnswer{Running: []uint64{2}, Ended: []api.EndNote{{RunID: 1, How: api.EndWell}}})
+		d.answer(*second, "check", internalapi.HoldAnswer{Running: []uint64{1, 2}})
+		d.answer(waiting, "check", internalapi.HoldAnswer{Running: []uint64{2}, Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndWell}}})
 		d.settle()
 		So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 	})
@@ -92,7 +92,7 @@
 		d.greet("check")
 		d.submit("j1", state.StepSpec{})
 		o := order(d.settle())
-		d.answer(*o, "check", api.HoldAnswer{Ended: []api.EndNote{{RunID: 1, How: api.EndWell}}})
+		d.answer(*o, "check", internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndWell}}})
 		plan := d.core.Pass(d.now).Plan
 		So(plan.Ends, ShouldHaveLength, 1)
 		again := map[string]func(){
@@ -117,7 +117,7 @@
 		d.greet("check")
 		d.submit("j1", state.StepSpec{})
 		o := order(d.settle())
-		d.answer(*o, "check", api.HoldAnswer{Running: []uint64{1}})
+		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
 		d.settle()
 		w := d.wait["m1"]
 		d.core.Failure(d.now, "m1", false, w.Call, true)
@@ -125,7 +125,7 @@
 		out := d.core.Pass(d.now)
 		So(out.Plan.Dead, ShouldHaveLength, 1)
 		So(out.Calls, ShouldHaveLength, 1)
-		d.answer(out.Calls[0], "check", api.HoldAnswer{Ended: []api.EndNote{{RunID: 1, How: api.EndWell}}})
+		d.answer(out.Calls[0], "check", internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndWell}}})
 		d.core.Planned(d.now, out.Plan.Epoch, command.Planned{}, errs.New(errs.Timeout, "lost"))
 		d.settle()
 		So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
@@ -138,7 +138,7 @@
 	d := newDesk("check", "m1")
 	d.greet("check")
 	d.submit("j1", state.StepSpec{})
-	d.answer(*order(d.settle()), "check", api.HoldAnswer{Running: []uint64{1}})
+	d.answer(*order(d.settle()), "check", internalapi.HoldAnswer{Running: []uint64{1}})
 	d.settle()
 	d.core.Lease(d.now)
 	d.core.Pass(d.now)
@@ -150,7 +150,7 @@
 }
 
 func TestAskBeforeLapse(t *testing.T) {
-	ended := api.HoldAnswer{Ended: []api.EndNote{{RunID: 1, How: api.EndWell}}}
+	ended := internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndWell}}}
 	Convey("A holder whose lease was gone for longer than a hold asks the minion before it lets its runs go", t, func() {
 		d := lapsed()
 		d.settle()
@@ -171,7 +171,7 @@
 }
 
 func TestEndWhileProofIsCommitted(t *testing.T) {
-	ended := api.HoldAnswer{Ended: []api.EndNote{{RunID: 1, How: api.EndWell}}}
+	ended := internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndWell}}}
 	Convey("With the proof of a lapse under way to the store", t, func() {
 		d := lapsed()
 		d.settle()
--- a/internal/dataplane/scheduler/balance_test.go
+++ b/internal/dataplane/scheduler/balance_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/account"
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -58,7 +58,7 @@
 }
 
 // list is what runs on a minion.
-func (p *paid) list(name string) (a api.HoldAnswer) {
+func (p *paid) list(name string) (a internalapi.HoldAnswer) {
 	a.Running = p.st.RunIDs(name)
 	a.Floor = p.st.RunID
 	return a
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -80,7 +80,7 @@
 
 func answer(c *Core, st *state.State, now time.Duration, o CallOut) {
 	m := st.Minions[o.Minion]
-	a := api.HoldAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Boot: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
+	a := internalapi.HoldAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Boot: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
 	a.Running = st.RunIDs(m.Name)
 	c.Answer(now, o.Minion, o.Order, o.Call, a)
 }
--- a/internal/dataplane/scheduler/bundle_test.go
+++ b/internal/dataplane/scheduler/bundle_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -48,7 +48,7 @@
 		d.greet("check")
 		d.submit("j", state.StepSpec{})
 		o := order(d.settle())
-		d.answer(*o, "check", api.HoldAnswer{Running: []uint64{1}})
+		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
 		d.settle()
 		d.enact(`{"queues":{"other":{}}}`)
 		d.now += time.Second
@@ -59,15 +59,15 @@
 			}
 		}
 		So(stop, ShouldNotBeNil)
-		So(stop.Call.Stops, ShouldResemble, []api.StopOrder{{RunID: 1, Why: "queue"}})
-		d.answer(*stop, "check", api.HoldAnswer{Ended: []api.EndNote{{RunID: 1, How: api.EndStop}}})
+		So(stop.Call.Stops, ShouldResemble, []internalapi.StopOrder{{RunID: 1, Why: "queue"}})
+		d.answer(*stop, "check", internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndStop}}})
 		So(order(d.settle()), ShouldBeNil)
 		So(taskOf(d, "j").Phase, ShouldEqual, state.TaskDue)
 		view, err := query.Job(d.st, "j")
 		So(err, ShouldBeNil)
 		So([]any{view.State, view.Waits}, ShouldResemble, []any{state.JobRunning, "no queue default in bundle 2"})
 		d.enact(`{"queues":{"default":{}}}`)
-		d.reply("check", "", api.HoldAnswer{})
+		d.reply("check", "", internalapi.HoldAnswer{})
 		So(order(d.settle()), ShouldNotBeNil)
 	})
 
@@ -84,7 +84,7 @@
 		}
 		So(until, ShouldResemble, map[string]time.Duration{"j": 8 * time.Second, "k": Defaults().Hold})
 		runID := map[string]uint64{"j": taskOf(d, "j").RunID, "k": taskOf(d, "k").RunID}
-		runs := api.HoldAnswer{Running: []uint64{1, 2}}
+		runs := internalapi.HoldAnswer{Running: []uint64{1, 2}}
 		d.answer(*o, "check", runs)
 		renewed := map[uint64]int{}
 		for range 30 { // seconds
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -7,14 +7,14 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
 // work runs the fleet of a desk for some rounds: every start ends at once, as ends says. It gives the starts by minion.
-func (d *desk) work(rounds int, ends func(minion string, s api.StartOrder) bool) map[string]int {
+func (d *desk) work(rounds int, ends func(minion string, s internalapi.StartOrder) bool) map[string]int {
 	starts := map[string]int{}
-	left := map[string][]api.EndNote{}
+	left := map[string][]internalapi.EndNote{}
 	for range rounds {
 		d.now += 100 * time.Millisecond
 		for _, c := range d.settle() {
@@ -23,17 +23,17 @@
 			}
 			for _, s := range c.Call.Starts {
 				starts[c.Minion]++
-				how := api.EndFailure
+				how := internalapi.EndFailure
 				if ends(c.Minion, s) {
-					how = api.EndWell
+					how = internalapi.EndWell
 				}
-				left[c.Minion] = append(left[c.Minion], api.EndNote{RunID: s.RunID, How: how, Reason: "x"})
+				left[c.Minion] = append(left[c.Minion], internalapi.EndNote{RunID: s.RunID, How: how, Reason: "x"})
 			}
-			d.answer(c, "check", api.HoldAnswer{Ended: left[c.Minion]})
+			d.answer(c, "check", internalapi.HoldAnswer{Ended: left[c.Minion]})
 		}
 		for name, c := range d.wait {
 			delete(d.wait, name)
-			d.answer(c, "check", api.HoldAnswer{Ended: left[name]})
+			d.answer(c, "check", internalapi.HoldAnswer{Ended: left[name]})
 		}
 		for name, notes := range left {
 			kept := notes[:0:0]
@@ -57,7 +57,7 @@
 		d := newDesk("check", names...)
 		d.greet("check")
 		bad := true
-		ends := func(minion string, _ api.StartOrder) bool { return minion != "m3" || !bad }
+		ends := func(minion string, _ internalapi.StartOrder) bool { return minion != "m3" || !bad }
 		for i := range 60 {
 			d.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 10, Retries: 3})
 		}
@@ -93,7 +93,7 @@
 	Convey("a job that can never succeed is given up and takes no minion with it", t, func() {
 		d := newDesk("check", "m1", "m2", "m3", "m4")
 		d.greet("check")
-		ends := func(_ string, s api.StartOrder) bool { return s.Job != "never" }
+		ends := func(_ string, s internalapi.StartOrder) bool { return s.Job != "never" }
 		d.submit("never", state.StepSpec{Tasks: 8, Retries: 5})
 		for i := range 40 {
 			d.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 4})
--- a/internal/dataplane/scheduler/hold.go
+++ b/internal/dataplane/scheduler/hold.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -44,17 +44,17 @@
 }
 
 // call makes a call with all but starts.
-func (c *Core) call(now time.Duration, m *minion) api.HoldCall {
+func (c *Core) call(now time.Duration, m *minion) internalapi.HoldCall {
 	m.call++
 	c.called = max(c.called, m.call)
 	m.urgent = false
-	call := api.HoldCall{Call: m.call, Epoch: c.epoch, Minion: m.name, Boot: m.boot, Floor: m.floor, Acked: m.acks}
+	call := internalapi.HoldCall{Call: m.call, Epoch: c.epoch, Minion: m.name, Boot: m.boot, Floor: m.floor, Acked: m.acks}
 	m.acks = nil
 	var due []*run
 	for _, t := range sortedRunIDs(m.runs) {
 		r := m.runs[t]
 		if r.stop != "" && r.listed {
-			call.Stops = append(call.Stops, api.StopOrder{RunID: t, Why: r.stop})
+			call.Stops = append(call.Stops, internalapi.StopOrder{RunID: t, Why: r.stop})
 			c.Counts.Stops++
 			continue
 		}
@@ -64,7 +64,7 @@
 	}
 	c.renew(now, m, due, &call)
 	for _, t := range slices.Sorted(maps.Keys(m.strays)) {
-		call.Stops = append(call.Stops, api.StopOrder{RunID: t, Why: m.strays[t]})
+		call.Stops = append(call.Stops, internalapi.StopOrder{RunID: t, Why: m.strays[t]})
 		c.Counts.Stops++
 	}
 	clear(m.strays)
@@ -74,7 +74,7 @@
 // renew puts renewals into a call. A hold is renewed in its first quarter, and only while the minion answers: a call
 // that may or may not have arrived must not put the lapse off for ever. A call has one Until: of holds that differ
 // in length, those go first that have used up most.
-func (c *Core) renew(now time.Duration, m *minion, runs []*run, call *api.HoldCall) {
+func (c *Core) renew(now time.Duration, m *minion, runs []*run, call *internalapi.HoldCall) {
 	var pick time.Duration
 	worst := 0.0
 	spent := func(r *run) float64 {
@@ -131,7 +131,7 @@
 		step := &j.Spec.Steps[r.handle.Ref.Step]
 		until := m.clockAt(now) + c.firstHold(m, r)
 		r.call, r.inFlight, r.until, r.boot = call.Call, true, until, m.boot
-		call.Starts = append(call.Starts, api.StartOrder{RunID: t, Job: r.handle.Ref.Job, Step: step.Name, Task: r.handle.Ref.Task,
+		call.Starts = append(call.Starts, internalapi.StartOrder{RunID: t, Job: r.handle.Ref.Job, Step: step.Name, Task: r.handle.Ref.Task,
 			Type: step.Type, Queue: j.Spec.Queue, Cores: step.Cores, GPUs: step.GPUs, Labels: step.Labels, Run: step.Run,
 			Void: void, Until: until})
 		c.Counts.Sent++
@@ -157,7 +157,7 @@
 }
 
 // Failure takes in that a call got no answer. sent tells whether any byte of it may have left.
-func (c *Core) Failure(now time.Duration, name string, order bool, call api.HoldCall, sent bool) {
+func (c *Core) Failure(now time.Duration, name string, order bool, call internalapi.HoldCall, sent bool) {
 	c.now = now
 	m := c.line(name, order, call)
 	if m == nil {
@@ -193,7 +193,7 @@
 
 // line finds the minion whose call came back and frees the line it went on; nil if that call is none of this
 // epoch's or not the one under way.
-func (c *Core) line(name string, order bool, call api.HoldCall) *minion {
+func (c *Core) line(name string, order bool, call internalapi.HoldCall) *minion {
 	m := c.minions[name]
 	if m == nil || c.phase != Ready || call.Epoch != c.epoch {
 		return nil
@@ -213,7 +213,7 @@
 
 // Answer takes in the answer to a call. An answer that is older than one taken in already, or that names another
 // call, tells nothing any more.
-func (c *Core) Answer(now time.Duration, name string, order bool, call api.HoldCall, a api.HoldAnswer) {
+func (c *Core) Answer(now time.Duration, name string, order bool, call internalapi.HoldCall, a internalapi.HoldAnswer) {
 	c.now = now
 	if a.Call != call.Call {
 		c.Counts.Crossed++
@@ -266,7 +266,7 @@
 }
 
 // hear takes in what the minion says of itself.
-func (c *Core) hear(m *minion, a api.HoldAnswer) {
+func (c *Core) hear(m *minion, a internalapi.HoldAnswer) {
 	rec := c.st.Minions[m.name]
 	if rec == nil {
 		return
@@ -282,29 +282,29 @@
 }
 
 // endings takes in listed ends. An end is a fact however old the answer is that lists it.
-func (c *Core) endings(now time.Duration, m *minion, ended []api.EndNote) {
+func (c *Core) endings(now time.Duration, m *minion, ended []internalapi.EndNote) {
 	for _, e := range ended {
 		r := m.runs[e.RunID]
 		if r == nil {
 			c.lateEnd(m, e)
 			continue
 		}
-		well := e.How == api.EndWell || e.How == api.EndFailure
+		well := e.How == internalapi.EndWell || e.How == internalapi.EndFailure
 		if r.ended || r.gone && !well {
 			continue // gone by a proof that is not committed yet: a true end still goes before it
 		}
 		r.ended = well
 		switch e.How {
-		case api.EndWell, api.EndFailure:
+		case internalapi.EndWell, internalapi.EndFailure:
 			r.gone = true
-			c.ends = append(c.ends, command.End{RunID: e.RunID, Ref: r.handle.Ref, OK: e.How == api.EndWell, Reason: e.Reason})
+			c.ends = append(c.ends, command.End{RunID: e.RunID, Ref: r.handle.Ref, OK: e.How == internalapi.EndWell, Reason: e.Reason})
 			c.Counts.Ended++
-			c.health.ended(now, r.handle, e.How == api.EndWell)
-			if e.How == api.EndFailure {
+			c.health.ended(now, r.handle, e.How == internalapi.EndWell)
+			if e.How == internalapi.EndFailure {
 				c.Counts.Failures++
 				c.judge(now, m, r.handle.Type)
 			}
-		case api.EndLapse:
+		case internalapi.EndLapse:
 			c.kill(r, command.ProofLapse, "its hold lapsed")
 		default:
 			c.kill(r, command.ProofStop, e.Reason)
@@ -314,10 +314,10 @@
 
 // lateEnd takes in a listed end of a run ID without a handle. One that was let go by a proof has ended well all the
 // same if its task has no newer run ID; all others may be forgotten.
-func (c *Core) lateEnd(m *minion, e api.EndNote) {
+func (c *Core) lateEnd(m *minion, e internalapi.EndNote) {
 	r := c.late(e.RunID)
 	switch {
-	case r == nil || e.How != api.EndWell:
+	case r == nil || e.How != internalapi.EndWell:
 		m.acks = append(m.acks, e.RunID)
 	case !r.ended:
 		r.ended = true
@@ -327,7 +327,7 @@
 }
 
 // listing holds what runs and what ended there against the handles, both ways.
-func (c *Core) listing(now time.Duration, m *minion, call api.HoldCall, a api.HoldAnswer) {
+func (c *Core) listing(now time.Duration, m *minion, call internalapi.HoldCall, a internalapi.HoldAnswer) {
 	seen := make(map[uint64]bool, len(a.Running)+len(a.Ended))
 	for _, t := range a.Running {
 		seen[t] = true
--- a/internal/dataplane/scheduler/late_test.go
+++ b/internal/dataplane/scheduler/late_test.go
@@ -6,12 +6,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
 // tell answers a call at clock, under a boot, as it arrives now.
-func (d *desk) tell(c CallOut, kind, boot string, clock time.Duration, a api.HoldAnswer) {
+func (d *desk) tell(c CallOut, kind, boot string, clock time.Duration, a internalapi.HoldAnswer) {
 	a.Call, a.Kind, a.Boot, a.Clock, a.Floor, a.Cores, a.Zone = c.Call.Call, kind, boot, clock, c.Call.Floor, 4, "z1"
 	d.core.Answer(d.now, c.Minion, c.Order, c.Call, a)
 }
@@ -23,21 +23,21 @@
 		d.submit("j1", state.StepSpec{})
 		o := order(d.settle())
 		d.core.Failure(d.now, "m1", true, o.Call, true)
-		d.reply("obey", "", api.HoldAnswer{}) // raises the floor
+		d.reply("obey", "", internalapi.HoldAnswer{}) // raises the floor
 		d.now += time.Second
 		d.settle()
 		from := d.now
-		d.reply("obey", "", api.HoldAnswer{}) // missing
+		d.reply("obey", "", internalapi.HoldAnswer{}) // missing
 		d.now += 10 * time.Millisecond
 		d.settle()
 		late := d.wait["m1"]
 		d.now = from + Defaults().Lateness + 100*time.Millisecond
-		d.tell(late, "obey", "b1", from+time.Second, api.HoldAnswer{})
+		d.tell(late, "obey", "b1", from+time.Second, internalapi.HoldAnswer{})
 		d.settle()
 		So(d.st.Handles[1], ShouldNotBeNil)
 		d.now += time.Second
 		d.settle()
-		d.reply("obey", "", api.HoldAnswer{})
+		d.reply("obey", "", internalapi.HoldAnswer{})
 		d.settle()
 		So(d.st.Handles[1], ShouldBeNil)
 	})
@@ -47,19 +47,19 @@
 		d.submit("j1", state.StepSpec{})
 		o := order(d.settle())
 		late := d.wait["m1"]
-		d.tell(*o, "check", "b1", d.now, api.HoldAnswer{Running: []uint64{1}})
+		d.tell(*o, "check", "b1", d.now, internalapi.HoldAnswer{Running: []uint64{1}})
 		d.submit("j2", state.StepSpec{})
 		o = order(d.settle())
 		if o.Call.Call > late.Call.Call { // the waiting call that came back of an older boot must be the newer one
-			d.tell(late, "check", "b1", d.now, api.HoldAnswer{Running: []uint64{1}})
+			d.tell(late, "check", "b1", d.now, internalapi.HoldAnswer{Running: []uint64{1}})
 			d.settle()
 			late = d.wait["m1"]
 		}
 		So(late.Call.Call, ShouldBeGreaterThan, o.Call.Call)
-		d.tell(*o, "check", "b2", time.Second, api.HoldAnswer{Refused: []api.RefuseNote{{RunID: 2, Why: "boot"}}})
+		d.tell(*o, "check", "b2", time.Second, internalapi.HoldAnswer{Refused: []internalapi.RefuseNote{{RunID: 2, Why: "boot"}}})
 		d.settle()
 		So(d.st.Minions["m1"].Boot, ShouldEqual, "b2")
-		d.tell(late, "check", "b1", d.now, api.HoldAnswer{Running: []uint64{1}})
+		d.tell(late, "check", "b1", d.now, internalapi.HoldAnswer{Running: []uint64{1}})
 		d.settle()
 		So(d.st.Minions["m1"].Boot, ShouldEqual, "b2")
 	})
--- a/internal/dataplane/scheduler/order_test.go
+++ b/internal/dataplane/scheduler/order_test.go
@@ -10,7 +10,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
@@ -33,7 +33,7 @@
 				d.st.Minions[m] = &rec
 			}
 			for _, c := range d.core.Pass(d.now).Calls {
-				d.answer(c, "check", api.HoldAnswer{Zone: "z1"})
+				d.answer(c, "check", internalapi.HoldAnswer{Zone: "z1"})
 			}
 			for {
 				out := d.core.Pass(d.now)
@@ -62,16 +62,16 @@
 			d.submit(fmt.Sprintf("j%d", n), state.StepSpec{Cores: 4, Retries: 3})
 		}
 		var began []string
-		end := api.EndFailure // of the first run; all others end well
+		end := internalapi.EndFailure // of the first run; all others end well
 		for calls := d.settle(); len(began) < 6; calls = d.settle() {
 			if o := order(calls); o != nil {
 				s := o.Call.Starts[0]
 				began = append(began, s.Job)
-				d.answer(*o, "check", api.HoldAnswer{Ended: []api.EndNote{{RunID: s.RunID, How: end}}})
-				end = api.EndWell
+				d.answer(*o, "check", internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: s.RunID, How: end}}})
+				end = internalapi.EndWell
 			}
 			d.now += time.Second
-			d.reply("check", "", api.HoldAnswer{})
+			d.reply("check", "", internalapi.HoldAnswer{})
 		}
 		So(began, ShouldResemble, []string{"j0", "j1", "j0", "j2", "j3", "j4"})
 	})
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -9,7 +9,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
@@ -84,14 +84,14 @@
 }
 
 // list is what runs and what has ended on a minion; its runs end one by one.
-func (c *crowd) list(name string) (a api.HoldAnswer) {
+func (c *crowd) list(name string) (a internalapi.HoldAnswer) {
 	for _, t := range slices.Sorted(maps.Keys(c.runs)) {
 		switch h := c.st.Handles[t]; {
 		case h == nil:
 			delete(c.runs, t)
 		case h.Minion != name:
 		case c.runs[t] <= c.now && len(a.Ended) == 0:
-			a.Ended = append(a.Ended, api.EndNote{RunID: t, How: api.EndWell})
+			a.Ended = append(a.Ended, internalapi.EndNote{RunID: t, How: internalapi.EndWell})
 		default:
 			a.Running = append(a.Running, t)
 		}
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -68,7 +68,7 @@
 	Minion string
 	Addr   string
 	Order  bool // on the order line, else on the waiting line
-	Call   api.HoldCall
+	Call   internalapi.HoldCall
 	// Before is the time by which starts must have been written; 0 without starts.
 	Before time.Duration
 }
--- a/internal/dataplane/scheduler/scheduler_test.go
+++ b/internal/dataplane/scheduler/scheduler_test.go
@@ -10,7 +10,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
@@ -90,7 +90,7 @@
 	}
 }
 
-func (d *desk) answer(c CallOut, kind string, a api.HoldAnswer) {
+func (d *desk) answer(c CallOut, kind string, a internalapi.HoldAnswer) {
 	a.Call, a.Epoch, a.Kind, a.Clock, a.Floor = c.Call.Call, c.Call.Epoch, kind, d.now, max(a.Floor, c.Call.Floor)
 	a.Cores, a.Zone = 4, "z1"
 	if cores, ok := d.room[c.Minion]; ok {
@@ -106,13 +106,13 @@
 func (d *desk) greet(kind string) {
 	for range 2 {
 		d.settle()
-		d.reply(kind, "", api.HoldAnswer{})
+		d.reply(kind, "", internalapi.HoldAnswer{})
 	}
 	d.settle()
 }
 
 // reply answers the waiting calls that are out, but for those of the minion named.
-func (d *desk) reply(kind, but string, a api.HoldAnswer) {
+func (d *desk) reply(kind, but string, a internalapi.HoldAnswer) {
 	for _, name := range slices.Sorted(maps.Keys(d.wait)) {
 		if c := d.wait[name]; name != but {
 			delete(d.wait, name)
@@ -215,8 +215,8 @@
 	running map[uint64]bool
 }
 
-func (w *world) listing() api.HoldAnswer {
-	a := api.HoldAnswer{Floor: w.floor}
+func (w *world) listing() internalapi.HoldAnswer {
+	a := internalapi.HoldAnswer{Floor: w.floor}
 	for t := range w.running {
 		a.Running = append(a.Running, t)
 	}
@@ -331,8 +331,8 @@
 		d.submit("j", state.StepSpec{})
 		o := order(d.settle())
 		So(o, ShouldNotBeNil)
-		d.answer(*o, "check", api.HoldAnswer{Running: []uint64{1}})
-		d.answer(wait, "check", api.HoldAnswer{Floor: 9}) // made before the order arrived
+		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
+		d.answer(wait, "check", internalapi.HoldAnswer{Floor: 9}) // made before the order arrived
 		d.settle()
 		So(d.st.Handles[1], ShouldNotBeNil)
 		So(d.st.Handles[1].Phase, ShouldEqual, state.TaskRunning)
@@ -346,7 +346,7 @@
 		d.greet("check")
 		d.submit("j", state.StepSpec{Run: json.RawMessage(`{}`)})
 		o := order(d.settle())
-		d.answer(*o, "check", api.HoldAnswer{Running: []uint64{1}})
+		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
 		d.settle()
 		Convey("its task is due again only when the hold told last has run out on its clock", func() {
 			end := o.Call.Starts[0].Until
@@ -359,7 +359,7 @@
 					delete(d.wait, o.Minion)
 					d.core.Failure(d.now, c.Minion, false, c.Call, true)
 				}
-				d.reply("check", o.Minion, api.HoldAnswer{})
+				d.reply("check", o.Minion, internalapi.HoldAnswer{})
 			}
 			for tick(); d.now+500*time.Millisecond < end+200*time.Millisecond; tick() {
 				d.now += 500 * time.Millisecond
@@ -374,7 +374,7 @@
 		})
 		Convey("a new boot proves it dead at once", func() {
 			for range 2 { // the first one is older than the order's answer and tells nothing
-				d.reply("check", "", api.HoldAnswer{Boot: "b2"})
+				d.reply("check", "", internalapi.HoldAnswer{Boot: "b2"})
 				d.settle()
 			}
 			So(d.st.Handles[1], ShouldBeNil)
@@ -392,9 +392,9 @@
 			d.submit("j", state.StepSpec{})
 			o := order(d.settle())
 			So(o.Call.Starts[0].Until-d.now, ShouldEqual, first)
-			d.answer(*o, kind, api.HoldAnswer{Running: []uint64{1}})
+			d.answer(*o, kind, internalapi.HoldAnswer{Running: []uint64{1}})
 			d.settle()
-			d.reply(kind, "", api.HoldAnswer{Running: []uint64{1}})
+			d.reply(kind, "", internalapi.HoldAnswer{Running: []uint64{1}})
 			d.settle()
 			So(d.core.runs[1].until-d.now, ShouldEqual, cfg.Hold)
 		}
--- a/internal/api/hold.go
+++ b/internal/internalapi/hold.go
@@ -1,5 +1,5 @@
-// Package api holds the calls between crosstide's processes and their answers, as pairs of types.
-package api
+// Package internalapi holds the calls between crosstide's processes and their answers, as pairs of types.
+package internalapi
 
 import (
 	"encoding/json"
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -44,7 +44,7 @@
 // NewNode makes a node; Start runs it. Example:
 //
 //	n := membership.NewNode(membership.Options{Self: self, Seeds: seeds, Ask: ask, Clock: clock.Real{}})
-//	rpc.Handle(srv, api.Shuffle, n.Serve)
+//	rpc.Handle(srv, internalapi.Shuffle, n.Serve)
 //	n.Start(ctx)
 //	defer n.Stop(ctx)
 func NewNode(opt Options) *Node {
--- a/internal/operator/account.go
+++ b/internal/operator/account.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"strconv"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -69,7 +69,7 @@
 }
 
 func (a accounts) create(r *http.Request) (any, error) {
-	var in api.AccountCreateCall
+	var in internalapi.AccountCreateCall
 	if err := decode(r, &in); err != nil {
 		return nil, errs.Pass(err, "create")
 	}
@@ -82,7 +82,7 @@
 }
 
 func (a accounts) topUp(r *http.Request) (any, error) {
-	var in api.TopUpCall
+	var in internalapi.TopUpCall
 	if err := decode(r, &in); err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
@@ -95,7 +95,7 @@
 }
 
 func (a accounts) list(r *http.Request) (any, error) {
-	var out api.AccountsAnswer
+	var out internalapi.AccountsAnswer
 	err := a.store.Read(r.Context(), func(s *state.State) { out.Accounts = query.Accounts(s) })
 	return out, errs.Pass(err, "accounts")
 }
@@ -110,7 +110,7 @@
 }
 
 func (a accounts) show(r *http.Request) (any, error) {
-	var out api.AccountView
+	var out internalapi.AccountView
 	err := a.read(r, func(s *state.State, name string) (err error) {
 		out, err = query.Account(s, name)
 		return errs.Pass(err, "show")
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "ledger")
 	}
-	var out api.LedgerAnswer
+	var out internalapi.LedgerAnswer
 	err = a.read(r, func(s *state.State, name string) (err error) {
 		out, err = query.Ledger(s, name, after, limit)
 		return errs.Pass(err, "ledger")
--- a/internal/operator/account_test.go
+++ b/internal/operator/account_test.go
@@ -14,7 +14,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/account"
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
 	"crosstide/internal/rpc"
 	"crosstide/internal/signature"
@@ -44,7 +44,7 @@
 }
 
 func (c *counter) topUp(name, key string, amount int64) (int, string) {
-	return c.call("POST", "/v1/accounts/"+name+"/top-up", api.TopUpCall{Key: key, Amount: amount, By: "ada",
+	return c.call("POST", "/v1/accounts/"+name+"/top-up", internalapi.TopUpCall{Key: key, Amount: amount, By: "ada",
 		Sig: c.key.Sign(signature.AccountTopUp(key, name, amount))})
 }
 
@@ -67,7 +67,7 @@
 		c := &counter{d, srv.Addr(), key}
 		c.order(&command.Keys{Operators: map[string]string{"ada": key.Public(), "ben": other.Public()}})
 		create := func(order, name string) (int, string) {
-			return c.call("POST", "/v1/accounts/"+name+"/create", api.AccountCreateCall{Order: order, By: "ada",
+			return c.call("POST", "/v1/accounts/"+name+"/create", internalapi.AccountCreateCall{Order: order, By: "ada",
 				Sig: key.Sign(signature.AccountCreate(order, name, 0))})
 		}
 		status, raw := c.call("GET", "/v1/accounts", nil)
@@ -87,14 +87,14 @@
 			So(status, ShouldEqual, 422)
 			status, _ = c.topUp("acme", "k2", -5)
 			So(status, ShouldEqual, 422)
-			status, _ = c.call("POST", "/v1/accounts/acme/top-up", api.TopUpCall{Key: "k3", Amount: 9})
+			status, _ = c.call("POST", "/v1/accounts/acme/top-up", internalapi.TopUpCall{Key: "k3", Amount: 9})
 			So(status, ShouldEqual, 403)
 			status, _ = c.call("POST", "/v1/accounts/acme/top-up", "no object")
 			So(status, ShouldEqual, 400)
 			status, _ = create("o2", "acme")
 			So(status, ShouldEqual, 409)
 			status, raw = c.call("GET", "/v1/accounts/acme", nil)
-			var v api.AccountView
+			var v internalapi.AccountView
 			So(json.Unmarshal([]byte(raw), &v), ShouldBeNil)
 			So([]any{status, v.Balance, v.ToppedUp, v.Draws, v.Warning}, ShouldResemble, []any{200, int64(300), int64(300), false, ""})
 		})
@@ -103,7 +103,7 @@
 				c.topUp("acme", fmt.Sprint("k", i), 10)
 			}
 			_, raw := c.call("GET", "/v1/accounts/acme/ledger?after=1&limit=2", nil)
-			var l api.LedgerAnswer
+			var l internalapi.LedgerAnswer
 			So(json.Unmarshal([]byte(raw), &l), ShouldBeNil)
 			So([]any{l.Entries[0].Number, len(l.Entries), l.Head.ToppedUp}, ShouldResemble, []any{uint64(2), 2, int64(50)})
 			status, raw := c.call("GET", "/v1/accounts/acme/export", nil)
--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/bundle"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -56,14 +56,14 @@
 // NodeRollout is one node. Took is from when the version came in force until the node had it, by the clocks of two
 // cplanes; 0 while the node has another one.
 type NodeRollout struct {
-	api.NodeBundle
+	internalapi.NodeBundle
 	Current bool          `json:"current"`
 	Took    time.Duration `json:"took,omitempty"`
 }
 
 // Roller reports which bundle every node has.
 type Roller interface {
-	Rollout(ctx context.Context) (nodes []api.NodeBundle, silent []string)
+	Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string)
 }
 
 // serveBundles adds the routes of the bundle; see Serve.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"slices"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
 	"crosstide/internal/raft"
 	"crosstide/internal/rpc"
@@ -24,7 +24,7 @@
 	Order(ctx context.Context, c command.Command) (json.RawMessage, error)
 	// Read looks at a state that has all that was committed before the call.
 	Read(ctx context.Context, read func(*state.State)) error
-	Status() api.StatusAnswer
+	Status() internalapi.StatusAnswer
 	Roller
 }
 
@@ -55,12 +55,12 @@
 
 // Who is the answer of GET /v1/who: the names of the holders, "" if there is none, and the members of the store.
 type Who struct {
-	Store     string            `json:"store"`
-	Sched     string            `json:"sched"`
-	Members   []raft.Member     `json:"members"`
-	Evacuated []string          `json:"evacuated,omitempty"`
-	Status    *api.StatusAnswer `json:"status,omitempty"` // of the cplane that answers
-	Nodes     []membership.Seen `json:"nodes,omitempty"`  // as the cplane that answers knows them: all of a small fleet, else a part
+	Store     string                    `json:"store"`
+	Sched     string                    `json:"sched"`
+	Members   []raft.Member             `json:"members"`
+	Evacuated []string                  `json:"evacuated,omitempty"`
+	Status    *internalapi.StatusAnswer `json:"status,omitempty"` // of the cplane that answers
+	Nodes     []membership.Seen         `json:"nodes,omitempty"`  // as the cplane that answers knows them: all of a small fleet, else a part
 }
 
 // Serve adds the routes:
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,7 +13,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
 	"crosstide/internal/rpc"
 	"crosstide/internal/signature"
@@ -37,9 +37,9 @@
 }
 
 func (d *desk) Read(_ context.Context, read func(*state.State)) error { read(d.st); return nil }
-func (d *desk) Status() api.StatusAnswer                              { return api.StatusAnswer{} }
-func (d *desk) Rollout(context.Context) ([]api.NodeBundle, []string) {
-	return []api.NodeBundle{{Node: "c1", Version: 2, Since: time.Unix(60, 0)}, {Node: "d1", Version: 1}}, []string{"c2"}
+func (d *desk) Status() internalapi.StatusAnswer                      { return internalapi.StatusAnswer{} }
+func (d *desk) Rollout(context.Context) ([]internalapi.NodeBundle, []string) {
+	return []internalapi.NodeBundle{{Node: "c1", Version: 2, Since: time.Unix(60, 0)}, {Node: "d1", Version: 1}}, []string{"c2"}
 }
 
 func TestAPI(t *testing.T) {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -9,9 +9,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -23,9 +23,9 @@
 // Core is what a replica asks of the cplanes.
 type Core interface {
 	// Follow asks any cplane; the same one while it answers well.
-	Follow(ctx context.Context, call api.FollowCall) (api.FollowAnswer, error)
+	Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error)
 	// Chunk asks the cplane that Follow asked last.
-	Chunk(ctx context.Context, call api.ChunkCall) (api.ChunkAnswer, error)
+	Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
 }
 
 // Replica is the followed state under its lock. Watch is called with every change, under the lock.
@@ -97,7 +97,7 @@
 // Pull asks once for what the replica lacks and applies it; wait is how long the cplane may wait for changes.
 func (r *Replica) Pull(ctx context.Context, core Core, node string, wait time.Duration) error {
 	from := r.Index()
-	a, err := core.Follow(ctx, api.FollowCall{Node: node, Vector: map[string]uint64{Store: from}, Wait: wait, Max: 4 << 20})
+	a, err := core.Follow(ctx, internalapi.FollowCall{Node: node, Vector: map[string]uint64{Store: from}, Wait: wait, Max: 4 << 20})
 	if err != nil {
 		return errs.Pass(err, "follow from %d", from)
 	}
@@ -139,11 +139,11 @@
 }
 
 // fetchSnapshot takes a snapshot in chunks. A chunk that is lost is requested again alone.
-func (r *Replica) fetchSnapshot(ctx context.Context, core Core, snap api.Snapshot) error {
+func (r *Replica) fetchSnapshot(ctx context.Context, core Core, snap internalapi.Snapshot) error {
 	body := make([]byte, 0, snap.Size)
 	failures := 0
 	for int64(len(body)) < snap.Size {
-		c, err := core.Chunk(ctx, api.ChunkCall{Number: snap.Number, From: int64(len(body)), Max: 1 << 20})
+		c, err := core.Chunk(ctx, internalapi.ChunkCall{Number: snap.Number, From: int64(len(body)), Max: 1 << 20})
 		if err == nil && (c.Number != snap.Number || len(c.Data) == 0) {
 			return errs.New(errs.Stale, "snapshot %d is gone", snap.Number)
 		}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -45,7 +45,7 @@
 func (h history) begin() *Replica {
 	r := New(nil, nil)
 	f := &fake{body: h.states[1], number: 1, size: 1 << 20}
-	f.answers = []api.Lack{{Snapshot: f.snapshot(1)}}
+	f.answers = []internalapi.Lack{{Snapshot: f.snapshot(1)}}
 	So(r.Pull(context.Background(), f, "d", 0), ShouldBeNil)
 	return r
 }
@@ -54,7 +54,7 @@
 
 // fake answers what the test lays out: the answers in turn, chunks of a body with a failure before some.
 type fake struct {
-	answers  []api.Lack
+	answers  []internalapi.Lack
 	body     []byte
 	number   uint64
 	failures int // of the next chunks
@@ -62,24 +62,24 @@
 	asked    []uint64
 }
 
-func (f *fake) Follow(_ context.Context, call api.FollowCall) (api.FollowAnswer, error) {
+func (f *fake) Follow(_ context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	f.asked = append(f.asked, call.Vector[Store])
 	a := f.answers[0]
 	f.answers = f.answers[1:]
-	return api.FollowAnswer{Lacks: map[string]api.Lack{Store: a}}, nil
+	return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{Store: a}}, nil
 }
 
-func (f *fake) Chunk(_ context.Context, call api.ChunkCall) (api.ChunkAnswer, error) {
+func (f *fake) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	if f.failures > 0 {
 		f.failures--
-		return api.ChunkAnswer{}, errs.New(errs.Unavailable, "cut")
+		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "cut")
 	}
 	end := min(int(call.From)+f.size, len(f.body))
-	return api.ChunkAnswer{Snapshot: api.Snapshot{Number: f.number, Size: int64(len(f.body))}, Data: f.body[call.From:end], Sum: xxhash.Sum64(f.body)}, nil
+	return internalapi.ChunkAnswer{Snapshot: internalapi.Snapshot{Number: f.number, Size: int64(len(f.body))}, Data: f.body[call.From:end], Sum: xxhash.Sum64(f.body)}, nil
 }
 
-func (f *fake) snapshot(index uint64) *api.Snapshot {
-	return &api.Snapshot{Number: f.number, Index: index, Term: 1, Size: int64(len(f.body))}
+func (f *fake) snapshot(index uint64) *internalapi.Snapshot {
+	return &internalapi.Snapshot{Number: f.number, Index: index, Term: 1, Size: int64(len(f.body))}
 }
 
 func TestPulls(t *testing.T) {
@@ -94,7 +94,7 @@
 				core := &fake{}
 				for _, i := range seq {
 					before := r.Index()
-					core.answers = append(core.answers, api.Lack{Changes: answers[i]})
+					core.answers = append(core.answers, internalapi.Lack{Changes: answers[i]})
 					err := r.Pull(context.Background(), core, "d", 0)
 					if err != nil && !errs.Is(err, errs.Stale) {
 						panic(err)
@@ -126,7 +126,7 @@
 		h := newHistory(6)
 		for _, cuts := range []int{0, 1, 5} {
 			core := &fake{body: h.states[5], number: 3, size: 100, failures: cuts}
-			core.answers = []api.Lack{{Snapshot: core.snapshot(5), Changes: h.changes(5, 7)}}
+			core.answers = []internalapi.Lack{{Snapshot: core.snapshot(5), Changes: h.changes(5, 7)}}
 			resets := 0
 			r := New(nil, func(*state.State) { resets++ })
 			So(r.Pull(context.Background(), core, "d", 0), ShouldBeNil)
@@ -144,11 +144,11 @@
 				func(f *fake) { f.body = h.states[3] },
 			} {
 				r := h.begin()
-				first := &fake{answers: []api.Lack{{Changes: h.changes(2, 4)}}}
+				first := &fake{answers: []internalapi.Lack{{Changes: h.changes(2, 4)}}}
 				So(r.Pull(context.Background(), first, "d", 0), ShouldBeNil)
 				core := &fake{body: h.states[5], number: 3, size: 1 << 20}
 				spoil(core)
-				core.answers = []api.Lack{{Snapshot: core.snapshot(5)}}
+				core.answers = []internalapi.Lack{{Snapshot: core.snapshot(5)}}
 				So(r.Pull(context.Background(), core, "d", 0), ShouldNotBeNil)
 				So(r.Index(), ShouldEqual, 4)
 			}
--- a/internal/state/query/account.go
+++ b/internal/state/query/account.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"crosstide/internal/account"
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
 // Accounts gives every account in order of names.
-func Accounts(s *state.State) []api.AccountView {
+func Accounts(s *state.State) []internalapi.AccountView {
 	if s.Accounts == nil {
-		return []api.AccountView{}
+		return []internalapi.AccountView{}
 	}
 	runs, waiting := runsByAccount(s), waitingByParty(s)
-	out := make([]api.AccountView, 0, len(s.Accounts.Accounts))
+	out := make([]internalapi.AccountView, 0, len(s.Accounts.Accounts))
 	for _, name := range slices.Sorted(maps.Keys(s.Accounts.Accounts)) {
 		out = append(out, accountView(s, name, runs[name], waiting[name]))
 	}
@@ -27,20 +27,20 @@
 }
 
 // Account gives one account. Failure: Unknown.
-func Account(s *state.State, name string) (api.AccountView, error) {
+func Account(s *state.State, name string) (internalapi.AccountView, error) {
 	if _, err := find(s, name); err != nil {
-		return api.AccountView{}, errs.Pass(err, "show")
+		return internalapi.AccountView{}, errs.Pass(err, "show")
 	}
 	return accountView(s, name, runsByAccount(s)[name], waitingByParty(s)[name]), nil
 }
 
 // Ledger gives entries of an account after a number, at most limit. Failure: Unknown.
-func Ledger(s *state.State, name string, after uint64, limit int) (api.LedgerAnswer, error) {
+func Ledger(s *state.State, name string, after uint64, limit int) (internalapi.LedgerAnswer, error) {
 	a, err := find(s, name)
 	if err != nil {
-		return api.LedgerAnswer{}, errs.Pass(err, "ledger")
+		return internalapi.LedgerAnswer{}, errs.Pass(err, "ledger")
 	}
-	return api.LedgerAnswer{Account: name, Base: a.Ledger.Base, Head: a.Ledger.Head, Entries: a.Ledger.Since(after, limit)}, nil
+	return internalapi.LedgerAnswer{Account: name, Base: a.Ledger.Base, Head: a.Ledger.Head, Entries: a.Ledger.Since(after, limit)}, nil
 }
 
 // ExportLedger gives an account's ledger as CSV. Failures: Unknown, Damaged.
@@ -61,9 +61,9 @@
 	return s.Accounts.Accounts[name], nil
 }
 
-func accountView(s *state.State, name string, runs, waiting int) api.AccountView {
+func accountView(s *state.State, name string, runs, waiting int) internalapi.AccountView {
 	a, p := s.Accounts.Accounts[name], s.Bundle.Parties[name]
-	v := api.AccountView{Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
+	v := internalapi.AccountView{Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
 		Runs: runs, Rate: a.Rate(), Teams: p.Teams, Queues: p.Queues, Waiting: waiting}
 	v.DryIn, v.Draws = a.DryIn()
 	v.Warning = warning(&v, p)
@@ -71,7 +71,7 @@
 }
 
 // warning tells that an account is dry, or soon will be; "" if neither.
-func warning(v *api.AccountView, p state.Party) string {
+func warning(v *internalapi.AccountView, p state.Party) string {
 	switch {
 	case v.Waiting > 0:
 		return fmt.Sprintf("dry: %d jobs wait for a top-up", v.Waiting)
--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -4,7 +4,7 @@
 	"github.com/go-kit/log/level"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state/query"
 )
 
@@ -17,7 +17,7 @@
 )
 
 // collectAccounts gives the figures of accounts.
-func collectAccounts(accounts []api.AccountView, to chan<- prometheus.Metric) {
+func collectAccounts(accounts []internalapi.AccountView, to chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
@@ -45,7 +45,7 @@
 // look logs a line for each account that is dry, or soon will be, once until it is well again. Only the leader does.
 func (w warnings) look(s *Store) {
 	s.mu.Lock()
-	leads, accounts := s.leadTerm != 0, []api.AccountView(nil)
+	leads, accounts := s.leadTerm != 0, []internalapi.AccountView(nil)
 	if leads {
 		accounts = query.Accounts(s.live)
 	}
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/account"
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
@@ -42,7 +42,7 @@
 		So(look(), ShouldEqual, 2)
 	})
 	Convey("Each account has its gauges; a forecast only while something draws", t, func() {
-		views := []api.AccountView{{Name: "a", Balance: 1, Draws: true, DryIn: time.Second, Warning: "dry"}, {Name: "b"}}
+		views := []internalapi.AccountView{{Name: "a", Balance: 1, Draws: true, DryIn: time.Second, Warning: "dry"}, {Name: "b"}}
 		to := make(chan prometheus.Metric, 100)
 		collectAccounts(views, to)
 		So(len(to), ShouldEqual, 8+7)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -6,8 +6,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
@@ -259,7 +259,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.newest.Index
-	s.newest = api.Snapshot{Number: s.newest.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(len(body))}
+	s.newest = internalapi.Snapshot{Number: s.newest.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(len(body))}
 	s.core.SnapshotAt(meta)
 	s.logTotal += s.shadowBytes
 	s.core.Compact(s.tail(before))
@@ -330,7 +330,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.newest = api.Snapshot{Number: s.newest.Number + 1, Index: in.meta.Index, Term: in.meta.Term, Size: int64(len(in.image.Body))}
+	s.newest = internalapi.Snapshot{Number: s.newest.Number + 1, Index: in.meta.Index, Term: in.meta.Term, Size: int64(len(in.image.Body))}
 	s.core.Installed(s.clock.Now(), in.meta)
 	s.shadow, s.shadowMembers, s.shadowSince, s.shadowBytes = shadow, in.meta.Members, 0, 0
 	s.shadowImage = nil
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -5,17 +5,17 @@
 
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
 
 // Duty claims, renews or gives up a duty; only the confirmed leader answers. See Book for why no two hold one.
 // Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
-func (s *Store) Duty(ctx context.Context, call api.DutyCall) (api.DutyAnswer, error) {
+func (s *Store) Duty(ctx context.Context, call internalapi.DutyCall) (internalapi.DutyAnswer, error) {
 	if call.Duty == "" || call.Holder == "" || call.Boot == "" {
-		return api.DutyAnswer{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
+		return internalapi.DutyAnswer{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
 	}
 	a, held, c, err := s.ask(call)
 	if err != nil || c == nil {
@@ -27,7 +27,7 @@
 }
 
 // ask judges a call: the answer, or the command on the duty that is to be committed first.
-func (s *Store) ask(call api.DutyCall) (a api.DutyAnswer, held state.Duty, c command.Command, err error) {
+func (s *Store) ask(call internalapi.DutyCall) (a internalapi.DutyAnswer, held state.Duty, c command.Command, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held, verdict, err := s.judge(call)
@@ -43,16 +43,16 @@
 }
 
 // granted takes in how the command of ask ended, and answers.
-func (s *Store) granted(call api.DutyCall, held state.Duty, index uint64, err error) (api.DutyAnswer, error) {
+func (s *Store) granted(call internalapi.DutyCall, held state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Settled(call.Duty, held.Epoch)
 	now := s.live.Duties[call.Duty]
 	switch {
 	case err != nil && !errs.Is(err, errs.Stale):
-		return api.DutyAnswer{}, errs.Pass(err, "duty %s", call.Duty)
+		return internalapi.DutyAnswer{}, errs.Pass(err, "duty %s", call.Duty)
 	case now == nil:
-		return api.DutyAnswer{}, nil
+		return internalapi.DutyAnswer{}, nil
 	}
 	mine := err == nil && !call.GiveUp && now.Epoch == index
 	if mine {
@@ -62,7 +62,7 @@
 }
 
 // judge asks the book; called under the lock. On Free a proposal is to follow.
-func (s *Store) judge(call api.DutyCall) (held state.Duty, v Verdict, err error) {
+func (s *Store) judge(call internalapi.DutyCall) (held state.Duty, v Verdict, err error) {
 	if _, err := s.confirm(); err != nil {
 		return held, v, errs.Pass(err, "judge")
 	}
@@ -82,8 +82,8 @@
 	return held, s.book.Ask(now, held, call), nil
 }
 
-func (s *Store) tell(d state.Duty, mine bool) api.DutyAnswer {
-	a := api.DutyAnswer{Mine: mine, Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
+func (s *Store) tell(d state.Duty, mine bool) internalapi.DutyAnswer {
+	a := internalapi.DutyAnswer{Mine: mine, Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
 	if mine {
 		a.Lease = s.set.DutyLease
 	}
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
@@ -25,11 +25,11 @@
 )
 
 // Follow gives what the caller lacks, and waits up to call.Wait if that is nothing.
-func (s *Store) Follow(ctx context.Context, call api.FollowCall) (api.FollowAnswer, error) {
+func (s *Store) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	s.heard(call)
 	version, ok := call.Vector[source]
 	if !ok && len(call.Vector) > 0 {
-		return api.FollowAnswer{}, nil
+		return internalapi.FollowAnswer{}, nil
 	}
 	limit := min(max(call.Max, 64<<10), maxFollow)
 	over := make(chan struct{})
@@ -37,25 +37,25 @@
 	for {
 		lack, changed, err := s.lack(version, limit)
 		if err != nil {
-			return api.FollowAnswer{}, errs.Pass(err, "follow")
+			return internalapi.FollowAnswer{}, errs.Pass(err, "follow")
 		}
 		if lack != nil {
-			return api.FollowAnswer{Lacks: map[string]api.Lack{source: *lack}}, nil
+			return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{source: *lack}}, nil
 		}
 		select {
 		case <-changed:
 		case <-over:
-			return api.FollowAnswer{}, nil
+			return internalapi.FollowAnswer{}, nil
 		case <-ctx.Done():
-			return api.FollowAnswer{}, nil
+			return internalapi.FollowAnswer{}, nil
 		case <-s.group.Context().Done():
-			return api.FollowAnswer{}, errs.New(errs.Stopped, "the store is stopping")
+			return internalapi.FollowAnswer{}, errs.New(errs.Stopped, "the store is stopping")
 		}
 	}
 }
 
 // lack gives what comes after version and is applied here, nil if that is nothing.
-func (s *Store) lack(version uint64, limit int) (*api.Lack, chan struct{}, error) {
+func (s *Store) lack(version uint64, limit int) (*internalapi.Lack, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core == nil {
@@ -67,7 +67,7 @@
 	entries, err := s.core.Entries(version+1, limit)
 	if errs.Is(err, errs.Unknown) {
 		newest := s.newest
-		return &api.Lack{Snapshot: &newest}, nil, nil
+		return &internalapi.Lack{Snapshot: &newest}, nil, nil
 	}
 	if err != nil {
 		return nil, nil, errs.Pass(err, "entries after %d", version)
@@ -79,7 +79,7 @@
 	if n == 0 {
 		return nil, s.changed, nil
 	}
-	return &api.Lack{Changes: entries[:n:n]}, nil, nil
+	return &internalapi.Lack{Changes: entries[:n:n]}, nil, nil
 }
 
 // chunks keeps the slots that are being fetched, two at most.
@@ -93,22 +93,22 @@
 }
 
 // Chunk gives a part of a slot. Failure: Unknown when there is no such slot any more; begin anew with Number 0.
-func (s *Store) Chunk(call api.ChunkCall) (api.ChunkAnswer, error) {
+func (s *Store) Chunk(call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	k, err := s.keep(call.Number)
 	if err != nil {
-		return api.ChunkAnswer{}, errs.Pass(err, "chunk")
+		return internalapi.ChunkAnswer{}, errs.Pass(err, "chunk")
 	}
 	body := k.image.Body
 	if call.From < 0 || call.From > int64(len(body)) {
-		return api.ChunkAnswer{}, errs.Field(errs.Invalid, "from", "%d of %d bytes", call.From, len(body))
+		return internalapi.ChunkAnswer{}, errs.Field(errs.Invalid, "from", "%d of %d bytes", call.From, len(body))
 	}
 	limit := call.Max
 	if limit <= 0 || limit > maxChunk {
 		limit = maxChunk
 	}
 	end := min(call.From+int64(limit), int64(len(body)))
-	return api.ChunkAnswer{
-		Snapshot: api.Snapshot{Number: k.image.Number, Index: k.image.Index, Term: k.image.Term, Size: int64(len(body))},
+	return internalapi.ChunkAnswer{
+		Snapshot: internalapi.Snapshot{Number: k.image.Number, Index: k.image.Index, Term: k.image.Term, Size: int64(len(body))},
 		Meta:     json.RawMessage(k.image.Meta), Data: body[call.From:end], Sum: k.sum,
 	}, nil
 }
@@ -209,16 +209,16 @@
 func (s *Store) download(ctx context.Context, want raft.FetchSnapshot) (*install, error) {
 	const tries = 8
 	var body []byte
-	var head api.ChunkAnswer
+	var head internalapi.ChunkAnswer
 	for left := tries; ; {
-		a, err := s.opt.Net.Chunk(ctx, want.From, api.ChunkCall{Number: head.Number, From: int64(len(body)), Max: 1 << 20})
+		a, err := s.opt.Net.Chunk(ctx, want.From, internalapi.ChunkCall{Number: head.Number, From: int64(len(body)), Max: 1 << 20})
 		switch {
 		case errs.Is(err, errs.Unknown) && head.Number != 0: // a newer slot took its place
-			body, head, left = nil, api.ChunkAnswer{}, left-1
+			body, head, left = nil, internalapi.ChunkAnswer{}, left-1
 		case err != nil:
 			left--
 		case head.Number != 0 && (a.Number != head.Number || a.Sum != head.Sum || a.Size != head.Size):
-			body, head, left = nil, api.ChunkAnswer{}, left-1
+			body, head, left = nil, internalapi.ChunkAnswer{}, left-1
 		case len(a.Data) == 0 && int64(len(body)) < a.Size || a.Size > math.MaxInt32*16:
 			return nil, errs.New(errs.Malformed, "an empty part at %d of %d bytes", len(body), a.Size)
 		default:
--- a/internal/store/found.go
+++ b/internal/store/found.go
@@ -12,9 +12,9 @@
 
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
@@ -69,7 +69,7 @@
 		if live, err = state.Decode(img.Body); err != nil {
 			return errs.Pass(err, "slot %d", img.Number)
 		}
-		s.newest = api.Snapshot{Number: img.Number, Index: img.Index, Term: img.Term, Size: int64(len(img.Body))}
+		s.newest = internalapi.Snapshot{Number: img.Number, Index: img.Index, Term: img.Term, Size: int64(len(img.Body))}
 		s.durable = img.Index
 	}
 	for _, r := range boot.Records {
@@ -158,7 +158,7 @@
 // what it gave in the last round. Two such rounds in a row are needed: the first shows that these very processes
 // run, the second that none of them had stood for leader by then. So no earlier life of any of them gave a vote,
 // and each may be told that it was a founder.
-func judge(name, boot, digest string, members int, answers map[string]api.FoundAnswer, before map[string]string) (verdict, map[string]string) {
+func judge(name, boot, digest string, members int, answers map[string]internalapi.FoundAnswer, before map[string]string) (verdict, map[string]string) {
 	founders, named, all := map[string]string{}, false, true
 	for who, a := range answers {
 		if a.Digest != digest {
@@ -185,16 +185,16 @@
 	return fresh, founders
 }
 
-func (s *Store) askAll(ctx context.Context) map[string]api.FoundAnswer {
-	got := make([]*api.FoundAnswer, len(s.set.Members))
+func (s *Store) askAll(ctx context.Context) map[string]internalapi.FoundAnswer {
+	got := make([]*internalapi.FoundAnswer, len(s.set.Members))
 	routine.Each(len(got), len(got), func(i int) {
 		if m := s.set.Members[i]; m.ID != s.set.Name {
-			if a, err := s.opt.Net.Found(ctx, m.Addr, api.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil {
+			if a, err := s.opt.Net.Found(ctx, m.Addr, internalapi.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil {
 				got[i] = &a
 			}
 		}
 	})
-	out := map[string]api.FoundAnswer{}
+	out := map[string]internalapi.FoundAnswer{}
 	for i, a := range got {
 		if a != nil {
 			out[s.set.Members[i].ID] = *a
@@ -204,10 +204,10 @@
 }
 
 // Found answers one that has an empty folder.
-func (s *Store) Found(api.FoundCall) api.FoundAnswer {
+func (s *Store) Found(internalapi.FoundCall) internalapi.FoundAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := api.FoundAnswer{ID: s.id, Boot: s.boot, Founders: s.founders, Digest: s.digest(),
+	out := internalapi.FoundAnswer{ID: s.id, Boot: s.boot, Founders: s.founders, Digest: s.digest(),
 		Fresh: s.core == nil && s.id == "" && s.set.Founding}
 	if s.core != nil {
 		st := s.core.Status()
@@ -292,7 +292,7 @@
 
 // join asks the leader, through any member, until this node is a voter.
 func (s *Store) join(ctx context.Context) {
-	call := api.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}
+	call := internalapi.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}
 	for i := 0; ; i++ {
 		s.mu.Lock()
 		addr, voter := s.leaderAddr(), s.status.Voter
@@ -327,10 +327,10 @@
 // it out of 5 leaves 4 that are all there and need 3, while promoting first makes 6 of which one is dead and 4
 // are needed. Both bear the loss of one more; the smaller set commits with fewer disks, and a newcomer that
 // falls again in between leaves no second dead voter behind.
-func (s *Store) Join(ctx context.Context, call api.JoinCall) (api.JoinAnswer, error) {
+func (s *Store) Join(ctx context.Context, call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	name, incarnation, ok := strings.Cut(call.ID, "~")
 	if !ok || name != call.Name || name == "" || incarnation == "" || call.Addr == "" {
-		return api.JoinAnswer{}, errs.Field(errs.Invalid, "id", "%q is not of %q with an incarnation", call.ID, call.Name)
+		return internalapi.JoinAnswer{}, errs.Field(errs.Invalid, "id", "%q is not of %q with an incarnation", call.ID, call.Name)
 	}
 	s.mu.Lock()
 	err := s.leads()
@@ -338,7 +338,7 @@
 	place, named := s.live.Successors[name]
 	s.mu.Unlock()
 	if err != nil {
-		return api.JoinAnswer{}, errs.Pass(err, "join")
+		return internalapi.JoinAnswer{}, errs.Pass(err, "join")
 	}
 	if !named {
 		place = name
@@ -347,11 +347,11 @@
 		known := func(m raft.Member) bool { return nameOf(m.ID) == name }
 		first := func(m config.Member) bool { return m.ID == name }
 		if !slices.ContainsFunc(st.Members, known) && !slices.ContainsFunc(s.set.Members, first) {
-			return api.JoinAnswer{}, errs.Field(errs.Forbidden, "name",
+			return internalapi.JoinAnswer{}, errs.Field(errs.Forbidden, "name",
 				"no member is named %s; an operator says whom it replaces: cplane member replace OLD %s", name, name)
 		}
 	}
-	out := api.JoinAnswer{Again: askEvery, Members: addressesOf(st.Members)}
+	out := internalapi.JoinAnswer{Again: askEvery, Members: addressesOf(st.Members)}
 	if s.set.OpenMembership {
 		out.Again = joinEvery
 	}
@@ -370,11 +370,11 @@
 		next = append(next, m)
 	}
 	if at >= 0 && !next[at].Learner {
-		return api.JoinAnswer{Voter: true}, nil
+		return internalapi.JoinAnswer{Voter: true}, nil
 	}
 	if at < 0 {
 		if err := s.checkNotRemoved(call); err != nil {
-			return api.JoinAnswer{}, errs.Pass(err, "join")
+			return internalapi.JoinAnswer{}, errs.Pass(err, "join")
 		}
 		next = append(next, raft.Member{ID: call.ID, Addr: call.Addr, Zone: call.Zone, Incarnation: incarnation, Learner: true})
 		return out, errs.Pass(s.change(st.Members, next), "join as a learner")
@@ -390,7 +390,7 @@
 		next[at].Learner = false
 		return out, errs.Pass(s.change(st.Members, next), "join as a voter")
 	}
-	if a, err := s.opt.Net.Found(ctx, old.Addr, api.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil && a.ID == old.ID {
+	if a, err := s.opt.Net.Found(ctx, old.Addr, internalapi.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil && a.ID == old.ID {
 		return out, errs.Field(errs.Conflict, "name", "%s is alive at %s", old.ID, old.Addr)
 	}
 	return out, errs.Pass(s.change(st.Members, without(next, old.ID)), "take %s out", old.ID)
--- a/internal/store/hand.go
+++ b/internal/store/hand.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -45,12 +45,12 @@
 // Settle is one round of asking the other members what the empty folder means.
 func (h *ManualDriver) Settle() error {
 	s := h.store
-	answers := map[string]api.FoundAnswer{}
+	answers := map[string]internalapi.FoundAnswer{}
 	for _, m := range s.set.Members {
 		if m.ID == s.set.Name {
 			continue
 		}
-		if a, err := s.opt.Net.Found(context.Background(), m.Addr, api.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil {
+		if a, err := s.opt.Net.Found(context.Background(), m.Addr, internalapi.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil {
 			answers[m.ID] = a
 		}
 	}
@@ -61,12 +61,12 @@
 }
 
 // Joins gives the call that takes this node in; false if it is a voter or never was another.
-func (h *ManualDriver) Joins() (call api.JoinCall, addr string, ok bool) {
+func (h *ManualDriver) Joins() (call internalapi.JoinCall, addr string, ok bool) {
 	s := h.store
 	if s.core == nil || s.id == s.set.Name || s.status.Voter {
 		return call, "", false
 	}
-	return api.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}, s.leaderAddr(), true
+	return internalapi.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}, s.leaderAddr(), true
 }
 
 // Pass is a turn of the loop.
@@ -79,7 +79,7 @@
 // Parcel is a call with replication messages.
 type Parcel struct {
 	Addr string
-	Call api.QuorumCall
+	Call internalapi.QuorumCall
 }
 
 // Out takes the messages to other members, in the order of their IDs.
@@ -90,7 +90,7 @@
 	for _, id := range slices.Sorted(maps.Keys(h.store.peers)) {
 		p := h.store.peers[id]
 		for len(p.queue) > 0 {
-			out = append(out, Parcel{p.addr, api.QuorumCall{From: h.store.set.Addr, Messages: p.take()}})
+			out = append(out, Parcel{p.addr, internalapi.QuorumCall{From: h.store.set.Addr, Messages: p.take()}})
 		}
 	}
 	return out
@@ -197,19 +197,19 @@
 func (p *Proposal) Leave() error { return errs.Pass(p.store.leave(p.waiter).err, "propose") }
 
 // Duty is Store.Duty up to its proposal: the answer, or a command to propose and then to tell Granted of.
-func (h *ManualDriver) Duty(call api.DutyCall) (a api.DutyAnswer, held state.Duty, c command.Command, err error) {
+func (h *ManualDriver) Duty(call internalapi.DutyCall) (a internalapi.DutyAnswer, held state.Duty, c command.Command, err error) {
 	a, held, c, err = h.store.ask(call)
 	return a, held, c, errs.Pass(err, "duty")
 }
 
 // Granted ends what Duty began.
-func (h *ManualDriver) Granted(call api.DutyCall, held state.Duty, index uint64, err error) (api.DutyAnswer, error) {
+func (h *ManualDriver) Granted(call internalapi.DutyCall, held state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
 	a, err := h.store.granted(call, held, index, err)
 	return a, errs.Pass(err, "duty")
 }
 
 // Lack is Store.Follow without the wait: nil if the caller lacks nothing.
-func (h *ManualDriver) Lack(version uint64) (*api.Lack, error) {
+func (h *ManualDriver) Lack(version uint64) (*internalapi.Lack, error) {
 	l, _, err := h.store.lack(version, maxFollow)
 	return l, errs.Pass(err, "lack")
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
@@ -79,9 +79,9 @@
 // until Settled. Example:
 //
 //	if book.Ask(now, held, call) == Mine {
-//		return api.DutyAnswer{Mine: true, Epoch: held.Epoch, Lease: lease}
+//		return internalapi.DutyAnswer{Mine: true, Epoch: held.Epoch, Lease: lease}
 //	}
-func (b *Book) Ask(now time.Duration, held state.Duty, call api.DutyCall) Verdict {
+func (b *Book) Ask(now time.Duration, held state.Duty, call internalapi.DutyCall) Verdict {
 	if !b.open {
 		return Theirs
 	}
@@ -102,7 +102,7 @@
 }
 
 // End voids an epoch whose holder gives it up; false if it is not the caller's to give up or under change.
-func (b *Book) End(now time.Duration, held state.Duty, call api.DutyCall) bool {
+func (b *Book) End(now time.Duration, held state.Duty, call internalapi.DutyCall) bool {
 	if !b.open || held.Holder != call.Holder || held.Boot != call.Boot || held.Epoch != call.Epoch || call.Epoch == 0 {
 		return false
 	}
--- a/internal/store/lease_test.go
+++ b/internal/store/lease_test.go
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 )
 
@@ -23,9 +23,9 @@
 		book := NewBook(testLease, testMargin)
 		held := state.Duty{Holder: "a", Boot: "1", Epoch: 7}
 		duties := map[string]*state.Duty{"sched": &held}
-		a := api.DutyCall{Duty: "sched", Holder: "a", Boot: "1", Epoch: 7}
-		b := api.DutyCall{Duty: "sched", Holder: "b", Boot: "1"}
-		ask := func(c api.DutyCall) Verdict { return book.Ask(clock.Now(), held, c) }
+		a := internalapi.DutyCall{Duty: "sched", Holder: "a", Boot: "1", Epoch: 7}
+		b := internalapi.DutyCall{Duty: "sched", Holder: "b", Boot: "1"}
+		ask := func(c internalapi.DutyCall) Verdict { return book.Ask(clock.Now(), held, c) }
 		So(ask(a), ShouldEqual, Theirs)
 		book.Lead(clock.Now(), duties)
 
@@ -95,7 +95,7 @@
 				i := rnd.IntN(len(nodes))
 				sent := clock.Now()
 				clock.Advance(time.Duration(rnd.Int64N(int64(2 * testLease / 3))))
-				call := api.DutyCall{Duty: "sched", Holder: string(rune('a' + i)), Boot: "1", Epoch: nodes[i].epoch}
+				call := internalapi.DutyCall{Duty: "sched", Holder: string(rune('a' + i)), Boot: "1", Epoch: nodes[i].epoch}
 				lost := rnd.IntN(4) == 0
 				switch rnd.IntN(12) {
 				case 0: // the leader falls; the next one knows only the state
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -10,9 +10,9 @@
 
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 )
@@ -34,7 +34,7 @@
 	var boots map[string]string
 	for round := 0; ; round++ {
 		// A founder waits for all answers: one that names it among the founders weighs most.
-		answers := s.survey(ctx, func(a api.FoundAnswer) bool { return !founder && a.Commit > 1 })
+		answers := s.survey(ctx, func(a internalapi.FoundAnswer) bool { return !founder && a.Commit > 1 })
 		v, founders := s.judgeOpen(answers, boots)
 		boots = founders
 		var err error
@@ -66,9 +66,9 @@
 
 // judgeOpen is judge where settings may differ between nodes: only those who may found together must have the same
 // founders. answers are by address.
-func (s *Store) judgeOpen(answers map[string]api.FoundAnswer, before map[string]string) (verdict, map[string]string) {
+func (s *Store) judgeOpen(answers map[string]internalapi.FoundAnswer, before map[string]string) (verdict, map[string]string) {
 	digest := s.digest()
-	founders := map[string]api.FoundAnswer{}
+	founders := map[string]internalapi.FoundAnswer{}
 	for _, m := range s.set.Members {
 		a, ok := answers[m.Addr]
 		if !ok {
@@ -96,14 +96,14 @@
 
 // survey asks all nodes whose address is known how they stand, at once, until enough holds for an answer or all
 // have answered or failed. It gives the answers by address, and learns the addresses in them.
-func (s *Store) survey(ctx context.Context, enough func(api.FoundAnswer) bool) map[string]api.FoundAnswer {
+func (s *Store) survey(ctx context.Context, enough func(internalapi.FoundAnswer) bool) map[string]internalapi.FoundAnswer {
 	addresses := s.addresses()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
-	answers := map[string]api.FoundAnswer{}
+	answers := map[string]internalapi.FoundAnswer{}
 	routine.Each(len(addresses), len(addresses), func(i int) {
-		a, err := s.opt.Net.Found(ctx, addresses[i], api.FoundCall{Name: s.set.Name, Boot: s.boot})
+		a, err := s.opt.Net.Found(ctx, addresses[i], internalapi.FoundCall{Name: s.set.Name, Boot: s.boot})
 		if err != nil {
 			return
 		}
@@ -125,7 +125,7 @@
 
 // joinOpen asks the leader until this node is a voter.
 func (s *Store) joinOpen(ctx context.Context) {
-	call := api.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}
+	call := internalapi.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}
 	leader := ""
 	for {
 		s.mu.Lock()
@@ -164,7 +164,7 @@
 }
 
 // askToJoin moves this node one step towards being a voter. Failure Stale: it was removed, its folder is void.
-func (s *Store) askToJoin(ctx context.Context, leader string, call api.JoinCall) error {
+func (s *Store) askToJoin(ctx context.Context, leader string, call internalapi.JoinCall) error {
 	a, err := s.opt.Net.Join(ctx, leader, call)
 	if err != nil {
 		return errs.Pass(err, "ask to join")
@@ -177,7 +177,7 @@
 
 // checkNotRemoved refuses one that is no member although its folder says that it is one: it was removed since, and
 // must come back as a new incarnation. Failure: Stale; Unavailable while that is not committed.
-func (s *Store) checkNotRemoved(call api.JoinCall) error {
+func (s *Store) checkNotRemoved(call internalapi.JoinCall) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, members := s.core.CommittedMembers()
@@ -195,7 +195,7 @@
 // findLeader asks other nodes for the leader's address; "" if nobody knows one. Of two the newer term counts.
 func (s *Store) findLeader(ctx context.Context) (leader string) {
 	newest := uint64(0)
-	knows := func(a api.FoundAnswer) bool { return a.Leader != "" && a.Leader != s.set.Addr }
+	knows := func(a internalapi.FoundAnswer) bool { return a.Leader != "" && a.Leader != s.set.Addr }
 	for _, a := range s.survey(ctx, knows) {
 		if knows(a) && (leader == "" || a.Term > newest) {
 			leader, newest = a.Leader, a.Term
@@ -244,7 +244,7 @@
 // removedBy tells whether an answer proves that this node is no member any more: a set that was committed after the
 // oldest one here with this node in it is without it. That oldest one need not be committed: if it never was, the
 // node did not become a member by it. Who was removed does not come back under its ID, see checkNotRemoved.
-func (s *Store) removedBy(a api.FoundAnswer) bool {
+func (s *Store) removedBy(a internalapi.FoundAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.core.MemberSince()
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -13,10 +13,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/storage"
@@ -185,7 +185,7 @@
 		}
 		r.run(10 * time.Second)
 		for n, s := range r.nodes {
-			So(fmt.Sprint(n, s.Found(api.FoundCall{}).Commit), ShouldEqual, n+"0")
+			So(fmt.Sprint(n, s.Found(internalapi.FoundCall{}).Commit), ShouldEqual, n+"0")
 		}
 		r.start("c3")
 		r.voters("c1", "c2", "c3", "c4", "c5")
@@ -198,7 +198,7 @@
 		r.startAll()
 		r.run(20 * time.Second)
 		for _, s := range r.nodes {
-			a := s.Found(api.FoundCall{})
+			a := s.Found(internalapi.FoundCall{})
 			So(a.Fresh, ShouldBeFalse)
 			So(a.Commit, ShouldEqual, 0)
 			So(a.ID, ShouldStartWith, s.set.Name+"~")
@@ -212,7 +212,7 @@
 		r.start("c3")
 		r.run(20 * time.Second)
 		for _, s := range r.nodes {
-			So(s.Found(api.FoundCall{}).Commit, ShouldEqual, 0)
+			So(s.Found(internalapi.FoundCall{}).Commit, ShouldEqual, 0)
 		}
 	})
 }
@@ -312,20 +312,20 @@
 		r.startAll()
 		r.voters("c1", "c2", "c3")
 		lead := r.leader()
-		_, err := lead.Join(context.Background(), api.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9"})
+		_, err := lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9"})
 		So(err, ShouldBeNil)
 		r.until("a learner", func() bool { return len(lead.Status().Quorum.Members) == 4 })
 		r.run(dropLearner - time.Second)
 		So(lead.Status().Quorum.Members, ShouldHaveLength, 4)
-		since := lead.Found(api.FoundCall{}).MembersAt
+		since := lead.Found(internalapi.FoundCall{}).MembersAt
 		r.voters("c1", "c2", "c3")
-		r.until("the removal is committed", func() bool { return lead.Found(api.FoundCall{}).MembersAt > since })
+		r.until("the removal is committed", func() bool { return lead.Found(internalapi.FoundCall{}).MembersAt > since })
 
 		// It does not come back under its ID, as its folder says that it was a member.
-		_, err = lead.Join(context.Background(), api.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
+		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		// A folder whose membership was never committed is no such one.
-		_, err = lead.Join(context.Background(), api.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since + 100})
+		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since + 100})
 		So(err, ShouldBeNil)
 	})
 }
@@ -610,7 +610,7 @@
 			So(s.id, ShouldNotEqual, "c1~old")
 			So(s.status.Term, ShouldEqual, 0)
 			So(s.addresses(), ShouldResemble, []string{"c2", "c7", "c8"})
-			So(s.Found(api.FoundCall{}).Fresh, ShouldBeFalse)
+			So(s.Found(internalapi.FoundCall{}).Fresh, ShouldBeFalse)
 			if err == nil {
 				So(at, ShouldBeGreaterThan, 8)
 				break
@@ -636,11 +636,11 @@
 		s := &Store{boot: "boot"}
 		s.set.Name, s.set.Addr = "c1", "c1"
 		s.set.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
-		empty := api.FoundAnswer{Fresh: true, Boot: "p", Digest: s.digest()}
-		other := api.FoundAnswer{Fresh: true, Boot: "p", Digest: "other"}
+		empty := internalapi.FoundAnswer{Fresh: true, Boot: "p", Digest: s.digest()}
+		other := internalapi.FoundAnswer{Fresh: true, Boot: "p", Digest: "other"}
 		before := map[string]string{"c2": "p", "c3": "p"}
-		say := func(c2, c3 api.FoundAnswer, more ...api.FoundAnswer) verdict {
-			answers := map[string]api.FoundAnswer{"c2": c2, "c3": c3}
+		say := func(c2, c3 internalapi.FoundAnswer, more ...internalapi.FoundAnswer) verdict {
+			answers := map[string]internalapi.FoundAnswer{"c2": c2, "c3": c3}
 			for i, a := range more {
 				answers[fmt.Sprint("c", i+4)] = a
 			}
@@ -649,16 +649,16 @@
 		}
 		So(say(empty, empty), ShouldEqual, fresh)
 		So(say(empty, other), ShouldEqual, differs)
-		So(say(empty, api.FoundAnswer{Commit: 9}), ShouldEqual, exists) // its seeds are not compared
-		So(say(other, api.FoundAnswer{Commit: 9}), ShouldEqual, exists)
-		So(say(empty, empty, api.FoundAnswer{Commit: 9}), ShouldEqual, exists) // one that is no seed
-		So(say(empty, api.FoundAnswer{Digest: "other"}), ShouldEqual, unsure)  // empty, and must not found
-		So(say(empty, api.FoundAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, unsure)
-		named := api.FoundAnswer{Commit: 9, Digest: s.digest(), Founders: map[string]string{"c1": "boot"}}
+		So(say(empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, exists) // its seeds are not compared
+		So(say(other, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, exists)
+		So(say(empty, empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, exists) // one that is no seed
+		So(say(empty, internalapi.FoundAnswer{Digest: "other"}), ShouldEqual, unsure)  // empty, and must not found
+		So(say(empty, internalapi.FoundAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, unsure)
+		named := internalapi.FoundAnswer{Commit: 9, Digest: s.digest(), Founders: map[string]string{"c1": "boot"}}
 		So(say(empty, named), ShouldEqual, fresh)
 		named.Digest = "other"
 		So(say(empty, named), ShouldEqual, exists)
-		v, _ := s.judgeOpen(map[string]api.FoundAnswer{"c2": empty, "c3": empty}, nil)
+		v, _ := s.judgeOpen(map[string]internalapi.FoundAnswer{"c2": empty, "c3": empty}, nil)
 		So(v, ShouldEqual, unsure) // the first such round
 	})
 }
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -250,7 +250,7 @@
 func (s *Store) Read(ctx context.Context, read func(*state.State)) error {
 	index, err := s.Confirm()
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
-		var a api.ConfirmAnswer
+		var a internalapi.ConfirmAnswer
 		a, err = s.opt.Net.Confirm(ctx, errs.Of(err).Hint)
 		index = a.Index
 	}
@@ -273,7 +273,7 @@
 		if bad != nil {
 			return nil, errs.Wrap(bad, errs.Malformed, "encode %s", c.Op())
 		}
-		a, err := s.opt.Net.Propose(ctx, errs.Of(err).Hint, api.ProposeCall{Op: c.Op(), Body: body})
+		a, err := s.opt.Net.Propose(ctx, errs.Of(err).Hint, internalapi.ProposeCall{Op: c.Op(), Body: body})
 		return a.Answer, errs.Pass(veil(err), "order")
 	}
 	if err != nil {
@@ -291,26 +291,26 @@
 	return err
 }
 
-// propose is the answer to api.Propose.
-func (s *Store) propose(ctx context.Context, call api.ProposeCall) (api.ProposeAnswer, error) {
+// propose is the answer to internalapi.Propose.
+func (s *Store) propose(ctx context.Context, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
 	s.mu.Lock()
 	err := s.leads() // before the work of decoding
 	s.mu.Unlock()
 	if err != nil {
-		return api.ProposeAnswer{}, errs.Pass(err, "propose")
+		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose")
 	}
 	c, err := command.Make(call.Op)
 	if err != nil {
-		return api.ProposeAnswer{}, errs.Pass(err, "propose")
+		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose")
 	}
 	if err := json.Unmarshal(call.Body, c); err != nil {
-		return api.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "command %s", call.Op)
+		return internalapi.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "command %s", call.Op)
 	}
 	index, answer, err := s.Propose(ctx, c)
 	if err != nil {
-		return api.ProposeAnswer{}, errs.Pass(err, "call")
+		return internalapi.ProposeAnswer{}, errs.Pass(err, "call")
 	}
-	out := api.ProposeAnswer{Index: index}
+	out := internalapi.ProposeAnswer{Index: index}
 	if answer != nil {
 		if out.Answer, err = json.Marshal(answer); err != nil {
 			return out, errs.Wrap(err, errs.Internal, "encode the answer to %s", call.Op)
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/state/command"
 )
@@ -51,29 +51,29 @@
 // took notes when the live state came to the bundle it has; called under the lock.
 func (s *Store) took() {
 	if v := s.live.Bundle.Version; s.own.Version != v {
-		s.own = api.NodeBundle{Node: s.set.Name, Kind: "cplane", Version: v, Since: s.clock.Wall()}
+		s.own = internalapi.NodeBundle{Node: s.set.Name, Kind: "cplane", Version: v, Since: s.clock.Wall()}
 	}
 }
 
 // heard notes what a follower says of its bundle.
-func (s *Store) heard(call api.FollowCall) {
+func (s *Store) heard(call internalapi.FollowCall) {
 	if call.Node == "" {
 		return
 	}
 	now := s.clock.Wall()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.followers, func(_ string, n api.NodeBundle) bool { return now.Sub(n.Heard) > forgetNode })
-	s.followers[call.Node] = api.NodeBundle{Node: call.Node, Kind: "dplane", Version: call.Bundle, Since: now.Add(-call.Age), Heard: now}
+	maps.DeleteFunc(s.followers, func(_ string, n internalapi.NodeBundle) bool { return now.Sub(n.Heard) > forgetNode })
+	s.followers[call.Node] = internalapi.NodeBundle{Node: call.Node, Kind: "dplane", Version: call.Bundle, Since: now.Add(-call.Age), Heard: now}
 }
 
-// rollout is the answer to api.Rollout.
-func (s *Store) rollout() api.RolloutAnswer {
+// rollout is the answer to internalapi.Rollout.
+func (s *Store) rollout() internalapi.RolloutAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := s.own
 	own.Heard = s.clock.Wall()
-	out := api.RolloutAnswer{Nodes: []api.NodeBundle{own}}
+	out := internalapi.RolloutAnswer{Nodes: []internalapi.NodeBundle{own}}
 	for _, name := range slices.Sorted(maps.Keys(s.followers)) {
 		out.Nodes = append(out.Nodes, s.followers[name])
 	}
@@ -82,9 +82,9 @@
 
 // Rollout asks every member which bundle version it has and which its followers have, and gives the newest word on
 // each node, by kind and name; silent names the members that did not answer.
-func (s *Store) Rollout(ctx context.Context) (nodes []api.NodeBundle, silent []string) {
+func (s *Store) Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string) {
 	members := s.Status().Quorum.Members
-	answers := make([]*api.RolloutAnswer, len(members))
+	answers := make([]*internalapi.RolloutAnswer, len(members))
 	routine.Each(len(members), len(members), func(i int) {
 		if members[i].ID == s.id {
 			a := s.rollout()
@@ -93,7 +93,7 @@
 			answers[i] = &a
 		}
 	})
-	newest := map[string]api.NodeBundle{}
+	newest := map[string]internalapi.NodeBundle{}
 	for i, a := range answers {
 		if a == nil {
 			silent = append(silent, nameOf(members[i].ID))
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	nodes = slices.SortedFunc(maps.Values(newest), func(a, b api.NodeBundle) int {
+	nodes = slices.SortedFunc(maps.Values(newest), func(a, b internalapi.NodeBundle) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Node, b.Node))
 	})
 	return nodes, silent
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -78,10 +78,10 @@
 		// What followers say of their bundle is known at every member, the newest word first.
 		for i, name := range []string{"c1", "c2"} {
 			r.call(func(ctx context.Context) {
-				_, _ = r.nodes[name].Follow(ctx, api.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: uint64(39 + i)})
+				_, _ = r.nodes[name].Follow(ctx, internalapi.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: uint64(39 + i)})
 			})
 		}
-		var nodes []api.NodeBundle
+		var nodes []internalapi.NodeBundle
 		var silent []string
 		r.kill("c2")
 		r.call(func(ctx context.Context) { nodes, silent = r.nodes["c3"].Rollout(ctx) })
@@ -95,7 +95,7 @@
 		r.until("c2 again", level)
 		r.clock.Advance(time.Second) // a newer word is one at a later time
 		r.call(func(ctx context.Context) {
-			_, _ = r.nodes["c2"].Follow(ctx, api.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: 40})
+			_, _ = r.nodes["c2"].Follow(ctx, internalapi.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: 40})
 		})
 		r.call(func(ctx context.Context) { nodes, silent = r.nodes["c1"].Rollout(ctx) })
 		So([]any{nodes[3].Node, nodes[3].Version, len(silent)}, ShouldResemble, []any{"d1", uint64(40), 0})
--- a/internal/store/send.go
+++ b/internal/store/send.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 )
 
@@ -142,7 +142,7 @@
 	s.group.Go(func(context.Context) {
 		defer func() { <-slots; close(done) }()
 		// A failure costs these messages only; the core makes up for what is lost.
-		if err := s.opt.Net.Quorum(ctx, p.addr, api.QuorumCall{From: s.set.Addr, Messages: batch}); err != nil {
+		if err := s.opt.Net.Quorum(ctx, p.addr, internalapi.QuorumCall{From: s.set.Addr, Messages: batch}); err != nil {
 			s.meter.dropped.Add(float64(len(batch)))
 		}
 	})
@@ -158,7 +158,7 @@
 
 // Step takes in messages of another member. From of the call is the sender's address, by which a node that has
 // no members yet can answer.
-func (s *Store) Step(call api.QuorumCall) {
+func (s *Store) Step(call internalapi.QuorumCall) {
 	s.mu.Lock()
 	s.learn(call.From)
 	if s.core == nil || s.frozen || s.broken {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,10 +19,10 @@
 	"github.com/go-kit/log/level"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
@@ -45,13 +45,13 @@
 
 // Net carries the calls to other cplanes at an address; all end by their own time-out.
 type Net interface {
-	Quorum(ctx context.Context, addr string, call api.QuorumCall) error
-	Chunk(ctx context.Context, addr string, call api.ChunkCall) (api.ChunkAnswer, error)
-	Found(ctx context.Context, addr string, call api.FoundCall) (api.FoundAnswer, error)
-	Join(ctx context.Context, addr string, call api.JoinCall) (api.JoinAnswer, error)
-	Propose(ctx context.Context, addr string, call api.ProposeCall) (api.ProposeAnswer, error)
-	Confirm(ctx context.Context, addr string) (api.ConfirmAnswer, error)
-	Rollout(ctx context.Context, addr string) (api.RolloutAnswer, error)
+	Quorum(ctx context.Context, addr string, call internalapi.QuorumCall) error
+	Chunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
+	Found(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error)
+	Join(ctx context.Context, addr string, call internalapi.JoinCall) (internalapi.JoinAnswer, error)
+	Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error)
+	Confirm(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error)
+	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
 }
 
 // Options of a store; Settings, Disk, Net and Fatal are needed, with an open membership Removed too.
@@ -122,13 +122,13 @@
 	shadowMembers   []raft.Member
 	shadowSince     int
 	shadowBytes     int
-	newest          api.Snapshot // the newest slot
-	logTotal        int          // bytes of log that slots took the place of
+	newest          internalapi.Snapshot // the newest slot
+	logTotal        int                  // bytes of log that slots took the place of
 	founders        map[string]string
 	install         *install
 	chunks          chunks
-	own             api.NodeBundle            // the bundle of the live state
-	followers       map[string]api.NodeBundle // by node
+	own             internalapi.NodeBundle            // the bundle of the live state
+	followers       map[string]internalapi.NodeBundle // by node
 }
 
 // Open reads the folder and makes a store that takes part in nothing yet. Failures: Disk, Damaged (see Options).
@@ -148,7 +148,7 @@
 		boot: opt.Draw()[:12],
 		kick: make(chan struct{}, 1), diskKick: make(chan struct{}, 1), shadowKick: make(chan struct{}, 1),
 		live: state.New(), peers: map[string]*peer{}, learnt: map[string]string{}, known: map[string]bool{}, changed: make(chan struct{}),
-		waiters: map[uint64]*waiter{}, followers: map[string]api.NodeBundle{}, book: NewBook(opt.Settings.DutyLease, opt.Settings.DutyLease/10),
+		waiters: map[uint64]*waiter{}, followers: map[string]internalapi.NodeBundle{}, book: NewBook(opt.Settings.DutyLease, opt.Settings.DutyLease/10),
 		levelAt: -readyWithin * 2,
 	}
 	s.meter = newMeter()
@@ -517,15 +517,15 @@
 }
 
 // Status tells how this node stands.
-func (s *Store) Status() api.StatusAnswer {
+func (s *Store) Status() internalapi.StatusAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := api.StatusAnswer{Applied: s.live.Index, Ready: s.readyNow(s.clock.Now()) == nil, Duties: map[string]api.DutyAnswer{}}
+	out := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.readyNow(s.clock.Now()) == nil, Duties: map[string]internalapi.DutyAnswer{}}
 	if s.core != nil {
 		out.Quorum = s.core.Status()
 	}
 	for name, d := range s.live.Duties {
-		out.Duties[name] = api.DutyAnswer{Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
+		out.Duties[name] = internalapi.DutyAnswer{Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
 	}
 	return out
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,10 +15,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"golang.org/x/sys/unix"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/routine"
 	"crosstide/internal/signature"
@@ -300,30 +300,30 @@
 	return do(s)
 }
 
-func (n net) Quorum(ctx context.Context, addr string, c api.QuorumCall) error {
+func (n net) Quorum(ctx context.Context, addr string, c internalapi.QuorumCall) error {
 	_, err := to(ctx, n, addr, func(s *Store) (int, error) { s.Step(c); return 0, nil })
 	return err
 }
-func (n net) Chunk(ctx context.Context, addr string, c api.ChunkCall) (api.ChunkAnswer, error) {
+func (n net) Chunk(ctx context.Context, addr string, c internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.Max = 1000 // many parts
-	return to(ctx, n, addr, func(s *Store) (api.ChunkAnswer, error) { return s.Chunk(c) })
+	return to(ctx, n, addr, func(s *Store) (internalapi.ChunkAnswer, error) { return s.Chunk(c) })
 }
-func (n net) Found(ctx context.Context, addr string, c api.FoundCall) (api.FoundAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (api.FoundAnswer, error) { return s.Found(c), nil })
+func (n net) Found(ctx context.Context, addr string, c internalapi.FoundCall) (internalapi.FoundAnswer, error) {
+	return to(ctx, n, addr, func(s *Store) (internalapi.FoundAnswer, error) { return s.Found(c), nil })
 }
-func (n net) Join(ctx context.Context, addr string, c api.JoinCall) (api.JoinAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (api.JoinAnswer, error) { return s.Join(ctx, c) })
+func (n net) Join(ctx context.Context, addr string, c internalapi.JoinCall) (internalapi.JoinAnswer, error) {
+	return to(ctx, n, addr, func(s *Store) (internalapi.JoinAnswer, error) { return s.Join(ctx, c) })
 }
-func (n net) Propose(ctx context.Context, addr string, c api.ProposeCall) (api.ProposeAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (api.ProposeAnswer, error) { return s.propose(ctx, c) })
+func (n net) Propose(ctx context.Context, addr string, c internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
+	return to(ctx, n, addr, func(s *Store) (internalapi.ProposeAnswer, error) { return s.propose(ctx, c) })
 }
-func (n net) Rollout(ctx context.Context, addr string) (api.RolloutAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (api.RolloutAnswer, error) { return s.rollout(), nil })
+func (n net) Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error) {
+	return to(ctx, n, addr, func(s *Store) (internalapi.RolloutAnswer, error) { return s.rollout(), nil })
 }
-func (n net) Confirm(ctx context.Context, addr string) (api.ConfirmAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (api.ConfirmAnswer, error) {
+func (n net) Confirm(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
+	return to(ctx, n, addr, func(s *Store) (internalapi.ConfirmAnswer, error) {
 		i, err := s.Confirm()
-		return api.ConfirmAnswer{Index: i}, err
+		return internalapi.ConfirmAnswer{Index: i}, err
 	})
 }
 
@@ -373,12 +373,12 @@
 
 		// Followers get changes, a snapshot where those are gone, and wait for what comes.
 		at := other.Status().Applied
-		follow := func(from uint64, wait time.Duration, during func(ctx context.Context)) api.Lack {
-			var a api.FollowAnswer
+		follow := func(from uint64, wait time.Duration, during func(ctx context.Context)) internalapi.Lack {
+			var a internalapi.FollowAnswer
 			r.call(func(ctx context.Context) {
 				waiting := routine.New(ctx)
 				waiting.Go(func(ctx context.Context) {
-					a, err = other.Follow(ctx, api.FollowCall{Vector: map[string]uint64{source: from}, Wait: wait, Max: 1 << 20})
+					a, err = other.Follow(ctx, internalapi.FollowCall{Vector: map[string]uint64{source: from}, Wait: wait, Max: 1 << 20})
 				})
 				during(ctx)
 				waiting.Wait()
@@ -389,7 +389,7 @@
 		idle := func(context.Context) {}
 		So(len(follow(at-3, 0, idle).Changes), ShouldEqual, 3)
 		So(follow(0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1)
-		So(follow(at, time.Second, idle), ShouldResemble, api.Lack{})
+		So(follow(at, time.Second, idle), ShouldResemble, internalapi.Lack{})
 		news := follow(at, 20*time.Second, func(ctx context.Context) { _, _ = other.Order(ctx, job("news")) }) // shows in what follows
 		So(len(news.Changes), ShouldEqual, 1)
 	})
@@ -478,7 +478,7 @@
 		fresh := r.nodes["c9"]
 		var err error
 		r.until("the leader turns a stranger away", func() bool {
-			_, err = lead.Join(context.Background(), api.JoinCall{ID: fresh.id, Name: "c9", Addr: "c9"})
+			_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: fresh.id, Name: "c9", Addr: "c9"})
 			return errs.Is(err, errs.Forbidden)
 		})
 		So(err.Error(), ShouldContainSubstring, "cplane member replace OLD c9")
@@ -518,11 +518,11 @@
 
 func TestDuty(t *testing.T) {
 	within(t, 40, func(r *testStores) {
-		ask := func(holder string, epoch uint64, giveUp bool) (a api.DutyAnswer) {
+		ask := func(holder string, epoch uint64, giveUp bool) (a internalapi.DutyAnswer) {
 			s := r.leader()
 			var err error
 			r.call(func(ctx context.Context) {
-				a, err = s.Duty(ctx, api.DutyCall{Duty: "sched", Holder: holder, Addr: holder, Boot: "1", Epoch: epoch, GiveUp: giveUp})
+				a, err = s.Duty(ctx, internalapi.DutyCall{Duty: "sched", Holder: holder, Addr: holder, Boot: "1", Epoch: epoch, GiveUp: giveUp})
 			})
 			So(err, ShouldBeNil)
 			return a
@@ -535,7 +535,7 @@
 		r.kill(lead.set.Name)
 		So(ask("b", 0, false).Mine, ShouldBeFalse)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeTrue)
-		var second api.DutyAnswer
+		var second internalapi.DutyAnswer
 		began, tries := r.clock.Now(), 0
 		for ; !second.Mine; tries++ {
 			second = ask("b", 0, false)
@@ -551,27 +551,27 @@
 
 func TestJudge(t *testing.T) {
 	Convey("An empty folder founds only when it is sure to have no earlier life", t, func() {
-		say := func(a ...api.FoundAnswer) verdict {
-			all := map[string]api.FoundAnswer{}
+		say := func(a ...internalapi.FoundAnswer) verdict {
+			all := map[string]internalapi.FoundAnswer{}
 			for i, one := range a {
 				one.Digest = "d"
 				all[fmt.Sprint("c", i+2)] = one
 			}
 			v, vouched := judge("c1", "boot", "d", 3, all, map[string]string{"c2": "p", "c3": "p"})
-			named := slices.ContainsFunc(a, func(one api.FoundAnswer) bool { return one.Founders != nil })
+			named := slices.ContainsFunc(a, func(one internalapi.FoundAnswer) bool { return one.Founders != nil })
 			So(v == fresh && !named, ShouldEqual, vouched != nil)
 			return v
 		}
-		empty := api.FoundAnswer{Fresh: true, Boot: "p"}
+		empty := internalapi.FoundAnswer{Fresh: true, Boot: "p"}
 		So(say(), ShouldEqual, unsure)
 		So(say(empty), ShouldEqual, unsure)
 		So(say(empty, empty), ShouldEqual, fresh)
-		So(say(empty, api.FoundAnswer{Commit: 2}), ShouldEqual, exists)
-		So(say(api.FoundAnswer{Commit: 900}), ShouldEqual, exists)
-		So(say(empty, api.FoundAnswer{Commit: 1}), ShouldEqual, unsure) // has voted, perhaps for us
-		So(say(api.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "boot"}}), ShouldEqual, fresh)
-		So(say(api.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "earlier"}}), ShouldEqual, exists)
-		one := map[string]api.FoundAnswer{"c2": {Fresh: true, Digest: "d", Boot: "p"}}
+		So(say(empty, internalapi.FoundAnswer{Commit: 2}), ShouldEqual, exists)
+		So(say(internalapi.FoundAnswer{Commit: 900}), ShouldEqual, exists)
+		So(say(empty, internalapi.FoundAnswer{Commit: 1}), ShouldEqual, unsure) // has voted, perhaps for us
+		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "boot"}}), ShouldEqual, fresh)
+		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "earlier"}}), ShouldEqual, exists)
+		one := map[string]internalapi.FoundAnswer{"c2": {Fresh: true, Digest: "d", Boot: "p"}}
 		v, _ := judge("c1", "boot", "other", 3, one, nil)
 		So(v, ShouldEqual, differs)
 		v, boots := judge("c1", "boot", "d", 2, one, nil) // the first such round
--- a/internal/testbed/minion/host.go
+++ b/internal/testbed/minion/host.go
@@ -15,10 +15,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
@@ -72,7 +72,7 @@
 			return nil, errs.Pass(err, "minion %s", name)
 		}
 	}
-	h.server.Route(api.Hold.Path, h.serve)
+	h.server.Route(internalapi.Hold.Path, h.serve)
 	daemon.Routes(h.server, reg, func() error { return errs.Pass(h.fault(), "journal") })
 	if err := h.server.Start(); err != nil {
 		h.Close()
@@ -292,7 +292,7 @@
 }
 
 // hold takes in a call and waits for its answer; lost tells that the answer is to be dropped.
-func (b *body) hold(ctx context.Context, call api.HoldCall) (answer api.HoldAnswer, lost bool, err error) {
+func (b *body) hold(ctx context.Context, call internalapi.HoldCall) (answer internalapi.HoldAnswer, lost bool, err error) {
 	late, lost := b.fate(len(call.Starts) > 0)
 	if late > 0 { // the order is carried out even if nobody waits for the answer any more
 		rung := make(chan struct{})
@@ -345,7 +345,7 @@
 // announce tells one dplane after another where the minion is, until ctx ends.
 func (b *body) announce(ctx context.Context) {
 	h, t := b.host, b.traits
-	call := api.MinionCall{
+	call := internalapi.MinionCall{
 		Name: t.Name, Addr: h.Addr(), Boot: t.Boot, Kind: t.Kind, Zone: t.Zone, Rack: t.Rack,
 		Labels: t.Labels, Cores: t.Cores, GPUs: t.GPUs,
 	}
@@ -354,7 +354,7 @@
 	}
 	for at := int(xxhash.Sum64String(t.Name) % uint64(len(h.set.Dplanes))); ctx.Err() == nil; {
 		again := announceEvery
-		answer, err := rpc.Ask(ctx, h.caller, h.set.Dplanes[at], api.Minions, call, announceBound)
+		answer, err := rpc.Ask(ctx, h.caller, h.set.Dplanes[at], internalapi.Minions, call, announceBound)
 		switch {
 		case err != nil:
 			_ = level.Debug(h.logger).Log("msg", "announcement failed", "minion", t.Name, "dplane", h.set.Dplanes[at], "err", err)
--- a/internal/testbed/minion/host_test.go
+++ b/internal/testbed/minion/host_test.go
@@ -10,9 +10,9 @@
 	"github.com/go-kit/log"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
@@ -29,11 +29,11 @@
 	}
 	caller := rpc.NewCaller(rpc.CallerOptions{})
 	defer caller.Close()
-	ask := func(h *Host, c api.HoldCall) (api.HoldAnswer, error) {
-		return rpc.Ask(context.Background(), caller, h.Addr(), api.Hold, c, time.Minute)
+	ask := func(h *Host, c internalapi.HoldCall) (internalapi.HoldAnswer, error) {
+		return rpc.Ask(context.Background(), caller, h.Addr(), internalapi.Hold, c, time.Minute)
 	}
-	start := func(runID uint64) []api.StartOrder {
-		return []api.StartOrder{{RunID: runID, Job: "j", Step: "s", Type: "t", Cores: 1, Run: json.RawMessage(`{}`),
+	start := func(runID uint64) []internalapi.StartOrder {
+		return []internalapi.StartOrder{{RunID: runID, Job: "j", Step: "s", Type: "t", Cores: 1, Run: json.RawMessage(`{}`),
 			Void: time.Hour, Until: time.Hour}}
 	}
 	events := func(dir string) (out []string) {
@@ -47,11 +47,11 @@
 	}
 
 	Convey("Hollow minions share an address, and each announces, runs, drains and leaves under its own name", t, func() {
-		heard := make(chan api.MinionCall, 8)
+		heard := make(chan internalapi.MinionCall, 8)
 		dplane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		rpc.Handle(dplane, api.Minions, func(_ context.Context, c api.MinionCall) (api.MinionAnswer, error) {
+		rpc.Handle(dplane, internalapi.Minions, func(_ context.Context, c internalapi.MinionCall) (internalapi.MinionAnswer, error) {
 			heard <- c
-			return api.MinionAnswer{Again: time.Hour}, nil
+			return internalapi.MinionAnswer{Again: time.Hour}, nil
 		})
 		So(dplane.Start(), ShouldBeNil)
 		defer func() { So(dplane.Stop(time.Minute), ShouldBeNil) }()
@@ -66,16 +66,16 @@
 			boots[c.Name] = c.Boot
 		}
 		So(boots, ShouldHaveLength, 2)
-		a, err := ask(h, api.HoldCall{Call: 3, Epoch: 4, Minion: "m-1", Boot: boots["m-1"], Starts: start(7)})
+		a, err := ask(h, internalapi.HoldCall{Call: 3, Epoch: 4, Minion: "m-1", Boot: boots["m-1"], Starts: start(7)})
 		So(err, ShouldBeNil)
 		So([]any{a.Call, a.Epoch, a.Boot, a.Seen}, ShouldResemble, []any{uint64(3), uint64(4), boots["m-1"], uint64(7)})
-		So(a.Ended, ShouldResemble, []api.EndNote{{RunID: 7, How: api.EndWell}})
-		_, err = ask(h, api.HoldCall{Minion: "other"})
+		So(a.Ended, ShouldResemble, []internalapi.EndNote{{RunID: 7, How: internalapi.EndWell}})
+		_, err = ask(h, internalapi.HoldCall{Minion: "other"})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
-		_, err = ask(h, api.HoldCall{Minion: "m-1", Epoch: 3})
+		_, err = ask(h, internalapi.HoldCall{Minion: "m-1", Epoch: 3})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		h.Drain(true, true)
-		_, err = ask(h, api.HoldCall{Minion: "m-1", Epoch: 4, Acked: []uint64{7}})
+		_, err = ask(h, internalapi.HoldCall{Minion: "m-1", Epoch: 4, Acked: []uint64{7}})
 		So(err, ShouldBeNil)
 		So(<-over, ShouldBeNil)
 		So(events(dir), ShouldResemble, []string{"m-0 boot", "m-0 drain", "m-1 boot", "m-1 order", "m-1 start", "m-1 end", "m-1 drain"})
@@ -84,7 +84,7 @@
 	Convey("A lost answer ends the connection after the call was carried out, a late call is carried out too", t, func() {
 		h, dir := open(func(s *Settings) { s.Kind, s.Lose, s.Late = Obey, 1, Span(time.Millisecond) })
 		defer h.Close()
-		_, err := ask(h, api.HoldCall{Minion: "m", Starts: start(7)})
+		_, err := ask(h, internalapi.HoldCall{Minion: "m", Starts: start(7)})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		So(rpc.Unsent(err), ShouldBeFalse)
 		So(events(dir), ShouldResemble, []string{"m boot", "m order", "m start", "m end"})
--- a/internal/testbed/minion/settings.go
+++ b/internal/testbed/minion/settings.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 )
 
 // Span is a time.Duration that is written as "1.5s" in settings.
@@ -109,8 +109,8 @@
 	}
 }
 
-func decodeCall(raw []byte) (api.HoldCall, error) {
-	var call api.HoldCall
+func decodeCall(raw []byte) (internalapi.HoldCall, error) {
+	var call internalapi.HoldCall
 	err := json.Unmarshal(raw, &call)
 	return call, errs.Wrap(err, errs.Malformed, "the body is no hold call")
 }
--- a/internal/testbed/paying/paying.go
+++ b/internal/testbed/paying/paying.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"crosstide/internal/account"
-	"crosstide/internal/api"
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/fleet"
@@ -112,7 +112,7 @@
 func (o *Operator) PutParty(ctx context.Context, name string) error {
 	var open json.RawMessage
 	order := o.id()
-	err := o.ask(ctx, http.MethodPost, "/v1/accounts/"+name+"/create", api.AccountCreateCall{Order: order, By: o.keys[0].Name,
+	err := o.ask(ctx, http.MethodPost, "/v1/accounts/"+name+"/create", internalapi.AccountCreateCall{Order: order, By: o.keys[0].Name,
 		Sig: o.keys[0].Sign(signature.AccountCreate(order, name, 0))}, &open)
 	if err != nil {
 		return errs.Pass(err, "open account")
@@ -151,13 +151,13 @@
 // Order is a top-up that is sent once or more.
 type Order struct {
 	Account string
-	Call    api.TopUpCall
+	Call    internalapi.TopUpCall
 }
 
 // NewTopUp makes the order of a top-up.
 func (o *Operator) NewTopUp(name string, amount int64) Order {
 	key, by := o.id(), o.keys[0]
-	return Order{name, api.TopUpCall{Key: key, Amount: amount, By: by.Name, Sig: by.Sign(signature.AccountTopUp(key, name, amount))}}
+	return Order{name, internalapi.TopUpCall{Key: key, Amount: amount, By: by.Name, Sig: by.Sign(signature.AccountTopUp(key, name, amount))}}
 }
 
 // Send sends a top-up until it is acknowledged.
@@ -168,8 +168,8 @@
 }
 
 // Show reads an account.
-func (o *Operator) Show(ctx context.Context, name string) (api.AccountView, error) {
-	var v api.AccountView
+func (o *Operator) Show(ctx context.Context, name string) (internalapi.AccountView, error) {
+	var v internalapi.AccountView
 	err := o.ask(ctx, http.MethodGet, "/v1/accounts/"+name, nil, &v)
 	return v, errs.Pass(err, "show")
 }
--- a/internal/testbed/sim/cplane.go
+++ b/internal/testbed/sim/cplane.go
@@ -7,9 +7,9 @@
 	mathrand "math/rand"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/state/command"
 	"crosstide/internal/storage"
 	"crosstide/internal/store"
@@ -321,9 +321,9 @@
 		case err != nil:
 			do = append(do, func() { f.reply(nil, err) })
 		case lack != nil:
-			do = append(do, func() { f.reply(api.FollowAnswer{Lacks: map[string]api.Lack{"store": *lack}}, nil) })
+			do = append(do, func() { f.reply(internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{"store": *lack}}, nil) })
 		case c.Now() >= f.by:
-			do = append(do, func() { f.reply(api.FollowAnswer{}, nil) })
+			do = append(do, func() { f.reply(internalapi.FollowAnswer{}, nil) })
 		default:
 			left = append(left, f)
 		}
@@ -334,7 +334,7 @@
 	}
 }
 
-// propose is the answer to api.Propose.
+// propose is the answer to internalapi.Propose.
 func (c *cplane) propose(cmd command.Command, done func(index uint64, answer any, err error)) {
 	first := cmd
 	if p, ok := cmd.(*command.Plan); ok && c.sim.opt.Break == "epoch" {
@@ -362,7 +362,7 @@
 	c.pump()
 }
 
-func (c *cplane) duty(call api.DutyCall, reply func(any, error)) {
+func (c *cplane) duty(call internalapi.DutyCall, reply func(any, error)) {
 	a, held, cmd, err := c.hand.Duty(call)
 	if err != nil || cmd == nil {
 		reply(c.lend(a), err)
@@ -375,7 +375,7 @@
 }
 
 // lend takes a guard out: leases longer than the granter waits.
-func (c *cplane) lend(a api.DutyAnswer) api.DutyAnswer {
+func (c *cplane) lend(a internalapi.DutyAnswer) internalapi.DutyAnswer {
 	if c.sim.opt.Break == "lease" {
 		a.Lease *= 8
 	}
@@ -410,25 +410,25 @@
 }
 
 // Chunk reads a part of a peer's snapshot.
-func (d direct) Chunk(_ context.Context, addr string, call api.ChunkCall) (api.ChunkAnswer, error) {
+func (d direct) Chunk(_ context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c, err := d.to(addr)
 	if err != nil {
-		return api.ChunkAnswer{}, errs.Pass(err, "chunk")
+		return internalapi.ChunkAnswer{}, errs.Pass(err, "chunk")
 	}
 	a, err := c.store.Chunk(call)
 	return a, errs.Pass(err, "chunk")
 }
 
 // Found asks a peer how it stands with the founding.
-func (d direct) Found(_ context.Context, addr string, call api.FoundCall) (api.FoundAnswer, error) {
+func (d direct) Found(_ context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
 	c, err := d.to(addr)
 	if err != nil {
-		return api.FoundAnswer{}, errs.Pass(err, "found")
+		return internalapi.FoundAnswer{}, errs.Pass(err, "found")
 	}
 	return c.store.Found(call), nil
 }
 
-func (c *cplane) join(call api.JoinCall) (api.JoinAnswer, error) {
+func (c *cplane) join(call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	a, err := c.store.Join(context.Background(), call)
 	return a, errs.Pass(err, "join")
 }
--- a/internal/testbed/sim/dplane.go
+++ b/internal/testbed/sim/dplane.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"crosstide/internal/api"
 	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/replica"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -75,19 +75,19 @@
 // receivedAnswer gives one answer that came already.
 type receivedAnswer struct {
 	dplane *dplane
-	answer api.FollowAnswer
+	answer internalapi.FollowAnswer
 	from   *cplane
 }
 
 // Follow returns the answer that has arrived.
-func (c receivedAnswer) Follow(context.Context, api.FollowCall) (api.FollowAnswer, error) {
+func (c receivedAnswer) Follow(context.Context, internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	return c.answer, nil
 }
 
 // Chunk reads a part of the snapshot from the cplane that answered.
-func (c receivedAnswer) Chunk(_ context.Context, call api.ChunkCall) (api.ChunkAnswer, error) {
+func (c receivedAnswer) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	if c.from.hand == nil || !c.from.alive || c.dplane.sim.blocked(c.dplane.proc, c.from.proc) {
-		return api.ChunkAnswer{}, errs.New(errs.Unknown, "gone")
+		return internalapi.ChunkAnswer{}, errs.New(errs.Unknown, "gone")
 	}
 	a, err := c.from.store.Chunk(call)
 	return a, errs.Pass(err, "chunk")
@@ -109,7 +109,7 @@
 		serve: func(to *proc, reply func(any, error)) { s.cplaneAt(to).follow(version, time.Second, reply) },
 		back: func(a any, err error, _ bool) {
 			if err == nil {
-				err = d.replica.Pull(context.Background(), receivedAnswer{d, a.(api.FollowAnswer), from}, d.addr, time.Second)
+				err = d.replica.Pull(context.Background(), receivedAnswer{d, a.(internalapi.FollowAnswer), from}, d.addr, time.Second)
 			}
 			d.reached()
 			if err != nil {
@@ -189,7 +189,7 @@
 func (d *dplane) propose(cmd command.Command, again bool, by time.Duration, back func(index uint64, answer json.RawMessage, err error)) {
 	d.toLeader(callTimeout, again, by, func(c *cplane, reply func(any, error)) {
 		c.propose(cmd, func(index uint64, a any, err error) {
-			out := api.ProposeAnswer{Index: index}
+			out := internalapi.ProposeAnswer{Index: index}
 			if err == nil && a != nil {
 				out.Answer = jsonOf(a)
 			}
@@ -200,13 +200,13 @@
 			back(0, nil, err)
 			return
 		}
-		p := a.(api.ProposeAnswer)
+		p := a.(internalapi.ProposeAnswer)
 		back(p.Index, p.Answer, nil)
 	})
 }
 
-func (d *dplane) call(epoch uint64, up bool) api.DutyCall {
-	return api.DutyCall{Duty: "sched", Holder: d.addr, Addr: d.addr, Boot: d.boot, Epoch: epoch, GiveUp: up}
+func (d *dplane) call(epoch uint64, up bool) internalapi.DutyCall {
+	return internalapi.DutyCall{Duty: "sched", Holder: d.addr, Addr: d.addr, Boot: d.boot, Epoch: epoch, GiveUp: up}
 }
 
 // claim is a turn of the duty loop.
@@ -221,7 +221,7 @@
 			again()
 			return
 		}
-		if got := a.(api.DutyAnswer); got.Mine {
+		if got := a.(internalapi.DutyAnswer); got.Mine {
 			d.take(got, sent, again)
 			return
 		}
@@ -234,7 +234,7 @@
 	})
 }
 
-func (d *dplane) take(a api.DutyAnswer, sent time.Duration, again func()) {
+func (d *dplane) take(a internalapi.DutyAnswer, sent time.Duration, again func()) {
 	d.granted = a.Epoch
 	lead := func(err error) {
 		defer again()
@@ -355,7 +355,7 @@
 				fail(err, sent)
 				return
 			}
-			got := a.(api.HoldAnswer)
+			got := a.(internalapi.HoldAnswer)
 			if s.chance(s.net.cross) {
 				s.report.Faults["cross"]++
 				got.Call--
@@ -390,10 +390,10 @@
 // announce makes a minion known to the store.
 func (d *dplane) announce(m *node, reply func(any, error)) {
 	if k := d.state().Minions[m.addr]; k != nil && k.Addr == m.addr {
-		reply(api.MinionAnswer{}, nil)
+		reply(internalapi.MinionAnswer{}, nil)
 		return
 	}
 	t := m.traits
 	d.propose(&command.Announce{Minion: state.Minion{Name: t.Name, Addr: m.addr, Kind: t.Kind, Zone: t.Zone, Labels: t.Labels,
-		Cores: t.Cores, GPUs: t.GPUs}}, true, d.Now()+callTimeout, func(_ uint64, _ json.RawMessage, err error) { reply(api.MinionAnswer{}, err) })
+		Cores: t.Cores, GPUs: t.GPUs}}, true, d.Now()+callTimeout, func(_ uint64, _ json.RawMessage, err error) { reply(internalapi.MinionAnswer{}, err) })
 }
--- a/internal/testbed/sim/minion.go
+++ b/internal/testbed/sim/minion.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"crosstide/internal/api"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/testbed/minion"
 )
 
@@ -81,7 +81,7 @@
 }
 
 // hold takes in a call, perhaps late, and answers, perhaps not.
-func (m *node) hold(call api.HoldCall, reply func(any, error)) {
+func (m *node) hold(call internalapi.HoldCall, reply func(any, error)) {
 	s := m.sim
 	lost, late := s.chance(m.lose), time.Duration(0)
 	if len(call.Starts) > 0 {
@@ -106,7 +106,7 @@
 		if s.opt.Break == "floor" {
 			m.floor = max(m.floor, call.Floor)
 			call.Floor = 0
-			starts := append([]api.StartOrder(nil), call.Starts...)
+			starts := append([]internalapi.StartOrder(nil), call.Starts...)
 			for i := range starts {
 				starts[i].Void = minion.Never
 			}
--- a/internal/testbed/sim/oracle.go
+++ b/internal/testbed/sim/oracle.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"crosstide/internal/api"
 	"crosstide/internal/dataplane/scheduler"
+	"crosstide/internal/internalapi"
 	"crosstide/internal/raft"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -286,7 +286,7 @@
 }
 
 // arrived takes in that start orders are at a minion.
-func (o *oracle) arrived(m *node, call api.HoldCall) {
+func (o *oracle) arrived(m *node, call internalapi.HoldCall) {
 	for _, st := range call.Starts {
 		if t := o.runIDs[st.RunID]; t != nil {
 			t.until = m.zero + st.Until
@@ -300,7 +300,7 @@
 }
 
 // renewed takes in what a call does to holds; the minion has carried it out.
-func (o *oracle) renewed(m *node, call api.HoldCall) {
+func (o *oracle) renewed(m *node, call internalapi.HoldCall) {
 	if call.Boot != m.traits.Boot && call.Boot != "" {
 		return
 	}
@@ -312,13 +312,13 @@
 }
 
 // heard takes in that a holder is told something.
-func (o *oracle) heard(d *dplane, c scheduler.CallOut, a api.HoldAnswer) {
+func (o *oracle) heard(d *dplane, c scheduler.CallOut, a internalapi.HoldAnswer) {
 	if a.Call != c.Call.Call || c.Call.Epoch != d.sched.Epoch() {
 		return
 	}
 	for _, e := range a.Ended {
 		t := o.runIDs[e.RunID]
-		if t == nil || e.How != api.EndWell {
+		if t == nil || e.How != internalapi.EndWell {
 			continue
 		}
 		for _, end := range o.ended[t.handle.Ref] {
