--- a/cmd/drill/scenes.go
+++ b/cmd/drill/scenes.go
@@ -15,9 +15,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"crosstide/internal/clientapi"
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/clientapi"
 	"crosstide/internal/operator"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
