--- a/cmd/cplane/bundle.go
+++ b/cmd/cplane/bundle.go
@@ -18,7 +18,7 @@
 
 	"crosstide/internal/bundle"
 	"crosstide/internal/errs"
-	"crosstide/internal/operator"
+	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -219,7 +219,7 @@
 		return errs.Field(errs.Conflict, "sha", "version %d has %s", version, digest)
 	}
 	id := orderID(cmd)
-	in, err := json.Marshal(operator.Signing{Order: id, Digest: digest, By: key.Name, Sig: key.Sign(signature.Bundle(version, digest))})
+	in, err := json.Marshal(operatorapi.Signing{Order: id, Digest: digest, By: key.Name, Sig: key.Sign(signature.Bundle(version, digest))})
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the order")
 	}
@@ -267,7 +267,7 @@
 }
 
 func bundleLog(ctx context.Context, cmd *cli.Command) error {
-	var log operator.Log
+	var log operatorapi.Log
 	return errs.Pass(ask(ctx, cmd, "/v1/bundles?limit="+strconv.Itoa(cmd.Int("limit")), &log, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tBASE\tSTATE\tWRITTEN\tBY\tSIGNED\tIN FORCE\tBYTES\tSHA256")
 		for _, v := range log.Versions {
@@ -297,7 +297,7 @@
 	if err != nil {
 		return errs.Pass(err, "diff")
 	}
-	var diff operator.Difference
+	var diff operatorapi.Difference
 	return errs.Pass(ask(ctx, cmd, "/v1/bundles/"+url.PathEscape(a[0])+"/diff/"+url.PathEscape(a[1]), &diff, func(w io.Writer) {
 		fmt.Fprintf(w, "PATH\t%d\t%d\n", diff.From, diff.To)
 		for _, c := range diff.Changes {
@@ -307,7 +307,7 @@
 }
 
 func rollout(ctx context.Context, cmd *cli.Command) error {
-	var out operator.Rollout
+	var out operatorapi.Rollout
 	return errs.Pass(ask(ctx, cmd, "/v1/rollout", &out, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d in force since %s\nKIND\tNODE\tVERSION\tSINCE\tTOOK\tHEARD\n", out.Version, when(out.Force))
 		for _, n := range out.Nodes {
@@ -334,7 +334,7 @@
 		if err != nil {
 			return errs.Pass(err, "zone")
 		}
-		in := operator.Order{Order: orderID(cmd)}
+		in := operatorapi.Order{Order: orderID(cmd)}
 		word, signed := "evacuate", signature.Evacuate(in.Order, a[0])
 		if !out {
 			since, err := evacuated(ctx, cmd, a[0])
@@ -367,7 +367,7 @@
 	if err != nil {
 		return since, errs.Pass(err, "zones")
 	}
-	var list operator.Zones
+	var list operatorapi.Zones
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return since, errs.Wrap(err, errs.Malformed, "zones")
 	}
@@ -380,7 +380,7 @@
 }
 
 func zoneList(ctx context.Context, cmd *cli.Command) error {
-	var list operator.Zones
+	var list operatorapi.Zones
 	return errs.Pass(ask(ctx, cmd, "/v1/zones", &list, func(w io.Writer) {
 		fmt.Fprintln(w, "ZONE\tEVACUATED\tLIFTING SIGNED")
 		for _, z := range list.Zones {
--- a/cmd/cplane/jobscore.go
+++ b/cmd/cplane/jobscore.go
@@ -17,10 +17,10 @@
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/jobsapi"
 	"crosstide/internal/jobsnode"
 	"crosstide/internal/membership"
-	"crosstide/internal/operator"
 	"crosstide/internal/rpc"
 	"crosstide/internal/store"
 	"crosstide/internal/workerapi"
@@ -93,7 +93,7 @@
 
 // serveOperators adds the operators' calls for the members of the store. No view of the fleet is kept here.
 func serveOperators(inner *rpc.Server, members *store.Store) {
-	operator.Serve(inner, members, store.NameOf, func() []membership.Seen { return nil })
+	operatorapi.Serve(inner, members, store.NameOf, func() []membership.Seen { return nil })
 }
 
 // jobsScheduler maps settings to the scheduler's.
--- a/cmd/cplane/operate.go
+++ b/cmd/cplane/operate.go
@@ -17,7 +17,7 @@
 	"github.com/urfave/cli/v3"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/operator"
+	"crosstide/internal/httpapi/operatorapi"
 )
 
 func addrFlags() []cli.Flag {
@@ -45,7 +45,7 @@
 				return errs.Pass(err, "%s", name)
 			}
 			id := orderID(cmd)
-			body, err := json.Marshal(operator.Order{Order: id})
+			body, err := json.Marshal(operatorapi.Order{Order: id})
 			if err != nil {
 				return errs.Wrap(err, errs.Internal, "encode the order")
 			}
@@ -97,7 +97,7 @@
 }
 
 func who(ctx context.Context, cmd *cli.Command) error {
-	var w operator.Who
+	var w operatorapi.Who
 	return errs.Pass(ask(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
 		fmt.Fprintln(out, "store", w.Store)
 		fmt.Fprintln(out, "sched", w.Sched)
@@ -119,7 +119,7 @@
 
 // members prints the members of the store, with how far each has its log.
 func members(ctx context.Context, cmd *cli.Command) error {
-	var w operator.Who
+	var w operatorapi.Who
 	return errs.Pass(ask(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
 		fmt.Fprintln(out, "ID\tADDR\tZONE\tSTANDS\tMATCH")
 		for _, m := range w.Members {
@@ -140,7 +140,7 @@
 }
 
 func minions(ctx context.Context, cmd *cli.Command) error {
-	var list operator.Minions
+	var list operatorapi.Minions
 	return errs.Pass(ask(ctx, cmd, "/v1/minions", &list, func(out io.Writer) {
 		fmt.Fprintln(out, "NAME\tADDR\tZONE\tKIND\tBOOT\tTICKETS\tCORES\tGPUS\tSTATE")
 		for _, m := range list.Minions {
--- a/cmd/cplane/run.go
+++ b/cmd/cplane/run.go
@@ -15,9 +15,9 @@
 	"crosstide/internal/config"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
-	"crosstide/internal/operator"
 	"crosstide/internal/rpc"
 	"crosstide/internal/storage"
 	"crosstide/internal/store"
@@ -66,7 +66,7 @@
 	}
 	members := daemon.NewMembership(set.Common, membership.Cplane, seeds, caller, logger, reg, nil)
 	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
-	operator.Serve(srv, s, store.NameOf, members.Nodes)
+	operatorapi.Serve(srv, s, store.NameOf, members.Nodes)
 	daemon.Routes(srv, reg, s.Ready)
 	if profiles {
 		daemon.Profiles(srv)
--- a/cmd/drill/blow.go
+++ b/cmd/drill/blow.go
@@ -12,7 +12,7 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
-	"crosstide/internal/operator"
+	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/signature"
 	"crosstide/internal/testbed/audit"
@@ -95,7 +95,7 @@
 	if err != nil {
 		return errs.Pass(err, "evacuate")
 	}
-	out := operator.Order{Order: id + "-out", By: keys[0].Name, Sig: keys[0].Sign(signature.Evacuate(id+"-out", zone))}
+	out := operatorapi.Order{Order: id + "-out", By: keys[0].Name, Sig: keys[0].Sign(signature.Evacuate(id+"-out", zone))}
 	ordered := order(ctx, nodes.CPlanes, "/v1/zones/"+zone+"/evacuate", out)
 	if ordered == nil {
 		if ordered = note(audit.Evacuate); ordered == nil {
@@ -114,7 +114,7 @@
 		return errs.Pass(err, "lift %s", zone)
 	}
 	for _, key := range keys {
-		in := operator.Order{Order: id + "-lift-" + key.Name, By: key.Name, Sig: key.Sign(signature.Lift(zone, since))}
+		in := operatorapi.Order{Order: id + "-lift-" + key.Name, By: key.Name, Sig: key.Sign(signature.Lift(zone, since))}
 		if err := order(ctx, cplanes, "/v1/zones/"+zone+"/lift", in); err != nil {
 			return errs.Pass(err, "lift %s", zone)
 		}
@@ -128,7 +128,7 @@
 	defer stop()
 	caller := fleet.NewCaller(1)
 	for try := 0; ; try++ {
-		var list operator.Zones
+		var list operatorapi.Zones
 		reply, err := caller.Call(ctx, http.MethodGet, cplanes[try%len(cplanes)].Addr, "/v1/zones", nil, 5*time.Second)
 		if err == nil && reply.Good() && json.Unmarshal(reply.Body, &list) == nil {
 			for _, z := range list.Zones {
@@ -146,7 +146,7 @@
 
 // order sends an operator's order to one cplane after another until one has carried it out, for 30 s; its id makes
 // it one order.
-func order(ctx context.Context, cplanes []fleet.Node, path string, in operator.Order) error {
+func order(ctx context.Context, cplanes []fleet.Node, path string, in operatorapi.Order) error {
 	ctx, stop := context.WithTimeout(ctx, 30*time.Second)
 	defer stop()
 	caller := fleet.NewCaller(1)
--- a/cmd/drill/churn.go
+++ b/cmd/drill/churn.go
@@ -17,7 +17,7 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
-	"crosstide/internal/operator"
+	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/testbed/audit"
 	"crosstide/internal/testbed/bundles"
@@ -211,7 +211,7 @@
 			first = note()
 		}
 		err := order(ctx, c.nodes.CPlanes, "/v1/minions/"+name+"/"+word,
-			operator.Order{Order: fmt.Sprintf("churn-%d-%d", clock.Real{}.Wall().UnixNano(), c.orders)})
+			operatorapi.Order{Order: fmt.Sprintf("churn-%d-%d", clock.Real{}.Wall().UnixNano(), c.orders)})
 		if err == nil && !before {
 			first = note()
 		}
--- a/cmd/drill/scenes.go
+++ b/cmd/drill/scenes.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/clientapi"
-	"crosstide/internal/operator"
+	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/audit"
@@ -118,7 +118,7 @@
 	leader := ""
 	took, err := s.until(ctx, 20*time.Second, victim.Name+" repaired", func() bool {
 		reply, err := s.caller.Call(ctx, http.MethodGet, victim.Addr, "/v1/who", nil, 2*time.Second)
-		var who operator.Who
+		var who operatorapi.Who
 		if err != nil || !reply.Good() || json.Unmarshal(reply.Body, &who) != nil || len(who.Members) != len(s.nodes.CPlanes) {
 			return false
 		}
--- a/internal/operator/operator.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -1,6 +1,6 @@
-// Package operator answers the operators' API at a cplane. Any cplane answers: orders go to the leader, reads
+// Package operatorapi answers the operators' API at a cplane. Any cplane answers: orders go to the leader, reads
 // are as new as the call.
-package operator
+package operatorapi
 
 import (
 	"context"
