--- a/cmd/dplane/jobsfront.go
+++ b/cmd/dplane/jobsfront.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/controller"
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
-	"crosstide/internal/jobsapi"
+	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobsnode"
 	"crosstide/internal/rpc"
 )
--- a/internal/testbed/jobsdrill/client.go
+++ b/internal/testbed/jobsdrill/client.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/controller"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/jobsapi"
 	"crosstide/internal/rpc"
 )
 
--- a/internal/testbed/jobsdrill/mix.go
+++ b/internal/testbed/jobsdrill/mix.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/jobsapi"
 	"crosstide/internal/testbed/worker"
 )
 
--- a/internal/testbed/worker/host.go
+++ b/internal/testbed/worker/host.go
@@ -16,8 +16,8 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/jobsapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
