--- a/cmd/cplane/jobscore.go
+++ b/cmd/cplane/jobscore.go
@@ -19,11 +19,11 @@
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/httpapi/operatorapi"
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobsnode"
 	"crosstide/internal/membership"
 	"crosstide/internal/rpc"
 	"crosstide/internal/store"
-	"crosstide/internal/workerapi"
 )
 
 // jobsCommand serves jobs as a core node, and has the operators' commands for such nodes.
--- a/cmd/cplane/jobscore_test.go
+++ b/cmd/cplane/jobscore_test.go
@@ -9,7 +9,7 @@
 
 	"crosstide/internal/config"
 	"crosstide/internal/controller/scheduler"
-	"crosstide/internal/workerapi"
+	"crosstide/internal/httpapi/workerapi"
 )
 
 func TestJobsOptions(t *testing.T) {
--- a/internal/testbed/jobsdrill/audit_test.go
+++ b/internal/testbed/jobsdrill/audit_test.go
@@ -7,9 +7,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
 	"crosstide/internal/testbed/worker"
-	"crosstide/internal/workerapi"
 )
 
 // story is a journal that is written one millisecond after the other.
--- a/internal/testbed/jobsdrill/run_test.go
+++ b/internal/testbed/jobsdrill/run_test.go
@@ -17,6 +17,7 @@
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/jobsapi"
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
 	"crosstide/internal/jobsnode"
 	"crosstide/internal/routine"
@@ -25,7 +26,6 @@
 	"crosstide/internal/store"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/worker"
-	"crosstide/internal/workerapi"
 )
 
 // small system: one core node, one front node and workers, all in this process on loopback.
--- a/internal/testbed/worker/core.go
+++ b/internal/testbed/worker/core.go
@@ -1,4 +1,4 @@
-// Package worker is a stand-in worker for the contract of internal/workerapi: it guards its own capacity, keeps its
+// Package worker is a stand-in worker for the contract of internal/httpapi/workerapi: it guards its own capacity, keeps its
 // lease by its own clock, refuses fenced orders and journals all that it does.
 package worker
 
@@ -10,8 +10,8 @@
 
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/workerapi"
 )
 
 // Program is the payload of a run on a stand-in worker.
--- a/internal/testbed/worker/core_test.go
+++ b/internal/testbed/worker/core_test.go
@@ -8,8 +8,8 @@
 
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/workerapi"
 )
 
 const ms = time.Millisecond
--- a/internal/testbed/worker/host.go
+++ b/internal/testbed/worker/host.go
@@ -17,11 +17,11 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/jobsapi"
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/workerapi"
 )
 
 const (
--- a/internal/testbed/worker/host_test.go
+++ b/internal/testbed/worker/host_test.go
@@ -18,10 +18,10 @@
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/jobsapi"
+	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
-	"crosstide/internal/workerapi"
 )
 
 // fakeCore takes heartbeats at two addresses; the first one refuses them.
