--- a/cmd/drill/sim.go
+++ b/cmd/drill/sim.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/sim"
+	"crosstide/internal/testbed/policysim"
 )
 
 func init() {
@@ -22,7 +22,7 @@
 		Description: "drill sim --seeds A..B [--for D] [--pace D] [--faults LIST] [--break GUARD] [--parties]\ndrill sim --seed N --trace\n\n" +
 			"Each seed is a fleet of 5 cplanes, 3 dplanes and 6 minions under its own faults, on one thread. Prints the\n" +
 			"cases seen of every promise and fault. Exit 1 if a promise is broken, or one was not exercised; with --break\n" +
-			"exit 1 if no seed found the missing guard.\n\nfaults: " + strings.Join(sim.Faults, " ") + "\nguards: " + strings.Join(sim.Breaks, " "),
+			"exit 1 if no seed found the missing guard.\n\nfaults: " + strings.Join(policysim.Faults, " ") + "\nguards: " + strings.Join(policysim.Breaks, " "),
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Value: "1..20", Usage: "first and last seed"},
 			&cli.Uint64Flag{Name: "seed", Usage: "one seed"},
@@ -40,19 +40,19 @@
 }
 
 func runSim(_ context.Context, cmd *cli.Command) error {
-	opt := sim.Options{For: cmd.Duration("for"), Pace: cmd.Duration("pace"), Break: cmd.String("break"), Parties: cmd.Bool("parties")}
-	opt.Faults = slices.Clone(sim.Faults)
+	opt := policysim.Options{For: cmd.Duration("for"), Pace: cmd.Duration("pace"), Break: cmd.String("break"), Parties: cmd.Bool("parties")}
+	opt.Faults = slices.Clone(policysim.Faults)
 	if list := cmd.String("faults"); list == "none" {
 		opt.Faults = []string{}
 	} else if list != "" {
 		opt.Faults = strings.Split(list, ",")
 	}
 	for _, f := range opt.Faults {
-		if !slices.Contains(sim.Faults, f) {
+		if !slices.Contains(policysim.Faults, f) {
 			return exitCode{errs.Field(errs.Settings, "faults", "no fault %q", f), 2}
 		}
 	}
-	if opt.Break != "" && !slices.Contains(sim.Breaks, opt.Break) {
+	if opt.Break != "" && !slices.Contains(policysim.Breaks, opt.Break) {
 		return exitCode{errs.Field(errs.Settings, "break", "no guard %q", opt.Break), 2}
 	}
 	first, last, err := span(cmd.String("seeds"))
@@ -71,9 +71,9 @@
 	if opt.Break != "" {
 		many = 0
 	}
-	sum := sim.Add(sim.Each(opt, first, last, cmd.Int("width"), many), opt.Faults)
+	sum := policysim.Add(policysim.Each(opt, first, last, cmd.Int("width"), many), opt.Faults)
 	if opt.Parties {
-		sum.Want(sim.MoneyPromises)
+		sum.Want(policysim.MoneyPromises)
 	}
 	for i, r := range sum.Breaches {
 		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.What)
--- a/internal/dataplane/scheduler/gang_test.go
+++ b/internal/dataplane/scheduler/gang_test.go
@@ -12,7 +12,7 @@
 
 const (
 	gangSeeds  = 30               // before long reservations, three of them took more than gangWithin
-	gangWithin = 45 * time.Second // as the oracle of internal/testbed/sim has it
+	gangWithin = 45 * time.Second // as the oracle of internal/testbed/policysim has it
 	gangWarmUp = 30 * time.Second // until as many long runs are out as there are going to be
 )
 
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -1,11 +1,11 @@
-// Package sim runs a whole fleet on one thread under a virtual clock, from one seed: cplanes on disks that lose what
+// Package policysim runs a whole fleet on one thread under a virtual clock, from one seed: cplanes on disks that lose what
 // is not synced, dplanes, minions of both kinds, clients and an operator, with faults on every side, and an oracle
 // that looks at what was really started, written and answered after every event.
 //
 // What decides is the daemons' own code: raft.Core, the store (by hand, see store.Hand), storage.Store over
 // storage.MemDisk, state and command, replica.Replica, scheduler.Core, minion.Core. Only the glue of dataplane.Node and of the
 // minion's host is written anew here, without goroutines. The same seed gives the same trace, byte for byte.
-package sim
+package policysim
 
 import (
 	"container/heap"
@@ -114,7 +114,7 @@
 
 // Run runs one seed to its end or to the first breach. Example:
 //
-//	r := sim.Run(sim.Options{Seed: 7, For: 30 * time.Second})
+//	r := policysim.Run(policysim.Options{Seed: 7, For: 30 * time.Second})
 //	if r.Breach != nil {
 //		fmt.Println(r.Seed, r.Breach.Promise, r.Breach.What)
 //	}
