--- a/internal/testbed/fleetsim/baddays.go
+++ b/internal/testbed/jobssim/baddays.go
@@ -1,4 +1,4 @@
-package fleetsim
+package jobssim
 
 // BadDay is a kind of bad day: the disruptions that make it, and the guards that it needs. docs/design/bad-days.md tells
 // more of each.
--- a/internal/testbed/fleetsim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -1,11 +1,11 @@
-// Package fleetsim runs the scheduler on the core against stand-ins of workers, clients and an operator, on one thread
+// Package jobssim runs the scheduler on the core against stand-ins of workers, clients and an operator, on one thread
 // under a virtual clock, from one seed.
 //
 // What decides is the product's own code: scheduler.Core over jobs.Table. The loop round it mirrors
 // controller.Leader: the same check of the lease before each order, the same notes and events. The replicated log, the
 // links and the workers are stand-ins that do whatever the platform allows. The oracle judges only what workers and
 // clients saw. The same seed gives the same run, event by event.
-package fleetsim
+package jobssim
 
 import (
 	"container/heap"
