--- a/cmd/drill/jobs.go
+++ b/cmd/drill/jobs.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/jobsdrill"
+	"crosstide/internal/testbed/endtoend"
 )
 
 func init() {
@@ -40,16 +40,16 @@
 	if bin == "" {
 		bin = filepath.Dir(program("drill"))
 	}
-	plan, err := jobsdrill.MakePlan(dir, bin, jobsdrill.Size{Cplanes: cmd.Int("cplanes"), Dplanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
+	plan, err := endtoend.MakePlan(dir, bin, endtoend.Size{Cplanes: cmd.Int("cplanes"), Dplanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
 	if err != nil {
 		return errs.Pass(err, "jobs")
 	}
-	processes, err := jobsdrill.Start(plan)
+	processes, err := endtoend.Start(plan)
 	if err != nil {
 		return errs.Pass(err, "jobs")
 	}
 	defer processes.Stop()
-	result, err := jobsdrill.Run(ctx, plan, processes, cmd.Root().Writer)
+	result, err := endtoend.Run(ctx, plan, processes, cmd.Root().Writer)
 	if err != nil {
 		return errs.Pass(err, "jobs; logs are in %s", dir)
 	}
@@ -73,7 +73,7 @@
 	return dir, true, errs.Wrap(err, errs.Disk, "folder")
 }
 
-func printResult(cmd *cli.Command, result jobsdrill.Result) {
+func printResult(cmd *cli.Command, result endtoend.Result) {
 	out := cmd.Root().Writer
 	fmt.Fprintf(out, "jobs %d  runs %d", result.Accepted, result.Runs)
 	for _, how := range slices.Sorted(maps.Keys(result.Ends)) {
--- a/internal/testbed/jobsdrill/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -1,6 +1,6 @@
-// Package jobsdrill rehearses the product's own interface to jobs: it puts a configuration in force, hands in a mix of
+// Package endtoend rehearses the product's own interface to jobs: it puts a configuration in force, hands in a mix of
 // jobs of every kind, and audits what the stand-in workers have journaled against what was promised.
-package jobsdrill
+package endtoend
 
 import (
 	"context"
--- a/internal/testbed/jobsdrill/drill.go
+++ b/internal/testbed/endtoend/drill.go
@@ -1,4 +1,4 @@
-package jobsdrill
+package endtoend
 
 import (
 	"context"
