--- a/cmd/drill/month.go
+++ b/cmd/drill/month.go
@@ -8,7 +8,7 @@
 
 	"crosstide/internal/config"
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/month"
+	"crosstide/internal/testbed/soak"
 )
 
 func init() {
@@ -26,9 +26,9 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			o := month.Options{Days: cmd.Int("days"), Jobs: cmd.Int("jobs"), Tasks: cmd.Int("tasks"), Last: cmd.Duration("last"),
+			o := soak.Options{Days: cmd.Int("days"), Jobs: cmd.Int("jobs"), Tasks: cmd.Int("tasks"), Last: cmd.Duration("last"),
 				Minions: cmd.Int("minions"), Orders: cmd.Int("orders"), Seed: cmd.Uint64("seed"), Keep: config.DefaultCplane()}
-			return errs.Pass(month.Run(o, func(d month.Day) error {
+			return errs.Pass(soak.Run(o, func(d soak.Day) error {
 				return errs.Pass(printJSON(cmd.Root().Writer, d), "day")
 			}), "month")
 		},
--- a/internal/testbed/month/month.go
+++ b/internal/testbed/soak/soak.go
@@ -1,6 +1,6 @@
-// Package month lets a state live through simulated days at a rate of jobs, by the commands and the letting go of the
+// Package soak lets a state live through simulated days at a rate of jobs, by the commands and the letting go of the
 // daemons, and tells how large it is at the end of each day.
-package month
+package soak
 
 import (
 	"encoding/json"
@@ -69,7 +69,7 @@
 // Run lives through the days and gives each day's end to tell. The same options give the same days. Faults: Invalid,
 // those of the commands, those of tell. Example:
 //
-//	err := month.Run(month.Options{Days: 30, Jobs: 21000, Tasks: 20, Last: time.Minute, Minions: 1600, Keep: config.DefaultCplane()}, print)
+//	err := soak.Run(soak.Options{Days: 30, Jobs: 21000, Tasks: 20, Last: time.Minute, Minions: 1600, Keep: config.DefaultCplane()}, print)
 func Run(o Options, tell func(Day) error) error {
 	if o.Days < 1 || o.Jobs < 1 || o.Tasks < 1 || o.Minions < 1 || o.Last <= 0 {
 		return errs.Field(errs.Invalid, "days", "days, jobs, tasks, minions and the length of a task must be above 0")
--- a/internal/testbed/month/month_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -1,4 +1,4 @@
-package month
+package soak
 
 import (
 	"testing"
