--- a/cmd/drill/balances.go
+++ b/cmd/drill/balances.go
@@ -19,11 +19,11 @@
 	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/testbed/audit"
+	"crosstide/internal/testbed/billingload"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
 	"crosstide/internal/testbed/link"
 	"crosstide/internal/testbed/load"
-	"crosstide/internal/testbed/paying"
 )
 
 func init() {
@@ -78,7 +78,7 @@
 // payingStage is the drill at work.
 type payingStage struct {
 	stage
-	operator *paying.Operator
+	operator *billingload.Operator
 	party    string
 	keys     map[string]int64 // acknowledged top-ups: amounts
 	out      balancesReport
@@ -92,7 +92,7 @@
 		return errs.Pass(err, "balances")
 	}
 	party := fmt.Sprintf("payer-%x", clock.Real{}.Wall().UnixMilli())
-	operator, err := paying.New(set.dir, party)
+	operator, err := billingload.New(set.dir, party)
 	if err != nil {
 		return errs.Pass(err, "balances")
 	}
@@ -166,7 +166,7 @@
 
 // dry waits until the party has less than a start needs.
 func (p *payingStage) dry(ctx context.Context) error {
-	need := int64(paying.CorePrice * paying.Window / time.Second)
+	need := int64(billingload.CorePrice * billingload.Window / time.Second)
 	for end := (clock.Real{}).Now() + dryWithin; (clock.Real{}).Now() < end; {
 		v, err := p.show(ctx)
 		if err != nil {
@@ -426,7 +426,7 @@
 			p.blame("%s exports another ledger", node.Name)
 		}
 	}
-	sums, err := paying.Add(first)
+	sums, err := billingload.Add(first)
 	if err != nil || sums.ToppedUp != want || sums.Spent != p.out.Account.Spent {
 		p.blame("the ledger adds up to %d and %d (%v), the account has %d and %d", sums.ToppedUp, sums.Spent, err, want, p.out.Account.Spent)
 	}
--- a/internal/testbed/paying/paying.go
+++ b/internal/testbed/billingload/billingload.go
@@ -1,6 +1,6 @@
-// Package paying is the stand-in operator of prepaid balances: it puts a paying party into the bundle of a fleet, opens
+// Package billingload is the stand-in operator of prepaid balances: it puts a paying party into the bundle of a fleet, opens
 // its account, tops it up and reads it back, over the public API.
-package paying
+package billingload
 
 import (
 	"bytes"
--- a/internal/testbed/paying/paying_test.go
+++ b/internal/testbed/billingload/billingload_test.go
@@ -1,4 +1,4 @@
-package paying
+package billingload
 
 import (
 	"bytes"
