--- a/cmd/drill/balances.go
+++ b/cmd/drill/balances.go
@@ -22,8 +22,8 @@
 	"crosstide/internal/testbed/billingload"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/link"
 	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/netproxy"
 )
 
 func init() {
@@ -354,7 +354,7 @@
 	if err != nil {
 		return errs.Pass(err, "cut")
 	}
-	if _, err := cut(ctx, p.dir, link.Cut{Node: name, How: link.Silent, For: 2 * dryFor}); err != nil {
+	if _, err := cut(ctx, p.dir, netproxy.Cut{Node: name, How: netproxy.Silent, For: 2 * dryFor}); err != nil {
 		return errs.Pass(err, "cut")
 	}
 	p.note("%s cut off", name)
--- a/cmd/drill/blow.go
+++ b/cmd/drill/blow.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/testbed/audit"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/link"
+	"crosstide/internal/testbed/netproxy"
 )
 
 // takeOut takes a zone with its nodes out, for d unless it is killed, and returns the nodes that it hit.
@@ -30,7 +30,7 @@
 	case "freeze":
 		err = freezeAll(ctx, dir, names, d)
 	case "cut":
-		_, err = cut(ctx, dir, link.Cut{Zone: zone, How: link.Silent, For: d})
+		_, err = cut(ctx, dir, netproxy.Cut{Zone: zone, How: netproxy.Silent, For: d})
 	default:
 		err = evacuate(ctx, dir, zone, d)
 	}
--- a/cmd/drill/link.go
+++ b/cmd/drill/link.go
@@ -16,7 +16,7 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/testbed/fleet"
-	"crosstide/internal/testbed/link"
+	"crosstide/internal/testbed/netproxy"
 )
 
 func init() {
@@ -25,14 +25,14 @@
 			Name: "link", Usage: "run the faulty links of a fleet; `scripts/fleet up --links` starts it",
 			Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` of drill plan", Required: true}},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
-				set, err := link.Load(cmd.String("settings"))
+				set, err := netproxy.Load(cmd.String("settings"))
 				if err != nil {
 					return errs.Pass(err, "link")
 				}
 				ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 				defer stop()
 				logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC)
-				return errs.Pass(link.Run(ctx, set, clock.Real{}, logger), "link")
+				return errs.Pass(netproxy.Run(ctx, set, clock.Real{}, logger), "link")
 			},
 		},
 		&cli.Command{
@@ -53,9 +53,9 @@
 				&cli.BoolFlag{Name: "late", Usage: "hold all back until the end"},
 			},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
-				c := link.Cut{Node: cmd.String("node"), Zone: cmd.String("zone"), For: cmd.Duration("for"), How: link.Silent}
+				c := netproxy.Cut{Node: cmd.String("node"), Zone: cmd.String("zone"), For: cmd.Duration("for"), How: netproxy.Silent}
 				given := 0
-				for _, how := range []string{link.Silent, link.Oneway, link.Slow, link.Late} {
+				for _, how := range []string{netproxy.Silent, netproxy.Oneway, netproxy.Slow, netproxy.Late} {
 					if cmd.IsSet(how) {
 						c.How = how
 						given++
@@ -76,7 +76,7 @@
 }
 
 // cut sends the order to the fleet's links and returns how many it touched.
-func cut(ctx context.Context, dir string, c link.Cut) (int, error) {
+func cut(ctx context.Context, dir string, c netproxy.Cut) (int, error) {
 	if err := c.Check(); err != nil {
 		return 0, errs.Pass(err, "cut")
 	}
@@ -87,11 +87,11 @@
 	if nodes.Link == "" {
 		return 0, errs.New(errs.Settings, "the fleet has no links; it was brought up without --links")
 	}
-	reply, err := fleet.NewCaller(1).Call(ctx, http.MethodPost, nodes.Link, link.Order.Path, c, 5*time.Second)
+	reply, err := fleet.NewCaller(1).Call(ctx, http.MethodPost, nodes.Link, netproxy.Order.Path, c, 5*time.Second)
 	if err != nil {
 		return 0, errs.Pass(err, "links")
 	}
-	var answer link.CutAnswer
+	var answer netproxy.CutAnswer
 	if !reply.Good() || json.Unmarshal(reply.Body, &answer) != nil {
 		return 0, errs.New(errs.Internal, "the links refuse: %s", reply.Body)
 	}
--- a/cmd/drill/scenes.go
+++ b/cmd/drill/scenes.go
@@ -24,8 +24,8 @@
 	"crosstide/internal/testbed/audit"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/link"
 	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/netproxy"
 )
 
 // long is how long a holder is frozen or cut off: over every lease, hold and time-out.
@@ -48,7 +48,7 @@
 	}},
 	{"e", "holder of sched cut off silently 25 s, healed", 36 * time.Second, func(ctx context.Context, s *stage) error {
 		s.note("%s cut off", s.who.Sched)
-		_, err := cut(ctx, s.dir, link.Cut{Node: s.who.Sched, How: link.Silent, For: long})
+		_, err := cut(ctx, s.dir, netproxy.Cut{Node: s.who.Sched, How: netproxy.Silent, For: long})
 		if err == nil {
 			pause(ctx, long)
 		}
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/link"
+	"crosstide/internal/testbed/netproxy"
 )
 
 func TestPlan(t *testing.T) {
@@ -54,7 +54,7 @@
 		dir := t.TempDir()
 		n, err := Plan(dir, Shape{CPlanes: 3, DPlanes: 2, Minions: 4, Zones: 2, Cores: 1, Kind: "check", Bin: "bin", Links: true})
 		So(err, ShouldBeNil)
-		set, err := link.Load(filepath.Join(dir, "settings", "link.json"))
+		set, err := netproxy.Load(filepath.Join(dir, "settings", "link.json"))
 		So(err, ShouldBeNil)
 		So(set.Control, ShouldEqual, n.Link)
 		So(len(set.Ways), ShouldEqual, 5*4+2*2*4)
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -14,7 +14,7 @@
 
 	"crosstide/internal/errs"
 	"crosstide/internal/signature"
-	"crosstide/internal/testbed/link"
+	"crosstide/internal/testbed/netproxy"
 )
 
 // rackSize is how many minions share a rack.
@@ -59,8 +59,8 @@
 
 // Lace returns a link for each way that some node dials another, one port each, and for each node by name the
 // address to dial by the address to reach.
-func Lace(n Nodes, ports []int) ([]link.Way, map[string]map[string]string) {
-	var out []link.Way
+func Lace(n Nodes, ports []int) ([]netproxy.Way, map[string]map[string]string) {
+	var out []netproxy.Way
 	via := map[string]map[string]string{}
 	lace := func(from, to []Node) {
 		for _, a := range from {
@@ -68,7 +68,7 @@
 				if a.Name == b.Name {
 					continue
 				}
-				w := link.Way{From: a.Name, FromZone: a.Zone, To: b.Name, ToZone: b.Zone, Dial: b.Addr,
+				w := netproxy.Way{From: a.Name, FromZone: a.Zone, To: b.Name, ToZone: b.Zone, Dial: b.Addr,
 					Listen: "127.0.0.1:" + strconv.Itoa(ports[len(out)])}
 				if out = append(out, w); via[a.Name] == nil {
 					via[a.Name] = map[string]string{}
@@ -266,7 +266,7 @@
 
 // addLinks plans the process that runs the faulty links. ports are its own one and those of the links.
 func (p *plan) addLinks(ports []int) {
-	set := link.Settings{Control: "127.0.0.1:" + strconv.Itoa(ports[0]), Journal: p.dir + "/journal/drill-cut.jsonl"}
+	set := netproxy.Settings{Control: "127.0.0.1:" + strconv.Itoa(ports[0]), Journal: p.dir + "/journal/drill-cut.jsonl"}
 	set.Ways, p.via = Lace(p.nodes, ports[1:])
 	p.nodes.Link, p.files["settings/link.json"] = set.Control, set
 	fmt.Fprintf(&p.start, "link %s/drill link --settings %s/settings/link.json\n", p.shape.Bin, p.dir)
--- a/internal/testbed/link/gate.go
+++ b/internal/testbed/netproxy/gate.go
@@ -1,6 +1,6 @@
-// Package link is the faulty links of a rehearsal: TCP proxies on the way between any two nodes that lose bytes
+// Package netproxy is the faulty links of a rehearsal: TCP proxies on the way between any two nodes that lose bytes
 // in silence, hold them back or slow them down while a cut lasts.
-package link
+package netproxy
 
 import (
 	"slices"
--- a/internal/testbed/link/link.go
+++ b/internal/testbed/netproxy/netproxy.go
@@ -1,4 +1,4 @@
-package link
+package netproxy
 
 import (
 	"context"
@@ -55,7 +55,7 @@
 
 // Run opens the links and takes orders until ctx ends. Faults: Settings, Disk. Example:
 //
-//	err := link.Run(ctx, set, clock.Real{}, logger)
+//	err := netproxy.Run(ctx, set, clock.Real{}, logger)
 func Run(ctx context.Context, set Settings, clock clock.Clock, logger log.Logger) error {
 	pen, err := journal.Open(set.Journal)
 	if err != nil {
--- a/internal/testbed/link/link_test.go
+++ b/internal/testbed/netproxy/netproxy_test.go
@@ -1,4 +1,4 @@
-package link
+package netproxy
 
 import (
 	"context"
