--- a/cmd/drill/minion.go
+++ b/cmd/drill/minion.go
@@ -14,7 +14,7 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/routine"
-	"crosstide/internal/testbed/minion"
+	"crosstide/internal/testbed/policyworker"
 )
 
 func init() {
@@ -64,7 +64,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	defer signal.Stop(signals)
-	host, err := minion.Open(set, clock.Real{}, logger)
+	host, err := policyworker.Open(set, clock.Real{}, logger)
 	if err != nil {
 		return errs.Pass(err, "minion")
 	}
@@ -91,8 +91,8 @@
 }
 
 // minionSettings takes the defaults, then the file, then the flags that were given.
-func minionSettings(cmd *cli.Command) (minion.Settings, error) {
-	set := minion.Defaults()
+func minionSettings(cmd *cli.Command) (policyworker.Settings, error) {
+	set := policyworker.Defaults()
 	if path := cmd.String("settings"); path != "" {
 		if err := set.Load(path); err != nil {
 			return set, errs.Pass(err, "settings")
--- a/internal/testbed/policysim/build.go
+++ b/internal/testbed/policysim/build.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"crosstide/internal/storage"
-	"crosstide/internal/testbed/minion"
+	"crosstide/internal/testbed/policyworker"
 )
 
 // build makes the fleet: 5 cplanes, 3 dplanes, 6 minions in 3 zones, and the people.
@@ -17,9 +17,9 @@
 		s.dplanes = append(s.dplanes, &dplane{proc: s.proc(fmt.Sprintf("d%d", i), zone(i))})
 	}
 	for i := range 6 {
-		m := &node{proc: s.proc(fmt.Sprintf("m%d", i), zone(i)), kind: minion.Check, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
+		m := &node{proc: s.proc(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.Check, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
 		if i%2 == 0 {
-			m.kind = minion.Obey
+			m.kind = policyworker.Obey
 		}
 		if i < 4 {
 			m.lab["disk"] = "ssd"
--- a/internal/testbed/policysim/dplane.go
+++ b/internal/testbed/policysim/dplane.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 	"crosstide/internal/state/query"
-	"crosstide/internal/testbed/minion"
+	"crosstide/internal/testbed/policyworker"
 )
 
 const callTimeout = 2 * time.Second
@@ -54,7 +54,7 @@
 	})
 	cfg := scheduler.Defaults()
 	if d.sim.opt.Break == "reserve" {
-		cfg.ReserveAfter = minion.Never
+		cfg.ReserveAfter = policyworker.Never
 	}
 	d.sched = scheduler.New(cfg, d.replica.Lock())
 	d.replica.Unlock()
--- a/internal/testbed/policysim/minion.go
+++ b/internal/testbed/policysim/minion.go
@@ -5,17 +5,17 @@
 	"time"
 
 	"crosstide/internal/internalapi"
-	"crosstide/internal/testbed/minion"
+	"crosstide/internal/testbed/policyworker"
 )
 
 // lateness is how late an obeying minion carries out an order at most, counted from its arrival; under the bound
 // that the scheduler is told by what an order may be under way.
 const lateness = 1700 * time.Millisecond
 
-// minion is the host of one minion.Core.
+// minion is the host of one policyworker.Core.
 type minionLife struct {
-	core   *minion.Core
-	traits minion.Traits
+	core   *policyworker.Core
+	traits policyworker.Traits
 }
 
 type node struct {
@@ -38,10 +38,10 @@
 func (m *node) open() {
 	s := m.sim
 	m.begin()
-	m.traits = minion.Traits{Name: m.addr, Boot: fmt.Sprintf("%s-%d", m.addr, m.gen), Kind: m.kind, Zone: m.zone, Labels: m.lab,
+	m.traits = policyworker.Traits{Name: m.addr, Boot: fmt.Sprintf("%s-%d", m.addr, m.gen), Kind: m.kind, Zone: m.zone, Labels: m.lab,
 		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, Fail: 0.03, Slow: 1.2, Seed: s.rnd.Uint64()}
 	m.zero = s.now // the minion's clock starts with the boot
-	m.core, m.waits, m.draining, m.floor = minion.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
+	m.core, m.waits, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
 	s.oracle.booted(m)
 	m.carry(m.core.Start())
 	m.announce()
@@ -62,7 +62,7 @@
 }
 
 // carry does what a step asks for: the witness first, then the answers.
-func (m *node) carry(step minion.Step) {
+func (m *node) carry(step policyworker.Step) {
 	for _, e := range step.Journal {
 		m.sim.oracle.witness(m, e)
 	}
@@ -75,7 +75,7 @@
 			w(r.Answer, r.Err)
 		}
 	}
-	if step.Wake != minion.Never {
+	if step.Wake != policyworker.Never {
 		m.after(step.Wake-m.Now(), func() { m.carry(m.core.Tick(m.Now())) })
 	}
 }
@@ -108,7 +108,7 @@
 			call.Floor = 0
 			starts := append([]internalapi.StartOrder(nil), call.Starts...)
 			for i := range starts {
-				starts[i].Void = minion.Never
+				starts[i].Void = policyworker.Never
 			}
 			call.Starts = starts
 		}
--- a/internal/testbed/policysim/money.go
+++ b/internal/testbed/policysim/money.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/account"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
-	"crosstide/internal/testbed/minion"
+	"crosstide/internal/testbed/policyworker"
 )
 
 // moneyOracle keeps accounts of its own, from the commands in the log and from when handles open and go, and holds the
@@ -253,7 +253,7 @@
 		return false
 	}
 	for _, m := range o.plan.Minions {
-		if m.Name == h.Minion && m.Boot != o.boots[m.Name] && m.Boot != h.Boot && (m.Kind != minion.Obey || h.Phase == state.TaskRunning) {
+		if m.Name == h.Minion && m.Boot != o.boots[m.Name] && m.Boot != h.Boot && (m.Kind != policyworker.Obey || h.Phase == state.TaskRunning) {
 			return true
 		}
 	}
--- a/internal/testbed/policysim/oracle.go
+++ b/internal/testbed/policysim/oracle.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/minion"
+	"crosstide/internal/testbed/policyworker"
 )
 
 // bound is how long after the faults everything must have ended: the longest hold, then retries and long runs.
@@ -292,7 +292,7 @@
 			t.until = m.zero + st.Until
 		}
 		o.sim.held("newer ticket")
-		if st.RunID <= o.orders[m] && m.kind == minion.Obey {
+		if st.RunID <= o.orders[m] && m.kind == policyworker.Obey {
 			o.sim.broke("newer ticket", "ticket %d reaches %s, which has seen %d", st.RunID, m.addr, o.orders[m])
 		}
 		o.orders[m] = max(o.orders[m], st.RunID)
@@ -395,7 +395,7 @@
 	}
 	s.held("not late")
 	late := 700 * time.Millisecond // the void time in the minion's clock, and what its report was under way
-	if m.kind == minion.Obey {
+	if m.kind == policyworker.Obey {
 		late = callTimeout/2 + lateness + 100*time.Millisecond // it was under way until its connection was closed at most
 	}
 	if s.now-max(t.written, m.woke) > late { // what lay in the kernel of a frozen machine is carried out when it wakes
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -3,7 +3,7 @@
 // that looks at what was really started, written and answered after every event.
 //
 // What decides is the daemons' own code: raft.Core, the store (by hand, see store.Hand), storage.Store over
-// storage.MemDisk, state and command, replica.Replica, scheduler.Core, minion.Core. Only the glue of dataplane.Node and of the
+// storage.MemDisk, state and command, replica.Replica, scheduler.Core, policyworker.Core. Only the glue of dataplane.Node and of the
 // minion's host is written anew here, without goroutines. The same seed gives the same trace, byte for byte.
 package policysim
 
--- a/internal/testbed/minion/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -1,6 +1,6 @@
-// Package minion is the stand-in minion of the rehearsal kit: a pure step machine (Core) that keeps the contract
+// Package policyworker is the stand-in minion of the rehearsal kit: a pure step machine (Core) that keeps the contract
 // of docs/ops/minion-contract.md, and the process around it (Host).
-package minion
+package policyworker
 
 import (
 	"math"
@@ -55,7 +55,7 @@
 // carries the minion's own clock, which starts at 0 with the boot, counts suspension and never goes back.
 // It is not safe for concurrent use. Example:
 //
-//	core := minion.NewCore(minion.Traits{Name: "m1", Boot: "b1", Kind: minion.Check, Zone: "z1", Cores: 4})
+//	core := policyworker.NewCore(policyworker.Traits{Name: "m1", Boot: "b1", Kind: policyworker.Check, Zone: "z1", Cores: 4})
 //	core.Start()
 //	step := core.Call(5*time.Millisecond, 1, internalapi.HoldCall{Call: 1, Epoch: 7, Minion: "m1", Boot: "b1"})
 //	// step.Replies[0].Tag is 1
--- a/internal/testbed/minion/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -1,4 +1,4 @@
-package minion
+package policyworker
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 // Open makes the minions of set and their journals, and listens. Nothing is answered for a minion before its
 // boot is in its journal. Faults: Settings, Disk. Example:
 //
-//	host, err := minion.Open(set, clock.Real{}, logger)
+//	host, err := policyworker.Open(set, clock.Real{}, logger)
 //	if err != nil {
 //		return errs.Pass(err, "minion")
 //	}
--- a/internal/testbed/minion/settings.go
+++ b/internal/testbed/policyworker/settings.go
@@ -1,4 +1,4 @@
-package minion
+package policyworker
 
 import (
 	"bytes"
