--- a/cmd/drill/worker.go
+++ b/cmd/drill/worker.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/testbed/worker"
+	"crosstide/internal/testbed/jobsworker"
 )
 
 func init() {
@@ -39,7 +39,7 @@
 }
 
 func runWorker(ctx context.Context, cmd *cli.Command) error {
-	set := worker.Settings{
+	set := jobsworker.Settings{
 		Name: cmd.String("name"), Address: cmd.String("addr"), Service: cmd.String("service"), Zone: cmd.String("zone"),
 		Rack: cmd.String("rack"), Labels: cmd.StringSlice("label"), Core: cmd.StringSlice("core"), Journal: cmd.String("journal"),
 		Every: cmd.Duration("every"), Grace: cmd.Duration("grace"),
@@ -48,7 +48,7 @@
 	ctx, stop := daemon.Signals(ctx)
 	defer stop()
 	logger := log.With(daemon.Logger(cmd.String("log"), os.Stderr), "worker", set.Name)
-	host, err := worker.Open(set, clock.Real{}, logger)
+	host, err := jobsworker.Open(set, clock.Real{}, logger)
 	if err != nil {
 		return errs.Pass(err, "worker")
 	}
--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -8,7 +8,7 @@
 
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/testbed/worker"
+	"crosstide/internal/testbed/jobsworker"
 )
 
 // Report is what an audit found.
@@ -25,8 +25,8 @@
 	report  Report
 	closed  []Closure
 	specs   map[string]jobs.Spec
-	program map[string]worker.Program
-	workers map[string]worker.Event // by ID: the event of its birth
+	program map[string]jobsworker.Program
+	workers map[string]jobsworker.Event // by ID: the event of its birth
 	tasks   map[jobs.TaskRef]*history
 	live    map[string][]*span // by worker: runs that go on
 	token   map[string]uint64  // by worker: newest token of a start
@@ -69,8 +69,8 @@
 //     zone while that is closed;
 //   - a gang's run begins whole; a run goes on from the progress that the last one saved; a job that failed used its
 //     attempts, no more.
-func Audit(accepted []Job, closed []Closure, events []worker.Event) (Report, error) {
-	a := &audit{closed: closed, specs: map[string]jobs.Spec{}, program: map[string]worker.Program{}, workers: map[string]worker.Event{},
+func Audit(accepted []Job, closed []Closure, events []jobsworker.Event) (Report, error) {
+	a := &audit{closed: closed, specs: map[string]jobs.Spec{}, program: map[string]jobsworker.Program{}, workers: map[string]jobsworker.Event{},
 		tasks: map[jobs.TaskRef]*history{}, live: map[string][]*span{}, token: map[string]uint64{}}
 	a.report.Ends, a.report.Failed, a.report.Refused = map[jobs.How]int{}, map[string]int{}, map[string]int{}
 	for _, job := range accepted {
@@ -81,7 +81,7 @@
 		a.specs[job.ID], a.program[job.ID] = spec, job.Program
 	}
 	events = slices.Clone(events)
-	slices.SortStableFunc(events, func(x, y worker.Event) int { return x.At.Compare(y.At) })
+	slices.SortStableFunc(events, func(x, y jobsworker.Event) int { return x.At.Compare(y.At) })
 	for _, e := range events {
 		a.take(e)
 	}
@@ -95,20 +95,20 @@
 	a.report.Wrong = append(a.report.Wrong, fmt.Sprintf(format, args...))
 }
 
-func (a *audit) take(e worker.Event) {
+func (a *audit) take(e jobsworker.Event) {
 	switch e.Event {
-	case worker.EventBorn:
+	case jobsworker.EventBorn:
 		a.workers[e.Worker] = e
-	case worker.EventStart:
+	case jobsworker.EventStart:
 		a.began(e)
-	case worker.EventEnd:
+	case jobsworker.EventEnd:
 		a.ended(e)
-	case worker.EventRefuse:
+	case jobsworker.EventRefuse:
 		a.report.Refused[e.Why]++
 	}
 }
 
-func (a *audit) began(e worker.Event) {
+func (a *audit) began(e jobsworker.Event) {
 	a.report.Runs++
 	key := e.Run.Key()
 	s := &span{worker: e.Worker, number: key.Number, needs: e.Needs, task: key.Task, began: e.At, resumed: e.Checkpoint}
@@ -214,7 +214,7 @@
 	return past != nil && slices.ContainsFunc(past.spans, func(s *span) bool { return s.how == jobs.EndDone })
 }
 
-func (a *audit) ended(e worker.Event) {
+func (a *audit) ended(e jobsworker.Event) {
 	a.report.Ends[jobs.How(e.Why)]++
 	key := e.Run.Key()
 	if jobs.How(e.Why) == jobs.EndFailed {
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -9,23 +9,23 @@
 
 	"crosstide/internal/httpapi/workerapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/testbed/worker"
+	"crosstide/internal/testbed/jobsworker"
 )
 
 // story is a journal that is written one millisecond after the other.
 type story struct {
-	events []worker.Event
+	events []jobsworker.Event
 	at     time.Time
 }
 
 func newStory() *story {
 	s := &story{at: time.Unix(1000, 0)}
-	s.add(worker.Event{Event: worker.EventBorn, Worker: "a", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}, Labels: []string{"ssd"}, Zone: "z"})
-	s.add(worker.Event{Event: worker.EventBorn, Worker: "b", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}})
+	s.add(jobsworker.Event{Event: jobsworker.EventBorn, Worker: "a", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}, Labels: []string{"ssd"}, Zone: "z"})
+	s.add(jobsworker.Event{Event: jobsworker.EventBorn, Worker: "b", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}})
 	return s
 }
 
-func (s *story) add(e worker.Event) {
+func (s *story) add(e jobsworker.Event) {
 	s.at = s.at.Add(time.Millisecond)
 	e.At = s.at
 	s.events = append(s.events, e)
@@ -36,8 +36,8 @@
 	return workerapi.Run{Job: "j", Step: step, Index: index, Number: number}
 }
 
-func (s *story) start(on string, r workerapi.Run, change ...func(*worker.Event)) {
-	e := worker.Event{Event: worker.EventStart, Worker: on, Run: r, Token: 1, Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
+func (s *story) start(on string, r workerapi.Run, change ...func(*jobsworker.Event)) {
+	e := jobsworker.Event{Event: jobsworker.EventStart, Worker: on, Run: r, Token: 1, Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
 	for _, one := range change {
 		one(&e)
 	}
@@ -47,7 +47,7 @@
 func (s *story) end(on string, r workerapi.Run, how jobs.How) { s.ends(on, r, how, "") }
 
 func (s *story) ends(on string, r workerapi.Run, how jobs.How, checkpoint string) {
-	s.add(worker.Event{Event: worker.EventEnd, Worker: on, Run: r, Why: string(how), Checkpoint: checkpoint})
+	s.add(jobsworker.Event{Event: jobsworker.EventEnd, Worker: on, Run: r, Why: string(how), Checkpoint: checkpoint})
 }
 
 // good runs a task once.
@@ -57,7 +57,7 @@
 }
 
 func job(comes jobs.JobState, steps ...Step) Job {
-	return newJob("j", Urgent, comes, worker.Program{MS: 1}, steps...)
+	return newJob("j", Urgent, comes, jobsworker.Program{MS: 1}, steps...)
 }
 
 func TestAudit(t *testing.T) {
@@ -94,7 +94,7 @@
 		{"a job that nobody handed in", one, func(s *story) { s.good("a", run(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
 		{"an end without a run", one, func(s *story) { s.good("a", run(0, 0, 1)); s.end("b", run(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
 		{"a lower token", two, func(s *story) {
-			s.start("a", run(0, 0, 1), func(e *worker.Event) { e.Token = 2 })
+			s.start("a", run(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 			s.good("a", run(0, 1, 1))
 		}, "under token 1 after 2", nil},
@@ -110,7 +110,7 @@
 		{"a label is there", labelled, func(s *story) { s.good("a", run(0, 0, 1)) }, "", nil},
 		{"no room", two, func(s *story) {
 			s.start("a", run(0, 0, 1))
-			s.start("a", run(0, 1, 1), func(e *worker.Event) { e.Needs.MilliCPU = 201 })
+			s.start("a", run(0, 1, 1), func(e *jobsworker.Event) { e.Needs.MilliCPU = 201 })
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 			s.end("a", run(0, 1, 1), jobs.EndDone)
 		}, "MilliCPU:401", nil},
@@ -141,7 +141,7 @@
 		{"progress is kept", saving, func(s *story) {
 			s.start("a", run(0, 0, 1))
 			s.ends("a", run(0, 0, 1), jobs.EndStopped, "300")
-			s.start("b", run(0, 0, 2), func(e *worker.Event) { e.Checkpoint = "300" })
+			s.start("b", run(0, 0, 2), func(e *jobsworker.Event) { e.Checkpoint = "300" })
 			s.end("b", run(0, 0, 2), jobs.EndDone)
 		}, "", nil},
 		{"progress is lost", saving, func(s *story) {
@@ -172,7 +172,7 @@
 	Convey("Runs, ends and refusals are counted", t, func() {
 		s := newStory()
 		s.good("a", run(0, 0, 1))
-		s.add(worker.Event{Event: worker.EventRefuse, Worker: "a", Run: run(0, 0, 2), Why: "room"})
+		s.add(jobsworker.Event{Event: jobsworker.EventRefuse, Worker: "a", Run: run(0, 0, 2), Why: "room"})
 		report, err := Audit([]Job{one}, nil, s.events)
 		So(err, ShouldBeNil)
 		So([]any{report.Runs, report.Ends[jobs.EndDone], report.Refused["room"]}, ShouldResemble, []any{1, 1, 1})
--- a/internal/testbed/endtoend/mix.go
+++ b/internal/testbed/endtoend/mix.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobs"
-	"crosstide/internal/testbed/worker"
+	"crosstide/internal/testbed/jobsworker"
 )
 
 // What the configuration of the drill has.
@@ -36,13 +36,13 @@
 
 // Job is a job of the mix, and the state that it must come to.
 type Job struct {
-	ID      string         `json:"id"`
-	Queue   string         `json:"queue"`
-	Payload string         `json:"payload"`
-	Times   *Times         `json:"times,omitempty"`
-	Steps   []Step         `json:"steps"`
-	Comes   jobs.JobState  `json:"-"`
-	Program worker.Program `json:"-"`
+	ID      string             `json:"id"`
+	Queue   string             `json:"queue"`
+	Payload string             `json:"payload"`
+	Times   *Times             `json:"times,omitempty"`
+	Steps   []Step             `json:"steps"`
+	Comes   jobs.JobState      `json:"-"`
+	Program jobsworker.Program `json:"-"`
 }
 
 // Times is when the rounds of a job are due.
@@ -91,7 +91,7 @@
 	return s
 }
 
-func newJob(id, queue string, comes jobs.JobState, program worker.Program, steps ...Step) Job {
+func newJob(id, queue string, comes jobs.JobState, program jobsworker.Program, steps ...Step) Job {
 	payload, err := json.Marshal(program)
 	if err != nil {
 		panic("a program of numbers always encodes: " + err.Error())
@@ -102,32 +102,32 @@
 // Bulk is the low-priority work that fills the workers and saves its progress: more urgent work preempts it.
 func Bulk(workers int) Job {
 	step := Step{Tasks: 4 * workers, MilliCPU: 1000, MemoryMB: 64, Estimate: "4s", Checkpoints: true}
-	return newJob("bulk", Normal, jobs.Succeeded, worker.Program{MS: 4000, SaveMS: 100}, step)
+	return newJob("bulk", Normal, jobs.Succeeded, jobsworker.Program{MS: 4000, SaveMS: 100}, step)
 }
 
 // Lasting is a job that runs until it is cancelled.
 func Lasting() Job {
-	return newJob("lasting", Urgent, jobs.Cancelled, worker.Program{MS: -1}, small(1).with(func(s *Step) { s.Lasting = true }))
+	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, small(1).with(func(s *Step) { s.Lasting = true }))
 }
 
 // Mix gives jobs of every kind that ends by itself; first is when the timed one is due.
 func Mix(first time.Time) []Job {
-	quick := worker.Program{MS: 60}
+	quick := jobsworker.Program{MS: 60}
 	timed := newJob("timed", Urgent, jobs.Succeeded, quick, small(2))
 	timed.Times = &Times{First: first.UTC(), Every: "400ms", Rounds: 3}
 	return []Job{
 		newJob("plain", Normal, jobs.Succeeded, quick, small(10)),
 		newJob("chain", Urgent, jobs.Succeeded, quick, small(4),
 			small(3).with(func(s *Step) { s.After = []int{0} }), small(2).with(func(s *Step) { s.After = []int{0, 1} })),
-		newJob("gang", Urgent, jobs.Succeeded, worker.Program{MS: 300}, small(4).with(func(s *Step) { s.Gang, s.OneRack = true, true })),
-		newJob("gang-retried", Urgent, jobs.Succeeded, worker.Program{MS: 100, Fails: 1}, small(3).with(func(s *Step) { s.Gang = true })),
+		newJob("gang", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, small(4).with(func(s *Step) { s.Gang, s.OneRack = true, true })),
+		newJob("gang-retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 100, Fails: 1}, small(3).with(func(s *Step) { s.Gang = true })),
 		newJob("speculative", Urgent, jobs.Succeeded, quick, small(3).with(func(s *Step) { s.Speculative = true })),
 		newJob("labelled", Urgent, jobs.Succeeded, quick, small(4).with(func(s *Step) { s.Label = "ssd" })),
 		newJob("gpu", Urgent, jobs.Succeeded, quick, small(3).with(func(s *Step) { s.GPUs = 1 })),
 		newJob("near", Urgent, jobs.Succeeded, quick, small(3).with(func(s *Step) { s.Near = "r2" })),
-		newJob("apart", Urgent, jobs.Succeeded, worker.Program{MS: 300}, small(3).with(func(s *Step) { s.MostPerWorker = 1 })),
-		newJob("retried", Urgent, jobs.Succeeded, worker.Program{MS: 60, Fails: Attempts - 1}, small(1)),
-		newJob("hopeless", Urgent, jobs.Failed, worker.Program{MS: 60, Fails: 1000}, small(1)),
+		newJob("apart", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, small(3).with(func(s *Step) { s.MostPerWorker = 1 })),
+		newJob("retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 60, Fails: Attempts - 1}, small(1)),
+		newJob("hopeless", Urgent, jobs.Failed, jobsworker.Program{MS: 60, Fails: 1000}, small(1)),
 		timed,
 	}
 }
@@ -136,7 +136,7 @@
 func Numbered(prefix string, count int) []Job {
 	var out []Job
 	for i := range count {
-		out = append(out, newJob(fmt.Sprintf("%s-%d", prefix, i), Urgent, jobs.Succeeded, worker.Program{MS: 60}, small(2)))
+		out = append(out, newJob(fmt.Sprintf("%s-%d", prefix, i), Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, small(2)))
 	}
 	return out
 }
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -25,13 +25,13 @@
 	"crosstide/internal/storage"
 	"crosstide/internal/store"
 	"crosstide/internal/testbed/fleet"
-	"crosstide/internal/testbed/worker"
+	"crosstide/internal/testbed/jobsworker"
 )
 
 // small system: one core node, one front node and workers, all in this process on loopback.
 type testSystem struct {
 	client  *Client
-	workers []*worker.Host
+	workers []*jobsworker.Host
 	stop    []func() // of each worker
 	dir     string
 	group   *routine.Group
@@ -82,7 +82,7 @@
 func (s *testSystem) startWorker(shape Shape, control string) {
 	settings := shape.settings("127.0.0.1:0", []string{control}, filepath.Join(s.dir, "journal", shape.Name+".jsonl"))
 	settings.Every, settings.Grace = 200*time.Millisecond, time.Second
-	host, err := worker.Open(settings, clock.Real{}, log.NewNopLogger())
+	host, err := jobsworker.Open(settings, clock.Real{}, log.NewNopLogger())
 	So(err, ShouldBeNil)
 	ctx, stop := context.WithCancel(context.Background())
 	s.group.Go(func(context.Context) { _ = host.Run(ctx) })
@@ -157,9 +157,9 @@
 		// An evacuated zone gets nothing; once it is restored, its label finds a worker again.
 		So(client.Zone(ctx, "z1", "evacuate"), ShouldBeNil)
 		closure := Closure{Zone: "z1", From: clock.Real{}.Wall()}
-		labelled := newJob("waits", Urgent, jobs.Succeeded, worker.Program{MS: 10}, small(1).with(func(s *Step) { s.Label = "z1-only" }))
+		labelled := newJob("waits", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, small(1).with(func(s *Step) { s.Label = "z1-only" }))
 		So(client.Submit(ctx, labelled), ShouldBeNil)
-		free := newJob("elsewhere", Urgent, jobs.Succeeded, worker.Program{MS: 10}, small(6))
+		free := newJob("elsewhere", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, small(6))
 		So(client.Submit(ctx, free), ShouldBeNil)
 		So(client.Until(ctx, free.ID, jobs.Succeeded), ShouldBeNil)
 		view, err := client.Show(ctx, labelled.ID)
@@ -184,10 +184,10 @@
 		defer cancel()
 		So(s.client.Configure(ctx, http.MethodPut, Configuration(0)), ShouldBeNil)
 		whole := Step{Tasks: 8, MilliCPU: 1000, MemoryMB: 32, Estimate: "10m", Checkpoints: true}
-		slow := newJob("slow", Normal, jobs.Cancelled, worker.Program{MS: 600_000, SaveMS: 1}, whole)
+		slow := newJob("slow", Normal, jobs.Cancelled, jobsworker.Program{MS: 600_000, SaveMS: 1}, whole)
 		So(s.client.Submit(ctx, slow), ShouldBeNil)
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)
-		urgent := newJob("urgent", Urgent, jobs.Succeeded, worker.Program{MS: 10}, whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
+		urgent := newJob("urgent", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
 		So(s.client.Submit(ctx, urgent), ShouldBeNil)
 		So(s.client.Until(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no room but that of the slow one
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)      // and it has it back
--- a/internal/testbed/endtoend/shape.go
+++ b/internal/testbed/endtoend/shape.go
@@ -6,8 +6,8 @@
 
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
+	"crosstide/internal/testbed/jobsworker"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/worker"
 )
 
 // Shape is one worker of the drill.
@@ -38,19 +38,19 @@
 }
 
 // settings are those of the shape's process.
-func (s Shape) settings(address string, core []string, journal string) worker.Settings {
-	return worker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack, Labels: s.Labels,
+func (s Shape) settings(address string, core []string, journal string) jobsworker.Settings {
+	return jobsworker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack, Labels: s.Labels,
 		Capacity: s.Capacity, Core: core, Journal: journal}
 }
 
 // Events reads the journals of the workers in DIR/journal.
-func Events(dir string) ([]worker.Event, error) {
-	var out []worker.Event
+func Events(dir string) ([]jobsworker.Event, error) {
+	var out []jobsworker.Event
 	for line, err := range journal.Lines(dir) {
 		if err != nil {
 			return nil, errs.Pass(err, "journals")
 		}
-		var e worker.Event
+		var e jobsworker.Event
 		if err := json.Unmarshal(line.Raw, &e); err != nil {
 			return nil, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
 		}
--- a/internal/testbed/worker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -1,6 +1,6 @@
-// Package worker is a stand-in worker for the contract of internal/httpapi/workerapi: it guards its own capacity, keeps its
+// Package jobsworker is a stand-in worker for the contract of internal/httpapi/workerapi: it guards its own capacity, keeps its
 // lease by its own clock, refuses fenced orders and journals all that it does.
-package worker
+package jobsworker
 
 import (
 	"encoding/json"
--- a/internal/testbed/worker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -1,4 +1,4 @@
-package worker
+package jobsworker
 
 import (
 	"context"
@@ -85,7 +85,7 @@
 
 // Open makes a worker's life and listens. Failures: Settings, Disk. Example:
 //
-//	host, err := worker.Open(settings, clock.Real{}, logger)
+//	host, err := jobsworker.Open(settings, clock.Real{}, logger)
 //	if err != nil {
 //		return errs.Pass(err, "worker")
 //	}
--- a/internal/testbed/worker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -1,4 +1,4 @@
-package worker
+package jobsworker
 
 import (
 	"context"
