--- a/cmd/drill/bundles.go
+++ b/cmd/drill/bundles.go
@@ -9,7 +9,7 @@
 	"github.com/urfave/cli/v3"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/bundles"
+	"crosstide/internal/testbed/operator"
 )
 
 func init() {
@@ -33,7 +33,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			report, err := bundles.Run(ctx, bundles.Options{Dir: cmd.String("fleet"), For: cmd.Duration("for"), Seed: cmd.Uint64("seed"),
+			report, err := operator.Run(ctx, operator.Options{Dir: cmd.String("fleet"), For: cmd.Duration("for"), Seed: cmd.Uint64("seed"),
 				Every: cmd.Duration("every"), Race: cmd.Float("race"), Again: cmd.Float("again"),
 				Invalid: cmd.Float("invalid"), Evacuate: cmd.Float("evacuate")})
 			if err != nil {
--- a/cmd/drill/churn.go
+++ b/cmd/drill/churn.go
@@ -20,10 +20,10 @@
 	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/routine"
 	"crosstide/internal/testbed/audit"
-	"crosstide/internal/testbed/bundles"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
 	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/operator"
 )
 
 func init() {
@@ -74,7 +74,7 @@
 type churnReport struct {
 	Faults  map[string]int         `json:"faults"`
 	Work    map[string]load.Report `json:"work"`
-	Bundles *bundles.Report        `json:"bundles,omitempty"`
+	Bundles *operator.Report       `json:"bundles,omitempty"`
 }
 
 func churn(ctx context.Context, cmd *cli.Command) error {
@@ -111,7 +111,7 @@
 	})
 	if every := cmd.Duration("changes"); every > 0 {
 		group.Go(func(ctx context.Context) {
-			r, err := bundles.Run(ctx, bundles.Options{Dir: dir, For: lasts, Seed: seed, Every: every, Race: 0.2, Again: 0.2})
+			r, err := operator.Run(ctx, operator.Options{Dir: dir, For: lasts, Seed: seed, Every: every, Race: 0.2, Again: 0.2})
 			out.Bundles = &r
 			failed("bundles", err)
 		})
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/bundles"
 	"crosstide/internal/testbed/journal"
 	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/operator"
 )
 
 // What the audit grants, as the promises have it.
@@ -55,7 +55,7 @@
 	Node  string
 	Team  string
 	Steps []load.Step
-	Op    bundles.Entry // of an operator's line
+	Op    operator.Entry // of an operator's line
 
 	From Source
 	File string
--- a/internal/testbed/audit/bundles.go
+++ b/internal/testbed/audit/bundles.go
@@ -7,9 +7,9 @@
 
 	"crosstide/internal/bundle"
 	"crosstide/internal/state"
-	"crosstide/internal/testbed/bundles"
 	"crosstide/internal/testbed/journal"
 	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/operator"
 )
 
 // reign is the time in which a version may have been in force: from the sending of the signature that put it there
@@ -28,7 +28,7 @@
 		return nil, nil // it is the store's own
 	}
 	out = append(out, reign{from: math.MinInt64, to: math.MaxInt64, bundle: first})
-	acked := h.by(Operator, bundles.Force)
+	acked := h.by(Operator, operator.Force)
 	slices.SortStableFunc(acked, func(a, b Event) int { return int(a.Op.Version) - int(b.Op.Version) })
 	for _, e := range acked {
 		b, err := bundle.Parse(e.Op.Bundle)
@@ -39,7 +39,7 @@
 		out[len(out)-1].to = e.At + int64(bundleGrace)
 		out = append(out, reign{e, e.Op.Sent, math.MaxInt64, b})
 	}
-	for _, e := range h.by(Operator, bundles.Unsure) {
+	for _, e := range h.by(Operator, operator.Unsure) {
 		w := window{e, e.Op.Sent, math.MaxInt64}
 		for _, r := range out {
 			if r.bundle.Version > e.Op.Version {
@@ -55,7 +55,7 @@
 
 // placement policy: each start fits a version that may have been in force then.
 func policy(h History, f *Finding) {
-	if len(h.by(Operator, bundles.Force)) == 0 {
+	if len(h.by(Operator, operator.Force)) == 0 {
 		f.Note = "labels; no bundle was changed"
 		return
 	}
@@ -130,8 +130,8 @@
 func operators(h History, f *Finding) {
 	type answer struct{ first, yes Event }
 	bases, orders, raced, again := map[uint64][]Event{}, map[string]answer{}, map[uint64]map[string]bool{}, map[string]bool{}
-	for _, e := range h.by(Operator, bundles.Put, bundles.Sign) {
-		if e.Op.Ev == bundles.Put {
+	for _, e := range h.by(Operator, operator.Put, operator.Sign) {
+		if e.Op.Ev == operator.Put {
 			if raced[e.Op.Base] == nil {
 				raced[e.Op.Base] = map[string]bool{}
 			}
@@ -173,8 +173,8 @@
 // readback: what is read as in force is not older than what was acknowledged before the call, and its bytes have
 // the digest that was signed. Cases are the reads.
 func readback(h History, f *Finding) {
-	acked := h.by(Operator, bundles.Force)
-	for _, e := range h.by(Operator, bundles.Read) {
+	acked := h.by(Operator, operator.Force)
+	for _, e := range h.by(Operator, operator.Read) {
 		f.Cases++
 		for _, a := range acked {
 			switch {
@@ -198,10 +198,10 @@
 // followed: no node goes by a version older than one acknowledged longer than the grace ago, none goes back. Cases
 // are the times a node was asked.
 func followed(h History, f *Finding) {
-	acked := h.by(Operator, bundles.Force)
+	acked := h.by(Operator, operator.Force)
 	top := map[string]Event{}
 	mute := 0
-	for _, e := range h.by(Operator, bundles.Has) {
+	for _, e := range h.by(Operator, operator.Has) {
 		if !e.OK {
 			mute++
 			continue
--- a/internal/testbed/bundles/entry.go
+++ b/internal/testbed/operator/entry.go
@@ -1,6 +1,6 @@
-// Package bundles is the stand-in operators of the rehearsal kit: two of them who write, sign, race for and read
+// Package operator is the stand-in operators of the rehearsal kit: two of them who write, sign, race for and read
 // back bundles, and journal what they were told.
-package bundles
+package operator
 
 import "encoding/json"
 
--- a/internal/testbed/bundles/bundles.go
+++ b/internal/testbed/operator/operator.go
@@ -1,4 +1,4 @@
-package bundles
+package operator
 
 import (
 	"context"
@@ -72,7 +72,7 @@
 
 // Run lets the operators work on the fleet. Faults: Disk, Malformed, Settings. Example:
 //
-//	report, err := bundles.Run(ctx, bundles.Options{Dir: dir, For: time.Minute, Seed: 1, Every: 300 * time.Millisecond})
+//	report, err := operator.Run(ctx, operator.Options{Dir: dir, For: time.Minute, Seed: 1, Every: 300 * time.Millisecond})
 func Run(ctx context.Context, opt Options) (Report, error) {
 	o := &office{Options: opt, caller: fleet.NewCaller(8), clock: clock.Real{}, luck: rand.New(rand.NewPCG(opt.Seed, 3)),
 		counts: Report{Refused: map[string]int{}}, spare: rand.New(rand.NewPCG(opt.Seed, 4)), all: newLatencies(), each: newLatencies(), force: newLatencies(), acks: newLatencies()}
--- a/internal/testbed/bundles/zone.go
+++ b/internal/testbed/operator/zone.go
@@ -1,4 +1,4 @@
-package bundles
+package operator
 
 import (
 	"context"
