--- a/cmd/cplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -1,4 +1,4 @@
-// Program cplane is a member of the control store, and the operators' command for it.
+// Command crosstide-controlplane is a member of the control store, and the operators' command for it.
 package main
 
 import (
@@ -14,7 +14,7 @@
 
 func main() {
 	app := &cli.Command{
-		Name:     "cplane",
+		Name:     "crosstide-controlplane",
 		Usage:    "a member of the control store",
 		Commands: append(program().Commands(), platformCommand(), jobsCommand()),
 	}
@@ -32,7 +32,7 @@
 		}}, accountCommand())...)...)
 	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the codes are ours, see exit.go
 	if err := app.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "cplane:", err)
+		fmt.Fprintln(os.Stderr, "crosstide-controlplane:", err)
 		os.Exit(exitOf(err))
 	}
 }
--- a/cmd/cplane/operate.go
+++ b/cmd/crosstide-controlplane/operate.go
@@ -21,7 +21,7 @@
 )
 
 func addrFlags() []cli.Flag {
-	return []cli.Flag{&cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any cplane", Required: true}}
+	return []cli.Flag{&cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}}
 }
 
 // orderID returns the order's id: the flag's, or a random one that is printed on standard error, so that the order
--- a/cmd/dplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -19,7 +19,7 @@
 
 // jobCommands are the clients' commands: they ask a dplane's API and print its answer.
 func jobCommands() []*cli.Command {
-	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any dplane", Required: true}
+	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any data-plane node", Required: true}
 	return []*cli.Command{{Name: "job", Usage: "hand in, show, list and cancel jobs", Commands: []*cli.Command{
 		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE", Flags: []cli.Flag{addr},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/dplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -1,4 +1,4 @@
-// Program dplane is a front node: it takes clients' jobs, follows the store and is a candidate for the duty
+// Command crosstide-dataplane is a front node: it takes clients' jobs, follows the store and is a candidate for the duty
 // sched; it is the clients' command too.
 package main
 
@@ -33,9 +33,9 @@
 		Version: version, Load: config.LoadDplane, Check: config.CheckDplane, Serve: serve,
 		Common: func(set *config.Dplane) *config.Common { return &set.Common },
 	}
-	app := &cli.Command{Name: "dplane", Usage: "a front node of crosstide", Commands: append(append(program.Commands(), jobCommands()...), platformCommand(), jobsCommand())}
+	app := &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide", Commands: append(append(program.Commands(), jobCommands()...), platformCommand(), jobsCommand())}
 	if err := app.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "dplane:", err)
+		fmt.Fprintln(os.Stderr, "crosstide-dataplane:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/drill/audit.go
+++ b/cmd/crosstide-testbed/audit.go
@@ -15,7 +15,7 @@
 	commands = append(commands, &cli.Command{
 		Name:  "audit",
 		Usage: "check the promises against the journals of a fleet",
-		Description: "drill audit DIR\n\n" +
+		Description: "crosstide-testbed audit DIR\n\n" +
 			"Reads DIR/journal/*.jsonl and, if the fleet is up, asks its dplanes for accepted jobs. Prints a line per\n" +
 			"promise: held and the number of cases, broken with the offending lines, or not exercised. Exit 1 on broken.",
 		ArgsUsage: "DIR",
--- a/cmd/drill/balances.go
+++ b/cmd/crosstide-testbed/balances.go
@@ -30,7 +30,7 @@
 	commands = append(commands, &cli.Command{
 		Name:  "balances",
 		Usage: "run a paying party dry under load, with the leader killed at its draws and top-ups, then audit",
-		Description: "drill balances --fleet DIR [--rate 8]\n\n" +
+		Description: "crosstide-testbed balances --fleet DIR [--rate 8]\n\n" +
 			"Puts a paying party into the bundle and offers its jobs, two lasting ones and jobs that nobody pays for. The\n" +
 			"party runs dry three times: the leader is killed at the last draw and while a top-up is sent, a top-up is sent\n" +
 			"again, a lasting task's minion is killed, the leader is cut off (if the fleet has links) and a member loses its\n" +
--- a/cmd/drill/bench.go
+++ b/cmd/crosstide-testbed/bench.go
@@ -20,7 +20,7 @@
 	commands = append(commands, &cli.Command{
 		Name:  "bench",
 		Usage: "measure a fleet at rising rates of no-op tasks",
-		Description: "drill bench --fleet DIR --rates 100,200,400 --tasks 5 --for 5s\n\n" +
+		Description: "crosstide-testbed bench --fleet DIR --rates 100,200,400 --tasks 5 --for 5s\n\n" +
 			"One load after another, each of no-op tasks; prints a table: jobs and starts per second, accept and start\n" +
 			"percentiles, tickets per sync of the store's leader, and processor time of the leader and of the holder of sched.",
 		Flags: []cli.Flag{dirFlag(),
--- a/cmd/drill/bundles.go
+++ b/cmd/crosstide-testbed/bundles.go
@@ -16,10 +16,10 @@
 	commands = append(commands, &cli.Command{
 		Name:  "bundles",
 		Usage: "let two operators change the bundle of a fleet again and again",
-		Description: "drill bundles --fleet DIR --for 60s [--seed 1]\n\n" +
+		Description: "crosstide-testbed bundles --fleet DIR --for 60s [--seed 1]\n\n" +
 			"The operators of DIR/keys write bundles that move the queue `default` between zones, race for the same base,\n" +
 			"sign, send orders again, read the bytes back and watch the roll-out. What they were told goes to\n" +
-			"DIR/journal/operator-bundles-*.jsonl for `drill audit`. Prints one JSON object; exit 1 if something was amiss.",
+			"DIR/journal/operator-bundles-*.jsonl for `crosstide-testbed audit`. Prints one JSON object; exit 1 if something was amiss.",
 		Flags: []cli.Flag{
 			dirFlag(),
 			&cli.DurationFlag{Name: "for", Value: time.Minute},
--- a/cmd/drill/churn.go
+++ b/cmd/crosstide-testbed/churn.go
@@ -29,7 +29,7 @@
 func init() {
 	commands = append(commands, &cli.Command{
 		Name: "churn", Usage: "a deployment's work with rolling faults and operators at work, then the audit",
-		Description: "drill churn --fleet DIR --profile lubra|mamlaka --for 5m [--seed 1]\n\n" +
+		Description: "crosstide-testbed churn --fleet DIR --profile lubra|mamlaka --for 5m [--seed 1]\n\n" +
 			"The work of the deployment; two operators who change bundles and race; and, one after the other at random:\n" +
 			"a node killed and started again, a node frozen, minions drained by order and by themselves, a zone\n" +
 			"evacuated and lifted, a mass of cancels. Prints one JSON object; the audit goes to the standard error.\n" +
--- a/cmd/drill/fleet.go
+++ b/cmd/crosstide-testbed/fleet.go
@@ -49,7 +49,7 @@
 			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "processes that share the hollow minions"},
 			&cli.StringFlag{Name: "profile", Usage: "a deployment at its own size, in place of the sizes: lubra or mamlaka"},
 			&cli.IntFlag{Name: "sick", Usage: "`N` of the minions end every run in a fault"},
-			&cli.BoolFlag{Name: "links", Usage: "a faulty link between any two nodes, for drill cut"},
+			&cli.BoolFlag{Name: "links", Usage: "a faulty link between any two nodes, for crosstide-testbed cut"},
 		},
 		Action: planFleet,
 	}
--- a/cmd/drill/freeze.go
+++ b/cmd/crosstide-testbed/freeze.go
@@ -21,7 +21,7 @@
 func init() {
 	commands = append(commands, &cli.Command{
 		Name: "freeze", Usage: "stop a process for a while, as a machine that hangs, and let it go on",
-		Description: "drill freeze --fleet DIR --node NAME --for 25s\n\n" +
+		Description: "crosstide-testbed freeze --fleet DIR --node NAME --for 25s\n\n" +
 			"SIGSTOP, then SIGCONT; also when this command is told to end. Journaled to DIR/journal/drill-freeze-NAME.jsonl.",
 		Flags: []cli.Flag{dirFlag(), &cli.StringFlag{Name: "node", Required: true}, &cli.DurationFlag{Name: "for", Required: true}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/drill/jobs.go
+++ b/cmd/crosstide-testbed/jobs.go
@@ -38,7 +38,7 @@
 	}
 	bin := cmd.String("bin")
 	if bin == "" {
-		bin = filepath.Dir(program("drill"))
+		bin = filepath.Dir(program("crosstide-testbed"))
 	}
 	plan, err := endtoend.MakePlan(dir, bin, endtoend.Size{Cplanes: cmd.Int("cplanes"), Dplanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
 	if err != nil {
--- a/cmd/drill/link.go
+++ b/cmd/crosstide-testbed/link.go
@@ -23,7 +23,7 @@
 	commands = append(commands,
 		&cli.Command{
 			Name: "link", Usage: "run the faulty links of a fleet; `scripts/fleet up --links` starts it",
-			Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` of drill plan", Required: true}},
+			Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` of crosstide-testbed plan", Required: true}},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
 				set, err := netproxy.Load(cmd.String("settings"))
 				if err != nil {
@@ -37,7 +37,7 @@
 		},
 		&cli.Command{
 			Name: "cut", Usage: "make the links to a node or a zone lose, slow down or hold back what they carry",
-			Description: "drill cut --fleet DIR (--node NAME|--zone Z) --for 25s [--silent|--oneway|--slow 300ms|--late]\n\n" +
+			Description: "crosstide-testbed cut --fleet DIR (--node NAME|--zone Z) --for 25s [--silent|--oneway|--slow 300ms|--late]\n\n" +
 				"Only the links between the node (or zone) and all others are touched; clients and operators still reach\n" +
 				"it. The cut heals by itself, this command does not wait for it. No connection is reset before it heals.\n" +
 				"With --late, held back orders of one that has gone on since arrive at the end: a minion that obeys late\n" +
--- a/cmd/drill/load.go
+++ b/cmd/crosstide-testbed/load.go
@@ -18,11 +18,11 @@
 	commands = append(commands, &cli.Command{
 		Name:  "load",
 		Usage: "offer jobs to a fleet at a rate and follow each to its end",
-		Description: "drill load --fleet DIR --rate 20 --for 20s [--seed 1]\n\n" +
+		Description: "crosstide-testbed load --fleet DIR --rate 20 --for 20s [--seed 1]\n\n" +
 			"An open loop: jobs arrive at random times (of the seed) whatever became of those before. Each is handed to\n" +
 			"a dplane; after a lost answer, 429 or 503 the same job goes to another one, as Retry-After says. Offers\n" +
 			"stop after --for; then it waits until every accepted job is over, --wait at most, and prints one JSON\n" +
-			"object. What was acknowledged goes to DIR/journal/consumer-PREFIX-N.jsonl for `drill audit`.",
+			"object. What was acknowledged goes to DIR/journal/consumer-PREFIX-N.jsonl for `crosstide-testbed audit`.",
 		Flags: append(loadFlags(), &cli.BoolFlag{Name: "all-done", Usage: "exit 1 unless all that was accepted is done"},
 			&cli.StringFlag{Name: "profile", Usage: "the work of a deployment, in place of one kind: lubra or mamlaka"},
 			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "of the profile's rates"}),
--- a/cmd/drill/main.go
+++ b/cmd/crosstide-testbed/main.go
@@ -1,4 +1,4 @@
-// Command drill is the rehearsal kit: stand-in minions and clients, faulty links, load, audits and drills.
+// Command crosstide-testbed is the rehearsal kit: stand-in minions and clients, faulty links, load, audits and drills.
 package main
 
 import (
@@ -14,12 +14,12 @@
 
 func main() {
 	root := &cli.Command{
-		Name:     "drill",
+		Name:     "crosstide-testbed",
 		Usage:    "rehearse a crosstide fleet on one machine",
 		Commands: commands,
 	}
 	if err := root.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "crosstide-testbed:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/drill/rehearse.go
+++ b/cmd/crosstide-testbed/rehearse.go
@@ -25,7 +25,7 @@
 func init() {
 	commands = append(commands, &cli.Command{
 		Name: "rehearse", Usage: "blow after blow on a running fleet under load, each followed by an audit",
-		Description: "drill rehearse --fleet DIR [--only a,b,c]\n\n" + scenesText() + "\n" +
+		Description: "crosstide-testbed rehearse --fleet DIR [--only a,b,c]\n\n" + scenesText() + "\n" +
 			"A line per case: held, or broken with what is broken below it. accept A/B and start A/B: seconds from the\n" +
 			"blow to the first yes to a job handed in after it (the first start), and the longest time without a yes\n" +
 			"(without a start) until the offers end. ready: seconds from the load's end until every node is ready.\n" +
@@ -83,7 +83,7 @@
 	}
 	script := cmd.String("script")
 	if script == "" {
-		script = filepath.Join(filepath.Dir(program("drill")), "..", "scripts", "fleet")
+		script = filepath.Join(filepath.Dir(program("crosstide-testbed")), "..", "scripts", "fleet")
 	}
 	return stage{dir: dir, script: script, nodes: nodes, caller: fleet.NewCaller(16)}, nil
 }
--- a/cmd/drill/scale.go
+++ b/cmd/crosstide-testbed/scale.go
@@ -18,7 +18,7 @@
 	commands = append(commands,
 		&cli.Command{
 			Name: "scale", Usage: "measure what each role of a fleet costs, step by step; scripts/scale sweeps over sizes",
-			Description: "drill scale --fleet DIR --csv FILE [--running 30000] --rate 0 --rate 200 --rate 400\n\n" +
+			Description: "crosstide-testbed scale --fleet DIR --csv FILE [--running 30000] --rate 0 --rate 200 --rate 400\n\n" +
 				"Appends one line for each role and step: processor time and memory from /proc of the processes in DIR/pids,\n" +
 				"messages, bytes and syncs from their /metrics. Ends early at a step that fails; its note says why.",
 			Flags: []cli.Flag{dirFlag(),
@@ -35,7 +35,7 @@
 			Action: runScale,
 		},
 		&cli.Command{
-			Name: "plot", Usage: "draw a PNG of what drill scale has measured, and print the slopes at idle",
+			Name: "plot", Usage: "draw a PNG of what crosstide-testbed scale has measured, and print the slopes at idle",
 			Flags: []cli.Flag{&cli.StringFlag{Name: "csv", Required: true}, &cli.StringFlag{Name: "png", Required: true}},
 			Action: func(_ context.Context, cmd *cli.Command) error {
 				rows, err := scale.Load(cmd.String("csv"))
--- a/cmd/drill/scenes.go
+++ b/cmd/crosstide-testbed/scenes.go
@@ -173,7 +173,7 @@
 			}
 		}
 	}
-	for _, name := range []string{"cplane", "dplane"} {
+	for _, name := range []string{"crosstide-controlplane", "crosstide-dataplane"} {
 		if err := s.mistakes(ctx, name); err != nil {
 			return errs.Pass(err, "settings of a %s", name)
 		}
@@ -278,7 +278,7 @@
 
 // mistakes has a program check settings with three mistakes: it must exit 1 and name all three.
 func (s *stage) mistakes(ctx context.Context, name string) error {
-	of := map[string]string{"cplane": s.nodes.CPlanes[0].Name, "dplane": s.nodes.DPlanes[0].Name}[name]
+	of := map[string]string{"crosstide-controlplane": s.nodes.CPlanes[0].Name, "crosstide-dataplane": s.nodes.DPlanes[0].Name}[name]
 	raw, err := os.ReadFile(filepath.Join(s.dir, "settings", of+".json"))
 	if err != nil {
 		return errs.Wrap(err, errs.Disk, "settings of %s", of)
--- a/cmd/drill/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -19,7 +19,7 @@
 	commands = append(commands, &cli.Command{
 		Name:  "sim",
 		Usage: "run a whole fleet in the deterministic simulator",
-		Description: "drill sim --seeds A..B [--for D] [--pace D] [--faults LIST] [--break GUARD] [--parties]\ndrill sim --seed N --trace\n\n" +
+		Description: "crosstide-testbed sim --seeds A..B [--for D] [--pace D] [--faults LIST] [--break GUARD] [--parties]\ncrosstide-testbed sim --seed N --trace\n\n" +
 			"Each seed is a fleet of 5 cplanes, 3 dplanes and 6 minions under its own faults, on one thread. Prints the\n" +
 			"cases seen of every promise and fault. Exit 1 if a promise is broken, or one was not exercised; with --break\n" +
 			"exit 1 if no seed found the missing guard.\n\nfaults: " + strings.Join(policysim.Faults, " ") + "\nguards: " + strings.Join(policysim.Breaks, " "),
--- a/cmd/drill/zone.go
+++ b/cmd/crosstide-testbed/zone.go
@@ -21,7 +21,7 @@
 	commands = append(commands, &cli.Command{
 		Name:  "zone",
 		Usage: "take a zone out under load, then audit",
-		Description: "drill zone --fleet DIR --zone z1 --how kill [--after 8s, and the flags of drill load]\n\n" +
+		Description: "crosstide-testbed zone --fleet DIR --zone z1 --how kill [--after 8s, and the flags of crosstide-testbed load]\n\n" +
 			"Starts the load and takes the zone out after --after: kill sends SIGKILL to its processes, which stay down\n" +
 			"(`scripts/fleet restart DIR NAME` brings one back); for the time of --out, freeze stops its processes, cut\n" +
 			"silences the links to it (the fleet must have links), evacuate gives the operators' order, which is lifted\n" +
--- a/internal/lint/lint_test.go
+++ b/internal/lint/lint_test.go
@@ -37,7 +37,7 @@
 			{"internal/a/a.go", `var fault int`, "name"},
 			{"internal/a/a.go", `const HTTPFaults_2 = "" // two of them`, "name"},
 			{"internal/testbed/a/a.go", `var fault int`, ""},
-			{"cmd/drill/a.go", `var fault int`, ""},
+			{"cmd/crosstide-testbed/a.go", `var fault int`, ""},
 			{"internal/testbed/a/a.go", `var ticket int`, "name"},
 			{"internal/a/charter.go", `var x int`, "name"},
 			{"internal/a/charterhouse.go", `var x int`, ""},
--- a/internal/lint/names.go
+++ b/internal/lint/names.go
@@ -24,7 +24,7 @@
 }
 
 // faultDirs are the folders in which "fault" is the field's own term: a failure that a test injects.
-var injectionDirs = []string{"internal/testbed", "cmd/drill"}
+var injectionDirs = []string{"internal/testbed", "cmd/crosstide-testbed"}
 
 // checkNames reports each withdrawn word in a name that the file declares, in the package's name and in the
 // file's own name. Names that are only used are not reported: they are reported where they are declared, or
--- a/internal/store/found.go
+++ b/internal/store/found.go
@@ -348,7 +348,7 @@
 		first := func(m config.Member) bool { return m.ID == name }
 		if !slices.ContainsFunc(st.Members, known) && !slices.ContainsFunc(s.set.Members, first) {
 			return internalapi.JoinAnswer{}, errs.Field(errs.Forbidden, "name",
-				"no member is named %s; an operator says whom it replaces: cplane member replace OLD %s", name, name)
+				"no member is named %s; an operator says whom it replaces: crosstide-controlplane member replace OLD %s", name, name)
 		}
 	}
 	out := internalapi.JoinAnswer{Again: askEvery, Members: addressesOf(st.Members)}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -481,7 +481,7 @@
 			_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: fresh.id, Name: "c9", Addr: "c9"})
 			return errs.Is(err, errs.Forbidden)
 		})
-		So(err.Error(), ShouldContainSubstring, "cplane member replace OLD c9")
+		So(err.Error(), ShouldContainSubstring, "crosstide-controlplane member replace OLD c9")
 		r.call(func(ctx context.Context) {
 			_, err = lead.Order(ctx, &command.Succeed{Order: "o", Old: gone, New: "c9"})
 		})
--- a/internal/testbed/endtoend/processes.go
+++ b/internal/testbed/endtoend/processes.go
@@ -141,7 +141,7 @@
 		for _, other := range members {
 			set.Members = append(set.Members, memberJSON(other))
 		}
-		p.add(m.ID, "cplane", "jobs", "run", "--settings", p.write(set))
+		p.add(m.ID, "crosstide-controlplane", "jobs", "run", "--settings", p.write(set))
 	}
 }
 
@@ -149,7 +149,7 @@
 	for i := range count {
 		set := nodeSettings{Name: fmt.Sprintf("d%d", i+1), Zone: zone(i), Region: "local", Addr: p.address(), Core: p.core, Grace: "1s"}
 		p.plan.Fronts = append(p.plan.Fronts, set.Addr)
-		p.add(set.Name, "dplane", "jobs", "run", "--settings", p.write(set))
+		p.add(set.Name, "crosstide-dataplane", "jobs", "run", "--settings", p.write(set))
 	}
 }
 
@@ -161,7 +161,7 @@
 		for _, label := range s.Labels {
 			args = append(args, "--label", label)
 		}
-		p.add(s.Name, "drill", args...)
+		p.add(s.Name, "crosstide-testbed", args...)
 	}
 }
 
--- a/internal/testbed/endtoend/processes_test.go
+++ b/internal/testbed/endtoend/processes_test.go
@@ -23,12 +23,12 @@
 			names = append(names, line.Name)
 			settings := filepath.Join(dir, "settings", line.Name+".json")
 			switch filepath.Base(line.Args[0]) {
-			case "cplane":
+			case "crosstide-controlplane":
 				set, err := config.LoadJobsCore(settings)
 				So(err, ShouldBeNil)
 				So(slices.Contains(plan.Control, set.Control), ShouldBeTrue)
 				So([]any{plan.Inner[set.Addr], len(set.Members)}, ShouldResemble, []any{line.Name, 3})
-			case "dplane":
+			case "crosstide-dataplane":
 				set, err := config.LoadJobsFront(settings)
 				So(err, ShouldBeNil)
 				So(slices.Contains(plan.Fronts, set.Addr), ShouldBeTrue)
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -269,7 +269,7 @@
 	set := netproxy.Settings{Control: "127.0.0.1:" + strconv.Itoa(ports[0]), Journal: p.dir + "/journal/drill-cut.jsonl"}
 	set.Ways, p.via = Lace(p.nodes, ports[1:])
 	p.nodes.Link, p.files["settings/link.json"] = set.Control, set
-	fmt.Fprintf(&p.start, "link %s/drill link --settings %s/settings/link.json\n", p.shape.Bin, p.dir)
+	fmt.Fprintf(&p.start, "link %s/crosstide-testbed link --settings %s/settings/link.json\n", p.shape.Bin, p.dir)
 }
 
 // addPlanes plans the cplanes and the dplanes.
@@ -280,11 +280,11 @@
 		members, core = append(members, member{c.Name, c.Addr, c.Zone}), append(core, c.Addr)
 	}
 	for _, c := range p.nodes.CPlanes {
-		p.addDaemon("cplane", settings{Name: c.Name, Zone: c.Zone, Region: "local", Addr: c.Addr, Seeds: seeds(c, core),
+		p.addDaemon("crosstide-controlplane", settings{Name: c.Name, Zone: c.Zone, Region: "local", Addr: c.Addr, Seeds: seeds(c, core),
 			Data: filepath.Join(p.dir, "data", c.Name), Members: members, Operators: operators, Via: p.via[c.Name]})
 	}
 	for _, d := range p.nodes.DPlanes {
-		p.addDaemon("dplane", settings{Name: d.Name, Zone: d.Zone, Region: "local", Addr: d.Addr, Seeds: seeds(d, core),
+		p.addDaemon("crosstide-dataplane", settings{Name: d.Name, Zone: d.Zone, Region: "local", Addr: d.Addr, Seeds: seeds(d, core),
 			Core: core, Via: p.via[d.Name]})
 	}
 }
@@ -318,7 +318,7 @@
 	for _, d := range p.nodes.DPlanes {
 		front = append(front, d.Addr)
 	}
-	fmt.Fprintf(&p.start, "%s %s/drill minion --name %s --addr %s --kind %s --zone %s --rack %s --cores %d"+
+	fmt.Fprintf(&p.start, "%s %s/crosstide-testbed minion --name %s --addr %s --kind %s --zone %s --rack %s --cores %d"+
 		" --dplanes %s --journal %s/journal/%s.jsonl", m.Name, p.shape.Bin, m.Name, m.Addr, m.Kind, m.Zone, m.Rack,
 		m.Cores, strings.Join(front, ","), p.dir, m.Name)
 	if m.GPUs > 0 {
