--- /dev/null
+++ b/internal/api/golden_test.go
@@ -0,0 +1,46 @@
+package api
+
+import (
+	"testing"
+
+	"crosstide/internal/rpc"
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		pair(Shuffle),
+		pair(Rollout),
+		pair(Hold),
+		pair(Minions),
+		pair(Quorum),
+		pair(Propose),
+		pair(Confirm),
+		pair(Follow),
+		pair(Chunk),
+		pair(Duty),
+		pair(Status),
+		pair(Found),
+		pair(Join),
+		golden.Shape("account create call", AccountCreateCall{}),
+		golden.Shape("top up call", TopUpCall{}),
+		golden.Shape("account view", AccountView{}),
+		golden.Shape("accounts answer", AccountsAnswer{}),
+		golden.Shape("ledger answer", LedgerAnswer{}),
+		golden.Shape("lack", Lack{}),
+		golden.Shape("snapshot", Snapshot{}),
+		golden.Shape("start order", StartOrder{}),
+		golden.Shape("stop order", StopOrder{}),
+		golden.Shape("end note", EndNote{}),
+		golden.Shape("refuse note", RefuseNote{}),
+		golden.Shape("node bundle", NodeBundle{}),
+	)
+}
+
+// pair is the shapes of a call and of its answer, under the call's path.
+func pair[C, A any](p rpc.Pair[C, A]) string {
+	var call C
+	var answer A
+	return golden.Shape(p.Path+" call", call) + "\n" + golden.Shape(p.Path+" answer", answer)
+}
--- /dev/null
+++ b/internal/bundle/golden_test.go
@@ -0,0 +1,16 @@
+package bundle
+
+import (
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("change", Change{}),
+		golden.Filled("change", Change{}),
+		golden.Keys(t, "keys read", "."),
+	)
+}
--- /dev/null
+++ b/internal/clientapi/golden_test.go
@@ -0,0 +1,16 @@
+package clientapi
+
+import (
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("accepted", Accepted{}),
+		golden.Shape("listing", Listing{}),
+		golden.Keys(t, "keys read", "."),
+	)
+}
--- /dev/null
+++ b/internal/controller/golden_test.go
@@ -0,0 +1,41 @@
+package controller
+
+import (
+	"testing"
+
+	"crosstide/internal/rpc"
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		pair(ShowPair),
+		pair(CancelPair),
+		pair(ListPair),
+		pair(QueuesPair),
+		pair(WorkersPair),
+		pair(SubmitPair),
+		pair(JobPair),
+		pair(CountPair),
+		pair(BeatPair),
+		pair(ConfigPair),
+		pair(ConfigurePair),
+		pair(EvacuatePair),
+		pair(TopologyPair),
+		golden.Shape("locate", Locate{}),
+		golden.Shape("step view", StepView{}),
+		golden.Shape("job view", JobView{}),
+		golden.Shape("job summary", JobSummary{}),
+		golden.Shape("queue view", QueueView{}),
+		golden.Shape("worker view", WorkerView{}),
+		golden.Shape("beat orders", BeatOrders{}),
+	)
+}
+
+// pair is the shapes of a call and of its answer, under the call's path.
+func pair[C, A any](p rpc.Pair[C, A]) string {
+	var call C
+	var answer A
+	return golden.Shape(p.Path+" call", call) + "\n" + golden.Shape(p.Path+" answer", answer)
+}
--- /dev/null
+++ b/internal/dataplane/golden_test.go
@@ -0,0 +1,14 @@
+package dataplane
+
+import (
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("bundle", Bundle{}),
+	)
+}
--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,17 @@
+package membership
+
+import (
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("note", Note{}),
+		golden.Shape("message", Message{}),
+		golden.Shape("seen", Seen{}),
+		golden.Filled("message", Message{}),
+	)
+}
--- /dev/null
+++ b/internal/operator/golden_test.go
@@ -0,0 +1,23 @@
+package operator
+
+import (
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("signing", Signing{}),
+		golden.Shape("log", Log{}),
+		golden.Shape("difference", Difference{}),
+		golden.Shape("zones", Zones{}),
+		golden.Shape("rollout", Rollout{}),
+		golden.Shape("node rollout", NodeRollout{}),
+		golden.Shape("order", Order{}),
+		golden.Shape("minions", Minions{}),
+		golden.Shape("who", Who{}),
+		golden.Keys(t, "keys read", "."),
+	)
+}
--- /dev/null
+++ b/internal/state/query/golden_test.go
@@ -0,0 +1,17 @@
+package query
+
+import (
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("zone view", ZoneView{}),
+		golden.Shape("job view", JobView{}),
+		golden.Shape("step view", StepView{}),
+		golden.Shape("minion view", MinionView{}),
+	)
+}
