--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -39,3 +39,8 @@
 	var answer A
 	return golden.Shape(p.Path+" call", call) + "\n" + golden.Shape(p.Path+" answer", answer)
 }
+
+// TestGoldenMetrics pins names, help texts and labels of metrics.
+func TestGoldenMetrics(t *testing.T) {
+	golden.Compare(t, "metrics", golden.Metrics("jobs", NewMetrics(nil)))
+}
--- a/internal/dataplane/golden_test.go
+++ b/internal/dataplane/golden_test.go
@@ -12,3 +12,8 @@
 		golden.Shape("bundle", Bundle{}),
 	)
 }
+
+// TestGoldenMetrics pins names, help texts and labels of metrics.
+func TestGoldenMetrics(t *testing.T) {
+	golden.Compare(t, "metrics", golden.Metrics("front node", NewMeter(nil)))
+}
--- a/internal/lint/golden_test.go
+++ b/internal/lint/golden_test.go
@@ -16,3 +16,23 @@
 	}
 	golden.Compare(t, "routes", parts...)
 }
+
+// TestGoldenMetrics pins the literals of names of metrics, whole or the part before what is joined to them. What the
+// collectors describe, with labels, is pinned in their packages.
+func TestGoldenMetrics(t *testing.T) {
+	const pattern = `^crosstide_[a-z_]+$`
+	golden.Compare(t, "metrics",
+		golden.Literals(t, "internal", "../../internal", pattern),
+		golden.Literals(t, "cmd", "../../cmd", pattern),
+		golden.Literals(t, "platform", "../../platform", pattern),
+	)
+}
+
+// TestGoldenLogLines pins the keys and messages of log lines.
+func TestGoldenLogLines(t *testing.T) {
+	golden.Compare(t, "loglines",
+		golden.LogLines(t, "internal", "../../internal"),
+		golden.LogLines(t, "cmd", "../../cmd"),
+		golden.LogLines(t, "platform", "../../platform"),
+	)
+}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/testbed/golden"
 )
 
@@ -15,3 +16,10 @@
 		golden.Filled("message", Message{}),
 	)
 }
+
+// TestGoldenMetrics pins names, help texts and labels of metrics.
+func TestGoldenMetrics(t *testing.T) {
+	var kept golden.Registry
+	NewNode(Options{Clock: &clock.Virtual{}, Registry: &kept})
+	golden.Compare(t, "metrics", golden.Metrics("membership", kept.Collectors...))
+}
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -13,3 +13,10 @@
 		golden.Filled("error body", errorBody{}),
 	)
 }
+
+// TestGoldenMetrics pins names, help texts and labels of metrics.
+func TestGoldenMetrics(t *testing.T) {
+	var kept golden.Registry
+	newMeter("server", &kept)
+	golden.Compare(t, "metrics", golden.Metrics("rpc", append(kept.Collectors, NewBudgetMetrics(nil))...))
+}
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -393,6 +393,19 @@
 	return Lines(label, sorted(found)...)
 }
 
+// Descs makes a collector for Metrics of descriptions, of a real one that tells none in advance.
+type Descs []*prometheus.Desc
+
+// Describe tells them.
+func (d Descs) Describe(to chan<- *prometheus.Desc) {
+	for _, one := range d {
+		to <- one
+	}
+}
+
+// Collect tells nothing.
+func (d Descs) Collect(chan<- prometheus.Metric) {}
+
 // Registry is a prometheus.Registerer that keeps what is registered, for Metrics.
 type Registry struct{ Collectors []prometheus.Collector }
 
@@ -407,3 +420,30 @@
 
 // Unregister keeps them.
 func (r *Registry) Unregister(prometheus.Collector) bool { return false }
+
+// LogLines lists what stands in the calls x.Log(...) of the code under root, sorted: string literals as they are, other
+// arguments as "_". So the keys and messages of log lines are pinned, not how often they stand in the code.
+func LogLines(t *testing.T, label, root string) string {
+	t.Helper()
+	found := map[string]bool{}
+	each(t, root, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		if f, ok := call.Fun.(*ast.SelectorExpr); !ok || f.Sel.Name != "Log" {
+			return true
+		}
+		var words []string
+		for _, arg := range call.Args {
+			word := "_"
+			if lit, ok := arg.(*ast.BasicLit); ok && lit.Kind == token.STRING {
+				word = lit.Value
+			}
+			words = append(words, word)
+		}
+		found[strings.Join(words, " ")] = true
+		return true
+	})
+	return Lines(label, sorted(found)...)
+}
