--- a/internal/account/golden_test.go
+++ b/internal/account/golden_test.go
@@ -1,6 +1,7 @@
 package account
 
 import (
+	"fmt"
 	"testing"
 
 	"crosstide/internal/testbed/golden"
@@ -24,3 +25,13 @@
 		golden.Filled("checkpoint", Checkpoint{}),
 	)
 }
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("ledger entries",
+			fmt.Sprintf("top up = %#v", string(EntryTopUp)),
+			fmt.Sprintf("draw = %#v", string(EntryDraw)),
+		),
+	)
+}
--- a/internal/errs/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -1,6 +1,8 @@
 package errs
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 
 	"crosstide/internal/testbed/golden"
@@ -12,3 +14,14 @@
 		golden.Shape("error", Error{}),
 	)
 }
+
+// TestGoldenEnums pins every kind of error with its answer over HTTP.
+func TestGoldenEnums(t *testing.T) {
+	var lines []string
+	for _, k := range append(Kinds(), "no such kind") {
+		r := ReplyOf(k)
+		lines = append(lines, fmt.Sprintf("%s: status %d, retry after %s, again %t", k, r.Status, r.After, r.Again))
+	}
+	slices.Sort(lines)
+	golden.Compare(t, "enums", golden.Lines("kinds of errors", lines...))
+}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -1,6 +1,7 @@
 package jobs
 
 import (
+	"fmt"
 	"testing"
 
 	"crosstide/internal/testbed/golden"
@@ -39,3 +40,25 @@
 		golden.Filled("set parties", SetParties{}),
 	)
 }
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("job states",
+			fmt.Sprintf("queued = %#v", string(Queued)),
+			fmt.Sprintf("running = %#v", string(Running)),
+			fmt.Sprintf("succeeded = %#v", string(Succeeded)),
+			fmt.Sprintf("failed = %#v", string(Failed)),
+			fmt.Sprintf("cancelled = %#v", string(Cancelled)),
+		),
+		golden.Lines("ends of runs",
+			fmt.Sprintf("done = %#v", string(EndDone)),
+			fmt.Sprintf("failed = %#v", string(EndFailed)),
+			fmt.Sprintf("stopped = %#v", string(EndStopped)),
+			fmt.Sprintf("lapsed = %#v", string(EndLapsed)),
+			fmt.Sprintf("broken = %#v", string(EndBroken)),
+			fmt.Sprintf("alone = %#v", string(EndAlone)),
+			fmt.Sprintf("lost = %#v", string(EndLost)),
+		),
+	)
+}
--- a/internal/lint/golden_test.go
+++ b/internal/lint/golden_test.go
@@ -36,3 +36,12 @@
 		golden.LogLines(t, "platform", "../../platform"),
 	)
 }
+
+// TestGoldenConstants pins the values of string constants: states, phases, kinds, names of fields.
+func TestGoldenConstants(t *testing.T) {
+	golden.Compare(t, "constants",
+		golden.Constants(t, "internal", "../../internal"),
+		golden.Constants(t, "cmd", "../../cmd"),
+		golden.Constants(t, "platform", "../../platform"),
+	)
+}
--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -1,6 +1,7 @@
 package quorum
 
 import (
+	"fmt"
 	"testing"
 
 	"crosstide/internal/testbed/golden"
@@ -22,3 +23,31 @@
 		golden.Filled("message", Message{}),
 	)
 }
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("roles",
+			fmt.Sprintf("follower = %#v", string(Follower)),
+			fmt.Sprintf("pre candidate = %#v", string(PreCandidate)),
+			fmt.Sprintf("candidate = %#v", string(Candidate)),
+			fmt.Sprintf("leader = %#v", string(Leader)),
+		),
+		golden.Lines("messages",
+			fmt.Sprintf("pre vote = %#v", string(PreVote)),
+			fmt.Sprintf("pre vote reply = %#v", string(PreVoteReply)),
+			fmt.Sprintf("vote = %#v", string(Vote)),
+			fmt.Sprintf("vote reply = %#v", string(VoteReply)),
+			fmt.Sprintf("append = %#v", string(Append)),
+			fmt.Sprintf("append reply = %#v", string(AppendReply)),
+			fmt.Sprintf("snapshot = %#v", string(Snapshot)),
+			fmt.Sprintf("snapshot reply = %#v", string(SnapshotReply)),
+			fmt.Sprintf("handover now = %#v", string(HandoverNow)),
+		),
+		golden.Lines("entries",
+			fmt.Sprintf("normal = %#v", int(Normal)),
+			fmt.Sprintf("noop = %#v", int(Noop)),
+			fmt.Sprintf("members = %#v", int(Members)),
+		),
+	)
+}
--- /dev/null
+++ b/internal/sched/golden_test.go
@@ -0,0 +1,18 @@
+package sched
+
+import (
+	"fmt"
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("phases",
+			fmt.Sprintf("idle = %#v", string(Idle)),
+			fmt.Sprintf("ready = %#v", string(Ready)),
+		),
+	)
+}
--- /dev/null
+++ b/internal/scheduler/golden_test.go
@@ -0,0 +1,32 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("refusals of starts",
+			fmt.Sprintf("fence = %#v", string(RefusedFence)),
+			fmt.Sprintf("old = %#v", string(RefusedOld)),
+			fmt.Sprintf("late = %#v", string(RefusedLate)),
+			fmt.Sprintf("room = %#v", string(RefusedRoom)),
+			fmt.Sprintf("invalid = %#v", string(RefusedInvalid)),
+			fmt.Sprintf("unhealthy = %#v", string(RefusedUnhealthy)),
+		),
+		golden.Lines("causes of discarded work",
+			fmt.Sprintf("job over = %#v", string(CauseJobOver)),
+			fmt.Sprintf("preempted = %#v", string(CausePreempted)),
+			fmt.Sprintf("moved = %#v", string(CauseMoved)),
+			fmt.Sprintf("gang = %#v", string(CauseGang)),
+			fmt.Sprintf("unanswered = %#v", string(CauseUnanswered)),
+			fmt.Sprintf("lapsed = %#v", string(CauseLapsed)),
+			fmt.Sprintf("lost = %#v", string(CauseLost)),
+			fmt.Sprintf("alone = %#v", string(CauseAlone)),
+		),
+	)
+}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -1,6 +1,7 @@
 package state
 
 import (
+	"fmt"
 	"testing"
 
 	"crosstide/internal/testbed/golden"
@@ -31,3 +32,33 @@
 		golden.Filled("state", State{}),
 	)
 }
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("job phases",
+			fmt.Sprintf("accepted = %#v", string(JobAccepted)),
+			fmt.Sprintf("running = %#v", string(JobRunning)),
+			fmt.Sprintf("stopping = %#v", string(JobStopping)),
+			fmt.Sprintf("done = %#v", string(JobDone)),
+			fmt.Sprintf("failed = %#v", string(JobFailed)),
+			fmt.Sprintf("cancelled = %#v", string(JobCancelled)),
+		),
+		golden.Lines("task phases",
+			fmt.Sprintf("waiting = %#v", string(TaskWaiting)),
+			fmt.Sprintf("due = %#v", string(TaskDue)),
+			fmt.Sprintf("held = %#v", string(TaskHeld)),
+			fmt.Sprintf("running = %#v", string(TaskRunning)),
+			fmt.Sprintf("doubtful = %#v", string(TaskDoubtful)),
+			fmt.Sprintf("done = %#v", string(TaskDone)),
+			fmt.Sprintf("spent = %#v", string(TaskSpent)),
+			fmt.Sprintf("skipped = %#v", string(TaskSkipped)),
+		),
+		golden.Lines("revision phases",
+			fmt.Sprintf("draft = %#v", string(RevisionDraft)),
+			fmt.Sprintf("signed = %#v", string(RevisionSigned)),
+			fmt.Sprintf("force = %#v", string(RevisionForce)),
+			fmt.Sprintf("replaced = %#v", string(RevisionReplaced)),
+		),
+	)
+}
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -447,3 +447,37 @@
 	})
 	return Lines(label, sorted(found)...)
 }
+
+// Constants lists the string constants of the code under root: one line for each type of its own, its values in the
+// order of the code, and one line for each value of the others. The lines are sorted and bear no names.
+func Constants(t *testing.T, label, root string) string {
+	t.Helper()
+	found := map[string]bool{}
+	visit := func(n ast.Node) bool {
+		decl, ok := n.(*ast.GenDecl)
+		if !ok || decl.Tok != token.CONST {
+			return true
+		}
+		typed := map[string][]string{}
+		for _, spec := range decl.Specs {
+			value := spec.(*ast.ValueSpec)
+			for _, v := range value.Values {
+				lit, ok := v.(*ast.BasicLit)
+				switch {
+				case !ok || lit.Kind != token.STRING:
+				case value.Type == nil:
+					found["value "+lit.Value] = true
+				default:
+					name := fmt.Sprint(value.Type)
+					typed[name] = append(typed[name], lit.Value)
+				}
+			}
+		}
+		for _, values := range typed {
+			found["type "+strings.Join(values, " ")] = true
+		}
+		return true
+	}
+	each(t, root, visit)
+	return Lines(label, sorted(found)...)
+}
