--- /dev/null
+++ b/internal/account/golden_test.go
@@ -0,0 +1,37 @@
+package account
+
+import (
+	"fmt"
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("account", Account{}),
+		golden.Shape("top up", TopUp{}),
+		golden.Shape("reservation", Reservation{}),
+		golden.Shape("book", Book{}),
+		golden.Shape("entry", Entry{}),
+		golden.Shape("checkpoint", Checkpoint{}),
+		golden.Shape("ledger", Ledger{}),
+		golden.Shape("price", Price{}),
+		golden.Filled("ledger", Ledger{}),
+		golden.Filled("book", Book{}),
+		golden.Filled("price", Price{}),
+		golden.Filled("entry", Entry{}),
+		golden.Filled("checkpoint", Checkpoint{}),
+	)
+}
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("ledger entries",
+			fmt.Sprintf("top up = %#v", string(EntryTopUp)),
+			fmt.Sprintf("draw = %#v", string(EntryDraw)),
+		),
+	)
+}
--- /dev/null
+++ b/internal/raft/golden_test.go
@@ -0,0 +1,53 @@
+package quorum
+
+import (
+	"fmt"
+	"testing"
+
+	"crosstide/internal/testbed/golden"
+)
+
+// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+func TestGoldenWire(t *testing.T) {
+	golden.Compare(t, "wire",
+		golden.Shape("member", Member{}),
+		golden.Shape("entry", Entry{}),
+		golden.Shape("hard", Hard{}),
+		golden.Shape("meta", Meta{}),
+		golden.Shape("message", Message{}),
+		golden.Shape("status", Status{}),
+		golden.Filled("member", Member{}),
+		golden.Filled("entry", Entry{}),
+		golden.Filled("hard", Hard{}),
+		golden.Filled("meta", Meta{}),
+		golden.Filled("message", Message{}),
+	)
+}
+
+// TestGoldenEnums pins what stands for each value on the wire and on disk.
+func TestGoldenEnums(t *testing.T) {
+	golden.Compare(t, "enums",
+		golden.Lines("roles",
+			fmt.Sprintf("follower = %#v", string(Follower)),
+			fmt.Sprintf("pre candidate = %#v", string(PreCandidate)),
+			fmt.Sprintf("candidate = %#v", string(Candidate)),
+			fmt.Sprintf("leader = %#v", string(Leader)),
+		),
+		golden.Lines("messages",
+			fmt.Sprintf("pre vote = %#v", string(PreVote)),
+			fmt.Sprintf("pre vote reply = %#v", string(PreVoteReply)),
+			fmt.Sprintf("vote = %#v", string(Vote)),
+			fmt.Sprintf("vote reply = %#v", string(VoteReply)),
+			fmt.Sprintf("append = %#v", string(Append)),
+			fmt.Sprintf("append reply = %#v", string(AppendReply)),
+			fmt.Sprintf("snapshot = %#v", string(Snapshot)),
+			fmt.Sprintf("snapshot reply = %#v", string(SnapshotReply)),
+			fmt.Sprintf("handover now = %#v", string(HandoverNow)),
+		),
+		golden.Lines("entries",
+			fmt.Sprintf("normal = %#v", int(Normal)),
+			fmt.Sprintf("noop = %#v", int(Noop)),
+			fmt.Sprintf("members = %#v", int(Members)),
+		),
+	)
+}
