--- a/internal/dataplane/scheduler/golden_test.go
+++ b/internal/dataplane/scheduler/golden_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
--- a/internal/httpapi/operatorapi/golden_test.go
+++ b/internal/httpapi/operatorapi/golden_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorapi
 
 import (
 	"testing"
--- a/internal/internalapi/golden_test.go
+++ b/internal/internalapi/golden_test.go
@@ -1,4 +1,4 @@
-package api
+package internalapi
 
 import (
 	"testing"
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 import (
 	"fmt"
--- a/internal/testbed/jobssim/histories_test.go
+++ b/internal/testbed/jobssim/histories_test.go
@@ -1,4 +1,4 @@
-package fleetsim
+package jobssim
 
 import (
 	"crypto/sha256"
--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -1,4 +1,4 @@
-package sim
+package policysim
 
 import (
 	"crypto/sha256"
