--- a/cmd/crosstide-controlplane/run.go
+++ b/cmd/crosstide-controlplane/run.go
@@ -77,7 +77,7 @@
 			members.Start(context.Background())
 		},
 		Leave: func(leave context.Context) {
-			s.Handover(leave)
+			s.TransferLeadership(leave)
 			members.Stop(leave)
 		},
 		Stop: s.Stop,
@@ -98,7 +98,7 @@
 		return nil, errs.Pass(err, "folder")
 	}
 	opt.Disk = disk
-	s, err := store.OpenWhenRoom(ctx, opt)
+	s, err := store.OpenWhenDiskHasSpace(ctx, opt)
 	if !errs.Is(err, errs.Damaged) {
 		return s, errs.Pass(err, "store")
 	}
@@ -107,7 +107,7 @@
 		if err := store.Discard(disk); err != nil {
 			return nil, errs.Pass(err, "discard the damaged folder")
 		}
-		s, err = store.OpenWhenRoom(ctx, opt)
+		s, err = store.OpenWhenDiskHasSpace(ctx, opt)
 		return s, errs.Pass(err, "store")
 	}
 	aside := dir + ".damaged-" + clock.Real{}.Wall().UTC().Format("20060102T150405")
@@ -119,7 +119,7 @@
 		return nil, errs.Pass(err, "folder")
 	}
 	opt.Damaged = true
-	s, err = store.OpenWhenRoom(ctx, opt)
+	s, err = store.OpenWhenDiskHasSpace(ctx, opt)
 	return s, errs.Pass(err, "store")
 }
 
--- a/cmd/crosstide-controlplane/run_test.go
+++ b/cmd/crosstide-controlplane/run_test.go
@@ -44,7 +44,7 @@
 			set.Members = []config.Member{{ID: "10.0.0.1", Addr: "10.0.0.1:7000", Zone: "a"}}
 			s, err := openStore(store.Options{Settings: set, Fatal: func(error) {}, Registry: prometheus.NewRegistry()})
 			So(err, ShouldBeNil)
-			a := s.Found(internalapi.FoundCall{})
+			a := s.BootstrapStatus(internalapi.FoundCall{})
 			So(a.Fresh, ShouldBeFalse)
 			So(a.ID, ShouldStartWith, "10.0.0.1~")
 			s.Stop()
@@ -60,7 +60,7 @@
 			}
 			s, err = openStore(store.Options{Settings: set, Fatal: func(error) {}})
 			So(err, ShouldBeNil)
-			So(s.Found(internalapi.FoundCall{}).ID, ShouldEqual, a.ID)
+			So(s.BootstrapStatus(internalapi.FoundCall{}).ID, ShouldEqual, a.ID)
 			s.Stop()
 		})
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -25,17 +25,17 @@
 type Store interface {
 	// View lets read look at the live state under the store's lock.
 	View(read func(*state.State))
-	// LeadTerm gives the term in which this node leads; held tells that the leader's lease is in force at now and
+	// LeaderTerm gives the term in which this node leads; held tells that the leader's lease is in force at now and
 	// that everything committed before is applied here.
-	LeadTerm(now time.Duration) (term uint64, held bool)
+	LeaderTerm(now time.Duration) (term uint64, held bool)
 	// ProposeIn commits a command under a term and applies it.
 	ProposeIn(ctx context.Context, term uint64, c command.Command) (index uint64, answer any, err error)
 	// Changed gives a channel that is closed when the live state moves on or the leadership changes.
 	Changed() <-chan struct{}
 	// Members gives the leader's address, if one is known, and those of all members.
 	Members() (leader string, addresses []string)
-	// Reached gives the addresses of the voters that this leader has lately heard of, its own among them.
-	Reached() []string
+	// ReachableVoters gives the addresses of the voters that this leader has lately heard of, its own among them.
+	ReachableVoters() []string
 }
 
 // LeaderOptions are the parts of a Leader.
@@ -92,7 +92,7 @@
 	l := &Leader{opt: opt, clock: opt.Clock, log: opt.Logger, group: routine.New(context.Background()),
 		core: scheduler.New(opt.Config), health: healthLog{log: opt.Logger}, wake: make(chan struct{}, 1), beats: map[string]uint64{}}
 	if opt.ControlOf != nil && opt.Mailboxes == nil {
-		l.homes = &homes{reached: opt.Store.Reached}
+		l.homes = &homes{reached: opt.Store.ReachableVoters}
 	}
 	return l
 }
@@ -186,7 +186,7 @@
 // pass is one turn of the loop; it gives when the next is due.
 func (l *Leader) pass() time.Duration {
 	now := l.clock.Now()
-	term, held := l.opt.Store.LeadTerm(now)
+	term, held := l.opt.Store.LeaderTerm(now)
 	if term == 0 || term != l.core.Term() && l.core.Term() != 0 {
 		l.yield()
 	}
@@ -315,7 +315,7 @@
 
 // leads tells whether this node may send orders under a term now: called immediately before each order.
 func (l *Leader) leads(term uint64) bool {
-	current, held := l.opt.Store.LeadTerm(l.clock.Now())
+	current, held := l.opt.Store.LeaderTerm(l.clock.Now())
 	return held && current == term
 }
 
--- a/internal/controller/query_test.go
+++ b/internal/controller/query_test.go
@@ -72,14 +72,14 @@
 func newOneStore() *oneStore { return &oneStore{state: state.New()} }
 
 func (s *oneStore) View(read func(*state.State)) { read(s.state) }
-func (s *oneStore) LeadTerm(time.Duration) (uint64, bool) {
+func (s *oneStore) LeaderTerm(time.Duration) (uint64, bool) {
 	if s.follows {
 		return 0, false
 	}
 	return 1, true
 }
 func (s *oneStore) Changed() <-chan struct{}               { return nil }
-func (s *oneStore) Reached() []string                      { return []string{"here"} }
+func (s *oneStore) ReachableVoters() []string              { return []string{"here"} }
 func (s *oneStore) Members() (leader string, all []string) { return "here", []string{"here"} }
 func (s *oneStore) ProposeIn(_ context.Context, term uint64, c command.Command) (uint64, any, error) {
 	s.index++
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -16,7 +16,7 @@
 // look reads the job table if this node leads with its lease in force: then it has every commit. Failures: NotLeader with
 // the leader's address as hint, Unavailable.
 func (l *Leader) look(read func(*jobs.Table) error) (term uint64, err error) {
-	term, held := l.opt.Store.LeadTerm(l.clock.Now())
+	term, held := l.opt.Store.LeaderTerm(l.clock.Now())
 	if term == 0 {
 		leader, _ := l.opt.Store.Members()
 		err := errs.New(errs.NotLeader, "this node does not lead")
@@ -200,7 +200,7 @@
 // Topology tells the leader and the members of the core, as this node knows them.
 func (l *Leader) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
 	leader, members := l.opt.Store.Members()
-	if term, held := l.opt.Store.LeadTerm(l.clock.Now()); term != 0 && !held {
+	if term, held := l.opt.Store.LeaderTerm(l.clock.Now()); term != 0 && !held {
 		leader = "" // its own lead cannot be confirmed: nobody is to count on it
 	}
 	return TopologyAnswer{Leader: leader, Members: members}, nil
--- a/internal/httpapi/operatorapi/account.go
+++ b/internal/httpapi/operatorapi/account.go
@@ -76,7 +76,7 @@
 	if err := checkID("order", in.Order); err != nil {
 		return nil, errs.Pass(err, "create")
 	}
-	answer, err := a.store.Order(r.Context(), &command.AccountCreate{Order: in.Order, Account: r.PathValue("name"), Credit: in.Credit,
+	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountCreate{Order: in.Order, Account: r.PathValue("name"), Credit: in.Credit,
 		By: in.By, Sig: in.Sig})
 	return answer, errs.Pass(err, "create")
 }
@@ -89,7 +89,7 @@
 	if err := checkID("key", in.Key); err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
-	answer, err := a.store.Order(r.Context(), &command.AccountTopUp{Account: r.PathValue("name"), Key: in.Key, Amount: in.Amount,
+	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountTopUp{Account: r.PathValue("name"), Key: in.Key, Amount: in.Amount,
 		By: in.By, Sig: in.Sig})
 	return answer, errs.Pass(err, "top-up")
 }
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -49,7 +49,7 @@
 }
 
 func (c *counter) order(cmd command.Command) {
-	_, err := c.Order(context.Background(), cmd)
+	_, err := c.ProposeOrForward(context.Background(), cmd)
 	So(err, ShouldBeNil)
 }
 
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -20,8 +20,8 @@
 
 // Store is what the API needs of the control store.
 type Store interface {
-	// Order commits a command at the leader, wherever that is, and returns its answer.
-	Order(ctx context.Context, c command.Command) (json.RawMessage, error)
+	// ProposeOrForward commits a command at the leader, wherever that is, and returns its answer.
+	ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error)
 	// Read looks at a state that has all that was committed before the call.
 	Read(ctx context.Context, read func(*state.State)) error
 	Status() internalapi.StatusAnswer
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Order is the body of every order. The same id with the same content is carried out once and answered alike.
+// ProposeOrForward is the body of every order. The same id with the same content is carried out once and answered alike.
 type Order struct {
 	Order string `json:"order"`
 	By    string `json:"by,omitempty"`  // of evacuate and lift: the operator who signs
@@ -170,6 +170,6 @@
 	if err := checkOrderID(body.Order); err != nil {
 		return nil, errs.Pass(err, "order")
 	}
-	answer, err := s.Order(r.Context(), make(r, body))
+	answer, err := s.ProposeOrForward(r.Context(), make(r, body))
 	return answer, errs.Pass(err, "order %s", body.Order)
 }
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -24,7 +24,7 @@
 // desk is a store of one.
 type desk struct{ st *state.State }
 
-func (d *desk) Order(_ context.Context, c command.Command) (json.RawMessage, error) {
+func (d *desk) ProposeOrForward(_ context.Context, c command.Command) (json.RawMessage, error) {
 	data, err := command.Encode(time.Unix(int64(d.st.Index), 0), c)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 			So(err, ShouldBeNil)
 			keys[name], public[name] = key, key.Public()
 		}
-		_, err := d.Order(t.Context(), &command.Keys{Operators: public})
+		_, err := d.ProposeOrForward(t.Context(), &command.Keys{Operators: public})
 		So(err, ShouldBeNil)
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		Serve(srv, d, func(id string) string { return id }, func() []membership.Seen { return nil })
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -191,7 +191,7 @@
 func (n *Core) stop() {
 	leave, over := context.WithTimeout(context.Background(), max(n.opt.Grace, leastGrace))
 	defer over()
-	n.store.Handover(leave)
+	n.store.TransferLeadership(leave)
 	if err := n.control.Stop(drainWithin); err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "calls were cut off", "err", err)
 	}
--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -9,11 +9,11 @@
 )
 
 var (
-	descAccount = describe("account_units", "Units of an account: balance, reserved, spent, topped_up.", "account", "of")
-	descRate    = describe("account_units_per_second", "What the runs of an account cost now.", "account")
-	descDryIn   = describe("account_dry_in_seconds", "Forecast until an account is dry, at the rate of now; none if nothing draws.", "account")
-	descUnpaid  = describe("account_waiting_jobs", "Jobs that wait for a top-up.", "account")
-	descWarning = describe("account_warning", "1 for an account that is dry or soon will be.", "account")
+	descAccount     = describe("account_units", "Units of an account: balance, reserved, spent, topped_up.", "account", "of")
+	descRate        = describe("account_units_per_second", "What the runs of an account cost now.", "account")
+	descExhaustedIn = describe("account_dry_in_seconds", "Forecast until an account is dry, at the rate of now; none if nothing draws.", "account")
+	descUnpaid      = describe("account_waiting_jobs", "Jobs that wait for a top-up.", "account")
+	descWarning     = describe("account_warning", "1 for an account that is dry or soon will be.", "account")
 )
 
 // collectAccounts gives the figures of accounts.
@@ -29,7 +29,7 @@
 		gauge(descRate, float64(v.Rate)/1000, v.Name)
 		gauge(descUnpaid, float64(v.Waiting), v.Name)
 		if v.Draws {
-			gauge(descDryIn, v.DryIn.Seconds(), v.Name)
+			gauge(descExhaustedIn, v.DryIn.Seconds(), v.Name)
 		}
 		warning := 0.0
 		if v.Warning != "" {
@@ -39,13 +39,13 @@
 	}
 }
 
-// warnings remembers which accounts the leader has warned of.
-type warnings map[string]bool
+// accountWarnings remembers which accounts the leader has warned of.
+type accountWarnings map[string]bool
 
-// look logs a line for each account that is dry, or soon will be, once until it is well again. Only the leader does.
-func (w warnings) look(s *Store) {
+// logNew logs a line for each account that is dry, or soon will be, once until it is well again. Only the leader does.
+func (w accountWarnings) logNew(s *Store) {
 	s.mu.Lock()
-	leads, accounts := s.leadTerm != 0, []internalapi.AccountView(nil)
+	leads, accounts := s.leaderTerm != 0, []internalapi.AccountView(nil)
 	if leads {
 		accounts = query.Accounts(s.live)
 	}
@@ -61,7 +61,7 @@
 		}
 		if !w[v.Name] {
 			w[v.Name] = true
-			_ = level.Warn(s.log).Log("msg", "account runs dry", "account", v.Name, "balance", v.Balance, "why", v.Warning)
+			_ = level.Warn(s.logger).Log("msg", "account runs dry", "account", v.Name, "balance", v.Balance, "why", v.Warning)
 		}
 	}
 }
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -15,30 +15,30 @@
 	"crosstide/internal/state"
 )
 
-func TestAccountWarnings(t *testing.T) {
+func TestAccountWarnings_onceUntilWell(t *testing.T) {
 	Convey("The leader warns of an account once, until it is well again", t, func() {
 		var lines bytes.Buffer
-		s := &Store{live: state.New(), log: log.NewLogfmtLogger(&lines)}
+		s := &Store{live: state.New(), logger: log.NewLogfmtLogger(&lines)}
 		at := time.Unix(1_700_000_000, 0).UTC()
-		book := account.NewBook()
-		So(book.Create("acme", 0), ShouldBeNil)
-		_, err := book.TopUp("acme", "k1", 200, at)
+		leases := account.NewBook()
+		So(leases.Create("acme", 0), ShouldBeNil)
+		_, err := leases.TopUp("acme", "k1", 200, at)
 		So(err, ShouldBeNil)
-		So(book.Reserve(account.Charge{Run: "r", Account: "acme", Rate: 1000, Window: 100 * time.Second}, at), ShouldBeNil)
-		s.live.UseAccounts(book)
-		warned := warnings{}
+		So(leases.Reserve(account.Charge{Run: "r", Account: "acme", Rate: 1000, Window: 100 * time.Second}, at), ShouldBeNil)
+		s.live.UseAccounts(leases)
+		warned := accountWarnings{}
 		look := func() int {
-			warned.look(s)
+			warned.logNew(s)
 			return strings.Count(lines.String(), "account runs dry")
 		}
 		So(look(), ShouldEqual, 0) // it does not lead
-		s.leadTerm = 1
+		s.leaderTerm = 1
 		So(look(), ShouldEqual, 1)
 		So(look(), ShouldEqual, 1)
-		_, err = book.TopUp("acme", "k2", 10_000, at)
+		_, err = leases.TopUp("acme", "k2", 10_000, at)
 		So(err, ShouldBeNil)
 		So(look(), ShouldEqual, 1)
-		book.Renew(at.Add(9_900 * time.Second))
+		leases.Renew(at.Add(9_900 * time.Second))
 		So(look(), ShouldEqual, 2)
 	})
 	Convey("Each account has its gauges; a forecast only while something draws", t, func() {
--- a/internal/store/apply_test.go
+++ b/internal/store/apply_test.go
@@ -8,9 +8,9 @@
 	"crosstide/internal/raft"
 )
 
-func TestPassAppliesBoundedBatch(t *testing.T) {
+func TestPass_appliesBoundedBatch(t *testing.T) {
 	Convey("Given a store with more committed entries than one pass applies", t, func() {
-		s := &Store{kick: make(chan struct{}, 1)}
+		s := &Store{wakeLoop: make(chan struct{}, 1)}
 		for i := range 2*applyEntries + 8 {
 			s.unapplied = append(s.unapplied, raft.Entry{Index: uint64(i + 1)})
 		}
@@ -24,9 +24,9 @@
 					So(e.Index, ShouldEqual, next)
 					next++
 				}
-				So(len(s.kick) == 1, ShouldEqual, len(s.unapplied) > 0)
+				So(len(s.wakeLoop) == 1, ShouldEqual, len(s.unapplied) > 0)
 				select {
-				case <-s.kick:
+				case <-s.wakeLoop:
 				default:
 				}
 			}
@@ -38,7 +38,7 @@
 			So(len(s.nextApplied()), ShouldEqual, 1)
 		})
 		Convey("Then a store that is driven by hand applies all at once", func() {
-			s.hand = &ManualDriver{}
+			s.manual = &ManualDriver{}
 			So(len(s.nextApplied()), ShouldEqual, 2*applyEntries+8)
 		})
 	})
--- a/internal/store/catchup_test.go
+++ b/internal/store/catchup_test.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/raft"
 )
 
-func TestCatchUpBeforeTheShadow(t *testing.T) {
+func TestSnapshotter_waitsForCatchUp(t *testing.T) {
 	Convey("The shadow takes no entries while the live state has some to catch up on", t, func() {
 		s := &Store{durable: 9, committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}, unapplied: []raft.Entry{{Index: 11}}}
 		_, batch := s.takeStored()
@@ -19,23 +19,23 @@
 		So(s.committed, ShouldHaveLength, 1)
 	})
 	Convey("An image that is to be adopted does not wait for that", t, func() {
-		s := &Store{unapplied: []raft.Entry{{Index: 11}}, install: &install{}}
-		in, _ := s.takeStored()
-		So(in, ShouldNotBeNil)
+		s := &Store{unapplied: []raft.Entry{{Index: 11}}, toInstall: &fetchedSnapshot{}}
+		fetched, _ := s.takeStored()
+		So(fetched, ShouldNotBeNil)
 	})
 }
 
-func TestNoSnapshotWhileTakingOver(t *testing.T) {
-	within(t, 40, func(r *testStores) {
+func TestSnapshotter_pausesInTakeover(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
 		s := r.leader()
 		began := r.clock.Now()
-		r.load("a", 60)
-		r.level()
-		So(r.clock.Now()-began, ShouldBeLessThan, takeOver)
+		r.submitJobs("a", 60)
+		r.waitLevel()
+		So(r.clock.Now()-began, ShouldBeLessThan, takeoverPeriod)
 		So(s.Status().Quorum.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
-		r.until("the end of the take-over", func() bool { return r.clock.Now()-began > takeOver })
-		r.load("b", 1)
+		r.until("the end of the take-over", func() bool { return r.clock.Now()-began > takeoverPeriod })
+		r.submitJobs("b", 1)
 		r.until("the snapshot that was due", func() bool { return newestSnapshot(s) > 40 })
 	})
 }
@@ -43,5 +43,5 @@
 func newestSnapshot(s *Store) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newest.Index
+	return s.newestSnapshot.Index
 }
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -53,13 +53,13 @@
 	if err := disk.Remove(discardFile); err != nil {
 		return errs.Pass(err, "remove the mark")
 	}
-	_ = level.Warn(s.log).Log("msg", "old contents of the folder removed: joining anew", "id", id)
+	_ = level.Warn(s.logger).Log("msg", "old contents of the folder removed: joining anew", "id", id)
 	return errs.Pass(disk.Sync(), "sync")
 }
 
-// loadPeers takes in the addresses that were known before the folder's contents were discarded.
-func (s *Store) loadPeers() error {
+// loadPeerAddresses takes in the addresses that were known before the folder's contents were discarded.
+func (s *Store) loadPeerAddresses() error {
 	peers, _, err := readFile(s.opt.Disk, peersFile)
-	s.learn(strings.Fields(peers)...)
+	s.rememberAddresses(strings.Fields(peers)...)
 	return errs.Pass(err, "addresses of other nodes")
 }
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -11,42 +11,42 @@
 	"crosstide/internal/state/command"
 )
 
-// Duty claims, renews or gives up a duty; only the confirmed leader answers. See Book for why no two hold one.
+// ClaimRole claims, renews or gives up a duty; only the confirmed leader answers. See Book for why no two hold one.
 // Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
-func (s *Store) Duty(ctx context.Context, call internalapi.DutyCall) (internalapi.DutyAnswer, error) {
+func (s *Store) ClaimRole(ctx context.Context, call internalapi.DutyCall) (internalapi.DutyAnswer, error) {
 	if call.Duty == "" || call.Holder == "" || call.Boot == "" {
 		return internalapi.DutyAnswer{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
 	}
-	a, held, c, err := s.ask(call)
+	a, current, c, err := s.evaluateRoleCall(call)
 	if err != nil || c == nil {
 		return a, errs.Pass(err, "duty %s", call.Duty)
 	}
 	index, _, err := s.Propose(ctx, c)
-	a, err = s.granted(call, held, index, err)
+	a, err = s.finishRoleCall(call, current, index, err)
 	return a, errs.Pass(err, "call")
 }
 
-// ask judges a call: the answer, or the command on the duty that is to be committed first.
-func (s *Store) ask(call internalapi.DutyCall) (a internalapi.DutyAnswer, held state.Duty, c command.Command, err error) {
+// evaluateRoleCall judges a call: the answer, or the command on the duty that is to be committed first.
+func (s *Store) evaluateRoleCall(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Duty, c command.Command, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, verdict, err := s.judge(call)
+	current, decision, err := s.checkRoleCall(call)
 	switch {
 	case err != nil:
-		return a, held, nil, errs.Pass(err, "ask")
-	case verdict == Mine || verdict == Theirs:
-		return s.tell(held, verdict == Mine), held, nil, nil
+		return a, current, nil, errs.Pass(err, "ask")
+	case decision == claimRenewed || decision == claimDenied:
+		return s.roleAnswer(current, decision == claimRenewed), current, nil, nil
 	case call.GiveUp:
-		return a, held, &command.GiveUp{Duty: call.Duty, Epoch: held.Epoch}, nil
+		return a, current, &command.GiveUp{Duty: call.Duty, Epoch: current.Epoch}, nil
 	}
-	return a, held, &command.Grant{Duty: call.Duty, Holder: call.Holder, Addr: call.Addr, Boot: call.Boot, After: held.Epoch}, nil
+	return a, current, &command.Grant{Duty: call.Duty, Holder: call.Holder, Addr: call.Addr, Boot: call.Boot, After: current.Epoch}, nil
 }
 
-// granted takes in how the command of ask ended, and answers.
-func (s *Store) granted(call internalapi.DutyCall, held state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
+// finishRoleCall takes in how the command of ask ended, and answers.
+func (s *Store) finishRoleCall(call internalapi.DutyCall, current state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Settled(call.Duty, held.Epoch)
+	s.roleLeases.ProposalDone(call.Duty, current.Epoch)
 	now := s.live.Duties[call.Duty]
 	switch {
 	case err != nil && !errs.Is(err, errs.Stale):
@@ -56,36 +56,36 @@
 	}
 	mine := err == nil && !call.GiveUp && now.Epoch == index
 	if mine {
-		_ = level.Info(s.log).Log("msg", "duty granted", "duty", call.Duty, "holder", call.Holder, "epoch", index)
+		_ = level.Info(s.logger).Log("msg", "duty granted", "duty", call.Duty, "holder", call.Holder, "epoch", index)
 	}
-	return s.tell(*now, mine), nil
+	return s.roleAnswer(*now, mine), nil
 }
 
-// judge asks the book; called under the lock. On Free a proposal is to follow.
-func (s *Store) judge(call internalapi.DutyCall) (held state.Duty, v Verdict, err error) {
-	if _, err := s.confirm(); err != nil {
-		return held, v, errs.Pass(err, "judge")
+// decideBootstrap asks the book; called under the lock. On Free a proposal is to follow.
+func (s *Store) checkRoleCall(call internalapi.DutyCall) (current state.Duty, v claimResult, err error) {
+	if _, err := s.readIndexLocked(); err != nil {
+		return current, v, errs.Pass(err, "judge")
 	}
 	now := s.clock.Now()
-	if !s.book.Open() {
-		return held, v, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
+	if !s.roleLeases.Active() {
+		return current, v, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
 	}
 	if d := s.live.Duties[call.Duty]; d != nil {
-		held = *d
+		current = *d
 	}
 	if call.GiveUp {
-		if s.book.End(now, held, call) {
-			return held, Free, nil
+		if s.roleLeases.Release(now, current, call) {
+			return current, claimGrantable, nil
 		}
-		return held, Theirs, nil
+		return current, claimDenied, nil
 	}
-	return held, s.book.Ask(now, held, call), nil
+	return current, s.roleLeases.Claim(now, current, call), nil
 }
 
-func (s *Store) tell(d state.Duty, mine bool) internalapi.DutyAnswer {
+func (s *Store) roleAnswer(d state.Duty, mine bool) internalapi.DutyAnswer {
 	a := internalapi.DutyAnswer{Mine: mine, Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
 	if mine {
-		a.Lease = s.set.DutyLease
+		a.Lease = s.settings.DutyLease
 	}
 	return a
 }
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -25,15 +25,15 @@
 
 // writeFile puts a small file in the place of the one of its name, synced.
 func writeFile(d storage.Disk, name, content string) error {
-	loose := name + ".tmp"
-	if _, left, err := readFile(d, loose); err != nil {
-		return errs.Pass(err, "look for %s", loose)
+	temporary := name + ".tmp"
+	if _, left, err := readFile(d, temporary); err != nil {
+		return errs.Pass(err, "look for %s", temporary)
 	} else if left { // by a crash
-		if err := d.Remove(loose); err != nil {
-			return errs.Pass(err, "remove %s", loose)
+		if err := d.Remove(temporary); err != nil {
+			return errs.Pass(err, "remove %s", temporary)
 		}
 	}
-	f, err := d.Create(loose)
+	f, err := d.Create(temporary)
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
@@ -45,7 +45,7 @@
 		err = bad
 	}
 	if err == nil {
-		err = d.Rename(loose, name)
+		err = d.Rename(temporary, name)
 	}
 	if err == nil {
 		err = d.Sync()
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	source    = "store" // of our changes in a vector
-	maxFollow = 8 << 20
-	maxChunk  = 4 << 20
-	maxWait   = 30 * time.Second
-	chunkIdle = 30 * time.Second // a slot kept for fetchers is let go after it
+	vectorSource      = "store" // of our changes in a vector
+	maxFollowBytes    = 8 << 20
+	maxChunkBytes     = 4 << 20
+	maxFollowWait     = 30 * time.Second
+	snapshotCacheIdle = 30 * time.Second // a slot kept for fetchers is let go after it
 )
 
 // Follow gives what the caller lacks, and waits up to call.Wait if that is nothing.
 func (s *Store) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
-	s.heard(call)
-	version, ok := call.Vector[source]
+	s.recordFollowerBundle(call)
+	version, ok := call.Vector[vectorSource]
 	if !ok && len(call.Vector) > 0 {
 		return internalapi.FollowAnswer{}, nil
 	}
-	limit := min(max(call.Max, 64<<10), maxFollow)
-	over := make(chan struct{})
-	defer s.clock.Set(min(call.Wait, maxWait), func() { close(over) }).Stop()
+	limit := min(max(call.Max, 64<<10), maxFollowBytes)
+	expired := make(chan struct{})
+	defer s.clock.Set(min(call.Wait, maxFollowWait), func() { close(expired) }).Stop()
 	for {
-		lack, changed, err := s.lack(version, limit)
+		changesAfter, changed, err := s.changesAfter(version, limit)
 		if err != nil {
 			return internalapi.FollowAnswer{}, errs.Pass(err, "follow")
 		}
-		if lack != nil {
-			return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{source: *lack}}, nil
+		if changesAfter != nil {
+			return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{vectorSource: *changesAfter}}, nil
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-expired:
 			return internalapi.FollowAnswer{}, nil
 		case <-ctx.Done():
 			return internalapi.FollowAnswer{}, nil
@@ -54,8 +54,8 @@
 	}
 }
 
-// lack gives what comes after version and is applied here, nil if that is nothing.
-func (s *Store) lack(version uint64, limit int) (*internalapi.Lack, chan struct{}, error) {
+// changesAfter gives what comes after version and is applied here, nil if that is nothing.
+func (s *Store) changesAfter(version uint64, limit int) (*internalapi.Lack, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core == nil {
@@ -66,7 +66,7 @@
 	}
 	entries, err := s.core.Entries(version+1, limit)
 	if errs.Is(err, errs.Unknown) {
-		newest := s.newest
+		newest := s.newestSnapshot
 		return &internalapi.Lack{Snapshot: &newest}, nil, nil
 	}
 	if err != nil {
@@ -82,19 +82,19 @@
 	return &internalapi.Lack{Changes: entries[:n:n]}, nil, nil
 }
 
-// chunks keeps the slots that are being fetched, two at most.
-type chunks struct{ list []*kept }
+// snapshotCache keeps the slots that are being fetched, two at most.
+type snapshotCache struct{ images []*cachedSnapshot }
 
-type kept struct {
-	image storage.Snapshot
-	sum   uint64
-	used  time.Duration
-	total int // Store.logTotal as it was loaded
+type cachedSnapshot struct {
+	image          storage.Snapshot
+	sum            uint64
+	lastUsed       time.Duration
+	compactedBytes int // Store.compactedBytes as it was loaded
 }
 
-// Chunk gives a part of a slot. Failure: Unknown when there is no such slot any more; begin anew with Number 0.
+// FetchChunk gives a part of a slot. Failure: Unknown when there is no such slot any more; begin anew with Number 0.
 func (s *Store) Chunk(call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
-	k, err := s.keep(call.Number)
+	k, err := s.snapshotFor(call.Number)
 	if err != nil {
 		return internalapi.ChunkAnswer{}, errs.Pass(err, "chunk")
 	}
@@ -103,8 +103,8 @@
 		return internalapi.ChunkAnswer{}, errs.Field(errs.Invalid, "from", "%d of %d bytes", call.From, len(body))
 	}
 	limit := call.Max
-	if limit <= 0 || limit > maxChunk {
-		limit = maxChunk
+	if limit <= 0 || limit > maxChunkBytes {
+		limit = maxChunkBytes
 	}
 	end := min(call.From+int64(limit), int64(len(body)))
 	return internalapi.ChunkAnswer{
@@ -113,14 +113,14 @@
 	}, nil
 }
 
-func (s *Store) keep(number uint64) (*kept, error) {
+func (s *Store) snapshotFor(number uint64) (*cachedSnapshot, error) {
 	now := s.clock.Now()
 	s.mu.Lock()
 	if number == 0 {
-		number = s.newest.Number
+		number = s.newestSnapshot.Number
 	}
-	newest := s.newest.Number
-	k := s.chunks.find(number, now)
+	newest := s.newestSnapshot.Number
+	k := s.served.get(number, now)
 	s.mu.Unlock()
 	if k != nil {
 		return k, nil
@@ -132,73 +132,73 @@
 	if err != nil {
 		return nil, errs.Pass(err, "slot %d", number)
 	}
-	k = &kept{image: img, sum: xxhash.Sum64(img.Body), used: now}
+	k = &cachedSnapshot{image: img, sum: xxhash.Sum64(img.Body), lastUsed: now}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if have := s.chunks.find(img.Number, now); have != nil {
+	if have := s.served.get(img.Number, now); have != nil {
 		return have, nil
 	}
-	k.total = s.logTotal
-	s.chunks.list = append(s.chunks.list, k)
-	if len(s.chunks.list) > 2 {
-		s.chunks.list = s.chunks.list[1:]
+	k.compactedBytes = s.compactedBytes
+	s.served.images = append(s.served.images, k)
+	if len(s.served.images) > 2 {
+		s.served.images = s.served.images[1:]
 	}
-	s.clock.Set(chunkIdle, s.sweep)
+	s.clock.Set(snapshotCacheIdle, s.evictIdleSnapshots)
 	return k, nil
 }
 
-func (c *chunks) find(number uint64, now time.Duration) *kept {
-	for _, k := range c.list {
+func (c *snapshotCache) get(number uint64, now time.Duration) *cachedSnapshot {
+	for _, k := range c.images {
 		if k.image.Number == number {
-			k.used = now
+			k.lastUsed = now
 			return k
 		}
 	}
 	return nil
 }
 
-// sweep lets slots go that nobody fetches any more.
-func (s *Store) sweep() {
+// evictIdleSnapshots lets slots go that nobody fetches any more.
+func (s *Store) evictIdleSnapshots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	list := s.chunks.list[:0:0]
-	for _, k := range s.chunks.list {
-		if now-k.used < chunkIdle {
+	list := s.served.images[:0:0]
+	for _, k := range s.served.images {
+		if now-k.lastUsed < snapshotCacheIdle {
 			list = append(list, k)
 		}
 	}
-	if s.chunks.list = list; len(list) > 0 && s.group.Context().Err() == nil {
-		s.clock.Set(chunkIdle, s.sweep)
+	if s.served.images = list; len(list) > 0 && s.group.Context().Err() == nil {
+		s.clock.Set(snapshotCacheIdle, s.evictIdleSnapshots)
 	}
 }
 
 // fetch gets a snapshot from another member and installs it. When it fails, the core asks for it again.
-func (s *Store) fetch(ctx context.Context, want raft.FetchSnapshot) {
-	err := s.fetchOne(ctx, want)
+func (s *Store) fetch(ctx context.Context, wanted raft.FetchSnapshot) {
+	err := s.fetchAndInstall(ctx, wanted)
 	if err != nil {
-		_ = level.Warn(s.log).Log("msg", "fetch a snapshot", "from", want.From, "err", err)
+		_ = level.Warn(s.logger).Log("msg", "fetch a snapshot", "from", wanted.From, "err", err)
 	}
 	s.mu.Lock()
 	s.fetching = false
 	s.mu.Unlock()
 }
 
-func (s *Store) fetchOne(ctx context.Context, want raft.FetchSnapshot) error {
-	in, err := s.download(ctx, want)
+func (s *Store) fetchAndInstall(ctx context.Context, wanted raft.FetchSnapshot) error {
+	fetched, err := s.download(ctx, wanted)
 	if err != nil {
 		return errs.Pass(err, "download")
 	}
-	if in.live, err = state.Decode(in.image.Body); err != nil {
+	if fetched.live, err = state.Decode(fetched.image.Body); err != nil {
 		return errs.Pass(err, "decode")
 	}
-	in.done = make(chan struct{})
+	fetched.done = make(chan struct{})
 	s.mu.Lock()
-	s.install = in
+	s.toInstall = fetched
 	s.mu.Unlock()
-	nudge(s.shadowKick)
+	signal(s.wakeSnapshotter)
 	select {
-	case <-in.done:
+	case <-fetched.done:
 	case <-ctx.Done():
 	}
 	return nil
@@ -206,12 +206,12 @@
 
 // download gets the parts in order. After a failure it goes on at the byte it reached; it gives up after a few
 // without progress.
-func (s *Store) download(ctx context.Context, want raft.FetchSnapshot) (*install, error) {
+func (s *Store) download(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
 	const tries = 8
 	var body []byte
 	var head internalapi.ChunkAnswer
 	for left := tries; ; {
-		a, err := s.opt.Net.Chunk(ctx, want.From, internalapi.ChunkCall{Number: head.Number, From: int64(len(body)), Max: 1 << 20})
+		a, err := s.opt.Net.FetchChunk(ctx, wanted.From, internalapi.ChunkCall{Number: head.Number, From: int64(len(body)), Max: 1 << 20})
 		switch {
 		case errs.Is(err, errs.Unknown) && head.Number != 0: // a newer slot took its place
 			body, head, left = nil, internalapi.ChunkAnswer{}, left-1
@@ -227,19 +227,19 @@
 		if head.Number != 0 && int64(len(body)) >= head.Size {
 			break
 		}
-		if left == 0 || err != nil && !s.rest(ctx, askEvery) {
+		if left == 0 || err != nil && !s.sleep(ctx, retryInterval) {
 			return nil, errs.Pass(err, "no part after byte %d", len(body))
 		}
 	}
-	meta, err := decodeMeta(head.Meta)
+	meta, err := decodeSnapshotMeta(head.Meta)
 	if err != nil {
-		return nil, errs.Pass(err, "slot of %s", want.From)
+		return nil, errs.Pass(err, "slot of %s", wanted.From)
 	}
 	if int64(len(body)) != head.Size || xxhash.Sum64(body) != head.Sum || meta.Index != head.Index || meta.Term != head.Term {
-		return nil, errs.New(errs.Damaged, "the snapshot of %s does not fit its sum", want.From)
+		return nil, errs.New(errs.Damaged, "the snapshot of %s does not fit its sum", wanted.From)
 	}
-	if meta.Index < want.Meta.Index {
-		return nil, errs.New(errs.Stale, "the snapshot of %s is at %d, before %d", want.From, meta.Index, want.Meta.Index)
+	if meta.Index < wanted.Meta.Index {
+		return nil, errs.New(errs.Stale, "the snapshot of %s is at %d, before %d", wanted.From, meta.Index, wanted.Meta.Index)
 	}
-	return &install{image: storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: head.Meta, Body: body}, meta: meta}, nil
+	return &fetchedSnapshot{image: storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: head.Meta, Body: body}, meta: meta}, nil
 }
--- a/internal/store/found.go
+++ b/internal/store/found.go
@@ -22,57 +22,57 @@
 )
 
 const (
-	idFile    = "id" // holds the quorum ID of a folder that began empty in a fleet that existed
-	askEvery  = 200 * time.Millisecond
-	nearIndex = 1000 // a learner within it of the leader's last entry has caught up
+	idFile        = "id" // holds the quorum ID of a folder that began empty in a fleet that existed
+	retryInterval = 200 * time.Millisecond
+	maxLearnerLag = 1000 // a learner within it of the leader's last entry has caught up
 )
 
-// load reads the folder. If it tells who this node is, the core is made.
-func (s *Store) load() error {
+// submitJobs reads the folder. If it tells who this node is, the core is made.
+func (s *Store) recoverFolder() error {
 	if err := s.finishDiscard(); err != nil {
 		return errs.Pass(err, "discard")
 	}
-	if err := s.loadPeers(); err != nil {
+	if err := s.loadPeerAddresses(); err != nil {
 		return errs.Pass(err, "load")
 	}
 	id, err := readID(s.opt.Disk)
 	if err != nil {
 		return errs.Pass(err, "read the id")
 	}
-	slots, boot, err := storage.Open(s.opt.Disk, storage.Options{Clock: s.clock})
+	inFlight, recovered, err := storage.Open(s.opt.Disk, storage.Options{Clock: s.clock})
 	if err != nil {
 		return errs.Pass(err, "open the folder")
 	}
-	s.storage = slots
+	s.storage = inFlight
 	switch {
 	case id != "":
 		s.id = id
-	case boot.Fresh && (s.opt.Damaged || !s.set.Founding):
-		return errs.Pass(s.rename(), "begin anew")
-	case boot.Fresh:
+	case recovered.Fresh && (s.opt.Damaged || !s.settings.Founding):
+		return errs.Pass(s.startNewIncarnation(), "begin anew")
+	case recovered.Fresh:
 		return nil
 	default:
-		s.id = s.set.Name
+		s.id = s.settings.Name
 	}
-	return errs.Pass(s.begin(boot), "begin")
+	return errs.Pass(s.startCore(recovered), "begin")
 }
 
-// begin makes the core of what the disk had.
-func (s *Store) begin(boot storage.Boot) error {
+// startCore makes the core of what the disk had.
+func (s *Store) startCore(recovered storage.Boot) error {
 	var b raft.Boot
 	live := state.New()
 	var err error
-	if img := boot.Snapshot; img != nil {
-		if b.Snapshot, err = decodeMeta(img.Meta); err != nil {
+	if img := recovered.Snapshot; img != nil {
+		if b.Snapshot, err = decodeSnapshotMeta(img.Meta); err != nil {
 			return errs.Pass(err, "slot %d", img.Number)
 		}
 		if live, err = state.Decode(img.Body); err != nil {
 			return errs.Pass(err, "slot %d", img.Number)
 		}
-		s.newest = internalapi.Snapshot{Number: img.Number, Index: img.Index, Term: img.Term, Size: int64(len(img.Body))}
+		s.newestSnapshot = internalapi.Snapshot{Number: img.Number, Index: img.Index, Term: img.Term, Size: int64(len(img.Body))}
 		s.durable = img.Index
 	}
-	for _, r := range boot.Records {
+	for _, r := range recovered.Records {
 		if r.Kind == storage.KindHard {
 			if err := json.Unmarshal(r.Data, &b.Hard); err != nil {
 				return errs.Wrap(err, errs.Damaged, "the hard state")
@@ -82,52 +82,52 @@
 		b.Entries = append(b.Entries, raft.Entry{Term: r.Term, Index: r.Index, Kind: raft.EntryKind(r.Kind), Data: r.Data})
 		s.durable = r.Index
 	}
-	core, err := raft.New(raft.Config{ID: s.id, Election: s.set.Election, Heartbeat: s.set.Heartbeat,
-		Lease: s.set.Lease, Seed: s.opt.Seed}, b, s.clock.Now())
+	core, err := raft.New(raft.Config{ID: s.id, Election: s.settings.Election, Heartbeat: s.settings.Heartbeat,
+		Lease: s.settings.Lease, Seed: s.opt.Seed}, b, s.clock.Now())
 	if err != nil {
 		return errs.Pass(err, "start the core")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shadow, s.shadowImage, s.shadowMembers = nil, nil, b.Snapshot.Members
-	if img := boot.Snapshot; img != nil {
-		s.shadowImage = img.Body
+	s.snapshotState, s.initialImage, s.snapshotMembers = nil, nil, b.Snapshot.Members
+	if img := recovered.Snapshot; img != nil {
+		s.initialImage = img.Body
 	}
-	s.replace(live)
+	s.replaceState(live)
 	s.core, s.status = core, core.Status()
-	_ = level.Info(s.log).Log("msg", "begin", "id", s.id, "slot", s.newest.Index, "entries", len(b.Entries), "term", s.status.Term, "cut", boot.Cut)
+	_ = level.Info(s.logger).Log("msg", "begin", "id", s.id, "slot", s.newestSnapshot.Index, "entries", len(b.Entries), "term", s.status.Term, "cut", recovered.Cut)
 	return nil
 }
 
-// settle finds out what an empty folder means: the first start of a fleet, or a disk that was lost.
+// resolveEmptyFolder finds out what an empty folder means: the first start of a fleet, or a disk that was lost.
 //
 // An empty folder never votes under an old name: its earlier life may have given votes and acknowledged entries
 // that are forgotten. So the fleet is founded only when every other member says that it is fresh too, or when a
 // founder says that it founded after having heard that this very process is fresh. Where a fleet exists, the node
 // joins under a new ID. While neither is sure it asks on and takes no part.
-func (s *Store) settle(ctx context.Context) bool {
-	if s.set.OpenMembership {
-		return s.settleOpen(ctx)
+func (s *Store) resolveEmptyFolder(ctx context.Context) bool {
+	if s.settings.OpenMembership {
+		return s.resolveEmptyFolderOpen(ctx)
 	}
-	member := slices.ContainsFunc(s.set.Members, func(m config.Member) bool { return m.ID == s.set.Name })
-	var boots map[string]string
+	member := slices.ContainsFunc(s.settings.Members, func(m config.Member) bool { return m.ID == s.settings.Name })
+	var incarnations map[string]string
 	for round := 0; ; round++ {
-		answers := s.askAll(ctx)
-		verdict, founders := judge(s.set.Name, s.boot, s.digest(), len(s.set.Members), answers, boots)
-		boots = founders
-		if !member && verdict != exists {
-			verdict = unsure // only the fleet can take in one who is not a founder
+		answers := s.surveyMembers(ctx)
+		decision, bootstrapMembers := decideBootstrap(s.settings.Name, s.incarnation, s.digest(), len(s.settings.Members), answers, incarnations)
+		incarnations = bootstrapMembers
+		if !member && decision != fleetExists {
+			decision = undecided // only the fleet can take in one who is not a founder
 		}
 		var err error
-		switch verdict {
-		case fresh:
-			err = s.found(founders)
-		case exists:
-			if err = s.rename(); err == nil {
-				_ = level.Warn(s.log).Log("msg", "the fleet exists and this folder is empty: joining anew", "id", s.id)
+		switch decision {
+		case mayBootstrap:
+			err = s.bootstrap(bootstrapMembers)
+		case fleetExists:
+			if err = s.startNewIncarnation(); err == nil {
+				_ = level.Warn(s.logger).Log("msg", "the fleet exists and this folder is empty: joining anew", "id", s.id)
 			}
-		case differs:
-			_ = level.Error(s.log).Log("msg", "members in the settings differ between nodes")
+		case settingsDiffer:
+			_ = level.Error(s.logger).Log("msg", "members in the settings differ between nodes")
 		}
 		if err != nil {
 			s.fatal(errs.Pass(err, "settle"))
@@ -137,59 +137,59 @@
 			return true
 		}
 		if round%25 == 0 {
-			_ = level.Info(s.log).Log("msg", "empty folder: asking the other members", "answers", len(answers), "of", len(s.set.Members)-1)
+			_ = level.Info(s.logger).Log("msg", "empty folder: asking the other members", "answers", len(answers), "of", len(s.settings.Members)-1)
 		}
-		if !s.rest(ctx, askEvery) {
+		if !s.sleep(ctx, retryInterval) {
 			return false
 		}
 	}
 }
 
-type verdict uint8
+type bootstrapDecision uint8
 
 const (
-	unsure verdict = iota
-	fresh
-	exists
-	differs
+	undecided bootstrapDecision = iota
+	mayBootstrap
+	fleetExists
+	settingsDiffer
 )
 
-// judge weighs what the other members said, by name. It also gives their boots if all of them are fresh; before is
+// decideBootstrap weighs what the other members said, by name. It also gives their boots if all of them are fresh; before is
 // what it gave in the last round. Two such rounds in a row are needed: the first shows that these very processes
 // run, the second that none of them had stood for leader by then. So no earlier life of any of them gave a vote,
 // and each may be told that it was a founder.
-func judge(name, boot, digest string, members int, answers map[string]internalapi.FoundAnswer, before map[string]string) (verdict, map[string]string) {
-	founders, named, all := map[string]string{}, false, true
+func decideBootstrap(name, recovered, digest string, members int, answers map[string]internalapi.FoundAnswer, before map[string]string) (bootstrapDecision, map[string]string) {
+	bootstrapMembers, named, all := map[string]string{}, false, true
 	for who, a := range answers {
 		if a.Digest != digest {
-			return differs, nil
+			return settingsDiffer, nil
 		}
-		founders[who] = a.Boot
-		named = named || a.Founders[name] == boot
+		bootstrapMembers[who] = a.Boot
+		named = named || a.Founders[name] == recovered
 		all = all && a.Fresh
 	}
 	if named {
-		return fresh, nil // nobody else is vouched for
+		return mayBootstrap, nil // nobody else is vouched for
 	}
 	for _, a := range answers {
 		if a.Commit > 1 {
-			return exists, nil
+			return fleetExists, nil
 		}
 	}
 	if !all || len(answers) < members-1 {
-		return unsure, nil
+		return undecided, nil
 	}
-	if !maps.Equal(before, founders) {
-		return unsure, founders
+	if !maps.Equal(before, bootstrapMembers) {
+		return undecided, bootstrapMembers
 	}
-	return fresh, founders
+	return mayBootstrap, bootstrapMembers
 }
 
-func (s *Store) askAll(ctx context.Context) map[string]internalapi.FoundAnswer {
-	got := make([]*internalapi.FoundAnswer, len(s.set.Members))
+func (s *Store) surveyMembers(ctx context.Context) map[string]internalapi.FoundAnswer {
+	got := make([]*internalapi.FoundAnswer, len(s.settings.Members))
 	routine.Each(len(got), len(got), func(i int) {
-		if m := s.set.Members[i]; m.ID != s.set.Name {
-			if a, err := s.opt.Net.Found(ctx, m.Addr, internalapi.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil {
+		if m := s.settings.Members[i]; m.ID != s.settings.Name {
+			if a, err := s.opt.Net.BootstrapStatus(ctx, m.Addr, internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation}); err == nil {
 				got[i] = &a
 			}
 		}
@@ -197,23 +197,23 @@
 	out := map[string]internalapi.FoundAnswer{}
 	for i, a := range got {
 		if a != nil {
-			out[s.set.Members[i].ID] = *a
+			out[s.settings.Members[i].ID] = *a
 		}
 	}
 	return out
 }
 
-// Found answers one that has an empty folder.
-func (s *Store) Found(internalapi.FoundCall) internalapi.FoundAnswer {
+// Bootstrap answers one that has an empty folder.
+func (s *Store) BootstrapStatus(internalapi.FoundCall) internalapi.FoundAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.FoundAnswer{ID: s.id, Boot: s.boot, Founders: s.founders, Digest: s.digest(),
-		Fresh: s.core == nil && s.id == "" && s.set.Founding}
+	out := internalapi.FoundAnswer{ID: s.id, Boot: s.incarnation, Founders: s.bootstrapMembers, Digest: s.digest(),
+		Fresh: s.core == nil && s.id == "" && s.settings.Founding}
 	if s.core != nil {
 		st := s.core.Status()
 		out.Term, out.Leader = st.Term, st.LeaderAddr
 		// Who founded in this process goes by its settings; after that, only what is on the disk counts.
-		if out.MembersAt, out.Members = s.core.CommittedMembers(); s.set.OpenMembership && s.founders == nil {
+		if out.MembersAt, out.Members = s.core.CommittedMembers(); s.settings.OpenMembership && s.bootstrapMembers == nil {
 			out.Digest = digestOf(seedsOf(out.Members))
 		}
 		out.Commit = st.Commit
@@ -223,7 +223,7 @@
 }
 
 // digest is of the founding members in the settings; they must be the same everywhere.
-func (s *Store) digest() string { return digestOf(s.set.Members) }
+func (s *Store) digest() string { return digestOf(s.settings.Members) }
 
 func digestOf(members []config.Member) string {
 	lines := make([]string, len(members))
@@ -235,10 +235,10 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// found begins a fleet: the empty state at index 1 is the first slot.
-func (s *Store) found(founders map[string]string) error {
-	members := make([]raft.Member, len(s.set.Members))
-	for i, m := range s.set.Members {
+// bootstrap begins a fleet: the empty state at index 1 is the first slot.
+func (s *Store) bootstrap(bootstrapMembers map[string]string) error {
+	members := make([]raft.Member, len(s.settings.Members))
+	for i, m := range s.settings.Members {
 		members[i] = raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
 	}
 	b := raft.Founding(members)
@@ -257,18 +257,18 @@
 		return errs.Pass(err, "found")
 	}
 	s.mu.Lock()
-	s.id, s.founders = s.set.Name, founders
+	s.id, s.bootstrapMembers = s.settings.Name, bootstrapMembers
 	s.mu.Unlock()
-	_ = level.Info(s.log).Log("msg", "founding the fleet", "members", len(members))
+	_ = level.Info(s.logger).Log("msg", "founding the fleet", "members", len(members))
 	hard, err := json.Marshal(b.Hard)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "found")
 	}
-	return errs.Pass(s.begin(storage.Boot{Snapshot: &img, Records: []storage.Record{{Kind: storage.KindHard, Data: hard}}}), "found")
+	return errs.Pass(s.startCore(storage.Boot{Snapshot: &img, Records: []storage.Record{{Kind: storage.KindHard, Data: hard}}}), "found")
 }
 
-// rename gives an empty folder an ID of its own, synced before anything is done under it, and begins empty.
-func (s *Store) rename() error {
+// startNewIncarnation gives an empty folder an ID of its own, synced before anything is done under it, and begins empty.
+func (s *Store) startNewIncarnation() error {
 	id := s.newID()
 	if err := writeFile(s.opt.Disk, idFile, id); err != nil {
 		return errs.Pass(err, "take a new id")
@@ -276,11 +276,11 @@
 	s.mu.Lock()
 	s.id = id
 	s.mu.Unlock()
-	return errs.Pass(s.begin(storage.Boot{}), "begin empty")
+	return errs.Pass(s.startCore(storage.Boot{}), "begin empty")
 }
 
 // newID draws an ID for a new life of this node's folder.
-func (s *Store) newID() string { return s.set.Name + "~" + strings.ToLower(s.opt.Draw()[:10]) }
+func (s *Store) newID() string { return s.settings.Name + "~" + strings.ToLower(s.opt.RandomID()[:10]) }
 
 func readID(d storage.Disk) (string, error) {
 	id, ok, err := readFile(d, idFile)
@@ -290,33 +290,33 @@
 	return id, errs.Pass(err, "id file")
 }
 
-// join asks the leader, through any member, until this node is a voter.
-func (s *Store) join(ctx context.Context) {
-	call := internalapi.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}
+// joinFleet asks the leader, through any member, until this node is a voter.
+func (s *Store) joinFleet(ctx context.Context) {
+	call := internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}
 	for i := 0; ; i++ {
 		s.mu.Lock()
 		addr, voter := s.leaderAddr(), s.status.Voter
 		s.mu.Unlock()
 		if voter {
-			_ = level.Info(s.log).Log("msg", "joined as a voter", "id", s.id)
+			_ = level.Info(s.logger).Log("msg", "joined as a voter", "id", s.id)
 			return
 		}
 		if addr == "" {
-			addr = s.set.Members[i%len(s.set.Members)].Addr
+			addr = s.settings.Members[i%len(s.settings.Members)].Addr
 		}
-		again := askEvery
-		if addr != s.set.Addr {
+		again := retryInterval
+		if addr != s.settings.Addr {
 			a, err := s.opt.Net.Join(ctx, addr, call)
 			if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
 				a, err = s.opt.Net.Join(ctx, errs.Of(err).Hint, call)
 			}
 			if err != nil {
-				_ = level.Debug(s.log).Log("msg", "join", "err", err)
+				_ = level.Debug(s.logger).Log("msg", "join", "err", err)
 			} else {
-				again = max(a.Again, pollEvery)
+				again = max(a.Again, pollInterval)
 			}
 		}
-		if !s.rest(ctx, again) {
+		if !s.sleep(ctx, again) {
 			return
 		}
 	}
@@ -333,7 +333,7 @@
 		return internalapi.JoinAnswer{}, errs.Field(errs.Invalid, "id", "%q is not of %q with an incarnation", call.ID, call.Name)
 	}
 	s.mu.Lock()
-	err := s.leads()
+	err := s.checkLeader()
 	st := s.status
 	place, named := s.live.Successors[name]
 	s.mu.Unlock()
@@ -343,17 +343,17 @@
 	if !named {
 		place = name
 	}
-	if !named && !s.set.OpenMembership {
+	if !named && !s.settings.OpenMembership {
 		known := func(m raft.Member) bool { return nameOf(m.ID) == name }
 		first := func(m config.Member) bool { return m.ID == name }
-		if !slices.ContainsFunc(st.Members, known) && !slices.ContainsFunc(s.set.Members, first) {
+		if !slices.ContainsFunc(st.Members, known) && !slices.ContainsFunc(s.settings.Members, first) {
 			return internalapi.JoinAnswer{}, errs.Field(errs.Forbidden, "name",
 				"no member is named %s; an operator says whom it replaces: crosstide-controlplane member replace OLD %s", name, name)
 		}
 	}
-	out := internalapi.JoinAnswer{Again: askEvery, Members: addressesOf(st.Members)}
-	if s.set.OpenMembership {
-		out.Again = joinEvery
+	out := internalapi.JoinAnswer{Again: retryInterval, Members: addressesOf(st.Members)}
+	if s.settings.OpenMembership {
+		out.Again = joinInterval
 	}
 	var old *raft.Member
 	next := make([]raft.Member, 0, len(st.Members)+1)
@@ -377,36 +377,36 @@
 			return internalapi.JoinAnswer{}, errs.Pass(err, "join")
 		}
 		next = append(next, raft.Member{ID: call.ID, Addr: call.Addr, Zone: call.Zone, Incarnation: incarnation, Learner: true})
-		return out, errs.Pass(s.change(st.Members, next), "join as a learner")
+		return out, errs.Pass(s.changeMembers(st.Members, next), "join as a learner")
 	}
 	out.Learner = true
-	if match := st.Match[call.ID]; match == 0 || match+nearIndex < st.Last {
+	if match := st.Match[call.ID]; match == 0 || match+maxLearnerLag < st.Last {
 		return out, nil
 	}
 	if old == nil {
 		if gone := s.silentVoter(st.Members); gone != "" {
-			return out, errs.Pass(s.change(st.Members, without(next, gone)), "take %s out before a new voter", gone)
+			return out, errs.Pass(s.changeMembers(st.Members, without(next, gone)), "take %s out before a new voter", gone)
 		}
 		next[at].Learner = false
-		return out, errs.Pass(s.change(st.Members, next), "join as a voter")
+		return out, errs.Pass(s.changeMembers(st.Members, next), "join as a voter")
 	}
-	if a, err := s.opt.Net.Found(ctx, old.Addr, internalapi.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil && a.ID == old.ID {
+	if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation}); err == nil && a.ID == old.ID {
 		return out, errs.Field(errs.Conflict, "name", "%s is alive at %s", old.ID, old.Addr)
 	}
-	return out, errs.Pass(s.change(st.Members, without(next, old.ID)), "take %s out", old.ID)
+	return out, errs.Pass(s.changeMembers(st.Members, without(next, old.ID)), "take %s out", old.ID)
 }
 
-// change proposes the member set next, which was made from the set from; that it is committed shows in a later call.
-func (s *Store) change(from, next []raft.Member) error {
+// changeMembers proposes the member set next, which was made from the set from; that it is committed shows in a later call.
+func (s *Store) changeMembers(from, next []raft.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.leads(); err != nil {
+	if err := s.checkLeader(); err != nil {
 		return errs.Pass(err, "members")
 	}
 	if err := s.proposeMembers(s.clock.Now(), from, next); err != nil {
 		return errs.Pass(err, "members")
 	}
-	nudge(s.kick)
+	signal(s.wakeLoop)
 	return nil
 }
 
@@ -419,6 +419,6 @@
 	if _, _, err := s.core.ProposeMembers(now, next); err != nil {
 		return errs.Pass(err, "propose")
 	}
-	_ = level.Info(s.log).Log("msg", "changing members", "members", len(next))
+	_ = level.Info(s.logger).Log("msg", "changing members", "members", len(next))
 	return nil
 }
--- a/internal/store/full_test.go
+++ b/internal/store/full_test.go
@@ -13,14 +13,14 @@
 	"crosstide/internal/raft"
 )
 
-// loadAll submits until n jobs are acknowledged; what a change of leader leaves open is submitted again.
-func (r *testStores) loadAll(label string, n int) {
+// submitAll submits until n jobs are acknowledged; what a change of leader leaves open is submitted again.
+func (r *testStores) submitAll(label string, n int) {
 	for try := 0; ; try++ {
-		if failures := r.load(label, n); len(failures) == 0 {
+		if failures := r.submitJobs(label, n); len(failures) == 0 {
 			return
 		}
 		So(try, ShouldBeLessThan, 20)
-		r.run(100 * time.Millisecond)
+		r.advance(100 * time.Millisecond)
 	}
 }
 
@@ -31,12 +31,12 @@
 	return s.durable
 }
 
-func TestFullDiskOfLeader(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		r.loadAll("before", 50)
+func TestDiskFull_leaderStepsDown(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		r.submitAll("before", 50)
 		old := r.leader()
-		name := old.set.Name
-		r.fill(name, true)
+		name := old.settings.Name
+		r.setFull(name, true)
 		var err error
 		r.call(func(ctx context.Context) { _, _, err = old.Propose(ctx, job("while full")) })
 		if err == nil { // the two others have it
@@ -44,95 +44,95 @@
 		}
 		r.until("another leader", func() bool { return old.Status().Quorum.Role != raft.Leader })
 		at := old.durableIndex()
-		r.loadAll("without it", 200)
+		r.submitAll("without it", 200)
 		So(old.durableIndex(), ShouldEqual, at) // it acknowledges nothing
 		So(r.died, ShouldBeEmpty)
-		r.run(30 * time.Second)
+		r.advance(30 * time.Second)
 		So(r.died, ShouldBeEmpty)
-		So(r.leader().set.Name, ShouldNotEqual, name)
+		So(r.leader().settings.Name, ShouldNotEqual, name)
 
-		r.fill(name, false)
-		r.level()
+		r.setFull(name, false)
+		r.waitLevel()
 		So(r.died, ShouldBeEmpty)
 		// What it acknowledges now counts: with one other node gone, it makes the majority.
 		gone := r.others(name)[0]
 		r.kill(gone)
-		r.loadAll("with it", 50)
+		r.submitAll("with it", 50)
 		r.start(gone)
-		r.level()
+		r.waitLevel()
 	})
 }
 
-// TestOtherRefusalIsFatal: without the mark of a full disk a refused write ends the process, as a failed sync does.
-func TestOtherRefusalIsFatal(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		r.loadAll("before", 20)
+// TestRefusedWrite_isFatal: without the mark of a full disk a refused write ends the process, as a failed sync does.
+func TestRefusedWrite_isFatal(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		r.submitAll("before", 20)
 		lead := r.leader()
-		r.refuse(lead.set.Name, unix.EIO)
+		r.setRefusal(lead.settings.Name, unix.EIO)
 		r.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
-		r.until("the end of the process", func() bool { return r.died[lead.set.Name] != nil })
+		r.until("the end of the process", func() bool { return r.died[lead.settings.Name] != nil })
 		So(r.died, ShouldHaveLength, 1)
-		r.kill(lead.set.Name)
-		r.refuse(lead.set.Name, nil)
-		r.start(lead.set.Name)
-		r.loadAll("after", 20)
-		r.level()
+		r.kill(lead.settings.Name)
+		r.setRefusal(lead.settings.Name, nil)
+		r.start(lead.settings.Name)
+		r.submitAll("after", 20)
+		r.waitLevel()
 	})
 }
 
-func TestFullDiskAtStart(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		r.loadAll("before", 50)
-		name := r.follower(r.leader()).set.Name
+func TestDiskFull_atStartWaits(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		r.submitAll("before", 50)
+		name := r.follower(r.leader()).settings.Name
 		r.kill(name)
-		r.fill(name, true)
-		r.loadAll("meanwhile", 50)
+		r.setFull(name, true)
+		r.submitAll("meanwhile", 50)
 		var s *Store
 		var err error
 		done := false
 		r.work.Go(func(ctx context.Context) {
-			s, err = OpenWhenRoom(ctx, r.options(name))
+			s, err = OpenWhenDiskHasSpace(ctx, r.options(name))
 			done = true
 		})
-		r.run(30 * time.Second)
+		r.advance(30 * time.Second)
 		So(done, ShouldBeFalse)
-		r.fill(name, false)
+		r.setFull(name, false)
 		r.until("the start", func() bool { return done })
 		So(err, ShouldBeNil)
 		r.mu.Lock()
 		r.nodes[name] = s
 		r.mu.Unlock()
 		s.Start()
-		r.level()
+		r.waitLevel()
 		So(r.died, ShouldBeEmpty)
 	})
 }
 
-func TestStartOnFullDiskCalledOff(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		name := r.follower(r.leader()).set.Name
+func TestDiskFull_startIsCancelled(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		name := r.follower(r.leader()).settings.Name
 		r.kill(name)
-		r.fill(name, true)
+		r.setFull(name, true)
 		ctx, cancel := context.WithCancel(context.Background())
 		var err error
 		done := false
 		r.work.Go(func(context.Context) {
-			_, err = OpenWhenRoom(ctx, r.options(name))
+			_, err = OpenWhenDiskHasSpace(ctx, r.options(name))
 			done = true
 		})
-		r.run(time.Second)
+		r.advance(time.Second)
 		cancel()
 		r.until("the end of the start", func() bool { return done })
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
 	})
 }
 
-// TestStalledDisk lets the disks of one node after the other hang, the leader's among them.
-func TestStalledDisk(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		for round, m := range slices.Clone(r.set.Members) {
+// TestHungDisk_leaderStepsDown lets the disks of one node after the other hang, the leader's among them.
+func TestHungDisk_leaderStepsDown(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		for round, m := range slices.Clone(r.settings.Members) {
 			s := r.nodes[m.ID]
-			r.hang(m.ID, true)
+			r.setHang(m.ID, true)
 			r.until("a leader whose disk works", func() bool {
 				lead := r.leader()
 				if lead != s {
@@ -141,10 +141,10 @@
 				r.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a write shows that the disk hangs")) })
 				return false
 			})
-			r.loadAll(m.ID+" hangs", 50+round)
+			r.submitAll(m.ID+" hangs", 50+round)
 			So(r.died, ShouldBeEmpty)
-			r.hang(m.ID, false)
-			r.level()
+			r.setHang(m.ID, false)
+			r.waitLevel()
 		}
 	})
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -9,10 +9,10 @@
 // TestGoldenMetrics pins names, help texts and labels of metrics.
 func TestGoldenMetrics(t *testing.T) {
 	var kept golden.Registry
-	newMeter().show(nil, &kept)
+	newMetrics().register(nil, &kept)
 	golden.Compare(t, "metrics",
 		golden.Metrics("store", kept.Collectors...),
 		golden.Metrics("store, told when asked", golden.Descs{descRole, descTerm, descCommit, descApplied, descWaiting, descRefused,
-			descLog, descWrites, descState, descType, descAccount, descRate, descDryIn, descUnpaid, descWarning}),
+			descLog, descWrites, descState, descType, descAccount, descRate, descExhaustedIn, descUnpaid, descWarning}),
 	)
 }
--- a/internal/store/hand.go
+++ b/internal/store/hand.go
@@ -16,57 +16,57 @@
 // daemon's own code with it. What the goroutines of a started store wait for is a question here, and the caller
 // decides when a sync is done or a message arrives. Net must answer at once. Example:
 //
-//	s, err := store.Open(options)
+//	s, err := store.Active(options)
 //	h := s.ByHand()
 //	h.Pass()                   // a turn of the loop
-//	b := h.Disk()              // what waits for the disk, nil if nothing
+//	b := h.TakeDiskBatch()              // what waits for the disk, nil if nothing
 //	err = b.Write()            // later: it is synced,
-//	b.Stored()                 // and the store takes that in
-//	err = h.Shade()            // the shadow follows, slots are written
-//	for _, p := range h.Out() { send(p.Addr, p.Call) }
+//	b.MarkStored()                 // and the store takes that in
+//	err = h.RunSnapshotter()            // the shadow follows, slots are written
+//	for _, p := range h.TakeMessages() { send(p.Addr, p.Call) }
 type ManualDriver struct {
-	store *Store
-	want  *raft.FetchSnapshot
-	in    *install
+	store   *Store
+	wanted  *raft.FetchSnapshot
+	fetched *fetchedSnapshot
 }
 
 // Manual gives the store's driver; the store must not be started.
 func (s *Store) Manual() *ManualDriver {
-	s.hand = &ManualDriver{store: s}
-	return s.hand
+	s.manual = &ManualDriver{store: s}
+	return s.manual
 }
 
-// Member tells whether the node knows who it is.
-func (h *ManualDriver) Member() bool { return h.store.core != nil }
+// IsMember tells whether the node knows who it is.
+func (h *ManualDriver) IsMember() bool { return h.store.core != nil }
 
-// Found begins a fleet as settle does once all members were found fresh.
-func (h *ManualDriver) Found() error { return errs.Pass(h.store.found(nil), "found") }
+// Bootstrap begins a fleet as settle does once all members were found fresh.
+func (h *ManualDriver) Bootstrap() error { return errs.Pass(h.store.bootstrap(nil), "found") }
 
-// Settle is one round of asking the other members what the empty folder means.
-func (h *ManualDriver) Settle() error {
+// ResolveEmptyFolder is one round of asking the other members what the empty folder means.
+func (h *ManualDriver) ResolveEmptyFolder() error {
 	s := h.store
 	answers := map[string]internalapi.FoundAnswer{}
-	for _, m := range s.set.Members {
-		if m.ID == s.set.Name {
+	for _, m := range s.settings.Members {
+		if m.ID == s.settings.Name {
 			continue
 		}
-		if a, err := s.opt.Net.Found(context.Background(), m.Addr, internalapi.FoundCall{Name: s.set.Name, Boot: s.boot}); err == nil {
+		if a, err := s.opt.Net.BootstrapStatus(context.Background(), m.Addr, internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation}); err == nil {
 			answers[m.ID] = a
 		}
 	}
-	if v, _ := judge(s.set.Name, s.boot, s.digest(), len(s.set.Members), answers, nil); v == exists {
-		return errs.Pass(s.rename(), "settle")
+	if v, _ := decideBootstrap(s.settings.Name, s.incarnation, s.digest(), len(s.settings.Members), answers, nil); v == fleetExists {
+		return errs.Pass(s.startNewIncarnation(), "settle")
 	}
 	return nil
 }
 
-// Joins gives the call that takes this node in; false if it is a voter or never was another.
-func (h *ManualDriver) Joins() (call internalapi.JoinCall, addr string, ok bool) {
+// JoinCall gives the call that takes this node in; false if it is a voter or never was another.
+func (h *ManualDriver) JoinCall() (call internalapi.JoinCall, addr string, ok bool) {
 	s := h.store
-	if s.core == nil || s.id == s.set.Name || s.status.Voter {
+	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
 		return call, "", false
 	}
-	return internalapi.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}, s.leaderAddr(), true
+	return internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}, s.leaderAddr(), true
 }
 
 // Pass is a turn of the loop.
@@ -76,90 +76,90 @@
 	}
 }
 
-// Parcel is a call with replication messages.
-type Parcel struct {
+// OutboundCall is a call with replication messages.
+type OutboundCall struct {
 	Addr string
 	Call internalapi.QuorumCall
 }
 
-// Out takes the messages to other members, in the order of their IDs.
-func (h *ManualDriver) Out() (out []Parcel) {
-	if h.store.broken {
+// TakeMessages takes the messages to other members, in the order of their IDs.
+func (h *ManualDriver) TakeMessages() (out []OutboundCall) {
+	if h.store.halted {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.store.peers)) {
 		p := h.store.peers[id]
 		for len(p.queue) > 0 {
-			out = append(out, Parcel{p.addr, internalapi.QuorumCall{From: h.store.set.Addr, Messages: p.take()}})
+			out = append(out, OutboundCall{p.addr, internalapi.QuorumCall{From: h.store.settings.Addr, Messages: p.takeBatch()}})
 		}
 	}
 	return out
 }
 
-// Batch is what waits for one sync.
-type Batch struct {
-	store *Store
-	work  []work
+// DiskBatch is what waits for one sync.
+type DiskBatch struct {
+	store  *Store
+	writes []diskWrite
 }
 
-// Disk takes what waits for the disk; nil if it is busy or there is nothing.
-func (h *ManualDriver) Disk() *Batch {
-	if h.store.diskBusy != 0 || h.store.broken {
+// TakeDiskBatch takes what waits for the disk; nil if it is busy or there is nothing.
+func (h *ManualDriver) TakeDiskBatch() *DiskBatch {
+	if h.store.diskBusySince != 0 || h.store.halted {
 		return nil
 	}
-	if w := h.store.pick(); len(w) > 0 {
-		return &Batch{h.store, w}
+	if w := h.store.takeDiskWrites(); len(w) > 0 {
+		return &DiskBatch{h.store, w}
 	}
 	return nil
 }
 
 // Write writes and syncs the batch; Stored must follow.
-func (b *Batch) Write() error { return errs.Pass(b.store.write(b.work), "write") }
+func (b *DiskBatch) Write() error { return errs.Pass(b.store.writeBatch(b.writes), "write") }
 
-// Stored takes in that the batch is synced.
-func (b *Batch) Stored() { b.store.stored(b.work) }
+// MarkStored takes in that the batch is synced.
+func (b *DiskBatch) MarkStored() { b.store.onStored(b.writes) }
 
 // Entries are those in the batch, in the order of writing.
-func (b *Batch) Entries() (out []raft.Entry) {
-	for _, w := range b.work {
-		out = append(out, w.append...)
+func (b *DiskBatch) Entries() (out []raft.Entry) {
+	for _, w := range b.writes {
+		out = append(out, w.entries...)
 	}
 	return out
 }
 
-// Shade brings the shadow up and adopts a fetched image once the disk is idle.
-func (h *ManualDriver) Shade() error {
-	in, err := h.store.trail(context.Background())
+// RunSnapshotter brings the shadow up and adopts a fetched image once the disk is idle.
+func (h *ManualDriver) RunSnapshotter() error {
+	fetched, err := h.store.applyStored(context.Background())
 	if err != nil {
 		return errs.Pass(err, "shade")
 	}
-	if in != nil && h.store.freeze(in) {
-		h.in = in
+	if fetched != nil && h.store.freeze(fetched) {
+		h.fetched = fetched
 	}
-	if h.in == nil || !h.store.idle() {
+	if h.fetched == nil || !h.store.diskIdle() {
 		return nil
 	}
-	in, h.in = h.in, nil
-	defer h.store.thaw()
-	return errs.Pass(h.store.put(context.Background(), in), "shade")
+	fetched, h.fetched = h.fetched, nil
+	defer h.store.unfreeze()
+	return errs.Pass(h.store.replaceWithFetched(context.Background(), fetched), "shade")
 }
 
-// Fetch fetches the snapshot that the core asked for, at once; nothing if it asked for none.
-func (h *ManualDriver) Fetch() error {
-	if h.want == nil || h.in != nil {
+// FetchSnapshot fetches the snapshot that the core asked for, at once; nothing if it asked for none.
+func (h *ManualDriver) FetchSnapshot() error {
+	if h.wanted == nil || h.fetched != nil {
 		return nil
 	}
-	want := *h.want
-	h.want, h.store.fetching = nil, false
+	wanted := *h.wanted
+	h.wanted, h.store.fetching = nil, false
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // no rests between tries
-	in, err := h.store.download(ctx, want)
+	fetched, err := h.store.download(ctx, wanted)
 	if err == nil {
-		in.live, err = state.Decode(in.image.Body)
+		fetched.live, err = state.Decode(fetched.image.Body)
 	}
 	if err == nil {
-		in.done = make(chan struct{})
-		h.store.install = in
+		fetched.done = make(chan struct{})
+		h.store.toInstall = fetched
 	}
 	return errs.Pass(err, "fetch")
 }
@@ -177,7 +177,7 @@
 		return nil, errs.Pass(err, "propose")
 	}
 	w := &waiter{data: data, done: make(chan outcome, 1)}
-	if err := h.store.enter(w); err != nil {
+	if err := h.store.enqueueProposal(w); err != nil {
 		return nil, errs.Pass(err, "propose")
 	}
 	return &Proposal{h.store, w}, nil
@@ -193,30 +193,32 @@
 	}
 }
 
-// Leave ends the wait, as Store.Propose does after 2 s.
-func (p *Proposal) Leave() error { return errs.Pass(p.store.leave(p.waiter).err, "propose") }
+// Abandon ends the wait, as Store.Propose does after 2 s.
+func (p *Proposal) Abandon() error {
+	return errs.Pass(p.store.abandonProposal(p.waiter).err, "propose")
+}
 
-// Duty is Store.Duty up to its proposal: the answer, or a command to propose and then to tell Granted of.
-func (h *ManualDriver) Duty(call internalapi.DutyCall) (a internalapi.DutyAnswer, held state.Duty, c command.Command, err error) {
-	a, held, c, err = h.store.ask(call)
-	return a, held, c, errs.Pass(err, "duty")
+// ClaimRole is Store.ClaimRole up to its proposal: the answer, or a command to propose and then to tell Granted of.
+func (h *ManualDriver) ClaimRole(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Duty, c command.Command, err error) {
+	a, current, c, err = h.store.evaluateRoleCall(call)
+	return a, current, c, errs.Pass(err, "duty")
 }
 
-// Granted ends what Duty began.
-func (h *ManualDriver) Granted(call internalapi.DutyCall, held state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
-	a, err := h.store.granted(call, held, index, err)
+// FinishRoleCall ends what Duty began.
+func (h *ManualDriver) FinishRoleCall(call internalapi.DutyCall, current state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
+	a, err := h.store.finishRoleCall(call, current, index, err)
 	return a, errs.Pass(err, "duty")
 }
 
-// Lack is Store.Follow without the wait: nil if the caller lacks nothing.
-func (h *ManualDriver) Lack(version uint64) (*internalapi.Lack, error) {
-	l, _, err := h.store.lack(version, maxFollow)
+// ChangesAfter is Store.Follow without the wait: nil if the caller lacks nothing.
+func (h *ManualDriver) ChangesAfter(version uint64) (*internalapi.Lack, error) {
+	l, _, err := h.store.changesAfter(version, maxFollowBytes)
 	return l, errs.Pass(err, "lack")
 }
 
-// Tidy proposes the letting go of what is old, if this node leads.
-func (h *ManualDriver) Tidy() {
-	if c := h.store.tidying(); c != nil {
+// ProposeGC proposes the letting go of what is old, if this node leads.
+func (h *ManualDriver) ProposeGC() {
+	if c := h.store.gcCommand(); c != nil {
 		_, _ = h.Propose(c) // what it misses the next one does
 	}
 }
@@ -224,11 +226,11 @@
 // State is the live state.
 func (h *ManualDriver) State() *state.State { return h.store.live }
 
-// Floor is the index of the newest slot.
-func (h *ManualDriver) Floor() uint64 { return h.store.newest.Index }
+// SnapshotIndex is the index of the newest slot.
+func (h *ManualDriver) SnapshotIndex() uint64 { return h.store.newestSnapshot.Index }
 
-// Wants tells whether the core asked for a snapshot.
-func (h *ManualDriver) Wants() bool { return h.want != nil && h.in == nil }
+// WantsSnapshot tells whether the core asked for a snapshot.
+func (h *ManualDriver) WantsSnapshot() bool { return h.wanted != nil && h.fetched == nil }
 
 // Core is the replication core, nil before the node knows who it is.
 func (h *ManualDriver) Core() *raft.Core { return h.store.core }
--- a/internal/store/lead.go
+++ b/internal/store/lead.go
@@ -8,14 +8,14 @@
 //	if term, held := s.LeadTerm(clock.Now()); held {
 //		_, _, err = s.ProposeIn(ctx, term, decide())
 //	}
-func (s *Store) LeadTerm(now time.Duration) (term uint64, held bool) {
+func (s *Store) LeaderTerm(now time.Duration) (term uint64, current bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core == nil || s.broken || s.leadTerm == 0 || !s.book.Open() {
+	if s.core == nil || s.halted || s.leaderTerm == 0 || !s.roleLeases.Active() {
 		return 0, false
 	}
-	commit, held := s.core.Confirmed(now)
-	return s.leadTerm, held && s.live.Index >= commit
+	commit, current := s.core.Confirmed(now)
+	return s.leaderTerm, current && s.live.Index >= commit
 }
 
 // Changed gives a channel that is closed when the live state moves on. Take it before you look at the state.
--- a/internal/store/lease_test.go
+++ b/internal/store/lease_test.go
@@ -17,80 +17,80 @@
 	testMargin = 300 * time.Millisecond
 )
 
-func TestBook(t *testing.T) {
+func TestRoleLeases(t *testing.T) {
 	Convey("Given an open book and a duty held by a", t, func() {
 		var clock clock.Virtual
-		book := NewBook(testLease, testMargin)
-		held := state.Duty{Holder: "a", Boot: "1", Epoch: 7}
-		duties := map[string]*state.Duty{"sched": &held}
+		leases := newRoleLeases(testLease, testMargin)
+		current := state.Duty{Holder: "a", Boot: "1", Epoch: 7}
+		duties := map[string]*state.Duty{"sched": &current}
 		a := internalapi.DutyCall{Duty: "sched", Holder: "a", Boot: "1", Epoch: 7}
 		b := internalapi.DutyCall{Duty: "sched", Holder: "b", Boot: "1"}
-		ask := func(c internalapi.DutyCall) Verdict { return book.Ask(clock.Now(), held, c) }
-		So(ask(a), ShouldEqual, Theirs)
-		book.Lead(clock.Now(), duties)
+		ask := func(c internalapi.DutyCall) claimResult { return leases.Claim(clock.Now(), current, c) }
+		So(ask(a), ShouldEqual, claimDenied)
+		leases.BecomeLeader(clock.Now(), duties)
 
 		Convey("the holder renews and no other is granted before lease and margin are over", func() {
 			clock.Advance(testLease)
-			So(ask(b), ShouldEqual, Theirs)
-			So(ask(a), ShouldEqual, Mine)
+			So(ask(b), ShouldEqual, claimDenied)
+			So(ask(a), ShouldEqual, claimRenewed)
 			clock.Advance(testLease + testMargin - 1)
-			So(ask(b), ShouldEqual, Theirs)
+			So(ask(b), ShouldEqual, claimDenied)
 			clock.Advance(1)
-			So(ask(b), ShouldEqual, Free)
+			So(ask(b), ShouldEqual, claimGrantable)
 			Convey("and then the old epoch is never renewed again, whatever the grant's fate", func() {
-				So(ask(a), ShouldEqual, Theirs)
-				So(ask(b), ShouldEqual, Theirs) // one proposal at a time
-				book.Settled("sched", 7)
-				So(book.End(clock.Now(), held, a), ShouldBeTrue)
-				book.Settled("sched", 7)
-				So(ask(a), ShouldEqual, Free) // as a candidate for a new epoch
+				So(ask(a), ShouldEqual, claimDenied)
+				So(ask(b), ShouldEqual, claimDenied) // one proposal at a time
+				leases.ProposalDone("sched", 7)
+				So(leases.Release(clock.Now(), current, a), ShouldBeTrue)
+				leases.ProposalDone("sched", 7)
+				So(ask(a), ShouldEqual, claimGrantable) // as a candidate for a new epoch
 			})
 		})
 		Convey("a new boot of the holder waits like any other", func() {
 			again := a
 			again.Boot = "2"
-			So(ask(again), ShouldEqual, Theirs)
-			So(book.End(clock.Now(), held, again), ShouldBeFalse)
+			So(ask(again), ShouldEqual, claimDenied)
+			So(leases.Release(clock.Now(), current, again), ShouldBeFalse)
 			clock.Advance(testLease + testMargin)
-			So(ask(again), ShouldEqual, Free)
+			So(ask(again), ShouldEqual, claimGrantable)
 		})
 		Convey("a new leader counts it as just granted", func() {
 			clock.Advance(testLease)
-			book.Lose()
-			So(ask(a), ShouldEqual, Theirs)
+			leases.StepDown()
+			So(ask(a), ShouldEqual, claimDenied)
 			clock.Advance(testLease)
-			book.Lead(clock.Now(), duties)
-			So(ask(b), ShouldEqual, Theirs)
-			So(ask(a), ShouldEqual, Mine)
+			leases.BecomeLeader(clock.Now(), duties)
+			So(ask(b), ShouldEqual, claimDenied)
+			So(ask(a), ShouldEqual, claimRenewed)
 		})
 		Convey("a duty given up is free at once, and its epoch over", func() {
-			So(book.End(clock.Now(), held, a), ShouldBeTrue)
-			So(ask(a), ShouldEqual, Theirs)
-			book.Settled("sched", 7)
-			So(ask(a), ShouldEqual, Theirs) // the end may still be committed
-			held = state.Duty{Epoch: 9}
-			So(ask(b), ShouldEqual, Free)
+			So(leases.Release(clock.Now(), current, a), ShouldBeTrue)
+			So(ask(a), ShouldEqual, claimDenied)
+			leases.ProposalDone("sched", 7)
+			So(ask(a), ShouldEqual, claimDenied) // the end may still be committed
+			current = state.Duty{Epoch: 9}
+			So(ask(b), ShouldEqual, claimGrantable)
 		})
 	})
 }
 
 // Every order of renewals, expiries, grants whose answers are lost and changes of leader, by seeds: no two
 // holders believe in the duty at once, each counting its own lease from before it sent its call.
-func TestBookNeverTwo(t *testing.T) {
+func TestRoleLeases_neverTwoHolders(t *testing.T) {
 	Convey("Over many seeds no two nodes hold the duty at once", t, func() {
 		worst, grants := 0, 0
 		for seed := range uint64(400) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
 			var clock clock.Virtual
-			book := NewBook(testLease, testMargin)
-			var held state.Duty
+			leases := newRoleLeases(testLease, testMargin)
+			var current state.Duty
 			type node struct {
 				epoch uint64
 				until time.Duration
 			}
 			nodes := [3]node{}
 			index := uint64(0)
-			book.Lead(0, nil)
+			leases.BecomeLeader(0, nil)
 			for range 300 {
 				i := rnd.IntN(len(nodes))
 				sent := clock.Now()
@@ -99,32 +99,32 @@
 				lost := rnd.IntN(4) == 0
 				switch rnd.IntN(12) {
 				case 0: // the leader falls; the next one knows only the state
-					book.Lose()
+					leases.StepDown()
 					clock.Advance(time.Duration(rnd.Int64N(int64(testLease))))
-					book.Lead(clock.Now(), map[string]*state.Duty{"sched": &held})
+					leases.BecomeLeader(clock.Now(), map[string]*state.Duty{"sched": &current})
 					continue
 				case 1:
-					if nodes[i].until > sent && nodes[i].epoch == held.Epoch {
+					if nodes[i].until > sent && nodes[i].epoch == current.Epoch {
 						nodes[i].until = 0
-						if book.End(clock.Now(), held, call) && !lost {
+						if leases.Release(clock.Now(), current, call) && !lost {
 							index++
-							held = state.Duty{Epoch: index}
+							current = state.Duty{Epoch: index}
 						}
-						book.Settled("sched", call.Epoch)
+						leases.ProposalDone("sched", call.Epoch)
 					}
 					continue
 				}
-				before := held.Epoch
-				verdict := book.Ask(clock.Now(), held, call)
-				if verdict == Free {
+				before := current.Epoch
+				decision := leases.Claim(clock.Now(), current, call)
+				if decision == claimGrantable {
 					grants++
 					index++
-					held = state.Duty{Holder: call.Holder, Boot: "1", Epoch: index}
-					book.Seen(clock.Now(), "sched", index)
-					book.Settled("sched", before)
+					current = state.Duty{Holder: call.Holder, Boot: "1", Epoch: index}
+					leases.ObserveEpoch(clock.Now(), "sched", index)
+					leases.ProposalDone("sched", before)
 				}
-				if verdict != Theirs && !lost {
-					nodes[i] = node{held.Epoch, sent + testLease}
+				if decision != claimDenied && !lost {
+					nodes[i] = node{current.Epoch, sent + testLease}
 				}
 				n := 0
 				for _, x := range nodes {
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -13,9 +13,9 @@
 
 // What the leader of an open fleet keeps to when it removes members that are silent.
 const (
-	leastVoters  = 3                // it never leaves fewer
-	dropLearner  = 10 * time.Second // a learner unheard of for it is dropped
-	maxAddresses = 64               // addresses of other nodes that are remembered
+	minVoters            = 3                // it never leaves fewer
+	silentLearnerTimeout = 10 * time.Second // a learner unheard of for it is dropped
+	maxKnownAddresses    = 64               // addresses of other nodes that are remembered
 )
 
 // Members gives the address of the leader, "" if none is known, and the addresses of all members, voters first.
@@ -27,7 +27,7 @@
 
 // Reached gives the addresses of the voters that this leader has heard of within an election time, its own among them; none
 // on a node that does not lead.
-func (s *Store) Reached() (addresses []string) {
+func (s *Store) ReachableVoters() (addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core == nil {
@@ -35,7 +35,7 @@
 	}
 	now := s.clock.Now()
 	for _, m := range s.status.Members {
-		if heard, ok := s.core.Heard(now, m.ID); !m.Learner && ok && now-heard < s.set.Election {
+		if heard, ok := s.core.Heard(now, m.ID); !m.Learner && ok && now-heard < s.settings.Election {
 			addresses = append(addresses, m.Addr)
 		}
 	}
@@ -73,17 +73,17 @@
 func (s *Store) LearnAddresses(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learn(addresses...)
+	s.rememberAddresses(addresses...)
 }
 
-// learn remembers the address of another node of an open fleet; called under the lock.
-func (s *Store) learn(addresses ...string) {
-	if !s.set.OpenMembership {
+// rememberAddresses remembers the address of another node of an open fleet; called under the lock.
+func (s *Store) rememberAddresses(addresses ...string) {
+	if !s.settings.OpenMembership {
 		return
 	}
 	for _, a := range addresses {
-		if a != "" && a != s.set.Addr && len(s.known) < maxAddresses {
-			s.known[a] = true
+		if a != "" && a != s.settings.Addr && len(s.knownAddrs) < maxKnownAddresses {
+			s.knownAddrs[a] = true
 		}
 	}
 }
@@ -92,70 +92,70 @@
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := maps.Clone(s.known)
-	for _, m := range s.set.Members {
+	all := maps.Clone(s.knownAddrs)
+	for _, m := range s.settings.Members {
 		all[m.Addr] = true
 	}
 	for _, m := range s.status.Members {
 		all[m.Addr] = true
 	}
-	delete(all, s.set.Addr)
+	delete(all, s.settings.Addr)
 	return slices.Sorted(maps.Keys(all))
 }
 
 // removeSilent lets the leader of an open fleet remove a silent voter of an even set, which bears no more losses
 // than the odd set below it, or a silent learner. One change goes at a time. Called under the lock, at each tick.
 func (s *Store) removeSilent(now time.Duration) {
-	if !s.set.OpenMembership || s.status.Role != raft.Leader {
+	if !s.settings.OpenMembership || s.status.Role != raft.Leader {
 		return
 	}
 	members := s.status.Members
 	gone := ""
 	if voterCount(members)%2 == 0 {
-		gone = s.silentIn(now, members)
+		gone = s.longestSilentVoter(now, members)
 	}
 	for _, m := range members {
-		if gone == "" && m.Learner && s.silence(now, m.ID) >= dropLearner {
+		if gone == "" && m.Learner && s.silentFor(now, m.ID) >= silentLearnerTimeout {
 			gone = m.ID
 		}
 	}
 	if gone == "" {
 		return
 	}
-	silent := s.silence(now, gone)
+	silent := s.silentFor(now, gone)
 	if err := s.proposeMembers(now, members, without(members, gone)); err != nil {
-		_ = level.Debug(s.log).Log("msg", "remove a silent member", "id", gone, "err", err)
+		_ = level.Debug(s.logger).Log("msg", "remove a silent member", "id", gone, "err", err)
 		return
 	}
-	_ = level.Warn(s.log).Log("msg", "removing a silent member", "id", gone, "silent", silent)
+	_ = level.Warn(s.logger).Log("msg", "removing a silent member", "id", gone, "silent", silent)
 }
 
-// silentVoter is silentIn at this moment.
+// silentVoter is longestSilentVoter at this moment.
 func (s *Store) silentVoter(members []raft.Member) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core == nil || !s.set.OpenMembership {
+	if s.core == nil || !s.settings.OpenMembership {
 		return ""
 	}
-	return s.silentIn(s.clock.Now(), members)
+	return s.longestSilentVoter(s.clock.Now(), members)
 }
 
-// silentIn gives the voter that has been silent for longest, RemoveAfter at least, if the others can do without it.
-func (s *Store) silentIn(now time.Duration, members []raft.Member) (id string) {
-	longest := s.set.RemoveAfter
+// longestSilentVoter gives the voter that has been silent for longest, RemoveAfter at least, if the others can do without it.
+func (s *Store) longestSilentVoter(now time.Duration, members []raft.Member) (id string) {
+	longest := s.settings.RemoveAfter
 	for _, m := range members {
-		if d := s.silence(now, m.ID); !m.Learner && d >= longest {
+		if d := s.silentFor(now, m.ID); !m.Learner && d >= longest {
 			id, longest = m.ID, d
 		}
 	}
-	if id == "" || !s.standing(now, without(members, id)) {
+	if id == "" || !s.hasLiveMajority(now, without(members, id)) {
 		return ""
 	}
 	return id
 }
 
-// silence is how long this leader has not heard of a member; 0 if it does not lead.
-func (s *Store) silence(now time.Duration, id string) time.Duration {
+// silentFor is how long this leader has not heard of a member; 0 if it does not lead.
+func (s *Store) silentFor(now time.Duration, id string) time.Duration {
 	heard, ok := s.core.Heard(now, id)
 	if !ok {
 		return 0
@@ -163,16 +163,16 @@
 	return now - heard
 }
 
-// standing tells whether a member set has voters enough and a majority of them was heard of within an Election.
-func (s *Store) standing(now time.Duration, members []raft.Member) bool {
+// hasLiveMajority tells whether a member set has voters enough and a majority of them was heard of within an Election.
+func (s *Store) hasLiveMajority(now time.Duration, members []raft.Member) bool {
 	heard := 0
 	for _, m := range members {
-		if !m.Learner && s.silence(now, m.ID) < s.set.Election {
+		if !m.Learner && s.silentFor(now, m.ID) < s.settings.Election {
 			heard++
 		}
 	}
 	voters := voterCount(members)
-	return voters >= leastVoters && heard > voters/2
+	return voters >= minVoters && heard > voters/2
 }
 
 func voterCount(members []raft.Member) (n int) {
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -8,13 +8,13 @@
 	"crosstide/internal/storage"
 )
 
-// meter is what the store shows of itself.
-type meter struct {
+// metrics is what the store shows of itself.
+type metrics struct {
 	proposals, dropped        prometheus.Counter
 	syncs, commits, snapshots prometheus.Histogram
 }
 
-func newMeter() *meter {
+func newMetrics() *metrics {
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "crosstide_store_" + name, Help: help})
 	}
@@ -22,7 +22,7 @@
 		return prometheus.NewHistogram(prometheus.HistogramOpts{Name: "crosstide_store_" + name, Help: help,
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 17)})
 	}
-	return &meter{
+	return &metrics{
 		proposals: counter("proposals_total", "Proposals put into the log."),
 		dropped:   counter("messages_dropped_total", "Messages to peers that fell or failed."),
 		syncs:     seconds("sync_seconds", "Syncs of the log; its count is the count of group commits."),
@@ -31,15 +31,15 @@
 	}
 }
 
-// show registers all that the meter shows; nil does nothing.
-func (m *meter) show(s *Store, to prometheus.Registerer) {
+// register registers all that the meter shows; nil does nothing.
+func (m *metrics) register(s *Store, to prometheus.Registerer) {
 	if to != nil {
-		to.MustRegister(m.proposals, m.dropped, m.syncs, m.commits, m.snapshots, &gauges{store: s})
+		to.MustRegister(m.proposals, m.dropped, m.syncs, m.commits, m.snapshots, &collector{store: s})
 	}
 }
 
-// gauges are read when they are asked for.
-type gauges struct{ store *Store }
+// collector are read when they are asked for.
+type collector struct{ store *Store }
 
 func describe(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("crosstide_store_"+name, help, labels, nil)
@@ -59,19 +59,19 @@
 )
 
 // Describe tells nothing in advance: the labels come with the state.
-func (g *gauges) Describe(chan<- *prometheus.Desc) {}
+func (g *collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect gives the figures of now.
-func (g *gauges) Collect(to chan<- prometheus.Metric) {
+func (g *collector) Collect(to chan<- prometheus.Metric) {
 	s := g.store
 	s.mu.Lock()
-	st, applied, waiting := s.status, s.live.Index, s.waiting
+	st, applied, waiting := s.status, s.live.Index, s.proposalCount
 	figures, accounts := query.Count(s.live), query.Accounts(s.live)
 	var disk storage.Stats
-	slots := s.storage
+	inFlight := s.storage
 	s.mu.Unlock()
-	if slots != nil {
-		disk = slots.Stats()
+	if inFlight != nil {
+		disk = inFlight.Stats()
 	}
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -19,34 +19,34 @@
 
 // Intervals of an open fleet; each is spread by a quarter, so that nodes started together do not ask in step.
 const (
-	settleEvery  = 100 * time.Millisecond // of asking what an empty folder means
-	joinEvery    = 50 * time.Millisecond  // of asking to be taken in
-	removalEvery = 500 * time.Millisecond // of asking, without a leader, whether this node was removed
+	surveyInterval       = 100 * time.Millisecond // of asking what an empty folder means
+	joinInterval         = 50 * time.Millisecond  // of asking to be taken in
+	removalCheckInterval = 500 * time.Millisecond // of asking, without a leader, whether this node was removed
 )
 
-// spread gives d, longer or shorter by up to a quarter.
-func spread(d time.Duration) time.Duration { return d - d/4 + rand.N(d/2) }
+// jitter gives d, longer or shorter by up to a quarter.
+func jitter(d time.Duration) time.Duration { return d - d/4 + rand.N(d/2) }
 
-// settleOpen is settle where members are only seeds: a seed may found with the others, all other nodes wait until
+// resolveEmptyFolderOpen is settle where members are only seeds: a seed may found with the others, all other nodes wait until
 // somebody tells them that the fleet exists.
-func (s *Store) settleOpen(ctx context.Context) bool {
-	founder := slices.ContainsFunc(s.set.Members, func(m config.Member) bool { return m.ID == s.set.Name })
-	var boots map[string]string
+func (s *Store) resolveEmptyFolderOpen(ctx context.Context) bool {
+	founder := slices.ContainsFunc(s.settings.Members, func(m config.Member) bool { return m.ID == s.settings.Name })
+	var incarnations map[string]string
 	for round := 0; ; round++ {
 		// A founder waits for all answers: one that names it among the founders weighs most.
-		answers := s.survey(ctx, func(a internalapi.FoundAnswer) bool { return !founder && a.Commit > 1 })
-		v, founders := s.judgeOpen(answers, boots)
-		boots = founders
+		answers := s.surveyNodes(ctx, func(a internalapi.FoundAnswer) bool { return !founder && a.Commit > 1 })
+		v, bootstrapMembers := s.decideOpenBootstrap(answers, incarnations)
+		incarnations = bootstrapMembers
 		var err error
 		switch {
-		case v == fresh && founder:
-			err = s.found(founders)
-		case v == exists:
-			if err = s.rename(); err == nil {
-				_ = level.Info(s.log).Log("msg", "the fleet exists and this folder is empty: joining", "id", s.id)
+		case v == mayBootstrap && founder:
+			err = s.bootstrap(bootstrapMembers)
+		case v == fleetExists:
+			if err = s.startNewIncarnation(); err == nil {
+				_ = level.Info(s.logger).Log("msg", "the fleet exists and this folder is empty: joining", "id", s.id)
 			}
-		case v == differs:
-			_ = level.Error(s.log).Log("msg", "founding members in the settings differ between nodes")
+		case v == settingsDiffer:
+			_ = level.Error(s.logger).Log("msg", "founding members in the settings differ between nodes")
 		}
 		if err != nil {
 			s.fatal(errs.Pass(err, "settle"))
@@ -56,54 +56,54 @@
 			return true
 		}
 		if round%50 == 0 {
-			_ = level.Info(s.log).Log("msg", "empty folder: asking other nodes", "answers", len(answers))
+			_ = level.Info(s.logger).Log("msg", "empty folder: asking other nodes", "answers", len(answers))
 		}
-		if !s.rest(ctx, spread(settleEvery)) {
+		if !s.sleep(ctx, jitter(surveyInterval)) {
 			return false
 		}
 	}
 }
 
-// judgeOpen is judge where settings may differ between nodes: only those who may found together must have the same
+// decideOpenBootstrap is judge where settings may differ between nodes: only those who may found together must have the same
 // founders. answers are by address.
-func (s *Store) judgeOpen(answers map[string]internalapi.FoundAnswer, before map[string]string) (verdict, map[string]string) {
+func (s *Store) decideOpenBootstrap(answers map[string]internalapi.FoundAnswer, before map[string]string) (bootstrapDecision, map[string]string) {
 	digest := s.digest()
-	founders := map[string]internalapi.FoundAnswer{}
-	for _, m := range s.set.Members {
+	bootstrapMembers := map[string]internalapi.FoundAnswer{}
+	for _, m := range s.settings.Members {
 		a, ok := answers[m.Addr]
 		if !ok {
 			continue
 		}
-		if a.Digest == digest && a.Founders[s.set.Name] == s.boot {
-			return fresh, nil // nobody else is vouched for
+		if a.Digest == digest && a.Founders[s.settings.Name] == s.incarnation {
+			return mayBootstrap, nil // nobody else is vouched for
 		}
-		founders[m.ID] = a
+		bootstrapMembers[m.ID] = a
 	}
 	for _, a := range answers {
 		if a.Commit > 1 {
-			return exists, nil
+			return fleetExists, nil
 		}
 	}
-	for id, a := range founders {
+	for id, a := range bootstrapMembers {
 		if !a.Fresh {
 			a.Digest = digest // it only keeps the others from founding
-			founders[id] = a
+			bootstrapMembers[id] = a
 		}
 	}
-	v, boots := judge(s.set.Name, s.boot, digest, len(s.set.Members), founders, before)
-	return v, boots
+	v, incarnations := decideBootstrap(s.settings.Name, s.incarnation, digest, len(s.settings.Members), bootstrapMembers, before)
+	return v, incarnations
 }
 
-// survey asks all nodes whose address is known how they stand, at once, until enough holds for an answer or all
+// surveyNodes asks all nodes whose address is known how they stand, at once, until enough holds for an answer or all
 // have answered or failed. It gives the answers by address, and learns the addresses in them.
-func (s *Store) survey(ctx context.Context, enough func(internalapi.FoundAnswer) bool) map[string]internalapi.FoundAnswer {
+func (s *Store) surveyNodes(ctx context.Context, enough func(internalapi.FoundAnswer) bool) map[string]internalapi.FoundAnswer {
 	addresses := s.addresses()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
 	answers := map[string]internalapi.FoundAnswer{}
 	routine.Each(len(addresses), len(addresses), func(i int) {
-		a, err := s.opt.Net.Found(ctx, addresses[i], internalapi.FoundCall{Name: s.set.Name, Boot: s.boot})
+		a, err := s.opt.Net.BootstrapStatus(ctx, addresses[i], internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation})
 		if err != nil {
 			return
 		}
@@ -117,23 +117,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range answers {
-		s.learn(a.Leader)
-		s.learn(addressesOf(a.Members)...)
+		s.rememberAddresses(a.Leader)
+		s.rememberAddresses(addressesOf(a.Members)...)
 	}
 	return answers
 }
 
-// joinOpen asks the leader until this node is a voter.
-func (s *Store) joinOpen(ctx context.Context) {
-	call := internalapi.JoinCall{ID: s.id, Name: s.set.Name, Addr: s.set.Addr, Zone: s.set.Zone}
+// joinOpenFleet asks the leader until this node is a voter.
+func (s *Store) joinOpenFleet(ctx context.Context) {
+	call := internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}
 	leader := ""
 	for {
 		s.mu.Lock()
-		voter, uncommitted := s.voterForSure(), s.status.Voter
+		voter, uncommitted := s.isCommittedVoter(), s.status.Voter
 		call.Since = s.core.MemberSince()
 		s.mu.Unlock()
 		if voter {
-			_ = level.Info(s.log).Log("msg", "joined as a voter", "id", s.id)
+			_ = level.Info(s.logger).Log("msg", "joined as a voter", "id", s.id)
 			return
 		}
 		if leader == "" && !uncommitted {
@@ -142,23 +142,23 @@
 		if leader != "" && !uncommitted {
 			err := s.askToJoin(ctx, leader, call)
 			if errs.Is(err, errs.Stale) {
-				s.endRemoved(leader)
+				s.discardAndRejoin(leader)
 				return
 			}
 			if err != nil {
-				_ = level.Debug(s.log).Log("msg", "join", "leader", leader, "err", err)
+				_ = level.Debug(s.logger).Log("msg", "join", "leader", leader, "err", err)
 				leader = ""
 			}
 		}
-		if !s.rest(ctx, spread(joinEvery)) {
+		if !s.sleep(ctx, jitter(joinInterval)) {
 			return
 		}
 	}
 }
 
-// voterForSure tells whether a committed set has this node as a voter; what its log says beyond that may be undone.
+// isCommittedVoter tells whether a committed set has this node as a voter; what its log says beyond that may be undone.
 // Called under the lock.
-func (s *Store) voterForSure() bool {
+func (s *Store) isCommittedVoter() bool {
 	_, members := s.core.CommittedMembers()
 	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == s.id && !m.Learner })
 }
@@ -171,7 +171,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learn(a.Members...)
+	s.rememberAddresses(a.Members...)
 	return nil
 }
 
@@ -195,8 +195,8 @@
 // findLeader asks other nodes for the leader's address; "" if nobody knows one. Of two the newer term counts.
 func (s *Store) findLeader(ctx context.Context) (leader string) {
 	newest := uint64(0)
-	knows := func(a internalapi.FoundAnswer) bool { return a.Leader != "" && a.Leader != s.set.Addr }
-	for _, a := range s.survey(ctx, knows) {
+	knows := func(a internalapi.FoundAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
+	for _, a := range s.surveyNodes(ctx, knows) {
 		if knows(a) && (leader == "" || a.Term > newest) {
 			leader, newest = a.Leader, a.Term
 		}
@@ -207,44 +207,44 @@
 // watchRemoval finds out whether this node was removed while it was down or cut off. Its contents are void then:
 // it begins anew as another incarnation.
 func (s *Store) watchRemoval(ctx context.Context) {
-	for s.rest(ctx, spread(removalEvery)) {
-		if !s.leaderless() {
+	for s.sleep(ctx, jitter(removalCheckInterval)) {
+		if !s.isLeaderless() {
 			continue
 		}
-		answers := s.survey(ctx, s.removedBy)
+		answers := s.surveyNodes(ctx, s.provesRemoval)
 		for _, address := range slices.Sorted(maps.Keys(answers)) {
-			if s.removedBy(answers[address]) {
-				s.endRemoved(address)
+			if s.provesRemoval(answers[address]) {
+				s.discardAndRejoin(address)
 				return
 			}
 		}
 	}
 }
 
-// endRemoved voids the folder and ends the use of the store, after the node at the address told that this one was
+// discardAndRejoin voids the folder and ends the use of the store, after the node at the address told that this one was
 // removed.
-func (s *Store) endRemoved(address string) {
-	_ = level.Warn(s.log).Log("msg", "removed from the members while away: joining anew", "id", s.id, "told by", address)
+func (s *Store) discardAndRejoin(address string) {
+	_ = level.Warn(s.logger).Log("msg", "removed from the members while away: joining anew", "id", s.id, "told by", address)
 	if err := Discard(s.opt.Disk, s.addresses()...); err != nil {
 		s.fatal(errs.Pass(err, "removed"))
 		return
 	}
-	if s.breakOff() {
+	if s.halt() {
 		s.opt.Removed()
 	}
 }
 
-// leaderless tells whether this node neither leads nor heard of a leader for two Elections.
-func (s *Store) leaderless() bool {
+// isLeaderless tells whether this node neither leads nor heard of a leader for two Elections.
+func (s *Store) isLeaderless() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.status.Role != raft.Leader && s.clock.Now()-s.toldAt > 2*s.set.Election
+	return s.status.Role != raft.Leader && s.clock.Now()-s.leaderHeardAt > 2*s.settings.Election
 }
 
-// removedBy tells whether an answer proves that this node is no member any more: a set that was committed after the
+// provesRemoval tells whether an answer proves that this node is no member any more: a set that was committed after the
 // oldest one here with this node in it is without it. That oldest one need not be committed: if it never was, the
 // node did not become a member by it. Who was removed does not come back under its ID, see checkNotRemoved.
-func (s *Store) removedBy(a internalapi.FoundAnswer) bool {
+func (s *Store) provesRemoval(a internalapi.FoundAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.core.MemberSince()
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -22,18 +22,18 @@
 	"crosstide/internal/storage"
 )
 
-// withinOpen runs a test in a bubble, with a rig of an open fleet of n nodes, c1 to c3 its seeds, at the
+// withOpenFleet runs a test in a bubble, with a rig of an open fleet of n nodes, c1 to c3 its seeds, at the
 // platform's settings. None is started; there are slots, and so syncs must take no time (see slowSyncs).
-func withinOpen(t *testing.T, n int, do func(r *testStores)) {
+func withOpenFleet(t *testing.T, n int, do func(r *testStores)) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Given machines of an open fleet", t, func() {
 			r := newTestStores(0, 40)
 			defer r.close()
-			r.set.OpenMembership = true
-			r.set.Election, r.set.Heartbeat, r.set.Lease = 600*time.Millisecond, 120*time.Millisecond, 400*time.Millisecond
-			r.seeds([]string{"c1", "c2", "c3"})
+			r.settings.OpenMembership = true
+			r.settings.Election, r.settings.Heartbeat, r.settings.Lease = 600*time.Millisecond, 120*time.Millisecond, 400*time.Millisecond
+			r.setSeeds([]string{"c1", "c2", "c3"})
 			for i := range n {
-				r.disks[name(i)] = storage.NewMemDisk()
+				r.disks[nodeName(i)] = storage.NewMemDisk()
 			}
 			do(r)
 		})
@@ -43,11 +43,11 @@
 // slowSyncs gives syncs a time to take, and does without slots: a slot and the log take turns under a mutex, which
 // a bubble cannot wait for.
 func (r *testStores) slowSyncs() {
-	r.set.SnapshotEvery = 1 << 20
+	r.settings.SnapshotEvery = 1 << 20
 	r.slow.Store(int64(3 * time.Millisecond))
 }
 
-func name(i int) string { return fmt.Sprintf("c%d", i+1) }
+func nodeName(i int) string { return fmt.Sprintf("c%d", i+1) }
 
 // startAll starts the nodes that have a disk and do not run.
 func (r *testStores) startAll() {
@@ -62,15 +62,15 @@
 	}
 }
 
-// fresh gives a node an empty disk, the settings that a replaced machine has, and starts it.
-func (r *testStores) fresh(name string) {
+// mayBootstrap gives a node an empty disk, the settings that a replaced machine has, and starts it.
+func (r *testStores) startFresh(name string) {
 	r.disks[name] = storage.NewMemDisk()
-	r.set.Founding = false
+	r.settings.Founding = false
 	r.start(name)
 }
 
-// voters waits until the members are just these, each by the newest ID of its folder, all of them voters.
-func (r *testStores) voters(names ...string) {
+// waitVoters waits until the members are just these, each by the newest ID of its folder, all of them voters.
+func (r *testStores) waitVoters(names ...string) {
 	r.until("voters "+strings.Join(names, " "), func() bool {
 		for _, n := range names {
 			s := r.nodes[n]
@@ -101,14 +101,14 @@
 	return out
 }
 
-// run moves the clock on by d, a little at a time.
-func (r *testStores) run(d time.Duration) {
+// advance moves the clock on by d, a little at a time.
+func (r *testStores) advance(d time.Duration) {
 	end := r.clock.Now() + d
 	r.until("the end of a time", func() bool { return r.clock.Now() >= end })
 }
 
-// took tells how long do took on the clock.
-func (r *testStores) took(do func()) time.Duration {
+// elapsed tells how long do took on the clock.
+func (r *testStores) elapsed(do func()) time.Duration {
 	from := r.clock.Now()
 	do()
 	return r.clock.Now() - from
@@ -134,15 +134,15 @@
 	return out
 }
 
-// ended tells whether a node ended the use of its store because it was removed.
-func (r *testStores) ended(name string) bool {
+// wasRemoved tells whether a node ended the use of its store because it was removed.
+func (r *testStores) wasRemoved(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.removed[name]
 }
 
-// again opens the folder of a node that was removed anew, in the same process.
-func (r *testStores) again(name string) {
+// reopen opens the folder of a node that was removed anew, in the same process.
+func (r *testStores) reopen(name string) {
 	r.kill(name)
 	r.mu.Lock()
 	delete(r.removed, name)
@@ -150,176 +150,176 @@
 	r.start(name)
 }
 
-func TestOpenFounding(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
-		took := r.took(func() {
+func TestOpenBootstrap(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
+		took := r.elapsed(func() {
 			r.startAll()
-			r.voters("c1", "c2", "c3", "c4", "c5")
+			r.waitVoters("c1", "c2", "c3", "c4", "c5")
 		})
 		Printf("\nfive voters after %s", took)
 		So(took, ShouldBeLessThan, 4*time.Second)
 		for _, n := range []string{"c1", "c2", "c3"} {
 			So(r.nodes[n].Status().Quorum.ID, ShouldEqual, n) // founded, not joined
 		}
-		So(r.load("a", 100), ShouldBeEmpty)
-		r.level()
+		So(r.submitJobs("a", 100), ShouldBeEmpty)
+		r.waitLevel()
 
-		joined := r.took(func() {
-			r.fresh("c6")
-			r.voters("c1", "c2", "c3", "c4", "c5", "c6")
+		joined := r.elapsed(func() {
+			r.startFresh("c6")
+			r.waitVoters("c1", "c2", "c3", "c4", "c5", "c6")
 		})
 		Printf("\na newcomer is a voter after %s", joined)
 		So(joined, ShouldBeLessThan, time.Second)
-		r.level()
+		r.waitLevel()
 
 		leader, addresses := r.nodes["c6"].Members()
-		So(leader, ShouldEqual, r.leader().set.Addr)
+		So(leader, ShouldEqual, r.leader().settings.Addr)
 		So(addresses, ShouldHaveLength, 6)
 	})
 }
 
-func TestOpenFoundingWithoutASeed(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
+func TestOpenBootstrap_waitsForAllSeeds(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
 		for _, n := range []string{"c1", "c2", "c4", "c5"} { // c3 is late
 			r.start(n)
 		}
-		r.run(10 * time.Second)
+		r.advance(10 * time.Second)
 		for n, s := range r.nodes {
-			So(fmt.Sprint(n, s.Found(internalapi.FoundCall{}).Commit), ShouldEqual, n+"0")
+			So(fmt.Sprint(n, s.BootstrapStatus(internalapi.FoundCall{}).Commit), ShouldEqual, n+"0")
 		}
 		r.start("c3")
-		r.voters("c1", "c2", "c3", "c4", "c5")
+		r.waitVoters("c1", "c2", "c3", "c4", "c5")
 	})
 }
 
-func TestNoFounding(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
-		r.set.Founding = false
+func TestOpenBootstrap_neverWhenDisallowed(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
+		r.settings.Founding = false
 		r.startAll()
-		r.run(20 * time.Second)
+		r.advance(20 * time.Second)
 		for _, s := range r.nodes {
-			a := s.Found(internalapi.FoundCall{})
+			a := s.BootstrapStatus(internalapi.FoundCall{})
 			So(a.Fresh, ShouldBeFalse)
 			So(a.Commit, ShouldEqual, 0)
-			So(a.ID, ShouldStartWith, s.set.Name+"~")
+			So(a.ID, ShouldStartWith, s.settings.Name+"~")
 			So(s.Ready(), ShouldNotBeNil)
 		}
 	})
-	withinOpen(t, 3, func(r *testStores) { // one seed has lost its folder: the others must not found without its word
+	withOpenFleet(t, 3, func(r *testStores) { // one seed has lost its folder: the others must not found without its word
 		r.start("c1")
 		r.start("c2")
-		r.set.Founding = false
+		r.settings.Founding = false
 		r.start("c3")
-		r.run(20 * time.Second)
+		r.advance(20 * time.Second)
 		for _, s := range r.nodes {
-			So(s.Found(internalapi.FoundCall{}).Commit, ShouldEqual, 0)
+			So(s.BootstrapStatus(internalapi.FoundCall{}).Commit, ShouldEqual, 0)
 		}
 	})
 }
 
-func TestOpenWiped(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
+func TestOpenJoin_afterWipedDisk(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
 		r.startAll()
-		r.voters("c1", "c2", "c3", "c4", "c5")
-		r.load("a", 200)
+		r.waitVoters("c1", "c2", "c3", "c4", "c5")
+		r.submitJobs("a", 200)
 		for _, founding := range []bool{true, false} {
-			for _, gone := range []string{"c1", "c5", r.leader().set.Name} {
+			for _, gone := range []string{"c1", "c5", r.leader().settings.Name} {
 				r.kill(gone)
 				before := r.others()
 				r.disks[gone] = storage.NewMemDisk()
-				took := r.took(func() {
-					r.set.Founding = founding
+				took := r.elapsed(func() {
+					r.settings.Founding = founding
 					r.start(gone)
-					r.voters(append(before, gone)...)
+					r.waitVoters(append(before, gone)...)
 				})
 				Printf("\nwiped %s is a voter after %s", gone, took)
 				So(took, ShouldBeLessThan, 2500*time.Millisecond) // an election may be in it
-				So(r.load(fmt.Sprint(gone, founding), 20), ShouldBeEmpty)
-				r.level()
+				So(r.submitJobs(fmt.Sprint(gone, founding), 20), ShouldBeEmpty)
+				r.waitLevel()
 			}
 		}
 	})
 }
 
-func TestOpenReplaced(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
+func TestOpenJoin_replacesDeadMember(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
 		r.startAll()
-		r.voters("c1", "c2", "c3", "c4", "c5")
-		r.load("a", 100)
+		r.waitVoters("c1", "c2", "c3", "c4", "c5")
+		r.submitJobs("a", 100)
 		// The new machine comes at once: it joins as the sixth, then the dead one goes.
-		gone := r.follower(r.leader()).set.Name
+		gone := r.follower(r.leader()).settings.Name
 		r.kill(gone)
-		took := r.took(func() {
-			r.fresh("c6")
+		took := r.elapsed(func() {
+			r.startFresh("c6")
 			r.until("six voters", func() bool { return len(memberIDs(r.leader())) == 6 })
 		})
 		Printf("\nthe sixth is a voter after %s", took)
 		So(took, ShouldBeLessThan, 2*time.Second)
-		r.voters(r.others()...)
+		r.waitVoters(r.others()...)
 		So(r.others(), ShouldHaveLength, 5)
-		So(r.load("b", 50), ShouldBeEmpty)
+		So(r.submitJobs("b", 50), ShouldBeEmpty)
 
 		// It comes when the dead one is known to be dead: that one goes first, there never are six.
-		gone = r.follower(r.leader()).set.Name
+		gone = r.follower(r.leader()).settings.Name
 		r.kill(gone)
-		r.run(r.set.RemoveAfter + time.Second)
+		r.advance(r.settings.RemoveAfter + time.Second)
 		So(memberIDs(r.leader()), ShouldHaveLength, 5) // an odd set stays
-		r.fresh("c7")
+		r.startFresh("c7")
 		r.until("the newcomer is a voter", func() bool {
 			So(len(memberIDs(r.leader())), ShouldBeLessThan, 6)
 			return r.nodes["c7"].Status().Quorum.Voter
 		})
-		r.voters(r.others()...)
-		So(r.load("c", 50), ShouldBeEmpty)
-		r.level()
+		r.waitVoters(r.others()...)
+		So(r.submitJobs("c", 50), ShouldBeEmpty)
+		r.waitLevel()
 	})
 }
 
-func TestRemovalBounds(t *testing.T) {
-	withinOpen(t, 4, func(r *testStores) {
+func TestRemoveSilent_bounds(t *testing.T) {
+	withOpenFleet(t, 4, func(r *testStores) {
 		r.startAll()
-		r.voters("c1", "c2", "c3", "c4")
-		gone := r.follower(r.leader()).set.Name
+		r.waitVoters("c1", "c2", "c3", "c4")
+		gone := r.follower(r.leader()).settings.Name
 		r.kill(gone)
-		r.run(r.set.RemoveAfter - 500*time.Millisecond)
+		r.advance(r.settings.RemoveAfter - 500*time.Millisecond)
 		So(memberIDs(r.leader()), ShouldHaveLength, 4)
-		r.voters(r.others()...)
+		r.waitVoters(r.others()...)
 		So(memberIDs(r.leader()), ShouldHaveLength, 3)
 
 		// Never below three.
-		r.kill(r.follower(r.leader()).set.Name)
-		r.run(20 * time.Second)
+		r.kill(r.follower(r.leader()).settings.Name)
+		r.advance(20 * time.Second)
 		So(memberIDs(r.leader()), ShouldHaveLength, 3)
-		So(r.load("a", 20), ShouldBeEmpty)
+		So(r.submitJobs("a", 20), ShouldBeEmpty)
 
 		// A newcomer is the fourth, and the dead one goes after that.
-		r.fresh("c9")
-		r.voters(r.others()...)
+		r.startFresh("c9")
+		r.waitVoters(r.others()...)
 		So(memberIDs(r.leader()), ShouldHaveLength, 3)
 
 		// Without a majority nobody is removed.
 		lead := r.leader()
-		for _, n := range r.others(lead.set.Name) {
+		for _, n := range r.others(lead.settings.Name) {
 			r.kill(n)
 		}
-		r.run(20 * time.Second)
+		r.advance(20 * time.Second)
 		So(lead.Status().Quorum.Members, ShouldHaveLength, 3)
 	})
 }
 
-func TestLearnerDropped(t *testing.T) {
-	withinOpen(t, 3, func(r *testStores) {
+func TestRemoveSilent_dropsLearner(t *testing.T) {
+	withOpenFleet(t, 3, func(r *testStores) {
 		r.startAll()
-		r.voters("c1", "c2", "c3")
+		r.waitVoters("c1", "c2", "c3")
 		lead := r.leader()
 		_, err := lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9"})
 		So(err, ShouldBeNil)
 		r.until("a learner", func() bool { return len(lead.Status().Quorum.Members) == 4 })
-		r.run(dropLearner - time.Second)
+		r.advance(silentLearnerTimeout - time.Second)
 		So(lead.Status().Quorum.Members, ShouldHaveLength, 4)
-		since := lead.Found(internalapi.FoundCall{}).MembersAt
-		r.voters("c1", "c2", "c3")
-		r.until("the removal is committed", func() bool { return lead.Found(internalapi.FoundCall{}).MembersAt > since })
+		since := lead.BootstrapStatus(internalapi.FoundCall{}).MembersAt
+		r.waitVoters("c1", "c2", "c3")
+		r.until("the removal is committed", func() bool { return lead.BootstrapStatus(internalapi.FoundCall{}).MembersAt > since })
 
 		// It does not come back under its ID, as its folder says that it was a member.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
@@ -330,74 +330,74 @@
 	})
 }
 
-func TestRemovedComesBack(t *testing.T) {
-	withinOpen(t, 6, func(r *testStores) {
-		r.set.SnapshotEvery = 1 << 20 // a slot would tell a restarted node that its membership was committed
+func TestRemovedMember_rejoins(t *testing.T) {
+	withOpenFleet(t, 6, func(r *testStores) {
+		r.settings.SnapshotEvery = 1 << 20 // a slot would tell a restarted node that its membership was committed
 		r.startAll()
 		all := []string{"c1", "c2", "c3", "c4", "c5", "c6"}
-		r.voters(all...)
-		r.load("a", 50)
+		r.waitVoters(all...)
+		r.submitJobs("a", 50)
 		// Cut off while it runs.
-		for _, how := range []string{"cut", "down", "cut c6", "down c6"} { // c6 is no founder: its folder has it in the log only
-			gone := r.follower(r.leader()).set.Name
-			if name, is := strings.CutSuffix(how, " c6"); is {
-				how, gone = name, "c6"
-				r.leaderBut("c6")
+		for _, mode := range []string{"cut", "down", "cut c6", "down c6"} { // c6 is no founder: its folder has it in the log only
+			gone := r.follower(r.leader()).settings.Name
+			if name, is := strings.CutSuffix(mode, " c6"); is {
+				mode, gone = name, "c6"
+				r.moveLeaderFrom("c6")
 			}
 			old := r.nodes[gone].Status().Quorum.ID
-			if how == "cut" {
+			if mode == "cut" {
 				r.setCut(true, gone)
 			} else {
 				r.kill(gone)
 			}
-			r.voters(r.others(gone)...)
-			So(r.load(how+gone, 50), ShouldBeEmpty)
-			took := r.took(func() {
-				if r.setCut(false, gone); how == "down" {
+			r.waitVoters(r.others(gone)...)
+			So(r.submitJobs(mode+gone, 50), ShouldBeEmpty)
+			took := r.elapsed(func() {
+				if r.setCut(false, gone); mode == "down" {
 					r.start(gone)
 				}
-				r.until("it finds out", func() bool { return r.ended(gone) })
-				r.again(gone)
-				r.voters(all...)
+				r.until("it finds out", func() bool { return r.wasRemoved(gone) })
+				r.reopen(gone)
+				r.waitVoters(all...)
 			})
-			Printf("\nremoved while %s, a voter again after %s", how, took)
+			Printf("\nremoved while %s, a voter again after %s", mode, took)
 			So(took, ShouldBeLessThan, 3*time.Second)
 			So(r.nodes[gone].Status().Quorum.ID, ShouldNotEqual, old)
-			So(r.load(how+gone+"-again", 20), ShouldBeEmpty)
-			r.level()
+			So(r.submitJobs(mode+gone+"-again", 20), ShouldBeEmpty)
+			r.waitLevel()
 		}
 		So(r.died, ShouldBeEmpty)
 	})
 }
 
-// leaderBut lets another lead if the one named does.
-func (r *testStores) leaderBut(name string) {
-	for r.leader().set.Name == name {
-		r.call(func(ctx context.Context) { r.nodes[name].Handover(ctx) })
+// moveLeaderFrom lets another lead if the one named does.
+func (r *testStores) moveLeaderFrom(name string) {
+	for r.leader().settings.Name == name {
+		r.call(func(ctx context.Context) { r.nodes[name].TransferLeadership(ctx) })
 	}
 }
 
-func TestSeedsDown(t *testing.T) {
-	withinOpen(t, 8, func(r *testStores) {
+func TestOpenJoin_withSeedsDown(t *testing.T) {
+	withOpenFleet(t, 8, func(r *testStores) {
 		r.startAll()
 		all := []string{"c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8"}
-		r.voters(all...)
-		r.load("a", 50)
+		r.waitVoters(all...)
+		r.submitJobs("a", 50)
 		// One is removed while it is down, and every seed is behind a cut when it comes back with its disk.
 		r.kill("c8")
-		r.voters(all[:7]...)
+		r.waitVoters(all[:7]...)
 		r.setCut(true, "c1", "c2", "c3")
 		r.start("c8")
-		r.until("it finds out", func() bool { return r.ended("c8") })
-		r.again("c8")
+		r.until("it finds out", func() bool { return r.wasRemoved("c8") })
+		r.reopen("c8")
 		r.until("it is a voter", func() bool { return r.nodes["c8"].Status().Quorum.Voter })
-		So(r.load("b", 20), ShouldBeEmpty)
+		So(r.submitJobs("b", 20), ShouldBeEmpty)
 
 		// A wiped one that knows only two seeds, both behind the cut, learns from its leader's calls to its old self
 		// whom to ask.
 		r.setCut(false, "c1", "c2", "c3")
 		r.until("all are there", func() bool { return slices.Equal(memberIDs(r.leader()), r.idsOf(all)) })
-		r.set.Members = r.set.Members[:2]
+		r.settings.Members = r.settings.Members[:2]
 		r.setCut(true, "c1", "c2")
 		lead := r.leaderOf("c3", "c4", "c5", "c6", "c7", "c8")
 		gone := "c8"
@@ -405,15 +405,15 @@
 			gone = "c7"
 		}
 		r.kill(gone)
-		r.fresh(gone)
+		r.startFresh(gone)
 		r.until("the wiped one is a voter", func() bool { return r.nodes[gone].Status().Quorum.Voter })
-		So(r.load("c", 20), ShouldBeEmpty)
+		So(r.submitJobs("c", 20), ShouldBeEmpty)
 
 		// One that knows no seed that answers, and that nobody calls, waits until it is told of another node.
-		r.fresh("c9")
-		r.run(3 * time.Second)
+		r.startFresh("c9")
+		r.advance(3 * time.Second)
 		So(r.nodes["c9"].Status().Quorum.Members, ShouldBeEmpty)
-		r.nodes["c9"].LearnAddresses(lead.set.Addr)
+		r.nodes["c9"].LearnAddresses(lead.settings.Addr)
 		r.until("the newcomer is a voter", func() bool { return r.nodes["c9"].Status().Quorum.Voter })
 	})
 }
@@ -434,40 +434,40 @@
 	return lead
 }
 
-func TestFailoverSpeed(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
+func TestFailover_duration(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
 		r.slowSyncs()
 		r.startAll()
-		r.voters("c1", "c2", "c3", "c4", "c5")
+		r.waitVoters("c1", "c2", "c3", "c4", "c5")
 		all := []time.Duration{}
 		longest, handover, power := time.Duration(0), time.Duration(0), time.Duration(0)
 		for range 40 {
 			r.seed += 1000
-			lead := r.leader().set.Name
-			took := r.took(func() {
+			lead := r.leader().settings.Name
+			took := r.elapsed(func() {
 				r.kill(lead)
 				r.leader()
 			})
 			all = append(all, took)
 			longest = max(longest, took)
 			r.start(lead)
-			r.level()
+			r.waitLevel()
 		}
 		for range 8 {
 			lead := r.leader()
-			handover = max(handover, r.took(func() {
-				r.call(func(ctx context.Context) { lead.Handover(ctx) })
-				r.leaderOf(r.others(lead.set.Name)...)
+			handover = max(handover, r.elapsed(func() {
+				r.call(func(ctx context.Context) { lead.TransferLeadership(ctx) })
+				r.leaderOf(r.others(lead.settings.Name)...)
 			}))
-			r.level()
+			r.waitLevel()
 		}
 		for range 20 {
 			r.seed += 1000
 			for _, n := range r.others() {
 				r.kill(n)
 			}
-			power = max(power, r.took(func() { r.startAll(); r.leader() }))
-			r.level()
+			power = max(power, r.elapsed(func() { r.startAll(); r.leader() }))
+			r.waitLevel()
 		}
 		slices.Sort(all)
 		Printf("\nkilled leader %s in the middle", all[len(all)/2])
@@ -478,32 +478,32 @@
 	})
 }
 
-func TestHandoverPassesTheDead(t *testing.T) {
-	withinOpen(t, 5, func(r *testStores) {
+func TestTransferLeadership_skipsDeadPeers(t *testing.T) {
+	withOpenFleet(t, 5, func(r *testStores) {
 		r.slowSyncs()
 		r.startAll()
-		r.voters("c1", "c2", "c3", "c4", "c5")
+		r.waitVoters("c1", "c2", "c3", "c4", "c5")
 		lead := r.leader()
-		gone := r.others(lead.set.Name)[:2] // idle, so the dead have all of the log as the others do
+		gone := r.others(lead.settings.Name)[:2] // idle, so the dead have all of the log as the others do
 		r.kill(gone[0])
 		r.kill(gone[1])
-		r.run(time.Second)
-		So(r.took(func() {
-			r.call(func(ctx context.Context) { lead.Handover(ctx) })
-			r.leaderOf(r.others(lead.set.Name)...)
+		r.advance(time.Second)
+		So(r.elapsed(func() {
+			r.call(func(ctx context.Context) { lead.TransferLeadership(ctx) })
+			r.leaderOf(r.others(lead.settings.Name)...)
 		}), ShouldBeLessThan, 100*time.Millisecond)
 	})
 }
 
-func TestLeadTerm(t *testing.T) {
-	withinOpen(t, 3, func(r *testStores) {
+func TestLeaderTerm(t *testing.T) {
+	withOpenFleet(t, 3, func(r *testStores) {
 		r.startAll()
-		r.voters("c1", "c2", "c3")
+		r.waitVoters("c1", "c2", "c3")
 		lead := r.leader()
-		term, held := lead.LeadTerm(r.clock.Now())
-		So(held, ShouldBeTrue)
+		term, current := lead.LeaderTerm(r.clock.Now())
+		So(current, ShouldBeTrue)
 		So(term, ShouldEqual, lead.Status().Quorum.Term)
-		_, other := r.follower(lead).LeadTerm(r.clock.Now())
+		_, other := r.follower(lead).LeaderTerm(r.clock.Now())
 		So(other, ShouldBeFalse)
 
 		propose := func(s *Store, term uint64, key string) (err error) {
@@ -522,39 +522,39 @@
 		So(errs.KindOf(propose(r.follower(lead), term, "b")), ShouldEqual, errs.NotLeader)
 
 		// Cut off, the lease ends before another can lead.
-		r.setCut(true, lead.set.Name)
-		r.run(r.set.Lease + r.set.Heartbeat)
-		_, held = lead.LeadTerm(r.clock.Now())
-		So(held, ShouldBeFalse)
-		next := r.leaderOf(r.others(lead.set.Name)...)
-		newer, held := next.LeadTerm(r.clock.Now())
-		So(held, ShouldBeTrue)
+		r.setCut(true, lead.settings.Name)
+		r.advance(r.settings.Lease + r.settings.Heartbeat)
+		_, current = lead.LeaderTerm(r.clock.Now())
+		So(current, ShouldBeFalse)
+		next := r.leaderOf(r.others(lead.settings.Name)...)
+		newer, current := next.LeaderTerm(r.clock.Now())
+		So(current, ShouldBeTrue)
 		So(newer, ShouldBeGreaterThan, term)
 		So(errs.KindOf(propose(next, term, "b")), ShouldEqual, errs.Stale)
 		next.View(func(st *state.State) { So(st.Jobs["b"], ShouldBeNil) })
 	})
 }
 
-// counting counts the timers that a node sets.
-type counting struct {
+// countingClock counts the timers that a node sets.
+type countingClock struct {
 	clock.Clock
-	set *atomic.Int64
+	timersSet *atomic.Int64
 }
 
-func (c counting) Set(d time.Duration, ring func()) clock.Stopper {
-	c.set.Add(1)
+func (c countingClock) Set(d time.Duration, ring func()) clock.Stopper {
+	c.timersSet.Add(1)
 	return c.Clock.Set(d, ring)
 }
 
-func TestIdleWakeUps(t *testing.T) {
-	withinOpen(t, 3, func(r *testStores) {
+func TestIdle_timersPerSecond(t *testing.T) {
+	withOpenFleet(t, 3, func(r *testStores) {
 		sets := map[string]*atomic.Int64{}
 		for i := range 3 {
-			n := name(i)
-			set := r.set
-			set.Name, set.Addr, set.Zone = n, n, "z"
+			n := nodeName(i)
+			settings := r.settings
+			settings.Name, settings.Addr, settings.Zone = n, n, "z"
 			sets[n] = &atomic.Int64{}
-			s, err := Open(Options{Settings: set, Disk: r.disks[n], Net: net{r, n}, Clock: counting{&r.clock, sets[n]},
+			s, err := Open(Options{Settings: settings, Disk: r.disks[n], Net: testNet{r, n}, Clock: countingClock{&r.clock, sets[n]},
 				Seed: uint64(i + 1), Fatal: func(error) {}})
 			So(err, ShouldBeNil)
 			r.nodes[n] = s
@@ -562,17 +562,17 @@
 		for _, s := range r.nodes {
 			s.Start()
 		}
-		r.voters("c1", "c2", "c3")
+		r.waitVoters("c1", "c2", "c3")
 		lead := r.leader()
 		before := map[string]int64{}
 		for n, c := range sets {
 			before[n] = c.Load()
 		}
-		r.run(10 * time.Second)
+		r.advance(10 * time.Second)
 		for n, c := range sets {
 			perSecond := (c.Load() - before[n]) / 10
-			Printf("\n%s leads %v: %d alarms a second", n, n == lead.set.Name, perSecond)
-			if n == lead.set.Name {
+			Printf("\n%s leads %v: %d alarms a second", n, n == lead.settings.Name, perSecond)
+			if n == lead.settings.Name {
 				So(perSecond, ShouldBeLessThan, 90)
 			} else {
 				So(perSecond, ShouldBeLessThan, 30)
@@ -581,7 +581,7 @@
 	})
 }
 
-func TestDiscard(t *testing.T) {
+func TestDiscard_survivesPowerLoss(t *testing.T) {
 	Convey("A discarded folder never founds and never keeps its ID, wherever the power goes on the way", t, func() {
 		full := func() *storage.MemDisk {
 			d := storage.NewMemDisk()
@@ -592,11 +592,11 @@
 			So(s.Close(), ShouldBeNil)
 			return d
 		}
-		set := config.DefaultCplane()
-		set.Name, set.Addr, set.OpenMembership = "c1", "c1", true
-		set.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}}
+		settings := config.DefaultCplane()
+		settings.Name, settings.Addr, settings.OpenMembership = "c1", "c1", true
+		settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}}
 		open := func(d storage.Disk) (*Store, error) {
-			return Open(Options{Settings: set, Disk: d, Net: net{}, Fatal: func(error) {}})
+			return Open(Options{Settings: settings, Disk: d, Net: testNet{}, Fatal: func(error) {}})
 		}
 		for at := 1; ; at++ {
 			d := full()
@@ -610,7 +610,7 @@
 			So(s.id, ShouldNotEqual, "c1~old")
 			So(s.status.Term, ShouldEqual, 0)
 			So(s.addresses(), ShouldResemble, []string{"c2", "c7", "c8"})
-			So(s.Found(internalapi.FoundCall{}).Fresh, ShouldBeFalse)
+			So(s.BootstrapStatus(internalapi.FoundCall{}).Fresh, ShouldBeFalse)
 			if err == nil {
 				So(at, ShouldBeGreaterThan, 8)
 				break
@@ -631,47 +631,47 @@
 	})
 }
 
-func TestJudgeOpen(t *testing.T) {
+func TestDecideOpenBootstrap(t *testing.T) {
 	Convey("Only seeds with the same seeds found together, and only where nobody knows a fleet", t, func() {
-		s := &Store{boot: "boot"}
-		s.set.Name, s.set.Addr = "c1", "c1"
-		s.set.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
+		s := &Store{incarnation: "boot"}
+		s.settings.Name, s.settings.Addr = "c1", "c1"
+		s.settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
 		empty := internalapi.FoundAnswer{Fresh: true, Boot: "p", Digest: s.digest()}
 		other := internalapi.FoundAnswer{Fresh: true, Boot: "p", Digest: "other"}
 		before := map[string]string{"c2": "p", "c3": "p"}
-		say := func(c2, c3 internalapi.FoundAnswer, more ...internalapi.FoundAnswer) verdict {
+		say := func(c2, c3 internalapi.FoundAnswer, more ...internalapi.FoundAnswer) bootstrapDecision {
 			answers := map[string]internalapi.FoundAnswer{"c2": c2, "c3": c3}
 			for i, a := range more {
 				answers[fmt.Sprint("c", i+4)] = a
 			}
-			v, _ := s.judgeOpen(answers, before)
+			v, _ := s.decideOpenBootstrap(answers, before)
 			return v
 		}
-		So(say(empty, empty), ShouldEqual, fresh)
-		So(say(empty, other), ShouldEqual, differs)
-		So(say(empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, exists) // its seeds are not compared
-		So(say(other, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, exists)
-		So(say(empty, empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, exists) // one that is no seed
-		So(say(empty, internalapi.FoundAnswer{Digest: "other"}), ShouldEqual, unsure)  // empty, and must not found
-		So(say(empty, internalapi.FoundAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, unsure)
+		So(say(empty, empty), ShouldEqual, mayBootstrap)
+		So(say(empty, other), ShouldEqual, settingsDiffer)
+		So(say(empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, fleetExists) // its seeds are not compared
+		So(say(other, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, fleetExists)
+		So(say(empty, empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, fleetExists) // one that is no seed
+		So(say(empty, internalapi.FoundAnswer{Digest: "other"}), ShouldEqual, undecided)    // empty, and must not found
+		So(say(empty, internalapi.FoundAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, undecided)
 		named := internalapi.FoundAnswer{Commit: 9, Digest: s.digest(), Founders: map[string]string{"c1": "boot"}}
-		So(say(empty, named), ShouldEqual, fresh)
+		So(say(empty, named), ShouldEqual, mayBootstrap)
 		named.Digest = "other"
-		So(say(empty, named), ShouldEqual, exists)
-		v, _ := s.judgeOpen(map[string]internalapi.FoundAnswer{"c2": empty, "c3": empty}, nil)
-		So(v, ShouldEqual, unsure) // the first such round
+		So(say(empty, named), ShouldEqual, fleetExists)
+		v, _ := s.decideOpenBootstrap(map[string]internalapi.FoundAnswer{"c2": empty, "c3": empty}, nil)
+		So(v, ShouldEqual, undecided) // the first such round
 	})
 }
 
-// TestOpenUnrest lets machines fall, be cut off, be wiped and be replaced in any order, and checks that nothing that
+// TestOpenFleet_survivesChurn lets machines fall, be cut off, be wiped and be replaced in any order, and checks that nothing that
 // was acknowledged is lost. A disk is wiped only while all others are there: more losses at once lose data.
-func TestOpenUnrest(t *testing.T) {
+func TestOpenFleet_survivesChurn(t *testing.T) {
 	for seed := range int64(6) {
-		withinOpen(t, 5, func(r *testStores) {
+		withOpenFleet(t, 5, func(r *testStores) {
 			rnd := rand.New(rand.NewSource(seed))
 			r.startAll()
-			r.voters("c1", "c2", "c3", "c4", "c5")
-			r.set.Founding = false
+			r.waitVoters("c1", "c2", "c3", "c4", "c5")
+			r.settings.Founding = false
 			names := r.others()
 			next := 6
 			for step := range 25 {
@@ -686,7 +686,7 @@
 				case 2: // a disk is lost
 					r.heal(names)
 					r.kill(one)
-					r.fresh(one)
+					r.startFresh(one)
 					r.heal(names)
 				case 3: // another machine takes the place
 					r.heal(names)
@@ -699,37 +699,37 @@
 					} else {
 						names = append(names, one)
 					}
-					r.seeds(r.others()[:3])
-					r.fresh(names[len(names)-1])
+					r.setSeeds(r.others()[:3])
+					r.startFresh(names[len(names)-1])
 					r.heal(names)
 				case 4:
-					r.run(time.Duration(rnd.Intn(5000)) * time.Millisecond)
+					r.advance(time.Duration(rnd.Intn(5000)) * time.Millisecond)
 				}
 				r.revive()
 				if r.majority() {
-					r.load(fmt.Sprint("s", step), 10)
+					r.submitJobs(fmt.Sprint("s", step), 10)
 				}
 			}
 			r.heal(names)
-			So(r.load("last", 20), ShouldBeEmpty)
-			r.level()
+			So(r.submitJobs("last", 20), ShouldBeEmpty)
+			r.waitLevel()
 		})
 	}
 }
 
-// seeds are told to the nodes that start from now on.
-func (r *testStores) seeds(names []string) {
-	r.set.Members = nil
+// setSeeds are told to the nodes that start from now on.
+func (r *testStores) setSeeds(names []string) {
+	r.settings.Members = nil
 	for _, n := range names {
-		r.set.Members = append(r.set.Members, config.Member{ID: n, Addr: n, Zone: "z"})
+		r.settings.Members = append(r.settings.Members, config.Member{ID: n, Addr: n, Zone: "z"})
 	}
 }
 
 // revive restarts the nodes that ended themselves.
 func (r *testStores) revive() {
 	for n := range r.nodes {
-		if r.ended(n) {
-			r.again(n)
+		if r.wasRemoved(n) {
+			r.reopen(n)
 		}
 	}
 }
@@ -759,7 +759,7 @@
 				there++
 			}
 		}
-		if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader && !r.cut[s.set.Name] && there > len(members)/2 {
+		if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader && !r.cut[s.settings.Name] && there > len(members)/2 {
 			return true
 		}
 	}
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -21,25 +21,25 @@
 
 // waiter is a proposal under way.
 type waiter struct {
-	data  json.RawMessage
-	only  uint64 // the leader's term it may be proposed in; 0: any
-	term  uint64 // of its entry; 0 while it is pending
-	index uint64
-	since time.Duration
-	done  chan outcome // has room for one
-	over  bool
+	data     json.RawMessage
+	onlyTerm uint64 // the leader's term it may be proposed in; 0: any
+	term     uint64 // of its entry; 0 while it is pending
+	index    uint64
+	since    time.Duration
+	done     chan outcome // has room for one
+	finished bool
 }
 
-// end answers w, once; called under the lock.
-func (w *waiter) end(s *Store, o outcome) {
-	if w.over {
+// finish answers w, once; called under the lock.
+func (w *waiter) finish(s *Store, o outcome) {
+	if w.finished {
 		return
 	}
-	w.over = true
-	s.waiting--
-	s.waitBytes -= len(w.data)
+	w.finished = true
+	s.proposalCount--
+	s.proposalBytes -= len(w.data)
 	if o.err == nil {
-		s.meter.commits.Observe((s.clock.Now() - w.since).Seconds())
+		s.metrics.commits.Observe((s.clock.Now() - w.since).Seconds())
 	}
 	w.done <- o
 }
@@ -51,7 +51,7 @@
 //
 //	index, answer, err := s.Propose(ctx, &command.Cancel{Key: "k-1"})
 func (s *Store) Propose(ctx context.Context, c command.Command) (index uint64, answer any, err error) {
-	index, answer, err = s.commit(ctx, c, 0)
+	index, answer, err = s.proposeAndWait(ctx, c, 0)
 	return index, answer, errs.Pass(err, "any term")
 }
 
@@ -62,12 +62,12 @@
 	if term == 0 {
 		return 0, nil, errs.Field(errs.Stale, "term", "no leader has term 0")
 	}
-	index, answer, err = s.commit(ctx, c, term)
+	index, answer, err = s.proposeAndWait(ctx, c, term)
 	return index, answer, errs.Pass(err, "term %d", term)
 }
 
-// commit proposes c, in the term only if that is not 0, and waits for the outcome.
-func (s *Store) commit(ctx context.Context, c command.Command, term uint64) (index uint64, answer any, err error) {
+// proposeAndWait proposes c, in the term only if that is not 0, and waits for the outcome.
+func (s *Store) proposeAndWait(ctx context.Context, c command.Command, term uint64) (index uint64, answer any, err error) {
 	data, err := command.Encode(s.clock.Wall(), c)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "propose")
@@ -75,47 +75,47 @@
 	if len(data) > maxCommand {
 		return 0, nil, errs.New(errs.TooLarge, "the command has %d bytes, at most %d", len(data), maxCommand)
 	}
-	w := &waiter{data: data, only: term, done: make(chan outcome, 1)}
-	if err := s.enter(w); err != nil {
+	w := &waiter{data: data, onlyTerm: term, done: make(chan outcome, 1)}
+	if err := s.enqueueProposal(w); err != nil {
 		return 0, nil, errs.Pass(err, "propose %s", c.Op())
 	}
-	nudge(s.kick)
-	late := make(chan struct{})
-	defer s.clock.Set(proposeWait, func() { close(late) }).Stop()
+	signal(s.wakeLoop)
+	timedOut := make(chan struct{})
+	defer s.clock.Set(proposeTimeout, func() { close(timedOut) }).Stop()
 	var o outcome
 	select {
 	case o = <-w.done:
-	case <-late:
-		o = s.leave(w)
+	case <-timedOut:
+		o = s.abandonProposal(w)
 	case <-ctx.Done():
-		o = s.leave(w)
+		o = s.abandonProposal(w)
 	}
 	return o.index, o.answer, errs.Pass(o.err, "propose %s", c.Op())
 }
 
-// enter lets a proposal wait for its turn, within the bounds.
-func (s *Store) enter(w *waiter) error {
+// enqueueProposal lets a proposal wait for its turn, within the bounds.
+func (s *Store) enqueueProposal(w *waiter) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.leads(); err != nil {
+	if err := s.checkLeader(); err != nil {
 		return errs.Pass(err, "enter")
 	}
-	if s.waiting >= maxWaiting || s.waitBytes+len(w.data) > maxBytes || s.behind > maxBehind {
-		return errs.New(errs.Overloaded, "%d proposals wait, %d bytes; %d bytes of log since the last slot", s.waiting, s.waitBytes, s.behind)
+	if s.proposalCount >= maxProposals || s.proposalBytes+len(w.data) > maxBytes || s.unsnapshottedBytes > maxUnsnapshottedBytes {
+		return errs.New(errs.Overloaded, "%d proposals wait, %d bytes; %d bytes of log since the last slot", s.proposalCount, s.proposalBytes, s.unsnapshottedBytes)
 	}
-	s.waiting++
-	s.waitBytes += len(w.data)
+	s.proposalCount++
+	s.proposalBytes += len(w.data)
 	w.since = s.clock.Now()
 	s.pending = append(s.pending, w)
 	return nil
 }
 
-// leads is nil if this node is the leader, as far as it knows.
-func (s *Store) leads() error {
+// checkLeader is nil if this node is the leader, as far as it knows.
+func (s *Store) checkLeader() error {
 	switch {
 	case s.core == nil:
 		return errs.New(errs.Unavailable, "not part of a fleet yet")
-	case s.broken:
+	case s.halted:
 		return errs.New(errs.Stopped, "the disk failed")
 	case s.status.Role != raft.Leader:
 		err := errs.New(errs.NotLeader, "%s is %s in term %d", s.id, s.status.Role, s.status.Term)
@@ -127,11 +127,11 @@
 
 func (s *Store) leaderAddr() string { return s.status.LeaderAddr }
 
-// leave ends the wait for w.
-func (s *Store) leave(w *waiter) outcome {
+// abandonProposal ends the wait for w.
+func (s *Store) abandonProposal(w *waiter) outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.over {
+	if w.finished {
 		return <-w.done
 	}
 	err := errs.New(errs.Timeout, "not committed in time; it may or may not be yet")
@@ -140,22 +140,22 @@
 	} else {
 		delete(s.waiters, w.index)
 	}
-	w.end(s, outcome{err: err})
+	w.finish(s, outcome{err: err})
 	return <-w.done
 }
 
-// inject puts all that is pending into the log, as one batch.
-func (s *Store) inject(now time.Duration) {
+// proposePending puts all that is pending into the log, as one batch.
+func (s *Store) proposePending(now time.Duration) {
 	if len(s.pending) == 0 {
 		return
 	}
 	batch := s.pending[:0]
 	lead, _ := s.core.Leads()
 	for _, w := range s.pending {
-		if w.only != 0 && w.only != lead {
-			w.end(s, outcome{err: errs.New(errs.Stale, "decided in term %d, it is %d now", w.only, lead)})
+		if w.onlyTerm != 0 && w.onlyTerm != lead {
+			w.finish(s, outcome{err: errs.New(errs.Stale, "decided in term %d, it is %d now", w.onlyTerm, lead)})
 		}
-		if !w.over {
+		if !w.finished {
 			batch = append(batch, w)
 		}
 	}
@@ -168,10 +168,10 @@
 		data[i] = w.data
 	}
 	first, term, err := s.core.Propose(now, data...)
-	s.meter.proposals.Add(float64(len(batch)))
+	s.metrics.proposals.Add(float64(len(batch)))
 	for i, w := range batch {
 		if err != nil {
-			w.end(s, outcome{err: err})
+			w.finish(s, outcome{err: err})
 			continue
 		}
 		w.index, w.term = first+uint64(i), term
@@ -179,35 +179,35 @@
 	}
 }
 
-// flush answers all proposals whose fate this node cannot follow any more.
-func (s *Store) flush(why error) {
+// failProposals answers all proposals whose fate this node cannot follow any more.
+func (s *Store) failProposals(why error) {
 	for index, w := range s.waiters {
 		delete(s.waiters, index)
-		w.end(s, outcome{err: why})
+		w.finish(s, outcome{err: why})
 	}
 	for _, w := range s.pending {
-		w.end(s, outcome{err: errs.New(errs.Unavailable, "the leader changed before the proposal was in the log")})
+		w.finish(s, outcome{err: errs.New(errs.Unavailable, "the leader changed before the proposal was in the log")})
 	}
 	s.pending = nil
 }
 
-// confirmWait is how long a call waits for the lead to be confirmed: over a slow way to the others the lease holds
+// readIndexTimeout is how long a call waits for the lead to be confirmed: over a slow way to the others the lease holds
 // only for a moment after each of their answers.
-const confirmWait = 600 * time.Millisecond
+const readIndexTimeout = 600 * time.Millisecond
 
-// Confirm gives an index that every earlier commit is at or below. Failures: NotLeader (Hint), Unavailable.
-func (s *Store) Confirm() (uint64, error) {
+// ReadIndex gives an index that every earlier commit is at or below. Failures: NotLeader (Hint), Unavailable.
+func (s *Store) ReadIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	index, err := s.confirm()
+	index, err := s.readIndexLocked()
 	return index, errs.Pass(err, "index")
 }
 
-// confirm is called under the lock, which it lets go while it waits.
-func (s *Store) confirm() (uint64, error) {
-	end := s.clock.Now() + confirmWait
+// readIndexLocked is called under the lock, which it lets go while it waits.
+func (s *Store) readIndexLocked() (uint64, error) {
+	end := s.clock.Now() + readIndexTimeout
 	for {
-		if err := s.leads(); err != nil {
+		if err := s.checkLeader(); err != nil {
 			return 0, errs.Pass(err, "confirm")
 		}
 		now := s.clock.Now()
@@ -215,19 +215,19 @@
 		if ok {
 			return commit, nil
 		}
-		if now >= end || s.hand != nil || s.group.Context().Err() != nil {
+		if now >= end || s.manual != nil || s.group.Context().Err() != nil {
 			return 0, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
 		}
 		s.mu.Unlock()
-		s.rest(s.group.Context(), pollEvery)
+		s.sleep(s.group.Context(), pollInterval)
 		s.mu.Lock()
 	}
 }
 
-// Await waits until the live state is at index or past it. Failure: Timeout.
-func (s *Store) Await(ctx context.Context, index uint64) error {
-	over := make(chan struct{})
-	defer s.clock.Set(proposeWait, func() { close(over) }).Stop()
+// WaitApplied waits until the live state is at index or past it. Failure: Timeout.
+func (s *Store) WaitApplied(ctx context.Context, index uint64) error {
+	expired := make(chan struct{})
+	defer s.clock.Set(proposeTimeout, func() { close(expired) }).Stop()
 	for {
 		s.mu.Lock()
 		at, changed := s.live.Index, s.changed
@@ -237,7 +237,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-expired:
 			return errs.New(errs.Timeout, "at %d, not at %d in time", at, index)
 		case <-ctx.Done():
 			return errs.Wrap(ctx.Err(), errs.Timeout, "at %d, not yet at %d", at, index)
@@ -248,17 +248,17 @@
 // Read looks at a state that has all that was committed before the call, at any node: the leader, one hop away
 // at most, confirms the index. Failures: Unavailable, Timeout.
 func (s *Store) Read(ctx context.Context, read func(*state.State)) error {
-	index, err := s.Confirm()
+	index, err := s.ReadIndex()
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
 		var a internalapi.ConfirmAnswer
-		a, err = s.opt.Net.Confirm(ctx, errs.Of(err).Hint)
+		a, err = s.opt.Net.ReadIndex(ctx, errs.Of(err).Hint)
 		index = a.Index
 	}
 	if err == nil {
-		err = s.Await(ctx, index)
+		err = s.WaitApplied(ctx, index)
 	}
 	if err != nil {
-		return errs.Pass(veil(err), "read")
+		return errs.Pass(hideNotLeader(err), "read")
 	}
 	s.View(read)
 	return nil
@@ -266,7 +266,7 @@
 
 // Order is Propose at any node, one hop away at most; the answer is JSON. Failures as Propose, but for NotLeader,
 // which is Unavailable here. An order that ended in Timeout may have been carried out: send the same again.
-func (s *Store) Order(ctx context.Context, c command.Command) (json.RawMessage, error) {
+func (s *Store) ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	_, answer, err := s.Propose(ctx, c)
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
 		body, bad := json.Marshal(c)
@@ -274,27 +274,27 @@
 			return nil, errs.Wrap(bad, errs.Malformed, "encode %s", c.Op())
 		}
 		a, err := s.opt.Net.Propose(ctx, errs.Of(err).Hint, internalapi.ProposeCall{Op: c.Op(), Body: body})
-		return a.Answer, errs.Pass(veil(err), "order")
+		return a.Answer, errs.Pass(hideNotLeader(err), "order")
 	}
 	if err != nil {
-		return nil, errs.Pass(veil(err), "order")
+		return nil, errs.Pass(hideNotLeader(err), "order")
 	}
 	raw, err := json.Marshal(answer)
 	return raw, errs.Wrap(err, errs.Internal, "encode the answer to %s", c.Op())
 }
 
-// veil makes NotLeader, which is no answer for an outside caller, Unavailable.
-func veil(err error) error {
+// hideNotLeader makes NotLeader, which is no answer for an outside caller, Unavailable.
+func hideNotLeader(err error) error {
 	if errs.Is(err, errs.NotLeader) {
 		return errs.Wrap(err, errs.Unavailable, "no leader is known here at the moment")
 	}
 	return err
 }
 
-// propose is the answer to internalapi.Propose.
-func (s *Store) propose(ctx context.Context, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
+// handlePropose is the answer to internalapi.Propose.
+func (s *Store) handlePropose(ctx context.Context, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
 	s.mu.Lock()
-	err := s.leads() // before the work of decoding
+	err := s.checkLeader() // before the work of decoding
 	s.mu.Unlock()
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose")
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	keysEvery  = 200 * time.Millisecond
-	forgetNode = 10 * time.Minute // a dplane unheard for it is left out of the roll-out
+	operatorKeysInterval = 200 * time.Millisecond
+	followerRetention    = 10 * time.Minute // a dplane unheard for it is left out of the roll-out
 )
 
-// keys lets the leader bring the operators of its settings into a store that knows none yet. Whoever leads first
+// installOperatorKeys lets the leader bring the operators of its settings into a store that knows none yet. Whoever leads first
 // settles them: they must stand in the log, as every replica judges signatures by them.
-func (s *Store) keys(ctx context.Context) {
-	if len(s.set.OperatorKeys) == 0 {
+func (s *Store) installOperatorKeys(ctx context.Context) {
+	if len(s.settings.OperatorKeys) == 0 {
 		return
 	}
 	operators := map[string]string{}
-	for _, k := range s.set.OperatorKeys {
+	for _, k := range s.settings.OperatorKeys {
 		operators[k.Name] = k.Key
 	}
-	for s.rest(ctx, keysEvery) {
+	for s.sleep(ctx, operatorKeysInterval) {
 		s.mu.Lock()
-		leads, known, same := s.leadTerm != 0 && s.book.Open(), len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
+		leads, known, same := s.leaderTerm != 0 && s.roleLeases.Active(), len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
 		s.mu.Unlock()
 		if known {
 			if !same {
-				_ = level.Warn(s.log).Log("msg", "operator_keys in the settings are not those the store knows; its own hold")
+				_ = level.Warn(s.logger).Log("msg", "operator_keys in the settings are not those the store knows; its own hold")
 			}
 			return
 		}
@@ -43,39 +43,39 @@
 			continue
 		}
 		if _, _, err := s.Propose(ctx, &command.Keys{Operators: operators}); err != nil {
-			_ = level.Debug(s.log).Log("msg", "operator keys", "err", err)
+			_ = level.Debug(s.logger).Log("msg", "operator keys", "err", err)
 		}
 	}
 }
 
-// took notes when the live state came to the bundle it has; called under the lock.
-func (s *Store) took() {
-	if v := s.live.Bundle.Version; s.own.Version != v {
-		s.own = internalapi.NodeBundle{Node: s.set.Name, Kind: "cplane", Version: v, Since: s.clock.Wall()}
+// elapsed notes when the live state came to the bundle it has; called under the lock.
+func (s *Store) trackOwnBundle() {
+	if v := s.live.Bundle.Version; s.ownBundle.Version != v {
+		s.ownBundle = internalapi.NodeBundle{Node: s.settings.Name, Kind: "cplane", Version: v, Since: s.clock.Wall()}
 	}
 }
 
-// heard notes what a follower says of its bundle.
-func (s *Store) heard(call internalapi.FollowCall) {
+// recordFollowerBundle notes what a follower says of its bundle.
+func (s *Store) recordFollowerBundle(call internalapi.FollowCall) {
 	if call.Node == "" {
 		return
 	}
 	now := s.clock.Wall()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.followers, func(_ string, n internalapi.NodeBundle) bool { return now.Sub(n.Heard) > forgetNode })
-	s.followers[call.Node] = internalapi.NodeBundle{Node: call.Node, Kind: "dplane", Version: call.Bundle, Since: now.Add(-call.Age), Heard: now}
+	maps.DeleteFunc(s.followerBundles, func(_ string, n internalapi.NodeBundle) bool { return now.Sub(n.Heard) > followerRetention })
+	s.followerBundles[call.Node] = internalapi.NodeBundle{Node: call.Node, Kind: "dplane", Version: call.Bundle, Since: now.Add(-call.Age), Heard: now}
 }
 
-// rollout is the answer to internalapi.Rollout.
-func (s *Store) rollout() internalapi.RolloutAnswer {
+// localRollout is the answer to internalapi.Rollout.
+func (s *Store) localRollout() internalapi.RolloutAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	own := s.own
+	own := s.ownBundle
 	own.Heard = s.clock.Wall()
 	out := internalapi.RolloutAnswer{Nodes: []internalapi.NodeBundle{own}}
-	for _, name := range slices.Sorted(maps.Keys(s.followers)) {
-		out.Nodes = append(out.Nodes, s.followers[name])
+	for _, name := range slices.Sorted(maps.Keys(s.followerBundles)) {
+		out.Nodes = append(out.Nodes, s.followerBundles[name])
 	}
 	return out
 }
@@ -87,7 +87,7 @@
 	answers := make([]*internalapi.RolloutAnswer, len(members))
 	routine.Each(len(members), len(members), func(i int) {
 		if members[i].ID == s.id {
-			a := s.rollout()
+			a := s.localRollout()
 			answers[i] = &a
 		} else if a, err := s.opt.Net.Rollout(ctx, members[i].Addr); err == nil {
 			answers[i] = &a
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -14,7 +14,7 @@
 	"crosstide/internal/state/command"
 )
 
-func TestBundles(t *testing.T) {
+func TestRollout_reportsBundleVersions(t *testing.T) {
 	keys := make([]signature.Key, 2)
 	for i, name := range []string{"ada", "ben"} {
 		var err error
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 	}
-	within(t, 30, func(r *testStores) {
+	withFleet(t, 30, func(r *testStores) {
 		lead := r.leader()
 		r.until("the operators' keys", func() bool {
 			n := 0
@@ -31,7 +31,7 @@
 		})
 		order := func(c command.Command) {
 			var err error
-			r.call(func(ctx context.Context) { _, err = lead.Order(ctx, c) })
+			r.call(func(ctx context.Context) { _, err = lead.ProposeOrForward(ctx, c) })
 			So(err, ShouldBeNil)
 		}
 		text := ""
@@ -61,19 +61,19 @@
 					}
 				})
 			}
-			return n == len(r.set.Members)
+			return n == len(r.settings.Members)
 		}
 		r.until("all at 40", level)
-		want := fmt.Sprint(40, text)
-		So(shown(), ShouldResemble, []string{want, want, want})
-		for _, m := range r.set.Members {
+		wanted := fmt.Sprint(40, text)
+		So(shown(), ShouldResemble, []string{wanted, wanted, wanted})
+		for _, m := range r.settings.Members {
 			r.kill(m.ID)
 		}
-		for _, m := range r.set.Members {
+		for _, m := range r.settings.Members {
 			r.start(m.ID)
 		}
 		r.until("all at 40 again", level)
-		So(shown(), ShouldResemble, []string{want, want, want})
+		So(shown(), ShouldResemble, []string{wanted, wanted, wanted})
 
 		// What followers say of their bundle is known at every member, the newest word first.
 		for i, name := range []string{"c1", "c2"} {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,26 +31,26 @@
 )
 
 const (
-	pollEvery    = 10 * time.Millisecond // of what is waited for but gives no sign
-	ticksPerBeat = 4                     // of the core, in one Heartbeat
-	proposeWait  = 2 * time.Second       // a proposal waits no longer
-	readyWithin  = 2 * time.Second       // a ready node was level with its leader within it
-	tidyEvery    = 10 * time.Second
-	takeOver     = 2 * time.Second // of a new leader: no snapshot is written meanwhile
-	maxCommand   = 8 << 20         // bytes of one encoded command
-	maxWaiting   = 16384           // proposals that wait
-	maxBytes     = 64 << 20        // bytes of proposals that wait; of log between two slots
-	maxBehind    = 256 << 20
+	pollInterval          = 10 * time.Millisecond // of what is waited for but gives no sign
+	ticksPerHeartbeat     = 4                     // of the core, in one Heartbeat
+	proposeTimeout        = 2 * time.Second       // a proposal waits no longer
+	maxReadyLag           = 2 * time.Second       // a ready node was level with its leader within it
+	gcInterval            = 10 * time.Second
+	takeoverPeriod        = 2 * time.Second // of a new leader: no snapshot is written meanwhile
+	maxCommand            = 8 << 20         // bytes of one encoded command
+	maxProposals          = 16384           // proposals that wait
+	maxBytes              = 64 << 20        // bytes of proposals that wait; of log between two slots
+	maxUnsnapshottedBytes = 256 << 20
 )
 
 // Net carries the calls to other cplanes at an address; all end by their own time-out.
 type Net interface {
-	Quorum(ctx context.Context, addr string, call internalapi.QuorumCall) error
-	Chunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
-	Found(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error)
+	SendMessages(ctx context.Context, addr string, call internalapi.QuorumCall) error
+	FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
+	BootstrapStatus(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error)
 	Join(ctx context.Context, addr string, call internalapi.JoinCall) (internalapi.JoinAnswer, error)
 	Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error)
-	Confirm(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error)
+	ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error)
 	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
 }
 
@@ -67,7 +67,7 @@
 	Removed  func()
 	Damaged  bool                  // an earlier folder was set aside as damaged: never found a fleet
 	Seed     uint64                // of the election time-outs; 0 draws one
-	Draw     func() string         // of names that no other process has; default crypto/rand.Text
+	RandomID func() string         // of names that no other process has; default crypto/rand.Text
 	Clock    clock.Clock           // default clock.Real
 	Logger   log.Logger            // default: none
 	Registry prometheus.Registerer // default: not shown
@@ -75,66 +75,66 @@
 
 // Store is a running cplane's part in the control store.
 type Store struct {
-	opt     Options
-	set     config.Cplane
-	clock   clock.Clock
-	log     log.Logger
-	group   *routine.Group
-	hand    *ManualDriver // who drives the store in place of its goroutines; nil in a daemon
-	meter   *meter
-	storage *storage.Store
-	boot    string // of this process
-	id      string // in the quorum; fixed before core is set
-
-	kick, diskKick, shadowKick chan struct{}
-
-	mu      sync.Mutex
-	core    *raft.Core // nil until the node knows who it is
-	live    *state.State
-	status  raft.Status // as of the last pass
-	peers   map[string]*peer
-	learnt  map[string]string // addresses of nodes that are not in the member set yet, by ID
-	known   map[string]bool   // addresses of nodes that others told of; of an open fleet only
-	changed chan struct{}     // closed when the live state moved on
-	ticked  time.Duration
-	frozen  bool // a snapshot is being installed: nothing goes into the core or out of it
-	broken  bool // a write failed: nothing leaves any more
-
-	pending   []*waiter    // not in the log yet
-	unapplied []raft.Entry // committed, not in the live state yet
-	waiters   map[uint64]*waiter
-	waiting   int // both, and their bytes
-	waitBytes int
-	leadTerm  uint64 // 0: not leading
-	leadSince time.Duration
-	book      *Book
-
-	told            uint64        // commit index the leader told
-	toldAt, levelAt time.Duration // told at, level at
-	fetching        bool
-	queue           []work        // for the disk
-	diskBusy        time.Duration // since when the disk works on one batch, 0 when idle
-	durable         uint64        // the stored log equals the core's up to here
-	committed       []raft.Entry  // committed, for the shadow
-	behind          int           // their bytes, and of those the shadow applied since its last slot
-	shadow          *state.State  // the shadow goroutine's own; nil before it has something to apply
-	shadowImage     []byte        // the snapshot that the store began with, for the shadow to begin with; nil: none
-	shadowMembers   []raft.Member
-	shadowSince     int
-	shadowBytes     int
-	newest          internalapi.Snapshot // the newest slot
-	logTotal        int                  // bytes of log that slots took the place of
-	founders        map[string]string
-	install         *install
-	chunks          chunks
-	own             internalapi.NodeBundle            // the bundle of the live state
-	followers       map[string]internalapi.NodeBundle // by node
+	opt         Options
+	settings    config.Cplane
+	clock       clock.Clock
+	logger      log.Logger
+	group       *routine.Group
+	manual      *ManualDriver // who drives the store in place of its goroutines; nil in a daemon
+	metrics     *metrics
+	storage     *storage.Store
+	incarnation string // of this process
+	id          string // in the quorum; fixed before core is set
+
+	wakeLoop, wakeDisk, wakeSnapshotter chan struct{}
+
+	mu           sync.Mutex
+	core         *raft.Core // nil until the node knows who it is
+	live         *state.State
+	status       raft.Status // as of the last pass
+	peers        map[string]*peer
+	learnedAddrs map[string]string // addresses of nodes that are not in the member set yet, by ID
+	knownAddrs   map[string]bool   // addresses of nodes that others told of; of an open fleet only
+	changed      chan struct{}     // closed when the live state moved on
+	lastTick     time.Duration
+	frozen       bool // a snapshot is being installed: nothing goes into the core or out of it
+	halted       bool // a write failed: nothing leaves any more
+
+	pending       []*waiter    // not in the log yet
+	unapplied     []raft.Entry // committed, not in the live state yet
+	waiters       map[uint64]*waiter
+	proposalCount int // both, and their bytes
+	proposalBytes int
+	leaderTerm    uint64 // 0: not leading
+	leaderSince   time.Duration
+	roleLeases    *roleLeases
+
+	leaderCommit              uint64        // commit index the leader told
+	leaderHeardAt, caughtUpAt time.Duration // told at, level at
+	fetching                  bool
+	diskQueue                 []diskWrite   // for the disk
+	diskBusySince             time.Duration // since when the disk works on one batch, 0 when idle
+	durable                   uint64        // the stored log equals the core's up to here
+	committed                 []raft.Entry  // committed, for the shadow
+	unsnapshottedBytes        int           // their bytes, and of those the shadow applied since its last slot
+	snapshotState             *state.State  // the shadow goroutine's own; nil before it has something to apply
+	initialImage              []byte        // the snapshot that the store began with, for the shadow to begin with; nil: none
+	snapshotMembers           []raft.Member
+	entriesSinceSnapshot      int
+	bytesSinceSnapshot        int
+	newestSnapshot            internalapi.Snapshot // the newest slot
+	compactedBytes            int                  // bytes of log that slots took the place of
+	bootstrapMembers          map[string]string
+	toInstall                 *fetchedSnapshot
+	served                    snapshotCache
+	ownBundle                 internalapi.NodeBundle            // the bundle of the live state
+	followerBundles           map[string]internalapi.NodeBundle // by node
 }
 
-// Open reads the folder and makes a store that takes part in nothing yet. Failures: Disk, Damaged (see Options).
+// Active reads the folder and makes a store that takes part in nothing yet. Failures: Disk, Damaged (see Options).
 // Example:
 //
-//	s, err := store.Open(store.Options{Settings: settings, Disk: disk, Net: store.Wire(caller, settings), Fatal: die})
+//	s, err := store.Active(store.Options{Settings: settings, Disk: disk, Net: store.Wire(caller, settings), Fatal: die})
 //	s.Serve(server)
 //	s.Start()
 //	defer s.Stop()
@@ -144,18 +144,18 @@
 		return nil, errs.Field(errs.Settings, "name", "must not hold ~, which sets the incarnation of a folder apart")
 	}
 	s := &Store{
-		opt: opt, set: opt.Settings, clock: opt.Clock, log: opt.Logger, group: routine.New(context.Background()),
-		boot: opt.Draw()[:12],
-		kick: make(chan struct{}, 1), diskKick: make(chan struct{}, 1), shadowKick: make(chan struct{}, 1),
-		live: state.New(), peers: map[string]*peer{}, learnt: map[string]string{}, known: map[string]bool{}, changed: make(chan struct{}),
-		waiters: map[uint64]*waiter{}, followers: map[string]internalapi.NodeBundle{}, book: NewBook(opt.Settings.DutyLease, opt.Settings.DutyLease/10),
-		levelAt: -readyWithin * 2,
-	}
-	s.meter = newMeter()
-	if err := s.load(); err != nil {
+		opt: opt, settings: opt.Settings, clock: opt.Clock, logger: opt.Logger, group: routine.New(context.Background()),
+		incarnation: opt.RandomID()[:12],
+		wakeLoop:    make(chan struct{}, 1), wakeDisk: make(chan struct{}, 1), wakeSnapshotter: make(chan struct{}, 1),
+		live: state.New(), peers: map[string]*peer{}, learnedAddrs: map[string]string{}, knownAddrs: map[string]bool{}, changed: make(chan struct{}),
+		waiters: map[uint64]*waiter{}, followerBundles: map[string]internalapi.NodeBundle{}, roleLeases: newRoleLeases(opt.Settings.DutyLease, opt.Settings.DutyLease/10),
+		caughtUpAt: -maxReadyLag * 2,
+	}
+	s.metrics = newMetrics()
+	if err := s.recoverFolder(); err != nil {
 		return nil, errs.Pass(err, "open the store")
 	}
-	s.meter.show(s, opt.Registry) // only now: after a failure Open is called again
+	s.metrics.register(s, opt.Registry) // only now: after a failure Open is called again
 	return s, nil
 }
 
@@ -167,8 +167,8 @@
 	if opt.Logger == nil {
 		opt.Logger = log.NewNopLogger()
 	}
-	if opt.Draw == nil {
-		opt.Draw = rand.Text
+	if opt.RandomID == nil {
+		opt.RandomID = rand.Text
 	}
 	if opt.Seed == 0 {
 		opt.Seed = new(maphash.Hash).Sum64()
@@ -183,46 +183,46 @@
 func (s *Store) Stop() {
 	s.group.Stop()
 	if err := s.storage.Close(); err != nil {
-		_ = level.Error(s.log).Log("msg", "close the store", "err", err)
+		_ = level.Error(s.logger).Log("msg", "close the store", "err", err)
 	}
 }
 
 func (s *Store) run(ctx context.Context) {
-	if s.core == nil && !s.settle(ctx) {
+	if s.core == nil && !s.resolveEmptyFolder(ctx) {
 		return
 	}
-	s.group.Go(s.disk)
-	s.group.Go(s.shade)
-	s.group.Go(s.tidy)
-	s.group.Go(s.keys)
+	s.group.Go(s.runDiskWriter)
+	s.group.Go(s.runSnapshotter)
+	s.group.Go(s.runGC)
+	s.group.Go(s.installOperatorKeys)
 	switch {
-	case s.id != s.set.Name && s.set.OpenMembership:
-		s.group.Go(s.joinOpen)
-	case s.id != s.set.Name:
-		s.group.Go(s.join)
+	case s.id != s.settings.Name && s.settings.OpenMembership:
+		s.group.Go(s.joinOpenFleet)
+	case s.id != s.settings.Name:
+		s.group.Go(s.joinFleet)
 	}
-	if s.set.OpenMembership {
+	if s.settings.OpenMembership {
 		s.group.Go(s.watchRemoval)
 	}
 	s.loop(ctx)
 }
 
-// nudge wakes the goroutine that waits on c.
-func nudge(c chan struct{}) {
+// signal wakes the goroutine that waits on c.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// rest waits for d; false if ctx ended first.
-func (s *Store) rest(ctx context.Context, d time.Duration) bool { return rest(ctx, s.clock, d) }
+// sleep waits for d; false if ctx ended first.
+func (s *Store) sleep(ctx context.Context, d time.Duration) bool { return sleep(ctx, s.clock, d) }
 
-func rest(ctx context.Context, by clock.Clock, d time.Duration) bool {
-	over := make(chan struct{})
-	defer by.Set(d, func() { close(over) }).Stop()
+func sleep(ctx context.Context, by clock.Clock, d time.Duration) bool {
+	expired := make(chan struct{})
+	defer by.Set(d, func() { close(expired) }).Stop()
 	select {
-	case <-over:
+	case <-expired:
 		return true
 	case <-ctx.Done():
 		return false
@@ -231,11 +231,11 @@
 
 func (s *Store) loop(ctx context.Context) {
 	var ring clock.Stopper
-	wake := func() { nudge(s.kick) }
+	wake := func() { signal(s.wakeLoop) }
 	for {
 		due := s.pass()
 		if s.catchingUp() {
-			s.rest(ctx, applyPause)
+			s.sleep(ctx, applyPause)
 		}
 		if ring != nil {
 			ring.Stop()
@@ -245,10 +245,10 @@
 		case <-ctx.Done():
 			ring.Stop()
 			s.mu.Lock()
-			s.flush(errs.New(errs.Stopped, "the store is stopping; the proposal may or may not be committed"))
+			s.failProposals(errs.New(errs.Stopped, "the store is stopping; the proposal may or may not be committed"))
 			s.mu.Unlock()
 			return
-		case <-s.kick:
+		case <-s.wakeLoop:
 		}
 	}
 }
@@ -258,53 +258,53 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	tick := s.tick()
-	if s.frozen || s.broken {
+	tick := s.tickInterval()
+	if s.frozen || s.halted {
 		return tick
 	}
-	if now-s.ticked >= tick {
+	if now-s.lastTick >= tick {
 		s.core.Tick(now)
-		s.ticked = now
-		s.watchDisk(now)
+		s.lastTick = now
+		s.stepDownIfDiskHangs(now)
 		s.removeSilent(now)
 	}
-	s.inject(now)
+	s.proposePending(now)
 	r := s.core.Ready()
 	before := s.status
 	s.status = s.core.Status()
-	s.route(r.Now)
+	s.enqueueMessages(r.Now)
 	if r.Hard != nil || len(r.Append) > 0 || len(r.AfterSync) > 0 {
 		if len(r.Append) > 0 {
 			s.durable = min(s.durable, r.Append[0].Index-1)
 		}
-		s.queue = append(s.queue, work{r.Hard, r.Append, r.AfterSync})
-		nudge(s.diskKick)
+		s.diskQueue = append(s.diskQueue, diskWrite{r.Hard, r.Append, r.AfterSync})
+		signal(s.wakeDisk)
 	}
 	s.apply(r.Committed)
-	s.roles(before, now)
+	s.onStatusChange(before, now)
 	if r.Fetch != nil && !s.fetching {
 		s.fetching = true
-		want := *r.Fetch
-		if s.hand != nil {
-			s.hand.want = &want
+		wanted := *r.Fetch
+		if s.manual != nil {
+			s.manual.wanted = &wanted
 		} else {
-			s.group.Go(func(ctx context.Context) { s.fetch(ctx, want) })
+			s.group.Go(func(ctx context.Context) { s.fetch(ctx, wanted) })
 		}
 	}
-	return s.due(now)
+	return s.untilNextPass(now)
 }
 
-// due is the time until the core needs a tick; a follower waits for messages until it may stand for leader.
-func (s *Store) due(now time.Duration) time.Duration {
-	next := s.ticked + s.tick()
+// untilNextPass is the time until the core needs a tick; a follower waits for messages until it may stand for leader.
+func (s *Store) untilNextPass(now time.Duration) time.Duration {
+	next := s.lastTick + s.tickInterval()
 	if s.status.Role != raft.Leader {
 		next = max(next, s.core.CampaignAt())
 	}
 	return max(0, next-now)
 }
 
-// tick is the time between two ticks of the core; in between the loop runs only when there is something to do.
-func (s *Store) tick() time.Duration { return s.set.Heartbeat / ticksPerBeat }
+// tickInterval is the time between two ticks of the core; in between the loop runs only when there is something to do.
+func (s *Store) tickInterval() time.Duration { return s.settings.Heartbeat / ticksPerHeartbeat }
 
 // apply brings committed entries into the live state and wakes who waits for them.
 func (s *Store) apply(entries []raft.Entry) {
@@ -315,21 +315,21 @@
 	}
 	for _, e := range batch {
 		answer, err := applyTo(s.live, e)
-		s.behind += len(e.Data) + entryRoom
+		s.unsnapshottedBytes += len(e.Data) + entryOverhead
 		w := s.waiters[e.Index]
 		if w == nil {
 			continue
 		}
 		delete(s.waiters, e.Index)
 		if w.term != e.Term {
-			w.end(s, outcome{err: errs.New(errs.Unavailable, "another leader's entry took the place %d", e.Index)})
+			w.finish(s, outcome{err: errs.New(errs.Unavailable, "another leader's entry took the place %d", e.Index)})
 			continue
 		}
-		w.end(s, outcome{index: e.Index, answer: answer, err: err})
+		w.finish(s, outcome{index: e.Index, answer: answer, err: err})
 	}
 	s.committed = append(s.committed, batch...)
-	nudge(s.shadowKick)
-	s.took()
+	signal(s.wakeSnapshotter)
+	s.trackOwnBundle()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -353,13 +353,13 @@
 // nextApplied takes the committed entries that this pass applies. A store that is driven by hand applies all.
 func (s *Store) nextApplied() []raft.Entry {
 	n, bytes := 0, 0
-	for n < len(s.unapplied) && (s.hand != nil || n < applyEntries && bytes < applyBytes) {
+	for n < len(s.unapplied) && (s.manual != nil || n < applyEntries && bytes < applyBytes) {
 		bytes += len(s.unapplied[n].Data)
 		n++
 	}
 	batch := s.unapplied[:n:n]
 	if s.unapplied = s.unapplied[n:]; len(s.unapplied) > 0 {
-		nudge(s.kick)
+		signal(s.wakeLoop)
 	} else {
 		s.unapplied = nil
 	}
@@ -376,50 +376,50 @@
 	return answer, errs.Pass(err, "entry %d", e.Index)
 }
 
-// roles does what a change of leader or members asks for.
-func (s *Store) roles(before raft.Status, now time.Duration) {
+// onStatusChange does what a change of leader or members asks for.
+func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
 	st := &s.status
 	if before.Role != st.Role || before.Leader != st.Leader || before.Term != st.Term {
-		_ = level.Info(s.log).Log("msg", "role", "role", st.Role, "term", st.Term, "leader", st.Leader, "commit", st.Commit)
+		_ = level.Info(s.logger).Log("msg", "role", "role", st.Role, "term", st.Term, "leader", st.Leader, "commit", st.Commit)
 	}
 	lead := uint64(0)
 	if st.Role == raft.Leader {
 		lead = st.Term
 	}
-	if lead != s.leadTerm {
-		s.flush(errs.New(errs.Timeout, "the leader changed; the proposal may or may not be committed"))
-		s.book.Lose()
-		s.leadTerm, s.leadSince = lead, now
+	if lead != s.leaderTerm {
+		s.failProposals(errs.New(errs.Timeout, "the leader changed; the proposal may or may not be committed"))
+		s.roleLeases.StepDown()
+		s.leaderTerm, s.leaderSince = lead, now
 	}
-	if lead != 0 && !s.book.Open() {
+	if lead != 0 && !s.roleLeases.Active() {
 		if commit, ok := s.core.Confirmed(now); ok && s.live.Index >= commit {
-			s.book.Lead(now, s.live.Duties)
+			s.roleLeases.BecomeLeader(now, s.live.Duties)
 		}
 	}
-	if s.toldAt > s.levelAt && s.live.Index >= s.told {
-		s.levelAt = s.toldAt
+	if s.leaderHeardAt > s.caughtUpAt && s.live.Index >= s.leaderCommit {
+		s.caughtUpAt = s.leaderHeardAt
 	}
-	s.enlist()
+	s.updatePeers()
 }
 
-// watchDisk gives the lead away when the own disk hangs: the others commit without it, but a node that cannot
+// stepDownIfDiskHangs gives the lead away when the own disk hangs: the others commit without it, but a node that cannot
 // store must not go on deciding for them.
-func (s *Store) watchDisk(now time.Duration) {
-	if s.status.Role == raft.Leader && s.diskBusy != 0 && now-s.diskBusy > 2*s.set.Election {
-		if to := s.heir(); to != "" && s.core.Handover(now, to) == nil {
-			_ = level.Warn(s.log).Log("msg", "the disk hangs: handing over", "to", to, "for", now-s.diskBusy)
+func (s *Store) stepDownIfDiskHangs(now time.Duration) {
+	if s.status.Role == raft.Leader && s.diskBusySince != 0 && now-s.diskBusySince > 2*s.settings.Election {
+		if to := s.successor(); to != "" && s.core.Handover(now, to) == nil {
+			_ = level.Warn(s.logger).Log("msg", "the disk hangs: handing over", "to", to, "for", now-s.diskBusySince)
 		}
 	}
 }
 
-// heir is the voter, other than this node, that has most of the log, of those heard of within an Election; of two
+// successor is the voter, other than this node, that has most of the log, of those heard of within an Election; of two
 // alike the one heard of last.
-func (s *Store) heir() (to string) {
+func (s *Store) successor() (to string) {
 	now := s.clock.Now()
 	var newest time.Duration
 	for _, m := range s.status.Members {
 		heard, ok := s.core.Heard(now, m.ID)
-		if m.ID == s.id || m.Learner || !ok || now-heard >= s.set.Election {
+		if m.ID == s.id || m.Learner || !ok || now-heard >= s.settings.Election {
 			continue
 		}
 		more := s.status.Match[m.ID] > s.status.Match[to]
@@ -430,59 +430,59 @@
 	return to
 }
 
-// Handover gives the lead to another if this node has it, and waits until it is gone, for one Election at most.
-func (s *Store) Handover(ctx context.Context) {
+// TransferLeadership gives the lead to another if this node has it, and waits until it is gone, for one Election at most.
+func (s *Store) TransferLeadership(ctx context.Context) {
 	s.mu.Lock()
 	if s.core == nil || s.status.Role != raft.Leader {
 		s.mu.Unlock()
 		return
 	}
-	to := s.heir()
+	to := s.successor()
 	err := s.core.Handover(s.clock.Now(), to)
 	s.mu.Unlock()
-	nudge(s.kick)
+	signal(s.wakeLoop)
 	if err != nil {
-		_ = level.Warn(s.log).Log("msg", "no handover", "err", err)
+		_ = level.Warn(s.logger).Log("msg", "no handover", "err", err)
 		return
 	}
-	for end := s.clock.Now() + s.set.Election; s.clock.Now() < end && s.rest(ctx, pollEvery); {
+	for end := s.clock.Now() + s.settings.Election; s.clock.Now() < end && s.sleep(ctx, pollInterval); {
 		s.mu.Lock()
 		gone := s.status.Role != raft.Leader
 		s.mu.Unlock()
 		if gone {
-			_ = level.Info(s.log).Log("msg", "handed over", "to", to)
+			_ = level.Info(s.logger).Log("msg", "handed over", "to", to)
 			return
 		}
 	}
 }
 
-// tidy lets the leader propose the letting go of what is old.
-func (s *Store) tidy(ctx context.Context) {
-	warned := warnings{}
-	for s.rest(ctx, tidyEvery) {
-		warned.look(s)
-		c := s.tidying()
+// runGC lets the leader propose the letting go of what is old.
+func (s *Store) runGC(ctx context.Context) {
+	warned := accountWarnings{}
+	for s.sleep(ctx, gcInterval) {
+		warned.logNew(s)
+		c := s.gcCommand()
 		if c == nil {
 			continue
 		}
 		if _, _, err := s.Propose(ctx, c); err != nil {
-			_ = level.Debug(s.log).Log("msg", "tidy", "err", err)
+			_ = level.Debug(s.logger).Log("msg", "tidy", "err", err)
 		}
 	}
 }
 
-// tidying gives the command that lets go of what is old; nil on a node that does not lead or if there is nothing.
-func (s *Store) tidying() command.Command {
+// gcCommand gives the command that lets go of what is old; nil on a node that does not lead or if there is nothing.
+func (s *Store) gcCommand() command.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leadTerm == 0 || len(s.live.Ended)+len(s.live.TombOrder)+len(s.live.OrderKeys) == 0 && !s.live.Accounts.Open() {
+	if s.leaderTerm == 0 || len(s.live.Ended)+len(s.live.TombOrder)+len(s.live.OrderKeys) == 0 && !s.live.Accounts.Open() {
 		return nil
 	}
 	at := s.clock.Wall()
 	return &command.Tidy{
-		JobsBefore: at.Add(-s.set.KeepEndedFor), JobsKeep: s.set.KeepEnded,
-		TombsBefore: at.Add(-s.set.KeepTombsFor), TombsKeep: s.set.KeepTombs,
-		OrdersBefore: at.Add(-s.set.KeepTombsFor),
+		JobsBefore: at.Add(-s.settings.KeepEndedFor), JobsKeep: s.settings.KeepEnded,
+		TombsBefore: at.Add(-s.settings.KeepTombsFor), TombsKeep: s.settings.KeepTombs,
+		OrdersBefore: at.Add(-s.settings.KeepTombsFor),
 	}
 }
 
@@ -497,10 +497,10 @@
 func (s *Store) Ready() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return errs.Pass(s.readyNow(s.clock.Now()), "ready")
+	return errs.Pass(s.checkReady(s.clock.Now()), "ready")
 }
 
-func (s *Store) readyNow(now time.Duration) error {
+func (s *Store) checkReady(now time.Duration) error {
 	switch {
 	case s.core == nil:
 		return errs.New(errs.Unavailable, "not part of a fleet yet")
@@ -510,8 +510,8 @@
 		if commit, ok := s.core.Confirmed(now); !ok || s.live.Index < commit {
 			return errs.New(errs.Unavailable, "the lead is not confirmed")
 		}
-	case now-s.levelAt > readyWithin:
-		return errs.New(errs.Unavailable, "behind the leader: at %d of %d", s.live.Index, s.told)
+	case now-s.caughtUpAt > maxReadyLag:
+		return errs.New(errs.Unavailable, "behind the leader: at %d of %d", s.live.Index, s.leaderCommit)
 	}
 	return nil
 }
@@ -520,7 +520,7 @@
 func (s *Store) Status() internalapi.StatusAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.readyNow(s.clock.Now()) == nil, Duties: map[string]internalapi.DutyAnswer{}}
+	out := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.checkReady(s.clock.Now()) == nil, Duties: map[string]internalapi.DutyAnswer{}}
 	if s.core != nil {
 		out.Quorum = s.core.Status()
 	}
@@ -532,18 +532,18 @@
 
 // fatal ends the use of the store for good, and the process is to end.
 func (s *Store) fatal(err error) {
-	if s.breakOff() {
-		_ = level.Error(s.log).Log("msg", "fatal", "err", err)
+	if s.halt() {
+		_ = level.Error(s.logger).Log("msg", "fatal", "err", err)
 		s.opt.Fatal(err)
 	}
 }
 
-// breakOff ends the use of the store for good: nothing leaves it any more. It tells whether it was in use until now.
-func (s *Store) breakOff() bool {
+// halt ends the use of the store for good: nothing leaves it any more. It tells whether it was in use until now.
+func (s *Store) halt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.broken
-	s.broken = true
+	was := s.halted
+	s.halted = true
 	return !was
 }
 
@@ -556,6 +556,6 @@
 // NameOf gives the name of the cplane that has a quorum ID.
 func NameOf(id string) string { return nameOf(id) }
 
-func decodeMeta(raw []byte) (m raft.Meta, err error) {
+func decodeSnapshotMeta(raw []byte) (m raft.Meta, err error) {
 	return m, errs.Wrap(json.Unmarshal(raw, &m), errs.Damaged, "meta of a slot")
 }
