--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,44 +30,44 @@
 // rig is a fleet of stores in one process, over memory disks and a virtual clock. It lives in a synctest bubble:
 // the clock moves only when every goroutine waits.
 type testStores struct {
-	clock   clock.Virtual
-	set     config.Cplane
-	disks   map[string]*storage.MemDisk
-	mu      sync.Mutex
-	nodes   map[string]*Store // by address; nil while it is down
-	died    map[string]error
-	work    *routine.Group
-	acked   map[string]uint64
-	seed    uint64           // of the nodes that start from now on, besides their names
-	slow    atomic.Int64     // nanoseconds that a sync takes on the virtual clock
-	cut     map[string]bool  // addresses of nodes that are cut off from all others: calls to and from them time out
-	full    map[string]error // what disks refuse writes with, by the names of their nodes
-	hangs   map[string]bool  // names of nodes whose disks end no sync
-	removed map[string]bool  // nodes that were told that they are no members any more
-}
-
-// paced is a disk whose syncs take the rig's time, and that is full when the rig says so.
-type paced struct {
+	clock    clock.Virtual
+	settings config.Cplane
+	disks    map[string]*storage.MemDisk
+	mu       sync.Mutex
+	nodes    map[string]*Store // by address; nil while it is down
+	died     map[string]error
+	work     *routine.Group
+	acked    map[string]uint64
+	seed     uint64           // of the nodes that start from now on, besides their names
+	slow     atomic.Int64     // nanoseconds that a sync takes on the virtual clock
+	cut      map[string]bool  // addresses of nodes that are cut off from all others: calls to and from them time out
+	full     map[string]error // what disks refuse writes with, by the names of their nodes
+	hangs    map[string]bool  // names of nodes whose disks end no sync
+	removed  map[string]bool  // nodes that were told that they are no members any more
+}
+
+// testDisk is a disk whose syncs take the rig's time, and that is full when the rig says so.
+type testDisk struct {
 	storage.Disk
 	r    *testStores
 	name string
 }
 
-type pacedFile struct {
+type testDiskFile struct {
 	storage.File
 	r    *testStores
 	name string
 }
 
-func (d paced) Create(name string) (storage.File, error) {
+func (d testDisk) Create(name string) (storage.File, error) {
 	if err := d.r.refusal(d.name); err != nil {
 		return nil, err
 	}
 	f, err := d.Disk.Create(name)
-	return pacedFile{f, d.r, d.name}, err
+	return testDiskFile{f, d.r, d.name}, err
 }
 
-func (f pacedFile) Write(p []byte) (int, error) {
+func (f testDiskFile) Write(p []byte) (int, error) {
 	refusal := f.r.refusal(f.name)
 	if refusal == nil {
 		return f.File.Write(p)
@@ -76,7 +76,7 @@
 	return n, cmp.Or(err, refusal)
 }
 
-func (f pacedFile) Sync() error {
+func (f testDiskFile) Sync() error {
 	for f.r.doesHang(f.name) {
 		f.r.sleep(10 * time.Millisecond)
 	}
@@ -88,9 +88,9 @@
 
 // sleep waits on the rig's clock.
 func (r *testStores) sleep(d time.Duration) {
-	over := make(chan struct{})
-	r.clock.Set(d, func() { close(over) })
-	<-over
+	expired := make(chan struct{})
+	r.clock.Set(d, func() { close(expired) })
+	<-expired
 }
 
 func (r *testStores) refusal(name string) error {
@@ -99,19 +99,19 @@
 	return r.full[name]
 }
 
-// refuse makes a node's disk refuse writes with an error, or take them again.
-func (r *testStores) refuse(name string, with error) {
+// setRefusal makes a node's disk refuse writes with an error, or take them again.
+func (r *testStores) setRefusal(name string, with error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.full[name] = with
 }
 
-// fill makes a node's disk full, or gives it room again.
-func (r *testStores) fill(name string, full bool) {
+// setFull makes a node's disk full, or gives it room again.
+func (r *testStores) setFull(name string, full bool) {
 	if full {
-		r.refuse(name, unix.ENOSPC)
+		r.setRefusal(name, unix.ENOSPC)
 	} else {
-		r.refuse(name, nil)
+		r.setRefusal(name, nil)
 	}
 }
 
@@ -121,26 +121,26 @@
 	return r.hangs[name]
 }
 
-// hang makes syncs of a node's disk wait, or end again.
-func (r *testStores) hang(name string, hangs bool) {
+// setHang makes syncs of a node's disk wait, or end again.
+func (r *testStores) setHang(name string, hangs bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hangs[name] = hangs
 }
 
 func newTestStores(n, snapshotEvery int, operators ...signature.Key) *testStores {
-	r := &testStores{set: config.DefaultCplane(), disks: map[string]*storage.MemDisk{}, nodes: map[string]*Store{},
+	r := &testStores{settings: config.DefaultCplane(), disks: map[string]*storage.MemDisk{}, nodes: map[string]*Store{},
 		died: map[string]error{}, removed: map[string]bool{}, work: routine.New(context.Background()), acked: map[string]uint64{}, cut: map[string]bool{}, full: map[string]error{}, hangs: map[string]bool{}}
-	r.set.SnapshotEvery = snapshotEvery
+	r.settings.SnapshotEvery = snapshotEvery
 	for _, key := range operators {
-		r.set.OperatorKeys = append(r.set.OperatorKeys, config.OperatorKey{Name: key.Name, Key: key.Public()})
+		r.settings.OperatorKeys = append(r.settings.OperatorKeys, config.OperatorKey{Name: key.Name, Key: key.Public()})
 	}
 	for i := range n {
 		name := fmt.Sprintf("c%d", i+1)
-		r.set.Members = append(r.set.Members, config.Member{ID: name, Addr: name, Zone: "z"})
+		r.settings.Members = append(r.settings.Members, config.Member{ID: name, Addr: name, Zone: "z"})
 		r.disks[name] = storage.NewMemDisk()
 	}
-	for _, m := range r.set.Members {
+	for _, m := range r.settings.Members {
 		r.start(m.ID)
 	}
 	return r
@@ -148,9 +148,9 @@
 
 // options are those that a node starts with.
 func (r *testStores) options(name string) Options {
-	set := r.set
-	set.Name, set.Addr, set.Zone = name, name, "z"
-	return Options{Settings: set, Disk: paced{r.disks[name], r, name}, Net: net{r, name}, Clock: &r.clock, Seed: uint64(name[1]) + r.seed,
+	settings := r.settings
+	settings.Name, settings.Addr, settings.Zone = name, name, "z"
+	return Options{Settings: settings, Disk: testDisk{r.disks[name], r, name}, Net: testNet{r, name}, Clock: &r.clock, Seed: uint64(name[1]) + r.seed,
 		Fatal:   func(err error) { r.mu.Lock(); r.died[name] = err; r.mu.Unlock() },
 		Removed: func() { r.mu.Lock(); r.removed[name] = true; r.mu.Unlock() }}
 }
@@ -184,7 +184,7 @@
 	r.work.Stop()
 }
 
-// until moves the clock on, a little at a time, until cond holds.
+// expiresAt moves the clock on, a little at a time, until cond holds.
 func (r *testStores) until(what string, cond func() bool) {
 	for range 20000 {
 		synctest.Wait()
@@ -222,8 +222,8 @@
 		Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}}
 }
 
-// load submits n jobs at once at the leader and notes what was acknowledged.
-func (r *testStores) load(label string, n int) (failures []errs.Kind) {
+// submitJobs submits n jobs at once at the leader and notes what was acknowledged.
+func (r *testStores) submitJobs(label string, n int) (failures []errs.Kind) {
 	s := r.leader()
 	keys, got, outcomes := make([]string, n), make([]uint64, n), make([]error, n)
 	r.call(func(ctx context.Context) {
@@ -242,8 +242,8 @@
 	return failures
 }
 
-// level waits until every node has applied the same, and checks that all that was acknowledged is there.
-func (r *testStores) level() {
+// waitLevel waits until every node has applied the same, and checks that all that was acknowledged is there.
+func (r *testStores) waitLevel() {
 	lead := r.leader()
 	r.until("all nodes level", func() bool {
 		for _, s := range r.nodes {
@@ -253,7 +253,7 @@
 		}
 		return true
 	})
-	want := ""
+	wanted := ""
 	for _, s := range r.nodes {
 		s.View(func(st *state.State) {
 			lost := 0
@@ -265,31 +265,31 @@
 			So(lost, ShouldEqual, 0)
 			body, err := st.Encode()
 			So(err, ShouldBeNil)
-			if want == "" {
-				want = string(body)
+			if wanted == "" {
+				wanted = string(body)
 			}
-			So(string(body) == want, ShouldBeTrue)
+			So(string(body) == wanted, ShouldBeTrue)
 		})
 		So(s.Status().Quorum.Refused, ShouldEqual, 0)
 	}
 }
 
-// net carries the calls of one node straight to the other store.
-type net struct {
+// testNet carries the calls of one node straight to the other store.
+type testNet struct {
 	r    *testStores
 	from string
 }
 
-func to[A any](ctx context.Context, n net, addr string, do func(s *Store) (A, error)) (A, error) {
+func callNode[A any](ctx context.Context, n testNet, addr string, do func(s *Store) (A, error)) (A, error) {
 	n.r.mu.Lock()
 	s, cut := n.r.nodes[addr], n.r.cut[addr] || n.r.cut[n.from]
 	n.r.mu.Unlock()
 	var none A
 	if cut {
-		late := make(chan struct{})
-		defer n.r.clock.Set(n.r.set.Election/2, func() { close(late) }).Stop()
+		timedOut := make(chan struct{})
+		defer n.r.clock.Set(n.r.settings.Election/2, func() { close(timedOut) }).Stop()
 		select {
-		case <-late:
+		case <-timedOut:
 		case <-ctx.Done():
 		}
 		return none, errs.New(errs.Timeout, "%s does not answer", addr)
@@ -300,35 +300,35 @@
 	return do(s)
 }
 
-func (n net) Quorum(ctx context.Context, addr string, c internalapi.QuorumCall) error {
-	_, err := to(ctx, n, addr, func(s *Store) (int, error) { s.Step(c); return 0, nil })
+func (n testNet) SendMessages(ctx context.Context, addr string, c internalapi.QuorumCall) error {
+	_, err := callNode(ctx, n, addr, func(s *Store) (int, error) { s.Step(c); return 0, nil })
 	return err
 }
-func (n net) Chunk(ctx context.Context, addr string, c internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
+func (n testNet) FetchChunk(ctx context.Context, addr string, c internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.Max = 1000 // many parts
-	return to(ctx, n, addr, func(s *Store) (internalapi.ChunkAnswer, error) { return s.Chunk(c) })
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.ChunkAnswer, error) { return s.Chunk(c) })
 }
-func (n net) Found(ctx context.Context, addr string, c internalapi.FoundCall) (internalapi.FoundAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (internalapi.FoundAnswer, error) { return s.Found(c), nil })
+func (n testNet) BootstrapStatus(ctx context.Context, addr string, c internalapi.FoundCall) (internalapi.FoundAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.FoundAnswer, error) { return s.BootstrapStatus(c), nil })
 }
-func (n net) Join(ctx context.Context, addr string, c internalapi.JoinCall) (internalapi.JoinAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (internalapi.JoinAnswer, error) { return s.Join(ctx, c) })
+func (n testNet) Join(ctx context.Context, addr string, c internalapi.JoinCall) (internalapi.JoinAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.JoinAnswer, error) { return s.Join(ctx, c) })
 }
-func (n net) Propose(ctx context.Context, addr string, c internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (internalapi.ProposeAnswer, error) { return s.propose(ctx, c) })
+func (n testNet) Propose(ctx context.Context, addr string, c internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.ProposeAnswer, error) { return s.handlePropose(ctx, c) })
 }
-func (n net) Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (internalapi.RolloutAnswer, error) { return s.rollout(), nil })
+func (n testNet) Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.RolloutAnswer, error) { return s.localRollout(), nil })
 }
-func (n net) Confirm(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
-	return to(ctx, n, addr, func(s *Store) (internalapi.ConfirmAnswer, error) {
-		i, err := s.Confirm()
+func (n testNet) ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.ConfirmAnswer, error) {
+		i, err := s.ReadIndex()
 		return internalapi.ConfirmAnswer{Index: i}, err
 	})
 }
 
-// within runs a test in a bubble, with a rig of 3 nodes.
-func within(t *testing.T, snapshotEvery int, do func(r *testStores), operators ...signature.Key) {
+// withFleet runs a test in a bubble, with a rig of 3 nodes.
+func withFleet(t *testing.T, snapshotEvery int, do func(r *testStores), operators ...signature.Key) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Given a fleet", t, func() {
 			r := newTestStores(3, snapshotEvery, operators...)
@@ -339,7 +339,7 @@
 }
 
 func (r *testStores) follower(of *Store) *Store {
-	for _, m := range r.set.Members {
+	for _, m := range r.settings.Members {
 		if s := r.nodes[m.ID]; s != nil && s != of {
 			return s
 		}
@@ -347,28 +347,28 @@
 	return nil
 }
 
-func TestCommit(t *testing.T) {
-	within(t, 40, func(r *testStores) {
+func TestPropose_commitsAndServesReadsAndFollowers(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
 		lead := r.leader()
 		other := r.follower(lead)
-		So(r.load("a", 300), ShouldBeEmpty)
-		r.level()
+		So(r.submitJobs("a", 300), ShouldBeEmpty)
+		r.waitLevel()
 		_, _, err := other.Propose(context.Background(), job("x"))
 		So(errs.KindOf(err), ShouldEqual, errs.NotLeader)
-		So(errs.Of(err).Hint, ShouldEqual, lead.set.Addr)
+		So(errs.Of(err).Hint, ShouldEqual, lead.settings.Addr)
 
 		// Orders and reads work at any node.
 		var raw []byte
 		seen := false
 		r.call(func(ctx context.Context) {
-			if raw, err = other.Order(ctx, job("hop")); err == nil {
+			if raw, err = other.ProposeOrForward(ctx, job("hop")); err == nil {
 				err = other.Read(ctx, func(st *state.State) { seen = st.Jobs["hop"] != nil })
 			}
 		})
 		So(err, ShouldBeNil)
 		So(string(raw), ShouldContainSubstring, `"fresh":true`)
 		So(seen, ShouldBeTrue)
-		r.call(func(ctx context.Context) { _, err = other.Order(ctx, &command.Cancel{Key: "nobody"}) })
+		r.call(func(ctx context.Context) { _, err = other.ProposeOrForward(ctx, &command.Cancel{Key: "nobody"}) })
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 
 		// Followers get changes, a snapshot where those are gone, and wait for what comes.
@@ -378,59 +378,59 @@
 			r.call(func(ctx context.Context) {
 				waiting := routine.New(ctx)
 				waiting.Go(func(ctx context.Context) {
-					a, err = other.Follow(ctx, internalapi.FollowCall{Vector: map[string]uint64{source: from}, Wait: wait, Max: 1 << 20})
+					a, err = other.Follow(ctx, internalapi.FollowCall{Vector: map[string]uint64{vectorSource: from}, Wait: wait, Max: 1 << 20})
 				})
 				during(ctx)
 				waiting.Wait()
 			})
 			So(err, ShouldBeNil)
-			return a.Lacks[source]
+			return a.Lacks[vectorSource]
 		}
 		idle := func(context.Context) {}
 		So(len(follow(at-3, 0, idle).Changes), ShouldEqual, 3)
 		So(follow(0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1)
 		So(follow(at, time.Second, idle), ShouldResemble, internalapi.Lack{})
-		news := follow(at, 20*time.Second, func(ctx context.Context) { _, _ = other.Order(ctx, job("news")) }) // shows in what follows
-		So(len(news.Changes), ShouldEqual, 1)
+		updates := follow(at, 20*time.Second, func(ctx context.Context) { _, _ = other.ProposeOrForward(ctx, job("news")) }) // shows in what follows
+		So(len(updates.Changes), ShouldEqual, 1)
 	})
 }
 
-func TestGroupCommit(t *testing.T) {
-	within(t, 1<<20, func(r *testStores) { // no slots: they sync too
+func TestDiskWriter_groupsCommits(t *testing.T) {
+	withFleet(t, 1<<20, func(r *testStores) { // no slots: they sync too
 		lead := r.leader()
 		r.slow.Store(int64(5 * time.Millisecond)) // a disk without a delay would leave the grouping to the scheduler
 		before := lead.storage.Stats().Syncs
-		So(r.load("a", 300), ShouldBeEmpty)
+		So(r.submitJobs("a", 300), ShouldBeEmpty)
 		So(300/(lead.storage.Stats().Syncs-before), ShouldBeGreaterThan, 10)
 		r.slow.Store(0)
 		r.clock.Advance(time.Second) // lets the syncs under way end
 	})
 }
 
-func TestCrashes(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		r.load("a", 100)
+func TestStore_keepsAcknowledgedOverCrashes(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		r.submitJobs("a", 100)
 		lead := r.leader()
-		r.kill(lead.set.Name)
-		r.load("b", 100) // the one that is down needs a snapshot now
-		r.start(lead.set.Name)
-		r.level()
+		r.kill(lead.settings.Name)
+		r.submitJobs("b", 100) // the one that is down needs a snapshot now
+		r.start(lead.settings.Name)
+		r.waitLevel()
 		for round := range 3 {
-			for _, m := range r.set.Members {
+			for _, m := range r.settings.Members {
 				r.kill(m.ID)
 			}
-			for _, m := range r.set.Members {
+			for _, m := range r.settings.Members {
 				r.start(m.ID)
 			}
-			So(r.load(fmt.Sprint("c", round), 70), ShouldBeEmpty)
+			So(r.submitJobs(fmt.Sprint("c", round), 70), ShouldBeEmpty)
 		}
-		r.level()
+		r.waitLevel()
 		So(len(r.acked), ShouldEqual, 410)
 
 		// Without a majority no proposal is acknowledged; the waiters hear in time that nobody knows.
 		lead = r.leader()
-		for _, m := range r.set.Members {
-			if m.ID != lead.set.Name {
+		for _, m := range r.settings.Members {
+			if m.ID != lead.settings.Name {
 				r.kill(m.ID)
 			}
 		}
@@ -440,38 +440,38 @@
 	})
 }
 
-func TestLostDisk(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		r.load("a", 200)
+func TestJoin_afterLostDisk(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		r.submitJobs("a", 200)
 		lead := r.leader()
-		gone := r.follower(lead).set.Name
+		gone := r.follower(lead).settings.Name
 		r.kill(gone)
 		r.disks[gone] = storage.NewMemDisk()
 		r.start(gone)
 		fresh := r.nodes[gone]
 		r.until("the newcomer is a voter", func() bool { return fresh.Status().Quorum.Voter })
 		So(fresh.id, ShouldStartWith, gone+"~")
-		r.load("b", 50)
-		r.level()
+		r.submitJobs("b", 50)
+		r.waitLevel()
 		So(len(lead.Status().Quorum.Members), ShouldEqual, 3)
 		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// The newcomer carries a majority, and keeps its new ID over a restart.
 		r.kill(gone)
 		r.start(gone)
-		r.level()
-		r.kill(lead.set.Name)
-		So(r.load("c", 50), ShouldBeEmpty)
-		r.level()
+		r.waitLevel()
+		r.kill(lead.settings.Name)
+		So(r.submitJobs("c", 50), ShouldBeEmpty)
+		r.waitLevel()
 		So(r.nodes[gone].id, ShouldEqual, fresh.id)
 	})
 }
 
-func TestSuccessor(t *testing.T) {
-	within(t, 40, func(r *testStores) {
-		r.load("a", 100)
+func TestJoin_asNamedSuccessor(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
+		r.submitJobs("a", 100)
 		lead := r.leader()
-		gone := r.follower(lead).set.Name
+		gone := r.follower(lead).settings.Name
 		r.kill(gone)
 		r.disks["c9"] = storage.NewMemDisk()
 		r.start("c9")
@@ -483,7 +483,7 @@
 		})
 		So(err.Error(), ShouldContainSubstring, "crosstide-controlplane member replace OLD c9")
 		r.call(func(ctx context.Context) {
-			_, err = lead.Order(ctx, &command.Succeed{Order: "o", Old: gone, New: "c9"})
+			_, err = lead.ProposeOrForward(ctx, &command.Succeed{Order: "o", Old: gone, New: "c9"})
 		})
 		So(err, ShouldBeNil)
 		r.until("the successor is a voter", func() bool { return fresh.Status().Quorum.Voter })
@@ -491,15 +491,15 @@
 		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// It carries a majority with the one other that is left.
-		r.kill(lead.set.Name)
-		So(r.load("b", 50), ShouldBeEmpty)
+		r.kill(lead.settings.Name)
+		So(r.submitJobs("b", 50), ShouldBeEmpty)
 	})
 }
 
-func TestFailedSync(t *testing.T) {
-	within(t, 40, func(r *testStores) {
+func TestFailedSync_isFatal(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
 		lead := r.leader()
-		r.disks[lead.set.Name].FailSync(1)
+		r.disks[lead.settings.Name].FailSync(1)
 		var err error
 		r.call(func(ctx context.Context) { _, _, err = lead.Propose(ctx, job("a")) })
 		if err == nil { // the two others had it synced before the failure showed: it must stay
@@ -507,22 +507,22 @@
 		} else {
 			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 		}
-		So(r.died[lead.set.Name], ShouldNotBeNil)
+		So(r.died[lead.settings.Name], ShouldNotBeNil)
 		So(r.died, ShouldHaveLength, 1)
-		r.kill(lead.set.Name)
-		So(r.load("b", 20), ShouldBeEmpty)
-		r.start(lead.set.Name)
-		r.level()
+		r.kill(lead.settings.Name)
+		So(r.submitJobs("b", 20), ShouldBeEmpty)
+		r.start(lead.settings.Name)
+		r.waitLevel()
 	})
 }
 
-func TestDuty(t *testing.T) {
-	within(t, 40, func(r *testStores) {
+func TestClaimRole(t *testing.T) {
+	withFleet(t, 40, func(r *testStores) {
 		ask := func(holder string, epoch uint64, giveUp bool) (a internalapi.DutyAnswer) {
 			s := r.leader()
 			var err error
 			r.call(func(ctx context.Context) {
-				a, err = s.Duty(ctx, internalapi.DutyCall{Duty: "sched", Holder: holder, Addr: holder, Boot: "1", Epoch: epoch, GiveUp: giveUp})
+				a, err = s.ClaimRole(ctx, internalapi.DutyCall{Duty: "sched", Holder: holder, Addr: holder, Boot: "1", Epoch: epoch, GiveUp: giveUp})
 			})
 			So(err, ShouldBeNil)
 			return a
@@ -532,7 +532,7 @@
 		So(ask("b", 0, false).Mine, ShouldBeFalse)
 		// The leader falls: the next one counts the lease anew, and still knows the epoch.
 		lead := r.leader()
-		r.kill(lead.set.Name)
+		r.kill(lead.settings.Name)
 		So(ask("b", 0, false).Mine, ShouldBeFalse)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeTrue)
 		var second internalapi.DutyAnswer
@@ -541,7 +541,7 @@
 			second = ask("b", 0, false)
 			r.clock.Advance(50 * time.Millisecond)
 		}
-		So(r.clock.Now()-began, ShouldBeGreaterThan, r.set.DutyLease)
+		So(r.clock.Now()-began, ShouldBeGreaterThan, r.settings.DutyLease)
 		So(second.Epoch, ShouldBeGreaterThan, first.Epoch)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeFalse)
 		So(ask("b", second.Epoch, true).Mine, ShouldBeFalse)
@@ -549,36 +549,36 @@
 	})
 }
 
-func TestJudge(t *testing.T) {
+func TestDecideBootstrap(t *testing.T) {
 	Convey("An empty folder founds only when it is sure to have no earlier life", t, func() {
-		say := func(a ...internalapi.FoundAnswer) verdict {
+		say := func(a ...internalapi.FoundAnswer) bootstrapDecision {
 			all := map[string]internalapi.FoundAnswer{}
 			for i, one := range a {
 				one.Digest = "d"
 				all[fmt.Sprint("c", i+2)] = one
 			}
-			v, vouched := judge("c1", "boot", "d", 3, all, map[string]string{"c2": "p", "c3": "p"})
+			v, vouched := decideBootstrap("c1", "boot", "d", 3, all, map[string]string{"c2": "p", "c3": "p"})
 			named := slices.ContainsFunc(a, func(one internalapi.FoundAnswer) bool { return one.Founders != nil })
-			So(v == fresh && !named, ShouldEqual, vouched != nil)
+			So(v == mayBootstrap && !named, ShouldEqual, vouched != nil)
 			return v
 		}
 		empty := internalapi.FoundAnswer{Fresh: true, Boot: "p"}
-		So(say(), ShouldEqual, unsure)
-		So(say(empty), ShouldEqual, unsure)
-		So(say(empty, empty), ShouldEqual, fresh)
-		So(say(empty, internalapi.FoundAnswer{Commit: 2}), ShouldEqual, exists)
-		So(say(internalapi.FoundAnswer{Commit: 900}), ShouldEqual, exists)
-		So(say(empty, internalapi.FoundAnswer{Commit: 1}), ShouldEqual, unsure) // has voted, perhaps for us
-		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "boot"}}), ShouldEqual, fresh)
-		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "earlier"}}), ShouldEqual, exists)
+		So(say(), ShouldEqual, undecided)
+		So(say(empty), ShouldEqual, undecided)
+		So(say(empty, empty), ShouldEqual, mayBootstrap)
+		So(say(empty, internalapi.FoundAnswer{Commit: 2}), ShouldEqual, fleetExists)
+		So(say(internalapi.FoundAnswer{Commit: 900}), ShouldEqual, fleetExists)
+		So(say(empty, internalapi.FoundAnswer{Commit: 1}), ShouldEqual, undecided) // has voted, perhaps for us
+		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "boot"}}), ShouldEqual, mayBootstrap)
+		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "earlier"}}), ShouldEqual, fleetExists)
 		one := map[string]internalapi.FoundAnswer{"c2": {Fresh: true, Digest: "d", Boot: "p"}}
-		v, _ := judge("c1", "boot", "other", 3, one, nil)
-		So(v, ShouldEqual, differs)
-		v, boots := judge("c1", "boot", "d", 2, one, nil) // the first such round
-		So(v, ShouldEqual, unsure)
-		v, _ = judge("c1", "boot", "d", 2, one, map[string]string{"c2": "an earlier process"})
-		So(v, ShouldEqual, unsure)
-		v, _ = judge("c1", "boot", "d", 2, one, boots)
-		So(v, ShouldEqual, fresh)
+		v, _ := decideBootstrap("c1", "boot", "other", 3, one, nil)
+		So(v, ShouldEqual, settingsDiffer)
+		v, incarnations := decideBootstrap("c1", "boot", "d", 2, one, nil) // the first such round
+		So(v, ShouldEqual, undecided)
+		v, _ = decideBootstrap("c1", "boot", "d", 2, one, map[string]string{"c2": "an earlier process"})
+		So(v, ShouldEqual, undecided)
+		v, _ = decideBootstrap("c1", "boot", "d", 2, one, incarnations)
+		So(v, ShouldEqual, mayBootstrap)
 	})
 }
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -16,9 +16,9 @@
 		s.Step(c)
 		return internalapi.QuorumAnswer{}, nil
 	})
-	rpc.Handle(srv, internalapi.Propose, s.propose)
+	rpc.Handle(srv, internalapi.Propose, s.handlePropose)
 	rpc.Handle(srv, internalapi.Confirm, func(context.Context, internalapi.ConfirmCall) (internalapi.ConfirmAnswer, error) {
-		index, err := s.Confirm()
+		index, err := s.ReadIndex()
 		return internalapi.ConfirmAnswer{Index: index}, errs.Pass(err, "call")
 	})
 	rpc.Handle(srv, internalapi.Follow, s.Follow)
@@ -26,41 +26,41 @@
 		a, err := s.Chunk(c)
 		return a, errs.Pass(err, "call")
 	})
-	rpc.Handle(srv, internalapi.Duty, s.Duty)
+	rpc.Handle(srv, internalapi.Duty, s.ClaimRole)
 	rpc.Handle(srv, internalapi.Status, func(context.Context, internalapi.StatusCall) (internalapi.StatusAnswer, error) {
 		return s.Status(), nil
 	})
 	rpc.Handle(srv, internalapi.Found, func(_ context.Context, c internalapi.FoundCall) (internalapi.FoundAnswer, error) {
-		return s.Found(c), nil
+		return s.BootstrapStatus(c), nil
 	})
 	rpc.Handle(srv, internalapi.Join, s.Join)
 	rpc.Handle(srv, internalapi.Rollout, func(context.Context, internalapi.RolloutCall) (internalapi.RolloutAnswer, error) {
-		return s.rollout(), nil
+		return s.localRollout(), nil
 	})
 }
 
 // NetworkOf is the Net of a daemon.
-func NetworkOf(k *rpc.Caller, set config.Cplane) Net { return networkCalls{k, set.Election} }
+func NetworkOf(k *rpc.Caller, settings config.Cplane) Net { return networkCalls{k, settings.Election} }
 
 type networkCalls struct {
 	caller   *rpc.Caller
 	election time.Duration
 }
 
-// Quorum sends a message of the agreement.
-func (w networkCalls) Quorum(ctx context.Context, addr string, call internalapi.QuorumCall) error {
+// SendMessages sends a message of the agreement.
+func (w networkCalls) SendMessages(ctx context.Context, addr string, call internalapi.QuorumCall) error {
 	_, err := rpc.Ask(ctx, w.caller, addr, internalapi.Quorum, call, w.election/2)
 	return errs.Pass(err, "quorum")
 }
 
-// Chunk reads a part of a peer's snapshot.
-func (w networkCalls) Chunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
+// FetchChunk reads a part of a peer's snapshot.
+func (w networkCalls) FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Chunk, call, 2*time.Second)
 	return a, errs.Pass(err, "chunk")
 }
 
-// Found asks a peer how it stands with the founding.
-func (w networkCalls) Found(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
+// Bootstrap asks a peer how it stands with the founding.
+func (w networkCalls) BootstrapStatus(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
 	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Found, call, w.election/2)
 	return a, errs.Pass(err, "found")
 }
@@ -73,12 +73,12 @@
 
 // Propose passes a command to the leader and waits for its result.
 func (w networkCalls) Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Propose, call, proposeWait+w.election)
+	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Propose, call, proposeTimeout+w.election)
 	return a, errs.Pass(err, "propose")
 }
 
-// Confirm asks the leader for an index at which a read is current.
-func (w networkCalls) Confirm(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
+// ReadIndex asks the leader for an index at which a read is current.
+func (w networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
 	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Confirm, internalapi.ConfirmCall{}, w.election)
 	return a, errs.Pass(err, "confirm")
 }
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -58,7 +58,7 @@
 				return nil, errs.Pass(err, "disk")
 			}
 			opt.Disk = disk
-			opened, err := store.OpenWhenRoom(ctx, opt)
+			opened, err := store.OpenWhenDiskHasSpace(ctx, opt)
 			return opened, errs.Pass(err, "store")
 		},
 		Workers:      func(holds, starts *rpc.Caller) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
--- a/internal/testbed/policysim/cplane.go
+++ b/internal/testbed/policysim/cplane.go
@@ -21,7 +21,7 @@
 	disk    *storage.MemDisk
 	store   *store.Store
 	hand    *store.ManualDriver
-	batch   *store.Batch // on its way to the disk
+	batch   *store.DiskBatch // on its way to the disk
 	slow    time.Duration
 	failing bool
 
@@ -70,8 +70,8 @@
 	set.SnapshotEvery, set.KeepEnded, set.KeepEndedFor = 40+s.rnd.IntN(100), 10, 20*time.Second
 	gen := c.gen
 	st, err := store.Open(store.Options{Settings: set, Disk: c.disk, Net: direct{cplane: c}, Seed: s.rnd.Uint64() | 1, Clock: c.proc,
-		Fatal: func(err error) { s.on(0, func() { c.fell(gen, err) }) },
-		Draw:  func() string { return fmt.Sprintf("%010X%010X", s.rnd.Uint32(), s.rnd.Uint32()) }})
+		Fatal:    func(err error) { s.on(0, func() { c.fell(gen, err) }) },
+		RandomID: func() string { return fmt.Sprintf("%010X%010X", s.rnd.Uint32(), s.rnd.Uint32()) }})
 	if errs.Is(err, errs.Disk) { // the process ends, as after any sync that fails
 		s.tell("%s cannot open its folder: %v", c.addr, errs.Of(err))
 		c.die()
@@ -85,14 +85,14 @@
 	c.store, c.hand = st, st.Manual()
 	c.batch, c.waits, c.follows, c.role = nil, nil, nil, ""
 	if found {
-		must(c.hand.Found())
+		must(c.hand.Bootstrap())
 	}
 	c.look()
 	s.tell("%s up, folder to %d", c.addr, c.top)
 	s.oracle.seen[c] = 0
 	c.turn()
 	c.after(10*time.Second, c.tidy)
-	if !c.hand.Member() || c.joining() {
+	if !c.hand.IsMember() || c.joining() {
 		c.settle()
 	}
 }
@@ -113,7 +113,7 @@
 	}
 }
 
-func (c *cplane) joining() bool { _, _, ok := c.hand.Joins(); return ok }
+func (c *cplane) joining() bool { _, _, ok := c.hand.JoinCall(); return ok }
 
 // has tells whether the folder surely has the entry.
 func (c *cplane) has(index, term uint64) bool { return index <= c.floor || c.terms[index] == term }
@@ -153,16 +153,16 @@
 
 // settle asks what an empty folder means, and then to be let in, until this node is a voter.
 func (c *cplane) settle() {
-	if !c.hand.Member() {
+	if !c.hand.IsMember() {
 		if c.sim.opt.Break == "learner" {
-			must(c.hand.Found())
+			must(c.hand.Bootstrap())
 			c.turn()
 			return
 		}
-		must(c.hand.Settle())
+		must(c.hand.ResolveEmptyFolder())
 	}
-	if c.hand.Member() {
-		call, addr, ok := c.hand.Joins()
+	if c.hand.IsMember() {
+		call, addr, ok := c.hand.JoinCall()
 		if !ok {
 			c.sim.tell("%s is a voter again", c.addr)
 			return
@@ -199,7 +199,7 @@
 }
 
 func (c *cplane) tidy() {
-	c.hand.Tidy()
+	c.hand.ProposeGC()
 	c.pump()
 	c.after(10*time.Second, c.tidy)
 }
@@ -212,7 +212,7 @@
 	}
 	c.hand.Pass()
 	s.oracle.committed(c) // before Shade lets go of it
-	for _, p := range c.hand.Out() {
+	for _, p := range c.hand.TakeMessages() {
 		to := s.byAddr[p.Addr]
 		if to == nil || to == c.proc {
 			continue
@@ -227,27 +227,27 @@
 			})
 		})
 	}
-	if b := c.hand.Disk(); b != nil {
+	if b := c.hand.TakeDiskBatch(); b != nil {
 		c.batch = b
 		if s.opt.Break == "sync" && s.chance(0.5) {
-			b.Stored()
+			b.MarkStored()
 			c.after(s.between(0, 300*time.Millisecond), func() { c.synced(b, false) })
 		} else {
 			c.after(s.between(200*time.Microsecond, 3*time.Millisecond)+c.slow, func() { c.synced(b, true) })
 		}
 	}
-	before := c.hand.Floor()
-	if err := c.hand.Shade(); err != nil {
+	before := c.hand.SnapshotIndex()
+	if err := c.hand.RunSnapshotter(); err != nil {
 		c.fell(c.gen, err)
 		return
 	}
-	if after := c.hand.Floor(); after != before {
+	if after := c.hand.SnapshotIndex(); after != before {
 		c.floor = max(c.floor, after)
 		s.report.Counts["slots written"]++
 	}
-	if c.hand.Wants() {
+	if c.hand.WantsSnapshot() {
 		c.after(s.between(time.Millisecond, 50*time.Millisecond), func() {
-			if err := c.hand.Fetch(); err == nil {
+			if err := c.hand.FetchSnapshot(); err == nil {
 				s.report.Counts["snapshots fetched by a cplane"]++
 				c.pump()
 			}
@@ -270,7 +270,7 @@
 }
 
 // synced ends a sync.
-func (c *cplane) synced(b *store.Batch, tell bool) {
+func (c *cplane) synced(b *store.DiskBatch, tell bool) {
 	if c.batch != b {
 		return
 	}
@@ -292,7 +292,7 @@
 		c.terms[e.Index], c.top = e.Term, e.Index
 	}
 	if tell {
-		b.Stored()
+		b.MarkStored()
 	}
 	c.pump()
 }
@@ -307,7 +307,7 @@
 		case ok:
 			do = append(do, func() { w.done(index, a, err) })
 		case c.Now() >= w.by:
-			err := w.proposal.Leave()
+			err := w.proposal.Abandon()
 			do = append(do, func() { w.done(0, nil, err) })
 		default:
 			rest = append(rest, w)
@@ -316,7 +316,7 @@
 	c.waits = rest
 	left := c.follows[:0:0]
 	for _, f := range c.follows {
-		lack, err := c.hand.Lack(f.version)
+		lack, err := c.hand.ChangesAfter(f.version)
 		switch {
 		case err != nil:
 			do = append(do, func() { f.reply(nil, err) })
@@ -363,13 +363,13 @@
 }
 
 func (c *cplane) duty(call internalapi.DutyCall, reply func(any, error)) {
-	a, held, cmd, err := c.hand.Duty(call)
+	a, held, cmd, err := c.hand.ClaimRole(call)
 	if err != nil || cmd == nil {
 		reply(c.lend(a), err)
 		return
 	}
 	c.propose(cmd, func(index uint64, _ any, err error) {
-		a, err := c.hand.Granted(call, held, index, err)
+		a, err := c.hand.FinishRoleCall(call, held, index, err)
 		reply(c.lend(a), err)
 	})
 }
@@ -410,7 +410,7 @@
 }
 
 // Chunk reads a part of a peer's snapshot.
-func (d direct) Chunk(_ context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
+func (d direct) FetchChunk(_ context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c, err := d.to(addr)
 	if err != nil {
 		return internalapi.ChunkAnswer{}, errs.Pass(err, "chunk")
@@ -420,12 +420,12 @@
 }
 
 // Found asks a peer how it stands with the founding.
-func (d direct) Found(_ context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
+func (d direct) BootstrapStatus(_ context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
 	c, err := d.to(addr)
 	if err != nil {
 		return internalapi.FoundAnswer{}, errs.Pass(err, "found")
 	}
-	return c.store.Found(call), nil
+	return c.store.BootstrapStatus(call), nil
 }
 
 func (c *cplane) join(call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
--- a/internal/testbed/policysim/dplane.go
+++ b/internal/testbed/policysim/dplane.go
@@ -370,7 +370,7 @@
 func (d *dplane) read(key string, back func(v query.JobView, err error)) {
 	by := d.Now() + callTimeout
 	d.toLeader(callTimeout/2, true, by, func(c *cplane, reply func(any, error)) {
-		index, err := c.store.Confirm()
+		index, err := c.store.ReadIndex()
 		reply(index, err)
 	}, func(a any, err error) {
 		if err != nil {
--- a/internal/testbed/policysim/oracle.go
+++ b/internal/testbed/policysim/oracle.go
@@ -500,7 +500,7 @@
 	}
 	look("the log", o.ref)
 	for _, c := range s.cplanes {
-		if c.alive && c.hand.Member() {
+		if c.alive && c.hand.IsMember() {
 			look(c.addr, c.hand.State())
 		}
 	}
