--- a/cmd/crosstide-controlplane/jobscore.go
+++ b/cmd/crosstide-controlplane/jobscore.go
@@ -75,7 +75,7 @@
 	registry := daemon.Registry()
 	return jobsnode.CoreOptions{
 		Store: set.Cplane, Open: open, Scheduler: jobsScheduler(set.Scheduler), KeepOver: set.KeepOver,
-		Workers: func(holds, starts *rpc.Caller) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
+		Workers: func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
 		Control: set.Control,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
 			jobsapi.ServeControl(control, relay, set.Within)
@@ -93,7 +93,7 @@
 
 // serveOperators adds the operators' calls for the members of the store. No view of the fleet is kept here.
 func serveOperators(inner *rpc.Server, members *store.Store) {
-	operatorapi.Serve(inner, members, store.NameOf, func() []membership.Seen { return nil })
+	operatorapi.Serve(inner, members, store.NameOf, func() []membership.MemberStatus { return nil })
 }
 
 // jobsScheduler maps settings to the scheduler's.
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -77,7 +77,7 @@
 	return jobsnode.CoreOptions{
 		Store: storeSettings(core), Open: open,
 		Scheduler: schedulerSettings(core.Scheduler, core.ContactTimeout), KeepOver: 2 * core.Scheduler.KeepStateFor,
-		Workers: func(holds, starts *rpc.Caller) scheduler.Workers {
+		Workers: func(holds, starts *rpc.Client) scheduler.Workers {
 			return platform.NewWorkers(exchanger{holds}, exchanger{starts}, 0)
 		},
 		OrdersByBeat: core.OrdersByBeat, Control: core.ControlAddress, ControlOf: core.ControlOf,
@@ -158,12 +158,12 @@
 }
 
 // exchanger carries the platform's requests to workers over a Caller.
-type exchanger struct{ caller *rpc.Caller }
+type exchanger struct{ caller *rpc.Client }
 
 var _ platform.Exchanger = exchanger{}
 
 // Exchange sends one request to addr and returns the answer.
 func (e exchanger) Exchange(ctx context.Context, addr string, request platform.Request, within time.Duration) (platform.Response, error) {
-	r, err := e.caller.Exchange(ctx, addr, rpc.Request(request), within)
+	r, err := e.caller.Do(ctx, addr, rpc.Request(request), within)
 	return platform.Response(r), errs.Pass(err, "exchange")
 }
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -46,7 +46,7 @@
 			rpc.WriteJSON(w, http.StatusConflict, "no")
 		})
 		So(s.Start(), ShouldBeNil)
-		caller := rpc.NewCaller(rpc.CallerOptions{})
+		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer caller.Close()
 		r, err := exchanger{caller}.Exchange(context.Background(), s.Addr(), platform.Request{Method: "POST", Path: "/work",
 			Header: map[string]string{"X-Sent": "v"}, Body: []byte("{}")}, 5*time.Second)
--- a/cmd/crosstide-controlplane/run.go
+++ b/cmd/crosstide-controlplane/run.go
@@ -44,7 +44,7 @@
 // serveLife runs one life of a cplane until ctx ends, then hands the lead over and drains.
 func serveLife(ctx context.Context, set config.Cplane, profiles bool, removed func(), logger log.Logger) error {
 	reg := daemon.Registry()
-	caller := rpc.NewCaller(rpc.CallerOptions{UserTimeout: 2 * set.Election, Via: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
+	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: 2 * set.Election, DialOverrides: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
 	defer caller.Close()
 	opt := store.Options{
 		Settings: set, Net: store.NetworkOf(caller, set), Logger: daemon.Part(logger, "store"), Registry: reg,
@@ -64,7 +64,7 @@
 	for _, m := range set.Members {
 		seeds = append(seeds, m.Addr)
 	}
-	members := daemon.NewMembership(set.Common, membership.Cplane, seeds, caller, logger, reg, nil)
+	members := daemon.NewMembership(set.Common, membership.RoleControlPlane, seeds, caller, logger, reg, nil)
 	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
 	operatorapi.Serve(srv, s, store.NameOf, members.Nodes)
 	daemon.Routes(srv, reg, s.Ready)
--- a/cmd/crosstide-dataplane/jobsfront_test.go
+++ b/cmd/crosstide-dataplane/jobsfront_test.go
@@ -22,7 +22,7 @@
 		So([]any{options.Core, options.Address, options.ReadyAddress, options.Grace, options.Zone}, ShouldResemble,
 			[]any{set.Seeds, set.Addr, "", set.Grace, "z"})
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		caller := rpc.NewCaller(rpc.CallerOptions{})
+		caller := rpc.NewClient(rpc.ClientOptions{})
 		options.ServeClients(server, controller.NewClient(controller.ClientOptions{Caller: caller}))
 		options.ServeReady(server, func() error { return errs.New(errs.Unavailable, "not yet") })
 		So(server.Start(), ShouldBeNil)
--- a/cmd/crosstide-dataplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -54,10 +54,10 @@
 	if _, err := rand.Read(boot); err != nil {
 		return errs.Wrap(err, errs.Internal, "boot id")
 	}
-	caller := rpc.NewCaller(rpc.CallerOptions{UserTimeout: set.CallTimeout, Via: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
+	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: set.CallTimeout, DialOverrides: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
 	defer caller.Close()
 	// The kernel must not go on resending a start order when the lease is over: its time-out is well inside the margin.
-	minions := rpc.NewCaller(rpc.CallerOptions{UserTimeout: set.LeaseMargin / 2, Via: set.Via, DialTimeout: time.Second,
+	minions := rpc.NewClient(rpc.ClientOptions{UserTimeout: set.LeaseMargin / 2, DialOverrides: set.Via, DialTimeout: time.Second,
 		Logger: daemon.Part(logger, "hold"), Registry: reg})
 	defer minions.Close()
 	core := set.Core
@@ -72,7 +72,7 @@
 	if len(set.Core) == 0 {
 		learn = n.Cplanes
 	}
-	members := daemon.NewMembership(set.Common, membership.Dplane, set.Seeds, caller, logger, reg, learn)
+	members := daemon.NewMembership(set.Common, membership.RoleDataPlane, set.Seeds, caller, logger, reg, learn)
 	srv := rpc.NewServer(rpc.ServerOptions{Addr: set.Addr, Logger: daemon.Part(logger, "rpc"), Registry: reg})
 	clientapi.Register(srv, n, clientapi.Options{Within: set.CallTimeout, Seed: uint64(boot[0])<<8 | uint64(boot[1])})
 	rpc.Handle(srv, internalapi.Minions, n.Announce)
--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -46,7 +46,7 @@
 		So([]any{options.Core, options.Address, options.ReadyAddress, options.Descriptors, options.Grace, options.Zone}, ShouldResemble,
 			[]any{core.Seeds, core.ClientAddress, core.ReadyAddress, 4000, core.Grace, core.Zone})
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		caller := rpc.NewCaller(rpc.CallerOptions{})
+		caller := rpc.NewClient(rpc.ClientOptions{})
 		options.ServeClients(server, controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: options.Core}))
 		ready := errs.New(errs.Unavailable, "not yet")
 		options.ServeReady(server, func() error { return ready })
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -101,12 +101,12 @@
 // errs.Unknown: no such queue; errs.Unavailable: surely not taken; errs.Timeout: it may or may not have been taken;
 // errs.Invalid with the field; errs.Stale: another version is in force.
 var (
-	SubmitPair    = rpc.Pair[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
-	JobPair       = rpc.Pair[JobCall, JobAnswer]{Path: "/c/job"}
-	CountPair     = rpc.Pair[CountCall, CountAnswer]{Path: "/c/count"}
-	BeatPair      = rpc.Pair[BeatCall, BeatAnswer]{Path: "/c/beat"}
-	ConfigPair    = rpc.Pair[ConfigCall, jobs.Config]{Path: "/c/config"}
-	ConfigurePair = rpc.Pair[jobs.Configure, ConfigureAnswer]{Path: "/c/configure"}
-	EvacuatePair  = rpc.Pair[jobs.Evacuate, EvacuateAnswer]{Path: "/c/evacuate"}
-	TopologyPair  = rpc.Pair[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
+	SubmitPair    = rpc.Endpoint[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
+	JobPair       = rpc.Endpoint[JobCall, JobAnswer]{Path: "/c/job"}
+	CountPair     = rpc.Endpoint[CountCall, CountAnswer]{Path: "/c/count"}
+	BeatPair      = rpc.Endpoint[BeatCall, BeatAnswer]{Path: "/c/beat"}
+	ConfigPair    = rpc.Endpoint[ConfigCall, jobs.Config]{Path: "/c/config"}
+	ConfigurePair = rpc.Endpoint[jobs.Configure, ConfigureAnswer]{Path: "/c/configure"}
+	EvacuatePair  = rpc.Endpoint[jobs.Evacuate, EvacuateAnswer]{Path: "/c/evacuate"}
+	TopologyPair  = rpc.Endpoint[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
 )
--- a/internal/controller/call.go
+++ b/internal/controller/call.go
@@ -39,7 +39,7 @@
 }
 
 // callPair makes a call of the pair p.
-func callPair[C, A any](ctx context.Context, c *Client, p rpc.Pair[C, A], call C, q query) (A, error) {
+func callPair[C, A any](ctx context.Context, c *Client, p rpc.Endpoint[C, A], call C, q query) (A, error) {
 	q.path, q.call, q.fresh = p.Path, call, func() any { return new(A) }
 	answer, err := c.run(ctx, q)
 	if err != nil {
@@ -219,6 +219,6 @@
 
 // askWire is ask over the client's Caller.
 func (c *Client) askWire(ctx context.Context, addr string, q query, answer any, within time.Duration) reply {
-	err := c.opt.Caller.AskInto(ctx, addr, q.path, q.call, answer, within)
-	return reply{err: err, answered: err == nil || rpc.Answered(err), unsent: rpc.Unsent(err)}
+	err := c.opt.Caller.CallInto(ctx, addr, q.path, q.call, answer, within)
+	return reply{err: err, answered: err == nil || rpc.IsRemote(err), unsent: rpc.IsUnsent(err)}
 }
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -26,7 +26,7 @@
 
 // ClientOptions are the settings of a Client; Caller and Seeds are needed.
 type ClientOptions struct {
-	Caller  *rpc.Caller
+	Caller  *rpc.Client
 	Seeds   []string      // internal addresses of nodes of the core to ask at first
 	Self    string        // own internal address when the client runs on a node of the core: it is not asked in turn
 	Clock   clock.Clock   // default clock.Real
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -50,7 +50,7 @@
 	handle(s, WorkersPair, local.Workers)
 }
 
-func handle[C, A any](s *rpc.Server, p rpc.Pair[C, A], serve func(context.Context, C) (A, error)) {
+func handle[C, A any](s *rpc.Server, p rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
 	rpc.Handle(s, p, func(ctx context.Context, call C) (A, error) {
 		ctx, cancel := context.WithTimeout(ctx, serveWithin)
 		defer cancel()
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -84,9 +84,9 @@
 }
 
 // startCore starts a core of n nodes on loopback; the last one leads.
-func startCore(n int) (nodes []*coreNode, caller *rpc.Caller, end func()) {
+func startCore(n int) (nodes []*coreNode, caller *rpc.Client, end func()) {
 	core := &coreNodes{}
-	caller = rpc.NewCaller(rpc.CallerOptions{})
+	caller = rpc.NewClient(rpc.ClientOptions{})
 	var servers []*rpc.Server
 	for range n {
 		one := &coreNode{core: core}
@@ -108,7 +108,7 @@
 }
 
 // patient are the options of a client whose attempts a busy machine does not cut short.
-func patient(caller *rpc.Caller, self string, seeds ...string) ClientOptions {
+func patient(caller *rpc.Client, self string, seeds ...string) ClientOptions {
 	return ClientOptions{Caller: caller, Seeds: seeds, Self: self, Attempt: 30 * time.Second}
 }
 
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -34,7 +34,7 @@
 }
 
 // pair is the shapes of a call and of its answer, under the call's path.
-func pair[C, A any](p rpc.Pair[C, A]) string {
+func pair[C, A any](p rpc.Endpoint[C, A]) string {
 	var call C
 	var answer A
 	return golden.Shape(p.Path+" call", call) + "\n" + golden.Shape(p.Path+" answer", answer)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -342,9 +342,9 @@
 		return scheduler.StartOK
 	case errs.Is(err, errs.Unknown):
 		return scheduler.StartOtherLife
-	case rpc.NoRoom(err):
+	case rpc.IsQuotaExhausted(err):
 		return scheduler.StartNoRoom
-	case rpc.Unsent(err), errors.Is(err, errNeverLeft):
+	case rpc.IsUnsent(err), errors.Is(err, errNeverLeft):
 		return scheduler.StartUnsent
 	}
 	return scheduler.StartUnknown
@@ -365,7 +365,7 @@
 	switch {
 	case err == nil:
 		return scheduler.StopOK
-	case rpc.NoRoom(err):
+	case rpc.IsQuotaExhausted(err):
 		return scheduler.StopNoRoom
 	}
 	return scheduler.StopFailed
@@ -393,7 +393,7 @@
 		return scheduler.HoldOtherLife
 	case errs.Is(err, errs.Stale):
 		return scheduler.HoldFenced
-	case rpc.NoRoom(err):
+	case rpc.IsQuotaExhausted(err):
 		return scheduler.HoldNoRoom
 	}
 	return scheduler.HoldFailed
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -97,11 +97,11 @@
 
 // The calls that find jobs by ID alone. Failures are those of the other calls; errs.Unknown: no such job.
 var (
-	ShowPair    = rpc.Pair[ShowCall, JobView]{Path: "/c/show"}
-	CancelPair  = rpc.Pair[CancelCall, JobAnswer]{Path: "/c/cancel"}
-	ListPair    = rpc.Pair[ListCall, ListAnswer]{Path: "/c/list"}
-	QueuesPair  = rpc.Pair[QueuesCall, QueuesAnswer]{Path: "/c/queues"}
-	WorkersPair = rpc.Pair[WorkersCall, WorkersAnswer]{Path: "/c/workers"}
+	ShowPair    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
+	CancelPair  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
+	ListPair    = rpc.Endpoint[ListCall, ListAnswer]{Path: "/c/list"}
+	QueuesPair  = rpc.Endpoint[QueuesCall, QueuesAnswer]{Path: "/c/queues"}
+	WorkersPair = rpc.Endpoint[WorkersCall, WorkersAnswer]{Path: "/c/workers"}
 )
 
 // Show tells a job's state and how far it is.
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -21,13 +21,13 @@
 
 // NewMembership makes a daemon's membership node; the caller starts it, serves its shuffles and stops it. cplanes may
 // be nil, see membership.Options.
-func NewMembership(set config.Common, role string, seeds []string, k *rpc.Caller, logger log.Logger, reg prometheus.Registerer,
+func NewMembership(set config.Common, role string, seeds []string, k *rpc.Client, logger log.Logger, reg prometheus.Registerer,
 	cplanes func([]string)) *membership.Node {
 	return membership.NewNode(membership.Options{
-		Self:  membership.Note{Name: set.Name, Addr: set.Addr, Zone: set.Zone, Role: role},
-		Seeds: seeds, Rnd: rand.Uint64(), Clock: clock.Real{}, Logger: Part(logger, "membership"), Registry: reg, Cplanes: cplanes,
-		Ask: func(ctx context.Context, addr string, m membership.Message) (membership.Message, error) {
-			a, err := rpc.Ask(ctx, k, addr, internalapi.Shuffle, m, shuffleWithin)
+		Self:  membership.Member{Name: set.Name, Addr: set.Addr, Zone: set.Zone, Role: role},
+		Seeds: seeds, RandomSeed: rand.Uint64(), Clock: clock.Real{}, Logger: Part(logger, "membership"), Registry: reg, OnControlPlanes: cplanes,
+		Send: func(ctx context.Context, addr string, m membership.Message) (membership.Message, error) {
+			a, err := rpc.Call(ctx, k, addr, internalapi.Shuffle, m, shuffleWithin)
 			return a, errs.Pass(err, "shuffle")
 		},
 	})
--- a/internal/dataplane/confirm.go
+++ b/internal/dataplane/confirm.go
@@ -79,7 +79,7 @@
 	r.index, r.err = a.Index, err
 	close(r.done)
 	if err == nil {
-		err = n.replica.Reach(ctx, a.Index)
+		err = n.replica.WaitForIndex(ctx, a.Index)
 	}
 	if err != nil {
 		_ = level.Debug(n.opt.Logger).Log("msg", "confirming failed", "err", err)
--- a/internal/dataplane/confirm_test.go
+++ b/internal/dataplane/confirm_test.go
@@ -26,7 +26,7 @@
 			return internalapi.ConfirmAnswer{}, nil
 		})
 		So(srv.Start(), ShouldBeNil)
-		caller := rpc.NewCaller(rpc.CallerOptions{})
+		caller := rpc.NewClient(rpc.ClientOptions{})
 		n := New(Options{Name: "d", Core: []string{srv.Addr()}, Sched: scheduler.Defaults(), CallTimeout: 20 * time.Second,
 			Clock: clock.Real{}, Logger: log.NewNopLogger(), Caller: caller, Minions: caller})
 		loop := routine.New(context.Background())
--- a/internal/dataplane/core.go
+++ b/internal/dataplane/core.go
@@ -14,7 +14,7 @@
 
 // coreClient calls the cplanes: it knows their addresses, the last leader, and the one that the replica follows.
 type coreClient struct {
-	caller *rpc.Caller
+	caller *rpc.Client
 	within time.Duration
 
 	mu     sync.Mutex
@@ -65,16 +65,16 @@
 	case errs.NotLeader:
 		return true
 	case errs.Unavailable, errs.Stopped, errs.Timeout:
-		return again || rpc.Unsent(err)
+		return again || rpc.IsUnsent(err)
 	}
 	return false
 }
 
 // toLeader asks the leader, wherever it is, until ctx ends. again: the call may be repeated.
-func toLeader[C, A any](ctx context.Context, c *coreClient, n *Node, p rpc.Pair[C, A], call C, within time.Duration, again bool) (A, error) {
+func toLeader[C, A any](ctx context.Context, c *coreClient, n *Node, p rpc.Endpoint[C, A], call C, within time.Duration, again bool) (A, error) {
 	for try := 0; ; try++ {
 		addr := c.lead()
-		a, err := rpc.Ask(ctx, c.caller, addr, p, call, within)
+		a, err := rpc.Call(ctx, c.caller, addr, p, call, within)
 		c.learn(addr, err)
 		if err == nil {
 			return a, nil
@@ -108,7 +108,7 @@
 	}
 	addr := c.source
 	c.mu.Unlock()
-	a, err := rpc.Ask(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.within)
+	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.within)
 	if err != nil {
 		c.mu.Lock()
 		c.source = ""
@@ -125,6 +125,6 @@
 	if addr == "" {
 		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "no cplane is followed")
 	}
-	a, err := rpc.Ask(ctx, c.caller, addr, internalapi.Chunk, call, 5*c.within)
+	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, 5*c.within)
 	return a, errs.Pass(err, "chunk from %s", addr)
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -31,8 +31,8 @@
 	QueueLimit       int           // bound of the inbox
 	Clock            clock.Clock
 	Logger           log.Logger
-	Caller           *rpc.Caller // to cplanes
-	Minions          *rpc.Caller // to minions: with TCP_USER_TIMEOUT well inside the lease's margin
+	Caller           *rpc.Client // to cplanes
+	Minions          *rpc.Client // to minions: with TCP_USER_TIMEOUT well inside the lease's margin
 }
 
 // Node is one dplane.
@@ -164,7 +164,7 @@
 	n.mu.Unlock()
 	for range 3 {
 		addr, sent := n.core.lead(), n.opt.Clock.Now()
-		a, err := rpc.Ask(ctx, n.opt.Caller, addr, internalapi.Duty, n.claim(epoch, false), n.opt.CallTimeout)
+		a, err := rpc.Call(ctx, n.opt.Caller, addr, internalapi.Duty, n.claim(epoch, false), n.opt.CallTimeout)
 		n.core.learn(addr, err)
 		switch {
 		case err == nil && a.Mine:
@@ -175,7 +175,7 @@
 		case err == nil:
 			n.dutyLost(a)
 			return
-		case !errs.Is(err, errs.NotLeader) && !rpc.Unsent(err):
+		case !errs.Is(err, errs.NotLeader) && !rpc.IsUnsent(err):
 			_ = level.Debug(n.opt.Logger).Log("msg", "claiming the duty failed", "err", err)
 			return
 		}
@@ -193,7 +193,7 @@
 	}
 	reach, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	if err := n.replica.Reach(reach, a.Epoch); err != nil {
+	if err := n.replica.WaitForIndex(reach, a.Epoch); err != nil {
 		return errs.Pass(err, "grant %d", a.Epoch)
 	}
 	st := n.replica.Lock()
@@ -267,7 +267,7 @@
 	var done command.Planned
 	if err == nil {
 		reach, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
-		err = n.replica.Reach(reach, a.Index)
+		err = n.replica.WaitForIndex(reach, a.Index)
 		cancel()
 	}
 	if err == nil {
@@ -318,11 +318,11 @@
 		}
 		return nil
 	}
-	a, err := rpc.AskDedicated(ctx, n.connTo(c), internalapi.Hold, c.Call, c.Call.Wait+n.opt.CallTimeout/2, check)
+	a, err := rpc.CallDedicated(ctx, n.connTo(c), internalapi.Hold, c.Call, c.Call.Wait+n.opt.CallTimeout/2, check)
 	now := n.opt.Clock.Now()
 	n.replica.Lock()
 	if err != nil {
-		n.sched.Failure(now, c.Minion, c.Order, c.Call, !rpc.Unsent(err))
+		n.sched.Failure(now, c.Minion, c.Order, c.Call, !rpc.IsUnsent(err))
 	} else {
 		n.sched.Answer(now, c.Minion, c.Order, c.Call, a)
 	}
@@ -350,7 +350,7 @@
 	if err != nil {
 		return errs.Wrap(err, errs.Unavailable, "cannot confirm the state")
 	}
-	if err := n.replica.Reach(ctx, index); err != nil {
+	if err := n.replica.WaitForIndex(ctx, index); err != nil {
 		return errs.Pass(err, "read at %d", index)
 	}
 	n.replica.View(func(s *state.State) { err = do(s) })
--- a/internal/dataplane/rollout.go
+++ b/internal/dataplane/rollout.go
@@ -32,7 +32,7 @@
 
 // bundle is the version the node has, 0 before it has pulled.
 func (n *Node) bundle() (version uint64) {
-	if n.replica.Pulled() {
+	if n.replica.HasPulled() {
 		n.replica.View(func(s *state.State) { version = s.Bundle.Version })
 	}
 	return version
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -61,7 +61,7 @@
 		So(err, ShouldBeNil)
 		d := &desk{state.New()}
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Serve(srv, d, func(id string) string { return id }, func() []membership.Seen { return nil })
+		Serve(srv, d, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
 		So(srv.Start(), ShouldBeNil)
 		defer func() { _ = srv.Stop(time.Second) }()
 		c := &counter{d, srv.Addr(), key}
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -60,7 +60,7 @@
 	Members   []raft.Member             `json:"members"`
 	Evacuated []string                  `json:"evacuated,omitempty"`
 	Status    *internalapi.StatusAnswer `json:"status,omitempty"` // of the cplane that answers
-	Nodes     []membership.Seen         `json:"nodes,omitempty"`  // as the cplane that answers knows them: all of a small fleet, else a part
+	Nodes     []membership.MemberStatus `json:"nodes,omitempty"`  // as the cplane that answers knows them: all of a small fleet, else a part
 }
 
 // Serve adds the routes:
@@ -87,7 +87,7 @@
 // Once the store knows operators, what needs a signature and has none is Forbidden; before that, zones take orders
 // without one. Failures: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Overloaded, Unavailable, Timeout
 // (send the same order again).
-func Serve(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.Seen) {
+func Serve(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
 	serveOrders(srv, s)
 	serveBundles(srv, s)
 	serveAccounts(srv, s)
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -55,7 +55,7 @@
 		_, err := d.ProposeOrForward(t.Context(), &command.Keys{Operators: public})
 		So(err, ShouldBeNil)
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Serve(srv, d, func(id string) string { return id }, func() []membership.Seen { return nil })
+		Serve(srv, d, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
 		So(srv.Start(), ShouldBeNil)
 		defer func() { _ = srv.Stop(time.Second) }()
 		call := func(method, path string, body []byte) (int, string) {
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -18,7 +18,7 @@
 
 // Client carries the scheduler's orders to workers.
 type Client struct {
-	holds, starts *rpc.Caller
+	holds, starts *rpc.Client
 	within        time.Duration
 }
 
@@ -26,7 +26,7 @@
 
 // NewClient makes a client whose starts are carried by a caller of their own: hold calls and stops, which keep work alive or end
 // it, wait for no start's connection. within bounds each call, besides the time that a hold call may wait; 0 takes a default.
-func NewClient(holds, starts *rpc.Caller, within time.Duration) *Client {
+func NewClient(holds, starts *rpc.Client, within time.Duration) *Client {
 	if within <= 0 {
 		within = defaultWithin
 	}
@@ -37,8 +37,8 @@
 func (c *Client) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	call := StartCall{Worker: worker.ID, Run: RunOf(order.Key), Needs: NeedsOf(order.Needs), Payload: order.Payload,
 		Checkpoint: order.Checkpoint, Deadline: order.Deadline, Token: order.Token}
-	answer, err := rpc.Ask(ctx, c.starts, worker.Address, StartPair, call, c.within)
-	if errs.Is(err, errs.Malformed) && rpc.Answered(err) {
+	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartPair, call, c.within)
+	if errs.Is(err, errs.Malformed) && rpc.IsRemote(err) {
 		return scheduler.StartAnswer{Refusal: scheduler.RefusedInvalid}, nil
 	}
 	if err != nil {
@@ -67,7 +67,7 @@
 // Stop tells worker to stop one run.
 func (c *Client) Stop(ctx context.Context, worker jobs.Worker, order scheduler.StopOrder) error {
 	call := StopCall{Worker: worker.ID, Run: RunOf(order.Key), Token: order.Token}
-	answer, err := rpc.Ask(ctx, c.holds, worker.Address, StopPair, call, c.within)
+	answer, err := rpc.Call(ctx, c.holds, worker.Address, StopPair, call, c.within)
 	if err != nil {
 		return errs.Pass(err, "stop on %s", worker.ID)
 	}
@@ -78,7 +78,7 @@
 func (c *Client) Hold(ctx context.Context, worker jobs.Worker, call scheduler.HoldCall) (scheduler.HoldAnswer, error) {
 	wait := min(max(call.Wait, 0), longestWait)
 	sent := HoldCall{Worker: worker.ID, Token: call.Token, SeenUpTo: call.SeenUpTo, Deadline: call.Deadline, Wait: wait}
-	answer, err := rpc.Ask(ctx, c.holds, worker.Address, HoldPair, sent, c.within+wait)
+	answer, err := rpc.Call(ctx, c.holds, worker.Address, HoldPair, sent, c.within+wait)
 	if err != nil {
 		return scheduler.HoldAnswer{}, errs.Pass(err, "hold on %s", worker.ID)
 	}
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -29,7 +29,7 @@
 		_, _ = w.Write([]byte(body))
 	})
 	So(server.Start(), ShouldBeNil)
-	caller := rpc.NewCaller(rpc.CallerOptions{})
+	caller := rpc.NewClient(rpc.ClientOptions{})
 	test(NewClient(caller, caller, time.Minute), jobs.Worker{ID: "w1", Address: server.Addr()}, func() string { return got })
 	caller.Close()
 	So(server.Stop(time.Minute), ShouldBeNil)
@@ -73,10 +73,10 @@
 		}
 	})
 	Convey("An order to an address where nobody listens surely did not leave", t, func() {
-		caller := rpc.NewCaller(rpc.CallerOptions{})
+		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer caller.Close()
 		_, err := NewClient(caller, caller, time.Minute).Start(ctx, jobs.Worker{ID: "w", Address: "127.0.0.1:1"}, scheduler.StartOrder{})
-		So([]any{errs.KindOf(err), rpc.Unsent(err)}, ShouldResemble, []any{errs.Unavailable, true})
+		So([]any{errs.KindOf(err), rpc.IsUnsent(err)}, ShouldResemble, []any{errs.Unavailable, true})
 	})
 }
 
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -115,7 +115,7 @@
 // The calls that a worker answers. Failures: errs.Unknown: another life answers, the named one is gone for good;
 // errs.Stale: the worker has seen a higher token, nothing was done; errs.Malformed: the call cannot be read.
 var (
-	StartPair = rpc.Pair[StartCall, StartAnswer]{Path: "/v2/start"}
-	StopPair  = rpc.Pair[StopCall, StopAnswer]{Path: "/v2/stop"}
-	HoldPair  = rpc.Pair[HoldCall, HoldAnswer]{Path: "/v2/hold"}
+	StartPair = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
+	StopPair  = rpc.Endpoint[StopCall, StopAnswer]{Path: "/v2/stop"}
+	HoldPair  = rpc.Endpoint[HoldCall, HoldAnswer]{Path: "/v2/hold"}
 )
--- a/internal/internalapi/core.go
+++ b/internal/internalapi/core.go
@@ -9,7 +9,7 @@
 )
 
 // Quorum carries replication messages between cplanes. The answer says only that they arrived.
-var Quorum = rpc.Pair[QuorumCall, QuorumAnswer]{Path: "/x/quorum"}
+var Quorum = rpc.Endpoint[QuorumCall, QuorumAnswer]{Path: "/x/quorum"}
 
 // QuorumCall is a batch of messages in order.
 type QuorumCall struct {
@@ -22,7 +22,7 @@
 
 // Propose commits one command. Only the leader takes it (errs.NotLeader with its address as hint). The answer
 // comes after the command was applied; a failure of the command's own is the answer's error.
-var Propose = rpc.Pair[ProposeCall, ProposeAnswer]{Path: "/x/propose"}
+var Propose = rpc.Endpoint[ProposeCall, ProposeAnswer]{Path: "/x/propose"}
 
 // ProposeCall is a command of package command: its op and its JSON.
 type ProposeCall struct {
@@ -38,7 +38,7 @@
 
 // Confirm asks the leader for an index that any earlier commit is at or below: a state at or past it is as new
 // as the call.
-var Confirm = rpc.Pair[ConfirmCall, ConfirmAnswer]{Path: "/x/confirm"}
+var Confirm = rpc.Endpoint[ConfirmCall, ConfirmAnswer]{Path: "/x/confirm"}
 
 // ConfirmCall is empty.
 type ConfirmCall struct{}
@@ -49,7 +49,7 @@
 }
 
 // Follow returns committed changes past the caller's vector, from any cplane; waits up to Wait for the first.
-var Follow = rpc.Pair[FollowCall, FollowAnswer]{Path: "/x/follow"}
+var Follow = rpc.Endpoint[FollowCall, FollowAnswer]{Path: "/x/follow"}
 
 // FollowCall names, for each source, the version the caller has.
 type FollowCall struct {
@@ -82,7 +82,7 @@
 }
 
 // Chunk fetches a part of a snapshot, so that a cut in the middle costs no more than the part.
-var Chunk = rpc.Pair[ChunkCall, ChunkAnswer]{Path: "/x/chunk"}
+var Chunk = rpc.Endpoint[ChunkCall, ChunkAnswer]{Path: "/x/chunk"}
 
 // ChunkCall wants Max bytes from From on of snapshot Number (0: the newest).
 type ChunkCall struct {
@@ -100,7 +100,7 @@
 }
 
 // Duty claims or renews a duty. Only the leader answers.
-var Duty = rpc.Pair[DutyCall, DutyAnswer]{Path: "/x/duty"}
+var Duty = rpc.Endpoint[DutyCall, DutyAnswer]{Path: "/x/duty"}
 
 // DutyCall is sent by every candidate again and again. Epoch is the caller's own grant, 0 if it has none.
 type DutyCall struct {
@@ -122,7 +122,7 @@
 }
 
 // Status asks a cplane for its state.
-var Status = rpc.Pair[StatusCall, StatusAnswer]{Path: "/x/status"}
+var Status = rpc.Endpoint[StatusCall, StatusAnswer]{Path: "/x/status"}
 
 // StatusCall is empty.
 type StatusCall struct{}
--- a/internal/internalapi/hold.go
+++ b/internal/internalapi/hold.go
@@ -14,7 +14,7 @@
 // Wait until there is something to say. The other carries calls with starts, one at a time, in run ID order,
 // answered at once. The arrival of any call ends the wait of an older one. An answer names its call; the holder
 // drops an answer that is older than one it has already handled.
-var Hold = rpc.Pair[HoldCall, HoldAnswer]{Path: "/v1/hold"}
+var Hold = rpc.Endpoint[HoldCall, HoldAnswer]{Path: "/v1/hold"}
 
 // HoldCall tells a minion what to start, stop and forget. All clock values are readings of the minion's own
 // clock (HoldAnswer.Clock), in nanoseconds.
@@ -96,7 +96,7 @@
 }
 
 // Minions is a minion's announcement to any dplane: POST /v1/minions. It is repeated every few seconds.
-var Minions = rpc.Pair[MinionCall, MinionAnswer]{Path: "/v1/minions"}
+var Minions = rpc.Endpoint[MinionCall, MinionAnswer]{Path: "/v1/minions"}
 
 // MinionCall says where a minion is and what it is.
 type MinionCall struct {
--- a/internal/internalapi/join.go
+++ b/internal/internalapi/join.go
@@ -8,7 +8,7 @@
 )
 
 // Found is asked by a cplane with an empty folder, before it takes part in anything: is there a fleet already?
-var Found = rpc.Pair[FoundCall, FoundAnswer]{Path: "/x/found"}
+var Found = rpc.Endpoint[FoundCall, FoundAnswer]{Path: "/x/found"}
 
 // FoundCall names the asker. Boot is drawn anew by each process.
 type FoundCall struct {
@@ -38,7 +38,7 @@
 // Join asks the leader to take a node with an empty folder in: as a learner, then, once it has caught up, as a
 // voter in place of the older member of its name. Each call moves it one step at most; it is sent again and
 // again until the answer says Voter.
-var Join = rpc.Pair[JoinCall, JoinAnswer]{Path: "/x/join"}
+var Join = rpc.Endpoint[JoinCall, JoinAnswer]{Path: "/x/join"}
 
 // JoinCall is the node. ID is Name, "~" and the incarnation of its folder.
 type JoinCall struct {
--- a/internal/internalapi/rollout.go
+++ b/internal/internalapi/rollout.go
@@ -7,7 +7,7 @@
 )
 
 // Rollout asks a cplane which bundle it has, and what the dplanes that follow it said of theirs.
-var Rollout = rpc.Pair[RolloutCall, RolloutAnswer]{Path: "/x/rollout"}
+var Rollout = rpc.Endpoint[RolloutCall, RolloutAnswer]{Path: "/x/rollout"}
 
 // RolloutCall is empty.
 type RolloutCall struct{}
--- a/internal/internalapi/view.go
+++ b/internal/internalapi/view.go
@@ -6,4 +6,4 @@
 )
 
 // Shuffle exchanges parts of two nodes' views of the fleet. Every daemon asks and answers it.
-var Shuffle = rpc.Pair[membership.Message, membership.Message]{Path: "/x/shuffle"}
+var Shuffle = rpc.Endpoint[membership.Message, membership.Message]{Path: "/x/shuffle"}
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -42,7 +42,7 @@
 	Scheduler scheduler.Config
 	KeepOver  time.Duration // how long a job that is over stays; 0 takes a default
 	// Workers carries hold calls, stops and starts to workers. It is not asked with OrdersByBeat.
-	Workers      func(holds, starts *rpc.Caller) scheduler.Workers
+	Workers      func(holds, starts *rpc.Client) scheduler.Workers
 	OrdersByBeat bool   // orders go with the answers to workers' heartbeats
 	Control      string // address for workers and operators
 	// ControlOf gives the control address of the node with an internal address; then workers are spread over all nodes for
@@ -64,9 +64,9 @@
 type Core struct {
 	opt     CoreOptions
 	shares  coreShares
-	peers   *rpc.Caller // asks other nodes
-	holds   *rpc.Caller // carries hold calls and stops to workers
-	starts  *rpc.Caller // carries starts to workers
+	peers   *rpc.Client // asks other nodes
+	holds   *rpc.Client // carries hold calls and stops to workers
+	starts  *rpc.Client // carries starts to workers
 	store   *store.Store
 	leader  *controller.Leader
 	client  *controller.Client // asks the leader where this node does not lead
@@ -89,13 +89,13 @@
 		return nil, errs.Pass(err, "connections")
 	}
 	if opt.Registry != nil {
-		opt.Registry.MustRegister(rpc.NewBudgetMetrics(n.shares.budget))
+		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(n.shares.budget))
 	}
-	n.peers = n.newCaller("caller", n.shares.peers, rpc.CallerOptions{Idle: nodeIdle})
+	n.peers = n.newCaller("caller", n.shares.peers, rpc.ClientOptions{MaxIdlePerAddress: nodeIdle})
 	n.holds = n.newCaller("holds", n.shares.holds,
-		rpc.CallerOptions{Idle: holdIdle, IdleFor: holdIdleFor, ReadBuffer: workerRead})
+		rpc.ClientOptions{MaxIdlePerAddress: holdIdle, IdleTimeout: holdIdleFor, ReadBuffer: workerRead})
 	n.starts = n.newCaller("starts", n.shares.starts,
-		rpc.CallerOptions{Idle: startIdle, PerAddress: startIdle, ReadBuffer: workerRead})
+		rpc.ClientOptions{MaxIdlePerAddress: startIdle, MaxCallsPerAddress: startIdle, ReadBuffer: workerRead})
 	n.store, err = opt.Open(ctx, store.Options{Settings: opt.Store, Net: store.NetworkOf(n.peers, opt.Store), Logger: part("store"),
 		Registry: opt.Registry, Fatal: n.fatal, Removed: opt.Removed}, opt.Logger)
 	if err != nil {
@@ -120,21 +120,21 @@
 }
 
 // newCaller makes a caller within a share; options holds what is its own.
-func (n *Core) newCaller(part string, share *rpc.Share, options rpc.CallerOptions) *rpc.Caller {
-	options.DialTimeout, options.UserTimeout, options.Via = dialTimeout, userTimeout, n.opt.Store.Via
-	options.Registry, options.Logger, options.Share = n.opt.Registry, daemon.Part(n.opt.Logger, part), share
-	return rpc.NewCaller(options)
+func (n *Core) newCaller(part string, share *rpc.ConnQuota, options rpc.ClientOptions) *rpc.Client {
+	options.DialTimeout, options.UserTimeout, options.DialOverrides = dialTimeout, userTimeout, n.opt.Store.Via
+	options.Registry, options.Logger, options.Quota = n.opt.Registry, daemon.Part(n.opt.Logger, part), share
+	return rpc.NewClient(options)
 }
 
 func (n *Core) closeCallers() {
-	for _, caller := range []*rpc.Caller{n.peers, n.holds, n.starts} {
+	for _, caller := range []*rpc.Client{n.peers, n.holds, n.starts} {
 		caller.Close()
 	}
 }
 
-func (n *Core) server(addr, part string, share *rpc.Share) *rpc.Server {
+func (n *Core) server(addr, part string, share *rpc.ConnQuota) *rpc.Server {
 	return rpc.NewServer(rpc.ServerOptions{Addr: addr, Loops: 1, Descriptors: n.opt.Descriptors, Registry: n.opt.Registry,
-		Logger: daemon.Part(n.opt.Logger, part), Share: share})
+		Logger: daemon.Part(n.opt.Logger, part), Quota: share})
 }
 
 func (n *Core) leaderOptions() controller.LeaderOptions {
--- a/internal/jobsnode/front.go
+++ b/internal/jobsnode/front.go
@@ -48,7 +48,7 @@
 type Front struct {
 	opt       FrontOptions
 	shares    frontShares
-	caller    *rpc.Caller
+	caller    *rpc.Client
 	client    *controller.Client
 	clients   *rpc.Server // clients call it
 	asked     *rpc.Server // it is asked for readiness; may be clients
@@ -70,10 +70,10 @@
 		return nil, errs.Pass(err, "connections")
 	}
 	if opt.Registry != nil {
-		opt.Registry.MustRegister(rpc.NewBudgetMetrics(f.shares.budget))
+		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(f.shares.budget))
 	}
-	f.caller = rpc.NewCaller(rpc.CallerOptions{DialTimeout: dialTimeout, UserTimeout: userTimeout, Idle: coreIdle, Via: opt.Via,
-		Registry: opt.Registry, Logger: part("caller"), Share: f.shares.core})
+	f.caller = rpc.NewClient(rpc.ClientOptions{DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: coreIdle, DialOverrides: opt.Via,
+		Registry: opt.Registry, Logger: part("caller"), Quota: f.shares.core})
 	f.client = controller.NewClient(controller.ClientOptions{Caller: f.caller, Seeds: opt.Core, Logger: part("client")})
 	f.readiness.fresh, f.readiness.within = f.client.Ready, f.client.ReadyWithin
 	f.clients = f.server(opt.Address, f.shares.clients)
@@ -86,9 +86,9 @@
 	return f, nil
 }
 
-func (f *Front) server(addr string, share *rpc.Share) *rpc.Server {
+func (f *Front) server(addr string, share *rpc.ConnQuota) *rpc.Server {
 	return rpc.NewServer(rpc.ServerOptions{Addr: addr, Loops: 1, Descriptors: f.opt.Descriptors, Registry: f.opt.Registry,
-		Logger: daemon.Part(f.opt.Logger, "wire"), Share: share})
+		Logger: daemon.Part(f.opt.Logger, "wire"), Quota: share})
 }
 
 // Run serves until ctx ends, then lets the node drain. changed, which may be nil, tells that the seeds may have changed.
--- a/internal/jobsnode/shares.go
+++ b/internal/jobsnode/shares.go
@@ -31,18 +31,18 @@
 type reservation struct {
 	name string
 	part int
-	at   **rpc.Share
+	at   **rpc.ConnQuota
 }
 
 // reserve cuts up the connections of a process that may have so many descriptors; 0: as many as the system allows.
-func reserve(descriptors int, uses ...reservation) (*rpc.Budget, error) {
+func reserve(descriptors int, uses ...reservation) (*rpc.ConnLimiter, error) {
 	total, err := connections(descriptors)
 	if err != nil {
 		return nil, errs.Pass(err, "descriptors")
 	}
-	budget := rpc.NewBudget(total)
+	budget := rpc.NewConnLimiter(total)
 	for _, use := range uses {
-		if *use.at, err = budget.Share(use.name, total/use.part); err != nil {
+		if *use.at, err = budget.NewQuota(use.name, total/use.part); err != nil {
 			return nil, errs.Pass(err, "shares")
 		}
 	}
@@ -52,8 +52,8 @@
 // coreShares are the uses of a core node's connections. Where room comes up, hold calls and stops go before starts: a lease
 // that is not renewed ends work that runs, and a gang that cannot be stopped waits for members that never come.
 type coreShares struct {
-	budget                               *rpc.Budget
-	peers, nodes, control, holds, starts *rpc.Share
+	budget                               *rpc.ConnLimiter
+	peers, nodes, control, holds, starts *rpc.ConnQuota
 }
 
 func newCoreShares(descriptors int) (s coreShares, err error) {
@@ -65,8 +65,8 @@
 
 // frontShares are the uses of a front node's connections.
 type frontShares struct {
-	budget               *rpc.Budget
-	core, asked, clients *rpc.Share
+	budget               *rpc.ConnLimiter
+	core, asked, clients *rpc.ConnQuota
 }
 
 func newFrontShares(descriptors int) (s frontShares, err error) {
--- a/internal/jobsnode/shares_test.go
+++ b/internal/jobsnode/shares_test.go
@@ -13,8 +13,8 @@
 		shares, err := newCoreShares(1000)
 		So(err, ShouldBeNil)
 		reserved, names := 0, []string{}
-		for _, use := range shares.budget.Use() {
-			reserved += use.Least
+		for _, use := range shares.budget.Usage() {
+			reserved += use.Reserved
 			names = append(names, use.Name)
 		}
 		So(names, ShouldResemble, []string{"peers", "nodes", "control", "holds", "starts"})
@@ -25,7 +25,7 @@
 		So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Settings, "descriptors"})
 		shares, err := newCoreShares(0)
 		So(err, ShouldBeNil)
-		So(shares.budget.Use()[0].Least, ShouldBeGreaterThan, 0)
+		So(shares.budget.Usage()[0].Reserved, ShouldBeGreaterThan, 0)
 	})
 }
 
@@ -34,10 +34,10 @@
 		shares, err := newFrontShares(1000)
 		So(err, ShouldBeNil)
 		reserved := 0
-		for _, use := range shares.budget.Use() {
+		for _, use := range shares.budget.Usage() {
 			if use.Name != "clients" {
-				So(use.Least, ShouldBeGreaterThan, 100)
-				reserved += use.Least
+				So(use.Reserved, ShouldBeGreaterThan, 100)
+				reserved += use.Reserved
 			}
 		}
 		So(reserved, ShouldBeLessThan, 300)
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Core is one node's part in the membership: no clock, socket or goroutine of its own. now is a reading of the
+// Directory is one node's part in the membership: no clock, socket or goroutine of its own. now is a reading of the
 // node's clock, which counts suspension. It is not safe for use by several goroutines.
 type Core struct {
 	cfg          Config
-	self         Note
+	self         Member
 	seeds        []string
 	rng          *rand.Rand
 	neighbours   []*neighbour // the partial view
@@ -25,15 +25,15 @@
 	nextShuffle  time.Duration // of the next shuffle
 	leaving      bool
 	changes      []Change
-	Counts       Counts
+	Counters     Counters
 }
 
-// Counts only go up.
-type Counts struct{ Shuffles, Failures, Visits, Taken, Suspects, Dropped uint64 }
+// Counters only go up.
+type Counters struct{ Shuffles, Failures, SeedVisits, Received, Suspects, Dropped uint64 }
 
 // neighbour is a node that this one knows, with the newest version of its note.
 type neighbour struct {
-	Note
+	Member
 	sentAt       time.Duration // when the node sent this version, on this node's clock
 	suspectSince time.Duration // valid while suspected
 	suspected    bool
@@ -41,7 +41,7 @@
 
 // tombstone marks a version as ended; with left set, the whole incarnation has ended.
 type tombstone struct {
-	Note
+	Member
 	sentAt time.Duration
 	left   bool
 }
@@ -54,7 +54,7 @@
 	sentAt     time.Duration
 }
 
-// Call is a message to be sent to Addr. Its outcome is passed to Answer or Failure under ID.
+// HandleShuffle is a message to be sent to Addr. Its outcome is passed to Answer or Failure under ID.
 type Call struct {
 	ID   uint64
 	Addr string
@@ -64,16 +64,16 @@
 // New makes the core of self, which knows nothing but the addresses of its seeds. The same rnd leads to the same steps.
 // Example:
 //
-//	c := membership.New(membership.Defaults(), membership.Note{Name: "d1", Addr: addr, Zone: "a", Role: membership.Dplane, Boot: boot}, seeds, 1)
+//	c := membership.New(membership.Defaults(), membership.Member{Name: "d1", Addr: addr, Zone: "a", Role: membership.RoleDataPlane, Boot: boot}, seeds, 1)
 //	for _, call := range c.Tick(now) {
 //		if answer, err := send(call.Addr, call.Message); err != nil {
-//			c.Failure(now, call.ID)
+//			c.HandleFailure(now, call.ID)
 //		} else {
-//			c.Answer(now, call.ID, answer)
+//			c.HandleAnswer(now, call.ID, answer)
 //		}
 //	}
-func New(cfg Config, self Note, seeds []string, rnd uint64) *Core {
-	c := &Core{cfg: cfg, self: self, rng: rand.New(rand.NewPCG(rnd, 0)), tombstones: map[string]*tombstone{}, pending: map[uint64]*pendingCall{}}
+func New(cfg Config, self Member, seeds []string, randomSeed uint64) *Core {
+	c := &Core{cfg: cfg, self: self, rng: rand.New(rand.NewPCG(randomSeed, 0)), tombstones: map[string]*tombstone{}, pending: map[uint64]*pendingCall{}}
 	c.self.Age = 0
 	for _, s := range seeds {
 		if s != self.Addr && !slices.Contains(c.seeds, s) {
@@ -83,28 +83,28 @@
 	if len(c.seeds) > 0 {
 		c.lastSeed = c.rng.IntN(len(c.seeds))
 	}
-	c.nextVisit = len(c.seeds) + 1 + c.rng.IntN(max(1, cfg.SeedTick))
+	c.nextVisit = len(c.seeds) + 1 + c.rng.IntN(max(1, cfg.ShufflesPerSeedVisit))
 	return c
 }
 
-// Next is when the next Tick has something to do.
-func (c *Core) Next() time.Duration { return c.nextShuffle }
+// NextTick is when the next Tick has something to do.
+func (c *Core) NextTick() time.Duration { return c.nextShuffle }
 
 // Tick drops what has expired and, when a shuffle is due, returns the call for it.
 func (c *Core) Tick(now time.Duration) []Call {
 	if now < c.nextShuffle || c.leaving {
 		return nil
 	}
-	c.nextShuffle = now + c.cfg.Every*time.Duration(90+c.rng.IntN(21))/100
+	c.nextShuffle = now + c.cfg.ShuffleInterval*time.Duration(90+c.rng.IntN(21))/100
 	c.round++
 	c.expire(now)
 	target := c.oldestNeighbour()
 	joins := c.round <= len(c.seeds) // every seed is visited once: those that start together may have met elsewhere
 	if target == nil || joins || c.round >= c.nextVisit {
-		c.nextVisit = c.round + c.cfg.SeedTick
+		c.nextVisit = c.round + c.cfg.ShufflesPerSeedVisit
 		// In a large fleet only the few cplanes go on visiting seeds, so that the seeds' overload does not grow with it.
-		if addr := c.nextSeed(); addr != "" && (target == nil || joins || c.self.Role == Cplane || len(c.directory) == 0) {
-			c.Counts.Visits++
+		if addr := c.nextSeed(); addr != "" && (target == nil || joins || c.self.Role == RoleControlPlane || len(c.directory) == 0) {
+			c.Counters.SeedVisits++
 			call := c.newShuffle(now, addr, c.neighbourAt(addr))
 			c.pending[call.ID].seed = true
 			return []Call{call}
@@ -155,63 +155,63 @@
 	}
 	m, sent := c.newMessage(now, a.name)
 	for _, e := range c.neighbours {
-		if e.suspected && len(m.Ask) < c.cfg.Gone {
-			m.Ask = append(m.Ask, e.Name)
+		if e.suspected && len(m.Suspects) < c.cfg.MaxDepartures {
+			m.Suspects = append(m.Suspects, e.Name)
 		}
 	}
 	a.neighbours = sent
 	c.lastCallID++
 	c.pending[c.lastCallID] = a
-	c.Counts.Shuffles++
+	c.Counters.Shuffles++
 	return Call{c.lastCallID, addr, m}
 }
 
 // newMessage returns a message for the node named to, and the names of the neighbours in it.
 func (c *Core) newMessage(now time.Duration, to string) (Message, []string) {
-	c.self.Beat++
-	m := Message{From: c.self, Left: c.leaving}
+	c.self.Heartbeat++
+	m := Message{From: c.self, Leaving: c.leaving}
 	var sent []string
 	for _, i := range c.rng.Perm(len(c.neighbours)) {
-		if e := c.neighbours[i]; !e.suspected && e.Name != to && len(sent) < c.cfg.Part-1 {
-			m.Some = append(m.Some, e.noteAt(now))
+		if e := c.neighbours[i]; !e.suspected && e.Name != to && len(sent) < c.cfg.ShuffleLength-1 {
+			m.Sample = append(m.Sample, e.memberAt(now))
 			sent = append(sent, e.Name)
 		}
 	}
 	for _, e := range c.directory {
-		m.Core = append(m.Core, e.noteAt(now))
+		m.Directory = append(m.Directory, e.memberAt(now))
 	}
 	for _, name := range sortedNames(c.tombstones) {
-		if t := c.tombstones[name]; t.left && now-t.sentAt < c.cfg.Fade {
-			m.Gone = append(m.Gone, (&neighbour{Note: t.Note, sentAt: t.sentAt}).noteAt(now))
+		if t := c.tombstones[name]; t.left && now-t.sentAt < c.cfg.MemberTTL {
+			m.Departed = append(m.Departed, (&neighbour{Member: t.Member, sentAt: t.sentAt}).memberAt(now))
 		}
 	}
-	c.rng.Shuffle(len(m.Gone), func(i, j int) { m.Gone[i], m.Gone[j] = m.Gone[j], m.Gone[i] })
-	m.Gone = m.Gone[:min(len(m.Gone), c.cfg.Gone)]
+	c.rng.Shuffle(len(m.Departed), func(i, j int) { m.Departed[i], m.Departed[j] = m.Departed[j], m.Departed[i] })
+	m.Departed = m.Departed[:min(len(m.Departed), c.cfg.MaxDepartures)]
 	return m, sent
 }
 
-func (e *neighbour) noteAt(now time.Duration) Note {
-	n := e.Note
+func (e *neighbour) memberAt(now time.Duration) Member {
+	n := e.Member
 	n.Age = max(0, (now - e.sentAt).Milliseconds())
 	return n
 }
 
-// Call handles an incoming message and returns the answer.
-func (c *Core) Call(now time.Duration, m Message) Message {
-	c.Counts.Taken++
+// HandleShuffle handles an incoming message and returns the answer.
+func (c *Core) HandleShuffle(now time.Duration, m Message) Message {
+	c.Counters.Received++
 	c.expire(now)
 	out, sent := c.newMessage(now, m.From.Name)
-	for _, name := range m.Ask[:min(len(m.Ask), c.cfg.Gone)] {
+	for _, name := range m.Suspects[:min(len(m.Suspects), c.cfg.MaxDepartures)] {
 		if e := c.newest(name); e != nil && !slices.Contains(sent, name) {
-			out.Some = append(out.Some, e.noteAt(now))
+			out.Sample = append(out.Sample, e.memberAt(now))
 		}
 	}
 	c.merge(now, now, m, sent, true)
 	return out
 }
 
-// Answer takes the answer to the call id. Ages in it are counted from when the call was sent.
-func (c *Core) Answer(now time.Duration, id uint64, m Message) {
+// HandleAnswer takes the answer to the call id. Ages in it are counted from when the call was sent.
+func (c *Core) HandleAnswer(now time.Duration, id uint64, m Message) {
 	a := c.pending[id]
 	if a == nil {
 		return
@@ -230,23 +230,23 @@
 	c.merge(now, a.sentAt, m, a.neighbours, false)
 }
 
-// Failure records that the call id failed: the node that was called is suspected.
-func (c *Core) Failure(now time.Duration, id uint64) {
+// HandleFailure records that the call id failed: the node that was called is suspected.
+func (c *Core) HandleFailure(now time.Duration, id uint64) {
 	a := c.pending[id]
 	if a == nil {
 		return
 	}
 	delete(c.pending, id)
-	c.Counts.Failures++
+	c.Counters.Failures++
 	if a.seed {
 		// The next seed soon, but with neighbours in between: dead seeds must not keep a node from shuffling.
-		c.missedVisits = min(c.missedVisits+1, c.cfg.SeedTick)
+		c.missedVisits = min(c.missedVisits+1, c.cfg.ShufflesPerSeedVisit)
 		c.nextVisit = min(c.nextVisit, c.round+1+c.missedVisits)
 	}
 	// A version sent since the call clears it.
 	if e := findByName(c.neighbours, a.name); e != nil && !e.suspected && e.sentAt < a.sentAt {
 		e.suspected, e.suspectSince = true, now
-		c.Counts.Suspects++
+		c.Counters.Suspects++
 	}
 }
 
@@ -255,10 +255,10 @@
 func (c *Core) Leave(now time.Duration) (out []Call) {
 	c.leaving = true
 	m, _ := c.newMessage(now, "")
-	m.Some, m.Core = nil, nil
+	m.Sample, m.Directory = nil, nil
 	to := append(slices.Clone(c.directory), c.neighbours...)
 	for _, e := range to {
-		if len(out) < c.cfg.Part && !e.suspected && !slices.ContainsFunc(out, func(k Call) bool { return k.Addr == e.Addr }) {
+		if len(out) < c.cfg.ShuffleLength && !e.suspected && !slices.ContainsFunc(out, func(k Call) bool { return k.Addr == e.Addr }) {
 			c.lastCallID++
 			out = append(out, Call{c.lastCallID, e.Addr, m})
 		}
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -23,8 +23,8 @@
 	calls int
 	heads bool // count bytes
 	place map[string]int
-	// cplane is the place of a cplane besides the first five.
-	cplane int
+	// controlPlane is the place of a cplane besides the first five.
+	controlPlane int
 }
 
 // head is what a call and its answer need beside their JSON, in bytes: see docs/design/membership.md.
@@ -32,13 +32,13 @@
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-func (f *fleet) join(i int, boot uint64) *Core {
-	role, seeds := Dplane, []string{addrOf(0), addrOf(1), addrOf(2)}
-	if i < 5 || i == f.cplane {
-		role, seeds = Cplane, append(seeds, addrOf(3), addrOf(4))
+func (f *fleet) join(i int, incarnation uint64) *Core {
+	role, seeds := RoleDataPlane, []string{addrOf(0), addrOf(1), addrOf(2)}
+	if i < 5 || i == f.controlPlane {
+		role, seeds = RoleControlPlane, append(seeds, addrOf(3), addrOf(4))
 	}
-	n := Note{Name: fmt.Sprintf("node%d", i), Addr: addrOf(i), Zone: fmt.Sprintf("z%d", i%3), Role: role, Boot: 1_796_187_000_000 + boot}
-	c := New(Defaults(), n, seeds, uint64(i)+boot)
+	n := Member{Name: fmt.Sprintf("node%d", i), Addr: addrOf(i), Zone: fmt.Sprintf("z%d", i%3), Role: role, Incarnation: 1_796_187_000_000 + incarnation}
+	c := New(Defaults(), n, seeds, uint64(i)+incarnation)
 	for len(f.nodes) <= i {
 		f.nodes, f.side = append(f.nodes, nil), append(f.side, 0)
 	}
@@ -61,7 +61,7 @@
 	}
 	now := f.clock.Now()
 	f.make(i, c.Tick(now))
-	f.clock.Set(c.Next()-now, func() { f.tick(i, c) })
+	f.clock.Set(c.NextTick()-now, func() { f.tick(i, c) })
 }
 
 func (f *fleet) make(i int, calls []Call) {
@@ -69,19 +69,19 @@
 	for _, call := range calls {
 		to := f.at(call.Addr)
 		if to < 0 || f.side[to] != f.side[i] {
-			c.Failure(now, call.ID)
+			c.HandleFailure(now, call.ID)
 			continue
 		}
-		answer := f.nodes[to].Call(now, call.Message)
+		answer := f.nodes[to].HandleShuffle(now, call.Message)
 		if f.calls++; f.heads {
 			a, _ := json.Marshal(call.Message)
 			b, _ := json.Marshal(answer)
 			f.bytes += len(a) + len(b) + head
 		}
 		if f.rng.Float64() < f.lose {
-			c.Failure(now, call.ID)
+			c.HandleFailure(now, call.ID)
 		} else {
-			c.Answer(now, call.ID, answer)
+			c.HandleAnswer(now, call.ID, answer)
 		}
 	}
 }
@@ -165,14 +165,14 @@
 			f.clock.Advance(time.Minute)
 			whole := func() bool {
 				live, part, least, most, _ := f.shape()
-				return live == part && least > 0 && most <= 2*Defaults().View
+				return live == part && least > 0 && most <= 2*Defaults().ViewSize
 			}
 			So(whole(), ShouldBeTrue)
 			_, _, least, most, _ := f.shape()
 			t.Logf("%d nodes: in-degree %d to %d", n, least, most)
 
 			// a new cplane is learnt by all
-			f.cplane = n
+			f.controlPlane = n
 			name := f.join(n, 1).self.Name
 			r := f.rounds(21, f.all(func(c *Core) bool { return c.self.Name == name || findByName(c.directory, name) != nil }))
 			t.Logf("%d nodes: a new cplane known by all after %d s", n, r)
@@ -192,7 +192,7 @@
 				So(part, ShouldBeLessThan, n)
 				clear(f.side)
 				r := f.rounds(41, func() bool {
-					return whole() && f.all(func(c *Core) bool { return len(c.Cplanes()) >= 5 })()
+					return whole() && f.all(func(c *Core) bool { return len(c.ControlPlanes()) >= 5 })()
 				})
 				t.Logf("%d nodes: one again after %d s", n, r)
 				So(r, ShouldBeLessThanOrEqualTo, 40)
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestIslands(t *testing.T) {
+func TestPartitions(t *testing.T) {
 	Convey("Two islands that grew up while each one's seeds were away are one soon after their cplanes are up", t, func() {
 		f := &fleet{rng: rand.New(rand.NewPCG(5, 1)), place: map[string]int{}}
 		for _, i := range []int{2, 5, 6, 7} {
@@ -242,24 +242,24 @@
 		}
 		c := f.nodes[4]
 		f.clock.Advance(time.Minute)
-		sent, failures := c.Counts.Shuffles, c.Counts.Failures
+		sent, failures := c.Counters.Shuffles, c.Counters.Failures
 		f.clock.Advance(time.Minute)
-		So(c.Counts.Failures-failures, ShouldBeGreaterThan, 0)
-		So(c.Counts.Failures-failures, ShouldBeLessThan, (c.Counts.Shuffles-sent)/5)
+		So(c.Counters.Failures-failures, ShouldBeGreaterThan, 0)
+		So(c.Counters.Failures-failures, ShouldBeLessThan, (c.Counters.Shuffles-sent)/5)
 	})
 }
 
 func TestOrders(t *testing.T) {
-	x := func(boot, beat uint64) Note {
-		return Note{Name: "x", Addr: "10.0.0.9:7000", Zone: "a", Role: Cplane, Boot: boot, Beat: beat}
+	x := func(incarnation, beat uint64) Member {
+		return Member{Name: "x", Addr: "10.0.0.9:7000", Zone: "a", Role: RoleControlPlane, Incarnation: incarnation, Heartbeat: beat}
 	}
-	peer := Note{Name: "p", Addr: "10.0.0.8:7000", Zone: "b", Role: Dplane, Boot: 1}
+	peer := Member{Name: "p", Addr: "10.0.0.8:7000", Zone: "b", Role: RoleDataPlane, Incarnation: 1}
 	Convey("In every order of join, shuffles, leave and restart of a node, an old incarnation never comes back", t, func() {
 		messages := []Message{
-			{From: x(1, 1)}, {From: x(1, 2)}, {From: x(1, 3), Left: true}, {From: x(2, 1)},
-			{From: peer, Some: []Note{x(1, 2)}, Core: []Note{x(1, 1)}},
-			{From: peer, Some: []Note{x(2, 0)}, Gone: []Note{x(1, 3)}},
-			{From: peer, Gone: []Note{x(1, 3)}, Core: []Note{x(1, 2)}},
+			{From: x(1, 1)}, {From: x(1, 2)}, {From: x(1, 3), Leaving: true}, {From: x(2, 1)},
+			{From: peer, Sample: []Member{x(1, 2)}, Directory: []Member{x(1, 1)}},
+			{From: peer, Sample: []Member{x(2, 0)}, Departed: []Member{x(1, 3)}},
+			{From: peer, Departed: []Member{x(1, 3)}, Directory: []Member{x(1, 2)}},
 		}
 		orders := 0
 		var all func(order, rest []int)
@@ -272,20 +272,20 @@
 				return
 			}
 			orders++
-			c := New(Defaults(), Note{Name: "me", Addr: "10.0.0.7:7000", Role: Dplane, Boot: 1}, nil, 1)
-			boot, left := uint64(0), false
+			c := New(Defaults(), Member{Name: "me", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, nil, 1)
+			incarnation, left := uint64(0), false
 			for k, i := range order {
-				c.Call(time.Duration(k)*time.Second, messages[i])
-				left = left || messages[i].Left || len(messages[i].Gone) > 0
+				c.HandleShuffle(time.Duration(k)*time.Second, messages[i])
+				left = left || messages[i].Leaving || len(messages[i].Departed) > 0
 				v, d := findByName(c.neighbours, "x"), findByName(c.directory, "x")
-				if (v == nil) != (d == nil) || v != nil && (v.Boot != d.Boot || v.Boot < boot || v.Boot == 1 && left) || boot == 2 && v == nil {
+				if (v == nil) != (d == nil) || v != nil && (v.Incarnation != d.Incarnation || v.Incarnation < incarnation || v.Incarnation == 1 && left) || incarnation == 2 && v == nil {
 					t.Fatalf("after %v of %v: view %+v, directory %+v", order[:k+1], order, v, d)
 				}
 				if v != nil {
-					boot = v.Boot
+					incarnation = v.Incarnation
 				}
 			}
-			if e := c.newest("x"); e == nil || e.Boot != 2 || e.Beat != 1 {
+			if e := c.newest("x"); e == nil || e.Incarnation != 2 || e.Heartbeat != 1 {
 				t.Fatalf("after %v: %+v", order, e)
 			}
 		}
@@ -294,33 +294,33 @@
 	})
 	Convey("A restarted node whose clock went back takes a number over its old one", t, func() {
 		c := New(Defaults(), x(3, 0), nil, 1)
-		out := c.Call(0, Message{From: peer, Core: []Note{x(7, 40)}})
-		So(out.From.Boot, ShouldEqual, 3)
-		So(c.Call(0, Message{From: peer}).From.Boot, ShouldEqual, 8)
-		c.Call(0, Message{From: peer, Gone: []Note{x(8, 1)}})
-		So(c.Call(0, Message{From: peer}).From.Boot, ShouldEqual, 9)
+		out := c.HandleShuffle(0, Message{From: peer, Directory: []Member{x(7, 40)}})
+		So(out.From.Incarnation, ShouldEqual, 3)
+		So(c.HandleShuffle(0, Message{From: peer}).From.Incarnation, ShouldEqual, 8)
+		c.HandleShuffle(0, Message{From: peer, Departed: []Member{x(8, 1)}})
+		So(c.HandleShuffle(0, Message{From: peer}).From.Incarnation, ShouldEqual, 9)
 	})
 	Convey("A neighbour without an answer is suspected, asked for, and dropped unless somebody heard of it since", t, func() {
 		for _, heard := range []bool{false, true} {
-			c := New(Defaults(), Note{Name: "me", Addr: "10.0.0.7:7000", Role: Dplane, Boot: 1}, nil, 1)
-			c.Call(0, Message{From: x(1, 1)})
-			c.Call(time.Millisecond, Message{From: peer})
+			c := New(Defaults(), Member{Name: "me", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, nil, 1)
+			c.HandleShuffle(0, Message{From: x(1, 1)})
+			c.HandleShuffle(time.Millisecond, Message{From: peer})
 			call := c.Tick(time.Second)[0]
 			So(call.Addr, ShouldEqual, x(1, 1).Addr)
-			c.Failure(2*time.Second, call.ID)
+			c.HandleFailure(2*time.Second, call.ID)
 			So(c.Nodes(2 * time.Second)[2].Suspect, ShouldBeTrue)
 			call = c.Tick(3 * time.Second)[0]
-			So([]any{call.Addr, call.Ask}, ShouldResemble, []any{peer.Addr, []string{"x"}})
+			So([]any{call.Addr, call.Suspects}, ShouldResemble, []any{peer.Addr, []string{"x"}})
 			answer := Message{From: peer}
 			if heard {
-				answer.Some = []Note{x(1, 2)}
+				answer.Sample = []Member{x(1, 2)}
 			}
-			c.Answer(4*time.Second, call.ID, answer)
+			c.HandleAnswer(4*time.Second, call.ID, answer)
 			c.Tick(8 * time.Second)
 			So(findByName(c.neighbours, "x") != nil, ShouldEqual, heard)
-			c.Call(9*time.Second, Message{From: peer, Some: []Note{x(1, 1)}})
+			c.HandleShuffle(9*time.Second, Message{From: peer, Sample: []Member{x(1, 1)}})
 			So(findByName(c.neighbours, "x") != nil, ShouldEqual, heard)
-			c.Call(10*time.Second, Message{From: x(1, 3)})
+			c.HandleShuffle(10*time.Second, Message{From: x(1, 3)})
 			So(findByName(c.neighbours, "x"), ShouldNotBeNil)
 		}
 	})
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -10,7 +10,7 @@
 // newest returns the newest version known of a node, nil if there is none.
 func (c *Core) newest(name string) *neighbour {
 	e, d := findByName(c.neighbours, name), findByName(c.directory, name)
-	if e == nil || d != nil && compareVersions(e.Note, d.Note) < 0 {
+	if e == nil || d != nil && compareVersions(e.Member, d.Member) < 0 {
 		return d
 	}
 	return e
@@ -23,8 +23,8 @@
 	return out
 }
 
-// Cplanes returns the addresses of all cplanes known, in order of their names, this node not counted.
-func (c *Core) Cplanes() []string {
+// OnControlPlanes returns the addresses of all cplanes known, in order of their names, this node not counted.
+func (c *Core) ControlPlanes() []string {
 	list := slices.Clone(c.directory)
 	slices.SortFunc(list, byName)
 	out := make([]string, len(list))
@@ -35,18 +35,18 @@
 }
 
 // Nodes returns all nodes known at now, in order of their names: this one, its neighbours and the directory of cplanes.
-func (c *Core) Nodes(now time.Duration) []Seen {
-	list := []*neighbour{{Note: c.self, sentAt: now}}
+func (c *Core) Nodes(now time.Duration) []MemberStatus {
+	list := []*neighbour{{Member: c.self, sentAt: now}}
 	for _, e := range append(slices.Clone(c.neighbours), c.directory...) {
-		if findByName(list, e.Name) == nil && now-e.sentAt < c.cfg.Fade {
+		if findByName(list, e.Name) == nil && now-e.sentAt < c.cfg.MemberTTL {
 			list = append(list, c.newest(e.Name))
 		}
 	}
 	slices.SortFunc(list, byName)
-	out := make([]Seen, len(list))
+	out := make([]MemberStatus, len(list))
 	for i, e := range list {
 		v := findByName(c.neighbours, e.Name)
-		out[i] = Seen{e.Name, e.Role, e.Zone, e.Addr, e.Boot, now - e.sentAt, v != nil && v.suspected}
+		out[i] = MemberStatus{e.Name, e.Role, e.Zone, e.Addr, e.Incarnation, now - e.sentAt, v != nil && v.suspected}
 	}
 	return out
 }
--- a/internal/membership/gauges.go
+++ b/internal/membership/gauges.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// gauges are read when they are asked for.
-type gauges struct{ node *Node }
+// collector are read when they are asked for.
+type collector struct{ node *Node }
 
 var (
 	descSize     = prometheus.NewDesc("crosstide_membership_nodes", "Nodes known: neighbours, suspects among them, cplanes in the directory.", []string{"of"}, nil)
@@ -12,27 +12,27 @@
 )
 
 // Describe sends the descriptions.
-func (g *gauges) Describe(to chan<- *prometheus.Desc) {
+func (g *collector) Describe(to chan<- *prometheus.Desc) {
 	to <- descSize
 	to <- descShuffles
 	to <- descSuspects
 }
 
 // Collect returns the figures of now.
-func (g *gauges) Collect(to chan<- prometheus.Metric) {
+func (g *collector) Collect(to chan<- prometheus.Metric) {
 	g.node.mu.Lock()
-	neighbours, cplanes := g.node.core.Size()
-	c, suspects := g.node.core.Counts, 0
+	neighbours, controlPlanes := g.node.core.Size()
+	c, suspects := g.node.core.Counters, 0
 	for _, e := range g.node.core.neighbours {
 		if e.suspected {
 			suspects++
 		}
 	}
 	g.node.mu.Unlock()
-	for of, v := range map[string]int{"view": neighbours, "suspects": suspects, "core": cplanes} {
+	for of, v := range map[string]int{"view": neighbours, "suspects": suspects, "core": controlPlanes} {
 		to <- prometheus.MustNewConstMetric(descSize, prometheus.GaugeValue, float64(v), of)
 	}
-	for how, v := range map[string]uint64{"sent": c.Shuffles, "taken": c.Taken, "failed": c.Failures, "seed": c.Visits} {
+	for how, v := range map[string]uint64{"sent": c.Shuffles, "taken": c.Received, "failed": c.Failures, "seed": c.SeedVisits} {
 		to <- prometheus.MustNewConstMetric(descShuffles, prometheus.CounterValue, float64(v), how)
 	}
 	for what, v := range map[string]uint64{"suspected": c.Suspects, "dropped": c.Dropped} {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,9 +10,9 @@
 // TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
-		golden.Shape("note", Note{}),
+		golden.Shape("note", Member{}),
 		golden.Shape("message", Message{}),
-		golden.Shape("seen", Seen{}),
+		golden.Shape("seen", MemberStatus{}),
 		golden.Filled("message", Message{}),
 	)
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -15,21 +15,21 @@
 	"crosstide/internal/routine"
 )
 
-// Ask sends a message to an address and returns the answer; it has its own time-out.
-type Ask func(ctx context.Context, addr string, m Message) (Message, error)
+// Send sends a message to an address and returns the answer; it has its own time-out.
+type SendFunc func(ctx context.Context, addr string, m Message) (Message, error)
 
 // Options are what a node is made of; Self, Ask and Clock are needed.
 type Options struct {
-	Self     Note // Boot 0 takes the time of day in milliseconds
-	Seeds    []string
-	Rnd      uint64
-	Config   *Config // default Defaults
-	Ask      Ask
-	Clock    clock.Clock
-	Logger   log.Logger
-	Registry prometheus.Registerer // default: not shown
+	Self       Member // Boot 0 takes the time of day in milliseconds
+	Seeds      []string
+	RandomSeed uint64
+	Config     *Config // default Defaults
+	Send       SendFunc
+	Clock      clock.Clock
+	Logger     log.Logger
+	Registry   prometheus.Registerer // default: not shown
 	// Cplanes is called with the addresses of the cplanes after each change of their directory.
-	Cplanes func(addrs []string)
+	OnControlPlanes func(addrs []string)
 }
 
 // Node runs a Core.
@@ -51,18 +51,18 @@
 	if opt.Logger == nil {
 		opt.Logger = log.NewNopLogger()
 	}
-	if opt.Self.Boot == 0 {
-		opt.Self.Boot = uint64(opt.Clock.Wall().UnixMilli())
+	if opt.Self.Incarnation == 0 {
+		opt.Self.Incarnation = uint64(opt.Clock.Wall().UnixMilli())
 	}
 	cfg := Defaults()
 	if opt.Config != nil {
 		cfg = *opt.Config
 	}
-	n := &Node{opt: opt, core: New(cfg, opt.Self, opt.Seeds, opt.Rnd)}
+	n := &Node{opt: opt, core: New(cfg, opt.Self, opt.Seeds, opt.RandomSeed)}
 	n.bytes = prometheus.NewCounter(prometheus.CounterOpts{Name: "crosstide_membership_bytes_total",
 		Help: "Bytes of JSON sent in shuffles, calls and answers; heads are not counted."})
 	if opt.Registry != nil {
-		opt.Registry.MustRegister(n.bytes, &gauges{n})
+		opt.Registry.MustRegister(n.bytes, &collector{n})
 	}
 	return n
 }
@@ -81,7 +81,7 @@
 	n.group.Stop()
 	routine.Each(len(calls), len(calls), func(i int) {
 		n.countBytes(calls[i].Message)
-		if _, err := n.opt.Ask(ctx, calls[i].Addr, calls[i].Message); err != nil {
+		if _, err := n.opt.Send(ctx, calls[i].Addr, calls[i].Message); err != nil {
 			_ = level.Debug(n.opt.Logger).Log("msg", "leaving was not heard", "addr", calls[i].Addr, "err", err)
 		}
 	})
@@ -92,7 +92,7 @@
 		n.mu.Lock()
 		now := n.opt.Clock.Now()
 		calls := n.core.Tick(now)
-		due := n.core.Next() - now
+		due := n.core.NextTick() - now
 		n.mu.Unlock()
 		n.reportChanges()
 		for _, call := range calls {
@@ -111,12 +111,12 @@
 
 func (n *Node) shuffle(ctx context.Context, call Call) {
 	n.countBytes(call.Message)
-	answer, err := n.opt.Ask(ctx, call.Addr, call.Message)
+	answer, err := n.opt.Send(ctx, call.Addr, call.Message)
 	n.mu.Lock()
 	if err != nil {
-		n.core.Failure(n.opt.Clock.Now(), call.ID)
+		n.core.HandleFailure(n.opt.Clock.Now(), call.ID)
 	} else {
-		n.core.Answer(n.opt.Clock.Now(), call.ID, answer)
+		n.core.HandleAnswer(n.opt.Clock.Now(), call.ID, answer)
 	}
 	n.mu.Unlock()
 	if err != nil {
@@ -131,23 +131,23 @@
 		return Message{}, errs.Field(errs.Invalid, "from", "must be a node with its name and address")
 	}
 	n.mu.Lock()
-	answer := n.core.Call(n.opt.Clock.Now(), m)
+	answer := n.core.HandleShuffle(n.opt.Clock.Now(), m)
 	n.mu.Unlock()
 	n.countBytes(answer)
 	n.reportChanges()
 	return answer, nil
 }
 
-// reportChanges logs the changes of the directory and passes its addresses to Options.Cplanes.
+// reportChanges logs the changes of the directory and passes its addresses to Options.OnControlPlanes.
 func (n *Node) reportChanges() {
 	n.mu.Lock()
 	defer n.mu.Unlock() // the order of two changes is kept
 	changes := n.core.Changes()
 	for _, ch := range changes {
-		_ = level.Info(n.opt.Logger).Log("msg", "cplane", "what", ch.What, "name", ch.Note.Name, "addr", ch.Note.Addr, "boot", ch.Note.Boot)
+		_ = level.Info(n.opt.Logger).Log("msg", "cplane", "what", ch.Kind, "name", ch.Member.Name, "addr", ch.Member.Addr, "boot", ch.Member.Incarnation)
 	}
-	if len(changes) > 0 && n.opt.Cplanes != nil {
-		n.opt.Cplanes(n.core.Cplanes())
+	if len(changes) > 0 && n.opt.OnControlPlanes != nil {
+		n.opt.OnControlPlanes(n.core.ControlPlanes())
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 // Nodes returns the nodes known, as Core.Nodes does.
-func (n *Node) Nodes() []Seen {
+func (n *Node) Nodes() []MemberStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.Nodes(n.opt.Clock.Now())
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -15,11 +15,11 @@
 	Convey("A shuffle that comes in is answered, counted, and its cplanes are handed on; one from nobody is refused", t, func() {
 		var got []string
 		reg := prometheus.NewRegistry()
-		n := NewNode(Options{Self: Note{Name: "d1", Addr: "10.0.0.7:7000", Role: Dplane, Boot: 1}, Clock: &clock.Virtual{},
-			Registry: reg, Cplanes: func(addrs []string) { got = addrs }})
+		n := NewNode(Options{Self: Member{Name: "d1", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, Clock: &clock.Virtual{},
+			Registry: reg, OnControlPlanes: func(addrs []string) { got = addrs }})
 		_, err := n.Serve(context.Background(), Message{})
 		So(errs.Is(err, errs.Invalid), ShouldBeTrue)
-		a, err := n.Serve(context.Background(), Message{From: Note{Name: "c1", Addr: "10.0.0.1:7000", Role: Cplane, Boot: 4}})
+		a, err := n.Serve(context.Background(), Message{From: Member{Name: "c1", Addr: "10.0.0.1:7000", Role: RoleControlPlane, Incarnation: 4}})
 		So(err, ShouldBeNil)
 		So([]any{a.From.Name, got, len(n.Nodes())}, ShouldResemble, []any{"d1", []string{"10.0.0.1:7000"}, 2})
 		families, err := reg.Gather()
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// eligible reports whether the node may campaign: a voter of the set in force, or of one before it that may still be
+// promotable reports whether the node may campaign: a voter of the set in force, or of one before it that may still be
 // the committed one. The latter matters when only this node has the entry that removes it: nobody else can win.
 // It counts by the set in force also then, that is without itself.
-func (c *Core) eligible() bool {
-	return !c.hard.Blank && slices.ContainsFunc(c.configurations, func(f configuration) bool { return isVoter(f.members, c.cfg.ID) })
+func (c *Core) promotable() bool {
+	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(f configuration) bool { return isVoter(f.members, c.cfg.ID) })
 }
 
-// promise is how long after a message of a leader a node votes for nobody else: the leader's lease, with room for clocks
+// leaderStickiness is how long after a message of a leader a node votes for nobody else: the leader's lease, with room for clocks
 // that drift apart.
-func (c *Core) promise() time.Duration { return c.cfg.Lease + (c.cfg.Election-c.cfg.Lease)/3 }
+func (c *Core) leaderStickiness() time.Duration {
+	return c.cfg.LeaseDuration + (c.cfg.ElectionTimeout-c.cfg.LeaseDuration)/3
+}
 
-// hasPromised reports whether this node has promised not to vote for a candidate yet. The promise is made to the leader
+// isStickyToLeader reports whether this node has promised not to vote for a candidate yet. The promise is made to the leader
 // of the term: once that asks for votes itself, it leads no more.
-func (c *Core) hasPromised(candidate string) bool {
+func (c *Core) isStickyToLeader(candidate string) bool {
 	if c.role == Leader {
 		return true
 	}
-	return c.now < c.heardLeaderAt+c.promise() && candidate != c.hard.Leader
+	return c.now < c.lastLeaderContact+c.leaderStickiness() && candidate != c.hardState.Leader
 }
 
-// releasePromise takes in a request for a pre-vote by the leader of the term, who leads no more: whatever was promised to it
+// releaseStickiness takes in a request for a pre-vote by the leader of the term, who leads no more: whatever was promised to it
 // is void. It was restarted, mostly with everybody else, and cannot win if it had not stored its newest entries yet; who
 // has them campaigns soon.
-func (c *Core) releasePromise(m Message) {
-	if m.Term <= c.hard.Term || m.From != c.hard.Leader || c.role == Leader {
+func (c *Core) releaseStickiness(m Message) {
+	if m.Term <= c.hardState.Term || m.From != c.hardState.Leader || c.role == Leader {
 		return
 	}
-	c.heardLeaderAt = never
-	if c.role == Follower && c.eligible() && !c.isUpToDate(m) {
-		c.campaignAt = min(c.campaignAt, c.now+c.jitter(2*c.cfg.Heartbeat))
+	c.lastLeaderContact = never
+	if c.role == Follower && c.promotable() && !c.isUpToDate(m) {
+		c.electionDeadline = min(c.electionDeadline, c.now+c.jitter(2*c.cfg.HeartbeatInterval))
 	}
 }
 
 // majority returns the highest value that a majority of the voters reaches.
 func majority[T cmp.Ordered](ms []Member, of func(id string) T) (out T) {
-	var room [9]T
-	vs := room[:0]
+	var buffer [9]T
+	vs := buffer[:0]
 	for _, m := range ms {
 		if !m.Learner {
 			vs = append(vs, of(m.ID))
@@ -58,7 +60,7 @@
 // hasMajority reports whether a majority granted its vote.
 func (c *Core) hasMajority() bool {
 	return majority(c.members(), func(id string) int {
-		if c.granted[id] {
+		if c.votesGranted[id] {
 			return 1
 		}
 		return 0
@@ -67,28 +69,28 @@
 
 // startPreVote asks the voters whether they would vote for this node.
 func (c *Core) startPreVote() {
-	c.role, c.leader, c.leaderAddr, c.afterHandover = PreCandidate, "", "", false
-	c.granted = map[string]bool{c.cfg.ID: true}
-	c.campaignAt = c.now + c.cfg.Heartbeat/2 + c.jitter(c.cfg.Heartbeat/2) // asking again costs little and starts no term
+	c.role, c.leader, c.leaderAddr, c.campaignAfterTransfer = PreCandidate, "", "", false
+	c.votesGranted = map[string]bool{c.cfg.ID: true}
+	c.electionDeadline = c.now + c.cfg.HeartbeatInterval/2 + c.jitter(c.cfg.HeartbeatInterval/2) // asking again costs little and starts no term
 	if c.hasMajority() {
 		c.startElection(false)
 		return
 	}
-	c.requestVotes(PreVote, c.hard.Term+1)
+	c.requestVotes(PreVote, c.hardState.Term+1)
 }
 
 // startElection starts a campaign in a new term. The requests are sent once the vote for itself is synced.
 func (c *Core) startElection(force bool) {
-	c.role, c.leader, c.afterHandover = Candidate, "", force
-	c.hard.Term++
-	c.hard.Vote, c.hard.Leader, c.hardChanged = c.cfg.ID, "", true
-	c.granted = map[string]bool{c.cfg.ID: true}
+	c.role, c.leader, c.campaignAfterTransfer = Candidate, "", force
+	c.hardState.Term++
+	c.hardState.Vote, c.hardState.Leader, c.hardStateChanged = c.cfg.ID, "", true
+	c.votesGranted = map[string]bool{c.cfg.ID: true}
 	c.resetElectionTimer()
 	if c.hasMajority() {
 		c.becomeLeader(true)
 		return
 	}
-	c.requestVotes(Vote, c.hard.Term)
+	c.requestVotes(Vote, c.hardState.Term)
 }
 
 func (c *Core) requestVotes(k Kind, term uint64) {
@@ -96,11 +98,11 @@
 		if m.ID == c.cfg.ID || m.Learner {
 			continue
 		}
-		msg := Message{Kind: k, From: c.cfg.ID, To: m.ID, Term: term, PrevIndex: c.log.last(), PrevTerm: c.log.lastTerm(), Force: c.afterHandover}
+		msg := Message{Kind: k, From: c.cfg.ID, To: m.ID, Term: term, PrevIndex: c.log.last(), PrevTerm: c.log.lastTerm(), Force: c.campaignAfterTransfer}
 		if k == Vote {
-			c.afterSync = append(c.afterSync, msg)
+			c.messagesAfterSync = append(c.messagesAfterSync, msg)
 		} else {
-			c.outgoing = append(c.outgoing, msg)
+			c.messages = append(c.messages, msg)
 		}
 	}
 }
@@ -113,11 +115,11 @@
 
 // onPreVote answers whether this node would vote for the sender.
 func (c *Core) onPreVote(m Message) {
-	if c.hard.Blank {
+	if c.hardState.Blank {
 		return
 	}
-	c.releasePromise(m)
-	if m.Term > c.hard.Term && !c.hasPromised(m.From) && c.isUpToDate(m) {
+	c.releaseStickiness(m)
+	if m.Term > c.hardState.Term && !c.isStickyToLeader(m.From) && c.isUpToDate(m) {
 		c.reply(m, Message{Kind: PreVoteReply, Term: m.Term})
 	} else {
 		c.reply(m, Message{Kind: PreVoteReply, Reject: true})
@@ -126,10 +128,10 @@
 
 // onPreVoteReply counts a pre-vote, and starts the election with a majority of them.
 func (c *Core) onPreVoteReply(m Message) {
-	if m.Reject && m.Term > c.hard.Term {
+	if m.Reject && m.Term > c.hardState.Term {
 		c.becomeFollower(m.Term, "")
-	} else if !m.Reject && c.role == PreCandidate && m.Term == c.hard.Term+1 {
-		if c.granted[m.From] = true; c.hasMajority() {
+	} else if !m.Reject && c.role == PreCandidate && m.Term == c.hardState.Term+1 {
+		if c.votesGranted[m.From] = true; c.hasMajority() {
 			c.startElection(false)
 		}
 	}
@@ -137,14 +139,14 @@
 
 // onVote votes for the sender, unless this node voted otherwise in the term or has the newer log.
 func (c *Core) onVote(m Message) {
-	free := c.hard.Vote == "" && c.hard.Leader == "" || c.hard.Vote == m.From
+	free := c.hardState.Vote == "" && c.hardState.Leader == "" || c.hardState.Vote == m.From
 	if !free || !c.isUpToDate(m) {
 		c.reply(m, Message{Kind: VoteReply, Reject: true})
 		return
 	}
-	c.becomeFollower(c.hard.Term, c.leader)
-	if c.hard.Vote != m.From {
-		c.hard.Vote, c.hardChanged = m.From, true
+	c.becomeFollower(c.hardState.Term, c.leader)
+	if c.hardState.Vote != m.From {
+		c.hardState.Vote, c.hardStateChanged = m.From, true
 	}
 	c.resetElectionTimer()
 	c.reply(m, Message{Kind: VoteReply})
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -4,27 +4,27 @@
 
 // leaseUntil is the end of the lease, never if there is none.
 func (c *Core) leaseUntil() time.Duration {
-	if c.leadership.handoverSent {
+	if c.leadership.timeoutNowSent {
 		return never
 	}
 	from := majority(c.members(), func(id string) time.Duration {
-		if p := c.leadership.peers[id]; p != nil {
-			return p.ackedSentAt
+		if p := c.leadership.progress[id]; p != nil {
+			return p.ackedSendTime
 		}
 		return c.now
 	})
 	if from == never {
 		return never
 	}
-	return from + c.cfg.Lease
+	return from + c.cfg.LeaseDuration
 }
 
-// Confirmed returns the commit index that is safe to read at: no other leader can have committed more at the time
+// LeaseReadIndex returns the commit index that is safe to read at: no other leader can have committed more at the time
 // now. ok is false unless this node leads, holds its lease at now and has committed an entry of its own term.
 // Example:
 //
-//	if commit, ok := core.Confirmed(now); ok && applied >= commit { answer() }
-func (c *Core) Confirmed(now time.Duration) (commit uint64, ok bool) {
+//	if commit, ok := core.LeaseReadIndex(now); ok && applied >= commit { answer() }
+func (c *Core) LeaseReadIndex(now time.Duration) (commit uint64, ok bool) {
 	c.advanceClock(now)
 	if c.role != Leader || c.commit < c.leadership.firstIndex || c.now >= c.leaseUntil() {
 		return 0, false
--- a/internal/raft/propose.go
+++ b/internal/raft/propose.go
@@ -20,15 +20,15 @@
 	for _, d := range data {
 		c.appendOwn(Normal, d)
 	}
-	return first, c.hard.Term, nil
+	return first, c.hardState.Term, nil
 }
 
 func (c *Core) checkLeading() error {
 	if c.role != Leader {
 		return errs.Pass(c.notLeader(), "not the leader")
 	}
-	if c.leadership.handoverTo != "" {
-		return errs.New(errs.Unavailable, "handing over to %s", c.leadership.handoverTo)
+	if c.leadership.transferee != "" {
+		return errs.New(errs.Unavailable, "handing over to %s", c.leadership.transferee)
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 			continue
 		}
 		changed++
-		p := c.leadership.peers[n.ID]
+		p := c.leadership.progress[n.ID]
 		if p == nil {
 			return 0, 0, errs.Field(errs.Invalid, "members", "%s must be a learner before it is a voter", n.ID)
 		}
@@ -81,15 +81,15 @@
 	}
 	c.appendOwn(Members, data)
 	c.configurations = append(c.configurations, configuration{c.log.last(), append([]Member(nil), next...)})
-	c.updatePeers()
+	c.updateProgress()
 	c.advanceCommit() // fewer voters may be a majority already
-	return c.log.last(), c.hard.Term, nil
+	return c.log.last(), c.hardState.Term, nil
 }
 
-// Handover lets the voter to take over, once it has the whole log. Until then proposals are refused; the leader
+// TransferLeadership lets the voter to take over, once it has the whole log. Until then proposals are refused; the leader
 // gives up its lease when it asks the other to campaign. The handover is abandoned after one Election.
 // Failures: NotLeader, Unavailable while one runs, Invalid if to is not another voter.
-func (c *Core) Handover(now time.Duration, to string) error {
+func (c *Core) TransferLeadership(now time.Duration, to string) error {
 	c.advanceClock(now)
 	if err := c.checkLeading(); err != nil {
 		return errs.Pass(err, "handover")
@@ -97,15 +97,15 @@
 	if to == c.cfg.ID || !isVoter(c.members(), to) {
 		return errs.Field(errs.Invalid, "to", "%s is not another voter", to)
 	}
-	c.leadership.handoverTo, c.leadership.handoverUntil = to, c.now+c.cfg.Election
-	c.handover()
+	c.leadership.transferee, c.leadership.transferDeadline = to, c.now+c.cfg.ElectionTimeout
+	c.sendTimeoutNow()
 	return nil
 }
 
-// handover asks the successor to campaign if it has the whole log.
-func (c *Core) handover() {
-	if p := c.leadership.peers[c.leadership.handoverTo]; p != nil && p.match == c.log.last() && !p.blank {
-		c.leadership.handoverSent = true
-		c.outgoing = append(c.outgoing, Message{Kind: HandoverNow, From: c.cfg.ID, To: c.leadership.handoverTo, Term: c.hard.Term})
+// sendTimeoutNow asks the successor to campaign if it has the whole log.
+func (c *Core) sendTimeoutNow() {
+	if p := c.leadership.progress[c.leadership.transferee]; p != nil && p.match == c.log.last() && !p.blank {
+		c.leadership.timeoutNowSent = true
+		c.messages = append(c.messages, Message{Kind: TimeoutNow, From: c.cfg.ID, To: c.leadership.transferee, Term: c.hardState.Term})
 	}
 }
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -7,10 +7,10 @@
 //
 //	core.Tick(now)             // four times a heartbeat; or Step, Propose, Synced ...
 //	r := core.Ready()          // after each burst of calls: appends are made here, so a burst is one append
-//	send(r.Now)
-//	disk.Queue(r.Reset, r.Hard, r.Append)     // in the order of the Readys; Reset first
-//	onSync: send(r.AfterSync); core.Synced(now, last.Index, last.Term) // last of r.Append, if any
-//	apply(r.Committed); fetch(r.Fetch)
+//	send(r.Messages)
+//	disk.Queue(r.ResetLog, r.HardState, r.Entries)     // in the order of the Readys; Reset first
+//	onSync: send(r.MessagesAfterSync); core.Synced(now, last.Index, last.Term) // last of r.Entries, if any
+//	apply(r.CommittedEntries); fetch(r.Fetch)
 //
 // The runtime must ensure, for safety:
 //   - now never runs backwards within a process and counts suspension; each process has its own zero;
@@ -69,8 +69,8 @@
 // size is what the entry takes of a byte limit.
 func (e Entry) size() int { return len(e.Data) + 32 }
 
-// Hard is what must be synced before any answer that depends on it.
-type Hard struct {
+// HardState is what must be synced before any answer that depends on it.
+type HardState struct {
 	Term uint64 `json:"t"`
 	Vote string `json:"v,omitempty"`
 	// Leader is the leader of Term that this node has led or followed; empty if none.
@@ -103,7 +103,7 @@
 	AppendReply   Kind = "append_reply"
 	Snapshot      Kind = "snapshot"
 	SnapshotReply Kind = "snapshot_reply"
-	HandoverNow   Kind = "handover" // campaign at once, the leader gave up its lease
+	TimeoutNow    Kind = "handover" // campaign at once, the leader gave up its lease
 )
 
 // Message goes between two cores. It may be lost, doubled, delayed or reordered.
@@ -128,43 +128,43 @@
 
 // Config is fixed for the life of a Core.
 type Config struct {
-	ID          string
-	Election    time.Duration // least silence before a campaign; the time-out is Election..2*Election; default 1s
-	Heartbeat   time.Duration // default Election/10
-	Lease       time.Duration // below Election by more than clocks drift apart; default 7/10 of Election
-	MaxBytes    int           // of one append; default 1 MiB; one entry always fits
-	MaxInflight int           // appends under way to one follower; default 64
-	Seed        uint64        // of the random part of the election time-out
+	ID                 string
+	ElectionTimeout    time.Duration // least silence before a campaign; the time-out is Election..2*Election; default 1s
+	HeartbeatInterval  time.Duration // default Election/10
+	LeaseDuration      time.Duration // below Election by more than clocks drift apart; default 7/10 of Election
+	MaxAppendBytes     int           // of one append; default 1 MiB; one entry always fits
+	MaxInflightAppends int           // appends under way to one follower; default 64
+	Seed               uint64        // of the random part of the election time-out
 }
 
-// Boot is what the disk had.
-type Boot struct {
-	Hard     Hard
-	Snapshot Meta
-	Entries  []Entry
+// InitialState is what the disk had.
+type InitialState struct {
+	HardState HardState
+	Snapshot  Meta
+	Entries   []Entry
 }
 
-// Founding returns the Boot of every founder at the first boot of a fleet: the snapshot of the empty state at
+// Bootstrap returns the Boot of every founder at the first boot of a fleet: the snapshot of the empty state at
 // index 1, term 1, with the members in order of ID; the log begins at index 2. All founders must pass the same
 // set; the runtime stores it as its first durable snapshot (the body is the empty state), so a later node can
 // fetch it. Example:
 //
-//	core, err := raft.New(cfg, raft.Founding(settings.Members), now)
-func Founding(members []Member) Boot {
+//	core, err := raft.New(cfg, raft.Bootstrap(settings.Members), now)
+func Bootstrap(members []Member) InitialState {
 	ms := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-	return Boot{Hard: Hard{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: ms}}
+	return InitialState{HardState: HardState{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: ms}}
 }
 
 // Ready is the output since the last Ready.
 type Ready struct {
-	Hard      *Hard     // store, if not nil
-	Reset     bool      // every stored entry is void (a snapshot took its place); do it before Append
-	Append    []Entry   // store; replaces stored entries at and after Append[0].Index
-	Now       []Message // may leave before the sync
-	AfterSync []Message // must leave only after Hard, Reset and Append are synced
-	Commit    uint64
-	Committed []Entry // newly committed, in order, each once; after boot from the snapshot on. They may not be synced here yet
-	Fetch     *FetchSnapshot
+	HardState         *HardState // store, if not nil
+	ResetLog          bool       // every stored entry is void (a snapshot took its place); do it before Append
+	Entries           []Entry    // store; replaces stored entries at and after Append[0].Index
+	Messages          []Message  // may leave before the sync
+	MessagesAfterSync []Message  // must leave only after Hard, Reset and Append are synced
+	Commit            uint64
+	CommittedEntries  []Entry // newly committed, in order, each once; after boot from the snapshot on. They may not be synced here yet
+	Fetch             *FetchSnapshot
 }
 
 // FetchSnapshot asks the runtime to fetch a snapshot body at the address From, at or after Meta, to sync and apply
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -23,7 +23,7 @@
 type node struct {
 	core    *Core
 	id      string
-	disk    Boot
+	disk    InitialState
 	queue   []batch
 	zero    time.Duration // its clock at world time 0
 	slow    time.Duration // least time of a sync
@@ -31,17 +31,17 @@
 	down    bool
 }
 
-type flight struct {
+type inTransit struct {
 	at  time.Duration
 	msg Message
 }
 
 // world runs nodes under a virtual clock and checks them at every step.
 type world struct {
-	rnd       *rand.Rand
+	random    *rand.Rand
 	now       time.Duration
 	nodes     []*node
-	net       []flight
+	net       []inTransit
 	side      map[string]int // partition
 	loss      float64
 	committed []Entry // from index 2 on
@@ -52,31 +52,31 @@
 
 func (w *world) fail(f string, a ...any) { w.failures = append(w.failures, fmt.Sprintf(f, a...)) }
 
-func team(ids ...string) (ms []Member) {
+func voters(ids ...string) (ms []Member) {
 	for _, id := range ids {
 		ms = append(ms, Member{ID: id, Addr: id})
 	}
 	return ms
 }
 
-func newWorld(seed uint64, founders ...string) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 1)), side: map[string]int{}, leaders: map[uint64]string{}}
-	for _, id := range founders {
-		w.join(id, Founding(team(founders...)))
+func newWorld(seed uint64, bootstrapIDs ...string) *world {
+	w := &world{random: rand.New(rand.NewPCG(seed, 1)), side: map[string]int{}, leaders: map[uint64]string{}}
+	for _, id := range bootstrapIDs {
+		w.join(id, Bootstrap(voters(bootstrapIDs...)))
 	}
 	return w
 }
 
-func (w *world) join(id string, b Boot) *node {
-	n := &node{id: id, disk: b, zero: time.Duration(w.rnd.Int64N(int64(time.Hour)))}
+func (w *world) join(id string, b InitialState) *node {
+	n := &node{id: id, disk: b, zero: time.Duration(w.random.Int64N(int64(time.Hour)))}
 	w.nodes = append(w.nodes, n)
-	w.boot(n)
+	w.startNode(n)
 	return n
 }
 
-func (w *world) boot(n *node) {
+func (w *world) startNode(n *node) {
 	var err error
-	n.core, err = New(Config{ID: n.id, Seed: w.rnd.Uint64(), MaxBytes: 200, MaxInflight: 4}, n.disk, w.now+n.zero)
+	n.core, err = New(Config{ID: n.id, Seed: w.random.Uint64(), MaxAppendBytes: 200, MaxInflightAppends: 4}, n.disk, w.now+n.zero)
 	if err != nil {
 		w.fail("boot %s: %v", n.id, err)
 		n.down = true
@@ -91,13 +91,13 @@
 
 func (w *world) send(ms []Message) {
 	for _, m := range ms {
-		for w.rnd.Float64() >= w.loss { // each copy is lost or doubled by the same chance
-			late := time.Duration(w.rnd.Int64N(int64(20 * time.Millisecond)))
-			if w.loss > 0 && w.rnd.IntN(50) == 0 {
+		for w.random.Float64() >= w.loss { // each copy is lost or doubled by the same chance
+			late := time.Duration(w.random.Int64N(int64(20 * time.Millisecond)))
+			if w.loss > 0 && w.random.IntN(50) == 0 {
 				late *= 100
 			}
-			w.net = append(w.net, flight{w.now + late, m})
-			if w.rnd.Float64() >= w.loss {
+			w.net = append(w.net, inTransit{w.now + late, m})
+			if w.random.Float64() >= w.loss {
 				break
 			}
 		}
@@ -119,8 +119,8 @@
 
 func (w *world) pump(n *node) {
 	r := n.core.Ready()
-	w.send(r.Now)
-	for _, e := range r.Committed {
+	w.send(r.Messages)
+	for _, e := range r.CommittedEntries {
 		if n.applied++; e.Index != n.applied {
 			w.fail("%s applies %d after %d", n.id, e.Index, n.applied-1)
 		}
@@ -131,25 +131,25 @@
 		}
 	}
 	if f := r.Fetch; f != nil && !w.get(f.From).down && w.side[f.From] == w.side[n.id] {
-		if m := w.get(f.From).disk.Snapshot; m.Index > r.Commit && w.rnd.IntN(4) > 0 {
+		if m := w.get(f.From).disk.Snapshot; m.Index > r.Commit && w.random.IntN(4) > 0 {
 			n.queue = append(n.queue, batch{due: w.now, r: r})
 			w.sync(n, true)
 			n.disk.Snapshot, n.applied = m, m.Index
-			n.core.Installed(w.now+n.zero, m)
+			n.core.SnapshotInstalled(w.now+n.zero, m)
 			w.pump(n)
 			return
 		}
 	}
-	if r.Hard != nil || r.Reset || len(r.Append) > 0 || len(r.AfterSync) > 0 {
-		n.queue = append(n.queue, batch{due: w.now + n.slow + time.Duration(w.rnd.Int64N(int64(30*time.Millisecond))), r: r})
+	if r.HardState != nil || r.ResetLog || len(r.Entries) > 0 || len(r.MessagesAfterSync) > 0 {
+		n.queue = append(n.queue, batch{due: w.now + n.slow + time.Duration(w.random.Int64N(int64(30*time.Millisecond))), r: r})
 	}
 	if s := n.disk.Snapshot; n.applied > s.Index+30 {
 		n.disk.Snapshot = w.meta(n.applied, s.Members)
-		n.core.SnapshotAt(n.disk.Snapshot)
+		n.core.SnapshotPersisted(n.disk.Snapshot)
 		n.core.Compact(n.applied - 10)
 		n.queue = append(n.queue, batch{due: w.now, cut: n.applied - 10})
 	}
-	term := n.core.hard.Term
+	term := n.core.hardState.Term
 	if n.core.refused > 0 {
 		w.fail("%s refused a message", n.id)
 	}
@@ -159,7 +159,7 @@
 		}
 		w.leaders[term] = n.id
 	}
-	if at, ok := n.core.Confirmed(w.now + n.zero); ok {
+	if at, ok := n.core.LeaseReadIndex(w.now + n.zero); ok {
 		if w.reads++; at < uint64(len(w.committed))+1 {
 			w.fail("%s confirms %d in term %d, committed is %d", n.id, at, term, len(w.committed)+1)
 		}
@@ -171,20 +171,20 @@
 	for len(n.queue) > 0 && (all || n.queue[0].due <= w.now) {
 		b := n.queue[0]
 		n.queue = n.queue[1:]
-		if b.r.Hard != nil {
-			n.disk.Hard = *b.r.Hard
+		if b.r.HardState != nil {
+			n.disk.HardState = *b.r.HardState
 		}
-		if b.r.Reset {
+		if b.r.ResetLog {
 			n.disk.Entries = nil
 		}
 		old := n.disk.Entries
-		if a := b.r.Append; len(a) > 0 {
+		if a := b.r.Entries; len(a) > 0 {
 			old = slices.DeleteFunc(slices.Clone(old), func(e Entry) bool { return e.Index >= a[0].Index })
 			old = append(old, a...)
 			n.core.Synced(w.now+n.zero, a[len(a)-1].Index, a[len(a)-1].Term)
 		}
 		n.disk.Entries = slices.DeleteFunc(slices.Clone(old), func(e Entry) bool { return e.Index <= b.cut })
-		w.send(b.r.AfterSync)
+		w.send(b.r.MessagesAfterSync)
 	}
 }
 
@@ -220,7 +220,7 @@
 // leader returns the leader of the newest term.
 func (w *world) leader() (out *node) {
 	for _, n := range w.nodes {
-		if !n.down && n.core.role == Leader && (out == nil || n.core.hard.Term > out.core.hard.Term) {
+		if !n.down && n.core.role == Leader && (out == nil || n.core.hardState.Term > out.core.hardState.Term) {
 			out = n
 		}
 	}
@@ -267,11 +267,11 @@
 	drain := func() {
 		for _, n := range w.nodes {
 			r := n.core.Ready()
-			pool = append(append(pool, r.Now...), r.AfterSync...)
-			if a := r.Append; len(a) > 0 {
+			pool = append(append(pool, r.Messages...), r.MessagesAfterSync...)
+			if a := r.Entries; len(a) > 0 {
 				n.core.Synced(n.zero+3*time.Second, a[len(a)-1].Index, a[len(a)-1].Term)
 			}
-			term, leads := n.core.hard.Term, n.core.role == Leader
+			term, leads := n.core.hardState.Term, n.core.role == Leader
 			if l, ok := w.leaders[term]; leads && !ok {
 				w.leaders[term] = n.id
 				_, _, _ = n.core.Propose(n.zero+3*time.Second, json.RawMessage(`"`+n.id+`"`))
@@ -334,27 +334,27 @@
 			w.loss = float64(seed%4) * 0.05
 			w.run(16*time.Second, func() {
 				w.propose()
-				n := w.nodes[w.rnd.IntN(5)]
-				switch w.rnd.IntN(60) {
+				n := w.nodes[w.random.IntN(5)]
+				switch w.random.IntN(60) {
 				case 0:
 					if !n.down {
 						w.crash(n)
 					}
 				case 1, 2, 3:
 					if n.down {
-						w.boot(n)
+						w.startNode(n)
 					}
 				case 4:
 					for _, n := range w.nodes {
-						w.side[n.id] = w.rnd.IntN(2)
+						w.side[n.id] = w.random.IntN(2)
 					}
 				case 5, 6:
 					clear(w.side)
 				case 7:
-					n.slow = time.Duration(w.rnd.IntN(2)) * 200 * time.Millisecond
+					n.slow = time.Duration(w.random.IntN(2)) * 200 * time.Millisecond
 				case 8:
 					if l := w.leader(); l != nil {
-						_ = l.core.Handover(w.now+l.zero, n.id)
+						_ = l.core.TransferLeadership(w.now+l.zero, n.id)
 					}
 				case 9: // take a voter out, or take one in again as a learner, or promote it
 					if l := w.leader(); l != nil {
@@ -372,7 +372,7 @@
 			w.loss = 0
 			for _, n := range w.nodes {
 				if n.slow = 0; n.down {
-					w.boot(n)
+					w.startNode(n)
 				}
 			}
 			w.run(5*time.Second, nil)
@@ -401,21 +401,21 @@
 		old := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })]
 		w.crash(old)
 		now := func() time.Duration { return w.now + l.zero }
-		_, _, err := l.core.ProposeMembers(now(), append(team("a", "b", "c"), Member{ID: "x", Addr: "x"}))
+		_, _, err := l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x"}))
 		So(errs.Is(err, errs.Invalid), ShouldBeTrue)
-		_, _, err = l.core.ProposeMembers(now(), append(team("a", "b", "c"), Member{ID: "x", Addr: "x", Learner: true}))
+		_, _, err = l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x", Learner: true}))
 		So(err, ShouldBeNil)
-		_, _, err = l.core.ProposeMembers(now(), team("a", "b", "c"))
+		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c"))
 		So(errs.Is(err, errs.Unavailable), ShouldBeTrue)
-		x := w.join("x", Boot{})
+		x := w.join("x", InitialState{})
 		w.run(2*time.Second, nil)
 		So(x.core.Status().Voter, ShouldBeFalse)
 		So(x.applied, ShouldEqual, l.applied)
-		_, _, err = l.core.ProposeMembers(now(), team("a", "b", "c", "x"))
+		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c", "x"))
 		So(err, ShouldBeNil)
 		w.run(time.Second, nil)
 		So(x.core.Status().Voter, ShouldBeTrue)
-		rest := slices.DeleteFunc(team("a", "b", "c", "x"), func(m Member) bool { return m.ID == old.id })
+		rest := slices.DeleteFunc(voters("a", "b", "c", "x"), func(m Member) bool { return m.ID == old.id })
 		_, _, err = l.core.ProposeMembers(now(), rest)
 		So(err, ShouldBeNil)
 		w.run(time.Second, nil)
@@ -430,13 +430,13 @@
 		w.run(5*time.Second, w.propose)
 		l := w.leader()
 		i := slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })
-		w.nodes[i].disk = Boot{}
-		w.boot(w.nodes[i])
+		w.nodes[i].disk = InitialState{}
+		w.startNode(w.nodes[i])
 		w.run(time.Second, nil)
 		w.crash(l)
 		w.run(20*time.Second, nil) // a leader would need its vote
 		So(w.leader(), ShouldBeNil)
-		w.boot(l)
+		w.startNode(l)
 		w.run(5*time.Second, nil)
 		So(w.leader(), ShouldNotBeNil)
 		So(w.nodes[i].core.Status().Voter, ShouldBeFalse)
@@ -450,18 +450,18 @@
 		w.run(5*time.Second, nil)
 		l := w.leader()
 		l.slow = time.Hour
-		l.core.cfg.MaxBytes = 1 << 20
+		l.core.cfg.MaxAppendBytes = 1 << 20
 		for range 500 {
 			_, _, err := l.core.Propose(w.now+l.zero, json.RawMessage(`1`))
 			So(err, ShouldBeNil)
 		}
 		l.core.sendAppends()
-		So(len(l.core.outgoing), ShouldEqual, 2)
-		So(len(l.core.outgoing[0].Entries), ShouldEqual, 500)
+		So(len(l.core.messages), ShouldEqual, 2)
+		So(len(l.core.messages[0].Entries), ShouldEqual, 500)
 		w.run(500*time.Millisecond, nil)
 		So(l.core.Status().Commit, ShouldEqual, l.core.Status().Last)
 		So(l.core.Status().Match[l.id], ShouldBeLessThan, l.core.Status().Commit)
-		_, ok := l.core.Confirmed(w.now + l.zero)
+		_, ok := l.core.LeaseReadIndex(w.now + l.zero)
 		So(ok, ShouldBeTrue)
 		So(w.failures, ShouldBeEmpty)
 	})
@@ -478,7 +478,7 @@
 	w.run(time.Second, nil)
 	var third time.Duration
 	for i, n := range order {
-		w.boot(n)
+		w.startNode(n)
 		if i == 2 {
 			third = w.now
 		}
@@ -498,7 +498,7 @@
 			old := w.leader()
 			So(old, ShouldNotBeNil)
 			order := slices.Clone(w.nodes)
-			w.rnd.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+			w.random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 			at := slices.Index(order, old)
 			took := coldStart(w, order, 100*time.Millisecond)
 			So(w.failures, ShouldBeEmpty)
@@ -523,10 +523,10 @@
 			w.propose()
 			w.run(200*time.Millisecond, nil)
 			old.queue, old.slow = nil, 0
-			held := old.disk.Entries
+			stored := old.disk.Entries
 			took := coldStart(w, w.nodes, 0)
 			So(w.failures, ShouldBeEmpty)
-			So(held[len(held)-1].Index, ShouldBeLessThan, w.leader().core.log.last())
+			So(stored[len(stored)-1].Index, ShouldBeLessThan, w.leader().core.log.last())
 			if took < 450*time.Millisecond {
 				soon++
 			}
@@ -545,26 +545,26 @@
 		}
 		n := w.nodes[1]
 		w.sync(n, true)
-		known := n.disk.Hard.Commit
+		known := n.disk.HardState.Commit
 		So(known, ShouldBeGreaterThan, 15)
 		So(known, ShouldBeLessThanOrEqualTo, n.disk.Entries[len(n.disk.Entries)-1].Index)
 		c, err := New(Config{ID: n.id}, n.disk, 0)
 		So(err, ShouldBeNil)
 		r := c.Ready()
 		So(r.Commit, ShouldEqual, known)
-		So(r.Committed[len(r.Committed)-1].Index, ShouldEqual, known)
-		_, ok := c.Confirmed(time.Hour)
+		So(r.CommittedEntries[len(r.CommittedEntries)-1].Index, ShouldEqual, known)
+		_, ok := c.LeaseReadIndex(time.Hour)
 		So(ok, ShouldBeFalse)
 	})
 	Convey("What is stored with entries never covers them, nor is more of it believed than the log has", t, func() {
-		founded := Founding(team("a", "b", "c"))
-		c, err := New(Config{ID: "a"}, founded, 0)
+		bootstrap := Bootstrap(voters("a", "b", "c"))
+		c, err := New(Config{ID: "a"}, bootstrap, 0)
 		So(err, ShouldBeNil)
 		c.Step(0, Message{Kind: Append, From: "b", To: "a", Term: 2, PrevIndex: 1, PrevTerm: 1, Commit: 3,
 			Entries: []Entry{{Term: 2, Index: 2, Kind: Noop}, {Term: 2, Index: 3}}})
 		r := c.Ready()
-		So([]uint64{r.Commit, r.Hard.Commit}, ShouldResemble, []uint64{3, 1})
-		torn := Boot{Hard: Hard{Term: 2, Commit: 9}, Snapshot: founded.Snapshot, Entries: []Entry{{Term: 2, Index: 2, Kind: Noop}}}
+		So([]uint64{r.Commit, r.HardState.Commit}, ShouldResemble, []uint64{3, 1})
+		torn := InitialState{HardState: HardState{Term: 2, Commit: 9}, Snapshot: bootstrap.Snapshot, Entries: []Entry{{Term: 2, Index: 2, Kind: Noop}}}
 		c, err = New(Config{ID: "a"}, torn, 0)
 		So(err, ShouldBeNil)
 		So(c.Status().Commit, ShouldEqual, 2)
@@ -576,7 +576,7 @@
 	from := func(k Kind, id string, term uint64) Message {
 		return Message{Kind: k, From: id, To: "a", Term: term, PrevIndex: 9, PrevTerm: 9}
 	}
-	start := func(b Boot) *Core {
+	start := func(b InitialState) *Core {
 		c, err := New(Config{ID: "a"}, b, 0)
 		So(err, ShouldBeNil)
 		c.Ready()
@@ -586,30 +586,30 @@
 	granted := func(c *Core, now time.Duration, m Message) bool {
 		c.Step(now, m)
 		r := c.Ready()
-		yes := len(r.AfterSync) == 1 && !r.AfterSync[0].Reject
-		So(yes, ShouldEqual, r.Hard != nil && r.Hard.Vote == m.From) // the vote is stored with its answer
-		So(r.Now, ShouldBeEmpty)
+		yes := len(r.MessagesAfterSync) == 1 && !r.MessagesAfterSync[0].Reject
+		So(yes, ShouldEqual, r.HardState != nil && r.HardState.Vote == m.From) // the vote is stored with its answer
+		So(r.Messages, ShouldBeEmpty)
 		return yes
 	}
 	// elect makes a core the leader of its next term at 3s.
-	elect := func(b Boot) *Core {
+	elect := func(b InitialState) *Core {
 		c := start(b)
 		c.Tick(3 * sec)
-		c.Step(3*sec, from(PreVoteReply, "b", b.Hard.Term+1))
-		c.Step(3*sec, from(VoteReply, "b", b.Hard.Term+1))
+		c.Step(3*sec, from(PreVoteReply, "b", b.HardState.Term+1))
+		c.Step(3*sec, from(VoteReply, "b", b.HardState.Term+1))
 		So(c.Status().Role, ShouldEqual, Leader)
 		c.Ready()
 		return c
 	}
 	acks := func(c *Core, match uint64) {
-		c.Step(3*sec, Message{Kind: AppendReply, From: "b", To: "a", Term: c.hard.Term, Match: match, Sent: 3 * sec})
+		c.Step(3*sec, Message{Kind: AppendReply, From: "b", To: "a", Term: c.hardState.Term, Match: match, Sent: 3 * sec})
 	}
-	founded := Founding(team("a", "b", "c"))
+	bootstrap := Bootstrap(voters("a", "b", "c"))
 	Convey("A restarted voter keeps the promise of a lease, and so does one that hears a leader, but for a handover", t, func() {
-		c := start(founded)
-		promise := c.promise()
-		So(promise, ShouldBeGreaterThan, c.cfg.Lease)
-		So(promise, ShouldBeLessThanOrEqualTo, c.cfg.Election)
+		c := start(bootstrap)
+		promise := c.leaderStickiness()
+		So(promise, ShouldBeGreaterThan, c.cfg.LeaseDuration)
+		So(promise, ShouldBeLessThanOrEqualTo, c.cfg.ElectionTimeout)
 		So(granted(c, promise-1, from(Vote, "b", 2)), ShouldBeFalse)
 		So(granted(c, promise, from(Vote, "b", 2)), ShouldBeTrue)
 		So(granted(c, promise, from(Vote, "c", 2)), ShouldBeFalse)
@@ -625,74 +625,74 @@
 		So(granted(c, 4*sec, from(Vote, "c", 5)), ShouldBeTrue)
 	})
 	Convey("The leader of the term that asks for votes itself leads no more, also for a voter that was restarted", t, func() {
-		c := start(founded)
+		c := start(bootstrap)
 		c.Step(2*sec, Message{Kind: Append, From: "b", To: "a", Term: 2, PrevIndex: 1, PrevTerm: 1})
-		hard := c.Ready().Hard
+		hard := c.Ready().HardState
 		So(hard, ShouldNotBeNil)
 		So(hard.Leader, ShouldEqual, "b")
 		So(granted(c, 2*sec+1, from(Vote, "c", 3)), ShouldBeFalse)
-		restarted := start(Boot{Hard: *hard, Snapshot: founded.Snapshot})
+		restarted := start(InitialState{HardState: *hard, Snapshot: bootstrap.Snapshot})
 		So(granted(restarted, 1, from(Vote, "c", 3)), ShouldBeFalse)
 		So(granted(restarted, 1, from(Vote, "b", 2)), ShouldBeFalse) // an old request, of before it led
 		So(granted(restarted, 1, from(Vote, "b", 3)), ShouldBeTrue)
 		So(granted(c, 2*sec+1, from(Vote, "b", 3)), ShouldBeTrue)
 		c.Step(3*sec, Message{Kind: VoteReply, From: "b", To: "a", Term: 5, Reject: true})
-		So(c.Ready().Hard.Leader, ShouldBeEmpty) // who led an older term says nothing of this one
+		So(c.Ready().HardState.Leader, ShouldBeEmpty) // who led an older term says nothing of this one
 	})
 	Convey("The leader of the term that asks for a pre-vote voids what was promised to it, though its log is behind", t, func() {
 		ahead := []Entry{{Term: 2, Index: 2, Kind: Noop}, {Term: 2, Index: 3}}
-		hard := Hard{Term: 2, Leader: "b"}
+		hard := HardState{Term: 2, Leader: "b"}
 		ask := func(id string, term uint64) Message {
 			return Message{Kind: PreVote, From: id, To: "a", Term: term, PrevIndex: 2, PrevTerm: 2}
 		}
-		for _, voids := range []Message{ask("b", 3), ask("b", 2), ask("c", 3)} {
-			c := start(Boot{Hard: hard, Snapshot: founded.Snapshot, Entries: ahead})
-			c.Step(1, voids)
-			answer := c.Ready().Now
+		for _, releasing := range []Message{ask("b", 3), ask("b", 2), ask("c", 3)} {
+			c := start(InitialState{HardState: hard, Snapshot: bootstrap.Snapshot, Entries: ahead})
+			c.Step(1, releasing)
+			answer := c.Ready().Messages
 			So(answer, ShouldHaveLength, 1)
 			So(answer[0].Reject, ShouldBeTrue)
-			void := voids.From == "b" && voids.Term == 3 // not an old request of before it led, nor another's
-			So(granted(c, 2, from(Vote, "c", 3)), ShouldEqual, void)
-			if void {
-				c = start(Boot{Hard: hard, Snapshot: founded.Snapshot, Entries: ahead})
-				c.Step(1, voids)
-				So(c.CampaignAt(), ShouldBeLessThanOrEqualTo, 1+2*c.cfg.Heartbeat)
+			wantGranted := releasing.From == "b" && releasing.Term == 3 // not an old request of before it led, nor another's
+			So(granted(c, 2, from(Vote, "c", 3)), ShouldEqual, wantGranted)
+			if wantGranted {
+				c = start(InitialState{HardState: hard, Snapshot: bootstrap.Snapshot, Entries: ahead})
+				c.Step(1, releasing)
+				So(c.ElectionDeadline(), ShouldBeLessThanOrEqualTo, 1+2*c.cfg.HeartbeatInterval)
 			}
 		}
 	})
 	Convey("An empty disk does not vote, told to be a voter or not", t, func() {
-		c := start(Boot{})
+		c := start(InitialState{})
 		So(granted(c, 5*sec, from(Vote, "b", 2)), ShouldBeFalse)
-		c.Installed(5*sec, Meta{Index: 7, Term: 2, Members: team("a", "b", "c")})
+		c.SnapshotInstalled(5*sec, Meta{Index: 7, Term: 2, Members: voters("a", "b", "c")})
 		c.Ready()
 		So(granted(c, 9*sec, from(Vote, "b", 3)), ShouldBeFalse)
 		c.Tick(20 * sec)
 		So(c.Status().Role, ShouldEqual, Follower)
 	})
 	Convey("The lease counts from the send, ends with a handover and waits for an entry of the own term", t, func() {
-		c := elect(founded)
-		_, ok := c.Confirmed(3 * sec)
+		c := elect(bootstrap)
+		_, ok := c.LeaseReadIndex(3 * sec)
 		So(ok, ShouldBeFalse)
 		acks(c, 2)
 		c.Synced(3*sec, 2, 2)
-		_, ok = c.Confirmed(3*sec + 699*time.Millisecond)
+		_, ok = c.LeaseReadIndex(3*sec + 699*time.Millisecond)
 		So(ok, ShouldBeTrue)
-		So(c.Handover(3*sec, "b"), ShouldBeNil)
-		_, ok = c.Confirmed(3*sec + 699*time.Millisecond)
+		So(c.TransferLeadership(3*sec, "b"), ShouldBeNil)
+		_, ok = c.LeaseReadIndex(3*sec + 699*time.Millisecond)
 		So(ok, ShouldBeFalse)
-		c = elect(founded)
+		c = elect(bootstrap)
 		acks(c, 2)
 		c.Synced(3*sec, 2, 2)
-		_, ok = c.Confirmed(3*sec + 700*time.Millisecond)
+		_, ok = c.LeaseReadIndex(3*sec + 700*time.Millisecond)
 		So(ok, ShouldBeFalse)
 	})
 	Convey("An entry of an older term is committed only through one of the own, and members wait for that", t, func() {
-		old := Boot{Hard: Hard{Term: 2}, Snapshot: founded.Snapshot, Entries: []Entry{{Term: 2, Index: 2, Kind: Noop}}}
+		old := InitialState{HardState: HardState{Term: 2}, Snapshot: bootstrap.Snapshot, Entries: []Entry{{Term: 2, Index: 2, Kind: Noop}}}
 		c := elect(old)
 		c.leadership.synced = 2 // as if counted
 		acks(c, 2)
 		So(c.Status().Commit, ShouldEqual, 1)
-		_, _, err := c.ProposeMembers(3*sec, team("a", "b"))
+		_, _, err := c.ProposeMembers(3*sec, voters("a", "b"))
 		So(errs.Is(err, errs.Unavailable), ShouldBeTrue)
 		c.Synced(3*sec, 3, 3)
 		acks(c, 3)
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -8,11 +8,11 @@
 
 // Status returns a view of the node.
 func (c *Core) Status() Status {
-	s := Status{ID: c.cfg.ID, Role: c.role, Term: c.hard.Term, Leader: c.leader, Commit: c.commit, Last: c.log.last(),
-		First: c.log.offset + 1, Members: slices.Clone(c.members()), Voter: !c.hard.Blank && isVoter(c.members(), c.cfg.ID), Refused: c.refused, LeaderAddr: c.leaderAddress()}
+	s := Status{ID: c.cfg.ID, Role: c.role, Term: c.hardState.Term, Leader: c.leader, Commit: c.commit, Last: c.log.last(),
+		First: c.log.offset + 1, Members: slices.Clone(c.members()), Voter: !c.hardState.Blank && isVoter(c.members(), c.cfg.ID), Refused: c.refused, LeaderAddr: c.leaderAddress()}
 	if c.role == Leader {
 		s.Match = map[string]uint64{c.cfg.ID: c.leadership.synced}
-		for id, p := range c.leadership.peers {
+		for id, p := range c.leadership.progress {
 			s.Match[id] = p.match
 		}
 		s.LeaseUntil = max(0, c.leaseUntil())
@@ -49,7 +49,7 @@
 
 // notLeader returns the failure for a call that only the leader takes.
 func (c *Core) notLeader() error {
-	err := errs.New(errs.NotLeader, "%s is %s in term %d", c.cfg.ID, c.role, c.hard.Term)
+	err := errs.New(errs.NotLeader, "%s is %s in term %d", c.cfg.ID, c.role, c.hardState.Term)
 	errs.Of(err).Hint = c.leaderAddress()
 	return err
 }
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -19,17 +19,17 @@
 		c.onPreVoteReply(m)
 		return
 	case Vote:
-		if c.hard.Blank || m.Term >= c.hard.Term && !m.Force && c.hasPromised(m.From) {
+		if c.hardState.Blank || m.Term >= c.hardState.Term && !m.Force && c.isStickyToLeader(m.From) {
 			return
 		}
-	case VoteReply, Append, AppendReply, Snapshot, SnapshotReply, HandoverNow:
+	case VoteReply, Append, AppendReply, Snapshot, SnapshotReply, TimeoutNow:
 	default:
 		return
 	}
-	if m.Term > c.hard.Term {
+	if m.Term > c.hardState.Term {
 		c.becomeFollower(m.Term, "")
 	}
-	if m.Term < c.hard.Term {
+	if m.Term < c.hardState.Term {
 		c.rejectOldTerm(m)
 		return
 	}
@@ -53,7 +53,7 @@
 		c.onVote(m)
 	case VoteReply:
 		if c.role == Candidate && !m.Reject {
-			if c.granted[m.From] = true; c.hasMajority() {
+			if c.votesGranted[m.From] = true; c.hasMajority() {
 				c.becomeLeader(false)
 			}
 		}
@@ -63,8 +63,8 @@
 		if c.role == Leader {
 			c.onReply(m)
 		}
-	case HandoverNow:
-		if c.role == Follower && c.eligible() && c.leader == m.From {
+	case TimeoutNow:
+		if c.role == Follower && c.promotable() && c.leader == m.From {
 			c.startElection(true)
 		}
 	}
@@ -77,7 +77,7 @@
 		return
 	}
 	c.becomeFollower(m.Term, m.From)
-	c.heardLeaderAt = c.now
+	c.lastLeaderContact = c.now
 	c.resetElectionTimer()
 	if m.Kind == Append {
 		c.onAppend(m)
@@ -88,17 +88,17 @@
 
 // reply answers m: once the pending changes are synced, or at once for a pre-vote, which promises nothing.
 func (c *Core) reply(m Message, r Message) {
-	r.From, r.To, r.Sent, r.Blank = c.cfg.ID, m.From, m.Sent, c.hard.Blank
-	r.Term = cmp.Or(r.Term, c.hard.Term)
+	r.From, r.To, r.Sent, r.Blank = c.cfg.ID, m.From, m.Sent, c.hardState.Blank
+	r.Term = cmp.Or(r.Term, c.hardState.Term)
 	if r.Kind == PreVoteReply {
-		c.outgoing = append(c.outgoing, r)
+		c.messages = append(c.messages, r)
 	} else {
-		c.afterSync = append(c.afterSync, r)
+		c.messagesAfterSync = append(c.messagesAfterSync, r)
 	}
 }
 
-// wellFormed reports whether the entries of an append follow each other without a gap, in terms that do not go back.
-func (m Message) wellFormed() bool {
+// isWellFormed reports whether the entries of an append follow each other without a gap, in terms that do not go back.
+func (m Message) isWellFormed() bool {
 	term := m.PrevTerm
 	for n, e := range m.Entries {
 		if e.Index != m.PrevIndex+1+uint64(n) || e.Term < term || e.Term > m.Term {
@@ -111,7 +111,7 @@
 
 // onAppend stores the entries of an append and answers how far the log now equals the leader's.
 func (c *Core) onAppend(m Message) {
-	if !m.wellFormed() {
+	if !m.isWellFormed() {
 		return
 	}
 	match := m.PrevIndex + uint64(len(m.Entries))
@@ -157,7 +157,7 @@
 	from := es[0].Index
 	if from <= c.log.last() {
 		c.log.truncate(from)
-		c.firstUnstored = min(c.firstUnstored, from)
+		c.firstUnstable = min(c.firstUnstable, from)
 		for len(c.configurations) > 0 && c.configurations[len(c.configurations)-1].index >= from {
 			c.configurations = c.configurations[:len(c.configurations)-1]
 		}
@@ -175,6 +175,6 @@
 	c.commit = to
 	for len(c.configurations) > 1 && c.configurations[1].index <= to {
 		c.configurations = c.configurations[1:]
-		c.endBlankness(c.configurations[0].members)
+		c.clearBlank(c.configurations[0].members)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -17,11 +17,11 @@
 	"crosstide/internal/state/command"
 )
 
-// Store is the source of the store's changes; its version is the log index.
-const Store = "store"
+// StoreSource is the source of the store's changes; its version is the log index.
+const StoreSource = "store"
 
-// Core is what a replica asks of the cplanes.
-type Core interface {
+// Source is what a replica asks of the cplanes.
+type Source interface {
 	// Follow asks any cplane; the same one while it answers well.
 	Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error)
 	// Chunk asks the cplane that Follow asked last.
@@ -33,8 +33,8 @@
 	mu           sync.RWMutex
 	st           *state.State
 	indexChanged chan struct{} // closed and made anew at every change of the index
-	watch        func(state.Note)
-	reset        func(*state.State)
+	onChange     func(state.Note)
+	onReset      func(*state.State)
 	pulled       bool
 
 	Bytes, Changes, Snapshots uint64 // since the start, under the lock
@@ -42,9 +42,9 @@
 
 // New makes a replica at version 0. watch is called with changes and reset with a new state after a snapshot; both run
 // under the replica's lock.
-func New(watch func(state.Note), reset func(*state.State)) *Replica {
-	r := &Replica{st: state.New(), indexChanged: make(chan struct{}), watch: watch, reset: reset}
-	r.st.Watch = watch
+func New(onChange func(state.Note), onReset func(*state.State)) *Replica {
+	r := &Replica{st: state.New(), indexChanged: make(chan struct{}), onChange: onChange, onReset: onReset}
+	r.st.Watch = onChange
 	return r
 }
 
@@ -70,15 +70,15 @@
 	return r.st.Index
 }
 
-// Pulled reports whether the replica ever heard from a cplane since the start.
-func (r *Replica) Pulled() bool {
+// HasPulled reports whether the replica ever heard from a cplane since the start.
+func (r *Replica) HasPulled() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.pulled
 }
 
-// Reach waits until the replica is at index or past it; errs.Unavailable when ctx ends before.
-func (r *Replica) Reach(ctx context.Context, index uint64) error {
+// WaitForIndex waits until the replica is at index or past it; errs.Unavailable when ctx ends before.
+func (r *Replica) WaitForIndex(ctx context.Context, index uint64) error {
 	for {
 		r.mu.RLock()
 		at, moved := r.st.Index, r.indexChanged
@@ -95,22 +95,22 @@
 }
 
 // Pull asks once for what the replica lacks and applies it; wait is how long the cplane may wait for changes.
-func (r *Replica) Pull(ctx context.Context, core Core, node string, wait time.Duration) error {
+func (r *Replica) Pull(ctx context.Context, core Source, node string, wait time.Duration) error {
 	from := r.Index()
-	a, err := core.Follow(ctx, internalapi.FollowCall{Node: node, Vector: map[string]uint64{Store: from}, Wait: wait, Max: 4 << 20})
+	a, err := core.Follow(ctx, internalapi.FollowCall{Node: node, Vector: map[string]uint64{StoreSource: from}, Wait: wait, Max: 4 << 20})
 	if err != nil {
 		return errs.Pass(err, "follow from %d", from)
 	}
-	lack := a.Lacks[Store]
-	if lack.Snapshot != nil {
-		if err := r.fetchSnapshot(ctx, core, *lack.Snapshot); err != nil {
-			return errs.Pass(err, "snapshot at %d", lack.Snapshot.Index)
+	missing := a.Lacks[StoreSource]
+	if missing.Snapshot != nil {
+		if err := r.fetchSnapshot(ctx, core, *missing.Snapshot); err != nil {
+			return errs.Pass(err, "snapshot at %d", missing.Snapshot.Index)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pulled = true
-	return errs.Pass(r.applyChanges(lack.Changes), "changes after %d", from)
+	return errs.Pass(r.applyChanges(missing.Changes), "changes after %d", from)
 }
 
 // applyChanges applies changes in order. A version never goes back: what is at or below the index is passed over.
@@ -139,7 +139,7 @@
 }
 
 // fetchSnapshot takes a snapshot in chunks. A chunk that is lost is requested again alone.
-func (r *Replica) fetchSnapshot(ctx context.Context, core Core, snap internalapi.Snapshot) error {
+func (r *Replica) fetchSnapshot(ctx context.Context, core Source, snap internalapi.Snapshot) error {
 	body := make([]byte, 0, snap.Size)
 	failures := 0
 	for int64(len(body)) < snap.Size {
@@ -169,11 +169,11 @@
 	}
 	r.st.Watch = nil
 	r.st = st
-	st.Watch = r.watch
+	st.Watch = r.onChange
 	r.Snapshots++
 	r.Bytes += uint64(len(body))
-	if r.reset != nil {
-		r.reset(st)
+	if r.onReset != nil {
+		r.onReset(st)
 	}
 	close(r.indexChanged)
 	r.indexChanged = make(chan struct{})
@@ -181,13 +181,13 @@
 }
 
 // Run pulls until ctx ends. After a failure it backs off for a while.
-func (r *Replica) Run(ctx context.Context, core Core, clock clock.Clock, node string, tell func(error)) {
+func (r *Replica) Run(ctx context.Context, core Source, clock clock.Clock, node string, onError func(error)) {
 	for ctx.Err() == nil {
 		if err := r.Pull(ctx, core, node, time.Second); err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			tell(err)
+			onError(err)
 			woken := make(chan struct{})
 			timer := clock.Set(100*time.Millisecond, func() { close(woken) })
 			select {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -63,10 +63,10 @@
 }
 
 func (f *fake) Follow(_ context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
-	f.asked = append(f.asked, call.Vector[Store])
+	f.asked = append(f.asked, call.Vector[StoreSource])
 	a := f.answers[0]
 	f.answers = f.answers[1:]
-	return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{Store: a}}, nil
+	return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{StoreSource: a}}, nil
 }
 
 func (f *fake) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
--- a/internal/rpc/connection.go
+++ b/internal/rpc/connection.go
@@ -16,11 +16,11 @@
 // connection is one connection.
 type connection struct {
 	*net.TCPConn
-	raw       syscall.RawConn
-	reader    *bufio.Reader
-	addr      string
-	idleSince time.Duration // idle since, on the caller's clock
-	aged      *list.Element // of the pool's list of idle connections; nil while in use
+	raw         syscall.RawConn
+	reader      *bufio.Reader
+	addr        string
+	idleSince   time.Duration // idle since, on the caller's clock
+	idleElement *list.Element // of the pool's list of idle connections; nil while in use
 }
 
 // reset closes at once: unsent and unconfirmed bytes are thrown away, the peer gets a reset.
--- a/internal/rpc/eventloops.go
+++ b/internal/rpc/eventloops.go
@@ -20,7 +20,7 @@
 	}
 	gone := make(chan struct{}, loops)
 	s.engine.OnClose(func(c net.Conn, _ error) {
-		s.admission.closed(c)
+		s.admission.onClose(c)
 		if _, local := c.RemoteAddr().(*net.UnixAddr); local {
 			gone <- struct{}{}
 		}
@@ -41,7 +41,7 @@
 func (s *Server) waitForOnlyLoop() error {
 	gone := make(chan struct{}, 1)
 	s.engine.OnClose(func(c net.Conn, _ error) {
-		s.admission.closed(c)
+		s.admission.onClose(c)
 		select {
 		case gone <- struct{}{}:
 		default:
--- a/internal/rpc/exchange.go
+++ b/internal/rpc/exchange.go
@@ -31,32 +31,32 @@
 // exchangeLabel replaces the path in the counters: paths of plain requests are not a closed list.
 const exchangeLabel = "exchange"
 
-// Exchange sends r once to addr (host:port) over the pooled connections and returns the response; no status is an error.
+// Do sends r once to addr (host:port) over the pooled connections and returns the response; no status is an error.
 // It ends at the latest after within, or with ctx: the connection is closed with a reset and the error is
 // errs.Timeout. A refused or broken connection is errs.Unavailable, a closed caller errs.Stopped, a request that
 // cannot be sent errs.Invalid, a response over MaxBody errs.TooLarge. See Unsent for requests of which
 // no byte was handed to the kernel. Example:
 //
-//	res, err := caller.Exchange(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
-func (k *Caller) Exchange(ctx context.Context, addr string, r Request, within time.Duration) (Response, error) {
-	k.meter.calls.WithLabelValues(exchangeLabel).Inc()
+//	res, err := caller.Do(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
+func (k *Client) Do(ctx context.Context, addr string, r Request, timeout time.Duration) (Response, error) {
+	k.metrics.calls.WithLabelValues(exchangeLabel).Inc()
 	out, in := takeFrame(0), takeFrame(0)
 	defer out.free()
 	defer in.free()
-	res, err := k.exchange(ctx, addr, r, within, &out.buf, &in.buf)
+	res, err := k.do(ctx, addr, r, timeout, &out.buf, &in.buf)
 	if err != nil {
-		k.meter.failures.WithLabelValues(exchangeLabel, string(knownKind(errs.KindOf(err)))).Inc()
+		k.metrics.failures.WithLabelValues(exchangeLabel, string(knownKind(errs.KindOf(err)))).Inc()
 		return Response{}, errs.Pass(err, "%s %s", r.Method, r.Path)
 	}
 	return Response{Status: res.StatusCode, Header: res.Header, Body: bytes.Clone(in.buf.Bytes())}, nil
 }
 
-func (k *Caller) exchange(ctx context.Context, addr string, r Request, within time.Duration, out, in *bytes.Buffer) (*http.Response, error) {
+func (k *Client) do(ctx context.Context, addr string, r Request, timeout time.Duration, out, in *bytes.Buffer) (*http.Response, error) {
 	if err := r.check(); err != nil {
-		return nil, errs.Pass(&unsent{err}, "the request")
+		return nil, errs.Pass(&unsentError{err}, "the request")
 	}
 	r.encode(out, addr)
-	t := transfer{addr: addr, path: r.Path, method: r.Method, request: out.Bytes(), response: in, within: within}
+	t := transfer{addr: addr, path: r.Path, method: r.Method, request: out.Bytes(), response: in, timeout: timeout}
 	res, err := k.transfer(ctx, k, t)
 	return res, errs.Pass(err, "exchange")
 }
--- a/internal/rpc/exchange_test.go
+++ b/internal/rpc/exchange_test.go
@@ -68,16 +68,16 @@
 				}
 			}
 		})
-		k := NewCaller(CallerOptions{ReadBuffer: 1024})
-		res, err := k.Exchange(ctx, addr, Request{Method: "POST", Path: "/a?b=c", Body: []byte("{}"), Header: map[string]string{"X-Sent": "v", "host": "h.example"}}, time.Minute)
+		k := NewClient(ClientOptions{ReadBuffer: 1024})
+		res, err := k.Do(ctx, addr, Request{Method: "POST", Path: "/a?b=c", Body: []byte("{}"), Header: map[string]string{"X-Sent": "v", "host": "h.example"}}, time.Minute)
 		So(err, ShouldBeNil)
 		So([]any{res.Status, res.Header["X-Seen"], string(res.Body)}, ShouldResemble, []any{409, []string{"a", "b"}, "no"})
 		So(<-requests, ShouldResemble, seen{1, "POST /a?b=c", "h.example", "v", "2", "{}"})
-		res, err = k.Exchange(ctx, addr, Request{Method: "GET", Path: "/"}, time.Minute)
+		res, err = k.Do(ctx, addr, Request{Method: "GET", Path: "/"}, time.Minute)
 		So(err, ShouldBeNil)
 		So([]any{res.Status, string(res.Body)}, ShouldResemble, []any{503, "yes"})
 		So(<-requests, ShouldResemble, seen{1, "GET /", addr, "", "", ""})
-		res, err = k.Exchange(ctx, addr, Request{Method: "HEAD", Path: "/"}, time.Minute)
+		res, err = k.Do(ctx, addr, Request{Method: "HEAD", Path: "/"}, time.Minute)
 		So([]any{res.Status, len(res.Body), err}, ShouldResemble, []any{200, 0, nil})
 		So((<-requests).n, ShouldEqual, 1)
 		k.Close()
@@ -86,7 +86,7 @@
 	Convey("Time that is over and a ctx that ends give Timeout and a reset", t, func() {
 		for _, byClock := range []bool{true, false} {
 			clock := &clock.Virtual{}
-			k := NewCaller(CallerOptions{Clock: clock})
+			k := NewClient(ClientOptions{Clock: clock})
 			ctx, cancel := context.WithCancel(ctx)
 			broken := make(chan error, 1)
 			addr, end := plainPeer(func(_ int, c net.Conn, in *bufio.Reader) {
@@ -99,30 +99,30 @@
 				_, err := io.Copy(io.Discard, c)
 				broken <- err
 			})
-			_, err := k.Exchange(ctx, addr, Request{Method: "POST", Path: "/"}, time.Second)
-			So([]any{errs.KindOf(err), Unsent(err), Answered(err)}, ShouldResemble, []any{errs.Timeout, false, false})
+			_, err := k.Do(ctx, addr, Request{Method: "POST", Path: "/"}, time.Second)
+			So([]any{errs.KindOf(err), IsUnsent(err), IsRemote(err)}, ShouldResemble, []any{errs.Timeout, false, false})
 			So(errors.Is(<-broken, unix.ECONNRESET), ShouldBeTrue)
 			cancel()
 			end()
-			So(len(k.pool.live), ShouldEqual, 0)
+			So(len(k.pool.open), ShouldEqual, 0)
 		}
 	})
 	Convey("What surely did not leave is Unsent: a refused connection, no time, a request that cannot be sent", t, func() {
 		addr, end := plainPeer(nil)
 		end()
-		k := NewCaller(CallerOptions{})
-		_, err := k.Exchange(ctx, addr, Request{Method: "POST", Path: "/"}, time.Minute)
-		So([]any{errs.KindOf(err), Unsent(err)}, ShouldResemble, []any{errs.Unavailable, true})
-		_, err = k.Exchange(ctx, addr, Request{Method: "POST", Path: "/"}, 0)
-		So([]any{errs.KindOf(err), Unsent(err)}, ShouldResemble, []any{errs.Timeout, true})
+		k := NewClient(ClientOptions{})
+		_, err := k.Do(ctx, addr, Request{Method: "POST", Path: "/"}, time.Minute)
+		So([]any{errs.KindOf(err), IsUnsent(err)}, ShouldResemble, []any{errs.Unavailable, true})
+		_, err = k.Do(ctx, addr, Request{Method: "POST", Path: "/"}, 0)
+		So([]any{errs.KindOf(err), IsUnsent(err)}, ShouldResemble, []any{errs.Timeout, true})
 		for _, r := range []Request{{Method: "", Path: "/"}, {Method: "GET", Path: "x"}, {Method: "GET", Path: "/ x"},
 			{Method: "GET", Path: "/", Header: map[string]string{"A": "b\r\nC: d"}}, {Method: "GET", Path: "/", Header: map[string]string{"A:": "b"}}} {
-			_, err = k.Exchange(ctx, addr, r, time.Minute)
-			So([]any{errs.KindOf(err), Unsent(err)}, ShouldResemble, []any{errs.Invalid, true})
+			_, err = k.Do(ctx, addr, r, time.Minute)
+			So([]any{errs.KindOf(err), IsUnsent(err)}, ShouldResemble, []any{errs.Invalid, true})
 		}
 		k.Close()
-		_, err = k.Exchange(ctx, addr, Request{Method: "POST", Path: "/"}, time.Minute)
-		So([]any{errs.KindOf(err), Unsent(err)}, ShouldResemble, []any{errs.Stopped, true})
+		_, err = k.Do(ctx, addr, Request{Method: "POST", Path: "/"}, time.Minute)
+		So([]any{errs.KindOf(err), IsUnsent(err)}, ShouldResemble, []any{errs.Stopped, true})
 	})
 	Convey("A kept connection that the peer closed is passed over; one that breaks under a request is an error, sent once", t, func() {
 		const answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -143,17 +143,17 @@
 			}
 		})
 		defer end()
-		k := NewCaller(CallerOptions{})
+		k := NewClient(ClientOptions{})
 		defer k.Close()
 		r := Request{Method: "POST", Path: "/"}
-		_, err := k.Exchange(ctx, addr, r, time.Minute)
+		_, err := k.Do(ctx, addr, r, time.Minute)
 		So([]any{err, <-requests}, ShouldResemble, []any{nil, 1})
 		_, _ = k.pool.idle[addr][0].Read(make([]byte, 1)) // until the peer's end is here
-		_, err = k.Exchange(ctx, addr, r, time.Minute)
+		_, err = k.Do(ctx, addr, r, time.Minute)
 		So([]any{err, <-requests}, ShouldResemble, []any{nil, 2})
-		_, err = k.Exchange(ctx, addr, r, time.Minute)
-		So([]any{errs.KindOf(err), Unsent(err), <-requests}, ShouldResemble, []any{errs.Unavailable, false, 2})
-		_, err = k.Exchange(ctx, addr, r, time.Minute)
+		_, err = k.Do(ctx, addr, r, time.Minute)
+		So([]any{errs.KindOf(err), IsUnsent(err), <-requests}, ShouldResemble, []any{errs.Unavailable, false, 2})
+		_, err = k.Do(ctx, addr, r, time.Minute)
 		So([]any{err, <-requests, len(requests)}, ShouldResemble, []any{nil, 3, 0})
 	})
 	Convey("A response over the bound is TooLarge, and its connection is not kept", t, func() {
@@ -162,17 +162,17 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n"+strings.Repeat("x", 11))
 		})
 		defer end()
-		k := NewCaller(CallerOptions{MaxBody: 10})
+		k := NewClient(ClientOptions{MaxBody: 10})
 		defer k.Close()
-		_, err := k.Exchange(ctx, addr, Request{Method: "GET", Path: "/"}, time.Minute)
-		So([]any{errs.KindOf(err), Unsent(err), len(k.pool.live)}, ShouldResemble, []any{errs.TooLarge, false, 0})
+		_, err := k.Do(ctx, addr, Request{Method: "GET", Path: "/"}, time.Minute)
+		So([]any{errs.KindOf(err), IsUnsent(err), len(k.pool.open)}, ShouldResemble, []any{errs.TooLarge, false, 0})
 	})
 	Convey("Answered tells the peer's errors from our own", t, func() {
 		b := newBench()
 		defer b.end()
-		_, err := Ask(ctx, b.Caller, b.Addr(), fail, note{}, time.Second)
-		So(Answered(err), ShouldBeTrue)
-		_, err = Ask(ctx, b.Caller, b.Addr(), Pair[note, int]{"/echo"}, note{}, time.Second)
-		So([]any{errs.KindOf(err), Answered(err)}, ShouldResemble, []any{errs.Malformed, false})
+		_, err := Call(ctx, b.Client, b.Addr(), fail, note{}, time.Second)
+		So(IsRemote(err), ShouldBeTrue)
+		_, err = Call(ctx, b.Client, b.Addr(), Endpoint[note, int]{"/echo"}, note{}, time.Second)
+		So([]any{errs.KindOf(err), IsRemote(err)}, ShouldResemble, []any{errs.Malformed, false})
 	})
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -22,11 +22,11 @@
 }}
 
 // takeFrame returns an empty frame that starts with room for a head of that many bytes.
-func takeFrame(room int) *frame {
+func takeFrame(headroom int) *frame {
 	f := frames.Get().(*frame)
 	f.buf.Reset()
-	f.buf.Grow(room)
-	f.buf.Write(f.buf.AvailableBuffer()[:room])
+	f.buf.Grow(headroom)
+	f.buf.Write(f.buf.AvailableBuffer()[:headroom])
 	return f
 }
 
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -17,6 +17,6 @@
 // TestGoldenMetrics pins names, help texts and labels of metrics.
 func TestGoldenMetrics(t *testing.T) {
 	var kept golden.Registry
-	newMeter("server", &kept)
-	golden.Compare(t, "metrics", golden.Metrics("rpc", append(kept.Collectors, NewBudgetMetrics(nil))...))
+	newMetrics("server", &kept)
+	golden.Compare(t, "metrics", golden.Metrics("rpc", append(kept.Collectors, NewConnLimiterMetrics(nil))...))
 }
--- a/internal/rpc/meter.go
+++ b/internal/rpc/meter.go
@@ -6,13 +6,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// meter counts for one side, "server" or "caller". Several meters may share a registry.
-type meter struct {
+// metrics counts for one side, "server" or "caller". Several meters may share a registry.
+type metrics struct {
 	calls, failures *prometheus.CounterVec
 	in, out         prometheus.Counter
 }
 
-func newMeter(side string, to prometheus.Registerer) *meter {
+func newMetrics(side string, to prometheus.Registerer) *metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, append([]string{"side"}, labels...))
 		if to != nil {
@@ -27,7 +27,7 @@
 		return c.MustCurryWith(prometheus.Labels{"side": side})
 	}
 	size := counter("crosstide_rpc_bytes_total", "Bytes of bodies, by direction.", "dir")
-	return &meter{
+	return &metrics{
 		calls:    counter("crosstide_rpc_calls_total", "Calls, by path.", "path"),
 		failures: counter("crosstide_rpc_failures_total", "Calls that ended in a failure, by path and kind.", "path", "kind"),
 		in:       size.WithLabelValues("in"),
--- a/internal/rpc/nbio.go
+++ b/internal/rpc/nbio.go
@@ -22,8 +22,8 @@
 
 var descriptorsMu sync.Mutex
 
-// routeLogs sends nbio's own lines, which have one logger per process, to the latest server's logger.
-func routeLogs(to log.Logger) {
+// redirectLogs sends nbio's own lines, which have one logger per process, to the latest server's logger.
+func redirectLogs(to log.Logger) {
 	logTo.Store(&to)
 	logOnce.Do(func() { logging.SetLogger(nbioLog{}) })
 }
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -10,22 +10,22 @@
 
 // pool keeps the open connections of a caller: those in use and, by address, the idle ones.
 type pool struct {
-	clock   clock.Clock
-	most    int           // idle connections kept per address
-	idleFor time.Duration // an idle connection is closed after it
-	share   *Share        // bounds the open connections; nil: nothing does
-
-	mu     sync.Mutex
-	idle   map[string][]*connection // the last one used comes last
-	byAge  *list.List               // all idle connections, idle for longest first
-	live   map[*connection]struct{} // all open connections
-	closed bool
+	clock       clock.Clock
+	maxIdle     int           // idle connections kept per address
+	idleTimeout time.Duration // an idle connection is closed after it
+	quota       *ConnQuota    // bounds the open connections; nil: nothing does
+
+	mu        sync.Mutex
+	idle      map[string][]*connection // the last one used comes last
+	idleByAge *list.List               // all idle connections, idle for longest first
+	open      map[*connection]struct{} // all open connections
+	closed    bool
 }
 
-func newPool(clock clock.Clock, most int, idleFor time.Duration, share *Share) *pool {
-	p := &pool{clock: clock, most: most, idleFor: idleFor, share: share, idle: map[string][]*connection{}, byAge: list.New(),
-		live: map[*connection]struct{}{}}
-	share.onReclaim(p.closeOldest)
+func newPool(clock clock.Clock, most int, idleFor time.Duration, quota *ConnQuota) *pool {
+	p := &pool{clock: clock, maxIdle: most, idleTimeout: idleFor, quota: quota, idle: map[string][]*connection{}, idleByAge: list.New(),
+		open: map[*connection]struct{}{}}
+	quota.onEvict(p.evictOldestIdle)
 	return p
 }
 
@@ -36,28 +36,28 @@
 	if p.closed {
 		return false
 	}
-	p.live[l] = struct{}{}
+	p.open[l] = struct{}{}
 	return true
 }
 
-// take gives an idle connection to addr; nil if there is none. What is too old or was closed by the peer is dropped.
-func (p *pool) take(addr string) *connection {
+// acquire gives an idle connection to addr; nil if there is none. What is too old or was closed by the peer is dropped.
+func (p *pool) get(addr string) *connection {
 	for {
 		p.mu.Lock()
-		l := p.newest(addr)
+		l := p.newestIdle(addr)
 		if l != nil {
-			p.forget(l)
+			p.removeIdle(l)
 		}
 		p.mu.Unlock()
-		if l == nil || p.clock.Now()-l.idleSince < p.idleFor && l.alive() {
+		if l == nil || p.clock.Now()-l.idleSince < p.idleTimeout && l.alive() {
 			return l
 		}
-		p.drop(l)
+		p.discard(l)
 	}
 }
 
-// newest gives the idle connection to addr that was used last; nil if there is none. The mutex is held.
-func (p *pool) newest(addr string) *connection {
+// newestIdle gives the idle connection to addr that was used last; nil if there is none. The mutex is held.
+func (p *pool) newestIdle(addr string) *connection {
 	if kept := p.idle[addr]; len(kept) > 0 {
 		return kept[len(kept)-1]
 	}
@@ -66,47 +66,47 @@
 
 // put keeps a connection that is not in use any more, and closes those for which there is no place.
 func (p *pool) put(l *connection) {
-	for _, surplus := range p.keep(l) {
-		p.drop(surplus)
+	for _, surplus := range p.addIdle(l) {
+		p.discard(surplus)
 	}
-	if p.share.isAwaited() {
-		p.closeOldest()
+	if p.quota.hasWaiters() {
+		p.evictOldestIdle()
 	}
 }
 
-// keep makes l idle and gives the connections that are to be dropped.
-func (p *pool) keep(l *connection) (surplus []*connection) {
+// addIdle makes l idle and gives the connections that are to be dropped.
+func (p *pool) addIdle(l *connection) (surplus []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return []*connection{l}
 	}
 	l.idleSince = p.clock.Now()
-	l.aged = p.byAge.PushBack(l)
+	l.idleElement = p.idleByAge.PushBack(l)
 	p.idle[l.addr] = append(p.idle[l.addr], l)
-	if kept := p.idle[l.addr]; len(kept) > p.most {
+	if kept := p.idle[l.addr]; len(kept) > p.maxIdle {
 		surplus = append(surplus, kept[0])
-		p.forget(kept[0])
+		p.removeIdle(kept[0])
 	}
-	for oldest := p.oldest(); oldest != nil && l.idleSince-oldest.idleSince >= p.idleFor; oldest = p.oldest() {
+	for oldest := p.oldestIdle(); oldest != nil && l.idleSince-oldest.idleSince >= p.idleTimeout; oldest = p.oldestIdle() {
 		surplus = append(surplus, oldest)
-		p.forget(oldest)
+		p.removeIdle(oldest)
 	}
 	return surplus
 }
 
-// oldest gives the connection that is idle for longest; nil if none is. The mutex is held.
-func (p *pool) oldest() *connection {
-	if front := p.byAge.Front(); front != nil {
+// oldestIdle gives the connection that is idle for longest; nil if none is. The mutex is held.
+func (p *pool) oldestIdle() *connection {
+	if front := p.idleByAge.Front(); front != nil {
 		return front.Value.(*connection)
 	}
 	return nil
 }
 
-// forget takes a connection off the idle ones. The mutex is held.
-func (p *pool) forget(l *connection) {
-	p.byAge.Remove(l.aged)
-	l.aged = nil
+// removeIdle takes a connection off the idle ones. The mutex is held.
+func (p *pool) removeIdle(l *connection) {
+	p.idleByAge.Remove(l.idleElement)
+	l.idleElement = nil
 	kept := p.idle[l.addr]
 	for i, other := range kept {
 		if other == l {
@@ -121,30 +121,30 @@
 	p.idle[l.addr] = kept
 }
 
-// closeOldest closes the connection that is idle for longest; false if none is idle.
-func (p *pool) closeOldest() bool {
+// evictOldestIdle closes the connection that is idle for longest; false if none is idle.
+func (p *pool) evictOldestIdle() bool {
 	p.mu.Lock()
-	l := p.oldest()
+	l := p.oldestIdle()
 	if l != nil {
-		p.forget(l)
+		p.removeIdle(l)
 	}
 	p.mu.Unlock()
 	if l == nil {
 		return false
 	}
-	p.drop(l)
+	p.discard(l)
 	return true
 }
 
-// drop closes a connection that is not idle, with a reset.
-func (p *pool) drop(l *connection) {
+// discard closes a connection that is not idle, with a reset.
+func (p *pool) discard(l *connection) {
 	p.mu.Lock()
-	_, open := p.live[l]
-	delete(p.live, l)
+	_, open := p.open[l]
+	delete(p.open, l)
 	p.mu.Unlock()
 	l.reset()
 	if open {
-		p.share.release()
+		p.quota.release()
 	}
 }
 
@@ -152,13 +152,13 @@
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
-	live := p.live
-	p.live, p.idle = map[*connection]struct{}{}, map[string][]*connection{}
-	p.byAge.Init()
+	live := p.open
+	p.open, p.idle = map[*connection]struct{}{}, map[string][]*connection{}
+	p.idleByAge.Init()
 	p.mu.Unlock()
 	for l := range live {
 		l.reset()
-		p.share.release()
+		p.quota.release()
 	}
 }
 
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -32,41 +32,41 @@
 // poolModel plays calls against a caller and remembers the connections that they hold.
 type poolModel struct {
 	clock  *clock.Virtual
-	caller *Caller
-	share  *Share
+	caller *Client
+	quota  *ConnQuota
 	inUse  []*connection
 }
 
-// mistake says what is wrong with the pool; empty: nothing is.
-func (m *poolModel) mistake(total int) string {
+// violation says what is wrong with the pool; empty: nothing is.
+func (m *poolModel) violation(total int) string {
 	pool := m.caller.pool
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	idle := 0
 	for addr, kept := range pool.idle {
-		if len(kept) == 0 || len(kept) > pool.most {
+		if len(kept) == 0 || len(kept) > pool.maxIdle {
 			return "a list of idle connections is empty or too long"
 		}
 		for _, l := range kept {
-			if _, open := pool.live[l]; !open || l.addr != addr || !l.alive() {
+			if _, open := pool.open[l]; !open || l.addr != addr || !l.alive() {
 				return "an idle connection is closed or of another address"
 			}
 		}
 		idle += len(kept)
 	}
 	for _, l := range m.inUse {
-		if _, open := pool.live[l]; !open {
+		if _, open := pool.open[l]; !open {
 			return "a connection in use is closed"
 		}
 	}
 	switch {
-	case len(pool.live) != idle+len(m.inUse):
+	case len(pool.open) != idle+len(m.inUse):
 		return "open connections are neither idle nor in use"
-	case idle != pool.byAge.Len():
+	case idle != pool.idleByAge.Len():
 		return "the list by age and the lists by address differ"
-	case m.share.budget.Use()[0].Used != len(pool.live):
+	case m.quota.limiter.Usage()[0].Used != len(pool.open):
 		return "the share does not count what is open"
-	case len(pool.live) > total:
+	case len(pool.open) > total:
 		return "more connections are open than the budget has"
 	}
 	return ""
@@ -78,17 +78,17 @@
 		defer end()
 		rapid.Check(t, func(t *rapid.T) {
 			const total = 9
-			budget := NewBudget(total)
-			share, err := budget.Share("calls", 2)
+			limiter := NewConnLimiter(total)
+			quota, err := limiter.NewQuota("calls", 2)
 			if err != nil {
 				t.Fatal(err)
 			}
-			m := &poolModel{clock: &clock.Virtual{}, share: share}
-			m.caller = NewCaller(CallerOptions{Clock: m.clock, Idle: 2, IdleFor: 10 * time.Second, Share: share})
+			m := &poolModel{clock: &clock.Virtual{}, quota: quota}
+			m.caller = NewClient(ClientOptions{Clock: m.clock, MaxIdlePerAddress: 2, IdleTimeout: 10 * time.Second, Quota: quota})
 			defer m.caller.Close()
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				m.step(t, addresses, total)
-				if wrong := m.mistake(total); wrong != "" {
+				if wrong := m.violation(total); wrong != "" {
 					t.Fatal(wrong)
 				}
 			}
@@ -97,22 +97,22 @@
 	Convey("A connection that becomes idle makes room for a call to another address that waits", t, func() {
 		addresses, end := quietPeers(2)
 		defer end()
-		budget := NewBudget(1)
-		share, err := budget.Share("calls", 1)
+		limiter := NewConnLimiter(1)
+		quota, err := limiter.NewQuota("calls", 1)
 		So(err, ShouldBeNil)
-		k := NewCaller(CallerOptions{Share: share})
+		k := NewClient(ClientOptions{Quota: quota})
 		defer k.Close()
-		first, err := k.take(ctx, addresses[0])
+		first, err := k.acquire(ctx, addresses[0])
 		So(err, ShouldBeNil)
 		work, taken := routine.New(ctx), make(chan *connection, 1)
 		work.Go(func(context.Context) {
-			second, err := k.take(ctx, addresses[1])
+			second, err := k.acquire(ctx, addresses[1])
 			if err == nil {
 				taken <- second
 			}
 			close(taken)
 		})
-		waitFor(func() bool { return budget.Use()[0].Waiting == 1 })
+		waitUntil(func() bool { return limiter.Usage()[0].Waiting == 1 })
 		k.release(first, true)
 		second := <-taken
 		So(second, ShouldNotBeNil)
@@ -127,7 +127,7 @@
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0, 1:
 		if len(m.inUse) < total {
-			l, err := m.caller.take(ctx, rapid.SampledFrom(addresses).Draw(t, "to"))
+			l, err := m.caller.acquire(ctx, rapid.SampledFrom(addresses).Draw(t, "to"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,41 +145,41 @@
 	}
 }
 
-func TestTurns(t *testing.T) {
+func TestAddressLimiter(t *testing.T) {
 	Convey("Calls to one address take turns in order, others do not wait, and one whose time is over is Unsent", t, func() {
 		addresses, end := quietPeers(2)
 		defer end()
 		virtual := &clock.Virtual{}
-		k := NewCaller(CallerOptions{Clock: virtual, PerAddress: 1})
+		k := NewClient(ClientOptions{Clock: virtual, MaxCallsPerAddress: 1})
 		defer k.Close()
-		first, err := k.take(ctx, addresses[0])
+		first, err := k.acquire(ctx, addresses[0])
 		So(err, ShouldBeNil)
-		other, err := k.take(ctx, addresses[1])
+		other, err := k.acquire(ctx, addresses[1])
 		So(err, ShouldBeNil)
 		waiting := func() int {
-			k.turns.mu.Lock()
-			defer k.turns.mu.Unlock()
-			return len(k.turns.waiting[addresses[0]])
+			k.addressLimiter.mu.Lock()
+			defer k.addressLimiter.mu.Unlock()
+			return len(k.addressLimiter.waiting[addresses[0]])
 		}
 		work, failed, taken := routine.New(ctx), make(chan error, 1), make(chan *connection, 1)
 		work.Go(func(context.Context) {
-			_, err := k.Exchange(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
+			_, err := k.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
 			failed <- err
 		})
-		waitFor(func() bool { return waiting() == 1 })
+		waitUntil(func() bool { return waiting() == 1 })
 		work.Go(func(context.Context) {
-			l, _ := k.take(ctx, addresses[0])
+			l, _ := k.acquire(ctx, addresses[0])
 			taken <- l
 		})
-		waitFor(func() bool { return waiting() == 2 })
+		waitUntil(func() bool { return waiting() == 2 })
 		virtual.Advance(time.Second)
 		err = <-failed
-		So([]bool{Unsent(err), NoRoom(err)}, ShouldResemble, []bool{true, false})
+		So([]bool{IsUnsent(err), IsQuotaExhausted(err)}, ShouldResemble, []bool{true, false})
 		k.release(first, true)
 		So(<-taken == first, ShouldBeTrue) // the idle connection goes to the next in turn
 		k.release(first, true)
 		k.release(other, true)
-		So([]int{len(k.turns.running), len(k.turns.waiting)}, ShouldResemble, []int{0, 0})
+		So([]int{len(k.addressLimiter.running), len(k.addressLimiter.waiting)}, ShouldResemble, []int{0, 0})
 		work.Wait()
 	})
 }
--- a/internal/rpc/response.go
+++ b/internal/rpc/response.go
@@ -6,26 +6,26 @@
 	"crosstide/internal/errs"
 )
 
-// answerRecorder counts what an answer carries.
-type answerRecorder struct {
+// responseRecorder counts what an answer carries.
+type responseRecorder struct {
 	http.ResponseWriter
-	bodyBytes int
-	kind      errs.Kind
-	begun     bool
+	bodyBytes   int
+	errorKind   errs.Kind
+	wroteHeader bool
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (t *answerRecorder) Unwrap() http.ResponseWriter { return t.ResponseWriter }
+func (t *responseRecorder) Unwrap() http.ResponseWriter { return t.ResponseWriter }
 
 // WriteHeader records that the answer has begun and passes the status on.
-func (t *answerRecorder) WriteHeader(status int) {
-	t.begun = true
+func (t *responseRecorder) WriteHeader(status int) {
+	t.wroteHeader = true
 	t.ResponseWriter.WriteHeader(status)
 }
 
 // Write counts the bytes of the answer and passes them on.
-func (t *answerRecorder) Write(b []byte) (int, error) {
-	t.begun = true
+func (t *responseRecorder) Write(b []byte) (int, error) {
+	t.wroteHeader = true
 	n, err := t.ResponseWriter.Write(b)
 	t.bodyBytes += max(n, 0)
 	if err != nil {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -18,11 +18,11 @@
 // MaxBody is the default bound on a body of an internal call or answer, in bytes.
 const MaxBody = 64 << 20
 
-// Pair names a call by its path and fixes its types: POST Path, body the JSON of C, answer the JSON of A.
+// Endpoint names a call by its path and fixes its types: POST Path, body the JSON of C, answer the JSON of A.
 // Fields that a side does not know are passed over, so that versions can be mixed. Example:
 //
-//	var Vote = rpc.Pair[Ballot, Verdict]{Path: "/store/vote"}
-type Pair[C, A any] struct{ Path string }
+//	var Vote = rpc.Endpoint[Ballot, Verdict]{Path: "/store/vote"}
+type Endpoint[C, A any] struct{ Path string }
 
 // errorBody is the JSON body of a failure.
 type errorBody struct {
@@ -47,8 +47,8 @@
 	if after := firstPositive(f.After, errs.ReplyOf(kind).After); after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10))
 	}
-	if t, ok := w.(*answerRecorder); ok {
-		t.kind = kind
+	if t, ok := w.(*responseRecorder); ok {
+		t.errorKind = kind
 	}
 	WriteJSON(w, status, errorBody{Kind: kind, Field: f.Field, Message: f.Message, Hint: f.Hint})
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -28,16 +28,16 @@
 }
 
 var (
-	echo  = Pair[note, note]{Path: "/echo"}
-	block = Pair[note, note]{Path: "/block"}
-	fail  = Pair[note, note]{Path: "/fail"}
+	echo  = Endpoint[note, note]{Path: "/echo"}
+	block = Endpoint[note, note]{Path: "/block"}
+	fail  = Endpoint[note, note]{Path: "/fail"}
 	ctx   = context.Background()
 )
 
 // bench is a server and a caller on one registry; block waits for gate, or for the end of its context.
 type bench struct {
 	*Server
-	*Caller
+	*Client
 	clock   *clock.Virtual
 	entered chan struct{}
 	gate    chan struct{}
@@ -63,12 +63,12 @@
 		return n, nil
 	})
 	So(b.Start(), ShouldBeNil)
-	b.Caller = NewCaller(CallerOptions{Clock: b.clock, UserTimeout: 1500 * time.Millisecond, Registry: b.reg})
+	b.Client = NewClient(ClientOptions{Clock: b.clock, UserTimeout: 1500 * time.Millisecond, Registry: b.reg})
 	return b
 }
 
 func (b *bench) end() {
-	b.Caller.Close()
+	b.Client.Close()
 	So(b.Stop(time.Hour), ShouldBeNil)
 }
 
@@ -94,16 +94,16 @@
 		b := newBench()
 		defer b.end()
 		for _, text := range []string{"a<b>", strings.Repeat("x", 900_000), ""} {
-			got, err := Ask(ctx, b.Caller, b.Addr(), echo, note{text}, time.Second)
+			got, err := Call(ctx, b.Client, b.Addr(), echo, note{text}, time.Second)
 			So(err, ShouldBeNil)
 			So(got.Text == text, ShouldBeTrue)
 		}
-		So(len(b.Caller.pool.idle[b.Addr()]), ShouldEqual, 1)
-		So(len(b.Caller.pool.live), ShouldEqual, 1)
+		So(len(b.Client.pool.idle[b.Addr()]), ShouldEqual, 1)
+		So(len(b.Client.pool.open), ShouldEqual, 1)
 		So(b.count("crosstide_rpc_calls_total", "server", "/echo"), ShouldEqual, 3)
 		So(b.count("crosstide_rpc_bytes_total", "caller", "out"), ShouldBeGreaterThan, 900_000)
 		ms := 0
-		So(b.Caller.pool.idle[b.Addr()][0].raw.Control(func(fd uintptr) {
+		So(b.Client.pool.idle[b.Addr()][0].raw.Control(func(fd uintptr) {
 			ms, _ = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		}), ShouldBeNil)
 		So(ms, ShouldEqual, 1500)
@@ -111,20 +111,20 @@
 	Convey("Faults come back with kind, field, message, hint and After, and are counted by kind", t, func() {
 		b := newBench()
 		defer b.end()
-		_, err := Ask(ctx, b.Caller, b.Addr(), fail, note{}, time.Second)
+		_, err := Call(ctx, b.Client, b.Addr(), fail, note{}, time.Second)
 		f := errs.Of(err)
 		So([]any{f.Kind, f.Field, f.Message, f.Hint, f.After}, ShouldResemble, []any{errs.NotLeader, "f", "m", "h", 2 * time.Second})
-		_, err = Ask(ctx, b.Caller, b.Addr(), fail, note{"panic"}, time.Second)
+		_, err = Call(ctx, b.Client, b.Addr(), fail, note{"panic"}, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.Internal)
-		_, err = Ask(ctx, b.Caller, b.Addr(), echo, note{strings.Repeat("x", 1<<20)}, time.Second)
+		_, err = Call(ctx, b.Client, b.Addr(), echo, note{strings.Repeat("x", 1<<20)}, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.TooLarge)
-		_, err = Ask(ctx, b.Caller, b.Addr(), Pair[note, note]{"/none"}, note{}, time.Second)
+		_, err = Call(ctx, b.Client, b.Addr(), Endpoint[note, note]{"/none"}, note{}, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
-		_, err = Ask(ctx, b.Caller, b.Addr(), Pair[int, note]{"/echo"}, 5, time.Second)
+		_, err = Call(ctx, b.Client, b.Addr(), Endpoint[int, note]{"/echo"}, 5, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
-		So(Unsent(err), ShouldBeFalse)
+		So(IsUnsent(err), ShouldBeFalse)
 		So(b.count("crosstide_rpc_failures_total", "caller", "/fail", "not_leader"), ShouldEqual, 1)
-		So(len(b.Caller.pool.live), ShouldEqual, 1)
+		So(len(b.Client.pool.open), ShouldEqual, 1)
 	})
 	Convey("A timer that fires, and a context that ends, give Timeout and a reset", t, func() {
 		b := newBench()
@@ -146,51 +146,51 @@
 				}
 				_, seen = io.Copy(io.Discard, c)
 			})
-			_, err = Ask(ctx, b.Caller, ln.Addr().String(), echo, note{"x"}, time.Second)
+			_, err = Call(ctx, b.Client, ln.Addr().String(), echo, note{"x"}, time.Second)
 			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
-			So(Unsent(err), ShouldBeFalse)
+			So(IsUnsent(err), ShouldBeFalse)
 			peer.Wait()
 			cancel()
 			So(errors.Is(seen, unix.ECONNRESET), ShouldBeTrue)
 		}
-		So(len(b.Caller.pool.live), ShouldEqual, 0)
+		So(len(b.Client.pool.open), ShouldEqual, 0)
 	})
 	Convey("A refused connection is Unavailable and unsent; a kept one that the peer closed is not used", t, func() {
 		b := newBench()
-		_, err := Ask(ctx, b.Caller, b.Addr(), echo, note{}, time.Second)
+		_, err := Call(ctx, b.Client, b.Addr(), echo, note{}, time.Second)
 		So(err, ShouldBeNil)
 		So(b.Stop(0), ShouldBeNil)
-		held := b.Caller.pool.idle[b.Addr()][0]
-		_, _ = held.Read(make([]byte, 1)) // until the peer's end is here
-		_, err = Ask(ctx, b.Caller, b.Addr(), echo, note{}, time.Second)
+		current := b.Client.pool.idle[b.Addr()][0]
+		_, _ = current.Read(make([]byte, 1)) // until the peer's end is here
+		_, err = Call(ctx, b.Client, b.Addr(), echo, note{}, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
-		So(Unsent(err), ShouldBeTrue)
-		So(len(b.Caller.pool.live), ShouldEqual, 0)
-		b.Caller.Close()
-		_, err = Ask(ctx, b.Caller, b.Addr(), echo, note{}, time.Second)
+		So(IsUnsent(err), ShouldBeTrue)
+		So(len(b.Client.pool.open), ShouldEqual, 0)
+		b.Client.Close()
+		_, err = Call(ctx, b.Client, b.Addr(), echo, note{}, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
 	})
 }
 
-func TestLine(t *testing.T) {
+func TestDedicatedConn(t *testing.T) {
 	Convey("before runs right before the write; its error keeps every byte back and keeps its kind", t, func() {
 		b := newBench()
 		defer b.end()
-		l := NewDedicatedConn(b.Caller, b.Addr())
+		l := NewDedicatedConn(b.Client, b.Addr())
 		runs := 0
 		check := func() error { runs++; return nil }
-		got, err := AskDedicated(ctx, l, echo, note{"x"}, time.Second, check)
+		got, err := CallDedicated(ctx, l, echo, note{"x"}, time.Second, check)
 		So([]any{got.Text, err, runs}, ShouldResemble, []any{"x", nil, 1})
 		first := l.connection
-		_, err = AskDedicated(ctx, l, echo, note{"y"}, time.Second, func() error { return errs.New(errs.Stale, "lease is over") })
+		_, err = CallDedicated(ctx, l, echo, note{"y"}, time.Second, func() error { return errs.New(errs.Stale, "lease is over") })
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
-		So(Unsent(err), ShouldBeTrue)
+		So(IsUnsent(err), ShouldBeTrue)
 		So(b.count("crosstide_rpc_calls_total", "server", "/echo"), ShouldEqual, 1)
-		_, err = AskDedicated(ctx, l, echo, note{"z"}, time.Second, check)
+		_, err = CallDedicated(ctx, l, echo, note{"z"}, time.Second, check)
 		So(err, ShouldBeNil)
 		So(l.connection, ShouldNotEqual, first)
 		l.Close()
-		_, err = AskDedicated(ctx, l, echo, note{}, time.Second, check)
+		_, err = CallDedicated(ctx, l, echo, note{}, time.Second, check)
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
 		So(runs, ShouldEqual, 2)
 	})
@@ -208,7 +208,7 @@
 			_, seen = io.Copy(io.Discard, c)
 		})
 		runs := 0
-		_, err = AskDedicated(ctx, NewDedicatedConn(b.Caller, ln.Addr().String()), echo, note{strings.Repeat("x", 32<<20)}, time.Second, func() error {
+		_, err = CallDedicated(ctx, NewDedicatedConn(b.Client, ln.Addr().String()), echo, note{strings.Repeat("x", 32<<20)}, time.Second, func() error {
 			if runs++; runs > 1 {
 				return errs.New(errs.Stale, "lease is over")
 			}
@@ -216,7 +216,7 @@
 		})
 		close(b.gate)
 		peer.Wait()
-		So([]any{errs.KindOf(err), Unsent(err), runs}, ShouldResemble, []any{errs.Stale, false, 2})
+		So([]any{errs.KindOf(err), IsUnsent(err), runs}, ShouldResemble, []any{errs.Stale, false, 2})
 		So(errors.Is(seen, unix.ECONNRESET), ShouldBeTrue)
 	})
 }
@@ -224,13 +224,13 @@
 func TestServer(t *testing.T) {
 	Convey("500 blocked handlers do not hold up another call, and Stop lets them finish", t, func() {
 		b := newBench()
-		defer b.Caller.Close()
+		defer b.Client.Close()
 		work := routine.New(ctx)
 		var mu sync.Mutex
 		well := 0
 		for range 500 {
 			work.Go(func(ctx context.Context) {
-				if _, err := Ask(ctx, b.Caller, b.Addr(), block, note{}, time.Hour); err == nil {
+				if _, err := Call(ctx, b.Client, b.Addr(), block, note{}, time.Hour); err == nil {
 					mu.Lock()
 					well++
 					mu.Unlock()
@@ -240,12 +240,12 @@
 		for range 500 {
 			<-b.entered
 		}
-		_, err := Ask(ctx, b.Caller, b.Addr(), echo, note{}, time.Hour)
+		_, err := Call(ctx, b.Client, b.Addr(), echo, note{}, time.Hour)
 		So(err, ShouldBeNil)
 		close(b.gate)
 		work.Wait()
 		So(well, ShouldEqual, 500)
-		So(len(b.Caller.pool.idle[b.Addr()]), ShouldEqual, b.Caller.opt.Idle)
+		So(len(b.Client.pool.idle[b.Addr()]), ShouldEqual, b.Client.opt.MaxIdlePerAddress)
 		So(b.Stop(time.Hour), ShouldBeNil)
 	})
 	Convey("Stop closes no connection before the answers of the handlers that it waited for are written", t, func() {
@@ -255,7 +255,7 @@
 			failed := make(chan error, 100)
 			for range 100 {
 				work.Go(func(ctx context.Context) {
-					if _, err := Ask(ctx, b.Caller, b.Addr(), block, note{}, time.Hour); err != nil {
+					if _, err := Call(ctx, b.Client, b.Addr(), block, note{}, time.Hour); err != nil {
 						failed <- err
 					}
 				})
@@ -274,7 +274,7 @@
 			work.Wait()
 			stopped.Wait()
 			So(failed, ShouldBeEmpty)
-			b.Caller.Close()
+			b.Client.Close()
 		}
 	})
 	Convey("A server that is stopped right after its start stops", t, func() {
@@ -284,16 +284,16 @@
 	})
 	Convey("Stop refuses new requests, and ends handlers that outlast grace", t, func() {
 		b := newBench()
-		defer b.Caller.Close()
+		defer b.Client.Close()
 		work := routine.New(ctx)
-		work.Go(func(ctx context.Context) { _, _ = Ask(ctx, b.Caller, b.Addr(), block, note{}, time.Hour) })
+		work.Go(func(ctx context.Context) { _, _ = Call(ctx, b.Client, b.Addr(), block, note{}, time.Hour) })
 		<-b.entered
-		_, err := Ask(ctx, b.Caller, b.Addr(), echo, note{}, time.Hour) // leaves a kept connection
+		_, err := Call(ctx, b.Client, b.Addr(), echo, note{}, time.Hour) // leaves a kept connection
 		So(err, ShouldBeNil)
 		stopped := make(chan error, 1)
 		routine.New(ctx).Go(func(context.Context) { stopped <- b.Stop(time.Minute) })
 		for err == nil { // until Stop has begun
-			_, err = Ask(ctx, b.Caller, b.Addr(), echo, note{}, time.Hour)
+			_, err = Call(ctx, b.Client, b.Addr(), echo, note{}, time.Hour)
 		}
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
 		for b.requests.Context().Err() == nil { // grace may not be set yet at the first turns
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -32,9 +32,9 @@
 	Descriptors int
 	// Loops is the number of event loops; 0: nbio's default.
 	Loops int
-	// Share bounds the connections: a request on one that found no room is answered errs.Unavailable, with the time to come
+	// Quota bounds the connections: a request on one that found no room is answered errs.Unavailable, with the time to come
 	// back, and the connection is closed. Default: nothing bounds them.
-	Share *Share
+	Quota *ConnQuota
 }
 
 // Server answers pairs and raw routes. Every request runs on a goroutine of its own, so any number of them may
@@ -44,18 +44,18 @@
 	mux      *http.ServeMux
 	engine   *nbhttp.Engine
 	requests *routine.Group
-	meter    *meter
+	metrics  *metrics
 	listener *listener
 	// accepted orders the making of a connection before its first read: nbio hands it from the accepting goroutine
 	// to the event loop by epoll alone, which is no order in Go's memory model.
 	accepted  atomic.Int64
 	admission admission
 
-	mu            sync.Mutex
-	running       int // requests from their last byte read until their answer is written
-	stopping      bool
-	idle          chan struct{} // closed when stopping and nothing runs
-	idleSignalled bool
+	mu             sync.Mutex
+	activeRequests int // requests from their last byte read until their answer is written
+	stopping       bool
+	drained        chan struct{} // closed when stopping and nothing runs
+	drainedClosed  bool
 }
 
 // NewServer makes a server that does not listen yet. Example:
@@ -76,11 +76,11 @@
 	if opt.Clock == nil {
 		opt.Clock = clock.Real{}
 	}
-	routeLogs(opt.Logger)
+	redirectLogs(opt.Logger)
 	boundDescriptors(opt.Descriptors)
 	s := &Server{
 		opt: opt, mux: http.NewServeMux(), requests: routine.New(context.Background()),
-		meter: newMeter("server", opt.Registry), idle: make(chan struct{}),
+		metrics: newMetrics("server", opt.Registry), drained: make(chan struct{}),
 	}
 	bound := int(max(2*opt.MaxBody, MaxBody)) // over it nbhttp cuts the connection without an answer
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
@@ -92,12 +92,12 @@
 		Context:        s.requests.Context(),
 		Cancel:         s.requests.Cancel,
 	})
-	s.admission = newAdmission(opt.Share)
+	s.admission = newAdmission(opt.Quota)
 	s.engine.OnOpen(func(c net.Conn) {
 		s.accepted.Add(1)
-		s.admission.opened(c)
+		s.admission.onOpen(c)
 	})
-	s.engine.OnClose(func(c net.Conn, _ error) { s.admission.closed(c) })
+	s.engine.OnClose(func(c net.Conn, _ error) { s.admission.onClose(c) })
 	s.engine.Engine.OnData(func(c *nbio.Conn, data []byte) {
 		s.accepted.Load()
 		c.DataHandler()(c, data)
@@ -107,7 +107,7 @@
 
 // Handle answers calls of p with serve. ctx ends when the server's grace is over. An error of serve is answered
 // as its failure, bytes that are no JSON of C as errs.Malformed, a method other than POST with 405.
-func Handle[C, A any](s *Server, p Pair[C, A], serve func(ctx context.Context, call C) (A, error)) {
+func Handle[C, A any](s *Server, p Endpoint[C, A], serve func(ctx context.Context, call C) (A, error)) {
 	s.Route(p.Path, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
 			w.Header().Set("Allow", http.MethodPost)
@@ -151,22 +151,22 @@
 // Route answers pattern (as of http.ServeMux) with h, which may answer failures by WriteError. r and w must not be
 // kept after h returns. Call it before Start; a pattern used twice panics.
 func (s *Server) Route(pattern string, h func(w http.ResponseWriter, r *http.Request)) {
-	calls := s.meter.calls.WithLabelValues(pattern)
+	calls := s.metrics.calls.WithLabelValues(pattern)
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		calls.Inc()
-		t := &answerRecorder{ResponseWriter: w}
+		t := &responseRecorder{ResponseWriter: w}
 		defer func() {
 			if p := recover(); p != nil {
 				err := errs.New(errs.Internal, "panic: %v", p)
 				s.logFailure(pattern, err)
-				if !t.begun {
+				if !t.wroteHeader {
 					WriteError(t, errs.New(errs.Internal, "the handler failed"))
 				}
 			}
-			s.meter.in.Add(float64(max(r.ContentLength, 0)))
-			s.meter.out.Add(float64(t.bodyBytes))
-			if t.kind != "" {
-				s.meter.failures.WithLabelValues(pattern, string(t.kind)).Inc()
+			s.metrics.in.Add(float64(max(r.ContentLength, 0)))
+			s.metrics.out.Add(float64(t.bodyBytes))
+			if t.errorKind != "" {
+				s.metrics.failures.WithLabelValues(pattern, string(t.errorKind)).Inc()
 			}
 		}()
 		h(t, r)
@@ -176,28 +176,28 @@
 // execute runs the handling of a request, with the writing of its answer.
 func (s *Server) execute(handle func()) {
 	s.mu.Lock()
-	s.running++
+	s.activeRequests++
 	s.mu.Unlock()
 	s.requests.Go(func(context.Context) {
-		defer s.executed()
+		defer s.requestDone()
 		handle()
 	})
 }
 
-func (s *Server) executed() {
+func (s *Server) requestDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
-	s.signalIdle()
+	s.activeRequests--
+	s.signalDrained()
 }
 
-// signalIdle closes idle once, when the server stops and nothing runs. The mutex is held.
-func (s *Server) signalIdle() {
-	if s.running > 0 || !s.stopping || s.idleSignalled {
+// signalDrained closes idle once, when the server stops and nothing runs. The mutex is held.
+func (s *Server) signalDrained() {
+	if s.activeRequests > 0 || !s.stopping || s.drainedClosed {
 		return
 	}
-	s.idleSignalled = true
-	close(s.idle)
+	s.drainedClosed = true
+	close(s.drained)
 }
 
 // serve passes a request to its route, unless the server is stopping.
@@ -252,17 +252,17 @@
 	s.listener.stopAccepting()
 	s.mu.Lock()
 	s.stopping = true
-	s.signalIdle()
+	s.signalDrained()
 	s.mu.Unlock()
 	over := make(chan struct{})
 	timer := s.opt.Clock.Set(grace, func() { close(over) })
 	defer timer.Stop()
 	var err error
 	select {
-	case <-s.idle:
+	case <-s.drained:
 	case <-over:
 		s.mu.Lock()
-		left := s.running
+		left := s.activeRequests
 		s.mu.Unlock()
 		if left > 0 {
 			err = errs.New(errs.Timeout, "%d handlers still ran after %s", left, grace)
--- a/internal/rpc/turns.go
+++ b/internal/rpc/turns.go
@@ -8,26 +8,26 @@
 	"crosstide/internal/errs"
 )
 
-// turns lets so many calls to an address run at a time; the others wait, first come, first served.
-type turns struct {
-	most int // 0: any number
+// addressLimiter lets so many calls to an address run at a time; the others wait, first come, first served.
+type addressLimiter struct {
+	limit int // 0: any number
 
 	mu      sync.Mutex
 	running map[string]int
 	waiting map[string][]chan struct{} // closed when the turn comes
 }
 
-func newTurns(most int) *turns {
-	return &turns{most: most, running: map[string]int{}, waiting: map[string][]chan struct{}{}}
+func newAddressLimiter(most int) *addressLimiter {
+	return &addressLimiter{limit: most, running: map[string]int{}, waiting: map[string][]chan struct{}{}}
 }
 
 // acquire waits for a turn at addr until ctx ends: then it is errs.Timeout. Each turn is to be released.
-func (t *turns) acquire(ctx context.Context, addr string) error {
-	if t.most <= 0 {
+func (t *addressLimiter) acquire(ctx context.Context, addr string) error {
+	if t.limit <= 0 {
 		return nil
 	}
 	t.mu.Lock()
-	if t.running[addr] < t.most {
+	if t.running[addr] < t.limit {
 		t.running[addr]++
 		t.mu.Unlock()
 		return nil
@@ -50,8 +50,8 @@
 }
 
 // release passes a turn at addr on.
-func (t *turns) release(addr string) {
-	if t.most <= 0 {
+func (t *addressLimiter) release(addr string) {
+	if t.limit <= 0 {
 		return
 	}
 	t.mu.Lock()
@@ -67,7 +67,7 @@
 }
 
 // setWaiting keeps no entry for an address at which nobody waits. The mutex is held.
-func (t *turns) setWaiting(addr string, waiting []chan struct{}) {
+func (t *addressLimiter) setWaiting(addr string, waiting []chan struct{}) {
 	if len(waiting) == 0 {
 		delete(t.waiting, addr)
 		return
--- a/internal/storage/append.go
+++ b/internal/storage/append.go
@@ -11,11 +11,11 @@
 // Invalid and TooLarge (nothing was written), Stopped, Disk (a write or sync failed, now or before: end the
 // process, or call Resume if IsFull; what recs became is unknown). Example:
 //
-//	err := store.Append([]storage.Record{{Kind: storage.KindHard, Data: vote}, {Term: 2, Index: 9, Data: order}})
+//	err := store.Append([]storage.Record{{Kind: storage.KindHardState, Data: vote}, {Term: 2, Index: 9, Data: order}})
 func (s *Store) Append(recs []Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.usable(); err != nil {
+	if err := s.checkUsable(); err != nil {
 		return errs.Pass(err, "append %d records", len(recs))
 	}
 	if len(recs) == 0 {
@@ -27,30 +27,30 @@
 		switch {
 		case len(r.Data) > MaxData:
 			return errs.New(errs.TooLarge, "a record of %d bytes, at most %d", len(r.Data), MaxData)
-		case r.Kind == kindBase:
+		case r.Kind == kindSnapshot:
 			return errs.Field(errs.Invalid, "kind", "%d is the store's own", r.Kind)
-		case r.Kind != KindHard && (r.Index > last+1 || r.Index <= s.newest.Index):
+		case r.Kind != KindHardState && (r.Index > last+1 || r.Index <= s.newest.Index):
 			return errs.Field(errs.Invalid, "index", "entry %d after %d, image at %d", r.Index, last, s.newest.Index)
-		case r.Kind != KindHard:
+		case r.Kind != KindHardState:
 			last = r.Index
 		}
 		s.buf = appendRecord(s.buf, s.segments[len(s.segments)-1].number, s.size, r)
 	}
 	if _, err := s.file.Write(s.buf); err != nil {
-		return errs.Pass(s.fail(errs.Wrap(refused(err), errs.Disk, "write the log")), "append %d records", len(recs))
+		return errs.Pass(s.markFailed(errs.Wrap(markFull(err), errs.Disk, "write the log")), "append %d records", len(recs))
 	}
 	from := s.clock.Now()
 	if err := s.file.Sync(); err != nil {
-		return errs.Pass(s.fail(errs.Wrap(err, errs.Disk, "sync the log")), "append %d records", len(recs))
+		return errs.Pass(s.markFailed(errs.Wrap(err, errs.Disk, "sync the log")), "append %d records", len(recs))
 	}
 	took := s.clock.Now() - from
 	s.size += len(s.buf)
 	for _, r := range recs {
-		s.segments[len(s.segments)-1].note(r)
-		if r.Data = slices.Clone(r.Data); r.Kind != KindHard {
+		s.segments[len(s.segments)-1].track(r)
+		if r.Data = slices.Clone(r.Data); r.Kind != KindHardState {
 			r.Data = nil
 		}
-		s.log.add(r)
+		s.log.apply(r)
 	}
 	s.updateStats(func(c *Stats) {
 		c.Syncs, c.Bytes, c.Records = c.Syncs+1, c.Bytes+uint64(len(s.buf)), c.Records+uint64(len(recs))
--- a/internal/storage/crashpoints_test.go
+++ b/internal/storage/crashpoints_test.go
@@ -38,7 +38,7 @@
 	return &crashDisk{live: map[string]*crashFile{}, kept: map[string]*crashFile{}}
 }
 
-// note keeps what a loss of power now may leave.
+// track keeps what a loss of power now may leave.
 func (d *crashDisk) note() {
 	point := crashPoint{}
 	for _, names := range append([]map[string]*crashFile{d.kept}, d.pending...) {
@@ -174,8 +174,8 @@
 		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.Append(recs), "append") }, recs, m})
 	}
 	slot := func(index, keepFrom uint64) {
-		img := m.image(index)
-		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.WriteSnapshot(img, keepFrom), "slot") }, nil, m})
+		snap := m.image(index)
+		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.WriteSnapshot(snap, keepFrom), "slot") }, nil, m})
 	}
 	add(hard(1), entry(1, 1), entry(1, 2), entry(1, 3))
 	add(entry(1, 4))
@@ -239,8 +239,8 @@
 			}
 			c.Crash(rand.New(rand.NewSource(int64(again))))
 		}
-		s, boot, err := Open(c, virtual)
-		if err != nil || !allowedAfter(boot, before, steps, step) {
+		s, recovered, err := Open(c, virtual)
+		if err != nil || !allowedAfter(recovered, before, steps, step) {
 			return false
 		}
 		if s.Append([]Record{hard(99)}) != nil {
@@ -250,19 +250,19 @@
 }
 
 // allowedAfter tells whether what a start found may be there after a loss of power during a step.
-func allowedAfter(boot Boot, before model, steps []crashStep, step int) bool {
-	if before.fits(boot) {
+func allowedAfter(recovered Recovered, before model, steps []crashStep, step int) bool {
+	if before.fits(recovered) {
 		return true
 	}
 	if step == len(steps) {
 		return false
 	}
 	for n := range steps[step].tries {
-		if before.with(steps[step].tries[:n+1]...).fits(boot) {
+		if before.with(steps[step].tries[:n+1]...).fits(recovered) {
 			return true
 		}
 	}
-	return steps[step].after.fits(boot)
+	return steps[step].after.fits(recovered)
 }
 
 func TestEveryCrashPoint(t *testing.T) {
--- a/internal/storage/full.go
+++ b/internal/storage/full.go
@@ -24,13 +24,13 @@
 	return errors.As(err, &full)
 }
 
-// refusals are the errors of writes that leave all that was synced as it was: there is no room on the disk, or the process
+// fullErrors are the errors of writes that leave all that was synced as it was: there is no room on the disk, or the process
 // is out of descriptors for the file.
-var refusals = []error{unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE}
+var fullErrors = []error{unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE}
 
-// refused marks the error of a write, not of a sync, if it is one of refusals.
-func refused(err error) error {
-	if slices.ContainsFunc(refusals, func(refusal error) bool { return errors.Is(err, refusal) }) {
+// markFull marks the error of a write, not of a sync, if it is one of refusals.
+func markFull(err error) error {
+	if slices.ContainsFunc(fullErrors, func(fullErr error) bool { return errors.Is(err, fullErr) }) {
 		return fullError{err}
 	}
 	return errs.Pass(err, "write")
@@ -41,17 +41,17 @@
 // Records of the refused Append may or may not be in the log afterwards; the caller appends them again. Failures: Disk
 // (IsFull: there is still no room, call it again later), Damaged, Stopped.
 func (s *Store) Resume() error {
-	s.writingSlot.Lock()
-	defer s.writingSlot.Unlock()
+	s.snapshotMu.Lock()
+	defer s.snapshotMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.broken != nil && !IsFull(s.broken) {
-		return errs.Pass(s.usable(), "resume")
+	if s.closed || s.failure != nil && !IsFull(s.failure) {
+		return errs.Pass(s.checkUsable(), "resume")
 	}
-	if s.broken == nil {
+	if s.failure == nil {
 		return nil
 	}
-	next := &Store{disk: s.disk, clock: s.clock, newestPlace: 1}
+	next := &Store{disk: s.disk, clock: s.clock, newestFile: 1}
 	if _, err := next.open(); err != nil {
 		return errs.Pass(err, "resume")
 	}
@@ -60,7 +60,7 @@
 	}
 	_ = s.file.Close() // what counts of it is in the new file
 	s.file, s.size, s.segments = next.file, next.size, next.segments
-	s.log, s.newest, s.newestPlace, s.broken = next.log, next.newest, next.newestPlace, nil
+	s.log, s.newest, s.newestFile, s.failure = next.log, next.newest, next.newestFile, nil
 	return nil
 }
 
--- a/internal/storage/full_test.go
+++ b/internal/storage/full_test.go
@@ -13,36 +13,36 @@
 // limited is a disk with room for so many more bytes and names; a write beyond it keeps what fits and is refused.
 type limited struct {
 	Disk
-	room *int
+	free *int
 }
 
 type limitedFile struct {
 	File
-	room *int
+	free *int
 }
 
 // nameCost is what a new name takes.
 const nameCost = 8
 
 func (d limited) Create(name string) (File, error) {
-	if *d.room < nameCost {
+	if *d.free < nameCost {
 		return nil, unix.ENOSPC
 	}
-	*d.room -= nameCost
+	*d.free -= nameCost
 	file, err := d.Disk.Create(name)
-	return limitedFile{file, d.room}, errs.Pass(err, "create")
+	return limitedFile{file, d.free}, errs.Pass(err, "create")
 }
 
 func (f limitedFile) Write(p []byte) (int, error) {
-	if fits := *f.room; fits < len(p) {
-		*f.room = 0
+	if fits := *f.free; fits < len(p) {
+		*f.free = 0
 		n, err := f.File.Write(p[:fits])
 		if err != nil {
 			return n, errs.Pass(err, "write")
 		}
 		return n, unix.ENOSPC
 	}
-	*f.room -= len(p)
+	*f.free -= len(p)
 	n, err := f.File.Write(p)
 	return n, errs.Pass(err, "write")
 }
@@ -66,15 +66,15 @@
 	}
 	for _, step := range steps {
 		Convey("However little room is left, nothing synced is lost and the store goes on once there is room: "+step.name, t, func() {
-			refusals := 0
-			for room := 0; room < 2000; room++ {
-				full, done := playFull(room, step.do, step.then)
+			fullErrors := 0
+			for free := 0; free < 2000; free++ {
+				full, done := playOnFullDisk(free, step.do, step.then)
 				if done {
 					break
 				}
-				refusals += full
+				fullErrors += full
 			}
-			So(refusals, ShouldBeGreaterThan, 20)
+			So(fullErrors, ShouldBeGreaterThan, 20)
 		})
 	}
 	Convey("A failed sync stays fatal: Resume refuses", t, func() {
@@ -88,42 +88,42 @@
 		So(s.Append([]Record{entry(12, 12)}), shouldBe, errs.Disk)
 	})
 	Convey("A start on a full disk is refused, changes nothing that counts, and can be tried again", t, func() {
-		for room := 0; room < 400; room++ {
+		for free := 0; free < 400; free++ {
 			d, m := filled()
-			left := room
+			left := free
 			s, _, err := Open(limited{d, &left}, virtual)
 			if err == nil {
 				So(s.Close(), ShouldBeNil)
-				So(room, ShouldBeGreaterThan, 20)
+				So(free, ShouldBeGreaterThan, 20)
 				return
 			}
 			So(IsFull(err), ShouldBeTrue)
 			left = plenty
-			_, boot, err := Open(limited{d, &left}, virtual)
+			_, recovered, err := Open(limited{d, &left}, virtual)
 			So(err, ShouldBeNil)
-			So(m.fits(boot), ShouldBeTrue)
+			So(m.fits(recovered), ShouldBeTrue)
 		}
 		So("a start that fits", ShouldEqual, "")
 	})
 }
 
-// playFull does a step on a disk with so much room, looks after a loss of power at what lasts, and then does it again
+// playOnFullDisk does a step on a disk with so much room, looks after a loss of power at what lasts, and then does it again
 // with room. It gives whether the first try found the disk full, and whether it succeeded.
-func playFull(room int, do func(*Store, model) error, then func(model) model) (full int, done bool) {
+func playOnFullDisk(free int, do func(*Store, model) error, then func(model) model) (full int, done bool) {
 	d, m := filled()
 	left := plenty
 	s := must(Open(limited{d, &left}, virtual))
-	left = room
+	left = free
 	err := do(s, m)
 	if err == nil {
 		return 0, true
 	}
 	So(IsFull(err), ShouldBeTrue)
 	lasts := d.Clone()
-	lasts.Crash(rand.New(rand.NewSource(int64(room))))
-	_, boot, err := Open(lasts, virtual)
+	lasts.Crash(rand.New(rand.NewSource(int64(free))))
+	_, recovered, err := Open(lasts, virtual)
 	So(err, ShouldBeNil)
-	So(m.fits(boot) || then(m).fits(boot) || m.with(hard(12)).fits(boot), ShouldBeTrue)
+	So(m.fits(recovered) || then(m).fits(recovered) || m.with(hard(12)).fits(recovered), ShouldBeTrue)
 
 	left = 0
 	if err := s.Resume(); err != nil { // a slot that found no room has broken nothing
@@ -133,20 +133,20 @@
 	left = plenty
 	So(s.Resume(), ShouldBeNil)
 	So(do(s, m), ShouldBeNil)
-	d.Crash(rand.New(rand.NewSource(int64(room))))
-	_, boot, err = Open(d, virtual)
+	d.Crash(rand.New(rand.NewSource(int64(free))))
+	_, recovered, err = Open(d, virtual)
 	So(err, ShouldBeNil)
-	So(then(m).fits(boot), ShouldBeTrue)
+	So(then(m).fits(recovered), ShouldBeTrue)
 	return 1, false
 }
 
-// crowded is a disk whose process is out of descriptors while none is left.
-type crowded struct {
+// descriptorLimited is a disk whose process is out of descriptors while none is left.
+type descriptorLimited struct {
 	Disk
 	left *int
 }
 
-func (d crowded) Create(name string) (File, error) {
+func (d descriptorLimited) Create(name string) (File, error) {
 	if *d.left <= 0 {
 		return nil, unix.EMFILE
 	}
@@ -158,7 +158,7 @@
 	Convey("A snapshot that finds no descriptor is refused as for want of room, and written once there is one", t, func() {
 		left := 10
 		disk := NewMemDisk()
-		store, _, err := Open(crowded{disk, &left}, Options{})
+		store, _, err := Open(descriptorLimited{disk, &left}, Options{})
 		So(err, ShouldBeNil)
 		So(store.Append([]Record{hard(1), entry(1, 1)}), ShouldBeNil)
 		left = 0
@@ -180,9 +180,9 @@
 		none := unix.Rlimit{Cur: 0, Max: limit.Max}
 		So(unix.Setrlimit(unix.RLIMIT_NOFILE, &none), ShouldBeNil)
 		failed := disk.Sync()
-		_, refusal := disk.Create("a")
+		_, fullErr := disk.Create("a")
 		So(unix.Setrlimit(unix.RLIMIT_NOFILE, &limit), ShouldBeNil)
 		So(failed, ShouldBeNil)
-		So(IsFull(refused(refusal)), ShouldBeTrue)
+		So(IsFull(markFull(fullErr)), ShouldBeTrue)
 	})
 }
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -10,19 +10,19 @@
 // FuzzOpen reads any bytes as files of the folder: no panic, only records whose sum is right, and what was
 // opened opens again to the same.
 func FuzzOpen(f *testing.F) {
-	f.Fuzz(func(t *testing.T, log1, log2, slotA, slotB []byte) {
+	f.Fuzz(func(t *testing.T, log1, log2, snapshotA, snapshotB []byte) {
 		d := NewMemDisk()
 		files := [][]byte{log1, log2}
-		for i, all := range [][]byte{log1, log2, slotA, slotB} {
+		for i, all := range [][]byte{log1, log2, snapshotA, snapshotB} {
 			name := segment{number: uint64(i + 1)}.name()
 			if i > 1 {
-				name = slotNames[i-2]
+				name = snapshotFileNames[i-2]
 			}
 			if len(all) > 0 {
 				d.Put(name, all)
 			}
 		}
-		_, boot, err := Open(d, virtual)
+		_, recovered, err := Open(d, virtual)
 		if err != nil {
 			if !errs.Is(err, errs.Damaged) {
 				t.Fatalf("not damage: %v", err)
@@ -37,14 +37,14 @@
 				}
 			}
 		}
-		for _, r := range boot.Records {
+		for _, r := range recovered.Records {
 			if !valid[fmt.Sprintf("%v", r)] {
 				t.Fatalf("a record that no file holds: %v", r)
 			}
 		}
 		_, again, err := Open(d, virtual)
-		if boot.Cut = 0; err != nil || fmt.Sprint(boot.Records) != fmt.Sprint(again.Records) {
-			t.Fatalf("opens to %v, then to %v (%v)", boot, again, err)
+		if recovered.TornBytes = 0; err != nil || fmt.Sprint(recovered.Records) != fmt.Sprint(again.Records) {
+			t.Fatalf("opens to %v, then to %v (%v)", recovered, again, err)
 		}
 	})
 }
--- a/internal/storage/logview.go
+++ b/internal/storage/logview.go
@@ -1,28 +1,28 @@
 package storage
 
-// logView is the outcome of a sequence of records.
-type logView struct {
-	entries []Record // the entries that were not replaced, indexes without a gap
-	hard    *Record
-	floor   uint64 // entries up to here are known only through a snapshot
-	base    Record // the last kindBase
+// logState is the outcome of a sequence of records.
+type logState struct {
+	entries      []Record // the entries that were not replaced, indexes without a gap
+	hardState    *Record
+	compactedTo  uint64 // entries up to here are known only through a snapshot
+	lastSnapshot Record // the last kindSnapshot
 }
 
 // lastIndex is the index of the newest entry.
-func (t *logView) lastIndex() uint64 {
+func (t *logState) lastIndex() uint64 {
 	if n := len(t.entries); n > 0 {
-		return max(t.entries[n-1].Index, t.floor)
+		return max(t.entries[n-1].Index, t.compactedTo)
 	}
-	return t.floor
+	return t.compactedTo
 }
 
-// add applies the next record; false means a gap in the indexes.
-func (t *logView) add(r Record) bool {
+// apply applies the next record; false means a gap in the indexes.
+func (t *logState) apply(r Record) bool {
 	switch r.Kind {
-	case KindHard:
-		t.hard = &r
-	case kindBase:
-		t.rebase(r)
+	case KindHardState:
+		t.hardState = &r
+	case kindSnapshot:
+		t.applySnapshot(r)
 	default:
 		n := len(t.entries)
 		if n > 0 && r.Index > t.entries[n-1].Index+1 || r.Index == 0 {
@@ -36,10 +36,10 @@
 	return true
 }
 
-// rebase records that a snapshot was written. Entries that include its index with its term stay. Entries that the
+// applySnapshot records that a snapshot was written. Entries that include its index with its term stay. Entries that the
 // snapshot contradicts, or that end before it, are dropped: it came from another member.
-func (t *logView) rebase(b Record) {
-	t.base = b
+func (t *logState) applySnapshot(b Record) {
+	t.lastSnapshot = b
 	if len(t.entries) > 0 {
 		first := t.entries[0].Index
 		if first > b.Index {
@@ -49,12 +49,12 @@
 			return
 		}
 	}
-	t.entries, t.floor = nil, max(t.floor, b.Index)
+	t.entries, t.compactedTo = nil, max(t.compactedTo, b.Index)
 }
 
 // entriesAfter returns the entries after an image of index; false if the log does not follow it without a gap.
-func (t *logView) entriesAfter(index uint64) ([]Record, bool) {
-	if t.floor > index {
+func (t *logState) entriesAfter(index uint64) ([]Record, bool) {
+	if t.compactedTo > index {
 		return nil, false
 	}
 	for i, r := range t.entries {
--- a/internal/storage/memdisk.go
+++ b/internal/storage/memdisk.go
@@ -17,7 +17,7 @@
 	live          map[string]*inode
 	durable       map[string]*inode   // the files by name, as last synced
 	unsyncedNames []map[string]*inode // the files by name after each change since then
-	boot          int
+	incarnation   int
 	failSync      int
 	powerOff      int
 }
@@ -29,10 +29,10 @@
 }
 
 type memFile struct {
-	disk   *MemDisk
-	inode  *inode
-	boot   int
-	offset int
+	disk        *MemDisk
+	inode       *inode
+	incarnation int
+	offset      int
 }
 
 // NewMemDisk makes an empty folder. Example:
@@ -57,7 +57,7 @@
 func (d *MemDisk) Crash(r *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.boot++
+	d.incarnation++
 	d.failSync, d.powerOff = 0, 0
 	if n := r.Intn(len(d.unsyncedNames) + 1); n > 0 {
 		d.durable = d.unsyncedNames[n-1]
@@ -121,13 +121,13 @@
 }
 
 // checkWritable counts a changing call; it fails while the power is off and for files opened before a crash.
-func (d *MemDisk) checkWritable(boot int) error {
+func (d *MemDisk) checkWritable(recovered int) error {
 	if d.powerOff > 1 {
 		d.powerOff--
 	} else if d.powerOff == 1 {
 		return errs.New(errs.Disk, "power is off")
 	}
-	if boot != d.boot {
+	if recovered != d.incarnation {
 		return errs.New(errs.Disk, "file of an earlier boot")
 	}
 	return nil
@@ -151,7 +151,7 @@
 func (d *MemDisk) Create(name string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.boot); err != nil {
+	if err := d.checkWritable(d.incarnation); err != nil {
 		return nil, errs.Pass(err, "create %s", name)
 	}
 	if d.live[name] != nil {
@@ -159,7 +159,7 @@
 	}
 	n := &inode{}
 	d.changeNames(func() { d.live[name] = n })
-	return &memFile{disk: d, inode: n, boot: d.boot}, nil
+	return &memFile{disk: d, inode: n, incarnation: d.incarnation}, nil
 }
 
 // Open opens a file to read.
@@ -169,7 +169,7 @@
 	if d.live[name] == nil {
 		return nil, errs.New(errs.Disk, "%s is missing", name)
 	}
-	return &memFile{disk: d, inode: d.live[name], boot: d.boot}, nil
+	return &memFile{disk: d, inode: d.live[name], incarnation: d.incarnation}, nil
 }
 
 // List returns the names in order.
@@ -183,7 +183,7 @@
 func (d *MemDisk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.boot); err != nil {
+	if err := d.checkWritable(d.incarnation); err != nil {
 		return errs.Pass(err, "remove %s", name)
 	}
 	if d.live[name] == nil {
@@ -197,7 +197,7 @@
 func (d *MemDisk) Rename(old, name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.boot); err != nil {
+	if err := d.checkWritable(d.incarnation); err != nil {
 		return errs.Pass(err, "rename %s", old)
 	}
 	n := d.live[old]
@@ -212,7 +212,7 @@
 func (d *MemDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.boot); err != nil {
+	if err := d.checkWritable(d.incarnation); err != nil {
 		return errs.Pass(err, "sync the folder")
 	}
 	if d.syncFails() {
@@ -238,7 +238,7 @@
 func (f *memFile) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if err := f.disk.checkWritable(f.boot); err != nil {
+	if err := f.disk.checkWritable(f.incarnation); err != nil {
 		return 0, errs.Pass(err, "write")
 	}
 	f.inode.data = append(f.inode.data, p...)
@@ -250,7 +250,7 @@
 func (f *memFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if err := f.disk.checkWritable(f.boot); err != nil {
+	if err := f.disk.checkWritable(f.incarnation); err != nil {
 		return errs.Pass(err, "sync")
 	}
 	if f.disk.syncFails() {
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -6,17 +6,17 @@
 	"hash/crc32"
 )
 
-// KindHard is the kind of a record of the hard state; its Data (term and vote) is the caller's.
-const KindHard uint8 = 255
+// KindHardState is the kind of a record of the hard state; its Data (term and vote) is the caller's.
+const KindHardState uint8 = 255
 
-// kindBase is the kind of a record that says which snapshot was the newest at that place of the log. Only the store
+// kindSnapshot is the kind of a record that says which snapshot was the newest at that place of the log. Only the store
 // writes it.
-const kindBase uint8 = 254
+const kindSnapshot uint8 = 254
 
 // MaxData bounds the Data of one record, in bytes.
 const MaxData = 64 << 20
 
-// Record is one record of the log: an entry (any kind below 254), or KindHard.
+// Record is one record of the log: an entry (any kind below 254), or KindHardState.
 type Record struct {
 	Kind        uint8
 	Term, Index uint64 // Index of an entry starts at 1
@@ -24,11 +24,11 @@
 }
 
 const (
-	recordMark     = "\xc7\x1dRc"     // starts each record, so that a reader can find one again after damage
-	recordHeadSize = 29               // mark 4, sum 4, length 4, kind 1, term 8, index 8
-	slotMark       = "ctslot\x00\x01" // starts a slot
-	slotHeadSize   = 48               // mark 8, number 8, index 8, term 8, meta length 8, body length 8
-	slotSumSize    = 8                // the sum at the end
+	recordMagic          = "\xc7\x1dRc"     // starts each record, so that a reader can find one again after damage
+	recordHeaderSize     = 29               // mark 4, sum 4, length 4, kind 1, term 8, index 8
+	snapshotMagic        = "ctslot\x00\x01" // starts a slot
+	snapshotHeaderSize   = 48               // mark 8, number 8, index 8, term 8, meta length 8, body length 8
+	snapshotChecksumSize = 8                // the sum at the end
 )
 
 var (
@@ -36,8 +36,8 @@
 	byteOrder  = binary.LittleEndian
 )
 
-// recordSum is the checksum over the record's place (segment, offset), length, kind, term, index and data.
-func recordSum(segment uint64, offset int, rest []byte) uint32 {
+// recordChecksum is the checksum over the record's place (segment, offset), length, kind, term, index and data.
+func recordChecksum(segment uint64, offset int, rest []byte) uint32 {
 	var at [16]byte
 	byteOrder.PutUint64(at[:], segment)
 	byteOrder.PutUint64(at[8:], uint64(offset))
@@ -47,14 +47,14 @@
 // appendRecord adds r to buf; buf[0] will be written at offset start of the segment.
 func appendRecord(buf []byte, segment uint64, start int, r Record) []byte {
 	at := len(buf)
-	buf = append(buf, recordMark...)
+	buf = append(buf, recordMagic...)
 	buf = append(buf, 0, 0, 0, 0)
 	buf = byteOrder.AppendUint32(buf, uint32(len(r.Data)))
 	buf = append(buf, r.Kind)
 	buf = byteOrder.AppendUint64(buf, r.Term)
 	buf = byteOrder.AppendUint64(buf, r.Index)
 	buf = append(buf, r.Data...)
-	byteOrder.PutUint32(buf[at+4:], recordSum(segment, start+at, buf[at+8:]))
+	byteOrder.PutUint32(buf[at+4:], recordChecksum(segment, start+at, buf[at+8:]))
 	return buf
 }
 
@@ -62,18 +62,18 @@
 // Data is a part of all.
 func recordAt(all []byte, segment uint64, offset int) (r Record, end int, ok bool) {
 	b := all[offset:]
-	if len(b) < recordHeadSize || string(b[:4]) != recordMark {
+	if len(b) < recordHeaderSize || string(b[:4]) != recordMagic {
 		return r, offset, false
 	}
 	size := byteOrder.Uint32(b[8:])
-	if size > MaxData || int(size) > len(b)-recordHeadSize {
+	if size > MaxData || int(size) > len(b)-recordHeaderSize {
 		return r, offset, false
 	}
-	b = b[:recordHeadSize+int(size)]
-	if recordSum(segment, offset, b[8:]) != byteOrder.Uint32(b[4:]) {
+	b = b[:recordHeaderSize+int(size)]
+	if recordChecksum(segment, offset, b[8:]) != byteOrder.Uint32(b[4:]) {
 		return r, offset, false
 	}
-	r = Record{Kind: b[12], Term: byteOrder.Uint64(b[13:]), Index: byteOrder.Uint64(b[21:]), Data: b[recordHeadSize:]}
+	r = Record{Kind: b[12], Term: byteOrder.Uint64(b[13:]), Index: byteOrder.Uint64(b[21:]), Data: b[recordHeaderSize:]}
 	return r, offset + len(b), true
 }
 
@@ -92,7 +92,7 @@
 // anyRecord reports whether a valid record starts at offset or later.
 func anyRecord(all []byte, segment uint64, offset int) bool {
 	for offset < len(all) {
-		i := bytes.Index(all[offset:], []byte(recordMark))
+		i := bytes.Index(all[offset:], []byte(recordMagic))
 		if i < 0 {
 			return false
 		}
--- a/internal/storage/segment.go
+++ b/internal/storage/segment.go
@@ -13,8 +13,8 @@
 
 func (g segment) name() string { return fmt.Sprintf("%s%016d", segmentPrefix, g.number) }
 
-func (g *segment) note(r Record) {
-	if r.Kind < kindBase {
+func (g *segment) track(r Record) {
+	if r.Kind < kindSnapshot {
 		g.lastEntry = max(g.lastEntry, r.Index)
 	}
 }
@@ -27,10 +27,10 @@
 
 // segmentHead returns the first records of a segment. Data in the first one means that the hard state follows.
 func (s *Store) segmentHead() []Record {
-	out := []Record{{Kind: kindBase, Index: s.newest.Index, Term: s.newest.Term}}
-	if s.log.hard != nil {
+	out := []Record{{Kind: kindSnapshot, Index: s.newest.Index, Term: s.newest.Term}}
+	if s.log.hardState != nil {
 		out[0].Data = []byte{1}
-		out = append(out, *s.log.hard)
+		out = append(out, *s.log.hardState)
 	}
 	return out
 }
@@ -56,12 +56,12 @@
 func (s *Store) writeFile(name string, parts ...[]byte) (File, error) {
 	file, err := s.disk.Create(name + unfinishedSuffix)
 	if err != nil {
-		return nil, errs.Wrap(refused(err), errs.Disk, "create %s", name)
+		return nil, errs.Wrap(markFull(err), errs.Disk, "create %s", name)
 	}
 	bytes := 0
 	for _, p := range parts {
 		if _, err = file.Write(p); err != nil {
-			err = refused(err)
+			err = markFull(err)
 			break
 		}
 		bytes += len(p)
@@ -70,7 +70,7 @@
 		err = file.Sync()
 	}
 	if err == nil {
-		err = refused(s.disk.Rename(name+unfinishedSuffix, name))
+		err = markFull(s.disk.Rename(name+unfinishedSuffix, name))
 	}
 	if err == nil {
 		err = s.disk.Sync()
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -14,47 +14,47 @@
 // snapshot may be written again). Example:
 //
 //	err := store.WriteSlot(storage.Image{Index: applied, Term: term, Meta: members, Body: state}, 0)
-func (s *Store) WriteSnapshot(img Snapshot, keepFrom uint64) error {
-	s.writingSlot.Lock()
-	defer s.writingSlot.Unlock()
+func (s *Store) WriteSnapshot(snap Snapshot, keepFrom uint64) error {
+	s.snapshotMu.Lock()
+	defer s.snapshotMu.Unlock()
 	s.mu.Lock()
-	err, before, at := s.usable(), s.newest, 1-s.newestPlace
+	err, before, at := s.checkUsable(), s.newest, 1-s.newestFile
 	s.mu.Unlock()
 	if err != nil {
 		return errs.Pass(err, "snapshot %d", before.Number+1)
 	}
-	if img.Index < before.Index {
-		return errs.Field(errs.Invalid, "index", "image at %d, the newest snapshot is at %d", img.Index, before.Index)
+	if snap.Index < before.Index {
+		return errs.Field(errs.Invalid, "index", "image at %d, the newest snapshot is at %d", snap.Index, before.Index)
 	}
-	img.Number = before.Number + 1
-	head, tail := slotParts(img)
-	file, err := s.writeFile(slotNames[at], head, img.Body, tail)
+	snap.Number = before.Number + 1
+	head, tail := encodeSnapshot(snap)
+	file, err := s.writeFile(snapshotFileNames[at], head, snap.Body, tail)
 	if IsFull(err) {
-		if unfinished := s.removeUnfinished(slotNames[at]); unfinished == nil {
-			return errs.Pass(err, "slot %d", img.Number) // nothing has changed
+		if unfinished := s.removeUnfinished(snapshotFileNames[at]); unfinished == nil {
+			return errs.Pass(err, "slot %d", snap.Number) // nothing has changed
 		}
 	}
 	if err == nil {
 		_ = file.Close() // synced before
-		err = s.rotate(img, at, before.Index, keepFrom)
+		err = s.rotate(snap, at, before.Index, keepFrom)
 	}
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return errs.Pass(s.fail(err), "snapshot %d", img.Number)
+		return errs.Pass(s.markFailed(err), "snapshot %d", snap.Number)
 	}
 	s.updateStats(func(c *Stats) { c.Snapshots++ })
 	return nil
 }
 
 // rotate starts a segment after the snapshot img is durable, and removes those that are not needed.
-func (s *Store) rotate(img Snapshot, at int, before, keepFrom uint64) error {
+func (s *Store) rotate(snap Snapshot, at int, before, keepFrom uint64) error {
 	s.mu.Lock()
-	err := s.usable()
+	err := s.checkUsable()
 	if err == nil {
-		s.newest, s.newestPlace = Snapshot{Number: img.Number, Index: img.Index, Term: img.Term}, at
+		s.newest, s.newestFile = Snapshot{Number: snap.Number, Index: snap.Index, Term: snap.Term}, at
 		head := s.segmentHead()
-		s.log.rebase(head[0])
+		s.log.applySnapshot(head[0])
 		g := segment{number: s.segments[len(s.segments)-1].number + 1}
 		if err = s.startSegment(g, head); err == nil {
 			s.segments = append(s.segments, g)
@@ -67,9 +67,9 @@
 	old := s.segments[:n]
 	s.segments = slices.Clone(s.segments[n:])
 	if n > 0 {
-		s.log.entries = slices.DeleteFunc(s.log.entries, func(r Record) bool { return r.Index <= before && r.Index <= img.Index })
+		s.log.entries = slices.DeleteFunc(s.log.entries, func(r Record) bool { return r.Index <= before && r.Index <= snap.Index })
 		if len(s.log.entries) == 0 {
-			s.log.floor = max(s.log.floor, img.Index)
+			s.log.compactedTo = max(s.log.compactedTo, snap.Index)
 		}
 	}
 	s.mu.Unlock()
@@ -82,7 +82,7 @@
 // NewestSnapshot reads the newest snapshot back and checks it. Failures: Unknown (none was written), Damaged, Disk.
 func (s *Store) NewestSnapshot() (Snapshot, error) {
 	s.mu.Lock()
-	name, number := slotNames[s.newestPlace], s.newest.Number
+	name, number := snapshotFileNames[s.newestFile], s.newest.Number
 	s.mu.Unlock()
 	if number == 0 {
 		return Snapshot{}, errs.New(errs.Unknown, "no snapshot was written yet")
@@ -91,12 +91,12 @@
 	if err != nil {
 		return Snapshot{}, errs.Pass(err, "newest snapshot")
 	}
-	img, err := readSlot(all)
+	snap, err := decodeSnapshot(all)
 	if err != nil {
 		return Snapshot{}, errs.Pass(err, "read %s", name)
 	}
-	if img.Number < number {
-		return Snapshot{}, errs.New(errs.Damaged, "%s holds number %d, not %d", name, img.Number, number)
+	if snap.Number < number {
+		return Snapshot{}, errs.New(errs.Damaged, "%s holds number %d, not %d", name, snap.Number, number)
 	}
-	return img, nil
+	return snap, nil
 }
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -14,29 +14,29 @@
 	Body        []byte // the state
 }
 
-// slotParts returns the bytes before and after the body in a snapshot's file.
-func slotParts(img Snapshot) (head, tail []byte) {
-	head = append(head, slotMark...)
-	for _, v := range []uint64{img.Number, img.Index, img.Term, uint64(len(img.Meta)), uint64(len(img.Body))} {
+// encodeSnapshot returns the bytes before and after the body in a snapshot's file.
+func encodeSnapshot(snap Snapshot) (head, tail []byte) {
+	head = append(head, snapshotMagic...)
+	for _, v := range []uint64{snap.Number, snap.Index, snap.Term, uint64(len(snap.Meta)), uint64(len(snap.Body))} {
 		head = byteOrder.AppendUint64(head, v)
 	}
-	head = append(head, img.Meta...)
+	head = append(head, snap.Meta...)
 	sum := xxhash.New()
-	_, _ = sum.Write(head)     // never fails
-	_, _ = sum.Write(img.Body) // never fails
+	_, _ = sum.Write(head)      // never fails
+	_, _ = sum.Write(snap.Body) // never fails
 	return head, byteOrder.AppendUint64(nil, sum.Sum64())
 }
 
-// readSlot decodes and checks a snapshot's file. Failure: Damaged.
-func readSlot(all []byte) (Snapshot, error) {
-	if len(all) < slotHeadSize+slotSumSize || string(all[:8]) != slotMark {
+// decodeSnapshot decodes and checks a snapshot's file. Failure: Damaged.
+func decodeSnapshot(all []byte) (Snapshot, error) {
+	if len(all) < snapshotHeaderSize+snapshotChecksumSize || string(all[:8]) != snapshotMagic {
 		return Snapshot{}, errs.New(errs.Damaged, "no slot in %d bytes", len(all))
 	}
-	cut := len(all) - slotSumSize
+	cut := len(all) - snapshotChecksumSize
 	if xxhash.Sum64(all[:cut]) != byteOrder.Uint64(all[cut:]) {
 		return Snapshot{}, errs.New(errs.Damaged, "the slot's sum is wrong")
 	}
-	rest := all[slotHeadSize:cut]
+	rest := all[snapshotHeaderSize:cut]
 	meta, body := byteOrder.Uint64(all[32:]), byteOrder.Uint64(all[40:])
 	if meta > uint64(len(rest)) || body != uint64(len(rest))-meta {
 		return Snapshot{}, errs.New(errs.Damaged, "the slot's lengths are wrong")
