--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -21,20 +21,20 @@
 	segmentPrefix    = "log-" // of the name of a segment, before its number
 )
 
-// slotNames are the files of the two snapshots.
-var slotNames = [2]string{"slot-a", "slot-b"}
+// snapshotFileNames are the files of the two snapshots.
+var snapshotFileNames = [2]string{"slot-a", "slot-b"}
 
 // Options are the settings of a Store.
 type Options struct {
 	Clock clock.Clock // times the syncs for Stats; nil takes clock.Real
 }
 
-// Boot is what Open read.
-type Boot struct {
-	Snapshot *Snapshot // the newest snapshot that the log follows; nil if none was ever written
-	Records  []Record  // the last KindHard if there is one, then the entries after Image, without a gap
-	Fresh    bool      // the folder holds no image, no hard state and no entry
-	Cut      int64     // bytes of torn tail that were cut
+// Recovered is what Open read.
+type Recovered struct {
+	Snapshot  *Snapshot // the newest snapshot that the log follows; nil if none was ever written
+	Records   []Record  // the last KindHardState if there is one, then the entries after Image, without a gap
+	Fresh     bool      // the folder holds no image, no hard state and no entry
+	TornBytes int64     // bytes of torn tail that were cut
 }
 
 // Stats counts since Open.
@@ -45,20 +45,20 @@
 
 // Store is an open folder. Append, WriteSlot, NewestSlot and Stats may run at the same time.
 type Store struct {
-	disk        Disk
-	clock       clock.Clock
-	writingSlot sync.Mutex // held by one WriteSlot
-
-	mu          sync.Mutex // guards the log and the fields below; never held while a snapshot is written
-	file        File       // the last segment
-	size        int
-	buf         []byte
-	segments    []segment
-	log         logView // entries without Data
-	broken      error
-	newest      Snapshot // without Meta and Body
-	newestPlace int      // the newest slot's place in slotNames
-	closed      bool
+	disk       Disk
+	clock      clock.Clock
+	snapshotMu sync.Mutex // held by one WriteSlot
+
+	mu         sync.Mutex // guards the log and the fields below; never held while a snapshot is written
+	file       File       // the last segment
+	size       int
+	buf        []byte
+	segments   []segment
+	log        logState // entries without Data
+	failure    error
+	newest     Snapshot // without Meta and Body
+	newestFile int      // the newest slot's place in snapshotFileNames
+	closed     bool
 
 	countMu sync.Mutex
 	stats   Stats
@@ -80,10 +80,10 @@
 	add(&s.stats)
 }
 
-// usable returns why the store may not write any more, nil if it may. The caller holds mu.
-func (s *Store) usable() error {
-	if s.broken != nil {
-		return errs.Wrap(s.broken, errs.Disk, "the store failed before")
+// checkUsable returns why the store may not write any more, nil if it may. The caller holds mu.
+func (s *Store) checkUsable() error {
+	if s.failure != nil {
+		return errs.Wrap(s.failure, errs.Disk, "the store failed before")
 	}
 	if s.closed {
 		return errs.New(errs.Stopped, "the store is closed")
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// fail ends the use of the store for good; called under mu.
-func (s *Store) fail(err error) error {
-	if s.broken == nil {
-		s.broken = err
+// markFailed ends the use of the store for good; called under mu.
+func (s *Store) markFailed(err error) error {
+	if s.failure == nil {
+		s.failure = err
 	}
 	return errs.Wrap(err, errs.Disk, "the store failed")
 }
@@ -113,8 +113,8 @@
 
 // Close ends the use of the store, after a WriteSlot that is under way. All that was appended is durable already.
 func (s *Store) Close() error {
-	s.writingSlot.Lock()
-	defer s.writingSlot.Unlock()
+	s.snapshotMu.Lock()
+	defer s.snapshotMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -21,7 +21,9 @@
 	return Record{Kind: uint8(index % 3), Term: term, Index: index, Data: fmt.Appendf(nil, "%d/%d;", term, index)}
 }
 
-func hard(term uint64) Record { return Record{Kind: KindHard, Data: fmt.Appendf(nil, "vote %d", term)} }
+func hard(term uint64) Record {
+	return Record{Kind: KindHardState, Data: fmt.Appendf(nil, "vote %d", term)}
+}
 
 // model is what a store must hold.
 type model struct {
@@ -32,7 +34,7 @@
 func (m model) with(recs ...Record) model {
 	m.entries = slices.Clone(m.entries)
 	for _, r := range recs {
-		if r.Kind == KindHard {
+		if r.Kind == KindHardState {
 			m.hard = r.Data
 		} else {
 			m.entries = append(m.entries[:r.Index-1], r)
@@ -42,24 +44,24 @@
 }
 
 func (m model) image(index uint64) Snapshot {
-	img := Snapshot{Index: index, Meta: []byte("members")}
+	snap := Snapshot{Index: index, Meta: []byte("members")}
 	for _, r := range m.entries[:index] {
-		img.Term, img.Body = r.Term, append(img.Body, r.Data...)
+		snap.Term, snap.Body = r.Term, append(snap.Body, r.Data...)
 	}
-	return img
+	return snap
 }
 
 // fits reports whether boot is m.
-func (m model) fits(boot Boot) bool {
-	recs, from := boot.Records, uint64(0)
+func (m model) fits(recovered Recovered) bool {
+	recs, from := recovered.Records, uint64(0)
 	if m.hard != nil {
-		if len(recs) == 0 || recs[0].Kind != KindHard || !bytes.Equal(recs[0].Data, m.hard) {
+		if len(recs) == 0 || recs[0].Kind != KindHardState || !bytes.Equal(recs[0].Data, m.hard) {
 			return false
 		}
 		recs = recs[1:]
 	}
-	if boot.Snapshot != nil {
-		if from = boot.Snapshot.Index; from > uint64(len(m.entries)) || !bytes.Equal(boot.Snapshot.Body, m.image(from).Body) {
+	if recovered.Snapshot != nil {
+		if from = recovered.Snapshot.Index; from > uint64(len(m.entries)) || !bytes.Equal(recovered.Snapshot.Body, m.image(from).Body) {
 			return false
 		}
 	}
@@ -68,7 +70,7 @@
 	})
 }
 
-func must(s *Store, _ Boot, err error) *Store {
+func must(s *Store, _ Recovered, err error) *Store {
 	So(err, ShouldBeNil)
 	return s
 }
@@ -101,18 +103,18 @@
 	Convey("On a real folder, groups survive and Stats count them", t, func() {
 		d, err := OSDisk(t.TempDir() + "/store")
 		So(err, ShouldBeNil)
-		s, boot, err := Open(d, Options{})
+		s, recovered, err := Open(d, Options{})
 		So(err, ShouldBeNil)
-		So(boot.Fresh, ShouldBeTrue)
+		So(recovered.Fresh, ShouldBeTrue)
 		_, err = s.NewestSnapshot()
 		So(err, shouldBe, errs.Unknown)
 		m := model{}.with(hard(1), entry(1, 1), entry(1, 2), entry(1, 3))
 		So(s.Append(append(m.entries, hard(1))), ShouldBeNil)
 		So(s.WriteSnapshot(m.image(2), 0), ShouldBeNil)
-		img, err := s.NewestSnapshot()
+		snap, err := s.NewestSnapshot()
 		So(err, ShouldBeNil)
-		So(string(img.Body), ShouldEqual, "1/1;1/2;")
-		So(string(img.Meta), ShouldEqual, "members")
+		So(string(snap.Body), ShouldEqual, "1/1;1/2;")
+		So(string(snap.Meta), ShouldEqual, "members")
 		So(s.Append([]Record{entry(2, 3), entry(2, 4)}), ShouldBeNil) // takes the place of 1/3
 		So(s.Stats().Records, ShouldEqual, 6)
 		So(s.Stats().Segments, ShouldEqual, 2)
@@ -120,10 +122,10 @@
 		So(s.Append([]Record{entry(2, 2)}), shouldBe, errs.Invalid)
 		So(s.WriteSnapshot(m.image(1), 0), shouldBe, errs.Invalid)
 		So(s.Close(), ShouldBeNil)
-		s, boot, err = Open(d, Options{})
+		s, recovered, err = Open(d, Options{})
 		So(err, ShouldBeNil)
-		So(boot.Fresh, ShouldBeFalse)
-		So(m.with(entry(2, 3), entry(2, 4)).fits(boot), ShouldBeTrue)
+		So(recovered.Fresh, ShouldBeFalse)
+		So(m.with(entry(2, 3), entry(2, 4)).fits(recovered), ShouldBeTrue)
 		So(s.Close(), ShouldBeNil)
 	})
 	Convey("An image from another member fells what it contradicts, and only that", t, func() {
@@ -132,11 +134,11 @@
 		So(s.WriteSnapshot(Snapshot{Index: 10, Term: 20, Body: []byte("theirs")}, 0), ShouldBeNil)
 		So(s.Append([]Record{entry(20, 12)}), shouldBe, errs.Invalid)
 		So(s.Append([]Record{entry(20, 11)}), ShouldBeNil)
-		_, boot, err := Open(d, virtual)
+		_, recovered, err := Open(d, virtual)
 		So(err, ShouldBeNil)
-		So(boot.Snapshot.Number, ShouldEqual, 3)
-		So(boot.Records, ShouldResemble, []Record{{Kind: KindHard, Data: m.hard}, entry(20, 11)})
-		d.Flip(slotNames[0], 60, 1) // theirs; the log cannot replace it
+		So(recovered.Snapshot.Number, ShouldEqual, 3)
+		So(recovered.Records, ShouldResemble, []Record{{Kind: KindHardState, Data: m.hard}, entry(20, 11)})
+		d.Flip(snapshotFileNames[0], 60, 1) // theirs; the log cannot replace it
 		_, _, err = Open(d, virtual)
 		So(err, shouldBe, errs.Damaged)
 	})
@@ -169,13 +171,13 @@
 					whole++
 				}
 				want := model{entries: m.entries[:whole]}
-				s, boot, err := Open(c, virtual)
-				if err != nil || !want.fits(boot) || s.Append([]Record{entry(2, uint64(whole)+1)}) != nil {
+				s, recovered, err := Open(c, virtual)
+				if err != nil || !want.fits(recovered) || s.Append([]Record{entry(2, uint64(whole)+1)}) != nil {
 					wrong++
 					continue
 				}
-				_, boot, err = Open(c, virtual)
-				if err != nil || boot.Cut != 0 || !want.with(entry(2, uint64(whole)+1)).fits(boot) {
+				_, recovered, err = Open(c, virtual)
+				if err != nil || recovered.TornBytes != 0 || !want.with(entry(2, uint64(whole)+1)).fits(recovered) {
 					wrong++
 				}
 			}
@@ -187,20 +189,20 @@
 		names, _ := d.List()
 		So(names, ShouldHaveLength, 4)
 		last := names[1]
-		tail := len(d.Bytes(last)) - recordHeadSize - len(m.entries[10].Data)
+		tail := len(d.Bytes(last)) - recordHeaderSize - len(m.entries[10].Data)
 		damaged, cut, good, wrong := 0, 0, 0, 0
 		for _, name := range names {
 			for at := range d.Bytes(name) {
 				c := d.Clone()
 				c.Flip(name, at, 1<<(at%8))
-				_, boot, err := Open(c, virtual)
+				_, recovered, err := Open(c, virtual)
 				isTail := name == last && at >= tail
 				switch {
 				case errs.Is(err, errs.Damaged) && name[:4] == segmentPrefix && !isTail:
 					damaged++
-				case err == nil && isTail && boot.Cut > 0 && (model{m.hard, m.entries[:10]}).fits(boot):
+				case err == nil && isTail && recovered.TornBytes > 0 && (model{m.hard, m.entries[:10]}).fits(recovered):
 					cut++
-				case err == nil && name[:4] != segmentPrefix && m.fits(boot):
+				case err == nil && name[:4] != segmentPrefix && m.fits(recovered):
 					good++
 				default:
 					wrong++
@@ -220,15 +222,15 @@
 						So(d.Remove(name), ShouldBeNil)
 					}
 				}
-				_, boot, err := Open(d, virtual)
+				_, recovered, err := Open(d, virtual)
 				So(err, shouldBe, kind)
-				So(err != nil || m.fits(boot), ShouldBeTrue)
+				So(err != nil || m.fits(recovered), ShouldBeTrue)
 			}
 		}
 		d, _ := filled()
 		names, _ := d.List()
 		So(d.Remove(names[0]), ShouldBeNil)
-		So(d.Remove(slotNames[1]), ShouldBeNil) // the older slot, and a hole after it
+		So(d.Remove(snapshotFileNames[1]), ShouldBeNil) // the older slot, and a hole after it
 		_, _, err := Open(d, virtual)
 		So(err, shouldBe, errs.Damaged)
 	})
@@ -238,11 +240,11 @@
 	Convey("Entries that do not follow the start, the image or each other are damage", t, func() {
 		for _, c := range []struct{ base, first, then uint64 }{{0, 2, 3}, {0, 1, 3}, {4, 6, 7}, {4, 5, 7}, {4, 5, 6}} {
 			d, all := NewMemDisk(), []byte(nil)
-			head, tail := slotParts(Snapshot{Number: 1, Index: c.base, Term: 1})
+			head, tail := encodeSnapshot(Snapshot{Number: 1, Index: c.base, Term: 1})
 			if c.base > 0 {
-				d.Put(slotNames[0], append(head, tail...))
+				d.Put(snapshotFileNames[0], append(head, tail...))
 			}
-			for _, r := range []Record{{Kind: kindBase, Index: c.base, Term: 1}, entry(1, c.first), entry(1, c.then)} {
+			for _, r := range []Record{{Kind: kindSnapshot, Index: c.base, Term: 1}, entry(1, c.first), entry(1, c.then)} {
 				all = appendRecord(all, 1, 0, r)
 			}
 			d.Put(segment{number: 1}.name(), all)
@@ -289,10 +291,10 @@
 					_, _, _ = Open(d, virtual)
 					d.Crash(r)
 				}
-				_, boot, err := Open(d, virtual)
+				_, recovered, err := Open(d, virtual)
 				ok := false
 				for n := 0; n <= len(tried) && !ok; n++ {
-					if got := m.with(tried[:n]...); err == nil && got.fits(boot) {
+					if got := m.with(tried[:n]...); err == nil && got.fits(recovered) {
 						ok, m = true, got
 					}
 				}
@@ -352,9 +354,9 @@
 		})
 		g.Wait()
 		So(failures, ShouldResemble, make([]error, 2))
-		_, boot, err := Open(d, virtual)
+		_, recovered, err := Open(d, virtual)
 		So(err, ShouldBeNil)
-		So(boot.Snapshot.Index, ShouldEqual, 100)
-		So(m.fits(boot), ShouldBeTrue)
+		So(recovered.Snapshot.Index, ShouldEqual, 100)
+		So(m.fits(recovered), ShouldBeTrue)
 	})
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -19,7 +19,7 @@
 // writes is what one Ready wants of the disk. Ready.Reset needs nothing here: writing the image that caused it
 // made the slot store let go of the same entries.
 type diskWrite struct {
-	hard          *raft.Hard
+	hard          *raft.HardState
 	entries       []raft.Entry
 	sendAfterSync []raft.Message // may leave once all of it is synced
 }
@@ -78,7 +78,7 @@
 			if err != nil {
 				return nil, errs.Wrap(err, errs.Internal, "encode the hard state")
 			}
-			out = append(out, storage.Record{Kind: storage.KindHard, Data: data})
+			out = append(out, storage.Record{Kind: storage.KindHardState, Data: data})
 		}
 		for _, e := range w.entries {
 			out = append(out, storage.Record{Kind: uint8(e.Kind), Term: e.Term, Index: e.Index, Data: e.Data})
@@ -260,7 +260,7 @@
 	defer s.mu.Unlock()
 	before := s.newestSnapshot.Index
 	s.newestSnapshot = internalapi.Snapshot{Number: s.newestSnapshot.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(len(body))}
-	s.core.SnapshotAt(meta)
+	s.core.SnapshotPersisted(meta)
 	s.compactedBytes += s.bytesSinceSnapshot
 	s.core.Compact(s.compactionIndex(before))
 	s.unsnapshottedBytes -= s.bytesSinceSnapshot
@@ -331,7 +331,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newestSnapshot = internalapi.Snapshot{Number: s.newestSnapshot.Number + 1, Index: fetched.meta.Index, Term: fetched.meta.Term, Size: int64(len(fetched.image.Body))}
-	s.core.Installed(s.clock.Now(), fetched.meta)
+	s.core.SnapshotInstalled(s.clock.Now(), fetched.meta)
 	s.snapshotState, s.snapshotMembers, s.entriesSinceSnapshot, s.bytesSinceSnapshot = snapshotState, fetched.meta.Members, 0, 0
 	s.initialImage = nil
 	s.committed, s.unsnapshottedBytes, s.unapplied = nil, 0, nil
--- a/internal/store/found.go
+++ b/internal/store/found.go
@@ -58,8 +58,8 @@
 }
 
 // startCore makes the core of what the disk had.
-func (s *Store) startCore(recovered storage.Boot) error {
-	var b raft.Boot
+func (s *Store) startCore(recovered storage.Recovered) error {
+	var b raft.InitialState
 	live := state.New()
 	var err error
 	if img := recovered.Snapshot; img != nil {
@@ -73,8 +73,8 @@
 		s.durable = img.Index
 	}
 	for _, r := range recovered.Records {
-		if r.Kind == storage.KindHard {
-			if err := json.Unmarshal(r.Data, &b.Hard); err != nil {
+		if r.Kind == storage.KindHardState {
+			if err := json.Unmarshal(r.Data, &b.HardState); err != nil {
 				return errs.Wrap(err, errs.Damaged, "the hard state")
 			}
 			continue
@@ -82,8 +82,8 @@
 		b.Entries = append(b.Entries, raft.Entry{Term: r.Term, Index: r.Index, Kind: raft.EntryKind(r.Kind), Data: r.Data})
 		s.durable = r.Index
 	}
-	core, err := raft.New(raft.Config{ID: s.id, Election: s.settings.Election, Heartbeat: s.settings.Heartbeat,
-		Lease: s.settings.Lease, Seed: s.opt.Seed}, b, s.clock.Now())
+	core, err := raft.New(raft.Config{ID: s.id, ElectionTimeout: s.settings.Election, HeartbeatInterval: s.settings.Heartbeat,
+		LeaseDuration: s.settings.Lease, Seed: s.opt.Seed}, b, s.clock.Now())
 	if err != nil {
 		return errs.Pass(err, "start the core")
 	}
@@ -95,7 +95,7 @@
 	}
 	s.replaceState(live)
 	s.core, s.status = core, core.Status()
-	_ = level.Info(s.logger).Log("msg", "begin", "id", s.id, "slot", s.newestSnapshot.Index, "entries", len(b.Entries), "term", s.status.Term, "cut", recovered.Cut)
+	_ = level.Info(s.logger).Log("msg", "begin", "id", s.id, "slot", s.newestSnapshot.Index, "entries", len(b.Entries), "term", s.status.Term, "cut", recovered.TornBytes)
 	return nil
 }
 
@@ -241,7 +241,7 @@
 	for i, m := range s.settings.Members {
 		members[i] = raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
 	}
-	b := raft.Founding(members)
+	b := raft.Bootstrap(members)
 	first := state.New()
 	first.Index, first.Term = b.Snapshot.Index, b.Snapshot.Term
 	body, err := first.Encode()
@@ -260,11 +260,11 @@
 	s.id, s.bootstrapMembers = s.settings.Name, bootstrapMembers
 	s.mu.Unlock()
 	_ = level.Info(s.logger).Log("msg", "founding the fleet", "members", len(members))
-	hard, err := json.Marshal(b.Hard)
+	hard, err := json.Marshal(b.HardState)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "found")
 	}
-	return errs.Pass(s.startCore(storage.Boot{Snapshot: &img, Records: []storage.Record{{Kind: storage.KindHard, Data: hard}}}), "found")
+	return errs.Pass(s.startCore(storage.Recovered{Snapshot: &img, Records: []storage.Record{{Kind: storage.KindHardState, Data: hard}}}), "found")
 }
 
 // startNewIncarnation gives an empty folder an ID of its own, synced before anything is done under it, and begins empty.
@@ -276,7 +276,7 @@
 	s.mu.Lock()
 	s.id = id
 	s.mu.Unlock()
-	return errs.Pass(s.startCore(storage.Boot{}), "begin empty")
+	return errs.Pass(s.startCore(storage.Recovered{}), "begin empty")
 }
 
 // newID draws an ID for a new life of this node's folder.
--- a/internal/store/lead.go
+++ b/internal/store/lead.go
@@ -14,7 +14,7 @@
 	if s.core == nil || s.halted || s.leaderTerm == 0 || !s.roleLeases.Active() {
 		return 0, false
 	}
-	commit, current := s.core.Confirmed(now)
+	commit, current := s.core.LeaseReadIndex(now)
 	return s.leaderTerm, current && s.live.Index >= commit
 }
 
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -35,7 +35,7 @@
 	}
 	now := s.clock.Now()
 	for _, m := range s.status.Members {
-		if heard, ok := s.core.Heard(now, m.ID); !m.Learner && ok && now-heard < s.settings.Election {
+		if heard, ok := s.core.LastContact(now, m.ID); !m.Learner && ok && now-heard < s.settings.Election {
 			addresses = append(addresses, m.Addr)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // silentFor is how long this leader has not heard of a member; 0 if it does not lead.
 func (s *Store) silentFor(now time.Duration, id string) time.Duration {
-	heard, ok := s.core.Heard(now, id)
+	heard, ok := s.core.LastContact(now, id)
 	if !ok {
 		return 0
 	}
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -588,7 +588,7 @@
 			So(writeFile(d, idFile, "c1~old"), ShouldBeNil)
 			s, _, err := storage.Open(d, storage.Options{})
 			So(err, ShouldBeNil)
-			So(s.Append([]storage.Record{{Kind: storage.KindHard, Data: []byte(`{"t":7,"v":"c2"}`)}}), ShouldBeNil)
+			So(s.Append([]storage.Record{{Kind: storage.KindHardState, Data: []byte(`{"t":7,"v":"c2"}`)}}), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			return d
 		}
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -150,7 +150,7 @@
 		return
 	}
 	batch := s.pending[:0]
-	lead, _ := s.core.Leads()
+	lead, _ := s.core.LeaderTerm()
 	for _, w := range s.pending {
 		if w.onlyTerm != 0 && w.onlyTerm != lead {
 			w.finish(s, outcome{err: errs.New(errs.Stale, "decided in term %d, it is %d now", w.onlyTerm, lead)})
@@ -211,7 +211,7 @@
 			return 0, errs.Pass(err, "confirm")
 		}
 		now := s.clock.Now()
-		commit, ok := s.core.Confirmed(now)
+		commit, ok := s.core.LeaseReadIndex(now)
 		if ok {
 			return commit, nil
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -272,15 +272,15 @@
 	r := s.core.Ready()
 	before := s.status
 	s.status = s.core.Status()
-	s.enqueueMessages(r.Now)
-	if r.Hard != nil || len(r.Append) > 0 || len(r.AfterSync) > 0 {
-		if len(r.Append) > 0 {
-			s.durable = min(s.durable, r.Append[0].Index-1)
+	s.enqueueMessages(r.Messages)
+	if r.HardState != nil || len(r.Entries) > 0 || len(r.MessagesAfterSync) > 0 {
+		if len(r.Entries) > 0 {
+			s.durable = min(s.durable, r.Entries[0].Index-1)
 		}
-		s.diskQueue = append(s.diskQueue, diskWrite{r.Hard, r.Append, r.AfterSync})
+		s.diskQueue = append(s.diskQueue, diskWrite{r.HardState, r.Entries, r.MessagesAfterSync})
 		signal(s.wakeDisk)
 	}
-	s.apply(r.Committed)
+	s.apply(r.CommittedEntries)
 	s.onStatusChange(before, now)
 	if r.Fetch != nil && !s.fetching {
 		s.fetching = true
@@ -298,7 +298,7 @@
 func (s *Store) untilNextPass(now time.Duration) time.Duration {
 	next := s.lastTick + s.tickInterval()
 	if s.status.Role != raft.Leader {
-		next = max(next, s.core.CampaignAt())
+		next = max(next, s.core.ElectionDeadline())
 	}
 	return max(0, next-now)
 }
@@ -392,7 +392,7 @@
 		s.leaderTerm, s.leaderSince = lead, now
 	}
 	if lead != 0 && !s.roleLeases.Active() {
-		if commit, ok := s.core.Confirmed(now); ok && s.live.Index >= commit {
+		if commit, ok := s.core.LeaseReadIndex(now); ok && s.live.Index >= commit {
 			s.roleLeases.BecomeLeader(now, s.live.Duties)
 		}
 	}
@@ -406,7 +406,7 @@
 // store must not go on deciding for them.
 func (s *Store) stepDownIfDiskHangs(now time.Duration) {
 	if s.status.Role == raft.Leader && s.diskBusySince != 0 && now-s.diskBusySince > 2*s.settings.Election {
-		if to := s.successor(); to != "" && s.core.Handover(now, to) == nil {
+		if to := s.successor(); to != "" && s.core.TransferLeadership(now, to) == nil {
 			_ = level.Warn(s.logger).Log("msg", "the disk hangs: handing over", "to", to, "for", now-s.diskBusySince)
 		}
 	}
@@ -418,7 +418,7 @@
 	now := s.clock.Now()
 	var newest time.Duration
 	for _, m := range s.status.Members {
-		heard, ok := s.core.Heard(now, m.ID)
+		heard, ok := s.core.LastContact(now, m.ID)
 		if m.ID == s.id || m.Learner || !ok || now-heard >= s.settings.Election {
 			continue
 		}
@@ -438,7 +438,7 @@
 		return
 	}
 	to := s.successor()
-	err := s.core.Handover(s.clock.Now(), to)
+	err := s.core.TransferLeadership(s.clock.Now(), to)
 	s.mu.Unlock()
 	signal(s.wakeLoop)
 	if err != nil {
@@ -507,7 +507,7 @@
 	case s.status.Leader == "":
 		return errs.New(errs.Unavailable, "no leader is known")
 	case s.status.Role == raft.Leader:
-		if commit, ok := s.core.Confirmed(now); !ok || s.live.Index < commit {
+		if commit, ok := s.core.LeaseReadIndex(now); !ok || s.live.Index < commit {
 			return errs.New(errs.Unavailable, "the lead is not confirmed")
 		}
 	case now-s.caughtUpAt > maxReadyLag:
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -40,51 +40,51 @@
 }
 
 // NetworkOf is the Net of a daemon.
-func NetworkOf(k *rpc.Caller, settings config.Cplane) Net { return networkCalls{k, settings.Election} }
+func NetworkOf(k *rpc.Client, settings config.Cplane) Net { return networkCalls{k, settings.Election} }
 
 type networkCalls struct {
-	caller   *rpc.Caller
+	caller   *rpc.Client
 	election time.Duration
 }
 
 // SendMessages sends a message of the agreement.
 func (w networkCalls) SendMessages(ctx context.Context, addr string, call internalapi.QuorumCall) error {
-	_, err := rpc.Ask(ctx, w.caller, addr, internalapi.Quorum, call, w.election/2)
+	_, err := rpc.Call(ctx, w.caller, addr, internalapi.Quorum, call, w.election/2)
 	return errs.Pass(err, "quorum")
 }
 
 // FetchChunk reads a part of a peer's snapshot.
 func (w networkCalls) FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Chunk, call, 2*time.Second)
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Chunk, call, 2*time.Second)
 	return a, errs.Pass(err, "chunk")
 }
 
 // Bootstrap asks a peer how it stands with the founding.
 func (w networkCalls) BootstrapStatus(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Found, call, w.election/2)
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Found, call, w.election/2)
 	return a, errs.Pass(err, "found")
 }
 
 // Join asks a member to add this node.
 func (w networkCalls) Join(ctx context.Context, addr string, call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Join, call, 2*w.election)
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Join, call, 2*w.election)
 	return a, errs.Pass(err, "join")
 }
 
 // Propose passes a command to the leader and waits for its result.
 func (w networkCalls) Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Propose, call, proposeTimeout+w.election)
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Propose, call, proposeTimeout+w.election)
 	return a, errs.Pass(err, "propose")
 }
 
 // ReadIndex asks the leader for an index at which a read is current.
 func (w networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Confirm, internalapi.ConfirmCall{}, w.election)
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Confirm, internalapi.ConfirmCall{}, w.election)
 	return a, errs.Pass(err, "confirm")
 }
 
 // Rollout asks a peer how far the versions of the bundle have come.
 func (w networkCalls) Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error) {
-	a, err := rpc.Ask(ctx, w.caller, addr, internalapi.Rollout, internalapi.RolloutCall{}, w.election/2)
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Rollout, internalapi.RolloutCall{}, w.election/2)
 	return a, errs.Pass(err, "rollout")
 }
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -25,14 +25,14 @@
 // Client makes clients' and operators' calls; a call that may be sent again is sent again, to the next node, until its
 // ctx ends.
 type Client struct {
-	caller  *rpc.Caller
+	caller  *rpc.Client
 	clock   clock.Clock
 	fronts  []string // addresses of front nodes
 	control []string // control addresses of core nodes
 }
 
 // NewClient makes a client.
-func NewClient(caller *rpc.Caller, clock clock.Clock, fronts, control []string) *Client {
+func NewClient(caller *rpc.Client, clock clock.Clock, fronts, control []string) *Client {
 	return &Client{caller: caller, clock: clock, fronts: fronts, control: control}
 }
 
@@ -122,7 +122,7 @@
 
 // attempt sends a call once and tells whether it may be sent again.
 func (c *Client) attempt(ctx context.Context, addr string, request rpc.Request, answer any) (again bool, err error) {
-	response, err := c.caller.Exchange(ctx, addr, request, callWithin)
+	response, err := c.caller.Do(ctx, addr, request, callWithin)
 	if err != nil {
 		return true, errs.Pass(err, "%s", addr)
 	}
--- a/internal/testbed/endtoend/drill.go
+++ b/internal/testbed/endtoend/drill.go
@@ -36,7 +36,7 @@
 func Run(ctx context.Context, plan Plan, processes *Processes, out io.Writer) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, drillWithin)
 	defer cancel()
-	caller := rpc.NewCaller(rpc.CallerOptions{})
+	caller := rpc.NewClient(rpc.ClientOptions{})
 	defer caller.Close()
 	d := &drill{plan: plan, processes: processes, out: out, clock: clock.Real{},
 		client: NewClient(caller, clock.Real{}, plan.Fronts, plan.Control)}
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -36,7 +36,7 @@
 	dir     string
 	group   *routine.Group
 	end     context.CancelFunc
-	caller  *rpc.Caller
+	caller  *rpc.Client
 }
 
 func local(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
@@ -61,7 +61,7 @@
 			opened, err := store.OpenWhenDiskHasSpace(ctx, opt)
 			return opened, errs.Pass(err, "store")
 		},
-		Workers:      func(holds, starts *rpc.Caller) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
+		Workers:      func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
@@ -69,7 +69,7 @@
 		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
-	s := &testSystem{dir: dir, group: routine.New(context.Background()), end: end, caller: rpc.NewCaller(rpc.CallerOptions{})}
+	s := &testSystem{dir: dir, group: routine.New(context.Background()), end: end, caller: rpc.NewClient(rpc.ClientOptions{})}
 	s.client = NewClient(s.caller, clock.Real{}, []string{front}, []string{control})
 	s.group.Go(func(context.Context) { _ = core.Run(ctx) })
 	s.group.Go(func(context.Context) { _ = fronts.Run(ctx, nil) })
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -70,7 +70,7 @@
 	logger log.Logger
 	born   time.Duration
 	server *rpc.Server
-	caller *rpc.Caller
+	caller *rpc.Client
 	pen    *journal.Writer
 	group  *routine.Group
 
@@ -108,7 +108,7 @@
 		return nil, errs.Pass(err, "worker %s", set.Name)
 	}
 	h.core = NewCore(h.id, set.Capacity, h.record)
-	h.caller = rpc.NewCaller(rpc.CallerOptions{Logger: logger, Clock: clock})
+	h.caller = rpc.NewClient(rpc.ClientOptions{Logger: logger, Clock: clock})
 	h.server = rpc.NewServer(rpc.ServerOptions{Addr: set.Address, Logger: logger, Clock: clock, Loops: 1})
 	rpc.Handle(h.server, workerapi.StartPair, h.start)
 	rpc.Handle(h.server, workerapi.StopPair, h.stop)
@@ -324,7 +324,7 @@
 	}
 	request := rpc.Request{Method: http.MethodPost, Path: "/v2/workers/" + h.id + "/heartbeat", Body: data,
 		Header: map[string]string{"Content-Type": "application/json"}}
-	response, err := h.caller.Exchange(ctx, addr, request, heartbeatWithin)
+	response, err := h.caller.Do(ctx, addr, request, heartbeatWithin)
 	if err != nil {
 		return "", errs.Pass(err, "heartbeat")
 	}
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -79,7 +79,7 @@
 		ctx, leave := context.WithCancel(context.Background())
 		work := routine.New(context.Background())
 		work.Go(func(context.Context) { _ = host.Run(ctx) })
-		caller := rpc.NewCaller(rpc.CallerOptions{})
+		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer func() {
 			leave()
 			work.Wait()
--- a/internal/testbed/netproxy/gate.go
+++ b/internal/testbed/netproxy/gate.go
@@ -45,7 +45,7 @@
 }
 
 // Order is the call of the control port.
-var Order = rpc.Pair[Cut, CutAnswer]{Path: "/v1/cut"}
+var Order = rpc.Endpoint[Cut, CutAnswer]{Path: "/v1/cut"}
 
 // Check reports what is wrong with an order. Failure: Invalid.
 func (c Cut) Check() error {
--- a/internal/testbed/policysim/cplane.go
+++ b/internal/testbed/policysim/cplane.go
@@ -107,7 +107,7 @@
 	}
 	c.top = c.floor
 	for _, r := range boot.Records {
-		if r.Kind != storage.KindHard {
+		if r.Kind != storage.KindHardState {
 			c.terms[r.Index], c.top = r.Term, r.Index
 		}
 	}
--- a/internal/testbed/policyworker/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -36,7 +36,7 @@
 	clock  clock.Clock
 	logger log.Logger
 	server *rpc.Server
-	caller *rpc.Caller
+	caller *rpc.Client
 	bodies map[string]*body
 	pens   map[string]*journal.Writer
 	group  *routine.Group
@@ -63,7 +63,7 @@
 	h := &Host{
 		set: set, clock: clock, logger: logger, bodies: map[string]*body{}, pens: map[string]*journal.Writer{},
 		server: rpc.NewServer(rpc.ServerOptions{Addr: set.Addr, Logger: logger, Clock: clock, Registry: reg}),
-		caller: rpc.NewCaller(rpc.CallerOptions{Logger: logger, Clock: clock, Via: set.Via, Registry: reg}),
+		caller: rpc.NewClient(rpc.ClientOptions{Logger: logger, Clock: clock, DialOverrides: set.Via, Registry: reg}),
 		group:  routine.New(context.Background()), stays: set.Count, over: make(chan struct{}),
 	}
 	for _, name := range set.names() {
@@ -354,7 +354,7 @@
 	}
 	for at := int(xxhash.Sum64String(t.Name) % uint64(len(h.set.Dplanes))); ctx.Err() == nil; {
 		again := announceEvery
-		answer, err := rpc.Ask(ctx, h.caller, h.set.Dplanes[at], internalapi.Minions, call, announceBound)
+		answer, err := rpc.Call(ctx, h.caller, h.set.Dplanes[at], internalapi.Minions, call, announceBound)
 		switch {
 		case err != nil:
 			_ = level.Debug(h.logger).Log("msg", "announcement failed", "minion", t.Name, "dplane", h.set.Dplanes[at], "err", err)
--- a/internal/testbed/policyworker/host_test.go
+++ b/internal/testbed/policyworker/host_test.go
@@ -27,10 +27,10 @@
 		So(err, ShouldBeNil)
 		return h, dir
 	}
-	caller := rpc.NewCaller(rpc.CallerOptions{})
+	caller := rpc.NewClient(rpc.ClientOptions{})
 	defer caller.Close()
 	ask := func(h *Host, c internalapi.HoldCall) (internalapi.HoldAnswer, error) {
-		return rpc.Ask(context.Background(), caller, h.Addr(), internalapi.Hold, c, time.Minute)
+		return rpc.Call(context.Background(), caller, h.Addr(), internalapi.Hold, c, time.Minute)
 	}
 	start := func(runID uint64) []internalapi.StartOrder {
 		return []internalapi.StartOrder{{RunID: runID, Job: "j", Step: "s", Type: "t", Cores: 1, Run: json.RawMessage(`{}`),
@@ -86,7 +86,7 @@
 		defer h.Close()
 		_, err := ask(h, internalapi.HoldCall{Minion: "m", Starts: start(7)})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
-		So(rpc.Unsent(err), ShouldBeFalse)
+		So(rpc.IsUnsent(err), ShouldBeFalse)
 		So(events(dir), ShouldResemble, []string{"m boot", "m order", "m start", "m end"})
 	})
 
