--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -146,7 +146,7 @@
 	return errs.Pass(ask(ctx, cmd, accountPath(a[0], path), &out, func(w io.Writer) {
 		fmt.Fprintln(w, "NUMBER\tAT\tKIND\tKEY\tPART\tAMOUNT")
 		for _, e := range out.Entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", e.Number, when(e.At), e.Kind, e.Key, e.Part, e.Amount)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", e.Number, when(e.At), e.Kind, e.Key, e.DrawIndex, e.Amount)
 		}
 		ledgerSum(w, "compacted", out.Base)
 		ledgerSum(w, "all", out.Head)
--- a/cmd/crosstide-controlplane/bundle.go
+++ b/cmd/crosstide-controlplane/bundle.go
@@ -171,7 +171,7 @@
 		if err != nil {
 			return errs.Pass(err, "order %s", id)
 		}
-		var done command.Drafted
+		var done command.BundleDrafted
 		return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
 			fmt.Fprintf(w, "version\t%d\nsha256\t%s\nstate\t%s\n", done.Version, done.Digest, done.Phase)
 		}), "write")
@@ -227,7 +227,7 @@
 	if err != nil {
 		return errs.Pass(err, "order %s", id)
 	}
-	var done command.Signed
+	var done command.BundleSigned
 	return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
 		fmt.Fprintf(w, "version\t%d\nsha256\t%s\nstate\t%s\nsigned\t%s\n", done.Version, done.Digest, done.Phase, strings.Join(done.Signed, " "))
 	}), "sign")
@@ -271,8 +271,8 @@
 	return errs.Pass(ask(ctx, cmd, "/v1/bundles?limit="+strconv.Itoa(cmd.Int("limit")), &log, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tBASE\tSTATE\tWRITTEN\tBY\tSIGNED\tIN FORCE\tBYTES\tSHA256")
 		for _, v := range log.Versions {
-			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", v.Version, v.Base, v.Phase, when(v.At), dash(v.By),
-				dash(signers(v)), when(v.Force), v.Size, v.Digest)
+			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", v.Version, v.Base, v.Phase, when(v.WrittenAt), dash(v.Author),
+				dash(signers(v)), when(v.InForceSince), v.Size, v.Digest)
 		}
 	}), "log")
 }
@@ -354,7 +354,7 @@
 		if err != nil {
 			return errs.Pass(err, "order %s", in.Order)
 		}
-		var done command.Zoned
+		var done command.ZoneEvacuation
 		return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
 			fmt.Fprintf(w, "zone\t%s\nevacuated\t%t\nsigned\t%s\n", done.Zone, done.Evacuated, dash(strings.Join(done.Signed, " ")))
 		}), "zone")
--- a/cmd/crosstide-controlplane/operate.go
+++ b/cmd/crosstide-controlplane/operate.go
@@ -148,7 +148,7 @@
 			if m.Closed || m.Draining {
 				state = "drain"
 			}
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%d/%d\t%d/%d\t%s\n", m.Name, m.Addr, m.Zone, m.Kind, m.Boot, m.RunIDs,
+			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%d/%d\t%d/%d\t%s\n", m.Name, m.Addr, m.Zone, m.Kind, m.Incarnation, m.RunCount,
 				m.UsedCores, m.Cores, m.UsedGPUs, m.GPUs, state)
 		}
 	}), "minions")
--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -43,7 +43,7 @@
 			Flags: []cli.Flag{addr, &cli.StringFlag{Name: "team"}, &cli.StringFlag{Name: "queue"}},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
 				if cmd.Args().Len() != 1 || cmd.IsSet("team") || cmd.IsSet("queue") {
-					body, err := json.Marshal(command.Cancels{Keys: cmd.Args().Slice(), Team: cmd.String("team"), Queue: cmd.String("queue")})
+					body, err := json.Marshal(command.CancelMany{Keys: cmd.Args().Slice(), Team: cmd.String("team"), Queue: cmd.String("queue")})
 					if err != nil {
 						return errs.Wrap(err, errs.Internal, "encode")
 					}
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -14,8 +14,8 @@
 // MaxTopUpKeys is how many idempotency keys of an account are remembered, the newest.
 const MaxTopUpKeys = 4096
 
-// longestName bounds the name of an account, in bytes.
-const longestName = 128
+// maxNameBytes bounds the name of an account, in bytes.
+const maxNameBytes = 128
 
 // Account is a party's money. Balance + Reserved + Spent is ToppedUp after every change.
 type Account struct {
@@ -50,11 +50,11 @@
 	Start   time.Time     `json:"s"`
 	Until   time.Time     `json:"u"`
 	Drawn   int64         `json:"d,omitempty"` // of the windows before
-	Parts   int           `json:"p,omitempty"` // draws so far
+	Draws   int           `json:"p,omitempty"` // draws so far
 }
 
-// held is what the open window takes.
-func (r *Reservation) held() int64 { return r.Rate.Cost(r.Until.Sub(r.Start)) - r.Drawn }
+// openCost is what the open window takes.
+func (r *Reservation) openCost() int64 { return r.Rate.Cost(r.Until.Sub(r.Start)) - r.Drawn }
 
 // Charge asks for a reservation.
 type Charge struct {
@@ -70,24 +70,24 @@
 // cost is what the first window takes.
 func (c *Charge) cost() int64 { return c.Rate.Cost(c.Window) }
 
-// Book holds all accounts and reservations. It has no lock: its owner has. The zero value is an empty book after
+// Table holds all accounts and reservations. It has no lock: its owner has. The zero value is an empty book after
 // Rebuild.
-type Book struct {
+type Table struct {
 	Accounts     map[string]*Account     `json:"accounts"`
 	Reservations map[string]*Reservation `json:"reservations"` // by run
 
 	renewals renewals
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book {
-	b := &Book{}
+// NewTable makes an empty book.
+func NewTable() *Table {
+	b := &Table{}
 	b.Rebuild()
 	return b
 }
 
 // Rebuild makes anew what is derived, after the exported fields were decoded.
-func (b *Book) Rebuild() {
+func (b *Table) Rebuild() {
 	if b.Accounts == nil {
 		b.Accounts = map[string]*Account{}
 	}
@@ -108,10 +108,10 @@
 }
 
 // Create opens an account. Failures: Conflict (there is one of that name), Invalid.
-func (b *Book) Create(name string, credit int64) error {
+func (b *Table) Create(name string, credit int64) error {
 	switch {
-	case name == "" || len(name) > longestName:
-		return errs.Field(errs.Invalid, "account", "must be a name of 1 to %d bytes", longestName)
+	case name == "" || len(name) > maxNameBytes:
+		return errs.Field(errs.Invalid, "account", "must be a name of 1 to %d bytes", maxNameBytes)
 	case credit < 0 || credit > MaxAmount:
 		return errs.Field(errs.Invalid, "credit", "must be 0 to %d, is %d", MaxAmount, credit)
 	case b.Accounts[name] != nil:
@@ -123,7 +123,7 @@
 
 // TopUp adds to a balance, once for each key: sent again it gives the first answer. Failures: Unknown (no such account),
 // Conflict (the key is another top-up's), Invalid.
-func (b *Book) TopUp(name, key string, amount int64, at time.Time) (TopUp, error) {
+func (b *Table) TopUp(name, key string, amount int64, at time.Time) (TopUp, error) {
 	a := b.Accounts[name]
 	if a == nil {
 		return TopUp{}, errs.Field(errs.Unknown, "account", "no account %q", name)
@@ -143,14 +143,14 @@
 	a.ToppedUp += amount
 	a.Balance += amount
 	a.Ledger.append(Entry{At: at, Kind: EntryTopUp, Key: key, Amount: amount})
-	a.check()
+	a.mustBeConserved()
 	made := TopUp{Account: name, Key: key, Amount: amount, Balance: a.Balance, Number: a.Ledger.Head.Number, At: at}
-	a.remember(made)
+	a.rememberTopUp(made)
 	return made, nil
 }
 
-// remember keeps a top-up's key.
-func (a *Account) remember(made TopUp) {
+// rememberTopUp keeps a top-up's key.
+func (a *Account) rememberTopUp(made TopUp) {
 	a.TopUps[made.Key] = made
 	a.Keys = append(a.Keys, made.Key)
 	if len(a.Keys) > MaxTopUpKeys {
@@ -160,13 +160,13 @@
 }
 
 // Covers tells whether a balance is enough for starts that reserve so much in all. Without the account it is not.
-func (b *Book) Covers(name string, cost int64) bool {
-	a := b.account(name)
+func (b *Table) Covers(name string, cost int64) bool {
+	a := b.find(name)
 	return a != nil && a.Balance+a.Credit >= cost
 }
 
-// account finds an account, also in a book that is nil.
-func (b *Book) account(name string) *Account {
+// find finds an account, also in a book that is nil.
+func (b *Table) find(name string) *Account {
 	if b == nil {
 		return nil
 	}
@@ -175,8 +175,8 @@
 
 // Reserve sets the first window of a run aside. Failures: Unknown (no such account), Conflict (the run has one, or the
 // balance does not cover it). A refusal changes nothing.
-func (b *Book) Reserve(c Charge, at time.Time) error {
-	a := b.account(c.Account)
+func (b *Table) Reserve(c Charge, at time.Time) error {
+	a := b.find(c.Account)
 	switch {
 	case a == nil:
 		return errs.Field(errs.Unknown, "account", "no account %q", c.Account)
@@ -189,32 +189,32 @@
 	r.Until = at.Add(r.Window)
 	b.Reservations[c.Run] = r
 	heap.Push(&b.renewals, renewal{r.Until, c.Run})
-	a.hold(r.held())
+	a.reserve(r.openCost())
 	a.rate += r.Rate
 	return nil
 }
 
-// Settle ends a run: its time up to at is drawn, the rest of its reservation goes back. Without a reservation nothing
+// Debit ends a run: its time up to at is drawn, the rest of its reservation goes back. Without a reservation nothing
 // is done.
-func (b *Book) Settle(run string, at time.Time) {
+func (b *Table) Debit(run string, at time.Time) {
 	r := b.close(run)
 	if r == nil {
 		return
 	}
 	a := b.Accounts[r.Account]
-	a.hold(-r.held())
+	a.reserve(-r.openCost())
 	a.draw(run, r, r.Rate.Cost(at.Sub(r.Start))-r.Drawn, at)
 }
 
 // Return ends a run that was lost: its open window goes back whole. Without a reservation nothing is done.
-func (b *Book) Return(run string) {
+func (b *Table) Refund(run string) {
 	if r := b.close(run); r != nil {
-		b.Accounts[r.Account].hold(-r.held())
+		b.Accounts[r.Account].reserve(-r.openCost())
 	}
 }
 
 // close takes a run's reservation out of the book; nil if it has none.
-func (b *Book) close(run string) *Reservation {
+func (b *Table) close(run string) *Reservation {
 	if b == nil {
 		return nil
 	}
@@ -229,7 +229,7 @@
 
 // Renew draws the windows that are over at now, and reserves the next ones, also below zero. To be called before every
 // other change of a later time, so that no run is out longer than its window.
-func (b *Book) Renew(now time.Time) {
+func (b *Table) Renew(now time.Time) {
 	if b == nil {
 		return
 	}
@@ -244,22 +244,22 @@
 }
 
 // renew draws all whole windows of a run up to now in one entry, and reserves the one after.
-func (b *Book) renew(run string, r *Reservation, now time.Time) {
+func (b *Table) renew(run string, r *Reservation, now time.Time) {
 	a := b.Accounts[r.Account]
-	a.hold(-r.held())
+	a.reserve(-r.openCost())
 	windows := now.Sub(r.Start) / r.Window
 	over := r.Start.Add(windows * r.Window)
 	a.draw(run, r, r.Rate.Cost(over.Sub(r.Start))-r.Drawn, now)
 	r.Until = over.Add(r.Window)
-	a.hold(r.held())
+	a.reserve(r.openCost())
 	heap.Push(&b.renewals, renewal{r.Until, run})
 }
 
-// hold moves units from the balance to what is reserved, back if there are less than 0.
-func (a *Account) hold(amount int64) {
+// reserve moves units from the balance to what is reserved, back if there are less than 0.
+func (a *Account) reserve(amount int64) {
 	a.Balance -= amount
 	a.Reserved += amount
-	a.check()
+	a.mustBeConserved()
 }
 
 // draw moves units from the balance to what is spent.
@@ -269,16 +269,16 @@
 	}
 	a.Balance -= amount
 	a.Spent += amount
-	a.Ledger.append(Entry{At: at, Kind: EntryDraw, Key: run, Part: r.Parts, Amount: amount})
+	a.Ledger.append(Entry{At: at, Kind: EntryDraw, Key: run, DrawIndex: r.Draws, Amount: amount})
 	r.Drawn += amount
-	r.Parts++
-	a.check()
+	r.Draws++
+	a.mustBeConserved()
 }
 
-// check stops the process if the account is not conserved: going on would hide lost money.
-func (a *Account) check() { must(a.conserved()) }
+// mustBeConserved stops the process if the account is not conserved: going on would hide lost money.
+func (a *Account) mustBeConserved() { must(a.checkConserved()) }
 
-func (a *Account) conserved() error {
+func (a *Account) checkConserved() error {
 	sum, head := a.Balance+a.Reserved+a.Spent, a.Ledger.Head
 	if sum != a.ToppedUp || a.Reserved < 0 || a.Spent < 0 || head.ToppedUp != a.ToppedUp || head.Spent != a.Spent {
 		return errs.New(errs.Internal, "account %q: %d topped up, %d+%d+%d balance, reserved and spent, the ledger has %d and %d",
@@ -289,23 +289,23 @@
 
 // Check holds the whole book against itself: every account conserved, what is reserved the sum of the reservations, every
 // ledger verified. Failures: Internal, Damaged.
-func (b *Book) Check() error {
+func (b *Table) Check() error {
 	if b == nil {
 		return nil
 	}
-	held := map[string]int64{}
+	reserved := map[string]int64{}
 	for run, r := range b.Reservations {
 		if b.Accounts[r.Account] == nil {
 			return errs.New(errs.Internal, "run %q has a reservation without account", run)
 		}
-		held[r.Account] += r.held()
+		reserved[r.Account] += r.openCost()
 	}
 	for name, a := range b.Accounts {
-		if err := a.conserved(); err != nil {
+		if err := a.checkConserved(); err != nil {
 			return errs.Pass(err, "check")
 		}
-		if a.Reserved != held[name] {
-			return errs.New(errs.Internal, "account %q has %d reserved, its runs hold %d", name, a.Reserved, held[name])
+		if a.Reserved != reserved[name] {
+			return errs.New(errs.Internal, "account %q has %d reserved, its runs hold %d", name, a.Reserved, reserved[name])
 		}
 		if err := a.Ledger.Verify(); err != nil {
 			return errs.Pass(err, "account %q", name)
@@ -314,14 +314,14 @@
 	return nil
 }
 
-// Open tells whether runs hold reservations: their windows want entries of the log to be renewed by.
-func (b *Book) Open() bool { return b != nil && len(b.Reservations) > 0 }
+// HasReservations tells whether runs hold reservations: their windows want entries of the log to be renewed by.
+func (b *Table) HasReservations() bool { return b != nil && len(b.Reservations) > 0 }
 
 // Rate is what all runs of an account that are out cost together.
 func (a *Account) Rate() Rate { return a.rate }
 
-// DryIn forecasts when the balance is gone if as much runs as now: 0 when it is, false if nothing draws.
-func (a *Account) DryIn() (time.Duration, bool) {
+// ExhaustedIn forecasts when the balance is gone if as much runs as now: 0 when it is, false if nothing draws.
+func (a *Account) ExhaustedIn() (time.Duration, bool) {
 	switch {
 	case a.Balance <= 0:
 		return 0, true
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -22,8 +22,8 @@
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 // funded is a book with one account, "acme", of so many units.
-func funded(amount int64) *Book {
-	b := NewBook()
+func funded(amount int64) *Table {
+	b := NewTable()
 	So(b.Create("acme", 0), ShouldBeNil)
 	_, err := b.TopUp("acme", "first", amount, start)
 	So(err, ShouldBeNil)
@@ -36,7 +36,7 @@
 }
 
 // figures are balance, reserved and spent.
-func figures(b *Book) [3]int64 {
+func figures(b *Table) [3]int64 {
 	a := b.Accounts["acme"]
 	return [3]int64{a.Balance, a.Reserved, a.Spent}
 }
@@ -51,12 +51,12 @@
 		err := b.Reserve(charge("3"), start)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		So(err.Error(), ShouldContainSubstring, "has 50, a start reserves 100")
-		b.Settle("1", after(1201)) // 12.01 units
+		b.Debit("1", after(1201)) // 12.01 units
 		So(figures(b), ShouldEqual, [3]int64{137, 100, 13})
 		So(b.Reserve(charge("3"), after(1300)), ShouldBeNil)
-		b.Return("2")
-		b.Settle("2", after(9000)) // it is gone: nothing
-		b.Return("nobody")
+		b.Refund("2")
+		b.Debit("2", after(9000)) // it is gone: nothing
+		b.Refund("nobody")
 		So(figures(b), ShouldEqual, [3]int64{137, 100, 13})
 		So(b.Check(), ShouldBeNil)
 	})
@@ -70,7 +70,7 @@
 		b.Renew(after(35_000)) // two windows at once
 		So(figures(b), ShouldEqual, [3]int64{-250, 100, 300})
 		So(b.Accounts["acme"].Ledger.Head.Number, ShouldEqual, 3)
-		b.Return("1") // lost: what was drawn stays drawn
+		b.Refund("1") // lost: what was drawn stays drawn
 		So(figures(b), ShouldEqual, [3]int64{-150, 0, 300})
 		So(b.Covers("acme", 0), ShouldBeFalse)
 		_, err := b.TopUp("acme", "second", 250, after(40_000))
@@ -87,28 +87,28 @@
 		So(figures(b), ShouldEqual, [3]int64{-50, 100, 0})
 		again.Account = "other"
 		So(errs.KindOf(b.Reserve(again, start)), ShouldEqual, errs.Unknown)
-		var none *Book
+		var none *Table
 		So(none.Covers("acme", 0), ShouldBeFalse)
 		So(none.Check(), ShouldBeNil)
-		none.Settle("1", start)
+		none.Debit("1", start)
 		none.Renew(start)
 	})
 	Convey("A credit lets starts reserve so far below zero", t, func() {
-		b := NewBook()
+		b := NewTable()
 		So(b.Create("acme", 100), ShouldBeNil)
 		So(b.Reserve(charge("1"), start), ShouldBeNil)
 		So(errs.KindOf(b.Reserve(charge("2"), start)), ShouldEqual, errs.Conflict)
 		So(errs.KindOf(b.Create("acme", 0)), ShouldEqual, errs.Conflict)
 		So(errs.KindOf(b.Create("", 0)), ShouldEqual, errs.Invalid)
-		So(errs.KindOf(b.Create(strings.Repeat("x", longestName+1), 0)), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(b.Create(strings.Repeat("x", maxNameBytes+1), 0)), ShouldEqual, errs.Invalid)
 		So(errs.KindOf(b.Create("x", -1)), ShouldEqual, errs.Invalid)
 	})
 	Convey("The forecast goes by what runs now", t, func() {
 		b := funded(300)
-		_, draws := b.Accounts["acme"].DryIn()
+		_, draws := b.Accounts["acme"].ExhaustedIn()
 		So(draws, ShouldBeFalse)
 		So(b.Reserve(charge("1"), start), ShouldBeNil)
-		in, draws := b.Accounts["acme"].DryIn()
+		in, draws := b.Accounts["acme"].ExhaustedIn()
 		So([]any{in, draws}, ShouldResemble, []any{20 * time.Second, true})
 	})
 }
@@ -229,7 +229,7 @@
 // history drives a book by drawn events and keeps its own sums.
 type history struct {
 	*rapid.T
-	book   *Book
+	table  *Table
 	now    time.Time
 	topUps map[string]int64 // by account and key
 	runs   map[string]Charge
@@ -239,7 +239,7 @@
 
 func (h *history) event() {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(h.T, "ms")) * time.Millisecond)
-	h.book.Renew(h.now)
+	h.table.Renew(h.now)
 	name := rapid.SampledFrom([]string{"a", "b", "none"}).Draw(h.T, "account")
 	switch rapid.IntRange(0, 5).Draw(h.T, "event") {
 	case 0:
@@ -252,7 +252,7 @@
 		}
 	default:
 		if run := h.anyRun(); run != "" {
-			h.book.Return(run)
+			h.table.Refund(run)
 			delete(h.runs, run)
 		}
 	}
@@ -261,7 +261,7 @@
 func (h *history) topUp(name string) {
 	key := fmt.Sprint("k", rapid.IntRange(0, 20).Draw(h.T, "key"))
 	amount := rapid.Int64Range(1, 3).Draw(h.T, "amount") * 100
-	_, err := h.book.TopUp(name, key, amount, h.now)
+	_, err := h.table.TopUp(name, key, amount, h.now)
 	before, known := h.topUps[name+key]
 	switch {
 	case name == "none":
@@ -283,15 +283,15 @@
 	h.next++
 	c := Charge{Run: fmt.Sprint("r", h.next), Account: name, Rate: Rate(rapid.Int64Range(0, 20_000).Draw(h.T, "rate")),
 		Window: time.Duration(rapid.IntRange(1, 8000).Draw(h.T, "window")) * time.Millisecond, Granted: rapid.IntRange(0, 9).Draw(h.T, "attached") == 0}
-	covered := name != "none" && h.book.Accounts[name].Balance >= c.Rate.Cost(c.Window)
-	err := h.book.Reserve(c, h.now)
+	covered := name != "none" && h.table.Accounts[name].Balance >= c.Rate.Cost(c.Window)
+	err := h.table.Reserve(c, h.now)
 	if (err == nil) != (covered || c.Granted && name != "none") {
 		h.Fatalf("covered %v, attached %v: %v", covered, c.Granted, err)
 	}
 	if err == nil {
 		h.runs[c.Run], h.began[c.Run] = c, h.now
-		if !c.Granted && h.book.Accounts[name].Balance < 0 {
-			h.Fatalf("a start drew account %s to %d", name, h.book.Accounts[name].Balance)
+		if !c.Granted && h.table.Accounts[name].Balance < 0 {
+			h.Fatalf("a start drew account %s to %d", name, h.table.Accounts[name].Balance)
 		}
 	}
 }
@@ -299,10 +299,10 @@
 // settle checks that a run pays exactly its time.
 func (h *history) settle(run string) {
 	c := h.runs[run]
-	a := h.book.Accounts[c.Account]
-	drawn := h.book.Reservations[run].Drawn
+	a := h.table.Accounts[c.Account]
+	drawn := h.table.Reservations[run].Drawn
 	spent := a.Spent
-	h.book.Settle(run, h.now)
+	h.table.Debit(run, h.now)
 	if paid, want := drawn+a.Spent-spent, c.Rate.Cost(h.now.Sub(h.began[run])); paid != want {
 		h.Fatalf("%s paid %d for %s, want %d", run, paid, h.now.Sub(h.began[run]), want)
 	}
@@ -325,48 +325,48 @@
 
 // judge checks what must hold after every event.
 func (h *history) judge() {
-	if err := h.book.Check(); err != nil {
+	if err := h.table.Check(); err != nil {
 		h.Fatalf("%v", err)
 	}
 	sums := map[string]int64{}
 	for key, amount := range h.topUps {
 		sums[key[:1]] += amount
 	}
-	for name, a := range h.book.Accounts {
+	for name, a := range h.table.Accounts {
 		if a.ToppedUp != sums[name] {
 			h.Fatalf("account %s was topped up with %d, has %d", name, sums[name], a.ToppedUp)
 		}
 	}
-	for run, r := range h.book.Reservations {
+	for run, r := range h.table.Reservations {
 		if _, out := h.runs[run]; !out || !r.Until.After(h.now) || r.Until.Sub(h.now) > r.Window {
 			h.Fatalf("reservation of %s until %s at %s", run, r.Until, h.now)
 		}
 	}
-	if len(h.runs) != len(h.book.Reservations) {
-		h.Fatalf("%d runs, %d reservations", len(h.runs), len(h.book.Reservations))
+	if len(h.runs) != len(h.table.Reservations) {
+		h.Fatalf("%d runs, %d reservations", len(h.runs), len(h.table.Reservations))
 	}
 }
 
-func TestDrawnHistories(t *testing.T) {
+func TestRandomHistories(t *testing.T) {
 	Convey("Whatever happens in whatever order, nothing is lost or doubled, and a copy goes on the same", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
-			h := &history{T: t, book: NewBook(), now: start, topUps: map[string]int64{}, runs: map[string]Charge{}, began: map[string]time.Time{}}
-			must(h.book.Create("a", 0))
-			must(h.book.Create("b", 0))
+			h := &history{T: t, table: NewTable(), now: start, topUps: map[string]int64{}, runs: map[string]Charge{}, began: map[string]time.Time{}}
+			must(h.table.Create("a", 0))
+			must(h.table.Create("b", 0))
 			for range rapid.IntRange(1, 80).Draw(t, "events") {
 				h.event()
 				h.judge()
-				h.book = copied(t, h.book) // the next event is applied to what came from its bytes
+				h.table = decodedCopy(t, h.table) // the next event is applied to what came from its bytes
 			}
 		})
 	})
 }
 
-// copied gives the book that comes from a book's bytes; its own bytes must be the same.
-func copied(t *rapid.T, b *Book) *Book {
+// decodedCopy gives the book that comes from a book's bytes; its own bytes must be the same.
+func decodedCopy(t *rapid.T, b *Table) *Table {
 	data, err := json.Marshal(b)
 	must(err)
-	back := &Book{}
+	back := &Table{}
 	must(json.Unmarshal(data, back))
 	back.Rebuild()
 	again, err := json.Marshal(back)
@@ -378,15 +378,15 @@
 }
 
 func BenchmarkRun(b *testing.B) {
-	book := NewBook()
-	must(book.Create("acme", 0))
-	if _, err := book.TopUp("acme", "k", MaxAmount, start); err != nil {
+	table := NewTable()
+	must(table.Create("acme", 0))
+	if _, err := table.TopUp("acme", "k", MaxAmount, start); err != nil {
 		b.Fatal(err)
 	}
 	for i := range b.N {
 		c := charge(fmt.Sprint(i))
-		must(book.Reserve(c, start))
-		book.Renew(start)
-		book.Settle(c.Run, after(1200))
+		must(table.Reserve(c, start))
+		table.Renew(start)
+		table.Debit(c.Run, after(1200))
 	}
 }
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -27,17 +27,17 @@
 
 // Entry is one entry of an account's ledger. Key and Part stand in one entry at most.
 type Entry struct {
-	Number uint64    `json:"n"` // from 1 on, without gaps
-	At     time.Time `json:"at"`
-	Kind   EntryKind `json:"k"`
-	Key    string    `json:"key"`
-	Part   int       `json:"p,omitempty"`
-	Amount int64     `json:"u"`
+	Number    uint64    `json:"n"` // from 1 on, without gaps
+	At        time.Time `json:"at"`
+	Kind      EntryKind `json:"k"`
+	Key       string    `json:"key"`
+	DrawIndex int       `json:"p,omitempty"`
+	Amount    int64     `json:"u"`
 }
 
 // hash is the hash of the chain up to this entry, in hex; before is that up to the entry before.
 func (e *Entry) hash(before string) string {
-	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n", before, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.Part, e.Amount)
+	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n", before, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
@@ -138,7 +138,7 @@
 		}
 		sum = next
 		rows = append(rows, []string{number(e.Number), e.At.UTC().Format(time.RFC3339Nano), string(e.Kind), e.Key,
-			strconv.Itoa(e.Part), units(e.Amount), units(sum.ToppedUp), units(sum.Spent), sum.Hash})
+			strconv.Itoa(e.DrawIndex), units(e.Amount), units(sum.ToppedUp), units(sum.Spent), sum.Hash})
 	}
 	rows = append(rows, l.Head.row("head"))
 	return errs.Wrap(out.WriteAll(rows), errs.Disk, "write the ledger")
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -13,26 +13,26 @@
 	"crosstide/internal/state"
 )
 
-const full = `{"queues":{"scan":{"types":["scan","route"],"teams":["parcel"],"labels":{"disk":"ssd"},"urgent":true,"hold":"10s",
+const fullBundle = `{"queues":{"scan":{"types":["scan","route"],"teams":["parcel"],"labels":{"disk":"ssd"},"urgent":true,"hold":"10s",
 "retries":2,"placement":{"minions":["m2","m1"],"zones":["z1"],"racks":["r1"],"near":[{"label":"data","value":"scans","within":"rack"}]}}},
 "limits":{"scan":40},"weights":{"parcel":3},"retries":5,"backoff":{"min":"1s","max":"1m"},"hold":"30s"}`
 
 func TestParse(t *testing.T) {
 	Convey("A bundle says what it says; the first text is the state's own first bundle", t, func() {
-		b, err := Parse([]byte(full))
+		b, err := Parse([]byte(fullBundle))
 		So(err, ShouldBeNil)
 		two, five := 2, 5
 		So(b, ShouldResemble, state.Bundle{
 			Queues: map[string]state.Queue{"scan": {Types: []string{"route", "scan"}, Teams: []string{"parcel"},
-				Labels: map[string]string{"disk": "ssd"}, Minions: []string{"m1", "m2"}, Zones: []string{"z1"}, Racks: []string{"r1"},
-				Urgent: true, Near: []state.Near{{Label: "data", Value: "scans", Within: "rack"}}, Hold: 10 * time.Second, Retries: &two}},
-			Limits: map[string]int{"scan": 40}, Weights: map[string]int{"parcel": 3}, Retries: &five, Hold: 30 * time.Second,
+				Labels: map[string]string{"disk": "ssd"}, Workers: []string{"m1", "m2"}, Zones: []string{"z1"}, Racks: []string{"r1"},
+				Urgent: true, Near: []state.Near{{Label: "data", Value: "scans", Scope: "rack"}}, LeaseTTL: 10 * time.Second, Retries: &two}},
+			Limits: map[string]int{"scan": 40}, Weights: map[string]int{"parcel": 3}, Retries: &five, LeaseTTL: 30 * time.Second,
 			Backoff: state.Backoff{Min: time.Second, Max: time.Minute}})
-		first, err := Parse([]byte(state.First))
+		first, err := Parse([]byte(state.InitialBundle))
 		So(err, ShouldBeNil)
 		first.Version = 1
 		So(state.New().Bundle, ShouldResemble, first)
-		So(state.New().Head().Digest, ShouldEqual, Digest([]byte(state.First)))
+		So(state.New().Head().Digest, ShouldEqual, Digest([]byte(state.InitialBundle)))
 	})
 	Convey("All mistakes are told at once, with their paths", t, func() {
 		_, err := Parse([]byte(`{"queues":{"a b":{},"q":{"zones":["z1"],"types":[],"hold":"1ms","placement":{"racks":["r 1",7],
@@ -68,13 +68,13 @@
 
 func TestMerge(t *testing.T) {
 	Convey("A merge patch sets, replaces and takes away, and the difference is told by paths", t, func() {
-		next, err := Merge([]byte(full), []byte(`{"queues":{"scan":{"placement":{"zones":["z2"],"racks":null},"teams":null},"new":{}},"limits":null}`))
+		next, err := Merge([]byte(fullBundle), []byte(`{"queues":{"scan":{"placement":{"zones":["z2"],"racks":null},"teams":null},"new":{}},"limits":null}`))
 		So(err, ShouldBeNil)
 		b, err := Parse(next)
 		So(err, ShouldBeNil)
 		So([]any{b.Queues["scan"].Zones, b.Queues["scan"].Racks, b.Queues["scan"].Teams, len(b.Queues), b.Limits},
 			ShouldResemble, []any{[]string{"z2"}, []string(nil), []string(nil), 2, map[string]int(nil)})
-		changes, err := Diff([]byte(full), next)
+		changes, err := Diff([]byte(fullBundle), next)
 		So(err, ShouldBeNil)
 		So(changes, ShouldResemble, []Change{{"limits", `{"scan":40}`, ""}, {"queues.new", "", "{}"},
 			{"queues.scan.placement.racks", `["r1"]`, ""}, {"queues.scan.placement.zones", `["z1"]`, `["z2"]`},
@@ -82,7 +82,7 @@
 	})
 	Convey("A patch that is none, or says a thing twice, is refused", t, func() {
 		for _, patch := range []string{`{`, `[]`, `{"limits":{"a":1,"a":2}}`} {
-			_, err := Merge([]byte(full), []byte(patch))
+			_, err := Merge([]byte(fullBundle), []byte(patch))
 			So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		}
 	})
--- a/internal/bundle/merge.go
+++ b/internal/bundle/merge.go
@@ -32,18 +32,18 @@
 	if from.Type() != fastjson.TypeObject {
 		return nil, errs.New(errs.Invalid, "1 mistake in the patch:\nmust be an object, is %s", from.Type())
 	}
-	if path := twice("", from); path != "" {
+	if path := duplicatePath("", from); path != "" {
 		return nil, errs.Field(errs.Invalid, path, "1 mistake in the patch:\n%s: is given more than once", path)
 	}
 	var out bytes.Buffer
-	if err := json.Indent(&out, merged(to, from).MarshalTo(nil), "", "  "); err != nil {
+	if err := json.Indent(&out, mergeValues(to, from).MarshalTo(nil), "", "  "); err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "the result")
 	}
 	out.WriteByte('\n')
 	return out.Bytes(), nil
 }
 
-func merged(to, from *fastjson.Value) *fastjson.Value {
+func mergeValues(to, from *fastjson.Value) *fastjson.Value {
 	if from.Type() != fastjson.TypeObject {
 		return from
 	}
@@ -56,24 +56,24 @@
 			to.Del(name)
 			return
 		}
-		to.Set(name, merged(to.Get(name), v))
+		to.Set(name, mergeValues(to.Get(name), v))
 	})
 	return to
 }
 
-// twice returns the path of a name that an object in v has more than once.
-func twice(path string, v *fastjson.Value) (found string) {
+// duplicatePath returns the path of a name that an object in v has more than once.
+func duplicatePath(path string, v *fastjson.Value) (found string) {
 	if v.Type() != fastjson.TypeObject {
 		return ""
 	}
 	seen := map[string]bool{}
 	v.GetObject().Visit(func(key []byte, v *fastjson.Value) {
-		at := joined(path, string(key))
+		at := joinPath(path, string(key))
 		if seen[string(key)] && found == "" {
 			found = at
 		}
 		seen[string(key)] = true
-		if deep := twice(at, v); found == "" {
+		if deep := duplicatePath(at, v); found == "" {
 			found = deep
 		}
 	})
@@ -100,37 +100,37 @@
 		return nil, errs.Wrap(err, errs.Invalid, "the second must be JSON")
 	}
 	var out []Change
-	differ("", a, b, &out)
+	appendChanges("", a, b, &out)
 	slices.SortStableFunc(out, func(a, b Change) int { return bytes.Compare([]byte(a.Path), []byte(b.Path)) })
 	return out, nil
 }
 
-func differ(path string, a, b *fastjson.Value, out *[]Change) {
+func appendChanges(path string, a, b *fastjson.Value, out *[]Change) {
 	if a != nil && b != nil && a.Type() == fastjson.TypeObject && b.Type() == fastjson.TypeObject {
 		a.GetObject().Visit(func(key []byte, v *fastjson.Value) {
-			differ(joined(path, string(key)), v, b.GetObject().Get(string(key)), out)
+			appendChanges(joinPath(path, string(key)), v, b.GetObject().Get(string(key)), out)
 		})
 		b.GetObject().Visit(func(key []byte, v *fastjson.Value) {
 			if a.GetObject().Get(string(key)) == nil {
-				differ(joined(path, string(key)), nil, v, out)
+				appendChanges(joinPath(path, string(key)), nil, v, out)
 			}
 		})
 		return
 	}
-	if from, to := text(a), text(b); from != to {
+	if from, to := jsonText(a), jsonText(b); from != to {
 		*out = append(*out, Change{path, from, to})
 	}
 }
 
-func text(v *fastjson.Value) string {
+func jsonText(v *fastjson.Value) string {
 	if v == nil {
 		return ""
 	}
 	return string(v.MarshalTo(nil))
 }
 
-func joined(path, name string) string {
-	if !nameForm.MatchString(name) {
+func joinPath(path, name string) string {
+	if !namePattern.MatchString(name) {
 		name = strconv.Quote(name)
 	}
 	if path == "" {
--- a/internal/bundle/parties.go
+++ b/internal/bundle/parties.go
@@ -12,29 +12,29 @@
 
 // Bounds of a party's settings.
 const (
-	shortestReserve = 100 * time.Millisecond
-	longestReserve  = 24 * time.Hour
+	minReserve = 100 * time.Millisecond
+	maxReserve = 24 * time.Hour
 )
 
-// parties reads who pays for which teams and queues, and what. A team or queue has one party at most.
-func parties(r *config.Reader, b *state.Bundle) {
+// readParties reads who pays for which teams and queues, and what. A team or queue has one party at most.
+func readParties(r *config.Reader, b *state.Bundle) {
 	found := map[string]state.Party{}
 	r.Object("parties", func(r *config.Reader) {
 		teams, queues := map[string]string{}, map[string]string{}
 		names := slices.Clone(r.Names())
 		slices.Sort(names)
 		for _, name := range names {
-			key(r, name)
+			checkName(r, name)
 			p := state.Party{}
-			r.Object(name, func(r *config.Reader) { party(r, &p) })
+			r.Object(name, func(r *config.Reader) { readParty(r, &p) })
 			for _, queue := range p.Queues {
 				if _, ok := b.Queues[queue]; !ok {
 					r.Wrong(name+".queues", "there is no queue %q", queue)
 				}
-				once(r, name+".queues", queue, name, queues)
+				claim(r, name+".queues", queue, name, queues)
 			}
 			for _, team := range p.Teams {
-				once(r, name+".teams", team, name, teams)
+				claim(r, name+".teams", team, name, teams)
 			}
 			found[name] = p
 		}
@@ -44,27 +44,27 @@
 	}
 }
 
-func party(r *config.Reader, p *state.Party) {
-	list(r, "teams", &p.Teams)
-	list(r, "queues", &p.Queues)
+func readParty(r *config.Reader, p *state.Party) {
+	readNames(r, "teams", &p.Teams)
+	readNames(r, "queues", &p.Queues)
 	r.Need("price")
 	r.Object("price", func(r *config.Reader) {
-		p.Price.Core = price(r, "core")
-		p.Price.GPU = price(r, "gpu")
-		p.Price.Memory = price(r, "memory")
+		p.Price.Core = readPrice(r, "core")
+		p.Price.GPU = readPrice(r, "gpu")
+		p.Price.Memory = readPrice(r, "memory")
 	})
-	r.Duration("reserve", &p.Reserve, shortestReserve, longestReserve)
-	r.Duration("warn", &p.Warn, time.Second, longestReserve)
+	r.Duration("reserve", &p.Reserve, minReserve, maxReserve)
+	r.Duration("warn", &p.Warn, time.Second, maxReserve)
 }
 
-func price(r *config.Reader, field string) int64 {
+func readPrice(r *config.Reader, field string) int64 {
 	n := 0
 	r.Int(field, &n, 0, account.MaxPrice)
 	return int64(n)
 }
 
-// once makes it a mistake that a second party pays for the same.
-func once(r *config.Reader, field, what, party string, taken map[string]string) {
+// claim makes it a mistake that a second party pays for the same.
+func claim(r *config.Reader, field, what, party string, taken map[string]string) {
 	if other, ok := taken[what]; ok {
 		r.Wrong(field, "%q is paid for by %q already", what, other)
 		return
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -76,7 +76,7 @@
 
 	mu     sync.Mutex
 	events []func(*scheduler.Core, time.Duration)
-	notes  []jobs.Note
+	notes  []jobs.Event
 	wake   chan struct{}
 	beats  map[string]uint64 // newest heartbeat of each worker, by its sequence number
 }
@@ -130,7 +130,7 @@
 }
 
 // watch takes a note of the job table; it is called under the store's lock.
-func (l *Leader) watch(note jobs.Note) {
+func (l *Leader) watch(note jobs.Event) {
 	l.mu.Lock()
 	l.notes = append(l.notes, note)
 	l.mu.Unlock()
@@ -199,7 +199,7 @@
 	var out scheduler.Out
 	l.opt.Store.View(func(s *state.State) {
 		if l.core.Term() == 0 {
-			l.lead(now, term, s.Table)
+			l.lead(now, term, s.JobTable)
 		}
 		events, notes := l.take()
 		for _, note := range notes {
@@ -255,7 +255,7 @@
 	l.tidyAt = now + tidyEvery
 	before := l.clock.Wall().Add(-l.opt.KeepOver)
 	l.group.Go(func(ctx context.Context) {
-		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &command.JobTidy{Before: before}); err != nil {
+		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &command.JobPurge{Before: before}); err != nil {
 			_ = level.Debug(l.log).Log("msg", "tidy", "err", err)
 		}
 	})
@@ -264,7 +264,7 @@
 func (l *Leader) lead(now time.Duration, term uint64, table *jobs.Table) {
 	l.take()
 	l.retain(table.Workers)
-	table.Watch = l.watch
+	table.OnEvent = l.watch
 	l.core.Lead(now, term, table)
 	l.tidyAt = now + tidyEvery
 	_ = level.Info(l.log).Log("msg", "scheduling", "term", term, "jobs", len(table.Jobs), "workers", len(table.Workers))
@@ -276,11 +276,11 @@
 	}
 	_ = level.Info(l.log).Log("msg", "no longer scheduling", "term", l.core.Term())
 	l.core.Yield()
-	l.opt.Store.View(func(s *state.State) { s.Table.Watch = nil })
+	l.opt.Store.View(func(s *state.State) { s.JobTable.OnEvent = nil })
 	l.take()
 }
 
-func (l *Leader) take() ([]func(*scheduler.Core, time.Duration), []jobs.Note) {
+func (l *Leader) take() ([]func(*scheduler.Core, time.Duration), []jobs.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events, notes := l.events, l.notes
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -105,7 +105,7 @@
 		l := fakeLeader(store, by)
 		beatOf(l, heartbeat(1))
 		beatOf(l, draining(heartbeat(5)))
-		record := func() jobs.Worker { return *store.state.Table.Workers["w1"] }
+		record := func() jobs.Worker { return *store.state.JobTable.Workers["w1"] }
 		So(record().Draining, ShouldBeTrue)
 		Convey("they are acknowledged and change nothing", func() {
 			before, entries := record(), store.index
@@ -140,7 +140,7 @@
 		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 		store.refuses = ""
 		beatOf(l, draining(heartbeat(3)))
-		So(store.state.Table.Workers["w1"].Draining, ShouldBeTrue)
+		So(store.state.JobTable.Workers["w1"].Draining, ShouldBeTrue)
 	})
 }
 
@@ -150,11 +150,11 @@
 		l := fakeLeader(store, by)
 		beatOf(l, heartbeat(1))
 		beatOf(l, BeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
-		So(store.state.Table.Workers["w1"].Left, ShouldBeTrue)
+		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 		Convey("heartbeats that come later do not bring it back, here or at a new leader", func() {
 			beatOf(l, heartbeat(2))
 			beatOf(fakeLeader(store, by), heartbeat(3))
-			So(store.state.Table.Workers["w1"].Left, ShouldBeTrue)
+			So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 		})
 		Convey("said again it is acknowledged and changes nothing", func() {
 			entries := store.index
@@ -168,7 +168,7 @@
 		beatOf(l, BeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 		beatOf(l, heartbeat(1))
 		beatOf(fakeLeader(store, by), heartbeat(2))
-		So(store.state.Table.Workers["w1"].Left, ShouldBeTrue)
+		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 	})
 	Convey("The sequence numbers of workers that are forgotten are let go", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
@@ -220,13 +220,13 @@
 		Convey("seconds after it was accepted, at a new leader", func() {
 			_, err := l.Submit(ctx, submitCall("d"))
 			So(err, ShouldBeNil)
-			accepted := *store.state.Table.Jobs["j"]
+			accepted := *store.state.JobTable.Jobs["j"]
 			by.Advance(5 * time.Second)
 			answer, err := fakeLeader(store, by).Submit(ctx, submitCall("d"))
 			So([]any{answer.State, err}, ShouldResemble, []any{jobs.Queued, nil})
-			So(store.state.Table.Jobs, ShouldHaveLength, 1)
-			So(store.state.Table.Jobs["j"].Sequence, ShouldEqual, accepted.Sequence)
-			So(store.state.Table.Jobs["j"].Accepted, ShouldResemble, accepted.Accepted)
+			So(store.state.JobTable.Jobs, ShouldHaveLength, 1)
+			So(store.state.JobTable.Jobs["j"].Sequence, ShouldEqual, accepted.Sequence)
+			So(store.state.JobTable.Jobs["j"].AcceptedAt, ShouldResemble, accepted.AcceptedAt)
 		})
 		Convey("when nobody knows whether the first attempt was committed", func() {
 			for _, late := range []bool{false, true} {
@@ -236,7 +236,7 @@
 				store.refuses = ""
 				_, err = l.Submit(ctx, submitCall("d"))
 				So(err, ShouldBeNil)
-				So(store.state.Table.Jobs, ShouldHaveLength, 1)
+				So(store.state.JobTable.Jobs, ShouldHaveLength, 1)
 			}
 		})
 		Convey("when it is over, and after it was cancelled", func() {
@@ -282,7 +282,7 @@
 			}
 		})
 		Convey("one that comes when the job is forgotten says so", func() {
-			store.state.Table.Tidy(by.Wall().Add(time.Hour))
+			store.state.JobTable.Purge(by.Wall().Add(time.Hour))
 			answer, err := l.Job(ctx, cancel)
 			So([]any{answer.Gone, err}, ShouldResemble, []any{true, nil})
 		})
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -101,7 +101,7 @@
 func (f *figures) count(table *jobs.Table) {
 	f.version = table.Config.Version
 	for _, queue := range table.Config.Queues {
-		f.waiting[queue.Name] = table.Waiting(queue.Name)
+		f.waiting[queue.Name] = table.QueuedCount(queue.Name)
 	}
 	for id, worker := range table.Workers {
 		state := "ready"
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -118,7 +118,7 @@
 }
 
 func viewOf(job *jobs.Job) JobView {
-	view := JobView{ID: job.Spec.ID, Queue: job.Spec.Queue, State: job.State, Accepted: job.Accepted, Ended: job.Ended}
+	view := JobView{ID: job.Spec.ID, Queue: job.Spec.Queue, State: job.State, Accepted: job.AcceptedAt, Ended: job.EndedAt}
 	view.Steps = make([]StepView, len(job.Spec.Steps))
 	for _, round := range job.Rounds {
 		for step, tasks := range round {
@@ -164,7 +164,7 @@
 		for id, job := range table.Jobs {
 			if call.takes(job) {
 				answer.Jobs = append(answer.Jobs, JobSummary{ID: id, Queue: job.Spec.Queue, State: job.State,
-					Accepted: job.Accepted, Ended: job.Ended})
+					Accepted: job.AcceptedAt, Ended: job.EndedAt})
 			}
 		}
 		return nil
@@ -186,7 +186,7 @@
 	_, err := l.look(func(table *jobs.Table) error {
 		for _, queue := range table.Config.Queues {
 			answer.Queues = append(answer.Queues, QueueView{Name: queue.Name, Service: queue.Service, Priority: queue.Priority,
-				Waiting: table.Waiting(queue.Name)})
+				Waiting: table.QueuedCount(queue.Name)})
 		}
 		return nil
 	})
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -143,7 +143,7 @@
 func (c *Core) Term() uint64 { return c.term }
 
 // Note takes in a change of the table.
-func (c *Core) Note(note jobs.Note) {
+func (c *Core) Note(note jobs.Event) {
 	if c.term == 0 {
 		return
 	}
@@ -321,7 +321,7 @@
 		}
 		w := c.workers[r.worker]
 		j := c.table.Jobs[key.Task.Job]
-		if w == nil || w.record() == nil || !w.reachable() || j == nil || j.State.Over() || r.stop {
+		if w == nil || w.record() == nil || !w.reachable() || j == nil || j.State.IsTerminal() || r.stop {
 			c.end(r, jobs.EndLost, "") // it never left
 			continue
 		}
--- a/internal/controller/scheduler/crowd_test.go
+++ b/internal/controller/scheduler/crowd_test.go
@@ -69,7 +69,7 @@
 	delete(w.later, w.now.Truncate(time.Millisecond))
 	if w.random.Float64() < 0.035*load {
 		near := fmt.Sprintf("r%d", w.random.IntN(crowdWorkers/12))
-		w.arrive("q", jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, Near: near},
+		w.arrive("q", jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, PreferredRack: near},
 			jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, After: []int{0}})
 	}
 	if w.random.Float64() < 0.0016*load {
@@ -113,7 +113,7 @@
 	w.after(took, func() { w.end(s.Worker.ID, key, jobs.EndDone) })
 }
 
-func (w *crowd) end(id string, key jobs.RunKey, how jobs.How) {
+func (w *crowd) end(id string, key jobs.RunKey, how jobs.EndReason) {
 	if _, runs := w.lists[id][key]; !runs {
 		return
 	}
--- a/internal/controller/scheduler/discard.go
+++ b/internal/controller/scheduler/discard.go
@@ -30,12 +30,12 @@
 }
 
 // endCauses are the causes that the end of a run tells by itself.
-var endCauses = map[jobs.How]Cause{
-	jobs.EndLapsed: CauseLapsed, jobs.EndBroken: CauseGang, jobs.EndAlone: CauseAlone, jobs.EndLost: CauseLost, jobs.EndStopped: CauseLost,
+var endCauses = map[jobs.EndReason]Cause{
+	jobs.EndLeaseExpired: CauseLapsed, jobs.EndGangBroken: CauseGang, jobs.EndGangTimeout: CauseAlone, jobs.EndLost: CauseLost, jobs.EndStopped: CauseLost,
 }
 
 // discard counts a run that ended neither well nor by its own fault. Why it was stopped goes before how it ended.
-func (c *Core) discard(r *run, how jobs.How, checkpoint string) {
+func (c *Core) discard(r *run, how jobs.EndReason, checkpoint string) {
 	cause, known := endCauses[how]
 	if !known || !r.sent {
 		return
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -24,13 +24,13 @@
 	return key
 }
 
-func (h *harness) endAs(key jobs.RunKey, how jobs.How) {
+func (h *harness) endAs(key jobs.RunKey, how jobs.EndReason) {
 	h.answer(HoldAnswer{Ended: []Ended{{Sequence: 1, Key: key, How: how}}})
 }
 
 func TestDiscardedWork(t *testing.T) {
 	Convey("Work is counted by why it was thrown away", t, func() {
-		causes := map[jobs.How]Cause{jobs.EndLapsed: CauseLapsed, jobs.EndBroken: CauseGang, jobs.EndAlone: CauseAlone, jobs.EndLost: CauseLost}
+		causes := map[jobs.EndReason]Cause{jobs.EndLeaseExpired: CauseLapsed, jobs.EndGangBroken: CauseGang, jobs.EndGangTimeout: CauseAlone, jobs.EndLost: CauseLost}
 		for how, cause := range causes {
 			h := newHarness()
 			key := h.runningTask(jobs.Step{}, "")
@@ -51,16 +51,16 @@
 		So(h.core.Health(h.now).Discarded[CauseJobOver].Runs, ShouldEqual, 1)
 	})
 	Convey("Good ends and failures throw nothing away; work that was saved, and lasting work, costs no core-seconds", t, func() {
-		for _, how := range []jobs.How{jobs.EndDone, jobs.EndFailed} {
+		for _, how := range []jobs.EndReason{jobs.EndDone, jobs.EndFailed} {
 			h := newHarness()
 			h.endAs(h.runningTask(jobs.Step{}, ""), how)
 			So(h.core.Health(h.now).Discarded, ShouldBeEmpty)
 		}
 		h := newHarness()
-		h.endAs(h.runningTask(jobs.Step{Checkpoints: true}, "c"), jobs.EndLapsed)
+		h.endAs(h.runningTask(jobs.Step{Checkpoints: true}, "c"), jobs.EndLeaseExpired)
 		So(h.core.Health(h.now).Discarded[CauseLapsed], ShouldResemble, Discarded{Runs: 1})
 		h = newHarness()
-		h.endAs(h.runningTask(jobs.Step{Lasting: true}, ""), jobs.EndLapsed)
+		h.endAs(h.runningTask(jobs.Step{LongRunning: true}, ""), jobs.EndLeaseExpired)
 		So(h.core.Health(h.now).Discarded[CauseLapsed], ShouldResemble, Discarded{Runs: 1})
 	})
 	Convey("A lease that this leader finds over counts as lapsed, a run that its worker does not list as lost", t, func() {
--- a/internal/controller/scheduler/harness_test.go
+++ b/internal/controller/scheduler/harness_test.go
@@ -24,7 +24,7 @@
 	h := &harness{core: New(Defaults()), table: jobs.NewTable(), now: time.Second}
 	So(h.table.Configure(harnessConfig(1)), ShouldBeNil)
 	So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w", Service: "s", Capacity: jobs.Resources{MilliCPU: 4000}}}}), ShouldBeNil)
-	h.table.Watch = h.core.Note
+	h.table.OnEvent = h.core.Note
 	h.core.Lead(h.now, harnessTerm, h.table)
 	h.pass()
 	h.answer(HoldAnswer{})
--- a/internal/controller/scheduler/lapse_test.go
+++ b/internal/controller/scheduler/lapse_test.go
@@ -29,7 +29,7 @@
 		must(b.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z",
 			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
 	}
-	b.table.Watch = b.core.Note
+	b.table.OnEvent = b.core.Note
 	b.core.Lead(b.now, testTerm, b.table)
 	return b
 }
--- a/internal/controller/scheduler/leaving_test.go
+++ b/internal/controller/scheduler/leaving_test.go
@@ -20,7 +20,7 @@
 func TestDeregisteredWorkerServesOn(t *testing.T) {
 	Convey("Given a run on a worker that has deregistered and serves on", t, func() {
 		h := newHarness()
-		h.submit(jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second, MostPerNode: 1})
+		h.submit(jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second, MaxPerWorker: 1})
 		h.pass()
 		h.accept()
 		So(h.sent, ShouldHaveLength, 1)
--- a/internal/controller/scheduler/month_test.go
+++ b/internal/controller/scheduler/month_test.go
@@ -85,7 +85,7 @@
 			must(err)
 		}
 	}
-	m.table.Tidy(m.wall.Add(-monthKeep))
+	m.table.Purge(m.wall.Add(-monthKeep))
 }
 
 func (m *month) up(id string) bool {
@@ -140,7 +140,7 @@
 	m.core.HoldAnswered(m.now, id, h.Number, answer, HoldOK)
 }
 
-func (m *month) finish(id string, key jobs.RunKey, how jobs.How) {
+func (m *month) finish(id string, key jobs.RunKey, how jobs.EndReason) {
 	for i, other := range m.lists[id] {
 		if other == key {
 			m.lists[id] = append(append([]jobs.RunKey{}, m.lists[id][:i]...), m.lists[id][i+1:]...)
--- a/internal/controller/scheduler/move.go
+++ b/internal/controller/scheduler/move.go
@@ -113,7 +113,7 @@
 	if j == nil || rec == nil || r.key.Task.Step >= len(j.Spec.Steps) {
 		return 1
 	}
-	near := j.Spec.Steps[r.key.Task.Step].Near
+	near := j.Spec.Steps[r.key.Task.Step].PreferredRack
 	if near == "" || slices.Contains(rec.Labels, near) {
 		return 1
 	}
@@ -123,7 +123,7 @@
 // moveOne stops a run if another worker has room for its task.
 func (p *placement) moveOne(r *run) bool {
 	j := p.core.table.Jobs[r.key.Task.Job]
-	if j == nil || j.State.Over() || r.key.Task.Step >= len(j.Spec.Steps) {
+	if j == nil || j.State.IsTerminal() || r.key.Task.Step >= len(j.Spec.Steps) {
 		return false
 	}
 	q := p.core.table.Config.Queue(j.Spec.Queue)
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -16,7 +16,7 @@
 // lists the progress in percent that each worker's two runs have made, and gives the workers on which runs were stopped.
 func (h *harness) paced(elapsed time.Duration, near string, percent map[string][2]int) (stopped []string) {
 	h.addWorkers("x", "y", "z")
-	h.submit(jobs.Step{Count: 8, Estimate: time.Second, Near: near, Needs: jobs.Resources{MilliCPU: 1000}})
+	h.submit(jobs.Step{Count: 8, Estimate: time.Second, PreferredRack: near, Needs: jobs.Resources{MilliCPU: 1000}})
 	h.pass()
 	So(h.sent, ShouldHaveLength, 8)
 	h.acceptAll()
--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -61,7 +61,7 @@
 type Ended struct {
 	Sequence   uint64 // from 1, rising, within one life of the worker
 	Key        jobs.RunKey
-	How        jobs.How
+	How        jobs.EndReason
 	Checkpoint string
 }
 
--- a/internal/controller/scheduler/payment_test.go
+++ b/internal/controller/scheduler/payment_test.go
@@ -12,20 +12,20 @@
 
 // paidAccounts are accounts at the harness's time.
 type paidAccounts struct {
-	*account.Book
+	*account.Table
 	h *harness
 }
 
 func (a paidAccounts) at() time.Time { return time.Time{}.Add(a.h.now) }
 
-func (a paidAccounts) Reserve(c account.Charge) error { return a.Book.Reserve(c, a.at()) }
-func (a paidAccounts) Settle(run string)              { a.Book.Settle(run, a.at()) }
+func (a paidAccounts) Reserve(c account.Charge) error { return a.Table.Reserve(c, a.at()) }
+func (a paidAccounts) Debit(run string)               { a.Table.Debit(run, a.at()) }
 
 // pay lets acme pay for queue q: 10 a second for a core, 100 to start.
 func (h *harness) pay(units int64) paidAccounts {
 	So(h.table.SetParties(jobs.SetParties{Parties: []jobs.Party{{Name: "acme", Queues: []string{"q"}, Price: account.Price{Core: 10},
 		Window: 10 * time.Second}}}), ShouldBeNil)
-	a := paidAccounts{account.NewBook(), h}
+	a := paidAccounts{account.NewTable(), h}
 	So(a.Create("acme", 0), ShouldBeNil)
 	h.table.Payments = a
 	a.topUp("first", units)
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -150,7 +150,7 @@
 	if u.step.Label != "" && !slices.Contains(n.record.Labels, u.step.Label) {
 		return false
 	}
-	return u.step.MostPerNode == 0 || p.onNode(u, n.record.ID) < u.step.MostPerNode
+	return u.step.MaxPerWorker == 0 || p.onNode(u, n.record.ID) < u.step.MaxPerWorker
 }
 
 // onNode counts a unit's tasks on a worker, those planned in this pass included.
@@ -181,7 +181,7 @@
 	switch {
 	case n.factor >= sickSpeed:
 		return n.factor
-	case u.step.Lasting:
+	case u.step.LongRunning:
 		return 1 + 1/max(rounded, 0.1)
 	case u.queue.Priority > 0:
 		return 1
@@ -192,7 +192,7 @@
 // cost is how long a unit's task takes on a node, by what is known.
 func (p *placement) cost(u *unit, n *node) float64 {
 	cost := u.speedCost(n)
-	if u.step.Near != "" && !slices.Contains(n.record.Labels, u.step.Near) {
+	if u.step.PreferredRack != "" && !slices.Contains(n.record.Labels, u.step.PreferredRack) {
 		cost *= p.core.cfg.SpreadFactor
 	}
 	return cost
@@ -409,8 +409,8 @@
 	if needs.GPUs > 0 {
 		most = min(most, has.GPUs/needs.GPUs)
 	}
-	if u.step.MostPerNode > 0 {
-		most = min(most, u.step.MostPerNode)
+	if u.step.MaxPerWorker > 0 {
+		most = min(most, u.step.MaxPerWorker)
 	}
 	return most
 }
--- a/internal/controller/scheduler/preempt.go
+++ b/internal/controller/scheduler/preempt.go
@@ -9,7 +9,7 @@
 
 // preempt stops less urgent runs so that count tasks of a unit find room. It tells whether room is on the way.
 func (p *placement) preempt(u *unit, nodes []*node, count int) bool {
-	if u.step.Gang || u.step.Lasting {
+	if u.step.Gang || u.step.LongRunning {
 		return false
 	}
 	for range count {
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -54,7 +54,7 @@
 	handles := c.refreshRuns(rec, j)
 	before := rec.units
 	rec.units, rec.timed = nil, false
-	if j == nil || j.State.Over() {
+	if j == nil || j.State.IsTerminal() {
 		if handles == 0 {
 			delete(c.queue, id)
 			c.forgetTasks(id)
@@ -131,7 +131,7 @@
 				c.end(r, jobs.EndLost, "") // recorded under this term, and its order never left
 			}
 		}
-		if r != nil && (task.Done || j.State.Over()) && !r.stop {
+		if r != nil && (task.Done || j.State.IsTerminal()) && !r.stop {
 			c.stopFor(r, CauseJobOver)
 		}
 	}
@@ -139,7 +139,7 @@
 
 // refreshRound adds the units of a round that are due.
 func (c *Core) refreshRound(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
-	begin := j.Accepted
+	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
 		begin = j.Spec.FirstRun.Add(time.Duration(round) * j.Spec.Interval)
 		if due := begin.Add(-c.cfg.EarlyStart); wall.Before(due) {
@@ -154,13 +154,13 @@
 	for number := range j.Spec.Steps {
 		step := &j.Spec.Steps[number]
 		indexes := dueTasks(j.Rounds[round][number], step.Gang)
-		if len(indexes) == 0 || !c.table.ReadyStep(j, round, number) {
+		if len(indexes) == 0 || !c.table.IsStepReady(j, round, number) {
 			continue
 		}
 		u := &unit{job: j, step: step, queue: q, round: round, number: number, indexes: indexes}
 		u.latest = begin.Add(objective - chain(j.Spec.Steps, number, false))
 		u.hopeless = begin.Add(3 * objective)
-		if step.Lasting {
+		if step.LongRunning {
 			u.latest, u.hopeless = begin.Add(q.Target), begin.Add(24*time.Hour)
 		}
 		rec.units = append(rec.units, u)
--- a/internal/controller/scheduler/runs.go
+++ b/internal/controller/scheduler/runs.go
@@ -73,7 +73,7 @@
 	r := &run{key: key, worker: workerID, mine: mine, sent: !mine}
 	if key.Task.Step < len(j.Spec.Steps) {
 		step := &j.Spec.Steps[key.Task.Step]
-		r.gang, r.lasting, r.estimate, r.needs = step.Gang, step.Lasting, step.Estimate, step.Needs
+		r.gang, r.lasting, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
 	}
 	if q := c.table.Config.Queue(j.Spec.Queue); q != nil {
 		r.priority = q.Priority
@@ -93,14 +93,14 @@
 }
 
 // end puts a run's end into the next Progress.
-func (c *Core) end(r *run, how jobs.How, checkpoint string) {
+func (c *Core) end(r *run, how jobs.EndReason, checkpoint string) {
 	if r.ending {
 		return
 	}
 	r.ending = true
 	c.moved = true
 	c.discard(r, how, checkpoint)
-	c.ends = append(c.ends, jobs.End{Key: r.key, Worker: r.worker, How: how, Checkpoint: cmp.Or(checkpoint, r.saved)})
+	c.ends = append(c.ends, jobs.End{Key: r.key, Worker: r.worker, Reason: how, Checkpoint: cmp.Or(checkpoint, r.saved)})
 	switch how {
 	case jobs.EndDone:
 		c.Counts.Done++
--- a/internal/controller/scheduler/speeds.go
+++ b/internal/controller/scheduler/speeds.go
@@ -73,7 +73,7 @@
 func mix(old, observed float64) float64 { return old + speedWeight*(observed-old) }
 
 // ended takes in the end of a run.
-func (s *speeds) ended(c *Core, w *worker, r *run, how jobs.How) {
+func (s *speeds) ended(c *Core, w *worker, r *run, how jobs.EndReason) {
 	if r.lasting || r.stop || how != jobs.EndDone && how != jobs.EndFailed {
 		return
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -26,7 +26,7 @@
 	if !held {
 		return term, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
 	}
-	l.opt.Store.View(func(s *state.State) { err = read(s.Table) })
+	l.opt.Store.View(func(s *state.State) { err = read(s.JobTable) })
 	return term, errs.Pass(err, "look")
 }
 
@@ -95,7 +95,7 @@
 	_, err = l.look(func(table *jobs.Table) error {
 		q, err := locate(table, call.Locate)
 		if err == nil {
-			answer.Waiting = table.Waiting(q.Name)
+			answer.Waiting = table.QueuedCount(q.Name)
 		}
 		return errs.Pass(err, "count")
 	})
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -64,7 +64,7 @@
 func New(opt Options) *Node {
 	n := &Node{opt: opt, kick: make(chan struct{}, 1), minionConns: map[string]*minionConns{}}
 	n.core = &coreClient{caller: opt.Caller, within: opt.CallTimeout, addrs: opt.Core}
-	n.replica = replica.New(func(note state.Note) { n.sched.Note(note); n.wake() }, func(st *state.State) {
+	n.replica = replica.New(func(note state.Event) { n.sched.Note(note); n.wake() }, func(st *state.State) {
 		n.sched.Reset(opt.Clock.Now(), st)
 	})
 	st := n.replica.Lock()
@@ -198,7 +198,7 @@
 	}
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
-	if d := st.Duties["sched"]; d == nil || d.Epoch != a.Epoch || d.Boot != n.opt.Boot {
+	if d := st.Roles["sched"]; d == nil || d.Epoch != a.Epoch || d.Incarnation != n.opt.Boot {
 		return errs.New(errs.Stale, "grant %d is over", a.Epoch)
 	}
 	if n.sched.Epoch() != a.Epoch {
@@ -394,7 +394,7 @@
 	defer n.replica.Unlock()
 	f := Figures{Index: st.Index, Changes: n.replica.Changes, Bytes: n.replica.Bytes, Snapshots: n.replica.Snapshots,
 		Phase: n.sched.Phase(), Epoch: n.sched.Epoch(), QueueLength: n.sched.QueueLength(), Counts: n.sched.Counts, RunningCounts: st.RunningCounts(),
-		Jobs: len(st.Jobs), Handles: len(st.Handles), Minions: len(st.Minions), Inbox: len(st.Inbox), Sick: n.sched.Sick(), Dry: n.sched.DryTasks()}
+		Jobs: len(st.Jobs), Handles: len(st.Handles), Minions: len(st.Workers), Inbox: len(st.Inbox), Sick: n.sched.Sick(), Dry: n.sched.DryTasks()}
 	f.Counts.Dead = map[string]uint64{}
 	for k, v := range n.sched.Counts.Dead {
 		f.Counts.Dead[k] = v
@@ -410,13 +410,13 @@
 	}
 	known := false
 	n.replica.View(func(s *state.State) {
-		m := s.Minions[c.Name]
+		m := s.Workers[c.Name]
 		known = m != nil && m.Addr == c.Addr
 	})
 	if known {
 		return answer, nil
 	}
-	_, err := n.Propose(ctx, &command.Announce{Minion: state.Minion{Name: c.Name, Addr: c.Addr, Kind: c.Kind, Zone: c.Zone,
+	_, err := n.Propose(ctx, &command.Announce{Worker: state.Worker{Name: c.Name, Addr: c.Addr, Kind: c.Kind, Zone: c.Zone,
 		Rack: c.Rack, Labels: c.Labels, Cores: c.Cores, GPUs: c.GPUs}})
 	return answer, errs.Pass(err, "announce %s", c.Name)
 }
--- a/internal/dataplane/scheduler/again_test.go
+++ b/internal/dataplane/scheduler/again_test.go
@@ -37,7 +37,7 @@
 		st, err := state.Decode(body)
 		So(err, ShouldBeNil)
 		d.st = st
-		d.st.Watch = d.core.Note
+		d.st.OnEvent = d.core.Note
 		d.core.Reset(d.now, d.st)
 
 		Convey("The run is not let go as unsent, and calls go on counting", func() {
@@ -97,13 +97,13 @@
 		So(plan.Ends, ShouldHaveLength, 1)
 		again := map[string]func(){
 			"a snapshot":  func() { d.core.Reset(d.now, d.st) },
-			"a new epoch": func() { d.core.Yield(); d.do(&command.Grant{Duty: "sched", Holder: "d", After: plan.Epoch}) },
+			"a new epoch": func() { d.core.Yield(); d.do(&command.GrantRole{Role: "sched", Holder: "d", After: plan.Epoch}) },
 		}
 		for name, do := range again {
 			Convey("After "+name, func() {
 				do()
 				d.core.Planned(d.now, plan.Epoch, command.Planned{}, errs.New(errs.Stale, "lost"))
-				d.core.Lead(d.now, d.st.Duties["sched"].Epoch)
+				d.core.Lead(d.now, d.st.Roles["sched"].Epoch)
 				d.settle()
 				So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 			})
@@ -158,7 +158,7 @@
 		d.answer(d.wait["m1"], "check", ended)
 		d.settle()
 		So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-		So(d.st.RunID, ShouldEqual, 1)
+		So(d.st.LastRunID, ShouldEqual, 1)
 	})
 	Convey("It lets them go once the minion was asked in vain", t, func() {
 		d := lapsed()
@@ -186,7 +186,7 @@
 			d.commit(out.Plan)
 			d.settle()
 			So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-			So(d.st.RunID, ShouldEqual, 1)
+			So(d.st.LastRunID, ShouldEqual, 1)
 		})
 		Convey("so does one that is heard after it, and the minion may forget it only then", func() {
 			d.commit(out.Plan)
@@ -199,7 +199,7 @@
 			d.commit(again.Plan)
 			d.settle()
 			So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-			So(d.st.RunID, ShouldEqual, 1)
+			So(d.st.LastRunID, ShouldEqual, 1)
 			d.answer(d.wait["m1"], "check", ended)
 			So(d.core.Pass(d.now).Calls[0].Call.Acked, ShouldResemble, []uint64{1})
 		})
@@ -210,7 +210,7 @@
 			d.core.Planned(d.now, out.Plan.Epoch, command.Planned{}, nil)
 			d.settle()
 			So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-			So(d.st.RunID, ShouldEqual, 1)
+			So(d.st.LastRunID, ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/dataplane/scheduler/balance_test.go
+++ b/internal/dataplane/scheduler/balance_test.go
@@ -59,8 +59,8 @@
 
 // list is what runs on a minion.
 func (p *paid) list(name string) (a internalapi.HoldAnswer) {
-	a.Running = p.st.RunIDs(name)
-	a.Floor = p.st.RunID
+	a.Running = p.st.RunIDsOn(name)
+	a.Floor = p.st.LastRunID
 	return a
 }
 
@@ -128,14 +128,14 @@
 	})
 	Convey("A lasting task that ran before starts again though the party is dry and an older one waits", t, func() {
 		p := newPaid(100, "m1")
-		p.submit("listener", state.StepSpec{Standing: true})
+		p.submit("listener", state.StepSpec{LongRunning: true})
 		p.serve(200 * time.Millisecond)
-		p.submit("older", state.StepSpec{Standing: true})
+		p.submit("older", state.StepSpec{LongRunning: true})
 		p.submit("j0", state.StepSpec{})
 		p.serve(200 * time.Millisecond)
 		So(p.started("listener", "older", "j0"), ShouldResemble, []string{"listener"})
 		first := taskOf(p.desk, "listener").RunID
-		p.do(&command.Plan{Epoch: p.core.Epoch(), Dead: []command.Proof{{RunID: first, Why: command.ProofLapse}}})
+		p.do(&command.Plan{Epoch: p.core.Epoch(), Dead: []command.Proof{{RunID: first, Why: command.ProofLeaseExpired}}})
 		p.serve(200 * time.Millisecond)
 		So(taskOf(p.desk, "listener").RunID, ShouldBeGreaterThan, first)
 		p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: taskOf(p.desk, "listener").RunID, Reason: "x"}}})
@@ -145,7 +145,7 @@
 	})
 	Convey("A lasting gang of which one member ran before stays one gang, and waits without commits", t, func() {
 		p := newPaid(150, "m1")
-		p.submit("gang", state.StepSpec{Tasks: 2, Gang: true, Standing: true})
+		p.submit("gang", state.StepSpec{Tasks: 2, Gang: true, LongRunning: true})
 		_, first := p.st.TaskOf(state.TaskRef{Job: "gang"})
 		first.RunID = 1 << 40                       // as if it ran before
 		p.st.Accounts.Accounts["acme"].Credit = -60 // so that one more start is not covered
@@ -172,7 +172,7 @@
 			p.free(fmt.Sprint("f", i))
 			p.serve(50 * time.Millisecond)
 			So(p.core.reserved, ShouldBeNil)
-			if h := p.st.Handles[p.st.RunID]; h != nil {
+			if h := p.st.Handles[p.st.LastRunID]; h != nil {
 				p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: h.RunID, OK: true}}})
 			}
 		}
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -29,7 +29,7 @@
 	}
 	cores := runs/minions + 1 // one core is left free on each
 	for i := range minions {
-		apply(&command.Announce{Minion: state.Minion{Name: fmt.Sprintf("m%04d", i), Addr: "h:1", Kind: "check", Zone: "z1", Cores: cores}})
+		apply(&command.Announce{Worker: state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "h:1", Kind: "check", Zone: "z1", Cores: cores}})
 	}
 	for i := range classes {
 		apply(&command.Submit{Bound: 1 << 20, Spec: state.Spec{Key: fmt.Sprintf("big-%d", i), Queue: "default", Team: "t",
@@ -39,27 +39,27 @@
 		apply(&command.Submit{Bound: 1 << 20, Spec: state.Spec{Key: "fill", Queue: "default", Team: "t",
 			Steps: []state.StepSpec{{Name: "s", Type: "fill", Tasks: runs, Cores: 1}}}})
 	}
-	apply(&command.Grant{Duty: "sched", Holder: "d"})
-	plan := &command.Plan{Epoch: index, PlacementPolicy: st.Bundle.Version, Seq: st.Seq}
-	for _, name := range st.MinionNames() {
-		m := *st.Minions[name]
-		m.Boot = "b"
-		plan.Minions = append(plan.Minions, m)
+	apply(&command.GrantRole{Role: "sched", Holder: "d"})
+	plan := &command.Plan{Epoch: index, BundleVersion: st.Bundle.Version, Seq: st.Seq}
+	for _, name := range st.WorkerNames() {
+		m := *st.Workers[name]
+		m.Incarnation = "b"
+		plan.Workers = append(plan.Workers, m)
 	}
 	apply(plan)
 	epoch := plan.Epoch
-	give := &command.Plan{Epoch: epoch, PlacementPolicy: st.Bundle.Version}
+	give := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
 	for i := range runs {
-		give.Starts = append(give.Starts, command.Start{Ref: state.TaskRef{Job: "fill", Task: i}, Minion: fmt.Sprintf("m%04d", i%minions), Boot: "b"})
+		give.Starts = append(give.Starts, command.Start{Ref: state.TaskRef{Job: "fill", Task: i}, Worker: fmt.Sprintf("m%04d", i%minions), Incarnation: "b"})
 	}
 	apply(give)
-	ran := &command.Plan{Epoch: epoch, PlacementPolicy: st.Bundle.Version}
+	ran := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
 	for i := range runs {
 		ran.Running = append(ran.Running, uint64(i+1))
 	}
 	apply(ran)
 	c := New(Defaults(), st)
-	st.Watch = c.Note
+	st.OnEvent = c.Note
 	now := time.Second
 	c.Lead(now, epoch)
 	c.Lease(time.Hour)
@@ -79,9 +79,9 @@
 }
 
 func answer(c *Core, st *state.State, now time.Duration, o CallOut) {
-	m := st.Minions[o.Minion]
+	m := st.Workers[o.Minion]
 	a := internalapi.HoldAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Boot: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
-	a.Running = st.RunIDs(m.Name)
+	a.Running = st.RunIDsOn(m.Name)
 	c.Answer(now, o.Minion, o.Order, o.Call, a)
 }
 
@@ -102,13 +102,13 @@
 		p := c.Pass(now).Plan
 		So(p, ShouldNotBeNil)
 		So(len(p.Starts), ShouldEqual, 1)
-		So(p.Starts[0].Minion, ShouldEqual, st.MinionNames()[2])
+		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
 		Convey("a refused start leaves its room to the next pass", func() {
 			settle(c, now, p)
 			again := c.Pass(now).Plan
 			So(again, ShouldNotBeNil)
 			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its kind
-			So(again.Starts[0].Minion, ShouldEqual, p.Starts[0].Minion)
+			So(again.Starts[0].Worker, ShouldEqual, p.Starts[0].Worker)
 		})
 	})
 }
--- a/internal/dataplane/scheduler/bundle_test.go
+++ b/internal/dataplane/scheduler/bundle_test.go
@@ -23,9 +23,9 @@
 	d.st.Operators = map[string]string{"ada": ada.Public(), "ben": ben.Public()}
 	base, digest := d.st.Head().Version, signature.Digest([]byte(text))
 	id := fmt.Sprint("o", base)
-	d.do(&command.Put{Order: id, Base: base, By: "ada", Body: []byte(text), Sig: ada.Sign(signature.Put(id, base, digest))})
+	d.do(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text), Sig: ada.Sign(signature.Put(id, base, digest))})
 	for _, key := range []signature.Key{ada, ben} {
-		d.do(&command.Sign{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name, Sig: key.Sign(signature.Bundle(base+1, digest))})
+		d.do(&command.SignBundle{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name, Sig: key.Sign(signature.Bundle(base+1, digest))})
 	}
 }
 
@@ -65,7 +65,7 @@
 		So(taskOf(d, "j").Phase, ShouldEqual, state.TaskDue)
 		view, err := query.Job(d.st, "j")
 		So(err, ShouldBeNil)
-		So([]any{view.State, view.Waits}, ShouldResemble, []any{state.JobRunning, "no queue default in bundle 2"})
+		So([]any{view.State, view.WaitReason}, ShouldResemble, []any{state.JobRunning, "no queue default in bundle 2"})
 		d.enact(`{"queues":{"default":{}}}`)
 		d.reply("check", "", internalapi.HoldAnswer{})
 		So(order(d.settle()), ShouldNotBeNil)
--- a/internal/dataplane/scheduler/health.go
+++ b/internal/dataplane/scheduler/health.go
@@ -97,7 +97,7 @@
 // ended takes in how a run ended. A job that ends in failure on one minion after another is a job that cannot
 // succeed: its ends tell nothing of the minions.
 func (h *health) ended(now time.Duration, hd *state.Handle, well bool) {
-	name, ref := hd.Minion, hd.Ref
+	name, ref := hd.Worker, hd.Ref
 	one, all := h.score(name, hd.Type), h.total(hd.Type)
 	one.fade(now, h.cfg.HalfLife)
 	all.fade(now, h.cfg.HalfLife)
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -107,7 +107,7 @@
 	Convey("a type that nobody ends well makes no minion sick, and a zone gives up a share of its minions at most", t, func() {
 		h := newHealth(HealthDefaults())
 		end := func(name, kind, job string, well bool) {
-			h.ended(time.Second, &state.Handle{Minion: name, Type: kind, Ref: state.TaskRef{Job: job}}, well)
+			h.ended(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, well)
 		}
 		for i := range 20 {
 			end("m1", "k", fmt.Sprint(i), false)
--- a/internal/dataplane/scheduler/hold.go
+++ b/internal/dataplane/scheduler/hold.go
@@ -20,7 +20,7 @@
 	if m == nil {
 		return out
 	}
-	rec := c.st.Minions[m.name]
+	rec := c.st.Workers[m.name]
 	if rec == nil {
 		return out
 	}
@@ -101,7 +101,7 @@
 }
 
 // holdOf is how long a run goes on unheard: as its placement policy had it when the run ID was given.
-func (c *Core) holdOf(r *run) time.Duration { return cmp.Or(r.handle.Hold, c.cfg.Hold) }
+func (c *Core) holdOf(r *run) time.Duration { return cmp.Or(r.handle.LeaseTTL, c.cfg.Hold) }
 
 // firstHold is the hold that a start order brings. A minion that starts whatever it is told looks at nothing else of
 // an order but its hold: one that stood still with the order unread must not carry it out long after its job was
@@ -115,7 +115,7 @@
 }
 
 // orderCall makes a call with all the starts of the outbox, in run ID order.
-func (c *Core) orderCall(now time.Duration, m *minion, rec *state.Minion) CallOut {
+func (c *Core) orderCall(now time.Duration, m *minion, rec *state.Worker) CallOut {
 	call := c.call(now, m)
 	void := m.clockAt(now) + c.cfg.StartWindow
 	for _, t := range m.outbox {
@@ -124,7 +124,7 @@
 			continue
 		}
 		j, task := c.st.TaskOf(r.handle.Ref)
-		if r.out = false; r.stop != "" || task == nil || task.RunID != t || r.handle.Boot != m.boot {
+		if r.out = false; r.stop != "" || task == nil || task.RunID != t || r.handle.Incarnation != m.boot {
 			c.kill(r, command.ProofUnsent, "")
 			continue
 		}
@@ -185,7 +185,7 @@
 }
 
 func (c *Core) doubt(r *run) {
-	if !r.gone && !r.listed && r.handle.Phase == state.TaskHeld {
+	if !r.gone && !r.listed && r.handle.Phase == state.TaskAssigned {
 		c.doubts = append(c.doubts, r.handle.RunID)
 		c.Counts.Doubts++
 	}
@@ -267,14 +267,14 @@
 
 // hear takes in what the minion says of itself.
 func (c *Core) hear(m *minion, a internalapi.HoldAnswer) {
-	rec := c.st.Minions[m.name]
+	rec := c.st.Workers[m.name]
 	if rec == nil {
 		return
 	}
-	said := state.Minion{Name: m.name, Addr: rec.Addr, Closed: rec.Closed, Boot: a.Boot, Kind: a.Kind, Zone: a.Zone, Rack: a.Rack,
+	said := state.Worker{Name: m.name, Addr: rec.Addr, Closed: rec.Closed, Incarnation: a.Boot, Kind: a.Kind, Zone: a.Zone, Rack: a.Rack,
 		Labels: a.Labels, Cores: a.Cores, GPUs: a.GPUs, Draining: a.Draining}
 	m.report = nil
-	if said.Boot != rec.Boot || said.Kind != rec.Kind || said.Zone != rec.Zone || said.Rack != rec.Rack ||
+	if said.Incarnation != rec.Incarnation || said.Kind != rec.Kind || said.Zone != rec.Zone || said.Rack != rec.Rack ||
 		said.Cores != rec.Cores || said.GPUs != rec.GPUs || said.Draining != rec.Draining || !maps.Equal(said.Labels, rec.Labels) {
 		m.report = &said
 		c.said[m.name] = true
@@ -305,7 +305,7 @@
 				c.judge(now, m, r.handle.Type)
 			}
 		case internalapi.EndLapse:
-			c.kill(r, command.ProofLapse, "its hold lapsed")
+			c.kill(r, command.ProofLeaseExpired, "its hold lapsed")
 		default:
 			c.kill(r, command.ProofStop, e.Reason)
 		}
--- a/internal/dataplane/scheduler/late_test.go
+++ b/internal/dataplane/scheduler/late_test.go
@@ -58,9 +58,9 @@
 		So(late.Call.Call, ShouldBeGreaterThan, o.Call.Call)
 		d.tell(*o, "check", "b2", time.Second, internalapi.HoldAnswer{Refused: []internalapi.RefuseNote{{RunID: 2, Why: "boot"}}})
 		d.settle()
-		So(d.st.Minions["m1"].Boot, ShouldEqual, "b2")
+		So(d.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
 		d.tell(late, "check", "b1", d.now, internalapi.HoldAnswer{Running: []uint64{1}})
 		d.settle()
-		So(d.st.Minions["m1"].Boot, ShouldEqual, "b2")
+		So(d.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
 	})
 }
--- a/internal/dataplane/scheduler/order_test.go
+++ b/internal/dataplane/scheduler/order_test.go
@@ -28,9 +28,9 @@
 			d.core.Pass(d.now)
 			d.core.Reset(d.now, d.st)
 			for _, m := range []string{"m1", "m2", "m3"} {
-				rec := *d.st.Minions[m]
-				rec.Boot, rec.Cores = "b1", 4
-				d.st.Minions[m] = &rec
+				rec := *d.st.Workers[m]
+				rec.Incarnation, rec.Cores = "b1", 4
+				d.st.Workers[m] = &rec
 			}
 			for _, c := range d.core.Pass(d.now).Calls {
 				d.answer(c, "check", internalapi.HoldAnswer{Zone: "z1"})
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -19,14 +19,14 @@
 	if c.plan != nil {
 		return nil
 	}
-	p := &command.Plan{Epoch: c.epoch, PlacementPolicy: c.st.Bundle.Version, Hold: c.cfg.Hold,
-		Running: c.running, Doubt: c.doubts, Ends: c.ends, Dead: c.dead}
+	p := &command.Plan{Epoch: c.epoch, BundleVersion: c.st.Bundle.Version, LeaseTTL: c.cfg.Hold,
+		Running: c.running, Unconfirmed: c.doubts, Ends: c.ends, Dead: c.dead}
 	if len(c.st.Inbox) > 0 {
 		p.Seq = c.st.Seq
 	}
 	for _, name := range sorted(c.said) {
 		if m := c.minions[name]; m != nil && m.report != nil {
-			p.Minions = append(p.Minions, *m.report)
+			p.Workers = append(p.Workers, *m.report)
 			m.report = nil
 		}
 	}
@@ -35,7 +35,7 @@
 		c.place(now, p)
 		c.swept = true
 	}
-	if p.Seq == 0 && len(p.Minions)+len(p.Running)+len(p.Doubt)+len(p.Ends)+len(p.Dead)+len(p.Starts) == 0 {
+	if p.Seq == 0 && len(p.Workers)+len(p.Running)+len(p.Unconfirmed)+len(p.Ends)+len(p.Dead)+len(p.Starts) == 0 {
 		return nil
 	}
 	c.running, c.doubts, c.ends, c.dead = nil, nil, nil, nil
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, s := range f.plan.Starts { // what a refused start would have taken is free still
-		c.fresh[s.Minion] = true
+		c.fresh[s.Worker] = true
 	}
 	if err != nil {
 		c.Counts.PlanFailures++
@@ -80,7 +80,7 @@
 			continue
 		}
 		c.Counts.RunIDs++
-		r, m := c.runs[runID], c.minions[s.Minion]
+		r, m := c.runs[runID], c.minions[s.Worker]
 		if r == nil || m == nil {
 			continue
 		}
@@ -192,7 +192,7 @@
 		return
 	}
 	c.queue.in[ref] = true
-	if wait := t.Due.Sub(c.st.At); !t.Due.IsZero() && wait > 0 {
+	if wait := t.DueAt.Sub(c.st.At); !t.DueAt.IsZero() && wait > 0 {
 		heap.Push(&c.queue.later, waitingTask{c.now + wait, ref})
 		return
 	}
@@ -214,7 +214,7 @@
 	if step.Gang {
 		fmt.Fprintf(&key, "|gang|%s|%d", ref.Job, ref.Step)
 	}
-	if !step.Gang && c.st.Attached(ref) { // not to wait behind one that its party's balance does not cover
+	if !step.Gang && c.st.IsRestart(ref) { // not to wait behind one that its party's balance does not cover
 		key.WriteString("|attached")
 	}
 	k := c.queue.classes[key.String()]
@@ -251,7 +251,7 @@
 
 // spot is what is free on a minion in this pass.
 type spot struct {
-	rec         *state.Minion
+	rec         *state.Worker
 	cores, gpus int
 	probe       bool // of a sick minion: one start, no more
 }
@@ -260,12 +260,12 @@
 func (c *Core) spots(now time.Duration, names []string) []*spot {
 	out := make([]*spot, 0, len(names))
 	for _, name := range names {
-		m, rec := c.minions[name], c.st.Minions[name]
+		m, rec := c.minions[name], c.st.Workers[name]
 		if m == nil || rec == nil || m.heard == 0 || m.failures > 0 || m.drain || m.order != 0 || len(m.outbox) > 0 || m.report != nil ||
-			rec.Boot != m.boot || now-m.heard > c.cfg.Silence || !c.health.admits(now, m.name) {
+			rec.Incarnation != m.boot || now-m.heard > c.cfg.Silence || !c.health.admits(now, m.name) {
 			continue
 		}
-		r := c.st.Room(m.name)
+		r := c.st.UsageOf(m.name)
 		if s := (&spot{rec, rec.Cores - r.Cores, rec.GPUs - r.GPUs, c.health.sick[m.name] != nil}); s.cores > 0 {
 			out = append(out, s)
 		}
@@ -385,7 +385,7 @@
 	}
 	step := &j.Spec.Steps[ref.Step]
 	return slices.ContainsFunc(spots, func(s *spot) bool {
-		return c.open(k, s.rec.Name) && s.cores >= step.Cores && s.gpus >= step.GPUs && c.st.Fits(&j.Spec, step, s.rec) == ""
+		return c.open(k, s.rec.Name) && s.cores >= step.Cores && s.gpus >= step.GPUs && c.st.PlacementRefusal(&j.Spec, step, s.rec) == ""
 	})
 }
 
@@ -431,7 +431,7 @@
 		for range spots {
 			s := spots[*next%len(spots)]
 			*next++
-			if !c.open(k, s.rec.Name) || s.cores < step.Cores || s.gpus < step.GPUs || s.probe && n > 1 || c.st.Fits(&j.Spec, step, s.rec) != "" {
+			if !c.open(k, s.rec.Name) || s.cores < step.Cores || s.gpus < step.GPUs || s.probe && n > 1 || c.st.PlacementRefusal(&j.Spec, step, s.rec) != "" {
 				continue
 			}
 			if !c.health.shuns(ref, s.rec.Name) {
@@ -456,7 +456,7 @@
 			found.cores = 0
 		}
 		taken = append(taken, found)
-		starts = append(starts, command.Start{Ref: ref, Minion: found.rec.Name, Boot: found.rec.Boot})
+		starts = append(starts, command.Start{Ref: ref, Worker: found.rec.Name, Incarnation: found.rec.Incarnation})
 	}
 	return starts
 }
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -132,15 +132,15 @@
 		return nil
 	}
 	step := &j.Spec.Steps[ref.Step]
-	var fit []*state.Minion
+	var fit []*state.Worker
 	for _, name := range c.ring {
-		rec, m := c.st.Minions[name], c.minions[name]
-		if rec != nil && m.heard > 0 && m.failures == 0 && c.health.sick[name] == nil && slots(rec, step) > 0 && c.st.Fits(&j.Spec, step, rec) == "" {
+		rec, m := c.st.Workers[name], c.minions[name]
+		if rec != nil && m.heard > 0 && m.failures == 0 && c.health.sick[name] == nil && slots(rec, step) > 0 && c.st.PlacementRefusal(&j.Spec, step, rec) == "" {
 			fit = append(fit, rec)
 		}
 	}
-	free := func(m *state.Minion) int { return m.Cores - c.st.Room(m.Name).Cores }
-	slices.SortStableFunc(fit, func(a, b *state.Minion) int { return free(b) - free(a) })
+	free := func(m *state.Worker) int { return m.Cores - c.st.UsageOf(m.Name).Cores }
+	slices.SortStableFunc(fit, func(a, b *state.Worker) int { return free(b) - free(a) })
 	need, got, out := k.next(), 0, map[string]bool{}
 	for _, m := range fit {
 		if got >= reserveRoom*need {
@@ -156,7 +156,7 @@
 }
 
 // slots is how many tasks of a step a minion can run at once.
-func slots(m *state.Minion, step *state.StepSpec) int {
+func slots(m *state.Worker, step *state.StepSpec) int {
 	n := m.Cores / max(step.Cores, 1)
 	if step.GPUs > 0 {
 		n = min(n, m.GPUs/step.GPUs)
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -89,7 +89,7 @@
 		switch h := c.st.Handles[t]; {
 		case h == nil:
 			delete(c.runs, t)
-		case h.Minion != name:
+		case h.Worker != name:
 		case c.runs[t] <= c.now && len(a.Ended) == 0:
 			a.Ended = append(a.Ended, internalapi.EndNote{RunID: t, How: internalapi.EndWell})
 		default:
@@ -129,7 +129,7 @@
 		Convey("so does a gang", func() {
 			c.submit("gang", state.StepSpec{Cores: 2, Tasks: 3, Gang: true})
 			So(c.serve("gang", time.Minute), ShouldBeTrue)
-			So(c.st.Jobs["gang"].Open(), ShouldEqual, 3)
+			So(c.st.Jobs["gang"].HandleCount(), ShouldEqual, 3)
 		})
 	})
 }
@@ -165,7 +165,7 @@
 	var free time.Duration
 	for c.now < until {
 		c.step()
-		if c.st.Room(minion).Cores < 4 {
+		if c.st.UsageOf(minion).Cores < 4 {
 			free += crowdStep
 		} else {
 			free = 0
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -180,7 +180,7 @@
 	acks     []uint64
 	strays   map[uint64]string // listed as running without a handle: to be stopped
 	urgent   bool              // something must go out before the waiting call comes back
-	report   *state.Minion     // to go into the next plan
+	report   *state.Worker     // to go into the next plan
 }
 
 // New makes a core that reads st, the node's replica. The owner passes st's notes to Note.
@@ -232,11 +232,11 @@
 // up to there are those of another holder, to be proved dead as such; nothing is surely unsent.
 func (c *Core) Lead(now time.Duration, epoch uint64) {
 	c.clear()
-	if c.old = c.st.RunID; epoch != c.epoch {
+	if c.old = c.st.LastRunID; epoch != c.epoch {
 		c.plan, c.old, c.called = nil, 0, 0
 	}
 	c.now, c.epoch, c.since, c.sweepAt = now, epoch, now, now
-	for _, name := range c.st.MinionNames() {
+	for _, name := range c.st.WorkerNames() {
 		c.meet(name)
 	}
 	for _, t := range slices.Sorted(maps.Keys(c.st.Handles)) {
@@ -298,39 +298,39 @@
 }
 
 // Note takes in a change of the replica.
-func (c *Core) Note(n state.Note) {
+func (c *Core) Note(n state.Event) {
 	if c.phase != Ready {
 		return
 	}
 	switch n.Kind {
-	case state.NoteDue:
+	case state.EventTaskDue:
 		c.due(n.Ref)
-	case state.NoteOpened:
+	case state.EventHandleCreated:
 		c.opened(n.Handle)
-	case state.NoteClosed:
+	case state.EventHandleReleased:
 		c.closed(n.Handle)
-	case state.NoteMinion:
+	case state.EventWorkerChanged:
 		m := c.meet(n.Name)
 		c.dirty[m.name], c.fresh[m.name] = true, true
 		for _, r := range m.runs {
 			c.review(r)
 		}
-	case state.NoteGone:
+	case state.EventWorkerRetired:
 		delete(c.minions, n.Name)
 		c.ring = slices.DeleteFunc(c.ring, func(s string) bool { return s == n.Name })
-	case state.NoteStopping:
-		if j := c.st.Jobs[n.Name]; j != nil && j.Open() > 0 {
+	case state.EventJobStopping:
+		if j := c.st.Jobs[n.Name]; j != nil && j.HandleCount() > 0 {
 			for i := range j.Tasks {
 				for k := range j.Tasks[i] {
-					if t := &j.Tasks[i][k]; t.Phase.Open() && c.runs[t.RunID] != nil {
+					if t := &j.Tasks[i][k]; t.Phase.HasHandle() && c.runs[t.RunID] != nil {
 						c.review(c.runs[t.RunID])
 					}
 				}
 			}
 		}
-	case state.NoteAccount:
+	case state.EventAccountChanged:
 		c.wide = true
-	case state.NotePlacement:
+	case state.EventPlacementChanged:
 		c.wide = true
 		for _, r := range c.runs {
 			c.review(r)
@@ -342,7 +342,7 @@
 func (c *Core) meet(name string) *minion {
 	m := c.minions[name]
 	if m == nil {
-		m = &minion{name: name, runs: map[uint64]*run{}, strays: map[uint64]string{}, floor: c.st.RunID,
+		m = &minion{name: name, runs: map[uint64]*run{}, strays: map[uint64]string{}, floor: c.st.LastRunID,
 			call: c.called, before: c.called}
 		c.minions[name] = m
 		c.ring = append(c.ring, name)
@@ -354,10 +354,10 @@
 func (c *Core) opened(h *state.Handle) {
 	r := &run{handle: h, mine: h.Epoch == c.epoch && h.RunID > c.old}
 	c.runs[h.RunID] = r
-	m := c.meet(h.Minion)
+	m := c.meet(h.Worker)
 	m.runs[h.RunID] = r
 	c.runningCounts[h.Type]++
-	c.health.probe(h.Minion, h.RunID)
+	c.health.probe(h.Worker, h.RunID)
 	if j, _ := c.st.TaskOf(h.Ref); j != nil {
 		r.team = j.Spec.Team
 	}
@@ -374,9 +374,9 @@
 		}
 	}
 	delete(c.runs, h.RunID)
-	c.fresh[h.Minion] = true
-	c.health.lost(h.Minion, h.RunID)
-	if m := c.minions[h.Minion]; m != nil {
+	c.fresh[h.Worker] = true
+	c.health.lost(h.Worker, h.RunID)
+	if m := c.minions[h.Worker]; m != nil {
 		delete(m.runs, h.RunID)
 	}
 	if c.runningCounts[h.Type]--; c.runningCounts[h.Type] == 0 {
@@ -388,18 +388,18 @@
 func (c *Core) review(r *run) {
 	j, _ := c.st.TaskOf(r.handle.Ref)
 	why := ""
-	switch m := c.st.Minions[r.handle.Minion]; {
+	switch m := c.st.Workers[r.handle.Worker]; {
 	case j == nil:
 		why = "job"
 	case j.Phase != state.JobRunning:
 		why = string(j.Outcome)
 	case m != nil:
-		if why = c.st.Fits(&j.Spec, &j.Spec.Steps[r.handle.Ref.Step], m); why == "boot" {
+		if why = c.st.PlacementRefusal(&j.Spec, &j.Spec.Steps[r.handle.Ref.Step], m); why == "boot" {
 			why = ""
 		}
 	}
 	if r.stop = why; why != "" {
-		if m := c.minions[r.handle.Minion]; m != nil {
+		if m := c.minions[r.handle.Worker]; m != nil {
 			m.urgent = true
 			c.dirty[m.name] = true
 		}
@@ -414,12 +414,12 @@
 
 // judge holds a minion sick if it spoils what its peers end well, as far as its zone can spare it.
 func (c *Core) judge(now time.Duration, m *minion, kind string) {
-	rec := c.st.Minions[m.name]
+	rec := c.st.Workers[m.name]
 	if rec == nil || c.health.score(m.name, kind).spoilt < c.cfg.Health.Least {
 		return
 	}
 	zone, held := 0, 0
-	for name, other := range c.st.Minions {
+	for name, other := range c.st.Workers {
 		if other.Zone == rec.Zone {
 			zone++
 			if c.health.sick[name] != nil {
@@ -491,7 +491,7 @@
 		for runID := range c.released {
 			c.late(runID) // lets go of what is over
 		}
-		c.health.forget(func(job string) bool { j := c.st.Jobs[job]; return j != nil && !j.Phase.Over() })
+		c.health.forget(func(job string) bool { j := c.st.Jobs[job]; return j != nil && !j.Phase.IsTerminal() })
 	}
 }
 
@@ -518,10 +518,10 @@
 	if r.until > 0 && r.boot == m.boot && m.heard > 0 {
 		over = m.clock+drift(now-m.heard) > r.until+margin
 	} else {
-		over = drift(now-c.since) > max(r.handle.Hold, c.cfg.Hold)+margin && drift(now-m.heard) > max(r.handle.Hold, c.cfg.Hold)+margin
+		over = drift(now-c.since) > max(r.handle.LeaseTTL, c.cfg.Hold)+margin && drift(now-m.heard) > max(r.handle.LeaseTTL, c.cfg.Hold)+margin
 	}
 	if over {
-		c.kill(r, command.ProofLapse, "its hold lapsed unheard")
+		c.kill(r, command.ProofLeaseExpired, "its hold lapsed unheard")
 	}
 }
 
--- a/internal/dataplane/scheduler/scheduler_test.go
+++ b/internal/dataplane/scheduler/scheduler_test.go
@@ -28,10 +28,10 @@
 func newDesk(kind string, minions ...string) *desk {
 	d := &desk{st: state.New(), now: time.Minute, wait: map[string]CallOut{}}
 	d.core = New(Defaults(), d.st)
-	d.st.Watch = d.core.Note
-	d.do(&command.Grant{Duty: "sched", Holder: "d1"})
+	d.st.OnEvent = d.core.Note
+	d.do(&command.GrantRole{Role: "sched", Holder: "d1"})
 	for _, name := range minions {
-		d.do(&command.Announce{Minion: state.Minion{Name: name, Addr: name, Kind: kind}})
+		d.do(&command.Announce{Worker: state.Worker{Name: name, Addr: name, Kind: kind}})
 	}
 	d.lead()
 	return d
@@ -51,10 +51,10 @@
 
 // lead gives the duty to a holder after the present one.
 func (d *desk) lead() {
-	d.do(&command.Grant{Duty: "sched", Holder: "d", After: d.st.Duties["sched"].Epoch})
+	d.do(&command.GrantRole{Role: "sched", Holder: "d", After: d.st.Roles["sched"].Epoch})
 	d.core = New(Defaults(), d.st)
-	d.st.Watch = d.core.Note
-	d.core.Lead(d.now, d.st.Duties["sched"].Epoch)
+	d.st.OnEvent = d.core.Note
+	d.core.Lead(d.now, d.st.Roles["sched"].Epoch)
 	d.core.Lease(d.now + time.Hour)
 	clear(d.wait)
 }
@@ -370,7 +370,7 @@
 			d.settle()
 			d.settle()
 			So(taskOf(d, "j").RunID, ShouldEqual, 2)
-			So(d.core.Counts.Dead[command.ProofLapse], ShouldEqual, 1)
+			So(d.core.Counts.Dead[command.ProofLeaseExpired], ShouldEqual, 1)
 		})
 		Convey("a new boot proves it dead at once", func() {
 			for range 2 { // the first one is older than the order's answer and tells nothing
--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -155,7 +155,7 @@
 		return 0, nil, errs.Pass(err, "cancel %s", key)
 	}
 	status := http.StatusAccepted
-	if got.Phase.Over() {
+	if got.Phase.IsTerminal() {
 		status = http.StatusOK
 	}
 	return status, Accepted{Key: got.Key, State: got.Phase}, nil
@@ -167,13 +167,13 @@
 	if err != nil {
 		return 0, nil, errs.Pass(err, "cancels")
 	}
-	var c command.Cancels
+	var c command.CancelMany
 	in := json.NewDecoder(bytes.NewReader(data))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&c); err != nil {
 		return 0, nil, errs.Wrap(err, errs.Malformed, "the body is not {keys} or {team, queue}: %s", err)
 	}
-	var got command.CancelledAll
+	var got command.CancelledMany
 	if err := a.propose(ctx, &c, &got); err != nil {
 		return 0, nil, errs.Pass(err, "cancels")
 	}
@@ -203,7 +203,7 @@
 	}
 	out := Listing{Jobs: []query.JobView{}}
 	err = a.read(ctx, func(s *state.State) {
-		jobs, more := query.List(s, q.team, q.phase, q.after, q.limit)
+		jobs, more := query.Jobs(s, q.team, q.phase, q.after, q.limit)
 		out.Jobs = append(out.Jobs, jobs...)
 		if more {
 			out.Next = jobs[len(jobs)-1].Key
--- a/internal/httpapi/clientapi/parse.go
+++ b/internal/httpapi/clientapi/parse.go
@@ -156,7 +156,7 @@
 		"labels":   func(f string, v *fastjson.Value) { s.Labels = p.labels(f, v) },
 		"retries":  func(f string, v *fastjson.Value) { s.Retries = p.number(f, v, 0, MaxRetries) },
 		"run":      func(f string, v *fastjson.Value) { s.Run = p.run(f, v) },
-		"standing": func(f string, v *fastjson.Value) { s.Standing = p.boolean(f, v) },
+		"standing": func(f string, v *fastjson.Value) { s.LongRunning = p.boolean(f, v) },
 		"gang":     func(f string, v *fastjson.Value) { s.Gang = p.boolean(f, v) },
 	}, "name", "type")
 	if s.Gang && s.Tasks > MaxGang {
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -51,7 +51,7 @@
 		out.Queues = append(out.Queues, queueOf(q))
 	}
 	for _, s := range c.Services {
-		out.Services = append(out.Services, Service{Name: s.Name, GuardsRoom: s.GuardsRoom})
+		out.Services = append(out.Services, Service{Name: s.Name, GuardsRoom: s.ChecksCapacity})
 	}
 	return out
 }
@@ -110,7 +110,7 @@
 	}
 	for i := range order.Services {
 		s := &order.Services[i]
-		if err := document(&s.Document, Service{Name: s.Name, GuardsRoom: s.GuardsRoom}); err != nil {
+		if err := document(&s.Document, Service{Name: s.Name, GuardsRoom: s.ChecksCapacity}); err != nil {
 			return jobs.Configure{}, errs.Pass(err, "service")
 		}
 	}
@@ -152,7 +152,7 @@
 func readService(r *config.Reader, s *jobs.Service) {
 	r.Need("name")
 	r.String("name", &s.Name, name)
-	r.Bool("guards_room", &s.GuardsRoom)
+	r.Bool("guards_room", &s.ChecksCapacity)
 }
 
 func checkOnce[T any](r *config.Reader, list string, items []T, name func(T) string) {
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -23,7 +23,7 @@
 		a.Document, b.Document = nil, nil
 		So(a, ShouldResemble, jobs.Queue{Name: "a", Prefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 5, Stretch: 1.5, Target: 30 * time.Second, Timeout: time.Hour})
 		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, Stretch: 1, Timeout: time.Minute})
-		So([]any{order.Services[0].Name, order.Services[0].GuardsRoom}, ShouldResemble, []any{"s", true})
+		So([]any{order.Services[0].Name, order.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
 	})
 	Convey("What is wrong is refused with its field", t, func() {
 		queue := func(fields string) string {
--- a/internal/httpapi/jobsapi/job.go
+++ b/internal/httpapi/jobsapi/job.go
@@ -73,17 +73,17 @@
 	r.Duration("estimate", &step.Estimate, 0, longest)
 	r.Ints("after", &step.After, 0, MaxSteps-1)
 	r.String("label", &step.Label, name)
-	r.String("near", &step.Near, name)
-	r.Int("most_per_worker", &step.MostPerNode, 1, MaxJobTasks)
+	r.String("near", &step.PreferredRack, name)
+	r.Int("most_per_worker", &step.MaxPerWorker, 1, MaxJobTasks)
 	r.Bool("checkpoints", &step.Checkpoints)
 	r.Bool("gang", &step.Gang)
 	r.Bool("one_rack", &step.SameRack)
 	r.Bool("speculative", &step.Speculative)
-	r.Bool("lasting", &step.Lasting)
+	r.Bool("lasting", &step.LongRunning)
 	if step.SameRack && !step.Gang {
 		r.Wrong("one_rack", "is for gangs only")
 	}
-	if step.Speculative && (step.Gang || step.Lasting) {
+	if step.Speculative && (step.Gang || step.LongRunning) {
 		r.Wrong("speculative", "goes with neither gang nor lasting")
 	}
 }
@@ -117,7 +117,7 @@
 		switch {
 		case before >= i:
 			r.Wrong(field, "must be the number of an earlier step, is %d", before)
-		case spec.Steps[before].Lasting:
+		case spec.Steps[before].LongRunning:
 			r.Wrong(field, "step %d lasts until the job is cancelled", before)
 		case slices.Contains(after[:at], before):
 			r.Wrong(field, "step %d is given twice", before)
--- a/internal/httpapi/jobsapi/job_test.go
+++ b/internal/httpapi/jobsapi/job_test.go
@@ -45,10 +45,10 @@
 		So(spec, ShouldResemble, jobs.Spec{ID: "j-1", Queue: "nightly", Payload: "p", Rounds: 3, Interval: time.Hour,
 			FirstRun: time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
 			Steps: []jobs.Step{
-				{Count: 2, Needs: jobs.Resources{MilliCPU: 500, MemoryMB: 64, GPUs: 1}, Estimate: 3 * time.Second, Label: "ssd", Near: "r1", MostPerNode: 1, Checkpoints: true},
+				{Count: 2, Needs: jobs.Resources{MilliCPU: 500, MemoryMB: 64, GPUs: 1}, Estimate: 3 * time.Second, Label: "ssd", PreferredRack: "r1", MaxPerWorker: 1, Checkpoints: true},
 				{Count: 4, After: []int{0}, Gang: true, SameRack: true},
 				{Count: 1, After: []int{0, 1}, Speculative: true},
-				{Count: 1, Lasting: true}}})
+				{Count: 1, LongRunning: true}}})
 	})
 	Convey("The digest is of the job, not of its text", t, func() {
 		_, one, _ := ParseJob([]byte(`{"id":"j","queue":"q","steps":[{}]}`))
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -65,7 +65,7 @@
 		So(srv.Start(), ShouldBeNil)
 		defer func() { _ = srv.Stop(time.Second) }()
 		c := &counter{d, srv.Addr(), key}
-		c.order(&command.Keys{Operators: map[string]string{"ada": key.Public(), "ben": other.Public()}})
+		c.order(&command.SetOperators{Operators: map[string]string{"ada": key.Public(), "ben": other.Public()}})
 		create := func(order, name string) (int, string) {
 			return c.call("POST", "/v1/accounts/"+name+"/create", internalapi.AccountCreateCall{Order: order, By: "ada",
 				Sig: key.Sign(signature.AccountCreate(order, name, 0))})
@@ -119,17 +119,17 @@
 			c.topUp("acme", "k", 250)
 			d.st.Bundle.SetParties(map[string]state.Party{"acme": {Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: 10 * time.Second,
 				Warn: 10 * time.Second}})
-			c.order(&command.Grant{Duty: "sched", Holder: "d"})
-			epoch := d.st.Duties["sched"].Epoch
-			c.order(&command.Announce{Minion: state.Minion{Name: "m", Addr: "m"}})
+			c.order(&command.GrantRole{Role: "sched", Holder: "d"})
+			epoch := d.st.Roles["sched"].Epoch
+			c.order(&command.Announce{Worker: state.Worker{Name: "m", Addr: "m"}})
 			for i := range 3 {
 				c.order(&command.Submit{Spec: state.Spec{Key: fmt.Sprint("j", i), Team: "a", Queue: "default",
 					Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}, Digest: fmt.Sprint(i), Bound: 9})
 			}
 			plan := func(keys ...string) {
-				p := &command.Plan{Epoch: epoch, PlacementPolicy: 1, Seq: 3, Minions: []state.Minion{{Name: "m", Boot: "b", Zone: "z", Cores: 9}}}
+				p := &command.Plan{Epoch: epoch, BundleVersion: 1, Seq: 3, Workers: []state.Worker{{Name: "m", Incarnation: "b", Zone: "z", Cores: 9}}}
 				for _, k := range keys {
-					p.Starts = append(p.Starts, command.Start{Ref: state.TaskRef{Job: k}, Minion: "m", Boot: "b"})
+					p.Starts = append(p.Starts, command.Start{Ref: state.TaskRef{Job: k}, Worker: "m", Incarnation: "b"})
 				}
 				c.order(p)
 			}
@@ -144,20 +144,20 @@
 				"dry: 1 jobs wait for a top-up"})
 			job, err := query.Job(d.st, "j2")
 			So(err, ShouldBeNil)
-			So(job.Waits, ShouldEqual, "party acme has run dry: its balance is 50, a start needs 100; the job goes on by itself after a top-up")
+			So(job.WaitReason, ShouldEqual, "party acme has run dry: its balance is 50, a start needs 100; the job goes on by itself after a top-up")
 			job, err = query.Job(d.st, "j0")
 			So(err, ShouldBeNil)
-			So(job.Waits, ShouldEqual, "")
+			So(job.WaitReason, ShouldEqual, "")
 			c.order(&command.Submit{Spec: state.Spec{Key: "cheap", Team: "a", Queue: "default",
 				Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1}}}, Digest: "cheap", Bound: 9})
 			c.order(&command.Plan{Epoch: epoch, Seq: 4})
 			job, err = query.Job(d.st, "cheap") // a task without cores costs nothing
 			So(err, ShouldBeNil)
-			So(job.Waits, ShouldEqual, "party acme is dry for a job that goes before this one; the job goes on by itself after a top-up")
+			So(job.WaitReason, ShouldEqual, "party acme is dry for a job that goes before this one; the job goes on by itself after a top-up")
 			c.order(&command.Cancel{Key: "j2"})
 			job, err = query.Job(d.st, "cheap")
 			So(err, ShouldBeNil)
-			So(job.Waits, ShouldEqual, "")
+			So(job.WaitReason, ShouldEqual, "")
 			v, err = query.Account(d.st, "acme")
 			So(err, ShouldBeNil)
 			So(v.Warning, ShouldStartWith, "dry in about 3s")
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -144,7 +144,7 @@
 	if _, err := bundle.Parse(order.text); err != nil { // the store would refuse it too, later
 		return nil, errs.Pass(err, "put")
 	}
-	answer, err := b.store.ProposeOrForward(r.Context(), &command.Put{Order: order.id, Base: order.base, By: order.by, Sig: order.sig, Body: order.text})
+	answer, err := b.store.ProposeOrForward(r.Context(), &command.PutBundle{Order: order.id, Base: order.base, By: order.by, Sig: order.sig, Body: order.text})
 	return answer, errs.Pass(err, "put")
 }
 
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "patch")
 	}
-	answer, err := b.store.ProposeOrForward(r.Context(), &command.Patch{Order: order.id, Base: order.base, By: order.by, Sig: order.sig, Patch: order.text})
+	answer, err := b.store.ProposeOrForward(r.Context(), &command.PatchBundle{Order: order.id, Base: order.base, By: order.by, Sig: order.sig, Patch: order.text})
 	return answer, errs.Pass(err, "patch")
 }
 
@@ -173,7 +173,7 @@
 	if err := checkOrderID(in.Order); err != nil {
 		return nil, errs.Pass(err, "sign")
 	}
-	answer, err := b.store.ProposeOrForward(r.Context(), &command.Sign{Order: in.Order, Version: version, Digest: in.Digest, By: in.By, Sig: in.Sig})
+	answer, err := b.store.ProposeOrForward(r.Context(), &command.SignBundle{Order: in.Order, Version: version, Digest: in.Digest, By: in.By, Sig: in.Sig})
 	return answer, errs.Pass(err, "sign")
 }
 
@@ -242,7 +242,7 @@
 	err := b.store.Read(r.Context(), func(s *state.State) {
 		out.Version = s.Bundle.Version
 		if rev := s.Revision(out.Version); rev != nil {
-			out.Force = rev.Force
+			out.Force = rev.InForceSince
 		}
 	})
 	if err != nil {
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -50,7 +50,7 @@
 
 // Minions is the answer of GET /v1/minions.
 type Minions struct {
-	Minions []query.MinionView `json:"minions"`
+	Minions []query.WorkerView `json:"minions"`
 }
 
 // Who is the answer of GET /v1/who: the names of the holders, "" if there is none, and the members of the store.
@@ -93,7 +93,7 @@
 	serveAccounts(srv, s)
 	srv.Route("GET /v1/minions", func(w http.ResponseWriter, r *http.Request) {
 		var out Minions
-		err := s.Read(r.Context(), func(st *state.State) { out.Minions = query.Minions(st) })
+		err := s.Read(r.Context(), func(st *state.State) { out.Minions = query.Workers(st) })
 		write(w, out, err)
 	})
 	srv.Route("GET /v1/who", func(w http.ResponseWriter, r *http.Request) {
@@ -116,7 +116,7 @@
 func who(ctx context.Context, s Store) (Who, error) {
 	var out Who
 	err := s.Read(ctx, func(st *state.State) {
-		if d := st.Duties["sched"]; d != nil {
+		if d := st.Roles["sched"]; d != nil {
 			out.Sched = d.Holder
 		}
 		for zone := range st.Evacuated {
@@ -138,22 +138,22 @@
 		})
 	}
 	order("/v1/zones/{zone}/evacuate", func(r *http.Request, in Order) command.Command {
-		return &command.Zone{Order: in.Order, Zone: r.PathValue("zone"), Out: true, By: in.By, Sig: in.Sig}
+		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), Out: true, By: in.By, Sig: in.Sig}
 	})
 	order("/v1/zones/{zone}/lift", func(r *http.Request, in Order) command.Command {
-		return &command.Zone{Order: in.Order, Zone: r.PathValue("zone"), By: in.By, Sig: in.Sig}
+		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), By: in.By, Sig: in.Sig}
 	})
 	order("/v1/minions/{name}/drain", func(r *http.Request, in Order) command.Command {
-		return &command.Close{Order: in.Order, Minion: r.PathValue("name"), Closed: true}
+		return &command.CloseWorker{Order: in.Order, Worker: r.PathValue("name"), Closed: true}
 	})
 	order("/v1/minions/{name}/open", func(r *http.Request, in Order) command.Command {
-		return &command.Close{Order: in.Order, Minion: r.PathValue("name")}
+		return &command.CloseWorker{Order: in.Order, Worker: r.PathValue("name")}
 	})
 	order("/v1/minions/{name}/retire", func(r *http.Request, in Order) command.Command {
-		return &command.Close{Order: in.Order, Minion: r.PathValue("name"), Retire: true}
+		return &command.CloseWorker{Order: in.Order, Worker: r.PathValue("name"), Retire: true}
 	})
 	order("/v1/members/{old}/replace/{new}", func(r *http.Request, in Order) command.Command {
-		return &command.Succeed{Order: in.Order, Old: r.PathValue("old"), New: r.PathValue("new")}
+		return &command.ReplaceMember{Order: in.Order, Old: r.PathValue("old"), New: r.PathValue("new")}
 	})
 }
 
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -52,7 +52,7 @@
 			So(err, ShouldBeNil)
 			keys[name], public[name] = key, key.Public()
 		}
-		_, err := d.ProposeOrForward(t.Context(), &command.Keys{Operators: public})
+		_, err := d.ProposeOrForward(t.Context(), &command.SetOperators{Operators: public})
 		So(err, ShouldBeNil)
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		Serve(srv, d, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -109,7 +109,7 @@
 }
 
 // hows are the ends that a worker may tell.
-var hows = []jobs.How{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLapsed, jobs.EndBroken, jobs.EndAlone}
+var hows = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired, jobs.EndGangBroken, jobs.EndGangTimeout}
 
 // checkAnswer refuses an answer that is not the worker's own.
 func checkAnswer(worker, answers string, clock time.Duration) error {
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -96,10 +96,10 @@
 
 // EndedRun is a run that is over. It is listed until a hold call acknowledges it.
 type EndedRun struct {
-	Sequence   uint64   `json:"sequence"` // from 1, rising within the worker's life
-	Run        Run      `json:"run"`
-	How        jobs.How `json:"how"` // done, failed, stopped, lapsed, broken or alone
-	Checkpoint string   `json:"checkpoint,omitempty"`
+	Sequence   uint64         `json:"sequence"` // from 1, rising within the worker's life
+	Run        Run            `json:"run"`
+	How        jobs.EndReason `json:"how"` // done, failed, stopped, lapsed, broken or alone
+	Checkpoint string         `json:"checkpoint,omitempty"`
 }
 
 // HoldAnswer lists all that runs on a worker and the ends that are not acknowledged yet, oldest first. More: there are
--- a/internal/jobs/attempts_test.go
+++ b/internal/jobs/attempts_test.go
@@ -28,7 +28,7 @@
 	started, err := t.Progress(1, Progress{Term: 1, Starts: []Start{{Task: ref, Number: n, Worker: "w"}}})
 	So(err, ShouldBeNil)
 	between()
-	_, err = t.Progress(1, Progress{Term: 1, Ends: []End{{Key: RunKey{Task: ref, Number: n}, Worker: "w", How: EndFailed}}})
+	_, err = t.Progress(1, Progress{Term: 1, Ends: []End{{Key: RunKey{Task: ref, Number: n}, Worker: "w", Reason: EndFailed}}})
 	So(err, ShouldBeNil)
 	return started.Recorded[0]
 }
--- a/internal/jobs/changes.go
+++ b/internal/jobs/changes.go
@@ -44,18 +44,18 @@
 	Workers []Worker `json:"workers"`
 }
 
-// How a run ended or was proved dead.
-type How string
+// EndReason a run ended or was proved dead.
+type EndReason string
 
 // The ends of runs. Only Done and FailedRun are the task's own; the others make the task due again.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"
-	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed"
-	EndBroken  How = "broken" // another member of its gang ended
-	EndAlone   How = "alone"  // it waited too long for the other members
-	EndLost    How = "lost"   // proved dead without an end: never started, or its worker is gone
+	EndDone         EndReason = "done"
+	EndFailed       EndReason = "failed"
+	EndStopped      EndReason = "stopped"
+	EndLeaseExpired EndReason = "lapsed"
+	EndGangBroken   EndReason = "broken" // another member of its gang ended
+	EndGangTimeout  EndReason = "alone"  // it waited too long for the other members
+	EndLost         EndReason = "lost"   // proved dead without an end: never started, or its worker is gone
 )
 
 // Start records one run of a task on a worker. The members of a gang are recorded in one Progress.
@@ -67,10 +67,10 @@
 
 // End records the end of a run.
 type End struct {
-	Key        RunKey `json:"r"`
-	Worker     string `json:"w"`
-	How        How    `json:"h"`
-	Checkpoint string `json:"k,omitempty"` // newest saved progress, if any
+	Key        RunKey    `json:"r"`
+	Worker     string    `json:"w"`
+	Reason     EndReason `json:"h"`
+	Checkpoint string    `json:"k,omitempty"` // newest saved progress, if any
 }
 
 // Progress is what the scheduler of a term has decided and heard: ends first, then starts. It is refused whole when
--- a/internal/jobs/configure.go
+++ b/internal/jobs/configure.go
@@ -21,18 +21,18 @@
 	if c.Version <= t.Config.Version {
 		return errs.Field(errs.Invalid, "version", "must be above %d, is %d", t.Config.Version, c.Version)
 	}
-	next := t.Config.changed(c)
-	if err := next.check(); err != nil {
+	next := t.Config.withChange(c)
+	if err := next.validate(); err != nil {
 		return errs.Pass(err, "configuration %d", c.Version)
 	}
 	t.Config = next
-	t.remember(c.Digest)
-	t.tell(ConfigChanged, "")
+	t.rememberOrder(c.Digest)
+	t.notify(ConfigChanged, "")
 	return nil
 }
 
-// remember keeps the digest of an order that was taken. An order without one is not known again.
-func (t *Table) remember(digest string) {
+// rememberOrder keeps the digest of an order that was taken. An order without one is not known again.
+func (t *Table) rememberOrder(digest string) {
 	if digest == "" {
 		return
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// changed gives the configuration that an order asks for. The old one stays as it was.
-func (c *Config) changed(order Configure) Config {
+// withChange gives the configuration that an order asks for. The old one stays as it was.
+func (c *Config) withChange(order Configure) Config {
 	if order.Replace {
 		return Config{Version: order.Version, Queues: order.Queues, Services: order.Services, Limits: order.Limits}
 	}
@@ -83,15 +83,15 @@
 	return next
 }
 
-// place is where clients find a queue.
-type place struct{ host, prefix string }
+// queueAddress is where clients find a queue.
+type queueAddress struct{ host, prefix string }
 
-// check refuses a configuration that cannot be in force. Failure: Invalid; the field names the queue by its place in the
+// validate refuses a configuration that cannot be in force. Failure: Invalid; the field names the queue by its place in the
 // whole configuration.
-func (c *Config) check() error {
-	names, places := map[string]bool{}, map[place]string{}
+func (c *Config) validate() error {
+	names, places := map[string]bool{}, map[queueAddress]string{}
 	for i, q := range c.Queues {
-		at := place{host: strings.ToLower(q.Host), prefix: q.Prefix}
+		at := queueAddress{host: strings.ToLower(q.Host), prefix: q.Prefix}
 		var err error
 		switch {
 		case c.Service(q.Service) == nil:
@@ -125,6 +125,6 @@
 	} else {
 		delete(t.Evacuated, c.Zone)
 	}
-	t.tell(ZonesChanged, c.Zone)
+	t.notify(ZonesChanged, c.Zone)
 	return nil
 }
--- a/internal/jobs/configure_test.go
+++ b/internal/jobs/configure_test.go
@@ -103,7 +103,7 @@
 			So(table.Configure(Configure{Base: 5 + i, Version: 6 + i, Digest: fmt.Sprint(i)}), ShouldBeNil)
 		}
 		So(table.Orders, ShouldHaveLength, MaxOrders)
-		for _, each := range []*Table{table, table.copied()} {
+		for _, each := range []*Table{table, table.decodedCopy()} {
 			before := each.bytes()
 			So(each.Configure(Configure{Base: 5, Version: 6, Digest: "0"}), ShouldBeNil)
 			So(each.Configure(Configure{Base: 99, Version: 1, Digest: "7"}), ShouldBeNil)
@@ -146,11 +146,11 @@
 	Convey("A worker that drains or left does not come back under its ID, in whatever order it is told", t, func() {
 		plain, draining, left := testWorker("w1", "open"), testWorker("w1", "open"), testWorker("w1", "open")
 		draining.Draining, left.Left = true, true
-		told := []Worker{plain, draining, left}
+		notified := []Worker{plain, draining, left}
 		permutations(3, func(order []int) {
 			table := testTable()
 			for _, i := range order {
-				must(table.Register(Register{Workers: told[i : i+1]}))
+				must(table.Register(Register{Workers: notified[i : i+1]}))
 			}
 			if w := table.Workers["w1"]; !w.Draining || !w.Left {
 				panic(fmt.Sprint(order))
--- a/internal/jobs/gang_test.go
+++ b/internal/jobs/gang_test.go
@@ -54,7 +54,7 @@
 		})
 		Convey("a step's most per worker counts the members placed before", func() {
 			step := gangStep(3)
-			step.MostPerNode = 1
+			step.MaxPerWorker = 1
 			table.mustSubmit(testJob("k", step))
 			must(table.Register(Register{Workers: []Worker{testWorker("w3", "open")}}))
 			So(table.start(gangOf("k", 1, "w1", "w1", "w2")...), ShouldResemble, none)
@@ -82,9 +82,9 @@
 			job := table.mustSubmit(testJob("j", gangStep(3)))
 			gang := gangOf("j", 1, "w1", "w1", "w2")
 			table.start(gang...)
-			hows := []How{EndDone, EndFailed, EndBroken}
+			reasons := []EndReason{EndDone, EndFailed, EndGangBroken}
 			for n, member := range order {
-				table.end(endOf(gang[member], hows[n]))
+				table.end(endOf(gang[member], reasons[n]))
 				if job.State != Succeeded || (job.Rounds == nil) != (n == 2) || job.index.handles != 2-n {
 					panic(fmt.Sprint(order, n, job.State))
 				}
@@ -107,12 +107,12 @@
 		permutations(3, func(order []int) {
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
-			hows := []How{EndFailed, EndFailed, EndBroken}
+			reasons := []EndReason{EndFailed, EndFailed, EndGangBroken}
 			for number := 1; number <= 2; number++ {
 				gang := gangOf("j", number, "w1", "w1", "w2")
 				table.start(gang...)
 				for _, member := range order {
-					table.end(endOf(gang[member], hows[member]))
+					table.end(endOf(gang[member], reasons[member]))
 				}
 				first := Task{LastRun: 1, Failures: 1, FailedRun: 1}
 				if number == 1 && (job.State != Running || fmt.Sprint(job.Rounds[0][0][0]) != fmt.Sprint(first) || job.Rounds[0][0][1].Failures != 0) {
@@ -131,14 +131,14 @@
 		table.start(gang...)
 		end := endOf(gang[1], EndStopped)
 		end.Checkpoint = "half"
-		table.end(end, endOf(gang[0], EndBroken))
+		table.end(end, endOf(gang[0], EndGangBroken))
 		So(job.Rounds[0][0], ShouldResemble, []Task{{LastRun: 1, Checkpoint: "half"}, {LastRun: 1, Checkpoint: "half"}})
 		So(job.Rounds[0][1], ShouldResemble, []Task{{}})
 	})
 	Convey("A lasting gang is due again however it ends", t, func() {
 		table := testTable()
 		step := gangStep(2)
-		step.Lasting = true
+		step.LongRunning = true
 		job := table.mustSubmit(testJob("j", step))
 		for number := 1; number <= 3; number++ {
 			gang := gangOf("j", number, "w1", "w2")
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -55,9 +55,9 @@
 			fmt.Sprintf("done = %#v", string(EndDone)),
 			fmt.Sprintf("failed = %#v", string(EndFailed)),
 			fmt.Sprintf("stopped = %#v", string(EndStopped)),
-			fmt.Sprintf("lapsed = %#v", string(EndLapsed)),
-			fmt.Sprintf("broken = %#v", string(EndBroken)),
-			fmt.Sprintf("alone = %#v", string(EndAlone)),
+			fmt.Sprintf("lapsed = %#v", string(EndLeaseExpired)),
+			fmt.Sprintf("broken = %#v", string(EndGangBroken)),
+			fmt.Sprintf("alone = %#v", string(EndGangTimeout)),
 			fmt.Sprintf("lost = %#v", string(EndLost)),
 		),
 	)
--- a/internal/jobs/helpers_test.go
+++ b/internal/jobs/helpers_test.go
@@ -31,7 +31,7 @@
 			{Name: "plain", Host: "a.example", Prefix: "/plain/", Service: "open", MaxAttempts: 2, Timeout: time.Second},
 			{Name: "guarded", Host: "a.example", Prefix: "/guarded/", Service: "guard", MaxAttempts: 3, Timeout: time.Second},
 		},
-		Services: []Service{{Name: "open"}, {Name: "guard", GuardsRoom: true}},
+		Services: []Service{{Name: "open"}, {Name: "guard", ChecksCapacity: true}},
 	}
 }
 
@@ -76,8 +76,8 @@
 	return Start{Task: task, Number: number, Worker: worker}
 }
 
-func endOf(start Start, how How) End {
-	return End{Key: RunKey{Task: start.Task, Number: start.Number}, Worker: start.Worker, How: how}
+func endOf(start Start, reason EndReason) End {
+	return End{Key: RunKey{Task: start.Task, Number: start.Number}, Worker: start.Worker, Reason: reason}
 }
 
 // start records starts and gives which were taken.
@@ -98,7 +98,7 @@
 	return string(data)
 }
 
-func (t *Table) copied() *Table {
+func (t *Table) decodedCopy() *Table {
 	back := NewTable()
 	must(json.Unmarshal([]byte(t.bytes()), back))
 	return back
--- a/internal/jobs/index.go
+++ b/internal/jobs/index.go
@@ -19,9 +19,9 @@
 
 // jobIndex is what is derived of a job, so that no change has to look at all of its tasks.
 type jobIndex struct {
-	left    [][]int // tasks that are not done, by round and step
-	undone  int     // tasks that are not done
-	handles int     // handles that are out
+	remaining [][]int // tasks that are not done, by round and step
+	undone    int     // tasks that are not done
+	handles   int     // handles that are out
 }
 
 // Rebuild makes anew what is derived from the exported fields. UnmarshalJSON calls it.
@@ -40,7 +40,7 @@
 	for _, digest := range t.Orders {
 		t.orders[digest] = struct{}{}
 	}
-	t.waiting = map[string]int{}
+	t.queued = map[string]int{}
 	t.occupancy = map[string]*occupancy{}
 	t.retired = nil
 	for _, job := range t.Jobs {
@@ -50,9 +50,9 @@
 
 // indexJob derives a job's index and enters the job and its handles into the table's.
 func (t *Table) indexJob(job *Job) {
-	job.index = jobIndex{left: make([][]int, len(job.Rounds))}
+	job.index = jobIndex{remaining: make([][]int, len(job.Rounds))}
 	for round, steps := range job.Rounds {
-		job.index.left[round] = make([]int, len(steps))
+		job.index.remaining[round] = make([]int, len(steps))
 		for step, tasks := range steps {
 			for i := range tasks {
 				ref := TaskRef{Job: job.Spec.ID, Round: round, Step: step, Index: i}
@@ -61,16 +61,16 @@
 		}
 	}
 	if job.State == Queued {
-		t.waiting[job.Spec.Queue]++
+		t.queued[job.Spec.Queue]++
 	}
-	if job.State.Over() && job.index.handles == 0 {
+	if job.State.IsTerminal() && job.index.handles == 0 {
 		heap.Push(&t.retired, job)
 	}
 }
 
 func (t *Table) indexTask(job *Job, task *Task, ref TaskRef) {
 	if !task.Done {
-		job.index.left[ref.Round][ref.Step]++
+		job.index.remaining[ref.Round][ref.Step]++
 		job.index.undone++
 	}
 	for _, run := range task.Runs {
@@ -115,8 +115,8 @@
 	}
 }
 
-// within tells whether r is no more than capacity in any kind.
-func (r Resources) within(capacity Resources) bool {
+// fitsIn tells whether r is no more than capacity in any kind.
+func (r Resources) fitsIn(capacity Resources) bool {
 	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB && r.GPUs <= capacity.GPUs
 }
 
@@ -131,10 +131,10 @@
 
 // Less orders jobs by their end, then by their acceptance; part of heap.Interface.
 func (r retiredJobs) Less(i, k int) bool {
-	if r[i].Ended.Equal(r[k].Ended) {
+	if r[i].EndedAt.Equal(r[k].EndedAt) {
 		return r[i].Sequence < r[k].Sequence
 	}
-	return r[i].Ended.Before(r[k].Ended)
+	return r[i].EndedAt.Before(r[k].EndedAt)
 }
 
 // Push is for package heap.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -18,18 +18,18 @@
 
 // Step is one step of a job: Count equal tasks.
 type Step struct {
-	Count       int           `json:"n"`
-	Needs       Resources     `json:"r"`
-	Estimate    time.Duration `json:"e,omitempty"`  // rough guess of how long a task takes
-	After       []int         `json:"a,omitempty"`  // earlier steps, counted from 0, that must be done first
-	Label       string        `json:"l,omitempty"`  // a label that the worker must have
-	Near        string        `json:"d,omitempty"`  // rack that holds the data; elsewhere tasks take longer
-	MostPerNode int           `json:"x,omitempty"`  // most tasks of the step (of one round) on a worker; 0: no bound
-	Checkpoints bool          `json:"k,omitempty"`  // tasks save their progress
-	Gang        bool          `json:"gg,omitempty"` // all tasks of a run start together and end together
-	SameRack    bool          `json:"sr,omitempty"` // a gang is faster in one rack
-	Speculative bool          `json:"sp,omitempty"` // copies may run side by side
-	Lasting     bool          `json:"ls,omitempty"` // tasks run until the job is cancelled
+	Count         int           `json:"n"`
+	Needs         Resources     `json:"r"`
+	Estimate      time.Duration `json:"e,omitempty"`  // rough guess of how long a task takes
+	After         []int         `json:"a,omitempty"`  // earlier steps, counted from 0, that must be done first
+	Label         string        `json:"l,omitempty"`  // a label that the worker must have
+	PreferredRack string        `json:"d,omitempty"`  // rack that holds the data; elsewhere tasks take longer
+	MaxPerWorker  int           `json:"x,omitempty"`  // most tasks of the step (of one round) on a worker; 0: no bound
+	Checkpoints   bool          `json:"k,omitempty"`  // tasks save their progress
+	Gang          bool          `json:"gg,omitempty"` // all tasks of a run start together and end together
+	SameRack      bool          `json:"sr,omitempty"` // a gang is faster in one rack
+	Speculative   bool          `json:"sp,omitempty"` // copies may run side by side
+	LongRunning   bool          `json:"ls,omitempty"` // tasks run until the job is cancelled
 }
 
 // Spec is a job as its client handed it in.
@@ -55,8 +55,8 @@
 	Cancelled JobState = "cancelled"
 )
 
-// Over tells whether the state is final.
-func (s JobState) Over() bool { return s == Succeeded || s == Failed || s == Cancelled }
+// IsTerminal tells whether the state is final.
+func (s JobState) IsTerminal() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
 // TaskRef names a task.
 type TaskRef struct {
@@ -92,13 +92,13 @@
 
 // Job is a job in the table.
 type Job struct {
-	Spec     Spec       `json:"spec"`
-	Digest   string     `json:"digest"`
-	State    JobState   `json:"state"`
-	Sequence uint64     `json:"seq"` // order of acceptance
-	Accepted time.Time  `json:"at"`
-	Ended    time.Time  `json:"ended,omitzero"`
-	Rounds   [][][]Task `json:"rounds,omitempty"` // by round, step, index; nil once it is over and no handle is out
+	Spec       Spec       `json:"spec"`
+	Digest     string     `json:"digest"`
+	State      JobState   `json:"state"`
+	Sequence   uint64     `json:"seq"` // order of acceptance
+	AcceptedAt time.Time  `json:"at"`
+	EndedAt    time.Time  `json:"ended,omitzero"`
+	Rounds     [][][]Task `json:"rounds,omitempty"` // by round, step, index; nil once it is over and no handle is out
 
 	index jobIndex
 }
@@ -132,9 +132,9 @@
 
 // Service is one service of the configuration: a kind of worker.
 type Service struct {
-	Name       string          `json:"name"`
-	GuardsRoom bool            `json:"guards,omitempty"` // its workers refuse what does not fit
-	Document   json.RawMessage `json:"doc"`
+	Name           string          `json:"name"`
+	ChecksCapacity bool            `json:"guards,omitempty"` // its workers refuse what does not fit
+	Document       json.RawMessage `json:"doc"`
 }
 
 // Config is the operators' configuration in force.
--- a/internal/jobs/lifecycle.go
+++ b/internal/jobs/lifecycle.go
@@ -20,23 +20,23 @@
 	if t.Config.Queue(c.Spec.Queue) == nil {
 		return "", errs.Field(errs.Unknown, "queue", "no queue %q", c.Spec.Queue)
 	}
-	if err := checkSteps(c.Spec.Steps); err != nil {
+	if err := validateSteps(c.Spec.Steps); err != nil {
 		return "", errs.Pass(err, "job %q", c.Spec.ID)
 	}
 	t.Sequence++
 	job := &Job{
-		Spec: c.Spec, Digest: c.Digest, State: Queued, Sequence: t.Sequence, Accepted: c.At,
+		Spec: c.Spec, Digest: c.Digest, State: Queued, Sequence: t.Sequence, AcceptedAt: c.At,
 		Rounds: newRounds(&c.Spec),
 	}
 	t.Jobs[c.Spec.ID] = job
 	t.indexJob(job)
-	t.succeed(job, c.At) // only a job without tasks
-	t.tell(JobChanged, c.Spec.ID)
+	t.succeedIfDone(job, c.At) // only a job without tasks
+	t.notify(JobChanged, c.Spec.ID)
 	return job.State, nil
 }
 
-// checkSteps refuses what the table could not hold.
-func checkSteps(steps []Step) error {
+// validateSteps refuses what the table could not hold.
+func validateSteps(steps []Step) error {
 	for i, step := range steps {
 		if step.Count < 0 {
 			return errs.Field(errs.Invalid, fmt.Sprintf("steps[%d].count", i), "must not be negative, is %d", step.Count)
@@ -67,25 +67,25 @@
 	if job == nil {
 		return "", errs.New(errs.Unknown, "no job %q", c.ID)
 	}
-	if !job.State.Over() {
+	if !job.State.IsTerminal() {
 		t.finish(job, Cancelled, c.At)
-		t.tell(JobChanged, c.ID)
+		t.notify(JobChanged, c.ID)
 	}
 	return job.State, nil
 }
 
-// Tidy drops the jobs that ended before a time and have no handle out.
-func (t *Table) Tidy(before time.Time) {
-	for len(t.retired) > 0 && t.retired[0].Ended.Before(before) {
+// Purge drops the jobs that ended before a time and have no handle out.
+func (t *Table) Purge(before time.Time) {
+	for len(t.retired) > 0 && t.retired[0].EndedAt.Before(before) {
 		job := heap.Pop(&t.retired).(*Job)
 		delete(t.Jobs, job.Spec.ID)
-		t.tell(JobChanged, job.Spec.ID)
+		t.notify(JobChanged, job.Spec.ID)
 	}
 }
 
-// succeed ends a job that has no task left.
-func (t *Table) succeed(job *Job, at time.Time) {
-	if job.index.undone == 0 && !job.State.Over() {
+// succeedIfDone ends a job that has no task left.
+func (t *Table) succeedIfDone(job *Job, at time.Time) {
+	if job.index.undone == 0 && !job.State.IsTerminal() {
 		t.finish(job, Succeeded, at)
 	}
 }
@@ -93,13 +93,13 @@
 // finish puts a job that is not over into a final state.
 func (t *Table) finish(job *Job, to JobState, at time.Time) {
 	t.setState(job, to)
-	job.Ended = at
+	job.EndedAt = at
 	t.retire(job)
 }
 
 // retire lets go of what nobody needs any more of a job that is over and has no handle out.
 func (t *Table) retire(job *Job) {
-	if !job.State.Over() || job.index.handles > 0 {
+	if !job.State.IsTerminal() || job.index.handles > 0 {
 		return
 	}
 	job.Rounds = nil
@@ -111,8 +111,8 @@
 // setState is the one place that changes a job's state.
 func (t *Table) setState(job *Job, to JobState) {
 	if job.State == Queued {
-		if t.waiting[job.Spec.Queue]--; t.waiting[job.Spec.Queue] == 0 {
-			delete(t.waiting, job.Spec.Queue)
+		if t.queued[job.Spec.Queue]--; t.queued[job.Spec.Queue] == 0 {
+			delete(t.queued, job.Spec.Queue)
 		}
 	}
 	job.State = to
--- a/internal/jobs/lifecycle_test.go
+++ b/internal/jobs/lifecycle_test.go
@@ -16,9 +16,9 @@
 		job := table.mustSubmit(testJob("j", oneCore(2), oneCore(3)))
 		So(job.State, ShouldEqual, Queued)
 		So(job.Sequence, ShouldEqual, 1)
-		So(job.Accepted, ShouldEqual, noon)
+		So(job.AcceptedAt, ShouldEqual, noon)
 		So(job.Rounds, ShouldResemble, [][][]Task{{make([]Task, 2), make([]Task, 3)}})
-		So(table.Waiting("plain"), ShouldEqual, 1)
+		So(table.QueuedCount("plain"), ShouldEqual, 1)
 		before := table.bytes()
 		Convey("the same bytes are the same job", func() {
 			state, err := table.Submit(testJob("j"))
@@ -67,7 +67,7 @@
 		many.Spec.Rounds = 3
 		So(table.mustSubmit(many).Rounds, ShouldHaveLength, 3)
 		So(table.mustSubmit(testJob("k")).State, ShouldEqual, Succeeded)
-		So(table.Waiting("plain"), ShouldEqual, 1)
+		So(table.QueuedCount("plain"), ShouldEqual, 1)
 	})
 }
 
@@ -80,10 +80,10 @@
 		state, err := table.Cancel(Cancel{ID: "j", At: noon.Add(time.Second)})
 		So(err, ShouldBeNil)
 		So(state, ShouldEqual, Cancelled)
-		So(job.Ended, ShouldEqual, noon.Add(time.Second))
+		So(job.EndedAt, ShouldEqual, noon.Add(time.Second))
 		So(job.Rounds, ShouldNotBeNil)
 		So(table.start(startOf(taskOf("j", 0, 1), 1, "w1")), ShouldResemble, []bool{false})
-		table.Tidy(noon.Add(time.Hour))
+		table.Purge(noon.Add(time.Hour))
 		So(table.Jobs["j"], ShouldNotBeNil)
 		table.end(endOf(first, EndFailed))
 		So(job.State, ShouldEqual, Cancelled)
@@ -94,10 +94,10 @@
 		state, err = table.Cancel(Cancel{ID: "j", At: noon.Add(time.Hour)})
 		So(err, ShouldBeNil)
 		So(state, ShouldEqual, Cancelled)
-		So(job.Ended, ShouldEqual, noon.Add(time.Second))
-		table.Tidy(noon.Add(time.Second))
+		So(job.EndedAt, ShouldEqual, noon.Add(time.Second))
+		table.Purge(noon.Add(time.Second))
 		So(table.Jobs["j"], ShouldNotBeNil)
-		table.Tidy(noon.Add(time.Second + 1))
+		table.Purge(noon.Add(time.Second + 1))
 		So(table.Jobs["j"], ShouldBeNil)
 		_, err = table.Cancel(Cancel{ID: "j", At: noon})
 		So(err, shouldBeKind, errs.Unknown)
@@ -113,7 +113,7 @@
 		So(err, ShouldBeNil)
 		table.end(endOf(second, EndFailed))
 		So(job.State, ShouldEqual, Cancelled)
-		So(job.Ended, ShouldEqual, noon)
+		So(job.EndedAt, ShouldEqual, noon)
 	})
 	Convey("A job that succeeded stays so, and a waiting one is counted no more", t, func() {
 		table := testTable()
@@ -121,18 +121,18 @@
 		table.mustSubmit(testJob("k", oneCore(1)))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		table.start(start)
-		So(table.Waiting("plain"), ShouldEqual, 1)
+		So(table.QueuedCount("plain"), ShouldEqual, 1)
 		table.end(endOf(start, EndDone))
 		state, err := table.Cancel(Cancel{ID: "j", At: noon})
 		So(err, ShouldBeNil)
 		So(state, ShouldEqual, Succeeded)
 		_, err = table.Cancel(Cancel{ID: "k", At: noon})
 		So(err, ShouldBeNil)
-		So(table.Waiting("plain"), ShouldEqual, 0)
+		So(table.QueuedCount("plain"), ShouldEqual, 0)
 	})
 }
 
-func TestTidy(t *testing.T) {
+func TestPurge(t *testing.T) {
 	Convey("Jobs that ended before a time are dropped, the oldest end first, in whatever order they ended", t, func() {
 		permutations(4, func(order []int) {
 			table := testTable()
@@ -143,10 +143,10 @@
 				_, err := table.Cancel(Cancel{ID: fmt.Sprint(i), At: noon.Add(time.Duration(i) * time.Second)})
 				must(err)
 			}
-			for _, each := range []*Table{table.copied(), table} {
+			for _, each := range []*Table{table.decodedCopy(), table} {
 				var dropped string
-				each.Watch = func(n Note) { dropped += n.Name }
-				each.Tidy(noon.Add(3 * time.Second))
+				each.OnEvent = func(n Event) { dropped += n.Name }
+				each.Purge(noon.Add(3 * time.Second))
 				if dropped != "012" || len(each.Jobs) != 1 {
 					panic(fmt.Sprint(order, dropped))
 				}
@@ -159,54 +159,54 @@
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		table.start(start)
 		table.end(endOf(start, EndDone))
-		var notes []Note
-		table.Watch = func(n Note) { notes = append(notes, n) }
-		table.Tidy(noon.Add(time.Hour))
-		So(notes, ShouldResemble, []Note{{JobChanged, "j"}})
+		var notes []Event
+		table.OnEvent = func(n Event) { notes = append(notes, n) }
+		table.Purge(noon.Add(time.Hour))
+		So(notes, ShouldResemble, []Event{{JobChanged, "j"}})
 		Convey("and its ID may be used again", func() {
 			So(table.mustSubmit(testJob("j", oneCore(1))).Sequence, ShouldEqual, 2)
-			table.Tidy(noon.Add(time.Hour))
+			table.Purge(noon.Add(time.Hour))
 			So(table.Jobs["j"], ShouldNotBeNil)
 		})
 	})
 }
 
-func TestWatch(t *testing.T) {
+func TestEvents(t *testing.T) {
 	Convey("Changes are told once each after they were made, and nothing else is", t, func() {
 		table := testTable()
-		var notes []Note
-		table.Watch = func(n Note) { notes = append(notes, n) }
-		told := func() []Note {
+		var notes []Event
+		table.OnEvent = func(n Event) { notes = append(notes, n) }
+		notified := func() []Event {
 			out := notes
 			notes = nil
 			return out
 		}
 		table.mustSubmit(testJob("j", oneCore(2)))
-		So(told(), ShouldResemble, []Note{{JobChanged, "j"}})
+		So(notified(), ShouldResemble, []Event{{JobChanged, "j"}})
 		table.mustSubmit(testJob("j", oneCore(2)))
-		So(told(), ShouldBeEmpty)
+		So(notified(), ShouldBeEmpty)
 		a, b := startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1")
 		table.start(a, b)
-		So(told(), ShouldResemble, []Note{{JobChanged, "j"}})
+		So(notified(), ShouldResemble, []Event{{JobChanged, "j"}})
 		table.start(a)
 		table.end(endOf(startOf(taskOf("j", 0, 0), 9, "w1"), EndDone))
-		So(told(), ShouldBeEmpty)
+		So(notified(), ShouldBeEmpty)
 		must(table.Register(Register{Workers: []Worker{testWorker("w1", "open"), testWorker("w3", "open")}}))
-		So(told(), ShouldResemble, []Note{{WorkerChanged, "w3"}})
+		So(notified(), ShouldResemble, []Event{{WorkerChanged, "w3"}})
 		_, err := table.Progress(testTerm, Progress{Term: testTerm, Forget: []string{"w1", "w3", "w9"}})
 		So(err, ShouldBeNil)
-		So(told(), ShouldResemble, []Note{{WorkerGone, "w3"}})
+		So(notified(), ShouldResemble, []Event{{WorkerGone, "w3"}})
 		must(table.Evacuate(Evacuate{Zone: "zone-1", Start: true}))
 		must(table.Evacuate(Evacuate{Zone: "zone-1", Start: true}))
-		So(told(), ShouldResemble, []Note{{ZonesChanged, "zone-1"}})
+		So(notified(), ShouldResemble, []Event{{ZonesChanged, "zone-1"}})
 		must(table.Configure(testConfig()))
-		So(told(), ShouldBeEmpty)
+		So(notified(), ShouldBeEmpty)
 		must(table.Configure(Configure{Base: 5, Version: 6}))
-		So(told(), ShouldResemble, []Note{{ConfigChanged, ""}})
+		So(notified(), ShouldResemble, []Event{{ConfigChanged, ""}})
 		_, err = table.Cancel(Cancel{ID: "j", At: noon})
 		So(err, ShouldBeNil)
 		table.end(endOf(a, EndStopped), endOf(b, EndStopped))
-		table.Tidy(noon.Add(time.Hour))
-		So(told(), ShouldResemble, []Note{{JobChanged, "j"}, {JobChanged, "j"}, {JobChanged, "j"}})
+		table.Purge(noon.Add(time.Hour))
+		So(notified(), ShouldResemble, []Event{{JobChanged, "j"}, {JobChanged, "j"}, {JobChanged, "j"}})
 	})
 }
--- a/internal/jobs/month_test.go
+++ b/internal/jobs/month_test.go
@@ -13,19 +13,19 @@
 // configurations and of evacuations.
 type monthTable struct {
 	*Table
-	at    time.Time
-	jobs  int
-	lives int
+	at           time.Time
+	jobs         int
+	incarnations int
 	// The guards that can be taken out: what is over, and workers that are gone, is let go.
-	noTidy, noForget bool
+	noPurge, noForget bool
 }
 
 const (
-	monthHourJobs  = 20
-	monthKeepOver  = 4 * time.Minute // twice as long as a client may ask for
-	monthHourLives = 2
-	monthConfigs   = 3 // an hour: more in a month than orders are remembered
-	monthPayload   = 4000
+	monthHourJobs         = 20
+	monthKeepOver         = 4 * time.Minute // twice as long as a client may ask for
+	monthHourIncarnations = 2
+	monthConfigs          = 3 // an hour: more in a month than orders are remembered
+	monthPayload          = 4000
 )
 
 func newMonthTable() *monthTable {
@@ -37,9 +37,9 @@
 // hour is an hour of the month.
 func (m *monthTable) hour() {
 	var gone []string
-	for range monthHourLives {
-		m.lives++
-		worker := testWorker(fmt.Sprintf("w%d", m.lives), "open")
+	for range monthHourIncarnations {
+		m.incarnations++
+		worker := testWorker(fmt.Sprintf("w%d", m.incarnations), "open")
 		must(m.Register(Register{Workers: []Worker{worker}}))
 		m.work(worker.ID)
 		worker.Left = true
@@ -59,14 +59,14 @@
 	if !m.noForget {
 		m.progress(Progress{Forget: gone})
 	}
-	if !m.noTidy {
-		m.Tidy(m.at.Add(-monthKeepOver))
+	if !m.noPurge {
+		m.Purge(m.at.Add(-monthKeepOver))
 	}
 }
 
 // work runs jobs on a worker; each kind ends in its own way.
 func (m *monthTable) work(worker string) {
-	for i := range monthHourJobs / monthHourLives {
+	for i := range monthHourJobs / monthHourIncarnations {
 		m.jobs++
 		id := fmt.Sprintf("%016x", m.jobs)
 		job := testJob(id, Step{Count: 2, Gang: i%5 == 0})
@@ -74,18 +74,18 @@
 		m.mustSubmit(job)
 		starts := []Start{startOf(taskOf(id, 0, 0), 1, worker), startOf(taskOf(id, 0, 1), 1, worker)}
 		m.progress(Progress{Starts: starts})
-		switch how := []How{EndDone, EndFailed, EndLost}[i%3]; how {
+		switch reason := []EndReason{EndDone, EndFailed, EndLost}[i%3]; reason {
 		case EndDone:
-			m.progress(Progress{Ends: []End{endOf(starts[0], how), endOf(starts[1], how)}})
+			m.progress(Progress{Ends: []End{endOf(starts[0], reason), endOf(starts[1], reason)}})
 		case EndFailed:
-			m.progress(Progress{Ends: []End{endOf(starts[0], how), endOf(starts[1], EndStopped)}})
+			m.progress(Progress{Ends: []End{endOf(starts[0], reason), endOf(starts[1], EndStopped)}})
 			again := startOf(taskOf(id, 0, 0), 2, worker)
 			m.progress(Progress{Starts: []Start{again}})
-			m.progress(Progress{Ends: []End{endOf(again, how)}})
+			m.progress(Progress{Ends: []End{endOf(again, reason)}})
 			m.cancel(id) // a gang's one try of two is left
 		default:
 			m.cancel(id)
-			m.progress(Progress{Ends: []End{endOf(starts[0], how), endOf(starts[1], how)}})
+			m.progress(Progress{Ends: []End{endOf(starts[0], reason), endOf(starts[1], reason)}})
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		m := newMonthTable()
 		sizes := m.month(days)
 		full := MaxOrders/(24*monthConfigs) + 1 // the day from which on the oldest orders are forgotten
-		t.Log(m.jobs, "jobs,", m.lives, "workers; bytes by day", sizes)
+		t.Log(m.jobs, "jobs,", m.incarnations, "workers; bytes by day", sizes)
 		So(sizes[days-1], ShouldBeLessThan, sizes[full]*101/100)
 		So(sizes[days-1], ShouldBeLessThan, 100_000)
 		So(len(m.Jobs), ShouldBeLessThanOrEqualTo, monthHourJobs)
@@ -133,12 +133,12 @@
 		So(m.Orders, ShouldHaveLength, MaxOrders)
 		So(m.orders, ShouldHaveLength, MaxOrders)
 		So(m.Evacuated, ShouldBeEmpty)
-		So(m.waiting, ShouldBeEmpty)
+		So(m.queued, ShouldBeEmpty)
 		So(m.occupancy, ShouldBeEmpty)
 		So(len(m.retired), ShouldEqual, len(m.Jobs))
 	})
 	Convey("Without the letting go of what is over, or of workers that are gone, it grows day by day", t, func() {
-		for _, m := range []*monthTable{{noTidy: true}, {noForget: true}} {
+		for _, m := range []*monthTable{{noPurge: true}, {noForget: true}} {
 			m.Table, m.at = NewTable(), noon
 			must(m.Configure(testConfig()))
 			sizes := m.month(6)
@@ -148,11 +148,11 @@
 	})
 	Convey("A job that is over holds nothing of what its client handed in but its name", t, func() {
 		m := newMonthTable()
-		m.noTidy = true
+		m.noPurge = true
 		m.hour()
 		So(m.Jobs, ShouldHaveLength, monthHourJobs)
 		for _, job := range m.Jobs {
-			So(job.State.Over(), ShouldBeTrue)
+			So(job.State.IsTerminal(), ShouldBeTrue)
 			So([]any{job.Spec.Payload, job.Spec.Steps, job.Rounds}, ShouldResemble, []any{"", []Step(nil), [][][]Task(nil)})
 		}
 	})
--- a/internal/jobs/payment.go
+++ b/internal/jobs/payment.go
@@ -22,10 +22,10 @@
 	Covers(party string, cost int64) bool
 	// Reserve sets the first window of a run aside; a refusal changes nothing.
 	Reserve(charge account.Charge) error
-	// Settle draws the time of a run that is over. A run without a reservation is none of its.
-	Settle(run string)
-	// Return gives the open window of a lost run back.
-	Return(run string)
+	// Debit draws the time of a run that is over. A run without a reservation is none of its.
+	Debit(run string)
+	// Refund gives the open window of a lost run back.
+	Refund(run string)
 }
 
 // SetParties says who pays for which queues from now on. Nobody pays until it is called.
@@ -55,15 +55,15 @@
 	}
 	t.Parties = c.Parties
 	t.indexParties()
-	t.tell(ConfigChanged, "")
+	t.notify(ConfigChanged, "")
 	return nil
 }
 
 func (t *Table) indexParties() {
-	t.paying = map[string]*Party{}
+	t.partyByQueue = map[string]*Party{}
 	for i := range t.Parties {
 		for _, queue := range t.Parties[i].Queues {
-			t.paying[queue] = &t.Parties[i]
+			t.partyByQueue[queue] = &t.Parties[i]
 		}
 	}
 }
@@ -78,14 +78,14 @@
 	if len(t.Parties) == 0 {
 		return nil
 	}
-	return t.paying[job.Spec.Queue]
+	return t.partyByQueue[job.Spec.Queue]
 }
 
 // Fee is what the start of a task needs on its party's balance: the price of a window, nothing if nobody pays, or for a
 // lasting task that ran before, which stays attached also when its party is dry.
 func (t *Table) Fee(job *Job, ref TaskRef) int64 {
 	party := t.PartyOf(job)
-	if party == nil || job.attached(ref) {
+	if party == nil || job.isRestart(ref) {
 		return 0
 	}
 	return party.rate(&job.Spec.Steps[ref.Step]).Cost(party.Window)
@@ -95,13 +95,13 @@
 	return p.Price.Rate(account.Needs{MilliCPU: step.Needs.MilliCPU, MemoryMB: step.Needs.MemoryMB, GPUs: step.Needs.GPUs})
 }
 
-// attached tells whether a task is a lasting one that ran before.
-func (j *Job) attached(ref TaskRef) bool {
-	return j.Spec.Steps[ref.Step].Lasting && j.Rounds[ref.Round][ref.Step][ref.Index].LastRun > 0
+// isRestart tells whether a task is a lasting one that ran before.
+func (j *Job) isRestart(ref TaskRef) bool {
+	return j.Spec.Steps[ref.Step].LongRunning && j.Rounds[ref.Round][ref.Step][ref.Index].LastRun > 0
 }
 
-// covered tells whether the balance of a job's party holds what the starts of a group need together.
-func (t *Table) covered(job *Job, starts []Start, group []int) bool {
+// isCovered tells whether the balance of a job's party holds what the starts of a group need together.
+func (t *Table) isCovered(job *Job, starts []Start, group []int) bool {
 	party := t.PartyOf(job)
 	if party == nil {
 		return true
@@ -132,13 +132,13 @@
 	}
 }
 
-// pay settles the reservation of a run whose handle goes, or gives its open window back if the run was lost.
-func (t *Table) pay(key RunKey, how How) {
+// closeReservation settles the reservation of a run whose handle goes, or gives its open window back if the run was lost.
+func (t *Table) closeReservation(key RunKey, reason EndReason) {
 	switch {
 	case t.Payments == nil:
-	case how == EndLost || how == EndLapsed || how == EndAlone:
-		t.Payments.Return(key.RunName())
+	case reason == EndLost || reason == EndLeaseExpired || reason == EndGangTimeout:
+		t.Payments.Refund(key.RunName())
 	default:
-		t.Payments.Settle(key.RunName())
+		t.Payments.Debit(key.RunName())
 	}
 }
--- a/internal/jobs/payment_test.go
+++ b/internal/jobs/payment_test.go
@@ -13,12 +13,12 @@
 
 // testAccounts are accounts at a time that the test sets.
 type testAccounts struct {
-	*account.Book
+	*account.Table
 	at time.Time
 }
 
-func (a *testAccounts) Reserve(c account.Charge) error { return a.Book.Reserve(c, a.at) }
-func (a *testAccounts) Settle(run string)              { a.Book.Settle(run, a.at) }
+func (a *testAccounts) Reserve(c account.Charge) error { return a.Table.Reserve(c, a.at) }
+func (a *testAccounts) Debit(run string)               { a.Table.Debit(run, a.at) }
 
 // sums are balance, reserved and spent.
 func (a *testAccounts) sums() [3]int64 {
@@ -31,7 +31,7 @@
 func paidTable(units int64) (*Table, *testAccounts) {
 	t := testTable()
 	must(t.SetParties(SetParties{Parties: []Party{{Name: "acme", Queues: []string{"plain"}, Price: account.Price{Core: 10}, Window: 10 * time.Second}}}))
-	a := &testAccounts{account.NewBook(), noon}
+	a := &testAccounts{account.NewTable(), noon}
 	must(a.Create("acme", 0))
 	if units > 0 {
 		_, err := a.TopUp("acme", "first", units, noon)
@@ -70,12 +70,12 @@
 	Convey("A lasting task that ran before starts again when dry; one that never ran waits", t, func() {
 		table, a := paidTable(100)
 		feed := oneCore(1)
-		feed.Lasting = true
+		feed.LongRunning = true
 		table.mustSubmit(testJob("j", feed))
 		table.mustSubmit(testJob("k", feed))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		So(table.start(start, startOf(taskOf("k", 0, 0), 1, "w2")), ShouldResemble, []bool{true, false})
-		table.end(endOf(start, EndLapsed))
+		table.end(endOf(start, EndLeaseExpired))
 		other := startOf(taskOf("j", 0, 0), 2, "w2")
 		table.mustSubmit(testJob("l", oneCore(1)))
 		So(table.start(startOf(taskOf("l", 0, 0), 1, "w1")), ShouldResemble, []bool{true})
@@ -85,7 +85,7 @@
 	Convey("Of a lasting gang a member that never ran is paid for beside one that did", t, func() {
 		table, a := paidTable(100)
 		gang := oneCore(2)
-		gang.Gang, gang.Lasting = true, true
+		gang.Gang, gang.LongRunning = true, true
 		job := table.mustSubmit(testJob("j", gang))
 		job.Rounds[0][0][0].LastRun = 1
 		So(table.start(startOf(taskOf("j", 0, 0), 2, "w1"), startOf(taskOf("j", 0, 1), 2, "w2")), ShouldResemble, []bool{true, true})
@@ -111,7 +111,7 @@
 	})
 	Convey("Parties come back from the table's bytes, and wrong ones are refused", t, func() {
 		table, _ := paidTable(0)
-		back := table.copied()
+		back := table.decodedCopy()
 		job := table.mustSubmit(testJob("j", oneCore(1)))
 		So(back.PartyOf(job).Name, ShouldEqual, "acme")
 		for field, p := range map[string]Party{
@@ -143,8 +143,8 @@
 				a.Renew(a.at)
 				ref := taskOf(rapid.SampledFrom([]string{"j", "k"}).Draw(t, "job"), 0, rapid.IntRange(0, 5).Draw(t, "task"))
 				if start, ok := out[ref]; ok {
-					how := rapid.SampledFrom([]How{EndDone, EndFailed, EndStopped, EndLapsed, EndLost, EndBroken, EndAlone}).Draw(t, "how")
-					table.end(endOf(start, how))
+					reason := rapid.SampledFrom([]EndReason{EndDone, EndFailed, EndStopped, EndLeaseExpired, EndLost, EndGangBroken, EndGangTimeout}).Draw(t, "how")
+					table.end(endOf(start, reason))
 					delete(out, ref)
 				} else {
 					balance := a.Accounts["acme"].Balance
--- a/internal/jobs/progress.go
+++ b/internal/jobs/progress.go
@@ -26,9 +26,9 @@
 		}
 	}
 	for _, id := range changed.order {
-		t.tell(JobChanged, id)
+		t.notify(JobChanged, id)
 	}
-	t.forget(p.Forget)
+	t.dropWorkers(p.Forget)
 	return Started{Recorded: recorded}, nil
 }
 
@@ -48,8 +48,8 @@
 // endRun removes a handle and draws what follows from its end; false if there is no such handle.
 func (t *Table) endRun(end End, at time.Time) bool {
 	ref := end.Key.Task
-	job, task := t.find(ref)
-	if task == nil || !t.release(job, task, end) {
+	job, task := t.findTask(ref)
+	if task == nil || !t.releaseHandle(job, task, end) {
 		return false
 	}
 	members := job.members(ref)
@@ -58,20 +58,20 @@
 			members[i].Checkpoint = end.Checkpoint
 		}
 	}
-	switch end.How {
+	switch end.Reason {
 	case EndDone:
 		t.endDone(job, ref, members, at)
 	case EndFailed:
 		t.endFailed(job, task, &members[0], end.Key, at)
 	}
-	if job.State.Over() && job.Rounds != nil {
+	if job.State.IsTerminal() && job.Rounds != nil {
 		t.retire(job)
 	}
 	return true
 }
 
-// release removes the handle that an end names.
-func (t *Table) release(job *Job, task *Task, end End) bool {
+// releaseHandle removes the handle that an end names.
+func (t *Table) releaseHandle(job *Job, task *Task, end End) bool {
 	for i, run := range task.Runs {
 		if run.Number != end.Key.Number || run.Worker != end.Worker {
 			continue
@@ -80,7 +80,7 @@
 			task.Runs = nil
 		}
 		job.index.handles--
-		t.pay(end.Key, end.How)
+		t.closeReservation(end.Key, end.Reason)
 		t.vacate(run.Worker, end.Key, job.Spec.Steps[end.Key.Task.Step].Needs)
 		return true
 	}
@@ -98,24 +98,24 @@
 
 // endDone makes the tasks done; those of a lasting step are due again.
 func (t *Table) endDone(job *Job, ref TaskRef, members []Task, at time.Time) {
-	if job.Spec.Steps[ref.Step].Lasting {
+	if job.Spec.Steps[ref.Step].LongRunning {
 		return
 	}
 	for i := range members {
 		if !members[i].Done {
 			members[i].Done = true
-			job.index.left[ref.Round][ref.Step]--
+			job.index.remaining[ref.Round][ref.Step]--
 			job.index.undone--
 		}
 	}
-	t.succeed(job, at)
+	t.succeedIfDone(job, at)
 }
 
 // endFailed counts a failure at counter, the task itself or the first member of its gang, and gives the job up after
 // the most attempts of its queue.
 func (t *Table) endFailed(job *Job, task, counter *Task, key RunKey, at time.Time) {
 	step := &job.Spec.Steps[key.Task.Step]
-	if task.Done || job.State.Over() || step.Lasting {
+	if task.Done || job.State.IsTerminal() || step.LongRunning {
 		return
 	}
 	if step.Gang {
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -55,18 +55,18 @@
 			So(job.State, ShouldEqual, Running)
 			table.end(endOf(second, EndDone))
 			So(job.State, ShouldEqual, Succeeded)
-			So(job.Ended, ShouldEqual, noon.Add(time.Minute))
+			So(job.EndedAt, ShouldEqual, noon.Add(time.Minute))
 			So(job.Rounds, ShouldBeNil)
 			So(table.RunsOn("w1"), ShouldBeEmpty)
 		})
 		Convey("any other end makes it due again without a failure, from its newest progress", func() {
-			for number, how := range []How{EndStopped, EndLapsed, EndBroken, EndAlone, EndLost} {
+			for number, reason := range []EndReason{EndStopped, EndLeaseExpired, EndGangBroken, EndGangTimeout, EndLost} {
 				run := startOf(start.Task, number+1, "w1")
 				if number > 0 {
 					So(table.start(startOf(start.Task, number, "w1")), ShouldResemble, []bool{false})
 					So(table.start(run), ShouldResemble, []bool{true})
 				}
-				end := endOf(run, how)
+				end := endOf(run, reason)
 				if number < 2 {
 					end.Checkpoint = fmt.Sprint("at ", number)
 				}
@@ -108,12 +108,12 @@
 	Convey("A lasting task is due again however it ends", t, func() {
 		table := testTable()
 		step := oneCore(1)
-		step.Lasting = true
+		step.LongRunning = true
 		job := table.mustSubmit(testJob("j", step))
-		for number, how := range []How{EndFailed, EndFailed, EndFailed, EndDone, EndStopped} {
+		for number, reason := range []EndReason{EndFailed, EndFailed, EndFailed, EndDone, EndStopped} {
 			start := startOf(taskOf("j", 0, 0), number+1, "w1")
 			So(table.start(start), ShouldResemble, []bool{true})
-			table.end(endOf(start, how))
+			table.end(endOf(start, reason))
 			So(job.Rounds[0][0][0], ShouldResemble, Task{LastRun: number + 1})
 			So(job.State, ShouldEqual, Running)
 		}
@@ -161,16 +161,16 @@
 			},
 		}
 		for _, bar := range bars {
-			barred := table.copied()
+			barred := table.decodedCopy()
 			bar(barred)
 			So(barred.start(good), ShouldResemble, []bool{false})
 		}
 		So(table.start(good, good), ShouldResemble, []bool{true, false})
-		So(table.ReadyStep(table.Jobs["j"], 0, 2), ShouldBeFalse)
+		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeFalse)
 		table.end(endOf(good, EndDone))
-		So(table.ReadyStep(table.Jobs["j"], 0, 2), ShouldBeTrue)
-		So(table.ReadyStep(table.Jobs["j"], 1, 0), ShouldBeFalse)
-		So(table.ReadyStep(table.Jobs["j"], 0, 3), ShouldBeFalse)
+		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeTrue)
+		So(table.IsStepReady(table.Jobs["j"], 1, 0), ShouldBeFalse)
+		So(table.IsStepReady(table.Jobs["j"], 0, 3), ShouldBeFalse)
 		fast := testWorker("w2", "open")
 		fast.Labels = []string{"ssd", "fast"}
 		must(table.Register(Register{Workers: []Worker{fast}}))
@@ -202,8 +202,8 @@
 		later := startOf(TaskRef{Job: "j", Round: 1}, 1, "w1")
 		So(table.start(later), ShouldResemble, []bool{true})
 		table.end(endOf(later, EndDone))
-		So(table.ReadyStep(job, 0, 1), ShouldBeFalse)
-		So(table.ReadyStep(job, 1, 1), ShouldBeTrue)
+		So(table.IsStepReady(job, 0, 1), ShouldBeFalse)
+		So(table.IsStepReady(job, 1, 1), ShouldBeTrue)
 	})
 	Convey("Room is counted for a service that does not guard it, and left to one that does", t, func() {
 		table := testTable()
@@ -232,7 +232,7 @@
 	})
 	Convey("A worker holds no more tasks of a step of one round than the step allows", t, func() {
 		table := testTable()
-		spec := testJob("j", Step{Count: 3, MostPerNode: 1})
+		spec := testJob("j", Step{Count: 3, MaxPerWorker: 1})
 		spec.Spec.Rounds = 2
 		table.mustSubmit(spec)
 		other := startOf(TaskRef{Job: "j", Round: 1}, 1, "w1")
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -16,8 +16,8 @@
 func TestRandomChanges(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		live, copied := testTable(), testTable()
-		random := drawer{rt, live}
+		live, decodedCopy := testTable(), testTable()
+		random := generator{rt, live}
 		for range rapid.IntRange(30, 90).Draw(rt, "changes") {
 			change := random.change()
 			want, isProgress := change.(Progress)
@@ -25,7 +25,7 @@
 			if isProgress {
 				expected = expectedStarts(live, want)
 			}
-			answer, again := apply(live, change), apply(copied, change)
+			answer, again := apply(live, change), apply(decodedCopy, change)
 			if answer != again {
 				rt.Fatalf("%+v: answers %s and %s", change, answer, again)
 			}
@@ -33,13 +33,13 @@
 				rt.Fatalf("%+v: answer %s, by hand %v", want, answer, expected)
 			}
 			countCases(seen, live, expected)
-			if live.bytes() != copied.bytes() {
+			if live.bytes() != decodedCopy.bytes() {
 				rt.Fatalf("%+v: tables differ", change)
 			}
 			checkDerived(rt, live)
-			checkDerived(rt, copied)
+			checkDerived(rt, decodedCopy)
 			if rapid.Bool().Draw(rt, "copy") {
-				copied = copied.copied()
+				decodedCopy = decodedCopy.decodedCopy()
 			}
 		}
 	})
@@ -85,7 +85,7 @@
 	case Register:
 		err = t.Register(c)
 	case time.Time:
-		t.Tidy(c)
+		t.Purge(c)
 	case Progress:
 		var started Started
 		if started, err = t.Progress(testTerm, c); err == nil {
@@ -95,23 +95,27 @@
 	return fmt.Sprint(answer, err)
 }
 
-// drawer draws changes that often fit what stands in a table.
-type drawer struct {
+// generator draws changes that often fit what stands in a table.
+type generator struct {
 	*rapid.T
 	table *Table
 }
 
-func (d drawer) number(name string, least, most int) int {
+func (d generator) number(name string, least, most int) int {
 	return rapid.IntRange(least, most).Draw(d.T, name)
 }
 
-func pick[T any](d drawer, name string, list ...T) T { return rapid.SampledFrom(list).Draw(d.T, name) }
+func pick[T any](d generator, name string, list ...T) T {
+	return rapid.SampledFrom(list).Draw(d.T, name)
+}
 
-func (d drawer) at() time.Time { return noon.Add(time.Duration(d.number("at", 0, 50)) * time.Second) }
+func (d generator) at() time.Time {
+	return noon.Add(time.Duration(d.number("at", 0, 50)) * time.Second)
+}
 
-func (d drawer) worker() string { return pick(d, "worker", "w1", "w2", "w3", "g1") }
+func (d generator) worker() string { return pick(d, "worker", "w1", "w2", "w3", "g1") }
 
-func (d drawer) change() any {
+func (d generator) change() any {
 	switch n := d.number("kind", 0, 31); {
 	case n < 20 && len(d.table.Jobs) > 0: // small numbers are drawn more often
 		return d.progress()
@@ -130,13 +134,13 @@
 	}
 }
 
-func (d drawer) submit() Submit {
+func (d generator) submit() Submit {
 	steps := make([]Step, d.number("steps", 1, 2))
 	for i := range steps {
 		steps[i] = Step{
 			Count: d.number("count", 1, 3), Needs: Resources{MilliCPU: 500 * d.number("cores", 0, 2)},
-			MostPerNode: pick(d, "most", 0, 0, 1, 2), Label: pick(d, "label", "", "", "", "ssd", "fast"),
-			Gang: d.number("gang", 0, 2) == 2, Lasting: d.number("lasting", 0, 5) == 5,
+			MaxPerWorker: pick(d, "most", 0, 0, 1, 2), Label: pick(d, "label", "", "", "", "ssd", "fast"),
+			Gang: d.number("gang", 0, 2) == 2, LongRunning: d.number("lasting", 0, 5) == 5,
 		}
 		if i > 0 && d.number("after", 0, 1) == 0 {
 			steps[i].After = []int{0}
@@ -147,7 +151,7 @@
 	return c
 }
 
-func (d drawer) configure() Configure {
+func (d generator) configure() Configure {
 	c := testConfig()
 	c.Base = d.table.Config.Version
 	c.Version = c.Base + uint64(d.number("step", 0, 2))
@@ -160,7 +164,7 @@
 	return c
 }
 
-func (d drawer) register() Register {
+func (d generator) register() Register {
 	id := d.worker()
 	worker := testWorker(id, map[byte]string{'w': "open", 'g': "guard"}[id[0]])
 	worker.Draining, worker.Left = d.number("draining", 0, 9) == 9, d.number("left", 0, 9) == 9
@@ -170,7 +174,7 @@
 	return Register{Workers: []Worker{worker}}
 }
 
-func (d drawer) progress() Progress {
+func (d generator) progress() Progress {
 	p := Progress{Term: testTerm, At: d.at()}
 	for range d.number("ends", 0, 3) {
 		keys := d.table.RunsOn(d.worker())
@@ -178,8 +182,8 @@
 			continue
 		}
 		key := pick(d, "key", keys...)
-		_, task := d.table.find(key.Task)
-		end := End{Key: key, Worker: task.Runs[0].Worker, How: pick(d, "how", EndDone, EndDone, EndFailed, EndLost)}
+		_, task := d.table.findTask(key.Task)
+		end := End{Key: key, Worker: task.Runs[0].Worker, Reason: pick(d, "how", EndDone, EndDone, EndFailed, EndLost)}
 		end.Checkpoint = pick(d, "checkpoint", "", "", "half")
 		p.Ends = append(p.Ends, end)
 	}
@@ -193,7 +197,7 @@
 }
 
 // starts draws starts of a step: of one task, or of most or all members of a gang.
-func (d drawer) starts() []Start {
+func (d generator) starts() []Start {
 	job := d.table.Jobs[pick(d, "job", "a", "b", "c", "d")]
 	if job == nil || job.Rounds == nil {
 		return nil
@@ -228,22 +232,22 @@
 	if len(p.Starts) == 0 {
 		return nil
 	}
-	c := t.copied()
+	c := t.decodedCopy()
 	_, err := c.Progress(testTerm, Progress{Term: p.Term, At: p.At, Ends: p.Ends})
 	must(err)
 	recorded := make([]bool, len(p.Starts))
 	tried := make([]bool, len(p.Starts))
 	for i, start := range p.Starts {
-		group := groupByHand(c, p.Starts, i)
+		group := expectedGroup(c, p.Starts, i)
 		if tried[i] || len(group) == 0 {
 			continue
 		}
 		for _, member := range group {
 			tried[member] = true
 		}
-		next, all := c.copied(), true
+		next, all := c.decodedCopy(), true
 		for _, member := range group {
-			all = all && placeByHand(next, p.Starts[member])
+			all = all && expectPlacement(next, p.Starts[member])
 		}
 		if job := c.Jobs[start.Task.Job]; all && job.Spec.Steps[start.Task.Step].Gang {
 			all = len(group) == job.Spec.Steps[start.Task.Step].Count
@@ -258,8 +262,8 @@
 	return recorded
 }
 
-// groupByHand gives the starts that go together with one.
-func groupByHand(t *Table, starts []Start, i int) []int {
+// expectedGroup gives the starts that go together with one.
+func expectedGroup(t *Table, starts []Start, i int) []int {
 	job := t.Jobs[starts[i].Task.Job]
 	if job == nil || job.Rounds == nil {
 		return nil
@@ -278,15 +282,15 @@
 	return group
 }
 
-// placeByHand puts one handle on the table if its preconditions hold, and leaves what is derived alone.
-func placeByHand(t *Table, start Start) bool {
+// expectPlacement puts one handle on the table if its preconditions hold, and leaves what is derived alone.
+func expectPlacement(t *Table, start Start) bool {
 	job := t.Jobs[start.Task.Job]
 	step := job.Spec.Steps[start.Task.Step]
 	tasks := job.Rounds[start.Task.Round]
 	task := &tasks[start.Task.Step][start.Task.Index]
 	worker, queue := t.Workers[start.Worker], t.Config.Queue(job.Spec.Queue)
 	switch {
-	case job.State.Over(), task.Done, start.Number <= task.LastRun, len(task.Runs) > 0,
+	case job.State.IsTerminal(), task.Done, start.Number <= task.LastRun, len(task.Runs) > 0,
 		worker == nil, queue == nil:
 		return false
 	case worker.Draining, worker.Left, t.Evacuated[worker.Zone], worker.Service != queue.Service,
@@ -310,10 +314,10 @@
 			ofStep++
 		}
 	})
-	if step.MostPerNode > 0 && ofStep > step.MostPerNode {
+	if step.MaxPerWorker > 0 && ofStep > step.MaxPerWorker {
 		return false
 	}
-	if !t.Config.Service(worker.Service).GuardsRoom && !used.within(worker.Capacity) {
+	if !t.Config.Service(worker.Service).ChecksCapacity && !used.fitsIn(worker.Capacity) {
 		return false
 	}
 	task.LastRun, task.Runs = start.Number, []Run{{Number: start.Number, Worker: start.Worker, Term: testTerm}}
@@ -357,8 +361,8 @@
 		checkJob(rt, t, job)
 	}
 	for _, queue := range []string{"plain", "guarded"} {
-		if t.Waiting(queue) != waiting[queue] {
-			rt.Fatalf("queue %s: %d wait, by hand %d", queue, t.Waiting(queue), waiting[queue])
+		if t.QueuedCount(queue) != waiting[queue] {
+			rt.Fatalf("queue %s: %d wait, by hand %d", queue, t.QueuedCount(queue), waiting[queue])
 		}
 	}
 }
@@ -377,10 +381,10 @@
 			}
 		}
 	}
-	if job.State.Over() && (job.Rounds == nil) != (handles == 0) || job.Rounds == nil && len(job.Spec.Steps) > 0 {
+	if job.State.IsTerminal() && (job.Rounds == nil) != (handles == 0) || job.Rounds == nil && len(job.Spec.Steps) > 0 {
 		rt.Fatalf("job %s is %s with %d handles, rounds %v", job.Spec.ID, job.State, handles, job.Rounds)
 	}
-	if job.Rounds != nil && !job.State.Over() && undone == 0 {
+	if job.Rounds != nil && !job.State.IsTerminal() && undone == 0 {
 		rt.Fatalf("job %s is %s without tasks left", job.Spec.ID, job.State)
 	}
 	if job.index.handles != handles || job.index.undone != undone {
@@ -392,7 +396,7 @@
 			for _, before := range job.Spec.Steps[step].After {
 				ready = ready && !slices.ContainsFunc(steps[before], func(task Task) bool { return !task.Done })
 			}
-			if t.ReadyStep(job, round, step) != ready {
+			if t.IsStepReady(job, round, step) != ready {
 				rt.Fatalf("job %s, round %d, step %d: ready is %v by hand", job.Spec.ID, round, step, ready)
 			}
 		}
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// ReadyStep tells whether the steps that a step of a round waits for are done. It says nothing of when the round is
+// IsStepReady tells whether the steps that a step of a round waits for are done. It says nothing of when the round is
 // due. False for a job whose rounds were let go.
-func (t *Table) ReadyStep(job *Job, round, step int) bool {
-	if round < 0 || round >= len(job.index.left) || step < 0 || step >= len(job.Spec.Steps) {
+func (t *Table) IsStepReady(job *Job, round, step int) bool {
+	if round < 0 || round >= len(job.index.remaining) || step < 0 || step >= len(job.Spec.Steps) {
 		return false
 	}
 	for _, before := range job.Spec.Steps[step].After {
-		if job.index.left[round][before] > 0 {
+		if job.index.remaining[round][before] > 0 {
 			return false
 		}
 	}
@@ -40,8 +40,8 @@
 	return found
 }
 
-// Waiting counts the jobs of a queue of which nothing was started yet.
-func (t *Table) Waiting(queue string) int { return t.waiting[queue] }
+// QueuedCount counts the jobs of a queue of which nothing was started yet.
+func (t *Table) QueuedCount(queue string) int { return t.queued[queue] }
 
 // Used is what the handles on a worker take.
 func (t *Table) Used(worker string) Resources {
@@ -92,8 +92,8 @@
 	return 0
 }
 
-// find gives a task and its job; nil if there is none (any more).
-func (t *Table) find(ref TaskRef) (*Job, *Task) {
+// findTask gives a task and its job; nil if there is none (any more).
+func (t *Table) findTask(ref TaskRef) (*Job, *Task) {
 	job := t.Jobs[ref.Job]
 	if job == nil || ref.Round < 0 || ref.Round >= len(job.Rounds) {
 		return nil, nil
--- a/internal/jobs/start.go
+++ b/internal/jobs/start.go
@@ -20,17 +20,17 @@
 	recorded := make([]bool, len(starts))
 	gangs := t.gangRuns(starts)
 	for i, start := range starts {
-		job, task := t.find(start.Task)
-		if task == nil || t.giveUp(job, start.Task, at) {
+		job, task := t.findTask(start.Task)
+		if task == nil || t.failIfOutOfAttempts(job, start.Task, at) {
 			continue
 		}
 		group := []int{i}
 		if job.Spec.Steps[start.Task.Step].Gang {
 			group = gangs[gangRun{start.Task.stepRef(), start.Number}]
 		}
-		if group[0] == i && t.mayStart(job, starts, group) && t.covered(job, starts, group) {
+		if group[0] == i && t.mayStart(job, starts, group) && t.isCovered(job, starts, group) {
 			for _, member := range group {
-				t.record(job, starts[member], term)
+				t.recordStart(job, starts[member], term)
 				recorded[member] = true
 			}
 		}
@@ -38,16 +38,16 @@
 	return recorded
 }
 
-// giveUp ends a job of which a task, or a gang, has failed as often as its queue allows. That is found when the last
+// failIfOutOfAttempts ends a job of which a task, or a gang, has failed as often as its queue allows. That is found when the last
 // run fails, except while no configuration had the queue, or when a later one allows fewer attempts.
-func (t *Table) giveUp(job *Job, ref TaskRef, at time.Time) bool {
+func (t *Table) failIfOutOfAttempts(job *Job, ref TaskRef, at time.Time) bool {
 	queue := t.Config.Queue(job.Spec.Queue)
 	failures := job.members(ref)[0].Failures
-	if queue == nil || failures == 0 || failures < queue.MaxAttempts || job.State.Over() {
+	if queue == nil || failures == 0 || failures < queue.MaxAttempts || job.State.IsTerminal() {
 		return false
 	}
 	t.finish(job, Failed, at)
-	t.tell(JobChanged, job.Spec.ID)
+	t.notify(JobChanged, job.Spec.ID)
 	return true
 }
 
@@ -55,7 +55,7 @@
 func (t *Table) gangRuns(starts []Start) map[gangRun][]int {
 	var gangs map[gangRun][]int
 	for i, start := range starts {
-		job, task := t.find(start.Task)
+		job, task := t.findTask(start.Task)
 		if task == nil || !job.Spec.Steps[start.Task.Step].Gang {
 			continue
 		}
@@ -71,7 +71,7 @@
 // mayStart tells whether all starts of a group, one task or one run of a gang, may be recorded together.
 func (t *Table) mayStart(job *Job, starts []Start, group []int) bool {
 	first := starts[group[0]].Task
-	if job.State.Over() || len(group) != len(job.members(first)) || !t.ReadyStep(job, first.Round, first.Step) {
+	if job.State.IsTerminal() || len(group) != len(job.members(first)) || !t.IsStepReady(job, first.Round, first.Step) {
 		return false
 	}
 	members := map[int]bool{}
@@ -84,15 +84,15 @@
 		}
 		members[start.Task.Index] = true
 		placed[start.Worker]++
-		if !t.accepts(start.Worker, job, first.stepRef(), placed[start.Worker]) {
+		if !t.canAccept(start.Worker, job, first.stepRef(), placed[start.Worker]) {
 			return false
 		}
 	}
 	return true
 }
 
-// accepts tells whether a worker may be given so many more runs of a step.
-func (t *Table) accepts(id string, job *Job, ref stepRef, runs int) bool {
+// canAccept tells whether a worker may be given so many more runs of a step.
+func (t *Table) canAccept(id string, job *Job, ref stepRef, runs int) bool {
 	worker := t.Workers[id]
 	queue := t.Config.Queue(job.Spec.Queue)
 	if worker == nil || worker.Draining || worker.Left || t.Evacuated[worker.Zone] {
@@ -105,17 +105,17 @@
 	if step.Label != "" && !slices.Contains(worker.Labels, step.Label) {
 		return false
 	}
-	if step.MostPerNode > 0 && t.runsOfStep(id, ref)+runs > step.MostPerNode {
+	if step.MaxPerWorker > 0 && t.runsOfStep(id, ref)+runs > step.MaxPerWorker {
 		return false
 	}
-	if service := t.Config.Service(worker.Service); service != nil && service.GuardsRoom {
+	if service := t.Config.Service(worker.Service); service != nil && service.ChecksCapacity {
 		return true
 	}
-	return t.Used(id).plus(step.Needs, runs).within(worker.Capacity)
+	return t.Used(id).plus(step.Needs, runs).fitsIn(worker.Capacity)
 }
 
-// record makes the handle of a start that may be recorded.
-func (t *Table) record(job *Job, start Start, term uint64) {
+// recordStart makes the handle of a start that may be recorded.
+func (t *Table) recordStart(job *Job, start Start, term uint64) {
 	ref := start.Task
 	task := &job.Rounds[ref.Round][ref.Step][ref.Index]
 	t.reserve(job, RunKey{Task: ref, Number: start.Number})
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -22,33 +22,33 @@
 
 	Parties []Party `json:"parties,omitempty"` // who pays for which queues; none: nobody
 
-	// Watch is told of each change after it was made; it must not change the table.
-	Watch func(Note) `json:"-"`
+	// OnEvent is told of each change after it was made; it must not change the table.
+	OnEvent func(Event) `json:"-"`
 	// Payments are the accounts that Parties pay from; nil until there is one. They are set by the table's owner.
 	Payments Payments `json:"-"`
 
-	paying    map[string]*Party     // Parties by queue
-	orders    map[string]struct{}   // Orders as a set
-	waiting   map[string]int        // queued jobs by queue
-	occupancy map[string]*occupancy // what handles take, by worker ID; none for a worker without handles
-	retired   retiredJobs           // jobs that are over and have no handle out, oldest end first
+	partyByQueue map[string]*Party     // Parties by queue
+	orders       map[string]struct{}   // Orders as a set
+	queued       map[string]int        // queued jobs by queue
+	occupancy    map[string]*occupancy // what handles take, by worker ID; none for a worker without handles
+	retired      retiredJobs           // jobs that are over and have no handle out, oldest end first
 }
 
-// NoteKind says what a Note is about.
-type NoteKind uint8
+// EventKind says what a Note is about.
+type EventKind uint8
 
 // The kinds of notes. A job that was dropped is told as changed too.
 const (
-	JobChanged    NoteKind = iota + 1 // a job came, changed or was dropped (its ID)
-	WorkerChanged                     // the record of a worker came or changed (its ID)
-	WorkerGone                        // a worker was forgotten (its ID)
-	ConfigChanged                     // another configuration is in force
-	ZonesChanged                      // an evacuation was started or withdrawn (the zone)
+	JobChanged    EventKind = iota + 1 // a job came, changed or was dropped (its ID)
+	WorkerChanged                      // the record of a worker came or changed (its ID)
+	WorkerGone                         // a worker was forgotten (its ID)
+	ConfigChanged                      // another configuration is in force
+	ZonesChanged                       // an evacuation was started or withdrawn (the zone)
 )
 
-// Note is a change that the watcher is told of.
-type Note struct {
-	Kind NoteKind
+// Event is a change that the watcher is told of.
+type Event struct {
+	Kind EventKind
 	Name string
 }
 
@@ -75,14 +75,14 @@
 	if err := codec.Decode(data, &decoded); err != nil {
 		return errs.Wrap(err, errs.Damaged, "decode job table")
 	}
-	decoded.Watch, decoded.Payments = t.Watch, t.Payments
+	decoded.OnEvent, decoded.Payments = t.OnEvent, t.Payments
 	*t = Table(decoded)
 	t.Rebuild()
 	return nil
 }
 
-func (t *Table) tell(kind NoteKind, name string) {
-	if t.Watch != nil {
-		t.Watch(Note{Kind: kind, Name: name})
+func (t *Table) notify(kind EventKind, name string) {
+	if t.OnEvent != nil {
+		t.OnEvent(Event{Kind: kind, Name: name})
 	}
 }
--- a/internal/jobs/workers.go
+++ b/internal/jobs/workers.go
@@ -14,7 +14,7 @@
 			}
 		}
 		t.Workers[worker.ID] = &worker
-		t.tell(WorkerChanged, worker.ID)
+		t.notify(WorkerChanged, worker.ID)
 	}
 	return nil
 }
@@ -25,12 +25,12 @@
 		slices.Equal(w.Labels, other.Labels)
 }
 
-// forget drops workers that have no handle.
-func (t *Table) forget(workers []string) {
+// dropWorkers drops workers that have no handle.
+func (t *Table) dropWorkers(workers []string) {
 	for _, id := range workers {
 		if t.Workers[id] != nil && t.occupancy[id] == nil {
 			delete(t.Workers, id)
-			t.tell(WorkerGone, id)
+			t.notify(WorkerGone, id)
 		}
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -33,7 +33,7 @@
 	mu           sync.RWMutex
 	st           *state.State
 	indexChanged chan struct{} // closed and made anew at every change of the index
-	onChange     func(state.Note)
+	onChange     func(state.Event)
 	onReset      func(*state.State)
 	pulled       bool
 
@@ -42,9 +42,9 @@
 
 // New makes a replica at version 0. watch is called with changes and reset with a new state after a snapshot; both run
 // under the replica's lock.
-func New(onChange func(state.Note), onReset func(*state.State)) *Replica {
+func New(onChange func(state.Event), onReset func(*state.State)) *Replica {
 	r := &Replica{st: state.New(), indexChanged: make(chan struct{}), onChange: onChange, onReset: onReset}
-	r.st.Watch = onChange
+	r.st.OnEvent = onChange
 	return r
 }
 
@@ -167,9 +167,9 @@
 	if st.Index <= r.st.Index {
 		return errs.New(errs.Stale, "snapshot at %d is behind the replica at %d", st.Index, r.st.Index)
 	}
-	r.st.Watch = nil
+	r.st.OnEvent = nil
 	r.st = st
-	st.Watch = r.onChange
+	st.OnEvent = r.onChange
 	r.Snapshots++
 	r.Bytes += uint64(len(body))
 	if r.onReset != nil {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -29,7 +29,7 @@
 	So(err, ShouldBeNil)
 	h := history{states: [][]byte{nil, first}}
 	for i := 2; i < n+2; i++ {
-		data, err := command.Encode(time.Unix(int64(i), 0), &command.Announce{Minion: state.Minion{Name: fmt.Sprint("m", i), Addr: "a"}})
+		data, err := command.Encode(time.Unix(int64(i), 0), &command.Announce{Worker: state.Worker{Name: fmt.Sprint("m", i), Addr: "a"}})
 		So(err, ShouldBeNil)
 		_, err = command.Apply(s, uint64(i), 1, data)
 		So(err, ShouldBeNil)
--- a/internal/signature/golden_test.go
+++ b/internal/signature/golden_test.go
@@ -9,7 +9,7 @@
 // TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
-		golden.Shape("file", file{}),
-		golden.Filled("file", file{}),
+		golden.Shape("file", keyFile{}),
+		golden.Filled("file", keyFile{}),
 	)
 }
--- a/internal/signature/signature.go
+++ b/internal/signature/signature.go
@@ -21,8 +21,8 @@
 	private ed25519.PrivateKey
 }
 
-// file is a key on disk; Private is the 32 bytes of the seed in base64.
-type file struct {
+// keyFile is a key on disk; Private is the 32 bytes of the seed in base64.
+type keyFile struct {
 	Name    string `json:"name"`
 	Public  string `json:"public"`
 	Private string `json:"private"`
@@ -46,7 +46,7 @@
 	if err != nil {
 		return Key{}, errs.Wrap(err, errs.Disk, "key file")
 	}
-	var f file
+	var f keyFile
 	if err := json.Unmarshal(data, &f); err != nil {
 		return Key{}, errs.Wrap(err, errs.Malformed, "key file %s", path)
 	}
@@ -59,7 +59,7 @@
 
 // Save writes the key to a new file that only its owner may read. Failure: Disk, also when the file is there.
 func (k Key) Save(path string) error {
-	data, err := json.MarshalIndent(file{k.Name, k.Public(), base64.StdEncoding.EncodeToString(k.private.Seed())}, "", "  ")
+	data, err := json.MarshalIndent(keyFile{k.Name, k.Public(), base64.StdEncoding.EncodeToString(k.private.Seed())}, "", "  ")
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the key")
 	}
--- a/internal/state/account.go
+++ b/internal/state/account.go
@@ -38,18 +38,18 @@
 	if len(b.Parties) == 0 {
 		return ""
 	}
-	return cmp.Or(b.PayingQueues[queue], b.PayingTeams[team])
+	return cmp.Or(b.PartyByQueue[queue], b.PartyByTeam[team])
 }
 
 // SetParties puts parties into a bundle, with what is looked up by queue and team.
 func (b *Bundle) SetParties(parties map[string]Party) {
-	b.Parties, b.PayingQueues, b.PayingTeams = parties, map[string]string{}, map[string]string{}
+	b.Parties, b.PartyByQueue, b.PartyByTeam = parties, map[string]string{}, map[string]string{}
 	for name, p := range parties {
 		for _, queue := range p.Queues {
-			b.PayingQueues[queue] = name
+			b.PartyByQueue[queue] = name
 		}
 		for _, team := range p.Teams {
-			b.PayingTeams[team] = name
+			b.PartyByTeam[team] = name
 		}
 	}
 }
@@ -64,7 +64,7 @@
 // task that ran before, which stays attached also when its party is dry.
 func (s *State) Fee(j *Job, ref TaskRef) Fee {
 	party := s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)
-	if party == "" || j.attached(ref) {
+	if party == "" || j.isRestart(ref) {
 		return Fee{}
 	}
 	p := s.Bundle.Parties[party]
@@ -74,15 +74,15 @@
 // Covers tells whether the balance holds what starts need together.
 func (s *State) Covers(f Fee) bool { return f.Party == "" || s.Accounts.Covers(f.Party, f.Cost) }
 
-// attached tells whether a task is a lasting one that ran before.
-func (j *Job) attached(ref TaskRef) bool {
-	return j.Spec.Steps[ref.Step].Standing && j.Tasks[ref.Step][ref.Task].RunID > 0
+// isRestart tells whether a task is a lasting one that ran before.
+func (j *Job) isRestart(ref TaskRef) bool {
+	return j.Spec.Steps[ref.Step].LongRunning && j.Tasks[ref.Step][ref.Task].RunID > 0
 }
 
-// Attached tells whether a task is a lasting one that ran before.
-func (s *State) Attached(ref TaskRef) bool {
+// IsRestart tells whether a task is a lasting one that ran before.
+func (s *State) IsRestart(ref TaskRef) bool {
 	j, t := s.TaskOf(ref)
-	return t != nil && j.attached(ref)
+	return t != nil && j.isRestart(ref)
 }
 
 func needs(step *StepSpec) account.Needs {
@@ -96,8 +96,8 @@
 // A lasting task of a party without an account runs on for nothing.
 func (s *State) reserve(j *Job, ref TaskRef, runID uint64) error {
 	party := s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)
-	attached := j.attached(ref)
-	if party == "" || attached && (s.Accounts == nil || s.Accounts.Accounts[party] == nil) {
+	isRestart := j.isRestart(ref)
+	if party == "" || isRestart && (s.Accounts == nil || s.Accounts.Accounts[party] == nil) {
 		return nil
 	}
 	if s.Accounts == nil {
@@ -109,22 +109,22 @@
 	return errs.Pass(s.Accounts.Reserve(c, s.At), "reserve")
 }
 
-// settleRun draws the time of a run whose handle goes.
-func (s *State) settleRun(runID uint64) {
+// debitRun draws the time of a run whose handle goes.
+func (s *State) debitRun(runID uint64) {
 	if s.Accounts != nil {
-		s.Accounts.Settle(RunName(runID), s.At)
+		s.Accounts.Debit(RunName(runID), s.At)
 	}
 }
 
-// Lost gives the open window of a run back that was lost: nobody pays for it. To be called before its handle goes.
-func (s *State) Lost(runID uint64) {
+// RefundRun gives the open window of a run back that was lost: nobody pays for it. To be called before its handle goes.
+func (s *State) RefundRun(runID uint64) {
 	if s.Accounts != nil {
-		s.Accounts.Return(RunName(runID))
+		s.Accounts.Refund(RunName(runID))
 	}
 }
 
-// Unpaid tells why a job's due tasks wait for a top-up; "" if none does.
-func (s *State) Unpaid(j *Job) string {
+// UnpaidReason tells why a job's due tasks wait for a top-up; "" if none does.
+func (s *State) UnpaidReason(j *Job) string {
 	if s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) == "" {
 		return ""
 	}
@@ -134,14 +134,14 @@
 				continue
 			}
 			if f := s.Fee(j, TaskRef{Job: j.Spec.Key, Step: i, Task: k}); !s.Covers(f) {
-				return s.dryText(f)
+				return s.insufficientBalance(f)
 			}
 		}
 	}
 	return ""
 }
 
-func (s *State) dryText(f Fee) string {
+func (s *State) insufficientBalance(f Fee) string {
 	if s.Accounts == nil || s.Accounts.Accounts[f.Party] == nil {
 		return fmt.Sprintf("party %s has no account", f.Party)
 	}
@@ -150,9 +150,9 @@
 }
 
 // UseAccounts makes a book the state's, and lets the job table draw on it.
-func (s *State) UseAccounts(book *account.Book) {
-	s.Accounts = book
-	s.Table.Payments = tablePayments{s}
+func (s *State) UseAccounts(accounts *account.Table) {
+	s.Accounts = accounts
+	s.JobTable.Payments = tablePayments{s}
 }
 
 // tablePayments lets the job table draw on the same accounts, at the store's time.
@@ -167,7 +167,7 @@
 }
 
 // Settle is jobs.Payments.
-func (p tablePayments) Settle(run string) { p.s.Accounts.Settle(run, p.s.At) }
+func (p tablePayments) Debit(run string) { p.s.Accounts.Debit(run, p.s.At) }
 
 // Return is jobs.Payments.
-func (p tablePayments) Return(run string) { p.s.Accounts.Return(run) }
+func (p tablePayments) Refund(run string) { p.s.Accounts.Refund(run) }
--- a/internal/state/command/account.go
+++ b/internal/state/command/account.go
@@ -32,19 +32,19 @@
 func (c *AccountCreate) Op() string { return "account-create" }
 
 func (c *AccountCreate) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
-		if err := verifyIfKnown(s, c.By, c.Sig, signature.AccountCreate(c.Order, c.Account, c.Credit)); err != nil {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
+		if err := verifyIfOperatorsKnown(s, c.By, c.Sig, signature.AccountCreate(c.Order, c.Account, c.Credit)); err != nil {
 			return nil, errs.Pass(err, "signature")
 		}
-		book := s.Accounts
-		if book == nil {
-			book = account.NewBook()
+		accounts := s.Accounts
+		if accounts == nil {
+			accounts = account.NewTable()
 		}
-		if err := book.Create(c.Account, c.Credit); err != nil {
+		if err := accounts.Create(c.Account, c.Credit); err != nil {
 			return nil, errs.Pass(err, "account %q", c.Account)
 		}
-		s.UseAccounts(book)
-		s.Changed(state.NoteAccount, c.Account)
+		s.UseAccounts(accounts)
+		s.NotifyWatcher(state.EventAccountChanged, c.Account)
 		return AccountCreated{Account: c.Account, Credit: c.Credit, At: s.At}, nil
 	})
 	return answer, errs.Pass(err, "create")
@@ -64,7 +64,7 @@
 func (c *AccountTopUp) Op() string { return "account-top-up" }
 
 func (c *AccountTopUp) apply(s *state.State, _ uint64) (any, error) {
-	if err := verifyIfKnown(s, c.By, c.Sig, signature.AccountTopUp(c.Key, c.Account, c.Amount)); err != nil {
+	if err := verifyIfOperatorsKnown(s, c.By, c.Sig, signature.AccountTopUp(c.Key, c.Account, c.Amount)); err != nil {
 		return nil, errs.Pass(err, "signature")
 	}
 	if s.Accounts == nil {
@@ -74,23 +74,23 @@
 	if err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
-	s.Changed(state.NoteAccount, c.Account)
+	s.NotifyWatcher(state.EventAccountChanged, c.Account)
 	return made, nil
 }
 
-// verifyIfKnown is verify once there are operators who could sign.
-func verifyIfKnown(s *state.State, by, sig, text string) error {
+// verifyIfOperatorsKnown is verify once there are operators who could sign.
+func verifyIfOperatorsKnown(s *state.State, by, sig, text string) error {
 	if len(s.Operators) == 0 {
 		return nil
 	}
-	return errs.Pass(verify(s, by, sig, text), "operator")
+	return errs.Pass(verifySignature(s, by, sig, text), "operator")
 }
 
 // fees adds up what the starts of a group need. All are of one job, and so of one party.
 type fees struct{ sum state.Fee }
 
-// refuse adds the fee of a start; "balance" if the party's balance does not cover those added so far, else "".
-func (f *fees) refuse(s *state.State, ref state.TaskRef) string {
+// refusal adds the fee of a start; "balance" if the party's balance does not cover those added so far, else "".
+func (f *fees) refusal(s *state.State, ref state.TaskRef) string {
 	j, _ := s.TaskOf(ref)
 	fee := s.Fee(j, ref)
 	if fee.Party == "" {
@@ -119,15 +119,15 @@
 func (c *JobParties) Op() string { return "job-parties" }
 
 func (c *JobParties) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
 		digest, err := c.Digest()
 		if err != nil {
 			return nil, errs.Pass(err, "parties")
 		}
-		if err := verifyIfKnown(s, c.By, c.Sig, signature.JobParties(c.Order, digest)); err != nil {
+		if err := verifyIfOperatorsKnown(s, c.By, c.Sig, signature.JobParties(c.Order, digest)); err != nil {
 			return nil, errs.Pass(err, "signature")
 		}
-		return struct{}{}, errs.Pass(s.Table.SetParties(c.SetParties), "parties")
+		return struct{}{}, errs.Pass(s.JobTable.SetParties(c.SetParties), "parties")
 	})
 	return answer, errs.Pass(err, "parties")
 }
--- a/internal/state/command/account_test.go
+++ b/internal/state/command/account_test.go
@@ -21,33 +21,33 @@
 
 // newPaid is a book whose team "a" is paid for by party "acme" with so many units. A run costs 10 a second, and so 100
 // to start.
-func newPaid(units int64) book {
-	b := newBook()
+func newPaid(units int64) testState {
+	b := newTestState()
 	b.Bundle.SetParties(map[string]state.Party{"acme": {Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: window}})
 	b.must(&AccountCreate{Order: "open", Account: "acme"})
 	b.topUp("first", units)
 	return b
 }
 
-func (b book) must(c Command) any {
+func (b testState) must(c Command) any {
 	a, err := b.do(c)
 	So(err, ShouldBeNil)
 	return a
 }
 
-func (b book) topUp(key string, units int64) any {
+func (b testState) topUp(key string, units int64) any {
 	return b.must(&AccountTopUp{Account: "acme", Key: key, Amount: units})
 }
 
 // sums are balance, reserved and spent of acme.
-func (b book) sums() [3]int64 {
+func (b testState) sums() [3]int64 {
 	So(b.Accounts.Check(), ShouldBeNil)
 	a := b.Accounts.Accounts["acme"]
 	return [3]int64{a.Balance, a.Reserved, a.Spent}
 }
 
-func (b book) plan(p Plan) Planned {
-	p.Epoch, p.PlacementPolicy = 1, b.Bundle.Version
+func (b testState) plan(p Plan) Planned {
+	p.Epoch, p.BundleVersion = 1, b.Bundle.Version
 	return b.must(&p).(Planned)
 }
 
@@ -56,56 +56,56 @@
 		b := newPaid(250)
 		b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 4, Retries: 9})
 		Convey("a start reserves in its own commit and is refused when dry; an end settles", func() {
-			So(b.start(1, on("m1", "j", 0), on("m1", "j", 1), on("m2", "j", 2)), ShouldResemble,
+			So(b.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1), startOn("m2", "j", 2)), ShouldResemble,
 				Planned{RunIDs: []uint64{1, 2, 0}, Refused: []string{"", "", "balance"}})
 			So(b.sums(), ShouldEqual, [3]int64{50, 200, 0})
 			b.plan(Plan{Ends: []End{{RunID: 1, OK: true}}})
 			So(b.sums(), ShouldEqual, [3]int64{140, 100, 10})
-			So(b.start(1, on("m2", "j", 2)).RunIDs, ShouldResemble, []uint64{3})
+			So(b.start(1, startOn("m2", "j", 2)).RunIDs, ShouldResemble, []uint64{3})
 			Convey("a start refused before waits with its place and without a try", func() {
 				task := b.Jobs["j"].Tasks[0][3]
 				So(task, ShouldResemble, state.Task{Phase: state.TaskDue})
-				So(b.Unpaid(b.Jobs["j"]), ShouldContainSubstring, "party acme has run dry: its balance is 40, a start needs 100")
+				So(b.UnpaidReason(b.Jobs["j"]), ShouldContainSubstring, "party acme has run dry: its balance is 40, a start needs 100")
 				b.topUp("second", 60)
-				So(b.Unpaid(b.Jobs["j"]), ShouldEqual, "")
-				So(b.start(1, on("m1", "j", 3)).RunIDs, ShouldResemble, []uint64{4})
+				So(b.UnpaidReason(b.Jobs["j"]), ShouldEqual, "")
+				So(b.start(1, startOn("m1", "j", 3)).RunIDs, ShouldResemble, []uint64{4})
 			})
 		})
 		Convey("what the cluster lost is not paid for; what was stopped on our word is", func() {
-			b.start(1, on("m1", "j", 0), on("m1", "j", 1))
-			b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLapse}, {RunID: 2, Why: ProofStop}}})
+			b.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
+			b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}, {RunID: 2, Why: ProofStop}}})
 			So(b.sums(), ShouldEqual, [3]int64{240, 0, 10})
-			b.start(1, on("m1", "j", 0))
-			m := minion("m1")
-			m.Boot = "b2"
-			b.plan(Plan{Running: []uint64{3}, Minions: []state.Minion{m}})
+			b.start(1, startOn("m1", "j", 0))
+			m := testWorker("m1")
+			m.Incarnation = "b2"
+			b.plan(Plan{Running: []uint64{3}, Workers: []state.Worker{m}})
 			So(b.sums(), ShouldEqual, [3]int64{240, 0, 10})
 		})
 		Convey("a run that outlives its window draws on, also below zero, by any entry that is later", func() {
-			b.start(1, on("m1", "j", 0), on("m1", "j", 1))
+			b.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
 			for range 9 {
-				b.must(&Tidy{JobsKeep: 9})
+				b.must(&Purge{JobsKeep: 9})
 			}
 			So(b.sums(), ShouldEqual, [3]int64{50, 200, 0})
-			b.must(&Tidy{JobsKeep: 9})
+			b.must(&Purge{JobsKeep: 9})
 			So(b.sums(), ShouldEqual, [3]int64{-150, 200, 200})
-			So(b.start(1, on("m2", "j", 2)).Refused, ShouldResemble, []string{"balance"})
+			So(b.start(1, startOn("m2", "j", 2)).Refused, ShouldResemble, []string{"balance"})
 			b.plan(Plan{Ends: []End{{RunID: 1, OK: true}, {RunID: 2}}})
 			So(b.sums(), ShouldEqual, [3]int64{10, 0, 240})
 		})
 		Convey("a team that nobody pays for goes on beside it", func() {
-			b.start(1, on("m1", "j", 0), on("m1", "j", 1))
+			b.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
 			b.must(&Submit{Spec: state.Spec{Key: "k", Team: "free", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}},
 				Digest: "k", Bound: 9})
 			b.start(1)
-			So(b.start(1, on("m2", "j", 2), on("m2", "k", 0)).Refused, ShouldResemble, []string{"balance", ""})
+			So(b.start(1, startOn("m2", "j", 2), startOn("m2", "k", 0)).Refused, ShouldResemble, []string{"balance", ""})
 			So(b.sums()[1], ShouldEqual, 200)
 		})
 	})
 	Convey("A gang is paid for together or not at all", t, func() {
 		b := newPaid(199)
 		b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, Gang: true})
-		one, two := on("m1", "j", 0), on("m2", "j", 1)
+		one, two := startOn("m1", "j", 0), startOn("m2", "j", 1)
 		one.Group, two.Group = 7, 7
 		So(b.start(1, one, two).Refused, ShouldResemble, []string{"balance", "balance"})
 		So(b.sums(), ShouldEqual, [3]int64{199, 0, 0})
@@ -115,32 +115,32 @@
 	})
 	Convey("A lasting task starts only when paid for, and stays attached when dry", t, func() {
 		b := newPaid(99)
-		b.submit("j", state.StepSpec{Name: "s", Type: "t", Standing: true})
-		So(b.start(1, on("m1", "j", 0)).Refused, ShouldResemble, []string{"balance"})
+		b.submit("j", state.StepSpec{Name: "s", Type: "t", LongRunning: true})
+		So(b.start(1, startOn("m1", "j", 0)).Refused, ShouldResemble, []string{"balance"})
 		b.topUp("one more", 1)
-		So(b.start(1, on("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
-		b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLapse}}})
+		So(b.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
+		b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
 		b.submit("k", state.StepSpec{Name: "s", Type: "t"})
-		b.start(1, on("m1", "k", 0))
+		b.start(1, startOn("m1", "k", 0))
 		So(b.sums(), ShouldEqual, [3]int64{0, 100, 0})
-		So(b.start(1, on("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{3})
+		So(b.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{3})
 		So(b.sums(), ShouldEqual, [3]int64{-100, 200, 0})
 	})
 	Convey("A party without an account starts nothing, but for lasting tasks that ran before", t, func() {
-		b := newBook()
-		b.submit("j", state.StepSpec{Name: "s", Type: "t", Standing: true})
-		b.start(1, on("m1", "j", 0))
+		b := newTestState()
+		b.submit("j", state.StepSpec{Name: "s", Type: "t", LongRunning: true})
+		b.start(1, startOn("m1", "j", 0))
 		b.Bundle.SetParties(map[string]state.Party{"acme": {Queues: []string{"default"}, Price: account.Price{Core: 10}}})
 		b.submit("k", state.StepSpec{Name: "s", Type: "t"})
-		So(b.start(1, on("m2", "k", 0)).Refused, ShouldResemble, []string{"balance"})
-		So(b.Unpaid(b.Jobs["k"]), ShouldEqual, "party acme has no account")
-		b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLapse}}})
-		So(b.start(1, on("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
+		So(b.start(1, startOn("m2", "k", 0)).Refused, ShouldResemble, []string{"balance"})
+		So(b.UnpaidReason(b.Jobs["k"]), ShouldEqual, "party acme has no account")
+		b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
+		So(b.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
 	})
 	Convey("Where nobody pays, there are no accounts, and none in the bytes", t, func() {
-		b := newBook()
+		b := newTestState()
 		b.submit("j", state.StepSpec{Name: "s", Type: "t"})
-		b.start(1, on("m1", "j", 0))
+		b.start(1, startOn("m1", "j", 0))
 		data, err := b.Encode()
 		So(err, ShouldBeNil)
 		So(bytes.Contains(data, []byte("accounts")), ShouldBeFalse)
@@ -154,14 +154,14 @@
 func TestBalanceRaces(t *testing.T) {
 	events := []struct {
 		name string
-		do   func(b book)
+		do   func(b testState)
 	}{
-		{"another start", func(b book) { b.start(1, on("m1", "j", 0)) }},
-		{"top-up", func(b book) { b.topUp("more", 120) }},
-		{"the same top-up", func(b book) { b.topUp("more", 120) }},
-		{"an end", func(b book) { b.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, OK: true}}}) }},
-		{"a loss", func(b book) { b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Why: ProofFloor}}}) }},
-		{"a long time", func(b book) { b.do(&Tidy{JobsKeep: 9}); b.Accounts.Renew(b.At.Add(window)) }},
+		{"another start", func(b testState) { b.start(1, startOn("m1", "j", 0)) }},
+		{"top-up", func(b testState) { b.topUp("more", 120) }},
+		{"the same top-up", func(b testState) { b.topUp("more", 120) }},
+		{"an end", func(b testState) { b.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, OK: true}}}) }},
+		{"a loss", func(b testState) { b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Why: ProofFloor}}}) }},
+		{"a long time", func(b testState) { b.do(&Purge{JobsKeep: 9}); b.Accounts.Renew(b.At.Add(window)) }},
 	}
 	Convey("a start is given exactly when the balance covers it in its own step", t, func() {
 		orders := 0
@@ -169,12 +169,12 @@
 		walk = func(seq []int, used int) {
 			b := newPaid(300)
 			b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 4, Retries: 9})
-			b.start(1, on("m2", "j", 1), on("m2", "j", 2))
+			b.start(1, startOn("m2", "j", 1), startOn("m2", "j", 2))
 			for _, i := range seq {
 				events[i].do(b)
 			}
 			balance := b.Accounts.Accounts["acme"].Balance
-			got := b.start(1, on("m1", "j", 3))
+			got := b.start(1, startOn("m1", "j", 3))
 			if given := got.RunIDs[0] > 0; given != (balance >= 100) {
 				panic(fmt.Sprintf("after %v a start at a balance of %d: %v", seq, balance, got))
 			}
@@ -195,7 +195,7 @@
 
 func TestAccountOrders(t *testing.T) {
 	Convey("Orders on accounts count once, are answered alike, and need an operator", t, func() {
-		o := newOffice()
+		o := newOperatorsFixture()
 		opened := &AccountCreate{Order: "o1", Account: "acme", By: "ada"}
 		opened.Sig = o.keys["ada"].Sign(signature.AccountCreate("o1", "acme", 0))
 		paid := &AccountTopUp{Account: "acme", Key: "k1", Amount: 50, By: "ben"}
@@ -255,7 +255,7 @@
 
 func TestPaidJobTable(t *testing.T) {
 	Convey("The job table draws on the same accounts, also in a state that came from its bytes", t, func() {
-		b := book{state.New()}
+		b := testState{state.New()}
 		b.must(&JobConfigure{jobs.Configure{Version: 1, Replace: true, Services: []jobs.Service{{Name: "s"}},
 			Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 1, Timeout: time.Second}}}})
 		b.must(&JobRegister{jobs.Register{Workers: []jobs.Worker{{ID: "w", Service: "s", Capacity: jobs.Resources{MilliCPU: 4000}}}}})
@@ -277,24 +277,24 @@
 		So(start(1), ShouldBeFalse)
 		So(b.sums(), ShouldEqual, [3]int64{50, 100, 0})
 		b.must(&JobProgress{jobs.Progress{Term: 1, Ends: []jobs.End{{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}, Worker: "w",
-			How: jobs.EndDone}}}})
+			Reason: jobs.EndDone}}}})
 		So(b.sums(), ShouldEqual, [3]int64{130, 0, 20})
 		So(start(1), ShouldBeTrue)
 	})
 }
 
-func TestPaidStandingGang(t *testing.T) {
+func TestPaidLongRunningGang(t *testing.T) {
 	Convey("Of a lasting gang a member that never ran is paid for beside one that did, below zero if need be", t, func() {
 		b := newPaid(200)
-		b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, Standing: true})
-		b.start(1, on("m1", "j", 0))
-		b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLapse}}})
-		b.start(1, on("m1", "j", 0))
-		b.plan(Plan{Dead: []Proof{{RunID: 2, Why: ProofLapse}}})
+		b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, LongRunning: true})
+		b.start(1, startOn("m1", "j", 0))
+		b.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
+		b.start(1, startOn("m1", "j", 0))
+		b.plan(Plan{Dead: []Proof{{RunID: 2, Why: ProofLeaseExpired}}})
 		b.Accounts.Accounts["acme"].Balance -= 100 // as if something else ran
 		b.Accounts.Accounts["acme"].ToppedUp -= 100
 		b.Accounts.Accounts["acme"].Ledger.Head.ToppedUp -= 100
-		one, two := on("m1", "j", 0), on("m2", "j", 1)
+		one, two := startOn("m1", "j", 0), startOn("m2", "j", 1)
 		one.Group, two.Group = 7, 7
 		So(b.start(1, one, two).RunIDs, ShouldResemble, []uint64{3, 4})
 		So(b.Accounts.Accounts["acme"].Balance, ShouldEqual, -100)
