--- a/internal/state/command/bundle.go
+++ b/internal/state/command/bundle.go
@@ -10,28 +10,28 @@
 	"crosstide/internal/state"
 )
 
-// Keys makes the operators known, once: the first leader whose settings list them brings them in. From then on
+// SetOperators makes the operators known, once: the first leader whose settings list them brings them in. From then on
 // only a bundle that two of them signed changes them.
-type Keys struct {
+type SetOperators struct {
 	Operators map[string]string `json:"operators"` // name to public key
 }
 
 // Op is "keys".
-func (c *Keys) Op() string { return "keys" }
+func (c *SetOperators) Op() string { return "keys" }
 
-func (c *Keys) apply(s *state.State, _ uint64) (any, error) {
+func (c *SetOperators) apply(s *state.State, _ uint64) (any, error) {
 	if len(s.Operators) > 0 {
 		return nil, errs.New(errs.Conflict, "the store knows its operators already")
 	}
-	if why := bundle.Quorate(c.Operators, len(c.Operators)); why != "" {
+	if why := bundle.OperatorsError(c.Operators, len(c.Operators)); why != "" {
 		return nil, errs.Field(errs.Invalid, "operators", "%s", why)
 	}
 	s.Operators = c.Operators
 	return nil, nil
 }
 
-// verify is nil if sig is the signature of text by operator by. Failure: Forbidden.
-func verify(s *state.State, by, sig, text string) error {
+// verifySignature is nil if sig is the signature of text by operator by. Failure: Forbidden.
+func verifySignature(s *state.State, by, sig, text string) error {
 	key, ok := s.Operators[by]
 	switch {
 	case len(s.Operators) == 0:
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// Put writes a version as a draft against Base, which must be the newest. By signs signature.Put.
-type Put struct {
+// PutBundle writes a version as a draft against Base, which must be the newest. By signs signature.PutBundle.
+type PutBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
 	By    string `json:"by"`
@@ -55,8 +55,8 @@
 	Body  []byte `json:"body"`
 }
 
-// Drafted answers Put and Patch: the new version, what is to be signed, and where it stands.
-type Drafted struct {
+// BundleDrafted answers Put and Patch: the new version, what is to be signed, and where it stands.
+type BundleDrafted struct {
 	Version uint64              `json:"version"`
 	Base    uint64              `json:"base"`
 	Digest  string              `json:"sha256"`
@@ -64,25 +64,25 @@
 }
 
 // Op is "put".
-func (c *Put) Op() string { return "put" }
+func (c *PutBundle) Op() string { return "put" }
 
-func (c *Put) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
-		if err := verify(s, c.By, c.Sig, signature.Put(c.Order, c.Base, bundle.Digest(c.Body))); err != nil {
+func (c *PutBundle) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
+		if err := verifySignature(s, c.By, c.Sig, signature.Put(c.Order, c.Base, bundle.Digest(c.Body))); err != nil {
 			return nil, errs.Pass(err, "put")
 		}
-		if err := newest(s, c.Base); err != nil {
+		if err := checkBase(s, c.Base); err != nil {
 			return nil, errs.Pass(err, "put")
 		}
-		out, err := draft(s, c.Order, c.By, c.Body)
+		out, err := appendDraft(s, c.Order, c.By, c.Body)
 		return out, errs.Pass(err, "put")
 	})
 	return answer, errs.Pass(err, "put")
 }
 
-// Patch writes a version as a draft: Base, which must be the newest, changed by a JSON merge patch. The result is
-// checked as a whole. By signs signature.Patch.
-type Patch struct {
+// PatchBundle writes a version as a draft: Base, which must be the newest, changed by a JSON merge patch. The result is
+// checked as a whole. By signs signature.PatchBundle.
+type PatchBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
 	By    string `json:"by"`
@@ -91,36 +91,36 @@
 }
 
 // Op is "patch".
-func (c *Patch) Op() string { return "patch" }
+func (c *PatchBundle) Op() string { return "patch" }
 
-func (c *Patch) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
-		if err := verify(s, c.By, c.Sig, signature.Patch(c.Order, c.Base, bundle.Digest(c.Patch))); err != nil {
+func (c *PatchBundle) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
+		if err := verifySignature(s, c.By, c.Sig, signature.Patch(c.Order, c.Base, bundle.Digest(c.Patch))); err != nil {
 			return nil, errs.Pass(err, "patch")
 		}
-		if err := newest(s, c.Base); err != nil {
+		if err := checkBase(s, c.Base); err != nil {
 			return nil, errs.Pass(err, "patch")
 		}
 		body, err := bundle.Merge(s.Head().Body, c.Patch)
 		if err != nil {
 			return nil, errs.Pass(err, "patch")
 		}
-		out, err := draft(s, c.Order, c.By, body)
+		out, err := appendDraft(s, c.Order, c.By, body)
 		return out, errs.Pass(err, "patch")
 	})
 	return answer, errs.Pass(err, "patch")
 }
 
-// newest is nil if base is the newest version, draft or not. Failure: Conflict.
-func newest(s *state.State, base uint64) error {
+// checkBase is nil if base is the newest version, draft or not. Failure: Conflict.
+func checkBase(s *state.State, base uint64) error {
 	head := s.Head()
 	switch {
 	case base > head.Version:
 		return errs.Field(errs.Conflict, "base", "there is no version %d, the newest is %d", base, head.Version)
 	case base < head.Version:
-		by := head.By
+		by := head.Author
 		if next := s.Revision(base + 1); next != nil {
-			by = next.By
+			by = next.Author
 		}
 		return errs.Field(errs.Conflict, "base", "someone else was first: version %d, by %s, was written against %d; the newest is %d",
 			base+1, by, base, head.Version)
@@ -128,22 +128,22 @@
 	return nil
 }
 
-func draft(s *state.State, order, by string, body []byte) (any, error) {
+func appendDraft(s *state.State, order, by string, body []byte) (any, error) {
 	if _, err := bundle.Parse(body); err != nil {
 		return nil, errs.Pass(err, "draft")
 	}
 	base := s.Head().Version
-	r := &state.Revision{Version: base + 1, Base: base, Digest: bundle.Digest(body), Size: len(body), Order: order, By: by,
-		At: s.At, Phase: state.RevisionDraft, Body: body}
-	if err := s.Append(r); err != nil {
+	r := &state.Revision{Version: base + 1, Base: base, Digest: bundle.Digest(body), Size: len(body), Order: order, Author: by,
+		WrittenAt: s.At, Phase: state.RevisionDraft, Body: body}
+	if err := s.AppendRevision(r); err != nil {
 		return nil, errs.Pass(err, "draft")
 	}
-	return Drafted{r.Version, r.Base, r.Digest, r.Phase}, nil
+	return BundleDrafted{r.Version, r.Base, r.Digest, r.Phase}, nil
 }
 
-// Sign is an operator's word for a version: Sig is over signature.Bundle. The second one, by another operator, puts the
+// SignBundle is an operator's word for a version: Sig is over signature.Bundle. The second one, by another operator, puts the
 // version in force in this very step.
-type Sign struct {
+type SignBundle struct {
 	Order   string `json:"order"`
 	Version uint64 `json:"version"`
 	Digest  string `json:"sha256"`
@@ -151,8 +151,8 @@
 	Sig     string `json:"sig"`
 }
 
-// Signed answers Sign: where the version stands now, and who signed it.
-type Signed struct {
+// BundleSigned answers Sign: where the version stands now, and who signed it.
+type BundleSigned struct {
 	Version uint64              `json:"version"`
 	Digest  string              `json:"sha256"`
 	Phase   state.RevisionPhase `json:"state"`
@@ -160,10 +160,10 @@
 }
 
 // Op is "sign".
-func (c *Sign) Op() string { return "sign" }
+func (c *SignBundle) Op() string { return "sign" }
 
-func (c *Sign) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
+func (c *SignBundle) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
 		r := s.Revision(c.Version)
 		switch {
 		case r == nil:
@@ -171,11 +171,11 @@
 		case !strings.EqualFold(r.Digest, c.Digest):
 			return nil, errs.Field(errs.Invalid, "sha256", "version %d has %s, not %s", r.Version, r.Digest, c.Digest)
 		}
-		if err := verify(s, c.By, c.Sig, signature.Bundle(r.Version, r.Digest)); err != nil {
+		if err := verifySignature(s, c.By, c.Sig, signature.Bundle(r.Version, r.Digest)); err != nil {
 			return nil, errs.Pass(err, "sign")
 		}
 		switch {
-		case r.Phase == state.RevisionForce:
+		case r.Phase == state.RevisionInForce:
 			return nil, errs.Field(errs.Conflict, "version", "version %d is in force already", r.Version)
 		case r.Phase == state.RevisionReplaced:
 			return nil, errs.Field(errs.Conflict, "version", "someone else was first: version %d was replaced, the newest is %d",
@@ -185,13 +185,13 @@
 		}
 		r.Signed = append(r.Signed, state.Signature{By: c.By, At: s.At, Sig: c.Sig})
 		if len(r.Signed) == 1 {
-			drop(s.Turn(r, state.RevisionSigned))
+			must(s.SetRevisionPhase(r, state.RevisionSigned))
 		} else {
 			b, err := bundle.Parse(r.Body)
-			drop(err) // the draft was parsed; what holds no more must not come in force here and not there
-			drop(s.Enforce(r, b))
+			must(err) // the draft was parsed; what holds no more must not come in force here and not there
+			must(s.PutInForce(r, b))
 		}
-		out := Signed{Version: r.Version, Digest: r.Digest, Phase: r.Phase}
+		out := BundleSigned{Version: r.Version, Digest: r.Digest, Phase: r.Phase}
 		for _, g := range r.Signed {
 			out.Signed = append(out.Signed, g.By)
 		}
@@ -200,9 +200,9 @@
 	return answer, errs.Pass(err, "sign")
 }
 
-// Zone evacuates a zone or lifts the evacuation. Once the store knows operators, one of them must sign an
+// EvacuateZone evacuates a zone or lifts the evacuation. Once the store knows operators, one of them must sign an
 // evacuation (signature.Evacuate), and two its lifting (signature.Lift).
-type Zone struct {
+type EvacuateZone struct {
 	Order string `json:"order"`
 	Zone  string `json:"zone"`
 	Out   bool   `json:"out"`
@@ -210,26 +210,26 @@
 	Sig   string `json:"sig,omitempty"`
 }
 
-// Zoned answers Zone: whether the zone is evacuated now, and who signed its lifting so far.
-type Zoned struct {
+// ZoneEvacuation answers Zone: whether the zone is evacuated now, and who signed its lifting so far.
+type ZoneEvacuation struct {
 	Zone      string   `json:"zone"`
 	Evacuated bool     `json:"evacuated"`
 	Signed    []string `json:"signed,omitempty"`
 }
 
 // Op is "zone".
-func (c *Zone) Op() string { return "zone" }
+func (c *EvacuateZone) Op() string { return "zone" }
 
-func (c *Zone) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
+func (c *EvacuateZone) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
 		if c.Out {
 			if err := c.signed(s, signature.Evacuate(c.Order, c.Zone)); err != nil {
 				return nil, errs.Pass(err, "evacuate")
 			}
 			s.Evacuated[c.Zone] = s.At // signatures for lifting an earlier one are void
-			delete(s.Lifts, c.Zone)
-			s.Changed(state.NotePlacement, c.Zone)
-			return Zoned{Zone: c.Zone, Evacuated: true}, nil
+			delete(s.LiftSignatures, c.Zone)
+			s.NotifyWatcher(state.EventPlacementChanged, c.Zone)
+			return ZoneEvacuation{Zone: c.Zone, Evacuated: true}, nil
 		}
 		since, out := s.Evacuated[c.Zone]
 		if !out && len(s.Operators) > 0 {
@@ -238,29 +238,29 @@
 		if err := c.signed(s, signature.Lift(c.Zone, since)); err != nil {
 			return nil, errs.Pass(err, "lift")
 		}
-		if slices.Contains(s.Lifts[c.Zone], c.By) {
+		if slices.Contains(s.LiftSignatures[c.Zone], c.By) {
 			return nil, errs.Field(errs.Forbidden, "by", "%s has signed this lifting; another operator must sign too", c.By)
 		}
 		var signed []string
 		if len(s.Operators) > 0 {
-			signed = append(slices.Clone(s.Lifts[c.Zone]), c.By)
+			signed = append(slices.Clone(s.LiftSignatures[c.Zone]), c.By)
 		}
 		if len(signed) == 1 {
-			s.Lifts[c.Zone] = signed
-			return Zoned{Zone: c.Zone, Evacuated: true, Signed: signed}, nil
+			s.LiftSignatures[c.Zone] = signed
+			return ZoneEvacuation{Zone: c.Zone, Evacuated: true, Signed: signed}, nil
 		}
-		delete(s.Lifts, c.Zone)
+		delete(s.LiftSignatures, c.Zone)
 		delete(s.Evacuated, c.Zone)
-		s.Changed(state.NotePlacement, c.Zone)
-		return Zoned{Zone: c.Zone, Signed: signed}, nil
+		s.NotifyWatcher(state.EventPlacementChanged, c.Zone)
+		return ZoneEvacuation{Zone: c.Zone, Signed: signed}, nil
 	})
 	return answer, errs.Pass(err, "zone %q", c.Zone)
 }
 
 // signed checks the signature, once there are operators who could give one.
-func (c *Zone) signed(s *state.State, text string) error {
+func (c *EvacuateZone) signed(s *state.State, text string) error {
 	if len(s.Operators) == 0 {
 		return nil
 	}
-	return errs.Pass(verify(s, c.By, c.Sig, text), "zone %q", c.Zone)
+	return errs.Pass(verifySignature(s, c.By, c.Sig, text), "zone %q", c.Zone)
 }
--- a/internal/state/command/bundle_test.go
+++ b/internal/state/command/bundle_test.go
@@ -14,14 +14,14 @@
 	"crosstide/internal/state"
 )
 
-// office is a store of one with two operators, and a third who is none.
-type office struct {
+// operatorsFixture is a store of one with two operators, and a third who is none.
+type operatorsFixture struct {
 	st   *state.State
 	keys map[string]signature.Key
 }
 
-func newOffice() *office {
-	o := &office{st: state.New(), keys: map[string]signature.Key{}}
+func newOperatorsFixture() *operatorsFixture {
+	o := &operatorsFixture{st: state.New(), keys: map[string]signature.Key{}}
 	public := map[string]string{}
 	for _, name := range []string{"ada", "ben", "eve"} {
 		key, err := signature.New(name)
@@ -30,43 +30,43 @@
 			public[name] = key.Public()
 		}
 	}
-	_, err := o.do(&Keys{Operators: public})
+	_, err := o.do(&SetOperators{Operators: public})
 	So(err, ShouldBeNil)
 	return o
 }
 
-func (o *office) do(c Command) (any, error) {
+func (o *operatorsFixture) do(c Command) (any, error) {
 	data, err := Encode(time.Unix(int64(o.st.Index), 0).UTC(), c)
 	So(err, ShouldBeNil)
 	return Apply(o.st, o.st.Index+1, 1, data)
 }
 
-func (o *office) put(order, by string, base uint64, body string) *Put {
-	return &Put{Order: order, Base: base, By: by, Body: []byte(body), Sig: o.keys[by].Sign(signature.Put(order, base, bundle.Digest([]byte(body))))}
+func (o *operatorsFixture) put(order, by string, base uint64, body string) *PutBundle {
+	return &PutBundle{Order: order, Base: base, By: by, Body: []byte(body), Sig: o.keys[by].Sign(signature.Put(order, base, bundle.Digest([]byte(body))))}
 }
 
-func (o *office) patch(order, by string, base uint64, patch string) *Patch {
-	return &Patch{Order: order, Base: base, By: by, Patch: []byte(patch), Sig: o.keys[by].Sign(signature.Patch(order, base, bundle.Digest([]byte(patch))))}
+func (o *operatorsFixture) patch(order, by string, base uint64, patch string) *PatchBundle {
+	return &PatchBundle{Order: order, Base: base, By: by, Patch: []byte(patch), Sig: o.keys[by].Sign(signature.Patch(order, base, bundle.Digest([]byte(patch))))}
 }
 
-func (o *office) sign(order, by string, version uint64) *Sign {
+func (o *operatorsFixture) sign(order, by string, version uint64) *SignBundle {
 	digest := ""
 	if r := o.st.Revision(version); r != nil {
 		digest = r.Digest
 	}
-	return &Sign{Order: order, Version: version, Digest: digest, By: by, Sig: o.keys[by].Sign(signature.Bundle(version, digest))}
+	return &SignBundle{Order: order, Version: version, Digest: digest, By: by, Sig: o.keys[by].Sign(signature.Bundle(version, digest))}
 }
 
-func (o *office) zone(order, by, zone string, out bool) *Zone {
+func (o *operatorsFixture) zone(order, by, zone string, out bool) *EvacuateZone {
 	text := signature.Evacuate(order, zone)
 	if !out {
 		text = signature.Lift(zone, o.st.Evacuated[zone])
 	}
-	return &Zone{Order: order, Zone: zone, Out: out, By: by, Sig: o.keys[by].Sign(text)}
+	return &EvacuateZone{Order: order, Zone: zone, Out: out, By: by, Sig: o.keys[by].Sign(text)}
 }
 
 // force puts a text in force and gives its version.
-func (o *office) force(body string) uint64 {
+func (o *operatorsFixture) force(body string) uint64 {
 	base := o.st.Head().Version
 	for i, c := range []func() Command{
 		func() Command { return o.put(fmt.Sprintf("p%d", base), "ada", base, body) },
@@ -80,29 +80,29 @@
 	return base + 1
 }
 
-const zoned = ` {"queues": {"default":{"placement":{"zones":["%s"]}}} }` + "\n\n"
+const zonedBundle = ` {"queues": {"default":{"placement":{"zones":["%s"]}}} }` + "\n\n"
 
 func kinds(err error) errs.Kind { return errs.KindOf(err) }
 
-func TestLine(t *testing.T) {
+func TestRevisions(t *testing.T) {
 	Convey("A version goes from draft over one signature into force, and its exact bytes stay", t, func() {
-		o := newOffice()
-		told := 0
-		o.st.Watch = func(n state.Note) {
-			if n.Kind == state.NotePlacement {
-				told++
+		o := newOperatorsFixture()
+		notified := 0
+		o.st.OnEvent = func(n state.Event) {
+			if n.Kind == state.EventPlacementChanged {
+				notified++
 			}
 		}
-		text := fmt.Sprintf(zoned, "z1")
+		text := fmt.Sprintf(zonedBundle, "z1")
 		first, err := o.do(o.put("o1", "ada", 1, text))
 		So(err, ShouldBeNil)
 		_, err = o.do(o.sign("o2", "ben", 2))
 		So(err, ShouldBeNil)
-		So([]any{o.st.Bundle.Version, o.st.Head().Phase, told}, ShouldResemble, []any{uint64(1), state.RevisionSigned, 0})
+		So([]any{o.st.Bundle.Version, o.st.Head().Phase, notified}, ShouldResemble, []any{uint64(1), state.RevisionSigned, 0})
 		_, err = o.do(o.sign("o3", "ada", 2))
 		So(err, ShouldBeNil)
-		So([]any{o.st.Bundle.Version, o.st.Head().Phase, o.st.Revision(1).Phase, told}, ShouldResemble,
-			[]any{uint64(2), state.RevisionForce, state.RevisionReplaced, 1})
+		So([]any{o.st.Bundle.Version, o.st.Head().Phase, o.st.Revision(1).Phase, notified}, ShouldResemble,
+			[]any{uint64(2), state.RevisionInForce, state.RevisionReplaced, 1})
 		So(o.st.Bundle.Queues["default"].Zones, ShouldResemble, []string{"z1"})
 
 		data, err := o.st.Encode()
@@ -122,12 +122,12 @@
 		So(fmt.Sprintf("%s", same), ShouldEqual, fmt.Sprintf("%s", first))
 		_, err = o.do(o.put("o1", "ada", 2, text))
 		So(kinds(err), ShouldEqual, errs.Conflict)
-		So(len(o.st.Line), ShouldEqual, 2)
+		So(len(o.st.Revisions), ShouldEqual, 2)
 	})
 
 	Convey("What is not signed as it should be is refused, and changes nothing", t, func() {
-		o := newOffice()
-		_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zoned, "z1")))
+		o := newOperatorsFixture()
+		_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zonedBundle, "z1")))
 		So(err, ShouldBeNil)
 		_, err = o.do(o.sign("o2", "ada", 2))
 		So(err, ShouldBeNil)
@@ -138,8 +138,8 @@
 		other.Sig = o.keys["ada"].Sign(signature.Bundle(2, other.Digest))
 		wrong.Digest = bundle.Digest([]byte("x"))
 		wrong.Sig = o.keys["ben"].Sign(signature.Bundle(2, wrong.Digest))
-		stolen := o.put("o9", "ben", 2, fmt.Sprintf(zoned, "z2"))
-		stolen.Body = []byte(fmt.Sprintf(zoned, "z3"))
+		stolen := o.put("o9", "ben", 2, fmt.Sprintf(zonedBundle, "z2"))
+		stolen.Body = []byte(fmt.Sprintf(zonedBundle, "z3"))
 		for i, c := range []struct {
 			order Command
 			kind  errs.Kind
@@ -149,13 +149,13 @@
 			{other, errs.Forbidden},
 			{wrong, errs.Invalid},
 			{stolen, errs.Forbidden},
-			{o.put("o9", "eve", 2, fmt.Sprintf(zoned, "z2")), errs.Forbidden},
+			{o.put("o9", "eve", 2, fmt.Sprintf(zonedBundle, "z2")), errs.Forbidden},
 			{o.put("o9", "ben", 2, `{"queues":{"q":{"zone":1}}}`), errs.Invalid},
 			{o.patch("o9", "ben", 2, `{"queues":{"default":{"placement":{"zones":[]}}}}`), errs.Invalid}, // fine alone, wrong as a whole
-			{o.put("o9", "ben", 3, fmt.Sprintf(zoned, "z2")), errs.Conflict},
+			{o.put("o9", "ben", 3, fmt.Sprintf(zonedBundle, "z2")), errs.Conflict},
 			{o.sign("o9", "ben", 3), errs.Unknown},
 			{o.sign("o9", "ben", 1), errs.Conflict},
-			{&Keys{Operators: map[string]string{"eve": o.keys["eve"].Public(), "ada": o.keys["ada"].Public()}}, errs.Conflict},
+			{&SetOperators{Operators: map[string]string{"eve": o.keys["eve"].Public(), "ada": o.keys["ada"].Public()}}, errs.Conflict},
 		} {
 			_, err := o.do(c.order)
 			So(fmt.Sprint(i, kinds(err)), ShouldEqual, fmt.Sprint(i, c.kind))
@@ -168,8 +168,8 @@
 	})
 
 	Convey("A patch changes the newest version, and is signed like a bundle", t, func() {
-		o := newOffice()
-		o.force(fmt.Sprintf(zoned, "z1"))
+		o := newOperatorsFixture()
+		o.force(fmt.Sprintf(zonedBundle, "z1"))
 		_, err := o.do(o.patch("o1", "ben", 2, `{"queues":{"scan":{"urgent":true}},"limits":{"scan":4}}`))
 		So(err, ShouldBeNil)
 		So(o.st.Bundle.Version, ShouldEqual, 2)
@@ -183,8 +183,8 @@
 
 	Convey("Of orders that race on one version, in every order, one gets a yes and the others a clear conflict", t, func() {
 		for _, turn := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
-			o := newOffice()
-			orders := []Command{o.put("oa", "ada", 1, fmt.Sprintf(zoned, "z1")), o.put("ob", "ben", 1, fmt.Sprintf(zoned, "z1")),
+			o := newOperatorsFixture()
+			orders := []Command{o.put("oa", "ada", 1, fmt.Sprintf(zonedBundle, "z1")), o.put("ob", "ben", 1, fmt.Sprintf(zonedBundle, "z1")),
 				o.patch("oc", "ben", 1, `{"limits":{"scan":1}}`)}
 			var yes []int
 			for round := range 2 { // each is sent twice
@@ -206,14 +206,14 @@
 
 	Convey("A draft written over by a newer one cannot be signed any more", t, func() {
 		for _, signed := range []bool{false, true} {
-			o := newOffice()
-			_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zoned, "z1")))
+			o := newOperatorsFixture()
+			_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zonedBundle, "z1")))
 			So(err, ShouldBeNil)
 			if signed {
 				_, err = o.do(o.sign("o2", "ada", 2))
 				So(err, ShouldBeNil)
 			}
-			_, err = o.do(o.put("o3", "ben", 2, fmt.Sprintf(zoned, "z2")))
+			_, err = o.do(o.put("o3", "ben", 2, fmt.Sprintf(zonedBundle, "z2")))
 			So(err, ShouldBeNil)
 			_, err = o.do(o.sign("o4", "ben", 2))
 			So(kinds(err), ShouldEqual, errs.Conflict)
@@ -222,17 +222,17 @@
 	})
 
 	Convey("The history is bounded, but never by the version in force or the newest", t, func() {
-		o := newOffice()
+		o := newOperatorsFixture()
 		for i := range state.KeepBodies + 6 {
-			o.force(fmt.Sprintf(zoned, fmt.Sprintf("z%d", i)))
+			o.force(fmt.Sprintf(zonedBundle, fmt.Sprintf("z%d", i)))
 		}
 		force := o.st.Bundle.Version
 		for i := range state.KeepDrafts + 6 {
-			_, err := o.do(o.put(fmt.Sprintf("d%d", i), "ben", o.st.Head().Version, fmt.Sprintf(zoned, "d")))
+			_, err := o.do(o.put(fmt.Sprintf("d%d", i), "ben", o.st.Head().Version, fmt.Sprintf(zonedBundle, "d")))
 			So(err, ShouldBeNil)
 		}
 		bodies := 0
-		for _, r := range o.st.Line {
+		for _, r := range o.st.Revisions {
 			if r.Body != nil {
 				bodies++
 			}
@@ -242,20 +242,20 @@
 	})
 
 	Convey("A bundle in force may name other operators, and those sign from then on", t, func() {
-		o := newOffice()
+		o := newOperatorsFixture()
 		o.force(fmt.Sprintf(`{"queues":{"default":{}},"operators":[{"name":"eve","key":%q},{"name":"ada","key":%q}]}`,
 			o.keys["eve"].Public(), o.keys["ada"].Public()))
-		_, err := o.do(o.put("n1", "ben", 2, fmt.Sprintf(zoned, "z1")))
+		_, err := o.do(o.put("n1", "ben", 2, fmt.Sprintf(zonedBundle, "z1")))
 		So(kinds(err), ShouldEqual, errs.Forbidden)
-		_, err = o.do(o.put("n1", "eve", 2, fmt.Sprintf(zoned, "z1")))
+		_, err = o.do(o.put("n1", "eve", 2, fmt.Sprintf(zonedBundle, "z1")))
 		So(err, ShouldBeNil)
 	})
 }
 
 func TestZones(t *testing.T) {
 	Convey("One operator evacuates, two lift; without operators anyone does", t, func() {
-		o := newOffice()
-		unsigned := &Zone{Order: "o0", Zone: "z1", Out: true}
+		o := newOperatorsFixture()
+		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Out: true}
 		_, err := o.do(unsigned)
 		So(kinds(err), ShouldEqual, errs.Forbidden)
 		_, err = o.do(o.zone("o1", "ada", "z1", true))
@@ -274,8 +274,8 @@
 			_, out := o.st.Evacuated["z1"]
 			So(out, ShouldEqual, c.out)
 		}
-		free := &office{st: state.New()}
-		for _, c := range []Command{unsigned, &Zone{Order: "o1", Zone: "z1"}} {
+		free := &operatorsFixture{st: state.New()}
+		for _, c := range []Command{unsigned, &EvacuateZone{Order: "o1", Zone: "z1"}} {
 			_, err := free.do(c)
 			So(err, ShouldBeNil)
 		}
@@ -285,25 +285,25 @@
 
 func TestPlacementPolicies(t *testing.T) {
 	Convey("What a bundle says is what Fits, holds, retries and the job's view go by", t, func() {
-		o := newOffice()
+		o := newOperatorsFixture()
 		o.force(`{"queues":{"default":{"placement":{"near":[{"label":"data","value":"s","within":"rack"}]},"hold":"9s","retries":1}},"retries":7}`)
-		for _, m := range []state.Minion{{Name: "m1", Zone: "z1", Rack: "r1"}, {Name: "m2", Zone: "z1", Rack: "r1", Labels: map[string]string{"data": "s"}},
+		for _, m := range []state.Worker{{Name: "m1", Zone: "z1", Rack: "r1"}, {Name: "m2", Zone: "z1", Rack: "r1", Labels: map[string]string{"data": "s"}},
 			{Name: "m3", Zone: "z2", Rack: "r1"}} {
-			_, err := o.do(&Announce{Minion: m})
+			_, err := o.do(&Announce{Worker: m})
 			So(err, ShouldBeNil)
-			o.st.Minions[m.Name].Boot = "b"
+			o.st.Workers[m.Name].Incarnation = "b"
 		}
 		spec := &state.Spec{Queue: "default", Steps: []state.StepSpec{{Type: "t"}}}
-		fits := func(name string) string { return o.st.Fits(spec, &spec.Steps[0], o.st.Minions[name]) }
+		fits := func(name string) string { return o.st.PlacementRefusal(spec, &spec.Steps[0], o.st.Workers[name]) }
 		So([]string{fits("m1"), fits("m2"), fits("m3")}, ShouldResemble, []string{"", "", "near"})
 		b := &o.st.Bundle
-		So([]any{b.HoldOf("default", 20*time.Second), b.HoldOf("x", 20*time.Second), b.RetriesOf("default", 5), b.RetriesOf("x", 9)},
+		So([]any{b.LeaseTTLFor("default", 20*time.Second), b.LeaseTTLFor("x", 20*time.Second), b.RetriesFor("default", 5), b.RetriesFor("x", 9)},
 			ShouldResemble, []any{9 * time.Second, 20 * time.Second, 1, 7})
-		_, err := o.do(&Close{Order: "c1", Minion: "m2", Retire: true})
+		_, err := o.do(&CloseWorker{Order: "c1", Worker: "m2", Retire: true})
 		So(err, ShouldBeNil)
 		So(fits("m1"), ShouldEqual, "near")
-		So(o.st.Waits(spec), ShouldEqual, "")
+		So(o.st.WaitReason(spec), ShouldEqual, "")
 		v := o.force(`{"queues":{"other":{}}}`)
-		So([]string{fits("m1"), o.st.Waits(spec)}, ShouldResemble, []string{"queue", fmt.Sprintf("no queue default in bundle %d", v)})
+		So([]string{fits("m1"), o.st.WaitReason(spec)}, ShouldResemble, []string{"queue", fmt.Sprintf("no queue default in bundle %d", v)})
 	})
 }
--- a/internal/state/command/command.go
+++ b/internal/state/command/command.go
@@ -26,22 +26,22 @@
 	apply(s *state.State, index uint64) (any, error)
 }
 
-var makers = map[string]func() Command{
+var constructors = map[string]func() Command{
 	"submit":   func() Command { return &Submit{} },
 	"cancel":   func() Command { return &Cancel{} },
-	"cancels":  func() Command { return &Cancels{} },
+	"cancels":  func() Command { return &CancelMany{} },
 	"announce": func() Command { return &Announce{} },
 	"plan":     func() Command { return &Plan{} },
-	"grant":    func() Command { return &Grant{} },
-	"giveup":   func() Command { return &GiveUp{} },
-	"zone":     func() Command { return &Zone{} },
-	"close":    func() Command { return &Close{} },
-	"succeed":  func() Command { return &Succeed{} },
-	"tidy":     func() Command { return &Tidy{} },
-	"keys":     func() Command { return &Keys{} },
-	"put":      func() Command { return &Put{} },
-	"patch":    func() Command { return &Patch{} },
-	"sign":     func() Command { return &Sign{} },
+	"grant":    func() Command { return &GrantRole{} },
+	"giveup":   func() Command { return &ReleaseRole{} },
+	"zone":     func() Command { return &EvacuateZone{} },
+	"close":    func() Command { return &CloseWorker{} },
+	"succeed":  func() Command { return &ReplaceMember{} },
+	"tidy":     func() Command { return &Purge{} },
+	"keys":     func() Command { return &SetOperators{} },
+	"put":      func() Command { return &PutBundle{} },
+	"patch":    func() Command { return &PatchBundle{} },
+	"sign":     func() Command { return &SignBundle{} },
 
 	"account-create": func() Command { return &AccountCreate{} },
 	"account-top-up": func() Command { return &AccountTopUp{} },
@@ -53,7 +53,7 @@
 	"job-evacuate":  func() Command { return &JobEvacuate{} },
 	"job-register":  func() Command { return &JobRegister{} },
 	"job-progress":  func() Command { return &JobProgress{} },
-	"job-tidy":      func() Command { return &JobTidy{} },
+	"job-tidy":      func() Command { return &JobPurge{} },
 }
 
 // Encode makes the log data of a command. Example:
@@ -71,9 +71,9 @@
 	return data, nil
 }
 
-// Make gives an empty command of an op, to decode into.
-func Make(op string) (Command, error) {
-	m, ok := makers[op]
+// New gives an empty command of an op, to decode into.
+func New(op string) (Command, error) {
+	m, ok := constructors[op]
 	if !ok {
 		return nil, errs.Field(errs.Invalid, "op", "no command %q", op)
 	}
@@ -96,7 +96,7 @@
 		s.At = e.At
 		s.Accounts.Renew(s.At) // before anything else of that time
 	}
-	c, err := Make(e.Op)
+	c, err := New(e.Op)
 	if err != nil {
 		return nil, errs.Pass(err, "entry")
 	}
@@ -137,7 +137,7 @@
 		}
 		return Submitted{Key: key, Phase: j.Phase, Reason: j.Reason}, nil
 	}
-	if t := s.Tombs[key]; t != nil {
+	if t := s.Tombstones[key]; t != nil {
 		if t.Digest != c.Digest {
 			return nil, errs.Field(errs.Conflict, "key", "%q was the key of another job", key)
 		}
@@ -152,15 +152,15 @@
 	}
 	for i, step := range c.Spec.Steps {
 		if len(q.Types) > 0 && !has(q.Types, step.Type) {
-			return nil, errs.Field(errs.Forbidden, at("steps", i, "type"), "%q may not use queue %q", step.Type, c.Spec.Queue)
+			return nil, errs.Field(errs.Forbidden, fieldPath("steps", i, "type"), "%q may not use queue %q", step.Type, c.Spec.Queue)
 		}
 	}
-	if why := s.Shed(c.Spec.Team, q.Urgent, c.Bound); why != "" {
+	if why := s.OverloadReason(c.Spec.Team, q.Urgent, c.Bound); why != "" {
 		return nil, errs.New(errs.Overloaded, "%s", why)
 	}
 	s.Seq++
-	j := &state.Job{Spec: c.Spec, Digest: c.Digest, Phase: state.JobAccepted, Seq: s.Seq, At: s.At}
-	s.Enter(j)
+	j := &state.Job{Spec: c.Spec, Digest: c.Digest, Phase: state.JobAccepted, Seq: s.Seq, SubmittedAt: s.At}
+	s.EnqueueJob(j)
 	return Submitted{Key: key, Phase: j.Phase, Fresh: true}, nil
 }
 
@@ -180,10 +180,10 @@
 
 func (c *Cancel) apply(s *state.State, _ uint64) (any, error) {
 	if j := s.Jobs[c.Key]; j != nil {
-		s.Stop(j, state.JobCancelled, "cancelled by a consumer")
+		s.StopJob(j, state.JobCancelled, "cancelled by a consumer")
 		return Cancelled{c.Key, j.Phase}, nil
 	}
-	if t := s.Tombs[c.Key]; t != nil {
+	if t := s.Tombstones[c.Key]; t != nil {
 		return Cancelled{c.Key, t.Phase}, nil
 	}
 	return nil, errs.Field(errs.Unknown, "key", "no job %q", c.Key)
@@ -192,24 +192,24 @@
 // MaxCancels bounds the keys of one Cancels.
 const MaxCancels = 10000
 
-// Cancels stops many jobs in one step: those of Keys, or all of a team, of a queue, or of a team in a queue.
-type Cancels struct {
+// CancelMany stops many jobs in one step: those of Keys, or all of a team, of a queue, or of a team in a queue.
+type CancelMany struct {
 	Keys  []string `json:"keys,omitempty"`
 	Team  string   `json:"team,omitempty"`
 	Queue string   `json:"queue,omitempty"`
 }
 
-// CancelledAll answers Cancels.
-type CancelledAll struct {
+// CancelledMany answers Cancels.
+type CancelledMany struct {
 	Cancelled int      `json:"cancelled"`         // stopped by this call
 	Over      int      `json:"over,omitempty"`    // were over or stopping
 	Unknown   []string `json:"unknown,omitempty"` // keys that no job has
 }
 
 // Op is "cancels".
-func (c *Cancels) Op() string { return "cancels" }
+func (c *CancelMany) Op() string { return "cancels" }
 
-func (c *Cancels) apply(s *state.State, _ uint64) (any, error) {
+func (c *CancelMany) apply(s *state.State, _ uint64) (any, error) {
 	keys := c.Keys
 	switch {
 	case len(keys) > MaxCancels:
@@ -220,19 +220,19 @@
 		return nil, errs.Field(errs.Invalid, "keys", "keys, a team or a queue are needed")
 	case len(keys) == 0:
 		for key, j := range s.Jobs {
-			if !j.Phase.Over() && (c.Team == "" || j.Spec.Team == c.Team) && (c.Queue == "" || j.Spec.Queue == c.Queue) {
+			if !j.Phase.IsTerminal() && (c.Team == "" || j.Spec.Team == c.Team) && (c.Queue == "" || j.Spec.Queue == c.Queue) {
 				keys = append(keys, key)
 			}
 		}
 		slices.Sort(keys) // every node stops them in the same order
 	}
-	out := CancelledAll{}
+	out := CancelledMany{}
 	for _, key := range keys {
 		switch j := s.Jobs[key]; {
-		case j != nil && !j.Phase.Over() && j.Phase != state.JobStopping:
-			s.Stop(j, state.JobCancelled, "cancelled by a consumer")
+		case j != nil && !j.Phase.IsTerminal() && j.Phase != state.JobStopping:
+			s.StopJob(j, state.JobCancelled, "cancelled by a consumer")
 			out.Cancelled++
-		case j != nil || s.Tombs[key] != nil:
+		case j != nil || s.Tombstones[key] != nil:
 			out.Over++
 		default:
 			out.Unknown = append(out.Unknown, key)
@@ -244,116 +244,116 @@
 // Announce makes a minion known. Of a known minion it moves the address only: what a minion is and which boot
 // it runs under, only its answers to the holder of sched tell.
 type Announce struct {
-	Minion state.Minion `json:"minion"`
+	Worker state.Worker `json:"minion"`
 }
 
 // Op is "announce".
 func (c *Announce) Op() string { return "announce" }
 
 func (c *Announce) apply(s *state.State, _ uint64) (any, error) {
-	m := s.Minions[c.Minion.Name]
+	m := s.Workers[c.Worker.Name]
 	if m == nil {
-		fresh := c.Minion
-		fresh.Boot = ""
-		s.PutMinion(&fresh)
-	} else if m.Addr != c.Minion.Addr {
+		fresh := c.Worker
+		fresh.Incarnation = ""
+		s.PutWorker(&fresh)
+	} else if m.Addr != c.Worker.Addr {
 		moved := *m
-		moved.Addr = c.Minion.Addr
-		s.PutMinion(&moved)
+		moved.Addr = c.Worker.Addr
+		s.PutWorker(&moved)
 	}
 	return nil, nil
 }
 
-// Grant gives a duty to a holder if After is still its epoch. The new epoch is the entry's index.
-type Grant struct {
-	Duty   string `json:"duty"`
-	Holder string `json:"holder"`
-	Addr   string `json:"addr"`
-	Boot   string `json:"boot"`
-	After  uint64 `json:"after"`
+// GrantRole gives a duty to a holder if After is still its epoch. The new epoch is the entry's index.
+type GrantRole struct {
+	Role        string `json:"duty"`
+	Holder      string `json:"holder"`
+	Addr        string `json:"addr"`
+	Incarnation string `json:"boot"`
+	After       uint64 `json:"after"`
 }
 
 // Op is "grant".
-func (c *Grant) Op() string { return "grant" }
+func (c *GrantRole) Op() string { return "grant" }
 
-func (c *Grant) apply(s *state.State, index uint64) (any, error) {
-	d := s.Duties[c.Duty]
+func (c *GrantRole) apply(s *state.State, index uint64) (any, error) {
+	d := s.Roles[c.Role]
 	if d == nil {
-		d = &state.Duty{}
+		d = &state.Role{}
 	}
 	if d.Epoch != c.After {
-		return nil, errs.New(errs.Stale, "duty %s is at epoch %d, not %d", c.Duty, d.Epoch, c.After)
+		return nil, errs.New(errs.Stale, "duty %s is at epoch %d, not %d", c.Role, d.Epoch, c.After)
 	}
-	next := &state.Duty{Holder: c.Holder, Addr: c.Addr, Boot: c.Boot, Epoch: index}
-	s.Duties[c.Duty] = next
-	s.Changed(state.NoteDuty, c.Duty)
+	next := &state.Role{Holder: c.Holder, Addr: c.Addr, Incarnation: c.Incarnation, Epoch: index}
+	s.Roles[c.Role] = next
+	s.NotifyWatcher(state.EventRoleChanged, c.Role)
 	return *next, nil
 }
 
-// GiveUp ends a duty before its lease does; nothing may be done under Epoch from here on.
-type GiveUp struct {
-	Duty  string `json:"duty"`
+// ReleaseRole ends a duty before its lease does; nothing may be done under Epoch from here on.
+type ReleaseRole struct {
+	Role  string `json:"duty"`
 	Epoch uint64 `json:"epoch"`
 }
 
 // Op is "giveup".
-func (c *GiveUp) Op() string { return "giveup" }
+func (c *ReleaseRole) Op() string { return "giveup" }
 
-func (c *GiveUp) apply(s *state.State, index uint64) (any, error) {
-	d := s.Duties[c.Duty]
+func (c *ReleaseRole) apply(s *state.State, index uint64) (any, error) {
+	d := s.Roles[c.Role]
 	if d == nil || d.Epoch != c.Epoch {
-		return nil, errs.New(errs.Stale, "duty %s is not at epoch %d", c.Duty, c.Epoch)
+		return nil, errs.New(errs.Stale, "duty %s is not at epoch %d", c.Role, c.Epoch)
 	}
-	s.Duties[c.Duty] = &state.Duty{Epoch: index}
-	s.Changed(state.NoteDuty, c.Duty)
+	s.Roles[c.Role] = &state.Role{Epoch: index}
+	s.NotifyWatcher(state.EventRoleChanged, c.Role)
 	return nil, nil
 }
 
-// Close drains a minion by an operator's word, opens it again, or retires it (only without handles).
-type Close struct {
+// CloseWorker drains a minion by an operator's word, opens it again, or retires it (only without handles).
+type CloseWorker struct {
 	Order  string `json:"order"`
-	Minion string `json:"minion"`
+	Worker string `json:"minion"`
 	Closed bool   `json:"closed"`
 	Retire bool   `json:"retire,omitempty"`
 }
 
 // Op is "close".
-func (c *Close) Op() string { return "close" }
+func (c *CloseWorker) Op() string { return "close" }
 
-func (c *Close) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
-		m := s.Minions[c.Minion]
+func (c *CloseWorker) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
+		m := s.Workers[c.Worker]
 		if m == nil {
-			return nil, errs.Field(errs.Unknown, "minion", "no minion %q", c.Minion)
+			return nil, errs.Field(errs.Unknown, "minion", "no minion %q", c.Worker)
 		}
 		if c.Retire {
-			if n := len(s.Room(c.Minion).RunIDs); n > 0 {
-				return nil, errs.Field(errs.Conflict, "minion", "%q has %d tickets out; drain it first", c.Minion, n)
+			if n := len(s.UsageOf(c.Worker).Handles); n > 0 {
+				return nil, errs.Field(errs.Conflict, "minion", "%q has %d tickets out; drain it first", c.Worker, n)
 			}
-			s.DropMinion(c.Minion)
-			return map[string]any{"minion": c.Minion, "retired": true}, nil
+			s.DropWorker(c.Worker)
+			return map[string]any{"minion": c.Worker, "retired": true}, nil
 		}
 		next := *m
 		next.Closed = c.Closed
-		s.PutMinion(&next)
-		return map[string]any{"minion": c.Minion, "closed": c.Closed}, nil
+		s.PutWorker(&next)
+		return map[string]any{"minion": c.Worker, "closed": c.Closed}, nil
 	})
-	return answer, errs.Pass(err, "close minion %q", c.Minion)
+	return answer, errs.Pass(err, "close minion %q", c.Worker)
 }
 
-// Succeed lets the cplane New join in the place of Old, whose machine is gone. The store takes Old out when New has
+// ReplaceMember lets the cplane New join in the place of Old, whose machine is gone. The store takes Old out when New has
 // caught up.
-type Succeed struct {
+type ReplaceMember struct {
 	Order string `json:"order"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
 // Op is "succeed".
-func (c *Succeed) Op() string { return "succeed" }
+func (c *ReplaceMember) Op() string { return "succeed" }
 
-func (c *Succeed) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := once(s, c.Order, c, func() (any, error) {
+func (c *ReplaceMember) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c, func() (any, error) {
 		switch {
 		case c.Old == "" || c.New == "" || strings.Contains(c.Old+c.New, "~"):
 			return nil, errs.Field(errs.Invalid, "new", "the names of two machines are needed, without ~")
@@ -372,36 +372,36 @@
 	return answer, errs.Pass(err, "succeed")
 }
 
-// Tidy lets ended jobs, tombstones and remembered orders go, by age and by count.
-type Tidy struct {
-	JobsBefore   time.Time `json:"jobs_before"`
-	JobsKeep     int       `json:"jobs_keep"`
-	TombsBefore  time.Time `json:"tombs_before"`
-	TombsKeep    int       `json:"tombs_keep"`
-	OrdersBefore time.Time `json:"orders_before"`
+// Purge lets ended jobs, tombstones and remembered orders go, by age and by count.
+type Purge struct {
+	JobsBefore       time.Time `json:"jobs_before"`
+	JobsKeep         int       `json:"jobs_keep"`
+	TombstonesBefore time.Time `json:"tombs_before"`
+	TombstonesKeep   int       `json:"tombs_keep"`
+	OrdersBefore     time.Time `json:"orders_before"`
 }
 
 // Op is "tidy".
-func (c *Tidy) Op() string { return "tidy" }
+func (c *Purge) Op() string { return "tidy" }
 
-func (c *Tidy) apply(s *state.State, _ uint64) (any, error) {
-	for len(s.Ended) > 0 {
-		j := s.Jobs[s.Ended[0]]
-		if len(s.Ended) <= c.JobsKeep && !j.Ended.Before(c.JobsBefore) {
+func (c *Purge) apply(s *state.State, _ uint64) (any, error) {
+	for len(s.EndedJobs) > 0 {
+		j := s.Jobs[s.EndedJobs[0]]
+		if len(s.EndedJobs) <= c.JobsKeep && !j.EndedAt.Before(c.JobsBefore) {
 			break
 		}
-		s.Tombs[j.Spec.Key] = &state.Tomb{Digest: j.Digest, Team: j.Spec.Team, Phase: j.Phase, Reason: j.Reason, Ended: j.Ended}
-		s.TombOrder = append(s.TombOrder, j.Spec.Key)
+		s.Tombstones[j.Spec.Key] = &state.Tombstone{Digest: j.Digest, Team: j.Spec.Team, Phase: j.Phase, Reason: j.Reason, EndedAt: j.EndedAt}
+		s.TombstoneOrder = append(s.TombstoneOrder, j.Spec.Key)
 		delete(s.Jobs, j.Spec.Key)
-		s.Ended = s.Ended[1:]
+		s.EndedJobs = s.EndedJobs[1:]
 	}
-	for len(s.TombOrder) > 0 {
-		t := s.Tombs[s.TombOrder[0]]
-		if len(s.TombOrder) <= c.TombsKeep && !t.Ended.Before(c.TombsBefore) {
+	for len(s.TombstoneOrder) > 0 {
+		t := s.Tombstones[s.TombstoneOrder[0]]
+		if len(s.TombstoneOrder) <= c.TombstonesKeep && !t.EndedAt.Before(c.TombstonesBefore) {
 			break
 		}
-		delete(s.Tombs, s.TombOrder[0])
-		s.TombOrder = s.TombOrder[1:]
+		delete(s.Tombstones, s.TombstoneOrder[0])
+		s.TombstoneOrder = s.TombstoneOrder[1:]
 	}
 	for len(s.OrderKeys) > 0 && s.Orders[s.OrderKeys[0]].At.Before(c.OrdersBefore) {
 		delete(s.Orders, s.OrderKeys[0])
--- a/internal/state/command/golden_test.go
+++ b/internal/state/command/golden_test.go
@@ -15,11 +15,11 @@
 		golden.Shape("entry", Entry{}),
 		golden.Shape("submitted", Submitted{}),
 		golden.Shape("cancelled", Cancelled{}),
-		golden.Shape("cancelled all", CancelledAll{}),
+		golden.Shape("cancelled all", CancelledMany{}),
 		golden.Shape("account created", AccountCreated{}),
-		golden.Shape("drafted", Drafted{}),
-		golden.Shape("signed", Signed{}),
-		golden.Shape("zoned", Zoned{}),
+		golden.Shape("drafted", BundleDrafted{}),
+		golden.Shape("signed", BundleSigned{}),
+		golden.Shape("zoned", ZoneEvacuation{}),
 		golden.Shape("end", End{}),
 		golden.Shape("proof", Proof{}),
 		golden.Shape("start", Start{}),
@@ -31,7 +31,7 @@
 // ops is the shape of every command, under its name in the log.
 func ops() string {
 	var out []string
-	for op, make := range makers {
+	for op, make := range constructors {
 		out = append(out, golden.Shape("op "+op, make()))
 	}
 	slices.Sort(out)
--- a/internal/state/command/jobs.go
+++ b/internal/state/command/jobs.go
@@ -15,7 +15,7 @@
 func (c *JobSubmit) Op() string { return "job-submit" }
 
 func (c *JobSubmit) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := s.Table.Submit(c.Submit)
+	answer, err := s.JobTable.Submit(c.Submit)
 	return answer, errs.Pass(err, "submit")
 }
 
@@ -26,7 +26,7 @@
 func (c *JobCancel) Op() string { return "job-cancel" }
 
 func (c *JobCancel) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := s.Table.Cancel(c.Cancel)
+	answer, err := s.JobTable.Cancel(c.Cancel)
 	return answer, errs.Pass(err, "cancel")
 }
 
@@ -37,7 +37,7 @@
 func (c *JobConfigure) Op() string { return "job-configure" }
 
 func (c *JobConfigure) apply(s *state.State, _ uint64) (any, error) {
-	return nil, errs.Pass(s.Table.Configure(c.Configure), "configure")
+	return nil, errs.Pass(s.JobTable.Configure(c.Configure), "configure")
 }
 
 // JobEvacuate starts or withdraws the evacuation of a zone.
@@ -47,7 +47,7 @@
 func (c *JobEvacuate) Op() string { return "job-evacuate" }
 
 func (c *JobEvacuate) apply(s *state.State, _ uint64) (any, error) {
-	return nil, errs.Pass(s.Table.Evacuate(c.Evacuate), "evacuate")
+	return nil, errs.Pass(s.JobTable.Evacuate(c.Evacuate), "evacuate")
 }
 
 // JobRegister records workers that are new or have changed.
@@ -57,7 +57,7 @@
 func (c *JobRegister) Op() string { return "job-register" }
 
 func (c *JobRegister) apply(s *state.State, _ uint64) (any, error) {
-	return nil, errs.Pass(s.Table.Register(c.Register), "register")
+	return nil, errs.Pass(s.JobTable.Register(c.Register), "register")
 }
 
 // JobProgress records what the scheduler has decided and heard; the answer is jobs.Started. The term of its log entry
@@ -68,19 +68,19 @@
 func (c *JobProgress) Op() string { return "job-progress" }
 
 func (c *JobProgress) apply(s *state.State, _ uint64) (any, error) {
-	answer, err := s.Table.Progress(s.Term, c.Progress)
+	answer, err := s.JobTable.Progress(s.Term, c.Progress)
 	return answer, errs.Pass(err, "progress")
 }
 
-// JobTidy drops the jobs of the job table that ended before a time.
-type JobTidy struct {
+// JobPurge drops the jobs of the job table that ended before a time.
+type JobPurge struct {
 	Before time.Time `json:"before"`
 }
 
 // Op is "job-tidy".
-func (c *JobTidy) Op() string { return "job-tidy" }
+func (c *JobPurge) Op() string { return "job-tidy" }
 
-func (c *JobTidy) apply(s *state.State, _ uint64) (any, error) {
-	s.Table.Tidy(c.Before)
+func (c *JobPurge) apply(s *state.State, _ uint64) (any, error) {
+	s.JobTable.Purge(c.Before)
 	return nil, nil
 }
--- a/internal/state/command/jobs_test.go
+++ b/internal/state/command/jobs_test.go
@@ -14,7 +14,7 @@
 
 func TestJobTable(t *testing.T) {
 	Convey("The commands of the job table go through the log, and the state comes back from its bytes as it was", t, func() {
-		b := book{state.New()}
+		b := testState{state.New()}
 		do := func(c Command) any {
 			answer, err := b.do(c)
 			So(err, ShouldBeNil)
@@ -35,26 +35,26 @@
 		So(err, ShouldBeNil)
 		decoded, err := state.Decode(data)
 		So(err, ShouldBeNil)
-		So(decoded.Table.RunsOn("w"), ShouldResemble, []jobs.RunKey{first})
-		for _, each := range []book{b, {decoded}} {
+		So(decoded.JobTable.RunsOn("w"), ShouldResemble, []jobs.RunKey{first})
+		for _, each := range []testState{b, {decoded}} {
 			answer, err := each.do(&JobProgress{jobs.Progress{Term: 1, At: at, Starts: []jobs.Start{{Task: jobs.TaskRef{Job: "j", Index: 1}, Number: 1, Worker: "w"}}}})
 			So(err, ShouldBeNil)
 			So(answer, ShouldResemble, jobs.Started{Recorded: []bool{false}})
 			answer, err = each.do(&JobCancel{jobs.Cancel{ID: "j", At: at}})
 			So(err, ShouldBeNil)
 			So(answer, ShouldEqual, jobs.Cancelled)
-			_, err = each.do(&JobProgress{jobs.Progress{Term: 1, At: at, Ends: []jobs.End{{Key: first, Worker: "w", How: jobs.EndStopped}}}})
+			_, err = each.do(&JobProgress{jobs.Progress{Term: 1, At: at, Ends: []jobs.End{{Key: first, Worker: "w", Reason: jobs.EndStopped}}}})
 			So(err, ShouldBeNil)
-			_, err = each.do(&JobTidy{Before: at.Add(time.Second)})
+			_, err = each.do(&JobPurge{Before: at.Add(time.Second)})
 			So(err, ShouldBeNil)
-			So(each.Table.Jobs, ShouldBeEmpty)
+			So(each.JobTable.Jobs, ShouldBeEmpty)
 		}
 		one, _ := b.Encode()
 		two, _ := decoded.Encode()
 		So(string(one), ShouldEqual, string(two))
 	})
 	Convey("Progress that another term's entry carries is stale, and an unknown job is unknown", t, func() {
-		b := book{state.New()}
+		b := testState{state.New()}
 		_, err := b.do(&JobProgress{jobs.Progress{Term: 2}}) // the book's entries are of term 1
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		_, err = b.do(&JobCancel{jobs.Cancel{ID: "j"}})
@@ -68,11 +68,11 @@
 		for _, old := range []string{string(data[:cut]) + "}", string(data[:cut]) + `,"table":null}`, string(data)} {
 			s, err := state.Decode([]byte(old))
 			So(err, ShouldBeNil)
-			So(s.Table, ShouldNotBeNil)
+			So(s.JobTable, ShouldNotBeNil)
 			back, err := s.Encode()
 			So(err, ShouldBeNil)
 			So(string(back), ShouldEqual, string(data))
-			_, err = s.Table.Submit(jobs.Submit{})
+			_, err = s.JobTable.Submit(jobs.Submit{})
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 		}
 	})
--- a/internal/state/command/late_test.go
+++ b/internal/state/command/late_test.go
@@ -14,15 +14,15 @@
 	ref := state.TaskRef{Job: "j"}
 	late := End{RunID: 1, Ref: ref, OK: true}
 	Convey("Given a task whose only ticket was let go as lapsed", t, func() {
-		b := newBook()
+		b := newTestState()
 		b.submit("j", state.StepSpec{Name: "s", Type: "t"}, state.StepSpec{Name: "u", Type: "t", After: []string{"s"}})
-		So(b.start(1, on("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
-		b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofLapse}}})
+		So(b.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
+		b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
 		_, task := b.TaskOf(ref)
 		So(task.Phase, ShouldEqual, state.TaskDue)
 
 		Convey("its end makes it done, before the starts of the same plan, and the next step falls due", func() {
-			a, err := b.do(&Plan{Epoch: 1, PlacementPolicy: b.Bundle.Version, Ends: []End{late}, Starts: []Start{on("m2", "j", 0)}})
+			a, err := b.do(&Plan{Epoch: 1, BundleVersion: b.Bundle.Version, Ends: []End{late}, Starts: []Start{startOn("m2", "j", 0)}})
 			So(err, ShouldBeNil)
 			So(a.(Planned).Refused, ShouldResemble, []string{"task"})
 			So(task.Phase, ShouldEqual, state.TaskDone)
@@ -31,9 +31,9 @@
 			So(b.Handles, ShouldBeEmpty)
 		})
 		Convey("its end under a newer ticket changes nothing", func() {
-			So(b.start(1, on("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
+			So(b.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
 			b.do(&Plan{Epoch: 1, Ends: []End{late}})
-			So(task.Phase, ShouldEqual, state.TaskHeld)
+			So(task.Phase, ShouldEqual, state.TaskAssigned)
 			b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Why: ProofUnsent}}})
 			b.do(&Plan{Epoch: 1, Ends: []End{late}})
 			So(task.Phase, ShouldEqual, state.TaskDue)
@@ -41,7 +41,7 @@
 		Convey("an end in fault changes nothing", func() {
 			b.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, Ref: ref}}})
 			So(task.Phase, ShouldEqual, state.TaskDue)
-			So(task.Tries, ShouldEqual, 0)
+			So(task.Failures, ShouldEqual, 0)
 		})
 		Convey("nor does an end after the job was cancelled", func() {
 			b.do(&Cancel{Key: "j"})
--- a/internal/state/command/plan.go
+++ b/internal/state/command/plan.go
@@ -11,17 +11,17 @@
 // said, what was proved, and the run IDs it wants. Every part is checked when it is applied, so a plan made on
 // an old view changes nothing that moved on.
 type Plan struct {
-	Epoch           uint64         `json:"e"`           // of the duty sched; a plan of another epoch is refused whole
-	PlacementPolicy uint64         `json:"v"`           // bundle version decided on; starts are refused under another
-	Seq             uint64         `json:"q,omitempty"` // inbox messages up to it are taken in
-	Minions         []state.Minion `json:"m,omitempty"` // as reported in answers
-	Running         []uint64       `json:"r,omitempty"` // run IDs listed as running
-	Doubt           []uint64       `json:"u,omitempty"` // run IDs whose order or answer was lost
-	Ends            []End          `json:"x,omitempty"` // ends listed
-	Dead            []Proof        `json:"k,omitempty"` // handles proved dead
-	Starts          []Start        `json:"s,omitempty"`
-	// Hold is put into every handle of Starts: how long its minion may run on unheard.
-	Hold time.Duration `json:"h,omitempty"`
+	Epoch         uint64         `json:"e"`           // of the duty sched; a plan of another epoch is refused whole
+	BundleVersion uint64         `json:"v"`           // bundle version decided on; starts are refused under another
+	Seq           uint64         `json:"q,omitempty"` // inbox messages up to it are taken in
+	Workers       []state.Worker `json:"m,omitempty"` // as reported in answers
+	Running       []uint64       `json:"r,omitempty"` // run IDs listed as running
+	Unconfirmed   []uint64       `json:"u,omitempty"` // run IDs whose order or answer was lost
+	Ends          []End          `json:"x,omitempty"` // ends listed
+	Dead          []Proof        `json:"k,omitempty"` // handles proved dead
+	Starts        []Start        `json:"s,omitempty"`
+	// LeaseTTL is put into every handle of Starts: how long its minion may run on unheard.
+	LeaseTTL time.Duration `json:"h,omitempty"`
 }
 
 // End is a listed end of a run. Ref is its task, by which an end is known whose handle was released meanwhile.
@@ -34,12 +34,12 @@
 
 // Proof kinds: why a handle without a listed end is surely dead.
 const (
-	ProofFloor  = "floor"  // the minion's floor is at or above it, and it neither runs nor ended
-	ProofBoot   = "boot"   // the minion runs under another boot
-	ProofLapse  = "lapse"  // its hold has surely lapsed
-	ProofUnsent = "unsent" // its order never left this holder
-	ProofRefuse = "refuse" // the minion refused it
-	ProofStop   = "stop"   // the minion stopped it on our word
+	ProofFloor          = "floor"  // the minion's floor is at or above it, and it neither runs nor ended
+	ProofNewIncarnation = "boot"   // the minion runs under another boot
+	ProofLeaseExpired   = "lapse"  // its hold has surely lapsed
+	ProofUnsent         = "unsent" // its order never left this holder
+	ProofRefuse         = "refuse" // the minion refused it
+	ProofStop           = "stop"   // the minion stopped it on our word
 )
 
 // Proof says that a handle is dead and why.
@@ -52,10 +52,10 @@
 // Start wants a run ID for a due task on a minion. Starts with the same Group above 0 get theirs together or
 // not at all.
 type Start struct {
-	Ref    state.TaskRef `json:"r"`
-	Minion string        `json:"m"`
-	Boot   string        `json:"b"`
-	Group  int           `json:"g,omitempty"`
+	Ref         state.TaskRef `json:"r"`
+	Worker      string        `json:"m"`
+	Incarnation string        `json:"b"`
+	Group       int           `json:"g,omitempty"`
 }
 
 // Planned answers Plan: a run ID or 0 for each of Starts, with a word on each refusal.
@@ -68,33 +68,33 @@
 func (c *Plan) Op() string { return "plan" }
 
 func (c *Plan) apply(s *state.State, index uint64) (any, error) {
-	d := s.Duties["sched"]
+	d := s.Roles["sched"]
 	if d == nil || d.Epoch != c.Epoch || d.Holder == "" {
 		return nil, errs.New(errs.Stale, "plan of epoch %d, the duty sched has moved on", c.Epoch)
 	}
-	s.Admit(c.Seq)
+	s.AdmitJobs(c.Seq)
 	for _, e := range c.Ends { // before the reports: a new boot lets go what did not end under the old one
-		end(s, e)
+		recordEnd(s, e)
 	}
-	for _, m := range c.Minions {
-		report(s, m)
+	for _, m := range c.Workers {
+		recordReport(s, m)
 	}
 	for _, t := range c.Running {
 		if h := s.Handles[t]; h != nil && h.Phase != state.TaskRunning {
-			drop(s.Move(h.Ref, state.TaskRunning, nil))
+			must(s.SetTaskPhase(h.Ref, state.TaskRunning, nil))
 		}
 	}
-	for _, t := range c.Doubt {
-		if h := s.Handles[t]; h != nil && h.Phase != state.TaskDoubtful {
-			drop(s.Move(h.Ref, state.TaskDoubtful, nil))
+	for _, t := range c.Unconfirmed {
+		if h := s.Handles[t]; h != nil && h.Phase != state.TaskUnconfirmed {
+			must(s.SetTaskPhase(h.Ref, state.TaskUnconfirmed, nil))
 		}
 	}
 	for _, p := range c.Dead {
 		if h := s.Handles[p.RunID]; h != nil {
 			if p.Why != ProofStop {
-				s.Lost(h.RunID)
+				s.RefundRun(h.RunID)
 			}
-			again(s, h, p.Reason, time.Time{})
+			requeueTask(s, h, p.Reason, time.Time{})
 		}
 	}
 	out := Planned{}
@@ -121,22 +121,22 @@
 	for k := i; k < n; k++ {
 		st := c.Starts[k]
 		why := ""
-		if c.PlacementPolicy != s.Bundle.Version {
+		if c.BundleVersion != s.Bundle.Version {
 			why = "charter version"
 		} else {
-			why = refuse(s, st)
+			why = startRefusal(s, st)
 		}
 		if why == "" {
 			j, _ := s.TaskOf(st.Ref)
 			step := &j.Spec.Steps[st.Ref.Step]
-			m, r, t := s.Minions[st.Minion], s.Room(st.Minion), taken[st.Minion]
+			m, r, t := s.Workers[st.Worker], s.UsageOf(st.Worker), taken[st.Worker]
 			t.cores += step.Cores
 			t.gpus += step.GPUs
-			taken[st.Minion] = t
+			taken[st.Worker] = t
 			if r.Cores+t.cores > m.Cores || r.GPUs+t.gpus > m.GPUs {
 				why = "room"
 			} else {
-				why = paid.refuse(s, st.Ref)
+				why = paid.refusal(s, st.Ref)
 			}
 		}
 		if why != "" {
@@ -150,89 +150,89 @@
 		st := c.Starts[k]
 		j, _ := s.TaskOf(st.Ref)
 		step := &j.Spec.Steps[st.Ref.Step]
-		s.RunID++
-		h := &state.Handle{RunID: s.RunID, Ref: st.Ref, Minion: st.Minion, Boot: st.Boot, Epoch: c.Epoch,
-			PlacementPolicy: c.PlacementPolicy, Type: step.Type, Cores: step.Cores, GPUs: step.GPUs, Hold: s.Bundle.HoldOf(j.Spec.Queue, c.Hold)}
-		drop(s.Move(st.Ref, state.TaskHeld, h))
-		out.RunIDs[k] = s.RunID
+		s.LastRunID++
+		h := &state.Handle{RunID: s.LastRunID, Ref: st.Ref, Worker: st.Worker, Incarnation: st.Incarnation, Epoch: c.Epoch,
+			BundleVersion: c.BundleVersion, Type: step.Type, Cores: step.Cores, GPUs: step.GPUs, LeaseTTL: s.Bundle.LeaseTTLFor(j.Spec.Queue, c.LeaseTTL)}
+		must(s.SetTaskPhase(st.Ref, state.TaskAssigned, h))
+		out.RunIDs[k] = s.LastRunID
 	}
 }
 
-// refuse checks the preconditions of one run ID against the state at this very entry; "" lets it pass.
-func refuse(s *state.State, st Start) string {
+// refusal checks the preconditions of one run ID against the state at this very entry; "" lets it pass.
+func startRefusal(s *state.State, st Start) string {
 	j, t := s.TaskOf(st.Ref)
 	switch {
 	case t == nil || j.Phase != state.JobRunning:
 		return "job"
 	case t.Phase != state.TaskDue:
 		return "task"
-	case s.Minions[st.Minion] == nil || s.Minions[st.Minion].Boot != st.Boot:
+	case s.Workers[st.Worker] == nil || s.Workers[st.Worker].Incarnation != st.Incarnation:
 		return "boot"
 	}
-	return s.Fits(&j.Spec, &j.Spec.Steps[st.Ref.Step], s.Minions[st.Minion])
+	return s.PlacementRefusal(&j.Spec, &j.Spec.Steps[st.Ref.Step], s.Workers[st.Worker])
 }
 
-// report takes in what a minion said of itself. Under a new boot its older runs are dead: its contract is that
+// recordReport takes in what a minion said of itself. Under a new boot its older runs are dead: its contract is that
 // leftovers are killed before it reports under a new boot. An order that may still be under way to a minion that
 // starts whatever it is told is another matter: its handle waits for the holder's proof.
-func report(s *state.State, m state.Minion) {
-	old := s.Minions[m.Name]
+func recordReport(s *state.State, m state.Worker) {
+	old := s.Workers[m.Name]
 	if old == nil {
 		return // retired meanwhile
 	}
 	m.Closed, m.Addr = old.Closed, old.Addr
-	s.PutMinion(&m)
-	if m.Boot != old.Boot {
-		for _, t := range s.RunIDs(m.Name) {
-			if h := s.Handles[t]; h.Boot != m.Boot && (m.Kind != "obey" || h.Phase == state.TaskRunning) {
-				s.Lost(h.RunID)
-				again(s, h, "the minion came back under a new boot", time.Time{})
+	s.PutWorker(&m)
+	if m.Incarnation != old.Incarnation {
+		for _, t := range s.RunIDsOn(m.Name) {
+			if h := s.Handles[t]; h.Incarnation != m.Incarnation && (m.Kind != "obey" || h.Phase == state.TaskRunning) {
+				s.RefundRun(h.RunID)
+				requeueTask(s, h, "the minion came back under a new boot", time.Time{})
 			}
 		}
 	}
 }
 
-// end takes in a listed end. An end in failure is tried again after a back-off, up to the step's retries.
-func end(s *state.State, e End) {
+// recordEnd takes in a listed end. An end in failure is tried again after a back-off, up to the step's retries.
+func recordEnd(s *state.State, e End) {
 	h := s.Handles[e.RunID]
 	if h == nil {
-		lateEnd(s, e)
+		recordLateEnd(s, e)
 		return
 	}
 	j, t := s.TaskOf(h.Ref)
 	step := &j.Spec.Steps[h.Ref.Step]
 	if e.OK {
-		drop(s.Move(h.Ref, state.TaskDone, nil))
+		must(s.SetTaskPhase(h.Ref, state.TaskDone, nil))
 		return
 	}
-	t.Tries++
+	t.Failures++
 	t.Reason = e.Reason
-	if t.Tries > s.Bundle.RetriesOf(j.Spec.Queue, step.Retries) && !step.Standing && j.Phase == state.JobRunning {
+	if t.Failures > s.Bundle.RetriesFor(j.Spec.Queue, step.Retries) && !step.LongRunning && j.Phase == state.JobRunning {
 		reason := "step " + step.Name + " gave up: " + e.Reason
-		drop(s.Move(h.Ref, state.TaskSpent, nil))
-		s.Stop(j, state.JobFailed, reason)
+		must(s.SetTaskPhase(h.Ref, state.TaskFailed, nil))
+		s.StopJob(j, state.JobFailed, reason)
 		return
 	}
 	b := s.Bundle.Backoff
 	wait := b.Max
-	if t.Tries < 16 {
-		wait = min(b.Max, b.Min<<(t.Tries-1))
+	if t.Failures < 16 {
+		wait = min(b.Max, b.Min<<(t.Failures-1))
 	}
-	again(s, h, e.Reason, s.At.Add(wait))
+	requeueTask(s, h, e.Reason, s.At.Add(wait))
 }
 
-// lateEnd takes in that a run ended well whose handle was released by a proof before its end was heard. It counts as
+// recordLateEnd takes in that a run ended well whose handle was released by a proof before its end was heard. It counts as
 // long as no newer run ID was given for its task.
-func lateEnd(s *state.State, e End) {
+func recordLateEnd(s *state.State, e End) {
 	if _, t := s.TaskOf(e.Ref); e.OK && t != nil && t.RunID == e.RunID && t.Phase == state.TaskDue {
-		drop(s.Move(e.Ref, state.TaskDone, nil))
+		must(s.SetTaskPhase(e.Ref, state.TaskDone, nil))
 	}
 }
 
-// again releases a handle without an end that counts: the task is due again, or skipped when its job stops.
-func again(s *state.State, h *state.Handle, reason string, due time.Time) {
+// requeueTask releases a handle without an end that counts: the task is due again, or skipped when its job stops.
+func requeueTask(s *state.State, h *state.Handle, reason string, due time.Time) {
 	j, t := s.TaskOf(h.Ref)
-	t.Due = due
+	t.DueAt = due
 	if reason != "" {
 		t.Reason = reason
 	}
@@ -243,12 +243,12 @@
 	if j.Phase != state.JobRunning {
 		to = state.TaskSkipped
 	}
-	drop(s.Move(h.Ref, to, nil))
+	must(s.SetTaskPhase(h.Ref, to, nil))
 }
 
-// drop is for moves whose table entry the caller has just checked: a refusal is a failure of ours and must not
+// must is for moves whose table entry the caller has just checked: a refusal is a failure of ours and must not
 // leave nodes apart, so it stops the process.
-func drop(err error) {
+func must(err error) {
 	if err != nil {
 		panic(err)
 	}
--- a/internal/state/command/plan_test.go
+++ b/internal/state/command/plan_test.go
@@ -11,24 +11,24 @@
 	"crosstide/internal/state"
 )
 
-// book is a state with its commands applied in order, as the log does.
-type book struct{ *state.State }
+// accounts is a state with its commands applied in order, as the log does.
+type testState struct{ *state.State }
 
-func newBook() book {
-	b := book{state.New()}
-	b.do(&Grant{Duty: "sched", Holder: "d1"})
+func newTestState() testState {
+	b := testState{state.New()}
+	b.do(&GrantRole{Role: "sched", Holder: "d1"})
 	for _, name := range []string{"m1", "m2"} {
-		b.do(&Announce{Minion: state.Minion{Name: name, Addr: name}})
-		b.do(&Plan{Epoch: 1, Minions: []state.Minion{minion(name)}})
+		b.do(&Announce{Worker: state.Worker{Name: name, Addr: name}})
+		b.do(&Plan{Epoch: 1, Workers: []state.Worker{testWorker(name)}})
 	}
 	return b
 }
 
-func minion(name string) state.Minion {
-	return state.Minion{Name: name, Boot: "b", Kind: "check", Zone: "z" + name[1:], Cores: 2}
+func testWorker(name string) state.Worker {
+	return state.Worker{Name: name, Incarnation: "b", Kind: "check", Zone: "z" + name[1:], Cores: 2}
 }
 
-func (b book) do(c Command) (any, error) {
+func (b testState) do(c Command) (any, error) {
 	data, err := Encode(time.Unix(int64(b.Index), 0), c)
 	if err != nil {
 		panic(err)
@@ -36,23 +36,23 @@
 	return Apply(b.State, b.Index+1, 1, data)
 }
 
-func (b book) submit(key string, steps ...state.StepSpec) (any, error) {
+func (b testState) submit(key string, steps ...state.StepSpec) (any, error) {
 	for i := range steps {
 		steps[i].Tasks, steps[i].Cores = max(steps[i].Tasks, 1), 1
 	}
 	return b.do(&Submit{Spec: state.Spec{Key: key, Team: "a", Queue: "default", Steps: steps}, Digest: key, Bound: 3})
 }
 
-func (b book) start(epoch uint64, starts ...Start) Planned {
-	a, err := b.do(&Plan{Epoch: epoch, PlacementPolicy: b.Bundle.Version, Seq: b.Seq, Starts: starts, Hold: time.Second})
+func (b testState) start(epoch uint64, starts ...Start) Planned {
+	a, err := b.do(&Plan{Epoch: epoch, BundleVersion: b.Bundle.Version, Seq: b.Seq, Starts: starts, LeaseTTL: time.Second})
 	if err != nil {
 		return Planned{Refused: []string{"epoch"}, RunIDs: make([]uint64, len(starts))}
 	}
 	return a.(Planned)
 }
 
-func on(minion, key string, task int) Start {
-	return Start{Ref: state.TaskRef{Job: key, Task: task}, Minion: minion, Boot: "b"}
+func startOn(worker, key string, task int) Start {
+	return Start{Ref: state.TaskRef{Job: key, Task: task}, Worker: worker, Incarnation: "b"}
 }
 
 // TestRunIDRaces tries every order of a run ID's commit and the things that forbid it: a run ID is given exactly
@@ -60,29 +60,29 @@
 func TestRunIDRaces(t *testing.T) {
 	bars := []struct {
 		name string
-		do   func(b book)
+		do   func(b testState)
 	}{
-		{"cancel", func(b book) { b.do(&Cancel{Key: "j"}) }},
-		{"evacuate", func(b book) { b.do(&Zone{Order: "o1", Zone: "z1", Out: true}) }},
-		{"drain report", func(b book) {
-			m := minion("m1")
+		{"cancel", func(b testState) { b.do(&Cancel{Key: "j"}) }},
+		{"evacuate", func(b testState) { b.do(&EvacuateZone{Order: "o1", Zone: "z1", Out: true}) }},
+		{"drain report", func(b testState) {
+			m := testWorker("m1")
 			m.Draining = true
-			b.do(&Plan{Epoch: b.Duties["sched"].Epoch, Minions: []state.Minion{m}})
+			b.do(&Plan{Epoch: b.Roles["sched"].Epoch, Workers: []state.Worker{m}})
 		}},
-		{"drain order", func(b book) { b.do(&Close{Order: "o2", Minion: "m1", Closed: true}) }},
-		{"new boot", func(b book) {
-			m := minion("m1")
-			m.Boot = "b2"
-			b.do(&Plan{Epoch: b.Duties["sched"].Epoch, Minions: []state.Minion{m}})
+		{"drain order", func(b testState) { b.do(&CloseWorker{Order: "o2", Worker: "m1", Closed: true}) }},
+		{"new boot", func(b testState) {
+			m := testWorker("m1")
+			m.Incarnation = "b2"
+			b.do(&Plan{Epoch: b.Roles["sched"].Epoch, Workers: []state.Worker{m}})
 		}},
-		{"new holder", func(b book) { b.do(&Grant{Duty: "sched", Holder: "d2", After: 1}) }},
+		{"new holder", func(b testState) { b.do(&GrantRole{Role: "sched", Holder: "d2", After: 1}) }},
 	}
 	Convey("a ticket is given exactly when nothing that forbids it was committed before", t, func() {
 		orders := 0
 		var walk func(b []int, used int)
 		walk = func(seq []int, used int) {
 			// The run ID's commit stands after every prefix of every order of the bars.
-			bk := newBook()
+			bk := newTestState()
 			_, err := bk.submit("j", state.StepSpec{Name: "s", Type: "t"})
 			So(err, ShouldBeNil)
 			names := ""
@@ -90,11 +90,11 @@
 				bars[i].do(bk)
 				names += bars[i].name + ", "
 			}
-			got := bk.start(1, on("m1", "j", 0))
+			got := bk.start(1, startOn("m1", "j", 0))
 			if given := got.RunIDs[0] > 0; given != (len(seq) == 0) {
 				panic(fmt.Sprintf("after %sa ticket was given: %v", names, given))
 			}
-			if len(bk.Handles) != int(bk.RunID) {
+			if len(bk.Handles) != int(bk.LastRunID) {
 				panic("a refused ticket left a handle")
 			}
 			orders++
@@ -108,9 +108,9 @@
 		So(orders, ShouldEqual, 1957) // all ordered choices of six
 	})
 	Convey("a cancel after the ticket fixes the outcome, and the task is not due again", t, func() {
-		b := newBook()
+		b := newTestState()
 		b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2})
-		So(b.start(1, on("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
+		So(b.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
 		b.do(&Cancel{Key: "j"})
 		So(b.Jobs["j"].Phase, ShouldEqual, state.JobStopping)
 		b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofStop}}})
@@ -120,16 +120,16 @@
 	})
 }
 
-func TestTaskLife(t *testing.T) {
+func TestTaskPhases(t *testing.T) {
 	Convey("given a job of two steps", t, func() {
-		b := newBook()
+		b := newTestState()
 		b.submit("j", state.StepSpec{Name: "a", Type: "t", Tasks: 2, Retries: 1}, state.StepSpec{Name: "b", Type: "t", After: []string{"a"}})
-		second := Start{Ref: state.TaskRef{Job: "j", Step: 1}, Minion: "m2", Boot: "b"}
+		second := Start{Ref: state.TaskRef{Job: "j", Step: 1}, Worker: "m2", Incarnation: "b"}
 		Convey("a task has one handle at most", func() {
-			So(b.start(1, on("m1", "j", 0), on("m2", "j", 0)), ShouldResemble, Planned{RunIDs: []uint64{1, 0}, Refused: []string{"", "task"}})
+			So(b.start(1, startOn("m1", "j", 0), startOn("m2", "j", 0)), ShouldResemble, Planned{RunIDs: []uint64{1, 0}, Refused: []string{"", "task"}})
 		})
 		Convey("a step waits for the one before, and the job is done when all its tasks are", func() {
-			So(b.start(1, on("m1", "j", 0), on("m1", "j", 1), second).RunIDs, ShouldResemble, []uint64{1, 2, 0})
+			So(b.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1), second).RunIDs, ShouldResemble, []uint64{1, 2, 0})
 			So(b.RunningCount("t"), ShouldEqual, 2)
 			b.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, OK: true}}})
 			So(b.start(1, second).RunIDs[0], ShouldEqual, 0)
@@ -142,33 +142,33 @@
 			So(b.Jobs["j"].Phase, ShouldEqual, state.JobDone)
 		})
 		Convey("an end in fault is tried again after a back-off, up to its retries, under a new number", func() {
-			b.start(1, on("m1", "j", 0))
+			b.start(1, startOn("m1", "j", 0))
 			b.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, Reason: "x"}}})
 			task := &b.Jobs["j"].Tasks[0][0]
 			So(task.Phase, ShouldEqual, state.TaskDue)
-			So(task.Due.Sub(b.At), ShouldEqual, b.Bundle.Backoff.Min)
-			So(b.start(1, on("m1", "j", 0)).RunIDs[0], ShouldEqual, 2)
+			So(task.DueAt.Sub(b.At), ShouldEqual, b.Bundle.Backoff.Min)
+			So(b.start(1, startOn("m1", "j", 0)).RunIDs[0], ShouldEqual, 2)
 			b.do(&Plan{Epoch: 1, Ends: []End{{RunID: 2, Reason: "x"}}})
 			So(b.Jobs["j"].Phase, ShouldEqual, state.JobFailed)
 			So(b.Jobs["j"].Reason, ShouldContainSubstring, "step a gave up: x")
 		})
 		Convey("a gang gets its tickets together or not at all", func() {
-			one, two := on("m1", "j", 0), on("m1", "j", 1)
+			one, two := startOn("m1", "j", 0), startOn("m1", "j", 1)
 			one.Group, two.Group = 7, 7
 			b.submit("k", state.StepSpec{Name: "a", Type: "t"})
-			b.start(1, on("m1", "k", 0)) // leaves room for one of the two
+			b.start(1, startOn("m1", "k", 0)) // leaves room for one of the two
 			So(b.start(1, one, two).Refused, ShouldResemble, []string{"room", "room"})
-			two.Minion = "m2"
+			two.Worker = "m2"
 			So(b.start(1, one, two).RunIDs, ShouldResemble, []uint64{2, 3})
 		})
 		Convey("the state comes back from its bytes as it was, and goes on the same", func() {
-			b.start(1, on("m1", "j", 0))
+			b.start(1, startOn("m1", "j", 0))
 			data, err := b.Encode()
 			So(err, ShouldBeNil)
 			back, err := state.Decode(data)
 			So(err, ShouldBeNil)
-			c := book{back}
-			for _, x := range []book{b, c} {
+			c := testState{back}
+			for _, x := range []testState{b, c} {
 				x.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, OK: true}}})
 				x.do(&Cancel{Key: "j"})
 			}
@@ -181,7 +181,7 @@
 
 func TestInboxAndAges(t *testing.T) {
 	Convey("the inbox is bounded, and a job sent again is the same job, also after it left the store", t, func() {
-		b := newBook()
+		b := newTestState()
 		for _, key := range []string{"a", "b", "c"} {
 			_, err := b.submit(key, state.StepSpec{Name: "s", Type: "t"})
 			So(err, ShouldBeNil)
@@ -195,7 +195,7 @@
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		b.do(&Cancel{Key: "a"})
 		So(b.Inbox, ShouldResemble, []string{"b", "c"})
-		b.do(&Tidy{JobsKeep: 0, TombsKeep: 1, TombsBefore: time.Unix(0, 0)})
+		b.do(&Purge{JobsKeep: 0, TombstonesKeep: 1, TombstonesBefore: time.Unix(0, 0)})
 		So(b.Jobs["a"], ShouldBeNil)
 		again, err = b.submit("a", state.StepSpec{Name: "s", Type: "t"})
 		So(err, ShouldBeNil)
@@ -203,14 +203,14 @@
 		_, err = b.do(&Submit{Spec: state.Spec{Key: "a"}, Digest: "other", Bound: 3})
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		So(b.start(1).RunIDs, ShouldBeEmpty)
-		So(b.InboxSeq, ShouldEqual, b.Seq)
+		So(b.AdmittedSeq, ShouldEqual, b.Seq)
 		So(b.Inbox, ShouldBeEmpty)
 	})
 	Convey("under pressure each team keeps its share, and the last room is for urgent queues", t, func() {
-		b := book{state.New()}
+		b := testState{state.New()}
 		b.Bundle.Queues["now"] = state.Queue{Urgent: true}
 		b.Bundle.Weights = map[string]int{"c": 2}
-		hand := func(team, queue string, n int) (took int) {
+		submit := func(team, queue string, n int) (took int) {
 			for i := range n {
 				spec := state.Spec{Key: fmt.Sprint(team, queue, i, b.Index), Team: team, Queue: queue, Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1}}}
 				if _, err := b.do(&Submit{Spec: spec, Digest: "d", Bound: 100}); err == nil {
@@ -221,61 +221,61 @@
 			}
 			return took
 		}
-		So(hand("a", "default", 40), ShouldEqual, 40)
-		So(hand("b", "default", 20), ShouldEqual, 20)
-		So(hand("a", "default", 20), ShouldEqual, 10) // up to half of the bound, the share of one of two
-		So(hand("c", "default", 90), ShouldEqual, 25) // its share of twice the weight would be 50: the reserve stops it
-		So(hand("b", "default", 20), ShouldEqual, 0)
-		So(hand("b", "now", 20), ShouldEqual, 5)
-		So(b.Open(), ShouldEqual, 100)
+		So(submit("a", "default", 40), ShouldEqual, 40)
+		So(submit("b", "default", 20), ShouldEqual, 20)
+		So(submit("a", "default", 20), ShouldEqual, 10) // up to half of the bound, the share of one of two
+		So(submit("c", "default", 90), ShouldEqual, 25) // its share of twice the weight would be 50: the reserve stops it
+		So(submit("b", "default", 20), ShouldEqual, 0)
+		So(submit("b", "now", 20), ShouldEqual, 5)
+		So(b.OpenJobs(), ShouldEqual, 100)
 		Convey("and a team's queue is cancelled in one call, a list likewise", func() {
-			got, err := b.do(&Cancels{Team: "b", Queue: "now"})
+			got, err := b.do(&CancelMany{Team: "b", Queue: "now"})
 			So(err, ShouldBeNil)
-			So(got, ShouldResemble, CancelledAll{Cancelled: 5})
-			got, err = b.do(&Cancels{Team: "b"})
+			So(got, ShouldResemble, CancelledMany{Cancelled: 5})
+			got, err = b.do(&CancelMany{Team: "b"})
 			So(err, ShouldBeNil)
-			So(got, ShouldResemble, CancelledAll{Cancelled: 20})
-			So(b.Open(), ShouldEqual, 75)
-			So(b.OpenOf("b"), ShouldEqual, 0)
+			So(got, ShouldResemble, CancelledMany{Cancelled: 20})
+			So(b.OpenJobs(), ShouldEqual, 75)
+			So(b.OpenJobsOf("b"), ShouldEqual, 0)
 			var keys []string
 			for key, j := range b.Jobs {
 				if j.Spec.Team == "a" && len(keys) < 10 {
 					keys = append(keys, key)
 				}
 			}
-			got, err = b.do(&Cancels{Keys: append(keys, "nobody", keys[0])})
+			got, err = b.do(&CancelMany{Keys: append(keys, "nobody", keys[0])})
 			So(err, ShouldBeNil)
-			So(got, ShouldResemble, CancelledAll{Cancelled: 10, Over: 1, Unknown: []string{"nobody"}})
-			for _, bad := range []*Cancels{{}, {Keys: keys, Team: "a"}} {
+			So(got, ShouldResemble, CancelledMany{Cancelled: 10, Over: 1, Unknown: []string{"nobody"}})
+			for _, bad := range []*CancelMany{{}, {Keys: keys, Team: "a"}} {
 				_, err = b.do(bad)
 				So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 			}
 		})
 	})
 	Convey("an operator's order is applied once and answered the same for ever; its id is not another's", t, func() {
-		b := newBook()
-		first, err := b.do(&Zone{Order: "o", Zone: "z1", Out: true})
+		b := newTestState()
+		first, err := b.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
 		So(err, ShouldBeNil)
-		b.do(&Zone{Order: "p", Zone: "z1"})
-		again, err := b.do(&Zone{Order: "o", Zone: "z1", Out: true})
+		b.do(&EvacuateZone{Order: "p", Zone: "z1"})
+		again, err := b.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
 		So(err, ShouldBeNil)
 		So(fmt.Sprint(again), ShouldEqual, fmt.Sprint(first))
 		So(b.Evacuated, ShouldBeEmpty) // not applied a second time
-		_, err = b.do(&Zone{Order: "o", Zone: "z2", Out: true})
+		_, err = b.do(&EvacuateZone{Order: "o", Zone: "z2", Out: true})
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 	})
 }
 
-func TestEndBeforeBoot(t *testing.T) {
+func TestEndBeforeNewIncarnation(t *testing.T) {
 	Convey("An end that stands in one plan with its minion's new boot counts", t, func() {
-		b := newBook()
+		b := newTestState()
 		b.submit("j", state.StepSpec{Name: "s", Type: "t"})
 		b.start(1)
-		runID := b.start(1, on("m1", "j", 0)).RunIDs[0]
+		runID := b.start(1, startOn("m1", "j", 0)).RunIDs[0]
 		So(runID, ShouldNotEqual, 0)
-		m := minion("m1")
-		m.Boot = "b2"
-		_, err := b.do(&Plan{Epoch: 1, Ends: []End{{RunID: runID, OK: true}}, Minions: []state.Minion{m}})
+		m := testWorker("m1")
+		m.Incarnation = "b2"
+		_, err := b.do(&Plan{Epoch: 1, Ends: []End{{RunID: runID, OK: true}}, Workers: []state.Worker{m}})
 		So(err, ShouldBeNil)
 		So(b.Jobs["j"].Tasks[0][0].Phase, ShouldEqual, state.TaskDone)
 		So(b.Jobs["j"].Phase, ShouldEqual, state.JobDone)
--- a/internal/state/command/util.go
+++ b/internal/state/command/util.go
@@ -13,11 +13,13 @@
 
 func has(list []string, name string) bool { return slices.Contains(list, name) }
 
-func at(list string, i int, field string) string { return fmt.Sprintf("%s[%d].%s", list, i, field) }
+func fieldPath(list string, i int, field string) string {
+	return fmt.Sprintf("%s[%d].%s", list, i, field)
+}
 
-// once applies an operator's order at most once: the same id with the same content gets the first answer
+// applyOnce applies an operator's order at most once: the same id with the same content gets the first answer
 // again, with other content a conflict. A refusal is not remembered: nothing was done.
-func once(s *state.State, id string, c Command, do func() (any, error)) (any, error) {
+func applyOnce(s *state.State, id string, c Command, do func() (any, error)) (any, error) {
 	if id == "" {
 		return nil, errs.Field(errs.Invalid, "order", "an order needs an id")
 	}
@@ -41,7 +43,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode answer to order %s", id)
 	}
-	s.Orders[id] = &state.Order{Digest: digest, Answer: raw, At: s.At}
+	s.Orders[id] = &state.AnsweredOrder{Digest: digest, Answer: raw, At: s.At}
 	s.OrderKeys = append(s.OrderKeys, id)
 	return json.RawMessage(raw), nil
 }
--- a/internal/state/line.go
+++ b/internal/state/line.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/jobs"
 )
 
-// First is the text of version 1, in force from the founding: one queue `default` that any minion may serve.
-const First = `{
+// InitialBundle is the text of version 1, in force from the founding: one queue `default` that any minion may serve.
+const InitialBundle = `{
   "queues": {
     "default": {}
   },
@@ -20,32 +20,32 @@
 }
 `
 
-const firstDigest = "be4f1ed5c7468620e0a1d8d4306b21979535183d590194d65345ea610808b8e2"
+const initialBundleDigest = "be4f1ed5c7468620e0a1d8d4306b21979535183d590194d65345ea610808b8e2"
 
-// RevisionPhase is where a version of the bundle stands. Only State.Turn changes it.
+// RevisionPhase is where a version of the bundle stands. Only State.SetRevisionPhase changes it.
 type RevisionPhase string
 
 const (
 	RevisionDraft    RevisionPhase = "draft"       // written, unsigned
 	RevisionSigned   RevisionPhase = "signed once" // by one operator
-	RevisionForce    RevisionPhase = "in force"    // the version that holds
+	RevisionInForce  RevisionPhase = "in force"    // the version that holds
 	RevisionReplaced RevisionPhase = "replaced"    // by a newer version, after or without having been in force; final
 )
 
 // Revision is one version of the bundle in the operators' line. Body is its exact bytes, nil once it was let go.
 type Revision struct {
-	Version uint64        `json:"version"`
-	Base    uint64        `json:"base"`
-	Digest  string        `json:"sha256"`
-	Size    int           `json:"size"`
-	Order   string        `json:"order,omitempty"` // that wrote it
-	By      string        `json:"by,omitempty"`    // the operator whose order it was
-	At      time.Time     `json:"at,omitzero"`
-	Phase   RevisionPhase `json:"state"`
-	Signed  []Signature   `json:"signed,omitempty"`
-	Force   time.Time     `json:"in_force,omitzero"` // since when
-	Until   time.Time     `json:"until,omitzero"`    // when it was replaced
-	Body    []byte        `json:"body,omitempty"`
+	Version      uint64        `json:"version"`
+	Base         uint64        `json:"base"`
+	Digest       string        `json:"sha256"`
+	Size         int           `json:"size"`
+	Order        string        `json:"order,omitempty"` // that wrote it
+	Author       string        `json:"by,omitempty"`    // the operator whose order it was
+	WrittenAt    time.Time     `json:"at,omitzero"`
+	Phase        RevisionPhase `json:"state"`
+	Signed       []Signature   `json:"signed,omitempty"`
+	InForceSince time.Time     `json:"in_force,omitzero"` // since when
+	ReplacedAt   time.Time     `json:"until,omitzero"`    // when it was replaced
+	Body         []byte        `json:"body,omitempty"`
 }
 
 // Signature is an operator's word for a version: Sig, in base64, is over signature.Bundle of version and digest.
@@ -64,34 +64,34 @@
 	KeepUnfinished = 200     // versions that never were
 )
 
-// turns is the table of the changes of a version's phase that exist.
-var turns = map[RevisionPhase][]RevisionPhase{
-	RevisionDraft:  {RevisionSigned, RevisionReplaced},
-	RevisionSigned: {RevisionForce, RevisionReplaced},
-	RevisionForce:  {RevisionReplaced},
+// revisionTransitions is the table of the changes of a version's phase that exist.
+var revisionTransitions = map[RevisionPhase][]RevisionPhase{
+	RevisionDraft:   {RevisionSigned, RevisionReplaced},
+	RevisionSigned:  {RevisionInForce, RevisionReplaced},
+	RevisionInForce: {RevisionReplaced},
 }
 
-// Turn is the one function that changes a version's phase. Failure: Stale.
-func (s *State) Turn(r *Revision, to RevisionPhase) error {
-	if !slices.Contains(turns[r.Phase], to) {
+// SetRevisionPhase is the one function that changes a version's phase. Failure: Stale.
+func (s *State) SetRevisionPhase(r *Revision, to RevisionPhase) error {
+	if !slices.Contains(revisionTransitions[r.Phase], to) {
 		return errs.New(errs.Stale, "version %d is %s, cannot become %s", r.Version, r.Phase, to)
 	}
 	r.Phase = to
 	switch to {
-	case RevisionForce:
-		r.Force = s.At
+	case RevisionInForce:
+		r.InForceSince = s.At
 	case RevisionReplaced:
-		r.Until = s.At
+		r.ReplacedAt = s.At
 	}
 	return nil
 }
 
 // Head is the newest version, draft or not: what the next one must be written against.
-func (s *State) Head() *Revision { return s.Line[len(s.Line)-1] }
+func (s *State) Head() *Revision { return s.Revisions[len(s.Revisions)-1] }
 
 // Revision finds a version; nil if there is none or it was let go.
 func (s *State) Revision(version uint64) *Revision {
-	for _, r := range slices.Backward(s.Line) {
+	for _, r := range slices.Backward(s.Revisions) {
 		if r.Version == version {
 			return r
 		}
@@ -99,51 +99,51 @@
 	return nil
 }
 
-// Append puts a version at the head of the line; a head that waits for signatures is replaced by it.
-func (s *State) Append(r *Revision) error {
+// AppendRevision puts a version at the head of the line; a head that waits for signatures is replaced by it.
+func (s *State) AppendRevision(r *Revision) error {
 	if head := s.Head(); head.Phase == RevisionDraft || head.Phase == RevisionSigned {
-		if err := s.Turn(head, RevisionReplaced); err != nil {
+		if err := s.SetRevisionPhase(head, RevisionReplaced); err != nil {
 			return errs.Pass(err, "append")
 		}
 	}
-	s.Line = append(s.Line, r)
-	s.trim()
+	s.Revisions = append(s.Revisions, r)
+	s.trimRevisions()
 	return nil
 }
 
-// Enforce puts a version that has its signatures in force: b is what its bytes say. Watchers are told.
-func (s *State) Enforce(r *Revision, b Bundle) error {
+// PutInForce puts a version that has its signatures in force: b is what its bytes say. Watchers are told.
+func (s *State) PutInForce(r *Revision, b Bundle) error {
 	if old := s.Revision(s.Bundle.Version); old != nil {
-		if err := s.Turn(old, RevisionReplaced); err != nil {
+		if err := s.SetRevisionPhase(old, RevisionReplaced); err != nil {
 			return errs.Pass(err, "enforce")
 		}
 	}
-	if err := s.Turn(r, RevisionForce); err != nil {
+	if err := s.SetRevisionPhase(r, RevisionInForce); err != nil {
 		return errs.Pass(err, "enforce")
 	}
 	b.Version = r.Version
 	s.Bundle = b
 	if len(b.Operators) > 0 {
 		s.Operators = b.Operators
-		clear(s.Lifts) // half signed, perhaps by one who is none any more
+		clear(s.LiftSignatures) // half signed, perhaps by one who is none any more
 	}
-	s.trim()
-	s.tell(Note{Kind: NotePlacement})
+	s.trimRevisions()
+	s.notify(Event{Kind: EventPlacementChanged})
 	return nil
 }
 
-// trim lets old versions go, from the newest back.
-func (s *State) trim() {
+// trimRevisions lets old versions go, from the newest back.
+func (s *State) trimRevisions() {
 	forced, drafts, bytes := 0, 0, 0
-	keep := make([]*Revision, 0, len(s.Line))
-	for i, r := range slices.Backward(s.Line) {
-		if i == len(s.Line)-1 || r.Phase == RevisionForce {
+	keep := make([]*Revision, 0, len(s.Revisions))
+	for i, r := range slices.Backward(s.Revisions) {
+		if i == len(s.Revisions)-1 || r.Phase == RevisionInForce {
 			bytes += len(r.Body)
 			keep = append(keep, r)
 			continue
 		}
 		n, bodies, most := &drafts, KeepDrafts, KeepUnfinished
-		if !r.Force.IsZero() {
+		if !r.InForceSince.IsZero() {
 			n, bodies, most = &forced, KeepBodies, KeepRevisions
 		}
 		if *n++; *n > most {
@@ -156,14 +156,14 @@
 		keep = append(keep, r)
 	}
 	slices.Reverse(keep)
-	s.Line = keep
+	s.Revisions = keep
 }
 
-func (s *State) found() {
-	if s.Table == nil { // also in encodings from before there was one
-		s.Table = jobs.NewTable()
+func (s *State) fillDefaults() {
+	if s.JobTable == nil { // also in encodings from before there was one
+		s.JobTable = jobs.NewTable()
 	}
-	if len(s.Line) == 0 {
-		s.Line = []*Revision{{Version: 1, Size: len(First), Digest: firstDigest, Phase: RevisionForce, Body: []byte(First)}}
+	if len(s.Revisions) == 0 {
+		s.Revisions = []*Revision{{Version: 1, Size: len(InitialBundle), Digest: initialBundleDigest, Phase: RevisionInForce, Body: []byte(InitialBundle)}}
 	}
 }
--- a/internal/state/query/account.go
+++ b/internal/state/query/account.go
@@ -28,7 +28,7 @@
 
 // Account gives one account. Failure: Unknown.
 func Account(s *state.State, name string) (internalapi.AccountView, error) {
-	if _, err := find(s, name); err != nil {
+	if _, err := findAccount(s, name); err != nil {
 		return internalapi.AccountView{}, errs.Pass(err, "show")
 	}
 	return accountView(s, name, runsByAccount(s)[name], waitingByParty(s)[name]), nil
@@ -36,7 +36,7 @@
 
 // Ledger gives entries of an account after a number, at most limit. Failure: Unknown.
 func Ledger(s *state.State, name string, after uint64, limit int) (internalapi.LedgerAnswer, error) {
-	a, err := find(s, name)
+	a, err := findAccount(s, name)
 	if err != nil {
 		return internalapi.LedgerAnswer{}, errs.Pass(err, "ledger")
 	}
@@ -45,7 +45,7 @@
 
 // ExportLedger gives an account's ledger as CSV. Failures: Unknown, Damaged.
 func ExportLedger(s *state.State, name string) ([]byte, error) {
-	a, err := find(s, name)
+	a, err := findAccount(s, name)
 	if err != nil {
 		return nil, errs.Pass(err, "export")
 	}
@@ -54,7 +54,7 @@
 	return out.Bytes(), errs.Pass(err, "export")
 }
 
-func find(s *state.State, name string) (*account.Account, error) {
+func findAccount(s *state.State, name string) (*account.Account, error) {
 	if s.Accounts == nil || s.Accounts.Accounts[name] == nil {
 		return nil, errs.Field(errs.Unknown, "account", "no account %q", name)
 	}
@@ -65,13 +65,13 @@
 	a, p := s.Accounts.Accounts[name], s.Bundle.Parties[name]
 	v := internalapi.AccountView{Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
 		Runs: runs, Rate: a.Rate(), Teams: p.Teams, Queues: p.Queues, Waiting: waiting}
-	v.DryIn, v.Draws = a.DryIn()
-	v.Warning = warning(&v, p)
+	v.DryIn, v.Draws = a.ExhaustedIn()
+	v.Warning = balanceWarning(&v, p)
 	return v
 }
 
-// warning tells that an account is dry, or soon will be; "" if neither.
-func warning(v *internalapi.AccountView, p state.Party) string {
+// balanceWarning tells that an account is dry, or soon will be; "" if neither.
+func balanceWarning(v *internalapi.AccountView, p state.Party) string {
 	switch {
 	case v.Waiting > 0:
 		return fmt.Sprintf("dry: %d jobs wait for a top-up", v.Waiting)
@@ -96,23 +96,23 @@
 		return out
 	}
 	for _, j := range s.Jobs {
-		if j.Phase == state.JobRunning && s.Unpaid(j) != "" {
+		if j.Phase == state.JobRunning && s.UnpaidReason(j) != "" {
 			out[s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)]++
 		}
 	}
 	return out
 }
 
-// waitsBehind tells that a job's due tasks wait as the balance of their party is kept for a job that goes before it; ""
+// waitsBehindReason tells that a job's due tasks wait as the balance of their party is kept for a job that goes before it; ""
 // if they do not. It looks at all jobs of the party.
-func waitsBehind(s *state.State, j *state.Job) string {
+func waitsBehindReason(s *state.State, j *state.Job) string {
 	party := s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)
-	if party == "" || j.Phase != state.JobRunning || !hasDue(j) {
+	if party == "" || j.Phase != state.JobRunning || !hasDueTask(j) {
 		return ""
 	}
 	for _, other := range s.Jobs {
 		if other.Phase == state.JobRunning && s.Bundle.PartyOf(other.Spec.Queue, other.Spec.Team) == party && goesBefore(s, other, j) &&
-			s.Unpaid(other) != "" {
+			s.UnpaidReason(other) != "" {
 			return fmt.Sprintf("party %s is dry for a job that goes before this one; the job goes on by itself after a top-up", party)
 		}
 	}
@@ -128,7 +128,7 @@
 	return one.Seq < other.Seq
 }
 
-func hasDue(j *state.Job) bool {
+func hasDueTask(j *state.Job) bool {
 	for _, tasks := range j.Tasks {
 		if slices.ContainsFunc(tasks, func(t state.Task) bool { return t.Phase == state.TaskDue }) {
 			return true
--- a/internal/state/query/bundle.go
+++ b/internal/state/query/bundle.go
@@ -17,11 +17,11 @@
 // Revisions gives the line without bodies, newest first, at most limit.
 func Revisions(s *state.State, limit int) []state.Revision {
 	var out []state.Revision
-	for _, r := range slices.Backward(s.Line) {
+	for _, r := range slices.Backward(s.Revisions) {
 		if len(out) == limit {
 			break
 		}
-		out = append(out, *bare(r))
+		out = append(out, *withoutBody(r))
 	}
 	return out
 }
@@ -32,10 +32,10 @@
 	if r == nil {
 		return state.Revision{}, nil, errs.Field(errs.Unknown, "version", "no version %d", version)
 	}
-	return *bare(r), r.Body, nil
+	return *withoutBody(r), r.Body, nil
 }
 
-func bare(r *state.Revision) *state.Revision {
+func withoutBody(r *state.Revision) *state.Revision {
 	out := *r
 	out.Body, out.Signed = nil, slices.Clone(r.Signed)
 	return &out
@@ -52,7 +52,7 @@
 func Zones(s *state.State) []ZoneView {
 	out := []ZoneView{}
 	for zone, since := range s.Evacuated {
-		out = append(out, ZoneView{zone, since, slices.Clone(s.Lifts[zone])})
+		out = append(out, ZoneView{zone, since, slices.Clone(s.LiftSignatures[zone])})
 	}
 	slices.SortFunc(out, func(a, b ZoneView) int {
 		if a.Zone < b.Zone {
--- a/internal/state/query/golden_test.go
+++ b/internal/state/query/golden_test.go
@@ -12,6 +12,6 @@
 		golden.Shape("zone view", ZoneView{}),
 		golden.Shape("job view", JobView{}),
 		golden.Shape("step view", StepView{}),
-		golden.Shape("minion view", MinionView{}),
+		golden.Shape("minion view", WorkerView{}),
 	)
 }
--- a/internal/state/query/query.go
+++ b/internal/state/query/query.go
@@ -11,70 +11,70 @@
 
 // JobView is a job as clients see it. Its JSON is the answer of GET /v1/jobs/{key}.
 type JobView struct {
-	Key       string         `json:"key"`
-	Team      string         `json:"team,omitempty"`
-	Queue     string         `json:"queue,omitempty"`
-	State     state.JobPhase `json:"state"`
-	Reason    string         `json:"reason,omitempty"`
-	Waits     string         `json:"waits,omitempty"` // why bundle or balance let nothing of it start
-	Submitted time.Time      `json:"submitted,omitzero"`
-	Ended     time.Time      `json:"ended,omitzero"`
-	Steps     []StepView     `json:"steps,omitempty"`
+	Key        string         `json:"key"`
+	Team       string         `json:"team,omitempty"`
+	Queue      string         `json:"queue,omitempty"`
+	State      state.JobPhase `json:"state"`
+	Reason     string         `json:"reason,omitempty"`
+	WaitReason string         `json:"waits,omitempty"` // why bundle or balance let nothing of it start
+	Submitted  time.Time      `json:"submitted,omitzero"`
+	Ended      time.Time      `json:"ended,omitzero"`
+	Steps      []StepView     `json:"steps,omitempty"`
 }
 
 // StepView counts the tasks of a step by where they stand.
 type StepView struct {
-	Name     string `json:"name"`
-	Type     string `json:"type"`
-	Tasks    int    `json:"tasks"`
-	Waiting  int    `json:"waiting,omitempty"`
-	Due      int    `json:"due,omitempty"`
-	Held     int    `json:"held,omitempty"`
-	Running  int    `json:"running,omitempty"`
-	Doubtful int    `json:"doubtful,omitempty"`
-	Done     int    `json:"done,omitempty"`
-	Spent    int    `json:"spent,omitempty"`
-	Skipped  int    `json:"skipped,omitempty"`
-	Failures int    `json:"faults,omitempty"`
-	Lost     int    `json:"lost,omitempty"`
-	Reason   string `json:"reason,omitempty"` // of the newest failure of a task that is not done
+	Name        string `json:"name"`
+	Type        string `json:"type"`
+	Tasks       int    `json:"tasks"`
+	Waiting     int    `json:"waiting,omitempty"`
+	Due         int    `json:"due,omitempty"`
+	Assigned    int    `json:"held,omitempty"`
+	Running     int    `json:"running,omitempty"`
+	Unconfirmed int    `json:"doubtful,omitempty"`
+	Done        int    `json:"done,omitempty"`
+	Failed      int    `json:"spent,omitempty"`
+	Skipped     int    `json:"skipped,omitempty"`
+	Failures    int    `json:"faults,omitempty"`
+	Lost        int    `json:"lost,omitempty"`
+	Reason      string `json:"reason,omitempty"` // of the newest failure of a task that is not done
 }
 
 // Job gives a job, or what its tombstone still tells; errs.Unknown if the store has neither.
 func Job(s *state.State, key string) (JobView, error) {
 	if j := s.Jobs[key]; j != nil {
-		v := view(s, j)
-		if v.Waits == "" {
-			v.Waits = waitsBehind(s, j)
+		v := jobView(s, j)
+		if v.WaitReason == "" {
+			v.WaitReason = waitsBehindReason(s, j)
 		}
 		return v, nil
 	}
-	if t := s.Tombs[key]; t != nil {
-		return JobView{Key: key, Team: t.Team, State: t.Phase, Reason: t.Reason, Ended: t.Ended}, nil
+	if t := s.Tombstones[key]; t != nil {
+		return JobView{Key: key, Team: t.Team, State: t.Phase, Reason: t.Reason, Ended: t.EndedAt}, nil
 	}
 	return JobView{}, errs.Field(errs.Unknown, "key", "no job %q", key)
 }
 
-func view(s *state.State, j *state.Job) JobView {
+func jobView(s *state.State, j *state.Job) JobView {
 	v := JobView{Key: j.Spec.Key, Team: j.Spec.Team, Queue: j.Spec.Queue, State: j.Phase, Reason: j.Reason,
-		Submitted: j.At, Ended: j.Ended, Steps: make([]StepView, len(j.Spec.Steps))}
-	if !j.Phase.Over() && j.Phase != state.JobStopping {
-		if v.Waits = s.Waits(&j.Spec); v.Waits == "" {
-			v.Waits = s.Unpaid(j)
+		Submitted: j.SubmittedAt, Ended: j.EndedAt, Steps: make([]StepView, len(j.Spec.Steps))}
+	if !j.Phase.IsTerminal() && j.Phase != state.JobStopping {
+		if v.WaitReason = s.WaitReason(&j.Spec); v.WaitReason == "" {
+			v.WaitReason = s.UnpaidReason(j)
 		}
 	}
 	for i, step := range j.Spec.Steps {
 		sv := &v.Steps[i]
 		sv.Name, sv.Type, sv.Tasks = step.Name, step.Type, step.Tasks
-		slots := map[state.TaskPhase]*int{
-			state.TaskWaiting: &sv.Waiting, state.TaskDue: &sv.Due, state.TaskHeld: &sv.Held,
-			state.TaskRunning: &sv.Running, state.TaskDoubtful: &sv.Doubtful, state.TaskDone: &sv.Done,
-			state.TaskSpent: &sv.Spent, state.TaskSkipped: &sv.Skipped,
+		taskCounts := map[state.TaskPhase]*int{
+			state.TaskWaiting: &sv.Waiting, state.TaskDue: &sv.Due, state.TaskAssigned: &sv.Assigned,
+			state.TaskRunning: &sv.Running, state.TaskUnconfirmed: &sv.Unconfirmed, state.TaskDone: &sv.Done,
+			state.TaskFailed: &sv.Failed, state.TaskSkipped: &sv.Skipped,
 		}
 		for k := range j.Tasks[i] {
 			t := &j.Tasks[i][k]
-			*slots[t.Phase]++
-			sv.Failures += t.Tries
+			*taskCounts[t.Phase]++
+			sv.Failures += t.Failures
 			sv.Lost += t.Lost
 			if t.Reason != "" && t.Phase != state.TaskDone {
 				sv.Reason = t.Reason
@@ -84,9 +84,9 @@
 	return v
 }
 
-// List gives the jobs of a team ("" any) in a state ("" any) with keys after `after`, in order of keys, at most
+// Jobs gives the jobs of a team ("" any) in a state ("" any) with keys after `after`, in order of keys, at most
 // limit; more tells whether there are others.
-func List(s *state.State, team string, phase state.JobPhase, after string, limit int) (jobs []JobView, more bool) {
+func Jobs(s *state.State, team string, phase state.JobPhase, after string, limit int) (jobs []JobView, more bool) {
 	keys := make([]string, 0, 64)
 	for key, j := range s.Jobs {
 		if key > after && (team == "" || j.Spec.Team == team) && (phase == "" || j.Phase == phase) {
@@ -98,38 +98,38 @@
 		keys = keys[:limit]
 	}
 	for _, key := range keys {
-		v := view(s, s.Jobs[key])
+		v := jobView(s, s.Jobs[key])
 		v.Steps = nil
 		jobs = append(jobs, v)
 	}
 	return jobs, more
 }
 
-// Figures counts what is in the store.
-type Figures struct {
-	Jobs, Inbox, Tombs, Handles, Minions int
-	RunningCounts                        map[string]int
+// Counts counts what is in the store.
+type Counts struct {
+	Jobs, Inbox, Tombstones, Handles, Workers int
+	RunningCounts                             map[string]int
 }
 
 // Count gives the Figures of s.
-func Count(s *state.State) Figures {
-	return Figures{len(s.Jobs), len(s.Inbox), len(s.Tombs), len(s.Handles), len(s.Minions), s.RunningCounts()}
+func Count(s *state.State) Counts {
+	return Counts{len(s.Jobs), len(s.Inbox), len(s.Tombstones), len(s.Handles), len(s.Workers), s.RunningCounts()}
 }
 
-// MinionView is a minion with what is out on it.
-type MinionView struct {
-	state.Minion
-	RunIDs    int `json:"tickets"`
+// WorkerView is a minion with what is out on it.
+type WorkerView struct {
+	state.Worker
+	RunCount  int `json:"tickets"`
 	UsedCores int `json:"used_cores"`
 	UsedGPUs  int `json:"used_gpus"`
 }
 
-// Minions gives every minion in order of names.
-func Minions(s *state.State) []MinionView {
-	out := make([]MinionView, 0, len(s.Minions))
-	for _, name := range s.MinionNames() {
-		r := s.Room(name)
-		out = append(out, MinionView{*s.Minions[name], len(r.RunIDs), r.Cores, r.GPUs})
+// Workers gives every minion in order of names.
+func Workers(s *state.State) []WorkerView {
+	out := make([]WorkerView, 0, len(s.Workers))
+	for _, name := range s.WorkerNames() {
+		r := s.UsageOf(name)
+		out = append(out, WorkerView{*s.Workers[name], len(r.Handles), r.Cores, r.GPUs})
 	}
 	return out
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -28,37 +28,39 @@
 	JobCancelled JobPhase = "cancelled" // a client cancelled it and nothing of it runs any more
 )
 
-// Over tells whether the phase is final.
-func (p JobPhase) Over() bool { return p == JobDone || p == JobFailed || p == JobCancelled }
+// IsTerminal tells whether the phase is final.
+func (p JobPhase) IsTerminal() bool { return p == JobDone || p == JobFailed || p == JobCancelled }
 
 // TaskPhase is where a task stands. Only State.move changes it.
 type TaskPhase string
 
 const (
-	TaskWaiting  TaskPhase = ""  // its step waits for others, or the job is in the inbox
-	TaskDue      TaskPhase = "d" // wants a run ID, from Task.Due on
-	TaskHeld     TaskPhase = "h" // has a run ID; not yet listed as running
-	TaskRunning  TaskPhase = "r" // listed as running
-	TaskDoubtful TaskPhase = "?" // an answer about it was lost; waits for proof
-	TaskDone     TaskPhase = "e" // ended well; final
-	TaskSpent    TaskPhase = "x" // given up after its retries; final
-	TaskSkipped  TaskPhase = "s" // never to run: the job was cancelled or gave up; final
+	TaskWaiting     TaskPhase = ""  // its step waits for others, or the job is in the inbox
+	TaskDue         TaskPhase = "d" // wants a run ID, from Task.DueAt on
+	TaskAssigned    TaskPhase = "h" // has a run ID; not yet listed as running
+	TaskRunning     TaskPhase = "r" // listed as running
+	TaskUnconfirmed TaskPhase = "?" // an answer about it was lost; waits for proof
+	TaskDone        TaskPhase = "e" // ended well; final
+	TaskFailed      TaskPhase = "x" // given up after its retries; final
+	TaskSkipped     TaskPhase = "s" // never to run: the job was cancelled or gave up; final
 )
 
-// Over tells whether the phase is final.
-func (p TaskPhase) Over() bool { return p == TaskDone || p == TaskSpent || p == TaskSkipped }
+// IsTerminal tells whether the phase is final.
+func (p TaskPhase) IsTerminal() bool { return p == TaskDone || p == TaskFailed || p == TaskSkipped }
 
-// Open tells whether a handle is out for a task in this phase.
-func (p TaskPhase) Open() bool { return p == TaskHeld || p == TaskRunning || p == TaskDoubtful }
+// HasHandle tells whether a handle is out for a task in this phase.
+func (p TaskPhase) HasHandle() bool {
+	return p == TaskAssigned || p == TaskRunning || p == TaskUnconfirmed
+}
 
 // Task is one task of a step.
 type Task struct {
-	Phase  TaskPhase `json:"p,omitempty"`
-	Tries  int       `json:"n,omitempty"` // ends in failure so far
-	Lost   int       `json:"l,omitempty"` // handles proved dead without an end
-	RunID  uint64    `json:"t,omitempty"` // the newest run ID given
-	Due    time.Time `json:"d,omitzero"`  // store time from which it may start
-	Reason string    `json:"w,omitempty"` // of the last failure
+	Phase    TaskPhase `json:"p,omitempty"`
+	Failures int       `json:"n,omitempty"` // ends in failure so far
+	Lost     int       `json:"l,omitempty"` // handles proved dead without an end
+	RunID    uint64    `json:"t,omitempty"` // the newest run ID given
+	DueAt    time.Time `json:"d,omitzero"`  // store time from which it may start
+	Reason   string    `json:"w,omitempty"` // of the last failure
 }
 
 // Spec is what a client hands in. Its JSON is the body of POST /v1/jobs.
@@ -71,38 +73,38 @@
 
 // StepSpec is one step: Tasks equal tasks of one type, after the steps named.
 type StepSpec struct {
-	Name     string            `json:"name"`
-	Type     string            `json:"type"`
-	After    []string          `json:"after,omitempty"`
-	Tasks    int               `json:"tasks"`
-	Cores    int               `json:"cores"`
-	GPUs     int               `json:"gpus,omitempty"`
-	Labels   map[string]string `json:"labels,omitempty"`
-	Retries  int               `json:"retries"`
-	Run      json.RawMessage   `json:"run,omitempty"`
-	Standing bool              `json:"standing,omitempty"`
-	Gang     bool              `json:"gang,omitempty"`
+	Name        string            `json:"name"`
+	Type        string            `json:"type"`
+	After       []string          `json:"after,omitempty"`
+	Tasks       int               `json:"tasks"`
+	Cores       int               `json:"cores"`
+	GPUs        int               `json:"gpus,omitempty"`
+	Labels      map[string]string `json:"labels,omitempty"`
+	Retries     int               `json:"retries"`
+	Run         json.RawMessage   `json:"run,omitempty"`
+	LongRunning bool              `json:"standing,omitempty"`
+	Gang        bool              `json:"gang,omitempty"`
 }
 
 // Job is a job in the store.
 type Job struct {
-	Spec    Spec      `json:"spec"`
-	Digest  string    `json:"digest"`
-	Phase   JobPhase  `json:"phase"`
-	Outcome JobPhase  `json:"outcome,omitempty"` // while stopping: what it will be
-	Reason  string    `json:"reason,omitempty"`
-	Seq     uint64    `json:"seq"` // inbox sequence number
-	At      time.Time `json:"at"`
-	Ended   time.Time `json:"ended,omitzero"`
-	Tasks   [][]Task  `json:"tasks"` // by step, by task
+	Spec        Spec      `json:"spec"`
+	Digest      string    `json:"digest"`
+	Phase       JobPhase  `json:"phase"`
+	Outcome     JobPhase  `json:"outcome,omitempty"` // while stopping: what it will be
+	Reason      string    `json:"reason,omitempty"`
+	Seq         uint64    `json:"seq"` // inbox sequence number
+	SubmittedAt time.Time `json:"at"`
+	EndedAt     time.Time `json:"ended,omitzero"`
+	Tasks       [][]Task  `json:"tasks"` // by step, by task
 
-	left  []int // tasks of each step that have not ended well
-	open  int   // handles out
-	steps map[string]int
+	remaining []int // tasks of each step that have not ended well
+	handles   int   // handles out
+	steps     map[string]int
 }
 
-// Open is how many handles of the job are out.
-func (j *Job) Open() int { return j.open }
+// HasHandle is how many handles of the job are out.
+func (j *Job) HandleCount() int { return j.handles }
 
 // TaskRef names a task.
 type TaskRef struct {
@@ -114,40 +116,40 @@
 // Handle is a run handle: the durable record of a run ID. It exists from the commit of the run ID to its
 // listed end or the proof that it is dead.
 type Handle struct {
-	RunID           uint64        `json:"t"`
-	Ref             TaskRef       `json:"r"`
-	Minion          string        `json:"m"`
-	Boot            string        `json:"b"`
-	Epoch           uint64        `json:"e"`
-	PlacementPolicy uint64        `json:"c"`
-	Type            string        `json:"y"`
-	Cores           int           `json:"n"`
-	GPUs            int           `json:"g,omitempty"`
-	Hold            time.Duration `json:"h"`
-	Phase           TaskPhase     `json:"p"`
-}
-
-// Minion is what the store knows of a minion.
-type Minion struct {
-	Name     string            `json:"name"`
-	Addr     string            `json:"addr"`
-	Boot     string            `json:"boot,omitempty"` // as the holder of sched last heard it in an answer
-	Kind     string            `json:"kind"`           // obey or check
-	Zone     string            `json:"zone"`
-	Rack     string            `json:"rack,omitempty"`
-	Labels   map[string]string `json:"labels,omitempty"`
-	Cores    int               `json:"cores"`
-	GPUs     int               `json:"gpus,omitempty"`
-	Draining bool              `json:"draining,omitempty"` // reported by the minion
-	Closed   bool              `json:"closed,omitempty"`   // drained by an operator
-}
-
-// Duty is a singleton duty and its holder. Epoch is the log index of the grant.
-type Duty struct {
-	Holder string `json:"holder,omitempty"` // node name; "" after it was given up
-	Addr   string `json:"addr,omitempty"`
-	Boot   string `json:"boot,omitempty"`
-	Epoch  uint64 `json:"epoch"`
+	RunID         uint64        `json:"t"`
+	Ref           TaskRef       `json:"r"`
+	Worker        string        `json:"m"`
+	Incarnation   string        `json:"b"`
+	Epoch         uint64        `json:"e"`
+	BundleVersion uint64        `json:"c"`
+	Type          string        `json:"y"`
+	Cores         int           `json:"n"`
+	GPUs          int           `json:"g,omitempty"`
+	LeaseTTL      time.Duration `json:"h"`
+	Phase         TaskPhase     `json:"p"`
+}
+
+// Worker is what the store knows of a minion.
+type Worker struct {
+	Name        string            `json:"name"`
+	Addr        string            `json:"addr"`
+	Incarnation string            `json:"boot,omitempty"` // as the holder of sched last heard it in an answer
+	Kind        string            `json:"kind"`           // obey or check
+	Zone        string            `json:"zone"`
+	Rack        string            `json:"rack,omitempty"`
+	Labels      map[string]string `json:"labels,omitempty"`
+	Cores       int               `json:"cores"`
+	GPUs        int               `json:"gpus,omitempty"`
+	Draining    bool              `json:"draining,omitempty"` // reported by the minion
+	Closed      bool              `json:"closed,omitempty"`   // drained by an operator
+}
+
+// Role is a singleton duty and its holder. Epoch is the log index of the grant.
+type Role struct {
+	Holder      string `json:"holder,omitempty"` // node name; "" after it was given up
+	Addr        string `json:"addr,omitempty"`
+	Incarnation string `json:"boot,omitempty"`
+	Epoch       uint64 `json:"epoch"`
 }
 
 // Bundle is the operators' configuration in force.
@@ -158,25 +160,25 @@
 	Backoff Backoff          `json:"backoff"`
 	// Retries bounds what steps may ask for; nil: no bound.
 	Retries *int `json:"retries,omitempty"`
-	// Hold is how long a run goes on unheard; 0: as the holder of sched is set.
-	Hold time.Duration `json:"hold,omitempty"`
+	// LeaseTTL is how long a run goes on unheard; 0: as the holder of sched is set.
+	LeaseTTL time.Duration `json:"hold,omitempty"`
 	// Weights are the teams' shares under contention; a team that is not listed has 1.
 	Weights map[string]int `json:"weights,omitempty"`
 	// Operators, if any are listed, are the operators from this version on: name to public key.
 	Operators map[string]string `json:"operators,omitempty"`
 	// Parties pay for runs; the other two name the party of a queue or team. See SetParties.
 	Parties      map[string]Party  `json:"parties,omitempty"`
-	PayingQueues map[string]string `json:"paying_queues,omitempty"`
-	PayingTeams  map[string]string `json:"paying_teams,omitempty"`
+	PartyByQueue map[string]string `json:"paying_queues,omitempty"`
+	PartyByTeam  map[string]string `json:"paying_teams,omitempty"`
 }
 
-// HoldOf gives the hold of a queue's runs; own is the holder's setting.
-func (b *Bundle) HoldOf(queue string, own time.Duration) time.Duration {
-	return cmp.Or(b.Queues[queue].Hold, b.Hold, own)
+// LeaseTTLFor gives the hold of a queue's runs; own is the holder's setting.
+func (b *Bundle) LeaseTTLFor(queue string, own time.Duration) time.Duration {
+	return cmp.Or(b.Queues[queue].LeaseTTL, b.LeaseTTL, own)
 }
 
-// RetriesOf gives the retries of a queue's step that asks for some.
-func (b *Bundle) RetriesOf(queue string, asked int) int {
+// RetriesFor gives the retries of a queue's step that asks for some.
+func (b *Bundle) RetriesFor(queue string, asked int) int {
 	for _, most := range []*int{b.Queues[queue].Retries, b.Retries} {
 		if most != nil {
 			return min(asked, *most)
@@ -193,126 +195,126 @@
 
 // Queue is an operators' placement queue with its placement policy.
 type Queue struct {
-	Types   []string          `json:"types,omitempty"`  // empty: any
-	Teams   []string          `json:"teams,omitempty"`  // empty: any
-	Labels  map[string]string `json:"labels,omitempty"` // a minion must bear them
-	Minions []string          `json:"minions,omitempty"`
-	Zones   []string          `json:"zones,omitempty"`
-	Racks   []string          `json:"racks,omitempty"`
-	Urgent  bool              `json:"urgent,omitempty"`
-	Near    []Near            `json:"near,omitempty"`
-	Hold    time.Duration     `json:"hold,omitempty"` // over Bundle.Hold
-	Retries *int              `json:"retries,omitempty"`
+	Types    []string          `json:"types,omitempty"`  // empty: any
+	Teams    []string          `json:"teams,omitempty"`  // empty: any
+	Labels   map[string]string `json:"labels,omitempty"` // a minion must bear them
+	Workers  []string          `json:"minions,omitempty"`
+	Zones    []string          `json:"zones,omitempty"`
+	Racks    []string          `json:"racks,omitempty"`
+	Urgent   bool              `json:"urgent,omitempty"`
+	Near     []Near            `json:"near,omitempty"`
+	LeaseTTL time.Duration     `json:"hold,omitempty"` // over Bundle.LeaseTTL
+	Retries  *int              `json:"retries,omitempty"`
 }
 
 // Near wants a data set nearby: a minion that bears Label with Value, in the same rack or zone.
 type Near struct {
-	Label  string `json:"label"`
-	Value  string `json:"value"`
-	Within string `json:"within"` // rack or zone
+	Label string `json:"label"`
+	Value string `json:"value"`
+	Scope string `json:"within"` // rack or zone
 }
 
-// Tomb is what stays of a job that left the store: enough to answer a job sent again.
-type Tomb struct {
-	Digest string    `json:"d"`
-	Team   string    `json:"m,omitempty"`
-	Phase  JobPhase  `json:"p"`
-	Reason string    `json:"w,omitempty"`
-	Ended  time.Time `json:"e"`
+// Tombstone is what stays of a job that left the store: enough to answer a job sent again.
+type Tombstone struct {
+	Digest  string    `json:"d"`
+	Team    string    `json:"m,omitempty"`
+	Phase   JobPhase  `json:"p"`
+	Reason  string    `json:"w,omitempty"`
+	EndedAt time.Time `json:"e"`
 }
 
-// Order is the remembered answer to an operator's order.
-type Order struct {
+// AnsweredOrder is the remembered answer to an operator's order.
+type AnsweredOrder struct {
 	Digest string          `json:"d"`
 	Answer json.RawMessage `json:"a"`
 	At     time.Time       `json:"at"`
 }
 
-// Note is a change that watchers are told of, after it was made.
-type Note struct {
-	Kind   NoteKind
+// Event is a change that watchers are told of, after it was made.
+type Event struct {
+	Kind   EventKind
 	Ref    TaskRef
 	Handle *Handle
 	Name   string // job key, minion, duty or zone
 }
 
-// NoteKind says what a Note is about.
-type NoteKind uint8
+// EventKind says what a Note is about.
+type EventKind uint8
 
 const (
-	NoteDue       NoteKind = iota // a task fell due (Ref)
-	NoteOpened                    // a handle was recorded (Handle)
-	NoteClosed                    // a handle was released (Handle)
-	NoteMinion                    // a minion came or changed (Name)
-	NoteGone                      // a minion was retired (Name)
-	NoteInbox                     // a job entered the inbox (Name)
-	NoteStopping                  // a job's running handles are to be stopped (Name)
-	NoteDuty                      // a duty changed hands (Name)
-	NotePlacement                 // bundle or evacuated zones changed
-	NoteAccount                   // an account was opened or topped up (Name)
+	EventTaskDue          EventKind = iota // a task fell due (Ref)
+	EventHandleCreated                     // a handle was recorded (Handle)
+	EventHandleReleased                    // a handle was released (Handle)
+	EventWorkerChanged                     // a minion came or changed (Name)
+	EventWorkerRetired                     // a minion was retired (Name)
+	EventJobSubmitted                      // a job entered the inbox (Name)
+	EventJobStopping                       // a job's running handles are to be stopped (Name)
+	EventRoleChanged                       // a duty changed hands (Name)
+	EventPlacementChanged                  // bundle or evacuated zones changed
+	EventAccountChanged                    // an account was opened or topped up (Name)
 )
 
 // State is the whole replicated state. It has no lock: its owner has.
 type State struct {
-	Index uint64    `json:"index"` // of the last entry applied
-	Term  uint64    `json:"term"`
-	At    time.Time `json:"at"`     // store time: never goes back
-	RunID uint64    `json:"ticket"` // the newest run ID given
-	// Seq numbers the inbox messages; InboxSeq is the number written ahead by the holder of sched.
-	Seq       uint64               `json:"seq"`
-	InboxSeq  uint64               `json:"inbox_seq"`
-	Inbox     []string             `json:"inbox"` // job keys with Seq above InboxSeq, in order
-	Jobs      map[string]*Job      `json:"jobs"`
-	Ended     []string             `json:"ended"` // keys of jobs that are over, oldest first
-	Tombs     map[string]*Tomb     `json:"tombs"`
-	TombOrder []string             `json:"tomb_order"` // keys, oldest first
-	Handles   map[uint64]*Handle   `json:"handles"`
-	Minions   map[string]*Minion   `json:"minions"`
-	Duties    map[string]*Duty     `json:"duties"`
-	Bundle    Bundle               `json:"bundle"`
-	Line      []*Revision          `json:"line"`      // versions of the bundle, oldest first; never empty
-	Operators map[string]string    `json:"operators"` // name to public key; empty: none known yet
-	Evacuated map[string]time.Time `json:"evacuated"`
+	Index     uint64    `json:"index"` // of the last entry applied
+	Term      uint64    `json:"term"`
+	At        time.Time `json:"at"`     // store time: never goes back
+	LastRunID uint64    `json:"ticket"` // the newest run ID given
+	// Seq numbers the inbox messages; AdmittedSeq is the number written ahead by the holder of sched.
+	Seq            uint64                `json:"seq"`
+	AdmittedSeq    uint64                `json:"inbox_seq"`
+	Inbox          []string              `json:"inbox"` // job keys with Seq above AdmittedSeq, in order
+	Jobs           map[string]*Job       `json:"jobs"`
+	EndedJobs      []string              `json:"ended"` // keys of jobs that are over, oldest first
+	Tombstones     map[string]*Tombstone `json:"tombs"`
+	TombstoneOrder []string              `json:"tomb_order"` // keys, oldest first
+	Handles        map[uint64]*Handle    `json:"handles"`
+	Workers        map[string]*Worker    `json:"minions"`
+	Roles          map[string]*Role      `json:"duties"`
+	Bundle         Bundle                `json:"bundle"`
+	Revisions      []*Revision           `json:"line"`      // versions of the bundle, oldest first; never empty
+	Operators      map[string]string     `json:"operators"` // name to public key; empty: none known yet
+	Evacuated      map[string]time.Time  `json:"evacuated"`
 	// Successors are the cplanes that may join in another's place, by an operator's word: new name to old.
-	Successors map[string]string   `json:"successors,omitempty"`
-	Lifts      map[string][]string `json:"lifts,omitempty"` // zone to the operators who signed its lifting
-	Orders     map[string]*Order   `json:"orders"`
-	OrderKeys  []string            `json:"order_keys"` // oldest first
+	Successors     map[string]string         `json:"successors,omitempty"`
+	LiftSignatures map[string][]string       `json:"lifts,omitempty"` // zone to the operators who signed its lifting
+	Orders         map[string]*AnsweredOrder `json:"orders"`
+	OrderKeys      []string                  `json:"order_keys"` // oldest first
 	// Table holds jobs, workers and configuration of the platform; never nil.
-	Table *jobs.Table `json:"table,omitempty"`
+	JobTable *jobs.Table `json:"table,omitempty"`
 	// Accounts are the parties' prepaid balances; nil until the first one is opened.
-	Accounts *account.Book `json:"accounts,omitempty"`
+	Accounts *account.Table `json:"accounts,omitempty"`
 
-	// Watch is told of changes as they are applied; it must not change the state.
-	Watch func(Note) `json:"-"`
+	// OnEvent is told of changes as they are applied; it must not change the state.
+	OnEvent func(Event) `json:"-"`
 
-	room          map[string]*Room
-	runningCounts map[string]int
-	open          int            // jobs that are not over
-	teams         map[string]int // the same by team
-	sites         map[site]int
+	usage          map[string]*Usage
+	runningCounts  map[string]int
+	openJobs       int            // jobs that are not over
+	openJobsByTeam map[string]int // the same by team
+	labelSites     map[labelSite]int
 }
 
-// Room is what handles take on a minion.
-type Room struct {
+// Usage is what handles take on a minion.
+type Usage struct {
 	Cores, GPUs int
-	RunIDs      map[uint64]*Handle
+	Handles     map[uint64]*Handle
 }
 
 // New is the state before the first entry: one queue `default` that any minion may serve.
 func New() *State {
 	s := &State{
-		Jobs: map[string]*Job{}, Tombs: map[string]*Tomb{}, Handles: map[uint64]*Handle{},
-		Minions: map[string]*Minion{}, Duties: map[string]*Duty{}, Evacuated: map[string]time.Time{},
-		Orders: map[string]*Order{}, Operators: map[string]string{}, Lifts: map[string][]string{},
+		Jobs: map[string]*Job{}, Tombstones: map[string]*Tombstone{}, Handles: map[uint64]*Handle{},
+		Workers: map[string]*Worker{}, Roles: map[string]*Role{}, Evacuated: map[string]time.Time{},
+		Orders: map[string]*AnsweredOrder{}, Operators: map[string]string{}, LiftSignatures: map[string][]string{},
 		Bundle: Bundle{
 			Version: 1,
 			Queues:  map[string]Queue{"default": {}},
 			Backoff: Backoff{Min: 200 * time.Millisecond, Max: 30 * time.Second},
 		},
 	}
-	s.found()
-	s.index()
+	s.fillDefaults()
+	s.rebuildIndexes()
 	return s
 }
 
@@ -328,32 +330,32 @@
 // Decode reads what Encode gave.
 func Decode(data []byte) (*State, error) {
 	s := New()
-	s.Bundle, s.Line = Bundle{}, nil
+	s.Bundle, s.Revisions = Bundle{}, nil
 	if err := codec.Decode(data, s); err != nil {
 		return nil, errs.Wrap(err, errs.Damaged, "decode state")
 	}
-	s.found()
-	s.index()
+	s.fillDefaults()
+	s.rebuildIndexes()
 	return s, nil
 }
 
-// index makes anew what can be derived.
-func (s *State) index() {
-	s.room = map[string]*Room{}
+// rebuildIndexes makes anew what can be derived.
+func (s *State) rebuildIndexes() {
+	s.usage = map[string]*Usage{}
 	s.runningCounts = map[string]int{}
-	s.sites = map[site]int{}
-	s.open, s.teams = 0, map[string]int{}
-	for _, m := range s.Minions {
-		s.mark(m, 1)
+	s.labelSites = map[labelSite]int{}
+	s.openJobs, s.openJobsByTeam = 0, map[string]int{}
+	for _, m := range s.Workers {
+		s.countLabels(m, 1)
 	}
 	for _, j := range s.Jobs {
-		j.derive()
-		if !j.Phase.Over() {
-			s.count(j, 1)
+		j.rebuildIndex()
+		if !j.Phase.IsTerminal() {
+			s.countOpenJob(j, 1)
 		}
 	}
 	for _, h := range s.Handles {
-		s.take(h)
+		s.addUsage(h)
 	}
 	if s.Accounts != nil {
 		s.Accounts.Rebuild()
@@ -361,9 +363,9 @@
 	}
 }
 
-func (j *Job) derive() {
-	j.left = make([]int, len(j.Tasks))
-	j.open = 0
+func (j *Job) rebuildIndex() {
+	j.remaining = make([]int, len(j.Tasks))
+	j.handles = 0
 	j.steps = make(map[string]int, len(j.Spec.Steps))
 	for i, step := range j.Spec.Steps {
 		j.steps[step.Name] = i
@@ -371,21 +373,21 @@
 	for i, tasks := range j.Tasks {
 		for k := range tasks {
 			if tasks[k].Phase != TaskDone {
-				j.left[i]++
+				j.remaining[i]++
 			}
-			if tasks[k].Phase.Open() {
-				j.open++
+			if tasks[k].Phase.HasHandle() {
+				j.handles++
 			}
 		}
 	}
 }
 
-// Room gives what handles take on a minion; never nil.
-func (s *State) Room(minion string) *Room {
-	r := s.room[minion]
+// Usage gives what handles take on a minion; never nil.
+func (s *State) UsageOf(worker string) *Usage {
+	r := s.usage[worker]
 	if r == nil {
-		r = &Room{RunIDs: map[uint64]*Handle{}}
-		s.room[minion] = r
+		r = &Usage{Handles: map[uint64]*Handle{}}
+		s.usage[worker] = r
 	}
 	return r
 }
@@ -411,94 +413,94 @@
 	return j, &j.Tasks[ref.Step][ref.Task]
 }
 
-func (s *State) tell(n Note) {
-	if s.Watch != nil {
-		s.Watch(n)
+func (s *State) notify(n Event) {
+	if s.OnEvent != nil {
+		s.OnEvent(n)
 	}
 }
 
-func (s *State) take(h *Handle) {
-	r := s.Room(h.Minion)
+func (s *State) addUsage(h *Handle) {
+	r := s.UsageOf(h.Worker)
 	r.Cores += h.Cores
 	r.GPUs += h.GPUs
-	r.RunIDs[h.RunID] = h
+	r.Handles[h.RunID] = h
 	s.runningCounts[h.Type]++
 }
 
-func (s *State) give(h *Handle) {
-	r := s.Room(h.Minion)
+func (s *State) removeUsage(h *Handle) {
+	r := s.UsageOf(h.Worker)
 	r.Cores -= h.Cores
 	r.GPUs -= h.GPUs
-	delete(r.RunIDs, h.RunID)
+	delete(r.Handles, h.RunID)
 	if s.runningCounts[h.Type]--; s.runningCounts[h.Type] == 0 {
 		delete(s.runningCounts, h.Type)
 	}
 }
 
-// moves is the table of the changes of a task's phase that exist.
-var moves = map[TaskPhase][]TaskPhase{
-	TaskWaiting:  {TaskDue, TaskSkipped},
-	TaskDue:      {TaskHeld, TaskDone, TaskSkipped}, // done: its end was heard after a proof had released its handle
-	TaskHeld:     {TaskRunning, TaskDoubtful, TaskDone, TaskDue, TaskSpent, TaskSkipped},
-	TaskRunning:  {TaskDoubtful, TaskDone, TaskDue, TaskSpent, TaskSkipped},
-	TaskDoubtful: {TaskRunning, TaskDone, TaskDue, TaskSpent, TaskSkipped},
+// taskTransitions is the table of the changes of a task's phase that exist.
+var taskTransitions = map[TaskPhase][]TaskPhase{
+	TaskWaiting:     {TaskDue, TaskSkipped},
+	TaskDue:         {TaskAssigned, TaskDone, TaskSkipped}, // done: its end was heard after a proof had released its handle
+	TaskAssigned:    {TaskRunning, TaskUnconfirmed, TaskDone, TaskDue, TaskFailed, TaskSkipped},
+	TaskRunning:     {TaskUnconfirmed, TaskDone, TaskDue, TaskFailed, TaskSkipped},
+	TaskUnconfirmed: {TaskRunning, TaskDone, TaskDue, TaskFailed, TaskSkipped},
 }
 
-// shift is the one function that changes a task's phase, and with it the handle, the room and the tally. h is the
-// handle on the way into TaskHeld, else nil. It refuses a change that is not in the table (errs.Stale).
-func (s *State) shift(j *Job, t *Task, ref TaskRef, to TaskPhase, h *Handle) error {
+// setTaskPhase is the one function that changes a task's phase, and with it the handle, the room and the tally. h is the
+// handle on the way into TaskAssigned, else nil. It refuses a change that is not in the table (errs.Stale).
+func (s *State) setTaskPhase(j *Job, t *Task, ref TaskRef, to TaskPhase, h *Handle) error {
 	from := t.Phase
-	if !slices.Contains(moves[from], to) {
+	if !slices.Contains(taskTransitions[from], to) {
 		return errs.New(errs.Stale, "task %v is %q, cannot become %q", ref, from, to)
 	}
-	if to == TaskHeld {
+	if to == TaskAssigned {
 		if err := s.reserve(j, ref, h.RunID); err != nil {
 			return errs.Pass(err, "task %v", ref)
 		}
 	}
 	t.Phase = to
 	switch {
-	case to == TaskHeld:
+	case to == TaskAssigned:
 		t.RunID = h.RunID
-		h.Phase = TaskHeld
+		h.Phase = TaskAssigned
 		s.Handles[h.RunID] = h
-		s.take(h)
-		j.open++
-		s.tell(Note{Kind: NoteOpened, Handle: h, Ref: ref})
-	case from.Open() && to.Open():
+		s.addUsage(h)
+		j.handles++
+		s.notify(Event{Kind: EventHandleCreated, Handle: h, Ref: ref})
+	case from.HasHandle() && to.HasHandle():
 		s.Handles[t.RunID].Phase = to
-	case from.Open():
+	case from.HasHandle():
 		old := s.Handles[t.RunID]
 		delete(s.Handles, t.RunID)
-		s.give(old)
-		s.settleRun(old.RunID)
-		j.open--
-		s.tell(Note{Kind: NoteClosed, Handle: old, Ref: ref})
+		s.removeUsage(old)
+		s.debitRun(old.RunID)
+		j.handles--
+		s.notify(Event{Kind: EventHandleReleased, Handle: old, Ref: ref})
 	}
 	switch to {
 	case TaskDone:
-		j.left[ref.Step]--
+		j.remaining[ref.Step]--
 	case TaskDue:
-		s.tell(Note{Kind: NoteDue, Ref: ref})
+		s.notify(Event{Kind: EventTaskDue, Ref: ref})
 	}
 	return nil
 }
 
-// Move changes a task's phase and draws what follows for its step and job. Example:
+// SetTaskPhase changes a task's phase and draws what follows for its step and job. Example:
 //
-//	err := s.Move(h.Ref, state.TaskDone, nil) // the run of h ended well
-func (s *State) Move(ref TaskRef, to TaskPhase, h *Handle) error {
+//	err := s.SetTaskPhase(h.Ref, state.TaskDone, nil) // the run of h ended well
+func (s *State) SetTaskPhase(ref TaskRef, to TaskPhase, h *Handle) error {
 	j, t := s.TaskOf(ref)
 	if t == nil {
 		return errs.New(errs.Stale, "no task %v", ref)
 	}
-	if err := s.shift(j, t, ref, to, h); err != nil {
+	if err := s.setTaskPhase(j, t, ref, to, h); err != nil {
 		return errs.Pass(err, "move")
 	}
-	if to == TaskDone && j.left[ref.Step] == 0 && j.Phase == JobRunning {
-		s.Advance(j)
+	if to == TaskDone && j.remaining[ref.Step] == 0 && j.Phase == JobRunning {
+		s.MakeReadyTasksDue(j)
 	}
-	s.settle(j)
+	s.finishIfComplete(j)
 	return nil
 }
 
@@ -510,27 +512,27 @@
 	}
 }
 
-// Advance makes the tasks due whose steps wait for nothing any more.
-func (s *State) Advance(j *Job) {
+// MakeReadyTasksDue makes the tasks due whose steps wait for nothing any more.
+func (s *State) MakeReadyTasksDue(j *Job) {
 	for i, step := range j.Spec.Steps {
 		ready := true
 		for _, name := range step.After {
-			ready = ready && j.left[j.steps[name]] == 0
+			ready = ready && j.remaining[j.steps[name]] == 0
 		}
 		if !ready {
 			continue
 		}
 		for k := range j.Tasks[i] {
 			if t := &j.Tasks[i][k]; t.Phase == TaskWaiting {
-				must(s.shift(j, t, TaskRef{j.Spec.Key, i, k}, TaskDue, nil))
+				must(s.setTaskPhase(j, t, TaskRef{j.Spec.Key, i, k}, TaskDue, nil))
 			}
 		}
 	}
 }
 
-// Stop fixes a job's outcome: nothing of it starts any more, and what runs is to be stopped.
-func (s *State) Stop(j *Job, outcome JobPhase, reason string) {
-	if j.Phase.Over() || j.Phase == JobStopping {
+// StopJob fixes a job's outcome: nothing of it starts any more, and what runs is to be stopped.
+func (s *State) StopJob(j *Job, outcome JobPhase, reason string) {
+	if j.Phase.IsTerminal() || j.Phase == JobStopping {
 		return
 	}
 	if j.Phase == JobAccepted {
@@ -545,25 +547,25 @@
 	for i := range j.Tasks {
 		for k := range j.Tasks[i] {
 			if t := &j.Tasks[i][k]; t.Phase == TaskWaiting || t.Phase == TaskDue {
-				must(s.shift(j, t, TaskRef{j.Spec.Key, i, k}, TaskSkipped, nil))
+				must(s.setTaskPhase(j, t, TaskRef{j.Spec.Key, i, k}, TaskSkipped, nil))
 			}
 		}
 	}
-	s.tell(Note{Kind: NoteStopping, Name: j.Spec.Key})
-	s.settle(j)
+	s.notify(Event{Kind: EventJobStopping, Name: j.Spec.Key})
+	s.finishIfComplete(j)
 }
 
-// settle ends a job that has nothing left to do.
-func (s *State) settle(j *Job) {
+// finishIfComplete ends a job that has nothing left to do.
+func (s *State) finishIfComplete(j *Job) {
 	to := j.Phase
 	switch j.Phase {
 	case JobStopping:
-		if j.open == 0 {
+		if j.handles == 0 {
 			to = j.Outcome
 		}
 	case JobRunning:
 		left := 0
-		for _, n := range j.left {
+		for _, n := range j.remaining {
 			left += n
 		}
 		if left == 0 {
@@ -573,43 +575,43 @@
 	if to == j.Phase {
 		return
 	}
-	j.Phase, j.Outcome, j.Ended = to, "", s.At
-	s.count(j, -1)
-	s.Ended = append(s.Ended, j.Spec.Key)
+	j.Phase, j.Outcome, j.EndedAt = to, "", s.At
+	s.countOpenJob(j, -1)
+	s.EndedJobs = append(s.EndedJobs, j.Spec.Key)
 }
 
-// MinionNames gives the names of all minions in order.
-func (s *State) MinionNames() []string {
-	out := make([]string, 0, len(s.Minions))
-	for name := range s.Minions {
+// WorkerNames gives the names of all minions in order.
+func (s *State) WorkerNames() []string {
+	out := make([]string, 0, len(s.Workers))
+	for name := range s.Workers {
 		out = append(out, name)
 	}
 	sort.Strings(out)
 	return out
 }
 
-// Changed lets package command tell watchers of a change that Move does not see.
-func (s *State) Changed(kind NoteKind, name string) { s.tell(Note{Kind: kind, Name: name}) }
+// NotifyWatcher lets package command tell watchers of a change that Move does not see.
+func (s *State) NotifyWatcher(kind EventKind, name string) { s.notify(Event{Kind: kind, Name: name}) }
 
-// Enter puts a fresh job into the inbox.
-func (s *State) Enter(j *Job) {
+// EnqueueJob puts a fresh job into the inbox.
+func (s *State) EnqueueJob(j *Job) {
 	j.Tasks = make([][]Task, len(j.Spec.Steps))
 	for i, step := range j.Spec.Steps {
 		j.Tasks[i] = make([]Task, step.Tasks)
 	}
-	j.derive()
-	s.count(j, 1)
+	j.rebuildIndex()
+	s.countOpenJob(j, 1)
 	s.Jobs[j.Spec.Key] = j
 	s.Inbox = append(s.Inbox, j.Spec.Key)
-	s.tell(Note{Kind: NoteInbox, Name: j.Spec.Key})
+	s.notify(Event{Kind: EventJobSubmitted, Name: j.Spec.Key})
 }
 
-// Admit takes in the inbox messages up to seq: their first steps fall due, the number is written.
-func (s *State) Admit(seq uint64) {
-	if seq <= s.InboxSeq {
+// AdmitJobs takes in the inbox messages up to seq: their first steps fall due, the number is written.
+func (s *State) AdmitJobs(seq uint64) {
+	if seq <= s.AdmittedSeq {
 		return
 	}
-	s.InboxSeq = min(seq, s.Seq)
+	s.AdmittedSeq = min(seq, s.Seq)
 	n := 0
 	for n < len(s.Inbox) && s.Jobs[s.Inbox[n]].Seq <= seq {
 		n++
@@ -619,15 +621,15 @@
 	for _, key := range keys {
 		j := s.Jobs[key]
 		j.Phase = JobRunning
-		s.Advance(j)
+		s.MakeReadyTasksDue(j)
 	}
 }
 
-// RunIDs gives the run IDs out on a minion, oldest first.
-func (s *State) RunIDs(minion string) []uint64 {
-	r := s.Room(minion)
-	out := make([]uint64, 0, len(r.RunIDs))
-	for t := range r.RunIDs {
+// Handles gives the run IDs out on a minion, oldest first.
+func (s *State) RunIDsOn(worker string) []uint64 {
+	r := s.UsageOf(worker)
+	out := make([]uint64, 0, len(r.Handles))
+	for t := range r.Handles {
 		out = append(out, t)
 	}
 	slices.Sort(out)
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -20,7 +20,7 @@
 		var lines bytes.Buffer
 		s := &Store{live: state.New(), logger: log.NewLogfmtLogger(&lines)}
 		at := time.Unix(1_700_000_000, 0).UTC()
-		leases := account.NewBook()
+		leases := account.NewTable()
 		So(leases.Create("acme", 0), ShouldBeNil)
 		_, err := leases.TopUp("acme", "k1", 200, at)
 		So(err, ShouldBeNil)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -344,9 +344,9 @@
 // replaceState makes next the live state.
 func (s *Store) replaceState(next *state.State) {
 	s.live = next
-	s.live.Watch = func(n state.Note) {
-		if n.Kind == state.NoteDuty {
-			s.roleLeases.ObserveEpoch(s.clock.Now(), n.Name, s.live.Duties[n.Name].Epoch)
+	s.live.OnEvent = func(n state.Event) {
+		if n.Kind == state.EventRoleChanged {
+			s.roleLeases.ObserveEpoch(s.clock.Now(), n.Name, s.live.Roles[n.Name].Epoch)
 		}
 	}
 	s.trackOwnBundle()
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -27,7 +27,7 @@
 }
 
 // evaluateRoleCall judges a call: the answer, or the command on the duty that is to be committed first.
-func (s *Store) evaluateRoleCall(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Duty, c command.Command, err error) {
+func (s *Store) evaluateRoleCall(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Role, c command.Command, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current, decision, err := s.checkRoleCall(call)
@@ -37,17 +37,17 @@
 	case decision == claimRenewed || decision == claimDenied:
 		return s.roleAnswer(current, decision == claimRenewed), current, nil, nil
 	case call.GiveUp:
-		return a, current, &command.GiveUp{Duty: call.Duty, Epoch: current.Epoch}, nil
+		return a, current, &command.ReleaseRole{Role: call.Duty, Epoch: current.Epoch}, nil
 	}
-	return a, current, &command.Grant{Duty: call.Duty, Holder: call.Holder, Addr: call.Addr, Boot: call.Boot, After: current.Epoch}, nil
+	return a, current, &command.GrantRole{Role: call.Duty, Holder: call.Holder, Addr: call.Addr, Incarnation: call.Boot, After: current.Epoch}, nil
 }
 
 // finishRoleCall takes in how the command of ask ended, and answers.
-func (s *Store) finishRoleCall(call internalapi.DutyCall, current state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
+func (s *Store) finishRoleCall(call internalapi.DutyCall, current state.Role, index uint64, err error) (internalapi.DutyAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.roleLeases.ProposalDone(call.Duty, current.Epoch)
-	now := s.live.Duties[call.Duty]
+	now := s.live.Roles[call.Duty]
 	switch {
 	case err != nil && !errs.Is(err, errs.Stale):
 		return internalapi.DutyAnswer{}, errs.Pass(err, "duty %s", call.Duty)
@@ -62,7 +62,7 @@
 }
 
 // decideBootstrap asks the book; called under the lock. On Free a proposal is to follow.
-func (s *Store) checkRoleCall(call internalapi.DutyCall) (current state.Duty, v claimResult, err error) {
+func (s *Store) checkRoleCall(call internalapi.DutyCall) (current state.Role, v claimResult, err error) {
 	if _, err := s.readIndexLocked(); err != nil {
 		return current, v, errs.Pass(err, "judge")
 	}
@@ -70,7 +70,7 @@
 	if !s.roleLeases.Active() {
 		return current, v, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
 	}
-	if d := s.live.Duties[call.Duty]; d != nil {
+	if d := s.live.Roles[call.Duty]; d != nil {
 		current = *d
 	}
 	if call.GiveUp {
@@ -82,7 +82,7 @@
 	return current, s.roleLeases.Claim(now, current, call), nil
 }
 
-func (s *Store) roleAnswer(d state.Duty, mine bool) internalapi.DutyAnswer {
+func (s *Store) roleAnswer(d state.Role, mine bool) internalapi.DutyAnswer {
 	a := internalapi.DutyAnswer{Mine: mine, Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
 	if mine {
 		a.Lease = s.settings.DutyLease
--- a/internal/store/hand.go
+++ b/internal/store/hand.go
@@ -199,13 +199,13 @@
 }
 
 // ClaimRole is Store.ClaimRole up to its proposal: the answer, or a command to propose and then to tell Granted of.
-func (h *ManualDriver) ClaimRole(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Duty, c command.Command, err error) {
+func (h *ManualDriver) ClaimRole(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Role, c command.Command, err error) {
 	a, current, c, err = h.store.evaluateRoleCall(call)
 	return a, current, c, errs.Pass(err, "duty")
 }
 
 // FinishRoleCall ends what Duty began.
-func (h *ManualDriver) FinishRoleCall(call internalapi.DutyCall, current state.Duty, index uint64, err error) (internalapi.DutyAnswer, error) {
+func (h *ManualDriver) FinishRoleCall(call internalapi.DutyCall, current state.Role, index uint64, err error) (internalapi.DutyAnswer, error) {
 	a, err := h.store.finishRoleCall(call, current, index, err)
 	return a, errs.Pass(err, "duty")
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -45,7 +45,7 @@
 
 // BecomeLeader opens the book at the moment this node became the confirmed leader and its state has all that earlier
 // leaders committed: all leases count as just granted.
-func (b *roleLeases) BecomeLeader(now time.Duration, duties map[string]*state.Duty) {
+func (b *roleLeases) BecomeLeader(now time.Duration, duties map[string]*state.Role) {
 	b.active, b.leases = true, map[string]*roleLease{}
 	for name, d := range duties {
 		b.leaseOf(now, name, d.Epoch)
@@ -83,7 +83,7 @@
 //	if book.Claim(now, held, call) == Mine {
 //		return internalapi.DutyAnswer{Mine: true, Epoch: held.Epoch, Lease: lease}
 //	}
-func (b *roleLeases) Claim(now time.Duration, current state.Duty, call internalapi.DutyCall) claimResult {
+func (b *roleLeases) Claim(now time.Duration, current state.Role, call internalapi.DutyCall) claimResult {
 	if !b.active {
 		return claimDenied
 	}
@@ -93,7 +93,7 @@
 		return claimDenied
 	case current.Holder == "": // given up or never granted: nothing runs under it
 	case now >= p.expiresAt: // over; also for its holder, who has stopped by itself and begins a new epoch
-	case !p.invalidated && call.Epoch == current.Epoch && call.Boot == current.Boot && call.Holder == current.Holder:
+	case !p.invalidated && call.Epoch == current.Epoch && call.Boot == current.Incarnation && call.Holder == current.Holder:
 		p.expiresAt = now + b.duration + b.margin
 		return claimRenewed
 	default:
@@ -104,8 +104,8 @@
 }
 
 // Release voids an epoch whose holder gives it up; false if it is not the caller's to give up or under change.
-func (b *roleLeases) Release(now time.Duration, current state.Duty, call internalapi.DutyCall) bool {
-	if !b.active || current.Holder != call.Holder || current.Boot != call.Boot || current.Epoch != call.Epoch || call.Epoch == 0 {
+func (b *roleLeases) Release(now time.Duration, current state.Role, call internalapi.DutyCall) bool {
+	if !b.active || current.Holder != call.Holder || current.Incarnation != call.Boot || current.Epoch != call.Epoch || call.Epoch == 0 {
 		return false
 	}
 	p := b.leaseOf(now, call.Duty, current.Epoch)
--- a/internal/store/lease_test.go
+++ b/internal/store/lease_test.go
@@ -21,8 +21,8 @@
 	Convey("Given an open book and a duty held by a", t, func() {
 		var clock clock.Virtual
 		leases := newRoleLeases(testLease, testMargin)
-		current := state.Duty{Holder: "a", Boot: "1", Epoch: 7}
-		duties := map[string]*state.Duty{"sched": &current}
+		current := state.Role{Holder: "a", Incarnation: "1", Epoch: 7}
+		duties := map[string]*state.Role{"sched": &current}
 		a := internalapi.DutyCall{Duty: "sched", Holder: "a", Boot: "1", Epoch: 7}
 		b := internalapi.DutyCall{Duty: "sched", Holder: "b", Boot: "1"}
 		ask := func(c internalapi.DutyCall) claimResult { return leases.Claim(clock.Now(), current, c) }
@@ -68,7 +68,7 @@
 			So(ask(a), ShouldEqual, claimDenied)
 			leases.ProposalDone("sched", 7)
 			So(ask(a), ShouldEqual, claimDenied) // the end may still be committed
-			current = state.Duty{Epoch: 9}
+			current = state.Role{Epoch: 9}
 			So(ask(b), ShouldEqual, claimGrantable)
 		})
 	})
@@ -83,7 +83,7 @@
 			rnd := rand.New(rand.NewPCG(seed, 1))
 			var clock clock.Virtual
 			leases := newRoleLeases(testLease, testMargin)
-			var current state.Duty
+			var current state.Role
 			type node struct {
 				epoch uint64
 				until time.Duration
@@ -101,14 +101,14 @@
 				case 0: // the leader falls; the next one knows only the state
 					leases.StepDown()
 					clock.Advance(time.Duration(rnd.Int64N(int64(testLease))))
-					leases.BecomeLeader(clock.Now(), map[string]*state.Duty{"sched": &current})
+					leases.BecomeLeader(clock.Now(), map[string]*state.Role{"sched": &current})
 					continue
 				case 1:
 					if nodes[i].until > sent && nodes[i].epoch == current.Epoch {
 						nodes[i].until = 0
 						if leases.Release(clock.Now(), current, call) && !lost {
 							index++
-							current = state.Duty{Epoch: index}
+							current = state.Role{Epoch: index}
 						}
 						leases.ProposalDone("sched", call.Epoch)
 					}
@@ -119,7 +119,7 @@
 				if decision == claimGrantable {
 					grants++
 					index++
-					current = state.Duty{Holder: call.Holder, Boot: "1", Epoch: index}
+					current = state.Role{Holder: call.Holder, Incarnation: "1", Epoch: index}
 					leases.ObserveEpoch(clock.Now(), "sched", index)
 					leases.ProposalDone("sched", before)
 				}
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -92,9 +92,9 @@
 	to <- prometheus.MustNewConstMetric(descWrites, prometheus.CounterValue, float64(disk.Snapshots))
 	gauge(descState, float64(figures.Jobs), "jobs")
 	gauge(descState, float64(figures.Inbox), "inbox")
-	gauge(descState, float64(figures.Tombs), "tombs")
+	gauge(descState, float64(figures.Tombstones), "tombs")
 	gauge(descState, float64(figures.Handles), "handles")
-	gauge(descState, float64(figures.Minions), "minions")
+	gauge(descState, float64(figures.Workers), "minions")
 	for kind, n := range figures.RunningCounts {
 		gauge(descType, float64(n), kind)
 	}
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -299,7 +299,7 @@
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose")
 	}
-	c, err := command.Make(call.Op)
+	c, err := command.New(call.Op)
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose")
 	}
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -42,7 +42,7 @@
 		if !leads {
 			continue
 		}
-		if _, _, err := s.Propose(ctx, &command.Keys{Operators: operators}); err != nil {
+		if _, _, err := s.Propose(ctx, &command.SetOperators{Operators: operators}); err != nil {
 			_ = level.Debug(s.logger).Log("msg", "operator keys", "err", err)
 		}
 	}
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -38,9 +38,9 @@
 		for v := uint64(1); v < 40; v++ { // over several slots
 			text = fmt.Sprintf("{\"queues\": {\"q%d\":{}} }\t\n", v)
 			id, digest := fmt.Sprint("o", v), signature.Digest([]byte(text))
-			order(&command.Put{Order: id, Base: v, By: "ada", Body: []byte(text), Sig: keys[0].Sign(signature.Put(id, v, digest))})
+			order(&command.PutBundle{Order: id, Base: v, By: "ada", Body: []byte(text), Sig: keys[0].Sign(signature.Put(id, v, digest))})
 			for i, by := range []string{"ada", "ben"} {
-				order(&command.Sign{Order: id + by, Version: v + 1, Digest: digest, By: by, Sig: keys[i].Sign(signature.Bundle(v+1, digest))})
+				order(&command.SignBundle{Order: id + by, Version: v + 1, Digest: digest, By: by, Sig: keys[i].Sign(signature.Bundle(v+1, digest))})
 			}
 		}
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -393,7 +393,7 @@
 	}
 	if lead != 0 && !s.roleLeases.Active() {
 		if commit, ok := s.core.LeaseReadIndex(now); ok && s.live.Index >= commit {
-			s.roleLeases.BecomeLeader(now, s.live.Duties)
+			s.roleLeases.BecomeLeader(now, s.live.Roles)
 		}
 	}
 	if s.leaderHeardAt > s.caughtUpAt && s.live.Index >= s.leaderCommit {
@@ -475,13 +475,13 @@
 func (s *Store) gcCommand() command.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaderTerm == 0 || len(s.live.Ended)+len(s.live.TombOrder)+len(s.live.OrderKeys) == 0 && !s.live.Accounts.Open() {
+	if s.leaderTerm == 0 || len(s.live.EndedJobs)+len(s.live.TombstoneOrder)+len(s.live.OrderKeys) == 0 && !s.live.Accounts.HasReservations() {
 		return nil
 	}
 	at := s.clock.Wall()
-	return &command.Tidy{
+	return &command.Purge{
 		JobsBefore: at.Add(-s.settings.KeepEndedFor), JobsKeep: s.settings.KeepEnded,
-		TombsBefore: at.Add(-s.settings.KeepTombsFor), TombsKeep: s.settings.KeepTombs,
+		TombstonesBefore: at.Add(-s.settings.KeepTombsFor), TombstonesKeep: s.settings.KeepTombs,
 		OrdersBefore: at.Add(-s.settings.KeepTombsFor),
 	}
 }
@@ -524,7 +524,7 @@
 	if s.core != nil {
 		out.Quorum = s.core.Status()
 	}
-	for name, d := range s.live.Duties {
+	for name, d := range s.live.Roles {
 		out.Duties[name] = internalapi.DutyAnswer{Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
 	}
 	return out
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -483,7 +483,7 @@
 		})
 		So(err.Error(), ShouldContainSubstring, "crosstide-controlplane member replace OLD c9")
 		r.call(func(ctx context.Context) {
-			_, err = lead.ProposeOrForward(ctx, &command.Succeed{Order: "o", Old: gone, New: "c9"})
+			_, err = lead.ProposeOrForward(ctx, &command.ReplaceMember{Order: "o", Old: gone, New: "c9"})
 		})
 		So(err, ShouldBeNil)
 		r.until("the successor is a voter", func() bool { return fresh.Status().Quorum.Voter })
--- a/internal/testbed/audit/bundles.go
+++ b/internal/testbed/audit/bundles.go
@@ -23,7 +23,7 @@
 // reigns returns every version that was acknowledged as in force, the first one in front. blind is from when on an
 // order without an answer may have put an unknown version in force, until the next acknowledgement.
 func reigns(h History) (out []reign, blind []window) {
-	first, err := bundle.Parse([]byte(state.First))
+	first, err := bundle.Parse([]byte(state.InitialBundle))
 	if err != nil {
 		return nil, nil // it is the store's own
 	}
@@ -103,7 +103,7 @@
 	switch {
 	case !ok:
 		return fmt.Sprintf("queue %s is not in bundle %d", e.Queue, b.Version)
-	case !allows(q.Zones, e.Zone) || !allows(q.Racks, boot.Rack) || !allows(q.Minions, e.Minion):
+	case !allows(q.Zones, e.Zone) || !allows(q.Racks, boot.Rack) || !allows(q.Workers, e.Minion):
 		return fmt.Sprintf("outside of the placement policy of %s in bundle %d", e.Queue, b.Version)
 	case !allows(q.Types, e.Type) || team != "" && !allows(q.Teams, team):
 		return fmt.Sprintf("type or team may not use %s in bundle %d", e.Queue, b.Version)
@@ -116,7 +116,7 @@
 	for _, n := range q.Near {
 		found := false
 		for _, other := range boots {
-			found = found || other.Zone == e.Zone && (n.Within == "zone" || other.Rack == boot.Rack) && other.Labels[n.Label] == n.Value
+			found = found || other.Zone == e.Zone && (n.Scope == "zone" || other.Rack == boot.Rack) && other.Labels[n.Label] == n.Value
 		}
 		if !found {
 			return fmt.Sprintf("%s=%s is not near in bundle %d", n.Label, n.Value, b.Version)
--- a/internal/testbed/billingload/billingload_test.go
+++ b/internal/testbed/billingload/billingload_test.go
@@ -15,14 +15,14 @@
 func TestAdd(t *testing.T) {
 	Convey("An export adds up to its head; one that was changed does not", t, func() {
 		at := time.Unix(1_700_000_000, 0).UTC()
-		book := account.NewBook()
+		book := account.NewTable()
 		So(book.Create("acme", 0), ShouldBeNil)
 		for _, key := range []string{"k1", "k2"} {
 			_, err := book.TopUp("acme", key, 100, at)
 			So(err, ShouldBeNil)
 		}
 		So(book.Reserve(account.Charge{Run: "r1", Account: "acme", Rate: 1000, Window: 10 * time.Second}, at), ShouldBeNil)
-		book.Settle("r1", at.Add(3*time.Second))
+		book.Debit("r1", at.Add(3*time.Second))
 		var out bytes.Buffer
 		So(book.Accounts["acme"].Ledger.WriteCSV(&out), ShouldBeNil)
 		sums, err := Add(out.Bytes())
--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -13,11 +13,11 @@
 
 // Report is what an audit found.
 type Report struct {
-	Runs    int              // runs that began
-	Ends    map[jobs.How]int // runs that ended, by how
-	Failed  map[string]int   // runs that ended as failed, by job
-	Refused map[string]int   // starts that workers refused, by reason
-	Wrong   []string         // broken promises
+	Runs    int                    // runs that began
+	Ends    map[jobs.EndReason]int // runs that ended, by how
+	Failed  map[string]int         // runs that ended as failed, by job
+	Refused map[string]int         // starts that workers refused, by reason
+	Wrong   []string               // broken promises
 }
 
 // audit is the state of an audit.
@@ -40,7 +40,7 @@
 	task       jobs.TaskRef
 	began      time.Time
 	ended      time.Time
-	how        jobs.How
+	how        jobs.EndReason
 	resumed    string // checkpoint that its start told
 	checkpoint string // checkpoint at its end
 }
@@ -72,7 +72,7 @@
 func Audit(accepted []Job, closed []Closure, events []jobsworker.Event) (Report, error) {
 	a := &audit{closed: closed, specs: map[string]jobs.Spec{}, program: map[string]jobsworker.Program{}, workers: map[string]jobsworker.Event{},
 		tasks: map[jobs.TaskRef]*history{}, live: map[string][]*span{}, token: map[string]uint64{}}
-	a.report.Ends, a.report.Failed, a.report.Refused = map[jobs.How]int{}, map[string]int{}, map[string]int{}
+	a.report.Ends, a.report.Failed, a.report.Refused = map[jobs.EndReason]int{}, map[string]int{}, map[string]int{}
 	for _, job := range accepted {
 		spec, err := job.spec()
 		if err != nil {
@@ -138,7 +138,7 @@
 		switch {
 		case !before.over():
 			a.blame("%v: run %d began on %s while run %d goes on at %s", s.task, s.number, s.worker, before.number, before.worker)
-		case before.how == jobs.EndDone && !a.step(s.task).Lasting:
+		case before.how == jobs.EndDone && !a.step(s.task).LongRunning:
 			a.blame("%v: run %d began on %s after run %d was done", s.task, s.number, s.worker, before.number)
 		case before.number >= s.number:
 			a.blame("%v: run %d began on %s after run %d", s.task, s.number, s.worker, before.number)
@@ -177,7 +177,7 @@
 	if room := born.Needs; used.MilliCPU > room.MilliCPU || used.MemoryMB > room.MemoryMB || used.GPUs > room.GPUs {
 		a.blame("%s runs %+v, it has %+v", s.worker, used, room)
 	}
-	if step.MostPerNode > 0 && same > step.MostPerNode {
+	if step.MaxPerWorker > 0 && same > step.MaxPerWorker {
 		a.blame("%v: %d tasks of the step run on %s", s.task, same, s.worker)
 	}
 }
@@ -215,17 +215,17 @@
 }
 
 func (a *audit) ended(e jobsworker.Event) {
-	a.report.Ends[jobs.How(e.Why)]++
+	a.report.Ends[jobs.EndReason(e.Why)]++
 	key := e.Run.Key()
-	if jobs.How(e.Why) == jobs.EndFailed {
+	if jobs.EndReason(e.Why) == jobs.EndFailed {
 		a.report.Failed[key.Task.Job]++
 	}
-	if jobs.How(e.Why) == jobs.EndDone && key.Number <= a.program[key.Task.Job].Fails {
+	if jobs.EndReason(e.Why) == jobs.EndDone && key.Number <= a.program[key.Task.Job].Fails {
 		a.blame("run %d of %v ended well, though it was to fail", key.Number, key.Task)
 	}
 	for i, s := range a.live[e.Worker] {
 		if s.task == key.Task && s.number == key.Number {
-			s.ended, s.how, s.checkpoint = e.At, jobs.How(e.Why), cmp.Or(e.Checkpoint, s.resumed)
+			s.ended, s.how, s.checkpoint = e.At, jobs.EndReason(e.Why), cmp.Or(e.Checkpoint, s.resumed)
 			a.live[e.Worker] = slices.Delete(a.live[e.Worker], i, i+1)
 			return
 		}
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -44,9 +44,9 @@
 	s.add(e)
 }
 
-func (s *story) end(on string, r workerapi.Run, how jobs.How) { s.ends(on, r, how, "") }
+func (s *story) end(on string, r workerapi.Run, how jobs.EndReason) { s.ends(on, r, how, "") }
 
-func (s *story) ends(on string, r workerapi.Run, how jobs.How, checkpoint string) {
+func (s *story) ends(on string, r workerapi.Run, how jobs.EndReason, checkpoint string) {
 	s.add(jobsworker.Event{Event: jobsworker.EventEnd, Worker: on, Run: r, Why: string(how), Checkpoint: checkpoint})
 }
 
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -62,7 +62,7 @@
 		if view.State == state {
 			return nil
 		}
-		if view.State.Over() {
+		if view.State.IsTerminal() {
 			return errs.New(errs.Conflict, "job %s is %s, not %s", id, view.State, state)
 		}
 		if !c.pause(ctx) {
--- a/internal/testbed/jobssim/attachment.go
+++ b/internal/testbed/jobssim/attachment.go
@@ -22,12 +22,12 @@
 // findDetached finds lasting tasks that could run and do not, whether others of their job run or not.
 func (o *oracle) findDetached() {
 	for _, c := range o.sim.clients.jobs {
-		if !c.accepted || c.shown.Over() || c.cancelSent {
+		if !c.accepted || c.shown.IsTerminal() || c.cancelSent {
 			continue
 		}
 		j := o.job(c.spec.ID)
 		for number := range c.spec.Steps {
-			if c.spec.Steps[number].Lasting {
+			if c.spec.Steps[number].LongRunning {
 				o.watchLasting(j, number)
 			}
 		}
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -213,7 +213,7 @@
 		told := answer.(jobAnswer)
 		c.sim.oracle.shown(j, told)
 		j.shown = told.state
-		if told.state.Over() {
+		if told.state.IsTerminal() {
 			j.polls++
 		}
 	})
@@ -221,7 +221,7 @@
 
 // cancel sends a cancel until it is acknowledged.
 func (c *clients) cancel(j *clientJob) {
-	if j.cancelled || j.shown.Over() {
+	if j.cancelled || j.shown.IsTerminal() {
 		return
 	}
 	if !j.cancelSent {
@@ -272,7 +272,7 @@
 // cancelMany cancels most of the jobs that are not over.
 func (c *clients) cancelMany() {
 	for _, j := range c.jobs {
-		if j.accepted && !j.shown.Over() && !j.cancelSent && c.sim.chance(0.5) {
+		if j.accepted && !j.shown.IsTerminal() && !j.cancelSent && c.sim.chance(0.5) {
 			c.cancel(j)
 		}
 	}
@@ -290,7 +290,7 @@
 
 func lasts(spec *jobs.Spec) bool {
 	for i := range spec.Steps {
-		if spec.Steps[i].Lasting {
+		if spec.Steps[i].LongRunning {
 			return true
 		}
 	}
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -104,7 +104,7 @@
 	progress := jobs.Progress{Term: term, At: n.wall()}
 	for id := range n.table.Workers {
 		for _, key := range n.table.RunsOn(id) {
-			progress.Ends = append(progress.Ends, jobs.End{Key: key, Worker: id, How: jobs.EndLost})
+			progress.Ends = append(progress.Ends, jobs.End{Key: key, Worker: id, Reason: jobs.EndLost})
 		}
 	}
 	slices.SortFunc(progress.Ends, func(a, b jobs.End) int { return cmp.Or(a.Key.Compare(b.Key), cmp.Compare(a.Worker, b.Worker)) })
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -27,7 +27,7 @@
 
 	core    *scheduler.Core
 	events  []func(*scheduler.Core, time.Duration)
-	notes   []jobs.Note
+	notes   []jobs.Event
 	passNo  int // newest planned pass
 	passAt  time.Duration
 	planned bool
@@ -166,7 +166,7 @@
 	n.nudge()
 }
 
-func (n *node) watch(note jobs.Note) {
+func (n *node) watch(note jobs.Event) {
 	n.notes = append(n.notes, note)
 	n.nudge()
 }
@@ -235,7 +235,7 @@
 	if n.sim.opt.Break == NoFencingWait {
 		n.forgetHandles(term)
 	}
-	n.table.Watch = n.watch
+	n.table.OnEvent = n.watch
 	n.core.Lead(n.sim.now, term, n.table)
 }
 
@@ -244,7 +244,7 @@
 		return
 	}
 	n.core.Yield()
-	n.table.Watch = nil
+	n.table.OnEvent = nil
 	n.events, n.notes = nil, nil
 }
 
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -78,7 +78,7 @@
 	c := &sentConfig{sentAt: o.sim.now, moved: moved, without: without, services: map[string]string{}, change: jobs.Configure{
 		Base: base, Version: version, Replace: true,
 		Digest:   fmt.Sprintf("config %d on %d moved %v without %v", version, base, moved, without),
-		Services: []jobs.Service{{Name: serviceGuards, GuardsRoom: true}, {Name: serviceOpen}}}}
+		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}}
 	queue := func(name, service string, priority int) {
 		c.services[name] = service
 		c.change.Queues = append(c.change.Queues, jobs.Queue{Name: name, Host: queueHost, Prefix: "/" + name + "/",
--- a/internal/testbed/jobssim/oracle.go
+++ b/internal/testbed/jobssim/oracle.go
@@ -55,7 +55,7 @@
 // endRecord is an end of a run as a worker listed it.
 type endRecord struct {
 	run    *liveRun
-	how    jobs.How
+	how    jobs.EndReason
 	at     time.Duration
 	noted  bool       // it was acknowledged while the lease that it ended under was in force
 	voided bool       // the lease of its worker lapsed before it was acknowledged
@@ -236,21 +236,21 @@
 	if r.step.Label != "" {
 		o.require(RouteRule, slices.Contains(r.on.slot.labels, r.step.Label), "%s: no label %s", r, r.step.Label)
 	}
-	if r.step.MostPerNode > 0 {
+	if r.step.MaxPerWorker > 0 {
 		beside := 1
 		for _, other := range r.on.runs {
 			if a, b := other.key.Task, r.key.Task; a.Job == b.Job && a.Round == b.Round && a.Step == b.Step {
 				beside++
 			}
 		}
-		o.require(RouteRule, beside <= r.step.MostPerNode, "%s: %d of the step on the worker, at most %d", r, beside, r.step.MostPerNode)
+		o.require(RouteRule, beside <= r.step.MaxPerWorker, "%s: %d of the step on the worker, at most %d", r, beside, r.step.MaxPerWorker)
 	}
 }
 
 func queueOf(prefix string) string { return prefix[1 : len(prefix)-1] }
 
 func (o *oracle) judgeBudget(j *jobTruth, r *liveRun) {
-	if r.step.Lasting {
+	if r.step.LongRunning {
 		return
 	}
 	noted := 0
@@ -324,7 +324,7 @@
 }
 
 // ended takes in the end of a run.
-func (o *oracle) ended(r *liveRun, how jobs.How) *endRecord {
+func (o *oracle) ended(r *liveRun, how jobs.EndReason) *endRecord {
 	o.sim.trace("end %s %s", r, how)
 	j := o.job(r.key.Task.Job)
 	o.leave(j, r)
@@ -343,9 +343,9 @@
 		t.done = append(t.done, e)
 	case jobs.EndFailed:
 		t.failed = append(t.failed, e)
-	case jobs.EndAlone:
+	case jobs.EndGangTimeout:
 		o.judgeAlone(j, r)
-	case jobs.EndLapsed:
+	case jobs.EndLeaseExpired:
 		j.disturbed = max(j.disturbed, o.sim.now+contactTimeout)
 	}
 	return e
@@ -429,7 +429,7 @@
 func (j *jobTruth) failedBefore(r *liveRun) int {
 	count := 0
 	for _, f := range j.ending(r.key.Task).failed {
-		if f.noted && f.at <= r.began && !r.step.Lasting {
+		if f.noted && f.at <= r.began && !r.step.LongRunning {
 			count++
 		}
 	}
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -41,7 +41,7 @@
 	n.sim.log.propose(n, term, *progress, func(answer any, err error) {
 		started, _ := answer.(jobs.Started)
 		for _, e := range progress.Ends {
-			n.sim.trace("%s commits end of %v on %s: %s (error %v)", n.name, e.Key, e.Worker, e.How, err)
+			n.sim.trace("%s commits end of %v on %s: %s (error %v)", n.name, e.Key, e.Worker, e.Reason, err)
 		}
 		n.tell(func(c *scheduler.Core, now time.Duration) { c.Committed(now, progress, started, err) })
 	})
--- a/internal/testbed/jobssim/promises.go
+++ b/internal/testbed/jobssim/promises.go
@@ -36,7 +36,7 @@
 		o.require(LostRule, c.cancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
 	default:
 		o.count(LostRule)
-		if c.shown.Over() {
+		if c.shown.IsTerminal() {
 			o.breach(LostRule, "job %s is shown as %s after %s", c.spec.ID, a.state, c.shown)
 		}
 	}
@@ -60,7 +60,7 @@
 // spent tells whether a task has failed as often as it may.
 func (j *jobTruth) spent() bool {
 	for ref, t := range j.tasks {
-		if !j.job.spec.Steps[ref.Step].Lasting && len(t.failed) >= maxAttempts {
+		if !j.job.spec.Steps[ref.Step].LongRunning && len(t.failed) >= maxAttempts {
 			return true
 		}
 	}
@@ -111,7 +111,7 @@
 // findIdle finds jobs that could run and do not.
 func (o *oracle) findIdle() {
 	for _, c := range o.sim.clients.jobs {
-		if !c.accepted || c.shown.Over() || c.cancelSent {
+		if !c.accepted || c.shown.IsTerminal() || c.cancelSent {
 			continue
 		}
 		j := o.job(c.spec.ID)
@@ -230,7 +230,7 @@
 			continue
 		}
 		here, free := 0, plus(w.used(), step.Needs)
-		for within(free, sl.capacity) && (step.MostPerNode == 0 || here < step.MostPerNode) && here < wanted {
+		for within(free, sl.capacity) && (step.MaxPerWorker == 0 || here < step.MaxPerWorker) && here < wanted {
 			here++
 			free = plus(free, step.Needs)
 		}
@@ -268,7 +268,7 @@
 		if !c.accepted {
 			continue
 		}
-		o.require(EndRule, c.shown.Over(), "job %s was accepted and is %q at the end", c.spec.ID, c.shown)
+		o.require(EndRule, c.shown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID, c.shown)
 	}
 	o.recovered()
 	o.finishConfig()
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -47,7 +47,7 @@
 	whole := workOf(spec, o.Key.Task)
 	r.fails = w.grey || s.chance(w.failing) || failsItself(spec, o.Key)
 	factor := w.slot.speed * w.slow
-	if step.Near != "" && !slices.Contains(w.slot.labels, step.Near) {
+	if step.PreferredRack != "" && !slices.Contains(w.slot.labels, step.PreferredRack) {
 		factor *= spreadFactor
 	}
 	r.factor = factor
@@ -58,7 +58,7 @@
 	if w.grey {
 		r.work = min(r.work, 50*time.Millisecond)
 	}
-	if step.Lasting {
+	if step.LongRunning {
 		r.work, r.fails = s.between(8*time.Second, 5*time.Minute), true
 	}
 	if step.Gang {
@@ -95,7 +95,7 @@
 func (w *life) present(r *liveRun) bool { return w.up() && slices.Contains(w.runs, r) }
 
 // finish ends a run that is here and lists its end.
-func (w *life) finish(r *liveRun, how jobs.How) {
+func (w *life) finish(r *liveRun, how jobs.EndReason) {
 	if !w.present(r) {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // listEnd takes a run out and lists its end, the rest of its gang apart.
-func (w *life) listEnd(r *liveRun, how jobs.How, checkpoint string) {
+func (w *life) listEnd(r *liveRun, how jobs.EndReason, checkpoint string) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	w.last++
 	w.floor[r.key.Task] = max(w.floor[r.key.Task], r.key.Number)
@@ -261,7 +261,7 @@
 	}
 	s.after(gangTimeout, func() {
 		if !g.working && r.on.present(r) {
-			r.on.finish(r, jobs.EndAlone)
+			r.on.finish(r, jobs.EndGangTimeout)
 		}
 	})
 }
@@ -314,7 +314,7 @@
 }
 
 // left is called when a member has ended: the others are broken if they were at work.
-func (g *gang) left(r *liveRun, how jobs.How) {
+func (g *gang) left(r *liveRun, how jobs.EndReason) {
 	g.members = slices.DeleteFunc(g.members, func(m *liveRun) bool { return m == r })
 	if g.over || !g.working {
 		return
@@ -323,7 +323,7 @@
 	for _, m := range slices.Clone(g.members) {
 		if m.on.present(m) {
 			checkpoint := m.checkpoint()
-			m.on.listEnd(m, jobs.EndBroken, checkpoint)
+			m.on.listEnd(m, jobs.EndGangBroken, checkpoint)
 		}
 	}
 }
--- a/internal/testbed/jobssim/shapes.go
+++ b/internal/testbed/jobssim/shapes.go
@@ -36,7 +36,7 @@
 		spec.FirstRun = s.wall().Add(s.between(-time.Second, 4*time.Second))
 		spec.Interval = s.between(500*time.Millisecond, 3*time.Second)
 	case s.chance(0.06):
-		spec.Steps = []jobs.Step{{Count: 1 + s.rng.IntN(5), Needs: c.anyNeeds(), Estimate: time.Second, Lasting: true}}
+		spec.Steps = []jobs.Step{{Count: 1 + s.rng.IntN(5), Needs: c.anyNeeds(), Estimate: time.Second, LongRunning: true}}
 	}
 	return spec, prefix
 }
@@ -63,10 +63,10 @@
 		step.Label = []string{"kinda", "kindb"}[s.rng.IntN(2)]
 	}
 	if s.chance(0.2) {
-		step.Near = fmt.Sprintf("r%d", s.rng.IntN(rackCount))
+		step.PreferredRack = fmt.Sprintf("r%d", s.rng.IntN(rackCount))
 	}
 	if s.chance(0.15) {
-		step.MostPerNode = 1 + s.rng.IntN(2)
+		step.MaxPerWorker = 1 + s.rng.IntN(2)
 	}
 	step.Checkpoints = s.chance(0.3)
 	step.Speculative = s.chance(0.08)
@@ -74,8 +74,8 @@
 		step.Gang, step.Count = true, 2+s.rng.IntN(4)
 		step.SameRack = s.chance(0.3)
 		step.Speculative = false
-		if step.MostPerNode > 0 {
-			step.MostPerNode = 2
+		if step.MaxPerWorker > 0 {
+			step.MaxPerWorker = 2
 		}
 	}
 	return step
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -155,7 +155,7 @@
 func (w *life) lapse() {
 	w.slot.sim.oracle.lapsed(w)
 	for _, r := range slices.Clone(w.runs) {
-		w.finish(r, jobs.EndLapsed)
+		w.finish(r, jobs.EndLeaseExpired)
 	}
 }
 
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -112,7 +112,7 @@
 		case ends && due <= now && due < c.lease:
 			c.end(r, due, r.outcome())
 		case now >= c.lease:
-			c.end(r, c.lease, jobs.EndLapsed)
+			c.end(r, c.lease, jobs.EndLeaseExpired)
 		default:
 			continue
 		}
@@ -122,7 +122,7 @@
 }
 
 // outcome is how a run ends by itself.
-func (r *run) outcome() jobs.How {
+func (r *run) outcome() jobs.EndReason {
 	if r.key.Number <= r.program.Fails {
 		return jobs.EndFailed
 	}
@@ -150,7 +150,7 @@
 	return min(100, int(100*(now-r.began+r.resumed)/(time.Duration(r.program.MS)*time.Millisecond)))
 }
 
-func (c *Core) end(r *run, at time.Duration, how jobs.How) {
+func (c *Core) end(r *run, at time.Duration, how jobs.EndReason) {
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
 	c.raise(r.key)
 	c.sequence++
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -38,8 +38,8 @@
 }
 
 // ends gives how the listed runs ended.
-func ends(c *Core, now time.Duration) []jobs.How {
-	var out []jobs.How
+func ends(c *Core, now time.Duration) []jobs.EndReason {
+	var out []jobs.EndReason
 	for _, e := range c.Lists(now).Ended {
 		out = append(out, e.How)
 	}
@@ -91,12 +91,12 @@
 		So(c.Advance(100*ms), ShouldBeTrue)
 		So(refusal(c, 200*ms, startOf(0, 2, `{"ms":100,"fails":1}`)), ShouldEqual, "")
 		c.Advance(300 * ms)
-		So(ends(c, 300*ms), ShouldResemble, []jobs.How{jobs.EndFailed, jobs.EndDone})
+		So(ends(c, 300*ms), ShouldResemble, []jobs.EndReason{jobs.EndFailed, jobs.EndDone})
 		_, err := c.Stop(400*ms, workerapi.StopCall{Worker: "w", Run: runOf(1, 1), Token: 2})
 		So(err, ShouldBeNil)
-		So(ends(c, 400*ms), ShouldResemble, []jobs.How{jobs.EndFailed, jobs.EndDone, jobs.EndStopped})
+		So(ends(c, 400*ms), ShouldResemble, []jobs.EndReason{jobs.EndFailed, jobs.EndDone, jobs.EndStopped})
 		So(c.Hold(400*ms, workerapi.HoldCall{Worker: "w", Token: 2, SeenUpTo: 2}), ShouldBeNil)
-		So(ends(c, 400*ms), ShouldResemble, []jobs.How{jobs.EndStopped})
+		So(ends(c, 400*ms), ShouldResemble, []jobs.EndReason{jobs.EndStopped})
 		So(c.Idle(), ShouldBeFalse)
 		So(c.Hold(400*ms, workerapi.HoldCall{Worker: "w", Token: 2, SeenUpTo: 3}), ShouldBeNil)
 		So(c.Idle(), ShouldBeTrue)
@@ -112,7 +112,7 @@
 		So(refusal(c, 0, startOf(0, 1, `{"ms":900}`)), ShouldEqual, "")
 		So(refusal(c, 0, startOf(1, 1, `{"ms":5000,"save_ms":300}`)), ShouldEqual, "")
 		c.Advance(2 * time.Second) // it was frozen
-		So(ends(c, 2*time.Second), ShouldResemble, []jobs.How{jobs.EndDone, jobs.EndLapsed})
+		So(ends(c, 2*time.Second), ShouldResemble, []jobs.EndReason{jobs.EndDone, jobs.EndLeaseExpired})
 		So(c.Lists(2 * time.Second).Ended[1].Checkpoint, ShouldEqual, "900")
 	})
 	Convey("A hold call renews the lease, a fenced one does nothing", t, func() {
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -198,7 +198,7 @@
 		}
 		seen = is
 		j.note(Entry{Ev: Poll, Node: j.nodes[j.node].Name, State: is, Status: reply.Status})
-		if phase := state.JobPhase(is); phase.Over() {
+		if phase := state.JobPhase(is); phase.IsTerminal() {
 			j.count(func(r *Report) { r.end(phase, missing) })
 			return
 		}
--- a/internal/testbed/load/offer.go
+++ b/internal/testbed/load/offer.go
@@ -112,7 +112,7 @@
 		of.spec = state.Spec{Key: fmt.Sprintf("%s-%d", o.Prefix, len(out)), Team: o.Team, Queue: o.Queue}
 		for i := range o.Steps {
 			step := state.StepSpec{Name: fmt.Sprintf("s%d", i+1), Type: o.Type, Tasks: o.Tasks, Cores: o.Cores,
-				GPUs: o.GPUs, Gang: o.Gang, Standing: o.Standing, Labels: o.Labels, Retries: o.Retries, Run: run}
+				GPUs: o.GPUs, Gang: o.Gang, LongRunning: o.Standing, Labels: o.Labels, Retries: o.Retries, Run: run}
 			if i > 0 {
 				step.After = []string{fmt.Sprintf("s%d", i)}
 			}
--- a/internal/testbed/operator/operator.go
+++ b/internal/testbed/operator/operator.go
@@ -314,7 +314,7 @@
 }
 
 func (o *office) write(ctx context.Context, path string, body, text []byte, e Entry) *draft {
-	var done command.Drafted
+	var done command.BundleDrafted
 	_, yes := o.order(ctx, path, body, e, &done, func(e *Entry) { e.Version, e.SHA = done.Version, done.Digest })
 	if !yes {
 		return nil
@@ -351,10 +351,10 @@
 
 func (o *office) sign(ctx context.Context, id string, key signature.Key, d *draft) signed {
 	body := encoded(map[string]string{"order": id, "sha256": d.digest, "by": key.Name, "sig": key.Sign(signature.Bundle(d.version, d.digest))})
-	var done command.Signed
+	var done command.BundleSigned
 	e := Entry{Ev: Sign, Order: id, By: key.Name, Version: d.version, SHA: d.digest}
 	t, yes := o.order(ctx, fmt.Sprintf("/v1/bundles/%d/sign", d.version), body, e, &done, func(*Entry) {})
-	return signed{t, id, key.Name, yes && done.Phase == state.RevisionForce}
+	return signed{t, id, key.Name, yes && done.Phase == state.RevisionInForce}
 }
 
 // look asks for the roll-out until every node has the version, and records how long after the acknowledgement at
--- a/internal/testbed/operator/zone.go
+++ b/internal/testbed/operator/zone.go
@@ -31,7 +31,7 @@
 	}
 	zone, key := o.zones[o.luck.IntN(len(o.zones))], o.keys[o.luck.IntN(2)]
 	id := fmt.Sprintf("%s-%d-e", o.prefix, i)
-	var done command.Zoned
+	var done command.ZoneEvacuation
 	body := encoded(map[string]string{"order": id, "by": key.Name, "sig": key.Sign(signature.Evacuate(id, zone))})
 	e := Entry{Ev: "evacuation", Order: id, By: key.Name}
 	if _, yes := o.order(ctx, "/v1/zones/"+zone+"/evacuate", body, e, &done, func(*Entry) {}); yes {
@@ -65,7 +65,7 @@
 		if k == 1 {
 			o.note(Entry{Ev: Lift, Zone: zone, Order: id, By: key.Name})
 		}
-		var done command.Zoned
+		var done command.ZoneEvacuation
 		body := encoded(map[string]string{"order": id, "by": key.Name, "sig": key.Sign(signature.Lift(zone, since))})
 		_, yes := o.order(ctx, "/v1/zones/"+zone+"/lift", body, Entry{Ev: "lifting", Order: id, By: key.Name}, &done, func(*Entry) {})
 		if yes && done.Evacuated != (k == 0) {
--- a/internal/testbed/policysim/balances.go
+++ b/internal/testbed/policysim/balances.go
@@ -88,12 +88,12 @@
 		credit = muchMoney
 	}
 	orders := []command.Command{
-		&command.Put{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)), Body: body},
-		&command.Sign{Order: "sign1", Version: 2, Digest: digest, By: "ada", Sig: b.keys["ada"].Sign(signature.Bundle(2, digest))},
+		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)), Body: body},
+		&command.SignBundle{Order: "sign1", Version: 2, Digest: digest, By: "ada", Sig: b.keys["ada"].Sign(signature.Bundle(2, digest))},
 		b.open(payer, credit), b.open(rich, 0), b.topUp(rich, muchMoney), b.topUp(payer, 300),
-		&command.Sign{Order: "sign2", Version: 2, Digest: digest, By: "ben", Sig: b.keys["ben"].Sign(signature.Bundle(2, digest))},
+		&command.SignBundle{Order: "sign2", Version: 2, Digest: digest, By: "ben", Sig: b.keys["ben"].Sign(signature.Bundle(2, digest))},
 	}
-	b.known(&command.Keys{Operators: public}, func() {
+	b.known(&command.SetOperators{Operators: public}, func() {
 		p.inOrder(orders, func() {
 			b.ready = true
 			b.s.tell("parties are in force")
@@ -139,7 +139,7 @@
 }
 
 // signed makes the commands that evacuate a zone or lift that: once there are operators they sign.
-func (b *balances) signed(z command.Zone) []command.Command {
+func (b *balances) signed(z command.EvacuateZone) []command.Command {
 	if b == nil {
 		return []command.Command{&z}
 	}
@@ -218,7 +218,7 @@
 	if len(b.lasts) < mostLasts {
 		b.next++
 		j := &job{sent: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.next), Team: payerTeam, Queue: "default",
-			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, Standing: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
+			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
 		s.people.jobs = append(s.people.jobs, j)
 		s.oracle.jobs[j.spec.Key] = j
 		b.lasts = append(b.lasts, j)
@@ -275,7 +275,7 @@
 	s := b.s
 	for _, r := range s.oracle.runs {
 		j := s.oracle.ref.Jobs[r.ref.Job]
-		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].Standing || !r.minion.alive {
+		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].LongRunning || !r.minion.alive {
 			continue
 		}
 		s.tell("%s, which runs %v, is ended", r.minion.addr, r.ref)
--- a/internal/testbed/policysim/cplane.go
+++ b/internal/testbed/policysim/cplane.go
@@ -338,7 +338,7 @@
 func (c *cplane) propose(cmd command.Command, done func(index uint64, answer any, err error)) {
 	first := cmd
 	if p, ok := cmd.(*command.Plan); ok && c.sim.opt.Break == "epoch" {
-		if d := c.hand.State().Duties["sched"]; d != nil {
+		if d := c.hand.State().Roles["sched"]; d != nil {
 			next := *p
 			next.Epoch = d.Epoch
 			cmd = &next
--- a/internal/testbed/policysim/dplane.go
+++ b/internal/testbed/policysim/dplane.go
@@ -45,7 +45,7 @@
 func (d *dplane) open() {
 	d.begin()
 	d.boot = fmt.Sprintf("%s-%d", d.addr, d.gen)
-	d.replica = replica.New(func(n state.Note) { d.sched.Note(n); d.wake() }, func(st *state.State) {
+	d.replica = replica.New(func(n state.Event) { d.sched.Note(n); d.wake() }, func(st *state.State) {
 		if d.sched.Phase() == scheduler.Ready {
 			d.sim.report.Counts["holders that took a snapshot"]++
 			d.sim.tell("%s, which holds sched, takes a snapshot at %d", d.addr, st.Index)
@@ -241,7 +241,7 @@
 		if err != nil || d.leaving {
 			return
 		}
-		if duty := d.state().Duties["sched"]; d.sim.opt.Break != "rebuild" && (duty == nil || duty.Epoch != a.Epoch || duty.Boot != d.boot) {
+		if duty := d.state().Roles["sched"]; d.sim.opt.Break != "rebuild" && (duty == nil || duty.Epoch != a.Epoch || duty.Incarnation != d.boot) {
 			return
 		}
 		if d.sched.Epoch() != a.Epoch {
@@ -310,7 +310,7 @@
 		d.after(20*time.Millisecond, func() { end(command.Planned{}, err) })
 	}
 	d.sim.tell("%s plans under epoch %d: to %d, %d reports, running %v, doubt %v, ends %v, dead %v, %d starts", d.addr, plan.Epoch, plan.Seq,
-		len(plan.Minions), plan.Running, plan.Doubt, plan.Ends, plan.Dead, len(plan.Starts))
+		len(plan.Workers), plan.Running, plan.Unconfirmed, plan.Ends, plan.Dead, len(plan.Starts))
 	d.sim.oracle.decided(d, plan)
 	d.planning = true
 	d.propose(plan, false, 0, func(index uint64, answer json.RawMessage, err error) {
@@ -389,11 +389,11 @@
 
 // announce makes a minion known to the store.
 func (d *dplane) announce(m *node, reply func(any, error)) {
-	if k := d.state().Minions[m.addr]; k != nil && k.Addr == m.addr {
+	if k := d.state().Workers[m.addr]; k != nil && k.Addr == m.addr {
 		reply(internalapi.MinionAnswer{}, nil)
 		return
 	}
 	t := m.traits
-	d.propose(&command.Announce{Minion: state.Minion{Name: t.Name, Addr: m.addr, Kind: t.Kind, Zone: t.Zone, Labels: t.Labels,
+	d.propose(&command.Announce{Worker: state.Worker{Name: t.Name, Addr: m.addr, Kind: t.Kind, Zone: t.Zone, Labels: t.Labels,
 		Cores: t.Cores, GPUs: t.GPUs}}, true, d.Now()+callTimeout, func(_ uint64, _ json.RawMessage, err error) { reply(internalapi.MinionAnswer{}, err) })
 }
--- a/internal/testbed/policysim/linear.go
+++ b/internal/testbed/policysim/linear.go
@@ -130,7 +130,7 @@
 	switch {
 	case !ok || p == "" || k.digest == "" || r < rank[k.phase]:
 		return false, k
-	case k.phase.Over() && p != k.phase: // an outcome stays
+	case k.phase.IsTerminal() && p != k.phase: // an outcome stays
 		return false, k
 	case k.phase == state.JobStopping && p == state.JobDone: // it was not done when it was stopped
 		return false, k
--- a/internal/testbed/policysim/money.go
+++ b/internal/testbed/policysim/money.go
@@ -65,13 +65,13 @@
 func newMoneyOracle(s *sim) *moneyOracle {
 	o := &moneyOracle{s: s, purses: map[string]*purse{}, runs: map[uint64]*paidRun{}, ran: map[state.TaskRef]bool{},
 		starts: map[string]uint64{}, topUps: map[string]time.Duration{}}
-	watch := s.oracle.ref.Watch
-	s.oracle.ref.Watch = func(n state.Note) {
+	watch := s.oracle.ref.OnEvent
+	s.oracle.ref.OnEvent = func(n state.Event) {
 		watch(n)
 		switch n.Kind {
-		case state.NoteOpened:
+		case state.EventHandleCreated:
 			o.opened(n.Handle)
-		case state.NoteClosed:
+		case state.EventHandleReleased:
 			o.closed(n.Handle)
 		}
 	}
@@ -130,15 +130,15 @@
 	if len(data) > 0 {
 		must(json.Unmarshal(data, &e))
 	}
-	runID := o.s.oracle.ref.RunID
+	runID := o.s.oracle.ref.LastRunID
 	waiting := false
 	switch e.Op {
 	case "plan":
 		o.plan = &command.Plan{}
 		must(json.Unmarshal(e.Body, o.plan))
 		o.boots = map[string]string{}
-		for name, m := range o.s.oracle.ref.Minions {
-			o.boots[name] = m.Boot
+		for name, m := range o.s.oracle.ref.Workers {
+			o.boots[name] = m.Incarnation
 		}
 	case "account-top-up":
 		waiting = b.waiting(payerTeam, false)
@@ -208,7 +208,7 @@
 	if party == "" || o.s.oracle.ref.Bundle.Version < 2 {
 		return
 	}
-	lasting := j.Spec.Steps[h.Ref.Step].Standing
+	lasting := j.Spec.Steps[h.Ref.Step].LongRunning
 	rate := int64(h.Cores) * corePrice
 	if lasting && o.ran[h.Ref] {
 		o.s.report.Counts["lasting tasks started again"]++
@@ -252,8 +252,8 @@
 	if slices.ContainsFunc(o.plan.Ends, func(e command.End) bool { return e.RunID == h.RunID }) {
 		return false
 	}
-	for _, m := range o.plan.Minions {
-		if m.Name == h.Minion && m.Boot != o.boots[m.Name] && m.Boot != h.Boot && (m.Kind != policyworker.Obey || h.Phase == state.TaskRunning) {
+	for _, m := range o.plan.Workers {
+		if m.Name == h.Worker && m.Incarnation != o.boots[m.Name] && m.Incarnation != h.Incarnation && (m.Kind != policyworker.Obey || h.Phase == state.TaskRunning) {
 			return true
 		}
 	}
@@ -334,7 +334,7 @@
 func (o *moneyOracle) started(ref state.TaskRef, runID uint64) {
 	s := o.s
 	j := s.oracle.jobs[ref.Job]
-	if r := o.resume; r != nil && r.started == 0 && j.spec.Team == r.team && runID > r.runID && !j.spec.Steps[ref.Step].Standing {
+	if r := o.resume; r != nil && r.started == 0 && j.spec.Team == r.team && runID > r.runID && !j.spec.Steps[ref.Step].LongRunning {
 		r.started = s.now
 		o.resumed()
 	}
--- a/internal/testbed/policysim/oracle.go
+++ b/internal/testbed/policysim/oracle.go
@@ -95,22 +95,22 @@
 		o.members = append(o.members, raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone})
 	}
 	o.ref.Index, o.ref.Term = 1, 1
-	o.ref.Watch = func(n state.Note) {
+	o.ref.OnEvent = func(n state.Event) {
 		switch n.Kind {
-		case state.NoteOpened:
+		case state.EventHandleCreated:
 			o.runIDs[n.Handle.RunID] = &runID{handle: *n.Handle, index: o.ref.Index, term: o.ref.Term, at: s.now}
-		case state.NoteClosed:
+		case state.EventHandleReleased:
 			o.runIDs[n.Handle.RunID].closed = s.now
 			s.tell("ticket %d of %v is closed", n.Handle.RunID, n.Ref)
-		case state.NoteDuty:
-			if d := o.ref.Duties[n.Name]; d.Holder != "" {
+		case state.EventRoleChanged:
+			if d := o.ref.Roles[n.Name]; d.Holder != "" {
 				o.grants = append(o.grants, d.Epoch)
 				s.tell("sched is granted to %s, epoch %d", d.Holder, d.Epoch)
 			}
-		case state.NoteDue:
+		case state.EventTaskDue:
 			_, t := o.ref.TaskOf(n.Ref)
 			o.dueAt[n.Ref] = s.now
-			if wait := t.Due.Sub(o.ref.At); !t.Due.IsZero() && wait > 0 {
+			if wait := t.DueAt.Sub(o.ref.At); !t.DueAt.IsZero() && wait > 0 {
 				o.dueAt[n.Ref] += wait
 			}
 		}
@@ -369,7 +369,7 @@
 func (o *oracle) started(m *node, e journal.Entry) {
 	s := o.sim
 	t := o.runIDs[e.RunID]
-	if t == nil || t.written == 0 || t.handle.Minion != m.addr {
+	if t == nil || t.written == 0 || t.handle.Worker != m.addr {
 		s.broke("durable", "%s starts ticket %d, which was not ordered there", m.addr, e.RunID)
 		return
 	}
@@ -623,7 +623,7 @@
 		need = step.Tasks
 	}
 	for _, m := range o.usable() {
-		if o.ref.Fits(&j.Spec, step, o.ref.Minions[m.addr]) == "" {
+		if o.ref.PlacementRefusal(&j.Spec, step, o.ref.Workers[m.addr]) == "" {
 			have += m.cores / step.Cores
 		}
 	}
@@ -653,7 +653,7 @@
 		return false
 	}
 	return slices.ContainsFunc(o.usable(), func(m *node) bool {
-		return o.ref.Fits(&j.Spec, step, o.ref.Minions[m.addr]) == "" && o.ref.Room(m.addr).Cores+step.Cores <= m.cores
+		return o.ref.PlacementRefusal(&j.Spec, step, o.ref.Workers[m.addr]) == "" && o.ref.UsageOf(m.addr).Cores+step.Cores <= m.cores
 	})
 }
 
@@ -667,7 +667,7 @@
 	}
 	var out []*node
 	for _, m := range o.sim.minions {
-		if o.ref.Minions[m.addr] != nil && m.alive && !m.frozen && !m.draining && !slices.Contains(sick, m.addr) {
+		if o.ref.Workers[m.addr] != nil && m.alive && !m.frozen && !m.draining && !slices.Contains(sick, m.addr) {
 			out = append(out, m)
 		}
 	}
--- a/internal/testbed/policysim/oracle_test.go
+++ b/internal/testbed/policysim/oracle_test.go
@@ -23,7 +23,7 @@
 		s.now = time.Minute
 		spec := state.Spec{Key: "j", Team: "t", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "k", Tasks: 1, Cores: 1}}}
 		o.ref.Jobs["j"] = &state.Job{Spec: spec, Phase: state.JobRunning, Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
-		o.ref.Minions["m0"] = &state.Minion{Name: "m0", Addr: "m0", Zone: "z0", Boot: "b", Cores: s.minions[0].cores}
+		o.ref.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b", Cores: s.minions[0].cores}
 		Convey("with all up it is passed over after its time", func() {
 			o.waitFor(passedWithin)
 			So(s.report.Breach, ShouldBeNil)
--- a/internal/testbed/policysim/people.go
+++ b/internal/testbed/policysim/people.go
@@ -184,7 +184,7 @@
 				if j.over != "" && v.State != j.over {
 					s.broke("done", "%s was %s, now it is %s", j.spec.Key, j.over, v.State)
 				}
-				if v.State.Over() {
+				if v.State.IsTerminal() {
 					j.over = v.State
 					s.oracle.done(j)
 				}
@@ -210,7 +210,7 @@
 func (p *people) abandonedOpen() int {
 	n := 0
 	for _, j := range p.jobs {
-		if k := p.sim.oracle.ref.Jobs[j.spec.Key]; j.gave && k != nil && !k.Phase.Over() {
+		if k := p.sim.oracle.ref.Jobs[j.spec.Key]; j.gave && k != nil && !k.Phase.IsTerminal() {
 			n++
 		}
 	}
@@ -249,7 +249,7 @@
 	s := p.sim
 	p.acts++
 	p.out[zone] = true
-	p.inOrder(s.money.signed(command.Zone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: true}), func() {
+	p.inOrder(s.money.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: true}), func() {
 		s.tell("operator: %s is evacuated", zone)
 		s.oracle.evacuated[zone] = s.now
 		s.held("evacuated")
@@ -262,7 +262,7 @@
 	s := p.sim
 	p.acts++
 	delete(s.oracle.evacuated, zone) // from the sending on it may be open
-	p.inOrder(s.money.signed(command.Zone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: false}), func() {
+	p.inOrder(s.money.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: false}), func() {
 		s.tell("operator: %s is open", zone)
 		delete(p.out, zone)
 	})
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -93,7 +93,7 @@
 			for orders += perOrder; orders >= 1; orders-- {
 				nth++
 				m := s.minions[s.luck.IntN(len(s.minions))]
-				if _, err := s.apply(now, &command.Close{Order: "o-" + strconv.Itoa(nth), Minion: m}); err != nil {
+				if _, err := s.apply(now, &command.CloseWorker{Order: "o-" + strconv.Itoa(nth), Worker: m}); err != nil {
 					return errs.Pass(err, "day %d", day)
 				}
 			}
@@ -108,8 +108,8 @@
 		var mem runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&mem)
-		d := Day{Day: day, Jobs: len(s.st.Jobs), Open: len(s.st.Jobs) - len(s.st.Ended), Ended: len(s.st.Ended), Tombs: len(s.st.Tombs),
-			Handles: len(s.st.Handles), Orders: len(s.st.Orders), Line: len(s.st.Line), Bytes: len(data), HeapMB: int((mem.HeapAlloc - uint64(cap(data))) / 1e6), Entries: s.entries, LogKB: s.bytes / 1000}
+		d := Day{Day: day, Jobs: len(s.st.Jobs), Open: len(s.st.Jobs) - len(s.st.EndedJobs), Ended: len(s.st.EndedJobs), Tombs: len(s.st.Tombstones),
+			Handles: len(s.st.Handles), Orders: len(s.st.Orders), Line: len(s.st.Revisions), Bytes: len(data), HeapMB: int((mem.HeapAlloc - uint64(cap(data))) / 1e6), Entries: s.entries, LogKB: s.bytes / 1000}
 		if err := tell(d); err != nil {
 			return errs.Pass(err, "tell")
 		}
@@ -130,21 +130,21 @@
 
 func (s *sim) found(now time.Time) error {
 	for i := range s.options.Minions {
-		m := state.Minion{Name: fmt.Sprintf("m%04d", i), Addr: "10.0.0.1:7000", Kind: "check", Zone: "z" + strconv.Itoa(i%8), Cores: 1 << 20}
+		m := state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "10.0.0.1:7000", Kind: "check", Zone: "z" + strconv.Itoa(i%8), Cores: 1 << 20}
 		s.minions = append(s.minions, m.Name)
-		if _, err := s.apply(now, &command.Announce{Minion: m}); err != nil {
+		if _, err := s.apply(now, &command.Announce{Worker: m}); err != nil {
 			return errs.Pass(err, "found")
 		}
 	}
-	if _, err := s.apply(now, &command.Grant{Duty: "sched", Holder: "d1"}); err != nil {
+	if _, err := s.apply(now, &command.GrantRole{Role: "sched", Holder: "d1"}); err != nil {
 		return errs.Pass(err, "found")
 	}
 	s.epoch = s.st.Index
-	p := &command.Plan{Epoch: s.epoch, PlacementPolicy: s.st.Bundle.Version}
+	p := &command.Plan{Epoch: s.epoch, BundleVersion: s.st.Bundle.Version}
 	for _, name := range s.minions {
-		m := *s.st.Minions[name]
-		m.Boot = "b"
-		p.Minions = append(p.Minions, m)
+		m := *s.st.Workers[name]
+		m.Incarnation = "b"
+		p.Workers = append(p.Workers, m)
 	}
 	_, err := s.apply(now, p)
 	return errs.Pass(err, "found")
@@ -159,7 +159,7 @@
 
 // pass is a plan as the holder of sched makes it, and the letting go as the leader does it.
 func (s *sim) pass(now time.Time) error {
-	p := &command.Plan{Epoch: s.epoch, PlacementPolicy: s.st.Bundle.Version, Hold: 20 * time.Second, Seq: s.st.Seq}
+	p := &command.Plan{Epoch: s.epoch, BundleVersion: s.st.Bundle.Version, LeaseTTL: 20 * time.Second, Seq: s.st.Seq}
 	fresh := append([]string(nil), s.st.Inbox...)
 	var left []run
 	for _, r := range s.runs {
@@ -173,17 +173,17 @@
 	if _, err := s.apply(now, p); err != nil {
 		return errs.Pass(err, "ends")
 	}
-	p = &command.Plan{Epoch: s.epoch, PlacementPolicy: s.st.Bundle.Version, Hold: 20 * time.Second}
+	p = &command.Plan{Epoch: s.epoch, BundleVersion: s.st.Bundle.Version, LeaseTTL: 20 * time.Second}
 	for _, key := range fresh {
 		for i := range s.st.Jobs[key].Tasks[0] {
-			p.Starts = append(p.Starts, command.Start{Ref: state.TaskRef{Job: key, Task: i}, Minion: s.minions[s.luck.IntN(len(s.minions))], Boot: "b"})
+			p.Starts = append(p.Starts, command.Start{Ref: state.TaskRef{Job: key, Task: i}, Worker: s.minions[s.luck.IntN(len(s.minions))], Incarnation: "b"})
 		}
 	}
 	answer, err := s.apply(now, p)
 	if err != nil {
 		return errs.Pass(err, "starts")
 	}
-	running := &command.Plan{Epoch: s.epoch, PlacementPolicy: s.st.Bundle.Version}
+	running := &command.Plan{Epoch: s.epoch, BundleVersion: s.st.Bundle.Version}
 	for i, t := range answer.(command.Planned).RunIDs {
 		if t == 0 {
 			return errs.New(errs.Internal, "a start is refused: %s", answer.(command.Planned).Refused[i])
@@ -195,7 +195,7 @@
 		return errs.Pass(err, "running")
 	}
 	k := s.options.Keep
-	_, err = s.apply(now, &command.Tidy{JobsBefore: now.Add(-k.KeepEndedFor), JobsKeep: k.KeepEnded, TombsBefore: now.Add(-k.KeepTombsFor),
-		TombsKeep: k.KeepTombs, OrdersBefore: now.Add(-k.KeepTombsFor)})
+	_, err = s.apply(now, &command.Purge{JobsBefore: now.Add(-k.KeepEndedFor), JobsKeep: k.KeepEnded, TombstonesBefore: now.Add(-k.KeepTombsFor),
+		TombstonesKeep: k.KeepTombs, OrdersBefore: now.Add(-k.KeepTombsFor)})
 	return errs.Pass(err, "tidy")
 }
