--- a/cmd/crosstide-controlplane/jobscore.go
+++ b/cmd/crosstide-controlplane/jobscore.go
@@ -99,9 +99,9 @@
 // jobsScheduler maps settings to the scheduler's.
 func jobsScheduler(set config.JobsScheduler) scheduler.Config {
 	cfg := scheduler.Defaults()
-	cfg.Lease, cfg.HoldWait, cfg.Silence = set.Lease, set.HoldWait, set.Silence
-	cfg.LapseMargin, cfg.EarlyStart = set.LapseMargin, set.EarlyStart
-	cfg.SpreadFactor, cfg.ForgetAfter = set.RemoteFactor, set.ForgetAfter
+	cfg.Lease, cfg.RenewalWait, cfg.SilenceTimeout = set.Lease, set.HoldWait, set.Silence
+	cfg.ExpiryMargin, cfg.EarlyStart = set.LapseMargin, set.EarlyStart
+	cfg.RemoteDataFactor, cfg.ForgetAfter = set.RemoteFactor, set.ForgetAfter
 	return cfg
 }
 
--- a/cmd/crosstide-controlplane/jobscore_test.go
+++ b/cmd/crosstide-controlplane/jobscore_test.go
@@ -23,8 +23,8 @@
 			[]any{"10.0.0.1:7100", "10.0.0.1:7200", 7 * time.Second, time.Hour, false})
 		So(options.Workers(nil, nil), ShouldHaveSameTypeAs, &workerapi.Client{})
 		want := scheduler.Defaults()
-		want.Lease, want.HoldWait, want.Silence, want.LapseMargin = 9*time.Second, 2*time.Second, 3*time.Second, 4*time.Second
-		want.EarlyStart, want.SpreadFactor, want.ForgetAfter = 5*time.Second, 2.5, 40*time.Second
+		want.Lease, want.RenewalWait, want.SilenceTimeout, want.ExpiryMargin = 9*time.Second, 2*time.Second, 3*time.Second, 4*time.Second
+		want.EarlyStart, want.RemoteDataFactor, want.ForgetAfter = 5*time.Second, 2.5, 40*time.Second
 		So(options.Scheduler, ShouldResemble, want)
 	})
 	Convey("The defaults of the settings are the scheduler's", t, func() {
--- a/cmd/crosstide-controlplane/lease_test.go
+++ b/cmd/crosstide-controlplane/lease_test.go
@@ -23,7 +23,7 @@
 		for _, c := range cases {
 			config := schedulerSettings(platform.SchedulerSettings{LongestLease: c.longest}, c.contact)
 			So(config.Lease, ShouldEqual, c.lease)
-			So(config.HoldWait, ShouldBeLessThanOrEqualTo, config.Lease/3)
+			So(config.RenewalWait, ShouldBeLessThanOrEqualTo, config.Lease/3)
 		}
 	})
 	Convey("Without a longest lease the scheduler's own holds", t, func() {
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -135,7 +135,7 @@
 // call after it: what runs on a worker that is back within that time goes on. Longer ones would keep back the tasks of
 // workers that are gone for good.
 func workerLease(contactTimeout, longest time.Duration, config scheduler.Config) time.Duration {
-	return min(max(contactTimeout+config.HoldWait+config.RetryMax, leastLease), longest)
+	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, leastLease), longest)
 }
 
 // schedulerSettings maps the platform's bounds to the scheduler's settings.
@@ -144,15 +144,15 @@
 	if bounds.LongestLease > 0 {
 		config.Lease = workerLease(contactTimeout, bounds.LongestLease, config)
 	}
-	config.HoldWait = min(config.HoldWait, config.Lease/3)
+	config.RenewalWait = min(config.RenewalWait, config.Lease/3)
 	if bounds.StopTime > 0 {
-		config.LapseMargin = bounds.StopTime/2 + 200*time.Millisecond
+		config.ExpiryMargin = bounds.StopTime/2 + 200*time.Millisecond
 	}
 	if bounds.SpreadFactor > 0 {
-		config.SpreadFactor = bounds.SpreadFactor
+		config.RemoteDataFactor = bounds.SpreadFactor
 	}
 	if bounds.HeartbeatInterval > 0 {
-		config.Silence = bounds.HeartbeatInterval*5/2 + 250*time.Millisecond
+		config.SilenceTimeout = bounds.HeartbeatInterval*5/2 + 250*time.Millisecond
 	}
 	return config
 }
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -60,7 +60,7 @@
 	Cold      time.Duration `json:"cold,omitempty"`
 	Leaving   bool          `json:"leaving,omitempty"`
 	// Listing is what runs and what has ended, where orders go with the answers to heartbeats.
-	Listing *scheduler.HoldAnswer `json:"listing,omitempty"`
+	Listing *scheduler.RenewalAnswer `json:"listing,omitempty"`
 }
 
 // BeatAnswer acknowledges a heartbeat: what it told is known to the scheduler and durable.
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -34,8 +34,8 @@
 	if !maps.Equal(last.Silent, health.Silent) {
 		_ = level.Warn(h.log).Log("msg", "silent workers", "of", health.Workers, "zones", zoneCounts(health.Silent))
 	}
-	lost, lapsed := health.Counts.Lost-last.Counts.Lost, health.Counts.Lapsed-last.Counts.Lapsed
-	doubted, refused := health.Counts.Doubted-last.Counts.Doubted, health.Counts.Refused-last.Counts.Refused
+	lost, lapsed := health.Counts.Lost-last.Counts.Lost, health.Counts.Expired-last.Counts.Expired
+	doubted, refused := health.Counts.Unconfirmed-last.Counts.Unconfirmed, health.Counts.Refused-last.Counts.Refused
 	if lost+doubted+refused > 0 {
 		_ = level.Warn(h.log).Log("msg", "runs without an end", "lost", lost, "lapsed", lapsed, "doubted", doubted, "refused", refused)
 	}
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -32,7 +32,7 @@
 				"level=warn msg=\"silent workers\" of=48 zones=none\n")
 		})
 		Convey("runs without an end are told as they rise", func() {
-			health := scheduler.Health{Workers: 48, Counts: scheduler.Counts{Lost: 5, Lapsed: 3, Refused: 2}}
+			health := scheduler.Health{Workers: 48, Counts: scheduler.Counts{Lost: 5, Expired: 3, Refused: 2}}
 			h.note(2*time.Second, health)
 			h.note(3*time.Second, health)
 			So(text.String(), ShouldEqual, "level=warn msg=\"runs without an end\" lost=5 lapsed=3 doubted=0 refused=2\n")
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -87,7 +87,7 @@
 		opt.KeepOver = DefaultKeepOver
 	}
 	if opt.Mailboxes != nil {
-		opt.Config.OrderTimeout, opt.Config.HoldMargin = beatTimeout, beatTimeout
+		opt.Config.OrderTimeout, opt.Config.RenewalMargin = beatTimeout, beatTimeout
 	}
 	l := &Leader{opt: opt, clock: opt.Clock, log: opt.Logger, group: routine.New(context.Background()),
 		core: scheduler.New(opt.Config), health: healthLog{log: opt.Logger}, wake: make(chan struct{}, 1), beats: map[string]uint64{}}
@@ -196,14 +196,14 @@
 	case !held:
 		return now + leasePass
 	}
-	var out scheduler.Out
+	var out scheduler.Actions
 	l.opt.Store.View(func(s *state.State) {
 		if l.core.Term() == 0 {
 			l.lead(now, term, s.JobTable)
 		}
 		events, notes := l.take()
 		for _, note := range notes {
-			l.core.Note(note)
+			l.core.TableChanged(note)
 			if note.Kind == jobs.WorkerGone {
 				l.forget(note.Name)
 			}
@@ -265,7 +265,7 @@
 	l.take()
 	l.retain(table.Workers)
 	table.OnEvent = l.watch
-	l.core.Lead(now, term, table)
+	l.core.BecomeLeader(now, term, table)
 	l.tidyAt = now + tidyEvery
 	_ = level.Info(l.log).Log("msg", "scheduling", "term", term, "jobs", len(table.Jobs), "workers", len(table.Workers))
 }
@@ -275,7 +275,7 @@
 		return
 	}
 	_ = level.Info(l.log).Log("msg", "no longer scheduling", "term", l.core.Term())
-	l.core.Yield()
+	l.core.StepDown()
 	l.opt.Store.View(func(s *state.State) { s.JobTable.OnEvent = nil })
 	l.take()
 }
@@ -289,7 +289,7 @@
 }
 
 // carryOut does what a pass wants done.
-func (l *Leader) carryOut(term uint64, out scheduler.Out) {
+func (l *Leader) carryOut(term uint64, out scheduler.Actions) {
 	if out.Progress != nil {
 		l.group.Go(func(ctx context.Context) { l.commit(ctx, term, out.Progress) })
 	}
@@ -299,7 +299,7 @@
 	for _, stop := range out.Stops {
 		l.group.Go(func(ctx context.Context) { l.stop(ctx, term, stop) })
 	}
-	for _, hold := range out.Holds {
+	for _, hold := range out.Renewals {
 		l.group.Go(func(ctx context.Context) { l.hold(ctx, term, hold) })
 	}
 }
@@ -322,7 +322,7 @@
 // beatTimeout bounds an order that waits for the worker's heartbeat.
 const beatTimeout = 3 * time.Second
 
-func (l *Leader) start(ctx context.Context, term uint64, start scheduler.StartOut) {
+func (l *Leader) start(ctx context.Context, term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
 	failure := scheduler.StartUnsent
 	var answer scheduler.StartAnswer
@@ -341,16 +341,16 @@
 	case err == nil:
 		return scheduler.StartOK
 	case errs.Is(err, errs.Unknown):
-		return scheduler.StartOtherLife
+		return scheduler.StartOtherIncarnation
 	case rpc.IsQuotaExhausted(err):
-		return scheduler.StartNoRoom
+		return scheduler.StartNoConnection
 	case rpc.IsUnsent(err), errors.Is(err, errNeverLeft):
 		return scheduler.StartUnsent
 	}
 	return scheduler.StartUnknown
 }
 
-func (l *Leader) stop(ctx context.Context, term uint64, stop scheduler.StopOut) {
+func (l *Leader) stop(ctx context.Context, term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
 	failure := scheduler.StopFailed
 	if l.leads(term) {
@@ -366,37 +366,37 @@
 	case err == nil:
 		return scheduler.StopOK
 	case rpc.IsQuotaExhausted(err):
-		return scheduler.StopNoRoom
+		return scheduler.StopNoConnection
 	}
 	return scheduler.StopFailed
 }
 
-func (l *Leader) hold(ctx context.Context, term uint64, hold scheduler.HoldOut) {
+func (l *Leader) hold(ctx context.Context, term uint64, hold scheduler.RenewalAction) {
 	id, number := hold.Worker.ID, hold.Number
-	failure := scheduler.HoldFailed
-	var answer scheduler.HoldAnswer
+	failure := scheduler.RenewalFailed
+	var answer scheduler.RenewalAnswer
 	if l.leads(term) {
-		bounded, cancel := l.within(ctx, hold.Call.Wait+l.opt.Config.HoldMargin)
+		bounded, cancel := l.within(ctx, hold.Call.Wait+l.opt.Config.RenewalMargin)
 		var err error
-		answer, err = l.opt.Workers.Hold(bounded, hold.Worker, hold.Call)
+		answer, err = l.opt.Workers.RenewLease(bounded, hold.Worker, hold.Call)
 		cancel()
 		failure = holdError(err)
 	}
-	l.tell(func(c *scheduler.Core, now time.Duration) { c.HoldAnswered(now, id, number, answer, failure) })
+	l.tell(func(c *scheduler.Core, now time.Duration) { c.RenewalAnswered(now, id, number, answer, failure) })
 }
 
-func holdError(err error) scheduler.HoldError {
+func holdError(err error) scheduler.RenewalError {
 	switch {
 	case err == nil:
-		return scheduler.HoldOK
+		return scheduler.RenewalOK
 	case errs.Is(err, errs.Unknown):
-		return scheduler.HoldOtherLife
+		return scheduler.RenewalOtherIncarnation
 	case errs.Is(err, errs.Stale):
-		return scheduler.HoldFenced
+		return scheduler.RenewalFenced
 	case rpc.IsQuotaExhausted(err):
-		return scheduler.HoldNoRoom
+		return scheduler.RenewalNoConnection
 	}
-	return scheduler.HoldFailed
+	return scheduler.RenewalFailed
 }
 
 // within bounds a context by the controller's clock.
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -71,8 +71,8 @@
 	return errs.New(errs.Timeout, "deaf")
 }
 
-func (deafWorkers) Hold(context.Context, jobs.Worker, scheduler.HoldCall) (scheduler.HoldAnswer, error) {
-	return scheduler.HoldAnswer{}, errs.New(errs.Timeout, "deaf")
+func (deafWorkers) RenewLease(context.Context, jobs.Worker, scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
+	return scheduler.RenewalAnswer{}, errs.New(errs.Timeout, "deaf")
 }
 
 // fakeLeader is a controller whose passes the test makes by hand.
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -49,7 +49,7 @@
 type mailbox struct {
 	starts   []*letter[scheduler.StartOrder, scheduler.StartAnswer]
 	stops    []*letter[scheduler.StopOrder, struct{}]
-	holds    []*letter[scheduler.HoldCall, scheduler.HoldAnswer]
+	holds    []*letter[scheduler.LeaseRenewal, scheduler.RenewalAnswer]
 	deadline time.Duration // the latest lease granted, on the worker's clock
 	seen     uint64
 	tokens   uint64
@@ -101,7 +101,7 @@
 func (m *Mailboxes) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	l := newLetter[scheduler.StartOrder, scheduler.StartAnswer](order, order.Token)
 	answer, err := post(ctx, m, worker.ID, l, func(b *mailbox) *[]*letter[scheduler.StartOrder, scheduler.StartAnswer] {
-		b.deadline = max(b.deadline, order.Deadline)
+		b.deadline = max(b.deadline, order.LeaseDeadline)
 		return &b.starts
 	})
 	return answer, errs.Pass(err, "start")
@@ -115,10 +115,10 @@
 }
 
 // Hold asks for the worker's lists.
-func (m *Mailboxes) Hold(ctx context.Context, worker jobs.Worker, call scheduler.HoldCall) (scheduler.HoldAnswer, error) {
-	l := newLetter[scheduler.HoldCall, scheduler.HoldAnswer](call, call.Token)
-	answer, err := post(ctx, m, worker.ID, l, func(b *mailbox) *[]*letter[scheduler.HoldCall, scheduler.HoldAnswer] {
-		b.deadline, b.seen = max(b.deadline, call.Deadline), max(b.seen, call.SeenUpTo)
+func (m *Mailboxes) RenewLease(ctx context.Context, worker jobs.Worker, call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
+	l := newLetter[scheduler.LeaseRenewal, scheduler.RenewalAnswer](call, call.Token)
+	answer, err := post(ctx, m, worker.ID, l, func(b *mailbox) *[]*letter[scheduler.LeaseRenewal, scheduler.RenewalAnswer] {
+		b.deadline, b.seen = max(b.deadline, call.LeaseDeadline), max(b.seen, call.AcknowledgedUpTo)
 		return &b.holds
 	})
 	return answer, errs.Pass(err, "hold")
@@ -165,7 +165,7 @@
 
 // Exchange settles what the worker's heartbeat proves and gives the orders that its answer carries. leads tells, at the
 // last moment, whether this node may give orders under term; without it there are none.
-func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.HoldAnswer, leads func() bool) *BeatOrders {
+func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.RenewalAnswer, leads func() bool) *BeatOrders {
 	m.mu.Lock()
 	b := m.box(id)
 	b.settle(sequence, listing)
@@ -218,13 +218,13 @@
 func (b *mailbox) empty() bool { return len(b.starts)+len(b.stops)+len(b.holds) == 0 }
 
 // settle ends the letters of which the heartbeat of a sequence is the proof.
-func (b *mailbox) settle(sequence uint64, listing scheduler.HoldAnswer) {
+func (b *mailbox) settle(sequence uint64, listing scheduler.RenewalAnswer) {
 	running, begun, refused := map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}
 	for _, r := range listing.Running {
 		running[r.Key], begun[r.Key] = true, true
 	}
 	for _, e := range listing.Ended {
-		if e.How == jobs.EndLost {
+		if e.Reason == jobs.EndLost {
 			refused[e.Key] = true
 		} else {
 			begun[e.Key] = true
@@ -232,12 +232,12 @@
 	}
 	taken := scheduler.StartAnswer{Clock: listing.Clock}
 	b.starts = settleAll(b.starts, taken, func(l *letter[scheduler.StartOrder, scheduler.StartAnswer]) bool { return begun[l.order.Key] })
-	refusal := scheduler.StartAnswer{Clock: listing.Clock, Refusal: scheduler.RefusedRoom}
+	refusal := scheduler.StartAnswer{Clock: listing.Clock, Refusal: scheduler.RefusedCapacity}
 	b.starts = settleAll(b.starts, refusal, func(l *letter[scheduler.StartOrder, scheduler.StartAnswer]) bool { return refused[l.order.Key] })
 	b.stops = settleAll(b.stops, struct{}{}, func(l *letter[scheduler.StopOrder, struct{}]) bool {
 		return l.before(sequence) && !running[l.order.Key]
 	})
-	b.holds = settleAll(b.holds, listing, func(l *letter[scheduler.HoldCall, scheduler.HoldAnswer]) bool { return l.before(sequence) })
+	b.holds = settleAll(b.holds, listing, func(l *letter[scheduler.LeaseRenewal, scheduler.RenewalAnswer]) bool { return l.before(sequence) })
 }
 
 // settleAll ends the letters that are proved and gives the others.
@@ -280,7 +280,7 @@
 }
 
 // holdConfirmations is one for the calls that only renew a lease; more for those whose answer is a proof.
-func holdConfirmations(call scheduler.HoldCall) int {
+func holdConfirmations(call scheduler.LeaseRenewal) int {
 	if call.Wait > 0 {
 		return 1
 	}
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -29,9 +29,9 @@
 
 // beat is one heartbeat; a worker with nothing to do would wait for orders, so it lists one foreign run.
 func (b *mailBench) beat(sequence uint64, running ...jobs.RunKey) *BeatOrders {
-	listing := scheduler.HoldAnswer{Clock: time.Minute, Running: []scheduler.Listed{{Key: runKey(99)}}}
+	listing := scheduler.RenewalAnswer{Clock: time.Minute, Running: []scheduler.ListedRun{{Key: runKey(99)}}}
 	for _, key := range running {
-		listing.Running = append(listing.Running, scheduler.Listed{Key: key})
+		listing.Running = append(listing.Running, scheduler.ListedRun{Key: key})
 	}
 	return b.boxes.Exchange(context.Background(), "w", sequence, mailTerm, listing, func() bool { return b.leads })
 }
@@ -64,7 +64,7 @@
 func (b *mailBench) start(ctx context.Context, index int) chan posted {
 	done := make(chan posted, 1)
 	b.group.Go(func(context.Context) {
-		answer, err := b.boxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailTerm, Deadline: time.Minute + 5*time.Second})
+		answer, err := b.boxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailTerm, LeaseDeadline: time.Minute + 5*time.Second})
 		done <- posted{answer.Clock, answer.Refusal, err}
 	})
 	b.posted(1)
@@ -95,9 +95,9 @@
 		})
 		Convey("a worker that lists it as refused has not taken it", func() {
 			b.beat(1)
-			listing := scheduler.HoldAnswer{Clock: time.Minute, Ended: []scheduler.Ended{{Sequence: 1, Key: runKey(1), How: jobs.EndLost}}}
+			listing := scheduler.RenewalAnswer{Clock: time.Minute, Ended: []scheduler.EndedRun{{Sequence: 1, Key: runKey(1), Reason: jobs.EndLost}}}
 			b.boxes.Exchange(context.Background(), "w", 2, mailTerm, listing, func() bool { return true })
-			So((<-done).refusal, ShouldEqual, scheduler.RefusedRoom)
+			So((<-done).refusal, ShouldEqual, scheduler.RefusedCapacity)
 		})
 		Convey("taken back before a heartbeat came, it never left", func() {
 			cancel()
@@ -140,9 +140,9 @@
 	})
 	Convey("Given a call whose answer is a proof", t, func() {
 		b := newMailBench()
-		done := make(chan scheduler.HoldAnswer, 1)
+		done := make(chan scheduler.RenewalAnswer, 1)
 		b.group.Go(func(ctx context.Context) {
-			answer, _ := b.boxes.Hold(ctx, jobs.Worker{ID: "w"}, scheduler.HoldCall{Token: mailTerm, SeenUpTo: 4})
+			answer, _ := b.boxes.RenewLease(ctx, jobs.Worker{ID: "w"}, scheduler.LeaseRenewal{Token: mailTerm, AcknowledgedUpTo: 4})
 			done <- answer
 		})
 		b.posted(1)
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -21,80 +21,80 @@
 	"crosstide/internal/jobs"
 )
 
-// Out is what a pass wants done.
-type Out struct {
-	Progress *jobs.Progress // to be committed under its term; answered by Committed
-	Starts   []StartOut     // each answered by StartAnswered
-	Stops    []StopOut      // each answered by StopAnswered
-	Holds    []HoldOut      // each answered by HoldAnswered
-	Next     time.Duration  // when the next pass is due at the latest
+// Actions is what a pass wants done.
+type Actions struct {
+	Progress *jobs.Progress  // to be committed under its term; answered by Committed
+	Starts   []StartAction   // each answered by StartAnswered
+	Stops    []StopAction    // each answered by StopAnswered
+	Renewals []RenewalAction // each answered by RenewalAnswered
+	Next     time.Duration   // when the next pass is due at the latest
 }
 
-// StartOut is a start order to be sent.
-type StartOut struct {
+// StartAction is a start order to be sent.
+type StartAction struct {
 	Worker jobs.Worker
 	Order  StartOrder
 }
 
-// StopOut is a stop order to be sent.
-type StopOut struct {
+// StopAction is a stop order to be sent.
+type StopAction struct {
 	Worker jobs.Worker
 	Order  StopOrder
 }
 
-// HoldOut is a hold call to be sent. Number tells it from others to the same worker.
-type HoldOut struct {
+// RenewalAction is a hold call to be sent. Number tells it from others to the same worker.
+type RenewalAction struct {
 	Worker jobs.Worker
 	Number uint64
-	Call   HoldCall
+	Call   LeaseRenewal
 }
 
 // Counts are what a Core counted since it was made.
 type Counts struct {
-	Started, Done, Failed, Lost, Lapsed, Refused, Doubted, Stopped, Preempted, Moved uint64
+	Started, Done, Failed, Lost, Expired, Refused, Unconfirmed, Stopped, Preempted, Moved uint64
 }
 
-// flight is the Progress under way.
-type flight struct {
-	progress *jobs.Progress
-	seen     map[string]uint64 // by worker: the end that may be acknowledged once it is committed
-	starts   map[jobs.RunKey]bool
+// proposal is the Progress under way.
+type proposal struct {
+	progress   *jobs.Progress
+	highestEnd map[string]uint64 // by worker: the end that may be acknowledged once it is committed
+	starts     map[jobs.RunKey]bool
 }
 
 // Core holds the scheduler's records. One caller at a time.
 type Core struct {
-	cfg   Config
-	table *jobs.Table
-	term  uint64 // 0: not leading
-	since time.Duration
-	now   time.Duration
+	cfg         Config
+	table       *jobs.Table
+	term        uint64 // 0: not leading
+	leaderSince time.Duration
+	now         time.Duration
 	// sequence counts calls and answers, so that an answer can be told to be of a call sent after something.
 	sequence uint64
 
-	workers map[string]*worker
-	names   []string  // of workers, in the order they were met
-	order   []*worker // the same workers, for looks at all of them
-	runs    map[jobs.RunKey]*run
-	queue   map[string]*job // jobs that are not over or have handles out
-	dirty   map[string]bool // jobs to look at again
+	workers    map[string]*worker
+	workerIDs  []string  // of workers, in the order they were met
+	workerList []*worker // the same workers, for looks at all of them
+	runs       map[jobs.RunKey]*run
+	activeJobs map[string]*job // jobs that are not over or have handles out
+	dirtyJobs  map[string]bool // jobs to look at again
 
-	unwanted map[jobs.RunKey]*run // runs to be stopped
-	straying map[string]bool      // workers with runs that the table does not have
+	runsToStop         map[jobs.RunKey]*run // runs to be stopped
+	workersWithOrphans map[string]bool      // workers with runs that the table does not have
 
-	ends   []jobs.End
-	seen   map[string]uint64 // by worker: highest end in ends
-	starts []jobs.RunKey     // recorded, to be sent
-	flight *flight
-	moved  bool // something changed that may let a due task be placed
+	pendingEnds  []jobs.End
+	highestEnd   map[string]uint64 // by worker: highest end in ends
+	unsentStarts []jobs.RunKey     // recorded, to be sent
+	inFlight     *proposal
+	placementDue bool // something changed that may let a due task be placed
 
-	sweepAt   time.Duration
-	forgetAt  time.Duration           // the next look for workers to forget
-	dueAt     time.Time               // the next round that falls due
-	ordersOut int                     // start and stop orders under way to all workers
-	shortage  shortage                // of connections, here
-	avoid     map[jobs.TaskRef]string // workers that tasks failed on or were moved away from
-	moves     map[jobs.TaskRef]int    // how often tasks were moved away from slow workers
-	speeds    speeds
+	nextSweep      time.Duration
+	nextForget     time.Duration           // the next look for workers to forget
+	nextDue        time.Time               // the next round that falls due
+	ordersInFlight int                     // start and stop orders under way to all workers
+	connBackoff    connBackoff             // of connections, here
+	avoidWorker    map[jobs.TaskRef]string // workers that tasks failed on or were moved away from
+	moveCount      map[jobs.TaskRef]int    // how often tasks were moved away from slow workers
+	speeds         speedStats
 
 	discarded map[Cause]Discarded // since this core was made
 
@@ -105,161 +105,161 @@
 // New makes a core that does not lead.
 func New(cfg Config) *Core {
 	c := &Core{cfg: cfg, discarded: map[Cause]Discarded{}}
-	c.clear()
+	c.reset()
 	return c
 }
 
-func (c *Core) clear() {
-	c.workers, c.names, c.order, c.runs = map[string]*worker{}, nil, nil, map[jobs.RunKey]*run{}
-	c.queue, c.dirty, c.seen = map[string]*job{}, map[string]bool{}, map[string]uint64{}
-	c.unwanted, c.straying = map[jobs.RunKey]*run{}, map[string]bool{}
-	c.ends, c.starts, c.flight = nil, nil, nil
-	c.forgetAt, c.ordersOut, c.shortage = 0, 0, shortage{}
-	c.avoid, c.moves, c.speeds = map[jobs.TaskRef]string{}, map[jobs.TaskRef]int{}, newSpeeds()
-	c.dueAt = time.Time{}
+func (c *Core) reset() {
+	c.workers, c.workerIDs, c.workerList, c.runs = map[string]*worker{}, nil, nil, map[jobs.RunKey]*run{}
+	c.activeJobs, c.dirtyJobs, c.highestEnd = map[string]*job{}, map[string]bool{}, map[string]uint64{}
+	c.runsToStop, c.workersWithOrphans = map[jobs.RunKey]*run{}, map[string]bool{}
+	c.pendingEnds, c.unsentStarts, c.inFlight = nil, nil, nil
+	c.nextForget, c.ordersInFlight, c.connBackoff = 0, 0, connBackoff{}
+	c.avoidWorker, c.moveCount, c.speeds = map[jobs.TaskRef]string{}, map[jobs.TaskRef]int{}, newSpeedStats()
+	c.nextDue = time.Time{}
 }
 
-// Lead takes up the scheduling of table under term. The table has every commit of earlier terms. The owner passes the
+// BecomeLeader takes up the scheduling of table under term. The table has every commit of earlier terms. The owner passes the
 // table's notes to Note from now on.
-func (c *Core) Lead(now time.Duration, term uint64, table *jobs.Table) {
-	c.clear()
-	c.table, c.term, c.since, c.now = table, term, now, now
+func (c *Core) BecomeLeader(now time.Duration, term uint64, table *jobs.Table) {
+	c.reset()
+	c.table, c.term, c.leaderSince, c.now = table, term, now, now
 	for _, id := range sortedKeys(table.Workers) {
-		c.meet(id)
+		c.trackWorker(id)
 	}
 	for _, id := range sortedKeys(table.Jobs) {
-		c.refresh(id)
+		c.markDirty(id)
 	}
-	c.moved, c.sweepAt = true, now
+	c.placementDue, c.nextSweep = true, now
 }
 
-// Yield lays the scheduling down.
-func (c *Core) Yield() {
+// StepDown lays the scheduling down.
+func (c *Core) StepDown() {
 	c.term = 0
-	c.clear()
+	c.reset()
 }
 
 // Term is the term under which this core schedules; 0 when it does not.
 func (c *Core) Term() uint64 { return c.term }
 
-// Note takes in a change of the table.
-func (c *Core) Note(note jobs.Event) {
+// TableChanged takes in a change of the table.
+func (c *Core) TableChanged(change jobs.Event) {
 	if c.term == 0 {
 		return
 	}
-	c.moved = true
-	switch note.Kind {
+	c.placementDue = true
+	switch change.Kind {
 	case jobs.JobChanged:
-		c.dirty[note.Name] = true
+		c.dirtyJobs[change.Name] = true
 	case jobs.WorkerChanged:
-		c.meet(note.Name)
+		c.trackWorker(change.Name)
 	case jobs.ConfigChanged: // a queue may have gone, come back or moved to another service
-		for id := range c.queue {
-			c.dirty[id] = true
+		for id := range c.activeJobs {
+			c.dirtyJobs[id] = true
 		}
 	case jobs.WorkerGone:
-		if w := c.workers[note.Name]; w != nil {
-			c.ordersOut -= w.orders
+		if w := c.workers[change.Name]; w != nil {
+			c.ordersInFlight -= w.ordersInFlight
 		}
-		delete(c.workers, note.Name)
-		delete(c.speeds.byWorker, note.Name)
-		c.names = slices.DeleteFunc(c.names, func(id string) bool { return id == note.Name })
-		c.order = slices.DeleteFunc(c.order, func(w *worker) bool { return w.id == note.Name })
+		delete(c.workers, change.Name)
+		delete(c.speeds.byWorker, change.Name)
+		c.workerIDs = slices.DeleteFunc(c.workerIDs, func(id string) bool { return id == change.Name })
+		c.workerList = slices.DeleteFunc(c.workerList, func(w *worker) bool { return w.id == change.Name })
 	}
 }
 
 // Pass gives what is to be done at now; wall is the time of day.
-func (c *Core) Pass(now time.Duration, wall time.Time) Out {
+func (c *Core) Pass(now time.Duration, wall time.Time) Actions {
 	c.now = now
 	if c.term == 0 {
-		return Out{Next: now + time.Hour}
+		return Actions{Next: now + time.Hour}
 	}
-	c.refreshDirty(wall)
-	if now >= c.sweepAt {
+	c.refreshDirtyJobs(wall)
+	if now >= c.nextSweep {
 		c.sweep(now)
 	}
-	var out Out
+	var out Actions
 	c.sendStarts(&out)
 	c.sendStops(&out)
-	c.decide(now, wall, &out)
-	waiting := c.sendHolds(now, &out)
+	c.propose(now, wall, &out)
+	waiting := c.sendRenewals(now, &out)
 	out.Next = c.nextPass(now, wall)
 	if waiting {
-		out.Next = min(out.Next, now+probeSpan)
+		out.Next = min(out.Next, now+probeWindow)
 	}
 	return out
 }
 
-func (c *Core) refreshDirty(wall time.Time) {
-	if !c.dueAt.IsZero() && !wall.Before(c.dueAt) {
-		c.dueAt = time.Time{}
-		for id, j := range c.queue {
+func (c *Core) refreshDirtyJobs(wall time.Time) {
+	if !c.nextDue.IsZero() && !wall.Before(c.nextDue) {
+		c.nextDue = time.Time{}
+		for id, j := range c.activeJobs {
 			if j.timed {
-				c.dirty[id] = true
+				c.dirtyJobs[id] = true
 			}
 		}
 	}
-	if len(c.dirty) == 0 {
+	if len(c.dirtyJobs) == 0 {
 		return
 	}
-	for _, id := range sortedKeys(c.dirty) {
-		c.refreshAt(id, wall)
+	for _, id := range sortedKeys(c.dirtyJobs) {
+		c.refreshJob(id, wall)
 	}
-	clear(c.dirty)
+	clear(c.dirtyJobs)
 }
 
-// sweepEvery is the pause between looks at all workers and runs.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is the pause between looks at all workers and runs.
+const sweepInterval = 250 * time.Millisecond
 
 // sweep looks at everything that time alone changes.
 func (c *Core) sweep(now time.Duration) {
-	c.sweepAt = now + sweepEvery
-	for _, w := range c.order {
-		w.probe = w.probe || w.untold(now)
-		if w.lapsed(c, now) {
+	c.nextSweep = now + sweepInterval
+	for _, w := range c.workerList {
+		w.probeDue = w.probeDue || w.needsAck(now)
+		if w.leaseExpired(c, now) {
 			for _, key := range sortedRuns(w.runs) {
 				if r := w.runs[key]; r.sent && !r.ending {
-					r.cause = cmp.Or(r.cause, CauseLapsed)
-					c.end(r, jobs.EndLost, "")
-					c.Counts.Lapsed++
+					r.cause = cmp.Or(r.cause, CauseLeaseExpired)
+					c.endRun(r, jobs.EndLost, "")
+					c.Counts.Expired++
 				}
 			}
 		}
 	}
 	for _, r := range c.runs {
-		if r.wantsStop() {
-			c.askStop(r)
+		if r.needsStop() {
+			c.queueStop(r)
 		}
 	}
-	c.moved = true
+	c.placementDue = true
 }
 
-// decide makes the next Progress, if none is under way.
-func (c *Core) decide(now time.Duration, wall time.Time, out *Out) {
-	if c.flight != nil {
+// propose makes the next Progress, if none is under way.
+func (c *Core) propose(now time.Duration, wall time.Time, out *Actions) {
+	if c.inFlight != nil {
 		return
 	}
 	var starts []jobs.Start
-	if c.moved {
-		c.moved = false
+	if c.placementDue {
+		c.placementDue = false
 		starts = c.place(now, wall)
 	}
 	var forget []string
-	if now >= c.forgetAt {
-		forget, c.forgetAt = c.forgotten(now), now+sweepEvery
+	if now >= c.nextForget {
+		forget, c.nextForget = c.workersToForget(now), now+sweepInterval
 	}
-	if len(c.ends) == 0 && len(starts) == 0 && len(forget) == 0 && len(c.seen) == 0 {
+	if len(c.pendingEnds) == 0 && len(starts) == 0 && len(forget) == 0 && len(c.highestEnd) == 0 {
 		return
 	}
-	progress := &jobs.Progress{Term: c.term, At: wall, Ends: c.ends, Starts: starts, Forget: forget}
-	c.flight = &flight{progress: progress, seen: c.seen, starts: map[jobs.RunKey]bool{}}
+	progress := &jobs.Progress{Term: c.term, At: wall, Ends: c.pendingEnds, Starts: starts, Forget: forget}
+	c.inFlight = &proposal{progress: progress, highestEnd: c.highestEnd, starts: map[jobs.RunKey]bool{}}
 	for _, s := range starts {
-		c.flight.starts[jobs.RunKey{Task: s.Task, Number: s.Number}] = true
+		c.inFlight.starts[jobs.RunKey{Task: s.Task, Number: s.Number}] = true
 	}
-	c.ends, c.seen = nil, map[string]uint64{}
+	c.pendingEnds, c.highestEnd = nil, map[string]uint64{}
 	if len(progress.Ends)+len(progress.Starts)+len(progress.Forget) == 0 {
-		c.acknowledge(c.flight.seen) // only ends of runs that are long settled: nothing to commit
-		c.flight = nil
+		c.markDurable(c.inFlight.highestEnd) // only ends of runs that are long settled: nothing to commit
+		c.inFlight = nil
 		return
 	}
 	out.Progress = progress
@@ -269,83 +269,83 @@
 // recorded all the same, they are found in the table and ended as lost.
 func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.Started, err error) {
 	c.now = now
-	if c.term == 0 || c.flight == nil || c.flight.progress != progress {
+	if c.term == 0 || c.inFlight == nil || c.inFlight.progress != progress {
 		return
 	}
-	done := c.flight
-	c.flight, c.moved = nil, true
+	done := c.inFlight
+	c.inFlight, c.placementDue = nil, true
 	if err != nil {
-		c.ends = append(done.progress.Ends, c.ends...)
-		for id, sequence := range done.seen {
-			c.seen[id] = max(c.seen[id], sequence)
+		c.pendingEnds = append(done.progress.Ends, c.pendingEnds...)
+		for id, sequence := range done.highestEnd {
+			c.highestEnd[id] = max(c.highestEnd[id], sequence)
 		}
 		for _, s := range done.progress.Starts {
-			c.dirty[s.Task.Job] = true
+			c.dirtyJobs[s.Task.Job] = true
 		}
 		return
 	}
-	c.acknowledge(done.seen)
+	c.markDurable(done.highestEnd)
 	for i, s := range progress.Starts {
-		c.dirty[s.Task.Job] = true
+		c.dirtyJobs[s.Task.Job] = true
 		if i < len(started.Recorded) && started.Recorded[i] {
-			c.record(s)
+			c.recordStart(s)
 		}
 	}
 }
 
-func (c *Core) acknowledge(seen map[string]uint64) {
+func (c *Core) markDurable(seen map[string]uint64) {
 	for id, sequence := range seen {
-		if w := c.workers[id]; w != nil && sequence > w.seen {
-			w.seen, w.seenAt = sequence, c.now
+		if w := c.workers[id]; w != nil && sequence > w.durableEnd {
+			w.durableEnd, w.durableAt = sequence, c.now
 		}
 	}
 }
 
-// record notes a run whose handle was committed; its order leaves with the next pass.
-func (c *Core) record(s jobs.Start) {
+// recordStart notes a run whose handle was committed; its order leaves with the next pass.
+func (c *Core) recordStart(s jobs.Start) {
 	key := jobs.RunKey{Task: s.Task, Number: s.Number}
-	r := c.addRun(key, s.Worker, true)
+	r := c.trackRun(key, s.Worker, true)
 	if r != nil {
-		c.starts = append(c.starts, key)
+		c.unsentStarts = append(c.unsentStarts, key)
 	}
 }
 
 // sendStarts gives the start orders of the handles just recorded. One for a worker that has stopped answering meanwhile
 // never leaves: its task is due again at once, and no doubt can come of it.
-func (c *Core) sendStarts(out *Out) {
+func (c *Core) sendStarts(out *Actions) {
 	var later []jobs.RunKey
-	for _, key := range c.starts {
+	for _, key := range c.unsentStarts {
 		r := c.runs[key]
 		if r == nil || r.sent || r.ending {
 			continue
 		}
 		w := c.workers[r.worker]
 		j := c.table.Jobs[key.Task.Job]
-		if w == nil || w.record() == nil || !w.reachable() || j == nil || j.State.IsTerminal() || r.stop {
-			c.end(r, jobs.EndLost, "") // it never left
+		if w == nil || w.record() == nil || !w.isReachable() || j == nil || j.State.IsTerminal() || r.toStop {
+			c.endRun(r, jobs.EndLost, "") // it never left
 			continue
 		}
-		if !w.mayOrder(c) {
+		if !w.canOrder(c) {
 			later = append(later, key)
 			continue
 		}
 		r.sent, r.sentAt = true, c.now
-		c.ordered(w)
+		c.orderSent(w)
 		task := j.Rounds[key.Task.Round][key.Task.Step][key.Task.Index]
-		out.Starts = append(out.Starts, StartOut{Worker: *w.record(), Order: StartOrder{
-			Key: key, Payload: j.Spec.Payload, Needs: r.needs, Deadline: w.grant(c, c.now), Token: c.term, Checkpoint: task.Checkpoint}})
+		out.Starts = append(out.Starts, StartAction{Worker: *w.record(), Order: StartOrder{
+			Key: key, Payload: j.Spec.Payload, Needs: r.needs, LeaseDeadline: w.grantLease(c, c.now), Token: c.term, Checkpoint: task.Checkpoint}})
 		c.Counts.Started++
 	}
-	c.starts = later
+	c.unsentStarts = later
 }
 
 func (c *Core) nextPass(now time.Duration, wall time.Time) time.Duration {
 	next := now + time.Second
-	if len(c.runs) > 0 || len(c.queue) > 0 {
-		next = max(now+time.Millisecond, c.sweepAt)
+	if len(c.runs) > 0 || len(c.activeJobs) > 0 {
+		next = max(now+time.Millisecond, c.nextSweep)
 	}
-	if !c.dueAt.IsZero() {
-		next = min(next, now+max(time.Millisecond, c.dueAt.Sub(wall)))
+	if !c.nextDue.IsZero() {
+		next = min(next, now+max(time.Millisecond, c.nextDue.Sub(wall)))
 	}
 	return next
 }
--- a/internal/controller/scheduler/crowd_test.go
+++ b/internal/controller/scheduler/crowd_test.go
@@ -9,34 +9,34 @@
 	"crosstide/internal/jobs"
 )
 
-// crowd is a fleet of 350 workers under a load of which a part must wait. Commits and answers take the time that they
+// fleet is a fleet of 350 workers under a load of which a part must wait. Commits and answers take the time that they
 // take on the platform, on a clock of its own.
-type crowd struct {
+type fleet struct {
 	*bench
 	random *rand.Rand
 	later  map[time.Duration][]func() // by time in milliseconds
 	lists  map[string]map[jobs.RunKey]span
-	ended  map[string][]Ended
+	ended  map[string][]EndedRun
 	counts map[string]uint64
-	waits  map[string]*HoldOut
+	waits  map[string]*RenewalAction
 	passes int
 }
 
 // span is when a run began and how long it takes.
-type span struct{ from, long time.Duration }
+type span struct{ from, duration time.Duration }
 
 const (
-	crowdWorkers = 350
+	fleetWorkers = 350
 	commitTime   = 20 * time.Millisecond
 	answerTime   = 2 * time.Millisecond
 )
 
-func newCrowd() *crowd {
-	w := &crowd{bench: newBench(3), random: rand.New(rand.NewPCG(1, 2)), later: map[time.Duration][]func(){},
-		lists: map[string]map[jobs.RunKey]span{}, ended: map[string][]Ended{}, counts: map[string]uint64{}, waits: map[string]*HoldOut{}}
+func newFleet() *fleet {
+	w := &fleet{bench: newBench(3), random: rand.New(rand.NewPCG(1, 2)), later: map[time.Duration][]func(){},
+		lists: map[string]map[jobs.RunKey]span{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}, waits: map[string]*RenewalAction{}}
 	must(w.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{
 		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 4, Target: 3 * time.Second, Timeout: time.Second}}}))
-	for i := range crowdWorkers {
+	for i := range fleetWorkers {
 		id := fmt.Sprintf("w%03d", i)
 		rack := fmt.Sprintf("r%d", i/12)
 		must(w.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z", Rack: rack,
@@ -46,21 +46,21 @@
 	return w
 }
 
-func (w *crowd) after(d time.Duration, do func()) {
+func (w *fleet) after(d time.Duration, do func()) {
 	at := (w.now + d).Truncate(time.Millisecond)
 	w.later[at] = append(w.later[at], do)
 }
 
-func (w *crowd) arrive(queue string, steps ...jobs.Step) {
+func (w *fleet) arrive(queue string, steps ...jobs.Step) {
 	id := fmt.Sprintf("%016x", w.random.Uint64())
 	_, err := w.table.Submit(jobs.Submit{Spec: jobs.Spec{ID: id, Queue: queue, Steps: steps}, Digest: id, At: w.wall})
 	must(err)
 }
 
-func (w *crowd) width(mean float64) int { return 1 + int(w.random.ExpFloat64()*mean) }
+func (w *fleet) width(mean float64) int { return 1 + int(w.random.ExpFloat64()*mean) }
 
 // step moves the time on by a millisecond and runs a pass.
-func (w *crowd) step(load float64) {
+func (w *fleet) step(load float64) {
 	w.now += time.Millisecond
 	w.wall = w.wall.Add(time.Millisecond)
 	for _, do := range w.later[w.now.Truncate(time.Millisecond)] {
@@ -68,7 +68,7 @@
 	}
 	delete(w.later, w.now.Truncate(time.Millisecond))
 	if w.random.Float64() < 0.035*load {
-		near := fmt.Sprintf("r%d", w.random.IntN(crowdWorkers/12))
+		near := fmt.Sprintf("r%d", w.random.IntN(fleetWorkers/12))
 		w.arrive("q", jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, PreferredRack: near},
 			jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, After: []int{0}})
 	}
@@ -80,7 +80,7 @@
 	w.passes++
 }
 
-func (w *crowd) carryOut(out Out) {
+func (w *fleet) carryOut(out Actions) {
 	if p := out.Progress; p != nil {
 		w.after(commitTime, func() {
 			started, err := w.table.Progress(testTerm, *p)
@@ -96,12 +96,12 @@
 			w.core.StopAnswered(w.now, s.Worker.ID, s.Order.Key, StopOK)
 		})
 	}
-	for _, h := range out.Holds {
-		w.after(answerTime, func() { w.hold(h) })
+	for _, h := range out.Renewals {
+		w.after(answerTime, func() { w.renew(h) })
 	}
 }
 
-func (w *crowd) start(s StartOut) {
+func (w *fleet) start(s StartAction) {
 	key := s.Order.Key
 	w.core.StartAnswered(w.now, s.Worker.ID, key, StartAnswer{Clock: w.now}, StartOK)
 	j := w.table.Jobs[key.Task.Job]
@@ -109,26 +109,26 @@
 		return
 	}
 	took := time.Duration(float64(j.Spec.Steps[key.Task.Step].Estimate) * (0.7 + 0.6*w.random.Float64()))
-	w.lists[s.Worker.ID][key] = span{from: w.now, long: took}
+	w.lists[s.Worker.ID][key] = span{from: w.now, duration: took}
 	w.after(took, func() { w.end(s.Worker.ID, key, jobs.EndDone) })
 }
 
-func (w *crowd) end(id string, key jobs.RunKey, how jobs.EndReason) {
+func (w *fleet) end(id string, key jobs.RunKey, reason jobs.EndReason) {
 	if _, runs := w.lists[id][key]; !runs {
 		return
 	}
 	delete(w.lists[id], key)
 	w.counts[id]++
-	w.ended[id] = append(w.ended[id], Ended{Sequence: w.counts[id], Key: key, How: how})
+	w.ended[id] = append(w.ended[id], EndedRun{Sequence: w.counts[id], Key: key, Reason: reason})
 	if h := w.waits[id]; h != nil {
 		w.waits[id] = nil
 		w.answer(*h)
 	}
 }
 
-func (w *crowd) hold(h HoldOut) {
+func (w *fleet) renew(h RenewalAction) {
 	id := h.Worker.ID
-	for len(w.ended[id]) > 0 && w.ended[id][0].Sequence <= h.Call.SeenUpTo {
+	for len(w.ended[id]) > 0 && w.ended[id][0].Sequence <= h.Call.AcknowledgedUpTo {
 		w.ended[id] = w.ended[id][1:]
 	}
 	if h.Call.Wait == 0 || len(w.ended[id]) > 0 {
@@ -144,20 +144,20 @@
 	})
 }
 
-func (w *crowd) answer(h HoldOut) {
-	a := HoldAnswer{Clock: w.now, Ended: w.ended[h.Worker.ID]}
+func (w *fleet) answer(h RenewalAction) {
+	a := RenewalAnswer{Clock: w.now, Ended: w.ended[h.Worker.ID]}
 	for key, at := range w.lists[h.Worker.ID] {
-		a.Running = append(a.Running, Listed{Key: key, Percent: int(100 * (w.now - at.from) / at.long)})
+		a.Running = append(a.Running, ListedRun{Key: key, Percent: int(100 * (w.now - at.from) / at.duration)})
 	}
-	w.core.HoldAnswered(w.now, h.Worker.ID, h.Number, a, HoldOK)
+	w.core.RenewalAnswered(w.now, h.Worker.ID, h.Number, a, RenewalOK)
 }
 
-// BenchmarkCrowd is a second of scheduling for 350 workers, after ten seconds of the same load: 1 is about what the
+// BenchmarkPassesOfLoadedFleet is a second of scheduling for 350 workers, after ten seconds of the same load: 1 is about what the
 // workers can take, 3 is what storms bring.
-func BenchmarkCrowd(b *testing.B) {
+func BenchmarkPassesOfLoadedFleet(b *testing.B) {
 	for _, load := range []float64{1, 3} {
 		b.Run(fmt.Sprintf("load=%v", load), func(b *testing.B) {
-			w := newCrowd()
+			w := newFleet()
 			for range 10000 {
 				w.step(load)
 			}
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -18,23 +18,23 @@
 	h.accept()
 	key := h.sent[0].Order.Key
 	h.pass()
-	h.answer(HoldAnswer{Running: []Listed{{Key: key, Checkpoint: checkpoint, Percent: 1}}})
+	h.answer(RenewalAnswer{Running: []ListedRun{{Key: key, Checkpoint: checkpoint, Percent: 1}}})
 	h.pass()
 	h.core.runs[key].sentAt = h.now - time.Second
 	return key
 }
 
-func (h *harness) endAs(key jobs.RunKey, how jobs.EndReason) {
-	h.answer(HoldAnswer{Ended: []Ended{{Sequence: 1, Key: key, How: how}}})
+func (h *harness) endAs(key jobs.RunKey, reason jobs.EndReason) {
+	h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: key, Reason: reason}}})
 }
 
 func TestDiscardedWork(t *testing.T) {
 	Convey("Work is counted by why it was thrown away", t, func() {
-		causes := map[jobs.EndReason]Cause{jobs.EndLeaseExpired: CauseLapsed, jobs.EndGangBroken: CauseGang, jobs.EndGangTimeout: CauseAlone, jobs.EndLost: CauseLost}
-		for how, cause := range causes {
+		causes := map[jobs.EndReason]Cause{jobs.EndLeaseExpired: CauseLeaseExpired, jobs.EndGangBroken: CauseGang, jobs.EndGangTimeout: CauseGangTimeout, jobs.EndLost: CauseLost}
+		for reason, cause := range causes {
 			h := newHarness()
 			key := h.runningTask(jobs.Step{}, "")
-			h.endAs(key, how)
+			h.endAs(key, reason)
 			got := h.core.Health(h.now).Discarded
 			So(got, ShouldHaveLength, 1)
 			So(got[cause].Runs, ShouldEqual, 1)
@@ -51,32 +51,32 @@
 		So(h.core.Health(h.now).Discarded[CauseJobOver].Runs, ShouldEqual, 1)
 	})
 	Convey("Good ends and failures throw nothing away; work that was saved, and lasting work, costs no core-seconds", t, func() {
-		for _, how := range []jobs.EndReason{jobs.EndDone, jobs.EndFailed} {
+		for _, reason := range []jobs.EndReason{jobs.EndDone, jobs.EndFailed} {
 			h := newHarness()
-			h.endAs(h.runningTask(jobs.Step{}, ""), how)
+			h.endAs(h.runningTask(jobs.Step{}, ""), reason)
 			So(h.core.Health(h.now).Discarded, ShouldBeEmpty)
 		}
 		h := newHarness()
 		h.endAs(h.runningTask(jobs.Step{Checkpoints: true}, "c"), jobs.EndLeaseExpired)
-		So(h.core.Health(h.now).Discarded[CauseLapsed], ShouldResemble, Discarded{Runs: 1})
+		So(h.core.Health(h.now).Discarded[CauseLeaseExpired], ShouldResemble, Discarded{Runs: 1})
 		h = newHarness()
 		h.endAs(h.runningTask(jobs.Step{LongRunning: true}, ""), jobs.EndLeaseExpired)
-		So(h.core.Health(h.now).Discarded[CauseLapsed], ShouldResemble, Discarded{Runs: 1})
+		So(h.core.Health(h.now).Discarded[CauseLeaseExpired], ShouldResemble, Discarded{Runs: 1})
 	})
 	Convey("A lease that this leader finds over counts as lapsed, a run that its worker does not list as lost", t, func() {
 		h := newHarness()
 		h.runningTask(jobs.Step{}, "")
 		for range 60 { // nothing is heard of the worker
-			h.now += sweepEvery
+			h.now += sweepInterval
 			h.pass()
 		}
-		So(h.core.Counts.Lapsed, ShouldEqual, 1)
+		So(h.core.Counts.Expired, ShouldEqual, 1)
 		So(h.core.Health(h.now).Discarded, ShouldHaveLength, 1)
-		So(h.core.Health(h.now).Discarded[CauseLapsed].Runs, ShouldEqual, 1)
+		So(h.core.Health(h.now).Discarded[CauseLeaseExpired].Runs, ShouldEqual, 1)
 
 		h = newHarness()
 		h.runningTask(jobs.Step{}, "")
-		h.answer(HoldAnswer{})
+		h.answer(RenewalAnswer{})
 		So(h.core.Health(h.now).Discarded, ShouldHaveLength, 1)
 		So(h.core.Health(h.now).Discarded[CauseLost].Runs, ShouldEqual, 1)
 	})
@@ -88,11 +88,11 @@
 		h.core.StartAnswered(h.now, "w", key, StartAnswer{}, StartUnknown)
 		h.now += time.Second
 		h.pass()
-		h.answer(HoldAnswer{})
+		h.answer(RenewalAnswer{})
 		h.pass()
 		h.core.StopAnswered(h.now, "w", key, StopOK)
 		h.pass()
-		h.answer(HoldAnswer{})
+		h.answer(RenewalAnswer{})
 		So(h.core.Health(h.now).Discarded, ShouldHaveLength, 1)
 		So(h.core.Health(h.now).Discarded[CauseUnanswered].Runs, ShouldEqual, 1)
 	})
--- a/internal/controller/scheduler/failure_test.go
+++ b/internal/controller/scheduler/failure_test.go
@@ -16,7 +16,7 @@
 		So(len(h.sent), ShouldEqual, 2)
 		h.accept()
 		first, second := h.sent[0].Order.Key, h.sent[1].Order.Key
-		h.answer(HoldAnswer{Ended: []Ended{{Sequence: 1, Key: second, How: jobs.EndGangBroken}, {Sequence: 2, Key: first, How: jobs.EndFailed}}})
+		h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: second, Reason: jobs.EndGangBroken}, {Sequence: 2, Key: first, Reason: jobs.EndFailed}}})
 		h.pass()
 		So(h.table.Jobs["j"].Rounds[0][0][0].Failures, ShouldEqual, 1)
 	})
--- a/internal/controller/scheduler/golden_test.go
+++ b/internal/controller/scheduler/golden_test.go
@@ -11,10 +11,10 @@
 func TestGoldenEnums(t *testing.T) {
 	golden.Compare(t, "enums",
 		golden.Lines("refusals of starts",
-			fmt.Sprintf("fence = %#v", string(RefusedFence)),
-			fmt.Sprintf("old = %#v", string(RefusedOld)),
-			fmt.Sprintf("late = %#v", string(RefusedLate)),
-			fmt.Sprintf("room = %#v", string(RefusedRoom)),
+			fmt.Sprintf("fence = %#v", string(RefusedFenced)),
+			fmt.Sprintf("old = %#v", string(RefusedStale)),
+			fmt.Sprintf("late = %#v", string(RefusedExpired)),
+			fmt.Sprintf("room = %#v", string(RefusedCapacity)),
 			fmt.Sprintf("invalid = %#v", string(RefusedInvalid)),
 			fmt.Sprintf("unhealthy = %#v", string(RefusedUnhealthy)),
 		),
@@ -24,9 +24,9 @@
 			fmt.Sprintf("moved = %#v", string(CauseMoved)),
 			fmt.Sprintf("gang = %#v", string(CauseGang)),
 			fmt.Sprintf("unanswered = %#v", string(CauseUnanswered)),
-			fmt.Sprintf("lapsed = %#v", string(CauseLapsed)),
+			fmt.Sprintf("lapsed = %#v", string(CauseLeaseExpired)),
 			fmt.Sprintf("lost = %#v", string(CauseLost)),
-			fmt.Sprintf("alone = %#v", string(CauseAlone)),
+			fmt.Sprintf("alone = %#v", string(CauseGangTimeout)),
 		),
 	)
 }
--- a/internal/controller/scheduler/harness_test.go
+++ b/internal/controller/scheduler/harness_test.go
@@ -10,12 +10,12 @@
 
 // harness is a core with one worker of 4 cores, each of whose passes is committed at once.
 type harness struct {
-	core  *Core
-	table *jobs.Table
-	now   time.Duration
-	sent  []StartOut
-	holds []HoldOut
-	stops []StopOut
+	core     *Core
+	table    *jobs.Table
+	now      time.Duration
+	sent     []StartAction
+	renewals []RenewalAction
+	stops    []StopAction
 }
 
 const harnessTerm = 5
@@ -24,10 +24,10 @@
 	h := &harness{core: New(Defaults()), table: jobs.NewTable(), now: time.Second}
 	So(h.table.Configure(harnessConfig(1)), ShouldBeNil)
 	So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w", Service: "s", Capacity: jobs.Resources{MilliCPU: 4000}}}}), ShouldBeNil)
-	h.table.OnEvent = h.core.Note
-	h.core.Lead(h.now, harnessTerm, h.table)
+	h.table.OnEvent = h.core.TableChanged
+	h.core.BecomeLeader(h.now, harnessTerm, h.table)
 	h.pass()
-	h.answer(HoldAnswer{})
+	h.answer(RenewalAnswer{})
 	return h
 }
 
@@ -54,7 +54,7 @@
 	for {
 		h.now += 10 * time.Millisecond
 		out := h.core.Pass(h.now, time.Time{}.Add(h.now))
-		h.sent, h.holds, h.stops = append(h.sent, out.Starts...), append(h.holds, out.Holds...), append(h.stops, out.Stops...)
+		h.sent, h.renewals, h.stops = append(h.sent, out.Starts...), append(h.renewals, out.Renewals...), append(h.stops, out.Stops...)
 		if out.Progress == nil {
 			return
 		}
@@ -64,11 +64,11 @@
 }
 
 // answer answers the newest hold call that waits.
-func (h *harness) answer(a HoldAnswer) {
-	So(h.holds, ShouldNotBeEmpty)
+func (h *harness) answer(a RenewalAnswer) {
+	So(h.renewals, ShouldNotBeEmpty)
 	a.Clock = time.Minute + h.now
-	h.core.HoldAnswered(h.now, "w", h.holds[len(h.holds)-1].Number, a, HoldOK)
-	h.holds = nil
+	h.core.RenewalAnswered(h.now, "w", h.renewals[len(h.renewals)-1].Number, a, RenewalOK)
+	h.renewals = nil
 }
 
 func (h *harness) accept() {
--- a/internal/controller/scheduler/lapse_test.go
+++ b/internal/controller/scheduler/lapse_test.go
@@ -29,8 +29,8 @@
 		must(b.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z",
 			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
 	}
-	b.table.OnEvent = b.core.Note
-	b.core.Lead(b.now, testTerm, b.table)
+	b.table.OnEvent = b.core.TableChanged
+	b.core.BecomeLeader(b.now, testTerm, b.table)
 	return b
 }
 
@@ -46,7 +46,7 @@
 }
 
 // pass moves the time on and runs one pass; what it wants committed is committed.
-func (b *bench) pass(after time.Duration) Out {
+func (b *bench) pass(after time.Duration) Actions {
 	b.now += after
 	b.wall = b.wall.Add(after)
 	out := b.core.Pass(b.now, b.wall)
@@ -58,11 +58,11 @@
 }
 
 // firstStart answers every call of passes as healthy workers do, until a start leaves, and gives that start.
-func (b *bench) firstStart() StartOut {
+func (b *bench) firstStart() StartAction {
 	for range 20 {
 		out := b.pass(time.Millisecond)
-		for _, hold := range out.Holds {
-			b.core.HoldAnswered(b.now, hold.Worker.ID, hold.Number, HoldAnswer{Clock: b.now}, HoldOK)
+		for _, renewal := range out.Renewals {
+			b.core.RenewalAnswered(b.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: b.now}, RenewalOK)
 		}
 		if len(out.Starts) > 0 {
 			return out.Starts[0]
@@ -71,7 +71,7 @@
 	panic("no start")
 }
 
-func TestSilentWorkerLapses(t *testing.T) {
+func TestTaskOfSilentWorkerRestartsElsewhere(t *testing.T) {
 	Convey("Given a run on a worker that falls silent and is asked again and again", t, func() {
 		b := newBench(2, "w1")
 		b.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
@@ -80,17 +80,17 @@
 		must(b.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
 			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
 		Convey("its lease runs out all the same, and the task starts elsewhere under a new number", func() {
-			var again *StartOut
+			var again *StartAction
 			for range 200 {
 				out := b.pass(50 * time.Millisecond)
-				for _, hold := range out.Holds {
-					if hold.Worker.ID == "w1" {
-						b.core.HoldAnswered(b.now, "w1", hold.Number, HoldAnswer{}, HoldFailed)
+				for _, renewal := range out.Renewals {
+					if renewal.Worker.ID == "w1" {
+						b.core.RenewalAnswered(b.now, "w1", renewal.Number, RenewalAnswer{}, RenewalFailed)
 					} else {
-						b.core.HoldAnswered(b.now, "w2", hold.Number, HoldAnswer{Clock: b.now}, HoldOK)
+						b.core.RenewalAnswered(b.now, "w2", renewal.Number, RenewalAnswer{Clock: b.now}, RenewalOK)
 					}
 				}
-				b.core.Beat(b.now, "w2", b.now, 0)
+				b.core.Heartbeat(b.now, "w2", b.now, 0)
 				if len(out.Starts) > 0 {
 					again = &out.Starts[0]
 					break
@@ -110,13 +110,13 @@
 		start := b.firstStart()
 		key := start.Order.Key
 		b.core.StartAnswered(b.now, "w1", key, StartAnswer{Clock: b.now}, StartOK)
-		b.core.runs[key].stop = true
+		b.core.runs[key].toStop = true
 		Convey("the failure counts as an attempt", func() {
 			for range 20 {
 				out := b.pass(time.Millisecond)
-				for _, hold := range out.Holds {
-					b.core.HoldAnswered(b.now, "w1", hold.Number, HoldAnswer{Clock: b.now,
-						Ended: []Ended{{Sequence: 1, Key: key, How: jobs.EndFailed}}}, HoldOK)
+				for _, renewal := range out.Renewals {
+					b.core.RenewalAnswered(b.now, "w1", renewal.Number, RenewalAnswer{Clock: b.now,
+						Ended: []EndedRun{{Sequence: 1, Key: key, Reason: jobs.EndFailed}}}, RenewalOK)
 				}
 			}
 			So(b.table.Jobs["j1"].State, ShouldEqual, jobs.Failed)
--- a/internal/controller/scheduler/leaving_test.go
+++ b/internal/controller/scheduler/leaving_test.go
@@ -25,36 +25,36 @@
 		h.accept()
 		So(h.sent, ShouldHaveLength, 1)
 		key := h.sent[0].Order.Key
-		h.answer(HoldAnswer{Running: []Listed{{Key: key}}})
+		h.answer(RenewalAnswer{Running: []ListedRun{{Key: key}}})
 		h.pass()
 		h.deregister()
 		h.submitTo("urgent", "k", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		Convey("its lease is renewed, nothing more starts there, and its end is taken in", func() {
 			for range 20 {
 				h.now += 200 * time.Millisecond
-				h.core.Beat(h.now, "w", time.Minute+h.now, 0)
+				h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
 				h.pass()
 				So(h.sent, ShouldBeEmpty)
-				if len(h.holds) > 0 {
-					So(h.holds[len(h.holds)-1].Call.Deadline, ShouldBeGreaterThan, time.Minute+h.now)
-					h.answer(HoldAnswer{Running: []Listed{{Key: key}}})
+				if len(h.renewals) > 0 {
+					So(h.renewals[len(h.renewals)-1].Call.LeaseDeadline, ShouldBeGreaterThan, time.Minute+h.now)
+					h.answer(RenewalAnswer{Running: []ListedRun{{Key: key}}})
 				}
 			}
 			So(h.table.RunsOn("w"), ShouldHaveLength, 1)
 			h.pass()
-			h.answer(HoldAnswer{Ended: []Ended{{Sequence: 1, Key: key, How: jobs.EndDone}}})
+			h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: key, Reason: jobs.EndDone}}})
 			h.pass()
 			So(h.table.Jobs["j"].Rounds[0][0][key.Task.Index].Done, ShouldBeTrue)
 			So(h.sent, ShouldBeEmpty)
 		})
 		Convey("when it has ended, its run is dead once the lease is surely over, not before", func() {
-			h.failHolds(Defaults().Lease-time.Second, false)
+			h.failRenewals(Defaults().Lease-time.Second, false)
 			So(h.table.RunsOn("w"), ShouldHaveLength, 1)
-			h.failHolds(4*time.Second, false)
+			h.failRenewals(4*time.Second, false)
 			So(h.table.RunsOn("w"), ShouldBeEmpty)
 		})
 		Convey("when another life answers in its place, its run is dead at once", func() {
-			h.core.HoldAnswered(h.now, "w", h.holds[len(h.holds)-1].Number, HoldAnswer{}, HoldOtherLife)
+			h.core.RenewalAnswered(h.now, "w", h.renewals[len(h.renewals)-1].Number, RenewalAnswer{}, RenewalOtherIncarnation)
 			h.pass()
 			So(h.table.RunsOn("w"), ShouldBeEmpty)
 		})
@@ -63,13 +63,13 @@
 		h := newHarness()
 		So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "unknown", Left: true}}}), ShouldBeNil)
 		h.deregister()
-		h.holds = nil
+		h.renewals = nil
 		for range 10 {
 			h.now += time.Second
-			h.core.Beat(h.now, "w", time.Minute+h.now, 0)
+			h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
 			h.pass()
 		}
-		So(h.holds, ShouldBeEmpty)
+		So(h.renewals, ShouldBeEmpty)
 		Convey("one that was never heard is kept for as long as heartbeats may come late, whatever the age of the term", func() {
 			h.now += time.Hour
 			h.pass()
@@ -91,7 +91,7 @@
 		h.core.StartAnswered(h.now, "w", h.sent[0].Order.Key, StartAnswer{}, StartUnsent)
 		for range 10 {
 			h.now += time.Second
-			h.core.Beat(h.now, "w", time.Minute+h.now, 0) // it serves on
+			h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0) // it serves on
 			h.pass()
 			So(h.table.Workers["w"], ShouldNotBeNil)
 			So(h.sent, ShouldBeEmpty)
--- a/internal/controller/scheduler/month_test.go
+++ b/internal/controller/scheduler/month_test.go
@@ -15,12 +15,12 @@
 // month is a scheduler under one term for a simulated month, in spells of work with pauses between them.
 type month struct {
 	*bench
-	workers []string // those that are up
-	lives   int
-	lists   map[string][]jobs.RunKey
-	ended   map[string][]Ended
-	counts  map[string]uint64
-	jobs    int
+	workers      []string // those that are up
+	incarnations int
+	lists        map[string][]jobs.RunKey
+	ended        map[string][]EndedRun
+	counts       map[string]uint64
+	jobs         int
 }
 
 const (
@@ -32,17 +32,17 @@
 )
 
 func newMonth() *month {
-	m := &month{bench: newBench(2), lists: map[string][]jobs.RunKey{}, ended: map[string][]Ended{}, counts: map[string]uint64{}}
+	m := &month{bench: newBench(2), lists: map[string][]jobs.RunKey{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}}
 	for range monthWorkers {
-		m.bear()
+		m.startWorker()
 	}
 	return m
 }
 
-// bear starts a worker under an ID that was never used.
-func (m *month) bear() {
-	m.lives++
-	id := fmt.Sprintf("w%d", m.lives)
+// startWorker starts a worker under an ID that was never used.
+func (m *month) startWorker() {
+	m.incarnations++
+	id := fmt.Sprintf("w%d", m.incarnations)
 	m.workers = append(m.workers, id)
 	must(m.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z",
 		Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
@@ -57,28 +57,28 @@
 	delete(m.counts, id)
 }
 
-// hand submits a job whose ID tells how its runs end.
-func (m *month) hand(kind string) string {
+// submitKind submits a job whose ID tells how its runs end.
+func (m *month) submitKind(kind string) string {
 	m.jobs++
 	id := fmt.Sprintf("%s%d", kind, m.jobs)
 	m.submit(id, jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 500}, Estimate: time.Second})
 	return id
 }
 
-// spell hands jobs in, works on them, and lets jobs go that are over for long. A worker may crash in the middle of it.
-func (m *month) spell(crash bool) {
+// period hands jobs in, works on them, and lets jobs go that are over for long. A worker may crash in the middle of it.
+func (m *month) workPeriod(crash bool) {
 	m.now, m.wall = m.now+monthPause, m.wall.Add(monthPause)
-	m.hand("done")
-	m.hand("fails")
-	cancelled := m.hand("stays")
+	m.submitKind("done")
+	m.submitKind("fails")
+	cancelled := m.submitKind("stays")
 	for pass := range monthPasses {
 		for _, id := range m.workers {
-			m.core.Beat(m.now, id, m.now, 0)
+			m.core.Heartbeat(m.now, id, m.now, 0)
 		}
 		m.carryOut(m.pass(100 * time.Millisecond))
 		if crash && pass == monthPasses/4 {
 			m.crash()
-			m.bear()
+			m.startWorker()
 		}
 		if pass == monthPasses/2 {
 			_, err := m.table.Cancel(jobs.Cancel{ID: cancelled, At: m.wall})
@@ -98,7 +98,7 @@
 }
 
 // carryOut answers what a pass wants as workers do that are up.
-func (m *month) carryOut(out Out) {
+func (m *month) carryOut(out Actions) {
 	for _, s := range out.Starts {
 		if !m.up(s.Worker.ID) {
 			m.core.StartAnswered(m.now, s.Worker.ID, s.Order.Key, StartAnswer{}, StartUnknown)
@@ -111,18 +111,18 @@
 		m.finish(s.Worker.ID, s.Order.Key, jobs.EndStopped)
 		m.core.StopAnswered(m.now, s.Worker.ID, s.Order.Key, stopOutcome(m.up(s.Worker.ID)))
 	}
-	for _, h := range out.Holds {
+	for _, h := range out.Renewals {
 		m.answer(h)
 	}
 }
 
-func (m *month) answer(h HoldOut) {
+func (m *month) answer(h RenewalAction) {
 	id := h.Worker.ID
 	if !m.up(id) {
-		m.core.HoldAnswered(m.now, id, h.Number, HoldAnswer{}, HoldFailed)
+		m.core.RenewalAnswered(m.now, id, h.Number, RenewalAnswer{}, RenewalFailed)
 		return
 	}
-	for len(m.ended[id]) > 0 && m.ended[id][0].Sequence <= h.Call.SeenUpTo {
+	for len(m.ended[id]) > 0 && m.ended[id][0].Sequence <= h.Call.AcknowledgedUpTo {
 		m.ended[id] = m.ended[id][1:]
 	}
 	for _, key := range append([]jobs.RunKey{}, m.lists[id]...) {
@@ -133,19 +133,19 @@
 			m.finish(id, key, jobs.EndFailed)
 		}
 	}
-	answer := HoldAnswer{Clock: m.now, Ended: m.ended[id]}
+	answer := RenewalAnswer{Clock: m.now, Ended: m.ended[id]}
 	for _, key := range m.lists[id] {
-		answer.Running = append(answer.Running, Listed{Key: key})
+		answer.Running = append(answer.Running, ListedRun{Key: key})
 	}
-	m.core.HoldAnswered(m.now, id, h.Number, answer, HoldOK)
+	m.core.RenewalAnswered(m.now, id, h.Number, answer, RenewalOK)
 }
 
-func (m *month) finish(id string, key jobs.RunKey, how jobs.EndReason) {
+func (m *month) finish(id string, key jobs.RunKey, reason jobs.EndReason) {
 	for i, other := range m.lists[id] {
 		if other == key {
 			m.lists[id] = append(append([]jobs.RunKey{}, m.lists[id][:i]...), m.lists[id][i+1:]...)
 			m.counts[id]++
-			m.ended[id] = append(m.ended[id], Ended{Sequence: m.counts[id], Key: key, How: how})
+			m.ended[id] = append(m.ended[id], EndedRun{Sequence: m.counts[id], Key: key, Reason: reason})
 			return
 		}
 	}
@@ -174,20 +174,20 @@
 	return out
 }
 
-func TestMonth(t *testing.T) {
+func TestMemoryStaysBoundedOverMonth(t *testing.T) {
 	Convey("Nothing that the scheduler and its table keep grows from the third day of a month to the last", t, func() {
 		m := newMonth()
 		var early map[string]int
 		for day := 1; day <= 30; day++ {
-			for spell := range monthDay {
-				m.spell(spell%12 == 0)
+			for period := range monthDay {
+				m.workPeriod(period%12 == 0)
 			}
 			if day == 3 {
 				early = m.size()
 			}
 		}
 		late := m.size()
-		t.Log(m.jobs, "jobs,", m.lives, "lives of workers:", late)
+		t.Log(m.jobs, "jobs,", m.incarnations, "lives of workers:", late)
 		So(m.core.Counts.Done, ShouldBeGreaterThan, 3000)
 		So(m.core.Counts.Failed, ShouldBeGreaterThan, 3000)
 		So(m.core.Counts.Lost, ShouldBeGreaterThan, 0)
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -20,24 +20,24 @@
 	h.pass()
 	So(h.sent, ShouldHaveLength, 8)
 	h.acceptAll()
-	for range enoughPeers {
-		h.core.speeds.took(jobs.TaskRef{Job: "j"}, time.Second)
+	for range minPeers {
+		h.core.speeds.observeDuration(jobs.TaskRef{Job: "j"}, time.Second)
 	}
 	h.answerAll(map[string]int{}) // all are listed
 	h.pass()
 	h.now += elapsed
-	holds := h.holds
-	h.holds = nil
-	for _, hold := range holds {
-		answer := HoldAnswer{Clock: time.Minute + h.now}
-		for i, key := range h.table.RunsOn(hold.Worker.ID) {
-			done := percent[hold.Worker.ID][i%2]
+	renewals := h.renewals
+	h.renewals = nil
+	for _, renewal := range renewals {
+		answer := RenewalAnswer{Clock: time.Minute + h.now}
+		for i, key := range h.table.RunsOn(renewal.Worker.ID) {
+			done := percent[renewal.Worker.ID][i%2]
 			if done == usual {
 				h.core.runs[key].sentAt = h.now - 900*time.Millisecond // it began later
 			}
-			answer.Running = append(answer.Running, Listed{Key: key, Percent: done})
+			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: done})
 		}
-		h.core.HoldAnswered(h.now, hold.Worker.ID, hold.Number, answer, HoldOK)
+		h.core.RenewalAnswered(h.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 	}
 	h.pass() // it decides
 	h.pass() // and sends the stops
--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -9,12 +9,12 @@
 
 // StartOrder tells a worker to start one run.
 type StartOrder struct {
-	Key        jobs.RunKey
-	Payload    string
-	Needs      jobs.Resources // what the run takes of the worker
-	Deadline   time.Duration  // the lease of everything on the worker, on the worker's clock
-	Token      uint64         // fencing token: the term of the leader
-	Checkpoint string         // progress to go on from; empty: from the beginning
+	Key           jobs.RunKey
+	Payload       string
+	Needs         jobs.Resources // what the run takes of the worker
+	LeaseDeadline time.Duration  // the lease of everything on the worker, on the worker's clock
+	Token         uint64         // fencing token: the term of the leader
+	Checkpoint    string         // progress to go on from; empty: from the beginning
 }
 
 // StopOrder tells a worker to stop one run, and never to start it later.
@@ -23,12 +23,12 @@
 	Token uint64
 }
 
-// HoldCall renews a worker's lease and asks what runs and what has ended.
-type HoldCall struct {
-	Token    uint64
-	SeenUpTo uint64        // ends numbered up to it are durable here
-	Deadline time.Duration // the new lease, on the worker's clock; 0: none
-	Wait     time.Duration // how long the answer may be held until an end comes
+// LeaseRenewal renews a worker's lease and asks what runs and what has ended.
+type LeaseRenewal struct {
+	Token            uint64
+	AcknowledgedUpTo uint64        // ends numbered up to it are durable here
+	LeaseDeadline    time.Duration // the new lease, on the worker's clock; 0: none
+	Wait             time.Duration // how long the answer may be held until an end comes
 }
 
 // Refusal says why a worker did not take a start; empty: it took it.
@@ -36,10 +36,10 @@
 
 // The refusals of a worker. In each case the run has not started and this order never starts it.
 const (
-	RefusedFence     Refusal = "fence"     // the worker has seen a higher token
-	RefusedOld       Refusal = "old"       // the run is not above one that was stopped or ended there
-	RefusedLate      Refusal = "late"      // the deadline is over
-	RefusedRoom      Refusal = "room"      // it does not fit
+	RefusedFenced    Refusal = "fence"     // the worker has seen a higher token
+	RefusedStale     Refusal = "old"       // the run is not above one that was stopped or ended there
+	RefusedExpired   Refusal = "late"      // the deadline is over
+	RefusedCapacity  Refusal = "room"      // it does not fit
 	RefusedInvalid   Refusal = "invalid"   // the order cannot be read
 	RefusedUnhealthy Refusal = "unhealthy" // the worker takes nothing now
 )
@@ -50,26 +50,26 @@
 	Refusal Refusal
 }
 
-// Listed is one run that a worker lists as running.
-type Listed struct {
+// ListedRun is one run that a worker lists as running.
+type ListedRun struct {
 	Key        jobs.RunKey
 	Checkpoint string
 	Percent    int
 }
 
-// Ended is one end that a worker lists until it is acknowledged.
-type Ended struct {
+// EndedRun is one end that a worker lists until it is acknowledged.
+type EndedRun struct {
 	Sequence   uint64 // from 1, rising, within one life of the worker
 	Key        jobs.RunKey
-	How        jobs.EndReason
+	Reason     jobs.EndReason
 	Checkpoint string
 }
 
-// HoldAnswer is a worker's answer to a hold call.
-type HoldAnswer struct {
+// RenewalAnswer is a worker's answer to a hold call.
+type RenewalAnswer struct {
 	Clock   time.Duration
-	Running []Listed
-	Ended   []Ended
+	Running []ListedRun
+	Ended   []EndedRun
 	Full    bool // more ends wait than an answer holds: what is not listed may have ended
 }
 
@@ -79,5 +79,5 @@
 type Workers interface {
 	Start(ctx context.Context, worker jobs.Worker, order StartOrder) (StartAnswer, error)
 	Stop(ctx context.Context, worker jobs.Worker, order StopOrder) error
-	Hold(ctx context.Context, worker jobs.Worker, call HoldCall) (HoldAnswer, error)
+	RenewLease(ctx context.Context, worker jobs.Worker, call LeaseRenewal) (RenewalAnswer, error)
 }
--- a/internal/controller/scheduler/orders_test.go
+++ b/internal/controller/scheduler/orders_test.go
@@ -15,7 +15,7 @@
 		const tasks = 25
 		h.submit(jobs.Step{Count: tasks, Needs: jobs.Resources{MilliCPU: 100}, Estimate: time.Second})
 		h.pass()
-		So(len(h.sent), ShouldEqual, Defaults().MostOrders)
+		So(len(h.sent), ShouldEqual, Defaults().MaxOrdersPerWorker)
 		Convey("each answer lets the next ones leave, until all have left", func() {
 			started := map[jobs.RunKey]bool{}
 			for range tasks {
@@ -23,7 +23,7 @@
 					So(started[s.Order.Key], ShouldBeFalse)
 					started[s.Order.Key] = true
 				}
-				So(len(h.sent), ShouldBeLessThanOrEqualTo, Defaults().MostOrders)
+				So(len(h.sent), ShouldBeLessThanOrEqualTo, Defaults().MaxOrdersPerWorker)
 				h.accept()
 				h.pass()
 			}
@@ -56,12 +56,12 @@
 					calls++
 					h.core.StopAnswered(h.now, "w", s.Order.Key, stopOutcome(calls == 1))
 				}
-				for _, hold := range out.Holds {
+				for _, renewal := range out.Renewals {
 					calls++
 					if calls > 1 {
-						h.core.HoldAnswered(h.now, "w", hold.Number, HoldAnswer{}, HoldFailed)
+						h.core.RenewalAnswered(h.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
 					} else {
-						h.core.HoldAnswered(h.now, "w", hold.Number, HoldAnswer{Clock: time.Minute + h.now}, HoldOK)
+						h.core.RenewalAnswered(h.now, "w", renewal.Number, RenewalAnswer{Clock: time.Minute + h.now}, RenewalOK)
 					}
 				}
 			}
--- a/internal/controller/scheduler/payment_test.go
+++ b/internal/controller/scheduler/payment_test.go
@@ -48,7 +48,7 @@
 	return n
 }
 
-func TestDryQueue(t *testing.T) {
+func TestQueueOfExhaustedAccount(t *testing.T) {
 	Convey("A queue whose party is dry waits without commits, others go on, and a top-up is used within a sweep", t, func() {
 		h := newHarness()
 		a := h.pay(150)
@@ -56,13 +56,13 @@
 		h.pass() // it ends: no start is proposed and refused again and again
 		So(h.count("j"), ShouldEqual, 1)
 		h.accept()
-		h.answer(HoldAnswer{Running: []Listed{{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}}}})
+		h.answer(RenewalAnswer{Running: []ListedRun{{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}}}})
 		h.submitTo("urgent", "u", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}})
 		h.pass()
 		So([]int{h.count("j"), h.count("u")}, ShouldResemble, []int{0, 1})
 		h.accept()
 		a.topUp("second", 50)
-		h.now += sweepEvery
+		h.now += sweepInterval
 		h.pass()
 		So(h.count("j"), ShouldEqual, 1)
 		So(a.Check(), ShouldBeNil)
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -11,14 +11,14 @@
 
 // node is a worker that may take starts in this pass, with the room it has left.
 type node struct {
-	worker  *worker
-	record  *jobs.Worker
-	free    jobs.Resources
-	freeing jobs.Resources // what runs give back that are being stopped, or whose ends wait to be committed
-	held    bool           // kept free for a more urgent unit
-	factor  float64        // how many times as long a task takes here
+	worker   *worker
+	record   *jobs.Worker
+	free     jobs.Resources
+	freeing  jobs.Resources // what runs give back that are being stopped, or whose ends wait to be committed
+	reserved bool           // kept free for a more urgent unit
+	slowdown float64        // how many times as long a task takes here
 	// lowest is the priority of the least urgent run here that may be stopped for a more urgent one; -1: none.
-	lowest int
+	lowestPriority int
 }
 
 func fits(free, needs jobs.Resources) bool {
@@ -38,34 +38,34 @@
 	core      *Core
 	now       time.Duration
 	wall      time.Time
-	nodes     map[string][]*node // by service
+	feasible  map[string][]*node // by service
 	starts    []jobs.Start
-	perNode   map[jobs.TaskRef]map[string]int // planned tasks of a unit on a worker
+	assigned  map[jobs.TaskRef]map[string]int // planned tasks of a unit on a worker
 	byFree    map[string][]*node              // by service: the nodes with most free room first; gone with each start
 	preempted int
 }
 
 // place chooses workers for due tasks.
 func (c *Core) place(now time.Duration, wall time.Time) []jobs.Start {
-	room := min(c.cfg.MostStarts, c.orderRoom())
-	if now < c.shortage.until || room <= 0 {
-		c.moved = true
+	capacity := min(c.cfg.MaxStarts, c.orderBudget())
+	if now < c.connBackoff.until || capacity <= 0 {
+		c.placementDue = true
 		return nil
 	}
 	units := c.dueUnits(wall)
-	p := &placement{core: c, now: now, wall: wall, nodes: map[string][]*node{}, perNode: map[jobs.TaskRef]map[string]int{},
+	p := &placement{core: c, now: now, wall: wall, feasible: map[string][]*node{}, assigned: map[jobs.TaskRef]map[string]int{},
 		byFree: map[string][]*node{}}
-	paid := newPayment(c.table)
+	paid := newBalanceCheck(c.table)
 	for _, u := range units {
-		if len(p.starts) >= room {
-			c.moved = true
+		if len(p.starts) >= capacity {
+			c.placementDue = true
 			break
 		}
-		if u = paid.within(u); u == nil {
+		if u = paid.affordable(u); u == nil {
 			continue
 		}
-		if u.step.Gang && len(p.starts)+len(u.indexes) > room && room < c.cfg.MostOrdersOut {
-			c.moved = true // its orders leave together, once fewer are under way
+		if u.step.Gang && len(p.starts)+len(u.taskIndexes) > capacity && capacity < c.cfg.MaxOrdersInFlight {
+			c.placementDue = true // its orders leave together, once fewer are under way
 			continue
 		}
 		before := len(p.starts)
@@ -74,113 +74,113 @@
 		} else {
 			p.placeTasks(u)
 		}
-		paid.promise(u, p.starts[before:])
+		paid.reserve(u, p.starts[before:])
 	}
-	p.moveSlow()
+	p.moveSlowRuns()
 	return p.starts
 }
 
-// usable gives the nodes of a service, the same for all units of a pass.
-func (p *placement) usable(service string) []*node {
-	if nodes, ok := p.nodes[service]; ok {
+// feasibleNodes gives the nodes of a service, the same for all units of a pass.
+func (p *placement) feasibleNodes(service string) []*node {
+	if nodes, ok := p.feasible[service]; ok {
 		return nodes
 	}
 	var nodes, stalled []*node
-	for _, id := range p.core.names {
+	for _, id := range p.core.workerIDs {
 		w := p.core.workers[id]
 		rec := w.record()
-		if rec == nil || rec.Service != service || !w.takesStarts(p.core, p.now) {
+		if rec == nil || rec.Service != service || !w.canTakeStarts(p.core, p.now) {
 			continue
 		}
-		n := &node{worker: w, record: rec, free: minus(rec.Capacity, p.core.table.Used(id)), factor: p.core.speeds.factor(id), lowest: -1}
+		n := &node{worker: w, record: rec, free: minus(rec.Capacity, p.core.table.Used(id)), slowdown: p.core.speeds.slowdown(id), lowestPriority: -1}
 		for _, r := range w.runs {
-			if r.stop || r.ending {
+			if r.toStop || r.ending {
 				n.freeing = plus(n.freeing, r.needs)
 			}
-			if r.mayYield() {
-				n.lowest = max(n.lowest, r.priority)
+			if r.isPreemptible() {
+				n.lowestPriority = max(n.lowestPriority, r.priority)
 			}
 		}
-		if w.stalled(p.now) {
+		if w.isStalled(p.now) {
 			stalled = append(stalled, n)
 		} else {
 			nodes = append(nodes, n)
 		}
 	}
-	if len(stalled) > len(nodes)/leastSound {
+	if len(stalled) > len(nodes)/minHealthyPerStalled {
 		nodes = append(nodes, stalled...) // so many at once: better there than nowhere
 	}
-	p.nodes[service] = nodes
+	p.feasible[service] = nodes
 	return nodes
 }
 
 // Pauses after a worker refused a start, or after a run on it was found standing still.
 const (
-	fullPause    = 300 * time.Millisecond
-	sickPause    = time.Second
-	stalledPause = 2 * time.Second
+	fullBackoff      = 300 * time.Millisecond
+	unhealthyBackoff = time.Second
+	stalledBackoff   = 2 * time.Second
 )
 
-// leastSound is how many workers there must be for each one that is left out because its runs stand still.
-const leastSound = 3
+// minHealthyPerStalled is how many workers there must be for each one that is left out because its runs stand still.
+const minHealthyPerStalled = 3
 
-// stalled tells whether a worker is left out because its runs stand still.
-func (w *worker) stalled(now time.Duration) bool {
-	return w.stalledAt > 0 && now-w.stalledAt < stalledPause
+// isStalled tells whether a worker is left out because its runs stand still.
+func (w *worker) isStalled(now time.Duration) bool {
+	return w.stalledAt > 0 && now-w.stalledAt < stalledBackoff
 }
 
-// takesStarts tells whether a worker may be given starts.
-func (w *worker) takesStarts(c *Core, now time.Duration) bool {
+// canTakeStarts tells whether a worker may be given starts.
+func (w *worker) canTakeStarts(c *Core, now time.Duration) bool {
 	rec := w.record()
 	switch {
 	case isLeaving(rec) || c.table.Evacuated[rec.Zone]:
 		return false
-	case !w.clockOK || w.heardAt == 0 || now-w.heardAt > c.cfg.Silence || !w.reachable():
+	case !w.clockOK || w.heardAt == 0 || now-w.heardAt > c.cfg.SilenceTimeout || !w.isReachable():
 		return false
 	case !w.answered || w.answeredAt < w.verifyAt:
 		return false
-	case w.fullAt > 0 && now-w.fullAt < fullPause || w.sickAt > 0 && now-w.sickAt < sickPause:
+	case w.fullAt > 0 && now-w.fullAt < fullBackoff || w.unhealthyAt > 0 && now-w.unhealthyAt < unhealthyBackoff:
 		return false
 	}
 	return true
 }
 
-// allowed tells whether a unit's tasks may run on a node at all, room apart.
-func (p *placement) allowed(u *unit, n *node) bool {
+// isFeasible tells whether a unit's tasks may run on a node at all, room apart.
+func (p *placement) isFeasible(u *unit, n *node) bool {
 	if u.step.Label != "" && !slices.Contains(n.record.Labels, u.step.Label) {
 		return false
 	}
-	return u.step.MaxPerWorker == 0 || p.onNode(u, n.record.ID) < u.step.MaxPerWorker
+	return u.step.MaxPerWorker == 0 || p.countOnNode(u, n.record.ID) < u.step.MaxPerWorker
 }
 
-// onNode counts a unit's tasks on a worker, those planned in this pass included.
-func (p *placement) onNode(u *unit, id string) int {
-	counts := p.perNode[u.key()]
+// countOnNode counts a unit's tasks on a worker, those planned in this pass included.
+func (p *placement) countOnNode(u *unit, id string) int {
+	counts := p.assigned[u.key()]
 	if counts == nil {
 		counts = map[string]int{}
-		for _, task := range u.job.Rounds[u.round][u.number] {
+		for _, task := range u.job.Rounds[u.round][u.stepIndex] {
 			for _, handle := range task.Runs {
 				counts[handle.Worker]++
 			}
 		}
-		p.perNode[u.key()] = counts
+		p.assigned[u.key()] = counts
 	}
 	return counts[id]
 }
 
 // Bounds of how much the speed of a worker counts.
 const (
-	speedSteps = 8   // speeds that differ by less than one part in so many count as equal
-	sickSpeed  = 1.6 // from this factor on a worker is too slow for anything that could run elsewhere
+	speedSteps    = 8   // speeds that differ by less than one part in so many count as equal
+	tooSlowFactor = 1.6 // from this factor on a worker is too slow for anything that could run elsewhere
 )
 
 // speedCost is how much the speed of a node counts against it for a unit. The fast nodes are left to urgent work: work
 // that is not urgent goes by room alone, and lasting work, which no speed makes shorter, to the slower ones.
 func (u *unit) speedCost(n *node) float64 {
-	rounded := math.Round(n.factor*speedSteps) / speedSteps
+	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
 	switch {
-	case n.factor >= sickSpeed:
-		return n.factor
+	case n.slowdown >= tooSlowFactor:
+		return n.slowdown
 	case u.step.LongRunning:
 		return 1 + 1/max(rounded, 0.1)
 	case u.queue.Priority > 0:
@@ -193,51 +193,51 @@
 func (p *placement) cost(u *unit, n *node) float64 {
 	cost := u.speedCost(n)
 	if u.step.PreferredRack != "" && !slices.Contains(n.record.Labels, u.step.PreferredRack) {
-		cost *= p.core.cfg.SpreadFactor
+		cost *= p.core.cfg.RemoteDataFactor
 	}
 	return cost
 }
 
-// best gives the node that suits the unit's next task best; nil if none has room.
-func (p *placement) best(u *unit, nodes []*node, shun string) *node {
+// selectNode gives the node that suits the unit's next task best; nil if none has room.
+func (p *placement) selectNode(u *unit, nodes []*node, avoid string) *node {
 	var found *node
 	var least float64
 	for _, n := range nodes {
-		if n.held || !fits(n.free, u.step.Needs) || !p.allowed(u, n) {
+		if n.reserved || !fits(n.free, u.step.Needs) || !p.isFeasible(u, n) {
 			continue
 		}
 		cost := p.cost(u, n)
-		if n.record.ID == shun {
+		if n.record.ID == avoid {
 			cost *= 4 // better there again than not at all
 		}
-		if found == nil || cost < least || cost == least && u.roomier(n, found) {
+		if found == nil || cost < least || cost == least && u.prefersNode(n, found) {
 			found, least = n, cost
 		}
 	}
 	return found
 }
 
-// roomier tells whether a node is to be preferred to another of the same cost: the emptier one, so that every rack keeps
+// prefersNode tells whether a node is to be preferred to another of the same cost: the emptier one, so that every rack keeps
 // room for tasks whose data is there; for tasks on accelerators the fuller one, so that whole nodes stay free for those
 // that need several.
-func (u *unit) roomier(n, other *node) bool {
+func (u *unit) prefersNode(n, other *node) bool {
 	if u.step.Needs.GPUs > 0 {
 		return n.free.GPUs < other.free.GPUs
 	}
 	return n.free.MilliCPU > other.free.MilliCPU
 }
 
-// take plans a start of one task on a node.
-func (p *placement) take(u *unit, n *node, index, number int) {
+// assign plans a start of one task on a node.
+func (p *placement) assign(u *unit, n *node, index, number int) {
 	n.free = minus(n.free, u.step.Needs)
 	clear(p.byFree)
-	p.onNode(u, n.record.ID)
-	p.perNode[u.key()][n.record.ID]++
+	p.countOnNode(u, n.record.ID)
+	p.assigned[u.key()][n.record.ID]++
 	p.starts = append(p.starts, jobs.Start{Task: u.task(index), Number: number, Worker: n.record.ID})
 }
 
-// untake undoes the newest starts, down to a length of the list.
-func (p *placement) untake(u *unit, nodes []*node, length int) {
+// rollback undoes the newest starts, down to a length of the list.
+func (p *placement) rollback(u *unit, nodes []*node, length int) {
 	clear(p.byFree)
 	for _, s := range p.starts[length:] {
 		for _, n := range nodes {
@@ -245,34 +245,34 @@
 				n.free = plus(n.free, u.step.Needs)
 			}
 		}
-		p.perNode[u.key()][s.Worker]--
+		p.assigned[u.key()][s.Worker]--
 	}
 	p.starts = p.starts[:length]
 }
 
-func (u *unit) tasks() []jobs.Task { return u.job.Rounds[u.round][u.number] }
+func (u *unit) tasks() []jobs.Task { return u.job.Rounds[u.round][u.stepIndex] }
 
 // placeTasks places the tasks of a unit one by one.
 func (p *placement) placeTasks(u *unit) {
-	nodes := p.usable(u.queue.Service)
+	nodes := p.feasibleNodes(u.queue.Service)
 	tasks := u.tasks()
-	for position, index := range u.indexes {
-		n := p.best(u, nodes, p.core.avoid[u.task(index)])
+	for position, index := range u.taskIndexes {
+		n := p.selectNode(u, nodes, p.core.avoidWorker[u.task(index)])
 		if n == nil {
-			p.wait(u, nodes, len(u.indexes)-position)
+			p.freeCapacity(u, nodes, len(u.taskIndexes)-position)
 			return
 		}
-		p.take(u, n, index, tasks[index].LastRun+1)
+		p.assign(u, n, index, tasks[index].LastRun+1)
 	}
 }
 
 // placeGang places all members of a gang, or none.
 func (p *placement) placeGang(u *unit) {
-	nodes := p.usable(u.queue.Service)
+	nodes := p.feasibleNodes(u.queue.Service)
 	groups := [][]*node{nodes}
 	if u.step.SameRack {
 		groups = byRack(nodes)
-		if p.now-u.since > 4*p.core.cfg.GangHold || !p.anyRackCould(u, groups) {
+		if p.now-u.waitingSince > 4*p.core.cfg.ReserveAfter || !p.someRackFits(u, groups) {
 			groups = append(groups, nodes) // slower over several racks, but not waiting
 		}
 	}
@@ -281,12 +281,12 @@
 			return
 		}
 	}
-	p.wait(u, nodes, len(u.indexes))
+	p.freeCapacity(u, nodes, len(u.taskIndexes))
 }
 
-// anyRackCould tells whether some rack, were it empty, would hold the whole gang.
-func (p *placement) anyRackCould(u *unit, racks [][]*node) bool {
-	return slices.ContainsFunc(racks, func(rack []*node) bool { return p.couldTake(u, rack) >= len(u.indexes) })
+// someRackFits tells whether some rack, were it empty, would hold the whole gang.
+func (p *placement) someRackFits(u *unit, racks [][]*node) bool {
+	return slices.ContainsFunc(racks, func(rack []*node) bool { return p.totalCapacity(u, rack) >= len(u.taskIndexes) })
 }
 
 func (p *placement) tryGang(u *unit, nodes []*node) bool {
@@ -295,13 +295,13 @@
 		number = max(number, task.LastRun+1)
 	}
 	length := len(p.starts)
-	for _, index := range u.indexes {
-		n := p.best(u, nodes, "")
+	for _, index := range u.taskIndexes {
+		n := p.selectNode(u, nodes, "")
 		if n == nil {
-			p.untake(u, nodes, length)
+			p.rollback(u, nodes, length)
 			return false
 		}
-		p.take(u, n, index, number)
+		p.assign(u, n, index, number)
 	}
 	return true
 }
@@ -323,54 +323,54 @@
 	return groups
 }
 
-// wait is for a unit of which count tasks found no room: less urgent runs are stopped for it, and once it has waited
+// freeCapacity is for a unit of which count tasks found no room: less urgent runs are stopped for it, and once it has waited
 // for a while room is kept free for it.
-func (p *placement) wait(u *unit, nodes []*node, count int) {
-	if u.tier(p.wall) == hopelessTier {
+func (p *placement) freeCapacity(u *unit, nodes []*node, count int) {
+	if u.tier(p.wall) == expiredTier {
 		return
 	}
 	if p.preempt(u, nodes, count) {
 		return
 	}
-	if p.now-u.since < p.core.cfg.GangHold || !u.step.Gang && u.step.Needs.MilliCPU <= smallTask {
+	if p.now-u.waitingSince < p.core.cfg.ReserveAfter || !u.step.Gang && u.step.Needs.MilliCPU <= smallTaskMilliCPU {
 		return
 	}
 	p.reserve(u, nodes, count)
 }
 
-// smallTask is a task, in thousandths of a core, for which room turns up by itself.
-const smallTask = 2000
+// smallTaskMilliCPU is a task, in thousandths of a core, for which room turns up by itself.
+const smallTaskMilliCPU = 2000
 
 // reserve keeps the nodes that would take the unit soonest from less urgent units of this pass. A gang for which all of
 // them, were they empty, would not do waits for other workers: room kept for it would only stand idle.
 func (p *placement) reserve(u *unit, nodes []*node, count int) {
-	group := p.mostFree(u.queue.Service, nodes)
+	group := p.nodesByFree(u.queue.Service, nodes)
 	if u.step.SameRack {
 		group = nil
 		for _, rack := range byRack(nodes) {
-			if group == nil || p.couldTake(u, rack) > p.couldTake(u, group) {
+			if group == nil || p.totalCapacity(u, rack) > p.totalCapacity(u, group) {
 				group = rack
 			}
 		}
 		group = sortByFree(group)
 	}
-	if u.step.Gang && p.couldTake(u, group) < count {
+	if u.step.Gang && p.totalCapacity(u, group) < count {
 		return
 	}
 	for _, n := range group {
 		if count <= 0 {
 			return
 		}
-		if could := p.capacityFor(u, n); could > 0 && !n.held {
-			n.held = true
+		if could := p.capacityFor(u, n); could > 0 && !n.reserved {
+			n.reserved = true
 			count -= could
 		}
 	}
 }
 
-// mostFree gives all nodes of a service, those with most free room first. Units that wait follow one another without a
+// nodesByFree gives all nodes of a service, those with most free room first. Units that wait follow one another without a
 // start in between, so the order is kept until the next start.
-func (p *placement) mostFree(service string, nodes []*node) []*node {
+func (p *placement) nodesByFree(service string, nodes []*node) []*node {
 	sorted, ok := p.byFree[service]
 	if !ok {
 		sorted = sortByFree(nodes)
@@ -385,7 +385,7 @@
 	return sorted
 }
 
-func (p *placement) couldTake(u *unit, nodes []*node) int {
+func (p *placement) totalCapacity(u *unit, nodes []*node) int {
 	sum := 0
 	for _, n := range nodes {
 		sum += p.capacityFor(u, n)
@@ -395,7 +395,7 @@
 
 // capacityFor is how many of a unit's tasks an empty node takes.
 func (p *placement) capacityFor(u *unit, n *node) int {
-	if !p.allowed(u, n) {
+	if !p.isFeasible(u, n) {
 		return 0
 	}
 	needs, has := u.step.Needs, n.record.Capacity
--- a/internal/controller/scheduler/preempt.go
+++ b/internal/controller/scheduler/preempt.go
@@ -26,14 +26,14 @@
 	var victims []*run
 	least := 0.0
 	for _, n := range nodes {
-		if n.held || !p.allowed(u, n) || !fits(n.record.Capacity, u.step.Needs) {
+		if n.reserved || !p.isFeasible(u, n) || !fits(n.record.Capacity, u.step.Needs) {
 			continue
 		}
 		if fits(plus(n.free, n.freeing), u.step.Needs) { // room is on the way here
-			n.promise(u.step.Needs)
+			n.reserve(u.step.Needs)
 			return true
 		}
-		if n.lowest <= u.queue.Priority || p.preempted >= p.core.cfg.MostPreempted {
+		if n.lowestPriority <= u.queue.Priority || p.preempted >= p.core.cfg.MaxPreemptions {
 			continue // nothing to stop here, or no more may be stopped in this pass
 		}
 		stop, waste, ok := p.victims(u, n)
@@ -41,23 +41,23 @@
 			chosen, victims, least = n, stop, waste
 		}
 	}
-	if chosen == nil || p.preempted+len(victims) > p.core.cfg.MostPreempted {
+	if chosen == nil || p.preempted+len(victims) > p.core.cfg.MaxPreemptions {
 		return false
 	}
 	for _, r := range victims {
-		p.core.stopFor(r, CausePreempted)
+		p.core.requestStop(r, CausePreempted)
 		chosen.freeing = plus(chosen.freeing, r.needs)
 		p.core.Counts.Preempted++
 	}
 	p.preempted += len(victims)
-	p.core.moved = true
-	chosen.promise(u.step.Needs)
+	p.core.placementDue = true
+	chosen.reserve(u.step.Needs)
 	return true
 }
 
-// promise keeps room for a task that waits until runs here have stopped: less urgent units of this pass must not take
+// reserve keeps room for a task that waits until runs here have stopped: less urgent units of this pass must not take
 // what is free of it already, else more runs would be stopped again and again.
-func (n *node) promise(needs jobs.Resources) {
+func (n *node) reserve(needs jobs.Resources) {
 	left := minus(plus(n.free, n.freeing), needs)
 	free := jobs.Resources{MilliCPU: min(n.free.MilliCPU, left.MilliCPU), MemoryMB: min(n.free.MemoryMB, left.MemoryMB),
 		GPUs: min(n.free.GPUs, left.GPUs)}
@@ -68,35 +68,35 @@
 func (p *placement) victims(u *unit, n *node) (stop []*run, waste float64, ok bool) {
 	var candidates []*run
 	for _, r := range n.worker.runs {
-		if r.priority > u.queue.Priority && r.mayYield() {
+		if r.priority > u.queue.Priority && r.isPreemptible() {
 			candidates = append(candidates, r)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(p.wasteOf(a), p.wasteOf(b)), a.key.Compare(b.key))
+		return cmp.Or(cmp.Compare(p.wastedWork(a), p.wastedWork(b)), a.key.Compare(b.key))
 	})
-	room := plus(n.free, n.freeing)
+	capacity := plus(n.free, n.freeing)
 	for _, r := range candidates {
-		if fits(room, u.step.Needs) {
+		if fits(capacity, u.step.Needs) {
 			break
 		}
-		room = plus(room, r.needs)
-		waste += p.wasteOf(r)
+		capacity = plus(capacity, r.needs)
+		waste += p.wastedWork(r)
 		stop = append(stop, r)
 	}
-	return stop, waste, fits(room, u.step.Needs)
+	return stop, waste, fits(capacity, u.step.Needs)
 }
 
-// mayYield tells whether a run may be stopped for a more urgent one.
-func (r *run) mayYield() bool { return r.sent && r.listed && !r.stop && !r.ending && !r.gang }
+// isPreemptible tells whether a run may be stopped for a more urgent one.
+func (r *run) isPreemptible() bool { return r.sent && r.listed && !r.toStop && !r.ending && !r.gang }
 
-// wasteOf is the work that a stop of a run throws away, in core-seconds; a saved run loses little.
-func (p *placement) wasteOf(r *run) float64 {
+// wastedWork is the work that a stop of a run throws away, in core-seconds; a saved run loses little.
+func (p *placement) wastedWork(r *run) float64 {
 	waste := (p.now - r.sentAt).Seconds() * coresOf(r.needs)
-	if r.saved != "" {
+	if r.checkpoint != "" {
 		waste /= 4
 	}
-	if r.lasting {
+	if r.longRunning {
 		waste += 1
 	}
 	return waste
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -18,20 +18,20 @@
 
 // unit is what is placed together: the due tasks of a step of a round, one by one, or a gang whole.
 type unit struct {
-	job      *jobs.Job
-	step     *jobs.Step
-	queue    *jobs.Queue
-	round    int
-	number   int   // index of the step
-	indexes  []int // of due tasks
-	since    time.Duration
-	latest   time.Time // start by then to end in time
-	hopeless time.Time // from then on the round earns nothing any more
+	job          *jobs.Job
+	step         *jobs.Step
+	queue        *jobs.Queue
+	round        int
+	stepIndex    int   // index of the step
+	taskIndexes  []int // of due tasks
+	waitingSince time.Duration
+	latestStart  time.Time // start by then to end in time
+	expiresAt    time.Time // from then on the round earns nothing any more
 }
 
 // key tells units of the same step and round apart from others.
 func (u *unit) key() jobs.TaskRef {
-	return jobs.TaskRef{Job: u.job.Spec.ID, Round: u.round, Step: u.number}
+	return jobs.TaskRef{Job: u.job.Spec.ID, Round: u.round, Step: u.stepIndex}
 }
 
 // task names the unit's task of an index.
@@ -41,23 +41,23 @@
 	return ref
 }
 
-func (c *Core) refresh(id string) { c.dirty[id] = true }
+func (c *Core) markDirty(id string) { c.dirtyJobs[id] = true }
 
-// refreshAt makes a job's record anew from the table.
-func (c *Core) refreshAt(id string, wall time.Time) {
-	rec := c.queue[id]
+// refreshJob makes a job's record anew from the table.
+func (c *Core) refreshJob(id string, wall time.Time) {
+	rec := c.activeJobs[id]
 	if rec == nil {
 		rec = &job{id: id, runs: map[jobs.RunKey]bool{}}
-		c.queue[id] = rec
+		c.activeJobs[id] = rec
 	}
 	j := c.table.Jobs[id]
-	handles := c.refreshRuns(rec, j)
+	handles := c.syncRuns(rec, j)
 	before := rec.units
 	rec.units, rec.timed = nil, false
 	if j == nil || j.State.IsTerminal() {
 		if handles == 0 {
-			delete(c.queue, id)
-			c.forgetTasks(id)
+			delete(c.activeJobs, id)
+			c.dropTaskHistory(id)
 		}
 		return
 	}
@@ -66,102 +66,102 @@
 		return // no configuration directs it anywhere
 	}
 	for round := range j.Rounds {
-		c.refreshRound(rec, j, q, round, wall)
+		c.addDueUnits(rec, j, q, round, wall)
 	}
 	for _, u := range rec.units {
-		u.since = c.now
+		u.waitingSince = c.now
 		for _, old := range before {
-			if old.round == u.round && old.number == u.number {
-				u.since = old.since
+			if old.round == u.round && old.stepIndex == u.stepIndex {
+				u.waitingSince = old.waitingSince
 			}
 		}
 	}
 }
 
-func (c *Core) forgetTasks(id string) {
-	for key := range c.speeds.steps {
+func (c *Core) dropTaskHistory(id string) {
+	for key := range c.speeds.byStep {
 		if key.job == id {
-			delete(c.speeds.steps, key)
+			delete(c.speeds.byStep, key)
 		}
 	}
-	for ref := range c.avoid {
+	for ref := range c.avoidWorker {
 		if ref.Job == id {
-			delete(c.avoid, ref)
+			delete(c.avoidWorker, ref)
 		}
 	}
-	for ref := range c.moves {
+	for ref := range c.moveCount {
 		if ref.Job == id {
-			delete(c.moves, ref)
+			delete(c.moveCount, ref)
 		}
 	}
 }
 
-// refreshRuns brings the run records of a job in line with its handles and gives how many there are.
-func (c *Core) refreshRuns(rec *job, j *jobs.Job) int {
+// syncRuns brings the run records of a job in line with its handles and gives how many there are.
+func (c *Core) syncRuns(rec *job, j *jobs.Job) int {
 	present := map[jobs.RunKey]bool{}
 	if j != nil {
 		for round, steps := range j.Rounds {
 			for step, tasks := range steps {
 				for index := range tasks {
-					c.refreshTask(j, jobs.TaskRef{Job: rec.id, Round: round, Step: step, Index: index}, &tasks[index], present)
+					c.syncTask(j, jobs.TaskRef{Job: rec.id, Round: round, Step: step, Index: index}, &tasks[index], present)
 				}
 			}
 		}
 	}
 	for key := range rec.runs {
 		if r := c.runs[key]; !present[key] && r != nil {
-			c.dropRun(r)
+			c.untrackRun(r)
 		}
 	}
 	rec.runs = present
 	return len(present)
 }
 
-func (c *Core) refreshTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
+func (c *Core) syncTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
 	for _, handle := range task.Runs {
 		key := jobs.RunKey{Task: ref, Number: handle.Number}
 		present[key] = true
 		r := c.runs[key]
 		if r == nil {
-			if c.inFlight(key) {
+			if c.startInFlight(key) {
 				continue // its commit is about to be reported
 			}
 			mine := handle.Term == c.term
-			if r = c.addRun(key, handle.Worker, mine); mine && r != nil {
-				c.end(r, jobs.EndLost, "") // recorded under this term, and its order never left
+			if r = c.trackRun(key, handle.Worker, mine); mine && r != nil {
+				c.endRun(r, jobs.EndLost, "") // recorded under this term, and its order never left
 			}
 		}
-		if r != nil && (task.Done || j.State.IsTerminal()) && !r.stop {
-			c.stopFor(r, CauseJobOver)
+		if r != nil && (task.Done || j.State.IsTerminal()) && !r.toStop {
+			c.requestStop(r, CauseJobOver)
 		}
 	}
 }
 
-// refreshRound adds the units of a round that are due.
-func (c *Core) refreshRound(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
+// addDueUnits adds the units of a round that are due.
+func (c *Core) addDueUnits(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
 		begin = j.Spec.FirstRun.Add(time.Duration(round) * j.Spec.Interval)
 		if due := begin.Add(-c.cfg.EarlyStart); wall.Before(due) {
 			rec.timed = true
-			if c.dueAt.IsZero() || due.Before(c.dueAt) {
-				c.dueAt = due
+			if c.nextDue.IsZero() || due.Before(c.nextDue) {
+				c.nextDue = due
 			}
 			return
 		}
 	}
-	objective := time.Duration(q.Stretch*float64(chain(j.Spec.Steps, 0, true))) + q.Target
+	objective := time.Duration(q.Stretch*float64(criticalPath(j.Spec.Steps, 0, true))) + q.Target
 	for number := range j.Spec.Steps {
 		step := &j.Spec.Steps[number]
 		indexes := dueTasks(j.Rounds[round][number], step.Gang)
 		if len(indexes) == 0 || !c.table.IsStepReady(j, round, number) {
 			continue
 		}
-		u := &unit{job: j, step: step, queue: q, round: round, number: number, indexes: indexes}
-		u.latest = begin.Add(objective - chain(j.Spec.Steps, number, false))
-		u.hopeless = begin.Add(3 * objective)
+		u := &unit{job: j, step: step, queue: q, round: round, stepIndex: number, taskIndexes: indexes}
+		u.latestStart = begin.Add(objective - criticalPath(j.Spec.Steps, number, false))
+		u.expiresAt = begin.Add(3 * objective)
 		if step.LongRunning {
-			u.latest, u.hopeless = begin.Add(q.Target), begin.Add(24*time.Hour)
+			u.latestStart, u.expiresAt = begin.Add(q.Target), begin.Add(24*time.Hour)
 		}
 		rec.units = append(rec.units, u)
 	}
@@ -181,15 +181,15 @@
 	return due
 }
 
-// leastEstimate stands for a step whose client gave no estimate.
-const leastEstimate = 200 * time.Millisecond
+// minEstimate stands for a step whose client gave no estimate.
+const minEstimate = 200 * time.Millisecond
 
-// chain is the longest time along steps that wait for each other: of the whole job, or from one step on.
-func chain(steps []jobs.Step, from int, whole bool) time.Duration {
+// criticalPath is the longest time along steps that wait for each other: of the whole job, or from one step on.
+func criticalPath(steps []jobs.Step, from int, whole bool) time.Duration {
 	longest := make([]time.Duration, len(steps))
 	var most time.Duration
 	for number := range steps {
-		estimate := max(steps[number].Estimate, leastEstimate)
+		estimate := max(steps[number].Estimate, minEstimate)
 		var before time.Duration
 		reached := whole || number == from
 		for _, earlier := range steps[number].After {
@@ -210,27 +210,27 @@
 // dueUnits gives all units in the order in which they are to be placed.
 func (c *Core) dueUnits(wall time.Time) []*unit {
 	var units []*unit
-	for _, rec := range c.queue {
+	for _, rec := range c.activeJobs {
 		units = append(units, rec.units...)
 	}
 	slices.SortFunc(units, func(a, b *unit) int {
 		return cmp.Or(
 			cmp.Compare(a.tier(wall), b.tier(wall)),
-			a.latest.Compare(b.latest),
+			a.latestStart.Compare(b.latestStart),
 			cmp.Compare(a.job.Sequence, b.job.Sequence),
 			cmp.Compare(a.round, b.round),
-			cmp.Compare(a.number, b.number))
+			cmp.Compare(a.stepIndex, b.stepIndex))
 	})
 	return units
 }
 
-// hopelessTier comes after every priority.
-const hopelessTier = 1 << 20
+// expiredTier comes after every priority.
+const expiredTier = 1 << 20
 
 // tier is the unit's class of urgency: its queue's priority, or the last one once it can earn nothing any more.
 func (u *unit) tier(wall time.Time) int {
-	if wall.After(u.hopeless) {
-		return hopelessTier
+	if wall.After(u.expiresAt) {
+		return expiredTier
 	}
 	return u.queue.Priority
 }
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -18,8 +18,8 @@
 	h.submitTo("q", "gang", jobs.Step{Count: cores, Gang: true, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 	h.pass()
 	for range 10 {
-		h.now += Defaults().GangHold / 5
-		h.core.Beat(h.now, "w", time.Minute+h.now, 0)
+		h.now += Defaults().ReserveAfter / 5
+		h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
 		h.pass()
 	}
 	So(h.sent, ShouldBeEmpty)
--- a/internal/controller/scheduler/runs.go
+++ b/internal/controller/scheduler/runs.go
@@ -10,37 +10,37 @@
 
 // run is what the leader knows of a run whose handle is in the table.
 type run struct {
-	key    jobs.RunKey
-	worker string
-	mine   bool // recorded under this term
-	sent   bool // its order may have left
-	sentAt time.Duration
+	key     jobs.RunKey
+	worker  string
+	ownTerm bool // recorded under this term
+	sent    bool // its order may have left
+	sentAt  time.Duration
 	// accepted is the sequence at which its start was answered well; 0: not.
-	accepted   uint64
-	acceptedAt time.Duration
-	doubted    bool // its start got no answer
-	// doubtedAt is the sequence at which that was known.
-	doubtedAt uint64
+	accepted    uint64
+	acceptedAt  time.Duration
+	unconfirmed bool // its start got no answer
+	// unconfirmedAt is the sequence at which that was known.
+	unconfirmedAt uint64
 	// missing: a hold call sent after that did not list it, so it is stopped, lest it start late.
-	missing bool
-	listed  bool // the worker listed it as running
-	saved   string
-	percent int
-	// percentAt is when the progress was listed.
-	percentAt time.Duration
+	missing    bool
+	listed     bool // the worker listed it as running
+	checkpoint string
+	percent    int
+	// progressAt is when the progress was listed.
+	progressAt time.Duration
 	// advancedAt is when it was first listed, or last listed with more progress than before.
-	advancedAt time.Duration
-	stop       bool   // it is to be stopped
-	cause      Cause  // why; empty: not stopped
-	stopping   bool   // a stop order is under way
-	stopped    uint64 // sequence at which a stop order was answered; 0: not
-	retryAt    time.Duration
-	ending     bool // its end waits to be committed
-	gang       bool
-	lasting    bool
-	estimate   time.Duration
-	priority   int
-	needs      jobs.Resources
+	advancedAt   time.Duration
+	toStop       bool   // it is to be stopped
+	cause        Cause  // why; empty: not stopped
+	stopInFlight bool   // a stop order is under way
+	stopped      uint64 // sequence at which a stop order was answered; 0: not
+	retryAt      time.Duration
+	ending       bool // its end waits to be committed
+	gang         bool
+	longRunning  bool
+	estimate     time.Duration
+	priority     int
+	needs        jobs.Resources
 }
 
 func sortedRuns(runs map[jobs.RunKey]*run) []jobs.RunKey {
@@ -61,8 +61,8 @@
 	return keys
 }
 
-// addRun notes a handle of the table; nil if its worker or job is not known.
-func (c *Core) addRun(key jobs.RunKey, workerID string, mine bool) *run {
+// trackRun notes a handle of the table; nil if its worker or job is not known.
+func (c *Core) trackRun(key jobs.RunKey, workerID string, mine bool) *run {
 	if r := c.runs[key]; r != nil {
 		return r
 	}
@@ -70,43 +70,43 @@
 	if j == nil {
 		return nil
 	}
-	r := &run{key: key, worker: workerID, mine: mine, sent: !mine}
+	r := &run{key: key, worker: workerID, ownTerm: mine, sent: !mine}
 	if key.Task.Step < len(j.Spec.Steps) {
 		step := &j.Spec.Steps[key.Task.Step]
-		r.gang, r.lasting, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
+		r.gang, r.longRunning, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
 	}
 	if q := c.table.Config.Queue(j.Spec.Queue); q != nil {
 		r.priority = q.Priority
 	}
 	c.runs[key] = r
-	w := c.meet(workerID)
+	w := c.trackWorker(workerID)
 	w.runs[key] = r
 	return r
 }
 
-// dropRun forgets a run whose handle has left the table.
-func (c *Core) dropRun(r *run) {
+// untrackRun forgets a run whose handle has left the table.
+func (c *Core) untrackRun(r *run) {
 	delete(c.runs, r.key)
 	if w := c.workers[r.worker]; w != nil {
 		delete(w.runs, r.key)
 	}
 }
 
-// end puts a run's end into the next Progress.
-func (c *Core) end(r *run, how jobs.EndReason, checkpoint string) {
+// endRun puts a run's end into the next Progress.
+func (c *Core) endRun(r *run, reason jobs.EndReason, checkpoint string) {
 	if r.ending {
 		return
 	}
 	r.ending = true
-	c.moved = true
-	c.discard(r, how, checkpoint)
-	c.ends = append(c.ends, jobs.End{Key: r.key, Worker: r.worker, Reason: how, Checkpoint: cmp.Or(checkpoint, r.saved)})
-	switch how {
+	c.placementDue = true
+	c.discard(r, reason, checkpoint)
+	c.pendingEnds = append(c.pendingEnds, jobs.End{Key: r.key, Worker: r.worker, Reason: reason, Checkpoint: cmp.Or(checkpoint, r.checkpoint)})
+	switch reason {
 	case jobs.EndDone:
 		c.Counts.Done++
 	case jobs.EndFailed:
 		c.Counts.Failed++
-		c.avoid[r.key.Task] = r.worker
+		c.avoidWorker[r.key.Task] = r.worker
 	case jobs.EndLost:
 		c.Counts.Lost++
 	}
@@ -125,59 +125,59 @@
 	for i := range j.Rounds[key.Task.Round][key.Task.Step] {
 		key.Task.Index = i
 		if r := c.runs[key]; r != nil && !r.ending {
-			c.stopFor(r, CauseGang)
+			c.requestStop(r, CauseGang)
 		}
 	}
 }
 
-// askStop puts a run that is to be stopped on the list that sendStops goes through. The sweep adds those that were
+// queueStop puts a run that is to be stopped on the list that sendStops goes through. The sweep adds those that were
 // marked in another way.
-func (c *Core) askStop(r *run) { c.unwanted[r.key] = r }
+func (c *Core) queueStop(r *run) { c.runsToStop[r.key] = r }
 
-// wantsStop tells whether a stop order is wanted for the run and was not answered yet.
-func (r *run) wantsStop() bool {
-	return (r.stop || r.missing && !r.listed) && !r.ending && r.stopped == 0
+// needsStop tells whether a stop order is wanted for the run and was not answered yet.
+func (r *run) needsStop() bool {
+	return (r.toStop || r.missing && !r.listed) && !r.ending && r.stopped == 0
 }
 
 // sendStops gives the stop orders that are due. It looks only at the runs and workers on its lists: most runs are never
 // stopped, and there is a pass for each answer of a worker.
-func (c *Core) sendStops(out *Out) {
-	for _, key := range sortedRuns(c.unwanted) {
-		r := c.unwanted[key]
+func (c *Core) sendStops(out *Actions) {
+	for _, key := range sortedRuns(c.runsToStop) {
+		r := c.runsToStop[key]
 		w := c.workers[r.worker]
-		if c.runs[key] != r || w == nil || !r.wantsStop() {
-			delete(c.unwanted, key)
+		if c.runs[key] != r || w == nil || !r.needsStop() {
+			delete(c.runsToStop, key)
 			continue
 		}
 		rec := w.record()
-		if rec == nil || !r.sent || r.stopping || c.now < r.retryAt || !w.mayOrder(c) {
+		if rec == nil || !r.sent || r.stopInFlight || c.now < r.retryAt || !w.canOrder(c) {
 			continue
 		}
-		r.stopping = true
-		c.ordered(w)
-		out.Stops = append(out.Stops, StopOut{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
+		r.stopInFlight = true
+		c.orderSent(w)
+		out.Stops = append(out.Stops, StopAction{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
 		c.Counts.Stopped++
 	}
-	for _, id := range sortedKeys(c.straying) {
-		if w := c.workers[id]; w == nil || len(w.strays) == 0 {
-			delete(c.straying, id)
+	for _, id := range sortedKeys(c.workersWithOrphans) {
+		if w := c.workers[id]; w == nil || len(w.orphans) == 0 {
+			delete(c.workersWithOrphans, id)
 		} else {
-			c.stopStrays(w, out)
+			c.stopOrphans(w, out)
 		}
 	}
 }
 
-// stopStrays gives the stop orders for runs on a worker that the table does not have.
-func (c *Core) stopStrays(w *worker, out *Out) {
+// stopOrphans gives the stop orders for runs on a worker that the table does not have.
+func (c *Core) stopOrphans(w *worker, out *Actions) {
 	rec := w.record()
 	if rec == nil {
 		return
 	}
-	for _, key := range w.strayKeys() {
-		if s := w.strays[key]; !s.stopping && c.now >= s.retryAt && w.mayOrder(c) {
-			s.stopping = true
-			c.ordered(w)
-			out.Stops = append(out.Stops, StopOut{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
+	for _, key := range w.orphanKeys() {
+		if s := w.orphans[key]; !s.stopInFlight && c.now >= s.retryAt && w.canOrder(c) {
+			s.stopInFlight = true
+			c.orderSent(w)
+			out.Stops = append(out.Stops, StopAction{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
 		}
 	}
 }
@@ -189,36 +189,36 @@
 	if c.term == 0 || w == nil {
 		return
 	}
-	c.orderOver(w)
+	c.orderDone(w)
 	c.sequence++
 	switch err {
-	case StartNoRoom:
-		c.shortage.found(c.cfg, now)
+	case StartNoConnection:
+		c.connBackoff.failed(c.cfg, now)
 		if r != nil && r.sent && !r.listed {
-			c.end(r, jobs.EndLost, "")
+			c.endRun(r, jobs.EndLost, "")
 		}
 		return
-	case StartOtherLife:
-		c.gone(w)
+	case StartOtherIncarnation:
+		c.endReplacedWorker(w)
 		return
 	case StartUnsent:
-		c.unanswered(w, now)
-		w.failed(c, now)
+		c.markUnanswered(w, now)
+		w.markFailed(c, now)
 		if r != nil && r.sent && !r.listed {
-			c.end(r, jobs.EndLost, "")
+			c.endRun(r, jobs.EndLost, "")
 		}
 		return
 	case StartUnknown:
-		c.unanswered(w, now)
-		w.suspect, w.probe = true, true
+		c.markUnanswered(w, now)
+		w.suspect, w.probeDue = true, true
 		if r != nil && !r.listed {
-			r.doubted, r.doubtedAt = true, c.sequence
-			c.Counts.Doubted++
+			r.unconfirmed, r.unconfirmedAt = true, c.sequence
+			c.Counts.Unconfirmed++
 		}
 		return
 	}
-	w.heard(c, now, answer.Clock)
-	c.shortage.over()
+	w.markHeard(c, now, answer.Clock)
+	c.connBackoff.reset()
 	if r == nil {
 		return
 	}
@@ -227,10 +227,10 @@
 		return
 	}
 	c.Counts.Refused++
-	w.refused(c, now, answer.Refusal)
+	w.markRefused(c, now, answer.Refusal)
 	if !r.listed {
-		c.end(r, jobs.EndLost, "")
-		c.avoid[key.Task] = workerID
+		c.endRun(r, jobs.EndLost, "")
+		c.avoidWorker[key.Task] = workerID
 	}
 }
 
@@ -239,11 +239,11 @@
 
 // The failures of a start order.
 const (
-	StartOK        StartError = iota // it was answered
-	StartUnsent                      // no byte of it left: it never starts
-	StartUnknown                     // it may be carried out, now or later
-	StartOtherLife                   // another life answered: the worker is gone for good
-	StartNoRoom                      // no byte of it left, for want of a connection here: it says nothing of the worker
+	StartOK               StartError = iota // it was answered
+	StartUnsent                             // no byte of it left: it never starts
+	StartUnknown                            // it may be carried out, now or later
+	StartOtherIncarnation                   // another life answered: the worker is gone for good
+	StartNoConnection                       // no byte of it left, for want of a connection here: it says nothing of the worker
 )
 
 // StopError says how a stop order without an answer failed.
@@ -251,9 +251,9 @@
 
 // The failures of a stop order.
 const (
-	StopOK     StopError = iota // it was answered
-	StopFailed                  // no answer
-	StopNoRoom                  // it never left, for want of a connection here: it says nothing of the worker
+	StopOK           StopError = iota // it was answered
+	StopFailed                        // no answer
+	StopNoConnection                  // it never left, for want of a connection here: it says nothing of the worker
 )
 
 // StopAnswered takes in the answer to a stop order.
@@ -263,29 +263,29 @@
 	if c.term == 0 || w == nil {
 		return
 	}
-	c.orderOver(w)
+	c.orderDone(w)
 	c.sequence++
 	retry := now + c.cfg.RetryMin
-	if s := w.strays[key]; s != nil {
-		if s.stopping, s.retryAt = false, retry; err == StopOK {
-			delete(w.strays, key)
+	if s := w.orphans[key]; s != nil {
+		if s.stopInFlight, s.retryAt = false, retry; err == StopOK {
+			delete(w.orphans, key)
 		}
 	}
 	r := w.runs[key]
 	if r == nil {
 		return
 	}
-	r.stopping = false
+	r.stopInFlight = false
 	switch err {
-	case StopNoRoom:
+	case StopNoConnection:
 		r.retryAt = retry
 		return
 	case StopFailed:
-		c.unanswered(w, now)
-		w.suspect, w.probe = true, true
+		c.markUnanswered(w, now)
+		w.suspect, w.probeDue = true, true
 		r.retryAt = retry
 		return
 	}
 	r.stopped = c.sequence
-	w.probe = true
+	w.probeDue = true
 }
--- a/internal/controller/scheduler/shortage.go
+++ b/internal/controller/scheduler/shortage.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// shortage is a want of connections on this node, as the failures of calls tell of it. While it lasts nothing is planned:
+// connBackoff is a want of connections on this node, as the failures of calls tell of it. While it lasts nothing is planned:
 // orders that cannot leave only tie their tasks to workers.
-type shortage struct {
+type connBackoff struct {
 	until time.Duration // no starts are planned before it
-	pause time.Duration // the last pause
+	delay time.Duration // the last pause
 }
 
-// found takes in that a call found no room. The pause doubles with each time that it was not long enough.
-func (s *shortage) found(cfg Config, now time.Duration) {
+// failed takes in that a call found no room. The pause doubles with each time that it was not long enough.
+func (s *connBackoff) failed(cfg Config, now time.Duration) {
 	if now < s.until {
 		return
 	}
-	s.pause = min(max(2*s.pause, cfg.RetryMin), cfg.RetryMax)
-	s.until = now + s.pause
+	s.delay = min(max(2*s.delay, cfg.RetryMin), cfg.RetryMax)
+	s.until = now + s.delay
 }
 
-// over takes in that an order found room.
-func (s *shortage) over() { *s = shortage{} }
+// reset takes in that an order found room.
+func (s *connBackoff) reset() { *s = connBackoff{} }
 
-// ordered counts an order that leaves for a worker.
-func (c *Core) ordered(w *worker) {
-	w.orders++
-	c.ordersOut++
+// orderSent counts an order that leaves for a worker.
+func (c *Core) orderSent(w *worker) {
+	w.ordersInFlight++
+	c.ordersInFlight++
 }
 
-// orderOver counts an order that is not under way any more.
-func (c *Core) orderOver(w *worker) {
-	if w.orders == 0 {
+// orderDone counts an order that is not under way any more.
+func (c *Core) orderDone(w *worker) {
+	if w.ordersInFlight == 0 {
 		return // of an earlier term
 	}
-	w.orders--
-	c.ordersOut--
+	w.ordersInFlight--
+	c.ordersInFlight--
 }
 
-// orderRoom is how many starts more may be planned: those that are recorded and wait to leave count as under way.
-func (c *Core) orderRoom() int { return c.cfg.MostOrdersOut - c.ordersOut - len(c.starts) }
+// orderBudget is how many starts more may be planned: those that are recorded and wait to leave count as under way.
+func (c *Core) orderBudget() int {
+	return c.cfg.MaxOrdersInFlight - c.ordersInFlight - len(c.unsentStarts)
+}
--- a/internal/controller/scheduler/shortage_test.go
+++ b/internal/controller/scheduler/shortage_test.go
@@ -9,16 +9,16 @@
 	"crosstide/internal/jobs"
 )
 
-func TestShortage(t *testing.T) {
+func TestConnectionBackoff(t *testing.T) {
 	Convey("A start that found no connection here is due again, costs no attempt and is not held against the worker", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		h.pass()
 		So(len(h.sent), ShouldEqual, 1)
 		first := h.sent[0].Order.Key
-		h.core.StartAnswered(h.now, "w", first, StartAnswer{}, StartNoRoom)
-		So(h.core.workers["w"].reachable(), ShouldBeTrue)
-		So(h.core.workers["w"].carefulUntil, ShouldEqual, 0)
+		h.core.StartAnswered(h.now, "w", first, StartAnswer{}, StartNoConnection)
+		So(h.core.workers["w"].isReachable(), ShouldBeTrue)
+		So(h.core.workers["w"].throttledUntil, ShouldEqual, 0)
 		h.pass()
 		So(h.sent, ShouldBeEmpty)
 		h.now += h.core.cfg.RetryMin
@@ -28,18 +28,18 @@
 		So(h.table.Jobs["j"].State, ShouldNotEqual, jobs.Failed)
 	})
 	Convey("The pause before the next starts grows to a bound while nothing gets through, and ends with the first that does", t, func() {
-		var s shortage
+		var s connBackoff
 		cfg, now := Defaults(), time.Second
-		s.found(cfg, now)
+		s.failed(cfg, now)
 		So(s.until-now, ShouldEqual, cfg.RetryMin)
-		s.found(cfg, now) // of the same pass
+		s.failed(cfg, now) // of the same pass
 		So(s.until-now, ShouldEqual, cfg.RetryMin)
 		for range 10 {
 			now = s.until
-			s.found(cfg, now)
+			s.failed(cfg, now)
 		}
 		So(s.until-now, ShouldEqual, cfg.RetryMax)
-		s.over()
+		s.reset()
 		So(s.until, ShouldEqual, 0)
 	})
 	Convey("A hold call or a stop that found no connection is made again, and is not held against the worker", t, func() {
@@ -50,24 +50,24 @@
 		h.pass()
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}
 		w := h.core.workers["w"]
-		h.core.HoldAnswered(h.now, "w", w.holding, HoldAnswer{}, HoldNoRoom)
-		So([]any{w.reachable(), w.holding, w.carefulUntil}, ShouldResemble, []any{true, uint64(0), time.Duration(0)})
+		h.core.RenewalAnswered(h.now, "w", w.longPoll, RenewalAnswer{}, RenewalNoConnection)
+		So([]any{w.isReachable(), w.longPoll, w.throttledUntil}, ShouldResemble, []any{true, uint64(0), time.Duration(0)})
 		h.now += h.core.cfg.RetryMin
 		h.pass()
-		So(w.holding, ShouldNotEqual, 0)
+		So(w.longPoll, ShouldNotEqual, 0)
 		_, err := h.table.Cancel(jobs.Cancel{ID: "j", At: time.Time{}.Add(h.now)})
 		So(err, ShouldBeNil)
 		h.pass()
 		So(len(h.stops), ShouldEqual, 1)
-		h.core.StopAnswered(h.now, "w", key, StopNoRoom)
-		So(w.reachable(), ShouldBeTrue)
+		h.core.StopAnswered(h.now, "w", key, StopNoConnection)
+		So(w.isReachable(), ShouldBeTrue)
 		h.now += h.core.cfg.RetryMin
 		h.pass()
 		So(len(h.stops), ShouldEqual, 1)
 	})
 	Convey("No starts are planned beyond the orders that may be under way to all workers", t, func() {
 		h := newHarness()
-		h.core.cfg.MostOrdersOut = 2
+		h.core.cfg.MaxOrdersInFlight = 2
 		for _, id := range []string{"a", "b", "c"} {
 			h.submitTo("q", id, jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
 		}
--- a/internal/controller/scheduler/speeds.go
+++ b/internal/controller/scheduler/speeds.go
@@ -6,13 +6,13 @@
 	"crosstide/internal/jobs"
 )
 
-// speeds is what the ends of runs tell of workers: how long tasks take there against their estimates, and how many
+// speedStats is what the ends of runs tell of workers: how long tasks take there against their estimates, and how many
 // fail there. It is a guess that orders placement and decides nothing that must hold.
-type speeds struct {
-	byWorker map[string]*speed
-	mean     float64 // of time against estimate, over all workers
-	failures float64 // share of runs that fail, over all workers
-	steps    map[stepKey]*stepTime
+type speedStats struct {
+	byWorker        map[string]*workerSpeed
+	meanRatio       float64 // of time against estimate, over all workers
+	meanFailureRate float64 // share of runs that fail, over all workers
+	byStep          map[stepKey]*stepDuration
 }
 
 // stepKey names a step of a job, over all its rounds.
@@ -21,105 +21,107 @@
 	step int
 }
 
-// stepTime is how long the runs of a step that ended well took.
-type stepTime struct {
+// stepDuration is how long the runs of a step that ended well took.
+type stepDuration struct {
 	count int
 	mean  time.Duration
 }
 
-type speed struct {
-	ratio float64 // time against estimate; 0: not known
-	fails float64 // share of runs that failed
+type workerSpeed struct {
+	ratio       float64 // time against estimate; 0: not known
+	failureRate float64 // share of runs that failed
 }
 
 // speedWeight is the weight of a new observation.
 const speedWeight = 0.2
 
-func newSpeeds() speeds { return speeds{byWorker: map[string]*speed{}, steps: map[stepKey]*stepTime{}} }
+func newSpeedStats() speedStats {
+	return speedStats{byWorker: map[string]*workerSpeed{}, byStep: map[stepKey]*stepDuration{}}
+}
 
-// enoughPeers is the number of ended runs of a step from which their mean time says something.
-const enoughPeers = 2
+// minPeers is the number of ended runs of a step from which their mean time says something.
+const minPeers = 2
 
-// peers gives the mean time of the runs of a task's step that ended well.
-func (s *speeds) peers(task jobs.TaskRef) (mean time.Duration, known bool) {
-	t := s.steps[stepKey{task.Job, task.Step}]
-	if t == nil || t.count < enoughPeers {
+// peerMean gives the mean time of the runs of a task's step that ended well.
+func (s *speedStats) peerMean(task jobs.TaskRef) (mean time.Duration, known bool) {
+	t := s.byStep[stepKey{task.Job, task.Step}]
+	if t == nil || t.count < minPeers {
 		return 0, false
 	}
 	return t.mean, true
 }
 
-// took takes in the time of a run that ended well.
-func (s *speeds) took(task jobs.TaskRef, duration time.Duration) {
+// observeDuration takes in the time of a run that ended well.
+func (s *speedStats) observeDuration(task jobs.TaskRef, duration time.Duration) {
 	key := stepKey{task.Job, task.Step}
-	t := s.steps[key]
+	t := s.byStep[key]
 	if t == nil {
-		t = &stepTime{}
-		s.steps[key] = t
+		t = &stepDuration{}
+		s.byStep[key] = t
 	}
 	t.count++
 	t.mean += (duration - t.mean) / time.Duration(t.count)
 }
 
-func (s *speeds) of(id string) *speed {
+func (s *speedStats) forWorker(id string) *workerSpeed {
 	known := s.byWorker[id]
 	if known == nil {
-		known = &speed{}
+		known = &workerSpeed{}
 		s.byWorker[id] = known
 	}
 	return known
 }
 
-func mix(old, observed float64) float64 { return old + speedWeight*(observed-old) }
+func ewma(old, observed float64) float64 { return old + speedWeight*(observed-old) }
 
-// ended takes in the end of a run.
-func (s *speeds) ended(c *Core, w *worker, r *run, how jobs.EndReason) {
-	if r.lasting || r.stop || how != jobs.EndDone && how != jobs.EndFailed {
+// observeEnd takes in the end of a run.
+func (s *speedStats) observeEnd(c *Core, w *worker, r *run, reason jobs.EndReason) {
+	if r.longRunning || r.toStop || reason != jobs.EndDone && reason != jobs.EndFailed {
 		return
 	}
-	known := s.of(w.id)
+	known := s.forWorker(w.id)
 	failed := 0.0
-	if how == jobs.EndFailed {
+	if reason == jobs.EndFailed {
 		failed = 1
 	}
-	known.fails = mix(known.fails, failed)
-	s.failures += (failed - s.failures) / 50
-	if how == jobs.EndFailed || r.gang || !r.mine || r.sentAt == 0 {
+	known.failureRate = ewma(known.failureRate, failed)
+	s.meanFailureRate += (failed - s.meanFailureRate) / 50
+	if reason == jobs.EndFailed || r.gang || !r.ownTerm || r.sentAt == 0 {
 		return
 	}
-	s.took(r.key.Task, c.now-r.sentAt)
+	s.observeDuration(r.key.Task, c.now-r.sentAt)
 	ratio := float64(c.now-r.sentAt) / float64(max(r.estimate, 50*time.Millisecond))
 	ratio = min(max(ratio, 0.1), 10)
 	if known.ratio == 0 {
-		known.ratio = s.mean
+		known.ratio = s.meanRatio
 	}
 	if known.ratio == 0 {
 		known.ratio = ratio
 	}
-	known.ratio = mix(known.ratio, ratio)
-	if s.mean == 0 {
-		s.mean = ratio
+	known.ratio = ewma(known.ratio, ratio)
+	if s.meanRatio == 0 {
+		s.meanRatio = ratio
 	}
-	s.mean += (ratio - s.mean) / 50
+	s.meanRatio += (ratio - s.meanRatio) / 50
 }
 
-// slow takes in that a run was moved away from a worker because it went on far too slowly there.
-func (s *speeds) slow(id string) {
-	known := s.of(id)
-	known.ratio = mix(max(known.ratio, s.mean), 4*s.mean)
+// observeMove takes in that a run was moved away from a worker because it went on far too slowly there.
+func (s *speedStats) observeMove(id string) {
+	known := s.forWorker(id)
+	known.ratio = ewma(max(known.ratio, s.meanRatio), 4*s.meanRatio)
 }
 
-// factor is how many times as long a task is expected to take on a worker as on the average one.
-func (s *speeds) factor(id string) float64 {
+// slowdown is how many times as long a task is expected to take on a worker as on the average one.
+func (s *speedStats) slowdown(id string) float64 {
 	known := s.byWorker[id]
 	if known == nil {
 		return 1
 	}
 	factor := 1.0
-	if known.ratio > 0 && s.mean > 0 {
-		factor = known.ratio / s.mean
+	if known.ratio > 0 && s.meanRatio > 0 {
+		factor = known.ratio / s.meanRatio
 	}
-	if excess := known.fails - s.failures; excess > 0.15 {
+	if excess := known.failureRate - s.meanFailureRate; excess > 0.15 {
 		factor *= 1 + 4*excess
 	}
 	return factor
--- a/internal/controller/scheduler/stalled_test.go
+++ b/internal/controller/scheduler/stalled_test.go
@@ -22,14 +22,14 @@
 
 // answerAll answers all hold calls that wait; listed gives the progress in percent of what runs on a worker.
 func (h *harness) answerAll(percent map[string]int) {
-	holds := h.holds
-	h.holds = nil
-	for _, hold := range holds {
-		answer := HoldAnswer{Clock: time.Minute + h.now}
-		for _, key := range h.table.RunsOn(hold.Worker.ID) {
-			answer.Running = append(answer.Running, Listed{Key: key, Percent: percent[hold.Worker.ID]})
+	renewals := h.renewals
+	h.renewals = nil
+	for _, renewal := range renewals {
+		answer := RenewalAnswer{Clock: time.Minute + h.now}
+		for _, key := range h.table.RunsOn(renewal.Worker.ID) {
+			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: percent[renewal.Worker.ID]})
 		}
-		h.core.HoldAnswered(h.now, hold.Worker.ID, hold.Number, answer, HoldOK)
+		h.core.RenewalAnswered(h.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 	}
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestStalledWorker(t *testing.T) {
+func TestRunsLeaveStalledWorker(t *testing.T) {
 	Convey("A run without progress is moved within 1.5 s, and its worker is left out until it shows progress again", t, func() {
 		h := newHarness()
 		h.addWorkers("x", "y", "z")
@@ -51,7 +51,7 @@
 		h.acceptAll()
 		percent := map[string]int{}
 		began := h.now
-		var stopped []StopOut
+		var stopped []StopAction
 		for h.now < began+1500*time.Millisecond && len(stopped) == 0 {
 			h.now += 100 * time.Millisecond
 			for _, id := range []string{"w", "x", "y", "z"} {
@@ -97,11 +97,11 @@
 			So(h.sent, ShouldHaveLength, 3)
 			h.acceptAll()
 			if again == "time" {
-				h.now += stalledPause
+				h.now += stalledBackoff
 			} else {
 				h.answerAll(map[string]int{"w": 1})
 			}
-			h.now += sweepEvery
+			h.now += sweepInterval
 			h.pass()
 			So(fmt.Sprint(again, len(h.sent)), ShouldEqual, fmt.Sprint(again, 1))
 			So(h.sent[0].Worker.ID, ShouldEqual, "w")
@@ -111,17 +111,17 @@
 
 // endRuns lets all runs end well, but for those of one worker.
 func (h *harness) endRuns(except string) {
-	holds := h.holds
-	h.holds = nil
-	for _, hold := range holds {
-		if hold.Worker.ID == except {
-			h.holds = append(h.holds, hold)
+	renewals := h.renewals
+	h.renewals = nil
+	for _, renewal := range renewals {
+		if renewal.Worker.ID == except {
+			h.renewals = append(h.renewals, renewal)
 			continue
 		}
-		answer := HoldAnswer{Clock: time.Minute + h.now}
-		for i, key := range h.table.RunsOn(hold.Worker.ID) {
-			answer.Ended = append(answer.Ended, Ended{Sequence: uint64(i + 1), Key: key, How: jobs.EndDone})
+		answer := RenewalAnswer{Clock: time.Minute + h.now}
+		for i, key := range h.table.RunsOn(renewal.Worker.ID) {
+			answer.Ended = append(answer.Ended, EndedRun{Sequence: uint64(i + 1), Key: key, Reason: jobs.EndDone})
 		}
-		h.core.HoldAnswered(h.now, hold.Worker.ID, hold.Number, answer, HoldOK)
+		h.core.RenewalAnswered(h.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 	}
 }
--- a/internal/controller/scheduler/stops_test.go
+++ b/internal/controller/scheduler/stops_test.go
@@ -14,9 +14,9 @@
 	b.submit("j1", jobs.Step{Count: count, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 	for range 20 {
 		out := b.pass(time.Millisecond)
-		for _, hold := range out.Holds {
-			if hold.Call.Wait == 0 { // the others wait for an end, and none comes
-				b.core.HoldAnswered(b.now, hold.Worker.ID, hold.Number, HoldAnswer{Clock: b.now}, HoldOK)
+		for _, renewal := range out.Renewals {
+			if renewal.Call.Wait == 0 { // the others wait for an end, and none comes
+				b.core.RenewalAnswered(b.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: b.now}, RenewalOK)
 			}
 		}
 		for _, start := range out.Starts {
@@ -46,8 +46,8 @@
 			})
 		})
 		Convey("When nothing is to be stopped, no run is on the list of those to look at", func() {
-			b.pass(sweepEvery)
-			So(b.core.unwanted, ShouldBeEmpty)
+			b.pass(sweepInterval)
+			So(b.core.runsToStop, ShouldBeEmpty)
 		})
 	})
 }
@@ -56,16 +56,16 @@
 	Convey("Given a worker that lists a run of which the table has no handle", t, func() {
 		b := newBench(2, "w1")
 		out := b.pass(time.Millisecond)
-		So(len(out.Holds), ShouldEqual, 1)
+		So(len(out.Renewals), ShouldEqual, 1)
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "gone"}, Number: 3}
-		b.core.HoldAnswered(b.now, "w1", out.Holds[0].Number, HoldAnswer{Clock: b.now, Running: []Listed{{Key: key}}}, HoldOK)
+		b.core.RenewalAnswered(b.now, "w1", out.Renewals[0].Number, RenewalAnswer{Clock: b.now, Running: []ListedRun{{Key: key}}}, RenewalOK)
 		Convey("Then it is told to stop it, and is not looked at any more after its answer", func() {
 			stops := b.pass(time.Millisecond).Stops
 			So(len(stops), ShouldEqual, 1)
 			So(stops[0].Order.Key, ShouldResemble, key)
 			b.core.StopAnswered(b.now, "w1", key, StopOK)
 			So(b.pass(time.Second).Stops, ShouldBeEmpty)
-			So(b.core.straying, ShouldBeEmpty)
+			So(b.core.workersWithOrphans, ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/controller/scheduler/takeover_test.go
+++ b/internal/controller/scheduler/takeover_test.go
@@ -17,30 +17,30 @@
 		for i := range workers {
 			So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: fmt.Sprintf("n%03d", i), Service: "s"}}}), ShouldBeNil)
 		}
-		h.core.Lead(h.now, harnessTerm, h.table)
-		most := h.core.cfg.MostProbes
+		h.core.BecomeLeader(h.now, harnessTerm, h.table)
+		most := h.core.cfg.MaxProbes
 		asked := map[string]bool{}
 		for range 2 * workers / most {
 			out := h.core.Pass(h.now, time.Time{}.Add(h.now))
-			So(len(out.Holds), ShouldBeLessThanOrEqualTo, most)
-			for _, hold := range out.Holds {
-				asked[hold.Worker.ID] = true
-				h.core.HoldAnswered(h.now, hold.Worker.ID, hold.Number, HoldAnswer{Clock: time.Minute}, HoldOK)
+			So(len(out.Renewals), ShouldBeLessThanOrEqualTo, most)
+			for _, renewal := range out.Renewals {
+				asked[renewal.Worker.ID] = true
+				h.core.RenewalAnswered(h.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: time.Minute}, RenewalOK)
 			}
 		}
 		So(asked, ShouldHaveLength, workers+1)
 	})
 	Convey("Workers that do not answer keep the others waiting for a moment only", t, func() {
 		h := newHarness()
-		most := h.core.cfg.MostProbes
+		most := h.core.cfg.MaxProbes
 		for i := range 2 * most {
 			So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: fmt.Sprintf("n%03d", i), Service: "s"}}}), ShouldBeNil)
 		}
-		h.core.Lead(h.now, harnessTerm, h.table)
+		h.core.BecomeLeader(h.now, harnessTerm, h.table)
 		first := h.core.Pass(h.now, time.Time{}.Add(h.now))
-		So(first.Holds, ShouldHaveLength, most)
-		So(first.Next, ShouldBeLessThanOrEqualTo, h.now+probeSpan)
-		So(h.core.Pass(h.now+probeSpan/2, time.Time{}.Add(h.now)).Holds, ShouldBeEmpty)
-		So(h.core.Pass(first.Next, time.Time{}.Add(h.now)).Holds, ShouldHaveLength, most)
+		So(first.Renewals, ShouldHaveLength, most)
+		So(first.Next, ShouldBeLessThanOrEqualTo, h.now+probeWindow)
+		So(h.core.Pass(h.now+probeWindow/2, time.Time{}.Add(h.now)).Renewals, ShouldBeEmpty)
+		So(h.core.Pass(first.Next, time.Time{}.Add(h.now)).Renewals, ShouldHaveLength, most)
 	})
 }
--- a/internal/controller/scheduler/told_test.go
+++ b/internal/controller/scheduler/told_test.go
@@ -8,31 +8,31 @@
 	"crosstide/internal/jobs"
 )
 
-func TestLastEndsAreTold(t *testing.T) {
+func TestLastEndsAreAcknowledged(t *testing.T) {
 	Convey("A worker on which nothing runs any more is told in time that its last ends are durable, once", t, func() {
 		h := newHarness()
 		h.endAs(h.runningTask(jobs.Step{}, ""), jobs.EndDone)
-		tells := func() (calls int) {
-			for _, hold := range h.holds {
-				if hold.Call.SeenUpTo == 1 {
+		acknowledged := func() (calls int) {
+			for _, renewal := range h.renewals {
+				if renewal.Call.AcknowledgedUpTo == 1 {
 					calls++
 				}
 			}
 			return calls
 		}
-		h.holds = nil
+		h.renewals = nil
 		h.pass()
-		So(tells(), ShouldEqual, 0) // the next run mostly brings a call
+		So(acknowledged(), ShouldEqual, 0) // the next run mostly brings a call
 		for range 20 {
-			h.now += sweepEvery
+			h.now += sweepInterval
 			h.pass()
 		}
-		So(tells(), ShouldEqual, 1)
-		h.answer(HoldAnswer{})
+		So(acknowledged(), ShouldEqual, 1)
+		h.answer(RenewalAnswer{})
 		for range 20 {
-			h.now += sweepEvery
+			h.now += sweepInterval
 			h.pass()
 		}
-		So(h.holds, ShouldBeEmpty)
+		So(h.renewals, ShouldBeEmpty)
 	})
 }
--- a/internal/controller/scheduler/zone_test.go
+++ b/internal/controller/scheduler/zone_test.go
@@ -62,10 +62,10 @@
 		So(h.startedOn()["west0"], ShouldEqual, 1)
 		Convey("which they are asked for at once", func() {
 			asked := false
-			for _, hold := range h.holds {
-				if hold.Worker.ID == "east3" {
+			for _, renewal := range h.renewals {
+				if renewal.Worker.ID == "east3" {
 					asked = true
-					h.core.HoldAnswered(h.now, "east3", hold.Number, HoldAnswer{Clock: time.Minute + h.now}, HoldOK)
+					h.core.RenewalAnswered(h.now, "east3", renewal.Number, RenewalAnswer{Clock: time.Minute + h.now}, RenewalOK)
 				}
 			}
 			So(asked, ShouldBeTrue)
@@ -87,7 +87,7 @@
 func TestUnsentStart(t *testing.T) {
 	Convey("A start that waits for others to a worker goes elsewhere once the worker does not answer", t, func() {
 		h := newHarness()
-		h.core.cfg.MostOrders = 1
+		h.core.cfg.MaxOrdersPerWorker = 1
 		h.submit(jobs.Step{Count: 3, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1000}})
 		h.pass()
 		So(h.sent, ShouldHaveLength, 1)
@@ -96,9 +96,9 @@
 		So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "x", Service: "s", Capacity: jobs.Resources{MilliCPU: 4000}}}}), ShouldBeNil)
 		h.pass()
 		So(h.table.RunsOn("w"), ShouldHaveLength, 1)
-		for _, hold := range h.holds {
-			if hold.Worker.ID == "x" {
-				h.core.HoldAnswered(h.now, "x", hold.Number, HoldAnswer{Clock: time.Minute + h.now}, HoldOK)
+		for _, renewal := range h.renewals {
+			if renewal.Worker.ID == "x" {
+				h.core.RenewalAnswered(h.now, "x", renewal.Number, RenewalAnswer{Clock: time.Minute + h.now}, RenewalOK)
 			}
 		}
 		h.pass()
@@ -106,18 +106,18 @@
 	})
 }
 
-func TestLossesThatTellNothing(t *testing.T) {
+func TestLossesThatDoNotImplicateZone(t *testing.T) {
 	lose := func(h *harness, count int) {
 		for i := range count {
-			h.core.unanswered(h.core.workers[fmt.Sprint("east", i)], h.now)
+			h.core.markUnanswered(h.core.workers[fmt.Sprint("east", i)], h.now)
 		}
 	}
 	verifying := func(h *harness) bool { return h.core.workers["east30"].verifyAt > 0 }
 	Convey("In a large zone a few workers without an answer tell nothing of it, a part of all does", t, func() {
 		h := newZonesOf(100, "east")
-		lose(h, 100/zonePart-1)
+		lose(h, 100/zoneFraction-1)
 		So(verifying(h), ShouldBeFalse)
-		lose(h, 100/zonePart)
+		lose(h, 100/zoneFraction)
 		So(verifying(h), ShouldBeTrue)
 	})
 	Convey("Workers that said that they end tell nothing of their zone when they do", t, func() {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -157,7 +157,7 @@
 		}
 	}
 	if !call.Leaving {
-		l.tell(func(c *scheduler.Core, now time.Duration) { c.Beat(now, worker.ID, call.Clock, call.Remaining) })
+		l.tell(func(c *scheduler.Core, now time.Duration) { c.Heartbeat(now, worker.ID, call.Clock, call.Remaining) })
 	}
 	if l.opt.Mailboxes != nil && call.Listing != nil {
 		leads := func() bool { return l.leads(term) }
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -36,7 +36,7 @@
 // Start tells worker to start one run.
 func (c *Client) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	call := StartCall{Worker: worker.ID, Run: RunOf(order.Key), Needs: NeedsOf(order.Needs), Payload: order.Payload,
-		Checkpoint: order.Checkpoint, Deadline: order.Deadline, Token: order.Token}
+		Checkpoint: order.Checkpoint, Deadline: order.LeaseDeadline, Token: order.Token}
 	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartPair, call, c.within)
 	if errs.Is(err, errs.Malformed) && rpc.IsRemote(err) {
 		return scheduler.StartAnswer{Refusal: scheduler.RefusedInvalid}, nil
@@ -51,7 +51,7 @@
 }
 
 // refusals are the reasons that a worker may give.
-var refusals = []scheduler.Refusal{"", scheduler.RefusedFence, scheduler.RefusedOld, scheduler.RefusedLate, scheduler.RefusedRoom,
+var refusals = []scheduler.Refusal{"", scheduler.RefusedFenced, scheduler.RefusedStale, scheduler.RefusedExpired, scheduler.RefusedCapacity,
 	scheduler.RefusedInvalid, scheduler.RefusedUnhealthy}
 
 func checkStart(worker string, answer StartAnswer) error {
@@ -75,12 +75,12 @@
 }
 
 // Hold renews the lease of worker and asks for its lists.
-func (c *Client) Hold(ctx context.Context, worker jobs.Worker, call scheduler.HoldCall) (scheduler.HoldAnswer, error) {
+func (c *Client) RenewLease(ctx context.Context, worker jobs.Worker, call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
 	wait := min(max(call.Wait, 0), longestWait)
-	sent := HoldCall{Worker: worker.ID, Token: call.Token, SeenUpTo: call.SeenUpTo, Deadline: call.Deadline, Wait: wait}
+	sent := HoldCall{Worker: worker.ID, Token: call.Token, SeenUpTo: call.AcknowledgedUpTo, Deadline: call.LeaseDeadline, Wait: wait}
 	answer, err := rpc.Call(ctx, c.holds, worker.Address, HoldPair, sent, c.within+wait)
 	if err != nil {
-		return scheduler.HoldAnswer{}, errs.Pass(err, "hold on %s", worker.ID)
+		return scheduler.RenewalAnswer{}, errs.Pass(err, "hold on %s", worker.ID)
 	}
 	lists, err := listsOf(worker.ID, answer)
 	return lists, errs.Pass(err, "hold on %s", worker.ID)
@@ -88,22 +88,22 @@
 
 // listsOf checks an answer and gives its lists. A run that is not listed counts as over: an answer that does not name
 // the worker, or has no lists, is none.
-func listsOf(worker string, answer HoldAnswer) (scheduler.HoldAnswer, error) {
+func listsOf(worker string, answer HoldAnswer) (scheduler.RenewalAnswer, error) {
 	if err := checkAnswer(worker, answer.Worker, answer.Clock); err != nil {
-		return scheduler.HoldAnswer{}, errs.Pass(err, "answer")
+		return scheduler.RenewalAnswer{}, errs.Pass(err, "answer")
 	}
 	if answer.Running == nil || answer.Ended == nil {
-		return scheduler.HoldAnswer{}, errs.Field(errs.Malformed, "running", "both lists must be given")
+		return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "running", "both lists must be given")
 	}
-	lists := scheduler.HoldAnswer{Clock: answer.Clock, Full: answer.More}
+	lists := scheduler.RenewalAnswer{Clock: answer.Clock, Full: answer.More}
 	for _, r := range answer.Running {
-		lists.Running = append(lists.Running, scheduler.Listed{Key: r.Run.Key(), Checkpoint: r.Checkpoint, Percent: r.Percent})
+		lists.Running = append(lists.Running, scheduler.ListedRun{Key: r.Run.Key(), Checkpoint: r.Checkpoint, Percent: r.Percent})
 	}
 	for _, e := range answer.Ended {
 		if !slices.Contains(hows, e.How) {
-			return scheduler.HoldAnswer{}, errs.Field(errs.Malformed, "ended", "%q is not known", e.How)
+			return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "ended", "%q is not known", e.How)
 		}
-		lists.Ended = append(lists.Ended, scheduler.Ended{Sequence: e.Sequence, Key: e.Run.Key(), How: e.How, Checkpoint: e.Checkpoint})
+		lists.Ended = append(lists.Ended, scheduler.EndedRun{Sequence: e.Sequence, Key: e.Run.Key(), Reason: e.How, Checkpoint: e.Checkpoint})
 	}
 	return lists, nil
 }
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -43,7 +43,7 @@
 	ctx := context.Background()
 	Convey("A start goes out whole, and the answer must be the worker's own", t, func() {
 		order := scheduler.StartOrder{Key: key, Payload: "p", Needs: jobs.Resources{MilliCPU: 5, MemoryMB: 6, GPUs: 7},
-			Deadline: 8, Token: 9, Checkpoint: "c"}
+			LeaseDeadline: 8, Token: 9, Checkpoint: "c"}
 		answering(200, `{"worker":"w1","clock":7}`, func(c *Client, w jobs.Worker, called func() string) {
 			answer, err := c.Start(ctx, w, order)
 			So([]any{answer, err}, ShouldResemble, []any{scheduler.StartAnswer{Clock: 7}, nil})
@@ -56,7 +56,7 @@
 			refusal scheduler.Refusal
 			kind    errs.Kind
 		}{
-			{200, `{"worker":"w1","clock":7,"refused":"room"}`, scheduler.RefusedRoom, ""},
+			{200, `{"worker":"w1","clock":7,"refused":"room"}`, scheduler.RefusedCapacity, ""},
 			{200, `{"worker":"w1","clock":7,"refused":"weather"}`, "", errs.Malformed},
 			{200, `{"worker":"w2","clock":7}`, "", errs.Malformed},
 			{200, `{"worker":"w1","clock":-1}`, "", errs.Malformed},
@@ -97,11 +97,11 @@
 		body := `{"worker":"w1","clock":7,"running":[{"run":` + runJSON + `,"checkpoint":"c","percent":50}],` +
 			`"ended":[{"sequence":2,"run":` + runJSON + `,"how":"done","checkpoint":"d"}],"more":true}`
 		answering(200, body, func(c *Client, w jobs.Worker, called func() string) {
-			answer, err := c.Hold(context.Background(), w, scheduler.HoldCall{Token: 9, SeenUpTo: 1, Deadline: 8, Wait: 3})
+			answer, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{Token: 9, AcknowledgedUpTo: 1, LeaseDeadline: 8, Wait: 3})
 			So(err, ShouldBeNil)
-			So(answer, ShouldResemble, scheduler.HoldAnswer{Clock: 7, Full: true,
-				Running: []scheduler.Listed{{Key: key, Checkpoint: "c", Percent: 50}},
-				Ended:   []scheduler.Ended{{Sequence: 2, Key: key, How: jobs.EndDone, Checkpoint: "d"}}})
+			So(answer, ShouldResemble, scheduler.RenewalAnswer{Clock: 7, Full: true,
+				Running: []scheduler.ListedRun{{Key: key, Checkpoint: "c", Percent: 50}},
+				Ended:   []scheduler.EndedRun{{Sequence: 2, Key: key, Reason: jobs.EndDone, Checkpoint: "d"}}})
 			So(called(), ShouldEqual, `{"worker":"w1","token":9,"seen":1,"deadline":8,"wait":3}`+"\n")
 		})
 	})
@@ -115,7 +115,7 @@
 			`{"worker":"w1","running":[],"ended":[{"sequence":1,"run":` + runJSON + `,"how":"lost"}]}`: errs.Malformed,
 		} {
 			answering(200, body, func(c *Client, w jobs.Worker, _ func() string) {
-				_, err := c.Hold(context.Background(), w, scheduler.HoldCall{})
+				_, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{})
 				So([]any{body, errs.KindOf(err)}, ShouldResemble, []any{body, kind})
 			})
 		}
@@ -123,7 +123,7 @@
 	Convey("A worker that has seen a higher token is Stale, another life Unknown", t, func() {
 		for status, kind := range map[int]errs.Kind{412: errs.Stale, 404: errs.Unknown} {
 			answering(status, `{"kind":"`+string(kind)+`"}`, func(c *Client, w jobs.Worker, _ func() string) {
-				_, err := c.Hold(context.Background(), w, scheduler.HoldCall{})
+				_, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{})
 				So(errs.KindOf(err), ShouldEqual, kind)
 			})
 		}
--- a/internal/testbed/jobssim/beats.go
+++ b/internal/testbed/jobssim/beats.go
@@ -224,7 +224,7 @@
 	}
 	finish := func(err error) {
 		if err == nil && !call.leaving {
-			n.tell(func(c *scheduler.Core, now time.Duration) { c.Beat(now, worker.ID, call.clock, call.remaining) })
+			n.tell(func(c *scheduler.Core, now time.Duration) { c.Heartbeat(now, worker.ID, call.clock, call.remaining) })
 		}
 		done(err)
 	}
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -49,7 +49,7 @@
 }
 
 // doubted gives what the scheduler is told of a start without an answer.
-func (n *node) doubted(term uint64, start scheduler.StartOut) scheduler.StartError {
+func (n *node) doubted(term uint64, start scheduler.StartAction) scheduler.StartError {
 	switch n.sim.opt.Break {
 	case DoubtIsDead:
 		return scheduler.StartUnsent
@@ -70,7 +70,7 @@
 }
 
 // widen records a worker with the room of a run on top of its capacity.
-func (n *node) widen(term uint64, start scheduler.StartOut) {
+func (n *node) widen(term uint64, start scheduler.StartAction) {
 	known, j := n.table.Workers[start.Worker.ID], n.table.Jobs[start.Order.Key.Task.Job]
 	if known == nil || j == nil || j.Rounds == nil {
 		return
@@ -92,9 +92,9 @@
 		if sl == nil || sl.current == nil {
 			continue
 		}
-		n.start(term, scheduler.StartOut{Worker: *worker, Order: scheduler.StartOrder{
+		n.start(term, scheduler.StartAction{Worker: *worker, Order: scheduler.StartOrder{
 			Key: jobs.RunKey{Task: s.Task, Number: s.Number}, Payload: j.Spec.Payload,
-			Deadline: sl.current.clock() + n.sim.schedulerConfig().Lease, Token: term,
+			LeaseDeadline: sl.current.clock() + n.sim.schedulerConfig().Lease, Token: term,
 			Checkpoint: j.Rounds[s.Task.Round][s.Task.Step][s.Task.Index].Checkpoint}})
 	}
 }
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -67,7 +67,7 @@
 func (s *simulator) schedulerConfig() scheduler.Config {
 	cfg := scheduler.Defaults()
 	cfg.Lease = min(cfg.Lease, maxHold)
-	cfg.SpreadFactor = spreadFactor
+	cfg.RemoteDataFactor = spreadFactor
 	return cfg
 }
 
@@ -218,7 +218,7 @@
 	events, notes := n.events, n.notes
 	n.events, n.notes = nil, nil
 	for _, note := range notes {
-		n.core.Note(note)
+		n.core.TableChanged(note)
 	}
 	for _, e := range events {
 		e(n.core, now)
@@ -236,14 +236,14 @@
 		n.forgetHandles(term)
 	}
 	n.table.OnEvent = n.watch
-	n.core.Lead(n.sim.now, term, n.table)
+	n.core.BecomeLeader(n.sim.now, term, n.table)
 }
 
 func (n *node) yield() {
 	if n.core.Term() == 0 {
 		return
 	}
-	n.core.Yield()
+	n.core.StepDown()
 	n.table.OnEvent = nil
 	n.events, n.notes = nil, nil
 }
--- a/internal/testbed/jobssim/oracle.go
+++ b/internal/testbed/jobssim/oracle.go
@@ -306,7 +306,7 @@
 
 // sent takes in that a start order leaves. One to a worker that is disrupted may be in doubt until the lease there is
 // over: nothing else proves that it was not carried out.
-func (o *oracle) sent(start scheduler.StartOut) {
+func (o *oracle) sent(start scheduler.StartAction) {
 	sl := o.sim.slotOf(start.Worker.Address)
 	ref, spec := start.Order.Key.Task, o.sim.clients.spec(start.Order.Key.Task.Job)
 	if spec != nil && spec.Steps[ref.Step].Gang {
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -11,7 +11,7 @@
 const callTimeout = 700 * time.Millisecond
 
 // carryOut does what a pass wants done, as controller.Leader.carryOut.
-func (n *node) carryOut(term uint64, out scheduler.Out) {
+func (n *node) carryOut(term uint64, out scheduler.Actions) {
 	if out.Progress != nil {
 		n.commit(term, out.Progress)
 	}
@@ -21,7 +21,7 @@
 	for _, stop := range out.Stops {
 		n.do(n.dispatch(), func() { n.stop(term, stop) })
 	}
-	for _, hold := range out.Holds {
+	for _, hold := range out.Renewals {
 		n.do(n.dispatch(), func() { n.hold(term, hold) })
 	}
 }
@@ -47,7 +47,7 @@
 	})
 }
 
-func (n *node) start(term uint64, start scheduler.StartOut) {
+func (n *node) start(term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
 	answered := func(answer scheduler.StartAnswer, failure scheduler.StartError) {
 		if failure == scheduler.StartUnknown {
@@ -79,14 +79,14 @@
 	case answered:
 		return scheduler.StartOK
 	case otherLife:
-		return scheduler.StartOtherLife
+		return scheduler.StartOtherIncarnation
 	case unsent:
 		return scheduler.StartUnsent
 	}
 	return scheduler.StartUnknown
 }
 
-func (n *node) stop(term uint64, stop scheduler.StopOut) {
+func (n *node) stop(term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
 	told := func(failure scheduler.StopError) {
 		n.tell(func(c *scheduler.Core, now time.Duration) { c.StopAnswered(now, id, key, failure) })
@@ -112,22 +112,22 @@
 
 // holdReply is a worker's answer to a hold call.
 type holdReply struct {
-	answer scheduler.HoldAnswer
+	answer scheduler.RenewalAnswer
 	fenced bool
 }
 
-func (n *node) hold(term uint64, hold scheduler.HoldOut) {
+func (n *node) hold(term uint64, hold scheduler.RenewalAction) {
 	id, number, call := hold.Worker.ID, hold.Number, hold.Call
 	n.sim.trace("hold %d to %s wait %s", number, id, call.Wait)
-	told := func(answer scheduler.HoldAnswer, failure scheduler.HoldError) {
+	told := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalError) {
 		n.sim.trace("hold %d to %s answered: %d running, %d ended, failure %d", number, id, len(answer.Running), len(answer.Ended), failure)
 		for _, e := range answer.Ended {
 			n.ends[id] = max(n.ends[id], e.Sequence)
 		}
-		n.tell(func(c *scheduler.Core, now time.Duration) { c.HoldAnswered(now, id, number, answer, failure) })
+		n.tell(func(c *scheduler.Core, now time.Duration) { c.RenewalAnswered(now, id, number, answer, failure) })
 	}
 	if !n.leads(term) {
-		told(scheduler.HoldAnswer{}, scheduler.HoldFailed)
+		told(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
 		return
 	}
 	if n.sim.urgentFindsNoRoom() {
@@ -135,7 +135,7 @@
 		return
 	}
 	if n.sim.opt.Break == EarlyAcknowledgement {
-		call.SeenUpTo = max(call.SeenUpTo, n.ends[id])
+		call.AcknowledgedUpTo = max(call.AcknowledgedUpTo, n.ends[id])
 	}
 	n.sim.exchange(n, hold.Worker, call.Wait+callTimeout, func(w *life, _ bool, reply func(any)) {
 		w.hold(call, func(r holdReply) { reply(r) })
@@ -143,13 +143,13 @@
 		r, _ := answer.(holdReply)
 		switch {
 		case f == otherLife:
-			told(scheduler.HoldAnswer{}, scheduler.HoldOtherLife)
+			told(scheduler.RenewalAnswer{}, scheduler.RenewalOtherIncarnation)
 		case f != answered:
-			told(scheduler.HoldAnswer{}, scheduler.HoldFailed)
+			told(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
 		case r.fenced:
-			told(scheduler.HoldAnswer{}, scheduler.HoldFenced)
+			told(scheduler.RenewalAnswer{}, scheduler.RenewalFenced)
 		default:
-			told(r.answer, scheduler.HoldOK)
+			told(r.answer, scheduler.RenewalOK)
 		}
 	})
 }
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -117,7 +117,7 @@
 	if how == jobs.EndDone {
 		checkpoint = ""
 	}
-	w.ends = append(w.ends, scheduler.Ended{Sequence: w.last, Key: r.key, How: how, Checkpoint: checkpoint})
+	w.ends = append(w.ends, scheduler.EndedRun{Sequence: w.last, Key: r.key, Reason: how, Checkpoint: checkpoint})
 	w.notes[w.last] = w.slot.sim.oracle.ended(r, how)
 	holds := w.holds
 	w.holds = nil
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -45,13 +45,13 @@
 // shortStart gives up a start for want of a connection.
 func (n *node) shortStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
 	n.sim.report.Seen["short: start"]++
-	n.do(waitForRoom, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoRoom) })
+	n.do(waitForRoom, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
 }
 
 // shortStop gives up a stop for want of a connection.
 func (n *node) shortStop(told func(scheduler.StopError)) {
 	n.sim.report.Seen["short: stop"]++
-	failure := scheduler.StopNoRoom
+	failure := scheduler.StopNoConnection
 	if n.sim.opt.Break == UnsentStopsCount {
 		failure = scheduler.StopOK
 	}
@@ -59,7 +59,7 @@
 }
 
 // shortHold gives up a hold call for want of a connection.
-func (n *node) shortHold(told func(scheduler.HoldAnswer, scheduler.HoldError)) {
+func (n *node) shortHold(told func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
 	n.sim.report.Seen["short: hold"]++
-	n.do(waitForRoom, func() { told(scheduler.HoldAnswer{}, scheduler.HoldNoRoom) })
+	n.do(waitForRoom, func() { told(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
 }
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -59,7 +59,7 @@
 	token uint64        // highest fencing token seen
 	lease time.Duration // on its clock
 	runs  []*liveRun    // in the order they came
-	ends  []scheduler.Ended
+	ends  []scheduler.EndedRun
 	last  uint64                // number of the newest end
 	floor map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
 	notes map[uint64]*endRecord // the oracle's records of the ends that are listed
@@ -166,21 +166,21 @@
 		return scheduler.StartAnswer{Clock: w.clock(), Refusal: why}
 	}
 	if w.fenced(o.Token) {
-		return refuse(scheduler.RefusedFence)
+		return refuse(scheduler.RefusedFenced)
 	}
 	if w.find(o.Key) != nil {
-		w.extend(o.Deadline)
+		w.extend(o.LeaseDeadline)
 		return scheduler.StartAnswer{Clock: w.clock()}
 	}
-	if o.Deadline <= w.clock() {
-		return refuse(scheduler.RefusedLate)
+	if o.LeaseDeadline <= w.clock() {
+		return refuse(scheduler.RefusedExpired)
 	}
 	if w.refuses || w.slot.sim.chance(0.002) {
 		return refuse(scheduler.RefusedUnhealthy)
 	}
-	w.extend(o.Deadline)
+	w.extend(o.LeaseDeadline)
 	if o.Key.Number <= w.floor[o.Key.Task] {
-		return refuse(scheduler.RefusedOld)
+		return refuse(scheduler.RefusedStale)
 	}
 	spec := w.slot.sim.clients.spec(o.Key.Task.Job)
 	if spec == nil {
@@ -189,7 +189,7 @@
 	}
 	step := &spec.Steps[o.Key.Task.Step]
 	if w.slot.guards && !within(plus(w.used(), step.Needs), w.slot.capacity) {
-		return refuse(scheduler.RefusedRoom)
+		return refuse(scheduler.RefusedCapacity)
 	}
 	w.begin(from, o, spec, step)
 	return scheduler.StartAnswer{Clock: w.clock()}
@@ -209,14 +209,14 @@
 }
 
 // hold carries a hold call out; the answer may wait for an end.
-func (w *life) hold(call scheduler.HoldCall, reply func(holdReply)) {
+func (w *life) hold(call scheduler.LeaseRenewal, reply func(holdReply)) {
 	if w.fenced(call.Token) {
 		reply(holdReply{fenced: true})
 		return
 	}
-	w.acknowledge(call.SeenUpTo)
-	if call.Deadline > 0 {
-		w.extend(call.Deadline)
+	w.acknowledge(call.AcknowledgedUpTo)
+	if call.LeaseDeadline > 0 {
+		w.extend(call.LeaseDeadline)
 	}
 	if call.Wait <= 0 || len(w.ends) > 0 {
 		reply(w.lists())
@@ -247,9 +247,9 @@
 
 // lists gives the answer to a hold call.
 func (w *life) lists() holdReply {
-	a := scheduler.HoldAnswer{Clock: w.clock()}
+	a := scheduler.RenewalAnswer{Clock: w.clock()}
 	for _, r := range w.runs {
-		a.Running = append(a.Running, scheduler.Listed{Key: r.key, Checkpoint: r.checkpoint(), Percent: r.percent()})
+		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(), Percent: r.percent()})
 	}
 	a.Ended = slices.Clone(w.ends[:min(endsInAnswer, len(w.ends))])
 	if a.Full = len(w.ends) > endsInAnswer; a.Full {
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -194,7 +194,7 @@
 func (c *Core) start(now time.Duration, call workerapi.StartCall) scheduler.Refusal {
 	key := call.Run.Key()
 	if c.fenced(call.Token) {
-		return scheduler.RefusedFence
+		return scheduler.RefusedFenced
 	}
 	if c.find(key) != nil { // the order came twice
 		c.lease = max(c.lease, call.Deadline)
@@ -203,15 +203,15 @@
 	var program Program
 	switch {
 	case call.Deadline <= now:
-		return scheduler.RefusedLate
+		return scheduler.RefusedExpired
 	case key.Number <= c.floor[key.Task]:
-		return scheduler.RefusedOld
+		return scheduler.RefusedStale
 	case c.draining:
 		return scheduler.RefusedUnhealthy
 	case json.Unmarshal([]byte(call.Payload), &program) != nil:
 		return scheduler.RefusedInvalid
 	case !c.fits(call.Needs.Resources()):
-		return scheduler.RefusedRoom
+		return scheduler.RefusedCapacity
 	}
 	c.lease = max(c.lease, call.Deadline)
 	c.runs = append(c.runs, &run{key: key, needs: call.Needs.Resources(), program: program, began: now, resumed: saved(call.Checkpoint)})
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -61,17 +61,17 @@
 			call workerapi.StartCall
 			want scheduler.Refusal
 		}{
-			{change(func(c *workerapi.StartCall) { c.Token = 1; c.Deadline = 0 }), scheduler.RefusedFence},
-			{change(func(c *workerapi.StartCall) { c.Deadline = 5 * ms; c.Payload = "" }), scheduler.RefusedLate},
+			{change(func(c *workerapi.StartCall) { c.Token = 1; c.Deadline = 0 }), scheduler.RefusedFenced},
+			{change(func(c *workerapi.StartCall) { c.Deadline = 5 * ms; c.Payload = "" }), scheduler.RefusedExpired},
 			{change(func(c *workerapi.StartCall) { c.Payload = "" }), scheduler.RefusedInvalid},
-			{change(func(c *workerapi.StartCall) { c.Needs.MilliCPU = 601 }), scheduler.RefusedRoom},
-			{change(func(c *workerapi.StartCall) { c.Needs.MemoryMB = 16 }), scheduler.RefusedRoom},
-			{change(func(c *workerapi.StartCall) { c.Needs.GPUs = 2 }), scheduler.RefusedRoom},
+			{change(func(c *workerapi.StartCall) { c.Needs.MilliCPU = 601 }), scheduler.RefusedCapacity},
+			{change(func(c *workerapi.StartCall) { c.Needs.MemoryMB = 16 }), scheduler.RefusedCapacity},
+			{change(func(c *workerapi.StartCall) { c.Needs.GPUs = 2 }), scheduler.RefusedCapacity},
 			{change(func(*workerapi.StartCall) {}), ""},
 		} {
 			So(refusal(c, 5*ms, one.call), ShouldEqual, string(one.want))
 		}
-		So(refusal(c, 300*ms, startOf(0, 3, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedOld)) // its run is over
+		So(refusal(c, 300*ms, startOf(0, 3, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedStale)) // its run is over
 		So(refusal(c, 300*ms, startOf(0, 4, `{"ms":1}`)), ShouldEqual, "")
 		c.Drain()
 		So(refusal(c, 300*ms, startOf(5, 1, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedUnhealthy))
@@ -105,7 +105,7 @@
 		c, _ := newCore()
 		_, err := c.Stop(0, workerapi.StopCall{Worker: "w", Run: runOf(0, 2), Token: 2})
 		So(err, ShouldBeNil)
-		So(refusal(c, 0, startOf(0, 2, `{}`)), ShouldEqual, string(scheduler.RefusedOld))
+		So(refusal(c, 0, startOf(0, 2, `{}`)), ShouldEqual, string(scheduler.RefusedStale))
 	})
 	Convey("The lease kills what runs at its end and no earlier; a run that was over by then has its own end", t, func() {
 		c, _ := newCore()
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -94,21 +94,21 @@
 			Labels: []string{"l"}, Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}})
 		client := workerapi.NewClient(caller, caller, time.Minute)
 		call := context.Background()
-		order := scheduler.StartOrder{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}, Payload: `{"ms":30}`, Token: 1, Deadline: time.Hour}
+		order := scheduler.StartOrder{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}, Payload: `{"ms":30}`, Token: 1, LeaseDeadline: time.Hour}
 
 		Convey("it carries orders out, and a hold call waits for the end", func() {
 			answer, err := client.Start(call, worker, order)
 			So([]any{answer.Refusal, err}, ShouldResemble, []any{scheduler.Refusal(""), nil})
-			lists, err := client.Hold(call, worker, scheduler.HoldCall{Token: 1, Wait: 20 * time.Second})
+			lists, err := client.RenewLease(call, worker, scheduler.LeaseRenewal{Token: 1, Wait: 20 * time.Second})
 			So(err, ShouldBeNil)
-			So(lists.Ended, ShouldResemble, []scheduler.Ended{{Sequence: 1, Key: order.Key, How: jobs.EndDone}})
+			So(lists.Ended, ShouldResemble, []scheduler.EndedRun{{Sequence: 1, Key: order.Key, Reason: jobs.EndDone}})
 		})
 		Convey("another life is not here, and a lower token does nothing", func() {
 			other := worker
 			other.ID = "w-0"
 			_, err := client.Start(call, other, order)
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
-			_, err = client.Hold(call, worker, scheduler.HoldCall{Token: 2})
+			_, err = client.RenewLease(call, worker, scheduler.LeaseRenewal{Token: 2})
 			So(err, ShouldBeNil)
 			So(errs.KindOf(client.Stop(call, worker, scheduler.StopOrder{Key: order.Key, Token: 1})), ShouldEqual, errs.Stale)
 		})
