--- a/cmd/crosstide-controlplane/jobscore.go
+++ b/cmd/crosstide-controlplane/jobscore.go
@@ -60,7 +60,7 @@
 func serveJobs(ctx context.Context, set config.JobsCore, profiles bool, logger log.Logger) error {
 	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
 		options := jobsOptions(set, profiles, logger)
-		options.Removed = removed
+		options.OnRemoved = removed
 		core, err := jobsnode.NewCore(ctx, options)
 		if err != nil {
 			return errs.Pass(err, "make the node")
@@ -74,9 +74,9 @@
 func jobsOptions(set config.JobsCore, profiles bool, logger log.Logger) jobsnode.CoreOptions {
 	registry := daemon.Registry()
 	return jobsnode.CoreOptions{
-		Store: set.Cplane, Open: open, Scheduler: jobsScheduler(set.Scheduler), KeepOver: set.KeepOver,
-		Workers: func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
-		Control: set.Control,
+		Store: set.Cplane, OpenStore: open, Scheduler: jobsScheduler(set.Scheduler), JobRetention: set.KeepOver,
+		Workers:        func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
+		ControlAddress: set.Control,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
 			jobsapi.ServeControl(control, relay, set.Within)
 		},
--- a/cmd/crosstide-controlplane/jobscore_test.go
+++ b/cmd/crosstide-controlplane/jobscore_test.go
@@ -19,7 +19,7 @@
 		set.Scheduler = config.JobsScheduler{Lease: 9 * time.Second, HoldWait: 2 * time.Second, Silence: 3 * time.Second,
 			LapseMargin: 4 * time.Second, EarlyStart: 5 * time.Second, RemoteFactor: 2.5, ForgetAfter: 40 * time.Second}
 		options := jobsOptions(set, false, log.NewNopLogger())
-		So([]any{options.Store.Addr, options.Control, options.Grace, options.KeepOver, options.OrdersByBeat}, ShouldResemble,
+		So([]any{options.Store.Addr, options.ControlAddress, options.Grace, options.JobRetention, options.OrdersByHeartbeat}, ShouldResemble,
 			[]any{"10.0.0.1:7100", "10.0.0.1:7200", 7 * time.Second, time.Hour, false})
 		So(options.Workers(nil, nil), ShouldHaveSameTypeAs, &workerapi.Client{})
 		want := scheduler.Defaults()
--- a/cmd/crosstide-controlplane/lease_test.go
+++ b/cmd/crosstide-controlplane/lease_test.go
@@ -21,7 +21,7 @@
 			{time.Second, 2 * time.Second, 2 * time.Second},
 		}
 		for _, c := range cases {
-			config := schedulerSettings(platform.SchedulerSettings{LongestLease: c.longest}, c.contact)
+			config := schedulerSettings(platform.SchedulerSettings{MaxLease: c.longest}, c.contact)
 			So(config.Lease, ShouldEqual, c.lease)
 			So(config.RenewalWait, ShouldBeLessThanOrEqualTo, config.Lease/3)
 		}
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -49,7 +49,7 @@
 		}
 		first = false
 		options := coreOptions(core, logger)
-		options.Removed = removed
+		options.OnRemoved = removed
 		served, err := jobsnode.NewCore(ctx, options)
 		if err != nil {
 			return errs.Pass(err, "make the node")
@@ -75,12 +75,12 @@
 // coreOptions maps the platform's settings to a core node's options.
 func coreOptions(core platform.CoreSettings, logger log.Logger) jobsnode.CoreOptions {
 	return jobsnode.CoreOptions{
-		Store: storeSettings(core), Open: open,
-		Scheduler: schedulerSettings(core.Scheduler, core.ContactTimeout), KeepOver: 2 * core.Scheduler.KeepStateFor,
+		Store: storeSettings(core), OpenStore: open,
+		Scheduler: schedulerSettings(core.Scheduler, core.ContactTimeout), JobRetention: 2 * core.Scheduler.JobRetention,
 		Workers: func(holds, starts *rpc.Client) scheduler.Workers {
 			return platform.NewWorkers(exchanger{holds}, exchanger{starts}, 0)
 		},
-		OrdersByBeat: core.OrdersByBeat, Control: core.ControlAddress, ControlOf: core.ControlOf,
+		OrdersByHeartbeat: core.OrdersByHeartbeat, ControlAddress: core.ControlAddress, ControlAddressOf: core.ControlAddressOf,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
 			platform.NewControlPlane(relay, core.ControlAddress).Routes(control)
 		},
@@ -141,12 +141,12 @@
 // schedulerSettings maps the platform's bounds to the scheduler's settings.
 func schedulerSettings(bounds platform.SchedulerSettings, contactTimeout time.Duration) scheduler.Config {
 	config := scheduler.Defaults()
-	if bounds.LongestLease > 0 {
-		config.Lease = workerLease(contactTimeout, bounds.LongestLease, config)
+	if bounds.MaxLease > 0 {
+		config.Lease = workerLease(contactTimeout, bounds.MaxLease, config)
 	}
 	config.RenewalWait = min(config.RenewalWait, config.Lease/3)
-	if bounds.StopTime > 0 {
-		config.ExpiryMargin = bounds.StopTime/2 + 200*time.Millisecond
+	if bounds.StopTimeout > 0 {
+		config.ExpiryMargin = bounds.StopTimeout/2 + 200*time.Millisecond
 	}
 	if bounds.SpreadFactor > 0 {
 		config.RemoteDataFactor = bounds.SpreadFactor
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -30,9 +30,9 @@
 func TestCoreOptions(t *testing.T) {
 	Convey("The platform's settings make a core node's options", t, func() {
 		core := platform.CoreSettings{Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", ControlAddress: "10.1.0.10:7800",
-			Grace: 6 * time.Second, OrdersByBeat: true, Descriptors: 4000, Scheduler: platform.SchedulerSettings{KeepStateFor: time.Minute}}
+			Grace: 6 * time.Second, OrdersByHeartbeat: true, Descriptors: 4000, Scheduler: platform.SchedulerSettings{JobRetention: time.Minute}}
 		options := coreOptions(core, log.NewNopLogger())
-		So([]any{options.Store.Addr, options.Control, options.Grace, options.KeepOver, options.OrdersByBeat, options.Descriptors}, ShouldResemble,
+		So([]any{options.Store.Addr, options.ControlAddress, options.Grace, options.JobRetention, options.OrdersByHeartbeat, options.Descriptors}, ShouldResemble,
 			[]any{"10.1.0.10:7720", "10.1.0.10:7800", 5500 * time.Millisecond, 2 * time.Minute, true, 4000})
 		So(options.Workers(nil, nil), ShouldHaveSameTypeAs, &platform.Workers{})
 	})
--- a/cmd/crosstide-dataplane/jobsfront.go
+++ b/cmd/crosstide-dataplane/jobsfront.go
@@ -55,7 +55,7 @@
 func jobsOptions(set config.JobsFront, profiles bool, logger log.Logger) jobsnode.FrontOptions {
 	registry := daemon.Registry()
 	return jobsnode.FrontOptions{
-		Core: set.CoreAddresses(), Via: set.Via, Address: set.Addr,
+		CoreAddresses: set.CoreAddresses(), Via: set.Via, Address: set.Addr,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) {
 			jobsapi.ServeClients(clients, client, set.CallTimeout)
 			if profiles {
--- a/cmd/crosstide-dataplane/jobsfront_test.go
+++ b/cmd/crosstide-dataplane/jobsfront_test.go
@@ -19,7 +19,7 @@
 		set := config.DefaultJobsFront()
 		set.Addr, set.Zone, set.Grace, set.Seeds = "10.0.0.1:7000", "z", 7*time.Second, []string{"10.0.1.1:7100"}
 		options := jobsOptions(set, true, log.NewNopLogger())
-		So([]any{options.Core, options.Address, options.ReadyAddress, options.Grace, options.Zone}, ShouldResemble,
+		So([]any{options.CoreAddresses, options.Address, options.ReadyAddress, options.Grace, options.Zone}, ShouldResemble,
 			[]any{set.Seeds, set.Addr, "", set.Grace, "z"})
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		caller := rpc.NewClient(rpc.ClientOptions{})
--- a/cmd/crosstide-dataplane/platform.go
+++ b/cmd/crosstide-dataplane/platform.go
@@ -36,7 +36,7 @@
 // frontOptions maps the platform's settings to a front node's options.
 func frontOptions(core platform.CoreSettings, logger log.Logger) jobsnode.FrontOptions {
 	return jobsnode.FrontOptions{
-		Core: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
+		CoreAddresses: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) { platform.NewIngress(client).Routes(clients) },
 		ServeReady:   platform.Readiness,
 		ReadSeeds: func() ([]string, error) {
--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -43,11 +43,11 @@
 		core := platform.CoreSettings{ClientAddress: "10.0.0.1:80", ReadyAddress: "10.0.0.1:81", Seeds: []string{leader.Addr()},
 			Zone: "z", Grace: 3 * time.Second, Descriptors: 4000}
 		options := frontOptions(core, log.NewNopLogger())
-		So([]any{options.Core, options.Address, options.ReadyAddress, options.Descriptors, options.Grace, options.Zone}, ShouldResemble,
+		So([]any{options.CoreAddresses, options.Address, options.ReadyAddress, options.Descriptors, options.Grace, options.Zone}, ShouldResemble,
 			[]any{core.Seeds, core.ClientAddress, core.ReadyAddress, 4000, core.Grace, core.Zone})
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		caller := rpc.NewClient(rpc.ClientOptions{})
-		options.ServeClients(server, controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: options.Core}))
+		options.ServeClients(server, controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: options.CoreAddresses}))
 		ready := errs.New(errs.Unavailable, "not yet")
 		options.ServeReady(server, func() error { return ready })
 		So(server.Start(), ShouldBeNil)
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/rpc"
 )
 
-// Locate names the queue of a call: by host and path, as the configuration says.
-type Locate struct {
+// Location names the queue of a call: by host and path, as the configuration says.
+type Location struct {
 	Host string `json:"host"`
 	Path string `json:"path"`
 }
@@ -19,9 +19,9 @@
 // SubmitCall hands a job in. Spec.ID is what follows the queue's prefix in the path; Spec.Queue is found by the leader,
 // unless it is given.
 type SubmitCall struct {
-	Locate Locate    `json:"at"`
-	Spec   jobs.Spec `json:"spec"`
-	Digest string    `json:"digest"`
+	Location Location  `json:"at"`
+	Spec     jobs.Spec `json:"spec"`
+	Digest   string    `json:"digest"`
 }
 
 // SubmitAnswer says that the job is accepted and durable.
@@ -31,8 +31,8 @@
 
 // JobCall asks for a job or cancels it.
 type JobCall struct {
-	Locate Locate `json:"at"`
-	Cancel bool   `json:"cancel,omitempty"`
+	Location Location `json:"at"`
+	Cancel   bool     `json:"cancel,omitempty"`
 }
 
 // JobAnswer tells a job's state. Gone: there is no such job.
@@ -43,7 +43,7 @@
 
 // CountCall asks how many jobs of a queue wait.
 type CountCall struct {
-	Locate Locate `json:"at"`
+	Location Location `json:"at"`
 }
 
 // CountAnswer is the count.
@@ -51,32 +51,32 @@
 	Waiting int `json:"waiting"`
 }
 
-// BeatCall is a worker's heartbeat. Leaving: it ends now.
-type BeatCall struct {
-	Worker    jobs.Worker   `json:"worker"`
-	Sequence  uint64        `json:"seq"`
-	Clock     time.Duration `json:"clock"`
-	Remaining time.Duration `json:"remaining,omitempty"` // while draining: the least time it has left
-	Cold      time.Duration `json:"cold,omitempty"`
-	Leaving   bool          `json:"leaving,omitempty"`
+// HeartbeatCall is a worker's heartbeat. Leaving: it ends now.
+type HeartbeatCall struct {
+	Worker          jobs.Worker   `json:"worker"`
+	Sequence        uint64        `json:"seq"`
+	Clock           time.Duration `json:"clock"`
+	Remaining       time.Duration `json:"remaining,omitempty"` // while draining: the least time it has left
+	WarmupRemaining time.Duration `json:"cold,omitempty"`
+	Leaving         bool          `json:"leaving,omitempty"`
 	// Listing is what runs and what has ended, where orders go with the answers to heartbeats.
 	Listing *scheduler.RenewalAnswer `json:"listing,omitempty"`
 }
 
-// BeatAnswer acknowledges a heartbeat: what it told is known to the scheduler and durable.
-type BeatAnswer struct {
-	Home   string      `json:"home,omitempty"`   // control address that later heartbeats are best sent to
-	Orders *BeatOrders `json:"orders,omitempty"` // where orders go with the answers to heartbeats
+// HeartbeatAnswer acknowledges a heartbeat: what it told is known to the scheduler and durable.
+type HeartbeatAnswer struct {
+	HeartbeatAddress string           `json:"home,omitempty"`   // control address that later heartbeats are best sent to
+	Orders           *HeartbeatOrders `json:"orders,omitempty"` // where orders go with the answers to heartbeats
 }
 
-// BeatOrders are the orders in the answer to a heartbeat.
-type BeatOrders struct {
-	Lease    time.Duration          `json:"lease"` // of everything on the worker, from the arrival of the answer
-	SeenUpTo uint64                 `json:"seen"`  // ends numbered up to it are durable here
-	Token    uint64                 `json:"token"` // fencing token
-	Starts   []scheduler.StartOrder `json:"starts,omitempty"`
-	Stops    []jobs.RunKey          `json:"stops,omitempty"`
-	Again    time.Duration          `json:"again"` // pause before the next heartbeat
+// HeartbeatOrders are the orders in the answer to a heartbeat.
+type HeartbeatOrders struct {
+	Lease         time.Duration          `json:"lease"` // of everything on the worker, from the arrival of the answer
+	SeenUpTo      uint64                 `json:"seen"`  // ends numbered up to it are durable here
+	Token         uint64                 `json:"token"` // fencing token
+	Starts        []scheduler.StartOrder `json:"starts,omitempty"`
+	Stops         []jobs.RunKey          `json:"stops,omitempty"`
+	NextHeartbeat time.Duration          `json:"again"` // pause before the next heartbeat
 }
 
 // ConfigCall asks for the configuration in force.
@@ -104,7 +104,7 @@
 	SubmitPair    = rpc.Endpoint[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
 	JobPair       = rpc.Endpoint[JobCall, JobAnswer]{Path: "/c/job"}
 	CountPair     = rpc.Endpoint[CountCall, CountAnswer]{Path: "/c/count"}
-	BeatPair      = rpc.Endpoint[BeatCall, BeatAnswer]{Path: "/c/beat"}
+	HeartbeatPair = rpc.Endpoint[HeartbeatCall, HeartbeatAnswer]{Path: "/c/beat"}
 	ConfigPair    = rpc.Endpoint[ConfigCall, jobs.Config]{Path: "/c/config"}
 	ConfigurePair = rpc.Endpoint[jobs.Configure, ConfigureAnswer]{Path: "/c/configure"}
 	EvacuatePair  = rpc.Endpoint[jobs.Evacuate, EvacuateAnswer]{Path: "/c/evacuate"}
--- a/internal/controller/call.go
+++ b/internal/controller/call.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	longestCall  = 10 * time.Second      // bound of a call whose ctx has no deadline
-	answerMargin = 30 * time.Millisecond // a call ends so long before its ctx, for the answer to get out
-	firstPause   = 20 * time.Millisecond // between attempts; it doubles
-	longestPause = 200 * time.Millisecond
-	maxHops      = 3                       // hints that are followed in a row without a pause
-	largeFactor  = 3                       // attempts of calls with large bodies take so many times as long
-	giveUpAfter  = 1200 * time.Millisecond // without any node's answer, when surely nothing was carried out
+	maxCallDuration    = 10 * time.Second      // bound of a call whose ctx has no deadline
+	answerMargin       = 30 * time.Millisecond // a call ends so long before its ctx, for the answer to get out
+	initialBackoff     = 20 * time.Millisecond // between attempts; it doubles
+	maxBackoff         = 200 * time.Millisecond
+	maxHops            = 3                       // hints that are followed in a row without a pause
+	largeFactor        = 3                       // attempts of calls with large bodies take so many times as long
+	unreachableTimeout = 1200 * time.Millisecond // without any node's answer, when surely nothing was carried out
 )
 
 // query is one call of any pair, and how it is treated.
 type query struct {
-	path     string
-	call     any
-	fresh    func() any // a pointer to a new answer
-	mutates  bool       // an attempt without an answer may have been carried out
-	hedge    bool       // another node is asked too when the first one is slow
-	large    bool       // its bodies may be large
-	topology bool       // only the leader's own answer will do
-	bound    time.Duration
+	path      string
+	call      any
+	newAnswer func() any // a pointer to a new answer
+	mutates   bool       // an attempt without an answer may have been carried out
+	hedge     bool       // another node is asked too when the first one is slow
+	large     bool       // its bodies may be large
+	topology  bool       // only the leader's own answer will do
+	bound     time.Duration
 }
 
 // reply is what came of one attempt.
@@ -40,7 +40,7 @@
 
 // callPair makes a call of the pair p.
 func callPair[C, A any](ctx context.Context, c *Client, p rpc.Endpoint[C, A], call C, q query) (A, error) {
-	q.path, q.call, q.fresh = p.Path, call, func() any { return new(A) }
+	q.path, q.call, q.newAnswer = p.Path, call, func() any { return new(A) }
 	answer, err := c.run(ctx, q)
 	if err != nil {
 		var none A
@@ -84,7 +84,7 @@
 // attempts is the course of one call.
 type attempts struct {
 	begin, end time.Duration
-	pause      time.Duration
+	backoff    time.Duration
 	hops       int
 	uncertain  bool // an attempt may have been carried out
 	last       error
@@ -93,18 +93,18 @@
 // run makes attempts until one ends the call or time is up.
 func (c *Client) run(ctx context.Context, q query) (any, error) {
 	begin := c.opt.Clock.Now()
-	a := &attempts{begin: begin, end: begin + c.patience(ctx, q), pause: firstPause}
+	a := &attempts{begin: begin, end: begin + c.callTimeout(ctx, q), backoff: initialBackoff}
 	for {
 		now := c.opt.Clock.Now()
 		if ctx.Err() != nil || now >= a.end {
-			return nil, errs.Pass(a.over("time is up"), "call")
+			return nil, errs.Pass(a.exhausted("time is up"), "call")
 		}
-		if !a.uncertain && now-c.unreachedSince(begin) >= giveUpAfter {
-			return nil, errs.Pass(a.over("the core cannot be reached"), "call")
+		if !a.uncertain && now-c.unreachedSince(begin) >= unreachableTimeout {
+			return nil, errs.Pass(a.exhausted("the core cannot be reached"), "call")
 		}
 		addr := c.directory.pick(now)
 		if addr == "" {
-			return nil, errs.Pass(a.over("no address of the core is known"), "call")
+			return nil, errs.Pass(a.exhausted("no address of the core is known"), "call")
 		}
 		r := c.attempt(ctx, addr, q, min(c.attemptBound(q), a.end-now))
 		switch r.outcome() {
@@ -113,15 +113,15 @@
 		case refused:
 			return nil, errs.Pass(a.refusal(r.err), "answer of %s", addr)
 		case redirected:
-			if a.hops++; a.hops <= maxHops && c.directory.believes(errs.Of(r.err).Hint, c.opt.Clock.Now()) {
+			if a.hops++; a.hops <= maxHops && c.directory.isLeader(errs.Of(r.err).Hint, c.opt.Clock.Now()) {
 				continue
 			}
 		case uncertain:
 			a.uncertain = a.uncertain || q.mutates
 		}
 		a.hops, a.last = 0, r.err
-		c.sleep(ctx, min(jitter(a.pause), max(a.end-c.opt.Clock.Now(), 0)))
-		a.pause = min(2*a.pause, longestPause)
+		c.sleep(ctx, min(jitter(a.backoff), max(a.end-c.opt.Clock.Now(), 0)))
+		a.backoff = min(2*a.backoff, maxBackoff)
 	}
 }
 
@@ -132,9 +132,9 @@
 	return c.opt.Attempt
 }
 
-// patience is how long a call may take.
-func (c *Client) patience(ctx context.Context, q query) time.Duration {
-	longest := longestCall
+// callTimeout is how long a call may take.
+func (c *Client) callTimeout(ctx context.Context, q query) time.Duration {
+	longest := maxCallDuration
 	if q.bound > 0 {
 		longest = q.bound
 	}
@@ -146,8 +146,8 @@
 	return min(longest, left-min(answerMargin, left/10))
 }
 
-// over is the error of a call that ends without an answer.
-func (a *attempts) over(why string) error {
+// exhausted is the error of a call that ends without an answer.
+func (a *attempts) exhausted(why string) error {
 	kind := errs.Unavailable
 	if a.uncertain {
 		kind = errs.Timeout
@@ -168,57 +168,57 @@
 }
 
 // attempt asks the node at addr, and another one too when q may be hedged.
-func (c *Client) attempt(ctx context.Context, addr string, q query, within time.Duration) reply {
-	if q.hedge && within > hedgeAfter {
-		return c.hedged(ctx, addr, q, within)
+func (c *Client) attempt(ctx context.Context, addr string, q query, timeout time.Duration) reply {
+	if q.hedge && timeout > hedgeDelay {
+		return c.hedged(ctx, addr, q, timeout)
 	}
-	r := c.askOnce(ctx, addr, q, within)
-	c.note(ctx, addr, within, r)
+	r := c.askOnce(ctx, addr, q, timeout)
+	c.recordReply(ctx, addr, timeout, r)
 	return r
 }
 
 // askOnce asks the node at addr. Of a query of the topology only the leader's own answer is a success.
-func (c *Client) askOnce(ctx context.Context, addr string, q query, within time.Duration) reply {
-	answer := q.fresh()
-	r := c.ask(ctx, addr, q, answer, within)
+func (c *Client) askOnce(ctx context.Context, addr string, q query, timeout time.Duration) reply {
+	answer := q.newAnswer()
+	r := c.ask(ctx, addr, q, answer, timeout)
 	if r.err != nil {
 		return r
 	}
 	r.answer = answer
 	if t, ok := answer.(*TopologyAnswer); ok && q.topology {
-		c.directory.learn(t.Members, t.Leader == addr)
+		c.directory.updateMembers(t.Members, t.Leader == addr)
 		if t.Leader != addr {
 			r.err = &errs.Error{Kind: errs.NotLeader, Message: "it does not lead", Hint: t.Leader}
 			return r
 		}
-		c.stamp(&c.learnt)
+		c.recordNow(&c.lastMembersAt)
 	}
 	return r
 }
 
-// note remembers what a reply tells of the node at addr, which had the time within for it.
-func (c *Client) note(ctx context.Context, addr string, within time.Duration, r reply) {
+// change remembers what a reply tells of the node at addr, which had the time within for it.
+func (c *Client) recordReply(ctx context.Context, addr string, timeout time.Duration, r reply) {
 	if r.answered {
-		c.stamp(&c.reached)
+		c.recordNow(&c.lastReachedAt)
 	}
 	now := c.opt.Clock.Now()
 	switch o := r.outcome(); {
 	case o == succeeded || o == refused:
-		c.directory.led(addr)
-		c.stamp(&c.led)
+		c.directory.recordLeader(addr)
+		c.recordNow(&c.lastLeaderAt)
 	case o == redirected:
-		c.directory.follow(addr, errs.Of(r.err).Hint, now)
+		c.directory.followHint(addr, errs.Of(r.err).Hint, now)
 	case r.answered:
-		c.directory.doubt(addr)
-	case errs.Is(r.err, errs.Timeout) && (ctx.Err() != nil || within < c.opt.Attempt):
+		c.directory.clearLeader(addr)
+	case errs.Is(r.err, errs.Timeout) && (ctx.Err() != nil || timeout < c.opt.Attempt):
 		// the call's time was short: that says nothing of the node
 	default:
-		c.directory.lost(addr, now)
+		c.directory.recordFailure(addr, now)
 	}
 }
 
-// askWire is ask over the client's Caller.
-func (c *Client) askWire(ctx context.Context, addr string, q query, answer any, within time.Duration) reply {
-	err := c.opt.Caller.CallInto(ctx, addr, q.path, q.call, answer, within)
+// askRPC is ask over the client's Caller.
+func (c *Client) askRPC(ctx context.Context, addr string, q query, answer any, timeout time.Duration) reply {
+	err := c.opt.Caller.CallInto(ctx, addr, q.path, q.call, answer, timeout)
 	return reply{err: err, answered: err == nil || rpc.IsRemote(err), unsent: rpc.IsUnsent(err)}
 }
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	defaultAttempt = 700 * time.Millisecond
-	readyFor       = 2500 * time.Millisecond // a leader that has answered makes the client ready for so long
-	probeEvery     = time.Second
-	learnEvery     = 10 * time.Second // the members are asked for so often though the leader answers calls
-	retryAfter     = time.Second      // told with a call that was given up
+	defaultAttempt     = 700 * time.Millisecond
+	readyWindow        = 2500 * time.Millisecond // a leader that has answered makes the client ready for so long
+	probeInterval      = time.Second
+	memberListInterval = 10 * time.Second // the members are asked for so often though the leader answers calls
+	retryAfter         = time.Second      // told with a call that was given up
 )
 
 // ClientOptions are the settings of a Client; Caller and Seeds are needed.
@@ -48,13 +48,13 @@
 	directory *directory
 	work      *routine.Group
 
-	ask   func(ctx context.Context, addr string, q query, answer any, within time.Duration) reply
+	ask   func(ctx context.Context, addr string, q query, answer any, timeout time.Duration) reply
 	sleep func(ctx context.Context, d time.Duration)
 
-	mu      sync.Mutex
-	reached *time.Duration // when a node of the core last answered anything; nil: never
-	led     *time.Duration // when a leader last answered
-	learnt  *time.Duration // when a leader last listed the members
+	mu            sync.Mutex
+	lastReachedAt *time.Duration // when a node of the core last answered anything; nil: never
+	lastLeaderAt  *time.Duration // when a leader last answered
+	lastMembersAt *time.Duration // when a leader last listed the members
 }
 
 // NewClient makes a client; Start makes it look for the leader by itself. Example:
@@ -74,7 +74,7 @@
 		opt.Attempt = defaultAttempt
 	}
 	c := &Client{opt: opt, directory: newDirectory(opt.Self, opt.Seeds), work: routine.New(context.Background())}
-	c.ask, c.sleep = c.askWire, c.sleepClock
+	c.ask, c.sleep = c.askRPC, c.sleepClock
 	return c
 }
 
@@ -96,9 +96,9 @@
 	return answer, errs.Pass(err, "count")
 }
 
-// Beat passes a worker's heartbeat on.
-func (c *Client) Beat(ctx context.Context, call BeatCall) (BeatAnswer, error) {
-	answer, err := callPair(ctx, c, BeatPair, call, query{mutates: true})
+// Heartbeat passes a worker's heartbeat on.
+func (c *Client) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
+	answer, err := callPair(ctx, c, HeartbeatPair, call, query{mutates: true})
 	return answer, errs.Pass(err, "heartbeat")
 }
 
@@ -124,55 +124,55 @@
 func (c *Client) SetSeeds(seeds []string) { c.directory.setSeeds(seeds) }
 
 // Hint tells the client of a leader's address that its caller has learnt; "" is passed over.
-func (c *Client) Hint(leader string) { c.directory.follow("", leader, c.opt.Clock.Now()) }
+func (c *Client) Hint(leader string) { c.directory.followHint("", leader, c.opt.Clock.Now()) }
 
 // Start looks for the leader now and again, so that Ready tells and calls need not search. Call it once.
-func (c *Client) Start() { c.work.Go(c.watch) }
+func (c *Client) Start() { c.work.Go(c.watchLeader) }
 
 // Stop ends what Start began. Calls may go on.
 func (c *Client) Stop() { c.work.Stop() }
 
 // Ready is nil when a leader has answered lately, else errs.Unavailable.
-func (c *Client) Ready() error { return errs.Pass(c.ReadyWithin(readyFor), "core") }
+func (c *Client) Ready() error { return errs.Pass(c.CheckLeader(readyWindow), "core") }
 
-// ReadyWithin is nil when a leader has answered within the last d, else errs.Unavailable.
-func (c *Client) ReadyWithin(d time.Duration) error {
-	if c.within(&c.led, d) {
+// CheckLeader is nil when a leader has answered within the last d, else errs.Unavailable.
+func (c *Client) CheckLeader(d time.Duration) error {
+	if c.isRecent(&c.lastLeaderAt, d) {
 		return nil
 	}
 	return errs.New(errs.Unavailable, "no leader of the core has answered for %s", d)
 }
 
-func (c *Client) watch(ctx context.Context) {
+func (c *Client) watchLeader(ctx context.Context) {
 	was := false
 	for ctx.Err() == nil {
-		if !c.within(&c.led, probeEvery) || !c.within(&c.learnt, learnEvery) {
+		if !c.isRecent(&c.lastLeaderAt, probeInterval) || !c.isRecent(&c.lastMembersAt, memberListInterval) {
 			c.probe(ctx)
 		}
 		if is := c.Ready() == nil; is != was {
 			was = is
 			_ = level.Info(c.opt.Logger).Log("msg", "the core's leader", "answers", is)
 		}
-		c.sleep(ctx, probeEvery)
+		c.sleep(ctx, probeInterval)
 	}
 }
 
 // probe looks for the leader and asks it for the members. A probe that fails is followed by the next.
 func (c *Client) probe(ctx context.Context) {
-	_, err := callPair(ctx, c, TopologyPair, TopologyCall{}, query{bound: probeEvery, topology: true})
+	_, err := callPair(ctx, c, TopologyPair, TopologyCall{}, query{bound: probeInterval, topology: true})
 	if err != nil {
 		_ = level.Debug(c.opt.Logger).Log("msg", "no leader found", "err", err)
 	}
 }
 
-// within tells whether the time at is set and at most d ago.
-func (c *Client) within(at **time.Duration, d time.Duration) bool {
+// timeout tells whether the time at is set and at most d ago.
+func (c *Client) isRecent(at **time.Duration, d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *at != nil && c.opt.Clock.Now()-**at <= d
 }
 
-func (c *Client) stamp(at **time.Duration) {
+func (c *Client) recordNow(at **time.Duration) {
 	now := c.opt.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,16 +183,16 @@
 func (c *Client) unreachedSince(begin time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reached == nil {
+	if c.lastReachedAt == nil {
 		return begin
 	}
-	return max(begin, *c.reached)
+	return max(begin, *c.lastReachedAt)
 }
 
 func (c *Client) sleepClock(ctx context.Context, d time.Duration) {
 	over := make(chan struct{})
-	ring := c.opt.Clock.Set(d, func() { close(over) })
-	defer ring.Stop()
+	timer := c.opt.Clock.Set(d, func() { close(over) })
+	defer timer.Stop()
 	select {
 	case <-over:
 	case <-ctx.Done():
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -18,19 +18,19 @@
 type fakeCore struct {
 	*Client
 	clock *clock.Virtual
-	nodes map[string]func(ctx context.Context, q query, answer any, within time.Duration) reply
+	nodes map[string]func(ctx context.Context, q query, answer any, timeout time.Duration) reply
 	asked []string // addresses in order
 }
 
-type node = func(ctx context.Context, q query, answer any, within time.Duration) reply
+type node = func(ctx context.Context, q query, answer any, timeout time.Duration) reply
 
 func newFakeCore(nodes map[string]node, seeds ...string) *fakeCore {
 	f := &fakeCore{clock: &clock.Virtual{}, nodes: nodes}
 	f.Client = NewClient(ClientOptions{Seeds: seeds, Clock: f.clock})
-	f.directory.next = 0
-	f.ask = func(ctx context.Context, addr string, q query, answer any, within time.Duration) reply {
+	f.directory.rotation = 0
+	f.ask = func(ctx context.Context, addr string, q query, answer any, timeout time.Duration) reply {
 		f.asked = append(f.asked, addr)
-		return f.nodes[addr](ctx, q, answer, within)
+		return f.nodes[addr](ctx, q, answer, timeout)
 	}
 	f.sleep = func(_ context.Context, d time.Duration) { f.clock.Advance(d) }
 	return f
@@ -49,15 +49,15 @@
 func (d deadlineContext) Deadline() (time.Time, bool) { return d.deadline, true }
 
 // submit hands a job in and gives the kind of the error and how long it took.
-func (f *fakeCore) submit(within time.Duration) (errs.Kind, time.Duration) {
+func (f *fakeCore) submit(timeout time.Duration) (errs.Kind, time.Duration) {
 	begin := f.clock.Now()
 	f.asked = nil
-	_, err := f.Submit(f.until(within), SubmitCall{})
+	_, err := f.Submit(f.until(timeout), SubmitCall{})
 	return errs.KindOf(err), f.clock.Now() - begin
 }
 
-// leads answers as the leader.
-func leads(_ context.Context, _ query, answer any, _ time.Duration) reply {
+// hasLease answers as the leader.
+func answersAsLeader(_ context.Context, _ query, answer any, _ time.Duration) reply {
 	switch a := answer.(type) {
 	case *SubmitAnswer:
 		a.State = jobs.Queued
@@ -67,108 +67,108 @@
 	return reply{answered: true}
 }
 
-// says answers a failure.
-func says(kind errs.Kind) node {
+// failsWith answers a failure.
+func failsWith(kind errs.Kind) node {
 	return func(context.Context, query, any, time.Duration) reply {
 		return reply{err: errs.New(kind, "on purpose"), answered: true}
 	}
 }
 
-// hints names another node as the leader.
-func hints(leader string) node {
+// redirectsTo names another node as the leader.
+func redirectsTo(leader string) node {
 	return func(context.Context, query, any, time.Duration) reply {
 		return reply{err: &errs.Error{Kind: errs.NotLeader, Message: "on purpose", Hint: leader}, answered: true}
 	}
 }
 
-// refuses is a machine without the process.
-func refuses(context.Context, query, any, time.Duration) reply {
+// connectionRefused is a machine without the process.
+func connectionRefused(context.Context, query, any, time.Duration) reply {
 	return reply{err: errs.New(errs.Unavailable, "refused"), unsent: true}
 }
 
-// silent takes the call and says nothing; hangs takes no connection.
-func (f *fakeCore) silent(_ context.Context, _ query, _ any, within time.Duration) reply {
-	f.clock.Advance(within)
+// timesOut takes the call and says nothing; hangs takes no connection.
+func (f *fakeCore) timesOut(_ context.Context, _ query, _ any, timeout time.Duration) reply {
+	f.clock.Advance(timeout)
 	return reply{err: errs.New(errs.Timeout, "silent")}
 }
 
-func (f *fakeCore) hangs(_ context.Context, _ query, _ any, within time.Duration) reply {
-	f.clock.Advance(within)
+func (f *fakeCore) connectTimesOut(_ context.Context, _ query, _ any, timeout time.Duration) reply {
+	f.clock.Advance(timeout)
 	return reply{err: errs.New(errs.Timeout, "hangs"), unsent: true}
 }
 
 func TestClientFindsTheLeader(t *testing.T) {
 	Convey("A hint is followed at once, and the leader is remembered", t, func() {
-		f := newFakeCore(map[string]node{"a": hints("c"), "b": hints("c"), "c": leads}, "a", "b")
+		f := newFakeCore(map[string]node{"a": redirectsTo("c"), "b": redirectsTo("c"), "c": answersAsLeader}, "a", "b")
 		kind, took := f.submit(time.Second)
 		So([]any{kind, took, f.asked}, ShouldResemble, []any{errs.Kind(""), time.Duration(0), []string{"a", "c"}})
 		f.submit(time.Second)
 		So(f.asked, ShouldResemble, []string{"c"})
 	})
 	Convey("A leader that is gone is passed over for a moment, also when others still name it", t, func() {
-		f := newFakeCore(map[string]node{"a": leads, "b": hints("a"), "c": hints("a")}, "a", "b", "c")
+		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": redirectsTo("a"), "c": redirectsTo("a")}, "a", "b", "c")
 		f.submit(time.Second)
-		f.nodes["a"] = refuses
-		f.nodes["c"] = leads
+		f.nodes["a"] = connectionRefused
+		f.nodes["c"] = answersAsLeader
 		kind, _ := f.submit(time.Second)
 		So([]any{kind, f.asked}, ShouldResemble, []any{errs.Kind(""), []string{"a", "b", "c"}})
 		f.submit(time.Second)
 		So(f.asked, ShouldResemble, []string{"c"})
 	})
 	Convey("Two nodes that name each other are not asked without pauses", t, func() {
-		f := newFakeCore(map[string]node{"a": hints("b"), "b": hints("a")}, "a", "b")
+		f := newFakeCore(map[string]node{"a": redirectsTo("b"), "b": redirectsTo("a")}, "a", "b")
 		kind, took := f.submit(time.Second)
 		So(kind, ShouldEqual, errs.Unavailable)
 		So(took, ShouldBeGreaterThan, 900*time.Millisecond)
 		So(len(f.asked), ShouldBeLessThan, 60)
 	})
 	Convey("Members that the topology lists are asked when the seeds are gone", t, func() {
-		f := newFakeCore(map[string]node{"b": leads}, "a")
+		f := newFakeCore(map[string]node{"b": answersAsLeader}, "a")
 		f.nodes["a"] = func(_ context.Context, q query, answer any, _ time.Duration) reply {
 			*answer.(*TopologyAnswer) = TopologyAnswer{Leader: "a", Members: []string{"a", "b"}}
 			return reply{answered: true}
 		}
 		f.probe(context.Background())
 		So(f.Ready(), ShouldBeNil)
-		f.nodes["a"] = refuses
+		f.nodes["a"] = connectionRefused
 		kind, _ := f.submit(time.Second)
 		So([]any{kind, f.asked}, ShouldResemble, []any{errs.Kind(""), []string{"a", "b"}})
 		f.SetSeeds([]string{"z"})
-		So(f.directory.all(), ShouldResemble, []string{"a", "b", "z"})
+		So(f.directory.addresses(), ShouldResemble, []string{"a", "b", "z"})
 	})
 	Convey("Our own address is not asked in turn, but by a hint", t, func() {
-		f := newFakeCore(map[string]node{"b": hints("")}, "a", "b")
+		f := newFakeCore(map[string]node{"b": redirectsTo("")}, "a", "b")
 		f.directory.self = "a"
 		kind, _ := f.submit(300 * time.Millisecond)
 		So(kind, ShouldEqual, errs.Unavailable)
 		So(f.asked, ShouldNotContain, "a")
-		f.nodes["a"], f.nodes["b"] = leads, hints("a")
+		f.nodes["a"], f.nodes["b"] = answersAsLeader, redirectsTo("a")
 		kind, _ = f.submit(300 * time.Millisecond)
 		So([]any{kind, f.asked}, ShouldResemble, []any{errs.Kind(""), []string{"b", "a"}})
 	})
 	Convey("A call whose own time was short does not make its node pass for lost", t, func() {
-		f := newFakeCore(map[string]node{"a": leads, "b": leads}, "a", "b")
+		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": answersAsLeader}, "a", "b")
 		f.submit(time.Second)
-		f.nodes["a"] = f.silent
+		f.nodes["a"] = f.timesOut
 		kind, _ := f.submit(200 * time.Millisecond)
 		So(kind, ShouldEqual, errs.Timeout)
 		So(f.directory.pick(f.clock.Now()), ShouldEqual, "a")
 	})
 }
 
-func TestClientTellsWhatBecameOfACall(t *testing.T) {
+func TestClientReportsCallOutcome(t *testing.T) {
 	final := []errs.Kind{errs.Unknown, errs.Invalid, errs.Malformed, errs.TooLarge, errs.Conflict, errs.Stale, errs.Forbidden, errs.Overloaded}
 	Convey("A refusal ends the call at once", t, func() {
 		for _, kind := range final {
-			f := newFakeCore(map[string]node{"a": says(kind)}, "a")
+			f := newFakeCore(map[string]node{"a": failsWith(kind)}, "a")
 			got, took := f.submit(time.Second)
 			So([]any{got, took, len(f.asked)}, ShouldResemble, []any{kind, time.Duration(0), 1})
 		}
 	})
 	Convey("After an attempt that may have been carried out, a refusal stays but for Pressure, which is Timeout", t, func() {
 		for _, kind := range final {
-			f := newFakeCore(map[string]node{"b": says(kind)}, "a", "b")
-			f.nodes["a"] = f.silent
+			f := newFakeCore(map[string]node{"b": failsWith(kind)}, "a", "b")
+			f.nodes["a"] = f.timesOut
 			got, _ := f.submit(3 * time.Second)
 			want := kind
 			if kind == errs.Overloaded {
@@ -188,36 +188,36 @@
 			{errs.Unavailable, errs.Internal, errs.Timeout},
 			{errs.Disk, errs.Unavailable, errs.Timeout},
 		} {
-			f := newFakeCore(map[string]node{"a": says(c.a), "b": says(c.b)}, "a", "b")
+			f := newFakeCore(map[string]node{"a": failsWith(c.a), "b": failsWith(c.b)}, "a", "b")
 			got, took := f.submit(2 * time.Second)
 			So(got, ShouldEqual, c.want)
 			So(took, ShouldBeBetween, 1900*time.Millisecond, 2*time.Second)
 		}
 	})
 	Convey("Reads are Unavailable whatever their attempts met", t, func() {
-		f := newFakeCore(map[string]node{"a": says(errs.Internal)}, "a")
+		f := newFakeCore(map[string]node{"a": failsWith(errs.Internal)}, "a")
 		_, err := f.Job(f.until(time.Second), JobCall{})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		_, err = f.Job(f.until(time.Second), JobCall{Cancel: true})
 		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 	})
 	Convey("A core that cannot be reached is given up early, with the time to come back", t, func() {
-		f := newFakeCore(map[string]node{"a": refuses, "b": refuses}, "a", "b")
+		f := newFakeCore(map[string]node{"a": connectionRefused, "b": connectionRefused}, "a", "b")
 		begin := f.clock.Now()
 		_, err := f.Submit(f.until(time.Minute), SubmitCall{})
 		So([]any{errs.KindOf(err), errs.Of(err).After}, ShouldResemble, []any{errs.Unavailable, retryAfter})
-		So(f.clock.Now()-begin, ShouldBeBetween, giveUpAfter, giveUpAfter+longestPause)
-		f.nodes["a"], f.nodes["b"] = f.hangs, f.hangs
+		So(f.clock.Now()-begin, ShouldBeBetween, unreachableTimeout, unreachableTimeout+maxBackoff)
+		f.nodes["a"], f.nodes["b"] = f.connectTimesOut, f.connectTimesOut
 		kind, took := f.submit(time.Minute)
 		So(kind, ShouldEqual, errs.Unavailable)
-		So(took, ShouldBeBetween, giveUpAfter, giveUpAfter+defaultAttempt+longestPause)
+		So(took, ShouldBeBetween, unreachableTimeout, unreachableTimeout+defaultAttempt+maxBackoff)
 	})
 	Convey("It is not given up when a node answers, nor when the call may have been carried out", t, func() {
-		f := newFakeCore(map[string]node{"a": refuses, "b": hints("")}, "a", "b")
+		f := newFakeCore(map[string]node{"a": connectionRefused, "b": redirectsTo("")}, "a", "b")
 		kind, took := f.submit(5 * time.Second)
 		So(kind, ShouldEqual, errs.Unavailable)
 		So(took, ShouldBeGreaterThan, 4900*time.Millisecond)
-		f.nodes["a"], f.nodes["b"] = f.silent, refuses
+		f.nodes["a"], f.nodes["b"] = f.timesOut, connectionRefused
 		kind, took = f.submit(5 * time.Second)
 		So(kind, ShouldEqual, errs.Timeout)
 		So(took, ShouldBeGreaterThan, 4900*time.Millisecond)
@@ -226,7 +226,7 @@
 		f := newFakeCore(nil)
 		kind, took := f.submit(time.Second)
 		So([]any{kind, took}, ShouldResemble, []any{errs.Unavailable, time.Duration(0)})
-		f = newFakeCore(map[string]node{"a": leads}, "a")
+		f = newFakeCore(map[string]node{"a": answersAsLeader}, "a")
 		kind, _ = f.submit(-time.Second)
 		So([]any{kind, len(f.asked)}, ShouldResemble, []any{errs.Unavailable, 0})
 	})
@@ -242,8 +242,8 @@
 	})
 	Convey("Attempts are short, longer for large bodies, and never beyond the deadline", t, func() {
 		var bounds []time.Duration
-		f := newFakeCore(map[string]node{"a": func(_ context.Context, _ query, _ any, within time.Duration) reply {
-			bounds = append(bounds, within)
+		f := newFakeCore(map[string]node{"a": func(_ context.Context, _ query, _ any, timeout time.Duration) reply {
+			bounds = append(bounds, timeout)
 			return reply{err: errs.New(errs.Invalid, "on purpose"), answered: true}
 		}}, "a")
 		_, _ = f.Submit(f.until(time.Minute), SubmitCall{})
@@ -259,15 +259,15 @@
 		cut := false
 		f.nodes = map[string]node{
 			"a": func(ctx context.Context, _ query, _ any, _ time.Duration) reply {
-				f.clock.Advance(hedgeAfter)
+				f.clock.Advance(hedgeDelay)
 				<-ctx.Done()
 				cut = true
 				return reply{err: errs.New(errs.Timeout, "cut")}
 			},
-			"b": hints("c"), "c": leads,
+			"b": redirectsTo("c"), "c": answersAsLeader,
 		}
 		answer, err := f.Job(f.until(time.Second), JobCall{})
-		So([]any{answer.State, err, cut, f.clock.Now()}, ShouldResemble, []any{jobs.Running, nil, true, hedgeAfter})
+		So([]any{answer.State, err, cut, f.clock.Now()}, ShouldResemble, []any{jobs.Running, nil, true, hedgeDelay})
 		So(f.asked, ShouldResemble, []string{"a", "b", "c"})
 		So(f.directory.pick(f.clock.Now()), ShouldEqual, "c")
 	})
@@ -275,10 +275,10 @@
 		f := newFakeCore(nil, "a", "b")
 		other := make(chan struct{})
 		f.nodes = map[string]node{
-			"a": func(ctx context.Context, q query, answer any, within time.Duration) reply {
-				f.clock.Advance(hedgeAfter)
+			"a": func(ctx context.Context, q query, answer any, timeout time.Duration) reply {
+				f.clock.Advance(hedgeDelay)
 				<-other
-				return leads(ctx, q, answer, within)
+				return answersAsLeader(ctx, q, answer, timeout)
 			},
 			"b": func(context.Context, query, any, time.Duration) reply {
 				defer close(other)
@@ -290,7 +290,7 @@
 	})
 	Convey("A call that changes something is asked of one node at a time", t, func() {
 		f := newFakeCore(nil, "a", "b")
-		f.nodes = map[string]node{"a": f.silent, "b": leads}
+		f.nodes = map[string]node{"a": f.timesOut, "b": answersAsLeader}
 		f.submit(2 * time.Second)
 		So(f.asked, ShouldResemble, []string{"a", "b"})
 		So(f.clock.Now(), ShouldBeGreaterThanOrEqualTo, defaultAttempt)
@@ -299,16 +299,16 @@
 
 func TestClientReady(t *testing.T) {
 	Convey("A client is ready while a leader has answered lately, by whatever call", t, func() {
-		f := newFakeCore(map[string]node{"a": leads}, "a")
+		f := newFakeCore(map[string]node{"a": answersAsLeader}, "a")
 		So(errs.KindOf(f.Ready()), ShouldEqual, errs.Unavailable)
 		f.submit(time.Second)
 		So(f.Ready(), ShouldBeNil)
-		f.clock.Advance(readyFor)
+		f.clock.Advance(readyWindow)
 		So(f.Ready(), ShouldBeNil)
 		f.clock.Advance(1)
 		So(errs.KindOf(f.Ready()), ShouldEqual, errs.Unavailable)
-		So(f.ReadyWithin(4*time.Second), ShouldBeNil)
-		f.nodes["a"] = says(errs.Unknown)
+		So(f.CheckLeader(4*time.Second), ShouldBeNil)
+		f.nodes["a"] = failsWith(errs.Unknown)
 		f.submit(time.Second)
 		So(f.Ready(), ShouldBeNil)
 	})
@@ -317,11 +317,11 @@
 		f.nodes = map[string]node{"a": func(_ context.Context, _ query, answer any, _ time.Duration) reply {
 			*answer.(*TopologyAnswer) = TopologyAnswer{Leader: "b", Members: []string{"a", "b"}}
 			return reply{answered: true}
-		}, "b": refuses}
+		}, "b": connectionRefused}
 		f.probe(context.Background())
 		So(errs.KindOf(f.Ready()), ShouldEqual, errs.Unavailable)
 		So(f.asked, ShouldContain, "b")
-		So(f.clock.Now(), ShouldBeLessThanOrEqualTo, probeEvery)
+		So(f.clock.Now(), ShouldBeLessThanOrEqualTo, probeInterval)
 	})
 	Convey("The watch probes at once and then no more while calls are answered", t, func() {
 		f := newFakeCore(nil, "a")
@@ -335,7 +335,7 @@
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
 		f.sleep = func(_ context.Context, d time.Duration) {
-			So(d, ShouldEqual, probeEvery)
+			So(d, ShouldEqual, probeInterval)
 			f.clock.Advance(d)
 			if rounds++; rounds == 9 {
 				cancel()
@@ -344,7 +344,7 @@
 			_, err := f.Submit(context.Background(), SubmitCall{})
 			So(err, ShouldBeNil)
 		}
-		f.watch(ctx)
+		f.watchLeader(ctx)
 		So(probes, ShouldEqual, 1)
 	})
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -16,7 +16,7 @@
 	Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error)
 	Job(ctx context.Context, call JobCall) (JobAnswer, error)
 	Count(ctx context.Context, call CountCall) (CountAnswer, error)
-	Beat(ctx context.Context, call BeatCall) (BeatAnswer, error)
+	Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error)
 	Config(ctx context.Context, call ConfigCall) (jobs.Config, error)
 	Configure(ctx context.Context, call jobs.Configure) (ConfigureAnswer, error)
 	Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error)
@@ -30,15 +30,15 @@
 
 var _ Local = (*Leader)(nil)
 
-// serveWithin bounds a call at the node that answers it: its caller has long gone on by then.
-const serveWithin = 10 * time.Second
+// serveTimeout bounds a call at the node that answers it: its caller has long gone on by then.
+const serveTimeout = 10 * time.Second
 
 // Serve answers all pairs of the core at s by local; nothing is passed on from there. Call it before s starts.
 func Serve(s *rpc.Server, local Local) {
 	handle(s, SubmitPair, local.Submit)
 	handle(s, JobPair, local.Job)
 	handle(s, CountPair, local.Count)
-	handle(s, BeatPair, local.Beat)
+	handle(s, HeartbeatPair, local.Heartbeat)
 	handle(s, ConfigPair, local.Config)
 	handle(s, ConfigurePair, local.Configure)
 	handle(s, EvacuatePair, local.Evacuate)
@@ -52,7 +52,7 @@
 
 func handle[C, A any](s *rpc.Server, p rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
 	rpc.Handle(s, p, func(ctx context.Context, call C) (A, error) {
-		ctx, cancel := context.WithTimeout(ctx, serveWithin)
+		ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 		defer cancel()
 		answer, err := serve(ctx, call)
 		return answer, errs.Pass(err, "%s", p.Path)
@@ -89,9 +89,9 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Beat passes a worker's heartbeat on.
-func (r *Relay) Beat(ctx context.Context, call BeatCall) (BeatAnswer, error) {
-	answer, err := relay(ctx, r, call, r.local.Beat, r.remote.Beat)
+// Heartbeat passes a worker's heartbeat on.
+func (r *Relay) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Heartbeat, r.remote.Heartbeat)
 	return answer, errs.Pass(err, "relay")
 }
 
@@ -127,15 +127,15 @@
 
 func relay[C, A any](ctx context.Context, r *Relay, call C, local, remote func(context.Context, C) (A, error)) (A, error) {
 	answer, err := local(ctx, call)
-	if err == nil || !r.goesOn(ctx, err) {
+	if err == nil || !r.shouldForward(ctx, err) {
 		return answer, errs.Pass(err, "this node")
 	}
 	answer, err = remote(ctx, call)
 	return answer, errs.Pass(err, "the leader")
 }
 
-// goesOn tells whether a call that this node has not carried out, with err, may be another node's.
-func (r *Relay) goesOn(ctx context.Context, err error) bool {
+// shouldForward tells whether a call that this node has not carried out, with err, may be another node's.
+func (r *Relay) shouldForward(ctx context.Context, err error) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
 		r.remote.Hint(errs.Of(err).Hint)
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// taken gives the calls that the node carried out since the last question.
+// accepted gives the calls that the node carried out since the last question.
 func (n *coreNode) taken() []string {
 	n.core.mu.Lock()
 	defer n.core.mu.Unlock()
@@ -60,13 +60,13 @@
 	return SubmitAnswer{State: jobs.Queued}, n.carryOut("submit " + call.Spec.ID)
 }
 func (n *coreNode) Job(_ context.Context, call JobCall) (JobAnswer, error) {
-	return JobAnswer{Gone: true}, n.carryOut("job " + call.Locate.Path)
+	return JobAnswer{Gone: true}, n.carryOut("job " + call.Location.Path)
 }
 func (n *coreNode) Count(_ context.Context, call CountCall) (CountAnswer, error) {
-	return CountAnswer{Waiting: 7}, n.carryOut("count " + call.Locate.Host)
+	return CountAnswer{Waiting: 7}, n.carryOut("count " + call.Location.Host)
 }
-func (n *coreNode) Beat(_ context.Context, call BeatCall) (BeatAnswer, error) {
-	return BeatAnswer{Home: n.addr}, n.carryOut("beat " + call.Worker.ID)
+func (n *coreNode) Heartbeat(_ context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
+	return HeartbeatAnswer{HeartbeatAddress: n.addr}, n.carryOut("beat " + call.Worker.ID)
 }
 func (n *coreNode) Config(context.Context, ConfigCall) (jobs.Config, error) {
 	return jobs.Config{Version: 3}, n.carryOut("config")
@@ -116,7 +116,7 @@
 	Submit(context.Context, SubmitCall) (SubmitAnswer, error)
 	Job(context.Context, JobCall) (JobAnswer, error)
 	Count(context.Context, CountCall) (CountAnswer, error)
-	Beat(context.Context, BeatCall) (BeatAnswer, error)
+	Heartbeat(context.Context, HeartbeatCall) (HeartbeatAnswer, error)
 	Config(context.Context, ConfigCall) (jobs.Config, error)
 	Configure(context.Context, jobs.Configure) (ConfigureAnswer, error)
 	Evacuate(context.Context, jobs.Evacuate) (EvacuateAnswer, error)
@@ -126,12 +126,12 @@
 func callAll(ctx context.Context, c caller, leader string) {
 	submitted, err := c.Submit(ctx, SubmitCall{Spec: jobs.Spec{ID: "1"}})
 	So([]any{submitted.State, err}, ShouldResemble, []any{jobs.Queued, nil})
-	job, err := c.Job(ctx, JobCall{Locate: Locate{Path: "/p"}})
+	job, err := c.Job(ctx, JobCall{Location: Location{Path: "/p"}})
 	So([]any{job.Gone, err}, ShouldResemble, []any{true, nil})
-	count, err := c.Count(ctx, CountCall{Locate: Locate{Host: "h"}})
+	count, err := c.Count(ctx, CountCall{Location: Location{Host: "h"}})
 	So([]any{count.Waiting, err}, ShouldResemble, []any{7, nil})
-	beat, err := c.Beat(ctx, BeatCall{Worker: jobs.Worker{ID: "w"}})
-	So([]any{beat.Home, err}, ShouldResemble, []any{leader, nil})
+	beat, err := c.Heartbeat(ctx, HeartbeatCall{Worker: jobs.Worker{ID: "w"}})
+	So([]any{beat.HeartbeatAddress, err}, ShouldResemble, []any{leader, nil})
 	config, err := c.Config(ctx, ConfigCall{})
 	So([]any{config.Version, err}, ShouldResemble, []any{uint64(3), nil})
 	_, err = c.Configure(ctx, jobs.Configure{Digest: "d"})
@@ -194,7 +194,7 @@
 		c.Start()
 		<-ready
 		So(c.Ready(), ShouldBeNil)
-		So(c.directory.all(), ShouldResemble, []string{nodes[0].addr, nodes[1].addr})
+		So(c.directory.addresses(), ShouldResemble, []string{nodes[0].addr, nodes[1].addr})
 		c.Stop()
 		end()
 		c.sleep = c.sleepClock
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -18,18 +18,18 @@
 		pair(SubmitPair),
 		pair(JobPair),
 		pair(CountPair),
-		pair(BeatPair),
+		pair(HeartbeatPair),
 		pair(ConfigPair),
 		pair(ConfigurePair),
 		pair(EvacuatePair),
 		pair(TopologyPair),
-		golden.Shape("locate", Locate{}),
+		golden.Shape("locate", Location{}),
 		golden.Shape("step view", StepView{}),
 		golden.Shape("job view", JobView{}),
 		golden.Shape("job summary", JobSummary{}),
 		golden.Shape("queue view", QueueView{}),
 		golden.Shape("worker view", WorkerView{}),
-		golden.Shape("beat orders", BeatOrders{}),
+		golden.Shape("beat orders", HeartbeatOrders{}),
 	)
 }
 
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -13,8 +13,8 @@
 	"crosstide/internal/controller/scheduler"
 )
 
-// healthEvery is the least pause between looks at the workers' health.
-const healthEvery = time.Second
+// healthInterval is the least pause between looks at the workers' health.
+const healthInterval = time.Second
 
 // healthLog writes a line when workers fall silent or come back, and when runs end that no worker has reported.
 type healthLog struct {
@@ -23,21 +23,21 @@
 	last scheduler.Health
 }
 
-// due tells whether it is time for a look.
-func (h *healthLog) due(now time.Duration) bool { return now >= h.next }
+// isDue tells whether it is time for a look.
+func (h *healthLog) isDue(now time.Duration) bool { return now >= h.next }
 
-// note writes what has changed since the last look.
-func (h *healthLog) note(now time.Duration, health scheduler.Health) {
-	h.next = now + healthEvery
+// change writes what has changed since the last look.
+func (h *healthLog) report(now time.Duration, health scheduler.Health) {
+	h.next = now + healthInterval
 	last := h.last
 	h.last = health
 	if !maps.Equal(last.Silent, health.Silent) {
 		_ = level.Warn(h.log).Log("msg", "silent workers", "of", health.Workers, "zones", zoneCounts(health.Silent))
 	}
 	lost, lapsed := health.Counts.Lost-last.Counts.Lost, health.Counts.Expired-last.Counts.Expired
-	doubted, refused := health.Counts.Unconfirmed-last.Counts.Unconfirmed, health.Counts.Refused-last.Counts.Refused
-	if lost+doubted+refused > 0 {
-		_ = level.Warn(h.log).Log("msg", "runs without an end", "lost", lost, "lapsed", lapsed, "doubted", doubted, "refused", refused)
+	unconfirmed, refused := health.Counts.Unconfirmed-last.Counts.Unconfirmed, health.Counts.Refused-last.Counts.Refused
+	if lost+unconfirmed+refused > 0 {
+		_ = level.Warn(h.log).Log("msg", "runs without an end", "lost", lost, "lapsed", lapsed, "doubted", unconfirmed, "refused", refused)
 	}
 }
 
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -15,26 +15,26 @@
 	Convey("Given a log of the workers' health", t, func() {
 		var text bytes.Buffer
 		h := &healthLog{log: log.NewLogfmtLogger(&text)}
-		h.note(time.Second, scheduler.Health{Workers: 48, Silent: map[string]int{}})
+		h.report(time.Second, scheduler.Health{Workers: 48, Silent: map[string]int{}})
 		Convey("healthy workers are no line", func() {
 			So(text.String(), ShouldBeEmpty)
 		})
 		Convey("the next look is due a second later", func() {
-			So(h.due(time.Second+healthEvery-1), ShouldBeFalse)
-			So(h.due(time.Second+healthEvery), ShouldBeTrue)
+			So(h.isDue(time.Second+healthInterval-1), ShouldBeFalse)
+			So(h.isDue(time.Second+healthInterval), ShouldBeTrue)
 		})
 		Convey("silent workers are told by zone, once, and that they are back", func() {
 			silent := scheduler.Health{Workers: 48, Silent: map[string]int{"south": 16, "north": 1}}
-			h.note(2*time.Second, silent)
-			h.note(3*time.Second, silent)
-			h.note(4*time.Second, scheduler.Health{Workers: 48, Silent: map[string]int{}})
+			h.report(2*time.Second, silent)
+			h.report(3*time.Second, silent)
+			h.report(4*time.Second, scheduler.Health{Workers: 48, Silent: map[string]int{}})
 			So(text.String(), ShouldEqual, "level=warn msg=\"silent workers\" of=48 zones=north:1,south:16\n"+
 				"level=warn msg=\"silent workers\" of=48 zones=none\n")
 		})
 		Convey("runs without an end are told as they rise", func() {
 			health := scheduler.Health{Workers: 48, Counts: scheduler.Counts{Lost: 5, Expired: 3, Refused: 2}}
-			h.note(2*time.Second, health)
-			h.note(3*time.Second, health)
+			h.report(2*time.Second, health)
+			h.report(3*time.Second, health)
 			So(text.String(), ShouldEqual, "level=warn msg=\"runs without an end\" lost=5 lapsed=3 doubted=0 refused=2\n")
 		})
 	})
--- a/internal/controller/hedge.go
+++ b/internal/controller/hedge.go
@@ -8,50 +8,50 @@
 	"crosstide/internal/routine"
 )
 
-// hedgeAfter is how long a read waits for the first node before another one is asked too.
-const hedgeAfter = 400 * time.Millisecond
+// hedgeDelay is how long a read waits for the first node before another one is asked too.
+const hedgeDelay = 400 * time.Millisecond
 
-// hedged asks the node at addr and, when it has not answered after hedgeAfter, another one at the same time. The first
+// hedged asks the node at addr and, when it has not answered after hedgeDelay, another one at the same time. The first
 // success counts; else the first node's reply.
-func (c *Client) hedged(ctx context.Context, addr string, q query, within time.Duration) reply {
+func (c *Client) hedged(ctx context.Context, addr string, q query, timeout time.Duration) reply {
 	firstCtx, endFirst := context.WithCancel(ctx)
 	secondCtx, endSecond := context.WithCancel(ctx)
 	defer endFirst()
 	defer endSecond()
 	var second reply
 	over := make(chan struct{})
-	ring := c.opt.Clock.Set(hedgeAfter, func() {
+	timer := c.opt.Clock.Set(hedgeDelay, func() {
 		routine.New(secondCtx).Go(func(ctx context.Context) {
 			defer close(over)
-			if second = c.askOthers(ctx, addr, q, within-hedgeAfter); second.err == nil {
+			if second = c.askAnother(ctx, addr, q, timeout-hedgeDelay); second.err == nil {
 				endFirst()
 			}
 		})
 	})
-	first := c.askOnce(firstCtx, addr, q, within)
-	if ring.Stop() || first.outcome() <= refused {
-		c.note(ctx, addr, within, first)
+	first := c.askOnce(firstCtx, addr, q, timeout)
+	if timer.Stop() || first.outcome() <= refused {
+		c.recordReply(ctx, addr, timeout, first)
 		return first
 	}
 	<-over
 	if second.err == nil {
-		c.directory.doubt(addr) // it may be slow only; askOthers has noted who answered
+		c.directory.clearLeader(addr) // it may be slow only; askAnother has noted who answered
 		return second
 	}
-	c.note(ctx, addr, within, first)
+	c.recordReply(ctx, addr, timeout, first)
 	return first
 }
 
-// askOthers asks another node than the one at except, and the leader that it names.
-func (c *Client) askOthers(ctx context.Context, except string, q query, within time.Duration) reply {
-	addr := c.directory.other(c.opt.Clock.Now(), except)
+// askAnother asks another node than the one at except, and the leader that it names.
+func (c *Client) askAnother(ctx context.Context, except string, q query, timeout time.Duration) reply {
+	addr := c.directory.pickOther(c.opt.Clock.Now(), except)
 	if addr == "" {
 		return reply{err: errs.New(errs.Unavailable, "there is no other node")}
 	}
 	begin := c.opt.Clock.Now()
-	r := c.askOnce(ctx, addr, q, within)
-	c.note(ctx, addr, within, r)
-	left := within - (c.opt.Clock.Now() - begin)
+	r := c.askOnce(ctx, addr, q, timeout)
+	c.recordReply(ctx, addr, timeout, r)
+	left := timeout - (c.opt.Clock.Now() - begin)
 	if r.outcome() != redirected || left <= 0 {
 		return r
 	}
@@ -60,6 +60,6 @@
 		return r
 	}
 	r = c.askOnce(ctx, hint, q, left)
-	c.note(ctx, hint, left, r)
+	c.recordReply(ctx, hint, left, r)
 	return r
 }
--- a/internal/controller/homes_test.go
+++ b/internal/controller/homes_test.go
@@ -10,17 +10,17 @@
 	"crosstide/internal/clock"
 )
 
-func TestHomes(t *testing.T) {
+func TestHeartbeatAssigner(t *testing.T) {
 	Convey("Workers are spread over the members that are there; one that is lost moves its own workers only", t, func() {
 		members := []string{"a:1", "b:1", "c:1", "d:1", "e:1"}
 		looks := 0
-		h := &homes{reached: func() []string { looks++; return members }}
+		h := &heartbeatAssigner{reachable: func() []string { looks++; return members }}
 		const workers = 1000
 		all := func() map[string]string {
 			out := map[string]string{}
 			for i := range workers {
 				id := fmt.Sprint("w", i)
-				out[id] = h.of(0, id)
+				out[id] = h.nodeFor(0, id)
 			}
 			return out
 		}
@@ -34,7 +34,7 @@
 		}
 		So(looks, ShouldEqual, 1)
 		members = []string{"e:1", "d:1", "b:1", "a:1"}
-		h.of(homesEvery, "w")
+		h.nodeFor(memberRefreshInterval, "w")
 		So(looks, ShouldEqual, 2)
 		for id, home := range all() {
 			if before[id] == "c:1" {
@@ -45,12 +45,12 @@
 		}
 	})
 	Convey("Without members there is no home", t, func() {
-		h := &homes{reached: func() []string { return nil }}
-		So(h.of(0, "w"), ShouldBeEmpty)
+		h := &heartbeatAssigner{reachable: func() []string { return nil }}
+		So(h.nodeFor(0, "w"), ShouldBeEmpty)
 	})
 }
 
-func TestHomeInTheAnswer(t *testing.T) {
+func TestHeartbeatAddressInAnswer(t *testing.T) {
 	Convey("The answer to a heartbeat names the worker's home where workers are spread, else the leader", t, func() {
 		spread := func(internal string) string { return "control of " + internal }
 		for _, c := range []struct {
@@ -58,15 +58,15 @@
 			reached []string
 			want    string
 		}{
-			{LeaderOptions{ControlOf: spread}, []string{"b:1"}, "control of b:1"},
-			{LeaderOptions{ControlOf: spread}, nil, "own"},
+			{LeaderOptions{ControlAddressOf: spread}, []string{"b:1"}, "control of b:1"},
+			{LeaderOptions{ControlAddressOf: spread}, nil, "own"},
 			{LeaderOptions{}, []string{"b:1"}, "own"},
-			{LeaderOptions{ControlOf: spread, Mailboxes: NewMailboxes()}, []string{"b:1"}, "own"},
+			{LeaderOptions{ControlAddressOf: spread, Mailboxes: NewMailboxes()}, []string{"b:1"}, "own"},
 		} {
 			store := newFakeStore()
 			store.reached = c.reached
-			c.options.Store, c.options.Control, c.options.Clock, c.options.Logger = store, "own", &clock.Virtual{}, log.NewNopLogger()
-			So(NewLeader(c.options).home("w"), ShouldEqual, c.want)
+			c.options.Store, c.options.ControlAddress, c.options.Clock, c.options.Logger = store, "own", &clock.Virtual{}, log.NewNopLogger()
+			So(NewLeader(c.options).heartbeatAddress("w"), ShouldEqual, c.want)
 		}
 	})
 }
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -60,41 +60,41 @@
 	return f.index, answer, errs.Pass(err, "commit")
 }
 
-// deafWorkers answer no order.
-type deafWorkers struct{}
+// unresponsiveWorkers answer no order.
+type unresponsiveWorkers struct{}
 
-func (deafWorkers) Start(context.Context, jobs.Worker, scheduler.StartOrder) (scheduler.StartAnswer, error) {
+func (unresponsiveWorkers) Start(context.Context, jobs.Worker, scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	return scheduler.StartAnswer{}, errs.New(errs.Timeout, "deaf")
 }
 
-func (deafWorkers) Stop(context.Context, jobs.Worker, scheduler.StopOrder) error {
+func (unresponsiveWorkers) Stop(context.Context, jobs.Worker, scheduler.StopOrder) error {
 	return errs.New(errs.Timeout, "deaf")
 }
 
-func (deafWorkers) RenewLease(context.Context, jobs.Worker, scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
+func (unresponsiveWorkers) RenewLease(context.Context, jobs.Worker, scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
 	return scheduler.RenewalAnswer{}, errs.New(errs.Timeout, "deaf")
 }
 
 // fakeLeader is a controller whose passes the test makes by hand.
 func fakeLeader(store *fakeStore, by *clock.Virtual) *Leader {
-	l := NewLeader(LeaderOptions{Store: store, Workers: deafWorkers{}, Config: scheduler.Defaults(), Control: "lead:2", Clock: by, Logger: log.NewNopLogger()})
+	l := NewLeader(LeaderOptions{Store: store, Workers: unresponsiveWorkers{}, Config: scheduler.Defaults(), ControlAddress: "lead:2", Clock: by, Logger: log.NewNopLogger()})
 	l.pass()
 	return l
 }
 
 // heartbeat is a call of a worker that is ready.
-func heartbeat(sequence uint64) BeatCall {
-	return BeatCall{Sequence: sequence, Clock: time.Minute, Worker: jobs.Worker{ID: "w1", Address: "10.0.0.1:80", Service: "s",
+func heartbeat(sequence uint64) HeartbeatCall {
+	return HeartbeatCall{Sequence: sequence, Clock: time.Minute, Worker: jobs.Worker{ID: "w1", Address: "10.0.0.1:80", Service: "s",
 		Zone: "z", Capacity: jobs.Resources{MilliCPU: 4000}}}
 }
 
-func beatOf(l *Leader, call BeatCall) {
-	answer, err := l.Beat(context.Background(), call)
+func sendHeartbeat(l *Leader, call HeartbeatCall) {
+	answer, err := l.Heartbeat(context.Background(), call)
 	So(err, ShouldBeNil)
-	So(answer.Home, ShouldEqual, "lead:2")
+	So(answer.HeartbeatAddress, ShouldEqual, "lead:2")
 }
 
-func draining(call BeatCall) BeatCall {
+func draining(call HeartbeatCall) HeartbeatCall {
 	call.Worker.Draining, call.Remaining = true, 2*time.Second
 	return call
 }
@@ -103,8 +103,8 @@
 	Convey("Given a worker that drains, and earlier heartbeats of it that come late", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
-		beatOf(l, heartbeat(1))
-		beatOf(l, draining(heartbeat(5)))
+		sendHeartbeat(l, heartbeat(1))
+		sendHeartbeat(l, draining(heartbeat(5)))
 		record := func() jobs.Worker { return *store.state.JobTable.Workers["w1"] }
 		So(record().Draining, ShouldBeTrue)
 		Convey("they are acknowledged and change nothing", func() {
@@ -113,33 +113,33 @@
 				late := heartbeat(sequence)
 				late.Worker.Address = "10.0.0.9:80"
 				by.Advance(time.Second)
-				beatOf(l, late)
+				sendHeartbeat(l, late)
 			}
 			So(record(), ShouldResemble, before)
 			So(store.index, ShouldEqual, entries)
 		})
 		Convey("at a new leader, which has not seen the newer ones, the worker drains still", func() {
 			other := fakeLeader(store, by)
-			beatOf(other, heartbeat(4))
+			sendHeartbeat(other, heartbeat(4))
 			So(record().Draining, ShouldBeTrue)
-			beatOf(other, draining(heartbeat(6)))
-			beatOf(other, heartbeat(5))
+			sendHeartbeat(other, draining(heartbeat(6)))
+			sendHeartbeat(other, heartbeat(5))
 			So(record().Draining, ShouldBeTrue)
 		})
 		Convey("the same heartbeat sent again after a lost answer is acknowledged", func() {
-			beatOf(l, draining(heartbeat(5)))
+			sendHeartbeat(l, draining(heartbeat(5)))
 			So(record().Draining, ShouldBeTrue)
 		})
 	})
 	Convey("What a heartbeat changes is committed before it is acknowledged", t, func() {
 		store := newFakeStore()
 		l := fakeLeader(store, &clock.Virtual{})
-		beatOf(l, heartbeat(1))
+		sendHeartbeat(l, heartbeat(1))
 		store.refuses = errs.Timeout
-		_, err := l.Beat(context.Background(), draining(heartbeat(2)))
+		_, err := l.Heartbeat(context.Background(), draining(heartbeat(2)))
 		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 		store.refuses = ""
-		beatOf(l, draining(heartbeat(3)))
+		sendHeartbeat(l, draining(heartbeat(3)))
 		So(store.state.JobTable.Workers["w1"].Draining, ShouldBeTrue)
 	})
 }
@@ -148,44 +148,44 @@
 	Convey("Given a worker that never says that it drains, but that it ends, and serves on", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
-		beatOf(l, heartbeat(1))
-		beatOf(l, BeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
+		sendHeartbeat(l, heartbeat(1))
+		sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 		Convey("heartbeats that come later do not bring it back, here or at a new leader", func() {
-			beatOf(l, heartbeat(2))
-			beatOf(fakeLeader(store, by), heartbeat(3))
+			sendHeartbeat(l, heartbeat(2))
+			sendHeartbeat(fakeLeader(store, by), heartbeat(3))
 			So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 		})
 		Convey("said again it is acknowledged and changes nothing", func() {
 			entries := store.index
-			beatOf(l, BeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
+			sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 			So(store.index, ShouldEqual, entries)
 		})
 	})
 	Convey("A worker that is not known yet has left all the same: its heartbeat may come later", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
-		beatOf(l, BeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
-		beatOf(l, heartbeat(1))
-		beatOf(fakeLeader(store, by), heartbeat(2))
+		sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
+		sendHeartbeat(l, heartbeat(1))
+		sendHeartbeat(fakeLeader(store, by), heartbeat(2))
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 	})
 	Convey("The sequence numbers of workers that are forgotten are let go", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
-		beatOf(l, heartbeat(1))
-		So(l.beats, ShouldHaveLength, 1)
+		sendHeartbeat(l, heartbeat(1))
+		So(l.heartbeatSequences, ShouldHaveLength, 1)
 		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		l.pass()
-		So(l.beats, ShouldBeEmpty)
+		So(l.heartbeatSequences, ShouldBeEmpty)
 	})
 	Convey("Also those of workers that were forgotten while another node led", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		l.opt.Mailboxes = NewMailboxes()
-		l.opt.Mailboxes.box("w1")
-		beatOf(l, heartbeat(1))
+		l.opt.Mailboxes.mailboxOf("w1")
+		sendHeartbeat(l, heartbeat(1))
 		lead := store.term
 		store.term = 0
 		l.pass()
@@ -193,14 +193,14 @@
 		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		l.pass()
-		So(l.beats, ShouldBeEmpty)
-		So(l.opt.Mailboxes.boxes, ShouldBeEmpty)
+		So(l.heartbeatSequences, ShouldBeEmpty)
+		So(l.opt.Mailboxes.byWorker, ShouldBeEmpty)
 	})
 }
 
 // submitCall hands in job j of queue q.
 func submitCall(digest string) SubmitCall {
-	return SubmitCall{Locate: Locate{Host: "h", Path: "/q/j"}, Digest: digest,
+	return SubmitCall{Location: Location{Host: "h", Path: "/q/j"}, Digest: digest,
 		Spec: jobs.Spec{ID: "j", Payload: "p", Steps: []jobs.Step{{Count: 1, Estimate: time.Second}}}}
 }
 
@@ -242,7 +242,7 @@
 		Convey("when it is over, and after it was cancelled", func() {
 			_, err := l.Submit(ctx, submitCall("d"))
 			So(err, ShouldBeNil)
-			_, err = l.Job(ctx, JobCall{Locate: Locate{Host: "h", Path: "/q/j"}, Cancel: true})
+			_, err = l.Job(ctx, JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true})
 			So(err, ShouldBeNil)
 			answer, err := l.Submit(ctx, submitCall("d"))
 			So([]any{answer.State, err}, ShouldResemble, []any{jobs.Cancelled, nil})
@@ -262,7 +262,7 @@
 
 func TestCancelAgain(t *testing.T) {
 	ctx := context.Background()
-	cancel := JobCall{Locate: Locate{Host: "h", Path: "/q/j"}, Cancel: true}
+	cancel := JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true}
 	Convey("Given a job and a cancel whose answer is lost", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
@@ -297,21 +297,21 @@
 	const electionTime = 1500 * time.Millisecond
 	Convey("A cancel is acknowledged in time although the leader is lost before, while or after it takes it", t, func() {
 		for name, lose := range map[string]func(f *fakeCore) node{
-			"killed": func(*fakeCore) node { return refuses },
-			"silent": func(f *fakeCore) node { return f.silent },
-			"hangs":  func(f *fakeCore) node { return f.hangs },
-			"stops":  func(*fakeCore) node { return says(errs.Stopped) },
-			"cut":    func(*fakeCore) node { return says(errs.Timeout) },
+			"killed": func(*fakeCore) node { return connectionRefused },
+			"silent": func(f *fakeCore) node { return f.timesOut },
+			"hangs":  func(f *fakeCore) node { return f.connectTimesOut },
+			"stops":  func(*fakeCore) node { return failsWith(errs.Stopped) },
+			"cut":    func(*fakeCore) node { return failsWith(errs.Timeout) },
 		} {
 			f := newFakeCore(nil, "a", "b", "c")
-			newLeader := func(ctx context.Context, q query, answer any, within time.Duration) reply {
+			newLeader := func(ctx context.Context, q query, answer any, timeout time.Duration) reply {
 				if f.clock.Now() < electionTime {
-					return hints("a")(ctx, q, answer, within)
+					return redirectsTo("a")(ctx, q, answer, timeout)
 				}
-				return leads(ctx, q, answer, within)
+				return answersAsLeader(ctx, q, answer, timeout)
 			}
-			f.nodes = map[string]node{"a": lose(f), "b": newLeader, "c": hints("b")}
-			f.directory.led("a")
+			f.nodes = map[string]node{"a": lose(f), "b": newLeader, "c": redirectsTo("b")}
+			f.directory.recordLeader("a")
 			// The client asks a front again and again, each time for a second; it gives no answer later than that.
 			for f.clock.Now() < ackTime {
 				if _, err := f.Job(f.until(time.Second), JobCall{Cancel: true}); err == nil {
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -13,95 +13,95 @@
 )
 
 const (
-	// answerLife is how long a worker waits for the answer to a heartbeat; a later answer doesn't count.
-	answerLife = time.Second
-	// idleHold is how long the answer to an idle worker's heartbeat is held until there are orders.
-	idleHold = 500 * time.Millisecond
-	// leastAgain and mostAgain bound the pause before a worker's next heartbeat; beatShare of it is for each worker, so
+	// answerTimeout is how long a worker waits for the answer to a heartbeat; a later answer doesn't count.
+	answerTimeout = time.Second
+	// idleAnswerDelay is how long the answer to an idle worker's heartbeat is held until there are orders.
+	idleAnswerDelay = 500 * time.Millisecond
+	// minHeartbeatInterval and maxHeartbeatInterval bound the pause before a worker's next heartbeat; intervalPerWorker of it is for each worker, so
 	// that the heartbeats of all of them stay within what one leader can answer. The time that an answer was held counts
 	// as part of the pause.
-	leastAgain = 100 * time.Millisecond
-	mostAgain  = time.Second
-	beatShare  = 500 * time.Microsecond
+	minHeartbeatInterval = 100 * time.Millisecond
+	maxHeartbeatInterval = time.Second
+	intervalPerWorker    = 500 * time.Microsecond
 	// tokensPerTerm is how many fencing tokens, one for each answer, a term has for a worker.
 	tokensPerTerm = 1 << 20
-	// confirmations is how many answers must have carried a stop, or the first call under a term, before a heartbeat
+	// requiredDeliveries is how many answers must have carried a stop, or the first call under a term, before a heartbeat
 	// counts as sent after it.
-	confirmations = 2
+	requiredDeliveries = 2
 )
 
-// errNeverLeft says that an order was taken back before any answer carried it.
-var errNeverLeft = errors.New("no heartbeat came to carry the order")
+// errNotDelivered says that an order was taken back before any answer carried it.
+var errNotDelivered = errors.New("no heartbeat came to carry the order")
 
 // Mailboxes carry the scheduler's orders to workers with the answers to their heartbeats. An order waits until the
 // worker's next heartbeat, goes with its answer and with all later ones, and is settled by what a later heartbeat lists.
 type Mailboxes struct {
-	mu    sync.Mutex
-	boxes map[string]*mailbox
+	mu       sync.Mutex
+	byWorker map[string]*mailbox
 }
 
 var _ scheduler.Workers = (*Mailboxes)(nil)
 
 // NewMailboxes makes empty mailboxes.
-func NewMailboxes() *Mailboxes { return &Mailboxes{boxes: map[string]*mailbox{}} }
+func NewMailboxes() *Mailboxes { return &Mailboxes{byWorker: map[string]*mailbox{}} }
 
 // mailbox holds the orders for one worker.
 type mailbox struct {
-	starts   []*letter[scheduler.StartOrder, scheduler.StartAnswer]
-	stops    []*letter[scheduler.StopOrder, struct{}]
-	holds    []*letter[scheduler.LeaseRenewal, scheduler.RenewalAnswer]
-	deadline time.Duration // the latest lease granted, on the worker's clock
-	seen     uint64
-	tokens   uint64
-	filled   chan struct{} // closed when an order comes in
+	starts        []*pendingOrder[scheduler.StartOrder, scheduler.StartAnswer]
+	stops         []*pendingOrder[scheduler.StopOrder, struct{}]
+	renewals      []*pendingOrder[scheduler.LeaseRenewal, scheduler.RenewalAnswer]
+	leaseDeadline time.Duration // the latest lease granted, on the worker's clock
+	seenUpTo      uint64
+	tokens        uint64
+	orderAdded    chan struct{} // closed when an order comes in
 }
 
-// letter is an order on its way.
-type letter[Order, Answer any] struct {
-	order   Order
-	term    uint64
-	carried uint64 // sequence of the heartbeat whose answer carried it last enough times; 0: not yet
-	times   int
-	settled chan Answer
+// pendingOrder is an order on its way.
+type pendingOrder[Order, Answer any] struct {
+	order            Order
+	term             uint64
+	confirmableAfter uint64 // sequence of the heartbeat whose answer carried it last enough times; 0: not yet
+	deliveries       int
+	result           chan Answer
 }
 
-func newLetter[Order, Answer any](order Order, term uint64) *letter[Order, Answer] {
-	return &letter[Order, Answer]{order: order, term: term, settled: make(chan Answer, 1)}
+func newPendingOrder[Order, Answer any](order Order, term uint64) *pendingOrder[Order, Answer] {
+	return &pendingOrder[Order, Answer]{order: order, term: term, result: make(chan Answer, 1)}
 }
 
-// carry notes that the answer to the heartbeat of a sequence carries the letter.
-func (l *letter[Order, Answer]) carry(sequence uint64, needed int) {
-	l.times++
-	if l.carried == 0 && l.times >= needed {
-		l.carried = sequence
+// recordDelivery notes that the answer to the heartbeat of a sequence carries the letter.
+func (l *pendingOrder[Order, Answer]) recordDelivery(sequence uint64, needed int) {
+	l.deliveries++
+	if l.confirmableAfter == 0 && l.deliveries >= needed {
+		l.confirmableAfter = sequence
 	}
 }
 
-// before tells whether the heartbeat of a sequence was sent after the letter was carried.
-func (l *letter[Order, Answer]) before(sequence uint64) bool {
-	return l.carried != 0 && l.carried < sequence
+// deliveredBefore tells whether the heartbeat of a sequence was sent after the letter was carried.
+func (l *pendingOrder[Order, Answer]) deliveredBefore(sequence uint64) bool {
+	return l.confirmableAfter != 0 && l.confirmableAfter < sequence
 }
 
-func (m *Mailboxes) box(id string) *mailbox {
-	b := m.boxes[id]
+func (m *Mailboxes) mailboxOf(id string) *mailbox {
+	b := m.byWorker[id]
 	if b == nil {
-		b = &mailbox{filled: make(chan struct{})}
-		m.boxes[id] = b
+		b = &mailbox{orderAdded: make(chan struct{})}
+		m.byWorker[id] = b
 	}
 	return b
 }
 
-// fill wakes the heartbeat that waits for orders.
-func (b *mailbox) fill() {
-	close(b.filled)
-	b.filled = make(chan struct{})
+// signalOrder wakes the heartbeat that waits for orders.
+func (b *mailbox) signalOrder() {
+	close(b.orderAdded)
+	b.orderAdded = make(chan struct{})
 }
 
 // Start hands over one run; it is settled when the worker lists the run.
 func (m *Mailboxes) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
-	l := newLetter[scheduler.StartOrder, scheduler.StartAnswer](order, order.Token)
-	answer, err := post(ctx, m, worker.ID, l, func(b *mailbox) *[]*letter[scheduler.StartOrder, scheduler.StartAnswer] {
-		b.deadline = max(b.deadline, order.LeaseDeadline)
+	l := newPendingOrder[scheduler.StartOrder, scheduler.StartAnswer](order, order.Token)
+	answer, err := deliver(ctx, m, worker.ID, l, func(b *mailbox) *[]*pendingOrder[scheduler.StartOrder, scheduler.StartAnswer] {
+		b.leaseDeadline = max(b.leaseDeadline, order.LeaseDeadline)
 		return &b.starts
 	})
 	return answer, errs.Pass(err, "start")
@@ -109,33 +109,33 @@
 
 // Stop stops a run; it is settled when the worker does not list the run any more.
 func (m *Mailboxes) Stop(ctx context.Context, worker jobs.Worker, order scheduler.StopOrder) error {
-	l := newLetter[scheduler.StopOrder, struct{}](order, order.Token)
-	_, err := post(ctx, m, worker.ID, l, func(b *mailbox) *[]*letter[scheduler.StopOrder, struct{}] { return &b.stops })
+	l := newPendingOrder[scheduler.StopOrder, struct{}](order, order.Token)
+	_, err := deliver(ctx, m, worker.ID, l, func(b *mailbox) *[]*pendingOrder[scheduler.StopOrder, struct{}] { return &b.stops })
 	return errs.Pass(err, "stop")
 }
 
 // Hold asks for the worker's lists.
 func (m *Mailboxes) RenewLease(ctx context.Context, worker jobs.Worker, call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
-	l := newLetter[scheduler.LeaseRenewal, scheduler.RenewalAnswer](call, call.Token)
-	answer, err := post(ctx, m, worker.ID, l, func(b *mailbox) *[]*letter[scheduler.LeaseRenewal, scheduler.RenewalAnswer] {
-		b.deadline, b.seen = max(b.deadline, call.LeaseDeadline), max(b.seen, call.AcknowledgedUpTo)
-		return &b.holds
+	l := newPendingOrder[scheduler.LeaseRenewal, scheduler.RenewalAnswer](call, call.Token)
+	answer, err := deliver(ctx, m, worker.ID, l, func(b *mailbox) *[]*pendingOrder[scheduler.LeaseRenewal, scheduler.RenewalAnswer] {
+		b.leaseDeadline, b.seenUpTo = max(b.leaseDeadline, call.LeaseDeadline), max(b.seenUpTo, call.AcknowledgedUpTo)
+		return &b.renewals
 	})
 	return answer, errs.Pass(err, "hold")
 }
 
-// post puts a letter into a worker's box and waits until it is settled or ctx ends.
-func post[Order, Answer any](ctx context.Context, m *Mailboxes, id string, l *letter[Order, Answer],
-	into func(*mailbox) *[]*letter[Order, Answer]) (Answer, error) {
+// deliver puts a letter into a worker's box and waits until it is settled or ctx ends.
+func deliver[Order, Answer any](ctx context.Context, m *Mailboxes, id string, l *pendingOrder[Order, Answer],
+	into func(*mailbox) *[]*pendingOrder[Order, Answer]) (Answer, error) {
 	m.mu.Lock()
-	b := m.box(id)
+	b := m.mailboxOf(id)
 	list := into(b)
 	*list = append(*list, l)
-	b.fill()
+	b.signalOrder()
 	m.mu.Unlock()
 	var answer Answer
 	select {
-	case answer = <-l.settled:
+	case answer = <-l.result:
 		return answer, nil
 	case <-ctx.Done():
 	}
@@ -143,12 +143,12 @@
 	defer m.mu.Unlock()
 	*list = without(*list, l)
 	select {
-	case answer = <-l.settled:
+	case answer = <-l.result:
 		return answer, nil
 	default:
 	}
-	if l.times == 0 {
-		return answer, errs.Wrap(errNeverLeft, errs.Unavailable, "worker %s", id)
+	if l.deliveries == 0 {
+		return answer, errs.Wrap(errNotDelivered, errs.Unavailable, "worker %s", id)
 	}
 	return answer, errs.New(errs.Timeout, "worker %s has not confirmed the order", id)
 }
@@ -165,16 +165,16 @@
 
 // Exchange settles what the worker's heartbeat proves and gives the orders that its answer carries. leads tells, at the
 // last moment, whether this node may give orders under term; without it there are none.
-func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.RenewalAnswer, leads func() bool) *BeatOrders {
+func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.RenewalAnswer, hasLease func() bool) *HeartbeatOrders {
 	m.mu.Lock()
-	b := m.box(id)
-	b.settle(sequence, listing)
+	b := m.mailboxOf(id)
+	b.completeOrders(sequence, listing)
 	idle := len(listing.Running)+len(listing.Ended) == 0
-	filled := b.filled
+	filled := b.orderAdded
 	wait := idle && b.empty()
 	m.mu.Unlock()
 	if wait {
-		bounded, cancel := context.WithTimeout(ctx, idleHold)
+		bounded, cancel := context.WithTimeout(ctx, idleAnswerDelay)
 		select {
 		case <-filled:
 		case <-bounded.Done():
@@ -183,69 +183,71 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !leads() {
+	if !hasLease() {
 		return nil
 	}
 	out := b.orders(sequence, term, listing.Clock)
-	out.Again = pauseAfter(wait, len(m.boxes))
+	out.NextHeartbeat = heartbeatInterval(wait, len(m.byWorker))
 	return out
 }
 
-// pauseAfter gives the pause before a worker's next heartbeat, by whether this answer was held and by how many workers
+// heartbeatInterval gives the pause before a worker's next heartbeat, by whether this answer was held and by how many workers
 // there are.
-func pauseAfter(held bool, workers int) time.Duration {
-	pause := time.Duration(workers) * beatShare
-	if held {
-		pause -= idleHold
+func heartbeatInterval(hasLease bool, workers int) time.Duration {
+	pause := time.Duration(workers) * intervalPerWorker
+	if hasLease {
+		pause -= idleAnswerDelay
 	}
-	return min(max(leastAgain, pause), mostAgain)
+	return min(max(minHeartbeatInterval, pause), maxHeartbeatInterval)
 }
 
-// Forget drops the box of a worker that is gone. Orders in it are settled by their time-outs.
-func (m *Mailboxes) Forget(id string) {
+// ForgetWorker drops the box of a worker that is gone. Orders in it are settled by their time-outs.
+func (m *Mailboxes) ForgetWorker(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.boxes, id)
+	delete(m.byWorker, id)
 }
 
-// ForgetAll drops the boxes of all workers that are gone.
-func (m *Mailboxes) ForgetAll(gone func(id string) bool) {
+// ForgetWorkers drops the boxes of all workers that are gone.
+func (m *Mailboxes) ForgetWorkers(gone func(id string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	maps.DeleteFunc(m.boxes, func(id string, _ *mailbox) bool { return gone(id) })
+	maps.DeleteFunc(m.byWorker, func(id string, _ *mailbox) bool { return gone(id) })
 }
 
-func (b *mailbox) empty() bool { return len(b.starts)+len(b.stops)+len(b.holds) == 0 }
+func (b *mailbox) empty() bool { return len(b.starts)+len(b.stops)+len(b.renewals) == 0 }
 
-// settle ends the letters of which the heartbeat of a sequence is the proof.
-func (b *mailbox) settle(sequence uint64, listing scheduler.RenewalAnswer) {
-	running, begun, refused := map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}
+// completeOrders ends the letters of which the heartbeat of a sequence is the proof.
+func (b *mailbox) completeOrders(sequence uint64, listing scheduler.RenewalAnswer) {
+	running, started, refused := map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}
 	for _, r := range listing.Running {
-		running[r.Key], begun[r.Key] = true, true
+		running[r.Key], started[r.Key] = true, true
 	}
 	for _, e := range listing.Ended {
 		if e.Reason == jobs.EndLost {
 			refused[e.Key] = true
 		} else {
-			begun[e.Key] = true
+			started[e.Key] = true
 		}
 	}
-	taken := scheduler.StartAnswer{Clock: listing.Clock}
-	b.starts = settleAll(b.starts, taken, func(l *letter[scheduler.StartOrder, scheduler.StartAnswer]) bool { return begun[l.order.Key] })
+	accepted := scheduler.StartAnswer{Clock: listing.Clock}
+	b.starts = completeWhere(b.starts, accepted, func(l *pendingOrder[scheduler.StartOrder, scheduler.StartAnswer]) bool { return started[l.order.Key] })
 	refusal := scheduler.StartAnswer{Clock: listing.Clock, Refusal: scheduler.RefusedCapacity}
-	b.starts = settleAll(b.starts, refusal, func(l *letter[scheduler.StartOrder, scheduler.StartAnswer]) bool { return refused[l.order.Key] })
-	b.stops = settleAll(b.stops, struct{}{}, func(l *letter[scheduler.StopOrder, struct{}]) bool {
-		return l.before(sequence) && !running[l.order.Key]
+	b.starts = completeWhere(b.starts, refusal, func(l *pendingOrder[scheduler.StartOrder, scheduler.StartAnswer]) bool { return refused[l.order.Key] })
+	b.stops = completeWhere(b.stops, struct{}{}, func(l *pendingOrder[scheduler.StopOrder, struct{}]) bool {
+		return l.deliveredBefore(sequence) && !running[l.order.Key]
+	})
+	b.renewals = completeWhere(b.renewals, listing, func(l *pendingOrder[scheduler.LeaseRenewal, scheduler.RenewalAnswer]) bool {
+		return l.deliveredBefore(sequence)
 	})
-	b.holds = settleAll(b.holds, listing, func(l *letter[scheduler.LeaseRenewal, scheduler.RenewalAnswer]) bool { return l.before(sequence) })
 }
 
-// settleAll ends the letters that are proved and gives the others.
-func settleAll[Order, Answer any](list []*letter[Order, Answer], answer Answer, proved func(*letter[Order, Answer]) bool) []*letter[Order, Answer] {
+// completeWhere ends the letters that are proved and gives the others.
+func completeWhere[Order, Answer any](list []*pendingOrder[Order, Answer], answer Answer, isConfirmed func(*pendingOrder[Order, Answer]) bool) []*pendingOrder[Order, Answer] {
 	kept := list[:0:0]
 	for _, l := range list {
-		if proved(l) {
-			l.settled <- answer
+		if isConfirmed(l) {
+			l.result <- answer
 		} else {
 			kept = append(kept, l)
 		}
@@ -255,34 +257,34 @@
 
 // orders gives what the answer to the heartbeat of a sequence carries, under a token of its own: a worker that has taken
 // it does nothing for an earlier answer any more.
-func (b *mailbox) orders(sequence, term uint64, clock time.Duration) *BeatOrders {
+func (b *mailbox) orders(sequence, term uint64, clock time.Duration) *HeartbeatOrders {
 	b.tokens = min(b.tokens+1, tokensPerTerm-1)
-	out := &BeatOrders{Token: term*tokensPerTerm + b.tokens, SeenUpTo: b.seen}
-	out.Lease = max(0, b.deadline-clock-answerLife)
+	out := &HeartbeatOrders{Token: term*tokensPerTerm + b.tokens, SeenUpTo: b.seenUpTo}
+	out.Lease = max(0, b.leaseDeadline-clock-answerTimeout)
 	for _, l := range b.starts {
 		if l.term == term {
-			l.carry(sequence, 1)
+			l.recordDelivery(sequence, 1)
 			out.Starts = append(out.Starts, l.order)
 		}
 	}
 	for _, l := range b.stops {
 		if l.term == term {
-			l.carry(sequence, confirmations)
+			l.recordDelivery(sequence, requiredDeliveries)
 			out.Stops = append(out.Stops, l.order.Key)
 		}
 	}
-	for _, l := range b.holds {
+	for _, l := range b.renewals {
 		if l.term == term {
-			l.carry(sequence, holdConfirmations(l.order))
+			l.recordDelivery(sequence, renewalDeliveries(l.order))
 		}
 	}
 	return out
 }
 
-// holdConfirmations is one for the calls that only renew a lease; more for those whose answer is a proof.
-func holdConfirmations(call scheduler.LeaseRenewal) int {
+// renewalDeliveries is one for the calls that only renew a lease; more for those whose answer is a proof.
+func renewalDeliveries(call scheduler.LeaseRenewal) int {
 	if call.Wait > 0 {
 		return 1
 	}
-	return confirmations
+	return requiredDeliveries
 }
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -14,34 +14,34 @@
 	"crosstide/internal/routine"
 )
 
-const mailTerm = 3
+const mailboxTerm = 3
 
-// mailBench is the mailbox of one worker, under term 3.
-type mailBench struct {
+// mailboxFixture is the mailbox of one worker, under term 3.
+type mailboxFixture struct {
 	boxes *Mailboxes
 	group *routine.Group
 	leads bool
 }
 
-func newMailBench() *mailBench {
-	return &mailBench{boxes: NewMailboxes(), group: routine.New(context.Background()), leads: true}
+func newMailboxFixture() *mailboxFixture {
+	return &mailboxFixture{boxes: NewMailboxes(), group: routine.New(context.Background()), leads: true}
 }
 
-// beat is one heartbeat; a worker with nothing to do would wait for orders, so it lists one foreign run.
-func (b *mailBench) beat(sequence uint64, running ...jobs.RunKey) *BeatOrders {
+// heartbeat is one heartbeat; a worker with nothing to do would wait for orders, so it lists one foreign run.
+func (b *mailboxFixture) heartbeat(sequence uint64, running ...jobs.RunKey) *HeartbeatOrders {
 	listing := scheduler.RenewalAnswer{Clock: time.Minute, Running: []scheduler.ListedRun{{Key: runKey(99)}}}
 	for _, key := range running {
 		listing.Running = append(listing.Running, scheduler.ListedRun{Key: key})
 	}
-	return b.boxes.Exchange(context.Background(), "w", sequence, mailTerm, listing, func() bool { return b.leads })
+	return b.boxes.Exchange(context.Background(), "w", sequence, mailboxTerm, listing, func() bool { return b.leads })
 }
 
-// posted waits until count letters are in the worker's box.
-func (b *mailBench) posted(count int) {
+// startResult waits until count letters are in the worker's box.
+func (b *mailboxFixture) waitForOrders(count int) {
 	for {
 		b.boxes.mu.Lock()
-		box := b.boxes.box("w")
-		filled, have := box.filled, len(box.starts)+len(box.stops)+len(box.holds)
+		box := b.boxes.mailboxOf("w")
+		filled, have := box.orderAdded, len(box.starts)+len(box.stops)+len(box.renewals)
 		b.boxes.mu.Unlock()
 		if have >= count {
 			return
@@ -55,117 +55,117 @@
 }
 
 // outcome of one order.
-type posted struct {
+type startResult struct {
 	clock   time.Duration
 	refusal scheduler.Refusal
 	err     error
 }
 
-func (b *mailBench) start(ctx context.Context, index int) chan posted {
-	done := make(chan posted, 1)
+func (b *mailboxFixture) start(ctx context.Context, index int) chan startResult {
+	done := make(chan startResult, 1)
 	b.group.Go(func(context.Context) {
-		answer, err := b.boxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailTerm, LeaseDeadline: time.Minute + 5*time.Second})
-		done <- posted{answer.Clock, answer.Refusal, err}
+		answer, err := b.boxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailboxTerm, LeaseDeadline: time.Minute + 5*time.Second})
+		done <- startResult{answer.Clock, answer.Refusal, err}
 	})
-	b.posted(1)
+	b.waitForOrders(1)
 	return done
 }
 
 func TestMailboxStart(t *testing.T) {
 	Convey("Given a start for a worker", t, func() {
-		b := newMailBench()
+		b := newMailboxFixture()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		done := b.start(ctx, 1)
 		Convey("it goes with every answer until the worker lists the run", func() {
-			first, second := b.beat(1), b.beat(2)
+			first, second := b.heartbeat(1), b.heartbeat(2)
 			So(len(first.Starts), ShouldEqual, 1)
 			So(len(second.Starts), ShouldEqual, 1)
-			third := b.beat(3, runKey(1))
+			third := b.heartbeat(3, runKey(1))
 			So(third.Starts, ShouldBeEmpty)
 			So((<-done).clock, ShouldEqual, time.Minute)
 			Convey("and every answer has a higher token of the same term", func() {
-				So(first.Token, ShouldBeGreaterThan, uint64(mailTerm*tokensPerTerm))
+				So(first.Token, ShouldBeGreaterThan, uint64(mailboxTerm*tokensPerTerm))
 				So(second.Token, ShouldBeGreaterThan, first.Token)
-				So(third.Token, ShouldBeLessThan, uint64((mailTerm+1)*tokensPerTerm))
+				So(third.Token, ShouldBeLessThan, uint64((mailboxTerm+1)*tokensPerTerm))
 			})
 			Convey("and the lease leaves room for the way of the answer", func() {
-				So(first.Lease, ShouldEqual, 5*time.Second-answerLife)
+				So(first.Lease, ShouldEqual, 5*time.Second-answerTimeout)
 			})
 		})
 		Convey("a worker that lists it as refused has not taken it", func() {
-			b.beat(1)
+			b.heartbeat(1)
 			listing := scheduler.RenewalAnswer{Clock: time.Minute, Ended: []scheduler.EndedRun{{Sequence: 1, Key: runKey(1), Reason: jobs.EndLost}}}
-			b.boxes.Exchange(context.Background(), "w", 2, mailTerm, listing, func() bool { return true })
+			b.boxes.Exchange(context.Background(), "w", 2, mailboxTerm, listing, func() bool { return true })
 			So((<-done).refusal, ShouldEqual, scheduler.RefusedCapacity)
 		})
 		Convey("taken back before a heartbeat came, it never left", func() {
 			cancel()
-			So(errors.Is((<-done).err, errNeverLeft), ShouldBeTrue)
-			So(b.beat(1).Starts, ShouldBeEmpty)
+			So(errors.Is((<-done).err, errNotDelivered), ShouldBeTrue)
+			So(b.heartbeat(1).Starts, ShouldBeEmpty)
 		})
 		Convey("taken back after an answer carried it, it may be carried out", func() {
-			b.beat(1)
+			b.heartbeat(1)
 			cancel()
 			So(errs.KindOf((<-done).err), ShouldEqual, errs.Timeout)
 		})
 		Convey("a node that does not lead any more gives no orders", func() {
 			b.leads = false
-			So(b.beat(1), ShouldBeNil)
+			So(b.heartbeat(1), ShouldBeNil)
 		})
 	})
 }
 
-func TestMailboxProofs(t *testing.T) {
+func TestMailboxConfirmation(t *testing.T) {
 	Convey("Given a stop for a worker", t, func() {
-		b := newMailBench()
+		b := newMailboxFixture()
 		done := make(chan error, 1)
 		b.group.Go(func(ctx context.Context) {
-			done <- b.boxes.Stop(ctx, jobs.Worker{ID: "w"}, scheduler.StopOrder{Key: runKey(1), Token: mailTerm})
+			done <- b.boxes.Stop(ctx, jobs.Worker{ID: "w"}, scheduler.StopOrder{Key: runKey(1), Token: mailboxTerm})
 		})
-		b.posted(1)
+		b.waitForOrders(1)
 		Convey("it is settled by a heartbeat that does not list the run, after two answers carried it", func() {
-			So(b.beat(1, runKey(1)).Stops, ShouldResemble, []jobs.RunKey{runKey(1)})
-			So(len(b.beat(2).Stops), ShouldEqual, 1)
-			So(len(b.beat(3).Stops), ShouldEqual, 0)
+			So(b.heartbeat(1, runKey(1)).Stops, ShouldResemble, []jobs.RunKey{runKey(1)})
+			So(len(b.heartbeat(2).Stops), ShouldEqual, 1)
+			So(len(b.heartbeat(3).Stops), ShouldEqual, 0)
 			So(<-done, ShouldBeNil)
 		})
 		Convey("a run that is listed still is not stopped yet", func() {
 			for sequence := uint64(1); sequence < 5; sequence++ {
-				So(len(b.beat(sequence, runKey(1)).Stops), ShouldEqual, 1)
+				So(len(b.heartbeat(sequence, runKey(1)).Stops), ShouldEqual, 1)
 			}
-			So(len(b.beat(5).Stops), ShouldEqual, 0)
+			So(len(b.heartbeat(5).Stops), ShouldEqual, 0)
 			So(<-done, ShouldBeNil)
 		})
 	})
 	Convey("Given a call whose answer is a proof", t, func() {
-		b := newMailBench()
+		b := newMailboxFixture()
 		done := make(chan scheduler.RenewalAnswer, 1)
 		b.group.Go(func(ctx context.Context) {
-			answer, _ := b.boxes.RenewLease(ctx, jobs.Worker{ID: "w"}, scheduler.LeaseRenewal{Token: mailTerm, AcknowledgedUpTo: 4})
+			answer, _ := b.boxes.RenewLease(ctx, jobs.Worker{ID: "w"}, scheduler.LeaseRenewal{Token: mailboxTerm, AcknowledgedUpTo: 4})
 			done <- answer
 		})
-		b.posted(1)
+		b.waitForOrders(1)
 		Convey("it takes the lists of a heartbeat after two answers, and no earlier one", func() {
-			So(b.beat(1, runKey(1)).SeenUpTo, ShouldEqual, 4)
-			b.beat(2, runKey(1))
-			b.beat(2, runKey(1)) // the same heartbeat again proves nothing
-			b.beat(3, runKey(2))
+			So(b.heartbeat(1, runKey(1)).SeenUpTo, ShouldEqual, 4)
+			b.heartbeat(2, runKey(1))
+			b.heartbeat(2, runKey(1)) // the same heartbeat again proves nothing
+			b.heartbeat(3, runKey(2))
 			answer := <-done
 			So(answer.Running[1].Key, ShouldResemble, runKey(2))
 		})
 	})
 }
 
-func TestPauseAfter(t *testing.T) {
+func TestHeartbeatInterval(t *testing.T) {
 	Convey("A worker that runs something beats as often as one leader can answer all of them", t, func() {
-		for workers, pause := range map[int]time.Duration{1: leastAgain, 48: leastAgain, 400: 200 * time.Millisecond, 5000: mostAgain} {
-			So(pauseAfter(false, workers), ShouldEqual, pause)
+		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 48: minHeartbeatInterval, 400: 200 * time.Millisecond, 5000: maxHeartbeatInterval} {
+			So(heartbeatInterval(false, workers), ShouldEqual, pause)
 		}
 	})
 	Convey("The time that an answer was held is part of the pause", t, func() {
-		for workers, pause := range map[int]time.Duration{1: leastAgain, 400: leastAgain, 1000: leastAgain, 1500: 250 * time.Millisecond, 5000: mostAgain} {
-			So(pauseAfter(true, workers), ShouldEqual, pause)
+		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 400: minHeartbeatInterval, 1000: minHeartbeatInterval, 1500: 250 * time.Millisecond, 5000: maxHeartbeatInterval} {
+			So(heartbeatInterval(true, workers), ShouldEqual, pause)
 		}
 	})
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,12 +8,12 @@
 
 // Metrics are the figures of the job table, as a prometheus.Collector. Only the leader shows more than whether it leads.
 type Metrics struct {
-	leader  *Leader
-	leads   *prometheus.Desc
-	waiting *prometheus.Desc
-	workers *prometheus.Desc
-	runs    *prometheus.Desc
-	version *prometheus.Desc
+	leader   *Leader
+	isLeader *prometheus.Desc
+	waiting  *prometheus.Desc
+	workers  *prometheus.Desc
+	runs     *prometheus.Desc
+	version  *prometheus.Desc
 
 	discardedRuns, discardedWork *prometheus.Desc
 }
@@ -28,12 +28,12 @@
 		return prometheus.NewDesc("crosstide_jobs_"+name, help, labels, nil)
 	}
 	return &Metrics{
-		leader:  leader,
-		leads:   desc("leads", "1 on the node that schedules jobs, 0 on the others."),
-		waiting: desc("waiting", "Jobs of which nothing was started yet, by queue.", "queue"),
-		workers: desc("workers", "Workers, by zone and state.", "zone", "state"),
-		runs:    desc("runs", "Runs that are not over, by zone of their worker.", "zone"),
-		version: desc("config_version", "Version of the configuration in force."),
+		leader:   leader,
+		isLeader: desc("leads", "1 on the node that schedules jobs, 0 on the others."),
+		waiting:  desc("waiting", "Jobs of which nothing was started yet, by queue.", "queue"),
+		workers:  desc("workers", "Workers, by zone and state.", "zone", "state"),
+		runs:     desc("runs", "Runs that are not over, by zone of their worker.", "zone"),
+		version:  desc("config_version", "Version of the configuration in force."),
 
 		discardedRuns: desc("discarded_runs_total", "Runs that ended neither well nor by their own fault, by cause.", "cause"),
 		discardedWork: desc("discarded_core_seconds_total", "Work of such runs that had no checkpoint, by cause.", "cause"),
@@ -42,7 +42,7 @@
 
 // Describe tells the figures there are.
 func (m *Metrics) Describe(out chan<- *prometheus.Desc) {
-	for _, desc := range []*prometheus.Desc{m.leads, m.waiting, m.workers, m.runs, m.version, m.discardedRuns, m.discardedWork} {
+	for _, desc := range []*prometheus.Desc{m.isLeader, m.waiting, m.workers, m.runs, m.version, m.discardedRuns, m.discardedWork} {
 		out <- desc
 	}
 }
@@ -50,8 +50,8 @@
 // workerGroup is what workers are counted by.
 type workerGroup struct{ zone, state string }
 
-// figures are what one look at the table counts.
-type figures struct {
+// tableStats are what one look at the table counts.
+type tableStats struct {
 	version uint64
 	waiting map[string]int // by queue
 	workers map[workerGroup]int
@@ -63,16 +63,16 @@
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	counted := figures{waiting: map[string]int{}, workers: map[workerGroup]int{}, runs: map[string]int{}}
-	_, err := m.leader.look(func(table *jobs.Table) error {
+	counted := tableStats{waiting: map[string]int{}, workers: map[workerGroup]int{}, runs: map[string]int{}}
+	_, err := m.leader.readTable(func(table *jobs.Table) error {
 		counted.count(table)
 		return nil
 	})
 	if err != nil {
-		gauge(m.leads, 0)
+		gauge(m.isLeader, 0)
 		return
 	}
-	gauge(m.leads, 1)
+	gauge(m.isLeader, 1)
 	m.collectDiscarded(out)
 	gauge(m.version, float64(counted.version))
 	for queue, count := range counted.waiting {
@@ -88,7 +88,7 @@
 
 // collectDiscarded tells the work thrown away, as of the leader's last look.
 func (m *Metrics) collectDiscarded(out chan<- prometheus.Metric) {
-	health := m.leader.latest.Load()
+	health := m.leader.latestHealth.Load()
 	if health == nil {
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (f *figures) count(table *jobs.Table) {
+func (f *tableStats) count(table *jobs.Table) {
 	f.version = table.Config.Version
 	for _, queue := range table.Config.Queues {
 		f.waiting[queue.Name] = table.QueuedCount(queue.Name)
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -106,7 +106,7 @@
 
 // Show tells a job's state and how far it is.
 func (l *Leader) Show(_ context.Context, call ShowCall) (view JobView, err error) {
-	_, err = l.look(func(table *jobs.Table) error {
+	_, err = l.readTable(func(table *jobs.Table) error {
 		job := table.Jobs[call.ID]
 		if job == nil {
 			return errs.Field(errs.Unknown, "id", "no job %q", call.ID)
@@ -143,7 +143,7 @@
 
 // Cancel ends a job.
 func (l *Leader) Cancel(ctx context.Context, call CancelCall) (JobAnswer, error) {
-	term, err := l.look(func(table *jobs.Table) error {
+	term, err := l.readTable(func(table *jobs.Table) error {
 		if table.Jobs[call.ID] == nil {
 			return errs.Field(errs.Unknown, "id", "no job %q", call.ID)
 		}
@@ -160,9 +160,9 @@
 // List gives one page of jobs.
 func (l *Leader) List(_ context.Context, call ListCall) (ListAnswer, error) {
 	answer := ListAnswer{Jobs: []JobSummary{}}
-	_, err := l.look(func(table *jobs.Table) error {
+	_, err := l.readTable(func(table *jobs.Table) error {
 		for id, job := range table.Jobs {
-			if call.takes(job) {
+			if call.matches(job) {
 				answer.Jobs = append(answer.Jobs, JobSummary{ID: id, Queue: job.Spec.Queue, State: job.State,
 					Accepted: job.AcceptedAt, Ended: job.EndedAt})
 			}
@@ -176,14 +176,14 @@
 	return answer, errs.Pass(err, "list")
 }
 
-func (c ListCall) takes(job *jobs.Job) bool {
+func (c ListCall) matches(job *jobs.Job) bool {
 	return job.Spec.ID > c.After && (c.Queue == "" || c.Queue == job.Spec.Queue) && (c.State == "" || c.State == job.State)
 }
 
 // Queues lists the queues.
 func (l *Leader) Queues(context.Context, QueuesCall) (QueuesAnswer, error) {
 	answer := QueuesAnswer{Queues: []QueueView{}}
-	_, err := l.look(func(table *jobs.Table) error {
+	_, err := l.readTable(func(table *jobs.Table) error {
 		for _, queue := range table.Config.Queues {
 			answer.Queues = append(answer.Queues, QueueView{Name: queue.Name, Service: queue.Service, Priority: queue.Priority,
 				Waiting: table.QueuedCount(queue.Name)})
@@ -196,7 +196,7 @@
 // Workers lists the workers.
 func (l *Leader) Workers(context.Context, WorkersCall) (WorkersAnswer, error) {
 	answer := WorkersAnswer{Workers: []WorkerView{}, Evacuated: []string{}}
-	_, err := l.look(func(table *jobs.Table) error {
+	_, err := l.readTable(func(table *jobs.Table) error {
 		for id, worker := range table.Workers {
 			answer.Workers = append(answer.Workers, WorkerView{Worker: *worker, Used: table.Used(id), Runs: table.RunCount(id)})
 		}
--- a/internal/controller/query_test.go
+++ b/internal/controller/query_test.go
@@ -61,27 +61,27 @@
 	})
 }
 
-// oneStore is a store of one node, which leads in term 1.
-type oneStore struct {
+// singleNodeStore is a store of one node, which leads in term 1.
+type singleNodeStore struct {
 	state *state.State
 	index uint64
 
 	follows bool // another node leads
 }
 
-func newOneStore() *oneStore { return &oneStore{state: state.New()} }
+func newSingleNodeStore() *singleNodeStore { return &singleNodeStore{state: state.New()} }
 
-func (s *oneStore) View(read func(*state.State)) { read(s.state) }
-func (s *oneStore) LeaderTerm(time.Duration) (uint64, bool) {
+func (s *singleNodeStore) View(read func(*state.State)) { read(s.state) }
+func (s *singleNodeStore) LeaderTerm(time.Duration) (uint64, bool) {
 	if s.follows {
 		return 0, false
 	}
 	return 1, true
 }
-func (s *oneStore) Changed() <-chan struct{}               { return nil }
-func (s *oneStore) ReachableVoters() []string              { return []string{"here"} }
-func (s *oneStore) Members() (leader string, all []string) { return "here", []string{"here"} }
-func (s *oneStore) ProposeIn(_ context.Context, term uint64, c command.Command) (uint64, any, error) {
+func (s *singleNodeStore) Changed() <-chan struct{}               { return nil }
+func (s *singleNodeStore) ReachableVoters() []string              { return []string{"here"} }
+func (s *singleNodeStore) Members() (leader string, all []string) { return "here", []string{"here"} }
+func (s *singleNodeStore) ProposeIn(_ context.Context, term uint64, c command.Command) (uint64, any, error) {
 	s.index++
 	data, err := command.Encode(time.Unix(0, 0), c)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return s.index, answer, errs.Pass(err, "apply")
 }
 
-// gathered gives the figures of a registry: name, labels, value.
-func gathered(registry *prometheus.Registry) []string {
+// gatheredMetrics gives the figures of a registry: name, labels, value.
+func gatheredMetrics(registry *prometheus.Registry) []string {
 	families, err := registry.Gather()
 	So(err, ShouldBeNil)
 	var out []string
@@ -110,7 +110,7 @@
 
 func TestLeaderQueries(t *testing.T) {
 	Convey("Given a leader with two queues and a worker", t, func() {
-		store := newOneStore()
+		store := newSingleNodeStore()
 		clock := &clock.Virtual{}
 		leader := NewLeader(LeaderOptions{Store: store, Config: scheduler.Defaults(), Clock: clock, Logger: log.NewNopLogger()})
 		ctx := context.Background()
@@ -128,7 +128,7 @@
 		So(submit("j2", "a"), ShouldBeNil)
 		So(submit("j1", "b"), ShouldBeNil)
 		So(submit("j3", "a"), ShouldBeNil)
-		_, err = leader.Beat(ctx, BeatCall{Sequence: 1, Worker: jobs.Worker{ID: "w", Service: "s", Zone: "z", Capacity: jobs.Resources{MilliCPU: 1000}}})
+		_, err = leader.Heartbeat(ctx, HeartbeatCall{Sequence: 1, Worker: jobs.Worker{ID: "w", Service: "s", Zone: "z", Capacity: jobs.Resources{MilliCPU: 1000}}})
 		So(err, ShouldBeNil)
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "j2", Index: 1}, Number: 1}
 		_, _, err = store.ProposeIn(ctx, 1, &command.JobProgress{Progress: jobs.Progress{Term: 1,
@@ -184,14 +184,14 @@
 		Convey("the metrics tell of queues, workers and runs", func() {
 			registry := prometheus.NewRegistry()
 			registry.MustRegister(NewMetrics(leader))
-			So(gathered(registry), ShouldResemble, []string{
+			So(gatheredMetrics(registry), ShouldResemble, []string{
 				"crosstide_jobs_config_version 1", "crosstide_jobs_leads 1", "crosstide_jobs_runs zone=z 1",
 				"crosstide_jobs_waiting queue=a 1", "crosstide_jobs_waiting queue=b 1", "crosstide_jobs_workers state=ready zone=z 1"})
-			leader.latest.Store(&scheduler.Health{Discarded: map[scheduler.Cause]scheduler.Discarded{scheduler.CauseMoved: {Runs: 2, CoreSeconds: 7}}})
-			So(gathered(registry), ShouldContain, "crosstide_jobs_discarded_runs_total cause=moved 2")
-			So(gathered(registry), ShouldContain, "crosstide_jobs_discarded_core_seconds_total cause=moved 7")
+			leader.latestHealth.Store(&scheduler.Health{Discarded: map[scheduler.Cause]scheduler.Discarded{scheduler.CauseMoved: {Runs: 2, CoreSeconds: 7}}})
+			So(gatheredMetrics(registry), ShouldContain, "crosstide_jobs_discarded_runs_total cause=moved 2")
+			So(gatheredMetrics(registry), ShouldContain, "crosstide_jobs_discarded_core_seconds_total cause=moved 7")
 			store.follows = true
-			So(gathered(registry), ShouldResemble, []string{"crosstide_jobs_leads 0"})
+			So(gatheredMetrics(registry), ShouldResemble, []string{"crosstide_jobs_leads 0"})
 		})
 		Convey("workers tell what runs on them", func() {
 			_, err := leader.Evacuate(ctx, jobs.Evacuate{Zone: "z", Start: true})
--- a/internal/httpapi/jobsapi/clients.go
+++ b/internal/httpapi/jobsapi/clients.go
@@ -15,8 +15,8 @@
 
 // Bounds of calls.
 const (
-	maxJobBody    = 4 << 20
-	defaultWithin = 3 * time.Second
+	maxJobBody     = 4 << 20
+	defaultTimeout = 3 * time.Second
 
 	defaultPage = 200
 	maxPage     = 1000
@@ -58,35 +58,35 @@
 //	DELETE /v2/jobs/{id}  200 JobState
 //	GET    /v2/jobs       200 Page; ?queue= &state= &after= &limit= (1 to 1000, 200 if not given)
 //	GET    /v2/queues     200 controller.QueuesAnswer
-func ServeClients(server Router, to Jobs, within time.Duration) {
-	c := clients{to: to}
-	add(server, "POST /v2/jobs", within, c.submit)
-	add(server, "GET /v2/jobs", within, c.list)
-	add(server, "GET /v2/jobs/{id}", within, c.show)
-	add(server, "DELETE /v2/jobs/{id}", within, c.cancel)
-	add(server, "GET /v2/queues", within, c.queues)
+func ServeClients(server Router, to Jobs, timeout time.Duration) {
+	c := clients{backend: to}
+	route(server, "POST /v2/jobs", timeout, c.submit)
+	route(server, "GET /v2/jobs", timeout, c.list)
+	route(server, "GET /v2/jobs/{id}", timeout, c.show)
+	route(server, "DELETE /v2/jobs/{id}", timeout, c.cancel)
+	route(server, "GET /v2/queues", timeout, c.queues)
 }
 
-// add answers pattern by serve within a time.
-func add(server Router, pattern string, within time.Duration, serve func(ctx context.Context, r *http.Request) (any, error)) {
-	if within <= 0 {
-		within = defaultWithin
+// route answers pattern by serve within a time.
+func route(server Router, pattern string, timeout time.Duration, serve func(ctx context.Context, r *http.Request) (any, error)) {
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
 	server.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), within)
+		ctx, cancel := context.WithTimeout(r.Context(), timeout)
 		defer cancel()
 		answer, err := serve(ctx, r)
 		if err != nil {
-			rpc.WriteError(w, outward(ctx, err))
+			rpc.WriteError(w, publicError(ctx, err))
 			return
 		}
 		rpc.WriteJSON(w, http.StatusOK, answer)
 	})
 }
 
-// outward gives a failure as a caller from outside sees it: which node leads is no matter of its, and an internal
+// publicError gives a failure as a caller from outside sees it: which node leads is no matter of its, and an internal
 // failure at the end of the call's time is the time's.
-func outward(ctx context.Context, err error) error {
+func publicError(ctx context.Context, err error) error {
 	switch {
 	case errs.Is(err, errs.NotLeader):
 		return errs.Wrap(err, errs.Unavailable, "no leader can be reached now")
@@ -96,7 +96,7 @@
 	return errs.Pass(err, "call")
 }
 
-type clients struct{ to Jobs }
+type clients struct{ backend Jobs }
 
 func (c clients) submit(ctx context.Context, r *http.Request) (any, error) {
 	body, err := rpc.ReadBody(r, maxJobBody)
@@ -107,14 +107,14 @@
 	if err != nil {
 		return nil, errs.Pass(err, "submit")
 	}
-	answer, err := c.to.Submit(ctx, controller.SubmitCall{Spec: spec, Digest: digest})
+	answer, err := c.backend.Submit(ctx, controller.SubmitCall{Spec: spec, Digest: digest})
 	return JobState{ID: spec.ID, State: answer.State}, errs.Pass(err, "submit")
 }
 
 // jobID reads the ID in a call's path.
 func jobID(r *http.Request) (string, error) {
 	id := r.PathValue("id")
-	if wrong := name(id); wrong != "" {
+	if wrong := checkName(id); wrong != "" {
 		return "", errs.Field(errs.Invalid, "id", "%s", wrong)
 	}
 	return id, nil
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "show")
 	}
-	answer, err := c.to.Show(ctx, controller.ShowCall{ID: id})
+	answer, err := c.backend.Show(ctx, controller.ShowCall{ID: id})
 	return answer, errs.Pass(err, "show")
 }
 
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "cancel")
 	}
-	answer, err := c.to.Cancel(ctx, controller.CancelCall{ID: id})
+	answer, err := c.backend.Cancel(ctx, controller.CancelCall{ID: id})
 	return JobState{ID: id, State: answer.State}, errs.Pass(err, "cancel")
 }
 
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "list")
 	}
-	answer, err := c.to.List(ctx, call)
+	answer, err := c.backend.List(ctx, call)
 	if err != nil {
 		return nil, errs.Pass(err, "list")
 	}
@@ -155,7 +155,7 @@
 }
 
 func (c clients) queues(ctx context.Context, _ *http.Request) (any, error) {
-	answer, err := c.to.Queues(ctx, controller.QueuesCall{})
+	answer, err := c.backend.Queues(ctx, controller.QueuesCall{})
 	return answer, errs.Pass(err, "queues")
 }
 
@@ -197,7 +197,7 @@
 	default:
 		return errs.Field(errs.Invalid, field, "is not a known field")
 	}
-	if wrong := name(value); wrong != "" {
+	if wrong := checkName(value); wrong != "" {
 		return errs.Field(errs.Invalid, field, "%s", wrong)
 	}
 	return nil
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -30,11 +30,11 @@
 	Timeout  string  `json:"timeout"`
 }
 
-// Service is a service of the configuration on the wire: a kind of worker. GuardsRoom: its workers refuse what does not
+// Service is a service of the configuration on the wire: a kind of worker. RejectsOverload: its workers refuse what does not
 // fit, so that the scheduler need not.
 type Service struct {
-	Name       string `json:"name"`
-	GuardsRoom bool   `json:"guards_room"`
+	Name            string `json:"name"`
+	RejectsOverload bool   `json:"guards_room"`
 }
 
 // Configuration is the configuration in force on the wire.
@@ -51,7 +51,7 @@
 		out.Queues = append(out.Queues, queueOf(q))
 	}
 	for _, s := range c.Services {
-		out.Services = append(out.Services, Service{Name: s.Name, GuardsRoom: s.ChecksCapacity})
+		out.Services = append(out.Services, Service{Name: s.Name, RejectsOverload: s.ChecksCapacity})
 	}
 	return out
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		return jobs.Configure{}, errs.Pass(err, "configuration")
 	}
-	order, err = finish(order, body)
+	order, err = completeOrder(order, body)
 	return order, errs.Pass(err, "configuration")
 }
 
@@ -84,8 +84,8 @@
 		readBase(r, &order)
 		r.Object("put", func(r *config.Reader) { readItems(r, &order) })
 		r.Object("remove", func(r *config.Reader) {
-			r.Strings("queues", &order.RemoveQueues, name)
-			r.Strings("services", &order.RemoveServices, name)
+			r.Strings("queues", &order.RemoveQueues, checkName)
+			r.Strings("services", &order.RemoveServices, checkName)
 		})
 		if len(order.Queues)+len(order.Services)+len(order.RemoveQueues)+len(order.RemoveServices) == 0 {
 			r.Wrong("put", "must be given, or remove")
@@ -94,12 +94,12 @@
 	if err != nil {
 		return jobs.Configure{}, errs.Pass(err, "configuration")
 	}
-	order, err = finish(order, body)
+	order, err = completeOrder(order, body)
 	return order, errs.Pass(err, "configuration")
 }
 
-// finish gives an order its version, which is the one after its base, its digest and its items' documents.
-func finish(order jobs.Configure, body []byte) (jobs.Configure, error) {
+// completeOrder gives an order its version, which is the one after its base, its digest and its items' documents.
+func completeOrder(order jobs.Configure, body []byte) (jobs.Configure, error) {
 	order.Version = order.Base + 1
 	order.Digest = rpc.Digest(fmt.Appendf(nil, "replace %t", order.Replace), body)
 	for i := range order.Queues {
@@ -110,7 +110,7 @@
 	}
 	for i := range order.Services {
 		s := &order.Services[i]
-		if err := document(&s.Document, Service{Name: s.Name, GuardsRoom: s.ChecksCapacity}); err != nil {
+		if err := document(&s.Document, Service{Name: s.Name, RejectsOverload: s.ChecksCapacity}); err != nil {
 			return jobs.Configure{}, errs.Pass(err, "service")
 		}
 	}
@@ -139,19 +139,19 @@
 func readQueue(r *config.Reader, q *jobs.Queue) {
 	q.MaxAttempts, q.Stretch = 1, 1
 	r.Need("name", "service", "timeout")
-	r.String("name", &q.Name, name)
-	r.String("service", &q.Service, name)
+	r.String("name", &q.Name, checkName)
+	r.String("service", &q.Service, checkName)
 	r.Int("priority", &q.Priority, 0, maxPriority)
 	r.Int("attempts", &q.MaxAttempts, 1, maxAttempts)
 	r.Float("stretch", &q.Stretch, 0, maxStretch)
-	r.Duration("target", &q.Target, 0, longest)
-	r.Duration("timeout", &q.Timeout, time.Millisecond, longest)
+	r.Duration("target", &q.Target, 0, maxDuration)
+	r.Duration("timeout", &q.Timeout, time.Millisecond, maxDuration)
 	q.Prefix = "/" + q.Name + "/" // the table wants each queue at a place of its own
 }
 
 func readService(r *config.Reader, s *jobs.Service) {
 	r.Need("name")
-	r.String("name", &s.Name, name)
+	r.String("name", &s.Name, checkName)
 	r.Bool("guards_room", &s.ChecksCapacity)
 }
 
--- a/internal/httpapi/jobsapi/control.go
+++ b/internal/httpapi/jobsapi/control.go
@@ -14,12 +14,12 @@
 const (
 	maxHeartbeatBody = 64 << 10
 	maxConfigBody    = 16 << 20
-	heartbeatWithin  = time.Second // a worker goes on to another node after it
+	heartbeatTimeout = time.Second // a worker goes on to another node after it
 )
 
 // Control answers the operators' calls and the workers' heartbeats. Each call returns when its ctx ends.
 type Control interface {
-	Beat(ctx context.Context, call controller.BeatCall) (controller.BeatAnswer, error)
+	Heartbeat(ctx context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error)
 	Config(ctx context.Context, call controller.ConfigCall) (jobs.Config, error)
 	Configure(ctx context.Context, order jobs.Configure) (controller.ConfigureAnswer, error)
 	Evacuate(ctx context.Context, order jobs.Evacuate) (controller.EvacuateAnswer, error)
@@ -81,22 +81,22 @@
 //	GET   /v2/topology                  200 controller.TopologyAnswer
 //	GET   /v2/workers                   200 Workers
 //	POST  /v2/workers/{id}/heartbeat    200 Heartbeat
-func ServeControl(server Router, to Control, within time.Duration) {
-	o := operators{to: to}
-	add(server, "GET /v2/config", within, o.config)
-	add(server, "PUT /v2/config", within, o.configure(parsePut))
-	add(server, "PATCH /v2/config", within, o.configure(parsePatch))
-	add(server, "POST /v2/zones/{zone}/evacuate", within, o.evacuate(true))
-	add(server, "POST /v2/zones/{zone}/restore", within, o.evacuate(false))
-	add(server, "GET /v2/topology", within, o.topology)
-	add(server, "GET /v2/workers", within, o.workers)
-	add(server, "POST /v2/workers/{id}/heartbeat", heartbeatWithin, o.heartbeat)
+func ServeControl(server Router, to Control, timeout time.Duration) {
+	o := operators{backend: to}
+	route(server, "GET /v2/config", timeout, o.config)
+	route(server, "PUT /v2/config", timeout, o.configure(parsePut))
+	route(server, "PATCH /v2/config", timeout, o.configure(parsePatch))
+	route(server, "POST /v2/zones/{zone}/evacuate", timeout, o.evacuate(true))
+	route(server, "POST /v2/zones/{zone}/restore", timeout, o.evacuate(false))
+	route(server, "GET /v2/topology", timeout, o.topology)
+	route(server, "GET /v2/workers", timeout, o.workers)
+	route(server, "POST /v2/workers/{id}/heartbeat", heartbeatTimeout, o.heartbeat)
 }
 
-type operators struct{ to Control }
+type operators struct{ backend Control }
 
 func (o operators) config(ctx context.Context, _ *http.Request) (any, error) {
-	config, err := o.to.Config(ctx, controller.ConfigCall{})
+	config, err := o.backend.Config(ctx, controller.ConfigCall{})
 	return configurationOf(config), errs.Pass(err, "configuration")
 }
 
@@ -110,7 +110,7 @@
 		if err != nil {
 			return nil, errs.Pass(err, "configure")
 		}
-		_, err = o.to.Configure(ctx, order)
+		_, err = o.backend.Configure(ctx, order)
 		return ConfigVersion{Version: order.Version}, errs.Pass(err, "configure")
 	}
 }
@@ -118,21 +118,21 @@
 func (o operators) evacuate(start bool) func(context.Context, *http.Request) (any, error) {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		zone := r.PathValue("zone")
-		if wrong := name(zone); wrong != "" {
+		if wrong := checkName(zone); wrong != "" {
 			return nil, errs.Field(errs.Invalid, "zone", "%s", wrong)
 		}
-		_, err := o.to.Evacuate(ctx, jobs.Evacuate{Zone: zone, Start: start})
+		_, err := o.backend.Evacuate(ctx, jobs.Evacuate{Zone: zone, Start: start})
 		return ZoneState{Zone: zone, Evacuated: start}, errs.Pass(err, "evacuate")
 	}
 }
 
 func (o operators) topology(ctx context.Context, _ *http.Request) (any, error) {
-	answer, err := o.to.Topology(ctx, controller.TopologyCall{})
+	answer, err := o.backend.Topology(ctx, controller.TopologyCall{})
 	return answer, errs.Pass(err, "topology")
 }
 
 func (o operators) workers(ctx context.Context, _ *http.Request) (any, error) {
-	answer, err := o.to.Workers(ctx, controller.WorkersCall{})
+	answer, err := o.backend.Workers(ctx, controller.WorkersCall{})
 	if err != nil {
 		return nil, errs.Pass(err, "workers")
 	}
@@ -168,6 +168,6 @@
 	if err != nil {
 		return nil, errs.Pass(err, "heartbeat")
 	}
-	answer, err := o.to.Beat(ctx, call)
-	return Heartbeat{Leader: answer.Home}, errs.Pass(err, "heartbeat")
+	answer, err := o.backend.Heartbeat(ctx, call)
+	return Heartbeat{Leader: answer.HeartbeatAddress}, errs.Pass(err, "heartbeat")
 }
--- a/internal/httpapi/jobsapi/heartbeat.go
+++ b/internal/httpapi/jobsapi/heartbeat.go
@@ -21,16 +21,16 @@
 const maxLabels = 64
 
 // parseHeartbeat reads the heartbeat of the worker id. Durations are whole nanoseconds.
-func parseHeartbeat(id string, body []byte) (controller.BeatCall, error) {
-	call := controller.BeatCall{Worker: jobs.Worker{ID: id}}
+func parseHeartbeat(id string, body []byte) (controller.HeartbeatCall, error) {
+	call := controller.HeartbeatCall{Worker: jobs.Worker{ID: id}}
 	err := parse(body, func(r *config.Reader) { readHeartbeat(r, &call) })
-	if wrong := name(id); wrong != "" {
-		return controller.BeatCall{}, errs.Field(errs.Invalid, "id", "%s", wrong)
+	if wrong := checkName(id); wrong != "" {
+		return controller.HeartbeatCall{}, errs.Field(errs.Invalid, "id", "%s", wrong)
 	}
 	return call, errs.Pass(err, "heartbeat")
 }
 
-func readHeartbeat(r *config.Reader, call *controller.BeatCall) {
+func readHeartbeat(r *config.Reader, call *controller.HeartbeatCall) {
 	var state string
 	worker := &call.Worker
 	r.Need("state")
@@ -45,10 +45,10 @@
 	readNanoseconds(r, "clock", &call.Clock)
 	readNanoseconds(r, "remaining", &call.Remaining)
 	r.Addr("address", &worker.Address)
-	r.String("service", &worker.Service, name)
-	r.String("zone", &worker.Zone, name)
-	r.String("rack", &worker.Rack, name)
-	r.Strings("labels", &worker.Labels, name)
+	r.String("service", &worker.Service, checkName)
+	r.String("zone", &worker.Zone, checkName)
+	r.String("rack", &worker.Rack, checkName)
+	r.Strings("labels", &worker.Labels, checkName)
 	if len(worker.Labels) > maxLabels {
 		r.Wrong("labels", "must be at most %d, are %d", maxLabels, len(worker.Labels))
 	}
--- a/internal/httpapi/jobsapi/heartbeat_test.go
+++ b/internal/httpapi/jobsapi/heartbeat_test.go
@@ -11,15 +11,15 @@
 	"crosstide/internal/jobs"
 )
 
-func beat(fields string) string {
+func heartbeatJSON(fields string) string {
 	return `{"sequence":7,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":1000,"memory_mb":512}` + fields + `}`
 }
 
 func TestParseHeartbeat(t *testing.T) {
 	Convey("A heartbeat is read", t, func() {
-		call, err := parseHeartbeat("w1", []byte(beat(`,"state":"draining","remaining":9,"rack":"r1","labels":["ssd","big"]`)))
+		call, err := parseHeartbeat("w1", []byte(heartbeatJSON(`,"state":"draining","remaining":9,"rack":"r1","labels":["ssd","big"]`)))
 		So(err, ShouldBeNil)
-		So(call, ShouldResemble, controller.BeatCall{Sequence: 7, Clock: 5 * time.Nanosecond, Remaining: 9, Worker: jobs.Worker{
+		So(call, ShouldResemble, controller.HeartbeatCall{Sequence: 7, Clock: 5 * time.Nanosecond, Remaining: 9, Worker: jobs.Worker{
 			ID: "w1", Address: "10.0.0.1:7300", Service: "s", Zone: "z", Rack: "r1", Labels: []string{"ssd", "big"},
 			Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 512}, Draining: true}})
 	})
@@ -29,17 +29,17 @@
 	})
 	Convey("What is wrong is refused with its field", t, func() {
 		shouldRefuse(func(body []byte) error { _, err := parseHeartbeat("w1", body); return errs.Pass(err, "heartbeat") }, []refused{
-			{beat(`,"state":"ready"`), "", ""},
+			{heartbeatJSON(`,"state":"ready"`), "", ""},
 			{`no`, errs.Malformed, ""},
-			{beat(``), errs.Invalid, "state"},
-			{beat(`,"state":"asleep"`), errs.Invalid, "state"},
-			{beat(`,"state":"ready","mood":1`), errs.Invalid, "mood"},
-			{beat(`,"state":"ready","sequence":1`), errs.Invalid, "sequence"},
+			{heartbeatJSON(``), errs.Invalid, "state"},
+			{heartbeatJSON(`,"state":"asleep"`), errs.Invalid, "state"},
+			{heartbeatJSON(`,"state":"ready","mood":1`), errs.Invalid, "mood"},
+			{heartbeatJSON(`,"state":"ready","sequence":1`), errs.Invalid, "sequence"},
 			{`{"state":"ready"}`, errs.Invalid, "sequence"},
-			{beat(`,"state":"ready","rack":7`), errs.Invalid, "rack"},
-			{beat(`,"state":"ready","labels":"ssd"`), errs.Invalid, "labels"},
-			{beat(`,"state":"ready","labels":["s s"]`), errs.Invalid, "labels[0]"},
-			{beat(`,"state":"draining","remaining":-1`), errs.Invalid, "remaining"},
+			{heartbeatJSON(`,"state":"ready","rack":7`), errs.Invalid, "rack"},
+			{heartbeatJSON(`,"state":"ready","labels":"ssd"`), errs.Invalid, "labels"},
+			{heartbeatJSON(`,"state":"ready","labels":["s s"]`), errs.Invalid, "labels[0]"},
+			{heartbeatJSON(`,"state":"draining","remaining":-1`), errs.Invalid, "remaining"},
 			{`{"state":"ready","sequence":0,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "sequence"},
 			{`{"state":"ready","sequence":1,"clock":"5s","address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "clock"},
 			{`{"state":"ready","sequence":1,"clock":5,"address":"here","service":"s","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "address"},
@@ -48,7 +48,7 @@
 			{`{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":-1,"memory_mb":1}}`, errs.Invalid, "capacity.milli_cpu"},
 			{`{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":[]}`, errs.Invalid, "capacity"},
 		})
-		_, err := parseHeartbeat("w 1", []byte(beat(`,"state":"ready"`)))
+		_, err := parseHeartbeat("w 1", []byte(heartbeatJSON(`,"state":"ready"`)))
 		So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Invalid, "id"})
 	})
 }
--- a/internal/httpapi/jobsapi/job.go
+++ b/internal/httpapi/jobsapi/job.go
@@ -18,7 +18,7 @@
 	MaxJobTasks = 100_000 // over all rounds
 	MaxAmount   = 1 << 30 // of any resource of a task
 	MaxPayload  = 16 << 10
-	longest     = 10 * 365 * 24 * time.Hour
+	maxDuration = 10 * 365 * 24 * time.Hour
 )
 
 // ParseJob reads the body of POST /v2/jobs into a job and its digest, which is the same whatever the order of the fields
@@ -39,15 +39,15 @@
 
 func readSpec(r *config.Reader, spec *jobs.Spec) {
 	r.Need("id", "queue", "steps")
-	r.String("id", &spec.ID, name)
-	r.String("queue", &spec.Queue, name)
-	r.String("payload", &spec.Payload, payload)
+	r.String("id", &spec.ID, checkName)
+	r.String("queue", &spec.Queue, checkName)
+	r.String("payload", &spec.Payload, checkPayload)
 	r.Object("times", func(r *config.Reader) { readTimes(r, spec) })
 	config.List(r, "steps", &spec.Steps, readStep)
 	checkSteps(r, spec)
 }
 
-func payload(value string) string {
+func checkPayload(value string) string {
 	if len(value) > MaxPayload {
 		return fmt.Sprintf("must be at most %d bytes, is %d", MaxPayload, len(value))
 	}
@@ -60,7 +60,7 @@
 	r.Need("first")
 	r.Time("first", &spec.FirstRun)
 	r.Int("rounds", &spec.Rounds, 1, MaxJobTasks)
-	r.Duration("every", &spec.Interval, time.Millisecond, longest)
+	r.Duration("every", &spec.Interval, time.Millisecond, maxDuration)
 	if spec.Rounds > 1 && spec.Interval == 0 {
 		r.Wrong("every", "must be given with more than one round")
 	}
@@ -70,10 +70,10 @@
 	step.Count = 1
 	r.Int("tasks", &step.Count, 1, MaxJobTasks)
 	readResources(r, &step.Needs)
-	r.Duration("estimate", &step.Estimate, 0, longest)
+	r.Duration("estimate", &step.Estimate, 0, maxDuration)
 	r.Ints("after", &step.After, 0, MaxSteps-1)
-	r.String("label", &step.Label, name)
-	r.String("near", &step.PreferredRack, name)
+	r.String("label", &step.Label, checkName)
+	r.String("near", &step.PreferredRack, checkName)
 	r.Int("most_per_worker", &step.MaxPerWorker, 1, MaxJobTasks)
 	r.Bool("checkpoints", &step.Checkpoints)
 	r.Bool("gang", &step.Gang)
--- a/internal/httpapi/jobsapi/serve_test.go
+++ b/internal/httpapi/jobsapi/serve_test.go
@@ -42,9 +42,9 @@
 func (f *fakeCore) Queues(context.Context, controller.QueuesCall) (controller.QueuesAnswer, error) {
 	return controller.QueuesAnswer{Queues: []controller.QueueView{{Name: "q", Waiting: 3}}}, f.err
 }
-func (f *fakeCore) Beat(_ context.Context, call controller.BeatCall) (controller.BeatAnswer, error) {
+func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.call = call
-	return controller.BeatAnswer{Home: "10.0.0.1:7200"}, f.err
+	return controller.HeartbeatAnswer{HeartbeatAddress: "10.0.0.1:7200"}, f.err
 }
 func (f *fakeCore) Config(context.Context, controller.ConfigCall) (jobs.Config, error) {
 	return jobs.Config{Version: 3, Services: []jobs.Service{{Name: "s"}},
@@ -104,7 +104,7 @@
 				{"POST", "/v2/zones/z1/restore", "", `{"zone":"z1","evacuated":false}`},
 				{"GET", "/v2/topology", "", `{"leader":"l","members":["l","m"]}`},
 				{"GET", "/v2/workers", "", `{"workers":[{"id":"w","address":"a","service":"s","zone":"z","capacity":{"milli_cpu":9,"memory_mb":0,"gpus":0},"used":{"milli_cpu":4,"memory_mb":0,"gpus":0},"runs":1,"state":"draining"}],"evacuated":["z"]}`},
-				{"POST", "/v2/workers/w1/heartbeat", beat(`,"state":"ready"`), `{"leader":"10.0.0.1:7200"}`},
+				{"POST", "/v2/workers/w1/heartbeat", heartbeatJSON(`,"state":"ready"`), `{"leader":"10.0.0.1:7200"}`},
 			} {
 				status, body := send(c.method, c.path, c.body)
 				So([]any{c.path, status, body}, ShouldResemble, []any{c.path, 200, c.want})
@@ -146,7 +146,7 @@
 				{"PATCH", "/v2/config", `{"base":1}`, 422, "put"},
 				{"POST", "/v2/zones/a%20b/evacuate", "", 422, "zone"},
 				{"POST", "/v2/workers/w1/heartbeat", `{}`, 422, "state"},
-				{"POST", "/v2/workers/a%20b/heartbeat", beat(`,"state":"ready"`), 422, "id"},
+				{"POST", "/v2/workers/a%20b/heartbeat", heartbeatJSON(`,"state":"ready"`), 422, "id"},
 			} {
 				status, body := send(c.method, c.path, c.body)
 				var answer struct{ Field string }
--- a/internal/httpapi/jobsapi/strict.go
+++ b/internal/httpapi/jobsapi/strict.go
@@ -16,15 +16,15 @@
 	"crosstide/internal/rpc"
 )
 
-// maxTold is how many mistakes of a body are told at once.
-const maxTold = 20
+// maxReportedErrors is how many mistakes of a body are told at once.
+const maxReportedErrors = 20
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 const nameRule = "must be 1 to 128 of A-Z a-z 0-9 . _ : -"
 
-// name allows what may name a job, a queue, a service, a worker, a zone, a rack or a label.
-func name(value string) string {
+// checkName allows what may name a job, a queue, a service, a worker, a zone, a rack or a label.
+func checkName(value string) string {
 	if nameForm.MatchString(value) {
 		return ""
 	}
@@ -39,21 +39,21 @@
 		return errs.Pass(err, "body")
 	}
 	err := config.Parse(body, into)
-	var mistakes config.Mistakes
-	if errors.As(err, &mistakes) {
-		return errs.Pass(refusal(mistakes), "body")
+	var validationErrs config.Mistakes
+	if errors.As(err, &validationErrs) {
+		return errs.Pass(refusal(validationErrs), "body")
 	}
 	return errs.Pass(err, "body")
 }
 
-func refusal(mistakes config.Mistakes) error {
-	first := mistakes[0]
-	told := []string{first.Message}
-	for _, one := range mistakes[1:min(len(mistakes), maxTold)] {
-		told = append(told, one.Field+": "+one.Message)
+func refusal(validationErrs config.Mistakes) error {
+	first := validationErrs[0]
+	messages := []string{first.Message}
+	for _, one := range validationErrs[1:min(len(validationErrs), maxReportedErrors)] {
+		messages = append(messages, one.Field+": "+one.Message)
 	}
-	if more := len(mistakes) - len(told); more > 0 {
-		told = append(told, "and "+strconv.Itoa(more)+" more")
+	if more := len(validationErrs) - len(messages); more > 0 {
+		messages = append(messages, "and "+strconv.Itoa(more)+" more")
 	}
-	return errs.Field(errs.Invalid, first.Field, "%s", strings.Join(told, "; "))
+	return errs.Field(errs.Invalid, first.Field, "%s", strings.Join(messages, "; "))
 }
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	defaultWithin = 2 * time.Second // bound of a call, besides the time that its answer may be kept back
-	longestWait   = 30 * time.Second
+	defaultTimeout = 2 * time.Second // bound of a call, besides the time that its answer may be kept back
+	maxWait        = 30 * time.Second
 )
 
 // Client carries the scheduler's orders to workers.
 type Client struct {
-	holds, starts *rpc.Client
-	within        time.Duration
+	renewals, starts *rpc.Client
+	timeout          time.Duration
 }
 
 var _ scheduler.Workers = (*Client)(nil)
 
 // NewClient makes a client whose starts are carried by a caller of their own: hold calls and stops, which keep work alive or end
 // it, wait for no start's connection. within bounds each call, besides the time that a hold call may wait; 0 takes a default.
-func NewClient(holds, starts *rpc.Client, within time.Duration) *Client {
-	if within <= 0 {
-		within = defaultWithin
+func NewClient(renewals, starts *rpc.Client, timeout time.Duration) *Client {
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	return &Client{holds: holds, starts: starts, within: within}
+	return &Client{renewals: renewals, starts: starts, timeout: timeout}
 }
 
 // Start tells worker to start one run.
 func (c *Client) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	call := StartCall{Worker: worker.ID, Run: RunOf(order.Key), Needs: NeedsOf(order.Needs), Payload: order.Payload,
 		Checkpoint: order.Checkpoint, Deadline: order.LeaseDeadline, Token: order.Token}
-	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartPair, call, c.within)
+	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartPair, call, c.timeout)
 	if errs.Is(err, errs.Malformed) && rpc.IsRemote(err) {
 		return scheduler.StartAnswer{Refusal: scheduler.RefusedInvalid}, nil
 	}
@@ -67,7 +67,7 @@
 // Stop tells worker to stop one run.
 func (c *Client) Stop(ctx context.Context, worker jobs.Worker, order scheduler.StopOrder) error {
 	call := StopCall{Worker: worker.ID, Run: RunOf(order.Key), Token: order.Token}
-	answer, err := rpc.Call(ctx, c.holds, worker.Address, StopPair, call, c.within)
+	answer, err := rpc.Call(ctx, c.renewals, worker.Address, StopPair, call, c.timeout)
 	if err != nil {
 		return errs.Pass(err, "stop on %s", worker.ID)
 	}
@@ -76,9 +76,9 @@
 
 // Hold renews the lease of worker and asks for its lists.
 func (c *Client) RenewLease(ctx context.Context, worker jobs.Worker, call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
-	wait := min(max(call.Wait, 0), longestWait)
-	sent := HoldCall{Worker: worker.ID, Token: call.Token, SeenUpTo: call.AcknowledgedUpTo, Deadline: call.LeaseDeadline, Wait: wait}
-	answer, err := rpc.Call(ctx, c.holds, worker.Address, HoldPair, sent, c.within+wait)
+	wait := min(max(call.Wait, 0), maxWait)
+	sent := RenewLeaseCall{Worker: worker.ID, Token: call.Token, SeenUpTo: call.AcknowledgedUpTo, Deadline: call.LeaseDeadline, Wait: wait}
+	answer, err := rpc.Call(ctx, c.renewals, worker.Address, RenewLeasePair, sent, c.timeout+wait)
 	if err != nil {
 		return scheduler.RenewalAnswer{}, errs.Pass(err, "hold on %s", worker.ID)
 	}
@@ -88,7 +88,7 @@
 
 // listsOf checks an answer and gives its lists. A run that is not listed counts as over: an answer that does not name
 // the worker, or has no lists, is none.
-func listsOf(worker string, answer HoldAnswer) (scheduler.RenewalAnswer, error) {
+func listsOf(worker string, answer RenewLeaseAnswer) (scheduler.RenewalAnswer, error) {
 	if err := checkAnswer(worker, answer.Worker, answer.Clock); err != nil {
 		return scheduler.RenewalAnswer{}, errs.Pass(err, "answer")
 	}
@@ -100,16 +100,16 @@
 		lists.Running = append(lists.Running, scheduler.ListedRun{Key: r.Run.Key(), Checkpoint: r.Checkpoint, Percent: r.Percent})
 	}
 	for _, e := range answer.Ended {
-		if !slices.Contains(hows, e.How) {
-			return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "ended", "%q is not known", e.How)
+		if !slices.Contains(endReasons, e.EndReason) {
+			return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "ended", "%q is not known", e.EndReason)
 		}
-		lists.Ended = append(lists.Ended, scheduler.EndedRun{Sequence: e.Sequence, Key: e.Run.Key(), Reason: e.How, Checkpoint: e.Checkpoint})
+		lists.Ended = append(lists.Ended, scheduler.EndedRun{Sequence: e.Sequence, Key: e.Run.Key(), Reason: e.EndReason, Checkpoint: e.Checkpoint})
 	}
 	return lists, nil
 }
 
-// hows are the ends that a worker may tell.
-var hows = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired, jobs.EndGangBroken, jobs.EndGangTimeout}
+// endReasons are the ends that a worker may tell.
+var endReasons = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired, jobs.EndGangBroken, jobs.EndGangTimeout}
 
 // checkAnswer refuses an answer that is not the worker's own.
 func checkAnswer(worker, answers string, clock time.Duration) error {
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -14,9 +14,9 @@
 	"crosstide/internal/rpc"
 )
 
-// answering runs test with a client whose worker answers every call with a status and a body, and tells the body of the
+// withWorker runs test with a client whose worker answers every call with a status and a body, and tells the body of the
 // newest call.
-func answering(status int, body string, test func(client *Client, worker jobs.Worker, called func() string)) {
+func withWorker(status int, body string, test func(client *Client, worker jobs.Worker, called func() string)) {
 	var got string
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	server.Route("POST /v2/{call}", func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 	Convey("A start goes out whole, and the answer must be the worker's own", t, func() {
 		order := scheduler.StartOrder{Key: key, Payload: "p", Needs: jobs.Resources{MilliCPU: 5, MemoryMB: 6, GPUs: 7},
 			LeaseDeadline: 8, Token: 9, Checkpoint: "c"}
-		answering(200, `{"worker":"w1","clock":7}`, func(c *Client, w jobs.Worker, called func() string) {
+		withWorker(200, `{"worker":"w1","clock":7}`, func(c *Client, w jobs.Worker, called func() string) {
 			answer, err := c.Start(ctx, w, order)
 			So([]any{answer, err}, ShouldResemble, []any{scheduler.StartAnswer{Clock: 7}, nil})
 			So(called(), ShouldEqual, `{"worker":"w1","run":`+runJSON+`,"needs":{"milli_cpu":5,"memory_mb":6,"gpus":7},`+
@@ -66,7 +66,7 @@
 			{404, `{"kind":"unknown"}`, "", errs.Unknown},
 			{500, `{"kind":"internal"}`, "", errs.Internal},
 		} {
-			answering(c.status, c.body, func(client *Client, w jobs.Worker, _ func() string) {
+			withWorker(c.status, c.body, func(client *Client, w jobs.Worker, _ func() string) {
 				answer, err := client.Start(ctx, w, order)
 				So([]any{c.body, answer.Refusal, errs.KindOf(err)}, ShouldResemble, []any{c.body, c.refusal, c.kind})
 			})
@@ -83,7 +83,7 @@
 func TestStop(t *testing.T) {
 	Convey("A stop goes out whole; only the worker's own yes is one", t, func() {
 		for body, kind := range map[string]errs.Kind{`{"worker":"w1"}`: "", `{}`: errs.Malformed, `{"worker":"w2"}`: errs.Malformed} {
-			answering(200, body, func(c *Client, w jobs.Worker, called func() string) {
+			withWorker(200, body, func(c *Client, w jobs.Worker, called func() string) {
 				err := c.Stop(context.Background(), w, scheduler.StopOrder{Key: key, Token: 9})
 				So([]any{body, errs.KindOf(err)}, ShouldResemble, []any{body, kind})
 				So(called(), ShouldEqual, `{"worker":"w1","run":`+runJSON+`,"token":9}`+"\n")
@@ -92,11 +92,11 @@
 	})
 }
 
-func TestHold(t *testing.T) {
+func TestRenewLease(t *testing.T) {
 	Convey("A hold goes out whole, and its lists come back", t, func() {
 		body := `{"worker":"w1","clock":7,"running":[{"run":` + runJSON + `,"checkpoint":"c","percent":50}],` +
 			`"ended":[{"sequence":2,"run":` + runJSON + `,"how":"done","checkpoint":"d"}],"more":true}`
-		answering(200, body, func(c *Client, w jobs.Worker, called func() string) {
+		withWorker(200, body, func(c *Client, w jobs.Worker, called func() string) {
 			answer, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{Token: 9, AcknowledgedUpTo: 1, LeaseDeadline: 8, Wait: 3})
 			So(err, ShouldBeNil)
 			So(answer, ShouldResemble, scheduler.RenewalAnswer{Clock: 7, Full: true,
@@ -114,7 +114,7 @@
 			`{"worker":"w1","running":[],"ended":[]}`:                                                  "",
 			`{"worker":"w1","running":[],"ended":[{"sequence":1,"run":` + runJSON + `,"how":"lost"}]}`: errs.Malformed,
 		} {
-			answering(200, body, func(c *Client, w jobs.Worker, _ func() string) {
+			withWorker(200, body, func(c *Client, w jobs.Worker, _ func() string) {
 				_, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{})
 				So([]any{body, errs.KindOf(err)}, ShouldResemble, []any{body, kind})
 			})
@@ -122,7 +122,7 @@
 	})
 	Convey("A worker that has seen a higher token is Stale, another life Unknown", t, func() {
 		for status, kind := range map[int]errs.Kind{412: errs.Stale, 404: errs.Unknown} {
-			answering(status, `{"kind":"`+string(kind)+`"}`, func(c *Client, w jobs.Worker, _ func() string) {
+			withWorker(status, `{"kind":"`+string(kind)+`"}`, func(c *Client, w jobs.Worker, _ func() string) {
 				_, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{})
 				So(errs.KindOf(err), ShouldEqual, kind)
 			})
--- a/internal/httpapi/workerapi/golden_test.go
+++ b/internal/httpapi/workerapi/golden_test.go
@@ -12,7 +12,7 @@
 	golden.Compare(t, "wire",
 		pair(StartPair),
 		pair(StopPair),
-		pair(HoldPair),
+		pair(RenewLeasePair),
 		golden.Shape("run", Run{}),
 		golden.Shape("needs", Needs{}),
 		golden.Shape("running run", RunningRun{}),
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -78,8 +78,8 @@
 	Worker string `json:"worker"`
 }
 
-// HoldCall renews a worker's lease and asks what runs and what has ended.
-type HoldCall struct {
+// RenewLeaseCall renews a worker's lease and asks what runs and what has ended.
+type RenewLeaseCall struct {
 	Worker   string        `json:"worker"`
 	Token    uint64        `json:"token"`
 	SeenUpTo uint64        `json:"seen"`               // ends numbered up to it are durable: the worker forgets them
@@ -98,13 +98,13 @@
 type EndedRun struct {
 	Sequence   uint64         `json:"sequence"` // from 1, rising within the worker's life
 	Run        Run            `json:"run"`
-	How        jobs.EndReason `json:"how"` // done, failed, stopped, lapsed, broken or alone
+	EndReason  jobs.EndReason `json:"how"` // done, failed, stopped, lapsed, broken or alone
 	Checkpoint string         `json:"checkpoint,omitempty"`
 }
 
-// HoldAnswer lists all that runs on a worker and the ends that are not acknowledged yet, oldest first. More: there are
+// RenewLeaseAnswer lists all that runs on a worker and the ends that are not acknowledged yet, oldest first. More: there are
 // further ends, so that a run that is not listed may be over.
-type HoldAnswer struct {
+type RenewLeaseAnswer struct {
 	Worker  string        `json:"worker"`
 	Clock   time.Duration `json:"clock"`
 	Running []RunningRun  `json:"running"`
@@ -115,7 +115,7 @@
 // The calls that a worker answers. Failures: errs.Unknown: another life answers, the named one is gone for good;
 // errs.Stale: the worker has seen a higher token, nothing was done; errs.Malformed: the call cannot be read.
 var (
-	StartPair = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
-	StopPair  = rpc.Endpoint[StopCall, StopAnswer]{Path: "/v2/stop"}
-	HoldPair  = rpc.Endpoint[HoldCall, HoldAnswer]{Path: "/v2/hold"}
+	StartPair      = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
+	StopPair       = rpc.Endpoint[StopCall, StopAnswer]{Path: "/v2/stop"}
+	RenewLeasePair = rpc.Endpoint[RenewLeaseCall, RenewLeaseAnswer]{Path: "/v2/hold"}
 )
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -23,36 +23,36 @@
 )
 
 const (
-	dialTimeout = 700 * time.Millisecond  // a connection to a machine that is gone hangs
-	userTimeout = 1500 * time.Millisecond // how long the kernel resends bytes that nobody confirms
-	nodeIdle    = 5                       // idle connections that a core node keeps to each other node
-	holdIdle    = 2                       // and to each worker: one for a hold call that waits, one for what is asked at once
-	holdIdleFor = 3 * time.Second         // hold calls to a worker that runs something follow one another sooner
-	startIdle   = 1                       // and for starts, which go one after the other
-	workerRead  = 1 << 10                 // bytes of the read buffer of a connection to a worker, whose answers are short
-	leastGrace  = time.Second             // for handing the lead over
-	drainWithin = time.Second             // for calls that run at the end
+	dialTimeout        = 700 * time.Millisecond  // a connection to a machine that is gone hangs
+	userTimeout        = 1500 * time.Millisecond // how long the kernel resends bytes that nobody confirms
+	peerIdleConns      = 5                       // idle connections that a core node keeps to each other node
+	renewalIdleConns   = 2                       // and to each worker: one for a hold call that waits, one for what is asked at once
+	renewalIdleTimeout = 3 * time.Second         // hold calls to a worker that runs something follow one another sooner
+	startIdleConns     = 1                       // and for starts, which go one after the other
+	workerReadBuffer   = 1 << 10                 // bytes of the read buffer of a connection to a worker, whose answers are short
+	minGrace           = time.Second             // for handing the lead over
+	drainTimeout       = time.Second             // for calls that run at the end
 )
 
 // CoreOptions are the parts of a core node.
 type CoreOptions struct {
 	Store config.Cplane // settings of the store; its seeds are the nodes to ask at first
 	// Open opens the store; it may wait until ctx ends.
-	Open      func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
-	Scheduler scheduler.Config
-	KeepOver  time.Duration // how long a job that is over stays; 0 takes a default
-	// Workers carries hold calls, stops and starts to workers. It is not asked with OrdersByBeat.
-	Workers      func(holds, starts *rpc.Client) scheduler.Workers
-	OrdersByBeat bool   // orders go with the answers to workers' heartbeats
-	Control      string // address for workers and operators
-	// ControlOf gives the control address of the node with an internal address; then workers are spread over all nodes for
+	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
+	Scheduler    scheduler.Config
+	JobRetention time.Duration // how long a job that is over stays; 0 takes a default
+	// Workers carries hold calls, stops and starts to workers. It is not asked with OrdersByHeartbeat.
+	Workers           func(renewals, starts *rpc.Client) scheduler.Workers
+	OrdersByHeartbeat bool   // orders go with the answers to workers' heartbeats
+	ControlAddress    string // address for workers and operators
+	// ControlAddressOf gives the control address of the node with an internal address; then workers are spread over all nodes for
 	// their heartbeats. nil: all go to the leader.
-	ControlOf func(internal string) string
+	ControlAddressOf func(internal string) string
 	// ServeControl adds the calls of workers and operators.
 	ServeControl func(control *rpc.Server, relay *controller.Relay)
 	// ServeNodes adds further calls at the address of Store; nil adds none.
-	ServeNodes  func(inner *rpc.Server, store *store.Store)
-	Removed     func()                // told when this node was removed from the members while it was away; see store.Options
+	ServeNodes  func(server *rpc.Server, store *store.Store)
+	OnRemoved   func()                // told when this node was removed from the members while it was away; see store.Options
 	Descriptors int                   // bound on file descriptors; 0: the system's
 	Grace       time.Duration         // for handing the lead over, a second at least
 	Registry    prometheus.Registerer // nil: metrics are not shown
@@ -60,18 +60,18 @@
 	Version     string
 }
 
-// Core is a core node.
+// CoreAddresses is a core node.
 type Core struct {
-	opt     CoreOptions
-	shares  coreShares
-	peers   *rpc.Client // asks other nodes
-	holds   *rpc.Client // carries hold calls and stops to workers
-	starts  *rpc.Client // carries starts to workers
-	store   *store.Store
-	leader  *controller.Leader
-	client  *controller.Client // asks the leader where this node does not lead
-	inner   *rpc.Server        // other nodes call it
-	control *rpc.Server        // workers and operators call it
+	opt           CoreOptions
+	shares        coreShares
+	peers         *rpc.Client // asks other nodes
+	renewals      *rpc.Client // carries hold calls and stops to workers
+	starts        *rpc.Client // carries starts to workers
+	store         *store.Store
+	leader        *controller.Leader
+	client        *controller.Client // asks the leader where this node does not lead
+	peerServer    *rpc.Server        // other nodes call it
+	controlServer *rpc.Server        // workers and operators call it
 }
 
 // NewCore makes a core node and opens its store, which may wait until ctx ends. Example:
@@ -91,13 +91,13 @@
 	if opt.Registry != nil {
 		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(n.shares.budget))
 	}
-	n.peers = n.newCaller("caller", n.shares.peers, rpc.ClientOptions{MaxIdlePerAddress: nodeIdle})
-	n.holds = n.newCaller("holds", n.shares.holds,
-		rpc.ClientOptions{MaxIdlePerAddress: holdIdle, IdleTimeout: holdIdleFor, ReadBuffer: workerRead})
+	n.peers = n.newCaller("caller", n.shares.peers, rpc.ClientOptions{MaxIdlePerAddress: peerIdleConns})
+	n.renewals = n.newCaller("holds", n.shares.renewals,
+		rpc.ClientOptions{MaxIdlePerAddress: renewalIdleConns, IdleTimeout: renewalIdleTimeout, ReadBuffer: workerReadBuffer})
 	n.starts = n.newCaller("starts", n.shares.starts,
-		rpc.ClientOptions{MaxIdlePerAddress: startIdle, MaxCallsPerAddress: startIdle, ReadBuffer: workerRead})
-	n.store, err = opt.Open(ctx, store.Options{Settings: opt.Store, Net: store.NetworkOf(n.peers, opt.Store), Logger: part("store"),
-		Registry: opt.Registry, Fatal: n.fatal, Removed: opt.Removed}, opt.Logger)
+		rpc.ClientOptions{MaxIdlePerAddress: startIdleConns, MaxCallsPerAddress: startIdleConns, ReadBuffer: workerReadBuffer})
+	n.store, err = opt.OpenStore(ctx, store.Options{Settings: opt.Store, Net: store.NetworkOf(n.peers, opt.Store), Logger: part("store"),
+		Registry: opt.Registry, Fatal: n.fatal, Removed: opt.OnRemoved}, opt.Logger)
 	if err != nil {
 		n.closeCallers()
 		return nil, errs.Pass(err, "open the store")
@@ -108,14 +108,14 @@
 	}
 	n.client = controller.NewClient(controller.ClientOptions{Caller: n.peers, Seeds: opt.Store.Seeds, Self: opt.Store.Addr,
 		Logger: part("client")})
-	n.inner = n.server(opt.Store.Addr, "wire", n.shares.nodes)
-	n.store.Serve(n.inner)
-	controller.Serve(n.inner, n.leader)
+	n.peerServer = n.server(opt.Store.Addr, "wire", n.shares.nodes)
+	n.store.Serve(n.peerServer)
+	controller.Serve(n.peerServer, n.leader)
 	if opt.ServeNodes != nil {
-		opt.ServeNodes(n.inner, n.store)
+		opt.ServeNodes(n.peerServer, n.store)
 	}
-	n.control = n.server(opt.Control, "control", n.shares.control)
-	opt.ServeControl(n.control, controller.NewRelay(n.leader, n.client, opt.Store.Addr))
+	n.controlServer = n.server(opt.ControlAddress, "control", n.shares.control)
+	opt.ServeControl(n.controlServer, controller.NewRelay(n.leader, n.client, opt.Store.Addr))
 	return n, nil
 }
 
@@ -127,7 +127,7 @@
 }
 
 func (n *Core) closeCallers() {
-	for _, caller := range []*rpc.Client{n.peers, n.holds, n.starts} {
+	for _, caller := range []*rpc.Client{n.peers, n.renewals, n.starts} {
 		caller.Close()
 	}
 }
@@ -138,13 +138,13 @@
 }
 
 func (n *Core) leaderOptions() controller.LeaderOptions {
-	options := controller.LeaderOptions{Store: n.store, Config: n.opt.Scheduler, Control: n.opt.Control, ControlOf: n.opt.ControlOf, KeepOver: n.opt.KeepOver,
+	options := controller.LeaderOptions{Store: n.store, Config: n.opt.Scheduler, ControlAddress: n.opt.ControlAddress, ControlAddressOf: n.opt.ControlAddressOf, JobRetention: n.opt.JobRetention,
 		Clock: clock.Real{}, Logger: daemon.Part(n.opt.Logger, "controller")}
-	if n.opt.OrdersByBeat {
+	if n.opt.OrdersByHeartbeat {
 		options.Mailboxes = controller.NewMailboxes()
 		options.Workers = options.Mailboxes
 	} else {
-		options.Workers = n.opt.Workers(n.holds, n.starts)
+		options.Workers = n.opt.Workers(n.renewals, n.starts)
 	}
 	return options
 }
@@ -173,31 +173,31 @@
 }
 
 func (n *Core) start() error {
-	if err := n.inner.Start(); err != nil {
+	if err := n.peerServer.Start(); err != nil {
 		return errs.Pass(err, "serve other nodes")
 	}
-	if err := n.control.Start(); err != nil {
-		_ = n.inner.Stop(0) // the start is given up: nobody has called yet
+	if err := n.controlServer.Start(); err != nil {
+		_ = n.peerServer.Stop(0) // the start is given up: nobody has called yet
 		return errs.Pass(err, "serve workers and operators")
 	}
 	n.store.Start()
 	n.leader.Start()
 	n.client.Start()
-	_ = level.Info(n.opt.Logger).Log("msg", "serving", "addr", n.inner.Addr(), "zone", n.opt.Store.Zone, "version", n.opt.Version)
+	_ = level.Info(n.opt.Logger).Log("msg", "serving", "addr", n.peerServer.Addr(), "zone", n.opt.Store.Zone, "version", n.opt.Version)
 	return nil
 }
 
 // stop hands the lead over first, so that the next leader begins while this one still answers.
 func (n *Core) stop() {
-	leave, over := context.WithTimeout(context.Background(), max(n.opt.Grace, leastGrace))
+	leave, over := context.WithTimeout(context.Background(), max(n.opt.Grace, minGrace))
 	defer over()
 	n.store.TransferLeadership(leave)
-	if err := n.control.Stop(drainWithin); err != nil {
+	if err := n.controlServer.Stop(drainTimeout); err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "calls were cut off", "err", err)
 	}
 	n.client.Stop()
 	n.leader.Stop()
-	if err := n.inner.Stop(drainWithin); err != nil {
+	if err := n.peerServer.Stop(drainTimeout); err != nil {
 		_ = level.Debug(n.opt.Logger).Log("msg", "calls of nodes were cut off", "err", err)
 	}
 	n.store.Stop()
--- a/internal/jobsnode/front.go
+++ b/internal/jobsnode/front.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	coreIdle     = 64                      // idle connections that a front node keeps to each core node
-	leaveFor     = 2500 * time.Millisecond // new clients still come so long after the node says that it is not ready
-	exitMargin   = 500 * time.Millisecond  // left of the grace for the process's own end
-	defaultGrace = 5 * time.Second
-	seedsEvery   = 10 * time.Second // the seeds are read again so often while no leader is found
+	coreIdleConns = 64                      // idle connections that a front node keeps to each core node
+	drainDelay    = 2500 * time.Millisecond // new clients still come so long after the node says that it is not ready
+	exitMargin    = 500 * time.Millisecond  // left of the grace for the process's own end
+	defaultGrace  = 5 * time.Second
+	seedsInterval = 10 * time.Second // the seeds are read again so often while no leader is found
 )
 
 // FrontOptions are the parts of a front node.
 type FrontOptions struct {
-	Core    []string          // addresses of core nodes to ask at first
-	Via     map[string]string // an address in it is reached by dialing the other one
-	Address string            // where clients reach the node
+	CoreAddresses []string          // addresses of core nodes to ask at first
+	Via           map[string]string // an address in it is reached by dialing the other one
+	Address       string            // where clients reach the node
 	// ServeClients adds the clients' calls.
 	ServeClients func(clients *rpc.Server, client *controller.Client)
 	ReadyAddress string // where the node is asked for readiness; empty: at Address
 	// ServeReady adds the question for readiness, which check answers.
-	ServeReady func(asked *rpc.Server, check func() error)
+	ServeReady func(server *rpc.Server, check func() error)
 	// ReadSeeds reads the addresses of core nodes anew; nil: they stay.
 	ReadSeeds   func() ([]string, error)
 	Descriptors int                   // bound on file descriptors; 0: the system's
@@ -46,13 +46,13 @@
 
 // Front is a front node: it takes clients' calls and passes them to the core.
 type Front struct {
-	opt       FrontOptions
-	shares    frontShares
-	caller    *rpc.Client
-	client    *controller.Client
-	clients   *rpc.Server // clients call it
-	asked     *rpc.Server // it is asked for readiness; may be clients
-	readiness readiness
+	opt          FrontOptions
+	shares       frontShares
+	caller       *rpc.Client
+	client       *controller.Client
+	clientServer *rpc.Server // clients call it
+	readyServer  *rpc.Server // it is asked for readiness; may be clients
+	readiness    readiness
 }
 
 // NewFront makes a front node. Too few descriptors are errs.Settings. Example:
@@ -72,17 +72,17 @@
 	if opt.Registry != nil {
 		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(f.shares.budget))
 	}
-	f.caller = rpc.NewClient(rpc.ClientOptions{DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: coreIdle, DialOverrides: opt.Via,
+	f.caller = rpc.NewClient(rpc.ClientOptions{DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: coreIdleConns, DialOverrides: opt.Via,
 		Registry: opt.Registry, Logger: part("caller"), Quota: f.shares.core})
-	f.client = controller.NewClient(controller.ClientOptions{Caller: f.caller, Seeds: opt.Core, Logger: part("client")})
-	f.readiness.fresh, f.readiness.within = f.client.Ready, f.client.ReadyWithin
-	f.clients = f.server(opt.Address, f.shares.clients)
-	opt.ServeClients(f.clients, f.client)
-	f.asked = f.clients
+	f.client = controller.NewClient(controller.ClientOptions{Caller: f.caller, Seeds: opt.CoreAddresses, Logger: part("client")})
+	f.readiness.leaderReady, f.readiness.leaderAnswered = f.client.Ready, f.client.CheckLeader
+	f.clientServer = f.server(opt.Address, f.shares.clients)
+	opt.ServeClients(f.clientServer, f.client)
+	f.readyServer = f.clientServer
 	if opt.ReadyAddress != "" {
-		f.asked = f.server(opt.ReadyAddress, f.shares.asked)
+		f.readyServer = f.server(opt.ReadyAddress, f.shares.ready)
 	}
-	opt.ServeReady(f.asked, f.readiness.check)
+	opt.ServeReady(f.readyServer, f.readiness.check)
 	return f, nil
 }
 
@@ -107,17 +107,17 @@
 }
 
 func (f *Front) start() error {
-	if err := f.clients.Start(); err != nil {
+	if err := f.clientServer.Start(); err != nil {
 		return errs.Pass(err, "serve clients")
 	}
-	if f.asked != f.clients {
-		if err := f.asked.Start(); err != nil {
-			_ = f.clients.Stop(0) // the start is given up: nobody has called yet
+	if f.readyServer != f.clientServer {
+		if err := f.readyServer.Start(); err != nil {
+			_ = f.clientServer.Stop(0) // the start is given up: nobody has called yet
 			return errs.Pass(err, "serve readiness")
 		}
 	}
 	f.client.Start()
-	_ = level.Info(f.opt.Logger).Log("msg", "serving", "addr", f.clients.Addr(), "zone", f.opt.Zone, "version", f.opt.Version)
+	_ = level.Info(f.opt.Logger).Log("msg", "serving", "addr", f.clientServer.Addr(), "zone", f.opt.Zone, "version", f.opt.Version)
 	return nil
 }
 
@@ -126,10 +126,10 @@
 func (f *Front) followSeeds(ctx context.Context, changed <-chan os.Signal) {
 	for {
 		due := make(chan struct{})
-		ring := clock.Real{}.Set(seedsEvery, func() { close(due) })
+		timer := clock.Real{}.Set(seedsInterval, func() { close(due) })
 		select {
 		case <-ctx.Done():
-			ring.Stop()
+			timer.Stop()
 			return
 		case <-changed:
 			f.readSeeds()
@@ -138,7 +138,7 @@
 				f.readSeeds()
 			}
 		}
-		ring.Stop()
+		timer.Stop()
 	}
 }
 
@@ -163,14 +163,14 @@
 	grace = max(grace-exitMargin, grace/2)
 	f.readiness.drain()
 	gone := make(chan struct{})
-	clock.Set(min(leaveFor, grace/2), func() { close(gone) })
+	clock.Set(min(drainDelay, grace/2), func() { close(gone) })
 	<-gone
-	if err := f.clients.Stop(max(grace-(clock.Now()-begin), 0)); err != nil {
+	if err := f.clientServer.Stop(max(grace-(clock.Now()-begin), 0)); err != nil {
 		_ = level.Warn(f.opt.Logger).Log("msg", "calls were cut off", "err", err)
 	}
 	f.client.Stop()
-	if f.asked != f.clients {
-		if err := f.asked.Stop(0); err != nil {
+	if f.readyServer != f.clientServer {
+		if err := f.readyServer.Stop(0); err != nil {
 			_ = level.Debug(f.opt.Logger).Log("msg", "a question for readiness was cut off", "err", err)
 		}
 	}
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -47,8 +47,8 @@
 }
 
 // serveReady answers GET /ready.
-func serveReady(asked *rpc.Server, check func() error) {
-	asked.Route("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
+func serveReady(server *rpc.Server, check func() error) {
+	server.Route("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
 		if err := check(); err != nil {
 			rpc.WriteError(w, err)
 			return
@@ -59,7 +59,7 @@
 
 // frontOf are the options of a front node of a core.
 func frontOf(core ...string) FrontOptions {
-	return FrontOptions{Core: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", ServeClients: serveCancel, ServeReady: serveReady,
+	return FrontOptions{CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", ServeClients: serveCancel, ServeReady: serveReady,
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger()}
 }
 
@@ -94,7 +94,7 @@
 		answers := make(chan int, 1)
 		work := routine.New(context.Background())
 		work.Go(func(context.Context) {
-			answers <- cancelJob(f.clients.Addr())
+			answers <- cancelJob(f.clientServer.Addr())
 		})
 		<-entered
 		work.Go(func(context.Context) { f.stop() })
@@ -104,7 +104,7 @@
 		close(gate)
 		So(<-answers, ShouldEqual, http.StatusOK)
 		work.Wait()
-		So(cancelJob(f.clients.Addr()), ShouldEqual, 0)
+		So(cancelJob(f.clientServer.Addr()), ShouldEqual, 0)
 	})
 	Convey("New seeds are read when the settings change", t, func() {
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
--- a/internal/jobsnode/readiness.go
+++ b/internal/jobsnode/readiness.go
@@ -13,11 +13,11 @@
 
 // readiness reports whether the node takes clients.
 type readiness struct {
-	fresh  func() error                // the leader has answered just now
-	within func(d time.Duration) error // the leader has answered within d
+	leaderReady    func() error                // the leader has answered just now
+	leaderAnswered func(d time.Duration) error // the leader has answered within d
 
 	mu       sync.Mutex
-	was      bool // ready at the last check
+	wasReady bool // ready at the last check
 	draining bool
 }
 
@@ -29,11 +29,11 @@
 	if r.draining {
 		return errs.New(errs.Stopped, "the node is stopping")
 	}
-	err := r.fresh()
-	if r.was {
-		err = r.within(leaderlessGrace)
+	err := r.leaderReady()
+	if r.wasReady {
+		err = r.leaderAnswered(leaderlessGrace)
 	}
-	r.was = err == nil
+	r.wasReady = err == nil
 	return errs.Pass(err, "not ready")
 }
 
--- a/internal/jobsnode/readiness_test.go
+++ b/internal/jobsnode/readiness_test.go
@@ -12,13 +12,13 @@
 func TestReadiness(t *testing.T) {
 	Convey("A node gets ready by a fresh answer, stays so through the grace, and is not ready once it drains", t, func() {
 		silent := 3 * time.Second // since the leader's last answer
-		within := func(d time.Duration) error {
+		answeredIn := func(d time.Duration) error {
 			if silent <= d {
 				return nil
 			}
 			return errs.New(errs.Unavailable, "no leader")
 		}
-		r := &readiness{fresh: func() error { return within(2500 * time.Millisecond) }, within: within}
+		r := &readiness{leaderReady: func() error { return answeredIn(2500 * time.Millisecond) }, leaderAnswered: answeredIn}
 		So(errs.KindOf(r.check()), ShouldEqual, errs.Unavailable) // never was ready: the grace is not for it
 		silent = 0
 		So(r.check(), ShouldBeNil)
--- a/internal/jobsnode/shares.go
+++ b/internal/jobsnode/shares.go
@@ -13,36 +13,36 @@
 // Parts of a core node's connections that each use has for itself, as one in so many. What is left over goes to whoever
 // needs it.
 const (
-	peersPart   = 16 // calls to other nodes
-	nodesPart   = 8  // calls of other nodes
-	controlPart = 4  // heartbeats of workers, operators
-	holdsPart   = 4  // hold calls and stops to workers
-	startsPart  = 8  // starts to workers
+	peersDivisor    = 16 // calls to other nodes
+	nodesDivisor    = 8  // calls of other nodes
+	controlDivisor  = 4  // heartbeats of workers, operators
+	renewalsDivisor = 4  // hold calls and stops to workers
+	startsDivisor   = 8  // starts to workers
 )
 
 // Parts of a front node's connections. Clients may have all that is left over.
 const (
-	corePart    = 8 // calls to the core
-	askedPart   = 8 // questions for readiness
-	clientsPart = 2 // clients' calls
+	coreDivisor    = 8 // calls to the core
+	readyDivisor   = 8 // questions for readiness
+	clientsDivisor = 2 // clients' calls
 )
 
 // reservation is a use of connections and the part that is reserved to it.
 type reservation struct {
-	name string
-	part int
-	at   **rpc.ConnQuota
+	name    string
+	divisor int
+	share   **rpc.ConnQuota
 }
 
 // reserve cuts up the connections of a process that may have so many descriptors; 0: as many as the system allows.
 func reserve(descriptors int, uses ...reservation) (*rpc.ConnLimiter, error) {
-	total, err := connections(descriptors)
+	total, err := maxConnections(descriptors)
 	if err != nil {
 		return nil, errs.Pass(err, "descriptors")
 	}
 	budget := rpc.NewConnLimiter(total)
 	for _, use := range uses {
-		if *use.at, err = budget.NewQuota(use.name, total/use.part); err != nil {
+		if *use.share, err = budget.NewQuota(use.name, total/use.divisor); err != nil {
 			return nil, errs.Pass(err, "shares")
 		}
 	}
@@ -52,31 +52,31 @@
 // coreShares are the uses of a core node's connections. Where room comes up, hold calls and stops go before starts: a lease
 // that is not renewed ends work that runs, and a gang that cannot be stopped waits for members that never come.
 type coreShares struct {
-	budget                               *rpc.ConnLimiter
-	peers, nodes, control, holds, starts *rpc.ConnQuota
+	budget                                  *rpc.ConnLimiter
+	peers, nodes, control, renewals, starts *rpc.ConnQuota
 }
 
 func newCoreShares(descriptors int) (s coreShares, err error) {
-	s.budget, err = reserve(descriptors, reservation{"peers", peersPart, &s.peers}, reservation{"nodes", nodesPart, &s.nodes},
-		reservation{"control", controlPart, &s.control}, reservation{"holds", holdsPart, &s.holds},
-		reservation{"starts", startsPart, &s.starts})
+	s.budget, err = reserve(descriptors, reservation{"peers", peersDivisor, &s.peers}, reservation{"nodes", nodesDivisor, &s.nodes},
+		reservation{"control", controlDivisor, &s.control}, reservation{"holds", renewalsDivisor, &s.renewals},
+		reservation{"starts", startsDivisor, &s.starts})
 	return s, errs.Pass(err, "core node")
 }
 
 // frontShares are the uses of a front node's connections.
 type frontShares struct {
 	budget               *rpc.ConnLimiter
-	core, asked, clients *rpc.ConnQuota
+	core, ready, clients *rpc.ConnQuota
 }
 
 func newFrontShares(descriptors int) (s frontShares, err error) {
-	s.budget, err = reserve(descriptors, reservation{"core", corePart, &s.core}, reservation{"asked", askedPart, &s.asked},
-		reservation{"clients", clientsPart, &s.clients})
+	s.budget, err = reserve(descriptors, reservation{"core", coreDivisor, &s.core}, reservation{"asked", readyDivisor, &s.ready},
+		reservation{"clients", clientsDivisor, &s.clients})
 	return s, errs.Pass(err, "front node")
 }
 
-// connections is how many connections fit into so many descriptors; 0: those that the system allows.
-func connections(descriptors int) (int, error) {
+// maxConnections is how many connections fit into so many descriptors; 0: those that the system allows.
+func maxConnections(descriptors int) (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, errs.Wrap(err, errs.Internal, "read the limit of descriptors")
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -51,8 +51,8 @@
 	logger := log.NewNopLogger()
 	ctx, end := context.WithCancel(context.Background())
 	core, err := jobsnode.NewCore(ctx, jobsnode.CoreOptions{
-		Store: set, Scheduler: scheduler.Defaults(), Control: control, Logger: logger,
-		Open: func(ctx context.Context, opt store.Options, _ log.Logger) (*store.Store, error) {
+		Store: set, Scheduler: scheduler.Defaults(), ControlAddress: control, Logger: logger,
+		OpenStore: func(ctx context.Context, opt store.Options, _ log.Logger) (*store.Store, error) {
 			disk, err := storage.OSDisk(filepath.Join(dir, "store"))
 			if err != nil {
 				return nil, errs.Pass(err, "disk")
@@ -65,7 +65,7 @@
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
-	fronts, err := jobsnode.NewFront(jobsnode.FrontOptions{Core: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
+	fronts, err := jobsnode.NewFront(jobsnode.FrontOptions{CoreAddresses: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
 		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -154,7 +154,7 @@
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
 	c.raise(r.key)
 	c.sequence++
-	ended := workerapi.EndedRun{Sequence: c.sequence, Run: workerapi.RunOf(r.key), How: how, Checkpoint: r.checkpoint(at)}
+	ended := workerapi.EndedRun{Sequence: c.sequence, Run: workerapi.RunOf(r.key), EndReason: how, Checkpoint: r.checkpoint(at)}
 	c.ends = append(c.ends, ended)
 	c.record(Event{Event: EventEnd, Worker: c.id, Run: ended.Run, Why: string(how), Checkpoint: ended.Checkpoint})
 }
@@ -273,7 +273,7 @@
 }
 
 // Hold takes a hold call in. The answer is Lists, at once or after a while. Failures: Unknown, Stale: it is fenced.
-func (c *Core) Hold(now time.Duration, call workerapi.HoldCall) error {
+func (c *Core) Hold(now time.Duration, call workerapi.RenewLeaseCall) error {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return errs.Pass(err, "hold")
 	}
@@ -283,8 +283,8 @@
 }
 
 // Lists gives what runs and what has ended.
-func (c *Core) Lists(now time.Duration) workerapi.HoldAnswer {
-	answer := workerapi.HoldAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{}, More: len(c.ends) > mostEnds}
+func (c *Core) Lists(now time.Duration) workerapi.RenewLeaseAnswer {
+	answer := workerapi.RenewLeaseAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{}, More: len(c.ends) > mostEnds}
 	for _, r := range c.runs {
 		answer.Running = append(answer.Running, workerapi.RunningRun{Run: workerapi.RunOf(r.key), Checkpoint: r.checkpoint(now), Percent: r.percent(now)})
 	}
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -41,7 +41,7 @@
 func ends(c *Core, now time.Duration) []jobs.EndReason {
 	var out []jobs.EndReason
 	for _, e := range c.Lists(now).Ended {
-		out = append(out, e.How)
+		out = append(out, e.EndReason)
 	}
 	return out
 }
@@ -95,10 +95,10 @@
 		_, err := c.Stop(400*ms, workerapi.StopCall{Worker: "w", Run: runOf(1, 1), Token: 2})
 		So(err, ShouldBeNil)
 		So(ends(c, 400*ms), ShouldResemble, []jobs.EndReason{jobs.EndFailed, jobs.EndDone, jobs.EndStopped})
-		So(c.Hold(400*ms, workerapi.HoldCall{Worker: "w", Token: 2, SeenUpTo: 2}), ShouldBeNil)
+		So(c.Hold(400*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, SeenUpTo: 2}), ShouldBeNil)
 		So(ends(c, 400*ms), ShouldResemble, []jobs.EndReason{jobs.EndStopped})
 		So(c.Idle(), ShouldBeFalse)
-		So(c.Hold(400*ms, workerapi.HoldCall{Worker: "w", Token: 2, SeenUpTo: 3}), ShouldBeNil)
+		So(c.Hold(400*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, SeenUpTo: 3}), ShouldBeNil)
 		So(c.Idle(), ShouldBeTrue)
 	})
 	Convey("A stop comes before its start: the run never starts", t, func() {
@@ -118,14 +118,14 @@
 	Convey("A hold call renews the lease, a fenced one does nothing", t, func() {
 		c, _ := newCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":-1}`)), ShouldEqual, "")
-		So(c.Hold(900*ms, workerapi.HoldCall{Worker: "w", Token: 3, Deadline: 3 * time.Second}), ShouldBeNil)
-		err := c.Hold(950*ms, workerapi.HoldCall{Worker: "w", Token: 2, Deadline: time.Hour, SeenUpTo: 9})
+		So(c.Hold(900*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 3, Deadline: 3 * time.Second}), ShouldBeNil)
+		err := c.Hold(950*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, Deadline: time.Hour, SeenUpTo: 9})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		_, err = c.Stop(950*ms, workerapi.StopCall{Worker: "w", Run: runOf(0, 1), Token: 2})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		So(c.Advance(2999*ms), ShouldBeFalse)
 		So(c.Advance(3*time.Second), ShouldBeTrue)
-		So(errs.KindOf(c.Hold(0, workerapi.HoldCall{Worker: "v"})), ShouldEqual, errs.Unknown)
+		So(errs.KindOf(c.Hold(0, workerapi.RenewLeaseCall{Worker: "v"})), ShouldEqual, errs.Unknown)
 	})
 	Convey("A run goes on from its saved progress", t, func() {
 		c, _ := newCore()
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -112,7 +112,7 @@
 	h.server = rpc.NewServer(rpc.ServerOptions{Addr: set.Address, Logger: logger, Clock: clock, Loops: 1})
 	rpc.Handle(h.server, workerapi.StartPair, h.start)
 	rpc.Handle(h.server, workerapi.StopPair, h.stop)
-	rpc.Handle(h.server, workerapi.HoldPair, h.hold)
+	rpc.Handle(h.server, workerapi.RenewLeasePair, h.hold)
 	h.record(Event{Event: EventBorn, Worker: h.id, Zone: set.Zone, Rack: set.Rack, Labels: set.Labels, Needs: set.Capacity})
 	if err := h.server.Start(); err != nil {
 		h.close()
@@ -193,12 +193,12 @@
 	return answer, errs.Pass(err, "worker")
 }
 
-func (h *Host) hold(ctx context.Context, call workerapi.HoldCall) (workerapi.HoldAnswer, error) {
+func (h *Host) hold(ctx context.Context, call workerapi.RenewLeaseCall) (workerapi.RenewLeaseAnswer, error) {
 	h.mu.Lock()
 	err := h.core.Hold(h.now(), call)
 	h.mu.Unlock()
 	if err != nil {
-		return workerapi.HoldAnswer{}, errs.Pass(err, "worker")
+		return workerapi.RenewLeaseAnswer{}, errs.Pass(err, "worker")
 	}
 	h.await(ctx, h.now()+call.Wait)
 	h.mu.Lock()
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -28,20 +28,20 @@
 type fakeCore struct {
 	jobsapi.Control
 	mu     sync.Mutex
-	beats  []controller.BeatCall
+	beats  []controller.HeartbeatCall
 	leader string
 }
 
 // Beat keeps a heartbeat.
-func (f *fakeCore) Beat(_ context.Context, call controller.BeatCall) (controller.BeatAnswer, error) {
+func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.beats = append(f.beats, call)
-	return controller.BeatAnswer{Home: f.leader}, nil
+	return controller.HeartbeatAnswer{HeartbeatAddress: f.leader}, nil
 }
 
 // await gives the first heartbeat that is as wanted, once there is one.
-func (f *fakeCore) await(wanted func(controller.BeatCall) bool) controller.BeatCall {
+func (f *fakeCore) await(wanted func(controller.HeartbeatCall) bool) controller.HeartbeatCall {
 	for {
 		f.mu.Lock()
 		at := slices.IndexFunc(f.beats, wanted)
@@ -87,7 +87,7 @@
 			So(down.Stop(time.Minute), ShouldBeNil)
 			So(up.Stop(time.Minute), ShouldBeNil)
 		}()
-		first := func(controller.BeatCall) bool { return true }
+		first := func(controller.HeartbeatCall) bool { return true }
 		beat := core.await(first)
 		worker := beat.Worker
 		So(worker, ShouldResemble, jobs.Worker{ID: host.ID(), Address: worker.Address, Service: "s", Zone: "z", Rack: "r",
@@ -117,8 +117,8 @@
 			_, err := client.Start(call, worker, order)
 			So(err, ShouldBeNil)
 			leave()
-			core.await(func(c controller.BeatCall) bool { return c.Worker.Draining && c.Remaining > 0 })
-			core.await(func(c controller.BeatCall) bool { return c.Leaving })
+			core.await(func(c controller.HeartbeatCall) bool { return c.Worker.Draining && c.Remaining > 0 })
+			core.await(func(c controller.HeartbeatCall) bool { return c.Leaving })
 			work.Wait()
 		})
 	})
