--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -133,7 +133,7 @@
 	if !v.Draws {
 		return "-"
 	}
-	return v.DryIn.Round(time.Second).String()
+	return v.ExhaustedIn.Round(time.Second).String()
 }
 
 func accountLedger(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/crosstide-controlplane/bundle.go
+++ b/cmd/crosstide-controlplane/bundle.go
@@ -309,10 +309,10 @@
 func rollout(ctx context.Context, cmd *cli.Command) error {
 	var out operatorapi.Rollout
 	return errs.Pass(ask(ctx, cmd, "/v1/rollout", &out, func(w io.Writer) {
-		fmt.Fprintf(w, "version %d in force since %s\nKIND\tNODE\tVERSION\tSINCE\tTOOK\tHEARD\n", out.Version, when(out.Force))
+		fmt.Fprintf(w, "version %d in force since %s\nKIND\tNODE\tVERSION\tSINCE\tTOOK\tHEARD\n", out.Version, when(out.InForceSince))
 		for _, n := range out.Nodes {
 			took := "-"
-			if n.Version == out.Version && !out.Force.IsZero() {
+			if n.Version == out.Version && !out.InForceSince.IsZero() {
 				took = n.Took.Round(100 * time.Microsecond).String()
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", n.Kind, n.Node, n.Version, when(n.Since), took, when(n.Heard))
--- a/cmd/crosstide-controlplane/jobscore.go
+++ b/cmd/crosstide-controlplane/jobscore.go
@@ -48,16 +48,16 @@
 }
 
 // jobsProgram is the daemon's own part of the command line.
-func jobsProgram() daemon.Program[config.JobsCore] {
-	return daemon.Program[config.JobsCore]{
-		Version: version, Load: config.LoadJobsCore, Check: config.CheckJobsCore, Serve: serveJobs,
-		Common: func(set *config.JobsCore) *config.Common { return &set.Common },
-		Words:  map[string]func(*config.JobsCore) *string{"data": func(set *config.JobsCore) *string { return &set.Data }},
-		Flags:  []cli.Flag{&cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}},
+func jobsProgram() daemon.Program[config.JobsControlPlane] {
+	return daemon.Program[config.JobsControlPlane]{
+		Version: version, Load: config.LoadJobsControlPlane, Check: config.CheckJobsControlPlane, Serve: serveJobs,
+		Common:      func(set *config.JobsControlPlane) *config.Common { return &set.Common },
+		StringFlags: map[string]func(*config.JobsControlPlane) *string{"data": func(set *config.JobsControlPlane) *string { return &set.Data }},
+		Flags:       []cli.Flag{&cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}},
 	}
 }
 
-func serveJobs(ctx context.Context, set config.JobsCore, profiles bool, logger log.Logger) error {
+func serveJobs(ctx context.Context, set config.JobsControlPlane, profiles bool, logger log.Logger) error {
 	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
 		options := jobsOptions(set, profiles, logger)
 		options.OnRemoved = removed
@@ -71,14 +71,14 @@
 }
 
 // jobsOptions maps settings to a core node's options.
-func jobsOptions(set config.JobsCore, profiles bool, logger log.Logger) jobsnode.CoreOptions {
+func jobsOptions(set config.JobsControlPlane, profiles bool, logger log.Logger) jobsnode.CoreOptions {
 	registry := daemon.Registry()
 	return jobsnode.CoreOptions{
-		Store: set.Cplane, OpenStore: open, Scheduler: jobsScheduler(set.Scheduler), JobRetention: set.KeepOver,
+		Store: set.ControlPlane, OpenStore: open, Scheduler: jobsScheduler(set.Scheduler), JobRetention: set.KeepFinished,
 		Workers:        func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
 		ControlAddress: set.Control,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
-			jobsapi.ServeControl(control, relay, set.Within)
+			jobsapi.ServeControl(control, relay, set.CallTimeout)
 		},
 		ServeNodes: func(inner *rpc.Server, store *store.Store) {
 			serveOperators(inner, store)
@@ -99,7 +99,7 @@
 // jobsScheduler maps settings to the scheduler's.
 func jobsScheduler(set config.JobsScheduler) scheduler.Config {
 	cfg := scheduler.Defaults()
-	cfg.Lease, cfg.RenewalWait, cfg.SilenceTimeout = set.Lease, set.HoldWait, set.Silence
+	cfg.Lease, cfg.RenewalWait, cfg.SilenceTimeout = set.Lease, set.PollWait, set.Silence
 	cfg.ExpiryMargin, cfg.EarlyStart = set.LapseMargin, set.EarlyStart
 	cfg.RemoteDataFactor, cfg.ForgetAfter = set.RemoteFactor, set.ForgetAfter
 	return cfg
--- a/cmd/crosstide-controlplane/jobscore_test.go
+++ b/cmd/crosstide-controlplane/jobscore_test.go
@@ -14,9 +14,9 @@
 
 func TestJobsOptions(t *testing.T) {
 	Convey("The settings of a core node make its options, and the scheduler's settings", t, func() {
-		set := config.DefaultJobsCore()
-		set.Addr, set.Control, set.Grace, set.KeepOver = "10.0.0.1:7100", "10.0.0.1:7200", 7*time.Second, time.Hour
-		set.Scheduler = config.JobsScheduler{Lease: 9 * time.Second, HoldWait: 2 * time.Second, Silence: 3 * time.Second,
+		set := config.DefaultJobsControlPlane()
+		set.Addr, set.Control, set.Grace, set.KeepFinished = "10.0.0.1:7100", "10.0.0.1:7200", 7*time.Second, time.Hour
+		set.Scheduler = config.JobsScheduler{Lease: 9 * time.Second, PollWait: 2 * time.Second, Silence: 3 * time.Second,
 			LapseMargin: 4 * time.Second, EarlyStart: 5 * time.Second, RemoteFactor: 2.5, ForgetAfter: 40 * time.Second}
 		options := jobsOptions(set, false, log.NewNopLogger())
 		So([]any{options.Store.Addr, options.ControlAddress, options.Grace, options.JobRetention, options.OrdersByHeartbeat}, ShouldResemble,
@@ -28,6 +28,6 @@
 		So(options.Scheduler, ShouldResemble, want)
 	})
 	Convey("The defaults of the settings are the scheduler's", t, func() {
-		So(jobsScheduler(config.DefaultJobsCore().Scheduler), ShouldResemble, scheduler.Defaults())
+		So(jobsScheduler(config.DefaultJobsControlPlane().Scheduler), ShouldResemble, scheduler.Defaults())
 	})
 }
--- a/cmd/crosstide-controlplane/operate.go
+++ b/cmd/crosstide-controlplane/operate.go
@@ -100,7 +100,7 @@
 	var w operatorapi.Who
 	return errs.Pass(ask(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
 		fmt.Fprintln(out, "store", w.Store)
-		fmt.Fprintln(out, "sched", w.Sched)
+		fmt.Fprintln(out, "sched", w.Scheduler)
 		for _, m := range w.Members {
 			kind := "voter"
 			if m.Learner {
@@ -128,8 +128,8 @@
 				stands = "learner"
 			}
 			match := "-"
-			if w.Status != nil && w.Status.Quorum.Match[m.ID] > 0 { // only the leader knows
-				match = fmt.Sprint(w.Status.Quorum.Match[m.ID])
+			if w.Status != nil && w.Status.Raft.Match[m.ID] > 0 { // only the leader knows
+				match = fmt.Sprint(w.Status.Raft.Match[m.ID])
 			}
 			if w.Store == m.ID || strings.HasPrefix(m.ID, w.Store+"~") {
 				stands += ", leads"
@@ -140,10 +140,10 @@
 }
 
 func minions(ctx context.Context, cmd *cli.Command) error {
-	var list operatorapi.Minions
+	var list operatorapi.Workers
 	return errs.Pass(ask(ctx, cmd, "/v1/minions", &list, func(out io.Writer) {
 		fmt.Fprintln(out, "NAME\tADDR\tZONE\tKIND\tBOOT\tTICKETS\tCORES\tGPUS\tSTATE")
-		for _, m := range list.Minions {
+		for _, m := range list.Workers {
 			state := "open"
 			if m.Closed || m.Draining {
 				state = "drain"
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -106,13 +106,13 @@
 }
 
 // storeSettings maps the platform's settings of a core node to the store's. The founders are the seeds.
-func storeSettings(core platform.CoreSettings) config.Cplane {
-	set := config.DefaultCplane()
+func storeSettings(core platform.CoreSettings) config.ControlPlane {
+	set := config.DefaultControlPlane()
 	set.Name, set.Zone, set.Region = core.Name, core.Zone, core.Region
 	set.Addr, set.Seeds, set.Data = core.InternalAddress, core.Seeds, core.DataFolder
 	set.Election, set.Heartbeat, set.Lease = platformElection, platformHeartbeat, platformLease
 	set.SnapshotEvery = platformSnapshotEvery
-	set.OpenMembership, set.Founding = true, core.Bootstrap
+	set.OpenMembership, set.Bootstrap = true, core.Bootstrap
 	if core.Grace > 0 {
 		set.Grace = max(core.Grace-exitMargin, core.Grace/2)
 	}
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -21,9 +21,9 @@
 		So(set.Members, ShouldResemble, []config.Member{{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"}})
 		So([]any{set.Name, set.Addr, set.Zone, set.Region, set.Data, set.Grace}, ShouldResemble,
 			[]any{"10.1.0.10", "10.1.0.10:7720", "a", "r", "data", 5500 * time.Millisecond})
-		So([]any{set.Lease, set.Election, set.Heartbeat, set.OpenMembership, set.Founding}, ShouldResemble,
+		So([]any{set.Lease, set.Election, set.Heartbeat, set.OpenMembership, set.Bootstrap}, ShouldResemble,
 			[]any{platformLease, platformElection, platformHeartbeat, true, false})
-		So(storeSettings(platform.CoreSettings{Bootstrap: true}).Founding, ShouldBeTrue)
+		So(storeSettings(platform.CoreSettings{Bootstrap: true}).Bootstrap, ShouldBeTrue)
 	})
 }
 
--- a/cmd/crosstide-controlplane/run.go
+++ b/cmd/crosstide-controlplane/run.go
@@ -24,17 +24,17 @@
 )
 
 // program is the daemon's own part of the command line.
-func program() daemon.Program[config.Cplane] {
-	return daemon.Program[config.Cplane]{
-		Version: version, Load: config.LoadCplane, Check: config.CheckCplane, Serve: serve,
-		Common: func(set *config.Cplane) *config.Common { return &set.Common },
-		Words:  map[string]func(*config.Cplane) *string{"data": func(set *config.Cplane) *string { return &set.Data }},
-		Flags:  []cli.Flag{&cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}},
+func program() daemon.Program[config.ControlPlane] {
+	return daemon.Program[config.ControlPlane]{
+		Version: version, Load: config.LoadControlPlane, Check: config.CheckControlPlane, Serve: serve,
+		Common:      func(set *config.ControlPlane) *config.Common { return &set.Common },
+		StringFlags: map[string]func(*config.ControlPlane) *string{"data": func(set *config.ControlPlane) *string { return &set.Data }},
+		Flags:       []cli.Flag{&cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}},
 	}
 }
 
 // serve runs a cplane until ctx ends.
-func serve(ctx context.Context, set config.Cplane, profiles bool, logger log.Logger) error {
+func serve(ctx context.Context, set config.ControlPlane, profiles bool, logger log.Logger) error {
 	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
 		return errs.Pass(serveLife(ctx, set, profiles, removed, logger), "a life")
 	})
@@ -42,7 +42,7 @@
 }
 
 // serveLife runs one life of a cplane until ctx ends, then hands the lead over and drains.
-func serveLife(ctx context.Context, set config.Cplane, profiles bool, removed func(), logger log.Logger) error {
+func serveLife(ctx context.Context, set config.ControlPlane, profiles bool, removed func(), logger log.Logger) error {
 	reg := daemon.Registry()
 	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: 2 * set.Election, DialOverrides: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
 	defer caller.Close()
@@ -76,7 +76,7 @@
 			s.Start()
 			members.Start(context.Background())
 		},
-		Leave: func(leave context.Context) {
+		Drain: func(leave context.Context) {
 			s.TransferLeadership(leave)
 			members.Stop(leave)
 		},
--- a/cmd/crosstide-controlplane/run_test.go
+++ b/cmd/crosstide-controlplane/run_test.go
@@ -39,12 +39,12 @@
 	for _, open := range []bool{false, true} {
 		Convey("A node with a damaged folder begins anew and never founds", t, func() {
 			dir := damaged(t)
-			set := config.DefaultCplane()
+			set := config.DefaultControlPlane()
 			set.Name, set.Addr, set.Data, set.OpenMembership = "10.0.0.1", "10.0.0.1:7000", dir, open
 			set.Members = []config.Member{{ID: "10.0.0.1", Addr: "10.0.0.1:7000", Zone: "a"}}
 			s, err := openStore(store.Options{Settings: set, Fatal: func(error) {}, Registry: prometheus.NewRegistry()})
 			So(err, ShouldBeNil)
-			a := s.BootstrapStatus(internalapi.FoundCall{})
+			a := s.BootstrapStatus(internalapi.DiscoverCall{})
 			So(a.Fresh, ShouldBeFalse)
 			So(a.ID, ShouldStartWith, "10.0.0.1~")
 			s.Stop()
@@ -60,12 +60,12 @@
 			}
 			s, err = openStore(store.Options{Settings: set, Fatal: func(error) {}})
 			So(err, ShouldBeNil)
-			So(s.BootstrapStatus(internalapi.FoundCall{}).ID, ShouldEqual, a.ID)
+			So(s.BootstrapStatus(internalapi.DiscoverCall{}).ID, ShouldEqual, a.ID)
 			s.Stop()
 		})
 	}
 	Convey("A folder that cannot be made is no damaged one", t, func() {
-		set := config.DefaultCplane()
+		set := config.DefaultControlPlane()
 		set.Data = filepath.Join(damaged(t), "other", "data")
 		_, err := openStore(store.Options{Settings: set})
 		So(errs.KindOf(err), ShouldEqual, errs.Disk)
--- a/cmd/crosstide-dataplane/jobsfront.go
+++ b/cmd/crosstide-dataplane/jobsfront.go
@@ -23,9 +23,9 @@
 // jobsCommand serves jobs as a front node, and has the clients' commands for such nodes.
 func jobsCommand() *cli.Command {
 	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any front node", Required: true}
-	program := daemon.Program[config.JobsFront]{
-		Version: version, Load: config.LoadJobsFront, Check: config.CheckJobsFront, Serve: serveJobs,
-		Common: func(set *config.JobsFront) *config.Common { return &set.Common },
+	program := daemon.Program[config.JobsDataPlane]{
+		Version: version, Load: config.LoadJobsDataPlane, Check: config.CheckJobsDataPlane, Serve: serveJobs,
+		Common: func(set *config.JobsDataPlane) *config.Common { return &set.Common },
 	}
 	calls := []*cli.Command{
 		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE", Flags: []cli.Flag{addr}, Action: submitJob},
@@ -43,7 +43,7 @@
 		Commands: append(program.Commands(), calls...)}
 }
 
-func serveJobs(ctx context.Context, set config.JobsFront, profiles bool, logger log.Logger) error {
+func serveJobs(ctx context.Context, set config.JobsDataPlane, profiles bool, logger log.Logger) error {
 	front, err := jobsnode.NewFront(jobsOptions(set, profiles, logger))
 	if err != nil {
 		return errs.Pass(err, "make the node")
@@ -52,10 +52,10 @@
 }
 
 // jobsOptions maps settings to a front node's options.
-func jobsOptions(set config.JobsFront, profiles bool, logger log.Logger) jobsnode.FrontOptions {
+func jobsOptions(set config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.FrontOptions {
 	registry := daemon.Registry()
 	return jobsnode.FrontOptions{
-		CoreAddresses: set.CoreAddresses(), Via: set.Via, Address: set.Addr,
+		CoreAddresses: set.ControlPlaneAddresses(), Via: set.Via, Address: set.Addr,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) {
 			jobsapi.ServeClients(clients, client, set.CallTimeout)
 			if profiles {
--- a/cmd/crosstide-dataplane/jobsfront_test.go
+++ b/cmd/crosstide-dataplane/jobsfront_test.go
@@ -16,7 +16,7 @@
 
 func TestJobsOptions(t *testing.T) {
 	Convey("The settings of a front node make its options; calls and readiness are at one address", t, func() {
-		set := config.DefaultJobsFront()
+		set := config.DefaultJobsDataPlane()
 		set.Addr, set.Zone, set.Grace, set.Seeds = "10.0.0.1:7000", "z", 7*time.Second, []string{"10.0.1.1:7100"}
 		options := jobsOptions(set, true, log.NewNopLogger())
 		So([]any{options.CoreAddresses, options.Address, options.ReadyAddress, options.Grace, options.Zone}, ShouldResemble,
--- a/cmd/crosstide-dataplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -29,9 +29,9 @@
 var version = "dev"
 
 func main() {
-	program := daemon.Program[config.Dplane]{
-		Version: version, Load: config.LoadDplane, Check: config.CheckDplane, Serve: serve,
-		Common: func(set *config.Dplane) *config.Common { return &set.Common },
+	program := daemon.Program[config.DataPlane]{
+		Version: version, Load: config.LoadDataPlane, Check: config.CheckDataPlane, Serve: serve,
+		Common: func(set *config.DataPlane) *config.Common { return &set.Common },
 	}
 	app := &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide", Commands: append(append(program.Commands(), jobCommands()...), platformCommand(), jobsCommand())}
 	if err := app.Run(context.Background(), os.Args); err != nil {
@@ -40,15 +40,15 @@
 	}
 }
 
-func passes(set config.Dplane) scheduler.Config {
-	cfg := scheduler.Defaults()
-	cfg.Hold, cfg.HoldWait, cfg.StartWindow = set.Hold, set.HoldWait, set.StartWindow
-	cfg.Lateness, cfg.LeaseMargin = set.Lateness, set.LeaseMargin
-	cfg.Health.Share = float64(set.SickShare) / 100
+func passes(set config.DataPlane) scheduler.Config {
+	cfg := scheduler.DefaultConfig()
+	cfg.RunLease, cfg.PollWait, cfg.StartWindow = set.RunLease, set.PollWait, set.StartWindow
+	cfg.Lateness, cfg.RoleLeaseMargin = set.Lateness, set.LeaseMargin
+	cfg.Health.MaxShare = float64(set.MaxUnhealthyShare) / 100
 	return cfg
 }
 
-func serve(ctx context.Context, set config.Dplane, profiles bool, logger log.Logger) error {
+func serve(ctx context.Context, set config.DataPlane, profiles bool, logger log.Logger) error {
 	reg := daemon.Registry()
 	boot := make([]byte, 8)
 	if _, err := rand.Read(boot); err != nil {
@@ -60,22 +60,22 @@
 	minions := rpc.NewClient(rpc.ClientOptions{UserTimeout: set.LeaseMargin / 2, DialOverrides: set.Via, DialTimeout: time.Second,
 		Logger: daemon.Part(logger, "hold"), Registry: reg})
 	defer minions.Close()
-	core := set.Core
+	core := set.ControlPlanes
 	if len(core) == 0 {
 		core = set.Seeds // until the membership has found the cplanes
 	}
-	n := dataplane.New(dataplane.Options{Name: set.Name, Addr: set.Addr, Boot: hex.EncodeToString(boot), Core: core, Sched: passes(set),
+	n := dataplane.New(dataplane.Options{Name: set.Name, Addr: set.Addr, Incarnation: hex.EncodeToString(boot), ControlPlanes: core, Scheduler: passes(set),
 		CallTimeout: set.CallTimeout, QueueLimit: set.QueueLimit, Clock: clock.Real{}, Logger: daemon.Part(logger, "dataplane"),
-		Caller: caller, Minions: minions})
-	reg.MustRegister(dataplane.NewMeter(n))
+		Caller: caller, WorkerCaller: minions})
+	reg.MustRegister(dataplane.NewCollector(n))
 	var learn func([]string)
-	if len(set.Core) == 0 {
-		learn = n.Cplanes
+	if len(set.ControlPlanes) == 0 {
+		learn = n.SetControlPlanes
 	}
 	members := daemon.NewMembership(set.Common, membership.RoleDataPlane, set.Seeds, caller, logger, reg, learn)
 	srv := rpc.NewServer(rpc.ServerOptions{Addr: set.Addr, Logger: daemon.Part(logger, "rpc"), Registry: reg})
-	clientapi.Register(srv, n, clientapi.Options{Within: set.CallTimeout, Seed: uint64(boot[0])<<8 | uint64(boot[1])})
-	rpc.Handle(srv, internalapi.Minions, n.Announce)
+	clientapi.Register(srv, n, clientapi.Options{Timeout: set.CallTimeout, Seed: uint64(boot[0])<<8 | uint64(boot[1])})
+	rpc.Handle(srv, internalapi.AnnounceWorker, n.Announce)
 	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
 	n.Routes(srv)
 	daemon.Routes(srv, reg, n.Ready)
@@ -87,8 +87,8 @@
 			members.Start(context.Background())
 			n.Start(context.Background())
 		},
-		Leave: func(leave context.Context) {
-			n.Leave(leave)
+		Drain: func(leave context.Context) {
+			n.StepDown(leave)
 			members.Stop(leave)
 		},
 		Stop: n.Stop,
--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -66,7 +66,7 @@
 	}
 	b := state.Bundle{Queues: map[string]state.Queue{}, Backoff: state.Backoff{Min: 200 * time.Millisecond, Max: 30 * time.Second}}
 	err := config.Parse(data, func(r *config.Reader) { readBundle(r, &b) })
-	var wrong config.Mistakes
+	var wrong config.ValidationErrors
 	if errors.As(err, &wrong) {
 		noun := "mistakes"
 		if len(wrong) == 1 {
@@ -81,7 +81,7 @@
 func Digest(data []byte) string { return signature.Digest(data) }
 
 func readBundle(r *config.Reader, b *state.Bundle) {
-	r.Need("queues")
+	r.Require("queues")
 	r.Object("queues", func(r *config.Reader) {
 		for _, name := range r.Names() {
 			checkName(r, name)
@@ -90,7 +90,7 @@
 			b.Queues[name] = q
 		}
 		if len(b.Queues) == 0 {
-			r.Wrong("", "must hold at least one queue")
+			r.Reject("", "must hold at least one queue")
 		}
 	})
 	b.Limits = readCounts(r, "limits", 0)
@@ -100,7 +100,7 @@
 		r.Duration("min", &b.Backoff.Min, time.Millisecond, maxBackoff)
 		r.Duration("max", &b.Backoff.Max, time.Millisecond, maxBackoff)
 		if b.Backoff.Min > b.Backoff.Max {
-			r.Wrong("max", "must not be under min (%s), is %s", b.Backoff.Min, b.Backoff.Max)
+			r.Reject("max", "must not be under min (%s), is %s", b.Backoff.Min, b.Backoff.Max)
 		}
 	})
 	r.Duration("hold", &b.LeaseTTL, minLeaseTTL, maxLeaseTTL)
@@ -111,7 +111,7 @@
 // checkName refuses a field name that is no valid name.
 func checkName(r *config.Reader, name string) {
 	if wrong := validateName(name); wrong != "" {
-		r.Wrong(name, "%s", wrong)
+		r.Reject(name, "%s", wrong)
 	}
 }
 
@@ -128,7 +128,7 @@
 		readNames(r, "zones", &q.Zones)
 		readNames(r, "racks", &q.Racks)
 		config.List(r, "near", &q.Near, func(r *config.Reader, n *state.Near) {
-			r.Need("label", "value", "within")
+			r.Require("label", "value", "within")
 			r.String("label", &n.Label, validateName)
 			r.String("value", &n.Value, validateLabelValue)
 			r.String("within", &n.Scope, config.OneOf("rack", "zone"))
@@ -141,7 +141,7 @@
 	got := []string{""} // stays when there is nothing, or a mistake
 	switch r.Strings(field, &got, validateName); {
 	case len(got) == 0:
-		r.Wrong(field, "must not be empty; leave it out to allow any")
+		r.Reject(field, "must not be empty; leave it out to allow any")
 	case got[0] != "":
 		slices.Sort(got)
 		*to = slices.Compact(got)
@@ -193,7 +193,7 @@
 	type operator struct{ name, key string }
 	var list []operator
 	config.List(r, "operators", &list, func(r *config.Reader, o *operator) {
-		r.Need("name", "key")
+		r.Require("name", "key")
 		r.String("name", &o.name, validateName)
 		r.String("key", &o.key, config.Base64(ed25519.PublicKeySize))
 	})
@@ -205,7 +205,7 @@
 		b.Operators[o.name] = o.key
 	}
 	if why := OperatorsError(b.Operators, len(list)); why != "" {
-		r.Wrong("operators", "%s", why)
+		r.Reject("operators", "%s", why)
 	}
 }
 
--- a/internal/bundle/parties.go
+++ b/internal/bundle/parties.go
@@ -29,7 +29,7 @@
 			r.Object(name, func(r *config.Reader) { readParty(r, &p) })
 			for _, queue := range p.Queues {
 				if _, ok := b.Queues[queue]; !ok {
-					r.Wrong(name+".queues", "there is no queue %q", queue)
+					r.Reject(name+".queues", "there is no queue %q", queue)
 				}
 				claim(r, name+".queues", queue, name, queues)
 			}
@@ -47,7 +47,7 @@
 func readParty(r *config.Reader, p *state.Party) {
 	readNames(r, "teams", &p.Teams)
 	readNames(r, "queues", &p.Queues)
-	r.Need("price")
+	r.Require("price")
 	r.Object("price", func(r *config.Reader) {
 		p.Price.Core = readPrice(r, "core")
 		p.Price.GPU = readPrice(r, "gpu")
@@ -66,7 +66,7 @@
 // claim makes it a mistake that a second party pays for the same.
 func claim(r *config.Reader, field, what, party string, taken map[string]string) {
 	if other, ok := taken[what]; ok {
-		r.Wrong(field, "%q is paid for by %q already", what, other)
+		r.Reject(field, "%q is paid for by %q already", what, other)
 		return
 	}
 	taken[what] = party
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -50,19 +50,19 @@
 }
 
 type timer struct {
-	at   time.Duration
-	seq  uint64
-	call func()
-	off  bool
-	host *Virtual
+	at      time.Duration
+	seq     uint64
+	call    func()
+	stopped bool
+	clock   *Virtual
 }
 
 // Stop keeps the timer from firing and tells whether it was still to fire.
 func (r *timer) Stop() bool {
-	r.host.mu.Lock()
-	defer r.host.mu.Unlock()
-	was := !r.off
-	r.off = true
+	r.clock.mu.Lock()
+	defer r.clock.mu.Unlock()
+	was := !r.stopped
+	r.stopped = true
 	return was
 }
 
@@ -105,7 +105,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.next++
-	r := &timer{at: v.now + max(d, 0), seq: v.next, call: call, host: v}
+	r := &timer{at: v.now + max(d, 0), seq: v.next, call: call, clock: v}
 	heap.Push(&v.queue, r)
 	return r
 }
@@ -116,10 +116,10 @@
 	end := v.now + d
 	for len(v.queue) > 0 && v.queue[0].at <= end {
 		r := heap.Pop(&v.queue).(*timer)
-		if r.off {
+		if r.stopped {
 			continue
 		}
-		r.off = true
+		r.stopped = true
 		v.now = max(v.now, r.at)
 		v.mu.Unlock()
 		r.call()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,11 +18,11 @@
 
 const other = `"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="`
 
-const cplane = `{"name":"c1","zone":"a","region":"r","addr":"10.0.0.1:7000","seeds":["10.0.0.2:7000"],"data":"d",
+const controlPlaneJSON = `{"name":"c1","zone":"a","region":"r","addr":"10.0.0.1:7000","seeds":["10.0.0.2:7000"],"data":"d",
 "members":[{"id":"c1","addr":"10.0.0.1:7000","zone":"a"},{"id":"c2","addr":"10.0.0.2:7000","zone":"b"}],
 "lease":"800ms","queue_limit":7,"operator_keys":[{"name":"o","key":` + key + `},{"name":"p","key":` + other + `}]}`
 
-const dplane = `{"name":"d1","zone":"a","region":"r","addr":"10.0.1.1:7000","core":["10.0.0.1:7000"],"sick_share":9}`
+const dataPlaneJSON = `{"name":"d1","zone":"a","region":"r","addr":"10.0.1.1:7000","core":["10.0.0.1:7000"],"sick_share":9}`
 
 func file(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -31,7 +31,7 @@
 }
 
 func lines(err error) []string {
-	var m Mistakes
+	var m ValidationErrors
 	So(errs.KindOf(err), ShouldEqual, errs.Settings)
 	So(errors.As(err, &m), ShouldBeTrue)
 	So(err.Error(), ShouldContainSubstring, m.Error())
@@ -43,7 +43,7 @@
 		lease, n, on, names := 3*time.Second, 5, true, []string{"x"}
 		var of []int
 		err := Parse([]byte(`{"sched":{"lease":"3 monkeys","n":99},"names":["a",4],"each":[{"k":1},{"k":"2"}],"od":0}`), func(r *Reader) {
-			r.Need("sched")
+			r.Require("sched")
 			r.Object("sched", func(r *Reader) {
 				r.Duration("lease", &lease, time.Second, time.Minute)
 				r.Int("n", &n, 0, 10)
@@ -74,7 +74,7 @@
 	Convey("Broken JSON, wrong shapes, doubles and absent needs are mistakes", t, func() {
 		into := func(r *Reader) {
 			var s string
-			r.Need("a")
+			r.Require("a")
 			r.Addr("a", &s)
 			r.Object("o", func(*Reader) {})
 		}
@@ -88,41 +88,41 @@
 
 func TestDaemons(t *testing.T) {
 	Convey("Sound files load, what is not set keeps its default, and a changed value is judged again", t, func() {
-		c, err := LoadCplane(file(t, cplane))
+		c, err := LoadControlPlane(file(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
-		So([]any{c.Lease, c.Election, c.QueueLimit, c.KeepTombsFor, c.Grace, c.Members[1].Zone, len(c.OperatorKeys)}, ShouldResemble,
+		So([]any{c.Lease, c.Election, c.QueueLimit, c.KeepTombstonesFor, c.Grace, c.Members[1].Zone, len(c.OperatorKeys)}, ShouldResemble,
 			[]any{800 * time.Millisecond, time.Second, 7, 168 * time.Hour, 5 * time.Second, "b", 2})
-		So(CheckCplane(c), ShouldBeNil)
+		So(CheckControlPlane(c), ShouldBeNil)
 		c.OperatorKeys = append(c.OperatorKeys, OperatorKey{"q", c.OperatorKeys[0].Key})
-		So(lines(CheckCplane(c)), ShouldHaveLength, 1) // one key under two names
+		So(lines(CheckControlPlane(c)), ShouldHaveLength, 1) // one key under two names
 		c.OperatorKeys = c.OperatorKeys[:1]
-		So(lines(CheckCplane(c)), ShouldResemble, []string{"operator_keys: must be none, or two at least: two operators sign each bundle"})
+		So(lines(CheckControlPlane(c)), ShouldResemble, []string{"operator_keys: must be none, or two at least: two operators sign each bundle"})
 		c.OperatorKeys = nil
 		c.Lease, c.Addr, c.Members[1].Addr, c.LogLevel = time.Second, "", c.Members[0].Addr, "loud"
-		So(lines(CheckCplane(c)), ShouldResemble, []string{
+		So(lines(CheckControlPlane(c)), ShouldResemble, []string{
 			`addr: must be an address like "10.0.0.7:7000", is ""`,
 			`log_level: must be one of debug, info, warn, error, is "loud"`,
 			`members[1].addr: must differ from members[0], both are "10.0.0.1:7000"`,
 			`lease: must be under election (1s), is 1s`,
 		})
-		d, err := LoadDplane(file(t, dplane))
+		d, err := LoadDataPlane(file(t, dataPlaneJSON))
 		So(err, ShouldBeNil)
-		So([]any{d.SickShare, d.Hold, d.Lateness}, ShouldResemble, []any{9, 20 * time.Second, 2 * time.Second})
-		d.Core, d.LeaseMargin = nil, 3*time.Second
-		So(lines(CheckDplane(d)), ShouldResemble, []string{
+		So([]any{d.MaxUnhealthyShare, d.RunLease, d.Lateness}, ShouldResemble, []any{9, 20 * time.Second, 2 * time.Second})
+		d.ControlPlanes, d.LeaseMargin = nil, 3*time.Second
+		So(lines(CheckDataPlane(d)), ShouldResemble, []string{
 			"core: must be given when there are no seeds", "lease_margin: must be under duty_lease (3s), is 3s"})
 	})
 	Convey("An open membership is off by default, and asks for names that are IPs", t, func() {
-		c, err := LoadCplane(file(t, cplane))
+		c, err := LoadControlPlane(file(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
-		So([]any{c.OpenMembership, c.Founding, c.RemoveAfter}, ShouldResemble, []any{false, true, 3 * time.Second})
+		So([]any{c.OpenMembership, c.Bootstrap, c.RemoveAfter}, ShouldResemble, []any{false, true, 3 * time.Second})
 		text := strings.NewReplacer(`"name":"c1"`, `"open_membership":true,"founding":false,"remove_after":"4s","name":"10.0.0.1"`,
-			`"id":"c1"`, `"id":"10.0.0.1"`, `"id":"c2"`, `"id":"10.0.0.2"`).Replace(cplane)
-		c, err = LoadCplane(file(t, text))
+			`"id":"c1"`, `"id":"10.0.0.1"`, `"id":"c2"`, `"id":"10.0.0.2"`).Replace(controlPlaneJSON)
+		c, err = LoadControlPlane(file(t, text))
 		So(err, ShouldBeNil)
-		So([]any{c.OpenMembership, c.Founding, c.RemoveAfter}, ShouldResemble, []any{true, false, 4 * time.Second})
+		So([]any{c.OpenMembership, c.Bootstrap, c.RemoveAfter}, ShouldResemble, []any{true, false, 4 * time.Second})
 		c.Name, c.Members[1].ID, c.RemoveAfter = "c1", "c2", time.Second
-		So(lines(CheckCplane(c)), ShouldResemble, []string{
+		So(lines(CheckControlPlane(c)), ShouldResemble, []string{
 			`name: must be the IP of addr (10.0.0.1) with open_membership, is "c1"`,
 			`members[1].id: must be the IP of addr (10.0.0.2) with open_membership, is "c2"`,
 			"remove_after: must be over election (1s), is 1s",
@@ -131,20 +131,20 @@
 			ip := fmt.Sprintf("10.0.0.%d", i+3)
 			c.Members = append(c.Members, Member{ID: ip, Addr: ip + ":7000", Zone: "a"})
 		}
-		So(lines(CheckCplane(c))[0], ShouldEqual, "members: must be at most 3 with open_membership, are 4")
+		So(lines(CheckControlPlane(c))[0], ShouldEqual, "members: must be at most 3 with open_membership, are 4")
 	})
 	Convey("The mistakes of a cplane's file come together", t, func() {
-		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, key, `"QQ=="`, `"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(cplane)
-		_, err := LoadCplane(file(t, text))
+		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, key, `"QQ=="`, `"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(controlPlaneJSON)
+		_, err := LoadControlPlane(file(t, text))
 		So(lines(err), ShouldResemble, []string{
 			"seeds: must be 1 to 3 addresses, are 0",
 			"queue_limit: must be from 1 to 1073741824, is -1",
 			`operator_keys[0].key: must be the base64 of 32 bytes, is "QQ=="`,
 			"heartbeat: must be under half of lease (150ms), is 100ms",
 		})
-		_, err = LoadCplane(file(t, strings.Replace(cplane, `"queue_limit":7`, `"backlog":7,"slot_every":9`, 1)))
+		_, err = LoadControlPlane(file(t, strings.Replace(controlPlaneJSON, `"queue_limit":7`, `"backlog":7,"slot_every":9`, 1)))
 		So(lines(err), ShouldResemble, []string{"slot_every: is now named snapshot_every", "backlog: is now named queue_limit"})
-		_, err = LoadCplane(filepath.Join(t.TempDir(), "none"))
+		_, err = LoadControlPlane(filepath.Join(t.TempDir(), "none"))
 		So(errs.Is(err, errs.Settings), ShouldBeTrue)
 	})
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,10 +9,10 @@
 // TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
-		golden.Values("core defaults", DefaultCplane()),
-		golden.Values("front defaults", DefaultDplane()),
-		golden.Values("core with jobs defaults", DefaultJobsCore()),
-		golden.Values("front with jobs defaults", DefaultJobsFront()),
+		golden.Values("core defaults", DefaultControlPlane()),
+		golden.Values("front defaults", DefaultDataPlane()),
+		golden.Values("core with jobs defaults", DefaultJobsControlPlane()),
+		golden.Values("front with jobs defaults", DefaultJobsDataPlane()),
 		golden.Keys(t, "keys read", "."),
 	)
 }
--- a/internal/config/jobs.go
+++ b/internal/config/jobs.go
@@ -6,20 +6,20 @@
 	"crosstide/internal/errs"
 )
 
-// JobsCore is the settings of a core node that serves jobs: those of a cplane, and a section jobs.
-type JobsCore struct {
-	Cplane
-	Control string        // jobs.control: IP:PORT where workers and operators reach the node, needed
-	Within  time.Duration // jobs.call_timeout: of an operator's call; default 3s
-	// KeepOver, jobs.keep_over, is how long a job that is over can be asked for; default 10m.
-	KeepOver  time.Duration
-	Scheduler JobsScheduler
+// JobsControlPlane is the settings of a core node that serves jobs: those of a cplane, and a section jobs.
+type JobsControlPlane struct {
+	ControlPlane
+	Control     string        // jobs.control: IP:PORT where workers and operators reach the node, needed
+	CallTimeout time.Duration // jobs.call_timeout: of an operator's call; default 3s
+	// KeepFinished, jobs.keep_over, is how long a job that is over can be asked for; default 10m.
+	KeepFinished time.Duration
+	Scheduler    JobsScheduler
 }
 
 // JobsScheduler is the part of the section jobs that the scheduler goes by.
 type JobsScheduler struct {
 	Lease        time.Duration // jobs.lease: of all that runs on a worker; default 5s
-	HoldWait     time.Duration // jobs.hold_wait: how long a worker may keep its answer back; default 1s, at most a third of lease
+	PollWait     time.Duration // jobs.hold_wait: how long a worker may keep its answer back; default 1s, at most a third of lease
 	Silence      time.Duration // jobs.silence: no starts on a worker unheard for so long; default 4s
 	LapseMargin  time.Duration // jobs.lapse_margin: within it a worker has killed all once its lease is over; default 600ms
 	EarlyStart   time.Duration // jobs.early_start: how much ahead of its time a round may start; default 0s
@@ -27,94 +27,96 @@
 	ForgetAfter  time.Duration // jobs.forget_after: a worker without runs, unheard for so long, is forgotten; default 15s
 }
 
-// JobsFront is the settings of a front node that serves jobs.
-type JobsFront struct {
+// JobsDataPlane is the settings of a front node that serves jobs.
+type JobsDataPlane struct {
 	Common
-	Core        []string      // core: addresses of core nodes; this or seeds is needed
-	CallTimeout time.Duration // call_timeout: of a client's call; default 3s
+	ControlPlanes []string      // core: addresses of core nodes; this or seeds is needed
+	CallTimeout   time.Duration // call_timeout: of a client's call; default 3s
 }
 
-// holdShare is how often a lease is renewed at least while it runs.
-const holdShare = 3
+// renewalsPerLease is how often a lease is renewed at least while it runs.
+const renewalsPerLease = 3
 
-// DefaultJobsCore has every default, and nothing that is needed.
-func DefaultJobsCore() JobsCore {
-	return JobsCore{Cplane: DefaultCplane(), Within: 3 * time.Second, KeepOver: 10 * time.Minute, Scheduler: JobsScheduler{
-		Lease: 5 * time.Second, HoldWait: time.Second, Silence: 4 * time.Second, LapseMargin: 600 * time.Millisecond,
+// DefaultJobsControlPlane has every default, and nothing that is needed.
+func DefaultJobsControlPlane() JobsControlPlane {
+	return JobsControlPlane{ControlPlane: DefaultControlPlane(), CallTimeout: 3 * time.Second, KeepFinished: 10 * time.Minute, Scheduler: JobsScheduler{
+		Lease: 5 * time.Second, PollWait: time.Second, Silence: 4 * time.Second, LapseMargin: 600 * time.Millisecond,
 		RemoteFactor: 1.5, ForgetAfter: 15 * time.Second}}
 }
 
-// DefaultJobsFront has every default, and nothing that is needed.
-func DefaultJobsFront() JobsFront {
-	return JobsFront{Common: defaultCommon(), CallTimeout: 3 * time.Second}
+// DefaultJobsDataPlane has every default, and nothing that is needed.
+func DefaultJobsDataPlane() JobsDataPlane {
+	return JobsDataPlane{Common: defaultCommon(), CallTimeout: 3 * time.Second}
 }
 
-// LoadJobsCore is LoadCplane for a core node that serves jobs.
-func LoadJobsCore(path string) (JobsCore, error) {
-	c := DefaultJobsCore()
+// LoadJobsControlPlane is LoadControlPlane for a core node that serves jobs.
+func LoadJobsControlPlane(path string) (JobsControlPlane, error) {
+	c := DefaultJobsControlPlane()
 	err := load(path, c.read)
 	return c, errs.Pass(err, "core node")
 }
 
-// LoadJobsFront is LoadCplane for a front node that serves jobs.
-func LoadJobsFront(path string) (JobsFront, error) {
-	f := DefaultJobsFront()
+// LoadJobsDataPlane is LoadControlPlane for a front node that serves jobs.
+func LoadJobsDataPlane(path string) (JobsDataPlane, error) {
+	f := DefaultJobsDataPlane()
 	err := load(path, f.read)
 	return f, errs.Pass(err, "front node")
 }
 
-// CheckJobsCore is CheckCplane for a core node that serves jobs.
-func CheckJobsCore(c JobsCore) error { return errs.Pass(checkSettings(c.read), "core node") }
+// CheckJobsControlPlane is CheckControlPlane for a core node that serves jobs.
+func CheckJobsControlPlane(c JobsControlPlane) error {
+	return errs.Pass(checkSettings(c.read), "core node")
+}
 
-// CheckJobsFront is CheckCplane for a front node that serves jobs.
-func CheckJobsFront(f JobsFront) error { return errs.Pass(checkSettings(f.read), "front node") }
+// CheckJobsDataPlane is CheckControlPlane for a front node that serves jobs.
+func CheckJobsDataPlane(f JobsDataPlane) error { return errs.Pass(checkSettings(f.read), "front node") }
 
-func (c *JobsCore) read(r *Reader) {
-	c.Cplane.read(r)
-	r.Need("jobs")
+func (c *JobsControlPlane) read(r *Reader) {
+	c.ControlPlane.read(r)
+	r.Require("jobs")
 	r.Object("jobs", c.readJobs)
 	if c.Control != "" && c.Control == c.Addr {
-		r.Wrong("jobs.control", "must differ from addr, both are %q", c.Addr)
+		r.Reject("jobs.control", "must differ from addr, both are %q", c.Addr)
 	}
 }
 
-func (c *JobsCore) readJobs(r *Reader) {
-	r.Need("control")
+func (c *JobsControlPlane) readJobs(r *Reader) {
+	r.Require("control")
 	r.Addr("control", &c.Control)
-	r.Duration("call_timeout", &c.Within, shortest, longest)
-	r.Duration("keep_over", &c.KeepOver, 0, oldest)
+	r.Duration("call_timeout", &c.CallTimeout, minDuration, maxDuration)
+	r.Duration("keep_over", &c.KeepFinished, 0, maxRetention)
 	c.Scheduler.read(r)
 }
 
 func (s *JobsScheduler) read(r *Reader) {
-	r.Duration("lease", &s.Lease, shortest, longest)
-	r.Duration("hold_wait", &s.HoldWait, shortest, longest)
-	r.Duration("silence", &s.Silence, shortest, longest)
-	r.Duration("lapse_margin", &s.LapseMargin, 0, longest)
-	r.Duration("early_start", &s.EarlyStart, 0, longest)
-	r.Float("remote_factor", &s.RemoteFactor, 1, largest)
-	r.Duration("forget_after", &s.ForgetAfter, shortest, longest)
-	if s.HoldWait > s.Lease/holdShare {
-		r.Wrong("hold_wait", "must be at most a third of lease (%s), is %s", s.Lease, s.HoldWait)
+	r.Duration("lease", &s.Lease, minDuration, maxDuration)
+	r.Duration("hold_wait", &s.PollWait, minDuration, maxDuration)
+	r.Duration("silence", &s.Silence, minDuration, maxDuration)
+	r.Duration("lapse_margin", &s.LapseMargin, 0, maxDuration)
+	r.Duration("early_start", &s.EarlyStart, 0, maxDuration)
+	r.Float("remote_factor", &s.RemoteFactor, 1, maxCount)
+	r.Duration("forget_after", &s.ForgetAfter, minDuration, maxDuration)
+	if s.PollWait > s.Lease/renewalsPerLease {
+		r.Reject("hold_wait", "must be at most a third of lease (%s), is %s", s.Lease, s.PollWait)
 	}
 	if s.ForgetAfter <= s.Lease+s.LapseMargin {
-		r.Wrong("forget_after", "must be over lease and lapse_margin (%s), is %s", s.Lease+s.LapseMargin, s.ForgetAfter)
+		r.Reject("forget_after", "must be over lease and lapse_margin (%s), is %s", s.Lease+s.LapseMargin, s.ForgetAfter)
 	}
 }
 
-func (f *JobsFront) read(r *Reader) {
+func (f *JobsDataPlane) read(r *Reader) {
 	f.Common.read(r)
-	r.Strings("core", &f.Core, Address)
-	if len(f.Core)+len(f.Seeds) == 0 {
-		r.Wrong("core", "must be given when there are no seeds")
+	r.Strings("core", &f.ControlPlanes, Address)
+	if len(f.ControlPlanes)+len(f.Seeds) == 0 {
+		r.Reject("core", "must be given when there are no seeds")
 	}
-	r.Duration("call_timeout", &f.CallTimeout, shortest, longest)
+	r.Duration("call_timeout", &f.CallTimeout, minDuration, maxDuration)
 }
 
-// CoreAddresses are the addresses of core nodes to ask at first.
-func (f JobsFront) CoreAddresses() []string {
-	if len(f.Core) > 0 {
-		return f.Core
+// ControlPlaneAddresses are the addresses of core nodes to ask at first.
+func (f JobsDataPlane) ControlPlaneAddresses() []string {
+	if len(f.ControlPlanes) > 0 {
+		return f.ControlPlanes
 	}
 	return f.Seeds
 }
--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -18,33 +18,33 @@
 	return path
 }
 
-// mistakenFields gives the fields of all mistakes in err.
-func mistakenFields(err error) string {
-	var mistakes Mistakes
-	if !errors.As(err, &mistakes) {
+// invalidFields gives the fields of all mistakes in err.
+func invalidFields(err error) string {
+	var invalid ValidationErrors
+	if !errors.As(err, &invalid) {
 		return ""
 	}
 	var fields []string
-	for _, one := range mistakes {
+	for _, one := range invalid {
 		fields = append(fields, one.Field)
 	}
 	return strings.Join(fields, " ")
 }
 
-func jobsCore(section string) string {
+func jobsControlPlaneJSON(section string) string {
 	return `{"name":"c1","zone":"z","region":"r","addr":"127.0.0.1:7101","seeds":["127.0.0.1:7102"],"data":"d",
 		"members":[{"id":"c1","addr":"127.0.0.1:7101","zone":"z"}]` + section + `}`
 }
 
-func TestJobsCore(t *testing.T) {
+func TestJobsControlPlane(t *testing.T) {
 	Convey("A core node's settings are a cplane's and the section jobs", t, func() {
-		set, err := LoadJobsCore(writeSettings(t, jobsCore(`,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`)))
+		set, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(`,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`)))
 		So(err, ShouldBeNil)
-		So([]any{set.Name, set.Election, set.Control, set.Scheduler.Lease, set.Scheduler.HoldWait, set.Scheduler.RemoteFactor, set.KeepOver}, ShouldResemble,
+		So([]any{set.Name, set.Election, set.Control, set.Scheduler.Lease, set.Scheduler.PollWait, set.Scheduler.RemoteFactor, set.KeepFinished}, ShouldResemble,
 			[]any{"c1", 2 * time.Second, "127.0.0.1:7201", 6 * time.Second, time.Second, 2.0, 10 * time.Minute})
-		So(CheckJobsCore(set), ShouldBeNil)
+		So(CheckJobsControlPlane(set), ShouldBeNil)
 		set.Control = set.Addr
-		So(mistakenFields(CheckJobsCore(set)), ShouldEqual, "jobs.control")
+		So(invalidFields(CheckJobsControlPlane(set)), ShouldEqual, "jobs.control")
 	})
 	Convey("Every mistake is told with its field, all at once", t, func() {
 		for section, fields := range map[string]string{
@@ -59,28 +59,28 @@
 			`,"jobs":{"control":"127.0.0.1:7201","keep_over":"-1s","call_timeout":"0s","early_start":"x"}`: "jobs.call_timeout jobs.keep_over jobs.early_start",
 			`,"lease":"9s","jobs":{"control":"127.0.0.1:7201","lapse_margin":"2h"}`:                        "lease jobs.lapse_margin",
 		} {
-			_, err := LoadJobsCore(writeSettings(t, jobsCore(section)))
-			So(section+" "+mistakenFields(err), ShouldEqual, section+" "+fields)
+			_, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(section)))
+			So(section+" "+invalidFields(err), ShouldEqual, section+" "+fields)
 		}
 	})
 }
 
-func TestJobsFront(t *testing.T) {
+func TestJobsDataPlane(t *testing.T) {
 	Convey("A front node's settings", t, func() {
 		const needed = `"name":"d1","zone":"z","region":"r","addr":"127.0.0.1:7001"`
-		set, err := LoadJobsFront(writeSettings(t, `{`+needed+`,"core":["127.0.0.1:7101"],"call_timeout":"5s"}`))
+		set, err := LoadJobsDataPlane(writeSettings(t, `{`+needed+`,"core":["127.0.0.1:7101"],"call_timeout":"5s"}`))
 		So(err, ShouldBeNil)
-		So([]any{set.CoreAddresses(), set.CallTimeout}, ShouldResemble, []any{[]string{"127.0.0.1:7101"}, 5 * time.Second})
-		So(CheckJobsFront(set), ShouldBeNil)
-		set, err = LoadJobsFront(writeSettings(t, `{`+needed+`,"seeds":["127.0.0.1:7102"]}`))
-		So([]any{set.CoreAddresses(), err}, ShouldResemble, []any{[]string{"127.0.0.1:7102"}, nil})
+		So([]any{set.ControlPlaneAddresses(), set.CallTimeout}, ShouldResemble, []any{[]string{"127.0.0.1:7101"}, 5 * time.Second})
+		So(CheckJobsDataPlane(set), ShouldBeNil)
+		set, err = LoadJobsDataPlane(writeSettings(t, `{`+needed+`,"seeds":["127.0.0.1:7102"]}`))
+		So([]any{set.ControlPlaneAddresses(), err}, ShouldResemble, []any{[]string{"127.0.0.1:7102"}, nil})
 		for text, fields := range map[string]string{
 			`{` + needed + `}`:                                        "core",
 			`{"core":["127.0.0.1:7101"]}`:                             "name zone region addr",
 			`{` + needed + `,"core":["x"],"call_timeout":1,"hold":1}`: "core[0] core call_timeout hold",
 		} {
-			_, err := LoadJobsFront(writeSettings(t, text))
-			So(text+" "+mistakenFields(err), ShouldEqual, text+" "+fields)
+			_, err := LoadJobsDataPlane(writeSettings(t, text))
+			So(text+" "+invalidFields(err), ShouldEqual, text+" "+fields)
 		}
 	})
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -16,14 +16,14 @@
 	"crosstide/internal/errs"
 )
 
-// Mistake is one thing that is wrong in a settings file. Field is its path, such as members[2].addr.
-type Mistake struct{ Field, Message string }
+// ValidationError is one thing that is wrong in a settings file. Field is its path, such as members[2].addr.
+type ValidationError struct{ Field, Message string }
 
-// Mistakes is all that is wrong in one file, in the order in which it was found.
-type Mistakes []Mistake
+// ValidationErrors is all that is wrong in one file, in the order in which it was found.
+type ValidationErrors []ValidationError
 
 // Error returns one line per mistake, "field: message".
-func (m Mistakes) Error() string {
+func (m ValidationErrors) Error() string {
 	lines := make([]string, len(m))
 	for i, one := range m {
 		lines[i] = strings.TrimPrefix(one.Field+": "+one.Message, ": ")
@@ -34,8 +34,8 @@
 // Rule checks a value and returns what it must be, or "" when it is valid.
 type Rule func(value string) string
 
-// Filled refuses the empty string.
-func Filled(value string) string {
+// NotEmpty refuses the empty string.
+func NotEmpty(value string) string {
 	if value == "" {
 		return "must not be empty"
 	}
@@ -75,15 +75,15 @@
 //
 // A reader without an object checks the targets themselves by the same rules, see check.
 type Reader struct {
-	path     string
-	obj      *fastjson.Object
-	seen     map[string]bool
-	mistakes *Mistakes
+	path    string
+	obj     *fastjson.Object
+	seen    map[string]bool
+	invalid *ValidationErrors
 }
 
 // checkTargets runs into on a reader that judges the values already in the targets.
-func checkTargets(out *Mistakes, into func(r *Reader)) {
-	into(&Reader{mistakes: out, seen: map[string]bool{}})
+func checkTargets(out *ValidationErrors, into func(r *Reader)) {
+	into(&Reader{invalid: out, seen: map[string]bool{}})
 }
 
 func (r *Reader) checking() bool { return r.obj == nil }
@@ -99,35 +99,35 @@
 	var parser fastjson.Parser // its values live as long as it does
 	v, err := parser.ParseBytes(data)
 	if err != nil {
-		return errs.Wrap(Mistakes{{"", "must be JSON: " + err.Error()}}, errs.Settings, "1 mistake in the settings")
+		return errs.Wrap(ValidationErrors{{"", "must be JSON: " + err.Error()}}, errs.Settings, "1 mistake in the settings")
 	}
-	var out Mistakes
+	var out ValidationErrors
 	readObject("", v, &out, into)
 	return errs.Wrap(out.orNil(), errs.Settings, "%s in the settings", out.count())
 }
 
 // orNil is m as an error, nil if there are none.
-func (m Mistakes) orNil() error {
+func (m ValidationErrors) orNil() error {
 	if len(m) == 0 {
 		return nil
 	}
 	return m
 }
 
-func (m Mistakes) count() string {
+func (m ValidationErrors) count() string {
 	if len(m) == 1 {
 		return "1 mistake"
 	}
 	return fmt.Sprintf("%d mistakes", len(m))
 }
 
-func readObject(path string, v *fastjson.Value, out *Mistakes, into func(r *Reader)) {
+func readObject(path string, v *fastjson.Value, out *ValidationErrors, into func(r *Reader)) {
 	obj, err := v.Object()
 	if err != nil {
-		*out = append(*out, Mistake{path, "must be an object, is " + text(v)})
+		*out = append(*out, ValidationError{path, "must be an object, is " + text(v)})
 		return
 	}
-	r := &Reader{path: path, obj: obj, seen: map[string]bool{}, mistakes: out}
+	r := &Reader{path: path, obj: obj, seen: map[string]bool{}, invalid: out}
 	into(r)
 	times := map[string]int{}
 	obj.Visit(func(key []byte, _ *fastjson.Value) {
@@ -135,9 +135,9 @@
 		times[name]++
 		switch {
 		case times[name] == 2:
-			r.Wrong(name, "is given more than once")
+			r.Reject(name, "is given more than once")
 		case times[name] == 1 && !r.seen[name]:
-			r.Wrong(name, "is not a known field")
+			r.Reject(name, "is not a known field")
 		}
 	})
 }
@@ -151,14 +151,14 @@
 	return s
 }
 
-// Wrong collects a mistake at field of this object; field "" is the object itself. Only the first mistake of a
+// Reject collects a mistake at field of this object; field "" is the object itself. Only the first mistake of a
 // field is reported.
-func (r *Reader) Wrong(field, format string, args ...any) {
+func (r *Reader) Reject(field, format string, args ...any) {
 	path := r.join(field)
-	if slices.ContainsFunc(*r.mistakes, func(m Mistake) bool { return m.Field == path }) {
+	if slices.ContainsFunc(*r.invalid, func(m ValidationError) bool { return m.Field == path }) {
 		return
 	}
-	*r.mistakes = append(*r.mistakes, Mistake{path, fmt.Sprintf(format, args...)})
+	*r.invalid = append(*r.invalid, ValidationError{path, fmt.Sprintf(format, args...)})
 }
 
 func (r *Reader) join(field string) string {
@@ -192,15 +192,15 @@
 // Renamed makes a field under its former name a mistake whose text gives the name it has now.
 func (r *Reader) Renamed(old, now string) {
 	if r.Has(old) {
-		r.Wrong(old, "is now named %s", now)
+		r.Reject(old, "is now named %s", now)
 	}
 }
 
-// Need makes the absence of fields a mistake.
-func (r *Reader) Need(fields ...string) {
+// Require makes the absence of fields a mistake.
+func (r *Reader) Require(fields ...string) {
 	for _, field := range fields {
 		if r.get(field) == nil && !r.checking() {
-			r.Wrong(field, "must be given")
+			r.Reject(field, "must be given")
 		}
 	}
 }
@@ -217,7 +217,7 @@
 func (r *Reader) readString(field string, v *fastjson.Value, to *string, rules []Rule) {
 	b, err := v.StringBytes()
 	if err != nil {
-		r.Wrong(field, "must be a string, is %s", text(v))
+		r.Reject(field, "must be a string, is %s", text(v))
 		return
 	}
 	if r.checkRules(field, string(b), rules) {
@@ -228,7 +228,7 @@
 func (r *Reader) checkRules(field, value string, rules []Rule) bool {
 	for _, rule := range rules {
 		if wrong := rule(value); wrong != "" {
-			r.Wrong(field, "%s", wrong)
+			r.Reject(field, "%s", wrong)
 			return false
 		}
 	}
@@ -247,14 +247,14 @@
 			d, err = time.ParseDuration(string(b))
 		}
 		if err != nil {
-			r.Wrong(field, "must be a duration like \"3s\", is %s", text(v))
+			r.Reject(field, "must be a duration like \"3s\", is %s", text(v))
 			return
 		}
 	} else if !r.checking() {
 		return
 	}
 	if d < least || d > most {
-		r.Wrong(field, "must be from %s to %s, is %s", least, most, d)
+		r.Reject(field, "must be from %s to %s, is %s", least, most, d)
 		return
 	}
 	*to = d
@@ -266,14 +266,14 @@
 	if v := r.get(field); v != nil {
 		var err error
 		if n, err = v.Int(); err != nil {
-			r.Wrong(field, "must be a whole number, is %s", text(v))
+			r.Reject(field, "must be a whole number, is %s", text(v))
 			return
 		}
 	} else if !r.checking() {
 		return
 	}
 	if n < least || n > most {
-		r.Wrong(field, "must be from %d to %d, is %d", least, most, n)
+		r.Reject(field, "must be from %d to %d, is %d", least, most, n)
 		return
 	}
 	*to = n
@@ -287,7 +287,7 @@
 	}
 	b, err := v.Bool()
 	if err != nil {
-		r.Wrong(field, "must be true or false, is %s", text(v))
+		r.Reject(field, "must be true or false, is %s", text(v))
 		return
 	}
 	*to = b
@@ -301,24 +301,24 @@
 		}
 		return
 	}
-	had := len(*r.mistakes)
+	had := len(*r.invalid)
 	var list []string
 	there := r.readItems(field, func(at string, v *fastjson.Value) {
 		var one string
 		r.readString(at, v, &one, rules)
 		list = append(list, one)
 	})
-	if there && len(*r.mistakes) == had {
+	if there && len(*r.invalid) == had {
 		*to = list
 	}
 }
 
 // Map reads an object of strings; every rule must allow its keys and values.
 func (r *Reader) Map(field string, to *map[string]string, rules ...Rule) {
-	out, had := *to, len(*r.mistakes)
+	out, had := *to, len(*r.invalid)
 	if v := r.get(field); v != nil {
 		out = map[string]string{}
-		readObject(r.join(field), v, r.mistakes, func(r *Reader) {
+		readObject(r.join(field), v, r.invalid, func(r *Reader) {
 			r.obj.Visit(func(key []byte, v *fastjson.Value) {
 				var one string
 				r.seen[string(key)] = true
@@ -332,7 +332,7 @@
 			r.checkRules(field+"."+key, out[key], rules)
 		}
 	}
-	if len(*r.mistakes) == had {
+	if len(*r.invalid) == had {
 		*to = out
 	}
 }
@@ -340,9 +340,9 @@
 // Object reads a nested object.
 func (r *Reader) Object(field string, into func(r *Reader)) {
 	if v := r.get(field); v != nil {
-		readObject(r.join(field), v, r.mistakes, into)
+		readObject(r.join(field), v, r.invalid, into)
 	} else if r.checking() {
-		into(&Reader{path: r.join(field), mistakes: r.mistakes, seen: map[string]bool{}})
+		into(&Reader{path: r.join(field), invalid: r.invalid, seen: map[string]bool{}})
 	}
 }
 
@@ -350,7 +350,7 @@
 func List[T any](r *Reader, field string, to *[]T, into func(r *Reader, one *T)) {
 	if r.checking() {
 		for i := range *to {
-			into(&Reader{path: r.join(itemPath(field, i)), mistakes: r.mistakes, seen: map[string]bool{}}, &(*to)[i])
+			into(&Reader{path: r.join(itemPath(field, i)), invalid: r.invalid, seen: map[string]bool{}}, &(*to)[i])
 		}
 		return
 	}
@@ -369,7 +369,7 @@
 func (r *Reader) Each(field string, into func(i int, r *Reader)) {
 	i := 0
 	r.readItems(field, func(at string, v *fastjson.Value) {
-		readObject(r.join(at), v, r.mistakes, func(r *Reader) { into(i, r) })
+		readObject(r.join(at), v, r.invalid, func(r *Reader) { into(i, r) })
 		i++
 	})
 }
@@ -381,7 +381,7 @@
 	}
 	list, err := v.Array()
 	if err != nil {
-		r.Wrong(field, "must be an array, is %s", text(v))
+		r.Reject(field, "must be an array, is %s", text(v))
 		return false
 	}
 	for i, one := range list {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -12,14 +12,14 @@
 	if v := r.get(field); v != nil {
 		var err error
 		if x, err = v.Float64(); err != nil {
-			r.Wrong(field, "must be a number, is %s", text(v))
+			r.Reject(field, "must be a number, is %s", text(v))
 			return
 		}
 	} else if !r.checking() {
 		return
 	}
 	if math.IsNaN(x) || x < least || x > most {
-		r.Wrong(field, "must be from %g to %g, is %g", least, most, x)
+		r.Reject(field, "must be from %g to %g, is %g", least, most, x)
 		return
 	}
 	*to = x
@@ -39,7 +39,7 @@
 			return
 		}
 	}
-	r.Wrong(field, "must be a time like \"2026-12-02T08:00:00Z\", is %s", text(v))
+	r.Reject(field, "must be a time like \"2026-12-02T08:00:00Z\", is %s", text(v))
 }
 
 // Ints reads an array of whole numbers from least to most; a mistake in one leaves the target as it is.
@@ -50,16 +50,16 @@
 	}
 	list, err := v.Array()
 	if err != nil {
-		r.Wrong(field, "must be an array, is %s", text(v))
+		r.Reject(field, "must be an array, is %s", text(v))
 		return
 	}
 	out, well := make([]int, 0, len(list)), true
 	for i, one := range list {
 		n, err := one.Int()
 		if err != nil {
-			r.Wrong(fmt.Sprintf("%s[%d]", field, i), "must be a whole number, is %s", text(one))
+			r.Reject(fmt.Sprintf("%s[%d]", field, i), "must be a whole number, is %s", text(one))
 		} else if n < least || n > most {
-			r.Wrong(fmt.Sprintf("%s[%d]", field, i), "must be from %d to %d, is %d", least, most, n)
+			r.Reject(fmt.Sprintf("%s[%d]", field, i), "must be from %d to %d, is %d", least, most, n)
 		}
 		well = well && err == nil && n >= least && n <= most
 		out = append(out, n)
--- a/internal/config/values_test.go
+++ b/internal/config/values_test.go
@@ -29,10 +29,10 @@
 				r.Time("at", &at)
 				r.Ints("list", &list, 0, 9)
 			})
-			var mistakes Mistakes
+			var invalid ValidationErrors
 			field := ""
-			if errors.As(err, &mistakes) {
-				field = mistakes[0].Field
+			if errors.As(err, &invalid) {
+				field = invalid[0].Field
 			}
 			So(c.text+" "+field, ShouldEqual, c.text+" "+c.field)
 			if c.field != "" {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,9 +28,9 @@
 //
 //	l := daemon.Part(daemon.Logger("info", os.Stderr), "store")
 //	_ = level.Info(l).Log("msg", "begin")
-func Logger(least string, w io.Writer) log.Logger {
+func Logger(minLevel string, w io.Writer) log.Logger {
 	l := log.NewLogfmtLogger(log.NewSyncWriter(w))
-	l = level.NewFilter(l, level.Allow(level.ParseDefault(least, level.InfoValue())))
+	l = level.NewFilter(l, level.Allow(level.ParseDefault(minLevel, level.InfoValue())))
 	return log.With(l, "ts", log.DefaultTimestampUTC)
 }
 
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -16,18 +16,18 @@
 	"crosstide/internal/rpc"
 )
 
-// shuffleWithin bounds one shuffle, and the announcement that a daemon leaves.
-const shuffleWithin = time.Second
+// shuffleTimeout bounds one shuffle, and the announcement that a daemon leaves.
+const shuffleTimeout = time.Second
 
 // NewMembership makes a daemon's membership node; the caller starts it, serves its shuffles and stops it. cplanes may
 // be nil, see membership.Options.
 func NewMembership(set config.Common, role string, seeds []string, k *rpc.Client, logger log.Logger, reg prometheus.Registerer,
-	cplanes func([]string)) *membership.Node {
+	controlPlanes func([]string)) *membership.Node {
 	return membership.NewNode(membership.Options{
 		Self:  membership.Member{Name: set.Name, Addr: set.Addr, Zone: set.Zone, Role: role},
-		Seeds: seeds, RandomSeed: rand.Uint64(), Clock: clock.Real{}, Logger: Part(logger, "membership"), Registry: reg, OnControlPlanes: cplanes,
+		Seeds: seeds, RandomSeed: rand.Uint64(), Clock: clock.Real{}, Logger: Part(logger, "membership"), Registry: reg, OnControlPlanes: controlPlanes,
 		Send: func(ctx context.Context, addr string, m membership.Message) (membership.Message, error) {
-			a, err := rpc.Call(ctx, k, addr, internalapi.Shuffle, m, shuffleWithin)
+			a, err := rpc.Call(ctx, k, addr, internalapi.Shuffle, m, shuffleTimeout)
 			return a, errs.Pass(err, "shuffle")
 		},
 	})
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -3,9 +3,9 @@
 import "runtime/debug"
 
 const (
-	memoryShare     = 60 // percent of the process's memory for the heap; the rest is stacks, kernel buffers, C library
-	garbagePercent  = 50 // the heap grows by so much between collections
-	leastHeapMemory = 16 << 20
+	memoryShare    = 60 // percent of the process's memory for the heap; the rest is stacks, kernel buffers, C library
+	garbagePercent = 50 // the heap grows by so much between collections
+	minHeapBytes   = 16 << 20
 )
 
 // LimitMemory keeps the heap well inside the memory that the process may use, in bytes; 0 leaves all as it is.
@@ -14,5 +14,5 @@
 		return
 	}
 	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(max(bytes/100*memoryShare, leastHeapMemory))
+	debug.SetMemoryLimit(max(bytes/100*memoryShare, minHeapBytes))
 }
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -19,9 +19,9 @@
 	Load    func(path string) (S, error) // reads and checks a file
 	Check   func(S) error                // checks settings that flags have changed
 	Common  func(*S) *config.Common
-	// Words are the flags of run beside the common ones that are put over a setting, by name.
-	Words map[string]func(*S) *string
-	Flags []cli.Flag // those of Words
+	// StringFlags are the flags of run beside the common ones that are put over a setting, by name.
+	StringFlags map[string]func(*S) *string
+	Flags       []cli.Flag // those of Words
 	// Serve runs the daemon until ctx ends, then drains it.
 	Serve func(ctx context.Context, set S, profiles bool, logger log.Logger) error
 }
@@ -62,7 +62,7 @@
 	}
 	common := p.Common(&set)
 	words := map[string]*string{"addr": &common.Addr, "zone": &common.Zone, "log-level": &common.LogLevel}
-	for name, word := range p.Words {
+	for name, word := range p.StringFlags {
 		words[name] = word(&set)
 	}
 	for name, to := range words {
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -63,7 +63,7 @@
 
 	Version string
 	Start   func()                      // starts the daemon's parts once the server listens
-	Leave   func(leave context.Context) // announces the end to other nodes, within Grace
+	Drain   func(leave context.Context) // announces the end to other nodes, within Grace
 	Stop    func()                      // ends the daemon's parts after the server
 }
 
@@ -77,7 +77,7 @@
 	<-ctx.Done()
 	leave, over := context.WithTimeout(context.Background(), l.Grace)
 	defer over()
-	l.Leave(leave)
+	l.Drain(leave)
 	err := l.Server.Stop(l.Grace)
 	l.Stop()
 	if err != nil {
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -17,12 +17,12 @@
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		ctx, cancel := context.WithCancel(context.Background())
 		var steps []string
-		life := Lifecycle{Server: server, Logger: log.NewNopLogger(), Grace: time.Second,
+		lifecycle := Lifecycle{Server: server, Logger: log.NewNopLogger(), Grace: time.Second,
 			Start: func() {
 				steps = append(steps, "start at "+server.Addr())
 				cancel()
 			},
-			Leave: func(leave context.Context) {
+			Drain: func(leave context.Context) {
 				_, bounded := leave.Deadline()
 				So(bounded, ShouldBeTrue)
 				So(leave.Err(), ShouldBeNil)
@@ -30,7 +30,7 @@
 			},
 			Stop: func() { steps = append(steps, "stop") },
 		}
-		So(life.Run(ctx), ShouldBeNil)
+		So(lifecycle.Run(ctx), ShouldBeNil)
 		So(steps, ShouldResemble, []string{"start at " + server.Addr(), "leave", "stop"})
 	})
 	Convey("A server that cannot listen is a failure, and no part is started", t, func() {
@@ -38,9 +38,9 @@
 		So(taken.Start(), ShouldBeNil)
 		defer func() { So(taken.Stop(0), ShouldBeNil) }()
 		called := func() { t.Error("called") }
-		life := Lifecycle{Server: rpc.NewServer(rpc.ServerOptions{Addr: taken.Addr()}), Logger: log.NewNopLogger(),
-			Start: called, Leave: func(context.Context) { called() }, Stop: called}
-		So(errs.Is(life.Run(context.Background()), errs.Settings), ShouldBeTrue)
+		lifecycle := Lifecycle{Server: rpc.NewServer(rpc.ServerOptions{Addr: taken.Addr()}), Logger: log.NewNopLogger(),
+			Start: called, Drain: func(context.Context) { called() }, Stop: called}
+		So(errs.Is(lifecycle.Run(context.Background()), errs.Settings), ShouldBeTrue)
 	})
 }
 
--- a/internal/dataplane/confirm.go
+++ b/internal/dataplane/confirm.go
@@ -11,37 +11,37 @@
 	"crosstide/internal/internalapi"
 )
 
-// confirmer asks the leader for a fresh index on behalf of all reads that wait, one call at a time: a read joins
+// readIndexer asks the leader for a fresh index on behalf of all reads that wait, one call at a time: a read joins
 // the next call that begins after it.
-type confirmer struct {
-	node *Node
-	mu   sync.Mutex
-	next *round
-	work chan struct{}
+type readIndexer struct {
+	node    *Node
+	mu      sync.Mutex
+	next    *readIndexCall
+	wakeups chan struct{}
 }
 
-// round is one call that reads wait for.
-type round struct {
+// readIndexCall is one call that reads wait for.
+type readIndexCall struct {
 	done  chan struct{}
 	index uint64
 	err   error
 }
 
-func (c *confirmer) join() *round {
+func (c *readIndexer) join() *readIndexCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next == nil {
-		c.next = &round{done: make(chan struct{})}
+		c.next = &readIndexCall{done: make(chan struct{})}
 	}
 	select {
-	case c.work <- struct{}{}:
+	case c.wakeups <- struct{}{}:
 	default:
 	}
 	return c.next
 }
 
-// index returns an index that every commit answered before the call is at or below.
-func (c *confirmer) index(ctx context.Context) (uint64, error) {
+// readIndex returns an index that every commit answered before the call is at or below.
+func (c *readIndexer) readIndex(ctx context.Context) (uint64, error) {
 	r := c.join()
 	select {
 	case <-r.done:
@@ -52,11 +52,11 @@
 }
 
 // run makes the calls; without reads it makes one a second, for readiness.
-func (c *confirmer) run(ctx context.Context) {
+func (c *readIndexer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		idle := c.node.opt.Clock.Set(time.Second, func() { c.join() })
 		select {
-		case <-c.work:
+		case <-c.wakeups:
 		case <-ctx.Done():
 		}
 		idle.Stop()
@@ -71,11 +71,11 @@
 }
 
 // ask makes the call of a round. Reads go on as soon as the index is known; readiness wants it reached too.
-func (c *confirmer) ask(ctx context.Context, r *round) {
+func (c *readIndexer) ask(ctx context.Context, r *readIndexCall) {
 	n := c.node
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	a, err := toLeader(ctx, n.core, n, internalapi.Confirm, internalapi.ConfirmCall{}, n.opt.CallTimeout/2, true)
+	a, err := askLeader(ctx, n.controlPlane, n, internalapi.ReadIndex, internalapi.ReadIndexCall{}, n.opt.CallTimeout/2, true)
 	r.index, r.err = a.Index, err
 	close(r.done)
 	if err == nil {
@@ -86,6 +86,6 @@
 		return
 	}
 	n.mu.Lock()
-	n.confirmed = n.opt.Clock.Now()
+	n.confirmedAt = n.opt.Clock.Now()
 	n.mu.Unlock()
 }
--- a/internal/dataplane/confirm_test.go
+++ b/internal/dataplane/confirm_test.go
@@ -17,20 +17,20 @@
 	"crosstide/internal/state"
 )
 
-func TestConfirm(t *testing.T) {
+func TestReadIndex(t *testing.T) {
 	Convey("many reads at once are all confirmed, by few calls, and the loop never stands still", t, func() {
 		var calls atomic.Int64
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		rpc.Handle(srv, internalapi.Confirm, func(context.Context, internalapi.ConfirmCall) (internalapi.ConfirmAnswer, error) {
+		rpc.Handle(srv, internalapi.ReadIndex, func(context.Context, internalapi.ReadIndexCall) (internalapi.ReadIndexAnswer, error) {
 			calls.Add(1)
-			return internalapi.ConfirmAnswer{}, nil
+			return internalapi.ReadIndexAnswer{}, nil
 		})
 		So(srv.Start(), ShouldBeNil)
 		caller := rpc.NewClient(rpc.ClientOptions{})
-		n := New(Options{Name: "d", Core: []string{srv.Addr()}, Sched: scheduler.Defaults(), CallTimeout: 20 * time.Second,
-			Clock: clock.Real{}, Logger: log.NewNopLogger(), Caller: caller, Minions: caller})
+		n := New(Options{Name: "d", ControlPlanes: []string{srv.Addr()}, Scheduler: scheduler.DefaultConfig(), CallTimeout: 20 * time.Second,
+			Clock: clock.Real{}, Logger: log.NewNopLogger(), Caller: caller, WorkerCaller: caller})
 		loop := routine.New(context.Background())
-		loop.Go(n.confirmer.run)
+		loop.Go(n.readIndexer.run)
 		var good atomic.Int64
 		const reads = 4000
 		routine.Each(reads, 32, func(int) {
--- a/internal/dataplane/core.go
+++ b/internal/dataplane/core.go
@@ -12,20 +12,20 @@
 	"crosstide/internal/state/command"
 )
 
-// coreClient calls the cplanes: it knows their addresses, the last leader, and the one that the replica follows.
-type coreClient struct {
-	caller *rpc.Client
-	within time.Duration
+// controlPlaneClient calls the cplanes: it knows their addresses, the last leader, and the one that the replica follows.
+type controlPlaneClient struct {
+	caller  *rpc.Client
+	timeout time.Duration
 
-	mu     sync.Mutex
-	addrs  []string
-	leader string
-	next   int
-	source string
+	mu           sync.Mutex
+	addrs        []string
+	leader       string
+	next         int
+	followedAddr string
 }
 
 // setAddresses replaces the addresses; an empty list leaves them as they are.
-func (c *coreClient) setAddresses(addrs []string) {
+func (c *controlPlaneClient) setAddresses(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(addrs) > 0 {
@@ -33,7 +33,7 @@
 	}
 }
 
-func (c *coreClient) lead() string {
+func (c *controlPlaneClient) leaderAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == "" {
@@ -43,8 +43,8 @@
 	return c.leader
 }
 
-// learn takes the hint of a failure, or forgets the leader that did not answer.
-func (c *coreClient) learn(asked string, err error) {
+// learnLeader takes the hint of a failure, or forgets the leader that did not answer.
+func (c *controlPlaneClient) learnLeader(asked string, err error) {
 	f := errs.Of(err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,73 +58,73 @@
 	}
 }
 
-// elsewhere reports whether a call that ended in err may be tried at another cplane: it surely did nothing, or it may
+// mayRetryElsewhere reports whether a call that ended in err may be tried at another cplane: it surely did nothing, or it may
 // be repeated.
-func elsewhere(err error, again bool) bool {
+func mayRetryElsewhere(err error, idempotent bool) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
 		return true
 	case errs.Unavailable, errs.Stopped, errs.Timeout:
-		return again || rpc.IsUnsent(err)
+		return idempotent || rpc.IsUnsent(err)
 	}
 	return false
 }
 
-// toLeader asks the leader, wherever it is, until ctx ends. again: the call may be repeated.
-func toLeader[C, A any](ctx context.Context, c *coreClient, n *Node, p rpc.Endpoint[C, A], call C, within time.Duration, again bool) (A, error) {
-	for try := 0; ; try++ {
-		addr := c.lead()
-		a, err := rpc.Call(ctx, c.caller, addr, p, call, within)
-		c.learn(addr, err)
+// askLeader asks the leader, wherever it is, until ctx ends. again: the call may be repeated.
+func askLeader[C, A any](ctx context.Context, c *controlPlaneClient, n *Node, p rpc.Endpoint[C, A], call C, timeout time.Duration, idempotent bool) (A, error) {
+	for attempt := 0; ; attempt++ {
+		addr := c.leaderAddr()
+		a, err := rpc.Call(ctx, c.caller, addr, p, call, timeout)
+		c.learnLeader(addr, err)
 		if err == nil {
 			return a, nil
 		}
-		if ctx.Err() != nil || !elsewhere(err, again) {
+		if ctx.Err() != nil || !mayRetryElsewhere(err, idempotent) {
 			return a, errs.Pass(err, "ask the leader")
 		}
-		if try > 0 {
-			if werr := n.pause(ctx, min(200*time.Millisecond, time.Duration(try)*10*time.Millisecond)); werr != nil {
+		if attempt > 0 {
+			if werr := n.pause(ctx, min(200*time.Millisecond, time.Duration(attempt)*10*time.Millisecond)); werr != nil {
 				return a, errs.Wrap(err, errs.Unavailable, "no leader of the store found in time")
 			}
 		}
 	}
 }
 
-func (c *coreClient) propose(ctx context.Context, n *Node, cmd command.Command, again bool) (internalapi.ProposeAnswer, error) {
+func (c *controlPlaneClient) propose(ctx context.Context, n *Node, cmd command.Command, idempotent bool) (internalapi.ProposeAnswer, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "encode %s", cmd.Op())
 	}
-	a, err := toLeader(ctx, c, n, internalapi.Propose, internalapi.ProposeCall{Op: cmd.Op(), Body: body}, c.within, again)
+	a, err := askLeader(ctx, c, n, internalapi.Propose, internalapi.ProposeCall{Op: cmd.Op(), Body: body}, c.timeout, idempotent)
 	return a, errs.Pass(err, "propose %s", cmd.Op())
 }
 
 // Follow asks the cplane it asked last, and another one after a failure.
-func (c *coreClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
+func (c *controlPlaneClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	c.mu.Lock()
-	if c.source == "" {
+	if c.followedAddr == "" {
 		c.next++
-		c.source = c.addrs[c.next%len(c.addrs)]
+		c.followedAddr = c.addrs[c.next%len(c.addrs)]
 	}
-	addr := c.source
+	addr := c.followedAddr
 	c.mu.Unlock()
-	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.within)
+	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.timeout)
 	if err != nil {
 		c.mu.Lock()
-		c.source = ""
+		c.followedAddr = ""
 		c.mu.Unlock()
 	}
 	return a, errs.Pass(err, "follow %s", addr)
 }
 
 // Chunk asks the cplane that is followed.
-func (c *coreClient) Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
+func (c *controlPlaneClient) Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.mu.Lock()
-	addr := c.source
+	addr := c.followedAddr
 	c.mu.Unlock()
 	if addr == "" {
 		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "no cplane is followed")
 	}
-	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, 5*c.within)
+	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, 5*c.timeout)
 	return a, errs.Pass(err, "chunk from %s", addr)
 }
--- a/internal/dataplane/golden_test.go
+++ b/internal/dataplane/golden_test.go
@@ -15,5 +15,5 @@
 
 // TestGoldenMetrics pins names, help texts and labels of metrics.
 func TestGoldenMetrics(t *testing.T) {
-	golden.Compare(t, "metrics", golden.Metrics("front node", NewMeter(nil)))
+	golden.Compare(t, "metrics", golden.Metrics("front node", NewCollector(nil)))
 }
--- a/internal/dataplane/meter.go
+++ b/internal/dataplane/meter.go
@@ -6,15 +6,15 @@
 	"crosstide/internal/dataplane/scheduler"
 )
 
-// Meter shows a node's Figures to Prometheus.
-type Meter struct {
+// Collector shows a node's Figures to Prometheus.
+type Collector struct {
 	node *Node
 	desc map[string]*prometheus.Desc
 }
 
-// NewMeter makes the collector of a node's figures.
-func NewMeter(n *Node) *Meter {
-	m := &Meter{node: n, desc: map[string]*prometheus.Desc{}}
+// NewCollector makes the collector of a node's figures.
+func NewCollector(n *Node) *Collector {
+	m := &Collector{node: n, desc: map[string]*prometheus.Desc{}}
 	for name, help := range map[string]string{
 		"replica_index": "Log index the replica is at.", "replica_changes_total": "Changes applied.",
 		"replica_bytes_total": "Bytes of changes and snapshots taken in.", "replica_snapshots_total": "Snapshots taken in.",
@@ -37,14 +37,14 @@
 }
 
 // Describe sends the descriptions.
-func (m *Meter) Describe(to chan<- *prometheus.Desc) {
+func (m *Collector) Describe(to chan<- *prometheus.Desc) {
 	for _, d := range m.desc {
 		to <- d
 	}
 }
 
 // Collect sends the figures.
-func (m *Meter) Collect(to chan<- prometheus.Metric) {
+func (m *Collector) Collect(to chan<- prometheus.Metric) {
 	f := m.node.Figures()
 	gauge := func(name string, v float64) {
 		to <- prometheus.MustNewConstMetric(m.desc[name], prometheus.GaugeValue, v)
@@ -62,7 +62,7 @@
 	gauge("sched_queue_length", float64(f.QueueLength))
 	gauge("state_jobs", float64(f.Jobs))
 	gauge("state_handles", float64(f.Handles))
-	gauge("state_minions", float64(f.Minions))
+	gauge("state_minions", float64(f.Workers))
 	gauge("state_inbox", float64(f.Inbox))
 	count("replica_changes_total", f.Changes)
 	count("replica_bytes_total", f.Bytes)
@@ -74,18 +74,18 @@
 	count("sched_refused_total", c.Refused)
 	count("sched_sent_total", c.Sent)
 	count("sched_ends_total", c.Ended)
-	count("sched_end_failures_total", c.Failures)
-	count("sched_doubts_total", c.Doubts)
+	count("sched_end_failures_total", c.FailedEnds)
+	count("sched_doubts_total", c.Unconfirmed)
 	count("sched_stops_total", c.Stops)
 	count("sched_call_failures_total", c.CallFailures)
-	count("sched_crossed_total", c.Crossed)
-	for _, name := range f.Sick {
+	count("sched_crossed_total", c.StaleAnswers)
+	for _, name := range f.UnhealthyWorkers {
 		to <- prometheus.MustNewConstMetric(m.desc["sched_sick"], prometheus.GaugeValue, 1, name)
 	}
-	for party, n := range f.Dry {
+	for party, n := range f.TasksAwaitingTopUp {
 		to <- prometheus.MustNewConstMetric(m.desc["sched_dry"], prometheus.GaugeValue, float64(n), party)
 	}
-	for why, n := range c.Dead {
+	for why, n := range c.ProvedDead {
 		to <- prometheus.MustNewConstMetric(m.desc["dead"], prometheus.CounterValue, float64(n), why)
 	}
 	for kind, n := range f.RunningCounts {
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -24,87 +24,87 @@
 
 // Options are what a node is made of.
 type Options struct {
-	Name, Addr, Boot string
-	Core             []string // cplane addresses
-	Sched            scheduler.Config
-	CallTimeout      time.Duration // of a call to a cplane, and of a minion's answer past its wait
-	QueueLimit       int           // bound of the inbox
-	Clock            clock.Clock
-	Logger           log.Logger
-	Caller           *rpc.Client // to cplanes
-	Minions          *rpc.Client // to minions: with TCP_USER_TIMEOUT well inside the lease's margin
+	Name, Addr, Incarnation string
+	ControlPlanes           []string // cplane addresses
+	Scheduler               scheduler.Config
+	CallTimeout             time.Duration // of a call to a cplane, and of a minion's answer past its wait
+	QueueLimit              int           // bound of the inbox
+	Clock                   clock.Clock
+	Logger                  log.Logger
+	Caller                  *rpc.Client // to cplanes
+	WorkerCaller            *rpc.Client // to minions: with TCP_USER_TIMEOUT well inside the lease's margin
 }
 
 // Node is one dplane.
 type Node struct {
-	opt        Options
-	core       *coreClient
-	replica    *replica.Replica
-	sched      *scheduler.Core // under the replica's lock
-	leaseEpoch uint64          // epoch of the newest lease, and its end; under the replica's lock
-	leaseUntil time.Duration
-	group      *routine.Group
-	kick       chan struct{}
-	confirmer  confirmer
+	opt          Options
+	controlPlane *controlPlaneClient
+	replica      *replica.Replica
+	scheduler    *scheduler.Core // under the replica's lock
+	leaseEpoch   uint64          // epoch of the newest lease, and its end; under the replica's lock
+	leaseUntil   time.Duration
+	group        *routine.Group
+	wakeups      chan struct{}
+	readIndexer  readIndexer
 
-	mu          sync.Mutex
-	minionConns map[string]*minionConns
-	confirmed   time.Duration // when an index was last confirmed and reached
-	granted     uint64        // epoch of the own grant, 0 if none
-	stopping    bool
+	mu           sync.Mutex
+	workerConns  map[string]*workerConns
+	confirmedAt  time.Duration // when an index was last confirmed and reached
+	grantedEpoch uint64        // epoch of the own grant, 0 if none
+	stopping     bool
 }
 
-// minionConns are the two connections to a minion: one for calls that may wait, one for calls with starts.
-type minionConns struct {
+// workerConns are the two connections to a minion: one for calls that may wait, one for calls with starts.
+type workerConns struct {
 	addr                string
-	holdConn, orderConn *rpc.DedicatedConn
+	pollConn, orderConn *rpc.DedicatedConn
 }
 
 // New makes a node; Start runs it.
 func New(opt Options) *Node {
-	n := &Node{opt: opt, kick: make(chan struct{}, 1), minionConns: map[string]*minionConns{}}
-	n.core = &coreClient{caller: opt.Caller, within: opt.CallTimeout, addrs: opt.Core}
-	n.replica = replica.New(func(note state.Event) { n.sched.Note(note); n.wake() }, func(st *state.State) {
-		n.sched.Reset(opt.Clock.Now(), st)
+	n := &Node{opt: opt, wakeups: make(chan struct{}, 1), workerConns: map[string]*workerConns{}}
+	n.controlPlane = &controlPlaneClient{caller: opt.Caller, timeout: opt.CallTimeout, addrs: opt.ControlPlanes}
+	n.replica = replica.New(func(note state.Event) { n.scheduler.StateChanged(note); n.wake() }, func(st *state.State) {
+		n.scheduler.Reset(opt.Clock.Now(), st)
 	})
 	st := n.replica.Lock()
-	n.sched = scheduler.New(opt.Sched, st)
+	n.scheduler = scheduler.New(opt.Scheduler, st)
 	n.replica.Unlock()
-	n.confirmer.node, n.confirmer.work = n, make(chan struct{}, 1)
+	n.readIndexer.node, n.readIndexer.wakeups = n, make(chan struct{}, 1)
 	return n
 }
 
-// Cplanes replaces the addresses of the cplanes; an empty list leaves them as they are.
-func (n *Node) Cplanes(addrs []string) { n.core.setAddresses(addrs) }
+// SetControlPlanes replaces the addresses of the cplanes; an empty list leaves them as they are.
+func (n *Node) SetControlPlanes(addrs []string) { n.controlPlane.setAddresses(addrs) }
 
 // Start starts the node's loops.
 func (n *Node) Start(ctx context.Context) {
 	n.group = routine.New(ctx)
 	n.group.Go(func(ctx context.Context) {
-		n.replica.Run(ctx, &puller{coreClient: n.core, node: n}, n.opt.Clock, n.opt.Name, func(err error) {
+		n.replica.Run(ctx, &puller{controlPlaneClient: n.controlPlane, node: n}, n.opt.Clock, n.opt.Name, func(err error) {
 			_ = level.Debug(n.opt.Logger).Log("msg", "pull failed", "err", err)
 		})
 	})
-	n.group.Go(n.duty)
-	n.group.Go(n.passes)
-	n.group.Go(n.confirmer.run)
+	n.group.Go(n.claimRoleLoop)
+	n.group.Go(n.passLoop)
+	n.group.Go(n.readIndexer.run)
 }
 
-// Leave makes the node unready and gives up the duty, so that another node can take it at once.
-func (n *Node) Leave(ctx context.Context) {
+// StepDown makes the node unready and gives up the duty, so that another node can take it at once.
+func (n *Node) StepDown(ctx context.Context) {
 	n.mu.Lock()
 	n.stopping = true
-	epoch := n.granted
+	epoch := n.grantedEpoch
 	n.mu.Unlock()
 	if epoch == 0 {
 		return
 	}
 	n.replica.Lock()
-	n.sched.Yield()
+	n.scheduler.StepDown()
 	n.replica.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	if _, err := toLeader(ctx, n.core, n, internalapi.Duty, n.claim(epoch, true), n.opt.CallTimeout, true); err != nil {
+	if _, err := askLeader(ctx, n.controlPlane, n, internalapi.ClaimRole, n.roleClaim(epoch, true), n.opt.CallTimeout, true); err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "giving the duty up failed, its lease will run out", "err", err)
 	}
 }
@@ -125,16 +125,16 @@
 	}
 }
 
-func (n *Node) claim(epoch uint64, giveUp bool) internalapi.DutyCall {
-	return internalapi.DutyCall{Duty: "sched", Holder: n.opt.Name, Addr: n.opt.Addr, Boot: n.opt.Boot, Epoch: epoch, GiveUp: giveUp}
+func (n *Node) roleClaim(epoch uint64, giveUp bool) internalapi.ClaimRoleCall {
+	return internalapi.ClaimRoleCall{Role: "sched", Holder: n.opt.Name, Addr: n.opt.Addr, Incarnation: n.opt.Incarnation, Epoch: epoch, Release: giveUp}
 }
 
 // maxClaims is how many claims may be under way at once: a slow path to the leader must not let the lease run out
 // between two answers, and a dead one must not keep the next claim from finding its successor.
 const maxClaims = 4
 
-// duty claims or renews the duty again and again. The lease counts from before the call was sent.
-func (n *Node) duty(ctx context.Context) {
+// claimRoleLoop claims or renews the duty again and again. The lease counts from before the call was sent.
+func (n *Node) claimRoleLoop(ctx context.Context) {
 	slots := make(chan struct{}, maxClaims)
 	for ctx.Err() == nil {
 		n.mu.Lock()
@@ -147,7 +147,7 @@
 		case slots <- struct{}{}:
 			n.group.Go(func(ctx context.Context) {
 				defer func() { <-slots }()
-				n.renew(ctx)
+				n.claimRole(ctx)
 			})
 		default:
 		}
@@ -157,23 +157,23 @@
 	}
 }
 
-// renew makes one claim, at the node that the last hint named.
-func (n *Node) renew(ctx context.Context) {
+// claimRole makes one claim, at the node that the last hint named.
+func (n *Node) claimRole(ctx context.Context) {
 	n.mu.Lock()
-	epoch := n.granted
+	epoch := n.grantedEpoch
 	n.mu.Unlock()
 	for range 3 {
-		addr, sent := n.core.lead(), n.opt.Clock.Now()
-		a, err := rpc.Call(ctx, n.opt.Caller, addr, internalapi.Duty, n.claim(epoch, false), n.opt.CallTimeout)
-		n.core.learn(addr, err)
+		addr, sent := n.controlPlane.leaderAddr(), n.opt.Clock.Now()
+		a, err := rpc.Call(ctx, n.opt.Caller, addr, internalapi.ClaimRole, n.roleClaim(epoch, false), n.opt.CallTimeout)
+		n.controlPlane.learnLeader(addr, err)
 		switch {
 		case err == nil && a.Mine:
-			if err := n.take(ctx, a, sent); err != nil {
+			if err := n.acceptGrant(ctx, a, sent); err != nil {
 				_ = level.Warn(n.opt.Logger).Log("msg", "granted, but not rebuilt yet", "epoch", a.Epoch, "err", err)
 			}
 			return
 		case err == nil:
-			n.dutyLost(a)
+			n.roleLost(a)
 			return
 		case !errs.Is(err, errs.NotLeader) && !rpc.IsUnsent(err):
 			_ = level.Debug(n.opt.Logger).Log("msg", "claiming the duty failed", "err", err)
@@ -182,11 +182,11 @@
 	}
 }
 
-// take makes a grant good: the replica is followed up to the grant's index first, then the running counts are rebuilt.
-func (n *Node) take(ctx context.Context, a internalapi.DutyAnswer, sent time.Duration) error {
+// acceptGrant makes a grant good: the replica is followed up to the grant's index first, then the running counts are rebuilt.
+func (n *Node) acceptGrant(ctx context.Context, a internalapi.RoleLease, sent time.Duration) error {
 	n.mu.Lock()
-	stale := a.Epoch < n.granted // answers of claims under way at once may cross
-	n.granted = max(n.granted, a.Epoch)
+	stale := a.Epoch < n.grantedEpoch // answers of claims under way at once may cross
+	n.grantedEpoch = max(n.grantedEpoch, a.Epoch)
 	n.mu.Unlock()
 	if stale {
 		return nil
@@ -198,34 +198,34 @@
 	}
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
-	if d := st.Roles["sched"]; d == nil || d.Epoch != a.Epoch || d.Incarnation != n.opt.Boot {
+	if d := st.Roles["sched"]; d == nil || d.Epoch != a.Epoch || d.Incarnation != n.opt.Incarnation {
 		return errs.New(errs.Stale, "grant %d is over", a.Epoch)
 	}
-	if n.sched.Epoch() != a.Epoch {
-		n.sched.Lead(n.opt.Clock.Now(), a.Epoch)
-		_ = level.Info(n.opt.Logger).Log("msg", "took up sched", "epoch", a.Epoch, "handles", len(st.Handles), "queue", n.sched.QueueLength())
+	if n.scheduler.Epoch() != a.Epoch {
+		n.scheduler.BecomeLeader(n.opt.Clock.Now(), a.Epoch)
+		_ = level.Info(n.opt.Logger).Log("msg", "took up sched", "epoch", a.Epoch, "handles", len(st.Handles), "queue", n.scheduler.QueueLength())
 	}
-	if until := sent + a.Lease; a.Epoch > n.leaseEpoch || until > n.leaseUntil {
+	if until := sent + a.TTL; a.Epoch > n.leaseEpoch || until > n.leaseUntil {
 		n.leaseEpoch, n.leaseUntil = a.Epoch, until
-		n.sched.Lease(until)
+		n.scheduler.SetRoleLease(until)
 	}
 	n.wake()
 	return nil
 }
 
-// dutyLost records that another node has the duty. An answer with no newer epoch than the own grant crossed it, or
+// roleLost records that another node has the duty. An answer with no newer epoch than the own grant crossed it, or
 // says that the epoch ends: its lease runs out by itself.
-func (n *Node) dutyLost(a internalapi.DutyAnswer) {
+func (n *Node) roleLost(a internalapi.RoleLease) {
 	n.mu.Lock()
-	had := n.granted
+	had := n.grantedEpoch
 	if had == 0 || a.Epoch <= had {
 		n.mu.Unlock()
 		return
 	}
-	n.granted = 0
+	n.grantedEpoch = 0
 	n.mu.Unlock()
 	n.replica.Lock()
-	n.sched.Yield()
+	n.scheduler.StepDown()
 	n.replica.Unlock()
 	_ = level.Info(n.opt.Logger).Log("msg", "lost sched", "epoch", had, "holder", a.Holder, "now", a.Epoch)
 }
@@ -233,37 +233,37 @@
 // wake asks for a pass soon.
 func (n *Node) wake() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// passes runs the passes when something came in, and every few milliseconds in any case.
-func (n *Node) passes(ctx context.Context) {
+// passLoop runs the passes when something came in, and every few milliseconds in any case.
+func (n *Node) passLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := n.opt.Clock.Set(20*time.Millisecond, n.wake)
 		select {
-		case <-n.kick:
+		case <-n.wakeups:
 			timer.Stop()
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		}
 		n.replica.Lock()
-		out := n.sched.Pass(n.opt.Clock.Now())
+		out := n.scheduler.Pass(n.opt.Clock.Now())
 		n.replica.Unlock()
 		if out.Plan != nil {
-			n.group.Go(func(ctx context.Context) { n.commit(ctx, out.Plan) })
+			n.group.Go(func(ctx context.Context) { n.commitPlan(ctx, out.Plan) })
 		}
 		for _, call := range out.Calls {
-			n.group.Go(func(ctx context.Context) { n.send(ctx, call) })
+			n.group.Go(func(ctx context.Context) { n.sendCall(ctx, call) })
 		}
 	}
 }
 
-// commit proposes a plan once and brings the answer to the core after the replica has reached it.
-func (n *Node) commit(ctx context.Context, plan *command.Plan) {
-	a, err := n.core.propose(ctx, n, plan, false)
+// commitPlan proposes a plan once and brings the answer to the core after the replica has reached it.
+func (n *Node) commitPlan(ctx context.Context, plan *command.Plan) {
+	a, err := n.controlPlane.propose(ctx, n, plan, false)
 	var done command.Planned
 	if err == nil {
 		reach, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
@@ -278,57 +278,57 @@
 		_ = n.pause(ctx, 20*time.Millisecond)
 	}
 	n.replica.Lock()
-	n.sched.Planned(n.opt.Clock.Now(), plan.Epoch, done, err)
+	n.scheduler.PlanAnswered(n.opt.Clock.Now(), plan.Epoch, done, err)
 	n.replica.Unlock()
 	n.wake()
 }
 
 // connTo returns the connection for a call.
-func (n *Node) connTo(c scheduler.CallOut) *rpc.DedicatedConn {
+func (n *Node) connTo(c scheduler.OutgoingCall) *rpc.DedicatedConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.minionConns[c.Minion]
+	l := n.workerConns[c.Worker]
 	if l == nil || l.addr != c.Addr {
 		if l != nil {
-			l.holdConn.Close()
+			l.pollConn.Close()
 			l.orderConn.Close()
 		}
-		l = &minionConns{addr: c.Addr, holdConn: rpc.NewDedicatedConn(n.opt.Minions, c.Addr), orderConn: rpc.NewDedicatedConn(n.opt.Minions, c.Addr)}
-		n.minionConns[c.Minion] = l
+		l = &workerConns{addr: c.Addr, pollConn: rpc.NewDedicatedConn(n.opt.WorkerCaller, c.Addr), orderConn: rpc.NewDedicatedConn(n.opt.WorkerCaller, c.Addr)}
+		n.workerConns[c.Worker] = l
 	}
-	if c.Order {
+	if c.IsOrder {
 		return l.orderConn
 	}
-	return l.holdConn
+	return l.pollConn
 }
 
-// send makes one hold call. Immediately before its bytes are written the lease is checked again, and for starts
+// sendCall makes one hold call. Immediately before its bytes are written the lease is checked again, and for starts
 // the window; nothing is written after that.
-func (n *Node) send(ctx context.Context, c scheduler.CallOut) {
+func (n *Node) sendCall(ctx context.Context, c scheduler.OutgoingCall) {
 	check := func() error {
 		now := n.opt.Clock.Now()
 		n.replica.Lock()
-		live := n.sched.Live(now) && n.sched.Epoch() == c.Call.Epoch
+		live := n.scheduler.MayAct(now) && n.scheduler.Epoch() == c.Call.Epoch
 		n.replica.Unlock()
 		if !live {
 			return errs.New(errs.Stale, "the duty's lease is over")
 		}
-		if c.Before > 0 && now >= c.Before {
+		if c.WriteBy > 0 && now >= c.WriteBy {
 			return errs.New(errs.Stale, "the window of these starts is over")
 		}
 		return nil
 	}
-	a, err := rpc.CallDedicated(ctx, n.connTo(c), internalapi.Hold, c.Call, c.Call.Wait+n.opt.CallTimeout/2, check)
+	a, err := rpc.CallDedicated(ctx, n.connTo(c), internalapi.RenewLease, c.Call, c.Call.Wait+n.opt.CallTimeout/2, check)
 	now := n.opt.Clock.Now()
 	n.replica.Lock()
 	if err != nil {
-		n.sched.Failure(now, c.Minion, c.Order, c.Call, !rpc.IsUnsent(err))
+		n.scheduler.CallFailed(now, c.Worker, c.IsOrder, c.Call, !rpc.IsUnsent(err))
 	} else {
-		n.sched.Answer(now, c.Minion, c.Order, c.Call, a)
+		n.scheduler.CallAnswered(now, c.Worker, c.IsOrder, c.Call, a)
 	}
 	n.replica.Unlock()
 	if err != nil {
-		_ = level.Debug(n.opt.Logger).Log("msg", "a hold call failed", "minion", c.Minion, "call", c.Call.Call, "starts", len(c.Call.Starts), "err", err)
+		_ = level.Debug(n.opt.Logger).Log("msg", "a hold call failed", "minion", c.Worker, "call", c.Call.Call, "starts", len(c.Call.Starts), "err", err)
 	}
 	n.wake()
 }
@@ -337,7 +337,7 @@
 func (n *Node) Propose(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	a, err := n.core.propose(ctx, n, c, true)
+	a, err := n.controlPlane.propose(ctx, n, c, true)
 	if err != nil {
 		return nil, errs.Pass(err, "commit")
 	}
@@ -346,7 +346,7 @@
 
 // Read runs do on a state that is at least as new as the call; errs.Unavailable when that cannot be confirmed.
 func (n *Node) Read(ctx context.Context, do func(s *state.State) error) error {
-	index, err := n.confirmer.index(ctx)
+	index, err := n.readIndexer.readIndex(ctx)
 	if err != nil {
 		return errs.Wrap(err, errs.Unavailable, "cannot confirm the state")
 	}
@@ -364,10 +364,10 @@
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	switch age := n.opt.Clock.Now() - n.confirmed; {
+	switch age := n.opt.Clock.Now() - n.confirmedAt; {
 	case n.stopping:
 		return errs.New(errs.Stopped, "stopping")
-	case n.confirmed == 0:
+	case n.confirmedAt == 0:
 		return errs.New(errs.Unavailable, "the replica is not confirmed yet")
 	case age > 3*time.Second:
 		return errs.New(errs.Unavailable, "the replica was last confirmed %s ago", age.Round(time.Millisecond))
@@ -383,9 +383,9 @@
 	QueueLength                      int
 	Counts                           scheduler.Counts
 	RunningCounts                    map[string]int
-	Jobs, Handles, Minions, Inbox    int
-	Sick                             []string       // minions held sick
-	Dry                              map[string]int // due tasks that wait for a top-up, by party
+	Jobs, Handles, Workers, Inbox    int
+	UnhealthyWorkers                 []string       // minions held sick
+	TasksAwaitingTopUp               map[string]int // due tasks that wait for a top-up, by party
 }
 
 // Figures returns a snapshot of the node's figures.
@@ -393,18 +393,18 @@
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
 	f := Figures{Index: st.Index, Changes: n.replica.Changes, Bytes: n.replica.Bytes, Snapshots: n.replica.Snapshots,
-		Phase: n.sched.Phase(), Epoch: n.sched.Epoch(), QueueLength: n.sched.QueueLength(), Counts: n.sched.Counts, RunningCounts: st.RunningCounts(),
-		Jobs: len(st.Jobs), Handles: len(st.Handles), Minions: len(st.Workers), Inbox: len(st.Inbox), Sick: n.sched.Sick(), Dry: n.sched.DryTasks()}
-	f.Counts.Dead = map[string]uint64{}
-	for k, v := range n.sched.Counts.Dead {
-		f.Counts.Dead[k] = v
+		Phase: n.scheduler.Phase(), Epoch: n.scheduler.Epoch(), QueueLength: n.scheduler.QueueLength(), Counts: n.scheduler.Counts, RunningCounts: st.RunningCounts(),
+		Jobs: len(st.Jobs), Handles: len(st.Handles), Workers: len(st.Workers), Inbox: len(st.Inbox), UnhealthyWorkers: n.scheduler.UnhealthyWorkers(), TasksAwaitingTopUp: n.scheduler.TasksAwaitingTopUp()}
+	f.Counts.ProvedDead = map[string]uint64{}
+	for k, v := range n.scheduler.Counts.ProvedDead {
+		f.Counts.ProvedDead[k] = v
 	}
 	return f
 }
 
 // Announce makes a minion known to the store, if it is not known as it is.
-func (n *Node) Announce(ctx context.Context, c internalapi.MinionCall) (internalapi.MinionAnswer, error) {
-	answer := internalapi.MinionAnswer{Again: 3 * time.Second}
+func (n *Node) Announce(ctx context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
+	answer := internalapi.AnnounceWorkerAnswer{Interval: 3 * time.Second}
 	if c.Name == "" || c.Addr == "" {
 		return answer, errs.Field(errs.Invalid, "name", "a minion needs a name and an address")
 	}
--- a/internal/dataplane/rollout.go
+++ b/internal/dataplane/rollout.go
@@ -13,20 +13,20 @@
 
 // puller follows a cplane for the replica. Each call says which bundle the node has, and since when.
 type puller struct {
-	*coreClient
-	node    *Node
-	version uint64        // sent last; 0 until the first pull
-	since   time.Duration // when the node was first seen to have it
+	*controlPlaneClient
+	node         *Node
+	version      uint64        // sent last; 0 until the first pull
+	versionSince time.Duration // when the node was first seen to have it
 }
 
 // Follow is core's, with the node's bundle.
 func (p *puller) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	now := p.node.opt.Clock.Now()
 	if v := p.node.bundle(); v != p.version {
-		p.version, p.since = v, now
+		p.version, p.versionSince = v, now
 	}
-	call.Bundle, call.Age = p.version, now-p.since
-	a, err := p.coreClient.Follow(ctx, call)
+	call.Bundle, call.Age = p.version, now-p.versionSince
+	a, err := p.controlPlaneClient.Follow(ctx, call)
 	return a, errs.Pass(err, "pull")
 }
 
@@ -51,14 +51,14 @@
 	Index   uint64 `json:"index"` // of the newest change this node has
 }
 
-// bundleWithin is how long a node tries to confirm that its bundle is the newest.
-const bundleWithin = time.Second
+// confirmTimeout is how long a node tries to confirm that its bundle is the newest.
+const confirmTimeout = time.Second
 
 // Routes adds GET /v1/bundle. A node that is cut off, behind or just woken does not pass an old version off as the
 // one in force. Failure: Unavailable when it cannot confirm in a second.
 func (n *Node) Routes(srv Router) {
 	srv.Route("GET /v1/bundle", func(w http.ResponseWriter, r *http.Request) {
-		ctx, over := context.WithTimeout(r.Context(), bundleWithin)
+		ctx, over := context.WithTimeout(r.Context(), confirmTimeout)
 		defer over()
 		out := Bundle{Node: n.opt.Name}
 		err := n.Read(ctx, func(s *state.State) error {
--- a/internal/dataplane/scheduler/balance_test.go
+++ b/internal/dataplane/scheduler/balance_test.go
@@ -15,18 +15,18 @@
 
 // paid is a desk with a party that pays for team "a": a core costs 10 a second, a start of one core 100.
 type paid struct {
-	*desk
+	*harness
 	topUps int
 }
 
-func newPaid(units int64, minions ...string) *paid {
-	p := &paid{desk: newDesk("check", minions...)}
+func newPaid(units int64, workers ...string) *paid {
+	p := &paid{harness: newHarness("check", workers...)}
 	p.st.Bundle.SetParties(map[string]state.Party{"acme": {Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: 10 * time.Second}})
 	p.do(&command.AccountCreate{Order: "open", Account: "acme"})
 	if units > 0 {
 		p.topUp(units)
 	}
-	p.greet("check")
+	p.greetWorkers("check")
 	return p
 }
 
@@ -45,9 +45,9 @@
 func (p *paid) serve(length time.Duration) {
 	for end := p.now + length; p.now < end; {
 		p.now += 50 * time.Millisecond
-		for _, call := range p.settle() {
-			if call.Order {
-				p.answer(call, "check", p.list(call.Minion))
+		for _, call := range p.commitPlans() {
+			if call.IsOrder {
+				p.answer(call, "check", p.list(call.Worker))
 			}
 		}
 		for name, call := range p.wait {
@@ -58,7 +58,7 @@
 }
 
 // list is what runs on a minion.
-func (p *paid) list(name string) (a internalapi.HoldAnswer) {
+func (p *paid) list(name string) (a internalapi.LeaseAnswer) {
 	a.Running = p.st.RunIDsOn(name)
 	a.Floor = p.st.LastRunID
 	return a
@@ -67,14 +67,14 @@
 // started are those of the keys whose first task has a run ID.
 func (p *paid) started(keys ...string) (out []string) {
 	for _, key := range keys {
-		if taskOf(p.desk, key).RunID > 0 {
+		if taskOf(p.harness, key).RunID > 0 {
 			out = append(out, key)
 		}
 	}
 	return out
 }
 
-func TestDryParty(t *testing.T) {
+func TestPartyAwaitingTopUp(t *testing.T) {
 	Convey("A dry party waits without commits, others go on, and a top-up is used at once and in order", t, func() {
 		p := newPaid(200, "m1", "m2")
 		for i := range 6 {
@@ -83,7 +83,7 @@
 		p.free("f1")
 		p.serve(time.Second)
 		So(p.started("j0", "j1", "j2", "j3", "j4", "j5", "f1"), ShouldResemble, []string{"j0", "j1", "f1"})
-		So(p.core.DryTasks(), ShouldResemble, map[string]int{"acme": 4})
+		So(p.core.TasksAwaitingTopUp(), ShouldResemble, map[string]int{"acme": 4})
 		plans, index := p.core.Counts.Plans, p.st.Index
 		p.serve(20 * time.Second)
 		So(p.core.Counts.Plans, ShouldEqual, plans)
@@ -93,11 +93,11 @@
 		p.serve(100 * time.Millisecond)
 		So(p.started("f2"), ShouldResemble, []string{"f2"})
 		p.topUp(1000)
-		p.settle()
+		p.commitPlans()
 		So(p.started("j2", "j3", "j4", "j5"), ShouldResemble, []string{"j2", "j3", "j4", "j5"})
-		So(taskOf(p.desk, "j2").RunID, ShouldBeLessThan, taskOf(p.desk, "j3").RunID)
-		So(taskOf(p.desk, "j3").RunID, ShouldBeLessThan, taskOf(p.desk, "j4").RunID)
-		So(p.core.DryTasks(), ShouldBeEmpty)
+		So(taskOf(p.harness, "j2").RunID, ShouldBeLessThan, taskOf(p.harness, "j3").RunID)
+		So(taskOf(p.harness, "j3").RunID, ShouldBeLessThan, taskOf(p.harness, "j4").RunID)
+		So(p.core.TasksAwaitingTopUp(), ShouldBeEmpty)
 		So(p.core.Counts.Refused, ShouldEqual, 0)
 		So(p.st.Accounts.Check(), ShouldBeNil)
 	})
@@ -134,13 +134,13 @@
 		p.submit("j0", state.StepSpec{})
 		p.serve(200 * time.Millisecond)
 		So(p.started("listener", "older", "j0"), ShouldResemble, []string{"listener"})
-		first := taskOf(p.desk, "listener").RunID
+		first := taskOf(p.harness, "listener").RunID
 		p.do(&command.Plan{Epoch: p.core.Epoch(), Dead: []command.Proof{{RunID: first, Why: command.ProofLeaseExpired}}})
 		p.serve(200 * time.Millisecond)
-		So(taskOf(p.desk, "listener").RunID, ShouldBeGreaterThan, first)
-		p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: taskOf(p.desk, "listener").RunID, Reason: "x"}}})
+		So(taskOf(p.harness, "listener").RunID, ShouldBeGreaterThan, first)
+		p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: taskOf(p.harness, "listener").RunID, Reason: "x"}}})
 		p.serve(time.Second)
-		So(taskOf(p.desk, "listener").RunID, ShouldBeGreaterThan, first+1)
+		So(taskOf(p.harness, "listener").RunID, ShouldBeGreaterThan, first+1)
 		So(p.started("older", "j0"), ShouldBeEmpty)
 	})
 	Convey("A lasting gang of which one member ran before stays one gang, and waits without commits", t, func() {
@@ -162,8 +162,8 @@
 	Convey("What waits for money is counted also where there is no minion", t, func() {
 		p := newPaid(0)
 		p.submit("j0", state.StepSpec{Tasks: 2})
-		p.settle()
-		So(p.core.DryTasks(), ShouldResemble, map[string]int{"acme": 2})
+		p.commitPlans()
+		So(p.core.TasksAwaitingTopUp(), ShouldResemble, map[string]int{"acme": 2})
 	})
 	Convey("No minion is kept for a task that waits for money", t, func() {
 		p := newPaid(0, "m1")
@@ -171,11 +171,11 @@
 		for i := range 200 {
 			p.free(fmt.Sprint("f", i))
 			p.serve(50 * time.Millisecond)
-			So(p.core.reserved, ShouldBeNil)
+			So(p.core.reservation, ShouldBeNil)
 			if h := p.st.Handles[p.st.LastRunID]; h != nil {
 				p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: h.RunID, OK: true}}})
 			}
 		}
-		So(p.now, ShouldBeGreaterThan, time.Minute+Defaults().ReserveAfter)
+		So(p.now, ShouldBeGreaterThan, time.Minute+DefaultConfig().ReserveAfter)
 	})
 }
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -13,7 +13,7 @@
 )
 
 // fleet makes a holder of sched at the size to design for, every minion heard once and cores per minion taken.
-func fleet(b testing.TB, minions, runs, classes int) (*Core, *state.State, time.Duration) {
+func fleet(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
 	b.Helper()
 	st := state.New()
 	index := uint64(0)
@@ -27,8 +27,8 @@
 			b.Fatal(err)
 		}
 	}
-	cores := runs/minions + 1 // one core is left free on each
-	for i := range minions {
+	cores := runs/workers + 1 // one core is left free on each
+	for i := range workers {
 		apply(&command.Announce{Worker: state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "h:1", Kind: "check", Zone: "z1", Cores: cores}})
 	}
 	for i := range classes {
@@ -50,7 +50,7 @@
 	epoch := plan.Epoch
 	give := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
 	for i := range runs {
-		give.Starts = append(give.Starts, command.Start{Ref: state.TaskRef{Job: "fill", Task: i}, Worker: fmt.Sprintf("m%04d", i%minions), Incarnation: "b"})
+		give.Starts = append(give.Starts, command.Start{Ref: state.TaskRef{Job: "fill", Task: i}, Worker: fmt.Sprintf("m%04d", i%workers), Incarnation: "b"})
 	}
 	apply(give)
 	ran := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
@@ -58,34 +58,34 @@
 		ran.Running = append(ran.Running, uint64(i+1))
 	}
 	apply(ran)
-	c := New(Defaults(), st)
-	st.OnEvent = c.Note
+	c := New(DefaultConfig(), st)
+	st.OnEvent = c.StateChanged
 	now := time.Second
-	c.Lead(now, epoch)
-	c.Lease(time.Hour)
+	c.BecomeLeader(now, epoch)
+	c.SetRoleLease(time.Hour)
 	out := c.Pass(now)
-	settle(c, now, out.Plan)
+	refusePlan(c, now, out.Plan)
 	for _, o := range out.Calls {
 		answer(c, st, now, o)
 	}
 	return c, st, now
 }
 
-// settle answers a plan as refused whole.
-func settle(c *Core, now time.Duration, p *command.Plan) {
+// commitPlans answers a plan as refused whole.
+func refusePlan(c *Core, now time.Duration, p *command.Plan) {
 	if p != nil {
-		c.Planned(now, p.Epoch, command.Planned{RunIDs: make([]uint64, len(p.Starts))}, nil)
+		c.PlanAnswered(now, p.Epoch, command.Planned{RunIDs: make([]uint64, len(p.Starts))}, nil)
 	}
 }
 
-func answer(c *Core, st *state.State, now time.Duration, o CallOut) {
-	m := st.Workers[o.Minion]
-	a := internalapi.HoldAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Boot: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
+func answer(c *Core, st *state.State, now time.Duration, o OutgoingCall) {
+	m := st.Workers[o.Worker]
+	a := internalapi.LeaseAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Incarnation: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
 	a.Running = st.RunIDsOn(m.Name)
-	c.Answer(now, o.Minion, o.Order, o.Call, a)
+	c.CallAnswered(now, o.Worker, o.IsOrder, o.Call, a)
 }
 
-func TestStuck(t *testing.T) {
+func TestUnschedulableClass(t *testing.T) {
 	Convey("A kind of task that fits nowhere is placed by the first pass after room came, without a sweep", t, func() {
 		c, st, now := fleet(t, 4, 4, 1)
 		index := st.Index
@@ -96,7 +96,7 @@
 			_, err = command.Apply(st, index, 1, data)
 			So(err, ShouldBeNil)
 		}
-		settle(c, now, c.Pass(now).Plan)
+		refusePlan(c, now, c.Pass(now).Plan)
 		So(c.Pass(now).Plan, ShouldBeNil)
 		apply(&command.Plan{Epoch: c.Epoch(), Ends: []command.End{{RunID: 3, OK: true}}})
 		p := c.Pass(now).Plan
@@ -104,7 +104,7 @@
 		So(len(p.Starts), ShouldEqual, 1)
 		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
 		Convey("a refused start leaves its room to the next pass", func() {
-			settle(c, now, p)
+			refusePlan(c, now, p)
 			again := c.Pass(now).Plan
 			So(again, ShouldNotBeNil)
 			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its kind
@@ -122,7 +122,7 @@
 			c, st, now := fleet(b, 1600, 28800, classes)
 			now += 10 * time.Millisecond
 			first := c.Pass(now)
-			settle(c, now, first.Plan)
+			refusePlan(c, now, first.Plan)
 			calls := first.Calls
 			for b.Loop() {
 				if len(calls) == 0 {
@@ -133,7 +133,7 @@
 				now += 600 * time.Microsecond
 				out := c.Pass(now)
 				calls = append(calls[1:], out.Calls...)
-				settle(c, now, out.Plan)
+				refusePlan(c, now, out.Plan)
 			}
 		})
 	}
--- a/internal/dataplane/scheduler/bundle_test.go
+++ b/internal/dataplane/scheduler/bundle_test.go
@@ -15,7 +15,7 @@
 )
 
 // enact puts a text in force, signed by two.
-func (d *desk) enact(text string) {
+func (d *harness) enact(text string) {
 	ada, err := signature.New("ada")
 	So(err, ShouldBeNil)
 	ben, err := signature.New("ben")
@@ -29,10 +29,10 @@
 	}
 }
 
-func TestBundle(t *testing.T) {
+func TestPlacementPolicyChange(t *testing.T) {
 	Convey("A plan made under the bundle before gets no ticket", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		d.submit("j", state.StepSpec{})
 		d.commit(d.core.Pass(d.now).Plan)
 		plan := d.core.Pass(d.now).Plan
@@ -40,64 +40,64 @@
 		d.enact(`{"queues":{"default":{}}}`)
 		d.commit(plan)
 		So(d.st.Handles, ShouldBeEmpty)
-		So(order(d.settle()), ShouldNotBeNil) // made again under the new one
+		So(findOrder(d.commitPlans()), ShouldNotBeNil) // made again under the new one
 	})
 
 	Convey("What does not fit a new bundle is stopped, made due again, and tells why it waits", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		d.submit("j", state.StepSpec{})
-		o := order(d.settle())
-		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
-		d.settle()
+		o := findOrder(d.commitPlans())
+		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		d.commitPlans()
 		d.enact(`{"queues":{"other":{}}}`)
 		d.now += time.Second
-		var stop *CallOut
-		for _, c := range d.settle() {
+		var stop *OutgoingCall
+		for _, c := range d.commitPlans() {
 			if len(c.Call.Stops) > 0 {
 				stop = &c
 			}
 		}
 		So(stop, ShouldNotBeNil)
 		So(stop.Call.Stops, ShouldResemble, []internalapi.StopOrder{{RunID: 1, Why: "queue"}})
-		d.answer(*stop, "check", internalapi.HoldAnswer{Ended: []internalapi.EndNote{{RunID: 1, How: internalapi.EndStop}}})
-		So(order(d.settle()), ShouldBeNil)
+		d.answer(*stop, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeStopped}}})
+		So(findOrder(d.commitPlans()), ShouldBeNil)
 		So(taskOf(d, "j").Phase, ShouldEqual, state.TaskDue)
 		view, err := query.Job(d.st, "j")
 		So(err, ShouldBeNil)
 		So([]any{view.State, view.WaitReason}, ShouldResemble, []any{state.JobRunning, "no queue default in bundle 2"})
 		d.enact(`{"queues":{"default":{}}}`)
-		d.reply("check", "", internalapi.HoldAnswer{})
-		So(order(d.settle()), ShouldNotBeNil)
+		d.reply("check", "", internalapi.LeaseAnswer{})
+		So(findOrder(d.commitPlans()), ShouldNotBeNil)
 	})
 
 	Convey("A queue's hold goes into the order, and each length of hold is renewed by its own", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		d.enact(`{"queues":{"default":{"hold":"8s"},"slow":{}}}`)
 		d.submit("j", state.StepSpec{})
 		d.do(&command.Submit{Spec: state.Spec{Key: "k", Team: "a", Queue: "slow", Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}, Digest: "k", Bound: 100})
 		until := map[string]time.Duration{}
-		o := order(d.settle())
+		o := findOrder(d.commitPlans())
 		for _, s := range o.Call.Starts {
-			until[s.Job] = s.Until - d.now
+			until[s.Job] = s.LeaseUntil - d.now
 		}
-		So(until, ShouldResemble, map[string]time.Duration{"j": 8 * time.Second, "k": Defaults().Hold})
+		So(until, ShouldResemble, map[string]time.Duration{"j": 8 * time.Second, "k": DefaultConfig().RunLease})
 		runID := map[string]uint64{"j": taskOf(d, "j").RunID, "k": taskOf(d, "k").RunID}
-		runs := internalapi.HoldAnswer{Running: []uint64{1, 2}}
+		runs := internalapi.LeaseAnswer{Running: []uint64{1, 2}}
 		d.answer(*o, "check", runs)
 		renewed := map[uint64]int{}
 		for range 30 { // seconds
 			d.now += time.Second
 			d.reply("check", "", runs)
-			for _, c := range d.settle() {
+			for _, c := range d.commitPlans() {
 				for _, t := range c.Call.Renew {
 					renewed[t]++
 					want := 8 * time.Second
 					if t == runID["k"] {
-						want = Defaults().Hold
+						want = DefaultConfig().RunLease
 					}
-					So(c.Call.Until-d.now, ShouldEqual, want)
+					So(c.Call.RenewUntil-d.now, ShouldEqual, want)
 				}
 			}
 		}
@@ -106,12 +106,12 @@
 	})
 
 	Convey("Under contention teams share by their weights; without contention all room is used", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		d.enact(`{"queues":{"default":{}},"weights":{"a":3}}`)
 		d.submit("old", state.StepSpec{Tasks: 9}) // of team a
 		d.do(&command.Submit{Spec: state.Spec{Key: "new", Team: "b", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 9, Cores: 1}}}, Digest: "n", Bound: 100})
-		o := order(d.settle())
+		o := findOrder(d.commitPlans())
 		got := map[string]int{}
 		for _, s := range o.Call.Starts {
 			got[s.Job]++
--- a/internal/dataplane/scheduler/gang_test.go
+++ b/internal/dataplane/scheduler/gang_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	gangSeeds  = 30               // before long reservations, three of them took more than gangWithin
-	gangWithin = 45 * time.Second // as the oracle of internal/testbed/policysim has it
-	gangWarmUp = 30 * time.Second // until as many long runs are out as there are going to be
+	gangSeeds   = 30               // before long reservations, three of them took more than gangTimeout
+	gangTimeout = 45 * time.Second // as the oracle of internal/testbed/policysim has it
+	gangWarmUp  = 30 * time.Second // until as many long runs are out as there are going to be
 )
 
 // mixed gives lengths of which most are short and one in twenty is long, so that about half of the cores are in long
@@ -28,14 +28,14 @@
 	}
 }
 
-// newMixedCrowd is a full fleet of two minions of 2 cores and two of 3, with mixed runs.
-func newMixedCrowd(seed uint64) *crowd {
+// newMixedCluster is a full fleet of two minions of 2 cores and two of 3, with mixed runs.
+func newMixedCluster(seed uint64) *loadedCluster {
 	names := []string{"m1", "m2", "m3", "m4"}
-	d := newDesk("check", names...)
-	d.room = map[string]int{"m1": 2, "m2": 2, "m3": 3, "m4": 3}
-	c := newCrowdOf(d, names)
+	d := newHarness("check", names...)
+	d.coresByWorker = map[string]int{"m1": 2, "m2": 2, "m3": 3, "m4": 3}
+	c := newLoadedClusterOf(d, names)
 	c.length = mixed(seed)
-	for range gangWarmUp / crowdStep {
+	for range gangWarmUp / runLengthStep {
 		c.step()
 	}
 	return c
@@ -44,19 +44,19 @@
 func TestGangBesideLongRuns(t *testing.T) {
 	Convey("A gang that needs three of four minions almost empty gets run IDs, though some runs take 15 s", t, func() {
 		for seed := range uint64(gangSeeds) {
-			c := newMixedCrowd(seed)
+			c := newMixedCluster(seed)
 			c.submit("gang", state.StepSpec{Cores: 2, Tasks: 3, Gang: true})
-			if !c.serve("gang", gangWithin) {
-				t.Errorf("seed %d: a gang has no run IDs after %s", seed, gangWithin)
+			if !c.serve("gang", gangTimeout) {
+				t.Errorf("seed %d: a gang has no run IDs after %s", seed, gangTimeout)
 			}
 		}
 	})
 	Convey("Two such gangs take turns", t, func() {
 		for seed := range uint64(gangSeeds) {
-			c := newMixedCrowd(seed)
+			c := newMixedCluster(seed)
 			c.submit("first", state.StepSpec{Cores: 2, Tasks: 3, Gang: true})
 			c.submit("second", state.StepSpec{Cores: 2, Tasks: 3, Gang: true})
-			if !c.serve("first", 2*gangWithin) || !c.serve("second", 2*gangWithin) {
+			if !c.serve("first", 2*gangTimeout) || !c.serve("second", 2*gangTimeout) {
 				t.Errorf("seed %d: a gang has no run IDs", seed)
 			}
 		}
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -12,28 +12,28 @@
 )
 
 // work runs the fleet of a desk for some rounds: every start ends at once, as ends says. It gives the starts by minion.
-func (d *desk) work(rounds int, ends func(minion string, s internalapi.StartOrder) bool) map[string]int {
+func (d *harness) work(rounds int, ends func(worker string, s internalapi.StartOrder) bool) map[string]int {
 	starts := map[string]int{}
-	left := map[string][]internalapi.EndNote{}
+	left := map[string][]internalapi.RunEnd{}
 	for range rounds {
 		d.now += 100 * time.Millisecond
-		for _, c := range d.settle() {
-			if !c.Order {
+		for _, c := range d.commitPlans() {
+			if !c.IsOrder {
 				continue
 			}
 			for _, s := range c.Call.Starts {
-				starts[c.Minion]++
-				how := internalapi.EndFailure
-				if ends(c.Minion, s) {
-					how = internalapi.EndWell
+				starts[c.Worker]++
+				outcome := internalapi.OutcomeFailed
+				if ends(c.Worker, s) {
+					outcome = internalapi.OutcomeOK
 				}
-				left[c.Minion] = append(left[c.Minion], internalapi.EndNote{RunID: s.RunID, How: how, Reason: "x"})
+				left[c.Worker] = append(left[c.Worker], internalapi.RunEnd{RunID: s.RunID, Outcome: outcome, Reason: "x"})
 			}
-			d.answer(c, "check", internalapi.HoldAnswer{Ended: left[c.Minion]})
+			d.answer(c, "check", internalapi.LeaseAnswer{Ended: left[c.Worker]})
 		}
 		for name, c := range d.wait {
 			delete(d.wait, name)
-			d.answer(c, "check", internalapi.HoldAnswer{Ended: left[name]})
+			d.answer(c, "check", internalapi.LeaseAnswer{Ended: left[name]})
 		}
 		for name, notes := range left {
 			kept := notes[:0:0]
@@ -48,22 +48,22 @@
 	return starts
 }
 
-func TestSickMinion(t *testing.T) {
+func TestUnhealthyWorker(t *testing.T) {
 	Convey("given ten minions, one of which spoils all it gets while looking healthy", t, func() {
 		var names []string
 		for i := range 10 {
 			names = append(names, fmt.Sprintf("m%d", i))
 		}
-		d := newDesk("check", names...)
-		d.greet("check")
+		d := newHarness("check", names...)
+		d.greetWorkers("check")
 		bad := true
-		ends := func(minion string, _ internalapi.StartOrder) bool { return minion != "m3" || !bad }
+		ends := func(worker string, _ internalapi.StartOrder) bool { return worker != "m3" || !bad }
 		for i := range 60 {
 			d.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 10, Retries: 3})
 		}
 		starts := d.work(60, ends)
 		Convey("it is held sick soon, its tasks go elsewhere, and no job is given up for it", func() {
-			So(d.core.Sick(), ShouldResemble, []string{"m3"})
+			So(d.core.UnhealthyWorkers(), ShouldResemble, []string{"m3"})
 			So(starts["m3"], ShouldBeLessThan, starts["m4"]/2)
 			for key, j := range d.st.Jobs {
 				So(key+string(j.Phase), ShouldEqual, key+string(state.JobDone))
@@ -74,7 +74,7 @@
 					d.submit(fmt.Sprintf("b%d", i), state.StepSpec{})
 					d.work(2, ends)
 				}
-				So(d.core.Sick(), ShouldBeEmpty)
+				So(d.core.UnhealthyWorkers(), ShouldBeEmpty)
 			})
 			Convey("and a probe that fails puts the next one off", func() {
 				before := d.core.Counts.RunIDs
@@ -91,34 +91,34 @@
 		})
 	})
 	Convey("a job that can never succeed is given up and takes no minion with it", t, func() {
-		d := newDesk("check", "m1", "m2", "m3", "m4")
-		d.greet("check")
+		d := newHarness("check", "m1", "m2", "m3", "m4")
+		d.greetWorkers("check")
 		ends := func(_ string, s internalapi.StartOrder) bool { return s.Job != "never" }
 		d.submit("never", state.StepSpec{Tasks: 8, Retries: 5})
 		for i := range 40 {
 			d.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 4})
 		}
 		d.work(400, ends)
-		So(d.core.Sick(), ShouldBeEmpty)
+		So(d.core.UnhealthyWorkers(), ShouldBeEmpty)
 		So(d.st.Jobs["never"].Phase, ShouldEqual, state.JobFailed)
 		So(d.st.Jobs["never"].Reason, ShouldContainSubstring, "gave up")
 		So(d.st.Jobs["a0"].Phase, ShouldEqual, state.JobDone)
 	})
 	Convey("a type that nobody ends well makes no minion sick, and a zone gives up a share of its minions at most", t, func() {
-		h := newHealth(HealthDefaults())
+		h := newHealth(DefaultHealthConfig())
 		end := func(name, kind, job string, well bool) {
-			h.ended(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, well)
+			h.recordEnd(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, well)
 		}
 		for i := range 20 {
 			end("m1", "k", fmt.Sprint(i), false)
 			end("m2", "k", fmt.Sprint("b", i), false)
 		}
-		So(h.judge(time.Second, "m1", "k", 10, 0), ShouldBeFalse)
+		So(h.ejectIfUnhealthy(time.Second, "m1", "k", 10, 0), ShouldBeFalse)
 		for i := range 40 {
 			end("m3", "k", fmt.Sprint("c", i), true)
 		}
-		So(h.judge(time.Second, "m1", "k", 10, 3), ShouldBeFalse)
-		So(h.judge(time.Second, "m1", "k", 10, 2), ShouldBeTrue)
-		So(h.judge(time.Second, "m1", "k", 10, 2), ShouldBeFalse) // held already
+		So(h.ejectIfUnhealthy(time.Second, "m1", "k", 10, 3), ShouldBeFalse)
+		So(h.ejectIfUnhealthy(time.Second, "m1", "k", 10, 2), ShouldBeTrue)
+		So(h.ejectIfUnhealthy(time.Second, "m1", "k", 10, 2), ShouldBeFalse) // held already
 	})
 }
--- a/internal/dataplane/scheduler/hold.go
+++ b/internal/dataplane/scheduler/hold.go
@@ -12,11 +12,11 @@
 )
 
 // clockAt is the least that the minion's clock shows at now.
-func (m *minion) clockAt(now time.Duration) time.Duration { return m.clock + (now - m.heard) }
+func (m *worker) clockAt(now time.Duration) time.Duration { return m.clock + (now - m.heardAt) }
 
-// holdPass gives the calls that a minion is to get now: orders and urgent words on the order line, else the next
+// appendCalls gives the calls that a minion is to get now: orders and urgent words on the order line, else the next
 // waiting call.
-func (c *Core) holdPass(now time.Duration, m *minion, out []CallOut) []CallOut {
+func (c *Core) appendCalls(now time.Duration, m *worker, out []OutgoingCall) []OutgoingCall {
 	if m == nil {
 		return out
 	}
@@ -24,149 +24,149 @@
 	if rec == nil {
 		return out
 	}
-	if len(m.outbox) > 0 && (now > m.outBy || m.drain || now-m.heard > c.cfg.OrderSilence) {
-		c.unsend(m)
+	if len(m.outbox) > 0 && (now > m.outboxDeadline || m.draining || now-m.heardAt > c.cfg.OrderTimeout) {
+		c.dropUnsentOrders(m)
 	}
-	quiet := m.failures > 0 && now < m.retry
-	if m.order == 0 && !quiet && m.heard > 0 && (len(m.outbox) > 0 || m.urgent && m.waiting != 0) {
-		out = append(out, c.orderCall(now, m, rec))
+	quiet := m.failures > 0 && now < m.retryAt
+	if m.orderCall == 0 && !quiet && m.heardAt > 0 && (len(m.outbox) > 0 || m.urgent && m.pollCall != 0) {
+		out = append(out, c.newOrderCall(now, m, rec))
 	}
-	if m.waiting == 0 && !quiet {
-		call := c.call(now, m)
-		call.Wait = c.cfg.HoldWait
-		if m.heard == 0 || m.failures > 0 || m.floor > m.told {
+	if m.pollCall == 0 && !quiet {
+		call := c.newLeaseCall(now, m)
+		call.Wait = c.cfg.PollWait
+		if m.heardAt == 0 || m.failures > 0 || m.floor > m.ackedFloor {
 			call.Wait = 0
 		}
-		m.waiting = call.Call
-		out = append(out, CallOut{Minion: m.name, Addr: rec.Addr, Call: call})
+		m.pollCall = call.Call
+		out = append(out, OutgoingCall{Worker: m.name, Addr: rec.Addr, Call: call})
 	}
 	return out
 }
 
-// call makes a call with all but starts.
-func (c *Core) call(now time.Duration, m *minion) internalapi.HoldCall {
-	m.call++
-	c.called = max(c.called, m.call)
+// lastCall makes a call with all but starts.
+func (c *Core) newLeaseCall(now time.Duration, m *worker) internalapi.LeaseCall {
+	m.lastCall++
+	c.highestCall = max(c.highestCall, m.lastCall)
 	m.urgent = false
-	call := internalapi.HoldCall{Call: m.call, Epoch: c.epoch, Minion: m.name, Boot: m.boot, Floor: m.floor, Acked: m.acks}
+	call := internalapi.LeaseCall{Call: m.lastCall, Epoch: c.epoch, Worker: m.name, Incarnation: m.incarnation, Floor: m.floor, Acked: m.acks}
 	m.acks = nil
 	var due []*run
 	for _, t := range sortedRunIDs(m.runs) {
 		r := m.runs[t]
-		if r.stop != "" && r.listed {
-			call.Stops = append(call.Stops, internalapi.StopOrder{RunID: t, Why: r.stop})
+		if r.stopReason != "" && r.listed {
+			call.Stops = append(call.Stops, internalapi.StopOrder{RunID: t, Why: r.stopReason})
 			c.Counts.Stops++
 			continue
 		}
-		if m.heard > 0 && m.failures == 0 && r.listed {
+		if m.heardAt > 0 && m.failures == 0 && r.listed {
 			due = append(due, r)
 		}
 	}
-	c.renew(now, m, due, &call)
-	for _, t := range slices.Sorted(maps.Keys(m.strays)) {
-		call.Stops = append(call.Stops, internalapi.StopOrder{RunID: t, Why: m.strays[t]})
+	c.addRenewals(now, m, due, &call)
+	for _, t := range slices.Sorted(maps.Keys(m.orphans)) {
+		call.Stops = append(call.Stops, internalapi.StopOrder{RunID: t, Why: m.orphans[t]})
 		c.Counts.Stops++
 	}
-	clear(m.strays)
+	clear(m.orphans)
 	return call
 }
 
-// renew puts renewals into a call. A hold is renewed in its first quarter, and only while the minion answers: a call
+// addRenewals puts renewals into a call. A hold is renewed in its first quarter, and only while the minion answers: a call
 // that may or may not have arrived must not put the lapse off for ever. A call has one Until: of holds that differ
 // in length, those go first that have used up most.
-func (c *Core) renew(now time.Duration, m *minion, runs []*run, call *internalapi.HoldCall) {
+func (c *Core) addRenewals(now time.Duration, m *worker, runs []*run, call *internalapi.LeaseCall) {
 	var pick time.Duration
 	worst := 0.0
 	spent := func(r *run) float64 {
-		if r.boot != m.boot {
+		if r.leaseIncarnation != m.incarnation {
 			return 1
 		}
-		return float64(m.clockAt(now)+c.holdOf(r)-r.until) / float64(c.holdOf(r))
+		return float64(m.clockAt(now)+c.leaseOf(r)-r.leaseUntil) / float64(c.leaseOf(r))
 	}
 	for _, r := range runs {
 		if used := spent(r); used > 0.25 && used > worst {
-			worst, pick = used, c.holdOf(r)
+			worst, pick = used, c.leaseOf(r)
 		}
 	}
 	if pick == 0 {
 		return
 	}
-	call.Until = m.clockAt(now) + pick
+	call.RenewUntil = m.clockAt(now) + pick
 	for _, r := range runs {
-		if c.holdOf(r) == pick && spent(r) > 0.25 {
+		if c.leaseOf(r) == pick && spent(r) > 0.25 {
 			call.Renew = append(call.Renew, r.handle.RunID)
-			r.until, r.boot = call.Until, m.boot
+			r.leaseUntil, r.leaseIncarnation = call.RenewUntil, m.incarnation
 		}
 	}
 }
 
-// holdOf is how long a run goes on unheard: as its placement policy had it when the run ID was given.
-func (c *Core) holdOf(r *run) time.Duration { return cmp.Or(r.handle.LeaseTTL, c.cfg.Hold) }
+// leaseOf is how long a run goes on unheard: as its placement policy had it when the run ID was given.
+func (c *Core) leaseOf(r *run) time.Duration { return cmp.Or(r.handle.LeaseTTL, c.cfg.RunLease) }
 
-// firstHold is the hold that a start order brings. A minion that starts whatever it is told looks at nothing else of
+// firstLease is the hold that a start order brings. A minion that starts whatever it is told looks at nothing else of
 // an order but its hold: one that stood still with the order unread must not carry it out long after its job was
 // cancelled or its zone evacuated. So its first hold is no longer than the bound on its lateness; the first answer
 // that lists the run renews it in full. Others look at Void.
-func (c *Core) firstHold(m *minion, r *run) time.Duration {
+func (c *Core) firstLease(m *worker, r *run) time.Duration {
 	if m.kind == "obey" && c.cfg.Lateness > 0 {
-		return min(c.holdOf(r), c.cfg.Lateness)
+		return min(c.leaseOf(r), c.cfg.Lateness)
 	}
-	return c.holdOf(r)
+	return c.leaseOf(r)
 }
 
-// orderCall makes a call with all the starts of the outbox, in run ID order.
-func (c *Core) orderCall(now time.Duration, m *minion, rec *state.Worker) CallOut {
-	call := c.call(now, m)
-	void := m.clockAt(now) + c.cfg.StartWindow
+// newOrderCall makes a call with all the starts of the outbox, in run ID order.
+func (c *Core) newOrderCall(now time.Duration, m *worker, rec *state.Worker) OutgoingCall {
+	call := c.newLeaseCall(now, m)
+	startBy := m.clockAt(now) + c.cfg.StartWindow
 	for _, t := range m.outbox {
 		r := m.runs[t]
-		if r == nil || r.gone {
+		if r == nil || r.closing {
 			continue
 		}
 		j, task := c.st.TaskOf(r.handle.Ref)
-		if r.out = false; r.stop != "" || task == nil || task.RunID != t || r.handle.Incarnation != m.boot {
-			c.kill(r, command.ProofUnsent, "")
+		if r.inOutbox = false; r.stopReason != "" || task == nil || task.RunID != t || r.handle.Incarnation != m.incarnation {
+			c.proveDead(r, command.ProofUnsent, "")
 			continue
 		}
 		step := &j.Spec.Steps[r.handle.Ref.Step]
-		until := m.clockAt(now) + c.firstHold(m, r)
-		r.call, r.inFlight, r.until, r.boot = call.Call, true, until, m.boot
+		until := m.clockAt(now) + c.firstLease(m, r)
+		r.orderedIn, r.inFlight, r.leaseUntil, r.leaseIncarnation = call.Call, true, until, m.incarnation
 		call.Starts = append(call.Starts, internalapi.StartOrder{RunID: t, Job: r.handle.Ref.Job, Step: step.Name, Task: r.handle.Ref.Task,
 			Type: step.Type, Queue: j.Spec.Queue, Cores: step.Cores, GPUs: step.GPUs, Labels: step.Labels, Run: step.Run,
-			Void: void, Until: until})
+			StartBy: startBy, LeaseUntil: until})
 		c.Counts.Sent++
 	}
 	m.outbox = nil
-	m.order = call.Call
-	co := CallOut{Minion: m.name, Addr: rec.Addr, Order: true, Call: call}
+	m.orderCall = call.Call
+	co := OutgoingCall{Worker: m.name, Addr: rec.Addr, IsOrder: true, Call: call}
 	if len(call.Starts) > 0 {
-		co.Before = m.outBy
+		co.WriteBy = m.outboxDeadline
 	}
 	return co
 }
 
-// unsend voids orders that did not leave in time: they never left, so their handles are dead.
-func (c *Core) unsend(m *minion) {
+// dropUnsentOrders voids orders that did not leave in time: they never left, so their handles are dead.
+func (c *Core) dropUnsentOrders(m *worker) {
 	for _, t := range m.outbox {
 		if r := m.runs[t]; r != nil {
-			r.out = false
-			c.kill(r, command.ProofUnsent, "")
+			r.inOutbox = false
+			c.proveDead(r, command.ProofUnsent, "")
 		}
 	}
 	m.outbox = nil
 }
 
-// Failure takes in that a call got no answer. sent tells whether any byte of it may have left.
-func (c *Core) Failure(now time.Duration, name string, order bool, call internalapi.HoldCall, sent bool) {
+// CallFailed takes in that a call got no answer. sent tells whether any byte of it may have left.
+func (c *Core) CallFailed(now time.Duration, name string, order bool, call internalapi.LeaseCall, sent bool) {
 	c.now = now
-	m := c.line(name, order, call)
+	m := c.finishCall(name, order, call)
 	if m == nil {
 		return
 	}
 	c.Counts.CallFailures++
 	m.failures++
-	m.vain = m.vain || call.Call > m.before
-	m.retry = now + c.cfg.Retry
+	m.unanswered = m.unanswered || call.Call > m.lastCallBeforePause
+	m.retryAt = now + c.cfg.RetryInterval
 	m.acks = append(call.Acked, m.acks...)
 	for _, s := range call.Starts {
 		r := m.runs[s.RunID]
@@ -175,52 +175,52 @@
 		}
 		r.inFlight = false
 		if !sent {
-			r.call = 0
-			c.kill(r, command.ProofUnsent, "")
+			r.orderedIn = 0
+			c.proveDead(r, command.ProofUnsent, "")
 			continue
 		}
 		m.floor = max(m.floor, s.RunID)
-		c.doubt(r)
+		c.markUnconfirmed(r)
 	}
 }
 
-func (c *Core) doubt(r *run) {
-	if !r.gone && !r.listed && r.handle.Phase == state.TaskAssigned {
-		c.doubts = append(c.doubts, r.handle.RunID)
-		c.Counts.Doubts++
+func (c *Core) markUnconfirmed(r *run) {
+	if !r.closing && !r.listed && r.handle.Phase == state.TaskAssigned {
+		c.unconfirmed = append(c.unconfirmed, r.handle.RunID)
+		c.Counts.Unconfirmed++
 	}
 }
 
-// line finds the minion whose call came back and frees the line it went on; nil if that call is none of this
+// finishCall finds the minion whose call came back and frees the line it went on; nil if that call is none of this
 // epoch's or not the one under way.
-func (c *Core) line(name string, order bool, call internalapi.HoldCall) *minion {
-	m := c.minions[name]
+func (c *Core) finishCall(name string, order bool, call internalapi.LeaseCall) *worker {
+	m := c.workers[name]
 	if m == nil || c.phase != Ready || call.Epoch != c.epoch {
 		return nil
 	}
-	at := &m.waiting
+	at := &m.pollCall
 	if order {
-		at = &m.order
+		at = &m.orderCall
 	}
 	if *at != call.Call {
 		return nil
 	}
 	*at = 0
-	c.dirty[name], c.fresh[name] = true, true
-	c.swept = false
+	c.callsDue[name], c.freedWorkers[name] = true, true
+	c.placementCurrent = false
 	return m
 }
 
-// Answer takes in the answer to a call. An answer that is older than one taken in already, or that names another
+// CallAnswered takes in the answer to a call. An answer that is older than one taken in already, or that names another
 // call, tells nothing any more.
-func (c *Core) Answer(now time.Duration, name string, order bool, call internalapi.HoldCall, a internalapi.HoldAnswer) {
+func (c *Core) CallAnswered(now time.Duration, name string, order bool, call internalapi.LeaseCall, a internalapi.LeaseAnswer) {
 	c.now = now
 	if a.Call != call.Call {
-		c.Counts.Crossed++
-		c.Failure(now, name, order, call, true)
+		c.Counts.StaleAnswers++
+		c.CallFailed(now, name, order, call, true)
 		return
 	}
-	m := c.line(name, order, call)
+	m := c.finishCall(name, order, call)
 	if m == nil {
 		return
 	}
@@ -230,154 +230,154 @@
 		}
 	}
 	for _, ref := range a.Refused {
-		if r := m.runs[ref.RunID]; r != nil && r.call == call.Call {
-			c.kill(r, command.ProofRefuse, "refused by "+name+": "+ref.Why)
+		if r := m.runs[ref.RunID]; r != nil && r.orderedIn == call.Call {
+			c.proveDead(r, command.ProofRefuse, "refused by "+name+": "+ref.Why)
 			c.Counts.Refused++
 		}
 	}
-	if call.Call < m.taken {
-		c.Counts.Crossed++
+	if call.Call < m.lastAnswered {
+		c.Counts.StaleAnswers++
 		// Its starts are judged by a newer answer; that floor lets them be proved either way.
 		for _, s := range call.Starts {
 			if r := m.runs[s.RunID]; r != nil && !r.listed {
 				m.floor = max(m.floor, s.RunID)
 			}
 		}
-		c.endings(now, m, a.Ended)
+		c.recordEnds(now, m, a.Ended)
 		return
 	}
-	if m.past[a.Boot] { // made before one that was taken in, although its call is newer
-		c.Counts.Crossed++
-		c.endings(now, m, a.Ended)
+	if m.pastIncarnations[a.Incarnation] { // made before one that was taken in, although its call is newer
+		c.Counts.StaleAnswers++
+		c.recordEnds(now, m, a.Ended)
 		return
 	}
-	if m.boot != "" && m.boot != a.Boot {
-		if m.past == nil {
-			m.past = map[string]bool{}
+	if m.incarnation != "" && m.incarnation != a.Incarnation {
+		if m.pastIncarnations == nil {
+			m.pastIncarnations = map[string]bool{}
 		}
-		m.past[m.boot] = true
-	}
-	m.taken = call.Call
-	m.failures, m.vain = 0, false
-	m.boot, m.kind, m.drain = a.Boot, a.Kind, a.Draining
-	m.heard, m.clock, m.told = now, a.Clock, a.Floor
-	c.hear(m, a)
-	c.listing(now, m, call, a)
+		m.pastIncarnations[m.incarnation] = true
+	}
+	m.lastAnswered = call.Call
+	m.failures, m.unanswered = 0, false
+	m.incarnation, m.kind, m.draining = a.Incarnation, a.Kind, a.Draining
+	m.heardAt, m.clock, m.ackedFloor = now, a.Clock, a.Floor
+	c.updateReport(m, a)
+	c.reconcile(now, m, call, a)
 }
 
-// hear takes in what the minion says of itself.
-func (c *Core) hear(m *minion, a internalapi.HoldAnswer) {
+// updateReport takes in what the minion says of itself.
+func (c *Core) updateReport(m *worker, a internalapi.LeaseAnswer) {
 	rec := c.st.Workers[m.name]
 	if rec == nil {
 		return
 	}
-	said := state.Worker{Name: m.name, Addr: rec.Addr, Closed: rec.Closed, Incarnation: a.Boot, Kind: a.Kind, Zone: a.Zone, Rack: a.Rack,
+	report := state.Worker{Name: m.name, Addr: rec.Addr, Closed: rec.Closed, Incarnation: a.Incarnation, Kind: a.Kind, Zone: a.Zone, Rack: a.Rack,
 		Labels: a.Labels, Cores: a.Cores, GPUs: a.GPUs, Draining: a.Draining}
 	m.report = nil
-	if said.Incarnation != rec.Incarnation || said.Kind != rec.Kind || said.Zone != rec.Zone || said.Rack != rec.Rack ||
-		said.Cores != rec.Cores || said.GPUs != rec.GPUs || said.Draining != rec.Draining || !maps.Equal(said.Labels, rec.Labels) {
-		m.report = &said
-		c.said[m.name] = true
+	if report.Incarnation != rec.Incarnation || report.Kind != rec.Kind || report.Zone != rec.Zone || report.Rack != rec.Rack ||
+		report.Cores != rec.Cores || report.GPUs != rec.GPUs || report.Draining != rec.Draining || !maps.Equal(report.Labels, rec.Labels) {
+		m.report = &report
+		c.reported[m.name] = true
 	}
 }
 
-// endings takes in listed ends. An end is a fact however old the answer is that lists it.
-func (c *Core) endings(now time.Duration, m *minion, ended []internalapi.EndNote) {
+// recordEnds takes in listed ends. An end is a fact however old the answer is that lists it.
+func (c *Core) recordEnds(now time.Duration, m *worker, ended []internalapi.RunEnd) {
 	for _, e := range ended {
 		r := m.runs[e.RunID]
 		if r == nil {
-			c.lateEnd(m, e)
+			c.recordLateEnd(m, e)
 			continue
 		}
-		well := e.How == internalapi.EndWell || e.How == internalapi.EndFailure
-		if r.ended || r.gone && !well {
+		well := e.Outcome == internalapi.OutcomeOK || e.Outcome == internalapi.OutcomeFailed
+		if r.endPending || r.closing && !well {
 			continue // gone by a proof that is not committed yet: a true end still goes before it
 		}
-		r.ended = well
-		switch e.How {
-		case internalapi.EndWell, internalapi.EndFailure:
-			r.gone = true
-			c.ends = append(c.ends, command.End{RunID: e.RunID, Ref: r.handle.Ref, OK: e.How == internalapi.EndWell, Reason: e.Reason})
+		r.endPending = well
+		switch e.Outcome {
+		case internalapi.OutcomeOK, internalapi.OutcomeFailed:
+			r.closing = true
+			c.ends = append(c.ends, command.End{RunID: e.RunID, Ref: r.handle.Ref, OK: e.Outcome == internalapi.OutcomeOK, Reason: e.Reason})
 			c.Counts.Ended++
-			c.health.ended(now, r.handle, e.How == internalapi.EndWell)
-			if e.How == internalapi.EndFailure {
-				c.Counts.Failures++
-				c.judge(now, m, r.handle.Type)
+			c.health.recordEnd(now, r.handle, e.Outcome == internalapi.OutcomeOK)
+			if e.Outcome == internalapi.OutcomeFailed {
+				c.Counts.FailedEnds++
+				c.checkHealth(now, m, r.handle.Type)
 			}
-		case internalapi.EndLapse:
-			c.kill(r, command.ProofLeaseExpired, "its hold lapsed")
+		case internalapi.OutcomeLeaseExpired:
+			c.proveDead(r, command.ProofLeaseExpired, "its hold lapsed")
 		default:
-			c.kill(r, command.ProofStop, e.Reason)
+			c.proveDead(r, command.ProofStop, e.Reason)
 		}
 	}
 }
 
-// lateEnd takes in a listed end of a run ID without a handle. One that was let go by a proof has ended well all the
+// recordLateEnd takes in a listed end of a run ID without a handle. One that was let go by a proof has ended well all the
 // same if its task has no newer run ID; all others may be forgotten.
-func (c *Core) lateEnd(m *minion, e internalapi.EndNote) {
-	r := c.late(e.RunID)
+func (c *Core) recordLateEnd(m *worker, e internalapi.RunEnd) {
+	r := c.findReleased(e.RunID)
 	switch {
-	case r == nil || e.How != internalapi.EndWell:
+	case r == nil || e.Outcome != internalapi.OutcomeOK:
 		m.acks = append(m.acks, e.RunID)
-	case !r.ended:
-		r.ended = true
+	case !r.endPending:
+		r.endPending = true
 		c.ends = append(c.ends, command.End{RunID: e.RunID, Ref: r.ref, OK: true})
 		c.Counts.Ended++
 	}
 }
 
-// listing holds what runs and what ended there against the handles, both ways.
-func (c *Core) listing(now time.Duration, m *minion, call internalapi.HoldCall, a internalapi.HoldAnswer) {
+// reconcile holds what runs and what ended there against the handles, both ways.
+func (c *Core) reconcile(now time.Duration, m *worker, call internalapi.LeaseCall, a internalapi.LeaseAnswer) {
 	seen := make(map[uint64]bool, len(a.Running)+len(a.Ended))
 	for _, t := range a.Running {
 		seen[t] = true
 		r := m.runs[t]
 		if r == nil {
-			m.strays[t] = "no handle"
+			m.orphans[t] = "no handle"
 			m.urgent = true
 			continue
 		}
-		r.listed, r.absent = true, 0
-		if r.handle.Phase != state.TaskRunning && !r.gone {
-			c.running = append(c.running, t)
+		r.listed, r.absentSince = true, 0
+		if r.handle.Phase != state.TaskRunning && !r.closing {
+			c.newlyRunning = append(c.newlyRunning, t)
 		}
-		if r.stop != "" {
+		if r.stopReason != "" {
 			m.urgent = true
 		}
 	}
 	for _, e := range a.Ended {
 		seen[e.RunID] = true
 	}
-	c.endings(now, m, a.Ended)
-	dead, doubts := len(c.dead), len(c.doubts)
+	c.recordEnds(now, m, a.Ended)
+	dead, unconfirmed := len(c.proofs), len(c.unconfirmed)
 	for t, r := range m.runs {
-		if seen[t] || r.gone || r.out || r.inFlight || r.mine && (r.call == 0 || r.call > call.Call) {
+		if seen[t] || r.closing || r.inOutbox || r.inFlight || r.ofThisEpoch && (r.orderedIn == 0 || r.orderedIn > call.Call) {
 			continue
 		}
 		r.listed = false
 		if a.Floor < t {
 			m.floor = max(m.floor, t)
 			m.urgent = true
-			c.doubt(r)
+			c.markUnconfirmed(r)
 			continue
 		}
 		if m.kind == "obey" {
-			if c.old > 0 && now < c.since+c.cfg.StartWindow { // an order of before, under this epoch, may not have left yet
+			if c.lastInheritedRunID > 0 && now < c.leaderSince+c.cfg.StartWindow { // an order of before, under this epoch, may not have left yet
 				continue
 			}
-			if r.absent == 0 || r.missed != a.Boot {
-				r.absent, r.missed = max(a.Clock, 1), a.Boot
-				c.doubt(r)
+			if r.absentSince == 0 || r.absentIncarnation != a.Incarnation {
+				r.absentSince, r.absentIncarnation = max(a.Clock, 1), a.Incarnation
+				c.markUnconfirmed(r)
 			}
 			// By the minion's clock: the answer may have been under way for long, and tells of when it was made.
-			if drift(a.Clock-r.absent) < c.cfg.Lateness {
+			if minElapsed(a.Clock-r.absentSince) < c.cfg.Lateness {
 				continue
 			}
 		}
-		c.kill(r, command.ProofFloor, "")
+		c.proveDead(r, command.ProofFloor, "")
 	}
-	c.order(dead, doubts)
-	c.dirty[m.name] = true
+	c.sortProofs(dead, unconfirmed)
+	c.callsDue[m.name] = true
 }
 
 func sortedRunIDs(runs map[uint64]*run) []uint64 { return slices.Sorted(maps.Keys(runs)) }
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -14,61 +14,61 @@
 	"crosstide/internal/state/command"
 )
 
-// planPass gathers all that is to be committed into one plan; nil while one is under way or if there is nothing.
-func (c *Core) planPass(now time.Duration) *command.Plan {
-	if c.plan != nil {
+// nextPlan gathers all that is to be committed into one plan; nil while one is under way or if there is nothing.
+func (c *Core) nextPlan(now time.Duration) *command.Plan {
+	if c.planInFlight != nil {
 		return nil
 	}
-	p := &command.Plan{Epoch: c.epoch, BundleVersion: c.st.Bundle.Version, LeaseTTL: c.cfg.Hold,
-		Running: c.running, Unconfirmed: c.doubts, Ends: c.ends, Dead: c.dead}
+	p := &command.Plan{Epoch: c.epoch, BundleVersion: c.st.Bundle.Version, LeaseTTL: c.cfg.RunLease,
+		Running: c.newlyRunning, Unconfirmed: c.unconfirmed, Ends: c.ends, Dead: c.proofs}
 	if len(c.st.Inbox) > 0 {
 		p.Seq = c.st.Seq
 	}
-	for _, name := range sorted(c.said) {
-		if m := c.minions[name]; m != nil && m.report != nil {
+	for _, name := range sortedKeys(c.reported) {
+		if m := c.workers[name]; m != nil && m.report != nil {
 			p.Workers = append(p.Workers, *m.report)
 			m.report = nil
 		}
 	}
-	clear(c.said)
-	if !c.swept {
+	clear(c.reported)
+	if !c.placementCurrent {
 		c.place(now, p)
-		c.swept = true
+		c.placementCurrent = true
 	}
 	if p.Seq == 0 && len(p.Workers)+len(p.Running)+len(p.Unconfirmed)+len(p.Ends)+len(p.Dead)+len(p.Starts) == 0 {
 		return nil
 	}
-	c.running, c.doubts, c.ends, c.dead = nil, nil, nil, nil
-	c.plan = &flight{plan: p, at: now}
+	c.newlyRunning, c.unconfirmed, c.ends, c.proofs = nil, nil, nil, nil
+	c.planInFlight = &inFlightPlan{plan: p, sentAt: now}
 	c.Counts.Plans++
 	return p
 }
 
-// Planned takes in the answer to the plan under way. The caller has followed the store up to the plan's index,
+// PlanAnswered takes in the answer to the plan under way. The caller has followed the store up to the plan's index,
 // so that the handles of its run IDs are in the replica. A plan without an answer may or may not have been
 // committed: what it said is said again, and run IDs that it brought are never sent.
-func (c *Core) Planned(now time.Duration, epoch uint64, done command.Planned, err error) {
+func (c *Core) PlanAnswered(now time.Duration, epoch uint64, done command.Planned, err error) {
 	c.now = now
-	f := c.plan
+	f := c.planInFlight
 	if f == nil || f.plan.Epoch != epoch {
 		return
 	}
-	if c.plan, c.swept = nil, false; f.void || c.phase != Ready {
+	if c.planInFlight, c.placementCurrent = nil, false; f.invalidated || c.phase != Ready {
 		return
 	}
 	for _, s := range f.plan.Starts { // what a refused start would have taken is free still
-		c.fresh[s.Worker] = true
+		c.freedWorkers[s.Worker] = true
 	}
 	if err != nil {
 		c.Counts.PlanFailures++
 		c.ends = append(f.plan.Ends, c.ends...)
 		if errs.Is(err, errs.Stale) {
-			c.Yield()
+			c.StepDown()
 			return
 		}
-		c.dead = append(f.plan.Dead, c.dead...)
+		c.proofs = append(f.plan.Dead, c.proofs...)
 		for _, s := range f.plan.Starts {
-			c.due(s.Ref)
+			c.enqueue(s.Ref)
 		}
 		return
 	}
@@ -76,51 +76,51 @@
 		runID := done.RunIDs[i]
 		if runID == 0 {
 			c.Counts.Refused++
-			c.due(s.Ref)
+			c.enqueue(s.Ref)
 			continue
 		}
 		c.Counts.RunIDs++
-		r, m := c.runs[runID], c.minions[s.Worker]
+		r, m := c.runs[runID], c.workers[s.Worker]
 		if r == nil || m == nil {
 			continue
 		}
-		by := min(now+c.cfg.StartWindow, f.at+c.cfg.PlanWindow)
+		by := min(now+c.cfg.StartWindow, f.sentAt+c.cfg.PlanWindow)
 		if now >= by {
-			c.kill(r, command.ProofUnsent, "")
+			c.proveDead(r, command.ProofUnsent, "")
 			continue
 		}
-		r.out = true
+		r.inOutbox = true
 		m.outbox = append(m.outbox, runID)
-		m.outBy = by
-		c.dirty[m.name] = true
+		m.outboxDeadline = by
+		c.callsDue[m.name] = true
 	}
 }
 
 // class is the due tasks that the same minions may run.
 type class struct {
-	key   string
-	kind  string
-	queue string
-	team  string
-	gang  bool
-	stuck bool     // fitted nowhere when it was last held against all minions
-	refs  []queued // by age of their jobs, from head on
-	head  int
-	// passed is since when younger tasks have been started while none of it fitted; 0: they were not.
-	passed time.Duration
-	retry  time.Duration // no reservation for it before
+	key           string
+	taskType      string
+	queue         string
+	team          string
+	gang          bool
+	unschedulable bool         // fitted nowhere when it was last held against all minions
+	refs          []queuedTask // by age of their jobs, from head on
+	head          int
+	// passedOverSince is since when younger tasks have been started while none of it fitted; 0: they were not.
+	passedOverSince   time.Duration
+	nextReservationAt time.Duration // no reservation for it before
 }
 
-// queued is a due task in its class.
-type queued struct {
+// queuedTask is a due task in its class.
+type queuedTask struct {
 	state.TaskRef
 	seq uint64 // of its job
 }
 
-// put lets a task in behind those of its job and of older ones: one that falls due again keeps its place. What is
+// insert lets a task in behind those of its job and of older ones: one that falls due again keeps its place. What is
 // fewer moves: most tasks come last, and those that come again belong near the head.
-func (k *class) put(q queued) {
-	at, _ := slices.BinarySearchFunc(k.refs[k.head:], q.seq+1, func(e queued, seq uint64) int { return cmp.Compare(e.seq, seq) })
+func (k *class) insert(q queuedTask) {
+	at, _ := slices.BinarySearchFunc(k.refs[k.head:], q.seq+1, func(e queuedTask, seq uint64) int { return cmp.Compare(e.seq, seq) })
 	if k.head > 0 && at < len(k.refs)-k.head-at {
 		k.head--
 		copy(k.refs[k.head:], k.refs[k.head+1:k.head+1+at])
@@ -130,35 +130,35 @@
 	k.refs = slices.Insert(k.refs, k.head+at, q)
 }
 
-// next is how many tasks of it are placed together.
-func (k *class) next() int {
+// nextProbeAt is how many tasks of it are placed together.
+func (k *class) groupSize() int {
 	if k.gang {
 		return len(k.refs) - k.head
 	}
 	return 1
 }
 
-type waitingTask struct {
+type backoffTask struct {
 	at  time.Duration
 	ref state.TaskRef
 }
 
-type waitingHeap []waitingTask
+type backoffHeap []backoffTask
 
 // Len is part of heap.Interface.
-func (w waitingHeap) Len() int { return len(w) }
+func (w backoffHeap) Len() int { return len(w) }
 
 // Less orders the tasks by the time they become due; part of heap.Interface.
-func (w waitingHeap) Less(i, j int) bool { return w[i].at < w[j].at }
+func (w backoffHeap) Less(i, j int) bool { return w[i].at < w[j].at }
 
 // Swap is part of heap.Interface.
-func (w waitingHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (w backoffHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
 
 // Push is part of heap.Interface.
-func (w *waitingHeap) Push(x any) { *w = append(*w, x.(waitingTask)) }
+func (w *backoffHeap) Push(x any) { *w = append(*w, x.(backoffTask)) }
 
 // Pop is part of heap.Interface.
-func (w *waitingHeap) Pop() any {
+func (w *backoffHeap) Pop() any {
 	old := *w
 	x := old[len(old)-1]
 	*w = old[:len(old)-1]
@@ -169,40 +169,40 @@
 // of date; they are checked against the replica when they are taken.
 type queue struct {
 	classes map[string]*class
-	later   waitingHeap
-	in      map[state.TaskRef]bool
+	backoff backoffHeap
+	queued  map[state.TaskRef]bool
 }
 
 func (b *queue) clear() {
-	b.classes, b.later, b.in = map[string]*class{}, nil, map[state.TaskRef]bool{}
+	b.classes, b.backoff, b.queued = map[string]*class{}, nil, map[state.TaskRef]bool{}
 }
 
-func (b *queue) len() int { return len(b.in) }
+func (b *queue) len() int { return len(b.queued) }
 
-// due puts a task that fell due into the queue.
-func (c *Core) due(ref state.TaskRef) {
+// enqueue puts a task that fell due into the queue.
+func (c *Core) enqueue(ref state.TaskRef) {
 	_, t := c.st.TaskOf(ref)
 	if t == nil || t.Phase != state.TaskDue {
 		return
 	}
 	if t.RunID > 0 && c.released[t.RunID] == nil {
-		c.released[t.RunID] = &release{ref: ref}
+		c.released[t.RunID] = &releasedRun{ref: ref}
 	}
-	if c.queue.in[ref] {
+	if c.queue.queued[ref] {
 		return
 	}
-	c.queue.in[ref] = true
+	c.queue.queued[ref] = true
 	if wait := t.DueAt.Sub(c.st.At); !t.DueAt.IsZero() && wait > 0 {
-		heap.Push(&c.queue.later, waitingTask{c.now + wait, ref})
+		heap.Push(&c.queue.backoff, backoffTask{c.now + wait, ref})
 		return
 	}
-	c.enlist(ref)
+	c.addToClass(ref)
 }
 
-func (c *Core) enlist(ref state.TaskRef) {
+func (c *Core) addToClass(ref state.TaskRef) {
 	j, _ := c.st.TaskOf(ref)
 	if j == nil {
-		delete(c.queue.in, ref)
+		delete(c.queue.queued, ref)
 		return
 	}
 	step := &j.Spec.Steps[ref.Step]
@@ -219,10 +219,10 @@
 	}
 	k := c.queue.classes[key.String()]
 	if k == nil {
-		k = &class{key: key.String(), kind: step.Type, queue: j.Spec.Queue, team: j.Spec.Team, gang: step.Gang}
+		k = &class{key: key.String(), taskType: step.Type, queue: j.Spec.Queue, team: j.Spec.Team, gang: step.Gang}
 		c.queue.classes[k.key] = k
 	}
-	k.put(queued{ref, j.Seq})
+	k.insert(queuedTask{ref, j.Seq})
 }
 
 // peek gives the oldest task of a class that is still due, nil if none is left.
@@ -238,35 +238,35 @@
 }
 
 func (c *Core) pop(k *class) {
-	delete(c.queue.in, k.refs[k.head].TaskRef)
+	delete(c.queue.queued, k.refs[k.head].TaskRef)
 	k.head++
 	switch {
 	case k.head == len(k.refs):
 		k.refs, k.head = nil, 0
 	case k.head > 1024 && k.head > len(k.refs)/2:
-		k.refs = append([]queued(nil), k.refs[k.head:]...)
+		k.refs = append([]queuedTask(nil), k.refs[k.head:]...)
 		k.head = 0
 	}
 }
 
-// spot is what is free on a minion in this pass.
-type spot struct {
+// candidateWorker is what is free on a minion in this pass.
+type candidateWorker struct {
 	rec         *state.Worker
 	cores, gpus int
 	probe       bool // of a sick minion: one start, no more
 }
 
-// spots gives those of the named minions that may get a start now.
-func (c *Core) spots(now time.Duration, names []string) []*spot {
-	out := make([]*spot, 0, len(names))
+// candidateWorkers gives those of the named minions that may get a start now.
+func (c *Core) candidateWorkers(now time.Duration, names []string) []*candidateWorker {
+	out := make([]*candidateWorker, 0, len(names))
 	for _, name := range names {
-		m, rec := c.minions[name], c.st.Workers[name]
-		if m == nil || rec == nil || m.heard == 0 || m.failures > 0 || m.drain || m.order != 0 || len(m.outbox) > 0 || m.report != nil ||
-			rec.Incarnation != m.boot || now-m.heard > c.cfg.Silence || !c.health.admits(now, m.name) {
+		m, rec := c.workers[name], c.st.Workers[name]
+		if m == nil || rec == nil || m.heardAt == 0 || m.failures > 0 || m.draining || m.orderCall != 0 || len(m.outbox) > 0 || m.report != nil ||
+			rec.Incarnation != m.incarnation || now-m.heardAt > c.cfg.PlacementTimeout || !c.health.admitsStart(now, m.name) {
 			continue
 		}
 		r := c.st.UsageOf(m.name)
-		if s := (&spot{rec, rec.Cores - r.Cores, rec.GPUs - r.GPUs, c.health.sick[m.name] != nil}); s.cores > 0 {
+		if s := (&candidateWorker{rec, rec.Cores - r.Cores, rec.GPUs - r.GPUs, c.health.unhealthy[m.name] != nil}); s.cores > 0 {
 			out = append(out, s)
 		}
 	}
@@ -278,47 +278,47 @@
 // A class that fits nowhere now holds up no other, but for short reservations (see reserve): no limit and no large
 // task leaves room idle for long that another due task may use.
 func (c *Core) place(now time.Duration, p *command.Plan) {
-	for len(c.queue.later) > 0 && c.queue.later[0].at <= now {
-		c.enlist(heap.Pop(&c.queue.later).(waitingTask).ref)
+	for len(c.queue.backoff) > 0 && c.queue.backoff[0].at <= now {
+		c.addToClass(heap.Pop(&c.queue.backoff).(backoffTask).ref)
 	}
-	if len(c.queue.in) == len(c.queue.later) || len(c.ring) == 0 {
+	if len(c.queue.queued) == len(c.queue.backoff) || len(c.ring) == 0 {
 		return
 	}
-	c.resetPayment()
-	if c.wide {
-		c.reserve(now)
+	c.resetBudget()
+	if c.fullScan {
+		c.updateReservation(now)
 	}
-	all, near, stuck := c.screen(now)
+	all, near, unschedulable := c.screenClasses(now)
 	if len(all)+len(near) == 0 {
-		clear(c.fresh)
+		clear(c.freedWorkers)
 		return
 	}
 	pending, teams := map[string]int{}, map[string]int{}
 	next, nearNext := 0, 0
-	for len(p.Starts) < c.cfg.Batch {
-		k, j := c.choose(pending, teams, stuck)
+	for len(p.Starts) < c.cfg.MaxStarts {
+		k, j := c.nextClass(pending, teams, unschedulable)
 		if k == nil {
 			break
 		}
-		n := k.next()
-		spots, from := all, &next
-		if k.stuck && !k.gang || len(all) == 0 {
-			spots, from = near, &nearNext
+		n := k.groupSize()
+		candidates, from := all, &next
+		if k.unschedulable && !k.gang || len(all) == 0 {
+			candidates, from = near, &nearNext
 		}
 		var starts []command.Start
-		if c.covered(k, j) {
-			starts = c.fit(spots, from, j, k, n)
+		if c.isCovered(k, j) {
+			starts = c.fitTasks(candidates, from, j, k, n)
 		}
 		if starts == nil {
-			stuck[k.key], k.stuck = true, true
+			unschedulable[k.key], k.unschedulable = true, true
 			continue
 		}
-		c.promise(k, j)
+		c.reserveFee(k, j)
 		for range n {
 			c.pop(k)
 		}
-		if k.passed = 0; c.reserved != nil && c.reserved.class == k.key {
-			c.unreserve(now)
+		if k.passedOverSince = 0; c.reservation != nil && c.reservation.class == k.key {
+			c.endReservation(now)
 		}
 		if k.gang {
 			delete(c.queue.classes, k.key)
@@ -327,75 +327,75 @@
 			}
 		}
 		p.Starts = append(p.Starts, starts...)
-		pending[k.kind] += n
+		pending[k.taskType] += n
 		teams[k.team] += n
 	}
-	c.noteStarts(now, p.Starts, stuck, pending)
-	clear(c.payment.promised)
-	c.turn = (c.turn + next) % len(c.ring)
-	if len(p.Starts) < c.cfg.Batch {
-		clear(c.fresh)
+	c.recordPassedOver(now, p.Starts, unschedulable, pending)
+	clear(c.budget.reserved)
+	c.ringOffset = (c.ringOffset + next) % len(c.ring)
+	if len(p.Starts) < c.cfg.MaxStarts {
+		clear(c.freedWorkers)
 	}
 }
 
-// screen gives the minions that may get a start now, all and those news came from, and the classes that fit on none.
+// screenClasses gives the minions that may get a start now, all and those news came from, and the classes that fit on none.
 // A class that fitted nowhere is held against those with news only, until a sweep or a change of placement: at a full
 // fleet the kinds of due tasks times all minions would be gone through after every answer. near is a part of all,
 // which is empty when no class asks for it.
-func (c *Core) screen(now time.Duration) (all, near []*spot, stuck map[string]bool) {
-	wide := c.wide
+func (c *Core) screenClasses(now time.Duration) (all, near []*candidateWorker, unschedulable map[string]bool) {
+	wide := c.fullScan
 	for _, k := range c.queue.classes {
-		wide = wide || !k.stuck
+		wide = wide || !k.unschedulable
 	}
 	if wide {
 		ring := make([]string, len(c.ring))
 		for i := range ring {
-			ring[i] = c.ring[(c.turn+i)%len(c.ring)]
+			ring[i] = c.ring[(c.ringOffset+i)%len(c.ring)]
 		}
-		all = c.spots(now, ring)
+		all = c.candidateWorkers(now, ring)
 		for _, s := range all {
-			if c.fresh[s.rec.Name] {
+			if c.freedWorkers[s.rec.Name] {
 				near = append(near, s)
 			}
 		}
 	} else {
-		near = c.spots(now, sorted(c.fresh))
+		near = c.candidateWorkers(now, sortedKeys(c.freedWorkers))
 	}
-	stuck = map[string]bool{}
+	unschedulable = map[string]bool{}
 	for key, k := range c.queue.classes {
-		if c.wide || !k.stuck {
-			k.stuck = !c.hopes(k, all)
-			stuck[key] = k.stuck
+		if c.fullScan || !k.unschedulable {
+			k.unschedulable = !c.fitsAny(k, all)
+			unschedulable[key] = k.unschedulable
 		} else {
-			stuck[key] = !c.hopes(k, near)
+			unschedulable[key] = !c.fitsAny(k, near)
 		}
 	}
-	c.wide = false
-	return all, near, stuck
+	c.fullScan = false
+	return all, near, unschedulable
 }
 
-// hopes tells whether any of spots would take the oldest task of a class.
-func (c *Core) hopes(k *class, spots []*spot) bool {
+// fitsAny tells whether any of spots would take the oldest task of a class.
+func (c *Core) fitsAny(k *class, candidates []*candidateWorker) bool {
 	j, ref := c.peek(k)
 	if j == nil {
 		return true // choose lets it go
 	}
-	if c.dry(k) {
+	if c.awaitsTopUp(k) {
 		return false
 	}
 	step := &j.Spec.Steps[ref.Step]
-	return slices.ContainsFunc(spots, func(s *spot) bool {
-		return c.open(k, s.rec.Name) && s.cores >= step.Cores && s.gpus >= step.GPUs && c.st.PlacementRefusal(&j.Spec, step, s.rec) == ""
+	return slices.ContainsFunc(candidates, func(s *candidateWorker) bool {
+		return c.mayUse(k, s.rec.Name) && s.cores >= step.Cores && s.gpus >= step.GPUs && c.st.PlacementRefusal(&j.Spec, step, s.rec) == ""
 	})
 }
 
-// choose gives the class whose oldest task is next, with the job of that task.
-func (c *Core) choose(pending, teams map[string]int, stuck map[string]bool) (*class, *state.Job) {
+// nextClass gives the class whose oldest task is next, with the job of that task.
+func (c *Core) nextClass(pending, teams map[string]int, unschedulable map[string]bool) (*class, *state.Job) {
 	var best *class
 	var owner *state.Job
 	first, least := rankUrgent, 0.0
 	for key, k := range c.queue.classes {
-		if stuck[key] {
+		if unschedulable[key] {
 			continue
 		}
 		j, _ := c.peek(k)
@@ -403,8 +403,8 @@
 			delete(c.queue.classes, key)
 			continue
 		}
-		r := c.rankOf(k, pending[k.kind])
-		share := c.share(k.team, teams)
+		r := c.rankOf(k, pending[k.taskType])
+		share := c.teamShare(k.team, teams)
 		if best == nil || r < first || r == first && (share < least || share == least && (j.Seq < owner.Seq || j.Seq == owner.Seq && key < best.key)) {
 			best, owner, first, least = k, j, r, share
 		}
@@ -412,29 +412,29 @@
 	return best, owner
 }
 
-// share is what a team has out against its weight; 0 for all while the bundle gives no weights.
-func (c *Core) share(team string, pending map[string]int) float64 {
+// teamShare is what a team has out against its weight; 0 for all while the bundle gives no weights.
+func (c *Core) teamShare(team string, pending map[string]int) float64 {
 	if len(c.st.Bundle.Weights) == 0 {
 		return 0
 	}
-	return float64(c.teams[team]+pending[team]) / float64(max(1, c.st.Bundle.Weights[team]))
+	return float64(c.runningByTeam[team]+pending[team]) / float64(max(1, c.st.Bundle.Weights[team]))
 }
 
-// fit finds room for the next n tasks of a class, for all or none, and takes it.
-func (c *Core) fit(spots []*spot, next *int, j *state.Job, k *class, n int) []command.Start {
+// fitTasks finds room for the next n tasks of a class, for all or none, and takes it.
+func (c *Core) fitTasks(candidates []*candidateWorker, next *int, j *state.Job, k *class, n int) []command.Start {
 	var starts []command.Start
-	var taken []*spot
+	var taken []*candidateWorker
 	for i := range n {
 		ref := k.refs[k.head+i].TaskRef
 		step := &j.Spec.Steps[ref.Step]
-		var found *spot
-		for range spots {
-			s := spots[*next%len(spots)]
+		var found *candidateWorker
+		for range candidates {
+			s := candidates[*next%len(candidates)]
 			*next++
-			if !c.open(k, s.rec.Name) || s.cores < step.Cores || s.gpus < step.GPUs || s.probe && n > 1 || c.st.PlacementRefusal(&j.Spec, step, s.rec) != "" {
+			if !c.mayUse(k, s.rec.Name) || s.cores < step.Cores || s.gpus < step.GPUs || s.probe && n > 1 || c.st.PlacementRefusal(&j.Spec, step, s.rec) != "" {
 				continue
 			}
-			if !c.health.shuns(ref, s.rec.Name) {
+			if !c.health.hasFailedOn(ref, s.rec.Name) {
 				found = s
 				break
 			}
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -16,20 +16,20 @@
 // It is short, and there is one at a time with a rest after it, as a due task must not wait long beside room.
 type reservation struct {
 	class   string
-	minions map[string]bool
+	workers map[string]bool
 	until   time.Duration
 }
 
-// reserveRoom is how many times the room that it needs a class gets reserved, so that enough of it comes free in time.
-const reserveRoom = 3
+// reserveFactor is how many times the room that it needs a class gets reserved, so that enough of it comes free in time.
+const reserveFactor = 3
 
 // rank orders classes: urgent queues, types under their limit, types over it.
 type rank int
 
 const (
 	rankUrgent rank = iota
-	rankUsual
-	rankOver
+	rankNormal
+	rankOverLimit
 	ranks
 )
 
@@ -38,78 +38,78 @@
 	if c.st.Bundle.Queues[k.queue].Urgent {
 		return rankUrgent
 	}
-	if limit, ok := c.st.Bundle.Limits[k.kind]; ok && c.runningCounts[k.kind]+pending >= limit {
-		return rankOver
+	if limit, ok := c.st.Bundle.Limits[k.taskType]; ok && c.runningCounts[k.taskType]+pending >= limit {
+		return rankOverLimit
 	}
-	return rankUsual
+	return rankNormal
 }
 
-// open tells whether a class may use a minion. Urgent queues do not wait for reservations.
-func (c *Core) open(k *class, minion string) bool {
-	r := c.reserved
-	return r == nil || r.class == k.key || !r.minions[minion] || c.st.Bundle.Queues[k.queue].Urgent
+// mayUse tells whether a class may use a minion. Urgent queues do not wait for reservations.
+func (c *Core) mayUse(k *class, worker string) bool {
+	r := c.reservation
+	return r == nil || r.class == k.key || !r.workers[worker] || c.st.Bundle.Queues[k.queue].Urgent
 }
 
-// reserve ends a reservation that is over, and makes the next one if some class was passed over for too long.
-func (c *Core) reserve(now time.Duration) {
-	if r := c.reserved; r != nil {
+// updateReservation ends a reservation that is over, and makes the next one if some class was passed over for too long.
+func (c *Core) updateReservation(now time.Duration) {
+	if r := c.reservation; r != nil {
 		k := c.queue.classes[r.class]
-		if now < r.until && k != nil && !c.dry(k) {
+		if now < r.until && k != nil && !c.awaitsTopUp(k) {
 			return
 		}
-		c.unreserve(now)
+		c.endReservation(now)
 		if k != nil {
-			k.retry = c.retryAt(now, k)
+			k.nextReservationAt = c.retryReservationAt(now, k)
 		}
 	}
-	if now < c.reserveAt {
+	if now < c.nextReservationAt {
 		return
 	}
-	if k, minions := c.passedOver(now); k != nil {
-		c.reserved = &reservation{k.key, minions, now + c.reserveFor(now, k)}
+	if k, workers := c.pickPassedOver(now); k != nil {
+		c.reservation = &reservation{k.key, workers, now + c.reservationLength(now, k)}
 	}
 }
 
 // overdue tells whether short reservations did not help a class for too long.
 func (c *Core) overdue(now time.Duration, k *class) bool {
-	return k.passed > 0 && now-k.passed >= c.cfg.ReserveLongAfter
+	return k.passedOverSince > 0 && now-k.passedOverSince >= c.cfg.ReserveLongAfter
 }
 
-// reserveFor is how long a reservation of a class lasts.
-func (c *Core) reserveFor(now time.Duration, k *class) time.Duration {
+// reservationLength is how long a reservation of a class lasts.
+func (c *Core) reservationLength(now time.Duration, k *class) time.Duration {
 	if c.overdue(now, k) {
 		return c.cfg.ReserveLong
 	}
 	return c.cfg.ReserveFor
 }
 
-// retryAt is when a class may get its next reservation. One that is overdue gets it after the rest, or after that of
+// retryReservationAt is when a class may get its next reservation. One that is overdue gets it after the rest, or after that of
 // another class if one waits.
-func (c *Core) retryAt(now time.Duration, k *class) time.Duration {
+func (c *Core) retryReservationAt(now time.Duration, k *class) time.Duration {
 	if c.overdue(now, k) {
-		return c.reserveAt + 1
+		return c.nextReservationAt + 1
 	}
 	return now + c.cfg.ReserveRetry
 }
 
-// unreserve opens the minions of the reservation to all.
-func (c *Core) unreserve(now time.Duration) {
-	c.reserved, c.reserveAt, c.wide = nil, now+c.cfg.ReserveRest, true
+// endReservation opens the minions of the reservation to all.
+func (c *Core) endReservation(now time.Duration) {
+	c.reservation, c.nextReservationAt, c.fullScan = nil, now+c.cfg.ReserveRest, true
 }
 
-// passedOver gives the class with the oldest task of those that others passed over for too long, and minions for it;
+// pickPassedOver gives the class with the oldest task of those that others passed over for too long, and minions for it;
 // nil if there is none. One that the fleet cannot hold now is looked at again later.
-func (c *Core) passedOver(now time.Duration) (*class, map[string]bool) {
+func (c *Core) pickPassedOver(now time.Duration) (*class, map[string]bool) {
 	type candidate struct {
 		k   *class
 		seq uint64
 	}
 	var waiting []candidate
 	for _, k := range c.queue.classes {
-		if k.passed == 0 || now-k.passed < c.cfg.ReserveAfter || now < k.retry {
+		if k.passedOverSince == 0 || now-k.passedOverSince < c.cfg.ReserveAfter || now < k.nextReservationAt {
 			continue
 		}
-		if j, _ := c.peek(k); j != nil && !c.dry(k) {
+		if j, _ := c.peek(k); j != nil && !c.awaitsTopUp(k) {
 			waiting = append(waiting, candidate{k, j.Seq})
 		}
 	}
@@ -117,16 +117,16 @@
 		return cmp.Or(cmp.Compare(a.seq, b.seq), strings.Compare(a.k.key, b.k.key))
 	})
 	for _, w := range waiting {
-		if minions := c.reservable(w.k); minions != nil {
-			return w.k, minions
+		if workers := c.workersToReserve(w.k); workers != nil {
+			return w.k, workers
 		}
-		w.k.retry = now + c.cfg.ReserveRetry
+		w.k.nextReservationAt = now + c.cfg.ReserveRetry
 	}
 	return nil, nil
 }
 
-// reservable picks minions for a class, those first that have most free; nil if the fleet cannot hold its next tasks.
-func (c *Core) reservable(k *class) map[string]bool {
+// workersToReserve picks minions for a class, those first that have most free; nil if the fleet cannot hold its next tasks.
+func (c *Core) workersToReserve(k *class) map[string]bool {
 	j, ref := c.peek(k)
 	if j == nil {
 		return nil
@@ -134,20 +134,20 @@
 	step := &j.Spec.Steps[ref.Step]
 	var fit []*state.Worker
 	for _, name := range c.ring {
-		rec, m := c.st.Workers[name], c.minions[name]
-		if rec != nil && m.heard > 0 && m.failures == 0 && c.health.sick[name] == nil && slots(rec, step) > 0 && c.st.PlacementRefusal(&j.Spec, step, rec) == "" {
+		rec, m := c.st.Workers[name], c.workers[name]
+		if rec != nil && m.heardAt > 0 && m.failures == 0 && c.health.unhealthy[name] == nil && tasksPerWorker(rec, step) > 0 && c.st.PlacementRefusal(&j.Spec, step, rec) == "" {
 			fit = append(fit, rec)
 		}
 	}
 	free := func(m *state.Worker) int { return m.Cores - c.st.UsageOf(m.Name).Cores }
 	slices.SortStableFunc(fit, func(a, b *state.Worker) int { return free(b) - free(a) })
-	need, got, out := k.next(), 0, map[string]bool{}
+	need, got, out := k.groupSize(), 0, map[string]bool{}
 	for _, m := range fit {
-		if got >= reserveRoom*need {
+		if got >= reserveFactor*need {
 			break
 		}
 		out[m.Name] = true
-		got += slots(m, step)
+		got += tasksPerWorker(m, step)
 	}
 	if got < need {
 		return nil
@@ -155,8 +155,8 @@
 	return out
 }
 
-// slots is how many tasks of a step a minion can run at once.
-func slots(m *state.Worker, step *state.StepSpec) int {
+// tasksPerWorker is how many tasks of a step a minion can run at once.
+func tasksPerWorker(m *state.Worker, step *state.StepSpec) int {
 	n := m.Cores / max(step.Cores, 1)
 	if step.GPUs > 0 {
 		n = min(n, m.GPUs/step.GPUs)
@@ -164,30 +164,30 @@
 	return n
 }
 
-// noteStarts notes which classes the starts of a plan passed over: those with an older task that fitted nowhere.
-func (c *Core) noteStarts(now time.Duration, starts []command.Start, fitsNot map[string]bool, pending map[string]int) {
+// recordPassedOver notes which classes the starts of a plan passed over: those with an older task that fitted nowhere.
+func (c *Core) recordPassedOver(now time.Duration, starts []command.Start, unschedulable map[string]bool, pending map[string]int) {
 	var newest [ranks]uint64
 	for _, s := range starts {
 		j, _ := c.st.TaskOf(s.Ref)
 		step := &j.Spec.Steps[s.Ref.Step]
-		r := c.rankOf(&class{queue: j.Spec.Queue, kind: step.Type}, 0)
+		r := c.rankOf(&class{queue: j.Spec.Queue, taskType: step.Type}, 0)
 		newest[r] = max(newest[r], j.Seq)
 	}
 	for key, k := range c.queue.classes {
-		if c.dry(k) {
-			k.passed = 0 // what waits for money is passed over by nobody
+		if c.awaitsTopUp(k) {
+			k.passedOverSince = 0 // what waits for money is passed over by nobody
 			continue
 		}
-		if !fitsNot[key] || k.passed > 0 {
+		if !unschedulable[key] || k.passedOverSince > 0 {
 			continue
 		}
 		j, _ := c.peek(k)
 		if j == nil {
 			continue
 		}
-		for r := c.rankOf(k, pending[k.kind]); r < ranks; r++ {
+		for r := c.rankOf(k, pending[k.taskType]); r < ranks; r++ {
 			if newest[r] > j.Seq {
-				k.passed = now
+				k.passedOverSince = now
 			}
 		}
 	}
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -13,10 +13,10 @@
 	"crosstide/internal/state"
 )
 
-// crowd is a desk whose minions of 4 cores are full of tasks of one core, with more of them always due.
-type crowd struct {
-	*desk
-	minions []string
+// loadedCluster is a desk whose minions of 4 cores are full of tasks of one core, with more of them always due.
+type loadedCluster struct {
+	*harness
+	workers []string
 	runs    map[uint64]time.Duration // when a run ends
 	began   map[string]time.Duration // when a job got its first run ID
 	serial  int
@@ -25,47 +25,47 @@
 }
 
 const (
-	crowdStep = 50 * time.Millisecond
-	crowdRun  = time.Second // of a narrow task, spread a little so that they end one by one
-	crowdDue  = 8           // narrow tasks that are always due
+	runLengthStep = 50 * time.Millisecond
+	shortestRun   = time.Second // of a narrow task, spread a little so that they end one by one
+	tasksDue      = 8           // narrow tasks that are always due
 )
 
-func newCrowd(minions ...string) *crowd {
-	return newCrowdOf(newDesk("check", minions...), minions)
+func newLoadedCluster(workers ...string) *loadedCluster {
+	return newLoadedClusterOf(newHarness("check", workers...), workers)
 }
 
-func newCrowdOf(d *desk, minions []string) *crowd {
-	c := &crowd{desk: d, minions: minions, runs: map[uint64]time.Duration{}, began: map[string]time.Duration{}, length: alike}
-	c.greet("check")
-	for range 4 * len(minions) {
+func newLoadedClusterOf(d *harness, workers []string) *loadedCluster {
+	c := &loadedCluster{harness: d, workers: workers, runs: map[uint64]time.Duration{}, began: map[string]time.Duration{}, length: alike}
+	c.greetWorkers("check")
+	for range 4 * len(workers) {
 		c.narrow()
 	}
 	return c
 }
 
 // alike gives lengths that are nearly the same.
-func alike(runID uint64) time.Duration { return crowdRun + time.Duration(runID*7%10)*crowdStep }
+func alike(runID uint64) time.Duration { return shortestRun + time.Duration(runID*7%10)*runLengthStep }
 
-func (c *crowd) narrow() {
+func (c *loadedCluster) narrow() {
 	c.serial++
 	c.submit(fmt.Sprintf("n%04d", c.serial), state.StepSpec{})
 }
 
 // step lets time pass: fresh tasks come, runs end, each minion answers its calls, run IDs are given and ordered.
-func (c *crowd) step() {
-	c.now += crowdStep
-	for range crowdDue - c.core.QueueLength() {
+func (c *loadedCluster) step() {
+	c.now += runLengthStep
+	for range tasksDue - c.core.QueueLength() {
 		c.narrow()
 	}
-	for _, name := range c.minions {
+	for _, name := range c.workers {
 		if call, ok := c.wait[name]; ok {
 			delete(c.wait, name)
 			c.answer(call, "check", c.list(name))
 		}
 	}
-	for calls := c.settle(); len(calls) > 0; calls = c.settle() {
+	for calls := c.commitPlans(); len(calls) > 0; calls = c.commitPlans() {
 		for _, call := range calls {
-			if call.Order {
+			if call.IsOrder {
 				c.start(call)
 			}
 		}
@@ -73,25 +73,25 @@
 }
 
 // start lets a minion carry out an order call.
-func (c *crowd) start(call CallOut) {
+func (c *loadedCluster) start(call OutgoingCall) {
 	for _, s := range call.Call.Starts {
 		if c.began[s.Job] == 0 {
 			c.began[s.Job] = c.now
 		}
 		c.runs[s.RunID] = c.now + c.length(s.RunID)
 	}
-	c.answer(call, "check", c.list(call.Minion))
+	c.answer(call, "check", c.list(call.Worker))
 }
 
 // list is what runs and what has ended on a minion; its runs end one by one.
-func (c *crowd) list(name string) (a internalapi.HoldAnswer) {
+func (c *loadedCluster) list(name string) (a internalapi.LeaseAnswer) {
 	for _, t := range slices.Sorted(maps.Keys(c.runs)) {
 		switch h := c.st.Handles[t]; {
 		case h == nil:
 			delete(c.runs, t)
 		case h.Worker != name:
 		case c.runs[t] <= c.now && len(a.Ended) == 0:
-			a.Ended = append(a.Ended, internalapi.EndNote{RunID: t, How: internalapi.EndWell})
+			a.Ended = append(a.Ended, internalapi.RunEnd{RunID: t, Outcome: internalapi.OutcomeOK})
 		default:
 			a.Running = append(a.Running, t)
 		}
@@ -100,8 +100,8 @@
 }
 
 // serve lets time pass, with narrow tasks always due, until a job has its first run ID or a time is over.
-func (c *crowd) serve(job string, within time.Duration) bool {
-	for end := c.now + within; c.now < end && c.began[job] == 0; {
+func (c *loadedCluster) serve(job string, timeout time.Duration) bool {
+	for end := c.now + timeout; c.now < end && c.began[job] == 0; {
 		c.step()
 	}
 	return c.began[job] > 0
@@ -109,7 +109,7 @@
 
 func TestNotPassedOverForEver(t *testing.T) {
 	Convey("A fleet is full of narrow tasks, and more of them are due all the time", t, func() {
-		c := newCrowd("m1", "m2", "m3")
+		c := newLoadedCluster("m1", "m2", "m3")
 		for range 40 {
 			c.step()
 		}
@@ -136,37 +136,37 @@
 
 func TestReservationIsShort(t *testing.T) {
 	Convey("A task that fits nowhere waits, and nothing else ends but one run", t, func() {
-		c := newCrowd("m1")
+		c := newLoadedCluster("m1")
 		for range 20 {
 			c.step()
 		}
 		c.submit("wide", state.StepSpec{Cores: 3})
-		So(c.serve("wide", Defaults().ReserveAfter+time.Second), ShouldBeFalse)
+		So(c.serve("wide", DefaultConfig().ReserveAfter+time.Second), ShouldBeFalse)
 		for runID := range c.runs {
 			c.runs[runID] = c.now + time.Hour
 		}
 		c.runs[slices.Min(slices.Collect(maps.Keys(c.runs)))] = c.now
 		longest := c.longestFree("m1", c.now+5*time.Second)
 		Convey("the free core is left for it, but not for long", func() {
-			So(longest, ShouldBeGreaterThan, 3*crowdStep)
-			So(longest, ShouldBeLessThanOrEqualTo, Defaults().ReserveFor+4*crowdStep)
+			So(longest, ShouldBeGreaterThan, 3*runLengthStep)
+			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().ReserveFor+4*runLengthStep)
 		})
 		Convey("nor for much longer once it has waited for ReserveLongAfter", func() {
-			c.longestFree("m1", c.now+Defaults().ReserveLongAfter)
+			c.longestFree("m1", c.now+DefaultConfig().ReserveLongAfter)
 			longest := c.longestFree("m1", c.now+20*time.Second)
-			So(longest, ShouldBeGreaterThan, Defaults().ReserveFor)
-			So(longest, ShouldBeLessThanOrEqualTo, Defaults().ReserveLong+4*crowdStep)
+			So(longest, ShouldBeGreaterThan, DefaultConfig().ReserveFor)
+			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().ReserveLong+4*runLengthStep)
 		})
 	})
 }
 
 // longestFree lets time pass and gives the longest time for which a core of a minion stood free without a break.
-func (c *crowd) longestFree(minion string, until time.Duration) (longest time.Duration) {
+func (c *loadedCluster) longestFree(worker string, until time.Duration) (longest time.Duration) {
 	var free time.Duration
 	for c.now < until {
 		c.step()
-		if c.st.UsageOf(minion).Cores < 4 {
-			free += crowdStep
+		if c.st.UsageOf(worker).Cores < 4 {
+			free += runLengthStep
 		} else {
 			free = 0
 		}
--- a/internal/dataplane/scheduler/scheduler_test.go
+++ b/internal/dataplane/scheduler/scheduler_test.go
@@ -15,29 +15,29 @@
 	"crosstide/internal/state/command"
 )
 
-// desk is a store of one, with a core on its state: what the core plans is committed when the test says so.
-type desk struct {
+// harness is a store of one, with a core on its state: what the core plans is committed when the test says so.
+type harness struct {
 	st   *state.State
 	core *Core
 	now  time.Duration
-	wait map[string]CallOut // waiting calls that are out, by minion
+	wait map[string]OutgoingCall // waiting calls that are out, by minion
 	// room is the cores that a minion tells of, by name; 4 if it is not in it.
-	room map[string]int
+	coresByWorker map[string]int
 }
 
-func newDesk(kind string, minions ...string) *desk {
-	d := &desk{st: state.New(), now: time.Minute, wait: map[string]CallOut{}}
-	d.core = New(Defaults(), d.st)
-	d.st.OnEvent = d.core.Note
+func newHarness(kind string, workers ...string) *harness {
+	d := &harness{st: state.New(), now: time.Minute, wait: map[string]OutgoingCall{}}
+	d.core = New(DefaultConfig(), d.st)
+	d.st.OnEvent = d.core.StateChanged
 	d.do(&command.GrantRole{Role: "sched", Holder: "d1"})
-	for _, name := range minions {
+	for _, name := range workers {
 		d.do(&command.Announce{Worker: state.Worker{Name: name, Addr: name, Kind: kind}})
 	}
 	d.lead()
 	return d
 }
 
-func (d *desk) do(c command.Command) any {
+func (d *harness) do(c command.Command) any {
 	data, err := command.Encode(time.Unix(0, 0).Add(d.now), c)
 	if err != nil {
 		panic(err)
@@ -50,37 +50,37 @@
 }
 
 // lead gives the duty to a holder after the present one.
-func (d *desk) lead() {
+func (d *harness) lead() {
 	d.do(&command.GrantRole{Role: "sched", Holder: "d", After: d.st.Roles["sched"].Epoch})
-	d.core = New(Defaults(), d.st)
-	d.st.OnEvent = d.core.Note
-	d.core.Lead(d.now, d.st.Roles["sched"].Epoch)
-	d.core.Lease(d.now + time.Hour)
+	d.core = New(DefaultConfig(), d.st)
+	d.st.OnEvent = d.core.StateChanged
+	d.core.BecomeLeader(d.now, d.st.Roles["sched"].Epoch)
+	d.core.SetRoleLease(d.now + time.Hour)
 	clear(d.wait)
 }
 
-func (d *desk) submit(key string, step state.StepSpec) {
+func (d *harness) submit(key string, step state.StepSpec) {
 	step.Name, step.Type = "s", "t"
 	step.Tasks, step.Cores = max(step.Tasks, 1), max(step.Cores, 1)
 	d.do(&command.Submit{Spec: state.Spec{Key: key, Team: "a", Queue: "default", Steps: []state.StepSpec{step}}, Digest: key, Bound: 100})
 }
 
 // commit applies a plan and answers it.
-func (d *desk) commit(p *command.Plan) {
+func (d *harness) commit(p *command.Plan) {
 	if p != nil {
-		d.core.Planned(d.now, p.Epoch, d.do(p).(command.Planned), nil)
+		d.core.PlanAnswered(d.now, p.Epoch, d.do(p).(command.Planned), nil)
 	}
 }
 
-// settle passes and commits until no plan comes, and gives the calls of all passes.
-func (d *desk) settle() []CallOut {
-	var calls []CallOut
+// commitPlans passes and commits until no plan comes, and gives the calls of all passes.
+func (d *harness) commitPlans() []OutgoingCall {
+	var calls []OutgoingCall
 	for {
 		out := d.core.Pass(d.now)
 		calls = append(calls, out.Calls...)
 		for _, c := range out.Calls {
-			if !c.Order {
-				d.wait[c.Minion] = c
+			if !c.IsOrder {
+				d.wait[c.Worker] = c
 			}
 		}
 		if out.Plan == nil {
@@ -90,29 +90,29 @@
 	}
 }
 
-func (d *desk) answer(c CallOut, kind string, a internalapi.HoldAnswer) {
+func (d *harness) answer(c OutgoingCall, kind string, a internalapi.LeaseAnswer) {
 	a.Call, a.Epoch, a.Kind, a.Clock, a.Floor = c.Call.Call, c.Call.Epoch, kind, d.now, max(a.Floor, c.Call.Floor)
 	a.Cores, a.Zone = 4, "z1"
-	if cores, ok := d.room[c.Minion]; ok {
+	if cores, ok := d.coresByWorker[c.Worker]; ok {
 		a.Cores = cores
 	}
-	if a.Boot == "" {
-		a.Boot = "b1"
+	if a.Incarnation == "" {
+		a.Incarnation = "b1"
 	}
-	d.core.Answer(d.now, c.Minion, c.Order, c.Call, a)
+	d.core.CallAnswered(d.now, c.Worker, c.IsOrder, c.Call, a)
 }
 
-// greet answers the waiting calls, so that every minion is known.
-func (d *desk) greet(kind string) {
+// greetWorkers answers the waiting calls, so that every minion is known.
+func (d *harness) greetWorkers(kind string) {
 	for range 2 {
-		d.settle()
-		d.reply(kind, "", internalapi.HoldAnswer{})
+		d.commitPlans()
+		d.reply(kind, "", internalapi.LeaseAnswer{})
 	}
-	d.settle()
+	d.commitPlans()
 }
 
 // reply answers the waiting calls that are out, but for those of the minion named.
-func (d *desk) reply(kind, but string, a internalapi.HoldAnswer) {
+func (d *harness) reply(kind, but string, a internalapi.LeaseAnswer) {
 	for _, name := range slices.Sorted(maps.Keys(d.wait)) {
 		if c := d.wait[name]; name != but {
 			delete(d.wait, name)
@@ -121,8 +121,8 @@
 	}
 }
 
-// order gives the one call with starts among calls.
-func order(calls []CallOut) *CallOut {
+// orderCall gives the one call with starts among calls.
+func findOrder(calls []OutgoingCall) *OutgoingCall {
 	for i := range calls {
 		if len(calls[i].Call.Starts) > 0 {
 			return &calls[i]
@@ -131,15 +131,15 @@
 	return nil
 }
 
-func taskOf(d *desk, key string) *state.Task {
+func taskOf(d *harness, key string) *state.Task {
 	_, t := d.st.TaskOf(state.TaskRef{Job: key})
 	return t
 }
 
 func TestRunIDBeforeOrder(t *testing.T) {
 	Convey("an order leaves only after its ticket's commit was answered", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		d.submit("j", state.StepSpec{})
 		out := d.core.Pass(d.now)
 		So(out.Plan, ShouldNotBeNil)
@@ -148,43 +148,43 @@
 		out = d.core.Pass(d.now)
 		So(out.Plan, ShouldNotBeNil)
 		So(out.Plan.Starts, ShouldHaveLength, 1)
-		So(order(out.Calls), ShouldBeNil)
-		So(order(d.core.Pass(d.now).Calls), ShouldBeNil)
+		So(findOrder(out.Calls), ShouldBeNil)
+		So(findOrder(d.core.Pass(d.now).Calls), ShouldBeNil)
 		d.commit(out.Plan)
 		So(d.st.Handles, ShouldHaveLength, 1)
-		o := order(d.core.Pass(d.now).Calls)
+		o := findOrder(d.core.Pass(d.now).Calls)
 		So(o, ShouldNotBeNil)
 		So(o.Call.Starts[0].RunID, ShouldEqual, 1)
 
 		Convey("and only inside its window", func() {
-			d = newDesk("check", "m1")
-			d.greet("check")
+			d = newHarness("check", "m1")
+			d.greetWorkers("check")
 			d.submit("j", state.StepSpec{})
 			d.commit(d.core.Pass(d.now).Plan)
 			d.commit(d.core.Pass(d.now).Plan)
-			d.now += Defaults().StartWindow + time.Millisecond
-			So(order(d.core.Pass(d.now).Calls), ShouldBeNil) // voided
+			d.now += DefaultConfig().StartWindow + time.Millisecond
+			So(findOrder(d.core.Pass(d.now).Calls), ShouldBeNil) // voided
 			d.commit(d.core.Pass(d.now).Plan)
 			So(taskOf(d, "j").Phase, ShouldEqual, state.TaskDue)
-			So(d.core.Counts.Dead[command.ProofUnsent], ShouldEqual, 1)
+			So(d.core.Counts.ProvedDead[command.ProofUnsent], ShouldEqual, 1)
 		})
 		Convey("and not once the lease has only its margin left", func() {
 			d.submit("k", state.StepSpec{})
-			d.core.Lease(d.now + Defaults().LeaseMargin)
-			So(d.core.Pass(d.now), ShouldResemble, Out{})
+			d.core.SetRoleLease(d.now + DefaultConfig().RoleLeaseMargin)
+			So(d.core.Pass(d.now), ShouldResemble, Actions{})
 		})
 	})
 }
 
 func TestLimitOrdersOnly(t *testing.T) {
 	Convey("a type over its limit runs where there is room, after types under theirs", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		d.st.Bundle.Limits = map[string]int{"t": 1}
 		d.submit("j", state.StepSpec{Tasks: 6})
 		d.submit("k", state.StepSpec{})
 		d.st.Jobs["k"].Spec.Steps[0].Type = "u"
-		o := order(d.settle())
+		o := findOrder(d.commitPlans())
 		So(o, ShouldNotBeNil)
 		So(o.Call.Starts, ShouldHaveLength, 4) // all the room there is, though the limit of t is 1
 		So(o.Call.Starts[1].Type, ShouldEqual, "u")
@@ -194,7 +194,7 @@
 			d.lead()
 			So(d.core.RunningCount("t"), ShouldEqual, 3)
 			So(d.core.RunningCount("u"), ShouldEqual, 1)
-			So(order(d.settle()), ShouldBeNil) // no minion has answered under the new epoch
+			So(findOrder(d.commitPlans()), ShouldBeNil) // no minion has answered under the new epoch
 		})
 	})
 }
@@ -202,21 +202,21 @@
 // event is one thing that may happen after an order went out.
 type event struct {
 	name string
-	do   func(d *desk, w *world)
+	do   func(d *harness, w *workerModel)
 }
 
-// world is what is true at the minion: whether the order arrived, ran, ended.
-type world struct {
+// workerModel is what is true at the minion: whether the order arrived, ran, ended.
+type workerModel struct {
 	kind    string
-	order   CallOut
+	order   OutgoingCall
 	arrived bool
 	floor   uint64
 	started map[uint64]int
 	running map[uint64]bool
 }
 
-func (w *world) listing() internalapi.HoldAnswer {
-	a := internalapi.HoldAnswer{Floor: w.floor}
+func (w *workerModel) listing() internalapi.LeaseAnswer {
+	a := internalapi.LeaseAnswer{Floor: w.floor}
 	for t := range w.running {
 		a.Running = append(a.Running, t)
 	}
@@ -224,11 +224,11 @@
 }
 
 // arrive carries the order out as a minion of the kind does.
-func (w *world) arrive(d *desk) {
+func (w *workerModel) arrive(d *harness) {
 	for _, s := range w.order.Call.Starts {
-		late := d.now > s.Until
+		late := d.now > s.LeaseUntil
 		if w.kind == "check" {
-			late = late || s.RunID <= w.floor || d.now > s.Void
+			late = late || s.RunID <= w.floor || d.now > s.StartBy
 		}
 		if !late {
 			w.started[s.RunID]++
@@ -256,44 +256,44 @@
 	rec(0, 0)
 }
 
-// TestEveryOrder tries, one by one, every order of: the order's arrival, the loss of its answer, a waiting call
+// TestEveryEventOrder tries, one by one, every order of: the order's arrival, the loss of its answer, a waiting call
 // answered, a new leader, the lapse of time. Whatever the order, the task is never running twice, and a second
 // run ID is given only when the first can never run any more.
-func TestEveryOrder(t *testing.T) {
+func TestEveryEventOrder(t *testing.T) {
 	events := []event{
-		{"arrive", func(d *desk, w *world) { w.arrive(d) }},
-		{"lost", func(d *desk, w *world) { d.core.Failure(d.now, "m1", true, w.order.Call, true) }},
-		{"listing", func(d *desk, w *world) { w.poll(d) }},
-		{"listing", func(d *desk, w *world) { w.poll(d) }},
-		{"leader", func(d *desk, w *world) { d.lead() }},
-		{"time", func(d *desk, w *world) { d.now += 3 * time.Second }},
+		{"arrive", func(d *harness, w *workerModel) { w.arrive(d) }},
+		{"lost", func(d *harness, w *workerModel) { d.core.CallFailed(d.now, "m1", true, w.order.Call, true) }},
+		{"listing", func(d *harness, w *workerModel) { w.poll(d) }},
+		{"listing", func(d *harness, w *workerModel) { w.poll(d) }},
+		{"leader", func(d *harness, w *workerModel) { d.lead() }},
+		{"time", func(d *harness, w *workerModel) { d.now += 3 * time.Second }},
 	}
 	for _, kind := range []string{"check", "obey"} {
 		Convey("every order of a start, its lost answer, listings, a new leader and time: "+kind, t, func() {
 			cases, seconds := 0, 0
 			permute(len(events), func(seq []int) {
-				d := newDesk(kind, "m1")
-				d.greet(kind)
+				d := newHarness(kind, "m1")
+				d.greetWorkers(kind)
 				d.submit("j", state.StepSpec{})
-				calls := d.settle()
-				o := order(calls)
-				w := &world{kind: kind, order: *o, started: map[uint64]int{}, running: map[uint64]bool{}}
+				calls := d.commitPlans()
+				o := findOrder(calls)
+				w := &workerModel{kind: kind, order: *o, started: map[uint64]int{}, running: map[uint64]bool{}}
 				names := ""
 				sent := d.now
 				for _, i := range seq {
 					names += events[i].name + " "
 					// An obeying minion may carry the order out late, up to its bound, and no later.
-					if events[i].name == "arrive" && kind == "obey" && d.now-sent > Defaults().Lateness {
+					if events[i].name == "arrive" && kind == "obey" && d.now-sent > DefaultConfig().Lateness {
 						continue
 					}
 					events[i].do(d, w)
-					for _, c := range d.settle() {
+					for _, c := range d.commitPlans() {
 						if len(c.Call.Starts) > 0 && c.Call.Starts[0].RunID != 1 {
 							seconds++
 							if w.running[1] {
 								panic(fmt.Sprintf("%s: a second ticket while the first runs: %s", kind, names))
 							}
-							if !w.arrived && (kind == "check" || d.now-sent <= Defaults().Lateness) {
+							if !w.arrived && (kind == "check" || d.now-sent <= DefaultConfig().Lateness) {
 								w.arrive(d) // the late order arrives now
 								if w.running[1] {
 									panic(fmt.Sprintf("%s: a late order started beside a second ticket: %s", kind, names))
@@ -311,8 +311,8 @@
 }
 
 // poll answers the waiting call that is out, as things stand at the minion.
-func (w *world) poll(d *desk) {
-	d.settle()
+func (w *workerModel) poll(d *harness) {
+	d.commitPlans()
 	if c, ok := d.wait["m1"]; ok {
 		delete(d.wait, "m1")
 		w.floor = max(w.floor, c.Call.Floor)
@@ -323,59 +323,59 @@
 	}
 }
 
-func TestCrossedAnswer(t *testing.T) {
+func TestStaleAnswer(t *testing.T) {
 	Convey("an answer that is older than one taken in, or names another call, proves nothing", t, func() {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		wait := d.wait["m1"]
 		d.submit("j", state.StepSpec{})
-		o := order(d.settle())
+		o := findOrder(d.commitPlans())
 		So(o, ShouldNotBeNil)
-		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
-		d.answer(wait, "check", internalapi.HoldAnswer{Floor: 9}) // made before the order arrived
-		d.settle()
+		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		d.answer(wait, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
+		d.commitPlans()
 		So(d.st.Handles[1], ShouldNotBeNil)
 		So(d.st.Handles[1].Phase, ShouldEqual, state.TaskRunning)
-		So(d.core.Counts.Crossed, ShouldEqual, 1)
+		So(d.core.Counts.StaleAnswers, ShouldEqual, 1)
 	})
 }
 
-func TestLapseAndBoot(t *testing.T) {
+func TestLeaseExpiryAndNewIncarnation(t *testing.T) {
 	Convey("given a running task on a minion that falls silent", t, func() {
-		d := newDesk("check", "m1", "m2")
-		d.greet("check")
+		d := newHarness("check", "m1", "m2")
+		d.greetWorkers("check")
 		d.submit("j", state.StepSpec{Run: json.RawMessage(`{}`)})
-		o := order(d.settle())
-		d.answer(*o, "check", internalapi.HoldAnswer{Running: []uint64{1}})
-		d.settle()
+		o := findOrder(d.commitPlans())
+		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		d.commitPlans()
 		Convey("its task is due again only when the hold told last has run out on its clock", func() {
-			end := o.Call.Starts[0].Until
+			end := o.Call.Starts[0].LeaseUntil
 			tick := func() {
-				for _, c := range d.settle() {
+				for _, c := range d.commitPlans() {
 					So(c.Call.Starts, ShouldBeEmpty)
 				}
-				if c, ok := d.wait[o.Minion]; ok { // no renewal may go to a minion that does not answer
-					end = max(end, c.Call.Until)
-					delete(d.wait, o.Minion)
-					d.core.Failure(d.now, c.Minion, false, c.Call, true)
+				if c, ok := d.wait[o.Worker]; ok { // no renewal may go to a minion that does not answer
+					end = max(end, c.Call.RenewUntil)
+					delete(d.wait, o.Worker)
+					d.core.CallFailed(d.now, c.Worker, false, c.Call, true)
 				}
-				d.reply("check", o.Minion, internalapi.HoldAnswer{})
+				d.reply("check", o.Worker, internalapi.LeaseAnswer{})
 			}
 			for tick(); d.now+500*time.Millisecond < end+200*time.Millisecond; tick() {
 				d.now += 500 * time.Millisecond
 			}
 			So(taskOf(d, "j").RunID, ShouldEqual, 1)
-			So(end, ShouldBeLessThanOrEqualTo, o.Call.Starts[0].Until+Defaults().Hold)
+			So(end, ShouldBeLessThanOrEqualTo, o.Call.Starts[0].LeaseUntil+DefaultConfig().RunLease)
 			d.now += time.Second
-			d.settle()
-			d.settle()
+			d.commitPlans()
+			d.commitPlans()
 			So(taskOf(d, "j").RunID, ShouldEqual, 2)
-			So(d.core.Counts.Dead[command.ProofLeaseExpired], ShouldEqual, 1)
+			So(d.core.Counts.ProvedDead[command.ProofLeaseExpired], ShouldEqual, 1)
 		})
 		Convey("a new boot proves it dead at once", func() {
 			for range 2 { // the first one is older than the order's answer and tells nothing
-				d.reply("check", "", internalapi.HoldAnswer{Boot: "b2"})
-				d.settle()
+				d.reply("check", "", internalapi.LeaseAnswer{Incarnation: "b2"})
+				d.commitPlans()
 			}
 			So(d.st.Handles[1], ShouldBeNil)
 			So(taskOf(d, "j").Lost, ShouldEqual, 1)
@@ -383,20 +383,20 @@
 	})
 }
 
-func TestFirstHold(t *testing.T) {
+func TestFirstLease(t *testing.T) {
 	Convey("the first hold of an obeying minion's run is short, and is renewed in full when the run is listed", t, func() {
-		cfg := Defaults()
-		for kind, first := range map[string]time.Duration{"check": cfg.Hold, "obey": cfg.Lateness} {
-			d := newDesk(kind, "m1")
-			d.greet(kind)
+		cfg := DefaultConfig()
+		for kind, first := range map[string]time.Duration{"check": cfg.RunLease, "obey": cfg.Lateness} {
+			d := newHarness(kind, "m1")
+			d.greetWorkers(kind)
 			d.submit("j", state.StepSpec{})
-			o := order(d.settle())
-			So(o.Call.Starts[0].Until-d.now, ShouldEqual, first)
-			d.answer(*o, kind, internalapi.HoldAnswer{Running: []uint64{1}})
-			d.settle()
-			d.reply(kind, "", internalapi.HoldAnswer{Running: []uint64{1}})
-			d.settle()
-			So(d.core.runs[1].until-d.now, ShouldEqual, cfg.Hold)
+			o := findOrder(d.commitPlans())
+			So(o.Call.Starts[0].LeaseUntil-d.now, ShouldEqual, first)
+			d.answer(*o, kind, internalapi.LeaseAnswer{Running: []uint64{1}})
+			d.commitPlans()
+			d.reply(kind, "", internalapi.LeaseAnswer{Running: []uint64{1}})
+			d.commitPlans()
+			So(d.core.runs[1].leaseUntil-d.now, ShouldEqual, cfg.RunLease)
 		}
 	})
 }
--- a/internal/dataplane/scheduler/silence_test.go
+++ b/internal/dataplane/scheduler/silence_test.go
@@ -9,11 +9,11 @@
 	"crosstide/internal/state"
 )
 
-func TestOrderToSilentMinion(t *testing.T) {
+func TestNoOrderToSilentWorker(t *testing.T) {
 	// ordered tells whether an order leaves for a minion that is unheard for so long when its plan is committed.
 	ordered := func(unheard time.Duration) bool {
-		d := newDesk("check", "m1")
-		d.greet("check")
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
 		heard := d.now
 		d.now = heard + unheard - 100*time.Millisecond
 		d.submit("j1", state.StepSpec{})
@@ -25,12 +25,12 @@
 		So(out.Plan, ShouldNotBeNil)
 		d.now = heard + unheard
 		d.commit(out.Plan)
-		return order(d.settle()) != nil
+		return findOrder(d.commitPlans()) != nil
 	}
 	Convey("An order leaves for a minion that was heard a moment ago, and none for one that may drain for 1.5 s already", t, func() {
 		So(ordered(time.Second), ShouldBeTrue)
-		So(ordered(Defaults().OrderSilence), ShouldBeTrue)
-		So(ordered(Defaults().OrderSilence+time.Millisecond), ShouldBeFalse)
+		So(ordered(DefaultConfig().OrderTimeout), ShouldBeTrue)
+		So(ordered(DefaultConfig().OrderTimeout+time.Millisecond), ShouldBeFalse)
 		So(ordered(2*time.Second), ShouldBeFalse)
 	})
 }
