--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -32,9 +32,9 @@
 	MaxList     = 1000
 )
 
-// Book is what the API needs of its node: confirmed reads and commits. Propose and Read must return at once
+// Store is what the API needs of its node: confirmed reads and commits. Propose and Read must return at once
 // when ctx ends.
-type Book interface {
+type Store interface {
 	// Propose commits c at the leader and returns the command's answer. A command sent again after an error must
 	// do no harm: it may have been committed.
 	Propose(ctx context.Context, c command.Command) (json.RawMessage, error)
@@ -52,10 +52,10 @@
 
 // Options are the settings of the API; the zero value takes the defaults.
 type Options struct {
-	Within   time.Duration // a call that takes longer is abandoned, default 2s
-	Inflight int           // submits worked on at once, default 2000; one more is errs.Overloaded
-	Seed     uint64        // of the spread of Retry-After
-	Clock    clock.Clock   // default clock.Real
+	Timeout    time.Duration // a call that takes longer is abandoned, default 2s
+	MaxSubmits int           // submits worked on at once, default 2000; one more is errs.Overloaded
+	Seed       uint64        // of the spread of Retry-After
+	Clock      clock.Clock   // default clock.Real
 }
 
 // Accepted answers POST /v1/jobs and DELETE /v1/jobs/{key}.
@@ -72,11 +72,11 @@
 }
 
 type api struct {
-	book        Book
+	store       Store
 	opt         Options
 	submitting  atomic.Int64
 	mu          sync.Mutex
-	retrySpread *rand.Rand
+	retryJitter *rand.Rand
 }
 
 // Register puts the API's routes on s:
@@ -89,17 +89,17 @@
 // Failures are answered by the table of package errs; 429 and 503 carry a Retry-After of 1 to 3 seconds. Example:
 //
 //	clientapi.Register(server, node, clientapi.Options{Seed: seed})
-func Register(s Router, b Book, opt Options) {
-	if opt.Within <= 0 {
-		opt.Within = 2 * time.Second
+func Register(s Router, b Store, opt Options) {
+	if opt.Timeout <= 0 {
+		opt.Timeout = 2 * time.Second
 	}
-	if opt.Inflight <= 0 {
-		opt.Inflight = 2000
+	if opt.MaxSubmits <= 0 {
+		opt.MaxSubmits = 2000
 	}
 	if opt.Clock == nil {
 		opt.Clock = clock.Real{}
 	}
-	a := &api{book: b, opt: opt, retrySpread: rand.New(rand.NewPCG(opt.Seed, 0))}
+	a := &api{store: b, opt: opt, retryJitter: rand.New(rand.NewPCG(opt.Seed, 0))}
 	for pattern, h := range map[string]func(context.Context, *http.Request) (int, any, error){
 		"POST /v1/jobs":         a.submit,
 		"GET /v1/jobs":          a.listJobs,
@@ -110,7 +110,7 @@
 		s.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
 			ctx, cancel := context.WithCancel(r.Context())
 			defer cancel()
-			defer opt.Clock.Set(opt.Within, cancel).Stop()
+			defer opt.Clock.Set(opt.Timeout, cancel).Stop()
 			status, answer, err := h(ctx, r)
 			if err != nil {
 				rpc.WriteError(w, a.clientError(err))
@@ -123,8 +123,8 @@
 
 func (a *api) submit(ctx context.Context, r *http.Request) (int, any, error) {
 	defer a.submitting.Add(-1)
-	if n := a.submitting.Add(1); n > int64(a.opt.Inflight) {
-		return 0, nil, errs.New(errs.Overloaded, "%d jobs are being handed in here, the bound", a.opt.Inflight)
+	if n := a.submitting.Add(1); n > int64(a.opt.MaxSubmits) {
+		return 0, nil, errs.New(errs.Overloaded, "%d jobs are being handed in here, the bound", a.opt.MaxSubmits)
 	}
 	data, err := rpc.ReadBody(r, MaxBody)
 	if err != nil {
@@ -135,7 +135,7 @@
 		return 0, nil, errs.Pass(err, "submit")
 	}
 	var got command.Submitted
-	if err := a.propose(ctx, &command.Submit{Spec: spec, Digest: digest, Bound: a.book.QueueLimit()}, &got); err != nil {
+	if err := a.propose(ctx, &command.Submit{Spec: spec, Digest: digest, Bound: a.store.QueueLimit()}, &got); err != nil {
 		return 0, nil, errs.Pass(err, "submit %s", spec.Key)
 	}
 	status := http.StatusOK
@@ -146,7 +146,7 @@
 }
 
 func (a *api) cancelJob(ctx context.Context, r *http.Request) (int, any, error) {
-	key, err := keyOf(r)
+	key, err := jobKey(r)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "cancel")
 	}
@@ -181,7 +181,7 @@
 }
 
 func (a *api) getJob(ctx context.Context, r *http.Request) (int, any, error) {
-	key, err := keyOf(r)
+	key, err := jobKey(r)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "job")
 	}
@@ -197,7 +197,7 @@
 }
 
 func (a *api) listJobs(ctx context.Context, r *http.Request) (int, any, error) {
-	q, err := filterOf(r)
+	q, err := parseFilter(r)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "list")
 	}
@@ -216,7 +216,7 @@
 }
 
 func (a *api) propose(ctx context.Context, c command.Command, answer any) error {
-	raw, err := a.book.Propose(ctx, c)
+	raw, err := a.store.Propose(ctx, c)
 	if err != nil {
 		return errs.Pass(err, "propose %s", c.Op())
 	}
@@ -225,7 +225,7 @@
 
 func (a *api) read(ctx context.Context, do func(s *state.State)) error {
 	ran := false
-	err := a.book.Read(ctx, func(s *state.State) error {
+	err := a.store.Read(ctx, func(s *state.State) error {
 		ran = true
 		do(s)
 		return nil
@@ -250,13 +250,13 @@
 	}
 	if f.Kind == errs.Unavailable || f.Kind == errs.Overloaded {
 		a.mu.Lock()
-		f.After = time.Duration(1+a.retrySpread.IntN(3)) * time.Second
+		f.After = time.Duration(1+a.retryJitter.IntN(3)) * time.Second
 		a.mu.Unlock()
 	}
 	return errs.Pass(&f, "client")
 }
 
-func keyOf(r *http.Request) (string, error) {
+func jobKey(r *http.Request) (string, error) {
 	key := r.PathValue("key")
 	if !nameForm.MatchString(key) {
 		return "", errs.Field(errs.Invalid, "key", nameRule)
@@ -275,7 +275,7 @@
 	state.JobDone: true, state.JobFailed: true, state.JobCancelled: true,
 }
 
-func filterOf(r *http.Request) (filter, error) {
+func parseFilter(r *http.Request) (filter, error) {
 	out := filter{limit: DefaultList}
 	values, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
--- a/internal/httpapi/clientapi/clientapi_test.go
+++ b/internal/httpapi/clientapi/clientapi_test.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// book is a node on a state of its own; fail, if set, ends calls before they reach it.
-type book struct {
+// fakeStore is a node on a state of its own; fail, if set, ends calls before they reach it.
+type fakeStore struct {
 	s       *state.State
 	bound   int
 	fail    error
@@ -109,16 +109,16 @@
 	leave   chan struct{}
 }
 
-func (b *book) QueueLimit() int { return b.bound }
+func (b *fakeStore) QueueLimit() int { return b.bound }
 
-func (b *book) Read(_ context.Context, do func(*state.State) error) error {
+func (b *fakeStore) Read(_ context.Context, do func(*state.State) error) error {
 	if b.fail != nil {
 		return b.fail
 	}
 	return do(b.s)
 }
 
-func (b *book) Propose(ctx context.Context, c command.Command) (json.RawMessage, error) {
+func (b *fakeStore) Propose(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	if b.entered != nil {
 		b.entered <- struct{}{}
 		select {
@@ -149,10 +149,10 @@
 
 func TestRoutes(t *testing.T) {
 	Convey("Given the API before a node", t, func() {
-		b := &book{s: state.New(), bound: 10}
+		b := &fakeStore{s: state.New(), bound: 10}
 		clock := &clock.Virtual{}
 		m := mux{http.NewServeMux()}
-		Register(m, b, Options{Inflight: 1, Clock: clock, Seed: 7})
+		Register(m, b, Options{MaxSubmits: 1, Clock: clock, Seed: 7})
 		call := func(method, path, body string) (int, string, *httptest.ResponseRecorder) {
 			w := httptest.NewRecorder()
 			m.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
@@ -244,7 +244,7 @@
 	})
 	Convey("Over the wire a body over its bound is 413 and bytes that are no JSON are 400", t, func() {
 		s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Register(s, &book{s: state.New(), bound: 10}, Options{})
+		Register(s, &fakeStore{s: state.New(), bound: 10}, Options{})
 		So(s.Start(), ShouldBeNil)
 		defer func() { So(s.Stop(time.Second), ShouldBeNil) }()
 		for body, want := range map[string]int{step(""): 202, step(strings.Repeat(" ", MaxBody)): 413, `{"key"`: 400} {
--- a/internal/httpapi/clientapi/parse.go
+++ b/internal/httpapi/clientapi/parse.go
@@ -21,16 +21,16 @@
 
 // Bounds of a job.
 const (
-	MaxSteps    = 100
-	MaxTasks    = 10_000 // of a step
-	MaxJobTasks = 20_000
-	MaxCores    = 4096 // of a task
-	MaxGPUs     = 1024 // of a task
-	MaxRetries  = 100
-	MaxLabels   = 32
-	MaxGang     = 64       // tasks of a step that start together
-	MaxRun      = 64 << 10 // bytes of `run`, without white space
-	maxMistakes = 20       // mistakes reported at once
+	MaxSteps            = 100
+	MaxTasks            = 10_000 // of a step
+	MaxJobTasks         = 20_000
+	MaxCores            = 4096 // of a task
+	MaxGPUs             = 1024 // of a task
+	MaxRetries          = 100
+	MaxLabels           = 32
+	MaxGang             = 64       // tasks of a step that start together
+	MaxRun              = 64 << 10 // bytes of `run`, without white space
+	maxValidationErrors = 20       // mistakes reported at once
 )
 
 // What a job that does not say gets.
@@ -92,30 +92,30 @@
 
 // reader collects the mistakes while it reads.
 type reader struct {
-	kind     errs.Kind // of the first mistake
-	field    string
-	mistakes []string
-	skipped  int
+	kind             errs.Kind // of the first mistake
+	field            string
+	validationErrors []string
+	skipped          int
 }
 
 func (p *reader) reject(kind errs.Kind, field, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
 	switch {
-	case len(p.mistakes) == 0:
+	case len(p.validationErrors) == 0:
 		p.kind, p.field = kind, field
-		p.mistakes = append(p.mistakes, message)
-	case len(p.mistakes) < maxMistakes:
-		p.mistakes = append(p.mistakes, field+": "+message)
+		p.validationErrors = append(p.validationErrors, message)
+	case len(p.validationErrors) < maxValidationErrors:
+		p.validationErrors = append(p.validationErrors, field+": "+message)
 	default:
 		p.skipped++
 	}
 }
 
 func (p *reader) failure() error {
-	if len(p.mistakes) == 0 {
+	if len(p.validationErrors) == 0 {
 		return nil
 	}
-	message := strings.Join(p.mistakes, "; ")
+	message := strings.Join(p.validationErrors, "; ")
 	if p.skipped > 0 {
 		message += fmt.Sprintf("; and %d more", p.skipped)
 	}
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -65,7 +65,7 @@
 func parsePut(body []byte) (jobs.Configure, error) {
 	order := jobs.Configure{Replace: true}
 	err := parse(body, func(r *config.Reader) {
-		r.Need("base", "queues", "services")
+		r.Require("base", "queues", "services")
 		readBase(r, &order)
 		readItems(r, &order)
 	})
@@ -80,7 +80,7 @@
 func parsePatch(body []byte) (jobs.Configure, error) {
 	var order jobs.Configure
 	err := parse(body, func(r *config.Reader) {
-		r.Need("base")
+		r.Require("base")
 		readBase(r, &order)
 		r.Object("put", func(r *config.Reader) { readItems(r, &order) })
 		r.Object("remove", func(r *config.Reader) {
@@ -88,7 +88,7 @@
 			r.Strings("services", &order.RemoveServices, checkName)
 		})
 		if len(order.Queues)+len(order.Services)+len(order.RemoveQueues)+len(order.RemoveServices) == 0 {
-			r.Wrong("put", "must be given, or remove")
+			r.Reject("put", "must be given, or remove")
 		}
 	})
 	if err != nil {
@@ -138,7 +138,7 @@
 
 func readQueue(r *config.Reader, q *jobs.Queue) {
 	q.MaxAttempts, q.Stretch = 1, 1
-	r.Need("name", "service", "timeout")
+	r.Require("name", "service", "timeout")
 	r.String("name", &q.Name, checkName)
 	r.String("service", &q.Service, checkName)
 	r.Int("priority", &q.Priority, 0, maxPriority)
@@ -150,7 +150,7 @@
 }
 
 func readService(r *config.Reader, s *jobs.Service) {
-	r.Need("name")
+	r.Require("name")
 	r.String("name", &s.Name, checkName)
 	r.Bool("guards_room", &s.ChecksCapacity)
 }
@@ -159,7 +159,7 @@
 	seen := map[string]bool{}
 	for i, one := range items {
 		if seen[name(one)] {
-			r.Wrong(fmt.Sprintf("%s[%d].name", list, i), "%q is given twice", name(one))
+			r.Reject(fmt.Sprintf("%s[%d].name", list, i), "%q is given twice", name(one))
 		}
 		seen[name(one)] = true
 	}
--- a/internal/httpapi/jobsapi/docs_test.go
+++ b/internal/httpapi/jobsapi/docs_test.go
@@ -38,7 +38,7 @@
 		So(len(fences), ShouldEqual, 2)
 		settings := filepath.Join(t.TempDir(), "settings.json")
 		So(os.WriteFile(settings, []byte(fences[0]), 0o600), ShouldBeNil)
-		core, err := config.LoadJobsCore(settings)
+		core, err := config.LoadJobsControlPlane(settings)
 		So([]any{core.Control, err}, ShouldResemble, []any{"10.0.1.10:7200", nil})
 		beat, err := parseHeartbeat("w", []byte(fences[1]))
 		So([]any{beat.Worker.Rack, err}, ShouldResemble, []any{"r7", nil})
--- a/internal/httpapi/jobsapi/heartbeat.go
+++ b/internal/httpapi/jobsapi/heartbeat.go
@@ -33,11 +33,11 @@
 func readHeartbeat(r *config.Reader, call *controller.HeartbeatCall) {
 	var state string
 	worker := &call.Worker
-	r.Need("state")
+	r.Require("state")
 	r.String("state", &state, config.OneOf(StateReady, StateDraining, StateLeaving))
 	call.Leaving, worker.Draining = state == StateLeaving, state == StateDraining
 	if !call.Leaving {
-		r.Need("sequence", "clock", "address", "service", "zone", "capacity")
+		r.Require("sequence", "clock", "address", "service", "zone", "capacity")
 	}
 	sequence := 0
 	r.Int("sequence", &sequence, 1, math.MaxInt64)
@@ -50,10 +50,10 @@
 	r.String("rack", &worker.Rack, checkName)
 	r.Strings("labels", &worker.Labels, checkName)
 	if len(worker.Labels) > maxLabels {
-		r.Wrong("labels", "must be at most %d, are %d", maxLabels, len(worker.Labels))
+		r.Reject("labels", "must be at most %d, are %d", maxLabels, len(worker.Labels))
 	}
 	r.Object("capacity", func(r *config.Reader) {
-		r.Need("milli_cpu", "memory_mb")
+		r.Require("milli_cpu", "memory_mb")
 		readResources(r, &worker.Capacity)
 	})
 }
--- a/internal/httpapi/jobsapi/job.go
+++ b/internal/httpapi/jobsapi/job.go
@@ -38,7 +38,7 @@
 }
 
 func readSpec(r *config.Reader, spec *jobs.Spec) {
-	r.Need("id", "queue", "steps")
+	r.Require("id", "queue", "steps")
 	r.String("id", &spec.ID, checkName)
 	r.String("queue", &spec.Queue, checkName)
 	r.String("payload", &spec.Payload, checkPayload)
@@ -57,12 +57,12 @@
 // readTimes reads when the rounds of a job are due.
 func readTimes(r *config.Reader, spec *jobs.Spec) {
 	spec.Rounds = 1
-	r.Need("first")
+	r.Require("first")
 	r.Time("first", &spec.FirstRun)
 	r.Int("rounds", &spec.Rounds, 1, MaxJobTasks)
 	r.Duration("every", &spec.Interval, time.Millisecond, maxDuration)
 	if spec.Rounds > 1 && spec.Interval == 0 {
-		r.Wrong("every", "must be given with more than one round")
+		r.Reject("every", "must be given with more than one round")
 	}
 }
 
@@ -81,10 +81,10 @@
 	r.Bool("speculative", &step.Speculative)
 	r.Bool("lasting", &step.LongRunning)
 	if step.SameRack && !step.Gang {
-		r.Wrong("one_rack", "is for gangs only")
+		r.Reject("one_rack", "is for gangs only")
 	}
 	if step.Speculative && (step.Gang || step.LongRunning) {
-		r.Wrong("speculative", "goes with neither gang nor lasting")
+		r.Reject("speculative", "goes with neither gang nor lasting")
 	}
 }
 
@@ -97,7 +97,7 @@
 // checkSteps checks what the steps of a job are among themselves.
 func checkSteps(r *config.Reader, spec *jobs.Spec) {
 	if len(spec.Steps) < 1 || len(spec.Steps) > MaxSteps {
-		r.Wrong("steps", "must be 1 to %d, are %d", MaxSteps, len(spec.Steps))
+		r.Reject("steps", "must be 1 to %d, are %d", MaxSteps, len(spec.Steps))
 		return
 	}
 	total := 0
@@ -106,7 +106,7 @@
 		checkAfter(r, spec, i)
 	}
 	if total *= max(spec.Rounds, 1); total > MaxJobTasks {
-		r.Wrong("steps", "must have at most %d tasks over all rounds, have %d", MaxJobTasks, total)
+		r.Reject("steps", "must have at most %d tasks over all rounds, have %d", MaxJobTasks, total)
 	}
 }
 
@@ -116,11 +116,11 @@
 		field := fmt.Sprintf("steps[%d].after[%d]", i, at)
 		switch {
 		case before >= i:
-			r.Wrong(field, "must be the number of an earlier step, is %d", before)
+			r.Reject(field, "must be the number of an earlier step, is %d", before)
 		case spec.Steps[before].LongRunning:
-			r.Wrong(field, "step %d lasts until the job is cancelled", before)
+			r.Reject(field, "step %d lasts until the job is cancelled", before)
 		case slices.Contains(after[:at], before):
-			r.Wrong(field, "step %d is given twice", before)
+			r.Reject(field, "step %d is given twice", before)
 		}
 	}
 }
--- a/internal/httpapi/jobsapi/strict.go
+++ b/internal/httpapi/jobsapi/strict.go
@@ -39,14 +39,14 @@
 		return errs.Pass(err, "body")
 	}
 	err := config.Parse(body, into)
-	var validationErrs config.Mistakes
+	var validationErrs config.ValidationErrors
 	if errors.As(err, &validationErrs) {
 		return errs.Pass(refusal(validationErrs), "body")
 	}
 	return errs.Pass(err, "body")
 }
 
-func refusal(validationErrs config.Mistakes) error {
+func refusal(validationErrs config.ValidationErrors) error {
 	first := validationErrs[0]
 	messages := []string{first.Message}
 	for _, one := range validationErrs[1:min(len(validationErrs), maxReportedErrors)] {
--- a/internal/httpapi/operatorapi/account.go
+++ b/internal/httpapi/operatorapi/account.go
@@ -13,8 +13,8 @@
 	"crosstide/internal/state/query"
 )
 
-// mostEntries bounds the entries of one answer.
-const mostEntries = 1000
+// maxEntries bounds the entries of one answer.
+const maxEntries = 1000
 
 // serveAccounts adds the routes of the parties' accounts:
 //
@@ -133,15 +133,15 @@
 
 // page reads after and limit, 0 and the most if they are not given.
 func page(r *http.Request) (after uint64, limit int, err error) {
-	limit = mostEntries
+	limit = maxEntries
 	if text := r.URL.Query().Get("after"); text != "" {
 		if after, err = strconv.ParseUint(text, 10, 64); err != nil {
 			return 0, 0, errs.Field(errs.Invalid, "after", "must be a number, is %q", text)
 		}
 	}
 	if text := r.URL.Query().Get("limit"); text != "" {
-		if limit, err = strconv.Atoi(text); err != nil || limit < 1 || limit > mostEntries {
-			return 0, 0, errs.Field(errs.Invalid, "limit", "must be 1 to %d, is %q", mostEntries, text)
+		if limit, err = strconv.Atoi(text); err != nil || limit < 1 || limit > maxEntries {
+			return 0, 0, errs.Field(errs.Invalid, "limit", "must be 1 to %d, is %q", maxEntries, text)
 		}
 	}
 	return after, limit, nil
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -25,7 +25,7 @@
 
 // counter is a served desk with the operator ada.
 type counter struct {
-	*desk
+	*fakeStore
 	addr string
 	key  signature.Key
 }
@@ -59,7 +59,7 @@
 		So(err, ShouldBeNil)
 		other, err := signature.New("ben")
 		So(err, ShouldBeNil)
-		d := &desk{state.New()}
+		d := &fakeStore{state.New()}
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		Serve(srv, d, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
 		So(srv.Start(), ShouldBeNil)
@@ -136,11 +136,11 @@
 			plan("j0")
 			v, err := query.Account(d.st, "acme")
 			So(err, ShouldBeNil)
-			So([]any{v.Runs, v.DryIn, v.Warning}, ShouldResemble, []any{1, 15 * time.Second, ""})
+			So([]any{v.Runs, v.ExhaustedIn, v.Warning}, ShouldResemble, []any{1, 15 * time.Second, ""})
 			plan("j1", "j2")
 			v, err = query.Account(d.st, "acme")
 			So(err, ShouldBeNil)
-			So([]any{v.Runs, v.Rate, v.DryIn, v.Waiting, v.Warning}, ShouldResemble, []any{2, account.Rate(20_000), 2500 * time.Millisecond, 1,
+			So([]any{v.Runs, v.Rate, v.ExhaustedIn, v.Waiting, v.Warning}, ShouldResemble, []any{2, account.Rate(20_000), 2500 * time.Millisecond, 1,
 				"dry: 1 jobs wait for a top-up"})
 			job, err := query.Job(d.st, "j2")
 			So(err, ShouldBeNil)
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -47,10 +47,10 @@
 // Rollout is the answer of GET /v1/rollout: the version in force and every node with its own. Silent names the
 // members of the store that did not answer.
 type Rollout struct {
-	Version uint64        `json:"version"`
-	Force   time.Time     `json:"in_force,omitzero"` // when it came in force
-	Nodes   []NodeRollout `json:"nodes"`
-	Silent  []string      `json:"silent,omitempty"`
+	Version      uint64        `json:"version"`
+	InForceSince time.Time     `json:"in_force,omitzero"` // when it came in force
+	Nodes        []NodeRollout `json:"nodes"`
+	Silent       []string      `json:"silent,omitempty"`
 }
 
 // NodeRollout is one node. Took is from when the version came in force until the node had it, by the clocks of two
@@ -242,7 +242,7 @@
 	err := b.store.Read(r.Context(), func(s *state.State) {
 		out.Version = s.Bundle.Version
 		if rev := s.Revision(out.Version); rev != nil {
-			out.Force = rev.InForceSince
+			out.InForceSince = rev.InForceSince
 		}
 	})
 	if err != nil {
@@ -253,7 +253,7 @@
 	for _, n := range nodes {
 		one := NodeRollout{NodeBundle: n, Current: n.Version >= out.Version}
 		if n.Version == out.Version {
-			one.Took = max(0, n.Since.Sub(out.Force))
+			one.Took = max(0, n.Since.Sub(out.InForceSince))
 		}
 		out.Nodes = append(out.Nodes, one)
 	}
--- a/internal/httpapi/operatorapi/golden_test.go
+++ b/internal/httpapi/operatorapi/golden_test.go
@@ -16,7 +16,7 @@
 		golden.Shape("rollout", Rollout{}),
 		golden.Shape("node rollout", NodeRollout{}),
 		golden.Shape("order", Order{}),
-		golden.Shape("minions", Minions{}),
+		golden.Shape("minions", Workers{}),
 		golden.Shape("who", Who{}),
 		golden.Keys(t, "keys read", "."),
 	)
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -48,15 +48,15 @@
 	Sig   string `json:"sig,omitempty"` // over signature.Evacuate or signature.Lift, in base64
 }
 
-// Minions is the answer of GET /v1/minions.
-type Minions struct {
-	Minions []query.WorkerView `json:"minions"`
+// Workers is the answer of GET /v1/minions.
+type Workers struct {
+	Workers []query.WorkerView `json:"minions"`
 }
 
 // Who is the answer of GET /v1/who: the names of the holders, "" if there is none, and the members of the store.
 type Who struct {
 	Store     string                    `json:"store"`
-	Sched     string                    `json:"sched"`
+	Scheduler string                    `json:"sched"`
 	Members   []raft.Member             `json:"members"`
 	Evacuated []string                  `json:"evacuated,omitempty"`
 	Status    *internalapi.StatusAnswer `json:"status,omitempty"` // of the cplane that answers
@@ -92,13 +92,13 @@
 	serveBundles(srv, s)
 	serveAccounts(srv, s)
 	srv.Route("GET /v1/minions", func(w http.ResponseWriter, r *http.Request) {
-		var out Minions
-		err := s.Read(r.Context(), func(st *state.State) { out.Minions = query.Workers(st) })
+		var out Workers
+		err := s.Read(r.Context(), func(st *state.State) { out.Workers = query.Workers(st) })
 		write(w, out, err)
 	})
 	srv.Route("GET /v1/who", func(w http.ResponseWriter, r *http.Request) {
 		out, err := who(r.Context(), s)
-		out.Store, out.Nodes = name(out.Status.Quorum.Leader), nodes()
+		out.Store, out.Nodes = name(out.Status.Raft.Leader), nodes()
 		write(w, out, err)
 	})
 }
@@ -117,7 +117,7 @@
 	var out Who
 	err := s.Read(ctx, func(st *state.State) {
 		if d := st.Roles["sched"]; d != nil {
-			out.Sched = d.Holder
+			out.Scheduler = d.Holder
 		}
 		for zone := range st.Evacuated {
 			out.Evacuated = append(out.Evacuated, zone)
@@ -125,7 +125,7 @@
 		slices.Sort(out.Evacuated)
 	})
 	status := s.Status()
-	out.Members, out.Status = status.Quorum.Members, &status
+	out.Members, out.Status = status.Raft.Members, &status
 	return out, errs.Pass(err, "who")
 }
 
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -21,10 +21,10 @@
 	"crosstide/internal/state/command"
 )
 
-// desk is a store of one.
-type desk struct{ st *state.State }
+// fakeStore is a store of one.
+type fakeStore struct{ st *state.State }
 
-func (d *desk) ProposeOrForward(_ context.Context, c command.Command) (json.RawMessage, error) {
+func (d *fakeStore) ProposeOrForward(_ context.Context, c command.Command) (json.RawMessage, error) {
 	data, err := command.Encode(time.Unix(int64(d.st.Index), 0), c)
 	if err != nil {
 		return nil, err
@@ -36,15 +36,15 @@
 	return json.Marshal(answer)
 }
 
-func (d *desk) Read(_ context.Context, read func(*state.State)) error { read(d.st); return nil }
-func (d *desk) Status() internalapi.StatusAnswer                      { return internalapi.StatusAnswer{} }
-func (d *desk) Rollout(context.Context) ([]internalapi.NodeBundle, []string) {
+func (d *fakeStore) Read(_ context.Context, read func(*state.State)) error { read(d.st); return nil }
+func (d *fakeStore) Status() internalapi.StatusAnswer                      { return internalapi.StatusAnswer{} }
+func (d *fakeStore) Rollout(context.Context) ([]internalapi.NodeBundle, []string) {
 	return []internalapi.NodeBundle{{Node: "c1", Version: 2, Since: time.Unix(60, 0)}, {Node: "d1", Version: 1}}, []string{"c2"}
 }
 
 func TestAPI(t *testing.T) {
 	Convey("A bundle is written, signed twice and read back byte for byte; what is not signed is 403", t, func() {
-		d := &desk{state.New()}
+		d := &fakeStore{state.New()}
 		keys := map[string]signature.Key{}
 		public := map[string]string{}
 		for _, name := range []string{"ada", "ben"} {
--- a/internal/internalapi/account.go
+++ b/internal/internalapi/account.go
@@ -26,20 +26,20 @@
 
 // AccountView is the answer of GET /v1/accounts/{name}.
 type AccountView struct {
-	Name     string        `json:"name"`
-	Balance  int64         `json:"balance"` // units; below zero only by what was running when it ran dry
-	Reserved int64         `json:"reserved"`
-	Spent    int64         `json:"spent"`
-	ToppedUp int64         `json:"topped_up"`
-	Credit   int64         `json:"credit,omitempty"`
-	Runs     int           `json:"runs"`             // that are out and paid for
-	Rate     account.Rate  `json:"rate"`             // thousandths of a unit per second, of those runs
-	DryIn    time.Duration `json:"dry_in,omitempty"` // forecast at that rate; 0 with Draws: it is dry now
-	Draws    bool          `json:"draws"`            // whether DryIn means anything
-	Warning  string        `json:"warning,omitempty"`
-	Teams    []string      `json:"teams,omitempty"`  // that it pays for, by the bundle in force
-	Queues   []string      `json:"queues,omitempty"` // the same
-	Waiting  int           `json:"waiting_jobs"`     // jobs that wait for a top-up
+	Name        string        `json:"name"`
+	Balance     int64         `json:"balance"` // units; below zero only by what was running when it ran dry
+	Reserved    int64         `json:"reserved"`
+	Spent       int64         `json:"spent"`
+	ToppedUp    int64         `json:"topped_up"`
+	Credit      int64         `json:"credit,omitempty"`
+	Runs        int           `json:"runs"`             // that are out and paid for
+	Rate        account.Rate  `json:"rate"`             // thousandths of a unit per second, of those runs
+	ExhaustedIn time.Duration `json:"dry_in,omitempty"` // forecast at that rate; 0 with Draws: it is dry now
+	Draws       bool          `json:"draws"`            // whether ExhaustedIn means anything
+	Warning     string        `json:"warning,omitempty"`
+	Teams       []string      `json:"teams,omitempty"`  // that it pays for, by the bundle in force
+	Queues      []string      `json:"queues,omitempty"` // the same
+	Waiting     int           `json:"waiting_jobs"`     // jobs that wait for a top-up
 }
 
 // AccountsAnswer is the answer of GET /v1/accounts, in order of names.
--- a/internal/internalapi/core.go
+++ b/internal/internalapi/core.go
@@ -8,17 +8,17 @@
 	"crosstide/internal/rpc"
 )
 
-// Quorum carries replication messages between cplanes. The answer says only that they arrived.
-var Quorum = rpc.Endpoint[QuorumCall, QuorumAnswer]{Path: "/x/quorum"}
+// Raft carries replication messages between cplanes. The answer says only that they arrived.
+var Raft = rpc.Endpoint[RaftCall, RaftAnswer]{Path: "/x/quorum"}
 
-// QuorumCall is a batch of messages in order.
-type QuorumCall struct {
+// RaftCall is a batch of messages in order.
+type RaftCall struct {
 	From     string         `json:"from"`
 	Messages []raft.Message `json:"m"`
 }
 
-// QuorumAnswer is empty.
-type QuorumAnswer struct{}
+// RaftAnswer is empty.
+type RaftAnswer struct{}
 
 // Propose commits one command. Only the leader takes it (errs.NotLeader with its address as hint). The answer
 // comes after the command was applied; a failure of the command's own is the answer's error.
@@ -36,15 +36,15 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Confirm asks the leader for an index that any earlier commit is at or below: a state at or past it is as new
+// ReadIndex asks the leader for an index that any earlier commit is at or below: a state at or past it is as new
 // as the call.
-var Confirm = rpc.Endpoint[ConfirmCall, ConfirmAnswer]{Path: "/x/confirm"}
+var ReadIndex = rpc.Endpoint[ReadIndexCall, ReadIndexAnswer]{Path: "/x/confirm"}
 
-// ConfirmCall is empty.
-type ConfirmCall struct{}
+// ReadIndexCall is empty.
+type ReadIndexCall struct{}
 
-// ConfirmAnswer is the index.
-type ConfirmAnswer struct {
+// ReadIndexAnswer is the index.
+type ReadIndexAnswer struct {
 	Index uint64 `json:"index"`
 }
 
@@ -64,11 +64,11 @@
 
 // FollowAnswer carries what the caller lacks of each source.
 type FollowAnswer struct {
-	Lacks map[string]Lack `json:"lacks,omitempty"`
+	Updates map[string]SourceUpdate `json:"lacks,omitempty"`
 }
 
-// Lack is a run of changes, or a snapshot to begin with where the changes are gone.
-type Lack struct {
+// SourceUpdate is a run of changes, or a snapshot to begin with where the changes are gone.
+type SourceUpdate struct {
 	Snapshot *Snapshot    `json:"snapshot,omitempty"`
 	Changes  []raft.Entry `json:"changes,omitempty"`
 }
@@ -99,26 +99,26 @@
 	Sum  uint64          `json:"sum"`
 }
 
-// Duty claims or renews a duty. Only the leader answers.
-var Duty = rpc.Endpoint[DutyCall, DutyAnswer]{Path: "/x/duty"}
-
-// DutyCall is sent by every candidate again and again. Epoch is the caller's own grant, 0 if it has none.
-type DutyCall struct {
-	Duty   string `json:"duty"`
-	Holder string `json:"holder"`
-	Addr   string `json:"addr"`
-	Boot   string `json:"boot"`
-	Epoch  uint64 `json:"epoch"`
-	GiveUp bool   `json:"give_up,omitempty"`
+// ClaimRole claims or renews a duty. Only the leader answers.
+var ClaimRole = rpc.Endpoint[ClaimRoleCall, RoleLease]{Path: "/x/duty"}
+
+// ClaimRoleCall is sent by every candidate again and again. Epoch is the caller's own grant, 0 if it has none.
+type ClaimRoleCall struct {
+	Role        string `json:"duty"`
+	Holder      string `json:"holder"`
+	Addr        string `json:"addr"`
+	Incarnation string `json:"boot"`
+	Epoch       uint64 `json:"epoch"`
+	Release     bool   `json:"give_up,omitempty"`
 }
 
-// DutyAnswer reports who holds the duty. If Mine, the lease runs for Lease from the moment the call was sent.
-type DutyAnswer struct {
+// RoleLease reports who holds the duty. If Mine, the lease runs for Lease from the moment the call was sent.
+type RoleLease struct {
 	Mine   bool          `json:"mine"`
 	Epoch  uint64        `json:"epoch"`
 	Holder string        `json:"holder"`
 	Addr   string        `json:"addr"`
-	Lease  time.Duration `json:"lease"`
+	TTL    time.Duration `json:"lease"`
 }
 
 // Status asks a cplane for its state.
@@ -129,8 +129,8 @@
 
 // StatusAnswer is what `who` prints and what the drill waits for.
 type StatusAnswer struct {
-	Quorum  raft.Status           `json:"quorum"`
-	Applied uint64                `json:"applied"`
-	Ready   bool                  `json:"ready"`
-	Duties  map[string]DutyAnswer `json:"duties"`
+	Raft    raft.Status          `json:"quorum"`
+	Applied uint64               `json:"applied"`
+	Ready   bool                 `json:"ready"`
+	Roles   map[string]RoleLease `json:"duties"`
 }
--- a/internal/internalapi/hold.go
+++ b/internal/internalapi/hold.go
@@ -8,44 +8,44 @@
 	"crosstide/internal/rpc"
 )
 
-// Hold is the call of the holder of sched to a minion: POST /v1/hold at the minion's address.
+// RenewLease is the call of the holder of sched to a minion: POST /v1/hold at the minion's address.
 //
 // Two connections lead to a minion. One carries calls without starts, which the minion may keep waiting up to
 // Wait until there is something to say. The other carries calls with starts, one at a time, in run ID order,
 // answered at once. The arrival of any call ends the wait of an older one. An answer names its call; the holder
 // drops an answer that is older than one it has already handled.
-var Hold = rpc.Endpoint[HoldCall, HoldAnswer]{Path: "/v1/hold"}
+var RenewLease = rpc.Endpoint[LeaseCall, LeaseAnswer]{Path: "/v1/hold"}
 
-// HoldCall tells a minion what to start, stop and forget. All clock values are readings of the minion's own
-// clock (HoldAnswer.Clock), in nanoseconds.
-type HoldCall struct {
-	Call   uint64        `json:"call"`            // goes up with every call to this minion under Epoch
-	Epoch  uint64        `json:"epoch"`           // of the duty sched; a minion that has seen a newer one refuses all
-	Minion string        `json:"minion"`          // whom the holder believes it is talking to
-	Boot   string        `json:"boot,omitempty"`  // the boot the holder knows; starts are void under another
-	Until  time.Duration `json:"until,omitempty"` // runs of Renew may go on until the minion's clock shows this
-	Renew  []uint64      `json:"renew,omitempty"` // run IDs whose hold is renewed up to Until
-	Starts []StartOrder  `json:"starts,omitempty"`
-	Stops  []StopOrder   `json:"stops,omitempty"`
-	Acked  []uint64      `json:"acked,omitempty"` // ends that are durable: need not be listed any more
-	Floor  uint64        `json:"floor,omitempty"` // run IDs at or below it that were not started are void
-	Wait   time.Duration `json:"wait,omitempty"`  // how long the answer may wait for something to say
+// LeaseCall tells a minion what to start, stop and forget. All clock values are readings of the minion's own
+// clock (LeaseAnswer.Clock), in nanoseconds.
+type LeaseCall struct {
+	Call        uint64        `json:"call"`            // goes up with every call to this minion under Epoch
+	Epoch       uint64        `json:"epoch"`           // of the duty sched; a minion that has seen a newer one refuses all
+	Worker      string        `json:"minion"`          // whom the holder believes it is talking to
+	Incarnation string        `json:"boot,omitempty"`  // the boot the holder knows; starts are void under another
+	RenewUntil  time.Duration `json:"until,omitempty"` // runs of Renew may go on until the minion's clock shows this
+	Renew       []uint64      `json:"renew,omitempty"` // run IDs whose hold is renewed up to Until
+	Starts      []StartOrder  `json:"starts,omitempty"`
+	Stops       []StopOrder   `json:"stops,omitempty"`
+	Acked       []uint64      `json:"acked,omitempty"` // ends that are durable: need not be listed any more
+	Floor       uint64        `json:"floor,omitempty"` // run IDs at or below it that were not started are void
+	Wait        time.Duration `json:"wait,omitempty"`  // how long the answer may wait for something to say
 }
 
 // StartOrder starts one run. It is never sent twice.
 type StartOrder struct {
-	RunID  uint64            `json:"ticket"`
-	Job    string            `json:"job"`
-	Step   string            `json:"step"`
-	Task   int               `json:"task"`
-	Type   string            `json:"type"`
-	Queue  string            `json:"queue"`
-	Cores  int               `json:"cores"`
-	GPUs   int               `json:"gpus,omitempty"`
-	Labels map[string]string `json:"labels,omitempty"`
-	Run    json.RawMessage   `json:"run,omitempty"`
-	Void   time.Duration     `json:"void"`  // not to be started once the minion's clock is past it
-	Until  time.Duration     `json:"until"` // the first hold: not to run past it unless renewed
+	RunID      uint64            `json:"ticket"`
+	Job        string            `json:"job"`
+	Step       string            `json:"step"`
+	Task       int               `json:"task"`
+	Type       string            `json:"type"`
+	Queue      string            `json:"queue"`
+	Cores      int               `json:"cores"`
+	GPUs       int               `json:"gpus,omitempty"`
+	Labels     map[string]string `json:"labels,omitempty"`
+	Run        json.RawMessage   `json:"run,omitempty"`
+	StartBy    time.Duration     `json:"void"`  // not to be started once the minion's clock is past it
+	LeaseUntil time.Duration     `json:"until"` // the first hold: not to run past it unless renewed
 }
 
 // StopOrder stops a run. It may be sent again.
@@ -54,64 +54,64 @@
 	Why   string `json:"why"`
 }
 
-// HoldAnswer lists all that runs and all ends not yet acknowledged.
-type HoldAnswer struct {
-	Call     uint64            `json:"call"`
-	Epoch    uint64            `json:"epoch"` // the newest the minion has seen
-	Boot     string            `json:"boot"`
-	Clock    time.Duration     `json:"clock"` // the minion's own clock, counting suspension; starts anew with a boot
-	Seen     uint64            `json:"seen"`  // the highest run ID that came in an order
-	Floor    uint64            `json:"floor"` // the highest floor it received
-	Running  []uint64          `json:"running,omitempty"`
-	Ended    []EndNote         `json:"ended,omitempty"`
-	Refused  []RefuseNote      `json:"refused,omitempty"` // of the starts of this very call
-	Kind     string            `json:"kind"`              // obey or check
-	Zone     string            `json:"zone"`
-	Rack     string            `json:"rack,omitempty"`
-	Labels   map[string]string `json:"labels,omitempty"`
-	Cores    int               `json:"cores"`
-	GPUs     int               `json:"gpus,omitempty"`
-	Draining bool              `json:"draining,omitempty"`
+// LeaseAnswer lists all that runs and all ends not yet acknowledged.
+type LeaseAnswer struct {
+	Call        uint64            `json:"call"`
+	Epoch       uint64            `json:"epoch"` // the newest the minion has seen
+	Incarnation string            `json:"boot"`
+	Clock       time.Duration     `json:"clock"` // the minion's own clock, counting suspension; starts anew with a boot
+	Seen        uint64            `json:"seen"`  // the highest run ID that came in an order
+	Floor       uint64            `json:"floor"` // the highest floor it received
+	Running     []uint64          `json:"running,omitempty"`
+	Ended       []RunEnd          `json:"ended,omitempty"`
+	Refused     []StartRefusal    `json:"refused,omitempty"` // of the starts of this very call
+	Kind        string            `json:"kind"`              // obey or check
+	Zone        string            `json:"zone"`
+	Rack        string            `json:"rack,omitempty"`
+	Labels      map[string]string `json:"labels,omitempty"`
+	Cores       int               `json:"cores"`
+	GPUs        int               `json:"gpus,omitempty"`
+	Draining    bool              `json:"draining,omitempty"`
 }
 
-// How a run ended.
+// Outcome a run ended.
 const (
-	EndWell    = "ok"
-	EndFailure = "fault"
-	EndStop    = "stop"  // stopped on an order
-	EndLapse   = "lapse" // its hold lapsed
+	OutcomeOK           = "ok"
+	OutcomeFailed       = "fault"
+	OutcomeStopped      = "stop"  // stopped on an order
+	OutcomeLeaseExpired = "lapse" // its hold lapsed
 )
 
-// EndNote is the end of a run; it is listed until it is acknowledged.
-type EndNote struct {
-	RunID  uint64 `json:"ticket"`
-	How    string `json:"how"`
-	Reason string `json:"reason,omitempty"`
+// RunEnd is the end of a run; it is listed until it is acknowledged.
+type RunEnd struct {
+	RunID   uint64 `json:"ticket"`
+	Outcome string `json:"how"`
+	Reason  string `json:"reason,omitempty"`
 }
 
-// RefuseNote says why a start of this call was refused; a refused run ID will never run.
-type RefuseNote struct {
+// StartRefusal says why a start of this call was refused; a refused run ID will never run.
+type StartRefusal struct {
 	RunID uint64 `json:"ticket"`
 	Why   string `json:"why"` // epoch, boot, run ID, floor, late, room, label, drain
 }
 
-// Minions is a minion's announcement to any dplane: POST /v1/minions. It is repeated every few seconds.
-var Minions = rpc.Endpoint[MinionCall, MinionAnswer]{Path: "/v1/minions"}
+// AnnounceWorker is a minion's announcement to any dplane: POST /v1/minions. It is repeated every few seconds.
+var AnnounceWorker = rpc.Endpoint[AnnounceWorkerCall, AnnounceWorkerAnswer]{Path: "/v1/minions"}
 
-// MinionCall says where a minion is and what it is.
-type MinionCall struct {
-	Name   string            `json:"name"`
-	Addr   string            `json:"addr"`
-	Boot   string            `json:"boot"`
-	Kind   string            `json:"kind"`
-	Zone   string            `json:"zone"`
-	Rack   string            `json:"rack,omitempty"`
-	Labels map[string]string `json:"labels,omitempty"`
-	Cores  int               `json:"cores"`
-	GPUs   int               `json:"gpus,omitempty"`
+// AnnounceWorkerCall says where a minion is and what it is.
+type AnnounceWorkerCall struct {
+	Name        string            `json:"name"`
+	Addr        string            `json:"addr"`
+	Incarnation string            `json:"boot"`
+	Kind        string            `json:"kind"`
+	Zone        string            `json:"zone"`
+	Rack        string            `json:"rack,omitempty"`
+	Labels      map[string]string `json:"labels,omitempty"`
+	Cores       int               `json:"cores"`
+	GPUs        int               `json:"gpus,omitempty"`
 }
 
-// MinionAnswer reports how long to wait before announcing again.
-type MinionAnswer struct {
-	Again time.Duration `json:"again"`
+// AnnounceWorkerAnswer reports how long to wait before announcing again.
+type AnnounceWorkerAnswer struct {
+	Interval time.Duration `json:"again"`
 }
--- a/internal/internalapi/join.go
+++ b/internal/internalapi/join.go
@@ -7,26 +7,26 @@
 	"crosstide/internal/rpc"
 )
 
-// Found is asked by a cplane with an empty folder, before it takes part in anything: is there a fleet already?
-var Found = rpc.Endpoint[FoundCall, FoundAnswer]{Path: "/x/found"}
+// Discover is asked by a cplane with an empty folder, before it takes part in anything: is there a fleet already?
+var Discover = rpc.Endpoint[DiscoverCall, DiscoverAnswer]{Path: "/x/found"}
 
-// FoundCall names the asker. Boot is drawn anew by each process.
-type FoundCall struct {
-	Name string `json:"name"`
-	Boot string `json:"boot"`
+// DiscoverCall names the asker. Boot is drawn anew by each process.
+type DiscoverCall struct {
+	Name        string `json:"name"`
+	Incarnation string `json:"boot"`
 }
 
-// FoundAnswer is the state of the node that was asked.
-type FoundAnswer struct {
-	ID    string `json:"id"` // in the quorum; "" while it has none
-	Boot  string `json:"boot"`
-	Fresh bool   `json:"fresh"` // its folder is empty, or founded and without any vote or entry yet
+// DiscoverAnswer is the state of the node that was asked.
+type DiscoverAnswer struct {
+	ID          string `json:"id"` // in the quorum; "" while it has none
+	Incarnation string `json:"boot"`
+	Fresh       bool   `json:"fresh"` // its folder is empty, or founded and without any vote or entry yet
 	// Commit is the highest index it knows to be committed; 1 is the founding itself.
 	Commit uint64 `json:"commit"`
-	// Founders are the boots of the others, by name, that reported to it that they were fresh before it founded. A process
+	// BootstrapIncarnations are the boots of the others, by name, that reported to it that they were fresh before it founded. A process
 	// that finds its own boot here has no earlier life in this fleet.
-	Founders map[string]string `json:"founders,omitempty"`
-	Digest   string            `json:"digest"` // of the members in its settings
+	BootstrapIncarnations map[string]string `json:"founders,omitempty"`
+	Digest                string            `json:"digest"` // of the members in its settings
 	// Leader is the address of the leader it knows in Term, if any. Members is the newest member set that it knows
 	// to be committed, by the entry at MembersAt.
 	Leader    string        `json:"leader,omitempty"`
@@ -52,8 +52,8 @@
 
 // JoinAnswer reports how far it is.
 type JoinAnswer struct {
-	Learner bool          `json:"learner"`
-	Voter   bool          `json:"voter"`
-	Again   time.Duration `json:"again"`             // when to ask next
-	Members []string      `json:"members,omitempty"` // addresses of the present members
+	Learner    bool          `json:"learner"`
+	Voter      bool          `json:"voter"`
+	RetryAfter time.Duration `json:"again"`             // when to ask next
+	Members    []string      `json:"members,omitempty"` // addresses of the present members
 }
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -36,7 +36,7 @@
 
 // CoreOptions are the parts of a core node.
 type CoreOptions struct {
-	Store config.Cplane // settings of the store; its seeds are the nodes to ask at first
+	Store config.ControlPlane // settings of the store; its seeds are the nodes to ask at first
 	// Open opens the store; it may wait until ctx ends.
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
 	Scheduler    scheduler.Config
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return errs.Pass(err, "follow from %d", from)
 	}
-	missing := a.Lacks[StoreSource]
+	missing := a.Updates[StoreSource]
 	if missing.Snapshot != nil {
 		if err := r.fetchSnapshot(ctx, core, *missing.Snapshot); err != nil {
 			return errs.Pass(err, "snapshot at %d", missing.Snapshot.Index)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -45,7 +45,7 @@
 func (h history) begin() *Replica {
 	r := New(nil, nil)
 	f := &fake{body: h.states[1], number: 1, size: 1 << 20}
-	f.answers = []internalapi.Lack{{Snapshot: f.snapshot(1)}}
+	f.answers = []internalapi.SourceUpdate{{Snapshot: f.snapshot(1)}}
 	So(r.Pull(context.Background(), f, "d", 0), ShouldBeNil)
 	return r
 }
@@ -54,7 +54,7 @@
 
 // fake answers what the test lays out: the answers in turn, chunks of a body with a failure before some.
 type fake struct {
-	answers  []internalapi.Lack
+	answers  []internalapi.SourceUpdate
 	body     []byte
 	number   uint64
 	failures int // of the next chunks
@@ -66,7 +66,7 @@
 	f.asked = append(f.asked, call.Vector[StoreSource])
 	a := f.answers[0]
 	f.answers = f.answers[1:]
-	return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{StoreSource: a}}, nil
+	return internalapi.FollowAnswer{Updates: map[string]internalapi.SourceUpdate{StoreSource: a}}, nil
 }
 
 func (f *fake) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
@@ -94,7 +94,7 @@
 				core := &fake{}
 				for _, i := range seq {
 					before := r.Index()
-					core.answers = append(core.answers, internalapi.Lack{Changes: answers[i]})
+					core.answers = append(core.answers, internalapi.SourceUpdate{Changes: answers[i]})
 					err := r.Pull(context.Background(), core, "d", 0)
 					if err != nil && !errs.Is(err, errs.Stale) {
 						panic(err)
@@ -126,7 +126,7 @@
 		h := newHistory(6)
 		for _, cuts := range []int{0, 1, 5} {
 			core := &fake{body: h.states[5], number: 3, size: 100, failures: cuts}
-			core.answers = []internalapi.Lack{{Snapshot: core.snapshot(5), Changes: h.changes(5, 7)}}
+			core.answers = []internalapi.SourceUpdate{{Snapshot: core.snapshot(5), Changes: h.changes(5, 7)}}
 			resets := 0
 			r := New(nil, func(*state.State) { resets++ })
 			So(r.Pull(context.Background(), core, "d", 0), ShouldBeNil)
@@ -144,11 +144,11 @@
 				func(f *fake) { f.body = h.states[3] },
 			} {
 				r := h.begin()
-				first := &fake{answers: []internalapi.Lack{{Changes: h.changes(2, 4)}}}
+				first := &fake{answers: []internalapi.SourceUpdate{{Changes: h.changes(2, 4)}}}
 				So(r.Pull(context.Background(), first, "d", 0), ShouldBeNil)
 				core := &fake{body: h.states[5], number: 3, size: 1 << 20}
 				spoil(core)
-				core.answers = []internalapi.Lack{{Snapshot: core.snapshot(5)}}
+				core.answers = []internalapi.SourceUpdate{{Snapshot: core.snapshot(5)}}
 				So(r.Pull(context.Background(), core, "d", 0), ShouldNotBeNil)
 				So(r.Index(), ShouldEqual, 4)
 			}
--- a/internal/state/query/account.go
+++ b/internal/state/query/account.go
@@ -65,7 +65,7 @@
 	a, p := s.Accounts.Accounts[name], s.Bundle.Parties[name]
 	v := internalapi.AccountView{Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
 		Runs: runs, Rate: a.Rate(), Teams: p.Teams, Queues: p.Queues, Waiting: waiting}
-	v.DryIn, v.Draws = a.ExhaustedIn()
+	v.ExhaustedIn, v.Draws = a.ExhaustedIn()
 	v.Warning = balanceWarning(&v, p)
 	return v
 }
@@ -75,8 +75,8 @@
 	switch {
 	case v.Waiting > 0:
 		return fmt.Sprintf("dry: %d jobs wait for a top-up", v.Waiting)
-	case v.Draws && v.DryIn < p.WarnBefore():
-		return fmt.Sprintf("dry in about %s at the rate of now", v.DryIn.Round(time.Second))
+	case v.Draws && v.ExhaustedIn < p.WarnBefore():
+		return fmt.Sprintf("dry in about %s at the rate of now", v.ExhaustedIn.Round(time.Second))
 	}
 	return ""
 }
--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -29,7 +29,7 @@
 		gauge(descRate, float64(v.Rate)/1000, v.Name)
 		gauge(descUnpaid, float64(v.Waiting), v.Name)
 		if v.Draws {
-			gauge(descExhaustedIn, v.DryIn.Seconds(), v.Name)
+			gauge(descExhaustedIn, v.ExhaustedIn.Seconds(), v.Name)
 		}
 		warning := 0.0
 		if v.Warning != "" {
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -42,7 +42,7 @@
 		So(look(), ShouldEqual, 2)
 	})
 	Convey("Each account has its gauges; a forecast only while something draws", t, func() {
-		views := []internalapi.AccountView{{Name: "a", Balance: 1, Draws: true, DryIn: time.Second, Warning: "dry"}, {Name: "b"}}
+		views := []internalapi.AccountView{{Name: "a", Balance: 1, Draws: true, ExhaustedIn: time.Second, Warning: "dry"}, {Name: "b"}}
 		to := make(chan prometheus.Metric, 100)
 		collectAccounts(views, to)
 		So(len(to), ShouldEqual, 8+7)
--- a/internal/store/catchup_test.go
+++ b/internal/store/catchup_test.go
@@ -32,7 +32,7 @@
 		r.submitJobs("a", 60)
 		r.waitLevel()
 		So(r.clock.Now()-began, ShouldBeLessThan, takeoverPeriod)
-		So(s.Status().Quorum.Role, ShouldEqual, raft.Leader)
+		So(s.Status().Raft.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
 		r.until("the end of the take-over", func() bool { return r.clock.Now()-began > takeoverPeriod })
 		r.submitJobs("b", 1)
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -40,7 +40,7 @@
 			return internalapi.FollowAnswer{}, errs.Pass(err, "follow")
 		}
 		if changesAfter != nil {
-			return internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{vectorSource: *changesAfter}}, nil
+			return internalapi.FollowAnswer{Updates: map[string]internalapi.SourceUpdate{vectorSource: *changesAfter}}, nil
 		}
 		select {
 		case <-changed:
@@ -55,7 +55,7 @@
 }
 
 // changesAfter gives what comes after version and is applied here, nil if that is nothing.
-func (s *Store) changesAfter(version uint64, limit int) (*internalapi.Lack, chan struct{}, error) {
+func (s *Store) changesAfter(version uint64, limit int) (*internalapi.SourceUpdate, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core == nil {
@@ -67,7 +67,7 @@
 	entries, err := s.core.Entries(version+1, limit)
 	if errs.Is(err, errs.Unknown) {
 		newest := s.newestSnapshot
-		return &internalapi.Lack{Snapshot: &newest}, nil, nil
+		return &internalapi.SourceUpdate{Snapshot: &newest}, nil, nil
 	}
 	if err != nil {
 		return nil, nil, errs.Pass(err, "entries after %d", version)
@@ -79,7 +79,7 @@
 	if n == 0 {
 		return nil, s.changed, nil
 	}
-	return &internalapi.Lack{Changes: entries[:n:n]}, nil, nil
+	return &internalapi.SourceUpdate{Changes: entries[:n:n]}, nil, nil
 }
 
 // snapshotCache keeps the slots that are being fetched, two at most.
--- a/internal/store/found.go
+++ b/internal/store/found.go
@@ -47,7 +47,7 @@
 	switch {
 	case id != "":
 		s.id = id
-	case recovered.Fresh && (s.opt.Damaged || !s.settings.Founding):
+	case recovered.Fresh && (s.opt.Damaged || !s.settings.Bootstrap):
 		return errs.Pass(s.startNewIncarnation(), "begin anew")
 	case recovered.Fresh:
 		return nil
@@ -158,14 +158,14 @@
 // what it gave in the last round. Two such rounds in a row are needed: the first shows that these very processes
 // run, the second that none of them had stood for leader by then. So no earlier life of any of them gave a vote,
 // and each may be told that it was a founder.
-func decideBootstrap(name, recovered, digest string, members int, answers map[string]internalapi.FoundAnswer, before map[string]string) (bootstrapDecision, map[string]string) {
+func decideBootstrap(name, recovered, digest string, members int, answers map[string]internalapi.DiscoverAnswer, before map[string]string) (bootstrapDecision, map[string]string) {
 	bootstrapMembers, named, all := map[string]string{}, false, true
 	for who, a := range answers {
 		if a.Digest != digest {
 			return settingsDiffer, nil
 		}
-		bootstrapMembers[who] = a.Boot
-		named = named || a.Founders[name] == recovered
+		bootstrapMembers[who] = a.Incarnation
+		named = named || a.BootstrapIncarnations[name] == recovered
 		all = all && a.Fresh
 	}
 	if named {
@@ -185,16 +185,16 @@
 	return mayBootstrap, bootstrapMembers
 }
 
-func (s *Store) surveyMembers(ctx context.Context) map[string]internalapi.FoundAnswer {
-	got := make([]*internalapi.FoundAnswer, len(s.settings.Members))
+func (s *Store) surveyMembers(ctx context.Context) map[string]internalapi.DiscoverAnswer {
+	got := make([]*internalapi.DiscoverAnswer, len(s.settings.Members))
 	routine.Each(len(got), len(got), func(i int) {
 		if m := s.settings.Members[i]; m.ID != s.settings.Name {
-			if a, err := s.opt.Net.BootstrapStatus(ctx, m.Addr, internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation}); err == nil {
+			if a, err := s.opt.Net.BootstrapStatus(ctx, m.Addr, internalapi.DiscoverCall{Name: s.settings.Name, Incarnation: s.incarnation}); err == nil {
 				got[i] = &a
 			}
 		}
 	})
-	out := map[string]internalapi.FoundAnswer{}
+	out := map[string]internalapi.DiscoverAnswer{}
 	for i, a := range got {
 		if a != nil {
 			out[s.settings.Members[i].ID] = *a
@@ -204,11 +204,11 @@
 }
 
 // Bootstrap answers one that has an empty folder.
-func (s *Store) BootstrapStatus(internalapi.FoundCall) internalapi.FoundAnswer {
+func (s *Store) BootstrapStatus(internalapi.DiscoverCall) internalapi.DiscoverAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.FoundAnswer{ID: s.id, Boot: s.incarnation, Founders: s.bootstrapMembers, Digest: s.digest(),
-		Fresh: s.core == nil && s.id == "" && s.settings.Founding}
+	out := internalapi.DiscoverAnswer{ID: s.id, Incarnation: s.incarnation, BootstrapIncarnations: s.bootstrapMembers, Digest: s.digest(),
+		Fresh: s.core == nil && s.id == "" && s.settings.Bootstrap}
 	if s.core != nil {
 		st := s.core.Status()
 		out.Term, out.Leader = st.Term, st.LeaderAddr
@@ -313,7 +313,7 @@
 			if err != nil {
 				_ = level.Debug(s.logger).Log("msg", "join", "err", err)
 			} else {
-				again = max(a.Again, pollInterval)
+				again = max(a.RetryAfter, pollInterval)
 			}
 		}
 		if !s.sleep(ctx, again) {
@@ -351,9 +351,9 @@
 				"no member is named %s; an operator says whom it replaces: crosstide-controlplane member replace OLD %s", name, name)
 		}
 	}
-	out := internalapi.JoinAnswer{Again: retryInterval, Members: addressesOf(st.Members)}
+	out := internalapi.JoinAnswer{RetryAfter: retryInterval, Members: addressesOf(st.Members)}
 	if s.settings.OpenMembership {
-		out.Again = joinInterval
+		out.RetryAfter = joinInterval
 	}
 	var old *raft.Member
 	next := make([]raft.Member, 0, len(st.Members)+1)
@@ -390,7 +390,7 @@
 		next[at].Learner = false
 		return out, errs.Pass(s.changeMembers(st.Members, next), "join as a voter")
 	}
-	if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation}); err == nil && a.ID == old.ID {
+	if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, internalapi.DiscoverCall{Name: s.settings.Name, Incarnation: s.incarnation}); err == nil && a.ID == old.ID {
 		return out, errs.Field(errs.Conflict, "name", "%s is alive at %s", old.ID, old.Addr)
 	}
 	return out, errs.Pass(s.changeMembers(st.Members, without(next, old.ID)), "take %s out", old.ID)
--- a/internal/store/full_test.go
+++ b/internal/store/full_test.go
@@ -42,7 +42,7 @@
 		if err == nil { // the two others have it
 			r.acked["while full"] = 1
 		}
-		r.until("another leader", func() bool { return old.Status().Quorum.Role != raft.Leader })
+		r.until("another leader", func() bool { return old.Status().Raft.Role != raft.Leader })
 		at := old.durableIndex()
 		r.submitAll("without it", 200)
 		So(old.durableIndex(), ShouldEqual, at) // it acknowledges nothing
--- a/internal/store/hand.go
+++ b/internal/store/hand.go
@@ -45,12 +45,12 @@
 // ResolveEmptyFolder is one round of asking the other members what the empty folder means.
 func (h *ManualDriver) ResolveEmptyFolder() error {
 	s := h.store
-	answers := map[string]internalapi.FoundAnswer{}
+	answers := map[string]internalapi.DiscoverAnswer{}
 	for _, m := range s.settings.Members {
 		if m.ID == s.settings.Name {
 			continue
 		}
-		if a, err := s.opt.Net.BootstrapStatus(context.Background(), m.Addr, internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation}); err == nil {
+		if a, err := s.opt.Net.BootstrapStatus(context.Background(), m.Addr, internalapi.DiscoverCall{Name: s.settings.Name, Incarnation: s.incarnation}); err == nil {
 			answers[m.ID] = a
 		}
 	}
@@ -79,7 +79,7 @@
 // OutboundCall is a call with replication messages.
 type OutboundCall struct {
 	Addr string
-	Call internalapi.QuorumCall
+	Call internalapi.RaftCall
 }
 
 // TakeMessages takes the messages to other members, in the order of their IDs.
@@ -90,7 +90,7 @@
 	for _, id := range slices.Sorted(maps.Keys(h.store.peers)) {
 		p := h.store.peers[id]
 		for len(p.queue) > 0 {
-			out = append(out, OutboundCall{p.addr, internalapi.QuorumCall{From: h.store.settings.Addr, Messages: p.takeBatch()}})
+			out = append(out, OutboundCall{p.addr, internalapi.RaftCall{From: h.store.settings.Addr, Messages: p.takeBatch()}})
 		}
 	}
 	return out
@@ -199,19 +199,19 @@
 }
 
 // ClaimRole is Store.ClaimRole up to its proposal: the answer, or a command to propose and then to tell Granted of.
-func (h *ManualDriver) ClaimRole(call internalapi.DutyCall) (a internalapi.DutyAnswer, current state.Role, c command.Command, err error) {
+func (h *ManualDriver) ClaimRole(call internalapi.ClaimRoleCall) (a internalapi.RoleLease, current state.Role, c command.Command, err error) {
 	a, current, c, err = h.store.evaluateRoleCall(call)
 	return a, current, c, errs.Pass(err, "duty")
 }
 
 // FinishRoleCall ends what Duty began.
-func (h *ManualDriver) FinishRoleCall(call internalapi.DutyCall, current state.Role, index uint64, err error) (internalapi.DutyAnswer, error) {
+func (h *ManualDriver) FinishRoleCall(call internalapi.ClaimRoleCall, current state.Role, index uint64, err error) (internalapi.RoleLease, error) {
 	a, err := h.store.finishRoleCall(call, current, index, err)
 	return a, errs.Pass(err, "duty")
 }
 
 // ChangesAfter is Store.Follow without the wait: nil if the caller lacks nothing.
-func (h *ManualDriver) ChangesAfter(version uint64) (*internalapi.Lack, error) {
+func (h *ManualDriver) ChangesAfter(version uint64) (*internalapi.SourceUpdate, error) {
 	l, _, err := h.store.changesAfter(version, maxFollowBytes)
 	return l, errs.Pass(err, "lack")
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -83,17 +83,17 @@
 //	if book.Claim(now, held, call) == Mine {
 //		return internalapi.DutyAnswer{Mine: true, Epoch: held.Epoch, Lease: lease}
 //	}
-func (b *roleLeases) Claim(now time.Duration, current state.Role, call internalapi.DutyCall) claimResult {
+func (b *roleLeases) Claim(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) claimResult {
 	if !b.active {
 		return claimDenied
 	}
-	p := b.leaseOf(now, call.Duty, current.Epoch)
+	p := b.leaseOf(now, call.Role, current.Epoch)
 	switch {
 	case p.epoch != current.Epoch || p.proposalInFlight:
 		return claimDenied
 	case current.Holder == "": // given up or never granted: nothing runs under it
 	case now >= p.expiresAt: // over; also for its holder, who has stopped by itself and begins a new epoch
-	case !p.invalidated && call.Epoch == current.Epoch && call.Boot == current.Incarnation && call.Holder == current.Holder:
+	case !p.invalidated && call.Epoch == current.Epoch && call.Incarnation == current.Incarnation && call.Holder == current.Holder:
 		p.expiresAt = now + b.duration + b.margin
 		return claimRenewed
 	default:
@@ -104,11 +104,11 @@
 }
 
 // Release voids an epoch whose holder gives it up; false if it is not the caller's to give up or under change.
-func (b *roleLeases) Release(now time.Duration, current state.Role, call internalapi.DutyCall) bool {
-	if !b.active || current.Holder != call.Holder || current.Incarnation != call.Boot || current.Epoch != call.Epoch || call.Epoch == 0 {
+func (b *roleLeases) Release(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) bool {
+	if !b.active || current.Holder != call.Holder || current.Incarnation != call.Incarnation || current.Epoch != call.Epoch || call.Epoch == 0 {
 		return false
 	}
-	p := b.leaseOf(now, call.Duty, current.Epoch)
+	p := b.leaseOf(now, call.Role, current.Epoch)
 	if p.epoch != current.Epoch || p.proposalInFlight {
 		return false
 	}
--- a/internal/store/lease_test.go
+++ b/internal/store/lease_test.go
@@ -23,9 +23,9 @@
 		leases := newRoleLeases(testLease, testMargin)
 		current := state.Role{Holder: "a", Incarnation: "1", Epoch: 7}
 		duties := map[string]*state.Role{"sched": &current}
-		a := internalapi.DutyCall{Duty: "sched", Holder: "a", Boot: "1", Epoch: 7}
-		b := internalapi.DutyCall{Duty: "sched", Holder: "b", Boot: "1"}
-		ask := func(c internalapi.DutyCall) claimResult { return leases.Claim(clock.Now(), current, c) }
+		a := internalapi.ClaimRoleCall{Role: "sched", Holder: "a", Incarnation: "1", Epoch: 7}
+		b := internalapi.ClaimRoleCall{Role: "sched", Holder: "b", Incarnation: "1"}
+		ask := func(c internalapi.ClaimRoleCall) claimResult { return leases.Claim(clock.Now(), current, c) }
 		So(ask(a), ShouldEqual, claimDenied)
 		leases.BecomeLeader(clock.Now(), duties)
 
@@ -48,7 +48,7 @@
 		})
 		Convey("a new boot of the holder waits like any other", func() {
 			again := a
-			again.Boot = "2"
+			again.Incarnation = "2"
 			So(ask(again), ShouldEqual, claimDenied)
 			So(leases.Release(clock.Now(), current, again), ShouldBeFalse)
 			clock.Advance(testLease + testMargin)
@@ -95,7 +95,7 @@
 				i := rnd.IntN(len(nodes))
 				sent := clock.Now()
 				clock.Advance(time.Duration(rnd.Int64N(int64(2 * testLease / 3))))
-				call := internalapi.DutyCall{Duty: "sched", Holder: string(rune('a' + i)), Boot: "1", Epoch: nodes[i].epoch}
+				call := internalapi.ClaimRoleCall{Role: "sched", Holder: string(rune('a' + i)), Incarnation: "1", Epoch: nodes[i].epoch}
 				lost := rnd.IntN(4) == 0
 				switch rnd.IntN(12) {
 				case 0: // the leader falls; the next one knows only the state
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -34,7 +34,7 @@
 	var incarnations map[string]string
 	for round := 0; ; round++ {
 		// A founder waits for all answers: one that names it among the founders weighs most.
-		answers := s.surveyNodes(ctx, func(a internalapi.FoundAnswer) bool { return !founder && a.Commit > 1 })
+		answers := s.surveyNodes(ctx, func(a internalapi.DiscoverAnswer) bool { return !founder && a.Commit > 1 })
 		v, bootstrapMembers := s.decideOpenBootstrap(answers, incarnations)
 		incarnations = bootstrapMembers
 		var err error
@@ -66,15 +66,15 @@
 
 // decideOpenBootstrap is judge where settings may differ between nodes: only those who may found together must have the same
 // founders. answers are by address.
-func (s *Store) decideOpenBootstrap(answers map[string]internalapi.FoundAnswer, before map[string]string) (bootstrapDecision, map[string]string) {
+func (s *Store) decideOpenBootstrap(answers map[string]internalapi.DiscoverAnswer, before map[string]string) (bootstrapDecision, map[string]string) {
 	digest := s.digest()
-	bootstrapMembers := map[string]internalapi.FoundAnswer{}
+	bootstrapMembers := map[string]internalapi.DiscoverAnswer{}
 	for _, m := range s.settings.Members {
 		a, ok := answers[m.Addr]
 		if !ok {
 			continue
 		}
-		if a.Digest == digest && a.Founders[s.settings.Name] == s.incarnation {
+		if a.Digest == digest && a.BootstrapIncarnations[s.settings.Name] == s.incarnation {
 			return mayBootstrap, nil // nobody else is vouched for
 		}
 		bootstrapMembers[m.ID] = a
@@ -96,14 +96,14 @@
 
 // surveyNodes asks all nodes whose address is known how they stand, at once, until enough holds for an answer or all
 // have answered or failed. It gives the answers by address, and learns the addresses in them.
-func (s *Store) surveyNodes(ctx context.Context, enough func(internalapi.FoundAnswer) bool) map[string]internalapi.FoundAnswer {
+func (s *Store) surveyNodes(ctx context.Context, enough func(internalapi.DiscoverAnswer) bool) map[string]internalapi.DiscoverAnswer {
 	addresses := s.addresses()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
-	answers := map[string]internalapi.FoundAnswer{}
+	answers := map[string]internalapi.DiscoverAnswer{}
 	routine.Each(len(addresses), len(addresses), func(i int) {
-		a, err := s.opt.Net.BootstrapStatus(ctx, addresses[i], internalapi.FoundCall{Name: s.settings.Name, Boot: s.incarnation})
+		a, err := s.opt.Net.BootstrapStatus(ctx, addresses[i], internalapi.DiscoverCall{Name: s.settings.Name, Incarnation: s.incarnation})
 		if err != nil {
 			return
 		}
@@ -195,7 +195,7 @@
 // findLeader asks other nodes for the leader's address; "" if nobody knows one. Of two the newer term counts.
 func (s *Store) findLeader(ctx context.Context) (leader string) {
 	newest := uint64(0)
-	knows := func(a internalapi.FoundAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
+	knows := func(a internalapi.DiscoverAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
 	for _, a := range s.surveyNodes(ctx, knows) {
 		if knows(a) && (leader == "" || a.Term > newest) {
 			leader, newest = a.Leader, a.Term
@@ -244,7 +244,7 @@
 // provesRemoval tells whether an answer proves that this node is no member any more: a set that was committed after the
 // oldest one here with this node in it is without it. That oldest one need not be committed: if it never was, the
 // node did not become a member by it. Who was removed does not come back under its ID, see checkNotRemoved.
-func (s *Store) provesRemoval(a internalapi.FoundAnswer) bool {
+func (s *Store) provesRemoval(a internalapi.DiscoverAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.core.MemberSince()
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -65,7 +65,7 @@
 // mayBootstrap gives a node an empty disk, the settings that a replaced machine has, and starts it.
 func (r *testStores) startFresh(name string) {
 	r.disks[name] = storage.NewMemDisk()
-	r.settings.Founding = false
+	r.settings.Bootstrap = false
 	r.start(name)
 }
 
@@ -74,7 +74,7 @@
 	r.until("voters "+strings.Join(names, " "), func() bool {
 		for _, n := range names {
 			s := r.nodes[n]
-			if s == nil || !s.Status().Quorum.Voter || !slices.Equal(memberIDs(s), r.idsOf(names)) {
+			if s == nil || !s.Status().Raft.Voter || !slices.Equal(memberIDs(s), r.idsOf(names)) {
 				return false
 			}
 		}
@@ -84,14 +84,14 @@
 
 func (r *testStores) idsOf(names []string) (out []string) {
 	for _, n := range names {
-		out = append(out, r.nodes[n].Status().Quorum.ID)
+		out = append(out, r.nodes[n].Status().Raft.ID)
 	}
 	slices.Sort(out)
 	return out
 }
 
 func memberIDs(s *Store) (out []string) {
-	for _, m := range s.Status().Quorum.Members {
+	for _, m := range s.Status().Raft.Members {
 		if m.Learner {
 			return nil
 		}
@@ -159,7 +159,7 @@
 		Printf("\nfive voters after %s", took)
 		So(took, ShouldBeLessThan, 4*time.Second)
 		for _, n := range []string{"c1", "c2", "c3"} {
-			So(r.nodes[n].Status().Quorum.ID, ShouldEqual, n) // founded, not joined
+			So(r.nodes[n].Status().Raft.ID, ShouldEqual, n) // founded, not joined
 		}
 		So(r.submitJobs("a", 100), ShouldBeEmpty)
 		r.waitLevel()
@@ -185,7 +185,7 @@
 		}
 		r.advance(10 * time.Second)
 		for n, s := range r.nodes {
-			So(fmt.Sprint(n, s.BootstrapStatus(internalapi.FoundCall{}).Commit), ShouldEqual, n+"0")
+			So(fmt.Sprint(n, s.BootstrapStatus(internalapi.DiscoverCall{}).Commit), ShouldEqual, n+"0")
 		}
 		r.start("c3")
 		r.waitVoters("c1", "c2", "c3", "c4", "c5")
@@ -194,11 +194,11 @@
 
 func TestOpenBootstrap_neverWhenDisallowed(t *testing.T) {
 	withOpenFleet(t, 5, func(r *testStores) {
-		r.settings.Founding = false
+		r.settings.Bootstrap = false
 		r.startAll()
 		r.advance(20 * time.Second)
 		for _, s := range r.nodes {
-			a := s.BootstrapStatus(internalapi.FoundCall{})
+			a := s.BootstrapStatus(internalapi.DiscoverCall{})
 			So(a.Fresh, ShouldBeFalse)
 			So(a.Commit, ShouldEqual, 0)
 			So(a.ID, ShouldStartWith, s.settings.Name+"~")
@@ -208,11 +208,11 @@
 	withOpenFleet(t, 3, func(r *testStores) { // one seed has lost its folder: the others must not found without its word
 		r.start("c1")
 		r.start("c2")
-		r.settings.Founding = false
+		r.settings.Bootstrap = false
 		r.start("c3")
 		r.advance(20 * time.Second)
 		for _, s := range r.nodes {
-			So(s.BootstrapStatus(internalapi.FoundCall{}).Commit, ShouldEqual, 0)
+			So(s.BootstrapStatus(internalapi.DiscoverCall{}).Commit, ShouldEqual, 0)
 		}
 	})
 }
@@ -228,7 +228,7 @@
 				before := r.others()
 				r.disks[gone] = storage.NewMemDisk()
 				took := r.elapsed(func() {
-					r.settings.Founding = founding
+					r.settings.Bootstrap = founding
 					r.start(gone)
 					r.waitVoters(append(before, gone)...)
 				})
@@ -267,7 +267,7 @@
 		r.startFresh("c7")
 		r.until("the newcomer is a voter", func() bool {
 			So(len(memberIDs(r.leader())), ShouldBeLessThan, 6)
-			return r.nodes["c7"].Status().Quorum.Voter
+			return r.nodes["c7"].Status().Raft.Voter
 		})
 		r.waitVoters(r.others()...)
 		So(r.submitJobs("c", 50), ShouldBeEmpty)
@@ -303,7 +303,7 @@
 			r.kill(n)
 		}
 		r.advance(20 * time.Second)
-		So(lead.Status().Quorum.Members, ShouldHaveLength, 3)
+		So(lead.Status().Raft.Members, ShouldHaveLength, 3)
 	})
 }
 
@@ -314,12 +314,12 @@
 		lead := r.leader()
 		_, err := lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9"})
 		So(err, ShouldBeNil)
-		r.until("a learner", func() bool { return len(lead.Status().Quorum.Members) == 4 })
+		r.until("a learner", func() bool { return len(lead.Status().Raft.Members) == 4 })
 		r.advance(silentLearnerTimeout - time.Second)
-		So(lead.Status().Quorum.Members, ShouldHaveLength, 4)
-		since := lead.BootstrapStatus(internalapi.FoundCall{}).MembersAt
+		So(lead.Status().Raft.Members, ShouldHaveLength, 4)
+		since := lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt
 		r.waitVoters("c1", "c2", "c3")
-		r.until("the removal is committed", func() bool { return lead.BootstrapStatus(internalapi.FoundCall{}).MembersAt > since })
+		r.until("the removal is committed", func() bool { return lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt > since })
 
 		// It does not come back under its ID, as its folder says that it was a member.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
@@ -344,7 +344,7 @@
 				mode, gone = name, "c6"
 				r.moveLeaderFrom("c6")
 			}
-			old := r.nodes[gone].Status().Quorum.ID
+			old := r.nodes[gone].Status().Raft.ID
 			if mode == "cut" {
 				r.setCut(true, gone)
 			} else {
@@ -362,7 +362,7 @@
 			})
 			Printf("\nremoved while %s, a voter again after %s", mode, took)
 			So(took, ShouldBeLessThan, 3*time.Second)
-			So(r.nodes[gone].Status().Quorum.ID, ShouldNotEqual, old)
+			So(r.nodes[gone].Status().Raft.ID, ShouldNotEqual, old)
 			So(r.submitJobs(mode+gone+"-again", 20), ShouldBeEmpty)
 			r.waitLevel()
 		}
@@ -390,7 +390,7 @@
 		r.start("c8")
 		r.until("it finds out", func() bool { return r.wasRemoved("c8") })
 		r.reopen("c8")
-		r.until("it is a voter", func() bool { return r.nodes["c8"].Status().Quorum.Voter })
+		r.until("it is a voter", func() bool { return r.nodes["c8"].Status().Raft.Voter })
 		So(r.submitJobs("b", 20), ShouldBeEmpty)
 
 		// A wiped one that knows only two seeds, both behind the cut, learns from its leader's calls to its old self
@@ -406,15 +406,15 @@
 		}
 		r.kill(gone)
 		r.startFresh(gone)
-		r.until("the wiped one is a voter", func() bool { return r.nodes[gone].Status().Quorum.Voter })
+		r.until("the wiped one is a voter", func() bool { return r.nodes[gone].Status().Raft.Voter })
 		So(r.submitJobs("c", 20), ShouldBeEmpty)
 
 		// One that knows no seed that answers, and that nobody calls, waits until it is told of another node.
 		r.startFresh("c9")
 		r.advance(3 * time.Second)
-		So(r.nodes["c9"].Status().Quorum.Members, ShouldBeEmpty)
+		So(r.nodes["c9"].Status().Raft.Members, ShouldBeEmpty)
 		r.nodes["c9"].LearnAddresses(lead.settings.Addr)
-		r.until("the newcomer is a voter", func() bool { return r.nodes["c9"].Status().Quorum.Voter })
+		r.until("the newcomer is a voter", func() bool { return r.nodes["c9"].Status().Raft.Voter })
 	})
 }
 
@@ -423,7 +423,7 @@
 	r.until("a leader of some", func() bool {
 		for _, n := range names {
 			if s := r.nodes[n]; s != nil {
-				if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader {
+				if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader {
 					lead = s
 					return true
 				}
@@ -502,7 +502,7 @@
 		lead := r.leader()
 		term, current := lead.LeaderTerm(r.clock.Now())
 		So(current, ShouldBeTrue)
-		So(term, ShouldEqual, lead.Status().Quorum.Term)
+		So(term, ShouldEqual, lead.Status().Raft.Term)
 		_, other := r.follower(lead).LeaderTerm(r.clock.Now())
 		So(other, ShouldBeFalse)
 
@@ -592,7 +592,7 @@
 			So(s.Close(), ShouldBeNil)
 			return d
 		}
-		settings := config.DefaultCplane()
+		settings := config.DefaultControlPlane()
 		settings.Name, settings.Addr, settings.OpenMembership = "c1", "c1", true
 		settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}}
 		open := func(d storage.Disk) (*Store, error) {
@@ -610,7 +610,7 @@
 			So(s.id, ShouldNotEqual, "c1~old")
 			So(s.status.Term, ShouldEqual, 0)
 			So(s.addresses(), ShouldResemble, []string{"c2", "c7", "c8"})
-			So(s.BootstrapStatus(internalapi.FoundCall{}).Fresh, ShouldBeFalse)
+			So(s.BootstrapStatus(internalapi.DiscoverCall{}).Fresh, ShouldBeFalse)
 			if err == nil {
 				So(at, ShouldBeGreaterThan, 8)
 				break
@@ -636,11 +636,11 @@
 		s := &Store{incarnation: "boot"}
 		s.settings.Name, s.settings.Addr = "c1", "c1"
 		s.settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
-		empty := internalapi.FoundAnswer{Fresh: true, Boot: "p", Digest: s.digest()}
-		other := internalapi.FoundAnswer{Fresh: true, Boot: "p", Digest: "other"}
+		empty := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p", Digest: s.digest()}
+		other := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p", Digest: "other"}
 		before := map[string]string{"c2": "p", "c3": "p"}
-		say := func(c2, c3 internalapi.FoundAnswer, more ...internalapi.FoundAnswer) bootstrapDecision {
-			answers := map[string]internalapi.FoundAnswer{"c2": c2, "c3": c3}
+		say := func(c2, c3 internalapi.DiscoverAnswer, more ...internalapi.DiscoverAnswer) bootstrapDecision {
+			answers := map[string]internalapi.DiscoverAnswer{"c2": c2, "c3": c3}
 			for i, a := range more {
 				answers[fmt.Sprint("c", i+4)] = a
 			}
@@ -649,16 +649,16 @@
 		}
 		So(say(empty, empty), ShouldEqual, mayBootstrap)
 		So(say(empty, other), ShouldEqual, settingsDiffer)
-		So(say(empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, fleetExists) // its seeds are not compared
-		So(say(other, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, fleetExists)
-		So(say(empty, empty, internalapi.FoundAnswer{Commit: 9}), ShouldEqual, fleetExists) // one that is no seed
-		So(say(empty, internalapi.FoundAnswer{Digest: "other"}), ShouldEqual, undecided)    // empty, and must not found
-		So(say(empty, internalapi.FoundAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, undecided)
-		named := internalapi.FoundAnswer{Commit: 9, Digest: s.digest(), Founders: map[string]string{"c1": "boot"}}
+		So(say(empty, internalapi.DiscoverAnswer{Commit: 9}), ShouldEqual, fleetExists) // its seeds are not compared
+		So(say(other, internalapi.DiscoverAnswer{Commit: 9}), ShouldEqual, fleetExists)
+		So(say(empty, empty, internalapi.DiscoverAnswer{Commit: 9}), ShouldEqual, fleetExists) // one that is no seed
+		So(say(empty, internalapi.DiscoverAnswer{Digest: "other"}), ShouldEqual, undecided)    // empty, and must not found
+		So(say(empty, internalapi.DiscoverAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, undecided)
+		named := internalapi.DiscoverAnswer{Commit: 9, Digest: s.digest(), BootstrapIncarnations: map[string]string{"c1": "boot"}}
 		So(say(empty, named), ShouldEqual, mayBootstrap)
 		named.Digest = "other"
 		So(say(empty, named), ShouldEqual, fleetExists)
-		v, _ := s.decideOpenBootstrap(map[string]internalapi.FoundAnswer{"c2": empty, "c3": empty}, nil)
+		v, _ := s.decideOpenBootstrap(map[string]internalapi.DiscoverAnswer{"c2": empty, "c3": empty}, nil)
 		So(v, ShouldEqual, undecided) // the first such round
 	})
 }
@@ -671,7 +671,7 @@
 			rnd := rand.New(rand.NewSource(seed))
 			r.startAll()
 			r.waitVoters("c1", "c2", "c3", "c4", "c5")
-			r.settings.Founding = false
+			r.settings.Bootstrap = false
 			names := r.others()
 			next := 6
 			for step := range 25 {
@@ -741,7 +741,7 @@
 	r.until("healed", func() bool {
 		r.revive()
 		for _, n := range names {
-			if s := r.nodes[n]; !s.Status().Quorum.Voter || !slices.Equal(memberIDs(s), r.idsOf(names)) {
+			if s := r.nodes[n]; !s.Status().Raft.Voter || !slices.Equal(memberIDs(s), r.idsOf(names)) {
 				return false
 			}
 		}
@@ -755,11 +755,11 @@
 	for _, s := range r.nodes {
 		members, there := memberIDs(s), 0
 		for _, id := range members {
-			if n := nameOf(id); r.nodes[n] != nil && !r.cut[n] && r.nodes[n].Status().Quorum.ID == id {
+			if n := nameOf(id); r.nodes[n] != nil && !r.cut[n] && r.nodes[n].Status().Raft.ID == id {
 				there++
 			}
 		}
-		if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader && !r.cut[s.settings.Name] && there > len(members)/2 {
+		if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader && !r.cut[s.settings.Name] && there > len(members)/2 {
 			return true
 		}
 	}
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -250,7 +250,7 @@
 func (s *Store) Read(ctx context.Context, read func(*state.State)) error {
 	index, err := s.ReadIndex()
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
-		var a internalapi.ConfirmAnswer
+		var a internalapi.ReadIndexAnswer
 		a, err = s.opt.Net.ReadIndex(ctx, errs.Of(err).Hint)
 		index = a.Index
 	}
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -83,7 +83,7 @@
 // Rollout asks every member which bundle version it has and which its followers have, and gives the newest word on
 // each node, by kind and name; silent names the members that did not answer.
 func (s *Store) Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string) {
-	members := s.Status().Quorum.Members
+	members := s.Status().Raft.Members
 	answers := make([]*internalapi.RolloutAnswer, len(members))
 	routine.Each(len(members), len(members), func(i int) {
 		if members[i].ID == s.id {
--- a/internal/store/send.go
+++ b/internal/store/send.go
@@ -142,7 +142,7 @@
 	s.group.Go(func(context.Context) {
 		defer func() { <-inFlight; close(done) }()
 		// A failure costs these messages only; the core makes up for what is lost.
-		if err := s.opt.Net.SendMessages(ctx, p.addr, internalapi.QuorumCall{From: s.settings.Addr, Messages: batch}); err != nil {
+		if err := s.opt.Net.SendMessages(ctx, p.addr, internalapi.RaftCall{From: s.settings.Addr, Messages: batch}); err != nil {
 			s.metrics.dropped.Add(float64(len(batch)))
 		}
 	})
@@ -158,7 +158,7 @@
 
 // Step takes in messages of another member. From of the call is the sender's address, by which a node that has
 // no members yet can answer.
-func (s *Store) Step(call internalapi.QuorumCall) {
+func (s *Store) Step(call internalapi.RaftCall) {
 	s.mu.Lock()
 	s.rememberAddresses(call.From)
 	if s.core == nil || s.frozen || s.halted {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -45,18 +45,18 @@
 
 // Net carries the calls to other cplanes at an address; all end by their own time-out.
 type Net interface {
-	SendMessages(ctx context.Context, addr string, call internalapi.QuorumCall) error
+	SendMessages(ctx context.Context, addr string, call internalapi.RaftCall) error
 	FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
-	BootstrapStatus(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error)
+	BootstrapStatus(ctx context.Context, addr string, call internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error)
 	Join(ctx context.Context, addr string, call internalapi.JoinCall) (internalapi.JoinAnswer, error)
 	Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error)
-	ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error)
+	ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error)
 	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
 }
 
 // Options of a store; Settings, Disk, Net and Fatal are needed, with an open membership Removed too.
 type Options struct {
-	Settings config.Cplane
+	Settings config.ControlPlane
 	Disk     storage.Disk
 	Net      Net
 	// Fatal is told of a failed write or sync, of a state that cannot be trusted. It must end the process.
@@ -76,7 +76,7 @@
 // Store is a running cplane's part in the control store.
 type Store struct {
 	opt         Options
-	settings    config.Cplane
+	settings    config.ControlPlane
 	clock       clock.Clock
 	logger      log.Logger
 	group       *routine.Group
@@ -148,7 +148,7 @@
 		incarnation: opt.RandomID()[:12],
 		wakeLoop:    make(chan struct{}, 1), wakeDisk: make(chan struct{}, 1), wakeSnapshotter: make(chan struct{}, 1),
 		live: state.New(), peers: map[string]*peer{}, learnedAddrs: map[string]string{}, knownAddrs: map[string]bool{}, changed: make(chan struct{}),
-		waiters: map[uint64]*waiter{}, followerBundles: map[string]internalapi.NodeBundle{}, roleLeases: newRoleLeases(opt.Settings.DutyLease, opt.Settings.DutyLease/10),
+		waiters: map[uint64]*waiter{}, followerBundles: map[string]internalapi.NodeBundle{}, roleLeases: newRoleLeases(opt.Settings.RoleLease, opt.Settings.RoleLease/10),
 		caughtUpAt: -maxReadyLag * 2,
 	}
 	s.metrics = newMetrics()
@@ -481,8 +481,8 @@
 	at := s.clock.Wall()
 	return &command.Purge{
 		JobsBefore: at.Add(-s.settings.KeepEndedFor), JobsKeep: s.settings.KeepEnded,
-		TombstonesBefore: at.Add(-s.settings.KeepTombsFor), TombstonesKeep: s.settings.KeepTombs,
-		OrdersBefore: at.Add(-s.settings.KeepTombsFor),
+		TombstonesBefore: at.Add(-s.settings.KeepTombstonesFor), TombstonesKeep: s.settings.KeepTombstones,
+		OrdersBefore: at.Add(-s.settings.KeepTombstonesFor),
 	}
 }
 
@@ -520,12 +520,12 @@
 func (s *Store) Status() internalapi.StatusAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.checkReady(s.clock.Now()) == nil, Duties: map[string]internalapi.DutyAnswer{}}
+	out := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.checkReady(s.clock.Now()) == nil, Roles: map[string]internalapi.RoleLease{}}
 	if s.core != nil {
-		out.Quorum = s.core.Status()
+		out.Raft = s.core.Status()
 	}
 	for name, d := range s.live.Roles {
-		out.Duties[name] = internalapi.DutyAnswer{Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
+		out.Roles[name] = internalapi.RoleLease{Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
 	}
 	return out
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,7 +31,7 @@
 // the clock moves only when every goroutine waits.
 type testStores struct {
 	clock    clock.Virtual
-	settings config.Cplane
+	settings config.ControlPlane
 	disks    map[string]*storage.MemDisk
 	mu       sync.Mutex
 	nodes    map[string]*Store // by address; nil while it is down
@@ -129,7 +129,7 @@
 }
 
 func newTestStores(n, snapshotEvery int, operators ...signature.Key) *testStores {
-	r := &testStores{settings: config.DefaultCplane(), disks: map[string]*storage.MemDisk{}, nodes: map[string]*Store{},
+	r := &testStores{settings: config.DefaultControlPlane(), disks: map[string]*storage.MemDisk{}, nodes: map[string]*Store{},
 		died: map[string]error{}, removed: map[string]bool{}, work: routine.New(context.Background()), acked: map[string]uint64{}, cut: map[string]bool{}, full: map[string]error{}, hangs: map[string]bool{}}
 	r.settings.SnapshotEvery = snapshotEvery
 	for _, key := range operators {
@@ -200,7 +200,7 @@
 	var found *Store
 	r.until("a ready leader", func() bool {
 		for _, s := range r.nodes {
-			if st := s.Status(); st.Ready && st.Quorum.Role == raft.Leader {
+			if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader {
 				found = s
 				return true
 			}
@@ -270,7 +270,7 @@
 			}
 			So(string(body) == wanted, ShouldBeTrue)
 		})
-		So(s.Status().Quorum.Refused, ShouldEqual, 0)
+		So(s.Status().Raft.Refused, ShouldEqual, 0)
 	}
 }
 
@@ -300,7 +300,7 @@
 	return do(s)
 }
 
-func (n testNet) SendMessages(ctx context.Context, addr string, c internalapi.QuorumCall) error {
+func (n testNet) SendMessages(ctx context.Context, addr string, c internalapi.RaftCall) error {
 	_, err := callNode(ctx, n, addr, func(s *Store) (int, error) { s.Step(c); return 0, nil })
 	return err
 }
@@ -308,8 +308,8 @@
 	c.Max = 1000 // many parts
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.ChunkAnswer, error) { return s.Chunk(c) })
 }
-func (n testNet) BootstrapStatus(ctx context.Context, addr string, c internalapi.FoundCall) (internalapi.FoundAnswer, error) {
-	return callNode(ctx, n, addr, func(s *Store) (internalapi.FoundAnswer, error) { return s.BootstrapStatus(c), nil })
+func (n testNet) BootstrapStatus(ctx context.Context, addr string, c internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.DiscoverAnswer, error) { return s.BootstrapStatus(c), nil })
 }
 func (n testNet) Join(ctx context.Context, addr string, c internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.JoinAnswer, error) { return s.Join(ctx, c) })
@@ -320,10 +320,10 @@
 func (n testNet) Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error) {
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.RolloutAnswer, error) { return s.localRollout(), nil })
 }
-func (n testNet) ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
-	return callNode(ctx, n, addr, func(s *Store) (internalapi.ConfirmAnswer, error) {
+func (n testNet) ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error) {
+	return callNode(ctx, n, addr, func(s *Store) (internalapi.ReadIndexAnswer, error) {
 		i, err := s.ReadIndex()
-		return internalapi.ConfirmAnswer{Index: i}, err
+		return internalapi.ReadIndexAnswer{Index: i}, err
 	})
 }
 
@@ -373,7 +373,7 @@
 
 		// Followers get changes, a snapshot where those are gone, and wait for what comes.
 		at := other.Status().Applied
-		follow := func(from uint64, wait time.Duration, during func(ctx context.Context)) internalapi.Lack {
+		follow := func(from uint64, wait time.Duration, during func(ctx context.Context)) internalapi.SourceUpdate {
 			var a internalapi.FollowAnswer
 			r.call(func(ctx context.Context) {
 				waiting := routine.New(ctx)
@@ -384,12 +384,12 @@
 				waiting.Wait()
 			})
 			So(err, ShouldBeNil)
-			return a.Lacks[vectorSource]
+			return a.Updates[vectorSource]
 		}
 		idle := func(context.Context) {}
 		So(len(follow(at-3, 0, idle).Changes), ShouldEqual, 3)
 		So(follow(0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1)
-		So(follow(at, time.Second, idle), ShouldResemble, internalapi.Lack{})
+		So(follow(at, time.Second, idle), ShouldResemble, internalapi.SourceUpdate{})
 		updates := follow(at, 20*time.Second, func(ctx context.Context) { _, _ = other.ProposeOrForward(ctx, job("news")) }) // shows in what follows
 		So(len(updates.Changes), ShouldEqual, 1)
 	})
@@ -449,12 +449,12 @@
 		r.disks[gone] = storage.NewMemDisk()
 		r.start(gone)
 		fresh := r.nodes[gone]
-		r.until("the newcomer is a voter", func() bool { return fresh.Status().Quorum.Voter })
+		r.until("the newcomer is a voter", func() bool { return fresh.Status().Raft.Voter })
 		So(fresh.id, ShouldStartWith, gone+"~")
 		r.submitJobs("b", 50)
 		r.waitLevel()
-		So(len(lead.Status().Quorum.Members), ShouldEqual, 3)
-		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
+		So(len(lead.Status().Raft.Members), ShouldEqual, 3)
+		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// The newcomer carries a majority, and keeps its new ID over a restart.
 		r.kill(gone)
@@ -486,9 +486,9 @@
 			_, err = lead.ProposeOrForward(ctx, &command.ReplaceMember{Order: "o", Old: gone, New: "c9"})
 		})
 		So(err, ShouldBeNil)
-		r.until("the successor is a voter", func() bool { return fresh.Status().Quorum.Voter })
-		r.until("the old member is out", func() bool { return len(lead.Status().Quorum.Members) == 3 })
-		So(slices.ContainsFunc(lead.Status().Quorum.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
+		r.until("the successor is a voter", func() bool { return fresh.Status().Raft.Voter })
+		r.until("the old member is out", func() bool { return len(lead.Status().Raft.Members) == 3 })
+		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// It carries a majority with the one other that is left.
 		r.kill(lead.settings.Name)
@@ -518,11 +518,11 @@
 
 func TestClaimRole(t *testing.T) {
 	withFleet(t, 40, func(r *testStores) {
-		ask := func(holder string, epoch uint64, giveUp bool) (a internalapi.DutyAnswer) {
+		ask := func(holder string, epoch uint64, giveUp bool) (a internalapi.RoleLease) {
 			s := r.leader()
 			var err error
 			r.call(func(ctx context.Context) {
-				a, err = s.ClaimRole(ctx, internalapi.DutyCall{Duty: "sched", Holder: holder, Addr: holder, Boot: "1", Epoch: epoch, GiveUp: giveUp})
+				a, err = s.ClaimRole(ctx, internalapi.ClaimRoleCall{Role: "sched", Holder: holder, Addr: holder, Incarnation: "1", Epoch: epoch, Release: giveUp})
 			})
 			So(err, ShouldBeNil)
 			return a
@@ -535,13 +535,13 @@
 		r.kill(lead.settings.Name)
 		So(ask("b", 0, false).Mine, ShouldBeFalse)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeTrue)
-		var second internalapi.DutyAnswer
+		var second internalapi.RoleLease
 		began, tries := r.clock.Now(), 0
 		for ; !second.Mine; tries++ {
 			second = ask("b", 0, false)
 			r.clock.Advance(50 * time.Millisecond)
 		}
-		So(r.clock.Now()-began, ShouldBeGreaterThan, r.settings.DutyLease)
+		So(r.clock.Now()-began, ShouldBeGreaterThan, r.settings.RoleLease)
 		So(second.Epoch, ShouldBeGreaterThan, first.Epoch)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeFalse)
 		So(ask("b", second.Epoch, true).Mine, ShouldBeFalse)
@@ -551,27 +551,27 @@
 
 func TestDecideBootstrap(t *testing.T) {
 	Convey("An empty folder founds only when it is sure to have no earlier life", t, func() {
-		say := func(a ...internalapi.FoundAnswer) bootstrapDecision {
-			all := map[string]internalapi.FoundAnswer{}
+		say := func(a ...internalapi.DiscoverAnswer) bootstrapDecision {
+			all := map[string]internalapi.DiscoverAnswer{}
 			for i, one := range a {
 				one.Digest = "d"
 				all[fmt.Sprint("c", i+2)] = one
 			}
 			v, vouched := decideBootstrap("c1", "boot", "d", 3, all, map[string]string{"c2": "p", "c3": "p"})
-			named := slices.ContainsFunc(a, func(one internalapi.FoundAnswer) bool { return one.Founders != nil })
+			named := slices.ContainsFunc(a, func(one internalapi.DiscoverAnswer) bool { return one.BootstrapIncarnations != nil })
 			So(v == mayBootstrap && !named, ShouldEqual, vouched != nil)
 			return v
 		}
-		empty := internalapi.FoundAnswer{Fresh: true, Boot: "p"}
+		empty := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p"}
 		So(say(), ShouldEqual, undecided)
 		So(say(empty), ShouldEqual, undecided)
 		So(say(empty, empty), ShouldEqual, mayBootstrap)
-		So(say(empty, internalapi.FoundAnswer{Commit: 2}), ShouldEqual, fleetExists)
-		So(say(internalapi.FoundAnswer{Commit: 900}), ShouldEqual, fleetExists)
-		So(say(empty, internalapi.FoundAnswer{Commit: 1}), ShouldEqual, undecided) // has voted, perhaps for us
-		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "boot"}}), ShouldEqual, mayBootstrap)
-		So(say(internalapi.FoundAnswer{Commit: 9, Founders: map[string]string{"c1": "earlier"}}), ShouldEqual, fleetExists)
-		one := map[string]internalapi.FoundAnswer{"c2": {Fresh: true, Digest: "d", Boot: "p"}}
+		So(say(empty, internalapi.DiscoverAnswer{Commit: 2}), ShouldEqual, fleetExists)
+		So(say(internalapi.DiscoverAnswer{Commit: 900}), ShouldEqual, fleetExists)
+		So(say(empty, internalapi.DiscoverAnswer{Commit: 1}), ShouldEqual, undecided) // has voted, perhaps for us
+		So(say(internalapi.DiscoverAnswer{Commit: 9, BootstrapIncarnations: map[string]string{"c1": "boot"}}), ShouldEqual, mayBootstrap)
+		So(say(internalapi.DiscoverAnswer{Commit: 9, BootstrapIncarnations: map[string]string{"c1": "earlier"}}), ShouldEqual, fleetExists)
+		one := map[string]internalapi.DiscoverAnswer{"c2": {Fresh: true, Digest: "d", Incarnation: "p"}}
 		v, _ := decideBootstrap("c1", "boot", "other", 3, one, nil)
 		So(v, ShouldEqual, settingsDiffer)
 		v, incarnations := decideBootstrap("c1", "boot", "d", 2, one, nil) // the first such round
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -12,25 +12,25 @@
 
 // Serve answers the calls of the other cplanes and of the dplanes at srv; call it before srv starts.
 func (s *Store) Serve(srv *rpc.Server) {
-	rpc.Handle(srv, internalapi.Quorum, func(_ context.Context, c internalapi.QuorumCall) (internalapi.QuorumAnswer, error) {
+	rpc.Handle(srv, internalapi.Raft, func(_ context.Context, c internalapi.RaftCall) (internalapi.RaftAnswer, error) {
 		s.Step(c)
-		return internalapi.QuorumAnswer{}, nil
+		return internalapi.RaftAnswer{}, nil
 	})
 	rpc.Handle(srv, internalapi.Propose, s.handlePropose)
-	rpc.Handle(srv, internalapi.Confirm, func(context.Context, internalapi.ConfirmCall) (internalapi.ConfirmAnswer, error) {
+	rpc.Handle(srv, internalapi.ReadIndex, func(context.Context, internalapi.ReadIndexCall) (internalapi.ReadIndexAnswer, error) {
 		index, err := s.ReadIndex()
-		return internalapi.ConfirmAnswer{Index: index}, errs.Pass(err, "call")
+		return internalapi.ReadIndexAnswer{Index: index}, errs.Pass(err, "call")
 	})
 	rpc.Handle(srv, internalapi.Follow, s.Follow)
 	rpc.Handle(srv, internalapi.Chunk, func(_ context.Context, c internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 		a, err := s.Chunk(c)
 		return a, errs.Pass(err, "call")
 	})
-	rpc.Handle(srv, internalapi.Duty, s.ClaimRole)
+	rpc.Handle(srv, internalapi.ClaimRole, s.ClaimRole)
 	rpc.Handle(srv, internalapi.Status, func(context.Context, internalapi.StatusCall) (internalapi.StatusAnswer, error) {
 		return s.Status(), nil
 	})
-	rpc.Handle(srv, internalapi.Found, func(_ context.Context, c internalapi.FoundCall) (internalapi.FoundAnswer, error) {
+	rpc.Handle(srv, internalapi.Discover, func(_ context.Context, c internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error) {
 		return s.BootstrapStatus(c), nil
 	})
 	rpc.Handle(srv, internalapi.Join, s.Join)
@@ -40,7 +40,9 @@
 }
 
 // NetworkOf is the Net of a daemon.
-func NetworkOf(k *rpc.Client, settings config.Cplane) Net { return networkCalls{k, settings.Election} }
+func NetworkOf(k *rpc.Client, settings config.ControlPlane) Net {
+	return networkCalls{k, settings.Election}
+}
 
 type networkCalls struct {
 	caller   *rpc.Client
@@ -48,8 +50,8 @@
 }
 
 // SendMessages sends a message of the agreement.
-func (w networkCalls) SendMessages(ctx context.Context, addr string, call internalapi.QuorumCall) error {
-	_, err := rpc.Call(ctx, w.caller, addr, internalapi.Quorum, call, w.election/2)
+func (w networkCalls) SendMessages(ctx context.Context, addr string, call internalapi.RaftCall) error {
+	_, err := rpc.Call(ctx, w.caller, addr, internalapi.Raft, call, w.election/2)
 	return errs.Pass(err, "quorum")
 }
 
@@ -60,8 +62,8 @@
 }
 
 // Bootstrap asks a peer how it stands with the founding.
-func (w networkCalls) BootstrapStatus(ctx context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
-	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Found, call, w.election/2)
+func (w networkCalls) BootstrapStatus(ctx context.Context, addr string, call internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error) {
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Discover, call, w.election/2)
 	return a, errs.Pass(err, "found")
 }
 
@@ -78,8 +80,8 @@
 }
 
 // ReadIndex asks the leader for an index at which a read is current.
-func (w networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ConfirmAnswer, error) {
-	a, err := rpc.Call(ctx, w.caller, addr, internalapi.Confirm, internalapi.ConfirmCall{}, w.election)
+func (w networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error) {
+	a, err := rpc.Call(ctx, w.caller, addr, internalapi.ReadIndex, internalapi.ReadIndexCall{}, w.election)
 	return a, errs.Pass(err, "confirm")
 }
 
--- a/internal/testbed/endtoend/processes_test.go
+++ b/internal/testbed/endtoend/processes_test.go
@@ -24,12 +24,12 @@
 			settings := filepath.Join(dir, "settings", line.Name+".json")
 			switch filepath.Base(line.Args[0]) {
 			case "crosstide-controlplane":
-				set, err := config.LoadJobsCore(settings)
+				set, err := config.LoadJobsControlPlane(settings)
 				So(err, ShouldBeNil)
 				So(slices.Contains(plan.Control, set.Control), ShouldBeTrue)
 				So([]any{plan.Inner[set.Addr], len(set.Members)}, ShouldResemble, []any{line.Name, 3})
 			case "crosstide-dataplane":
-				set, err := config.LoadJobsFront(settings)
+				set, err := config.LoadJobsDataPlane(settings)
 				So(err, ShouldBeNil)
 				So(slices.Contains(plan.Fronts, set.Addr), ShouldBeTrue)
 			}
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -45,7 +45,7 @@
 	ports, err := fleet.Ports(3)
 	So(err, ShouldBeNil)
 	inner, control, front := local(ports[0]), local(ports[1]), local(ports[2])
-	set := config.DefaultCplane()
+	set := config.DefaultControlPlane()
 	set.Name, set.Zone, set.Region, set.Addr, set.Data = "c1", "z1", "r", inner, dir
 	set.Seeds, set.Members = []string{inner}, []config.Member{{ID: "c1", Addr: inner, Zone: "z1"}}
 	logger := log.NewNopLogger()
--- a/internal/testbed/policysim/cplane.go
+++ b/internal/testbed/policysim/cplane.go
@@ -65,7 +65,7 @@
 func (c *cplane) open(found bool) {
 	s := c.sim
 	c.begin()
-	set := config.DefaultCplane()
+	set := config.DefaultControlPlane()
 	set.Name, set.Addr, set.Zone, set.Members = c.addr, c.addr, c.zone, s.members()
 	set.SnapshotEvery, set.KeepEnded, set.KeepEndedFor = 40+s.rnd.IntN(100), 10, 20*time.Second
 	gen := c.gen
@@ -321,7 +321,9 @@
 		case err != nil:
 			do = append(do, func() { f.reply(nil, err) })
 		case lack != nil:
-			do = append(do, func() { f.reply(internalapi.FollowAnswer{Lacks: map[string]internalapi.Lack{"store": *lack}}, nil) })
+			do = append(do, func() {
+				f.reply(internalapi.FollowAnswer{Updates: map[string]internalapi.SourceUpdate{"store": *lack}}, nil)
+			})
 		case c.Now() >= f.by:
 			do = append(do, func() { f.reply(internalapi.FollowAnswer{}, nil) })
 		default:
@@ -362,7 +364,7 @@
 	c.pump()
 }
 
-func (c *cplane) duty(call internalapi.DutyCall, reply func(any, error)) {
+func (c *cplane) duty(call internalapi.ClaimRoleCall, reply func(any, error)) {
 	a, held, cmd, err := c.hand.ClaimRole(call)
 	if err != nil || cmd == nil {
 		reply(c.lend(a), err)
@@ -375,9 +377,9 @@
 }
 
 // lend takes a guard out: leases longer than the granter waits.
-func (c *cplane) lend(a internalapi.DutyAnswer) internalapi.DutyAnswer {
+func (c *cplane) lend(a internalapi.RoleLease) internalapi.RoleLease {
 	if c.sim.opt.Break == "lease" {
-		a.Lease *= 8
+		a.TTL *= 8
 	}
 	return a
 }
@@ -420,10 +422,10 @@
 }
 
 // Found asks a peer how it stands with the founding.
-func (d direct) BootstrapStatus(_ context.Context, addr string, call internalapi.FoundCall) (internalapi.FoundAnswer, error) {
+func (d direct) BootstrapStatus(_ context.Context, addr string, call internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error) {
 	c, err := d.to(addr)
 	if err != nil {
-		return internalapi.FoundAnswer{}, errs.Pass(err, "found")
+		return internalapi.DiscoverAnswer{}, errs.Pass(err, "found")
 	}
 	return c.store.BootstrapStatus(call), nil
 }
--- a/internal/testbed/policysim/directed.go
+++ b/internal/testbed/policysim/directed.go
@@ -122,7 +122,7 @@
 // holder is the dplane that acts under the duty now; nil if there is none.
 func (s *sim) holder() *dplane {
 	for _, d := range s.dplanes {
-		if d.alive && !d.frozen && d.sched.Live(d.Now()) {
+		if d.alive && !d.frozen && d.sched.MayAct(d.Now()) {
 			return d
 		}
 	}
--- a/internal/testbed/policysim/dplane.go
+++ b/internal/testbed/policysim/dplane.go
@@ -45,14 +45,14 @@
 func (d *dplane) open() {
 	d.begin()
 	d.boot = fmt.Sprintf("%s-%d", d.addr, d.gen)
-	d.replica = replica.New(func(n state.Event) { d.sched.Note(n); d.wake() }, func(st *state.State) {
+	d.replica = replica.New(func(n state.Event) { d.sched.StateChanged(n); d.wake() }, func(st *state.State) {
 		if d.sched.Phase() == scheduler.Ready {
 			d.sim.report.Counts["holders that took a snapshot"]++
 			d.sim.tell("%s, which holds sched, takes a snapshot at %d", d.addr, st.Index)
 		}
 		d.sched.Reset(d.Now(), st)
 	})
-	cfg := scheduler.Defaults()
+	cfg := scheduler.DefaultConfig()
 	if d.sim.opt.Break == "reserve" {
 		cfg.ReserveAfter = policyworker.Never
 	}
@@ -205,8 +205,8 @@
 	})
 }
 
-func (d *dplane) call(epoch uint64, up bool) internalapi.DutyCall {
-	return internalapi.DutyCall{Duty: "sched", Holder: d.addr, Addr: d.addr, Boot: d.boot, Epoch: epoch, GiveUp: up}
+func (d *dplane) call(epoch uint64, up bool) internalapi.ClaimRoleCall {
+	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.boot, Epoch: epoch, Release: up}
 }
 
 // claim is a turn of the duty loop.
@@ -221,20 +221,20 @@
 			again()
 			return
 		}
-		if got := a.(internalapi.DutyAnswer); got.Mine {
+		if got := a.(internalapi.RoleLease); got.Mine {
 			d.take(got, sent, again)
 			return
 		}
 		if d.granted != 0 {
 			d.sim.tell("%s lost sched", d.addr)
 			d.granted = 0
-			d.sched.Yield()
+			d.sched.StepDown()
 		}
 		again()
 	})
 }
 
-func (d *dplane) take(a internalapi.DutyAnswer, sent time.Duration, again func()) {
+func (d *dplane) take(a internalapi.RoleLease, sent time.Duration, again func()) {
 	d.granted = a.Epoch
 	lead := func(err error) {
 		defer again()
@@ -245,7 +245,7 @@
 			return
 		}
 		if d.sched.Epoch() != a.Epoch {
-			d.sched.Lead(d.Now(), a.Epoch)
+			d.sched.BecomeLeader(d.Now(), a.Epoch)
 			d.sim.tell("%s takes up sched, epoch %d, replica at %d, %d handles", d.addr, a.Epoch, d.replica.Index(), len(d.state().Handles))
 			d.sim.report.Counts["grants taken up"]++
 			if d.state().Index >= a.Epoch && len(d.state().Handles) > 0 {
@@ -253,7 +253,7 @@
 			}
 			d.sim.oracle.rebuilt(d)
 		}
-		d.sched.Lease(sent + a.Lease)
+		d.sched.SetRoleLease(sent + a.TTL)
 		d.wake()
 	}
 	if d.sim.opt.Break == "rebuild" {
@@ -270,7 +270,7 @@
 	if epoch == 0 {
 		return
 	}
-	d.sched.Yield()
+	d.sched.StepDown()
 	call := d.call(epoch, true)
 	d.toLeader(callTimeout, true, d.Now()+2*time.Second, func(c *cplane, reply func(any, error)) { c.duty(call, reply) }, func(any, error) {})
 }
@@ -301,7 +301,7 @@
 
 func (d *dplane) commit(plan *command.Plan) {
 	end := func(done command.Planned, err error) {
-		d.sched.Planned(d.Now(), plan.Epoch, done, err)
+		d.sched.PlanAnswered(d.Now(), plan.Epoch, done, err)
 		d.wake()
 	}
 	failed := func(err error) {
@@ -334,18 +334,18 @@
 }
 
 // send makes one hold call; the lease is looked at immediately before the write.
-func (d *dplane) send(c scheduler.CallOut) {
+func (d *dplane) send(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	fail := func(err error, sent bool) {
-		d.sched.Failure(d.Now(), c.Minion, c.Order, c.Call, sent)
+		d.sched.CallFailed(d.Now(), c.Worker, c.IsOrder, c.Call, sent)
 		d.wake()
 	}
-	if !d.sched.Live(now) || d.sched.Epoch() != c.Call.Epoch || c.Before > 0 && now >= c.Before {
+	if !d.sched.MayAct(now) || d.sched.Epoch() != c.Call.Epoch || c.WriteBy > 0 && now >= c.WriteBy {
 		fail(nil, false)
 		return
 	}
 	s.oracle.written(d, c)
-	s.ask(ask{from: d.proc, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: scheduler.Defaults().LeaseMargin / 2,
+	s.ask(ask{from: d.proc, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: scheduler.DefaultConfig().RoleLeaseMargin / 2,
 		serve: func(to *proc, reply func(any, error)) { s.minionAt(to).hold(c.Call, reply) },
 		back: func(a any, err error, sent bool) {
 			if err != nil {
@@ -355,13 +355,13 @@
 				fail(err, sent)
 				return
 			}
-			got := a.(internalapi.HoldAnswer)
+			got := a.(internalapi.LeaseAnswer)
 			if s.chance(s.net.cross) {
 				s.report.Faults["cross"]++
 				got.Call--
 			}
 			s.oracle.heard(d, c, got)
-			d.sched.Answer(d.Now(), c.Minion, c.Order, c.Call, got)
+			d.sched.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, got)
 			d.wake()
 		}})
 }
@@ -390,10 +390,10 @@
 // announce makes a minion known to the store.
 func (d *dplane) announce(m *node, reply func(any, error)) {
 	if k := d.state().Workers[m.addr]; k != nil && k.Addr == m.addr {
-		reply(internalapi.MinionAnswer{}, nil)
+		reply(internalapi.AnnounceWorkerAnswer{}, nil)
 		return
 	}
 	t := m.traits
 	d.propose(&command.Announce{Worker: state.Worker{Name: t.Name, Addr: m.addr, Kind: t.Kind, Zone: t.Zone, Labels: t.Labels,
-		Cores: t.Cores, GPUs: t.GPUs}}, true, d.Now()+callTimeout, func(_ uint64, _ json.RawMessage, err error) { reply(internalapi.MinionAnswer{}, err) })
+		Cores: t.Cores, GPUs: t.GPUs}}, true, d.Now()+callTimeout, func(_ uint64, _ json.RawMessage, err error) { reply(internalapi.AnnounceWorkerAnswer{}, err) })
 }
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -170,7 +170,7 @@
 		f.still(p, count)
 	case "holder":
 		for _, d := range s.dplanes {
-			if d.alive && d.sched.Live(d.Now()) {
+			if d.alive && d.sched.MayAct(d.Now()) {
 				switch s.rnd.IntN(3) {
 				case 0:
 					f.end(d, count)
@@ -212,7 +212,7 @@
 		var side []*proc
 		for _, p := range s.procs {
 			d, m := s.dplaneAt(p), s.minionAt(p)
-			if half && (d != nil && d.alive && d.sched.Live(d.Now()) || m != nil && s.chance(0.5)) || !half && p.zone == z {
+			if half && (d != nil && d.alive && d.sched.MayAct(d.Now()) || m != nil && s.chance(0.5)) || !half && p.zone == z {
 				side = append(side, p)
 			}
 		}
--- a/internal/testbed/policysim/minion.go
+++ b/internal/testbed/policysim/minion.go
@@ -81,7 +81,7 @@
 }
 
 // hold takes in a call, perhaps late, and answers, perhaps not.
-func (m *node) hold(call internalapi.HoldCall, reply func(any, error)) {
+func (m *node) hold(call internalapi.LeaseCall, reply func(any, error)) {
 	s := m.sim
 	lost, late := s.chance(m.lose), time.Duration(0)
 	if len(call.Starts) > 0 {
@@ -108,7 +108,7 @@
 			call.Floor = 0
 			starts := append([]internalapi.StartOrder(nil), call.Starts...)
 			for i := range starts {
-				starts[i].Void = policyworker.Never
+				starts[i].StartBy = policyworker.Never
 			}
 			call.Starts = starts
 		}
--- a/internal/testbed/policysim/oracle.go
+++ b/internal/testbed/policysim/oracle.go
@@ -264,11 +264,11 @@
 }
 
 // written takes in that a hold call leaves a dplane.
-func (o *oracle) written(d *dplane, c scheduler.CallOut) {
+func (o *oracle) written(d *dplane, c scheduler.OutgoingCall) {
 	s := o.sim
 	s.held("fence")
 	if now := o.newest(o.ref.Index); c.Call.Epoch < now {
-		s.broke("fence", "%s writes to %s under epoch %d, %d was granted", d.addr, c.Minion, c.Call.Epoch, now)
+		s.broke("fence", "%s writes to %s under epoch %d, %d was granted", d.addr, c.Worker, c.Call.Epoch, now)
 	}
 	for _, st := range c.Call.Starts {
 		t := o.runIDs[st.RunID]
@@ -281,15 +281,15 @@
 			s.broke("ordered once", "ticket %d was ordered at %v already", st.RunID, t.written)
 		}
 		t.written, t.by = s.now, d
-		s.tell("%s orders ticket %d (%s/%s/%d) at %s, epoch %d, call %d", d.addr, st.RunID, st.Job, st.Step, st.Task, c.Minion, c.Call.Epoch, c.Call.Call)
+		s.tell("%s orders ticket %d (%s/%s/%d) at %s, epoch %d, call %d", d.addr, st.RunID, st.Job, st.Step, st.Task, c.Worker, c.Call.Epoch, c.Call.Call)
 	}
 }
 
 // arrived takes in that start orders are at a minion.
-func (o *oracle) arrived(m *node, call internalapi.HoldCall) {
+func (o *oracle) arrived(m *node, call internalapi.LeaseCall) {
 	for _, st := range call.Starts {
 		if t := o.runIDs[st.RunID]; t != nil {
-			t.until = m.zero + st.Until
+			t.until = m.zero + st.LeaseUntil
 		}
 		o.sim.held("newer ticket")
 		if st.RunID <= o.orders[m] && m.kind == policyworker.Obey {
@@ -300,25 +300,25 @@
 }
 
 // renewed takes in what a call does to holds; the minion has carried it out.
-func (o *oracle) renewed(m *node, call internalapi.HoldCall) {
-	if call.Boot != m.traits.Boot && call.Boot != "" {
+func (o *oracle) renewed(m *node, call internalapi.LeaseCall) {
+	if call.Incarnation != m.traits.Boot && call.Incarnation != "" {
 		return
 	}
 	for _, r := range o.runs {
 		if r.minion == m && r.gen == m.gen && slices.Contains(call.Renew, r.runID) {
-			r.until = max(r.until, m.zero+call.Until)
+			r.until = max(r.until, m.zero+call.RenewUntil)
 		}
 	}
 }
 
 // heard takes in that a holder is told something.
-func (o *oracle) heard(d *dplane, c scheduler.CallOut, a internalapi.HoldAnswer) {
+func (o *oracle) heard(d *dplane, c scheduler.OutgoingCall, a internalapi.LeaseAnswer) {
 	if a.Call != c.Call.Call || c.Call.Epoch != d.sched.Epoch() {
 		return
 	}
 	for _, e := range a.Ended {
 		t := o.runIDs[e.RunID]
-		if t == nil || e.How != internalapi.EndWell {
+		if t == nil || e.Outcome != internalapi.OutcomeOK {
 			continue
 		}
 		for _, end := range o.ended[t.handle.Ref] {
@@ -662,7 +662,7 @@
 	var sick []string
 	for _, d := range o.sim.dplanes {
 		if d.alive && d.sched.Epoch() > 0 {
-			sick = d.sched.Sick()
+			sick = d.sched.UnhealthyWorkers()
 		}
 	}
 	var out []*node
--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -39,7 +39,7 @@
 // Reply answers the call that came with Tag.
 type Reply struct {
 	Tag    uint64
-	Answer internalapi.HoldAnswer
+	Answer internalapi.LeaseAnswer
 	Err    error
 }
 
@@ -65,7 +65,7 @@
 	seen   uint64 // highest run ID seen in a start order
 	floor  uint64
 	runs   []*run // in order of starting
-	ends   []internalapi.EndNote
+	ends   []internalapi.RunEnd
 	cores  int // taken by runs
 	gpus   int
 	drains bool
@@ -102,10 +102,10 @@
 
 // Call takes in a hold call; tag names it in Step.Replies, in this step or in a later one. The arrival of a call
 // answers a parked one first, with what was known before.
-func (c *Core) Call(now time.Duration, tag uint64, call internalapi.HoldCall) Step {
+func (c *Core) Call(now time.Duration, tag uint64, call internalapi.LeaseCall) Step {
 	return c.input(now, func() {
 		c.unpark()
-		if call.Minion != c.traits.Name {
+		if call.Worker != c.traits.Name {
 			c.refuse(tag, errs.Field(errs.Unknown, "minion", "this is %s", c.traits.Name))
 			return
 		}
@@ -113,23 +113,23 @@
 			c.refuse(tag, errs.Field(errs.Stale, "epoch", "epoch %d is over, %d was seen", call.Epoch, c.epoch))
 			return
 		}
-		c.news = c.news || call.Epoch > c.epoch || call.Floor > c.floor || call.Boot != "" && call.Boot != c.traits.Boot
+		c.news = c.news || call.Epoch > c.epoch || call.Floor > c.floor || call.Incarnation != "" && call.Incarnation != c.traits.Boot
 		c.epoch, c.floor = max(c.epoch, call.Epoch), max(c.floor, call.Floor)
-		c.ends = slices.DeleteFunc(c.ends, func(e internalapi.EndNote) bool { return slices.Contains(call.Acked, e.RunID) })
-		if call.Boot == c.traits.Boot || call.Boot == "" { // Until is a reading of that boot's clock
+		c.ends = slices.DeleteFunc(c.ends, func(e internalapi.RunEnd) bool { return slices.Contains(call.Acked, e.RunID) })
+		if call.Incarnation == c.traits.Boot || call.Incarnation == "" { // Until is a reading of that boot's clock
 			for _, r := range c.runs {
 				if slices.Contains(call.Renew, r.order.RunID) {
-					r.until = max(r.until, call.Until)
+					r.until = max(r.until, call.RenewUntil)
 				}
 			}
 		}
 		for _, s := range call.Stops {
-			c.end(func(r *run) bool { return r.order.RunID == s.RunID }, journal.Stop, internalapi.EndStop, s.Why)
+			c.end(func(r *run) bool { return r.order.RunID == s.RunID }, journal.Stop, internalapi.OutcomeStopped, s.Why)
 		}
-		var refused []internalapi.RefuseNote
+		var refused []internalapi.StartRefusal
 		for _, o := range call.Starts {
 			if why := c.order(call, o); why != "" {
-				refused = append(refused, internalapi.RefuseNote{RunID: o.RunID, Why: why})
+				refused = append(refused, internalapi.StartRefusal{RunID: o.RunID, Why: why})
 			}
 		}
 		c.settle() // runs that end at once are told at once
@@ -151,7 +151,7 @@
 		on = on || leave || c.leaves != Never
 		if on != c.drains {
 			c.drains, c.news = on, true
-			c.note(journal.Drain, &run{how: map[bool]string{true: internalapi.EndWell}[on]}, "")
+			c.note(journal.Drain, &run{how: map[bool]string{true: internalapi.OutcomeOK}[on]}, "")
 		}
 		if leave && c.leaves == Never {
 			c.leaves = later(c.now, c.traits.Grace)
@@ -173,7 +173,7 @@
 	c.settle()
 	work()
 	if c.leaves <= c.now {
-		c.end(func(*run) bool { return true }, journal.Stop, internalapi.EndStop, "the minion leaves")
+		c.end(func(*run) bool { return true }, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
 	}
 	idle := len(c.runs) == 0 && len(c.ends) == 0
 	c.gone = c.gone || c.leaves <= c.now || c.leaves != Never && idle
@@ -195,7 +195,7 @@
 
 // settle ends what time has ended: lapses first, so that a run that outlived its hold never counts as well done.
 func (c *Core) settle() {
-	c.end(func(r *run) bool { return r.until <= c.now }, journal.Lapse, internalapi.EndLapse, "the hold lapsed")
+	c.end(func(r *run) bool { return r.until <= c.now }, journal.Lapse, internalapi.OutcomeLeaseExpired, "the hold lapsed")
 	c.end(func(r *run) bool { return r.due <= c.now }, journal.End, "", "")
 }
 
@@ -217,17 +217,17 @@
 
 // close journals an end and lists it, once per run ID: an obeying minion may run a run ID twice.
 func (c *Core) close(ev string, r *run) {
-	listed := slices.ContainsFunc(c.ends, func(e internalapi.EndNote) bool { return e.RunID == r.order.RunID })
+	listed := slices.ContainsFunc(c.ends, func(e internalapi.RunEnd) bool { return e.RunID == r.order.RunID })
 	if !listed {
-		c.ends = append(c.ends, internalapi.EndNote{RunID: r.order.RunID, How: r.how, Reason: r.why})
+		c.ends = append(c.ends, internalapi.RunEnd{RunID: r.order.RunID, Outcome: r.how, Reason: r.why})
 	}
 	c.news = true
 	c.note(ev, r, r.why)
 }
 
 // order carries out a start order, or tells why not.
-func (c *Core) order(call internalapi.HoldCall, o internalapi.StartOrder) (refused string) {
-	r := &run{order: o, epoch: call.Epoch, until: o.Until}
+func (c *Core) order(call internalapi.LeaseCall, o internalapi.StartOrder) (refused string) {
+	r := &run{order: o, epoch: call.Epoch, until: o.LeaseUntil}
 	c.note(journal.Order, r, "")
 	if c.traits.Kind == Check {
 		refused = c.unfit(call, o)
@@ -238,8 +238,8 @@
 		c.note(journal.Refuse, r, refused)
 		return refused
 	}
-	if o.Until <= c.now { // a hold that is over already: even an obeying minion does not run past it
-		r.how, r.why = internalapi.EndLapse, "the hold had lapsed before the start"
+	if o.LeaseUntil <= c.now { // a hold that is over already: even an obeying minion does not run past it
+		r.how, r.why = internalapi.OutcomeLeaseExpired, "the hold had lapsed before the start"
 		if c.runsID(o.RunID) {
 			c.note(journal.Lapse, r, r.why)
 		} else {
@@ -256,15 +256,15 @@
 }
 
 // unfit returns the first reason for which a checking minion refuses o; "" if there is none.
-func (c *Core) unfit(call internalapi.HoldCall, o internalapi.StartOrder) string {
+func (c *Core) unfit(call internalapi.LeaseCall, o internalapi.StartOrder) string {
 	switch {
-	case call.Boot != c.traits.Boot:
+	case call.Incarnation != c.traits.Boot:
 		return "boot"
 	case o.RunID <= c.seen:
 		return "ticket"
 	case o.RunID <= c.floor:
 		return "floor"
-	case c.now > o.Void, c.now >= o.Until:
+	case c.now > o.StartBy, c.now >= o.LeaseUntil:
 		return "late"
 	case c.cores+o.Cores > c.traits.Cores, c.gpus+o.GPUs > c.traits.GPUs:
 		return "room"
@@ -293,20 +293,20 @@
 func (c *Core) plan(r *run) {
 	spec, err := parseSpec(r.order.Run)
 	if err != nil {
-		r.due, r.how, r.why = c.now, internalapi.EndFailure, errs.Of(err).Message
+		r.due, r.how, r.why = c.now, internalapi.OutcomeFailed, errs.Of(err).Message
 		return
 	}
 	luck := rand.New(rand.NewPCG(c.traits.Seed, r.order.RunID))
 	fails, factor := luck.Float64() < c.traits.Fail, 1+luck.Float64()*max(c.traits.Slow-1, 0)
-	r.due, r.how = Never, internalapi.EndWell
+	r.due, r.how = Never, internalapi.OutcomeOK
 	if spec.last >= 0 {
 		r.due = later(c.now, time.Duration(float64(spec.last)*factor))
 	}
 	switch {
 	case !spec.well:
-		r.how, r.why = internalapi.EndFailure, "the run is not ok"
+		r.how, r.why = internalapi.OutcomeFailed, "the run is not ok"
 	case fails:
-		r.how, r.why = internalapi.EndFailure, "failed by chance"
+		r.how, r.why = internalapi.OutcomeFailed, "failed by chance"
 	}
 }
 
@@ -321,7 +321,7 @@
 	c.step.Replies = append(c.step.Replies, Reply{Tag: tag, Err: err})
 }
 
-func (c *Core) reply(tag, call uint64, refused []internalapi.RefuseNote) {
+func (c *Core) reply(tag, call uint64, refused []internalapi.StartRefusal) {
 	var running []uint64
 	for _, r := range c.runs {
 		running = append(running, r.order.RunID)
@@ -329,10 +329,10 @@
 	slices.Sort(running)
 	ended := slices.Clone(c.ends)
 	// A listed end is proof that nothing of the run ID runs.
-	ended = slices.DeleteFunc(ended, func(e internalapi.EndNote) bool { return c.runsID(e.RunID) })
+	ended = slices.DeleteFunc(ended, func(e internalapi.RunEnd) bool { return c.runsID(e.RunID) })
 	c.news = false
-	c.step.Replies = append(c.step.Replies, Reply{Tag: tag, Answer: internalapi.HoldAnswer{
-		Call: call, Epoch: c.epoch, Boot: c.traits.Boot, Clock: c.now, Seen: c.seen, Floor: c.floor,
+	c.step.Replies = append(c.step.Replies, Reply{Tag: tag, Answer: internalapi.LeaseAnswer{
+		Call: call, Epoch: c.epoch, Incarnation: c.traits.Boot, Clock: c.now, Seen: c.seen, Floor: c.floor,
 		Running: slices.Compact(running), Ended: ended, Refused: refused,
 		Kind: c.traits.Kind, Zone: c.traits.Zone, Rack: c.traits.Rack, Labels: c.traits.Labels, Cores: c.traits.Cores, GPUs: c.traits.GPUs,
 		Draining: c.drains,
@@ -349,7 +349,7 @@
 		o := r.order
 		e.Job, e.Step, e.Task, e.RunID, e.Type, e.Queue = o.Job, o.Step, o.Task, o.RunID, o.Type, o.Queue
 		e.Labels, e.Cores, e.GPUs = o.Labels, o.Cores, o.GPUs
-		e.OK = (ev == journal.End || ev == journal.Drain) && r.how == internalapi.EndWell
+		e.OK = (ev == journal.End || ev == journal.Drain) && r.how == internalapi.OutcomeOK
 		if r.epoch > 0 {
 			e.Epoch = r.epoch
 		}
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -44,8 +44,8 @@
 }
 
 // ask calls and gives the answer, which must come at once.
-func (b *bench) ask(now time.Duration, call internalapi.HoldCall) internalapi.HoldAnswer {
-	call.Minion, call.Boot, call.Epoch = "m", "b", max(call.Epoch, 1)
+func (b *bench) ask(now time.Duration, call internalapi.LeaseCall) internalapi.LeaseAnswer {
+	call.Worker, call.Incarnation, call.Epoch = "m", "b", max(call.Epoch, 1)
 	s := b.take(b.Call(now, 99, call))
 	So(s.Replies, ShouldNotBeEmpty)
 	r := s.Replies[len(s.Replies)-1]
@@ -55,10 +55,12 @@
 }
 
 func order(runID uint64, run string, until time.Duration) internalapi.StartOrder {
-	return internalapi.StartOrder{RunID: runID, Job: "j", Step: "s", Cores: 1, Run: json.RawMessage(run), Void: 20 * ms, Until: until}
+	return internalapi.StartOrder{RunID: runID, Job: "j", Step: "s", Cores: 1, Run: json.RawMessage(run), StartBy: 20 * ms, LeaseUntil: until}
 }
 
-func starts(o ...internalapi.StartOrder) internalapi.HoldCall { return internalapi.HoldCall{Starts: o} }
+func starts(o ...internalapi.StartOrder) internalapi.LeaseCall {
+	return internalapi.LeaseCall{Starts: o}
+}
 
 const standing = `{"ms":-1}`
 
@@ -78,8 +80,8 @@
 func TestEveryOrder(t *testing.T) {
 	const first, again, floor, renew, late = 0, 1, 2, 3, 4
 	start1, start2 := starts(order(1, standing, 50*sec)), starts(order(2, standing, 50*sec))
-	start2.Starts[0].Void = 5 * ms // every call comes at 10 ms or later
-	calls := []internalapi.HoldCall{start1, start1, {Floor: 1}, {Renew: []uint64{1}, Until: 100 * sec}, start2}
+	start2.Starts[0].StartBy = 5 * ms // every call comes at 10 ms or later
+	calls := []internalapi.LeaseCall{start1, start1, {Floor: 1}, {Renew: []uint64{1}, RenewUntil: 100 * sec}, start2}
 
 	for _, kind := range []string{Check, Obey} {
 		Convey("Every order of a start, its duplicate, a floor, a renewal and a late start: "+kind, t, func() {
@@ -87,7 +89,7 @@
 			So(all, ShouldHaveLength, 120)
 			for _, seq := range all {
 				b, at := newBench(Traits{Kind: kind, Cores: 4}), [5]int{}
-				var answer internalapi.HoldAnswer
+				var answer internalapi.LeaseAnswer
 				for i, which := range seq {
 					at[which] = i
 					answer = b.ask(time.Duration(10+i)*ms, calls[which])
@@ -117,11 +119,11 @@
 				b.take(b.Tick(50 * sec)) // the first hold is over
 				So(b.ev[journal.Lapse][1], ShouldEqual, ones-before)
 				So(b.ev[journal.Lapse][2], ShouldEqual, twos)
-				running := b.ask(60*sec, internalapi.HoldCall{}).Running
+				running := b.ask(60*sec, internalapi.LeaseCall{}).Running
 				So(len(running) == 1, ShouldEqual, before > 0)
 				b.take(b.Tick(100 * sec)) // the renewed one too
 				So(b.ev[journal.Lapse][1], ShouldEqual, ones)
-				So(b.ask(101*sec, internalapi.HoldCall{}).Running, ShouldBeEmpty)
+				So(b.ask(101*sec, internalapi.LeaseCall{}).Running, ShouldBeEmpty)
 			}
 		})
 	}
@@ -130,41 +132,41 @@
 func TestHold(t *testing.T) {
 	Convey("A run ends by itself before its hold does", t, func() {
 		b := newBench(Traits{Kind: Check, Cores: 4})
-		s := b.take(b.Call(10*ms, 1, internalapi.HoldCall{Minion: "m", Boot: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
+		s := b.take(b.Call(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
 		So(s.Wake, ShouldEqual, 60*ms)
 		So(b.Tick(60*ms).Wake, ShouldEqual, 110*ms)
 		s = b.take(b.Tick(110 * ms))
 		So(s.Wake, ShouldEqual, Never)
 		So(b.last[0].OK, ShouldBeTrue)
-		So(b.ask(111*ms, internalapi.HoldCall{}).Ended, ShouldResemble, []internalapi.EndNote{
-			{RunID: 2, How: internalapi.EndFailure, Reason: "the run is not ok"}, {RunID: 1, How: internalapi.EndWell}})
+		So(b.ask(111*ms, internalapi.LeaseCall{}).Ended, ShouldResemble, []internalapi.RunEnd{
+			{RunID: 2, Outcome: internalapi.OutcomeFailed, Reason: "the run is not ok"}, {RunID: 1, Outcome: internalapi.OutcomeOK}})
 		Convey("and is listed until it is acknowledged", func() {
-			So(b.ask(112*ms, internalapi.HoldCall{Acked: []uint64{2}}).Ended, ShouldResemble, []internalapi.EndNote{{RunID: 1, How: internalapi.EndWell}})
-			So(b.ask(113*ms, internalapi.HoldCall{Acked: []uint64{1, 7}}).Ended, ShouldBeEmpty)
+			So(b.ask(112*ms, internalapi.LeaseCall{Acked: []uint64{2}}).Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}})
+			So(b.ask(113*ms, internalapi.LeaseCall{Acked: []uint64{1, 7}}).Ended, ShouldBeEmpty)
 		})
 	})
 	Convey("After a freeze past the hold a run counts as lapsed, and a renewal comes too late", t, func() {
 		b := newBench(Traits{Kind: Check, Cores: 4})
 		b.ask(10*ms, starts(order(1, `{"ms":100}`, sec)))
-		a := b.ask(25*sec, internalapi.HoldCall{Renew: []uint64{1}, Until: 60 * sec})
+		a := b.ask(25*sec, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: 60 * sec})
 		So(a.Running, ShouldBeEmpty)
-		So(a.Ended[0].How, ShouldEqual, internalapi.EndLapse)
+		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
 		So(b.ev[journal.End][1], ShouldEqual, 0)
 		So(b.ev[journal.Lapse][1], ShouldEqual, 1)
 	})
 	Convey("A hold is only raised, and not by a call that knows another boot", t, func() {
 		b := newBench(Traits{Kind: Check, Cores: 4})
 		b.ask(10*ms, starts(order(1, standing, 2*sec)))
-		b.ask(11*ms, internalapi.HoldCall{Renew: []uint64{1}, Until: sec})
+		b.ask(11*ms, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: sec})
 		So(b.Tick(12*ms).Wake, ShouldEqual, 2*sec)
-		s := b.Call(13*ms, 5, internalapi.HoldCall{Minion: "m", Boot: "older", Renew: []uint64{1}, Until: 9 * sec})
+		s := b.Call(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older", Renew: []uint64{1}, RenewUntil: 9 * sec})
 		So(s.Wake, ShouldEqual, 2*sec)
 	})
 	Convey("Even an obeying minion does not start a run whose hold is over", t, func() {
 		b := newBench(Traits{Kind: Obey})
 		a := b.ask(3*sec, starts(order(1, standing, 2*sec)))
 		So(a.Running, ShouldBeEmpty)
-		So(a.Ended[0].How, ShouldEqual, internalapi.EndLapse)
+		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
 		So(b.ev[journal.Start][1], ShouldEqual, 0)
 		Convey("nor is its ticket listed as ended while a run of it goes on", func() {
 			b.ask(3*sec, starts(order(2, standing, 9*sec)))
@@ -176,8 +178,8 @@
 	Convey("A stop kills, and frees the room for starts of the same call", t, func() {
 		b := newBench(Traits{Kind: Check, Cores: 1})
 		b.ask(10*ms, starts(order(1, standing, sec)))
-		a := b.ask(11*ms, internalapi.HoldCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, standing, sec)).Starts})
-		So(a.Ended, ShouldResemble, []internalapi.EndNote{{RunID: 1, How: internalapi.EndStop, Reason: "cancel"}})
+		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, standing, sec)).Starts})
+		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}})
 		So(a.Running, ShouldResemble, []uint64{2})
 		So(b.ev[journal.Stop][1], ShouldEqual, 1)
 	})
@@ -186,7 +188,7 @@
 			b := newBench(Traits{Kind: Check, Cores: 1})
 			a := b.ask(10*ms, starts(order(1, run, sec)))
 			So(a.Ended, ShouldHaveLength, 1)
-			So(a.Ended[0].How, ShouldEqual, internalapi.EndFailure)
+			So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeFailed)
 			So(a.Ended[0].Reason, ShouldNotBeBlank)
 		}
 	})
@@ -197,8 +199,8 @@
 			b.ask(10*ms, starts(order(second, `{"ms":9}`, sec)))
 			out := map[uint64]string{}
 			b.Tick(500 * ms)
-			for _, e := range b.ask(500*ms, internalapi.HoldCall{}).Ended {
-				out[e.RunID] = e.How
+			for _, e := range b.ask(500*ms, internalapi.LeaseCall{}).Ended {
+				out[e.RunID] = e.Outcome
 			}
 			return out
 		}
@@ -210,26 +212,26 @@
 
 func TestRefusals(t *testing.T) {
 	traits := Traits{Kind: Check, Cores: 2, GPUs: 1, Labels: map[string]string{"disk": "ssd"}}
-	cases := map[string]func(*bench, *internalapi.HoldCall, *internalapi.StartOrder){
-		"":     func(*bench, *internalapi.HoldCall, *internalapi.StartOrder) {},
-		"boot": func(_ *bench, c *internalapi.HoldCall, _ *internalapi.StartOrder) { c.Boot = "older" },
-		"ticket": func(b *bench, _ *internalapi.HoldCall, _ *internalapi.StartOrder) {
+	cases := map[string]func(*bench, *internalapi.LeaseCall, *internalapi.StartOrder){
+		"":     func(*bench, *internalapi.LeaseCall, *internalapi.StartOrder) {},
+		"boot": func(_ *bench, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Incarnation = "older" },
+		"ticket": func(b *bench, _ *internalapi.LeaseCall, _ *internalapi.StartOrder) {
 			b.ask(ms, starts(order(10, "", sec)))
 		},
-		"floor": func(_ *bench, c *internalapi.HoldCall, _ *internalapi.StartOrder) { c.Floor = 10 },
-		"late":  func(_ *bench, _ *internalapi.HoldCall, o *internalapi.StartOrder) { o.Void = 9 * ms },
-		"room":  func(b *bench, _ *internalapi.HoldCall, o *internalapi.StartOrder) { o.GPUs = 2 },
-		"label": func(_ *bench, _ *internalapi.HoldCall, o *internalapi.StartOrder) {
+		"floor": func(_ *bench, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Floor = 10 },
+		"late":  func(_ *bench, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.StartBy = 9 * ms },
+		"room":  func(b *bench, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.GPUs = 2 },
+		"label": func(_ *bench, _ *internalapi.LeaseCall, o *internalapi.StartOrder) {
 			o.Labels = map[string]string{"disk": "hdd"}
 		},
-		"drain": func(b *bench, _ *internalapi.HoldCall, _ *internalapi.StartOrder) { b.take(b.Drain(ms, true, false)) },
+		"drain": func(b *bench, _ *internalapi.LeaseCall, _ *internalapi.StartOrder) { b.take(b.Drain(ms, true, false)) },
 	}
 	Convey("A checking minion refuses, with its reason, what an obeying one starts", t, func() {
 		for why, spoil := range cases {
 			for _, kind := range []string{Check, Obey} {
 				traits.Kind = kind
 				b, o := newBench(traits), order(10, standing, sec)
-				c := internalapi.HoldCall{Minion: "m", Boot: "b", Epoch: 1}
+				c := internalapi.LeaseCall{Worker: "m", Incarnation: "b", Epoch: 1}
 				spoil(b, &c, &o)
 				c.Starts = []internalapi.StartOrder{o}
 				a := b.take(b.Call(10*ms, 1, c)).Replies[0].Answer
@@ -239,21 +241,21 @@
 					continue
 				}
 				So(a.Running, ShouldBeEmpty)
-				So(a.Refused, ShouldResemble, []internalapi.RefuseNote{{RunID: 10, Why: why}})
+				So(a.Refused, ShouldResemble, []internalapi.StartRefusal{{RunID: 10, Why: why}})
 				So(a.Seen, ShouldEqual, 10) // so that it will never run
-				So(b.ask(11*ms, internalapi.HoldCall{}).Refused, ShouldBeEmpty)
+				So(b.ask(11*ms, internalapi.LeaseCall{}).Refused, ShouldBeEmpty)
 			}
 		}
 	})
 	Convey("Under an older epoch a checking minion does nothing at all; an obeying one obeys", t, func() {
 		for kind, want := range map[string]errs.Kind{Check: errs.Stale, Obey: ""} {
 			b := newBench(Traits{Kind: kind, Cores: 2})
-			b.ask(ms, internalapi.HoldCall{Epoch: 9})
+			b.ask(ms, internalapi.LeaseCall{Epoch: 9})
 			c := starts(order(1, standing, sec))
-			c.Minion, c.Boot, c.Epoch, c.Floor = "m", "b", 8, 5
+			c.Worker, c.Incarnation, c.Epoch, c.Floor = "m", "b", 8, 5
 			r := b.take(b.Call(2*ms, 1, c)).Replies[0]
 			So(errs.KindOf(r.Err), ShouldEqual, want)
-			a := b.ask(3*ms, internalapi.HoldCall{Epoch: 9})
+			a := b.ask(3*ms, internalapi.LeaseCall{Epoch: 9})
 			So(a.Epoch, ShouldEqual, 9)
 			So(len(a.Running) == 1 && a.Floor == 5, ShouldEqual, kind == Obey)
 			So(len(a.Running) == 0 && a.Floor == 0 && a.Seen == 0, ShouldEqual, kind == Check)
@@ -262,8 +264,8 @@
 }
 
 func TestPark(t *testing.T) {
-	wait := func(n uint64) internalapi.HoldCall {
-		return internalapi.HoldCall{Call: n, Minion: "m", Boot: "b", Epoch: 1, Wait: sec}
+	wait := func(n uint64) internalapi.LeaseCall {
+		return internalapi.LeaseCall{Call: n, Worker: "m", Incarnation: "b", Epoch: 1, Wait: sec}
 	}
 	Convey("With a run going and nothing new to say, a call that may wait is parked", t, func() {
 		b := newBench(Traits{Kind: Check, Cores: 4, Grace: 5 * sec})
@@ -281,7 +283,7 @@
 		Convey("a newer call ends the wait and may wait itself", func() {
 			So(tag(b.Call(30*ms, 3, wait(3))), ShouldResemble, []uint64{2})
 			c := starts(order(2, standing, sec))
-			c.Call, c.Minion, c.Boot, c.Epoch = 4, "m", "b", 1
+			c.Call, c.Worker, c.Incarnation, c.Epoch = 4, "m", "b", 1
 			So(tag(b.Call(31*ms, 4, c)), ShouldResemble, []uint64{3, 4})
 		})
 		Convey("a run's end ends it", func() {
@@ -302,7 +304,7 @@
 			So(s.Leave, ShouldBeTrue)
 		})
 		Convey("its own wait ends it", func() {
-			b.ask(30*ms, internalapi.HoldCall{Renew: []uint64{1}, Stops: []internalapi.StopOrder{{RunID: 1}}})
+			b.ask(30*ms, internalapi.LeaseCall{Renew: []uint64{1}, Stops: []internalapi.StopOrder{{RunID: 1}}})
 			So(b.Call(40*ms, 3, wait(3)).Wake, ShouldEqual, 1040*ms)
 			So(tag(b.Tick(1040*ms)), ShouldResemble, []uint64{3})
 		})
--- a/internal/testbed/policyworker/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -72,7 +72,7 @@
 			return nil, errs.Pass(err, "minion %s", name)
 		}
 	}
-	h.server.Route(internalapi.Hold.Path, h.serve)
+	h.server.Route(internalapi.RenewLease.Path, h.serve)
 	daemon.Routes(h.server, reg, func() error { return errs.Pass(h.fault(), "journal") })
 	if err := h.server.Start(); err != nil {
 		h.Close()
@@ -187,9 +187,9 @@
 		rpc.WriteError(w, errs.Pass(err, "hold"))
 		return
 	}
-	b := h.bodies[call.Minion]
+	b := h.bodies[call.Worker]
 	if b == nil {
-		rpc.WriteError(w, errs.Field(errs.Unknown, "minion", "%q is not here", call.Minion))
+		rpc.WriteError(w, errs.Field(errs.Unknown, "minion", "%q is not here", call.Worker))
 		return
 	}
 	answer, lost, err := b.hold(r.Context(), call)
@@ -292,7 +292,7 @@
 }
 
 // hold takes in a call and waits for its answer; lost tells that the answer is to be dropped.
-func (b *body) hold(ctx context.Context, call internalapi.HoldCall) (answer internalapi.HoldAnswer, lost bool, err error) {
+func (b *body) hold(ctx context.Context, call internalapi.LeaseCall) (answer internalapi.LeaseAnswer, lost bool, err error) {
 	late, lost := b.fate(len(call.Starts) > 0)
 	if late > 0 { // the order is carried out even if nobody waits for the answer any more
 		rung := make(chan struct{})
@@ -345,8 +345,8 @@
 // announce tells one dplane after another where the minion is, until ctx ends.
 func (b *body) announce(ctx context.Context) {
 	h, t := b.host, b.traits
-	call := internalapi.MinionCall{
-		Name: t.Name, Addr: h.Addr(), Boot: t.Boot, Kind: t.Kind, Zone: t.Zone, Rack: t.Rack,
+	call := internalapi.AnnounceWorkerCall{
+		Name: t.Name, Addr: h.Addr(), Incarnation: t.Boot, Kind: t.Kind, Zone: t.Zone, Rack: t.Rack,
 		Labels: t.Labels, Cores: t.Cores, GPUs: t.GPUs,
 	}
 	if len(h.set.Dplanes) == 0 {
@@ -354,14 +354,14 @@
 	}
 	for at := int(xxhash.Sum64String(t.Name) % uint64(len(h.set.Dplanes))); ctx.Err() == nil; {
 		again := announceEvery
-		answer, err := rpc.Call(ctx, h.caller, h.set.Dplanes[at], internalapi.Minions, call, announceBound)
+		answer, err := rpc.Call(ctx, h.caller, h.set.Dplanes[at], internalapi.AnnounceWorker, call, announceBound)
 		switch {
 		case err != nil:
 			_ = level.Debug(h.logger).Log("msg", "announcement failed", "minion", t.Name, "dplane", h.set.Dplanes[at], "err", err)
 			at = (at + 1) % len(h.set.Dplanes)
 			again = announceEvery / 6
-		case answer.Again > 0:
-			again = answer.Again
+		case answer.Interval > 0:
+			again = answer.Interval
 		}
 		rung := make(chan struct{})
 		ring := h.clock.Set(again, func() { close(rung) })
--- a/internal/testbed/policyworker/host_test.go
+++ b/internal/testbed/policyworker/host_test.go
@@ -29,12 +29,12 @@
 	}
 	caller := rpc.NewClient(rpc.ClientOptions{})
 	defer caller.Close()
-	ask := func(h *Host, c internalapi.HoldCall) (internalapi.HoldAnswer, error) {
-		return rpc.Call(context.Background(), caller, h.Addr(), internalapi.Hold, c, time.Minute)
+	ask := func(h *Host, c internalapi.LeaseCall) (internalapi.LeaseAnswer, error) {
+		return rpc.Call(context.Background(), caller, h.Addr(), internalapi.RenewLease, c, time.Minute)
 	}
 	start := func(runID uint64) []internalapi.StartOrder {
 		return []internalapi.StartOrder{{RunID: runID, Job: "j", Step: "s", Type: "t", Cores: 1, Run: json.RawMessage(`{}`),
-			Void: time.Hour, Until: time.Hour}}
+			StartBy: time.Hour, LeaseUntil: time.Hour}}
 	}
 	events := func(dir string) (out []string) {
 		for line, err := range journal.Lines(dir) {
@@ -47,11 +47,11 @@
 	}
 
 	Convey("Hollow minions share an address, and each announces, runs, drains and leaves under its own name", t, func() {
-		heard := make(chan internalapi.MinionCall, 8)
+		heard := make(chan internalapi.AnnounceWorkerCall, 8)
 		dplane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		rpc.Handle(dplane, internalapi.Minions, func(_ context.Context, c internalapi.MinionCall) (internalapi.MinionAnswer, error) {
+		rpc.Handle(dplane, internalapi.AnnounceWorker, func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
 			heard <- c
-			return internalapi.MinionAnswer{Again: time.Hour}, nil
+			return internalapi.AnnounceWorkerAnswer{Interval: time.Hour}, nil
 		})
 		So(dplane.Start(), ShouldBeNil)
 		defer func() { So(dplane.Stop(time.Minute), ShouldBeNil) }()
@@ -63,19 +63,19 @@
 		for range 2 {
 			c := <-heard
 			So(c.Addr, ShouldEqual, h.Addr())
-			boots[c.Name] = c.Boot
+			boots[c.Name] = c.Incarnation
 		}
 		So(boots, ShouldHaveLength, 2)
-		a, err := ask(h, internalapi.HoldCall{Call: 3, Epoch: 4, Minion: "m-1", Boot: boots["m-1"], Starts: start(7)})
+		a, err := ask(h, internalapi.LeaseCall{Call: 3, Epoch: 4, Worker: "m-1", Incarnation: boots["m-1"], Starts: start(7)})
 		So(err, ShouldBeNil)
-		So([]any{a.Call, a.Epoch, a.Boot, a.Seen}, ShouldResemble, []any{uint64(3), uint64(4), boots["m-1"], uint64(7)})
-		So(a.Ended, ShouldResemble, []internalapi.EndNote{{RunID: 7, How: internalapi.EndWell}})
-		_, err = ask(h, internalapi.HoldCall{Minion: "other"})
+		So([]any{a.Call, a.Epoch, a.Incarnation, a.Seen}, ShouldResemble, []any{uint64(3), uint64(4), boots["m-1"], uint64(7)})
+		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 7, Outcome: internalapi.OutcomeOK}})
+		_, err = ask(h, internalapi.LeaseCall{Worker: "other"})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
-		_, err = ask(h, internalapi.HoldCall{Minion: "m-1", Epoch: 3})
+		_, err = ask(h, internalapi.LeaseCall{Worker: "m-1", Epoch: 3})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		h.Drain(true, true)
-		_, err = ask(h, internalapi.HoldCall{Minion: "m-1", Epoch: 4, Acked: []uint64{7}})
+		_, err = ask(h, internalapi.LeaseCall{Worker: "m-1", Epoch: 4, Acked: []uint64{7}})
 		So(err, ShouldBeNil)
 		So(<-over, ShouldBeNil)
 		So(events(dir), ShouldResemble, []string{"m-0 boot", "m-0 drain", "m-1 boot", "m-1 order", "m-1 start", "m-1 end", "m-1 drain"})
@@ -84,7 +84,7 @@
 	Convey("A lost answer ends the connection after the call was carried out, a late call is carried out too", t, func() {
 		h, dir := open(func(s *Settings) { s.Kind, s.Lose, s.Late = Obey, 1, Span(time.Millisecond) })
 		defer h.Close()
-		_, err := ask(h, internalapi.HoldCall{Minion: "m", Starts: start(7)})
+		_, err := ask(h, internalapi.LeaseCall{Worker: "m", Starts: start(7)})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		So(rpc.IsUnsent(err), ShouldBeFalse)
 		So(events(dir), ShouldResemble, []string{"m boot", "m order", "m start", "m end"})
--- a/internal/testbed/policyworker/settings.go
+++ b/internal/testbed/policyworker/settings.go
@@ -109,8 +109,8 @@
 	}
 }
 
-func decodeCall(raw []byte) (internalapi.HoldCall, error) {
-	var call internalapi.HoldCall
+func decodeCall(raw []byte) (internalapi.LeaseCall, error) {
+	var call internalapi.LeaseCall
 	err := json.Unmarshal(raw, &call)
 	return call, errs.Wrap(err, errs.Malformed, "the body is no hold call")
 }
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -27,7 +27,7 @@
 	Minions int
 	Orders  int // operators' orders a day
 	Seed    uint64
-	Keep    config.Cplane // keep_ended and keep_tombs, as the cplanes have them
+	Keep    config.ControlPlane // keep_ended and keep_tombs, as the cplanes have them
 }
 
 // Day is the state at the end of a day.
@@ -195,7 +195,7 @@
 		return errs.Pass(err, "running")
 	}
 	k := s.options.Keep
-	_, err = s.apply(now, &command.Purge{JobsBefore: now.Add(-k.KeepEndedFor), JobsKeep: k.KeepEnded, TombstonesBefore: now.Add(-k.KeepTombsFor),
-		TombstonesKeep: k.KeepTombs, OrdersBefore: now.Add(-k.KeepTombsFor)})
+	_, err = s.apply(now, &command.Purge{JobsBefore: now.Add(-k.KeepEndedFor), JobsKeep: k.KeepEnded, TombstonesBefore: now.Add(-k.KeepTombstonesFor),
+		TombstonesKeep: k.KeepTombstones, OrdersBefore: now.Add(-k.KeepTombstonesFor)})
 	return errs.Pass(err, "tidy")
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -11,8 +11,8 @@
 
 func TestMonth(t *testing.T) {
 	Convey("A state stays within its bounds: past the horizon a day adds nothing, and what ended leaves no handle", t, func() {
-		keep := config.DefaultCplane()
-		keep.KeepTombsFor = 48 * time.Hour
+		keep := config.DefaultControlPlane()
+		keep.KeepTombstonesFor = 48 * time.Hour
 		var days []Day
 		o := Options{Days: 5, Jobs: 300, Tasks: 3, Last: 10 * time.Minute, Minions: 5, Orders: 20, Seed: 1, Keep: keep}
 		So(Run(o, func(d Day) error { days = append(days, d); return nil }), ShouldBeNil)
