--- a/internal/testbed/jobssim/baddays.go
+++ b/internal/testbed/jobssim/baddays.go
@@ -11,13 +11,13 @@
 // BadDays lists the six kinds. Every disruption and every guard is in one of them.
 func BadDays() []BadDay {
 	return []BadDay{
-		{"crowds and hopeless work", crowds(), []Guard{NoAttemptBound, NoRoomCheck, NoIdentity}},
-		{"sick, slow, late and leaving workers", strayWorkers(),
-			[]Guard{DoubtIsDead, DoubtTakesNoRoom, NoDrainMark, NoLeaveMark, LateBeatsCount}},
-		{"lost, frozen, wiped and killed machines, slow disks", lostMachines(),
+		{"crowds and hopeless work", overloads(), []Guard{NoAttemptBound, NoCapacityCheck, NoIdentity}},
+		{"sick, slow, late and leaving workers", workerDisruptions(),
+			[]Guard{UnconfirmedIsDead, UnconfirmedReservesNothing, NoDrainMark, NoLeaveMark, StaleHeartbeatsCount}},
+		{"lost, frozen, wiped and killed machines, slow disks", machineDisruptions(),
 			[]Guard{EarlyAcknowledgement, StartBeforeCommit, EarlyAnswers}},
-		{"a split or powerless core", splitCore(), []Guard{NoLeaseCheck, NoFencingWait, OldLeadersAnswer}},
-		{"lost, racing and invalid orders", strayOrders(), []Guard{NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark}},
-		{"a leader short of connections", shortages(), []Guard{UnsentStopsCount}},
+		{"a split or powerless core", partitions(), []Guard{NoLeaseCheck, NoFencingWait, OldLeadersAnswer}},
+		{"lost, racing and invalid orders", operatorDisruptions(), []Guard{NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark}},
+		{"a leader short of connections", connectionShortages(), []Guard{UnsentStopsCount}},
 	}
 }
--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -40,7 +40,7 @@
 }
 
 // firstSeeds are where the search begins for guards whose lack takes many runs to show.
-var firstSeeds = map[Guard]uint64{LateBeatsCount: 18, NoLeaseCheck: 5}
+var firstSeeds = map[Guard]uint64{StaleHeartbeatsCount: 18, NoLeaseCheck: 5}
 
 // findLack runs seeds without a guard until a rule breaks.
 func findLack(day BadDay, guard Guard) (seed uint64, found []Breach) {
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -32,7 +32,7 @@
 	afterFault bool          // handed in when the machines had been back from the final fault for long enough
 	cancelled  bool          // its cancelling was acknowledged
 	cancelAt   time.Duration
-	shown      jobs.JobState
+	lastShown  jobs.JobState
 	polls      int // made since it was shown as over
 }
 
@@ -57,7 +57,7 @@
 func (s *simulator) buildClients() {
 	s.clients = &clients{sim: s, byID: map[string]*clientJob{}}
 	s.after(2*time.Second, s.clients.arrive)
-	s.after(s.opt.For+time.Second, s.clients.cancelLasting)
+	s.after(s.opt.For+time.Second, s.clients.cancelLongRunning)
 }
 
 // spec gives a job as a client sent it; nil if none did.
@@ -77,15 +77,15 @@
 	pause := s.between(100*time.Millisecond, 900*time.Millisecond)
 	if s.opt.Load == Short {
 		pause = s.between(5*time.Millisecond, 45*time.Millisecond)
-		c.hand(c.shortJob())
+		c.submitNew(c.shortJob())
 	} else {
-		c.hand(c.anyJob())
+		c.submitNew(c.anyJob())
 	}
 	s.after(pause, c.arrive)
 }
 
-// hand begins to hand a job in.
-func (c *clients) hand(spec jobs.Spec, prefix string) *clientJob {
+// submitNew begins to hand a job in.
+func (c *clients) submitNew(spec jobs.Spec, prefix string) *clientJob {
 	j := &clientJob{spec: spec, prefix: prefix, sentAt: c.sim.now}
 	c.jobs = append(c.jobs, j)
 	c.byID[spec.ID] = j
@@ -134,7 +134,7 @@
 			if !j.accepted {
 				j.accepted, j.acceptedAt = true, c.sim.now
 				c.sim.report.Jobs++
-				c.sim.oracle.accepted(j)
+				c.sim.invariantChecker.accepted(j)
 				c.follow(j)
 				if c.sim.chance(0.1) {
 					c.sim.after(c.sim.between(0, 6*time.Second), func() { c.submitAgain(j) })
@@ -148,7 +148,7 @@
 			c.sim.after(c.sim.between(retryPause/2, retryPause*3/2), func() { c.submit(j) })
 		} else if !j.unclear {
 			j.rejected = true
-			c.sim.oracle.rejected(j)
+			c.sim.invariantChecker.rejected(j)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 		switch errorKind(err) {
 		case "", errs.Unavailable, errs.NotLeader, errs.Timeout, errs.Unknown:
 		default:
-			c.sim.oracle.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v", j.spec.ID, err)
+			c.sim.invariantChecker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v", j.spec.ID, err)
 		}
 	})
 }
@@ -210,10 +210,10 @@
 		if err != nil {
 			return
 		}
-		told := answer.(jobAnswer)
-		c.sim.oracle.shown(j, told)
-		j.shown = told.state
-		if told.state.IsTerminal() {
+		done := answer.(jobAnswer)
+		c.sim.invariantChecker.shown(j, done)
+		j.lastShown = done.state
+		if done.state.IsTerminal() {
 			j.polls++
 		}
 	})
@@ -221,7 +221,7 @@
 
 // cancel sends a cancel until it is acknowledged.
 func (c *clients) cancel(j *clientJob) {
-	if j.cancelled || j.shown.IsTerminal() {
+	if j.cancelled || j.lastShown.IsTerminal() {
 		return
 	}
 	if !j.cancelSent {
@@ -235,11 +235,11 @@
 			c.sim.after(c.sim.between(retryPause/2, retryPause), func() { c.cancel(j) })
 			return
 		}
-		c.sim.oracle.acknowledged("a cancel", j.cancelFrom)
-		c.sim.oracle.shown(j, answer.(jobAnswer))
+		c.sim.invariantChecker.acknowledged("a cancel", j.cancelFrom)
+		c.sim.invariantChecker.shown(j, answer.(jobAnswer))
 		if answer.(jobAnswer).state == jobs.Cancelled {
 			j.cancelled, j.cancelAt = true, c.sim.now
-			c.sim.oracle.cancelled(j)
+			c.sim.invariantChecker.cancelled(j)
 		}
 	})
 }
@@ -272,20 +272,20 @@
 // cancelMany cancels most of the jobs that are not over.
 func (c *clients) cancelMany() {
 	for _, j := range c.jobs {
-		if j.accepted && !j.shown.IsTerminal() && !j.cancelSent && c.sim.chance(0.5) {
+		if j.accepted && !j.lastShown.IsTerminal() && !j.cancelSent && c.sim.chance(0.5) {
 			c.cancel(j)
 		}
 	}
 }
 
-// cancelLasting ends the lasting jobs, so that a run can settle.
-func (c *clients) cancelLasting() {
+// cancelLongRunning ends the lasting jobs, so that a run can settle.
+func (c *clients) cancelLongRunning() {
 	for _, j := range c.jobs {
 		if lasts(&j.spec) && j.accepted && !j.cancelSent {
 			c.cancel(j)
 		}
 	}
-	c.sim.after(time.Second, c.cancelLasting)
+	c.sim.after(time.Second, c.cancelLongRunning)
 }
 
 func lasts(spec *jobs.Spec) bool {
@@ -297,8 +297,8 @@
 	return false
 }
 
-// settled tells whether all accepted jobs were shown as over and asked for again.
-func (c *clients) settled() bool {
+// allEnded tells whether all accepted jobs were shown as over and asked for again.
+func (c *clients) allEnded() bool {
 	if c.faultPending {
 		return false
 	}
--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -10,65 +10,65 @@
 
 // The disruptions.
 const (
-	LeaderFreeze Disruption = "leader freezes"
-	LeaderCut    Disruption = "leader is cut off"
-	LeaderKill   Disruption = "leader is killed"
-	MemberWiped  Disruption = "member of the core loses its disk"
-	ZoneLost     Disruption = "zone loses power"
-	RackLost     Disruption = "rack is cut off or loses power"
-	ManyKilled   Disruption = "many processes are killed at once"
-	CoreOutage   Disruption = "whole core is down"
-	SlowCommits  Disruption = "commits are slow"
-	NodeLinkCut  Disruption = "worker cut from one node"
-	WorkerCrash  Disruption = "worker crashes"
-	WorkerCut    Disruption = "worker is cut off"
-	WorkerDrain  Disruption = "worker drains"
-	WorkerLeaves Disruption = "worker deregisters first, serves on and ends"
-	WorkerFlaps  Disruption = "worker goes down and up by turns"
-	WorkerSick   Disruption = "worker says that it is sick and is well"
-	WorkerPartly Disruption = "worker says that it is well and fails part of its work"
-	BeatsLate    Disruption = "heartbeats of a worker come late and out of order"
-	WorkerHang   Disruption = "tasks of a worker stand still"
-	WorkerSlow   Disruption = "worker is slow"
-	WorkerGrey   Disruption = "worker fails all"
-	WorkerLate   Disruption = "worker carries orders out late"
-	WorkerMute   Disruption = "answers of a worker are lost"
-	Reconfigure  Disruption = "configuration changes"
-	ConfigRace   Disruption = "two operators change the configuration at once"
-	BadConfig    Disruption = "invalid configuration is sent"
-	AckLost      Disruption = "acknowledgements to the operator are lost"
-	Evacuation   Disruption = "zone is evacuated"
-	MassCancel   Disruption = "many jobs are cancelled"
-	Burst        Disruption = "wide jobs come at once"
-	UrgentStorm  Disruption = "urgent jobs come at once"
-	Hopeless     Disruption = "jobs that can never be done come at once"
-	Shortage     Disruption = "calls of the leader find no connection"
+	LeaderFreeze           Disruption = "leader freezes"
+	LeaderCut              Disruption = "leader is cut off"
+	LeaderKill             Disruption = "leader is killed"
+	MemberWiped            Disruption = "member of the core loses its disk"
+	ZoneLost               Disruption = "zone loses power"
+	RackLost               Disruption = "rack is cut off or loses power"
+	ManyKilled             Disruption = "many processes are killed at once"
+	CoreOutage             Disruption = "whole core is down"
+	SlowCommits            Disruption = "commits are slow"
+	NodeLinkCut            Disruption = "worker cut from one node"
+	WorkerCrash            Disruption = "worker crashes"
+	WorkerCut              Disruption = "worker is cut off"
+	WorkerDrain            Disruption = "worker drains"
+	WorkerLeaves           Disruption = "worker deregisters first, serves on and ends"
+	WorkerFlaps            Disruption = "worker goes down and up by turns"
+	WorkerReportsUnhealthy Disruption = "worker says that it is sick and is well"
+	WorkerFailsPart        Disruption = "worker says that it is well and fails part of its work"
+	HeartbeatsDelayed      Disruption = "heartbeats of a worker come late and out of order"
+	WorkerHang             Disruption = "tasks of a worker stand still"
+	WorkerSlow             Disruption = "worker is slow"
+	WorkerFailsAll         Disruption = "worker fails all"
+	WorkerLate             Disruption = "worker carries orders out late"
+	WorkerAnswersLost      Disruption = "answers of a worker are lost"
+	Reconfigure            Disruption = "configuration changes"
+	ConfigRace             Disruption = "two operators change the configuration at once"
+	BadConfig              Disruption = "invalid configuration is sent"
+	AckLost                Disruption = "acknowledgements to the operator are lost"
+	Evacuation             Disruption = "zone is evacuated"
+	MassCancel             Disruption = "many jobs are cancelled"
+	Burst                  Disruption = "wide jobs come at once"
+	UrgentStorm            Disruption = "urgent jobs come at once"
+	Unschedulable          Disruption = "jobs that can never be done come at once"
+	Shortage               Disruption = "calls of the leader find no connection"
 )
 
 // The disruptions by kind of bad day, each once.
 
-func crowds() []Disruption { return []Disruption{Burst, UrgentStorm, Hopeless, MassCancel} }
+func overloads() []Disruption { return []Disruption{Burst, UrgentStorm, Unschedulable, MassCancel} }
 
-func strayWorkers() []Disruption {
-	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerSick, WorkerPartly, WorkerHang, WorkerSlow, WorkerGrey,
-		WorkerLate, WorkerMute, BeatsLate}
+func workerDisruptions() []Disruption {
+	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerReportsUnhealthy, WorkerFailsPart, WorkerHang, WorkerSlow, WorkerFailsAll,
+		WorkerLate, WorkerAnswersLost, HeartbeatsDelayed}
 }
 
-func lostMachines() []Disruption {
+func machineDisruptions() []Disruption {
 	return []Disruption{LeaderFreeze, LeaderKill, MemberWiped, ZoneLost, RackLost, ManyKilled, SlowCommits, WorkerCrash}
 }
 
-func splitCore() []Disruption { return []Disruption{LeaderCut, CoreOutage, NodeLinkCut} }
+func partitions() []Disruption { return []Disruption{LeaderCut, CoreOutage, NodeLinkCut} }
 
-func shortages() []Disruption { return []Disruption{Shortage} }
+func connectionShortages() []Disruption { return []Disruption{Shortage} }
 
-func strayOrders() []Disruption {
+func operatorDisruptions() []Disruption {
 	return []Disruption{Reconfigure, ConfigRace, BadConfig, AckLost, Evacuation}
 }
 
 // Disruptions lists all kinds.
 func Disruptions() []Disruption {
-	return slices.Concat(crowds(), strayWorkers(), lostMachines(), splitCore(), strayOrders(), shortages())
+	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(), connectionShortages())
 }
 
 // contactTimeout is how long after a disruption a machine is in touch again.
@@ -109,7 +109,7 @@
 	if len(kinds) == 0 {
 		return
 	}
-	s.after(s.between(3*time.Second, 5*time.Second), func() { s.spell(kinds) })
+	s.after(s.between(3*time.Second, 5*time.Second), func() { s.disruptionPeriod(kinds) })
 	if slices.Contains(kinds, CoreOutage) && s.chance(0.3) {
 		s.clients.faultPending = true
 		s.after(s.opt.For, s.finalFault)
@@ -126,20 +126,20 @@
 	s.trace("final fault")
 	s.after(s.quiet.core-s.now+recoveryTime, func() {
 		for range 8 {
-			s.clients.hand(s.clients.shortJob()).afterFault = true
+			s.clients.submitNew(s.clients.shortJob()).afterFault = true
 		}
 		s.clients.faultPending = false
 	})
 }
 
-// spell makes disruptions for a while.
-func (s *simulator) spell(kinds []Disruption) {
+// disruptionPeriod makes disruptions for a while.
+func (s *simulator) disruptionPeriod(kinds []Disruption) {
 	end := min(s.now+s.between(4*time.Second, 14*time.Second), s.opt.For)
 	var next func()
 	next = func() {
 		if s.now >= end {
 			if s.now < s.opt.For {
-				s.after(s.between(2*time.Second, 12*time.Second), func() { s.spell(kinds) })
+				s.after(s.between(2*time.Second, 12*time.Second), func() { s.disruptionPeriod(kinds) })
 			}
 			return
 		}
@@ -153,7 +153,7 @@
 // disrupt makes one disruption, if it can be made now.
 func (s *simulator) disrupt(kind Disruption) {
 	made := true
-	sl := s.slots[s.rng.IntN(len(s.slots))]
+	host := s.hosts[s.rng.IntN(len(s.hosts))]
 	switch kind {
 	case LeaderFreeze, LeaderCut, LeaderKill:
 		made = s.loseLeader(kind)
@@ -168,7 +168,7 @@
 	case ZoneLost:
 		made = s.loseZone()
 	case RackLost:
-		s.loseRack(sl.rack)
+		s.loseRack(host.rack)
 	case ManyKilled:
 		made = s.killMany()
 	case Reconfigure:
@@ -178,7 +178,7 @@
 	case BadConfig:
 		s.operator.sendInvalid()
 	case AckLost:
-		s.operator.deafUntil = s.now + s.between(time.Second, 5*time.Second)
+		s.operator.acknowledgementsLostUntil = s.now + s.between(time.Second, 5*time.Second)
 	case Evacuation:
 		s.operator.evacuate()
 	case MassCancel:
@@ -187,16 +187,16 @@
 		s.clients.burst()
 	case UrgentStorm:
 		s.clients.urgentStorm()
-	case Hopeless:
-		s.clients.hopeless()
+	case Unschedulable:
+		s.clients.submitUnschedulable()
 	case Shortage:
 		made = s.beginShortage()
 	default:
-		made = s.disruptWorker(kind, sl)
+		made = s.disruptWorker(kind, host)
 	}
 	if made {
 		s.report.Disruptions[kind]++
-		s.trace("disruption: %s (%s)", kind, sl.address)
+		s.trace("disruption: %s (%s)", kind, host.address)
 	}
 }
 
@@ -220,7 +220,7 @@
 		})
 	default:
 		n.kill()
-		s.after(back, n.boot)
+		s.after(back, n.startProcess)
 	}
 	election := s.between(electionLeast, electionMost)
 	s.after(election, s.log.elect)
@@ -236,13 +236,13 @@
 }
 
 func (s *simulator) majorityWithout(n *node) bool {
-	able := 0
+	isRunning := 0
 	for _, other := range s.nodes {
-		if other != n && other.able() {
-			able++
+		if other != n && other.isRunning() {
+			isRunning++
 		}
 	}
-	return able > len(s.nodes)/2
+	return isRunning > len(s.nodes)/2
 }
 
 // outage stops the whole core for a while.
@@ -255,7 +255,7 @@
 	for _, n := range s.nodes {
 		n.kill()
 		n.frozenUntil, n.cut = 0, false
-		s.after(s.between(longest/2, longest), n.boot)
+		s.after(s.between(longest/2, longest), n.startProcess)
 	}
 	s.after(longest+s.between(0, time.Second), s.log.elect)
 	s.coreDisturbed(s.now + longest + electionMost)
@@ -263,13 +263,13 @@
 }
 
 // disruptWorker disrupts what runs at a slot.
-func (s *simulator) disruptWorker(kind Disruption, sl *slot) bool {
-	w := sl.current
+func (s *simulator) disruptWorker(kind Disruption, host *workerHost) bool {
+	w := host.current
 	if w == nil || w.draining || w.leaving {
 		return false
 	}
 	d := s.between(time.Second, 10*time.Second)
-	sl.troubled = s.now + d
+	host.disruptedAt = s.now + d
 	switch kind {
 	case NodeLinkCut:
 		n := s.nodes[s.rng.IntN(len(s.nodes))]
@@ -279,89 +279,89 @@
 		if s.chance(0.3) {
 			d += 20 * time.Second
 		}
-		sl.cutFrom[n] = true
-		s.after(d, func() { delete(sl.cutFrom, n) })
+		host.cutFrom[n] = true
+		s.after(d, func() { delete(host.cutFrom, n) })
 	case WorkerCrash:
 		w.die()
 		if s.chance(0.3) {
 			d += 20 * time.Second // nothing is there for long
 		}
-		s.after(s.between(500*time.Millisecond, d), sl.newLife)
+		s.after(s.between(500*time.Millisecond, d), host.startWorker)
 	case WorkerCut:
 		d += s.between(0, 4*time.Second)
-		sl.cutFor(d)
+		host.cutFor(d)
 	case WorkerDrain:
 		w.drain()
 		d = plannedEnd
-		sl.replace()
+		host.replace()
 	case WorkerLeaves:
 		w.deregister()
 		d = plannedEnd
-		sl.replace()
+		host.replace()
 	case WorkerFlaps:
-		sl.flap(s.now + d)
-	case WorkerSick:
+		host.flap(s.now + d)
+	case WorkerReportsUnhealthy:
 		w.refuses = true
 		s.after(d, func() { w.refuses = false })
-	case WorkerPartly:
+	case WorkerFailsPart:
 		w.failing = s.between(200*time.Millisecond, 700*time.Millisecond).Seconds()
 		s.after(d, func() { w.failing = 0 })
-	case BeatsLate:
-		sl.beatsLateUntil = s.now + d
-		sl.unheardUntil = max(sl.unheardUntil, s.now+d+beatLatest)
+	case HeartbeatsDelayed:
+		host.heartbeatsDelayedUntil = s.now + d
+		host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d+maxHeartbeatDelay)
 		if s.chance(0.5) { // heartbeats that say that it is ready come after those that say that it drains
 			s.after(time.Second, w.drain)
 			d = time.Second + plannedEnd
-			sl.replace()
+			host.replace()
 		}
 	case WorkerHang:
-		w.hang()
-		s.after(d, w.wake)
+		w.stall()
+		s.after(d, w.resume)
 	case WorkerSlow:
 		w.slow = 3
 		s.after(d, func() { w.slow = 1 })
-	case WorkerGrey:
-		w.grey = true
-		s.after(d/2, func() { w.grey = false })
+	case WorkerFailsAll:
+		w.failsAll = true
+		s.after(d/2, func() { w.failsAll = false })
 	case WorkerLate:
-		sl.lateUntil = s.now + d
+		host.lateUntil = s.now + d
 		d += lateMost
-	case WorkerMute:
-		sl.mutedUntil, sl.muted = s.now+d, []float64{0.5, 1}[s.rng.IntN(2)]
+	case WorkerAnswersLost:
+		host.answersLostUntil, host.answerLossShare = s.now+d, []float64{0.5, 1}[s.rng.IntN(2)]
 	}
-	sl.troubled = s.now + d
-	s.oracle.died(w)
+	host.disruptedAt = s.now + d
+	s.invariantChecker.died(w)
 	s.disturbed(s.now + d)
 	return true
 }
 
 // cutFor cuts the slot off from the whole core for a while.
-func (sl *slot) cutFor(d time.Duration) {
-	s := sl.sim
-	sl.cut = true
-	sl.unheardUntil = max(sl.unheardUntil, s.now+d)
-	s.after(d, func() { sl.cut = false })
+func (host *workerHost) cutFor(d time.Duration) {
+	s := host.sim
+	host.cut = true
+	host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d)
+	s.after(d, func() { host.cut = false })
 }
 
 // plannedEnd is the longest from the first word of a worker's end to its end.
 const plannedEnd = 10 * time.Second
 
 // replace starts another life once the present one has ended as planned.
-func (sl *slot) replace() {
-	s := sl.sim
-	s.after(plannedEnd+time.Second+s.between(100*time.Millisecond, 2*time.Second), sl.newLife)
+func (host *workerHost) replace() {
+	s := host.sim
+	s.after(plannedEnd+time.Second+s.between(100*time.Millisecond, 2*time.Second), host.startWorker)
 }
 
-// hang lets the tasks of a worker stand still.
-func (w *life) hang() {
-	if w.hungSince == 0 {
-		w.hungSince = w.slot.sim.now
+// stall lets the tasks of a worker stand still.
+func (w *workerIncarnation) stall() {
+	if w.stalledSince == 0 {
+		w.stalledSince = w.host.sim.now
 	}
 }
 
-func (w *life) wake() {
-	if w.hungSince > 0 {
-		w.hungFor += w.slot.sim.now - w.hungSince
-		w.hungSince = 0
+func (w *workerIncarnation) resume() {
+	if w.stalledSince > 0 {
+		w.stalledFor += w.host.sim.now - w.stalledSince
+		w.stalledSince = 0
 	}
 }
--- a/internal/testbed/jobssim/disruptions_core.go
+++ b/internal/testbed/jobssim/disruptions_core.go
@@ -8,13 +8,13 @@
 
 // majorityWithoutAll tells whether the core can go on without some nodes.
 func (s *simulator) majorityWithoutAll(lost []*node) bool {
-	able := 0
+	isRunning := 0
 	for _, n := range s.nodes {
-		if n.able() && !slices.Contains(lost, n) {
-			able++
+		if n.isRunning() && !slices.Contains(lost, n) {
+			isRunning++
 		}
 	}
-	return able > len(s.nodes)/2
+	return isRunning > len(s.nodes)/2
 }
 
 // killNodes kills processes of the core, which leave a majority, and starts them again after a while.
@@ -28,7 +28,7 @@
 	for _, n := range lost {
 		if !n.down {
 			n.kill()
-			s.after(back, n.boot)
+			s.after(back, n.startProcess)
 		}
 	}
 	s.coreDisturbed(s.now + max(back, election) + 300*time.Millisecond)
@@ -59,38 +59,38 @@
 	}
 	back := s.between(time.Second, 6*time.Second)
 	s.killNodes(lost, back)
-	for _, sl := range s.slots {
-		if sl.zone == fmt.Sprintf("zone%d", number) {
-			s.crashSlot(sl, back)
+	for _, host := range s.hosts {
+		if host.zone == fmt.Sprintf("zone%d", number) {
+			s.crashHost(host, back)
 		}
 	}
 	return true
 }
 
-// crashSlot ends what runs at a slot and starts another life after a while.
-func (s *simulator) crashSlot(sl *slot, back time.Duration) {
-	w := sl.current
+// crashHost ends what runs at a slot and starts another life after a while.
+func (s *simulator) crashHost(host *workerHost, back time.Duration) {
+	w := host.current
 	if w == nil {
 		return
 	}
-	sl.troubled = max(sl.troubled, s.now+back)
+	host.disruptedAt = max(host.disruptedAt, s.now+back)
 	s.disturbed(s.now + back)
 	w.die()
-	s.after(back+s.between(0, 500*time.Millisecond), sl.newLife)
+	s.after(back+s.between(0, 500*time.Millisecond), host.startWorker)
 }
 
 // loseRack cuts all workers of a rack off, or takes their power.
 func (s *simulator) loseRack(rack string) {
 	back, power := s.between(time.Second, 8*time.Second), s.chance(0.5)
-	for _, sl := range s.slots {
+	for _, host := range s.hosts {
 		switch {
-		case sl.rack != rack || sl.current == nil:
+		case host.rack != rack || host.current == nil:
 		case power:
-			s.crashSlot(sl, back)
+			s.crashHost(host, back)
 		default:
-			sl.troubled = max(sl.troubled, s.now+back)
-			s.oracle.died(sl.current)
-			sl.cutFor(back)
+			host.disruptedAt = max(host.disruptedAt, s.now+back)
+			s.invariantChecker.died(host.current)
+			host.cutFor(back)
 		}
 	}
 	s.disturbed(s.now + back)
@@ -113,21 +113,21 @@
 		return false
 	}
 	s.killNodes(lost, s.between(300*time.Millisecond, 3*time.Second))
-	for _, sl := range s.slots {
+	for _, host := range s.hosts {
 		if s.chance(0.5) {
-			s.crashSlot(sl, s.between(300*time.Millisecond, 3*time.Second))
+			s.crashHost(host, s.between(300*time.Millisecond, 3*time.Second))
 		}
 	}
 	return true
 }
 
 // flap lets the lives at a slot end and begin by turns.
-func (sl *slot) flap(until time.Duration) {
-	s := sl.sim
+func (host *workerHost) flap(until time.Duration) {
+	s := host.sim
 	if s.now >= until || s.now >= s.opt.For {
 		return
 	}
-	sl.troubled = max(sl.troubled, until)
-	s.crashSlot(sl, s.between(300*time.Millisecond, time.Second))
-	s.after(s.between(1500*time.Millisecond, 3*time.Second), func() { sl.flap(until) })
+	host.disruptedAt = max(host.disruptedAt, until)
+	s.crashHost(host, s.between(300*time.Millisecond, time.Second))
+	s.after(s.between(1500*time.Millisecond, 3*time.Second), func() { host.flap(until) })
 }
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -13,15 +13,15 @@
 
 // The guards that can be taken out.
 const (
-	NoAttemptBound Guard = "no attempt bound" // runs that failed are not counted
-	NoRoomCheck    Guard = "no room check"    // workers are given twice what they have room for
-	NoIdentity     Guard = "no identity"      // a job that is handed in again is another job
+	NoAttemptBound  Guard = "no attempt bound" // runs that failed are not counted
+	NoCapacityCheck Guard = "no room check"    // workers are given twice what they have room for
+	NoIdentity      Guard = "no identity"      // a job that is handed in again is another job
 
-	DoubtIsDead      Guard = "doubt is dead"         // a start without an answer is taken for one that never left
-	DoubtTakesNoRoom Guard = "doubt takes no room"   // the room of a doubtful run is given away
-	NoDrainMark      Guard = "no drain mark"         // that a worker drains is acknowledged and not recorded
-	NoLeaveMark      Guard = "no leave mark"         // that a worker ends is acknowledged and not recorded
-	LateBeatsCount   Guard = "late heartbeats count" // a heartbeat replaces what a newer one told
+	UnconfirmedIsDead          Guard = "doubt is dead"         // a start without an answer is taken for one that never left
+	UnconfirmedReservesNothing Guard = "doubt takes no room"   // the room of a doubtful run is given away
+	NoDrainMark                Guard = "no drain mark"         // that a worker drains is acknowledged and not recorded
+	NoLeaveMark                Guard = "no leave mark"         // that a worker ends is acknowledged and not recorded
+	StaleHeartbeatsCount       Guard = "late heartbeats count" // a heartbeat replaces what a newer one told
 
 	EarlyAcknowledgement Guard = "early acknowledgement" // ends are acknowledged before their commit
 	StartBeforeCommit    Guard = "start before commit"   // starts leave before their handles are committed
@@ -41,19 +41,19 @@
 
 // Guards lists all guards that can be taken out.
 func Guards() []Guard {
-	return []Guard{NoAttemptBound, NoRoomCheck, NoIdentity,
-		DoubtIsDead, DoubtTakesNoRoom, NoDrainMark, NoLeaveMark, LateBeatsCount,
+	return []Guard{NoAttemptBound, NoCapacityCheck, NoIdentity,
+		UnconfirmedIsDead, UnconfirmedReservesNothing, NoDrainMark, NoLeaveMark, StaleHeartbeatsCount,
 		EarlyAcknowledgement, StartBeforeCommit, EarlyAnswers,
 		NoLeaseCheck, NoFencingWait, OldLeadersAnswer,
 		NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark, UnsentStopsCount}
 }
 
-// doubted gives what the scheduler is told of a start without an answer.
-func (n *node) doubted(term uint64, start scheduler.StartAction) scheduler.StartError {
+// startOutcome gives what the scheduler is told of a start without an answer.
+func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartError {
 	switch n.sim.opt.Break {
-	case DoubtIsDead:
+	case UnconfirmedIsDead:
 		return scheduler.StartUnsent
-	case DoubtTakesNoRoom:
+	case UnconfirmedReservesNothing:
 		n.widen(term, start)
 	}
 	return scheduler.StartUnknown
@@ -88,13 +88,13 @@
 		if worker == nil || j == nil || j.Rounds == nil {
 			continue
 		}
-		sl := n.sim.slotOf(worker.Address)
-		if sl == nil || sl.current == nil {
+		host := n.sim.hostAt(worker.Address)
+		if host == nil || host.current == nil {
 			continue
 		}
 		n.start(term, scheduler.StartAction{Worker: *worker, Order: scheduler.StartOrder{
 			Key: jobs.RunKey{Task: s.Task, Number: s.Number}, Payload: j.Spec.Payload,
-			LeaseDeadline: sl.current.clock() + n.sim.schedulerConfig().Lease, Token: term,
+			LeaseDeadline: host.current.clock() + n.sim.schedulerConfig().Lease, Token: term,
 			Checkpoint: j.Rounds[s.Task.Round][s.Task.Step][s.Task.Index].Checkpoint}})
 	}
 }
--- a/internal/testbed/jobssim/hunt_test.go
+++ b/internal/testbed/jobssim/hunt_test.go
@@ -33,7 +33,7 @@
 		defer func() { _ = file.Close() }()
 		opt.Trace = file
 	}
-	cases, seen, spells, longest := map[Rule]int{}, map[string]int{}, 0, time.Duration(0)
+	cases, seen, periods, longest := map[Rule]int{}, map[string]int{}, 0, time.Duration(0)
 	for seed := from; seed < from+count; seed++ {
 		opt.Seed = seed
 		report := Run(opt)
@@ -46,9 +46,9 @@
 		for what, n := range report.Seen {
 			seen[what] += n
 		}
-		spells += report.IdleSpells
+		periods += report.IdlePeriods
 		longest = max(longest, report.LongestIdle)
 	}
 	t.Log(cases)
-	t.Log(seen, "idle spells", spells, "longest", longest)
+	t.Log(seen, "idle spells", periods, "longest", longest)
 }
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -122,17 +122,17 @@
 	if l.leader != nil {
 		return
 	}
-	var able []*node
+	var isRunning []*node
 	for _, n := range l.sim.nodes {
-		if n.able() {
-			able = append(able, n)
+		if n.isRunning() {
+			isRunning = append(isRunning, n)
 		}
 	}
-	if len(able) <= len(l.sim.nodes)/2 {
+	if len(isRunning) <= len(l.sim.nodes)/2 {
 		l.sim.after(electionRetry, l.elect)
 		return
 	}
-	n := able[l.sim.rng.IntN(len(able))]
+	n := isRunning[l.sim.rng.IntN(len(isRunning))]
 	n.stepDown()
 	l.term += 1 + uint64(l.sim.rng.IntN(termStepsAtMost))
 	l.leader = n
@@ -140,8 +140,8 @@
 	n.catchUp()
 	n.term = l.term
 	l.sim.trace("elected %s term %d", n.name, l.term)
-	l.sim.oracle.elected(l.term)
-	n.nudge()
+	l.sim.invariantChecker.elected(l.term)
+	n.wakeScheduler()
 }
 
 // apply makes a change in a table.
--- a/internal/testbed/jobssim/network.go
+++ b/internal/testbed/jobssim/network.go
@@ -10,10 +10,10 @@
 type failure int
 
 const (
-	answered  failure = iota
-	unsent            // no byte of it left
-	unknown           // it may be carried out, now or later
-	otherLife         // another life has the address
+	answered         failure = iota
+	unsent                   // no byte of it left
+	unknown                  // it may be carried out, now or later
+	otherIncarnation         // another life has the address
 )
 
 const (
@@ -32,7 +32,7 @@
 }
 
 // handler is what a worker does with a call. late: it is carried out late.
-type handler func(w *life, late bool, reply func(any))
+type handler func(w *workerIncarnation, late bool, reply func(any))
 
 // exchange makes a call to a worker: done is called once on the node, with the answer or with what is known of it.
 func (s *simulator) exchange(n *node, to jobs.Worker, limit time.Duration, handle handler, done func(any, failure)) {
@@ -49,35 +49,35 @@
 		}
 		finish(nil, unknown)
 	})
-	sl := s.slotOf(to.Address)
-	if sl == nil {
+	host := s.hostAt(to.Address)
+	if host == nil {
 		return
 	}
 	deliver := func(late bool, answer func(any, failure)) {
-		w := sl.current
+		w := host.current
 		switch {
-		case w == nil || sl.cutOff(n):
+		case w == nil || host.cutOff(n):
 		case w.id != to.ID:
-			answer(nil, otherLife)
+			answer(nil, otherIncarnation)
 		default:
 			handle(w, late, func(a any) { answer(a, answered) })
 		}
 	}
 	nothing := func(any, failure) {}
 	send := func(answer any, f failure) {
-		if sl.cutOff(n) || s.now < sl.mutedUntil && s.chance(sl.muted) {
+		if host.cutOff(n) || s.now < host.answersLostUntil && s.chance(host.answerLossShare) {
 			return // the answer is lost
 		}
 		n.do(s.link(), func() { finish(answer, f) })
 	}
 	switch {
-	case sl.cutOff(n) || sl.current == nil:
+	case host.cutOff(n) || host.current == nil:
 		if s.chance(0.3) {
 			n.do(s.link(), func() { finish(nil, unsent) })
 		} else if s.chance(0.4) {
 			s.after(s.between(lateLeast, lateMost), func() { deliver(true, nothing) })
 		}
-	case s.now < sl.lateUntil && s.chance(0.4):
+	case s.now < host.lateUntil && s.chance(0.4):
 		s.after(s.between(lateLeast, lateMost), func() { deliver(true, nothing) })
 	default:
 		s.after(s.link(), func() { deliver(false, send) })
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -12,11 +12,11 @@
 
 // node is a machine of the core: a replica of the table, and the loop of controller.Leader round a scheduler.Core.
 type node struct {
-	sim     *simulator
-	name    string
-	table   *jobs.Table
-	applied int
-	life    int // rises with each start of the process
+	sim               *simulator
+	name              string
+	table             *jobs.Table
+	applied           int
+	workerIncarnation int // rises with each start of the process
 
 	term        uint64 // in which it leads, as far as it knows; 0: it does not
 	leaseUntil  time.Duration
@@ -43,7 +43,7 @@
 	for i := range coreSize {
 		n := &node{sim: s, name: fmt.Sprintf("core%d", i), table: jobs.NewTable(),
 			skew: s.between(-100*time.Millisecond, 100*time.Millisecond)}
-		n.boot()
+		n.startProcess()
 		s.nodes = append(s.nodes, n)
 	}
 	s.after(0, s.log.elect)
@@ -56,7 +56,7 @@
 // follow lets the followers apply what is committed.
 func (s *simulator) follow() {
 	for _, n := range s.nodes {
-		if n.able() && n.term == 0 {
+		if n.isRunning() && n.term == 0 {
 			n.catchUp()
 		}
 	}
@@ -66,17 +66,17 @@
 // schedulerConfig is the configuration of the schedulers, cut to the lease of the platform.
 func (s *simulator) schedulerConfig() scheduler.Config {
 	cfg := scheduler.Defaults()
-	cfg.Lease = min(cfg.Lease, maxHold)
+	cfg.Lease = min(cfg.Lease, maxLease)
 	cfg.RemoteDataFactor = spreadFactor
 	return cfg
 }
 
-// boot starts the process anew: its memory is gone, its log is not.
-func (n *node) boot() {
-	if !n.down && n.life > 0 {
+// startProcess starts the process anew: its memory is gone, its log is not.
+func (n *node) startProcess() {
+	if !n.down && n.workerIncarnation > 0 {
 		return
 	}
-	n.life++
+	n.workerIncarnation++
 	n.down, n.term, n.planned = false, 0, false
 	n.core = scheduler.New(n.sim.schedulerConfig())
 	n.events, n.notes = nil, nil
@@ -94,7 +94,7 @@
 		err = table.UnmarshalJSON(data)
 	}
 	if err != nil {
-		n.sim.oracle.breach(ReplicaRule, "%s cannot read its snapshot: %v", n.name, err)
+		n.sim.invariantChecker.breach(ReplicaRule, "%s cannot read its snapshot: %v", n.name, err)
 		return
 	}
 	n.table = table
@@ -104,20 +104,20 @@
 func (n *node) wipe() { n.table, n.applied = jobs.NewTable(), 0 }
 
 func (n *node) kill() {
-	n.life++
+	n.workerIncarnation++
 	n.down, n.term = true, 0
 }
 
-// able tells whether it can be a member of a majority now.
-func (n *node) able() bool { return !n.down && !n.cut && n.sim.now >= n.frozenUntil }
+// isRunning tells whether it can be a member of a majority now.
+func (n *node) isRunning() bool { return !n.down && !n.cut && n.sim.now >= n.frozenUntil }
 
 // do plans a call on this life of the node; a frozen node makes it after it wakes.
 func (n *node) do(d time.Duration, call func()) {
-	life := n.life
+	workerIncarnation := n.workerIncarnation
 	var fire func()
 	fire = func() {
 		switch {
-		case n.life != life:
+		case n.workerIncarnation != workerIncarnation:
 		case n.sim.now < n.frozenUntil:
 			n.sim.after(n.frozenUntil-n.sim.now+n.sim.between(0, time.Millisecond), fire)
 		default:
@@ -142,12 +142,12 @@
 func (n *node) stepDown() {
 	if n.term != 0 {
 		n.term = 0
-		n.nudge()
+		n.wakeScheduler()
 	}
 }
 
 // leadTerm is the store's LeadTerm.
-func (n *node) leadTerm() (term uint64, held bool) {
+func (n *node) leadTerm() (term uint64, isLeader bool) {
 	return n.term, n.term != 0 && (n.sim.log.leader == n && !n.cut || n.sim.now < n.leaseUntil)
 }
 
@@ -156,22 +156,22 @@
 	if n.sim.opt.Break == NoLeaseCheck {
 		return true
 	}
-	current, held := n.leadTerm()
-	return held && current == term
+	current, isLeader := n.leadTerm()
+	return isLeader && current == term
 }
 
-// tell queues an input of the scheduler.
-func (n *node) tell(e func(*scheduler.Core, time.Duration)) {
+// deliver queues an input of the scheduler.
+func (n *node) deliver(e func(*scheduler.Core, time.Duration)) {
 	n.events = append(n.events, e)
-	n.nudge()
+	n.wakeScheduler()
 }
 
-func (n *node) watch(note jobs.Event) {
+func (n *node) onTableChange(note jobs.Event) {
 	n.notes = append(n.notes, note)
-	n.nudge()
+	n.wakeScheduler()
 }
 
-func (n *node) nudge() { n.passIn(n.sim.between(0, time.Millisecond)) }
+func (n *node) wakeScheduler() { n.passIn(n.sim.between(0, time.Millisecond)) }
 
 // passIn plans the next pass; an earlier one takes the place of a later one.
 func (n *node) passIn(d time.Duration) {
@@ -197,23 +197,23 @@
 // pass is one turn of the loop, as controller.Leader.pass.
 func (n *node) pass() {
 	now := n.sim.now
-	term, held := n.leadTerm()
+	term, isLeader := n.leadTerm()
 	if n.sim.opt.Break == NoLeaseCheck && n.core.Term() != 0 && (term == 0 || term == n.core.Term()) {
-		term, held = n.core.Term(), true
+		term, isLeader = n.core.Term(), true
 	}
 	if term == 0 || term != n.core.Term() && n.core.Term() != 0 {
-		n.yield()
+		n.stepDownScheduler()
 	}
 	switch {
 	case term == 0:
 		n.passIn(idlePass)
 		return
-	case !held:
+	case !isLeader:
 		n.passIn(leasePass)
 		return
 	}
 	if n.core.Term() == 0 {
-		n.lead(term)
+		n.becomeLeader(term)
 	}
 	events, notes := n.events, n.notes
 	n.events, n.notes = nil, nil
@@ -230,16 +230,16 @@
 
 func (n *node) wall() time.Time { return n.sim.wall().Add(n.skew) }
 
-func (n *node) lead(term uint64) {
+func (n *node) becomeLeader(term uint64) {
 	n.events, n.notes = nil, nil
 	if n.sim.opt.Break == NoFencingWait {
 		n.forgetHandles(term)
 	}
-	n.table.OnEvent = n.watch
+	n.table.OnEvent = n.onTableChange
 	n.core.BecomeLeader(n.sim.now, term, n.table)
 }
 
-func (n *node) yield() {
+func (n *node) stepDownScheduler() {
 	if n.core.Term() == 0 {
 		return
 	}
@@ -254,14 +254,14 @@
 	for _, n := range s.nodes {
 		n.catchUp()
 		data, err := n.table.Encode()
-		s.oracle.count(ReplicaRule)
+		s.invariantChecker.count(ReplicaRule)
 		if err != nil {
-			s.oracle.breach(ReplicaRule, "%s cannot write its table: %v", n.name, err)
+			s.invariantChecker.breach(ReplicaRule, "%s cannot write its table: %v", n.name, err)
 		}
 		if first == nil {
 			first = data
 		} else if !bytes.Equal(first, data) {
-			s.oracle.breach(ReplicaRule, "%s has another table than %s", n.name, s.nodes[0].name)
+			s.invariantChecker.breach(ReplicaRule, "%s has another table than %s", n.name, s.nodes[0].name)
 		}
 	}
 }
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -39,13 +39,13 @@
 
 // operator changes the configuration and evacuates zones. It stands for two operators when they race.
 type operator struct {
-	sim         *simulator
-	configs     []*sentConfig // those that may be in force or were, the newest last
-	evacuations []*evacuation
-	moved       bool // the moving queue is on the open service
-	without     bool // the side queue is not there
-	busy        bool
-	deafUntil   time.Duration // until then most answers to it are lost
+	sim                       *simulator
+	configs                   []*sentConfig // those that may be in force or were, the newest last
+	evacuations               []*evacuation
+	moved                     bool // the moving queue is on the open service
+	without                   bool // the side queue is not there
+	busy                      bool
+	acknowledgementsLostUntil time.Duration // until then most answers to it are lost
 }
 
 func (s *simulator) buildOperator() {
@@ -108,9 +108,9 @@
 	}
 	c.acked, c.ackedAt = true, o.sim.now
 	o.moved, o.without = c.moved, c.without
-	o.sim.oracle.acknowledged("a configuration", c.sentAt)
+	o.sim.invariantChecker.acknowledged("a configuration", c.sentAt)
 	if c.rival != nil {
-		o.sim.oracle.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
+		o.sim.invariantChecker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
 			c.change.Version, c.rival.change.Version, c.change.Base)
 		if !c.rival.lost {
 			return // the other one has no answer yet
@@ -126,17 +126,17 @@
 func (o *operator) sendAgain(c *sentConfig) {
 	o.busy = true
 	o.order(c.change, func() {
-		o.sim.oracle.count(ConfigRule)
+		o.sim.invariantChecker.count(ConfigRule)
 		o.busy = false
 	}, func(err error) {
-		o.sim.oracle.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v", c.change.Version, err)
+		o.sim.invariantChecker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v", c.change.Version, err)
 	})
 }
 
 // refusedConfig takes in that a configuration was refused: only the loser of a race may be.
 func (o *operator) refusedConfig(c *sentConfig, err error) {
 	rival := c.rival
-	o.sim.oracle.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errorKind(err) == errs.Stale,
+	o.sim.invariantChecker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errorKind(err) == errs.Stale,
 		"version %d is refused: %v", c.change.Version, err)
 	c.lost = true
 	o.configs = slices.DeleteFunc(o.configs, func(other *sentConfig) bool { return other == c })
@@ -148,7 +148,7 @@
 // order sends a change until it is acknowledged or refused.
 func (o *operator) order(change any, acknowledged func(), refused func(error)) {
 	o.sim.clients.call(func(n *node, done func(any, error)) { n.change(change, done) }, func(_ any, err error) {
-		if o.sim.now < o.deafUntil && o.sim.chance(0.6) {
+		if o.sim.now < o.acknowledgementsLostUntil && o.sim.chance(0.6) {
 			o.sim.report.Seen["acknowledgement to the operator lost"]++
 			err = errs.New(errs.Timeout, "the answer is lost")
 		}
@@ -166,7 +166,9 @@
 }
 
 // neverRefused is for orders that are always valid.
-func (o *operator) neverRefused(err error) { o.sim.oracle.breach(ConfigRule, "order refused: %v", err) }
+func (o *operator) neverRefused(err error) {
+	o.sim.invariantChecker.breach(ConfigRule, "order refused: %v", err)
+}
 
 // race lets two operators send different changes on top of the same version at once.
 func (o *operator) race() bool {
@@ -203,8 +205,8 @@
 	}
 	c.change.Digest += " invalid: " + what
 	o.order(c.change, func() {
-		o.sim.oracle.breach(ConfigRule, "a configuration that %s is acknowledged", what)
-	}, func(error) { o.sim.oracle.count(ConfigRule) })
+		o.sim.invariantChecker.breach(ConfigRule, "a configuration that %s is acknowledged", what)
+	}, func(error) { o.sim.invariantChecker.count(ConfigRule) })
 }
 
 // change is controller.Leader.change.
@@ -255,8 +257,8 @@
 	sent := o.sim.now
 	o.order(jobs.Evacuate{Zone: e.zone, Start: true}, func() {
 		e.acked, e.ackedAt = true, o.sim.now
-		o.sim.oracle.count(EvacRule)
-		o.sim.oracle.acknowledged("an evacuation", sent)
+		o.sim.invariantChecker.count(EvacRule)
+		o.sim.invariantChecker.acknowledged("an evacuation", sent)
 	}, o.neverRefused)
 	o.sim.after(o.sim.between(6*time.Second, 12*time.Second), func() { o.finishEvacuation(e) })
 }
--- a/internal/testbed/jobssim/oracle.go
+++ b/internal/testbed/jobssim/oracle.go
@@ -14,31 +14,31 @@
 
 // The rules on jobs.
 const (
-	LimitRule   Rule = "LIMIT"
-	TwiceRule   Rule = "TWICE"
-	OrderRule   Rule = "ORDER"
-	RouteRule   Rule = "ROUTE"
-	BudgetRule  Rule = "BUDGET"
-	GangRule    Rule = "GANG"
-	UnaskedRule Rule = "UNASKED"
-	RefusedRule Rule = "REFUSED"
-	DrainRule   Rule = "DRAIN"
-	EvacRule    Rule = "EVAC"
-	MixedRule   Rule = "MIXED"
-	LostRule    Rule = "LOST"
-	ConfigRule  Rule = "CONFIG"
-	AckRule     Rule = "ACKS"
-	RecoverRule Rule = "RECOVER"
-	LastingRule Rule = "LASTING" // LOST, of tasks that last
-	NotedRule   Rule = "NOTED"   // ACKS, of the ends that workers list
-	ReplicaRule Rule = "REPLICA" // all nodes have the same table
-	EndRule     Rule = "END"     // every job ends within a bound once disruptions are over
+	LimitRule       Rule = "LIMIT"
+	TwiceRule       Rule = "TWICE"
+	OrderRule       Rule = "ORDER"
+	RouteRule       Rule = "ROUTE"
+	BudgetRule      Rule = "BUDGET"
+	GangRule        Rule = "GANG"
+	UnaskedRule     Rule = "UNASKED"
+	RefusedRule     Rule = "REFUSED"
+	DrainRule       Rule = "DRAIN"
+	EvacRule        Rule = "EVAC"
+	MixedRule       Rule = "MIXED"
+	LostRule        Rule = "LOST"
+	ConfigRule      Rule = "CONFIG"
+	AckRule         Rule = "ACKS"
+	RecoverRule     Rule = "RECOVER"
+	LongRunningRule Rule = "LASTING" // LOST, of tasks that last
+	NotedRule       Rule = "NOTED"   // ACKS, of the ends that workers list
+	ReplicaRule     Rule = "REPLICA" // all nodes have the same table
+	EndRule         Rule = "END"     // every job ends within a bound once disruptions are over
 )
 
 // Rules lists all rules.
 func Rules() []Rule {
 	return []Rule{LimitRule, TwiceRule, OrderRule, RouteRule, BudgetRule, GangRule, UnaskedRule, RefusedRule, DrainRule,
-		EvacRule, MixedRule, LostRule, ConfigRule, AckRule, RecoverRule, LastingRule, NotedRule, ReplicaRule, EndRule}
+		EvacRule, MixedRule, LostRule, ConfigRule, AckRule, RecoverRule, LongRunningRule, NotedRule, ReplicaRule, EndRule}
 }
 
 // Bounds of the rules.
@@ -55,25 +55,25 @@
 // endRecord is an end of a run as a worker listed it.
 type endRecord struct {
 	run    *liveRun
-	how    jobs.EndReason
+	reason jobs.EndReason
 	at     time.Duration
 	noted  bool       // it was acknowledged while the lease that it ended under was in force
 	voided bool       // the lease of its worker lapsed before it was acknowledged
 	starts []*liveRun // of the task after this end, before it was noted
 }
 
-// taskTruth is what became of a task, or of a gang.
-type taskTruth struct {
+// taskHistory is what became of a task, or of a gang.
+type taskHistory struct {
 	running     []*liveRun
 	done        []*endRecord
 	failed      []*endRecord
 	checkpoints map[string]bool
 }
 
-// jobTruth is what became of a job.
-type jobTruth struct {
+// jobHistory is what became of a job.
+type jobHistory struct {
 	job       *clientJob
-	tasks     map[jobs.TaskRef]*taskTruth
+	tasks     map[jobs.TaskRef]*taskHistory
 	running   int           // runs on workers
 	idleFrom  time.Duration // since when it is idle although it could run; 0: it is not
 	idleAll   time.Duration // the same without any excuse of the scheduler
@@ -81,61 +81,61 @@
 	succeeded bool          // it was shown as succeeded
 }
 
-// oracle judges what workers and clients saw.
-type oracle struct {
-	sim     *simulator
-	truth   map[string]*jobTruth
-	brought map[gangKey]string  // checkpoints by run of a gang
-	sentTo  map[gangKey][]*slot // where the members of a run of a gang were sent
-	lasting map[jobs.TaskRef]*lastingTask
-	lastAt  time.Duration // of the last start on a worker
-	lostAt  time.Duration // last start before the lead was lost; 0: none
-	newest  uint64        // term that was elected last
-	chosen  time.Duration // when
-	first   bool          // its first start has not come yet
+// invariantChecker judges what workers and clients saw.
+type invariantChecker struct {
+	sim         *simulator
+	histories   map[string]*jobHistory
+	brought     map[gangKey]string        // checkpoints by run of a gang
+	sentTo      map[gangKey][]*workerHost // where the members of a run of a gang were sent
+	longRunning map[jobs.TaskRef]*longRunningTask
+	lastAt      time.Duration // of the last start on a worker
+	lostAt      time.Duration // last start before the lead was lost; 0: none
+	newest      uint64        // term that was elected last
+	chosen      time.Duration // when
+	first       bool          // its first start has not come yet
 }
 
-func newOracle(s *simulator) *oracle {
-	return &oracle{sim: s, truth: map[string]*jobTruth{}, brought: map[gangKey]string{}, sentTo: map[gangKey][]*slot{},
-		lasting: map[jobs.TaskRef]*lastingTask{}}
+func newInvariantChecker(s *simulator) *invariantChecker {
+	return &invariantChecker{sim: s, histories: map[string]*jobHistory{}, brought: map[gangKey]string{}, sentTo: map[gangKey][]*workerHost{},
+		longRunning: map[jobs.TaskRef]*longRunningTask{}}
 }
 
-func (o *oracle) count(rule Rule) { o.sim.report.Cases[rule]++ }
+func (o *invariantChecker) count(rule Rule) { o.sim.report.Cases[rule]++ }
 
-func (o *oracle) breach(rule Rule, format string, args ...any) {
+func (o *invariantChecker) breach(rule Rule, format string, args ...any) {
 	b := Breach{Rule: rule, At: o.sim.now, What: fmt.Sprintf(format, args...)}
 	o.sim.trace("BREACH %s: %s", rule, b.What)
 	o.sim.report.Breaches = append(o.sim.report.Breaches, b)
 }
 
 // require counts a case of a rule and notes a breach if it does not hold.
-func (o *oracle) require(rule Rule, holds bool, format string, args ...any) {
+func (o *invariantChecker) require(rule Rule, pendingRenewals bool, format string, args ...any) {
 	o.count(rule)
-	if !holds {
+	if !pendingRenewals {
 		o.breach(rule, format, args...)
 	}
 }
 
-func (o *oracle) job(id string) *jobTruth {
-	j := o.truth[id]
+func (o *invariantChecker) job(id string) *jobHistory {
+	j := o.histories[id]
 	if j == nil {
-		j = &jobTruth{job: o.sim.clients.byID[id], tasks: map[jobs.TaskRef]*taskTruth{}}
-		o.truth[id] = j
+		j = &jobHistory{job: o.sim.clients.byID[id], tasks: map[jobs.TaskRef]*taskHistory{}}
+		o.histories[id] = j
 	}
 	return j
 }
 
-func (j *jobTruth) task(ref jobs.TaskRef) *taskTruth {
+func (j *jobHistory) task(ref jobs.TaskRef) *taskHistory {
 	t := j.tasks[ref]
 	if t == nil {
-		t = &taskTruth{checkpoints: map[string]bool{}}
+		t = &taskHistory{checkpoints: map[string]bool{}}
 		j.tasks[ref] = t
 	}
 	return t
 }
 
 // ending is the truth that counts for the end of a task: its own, or that of its gang's first member.
-func (j *jobTruth) ending(ref jobs.TaskRef) *taskTruth {
+func (j *jobHistory) ending(ref jobs.TaskRef) *taskHistory {
 	if j.job.spec.Steps[ref.Step].Gang {
 		ref.Index = 0
 	}
@@ -149,37 +149,37 @@
 }
 
 // unknownStart judges a start of a job that no client sent.
-func (o *oracle) unknownStart(order scheduler.StartOrder) {
+func (o *invariantChecker) unknownStart(order scheduler.StartOrder) {
 	o.breach(UnaskedRule, "start of %v, which no client sent", order.Key)
 }
 
 // started judges a start; the run is not among the worker's runs yet.
-func (o *oracle) started(r *liveRun, order scheduler.StartOrder) {
+func (o *invariantChecker) started(r *liveRun, order scheduler.StartOrder) {
 	o.sim.report.Starts++
 	o.sim.trace("start %s token %d late %v", r, order.Token, r.order.late)
 	j := o.job(r.key.Task.Job)
-	o.judgeRoom(r)
-	o.judgeTwice(j, r)
-	o.judgeOrder(j, r)
-	o.judgeRoute(r)
-	o.judgeBudget(j, r)
-	o.judgeAsked(j, r, order)
-	o.judgePlace(r)
+	o.judgeCapacity(r)
+	o.checkNoDuplicateRun(j, r)
+	o.checkStepOrder(j, r)
+	o.checkRoute(r)
+	o.checkAttemptBudget(j, r)
+	o.checkRequested(j, r, order)
+	o.checkPlacement(r)
 	o.failover(r, order.Token)
 	t := j.task(r.key.Task)
 	t.running = append(t.running, r)
 	j.running++
 }
 
-func (o *oracle) judgeRoom(r *liveRun) {
-	if r.on.slot.guards {
+func (o *invariantChecker) judgeCapacity(r *liveRun) {
+	if r.on.host.guards {
 		return
 	}
 	used := plus(r.on.used(), r.step.Needs)
-	o.require(LimitRule, within(used, r.on.slot.capacity), "%s: %+v of %+v in use", r, used, r.on.slot.capacity)
+	o.require(LimitRule, fits(used, r.on.host.capacity), "%s: %+v of %+v in use", r, used, r.on.host.capacity)
 }
 
-func (o *oracle) judgeTwice(j *jobTruth, r *liveRun) {
+func (o *invariantChecker) checkNoDuplicateRun(j *jobHistory, r *liveRun) {
 	t := j.task(r.key.Task)
 	if r.step.Speculative {
 		return
@@ -196,7 +196,7 @@
 	}
 }
 
-func (o *oracle) judgeOrder(j *jobTruth, r *liveRun) {
+func (o *invariantChecker) checkStepOrder(j *jobHistory, r *liveRun) {
 	ref := r.key.Task
 	for _, before := range r.step.After {
 		o.require(OrderRule, j.stepDone(ref.Round, before), "%s before step %d is done", r, before)
@@ -208,7 +208,7 @@
 }
 
 // stepDone tells whether every task of a step of a round has ended done.
-func (j *jobTruth) stepDone(round, step int) bool {
+func (j *jobHistory) stepDone(round, step int) bool {
 	for index := range j.job.spec.Steps[step].Count {
 		if len(j.ending(jobs.TaskRef{Job: j.job.spec.ID, Round: round, Step: step, Index: index}).done) == 0 {
 			return false
@@ -217,11 +217,11 @@
 	return true
 }
 
-func (o *oracle) judgeRoute(r *liveRun) {
+func (o *invariantChecker) checkRoute(r *liveRun) {
 	queue := queueOf(o.sim.clients.byID[r.spec.ID].prefix)
 	ever, now := false, false
 	for i, c := range o.sim.operator.configs {
-		directed := c.services[queue] == r.on.slot.service
+		directed := c.services[queue] == r.on.host.service
 		ever = ever || directed
 		over := false // a newer one was acknowledged long enough ago
 		for _, newer := range o.sim.operator.configs[i+1:] {
@@ -229,12 +229,12 @@
 		}
 		now = now || directed && !over
 	}
-	o.require(RouteRule, ever, "%s: no configuration directs %s to %s", r, queue, r.on.slot.service)
+	o.require(RouteRule, ever, "%s: no configuration directs %s to %s", r, queue, r.on.host.service)
 	if !r.order.late && r.order.inTouch {
-		o.require(ConfigRule, now, "%s: no configuration in force directs %s to %s", r, queue, r.on.slot.service)
+		o.require(ConfigRule, now, "%s: no configuration in force directs %s to %s", r, queue, r.on.host.service)
 	}
 	if r.step.Label != "" {
-		o.require(RouteRule, slices.Contains(r.on.slot.labels, r.step.Label), "%s: no label %s", r, r.step.Label)
+		o.require(RouteRule, slices.Contains(r.on.host.labels, r.step.Label), "%s: no label %s", r, r.step.Label)
 	}
 	if r.step.MaxPerWorker > 0 {
 		beside := 1
@@ -249,7 +249,7 @@
 
 func queueOf(prefix string) string { return prefix[1 : len(prefix)-1] }
 
-func (o *oracle) judgeBudget(j *jobTruth, r *liveRun) {
+func (o *invariantChecker) checkAttemptBudget(j *jobHistory, r *liveRun) {
 	if r.step.LongRunning {
 		return
 	}
@@ -263,14 +263,14 @@
 	o.require(BudgetRule, noted < maxAttempts, "%s after %d runs that failed", r, noted)
 }
 
-func (o *oracle) judgeAsked(j *jobTruth, r *liveRun, order scheduler.StartOrder) {
+func (o *invariantChecker) checkRequested(j *jobHistory, r *liveRun, order scheduler.StartOrder) {
 	c := j.job
 	o.require(UnaskedRule, order.Payload == c.spec.Payload, "%s with another payload: %q", r, order.Payload)
 	if order.Checkpoint != "" {
 		o.require(UnaskedRule, j.ending(r.key.Task).checkpoints[order.Checkpoint], "%s with checkpoint %q, which is not the task's", r, order.Checkpoint)
 	}
 	if r.step.Gang {
-		o.judgeGangCheckpoint(r, order.Checkpoint)
+		o.checkGangCheckpoint(r, order.Checkpoint)
 	}
 	o.require(RefusedRule, !c.rejected, "%s although its job was refused", r)
 	if c.cancelled && r.order.inTouch && !r.order.late {
@@ -278,8 +278,8 @@
 	}
 }
 
-// judgeGangCheckpoint judges that all members of one run of a gang bring the same checkpoint.
-func (o *oracle) judgeGangCheckpoint(r *liveRun, checkpoint string) {
+// checkGangCheckpoint judges that all members of one run of a gang bring the same checkpoint.
+func (o *invariantChecker) checkGangCheckpoint(r *liveRun, checkpoint string) {
 	key := r.gangKey()
 	first, known := o.brought[key]
 	if !known {
@@ -289,16 +289,16 @@
 	o.require(UnaskedRule, first == checkpoint, "%s with checkpoint %q, another member brought %q", r, checkpoint, first)
 }
 
-// judgePlace judges starts on workers that drain or have deregistered, and in zones that are evacuated.
-func (o *oracle) judgePlace(r *liveRun) {
+// checkPlacement judges starts on workers that drain or have deregistered, and in zones that are evacuated.
+func (o *invariantChecker) checkPlacement(r *liveRun) {
 	if r.order.late || !r.order.inTouch {
 		return
 	}
-	if told := r.on.drainTold; told != 0 {
-		o.require(DrainRule, o.sim.now <= told+drainTimeout, "%s %s after its leaving was acknowledged", r, o.sim.now-told)
+	if done := r.on.drainAcknowledgedAt; done != 0 {
+		o.require(DrainRule, o.sim.now <= done+drainTimeout, "%s %s after its leaving was acknowledged", r, o.sim.now-done)
 	}
 	for _, e := range o.sim.operator.evacuations {
-		if e.zone == r.on.slot.zone && e.acked && !e.finished {
+		if e.zone == r.on.host.zone && e.acked && !e.finished {
 			o.require(EvacRule, o.sim.now <= e.ackedAt+evacuationTime, "%s %s after the evacuation of %s", r, o.sim.now-e.ackedAt, e.zone)
 		}
 	}
@@ -306,53 +306,53 @@
 
 // sent takes in that a start order leaves. One to a worker that is disrupted may be in doubt until the lease there is
 // over: nothing else proves that it was not carried out.
-func (o *oracle) sent(start scheduler.StartAction) {
-	sl := o.sim.slotOf(start.Worker.Address)
+func (o *invariantChecker) sent(start scheduler.StartAction) {
+	host := o.sim.hostAt(start.Worker.Address)
 	ref, spec := start.Order.Key.Task, o.sim.clients.spec(start.Order.Key.Task.Job)
 	if spec != nil && spec.Steps[ref.Step].Gang {
 		key := gangKey{ref.Job, ref.Round, ref.Step, start.Order.Key.Number}
-		o.sentTo[key] = append(o.sentTo[key], sl)
+		o.sentTo[key] = append(o.sentTo[key], host)
 	}
-	if o.sim.now < sl.troubled || sl.current == nil || sl.current.id != start.Worker.ID {
-		o.doubt(o.job(start.Order.Key.Task.Job))
+	if o.sim.now < host.disruptedAt || host.current == nil || host.current.id != start.Worker.ID {
+		o.expectUnconfirmed(o.job(start.Order.Key.Task.Job))
 	}
 }
 
-// doubt excuses a job from running for as long as a run of it may be in doubt.
-func (o *oracle) doubt(j *jobTruth) {
+// expectUnconfirmed excuses a job from running for as long as a run of it may be in doubt.
+func (o *invariantChecker) expectUnconfirmed(j *jobHistory) {
 	j.disturbed = max(j.disturbed, o.sim.now+o.sim.schedulerConfig().Lease+2*contactTimeout)
 }
 
 // ended takes in the end of a run.
-func (o *oracle) ended(r *liveRun, how jobs.EndReason) *endRecord {
-	o.sim.trace("end %s %s", r, how)
+func (o *invariantChecker) ended(r *liveRun, reason jobs.EndReason) *endRecord {
+	o.sim.trace("end %s %s", r, reason)
 	j := o.job(r.key.Task.Job)
 	o.leave(j, r)
-	if o.sim.now < r.on.slot.troubled {
-		o.doubt(j)
+	if o.sim.now < r.on.host.disruptedAt {
+		o.expectUnconfirmed(j)
 	}
-	o.sim.report.Seen["end: "+string(how)]++
-	if how == jobs.EndStopped && !j.job.cancelSent && !j.spent() {
+	o.sim.report.Seen["end: "+string(reason)]++
+	if reason == jobs.EndStopped && !j.job.cancelSent && !j.attemptsExhausted() {
 		o.sim.report.Seen["stopped for other work"]++
 	}
-	e := &endRecord{run: r, how: how, at: o.sim.now}
+	e := &endRecord{run: r, reason: reason, at: o.sim.now}
 	o.listed(r.on, e)
 	t := j.ending(r.key.Task)
-	switch how {
+	switch reason {
 	case jobs.EndDone:
 		t.done = append(t.done, e)
 	case jobs.EndFailed:
 		t.failed = append(t.failed, e)
 	case jobs.EndGangTimeout:
-		o.judgeAlone(j, r)
+		o.checkGangStart(j, r)
 	case jobs.EndLeaseExpired:
 		j.disturbed = max(j.disturbed, o.sim.now+contactTimeout)
 	}
 	return e
 }
 
-// judgeAlone judges a member of a gang that waited in vain.
-func (o *oracle) judgeAlone(j *jobTruth, r *liveRun) {
+// checkGangStart judges a member of a gang that waited in vain.
+func (o *invariantChecker) checkGangStart(j *jobHistory, r *liveRun) {
 	if o.calmGang(r) && !j.job.cancelSent {
 		o.breach(GangRule, "%s ended alone", r)
 	}
@@ -360,12 +360,12 @@
 
 // calmGang tells whether no disruption is near a run of a gang: neither of the core nor of a worker that a member was
 // sent to.
-func (o *oracle) calmGang(r *liveRun) bool {
+func (o *invariantChecker) calmGang(r *liveRun) bool {
 	if !r.order.inTouch || r.order.late || !o.sim.inTouch() {
 		return false
 	}
-	for _, sl := range o.sentTo[r.gangKey()] {
-		if r.began < sl.troubled+contactTimeout || sl.current == nil {
+	for _, host := range o.sentTo[r.gangKey()] {
+		if r.began < host.disruptedAt+contactTimeout || host.current == nil {
 			return false
 		}
 	}
@@ -373,7 +373,7 @@
 }
 
 // leave takes a run out of those that run.
-func (o *oracle) leave(j *jobTruth, r *liveRun) {
+func (o *invariantChecker) leave(j *jobHistory, r *liveRun) {
 	t := j.task(r.key.Task)
 	before := len(t.running)
 	t.running = slices.DeleteFunc(t.running, func(other *liveRun) bool { return other == r })
@@ -386,21 +386,21 @@
 }
 
 // gone takes in that a run has vanished with its worker.
-func (o *oracle) gone(r *liveRun) {
+func (o *invariantChecker) gone(r *liveRun) {
 	j := o.job(r.key.Task.Job)
 	o.leave(j, r)
-	o.doubt(j)
+	o.expectUnconfirmed(j)
 }
 
 // died takes in that a worker has vanished, or is disrupted, with ends that were not acknowledged.
-func (o *oracle) died(w *life) {
+func (o *invariantChecker) died(w *workerIncarnation) {
 	for _, e := range w.notes {
-		o.doubt(o.job(e.run.key.Task.Job))
+		o.expectUnconfirmed(o.job(e.run.key.Task.Job))
 	}
 }
 
 // lapsed takes in that the lease of a worker is over.
-func (o *oracle) lapsed(w *life) {
+func (o *invariantChecker) lapsed(w *workerIncarnation) {
 	o.sim.trace("lease of %s is over", w.id)
 	for _, e := range w.notes {
 		e.voided = true
@@ -408,15 +408,15 @@
 }
 
 // noted takes in that an end is acknowledged.
-func (o *oracle) noted(e *endRecord) {
+func (o *invariantChecker) noted(e *endRecord) {
 	if e == nil || e.voided {
 		return
 	}
 	e.noted = true
-	o.sim.trace("noted %s %s", e.run, e.how)
+	o.sim.trace("noted %s %s", e.run, e.reason)
 	j := o.job(e.run.key.Task.Job)
 	for _, r := range e.starts {
-		if e.how == jobs.EndDone {
+		if e.reason == jobs.EndDone {
 			o.breach(TwiceRule, "%s began after %s ended done, which was acknowledged later", r, e.run)
 		} else if noted := j.failedBefore(r); noted >= maxAttempts {
 			o.breach(BudgetRule, "%s began after %d runs that failed, the last acknowledged later", r, noted)
@@ -426,7 +426,7 @@
 }
 
 // failedBefore counts the noted failures of a run's task before it began.
-func (j *jobTruth) failedBefore(r *liveRun) int {
+func (j *jobHistory) failedBefore(r *liveRun) int {
 	count := 0
 	for _, f := range j.ending(r.key.Task).failed {
 		if f.noted && f.at <= r.began && !r.step.LongRunning {
@@ -437,25 +437,25 @@
 }
 
 // savedAs notes a checkpoint that a worker told.
-func (o *oracle) savedAs(r *liveRun, text string) {
+func (o *invariantChecker) savedAs(r *liveRun, text string) {
 	o.job(r.key.Task.Job).ending(r.key.Task).checkpoints[text] = true
 }
 
 // elected and failover measure the time from the last start of a leader to the first of the next one.
-func (o *oracle) elected(term uint64) {
+func (o *invariantChecker) elected(term uint64) {
 	o.lostAt = o.lastAt
 	if o.first {
 		o.lostAt = 0 // the leader before was lost before it started anything: two losses in one
 	}
 	o.newest, o.chosen, o.first = term, o.sim.now, true
-	for _, j := range o.truth {
+	for _, j := range o.histories {
 		if j.disturbed > o.sim.now-2*contactTimeout { // the doubt begins anew for a leader that did not see how it came
-			o.doubt(j)
+			o.expectUnconfirmed(j)
 		}
 	}
 }
 
-func (o *oracle) failover(r *liveRun, token uint64) {
+func (o *invariantChecker) failover(r *liveRun, token uint64) {
 	if r.order.late {
 		return
 	}
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -21,8 +21,8 @@
 	for _, stop := range out.Stops {
 		n.do(n.dispatch(), func() { n.stop(term, stop) })
 	}
-	for _, hold := range out.Renewals {
-		n.do(n.dispatch(), func() { n.hold(term, hold) })
+	for _, renewal := range out.Renewals {
+		n.do(n.dispatch(), func() { n.renewLease(term, renewal) })
 	}
 }
 
@@ -43,7 +43,7 @@
 		for _, e := range progress.Ends {
 			n.sim.trace("%s commits end of %v on %s: %s (error %v)", n.name, e.Key, e.Worker, e.Reason, err)
 		}
-		n.tell(func(c *scheduler.Core, now time.Duration) { c.Committed(now, progress, started, err) })
+		n.deliver(func(c *scheduler.Core, now time.Duration) { c.Committed(now, progress, started, err) })
 	})
 }
 
@@ -51,26 +51,26 @@
 	id, key := start.Worker.ID, start.Order.Key
 	answered := func(answer scheduler.StartAnswer, failure scheduler.StartError) {
 		if failure == scheduler.StartUnknown {
-			failure = n.doubted(term, start)
+			failure = n.startOutcome(term, start)
 		}
-		n.tell(func(c *scheduler.Core, now time.Duration) { c.StartAnswered(now, id, key, answer, failure) })
+		n.deliver(func(c *scheduler.Core, now time.Duration) { c.StartAnswered(now, id, key, answer, failure) })
 	}
 	if !n.leads(term) {
 		answered(scheduler.StartAnswer{}, scheduler.StartUnsent)
 		return
 	}
-	if n.sim.findsNoRoom() {
-		n.shortStart(answered)
+	if n.sim.startFindsNoConnection() {
+		n.failStart(answered)
 		return
 	}
-	n.sim.oracle.sent(start)
+	n.sim.invariantChecker.sent(start)
 	order := order{from: n, sent: n.sim.now, inTouch: n.sim.inTouch()}
-	n.sim.exchange(n, start.Worker, callTimeout, func(w *life, late bool, reply func(any)) {
+	n.sim.exchange(n, start.Worker, callTimeout, func(w *workerIncarnation, late bool, reply func(any)) {
 		order.late = late
 		reply(w.start(order, start.Order))
 	}, func(answer any, failure failure) {
-		told, _ := answer.(scheduler.StartAnswer)
-		answered(told, startError(failure))
+		done, _ := answer.(scheduler.StartAnswer)
+		answered(done, startError(failure))
 	})
 }
 
@@ -78,7 +78,7 @@
 	switch f {
 	case answered:
 		return scheduler.StartOK
-	case otherLife:
+	case otherIncarnation:
 		return scheduler.StartOtherIncarnation
 	case unsent:
 		return scheduler.StartUnsent
@@ -88,68 +88,68 @@
 
 func (n *node) stop(term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
-	told := func(failure scheduler.StopError) {
-		n.tell(func(c *scheduler.Core, now time.Duration) { c.StopAnswered(now, id, key, failure) })
+	done := func(failure scheduler.StopError) {
+		n.deliver(func(c *scheduler.Core, now time.Duration) { c.StopAnswered(now, id, key, failure) })
 	}
 	if !n.leads(term) {
-		told(scheduler.StopFailed)
+		done(scheduler.StopFailed)
 		return
 	}
-	if n.sim.urgentFindsNoRoom() {
-		n.shortStop(told)
+	if n.sim.urgentFindsNoConnection() {
+		n.failStop(done)
 		return
 	}
-	n.sim.exchange(n, stop.Worker, callTimeout, func(w *life, _ bool, reply func(any)) {
+	n.sim.exchange(n, stop.Worker, callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
 		reply(w.stop(stop.Order))
 	}, func(answer any, f failure) {
 		if taken, _ := answer.(bool); f != answered || !taken {
-			told(scheduler.StopFailed)
+			done(scheduler.StopFailed)
 			return
 		}
-		told(scheduler.StopOK)
+		done(scheduler.StopOK)
 	})
 }
 
-// holdReply is a worker's answer to a hold call.
-type holdReply struct {
+// leaseReply is a worker's answer to a hold call.
+type leaseReply struct {
 	answer scheduler.RenewalAnswer
 	fenced bool
 }
 
-func (n *node) hold(term uint64, hold scheduler.RenewalAction) {
-	id, number, call := hold.Worker.ID, hold.Number, hold.Call
+func (n *node) renewLease(term uint64, renewal scheduler.RenewalAction) {
+	id, number, call := renewal.Worker.ID, renewal.Number, renewal.Call
 	n.sim.trace("hold %d to %s wait %s", number, id, call.Wait)
-	told := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalError) {
+	done := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalError) {
 		n.sim.trace("hold %d to %s answered: %d running, %d ended, failure %d", number, id, len(answer.Running), len(answer.Ended), failure)
 		for _, e := range answer.Ended {
 			n.ends[id] = max(n.ends[id], e.Sequence)
 		}
-		n.tell(func(c *scheduler.Core, now time.Duration) { c.RenewalAnswered(now, id, number, answer, failure) })
+		n.deliver(func(c *scheduler.Core, now time.Duration) { c.RenewalAnswered(now, id, number, answer, failure) })
 	}
 	if !n.leads(term) {
-		told(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
+		done(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
 		return
 	}
-	if n.sim.urgentFindsNoRoom() {
-		n.shortHold(told)
+	if n.sim.urgentFindsNoConnection() {
+		n.failLeaseRenewal(done)
 		return
 	}
 	if n.sim.opt.Break == EarlyAcknowledgement {
 		call.AcknowledgedUpTo = max(call.AcknowledgedUpTo, n.ends[id])
 	}
-	n.sim.exchange(n, hold.Worker, call.Wait+callTimeout, func(w *life, _ bool, reply func(any)) {
-		w.hold(call, func(r holdReply) { reply(r) })
+	n.sim.exchange(n, renewal.Worker, call.Wait+callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
+		w.renewLease(call, func(r leaseReply) { reply(r) })
 	}, func(answer any, f failure) {
-		r, _ := answer.(holdReply)
+		r, _ := answer.(leaseReply)
 		switch {
-		case f == otherLife:
-			told(scheduler.RenewalAnswer{}, scheduler.RenewalOtherIncarnation)
+		case f == otherIncarnation:
+			done(scheduler.RenewalAnswer{}, scheduler.RenewalOtherIncarnation)
 		case f != answered:
-			told(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
+			done(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
 		case r.fenced:
-			told(scheduler.RenewalAnswer{}, scheduler.RenewalFenced)
+			done(scheduler.RenewalAnswer{}, scheduler.RenewalFenced)
 		default:
-			told(r.answer, scheduler.RenewalOK)
+			done(r.answer, scheduler.RenewalOK)
 		}
 	})
 }
--- a/internal/testbed/jobssim/promises.go
+++ b/internal/testbed/jobssim/promises.go
@@ -8,17 +8,17 @@
 )
 
 // accepted takes in that a job was accepted.
-func (o *oracle) accepted(j *clientJob) { o.job(j.spec.ID) }
+func (o *invariantChecker) accepted(j *clientJob) { o.job(j.spec.ID) }
 
 // rejected takes in that every attempt to hand a job in was rejected.
-func (o *oracle) rejected(j *clientJob) {
+func (o *invariantChecker) rejected(j *clientJob) {
 	t := o.job(j.spec.ID)
 	started := t.running > 0 || len(t.tasks) > 0
 	o.require(RefusedRule, !started, "job %s was refused and has started", j.spec.ID)
 }
 
-// shown judges what a client is told of its job.
-func (o *oracle) shown(c *clientJob, a jobAnswer) {
+// lastShown judges what a client is told of its job.
+func (o *invariantChecker) shown(c *clientJob, a jobAnswer) {
 	j := o.job(c.spec.ID)
 	if a.gone {
 		if c.accepted && !c.cancelSent {
@@ -31,13 +31,13 @@
 		o.require(MixedRule, j.allDone(), "job %s is shown as succeeded and is not done", c.spec.ID)
 		j.succeeded = true
 	case jobs.Failed:
-		o.require(LostRule, j.spent(), "job %s is shown as failed without cause", c.spec.ID)
+		o.require(LostRule, j.attemptsExhausted(), "job %s is shown as failed without cause", c.spec.ID)
 	case jobs.Cancelled:
 		o.require(LostRule, c.cancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
 	default:
 		o.count(LostRule)
-		if c.shown.IsTerminal() {
-			o.breach(LostRule, "job %s is shown as %s after %s", c.spec.ID, a.state, c.shown)
+		if c.lastShown.IsTerminal() {
+			o.breach(LostRule, "job %s is shown as %s after %s", c.spec.ID, a.state, c.lastShown)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 func rounds(spec *jobs.Spec) int { return max(1, spec.Rounds) }
 
 // allDone tells whether every task has ended done.
-func (j *jobTruth) allDone() bool {
+func (j *jobHistory) allDone() bool {
 	for round := range rounds(&j.job.spec) {
 		for step := range j.job.spec.Steps {
 			if !j.stepDone(round, step) {
@@ -57,8 +57,8 @@
 	return true
 }
 
-// spent tells whether a task has failed as often as it may.
-func (j *jobTruth) spent() bool {
+// attemptsExhausted tells whether a task has failed as often as it may.
+func (j *jobHistory) attemptsExhausted() bool {
 	for ref, t := range j.tasks {
 		if !j.job.spec.Steps[ref.Step].LongRunning && len(t.failed) >= maxAttempts {
 			return true
@@ -68,17 +68,17 @@
 }
 
 // cancelled takes in that a job's cancelling was acknowledged.
-func (o *oracle) cancelled(c *clientJob) {
+func (o *invariantChecker) cancelled(c *clientJob) {
 	since := o.sim.now
 	o.sim.after(cancelTime+stopMost, func() {
 		if !o.sim.calmSince(since) {
 			return
 		}
-		for _, sl := range o.sim.slots {
-			if sl.current == nil {
+		for _, host := range o.sim.hosts {
+			if host.current == nil {
 				continue
 			}
-			for _, r := range sl.current.runs {
+			for _, r := range host.current.runs {
 				if r.spec.ID == c.spec.ID {
 					o.breach(UnaskedRule, "%s runs on after its cancelling", r)
 				}
@@ -89,7 +89,7 @@
 }
 
 // acknowledged judges how long an order waited for its acknowledgement in the newest stretch in which the core was stable.
-func (o *oracle) acknowledged(what string, sent time.Duration) {
+func (o *invariantChecker) acknowledged(what string, sent time.Duration) {
 	stable := max(sent, o.sim.quiet.core+contactTimeout)
 	o.require(AckRule, o.sim.now-stable <= ackTime, "%s waited %s for its acknowledgement, the core being stable", what, o.sim.now-stable)
 }
@@ -99,8 +99,8 @@
 	idleCheck = 250 * time.Millisecond
 )
 
-// watch looks for idle jobs again and again.
-func (o *oracle) watch() {
+// onTableChange looks for idle jobs again and again.
+func (o *invariantChecker) watch() {
 	o.sim.after(idleCheck, func() {
 		o.findIdle()
 		o.findDetached()
@@ -109,9 +109,9 @@
 }
 
 // findIdle finds jobs that could run and do not.
-func (o *oracle) findIdle() {
+func (o *invariantChecker) findIdle() {
 	for _, c := range o.sim.clients.jobs {
-		if !c.accepted || c.shown.IsTerminal() || c.cancelSent {
+		if !c.accepted || c.lastShown.IsTerminal() || c.cancelSent {
 			continue
 		}
 		j := o.job(c.spec.ID)
@@ -119,7 +119,7 @@
 			j.idleFrom, j.idleAll = 0, 0
 			continue
 		}
-		o.noteSpell(j)
+		o.recordIdlePeriod(j)
 		if o.sim.now < j.disturbed {
 			j.idleFrom = 0
 			continue
@@ -136,35 +136,35 @@
 	}
 }
 
-// noteSpell keeps account of how long a job is idle, whatever the cause.
-func (o *oracle) noteSpell(j *jobTruth) {
+// recordIdlePeriod keeps account of how long a job is idle, whatever the cause.
+func (o *invariantChecker) recordIdlePeriod(j *jobHistory) {
 	if j.idleAll == 0 {
 		j.idleAll = o.sim.now
 	}
-	spell := o.sim.now - j.idleAll
-	if spell > idleMost && spell <= idleMost+idleCheck {
-		o.sim.report.IdleSpells++
-		o.sim.trace("job %s has been idle for %s", j.job.spec.ID, spell)
+	disruptionPeriod := o.sim.now - j.idleAll
+	if disruptionPeriod > idleMost && disruptionPeriod <= idleMost+idleCheck {
+		o.sim.report.IdlePeriods++
+		o.sim.trace("job %s has been idle for %s", j.job.spec.ID, disruptionPeriod)
 	}
-	o.sim.report.LongestIdle = max(o.sim.report.LongestIdle, spell)
+	o.sim.report.LongestIdle = max(o.sim.report.LongestIdle, disruptionPeriod)
 }
 
 // describe lists the workers of the service of a queue.
-func (o *oracle) describe(queue string) string {
+func (o *invariantChecker) describe(queue string) string {
 	configs := o.sim.operator.configs
 	service := configs[len(configs)-1].services[queue]
 	text := service
-	for _, sl := range o.sim.slots {
-		if sl.service == service && sl.current != nil {
-			text += fmt.Sprintf(" %s(sound %v, used %v)", sl.current.id, o.sound(sl), sl.current.used())
+	for _, host := range o.sim.hosts {
+		if host.service == service && host.current != nil {
+			text += fmt.Sprintf(" %s(sound %v, used %v)", host.current.id, o.isHealthy(host), host.current.used())
 		}
 	}
 	return text
 }
 
 // couldRun tells whether nothing of a job runs although a task's turn has come and there is room twice over.
-func (o *oracle) couldRun(j *jobTruth) bool {
-	if j.running > 0 || !o.sim.inTouch() || j.spent() {
+func (o *invariantChecker) couldRun(j *jobHistory) bool {
+	if j.running > 0 || !o.sim.inTouch() || j.attemptsExhausted() {
 		return false
 	}
 	service := o.serviceOf(j)
@@ -177,7 +177,7 @@
 			continue
 		}
 		for number := range spec.Steps {
-			if o.turnHasCome(j, round, number) && o.roomTwice(&spec.Steps[number], service) {
+			if o.turnHasCome(j, round, number) && o.hasCapacityTwice(&spec.Steps[number], service) {
 				return true
 			}
 		}
@@ -187,7 +187,7 @@
 
 // serviceOf is the service to which the newest configuration directs a job; empty if none, or if that one need not be in
 // force yet.
-func (o *oracle) serviceOf(j *jobTruth) string {
+func (o *invariantChecker) serviceOf(j *jobHistory) string {
 	configs := o.sim.operator.configs
 	newest := configs[len(configs)-1]
 	if !newest.acked || o.sim.now < newest.ackedAt+configApply {
@@ -197,7 +197,7 @@
 }
 
 // turnHasCome tells whether a task of a step of a round is not done, and all steps before are.
-func (o *oracle) turnHasCome(j *jobTruth, round, number int) bool {
+func (o *invariantChecker) turnHasCome(j *jobHistory, round, number int) bool {
 	if j.stepDone(round, number) {
 		return false
 	}
@@ -209,28 +209,28 @@
 	return true
 }
 
-// roomTwice tells whether sound workers of a service have room for a task, or a gang, twice over, and whether under
+// hasCapacityTwice tells whether sound workers of a service have room for a task, or a gang, twice over, and whether under
 // half of what these workers have is in use.
-func (o *oracle) roomTwice(step *jobs.Step, service string) bool {
+func (o *invariantChecker) hasCapacityTwice(step *jobs.Step, service string) bool {
 	wanted, could := 2, 0
 	if step.Gang {
 		wanted = 2 * step.Count
 	}
 	var capacity, used jobs.Resources
-	for _, sl := range o.sim.slots {
-		w := sl.current
-		if sl.service != service || w == nil {
+	for _, host := range o.sim.hosts {
+		w := host.current
+		if host.service != service || w == nil {
 			continue
 		}
-		if !o.sound(sl) {
+		if !o.isHealthy(host) {
 			continue
 		}
-		capacity, used = plus(capacity, sl.capacity), plus(used, w.used())
-		if step.Label != "" && !labelled(sl, step.Label) {
+		capacity, used = plus(capacity, host.capacity), plus(used, w.used())
+		if step.Label != "" && !labelled(host, step.Label) {
 			continue
 		}
 		here, free := 0, plus(w.used(), step.Needs)
-		for within(free, sl.capacity) && (step.MaxPerWorker == 0 || here < step.MaxPerWorker) && here < wanted {
+		for fits(free, host.capacity) && (step.MaxPerWorker == 0 || here < step.MaxPerWorker) && here < wanted {
 			here++
 			free = plus(free, step.Needs)
 		}
@@ -239,22 +239,22 @@
 	return could >= wanted && 2*used.MilliCPU < capacity.MilliCPU && 2*used.MemoryMB < capacity.MemoryMB && 2*used.GPUs <= capacity.GPUs
 }
 
-// sound tells whether a worker could be given starts by any scheduler.
-func (o *oracle) sound(sl *slot) bool {
-	w := sl.current
-	if w.draining || w.leaving || w.refuses || w.failing > 0 || w.grey || w.hungSince > 0 || sl.cut || len(sl.cutFrom) > 0 || o.sim.now < sl.troubled || o.sim.now-w.born < contactTimeout {
+// isHealthy tells whether a worker could be given starts by any scheduler.
+func (o *invariantChecker) isHealthy(host *workerHost) bool {
+	w := host.current
+	if w.draining || w.leaving || w.refuses || w.failing > 0 || w.failsAll || w.stalledSince > 0 || host.cut || len(host.cutFrom) > 0 || o.sim.now < host.disruptedAt || o.sim.now-w.startedAt < contactTimeout {
 		return false
 	}
 	for _, e := range o.sim.operator.evacuations {
-		if e.zone == sl.zone && !(e.finished && o.sim.now > e.ackedAt+evacuationTime+contactTimeout) {
+		if e.zone == host.zone && !(e.finished && o.sim.now > e.ackedAt+evacuationTime+contactTimeout) {
 			return false
 		}
 	}
 	return true
 }
 
-func labelled(sl *slot, label string) bool {
-	for _, l := range sl.labels {
+func labelled(host *workerHost, label string) bool {
+	for _, l := range host.labels {
 		if l == label {
 			return true
 		}
@@ -263,12 +263,12 @@
 }
 
 // finish judges what is left when a run is over.
-func (o *oracle) finish() {
+func (o *invariantChecker) finish() {
 	for _, c := range o.sim.clients.jobs {
 		if !c.accepted {
 			continue
 		}
-		o.require(EndRule, c.shown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID, c.shown)
+		o.require(EndRule, c.lastShown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID, c.lastShown)
 	}
 	o.recovered()
 	o.finishConfig()
@@ -276,7 +276,7 @@
 }
 
 // recovered judges the jobs that were handed in after the final fault, when the machines had been back for long enough.
-func (o *oracle) recovered() {
+func (o *invariantChecker) recovered() {
 	served, all := 0, 0
 	for _, c := range o.sim.clients.jobs {
 		if c.afterFault {
@@ -292,7 +292,7 @@
 }
 
 // finishConfig holds what is in force at the end against what was acknowledged.
-func (o *oracle) finishConfig() {
+func (o *invariantChecker) finishConfig() {
 	n := o.sim.log.leader
 	if n == nil {
 		o.breach(EndRule, "there is no leader at the end")
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -26,7 +26,7 @@
 	order    order
 	spec     *jobs.Spec
 	step     *jobs.Step
-	on       *life
+	on       *workerIncarnation
 	began    time.Duration
 	work     time.Duration // what is left to do here, checkpoint counted in
 	saved    time.Duration // work done before, by its checkpoint
@@ -38,16 +38,16 @@
 }
 
 // begin starts a run.
-func (w *life) begin(from order, o scheduler.StartOrder, spec *jobs.Spec, step *jobs.Step) {
-	s := w.slot.sim
+func (w *workerIncarnation) begin(from order, o scheduler.StartOrder, spec *jobs.Spec, step *jobs.Step) {
+	s := w.host.sim
 	r := &liveRun{key: o.Key, order: from, spec: spec, step: step, on: w, began: s.now, workedAt: -1}
-	s.oracle.started(r, o)
+	s.invariantChecker.started(r, o)
 	w.runs = append(w.runs, r)
 	r.saved = checkpointWork(o.Checkpoint)
 	whole := workOf(spec, o.Key.Task)
-	r.fails = w.grey || s.chance(w.failing) || failsItself(spec, o.Key)
-	factor := w.slot.speed * w.slow
-	if step.PreferredRack != "" && !slices.Contains(w.slot.labels, step.PreferredRack) {
+	r.fails = w.failsAll || s.chance(w.failing) || failsItself(spec, o.Key)
+	factor := w.host.speed * w.slow
+	if step.PreferredRack != "" && !slices.Contains(w.host.labels, step.PreferredRack) {
 		factor *= spreadFactor
 	}
 	r.factor = factor
@@ -55,7 +55,7 @@
 	if o.Checkpoint != "" {
 		r.work += restoreTime
 	}
-	if w.grey {
+	if w.failsAll {
 		r.work = min(r.work, 50*time.Millisecond)
 	}
 	if step.LongRunning {
@@ -76,7 +76,7 @@
 
 // expect looks again when the work may be done.
 func (r *liveRun) expect(d time.Duration) {
-	r.on.slot.sim.after(d, func() {
+	r.on.host.sim.after(d, func() {
 		if !r.on.present(r) || r.stopping {
 			return
 		}
@@ -92,42 +92,42 @@
 	})
 }
 
-func (w *life) present(r *liveRun) bool { return w.up() && slices.Contains(w.runs, r) }
+func (w *workerIncarnation) present(r *liveRun) bool { return w.up() && slices.Contains(w.runs, r) }
 
 // finish ends a run that is here and lists its end.
-func (w *life) finish(r *liveRun, how jobs.EndReason) {
+func (w *workerIncarnation) finish(r *liveRun, reason jobs.EndReason) {
 	if !w.present(r) {
 		return
 	}
 	checkpoint := r.checkpoint()
-	if how == jobs.EndStopped && r.step.Checkpoints {
+	if reason == jobs.EndStopped && r.step.Checkpoints {
 		checkpoint = r.saveNow()
 	}
-	w.listEnd(r, how, checkpoint)
+	w.listEnd(r, reason, checkpoint)
 	if r.gang != nil {
-		r.gang.left(r, how)
+		r.gang.left(r, reason)
 	}
 }
 
 // listEnd takes a run out and lists its end, the rest of its gang apart.
-func (w *life) listEnd(r *liveRun, how jobs.EndReason, checkpoint string) {
+func (w *workerIncarnation) listEnd(r *liveRun, reason jobs.EndReason, checkpoint string) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	w.last++
 	w.floor[r.key.Task] = max(w.floor[r.key.Task], r.key.Number)
-	if how == jobs.EndDone {
+	if reason == jobs.EndDone {
 		checkpoint = ""
 	}
-	w.ends = append(w.ends, scheduler.EndedRun{Sequence: w.last, Key: r.key, Reason: how, Checkpoint: checkpoint})
-	w.notes[w.last] = w.slot.sim.oracle.ended(r, how)
-	holds := w.holds
-	w.holds = nil
-	for _, h := range holds {
+	w.ends = append(w.ends, scheduler.EndedRun{Sequence: w.last, Key: r.key, Reason: reason, Checkpoint: checkpoint})
+	w.notes[w.last] = w.host.sim.invariantChecker.ended(r, reason)
+	pendingRenewals := w.pendingRenewals
+	w.pendingRenewals = nil
+	for _, h := range pendingRenewals {
 		h.reply()
 	}
 }
 
 // remove takes a run out without an end.
-func (w *life) remove(r *liveRun) {
+func (w *workerIncarnation) remove(r *liveRun) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	if r.gang != nil {
 		r.gang.left(r, jobs.EndLost)
@@ -168,7 +168,7 @@
 		return ""
 	}
 	text := fmt.Sprintf("%08x-%s", done.Milliseconds(), checkpointOwner(r.key.Task, r.step.Gang))
-	r.on.slot.sim.oracle.savedAs(r, text)
+	r.on.host.sim.invariantChecker.savedAs(r, text)
 	return text
 }
 
@@ -274,7 +274,7 @@
 	for _, m := range g.members {
 		m.workedAt = m.on.worked()
 		work = max(work, m.work)
-		racks[m.on.slot.rack] = true
+		racks[m.on.host.rack] = true
 	}
 	if g.members[0].step.SameRack && len(racks) > 1 {
 		work = time.Duration(float64(work) * spreadFactor)
@@ -288,7 +288,7 @@
 			return
 		}
 		for _, m := range g.members {
-			if m.on.hungSince > 0 {
+			if m.on.stalledSince > 0 {
 				g.expect(200 * time.Millisecond)
 				return
 			}
@@ -314,7 +314,7 @@
 }
 
 // left is called when a member has ended: the others are broken if they were at work.
-func (g *gang) left(r *liveRun, how jobs.EndReason) {
+func (g *gang) left(r *liveRun, reason jobs.EndReason) {
 	g.members = slices.DeleteFunc(g.members, func(m *liveRun) bool { return m == r })
 	if g.over || !g.working {
 		return
--- a/internal/testbed/jobssim/shapes.go
+++ b/internal/testbed/jobssim/shapes.go
@@ -86,17 +86,17 @@
 	for range 40 {
 		spec, prefix := c.shortJob()
 		spec.Steps[0].Count = 1 + c.sim.rng.IntN(4)
-		c.hand(spec, prefix)
+		c.submitNew(spec, prefix)
 	}
 }
 
-// hopeless hands in jobs at once that fail however often they are run.
-func (c *clients) hopeless() {
+// submitUnschedulable hands in jobs at once that fail however often they are run.
+func (c *clients) submitUnschedulable() {
 	for range 10 {
 		spec, prefix := c.shortJob()
 		spec.Payload = payloadPoison + " " + spec.ID[:4]
 		spec.Steps[0].Gang, spec.Steps[0].Count = c.sim.chance(0.3), 1+c.sim.rng.IntN(4)
-		c.hand(spec, prefix)
+		c.submitNew(spec, prefix)
 	}
 }
 
@@ -106,6 +106,6 @@
 		spec, _ := c.anyJob()
 		spec.Rounds, spec.Steps = 0, []jobs.Step{{Count: 60 + c.sim.rng.IntN(60), Needs: jobs.Resources{MilliCPU: 1500, MemoryMB: 512},
 			Estimate: c.sim.between(300*time.Millisecond, 2*time.Second), Checkpoints: c.sim.chance(0.5)}}
-		c.hand(spec, "/bulk/")
+		c.submitNew(spec, "/bulk/")
 	}
 }
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -28,38 +28,40 @@
 	return true
 }
 
-// waitForRoom is how long a call waits for a connection before it is given up.
-const waitForRoom = 300 * time.Millisecond
+// connectionWait is how long a call waits for a connection before it is given up.
+const connectionWait = 300 * time.Millisecond
 
 // urgentPart is how much more seldom a hold call or a stop finds no connection than a start, which comes after them.
 const urgentPart = 0.1
 
-// findsNoRoom tells whether a start finds no connection; it is given up after waitForRoom.
-func (s *simulator) findsNoRoom() bool { return s.now < s.shortage.until && s.chance(s.shortage.share) }
+// startFindsNoConnection tells whether a start finds no connection; it is given up after connectionWait.
+func (s *simulator) startFindsNoConnection() bool {
+	return s.now < s.shortage.until && s.chance(s.shortage.share)
+}
 
-// urgentFindsNoRoom tells the same of a hold call or a stop.
-func (s *simulator) urgentFindsNoRoom() bool {
+// urgentFindsNoConnection tells the same of a hold call or a stop.
+func (s *simulator) urgentFindsNoConnection() bool {
 	return s.now < s.shortage.until && s.chance(s.shortage.share*urgentPart)
 }
 
-// shortStart gives up a start for want of a connection.
-func (n *node) shortStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
+// failStart gives up a start for want of a connection.
+func (n *node) failStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
 	n.sim.report.Seen["short: start"]++
-	n.do(waitForRoom, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
+	n.do(connectionWait, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
 }
 
-// shortStop gives up a stop for want of a connection.
-func (n *node) shortStop(told func(scheduler.StopError)) {
+// failStop gives up a stop for want of a connection.
+func (n *node) failStop(done func(scheduler.StopError)) {
 	n.sim.report.Seen["short: stop"]++
 	failure := scheduler.StopNoConnection
 	if n.sim.opt.Break == UnsentStopsCount {
 		failure = scheduler.StopOK
 	}
-	n.do(waitForRoom, func() { told(failure) })
+	n.do(connectionWait, func() { done(failure) })
 }
 
-// shortHold gives up a hold call for want of a connection.
-func (n *node) shortHold(told func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
+// failLeaseRenewal gives up a hold call for want of a connection.
+func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
 	n.sim.report.Seen["short: hold"]++
-	n.do(waitForRoom, func() { told(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
+	n.do(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
 }
--- a/internal/testbed/jobssim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -17,14 +17,14 @@
 
 // Options of a run.
 type Options struct {
-	Seed   uint64
-	For    time.Duration // disruptions and fresh jobs come so long; default 32 s
-	Settle time.Duration // most time after it until every job has ended; default 45 s
-	Break  Guard         // a guard that is taken out; empty: none
-	Load   Load          // which jobs come; default Mixed
-	Kinds  []Disruption  // which disruptions come; nil: all
-	Pace   float64       // how many times as many disruptions come as usual; default 1
-	Trace  io.Writer     // gets a line per event of note; nil: none
+	Seed      uint64
+	For       time.Duration // disruptions and fresh jobs come so long; default 32 s
+	DrainTime time.Duration // most time after it until every job has ended; default 45 s
+	Break     Guard         // a guard that is taken out; empty: none
+	Load      Load          // which jobs come; default Mixed
+	Kinds     []Disruption  // which disruptions come; nil: all
+	Pace      float64       // how many times as many disruptions come as usual; default 1
+	Trace     io.Writer     // gets a line per event of note; nil: none
 }
 
 // Report is what a run showed.
@@ -34,7 +34,7 @@
 	Cases       map[Rule]int       // situations judged, by rule
 	Disruptions map[Disruption]int // disruptions made, by kind
 	Seen        map[string]int     // what else was met, such as refusals of workers
-	IdleSpells  int                // spells of over 3 s in which a job could run and did not, excused ones included
+	IdlePeriods int                // spells of over 3 s in which a job could run and did not, excused ones included
 	LongestIdle time.Duration      // the longest of them
 	Failovers   []time.Duration    // from the last start of a leader to the first of the next one
 	Takeovers   []time.Duration    // from the election of a leader to its first start
@@ -96,16 +96,16 @@
 	number uint64
 	report Report
 
-	log      *replicatedLog
-	nodes    []*node
-	slots    []*slot
-	gangs    map[gangKey]*gang
-	clients  *clients
-	operator *operator
-	oracle   *oracle
-	quiet    quiet
-	shortage shortage
-	lives    int
+	log              *replicatedLog
+	nodes            []*node
+	hosts            []*workerHost
+	gangs            map[gangKey]*gang
+	clients          *clients
+	operator         *operator
+	invariantChecker *invariantChecker
+	quiet            quiet
+	shortage         shortage
+	incarnations     int
 }
 
 // epoch is the time of day at which each run begins.
@@ -116,21 +116,21 @@
 	if opt.For == 0 {
 		opt.For = 32 * time.Second
 	}
-	if opt.Settle == 0 {
-		opt.Settle = 45 * time.Second
+	if opt.DrainTime == 0 {
+		opt.DrainTime = 45 * time.Second
 	}
 	if opt.Pace == 0 {
 		opt.Pace = 1
 	}
 	s := &simulator{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 7)), gangs: map[gangKey]*gang{}}
 	s.report = Report{Seed: opt.Seed, Cases: map[Rule]int{}, Disruptions: map[Disruption]int{}, Seen: map[string]int{}}
-	s.oracle = newOracle(s)
+	s.invariantChecker = newInvariantChecker(s)
 	s.buildCore()
 	s.buildWorkers()
 	s.buildOperator()
 	s.buildClients()
 	s.planDisruptions()
-	s.oracle.watch()
+	s.invariantChecker.watch()
 	s.loop()
 	s.report.Virtual = s.now
 	return s.report
@@ -138,10 +138,10 @@
 
 // loop carries out events until all jobs have ended or time is up.
 func (s *simulator) loop() {
-	end := s.opt.For + s.opt.Settle
+	end := s.opt.For + s.opt.DrainTime
 	for len(s.queue) > 0 && len(s.report.Breaches) < mostBreaches {
 		e := heap.Pop(&s.queue).(event)
-		if e.at > end || s.now > s.opt.For && s.clients.settled() {
+		if e.at > end || s.now > s.opt.For && s.clients.allEnded() {
 			break
 		}
 		s.now = e.at
@@ -149,7 +149,7 @@
 		e.call()
 	}
 	if len(s.report.Breaches) < mostBreaches {
-		s.oracle.finish()
+		s.invariantChecker.finish()
 	}
 }
 
--- a/internal/testbed/jobssim/sim_test.go
+++ b/internal/testbed/jobssim/sim_test.go
@@ -42,7 +42,7 @@
 			So(report.Breaches, ShouldBeEmpty)
 			So(report.Seen["end: lapsed"]+report.Seen["end: alone"], ShouldEqual, 0)
 			So(report.Seen["start refused: room"]+report.Seen["start refused: fence"], ShouldEqual, 0)
-			So(report.IdleSpells, ShouldEqual, 0)
+			So(report.IdlePeriods, ShouldEqual, 0)
 		}
 	})
 }
--- a/internal/testbed/jobssim/weaken.go
+++ b/internal/testbed/jobssim/weaken.go
@@ -78,13 +78,13 @@
 	for i := range c.Workers {
 		w := &c.Workers[i]
 		switch without {
-		case NoRoomCheck:
+		case NoCapacityCheck:
 			w.Capacity = plus(w.Capacity, w.Capacity)
 		case NoDrainMark:
 			w.Draining = false
 		case NoLeaveMark:
 			w.Left = false
-		case LateBeatsCount:
+		case StaleHeartbeatsCount:
 			delete(t.Workers, w.ID)
 		}
 	}
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -11,7 +11,7 @@
 
 // What the platform's settings say of workers.
 const (
-	maxHold            = 10 * time.Second
+	maxLease           = 10 * time.Second
 	stopMost           = 400 * time.Millisecond
 	gangTimeout        = 3 * time.Second
 	checkpointInterval = time.Second
@@ -21,8 +21,8 @@
 	slowestClock       = 0.98
 )
 
-// slot is a machine of workers: one life of a worker after another at one address.
-type slot struct {
+// host is a machine of workers: one life of a worker after another at one address.
+type workerHost struct {
 	sim      *simulator
 	address  string
 	service  string
@@ -32,101 +32,101 @@
 	labels   []string
 	kinds    [2]string // of the present life, and the other one
 	capacity jobs.Resources
-	speed    float64 // how many times as long a task takes here
-	current  *life   // nil: nothing runs here
+	speed    float64            // how many times as long a task takes here
+	current  *workerIncarnation // nil: nothing runs here
 
-	cut        bool           // from the whole core
-	cutFrom    map[*node]bool // from single nodes
-	lateUntil  time.Duration  // until then it carries many orders out late
-	mutedUntil time.Duration  // until then it loses answers
-	muted      float64        // the share that it loses
-	troubled   time.Duration  // when it was last disrupted
+	cut              bool           // from the whole core
+	cutFrom          map[*node]bool // from single nodes
+	lateUntil        time.Duration  // until then it carries many orders out late
+	answersLostUntil time.Duration  // until then it loses answers
+	answerLossShare  float64        // the share that it loses
+	disruptedAt      time.Duration  // when it was last disrupted
 
-	beatsLateUntil time.Duration // until then its heartbeats come late and out of order
-	unheardUntil   time.Duration // until then heartbeats may not come, or their answers do not count
+	heartbeatsDelayedUntil    time.Duration // until then its heartbeats come late and out of order
+	heartbeatsUnreliableUntil time.Duration // until then heartbeats may not come, or their answers do not count
 }
 
 // cutOff tells whether nothing passes between the slot and a node.
-func (sl *slot) cutOff(n *node) bool { return sl.cut || sl.cutFrom[n] }
+func (host *workerHost) cutOff(n *node) bool { return host.cut || host.cutFrom[n] }
 
-// life is one life of a worker, under an ID of its own.
-type life struct {
-	slot  *slot
-	id    string
-	born  time.Duration
-	base  time.Duration // its clock when it began
-	rate  float64       // of its clock
-	token uint64        // highest fencing token seen
-	lease time.Duration // on its clock
-	runs  []*liveRun    // in the order they came
-	ends  []scheduler.EndedRun
-	last  uint64                // number of the newest end
-	floor map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
-	notes map[uint64]*endRecord // the oracle's records of the ends that are listed
-	holds []*waitingHold
+// workerIncarnation is one life of a worker, under an ID of its own.
+type workerIncarnation struct {
+	host            *workerHost
+	id              string
+	startedAt       time.Duration
+	base            time.Duration // its clock when it began
+	rate            float64       // of its clock
+	token           uint64        // highest fencing token seen
+	lease           time.Duration // on its clock
+	runs            []*liveRun    // in the order they came
+	ends            []scheduler.EndedRun
+	last            uint64                // number of the newest end
+	floor           map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
+	notes           map[uint64]*endRecord // the oracle's records of the ends that are listed
+	pendingRenewals []*pendingRenewal
 
-	hungSince time.Duration // tasks stand still since; 0: they work
-	hungFor   time.Duration // how long they stood still before
-	grey      bool          // fails all it starts
-	failing   float64       // share of what it starts that fails
-	refuses   bool          // it refuses starts as if it were sick
-	slow      float64       // on top of the slot's speed
-	draining  bool
-	drainTold time.Duration // when the core first acknowledged it; 0: not yet
-	leaving   bool          // it deregisters first and serves on
-	leaveFrom time.Duration // when it first said that it drains or ends
-	beat      uint64
-	leaseNo   int
+	stalledSince        time.Duration // tasks stand still since; 0: they work
+	stalledFor          time.Duration // how long they stood still before
+	failsAll            bool          // fails all it starts
+	failing             float64       // share of what it starts that fails
+	refuses             bool          // it refuses starts as if it were sick
+	slow                float64       // on top of the slot's speed
+	draining            bool
+	drainAcknowledgedAt time.Duration // when the core first acknowledged it; 0: not yet
+	leaving             bool          // it deregisters first and serves on
+	leavingSince        time.Duration // when it first said that it drains or ends
+	heartbeatSequence   uint64
+	leaseNo             int
 }
 
-// waitingHold is a hold call whose answer waits for an end.
-type waitingHold struct{ reply func() }
+// pendingRenewal is a hold call whose answer waits for an end.
+type pendingRenewal struct{ reply func() }
 
-// newLife starts a worker, if none runs here.
-func (sl *slot) newLife() {
-	if sl.current != nil {
+// startWorker starts a worker, if none runs here.
+func (host *workerHost) startWorker() {
+	if host.current != nil {
 		return
 	}
-	s := sl.sim
-	s.lives++
-	if s.lives%otherKindEvery == 0 {
-		sl.changeKind()
+	s := host.sim
+	s.incarnations++
+	if s.incarnations%otherKindEvery == 0 {
+		host.changeKind()
 	}
-	w := &life{slot: sl, id: fmt.Sprintf("w%03d", s.lives), born: s.now, base: s.between(time.Second, 500*time.Second),
+	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now, base: s.between(time.Second, 500*time.Second),
 		rate: slowestClock + (1-slowestClock)*s.rng.Float64(), slow: 1,
 		floor: map[jobs.TaskRef]int{}, notes: map[uint64]*endRecord{}}
-	sl.current = w
-	w.beatLoop()
+	host.current = w
+	w.heartbeatLoop()
 }
 
 // otherKindEvery is how often a new life at an address is of another kind than the one before.
 const otherKindEvery = 5
 
-func (sl *slot) changeKind() {
-	sl.kinds[0], sl.kinds[1] = sl.kinds[1], sl.kinds[0]
-	sl.labels = []string{sl.kinds[0], sl.rack}
-	sl.sim.report.Seen["life of another kind"]++
+func (host *workerHost) changeKind() {
+	host.kinds[0], host.kinds[1] = host.kinds[1], host.kinds[0]
+	host.labels = []string{host.kinds[0], host.rack}
+	host.sim.report.Seen["life of another kind"]++
 }
 
 // clock is what the worker's own clock shows.
-func (w *life) clock() time.Duration {
-	return w.base + time.Duration(float64(w.slot.sim.now-w.born)*w.rate)
+func (w *workerIncarnation) clock() time.Duration {
+	return w.base + time.Duration(float64(w.host.sim.now-w.startedAt)*w.rate)
 }
 
 // up tells whether this life still runs.
-func (w *life) up() bool { return w.slot.current == w }
+func (w *workerIncarnation) up() bool { return w.host.current == w }
 
 // worked is the time its tasks had for work since it began.
-func (w *life) worked() time.Duration {
-	t := w.slot.sim.now - w.born - w.hungFor
-	if w.hungSince > 0 {
-		t -= w.slot.sim.now - w.hungSince
+func (w *workerIncarnation) worked() time.Duration {
+	t := w.host.sim.now - w.startedAt - w.stalledFor
+	if w.stalledSince > 0 {
+		t -= w.host.sim.now - w.stalledSince
 	}
 	return t
 }
 
 // fenced tells whether an order carries a lower token than one seen before.
-func (w *life) fenced(token uint64) bool {
+func (w *workerIncarnation) fenced(token uint64) bool {
 	if token < w.token {
 		return true
 	}
@@ -135,8 +135,8 @@
 }
 
 // extend renews the lease of everything that runs.
-func (w *life) extend(deadline time.Duration) {
-	deadline = min(deadline, w.clock()+maxHold)
+func (w *workerIncarnation) extend(deadline time.Duration) {
+	deadline = min(deadline, w.clock()+maxLease)
 	if deadline <= w.lease {
 		return
 	}
@@ -144,7 +144,7 @@
 	w.leaseNo++
 	number := w.leaseNo
 	real := time.Duration(float64(deadline-w.clock())/w.rate) + time.Millisecond
-	w.slot.sim.after(real, func() {
+	w.host.sim.after(real, func() {
 		if w.up() && number == w.leaseNo && w.clock() >= w.lease {
 			w.lapse()
 		}
@@ -152,17 +152,17 @@
 }
 
 // lapse kills everything that runs.
-func (w *life) lapse() {
-	w.slot.sim.oracle.lapsed(w)
+func (w *workerIncarnation) lapse() {
+	w.host.sim.invariantChecker.lapsed(w)
 	for _, r := range slices.Clone(w.runs) {
 		w.finish(r, jobs.EndLeaseExpired)
 	}
 }
 
 // start carries a start order out.
-func (w *life) start(from order, o scheduler.StartOrder) scheduler.StartAnswer {
+func (w *workerIncarnation) start(from order, o scheduler.StartOrder) scheduler.StartAnswer {
 	refuse := func(why scheduler.Refusal) scheduler.StartAnswer {
-		w.slot.sim.report.Seen["start refused: "+string(why)]++
+		w.host.sim.report.Seen["start refused: "+string(why)]++
 		return scheduler.StartAnswer{Clock: w.clock(), Refusal: why}
 	}
 	if w.fenced(o.Token) {
@@ -175,20 +175,20 @@
 	if o.LeaseDeadline <= w.clock() {
 		return refuse(scheduler.RefusedExpired)
 	}
-	if w.refuses || w.slot.sim.chance(0.002) {
+	if w.refuses || w.host.sim.chance(0.002) {
 		return refuse(scheduler.RefusedUnhealthy)
 	}
 	w.extend(o.LeaseDeadline)
 	if o.Key.Number <= w.floor[o.Key.Task] {
 		return refuse(scheduler.RefusedStale)
 	}
-	spec := w.slot.sim.clients.spec(o.Key.Task.Job)
+	spec := w.host.sim.clients.spec(o.Key.Task.Job)
 	if spec == nil {
-		w.slot.sim.oracle.unknownStart(o)
+		w.host.sim.invariantChecker.unknownStart(o)
 		return refuse(scheduler.RefusedInvalid)
 	}
 	step := &spec.Steps[o.Key.Task.Step]
-	if w.slot.guards && !within(plus(w.used(), step.Needs), w.slot.capacity) {
+	if w.host.guards && !fits(plus(w.used(), step.Needs), w.host.capacity) {
 		return refuse(scheduler.RefusedCapacity)
 	}
 	w.begin(from, o, spec, step)
@@ -196,22 +196,22 @@
 }
 
 // stop carries a stop order out; it tells whether it was taken.
-func (w *life) stop(o scheduler.StopOrder) bool {
+func (w *workerIncarnation) stop(o scheduler.StopOrder) bool {
 	if w.fenced(o.Token) {
 		return false
 	}
 	w.floor[o.Key.Task] = max(w.floor[o.Key.Task], o.Key.Number)
 	if r := w.find(o.Key); r != nil && !r.stopping {
 		r.stopping = true
-		w.slot.sim.after(w.slot.sim.between(0, stopMost), func() { w.finish(r, jobs.EndStopped) })
+		w.host.sim.after(w.host.sim.between(0, stopMost), func() { w.finish(r, jobs.EndStopped) })
 	}
 	return true
 }
 
-// hold carries a hold call out; the answer may wait for an end.
-func (w *life) hold(call scheduler.LeaseRenewal, reply func(holdReply)) {
+// renewLease carries a hold call out; the answer may wait for an end.
+func (w *workerIncarnation) renewLease(call scheduler.LeaseRenewal, reply func(leaseReply)) {
 	if w.fenced(call.Token) {
-		reply(holdReply{fenced: true})
+		reply(leaseReply{fenced: true})
 		return
 	}
 	w.acknowledge(call.AcknowledgedUpTo)
@@ -229,14 +229,14 @@
 			reply(w.lists())
 		}
 	}
-	w.holds = append(w.holds, &waitingHold{reply: answer})
-	w.slot.sim.after(call.Wait, answer)
+	w.pendingRenewals = append(w.pendingRenewals, &pendingRenewal{reply: answer})
+	w.host.sim.after(call.Wait, answer)
 }
 
 // acknowledge forgets ends.
-func (w *life) acknowledge(upTo uint64) {
+func (w *workerIncarnation) acknowledge(upTo uint64) {
 	for len(w.ends) > 0 && w.ends[0].Sequence <= upTo {
-		w.slot.sim.oracle.noted(w.notes[w.ends[0].Sequence])
+		w.host.sim.invariantChecker.noted(w.notes[w.ends[0].Sequence])
 		delete(w.notes, w.ends[0].Sequence)
 		w.ends = w.ends[1:]
 	}
@@ -246,20 +246,20 @@
 const endsInAnswer = 12
 
 // lists gives the answer to a hold call.
-func (w *life) lists() holdReply {
+func (w *workerIncarnation) lists() leaseReply {
 	a := scheduler.RenewalAnswer{Clock: w.clock()}
 	for _, r := range w.runs {
 		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(), Percent: r.percent()})
 	}
 	a.Ended = slices.Clone(w.ends[:min(endsInAnswer, len(w.ends))])
 	if a.Full = len(w.ends) > endsInAnswer; a.Full {
-		w.slot.sim.report.Seen["answer full of ends"]++
+		w.host.sim.report.Seen["answer full of ends"]++
 	}
-	return holdReply{answer: a}
+	return leaseReply{answer: a}
 }
 
 // used is what everything here takes, what is being stopped included.
-func (w *life) used() jobs.Resources {
+func (w *workerIncarnation) used() jobs.Resources {
 	var sum jobs.Resources
 	for _, r := range w.runs {
 		sum = plus(sum, r.step.Needs)
@@ -267,7 +267,7 @@
 	return sum
 }
 
-func (w *life) find(key jobs.RunKey) *liveRun {
+func (w *workerIncarnation) find(key jobs.RunKey) *liveRun {
 	for _, r := range w.runs {
 		if r.key == key {
 			return r
@@ -277,16 +277,16 @@
 }
 
 // die ends this life: everything on it is gone without an end.
-func (w *life) die() {
+func (w *workerIncarnation) die() {
 	if !w.up() {
 		return
 	}
-	w.slot.current = nil
-	w.slot.sim.trace("%s dies", w.id)
-	w.slot.sim.oracle.died(w)
+	w.host.current = nil
+	w.host.sim.trace("%s dies", w.id)
+	w.host.sim.invariantChecker.died(w)
 	for _, r := range slices.Clone(w.runs) {
 		w.remove(r)
-		w.slot.sim.oracle.gone(r)
+		w.host.sim.invariantChecker.gone(r)
 	}
 }
 
@@ -294,6 +294,6 @@
 	return jobs.Resources{MilliCPU: a.MilliCPU + b.MilliCPU, MemoryMB: a.MemoryMB + b.MemoryMB, GPUs: a.GPUs + b.GPUs}
 }
 
-func within(a, b jobs.Resources) bool {
+func fits(a, b jobs.Resources) bool {
 	return a.MilliCPU <= b.MilliCPU && a.MemoryMB <= b.MemoryMB && a.GPUs <= b.GPUs
 }
