--- a/cmd/crosstide-testbed/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -73,7 +73,7 @@
 	}
 	sum := policysim.Add(policysim.Each(opt, first, last, cmd.Int("width"), many), opt.Faults)
 	if opt.Parties {
-		sum.Want(policysim.MoneyPromises)
+		sum.Want(policysim.BillingPromises)
 	}
 	for i, r := range sum.Breaches {
 		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.What)
--- a/internal/testbed/policysim/balances.go
+++ b/internal/testbed/policysim/balances.go
@@ -17,27 +17,27 @@
 // The two parties of a run with balances: payer runs dry again and again, rich never does. Team freeTeam is paid for by
 // nobody.
 const (
-	payer     = "acme"
-	rich      = "blue"
-	payerTeam = "a"
-	richTeam  = "b"
-	freeTeam  = "t"
+	limitedParty = "acme"
+	rich         = "blue"
+	limitedTeam  = "a"
+	richTeam     = "b"
+	freeTeam     = "t"
 )
 
 // What the parties pay, in units.
 const (
-	corePrice  = 10 // a second of a core
-	paidWindow = 5 * time.Second
-	muchMoney  = 1_000_000_000
-	mostLasts  = 2 // lasting jobs of the payer at once
+	corePrice    = 10 // a second of a core
+	paidWindow   = 5 * time.Second
+	amplePayment = 1_000_000_000
+	mostLasts    = 2 // lasting jobs of the payer at once
 )
 
 const partiesBundle = `{"queues":{"default":{}},"backoff":{"min":"200ms","max":"30s"},"parties":{` +
 	`"acme":{"teams":["a"],"price":{"core":10},"reserve":"5s"},"blue":{"teams":["b"],"price":{"core":10},"reserve":"5s"}}}`
 
 const (
-	resumeWithin   = time.Second      // from the yes to a top-up until work goes on, once the faults are over
-	attachedWithin = 10 * time.Second // from the loss of a lasting task's minion until it runs again, the same
+	resumeTimeout   = time.Second      // from the yes to a top-up until work goes on, once the faults are over
+	reattachTimeout = 10 * time.Second // from the loss of a lasting task's minion until it runs again, the same
 )
 
 // lastTopUpAfter is from the quiet part's begin to the top-up that lasts.
@@ -58,11 +58,11 @@
 	ready bool // parties are in force and their accounts open
 	next  int
 	lasts []*job
-	*moneyOracle
+	*billingChecker
 }
 
 func newBalances(s *sim) *balances {
-	b := &balances{s: s, keys: map[string]signature.Key{}, moneyOracle: newMoneyOracle(s)}
+	b := &balances{s: s, keys: map[string]signature.Key{}, billingChecker: newBillingChecker(s)}
 	for _, name := range []string{"ada", "ben"} {
 		key, err := signature.New(name)
 		must(err)
@@ -76,7 +76,7 @@
 	if b == nil {
 		return
 	}
-	p := b.s.people
+	p := b.s.clients
 	public := map[string]string{}
 	for name, key := range b.keys {
 		public[name] = key.Public()
@@ -85,40 +85,40 @@
 	digest := signature.Digest(body)
 	credit := int64(0)
 	if b.s.opt.Break == "balance" {
-		credit = muchMoney
+		credit = amplePayment
 	}
 	orders := []command.Command{
 		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)), Body: body},
 		&command.SignBundle{Order: "sign1", Version: 2, Digest: digest, By: "ada", Sig: b.keys["ada"].Sign(signature.Bundle(2, digest))},
-		b.open(payer, credit), b.open(rich, 0), b.topUp(rich, muchMoney), b.topUp(payer, 300),
+		b.open(limitedParty, credit), b.open(rich, 0), b.topUp(rich, amplePayment), b.topUp(limitedParty, 300),
 		&command.SignBundle{Order: "sign2", Version: 2, Digest: digest, By: "ben", Sig: b.keys["ben"].Sign(signature.Bundle(2, digest))},
 	}
-	b.known(&command.SetOperators{Operators: public}, func() {
+	b.jobModel(&command.SetOperators{Operators: public}, func() {
 		p.inOrder(orders, func() {
 			b.ready = true
-			b.s.tell("parties are in force")
-			b.offerLasting()
+			b.s.trace("parties are in force")
+			b.submitLongRunning()
 			b.pay()
 		})
 	})
-	b.s.on(100*time.Millisecond, b.look)
+	b.s.on(100*time.Millisecond, b.onEvent)
 	b.s.on(b.s.opt.For+calmAfter, b.quiet)
 }
 
-// known makes the operators known; a second time it is a conflict.
-func (b *balances) known(keys command.Command, done func()) {
-	p := b.s.people
+// jobModel makes the operators known; a second time it is a conflict.
+func (b *balances) jobModel(keys command.Command, done func()) {
+	p := b.s.clients
 	p.op.propose(keys, true, p.Now()+5*time.Second, func(_ uint64, _ json.RawMessage, err error) {
 		if err == nil || errs.Is(err, errs.Conflict) {
 			done()
 			return
 		}
-		p.after(200*time.Millisecond, func() { b.known(keys, done) })
+		p.after(200*time.Millisecond, func() { b.jobModel(keys, done) })
 	})
 }
 
 // inOrder sends orders one after another, each when the one before is acknowledged.
-func (p *people) inOrder(orders []command.Command, done func()) {
+func (p *clients) inOrder(orders []command.Command, done func()) {
 	if len(orders) == 0 {
 		done()
 		return
@@ -147,7 +147,7 @@
 		z.By, z.Sig = "ada", b.keys["ada"].Sign(signature.Evacuate(z.Order, z.Zone))
 		return []command.Command{&z}
 	}
-	text := signature.Lift(z.Zone, b.s.oracle.ref.Evacuated[z.Zone])
+	text := signature.Lift(z.Zone, b.s.invariantChecker.ref.Evacuated[z.Zone])
 	first, second := z, z
 	first.Order += "a"
 	first.By, first.Sig = "ada", b.keys["ada"].Sign(text)
@@ -162,7 +162,7 @@
 	}
 	switch n := b.s.rnd.IntN(10); {
 	case n < 6:
-		return payerTeam
+		return limitedTeam
 	case n < 8:
 		return richTeam
 	}
@@ -176,7 +176,7 @@
 		return
 	}
 	b.add(int64(50 + s.rnd.IntN(350)))
-	s.people.after(s.between(time.Second, 9*time.Second), b.pay)
+	s.clients.after(s.between(time.Second, 9*time.Second), b.pay)
 }
 
 // add tops the payer up; now and then the leader is killed meanwhile.
@@ -185,8 +185,8 @@
 	if s.chance(0.25) {
 		b.killLeader("leader killed at a top-up", s.between(0, 20*time.Millisecond))
 	}
-	cmd := b.topUp(payer, amount)
-	s.people.order(cmd, nil, func() { b.acknowledged(cmd.(*command.AccountTopUp)) })
+	cmd := b.topUp(limitedParty, amount)
+	s.clients.order(cmd, nil, func() { b.acknowledged(cmd.(*command.AccountTopUp)) })
 }
 
 // killLeader ends the leader of the store, and starts it again.
@@ -196,10 +196,10 @@
 		return
 	}
 	s.on(in, func() {
-		for _, c := range s.cplanes {
-			if c.alive && c.hand != nil && c.hand.Core() != nil && c.hand.Core().Status().Role == raft.Leader {
+		for _, c := range s.controlPlanes {
+			if c.alive && c.driver != nil && c.driver.Core() != nil && c.driver.Core().Status().Role == raft.Leader {
 				s.report.Faults[what]++
-				s.tell("fault %s: %s", what, c.addr)
+				s.trace("fault %s: %s", what, c.addr)
 				c.crash(s.chance(0.5))
 				s.on(s.faults.span(), c.up)
 				return
@@ -208,8 +208,8 @@
 	})
 }
 
-// offerLasting hands lasting jobs in, and cancels them after a while.
-func (b *balances) offerLasting() {
+// submitLongRunning hands lasting jobs in, and cancels them after a while.
+func (b *balances) submitLongRunning() {
 	s := b.s
 	if s.calm {
 		return
@@ -217,17 +217,17 @@
 	b.lasts = slices.DeleteFunc(b.lasts, func(j *job) bool { return j.gave || j.over != "" })
 	if len(b.lasts) < mostLasts {
 		b.next++
-		j := &job{sent: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.next), Team: payerTeam, Queue: "default",
+		j := &job{sent: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.next), Team: limitedTeam, Queue: "default",
 			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
-		s.people.jobs = append(s.people.jobs, j)
-		s.oracle.jobs[j.spec.Key] = j
+		s.clients.jobs = append(s.clients.jobs, j)
+		s.invariantChecker.jobs[j.spec.Key] = j
 		b.lasts = append(b.lasts, j)
-		s.people.submit(j, 0)
+		s.clients.submit(j, 0)
 		if s.chance(0.5) {
-			s.people.after(s.between(5*time.Second, 25*time.Second), func() { b.cancel(j) })
+			s.clients.after(s.between(5*time.Second, 25*time.Second), func() { b.cancel(j) })
 		}
 	}
-	s.people.after(s.between(time.Second, 5*time.Second), b.offerLasting)
+	s.clients.after(s.between(time.Second, 5*time.Second), b.submitLongRunning)
 }
 
 // cancel cancels a job once it is accepted.
@@ -235,9 +235,9 @@
 	switch {
 	case j.gave || j.wanted:
 	case j.accepted == 0:
-		b.s.people.after(200*time.Millisecond, func() { b.cancel(j) })
+		b.s.clients.after(200*time.Millisecond, func() { b.cancel(j) })
 	default:
-		b.s.people.cancel(j)
+		b.s.clients.cancel(j)
 	}
 }
 
@@ -249,38 +249,38 @@
 		in time.Duration
 		do func()
 	}{
-		{time.Second, b.loseLasting},
+		{time.Second, b.killLongRunningWorker},
 		{12 * time.Second, func() { b.addAbove(600) }},
 		{17 * time.Second, func() { b.addAbove(400) }},
-		{lastTopUpAfter, func() { b.add(muchMoney) }},
+		{lastTopUpAfter, func() { b.add(amplePayment) }},
 		{30 * time.Second, func() {
 			for _, j := range b.lasts {
 				b.cancel(j)
 			}
 		}},
 	} {
-		s.people.after(step.in, step.do)
+		s.clients.after(step.in, step.do)
 	}
 }
 
 // addAbove tops the payer up to about so much above zero.
 func (b *balances) addAbove(amount int64) {
-	if a := b.account(payer); a != nil {
+	if a := b.account(limitedParty); a != nil {
 		b.add(max(0, -a.Balance) + amount)
 	}
 }
 
-// loseLasting ends the minion of a lasting run; it comes back soon.
-func (b *balances) loseLasting() {
+// killLongRunningWorker ends the minion of a lasting run; it comes back soon.
+func (b *balances) killLongRunningWorker() {
 	s := b.s
-	for _, r := range s.oracle.runs {
-		j := s.oracle.ref.Jobs[r.ref.Job]
-		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].LongRunning || !r.minion.alive {
+	for _, r := range s.invariantChecker.runs {
+		j := s.invariantChecker.ref.Jobs[r.ref.Job]
+		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].LongRunning || !r.worker.alive {
 			continue
 		}
-		s.tell("%s, which runs %v, is ended", r.minion.addr, r.ref)
-		b.wanted = append(b.wanted, attachment{ref: r.ref, after: r.runID, since: s.now, dry: !b.covers(payer, corePrice*5)})
-		m := r.minion
+		s.trace("%s, which runs %v, is ended", r.worker.addr, r.ref)
+		b.wanted = append(b.wanted, attachment{ref: r.ref, after: r.runID, since: s.now, exhausted: !b.covers(limitedParty, corePrice*5)})
+		m := r.worker
 		m.kill()
 		s.on(500*time.Millisecond, func() {
 			if !m.alive {
@@ -292,12 +292,12 @@
 }
 
 func (b *balances) covers(name string, cost int64) bool {
-	return b.s.oracle.ref.Accounts.Covers(name, cost)
+	return b.s.invariantChecker.ref.Accounts.Covers(name, cost)
 }
 
-// look judges what must happen in time.
-func (b *balances) look() {
-	b.s.on(100*time.Millisecond, b.look)
+// onEvent judges what must happen in time.
+func (b *balances) onEvent() {
+	b.s.on(100*time.Millisecond, b.onEvent)
 	b.judgeResume()
 	b.judgeAttached()
 }
@@ -308,7 +308,7 @@
 	if b == nil {
 		return true
 	}
-	ref0 := b.s.oracle.ref
+	ref0 := b.s.invariantChecker.ref
 	fee := ref0.Fee(j, ref)
 	if fee.Party == "" {
 		return true
@@ -317,7 +317,7 @@
 	if !ref0.Covers(fee) {
 		return false
 	}
-	for _, key := range b.s.oracle.keys() {
+	for _, key := range b.s.invariantChecker.keys() {
 		if older := ref0.Jobs[key]; older.Seq < j.Seq && b.uncovered(older, fee.Party) {
 			return false
 		}
@@ -341,7 +341,7 @@
 
 // uncovered tells whether a job has a due task that its party's balance does not cover.
 func (b *balances) uncovered(j *state.Job, party string) bool {
-	o := b.s.oracle
+	o := b.s.invariantChecker
 	if o.ref.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
 		return false
 	}
--- a/internal/testbed/policysim/balances_test.go
+++ b/internal/testbed/policysim/balances_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestDrySpells(t *testing.T) {
+func TestExhaustedPeriods(t *testing.T) {
 	Convey("Where parties pay and one runs dry again and again, no promise breaks in a fixed set of seeds with all faults", t, func() {
 		sum := playUnbroken(t, Options{For: 20 * time.Second, Parties: true}, 1, 6)
 		for promise, least := range map[string]uint64{"conserved": 3000, "paid for": 500, "bounded below zero": 100, "resumes in time": 6, "attached": 1} {
--- a/internal/testbed/policysim/build.go
+++ b/internal/testbed/policysim/build.go
@@ -9,38 +9,38 @@
 
 // build makes the fleet: 5 cplanes, 3 dplanes, 6 minions in 3 zones, and the people.
 func (s *sim) build() {
-	s.people = &people{proc: s.proc("people", "")}
+	s.clients = &clients{process: s.newProcess("people", "")}
 	for i, m := range s.members() {
-		s.cplanes = append(s.cplanes, &cplane{proc: s.proc(m.Addr, zone(i)), disk: storage.NewMemDisk()})
+		s.controlPlanes = append(s.controlPlanes, &controlPlane{process: s.newProcess(m.Addr, zone(i)), disk: storage.NewMemDisk()})
 	}
 	for i := range 3 {
-		s.dplanes = append(s.dplanes, &dplane{proc: s.proc(fmt.Sprintf("d%d", i), zone(i))})
+		s.dataPlanes = append(s.dataPlanes, &dataPlane{process: s.newProcess(fmt.Sprintf("d%d", i), zone(i))})
 	}
 	for i := range 6 {
-		m := &node{proc: s.proc(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.Check, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
+		m := &worker{process: s.newProcess(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.Check, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
 		if i%2 == 0 {
 			m.kind = policyworker.Obey
 		}
 		if i < 4 {
 			m.lab["disk"] = "ssd"
 		}
-		s.minions = append(s.minions, m)
+		s.workers = append(s.workers, m)
 	}
-	s.oracle = s.newOracle()
+	s.invariantChecker = s.newInvariantChecker()
 	if s.opt.Parties || s.opt.Break == "balance" {
-		s.money = newBalances(s)
+		s.billing = newBalances(s)
 	}
-	s.people.start()
-	for _, c := range s.cplanes {
+	s.clients.start()
+	for _, c := range s.controlPlanes {
 		c.open(true)
 	}
-	for _, d := range s.dplanes {
+	for _, d := range s.dataPlanes {
 		d.open()
 	}
-	for _, m := range s.minions {
+	for _, m := range s.workers {
 		m.open()
 	}
 	s.faults = &faultInjector{sim: s}
 	s.faults.start()
-	s.money.start()
+	s.billing.start()
 }
--- a/internal/testbed/policysim/cplane.go
+++ b/internal/testbed/policysim/cplane.go
@@ -15,12 +15,12 @@
 	"crosstide/internal/store"
 )
 
-// cplane is a machine with a disk that runs the store by hand.
-type cplane struct {
-	*proc
+// controlPlane is a machine with a disk that runs the store by hand.
+type controlPlane struct {
+	*process
 	disk    *storage.MemDisk
 	store   *store.Store
-	hand    *store.ManualDriver
+	driver  *store.ManualDriver
 	batch   *store.DiskBatch // on its way to the disk
 	slow    time.Duration
 	failing bool
@@ -62,80 +62,82 @@
 func zone(i int) string { return fmt.Sprintf("z%d", i%3) }
 
 // open starts a life on what the disk has.
-func (c *cplane) open(found bool) {
+func (c *controlPlane) open(found bool) {
 	s := c.sim
 	c.begin()
 	set := config.DefaultControlPlane()
 	set.Name, set.Addr, set.Zone, set.Members = c.addr, c.addr, c.zone, s.members()
 	set.SnapshotEvery, set.KeepEnded, set.KeepEndedFor = 40+s.rnd.IntN(100), 10, 20*time.Second
 	gen := c.gen
-	st, err := store.Open(store.Options{Settings: set, Disk: c.disk, Net: direct{cplane: c}, Seed: s.rnd.Uint64() | 1, Clock: c.proc,
-		Fatal:    func(err error) { s.on(0, func() { c.fell(gen, err) }) },
+	st, err := store.Open(store.Options{Settings: set, Disk: c.disk, Net: direct{controlPlane: c}, Seed: s.rnd.Uint64() | 1, Clock: c.process,
+		Fatal:    func(err error) { s.on(0, func() { c.crashed(gen, err) }) },
 		RandomID: func() string { return fmt.Sprintf("%010X%010X", s.rnd.Uint32(), s.rnd.Uint32()) }})
 	if errs.Is(err, errs.Disk) { // the process ends, as after any sync that fails
-		s.tell("%s cannot open its folder: %v", c.addr, errs.Of(err))
+		s.trace("%s cannot open its folder: %v", c.addr, errs.Of(err))
 		c.die()
 		s.on(500*time.Millisecond, c.up)
 		return
 	}
 	if err != nil {
-		s.broke("disk", "%s cannot read its folder: %v", c.addr, errs.Of(err))
+		s.reportBreach("disk", "%s cannot read its folder: %v", c.addr, errs.Of(err))
 		return
 	}
-	c.store, c.hand = st, st.Manual()
+	c.store, c.driver = st, st.Manual()
 	c.batch, c.waits, c.follows, c.role = nil, nil, nil, ""
 	if found {
-		must(c.hand.Bootstrap())
+		must(c.driver.Bootstrap())
 	}
 	c.look()
-	s.tell("%s up, folder to %d", c.addr, c.top)
-	s.oracle.seen[c] = 0
+	s.trace("%s up, folder to %d", c.addr, c.top)
+	s.invariantChecker.seen[c] = 0
 	c.turn()
-	c.after(10*time.Second, c.tidy)
-	if !c.hand.IsMember() || c.joining() {
-		c.settle()
+	c.after(10*time.Second, c.expire)
+	if !c.driver.IsMember() || c.joining() {
+		c.waitUntilReady()
 	}
 }
 
-// look reads on a copy of the disk what the folder has.
-func (c *cplane) look() {
+// onEvent reads on a copy of the disk what the folder has.
+func (c *controlPlane) look() {
 	c.floor, c.top, c.terms = 0, 0, map[uint64]uint64{}
-	_, boot, err := storage.Open(c.disk.Clone(), storage.Options{})
+	_, incarnationID, err := storage.Open(c.disk.Clone(), storage.Options{})
 	must(err)
-	if boot.Snapshot != nil {
-		c.floor = boot.Snapshot.Index
+	if incarnationID.Snapshot != nil {
+		c.floor = incarnationID.Snapshot.Index
 	}
 	c.top = c.floor
-	for _, r := range boot.Records {
+	for _, r := range incarnationID.Records {
 		if r.Kind != storage.KindHardState {
 			c.terms[r.Index], c.top = r.Term, r.Index
 		}
 	}
 }
 
-func (c *cplane) joining() bool { _, _, ok := c.hand.JoinCall(); return ok }
+func (c *controlPlane) joining() bool { _, _, ok := c.driver.JoinCall(); return ok }
 
 // has tells whether the folder surely has the entry.
-func (c *cplane) has(index, term uint64) bool { return index <= c.floor || c.terms[index] == term }
+func (c *controlPlane) has(index, term uint64) bool {
+	return index <= c.floor || c.terms[index] == term
+}
 
-// fell ends the life after a fault of the disk; a new one begins soon.
-func (c *cplane) fell(gen int, err error) {
+// crashed ends the life after a fault of the disk; a new one begins soon.
+func (c *controlPlane) crashed(gen int, err error) {
 	if c.gen != gen || !c.alive {
 		return
 	}
-	c.sim.tell("%s falls: %v", c.addr, errs.Of(err).Kind)
+	c.sim.trace("%s falls: %v", c.addr, errs.Of(err).Kind)
 	c.crash(true)
 	c.sim.on(c.sim.between(100*time.Millisecond, 5*time.Second), func() { c.up() })
 }
 
-func (c *cplane) up() {
+func (c *controlPlane) up() {
 	if !c.alive {
 		c.open(false)
 	}
 }
 
 // crash ends the life; power also takes what is not synced.
-func (c *cplane) crash(power bool) {
+func (c *controlPlane) crash(power bool) {
 	if !c.alive {
 		return
 	}
@@ -151,41 +153,41 @@
 	}
 }
 
-// settle asks what an empty folder means, and then to be let in, until this node is a voter.
-func (c *cplane) settle() {
-	if !c.hand.IsMember() {
+// waitUntilReady asks what an empty folder means, and then to be let in, until this node is a voter.
+func (c *controlPlane) waitUntilReady() {
+	if !c.driver.IsMember() {
 		if c.sim.opt.Break == "learner" {
-			must(c.hand.Bootstrap())
+			must(c.driver.Bootstrap())
 			c.turn()
 			return
 		}
-		must(c.hand.ResolveEmptyFolder())
+		must(c.driver.ResolveEmptyFolder())
 	}
-	if c.hand.IsMember() {
-		call, addr, ok := c.hand.JoinCall()
+	if c.driver.IsMember() {
+		call, addr, ok := c.driver.JoinCall()
 		if !ok {
-			c.sim.tell("%s is a voter again", c.addr)
+			c.sim.trace("%s is a voter again", c.addr)
 			return
 		}
 		if addr == "" || addr == c.addr {
-			addr = c.sim.cplanes[c.sim.rnd.IntN(5)].addr
+			addr = c.sim.controlPlanes[c.sim.rnd.IntN(5)].addr
 		}
-		if to := c.sim.byAddr[addr]; to != c.proc {
-			c.sim.ask(ask{from: c.proc, addr: addr, within: 2 * time.Second, keep: time.Second,
-				serve: func(to *proc, reply func(any, error)) {
-					a, err := c.sim.cplaneAt(to).join(call)
-					c.sim.cplaneAt(to).pump()
+		if to := c.sim.byAddr[addr]; to != c.process {
+			c.sim.request(request{from: c.process, addr: addr, within: 2 * time.Second, keep: time.Second,
+				serve: func(to *process, reply func(any, error)) {
+					a, err := c.sim.controlPlaneAt(to).join(call)
+					c.sim.controlPlaneAt(to).pump()
 					reply(a, err)
 				},
 				back: func(any, error, bool) {}})
 		}
 	}
-	c.after(200*time.Millisecond, c.settle)
+	c.after(200*time.Millisecond, c.waitUntilReady)
 }
 
-func (s *sim) cplaneAt(p *proc) *cplane {
-	for _, c := range s.cplanes {
-		if c.proc == p {
+func (s *sim) controlPlaneAt(p *process) *controlPlane {
+	for _, c := range s.controlPlanes {
+		if c.process == p {
 			return c
 		}
 	}
@@ -193,41 +195,41 @@
 }
 
 // turn is the loop's tick.
-func (c *cplane) turn() {
+func (c *controlPlane) turn() {
 	c.pump()
 	c.after(10*time.Millisecond, c.turn)
 }
 
-func (c *cplane) tidy() {
-	c.hand.ProposeGC()
+func (c *controlPlane) expire() {
+	c.driver.ProposeGC()
 	c.pump()
-	c.after(10*time.Second, c.tidy)
+	c.after(10*time.Second, c.expire)
 }
 
 // pump takes all output of the store to where it goes.
-func (c *cplane) pump() {
+func (c *controlPlane) pump() {
 	s := c.sim
-	if !c.alive || c.hand == nil {
+	if !c.alive || c.driver == nil {
 		return
 	}
-	c.hand.Pass()
-	s.oracle.committed(c) // before Shade lets go of it
-	for _, p := range c.hand.TakeMessages() {
+	c.driver.Pass()
+	s.invariantChecker.committed(c) // before Shade lets go of it
+	for _, p := range c.driver.TakeMessages() {
 		to := s.byAddr[p.Addr]
-		if to == nil || to == c.proc {
+		if to == nil || to == c.process {
 			continue
 		}
-		life, call := to.gen, p.Call
-		s.transmit(c.proc, to, 500*time.Millisecond, true, func() bool { return true }, func() {
-			to.run(life, func() {
-				if d := s.cplaneAt(to); d.hand != nil {
+		incarnation, call := to.gen, p.Call
+		s.transmit(c.process, to, 500*time.Millisecond, true, func() bool { return true }, func() {
+			to.run(incarnation, func() {
+				if d := s.controlPlaneAt(to); d.driver != nil {
 					d.store.Step(call)
 					d.pump()
 				}
 			})
 		})
 	}
-	if b := c.hand.TakeDiskBatch(); b != nil {
+	if b := c.driver.TakeDiskBatch(); b != nil {
 		c.batch = b
 		if s.opt.Break == "sync" && s.chance(0.5) {
 			b.MarkStored()
@@ -236,41 +238,41 @@
 			c.after(s.between(200*time.Microsecond, 3*time.Millisecond)+c.slow, func() { c.synced(b, true) })
 		}
 	}
-	before := c.hand.SnapshotIndex()
-	if err := c.hand.RunSnapshotter(); err != nil {
-		c.fell(c.gen, err)
+	before := c.driver.SnapshotIndex()
+	if err := c.driver.RunSnapshotter(); err != nil {
+		c.crashed(c.gen, err)
 		return
 	}
-	if after := c.hand.SnapshotIndex(); after != before {
+	if after := c.driver.SnapshotIndex(); after != before {
 		c.floor = max(c.floor, after)
 		s.report.Counts["slots written"]++
 	}
-	if c.hand.WantsSnapshot() {
+	if c.driver.WantsSnapshot() {
 		c.after(s.between(time.Millisecond, 50*time.Millisecond), func() {
-			if err := c.hand.FetchSnapshot(); err == nil {
+			if err := c.driver.FetchSnapshot(); err == nil {
 				s.report.Counts["snapshots fetched by a cplane"]++
 				c.pump()
 			}
 		})
 	}
 	c.answer()
-	if core := c.hand.Core(); core != nil {
+	if core := c.driver.Core(); core != nil {
 		st := core.Status()
 		if role := fmt.Sprintf("%s of term %d", st.Role, st.Term); role != c.role {
 			c.role = role
-			s.tell("%s is %s, commit %d, last %d", st.ID, role, st.Commit, st.Last)
+			s.trace("%s is %s, commit %d, last %d", st.ID, role, st.Commit, st.Last)
 			if st.Role == "leader" {
 				s.report.Counts["leaders of the store"]++
 			}
 		}
 		if st.Refused > 0 {
-			s.broke("log", "%s refused %d messages that contradict what is committed", c.addr, st.Refused)
+			s.reportBreach("log", "%s refused %d messages that contradict what is committed", c.addr, st.Refused)
 		}
 	}
 }
 
 // synced ends a sync.
-func (c *cplane) synced(b *store.DiskBatch, tell bool) {
+func (c *controlPlane) synced(b *store.DiskBatch, deliver bool) {
 	if c.batch != b {
 		return
 	}
@@ -281,7 +283,7 @@
 	if err := b.Write(); err != nil {
 		c.sim.report.Faults["sync failed"]++
 		c.batch = nil
-		c.fell(c.gen, err)
+		c.crashed(c.gen, err)
 		return
 	}
 	c.batch = nil
@@ -291,14 +293,14 @@
 		}
 		c.terms[e.Index], c.top = e.Term, e.Index
 	}
-	if tell {
+	if deliver {
 		b.MarkStored()
 	}
 	c.pump()
 }
 
 // answer ends the waits that have an outcome.
-func (c *cplane) answer() {
+func (c *controlPlane) answer() {
 	rest := c.waits[:0:0]
 	var do []func()
 	for _, w := range c.waits {
@@ -316,7 +318,7 @@
 	c.waits = rest
 	left := c.follows[:0:0]
 	for _, f := range c.follows {
-		lack, err := c.hand.ChangesAfter(f.version)
+		lack, err := c.driver.ChangesAfter(f.version)
 		switch {
 		case err != nil:
 			do = append(do, func() { f.reply(nil, err) })
@@ -337,10 +339,10 @@
 }
 
 // propose is the answer to internalapi.Propose.
-func (c *cplane) propose(cmd command.Command, done func(index uint64, answer any, err error)) {
+func (c *controlPlane) propose(cmd command.Command, done func(index uint64, answer any, err error)) {
 	first := cmd
 	if p, ok := cmd.(*command.Plan); ok && c.sim.opt.Break == "epoch" {
-		if d := c.hand.State().Roles["sched"]; d != nil {
+		if d := c.driver.State().Roles["sched"]; d != nil {
 			next := *p
 			next.Epoch = d.Epoch
 			cmd = &next
@@ -350,12 +352,12 @@
 		epoch, then := p.Epoch, done
 		done = func(index uint64, answer any, err error) {
 			if err == nil {
-				c.sim.oracle.planned(epoch, index)
+				c.sim.invariantChecker.planned(epoch, index)
 			}
 			then(index, answer, err)
 		}
 	}
-	p, err := c.hand.Propose(cmd)
+	p, err := c.driver.Propose(cmd)
 	if err != nil {
 		done(0, nil, err)
 		return
@@ -364,27 +366,27 @@
 	c.pump()
 }
 
-func (c *cplane) duty(call internalapi.ClaimRoleCall, reply func(any, error)) {
-	a, held, cmd, err := c.hand.ClaimRole(call)
+func (c *controlPlane) grantRole(call internalapi.ClaimRoleCall, reply func(any, error)) {
+	a, granted, cmd, err := c.driver.ClaimRole(call)
 	if err != nil || cmd == nil {
-		reply(c.lend(a), err)
+		reply(c.signRole(a), err)
 		return
 	}
 	c.propose(cmd, func(index uint64, _ any, err error) {
-		a, err := c.hand.FinishRoleCall(call, held, index, err)
-		reply(c.lend(a), err)
+		a, err := c.driver.FinishRoleCall(call, granted, index, err)
+		reply(c.signRole(a), err)
 	})
 }
 
-// lend takes a guard out: leases longer than the granter waits.
-func (c *cplane) lend(a internalapi.RoleLease) internalapi.RoleLease {
+// signRole takes a guard out: leases longer than the granter waits.
+func (c *controlPlane) signRole(a internalapi.RoleLease) internalapi.RoleLease {
 	if c.sim.opt.Break == "lease" {
 		a.TTL *= 8
 	}
 	return a
 }
 
-func (c *cplane) follow(version uint64, wait time.Duration, reply func(any, error)) {
+func (c *controlPlane) follow(version uint64, wait time.Duration, reply func(any, error)) {
 	c.follows = append(c.follows, &follower{version, c.Now() + wait, reply})
 	c.answer()
 }
@@ -398,17 +400,17 @@
 
 // direct is the store's way to others for the calls that are made within one event; they are lost like others.
 type direct struct {
-	store.Net // the other calls are not made here
-	cplane    *cplane
+	store.Net    // the other calls are not made here
+	controlPlane *controlPlane
 }
 
-func (d direct) to(addr string) (*cplane, error) {
-	s := d.cplane.sim
+func (d direct) to(addr string) (*controlPlane, error) {
+	s := d.controlPlane.sim
 	p := s.byAddr[addr]
-	if p == nil || !p.alive || p.frozen || s.blocked(d.cplane.proc, p) || s.blocked(p, d.cplane.proc) || s.chance(s.net.lose) {
+	if p == nil || !p.alive || p.frozen || s.blocked(d.controlPlane.process, p) || s.blocked(p, d.controlPlane.process) || s.chance(s.net.lose) {
 		return nil, errs.New(errs.Unavailable, "%s does not answer", addr)
 	}
-	return s.cplaneAt(p), nil
+	return s.controlPlaneAt(p), nil
 }
 
 // Chunk reads a part of a peer's snapshot.
@@ -430,7 +432,7 @@
 	return c.store.BootstrapStatus(call), nil
 }
 
-func (c *cplane) join(call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
+func (c *controlPlane) join(call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	a, err := c.store.Join(context.Background(), call)
 	return a, errs.Pass(err, "join")
 }
--- a/internal/testbed/policysim/directed.go
+++ b/internal/testbed/policysim/directed.go
@@ -10,31 +10,31 @@
 // guard of the product is there; see docs/design/simulator.md.
 
 const (
-	lagLead     = 2 * time.Second        // for which replicas lag before their holder ends
-	lagLasts    = 10 * time.Second       // over the lease of a duty, with its margin
-	apart       = 2 * time.Second        // for which the majority commits without the rest
-	emptyApart  = 10 * time.Second       // for which the rest has the emptied member to itself
-	planWithin  = 2 * time.Second        // a holder has a plan under way by then; under the lease of a duty
-	staleWithin = 30 * time.Second       // another holder has been granted the duty by then
-	lookEvery   = 20 * time.Millisecond  // how often a directed fault looks for its moment
-	soon        = 100 * time.Millisecond // as good as at once
+	lagLead            = 2 * time.Second        // for which replicas lag before their holder ends
+	lagLasts           = 10 * time.Second       // over the lease of a duty, with its margin
+	apart              = 2 * time.Second        // for which the majority commits without the rest
+	emptyApart         = 10 * time.Second       // for which the rest has the emptied member to itself
+	planTimeout        = 2 * time.Second        // a holder has a plan under way by then; under the lease of a duty
+	replacementTimeout = 30 * time.Second       // another holder has been granted the duty by then
+	lookEvery          = 20 * time.Millisecond  // how often a directed fault looks for its moment
+	soon               = 100 * time.Millisecond // as good as at once
 )
 
 // lag lets the replicas of all dplanes but the holder's stand still, and ends the holder: its successor is granted the
 // duty before its replica has the grant.
-func (f *faultInjector) lag(count func(*proc, string)) {
+func (f *faultInjector) lag(count func(*process, string)) {
 	s := f.sim
 	holder := s.holder()
 	if holder == nil {
 		return
 	}
 	s.report.Faults["lag"]++
-	for _, d := range s.dplanes {
+	for _, d := range s.dataPlanes {
 		if d != holder {
 			d.lagUntil = s.now + lagLead + lagLasts
 		}
 	}
-	s.tell("fault lag, all replicas but that of %s", holder.addr)
+	s.trace("fault lag, all replicas but that of %s", holder.addr)
 	s.on(lagLead, func() { f.end(holder, count) })
 }
 
@@ -42,34 +42,34 @@
 // they are a majority by their names, but none of them has the newest entries.
 func (f *faultInjector) rejoin() {
 	s := f.sim
-	if f.wiped != nil && !s.oracle.repaired(f.wiped) {
+	if f.wiped != nil && !s.invariantChecker.repaired(f.wiped) {
 		return
 	}
-	order := s.rnd.Perm(len(s.cplanes))
-	late := []*proc{s.cplanes[order[0]].proc, s.cplanes[order[1]].proc}
-	empty := s.cplanes[order[2]]
-	rest := []*proc{s.cplanes[order[3]].proc, s.cplanes[order[4]].proc}
+	order := s.rnd.Perm(len(s.controlPlanes))
+	late := []*process{s.controlPlanes[order[0]].process, s.controlPlanes[order[1]].process}
+	empty := s.controlPlanes[order[2]]
+	rest := []*process{s.controlPlanes[order[3]].process, s.controlPlanes[order[4]].process}
 	s.report.Faults["rejoin"]++
-	s.tell("fault rejoin, %v lag, %s is wiped", names(late), empty.addr)
-	heal := f.part(late, true)
+	s.trace("fault rejoin, %v lag, %s is wiped", names(late), empty.addr)
+	heal := f.partition(late, true)
 	s.on(apart, func() {
-		if s.calm || f.wiped != nil && !s.oracle.repaired(f.wiped) {
+		if s.calm || f.wiped != nil && !s.invariantChecker.repaired(f.wiped) {
 			heal()
 			return
 		}
 		f.wipe(empty, soon)
-		healRest := f.part(rest, true)
+		healRest := f.partition(rest, true)
 		s.on(soon, heal)
 		s.on(emptyApart, healRest)
 	})
 }
 
 // wipe ends a cplane and takes its disk; it comes back empty after a while.
-func (f *faultInjector) wipe(c *cplane, back time.Duration) {
+func (f *faultInjector) wipe(c *controlPlane, back time.Duration) {
 	f.wiped = c
 	c.crash(false)
-	if c.hand.Core() != nil {
-		c.wiped, c.had, c.hadTo = c.hand.Core().Status().ID, c.terms, c.floor
+	if c.driver.Core() != nil {
+		c.wiped, c.had, c.hadTo = c.driver.Core().Status().ID, c.terms, c.floor
 	}
 	c.disk = storage.NewMemDisk()
 	c.floor, c.top, c.terms = 0, 0, nil
@@ -85,10 +85,10 @@
 		return
 	}
 	s.report.Faults["staleplan"]++
-	s.tell("fault staleplan, leader %s, holder %s", leader.addr, holder.addr)
+	s.trace("fault staleplan, leader %s, holder %s", leader.addr, holder.addr)
 	leader.crash(false)
 	s.on(f.span(), leader.up)
-	gen, until := holder.gen, s.now+planWithin
+	gen, until := holder.gen, s.now+planTimeout
 	s.watch(until, func() bool { return holder.gen != gen || holder.planning }, func() {
 		if holder.gen == gen && !holder.frozen && !s.calm {
 			f.freezeUntilReplaced(holder)
@@ -97,15 +97,15 @@
 }
 
 // freezeUntilReplaced freezes the holder until another one has been granted its duty.
-func (f *faultInjector) freezeUntilReplaced(holder *dplane) {
+func (f *faultInjector) freezeUntilReplaced(holder *dataPlane) {
 	s := f.sim
-	gen, epoch := holder.gen, holder.sched.Epoch()
-	s.tell("%s freezes with a plan under way: %v", holder.addr, holder.planning)
+	gen, epoch := holder.gen, holder.scheduler.Epoch()
+	s.trace("%s freezes with a plan under way: %v", holder.addr, holder.planning)
 	holder.freeze()
-	s.watch(s.now+staleWithin, func() bool { return s.calm || s.oracle.newest(s.oracle.ref.Index) > epoch }, func() {
+	s.watch(s.now+replacementTimeout, func() bool { return s.calm || s.invariantChecker.newest(s.invariantChecker.ref.Index) > epoch }, func() {
 		if holder.gen == gen {
-			s.tell("%s wakes", holder.addr)
-			holder.proc.wake()
+			s.trace("%s wakes", holder.addr)
+			holder.process.wake()
 		}
 	})
 }
@@ -120,9 +120,9 @@
 }
 
 // holder is the dplane that acts under the duty now; nil if there is none.
-func (s *sim) holder() *dplane {
-	for _, d := range s.dplanes {
-		if d.alive && !d.frozen && d.sched.MayAct(d.Now()) {
+func (s *sim) holder() *dataPlane {
+	for _, d := range s.dataPlanes {
+		if d.alive && !d.frozen && d.scheduler.MayAct(d.Now()) {
 			return d
 		}
 	}
@@ -130,9 +130,9 @@
 }
 
 // leader is a cplane that leads the store in its own eyes; nil if there is none.
-func (s *sim) leader() *cplane {
-	for _, c := range s.cplanes {
-		if c.alive && !c.frozen && c.hand.Core() != nil && c.hand.Core().Status().Role == "leader" {
+func (s *sim) leader() *controlPlane {
+	for _, c := range s.controlPlanes {
+		if c.alive && !c.frozen && c.driver.Core() != nil && c.driver.Core().Status().Role == "leader" {
 			return c
 		}
 	}
--- a/internal/testbed/policysim/dplane.go
+++ b/internal/testbed/policysim/dplane.go
@@ -18,19 +18,19 @@
 
 const callTimeout = 2 * time.Second
 
-// dplane is dataplane.Node without goroutines: the same steps, as events.
-type dplane struct {
-	*proc
-	boot    string
-	replica *replica.Replica
-	sched   *scheduler.Core
-	granted uint64
-	ready   bool // led once and not yielded, for the trace
-	passing bool
-	leader  string
-	source  string
-	reaches []*reach
-	leaving bool
+// dataPlane is dataplane.Node without goroutines: the same steps, as events.
+type dataPlane struct {
+	*process
+	incarnationID string
+	replica       *replica.Replica
+	scheduler     *scheduler.Core
+	granted       uint64
+	ready         bool // led once and not yielded, for the trace
+	passing       bool
+	leader        string
+	source        string
+	reaches       []*reach
+	leaving       bool
 
 	lagUntil time.Duration // its replica does not follow the store before
 	planning bool          // a plan is under way to the store
@@ -42,31 +42,31 @@
 	done  func(error)
 }
 
-func (d *dplane) open() {
+func (d *dataPlane) open() {
 	d.begin()
-	d.boot = fmt.Sprintf("%s-%d", d.addr, d.gen)
-	d.replica = replica.New(func(n state.Event) { d.sched.StateChanged(n); d.wake() }, func(st *state.State) {
-		if d.sched.Phase() == scheduler.Ready {
+	d.incarnationID = fmt.Sprintf("%s-%d", d.addr, d.gen)
+	d.replica = replica.New(func(n state.Event) { d.scheduler.StateChanged(n); d.wake() }, func(st *state.State) {
+		if d.scheduler.Phase() == scheduler.Ready {
 			d.sim.report.Counts["holders that took a snapshot"]++
-			d.sim.tell("%s, which holds sched, takes a snapshot at %d", d.addr, st.Index)
+			d.sim.trace("%s, which holds sched, takes a snapshot at %d", d.addr, st.Index)
 		}
-		d.sched.Reset(d.Now(), st)
+		d.scheduler.Reset(d.Now(), st)
 	})
 	cfg := scheduler.DefaultConfig()
 	if d.sim.opt.Break == "reserve" {
 		cfg.ReserveAfter = policyworker.Never
 	}
-	d.sched = scheduler.New(cfg, d.replica.Lock())
+	d.scheduler = scheduler.New(cfg, d.replica.Lock())
 	d.replica.Unlock()
 	d.granted, d.ready, d.passing, d.leader, d.source, d.reaches, d.leaving = 0, false, false, "", "", nil, false
 	d.lagUntil, d.planning = 0, false
-	d.sim.tell("%s up", d.addr)
+	d.sim.trace("%s up", d.addr)
 	d.pull()
-	d.claim()
+	d.claimRole()
 	d.pass()
 }
 
-func (d *dplane) state() *state.State {
+func (d *dataPlane) state() *state.State {
 	st := d.replica.Lock()
 	d.replica.Unlock()
 	return st
@@ -74,9 +74,9 @@
 
 // receivedAnswer gives one answer that came already.
 type receivedAnswer struct {
-	dplane *dplane
-	answer internalapi.FollowAnswer
-	from   *cplane
+	dataPlane *dataPlane
+	answer    internalapi.FollowAnswer
+	from      *controlPlane
 }
 
 // Follow returns the answer that has arrived.
@@ -86,7 +86,7 @@
 
 // Chunk reads a part of the snapshot from the cplane that answered.
 func (c receivedAnswer) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
-	if c.from.hand == nil || !c.from.alive || c.dplane.sim.blocked(c.dplane.proc, c.from.proc) {
+	if c.from.driver == nil || !c.from.alive || c.dataPlane.sim.blocked(c.dataPlane.process, c.from.process) {
 		return internalapi.ChunkAnswer{}, errs.New(errs.Unknown, "gone")
 	}
 	a, err := c.from.store.Chunk(call)
@@ -94,19 +94,19 @@
 }
 
 // pull is a turn of Replica.Run.
-func (d *dplane) pull() {
+func (d *dataPlane) pull() {
 	s := d.sim
 	if s.now < d.lagUntil {
 		d.after(lookEvery, func() { d.reached(); d.pull() })
 		return
 	}
 	if d.source == "" {
-		d.source = s.cplanes[s.rnd.IntN(5)].addr
+		d.source = s.controlPlanes[s.rnd.IntN(5)].addr
 	}
-	from := s.cplaneAt(s.byAddr[d.source])
+	from := s.controlPlaneAt(s.byAddr[d.source])
 	version := d.replica.Index()
-	s.ask(ask{from: d.proc, addr: d.source, within: time.Second + callTimeout, keep: callTimeout, twice: true,
-		serve: func(to *proc, reply func(any, error)) { s.cplaneAt(to).follow(version, time.Second, reply) },
+	s.request(request{from: d.process, addr: d.source, within: time.Second + callTimeout, keep: callTimeout, twice: true,
+		serve: func(to *process, reply func(any, error)) { s.controlPlaneAt(to).follow(version, time.Second, reply) },
 		back: func(a any, err error, _ bool) {
 			if err == nil {
 				err = d.replica.Pull(context.Background(), receivedAnswer{d, a.(internalapi.FollowAnswer), from}, d.addr, time.Second)
@@ -122,14 +122,14 @@
 }
 
 // reach calls done once the replica is at index, or with a fault after within.
-func (d *dplane) reach(index uint64, within time.Duration, done func(error)) {
-	r := &reach{index, d.Now() + within, done}
+func (d *dataPlane) reach(index uint64, timeout time.Duration, done func(error)) {
+	r := &reach{index, d.Now() + timeout, done}
 	d.reaches = append(d.reaches, r)
-	d.after(within, d.reached)
+	d.after(timeout, d.reached)
 	d.reached()
 }
 
-func (d *dplane) reached() {
+func (d *dataPlane) reached() {
 	var do []func()
 	rest := d.reaches[:0:0]
 	for _, r := range d.reaches {
@@ -149,15 +149,15 @@
 }
 
 // toLeader asks the leader wherever it is; again: the call may be repeated; by: when to give up, 0 for never.
-func (d *dplane) toLeader(within time.Duration, again bool, by time.Duration, serve func(c *cplane, reply func(any, error)), back func(a any, err error)) {
+func (d *dataPlane) toLeader(timeout time.Duration, again bool, by time.Duration, serve func(c *controlPlane, reply func(any, error)), back func(a any, err error)) {
 	var try func(n int)
 	try = func(n int) {
 		addr := d.leader
 		if addr == "" {
-			addr = d.sim.cplanes[d.sim.rnd.IntN(5)].addr
+			addr = d.sim.controlPlanes[d.sim.rnd.IntN(5)].addr
 		}
-		d.sim.ask(ask{from: d.proc, addr: addr, within: within, keep: callTimeout, twice: again,
-			serve: func(to *proc, reply func(any, error)) { serve(d.sim.cplaneAt(to), reply) },
+		d.sim.request(request{from: d.process, addr: addr, within: timeout, keep: callTimeout, twice: again,
+			serve: func(to *process, reply func(any, error)) { serve(d.sim.controlPlaneAt(to), reply) },
 			back: func(a any, err error, sent bool) {
 				f := errs.Of(err)
 				switch {
@@ -186,8 +186,8 @@
 	try(0)
 }
 
-func (d *dplane) propose(cmd command.Command, again bool, by time.Duration, back func(index uint64, answer json.RawMessage, err error)) {
-	d.toLeader(callTimeout, again, by, func(c *cplane, reply func(any, error)) {
+func (d *dataPlane) propose(cmd command.Command, again bool, by time.Duration, back func(index uint64, answer json.RawMessage, err error)) {
+	d.toLeader(callTimeout, again, by, func(c *controlPlane, reply func(any, error)) {
 		c.propose(cmd, func(index uint64, a any, err error) {
 			out := internalapi.ProposeAnswer{Index: index}
 			if err == nil && a != nil {
@@ -205,55 +205,55 @@
 	})
 }
 
-func (d *dplane) call(epoch uint64, up bool) internalapi.ClaimRoleCall {
-	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.boot, Epoch: epoch, Release: up}
+func (d *dataPlane) call(epoch uint64, up bool) internalapi.ClaimRoleCall {
+	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.incarnationID, Epoch: epoch, Release: up}
 }
 
-// claim is a turn of the duty loop.
-func (d *dplane) claim() {
+// claimRole is a turn of the duty loop.
+func (d *dataPlane) claimRole() {
 	if d.leaving {
 		return
 	}
 	sent, call := d.Now(), d.call(d.granted, false)
-	d.toLeader(callTimeout/2, true, 0, func(c *cplane, reply func(any, error)) { c.duty(call, reply) }, func(a any, err error) {
-		again := func() { d.after(300*time.Millisecond, d.claim) }
+	d.toLeader(callTimeout/2, true, 0, func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) }, func(a any, err error) {
+		again := func() { d.after(300*time.Millisecond, d.claimRole) }
 		if err != nil {
 			again()
 			return
 		}
 		if got := a.(internalapi.RoleLease); got.Mine {
-			d.take(got, sent, again)
+			d.acceptRole(got, sent, again)
 			return
 		}
 		if d.granted != 0 {
-			d.sim.tell("%s lost sched", d.addr)
+			d.sim.trace("%s lost sched", d.addr)
 			d.granted = 0
-			d.sched.StepDown()
+			d.scheduler.StepDown()
 		}
 		again()
 	})
 }
 
-func (d *dplane) take(a internalapi.RoleLease, sent time.Duration, again func()) {
+func (d *dataPlane) acceptRole(a internalapi.RoleLease, sent time.Duration, again func()) {
 	d.granted = a.Epoch
 	lead := func(err error) {
 		defer again()
 		if err != nil || d.leaving {
 			return
 		}
-		if duty := d.state().Roles["sched"]; d.sim.opt.Break != "rebuild" && (duty == nil || duty.Epoch != a.Epoch || duty.Incarnation != d.boot) {
+		if role := d.state().Roles["sched"]; d.sim.opt.Break != "rebuild" && (role == nil || role.Epoch != a.Epoch || role.Incarnation != d.incarnationID) {
 			return
 		}
-		if d.sched.Epoch() != a.Epoch {
-			d.sched.BecomeLeader(d.Now(), a.Epoch)
-			d.sim.tell("%s takes up sched, epoch %d, replica at %d, %d handles", d.addr, a.Epoch, d.replica.Index(), len(d.state().Handles))
+		if d.scheduler.Epoch() != a.Epoch {
+			d.scheduler.BecomeLeader(d.Now(), a.Epoch)
+			d.sim.trace("%s takes up sched, epoch %d, replica at %d, %d handles", d.addr, a.Epoch, d.replica.Index(), len(d.state().Handles))
 			d.sim.report.Counts["grants taken up"]++
 			if d.state().Index >= a.Epoch && len(d.state().Handles) > 0 {
-				d.sim.held("rebuilt")
+				d.sim.countCase("rebuilt")
 			}
-			d.sim.oracle.rebuilt(d)
+			d.sim.invariantChecker.rebuilt(d)
 		}
-		d.sched.SetRoleLease(sent + a.TTL)
+		d.scheduler.SetRoleLease(sent + a.TTL)
 		d.wake()
 	}
 	if d.sim.opt.Break == "rebuild" {
@@ -263,34 +263,34 @@
 	d.reach(a.Epoch, callTimeout, lead)
 }
 
-// leave lays the duty down, as a daemon does that is told to end.
-func (d *dplane) leave() {
+// releaseRole lays the duty down, as a daemon does that is told to end.
+func (d *dataPlane) releaseRole() {
 	d.leaving = true
 	epoch := d.granted
 	if epoch == 0 {
 		return
 	}
-	d.sched.StepDown()
+	d.scheduler.StepDown()
 	call := d.call(epoch, true)
-	d.toLeader(callTimeout, true, d.Now()+2*time.Second, func(c *cplane, reply func(any, error)) { c.duty(call, reply) }, func(any, error) {})
+	d.toLeader(callTimeout, true, d.Now()+2*time.Second, func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) }, func(any, error) {})
 }
 
 // wake asks for a pass soon.
-func (d *dplane) wake() {
+func (d *dataPlane) wake() {
 	if !d.passing {
 		d.passing = true
-		d.after(d.sim.between(0, 200*time.Microsecond), func() { d.passing = false; d.run1() })
+		d.after(d.sim.between(0, 200*time.Microsecond), func() { d.passing = false; d.runPass() })
 	}
 }
 
-func (d *dplane) pass() {
-	d.run1()
+func (d *dataPlane) pass() {
+	d.runPass()
 	d.after(20*time.Millisecond, d.pass)
 }
 
-// run1 is one pass.
-func (d *dplane) run1() {
-	out := d.sched.Pass(d.Now())
+// runPass is one pass.
+func (d *dataPlane) runPass() {
+	out := d.scheduler.Pass(d.Now())
 	if out.Plan != nil {
 		d.commit(out.Plan)
 	}
@@ -299,19 +299,19 @@
 	}
 }
 
-func (d *dplane) commit(plan *command.Plan) {
+func (d *dataPlane) commit(plan *command.Plan) {
 	end := func(done command.Planned, err error) {
-		d.sched.PlanAnswered(d.Now(), plan.Epoch, done, err)
+		d.scheduler.PlanAnswered(d.Now(), plan.Epoch, done, err)
 		d.wake()
 	}
 	failed := func(err error) {
 		d.sim.report.Counts["plans without a good answer"]++
-		d.sim.tell("%s has no good answer to a plan: %v", d.addr, errs.KindOf(err))
+		d.sim.trace("%s has no good answer to a plan: %v", d.addr, errs.KindOf(err))
 		d.after(20*time.Millisecond, func() { end(command.Planned{}, err) })
 	}
-	d.sim.tell("%s plans under epoch %d: to %d, %d reports, running %v, doubt %v, ends %v, dead %v, %d starts", d.addr, plan.Epoch, plan.Seq,
+	d.sim.trace("%s plans under epoch %d: to %d, %d reports, running %v, doubt %v, ends %v, dead %v, %d starts", d.addr, plan.Epoch, plan.Seq,
 		len(plan.Workers), plan.Running, plan.Unconfirmed, plan.Ends, plan.Dead, len(plan.Starts))
-	d.sim.oracle.decided(d, plan)
+	d.sim.invariantChecker.decided(d, plan)
 	d.planning = true
 	d.propose(plan, false, 0, func(index uint64, answer json.RawMessage, err error) {
 		d.planning = false
@@ -334,19 +334,19 @@
 }
 
 // send makes one hold call; the lease is looked at immediately before the write.
-func (d *dplane) send(c scheduler.OutgoingCall) {
+func (d *dataPlane) send(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	fail := func(err error, sent bool) {
-		d.sched.CallFailed(d.Now(), c.Worker, c.IsOrder, c.Call, sent)
+		d.scheduler.CallFailed(d.Now(), c.Worker, c.IsOrder, c.Call, sent)
 		d.wake()
 	}
-	if !d.sched.MayAct(now) || d.sched.Epoch() != c.Call.Epoch || c.WriteBy > 0 && now >= c.WriteBy {
+	if !d.scheduler.MayAct(now) || d.scheduler.Epoch() != c.Call.Epoch || c.WriteBy > 0 && now >= c.WriteBy {
 		fail(nil, false)
 		return
 	}
-	s.oracle.written(d, c)
-	s.ask(ask{from: d.proc, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: scheduler.DefaultConfig().RoleLeaseMargin / 2,
-		serve: func(to *proc, reply func(any, error)) { s.minionAt(to).hold(c.Call, reply) },
+	s.invariantChecker.written(d, c)
+	s.request(request{from: d.process, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: scheduler.DefaultConfig().RoleLeaseMargin / 2,
+		serve: func(to *process, reply func(any, error)) { s.workerAt(to).renewLease(c.Call, reply) },
 		back: func(a any, err error, sent bool) {
 			if err != nil {
 				if !sent && len(c.Call.Starts) > 0 {
@@ -360,16 +360,16 @@
 				s.report.Faults["cross"]++
 				got.Call--
 			}
-			s.oracle.heard(d, c, got)
-			d.sched.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, got)
+			s.invariantChecker.heard(d, c, got)
+			d.scheduler.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, got)
 			d.wake()
 		}})
 }
 
 // read is Node.Read of one job.
-func (d *dplane) read(key string, back func(v query.JobView, err error)) {
+func (d *dataPlane) read(key string, back func(v query.JobView, err error)) {
 	by := d.Now() + callTimeout
-	d.toLeader(callTimeout/2, true, by, func(c *cplane, reply func(any, error)) {
+	d.toLeader(callTimeout/2, true, by, func(c *controlPlane, reply func(any, error)) {
 		index, err := c.store.ReadIndex()
 		reply(index, err)
 	}, func(a any, err error) {
@@ -388,7 +388,7 @@
 }
 
 // announce makes a minion known to the store.
-func (d *dplane) announce(m *node, reply func(any, error)) {
+func (d *dataPlane) announce(m *worker, reply func(any, error)) {
 	if k := d.state().Workers[m.addr]; k != nil && k.Addr == m.addr {
 		reply(internalapi.AnnounceWorkerAnswer{}, nil)
 		return
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -51,7 +51,7 @@
 	sim   *sim
 	on    map[string]bool
 	pace  time.Duration
-	wiped *cplane
+	wiped *controlPlane
 }
 
 func (f *faultInjector) start() {
@@ -69,7 +69,7 @@
 		s.net.delay, s.net.longest = s.rnd.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
 		s.net.cross = s.rnd.Float64() * 0.005
 	}
-	for _, m := range s.minions {
+	for _, m := range s.workers {
 		if f.on["late"] {
 			m.late = s.rnd.Float64() * 0.3
 		}
@@ -84,26 +84,26 @@
 // stop ends all faults.
 func (f *faultInjector) stop() {
 	s := f.sim
-	s.tell("faults end")
+	s.trace("faults end")
 	s.calm = true
 	s.net = net{}
-	for _, m := range s.minions {
+	for _, m := range s.workers {
 		m.late, m.lose = 0, 0
 		m.wake()
 		m.drain(false)
 	}
-	for _, c := range s.cplanes {
+	for _, c := range s.controlPlanes {
 		c.slow, c.failing = 0, false
 		c.wake()
 	}
-	for _, d := range s.dplanes {
+	for _, d := range s.dataPlanes {
 		d.lagUntil = 0
-		d.wake2()
+		d.wakeProcess()
 	}
-	s.people.lift()
+	s.clients.lift()
 }
 
-func (d *dplane) wake2() { d.proc.wake() }
+func (d *dataPlane) wakeProcess() { d.process.wake() }
 
 func (f *faultInjector) next() {
 	s := f.sim
@@ -111,7 +111,7 @@
 		return
 	}
 	if len(s.opt.Faults) > 0 {
-		f.strike(s.opt.Faults[s.rnd.IntN(len(s.opt.Faults))])
+		f.inject(s.opt.Faults[s.rnd.IntN(len(s.opt.Faults))])
 	}
 	s.on(s.between(0, 2*f.pace), f.next)
 }
@@ -130,55 +130,55 @@
 
 func pick[T any](s *sim, list []T) T { return list[s.rnd.IntN(len(list))] }
 
-func (f *faultInjector) strike(name string) {
+func (f *faultInjector) inject(name string) {
 	s := f.sim
-	count := func(p *proc, what string) {
+	count := func(p *process, what string) {
 		s.report.Faults[name]++
-		s.tell("fault %s %s", what, p.addr)
+		s.trace("fault %s %s", what, p.addr)
 	}
-	c, d, m := pick(s, s.cplanes), pick(s, s.dplanes), pick(s, s.minions)
+	c, d, m := pick(s, s.controlPlanes), pick(s, s.dataPlanes), pick(s, s.workers)
 	switch name {
 	case "kill", "power":
 		if c.alive {
-			count(c.proc, name)
+			count(c.process, name)
 			c.crash(name == "power")
 			s.on(f.span(), c.up)
 		}
 	case "blackout":
 		s.report.Faults[name]++
-		s.tell("fault blackout")
-		for _, c := range s.cplanes {
+		s.trace("fault blackout")
+		for _, c := range s.controlPlanes {
 			c.crash(true)
 			s.on(s.between(0, 3*time.Second), c.up)
 		}
 	case "wipe":
-		if f.wiped != nil && !s.oracle.repaired(f.wiped) {
+		if f.wiped != nil && !s.invariantChecker.repaired(f.wiped) {
 			return
 		}
-		count(c.proc, name)
+		count(c.process, name)
 		f.wipe(c, s.between(10*time.Millisecond, 3*time.Second))
 	case "sync":
 		if c.alive {
 			c.failing = true
 		}
 	case "slow":
-		count(c.proc, name)
+		count(c.process, name)
 		c.slow = s.between(5*time.Millisecond, 400*time.Millisecond)
 		s.on(f.span(), func() { c.slow = 0 })
 	case "freeze":
-		p := pick(s, []*proc{c.proc, d.proc})
-		f.still(p, count)
+		p := pick(s, []*process{c.process, d.process})
+		f.stopForGood(p, count)
 	case "holder":
-		for _, d := range s.dplanes {
-			if d.alive && d.sched.MayAct(d.Now()) {
+		for _, d := range s.dataPlanes {
+			if d.alive && d.scheduler.MayAct(d.Now()) {
 				switch s.rnd.IntN(3) {
 				case 0:
 					f.end(d, count)
 				case 1:
-					f.still(d.proc, count)
+					f.stopForGood(d.process, count)
 				default:
-					count(d.proc, "cut off")
-					f.cut([]*proc{d.proc}, true)
+					count(d.process, "cut off")
+					f.cut([]*process{d.process}, true)
 				}
 				return
 			}
@@ -187,9 +187,9 @@
 		f.end(d, count)
 	case "leave":
 		if d.alive && !d.frozen && !d.leaving {
-			count(d.proc, name)
+			count(d.process, name)
 			gen := d.gen
-			d.leave()
+			d.releaseRole()
 			s.on(s.between(100*time.Millisecond, 2*time.Second), func() {
 				if d.gen == gen {
 					d.die()
@@ -198,38 +198,38 @@
 			})
 		}
 	case "split", "oneway":
-		var side []*proc
+		var side []*process
 		for _, p := range s.procs {
-			if p != s.people.proc && s.chance(0.5) {
+			if p != s.clients.process && s.chance(0.5) {
 				side = append(side, p)
 			}
 		}
 		s.report.Faults[name]++
-		s.tell("fault %s %s", name, names(side))
+		s.trace("fault %s %s", name, names(side))
 		f.cut(side, name == "split")
 	case "island":
 		z, half := zone(s.rnd.IntN(3)), s.chance(0.5)
-		var side []*proc
+		var side []*process
 		for _, p := range s.procs {
-			d, m := s.dplaneAt(p), s.minionAt(p)
-			if half && (d != nil && d.alive && d.sched.MayAct(d.Now()) || m != nil && s.chance(0.5)) || !half && p.zone == z {
+			d, m := s.dataPlaneAt(p), s.workerAt(p)
+			if half && (d != nil && d.alive && d.scheduler.MayAct(d.Now()) || m != nil && s.chance(0.5)) || !half && p.zone == z {
 				side = append(side, p)
 			}
 		}
 		s.report.Faults[name]++
-		s.tell("fault island %s", names(side))
+		s.trace("fault island %s", names(side))
 		f.cut(side, true)
 	case "cut":
 		p := pick(s, s.procs)
-		if p != s.people.proc {
+		if p != s.clients.process {
 			count(p, name)
-			f.cut([]*proc{p}, true)
+			f.cut([]*process{p}, true)
 		}
 	case "stall":
-		f.still(m.proc, count)
+		f.stopForGood(m.process, count)
 	case "boot":
 		if m.alive && !m.frozen {
-			count(m.proc, name)
+			count(m.process, name)
 			m.kill()
 			s.on(s.between(time.Millisecond, 4*time.Second), func() {
 				if !m.alive {
@@ -239,7 +239,7 @@
 		}
 	case "drain":
 		if m.alive && !m.frozen && !m.draining {
-			count(m.proc, name)
+			count(m.process, name)
 			m.drain(true)
 			s.on(s.between(time.Second, 10*time.Second), func() { m.drain(false) })
 		}
@@ -250,34 +250,34 @@
 	case "staleplan":
 		f.stalePlan()
 	case "zone":
-		if s.people.evacuate(zone(s.rnd.IntN(3))) {
+		if s.clients.evacuate(zone(s.rnd.IntN(3))) {
 			s.report.Faults[name]++
 		}
 	}
 }
 
-func (d *dplane) up() {
+func (d *dataPlane) up() {
 	if !d.alive {
 		d.open()
 	}
 }
 
-func (f *faultInjector) end(d *dplane, count func(*proc, string)) {
+func (f *faultInjector) end(d *dataPlane, count func(*process, string)) {
 	if d.alive {
-		count(d.proc, "kill")
+		count(d.process, "kill")
 		d.die()
 		f.sim.on(f.span(), d.up)
 	}
 }
 
-func (f *faultInjector) still(p *proc, count func(*proc, string)) {
+func (f *faultInjector) stopForGood(p *process, count func(*process, string)) {
 	if p.alive && !p.frozen {
 		count(p, "freeze")
 		gen := p.gen
 		p.freeze()
 		f.sim.on(f.span(), func() {
 			if p.gen == gen {
-				f.sim.tell("%s wakes", p.addr)
+				f.sim.trace("%s wakes", p.addr)
 				p.wake()
 			}
 		})
@@ -285,29 +285,29 @@
 }
 
 // cut parts a set from all others for a while.
-func (f *faultInjector) cut(side []*proc, both bool) {
-	f.sim.on(f.span(), f.part(side, both))
+func (f *faultInjector) cut(side []*process, both bool) {
+	f.sim.on(f.span(), f.partition(side, both))
 }
 
-// part parts a set from all others until what it gives is called.
-func (f *faultInjector) part(side []*proc, both bool) (heal func()) {
+// partition parts a set from all others until what it gives is called.
+func (f *faultInjector) partition(side []*process, both bool) (heal func()) {
 	s := f.sim
-	c := &cut{from: map[*proc]bool{}, to: map[*proc]bool{}, both: both}
+	c := &cut{from: map[*process]bool{}, to: map[*process]bool{}, both: both}
 	for _, p := range s.procs {
 		if slices.Contains(side, p) {
 			c.from[p] = true
-		} else if p != s.people.proc {
+		} else if p != s.clients.process {
 			c.to[p] = true
 		}
 	}
 	s.net.cuts = append(s.net.cuts, c)
 	return func() {
-		s.tell("a cut heals")
+		s.trace("a cut heals")
 		s.net.cuts = slices.DeleteFunc(s.net.cuts, func(x *cut) bool { return x == c })
 	}
 }
 
-func names(list []*proc) (out []string) {
+func names(list []*process) (out []string) {
 	for _, p := range list {
 		out = append(out, p.addr)
 	}
--- a/internal/testbed/policysim/linear.go
+++ b/internal/testbed/policysim/linear.go
@@ -34,8 +34,8 @@
 	ansUnknown       answer = "unknown"  // poll, cancel: no such job
 )
 
-// move is an operation of a client on a key, from its call to its answer in virtual time.
-type move struct {
+// operation is an operation of a client on a key, from its call to its answer in virtual time.
+type operation struct {
 	key    string
 	act    act
 	digest string // of the body, for a submit
@@ -46,22 +46,22 @@
 }
 
 // String describes the call and its answer for a report.
-func (m *move) String() string {
+func (m *operation) String() string {
 	return fmt.Sprintf("%v..%v %s %s: %s %s", m.call, m.back, m.act, m.digest, m.answer, m.phase)
 }
 
 // linear keeps what clients did and were told. It draws no chance and makes no event.
-type linear struct{ moves []*move }
+type linear struct{ operations []*operation }
 
 // called notes a call; it has no certain answer until told is called.
-func (l *linear) called(at time.Duration, key string, a act, digest string) *move {
-	m := &move{key: key, act: a, digest: digest, call: at}
-	l.moves = append(l.moves, m)
+func (l *linear) called(at time.Duration, key string, a act, digest string) *operation {
+	m := &operation{key: key, act: a, digest: digest, call: at}
+	l.operations = append(l.operations, m)
 	return m
 }
 
-// told notes the answer to a submit or a cancel. Faults that do not tell what the store decided are no certain answer.
-func (m *move) told(at time.Duration, a any, err error) {
+// acknowledged notes the answer to a submit or a cancel. Faults that do not tell what the store decided are no certain answer.
+func (m *operation) complete(at time.Duration, a any, err error) {
 	raw, _ := a.(json.RawMessage)
 	switch {
 	case errs.Is(err, errs.Unknown):
@@ -84,38 +84,38 @@
 	}
 }
 
-func (m *move) seen(at time.Duration, a answer, p state.JobPhase) {
+func (m *operation) seen(at time.Duration, a answer, p state.JobPhase) {
 	m.back, m.answer, m.phase = at, a, p
 }
 
 // history makes operations that end by end of the moves. A call may reach the store more than once (dplanes send
 // again, the network doubles) and late, so each submit and cancel also counts as one without an answer, from its call
 // to the end. Of those that are equal the earliest is enough, as a second one changes nothing.
-func history(moves []*move, end time.Duration) (out []porcupine.Operation) {
+func history(operations []*operation, end time.Duration) (out []porcupine.Operation) {
 	type kind struct {
 		key, digest string
 		act         act
 	}
 	loose := map[kind]bool{}
-	add := func(m *move, back time.Duration) {
+	add := func(m *operation, back time.Duration) {
 		out = append(out, porcupine.Operation{Input: m, Call: int64(m.call), Output: m, Return: int64(back)})
 	}
-	for _, m := range moves { // in the order of their calls
+	for _, m := range operations { // in the order of their calls
 		if m.answer != "" {
 			add(m, m.back)
 		}
 		k := kind{m.key, m.digest, m.act}
 		if m.act != actPoll && !loose[k] {
 			loose[k] = true
-			add(&move{key: m.key, act: m.act, digest: m.digest, call: m.call}, end)
+			add(&operation{key: m.key, act: m.act, digest: m.digest, call: m.call}, end)
 		}
 	}
 	return out
 }
 
-// known is what the answers up to a point tell of a job: its digest ("" while absent), the phase it has reached at
+// jobModel is what the answers up to a point tell of a job: its digest ("" while absent), the phase it has reached at
 // least, and whether a cancel took effect. Between answers a job may move on by itself, never back.
-type known struct {
+type jobModel struct {
 	digest  string
 	phase   state.JobPhase // "" after a cancel without an answer: stopping or over
 	cancels bool
@@ -125,7 +125,7 @@
 	state.JobFailed: 3, state.JobCancelled: 3}
 
 // shows tells whether a job may stand at p now, and what is known then.
-func (k known) shows(p state.JobPhase) (bool, known) {
+func (k jobModel) shows(p state.JobPhase) (bool, jobModel) {
 	r, ok := rank[p]
 	switch {
 	case !ok || p == "" || k.digest == "" || r < rank[k.phase]:
@@ -142,7 +142,7 @@
 }
 
 // cancelled is what is known after a cancel took effect.
-func (k known) cancelled() known {
+func (k jobModel) cancelled() jobModel {
 	if k.digest == "" {
 		return k
 	}
@@ -153,12 +153,12 @@
 	return k
 }
 
-func (k known) step(m *move) (bool, known) {
+func (k jobModel) step(m *operation) (bool, jobModel) {
 	switch m.act {
 	case actSubmit:
 		fresh := k
 		if k.digest == "" {
-			fresh = known{digest: m.digest, phase: state.JobAccepted}
+			fresh = jobModel{digest: m.digest, phase: state.JobAccepted}
 		}
 		switch m.answer {
 		case "":
@@ -200,7 +200,7 @@
 	Partition: func(all []porcupine.Operation) (out [][]porcupine.Operation) {
 		at := map[string]int{}
 		for _, op := range all {
-			key := op.Input.(*move).key
+			key := op.Input.(*operation).key
 			i, ok := at[key]
 			if !ok {
 				i = len(out)
@@ -210,21 +210,21 @@
 		}
 		return out
 	},
-	Init: func() any { return known{} },
-	Step: func(k, in, _ any) (bool, any) { return k.(known).step(in.(*move)) },
+	Init: func() any { return jobModel{} },
+	Step: func(k, in, _ any) (bool, any) { return k.(jobModel).step(in.(*operation)) },
 }
 
 // check gives the first key whose moves no order of single steps explains, "" if there is none. Example:
 //
 //	key := check(moves, time.Minute) // moves in the order of their calls, all of them before the minute
-func check(moves []*move, end time.Duration) string {
-	all := history(moves, end)
+func check(operations []*operation, end time.Duration) string {
+	all := history(operations, end)
 	if porcupine.CheckOperations(model, all) {
 		return ""
 	}
 	for _, part := range model.Partition(all) { // one by one, so that the same key is named every time
 		if !porcupine.CheckOperations(model, part) {
-			return part[0].Input.(*move).key
+			return part[0].Input.(*operation).key
 		}
 	}
 	return ""
@@ -232,16 +232,16 @@
 
 // judge holds what clients were told against the model.
 func (l *linear) judge(s *sim) {
-	for _, m := range l.moves {
+	for _, m := range l.operations {
 		if m.answer == "" {
 			s.report.Counts["consumer calls without a certain answer"]++
 			continue
 		}
-		s.held("linear")
+		s.countCase("linear")
 		s.report.Counts["consumer answers: "+string(m.act)+" "+string(m.answer)]++
 	}
-	if key := check(l.moves, s.now+1); key != "" {
-		of := slices.DeleteFunc(slices.Clone(l.moves), func(m *move) bool { return m.key != key })
-		s.broke("linear", "no order explains the answers about %s: %v", key, of)
+	if key := check(l.operations, s.now+1); key != "" {
+		of := slices.DeleteFunc(slices.Clone(l.operations), func(m *operation) bool { return m.key != key })
+		s.reportBreach("linear", "no order explains the answers about %s: %v", key, of)
 	}
 }
--- a/internal/testbed/policysim/minion.go
+++ b/internal/testbed/policysim/minion.go
@@ -12,15 +12,15 @@
 // that the scheduler is told by what an order may be under way.
 const lateness = 1700 * time.Millisecond
 
-// minion is the host of one policyworker.Core.
-type minionLife struct {
+// worker is the host of one policyworker.Core.
+type workerIncarnation struct {
 	core   *policyworker.Core
 	traits policyworker.Traits
 }
 
-type node struct {
-	*proc
-	minionLife
+type worker struct {
+	*process
+	workerIncarnation
 	kind  string
 	cores int
 	gpus  int
@@ -35,23 +35,23 @@
 	draining bool
 }
 
-func (m *node) open() {
+func (m *worker) open() {
 	s := m.sim
 	m.begin()
 	m.traits = policyworker.Traits{Name: m.addr, Boot: fmt.Sprintf("%s-%d", m.addr, m.gen), Kind: m.kind, Zone: m.zone, Labels: m.lab,
 		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, Fail: 0.03, Slow: 1.2, Seed: s.rnd.Uint64()}
 	m.zero = s.now // the minion's clock starts with the boot
 	m.core, m.waits, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
-	s.oracle.booted(m)
+	s.invariantChecker.booted(m)
 	m.carry(m.core.Start())
 	m.announce()
 }
 
-func (m *node) announce() {
+func (m *worker) announce() {
 	s := m.sim
-	d := s.dplanes[s.rnd.IntN(len(s.dplanes))]
-	s.ask(ask{from: m.proc, addr: d.addr, within: 2 * time.Second, keep: 2 * time.Second, twice: true,
-		serve: func(to *proc, reply func(any, error)) { s.dplaneAt(to).announce(m, reply) },
+	d := s.dataPlanes[s.rnd.IntN(len(s.dataPlanes))]
+	s.request(request{from: m.process, addr: d.addr, within: 2 * time.Second, keep: 2 * time.Second, twice: true,
+		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announce(m, reply) },
 		back: func(_ any, err error, _ bool) {
 			again := 3 * time.Second
 			if err != nil {
@@ -62,9 +62,9 @@
 }
 
 // carry does what a step asks for: the witness first, then the answers.
-func (m *node) carry(step policyworker.Step) {
+func (m *worker) carry(step policyworker.Step) {
 	for _, e := range step.Journal {
-		m.sim.oracle.witness(m, e)
+		m.sim.invariantChecker.witness(m, e)
 	}
 	for _, r := range step.Replies {
 		if w := m.waits[r.Tag]; w != nil {
@@ -80,12 +80,12 @@
 	}
 }
 
-// hold takes in a call, perhaps late, and answers, perhaps not.
-func (m *node) hold(call internalapi.LeaseCall, reply func(any, error)) {
+// renewLease takes in a call, perhaps late, and answers, perhaps not.
+func (m *worker) renewLease(call internalapi.LeaseCall, reply func(any, error)) {
 	s := m.sim
 	lost, late := s.chance(m.lose), time.Duration(0)
 	if len(call.Starts) > 0 {
-		s.oracle.arrived(m, call)
+		s.invariantChecker.arrived(m, call)
 		if s.chance(m.late) {
 			s.report.Faults["late order"]++
 			late = s.between(0, lateness)
@@ -113,7 +113,7 @@
 			call.Starts = starts
 		}
 		step := m.core.Call(m.Now(), tag, call)
-		s.oracle.renewed(m, call)
+		s.invariantChecker.renewed(m, call)
 		m.carry(step)
 		if lost {
 			delete(m.waits, tag)
@@ -123,7 +123,7 @@
 }
 
 // drain switches draining.
-func (m *node) drain(on bool) {
+func (m *worker) drain(on bool) {
 	if m.alive && !m.frozen && m.draining != on {
 		m.draining = on
 		m.drains = m.sim.now
@@ -132,25 +132,25 @@
 }
 
 // kill ends the process; what it ran goes on until its hold lapses or the next life begins.
-func (m *node) kill() {
+func (m *worker) kill() {
 	if m.alive {
 		m.die()
-		m.sim.oracle.orphaned(m)
+		m.sim.invariantChecker.orphaned(m)
 	}
 }
 
-func (s *sim) minionAt(p *proc) *node {
-	for _, m := range s.minions {
-		if m.proc == p {
+func (s *sim) workerAt(p *process) *worker {
+	for _, m := range s.workers {
+		if m.process == p {
 			return m
 		}
 	}
 	return nil
 }
 
-func (s *sim) dplaneAt(p *proc) *dplane {
-	for _, d := range s.dplanes {
-		if d.proc == p {
+func (s *sim) dataPlaneAt(p *process) *dataPlane {
+	for _, d := range s.dataPlanes {
+		if d.process == p {
 			return d
 		}
 	}
--- a/internal/testbed/policysim/net.go
+++ b/internal/testbed/policysim/net.go
@@ -7,79 +7,79 @@
 	"crosstide/internal/errs"
 )
 
-// proc is a process on a machine of its own. Its clock has its own zero and goes on while it is frozen.
-type proc struct {
-	sim    *sim
-	addr   string
-	zone   string
-	gen    int // goes up with every start and end
-	alive  bool
-	frozen bool
-	parked []func()
-	woke   time.Duration // when it woke last
-	zero   time.Duration
-	skew   time.Duration // of its wall clock
-}
-
-func (s *sim) proc(addr, zone string) *proc {
-	p := &proc{sim: s, addr: addr, zone: zone, skew: s.between(-2*time.Second, 2*time.Second)}
+// newProcess is a process on a machine of its own. Its clock has its own zero and goes on while it is frozen.
+type process struct {
+	sim     *sim
+	addr    string
+	zone    string
+	gen     int // goes up with every start and end
+	alive   bool
+	frozen  bool
+	delayed []func()
+	woke    time.Duration // when it woke last
+	zero    time.Duration
+	skew    time.Duration // of its wall clock
+}
+
+func (s *sim) newProcess(addr, zone string) *process {
+	p := &process{sim: s, addr: addr, zone: zone, skew: s.between(-2*time.Second, 2*time.Second)}
 	s.procs = append(s.procs, p)
 	s.byAddr[addr] = p
 	return p
 }
 
 // begin starts a life of the process.
-func (p *proc) begin() {
+func (p *process) begin() {
 	p.gen++
-	p.alive, p.frozen, p.parked = true, false, nil
+	p.alive, p.frozen, p.delayed = true, false, nil
 	p.zero = p.sim.now - p.sim.between(time.Second, time.Hour)
 }
 
 // die ends it.
-func (p *proc) die() {
+func (p *process) die() {
 	p.gen++
-	p.alive, p.frozen, p.parked = false, false, nil
+	p.alive, p.frozen, p.delayed = false, false, nil
 }
 
 // run does what reaches the process now; a frozen one does it when it wakes.
-func (p *proc) run(gen int, do func()) {
+func (p *process) run(gen int, do func()) {
 	switch {
 	case !p.alive || p.gen != gen:
 	case p.frozen:
-		p.parked = append(p.parked, do)
+		p.delayed = append(p.delayed, do)
 	default:
 		do()
 	}
 }
 
 // after is an timer of this life.
-func (p *proc) after(d time.Duration, do func()) {
+func (p *process) after(d time.Duration, do func()) {
 	gen := p.gen
 	p.sim.on(d, func() { p.run(gen, do) })
 }
 
-func (p *proc) freeze() { p.frozen = p.alive }
+func (p *process) freeze() { p.frozen = p.alive }
 
 // wake goes on with all that fell due meanwhile, in any order.
-func (p *proc) wake() {
+func (p *process) wake() {
 	if !p.alive || !p.frozen {
 		return
 	}
-	parked := p.parked
-	p.frozen, p.parked, p.woke = false, nil, p.sim.now
+	delayed := p.delayed
+	p.frozen, p.delayed, p.woke = false, nil, p.sim.now
 	if p.sim.chance(0.5) {
-		p.sim.rnd.Shuffle(len(parked), func(i, j int) { parked[i], parked[j] = parked[j], parked[i] })
+		p.sim.rnd.Shuffle(len(delayed), func(i, j int) { delayed[i], delayed[j] = delayed[j], delayed[i] })
 	}
-	for _, do := range parked {
+	for _, do := range delayed {
 		p.after(p.sim.between(0, time.Millisecond), do)
 	}
 }
 
 // Now is the process's clock.
-func (p *proc) Now() time.Duration { return p.sim.now - p.zero }
+func (p *process) Now() time.Duration { return p.sim.now - p.zero }
 
 // Wall is the time of day as this machine has it.
-func (p *proc) Wall() time.Time { return time.Unix(1_700_000_000, 0).Add(p.sim.now + p.skew) }
+func (p *process) Wall() time.Time { return time.Unix(1_700_000_000, 0).Add(p.sim.now + p.skew) }
 
 type timer struct{ off bool }
 
@@ -87,7 +87,7 @@
 func (r *timer) Stop() bool { was := !r.off; r.off = true; return was }
 
 // Set is an timer of the process.
-func (p *proc) Set(d time.Duration, call func()) clock.Stopper {
+func (p *process) Set(d time.Duration, call func()) clock.Stopper {
 	r := &timer{}
 	p.after(d, func() {
 		if !r.off {
@@ -108,11 +108,11 @@
 
 // cut drops what goes from one set of processes to another.
 type cut struct {
-	from, to map[*proc]bool
+	from, to map[*process]bool
 	both     bool
 }
 
-func (s *sim) blocked(from, to *proc) bool {
+func (s *sim) blocked(from, to *process) bool {
 	for _, c := range s.net.cuts {
 		if c.from[from] && c.to[to] || c.both && c.from[to] && c.to[from] {
 			return true
@@ -133,7 +133,7 @@
 
 // transmit brings do to the other side once, never, or (if twice) now and then two times. What meets a cut stays in
 // the kernel, which sends it again until keep is over or the connection is closed.
-func (s *sim) transmit(from, to *proc, keep time.Duration, twice bool, open func() bool, do func()) {
+func (s *sim) transmit(from, to *process, keep time.Duration, twice bool, open func() bool, do func()) {
 	if s.chance(s.net.lose) {
 		s.report.Faults["lose"]++
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-func (s *sim) offer(from, to *proc, until time.Duration, open func() bool, do func()) {
+func (s *sim) offer(from, to *process, until time.Duration, open func() bool, do func()) {
 	if !s.blocked(from, to) {
 		s.on(s.way(), func() {
 			if !s.blocked(from, to) || s.chance(0.5) {
@@ -167,19 +167,19 @@
 	}
 }
 
-// ask is a call with its answer. back comes once: with the answer, or a fault; sent tells whether a byte of the call
+// request is a call with its answer. back comes once: with the answer, or a fault; sent tells whether a byte of the call
 // may have left. keep is how long the kernel resends.
-type ask struct {
-	from   *proc
+type request struct {
+	from   *process
 	addr   string
 	within time.Duration
 	keep   time.Duration
 	twice  bool // the call may arrive two times
-	serve  func(to *proc, reply func(any, error))
+	serve  func(to *process, reply func(any, error))
 	back   func(a any, err error, sent bool)
 }
 
-func (s *sim) ask(q ask) {
+func (s *sim) request(q request) {
 	over := false
 	gen := q.from.gen
 	finish := func(a any, err error, sent bool) {
@@ -201,17 +201,17 @@
 	if to == nil || !to.alive {
 		return
 	}
-	life := to.gen // the connection leads to this life of the other side
+	incarnation := to.gen // the connection leads to this life of the other side
 	open := func() bool { return !over }
 	s.transmit(q.from, to, q.keep, q.twice, open, func() {
 		if over && !q.twice { // closed with a reset, which went the same way
 			return
 		}
-		if !to.alive || to.gen != life {
+		if !to.alive || to.gen != incarnation {
 			s.offer(to, q.from, s.now, open, func() { finish(nil, errs.New(errs.Unavailable, "%s reset the connection", q.addr), true) })
 			return
 		}
-		to.run(life, func() {
+		to.run(incarnation, func() {
 			q.serve(to, func(a any, err error) {
 				if s.chance(s.net.lose) {
 					s.report.Faults["lost answer"]++
--- a/internal/testbed/policysim/oracle.go
+++ b/internal/testbed/policysim/oracle.go
@@ -20,23 +20,23 @@
 const bound = 150 * time.Second
 
 const (
-	cancelWithin = 3 * time.Second
-	drainWithin  = 2 * time.Second
-	zoneWithin   = 5 * time.Second
-	idleWithin   = 3 * time.Second
-	calmAfter    = 30 * time.Second // from the end of faults until a due task must not be idle any more
-	passedWithin = 20 * time.Second // the longest run, and then the oldest due task must have got its run ID
-	gangWithin   = 45 * time.Second // the same for a gang, which needs room on several minions at one moment
+	cancelTimeout     = 3 * time.Second
+	drainTimeout      = 2 * time.Second
+	evacuationTimeout = 5 * time.Second
+	idleTimeout       = 3 * time.Second
+	calmAfter         = 30 * time.Second // from the end of faults until a due task must not be idle any more
+	startTimeout      = 20 * time.Second // the longest run, and then the oldest due task must have got its run ID
+	gangStartTimeout  = 45 * time.Second // the same for a gang, which needs room on several minions at one moment
 )
 
-// oracle holds the promises against what really happened: what was written to minions, what minions started and
+// invariantChecker holds the promises against what really happened: what was written to minions, what minions started and
 // ended, what clients and operators were told, and what disks have. Of the daemons it believes only the log, of
 // which it keeps a copy from the first cplane that shows an entry as committed.
-type oracle struct {
+type invariantChecker struct {
 	sim     *sim
 	ref     *state.State
 	log     []record // from index 2 on
-	seen    map[*cplane]uint64
+	seen    map[*controlPlane]uint64
 	members []raft.Member
 	jobs    map[string]*job
 
@@ -47,9 +47,9 @@
 	evacuated map[string]time.Duration
 	dueAt     map[state.TaskRef]time.Duration
 	idle      map[state.TaskRef]time.Duration
-	oldest    state.TaskRef    // the oldest due task that some minion could hold
-	oldestAt  time.Duration    // when it came to be that
-	orders    map[*node]uint64 // newest run ID that arrived at a minion
+	oldest    state.TaskRef      // the oldest due task that some minion could hold
+	oldestAt  time.Duration      // when it came to be that
+	orders    map[*worker]uint64 // newest run ID that arrived at a minion
 }
 
 type record struct {
@@ -64,33 +64,33 @@
 	term    uint64
 	at      time.Duration // of its commit
 	written time.Duration
-	by      *dplane
+	by      *dataPlane
 	closed  time.Duration
 	until   time.Duration // the first hold that its order told the minion, in virtual time
 }
 
 // ending is a run that ended well at its minion.
 type ending struct {
-	runID  uint64
-	minion *node
-	gen    int
-	told   map[uint64]time.Duration // the epochs whose holder was told, and when first
+	runID        uint64
+	worker       *worker
+	gen          int
+	acknowledged map[uint64]time.Duration // the epochs whose holder was told, and when first
 }
 
 // runWitness is a run at a minion.
 type runWitness struct {
 	ref    state.TaskRef
 	runID  uint64
-	minion *node
+	worker *worker
 	gen    int
 	cores  int
 	until  time.Duration // virtual time at which its hold lapses
 }
 
-func (s *sim) newOracle() *oracle {
-	o := &oracle{sim: s, ref: state.New(), seen: map[*cplane]uint64{}, jobs: map[string]*job{}, runIDs: map[uint64]*runID{},
+func (s *sim) newInvariantChecker() *invariantChecker {
+	o := &invariantChecker{sim: s, ref: state.New(), seen: map[*controlPlane]uint64{}, jobs: map[string]*job{}, runIDs: map[uint64]*runID{},
 		ended: map[state.TaskRef][]*ending{}, evacuated: map[string]time.Duration{}, dueAt: map[state.TaskRef]time.Duration{},
-		idle: map[state.TaskRef]time.Duration{}, orders: map[*node]uint64{}}
+		idle: map[state.TaskRef]time.Duration{}, orders: map[*worker]uint64{}}
 	for _, m := range s.members() {
 		o.members = append(o.members, raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone})
 	}
@@ -101,11 +101,11 @@
 			o.runIDs[n.Handle.RunID] = &runID{handle: *n.Handle, index: o.ref.Index, term: o.ref.Term, at: s.now}
 		case state.EventHandleReleased:
 			o.runIDs[n.Handle.RunID].closed = s.now
-			s.tell("ticket %d of %v is closed", n.Handle.RunID, n.Ref)
+			s.trace("ticket %d of %v is closed", n.Handle.RunID, n.Ref)
 		case state.EventRoleChanged:
 			if d := o.ref.Roles[n.Name]; d.Holder != "" {
 				o.grants = append(o.grants, d.Epoch)
-				s.tell("sched is granted to %s, epoch %d", d.Holder, d.Epoch)
+				s.trace("sched is granted to %s, epoch %d", d.Holder, d.Epoch)
 			}
 		case state.EventTaskDue:
 			_, t := o.ref.TaskOf(n.Ref)
@@ -121,12 +121,12 @@
 }
 
 // committed takes in what a cplane shows as committed: it must be what all others showed.
-func (o *oracle) committed(c *cplane) {
-	core := c.hand.Core()
+func (o *invariantChecker) committed(c *controlPlane) {
+	core := c.driver.Core()
 	if core == nil {
 		return
 	}
-	commit := c.hand.State().Index
+	commit := c.driver.State().Index
 	for o.seen[c] < commit {
 		from := max(o.seen[c]+1, core.Status().First, 2)
 		if from > commit {
@@ -144,36 +144,36 @@
 	}
 }
 
-func (o *oracle) entry(c *cplane, e raft.Entry) {
+func (o *invariantChecker) entry(c *controlPlane, e raft.Entry) {
 	s := o.sim
 	r := record{e.Term, xxhash.Sum64(e.Data)}
 	if at := int(e.Index) - 2; at < len(o.log) {
-		s.held("same log")
+		s.countCase("same log")
 		if o.log[at] != r {
-			s.broke("same log", "entry %d at %s is of term %d, elsewhere of %d", e.Index, c.addr, e.Term, o.log[at].term)
+			s.reportBreach("same log", "entry %d at %s is of term %d, elsewhere of %d", e.Index, c.addr, e.Term, o.log[at].term)
 		}
 		return
 	} else if at > len(o.log) {
-		s.broke("same log", "%s shows entry %d as committed, %d is unknown", c.addr, e.Index, len(o.log)+2)
+		s.reportBreach("same log", "%s shows entry %d as committed, %d is unknown", c.addr, e.Index, len(o.log)+2)
 		return
 	}
 	o.log = append(o.log, r)
-	s.held("durable")
+	s.countCase("durable")
 	if !o.durable(e.Index, e.Term) {
-		s.broke("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks", c.addr, e.Index, e.Term)
+		s.reportBreach("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks", c.addr, e.Index, e.Term)
 	}
 	if e.Kind == raft.Members {
 		ms, err := raft.DecodeMembers(e)
 		must(err)
 		o.members = ms
 		s.report.Counts["member changes"]++
-		s.tell("members: %v", ids(ms))
+		s.trace("members: %v", ids(ms))
 	}
 	data := e.Data
 	if e.Kind != raft.Normal {
 		data = nil
 	}
-	s.money.apply(data, func() {
+	s.billing.apply(data, func() {
 		_, _ = command.Apply(o.ref, e.Index, e.Term, data) // its fault is an outcome
 	})
 }
@@ -190,26 +190,26 @@
 }
 
 // repaired tells whether a wiped cplane counts again.
-func (o *oracle) repaired(c *cplane) bool {
-	if !c.alive || c.hand == nil || c.hand.Core() == nil {
+func (o *invariantChecker) repaired(c *controlPlane) bool {
+	if !c.alive || c.driver == nil || c.driver.Core() == nil {
 		return false
 	}
-	id := c.hand.Core().Status().ID
+	id := c.driver.Core().Status().ID
 	return slices.ContainsFunc(o.members, func(m raft.Member) bool { return m.ID == id && !m.Learner })
 }
 
 // durable tells whether a majority of some member set in force has an entry on its disks.
-func (o *oracle) durable(index, term uint64) bool {
+func (o *invariantChecker) durable(index, term uint64) bool {
 	have := map[string]bool{}
 	sets := [][]raft.Member{o.members}
-	for _, c := range o.sim.cplanes {
+	for _, c := range o.sim.controlPlanes {
 		if c.wiped != "" { // it may have said that it has it before it lost it
 			have[c.wiped] = have[c.wiped] || index <= c.hadTo || c.had[index] == term
 		}
-		if c.hand == nil || c.hand.Core() == nil {
+		if c.driver == nil || c.driver.Core() == nil {
 			continue
 		}
-		st := c.hand.Core().Status()
+		st := c.driver.Core().Status()
 		have[st.ID] = have[st.ID] || c.has(index, term)
 		sets = append(sets, st.Members)
 	}
@@ -231,7 +231,7 @@
 }
 
 // newest is the last epoch granted at or before an index of the log.
-func (o *oracle) newest(index uint64) (epoch uint64) {
+func (o *invariantChecker) newest(index uint64) (epoch uint64) {
 	for _, g := range o.grants {
 		if g <= index {
 			epoch = g
@@ -241,79 +241,79 @@
 }
 
 // planned takes in that a plan decided under an epoch was committed and counted.
-func (o *oracle) planned(epoch, index uint64) {
-	o.sim.held("decided in office")
+func (o *invariantChecker) planned(epoch, index uint64) {
+	o.sim.countCase("decided in office")
 	if now := o.newest(index); now != epoch {
-		o.sim.broke("decided in office", "a plan of epoch %d counts at %d, where %d was granted", epoch, index, now)
+		o.sim.reportBreach("decided in office", "a plan of epoch %d counts at %d, where %d was granted", epoch, index, now)
 	}
 }
 
 // decided takes in that a holder makes a plan. Also ends and proofs are judged by the handles, so no plan may come from
 // a replica that has not followed the store up to the grant; only those with starts are counted.
-func (o *oracle) decided(d *dplane, p *command.Plan) {
+func (o *invariantChecker) decided(d *dataPlane, p *command.Plan) {
 	if d.state().Index < p.Epoch {
-		o.sim.broke("rebuilt", "%s makes a plan of %d starts under epoch %d with its replica at %d", d.addr, len(p.Starts), p.Epoch, d.state().Index)
+		o.sim.reportBreach("rebuilt", "%s makes a plan of %d starts under epoch %d with its replica at %d", d.addr, len(p.Starts), p.Epoch, d.state().Index)
 	}
 	if len(p.Starts) == 0 {
 		return
 	}
-	o.sim.held("rebuilt")
-	if h := len(d.state().Handles); h > 0 && d.sched.Epoch() == p.Epoch {
+	o.sim.countCase("rebuilt")
+	if h := len(d.state().Handles); h > 0 && d.scheduler.Epoch() == p.Epoch {
 		o.rebuilt(d)
 	}
 }
 
 // written takes in that a hold call leaves a dplane.
-func (o *oracle) written(d *dplane, c scheduler.OutgoingCall) {
+func (o *invariantChecker) written(d *dataPlane, c scheduler.OutgoingCall) {
 	s := o.sim
-	s.held("fence")
+	s.countCase("fence")
 	if now := o.newest(o.ref.Index); c.Call.Epoch < now {
-		s.broke("fence", "%s writes to %s under epoch %d, %d was granted", d.addr, c.Worker, c.Call.Epoch, now)
+		s.reportBreach("fence", "%s writes to %s under epoch %d, %d was granted", d.addr, c.Worker, c.Call.Epoch, now)
 	}
 	for _, st := range c.Call.Starts {
 		t := o.runIDs[st.RunID]
 		if t == nil {
-			s.broke("durable", "the order of ticket %d leaves %s before it is committed", st.RunID, d.addr)
+			s.reportBreach("durable", "the order of ticket %d leaves %s before it is committed", st.RunID, d.addr)
 			return
 		}
-		s.held("ordered once")
+		s.countCase("ordered once")
 		if t.written != 0 {
-			s.broke("ordered once", "ticket %d was ordered at %v already", st.RunID, t.written)
+			s.reportBreach("ordered once", "ticket %d was ordered at %v already", st.RunID, t.written)
 		}
 		t.written, t.by = s.now, d
-		s.tell("%s orders ticket %d (%s/%s/%d) at %s, epoch %d, call %d", d.addr, st.RunID, st.Job, st.Step, st.Task, c.Worker, c.Call.Epoch, c.Call.Call)
+		s.trace("%s orders ticket %d (%s/%s/%d) at %s, epoch %d, call %d", d.addr, st.RunID, st.Job, st.Step, st.Task, c.Worker, c.Call.Epoch, c.Call.Call)
 	}
 }
 
 // arrived takes in that start orders are at a minion.
-func (o *oracle) arrived(m *node, call internalapi.LeaseCall) {
+func (o *invariantChecker) arrived(m *worker, call internalapi.LeaseCall) {
 	for _, st := range call.Starts {
 		if t := o.runIDs[st.RunID]; t != nil {
 			t.until = m.zero + st.LeaseUntil
 		}
-		o.sim.held("newer ticket")
+		o.sim.countCase("newer ticket")
 		if st.RunID <= o.orders[m] && m.kind == policyworker.Obey {
-			o.sim.broke("newer ticket", "ticket %d reaches %s, which has seen %d", st.RunID, m.addr, o.orders[m])
+			o.sim.reportBreach("newer ticket", "ticket %d reaches %s, which has seen %d", st.RunID, m.addr, o.orders[m])
 		}
 		o.orders[m] = max(o.orders[m], st.RunID)
 	}
 }
 
 // renewed takes in what a call does to holds; the minion has carried it out.
-func (o *oracle) renewed(m *node, call internalapi.LeaseCall) {
+func (o *invariantChecker) renewed(m *worker, call internalapi.LeaseCall) {
 	if call.Incarnation != m.traits.Boot && call.Incarnation != "" {
 		return
 	}
 	for _, r := range o.runs {
-		if r.minion == m && r.gen == m.gen && slices.Contains(call.Renew, r.runID) {
+		if r.worker == m && r.gen == m.gen && slices.Contains(call.Renew, r.runID) {
 			r.until = max(r.until, m.zero+call.RenewUntil)
 		}
 	}
 }
 
 // heard takes in that a holder is told something.
-func (o *oracle) heard(d *dplane, c scheduler.OutgoingCall, a internalapi.LeaseAnswer) {
-	if a.Call != c.Call.Call || c.Call.Epoch != d.sched.Epoch() {
+func (o *invariantChecker) heard(d *dataPlane, c scheduler.OutgoingCall, a internalapi.LeaseAnswer) {
+	if a.Call != c.Call.Call || c.Call.Epoch != d.scheduler.Epoch() {
 		return
 	}
 	for _, e := range a.Ended {
@@ -323,8 +323,8 @@
 		}
 		for _, end := range o.ended[t.handle.Ref] {
 			if end.runID == e.RunID {
-				if _, ok := end.told[c.Call.Epoch]; !ok {
-					end.told[c.Call.Epoch] = o.sim.now
+				if _, ok := end.acknowledged[c.Call.Epoch]; !ok {
+					end.acknowledged[c.Call.Epoch] = o.sim.now
 				}
 			}
 		}
@@ -332,24 +332,24 @@
 }
 
 // booted takes in that a minion begins a life: nothing of an older one runs any more.
-func (o *oracle) booted(m *node) {
-	o.runs = slices.DeleteFunc(o.runs, func(r *runWitness) bool { return r.minion == m })
-	o.sim.tell("%s boots as %s", m.addr, m.traits.Boot)
+func (o *invariantChecker) booted(m *worker) {
+	o.runs = slices.DeleteFunc(o.runs, func(r *runWitness) bool { return r.worker == m })
+	o.sim.trace("%s boots as %s", m.addr, m.traits.Boot)
 }
 
-func (o *oracle) orphaned(m *node) { o.sim.tell("%s is killed", m.addr) }
+func (o *invariantChecker) orphaned(m *worker) { o.sim.trace("%s is killed", m.addr) }
 
 // witness takes in what a minion did.
-func (o *oracle) witness(m *node, e journal.Entry) {
+func (o *invariantChecker) witness(m *worker, e journal.Entry) {
 	if e.Ev == journal.Boot {
 		return
 	}
-	o.sim.tell("%s %s ticket %d %s/%s/%d ok=%v %s", m.addr, e.Ev, e.RunID, e.Job, e.Step, e.Task, e.OK, e.Why)
+	o.sim.trace("%s %s ticket %d %s/%s/%d ok=%v %s", m.addr, e.Ev, e.RunID, e.Job, e.Step, e.Task, e.OK, e.Why)
 	switch e.Ev {
 	case journal.Start:
 		o.started(m, e)
-		if t := o.runIDs[e.RunID]; t != nil && o.sim.money != nil {
-			o.sim.money.started(t.handle.Ref, e.RunID)
+		if t := o.runIDs[e.RunID]; t != nil && o.sim.billing != nil {
+			o.sim.billing.started(t.handle.Ref, e.RunID)
 		}
 	case journal.Refuse:
 		o.sim.report.Counts["refused: "+e.Why]++
@@ -358,7 +358,7 @@
 			o.sim.report.Counts["lapsed"]++
 		}
 		n := len(o.runs)
-		o.runs = slices.DeleteFunc(o.runs, func(r *runWitness) bool { return r.minion == m && r.runID == e.RunID })
+		o.runs = slices.DeleteFunc(o.runs, func(r *runWitness) bool { return r.worker == m && r.runID == e.RunID })
 		if t := o.runIDs[e.RunID]; e.Ev == journal.End && e.OK && t != nil && n > len(o.runs) {
 			o.ended[t.handle.Ref] = append(o.ended[t.handle.Ref], &ending{e.RunID, m, m.gen, map[uint64]time.Duration{}})
 		}
@@ -366,57 +366,57 @@
 }
 
 // started judges a start, the one event that must never be wrong.
-func (o *oracle) started(m *node, e journal.Entry) {
+func (o *invariantChecker) started(m *worker, e journal.Entry) {
 	s := o.sim
 	t := o.runIDs[e.RunID]
 	if t == nil || t.written == 0 || t.handle.Worker != m.addr {
-		s.broke("durable", "%s starts ticket %d, which was not ordered there", m.addr, e.RunID)
+		s.reportBreach("durable", "%s starts ticket %d, which was not ordered there", m.addr, e.RunID)
 		return
 	}
 	ref := t.handle.Ref
 	if !s.calm {
 		s.report.Counts["starts under faults"]++
 	}
-	s.held("once at a time")
+	s.countCase("once at a time")
 	for _, r := range o.runs {
 		if r.ref == ref && s.now < r.until {
-			s.broke("once at a time", "%v starts as ticket %d on %s while ticket %d runs on %s", ref, e.RunID, m.addr, r.runID, r.minion.addr)
+			s.reportBreach("once at a time", "%v starts as ticket %d on %s while ticket %d runs on %s", ref, e.RunID, m.addr, r.runID, r.worker.addr)
 		}
 	}
-	s.held("not after it ended well")
+	s.countCase("not after it ended well")
 	for _, end := range o.ended[ref] {
 		o.repeats(t, end)
 	}
 	j := o.jobs[ref.Job]
 	if j.cancel > 0 {
-		if s.now > j.cancel+cancelWithin {
-			s.broke("cancelled starts nothing", "ticket %d of %s, cancelled at %v", e.RunID, ref.Job, j.cancel)
+		if s.now > j.cancel+cancelTimeout {
+			s.reportBreach("cancelled starts nothing", "ticket %d of %s, cancelled at %v", e.RunID, ref.Job, j.cancel)
 		}
 	}
-	s.held("not late")
+	s.countCase("not late")
 	late := 700 * time.Millisecond // the void time in the minion's clock, and what its report was under way
 	if m.kind == policyworker.Obey {
 		late = callTimeout/2 + lateness + 100*time.Millisecond // it was under way until its connection was closed at most
 	}
 	if s.now-max(t.written, m.woke) > late { // what lay in the kernel of a frozen machine is carried out when it wakes
-		s.broke("not late", "ticket %d was written at %v and starts on %s (%s)", e.RunID, t.written, m.addr, m.kind)
+		s.reportBreach("not late", "ticket %d was written at %v and starts on %s (%s)", e.RunID, t.written, m.addr, m.kind)
 	}
 	if at, out := o.evacuated[m.zone]; out {
-		if s.now > at+zoneWithin {
-			s.broke("evacuated", "ticket %d starts on %s, %s is evacuated since %v", e.RunID, m.addr, m.zone, at)
+		if s.now > at+evacuationTimeout {
+			s.reportBreach("evacuated", "ticket %d starts on %s, %s is evacuated since %v", e.RunID, m.addr, m.zone, at)
 		}
 	}
 	if m.draining {
-		s.held("draining")
-		if t.written > m.drains+drainWithin {
-			s.broke("draining", "ticket %d was written at %v for %s, which drains since %v", e.RunID, t.written, m.addr, m.drains)
+		s.countCase("draining")
+		if t.written > m.drains+drainTimeout {
+			s.reportBreach("draining", "ticket %d was written at %v for %s, which drains since %v", e.RunID, t.written, m.addr, m.drains)
 		}
 	}
-	s.held("fits")
+	s.countCase("fits")
 	step := j.spec.Steps[ref.Step]
 	for k, v := range step.Labels {
 		if m.lab[k] != v {
-			s.broke("fits", "ticket %d wants %s=%s, %s has not", e.RunID, k, v, m.addr)
+			s.reportBreach("fits", "ticket %d wants %s=%s, %s has not", e.RunID, k, v, m.addr)
 		}
 	}
 	run := &runWitness{ref, e.RunID, m, m.gen, step.Cores, 0}
@@ -424,12 +424,12 @@
 	o.runs = append(o.runs, run)
 	taken := 0
 	for _, r := range o.runs {
-		if r.minion == m && s.now < r.until {
+		if r.worker == m && s.now < r.until {
 			taken += r.cores
 		}
 	}
 	if taken > m.cores {
-		s.broke("fits", "%d cores run on %s, it has %d", taken, m.addr, m.cores)
+		s.reportBreach("fits", "%d cores run on %s, it has %d", taken, m.addr, m.cores)
 	}
 }
 
@@ -437,20 +437,20 @@
 // holder was told; until then nobody can know it, and a task must not wait for ever for a minion that is gone. So
 // it is a breach if the store has it as done, or if the holder that gave the new run ID was told before the old
 // handle was closed. Else it is counted apart.
-func (o *oracle) repeats(t *runID, end *ending) {
+func (o *invariantChecker) repeats(t *runID, end *ending) {
 	s := o.sim
 	old := o.runIDs[end.runID]
 	if end.runID >= t.handle.RunID {
 		return
 	}
 	if _, task := o.ref.TaskOf(t.handle.Ref); task == nil || task.Phase == state.TaskDone && task.RunID != t.handle.RunID {
-		s.broke("not after it ended well", "ticket %d starts %v, which the store has as done", t.handle.RunID, t.handle.Ref)
+		s.reportBreach("not after it ended well", "ticket %d starts %v, which the store has as done", t.handle.RunID, t.handle.Ref)
 	}
-	if at, ok := end.told[t.handle.Epoch]; ok && at+time.Second < old.closed {
-		s.broke("not after it ended well", "ticket %d starts %v; its holder was told at %v that ticket %d ended well, which was closed at %v",
+	if at, ok := end.acknowledged[t.handle.Epoch]; ok && at+time.Second < old.closed {
+		s.reportBreach("not after it ended well", "ticket %d starts %v; its holder was told at %v that ticket %d ended well, which was closed at %v",
 			t.handle.RunID, t.handle.Ref, at, end.runID, old.closed)
 	}
-	if end.minion.gen != end.gen {
+	if end.worker.gen != end.gen {
 		s.report.Counts["ran again: the minion forgot the end with its boot"]++
 	} else {
 		s.report.Counts["ran again: the end was not heard until the hold had lapsed"]++
@@ -458,53 +458,53 @@
 }
 
 // rebuilt checks the tallies of a fresh holder against the handles of the log up to its grant.
-func (o *oracle) rebuilt(d *dplane) {
+func (o *invariantChecker) rebuilt(d *dataPlane) {
 	want := d.state().RunningCounts()
 	for kind, n := range want {
-		if got := d.sched.RunningCount(kind); got != n {
-			o.sim.broke("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, kind, n)
+		if got := d.scheduler.RunningCount(kind); got != n {
+			o.sim.reportBreach("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, kind, n)
 		}
 	}
 }
 
 // done judges the end of a job as its client sees it.
-func (o *oracle) done(j *job) {
+func (o *invariantChecker) done(j *job) {
 	if j.over != state.JobDone {
 		return
 	}
-	o.sim.held("done")
+	o.sim.countCase("done")
 	for i, step := range j.spec.Steps {
 		for k := range step.Tasks {
 			if len(o.ended[state.TaskRef{Job: j.spec.Key, Step: i, Task: k}]) == 0 {
-				o.sim.broke("done", "%s is shown as done, task %d of step %d never ended well", j.spec.Key, k, i)
+				o.sim.reportBreach("done", "%s is shown as done, task %d of step %d never ended well", j.spec.Key, k, i)
 			}
 		}
 	}
 }
 
 // compare holds the states of all nodes at the same index against each other.
-func (o *oracle) compare() {
+func (o *invariantChecker) compare() {
 	s := o.sim
 	first := map[uint64][]byte{}
 	look := func(name string, st *state.State) {
 		raw, err := st.Encode()
 		must(err)
 		if have, ok := first[st.Index]; ok {
-			s.held("same state")
+			s.countCase("same state")
 			if !bytes.Equal(have, raw) {
-				s.broke("same state", "%s has another state at %d", name, st.Index)
+				s.reportBreach("same state", "%s has another state at %d", name, st.Index)
 			}
 		} else {
 			first[st.Index] = raw
 		}
 	}
 	look("the log", o.ref)
-	for _, c := range s.cplanes {
-		if c.alive && c.hand.IsMember() {
-			look(c.addr, c.hand.State())
+	for _, c := range s.controlPlanes {
+		if c.alive && c.driver.IsMember() {
+			look(c.addr, c.driver.State())
 		}
 	}
-	for _, d := range s.dplanes {
+	for _, d := range s.dataPlanes {
 		if d.alive && d.replica.Index() > 0 {
 			look(d.addr, d.state())
 		}
@@ -513,7 +513,7 @@
 }
 
 // idling looks for due tasks beside room, once the faults are over.
-func (o *oracle) idling() {
+func (o *invariantChecker) idling() {
 	s := o.sim
 	s.on(250*time.Millisecond, o.idling)
 	if !s.calm {
@@ -535,9 +535,9 @@
 				if o.idle[ref] == 0 {
 					o.idle[ref] = s.now
 				}
-				s.held("not idle beside room")
-				if s.now-o.idle[ref] > idleWithin {
-					s.broke("not idle beside room", "%v is due since %v and there is room for it since %v", ref, o.dueAt[ref], o.idle[ref])
+				s.countCase("not idle beside room")
+				if s.now-o.idle[ref] > idleTimeout {
+					s.reportBreach("not idle beside room", "%v is due since %v and there is room for it since %v", ref, o.dueAt[ref], o.idle[ref])
 				}
 			}
 		}
@@ -547,7 +547,7 @@
 // passing looks at the oldest due task that some minion could hold if it were empty: younger ones that need less may
 // go before it only for a while. The time counts while the fleet can give run IDs at all: a process that faults ended
 // may be down for up to calmAfter beyond them.
-func (o *oracle) passing() {
+func (o *invariantChecker) passing() {
 	s := o.sim
 	ref, found := o.first()
 	switch {
@@ -556,23 +556,23 @@
 	case o.oldestAt == 0 || ref != o.oldest:
 		o.oldest, o.oldestAt = ref, s.now
 	default:
-		s.held("not passed over")
-		within := passedWithin
+		s.countCase("not passed over")
+		timeout := startTimeout
 		if o.ref.Jobs[ref.Job].Spec.Steps[ref.Step].Gang {
-			within = gangWithin
+			timeout = gangStartTimeout
 		}
-		if s.now-o.oldestAt > within {
-			s.broke("not passed over", "%v is the oldest due task since %v", ref, o.oldestAt)
+		if s.now-o.oldestAt > timeout {
+			s.reportBreach("not passed over", "%v is the oldest due task since %v", ref, o.oldestAt)
 		}
 	}
 }
 
 // serving tells whether a majority of the store's voters and a dplane are up.
-func (o *oracle) serving() bool {
+func (o *invariantChecker) serving() bool {
 	up := map[string]bool{}
-	for _, c := range o.sim.cplanes {
-		if c.alive && !c.frozen && c.hand.Core() != nil {
-			up[c.hand.Core().Status().ID] = true
+	for _, c := range o.sim.controlPlanes {
+		if c.alive && !c.frozen && c.driver.Core() != nil {
+			up[c.driver.Core().Status().ID] = true
 		}
 	}
 	voters, there := 0, 0
@@ -584,11 +584,11 @@
 			}
 		}
 	}
-	return 2*there > voters && slices.ContainsFunc(o.sim.dplanes, func(d *dplane) bool { return d.alive && !d.frozen })
+	return 2*there > voters && slices.ContainsFunc(o.sim.dataPlanes, func(d *dataPlane) bool { return d.alive && !d.frozen })
 }
 
 // first gives the oldest due task that some minion could hold.
-func (o *oracle) first() (first state.TaskRef, found bool) {
+func (o *invariantChecker) first() (first state.TaskRef, found bool) {
 	var seq uint64
 	for _, key := range o.keys() {
 		j := o.ref.Jobs[key]
@@ -603,11 +603,11 @@
 }
 
 // firstOf gives the first due task of a job that some minion could hold.
-func (o *oracle) firstOf(j *state.Job) (state.TaskRef, bool) {
+func (o *invariantChecker) firstOf(j *state.Job) (state.TaskRef, bool) {
 	for i, tasks := range j.Tasks {
 		for k := range tasks {
 			ref := state.TaskRef{Job: j.Spec.Key, Step: i, Task: k}
-			if tasks[k].Phase == state.TaskDue && o.sim.now >= o.dueAt[ref] && o.sim.money.payable(j, ref) && o.holds(j, i) {
+			if tasks[k].Phase == state.TaskDue && o.sim.now >= o.dueAt[ref] && o.sim.billing.payable(j, ref) && o.mayRun(j, i) {
 				return ref, true
 			}
 		}
@@ -615,8 +615,8 @@
 	return state.TaskRef{}, false
 }
 
-// holds tells whether the minions could hold what of a step starts together, were they empty.
-func (o *oracle) holds(j *state.Job, at int) bool {
+// mayRun tells whether the minions could hold what of a step starts together, were they empty.
+func (o *invariantChecker) mayRun(j *state.Job, at int) bool {
 	step := &j.Spec.Steps[at]
 	need, have := 1, 0
 	if step.Gang {
@@ -630,7 +630,7 @@
 	return have >= need
 }
 
-func (o *oracle) keys() []string {
+func (o *invariantChecker) keys() []string {
 	var out []string
 	for key, j := range o.ref.Jobs {
 		if j.Phase == state.JobRunning {
@@ -642,32 +642,32 @@
 }
 
 // waits tells whether a task is due and a minion could run it now.
-func (o *oracle) waits(j *state.Job, ref state.TaskRef) bool {
-	return o.room(j, ref) && o.sim.money.payable(j, ref)
+func (o *invariantChecker) waits(j *state.Job, ref state.TaskRef) bool {
+	return o.fits(j, ref) && o.sim.billing.payable(j, ref)
 }
 
-// room tells whether a task is due and a minion has room for it now.
-func (o *oracle) room(j *state.Job, ref state.TaskRef) bool {
+// fits tells whether a task is due and a minion has room for it now.
+func (o *invariantChecker) fits(j *state.Job, ref state.TaskRef) bool {
 	step := &j.Spec.Steps[ref.Step]
 	if j.Tasks[ref.Step][ref.Task].Phase != state.TaskDue || step.Gang || o.sim.now < o.dueAt[ref] {
 		return false
 	}
-	return slices.ContainsFunc(o.usable(), func(m *node) bool {
+	return slices.ContainsFunc(o.usable(), func(m *worker) bool {
 		return o.ref.PlacementRefusal(&j.Spec, step, o.ref.Workers[m.addr]) == "" && o.ref.UsageOf(m.addr).Cores+step.Cores <= m.cores
 	})
 }
 
 // usable gives the minions that are there and not held back, as sick ones are, which spoil what they are given.
-func (o *oracle) usable() []*node {
-	var sick []string
-	for _, d := range o.sim.dplanes {
-		if d.alive && d.sched.Epoch() > 0 {
-			sick = d.sched.UnhealthyWorkers()
+func (o *invariantChecker) usable() []*worker {
+	var unhealthy []string
+	for _, d := range o.sim.dataPlanes {
+		if d.alive && d.scheduler.Epoch() > 0 {
+			unhealthy = d.scheduler.UnhealthyWorkers()
 		}
 	}
-	var out []*node
-	for _, m := range o.sim.minions {
-		if o.ref.Workers[m.addr] != nil && m.alive && !m.frozen && !m.draining && !slices.Contains(sick, m.addr) {
+	var out []*worker
+	for _, m := range o.sim.workers {
+		if o.ref.Workers[m.addr] != nil && m.alive && !m.frozen && !m.draining && !slices.Contains(unhealthy, m.addr) {
 			out = append(out, m)
 		}
 	}
@@ -675,16 +675,16 @@
 }
 
 // end judges what must hold when all is over.
-func (o *oracle) end() {
+func (o *invariantChecker) end() {
 	s := o.sim
-	s.held("all ends")
-	for _, j := range s.people.jobs {
+	s.countCase("all ends")
+	for _, j := range s.clients.jobs {
 		if !j.gave && j.over == "" {
 			phase := state.JobPhase("unknown")
 			if k := o.ref.Jobs[j.spec.Key]; k != nil {
 				phase = k.Phase
 			}
-			s.broke("all ends", "%s, sent at %v, accepted at %v, has not ended; the log has it as %q", j.spec.Key, j.sent, j.accepted, phase)
+			s.reportBreach("all ends", "%s, sent at %v, accepted at %v, has not ended; the log has it as %q", j.spec.Key, j.sent, j.accepted, phase)
 		}
 	}
 	o.compare()
--- a/internal/testbed/policysim/oracle_test.go
+++ b/internal/testbed/policysim/oracle_test.go
@@ -10,7 +10,7 @@
 )
 
 // waitFor lets the oracle look at the oldest due task every quarter of a second, and nothing else happen.
-func (o *oracle) waitFor(d time.Duration) {
+func (o *invariantChecker) waitFor(d time.Duration) {
 	for end := o.sim.now + d; o.sim.now < end; o.sim.now += 250 * time.Millisecond {
 		o.passing()
 	}
@@ -19,42 +19,42 @@
 func TestPassedOverCountsWhileServing(t *testing.T) {
 	Convey("A due task waits, and no run ID is given", t, func() {
 		s := newSim(Options{Seed: 1, Faults: []string{}})
-		o := s.oracle
+		o := s.invariantChecker
 		s.now = time.Minute
 		spec := state.Spec{Key: "j", Team: "t", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "k", Tasks: 1, Cores: 1}}}
 		o.ref.Jobs["j"] = &state.Job{Spec: spec, Phase: state.JobRunning, Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
-		o.ref.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b", Cores: s.minions[0].cores}
+		o.ref.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b", Cores: s.workers[0].cores}
 		Convey("with all up it is passed over after its time", func() {
-			o.waitFor(passedWithin)
+			o.waitFor(startTimeout)
 			So(s.report.Breach, ShouldBeNil)
 			o.waitFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 			So(s.report.Breach.Promise, ShouldEqual, "not passed over")
 		})
 		Convey("without a majority of the store the time does not count, from its return on it does", func() {
-			for _, c := range s.cplanes[:3] {
+			for _, c := range s.controlPlanes[:3] {
 				c.crash(false)
 			}
 			o.waitFor(calmAfter)
 			So(s.report.Breach, ShouldBeNil)
-			s.cplanes[0].up()
-			o.waitFor(passedWithin)
+			s.controlPlanes[0].up()
+			o.waitFor(startTimeout)
 			So(s.report.Breach, ShouldBeNil)
 			o.waitFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 		})
 		Convey("nor does it without a dplane", func() {
-			for _, d := range s.dplanes {
+			for _, d := range s.dataPlanes {
 				d.die()
 			}
 			o.waitFor(calmAfter)
 			So(s.report.Breach, ShouldBeNil)
 		})
 		Convey("two of five members gone are no reason", func() {
-			for _, c := range s.cplanes[:2] {
+			for _, c := range s.controlPlanes[:2] {
 				c.crash(false)
 			}
-			o.waitFor(passedWithin + time.Second)
+			o.waitFor(startTimeout + time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 		})
 	})
--- a/internal/testbed/policysim/people.go
+++ b/internal/testbed/policysim/people.go
@@ -12,12 +12,12 @@
 	"crosstide/internal/state/query"
 )
 
-// people are the clients and the operators. They stand outside of all cuts.
-type people struct {
-	*proc
+// clients are the clients and the operators. They stand outside of all cuts.
+type clients struct {
+	*process
 	jobs []*job
 	next int
-	op   *dplane // only its way to the leader
+	op   *dataPlane // only its way to the leader
 	out  map[string]bool
 	acts int
 	seen linear
@@ -34,9 +34,9 @@
 	gave     bool // given up before it was accepted
 }
 
-func (p *people) start() {
+func (p *clients) start() {
 	p.begin()
-	p.op = &dplane{proc: p.proc}
+	p.op = &dataPlane{process: p.process}
 	p.out = map[string]bool{}
 	p.after(2*time.Second, p.offer)
 	p.after(4*time.Second, p.again)
@@ -48,16 +48,16 @@
 const jobsPerCore = 4
 
 // mostOpen is how many jobs the clients have open at most.
-func (p *people) mostOpen() int {
+func (p *clients) mostOpen() int {
 	cores := 0
-	for _, m := range p.sim.minions {
+	for _, m := range p.sim.workers {
 		cores += m.cores
 	}
 	return jobsPerCore * cores
 }
 
 // offer hands a job in, again and again until it is accepted or its client loses patience.
-func (p *people) offer() {
+func (p *clients) offer() {
 	s := p.sim
 	if s.calm {
 		return
@@ -69,16 +69,16 @@
 	for range min(n, p.mostOpen()-p.jobsOpen()-p.abandonedOpen()) {
 		j := &job{spec: p.spec(), sent: s.now}
 		p.jobs = append(p.jobs, j)
-		s.oracle.jobs[j.spec.Key] = j
+		s.invariantChecker.jobs[j.spec.Key] = j
 		p.submit(j, 0)
 	}
 	p.after(s.between(50*time.Millisecond, 900*time.Millisecond), p.offer)
 }
 
-func (p *people) spec() state.Spec {
+func (p *clients) spec() state.Spec {
 	s := p.sim
 	p.next++
-	out := state.Spec{Key: fmt.Sprintf("j%03d", p.next), Team: s.money.team(), Queue: "default"}
+	out := state.Spec{Key: fmt.Sprintf("j%03d", p.next), Team: s.billing.team(), Queue: "default"}
 	for i := range 1 + s.rnd.IntN(3) {
 		step := state.StepSpec{Name: fmt.Sprintf("s%d", i), Type: fmt.Sprintf("k%d", s.rnd.IntN(3)), Tasks: 1 + s.rnd.IntN(3),
 			Cores: 1 + s.rnd.IntN(2), Retries: 4}
@@ -99,19 +99,19 @@
 	return out
 }
 
-func (p *people) at() *dplane { return pick(p.sim, p.sim.dplanes) }
+func (p *clients) at() *dataPlane { return pick(p.sim, p.sim.dataPlanes) }
 
-func (p *people) submit(j *job, try int) {
+func (p *clients) submit(j *job, try int) {
 	s := p.sim
 	d := p.at()
 	cmd := &command.Submit{Spec: j.spec, Digest: "d-" + j.spec.Key, Bound: 10000}
 	m := p.seen.called(s.now, j.spec.Key, actSubmit, cmd.Digest)
-	s.ask(ask{from: p.proc, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
-		serve: func(_ *proc, reply func(any, error)) {
+	s.request(request{from: p.process, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
+		serve: func(_ *process, reply func(any, error)) {
 			d.propose(cmd, true, d.Now()+3*time.Second, func(_ uint64, a json.RawMessage, err error) { reply(a, err) })
 		},
 		back: func(a any, err error, _ bool) {
-			m.told(s.now, a, err)
+			m.complete(s.now, a, err)
 			if err != nil {
 				if try > 20 && !s.calm {
 					j.gave = true
@@ -123,7 +123,7 @@
 			}
 			if j.accepted == 0 {
 				j.accepted = s.now
-				s.tell("%s accepted", j.spec.Key)
+				s.trace("%s accepted", j.spec.Key)
 				p.after(s.between(100*time.Millisecond, time.Second), func() { p.poll(j) })
 				if s.chance(0.05) { // its answer was lost on the way to the client: the same again
 					p.submit(j, 0)
@@ -135,20 +135,20 @@
 		}})
 }
 
-func (p *people) cancel(j *job) {
+func (p *clients) cancel(j *job) {
 	s := p.sim
 	j.wanted = true
 	d := p.at()
 	m := p.seen.called(s.now, j.spec.Key, actCancel, "")
-	s.ask(ask{from: p.proc, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
-		serve: func(_ *proc, reply func(any, error)) {
+	s.request(request{from: p.process, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
+		serve: func(_ *process, reply func(any, error)) {
 			d.propose(&command.Cancel{Key: j.spec.Key}, true, d.Now()+3*time.Second, func(_ uint64, a json.RawMessage, err error) { reply(a, err) })
 		},
 		back: func(a any, err error, _ bool) {
-			m.told(s.now, a, err)
+			m.complete(s.now, a, err)
 			if err != nil {
 				if errs.Is(err, errs.Unknown) {
-					s.broke("known", "cancel of %s, accepted at %v: %v", j.spec.Key, j.accepted, err)
+					s.reportBreach("known", "cancel of %s, accepted at %v: %v", j.spec.Key, j.accepted, err)
 				}
 				p.after(s.between(50*time.Millisecond, time.Second), func() { p.cancel(j) })
 				return
@@ -156,37 +156,37 @@
 			if j.cancel == 0 {
 				j.cancel = s.now
 				s.report.Faults["cancel"]++
-				if k := s.oracle.ref.Jobs[j.spec.Key]; k != nil && k.Outcome == state.JobCancelled || k != nil && k.Phase == state.JobCancelled {
-					s.held("cancelled starts nothing")
+				if k := s.invariantChecker.ref.Jobs[j.spec.Key]; k != nil && k.Outcome == state.JobCancelled || k != nil && k.Phase == state.JobCancelled {
+					s.countCase("cancelled starts nothing")
 				}
-				s.tell("%s cancelled: %s", j.spec.Key, a.(json.RawMessage))
+				s.trace("%s cancelled: %s", j.spec.Key, a.(json.RawMessage))
 			}
 		}})
 }
 
-func (p *people) poll(j *job) {
+func (p *clients) poll(j *job) {
 	s := p.sim
 	d := p.at()
 	m := p.seen.called(s.now, j.spec.Key, actPoll, "")
-	s.ask(ask{from: p.proc, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
-		serve: func(_ *proc, reply func(any, error)) {
+	s.request(request{from: p.process, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
+		serve: func(_ *process, reply func(any, error)) {
 			d.read(j.spec.Key, func(v query.JobView, err error) { reply(v, err) })
 		},
 		back: func(a any, err error, _ bool) {
 			if errs.Is(err, errs.Unknown) {
 				m.seen(s.now, ansUnknown, "")
-				s.broke("known", "%s, accepted at %v, is unknown at %s", j.spec.Key, j.accepted, d.addr)
+				s.reportBreach("known", "%s, accepted at %v, is unknown at %s", j.spec.Key, j.accepted, d.addr)
 			}
 			if err == nil {
-				s.held("known")
+				s.countCase("known")
 				v := a.(query.JobView)
 				m.seen(s.now, ansPhase, v.State)
 				if j.over != "" && v.State != j.over {
-					s.broke("done", "%s was %s, now it is %s", j.spec.Key, j.over, v.State)
+					s.reportBreach("done", "%s was %s, now it is %s", j.spec.Key, j.over, v.State)
 				}
 				if v.State.IsTerminal() {
 					j.over = v.State
-					s.oracle.done(j)
+					s.invariantChecker.done(j)
 				}
 			}
 			if j.over == "" || s.chance(0.2) {
@@ -196,7 +196,7 @@
 }
 
 // jobsOpen is how many jobs have not ended in their clients' eyes.
-func (p *people) jobsOpen() int {
+func (p *clients) jobsOpen() int {
 	n := 0
 	for _, j := range p.jobs {
 		if !j.gave && j.over == "" {
@@ -207,10 +207,10 @@
 }
 
 // abandonedOpen is how many jobs the store works on though their clients have given them up: no yes ever reached them.
-func (p *people) abandonedOpen() int {
+func (p *clients) abandonedOpen() int {
 	n := 0
 	for _, j := range p.jobs {
-		if k := p.sim.oracle.ref.Jobs[j.spec.Key]; j.gave && k != nil && !k.Phase.IsTerminal() {
+		if k := p.sim.invariantChecker.ref.Jobs[j.spec.Key]; j.gave && k != nil && !k.Phase.IsTerminal() {
 			n++
 		}
 	}
@@ -218,19 +218,19 @@
 }
 
 // over tells whether every accepted job has ended in its client's eyes.
-func (p *people) over() bool { return p.jobsOpen() == 0 }
+func (p *clients) over() bool { return p.jobsOpen() == 0 }
 
 // order sends an operator's order until it is acknowledged, and then now and then once more.
-func (p *people) order(cmd command.Command, first json.RawMessage, done func()) {
+func (p *clients) order(cmd command.Command, first json.RawMessage, done func()) {
 	p.op.propose(cmd, true, p.Now()+5*time.Second, func(_ uint64, a json.RawMessage, err error) {
 		s := p.sim
 		switch {
 		case err != nil:
 			p.after(200*time.Millisecond, func() { p.order(cmd, first, done) })
 		case first != nil:
-			s.held("order once")
+			s.countCase("order once")
 			if !bytes.Equal(first, a) {
-				s.broke("order once", "an order sent again was answered %s, first %s", a, first)
+				s.reportBreach("order once", "an order sent again was answered %s, first %s", a, first)
 			}
 		default:
 			done()
@@ -242,36 +242,36 @@
 }
 
 // evacuate empties a zone for a while.
-func (p *people) evacuate(zone string) bool {
+func (p *clients) evacuate(zone string) bool {
 	if p.out[zone] || len(p.out) > 0 {
 		return false
 	}
 	s := p.sim
 	p.acts++
 	p.out[zone] = true
-	p.inOrder(s.money.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: true}), func() {
-		s.tell("operator: %s is evacuated", zone)
-		s.oracle.evacuated[zone] = s.now
-		s.held("evacuated")
+	p.inOrder(s.billing.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: true}), func() {
+		s.trace("operator: %s is evacuated", zone)
+		s.invariantChecker.evacuated[zone] = s.now
+		s.countCase("evacuated")
 		p.after(s.between(3*time.Second, 12*time.Second), func() { p.open(zone) })
 	})
 	return true
 }
 
-func (p *people) open(zone string) {
+func (p *clients) open(zone string) {
 	s := p.sim
 	p.acts++
-	delete(s.oracle.evacuated, zone) // from the sending on it may be open
-	p.inOrder(s.money.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: false}), func() {
-		s.tell("operator: %s is open", zone)
+	delete(s.invariantChecker.evacuated, zone) // from the sending on it may be open
+	p.inOrder(s.billing.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: false}), func() {
+		s.trace("operator: %s is open", zone)
 		delete(p.out, zone)
 	})
 }
 
-func (p *people) lift() {}
+func (p *clients) lift() {}
 
 // again hands a job in that was accepted long ago: it stays one job.
-func (p *people) again() {
+func (p *clients) again() {
 	if len(p.jobs) > 0 {
 		if j := pick(p.sim, p.jobs); j.accepted > 0 {
 			p.submit(j, 0)
--- a/internal/testbed/policysim/people_test.go
+++ b/internal/testbed/policysim/people_test.go
@@ -11,20 +11,20 @@
 func TestOpenJobsAreBounded(t *testing.T) {
 	Convey("Clients hand in no more jobs than the fleet works off in the quiet tail", t, func() {
 		s := newSim(Options{Seed: 9, Faults: []string{}})
-		most := s.people.mostOpen()
+		most := s.clients.mostOpen()
 		So(most, ShouldEqual, 15*jobsPerCore) // the minions of this seed have 15 cores
 		Convey("also counting those that they gave up and that the store has still", func() {
 			for range most {
-				j := &job{spec: s.people.spec(), gave: true}
-				s.people.jobs = append(s.people.jobs, j)
-				s.oracle.ref.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
+				j := &job{spec: s.clients.spec(), gave: true}
+				s.clients.jobs = append(s.clients.jobs, j)
+				s.invariantChecker.ref.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
 			}
-			s.people.offer()
-			So(s.people.jobs, ShouldHaveLength, most)
+			s.clients.offer()
+			So(s.clients.jobs, ShouldHaveLength, most)
 			Convey("until the store has worked one off", func() {
-				s.oracle.ref.Jobs[s.people.jobs[0].spec.Key].Phase = state.JobDone
-				s.people.offer()
-				So(s.people.jobs, ShouldHaveLength, most+1)
+				s.invariantChecker.ref.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
+				s.clients.offer()
+				So(s.clients.jobs, ShouldHaveLength, most+1)
 			})
 		})
 	})
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -94,16 +94,16 @@
 	seq   uint64
 	queue eventHeap
 
-	net     net
-	procs   []*proc
-	byAddr  map[string]*proc
-	cplanes []*cplane
-	dplanes []*dplane
-	minions []*node
-	people  *people
-	faults  *faultInjector
-	oracle  *oracle
-	money   *balances // nil without Options.Parties
+	net              net
+	procs            []*process
+	byAddr           map[string]*process
+	controlPlanes    []*controlPlane
+	dataPlanes       []*dataPlane
+	workers          []*worker
+	clients          *clients
+	faults           *faultInjector
+	invariantChecker *invariantChecker
+	billing          *balances // nil without Options.Parties
 
 	calm   bool // no faults any more
 	report Report
@@ -120,7 +120,7 @@
 //	}
 func Run(opt Options) Report {
 	s := newSim(opt)
-	end := s.opt.For + s.money.paidUp() + bound
+	end := s.opt.For + s.billing.paidUp() + bound
 	for s.queue.Len() > 0 && s.report.Breach == nil {
 		e := heap.Pop(&s.queue).(event)
 		if s.now = e.at; s.now > end {
@@ -128,13 +128,13 @@
 		}
 		s.report.Events++
 		e.do()
-		if s.calm && s.people.over() {
+		if s.calm && s.clients.over() {
 			break
 		}
 	}
 	if s.report.Breach == nil {
-		s.oracle.end()
-		s.people.seen.judge(s)
+		s.invariantChecker.end()
+		s.clients.seen.judge(s)
 	}
 	s.report.Virtual, s.report.Trace = s.now, s.hash.Sum64()
 	return s.report
@@ -148,7 +148,7 @@
 	if opt.Faults == nil {
 		opt.Faults = Faults
 	}
-	s := &sim{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 0x7469646563726f73)), byAddr: map[string]*proc{}, hash: xxhash.New(),
+	s := &sim{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 0x7469646563726f73)), byAddr: map[string]*process{}, hash: xxhash.New(),
 		report: Report{Seed: opt.Seed, Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}}
 	s.build()
 	return s
@@ -160,8 +160,8 @@
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, do})
 }
 
-// tell writes a line of the trace.
-func (s *sim) tell(format string, args ...any) {
+// deliver writes a line of the trace.
+func (s *sim) trace(format string, args ...any) {
 	line := fmt.Sprintf("%12.6f ", s.now.Seconds()) + fmt.Sprintf(format, args...)
 	_, _ = s.hash.WriteString(line) // never fails
 	if s.opt.Trace != nil {
@@ -175,16 +175,16 @@
 	s.at = (s.at + 1) % kept
 }
 
-// held counts a case of a promise.
-func (s *sim) held(promise string) { s.report.Promise[promise]++ }
+// granted counts a case of a promise.
+func (s *sim) countCase(promise string) { s.report.Promise[promise]++ }
 
-// broke notes the first breach.
-func (s *sim) broke(promise, format string, args ...any) {
+// reportBreach notes the first breach.
+func (s *sim) reportBreach(promise, format string, args ...any) {
 	if s.report.Breach != nil {
 		return
 	}
 	what := fmt.Sprintf(format, args...)
-	s.tell("BREACH %s: %s", promise, what)
+	s.trace("BREACH %s: %s", promise, what)
 	last := append([]string(nil), s.ring...)
 	if len(last) == kept {
 		last = append(last[s.at:], last[:s.at]...)
