--- a/internal/account/golden_test.go
+++ b/internal/account/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"crosstide/internal/testbed/golden"
 )
@@ -35,3 +36,9 @@
 		),
 	)
 }
+
+// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+func TestGoldenDigests(t *testing.T) {
+	e := Entry{Number: 1, At: time.Unix(0, 2), Kind: EntryTopUp, Key: "key", Part: 3, Amount: 4}
+	golden.Compare(t, "digests", golden.Lines("chain of a ledger", e.hash(""), e.hash("before")))
+}
--- a/internal/jobsapi/golden_test.go
+++ b/internal/jobsapi/golden_test.go
@@ -1,6 +1,7 @@
 package jobsapi
 
 import (
+	"encoding/json"
 	"testing"
 
 	"crosstide/internal/testbed/golden"
@@ -24,3 +25,16 @@
 		golden.Keys(t, "keys read", "."),
 	)
 }
+
+// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+func TestGoldenDigests(t *testing.T) {
+	spec, digest, err := ParseJob([]byte(`{"id":"j-1","queue":"nightly","steps":[{"milli_cpu":500}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored, err := json.Marshal(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "digests", golden.Lines("job", string(stored), digest))
+}
--- a/internal/lint/golden_test.go
+++ b/internal/lint/golden_test.go
@@ -45,3 +45,12 @@
 		golden.Constants(t, "platform", "../../platform"),
 	)
 }
+
+// TestGoldenParameters pins the names of headers, of parameters in queries and in paths.
+func TestGoldenParameters(t *testing.T) {
+	golden.Compare(t, "parameters",
+		golden.Arguments(t, "internal", "../../internal"),
+		golden.Arguments(t, "cmd", "../../cmd"),
+		golden.Arguments(t, "platform", "../../platform"),
+	)
+}
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -20,3 +20,8 @@
 	newMeter("server", &kept)
 	golden.Compare(t, "metrics", golden.Metrics("rpc", append(kept.Collectors, NewBudgetMetrics(nil))...))
 }
+
+// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+func TestGoldenDigests(t *testing.T) {
+	golden.Compare(t, "digests", golden.Lines("parts", Digest([]byte("a"), []byte("bc"))))
+}
--- a/internal/state/command/golden_test.go
+++ b/internal/state/command/golden_test.go
@@ -32,7 +32,7 @@
 func ops() string {
 	var out []string
 	for op, make := range makers {
-		out = append(out, golden.Shape("op "+op, make()))
+		out = append(out, golden.Shape("op "+op, make())+"\n"+golden.Filled("op "+op, make()))
 	}
 	slices.Sort(out)
 	return strings.Join(out, "\n")
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"crosstide/internal/config"
 	"crosstide/internal/testbed/golden"
 )
 
@@ -16,3 +17,9 @@
 			descLog, descWrites, descState, descType, descAccount, descRate, descDryIn, descUnpaid, descWarning}),
 	)
 }
+
+// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+func TestGoldenDigests(t *testing.T) {
+	golden.Compare(t, "digests", golden.Lines("founding members",
+		digestOf([]config.Member{{ID: "b", Addr: "addr", Zone: "zone"}, {ID: "a", Addr: "addr", Zone: "zone"}})))
+}
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -481,3 +481,26 @@
 	each(t, root, visit)
 	return Lines(label, sorted(found)...)
 }
+
+// Arguments lists the string literals that are the first argument of x.Get, x.Set, x.Add, x.Del, x.Values or x.PathValue
+// in the code under root: headers and parameters of HTTP, as they come.
+func Arguments(t *testing.T, label, root string) string {
+	t.Helper()
+	methods := []string{"Get", "Set", "Add", "Del", "Values", "PathValue"}
+	found := map[string]bool{}
+	each(t, root, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok || len(call.Args) == 0 {
+			return true
+		}
+		f, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || !slices.Contains(methods, f.Sel.Name) {
+			return true
+		}
+		if lit, ok := call.Args[0].(*ast.BasicLit); ok && lit.Kind == token.STRING {
+			found[lit.Value] = true
+		}
+		return true
+	})
+	return Lines(label, sorted(found)...)
+}
