--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -12,7 +12,7 @@
 	Key           jobs.RunKey
 	Payload       string
 	Needs         jobs.Resources // what the run takes of the worker
-	LeaseDeadline time.Duration  // the lease of everything on the worker, on the worker's clock
+	LeaseDeadline time.Duration  `json:"Deadline"` // the lease of everything on the worker, on the worker's clock
 	Token         uint64         // fencing token: the term of the leader
 	Checkpoint    string         // progress to go on from; empty: from the beginning
 }
@@ -61,7 +61,7 @@
 type EndedRun struct {
 	Sequence   uint64 // from 1, rising, within one life of the worker
 	Key        jobs.RunKey
-	Reason     jobs.EndReason
+	Reason     jobs.EndReason `json:"How"`
 	Checkpoint string
 }
 
