--- a/internal/testbed/fleetsim/clients.go
+++ b/internal/testbed/fleetsim/clients.go
@@ -1,6 +1,7 @@
 package fleetsim
 
 import (
+	"encoding/json"
 	"fmt"
 	"time"
 
@@ -89,7 +90,7 @@
 	j := &clientJob{spec: spec, prefix: prefix, sentAt: c.sim.now}
 	c.jobs = append(c.jobs, j)
 	c.byID[spec.ID] = j
-	c.sim.trace("job %s %s steps %+v", spec.ID, prefix, spec.Steps)
+	c.sim.trace("job %s %s steps %s", spec.ID, prefix, stepsText(spec.Steps))
 	c.submit(j)
 	return j
 }
@@ -311,3 +312,12 @@
 }
 
 func (c *clients) newID() string { return fmt.Sprintf("%016x", c.sim.rng.Uint64()) }
+
+// stepsText writes steps as they stand in the log, so that a history does not depend on names of Go fields.
+func stepsText(steps []jobs.Step) string {
+	text, err := json.Marshal(steps)
+	if err != nil {
+		return err.Error()
+	}
+	return string(text)
+}
