--- /dev/null
+++ b/internal/store/stored_test.go
@@ -0,0 +1,533 @@
+package store
+
+import (
+	"cmp"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/config"
+	"crosstide/internal/quorum"
+	"crosstide/internal/signature"
+	"crosstide/internal/state/command"
+	"crosstide/internal/storage"
+)
+
+// The folders under testdata/stored were written by the code of commit df84be1, one for each deployment: `cplane run` and
+// `cplane jobs run`. Later code must read the same out of them. Commands and the expected contents stand here and in
+// expected.json under the names that are on the disk, not under those of Go.
+//
+// Do not write them anew after a change of the stored form: that is what they are to find. A folder in a newer form goes
+// beside them, under its own name: add it to storedFolders and run
+//
+//	go test ./internal/store -run TestStoredFolders -write-stored
+//
+// which writes those that are missing, with the code as it is.
+var writeStored = flag.Bool("write-stored", false, "write the folders of testdata/stored that are missing")
+
+var storedFolders = []struct {
+	name  string
+	id    string            // the ID that the node took when it was taken in anew; "": its name
+	write func(*storedNode) // the commands before the newest snapshot; it is given the node without any
+	after func(*storedNode) // and those after it
+	goOn  func(*storedNode) // works on with what was read out
+}{
+	{"cplane", "", writeCplane, writeCplaneTail, goOnCplane},
+	{"jobs", "c1~abcdefghij", writeJobs, writeJobsTail, goOnJobs},
+}
+
+// storedContents is expected.json.
+type storedContents struct {
+	State   map[string]any `json:"state"`
+	Members any            `json:"members"`
+	Hard    map[string]any `json:"hard"`  // the last hard state in the log
+	Metas   []any          `json:"metas"` // of slot-a and slot-b
+	Peers   []string       `json:"peers"` // addresses that were known before a discard
+	ID      string         `json:"id"`
+}
+
+// storedNode is a cplane of one voter on a folder, driven by hand.
+type storedNode struct {
+	*ManualDriver
+	clock *clock.Virtual
+	store *Store
+	disk  storage.Disk
+}
+
+// openStored opens a folder; founder is the ID of the one member, if the folder is empty.
+func openStored(dir, founder string) *storedNode {
+	disk, err := storage.OSDisk(dir)
+	So(err, ShouldBeNil)
+	n := &storedNode{clock: &clock.Virtual{}, disk: disk}
+	set := config.DefaultCplane()
+	set.Name, set.Addr, set.Zone = "c1", "c1:1", "z1"
+	set.Members = []config.Member{{ID: founder, Addr: "c1:1", Zone: "z1"}}
+	set.SnapshotEvery = 1 << 30
+	n.store, err = Open(Options{Settings: set, Disk: disk, Net: net{}, Clock: n.clock, Seed: 1, Fatal: func(err error) { So(err, ShouldBeNil) }})
+	So(err, ShouldBeNil)
+	n.ManualDriver = n.store.Manual()
+	return n
+}
+
+// turn lets the store do all that it has to do, and moves the clock on.
+func (n *storedNode) turn() {
+	for range 4 {
+		n.Pass()
+		n.Out()
+		for b := n.Disk(); b != nil; b = n.Disk() {
+			So(b.Write(), ShouldBeNil)
+			b.Stored()
+		}
+	}
+	So(n.Shade(), ShouldBeNil)
+	n.clock.Advance(25 * time.Millisecond)
+}
+
+// lead waits until the node leads and has applied its log.
+func (n *storedNode) lead() {
+	for range 1000 {
+		if n.turn(); n.leading() {
+			n.turn()
+			return
+		}
+	}
+	So("leads", ShouldEqual, "within 1000 turns")
+}
+
+func (n *storedNode) leading() bool {
+	_, confirmed := n.Core().Confirmed(n.clock.Now())
+	return confirmed
+}
+
+// do commits a command given as it stands in the log, and gives its answer. A second passes.
+func (n *storedNode) do(op, body string) map[string]any {
+	n.clock.Advance(time.Second)
+	n.lead()
+	c, err := command.Make(op)
+	So(err, ShouldBeNil)
+	So(json.Unmarshal([]byte(body), c), ShouldBeNil)
+	p, err := n.Propose(c)
+	So(err, ShouldBeNil)
+	n.turn()
+	_, answer, err, ok := p.Done()
+	So(fmt.Sprint(op, body, ok, err), ShouldEqual, fmt.Sprint(op, body, true, nil))
+	out, _ := plainJSON(answer).(map[string]any)
+	return out
+}
+
+// members commits a member set given as it stands in the log.
+func (n *storedNode) members(set string) {
+	n.lead()
+	var next []quorum.Member
+	So(json.Unmarshal([]byte(set), &next), ShouldBeNil)
+	So(n.store.change(n.store.Status().Quorum.Members, next), ShouldBeNil)
+	n.turn()
+}
+
+func (n *storedNode) state() map[string]any {
+	data, err := n.State().Encode()
+	So(err, ShouldBeNil)
+	return parseJSON(data).(map[string]any)
+}
+
+// snapshot writes the state as the newest snapshot.
+func (n *storedNode) snapshot() {
+	n.turn()
+	So(n.store.writeSlot(n.store.group.Context()), ShouldBeNil)
+}
+
+func parseJSON(data []byte) (out any) {
+	d := json.NewDecoder(strings.NewReader(string(data)))
+	d.UseNumber()
+	So(d.Decode(&out), ShouldBeNil)
+	return out
+}
+
+func encoded(v any) []byte {
+	data, err := json.Marshal(v)
+	So(err, ShouldBeNil)
+	return data
+}
+
+func plainJSON(v any) any { return parseJSON(encoded(v)) }
+
+// reread gives a stored JSON object as the type that reads it writes it again.
+func reread(data []byte, into any) any {
+	So(json.Unmarshal(data, into), ShouldBeNil)
+	return plainJSON(into)
+}
+
+// contents reads all of a folder but the state; as stored, or as the types that read it write it again.
+func contents(t *testing.T, dir string, asStored bool) (out storedContents) {
+	disk, err := storage.OSDisk(dir)
+	So(err, ShouldBeNil)
+	out.Metas = []any{}
+	for _, other := range []string{"slot-b", "slot-a"} { // the one that is left is read
+		one := copyFolder(t, dir, other)
+		d, err := storage.OSDisk(one)
+		So(err, ShouldBeNil)
+		s, boot, err := storage.Open(d, storage.Options{})
+		So(err, ShouldBeNil)
+		So(s.Close(), ShouldBeNil)
+		So(boot.Records[0].Kind, ShouldEqual, storage.KindHard)
+		if asStored {
+			out.Metas = append(out.Metas, parseJSON(boot.Snapshot.Meta))
+			out.Hard = parseJSON(boot.Records[0].Data).(map[string]any)
+		} else {
+			out.Metas = append(out.Metas, reread(boot.Snapshot.Meta, &quorum.Meta{}))
+			out.Hard = reread(boot.Records[0].Data, &quorum.Hard{}).(map[string]any)
+		}
+	}
+	out.ID, err = readID(disk)
+	So(err, ShouldBeNil)
+	peers, _, err := readFile(disk, peersFile)
+	So(err, ShouldBeNil)
+	out.Peers = append([]string{}, strings.Fields(peers)...)
+	return out
+}
+
+// copyFolder copies the files of a folder, but for those named, to a new one.
+func copyFolder(t *testing.T, from string, but ...string) string {
+	to := t.TempDir()
+	files, err := os.ReadDir(from)
+	So(err, ShouldBeNil)
+	for _, f := range files {
+		if slices.Contains(but, f.Name()) {
+			continue
+		}
+		data, err := os.ReadFile(filepath.Join(from, f.Name()))
+		So(err, ShouldBeNil)
+		So(os.WriteFile(filepath.Join(to, f.Name()), data, 0o600), ShouldBeNil)
+	}
+	return to
+}
+
+// sameState compares two states part by part, but for index and term, which a new term moves on.
+func sameState(got, want map[string]any) {
+	for _, part := range slices.Sorted(maps.Keys(want)) {
+		if part != "index" && part != "term" {
+			So(part+" "+string(encoded(got[part])), ShouldEqual, part+" "+string(encoded(want[part])))
+		}
+	}
+	So(slices.Sorted(maps.Keys(got)), ShouldResemble, slices.Sorted(maps.Keys(want)))
+}
+
+func number(v any) uint64 {
+	n, err := v.(json.Number).Int64()
+	So(err, ShouldBeNil)
+	return uint64(n)
+}
+
+func TestStoredFolders(t *testing.T) {
+	for _, f := range storedFolders {
+		from := filepath.Join("testdata", "stored", f.name)
+		data := filepath.Join(from, "data")
+		if _, err := os.Stat(from); *writeStored && os.IsNotExist(err) {
+			Convey("Write "+from, t, func() { writeFolder(t, from, f.id, f.write, f.after) })
+		}
+		for _, newest := range []bool{true, false} {
+			how := map[bool]string{true: "its newest snapshot and the log after it", false: "its first snapshot and the whole log"}[newest]
+			Convey("The folder of "+f.name+" gives by "+how+" what was stored", t, func() {
+				raw, err := os.ReadFile(filepath.Join(from, "expected.json"))
+				So(err, ShouldBeNil)
+				expected := parseJSON(raw).(map[string]any)
+				want := expected["state"].(map[string]any)
+				rest := plainJSON(contents(t, data, false)).(map[string]any)
+				for _, part := range []string{"hard", "metas", "peers", "id"} {
+					So(rest[part], ShouldResemble, expected[part])
+				}
+
+				but := []string{}
+				if !newest {
+					but = append(but, "slot-b")
+				}
+				dir := copyFolder(t, data, but...)
+				n := openStored(dir, "c1")
+				n.lead()
+				got := n.state()
+				sameState(got, want)
+				So(number(got["index"]), ShouldEqual, number(want["index"])+1) // the first entry of the new term
+				So(number(got["term"]), ShouldEqual, number(want["term"])+1)
+				So(plainJSON(n.store.Status().Quorum.Members), ShouldResemble, expected["members"])
+
+				f.goOn(n)
+				got = n.state()
+				n.store.Stop()
+				n = openStored(dir, "c1")
+				n.lead()
+				sameState(n.state(), got)
+				So(plainJSON(n.store.Status().Quorum.Members), ShouldResemble, expected["members"])
+				n.store.Stop()
+			})
+		}
+	}
+}
+
+// writeFolder writes a folder: the founding snapshot is slot-a, the newest is slot-b, and the log holds all entries.
+func writeFolder(t *testing.T, from, id string, write, after func(*storedNode)) {
+	data := filepath.Join(from, "data")
+	So(os.MkdirAll(data, 0o750), ShouldBeNil)
+	n := openStored(data, cmp.Or(id, "c1"))
+	So(n.Found(), ShouldBeNil)
+	if id != "" { // the node knows its ID from its next start on
+		So(writeFile(n.disk, idFile, id), ShouldBeNil)
+		So(writeFile(n.disk, peersFile, "c2:1\nc3:1"), ShouldBeNil)
+		n.store.Stop()
+		n = openStored(data, id)
+	}
+	n.lead()
+	write(n)
+	n.snapshot()
+	after(n)
+	n.turn()
+	out := storedContents{State: n.state(), Members: plainJSON(n.store.Status().Quorum.Members)}
+	n.store.Stop()
+	files := contents(t, data, true)
+	out.Hard, out.Metas, out.Peers, out.ID = files.Hard, files.Metas, files.Peers, files.ID
+	raw, err := json.MarshalIndent(out, "", " ")
+	So(err, ShouldBeNil)
+	So(os.WriteFile(filepath.Join(from, "expected.json"), append(raw, '\n'), 0o600), ShouldBeNil)
+}
+
+const storedBundle = `{
+ "queues": {
+  "default": {},
+  "scan": {"types": ["scan"], "teams": ["parcel"], "labels": {"disk": "ssd"}, "urgent": true,
+   "placement": {"minions": ["m1", "m2"], "zones": ["z1", "z2"], "racks": ["r1", "r2"],
+    "near": [{"label": "data", "value": "scans", "within": "zone"}]},
+   "hold": "10s", "retries": 3}
+ },
+ "limits": {"scan": 40}, "weights": {"parcel": %d}, "retries": 5, "backoff": {"min": "300ms", "max": "20s"}, "hold": "20s",
+ "operators": [{"name": "ada", "key": %q}, {"name": "ben", "key": %q}],
+ "parties": {"acme": {"teams": ["parcel"], "queues": ["scan"], "price": {"core": 10, "gpu": 40, "memory": 1}, "reserve": "30s", "warn": "5m"}}
+}`
+
+func writeCplane(n *storedNode) {
+	n.do("account-create", `{"order": "o1", "account": "acme", "credit": 50}`)
+	n.do("account-create", `{"order": "o2", "account": "dry"}`)
+	n.do("account-top-up", `{"account": "acme", "key": "pay-1", "amount": 1000000}`)
+	n.do("account-top-up", `{"account": "acme", "key": "pay-2", "amount": 7}`)
+	n.do("succeed", `{"order": "o3", "old": "c0", "new": "c9"}`)
+	ada, err := signature.New("ada")
+	So(err, ShouldBeNil)
+	ben, err := signature.New("ben")
+	So(err, ShouldBeNil)
+	n.do("keys", fmt.Sprintf(`{"operators": {"ada": %q, "ben": %q}}`, ada.Public(), ben.Public()))
+	digests := map[int]string{}
+	put := func(base, weight int) {
+		text := fmt.Sprintf(storedBundle, weight, ada.Public(), ben.Public())
+		digest, order := signature.Digest([]byte(text)), fmt.Sprint("put-", base)
+		digests[base+1] = digest
+		c := map[string]any{"order": order, "base": base, "by": "ada", "body": []byte(text), "sig": ada.Sign(signature.Put(order, uint64(base), digest))}
+		n.do("put", string(encoded(c)))
+	}
+	sign := func(version int, key signature.Key) {
+		n.do("sign", fmt.Sprintf(`{"order": "sign-%d-%s", "version": %d, "sha256": %q, "by": %q, "sig": %q}`, version, key.Name, version,
+			digests[version], key.Name, key.Sign(signature.Bundle(uint64(version), digests[version]))))
+	}
+	put(1, 2)
+	sign(2, ada)
+	sign(2, ben)
+	put(2, 3)
+	sign(3, ben)
+	sign(3, ada)
+	patch := []byte(`{"weights": {"parcel": 4}}`)
+	n.do("patch", string(encoded(map[string]any{"order": "patch-3", "base": 3, "by": "ben", "patch": patch,
+		"sig": ben.Sign(signature.Patch("patch-3", 3, signature.Digest(patch)))})))
+	put(4, 5) // 4 is replaced as a draft
+	sign(5, ben)
+	for _, zone := range []string{"z8", "z9"} {
+		n.do("zone", fmt.Sprintf(`{"order": "out-%s", "zone": %q, "out": true, "by": "ada", "sig": %q}`, zone, zone, ada.Sign(signature.Evacuate("out-"+zone, zone))))
+	}
+	since, err := time.Parse(time.RFC3339Nano, n.state()["evacuated"].(map[string]any)["z9"].(string))
+	So(err, ShouldBeNil)
+	n.do("zone", fmt.Sprintf(`{"order": "lift-z9", "zone": "z9", "by": "ada", "sig": %q}`, ada.Sign(signature.Lift("z9", since))))
+
+	n.do("account-create", fmt.Sprintf(`{"order": "o5", "account": "late", "by": "ada", "sig": %q}`, ada.Sign(signature.AccountCreate("o5", "late", 0))))
+	n.do("account-top-up", fmt.Sprintf(`{"account": "late", "key": "pay-3", "amount": 9, "by": "ben", "sig": %q}`, ben.Sign(signature.AccountTopUp("pay-3", "late", 9))))
+	parties := `{"parties":[{"name":"late","queues":["elsewhere"],"price":{"core":1},"window":1000000000}]}`
+	n.do("job-parties", fmt.Sprintf(`{"order": "o6", "by": "ben", "sig": %q, %s`, ben.Sign(signature.JobParties("o6", signature.Digest([]byte(parties)))), parties[1:]))
+
+	submit := func(key, queue, team, steps string) {
+		n.do("submit", fmt.Sprintf(`{"spec": {"key": %q, "team": %q, "queue": %q, "steps": [%s]}, "digest": %q, "bound": 1000}`, key, team, queue, steps, "digest of "+key))
+	}
+	plain := `{"name": "one", "type": "t", "tasks": 1, "cores": 1, "retries": 0}`
+	tidy := func(jobs, tombs, orders string) {
+		n.do("tidy", fmt.Sprintf(`{"jobs_before": %q, "jobs_keep": 5, "tombs_before": %q, "tombs_keep": 9, "orders_before": %q}`, jobs, tombs, orders))
+	}
+	const never, later = "1970-01-01T00:00:00Z", "1971-01-01T00:00:00Z"
+	submit("f-old", "default", "other", plain)
+	n.do("cancel", `{"key": "f-old"}`)
+	tidy(later, never, "1970-01-01T00:00:04Z") // orders o1 and o2 go
+	tidy(never, later, never)                  // its tomb goes too
+	submit("f-tomb", "default", "other", plain)
+	n.do("cancel", `{"key": "f-tomb"}`)
+	tidy(later, never, never)
+
+	n.members(`[{"id": "c1", "addr": "c1:1", "zone": "z1"}, {"id": "c2~abc", "addr": "c2:1", "zone": "z2", "incarnation": "abc", "learner": true}]`)
+	minions := []string{
+		`{"name": "m1", "addr": "m1:1", "boot": "b1", "kind": "obey", "zone": "z1", "rack": "r1", "labels": {"disk": "ssd", "data": "scans"}, "cores": 16, "gpus": 4}`,
+		`{"name": "m2", "addr": "m2:1", "boot": "b2", "kind": "check", "zone": "z1", "rack": "r2", "labels": {"disk": "ssd"}, "cores": 16, "gpus": 4}`,
+		`{"name": "m3", "addr": "m3:1", "boot": "b3", "kind": "check", "zone": "z2", "cores": 2, "draining": true}`,
+	}
+	for _, m := range minions {
+		n.do("announce", `{"minion": `+m+`}`)
+	}
+	n.do("close", `{"order": "o9", "minion": "m3", "closed": true}`)
+	n.do("announce", `{"minion": {"name": "m4", "addr": "m4:1", "kind": "obey", "zone": "z4", "cores": 1}}`)
+	n.do("close", `{"order": "o10", "minion": "m4", "retire": true}`)
+	epoch := number(n.do("grant", `{"duty": "sched", "holder": "d1", "addr": "d1:1", "boot": "bd1", "after": 0}`)["epoch"])
+	other := number(n.do("grant", `{"duty": "other", "holder": "d2", "addr": "d2:1", "boot": "bd2", "after": 0}`)["epoch"])
+	n.do("giveup", fmt.Sprintf(`{"duty": "other", "epoch": %d}`, other))
+	other = number(n.state()["duties"].(map[string]any)["other"].(map[string]any)["epoch"])
+	n.do("grant", fmt.Sprintf(`{"duty": "other", "holder": "d3", "addr": "d3:1", "boot": "bd3", "after": %d}`, other))
+	other = number(n.do("grant", `{"duty": "gone", "holder": "d2", "addr": "d2:1", "boot": "bd2", "after": 0}`)["epoch"])
+	n.do("giveup", fmt.Sprintf(`{"duty": "gone", "epoch": %d}`, other))
+
+	submit("a-done", "default", "parcel", plain)
+	submit("b-run", "scan", "parcel", `{"name": "scan", "type": "scan", "tasks": 5, "cores": 1, "gpus": 1, "labels": {"disk": "ssd"}, "retries": 3, "run": {"ms": 5}},
+		{"name": "match", "type": "scan", "after": ["scan"], "tasks": 1, "cores": 2, "retries": 1}`)
+	submit("c-fault", "default", "other", plain)
+	submit("d-stop", "default", "other", plain+`, {"name": "two", "type": "t", "after": ["one"], "tasks": 2, "cores": 1, "retries": 0}`)
+	submit("g-gang", "default", "parcel", `{"name": "pair", "type": "g", "tasks": 2, "cores": 2, "retries": 2, "gang": true}`)
+	submit("s-standing", "default", "parcel", `{"name": "serve", "type": "s", "tasks": 1, "cores": 1, "retries": 0, "standing": true}`)
+	submit("t-two", "default", "other", plain+`, {"name": "two", "type": "t", "after": ["one"], "tasks": 1, "cores": 1, "retries": 0}`)
+	submit("r-refused", "default", "other", `{"name": "pair", "type": "g", "tasks": 2, "cores": 1, "retries": 0, "gang": true}`)
+	submit("x-gone", "default", "other", plain)
+	n.do("cancel", `{"key": "x-gone"}`)
+	tidy(never, never, never) // nothing goes
+	n.do("cancels", `{"team": "nobody", "queue": "default"}`)
+	n.do("cancels", `{"team": "other", "queue": "nowhere"}`)
+	plan := func(body string) map[string]any {
+		return n.do("plan", fmt.Sprintf(`{"e": %d, "v": 3, %s}`, epoch, body))
+	}
+	start := func(job string, task int, minion, more string) string {
+		return fmt.Sprintf(`{"r": {"j": %q, "s": 0, "k": %d}, "m": "m%s", "b": "b%s"%s}`, job, task, minion, minion, more)
+	}
+	plan(`"q": 10, "m": [` + strings.Join(minions, ",") + `]`)
+	answer := plan(`"h": 20000000000, "s": [` + strings.Join([]string{
+		start("a-done", 0, "1", ""), start("b-run", 0, "1", ""), start("b-run", 1, "1", ""), start("b-run", 2, "2", ""), start("b-run", 3, "2", ""),
+		start("c-fault", 0, "2", ""), start("d-stop", 0, "1", ""), start("g-gang", 0, "1", `, "g": 1`), start("g-gang", 1, "2", `, "g": 1`),
+		start("s-standing", 0, "2", ""), start("t-two", 0, "1", ""),
+		start("r-refused", 0, "1", `, "g": 2`), start("r-refused", 1, "3", `, "g": 2`), // m3 is drained: both are refused
+	}, ",") + `]`)
+	So(fmt.Sprint(answer["tickets"]), ShouldEqual, "[1 2 3 4 5 6 7 8 9 10 11 0 0]")
+	plan(`"r": [2, 4, 8, 9, 10], "u": [3], "x": [{"t": 1, "ok": true}, {"t": 5, "ok": false, "w": "exit 2"}, {"t": 6, "ok": false, "w": "exit 1"}, {"t": 11, "ok": true}],
+		"k": [{"t": 9, "w": "lapse", "r": "not heard"}, {"t": 4, "w": "lapse", "r": "not heard"}],
+		"s": [{"r": {"j": "t-two", "s": 1, "k": 0}, "m": "m1", "b": "b1"}]`)
+	plan(`"x": [{"t": 9, "f": {"j": "g-gang", "s": 0, "k": 1}, "ok": true}]`) // ended well after all
+	n.clock.Advance(40 * time.Second)                                         // the windows of paid runs are renewed
+}
+
+func writeCplaneTail(n *storedNode) {
+	n.do("cancels", `{"keys": ["d-stop"]}`)
+	n.do("submit", `{"spec": {"key": "e-new", "team": "other", "queue": "default", "steps": [{"name": "one", "type": "t", "tasks": 1, "cores": 1, "retries": 0}]}, "digest": "e", "bound": 1000}`)
+}
+
+func goOnCplane(n *storedNode) {
+	was := n.state()
+	epoch := number(was["duties"].(map[string]any)["sched"].(map[string]any)["epoch"])
+	answer := n.do("plan", fmt.Sprintf(`{"e": %d, "v": 3, "x": [{"t": 2, "f": {"j": "b-run", "s": 0, "k": 0}, "ok": true}],
+		"s": [{"r": {"j": "b-run", "s": 0, "k": 4}, "m": "m1", "b": "b1"}]}`, epoch))
+	So(fmt.Sprint(answer["tickets"]), ShouldEqual, "[13]") // never one that was given before
+	now := n.state()
+	handles := now["handles"].(map[string]any)
+	So(handles["2"], ShouldBeNil)
+	So(handles["13"], ShouldNotBeNil)
+	balance := func(s map[string]any, of string) uint64 {
+		return number(s["accounts"].(map[string]any)["accounts"].(map[string]any)["acme"].(map[string]any)[of])
+	}
+	So(balance(now, "spent"), ShouldBeGreaterThan, balance(was, "spent"))
+	So(balance(now, "balance")+balance(now, "reserved")+balance(now, "spent"), ShouldEqual, balance(now, "topped_up"))
+	So(n.do("submit", `{"spec": {"key": "f-tomb", "team": "other", "queue": "default", "steps": []}, "digest": "digest of f-tomb", "bound": 1000}`)["state"],
+		ShouldEqual, "cancelled")
+	So(n.do("succeed", `{"order": "o3", "old": "c0", "new": "c9"}`)["old"], ShouldEqual, "c0") // answered as before
+}
+
+const (
+	storedQueues = `[{"name": "batch", "host": "h1", "prefix": "/batch", "service": "big", "priority": 2, "attempts": 2, "stretch": 1.5,
+		"target": 60000000000, "timeout": 30000000000, "doc": {"id": "batch"}},
+		{"name": "fast", "host": "h1", "prefix": "/fast", "service": "small", "attempts": 1, "stretch": 2, "target": 1000000000, "timeout": 5000000000, "doc": {"id": "fast"}}]`
+	storedServices = `[{"name": "big", "guards": true, "doc": {"id": "big"}}, {"name": "small", "doc": {"id": "small"}}]`
+)
+
+func writeJobs(n *storedNode) {
+	n.do("account-create", `{"order": "o1", "account": "acme"}`)
+	n.do("account-top-up", `{"account": "acme", "key": "pay-1", "amount": 5000000}`)
+	n.do("job-configure", `{"base": 0, "version": 1, "digest": "first", "replace": true, "queues": `+storedQueues+`, "services": `+storedServices+`, "limits": {"jobs": 10}}`)
+	n.do("job-configure", `{"base": 1, "version": 3, "digest": "second", "services": [{"name": "extra", "doc": {"id": "extra"}}],
+		"queues": [{"name": "slow", "host": "h2", "prefix": "/", "service": "small", "attempts": 1, "stretch": 1, "target": 1, "timeout": 1, "doc": {}}]}`)
+	n.do("job-configure", `{"base": 3, "version": 4, "digest": "third", "rq": ["slow"], "rs": ["extra"]}`)
+	n.do("job-parties", `{"order": "o2", "parties": [{"name": "acme", "queues": ["batch"], "price": {"core": 10, "gpu": 40, "memory": 1}, "window": 30000000000}]}`)
+	n.do("job-register", `{"workers": [
+		{"id": "w1", "addr": "w1:1", "service": "big", "zone": "z1", "rack": "r1", "labels": ["ssd"], "cap": {"c": 16000, "m": 64000, "g": 4}},
+		{"id": "w2", "addr": "w2:1", "service": "big", "zone": "z1", "rack": "r2", "cap": {"c": 16000, "m": 64000}},
+		{"id": "w3", "addr": "w3:1", "service": "small", "zone": "z2", "cap": {"c": 4000, "m": 8000}},
+		{"id": "w4", "addr": "w4:1", "service": "small", "zone": "z3", "cap": {"c": 4000}, "draining": true, "left": true}]}`)
+	n.do("job-evacuate", `{"zone": "z9", "start": true}`)
+	n.members(`[{"id": "c1~abcdefghij", "addr": "c1:1", "zone": "z1"}, {"id": "c2~abc", "addr": "c2:1", "zone": "z2", "incarnation": "abc", "learner": true}]`)
+	submit := func(id, queue, more, steps string) {
+		n.do("job-submit", fmt.Sprintf(`{"spec": {"id": %q, "q": %q, "p": "payload of %s"%s, "s": [%s]}, "digest": "digest of %s", "at": "1970-01-01T00:01:00Z"}`, id, queue, id, more, steps, id))
+	}
+	one := `{"n": 1, "r": {"c": 1000}}`
+	submit("a-done", "fast", "", one)
+	submit("b-run", "batch", "", `{"n": 3, "r": {"c": 1000, "m": 2000, "g": 1}, "e": 5000000000, "l": "ssd", "d": "r1", "x": 2, "k": true, "sp": true}, {"n": 1, "r": {"c": 1000}, "a": [0]}`)
+	submit("c-failed", "fast", "", one)
+	submit("d-cancelled", "fast", "", one)
+	submit("g-gang", "batch", "", `{"n": 2, "r": {"c": 1000}, "gg": true, "sr": true}`)
+	submit("l-lasting", "batch", "", `{"n": 1, "r": {"c": 500}, "ls": true}`)
+	submit("q-queued", "batch", `, "k": 3, "f": "2031-01-01T00:00:00Z", "i": 60000000000`, one)
+	submit("r-rounds", "fast", `, "k": 2, "f": "1970-01-01T00:01:00Z", "i": 1000000000`, one+`, {"n": 1, "r": {"c": 500}, "a": [0]}`)
+	submit("o-old", "fast", "", one)
+	n.do("job-cancel", `{"id": "o-old", "at": "1970-01-01T00:01:30Z"}`)
+	n.do("job-tidy", `{"before": "1970-01-01T00:01:40Z"}`)
+	progress := n.progress
+	recorded := progress(`"starts": [
+		{"t": {"j": "a-done"}, "n": 1, "w": "w3"}, {"t": {"j": "b-run"}, "n": 1, "w": "w1"}, {"t": {"j": "b-run", "i": 1}, "n": 1, "w": "w1"},
+		{"t": {"j": "c-failed"}, "n": 1, "w": "w3"}, {"t": {"j": "d-cancelled"}, "n": 1, "w": "w3"},
+		{"t": {"j": "g-gang"}, "n": 1, "w": "w1"}, {"t": {"j": "g-gang", "i": 1}, "n": 1, "w": "w2"}, {"t": {"j": "l-lasting"}, "n": 7, "w": "w2"},
+		{"t": {"j": "r-rounds", "k": 1}, "n": 1, "w": "w3"}]`)["recorded"]
+	So(fmt.Sprint(recorded), ShouldEqual, "[true true true true true true true true true]")
+	progress(`"ends": [{"r": {"t": {"j": "a-done"}, "n": 1}, "w": "w3", "h": "done"}, {"r": {"t": {"j": "c-failed"}, "n": 1}, "w": "w3", "h": "failed"},
+		{"r": {"t": {"j": "r-rounds", "k": 1}, "n": 1}, "w": "w3", "h": "done"},
+		{"r": {"t": {"j": "b-run", "i": 1}, "n": 1}, "w": "w1", "h": "failed", "k": "at 40%"},
+		{"r": {"t": {"j": "g-gang"}, "n": 1}, "w": "w1", "h": "failed"}, {"r": {"t": {"j": "g-gang", "i": 1}, "n": 1}, "w": "w2", "h": "broken"}],
+		"starts": [{"t": {"j": "g-gang"}, "n": 2, "w": "w1"}, {"t": {"j": "g-gang", "i": 1}, "n": 2, "w": "w2"},
+			{"t": {"j": "r-rounds", "k": 1, "s": 1}, "n": 1, "w": "w3"}], "forget": ["w4"]`)
+	for range 140 { // windows of paid runs, more than the ledger keeps
+		n.clock.Advance(30 * time.Second)
+		n.do("job-evacuate", `{"zone": "z9", "start": true}`)
+	}
+}
+
+// progress commits what the scheduler of the current term decided.
+func (n *storedNode) progress(body string) map[string]any {
+	n.lead()
+	return n.do("job-progress", fmt.Sprintf(`{"term": %d, "at": "1970-01-01T00:02:00Z", %s}`, number(n.state()["term"]), body))
+}
+
+func writeJobsTail(n *storedNode) {
+	n.do("job-cancel", `{"id": "d-cancelled", "at": "1970-01-01T00:03:00Z"}`) // with a handle out
+	n.do("job-register", `{"workers": [{"id": "w5", "addr": "w5:1", "service": "small", "zone": "z3", "rack": "r9", "cap": {"c": 4000}, "draining": true, "left": true}]}`)
+}
+
+func goOnJobs(n *storedNode) {
+	answer := n.progress(`"ends": [{"r": {"t": {"j": "b-run"}, "n": 1}, "w": "w1", "h": "done"}],
+		"starts": [{"t": {"j": "b-run", "i": 1}, "n": 1, "w": "w1"}, {"t": {"j": "b-run", "i": 1}, "n": 2, "w": "w1"}]`)
+	So(fmt.Sprint(answer["recorded"]), ShouldEqual, "[false true]")       // number 1 was given before
+	n.do("job-configure", `{"base": 0, "version": 2, "digest": "first"}`) // taken before: answered alike
+	n.do("job-submit", `{"spec": {"id": "z-later", "q": "fast", "s": [{"n": 1, "r": {"c": 1}}]}, "digest": "z", "at": "1970-01-01T00:05:00Z"}`)
+	table := n.state()["table"].(map[string]any)
+	So(table["jobs"].(map[string]any)["z-later"].(map[string]any)["state"], ShouldEqual, "queued")
+	So(table["config"].(map[string]any)["version"], ShouldEqual, json.Number("4"))
+}
