--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -17,7 +17,7 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/config"
-	"crosstide/internal/quorum"
+	"crosstide/internal/raft"
 	"crosstide/internal/signature"
 	"crosstide/internal/state/command"
 	"crosstide/internal/storage"
@@ -42,7 +42,7 @@
 	after func(*storedNode) // and those after it
 	goOn  func(*storedNode) // works on with what was read out
 }{
-	{"cplane", "", writeCplane, writeCplaneTail, goOnCplane},
+	{"cplane", "", writePolicy, writePolicyTail, goOnPolicy},
 	{"jobs", "c1~abcdefghij", writeJobs, writeJobsTail, goOnJobs},
 }
 
@@ -69,11 +69,11 @@
 	disk, err := storage.OSDisk(dir)
 	So(err, ShouldBeNil)
 	n := &storedNode{clock: &clock.Virtual{}, disk: disk}
-	set := config.DefaultCplane()
+	set := config.DefaultControlPlane()
 	set.Name, set.Addr, set.Zone = "c1", "c1:1", "z1"
 	set.Members = []config.Member{{ID: founder, Addr: "c1:1", Zone: "z1"}}
 	set.SnapshotEvery = 1 << 30
-	n.store, err = Open(Options{Settings: set, Disk: disk, Net: net{}, Clock: n.clock, Seed: 1, Fatal: func(err error) { So(err, ShouldBeNil) }})
+	n.store, err = Open(Options{Settings: set, Disk: disk, Net: testNet{}, Clock: n.clock, Seed: 1, Fatal: func(err error) { So(err, ShouldBeNil) }})
 	So(err, ShouldBeNil)
 	n.ManualDriver = n.store.Manual()
 	return n
@@ -83,13 +83,13 @@
 func (n *storedNode) turn() {
 	for range 4 {
 		n.Pass()
-		n.Out()
-		for b := n.Disk(); b != nil; b = n.Disk() {
+		n.TakeMessages()
+		for b := n.TakeDiskBatch(); b != nil; b = n.TakeDiskBatch() {
 			So(b.Write(), ShouldBeNil)
-			b.Stored()
+			b.MarkStored()
 		}
 	}
-	So(n.Shade(), ShouldBeNil)
+	So(n.RunSnapshotter(), ShouldBeNil)
 	n.clock.Advance(25 * time.Millisecond)
 }
 
@@ -105,7 +105,7 @@
 }
 
 func (n *storedNode) leading() bool {
-	_, confirmed := n.Core().Confirmed(n.clock.Now())
+	_, confirmed := n.Core().LeaseReadIndex(n.clock.Now())
 	return confirmed
 }
 
@@ -113,7 +113,7 @@
 func (n *storedNode) do(op, body string) map[string]any {
 	n.clock.Advance(time.Second)
 	n.lead()
-	c, err := command.Make(op)
+	c, err := command.New(op)
 	So(err, ShouldBeNil)
 	So(json.Unmarshal([]byte(body), c), ShouldBeNil)
 	p, err := n.Propose(c)
@@ -128,9 +128,9 @@
 // members commits a member set given as it stands in the log.
 func (n *storedNode) members(set string) {
 	n.lead()
-	var next []quorum.Member
+	var next []raft.Member
 	So(json.Unmarshal([]byte(set), &next), ShouldBeNil)
-	So(n.store.change(n.store.Status().Quorum.Members, next), ShouldBeNil)
+	So(n.store.changeMembers(n.store.Status().Raft.Members, next), ShouldBeNil)
 	n.turn()
 }
 
@@ -143,7 +143,7 @@
 // snapshot writes the state as the newest snapshot.
 func (n *storedNode) snapshot() {
 	n.turn()
-	So(n.store.writeSlot(n.store.group.Context()), ShouldBeNil)
+	So(n.store.writeSnapshot(n.store.group.Context()), ShouldBeNil)
 }
 
 func parseJSON(data []byte) (out any) {
@@ -179,13 +179,13 @@
 		s, boot, err := storage.Open(d, storage.Options{})
 		So(err, ShouldBeNil)
 		So(s.Close(), ShouldBeNil)
-		So(boot.Records[0].Kind, ShouldEqual, storage.KindHard)
+		So(boot.Records[0].Kind, ShouldEqual, storage.KindHardState)
 		if asStored {
 			out.Metas = append(out.Metas, parseJSON(boot.Snapshot.Meta))
 			out.Hard = parseJSON(boot.Records[0].Data).(map[string]any)
 		} else {
-			out.Metas = append(out.Metas, reread(boot.Snapshot.Meta, &quorum.Meta{}))
-			out.Hard = reread(boot.Records[0].Data, &quorum.Hard{}).(map[string]any)
+			out.Metas = append(out.Metas, reread(boot.Snapshot.Meta, &raft.Meta{}))
+			out.Hard = reread(boot.Records[0].Data, &raft.HardState{}).(map[string]any)
 		}
 	}
 	out.ID, err = readID(disk)
@@ -258,7 +258,7 @@
 				sameState(got, want)
 				So(number(got["index"]), ShouldEqual, number(want["index"])+1) // the first entry of the new term
 				So(number(got["term"]), ShouldEqual, number(want["term"])+1)
-				So(plainJSON(n.store.Status().Quorum.Members), ShouldResemble, expected["members"])
+				So(plainJSON(n.store.Status().Raft.Members), ShouldResemble, expected["members"])
 
 				f.goOn(n)
 				got = n.state()
@@ -266,7 +266,7 @@
 				n = openStored(dir, "c1")
 				n.lead()
 				sameState(n.state(), got)
-				So(plainJSON(n.store.Status().Quorum.Members), ShouldResemble, expected["members"])
+				So(plainJSON(n.store.Status().Raft.Members), ShouldResemble, expected["members"])
 				n.store.Stop()
 			})
 		}
@@ -278,7 +278,7 @@
 	data := filepath.Join(from, "data")
 	So(os.MkdirAll(data, 0o750), ShouldBeNil)
 	n := openStored(data, cmp.Or(id, "c1"))
-	So(n.Found(), ShouldBeNil)
+	So(n.Bootstrap(), ShouldBeNil)
 	if id != "" { // the node knows its ID from its next start on
 		So(writeFile(n.disk, idFile, id), ShouldBeNil)
 		So(writeFile(n.disk, peersFile, "c2:1\nc3:1"), ShouldBeNil)
@@ -290,7 +290,7 @@
 	n.snapshot()
 	after(n)
 	n.turn()
-	out := storedContents{State: n.state(), Members: plainJSON(n.store.Status().Quorum.Members)}
+	out := storedContents{State: n.state(), Members: plainJSON(n.store.Status().Raft.Members)}
 	n.store.Stop()
 	files := contents(t, data, true)
 	out.Hard, out.Metas, out.Peers, out.ID = files.Hard, files.Metas, files.Peers, files.ID
@@ -312,7 +312,7 @@
  "parties": {"acme": {"teams": ["parcel"], "queues": ["scan"], "price": {"core": 10, "gpu": 40, "memory": 1}, "reserve": "30s", "warn": "5m"}}
 }`
 
-func writeCplane(n *storedNode) {
+func writePolicy(n *storedNode) {
 	n.do("account-create", `{"order": "o1", "account": "acme", "credit": 50}`)
 	n.do("account-create", `{"order": "o2", "account": "dry"}`)
 	n.do("account-top-up", `{"account": "acme", "key": "pay-1", "amount": 1000000}`)
@@ -429,12 +429,12 @@
 	n.clock.Advance(40 * time.Second)                                         // the windows of paid runs are renewed
 }
 
-func writeCplaneTail(n *storedNode) {
+func writePolicyTail(n *storedNode) {
 	n.do("cancels", `{"keys": ["d-stop"]}`)
 	n.do("submit", `{"spec": {"key": "e-new", "team": "other", "queue": "default", "steps": [{"name": "one", "type": "t", "tasks": 1, "cores": 1, "retries": 0}]}, "digest": "e", "bound": 1000}`)
 }
 
-func goOnCplane(n *storedNode) {
+func goOnPolicy(n *storedNode) {
 	was := n.state()
 	epoch := number(was["duties"].(map[string]any)["sched"].(map[string]any)["epoch"])
 	answer := n.do("plan", fmt.Sprintf(`{"e": %d, "v": 3, "x": [{"t": 2, "f": {"j": "b-run", "s": 0, "k": 0}, "ok": true}],
