--- a/cmd/crosstide-testbed/audit.go
+++ b/cmd/crosstide-testbed/audit.go
@@ -27,19 +27,19 @@
 			if cmd.Args().Len() != 1 {
 				return exitCode{errs.Field(errs.Settings, "DIR", "one is needed"), 2}
 			}
-			findings, err := findings(ctx, cmd.Args().First())
+			findings, err := auditFleet(ctx, cmd.Args().First())
 			if err != nil {
 				return errs.Pass(err, "audit")
 			}
 			if cmd.Bool("json") {
 				err = printJSON(cmd.Root().Writer, findings)
 			} else {
-				err = audit.Show(cmd.Root().Writer, findings, cmd.Int("shown"))
+				err = audit.WriteReport(cmd.Root().Writer, findings, cmd.Int("shown"))
 			}
 			if err != nil {
 				return errs.Pass(err, "audit")
 			}
-			if !audit.Clean(findings) {
+			if !audit.NoneViolated(findings) {
 				return exitCode{errs.New(errs.Internal, "a promise is broken"), 1}
 			}
 			return nil
@@ -47,19 +47,19 @@
 	})
 }
 
-// findings audits the fleet in dir, with the public API's answers where there are any.
-func findings(ctx context.Context, dir string) ([]audit.Finding, error) {
+// auditFleet audits the fleet in dir, with the public API's answers where there are any.
+func auditFleet(ctx context.Context, dir string) ([]audit.Finding, error) {
 	h, err := audit.Read(dir)
 	if err != nil {
 		return nil, errs.Pass(err, "journals of %s", dir)
 	}
 	answered := 0
 	if nodes, err := fleet.Read(dir); err == nil {
-		h, answered = audit.Probe(ctx, h, fleet.NewCaller(16), nodes.DPlanes)
+		h, answered = audit.Probe(ctx, h, fleet.NewCaller(16), nodes.DataPlanes)
 	}
 	out := audit.Check(h)
 	for i := range out {
-		if out[i].Promise == "known" {
+		if out[i].Invariant == "known" {
 			out[i].Note = joined(out[i].Note, fmt.Sprintf("%d asked for at the end", answered))
 		}
 	}
--- a/cmd/crosstide-testbed/bench.go
+++ b/cmd/crosstide-testbed/bench.go
@@ -23,7 +23,7 @@
 		Description: "crosstide-testbed bench --fleet DIR --rates 100,200,400 --tasks 5 --for 5s\n\n" +
 			"One load after another, each of no-op tasks; prints a table: jobs and starts per second, accept and start\n" +
 			"percentiles, tickets per sync of the store's leader, and processor time of the leader and of the holder of sched.",
-		Flags: []cli.Flag{dirFlag(),
+		Flags: []cli.Flag{fleetFlag(),
 			&cli.FloatSliceFlag{Name: "rates", Value: []float64{50, 100, 200, 400, 800}, Usage: "jobs per second"},
 			&cli.IntFlag{Name: "tasks", Value: 5, Usage: "per job"},
 			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "of each rate"},
@@ -40,16 +40,16 @@
 }
 
 // sample is what the two that matter have counted.
-type sample struct{ syncs, runIDs, leaderCPU, holderCPU float64 }
+type sample struct{ syncs, runIDs, leaderCPU, schedulerCPU float64 }
 
-func take(ctx context.Context, c *fleet.Caller, nodes fleet.Nodes) (sample, error) {
-	who, err := fleet.Who(ctx, c, nodes)
+func takeSample(ctx context.Context, c *fleet.Caller, nodes fleet.Nodes) (sample, error) {
+	who, err := fleet.FindLeaders(ctx, c, nodes)
 	if err != nil {
 		return sample{}, errs.Pass(err, "who holds what")
 	}
 	var s sample
-	for _, n := range append(nodes.CPlanes, nodes.DPlanes...) {
-		if n.Name != who.Store && n.Name != who.Sched {
+	for _, n := range append(nodes.ControlPlanes, nodes.DataPlanes...) {
+		if n.Name != who.Store && n.Name != who.Scheduler {
 			continue
 		}
 		f, err := fleet.Scrape(ctx, c, n.Addr)
@@ -59,7 +59,7 @@
 		if n.Name == who.Store {
 			s.syncs, s.leaderCPU = f.Sum("crosstide_store_sync_seconds_count"), f.Sum("process_cpu_seconds_total")
 		} else {
-			s.runIDs, s.holderCPU = f.Sum("crosstide_sched_run_ids_total"), f.Sum("process_cpu_seconds_total")
+			s.runIDs, s.schedulerCPU = f.Sum("crosstide_sched_run_ids_total"), f.Sum("process_cpu_seconds_total")
 		}
 	}
 	return s, nil
@@ -77,25 +77,25 @@
 	fmt.Fprintln(out, "| jobs/s offered | accepted | done | starts/s | accept p50 / p99 ms | start p50 / p99 ms | syncs/s | tickets per sync | leader % core | holder % core |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|")
 	for i, rate := range cmd.FloatSlice("rates") {
-		before, err := take(ctx, caller, nodes)
+		before, err := takeSample(ctx, caller, nodes)
 		if err != nil {
 			return errs.Pass(err, "bench")
 		}
 		begun := clock.Real{}.Now()
-		r, err := load.Run(ctx, load.Options{Dir: cmd.String("fleet"), Rate: rate, For: cmd.Duration("for"), Seed: uint64(i + 1),
-			Tasks: cmd.Int("tasks"), Wait: cmd.Duration("wait"), Polls: 2000, Workers: 8, Retries: 3})
+		r, err := load.Run(ctx, load.Options{Dir: cmd.String("fleet"), Rate: rate, Duration: cmd.Duration("for"), Seed: uint64(i + 1),
+			Tasks: cmd.Int("tasks"), EndTimeout: cmd.Duration("wait"), MaxPollsPerSecond: 2000, Clients: 8, Retries: 3})
 		if err != nil {
 			return errs.Pass(err, "load at %g", rate)
 		}
 		took := (clock.Real{}.Now() - begun).Seconds()
-		after, err := take(ctx, caller, nodes)
+		after, err := takeSample(ctx, caller, nodes)
 		if err != nil {
 			return errs.Pass(err, "bench")
 		}
 		syncs, runIDs := after.syncs-before.syncs, after.runIDs-before.runIDs
 		fmt.Fprintf(out, "| %.0f | %d | %d | %.0f | %.1f / %.1f | %.1f / %.1f | %.0f | %.1f | %.0f | %.0f |\n", rate, r.Accepted, r.Done,
 			r.StartsPerS, r.Accept.P50, r.Accept.P99, r.ToStart.P50, r.ToStart.P99, syncs/took, runIDs/syncs,
-			100*(after.leaderCPU-before.leaderCPU)/took, 100*(after.holderCPU-before.holderCPU)/took)
+			100*(after.leaderCPU-before.leaderCPU)/took, 100*(after.schedulerCPU-before.schedulerCPU)/took)
 	}
 	return nil
 }
--- a/cmd/crosstide-testbed/blow.go
+++ b/cmd/crosstide-testbed/blow.go
@@ -21,30 +21,30 @@
 	"crosstide/internal/testbed/netproxy"
 )
 
-// takeOut takes a zone with its nodes out, for d unless it is killed, and returns the nodes that it hit.
-func takeOut(ctx context.Context, dir, zone, how string, names []string, d time.Duration) ([]string, error) {
+// takeZoneOut takes a zone with its nodes out, for d unless it is killed, and returns the nodes that it hit.
+func takeZoneOut(ctx context.Context, dir, zone, kind string, names []string, d time.Duration) ([]string, error) {
 	var err error
-	switch how {
+	switch kind {
 	case "kill":
 		names, err = killAll(dir, "zone", names)
 	case "freeze":
 		err = freezeAll(ctx, dir, names, d)
 	case "cut":
-		_, err = cut(ctx, dir, netproxy.Cut{Zone: zone, How: netproxy.Silent, For: d})
+		_, err = cut(ctx, dir, netproxy.Fault{Zone: zone, Kind: netproxy.Blackhole, For: d})
 	default:
 		err = evacuate(ctx, dir, zone, d)
 	}
-	return names, errs.Pass(err, "%s of %s", how, zone)
+	return names, errs.Pass(err, "%s of %s", kind, zone)
 }
 
 // killAll sends SIGKILL to processes, all at once, and notes each in DIR/journal/drill-BOOK.jsonl with the time
 // before; one that is gone already is left out.
-func killAll(dir, book string, names []string) ([]string, error) {
-	pen, err := journal.Open(filepath.Join(dir, "journal", "drill-"+book+".jsonl"))
+func killAll(dir, journalName string, names []string) ([]string, error) {
+	writer, err := journal.Open(filepath.Join(dir, "journal", "drill-"+journalName+".jsonl"))
 	if err != nil {
 		return nil, errs.Pass(err, "drill's journal")
 	}
-	defer pen.Close()
+	defer writer.Close()
 	var killed []string
 	for _, name := range names {
 		at := clock.Real{}.Wall().UnixNano()
@@ -54,7 +54,7 @@
 			return killed, errs.Pass(err, "kill all")
 		}
 		killed = append(killed, name)
-		err := pen.Append(map[string]any{"at": at, "ev": audit.Kill, "node": name, "how": "SIGKILL"})
+		err := writer.Append(map[string]any{"at": at, "ev": audit.Kill, "node": name, "how": "SIGKILL"})
 		if err != nil {
 			return killed, errs.Pass(err, "drill's journal")
 		}
@@ -82,13 +82,13 @@
 		return errs.Pass(err, "evacuate")
 	}
 	id := rand.Text()[:12]
-	pen, err := journal.Open(filepath.Join(dir, "journal", "operator-"+id+".jsonl"))
+	writer, err := journal.Open(filepath.Join(dir, "journal", "operator-"+id+".jsonl"))
 	if err != nil {
 		return errs.Pass(err, "operator's journal")
 	}
-	defer pen.Close()
+	defer writer.Close()
 	note := func(ev string) error {
-		err := pen.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": ev, "zone": zone, "order": id})
+		err := writer.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": ev, "zone": zone, "order": id})
 		return errs.Pass(err, "operator's journal")
 	}
 	keys, err := fleet.Keys(dir)
@@ -96,7 +96,7 @@
 		return errs.Pass(err, "evacuate")
 	}
 	out := operatorapi.Order{Order: id + "-out", By: keys[0].Name, Sig: keys[0].Sign(signature.Evacuate(id+"-out", zone))}
-	ordered := order(ctx, nodes.CPlanes, "/v1/zones/"+zone+"/evacuate", out)
+	ordered := sendOrder(ctx, nodes.ControlPlanes, "/v1/zones/"+zone+"/evacuate", out)
 	if ordered == nil {
 		if ordered = note(audit.Evacuate); ordered == nil {
 			pause(ctx, d)
@@ -104,18 +104,18 @@
 	}
 	late := context.WithoutCancel(ctx)
 	lifting := note(audit.Lift) // before the order: starts may come from its commit on
-	return errors.Join(ordered, lifting, lift(late, nodes.CPlanes, zone, id, keys))
+	return errors.Join(ordered, lifting, liftEvacuation(late, nodes.ControlPlanes, zone, id, keys))
 }
 
-// lift lets every operator sign the lifting of a zone, which two must.
-func lift(ctx context.Context, cplanes []fleet.Node, zone, id string, keys []signature.Key) error {
-	since, err := evacuatedSince(ctx, cplanes, zone)
+// liftEvacuation lets every operator sign the lifting of a zone, which two must.
+func liftEvacuation(ctx context.Context, controlPlanes []fleet.Node, zone, id string, keys []signature.Key) error {
+	since, err := evacuatedSince(ctx, controlPlanes, zone)
 	if err != nil {
 		return errs.Pass(err, "lift %s", zone)
 	}
 	for _, key := range keys {
 		in := operatorapi.Order{Order: id + "-lift-" + key.Name, By: key.Name, Sig: key.Sign(signature.Lift(zone, since))}
-		if err := order(ctx, cplanes, "/v1/zones/"+zone+"/lift", in); err != nil {
+		if err := sendOrder(ctx, controlPlanes, "/v1/zones/"+zone+"/lift", in); err != nil {
 			return errs.Pass(err, "lift %s", zone)
 		}
 	}
@@ -123,14 +123,14 @@
 }
 
 // evacuatedSince asks one cplane after another since when a zone is out, for 30 s.
-func evacuatedSince(ctx context.Context, cplanes []fleet.Node, zone string) (time.Time, error) {
+func evacuatedSince(ctx context.Context, controlPlanes []fleet.Node, zone string) (time.Time, error) {
 	ctx, stop := context.WithTimeout(ctx, 30*time.Second)
 	defer stop()
 	caller := fleet.NewCaller(1)
 	for try := 0; ; try++ {
 		var list operatorapi.Zones
-		reply, err := caller.Call(ctx, http.MethodGet, cplanes[try%len(cplanes)].Addr, "/v1/zones", nil, 5*time.Second)
-		if err == nil && reply.Good() && json.Unmarshal(reply.Body, &list) == nil {
+		reply, err := caller.Call(ctx, http.MethodGet, controlPlanes[try%len(controlPlanes)].Addr, "/v1/zones", nil, 5*time.Second)
+		if err == nil && reply.IsSuccess() && json.Unmarshal(reply.Body, &list) == nil {
 			for _, z := range list.Zones {
 				if z.Zone == zone {
 					return z.Since, nil
@@ -144,17 +144,17 @@
 	}
 }
 
-// order sends an operator's order to one cplane after another until one has carried it out, for 30 s; its id makes
+// sendOrder sends an operator's order to one cplane after another until one has carried it out, for 30 s; its id makes
 // it one order.
-func order(ctx context.Context, cplanes []fleet.Node, path string, in operatorapi.Order) error {
+func sendOrder(ctx context.Context, controlPlanes []fleet.Node, path string, in operatorapi.Order) error {
 	ctx, stop := context.WithTimeout(ctx, 30*time.Second)
 	defer stop()
 	caller := fleet.NewCaller(1)
 	for try := 0; ; try++ {
-		node := cplanes[try%len(cplanes)]
+		node := controlPlanes[try%len(controlPlanes)]
 		reply, err := caller.Call(ctx, http.MethodPost, node.Addr, path, in, 5*time.Second)
 		switch {
-		case err == nil && reply.Good():
+		case err == nil && reply.IsSuccess():
 			return nil
 		case err == nil && reply.Status < http.StatusInternalServerError && reply.Status != http.StatusTooManyRequests &&
 			reply.Status != http.StatusMisdirectedRequest:
--- a/cmd/crosstide-testbed/bundles.go
+++ b/cmd/crosstide-testbed/bundles.go
@@ -21,7 +21,7 @@
 			"sign, send orders again, read the bytes back and watch the roll-out. What they were told goes to\n" +
 			"DIR/journal/operator-bundles-*.jsonl for `crosstide-testbed audit`. Prints one JSON object; exit 1 if something was amiss.",
 		Flags: []cli.Flag{
-			dirFlag(),
+			fleetFlag(),
 			&cli.DurationFlag{Name: "for", Value: time.Minute},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.DurationFlag{Name: "every", Value: 300 * time.Millisecond, Usage: "between two changes, on average"},
@@ -34,15 +34,15 @@
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
 			report, err := operator.Run(ctx, operator.Options{Dir: cmd.String("fleet"), For: cmd.Duration("for"), Seed: cmd.Uint64("seed"),
-				Every: cmd.Duration("every"), Race: cmd.Float("race"), Again: cmd.Float("again"),
-				Invalid: cmd.Float("invalid"), Evacuate: cmd.Float("evacuate")})
+				Interval: cmd.Duration("every"), RaceProbability: cmd.Float("race"), RepeatProbability: cmd.Float("again"),
+				InvalidProbability: cmd.Float("invalid"), EvacuateProbability: cmd.Float("evacuate")})
 			if err != nil {
 				return errs.Pass(err, "bundles")
 			}
 			if err := printJSON(cmd.Root().Writer, report); err != nil {
 				return errs.Pass(err, "bundles")
 			}
-			if !report.Held() {
+			if !report.IsClean() {
 				return exitCode{errs.New(errs.Internal, "nothing was changed, or a promise to the operators was broken"), 1}
 			}
 			return nil
--- a/cmd/crosstide-testbed/churn.go
+++ b/cmd/crosstide-testbed/churn.go
@@ -34,7 +34,7 @@
 			"a node killed and started again, a node frozen, minions drained by order and by themselves, a zone\n" +
 			"evacuated and lifted, a mass of cancels. Prints one JSON object; the audit goes to the standard error.\n" +
 			"Exit 1 if a promise is broken, or an accepted job is unknown or unfinished.",
-		Flags: []cli.Flag{dirFlag(),
+		Flags: []cli.Flag{fleetFlag(),
 			&cli.StringFlag{Name: "profile", Value: "lubra"}, &cli.FloatFlag{Name: "scale", Value: 1, Usage: "of the profile's rates"},
 			&cli.DurationFlag{Name: "for", Value: time.Minute}, &cli.DurationFlag{Name: "wait", Value: time.Minute, Usage: "for the ends"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
@@ -63,9 +63,9 @@
 
 // churner injects the faults.
 type churner struct {
-	stage
-	luck   *rand.Rand
-	pen    *journal.Writer // an operator's, for drains by order
+	faultRun
+	rng    *rand.Rand
+	writer *journal.Writer // an operator's, for drains by order
 	orders int             // given so far, for their IDs
 	done   map[string]int
 }
@@ -80,17 +80,17 @@
 func churn(ctx context.Context, cmd *cli.Command) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	set, err := stageOf(cmd)
+	set, err := newFaultRun(cmd)
 	if err != nil {
 		return errs.Pass(err, "churn")
 	}
 	dir := set.dir
-	pen, err := journal.Open(filepath.Join(dir, "journal", "operator-churn.jsonl"))
+	writer, err := journal.Open(filepath.Join(dir, "journal", "operator-churn.jsonl"))
 	if err != nil {
 		return errs.Pass(err, "churn")
 	}
-	defer pen.Close()
-	c := &churner{stage: set, luck: rand.New(rand.NewPCG(cmd.Uint64("seed"), 7)), pen: pen, done: map[string]int{}}
+	defer writer.Close()
+	c := &churner{faultRun: set, rng: rand.New(rand.NewPCG(cmd.Uint64("seed"), 7)), writer: writer, done: map[string]int{}}
 	out := churnReport{Faults: c.done}
 	lasts, seed := cmd.Duration("for"), cmd.Uint64("seed")
 	var mu sync.Mutex
@@ -105,13 +105,13 @@
 	group := routine.New(ctx)
 	group.Go(func(ctx context.Context) {
 		work, err := load.RunProfile(ctx, cmd.String("profile"), cmd.Float("scale"),
-			load.Options{Dir: dir, For: lasts, Wait: cmd.Duration("wait"), Seed: seed})
+			load.Options{Dir: dir, Duration: lasts, EndTimeout: cmd.Duration("wait"), Seed: seed})
 		out.Work = work
 		failed("work", err)
 	})
 	if every := cmd.Duration("changes"); every > 0 {
 		group.Go(func(ctx context.Context) {
-			r, err := operator.Run(ctx, operator.Options{Dir: dir, For: lasts, Seed: seed, Every: every, Race: 0.2, Again: 0.2})
+			r, err := operator.Run(ctx, operator.Options{Dir: dir, For: lasts, Seed: seed, Interval: every, RaceProbability: 0.2, RepeatProbability: 0.2})
 			out.Bundles = &r
 			failed("bundles", err)
 		})
@@ -126,16 +126,16 @@
 	if err := printJSON(cmd.Root().Writer, out); err != nil {
 		return errs.Pass(err, "churn")
 	}
-	return errs.Pass(c.judge(ctx, out), "churn")
+	return errs.Pass(c.check(ctx, out), "churn")
 }
 
-// judge audits, and looks for jobs that are not over.
-func (c *churner) judge(ctx context.Context, out churnReport) error {
-	findings, err := findings(ctx, c.dir)
+// check audits, and looks for jobs that are not over.
+func (c *churner) check(ctx context.Context, out churnReport) error {
+	findings, err := auditFleet(ctx, c.dir)
 	if err != nil {
 		return errs.Pass(err, "audit")
 	}
-	if err := audit.Show(os.Stderr, findings, 3); err != nil {
+	if err := audit.WriteReport(os.Stderr, findings, 3); err != nil {
 		return errs.Pass(err, "audit")
 	}
 	for kind, r := range out.Work {
@@ -143,7 +143,7 @@
 			return exitCode{errs.New(errs.Internal, "%s: %d jobs unknown, %d unfinished", kind, r.Unknown, r.Unfinished), 1}
 		}
 	}
-	if !audit.Clean(findings) {
+	if !audit.NoneViolated(findings) {
 		return exitCode{errs.New(errs.Internal, "a promise is broken"), 1}
 	}
 	return nil
@@ -163,10 +163,10 @@
 	}
 	clock := clock.Real{}
 	for end := clock.Now() + d; clock.Now() < end; {
-		if !pause(ctx, time.Duration(c.luck.ExpFloat64()*float64(every))) {
+		if !pause(ctx, time.Duration(c.rng.ExpFloat64()*float64(every))) {
 			return nil
 		}
-		kind := only[c.luck.IntN(len(only))]
+		kind := only[c.rng.IntN(len(only))]
 		if err := kinds[kind](ctx); err != nil && ctx.Err() == nil {
 			return errs.Pass(err, "%s", kind)
 		}
@@ -175,11 +175,11 @@
 	return nil
 }
 
-func (c *churner) one(list []fleet.Node) fleet.Node { return list[c.luck.IntN(len(list))] }
+func (c *churner) pickNode(list []fleet.Node) fleet.Node { return list[c.rng.IntN(len(list))] }
 
 // anyNode picks a cplane, a dplane or a minion, each role as often as the others.
 func (c *churner) anyNode() fleet.Node {
-	return c.one([][]fleet.Node{c.nodes.CPlanes, c.nodes.DPlanes, c.nodes.Minions}[c.luck.IntN(3)])
+	return c.pickNode([][]fleet.Node{c.nodes.ControlPlanes, c.nodes.DataPlanes, c.nodes.Workers}[c.rng.IntN(3)])
 }
 
 func (c *churner) killOne(ctx context.Context) error {
@@ -187,30 +187,30 @@
 	if err := c.kill(name); err != nil {
 		return errs.Pass(err, "kill")
 	}
-	pause(ctx, time.Duration(c.luck.Int64N(int64(4*time.Second))))
+	pause(ctx, time.Duration(c.rng.Int64N(int64(4*time.Second))))
 	return errs.Pass(c.restart(context.WithoutCancel(ctx), []string{name}), "back")
 }
 
 func (c *churner) freezeOne(ctx context.Context) error {
-	return errs.Pass(freeze(ctx, c.dir, c.anyNode().Name, time.Duration(c.luck.Int64N(int64(6*time.Second)))), "freeze")
+	return errs.Pass(freeze(ctx, c.dir, c.anyNode().Name, time.Duration(c.rng.Int64N(int64(6*time.Second)))), "freeze")
 }
 
 // drainSome drains a few minions by an operator's order, and opens them again.
 func (c *churner) drainSome(ctx context.Context) error {
 	var out []fleet.Node
-	for range 1 + len(c.nodes.Minions)/16 {
-		out = append(out, c.one(c.nodes.Minions))
+	for range 1 + len(c.nodes.Workers)/16 {
+		out = append(out, c.pickNode(c.nodes.Workers))
 	}
 	give := func(ctx context.Context, name, word, ev string, before bool) error {
 		c.orders++
 		note := func() error {
-			return errs.Pass(c.pen.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": ev, "node": name}), "journal")
+			return errs.Pass(c.writer.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": ev, "node": name}), "journal")
 		}
 		var first error
 		if before { // starts may come from its commit on
 			first = note()
 		}
-		err := order(ctx, c.nodes.CPlanes, "/v1/minions/"+name+"/"+word,
+		err := sendOrder(ctx, c.nodes.ControlPlanes, "/v1/minions/"+name+"/"+word,
 			operatorapi.Order{Order: fmt.Sprintf("churn-%d-%d", clock.Real{}.Wall().UnixNano(), c.orders)})
 		if err == nil && !before {
 			first = note()
@@ -233,22 +233,22 @@
 
 // leaveOne asks a minion to leave, as the platform does, and starts it again.
 func (c *churner) leaveOne(ctx context.Context) error {
-	name := c.one(c.nodes.Minions).Name
+	name := c.pickNode(c.nodes.Workers).Name
 	if err := fleet.Signal(c.dir, name, unix.SIGTERM); err != nil {
 		return errs.Pass(err, "leave")
 	}
-	_, err := c.until(ctx, 15*time.Second, name+" gone", func() bool { _, err := fleet.Pid(c.dir, name); return err != nil })
+	_, err := c.await(ctx, 15*time.Second, name+" gone", func() bool { _, err := fleet.PID(c.dir, name); return err != nil })
 	return errors.Join(err, c.restart(context.WithoutCancel(ctx), []string{name}))
 }
 
 func (c *churner) evacuateOne(ctx context.Context) error {
-	zone := c.one(c.nodes.CPlanes).Zone
+	zone := c.pickNode(c.nodes.ControlPlanes).Zone
 	return errs.Pass(evacuate(ctx, c.dir, zone, 6*time.Second), "zone %s", zone)
 }
 
 // cancelMany hands in a crowd of jobs and cancels them one after the other at once.
 func (c *churner) cancelMany(ctx context.Context) error {
-	_, err := load.Run(ctx, load.Options{Dir: c.dir, Count: 20, For: time.Second, Run: 5 * time.Second, Cancel: 1, Team: "crowd",
-		Seed: c.luck.Uint64(), Workers: 2, Wait: 20 * time.Second, Prefix: fmt.Sprintf("x%d", clock.Real{}.Wall().UnixNano())})
+	_, err := load.Run(ctx, load.Options{Dir: c.dir, Count: 20, Duration: time.Second, TaskDuration: 5 * time.Second, CancelProbability: 1, Team: "crowd",
+		Seed: c.rng.Uint64(), Clients: 2, EndTimeout: 20 * time.Second, Prefix: fmt.Sprintf("x%d", clock.Real{}.Wall().UnixNano())})
 	return errs.Pass(err, "crowd")
 }
--- a/cmd/crosstide-testbed/fleet.go
+++ b/cmd/crosstide-testbed/fleet.go
@@ -23,7 +23,7 @@
 		Description: "The ports are outside of the range that outgoing connections take theirs from.",
 		Arguments:   []cli.Argument{&cli.IntArg{Name: "n", Value: 1}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			ports, err := fleet.Ports(cmd.IntArg("n"))
+			ports, err := fleet.FreePorts(cmd.IntArg("n"))
 			for _, port := range ports {
 				fmt.Fprintln(cmd.Root().Writer, port)
 			}
@@ -37,7 +37,7 @@
 		Name: "plan", Usage: "write the settings of a fleet on this machine; scripts/fleet starts it",
 		Description: "Writes DIR/nodes.json, DIR/settings/NAME.json and DIR/start (lines: name program args...).",
 		Flags: []cli.Flag{
-			dirFlag(),
+			fleetFlag(),
 			&cli.StringFlag{Name: "bin", Usage: "`FOLDER` of the programs", Required: true},
 			&cli.IntFlag{Name: "cplanes", Value: 5},
 			&cli.IntFlag{Name: "dplanes", Value: 3},
@@ -57,10 +57,10 @@
 
 // planFleet writes the settings of a fleet.
 func planFleet(_ context.Context, cmd *cli.Command) error {
-	shape := fleet.Shape{CPlanes: cmd.Int("cplanes"),
-		DPlanes: cmd.Int("dplanes"), Minions: cmd.Int("minions"), Zones: cmd.Int("zones"),
-		Cores: cmd.Int("cores"), Kind: cmd.String("kind"), Bin: cmd.String("bin"), Links: cmd.Bool("links"),
-		Hollow: cmd.Int("hollow"), Hosts: cmd.Int("hosts"), Sick: cmd.Int("sick")}
+	shape := fleet.Shape{ControlPlanes: cmd.Int("cplanes"),
+		DataPlanes: cmd.Int("dplanes"), Workers: cmd.Int("minions"), Zones: cmd.Int("zones"),
+		Cores: cmd.Int("cores"), Kind: cmd.String("kind"), Bin: cmd.String("bin"), Proxied: cmd.Bool("links"),
+		SharedWorkers: cmd.Int("hollow"), SharedProcesses: cmd.Int("hosts"), FailingWorkers: cmd.Int("sick")}
 	var err error
 	if cmd.IsSet("profile") {
 		if shape, err = shape.WithProfile(cmd.String("profile")); err != nil {
@@ -75,24 +75,24 @@
 	return &cli.Command{
 		Name: "ready", Usage: "wait until a fleet is ready; name what is not and exit 1 when the bound is over",
 		Description: "Ready: /readyz of every cplane and dplane is 200 and the store knows a boot of every minion.",
-		Flags:       []cli.Flag{dirFlag(), &cli.DurationFlag{Name: "for", Value: 20 * time.Second}},
+		Flags:       []cli.Flag{fleetFlag(), &cli.DurationFlag{Name: "for", Value: 20 * time.Second}},
 		Action:      ready,
 	}
 }
 
 func whoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "who", Usage: "print the holders: store NAME and sched NAME", Flags: []cli.Flag{dirFlag()},
+		Name: "who", Usage: "print the holders: store NAME and sched NAME", Flags: []cli.Flag{fleetFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			nodes, err := fleet.Read(cmd.String("fleet"))
 			if err != nil {
 				return errs.Pass(err, "who")
 			}
-			who, err := fleet.Who(ctx, fleet.NewCaller(1), nodes)
+			who, err := fleet.FindLeaders(ctx, fleet.NewCaller(1), nodes)
 			if err != nil {
 				return errs.Pass(err, "who")
 			}
-			_, err = fmt.Fprintf(cmd.Root().Writer, "store %s\nsched %s\n", who.Store, who.Sched)
+			_, err = fmt.Fprintf(cmd.Root().Writer, "store %s\nsched %s\n", who.Store, who.Scheduler)
 			return errs.Wrap(err, errs.Disk, "print")
 		},
 	}
@@ -110,7 +110,7 @@
 // Unwrap returns the error.
 func (e exitCode) Unwrap() error { return e.error }
 
-func dirFlag() cli.Flag {
+func fleetFlag() cli.Flag {
 	return &cli.StringFlag{Name: "fleet", Usage: "`DIR` of the fleet", Required: true}
 }
 
@@ -121,7 +121,7 @@
 	}
 	caller, clock := fleet.NewCaller(2), clock.Real{}
 	for end := clock.Now() + cmd.Duration("for"); ; {
-		late := fleet.Late(ctx, caller, nodes)
+		late := fleet.NotReady(ctx, caller, nodes)
 		if len(late) == 0 {
 			return nil
 		}
--- a/cmd/crosstide-testbed/freeze.go
+++ b/cmd/crosstide-testbed/freeze.go
@@ -23,7 +23,7 @@
 		Name: "freeze", Usage: "stop a process for a while, as a machine that hangs, and let it go on",
 		Description: "crosstide-testbed freeze --fleet DIR --node NAME --for 25s\n\n" +
 			"SIGSTOP, then SIGCONT; also when this command is told to end. Journaled to DIR/journal/drill-freeze-NAME.jsonl.",
-		Flags: []cli.Flag{dirFlag(), &cli.StringFlag{Name: "node", Required: true}, &cli.DurationFlag{Name: "for", Required: true}},
+		Flags: []cli.Flag{fleetFlag(), &cli.StringFlag{Name: "node", Required: true}, &cli.DurationFlag{Name: "for", Required: true}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -34,16 +34,16 @@
 
 // freeze stops a node for d, or until ctx ends; it always wakes it. Faults: Unknown (it does not run), Disk.
 func freeze(ctx context.Context, dir, name string, d time.Duration) error {
-	pid, err := fleet.Pid(dir, name)
+	pid, err := fleet.PID(dir, name)
 	if err != nil {
 		return errs.Pass(err, "freeze %s", name)
 	}
-	pen, err := journal.Open(filepath.Join(dir, "journal", "drill-freeze-"+name+".jsonl"))
+	writer, err := journal.Open(filepath.Join(dir, "journal", "drill-freeze-"+name+".jsonl"))
 	if err != nil {
 		return errs.Pass(err, "drill's journal")
 	}
-	defer pen.Close()
-	if err := note(pen, audit.Freeze, name, "SIGSTOP"); err != nil {
+	defer writer.Close()
+	if err := recordAction(writer, audit.Freeze, name, "SIGSTOP"); err != nil {
 		return errs.Pass(err, "freeze %s", name)
 	}
 	if err := unix.Kill(pid, unix.SIGSTOP); err != nil {
@@ -51,21 +51,21 @@
 	}
 	pause(ctx, d)
 	woken := errs.Pass(fleet.Signal(dir, name, unix.SIGCONT), "thaw") // unless it was killed, and the pid is another's
-	return errors.Join(woken, note(pen, "thaw", name, "SIGCONT"))
+	return errors.Join(woken, recordAction(writer, "thaw", name, "SIGCONT"))
 }
 
-// note writes what is done to a node into a journal of the drill, for the audit.
-func note(pen *journal.Writer, ev, node, how string) error {
-	err := pen.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": ev, "node": node, "how": how})
+// notef writes what is done to a node into a journal of the drill, for the audit.
+func recordAction(writer *journal.Writer, ev, node, kind string) error {
+	err := writer.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": ev, "node": node, "how": kind})
 	return errs.Pass(err, "drill's journal")
 }
 
 // pause waits for d, false if ctx ends before.
 func pause(ctx context.Context, d time.Duration) bool {
-	rung := make(chan struct{})
-	defer clock.Real{}.Set(d, func() { close(rung) }).Stop()
+	elapsed := make(chan struct{})
+	defer clock.Real{}.Set(d, func() { close(elapsed) }).Stop()
 	select {
-	case <-rung:
+	case <-elapsed:
 		return true
 	case <-ctx.Done():
 		return false
--- a/cmd/crosstide-testbed/jobs.go
+++ b/cmd/crosstide-testbed/jobs.go
@@ -27,12 +27,12 @@
 			&cli.IntFlag{Name: "dplanes", Value: 2},
 			&cli.IntFlag{Name: "workers", Value: 6},
 		},
-		Action: drillJobs,
+		Action: runEndToEnd,
 	})
 }
 
-func drillJobs(ctx context.Context, cmd *cli.Command) error {
-	dir, made, err := drillFolder(cmd.String("dir"))
+func runEndToEnd(ctx context.Context, cmd *cli.Command) error {
+	dir, made, err := workFolder(cmd.String("dir"))
 	if err != nil {
 		return errs.Pass(err, "jobs")
 	}
@@ -40,7 +40,7 @@
 	if bin == "" {
 		bin = filepath.Dir(program("crosstide-testbed"))
 	}
-	plan, err := endtoend.MakePlan(dir, bin, endtoend.Size{Cplanes: cmd.Int("cplanes"), Dplanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
+	plan, err := endtoend.NewPlan(dir, bin, endtoend.Size{ControlPlanes: cmd.Int("cplanes"), DataPlanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
 	if err != nil {
 		return errs.Pass(err, "jobs")
 	}
@@ -54,8 +54,8 @@
 		return errs.Pass(err, "jobs; logs are in %s", dir)
 	}
 	printResult(cmd, result)
-	if len(result.Wrong) > 0 {
-		return errs.New(errs.Internal, "%d promises are broken; logs and journals are in %s", len(result.Wrong), dir)
+	if len(result.Violations) > 0 {
+		return errs.New(errs.Internal, "%d promises are broken; logs and journals are in %s", len(result.Violations), dir)
 	}
 	if made {
 		return errs.Wrap(os.RemoveAll(dir), errs.Disk, "remove %s", dir)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// drillFolder gives the drill's folder; made tells that it is a new one.
-func drillFolder(named string) (dir string, made bool, err error) {
+// workFolder gives the drill's folder; made tells that it is a new one.
+func workFolder(named string) (dir string, made bool, err error) {
 	if named != "" {
 		dir, err = filepath.Abs(named)
 		return dir, false, errs.Wrap(err, errs.Disk, "folder")
@@ -76,17 +76,17 @@
 func printResult(cmd *cli.Command, result endtoend.Result) {
 	out := cmd.Root().Writer
 	fmt.Fprintf(out, "jobs %d  runs %d", result.Accepted, result.Runs)
-	for _, how := range slices.Sorted(maps.Keys(result.Ends)) {
-		fmt.Fprintf(out, "  %s %d", how, result.Ends[how])
+	for _, kind := range slices.Sorted(maps.Keys(result.Ends)) {
+		fmt.Fprintf(out, "  %s %d", kind, result.Ends[kind])
 	}
 	for _, why := range slices.Sorted(maps.Keys(result.Refused)) {
 		fmt.Fprintf(out, "  refused-%s %d", why, result.Refused[why])
 	}
 	fmt.Fprintf(out, "\naccepted again %s after the kill\n", result.AcceptedIn.Round(time.Millisecond))
-	for _, wrong := range result.Wrong {
+	for _, wrong := range result.Violations {
 		fmt.Fprintln(out, "BROKEN", wrong)
 	}
-	if len(result.Wrong) == 0 {
+	if len(result.Violations) == 0 {
 		fmt.Fprintln(out, "held: nothing lost, nothing twice, order, room, labels, gangs, progress, attempts")
 	}
 }
--- a/cmd/crosstide-testbed/link.go
+++ b/cmd/crosstide-testbed/link.go
@@ -43,7 +43,7 @@
 				"With --late, held back orders of one that has gone on since arrive at the end: a minion that obeys late\n" +
 				"orders is promised that none is later than `lateness` of the dplanes' settings.",
 			Flags: []cli.Flag{
-				dirFlag(),
+				fleetFlag(),
 				&cli.StringFlag{Name: "node"},
 				&cli.StringFlag{Name: "zone"},
 				&cli.DurationFlag{Name: "for", Required: true},
@@ -53,11 +53,11 @@
 				&cli.BoolFlag{Name: "late", Usage: "hold all back until the end"},
 			},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
-				c := netproxy.Cut{Node: cmd.String("node"), Zone: cmd.String("zone"), For: cmd.Duration("for"), How: netproxy.Silent}
+				c := netproxy.Fault{Node: cmd.String("node"), Zone: cmd.String("zone"), For: cmd.Duration("for"), Kind: netproxy.Blackhole}
 				given := 0
-				for _, how := range []string{netproxy.Silent, netproxy.Oneway, netproxy.Slow, netproxy.Late} {
-					if cmd.IsSet(how) {
-						c.How = how
+				for _, kind := range []string{netproxy.Blackhole, netproxy.OneWayBlackhole, netproxy.AddLatency, netproxy.Stall} {
+					if cmd.IsSet(kind) {
+						c.Kind = kind
 						given++
 					}
 				}
@@ -69,14 +69,14 @@
 				if err != nil {
 					return errs.Pass(err, "cut")
 				}
-				_, err = fmt.Fprintf(cmd.Root().Writer, "%s cut of %s%s for %s, %d links\n", c.How, c.Node, c.Zone, c.For, links)
+				_, err = fmt.Fprintf(cmd.Root().Writer, "%s cut of %s%s for %s, %d links\n", c.Kind, c.Node, c.Zone, c.For, links)
 				return errs.Wrap(err, errs.Disk, "print")
 			},
 		})
 }
 
 // cut sends the order to the fleet's links and returns how many it touched.
-func cut(ctx context.Context, dir string, c netproxy.Cut) (int, error) {
+func cut(ctx context.Context, dir string, c netproxy.Fault) (int, error) {
 	if err := c.Check(); err != nil {
 		return 0, errs.Pass(err, "cut")
 	}
@@ -84,15 +84,15 @@
 	if err != nil {
 		return 0, errs.Pass(err, "cut")
 	}
-	if nodes.Link == "" {
+	if nodes.ProxyAddr == "" {
 		return 0, errs.New(errs.Settings, "the fleet has no links; it was brought up without --links")
 	}
-	reply, err := fleet.NewCaller(1).Call(ctx, http.MethodPost, nodes.Link, netproxy.Order.Path, c, 5*time.Second)
+	reply, err := fleet.NewCaller(1).Call(ctx, http.MethodPost, nodes.ProxyAddr, netproxy.InjectFault.Path, c, 5*time.Second)
 	if err != nil {
 		return 0, errs.Pass(err, "links")
 	}
-	var answer netproxy.CutAnswer
-	if !reply.Good() || json.Unmarshal(reply.Body, &answer) != nil {
+	var answer netproxy.FaultAnswer
+	if !reply.IsSuccess() || json.Unmarshal(reply.Body, &answer) != nil {
 		return 0, errs.New(errs.Internal, "the links refuse: %s", reply.Body)
 	}
 	return answer.Links, nil
--- a/cmd/crosstide-testbed/load.go
+++ b/cmd/crosstide-testbed/load.go
@@ -57,7 +57,7 @@
 
 func loadFlags() []cli.Flag {
 	return []cli.Flag{
-		dirFlag(),
+		fleetFlag(),
 		&cli.FloatFlag{Name: "rate", Value: 20, Usage: "jobs per second"},
 		&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "how long jobs are offered"},
 		&cli.DurationFlag{Name: "wait", Value: time.Minute, Usage: "for the ends, after --for"},
@@ -83,16 +83,16 @@
 }
 
 func loadOptions(cmd *cli.Command) (load.Options, error) {
-	o := load.Options{Dir: cmd.String("fleet"), Rate: cmd.Float("rate"), For: cmd.Duration("for"), Seed: cmd.Uint64("seed"),
-		Tasks: cmd.Int("tasks"), Run: time.Duration(cmd.Int("ms")) * time.Millisecond, Steps: cmd.Int("steps"),
+	o := load.Options{Dir: cmd.String("fleet"), Rate: cmd.Float("rate"), Duration: cmd.Duration("for"), Seed: cmd.Uint64("seed"),
+		Tasks: cmd.Int("tasks"), TaskDuration: time.Duration(cmd.Int("ms")) * time.Millisecond, Steps: cmd.Int("steps"),
 		Cores: cmd.Int("cores"), Gang: cmd.Bool("gang"), Type: cmd.String("type"), Queue: cmd.String("queue"), Team: cmd.String("team"),
-		Labels: cmd.StringMap("label"), Retries: cmd.Int("retries"), Cancel: cmd.Float("cancel"), Dup: cmd.Float("dup"),
-		Prefix: cmd.String("key-prefix"), Workers: cmd.Int("workers"), Polls: cmd.Float("polls"),
-		Wait: cmd.Duration("wait"), GiveUp: cmd.Duration("give-up")}
+		Labels: cmd.StringMap("label"), Retries: cmd.Int("retries"), CancelProbability: cmd.Float("cancel"), DuplicateProbability: cmd.Float("dup"),
+		Prefix: cmd.String("key-prefix"), Clients: cmd.Int("workers"), MaxPollsPerSecond: cmd.Float("polls"),
+		EndTimeout: cmd.Duration("wait"), SubmitTimeout: cmd.Duration("give-up")}
 	if cmd.Bool("noop") {
-		o.Run = 0
+		o.TaskDuration = 0
 	}
-	return o, errs.Pass(o.Fill(), "flags")
+	return o, errs.Pass(o.SetDefaults(), "flags")
 }
 
 func printJSON(w io.Writer, v any) error {
--- a/cmd/crosstide-testbed/minion.go
+++ b/cmd/crosstide-testbed/minion.go
@@ -45,12 +45,12 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "of late, lose, fail and slow"},
 			&cli.StringFlag{Name: "log", Value: "info", Usage: "`LEVEL`: debug, info, warn or error"},
 		},
-		Action: runMinion,
+		Action: runPolicyWorker,
 	})
 }
 
-func runMinion(ctx context.Context, cmd *cli.Command) error {
-	set, err := minionSettings(cmd)
+func runPolicyWorker(ctx context.Context, cmd *cli.Command) error {
+	set, err := policyWorkerSettings(cmd)
 	if err != nil {
 		return errs.Pass(err, "minion")
 	}
@@ -90,37 +90,37 @@
 	return errs.Pass(host.Run(group.Context()), "minion")
 }
 
-// minionSettings takes the defaults, then the file, then the flags that were given.
-func minionSettings(cmd *cli.Command) (policyworker.Settings, error) {
+// policyWorkerSettings takes the defaults, then the file, then the flags that were given.
+func policyWorkerSettings(cmd *cli.Command) (policyworker.Settings, error) {
 	set := policyworker.Defaults()
 	if path := cmd.String("settings"); path != "" {
 		if err := set.Load(path); err != nil {
 			return set, errs.Pass(err, "settings")
 		}
 	}
-	put(cmd, "name", &set.Name, cmd.String)
-	put(cmd, "addr", &set.Addr, cmd.String)
-	put(cmd, "kind", &set.Kind, cmd.String)
-	put(cmd, "zone", &set.Zone, cmd.String)
-	put(cmd, "rack", &set.Rack, cmd.String)
-	put(cmd, "label", &set.Labels, cmd.StringMap)
-	put(cmd, "cores", &set.Cores, cmd.Int)
-	put(cmd, "gpus", &set.GPUs, cmd.Int)
-	put(cmd, "dplanes", &set.Dplanes, cmd.StringSlice)
-	put(cmd, "via", &set.Via, cmd.StringMap)
-	put(cmd, "journal", &set.Journal, cmd.String)
-	put(cmd, "count", &set.Count, cmd.Int)
-	put(cmd, "grace", (*time.Duration)(&set.Grace), cmd.Duration)
-	put(cmd, "late", (*time.Duration)(&set.Late), cmd.Duration)
-	put(cmd, "lose", &set.Lose, cmd.Float)
-	put(cmd, "fail", &set.Fail, cmd.Float)
-	put(cmd, "slow", &set.Slow, cmd.Float)
-	put(cmd, "seed", &set.Seed, cmd.Uint64)
+	setFlag(cmd, "name", &set.Name, cmd.String)
+	setFlag(cmd, "addr", &set.Addr, cmd.String)
+	setFlag(cmd, "kind", &set.Kind, cmd.String)
+	setFlag(cmd, "zone", &set.Zone, cmd.String)
+	setFlag(cmd, "rack", &set.Rack, cmd.String)
+	setFlag(cmd, "label", &set.Labels, cmd.StringMap)
+	setFlag(cmd, "cores", &set.Cores, cmd.Int)
+	setFlag(cmd, "gpus", &set.GPUs, cmd.Int)
+	setFlag(cmd, "dplanes", &set.DataPlanes, cmd.StringSlice)
+	setFlag(cmd, "via", &set.DialOverrides, cmd.StringMap)
+	setFlag(cmd, "journal", &set.Journal, cmd.String)
+	setFlag(cmd, "count", &set.Count, cmd.Int)
+	setFlag(cmd, "grace", (*time.Duration)(&set.Grace), cmd.Duration)
+	setFlag(cmd, "late", (*time.Duration)(&set.MaxDelay), cmd.Duration)
+	setFlag(cmd, "lose", &set.LossProbability, cmd.Float)
+	setFlag(cmd, "fail", &set.FailProbability, cmd.Float)
+	setFlag(cmd, "slow", &set.SlowFactor, cmd.Float)
+	setFlag(cmd, "seed", &set.Seed, cmd.Uint64)
 	return set, errs.Pass(set.Check(), "settings")
 }
 
-// put sets *to from the flag name, if it was given.
-func put[T any](cmd *cli.Command, name string, to *T, get func(string) T) {
+// setFlag sets *to from the flag name, if it was given.
+func setFlag[T any](cmd *cli.Command, name string, to *T, get func(string) T) {
 	if cmd.IsSet(name) {
 		*to = get(name)
 	}
--- a/cmd/crosstide-testbed/month.go
+++ b/cmd/crosstide-testbed/month.go
@@ -26,8 +26,8 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			o := soak.Options{Days: cmd.Int("days"), Jobs: cmd.Int("jobs"), Tasks: cmd.Int("tasks"), Last: cmd.Duration("last"),
-				Minions: cmd.Int("minions"), Orders: cmd.Int("orders"), Seed: cmd.Uint64("seed"), Keep: config.DefaultControlPlane()}
+			o := soak.Options{Days: cmd.Int("days"), Jobs: cmd.Int("jobs"), Tasks: cmd.Int("tasks"), TaskDuration: cmd.Duration("last"),
+				Workers: cmd.Int("minions"), Orders: cmd.Int("orders"), Seed: cmd.Uint64("seed"), Keep: config.DefaultControlPlane()}
 			return errs.Pass(soak.Run(o, func(d soak.Day) error {
 				return errs.Pass(printJSON(cmd.Root().Writer, d), "day")
 			}), "month")
--- a/cmd/crosstide-testbed/scenes.go
+++ b/cmd/crosstide-testbed/scenes.go
@@ -28,46 +28,46 @@
 	"crosstide/internal/testbed/netproxy"
 )
 
-// long is how long a holder is frozen or cut off: over every lease, hold and time-out.
-const long = 25 * time.Second
+// longOutage is how long a holder is frozen or cut off: over every lease, hold and time-out.
+const longOutage = 25 * time.Second
 
-// scenes are the cases of a rehearsal.
-var scenes = []scene{
-	{"a", "kill -9 of the holder of sched", 20 * time.Second, func(ctx context.Context, s *stage) error {
-		return errs.Pass(s.killAndBack(ctx, 6*time.Second, s.who.Sched), "kill")
+// scenarios are the cases of a rehearsal.
+var scenarios = []scenario{
+	{"a", "kill -9 of the holder of sched", 20 * time.Second, func(ctx context.Context, s *faultRun) error {
+		return errs.Pass(s.killAndRestart(ctx, 6*time.Second, s.who.Scheduler), "kill")
 	}},
-	{"b", "kill -9 of the store's leader", 20 * time.Second, func(ctx context.Context, s *stage) error {
-		return errs.Pass(s.killAndBack(ctx, 6*time.Second, s.who.Store), "kill")
+	{"b", "kill -9 of the store's leader", 20 * time.Second, func(ctx context.Context, s *faultRun) error {
+		return errs.Pass(s.killAndRestart(ctx, 6*time.Second, s.who.Store), "kill")
 	}},
-	{"c", "kill -9 of all cplanes, started again", 20 * time.Second, func(ctx context.Context, s *stage) error {
-		return errs.Pass(s.killAndBack(ctx, time.Second, names(s.nodes.CPlanes)...), "kill")
+	{"c", "kill -9 of all cplanes, started again", 20 * time.Second, func(ctx context.Context, s *faultRun) error {
+		return errs.Pass(s.killAndRestart(ctx, time.Second, nodeNames(s.nodes.ControlPlanes)...), "kill")
 	}},
-	{"d", "holder of sched frozen 25 s, woken", 36 * time.Second, func(ctx context.Context, s *stage) error {
-		s.note("%s frozen", s.who.Sched)
-		return errs.Pass(freeze(ctx, s.dir, s.who.Sched, long), "freeze")
+	{"d", "holder of sched frozen 25 s, woken", 36 * time.Second, func(ctx context.Context, s *faultRun) error {
+		s.notef("%s frozen", s.who.Scheduler)
+		return errs.Pass(freeze(ctx, s.dir, s.who.Scheduler, longOutage), "freeze")
 	}},
-	{"e", "holder of sched cut off silently 25 s, healed", 36 * time.Second, func(ctx context.Context, s *stage) error {
-		s.note("%s cut off", s.who.Sched)
-		_, err := cut(ctx, s.dir, netproxy.Cut{Node: s.who.Sched, How: netproxy.Silent, For: long})
+	{"e", "holder of sched cut off silently 25 s, healed", 36 * time.Second, func(ctx context.Context, s *faultRun) error {
+		s.notef("%s cut off", s.who.Scheduler)
+		_, err := cut(ctx, s.dir, netproxy.Fault{Node: s.who.Scheduler, Kind: netproxy.Blackhole, For: longOutage})
 		if err == nil {
-			pause(ctx, long)
+			pause(ctx, longOutage)
 		}
 		return errs.Pass(err, "cut")
 	}},
-	{"f", "cplane wiped, repaired, then the leader killed", 30 * time.Second, wipe},
-	{"g", "kill -9 of the zone of the holder of sched", 24 * time.Second, func(ctx context.Context, s *stage) error {
-		zone := s.zoneOf(s.who.Sched)
-		s.note("zone %s", zone)
-		return errs.Pass(s.killAndBack(ctx, 8*time.Second, s.nodes.Zone(zone)...), "kill")
+	{"f", "cplane wiped, repaired, then the leader killed", 30 * time.Second, wipeAndKillLeader},
+	{"g", "kill -9 of the zone of the holder of sched", 24 * time.Second, func(ctx context.Context, s *faultRun) error {
+		zone := s.zoneOf(s.who.Scheduler)
+		s.notef("zone %s", zone)
+		return errs.Pass(s.killAndRestart(ctx, 8*time.Second, s.nodes.ProcessesInZone(zone)...), "kill")
 	}},
-	{"h", "kill -9 of two minions, started again", 20 * time.Second, func(ctx context.Context, s *stage) error {
-		return errs.Pass(s.killAndBack(ctx, 3*time.Second, s.pick(0)...), "kill")
+	{"h", "kill -9 of two minions, started again", 20 * time.Second, func(ctx context.Context, s *faultRun) error {
+		return errs.Pass(s.killAndRestart(ctx, 3*time.Second, s.pickWorkers(0)...), "kill")
 	}},
-	{"i", "two minions told to leave (SIGTERM)", 20 * time.Second, leave},
-	{"j", "one job at three nodes, broken bodies and settings", 8 * time.Second, oddities},
+	{"i", "two minions told to leave (SIGTERM)", 20 * time.Second, drainWorkers},
+	{"j", "one job at three nodes, broken bodies and settings", 8 * time.Second, invalidRequests},
 }
 
-func names(nodes []fleet.Node) []string {
+func nodeNames(nodes []fleet.Node) []string {
 	var out []string
 	for _, n := range nodes {
 		out = append(out, n.Name)
@@ -75,7 +75,7 @@
 	return out
 }
 
-func (s *stage) zoneOf(name string) string {
+func (s *faultRun) zoneOf(name string) string {
 	for _, n := range s.nodes.All() {
 		if n.Name == name {
 			return n.Zone
@@ -84,12 +84,12 @@
 	return ""
 }
 
-// pick returns a minion of either kind, or two of the one there is; from is the first to look at.
-func (s *stage) pick(from int) []string {
+// pickWorkers returns a minion of either kind, or two of the one there is; from is the first to look at.
+func (s *faultRun) pickWorkers(from int) []string {
 	var out []string
 	kinds := map[string]bool{}
 	for _, only := range []bool{true, false} {
-		for _, m := range s.nodes.Minions[min(from, len(s.nodes.Minions)):] {
+		for _, m := range s.nodes.Workers[min(from, len(s.nodes.Workers)):] {
 			if len(out) < 2 && !slices.Contains(out, m.Name) && !(only && kinds[m.Kind]) {
 				out, kinds[m.Kind] = append(out, m.Name), true
 			}
@@ -98,28 +98,28 @@
 	return out
 }
 
-// killAndBack kills nodes at once and starts them again after a while.
-func (s *stage) killAndBack(ctx context.Context, after time.Duration, nodes ...string) error {
+// killAndRestart kills nodes at once and starts them again after a while.
+func (s *faultRun) killAndRestart(ctx context.Context, after time.Duration, nodes ...string) error {
 	err := s.kill(nodes...)
 	pause(ctx, after)
 	return errors.Join(err, s.restart(ctx, nodes))
 }
 
-// wipe takes a follower's disk, waits until the node counts again, and kills the leader at once after that.
-func wipe(ctx context.Context, s *stage) error {
-	i := slices.IndexFunc(s.nodes.CPlanes, func(n fleet.Node) bool { return n.Name != s.who.Store })
+// wipeAndKillLeader takes a follower's disk, waits until the node counts again, and kills the leader at once after that.
+func wipeAndKillLeader(ctx context.Context, s *faultRun) error {
+	i := slices.IndexFunc(s.nodes.ControlPlanes, func(n fleet.Node) bool { return n.Name != s.who.Store })
 	if i < 0 {
 		return errs.New(errs.Settings, "there is only one cplane")
 	}
-	victim := s.nodes.CPlanes[i]
+	victim := s.nodes.ControlPlanes[i]
 	if err := s.restart(ctx, []string{victim.Name}, "--wipe"); err != nil {
 		return errs.Pass(err, "wipe %s", victim.Name)
 	}
 	leader := ""
-	took, err := s.until(ctx, 20*time.Second, victim.Name+" repaired", func() bool {
+	took, err := s.await(ctx, 20*time.Second, victim.Name+" repaired", func() bool {
 		reply, err := s.caller.Call(ctx, http.MethodGet, victim.Addr, "/v1/who", nil, 2*time.Second)
 		var who operatorapi.Who
-		if err != nil || !reply.Good() || json.Unmarshal(reply.Body, &who) != nil || len(who.Members) != len(s.nodes.CPlanes) {
+		if err != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &who) != nil || len(who.Members) != len(s.nodes.ControlPlanes) {
 			return false
 		}
 		leader, _, _ = strings.Cut(who.Store, "~")
@@ -136,69 +136,69 @@
 	if leader == victim.Name {
 		return errs.New(errs.Internal, "%s leads already, it cannot be the second loss", leader)
 	}
-	s.note("%s wiped, repaired in %.1f s", victim.Name, took)
-	return errs.Pass(s.killAndBack(ctx, 6*time.Second, leader), "kill")
+	s.notef("%s wiped, repaired in %.1f s", victim.Name, took)
+	return errs.Pass(s.killAndRestart(ctx, 6*time.Second, leader), "kill")
 }
 
-// leave asks minions to leave and waits until they have; their own grace is 10 s.
-func leave(ctx context.Context, s *stage) error {
-	nodes := s.pick(2)
-	s.now()
+// drainWorkers asks minions to leave and waits until they have; their own grace is 10 s.
+func drainWorkers(ctx context.Context, s *faultRun) error {
+	nodes := s.pickWorkers(2)
+	s.markFault()
 	for _, name := range nodes {
 		if err := fleet.Signal(s.dir, name, unix.SIGTERM); err != nil {
 			return errs.Pass(err, "leave")
 		}
 	}
-	took, err := s.until(ctx, 12*time.Second, strings.Join(nodes, " ")+" gone", func() bool {
-		return !slices.ContainsFunc(nodes, func(name string) bool { _, err := fleet.Pid(s.dir, name); return err == nil })
+	took, err := s.await(ctx, 12*time.Second, strings.Join(nodes, " ")+" gone", func() bool {
+		return !slices.ContainsFunc(nodes, func(name string) bool { _, err := fleet.PID(s.dir, name); return err == nil })
 	})
 	if err == nil {
-		s.note("%s left in %.1f s", strings.Join(nodes, " "), took)
+		s.notef("%s left in %.1f s", strings.Join(nodes, " "), took)
 	}
 	return errors.Join(err, s.restart(ctx, nodes))
 }
 
-// oddities hands in what clients and operators get wrong, and one job at three nodes at once.
-func oddities(ctx context.Context, s *stage) error {
+// invalidRequests hands in what clients and operators get wrong, and one job at three nodes at once.
+func invalidRequests(ctx context.Context, s *faultRun) error {
 	if err := s.submitAtThreeNodes(ctx); err != nil {
 		return errs.Pass(err, "one job at three nodes")
 	}
-	for _, n := range s.nodes.DPlanes {
+	for _, n := range s.nodes.DataPlanes {
 		big := `{"key":"` + strings.Repeat("x", clientapi.MaxBody) + `"}`
 		for body, want := range map[string]int{`{"key":`: http.StatusBadRequest, big: http.StatusRequestEntityTooLarge,
 			`{"key":"odd","team":"drill","queue":"default","steps":[]}`: http.StatusUnprocessableEntity} {
 			reply, err := s.caller.Send(ctx, http.MethodPost, n.Addr, "/v1/jobs", []byte(body), 5*time.Second)
 			if err != nil || reply.Status != want {
-				s.blame("%s answers %d (%v) to %.20q of %d bytes, not %d", n.Name, reply.Status, err, body, len(body), want)
+				s.failf("%s answers %d (%v) to %.20q of %d bytes, not %d", n.Name, reply.Status, err, body, len(body), want)
 			}
 		}
 	}
 	for _, name := range []string{"crosstide-controlplane", "crosstide-dataplane"} {
-		if err := s.mistakes(ctx, name); err != nil {
+		if err := s.checkInvalidSettings(ctx, name); err != nil {
 			return errs.Pass(err, "settings of a %s", name)
 		}
 	}
-	s.note("3 bodies at %d nodes, 2 settings files with 3 mistakes", len(s.nodes.DPlanes))
+	s.notef("3 bodies at %d nodes, 2 settings files with 3 mistakes", len(s.nodes.DataPlanes))
 	return nil
 }
 
 // threefoldJob is a job that is submitted at three nodes at once.
 type threefoldJob struct {
-	stage   *stage
-	spec    state.Spec
-	journal *journal.Writer // of its client
+	faultRun *faultRun
+	spec     state.Spec
+	journal  *journal.Writer // of its client
 }
 
 // submitAtThreeNodes submits one job at three nodes at once, which must make one job and one start. Another job
 // under its key must be refused.
-func (s *stage) submitAtThreeNodes(ctx context.Context) error {
+func (s *faultRun) submitAtThreeNodes(ctx context.Context) error {
 	key := fmt.Sprintf("thrice-%d", clock.Real{}.Wall().UnixNano())
 	writer, err := journal.Open(filepath.Join(s.dir, "journal", "consumer-"+key+".jsonl"))
 	if err != nil {
 		return errs.Pass(err, "client's journal")
 	}
 	defer writer.Close()
-	job := threefoldJob{stage: s, journal: writer, spec: state.Spec{Key: key, Team: "drill", Queue: "default",
+	job := threefoldJob{faultRun: s, journal: writer, spec: state.Spec{Key: key, Team: "drill", Queue: "default",
 		Steps: []state.StepSpec{{Name: "s1", Type: "scan", Tasks: 1, Cores: 1, Run: json.RawMessage(`{"ms":100,"ok":true}`)}}}}
 	if err := job.submit(ctx); err != nil {
 		return errs.Pass(err, "submit")
@@ -210,16 +210,16 @@
 		return errs.Pass(err, "starts of %s", key)
 	}
 	job.spec.Team = "other"
-	reply, err := s.caller.Call(ctx, http.MethodPost, s.nodes.DPlanes[0].Addr, "/v1/jobs", job.spec, 5*time.Second)
+	reply, err := s.caller.Call(ctx, http.MethodPost, s.nodes.DataPlanes[0].Addr, "/v1/jobs", job.spec, 5*time.Second)
 	if err != nil || reply.Status != http.StatusConflict {
-		s.blame("another job under the key is answered %d (%v), not 409", reply.Status, err)
+		s.failf("another job under the key is answered %d (%v), not 409", reply.Status, err)
 	}
 	return nil
 }
 
 // record writes an event of the job into the client's journal.
 func (j *threefoldJob) record(event, phase string) error {
-	return errs.Pass(j.journal.Append(load.Entry{At: clock.Real{}.Wall().UnixNano(), Ev: event, Job: j.spec.Key, State: phase,
+	return errs.Pass(j.journal.Append(load.Entry{At: clock.Real{}.Wall().UnixNano(), Event: event, Job: j.spec.Key, State: phase,
 		Steps: []load.Step{{Name: "s1", Type: "scan", Tasks: 1, Cores: 1}}}), "client's journal")
 }
 
@@ -228,17 +228,17 @@
 	if err := j.record(load.Submit, ""); err != nil {
 		return errs.Pass(err, "submit")
 	}
-	s := j.stage
+	s := j.faultRun
 	statuses := make([]int, 3)
 	routine.Each(3, 3, func(i int) {
-		n := s.nodes.DPlanes[i%len(s.nodes.DPlanes)]
+		n := s.nodes.DataPlanes[i%len(s.nodes.DataPlanes)]
 		if reply, err := s.caller.Call(ctx, http.MethodPost, n.Addr, "/v1/jobs", j.spec, 5*time.Second); err == nil {
 			statuses[i] = reply.Status
 		}
 	})
 	for _, status := range statuses {
 		if status != http.StatusOK && status != http.StatusAccepted {
-			s.blame("one job at three nodes is answered %v", statuses)
+			s.failf("one job at three nodes is answered %v", statuses)
 		}
 	}
 	return errs.Pass(j.record(load.Accepted, ""), "accepted")
@@ -246,9 +246,9 @@
 
 // awaitDone polls the job until it is done.
 func (j *threefoldJob) awaitDone(ctx context.Context) error {
-	s := j.stage
-	_, err := s.until(ctx, 10*time.Second, j.spec.Key+" done", func() bool {
-		reply, err := s.caller.Call(ctx, http.MethodGet, s.nodes.DPlanes[0].Addr, "/v1/jobs/"+j.spec.Key, nil, 2*time.Second)
+	s := j.faultRun
+	_, err := s.await(ctx, 10*time.Second, j.spec.Key+" done", func() bool {
+		reply, err := s.caller.Call(ctx, http.MethodGet, s.nodes.DataPlanes[0].Addr, "/v1/jobs/"+j.spec.Key, nil, 2*time.Second)
 		var view struct{ State string }
 		return err == nil && json.Unmarshal(reply.Body, &view) == nil && view.State == string(state.JobDone)
 	})
@@ -260,25 +260,25 @@
 
 // checkOneStart counts the starts in the minions' journals.
 func (j *threefoldJob) checkOneStart() error {
-	history, err := audit.Read(j.stage.dir)
+	history, err := audit.Read(j.faultRun.dir)
 	if err != nil {
 		return errs.Pass(err, "journals")
 	}
 	starts := 0
 	for _, e := range history.Events {
-		if e.Ev == journal.Start && e.Job == j.spec.Key {
+		if e.Event == journal.Start && e.Job == j.spec.Key {
 			starts++
 		}
 	}
 	if starts != 1 {
-		j.stage.blame("one job at three nodes had %d starts", starts)
+		j.faultRun.failf("one job at three nodes had %d starts", starts)
 	}
 	return nil
 }
 
-// mistakes has a program check settings with three mistakes: it must exit 1 and name all three.
-func (s *stage) mistakes(ctx context.Context, name string) error {
-	of := map[string]string{"crosstide-controlplane": s.nodes.CPlanes[0].Name, "crosstide-dataplane": s.nodes.DPlanes[0].Name}[name]
+// checkInvalidSettings has a program check settings with three mistakes: it must exit 1 and name all three.
+func (s *faultRun) checkInvalidSettings(ctx context.Context, name string) error {
+	of := map[string]string{"crosstide-controlplane": s.nodes.ControlPlanes[0].Name, "crosstide-dataplane": s.nodes.DataPlanes[0].Name}[name]
 	raw, err := os.ReadFile(filepath.Join(s.dir, "settings", of+".json"))
 	if err != nil {
 		return errs.Wrap(err, errs.Disk, "settings of %s", of)
@@ -298,11 +298,11 @@
 	out, err := exec.CommandContext(ctx, program(name), "check", "--settings", path).CombinedOutput()
 	exit := &exec.ExitError{}
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-		s.blame("%s check of settings with mistakes ends with %v, not exit 1", name, err)
+		s.failf("%s check of settings with mistakes ends with %v, not exit 1", name, err)
 	}
 	for _, field := range []string{"addr:", "grace:", "odd:"} {
 		if !strings.Contains(string(out), field) {
-			s.blame("%s check does not name %s in %q", name, field, out)
+			s.failf("%s check does not name %s in %q", name, field, out)
 		}
 	}
 	return nil
--- a/cmd/crosstide-testbed/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -55,7 +55,7 @@
 	if opt.Break != "" && !slices.Contains(policysim.Breaks, opt.Break) {
 		return exitCode{errs.Field(errs.Settings, "break", "no guard %q", opt.Break), 2}
 	}
-	first, last, err := span(cmd.String("seeds"))
+	first, last, err := parseSeeds(cmd.String("seeds"))
 	if err != nil {
 		return exitCode{err, 2}
 	}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// span reads A..B.
-func span(text string) (first, last uint64, err error) {
+// parseSeeds reads A..B.
+func parseSeeds(text string) (first, last uint64, err error) {
 	a, b, _ := strings.Cut(text, "..")
 	if first, err = strconv.ParseUint(a, 10, 64); err == nil {
 		last, err = strconv.ParseUint(b, 10, 64)
--- a/cmd/crosstide-testbed/worker.go
+++ b/cmd/crosstide-testbed/worker.go
@@ -41,8 +41,8 @@
 func runWorker(ctx context.Context, cmd *cli.Command) error {
 	set := jobsworker.Settings{
 		Name: cmd.String("name"), Address: cmd.String("addr"), Service: cmd.String("service"), Zone: cmd.String("zone"),
-		Rack: cmd.String("rack"), Labels: cmd.StringSlice("label"), Core: cmd.StringSlice("core"), Journal: cmd.String("journal"),
-		Every: cmd.Duration("every"), Grace: cmd.Duration("grace"),
+		Rack: cmd.String("rack"), Labels: cmd.StringSlice("label"), ControlAddrs: cmd.StringSlice("core"), Journal: cmd.String("journal"),
+		HeartbeatInterval: cmd.Duration("every"), Grace: cmd.Duration("grace"),
 		Capacity: jobs.Resources{MilliCPU: cmd.Int("milli-cpu"), MemoryMB: cmd.Int("memory-mb"), GPUs: cmd.Int("gpus")},
 	}
 	ctx, stop := daemon.Signals(ctx)
--- a/cmd/crosstide-testbed/zone.go
+++ b/cmd/crosstide-testbed/zone.go
@@ -40,7 +40,7 @@
 // zoneReport is the result of a zone drill. Times are in seconds from the moment the zone was taken out.
 type zoneReport struct {
 	Zone  string   `json:"zone"`
-	How   string   `json:"how"`
+	Kind  string   `json:"how"`
 	Nodes []string `json:"nodes"` // that were taken out
 	audit.Outage
 	Load  load.Report     `json:"load"`
@@ -49,9 +49,9 @@
 
 // runZone takes a zone out under load, waits for the load's end, audits and prints the report.
 func runZone(ctx context.Context, cmd *cli.Command) error {
-	dir, zone, how := cmd.String("fleet"), cmd.String("zone"), cmd.String("how")
-	if !slices.Contains([]string{"kill", "evacuate", "cut", "freeze"}, how) {
-		return exitCode{errs.Field(errs.Settings, "how", "is %q", how), 2}
+	dir, zone, kind := cmd.String("fleet"), cmd.String("zone"), cmd.String("how")
+	if !slices.Contains([]string{"kill", "evacuate", "cut", "freeze"}, kind) {
+		return exitCode{errs.Field(errs.Settings, "how", "is %q", kind), 2}
 	}
 	options, err := loadOptions(cmd)
 	if err != nil {
@@ -61,26 +61,26 @@
 	if err != nil {
 		return errs.Pass(err, "zone")
 	}
-	names := nodes.Zone(zone)
+	names := nodes.ProcessesInZone(zone)
 	if len(names) == 0 {
 		return exitCode{errs.Field(errs.Settings, "zone", "no node is in %q", zone), 2}
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 
-	report := zoneReport{Zone: zone, How: how}
+	report := zoneReport{Zone: zone, Kind: kind}
 	outAt, err := report.loadAndTakeOut(ctx, cmd, names, options)
 	if err != nil {
 		return errs.Pass(err, "zone")
 	}
-	if report.Audit, err = findings(ctx, dir); err != nil {
+	if report.Audit, err = auditFleet(ctx, dir); err != nil {
 		return errs.Pass(err, "zone")
 	}
 	history, err := audit.Read(dir)
 	if err != nil {
 		return errs.Pass(err, "zone")
 	}
-	report.Outage = audit.Away(history, outAt)
+	report.Outage = audit.MeasureOutage(history, outAt)
 	return errs.Pass(report.print(cmd), "zone")
 }
 
@@ -95,7 +95,7 @@
 		select {
 		case <-due:
 			outAt = clock.Real{}.Wall()
-			r.Nodes, outputError = takeOut(ctx, options.Dir, r.Zone, r.How, names, cmd.Duration("out"))
+			r.Nodes, outputError = takeZoneOut(ctx, options.Dir, r.Zone, r.Kind, names, cmd.Duration("out"))
 		case <-ctx.Done():
 		}
 	})
@@ -117,10 +117,10 @@
 	if err := printJSON(cmd.Root().Writer, r); err != nil {
 		return errs.Pass(err, "report")
 	}
-	if err := audit.Show(cmd.Root().ErrWriter, r.Audit, 10); err != nil {
+	if err := audit.WriteReport(cmd.Root().ErrWriter, r.Audit, 10); err != nil {
 		return errs.Pass(err, "audit")
 	}
-	if !audit.Clean(r.Audit) || r.Load.Unknown > 0 || r.Load.Unfinished > 0 {
+	if !audit.NoneViolated(r.Audit) || r.Load.Unknown > 0 || r.Load.Unfinished > 0 {
 		return exitCode{errs.New(errs.Internal, "a promise is broken, or an accepted job is unknown or unfinished"), 1}
 	}
 	return nil
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -42,32 +42,32 @@
 
 // Sources, by the names of the journals: client-*, operator-*, drill-*; any other is a minion's.
 const (
-	Minion   Source = "minion"
+	Worker   Source = "minion"
 	Client   Source = "consumer"
 	Operator Source = "operator"
-	Drill    Source = "drill"
+	Testbed  Source = "drill"
 )
 
 // Event is one line of any journal.
 type Event struct {
 	journal.Entry
-	State string
-	Node  string
-	Team  string
-	Steps []load.Step
-	Op    operator.Entry // of an operator's line
-
-	From Source
-	File string
-	Line int
-	Raw  string
+	State         string
+	Node          string
+	Team          string
+	Steps         []load.Step
+	OperatorEntry operator.Entry // of an operator's line
+
+	Source Source
+	File   string
+	Line   int
+	Raw    string
 }
 
 // String is where the line stands, and the line.
 func (e Event) String() string { return fmt.Sprintf("%s:%d %s", e.File, e.Line, e.Raw) }
 
-// after reports how long after at e is.
-func (e Event) after(at int64) time.Duration { return time.Duration(e.At - at) }
+// since reports how long after at e is.
+func (e Event) since(at int64) time.Duration { return time.Duration(e.At - at) }
 
 // task names a task for good.
 type task struct {
@@ -80,11 +80,11 @@
 // History is all lines: those of each file in order of writing.
 type History struct{ Events []Event }
 
-// by returns the events of a source in order of time; equal times keep the order of the files.
-func (h History) by(from Source, evs ...string) []Event {
+// filter returns the events of a source in order of time; equal times keep the order of the files.
+func (h History) filter(from Source, evs ...string) []Event {
 	var out []Event
 	for _, e := range h.Events {
-		if e.From == from && (len(evs) == 0 || slices.Contains(evs, e.Ev)) {
+		if e.Source == from && (len(evs) == 0 || slices.Contains(evs, e.Event)) {
 			out = append(out, e)
 		}
 	}
@@ -92,12 +92,12 @@
 	return out
 }
 
-// minions returns each minion's events in order of writing.
-func (h History) minions() map[string][]Event {
+// byWorker returns each minion's events in order of writing.
+func (h History) byWorker() map[string][]Event {
 	out := map[string][]Event{}
 	for _, e := range h.Events {
-		if e.From == Minion {
-			out[e.Minion] = append(out[e.Minion], e)
+		if e.Source == Worker {
+			out[e.Worker] = append(out[e.Worker], e)
 		}
 	}
 	return out
@@ -131,10 +131,10 @@
 		Team  string
 		Steps []load.Step
 	}
-	e := Event{From: Minion, File: line.File, Line: line.Number, Raw: string(line.Raw)}
-	for _, from := range []Source{Client, Operator, Drill} {
+	e := Event{Source: Worker, File: line.File, Line: line.Number, Raw: string(line.Raw)}
+	for _, from := range []Source{Client, Operator, Testbed} {
 		if strings.HasPrefix(line.File, string(from)+"-") {
-			e.From = from
+			e.Source = from
 		}
 	}
 	if err := json.Unmarshal(line.Raw, &e.Entry); err != nil {
@@ -144,8 +144,8 @@
 		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
 	}
 	e.State, e.Node, e.Team, e.Steps = own.State, own.Node, own.Team, own.Steps
-	if e.From == Operator {
-		if err := json.Unmarshal(line.Raw, &e.Op); err != nil {
+	if e.Source == Operator {
+		if err := json.Unmarshal(line.Raw, &e.OperatorEntry); err != nil {
 			return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
 		}
 	}
@@ -154,21 +154,21 @@
 
 // Verdict on a promise.
 const (
-	Held         = "held"
-	Broken       = "broken"
+	Satisfied    = "held"
+	Violated     = "broken"
 	NotExercised = "not exercised"
 )
 
 // Finding is what the audit says of one promise.
 type Finding struct {
-	Promise string   `json:"promise"`
-	Verdict string   `json:"verdict"`
-	Cases   int      `json:"cases"`
-	Note    string   `json:"note,omitempty"`
-	Lines   []string `json:"lines,omitempty"` // the offending ones
+	Invariant string   `json:"promise"`
+	Verdict   string   `json:"verdict"`
+	Cases     int      `json:"cases"`
+	Note      string   `json:"note,omitempty"`
+	Lines     []string `json:"lines,omitempty"` // the offending ones
 }
 
-func (f *Finding) broken(what string, lines ...Event) {
+func (f *Finding) violate(what string, lines ...Event) {
 	s := what
 	for _, e := range lines {
 		s += "\n      " + e.String()
@@ -178,44 +178,44 @@
 
 // checks are the promises that can be judged, in the order of the design's table. A nil check has no witness yet.
 var checks = []struct {
-	promise string
-	check   func(h History, f *Finding)
-	lacks   string // why there is no witness
+	invariant    string
+	check        func(h History, f *Finding)
+	notCheckable string // why there is no witness
 }{
-	{"once", once, ""},
-	{"ticket-newer", newer, ""},
-	{"fence", fence, ""},
+	{"once", checkSingleRun, ""},
+	{"ticket-newer", checkRunIDsIncrease, ""},
+	{"fence", checkFencing, ""},
 	{"durable", nil, "the journals cannot tell a ticket that was not durable"},
 	{"idle", nil, "no journal tells what was due"},
-	{"place", place, ""},
-	{"drain", drain, ""},
-	{"evacuate", evacuate, ""},
-	{"cancel", cancel, ""},
-	{"known", known, ""},
-	{"done", done, ""},
-	{"operators", operators, ""},
-	{"bundle", followed, ""},
-	{"readback", readback, ""},
-	{"repair", repair, ""},
+	{"place", checkPlacement, ""},
+	{"drain", checkDrain, ""},
+	{"evacuate", checkEvacuation, ""},
+	{"cancel", checkCancel, ""},
+	{"known", checkKnown, ""},
+	{"done", checkDone, ""},
+	{"operators", checkOperatorOrders, ""},
+	{"bundle", checkRollout, ""},
+	{"readback", checkReadBack, ""},
+	{"repair", checkRepair, ""},
 }
 
 // Check judges every promise. Example:
 //
 //	history, err := audit.Read(dir)
 //	findings := audit.Check(history)
-//	if !audit.Clean(findings) { … }
+//	if !audit.NoneViolated(findings) { … }
 func Check(h History) []Finding {
 	out := make([]Finding, 0, len(checks))
 	for _, c := range checks {
-		f := Finding{Promise: c.promise, Note: c.lacks}
+		f := Finding{Invariant: c.invariant, Note: c.notCheckable}
 		if c.check != nil {
 			c.check(h, &f)
 		}
 		switch {
 		case len(f.Lines) > 0:
-			f.Verdict = Broken
+			f.Verdict = Violated
 		case f.Cases > 0:
-			f.Verdict = Held
+			f.Verdict = Satisfied
 		default:
 			f.Verdict = NotExercised
 		}
@@ -224,15 +224,15 @@
 	return out
 }
 
-// Clean reports whether nothing is broken.
-func Clean(findings []Finding) bool {
-	return !slices.ContainsFunc(findings, func(f Finding) bool { return f.Verdict == Broken })
+// NoneViolated reports whether nothing is broken.
+func NoneViolated(findings []Finding) bool {
+	return !slices.ContainsFunc(findings, func(f Finding) bool { return f.Verdict == Violated })
 }
 
-// Show writes one line per promise, and below a broken one the lines that break it, at most shown of them.
-func Show(w io.Writer, findings []Finding, shown int) error {
+// WriteReport writes one line per promise, and below a broken one the lines that break it, at most shown of them.
+func WriteReport(w io.Writer, findings []Finding, shown int) error {
 	for _, f := range findings {
-		s := fmt.Sprintf("%-13s%s", f.Promise, f.Verdict)
+		s := fmt.Sprintf("%-13s%s", f.Invariant, f.Verdict)
 		if f.Verdict != NotExercised {
 			s += fmt.Sprintf(" %d cases", f.Cases)
 		}
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -21,8 +21,8 @@
 		raw := fmt.Sprintf(`{"at":%d,%s}`, int64(at*1e9), text[strings.Index(text, `"`):])
 		e, err := Parse(journal.Line{File: file, Number: i + 1, Raw: []byte(raw)})
 		So(err, ShouldBeNil)
-		if e.From == Minion {
-			e.Minion = strings.TrimSuffix(file, ".jsonl")
+		if e.Source == Worker {
+			e.Worker = strings.TrimSuffix(file, ".jsonl")
 		}
 		h.Events = append(h.Events, e)
 	}
@@ -32,7 +32,7 @@
 func verdicts(h History) map[string]string {
 	out := map[string]string{}
 	for _, f := range Check(h) {
-		out[f.Promise] = f.Verdict
+		out[f.Invariant] = f.Verdict
 	}
 	return out
 }
@@ -91,33 +91,33 @@
 
 	Convey("A clean history holds, with cases for every promise that has a check", t, func() {
 		findings := Check(history(clean()...))
-		So(Clean(findings), ShouldBeTrue)
+		So(NoneViolated(findings), ShouldBeTrue)
 		for _, f := range findings {
 			want := NotExercised
 			for _, name := range judged {
-				if name == f.Promise {
-					want = Held
+				if name == f.Invariant {
+					want = Satisfied
 				}
 			}
-			So(f.Promise+" "+f.Verdict+strings.Join(f.Lines, ""), ShouldEqual, f.Promise+" "+want)
+			So(f.Invariant+" "+f.Verdict+strings.Join(f.Lines, ""), ShouldEqual, f.Invariant+" "+want)
 		}
 	})
 
 	Convey("An empty history exercises nothing", t, func() {
-		for promise, verdict := range verdicts(History{}) {
-			So(promise+verdict, ShouldEqual, promise+NotExercised)
+		for invariant, verdict := range verdicts(History{}) {
+			So(invariant+verdict, ShouldEqual, invariant+NotExercised)
 		}
 	})
 
 	Convey("While a signature's fate is unsure, starts are not judged by placement policies", t, func() {
 		late := `m7 4.2 "ev":"start","boot":"b1","zone":"z7","queue":"default","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`
 		unsure := `operator-3 34 "ev":"unsure","sent":4000000000,"order":"s3","version":3`
-		So(verdicts(history(append(clean(), late)...))["place"], ShouldEqual, Broken)
-		So(verdicts(history(append(clean(), late, unsure)...))["place"], ShouldEqual, Held)
+		So(verdicts(history(append(clean(), late)...))["place"], ShouldEqual, Violated)
+		So(verdicts(history(append(clean(), late, unsure)...))["place"], ShouldEqual, Satisfied)
 	})
 
 	Convey("Each breach is found, and breaks only what it breaks", t, func() {
-		for _, c := range []struct{ promise, why, line string }{
+		for _, c := range []struct{ invariant, why, line string }{
 			{"once", "two at once, on two minions", `m2 4.8 "ev":"start","boot":"b1","job":"b","step":"s","task":0,"ticket":20,"epoch":5|m2 6 "ev":"stop","boot":"b1","job":"b","step":"s","task":0,"ticket":20`},
 			{"once", "again after its good end", `m2 8 "ev":"start","boot":"b1","job":"a","step":"s","task":0,"ticket":20,"epoch":9`},
 			{"once", "again while the killed minion was alive", `m2 6.95 "ev":"start","boot":"b1","job":"c","step":"s","task":0,"ticket":10,"epoch":5`},
@@ -151,12 +151,12 @@
 			{"repair", "lost after a second loss", `consumer-1 20 "ev":"poll","job":"b","state":"404"`},
 		} {
 			found := verdicts(history(append(clean(), strings.Split(c.line, "|")...)...))
-			for _, promise := range judged {
-				want := Held
-				if promise == c.promise || promise == "known" && c.promise == "repair" {
-					want = Broken
+			for _, invariant := range judged {
+				want := Satisfied
+				if invariant == c.invariant || invariant == "known" && c.invariant == "repair" {
+					want = Violated
 				}
-				So(c.promise+", "+c.why+": "+promise+" "+found[promise], ShouldEqual, c.promise+", "+c.why+": "+promise+" "+want)
+				So(c.invariant+", "+c.why+": "+invariant+" "+found[invariant], ShouldEqual, c.invariant+", "+c.why+": "+invariant+" "+want)
 			}
 		}
 	})
--- a/internal/testbed/audit/away.go
+++ b/internal/testbed/audit/away.go
@@ -15,21 +15,21 @@
 	StartGap    float64 `json:"start_gap_s"`    // the longest time without a start, from the blow to the last start
 }
 
-// Away measures the outage after a blow. Example:
+// MeasureOutage measures the outage after a blow. Example:
 //
-//	outage := audit.Away(history, killedAt)
-func Away(h History, blow time.Time) Outage {
-	at := blow.UnixNano()
+//	outage := audit.MeasureOutage(history, killedAt)
+func MeasureOutage(h History, faultAt time.Time) Outage {
+	at := faultAt.UnixNano()
 	fresh := map[string]bool{}
-	for _, e := range h.by(Client, load.Submit) {
+	for _, e := range h.filter(Client, load.Submit) {
 		fresh[e.Job] = e.At > at
 	}
-	yes := h.by(Client, load.Accepted)
-	starts := h.by(Minion, journal.Start)
+	yes := h.filter(Client, load.Accepted)
+	starts := h.filter(Worker, journal.Start)
 	out := Outage{FirstAccept: -1}
 	for _, e := range yes {
 		if e.At > at && fresh[e.Job] {
-			out.FirstAccept = e.after(at).Seconds()
+			out.FirstAccept = e.since(at).Seconds()
 			break
 		}
 	}
@@ -46,7 +46,7 @@
 		if e.At <= at {
 			continue
 		}
-		gap := e.after(last).Seconds()
+		gap := e.since(last).Seconds()
 		if last == at {
 			first = gap
 		}
--- a/internal/testbed/audit/checks.go
+++ b/internal/testbed/audit/checks.go
@@ -15,9 +15,9 @@
 
 // span is the time a run surely ran.
 type span struct {
-	start Event
-	to    int64 // Unix ns
-	sure  bool  // false: it was never seen to end, to is its minion's last sign of life
+	start    Event
+	to       int64 // Unix ns
+	endKnown bool  // false: it was never seen to end, to is its minion's last sign of life
 }
 
 // spans returns the run of every start. A run ends with its end, stop or lapse line. One without such a line is
@@ -36,39 +36,39 @@
 // minion's last line is not found; the finding's note counts the runs that were cut so. A minion kills its
 // leftovers before it reports under a new boot, which the new boot's line follows: no run reaches past its boot.
 func spans(h History) map[task][]span {
-	kills, freezes := h.by(Drill, Kill), h.by(Drill, Freeze)
+	kills, freezes := h.filter(Testbed, Kill), h.filter(Testbed, Freeze)
 	out := map[task][]span{}
-	minions := h.minions()
-	for _, name := range slices.Sorted(maps.Keys(minions)) {
-		events := minions[name]
+	byWorker := h.byWorker()
+	for _, name := range slices.Sorted(maps.Keys(byWorker)) {
+		events := byWorker[name]
 		last := map[string]int64{}
 		for _, e := range events {
-			last[e.Boot] = max(last[e.Boot], e.At)
+			last[e.Incarnation] = max(last[e.Incarnation], e.At)
 		}
 		type key struct {
-			boot  string
-			runID uint64
+			incarnation string
+			runID       uint64
 		}
 		closed := map[key]Event{}
 		for i := len(events) - 1; i >= 0; i-- { // from the end, so that a run ID started twice closes twice
 			e := events[i]
-			k := key{e.Boot, e.RunID}
-			switch e.Ev {
-			case journal.End, journal.Stop, journal.Lapse:
+			k := key{e.Incarnation, e.RunID}
+			switch e.Event {
+			case journal.End, journal.Stop, journal.Expire:
 				closed[k] = e
 			case journal.Start:
-				s := span{start: e, to: last[e.Boot]}
-				end, sure := closed[k]
+				s := span{start: e, to: last[e.Incarnation]}
+				end, endKnown := closed[k]
 				note, noted := Event{}, false
-				if s.sure = sure; sure {
+				if s.endKnown = endKnown; endKnown {
 					s.to = end.At
-					note, noted = firstOf(freezes, name, e.At)
-					noted = noted && end.Ev == journal.Lapse && note.At < end.At
+					note, noted = firstAbout(freezes, name, e.At)
+					noted = noted && end.Event == journal.Expire && note.At < end.At
 				} else {
-					note, noted = firstOf(kills, name, s.to)
+					note, noted = firstAbout(kills, name, s.to)
 				}
 				if noted {
-					s.to, s.sure = note.At, true
+					s.to, s.endKnown = note.At, true
 				}
 				out[e.task()] = append(out[e.task()], s)
 			}
@@ -80,8 +80,8 @@
 	return out
 }
 
-// firstOf returns the first of events about a node from a time on.
-func firstOf(events []Event, node string, from int64) (Event, bool) {
+// firstAbout returns the first of events about a node from a time on.
+func firstAbout(events []Event, node string, from int64) (Event, bool) {
 	i := slices.IndexFunc(events, func(e Event) bool { return e.Node == node && e.At >= from })
 	if i < 0 {
 		return Event{}, false
@@ -89,31 +89,31 @@
 	return events[i], true
 }
 
-// once: no two runs of a task at once, none after one that ended well, no run ID started twice.
-func once(h History, f *Finding) {
+// checkSingleRun: no two runs of a task at once, none after one that ended well, no run ID started twice.
+func checkSingleRun(h History, f *Finding) {
 	all := spans(h)
-	well := ends(h)
+	well := successfulEnds(h)
 	cut := 0
 	for _, list := range all {
 		for i, s := range list {
 			f.Cases++
-			if !s.sure {
+			if !s.endKnown {
 				cut++
 			}
 			for _, prev := range list[:i] {
 				if prev.to > s.start.At {
-					f.broken("ran twice at once", prev.start, s.start)
+					f.violate("ran twice at once", prev.start, s.start)
 				}
 			}
 			if e, ok := well[s.start.task()]; ok && e.At < s.start.At {
-				f.broken("started after it had ended well", e, s.start)
+				f.violate("started after it had ended well", e, s.start)
 			}
 		}
 	}
 	started := map[uint64]Event{}
-	for _, e := range h.by(Minion, journal.Start) {
+	for _, e := range h.filter(Worker, journal.Start) {
 		if prev, twice := started[e.RunID]; twice {
-			f.broken("one ticket, two starts", prev, e)
+			f.violate("one ticket, two starts", prev, e)
 		}
 		started[e.RunID] = e
 	}
@@ -122,10 +122,10 @@
 	}
 }
 
-// ends returns the first good end of every task.
-func ends(h History) map[task]Event {
+// successfulEnds returns the first good end of every task.
+func successfulEnds(h History) map[task]Event {
 	out := map[task]Event{}
-	for _, e := range h.by(Minion, journal.End) {
+	for _, e := range h.filter(Worker, journal.End) {
 		if _, ok := out[e.task()]; e.OK && !ok {
 			out[e.task()] = e
 		}
@@ -133,17 +133,17 @@
 	return out
 }
 
-// newer: every start carries a run ID above all that its minion was ordered to start before, also under older
+// checkRunIDsIncrease: every start carries a run ID above all that its minion was ordered to start before, also under older
 // boots, for a run ID is given for one boot only.
-func newer(h History, f *Finding) {
-	for _, events := range h.minions() {
+func checkRunIDsIncrease(h History, f *Finding) {
+	for _, events := range h.byWorker() {
 		var top Event
 		for _, e := range events {
-			switch e.Ev {
+			switch e.Event {
 			case journal.Start:
 				f.Cases++
 				if e.RunID < top.RunID {
-					f.broken("a start with a ticket older than one seen", top, e)
+					f.violate("a start with a ticket older than one seen", top, e)
 				}
 			case journal.Order:
 				if e.RunID > top.RunID {
@@ -154,16 +154,16 @@
 	}
 }
 
-// fence: once any run was started under an epoch, none starts under an older one. Cases are the starts after the
+// checkFencing: once any run was started under an epoch, none starts under an older one. Cases are the starts after the
 // first change of epoch.
-func fence(h History, f *Finding) {
+func checkFencing(h History, f *Finding) {
 	var top, first Event
-	for i, e := range h.by(Minion, journal.Start) {
+	for i, e := range h.filter(Worker, journal.Start) {
 		if i == 0 {
 			first = e
 		}
 		if e.Epoch < top.Epoch && e.At > top.At {
-			f.broken("started by an old leader", top, e)
+			f.violate("started by an old leader", top, e)
 		}
 		if e.Epoch > top.Epoch {
 			top = e
@@ -174,21 +174,21 @@
 	}
 }
 
-// place: a run's minion bears the labels that the client asked for (by the accepted job, else by the order), and
+// checkPlacement: a run's minion bears the labels that the client asked for (by the accepted job, else by the order), and
 // the start is within the placement policy of its queue.
-func place(h History, f *Finding) {
+func checkPlacement(h History, f *Finding) {
 	asked := map[[2]string]map[string]string{}
-	for _, e := range h.by(Client, load.Accepted) {
+	for _, e := range h.filter(Client, load.Accepted) {
 		for _, s := range e.Steps {
 			asked[[2]string{e.Job, s.Name}] = s.Labels
 		}
 	}
-	for _, events := range h.minions() {
-		var boot Event
+	for _, events := range h.byWorker() {
+		var incarnation Event
 		for _, e := range events {
-			switch e.Ev {
-			case journal.Boot:
-				boot = e
+			switch e.Event {
+			case journal.NewIncarnation:
+				incarnation = e
 			case journal.Start:
 				want, ok := asked[[2]string{e.Job, e.Step}]
 				if !ok {
@@ -198,15 +198,15 @@
 					f.Cases++
 				}
 				for k, v := range want {
-					if have, ok := boot.Labels[k]; !ok || have != v {
-						f.broken("label "+k+" is not borne", boot, e)
+					if have, ok := incarnation.Labels[k]; !ok || have != v {
+						f.violate("label "+k+" is not borne", incarnation, e)
 						break
 					}
 				}
 			}
 		}
 	}
-	policy(h, f)
+	checkPlacementPolicy(h, f)
 }
 
 // window is a time in which nothing may start; to is open unless lifted.
@@ -232,24 +232,24 @@
 	return out
 }
 
-// drain: no run on a minion that has been draining for longer than the grace, as it or an operator said.
-func drain(h History, f *Finding) {
-	own := windows(h.by(Minion, journal.Drain, journal.Boot), func(e Event) string { return e.Minion },
-		func(e Event) bool { return e.Ev == journal.Drain && e.OK })
-	ordered := windows(h.by(Operator, Drain, Undrain), func(e Event) string { return e.Node },
-		func(e Event) bool { return e.Ev == Drain })
-	runs := flat(spans(h))
+// checkDrain: no run on a minion that has been draining for longer than the grace, as it or an operator said.
+func checkDrain(h History, f *Finding) {
+	own := windows(h.filter(Worker, journal.Drain, journal.NewIncarnation), func(e Event) string { return e.Worker },
+		func(e Event) bool { return e.Event == journal.Drain && e.OK })
+	ordered := windows(h.filter(Operator, Drain, Undrain), func(e Event) string { return e.Node },
+		func(e Event) bool { return e.Event == Drain })
+	runs := flatten(spans(h))
 	for _, all := range []map[string][]window{own, ordered} {
 		for name, list := range all {
 			for _, w := range list {
 				f.Cases++
-				f.ranIn(w, drainGrace, runs, func(e Event) bool { return e.Minion == name }, "on a draining minion")
+				f.checkNoRuns(w, drainGrace, runs, func(e Event) bool { return e.Worker == name }, "on a draining minion")
 			}
 		}
 	}
 }
 
-func flat(all map[task][]span) []span {
+func flatten(all map[task][]span) []span {
 	var out []span
 	for _, list := range all {
 		out = append(out, list...)
@@ -258,55 +258,55 @@
 	return out
 }
 
-// ranIn breaks the promise for runs that started in w, or were surely still running, later than the grace.
-func (f *Finding) ranIn(w window, grace time.Duration, runs []span, of func(Event) bool, where string) {
+// checkNoRuns breaks the promise for runs that started in w, or were surely still running, later than the grace.
+func (f *Finding) checkNoRuns(w window, grace time.Duration, runs []span, of func(Event) bool, where string) {
 	late := w.from + int64(grace)
 	for _, s := range runs {
 		switch {
 		case !of(s.start) || s.start.At >= w.to:
 		case s.start.At > late:
-			f.broken("started "+where, w.event, s.start)
-		case s.sure && min(s.to, w.to) > late:
-			f.broken("still ran "+where, w.event, s.start)
+			f.violate("started "+where, w.event, s.start)
+		case s.endKnown && min(s.to, w.to) > late:
+			f.violate("still ran "+where, w.event, s.start)
 		}
 	}
 }
 
-// evacuate: no run in a zone that has been evacuated for longer than the grace.
-func evacuate(h History, f *Finding) {
-	runs := flat(spans(h))
-	for zone, list := range windows(h.by(Operator, Evacuate, Lift), func(e Event) string { return e.Zone },
-		func(e Event) bool { return e.Ev == Evacuate }) {
+// checkEvacuation: no run in a zone that has been evacuated for longer than the grace.
+func checkEvacuation(h History, f *Finding) {
+	runs := flatten(spans(h))
+	for zone, list := range windows(h.filter(Operator, Evacuate, Lift), func(e Event) string { return e.Zone },
+		func(e Event) bool { return e.Event == Evacuate }) {
 		for _, w := range list {
 			f.Cases++
-			f.ranIn(w, evacuateGrace, runs, func(e Event) bool { return e.Zone == zone }, "in an evacuated zone")
+			f.checkNoRuns(w, evacuateGrace, runs, func(e Event) bool { return e.Zone == zone }, "in an evacuated zone")
 		}
 	}
 }
 
-// cancel: no start of a job later than the grace after its cancel was acknowledged.
-func cancel(h History, f *Finding) {
+// checkCancel: no start of a job later than the grace after its cancel was acknowledged.
+func checkCancel(h History, f *Finding) {
 	acked := map[string]Event{}
-	for _, e := range h.by(Client, load.Cancelled) {
+	for _, e := range h.filter(Client, load.Cancelled) {
 		if _, ok := acked[e.Job]; !ok {
 			acked[e.Job] = e
 			f.Cases++
 		}
 	}
-	for _, e := range h.by(Minion, journal.Start) {
-		if c, ok := acked[e.Job]; ok && e.after(c.At) > cancelGrace {
-			f.broken("started after its cancel", c, e)
+	for _, e := range h.filter(Worker, journal.Start) {
+		if c, ok := acked[e.Job]; ok && e.since(c.At) > cancelGrace {
+			f.violate("started after its cancel", c, e)
 		}
 	}
 }
 
-// known: no poll of an accepted job says that it is not there, later than the grace after its yes. Cases are the
+// checkKnown: no poll of an accepted job says that it is not there, later than the grace after its yes. Cases are the
 // accepted jobs that were polled.
-func known(h History, f *Finding) {
-	yes := accepted(h)
+func checkKnown(h History, f *Finding) {
+	yes := acceptedJobs(h)
 	polled := map[string]bool{}
 	early := 0
-	for _, e := range h.by(Client, load.Poll) {
+	for _, e := range h.filter(Client, load.Poll) {
 		a, ok := yes[e.Job]
 		if !ok {
 			continue
@@ -314,8 +314,8 @@
 		polled[e.Job] = true
 		switch {
 		case e.State != load.Missing:
-		case e.after(a.At) > knownGrace:
-			f.broken("accepted, then unknown", a, e)
+		case e.since(a.At) > knownGrace:
+			f.violate("accepted, then unknown", a, e)
 		case e.At >= a.At:
 			early++
 		}
@@ -326,9 +326,9 @@
 	}
 }
 
-func accepted(h History) map[string]Event {
+func acceptedJobs(h History) map[string]Event {
 	out := map[string]Event{}
-	for _, e := range h.by(Client, load.Accepted) {
+	for _, e := range h.filter(Client, load.Accepted) {
 		if _, ok := out[e.Job]; !ok {
 			out[e.Job] = e
 		}
@@ -336,11 +336,11 @@
 	return out
 }
 
-// done: when a poll shows a job as done, every task of it has ended well before.
-func done(h History, f *Finding) {
-	yes, well := accepted(h), ends(h)
+// checkDone: when a poll shows a job as done, every task of it has ended well before.
+func checkDone(h History, f *Finding) {
+	yes, well := acceptedJobs(h), successfulEnds(h)
 	seen := map[string]bool{}
-	for _, e := range h.by(Client, load.Poll) {
+	for _, e := range h.filter(Client, load.Poll) {
 		a, ok := yes[e.Job]
 		if !ok || e.State != string(state.JobDone) || seen[e.Job] {
 			continue
@@ -351,19 +351,19 @@
 			for n := range s.Tasks {
 				end, ok := well[task{e.Job, s.Name, n}]
 				if !ok || end.At > e.At {
-					f.broken(fmt.Sprintf("shown as done, step %s task %d had not ended well", s.Name, n), a, e)
+					f.violate(fmt.Sprintf("shown as done, step %s task %d had not ended well", s.Name, n), a, e)
 				}
 			}
 		}
 	}
 }
 
-// repair: after a disk was wiped and another core machine was killed, all that was accepted before is still
+// checkRepair: after a disk was wiped and another core machine was killed, all that was accepted before is still
 // known. Cases are wipes with a later kill of another node and a poll after that.
-func repair(h History, f *Finding) {
-	polls, yes := h.by(Client, load.Poll), accepted(h)
-	for _, w := range h.by(Drill, Wipe) {
-		for _, k := range h.by(Drill, Kill) {
+func checkRepair(h History, f *Finding) {
+	polls, yes := h.filter(Client, load.Poll), acceptedJobs(h)
+	for _, w := range h.filter(Testbed, Wipe) {
+		for _, k := range h.filter(Testbed, Kill) {
 			if k.Node == w.Node || k.At < w.At || len(k.Node) == 0 || k.Node[0] != w.Node[0] {
 				continue
 			}
@@ -374,8 +374,8 @@
 					continue
 				}
 				looked = true
-				if p.State == load.Missing && p.after(a.At) > knownGrace {
-					f.broken("lost after a repair and a second loss", w, k, a, p)
+				if p.State == load.Missing && p.since(a.At) > knownGrace {
+					f.violate("lost after a repair and a second loss", w, k, a, p)
 				}
 			}
 			if looked {
--- a/internal/testbed/audit/lags.go
+++ b/internal/testbed/audit/lags.go
@@ -20,8 +20,8 @@
 	Max   time.Duration `json:"max_ns"`
 }
 
-// lagOf puts durations together.
-func lagOf(what string, all []time.Duration) Lag {
+// newLag puts durations together.
+func newLag(what string, all []time.Duration) Lag {
 	h := hdrhistogram.New(1, time.Hour.Microseconds(), 3)
 	for _, d := range all {
 		_ = h.RecordValue(min(d.Microseconds(), time.Hour.Microseconds()))
@@ -39,7 +39,7 @@
 // its job, from a drain to the last start and to the last end on its minion, and from an evacuation's
 // acknowledgement to the last start and to the last end in its zone. A run that was never seen to end is left out.
 func Lags(h History) []Lag {
-	runs := flat(spans(h))
+	runs := flatten(spans(h))
 	byJob := map[string][]span{}
 	for _, s := range runs {
 		byJob[s.start.Job] = append(byJob[s.start.Job], s)
@@ -50,39 +50,39 @@
 				continue
 			}
 			start = max(start, time.Duration(s.start.At-w.from))
-			if s.sure {
+			if s.endKnown {
 				end = max(end, time.Duration(min(s.to, w.to)-w.from))
 			}
 		}
 		return start, end
 	}
 	var out []Lag
-	add := func(what string, starts, ends []time.Duration) {
-		out = append(out, lagOf(what+" to last start", starts), lagOf(what+" to last end", ends))
+	add := func(what string, starts, successfulEnds []time.Duration) {
+		out = append(out, newLag(what+" to last start", starts), newLag(what+" to last end", successfulEnds))
 	}
-	var starts, ends []time.Duration
-	for _, e := range h.by(Client, load.Cancelled) {
+	var starts, successfulEnds []time.Duration
+	for _, e := range h.filter(Client, load.Cancelled) {
 		s, t := last(byJob[e.Job], window{from: e.At, to: 1<<63 - 1}, func(Event) bool { return true })
-		starts, ends = append(starts, s), append(ends, t)
+		starts, successfulEnds = append(starts, s), append(successfulEnds, t)
 	}
-	add("cancel", starts, ends)
+	add("cancel", starts, successfulEnds)
 	over := func(what string, all map[string][]window, of func(name string) func(Event) bool) {
-		starts, ends = nil, nil
+		starts, successfulEnds = nil, nil
 		for name, list := range all {
 			for _, w := range list {
 				s, t := last(runs, w, of(name))
-				starts, ends = append(starts, s), append(ends, t)
+				starts, successfulEnds = append(starts, s), append(successfulEnds, t)
 			}
 		}
-		add(what, starts, ends)
+		add(what, starts, successfulEnds)
 	}
-	onMinion := func(name string) func(Event) bool { return func(e Event) bool { return e.Minion == name } }
-	over("drain reported", windows(h.by(Minion, journal.Drain, journal.Boot), func(e Event) string { return e.Minion },
-		func(e Event) bool { return e.Ev == journal.Drain && e.OK }), onMinion)
-	over("drain ordered", windows(h.by(Operator, Drain, Undrain), func(e Event) string { return e.Node },
-		func(e Event) bool { return e.Ev == Drain }), onMinion)
-	over("evacuation", windows(h.by(Operator, Evacuate, Lift), func(e Event) string { return e.Zone },
-		func(e Event) bool { return e.Ev == Evacuate }), func(zone string) func(Event) bool {
+	onWorker := func(name string) func(Event) bool { return func(e Event) bool { return e.Worker == name } }
+	over("drain reported", windows(h.filter(Worker, journal.Drain, journal.NewIncarnation), func(e Event) string { return e.Worker },
+		func(e Event) bool { return e.Event == journal.Drain && e.OK }), onWorker)
+	over("drain ordered", windows(h.filter(Operator, Drain, Undrain), func(e Event) string { return e.Node },
+		func(e Event) bool { return e.Event == Drain }), onWorker)
+	over("evacuation", windows(h.filter(Operator, Evacuate, Lift), func(e Event) string { return e.Zone },
+		func(e Event) bool { return e.Event == Evacuate }), func(zone string) func(Event) bool {
 		return func(e Event) bool { return e.Zone == zone }
 	})
 	return out
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -15,34 +15,34 @@
 	"crosstide/internal/testbed/load"
 )
 
-// probed bounds how many accepted jobs are asked for.
-const probed = 500
+// maxProbed bounds how many accepted jobs are asked for.
+const maxProbed = 500
 
 // Caller sends one call to a node (*fleet.Caller).
 type Caller interface {
-	Call(ctx context.Context, method, addr, path string, in any, bound time.Duration) (fleet.Reply, error)
+	Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (fleet.Reply, error)
 }
 
 // Probe polls accepted jobs, spread evenly over all, once at each in turn of the nodes, and gives the history
 // with what was answered, and how many answered. A node that is down or cannot confirm tells nothing.
 func Probe(ctx context.Context, h History, c Caller, nodes []fleet.Node) (History, int) {
-	jobs := slices.Sorted(maps.Keys(accepted(h)))
+	jobs := slices.Sorted(maps.Keys(acceptedJobs(h)))
 	if len(nodes) == 0 || len(jobs) == 0 {
 		return h, 0
 	}
-	step := max(1, (len(jobs)+probed-1)/probed)
+	step := max(1, (len(jobs)+maxProbed-1)/maxProbed)
 	var mu sync.Mutex
 	out := History{Events: slices.Clone(h.Events)}
 	got := 0
 	routine.Each((len(jobs)+step-1)/step, 16, func(i int) {
 		node := nodes[i%len(nodes)]
 		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/v1/jobs/"+jobs[i*step], nil, 2*time.Second)
-		if err != nil || !reply.Good() && reply.Status != http.StatusNotFound {
+		if err != nil || !reply.IsSuccess() && reply.Status != http.StatusNotFound {
 			return
 		}
-		e := Event{From: Client, File: "probe", Line: i + 1, Node: node.Name, State: load.Missing}
-		e.Ev, e.Job, e.At = load.Poll, jobs[i*step], time.Now().UnixNano()
-		if reply.Good() {
+		e := Event{Source: Client, File: "probe", Line: i + 1, Node: node.Name, State: load.Missing}
+		e.Event, e.Job, e.At = load.Poll, jobs[i*step], time.Now().UnixNano()
+		if reply.IsSuccess() {
 			var view struct{ State string }
 			if json.Unmarshal(reply.Body, &view) != nil {
 				return
--- a/internal/testbed/billingload/billingload.go
+++ b/internal/testbed/billingload/billingload.go
@@ -31,20 +31,20 @@
 
 // Bounds of the calls.
 const (
-	callBound = 2 * time.Second
-	giveUp    = 30 * time.Second
-	backOff   = 50 * time.Millisecond
+	callTimeout  = 2 * time.Second
+	callDeadline = 30 * time.Second
+	retryBackoff = 50 * time.Millisecond
 )
 
 // Operator works on a fleet.
 type Operator struct {
-	nodes  fleet.Nodes
-	keys   []signature.Key
-	caller *fleet.Caller
-	clock  clock.Clock
-	prefix string // of the orders' ids
-	serial int
-	first  int // the cplane that is asked first
+	nodes    fleet.Nodes
+	keys     []signature.Key
+	caller   *fleet.Caller
+	clock    clock.Clock
+	prefix   string // of the orders' ids
+	serial   int
+	nextNode int // the cplane that is asked first
 }
 
 // New makes the operator of the fleet in dir. Failures: Disk, Malformed.
@@ -69,31 +69,31 @@
 // send sends one call to one cplane after another until it is answered for good. Failures: the answer's own, Timeout.
 func (o *Operator) send(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	place, _, _ := strings.Cut(path, "?") // the query may hold a signature
-	for end := o.clock.Now() + giveUp; ; {
-		node := o.nodes.CPlanes[o.first%len(o.nodes.CPlanes)]
-		reply, err := o.caller.Send(ctx, method, node.Addr, path, body, callBound)
-		if err == nil && reply.Good() {
+	for end := o.clock.Now() + callDeadline; ; {
+		node := o.nodes.ControlPlanes[o.nextNode%len(o.nodes.ControlPlanes)]
+		reply, err := o.caller.Send(ctx, method, node.Addr, path, body, callTimeout)
+		if err == nil && reply.IsSuccess() {
 			return reply.Body, nil
 		}
 		if err == nil && reply.Status < http.StatusInternalServerError && reply.Status != http.StatusMisdirectedRequest &&
 			reply.Status != http.StatusTooManyRequests {
-			return nil, errs.New(errs.Kind(reply.Kind()), "%s %s: %s", method, place, reply.Body)
+			return nil, errs.New(errs.Kind(reply.ErrorKind()), "%s %s: %s", method, place, reply.Body)
 		}
 		if ctx.Err() != nil || o.clock.Now() > end {
 			if err != nil {
-				return nil, errs.Wrap(err, errs.Timeout, "%s %s: no good answer within %s", method, place, giveUp)
+				return nil, errs.Wrap(err, errs.Timeout, "%s %s: no good answer within %s", method, place, callDeadline)
 			}
-			return nil, errs.New(errs.Timeout, "%s %s: status %d, no good answer within %s", method, place, reply.Status, giveUp)
+			return nil, errs.New(errs.Timeout, "%s %s: status %d, no good answer within %s", method, place, reply.Status, callDeadline)
 		}
-		o.first++
+		o.nextNode++
 		wait := make(chan struct{})
-		o.clock.Set(backOff, func() { close(wait) })
+		o.clock.Set(retryBackoff, func() { close(wait) })
 		<-wait
 	}
 }
 
-// ask sends a call and decodes its answer.
-func (o *Operator) ask(ctx context.Context, method, path string, in, out any) error {
+// callJSON sends a call and decodes its answer.
+func (o *Operator) callJSON(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		var err error
@@ -108,17 +108,17 @@
 	return errs.Wrap(json.Unmarshal(raw, out), errs.Malformed, "answer to %s", path)
 }
 
-// PutParty adds a party that pays for a team of its name to the bundle in force, and opens its account.
-func (o *Operator) PutParty(ctx context.Context, name string) error {
+// CreateParty adds a party that pays for a team of its name to the bundle in force, and opens its account.
+func (o *Operator) CreateParty(ctx context.Context, name string) error {
 	var open json.RawMessage
 	order := o.id()
-	err := o.ask(ctx, http.MethodPost, "/v1/accounts/"+name+"/create", internalapi.AccountCreateCall{Order: order, By: o.keys[0].Name,
+	err := o.callJSON(ctx, http.MethodPost, "/v1/accounts/"+name+"/create", internalapi.AccountCreateCall{Order: order, By: o.keys[0].Name,
 		Sig: o.keys[0].Sign(signature.AccountCreate(order, name, 0))}, &open)
 	if err != nil {
 		return errs.Pass(err, "open account")
 	}
 	var newest state.Revision
-	if err := o.ask(ctx, http.MethodGet, "/v1/bundles/newest", nil, &newest); err != nil {
+	if err := o.callJSON(ctx, http.MethodGet, "/v1/bundles/newest", nil, &newest); err != nil {
 		return errs.Pass(err, "newest bundle")
 	}
 	patch := fmt.Appendf(nil, `{"parties":{%q:{"teams":[%q],"price":{"core":%d},"reserve":%q,"warn":"30s"}}}`, name, name, CorePrice, Window.String())
@@ -130,7 +130,7 @@
 		in := map[string]string{"order": o.id(), "sha256": drafted.Digest, "by": key.Name,
 			"sig": key.Sign(signature.Bundle(drafted.Version, drafted.Digest))}
 		var signed json.RawMessage
-		if err := o.ask(ctx, http.MethodPost, fmt.Sprintf("/v1/bundles/%d/sign", drafted.Version), in, &signed); err != nil {
+		if err := o.callJSON(ctx, http.MethodPost, fmt.Sprintf("/v1/bundles/%d/sign", drafted.Version), in, &signed); err != nil {
 			return errs.Pass(err, "sign")
 		}
 	}
@@ -163,25 +163,25 @@
 // Send sends a top-up until it is acknowledged.
 func (o *Operator) Send(ctx context.Context, order Order) (account.TopUp, error) {
 	var done account.TopUp
-	err := o.ask(ctx, http.MethodPost, "/v1/accounts/"+order.Account+"/top-up", order.Call, &done)
+	err := o.callJSON(ctx, http.MethodPost, "/v1/accounts/"+order.Account+"/top-up", order.Call, &done)
 	return done, errs.Pass(err, "top-up")
 }
 
-// Show reads an account.
-func (o *Operator) Show(ctx context.Context, name string) (internalapi.AccountView, error) {
+// Account reads an account.
+func (o *Operator) Account(ctx context.Context, name string) (internalapi.AccountView, error) {
 	var v internalapi.AccountView
-	err := o.ask(ctx, http.MethodGet, "/v1/accounts/"+name, nil, &v)
+	err := o.callJSON(ctx, http.MethodGet, "/v1/accounts/"+name, nil, &v)
 	return v, errs.Pass(err, "show")
 }
 
 // Export reads an account's ledger from one cplane.
 func (o *Operator) Export(ctx context.Context, node fleet.Node, name string) ([]byte, error) {
-	reply, err := o.caller.Send(ctx, http.MethodGet, node.Addr, "/v1/accounts/"+name+"/export", nil, callBound)
+	reply, err := o.caller.Send(ctx, http.MethodGet, node.Addr, "/v1/accounts/"+name+"/export", nil, callTimeout)
 	if err != nil {
 		return nil, errs.Pass(err, "export")
 	}
-	if !reply.Good() {
-		return nil, errs.New(errs.Kind(reply.Kind()), "export: %s", reply.Body)
+	if !reply.IsSuccess() {
+		return nil, errs.New(errs.Kind(reply.ErrorKind()), "export: %s", reply.Body)
 	}
 	return reply.Body, nil
 }
@@ -203,8 +203,8 @@
 	Entries         int
 }
 
-// Add adds an export up from its base row; the sum must be its head row's. Failure: Damaged.
-func Add(export []byte) (Sums, error) {
+// SumExport adds an export up from its base row; the sum must be its head row's. Failure: Damaged.
+func SumExport(export []byte) (Sums, error) {
 	rows, err := csv.NewReader(bytes.NewReader(export)).ReadAll()
 	if err != nil {
 		return Sums{}, errs.Wrap(err, errs.Damaged, "the export is no CSV")
@@ -213,7 +213,7 @@
 		return Sums{}, errs.New(errs.Damaged, "the export has %d rows", len(rows))
 	}
 	base, head := rows[1], rows[len(rows)-1]
-	sums := Sums{ToppedUp: number(base[columnTopUps]), Spent: number(base[columnSpent]), TopUps: map[string]int64{}}
+	sums := Sums{ToppedUp: parseAmount(base[columnTopUps]), Spent: parseAmount(base[columnSpent]), TopUps: map[string]int64{}}
 	seen := map[string]bool{}
 	for _, row := range rows[2 : len(rows)-1] {
 		name := row[columnKind] + " " + row[columnKey] + " " + row[columnPart]
@@ -221,7 +221,7 @@
 			return sums, errs.New(errs.Damaged, "the entry %s stands twice", name)
 		}
 		seen[name] = true
-		amount := number(row[columnAmount])
+		amount := parseAmount(row[columnAmount])
 		sums.Entries++
 		if row[columnKind] == string(account.EntryTopUp) {
 			sums.ToppedUp += amount
@@ -230,15 +230,15 @@
 			sums.Spent += amount
 		}
 	}
-	if sums.ToppedUp != number(head[columnTopUps]) || sums.Spent != number(head[columnSpent]) {
+	if sums.ToppedUp != parseAmount(head[columnTopUps]) || sums.Spent != parseAmount(head[columnSpent]) {
 		return sums, errs.New(errs.Damaged, "the entries add up to %d and %d, the head says %s and %s", sums.ToppedUp, sums.Spent,
 			head[columnTopUps], head[columnSpent])
 	}
 	return sums, nil
 }
 
-// number reads a whole number; what is none is -1, which no sum of an export is.
-func number(text string) int64 {
+// parseAmount reads a whole number; what is none is -1, which no sum of an export is.
+func parseAmount(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return -1
--- a/internal/testbed/billingload/billingload_test.go
+++ b/internal/testbed/billingload/billingload_test.go
@@ -15,17 +15,17 @@
 func TestAdd(t *testing.T) {
 	Convey("An export adds up to its head; one that was changed does not", t, func() {
 		at := time.Unix(1_700_000_000, 0).UTC()
-		book := account.NewTable()
-		So(book.Create("acme", 0), ShouldBeNil)
+		accounts := account.NewTable()
+		So(accounts.Create("acme", 0), ShouldBeNil)
 		for _, key := range []string{"k1", "k2"} {
-			_, err := book.TopUp("acme", key, 100, at)
+			_, err := accounts.TopUp("acme", key, 100, at)
 			So(err, ShouldBeNil)
 		}
-		So(book.Reserve(account.Charge{Run: "r1", Account: "acme", Rate: 1000, Window: 10 * time.Second}, at), ShouldBeNil)
-		book.Debit("r1", at.Add(3*time.Second))
+		So(accounts.Reserve(account.Charge{Run: "r1", Account: "acme", Rate: 1000, Window: 10 * time.Second}, at), ShouldBeNil)
+		accounts.Debit("r1", at.Add(3*time.Second))
 		var out bytes.Buffer
-		So(book.Accounts["acme"].Ledger.WriteCSV(&out), ShouldBeNil)
-		sums, err := Add(out.Bytes())
+		So(accounts.Accounts["acme"].Ledger.WriteCSV(&out), ShouldBeNil)
+		sums, err := SumExport(out.Bytes())
 		So(err, ShouldBeNil)
 		So(sums, ShouldResemble, Sums{ToppedUp: 200, Spent: 3, TopUps: map[string]int64{"k1": 100, "k2": 100}, Entries: 3})
 		text := out.String()
@@ -37,7 +37,7 @@
 			"no number":    strings.Replace(text, ",draw,r1,0,3,", ",draw,r1,0,x,", 1),
 			"nothing else": lines[0],
 		} {
-			_, err := Add([]byte(changed))
+			_, err := SumExport([]byte(changed))
 			So(what+" "+string(errs.KindOf(err)), ShouldEqual, what+" "+string(errs.Damaged))
 		}
 	})
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -12,20 +12,20 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// story is a journal that is written one millisecond after the other.
-type story struct {
+// eventLog is a journal that is written one millisecond after the other.
+type eventLog struct {
 	events []jobsworker.Event
 	at     time.Time
 }
 
-func newStory() *story {
-	s := &story{at: time.Unix(1000, 0)}
-	s.add(jobsworker.Event{Event: jobsworker.EventBorn, Worker: "a", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}, Labels: []string{"ssd"}, Zone: "z"})
-	s.add(jobsworker.Event{Event: jobsworker.EventBorn, Worker: "b", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}})
+func newEventLog() *eventLog {
+	s := &eventLog{at: time.Unix(1000, 0)}
+	s.add(jobsworker.Event{Event: jobsworker.EventWorkerStart, Worker: "a", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}, Labels: []string{"ssd"}, Zone: "z"})
+	s.add(jobsworker.Event{Event: jobsworker.EventWorkerStart, Worker: "b", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}})
 	return s
 }
 
-func (s *story) add(e jobsworker.Event) {
+func (s *eventLog) add(e jobsworker.Event) {
 	s.at = s.at.Add(time.Millisecond)
 	e.At = s.at
 	s.events = append(s.events, e)
@@ -36,144 +36,144 @@
 	return workerapi.Run{Job: "j", Step: step, Index: index, Number: number}
 }
 
-func (s *story) start(on string, r workerapi.Run, change ...func(*jobsworker.Event)) {
-	e := jobsworker.Event{Event: jobsworker.EventStart, Worker: on, Run: r, Token: 1, Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
-	for _, one := range change {
-		one(&e)
+func (s *eventLog) start(on string, r workerapi.Run, change ...func(*jobsworker.Event)) {
+	e := jobsworker.Event{Event: jobsworker.EventRunStart, Worker: on, Run: r, Token: 1, Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
+	for _, proc := range change {
+		proc(&e)
 	}
 	s.add(e)
 }
 
-func (s *story) end(on string, r workerapi.Run, how jobs.EndReason) { s.ends(on, r, how, "") }
+func (s *eventLog) end(on string, r workerapi.Run, reason jobs.EndReason) { s.ends(on, r, reason, "") }
 
-func (s *story) ends(on string, r workerapi.Run, how jobs.EndReason, checkpoint string) {
-	s.add(jobsworker.Event{Event: jobsworker.EventEnd, Worker: on, Run: r, Why: string(how), Checkpoint: checkpoint})
+func (s *eventLog) ends(on string, r workerapi.Run, reason jobs.EndReason, checkpoint string) {
+	s.add(jobsworker.Event{Event: jobsworker.EventRunEnd, Worker: on, Run: r, Reason: string(reason), Checkpoint: checkpoint})
 }
 
 // good runs a task once.
-func (s *story) good(on string, r workerapi.Run) {
+func (s *eventLog) good(on string, r workerapi.Run) {
 	s.start(on, r)
 	s.end(on, r, jobs.EndDone)
 }
 
-func job(comes jobs.JobState, steps ...Step) Job {
-	return newJob("j", Urgent, comes, jobsworker.Program{MS: 1}, steps...)
+func job(wantState jobs.JobState, steps ...Step) Job {
+	return newJob("j", Urgent, wantState, jobsworker.Program{MS: 1}, steps...)
 }
 
 func TestAudit(t *testing.T) {
-	one, two := job(jobs.Succeeded, small(1)), job(jobs.Succeeded, small(2))
-	chain := job(jobs.Succeeded, small(1), small(1).with(func(s *Step) { s.After = []int{0} }))
-	gang := job(jobs.Succeeded, small(2).with(func(s *Step) { s.Gang = true }))
-	labelled := job(jobs.Succeeded, small(1).with(func(s *Step) { s.Label = "ssd" }))
-	apart := job(jobs.Succeeded, small(2).with(func(s *Step) { s.MostPerWorker = 1 }))
-	saving := job(jobs.Succeeded, small(1).with(func(s *Step) { s.Checkpoints = true }))
-	timed := one
+	proc, two := job(jobs.Succeeded, smallStep(1)), job(jobs.Succeeded, smallStep(2))
+	chain := job(jobs.Succeeded, smallStep(1), smallStep(1).with(func(s *Step) { s.After = []int{0} }))
+	gang := job(jobs.Succeeded, smallStep(2).with(func(s *Step) { s.Gang = true }))
+	labelled := job(jobs.Succeeded, smallStep(1).with(func(s *Step) { s.Label = "ssd" }))
+	apart := job(jobs.Succeeded, smallStep(2).with(func(s *Step) { s.MostPerWorker = 1 }))
+	saving := job(jobs.Succeeded, smallStep(1).with(func(s *Step) { s.Checkpoints = true }))
+	timed := proc
 	timed.Times = &Times{First: time.Unix(1001, 0), Every: "1s", Rounds: 1}
 	cases := []struct {
-		name   string
-		job    Job
-		tell   func(s *story)
-		wrong  string // part of the one thing that is wrong; empty: nothing is
-		closed []Closure
+		name        string
+		job         Job
+		logf        func(s *eventLog)
+		wrong       string // part of the one thing that is wrong; empty: nothing is
+		evacuations []Evacuation
 	}{
-		{"all is well", one, func(s *story) { s.good("a", run(0, 0, 1)) }, "", nil},
-		{"a task is lost", two, func(s *story) { s.good("a", run(0, 0, 1)) }, "1 of 2 tasks", nil},
-		{"a task was stopped and not tried again", one, func(s *story) { s.start("a", run(0, 0, 1)); s.end("a", run(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
-		{"a task is done twice", one, func(s *story) { s.good("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "was done", nil},
-		{"a task runs twice at once", one, func(s *story) { s.start("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "goes on at a", nil},
-		{"a run number comes again", one, func(s *story) {
+		{"all is well", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "", nil},
+		{"a task is lost", two, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "1 of 2 tasks", nil},
+		{"a task was stopped and not tried again", proc, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.end("a", run(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
+		{"a task is done twice", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "was done", nil},
+		{"a task runs twice at once", proc, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "goes on at a", nil},
+		{"a run number comes again", proc, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.end("a", run(0, 0, 1), jobs.EndStopped)
 			s.good("b", run(0, 0, 1))
 		}, "after run 1", nil},
-		{"a task is tried again", one, func(s *story) {
+		{"a task is tried again", proc, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.end("a", run(0, 0, 1), jobs.EndStopped)
 			s.good("b", run(0, 0, 2))
 		}, "", nil},
-		{"a job that nobody handed in", one, func(s *story) { s.good("a", run(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
-		{"an end without a run", one, func(s *story) { s.good("a", run(0, 0, 1)); s.end("b", run(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
-		{"a lower token", two, func(s *story) {
+		{"a job that nobody handed in", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
+		{"an end without a run", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.end("b", run(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
+		{"a lower token", two, func(s *eventLog) {
 			s.start("a", run(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 			s.good("a", run(0, 1, 1))
 		}, "under token 1 after 2", nil},
-		{"steps in order", chain, func(s *story) { s.good("a", run(0, 0, 1)); s.good("b", run(1, 0, 1)) }, "", nil},
-		{"a step comes too early", chain, func(s *story) {
+		{"steps in order", chain, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("b", run(1, 0, 1)) }, "", nil},
+		{"a step comes too early", chain, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.good("b", run(1, 0, 1))
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 		}, "0 of 1 tasks of step 0 done", nil},
-		{"a round comes too early", timed, func(s *story) { s.good("a", run(0, 0, 1)) }, "before its time", nil},
-		{"a round comes at its time", timed, func(s *story) { s.at = time.Unix(1001, 0); s.good("a", run(0, 0, 1)) }, "", nil},
-		{"a label is not there", labelled, func(s *story) { s.good("b", run(0, 0, 1)) }, "no label ssd", nil},
-		{"a label is there", labelled, func(s *story) { s.good("a", run(0, 0, 1)) }, "", nil},
-		{"no room", two, func(s *story) {
+		{"a round comes too early", timed, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "before its time", nil},
+		{"a round comes at its time", timed, func(s *eventLog) { s.at = time.Unix(1001, 0); s.good("a", run(0, 0, 1)) }, "", nil},
+		{"a label is not there", labelled, func(s *eventLog) { s.good("b", run(0, 0, 1)) }, "no label ssd", nil},
+		{"a label is there", labelled, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "", nil},
+		{"no room", two, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.start("a", run(0, 1, 1), func(e *jobsworker.Event) { e.Needs.MilliCPU = 201 })
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 			s.end("a", run(0, 1, 1), jobs.EndDone)
 		}, "MilliCPU:401", nil},
-		{"two on one worker", apart, func(s *story) {
+		{"two on one worker", apart, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.start("a", run(0, 1, 1))
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 			s.end("a", run(0, 1, 1), jobs.EndDone)
 		}, "2 tasks of the step run on a", nil},
-		{"one after the other on one worker", apart, func(s *story) { s.good("a", run(0, 0, 1)); s.good("a", run(0, 1, 1)) }, "", nil},
-		{"a whole gang", gang, func(s *story) {
+		{"one after the other on one worker", apart, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("a", run(0, 1, 1)) }, "", nil},
+		{"a whole gang", gang, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.start("b", run(0, 1, 1))
 			s.end("a", run(0, 0, 1), jobs.EndDone)
 			s.end("b", run(0, 1, 1), jobs.EndStopped)
 		}, "", nil},
-		{"half a gang", gang, func(s *story) { s.good("a", run(0, 0, 1)) }, "1 of 2 members", nil},
-		{"a start in a closed zone", one, func(s *story) { s.at = time.Unix(1003, 0); s.good("a", run(0, 0, 1)) }, "after zone z was evacuated",
-			[]Closure{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"starts before and after", two, func(s *story) {
+		{"half a gang", gang, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "1 of 2 members", nil},
+		{"a start in a closed zone", proc, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("a", run(0, 0, 1)) }, "after zone z was evacuated",
+			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
+		{"starts before and after", two, func(s *eventLog) {
 			s.at = time.Unix(1002, 0)
 			s.good("a", run(0, 0, 1))
 			s.at = time.Unix(1004, 0)
 			s.good("a", run(0, 1, 1))
-		}, "", []Closure{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"a start in another zone", one, func(s *story) { s.at = time.Unix(1003, 0); s.good("b", run(0, 0, 1)) }, "",
-			[]Closure{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"progress is kept", saving, func(s *story) {
+		}, "", []Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
+		{"a start in another zone", proc, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("b", run(0, 0, 1)) }, "",
+			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
+		{"progress is kept", saving, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.ends("a", run(0, 0, 1), jobs.EndStopped, "300")
 			s.start("b", run(0, 0, 2), func(e *jobsworker.Event) { e.Checkpoint = "300" })
 			s.end("b", run(0, 0, 2), jobs.EndDone)
 		}, "", nil},
-		{"progress is lost", saving, func(s *story) {
+		{"progress is lost", saving, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.ends("a", run(0, 0, 1), jobs.EndStopped, "300")
 			s.good("b", run(0, 0, 2))
 		}, `goes on from ""`, nil},
-		{"too few attempts", job(jobs.Failed, small(1)), func(s *story) {
+		{"too few attempts", job(jobs.Failed, smallStep(1)), func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.end("a", run(0, 0, 1), jobs.EndFailed)
 		}, "after 1 failed runs", nil},
 	}
 	Convey("Each broken promise is found, and nothing else", t, func() {
 		for _, c := range cases {
-			s := newStory()
-			c.tell(s)
-			report, err := Audit([]Job{c.job}, c.closed, s.events)
+			s := newEventLog()
+			c.logf(s)
+			report, err := Audit([]Job{c.job}, c.evacuations, s.events)
 			So(err, ShouldBeNil)
-			found := strings.Join(report.Wrong, "\n")
+			found := strings.Join(report.Violations, "\n")
 			if c.wrong == "" {
 				So(c.name+": "+found, ShouldEqual, c.name+": ")
 				continue
 			}
 			So(c.name+": "+found, ShouldContainSubstring, c.wrong)
-			So(len(report.Wrong), ShouldEqual, 1)
+			So(len(report.Violations), ShouldEqual, 1)
 		}
 	})
 	Convey("Runs, ends and refusals are counted", t, func() {
-		s := newStory()
+		s := newEventLog()
 		s.good("a", run(0, 0, 1))
-		s.add(jobsworker.Event{Event: jobsworker.EventRefuse, Worker: "a", Run: run(0, 0, 2), Why: "room"})
-		report, err := Audit([]Job{one}, nil, s.events)
+		s.add(jobsworker.Event{Event: jobsworker.EventRunRefuse, Worker: "a", Run: run(0, 0, 2), Reason: "room"})
+		report, err := Audit([]Job{proc}, nil, s.events)
 		So(err, ShouldBeNil)
 		So([]any{report.Runs, report.Ends[jobs.EndDone], report.Refused["room"]}, ShouldResemble, []any{1, 1, 1})
 	})
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	callWithin = 4 * time.Second
-	retryPause = 50 * time.Millisecond
+	callTimeout   = 4 * time.Second
+	retryInterval = 50 * time.Millisecond
 )
 
 // Client makes clients' and operators' calls; a call that may be sent again is sent again, to the next node, until its
 // ctx ends.
 type Client struct {
-	caller  *rpc.Client
-	clock   clock.Clock
-	fronts  []string // addresses of front nodes
-	control []string // control addresses of core nodes
+	caller       *rpc.Client
+	clock        clock.Clock
+	frontAddrs   []string // addresses of front nodes
+	controlAddrs []string // control addresses of core nodes
 }
 
 // NewClient makes a client.
 func NewClient(caller *rpc.Client, clock clock.Clock, fronts, control []string) *Client {
-	return &Client{caller: caller, clock: clock, fronts: fronts, control: control}
+	return &Client{caller: caller, clock: clock, frontAddrs: fronts, controlAddrs: control}
 }
 
 // Submit hands a job in.
 func (c *Client) Submit(ctx context.Context, job any) error {
-	return errs.Pass(c.call(ctx, c.fronts, http.MethodPost, "/v2/jobs", job, nil), "submit")
+	return errs.Pass(c.call(ctx, c.frontAddrs, http.MethodPost, "/v2/jobs", job, nil), "submit")
 }
 
 // Show asks for a job.
 func (c *Client) Show(ctx context.Context, id string) (view controller.JobView, err error) {
-	err = c.call(ctx, c.fronts, http.MethodGet, "/v2/jobs/"+url.PathEscape(id), nil, &view)
+	err = c.call(ctx, c.frontAddrs, http.MethodGet, "/v2/jobs/"+url.PathEscape(id), nil, &view)
 	return view, errs.Pass(err, "show %s", id)
 }
 
 // Cancel cancels a job.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return errs.Pass(c.call(ctx, c.fronts, http.MethodDelete, "/v2/jobs/"+url.PathEscape(id), nil, nil), "cancel %s", id)
+	return errs.Pass(c.call(ctx, c.frontAddrs, http.MethodDelete, "/v2/jobs/"+url.PathEscape(id), nil, nil), "cancel %s", id)
 }
 
-// Until asks for a job until it is in a state.
-func (c *Client) Until(ctx context.Context, id string, state jobs.JobState) error {
+// AwaitState asks for a job until it is in a state.
+func (c *Client) AwaitState(ctx context.Context, id string, state jobs.JobState) error {
 	for {
 		view, err := c.Show(ctx, id)
 		if err != nil {
@@ -65,7 +65,7 @@
 		if view.State.IsTerminal() {
 			return errs.New(errs.Conflict, "job %s is %s, not %s", id, view.State, state)
 		}
-		if !c.pause(ctx) {
+		if !c.sleep(ctx) {
 			return errs.New(errs.Timeout, "job %s is %s, not %s", id, view.State, state)
 		}
 	}
@@ -73,29 +73,29 @@
 
 // Config reads the configuration in force.
 func (c *Client) Config(ctx context.Context) (config jobsapi.Configuration, err error) {
-	err = c.call(ctx, c.control, http.MethodGet, "/v2/config", nil, &config)
+	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/config", nil, &config)
 	return config, errs.Pass(err, "configuration")
 }
 
 // Configure puts a whole configuration in force, or patches it.
 func (c *Client) Configure(ctx context.Context, method string, order any) error {
-	return errs.Pass(c.call(ctx, c.control, method, "/v2/config", order, nil), "configure")
+	return errs.Pass(c.call(ctx, c.controlAddrs, method, "/v2/config", order, nil), "configure")
 }
 
 // Zone evacuates or restores a zone.
 func (c *Client) Zone(ctx context.Context, zone, verb string) error {
-	return errs.Pass(c.call(ctx, c.control, http.MethodPost, "/v2/zones/"+url.PathEscape(zone)+"/"+verb, nil, nil), "%s", verb)
+	return errs.Pass(c.call(ctx, c.controlAddrs, http.MethodPost, "/v2/zones/"+url.PathEscape(zone)+"/"+verb, nil, nil), "%s", verb)
 }
 
 // Workers lists the workers.
 func (c *Client) Workers(ctx context.Context) (workers jobsapi.Workers, err error) {
-	err = c.call(ctx, c.control, http.MethodGet, "/v2/workers", nil, &workers)
+	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/workers", nil, &workers)
 	return workers, errs.Pass(err, "workers")
 }
 
 // Topology asks for the leader and the members.
 func (c *Client) Topology(ctx context.Context) (topology controller.TopologyAnswer, err error) {
-	err = c.call(ctx, c.control, http.MethodGet, "/v2/topology", nil, &topology)
+	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/topology", nil, &topology)
 	return topology, errs.Pass(err, "topology")
 }
 
@@ -110,19 +110,19 @@
 		request.Body = data
 	}
 	for i := 0; ; i++ {
-		again, err := c.attempt(ctx, addrs[i%len(addrs)], request, answer)
+		retryable, err := c.attempt(ctx, addrs[i%len(addrs)], request, answer)
 		if err == nil {
 			return nil
 		}
-		if !again || !c.pause(ctx) {
+		if !retryable || !c.sleep(ctx) {
 			return errs.Pass(err, "%s %s", method, path)
 		}
 	}
 }
 
 // attempt sends a call once and tells whether it may be sent again.
-func (c *Client) attempt(ctx context.Context, addr string, request rpc.Request, answer any) (again bool, err error) {
-	response, err := c.caller.Do(ctx, addr, request, callWithin)
+func (c *Client) attempt(ctx context.Context, addr string, request rpc.Request, answer any) (retryable bool, err error) {
+	response, err := c.caller.Do(ctx, addr, request, callTimeout)
 	if err != nil {
 		return true, errs.Pass(err, "%s", addr)
 	}
@@ -139,13 +139,13 @@
 	return false, errs.Wrap(json.Unmarshal(response.Body, answer), errs.Malformed, "answer of %s", addr)
 }
 
-// pause waits a little; false when ctx has ended.
-func (c *Client) pause(ctx context.Context) bool {
-	over := make(chan struct{})
-	ring := c.clock.Set(retryPause, func() { close(over) })
-	defer ring.Stop()
+// sleep waits a little; false when ctx has ended.
+func (c *Client) sleep(ctx context.Context) bool {
+	elapsed := make(chan struct{})
+	timer := c.clock.Set(retryInterval, func() { close(elapsed) })
+	defer timer.Stop()
 	select {
-	case <-over:
+	case <-elapsed:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/testbed/endtoend/drill.go
+++ b/internal/testbed/endtoend/drill.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	timedAfter   = 3 * time.Second // the timed job is due so long after it is handed in
-	laterJobs    = 10              // handed in while the core has no leader
-	drillWithin  = 2 * time.Minute
-	settleWithin = 30 * time.Second
-	evacuated    = "z2"
-	closedJobs   = 20 // handed in while a zone is closed
+	timedDelay      = 3 * time.Second // the timed job is due so long after it is handed in
+	failoverJobs    = 10              // handed in while the core has no leader
+	scenarioTimeout = 2 * time.Minute
+	waitTimeout     = 30 * time.Second
+	evacuatedZone   = "z2"
+	evacuationJobs  = 20 // handed in while a zone is closed
 )
 
 // Result is what a drill measured.
@@ -34,15 +34,15 @@
 // killed with jobs handed in meanwhile, a zone evacuated; then it waits for every job's state and ends the processes.
 // What it does it tells on out.
 func Run(ctx context.Context, plan Plan, processes *Processes, out io.Writer) (Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, drillWithin)
+	ctx, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
 	caller := rpc.NewClient(rpc.ClientOptions{})
 	defer caller.Close()
-	d := &drill{plan: plan, processes: processes, out: out, clock: clock.Real{},
-		client: NewClient(caller, clock.Real{}, plan.Fronts, plan.Control)}
+	d := &scenario{plan: plan, processes: processes, out: out, clock: clock.Real{},
+		client: NewClient(caller, clock.Real{}, plan.FrontAddrs, plan.ControlAddrs)}
 	d.begin = d.clock.Now()
-	for _, act := range []func(context.Context) error{d.settle, d.handIn, d.leave, d.killLeader, d.evacuate, d.finish} {
-		if err := act(ctx); err != nil {
+	for _, phase := range []func(context.Context) error{d.prepare, d.submitJobs, d.drainWorker, d.killLeader, d.evacuate, d.awaitEnds} {
+		if err := phase(ctx); err != nil {
 			return d.result, errs.Pass(err, "drill")
 		}
 	}
@@ -51,31 +51,31 @@
 	if err != nil {
 		return d.result, errs.Pass(err, "drill")
 	}
-	d.result.Report, err = Audit(d.accepted, d.closed, events)
+	d.result.Report, err = Audit(d.accepted, d.evacuations, events)
 	d.result.Accepted = len(d.accepted)
 	return d.result, errs.Pass(err, "drill")
 }
 
-// drill is a drill under way.
-type drill struct {
-	plan      Plan
-	processes *Processes
-	client    *Client
-	clock     clock.Clock
-	out       io.Writer
-	begin     time.Duration
-	accepted  []Job
-	closed    []Closure
-	result    Result
+// scenario is a drill under way.
+type scenario struct {
+	plan        Plan
+	processes   *Processes
+	client      *Client
+	clock       clock.Clock
+	out         io.Writer
+	begin       time.Duration
+	accepted    []Job
+	evacuations []Evacuation
+	result      Result
 }
 
-func (d *drill) tell(format string, args ...any) {
+func (d *scenario) logf(format string, args ...any) {
 	fmt.Fprintf(d.out, "%6.2fs  %s\n", (d.clock.Now() - d.begin).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // until asks again and again until is tells yes.
-func (d *drill) until(ctx context.Context, what string, is func(ctx context.Context) (bool, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+func (d *scenario) until(ctx context.Context, what string, is func(ctx context.Context) (bool, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
 		yes, err := is(ctx)
@@ -83,28 +83,28 @@
 			return errs.Pass(err, "%s", what)
 		}
 		if yes {
-			d.tell("%s", what)
+			d.logf("%s", what)
 			return nil
 		}
-		if !d.client.pause(ctx) {
-			return errs.New(errs.Timeout, "not in %s: %s", settleWithin, what)
+		if !d.client.sleep(ctx) {
+			return errs.New(errs.Timeout, "not in %s: %s", waitTimeout, what)
 		}
 	}
 }
 
-// settle waits for the leader and the workers and puts the configuration in force.
-func (d *drill) settle(ctx context.Context) error {
+// prepare waits for the leader and the workers and puts the configuration in force.
+func (d *scenario) prepare(ctx context.Context) error {
 	if err := d.client.Configure(ctx, http.MethodPut, Configuration(0)); err != nil {
 		return errs.Pass(err, "settle")
 	}
-	d.tell("the configuration is in force")
+	d.logf("the configuration is in force")
 	return errs.Pass(d.until(ctx, "all workers are known", func(ctx context.Context) (bool, error) {
 		workers, err := d.client.Workers(ctx)
 		return len(workers.Workers) == len(d.plan.Shapes), errs.Pass(err, "workers")
 	}), "settle")
 }
 
-func (d *drill) submit(ctx context.Context, list ...Job) error {
+func (d *scenario) submit(ctx context.Context, list ...Job) error {
 	for _, job := range list {
 		if err := d.client.Submit(ctx, job); err != nil {
 			return errs.Pass(err, "hand in %s", job.ID)
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// handIn fills the workers with work of low priority and hands the mix in.
-func (d *drill) handIn(ctx context.Context) error {
-	if err := d.submit(ctx, Bulk(len(d.plan.Shapes))); err != nil {
+// submitJobs fills the workers with work of low priority and hands the mix in.
+func (d *scenario) submitJobs(ctx context.Context) error {
+	if err := d.submit(ctx, BulkJob(len(d.plan.Shapes))); err != nil {
 		return errs.Pass(err, "bulk")
 	}
 	err := d.until(ctx, "low-priority work runs", func(ctx context.Context) (bool, error) {
@@ -126,15 +126,15 @@
 	if err != nil {
 		return errs.Pass(err, "bulk")
 	}
-	if err := d.submit(ctx, append(Mix(d.clock.Wall().Add(timedAfter)), Lasting())...); err != nil {
+	if err := d.submit(ctx, append(MixedJobs(d.clock.Wall().Add(timedDelay)), LongRunning())...); err != nil {
 		return errs.Pass(err, "mix")
 	}
-	d.tell("%d jobs are accepted", len(d.accepted))
+	d.logf("%d jobs are accepted", len(d.accepted))
 	return nil
 }
 
-// leave tells the last worker to leave.
-func (d *drill) leave(ctx context.Context) error {
+// drainWorker tells the last worker to leave.
+func (d *scenario) drainWorker(ctx context.Context) error {
 	name := d.plan.Shapes[len(d.plan.Shapes)-1].Name
 	if err := d.processes.Signal(name, syscall.SIGTERM); err != nil {
 		return errs.Pass(err, "leave")
@@ -152,12 +152,12 @@
 }
 
 // killLeader kills the leader, hands jobs in at once, and starts the node again.
-func (d *drill) killLeader(ctx context.Context) error {
+func (d *scenario) killLeader(ctx context.Context) error {
 	topology, err := d.client.Topology(ctx)
 	if err != nil {
 		return errs.Pass(err, "leader")
 	}
-	leader := d.plan.Inner[topology.Leader]
+	leader := d.plan.NamesByAddr[topology.Leader]
 	if leader == "" {
 		return errs.New(errs.Unavailable, "no leader is told, %q", topology.Leader)
 	}
@@ -165,8 +165,8 @@
 	if err := d.processes.Signal(leader, syscall.SIGKILL); err != nil {
 		return errs.Pass(err, "leader")
 	}
-	d.tell("%s, which led, is killed", leader)
-	for i, job := range Numbered("later", laterJobs) {
+	d.logf("%s, which led, is killed", leader)
+	for i, job := range NumberedJobs("later", failoverJobs) {
 		if err := d.submit(ctx, job); err != nil {
 			return errs.Pass(err, "after the kill")
 		}
@@ -174,7 +174,7 @@
 			d.result.AcceptedIn = d.clock.Now() - killed
 		}
 	}
-	d.tell("%d jobs more are accepted, the first %s after the kill", laterJobs, d.result.AcceptedIn.Round(time.Millisecond))
+	d.logf("%d jobs more are accepted, the first %s after the kill", failoverJobs, d.result.AcceptedIn.Round(time.Millisecond))
 	if !d.processes.Wait(ctx, leader) {
 		return errs.New(errs.Timeout, "%s does not end", leader)
 	}
@@ -182,41 +182,41 @@
 }
 
 // evacuate closes a zone, lets jobs run elsewhere meanwhile, and gives it back. What runs in the zone ends there.
-func (d *drill) evacuate(ctx context.Context) error {
-	if err := d.client.Zone(ctx, evacuated, "evacuate"); err != nil {
+func (d *scenario) evacuate(ctx context.Context) error {
+	if err := d.client.Zone(ctx, evacuatedZone, "evacuate"); err != nil {
 		return errs.Pass(err, "evacuate")
 	}
-	closure := Closure{Zone: evacuated, From: d.clock.Wall()}
-	meanwhile := Numbered("closed", closedJobs)
+	evacuation := Evacuation{Zone: evacuatedZone, From: d.clock.Wall()}
+	meanwhile := NumberedJobs("closed", evacuationJobs)
 	if err := d.submit(ctx, meanwhile...); err != nil {
 		return errs.Pass(err, "evacuate")
 	}
 	for _, job := range meanwhile {
-		if err := d.client.Until(ctx, job.ID, job.Comes); err != nil {
+		if err := d.client.AwaitState(ctx, job.ID, job.WantState); err != nil {
 			return errs.Pass(err, "evacuate")
 		}
 	}
-	closure.To = d.clock.Wall()
-	d.closed = append(d.closed, closure)
-	d.tell("%d jobs ran while %s was closed", closedJobs, evacuated)
-	return errs.Pass(d.client.Zone(ctx, evacuated, "restore"), "restore")
+	evacuation.To = d.clock.Wall()
+	d.evacuations = append(d.evacuations, evacuation)
+	d.logf("%d jobs ran while %s was closed", evacuationJobs, evacuatedZone)
+	return errs.Pass(d.client.Zone(ctx, evacuatedZone, "restore"), "restore")
 }
 
-// finish waits for every job's state.
-func (d *drill) finish(ctx context.Context) error {
+// awaitEnds waits for every job's state.
+func (d *scenario) awaitEnds(ctx context.Context) error {
 	for _, job := range d.accepted {
-		if job.Comes == jobs.Cancelled {
-			if err := d.client.Until(ctx, job.ID, jobs.Running); err != nil {
+		if job.WantState == jobs.Cancelled {
+			if err := d.client.AwaitState(ctx, job.ID, jobs.Running); err != nil {
 				return errs.Pass(err, "finish")
 			}
 			if err := d.client.Cancel(ctx, job.ID); err != nil {
 				return errs.Pass(err, "finish")
 			}
 		}
-		if err := d.client.Until(ctx, job.ID, job.Comes); err != nil {
+		if err := d.client.AwaitState(ctx, job.ID, job.WantState); err != nil {
 			return errs.Pass(err, "finish")
 		}
 	}
-	d.tell("all %d jobs have come to their states", len(d.accepted))
+	d.logf("all %d jobs have come to their states", len(d.accepted))
 	return nil
 }
--- a/internal/testbed/endtoend/mix.go
+++ b/internal/testbed/endtoend/mix.go
@@ -19,8 +19,8 @@
 	Attempts = 3 // of a task in either queue
 )
 
-// putOrder is the body that puts a whole configuration in force.
-type putOrder struct {
+// configOrder is the body that puts a whole configuration in force.
+type configOrder struct {
 	Base     uint64            `json:"base"`
 	Queues   []jobsapi.Queue   `json:"queues"`
 	Services []jobsapi.Service `json:"services"`
@@ -31,18 +31,18 @@
 	queue := func(name string, priority int) jobsapi.Queue {
 		return jobsapi.Queue{Name: name, Service: Service, Priority: priority, Attempts: Attempts, Stretch: 1, Target: "1s", Timeout: "1h"}
 	}
-	return putOrder{Base: base, Services: []jobsapi.Service{{Name: Service}}, Queues: []jobsapi.Queue{queue(Urgent, 0), queue(Normal, 5)}}
+	return configOrder{Base: base, Services: []jobsapi.Service{{Name: Service}}, Queues: []jobsapi.Queue{queue(Urgent, 0), queue(Normal, 5)}}
 }
 
 // Job is a job of the mix, and the state that it must come to.
 type Job struct {
-	ID      string             `json:"id"`
-	Queue   string             `json:"queue"`
-	Payload string             `json:"payload"`
-	Times   *Times             `json:"times,omitempty"`
-	Steps   []Step             `json:"steps"`
-	Comes   jobs.JobState      `json:"-"`
-	Program jobsworker.Program `json:"-"`
+	ID        string             `json:"id"`
+	Queue     string             `json:"queue"`
+	Payload   string             `json:"payload"`
+	Times     *Times             `json:"times,omitempty"`
+	Steps     []Step             `json:"steps"`
+	WantState jobs.JobState      `json:"-"`
+	Program   jobsworker.Program `json:"-"`
 }
 
 // Times is when the rounds of a job are due.
@@ -67,7 +67,7 @@
 	Gang          bool   `json:"gang,omitempty"`
 	OneRack       bool   `json:"one_rack,omitempty"`
 	Speculative   bool   `json:"speculative,omitempty"`
-	Lasting       bool   `json:"lasting,omitempty"`
+	LongRunning   bool   `json:"lasting,omitempty"`
 }
 
 // spec is the job as the product reads it.
@@ -80,8 +80,8 @@
 	return spec, errs.Pass(err, "job %s", j.ID)
 }
 
-// small is a step of equal tasks that take little.
-func small(tasks int) Step {
+// smallStep is a step of equal tasks that take little.
+func smallStep(tasks int) Step {
 	return Step{Tasks: tasks, MilliCPU: 200, MemoryMB: 32, Estimate: "100ms"}
 }
 
@@ -91,52 +91,52 @@
 	return s
 }
 
-func newJob(id, queue string, comes jobs.JobState, program jobsworker.Program, steps ...Step) Job {
+func newJob(id, queue string, wantState jobs.JobState, program jobsworker.Program, steps ...Step) Job {
 	payload, err := json.Marshal(program)
 	if err != nil {
 		panic("a program of numbers always encodes: " + err.Error())
 	}
-	return Job{ID: id, Queue: queue, Payload: string(payload), Steps: steps, Comes: comes, Program: program}
+	return Job{ID: id, Queue: queue, Payload: string(payload), Steps: steps, WantState: wantState, Program: program}
 }
 
-// Bulk is the low-priority work that fills the workers and saves its progress: more urgent work preempts it.
-func Bulk(workers int) Job {
+// BulkJob is the low-priority work that fills the workers and saves its progress: more urgent work preempts it.
+func BulkJob(workers int) Job {
 	step := Step{Tasks: 4 * workers, MilliCPU: 1000, MemoryMB: 64, Estimate: "4s", Checkpoints: true}
 	return newJob("bulk", Normal, jobs.Succeeded, jobsworker.Program{MS: 4000, SaveMS: 100}, step)
 }
 
-// Lasting is a job that runs until it is cancelled.
-func Lasting() Job {
-	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, small(1).with(func(s *Step) { s.Lasting = true }))
+// LongRunning is a job that runs until it is cancelled.
+func LongRunning() Job {
+	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, smallStep(1).with(func(s *Step) { s.LongRunning = true }))
 }
 
-// Mix gives jobs of every kind that ends by itself; first is when the timed one is due.
-func Mix(first time.Time) []Job {
+// MixedJobs gives jobs of every kind that ends by itself; first is when the timed one is due.
+func MixedJobs(first time.Time) []Job {
 	quick := jobsworker.Program{MS: 60}
-	timed := newJob("timed", Urgent, jobs.Succeeded, quick, small(2))
+	timed := newJob("timed", Urgent, jobs.Succeeded, quick, smallStep(2))
 	timed.Times = &Times{First: first.UTC(), Every: "400ms", Rounds: 3}
 	return []Job{
-		newJob("plain", Normal, jobs.Succeeded, quick, small(10)),
-		newJob("chain", Urgent, jobs.Succeeded, quick, small(4),
-			small(3).with(func(s *Step) { s.After = []int{0} }), small(2).with(func(s *Step) { s.After = []int{0, 1} })),
-		newJob("gang", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, small(4).with(func(s *Step) { s.Gang, s.OneRack = true, true })),
-		newJob("gang-retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 100, Fails: 1}, small(3).with(func(s *Step) { s.Gang = true })),
-		newJob("speculative", Urgent, jobs.Succeeded, quick, small(3).with(func(s *Step) { s.Speculative = true })),
-		newJob("labelled", Urgent, jobs.Succeeded, quick, small(4).with(func(s *Step) { s.Label = "ssd" })),
-		newJob("gpu", Urgent, jobs.Succeeded, quick, small(3).with(func(s *Step) { s.GPUs = 1 })),
-		newJob("near", Urgent, jobs.Succeeded, quick, small(3).with(func(s *Step) { s.Near = "r2" })),
-		newJob("apart", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, small(3).with(func(s *Step) { s.MostPerWorker = 1 })),
-		newJob("retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 60, Fails: Attempts - 1}, small(1)),
-		newJob("hopeless", Urgent, jobs.Failed, jobsworker.Program{MS: 60, Fails: 1000}, small(1)),
+		newJob("plain", Normal, jobs.Succeeded, quick, smallStep(10)),
+		newJob("chain", Urgent, jobs.Succeeded, quick, smallStep(4),
+			smallStep(3).with(func(s *Step) { s.After = []int{0} }), smallStep(2).with(func(s *Step) { s.After = []int{0, 1} })),
+		newJob("gang", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, smallStep(4).with(func(s *Step) { s.Gang, s.OneRack = true, true })),
+		newJob("gang-retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 100, Fails: 1}, smallStep(3).with(func(s *Step) { s.Gang = true })),
+		newJob("speculative", Urgent, jobs.Succeeded, quick, smallStep(3).with(func(s *Step) { s.Speculative = true })),
+		newJob("labelled", Urgent, jobs.Succeeded, quick, smallStep(4).with(func(s *Step) { s.Label = "ssd" })),
+		newJob("gpu", Urgent, jobs.Succeeded, quick, smallStep(3).with(func(s *Step) { s.GPUs = 1 })),
+		newJob("near", Urgent, jobs.Succeeded, quick, smallStep(3).with(func(s *Step) { s.Near = "r2" })),
+		newJob("apart", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, smallStep(3).with(func(s *Step) { s.MostPerWorker = 1 })),
+		newJob("retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 60, Fails: Attempts - 1}, smallStep(1)),
+		newJob("hopeless", Urgent, jobs.Failed, jobsworker.Program{MS: 60, Fails: 1000}, smallStep(1)),
 		timed,
 	}
 }
 
-// Numbered gives small jobs with IDs of a common beginning.
-func Numbered(prefix string, count int) []Job {
+// NumberedJobs gives small jobs with IDs of a common beginning.
+func NumberedJobs(prefix string, count int) []Job {
 	var out []Job
 	for i := range count {
-		out = append(out, newJob(fmt.Sprintf("%s-%d", prefix, i), Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, small(2)))
+		out = append(out, newJob(fmt.Sprintf("%s-%d", prefix, i), Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, smallStep(2)))
 	}
 	return out
 }
--- a/internal/testbed/endtoend/processes_test.go
+++ b/internal/testbed/endtoend/processes_test.go
@@ -16,40 +16,40 @@
 func TestPlan(t *testing.T) {
 	Convey("A plan's settings are taken by the daemons, and every process has a line", t, func() {
 		dir := t.TempDir()
-		plan, err := MakePlan(dir, "/bin/of", Size{Cplanes: 3, Dplanes: 2, Workers: 4})
+		plan, err := NewPlan(dir, "/bin/of", Size{ControlPlanes: 3, DataPlanes: 2, Workers: 4})
 		So(err, ShouldBeNil)
 		var names []string
-		for _, line := range plan.Lines {
+		for _, line := range plan.CommandLines {
 			names = append(names, line.Name)
 			settings := filepath.Join(dir, "settings", line.Name+".json")
 			switch filepath.Base(line.Args[0]) {
 			case "crosstide-controlplane":
 				set, err := config.LoadJobsControlPlane(settings)
 				So(err, ShouldBeNil)
-				So(slices.Contains(plan.Control, set.Control), ShouldBeTrue)
-				So([]any{plan.Inner[set.Addr], len(set.Members)}, ShouldResemble, []any{line.Name, 3})
+				So(slices.Contains(plan.ControlAddrs, set.Control), ShouldBeTrue)
+				So([]any{plan.NamesByAddr[set.Addr], len(set.Members)}, ShouldResemble, []any{line.Name, 3})
 			case "crosstide-dataplane":
 				set, err := config.LoadJobsDataPlane(settings)
 				So(err, ShouldBeNil)
-				So(slices.Contains(plan.Fronts, set.Addr), ShouldBeTrue)
+				So(slices.Contains(plan.FrontAddrs, set.Addr), ShouldBeTrue)
 			}
 		}
 		So(names, ShouldResemble, []string{"c1", "c2", "c3", "d1", "d2", "w1", "w2", "w3", "w4"})
-		_, err = MakePlan(dir, "/bin/of", Size{Cplanes: 3, Dplanes: 2, Workers: 4})
+		_, err = NewPlan(dir, "/bin/of", Size{ControlPlanes: 3, DataPlanes: 2, Workers: 4})
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
-		_, err = MakePlan(t.TempDir(), "/bin/of", Size{Cplanes: 3, Dplanes: 2, Workers: 3})
+		_, err = NewPlan(t.TempDir(), "/bin/of", Size{ControlPlanes: 3, DataPlanes: 2, Workers: 3})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 	})
 }
 
 func TestProcesses(t *testing.T) {
 	Convey("Processes are started, signalled, waited for, started again and stopped", t, func() {
-		plan := Plan{Dir: t.TempDir(), Lines: []Line{{Name: "a", Args: []string{"/bin/sleep", "1000"}}}}
+		plan := Plan{Dir: t.TempDir(), CommandLines: []CommandLine{{Name: "a", Args: []string{"/bin/sleep", "1000"}}}}
 		_, err := Start(plan)
 		So(errs.KindOf(err), ShouldEqual, errs.Disk) // there is no folder for logs
-		plan, err = MakePlan(t.TempDir(), "/bin/of", Size{Cplanes: 1, Dplanes: 1, Workers: 4})
+		plan, err = NewPlan(t.TempDir(), "/bin/of", Size{ControlPlanes: 1, DataPlanes: 1, Workers: 4})
 		So(err, ShouldBeNil)
-		plan.Lines = []Line{{Name: "a", Args: []string{"/bin/sleep", "1000"}}}
+		plan.CommandLines = []CommandLine{{Name: "a", Args: []string{"/bin/sleep", "1000"}}}
 		processes, err := Start(plan)
 		So(err, ShouldBeNil)
 		defer processes.Stop()
@@ -59,8 +59,8 @@
 		So(processes.Signal("a", syscall.SIGKILL), ShouldBeNil)
 		So(processes.Wait(ctx, "a"), ShouldBeTrue)
 		So(processes.Launch("a"), ShouldBeNil)
-		over, cancel := context.WithCancel(ctx)
+		elapsed, cancel := context.WithCancel(ctx)
 		cancel()
-		So(processes.Wait(over, "a"), ShouldBeFalse)
+		So(processes.Wait(elapsed, "a"), ShouldBeFalse)
 	})
 }
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -28,7 +28,7 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// small system: one core node, one front node and workers, all in this process on loopback.
+// smallStep system: one core node, one front node and workers, all in this process on loopback.
 type testSystem struct {
 	client  *Client
 	workers []*jobsworker.Host
@@ -42,7 +42,7 @@
 func local(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
 func startSystem(dir string, shapes []Shape) *testSystem {
-	ports, err := fleet.Ports(3)
+	ports, err := fleet.FreePorts(3)
 	So(err, ShouldBeNil)
 	inner, control, front := local(ports[0]), local(ports[1]), local(ports[2])
 	set := config.DefaultControlPlane()
@@ -61,7 +61,7 @@
 			opened, err := store.OpenWhenDiskHasSpace(ctx, opt)
 			return opened, errs.Pass(err, "store")
 		},
-		Workers:      func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
+		Workers:      func(leases, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(leases, starts, 0) },
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
@@ -81,7 +81,7 @@
 
 func (s *testSystem) startWorker(shape Shape, control string) {
 	settings := shape.settings("127.0.0.1:0", []string{control}, filepath.Join(s.dir, "journal", shape.Name+".jsonl"))
-	settings.Every, settings.Grace = 200*time.Millisecond, time.Second
+	settings.HeartbeatInterval, settings.Grace = 200*time.Millisecond, time.Second
 	host, err := jobsworker.Open(settings, clock.Real{}, log.NewNopLogger())
 	So(err, ShouldBeNil)
 	ctx, stop := context.WithCancel(context.Background())
@@ -99,14 +99,14 @@
 		if len(view.Steps) > 0 && view.Steps[0].Running == tasks {
 			return nil
 		}
-		if !s.client.pause(ctx) {
+		if !s.client.sleep(ctx) {
 			return errs.New(errs.Timeout, "%s does not run", id)
 		}
 	}
 }
 
 // close ends the workers, then the nodes, and audits.
-func (s *testSystem) close(accepted []Job, closed ...Closure) Report {
+func (s *testSystem) close(accepted []Job, evacuations ...Evacuation) Report {
 	for _, stop := range s.stop {
 		stop()
 	}
@@ -115,7 +115,7 @@
 	s.caller.Close()
 	events, err := Events(s.dir)
 	So(err, ShouldBeNil)
-	report, err := Audit(accepted, closed, events)
+	report, err := Audit(accepted, evacuations, events)
 	So(err, ShouldBeNil)
 	return report
 }
@@ -129,7 +129,7 @@
 
 		So(client.Configure(ctx, http.MethodPut, Configuration(0)), ShouldBeNil)
 		So(client.Configure(ctx, http.MethodPut, Configuration(0)), ShouldBeNil) // the same order again
-		other := Configuration(0).(putOrder)
+		other := Configuration(0).(configOrder)
 		other.Queues = other.Queues[:1]
 		So(errs.KindOf(client.Configure(ctx, http.MethodPut, other)), ShouldEqual, errs.Stale)
 		patch := map[string]any{"base": 1, "remove": map[string]any{"queues": []string{"none"}}}
@@ -137,7 +137,7 @@
 		read, err := client.Config(ctx)
 		So([]any{read.Version, len(read.Queues), err}, ShouldResemble, []any{uint64(2), 2, nil})
 
-		accepted := append(Mix(clock.Real{}.Wall().Add(500*time.Millisecond)), Lasting())
+		accepted := append(MixedJobs(clock.Real{}.Wall().Add(500*time.Millisecond)), LongRunning())
 		for _, job := range accepted {
 			So(client.Submit(ctx, job), ShouldBeNil)
 			So(client.Submit(ctx, job), ShouldBeNil) // it is the same job
@@ -146,30 +146,30 @@
 		changed.Payload = `{"ms":1}`
 		So(errs.KindOf(client.Submit(ctx, changed)), ShouldEqual, errs.Conflict)
 		for _, job := range accepted {
-			if job.Comes != jobs.Cancelled {
-				So(client.Until(ctx, job.ID, job.Comes), ShouldBeNil)
+			if job.WantState != jobs.Cancelled {
+				So(client.AwaitState(ctx, job.ID, job.WantState), ShouldBeNil)
 			}
 		}
-		So(client.Until(ctx, "lasting", jobs.Running), ShouldBeNil)
+		So(client.AwaitState(ctx, "lasting", jobs.Running), ShouldBeNil)
 		So(client.Cancel(ctx, "lasting"), ShouldBeNil)
-		So(client.Until(ctx, "lasting", jobs.Cancelled), ShouldBeNil)
+		So(client.AwaitState(ctx, "lasting", jobs.Cancelled), ShouldBeNil)
 
 		// An evacuated zone gets nothing; once it is restored, its label finds a worker again.
 		So(client.Zone(ctx, "z1", "evacuate"), ShouldBeNil)
-		closure := Closure{Zone: "z1", From: clock.Real{}.Wall()}
-		labelled := newJob("waits", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, small(1).with(func(s *Step) { s.Label = "z1-only" }))
+		evacuation := Evacuation{Zone: "z1", From: clock.Real{}.Wall()}
+		labelled := newJob("waits", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, smallStep(1).with(func(s *Step) { s.Label = "z1-only" }))
 		So(client.Submit(ctx, labelled), ShouldBeNil)
-		free := newJob("elsewhere", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, small(6))
+		free := newJob("elsewhere", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, smallStep(6))
 		So(client.Submit(ctx, free), ShouldBeNil)
-		So(client.Until(ctx, free.ID, jobs.Succeeded), ShouldBeNil)
+		So(client.AwaitState(ctx, free.ID, jobs.Succeeded), ShouldBeNil)
 		view, err := client.Show(ctx, labelled.ID)
 		So([]any{view.State, err}, ShouldResemble, []any{jobs.Queued, nil})
-		closure.To = clock.Real{}.Wall()
+		evacuation.To = clock.Real{}.Wall()
 		So(client.Zone(ctx, "z1", "restore"), ShouldBeNil)
-		So(client.Until(ctx, labelled.ID, jobs.Succeeded), ShouldBeNil)
+		So(client.AwaitState(ctx, labelled.ID, jobs.Succeeded), ShouldBeNil)
 
-		report := s.close(append(accepted, labelled, free), closure)
-		So(report.Wrong, ShouldBeEmpty)
+		report := s.close(append(accepted, labelled, free), evacuation)
+		So(report.Violations, ShouldBeEmpty)
 		// A job is given up at its last attempt, exactly. A run that was to fail may be stopped before it does, when its
 		// start gets no answer in time; what runs on in its place then has a higher number. No run fails that was not to.
 		So(report.Failed["hopeless"], ShouldEqual, Attempts)
@@ -189,13 +189,13 @@
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)
 		urgent := newJob("urgent", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
 		So(s.client.Submit(ctx, urgent), ShouldBeNil)
-		So(s.client.Until(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no room but that of the slow one
-		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)      // and it has it back
+		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no room but that of the slow one
+		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)           // and it has it back
 		s.stop[0]()
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks/2), ShouldBeNil)
 		So(s.client.Cancel(ctx, slow.ID), ShouldBeNil)
 		report := s.close([]Job{slow, urgent})
-		So(report.Wrong, ShouldBeEmpty)
+		So(report.Violations, ShouldBeEmpty)
 		So(report.Ends[jobs.EndStopped], ShouldBeGreaterThanOrEqualTo, whole.Tasks+2)
 		So(report.Ends[jobs.EndDone], ShouldEqual, 2)
 	})
--- a/internal/testbed/endtoend/shape.go
+++ b/internal/testbed/endtoend/shape.go
@@ -40,7 +40,7 @@
 // settings are those of the shape's process.
 func (s Shape) settings(address string, core []string, journal string) jobsworker.Settings {
 	return jobsworker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack, Labels: s.Labels,
-		Capacity: s.Capacity, Core: core, Journal: journal}
+		Capacity: s.Capacity, ControlAddrs: core, Journal: journal}
 }
 
 // Events reads the journals of the workers in DIR/journal.
--- a/internal/testbed/fleet/call.go
+++ b/internal/testbed/fleet/call.go
@@ -19,16 +19,16 @@
 
 // Reply is an answer over HTTP, whatever its status.
 type Reply struct {
-	Status int
-	After  time.Duration // of Retry-After, 0 without one
-	Body   []byte
+	Status     int
+	RetryAfter time.Duration // of Retry-After, 0 without one
+	Body       []byte
 }
 
-// Good reports whether the status is 2xx.
-func (r Reply) Good() bool { return r.Status >= 200 && r.Status < 300 }
+// IsSuccess reports whether the status is 2xx.
+func (r Reply) IsSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
-// Kind is the fault kind in the body; without one it is "status N".
-func (r Reply) Kind() string {
+// ErrorKind is the fault kind in the body; without one it is "status N".
+func (r Reply) ErrorKind() string {
 	var f errs.Error
 	if json.Unmarshal(r.Body, &f) == nil && f.Kind != "" {
 		return string(f.Kind)
@@ -53,7 +53,7 @@
 // a Reply. Faults: Internal (in is no JSON), Timeout (no whole answer: what was asked may have happened). Example:
 //
 //	reply, err := caller.Call(ctx, http.MethodGet, jobsnode.Addr, "/v1/who", nil, time.Second)
-func (c *Caller) Call(ctx context.Context, method, addr, path string, in any, bound time.Duration) (Reply, error) {
+func (c *Caller) Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (Reply, error) {
 	var body []byte
 	if in != nil {
 		var err error
@@ -61,13 +61,13 @@
 			return Reply{}, errs.Wrap(err, errs.Internal, "body for %s", path)
 		}
 	}
-	reply, err := c.Send(ctx, method, addr, path, body, bound)
+	reply, err := c.Send(ctx, method, addr, path, body, timeout)
 	return reply, errs.Pass(err, "call")
 }
 
 // Send is Call with the bytes of the body as they are, JSON or not.
-func (c *Caller) Send(ctx context.Context, method, addr, path string, body []byte, bound time.Duration) (Reply, error) {
-	ctx, stop := context.WithTimeout(ctx, bound)
+func (c *Caller) Send(ctx context.Context, method, addr, path string, body []byte, timeout time.Duration) (Reply, error) {
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 	out := Reply{Status: resp.StatusCode, Body: data}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		out.After = time.Duration(s * float64(time.Second))
+		out.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	return out, nil
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -40,20 +40,20 @@
 
 // Nodes is DIR/nodes.json.
 type Nodes struct {
-	CPlanes []Node `json:"cplanes"`
-	DPlanes []Node `json:"dplanes"`
-	Minions []Node `json:"minions"`
-	Link    string `json:"link,omitempty"` // where the process of the faulty links takes orders
+	ControlPlanes []Node `json:"cplanes"`
+	DataPlanes    []Node `json:"dplanes"`
+	Workers       []Node `json:"minions"`
+	ProxyAddr     string `json:"link,omitempty"` // where the process of the faulty links takes orders
 }
 
 // All returns every node.
 func (n Nodes) All() []Node {
-	out := make([]Node, 0, len(n.CPlanes)+len(n.DPlanes)+len(n.Minions))
-	return append(append(append(out, n.CPlanes...), n.DPlanes...), n.Minions...)
+	out := make([]Node, 0, len(n.ControlPlanes)+len(n.DataPlanes)+len(n.Workers))
+	return append(append(append(out, n.ControlPlanes...), n.DataPlanes...), n.Workers...)
 }
 
-// Zone returns the names of all processes in a zone.
-func (n Nodes) Zone(zone string) []string {
+// ProcessesInZone returns the names of all processes in a zone.
+func (n Nodes) ProcessesInZone(zone string) []string {
 	var out []string
 	for _, node := range n.All() {
 		if name := node.Process(); node.Zone == zone && !slices.Contains(out, name) {
@@ -75,8 +75,8 @@
 	return out, errs.Wrap(json.Unmarshal(data, &out), errs.Malformed, "nodes.json")
 }
 
-// Pids reads DIR/pids: pid by name. Faults: Disk, Malformed.
-func Pids(dir string) (map[string]int, error) {
+// PIDs reads DIR/pids: pid by name. Faults: Disk, Malformed.
+func PIDs(dir string) (map[string]int, error) {
 	data, err := os.ReadFile(filepath.Join(dir, "pids"))
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "pids of the fleet")
@@ -98,17 +98,17 @@
 
 // Signal sends a signal to the named process of the fleet, if the pid still is that process. Faults: as of Pid.
 func Signal(dir, name string, sig unix.Signal) error {
-	pid, err := Pid(dir, name)
+	pid, err := PID(dir, name)
 	if err != nil {
 		return errs.Pass(err, "signal %s", name)
 	}
 	return errs.Wrap(unix.Kill(pid, sig), errs.Unknown, "signal %s, pid %d", name, pid)
 }
 
-// Pid returns the pid of a node that runs: the process with the pid of DIR/pids must have the command line of
+// PID returns the pid of a node that runs: the process with the pid of DIR/pids must have the command line of
 // DIR/start. Faults: Disk, Malformed, Unknown (no such process any more).
-func Pid(dir, name string) (int, error) {
-	pids, err := Pids(dir)
+func PID(dir, name string) (int, error) {
+	pids, err := PIDs(dir)
 	if err != nil {
 		return 0, errs.Pass(err, "pid of %s", name)
 	}
@@ -131,25 +131,25 @@
 	return pid, nil
 }
 
-// Holders is the answer of GET /v1/who.
-type Holders struct {
-	Store string `json:"store"`
-	Sched string `json:"sched"`
+// Leaders is the answer of GET /v1/who.
+type Leaders struct {
+	Store     string `json:"store"`
+	Scheduler string `json:"sched"`
 }
 
-// Who asks the cplanes in turn and takes the first answer that names both holders, else the best one.
+// FindLeaders asks the cplanes in turn and takes the first answer that names both holders, else the best one.
 // Failure: Unavailable, if none answers.
-func Who(ctx context.Context, c *Caller, n Nodes) (Holders, error) {
-	var best Holders
+func FindLeaders(ctx context.Context, c *Caller, n Nodes) (Leaders, error) {
+	var best Leaders
 	err := errs.New(errs.Unavailable, "no cplane tells who leads")
-	for _, node := range n.CPlanes {
+	for _, node := range n.ControlPlanes {
 		reply, fail := c.Call(ctx, http.MethodGet, node.Addr, "/v1/who", nil, 2*time.Second)
-		var got Holders
-		if fail != nil || !reply.Good() || json.Unmarshal(reply.Body, &got) != nil {
+		var got Leaders
+		if fail != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &got) != nil {
 			continue
 		}
 		got.Store, _, _ = strings.Cut(got.Store, "~") // a repaired cplane's id is NAME~INCARNATION
-		if got.Store != "" && got.Sched != "" {
+		if got.Store != "" && got.Scheduler != "" {
 			return got, nil
 		}
 		best, err = got, nil
@@ -157,36 +157,36 @@
 	return best, err
 }
 
-// Late names what is not ready: cplanes and dplanes whose /readyz is not 200, minions without a boot in the store.
-func Late(ctx context.Context, c *Caller, n Nodes) []string {
-	var late []string
-	booted := map[string]bool{}
-	for _, node := range append(append([]Node{}, n.CPlanes...), n.DPlanes...) {
-		if reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/readyz", nil, time.Second); err != nil || !reply.Good() {
-			late = append(late, node.Name)
+// NotReady names what is not ready: cplanes and dplanes whose /readyz is not 200, minions without a boot in the store.
+func NotReady(ctx context.Context, c *Caller, n Nodes) []string {
+	var notReady []string
+	started := map[string]bool{}
+	for _, node := range append(append([]Node{}, n.ControlPlanes...), n.DataPlanes...) {
+		if reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/readyz", nil, time.Second); err != nil || !reply.IsSuccess() {
+			notReady = append(notReady, node.Name)
 		}
 	}
-	for _, node := range n.CPlanes {
+	for _, node := range n.ControlPlanes {
 		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/v1/minions", nil, 2*time.Second)
-		if err == nil && reply.Good() {
-			booted = boots(reply.Body)
+		if err == nil && reply.IsSuccess() {
+			started = parseIncarnations(reply.Body)
 			break
 		}
 	}
-	for _, node := range n.Minions {
-		if !booted[node.Name] {
-			late = append(late, node.Name)
+	for _, node := range n.Workers {
+		if !started[node.Name] {
+			notReady = append(notReady, node.Name)
 		}
 	}
-	return late
+	return notReady
 }
 
-// boots reads the answer of GET /v1/minions, a list or an object with the list under "minions".
-func boots(body []byte) map[string]bool {
-	type minion struct{ Name, Boot string }
-	var list []minion
+// parseIncarnations reads the answer of GET /v1/minions, a list or an object with the list under "minions".
+func parseIncarnations(body []byte) map[string]bool {
+	type workerView struct{ Name, Boot string }
+	var list []workerView
 	if json.Unmarshal(body, &list) != nil {
-		var page struct{ Minions []minion }
+		var page struct{ Minions []workerView }
 		if json.Unmarshal(body, &page) == nil {
 			list = page.Minions
 		}
--- a/internal/testbed/fleet/scrape.go
+++ b/internal/testbed/fleet/scrape.go
@@ -13,12 +13,12 @@
 	"crosstide/internal/errs"
 )
 
-// Figures are a node's metrics: by name, and by name{label="value",…} with the labels in order of their names. A
+// Metrics are a node's metrics: by name, and by name{label="value",…} with the labels in order of their names. A
 // histogram or summary gives name_sum and name_count.
-type Figures map[string]float64
+type Metrics map[string]float64
 
 // Sum adds up all series of a name whose labels contain every one of parts.
-func (f Figures) Sum(name string, parts ...string) float64 {
+func (f Metrics) Sum(name string, parts ...string) float64 {
 	total := 0.0
 next:
 	for key, v := range f {
@@ -40,12 +40,12 @@
 //
 //	now, err := fleet.Scrape(ctx, caller, jobsnode.Addr)
 //	syncs := now.Sum("crosstide_store_sync_seconds_count")
-func Scrape(ctx context.Context, c *Caller, addr string) (Figures, error) {
+func Scrape(ctx context.Context, c *Caller, addr string) (Metrics, error) {
 	reply, err := c.Call(ctx, http.MethodGet, addr, "/metrics", nil, 5*time.Second)
 	if err != nil {
 		return nil, errs.Pass(err, "metrics of %s", addr)
 	}
-	if !reply.Good() {
+	if !reply.IsSuccess() {
 		return nil, errs.New(errs.Malformed, "metrics of %s: status %d", addr, reply.Status)
 	}
 	parser := expfmt.NewTextParser(model.LegacyValidation)
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Malformed, "metrics of %s", addr)
 	}
-	out := Figures{}
+	out := Metrics{}
 	for name, family := range families {
 		for _, m := range family.GetMetric() {
 			labels := ""
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -23,10 +23,10 @@
 
 // What an Event tells.
 const (
-	EventBorn   = "born"   // the worker's life began
-	EventStart  = "start"  // a run began
-	EventRefuse = "refuse" // a start was refused; Why tells the reason
-	EventEnd    = "end"    // a run ended; Why tells how
+	EventWorkerStart = "born"   // the worker's life began
+	EventRunStart    = "start"  // a run began
+	EventRunRefuse   = "refuse" // a start was refused; Why tells the reason
+	EventRunEnd      = "end"    // a run ended; Why tells how
 )
 
 // Event is what a worker did, as its journal keeps it.
@@ -36,7 +36,7 @@
 	Worker     string         `json:"worker"`
 	Run        workerapi.Run  `json:"run,omitzero"`
 	Token      uint64         `json:"token,omitempty"`
-	Why        string         `json:"why,omitempty"`
+	Reason     string         `json:"why,omitempty"`
 	Checkpoint string         `json:"checkpoint,omitempty"`
 	Payload    string         `json:"payload,omitempty"`
 	Needs      jobs.Resources `json:"needs,omitzero"`
@@ -45,22 +45,22 @@
 	Labels     []string       `json:"labels,omitempty"`
 }
 
-// mostEnds is how many ends one answer lists.
-const mostEnds = 200
+// maxEndsPerAnswer is how many ends one answer lists.
+const maxEndsPerAnswer = 200
 
-// Core is one life of a worker, without a clock or a network of its own. Every method takes the time on the worker's
+// ControlAddrs is one life of a worker, without a clock or a network of its own. Every method takes the time on the worker's
 // clock, which must not go back. It has no lock: its owner has.
 type Core struct {
-	id       string
-	capacity jobs.Resources
-	draining bool
-	token    uint64        // highest fencing token seen
-	lease    time.Duration // end of the lease of all that runs
-	runs     []*run        // in the order they began
-	ends     []workerapi.EndedRun
-	sequence uint64               // of the newest end
-	floor    map[jobs.TaskRef]int // newest run of a task that was stopped or has ended
-	record   func(Event)
+	id             string
+	capacity       jobs.Resources
+	draining       bool
+	token          uint64        // highest fencing token seen
+	leaseDeadline  time.Duration // end of the lease of all that runs
+	runs           []*run        // in the order they began
+	unacknowledged []workerapi.EndedRun
+	endSequence    uint64               // of the newest end
+	closedUpTo     map[jobs.TaskRef]int // newest run of a task that was stopped or has ended
+	record         func(Event)
 }
 
 // run is a run that is not over.
@@ -74,31 +74,31 @@
 
 // NewCore makes a worker's life; record is told of all that it does.
 func NewCore(id string, capacity jobs.Resources, record func(Event)) *Core {
-	return &Core{id: id, capacity: capacity, floor: map[jobs.TaskRef]int{}, record: record}
+	return &Core{id: id, capacity: capacity, closedUpTo: map[jobs.TaskRef]int{}, record: record}
 }
 
 // Drain makes the worker refuse all starts from here on.
 func (c *Core) Drain() { c.draining = true }
 
-// Idle tells whether nothing runs and all ends were acknowledged.
-func (c *Core) Idle() bool { return len(c.runs) == 0 && len(c.ends) == 0 }
+// IsIdle tells whether nothing runs and all ends were acknowledged.
+func (c *Core) IsIdle() bool { return len(c.runs) == 0 && len(c.unacknowledged) == 0 }
 
-// Next gives when Advance is to be called at the latest; false if nothing runs.
-func (c *Core) Next() (time.Duration, bool) {
+// NextDeadline gives when Advance is to be called at the latest; false if nothing runs.
+func (c *Core) NextDeadline() (time.Duration, bool) {
 	if len(c.runs) == 0 {
 		return 0, false
 	}
-	next := c.lease
+	next := c.leaseDeadline
 	for _, r := range c.runs {
-		if due, ends := r.due(); ends {
+		if due, ends := r.endsAt(); ends {
 			next = min(next, due)
 		}
 	}
 	return next, true
 }
 
-// due is when a run ends by itself; false if it does not.
-func (r *run) due() (time.Duration, bool) {
+// endsAt is when a run ends by itself; false if it does not.
+func (r *run) endsAt() (time.Duration, bool) {
 	return r.began - r.resumed + time.Duration(r.program.MS)*time.Millisecond, r.program.MS >= 0
 }
 
@@ -107,12 +107,12 @@
 func (c *Core) Advance(now time.Duration) bool {
 	ended := false
 	for _, r := range slices.Clone(c.runs) {
-		due, ends := r.due()
+		due, ends := r.endsAt()
 		switch {
-		case ends && due <= now && due < c.lease:
+		case ends && due <= now && due < c.leaseDeadline:
 			c.end(r, due, r.outcome())
-		case now >= c.lease:
-			c.end(r, c.lease, jobs.EndLeaseExpired)
+		case now >= c.leaseDeadline:
+			c.end(r, c.leaseDeadline, jobs.EndLeaseExpired)
 		default:
 			continue
 		}
@@ -135,11 +135,11 @@
 	if save <= 0 {
 		return ""
 	}
-	saved := (now - r.began + r.resumed) / save * save
-	if saved <= 0 {
+	parseCheckpoint := (now - r.began + r.resumed) / save * save
+	if parseCheckpoint <= 0 {
 		return ""
 	}
-	return strconv.FormatInt(saved.Milliseconds(), 10)
+	return strconv.FormatInt(parseCheckpoint.Milliseconds(), 10)
 }
 
 // percent is how much of a run is done.
@@ -150,20 +150,22 @@
 	return min(100, int(100*(now-r.began+r.resumed)/(time.Duration(r.program.MS)*time.Millisecond)))
 }
 
-func (c *Core) end(r *run, at time.Duration, how jobs.EndReason) {
+func (c *Core) end(r *run, at time.Duration, reason jobs.EndReason) {
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
-	c.raise(r.key)
-	c.sequence++
-	ended := workerapi.EndedRun{Sequence: c.sequence, Run: workerapi.RunOf(r.key), EndReason: how, Checkpoint: r.checkpoint(at)}
-	c.ends = append(c.ends, ended)
-	c.record(Event{Event: EventEnd, Worker: c.id, Run: ended.Run, Why: string(how), Checkpoint: ended.Checkpoint})
+	c.closeUpTo(r.key)
+	c.endSequence++
+	ended := workerapi.EndedRun{Sequence: c.endSequence, Run: workerapi.RunOf(r.key), EndReason: reason, Checkpoint: r.checkpoint(at)}
+	c.unacknowledged = append(c.unacknowledged, ended)
+	c.record(Event{Event: EventRunEnd, Worker: c.id, Run: ended.Run, Reason: string(reason), Checkpoint: ended.Checkpoint})
 }
 
-// raise makes a run, and all before it of the same task, impossible to start.
-func (c *Core) raise(key jobs.RunKey) { c.floor[key.Task] = max(c.floor[key.Task], key.Number) }
+// closeUpTo makes a run, and all before it of the same task, impossible to start.
+func (c *Core) closeUpTo(key jobs.RunKey) {
+	c.closedUpTo[key.Task] = max(c.closedUpTo[key.Task], key.Number)
+}
 
-// fenced tells whether a call is under a lower token than one seen before.
-func (c *Core) fenced(token uint64) bool {
+// observeToken tells whether a call is under a lower token than one seen before.
+func (c *Core) observeToken(token uint64) bool {
 	if token < c.token {
 		return true
 	}
@@ -171,7 +173,7 @@
 	return false
 }
 
-func (c *Core) checkName(worker string) error {
+func (c *Core) checkWorker(worker string) error {
 	if worker != c.id {
 		return errs.Field(errs.Unknown, "worker", "%q is not here, %q is", worker, c.id)
 	}
@@ -180,31 +182,31 @@
 
 // Start carries a start order out. Failure: Unknown: another life is meant.
 func (c *Core) Start(now time.Duration, call workerapi.StartCall) (workerapi.StartAnswer, error) {
-	if err := c.checkName(call.Worker); err != nil {
+	if err := c.checkWorker(call.Worker); err != nil {
 		return workerapi.StartAnswer{}, errs.Pass(err, "start")
 	}
 	c.Advance(now)
 	refused := c.start(now, call)
 	if refused != "" {
-		c.record(Event{Event: EventRefuse, Worker: c.id, Run: call.Run, Token: call.Token, Why: string(refused)})
+		c.record(Event{Event: EventRunRefuse, Worker: c.id, Run: call.Run, Token: call.Token, Reason: string(refused)})
 	}
 	return workerapi.StartAnswer{Worker: c.id, Clock: now, Refused: refused}, nil
 }
 
 func (c *Core) start(now time.Duration, call workerapi.StartCall) scheduler.Refusal {
 	key := call.Run.Key()
-	if c.fenced(call.Token) {
+	if c.observeToken(call.Token) {
 		return scheduler.RefusedFenced
 	}
-	if c.find(key) != nil { // the order came twice
-		c.lease = max(c.lease, call.Deadline)
+	if c.findRun(key) != nil { // the order came twice
+		c.leaseDeadline = max(c.leaseDeadline, call.Deadline)
 		return ""
 	}
 	var program Program
 	switch {
 	case call.Deadline <= now:
 		return scheduler.RefusedExpired
-	case key.Number <= c.floor[key.Task]:
+	case key.Number <= c.closedUpTo[key.Task]:
 		return scheduler.RefusedStale
 	case c.draining:
 		return scheduler.RefusedUnhealthy
@@ -213,15 +215,15 @@
 	case !c.fits(call.Needs.Resources()):
 		return scheduler.RefusedCapacity
 	}
-	c.lease = max(c.lease, call.Deadline)
-	c.runs = append(c.runs, &run{key: key, needs: call.Needs.Resources(), program: program, began: now, resumed: saved(call.Checkpoint)})
-	c.record(Event{Event: EventStart, Worker: c.id, Run: call.Run, Token: call.Token, Checkpoint: call.Checkpoint,
+	c.leaseDeadline = max(c.leaseDeadline, call.Deadline)
+	c.runs = append(c.runs, &run{key: key, needs: call.Needs.Resources(), program: program, began: now, resumed: parseCheckpoint(call.Checkpoint)})
+	c.record(Event{Event: EventRunStart, Worker: c.id, Run: call.Run, Token: call.Token, Checkpoint: call.Checkpoint,
 		Payload: call.Payload, Needs: call.Needs.Resources()})
 	return ""
 }
 
-// saved reads a checkpoint; one that cannot be read is none.
-func saved(checkpoint string) time.Duration {
+// parseCheckpoint reads a checkpoint; one that cannot be read is none.
+func parseCheckpoint(checkpoint string) time.Duration {
 	ms, err := strconv.ParseInt(checkpoint, 10, 32)
 	if err != nil || ms < 0 {
 		return 0
@@ -229,7 +231,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-func (c *Core) find(key jobs.RunKey) *run {
+func (c *Core) findRun(key jobs.RunKey) *run {
 	for _, r := range c.runs {
 		if r.key == key {
 			return r
@@ -254,41 +256,41 @@
 		return workerapi.StopAnswer{}, errs.Pass(err, "stop")
 	}
 	key := call.Run.Key()
-	c.raise(key)
-	if r := c.find(key); r != nil {
+	c.closeUpTo(key)
+	if r := c.findRun(key); r != nil {
 		c.end(r, now, jobs.EndStopped)
 	}
 	return workerapi.StopAnswer{Worker: c.id}, nil
 }
 
 func (c *Core) checkCall(now time.Duration, worker string, token uint64) error {
-	if err := c.checkName(worker); err != nil {
+	if err := c.checkWorker(worker); err != nil {
 		return errs.Pass(err, "call")
 	}
 	c.Advance(now)
-	if c.fenced(token) {
+	if c.observeToken(token) {
 		return errs.Field(errs.Stale, "token", "%d was seen, this is %d", c.token, token)
 	}
 	return nil
 }
 
-// Hold takes a hold call in. The answer is Lists, at once or after a while. Failures: Unknown, Stale: it is fenced.
-func (c *Core) Hold(now time.Duration, call workerapi.RenewLeaseCall) error {
+// RenewLease takes a hold call in. The answer is Lists, at once or after a while. Failures: Unknown, Stale: it is fenced.
+func (c *Core) RenewLease(now time.Duration, call workerapi.RenewLeaseCall) error {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return errs.Pass(err, "hold")
 	}
-	c.ends = slices.DeleteFunc(c.ends, func(e workerapi.EndedRun) bool { return e.Sequence <= call.SeenUpTo })
-	c.lease = max(c.lease, call.Deadline)
+	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e workerapi.EndedRun) bool { return e.Sequence <= call.SeenUpTo })
+	c.leaseDeadline = max(c.leaseDeadline, call.Deadline)
 	return nil
 }
 
-// Lists gives what runs and what has ended.
-func (c *Core) Lists(now time.Duration) workerapi.RenewLeaseAnswer {
-	answer := workerapi.RenewLeaseAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{}, More: len(c.ends) > mostEnds}
+// Status gives what runs and what has ended.
+func (c *Core) Status(now time.Duration) workerapi.RenewLeaseAnswer {
+	answer := workerapi.RenewLeaseAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{}, More: len(c.unacknowledged) > maxEndsPerAnswer}
 	for _, r := range c.runs {
 		answer.Running = append(answer.Running, workerapi.RunningRun{Run: workerapi.RunOf(r.key), Checkpoint: r.checkpoint(now), Percent: r.percent(now)})
 	}
-	answer.Ended = append([]workerapi.EndedRun{}, c.ends[:min(mostEnds, len(c.ends))]...)
+	answer.Ended = append([]workerapi.EndedRun{}, c.unacknowledged[:min(maxEndsPerAnswer, len(c.unacknowledged))]...)
 	return answer
 }
 
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -37,10 +37,10 @@
 	return string(answer.Refused)
 }
 
-// ends gives how the listed runs ended.
+// unacknowledged gives how the listed runs ended.
 func ends(c *Core, now time.Duration) []jobs.EndReason {
 	var out []jobs.EndReason
-	for _, e := range c.Lists(now).Ended {
+	for _, e := range c.Status(now).Ended {
 		out = append(out, e.EndReason)
 	}
 	return out
@@ -85,7 +85,7 @@
 		c, _ := newCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":100,"fails":1}`)), ShouldEqual, "")
 		So(refusal(c, 0, startOf(1, 1, `{"ms":-1}`)), ShouldEqual, "")
-		next, runs := c.Next()
+		next, runs := c.NextDeadline()
 		So([]any{next, runs}, ShouldResemble, []any{100 * ms, true})
 		So(c.Advance(99*ms), ShouldBeFalse)
 		So(c.Advance(100*ms), ShouldBeTrue)
@@ -95,11 +95,11 @@
 		_, err := c.Stop(400*ms, workerapi.StopCall{Worker: "w", Run: runOf(1, 1), Token: 2})
 		So(err, ShouldBeNil)
 		So(ends(c, 400*ms), ShouldResemble, []jobs.EndReason{jobs.EndFailed, jobs.EndDone, jobs.EndStopped})
-		So(c.Hold(400*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, SeenUpTo: 2}), ShouldBeNil)
+		So(c.RenewLease(400*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, SeenUpTo: 2}), ShouldBeNil)
 		So(ends(c, 400*ms), ShouldResemble, []jobs.EndReason{jobs.EndStopped})
-		So(c.Idle(), ShouldBeFalse)
-		So(c.Hold(400*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, SeenUpTo: 3}), ShouldBeNil)
-		So(c.Idle(), ShouldBeTrue)
+		So(c.IsIdle(), ShouldBeFalse)
+		So(c.RenewLease(400*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, SeenUpTo: 3}), ShouldBeNil)
+		So(c.IsIdle(), ShouldBeTrue)
 	})
 	Convey("A stop comes before its start: the run never starts", t, func() {
 		c, _ := newCore()
@@ -113,38 +113,38 @@
 		So(refusal(c, 0, startOf(1, 1, `{"ms":5000,"save_ms":300}`)), ShouldEqual, "")
 		c.Advance(2 * time.Second) // it was frozen
 		So(ends(c, 2*time.Second), ShouldResemble, []jobs.EndReason{jobs.EndDone, jobs.EndLeaseExpired})
-		So(c.Lists(2 * time.Second).Ended[1].Checkpoint, ShouldEqual, "900")
+		So(c.Status(2 * time.Second).Ended[1].Checkpoint, ShouldEqual, "900")
 	})
 	Convey("A hold call renews the lease, a fenced one does nothing", t, func() {
 		c, _ := newCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":-1}`)), ShouldEqual, "")
-		So(c.Hold(900*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 3, Deadline: 3 * time.Second}), ShouldBeNil)
-		err := c.Hold(950*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, Deadline: time.Hour, SeenUpTo: 9})
+		So(c.RenewLease(900*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 3, Deadline: 3 * time.Second}), ShouldBeNil)
+		err := c.RenewLease(950*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, Deadline: time.Hour, SeenUpTo: 9})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		_, err = c.Stop(950*ms, workerapi.StopCall{Worker: "w", Run: runOf(0, 1), Token: 2})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		So(c.Advance(2999*ms), ShouldBeFalse)
 		So(c.Advance(3*time.Second), ShouldBeTrue)
-		So(errs.KindOf(c.Hold(0, workerapi.RenewLeaseCall{Worker: "v"})), ShouldEqual, errs.Unknown)
+		So(errs.KindOf(c.RenewLease(0, workerapi.RenewLeaseCall{Worker: "v"})), ShouldEqual, errs.Unknown)
 	})
 	Convey("A run goes on from its saved progress", t, func() {
 		c, _ := newCore()
 		call := startOf(0, 2, `{"ms":500,"save_ms":100}`)
 		call.Checkpoint = "300"
 		So(refusal(c, 0, call), ShouldEqual, "")
-		listed := c.Lists(100 * ms).Running[0]
+		listed := c.Status(100 * ms).Running[0]
 		So([]any{listed.Checkpoint, listed.Percent}, ShouldResemble, []any{"400", 80})
 		So(c.Advance(200*ms), ShouldBeTrue)
 	})
 	Convey("A worker that goes stops all, and lists no more ends at once than an answer holds", t, func() {
 		c, _ := newCore()
-		for i := range mostEnds + 1 {
+		for i := range maxEndsPerAnswer + 1 {
 			call := startOf(i, 1, `{"ms":-1}`)
 			call.Needs = workerapi.Needs{}
 			So(refusal(c, 0, call), ShouldEqual, "")
 		}
 		c.StopAll(5 * ms)
-		lists := c.Lists(5 * ms)
-		So([]any{len(lists.Running), len(lists.Ended), lists.More}, ShouldResemble, []any{0, mostEnds, true})
+		lists := c.Status(5 * ms)
+		So([]any{len(lists.Running), len(lists.Ended), lists.More}, ShouldResemble, []any{0, maxEndsPerAnswer, true})
 	})
 }
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -27,27 +27,27 @@
 // fakeCore takes heartbeats at two addresses; the first one refuses them.
 type fakeCore struct {
 	jobsapi.Control
-	mu     sync.Mutex
-	beats  []controller.HeartbeatCall
-	leader string
+	mu         sync.Mutex
+	heartbeats []controller.HeartbeatCall
+	leader     string
 }
 
 // Beat keeps a heartbeat.
 func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.beats = append(f.beats, call)
+	f.heartbeats = append(f.heartbeats, call)
 	return controller.HeartbeatAnswer{HeartbeatAddress: f.leader}, nil
 }
 
-// await gives the first heartbeat that is as wanted, once there is one.
+// waitForEnd gives the first heartbeat that is as wanted, once there is one.
 func (f *fakeCore) await(wanted func(controller.HeartbeatCall) bool) controller.HeartbeatCall {
 	for {
 		f.mu.Lock()
-		at := slices.IndexFunc(f.beats, wanted)
+		at := slices.IndexFunc(f.heartbeats, wanted)
 		if at >= 0 {
 			defer f.mu.Unlock()
-			return f.beats[at]
+			return f.heartbeats[at]
 		}
 		f.mu.Unlock()
 		runtime.Gosched()
@@ -72,8 +72,8 @@
 		up := serve(func(s *rpc.Server) { jobsapi.ServeControl(s, core, 0) })
 		core.leader = up.Addr()
 		host, err := Open(Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", Rack: "r", Labels: []string{"l"},
-			Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}, Core: []string{down.Addr(), up.Addr()},
-			Every: 10 * time.Millisecond, Grace: 20 * time.Millisecond, Journal: filepath.Join(t.TempDir(), "w.jsonl")},
+			Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}, ControlAddrs: []string{down.Addr(), up.Addr()},
+			HeartbeatInterval: 10 * time.Millisecond, Grace: 20 * time.Millisecond, Journal: filepath.Join(t.TempDir(), "w.jsonl")},
 			clock.Real{}, log.NewNopLogger())
 		So(err, ShouldBeNil)
 		ctx, leave := context.WithCancel(context.Background())
@@ -88,8 +88,8 @@
 			So(up.Stop(time.Minute), ShouldBeNil)
 		}()
 		first := func(controller.HeartbeatCall) bool { return true }
-		beat := core.await(first)
-		worker := beat.Worker
+		firstHeartbeat := core.await(first)
+		worker := firstHeartbeat.Worker
 		So(worker, ShouldResemble, jobs.Worker{ID: host.ID(), Address: worker.Address, Service: "s", Zone: "z", Rack: "r",
 			Labels: []string{"l"}, Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}})
 		client := workerapi.NewClient(caller, caller, time.Minute)
@@ -123,15 +123,15 @@
 		})
 	})
 	Convey("Settings that are wrong are refused with their field", t, func() {
-		whole := Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", Core: []string{"127.0.0.1:1"}}
+		whole := Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", ControlAddrs: []string{"127.0.0.1:1"}}
 		So(whole.Check(), ShouldBeNil)
 		for field, change := range map[string]func(*Settings){
 			"address": func(s *Settings) { s.Address = "here" }, "name": func(s *Settings) { s.Name = "" },
-			"service": func(s *Settings) { s.Service = "" }, "zone": func(s *Settings) { s.Zone = "" }, "core": func(s *Settings) { s.Core = nil },
+			"service": func(s *Settings) { s.Service = "" }, "zone": func(s *Settings) { s.Zone = "" }, "core": func(s *Settings) { s.ControlAddrs = nil },
 		} {
-			set := whole
-			change(&set)
-			err := set.Check()
+			settings := whole
+			change(&settings)
+			err := settings.Check()
 			So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Settings, field})
 		}
 	})
--- a/internal/testbed/journal/journal.go
+++ b/internal/testbed/journal/journal.go
@@ -17,37 +17,37 @@
 
 // What an Entry of a minion tells.
 const (
-	Boot   = "boot"   // the process began under a new boot id
-	Order  = "order"  // a start order came
-	Start  = "start"  // its run began
-	Refuse = "refuse" // it was refused, Why says for what
-	Stop   = "stop"   // a run was killed on an order, or as the minion left
-	End    = "end"    // a run came to its own end, OK says how
-	Lapse  = "lapse"  // a run was killed (or not begun) as its hold had lapsed
-	Drain  = "drain"  // draining was switched, OK says to what
+	NewIncarnation = "boot"   // the process began under a new boot id
+	Order          = "order"  // a start order came
+	Start          = "start"  // its run began
+	Refuse         = "refuse" // it was refused, Why says for what
+	Stop           = "stop"   // a run was killed on an order, or as the minion left
+	End            = "end"    // a run came to its own end, OK says how
+	Expire         = "lapse"  // a run was killed (or not begun) as its hold had lapsed
+	Drain          = "drain"  // draining was switched, OK says to what
 )
 
 // Entry is one line of a minion's journal.
 type Entry struct {
-	At     int64             `json:"at"` // Unix time in ns, of writing
-	Ev     string            `json:"ev"`
-	Minion string            `json:"minion"`
-	Boot   string            `json:"boot"`
-	Job    string            `json:"job"`
-	Task   int               `json:"task"`
-	RunID  uint64            `json:"ticket"`
-	Epoch  uint64            `json:"epoch"` // of the call that brought the order
-	Type   string            `json:"type"`
-	Zone   string            `json:"zone"`
-	Rack   string            `json:"rack,omitempty"` // boot: of the minion
-	OK     bool              `json:"ok"`
-	Step   string            `json:"step,omitempty"`
-	Queue  string            `json:"queue,omitempty"`
-	Labels map[string]string `json:"labels,omitempty"` // boot: of the minion; else: that the step asks for
-	Cores  int               `json:"cores,omitempty"`  // boot: of the minion; else: of the run
-	GPUs   int               `json:"gpus,omitempty"`
-	Clock  int64             `json:"clock,omitempty"` // the minion's own clock in ns
-	Why    string            `json:"why,omitempty"`
+	At          int64             `json:"at"` // Unix time in ns, of writing
+	Event       string            `json:"ev"`
+	Worker      string            `json:"minion"`
+	Incarnation string            `json:"boot"`
+	Job         string            `json:"job"`
+	Task        int               `json:"task"`
+	RunID       uint64            `json:"ticket"`
+	Epoch       uint64            `json:"epoch"` // of the call that brought the order
+	Type        string            `json:"type"`
+	Zone        string            `json:"zone"`
+	Rack        string            `json:"rack,omitempty"` // boot: of the minion
+	OK          bool              `json:"ok"`
+	Step        string            `json:"step,omitempty"`
+	Queue       string            `json:"queue,omitempty"`
+	Labels      map[string]string `json:"labels,omitempty"` // boot: of the minion; else: that the step asks for
+	Cores       int               `json:"cores,omitempty"`  // boot: of the minion; else: of the run
+	GPUs        int               `json:"gpus,omitempty"`
+	Clock       int64             `json:"clock,omitempty"` // the minion's own clock in ns
+	Reason      string            `json:"why,omitempty"`
 }
 
 // Writer appends to one file. It is the file's only writer; its methods may be called from many goroutines.
@@ -62,7 +62,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "folder of journal %s", path)
 	}
-	whole, err := wholeLines(path)
+	length, err := completeLength(path)
 	if err != nil {
 		return nil, errs.Pass(err, "whole lines")
 	}
@@ -70,14 +70,14 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "open journal %s", path)
 	}
-	if err := file.Truncate(whole); err != nil {
+	if err := file.Truncate(length); err != nil {
 		return nil, errs.Wrap(errors.Join(err, file.Close()), errs.Disk, "cut torn end of journal %s", path)
 	}
 	return &Writer{file: file}, nil
 }
 
-// wholeLines returns the size of path up to its last line end, 0 if there is no such file.
-func wholeLines(path string) (int64, error) {
+// completeLength returns the size of path up to its last line end, 0 if there is no such file.
+func completeLength(path string) (int64, error) {
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, errs.Wrap(err, errs.Disk, "read journal %s", path)
@@ -88,7 +88,7 @@
 // Append writes v, commonly an Entry, as one line by one write(2): a process killed afterwards loses nothing.
 // Faults: Internal (v is no JSON), Disk. Example:
 //
-//	err := w.Append(journal.Entry{At: time.Now().UnixNano(), Ev: journal.Boot, Minion: "m1"})
+//	err := w.Append(journal.Entry{At: time.Now().UnixNano(), Ev: journal.Incarnation, Minion: "m1"})
 func (w *Writer) Append(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -138,14 +138,14 @@
 			return
 		}
 		for _, path := range paths {
-			if !linesOf(path, yield) {
+			if !readLines(path, yield) {
 				return
 			}
 		}
 	}
 }
 
-func linesOf(path string, yield func(Line, error) bool) bool {
+func readLines(path string, yield func(Line, error) bool) bool {
 	line := Line{File: filepath.Base(path)}
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/testbed/journal/journal_test.go
+++ b/internal/testbed/journal/journal_test.go
@@ -30,7 +30,7 @@
 		w, err := Open(path)
 		So(err, ShouldBeNil)
 		for n := range uint64(3) {
-			So(w.Append(Entry{Ev: Start, RunID: n + 1}), ShouldBeNil)
+			So(w.Append(Entry{Event: Start, RunID: n + 1}), ShouldBeNil)
 		}
 		So(w.Close(), ShouldBeNil)
 
@@ -43,7 +43,7 @@
 
 		w, err = Open(path)
 		So(err, ShouldBeNil)
-		So(w.Append(Entry{Ev: Boot, RunID: 4}), ShouldBeNil)
+		So(w.Append(Entry{Event: NewIncarnation, RunID: 4}), ShouldBeNil)
 		So(w.Close(), ShouldBeNil)
 		runIDs, kinds = read(dir)
 		So(runIDs, ShouldResemble, []uint64{1, 2, 3, 4})
--- a/internal/testbed/load/entry.go
+++ b/internal/testbed/load/entry.go
@@ -20,7 +20,7 @@
 // when its answer has come, so At is never before the acknowledgement.
 type Entry struct {
 	At     int64  `json:"at"` // Unix time in ns, of writing
-	Ev     string `json:"ev"`
+	Event  string `json:"ev"`
 	Job    string `json:"job"`
 	State  string `json:"state,omitempty"`
 	Node   string `json:"node,omitempty"`
@@ -28,7 +28,7 @@
 	Queue  string `json:"queue,omitempty"`
 	Steps  []Step `json:"steps,omitempty"` // of accepted
 	Status int    `json:"status,omitempty"`
-	Why    string `json:"why,omitempty"`
+	Reason string `json:"why,omitempty"`
 }
 
 // Step is what the audit must know of a step.
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -18,12 +18,12 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// leap is a clock on which every timer rings at once, its time having passed.
-type leap struct{ now time.Duration }
+// fakeClock is a clock on which every timer rings at once, its time having passed.
+type fakeClock struct{ now time.Duration }
 
-func (l *leap) Now() time.Duration { return l.now }
-func (l *leap) Wall() time.Time    { return time.Unix(0, int64(l.now)) }
-func (l *leap) Set(d time.Duration, ring func()) clock.Stopper {
+func (l *fakeClock) Now() time.Duration { return l.now }
+func (l *fakeClock) Wall() time.Time    { return time.Unix(0, int64(l.now)) }
+func (l *fakeClock) Set(d time.Duration, ring func()) clock.Stopper {
 	l.now += max(d, 0)
 	ring()
 	return time.NewTimer(0)
@@ -47,66 +47,66 @@
 func says(status int, after time.Duration, phase state.JobPhase) *fleet.Reply {
 	body, err := json.Marshal(map[string]any{"state": phase})
 	So(err, ShouldBeNil)
-	return &fleet.Reply{Status: status, After: after, Body: body}
+	return &fleet.Reply{Status: status, RetryAfter: after, Body: body}
 }
 
 func TestLoad(t *testing.T) {
-	follow := func(of offer, answers ...*fleet.Reply) (*load, *script, *leap, []string) {
-		o := Options{Dir: t.TempDir(), Rate: 1, For: time.Second}
-		So(o.Fill(), ShouldBeNil)
-		book, err := journal.Open(filepath.Join(o.Dir, "journal", "consumer-1.jsonl"))
+	follow := func(of arrival, answers ...*fleet.Reply) (*generator, *script, *fakeClock, []string) {
+		o := Options{Dir: t.TempDir(), Rate: 1, Duration: time.Second}
+		So(o.SetDefaults(), ShouldBeNil)
+		writer, err := journal.Open(filepath.Join(o.Dir, "journal", "consumer-1.jsonl"))
 		So(err, ShouldBeNil)
-		defer book.Close()
-		caller, clock := &script{answers: answers}, &leap{}
-		l := &load{opt: o, caller: caller, clock: clock, polls: rate.NewLimiter(rate.Inf, 1), accept: newLatencies(),
-			nodes: []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}}, yes: map[string]int64{}}
+		defer writer.Close()
+		caller, clock := &script{answers: answers}, &fakeClock{}
+		l := &generator{opt: o, caller: caller, clock: clock, polls: rate.NewLimiter(rate.Inf, 1), accept: newLatencies(),
+			nodes: []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}}, acceptedAt: map[string]int64{}}
 		l.counts.Refused, l.counts.Overloaded = map[string]int{}, map[string]int{}
 		of.spec = state.Spec{Key: "k"}
-		l.follow(context.Background(), book, of, 0)
+		l.followJob(context.Background(), writer, of, 0)
 		var evs []string
 		for line, err := range journal.Lines(o.Dir) {
 			So(err, ShouldBeNil)
 			var e Entry
 			So(json.Unmarshal(line.Raw, &e), ShouldBeNil)
-			evs = append(evs, e.Ev+" "+e.State)
+			evs = append(evs, e.Event+" "+e.State)
 		}
 		return l, caller, clock, evs
 	}
 
 	Convey("The same seed gives the same offers, about as many as the rate says, all within the time", t, func() {
-		o := Options{Rate: 50, For: 20 * time.Second, Seed: 7, Steps: 2, Prefix: "p", Cancel: 0.5, Dup: 0.1}
-		So(o.Fill(), ShouldBeNil)
-		offers := plan(o)
-		So(plan(o), ShouldResemble, offers)
+		o := Options{Rate: 50, Duration: 20 * time.Second, Seed: 7, Steps: 2, Prefix: "p", CancelProbability: 0.5, DuplicateProbability: 0.1}
+		So(o.SetDefaults(), ShouldBeNil)
+		offers := planArrivals(o)
+		So(planArrivals(o), ShouldResemble, offers)
 		So(len(offers), ShouldBeBetween, 900, 1100)
-		So(offers[len(offers)-1].at, ShouldBeLessThan, o.For)
+		So(offers[len(offers)-1].at, ShouldBeLessThan, o.Duration)
 		So(offers[3].spec.Steps[1].After, ShouldResemble, []string{"s1"})
 	})
 
 	Convey("A job goes from node to node until a yes, as Retry-After says, and is followed to its end", t, func() {
-		l, caller, clock, evs := follow(offer{cancel: -1}, nil, says(503, 2*time.Second, ""), says(202, 0, "accepted"),
+		l, caller, clock, evs := follow(arrival{cancel: -1}, nil, says(503, 2*time.Second, ""), says(202, 0, "accepted"),
 			says(200, 0, "running"), says(503, 0, ""), says(200, 0, "running"), says(404, 0, ""), says(200, 0, "done"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "poll running", "poll 404", "poll done"})
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
 		So(caller.calls[1], ShouldNotEqual, caller.calls[2])
 		So(clock.now, ShouldBeGreaterThan, 2*time.Second)
 		r := l.counts
-		So([]int{r.Accepted, r.Done, r.Unknown, r.Tries, r.Polls}, ShouldResemble, []int{1, 1, 1, 2, 5})
+		So([]int{r.Accepted, r.Done, r.Unknown, r.Retries, r.Polls}, ShouldResemble, []int{1, 1, 1, 2, 5})
 		So(r.Overloaded, ShouldResemble, map[string]int{"lost": 1, "status 503": 1})
 	})
 
 	Convey("A refusal for good is not repeated; one for now is given up in time", t, func() {
-		l, caller, _, evs := follow(offer{cancel: -1}, says(422, 0, ""))
+		l, caller, _, evs := follow(arrival{cancel: -1}, says(422, 0, ""))
 		So(len(caller.calls), ShouldEqual, 1)
 		So(evs, ShouldResemble, []string{"submit ", "refused "})
 		So(l.counts.Refused, ShouldResemble, map[string]int{"status 422": 1})
-		l, _, clock, _ := follow(offer{cancel: -1}, nil)
+		l, _, clock, _ := follow(arrival{cancel: -1}, nil)
 		So(l.counts.Refused, ShouldResemble, map[string]int{"lost": 1})
 		So(clock.now, ShouldBeBetween, 20*time.Second, 31*time.Second)
 	})
 
 	Convey("A second hand-in goes to another node, a cancel is journaled when it was acknowledged", t, func() {
-		l, caller, _, evs := follow(offer{cancel: time.Millisecond, dup: true}, says(202, 0, "accepted"),
+		l, caller, _, evs := follow(arrival{cancel: time.Millisecond, dup: true}, says(202, 0, "accepted"),
 			says(200, 0, "accepted"), nil, says(202, 0, "stopping"), says(200, 0, "cancelled"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "again accepted", "cancel ",
 			"cancelled stopping", "poll cancelled"})
--- a/internal/testbed/load/report.go
+++ b/internal/testbed/load/report.go
@@ -10,20 +10,20 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// Report is what a load came to; its JSON is what `drill load` prints.
+// Report is what a load came to; its JSON is what `drill generator` prints.
 type Report struct {
 	Seed        uint64         `json:"seed"`
 	Prefix      string         `json:"prefix"` // of the jobs' keys
 	Offered     int            `json:"offered"`
 	Accepted    int            `json:"accepted"`
 	Done        int            `json:"done"`
-	Fault       int            `json:"fault"`
+	Failed      int            `json:"fault"`
 	Cancelled   int            `json:"cancelled"`
 	Unknown     int            `json:"unknown"`    // accepted, and answered 404 at least once
 	Unfinished  int            `json:"unfinished"` // accepted, and not seen over
 	Refused     map[string]int `json:"refused"`    // given up, by the last refusal; "lost": without any answer
 	Overloaded  map[string]int `json:"overloaded"` // answers that sent a client to another node, by kind
-	Tries       int            `json:"retries"`
+	Retries     int            `json:"retries"`
 	Polls       int            `json:"polls"`
 	Cancels     int            `json:"cancels"` // acknowledged
 	Dups        int            `json:"dups"`
@@ -55,7 +55,7 @@
 	case state.JobDone:
 		r.Done++
 	case state.JobFailed:
-		r.Fault++
+		r.Failed++
 	case state.JobCancelled:
 		r.Cancelled++
 	default:
@@ -90,11 +90,11 @@
 }
 
 // report puts the figures together, with the starts as the minions' journals tell them.
-func (l *load) report() (Report, error) {
+func (l *generator) report() (Report, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.broke != nil {
-		return l.counts, l.broke
+	if l.err != nil {
+		return l.counts, l.err
 	}
 	first := map[string]int64{}
 	var from, to int64
@@ -103,10 +103,10 @@
 			return l.counts, errs.Pass(err, "starts")
 		}
 		e, err := line.Entry()
-		if err != nil || e.Ev != journal.Start {
+		if err != nil || e.Event != journal.Start {
 			continue // not a minion's
 		}
-		if _, ours := l.yes[e.Job]; !ours {
+		if _, ours := l.acceptedAt[e.Job]; !ours {
 			continue
 		}
 		l.counts.Starts++
@@ -120,7 +120,7 @@
 	}
 	starts := newLatencies()
 	for job, at := range first {
-		starts.record(time.Duration(at - l.yes[job]))
+		starts.record(time.Duration(at - l.acceptedAt[job]))
 	}
 	r := &l.counts
 	r.Seed, r.Prefix = l.opt.Seed, l.opt.Prefix
