--- a/internal/testbed/netproxy/netproxy_test.go
+++ b/internal/testbed/netproxy/netproxy_test.go
@@ -16,35 +16,35 @@
 	"crosstide/internal/testbed/journal"
 )
 
-var way = Way{From: "d1", FromZone: "z1", To: "c2", ToZone: "z2"}
+var way = Link{From: "d1", FromZone: "z1", To: "c2", ToZone: "z2"}
 
 func TestGate(t *testing.T) {
 	Convey("A cut touches what crosses it, for its time; cuts add up", t, func() {
-		g := &gate{}
-		out := func(now time.Duration, w Way, forward bool) []any {
-			f := g.fate(now, w, forward)
+		g := &faultSet{}
+		out := func(now time.Duration, w Link, forward bool) []any {
+			f := g.verdictFor(now, w, forward)
 			return []any{f.lost, f.end, f.due}
 		}
-		within := Way{From: "d1", FromZone: "z1", To: "c1", ToZone: "z1"}
-		g.add(0, Cut{Zone: "z1", How: Silent, For: 10})
+		sameZone := Link{From: "d1", FromZone: "z1", To: "c1", ToZone: "z1"}
+		g.add(0, Fault{Zone: "z1", Kind: Blackhole, For: 10})
 		So(out(5, way, true), ShouldResemble, []any{true, time.Duration(10), time.Duration(5)})
 		So(out(5, way, false)[0], ShouldBeTrue)
-		So(out(5, within, true)[0], ShouldBeFalse)
+		So(out(5, sameZone, true)[0], ShouldBeFalse)
 		So(out(10, way, true)[0], ShouldBeFalse)
-		g.add(10, Cut{Node: "c2", How: Oneway, For: 10})
+		g.add(10, Fault{Node: "c2", Kind: OneWayBlackhole, For: 10})
 		So([]any{out(11, way, true)[0], out(11, way, false)[0]}, ShouldResemble, []any{false, true})
-		g.add(20, Cut{Node: "d1", How: Slow, Delay: 3, For: 10})
+		g.add(20, Fault{Node: "d1", Kind: AddLatency, Delay: 3, For: 10})
 		So(out(21, way, true)[2], ShouldEqual, time.Duration(24))
-		g.add(21, Cut{Node: "d1", How: Late, For: 9})
+		g.add(21, Fault{Node: "d1", Kind: Stall, For: 9})
 		So(out(22, way, false)[2], ShouldEqual, time.Duration(30))
-		So(out(22, Way{From: "m1", To: "d2"}, true)[2], ShouldEqual, time.Duration(22))
+		So(out(22, Link{From: "m1", To: "d2"}, true)[2], ShouldEqual, time.Duration(22))
 	})
 	Convey("An order that makes no sense is refused", t, func() {
-		for _, c := range []Cut{{How: Late, For: 1}, {Node: "a", Zone: "b", How: Late, For: 1}, {Node: "a", How: "x", For: 1},
-			{Node: "a", How: Late}, {Node: "a", How: Slow, For: 1}, {Node: "a", How: Late, For: 1, Delay: 1}} {
+		for _, c := range []Fault{{Kind: Stall, For: 1}, {Node: "a", Zone: "b", Kind: Stall, For: 1}, {Node: "a", Kind: "x", For: 1},
+			{Node: "a", Kind: Stall}, {Node: "a", Kind: AddLatency, For: 1}, {Node: "a", Kind: Stall, For: 1, Delay: 1}} {
 			So(c.Check(), ShouldNotBeNil)
 		}
-		So(Cut{Node: "a", How: Slow, For: 1, Delay: 1}.Check(), ShouldBeNil)
+		So(Fault{Node: "a", Kind: AddLatency, For: 1, Delay: 1}.Check(), ShouldBeNil)
 	})
 }
 
@@ -54,9 +54,9 @@
 	sets chan struct{}
 }
 
-func (c *counted) Set(d time.Duration, ring func()) clock.Stopper {
+func (c *counted) Set(d time.Duration, timer func()) clock.Stopper {
 	defer func() { c.sets <- struct{}{} }()
-	return c.Virtual.Set(d, ring)
+	return c.Virtual.Set(d, timer)
 }
 
 func (c *counted) await(n int) {
@@ -66,9 +66,9 @@
 }
 
 // pipe is a link to a peer that answers every byte with the next one.
-func pipe(t *testing.T) (*Links, *counted, func() net.Conn) {
+func pipe(t *testing.T) (*Proxy, *counted, func() net.Conn) {
 	clock, group := &counted{sets: make(chan struct{}, 100)}, routine.New(context.Background())
-	pen, err := journal.Open(filepath.Join(t.TempDir(), "j"))
+	writer, err := journal.Open(filepath.Join(t.TempDir(), "j"))
 	So(err, ShouldBeNil)
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,9 +91,9 @@
 	})
 	w := way
 	w.Dial = peer.Addr().String()
-	l := &Links{set: Settings{Ways: []Way{w}}, clock: clock, logger: log.NewNopLogger(), pen: pen, group: group}
+	l := &Proxy{settings: Settings{Links: []Link{w}}, clock: clock, logger: log.NewNopLogger(), writer: writer, group: group}
 	group.Go(func(ctx context.Context) { l.accept(ctx, front, w) })
-	Reset(func() { group.Stop(); So(pen.Close(), ShouldBeNil) })
+	Reset(func() { group.Stop(); So(writer.Close(), ShouldBeNil) })
 	return l, clock, func() net.Conn {
 		c, err := net.Dial("tcp", front.Addr().String())
 		So(err, ShouldBeNil)
@@ -130,7 +130,7 @@
 			say(c, 1)
 			So(hears(c), ShouldEqual, 2)
 		}
-		answer, err := l.cut(Cut{Node: "c2", How: Silent, For: time.Second})
+		answer, err := l.inject(Fault{Node: "c2", Kind: Blackhole, For: time.Second})
 		So(err, ShouldBeNil)
 		So(answer.Links, ShouldEqual, 1)
 		fresh := dial()
@@ -151,7 +151,7 @@
 		c := dial()
 		say(c, 1)
 		So(hears(c), ShouldEqual, 2)
-		_, err := l.cut(Cut{Zone: "z1", How: Late, For: time.Second})
+		_, err := l.inject(Fault{Zone: "z1", Kind: Stall, For: time.Second})
 		So(err, ShouldBeNil)
 		say(c, 5)
 		So(c.(*net.TCPConn).CloseWrite(), ShouldBeNil)
--- a/internal/testbed/operator/entry.go
+++ b/internal/testbed/operator/entry.go
@@ -6,12 +6,12 @@
 
 // What an Entry of an operator tells.
 const (
-	Put    = "put"    // the writing of a draft was answered for good: OK, Version and SHA, or Why
-	Sign   = "sign"   // a signature was answered for good
-	Force  = "bundle" // a version was acknowledged as in force; Bundle is its text
-	Unsure = "unsure" // no answer came in the end; Version may be in force from Sent on
-	Read   = "read"   // the version in force was read back; SHA is of the bytes that came
-	Has    = "has"    // node Node said which version it goes by, or (not OK) could not confirm it
+	Put         = "put"    // the writing of a draft was answered for good: OK, Version and SHA, or Why
+	Sign        = "sign"   // a signature was answered for good
+	Force       = "bundle" // a version was acknowledged as in force; Bundle is its text
+	Unanswered  = "unsure" // no answer came in the end; Version may be in force from Sent on
+	ReadBack    = "read"   // the version in force was read back; SHA is of the bytes that came
+	NodeVersion = "has"    // node Node said which version it goes by, or (not OK) could not confirm it
 
 	Evacuate = "evacuate" // the evacuation of Zone was acknowledged
 	Lift     = "lift"     // the second signature for lifting it is about to be sent
@@ -21,7 +21,7 @@
 // At is after its answer came.
 type Entry struct {
 	At      int64           `json:"at"` // Unix time in ns, of writing
-	Ev      string          `json:"ev"`
+	Event   string          `json:"ev"`
 	Sent    int64           `json:"sent"`
 	Node    string          `json:"node"`
 	Zone    string          `json:"zone,omitempty"`
@@ -31,6 +31,6 @@
 	Version uint64          `json:"version,omitempty"`
 	SHA     string          `json:"sha,omitempty"`
 	OK      bool            `json:"ok"`
-	Why     string          `json:"why,omitempty"` // the fault's kind
+	Reason  string          `json:"why,omitempty"` // the fault's kind
 	Bundle  json.RawMessage `json:"bundle,omitempty"`
 }
--- a/internal/testbed/operator/report.go
+++ b/internal/testbed/operator/report.go
@@ -24,9 +24,9 @@
 	Evacuations     int            `json:"evacuations"`
 	LiftsWrong      int            `json:"lifts_wrong"`    // lifted by one, or not by two
 	NotEverywhere   int            `json:"not_everywhere"` // changes that some node did not have within 5 s
-	Mute            int            `json:"mute"`           // times a dplane could not confirm its version, or did not answer
-	Unsure          int            `json:"unsure"`         // orders without an answer in 30 s
-	Tries           int            `json:"retries"`
+	Unconfirmed     int            `json:"mute"`           // times a dplane could not confirm its version, or did not answer
+	Unanswered      int            `json:"unsure"`         // orders without an answer in 30 s
+	Retries         int            `json:"retries"`
 	Refused         map[string]int `json:"refused"`
 	Acks            Spread         `json:"sign_to_ack_ms"`       // of the signature that put a version in force
 	Everywhere      Spread         `json:"ack_to_everywhere_ms"` // from that to the last node, per change; 0: it was there before
@@ -34,8 +34,8 @@
 	FromForce       Spread         `json:"commit_to_node_ms"`    // from the commit's store time to each node
 }
 
-// Held reports whether something changed and nothing was amiss.
-func (r Report) Held() bool {
+// IsClean reports whether something changed and nothing was amiss.
+func (r Report) IsClean() bool {
 	return r.Changes > 0 && r.BothWon+r.RepeatsDiffer+r.ReadBacksDiffer+r.NotEverywhere+r.InvalidTaken+r.LiftsWrong == 0
 }
 
@@ -64,29 +64,29 @@
 }
 
 // queue is a placement policy for the queue that the load uses: some zones, now and then with more.
-func (o *office) queue() map[string]any {
+func (o *session) queue() map[string]any {
 	zones := []string{}
-	for _, k := range o.luck.Perm(len(o.zones))[:1+o.luck.IntN(len(o.zones))] {
+	for _, k := range o.rng.Perm(len(o.zones))[:1+o.rng.IntN(len(o.zones))] {
 		zones = append(zones, o.zones[k])
 	}
-	q := map[string]any{"placement": map[string]any{"zones": zones}, "urgent": o.luck.IntN(2) == 0}
-	if o.luck.IntN(3) == 0 {
+	q := map[string]any{"placement": map[string]any{"zones": zones}, "urgent": o.rng.IntN(2) == 0}
+	if o.rng.IntN(3) == 0 {
 		q["hold"] = "15s"
 	}
 	return q
 }
 
 // text is a whole bundle, spelled in some way.
-func (o *office) text() []byte {
+func (o *session) text() []byte {
 	queues := map[string]any{"default": o.queue()}
-	for range o.luck.IntN(4) {
-		queues[string(rune('a'+o.luck.IntN(26)))+"-queue"] = o.queue()
+	for range o.rng.IntN(4) {
+		queues[string(rune('a'+o.rng.IntN(26)))+"-queue"] = o.queue()
 	}
-	doc := map[string]any{"queues": queues, "limits": map[string]int{"scan": 1 + o.luck.IntN(200)},
-		"weights": map[string]int{"drill": 1 + o.luck.IntN(9)}}
-	raw, err := json.MarshalIndent(doc, strings.Repeat("\t", o.luck.IntN(2)), strings.Repeat(" ", o.luck.IntN(5)))
+	doc := map[string]any{"queues": queues, "limits": map[string]int{"scan": 1 + o.rng.IntN(200)},
+		"weights": map[string]int{"drill": 1 + o.rng.IntN(9)}}
+	raw, err := json.MarshalIndent(doc, strings.Repeat("\t", o.rng.IntN(2)), strings.Repeat(" ", o.rng.IntN(5)))
 	if err != nil {
 		panic(err) // maps of strings and numbers
 	}
-	return append(raw, strings.Repeat("\n", o.luck.IntN(3))...)
+	return append(raw, strings.Repeat("\n", o.rng.IntN(3))...)
 }
--- a/internal/testbed/policysim/billing.go
+++ b/internal/testbed/policysim/billing.go
@@ -253,7 +253,7 @@
 		return false
 	}
 	for _, m := range o.plan.Workers {
-		if m.Name == h.Worker && m.Incarnation != o.incarnations[m.Name] && m.Incarnation != h.Incarnation && (m.Kind != policyworker.Obey || h.Phase == state.TaskRunning) {
+		if m.Name == h.Worker && m.Incarnation != o.incarnations[m.Name] && m.Incarnation != h.Incarnation && (m.Kind != policyworker.KindObey || h.Phase == state.TaskRunning) {
 			return true
 		}
 	}
--- a/internal/testbed/policysim/build.go
+++ b/internal/testbed/policysim/build.go
@@ -17,9 +17,9 @@
 		s.dataPlanes = append(s.dataPlanes, &dataPlane{process: s.newProcess(fmt.Sprintf("d%d", i), zone(i))})
 	}
 	for i := range 6 {
-		m := &worker{process: s.newProcess(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.Check, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
+		m := &worker{process: s.newProcess(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.KindCheck, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
 		if i%2 == 0 {
-			m.kind = policyworker.Obey
+			m.kind = policyworker.KindObey
 		}
 		if i < 4 {
 			m.lab["disk"] = "ssd"
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -292,7 +292,7 @@
 			t.until = m.zero + st.LeaseUntil
 		}
 		o.sim.countCase("newer ticket")
-		if st.RunID <= o.orders[m] && m.kind == policyworker.Obey {
+		if st.RunID <= o.orders[m] && m.kind == policyworker.KindObey {
 			o.sim.reportBreach("newer ticket", "ticket %d reaches %s, which has seen %d", st.RunID, m.addr, o.orders[m])
 		}
 		o.orders[m] = max(o.orders[m], st.RunID)
@@ -301,7 +301,7 @@
 
 // renewed takes in what a call does to holds; the minion has carried it out.
 func (o *invariantChecker) renewed(m *worker, call internalapi.LeaseCall) {
-	if call.Incarnation != m.traits.Boot && call.Incarnation != "" {
+	if call.Incarnation != m.traits.Incarnation && call.Incarnation != "" {
 		return
 	}
 	for _, r := range o.runs {
@@ -334,32 +334,32 @@
 // booted takes in that a minion begins a life: nothing of an older one runs any more.
 func (o *invariantChecker) booted(m *worker) {
 	o.runs = slices.DeleteFunc(o.runs, func(r *runWitness) bool { return r.worker == m })
-	o.sim.trace("%s boots as %s", m.addr, m.traits.Boot)
+	o.sim.trace("%s boots as %s", m.addr, m.traits.Incarnation)
 }
 
 func (o *invariantChecker) orphaned(m *worker) { o.sim.trace("%s is killed", m.addr) }
 
 // witness takes in what a minion did.
 func (o *invariantChecker) witness(m *worker, e journal.Entry) {
-	if e.Ev == journal.Boot {
+	if e.Event == journal.NewIncarnation {
 		return
 	}
-	o.sim.trace("%s %s ticket %d %s/%s/%d ok=%v %s", m.addr, e.Ev, e.RunID, e.Job, e.Step, e.Task, e.OK, e.Why)
-	switch e.Ev {
+	o.sim.trace("%s %s ticket %d %s/%s/%d ok=%v %s", m.addr, e.Event, e.RunID, e.Job, e.Step, e.Task, e.OK, e.Reason)
+	switch e.Event {
 	case journal.Start:
 		o.started(m, e)
 		if t := o.runIDs[e.RunID]; t != nil && o.sim.billing != nil {
 			o.sim.billing.started(t.handle.Ref, e.RunID)
 		}
 	case journal.Refuse:
-		o.sim.report.Counts["refused: "+e.Why]++
-	case journal.End, journal.Stop, journal.Lapse:
-		if e.Ev == journal.Lapse {
+		o.sim.report.Counts["refused: "+e.Reason]++
+	case journal.End, journal.Stop, journal.Expire:
+		if e.Event == journal.Expire {
 			o.sim.report.Counts["lapsed"]++
 		}
 		n := len(o.runs)
 		o.runs = slices.DeleteFunc(o.runs, func(r *runWitness) bool { return r.worker == m && r.runID == e.RunID })
-		if t := o.runIDs[e.RunID]; e.Ev == journal.End && e.OK && t != nil && n > len(o.runs) {
+		if t := o.runIDs[e.RunID]; e.Event == journal.End && e.OK && t != nil && n > len(o.runs) {
 			o.ended[t.handle.Ref] = append(o.ended[t.handle.Ref], &ending{e.RunID, m, m.gen, map[uint64]time.Duration{}})
 		}
 	}
@@ -395,7 +395,7 @@
 	}
 	s.countCase("not late")
 	late := 700 * time.Millisecond // the void time in the minion's clock, and what its report was under way
-	if m.kind == policyworker.Obey {
+	if m.kind == policyworker.KindObey {
 		late = callTimeout/2 + lateness + 100*time.Millisecond // it was under way until its connection was closed at most
 	}
 	if s.now-max(t.written, m.woke) > late { // what lay in the kernel of a frozen machine is carried out when it wakes
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -38,8 +38,8 @@
 func (m *worker) open() {
 	s := m.sim
 	m.begin()
-	m.traits = policyworker.Traits{Name: m.addr, Boot: fmt.Sprintf("%s-%d", m.addr, m.gen), Kind: m.kind, Zone: m.zone, Labels: m.lab,
-		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, Fail: 0.03, Slow: 1.2, Seed: s.rnd.Uint64()}
+	m.traits = policyworker.Traits{Name: m.addr, Incarnation: fmt.Sprintf("%s-%d", m.addr, m.gen), Kind: m.kind, Zone: m.zone, Labels: m.lab,
+		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, FailProbability: 0.03, SlowFactor: 1.2, Seed: s.rnd.Uint64()}
 	m.zero = s.now // the minion's clock starts with the boot
 	m.core, m.waits, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
 	s.invariantChecker.booted(m)
@@ -62,7 +62,7 @@
 }
 
 // carry does what a step asks for: the witness first, then the answers.
-func (m *worker) carry(step policyworker.Step) {
+func (m *worker) carry(step policyworker.Actions) {
 	for _, e := range step.Journal {
 		m.sim.invariantChecker.witness(m, e)
 	}
@@ -75,8 +75,8 @@
 			w(r.Answer, r.Err)
 		}
 	}
-	if step.Wake != policyworker.Never {
-		m.after(step.Wake-m.Now(), func() { m.carry(m.core.Tick(m.Now())) })
+	if step.WakeAt != policyworker.Never {
+		m.after(step.WakeAt-m.Now(), func() { m.carry(m.core.Tick(m.Now())) })
 	}
 }
 
@@ -112,12 +112,12 @@
 			}
 			call.Starts = starts
 		}
-		step := m.core.Call(m.Now(), tag, call)
+		step := m.core.RenewLease(m.Now(), tag, call)
 		s.invariantChecker.renewed(m, call)
 		m.carry(step)
 		if lost {
 			delete(m.waits, tag)
-			m.core.Lost(tag)
+			m.core.AnswerLost(tag)
 		}
 	})
 }
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -18,35 +18,35 @@
 	sec = time.Second
 )
 
-// bench drives a core and counts what it journals.
-type bench struct {
+// harness drives a core and counts what it journals.
+type harness struct {
 	*Core
 	ev   map[string]map[uint64]int // event to run ID to count
 	last []journal.Entry
 }
 
-func newBench(t Traits) *bench {
-	t.Name, t.Boot, t.Zone = "m", "b", "z1"
-	b := &bench{Core: NewCore(t), ev: map[string]map[uint64]int{}}
+func newHarness(t Traits) *harness {
+	t.Name, t.Incarnation, t.Zone = "m", "b", "z1"
+	b := &harness{Core: NewCore(t), ev: map[string]map[uint64]int{}}
 	b.take(b.Start())
 	return b
 }
 
-func (b *bench) take(s Step) Step {
+func (b *harness) take(s Actions) Actions {
 	b.last = s.Journal
 	for _, e := range s.Journal {
-		if b.ev[e.Ev] == nil {
-			b.ev[e.Ev] = map[uint64]int{}
+		if b.ev[e.Event] == nil {
+			b.ev[e.Event] = map[uint64]int{}
 		}
-		b.ev[e.Ev][e.RunID]++
+		b.ev[e.Event][e.RunID]++
 	}
 	return s
 }
 
 // ask calls and gives the answer, which must come at once.
-func (b *bench) ask(now time.Duration, call internalapi.LeaseCall) internalapi.LeaseAnswer {
+func (b *harness) ask(now time.Duration, call internalapi.LeaseCall) internalapi.LeaseAnswer {
 	call.Worker, call.Incarnation, call.Epoch = "m", "b", max(call.Epoch, 1)
-	s := b.take(b.Call(now, 99, call))
+	s := b.take(b.RenewLease(now, 99, call))
 	So(s.Replies, ShouldNotBeEmpty)
 	r := s.Replies[len(s.Replies)-1]
 	So(r.Tag, ShouldEqual, 99)
@@ -62,7 +62,7 @@
 	return internalapi.LeaseCall{Starts: o}
 }
 
-const standing = `{"ms":-1}`
+const longRunning = `{"ms":-1}`
 
 // orders returns every order of 0..n-1.
 func orders(n int) (out [][]int) {
@@ -78,17 +78,17 @@
 }
 
 func TestEveryOrder(t *testing.T) {
-	const first, again, floor, renew, late = 0, 1, 2, 3, 4
-	start1, start2 := starts(order(1, standing, 50*sec)), starts(order(2, standing, 50*sec))
+	const first, again, floor, renew, delay = 0, 1, 2, 3, 4
+	start1, start2 := starts(order(1, longRunning, 50*sec)), starts(order(2, longRunning, 50*sec))
 	start2.Starts[0].StartBy = 5 * ms // every call comes at 10 ms or later
 	calls := []internalapi.LeaseCall{start1, start1, {Floor: 1}, {Renew: []uint64{1}, RenewUntil: 100 * sec}, start2}
 
-	for _, kind := range []string{Check, Obey} {
+	for _, kind := range []string{KindCheck, KindObey} {
 		Convey("Every order of a start, its duplicate, a floor, a renewal and a late start: "+kind, t, func() {
 			all := orders(len(calls))
 			So(all, ShouldHaveLength, 120)
 			for _, seq := range all {
-				b, at := newBench(Traits{Kind: kind, Cores: 4}), [5]int{}
+				b, at := newHarness(Traits{Kind: kind, Cores: 4}), [5]int{}
 				var answer internalapi.LeaseAnswer
 				for i, which := range seq {
 					at[which] = i
@@ -101,9 +101,9 @@
 						before++
 					}
 				}
-				if kind == Check {
+				if kind == KindCheck {
 					ones, twos, before = 0, 0, 0 // run ID 2 is void, and run ID 1 void once run ID 2 or the floor was seen
-					if begin := min(at[first], at[again]); begin < at[floor] && begin < at[late] {
+					if begin := min(at[first], at[again]); begin < at[floor] && begin < at[delay] {
 						ones = 1
 						if begin < at[renew] {
 							before = 1
@@ -117,26 +117,26 @@
 				So([]uint64{answer.Seen, answer.Floor}, ShouldResemble, []uint64{2, 1})
 
 				b.take(b.Tick(50 * sec)) // the first hold is over
-				So(b.ev[journal.Lapse][1], ShouldEqual, ones-before)
-				So(b.ev[journal.Lapse][2], ShouldEqual, twos)
+				So(b.ev[journal.Expire][1], ShouldEqual, ones-before)
+				So(b.ev[journal.Expire][2], ShouldEqual, twos)
 				running := b.ask(60*sec, internalapi.LeaseCall{}).Running
 				So(len(running) == 1, ShouldEqual, before > 0)
 				b.take(b.Tick(100 * sec)) // the renewed one too
-				So(b.ev[journal.Lapse][1], ShouldEqual, ones)
+				So(b.ev[journal.Expire][1], ShouldEqual, ones)
 				So(b.ask(101*sec, internalapi.LeaseCall{}).Running, ShouldBeEmpty)
 			}
 		})
 	}
 }
 
-func TestHold(t *testing.T) {
+func TestLease(t *testing.T) {
 	Convey("A run ends by itself before its hold does", t, func() {
-		b := newBench(Traits{Kind: Check, Cores: 4})
-		s := b.take(b.Call(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
-		So(s.Wake, ShouldEqual, 60*ms)
-		So(b.Tick(60*ms).Wake, ShouldEqual, 110*ms)
+		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
+		s := b.take(b.RenewLease(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
+		So(s.WakeAt, ShouldEqual, 60*ms)
+		So(b.Tick(60*ms).WakeAt, ShouldEqual, 110*ms)
 		s = b.take(b.Tick(110 * ms))
-		So(s.Wake, ShouldEqual, Never)
+		So(s.WakeAt, ShouldEqual, Never)
 		So(b.last[0].OK, ShouldBeTrue)
 		So(b.ask(111*ms, internalapi.LeaseCall{}).Ended, ShouldResemble, []internalapi.RunEnd{
 			{RunID: 2, Outcome: internalapi.OutcomeFailed, Reason: "the run is not ok"}, {RunID: 1, Outcome: internalapi.OutcomeOK}})
@@ -146,46 +146,46 @@
 		})
 	})
 	Convey("After a freeze past the hold a run counts as lapsed, and a renewal comes too late", t, func() {
-		b := newBench(Traits{Kind: Check, Cores: 4})
+		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
 		b.ask(10*ms, starts(order(1, `{"ms":100}`, sec)))
 		a := b.ask(25*sec, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: 60 * sec})
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
 		So(b.ev[journal.End][1], ShouldEqual, 0)
-		So(b.ev[journal.Lapse][1], ShouldEqual, 1)
+		So(b.ev[journal.Expire][1], ShouldEqual, 1)
 	})
 	Convey("A hold is only raised, and not by a call that knows another boot", t, func() {
-		b := newBench(Traits{Kind: Check, Cores: 4})
-		b.ask(10*ms, starts(order(1, standing, 2*sec)))
+		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
+		b.ask(10*ms, starts(order(1, longRunning, 2*sec)))
 		b.ask(11*ms, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: sec})
-		So(b.Tick(12*ms).Wake, ShouldEqual, 2*sec)
-		s := b.Call(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older", Renew: []uint64{1}, RenewUntil: 9 * sec})
-		So(s.Wake, ShouldEqual, 2*sec)
+		So(b.Tick(12*ms).WakeAt, ShouldEqual, 2*sec)
+		s := b.RenewLease(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older", Renew: []uint64{1}, RenewUntil: 9 * sec})
+		So(s.WakeAt, ShouldEqual, 2*sec)
 	})
 	Convey("Even an obeying minion does not start a run whose hold is over", t, func() {
-		b := newBench(Traits{Kind: Obey})
-		a := b.ask(3*sec, starts(order(1, standing, 2*sec)))
+		b := newHarness(Traits{Kind: KindObey})
+		a := b.ask(3*sec, starts(order(1, longRunning, 2*sec)))
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
 		So(b.ev[journal.Start][1], ShouldEqual, 0)
 		Convey("nor is its ticket listed as ended while a run of it goes on", func() {
-			b.ask(3*sec, starts(order(2, standing, 9*sec)))
-			a := b.ask(3*sec, starts(order(2, standing, 2*sec)))
+			b.ask(3*sec, starts(order(2, longRunning, 9*sec)))
+			a := b.ask(3*sec, starts(order(2, longRunning, 2*sec)))
 			So(a.Running, ShouldResemble, []uint64{2})
 			So(a.Ended, ShouldHaveLength, 1)
 		})
 	})
 	Convey("A stop kills, and frees the room for starts of the same call", t, func() {
-		b := newBench(Traits{Kind: Check, Cores: 1})
-		b.ask(10*ms, starts(order(1, standing, sec)))
-		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, standing, sec)).Starts})
+		b := newHarness(Traits{Kind: KindCheck, Cores: 1})
+		b.ask(10*ms, starts(order(1, longRunning, sec)))
+		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, longRunning, sec)).Starts})
 		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}})
 		So(a.Running, ShouldResemble, []uint64{2})
 		So(b.ev[journal.Stop][1], ShouldEqual, 1)
 	})
 	Convey("A run that cannot be read ends in a fault with a reason", t, func() {
 		for _, run := range []string{`{"ms":"x"}`, `{"ms":1.5}`, `{"ok":1}`, `[]`, `{`, `{"ms":99999999999999}`} {
-			b := newBench(Traits{Kind: Check, Cores: 1})
+			b := newHarness(Traits{Kind: KindCheck, Cores: 1})
 			a := b.ask(10*ms, starts(order(1, run, sec)))
 			So(a.Ended, ShouldHaveLength, 1)
 			So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeFailed)
@@ -194,7 +194,7 @@
 	})
 	Convey("What chance does to a ticket depends on the seed and the ticket only", t, func() {
 		ends := func(first, second uint64) map[uint64]string {
-			b := newBench(Traits{Kind: Obey, Fail: 0.5, Slow: 3, Seed: 7})
+			b := newHarness(Traits{Kind: KindObey, FailProbability: 0.5, SlowFactor: 3, Seed: 7})
 			b.ask(10*ms, starts(order(first, `{"ms":9}`, sec)))
 			b.ask(10*ms, starts(order(second, `{"ms":9}`, sec)))
 			out := map[uint64]string{}
@@ -211,69 +211,71 @@
 }
 
 func TestRefusals(t *testing.T) {
-	traits := Traits{Kind: Check, Cores: 2, GPUs: 1, Labels: map[string]string{"disk": "ssd"}}
-	cases := map[string]func(*bench, *internalapi.LeaseCall, *internalapi.StartOrder){
-		"":     func(*bench, *internalapi.LeaseCall, *internalapi.StartOrder) {},
-		"boot": func(_ *bench, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Incarnation = "older" },
-		"ticket": func(b *bench, _ *internalapi.LeaseCall, _ *internalapi.StartOrder) {
+	traits := Traits{Kind: KindCheck, Cores: 2, GPUs: 1, Labels: map[string]string{"disk": "ssd"}}
+	cases := map[string]func(*harness, *internalapi.LeaseCall, *internalapi.StartOrder){
+		"":     func(*harness, *internalapi.LeaseCall, *internalapi.StartOrder) {},
+		"boot": func(_ *harness, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Incarnation = "older" },
+		"ticket": func(b *harness, _ *internalapi.LeaseCall, _ *internalapi.StartOrder) {
 			b.ask(ms, starts(order(10, "", sec)))
 		},
-		"floor": func(_ *bench, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Floor = 10 },
-		"late":  func(_ *bench, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.StartBy = 9 * ms },
-		"room":  func(b *bench, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.GPUs = 2 },
-		"label": func(_ *bench, _ *internalapi.LeaseCall, o *internalapi.StartOrder) {
+		"floor": func(_ *harness, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Floor = 10 },
+		"late":  func(_ *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.StartBy = 9 * ms },
+		"room":  func(b *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.GPUs = 2 },
+		"label": func(_ *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) {
 			o.Labels = map[string]string{"disk": "hdd"}
 		},
-		"drain": func(b *bench, _ *internalapi.LeaseCall, _ *internalapi.StartOrder) { b.take(b.Drain(ms, true, false)) },
+		"drain": func(b *harness, _ *internalapi.LeaseCall, _ *internalapi.StartOrder) {
+			b.take(b.Drain(ms, true, false))
+		},
 	}
 	Convey("A checking minion refuses, with its reason, what an obeying one starts", t, func() {
-		for why, spoil := range cases {
-			for _, kind := range []string{Check, Obey} {
+		for reason, spoil := range cases {
+			for _, kind := range []string{KindCheck, KindObey} {
 				traits.Kind = kind
-				b, o := newBench(traits), order(10, standing, sec)
+				b, o := newHarness(traits), order(10, longRunning, sec)
 				c := internalapi.LeaseCall{Worker: "m", Incarnation: "b", Epoch: 1}
 				spoil(b, &c, &o)
 				c.Starts = []internalapi.StartOrder{o}
-				a := b.take(b.Call(10*ms, 1, c)).Replies[0].Answer
-				if kind == Obey || why == "" {
+				a := b.take(b.RenewLease(10*ms, 1, c)).Replies[0].Answer
+				if kind == KindObey || reason == "" {
 					So(a.Running, ShouldResemble, []uint64{10})
 					So(a.Refused, ShouldBeEmpty)
 					continue
 				}
 				So(a.Running, ShouldBeEmpty)
-				So(a.Refused, ShouldResemble, []internalapi.StartRefusal{{RunID: 10, Why: why}})
+				So(a.Refused, ShouldResemble, []internalapi.StartRefusal{{RunID: 10, Why: reason}})
 				So(a.Seen, ShouldEqual, 10) // so that it will never run
 				So(b.ask(11*ms, internalapi.LeaseCall{}).Refused, ShouldBeEmpty)
 			}
 		}
 	})
 	Convey("Under an older epoch a checking minion does nothing at all; an obeying one obeys", t, func() {
-		for kind, want := range map[string]errs.Kind{Check: errs.Stale, Obey: ""} {
-			b := newBench(Traits{Kind: kind, Cores: 2})
+		for kind, want := range map[string]errs.Kind{KindCheck: errs.Stale, KindObey: ""} {
+			b := newHarness(Traits{Kind: kind, Cores: 2})
 			b.ask(ms, internalapi.LeaseCall{Epoch: 9})
-			c := starts(order(1, standing, sec))
+			c := starts(order(1, longRunning, sec))
 			c.Worker, c.Incarnation, c.Epoch, c.Floor = "m", "b", 8, 5
-			r := b.take(b.Call(2*ms, 1, c)).Replies[0]
+			r := b.take(b.RenewLease(2*ms, 1, c)).Replies[0]
 			So(errs.KindOf(r.Err), ShouldEqual, want)
 			a := b.ask(3*ms, internalapi.LeaseCall{Epoch: 9})
 			So(a.Epoch, ShouldEqual, 9)
-			So(len(a.Running) == 1 && a.Floor == 5, ShouldEqual, kind == Obey)
-			So(len(a.Running) == 0 && a.Floor == 0 && a.Seen == 0, ShouldEqual, kind == Check)
+			So(len(a.Running) == 1 && a.Floor == 5, ShouldEqual, kind == KindObey)
+			So(len(a.Running) == 0 && a.Floor == 0 && a.Seen == 0, ShouldEqual, kind == KindCheck)
 		}
 	})
 }
 
-func TestPark(t *testing.T) {
+func TestLongPoll(t *testing.T) {
 	wait := func(n uint64) internalapi.LeaseCall {
 		return internalapi.LeaseCall{Call: n, Worker: "m", Incarnation: "b", Epoch: 1, Wait: sec}
 	}
 	Convey("With a run going and nothing new to say, a call that may wait is parked", t, func() {
-		b := newBench(Traits{Kind: Check, Cores: 4, Grace: 5 * sec})
+		b := newHarness(Traits{Kind: KindCheck, Cores: 4, Grace: 5 * sec})
 		b.ask(10*ms, starts(order(1, `{"ms":500}`, 9*sec)))
-		s := b.take(b.Call(20*ms, 2, wait(2)))
+		s := b.take(b.RenewLease(20*ms, 2, wait(2)))
 		So(s.Replies, ShouldBeEmpty)
-		So(s.Wake, ShouldEqual, 510*ms)
-		tag := func(s Step) (out []uint64) {
+		So(s.WakeAt, ShouldEqual, 510*ms)
+		tag := func(s Actions) (out []uint64) {
 			for _, r := range s.Replies {
 				So(r.Answer.Call, ShouldEqual, r.Tag)
 				out = append(out, r.Tag)
@@ -281,10 +283,10 @@
 			return out
 		}
 		Convey("a newer call ends the wait and may wait itself", func() {
-			So(tag(b.Call(30*ms, 3, wait(3))), ShouldResemble, []uint64{2})
-			c := starts(order(2, standing, sec))
+			So(tag(b.RenewLease(30*ms, 3, wait(3))), ShouldResemble, []uint64{2})
+			c := starts(order(2, longRunning, sec))
 			c.Call, c.Worker, c.Incarnation, c.Epoch = 4, "m", "b", 1
-			So(tag(b.Call(31*ms, 4, c)), ShouldResemble, []uint64{3, 4})
+			So(tag(b.RenewLease(31*ms, 4, c)), ShouldResemble, []uint64{3, 4})
 		})
 		Convey("a run's end ends it", func() {
 			s := b.Tick(510 * ms)
@@ -295,37 +297,37 @@
 			s := b.Drain(30*ms, true, true)
 			So(tag(s), ShouldResemble, []uint64{2})
 			So(s.Replies[0].Answer.Draining, ShouldBeTrue)
-			So(s.Leave, ShouldBeFalse)
-			So(b.Tick(510*ms).Leave, ShouldBeFalse)
+			So(s.Exit, ShouldBeFalse)
+			So(b.Tick(510*ms).Exit, ShouldBeFalse)
 			c := wait(3)
 			c.Acked = []uint64{1}
-			s = b.Call(520*ms, 3, c)
+			s = b.RenewLease(520*ms, 3, c)
 			So(tag(s), ShouldResemble, []uint64{3})
-			So(s.Leave, ShouldBeTrue)
+			So(s.Exit, ShouldBeTrue)
 		})
 		Convey("its own wait ends it", func() {
 			b.ask(30*ms, internalapi.LeaseCall{Renew: []uint64{1}, Stops: []internalapi.StopOrder{{RunID: 1}}})
-			So(b.Call(40*ms, 3, wait(3)).Wake, ShouldEqual, 1040*ms)
+			So(b.RenewLease(40*ms, 3, wait(3)).WakeAt, ShouldEqual, 1040*ms)
 			So(tag(b.Tick(1040*ms)), ShouldResemble, []uint64{3})
 		})
 		Convey("a raised floor, a new epoch and a lost answer are answered at once", func() {
 			c := wait(3)
 			c.Floor = 4
-			So(tag(b.Call(30*ms, 3, c)), ShouldResemble, []uint64{2, 3})
+			So(tag(b.RenewLease(30*ms, 3, c)), ShouldResemble, []uint64{2, 3})
 			c = wait(4)
 			c.Epoch = 2
-			So(tag(b.Call(31*ms, 4, c)), ShouldResemble, []uint64{4})
-			b.Lost(4)
+			So(tag(b.RenewLease(31*ms, 4, c)), ShouldResemble, []uint64{4})
+			b.AnswerLost(4)
 			c.Call = 5
-			So(tag(b.Call(32*ms, 5, c)), ShouldResemble, []uint64{5})
+			So(tag(b.RenewLease(32*ms, 5, c)), ShouldResemble, []uint64{5})
 		})
 	})
 	Convey("When the grace is over a leaving minion stops its runs", t, func() {
-		b := newBench(Traits{Kind: Check, Cores: 4, Grace: 5 * sec})
-		b.ask(10*ms, starts(order(1, standing, 60*sec)))
-		So(b.Drain(20*ms, true, true).Wake, ShouldEqual, 5020*ms)
+		b := newHarness(Traits{Kind: KindCheck, Cores: 4, Grace: 5 * sec})
+		b.ask(10*ms, starts(order(1, longRunning, 60*sec)))
+		So(b.Drain(20*ms, true, true).WakeAt, ShouldEqual, 5020*ms)
 		s := b.take(b.Tick(5020 * ms))
-		So(s.Leave, ShouldBeTrue)
+		So(s.Exit, ShouldBeTrue)
 		So(b.ev[journal.Stop][1], ShouldEqual, 1)
 	})
 }
--- a/internal/testbed/policyworker/host_test.go
+++ b/internal/testbed/policyworker/host_test.go
@@ -20,10 +20,10 @@
 
 func TestHost(t *testing.T) {
 	open := func(change func(*Settings)) (*Host, string) {
-		dir, set := t.TempDir(), Defaults()
-		set.Name, set.Zone, set.Journal = "m", "z1", filepath.Join(dir, "journal", "{name}.jsonl")
-		change(&set)
-		h, err := Open(set, clock.Real{}, log.NewNopLogger())
+		dir, settings := t.TempDir(), Defaults()
+		settings.Name, settings.Zone, settings.Journal = "m", "z1", filepath.Join(dir, "journal", "{name}.jsonl")
+		change(&settings)
+		h, err := Open(settings, clock.Real{}, log.NewNopLogger())
 		So(err, ShouldBeNil)
 		return h, dir
 	}
@@ -41,34 +41,34 @@
 			So(err, ShouldBeNil)
 			e, err := line.Entry()
 			So(err, ShouldBeNil)
-			out = append(out, e.Minion+" "+e.Ev)
+			out = append(out, e.Worker+" "+e.Event)
 		}
 		return out
 	}
 
 	Convey("Hollow minions share an address, and each announces, runs, drains and leaves under its own name", t, func() {
 		heard := make(chan internalapi.AnnounceWorkerCall, 8)
-		dplane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		rpc.Handle(dplane, internalapi.AnnounceWorker, func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
+		dataPlane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
+		rpc.Handle(dataPlane, internalapi.AnnounceWorker, func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
 			heard <- c
 			return internalapi.AnnounceWorkerAnswer{Interval: time.Hour}, nil
 		})
-		So(dplane.Start(), ShouldBeNil)
-		defer func() { So(dplane.Stop(time.Minute), ShouldBeNil) }()
-		h, dir := open(func(s *Settings) { s.Count, s.Dplanes = 2, []string{dplane.Addr()} })
+		So(dataPlane.Start(), ShouldBeNil)
+		defer func() { So(dataPlane.Stop(time.Minute), ShouldBeNil) }()
+		h, dir := open(func(s *Settings) { s.Count, s.DataPlanes = 2, []string{dataPlane.Addr()} })
 		group, over := routine.New(context.Background()), make(chan error, 1)
 		defer group.Stop()
 		group.Go(func(ctx context.Context) { over <- h.Run(ctx) })
-		boots := map[string]string{}
+		incarnations := map[string]string{}
 		for range 2 {
 			c := <-heard
 			So(c.Addr, ShouldEqual, h.Addr())
-			boots[c.Name] = c.Incarnation
+			incarnations[c.Name] = c.Incarnation
 		}
-		So(boots, ShouldHaveLength, 2)
-		a, err := ask(h, internalapi.LeaseCall{Call: 3, Epoch: 4, Worker: "m-1", Incarnation: boots["m-1"], Starts: start(7)})
+		So(incarnations, ShouldHaveLength, 2)
+		a, err := ask(h, internalapi.LeaseCall{Call: 3, Epoch: 4, Worker: "m-1", Incarnation: incarnations["m-1"], Starts: start(7)})
 		So(err, ShouldBeNil)
-		So([]any{a.Call, a.Epoch, a.Incarnation, a.Seen}, ShouldResemble, []any{uint64(3), uint64(4), boots["m-1"], uint64(7)})
+		So([]any{a.Call, a.Epoch, a.Incarnation, a.Seen}, ShouldResemble, []any{uint64(3), uint64(4), incarnations["m-1"], uint64(7)})
 		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 7, Outcome: internalapi.OutcomeOK}})
 		_, err = ask(h, internalapi.LeaseCall{Worker: "other"})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
@@ -82,7 +82,7 @@
 	})
 
 	Convey("A lost answer ends the connection after the call was carried out, a late call is carried out too", t, func() {
-		h, dir := open(func(s *Settings) { s.Kind, s.Lose, s.Late = Obey, 1, Span(time.Millisecond) })
+		h, dir := open(func(s *Settings) { s.Kind, s.LossProbability, s.MaxDelay = KindObey, 1, Duration(time.Millisecond) })
 		defer h.Close()
 		_, err := ask(h, internalapi.LeaseCall{Worker: "m", Starts: start(7)})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
--- a/internal/testbed/policyworker/settings.go
+++ b/internal/testbed/policyworker/settings.go
@@ -13,45 +13,45 @@
 	"crosstide/internal/internalapi"
 )
 
-// Span is a time.Duration that is written as "1.5s" in settings.
-type Span time.Duration
+// Duration is a time.Duration that is written as "1.5s" in settings.
+type Duration time.Duration
 
 // UnmarshalText reads "1.5s".
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	*s = Span(d)
+	*s = Duration(d)
 	return errs.Wrap(err, errs.Settings, "duration")
 }
 
 // MarshalText writes "1.5s".
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // Settings are those of `drill minion`, as flags or as JSON.
 type Settings struct {
-	Name    string            `json:"name"`
-	Addr    string            `json:"addr"` // host:port; port 0 takes a free one
-	Kind    string            `json:"kind"`
-	Zone    string            `json:"zone"`
-	Rack    string            `json:"rack"`
-	Labels  map[string]string `json:"labels"`
-	Cores   int               `json:"cores"`
-	GPUs    int               `json:"gpus"`
-	Dplanes []string          `json:"dplanes"`
-	Via     map[string]string `json:"via"`     // an address in it is dialed at the other one
-	Journal string            `json:"journal"` // path; {name} stands for the minion's name
-	Count   int               `json:"count"`   // over 1: hollow minions NAME-0, NAME-1, … at one address
-	Grace   Span              `json:"grace"`
+	Name          string            `json:"name"`
+	Addr          string            `json:"addr"` // host:port; port 0 takes a free one
+	Kind          string            `json:"kind"`
+	Zone          string            `json:"zone"`
+	Rack          string            `json:"rack"`
+	Labels        map[string]string `json:"labels"`
+	Cores         int               `json:"cores"`
+	GPUs          int               `json:"gpus"`
+	DataPlanes    []string          `json:"dplanes"`
+	DialOverrides map[string]string `json:"via"`     // an address in it is dialed at the other one
+	Journal       string            `json:"journal"` // path; {name} stands for the minion's name
+	Count         int               `json:"count"`   // over 1: hollow minions NAME-0, NAME-1, … at one address
+	Grace         Duration          `json:"grace"`
 
-	Late Span    `json:"late"` // calls with starts are carried out late by up to this, half of them unanswered
-	Lose float64 `json:"lose"` // probability that an answer is dropped after the call was carried out
-	Fail float64 `json:"fail"` // probability that a run ends in a fault
-	Slow float64 `json:"slow"` // runs take up to this many times as long
-	Seed uint64  `json:"seed"` // of all four
+	MaxDelay        Duration `json:"late"` // calls with starts are carried out late by up to this, half of them unanswered
+	LossProbability float64  `json:"lose"` // probability that an answer is dropped after the call was carried out
+	FailProbability float64  `json:"fail"` // probability that a run ends in a fault
+	SlowFactor      float64  `json:"slow"` // runs take up to this many times as long
+	Seed            uint64   `json:"seed"` // of all four
 }
 
 // Defaults are the settings that need not be given.
 func Defaults() Settings {
-	return Settings{Addr: "127.0.0.1:0", Kind: Check, Cores: 4, Count: 1, Grace: Span(10 * time.Second), Slow: 1}
+	return Settings{Addr: "127.0.0.1:0", Kind: KindCheck, Cores: 4, Count: 1, Grace: Duration(10 * time.Second), SlowFactor: 1}
 }
 
 // Load reads settings from a JSON file over those in s; keys that are not known are refused. Failure: Settings.
@@ -65,30 +65,30 @@
 	return errs.Wrap(dec.Decode(s), errs.Settings, "%s", path)
 }
 
-// Check reports all mistakes at once. Failure: Settings.
+// KindCheck reports all mistakes at once. Failure: Settings.
 func (s Settings) Check() error {
-	var wrong []error
-	need := func(ok bool, field, format string, args ...any) {
+	var problems []error
+	require := func(ok bool, field, format string, args ...any) {
 		if !ok {
-			wrong = append(wrong, errs.Field(errs.Settings, field, format, args...))
+			problems = append(problems, errs.Field(errs.Settings, field, format, args...))
 		}
 	}
 	_, _, err := net.SplitHostPort(s.Addr)
-	need(s.Name != "", "name", "is needed")
-	need(err == nil, "addr", "%q is not host:port", s.Addr)
-	need(s.Kind == Obey || s.Kind == Check, "kind", "is %q, not obey or check", s.Kind)
-	need(s.Zone != "", "zone", "is needed")
-	need(s.Cores >= 0 && s.GPUs >= 0, "cores", "and gpus must be at least 0")
-	need(s.Journal != "", "journal", "is needed")
-	need(s.Count >= 1, "count", "must be at least 1, is %d", s.Count)
-	need(s.Grace >= 0 && s.Late >= 0, "grace", "and late must be at least 0")
-	need(s.Lose >= 0 && s.Lose <= 1 && s.Fail >= 0 && s.Fail <= 1, "lose", "and fail must be from 0 to 1")
-	need(s.Slow >= 1 && s.Slow <= 1000, "slow", "must be from 1 to 1000")
-	for _, d := range s.Dplanes {
+	require(s.Name != "", "name", "is needed")
+	require(err == nil, "addr", "%q is not host:port", s.Addr)
+	require(s.Kind == KindObey || s.Kind == KindCheck, "kind", "is %q, not obey or check", s.Kind)
+	require(s.Zone != "", "zone", "is needed")
+	require(s.Cores >= 0 && s.GPUs >= 0, "cores", "and gpus must be at least 0")
+	require(s.Journal != "", "journal", "is needed")
+	require(s.Count >= 1, "count", "must be at least 1, is %d", s.Count)
+	require(s.Grace >= 0 && s.MaxDelay >= 0, "grace", "and late must be at least 0")
+	require(s.LossProbability >= 0 && s.LossProbability <= 1 && s.FailProbability >= 0 && s.FailProbability <= 1, "lose", "and fail must be from 0 to 1")
+	require(s.SlowFactor >= 1 && s.SlowFactor <= 1000, "slow", "must be from 1 to 1000")
+	for _, d := range s.DataPlanes {
 		_, _, err := net.SplitHostPort(d)
-		need(err == nil, "dplanes", "%q is not host:port", d)
+		require(err == nil, "dplanes", "%q is not host:port", d)
 	}
-	return errs.Wrap(errors.Join(wrong...), errs.Settings, "settings of the minion")
+	return errs.Wrap(errors.Join(problems...), errs.Settings, "settings of the minion")
 }
 
 func (s Settings) names() []string {
@@ -102,10 +102,10 @@
 	return out
 }
 
-func (s Settings) traits(name, boot string) Traits {
+func (s Settings) traits(name, incarnation string) Traits {
 	return Traits{
-		Name: name, Boot: boot, Kind: s.Kind, Zone: s.Zone, Rack: s.Rack, Labels: s.Labels, Cores: s.Cores,
-		GPUs: s.GPUs, Grace: time.Duration(s.Grace), Fail: s.Fail, Slow: s.Slow, Seed: s.Seed,
+		Name: name, Incarnation: incarnation, Kind: s.Kind, Zone: s.Zone, Rack: s.Rack, Labels: s.Labels, Cores: s.Cores,
+		GPUs: s.GPUs, Grace: time.Duration(s.Grace), FailProbability: s.FailProbability, SlowFactor: s.SlowFactor, Seed: s.Seed,
 	}
 }
 
--- a/internal/testbed/policyworker/spec.go
+++ b/internal/testbed/policyworker/spec.go
@@ -8,17 +8,17 @@
 	"crosstide/internal/errs"
 )
 
-// spec is a task's run as the stand-in takes it: {"ms":100,"ok":true}.
-type spec struct {
-	last time.Duration // below 0: a standing run
-	well bool
+// program is a task's run as the stand-in takes it: {"ms":100,"ok":true}.
+type program struct {
+	duration time.Duration // below 0: a standing run
+	succeeds bool
 }
 
-const maxMS = int64(365 * 24 * time.Hour / time.Millisecond)
+const maxDurationMS = int64(365 * 24 * time.Hour / time.Millisecond)
 
-// parseSpec reads a run; what is missing is {"ms":0,"ok":true}. Faults: Malformed.
-func parseSpec(raw []byte) (spec, error) {
-	s := spec{well: true}
+// parseProgram reads a run; what is missing is {"ms":0,"ok":true}. Faults: Malformed.
+func parseProgram(raw []byte) (program, error) {
+	s := program{succeeds: true}
 	if len(raw) == 0 {
 		return s, nil
 	}
@@ -31,13 +31,13 @@
 	}
 	if ms := v.Get("ms"); ms != nil {
 		n, err := ms.Int64()
-		if err != nil || n > maxMS {
+		if err != nil || n > maxDurationMS {
 			return s, errs.New(errs.Malformed, "ms of the run is no whole number up to a year")
 		}
-		s.last = time.Duration(max(n, -1)) * time.Millisecond
+		s.duration = time.Duration(max(n, -1)) * time.Millisecond
 	}
 	if ok := v.Get("ok"); ok != nil {
-		if s.well, err = ok.Bool(); err != nil {
+		if s.succeeds, err = ok.Bool(); err != nil {
 			return s, errs.New(errs.Malformed, "ok of the run is neither true nor false")
 		}
 	}
--- a/internal/testbed/scale/plot.go
+++ b/internal/testbed/scale/plot.go
@@ -14,19 +14,19 @@
 	"crosstide/internal/errs"
 )
 
-// Draw writes a PNG of processor time, memory and traffic of each role: above against minions at idle, below against
+// Plot writes a PNG of processor time, memory and traffic of each role: above against minions at idle, below against
 // starts a second at the largest fleet. Faults: Invalid (no rows), Internal, Disk.
-func Draw(path string, rows []Row) error {
+func Plot(path string, rows []Row) error {
 	most := 0
 	for _, r := range rows {
-		most = max(most, r.Minions)
+		most = max(most, r.Workers)
 	}
 	if most == 0 {
 		return errs.New(errs.Invalid, "nothing to draw")
 	}
 	idle := func(r Row) bool { return r.Offered == 0 && r.Running == 0 }
-	loaded := func(r Row) bool { return r.Minions == most && r.Offered > 0 && !strings.HasPrefix(r.Note, fillNote) }
-	size := func(r Row) float64 { return float64(r.Minions) }
+	loaded := func(r Row) bool { return r.Workers == most && r.Offered > 0 && !strings.HasPrefix(r.Note, fillNote) }
+	size := func(r Row) float64 { return float64(r.Workers) }
 	rate := func(r Row) float64 { return r.Starts }
 	var tiles [][]*plot.Plot
 	for _, line := range []struct {
--- a/internal/testbed/scale/probe.go
+++ b/internal/testbed/scale/probe.go
@@ -25,35 +25,35 @@
 
 // Roles of a process.
 const (
-	Leader   = "cplane leader"
-	Follower = "cplane follower"
-	Sched    = "sched holder"
-	Dplane   = "dplane"
-	Minion   = "minion" // hollow ones: figures are per minion, the process's divided by how many share it
-	Agent    = "agent"  // a minion with a process of its own
+	Leader          = "cplane leader"
+	Follower        = "cplane follower"
+	SchedulerLeader = "sched holder"
+	DataPlane       = "dplane"
+	SharedWorker    = "minion" // hollow ones: figures are per minion, the process's divided by how many share it
+	DedicatedWorker = "agent"  // a minion with a process of its own
 )
 
 // Reading is what one process has used since its start, and what it holds now.
 type Reading struct {
-	Name    string
-	Role    string
-	Count   float64       // minions that share the process; 1 for a daemon
-	CPU     time.Duration // user and system
-	RSS     float64       // bytes resident
-	Bytes   float64       // bodies in and out, by its wire counters
-	Msgs    float64       // calls asked and answered
-	Stream  float64       // bytes through read(2) and write(2) but for those of its log or journal: sockets, heads and all
-	Told    float64       // bytes of the reading's own answer, counted by the wire counters of the next one
-	Probed  float64       // Stream after the reading itself, whose answer is large
-	Syncs   float64       // of the log
-	Log     float64       // bytes to the log and slots
-	RunIDs  float64       // given by this holder of sched
-	Handles float64       // run IDs out, as this dplane's replica has them
-	State   float64       // bytes of the newest slot's body; 0 before the first
+	Name        string
+	Role        string
+	Count       float64       // minions that share the process; 1 for a daemon
+	CPU         time.Duration // user and system
+	RSS         float64       // bytes resident
+	Bytes       float64       // bodies in and out, by its wire counters
+	Msgs        float64       // calls asked and answered
+	Stream      float64       // bytes through read(2) and write(2) but for those of its log or journal: sockets, heads and all
+	AnswerBytes float64       // bytes of the reading's own answer, counted by the wire counters of the next one
+	StreamAfter float64       // Stream after the reading itself, whose answer is large
+	Syncs       float64       // of the log
+	Log         float64       // bytes to the log and slots
+	RunIDs      float64       // given by this holder of sched
+	Handles     float64       // run IDs out, as this dplane's replica has them
+	State       float64       // bytes of the newest slot's body; 0 before the first
 }
 
-// Snap is a reading of the whole fleet.
-type Snap struct {
+// Snapshot is a reading of the whole fleet.
+type Snapshot struct {
 	At      time.Duration
 	Procs   map[string]Reading
 	Busy    float64 // processor seconds of the whole machine, all that run on it
@@ -78,14 +78,14 @@
 	return &Probe{dir: dir, nodes: nodes, caller: fleet.NewCaller(2), clock: clock}, errs.Pass(err, "probe")
 }
 
-// Minions is how many minions the fleet has.
-func (p *Probe) Minions() int { return len(p.nodes.Minions) }
+// Workers is how many minions the fleet has.
+func (p *Probe) Workers() int { return len(p.nodes.Workers) }
 
 // Read reads every process of DIR/pids once. Faults: Disk, Malformed, Unknown (a process is gone), Unavailable.
-func (p *Probe) Read(ctx context.Context) (Snap, error) {
-	pids, err := fleet.Pids(p.dir)
+func (p *Probe) Read(ctx context.Context) (Snapshot, error) {
+	pids, err := fleet.PIDs(p.dir)
 	if err != nil {
-		return Snap{}, errs.Pass(err, "probe")
+		return Snapshot{}, errs.Pass(err, "probe")
 	}
 	addrs, count := map[string]string{}, map[string]float64{}
 	for _, n := range p.nodes.All() {
@@ -96,10 +96,10 @@
 	for name := range pids {
 		names = append(names, name)
 	}
-	out := Snap{Procs: map[string]Reading{}}
+	out := Snapshot{Procs: map[string]Reading{}}
 	got, failures := make([]Reading, len(names)), make([]error, len(names))
 	routine.Each(len(names), 8, func(i int) {
-		got[i], failures[i] = p.process(ctx, names[i], pids[names[i]], addrs[names[i]], count[names[i]])
+		got[i], failures[i] = p.readProcess(ctx, names[i], pids[names[i]], addrs[names[i]], count[names[i]])
 	})
 	for i, r := range got {
 		if failures[i] != nil {
@@ -108,10 +108,10 @@
 		out.Procs[r.Name] = r
 	}
 	out.At = p.clock.Now()
-	return out, errs.Pass(out.machine(), "probe")
+	return out, errs.Pass(out.readMachine(), "probe")
 }
 
-func (s *Snap) machine() error {
+func (s *Snapshot) readMachine() error {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
 		return errs.Wrap(err, errs.Disk, "proc")
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (p *Probe) process(ctx context.Context, name string, pid int, addr string, count float64) (Reading, error) {
+func (p *Probe) readProcess(ctx context.Context, name string, pid int, addr string, count float64) (Reading, error) {
 	r := Reading{Name: name, Count: count}
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -155,15 +155,15 @@
 		return r, errs.Wrap(err, errs.Malformed, "metrics")
 	}
 	m := families(all)
-	r.Bytes, r.Msgs, r.Told = m.sum("crosstide_rpc_bytes_total"), m.sum("crosstide_rpc_calls_total"), float64(len(reply.Body))
+	r.Bytes, r.Msgs, r.AnswerBytes = m.sum("crosstide_rpc_bytes_total"), m.sum("crosstide_rpc_calls_total"), float64(len(reply.Body))
 	r.Syncs, r.Log = m.sum("crosstide_store_sync_seconds"), m.sum("crosstide_store_log_bytes_total")
 	r.RunIDs, r.Handles = m.sum("crosstide_sched_run_ids_total"), m.sum("crosstide_state_handles")
 	r.Role = m.role(name)
 	own := r.Log
-	if r.Role == Minion && count == 1 {
-		r.Role = Agent
+	if r.Role == SharedWorker && count == 1 {
+		r.Role = DedicatedWorker
 	}
-	if r.Role == Minion || r.Role == Agent {
+	if r.Role == SharedWorker || r.Role == DedicatedWorker {
 		if info, err := os.Stat(filepath.Join(p.dir, "journal", name+".jsonl")); err == nil {
 			own = float64(info.Size())
 		}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return r, errs.Wrap(err, errs.Unknown, "pid %d", pid)
 	}
-	r.Stream, r.Probed = max(0, float64(io.RChar+io.WChar)-own), max(0, float64(after.RChar+after.WChar)-own)
+	r.Stream, r.StreamAfter = max(0, float64(io.RChar+io.WChar)-own), max(0, float64(after.RChar+after.WChar)-own)
 	return r, nil
 }
 
@@ -201,11 +201,11 @@
 	case len(f["crosstide_store_role"].GetMetric()) > 0:
 		return Follower
 	case f.sum("crosstide_sched_holder") == 1:
-		return Sched
+		return SchedulerLeader
 	case len(f["crosstide_sched_holder"].GetMetric()) > 0:
-		return Dplane
+		return DataPlane
 	case strings.HasPrefix(name, "link"):
 		return "link"
 	}
-	return Minion
+	return SharedWorker
 }
--- a/internal/testbed/scale/row.go
+++ b/internal/testbed/scale/row.go
@@ -14,17 +14,17 @@
 
 // Step is what a fleet was under while it was measured.
 type Step struct {
-	Minions int     // known to the fleet
-	Offered float64 // task starts a second that the load asked for
-	Starts  float64 // run IDs a second that were given
-	Running float64 // run IDs out at the end
-	P50     float64 // from a job's yes to its first start, ms; 0 without a load
-	P99     float64
-	Left    int     // accepted jobs that were not seen over, of the load
-	Cores   float64 // busy on the whole machine, whatever ran on it
-	LoopKB  float64 // KB a second over the loopback, whatever used it
-	LoopPk  float64 // packets a second over the loopback
-	Note    string
+	Workers    int     // known to the fleet
+	Offered    float64 // task starts a second that the load asked for
+	Starts     float64 // run IDs a second that were given
+	Running    float64 // run IDs out at the end
+	P50        float64 // from a job's yes to its first start, ms; 0 without a load
+	P99        float64
+	Unfinished int     // accepted jobs that were not seen over, of the load
+	Cores      float64 // busy on the whole machine, whatever ran on it
+	LoopKB     float64 // KB a second over the loopback, whatever used it
+	LoopPk     float64 // packets a second over the loopback
+	Note       string
 }
 
 // Row is the cost of one role at a step: the mean of its processes. For Minion it is that of one minion.
@@ -41,16 +41,16 @@
 	LogKB float64 // to the log and slots, a second
 }
 
-var head = []string{"minions", "offered_per_s", "starts_per_s", "running", "start_p50_ms", "start_p99_ms", "left",
+var columns = []string{"minions", "offered_per_s", "starts_per_s", "running", "start_p50_ms", "start_p99_ms", "left",
 	"machine_cores", "loop_kb_s", "loop_packets_s", "role", "procs", "cpu_pct", "mb", "msgs_s", "body_kb_s", "net_kb_s",
 	"syncs_s", "log_kb_s", "note"}
 
 // Roles is the order of rows.
-var Roles = []string{Leader, Follower, Sched, Dplane, Minion, Agent}
+var Roles = []string{Leader, Follower, SchedulerLeader, DataPlane, SharedWorker, DedicatedWorker}
 
 // Rows returns the cost of each role between two readings. A process that changed its role between them counts for
 // the newer one; counters that went back (a process that was started anew) are a fault. Failure: Unknown.
-func Rows(from, to Snap, step Step) ([]Row, error) {
+func Rows(from, to Snapshot, step Step) ([]Row, error) {
 	s := (to.At - from.At).Seconds()
 	step.Cores, step.LoopKB, step.LoopPk = (to.Busy-from.Busy)/s, (to.Loop-from.Loop)/s/1000, (to.Packets-from.Packets)/s
 	sums := map[string]*Row{}
@@ -70,8 +70,8 @@
 		r.CPU += 100 * (b.CPU - a.CPU).Seconds() / s
 		r.MB += b.RSS / 1e6
 		r.Msgs += (b.Msgs - a.Msgs) / s
-		r.KB += (b.Bytes - a.Bytes - a.Told) / s / 1000
-		r.Net += (b.Stream - a.Probed) / s / 1000
+		r.KB += (b.Bytes - a.Bytes - a.AnswerBytes) / s / 1000
+		r.Net += (b.Stream - a.StreamAfter) / s / 1000
 		r.Syncs += (b.Syncs - a.Syncs) / s
 		r.LogKB += (b.Log - a.Log) / s / 1000
 	}
@@ -88,8 +88,8 @@
 	return out, nil
 }
 
-// Append adds rows to a CSV file, with a head if it is new. Failure: Disk.
-func Append(path string, rows []Row) error {
+// AppendRows adds rows to a CSV file, with a head if it is new. Failure: Disk.
+func AppendRows(path string, rows []Row) error {
 	_, err := os.Stat(path)
 	fresh := errors.Is(err, fs.ErrNotExist)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -98,11 +98,11 @@
 	}
 	w := csv.NewWriter(file)
 	if fresh {
-		_ = w.Write(head) // Error tells
+		_ = w.Write(columns) // Error tells
 	}
 	for _, r := range rows {
 		f := func(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
-		_ = w.Write([]string{strconv.Itoa(r.Minions), f(r.Offered), f(r.Starts), f(r.Running), f(r.P50), f(r.P99), strconv.Itoa(r.Left),
+		_ = w.Write([]string{strconv.Itoa(r.Workers), f(r.Offered), f(r.Starts), f(r.Running), f(r.P50), f(r.P99), strconv.Itoa(r.Unfinished),
 			f(r.Cores), f(r.LoopKB), f(r.LoopPk), r.Role, f(r.Procs), f(r.CPU), f(r.MB), f(r.Msgs), f(r.KB), f(r.Net),
 			f(r.Syncs), f(r.LogKB), r.Note})
 	}
@@ -110,8 +110,8 @@
 	return errs.Wrap(errors.Join(w.Error(), file.Close()), errs.Disk, "write %s", path)
 }
 
-// Load reads what Append wrote. Faults: Disk, Malformed.
-func Load(path string) ([]Row, error) {
+// ReadRows reads what Append wrote. Faults: Disk, Malformed.
+func ReadRows(path string) ([]Row, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "open %s", path)
@@ -127,7 +127,7 @@
 			return nil, errs.Wrap(err, errs.Malformed, "%s", path)
 		}
 		if n == 0 {
-			if !slices.Equal(cell, head) {
+			if !slices.Equal(cell, columns) {
 				return nil, errs.New(errs.Malformed, "%s has other columns", path)
 			}
 			continue
@@ -139,7 +139,7 @@
 				continue
 			}
 			if v[i], err = strconv.ParseFloat(cell[i], 64); err != nil {
-				return nil, errs.Wrap(err, errs.Malformed, "%s, row %d, %s", path, n, head[i])
+				return nil, errs.Wrap(err, errs.Malformed, "%s, row %d, %s", path, n, columns[i])
 			}
 		}
 		row.Step = Step{int(v[0]), v[1], v[2], v[3], v[4], v[5], int(v[6]), v[7], v[8], v[9], cell[19]}
@@ -149,8 +149,8 @@
 	}
 }
 
-// Slope fits y = base + slope*x by least squares over points; more than two values of x are needed (else ok is false).
-func Slope(x, y []float64) (base, slope float64, ok bool) {
+// FitLine fits y = base + slope*x by least squares over points; more than two values of x are needed (else ok is false).
+func FitLine(x, y []float64) (base, slope float64, ok bool) {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy float64
 	for i := range x {
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -17,26 +17,26 @@
 
 // Plan is what a fleet is measured under.
 type Plan struct {
-	Dir     string
-	Running int           // long tasks that are put out first
-	Fill    time.Duration // bound on that
-	Rates   []float64     // task starts a second, one step each; 0: no load
-	For     time.Duration // of a step
-	Settle  time.Duration // left out at the start of a step
-	Tasks   int           // of a job
-	Run     time.Duration // of a task
-	Bound   time.Duration // a step whose 99th percentile to the first start is over it is the last; 0: none
+	Dir          string
+	Running      int           // long tasks that are put out first
+	FillTimeout  time.Duration // bound on that
+	Rates        []float64     // task starts a second, one step each; 0: no load
+	StepDuration time.Duration // of a step
+	WarmUp       time.Duration // left out at the start of a step
+	Tasks        int           // of a job
+	TaskDuration time.Duration // of a task
+	MaxP99       time.Duration // a step whose 99th percentile to the first start is over it is the last; 0: none
 }
 
-// Run measures step after step and gives each step's rows to tell. It ends early, with a note in that step's rows,
+// TaskDuration measures step after step and gives each step's rows to tell. It ends early, with a note in that step's rows,
 // when a step fails its bound or leaves jobs unfinished. Faults: those of Probe.Read, Invalid, Unavailable.
-func Run(ctx context.Context, p Plan, probe *Probe, tell func([]Row) error) error {
+func Run(ctx context.Context, p Plan, probe *Probe, report func([]Row) error) error {
 	if p.Running > 0 {
 		rows, err := probe.fill(ctx, p)
 		if err != nil {
 			return errs.Pass(err, "fill")
 		}
-		if err := tell(rows); err != nil {
+		if err := report(rows); err != nil {
 			return errs.Pass(err, "fill")
 		}
 	}
@@ -45,7 +45,7 @@
 		if err != nil {
 			return errs.Pass(err, "%g starts a second", rate)
 		}
-		if err := tell(rows); err != nil || stop {
+		if err := report(rows); err != nil || stop {
 			return errs.Pass(err, "step")
 		}
 	}
@@ -63,30 +63,30 @@
 		spec := state.Spec{Key: fmt.Sprintf("fill-%d-%d", p.clock.Wall().UnixMilli(), n), Team: fmt.Sprintf("t%d", n%20), Queue: "default",
 			Steps: []state.StepSpec{{Name: "s1", Type: "fill", Tasks: min(left, most), Cores: 1, Run: []byte(`{"ms":3600000}`)}}}
 		left -= most
-		reply, err := p.caller.Call(ctx, http.MethodPost, p.nodes.DPlanes[n%len(p.nodes.DPlanes)].Addr, "/v1/jobs", spec, 5*time.Second)
-		if err != nil || !reply.Good() {
+		reply, err := p.caller.Call(ctx, http.MethodPost, p.nodes.DataPlanes[n%len(p.nodes.DataPlanes)].Addr, "/v1/jobs", spec, 5*time.Second)
+		if err != nil || !reply.IsSuccess() {
 			return nil, errs.New(errs.Unavailable, "job %d is not taken: %s %v", n, reply.Body, err)
 		}
 	}
-	step := Step{Minions: p.Minions(), Offered: float64(plan.Running)}
+	step := Step{Workers: p.Workers(), Offered: float64(plan.Running)}
 	began, snap := p.clock.Now(), from
-	for p.clock.Now() < began+plan.Fill && out(snap) < float64(plan.Running) {
-		if err := p.pause(ctx, 500*time.Millisecond); err != nil {
+	for p.clock.Now() < began+plan.FillTimeout && runningTasks(snap) < float64(plan.Running) {
+		if err := p.sleep(ctx, 500*time.Millisecond); err != nil {
 			return nil, errs.Pass(err, "fill")
 		}
 		if snap, err = p.Read(ctx); err != nil {
 			return nil, errs.Pass(err, "fill")
 		}
 	}
-	step.Note = fmt.Sprintf(fillNote+"%.0f of %d out after %.1f s", out(snap), plan.Running, (snap.At - from.At).Seconds())
+	step.Note = fmt.Sprintf(fillNote+"%.0f of %d out after %.1f s", runningTasks(snap), plan.Running, (snap.At - from.At).Seconds())
 	rows, err := Rows(from, snap, step)
 	return rows, errs.Pass(err, "fill")
 }
 
-// out is how many run IDs are out as the holder of sched has them.
-func out(s Snap) float64 {
+// runningTasks is how many run IDs are out as the holder of sched has them.
+func runningTasks(s Snapshot) float64 {
 	for _, r := range s.Procs {
-		if r.Role == Sched {
+		if r.Role == SchedulerLeader {
 			return r.Handles
 		}
 	}
@@ -100,18 +100,18 @@
 	defer group.Stop()
 	if rate > 0 {
 		group.Go(func(ctx context.Context) {
-			report, loadErr = load.Run(ctx, load.Options{Dir: plan.Dir, Rate: rate / float64(plan.Tasks), For: plan.For, Seed: uint64(nth + 1),
-				Tasks: plan.Tasks, Run: plan.Run, Wait: 6*time.Second + plan.Run, GiveUp: 5 * time.Second, Polls: 300})
+			report, loadErr = load.Run(ctx, load.Options{Dir: plan.Dir, Rate: rate / float64(plan.Tasks), Duration: plan.StepDuration, Seed: uint64(nth + 1),
+				Tasks: plan.Tasks, TaskDuration: plan.TaskDuration, EndTimeout: 6*time.Second + plan.TaskDuration, SubmitTimeout: 5 * time.Second, MaxPollsPerSecond: 300})
 		})
 	}
-	if err := p.pause(ctx, plan.Settle); err != nil {
+	if err := p.sleep(ctx, plan.WarmUp); err != nil {
 		return nil, true, errs.Pass(err, "settle")
 	}
 	from, err := p.Read(ctx)
 	if err != nil {
 		return nil, true, errs.Pass(err, "from")
 	}
-	if err := p.pause(ctx, plan.For-plan.Settle); err != nil {
+	if err := p.sleep(ctx, plan.StepDuration-plan.WarmUp); err != nil {
 		return nil, true, errs.Pass(err, "step")
 	}
 	to, err := p.Read(ctx)
@@ -122,23 +122,23 @@
 	if loadErr != nil {
 		return nil, true, errs.Pass(loadErr, "load")
 	}
-	step := Step{Minions: p.Minions(), Offered: rate, P50: report.ToStart.P50, P99: report.ToStart.P99,
-		Left: report.Unfinished + report.Offered - report.Accepted}
+	step := Step{Workers: p.Workers(), Offered: rate, P50: report.ToStart.P50, P99: report.ToStart.P99,
+		Unfinished: report.Unfinished + report.Offered - report.Accepted}
 	switch {
-	case step.Left > 0:
-		step.Note, stop = fmt.Sprintf("stopped here: %d of %d jobs not accepted or not over in time", step.Left, report.Offered), true
-	case plan.Bound > 0 && step.P99 > float64(plan.Bound.Milliseconds()):
-		step.Note, stop = fmt.Sprintf("stopped here: p99 to the first start over %s", plan.Bound), true
+	case step.Unfinished > 0:
+		step.Note, stop = fmt.Sprintf("stopped here: %d of %d jobs not accepted or not over in time", step.Unfinished, report.Offered), true
+	case plan.MaxP99 > 0 && step.P99 > float64(plan.MaxP99.Milliseconds()):
+		step.Note, stop = fmt.Sprintf("stopped here: p99 to the first start over %s", plan.MaxP99), true
 	}
 	rows, err = Rows(from, to, step)
 	return rows, stop, errs.Pass(err, "step")
 }
 
-func (p *Probe) pause(ctx context.Context, d time.Duration) error {
-	rung := make(chan struct{})
-	defer p.clock.Set(d, func() { close(rung) }).Stop()
+func (p *Probe) sleep(ctx context.Context, d time.Duration) error {
+	elapsed := make(chan struct{})
+	defer p.clock.Set(d, func() { close(elapsed) }).Stop()
 	select {
-	case <-rung:
+	case <-elapsed:
 		return nil
 	case <-ctx.Done():
 		return errs.Wrap(ctx.Err(), errs.Stopped, "stopped")
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -13,31 +13,31 @@
 
 func TestRows(t *testing.T) {
 	Convey("Rows are means per process and second, of a minion per minion", t, func() {
-		a := Snap{Procs: map[string]Reading{"c1": {Role: Follower, Count: 1}, "c2": {Role: Leader, Count: 1}, "c3": {Role: Follower, Count: 1},
-			"d1": {Role: Sched, Count: 1}, "h1": {Role: Minion, Count: 50}}}
-		b := Snap{At: 10 * time.Second, Busy: 20, Loop: 1e6, Procs: map[string]Reading{
+		a := Snapshot{Procs: map[string]Reading{"c1": {Role: Follower, Count: 1}, "c2": {Role: Leader, Count: 1}, "c3": {Role: Follower, Count: 1},
+			"d1": {Role: SchedulerLeader, Count: 1}, "h1": {Role: SharedWorker, Count: 50}}}
+		b := Snapshot{At: 10 * time.Second, Busy: 20, Loop: 1e6, Procs: map[string]Reading{
 			"c1": {Role: Follower, Count: 1, CPU: time.Second, RSS: 4e6, Syncs: 100},
 			"c2": {Role: Leader, Count: 1, CPU: 2 * time.Second}, "c3": {Role: Follower, Count: 1, CPU: 3 * time.Second, RSS: 2e6},
-			"d1": {Role: Sched, Count: 1, RunIDs: 500, Handles: 7}, "h1": {Role: Minion, Count: 50, Stream: 1e6, Msgs: 500}}}
-		rows, err := Rows(a, b, Step{Minions: 50, Offered: 60})
+			"d1": {Role: SchedulerLeader, Count: 1, RunIDs: 500, Handles: 7}, "h1": {Role: SharedWorker, Count: 50, Stream: 1e6, Msgs: 500}}}
+		rows, err := Rows(a, b, Step{Workers: 50, Offered: 60})
 		So(err, ShouldBeNil)
 		So(len(rows), ShouldEqual, 4)
-		So(rows[1], ShouldResemble, Row{Step: Step{Minions: 50, Offered: 60, Starts: 50, Running: 7, Cores: 2, LoopKB: 100},
+		So(rows[1], ShouldResemble, Row{Step: Step{Workers: 50, Offered: 60, Starts: 50, Running: 7, Cores: 2, LoopKB: 100},
 			Role: Follower, Procs: 2, CPU: 20, MB: 3, Syncs: 5})
 		So(rows[3].Net, ShouldEqual, 2)
 		So(rows[3].Msgs, ShouldEqual, 1)
 		Convey("they are read back from the file, and drawn", func() {
 			path := filepath.Join(t.TempDir(), "a.csv")
-			So(Append(path, rows[:1]), ShouldBeNil)
-			So(Append(path, rows[1:]), ShouldBeNil)
-			back, err := Load(path)
+			So(AppendRows(path, rows[:1]), ShouldBeNil)
+			So(AppendRows(path, rows[1:]), ShouldBeNil)
+			back, err := ReadRows(path)
 			So(err, ShouldBeNil)
 			So(back, ShouldResemble, rows)
-			So(Draw(path+".png", back), ShouldBeNil)
+			So(Plot(path+".png", back), ShouldBeNil)
 			info, err := os.Stat(path + ".png")
 			So(err, ShouldBeNil)
 			So(info.Size(), ShouldBeGreaterThan, 1000)
-			So(errs.KindOf(Draw(path, nil)), ShouldEqual, errs.Invalid)
+			So(errs.KindOf(Plot(path, nil)), ShouldEqual, errs.Invalid)
 		})
 		Convey("a process that was started anew is no measurement", func() {
 			_, err := Rows(b, a, Step{})
@@ -45,9 +45,9 @@
 		})
 	})
 	Convey("A line is fitted", t, func() {
-		base, slope, ok := Slope([]float64{1, 2, 3}, []float64{3, 5, 7})
+		base, slope, ok := FitLine([]float64{1, 2, 3}, []float64{3, 5, 7})
 		So([]any{base, slope, ok}, ShouldResemble, []any{1.0, 2.0, true})
-		_, _, ok = Slope([]float64{1, 1, 1}, []float64{3, 5, 7})
+		_, _, ok = FitLine([]float64{1, 1, 1}, []float64{3, 5, 7})
 		So(ok, ShouldBeFalse)
 	})
 }
