--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -41,11 +41,11 @@
 func accountPath(name, rest string) string { return "/v1/accounts/" + url.PathEscape(name) + rest }
 
 func accountCreate(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "NAME")
+	a, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
-	key, err := signer(cmd)
+	key, err := loadSigner(cmd)
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
@@ -53,18 +53,18 @@
 	if key != nil {
 		in.By, in.Sig = key.Name, key.Sign(signature.AccountCreate(in.Order, a[0], in.Credit))
 	}
-	raw, err := post(ctx, cmd, accountPath(a[0], "/create"), in)
+	raw, err := postJSON(ctx, cmd, accountPath(a[0], "/create"), in)
 	if err != nil {
 		return errs.Pass(err, "order %s", in.Order)
 	}
 	var done command.AccountCreated
-	return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
-		fmt.Fprintf(w, "account\t%s\ncredit\t%d\nopened\t%s\n", done.Account, done.Credit, when(done.At))
+	return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
+		fmt.Fprintf(w, "account\t%s\ncredit\t%d\nopened\t%s\n", done.Account, done.Credit, formatTime(done.At))
 	}), "create")
 }
 
 func accountTopUp(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "NAME", "UNITS")
+	a, err := exactArgs(cmd, "NAME", "UNITS")
 	if err != nil {
 		return errs.Pass(err, "top-up")
 	}
@@ -72,7 +72,7 @@
 	if err != nil || amount < 1 {
 		return errs.Field(errs.Settings, "UNITS", "must be a whole number above 0, is %q", a[1])
 	}
-	key, err := signer(cmd)
+	key, err := loadSigner(cmd)
 	if err != nil {
 		return errs.Pass(err, "top-up")
 	}
@@ -80,48 +80,48 @@
 	if key != nil {
 		in.By, in.Sig = key.Name, key.Sign(signature.AccountTopUp(in.Key, a[0], amount))
 	}
-	raw, err := post(ctx, cmd, accountPath(a[0], "/top-up"), in)
+	raw, err := postJSON(ctx, cmd, accountPath(a[0], "/top-up"), in)
 	if err != nil {
 		return errs.Pass(err, "order %s", in.Key)
 	}
 	var done account.TopUp
-	return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
+	return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
 		fmt.Fprintf(w, "account\t%s\nkey\t%s\namount\t%d\nbalance then\t%d\nentry\t%d\nat\t%s\n", done.Account, done.Key, done.Amount,
-			done.Balance, done.Number, when(done.At))
+			done.Balance, done.Number, formatTime(done.At))
 	}), "top-up")
 }
 
-// post sends an order and gives the answer's bytes.
-func post(ctx context.Context, cmd *cli.Command, path string, in any) ([]byte, error) {
+// postJSON sends an order and gives the answer's bytes.
+func postJSON(ctx context.Context, cmd *cli.Command, path string, in any) ([]byte, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode the order")
 	}
-	raw, err := call(ctx, http.MethodPost, cmd.String("addr"), path, body)
+	raw, err := doRequest(ctx, http.MethodPost, cmd.String("addr"), path, body)
 	return raw, errs.Pass(err, "post")
 }
 
 func accountShow(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "NAME")
+	a, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "show")
 	}
 	var v internalapi.AccountView
-	return errs.Pass(ask(ctx, cmd, accountPath(a[0], ""), &v, func(w io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, accountPath(a[0], ""), &v, func(w io.Writer) {
 		fmt.Fprintf(w, "account\t%s\nbalance\t%d\nreserved\t%d\nspent\t%d\ntopped up\t%d\ncredit\t%d\n", v.Name, v.Balance, v.Reserved,
 			v.Spent, v.ToppedUp, v.Credit)
 		fmt.Fprintf(w, "runs\t%d\nunits a second\t%s\ndry in\t%s\nwaiting jobs\t%d\nteams\t%s\nqueues\t%s\nwarning\t%s\n", v.Runs, perSecond(v.Rate),
-			dryIn(v), v.Waiting, dash(strings.Join(v.Teams, " ")), dash(strings.Join(v.Queues, " ")), dash(v.Warning))
+			exhaustedIn(v), v.Waiting, orDash(strings.Join(v.Teams, " ")), orDash(strings.Join(v.Queues, " ")), orDash(v.Warning))
 	}), "show")
 }
 
 func accountList(ctx context.Context, cmd *cli.Command) error {
 	var list internalapi.AccountsAnswer
-	return errs.Pass(ask(ctx, cmd, "/v1/accounts", &list, func(w io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/accounts", &list, func(w io.Writer) {
 		fmt.Fprintln(w, "ACCOUNT\tBALANCE\tRESERVED\tSPENT\tTOPPED UP\tRUNS\tUNITS/S\tDRY IN\tWAITING\tWARNING")
 		for _, v := range list.Accounts {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%d\t%s\n", v.Name, v.Balance, v.Reserved, v.Spent, v.ToppedUp, v.Runs,
-				perSecond(v.Rate), dryIn(v), v.Waiting, dash(v.Warning))
+				perSecond(v.Rate), exhaustedIn(v), v.Waiting, orDash(v.Warning))
 		}
 	}), "list")
 }
@@ -129,7 +129,7 @@
 // perSecond shows a rate in units per second.
 func perSecond(r account.Rate) string { return fmt.Sprintf("%d.%03d", r/1000, r%1000) }
 
-func dryIn(v internalapi.AccountView) string {
+func exhaustedIn(v internalapi.AccountView) string {
 	if !v.Draws {
 		return "-"
 	}
@@ -137,16 +137,16 @@
 }
 
 func accountLedger(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "NAME")
+	a, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "ledger")
 	}
 	path := fmt.Sprintf("/ledger?after=%d&limit=%d", cmd.Uint64("after"), cmd.Int("limit"))
 	var out internalapi.LedgerAnswer
-	return errs.Pass(ask(ctx, cmd, accountPath(a[0], path), &out, func(w io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, accountPath(a[0], path), &out, func(w io.Writer) {
 		fmt.Fprintln(w, "NUMBER\tAT\tKIND\tKEY\tPART\tAMOUNT")
 		for _, e := range out.Entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", e.Number, when(e.At), e.Kind, e.Key, e.DrawIndex, e.Amount)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", e.Number, formatTime(e.At), e.Kind, e.Key, e.DrawIndex, e.Amount)
 		}
 		ledgerSum(w, "compacted", out.Base)
 		ledgerSum(w, "all", out.Head)
@@ -158,11 +158,11 @@
 }
 
 func accountExport(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "NAME")
+	a, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "export")
 	}
-	raw, err := call(ctx, http.MethodGet, cmd.String("addr"), accountPath(a[0], "/export"), nil)
+	raw, err := doRequest(ctx, http.MethodGet, cmd.String("addr"), accountPath(a[0], "/export"), nil)
 	if err != nil {
 		return errs.Pass(err, "export")
 	}
--- a/cmd/crosstide-controlplane/bundle.go
+++ b/cmd/crosstide-controlplane/bundle.go
@@ -24,7 +24,7 @@
 	"crosstide/internal/state/command"
 )
 
-const stamp = "2006-01-02T15:04:05.000Z"
+const timeLayout = "2006-01-02T15:04:05.000Z"
 
 func keyFlag() cli.Flag {
 	return &cli.StringFlag{Name: "key", Usage: "`FILE` of the operator who signs"}
@@ -49,9 +49,9 @@
 		{Name: "bundle", Usage: "write, sign and read the bundle", Commands: []*cli.Command{
 			{Name: "check", Usage: "print all mistakes in the bundle FILE (- for standard input)", ArgsUsage: "FILE", Action: bundleCheck},
 			{Name: "put", Usage: "write FILE as a draft", ArgsUsage: "FILE", Flags: append(asked, keyFlag(), orderFlag(), base),
-				Action: write("/v1/bundles", signature.Put)},
+				Action: bundleWriteAction("/v1/bundles", signature.Put)},
 			{Name: "patch", Usage: "write the base, changed by the JSON merge patch in FILE, as a draft", ArgsUsage: "FILE",
-				Flags: append(asked, keyFlag(), orderFlag(), base), Action: write("/v1/bundles/patch", signature.Patch)},
+				Flags: append(asked, keyFlag(), orderFlag(), base), Action: bundleWriteAction("/v1/bundles/patch", signature.Patch)},
 			{Name: "sign", Usage: "sign VERSION; the second operator puts it in force", ArgsUsage: "VERSION", Action: bundleSign,
 				Flags: append(asked, keyFlag(), orderFlag(), &cli.StringFlag{Name: "sha", Usage: "refuse unless the bytes have this SHA-256"})},
 			{Name: "show", Usage: "print the exact bytes of VERSION (also: current, newest); with --json what is known of it",
@@ -60,19 +60,19 @@
 				Flags: append(asked, &cli.IntFlag{Name: "limit", Value: 50})},
 			{Name: "diff", Usage: "print what differs between A and B", ArgsUsage: "A B", Flags: asked, Action: bundleDiff},
 		}},
-		{Name: "rollout", Usage: "print which bundle every node has, and how long it took", Flags: asked, Action: rollout},
+		{Name: "rollout", Usage: "print which bundle every node has, and how long it took", Flags: asked, Action: showRollout},
 		{Name: "zone", Usage: "evacuate a zone, or lift that", Commands: []*cli.Command{
 			{Name: "evacuate", Usage: "no new starts in ZONE, what runs there is stopped", ArgsUsage: "ZONE",
-				Flags: append(asked, keyFlag(), orderFlag()), Action: zone(true)},
+				Flags: append(asked, keyFlag(), orderFlag()), Action: zoneAction(true)},
 			{Name: "lift", Usage: "ZONE may be used again; two operators are needed", ArgsUsage: "ZONE",
-				Flags: append(asked, keyFlag(), orderFlag()), Action: zone(false)},
+				Flags: append(asked, keyFlag(), orderFlag()), Action: zoneAction(false)},
 			{Name: "list", Usage: "print the evacuated zones", Flags: asked, Action: zoneList},
 		}},
 	}
 }
 
 // one returns the arguments, which must be so many.
-func args(cmd *cli.Command, names ...string) ([]string, error) {
+func exactArgs(cmd *cli.Command, names ...string) ([]string, error) {
 	if cmd.NArg() != len(names) {
 		return nil, errs.Field(errs.Settings, strings.Join(names, " "), "%d arguments are needed, are %d", len(names), cmd.NArg())
 	}
@@ -80,7 +80,7 @@
 }
 
 func keyNew(_ context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "NAME", "FILE")
+	a, err := exactArgs(cmd, "NAME", "FILE")
 	if err != nil {
 		return errs.Pass(err, "key")
 	}
@@ -91,11 +91,11 @@
 	if err := key.Save(a[1]); err != nil {
 		return errs.Pass(err, "key")
 	}
-	return errs.Pass(show(map[string]string{"name": key.Name, "key": key.Public()}), "key")
+	return errs.Pass(printJSON(map[string]string{"name": key.Name, "key": key.Public()}), "key")
 }
 
 func keyShow(_ context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "FILE")
+	a, err := exactArgs(cmd, "FILE")
 	if err != nil {
 		return errs.Pass(err, "key")
 	}
@@ -103,10 +103,10 @@
 	if err != nil {
 		return errs.Pass(err, "key")
 	}
-	return errs.Pass(show(map[string]string{"name": key.Name, "key": key.Public()}), "key")
+	return errs.Pass(printJSON(map[string]string{"name": key.Name, "key": key.Public()}), "key")
 }
 
-func show(v any) error {
+func printJSON(v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode")
@@ -115,9 +115,9 @@
 	return errs.Wrap(err, errs.Internal, "print")
 }
 
-// text reads the one argument as a file.
-func text(cmd *cli.Command) ([]byte, error) {
-	a, err := args(cmd, "FILE")
+// readFileArg reads the one argument as a file.
+func readFileArg(cmd *cli.Command) ([]byte, error) {
+	a, err := exactArgs(cmd, "FILE")
 	if err != nil {
 		return nil, errs.Pass(err, "file")
 	}
@@ -130,7 +130,7 @@
 }
 
 func bundleCheck(_ context.Context, cmd *cli.Command) error {
-	data, err := text(cmd)
+	data, err := readFileArg(cmd)
 	if err != nil {
 		return errs.Pass(err, "check")
 	}
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// signer returns the operator's key, nil if none is given: the store may know no operators yet.
-func signer(cmd *cli.Command) (*signature.Key, error) {
+// loadSigner returns the operator's key, nil if none is given: the store may know no operators yet.
+func loadSigner(cmd *cli.Command) (*signature.Key, error) {
 	if !cmd.IsSet("key") {
 		return nil, nil
 	}
@@ -150,14 +150,14 @@
 	return &key, errs.Pass(err, "key")
 }
 
-// write makes the action of put and patch; what is signed is the order, the base and the digest of the text.
-func write(path string, signed func(order string, base uint64, digest string) string) cli.ActionFunc {
+// bundleWriteAction makes the action of put and patch; what is signed is the order, the base and the digest of the text.
+func bundleWriteAction(path string, signed func(order string, base uint64, digest string) string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		data, err := text(cmd)
+		data, err := readFileArg(cmd)
 		if err != nil {
 			return errs.Pass(err, "write")
 		}
-		key, err := signer(cmd)
+		key, err := loadSigner(cmd)
 		if err != nil {
 			return errs.Pass(err, "write")
 		}
@@ -167,19 +167,19 @@
 			q.Set("by", key.Name)
 			q.Set("sig", key.Sign(signed(id, base, bundle.Digest(data))))
 		}
-		raw, err := call(ctx, http.MethodPost, cmd.String("addr"), path+"?"+q.Encode(), data)
+		raw, err := doRequest(ctx, http.MethodPost, cmd.String("addr"), path+"?"+q.Encode(), data)
 		if err != nil {
 			return errs.Pass(err, "order %s", id)
 		}
 		var done command.BundleDrafted
-		return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
+		return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
 			fmt.Fprintf(w, "version\t%d\nsha256\t%s\nstate\t%s\n", done.Version, done.Digest, done.Phase)
 		}), "write")
 	}
 }
 
-// answer prints raw, or with a table what it says.
-func answer(cmd *cli.Command, raw []byte, into any, table func(w io.Writer)) error {
+// printAnswer prints raw, or with a table what it says.
+func printAnswer(cmd *cli.Command, raw []byte, into any, table func(w io.Writer)) error {
 	if cmd.Bool("json") {
 		_, err := os.Stdout.Write(append([]byte(strings.TrimSpace(string(raw))), '\n'))
 		return errs.Wrap(err, errs.Internal, "print")
@@ -194,7 +194,7 @@
 
 // bundleSign reads the version, takes the digest of the very bytes it read, and signs that.
 func bundleSign(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "VERSION")
+	a, err := exactArgs(cmd, "VERSION")
 	if err != nil {
 		return errs.Pass(err, "sign")
 	}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return errs.Field(errs.Settings, "VERSION", "must be a number, is %q", a[0])
 	}
-	key, err := signer(cmd)
+	key, err := loadSigner(cmd)
 	if err != nil {
 		return errs.Pass(err, "sign")
 	}
@@ -210,7 +210,7 @@
 		return errs.Field(errs.Settings, "key", "must be given")
 	}
 	addr, path := cmd.String("addr"), "/v1/bundles/"+strconv.FormatUint(version, 10)
-	body, err := call(ctx, http.MethodGet, addr, path+"/body", nil)
+	body, err := doRequest(ctx, http.MethodGet, addr, path+"/body", nil)
 	if err != nil {
 		return errs.Pass(err, "read version %d", version)
 	}
@@ -223,18 +223,18 @@
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the order")
 	}
-	raw, err := call(ctx, http.MethodPost, addr, path+"/sign", in)
+	raw, err := doRequest(ctx, http.MethodPost, addr, path+"/sign", in)
 	if err != nil {
 		return errs.Pass(err, "order %s", id)
 	}
 	var done command.BundleSigned
-	return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
+	return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
 		fmt.Fprintf(w, "version\t%d\nsha256\t%s\nstate\t%s\nsigned\t%s\n", done.Version, done.Digest, done.Phase, strings.Join(done.Signed, " "))
 	}), "sign")
 }
 
 func bundleShow(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "VERSION")
+	a, err := exactArgs(cmd, "VERSION")
 	if err != nil {
 		return errs.Pass(err, "show")
 	}
@@ -242,7 +242,7 @@
 	if !cmd.Bool("json") {
 		path += "/body"
 	}
-	raw, err := call(ctx, http.MethodGet, cmd.String("addr"), path, nil)
+	raw, err := doRequest(ctx, http.MethodGet, cmd.String("addr"), path, nil)
 	if err != nil {
 		return errs.Pass(err, "show")
 	}
@@ -250,34 +250,34 @@
 	return errs.Wrap(err, errs.Internal, "print")
 }
 
-// ask gets path and prints it as a table, or as JSON.
-func ask(ctx context.Context, cmd *cli.Command, path string, into any, table func(w io.Writer)) error {
-	raw, err := call(ctx, http.MethodGet, cmd.String("addr"), path, nil)
+// printQuery gets path and prints it as a table, or as JSON.
+func printQuery(ctx context.Context, cmd *cli.Command, path string, into any, table func(w io.Writer)) error {
+	raw, err := doRequest(ctx, http.MethodGet, cmd.String("addr"), path, nil)
 	if err != nil {
 		return errs.Pass(err, "ask")
 	}
-	return errs.Pass(answer(cmd, raw, into, table), "ask")
+	return errs.Pass(printAnswer(cmd, raw, into, table), "ask")
 }
 
-func when(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
-	return t.UTC().Format(stamp)
+	return t.UTC().Format(timeLayout)
 }
 
 func bundleLog(ctx context.Context, cmd *cli.Command) error {
 	var log operatorapi.Log
-	return errs.Pass(ask(ctx, cmd, "/v1/bundles?limit="+strconv.Itoa(cmd.Int("limit")), &log, func(w io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/bundles?limit="+strconv.Itoa(cmd.Int("limit")), &log, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tBASE\tSTATE\tWRITTEN\tBY\tSIGNED\tIN FORCE\tBYTES\tSHA256")
 		for _, v := range log.Versions {
-			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", v.Version, v.Base, v.Phase, when(v.WrittenAt), dash(v.Author),
-				dash(signers(v)), when(v.InForceSince), v.Size, v.Digest)
+			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", v.Version, v.Base, v.Phase, formatTime(v.WrittenAt), orDash(v.Author),
+				orDash(signerNames(v)), formatTime(v.InForceSince), v.Size, v.Digest)
 		}
 	}), "log")
 }
 
-func signers(r state.Revision) string {
+func signerNames(r state.Revision) string {
 	var out []string
 	for _, g := range r.Signed {
 		out = append(out, g.By)
@@ -285,7 +285,7 @@
 	return strings.Join(out, " ")
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
@@ -293,29 +293,29 @@
 }
 
 func bundleDiff(ctx context.Context, cmd *cli.Command) error {
-	a, err := args(cmd, "A", "B")
+	a, err := exactArgs(cmd, "A", "B")
 	if err != nil {
 		return errs.Pass(err, "diff")
 	}
 	var diff operatorapi.Difference
-	return errs.Pass(ask(ctx, cmd, "/v1/bundles/"+url.PathEscape(a[0])+"/diff/"+url.PathEscape(a[1]), &diff, func(w io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/bundles/"+url.PathEscape(a[0])+"/diff/"+url.PathEscape(a[1]), &diff, func(w io.Writer) {
 		fmt.Fprintf(w, "PATH\t%d\t%d\n", diff.From, diff.To)
 		for _, c := range diff.Changes {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Path, dash(c.From), dash(c.To))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Path, orDash(c.From), orDash(c.To))
 		}
 	}), "diff")
 }
 
-func rollout(ctx context.Context, cmd *cli.Command) error {
+func showRollout(ctx context.Context, cmd *cli.Command) error {
 	var out operatorapi.Rollout
-	return errs.Pass(ask(ctx, cmd, "/v1/rollout", &out, func(w io.Writer) {
-		fmt.Fprintf(w, "version %d in force since %s\nKIND\tNODE\tVERSION\tSINCE\tTOOK\tHEARD\n", out.Version, when(out.InForceSince))
+	return errs.Pass(printQuery(ctx, cmd, "/v1/rollout", &out, func(w io.Writer) {
+		fmt.Fprintf(w, "version %d in force since %s\nKIND\tNODE\tVERSION\tSINCE\tTOOK\tHEARD\n", out.Version, formatTime(out.InForceSince))
 		for _, n := range out.Nodes {
 			took := "-"
 			if n.Version == out.Version && !out.InForceSince.IsZero() {
 				took = n.Took.Round(100 * time.Microsecond).String()
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", n.Kind, n.Node, n.Version, when(n.Since), took, when(n.Heard))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", n.Kind, n.Node, n.Version, formatTime(n.Since), took, formatTime(n.Heard))
 		}
 		for _, name := range out.Silent {
 			fmt.Fprintf(w, "cplane\t%s\tno answer\t\t\t\n", name)
@@ -323,21 +323,21 @@
 	}), "rollout")
 }
 
-// zone makes the action of evacuate and lift.
-func zone(out bool) cli.ActionFunc {
+// zoneAction makes the action of evacuate and lift.
+func zoneAction(out bool) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		a, err := args(cmd, "ZONE")
+		a, err := exactArgs(cmd, "ZONE")
 		if err != nil {
 			return errs.Pass(err, "zone")
 		}
-		key, err := signer(cmd)
+		key, err := loadSigner(cmd)
 		if err != nil {
 			return errs.Pass(err, "zone")
 		}
 		in := operatorapi.Order{Order: orderID(cmd)}
 		word, signed := "evacuate", signature.Evacuate(in.Order, a[0])
 		if !out {
-			since, err := evacuated(ctx, cmd, a[0])
+			since, err := evacuatedSince(ctx, cmd, a[0])
 			if err != nil {
 				return errs.Pass(err, "zone")
 			}
@@ -350,20 +350,20 @@
 		if err != nil {
 			return errs.Wrap(err, errs.Internal, "encode the order")
 		}
-		raw, err := call(ctx, http.MethodPost, cmd.String("addr"), "/v1/zones/"+url.PathEscape(a[0])+"/"+word, body)
+		raw, err := doRequest(ctx, http.MethodPost, cmd.String("addr"), "/v1/zones/"+url.PathEscape(a[0])+"/"+word, body)
 		if err != nil {
 			return errs.Pass(err, "order %s", in.Order)
 		}
 		var done command.ZoneEvacuation
-		return errs.Pass(answer(cmd, raw, &done, func(w io.Writer) {
-			fmt.Fprintf(w, "zone\t%s\nevacuated\t%t\nsigned\t%s\n", done.Zone, done.Evacuated, dash(strings.Join(done.Signed, " ")))
+		return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
+			fmt.Fprintf(w, "zone\t%s\nevacuated\t%t\nsigned\t%s\n", done.Zone, done.Evacuated, orDash(strings.Join(done.Signed, " ")))
 		}), "zone")
 	}
 }
 
-// evacuated returns since when a zone is; the zero time if it is not.
-func evacuated(ctx context.Context, cmd *cli.Command, name string) (since time.Time, err error) {
-	raw, err := call(ctx, http.MethodGet, cmd.String("addr"), "/v1/zones", nil)
+// evacuatedSince returns since when a zone is; the zero time if it is not.
+func evacuatedSince(ctx context.Context, cmd *cli.Command, name string) (since time.Time, err error) {
+	raw, err := doRequest(ctx, http.MethodGet, cmd.String("addr"), "/v1/zones", nil)
 	if err != nil {
 		return since, errs.Pass(err, "zones")
 	}
@@ -381,10 +381,10 @@
 
 func zoneList(ctx context.Context, cmd *cli.Command) error {
 	var list operatorapi.Zones
-	return errs.Pass(ask(ctx, cmd, "/v1/zones", &list, func(w io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/zones", &list, func(w io.Writer) {
 		fmt.Fprintln(w, "ZONE\tEVACUATED\tLIFTING SIGNED")
 		for _, z := range list.Zones {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", z.Zone, when(z.Since), dash(strings.Join(z.Signed, " ")))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", z.Zone, formatTime(z.Since), orDash(strings.Join(z.Signed, " ")))
 		}
 	}), "zones")
 }
--- a/cmd/crosstide-controlplane/exit.go
+++ b/cmd/crosstide-controlplane/exit.go
@@ -18,8 +18,8 @@
 	exitUnavailable = 5 // send the same again
 )
 
-// exits is the table from kind to code; what is not in it is exitOther.
-var exits = map[errs.Kind]int{
+// exitCodes is the table from kind to code; what is not in it is exitOther.
+var exitCodes = map[errs.Kind]int{
 	errs.Conflict: exitConflict, errs.Stale: exitConflict,
 	errs.Malformed: exitRefused, errs.Invalid: exitRefused, errs.TooLarge: exitRefused, errs.Unknown: exitRefused,
 	errs.Forbidden:  exitRefused,
@@ -28,17 +28,17 @@
 	errs.Settings: exitUsage, errs.Disk: exitUsage,
 }
 
-// coded is an error with the program's exit code.
-type coded struct {
+// exitError is an error with the program's exit code.
+type exitError struct {
 	error
 	code int
 }
 
 // Unwrap returns the failure.
-func (c coded) Unwrap() error { return c.error }
+func (c exitError) Unwrap() error { return c.error }
 
 // Error is the field and the message: an operator needs no trace of where it came from.
-func (c coded) Error() string {
+func (c exitError) Error() string {
 	f := errs.Of(c.error)
 	if f.Field != "" {
 		return string(f.Kind) + ": " + f.Field + ": " + f.Message
@@ -46,10 +46,10 @@
 	return string(f.Kind) + ": " + f.Message
 }
 
-// codes returns every command of a tree exit codes of the table.
-func codes(commands ...*cli.Command) []*cli.Command {
+// withExitCodes returns every command of a tree exit codes of the table.
+func withExitCodes(commands ...*cli.Command) []*cli.Command {
 	for _, c := range commands {
-		codes(c.Commands...)
+		withExitCodes(c.Commands...)
 		do := c.Action
 		if do == nil {
 			continue
@@ -59,19 +59,19 @@
 			if err == nil {
 				return nil
 			}
-			code, ok := exits[errs.KindOf(err)]
+			code, ok := exitCodes[errs.KindOf(err)]
 			if !ok {
 				code = exitOther
 			}
-			return coded{err, code}
+			return exitError{err, code}
 		}
 	}
 	return commands
 }
 
-// exitOf returns the exit code of an error: an error without a kind is cli's message on wrong usage.
-func exitOf(err error) int {
-	var c coded
+// exitCode returns the exit code of an error: an error without a kind is cli's message on wrong usage.
+func exitCode(err error) int {
+	var c exitError
 	var f *errs.Error
 	if errors.As(err, &c) {
 		return c.code
--- a/cmd/crosstide-controlplane/golden_test.go
+++ b/cmd/crosstide-controlplane/golden_test.go
@@ -36,12 +36,12 @@
 func TestGoldenExits(t *testing.T) {
 	var lines []string
 	for _, kind := range append(errs.Kinds(), "no such kind") {
-		done := codes(&cli.Command{Action: func(context.Context, *cli.Command) error { return errs.New(kind, "text") }})
+		done := withExitCodes(&cli.Command{Action: func(context.Context, *cli.Command) error { return errs.New(kind, "text") }})
 		err := done[0].Action(t.Context(), nil)
-		lines = append(lines, fmt.Sprintf("%s %d, as it came %d, printed %q", kind, exitOf(err), exitOf(errs.New(kind, "text")), err))
+		lines = append(lines, fmt.Sprintf("%s %d, as it came %d, printed %q", kind, exitCode(err), exitCode(errs.New(kind, "text")), err))
 	}
 	slices.Sort(lines)
-	golden.Compare(t, "exits", golden.Lines("exit codes", append(lines, fmt.Sprint("usage ", exitOf(errors.New("text"))))...))
+	golden.Compare(t, "exits", golden.Lines("exit codes", append(lines, fmt.Sprint("usage ", exitCode(errors.New("text"))))...))
 }
 
 // TestGoldenProcess pins the exit codes of the program itself, which this test starts as a process of its own.
--- a/cmd/crosstide-controlplane/jobscore.go
+++ b/cmd/crosstide-controlplane/jobscore.go
@@ -31,35 +31,35 @@
 	control := []cli.Flag{&cli.StringFlag{Name: "addr", Usage: "`IP:PORT` where any core node takes workers and operators", Required: true}}
 	orders := []*cli.Command{
 		{Name: "config", Usage: "read or change the configuration of queues and services", Commands: []*cli.Command{
-			{Name: "get", Usage: "print the configuration in force", Flags: control, Action: getConfig},
+			{Name: "get", Usage: "print the configuration in force", Flags: control, Action: showConfig},
 			{Name: "put", Usage: "put the whole configuration in FILE (- for standard input) in force", ArgsUsage: "FILE", Flags: control,
-				Action: sendConfig(http.MethodPut)},
+				Action: configAction(http.MethodPut)},
 			{Name: "patch", Usage: "put and remove the items in FILE (- for standard input)", ArgsUsage: "FILE", Flags: control,
-				Action: sendConfig(http.MethodPatch)},
+				Action: configAction(http.MethodPatch)},
 		}},
 		{Name: "evacuate", Usage: "no new starts in ZONE; what runs there ends there", ArgsUsage: "ZONE", Flags: control,
-			Action: zoneOrder("evacuate")},
-		{Name: "restore", Usage: "ZONE may be used again", ArgsUsage: "ZONE", Flags: control, Action: zoneOrder("restore")},
-		{Name: "topology", Usage: "print the leader and the members of the core", Flags: append(control, jsonFlag()), Action: topology},
-		{Name: "workers", Usage: "print every worker", Flags: append(control, jsonFlag()), Action: jobWorkers},
+			Action: zoneOrderAction("evacuate")},
+		{Name: "restore", Usage: "ZONE may be used again", ArgsUsage: "ZONE", Flags: control, Action: zoneOrderAction("restore")},
+		{Name: "topology", Usage: "print the leader and the members of the core", Flags: append(control, jsonFlag()), Action: showTopology},
+		{Name: "workers", Usage: "print every worker", Flags: append(control, jsonFlag()), Action: listJobsWorkers},
 	}
 	return &cli.Command{Name: "jobs", Usage: "serve jobs as a core node; operators' commands for such nodes",
-		Commands: append(jobsProgram().Commands(), codes(orders...)...)}
+		Commands: append(jobsProgram().Commands(), withExitCodes(orders...)...)}
 }
 
 // jobsProgram is the daemon's own part of the command line.
 func jobsProgram() daemon.Program[config.JobsControlPlane] {
 	return daemon.Program[config.JobsControlPlane]{
 		Version: version, Load: config.LoadJobsControlPlane, Check: config.CheckJobsControlPlane, Serve: serveJobs,
-		Common:      func(set *config.JobsControlPlane) *config.Common { return &set.Common },
-		StringFlags: map[string]func(*config.JobsControlPlane) *string{"data": func(set *config.JobsControlPlane) *string { return &set.Data }},
+		Common:      func(settings *config.JobsControlPlane) *config.Common { return &settings.Common },
+		StringFlags: map[string]func(*config.JobsControlPlane) *string{"data": func(settings *config.JobsControlPlane) *string { return &settings.Data }},
 		Flags:       []cli.Flag{&cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}},
 	}
 }
 
-func serveJobs(ctx context.Context, set config.JobsControlPlane, profiles bool, logger log.Logger) error {
-	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
-		options := jobsOptions(set, profiles, logger)
+func serveJobs(ctx context.Context, settings config.JobsControlPlane, profiles bool, logger log.Logger) error {
+	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
+		options := jobsOptions(settings, profiles, logger)
 		options.OnRemoved = removed
 		core, err := jobsnode.NewCore(ctx, options)
 		if err != nil {
@@ -71,14 +71,14 @@
 }
 
 // jobsOptions maps settings to a core node's options.
-func jobsOptions(set config.JobsControlPlane, profiles bool, logger log.Logger) jobsnode.CoreOptions {
+func jobsOptions(settings config.JobsControlPlane, profiles bool, logger log.Logger) jobsnode.CoreOptions {
 	registry := daemon.Registry()
 	return jobsnode.CoreOptions{
-		Store: set.ControlPlane, OpenStore: open, Scheduler: jobsScheduler(set.Scheduler), JobRetention: set.KeepFinished,
-		Workers:        func(holds, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(holds, starts, 0) },
-		ControlAddress: set.Control,
+		Store: settings.ControlPlane, OpenStore: openStore, Scheduler: jobsScheduler(settings.Scheduler), JobRetention: settings.KeepFinished,
+		Workers:        func(renewals, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(renewals, starts, 0) },
+		ControlAddress: settings.Control,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
-			jobsapi.ServeControl(control, relay, set.CallTimeout)
+			jobsapi.ServeControl(control, relay, settings.CallTimeout)
 		},
 		ServeNodes: func(inner *rpc.Server, store *store.Store) {
 			serveOperators(inner, store)
@@ -87,7 +87,7 @@
 				daemon.Profiles(inner)
 			}
 		},
-		Grace: set.Grace, Registry: registry, Logger: logger, Version: version,
+		Grace: settings.Grace, Registry: registry, Logger: logger, Version: version,
 	}
 }
 
@@ -97,17 +97,17 @@
 }
 
 // jobsScheduler maps settings to the scheduler's.
-func jobsScheduler(set config.JobsScheduler) scheduler.Config {
+func jobsScheduler(settings config.JobsScheduler) scheduler.Config {
 	cfg := scheduler.Defaults()
-	cfg.Lease, cfg.RenewalWait, cfg.SilenceTimeout = set.Lease, set.PollWait, set.Silence
-	cfg.ExpiryMargin, cfg.EarlyStart = set.LapseMargin, set.EarlyStart
-	cfg.RemoteDataFactor, cfg.ForgetAfter = set.RemoteFactor, set.ForgetAfter
+	cfg.Lease, cfg.RenewalWait, cfg.SilenceTimeout = settings.Lease, settings.PollWait, settings.Silence
+	cfg.ExpiryMargin, cfg.EarlyStart = settings.LapseMargin, settings.EarlyStart
+	cfg.RemoteDataFactor, cfg.ForgetAfter = settings.RemoteFactor, settings.ForgetAfter
 	return cfg
 }
 
-// order sends one call to a core node and prints its answer.
-func order(ctx context.Context, cmd *cli.Command, method, path string, body []byte) error {
-	raw, err := call(ctx, method, cmd.String("addr"), path, body)
+// printResponse sends one call to a core node and prints its answer.
+func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body []byte) error {
+	raw, err := doRequest(ctx, method, cmd.String("addr"), path, body)
 	if err != nil {
 		return errs.Pass(err, "order")
 	}
@@ -115,47 +115,47 @@
 	return nil
 }
 
-func getConfig(ctx context.Context, cmd *cli.Command) error {
-	return errs.Pass(order(ctx, cmd, http.MethodGet, "/v2/config", nil), "config get")
+func showConfig(ctx context.Context, cmd *cli.Command) error {
+	return errs.Pass(printResponse(ctx, cmd, http.MethodGet, "/v2/config", nil), "config get")
 }
 
-func sendConfig(method string) cli.ActionFunc {
+func configAction(method string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		body, err := text(cmd)
+		body, err := readFileArg(cmd)
 		if err != nil {
 			return errs.Pass(err, "configuration")
 		}
-		return errs.Pass(order(ctx, cmd, method, "/v2/config", body), "configuration")
+		return errs.Pass(printResponse(ctx, cmd, method, "/v2/config", body), "configuration")
 	}
 }
 
-func zoneOrder(verb string) cli.ActionFunc {
+func zoneOrderAction(verb string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		zone, err := args(cmd, "ZONE")
+		zone, err := exactArgs(cmd, "ZONE")
 		if err != nil {
 			return errs.Pass(err, "%s", verb)
 		}
-		return errs.Pass(order(ctx, cmd, http.MethodPost, "/v2/zones/"+url.PathEscape(zone[0])+"/"+verb, nil), "%s", verb)
+		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, "/v2/zones/"+url.PathEscape(zone[0])+"/"+verb, nil), "%s", verb)
 	}
 }
 
-func topology(ctx context.Context, cmd *cli.Command) error {
+func showTopology(ctx context.Context, cmd *cli.Command) error {
 	var answer controller.TopologyAnswer
-	return errs.Pass(ask(ctx, cmd, "/v2/topology", &answer, func(out io.Writer) {
-		fmt.Fprintln(out, "leader", dash(answer.Leader))
+	return errs.Pass(printQuery(ctx, cmd, "/v2/topology", &answer, func(out io.Writer) {
+		fmt.Fprintln(out, "leader", orDash(answer.Leader))
 		for _, member := range answer.Members {
 			fmt.Fprintln(out, "member", member)
 		}
 	}), "topology")
 }
 
-func jobWorkers(ctx context.Context, cmd *cli.Command) error {
+func listJobsWorkers(ctx context.Context, cmd *cli.Command) error {
 	var list jobsapi.Workers
-	return errs.Pass(ask(ctx, cmd, "/v2/workers", &list, func(out io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v2/workers", &list, func(out io.Writer) {
 		fmt.Fprintln(out, "ID\tADDRESS\tSERVICE\tZONE\tRACK\tLABELS\tMILLI_CPU\tMEMORY_MB\tGPUS\tRUNS\tSTATE")
 		for _, w := range list.Workers {
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%d/%d\t%d/%d\t%d/%d\t%d\t%s\n", w.ID, w.Address, w.Service, w.Zone, dash(w.Rack),
-				dash(strings.Join(w.Labels, ",")), w.Used.MilliCPU, w.Capacity.MilliCPU, w.Used.MemoryMB, w.Capacity.MemoryMB,
+			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%d/%d\t%d/%d\t%d/%d\t%d\t%s\n", w.ID, w.Address, w.Service, w.Zone, orDash(w.Rack),
+				orDash(strings.Join(w.Labels, ",")), w.Used.MilliCPU, w.Capacity.MilliCPU, w.Used.MemoryMB, w.Capacity.MemoryMB,
 				w.Used.GPUs, w.Capacity.GPUs, w.Runs, w.State)
 		}
 		for _, zone := range list.Evacuated {
--- a/cmd/crosstide-controlplane/jobscore_test.go
+++ b/cmd/crosstide-controlplane/jobscore_test.go
@@ -14,11 +14,11 @@
 
 func TestJobsOptions(t *testing.T) {
 	Convey("The settings of a core node make its options, and the scheduler's settings", t, func() {
-		set := config.DefaultJobsControlPlane()
-		set.Addr, set.Control, set.Grace, set.KeepFinished = "10.0.0.1:7100", "10.0.0.1:7200", 7*time.Second, time.Hour
-		set.Scheduler = config.JobsScheduler{Lease: 9 * time.Second, PollWait: 2 * time.Second, Silence: 3 * time.Second,
+		settings := config.DefaultJobsControlPlane()
+		settings.Addr, settings.Control, settings.Grace, settings.KeepFinished = "10.0.0.1:7100", "10.0.0.1:7200", 7*time.Second, time.Hour
+		settings.Scheduler = config.JobsScheduler{Lease: 9 * time.Second, PollWait: 2 * time.Second, Silence: 3 * time.Second,
 			LapseMargin: 4 * time.Second, EarlyStart: 5 * time.Second, RemoteFactor: 2.5, ForgetAfter: 40 * time.Second}
-		options := jobsOptions(set, false, log.NewNopLogger())
+		options := jobsOptions(settings, false, log.NewNopLogger())
 		So([]any{options.Store.Addr, options.ControlAddress, options.Grace, options.JobRetention, options.OrdersByHeartbeat}, ShouldResemble,
 			[]any{"10.0.0.1:7100", "10.0.0.1:7200", 7 * time.Second, time.Hour, false})
 		So(options.Workers(nil, nil), ShouldHaveSameTypeAs, &workerapi.Client{})
--- a/cmd/crosstide-controlplane/lease_test.go
+++ b/cmd/crosstide-controlplane/lease_test.go
@@ -10,14 +10,14 @@
 	"crosstide/platform"
 )
 
-func TestLeaseOfWorkers(t *testing.T) {
+func TestWorkerLease(t *testing.T) {
 	Convey("The lease rides out a loss of contact, a hold call and a pause between calls, within its bounds", t, func() {
 		cases := []struct{ contact, longest, lease time.Duration }{
 			{3 * time.Second, 10 * time.Second, 4500 * time.Millisecond},
 			{4 * time.Second, 6 * time.Second, 5500 * time.Millisecond},
 			{5 * time.Second, 6 * time.Second, 6 * time.Second},
 			{5 * time.Second, 4 * time.Second, 4 * time.Second},
-			{0, 20 * time.Second, leastLease},
+			{0, 20 * time.Second, minLease},
 			{time.Second, 2 * time.Second, 2 * time.Second},
 		}
 		for _, c := range cases {
--- a/cmd/crosstide-controlplane/lives_test.go
+++ b/cmd/crosstide-controlplane/lives_test.go
@@ -9,30 +9,30 @@
 	"crosstide/internal/errs"
 )
 
-func TestServeLives(t *testing.T) {
+func TestRunIncarnations(t *testing.T) {
 	Convey("A node that was removed begins anew in the same process, again and again, until the process is to end", t, func() {
 		ctx, end := context.WithCancel(context.Background())
-		lives := 0
-		err := serveLives(ctx, func(life context.Context, removed func()) error {
-			if lives++; lives < 4 {
+		incarnations := 0
+		err := runIncarnations(ctx, func(lifecycle context.Context, removed func()) error {
+			if incarnations++; incarnations < 4 {
 				removed()
 			} else {
 				end()
 			}
-			<-life.Done()
+			<-lifecycle.Done()
 			return nil
 		})
 		So(err, ShouldBeNil)
-		So(lives, ShouldEqual, 4)
+		So(incarnations, ShouldEqual, 4)
 	})
 	Convey("A life that fails is the last one", t, func() {
-		lives := 0
-		err := serveLives(context.Background(), func(_ context.Context, removed func()) error {
-			lives++
+		incarnations := 0
+		err := runIncarnations(context.Background(), func(_ context.Context, removed func()) error {
+			incarnations++
 			removed()
 			return errs.New(errs.Disk, "no folder")
 		})
 		So(errs.Is(err, errs.Disk), ShouldBeTrue)
-		So(lives, ShouldEqual, 1)
+		So(incarnations, ShouldEqual, 1)
 	})
 }
--- a/cmd/crosstide-controlplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -16,16 +16,16 @@
 	app := &cli.Command{
 		Name:     "crosstide-controlplane",
 		Usage:    "a member of the control store",
-		Commands: append(program().Commands(), platformCommand(), jobsCommand()),
+		Commands: append(policyProgram().Commands(), platformCommand(), jobsCommand()),
 	}
-	app.Commands = append(app.Commands, codes(append(bundleCommands(),
-		&cli.Command{Name: "who", Usage: "print who holds what", Action: who, Flags: append(addrFlags(), jsonFlag())},
+	app.Commands = append(app.Commands, withExitCodes(append(bundleCommands(),
+		&cli.Command{Name: "who", Usage: "print who holds what", Action: showRoles, Flags: append(addrFlags(), jsonFlag())},
 		&cli.Command{Name: "member", Usage: "list the members of the store, replace one", Commands: []*cli.Command{
-			{Name: "list", Usage: "print every member", Action: members, Flags: append(addrFlags(), jsonFlag())},
+			{Name: "list", Usage: "print every member", Action: listMembers, Flags: append(addrFlags(), jsonFlag())},
 			orderCommand("replace", "the cplane NEW may join in the place of OLD, whose machine is gone", "OLD NEW", "/v1/members/%s/replace/%s"),
 		}},
 		&cli.Command{Name: "minion", Usage: "list, drain, open and retire minions", Commands: []*cli.Command{
-			{Name: "list", Usage: "print every minion", Action: minions, Flags: append(addrFlags(), jsonFlag())},
+			{Name: "list", Usage: "print every minion", Action: listWorkers, Flags: append(addrFlags(), jsonFlag())},
 			orderCommand("drain", "no new starts on MINION", "MINION", "/v1/minions/%s/drain"),
 			orderCommand("open", "MINION may be used again", "MINION", "/v1/minions/%s/open"),
 			orderCommand("retire", "forget MINION, which must be empty", "MINION", "/v1/minions/%s/retire"),
@@ -33,6 +33,6 @@
 	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the codes are ours, see exit.go
 	if err := app.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "crosstide-controlplane:", err)
-		os.Exit(exitOf(err))
+		os.Exit(exitCode(err))
 	}
 }
--- a/cmd/crosstide-controlplane/operate.go
+++ b/cmd/crosstide-controlplane/operate.go
@@ -40,7 +40,7 @@
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: what, Flags: append(addrFlags(), orderFlag()),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			a, err := args(cmd, strings.Fields(what)...)
+			a, err := exactArgs(cmd, strings.Fields(what)...)
 			if err != nil {
 				return errs.Pass(err, "%s", name)
 			}
@@ -49,7 +49,7 @@
 			if err != nil {
 				return errs.Wrap(err, errs.Internal, "encode the order")
 			}
-			raw, err := call(ctx, http.MethodPost, cmd.String("addr"), fmt.Sprintf(path, escaped(a)...), body)
+			raw, err := doRequest(ctx, http.MethodPost, cmd.String("addr"), fmt.Sprintf(path, escapePaths(a)...), body)
 			if err != nil {
 				return errs.Pass(err, "order %s", id)
 			}
@@ -59,8 +59,8 @@
 	}
 }
 
-// escaped makes words fit for a path.
-func escaped(words []string) []any {
+// escapePaths makes words fit for a path.
+func escapePaths(words []string) []any {
 	out := make([]any, len(words))
 	for i, w := range words {
 		out[i] = url.PathEscape(w)
@@ -68,8 +68,8 @@
 	return out
 }
 
-func call(ctx context.Context, method, addr, path string, body []byte) ([]byte, error) {
-	ctx, over := context.WithTimeout(ctx, patience)
+func doRequest(ctx context.Context, method, addr, path string, body []byte) ([]byte, error) {
+	ctx, over := context.WithTimeout(ctx, callTimeout)
 	defer over()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -96,9 +96,9 @@
 	return raw, nil
 }
 
-func who(ctx context.Context, cmd *cli.Command) error {
+func showRoles(ctx context.Context, cmd *cli.Command) error {
 	var w operatorapi.Who
-	return errs.Pass(ask(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
 		fmt.Fprintln(out, "store", w.Store)
 		fmt.Fprintln(out, "sched", w.Scheduler)
 		for _, m := range w.Members {
@@ -117,10 +117,10 @@
 	}), "who")
 }
 
-// members prints the members of the store, with how far each has its log.
-func members(ctx context.Context, cmd *cli.Command) error {
+// listMembers prints the members of the store, with how far each has its log.
+func listMembers(ctx context.Context, cmd *cli.Command) error {
 	var w operatorapi.Who
-	return errs.Pass(ask(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
 		fmt.Fprintln(out, "ID\tADDR\tZONE\tSTANDS\tMATCH")
 		for _, m := range w.Members {
 			stands := "voter"
@@ -139,9 +139,9 @@
 	}), "members")
 }
 
-func minions(ctx context.Context, cmd *cli.Command) error {
+func listWorkers(ctx context.Context, cmd *cli.Command) error {
 	var list operatorapi.Workers
-	return errs.Pass(ask(ctx, cmd, "/v1/minions", &list, func(out io.Writer) {
+	return errs.Pass(printQuery(ctx, cmd, "/v1/minions", &list, func(out io.Writer) {
 		fmt.Fprintln(out, "NAME\tADDR\tZONE\tKIND\tBOOT\tTICKETS\tCORES\tGPUS\tSTATE")
 		for _, m := range list.Workers {
 			state := "open"
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -35,15 +35,15 @@
 // platformCommand runs a core node on the users' platform.
 func platformCommand() *cli.Command {
 	return daemon.Service[platform.Settings]{Name: "platform", Usage: "serve as a core node of the users' platform",
-		Load: platform.LoadSettings, Serve: serveCore,
+		Load: platform.LoadSettings, Serve: servePlatform,
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// serveCore runs a core node until ctx ends. changed tells that the settings have changed.
-func serveCore(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
+// servePlatform runs a core node until ctx ends. changed tells that the settings have changed.
+func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core, first := settings.Core(), true
 	daemon.LimitMemory(core.MemoryBytes)
-	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
+	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
 		if !first {
 			core = newestSettings(core, logger)
 		}
@@ -75,10 +75,10 @@
 // coreOptions maps the platform's settings to a core node's options.
 func coreOptions(core platform.CoreSettings, logger log.Logger) jobsnode.CoreOptions {
 	return jobsnode.CoreOptions{
-		Store: storeSettings(core), OpenStore: open,
+		Store: storeSettings(core), OpenStore: openStore,
 		Scheduler: schedulerSettings(core.Scheduler, core.ContactTimeout), JobRetention: 2 * core.Scheduler.JobRetention,
-		Workers: func(holds, starts *rpc.Client) scheduler.Workers {
-			return platform.NewWorkers(exchanger{holds}, exchanger{starts}, 0)
+		Workers: func(renewals, starts *rpc.Client) scheduler.Workers {
+			return platform.NewWorkers(exchanger{renewals}, exchanger{starts}, 0)
 		},
 		OrdersByHeartbeat: core.OrdersByHeartbeat, ControlAddress: core.ControlAddress, ControlAddressOf: core.ControlAddressOf,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
@@ -107,35 +107,35 @@
 
 // storeSettings maps the platform's settings of a core node to the store's. The founders are the seeds.
 func storeSettings(core platform.CoreSettings) config.ControlPlane {
-	set := config.DefaultControlPlane()
-	set.Name, set.Zone, set.Region = core.Name, core.Zone, core.Region
-	set.Addr, set.Seeds, set.Data = core.InternalAddress, core.Seeds, core.DataFolder
-	set.Election, set.Heartbeat, set.Lease = platformElection, platformHeartbeat, platformLease
-	set.SnapshotEvery = platformSnapshotEvery
-	set.OpenMembership, set.Bootstrap = true, core.Bootstrap
+	settings := config.DefaultControlPlane()
+	settings.Name, settings.Zone, settings.Region = core.Name, core.Zone, core.Region
+	settings.Addr, settings.Seeds, settings.Data = core.InternalAddress, core.Seeds, core.DataFolder
+	settings.Election, settings.Heartbeat, settings.Lease = platformElection, platformHeartbeat, platformLease
+	settings.SnapshotEvery = platformSnapshotEvery
+	settings.OpenMembership, settings.Bootstrap = true, core.Bootstrap
 	if core.Grace > 0 {
-		set.Grace = max(core.Grace-exitMargin, core.Grace/2)
+		settings.Grace = max(core.Grace-exitMargin, core.Grace/2)
 	}
 	for _, seed := range core.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			continue // the settings were checked when they were read
 		}
-		set.Members = append(set.Members, config.Member{ID: host, Addr: seed}) // the zones of seeds are not in the settings
+		settings.Members = append(settings.Members, config.Member{ID: host, Addr: seed}) // the zones of seeds are not in the settings
 	}
-	return set
+	return settings
 }
 
-// leastLease is the shortest lease, unless the longest one is shorter. After a loss of power at all core nodes nothing is
+// minLease is the shortest lease, unless the longest one is shorter. After a loss of power at all core nodes nothing is
 // renewed for a second and a half, and a worker's last renewal may be a hold call ago: shorter leases end all work then.
-const leastLease = 3 * time.Second
+const minLease = 3 * time.Second
 
 // workerLease gives the lease of workers. It rides out a loss of contact that is as long as the operators count a machine
 // as out of touch, plus the hold call that may have been under way when contact was lost and the pause before the next
 // call after it: what runs on a worker that is back within that time goes on. Longer ones would keep back the tasks of
 // workers that are gone for good.
 func workerLease(contactTimeout, longest time.Duration, config scheduler.Config) time.Duration {
-	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, leastLease), longest)
+	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, minLease), longest)
 }
 
 // schedulerSettings maps the platform's bounds to the scheduler's settings.
@@ -163,7 +163,7 @@
 var _ platform.Exchanger = exchanger{}
 
 // Exchange sends one request to addr and returns the answer.
-func (e exchanger) Exchange(ctx context.Context, addr string, request platform.Request, within time.Duration) (platform.Response, error) {
-	r, err := e.caller.Do(ctx, addr, rpc.Request(request), within)
+func (e exchanger) Exchange(ctx context.Context, addr string, request platform.Request, timeout time.Duration) (platform.Response, error) {
+	r, err := e.caller.Do(ctx, addr, rpc.Request(request), timeout)
 	return platform.Response(r), errs.Pass(err, "exchange")
 }
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -16,12 +16,12 @@
 
 func TestStoreSettings(t *testing.T) {
 	Convey("A core node's settings are the store's, with the seeds as founders", t, func() {
-		set := storeSettings(platform.CoreSettings{Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r",
+		settings := storeSettings(platform.CoreSettings{Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r",
 			DataFolder: "data", Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, Grace: 6 * time.Second})
-		So(set.Members, ShouldResemble, []config.Member{{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"}})
-		So([]any{set.Name, set.Addr, set.Zone, set.Region, set.Data, set.Grace}, ShouldResemble,
+		So(settings.Members, ShouldResemble, []config.Member{{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"}})
+		So([]any{settings.Name, settings.Addr, settings.Zone, settings.Region, settings.Data, settings.Grace}, ShouldResemble,
 			[]any{"10.1.0.10", "10.1.0.10:7720", "a", "r", "data", 5500 * time.Millisecond})
-		So([]any{set.Lease, set.Election, set.Heartbeat, set.OpenMembership, set.Bootstrap}, ShouldResemble,
+		So([]any{settings.Lease, settings.Election, settings.Heartbeat, settings.OpenMembership, settings.Bootstrap}, ShouldResemble,
 			[]any{platformLease, platformElection, platformHeartbeat, true, false})
 		So(storeSettings(platform.CoreSettings{Bootstrap: true}).Bootstrap, ShouldBeTrue)
 	})
--- a/cmd/crosstide-controlplane/run.go
+++ b/cmd/crosstide-controlplane/run.go
@@ -23,55 +23,55 @@
 	"crosstide/internal/store"
 )
 
-// program is the daemon's own part of the command line.
-func program() daemon.Program[config.ControlPlane] {
+// policyProgram is the daemon's own part of the command line.
+func policyProgram() daemon.Program[config.ControlPlane] {
 	return daemon.Program[config.ControlPlane]{
-		Version: version, Load: config.LoadControlPlane, Check: config.CheckControlPlane, Serve: serve,
-		Common:      func(set *config.ControlPlane) *config.Common { return &set.Common },
-		StringFlags: map[string]func(*config.ControlPlane) *string{"data": func(set *config.ControlPlane) *string { return &set.Data }},
+		Version: version, Load: config.LoadControlPlane, Check: config.CheckControlPlane, Serve: servePolicy,
+		Common:      func(settings *config.ControlPlane) *config.Common { return &settings.Common },
+		StringFlags: map[string]func(*config.ControlPlane) *string{"data": func(settings *config.ControlPlane) *string { return &settings.Data }},
 		Flags:       []cli.Flag{&cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}},
 	}
 }
 
-// serve runs a cplane until ctx ends.
-func serve(ctx context.Context, set config.ControlPlane, profiles bool, logger log.Logger) error {
-	err := serveLives(ctx, func(ctx context.Context, removed func()) error {
-		return errs.Pass(serveLife(ctx, set, profiles, removed, logger), "a life")
+// servePolicy runs a cplane until ctx ends.
+func servePolicy(ctx context.Context, settings config.ControlPlane, profiles bool, logger log.Logger) error {
+	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
+		return errs.Pass(serveIncarnation(ctx, settings, profiles, removed, logger), "a life")
 	})
 	return errs.Pass(err, "serve")
 }
 
-// serveLife runs one life of a cplane until ctx ends, then hands the lead over and drains.
-func serveLife(ctx context.Context, set config.ControlPlane, profiles bool, removed func(), logger log.Logger) error {
-	reg := daemon.Registry()
-	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: 2 * set.Election, DialOverrides: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
+// serveIncarnation runs one life of a cplane until ctx ends, then hands the lead over and drains.
+func serveIncarnation(ctx context.Context, settings config.ControlPlane, profiles bool, removed func(), logger log.Logger) error {
+	registry := daemon.Registry()
+	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: 2 * settings.Election, DialOverrides: settings.Via, Logger: daemon.Part(logger, "caller"), Registry: registry})
 	defer caller.Close()
 	opt := store.Options{
-		Settings: set, Net: store.NetworkOf(caller, set), Logger: daemon.Part(logger, "store"), Registry: reg,
+		Settings: settings, Net: store.NetworkOf(caller, settings), Logger: daemon.Part(logger, "store"), Registry: registry,
 		Fatal: func(err error) {
 			_ = level.Error(logger).Log("msg", "the process ends", "err", err)
 			os.Exit(1)
 		},
 		Removed: removed,
 	}
-	s, err := open(ctx, opt, logger)
+	s, err := openStore(ctx, opt, logger)
 	if err != nil {
-		return errs.Pass(err, "open %s", set.Data)
+		return errs.Pass(err, "open %s", settings.Data)
 	}
-	srv := rpc.NewServer(rpc.ServerOptions{Addr: set.Addr, Logger: daemon.Part(logger, "rpc"), Registry: reg})
+	srv := rpc.NewServer(rpc.ServerOptions{Addr: settings.Addr, Logger: daemon.Part(logger, "rpc"), Registry: registry})
 	s.Serve(srv)
-	seeds := slices.Clone(set.Seeds)
-	for _, m := range set.Members {
+	seeds := slices.Clone(settings.Seeds)
+	for _, m := range settings.Members {
 		seeds = append(seeds, m.Addr)
 	}
-	members := daemon.NewMembership(set.Common, membership.RoleControlPlane, seeds, caller, logger, reg, nil)
+	members := daemon.NewMembership(settings.Common, membership.RoleControlPlane, seeds, caller, logger, registry, nil)
 	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
 	operatorapi.Serve(srv, s, store.NameOf, members.Nodes)
-	daemon.Routes(srv, reg, s.Ready)
+	daemon.Routes(srv, registry, s.Ready)
 	if profiles {
 		daemon.Profiles(srv)
 	}
-	life := daemon.Lifecycle{Server: srv, Logger: logger, Zone: set.Zone, Grace: set.Grace, Version: version,
+	lifecycle := daemon.Lifecycle{Server: srv, Logger: logger, Zone: settings.Zone, Grace: settings.Grace, Version: version,
 		Start: func() {
 			s.Start()
 			members.Start(context.Background())
@@ -82,16 +82,16 @@
 		},
 		Stop: s.Stop,
 	}
-	if err := life.Run(ctx); err != nil {
+	if err := lifecycle.Run(ctx); err != nil {
 		s.Stop()
 		return errs.Pass(err, "run")
 	}
 	return nil
 }
 
-// open opens the store's folder. A damaged one is no member's disk any more: it is set aside, with an open
+// openStore opens the store's folder. A damaged one is no member's disk any more: it is set aside, with an open
 // membership its files are removed instead, and the node joins as a replaced machine. While the disk is full it waits.
-func open(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error) {
+func openStore(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error) {
 	dir := filepath.Clean(opt.Settings.Data)
 	disk, err := storage.OSDisk(dir)
 	if err != nil {
@@ -123,5 +123,5 @@
 	return s, errs.Pass(err, "store")
 }
 
-// patience is how long an operator's command waits for an answer.
-const patience = 10 * time.Second
+// callTimeout is how long an operator's command waits for an answer.
+const callTimeout = 10 * time.Second
--- a/cmd/crosstide-controlplane/run_test.go
+++ b/cmd/crosstide-controlplane/run_test.go
@@ -39,10 +39,10 @@
 	for _, open := range []bool{false, true} {
 		Convey("A node with a damaged folder begins anew and never founds", t, func() {
 			dir := damaged(t)
-			set := config.DefaultControlPlane()
-			set.Name, set.Addr, set.Data, set.OpenMembership = "10.0.0.1", "10.0.0.1:7000", dir, open
-			set.Members = []config.Member{{ID: "10.0.0.1", Addr: "10.0.0.1:7000", Zone: "a"}}
-			s, err := openStore(store.Options{Settings: set, Fatal: func(error) {}, Registry: prometheus.NewRegistry()})
+			settings := config.DefaultControlPlane()
+			settings.Name, settings.Addr, settings.Data, settings.OpenMembership = "10.0.0.1", "10.0.0.1:7000", dir, open
+			settings.Members = []config.Member{{ID: "10.0.0.1", Addr: "10.0.0.1:7000", Zone: "a"}}
+			s, err := openTestStore(store.Options{Settings: settings, Fatal: func(error) {}, Registry: prometheus.NewRegistry()})
 			So(err, ShouldBeNil)
 			a := s.BootstrapStatus(internalapi.DiscoverCall{})
 			So(a.Fresh, ShouldBeFalse)
@@ -58,20 +58,20 @@
 				So(beside, ShouldHaveLength, 2)
 				So(gone, ShouldNotBeNil)
 			}
-			s, err = openStore(store.Options{Settings: set, Fatal: func(error) {}})
+			s, err = openTestStore(store.Options{Settings: settings, Fatal: func(error) {}})
 			So(err, ShouldBeNil)
 			So(s.BootstrapStatus(internalapi.DiscoverCall{}).ID, ShouldEqual, a.ID)
 			s.Stop()
 		})
 	}
 	Convey("A folder that cannot be made is no damaged one", t, func() {
-		set := config.DefaultControlPlane()
-		set.Data = filepath.Join(damaged(t), "other", "data")
-		_, err := openStore(store.Options{Settings: set})
+		settings := config.DefaultControlPlane()
+		settings.Data = filepath.Join(damaged(t), "other", "data")
+		_, err := openTestStore(store.Options{Settings: settings})
 		So(errs.KindOf(err), ShouldEqual, errs.Disk)
 	})
 }
 
-func openStore(opt store.Options) (*store.Store, error) {
-	return open(context.Background(), opt, log.NewNopLogger())
+func openTestStore(opt store.Options) (*store.Store, error) {
+	return openStore(context.Background(), opt, log.NewNopLogger())
 }
--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -17,8 +17,8 @@
 	"crosstide/internal/state/command"
 )
 
-// jobCommands are the clients' commands: they ask a dplane's API and print its answer.
-func jobCommands() []*cli.Command {
+// policyJobCommands are the clients' commands: they ask a dplane's API and print its answer.
+func policyJobCommands() []*cli.Command {
 	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any data-plane node", Required: true}
 	return []*cli.Command{{Name: "job", Usage: "hand in, show, list and cancel jobs", Commands: []*cli.Command{
 		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE", Flags: []cli.Flag{addr},
@@ -32,12 +32,12 @@
 					defer f.Close()
 					in = f
 				}
-				return errs.Pass(ask(ctx, http.MethodPost, cmd.String("addr"), "/v1/jobs", in), "hand in a job")
+				return errs.Pass(printResponse(ctx, http.MethodPost, cmd.String("addr"), "/v1/jobs", in), "hand in a job")
 			}},
 		{Name: "show", Usage: "print the job KEY", ArgsUsage: "KEY", Flags: []cli.Flag{addr},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
 				key := cmd.Args().First()
-				return errs.Pass(ask(ctx, http.MethodGet, cmd.String("addr"), "/v1/jobs/"+url.PathEscape(key), nil), "show job %q", key)
+				return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v1/jobs/"+url.PathEscape(key), nil), "show job %q", key)
 			}},
 		{Name: "cancel", Usage: "cancel the jobs KEY…, or all of a team or queue", ArgsUsage: "[KEY…]",
 			Flags: []cli.Flag{addr, &cli.StringFlag{Name: "team"}, &cli.StringFlag{Name: "queue"}},
@@ -47,10 +47,10 @@
 					if err != nil {
 						return errs.Wrap(err, errs.Internal, "encode")
 					}
-					return errs.Pass(ask(ctx, http.MethodPost, cmd.String("addr"), "/v1/jobs/cancel", bytes.NewReader(body)), "cancel")
+					return errs.Pass(printResponse(ctx, http.MethodPost, cmd.String("addr"), "/v1/jobs/cancel", bytes.NewReader(body)), "cancel")
 				}
 				key := cmd.Args().First()
-				return errs.Pass(ask(ctx, http.MethodDelete, cmd.String("addr"), "/v1/jobs/"+url.PathEscape(key), nil), "cancel job %q", key)
+				return errs.Pass(printResponse(ctx, http.MethodDelete, cmd.String("addr"), "/v1/jobs/"+url.PathEscape(key), nil), "cancel job %q", key)
 			}},
 		{Name: "list", Usage: "print jobs", Flags: []cli.Flag{addr, &cli.StringFlag{Name: "team"}, &cli.StringFlag{Name: "state"},
 			&cli.StringFlag{Name: "after", Usage: "page on after this `KEY`"}},
@@ -61,13 +61,13 @@
 						q.Set(name, cmd.String(name))
 					}
 				}
-				return errs.Pass(ask(ctx, http.MethodGet, cmd.String("addr"), "/v1/jobs?"+q.Encode(), nil), "list jobs")
+				return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v1/jobs?"+q.Encode(), nil), "list jobs")
 			}},
 	}}}
 }
 
-// ask makes one request and prints the answer; a failure answer is an error.
-func ask(ctx context.Context, method, addr, path string, body io.Reader) error {
+// printResponse makes one request and prints the answer; a failure answer is an error.
+func printResponse(ctx context.Context, method, addr, path string, body io.Reader) error {
 	ctx, stop := context.WithTimeout(ctx, 10*time.Second)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
--- a/cmd/crosstide-dataplane/jobsfront.go
+++ b/cmd/crosstide-dataplane/jobsfront.go
@@ -25,26 +25,26 @@
 	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any front node", Required: true}
 	program := daemon.Program[config.JobsDataPlane]{
 		Version: version, Load: config.LoadJobsDataPlane, Check: config.CheckJobsDataPlane, Serve: serveJobs,
-		Common: func(set *config.JobsDataPlane) *config.Common { return &set.Common },
+		Common: func(settings *config.JobsDataPlane) *config.Common { return &settings.Common },
 	}
 	calls := []*cli.Command{
 		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE", Flags: []cli.Flag{addr}, Action: submitJob},
-		{Name: "show", Usage: "print the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr}, Action: oneJob(http.MethodGet)},
-		{Name: "cancel", Usage: "cancel the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr}, Action: oneJob(http.MethodDelete)},
+		{Name: "show", Usage: "print the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr}, Action: jobAction(http.MethodGet)},
+		{Name: "cancel", Usage: "cancel the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr}, Action: jobAction(http.MethodDelete)},
 		{Name: "list", Usage: "print jobs by ID", Flags: []cli.Flag{addr, &cli.StringFlag{Name: "queue"}, &cli.StringFlag{Name: "state"},
 			&cli.StringFlag{Name: "after", Usage: "page on after this `ID`"}, &cli.IntFlag{Name: "limit", Usage: "most jobs of a page"}},
 			Action: listJobs},
 		{Name: "queues", Usage: "print the queues, and how many jobs wait in each", Flags: []cli.Flag{addr},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
-				return errs.Pass(ask(ctx, http.MethodGet, cmd.String("addr"), "/v2/queues", nil), "queues")
+				return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v2/queues", nil), "queues")
 			}},
 	}
 	return &cli.Command{Name: "jobs", Usage: "serve jobs as a front node; clients' commands for such nodes",
 		Commands: append(program.Commands(), calls...)}
 }
 
-func serveJobs(ctx context.Context, set config.JobsDataPlane, profiles bool, logger log.Logger) error {
-	front, err := jobsnode.NewFront(jobsOptions(set, profiles, logger))
+func serveJobs(ctx context.Context, settings config.JobsDataPlane, profiles bool, logger log.Logger) error {
+	front, err := jobsnode.NewFront(jobsOptions(settings, profiles, logger))
 	if err != nil {
 		return errs.Pass(err, "make the node")
 	}
@@ -52,18 +52,18 @@
 }
 
 // jobsOptions maps settings to a front node's options.
-func jobsOptions(set config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.FrontOptions {
+func jobsOptions(settings config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.FrontOptions {
 	registry := daemon.Registry()
 	return jobsnode.FrontOptions{
-		CoreAddresses: set.ControlPlaneAddresses(), Via: set.Via, Address: set.Addr,
+		CoreAddresses: settings.ControlPlaneAddresses(), Via: settings.Via, Address: settings.Addr,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) {
-			jobsapi.ServeClients(clients, client, set.CallTimeout)
+			jobsapi.ServeClients(clients, client, settings.CallTimeout)
 			if profiles {
 				daemon.Profiles(clients)
 			}
 		},
 		ServeReady: func(asked *rpc.Server, check func() error) { daemon.Routes(asked, registry, check) },
-		Grace:      set.Grace, Registry: registry, Logger: logger, Zone: set.Zone, Version: version,
+		Grace:      settings.Grace, Registry: registry, Logger: logger, Zone: settings.Zone, Version: version,
 	}
 }
 
@@ -77,13 +77,13 @@
 		defer file.Close()
 		in = file
 	}
-	return errs.Pass(ask(ctx, http.MethodPost, cmd.String("addr"), "/v2/jobs", in), "hand in a job")
+	return errs.Pass(printResponse(ctx, http.MethodPost, cmd.String("addr"), "/v2/jobs", in), "hand in a job")
 }
 
-func oneJob(method string) cli.ActionFunc {
+func jobAction(method string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		id := cmd.Args().First()
-		return errs.Pass(ask(ctx, method, cmd.String("addr"), "/v2/jobs/"+url.PathEscape(id), nil), "job %q", id)
+		return errs.Pass(printResponse(ctx, method, cmd.String("addr"), "/v2/jobs/"+url.PathEscape(id), nil), "job %q", id)
 	}
 }
 
@@ -97,5 +97,5 @@
 	if cmd.IsSet("limit") {
 		query.Set("limit", strconv.Itoa(cmd.Int("limit")))
 	}
-	return errs.Pass(ask(ctx, http.MethodGet, cmd.String("addr"), "/v2/jobs?"+query.Encode(), nil), "list jobs")
+	return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v2/jobs?"+query.Encode(), nil), "list jobs")
 }
--- a/cmd/crosstide-dataplane/jobsfront_test.go
+++ b/cmd/crosstide-dataplane/jobsfront_test.go
@@ -16,11 +16,11 @@
 
 func TestJobsOptions(t *testing.T) {
 	Convey("The settings of a front node make its options; calls and readiness are at one address", t, func() {
-		set := config.DefaultJobsDataPlane()
-		set.Addr, set.Zone, set.Grace, set.Seeds = "10.0.0.1:7000", "z", 7*time.Second, []string{"10.0.1.1:7100"}
-		options := jobsOptions(set, true, log.NewNopLogger())
+		settings := config.DefaultJobsDataPlane()
+		settings.Addr, settings.Zone, settings.Grace, settings.Seeds = "10.0.0.1:7000", "z", 7*time.Second, []string{"10.0.1.1:7100"}
+		options := jobsOptions(settings, true, log.NewNopLogger())
 		So([]any{options.CoreAddresses, options.Address, options.ReadyAddress, options.Grace, options.Zone}, ShouldResemble,
-			[]any{set.Seeds, set.Addr, "", set.Grace, "z"})
+			[]any{settings.Seeds, settings.Addr, "", settings.Grace, "z"})
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		caller := rpc.NewClient(rpc.ClientOptions{})
 		options.ServeClients(server, controller.NewClient(controller.ClientOptions{Caller: caller}))
--- a/cmd/crosstide-dataplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -30,59 +30,59 @@
 
 func main() {
 	program := daemon.Program[config.DataPlane]{
-		Version: version, Load: config.LoadDataPlane, Check: config.CheckDataPlane, Serve: serve,
-		Common: func(set *config.DataPlane) *config.Common { return &set.Common },
+		Version: version, Load: config.LoadDataPlane, Check: config.CheckDataPlane, Serve: servePolicy,
+		Common: func(settings *config.DataPlane) *config.Common { return &settings.Common },
 	}
-	app := &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide", Commands: append(append(program.Commands(), jobCommands()...), platformCommand(), jobsCommand())}
+	app := &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide", Commands: append(append(program.Commands(), policyJobCommands()...), platformCommand(), jobsCommand())}
 	if err := app.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "crosstide-dataplane:", err)
 		os.Exit(1)
 	}
 }
 
-func passes(set config.DataPlane) scheduler.Config {
+func schedulerConfig(settings config.DataPlane) scheduler.Config {
 	cfg := scheduler.DefaultConfig()
-	cfg.RunLease, cfg.PollWait, cfg.StartWindow = set.RunLease, set.PollWait, set.StartWindow
-	cfg.Lateness, cfg.RoleLeaseMargin = set.Lateness, set.LeaseMargin
-	cfg.Health.MaxShare = float64(set.MaxUnhealthyShare) / 100
+	cfg.RunLease, cfg.PollWait, cfg.StartWindow = settings.RunLease, settings.PollWait, settings.StartWindow
+	cfg.Lateness, cfg.RoleLeaseMargin = settings.Lateness, settings.LeaseMargin
+	cfg.Health.MaxShare = float64(settings.MaxUnhealthyShare) / 100
 	return cfg
 }
 
-func serve(ctx context.Context, set config.DataPlane, profiles bool, logger log.Logger) error {
-	reg := daemon.Registry()
-	boot := make([]byte, 8)
-	if _, err := rand.Read(boot); err != nil {
+func servePolicy(ctx context.Context, settings config.DataPlane, profiles bool, logger log.Logger) error {
+	registry := daemon.Registry()
+	incarnation := make([]byte, 8)
+	if _, err := rand.Read(incarnation); err != nil {
 		return errs.Wrap(err, errs.Internal, "boot id")
 	}
-	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: set.CallTimeout, DialOverrides: set.Via, Logger: daemon.Part(logger, "caller"), Registry: reg})
+	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: settings.CallTimeout, DialOverrides: settings.Via, Logger: daemon.Part(logger, "caller"), Registry: registry})
 	defer caller.Close()
 	// The kernel must not go on resending a start order when the lease is over: its time-out is well inside the margin.
-	minions := rpc.NewClient(rpc.ClientOptions{UserTimeout: set.LeaseMargin / 2, DialOverrides: set.Via, DialTimeout: time.Second,
-		Logger: daemon.Part(logger, "hold"), Registry: reg})
-	defer minions.Close()
-	core := set.ControlPlanes
+	workerCaller := rpc.NewClient(rpc.ClientOptions{UserTimeout: settings.LeaseMargin / 2, DialOverrides: settings.Via, DialTimeout: time.Second,
+		Logger: daemon.Part(logger, "hold"), Registry: registry})
+	defer workerCaller.Close()
+	core := settings.ControlPlanes
 	if len(core) == 0 {
-		core = set.Seeds // until the membership has found the cplanes
+		core = settings.Seeds // until the membership has found the cplanes
 	}
-	n := dataplane.New(dataplane.Options{Name: set.Name, Addr: set.Addr, Incarnation: hex.EncodeToString(boot), ControlPlanes: core, Scheduler: passes(set),
-		CallTimeout: set.CallTimeout, QueueLimit: set.QueueLimit, Clock: clock.Real{}, Logger: daemon.Part(logger, "dataplane"),
-		Caller: caller, WorkerCaller: minions})
-	reg.MustRegister(dataplane.NewCollector(n))
+	n := dataplane.New(dataplane.Options{Name: settings.Name, Addr: settings.Addr, Incarnation: hex.EncodeToString(incarnation), ControlPlanes: core, Scheduler: schedulerConfig(settings),
+		CallTimeout: settings.CallTimeout, QueueLimit: settings.QueueLimit, Clock: clock.Real{}, Logger: daemon.Part(logger, "dataplane"),
+		Caller: caller, WorkerCaller: workerCaller})
+	registry.MustRegister(dataplane.NewCollector(n))
 	var learn func([]string)
-	if len(set.ControlPlanes) == 0 {
+	if len(settings.ControlPlanes) == 0 {
 		learn = n.SetControlPlanes
 	}
-	members := daemon.NewMembership(set.Common, membership.RoleDataPlane, set.Seeds, caller, logger, reg, learn)
-	srv := rpc.NewServer(rpc.ServerOptions{Addr: set.Addr, Logger: daemon.Part(logger, "rpc"), Registry: reg})
-	clientapi.Register(srv, n, clientapi.Options{Timeout: set.CallTimeout, Seed: uint64(boot[0])<<8 | uint64(boot[1])})
+	members := daemon.NewMembership(settings.Common, membership.RoleDataPlane, settings.Seeds, caller, logger, registry, learn)
+	srv := rpc.NewServer(rpc.ServerOptions{Addr: settings.Addr, Logger: daemon.Part(logger, "rpc"), Registry: registry})
+	clientapi.Register(srv, n, clientapi.Options{Timeout: settings.CallTimeout, Seed: uint64(incarnation[0])<<8 | uint64(incarnation[1])})
 	rpc.Handle(srv, internalapi.AnnounceWorker, n.Announce)
 	rpc.Handle(srv, internalapi.Shuffle, members.Serve)
 	n.Routes(srv)
-	daemon.Routes(srv, reg, n.Ready)
+	daemon.Routes(srv, registry, n.Ready)
 	if profiles {
 		daemon.Profiles(srv)
 	}
-	life := daemon.Lifecycle{Server: srv, Logger: logger, Zone: set.Zone, Grace: set.Grace, Version: version,
+	lifecycle := daemon.Lifecycle{Server: srv, Logger: logger, Zone: settings.Zone, Grace: settings.Grace, Version: version,
 		Start: func() {
 			members.Start(context.Background())
 			n.Start(context.Background())
@@ -93,5 +93,5 @@
 		},
 		Stop: n.Stop,
 	}
-	return errs.Pass(life.Run(ctx), "run")
+	return errs.Pass(lifecycle.Run(ctx), "run")
 }
--- a/cmd/crosstide-dataplane/platform.go
+++ b/cmd/crosstide-dataplane/platform.go
@@ -18,12 +18,12 @@
 // platformCommand runs a front node on the users' platform.
 func platformCommand() *cli.Command {
 	return daemon.Service[platform.Settings]{Name: "platform", Usage: "serve as a front node of the users' platform",
-		Load: platform.LoadSettings, Serve: serveFront,
+		Load: platform.LoadSettings, Serve: servePlatform,
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// serveFront runs a front node until ctx ends, then lets it drain. changed tells that the settings have changed.
-func serveFront(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
+// servePlatform runs a front node until ctx ends, then lets it drain. changed tells that the settings have changed.
+func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core := settings.Core()
 	daemon.LimitMemory(core.MemoryBytes)
 	front, err := jobsnode.NewFront(frontOptions(core, logger))
--- a/cmd/crosstide-testbed/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -22,7 +22,7 @@
 		Description: "crosstide-testbed sim --seeds A..B [--for D] [--pace D] [--faults LIST] [--break GUARD] [--parties]\ncrosstide-testbed sim --seed N --trace\n\n" +
 			"Each seed is a fleet of 5 cplanes, 3 dplanes and 6 minions under its own faults, on one thread. Prints the\n" +
 			"cases seen of every promise and fault. Exit 1 if a promise is broken, or one was not exercised; with --break\n" +
-			"exit 1 if no seed found the missing guard.\n\nfaults: " + strings.Join(policysim.Faults, " ") + "\nguards: " + strings.Join(policysim.Breaks, " "),
+			"exit 1 if no seed found the missing guard.\n\nfaults: " + strings.Join(policysim.Faults, " ") + "\nguards: " + strings.Join(policysim.Guards, " "),
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Value: "1..20", Usage: "first and last seed"},
 			&cli.Uint64Flag{Name: "seed", Usage: "one seed"},
@@ -40,7 +40,7 @@
 }
 
 func runSim(_ context.Context, cmd *cli.Command) error {
-	opt := policysim.Options{For: cmd.Duration("for"), Pace: cmd.Duration("pace"), Break: cmd.String("break"), Parties: cmd.Bool("parties")}
+	opt := policysim.Options{FaultPeriod: cmd.Duration("for"), MeanFaultInterval: cmd.Duration("pace"), WithoutGuard: cmd.String("break"), Parties: cmd.Bool("parties")}
 	opt.Faults = slices.Clone(policysim.Faults)
 	if list := cmd.String("faults"); list == "none" {
 		opt.Faults = []string{}
@@ -52,8 +52,8 @@
 			return exitCode{errs.Field(errs.Settings, "faults", "no fault %q", f), 2}
 		}
 	}
-	if opt.Break != "" && !slices.Contains(policysim.Breaks, opt.Break) {
-		return exitCode{errs.Field(errs.Settings, "break", "no guard %q", opt.Break), 2}
+	if opt.WithoutGuard != "" && !slices.Contains(policysim.Guards, opt.WithoutGuard) {
+		return exitCode{errs.Field(errs.Settings, "break", "no guard %q", opt.WithoutGuard), 2}
 	}
 	first, last, err := parseSeeds(cmd.String("seeds"))
 	if err != nil {
@@ -68,30 +68,30 @@
 		opt.Trace, last = out, first
 	}
 	many := cmd.Int("many")
-	if opt.Break != "" {
+	if opt.WithoutGuard != "" {
 		many = 0
 	}
-	sum := policysim.Add(policysim.Each(opt, first, last, cmd.Int("width"), many), opt.Faults)
+	sum := policysim.Summarize(policysim.RunSeeds(opt, first, last, cmd.Int("width"), many), opt.Faults)
 	if opt.Parties {
-		sum.Want(policysim.BillingPromises)
+		sum.Require(policysim.BillingPromises)
 	}
 	for i, r := range sum.Breaches {
-		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.What)
-		if i < 2 && opt.Break == "" && opt.Trace == nil {
-			fmt.Fprintln(out, "  "+strings.Join(r.Breach.Last, "\n  "))
+		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
+		if i < 2 && opt.WithoutGuard == "" && opt.Trace == nil {
+			fmt.Fprintln(out, "  "+strings.Join(r.Breach.TraceTail, "\n  "))
 		}
 	}
-	if opt.Break != "" {
-		fmt.Fprintf(out, "without %s: found in %d of %d seeds\n", opt.Break, sum.Broken, sum.Seeds)
+	if opt.WithoutGuard != "" {
+		fmt.Fprintf(out, "without %s: found in %d of %d seeds\n", opt.WithoutGuard, sum.Broken, sum.Seeds)
 		if sum.Broken == 0 {
 			return exitCode{errs.New(errs.Internal, "the missing guard was not found"), 1}
 		}
 		return nil
 	}
-	if err := sum.Show(out); err != nil {
+	if err := sum.Print(out); err != nil {
 		return errs.Pass(err, "sim")
 	}
-	if sum.Broken > 0 || last > first && len(sum.PromiseZero)+len(sum.FaultsZero) > 0 {
+	if sum.Broken > 0 || last > first && len(sum.UnexercisedPromises)+len(sum.UnexercisedFaults) > 0 {
 		return exitCode{errs.New(errs.Internal, "a promise is broken or was not exercised"), 1}
 	}
 	return nil
--- a/internal/testbed/policysim/balances.go
+++ b/internal/testbed/policysim/balances.go
@@ -17,19 +17,19 @@
 // The two parties of a run with balances: payer runs dry again and again, rich never does. Team freeTeam is paid for by
 // nobody.
 const (
-	limitedParty = "acme"
-	rich         = "blue"
-	limitedTeam  = "a"
-	richTeam     = "b"
-	freeTeam     = "t"
+	limitedParty   = "acme"
+	unlimitedParty = "blue"
+	limitedTeam    = "a"
+	unlimitedTeam  = "b"
+	freeTeam       = "t"
 )
 
-// What the parties pay, in units.
+// Detail the parties pay, in units.
 const (
-	corePrice    = 10 // a second of a core
-	paidWindow   = 5 * time.Second
-	amplePayment = 1_000_000_000
-	mostLasts    = 2 // lasting jobs of the payer at once
+	corePrice      = 10 // a second of a core
+	paidWindow     = 5 * time.Second
+	amplePayment   = 1_000_000_000
+	maxLongRunning = 2 // lasting jobs of the payer at once
 )
 
 const partiesBundle = `{"queues":{"default":{}},"backoff":{"min":"200ms","max":"30s"},"parties":{` +
@@ -43,26 +43,26 @@
 // lastTopUpAfter is from the quiet part's begin to the top-up that lasts.
 const lastTopUpAfter = 22 * time.Second
 
-// paidUp is how long after the faults the payer is topped up for good: what waits for money has its time from there.
-func (b *balances) paidUp() time.Duration {
+// paidUpDelay is how long after the faults the payer is topped up for good: what waits for money has its time from there.
+func (b *balances) paidUpDelay() time.Duration {
 	if b == nil {
 		return 0
 	}
-	return calmAfter + lastTopUpAfter
+	return recoveryTime + lastTopUpAfter
 }
 
 // balances is what the people do with balances.
 type balances struct {
-	s     *sim
-	keys  map[string]signature.Key
-	ready bool // parties are in force and their accounts open
-	next  int
-	lasts []*job
+	sim             *sim
+	keys            map[string]signature.Key
+	ready           bool // parties are in force and their accounts open
+	lastNumber      int
+	longRunningJobs []*job
 	*billingChecker
 }
 
 func newBalances(s *sim) *balances {
-	b := &balances{s: s, keys: map[string]signature.Key{}, billingChecker: newBillingChecker(s)}
+	b := &balances{sim: s, keys: map[string]signature.Key{}, billingChecker: newBillingChecker(s)}
 	for _, name := range []string{"ada", "ben"} {
 		key, err := signature.New(name)
 		must(err)
@@ -76,7 +76,7 @@
 	if b == nil {
 		return
 	}
-	p := b.s.clients
+	p := b.sim.clients
 	public := map[string]string{}
 	for name, key := range b.keys {
 		public[name] = key.Public()
@@ -84,62 +84,62 @@
 	body := []byte(partiesBundle)
 	digest := signature.Digest(body)
 	credit := int64(0)
-	if b.s.opt.Break == "balance" {
+	if b.sim.options.WithoutGuard == "balance" {
 		credit = amplePayment
 	}
 	orders := []command.Command{
 		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)), Body: body},
 		&command.SignBundle{Order: "sign1", Version: 2, Digest: digest, By: "ada", Sig: b.keys["ada"].Sign(signature.Bundle(2, digest))},
-		b.open(limitedParty, credit), b.open(rich, 0), b.topUp(rich, amplePayment), b.topUp(limitedParty, 300),
+		b.openAccount(limitedParty, credit), b.openAccount(unlimitedParty, 0), b.topUp(unlimitedParty, amplePayment), b.topUp(limitedParty, 300),
 		&command.SignBundle{Order: "sign2", Version: 2, Digest: digest, By: "ben", Sig: b.keys["ben"].Sign(signature.Bundle(2, digest))},
 	}
-	b.jobModel(&command.SetOperators{Operators: public}, func() {
-		p.inOrder(orders, func() {
+	b.registerOperators(&command.SetOperators{Operators: public}, func() {
+		p.sendInOrder(orders, func() {
 			b.ready = true
-			b.s.trace("parties are in force")
+			b.sim.trace("parties are in force")
 			b.submitLongRunning()
-			b.pay()
+			b.topUpPeriodically()
 		})
 	})
-	b.s.on(100*time.Millisecond, b.onEvent)
-	b.s.on(b.s.opt.For+calmAfter, b.quiet)
+	b.sim.schedule(100*time.Millisecond, b.checkDeadlines)
+	b.sim.schedule(b.sim.options.FaultPeriod+recoveryTime, b.scheduleQuietTail)
 }
 
-// jobModel makes the operators known; a second time it is a conflict.
-func (b *balances) jobModel(keys command.Command, done func()) {
-	p := b.s.clients
-	p.op.propose(keys, true, p.Now()+5*time.Second, func(_ uint64, _ json.RawMessage, err error) {
+// registerOperators makes the operators known; a second time it is a conflict.
+func (b *balances) registerOperators(keys command.Command, done func()) {
+	p := b.sim.clients
+	p.operator.propose(keys, true, p.Now()+5*time.Second, func(_ uint64, _ json.RawMessage, err error) {
 		if err == nil || errs.Is(err, errs.Conflict) {
 			done()
 			return
 		}
-		p.after(200*time.Millisecond, func() { b.jobModel(keys, done) })
+		p.after(200*time.Millisecond, func() { b.registerOperators(keys, done) })
 	})
 }
 
-// inOrder sends orders one after another, each when the one before is acknowledged.
-func (p *clients) inOrder(orders []command.Command, done func()) {
+// sendInOrder sends orders one after another, each when the one before is acknowledged.
+func (p *clients) sendInOrder(orders []command.Command, done func()) {
 	if len(orders) == 0 {
 		done()
 		return
 	}
-	p.order(orders[0], nil, func() { p.inOrder(orders[1:], done) })
+	p.sendOrder(orders[0], nil, func() { p.sendInOrder(orders[1:], done) })
 }
 
-func (b *balances) open(name string, credit int64) command.Command {
+func (b *balances) openAccount(name string, credit int64) command.Command {
 	order := "open-" + name
 	return &command.AccountCreate{Order: order, Account: name, Credit: credit, By: "ada",
 		Sig: b.keys["ada"].Sign(signature.AccountCreate(order, name, credit))}
 }
 
 func (b *balances) topUp(name string, amount int64) command.Command {
-	b.next++
-	key := fmt.Sprintf("top-up-%d", b.next)
+	b.lastNumber++
+	key := fmt.Sprintf("top-up-%d", b.lastNumber)
 	return &command.AccountTopUp{Account: name, Key: key, Amount: amount, By: "ben", Sig: b.keys["ben"].Sign(signature.AccountTopUp(key, name, amount))}
 }
 
-// signed makes the commands that evacuate a zone or lift that: once there are operators they sign.
-func (b *balances) signed(z command.EvacuateZone) []command.Command {
+// signedEvacuation makes the commands that evacuate a zone or lift that: once there are operators they sign.
+func (b *balances) signedEvacuation(z command.EvacuateZone) []command.Command {
 	if b == nil {
 		return []command.Command{&z}
 	}
@@ -147,7 +147,7 @@
 		z.By, z.Sig = "ada", b.keys["ada"].Sign(signature.Evacuate(z.Order, z.Zone))
 		return []command.Command{&z}
 	}
-	text := signature.Lift(z.Zone, b.s.invariantChecker.ref.Evacuated[z.Zone])
+	text := signature.Lift(z.Zone, b.sim.invariantChecker.reference.Evacuated[z.Zone])
 	first, second := z, z
 	first.Order += "a"
 	first.By, first.Sig = "ada", b.keys["ada"].Sign(text)
@@ -155,53 +155,53 @@
 	return []command.Command{&first, &second}
 }
 
-// team draws whose the next job is.
-func (b *balances) team() string {
+// drawTeam draws whose the next job is.
+func (b *balances) drawTeam() string {
 	if b == nil || !b.ready {
 		return freeTeam
 	}
-	switch n := b.s.rnd.IntN(10); {
+	switch n := b.sim.rng.IntN(10); {
 	case n < 6:
 		return limitedTeam
 	case n < 8:
-		return richTeam
+		return unlimitedTeam
 	}
 	return freeTeam
 }
 
-// pay tops the payer up now and then with about what it needs, so that it is dry for a good part of the time.
-func (b *balances) pay() {
-	s := b.s
-	if s.calm {
+// topUpPeriodically tops the payer up now and then with about what it needs, so that it is dry for a good part of the time.
+func (b *balances) topUpPeriodically() {
+	s := b.sim
+	if s.faultsOver {
 		return
 	}
-	b.add(int64(50 + s.rnd.IntN(350)))
-	s.clients.after(s.between(time.Second, 9*time.Second), b.pay)
+	b.topUpLimited(int64(50 + s.rng.IntN(350)))
+	s.clients.after(s.between(time.Second, 9*time.Second), b.topUpPeriodically)
 }
 
-// add tops the payer up; now and then the leader is killed meanwhile.
-func (b *balances) add(amount int64) {
-	s := b.s
+// topUpLimited tops the payer up; now and then the leader is killed meanwhile.
+func (b *balances) topUpLimited(amount int64) {
+	s := b.sim
 	if s.chance(0.25) {
 		b.killLeader("leader killed at a top-up", s.between(0, 20*time.Millisecond))
 	}
 	cmd := b.topUp(limitedParty, amount)
-	s.clients.order(cmd, nil, func() { b.acknowledged(cmd.(*command.AccountTopUp)) })
+	s.clients.sendOrder(cmd, nil, func() { b.observeTopUpAnswer(cmd.(*command.AccountTopUp)) })
 }
 
 // killLeader ends the leader of the store, and starts it again.
 func (b *balances) killLeader(what string, in time.Duration) {
-	s := b.s
-	if s.calm || !s.faults.on["kill"] {
+	s := b.sim
+	if s.faultsOver || !s.faults.enabled["kill"] {
 		return
 	}
-	s.on(in, func() {
+	s.schedule(in, func() {
 		for _, c := range s.controlPlanes {
 			if c.alive && c.driver != nil && c.driver.Core() != nil && c.driver.Core().Status().Role == raft.Leader {
 				s.report.Faults[what]++
 				s.trace("fault %s: %s", what, c.addr)
 				c.crash(s.chance(0.5))
-				s.on(s.faults.span(), c.up)
+				s.schedule(s.faults.drawDuration(), c.restart)
 				return
 			}
 		}
@@ -210,18 +210,18 @@
 
 // submitLongRunning hands lasting jobs in, and cancels them after a while.
 func (b *balances) submitLongRunning() {
-	s := b.s
-	if s.calm {
+	s := b.sim
+	if s.faultsOver {
 		return
 	}
-	b.lasts = slices.DeleteFunc(b.lasts, func(j *job) bool { return j.gave || j.over != "" })
-	if len(b.lasts) < mostLasts {
-		b.next++
-		j := &job{sent: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.next), Team: limitedTeam, Queue: "default",
+	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs, func(j *job) bool { return j.abandoned || j.outcome != "" })
+	if len(b.longRunningJobs) < maxLongRunning {
+		b.lastNumber++
+		j := &job{sentAt: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
 			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
 		s.clients.jobs = append(s.clients.jobs, j)
 		s.invariantChecker.jobs[j.spec.Key] = j
-		b.lasts = append(b.lasts, j)
+		b.longRunningJobs = append(b.longRunningJobs, j)
 		s.clients.submit(j, 0)
 		if s.chance(0.5) {
 			s.clients.after(s.between(5*time.Second, 25*time.Second), func() { b.cancel(j) })
@@ -230,31 +230,31 @@
 	s.clients.after(s.between(time.Second, 5*time.Second), b.submitLongRunning)
 }
 
-// cancel cancels a job once it is accepted.
+// cancelledAt cancels a job once it is accepted.
 func (b *balances) cancel(j *job) {
 	switch {
-	case j.gave || j.wanted:
-	case j.accepted == 0:
-		b.s.clients.after(200*time.Millisecond, func() { b.cancel(j) })
+	case j.abandoned || j.cancelRequested:
+	case j.acceptedAt == 0:
+		b.sim.clients.after(200*time.Millisecond, func() { b.cancel(j) })
 	default:
-		b.s.clients.cancel(j)
+		b.sim.clients.cancel(j)
 	}
 }
 
-// quiet plays the end when nothing else goes wrong any more: the payer is dry, a lasting task's minion is lost, two
+// scheduleQuietTail plays the end when nothing else goes wrong any more: the payer is dry, a lasting task's minion is lost, two
 // top-ups come that do not last, then one that does; at last the lasting jobs are cancelled.
-func (b *balances) quiet() {
-	s := b.s
+func (b *balances) scheduleQuietTail() {
+	s := b.sim
 	for _, step := range []struct {
 		in time.Duration
 		do func()
 	}{
 		{time.Second, b.killLongRunningWorker},
-		{12 * time.Second, func() { b.addAbove(600) }},
-		{17 * time.Second, func() { b.addAbove(400) }},
-		{lastTopUpAfter, func() { b.add(amplePayment) }},
+		{12 * time.Second, func() { b.topUpLimitedTo(600) }},
+		{17 * time.Second, func() { b.topUpLimitedTo(400) }},
+		{lastTopUpAfter, func() { b.topUpLimited(amplePayment) }},
 		{30 * time.Second, func() {
-			for _, j := range b.lasts {
+			for _, j := range b.longRunningJobs {
 				b.cancel(j)
 			}
 		}},
@@ -263,26 +263,26 @@
 	}
 }
 
-// addAbove tops the payer up to about so much above zero.
-func (b *balances) addAbove(amount int64) {
+// topUpLimitedTo tops the payer up to about so much above zero.
+func (b *balances) topUpLimitedTo(amount int64) {
 	if a := b.account(limitedParty); a != nil {
-		b.add(max(0, -a.Balance) + amount)
+		b.topUpLimited(max(0, -a.Balance) + amount)
 	}
 }
 
 // killLongRunningWorker ends the minion of a lasting run; it comes back soon.
 func (b *balances) killLongRunningWorker() {
-	s := b.s
+	s := b.sim
 	for _, r := range s.invariantChecker.runs {
-		j := s.invariantChecker.ref.Jobs[r.ref.Job]
+		j := s.invariantChecker.reference.Jobs[r.ref.Job]
 		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].LongRunning || !r.worker.alive {
 			continue
 		}
 		s.trace("%s, which runs %v, is ended", r.worker.addr, r.ref)
-		b.wanted = append(b.wanted, attachment{ref: r.ref, after: r.runID, since: s.now, exhausted: !b.covers(limitedParty, corePrice*5)})
+		b.pendingAttachments = append(b.pendingAttachments, attachment{ref: r.ref, after: r.runID, since: s.now, exhausted: !b.covers(limitedParty, corePrice*5)})
 		m := r.worker
 		m.kill()
-		s.on(500*time.Millisecond, func() {
+		s.schedule(500*time.Millisecond, func() {
 			if !m.alive {
 				m.open()
 			}
@@ -292,14 +292,14 @@
 }
 
 func (b *balances) covers(name string, cost int64) bool {
-	return b.s.invariantChecker.ref.Accounts.Covers(name, cost)
+	return b.sim.invariantChecker.reference.Accounts.Covers(name, cost)
 }
 
-// onEvent judges what must happen in time.
-func (b *balances) onEvent() {
-	b.s.on(100*time.Millisecond, b.onEvent)
-	b.judgeResume()
-	b.judgeAttached()
+// checkDeadlines judges what must happen in time.
+func (b *balances) checkDeadlines() {
+	b.sim.schedule(100*time.Millisecond, b.checkDeadlines)
+	b.checkResume()
+	b.checkAttached()
 }
 
 // payable tells whether a due task needs no top-up: nobody pays for it, or the balance covers it and is not kept for one
@@ -308,25 +308,25 @@
 	if b == nil {
 		return true
 	}
-	ref0 := b.s.invariantChecker.ref
+	ref0 := b.sim.invariantChecker.reference
 	fee := ref0.Fee(j, ref)
 	if fee.Party == "" {
 		return true
 	}
-	fee.Cost *= together(j, ref.Step)
+	fee.Cost *= dueTogether(j, ref.Step)
 	if !ref0.Covers(fee) {
 		return false
 	}
-	for _, key := range b.s.invariantChecker.keys() {
-		if older := ref0.Jobs[key]; older.Seq < j.Seq && b.uncovered(older, fee.Party) {
+	for _, key := range b.sim.invariantChecker.runningJobs() {
+		if older := ref0.Jobs[key]; older.Seq < j.Seq && b.hasUncoveredTask(older, fee.Party) {
 			return false
 		}
 	}
 	return true
 }
 
-// together is how many due tasks of a step start together.
-func together(j *state.Job, step int) int64 {
+// dueTogether is how many due tasks of a step start together.
+func dueTogether(j *state.Job, step int) int64 {
 	if !j.Spec.Steps[step].Gang {
 		return 1
 	}
@@ -339,21 +339,21 @@
 	return due
 }
 
-// uncovered tells whether a job has a due task that its party's balance does not cover.
-func (b *balances) uncovered(j *state.Job, party string) bool {
-	o := b.s.invariantChecker
-	if o.ref.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
+// hasUncoveredTask tells whether a job has a due task that its party's balance does not cover.
+func (b *balances) hasUncoveredTask(j *state.Job, party string) bool {
+	o := b.sim.invariantChecker
+	if o.reference.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
 		return false
 	}
 	for i := range j.Tasks {
 		for k := range j.Tasks[i] {
 			ref := state.TaskRef{Job: j.Spec.Key, Step: i, Task: k}
-			if j.Tasks[i][k].Phase != state.TaskDue || b.s.now < o.dueAt[ref] {
+			if j.Tasks[i][k].Phase != state.TaskDue || b.sim.now < o.dueAt[ref] {
 				continue
 			}
-			fee := o.ref.Fee(j, ref)
-			fee.Cost *= together(j, i)
-			if !o.ref.Covers(fee) {
+			fee := o.reference.Fee(j, ref)
+			fee.Cost *= dueTogether(j, i)
+			if !o.reference.Covers(fee) {
 				return true
 			}
 		}
--- a/internal/testbed/policysim/build.go
+++ b/internal/testbed/policysim/build.go
@@ -17,17 +17,17 @@
 		s.dataPlanes = append(s.dataPlanes, &dataPlane{process: s.newProcess(fmt.Sprintf("d%d", i), zone(i))})
 	}
 	for i := range 6 {
-		m := &worker{process: s.newProcess(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.KindCheck, cores: 2 + s.rnd.IntN(4), lab: map[string]string{}}
+		m := &worker{process: s.newProcess(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.KindCheck, cores: 2 + s.rng.IntN(4), labels: map[string]string{}}
 		if i%2 == 0 {
 			m.kind = policyworker.KindObey
 		}
 		if i < 4 {
-			m.lab["disk"] = "ssd"
+			m.labels["disk"] = "ssd"
 		}
 		s.workers = append(s.workers, m)
 	}
 	s.invariantChecker = s.newInvariantChecker()
-	if s.opt.Parties || s.opt.Break == "balance" {
+	if s.options.Parties || s.options.WithoutGuard == "balance" {
 		s.billing = newBalances(s)
 	}
 	s.clients.start()
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -15,31 +15,31 @@
 // clients are the clients and the operators. They stand outside of all cuts.
 type clients struct {
 	*process
-	jobs []*job
-	next int
-	op   *dataPlane // only its way to the leader
-	out  map[string]bool
-	acts int
-	seen linear
+	jobs           []*job
+	lastJob        int
+	operator       *dataPlane // only its way to the leader
+	evacuatedZones map[string]bool
+	orderCount     int
+	history        clientHistory
 }
 
 // job is what its client knows.
 type job struct {
-	spec     state.Spec
-	sent     time.Duration
-	accepted time.Duration // when a yes came; 0: none
-	wanted   bool          // a cancel was asked for
-	cancel   time.Duration // when it was acknowledged
-	over     state.JobPhase
-	gave     bool // given up before it was accepted
+	spec            state.Spec
+	sentAt          time.Duration
+	acceptedAt      time.Duration // when a yes came; 0: none
+	cancelRequested bool          // a cancel was asked for
+	cancelledAt     time.Duration // when it was acknowledged
+	outcome         state.JobPhase
+	abandoned       bool // given up before it was accepted
 }
 
 func (p *clients) start() {
-	p.begin()
-	p.op = &dataPlane{process: p.process}
-	p.out = map[string]bool{}
-	p.after(2*time.Second, p.offer)
-	p.after(4*time.Second, p.again)
+	p.startIncarnation()
+	p.operator = &dataPlane{process: p.process}
+	p.evacuatedZones = map[string]bool{}
+	p.after(2*time.Second, p.submitJobs)
+	p.after(4*time.Second, p.resubmit)
 }
 
 // jobsPerCore is how many jobs may be open for each core of the fleet. Under faults the fleet does far less than its
@@ -47,8 +47,8 @@
 // run lasts. A job is about 10 core-seconds of work, so what may be open is worked off in about 40 s.
 const jobsPerCore = 4
 
-// mostOpen is how many jobs the clients have open at most.
-func (p *clients) mostOpen() int {
+// maxOpen is how many jobs the clients have open at most.
+func (p *clients) maxOpen() int {
 	cores := 0
 	for _, m := range p.sim.workers {
 		cores += m.cores
@@ -56,32 +56,32 @@
 	return jobsPerCore * cores
 }
 
-// offer hands a job in, again and again until it is accepted or its client loses patience.
-func (p *clients) offer() {
+// deliver hands a job in, again and again until it is accepted or its client loses patience.
+func (p *clients) submitJobs() {
 	s := p.sim
-	if s.calm {
+	if s.faultsOver {
 		return
 	}
 	n := 1
 	if s.chance(0.03) { // a crowd
 		n = 8
 	}
-	for range min(n, p.mostOpen()-p.jobsOpen()-p.abandonedOpen()) {
-		j := &job{spec: p.spec(), sent: s.now}
+	for range min(n, p.maxOpen()-p.jobsOpen()-p.abandonedOpen()) {
+		j := &job{spec: p.randomSpec(), sentAt: s.now}
 		p.jobs = append(p.jobs, j)
 		s.invariantChecker.jobs[j.spec.Key] = j
 		p.submit(j, 0)
 	}
-	p.after(s.between(50*time.Millisecond, 900*time.Millisecond), p.offer)
+	p.after(s.between(50*time.Millisecond, 900*time.Millisecond), p.submitJobs)
 }
 
-func (p *clients) spec() state.Spec {
+func (p *clients) randomSpec() state.Spec {
 	s := p.sim
-	p.next++
-	out := state.Spec{Key: fmt.Sprintf("j%03d", p.next), Team: s.billing.team(), Queue: "default"}
-	for i := range 1 + s.rnd.IntN(3) {
-		step := state.StepSpec{Name: fmt.Sprintf("s%d", i), Type: fmt.Sprintf("k%d", s.rnd.IntN(3)), Tasks: 1 + s.rnd.IntN(3),
-			Cores: 1 + s.rnd.IntN(2), Retries: 4}
+	p.lastJob++
+	out := state.Spec{Key: fmt.Sprintf("j%03d", p.lastJob), Team: s.billing.drawTeam(), Queue: "default"}
+	for i := range 1 + s.rng.IntN(3) {
+		step := state.StepSpec{Name: fmt.Sprintf("s%d", i), Type: fmt.Sprintf("k%d", s.rng.IntN(3)), Tasks: 1 + s.rng.IntN(3),
+			Cores: 1 + s.rng.IntN(2), Retries: 4}
 		if i > 0 && s.chance(0.7) {
 			step.After = []string{"s0"}
 		}
@@ -89,7 +89,7 @@
 			step.Labels = map[string]string{"disk": "ssd"}
 		}
 		step.Gang = step.Tasks > 1 && s.chance(0.15)
-		ms := s.rnd.IntN(1500)
+		ms := s.rng.IntN(1500)
 		if s.chance(0.05) {
 			ms = 15000
 		}
@@ -99,36 +99,36 @@
 	return out
 }
 
-func (p *clients) at() *dataPlane { return pick(p.sim, p.sim.dataPlanes) }
+func (p *clients) pickDataPlane() *dataPlane { return pick(p.sim, p.sim.dataPlanes) }
 
 func (p *clients) submit(j *job, try int) {
 	s := p.sim
-	d := p.at()
+	d := p.pickDataPlane()
 	cmd := &command.Submit{Spec: j.spec, Digest: "d-" + j.spec.Key, Bound: 10000}
-	m := p.seen.called(s.now, j.spec.Key, actSubmit, cmd.Digest)
-	s.request(request{from: p.process, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
+	m := p.history.called(s.now, j.spec.Key, opSubmit, cmd.Digest)
+	s.request(request{from: p.process, addr: d.addr, timeout: 3 * time.Second, resendFor: 3 * time.Second, mayRepeat: true,
 		serve: func(_ *process, reply func(any, error)) {
 			d.propose(cmd, true, d.Now()+3*time.Second, func(_ uint64, a json.RawMessage, err error) { reply(a, err) })
 		},
-		back: func(a any, err error, _ bool) {
+		onAnswer: func(a any, err error, _ bool) {
 			m.complete(s.now, a, err)
 			if err != nil {
-				if try > 20 && !s.calm {
-					j.gave = true
+				if try > 20 && !s.faultsOver {
+					j.abandoned = true
 					return
 				}
 				s.report.Counts["submits sent again"]++
 				p.after(s.between(50*time.Millisecond, time.Second), func() { p.submit(j, try+1) })
 				return
 			}
-			if j.accepted == 0 {
-				j.accepted = s.now
+			if j.acceptedAt == 0 {
+				j.acceptedAt = s.now
 				s.trace("%s accepted", j.spec.Key)
 				p.after(s.between(100*time.Millisecond, time.Second), func() { p.poll(j) })
 				if s.chance(0.05) { // its answer was lost on the way to the client: the same again
 					p.submit(j, 0)
 				}
-				if s.faults.on["cancel"] && s.chance(0.12) {
+				if s.faults.enabled["cancel"] && s.chance(0.12) {
 					p.after(s.between(0, 4*time.Second), func() { p.cancel(j) })
 				}
 			}
@@ -137,26 +137,26 @@
 
 func (p *clients) cancel(j *job) {
 	s := p.sim
-	j.wanted = true
-	d := p.at()
-	m := p.seen.called(s.now, j.spec.Key, actCancel, "")
-	s.request(request{from: p.process, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
+	j.cancelRequested = true
+	d := p.pickDataPlane()
+	m := p.history.called(s.now, j.spec.Key, opCancel, "")
+	s.request(request{from: p.process, addr: d.addr, timeout: 3 * time.Second, resendFor: 3 * time.Second, mayRepeat: true,
 		serve: func(_ *process, reply func(any, error)) {
 			d.propose(&command.Cancel{Key: j.spec.Key}, true, d.Now()+3*time.Second, func(_ uint64, a json.RawMessage, err error) { reply(a, err) })
 		},
-		back: func(a any, err error, _ bool) {
+		onAnswer: func(a any, err error, _ bool) {
 			m.complete(s.now, a, err)
 			if err != nil {
 				if errs.Is(err, errs.Unknown) {
-					s.reportBreach("known", "cancel of %s, accepted at %v: %v", j.spec.Key, j.accepted, err)
+					s.reportBreach("known", "cancel of %s, accepted at %v: %v", j.spec.Key, j.acceptedAt, err)
 				}
 				p.after(s.between(50*time.Millisecond, time.Second), func() { p.cancel(j) })
 				return
 			}
-			if j.cancel == 0 {
-				j.cancel = s.now
+			if j.cancelledAt == 0 {
+				j.cancelledAt = s.now
 				s.report.Faults["cancel"]++
-				if k := s.invariantChecker.ref.Jobs[j.spec.Key]; k != nil && k.Outcome == state.JobCancelled || k != nil && k.Phase == state.JobCancelled {
+				if k := s.invariantChecker.reference.Jobs[j.spec.Key]; k != nil && k.Outcome == state.JobCancelled || k != nil && k.Phase == state.JobCancelled {
 					s.countCase("cancelled starts nothing")
 				}
 				s.trace("%s cancelled: %s", j.spec.Key, a.(json.RawMessage))
@@ -166,30 +166,30 @@
 
 func (p *clients) poll(j *job) {
 	s := p.sim
-	d := p.at()
-	m := p.seen.called(s.now, j.spec.Key, actPoll, "")
-	s.request(request{from: p.process, addr: d.addr, within: 3 * time.Second, keep: 3 * time.Second, twice: true,
+	d := p.pickDataPlane()
+	m := p.history.called(s.now, j.spec.Key, opPoll, "")
+	s.request(request{from: p.process, addr: d.addr, timeout: 3 * time.Second, resendFor: 3 * time.Second, mayRepeat: true,
 		serve: func(_ *process, reply func(any, error)) {
 			d.read(j.spec.Key, func(v query.JobView, err error) { reply(v, err) })
 		},
-		back: func(a any, err error, _ bool) {
+		onAnswer: func(a any, err error, _ bool) {
 			if errs.Is(err, errs.Unknown) {
-				m.seen(s.now, ansUnknown, "")
-				s.reportBreach("known", "%s, accepted at %v, is unknown at %s", j.spec.Key, j.accepted, d.addr)
+				m.observe(s.now, answerUnknown, "")
+				s.reportBreach("known", "%s, accepted at %v, is unknown at %s", j.spec.Key, j.acceptedAt, d.addr)
 			}
 			if err == nil {
 				s.countCase("known")
 				v := a.(query.JobView)
-				m.seen(s.now, ansPhase, v.State)
-				if j.over != "" && v.State != j.over {
-					s.reportBreach("done", "%s was %s, now it is %s", j.spec.Key, j.over, v.State)
+				m.observe(s.now, answerPhase, v.State)
+				if j.outcome != "" && v.State != j.outcome {
+					s.reportBreach("done", "%s was %s, now it is %s", j.spec.Key, j.outcome, v.State)
 				}
 				if v.State.IsTerminal() {
-					j.over = v.State
-					s.invariantChecker.done(j)
+					j.outcome = v.State
+					s.invariantChecker.checkDone(j)
 				}
 			}
-			if j.over == "" || s.chance(0.2) {
+			if j.outcome == "" || s.chance(0.2) {
 				p.after(s.between(200*time.Millisecond, 1500*time.Millisecond), func() { p.poll(j) })
 			}
 		}})
@@ -199,7 +199,7 @@
 func (p *clients) jobsOpen() int {
 	n := 0
 	for _, j := range p.jobs {
-		if !j.gave && j.over == "" {
+		if !j.abandoned && j.outcome == "" {
 			n++
 		}
 	}
@@ -210,23 +210,23 @@
 func (p *clients) abandonedOpen() int {
 	n := 0
 	for _, j := range p.jobs {
-		if k := p.sim.invariantChecker.ref.Jobs[j.spec.Key]; j.gave && k != nil && !k.Phase.IsTerminal() {
+		if k := p.sim.invariantChecker.reference.Jobs[j.spec.Key]; j.abandoned && k != nil && !k.Phase.IsTerminal() {
 			n++
 		}
 	}
 	return n
 }
 
-// over tells whether every accepted job has ended in its client's eyes.
-func (p *clients) over() bool { return p.jobsOpen() == 0 }
+// outcome tells whether every accepted job has ended in its client's eyes.
+func (p *clients) allEnded() bool { return p.jobsOpen() == 0 }
 
-// order sends an operator's order until it is acknowledged, and then now and then once more.
-func (p *clients) order(cmd command.Command, first json.RawMessage, done func()) {
-	p.op.propose(cmd, true, p.Now()+5*time.Second, func(_ uint64, a json.RawMessage, err error) {
+// sendOrder sends an operator's order until it is acknowledged, and then now and then once more.
+func (p *clients) sendOrder(cmd command.Command, first json.RawMessage, done func()) {
+	p.operator.propose(cmd, true, p.Now()+5*time.Second, func(_ uint64, a json.RawMessage, err error) {
 		s := p.sim
 		switch {
 		case err != nil:
-			p.after(200*time.Millisecond, func() { p.order(cmd, first, done) })
+			p.after(200*time.Millisecond, func() { p.sendOrder(cmd, first, done) })
 		case first != nil:
 			s.countCase("order once")
 			if !bytes.Equal(first, a) {
@@ -235,7 +235,7 @@
 		default:
 			done()
 			if s.chance(0.5) {
-				p.order(cmd, a, done)
+				p.sendOrder(cmd, a, done)
 			}
 		}
 	})
@@ -243,41 +243,41 @@
 
 // evacuate empties a zone for a while.
 func (p *clients) evacuate(zone string) bool {
-	if p.out[zone] || len(p.out) > 0 {
+	if p.evacuatedZones[zone] || len(p.evacuatedZones) > 0 {
 		return false
 	}
 	s := p.sim
-	p.acts++
-	p.out[zone] = true
-	p.inOrder(s.billing.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: true}), func() {
+	p.orderCount++
+	p.evacuatedZones[zone] = true
+	p.sendInOrder(s.billing.signedEvacuation(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.orderCount), Zone: zone, Out: true}), func() {
 		s.trace("operator: %s is evacuated", zone)
 		s.invariantChecker.evacuated[zone] = s.now
 		s.countCase("evacuated")
-		p.after(s.between(3*time.Second, 12*time.Second), func() { p.open(zone) })
+		p.after(s.between(3*time.Second, 12*time.Second), func() { p.liftEvacuation(zone) })
 	})
 	return true
 }
 
-func (p *clients) open(zone string) {
+func (p *clients) liftEvacuation(zone string) {
 	s := p.sim
-	p.acts++
+	p.orderCount++
 	delete(s.invariantChecker.evacuated, zone) // from the sending on it may be open
-	p.inOrder(s.billing.signed(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.acts), Zone: zone, Out: false}), func() {
+	p.sendInOrder(s.billing.signedEvacuation(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.orderCount), Zone: zone, Out: false}), func() {
 		s.trace("operator: %s is open", zone)
-		delete(p.out, zone)
+		delete(p.evacuatedZones, zone)
 	})
 }
 
 func (p *clients) lift() {}
 
-// again hands a job in that was accepted long ago: it stays one job.
-func (p *clients) again() {
+// resubmit hands a job in that was accepted long ago: it stays one job.
+func (p *clients) resubmit() {
 	if len(p.jobs) > 0 {
-		if j := pick(p.sim, p.jobs); j.accepted > 0 {
+		if j := pick(p.sim, p.jobs); j.acceptedAt > 0 {
 			p.submit(j, 0)
 		}
 	}
-	if !p.sim.calm {
-		p.after(p.sim.between(time.Second, 4*time.Second), p.again)
+	if !p.sim.faultsOver {
+		p.after(p.sim.between(time.Second, 4*time.Second), p.resubmit)
 	}
 }
--- a/internal/testbed/policysim/clients_test.go
+++ b/internal/testbed/policysim/clients_test.go
@@ -11,19 +11,19 @@
 func TestOpenJobsAreBounded(t *testing.T) {
 	Convey("Clients hand in no more jobs than the fleet works off in the quiet tail", t, func() {
 		s := newSim(Options{Seed: 9, Faults: []string{}})
-		most := s.clients.mostOpen()
+		most := s.clients.maxOpen()
 		So(most, ShouldEqual, 15*jobsPerCore) // the minions of this seed have 15 cores
 		Convey("also counting those that they gave up and that the store has still", func() {
 			for range most {
-				j := &job{spec: s.clients.spec(), gave: true}
+				j := &job{spec: s.clients.randomSpec(), abandoned: true}
 				s.clients.jobs = append(s.clients.jobs, j)
-				s.invariantChecker.ref.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
+				s.invariantChecker.reference.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
 			}
-			s.clients.offer()
+			s.clients.submitJobs()
 			So(s.clients.jobs, ShouldHaveLength, most)
 			Convey("until the store has worked one off", func() {
-				s.invariantChecker.ref.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
-				s.clients.offer()
+				s.invariantChecker.reference.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
+				s.clients.submitJobs()
 				So(s.clients.jobs, ShouldHaveLength, most+1)
 			})
 		})
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -24,28 +24,28 @@
 	incarnationID string
 	replica       *replica.Replica
 	scheduler     *scheduler.Core
-	granted       uint64
+	grantedEpoch  uint64
 	ready         bool // led once and not yielded, for the trace
-	passing       bool
-	leader        string
+	passScheduled bool
+	leaderHint    string
 	source        string
-	reaches       []*reach
+	indexWaiters  []*indexWaiter
 	leaving       bool
 
 	lagUntil time.Duration // its replica does not follow the store before
 	planning bool          // a plan is under way to the store
 }
 
-type reach struct {
-	index uint64
-	by    time.Duration
-	done  func(error)
+type indexWaiter struct {
+	index    uint64
+	deadline time.Duration
+	done     func(error)
 }
 
 func (d *dataPlane) open() {
-	d.begin()
-	d.incarnationID = fmt.Sprintf("%s-%d", d.addr, d.gen)
-	d.replica = replica.New(func(n state.Event) { d.scheduler.StateChanged(n); d.wake() }, func(st *state.State) {
+	d.startIncarnation()
+	d.incarnationID = fmt.Sprintf("%s-%d", d.addr, d.generation)
+	d.replica = replica.New(func(n state.Event) { d.scheduler.StateChanged(n); d.schedulePass() }, func(st *state.State) {
 		if d.scheduler.Phase() == scheduler.Ready {
 			d.sim.report.Counts["holders that took a snapshot"]++
 			d.sim.trace("%s, which holds sched, takes a snapshot at %d", d.addr, st.Index)
@@ -53,17 +53,17 @@
 		d.scheduler.Reset(d.Now(), st)
 	})
 	cfg := scheduler.DefaultConfig()
-	if d.sim.opt.Break == "reserve" {
+	if d.sim.options.WithoutGuard == "reserve" {
 		cfg.ReserveAfter = policyworker.Never
 	}
 	d.scheduler = scheduler.New(cfg, d.replica.Lock())
 	d.replica.Unlock()
-	d.granted, d.ready, d.passing, d.leader, d.source, d.reaches, d.leaving = 0, false, false, "", "", nil, false
+	d.grantedEpoch, d.ready, d.passScheduled, d.leaderHint, d.source, d.indexWaiters, d.leaving = 0, false, false, "", "", nil, false
 	d.lagUntil, d.planning = 0, false
 	d.sim.trace("%s up", d.addr)
 	d.pull()
 	d.claimRole()
-	d.pass()
+	d.passPeriodically()
 }
 
 func (d *dataPlane) state() *state.State {
@@ -97,21 +97,21 @@
 func (d *dataPlane) pull() {
 	s := d.sim
 	if s.now < d.lagUntil {
-		d.after(lookEvery, func() { d.reached(); d.pull() })
+		d.after(pollInterval, func() { d.releaseIndexWaiters(); d.pull() })
 		return
 	}
 	if d.source == "" {
-		d.source = s.controlPlanes[s.rnd.IntN(5)].addr
+		d.source = s.controlPlanes[s.rng.IntN(5)].addr
 	}
 	from := s.controlPlaneAt(s.byAddr[d.source])
 	version := d.replica.Index()
-	s.request(request{from: d.process, addr: d.source, within: time.Second + callTimeout, keep: callTimeout, twice: true,
+	s.request(request{from: d.process, addr: d.source, timeout: time.Second + callTimeout, resendFor: callTimeout, mayRepeat: true,
 		serve: func(to *process, reply func(any, error)) { s.controlPlaneAt(to).follow(version, time.Second, reply) },
-		back: func(a any, err error, _ bool) {
+		onAnswer: func(a any, err error, _ bool) {
 			if err == nil {
 				err = d.replica.Pull(context.Background(), receivedAnswer{d, a.(internalapi.FollowAnswer), from}, d.addr, time.Second)
 			}
-			d.reached()
+			d.releaseIndexWaiters()
 			if err != nil {
 				d.source = ""
 				d.after(100*time.Millisecond, d.pull)
@@ -121,54 +121,54 @@
 		}})
 }
 
-// reach calls done once the replica is at index, or with a fault after within.
-func (d *dataPlane) reach(index uint64, timeout time.Duration, done func(error)) {
-	r := &reach{index, d.Now() + timeout, done}
-	d.reaches = append(d.reaches, r)
-	d.after(timeout, d.reached)
-	d.reached()
+// indexWaiter calls done once the replica is at index, or with a fault after within.
+func (d *dataPlane) waitForIndex(index uint64, timeout time.Duration, done func(error)) {
+	r := &indexWaiter{index, d.Now() + timeout, done}
+	d.indexWaiters = append(d.indexWaiters, r)
+	d.after(timeout, d.releaseIndexWaiters)
+	d.releaseIndexWaiters()
 }
 
-func (d *dataPlane) reached() {
+func (d *dataPlane) releaseIndexWaiters() {
 	var do []func()
-	rest := d.reaches[:0:0]
-	for _, r := range d.reaches {
+	rest := d.indexWaiters[:0:0]
+	for _, r := range d.indexWaiters {
 		switch {
 		case d.replica.Index() >= r.index:
 			do = append(do, func() { r.done(nil) })
-		case d.Now() >= r.by:
+		case d.Now() >= r.deadline:
 			do = append(do, func() { r.done(errs.New(errs.Unavailable, "not at %d in time", r.index)) })
 		default:
 			rest = append(rest, r)
 		}
 	}
-	d.reaches = rest
+	d.indexWaiters = rest
 	for _, f := range do {
 		f()
 	}
 }
 
-// toLeader asks the leader wherever it is; again: the call may be repeated; by: when to give up, 0 for never.
-func (d *dataPlane) toLeader(timeout time.Duration, again bool, by time.Duration, serve func(c *controlPlane, reply func(any, error)), back func(a any, err error)) {
+// callLeader asks the leader wherever it is; again: the call may be repeated; by: when to give up, 0 for never.
+func (d *dataPlane) callLeader(timeout time.Duration, again bool, by time.Duration, serve func(c *controlPlane, reply func(any, error)), back func(a any, err error)) {
 	var try func(n int)
 	try = func(n int) {
-		addr := d.leader
+		addr := d.leaderHint
 		if addr == "" {
-			addr = d.sim.controlPlanes[d.sim.rnd.IntN(5)].addr
+			addr = d.sim.controlPlanes[d.sim.rng.IntN(5)].addr
 		}
-		d.sim.request(request{from: d.process, addr: addr, within: timeout, keep: callTimeout, twice: again,
+		d.sim.request(request{from: d.process, addr: addr, timeout: timeout, resendFor: callTimeout, mayRepeat: again,
 			serve: func(to *process, reply func(any, error)) { serve(d.sim.controlPlaneAt(to), reply) },
-			back: func(a any, err error, sent bool) {
+			onAnswer: func(a any, err error, sent bool) {
 				f := errs.Of(err)
 				switch {
 				case f == nil:
-					d.leader = addr
+					d.leaderHint = addr
 					back(a, nil)
 					return
 				case f.Kind == errs.NotLeader && f.Hint != "" && f.Hint != addr:
-					d.leader = f.Hint
-				case d.leader == addr && (f.Kind == errs.NotLeader || f.Kind == errs.Unavailable || f.Kind == errs.Timeout || f.Kind == errs.Stopped):
-					d.leader = ""
+					d.leaderHint = f.Hint
+				case d.leaderHint == addr && (f.Kind == errs.NotLeader || f.Kind == errs.Unavailable || f.Kind == errs.Timeout || f.Kind == errs.Stopped):
+					d.leaderHint = ""
 				}
 				elsewhere := f.Kind == errs.NotLeader ||
 					(f.Kind == errs.Unavailable || f.Kind == errs.Stopped || f.Kind == errs.Timeout) && (again || !sent)
@@ -187,11 +187,11 @@
 }
 
 func (d *dataPlane) propose(cmd command.Command, again bool, by time.Duration, back func(index uint64, answer json.RawMessage, err error)) {
-	d.toLeader(callTimeout, again, by, func(c *controlPlane, reply func(any, error)) {
+	d.callLeader(callTimeout, again, by, func(c *controlPlane, reply func(any, error)) {
 		c.propose(cmd, func(index uint64, a any, err error) {
 			out := internalapi.ProposeAnswer{Index: index}
 			if err == nil && a != nil {
-				out.Answer = jsonOf(a)
+				out.Answer = encodeJSON(a)
 			}
 			reply(out, err)
 		})
@@ -205,8 +205,8 @@
 	})
 }
 
-func (d *dataPlane) call(epoch uint64, up bool) internalapi.ClaimRoleCall {
-	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.incarnationID, Epoch: epoch, Release: up}
+func (d *dataPlane) roleCall(epoch uint64, release bool) internalapi.ClaimRoleCall {
+	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.incarnationID, Epoch: epoch, Release: release}
 }
 
 // claimRole is a turn of the duty loop.
@@ -214,8 +214,8 @@
 	if d.leaving {
 		return
 	}
-	sent, call := d.Now(), d.call(d.granted, false)
-	d.toLeader(callTimeout/2, true, 0, func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) }, func(a any, err error) {
+	sent, call := d.Now(), d.roleCall(d.grantedEpoch, false)
+	d.callLeader(callTimeout/2, true, 0, func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) }, func(a any, err error) {
 		again := func() { d.after(300*time.Millisecond, d.claimRole) }
 		if err != nil {
 			again()
@@ -225,9 +225,9 @@
 			d.acceptRole(got, sent, again)
 			return
 		}
-		if d.granted != 0 {
+		if d.grantedEpoch != 0 {
 			d.sim.trace("%s lost sched", d.addr)
-			d.granted = 0
+			d.grantedEpoch = 0
 			d.scheduler.StepDown()
 		}
 		again()
@@ -235,13 +235,13 @@
 }
 
 func (d *dataPlane) acceptRole(a internalapi.RoleLease, sent time.Duration, again func()) {
-	d.granted = a.Epoch
+	d.grantedEpoch = a.Epoch
 	lead := func(err error) {
 		defer again()
 		if err != nil || d.leaving {
 			return
 		}
-		if role := d.state().Roles["sched"]; d.sim.opt.Break != "rebuild" && (role == nil || role.Epoch != a.Epoch || role.Incarnation != d.incarnationID) {
+		if role := d.state().Roles["sched"]; d.sim.options.WithoutGuard != "rebuild" && (role == nil || role.Epoch != a.Epoch || role.Incarnation != d.incarnationID) {
 			return
 		}
 		if d.scheduler.Epoch() != a.Epoch {
@@ -251,58 +251,58 @@
 			if d.state().Index >= a.Epoch && len(d.state().Handles) > 0 {
 				d.sim.countCase("rebuilt")
 			}
-			d.sim.invariantChecker.rebuilt(d)
+			d.sim.invariantChecker.checkRebuilt(d)
 		}
 		d.scheduler.SetRoleLease(sent + a.TTL)
-		d.wake()
+		d.schedulePass()
 	}
-	if d.sim.opt.Break == "rebuild" {
+	if d.sim.options.WithoutGuard == "rebuild" {
 		lead(nil)
 		return
 	}
-	d.reach(a.Epoch, callTimeout, lead)
+	d.waitForIndex(a.Epoch, callTimeout, lead)
 }
 
 // releaseRole lays the duty down, as a daemon does that is told to end.
 func (d *dataPlane) releaseRole() {
 	d.leaving = true
-	epoch := d.granted
+	epoch := d.grantedEpoch
 	if epoch == 0 {
 		return
 	}
 	d.scheduler.StepDown()
-	call := d.call(epoch, true)
-	d.toLeader(callTimeout, true, d.Now()+2*time.Second, func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) }, func(any, error) {})
+	call := d.roleCall(epoch, true)
+	d.callLeader(callTimeout, true, d.Now()+2*time.Second, func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) }, func(any, error) {})
 }
 
-// wake asks for a pass soon.
-func (d *dataPlane) wake() {
-	if !d.passing {
-		d.passing = true
-		d.after(d.sim.between(0, 200*time.Microsecond), func() { d.passing = false; d.runPass() })
+// schedulePass asks for a pass soon.
+func (d *dataPlane) schedulePass() {
+	if !d.passScheduled {
+		d.passScheduled = true
+		d.after(d.sim.between(0, 200*time.Microsecond), func() { d.passScheduled = false; d.runPass() })
 	}
 }
 
-func (d *dataPlane) pass() {
+func (d *dataPlane) passPeriodically() {
 	d.runPass()
-	d.after(20*time.Millisecond, d.pass)
+	d.after(20*time.Millisecond, d.passPeriodically)
 }
 
 // runPass is one pass.
 func (d *dataPlane) runPass() {
 	out := d.scheduler.Pass(d.Now())
 	if out.Plan != nil {
-		d.commit(out.Plan)
+		d.proposePlan(out.Plan)
 	}
 	for _, c := range out.Calls {
-		d.after(d.sim.between(0, 300*time.Microsecond), func() { d.send(c) })
+		d.after(d.sim.between(0, 300*time.Microsecond), func() { d.sendLeaseCall(c) })
 	}
 }
 
-func (d *dataPlane) commit(plan *command.Plan) {
+func (d *dataPlane) proposePlan(plan *command.Plan) {
 	end := func(done command.Planned, err error) {
 		d.scheduler.PlanAnswered(d.Now(), plan.Epoch, done, err)
-		d.wake()
+		d.schedulePass()
 	}
 	failed := func(err error) {
 		d.sim.report.Counts["plans without a good answer"]++
@@ -311,7 +311,7 @@
 	}
 	d.sim.trace("%s plans under epoch %d: to %d, %d reports, running %v, doubt %v, ends %v, dead %v, %d starts", d.addr, plan.Epoch, plan.Seq,
 		len(plan.Workers), plan.Running, plan.Unconfirmed, plan.Ends, plan.Dead, len(plan.Starts))
-	d.sim.invariantChecker.decided(d, plan)
+	d.sim.invariantChecker.observePlanMade(d, plan)
 	d.planning = true
 	d.propose(plan, false, 0, func(index uint64, answer json.RawMessage, err error) {
 		d.planning = false
@@ -319,7 +319,7 @@
 			failed(err)
 			return
 		}
-		d.reach(index, callTimeout, func(err error) {
+		d.waitForIndex(index, callTimeout, func(err error) {
 			var done command.Planned
 			if err == nil {
 				err = json.Unmarshal(answer, &done)
@@ -333,21 +333,21 @@
 	})
 }
 
-// send makes one hold call; the lease is looked at immediately before the write.
-func (d *dataPlane) send(c scheduler.OutgoingCall) {
+// sendLeaseCall makes one hold call; the lease is looked at immediately before the write.
+func (d *dataPlane) sendLeaseCall(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	fail := func(err error, sent bool) {
 		d.scheduler.CallFailed(d.Now(), c.Worker, c.IsOrder, c.Call, sent)
-		d.wake()
+		d.schedulePass()
 	}
 	if !d.scheduler.MayAct(now) || d.scheduler.Epoch() != c.Call.Epoch || c.WriteBy > 0 && now >= c.WriteBy {
 		fail(nil, false)
 		return
 	}
-	s.invariantChecker.written(d, c)
-	s.request(request{from: d.process, addr: c.Addr, within: c.Call.Wait + callTimeout/2, keep: scheduler.DefaultConfig().RoleLeaseMargin / 2,
+	s.invariantChecker.observeLeaseCall(d, c)
+	s.request(request{from: d.process, addr: c.Addr, timeout: c.Call.Wait + callTimeout/2, resendFor: scheduler.DefaultConfig().RoleLeaseMargin / 2,
 		serve: func(to *process, reply func(any, error)) { s.workerAt(to).renewLease(c.Call, reply) },
-		back: func(a any, err error, sent bool) {
+		onAnswer: func(a any, err error, sent bool) {
 			if err != nil {
 				if !sent && len(c.Call.Starts) > 0 {
 					s.report.Counts["orders surely unsent"]++
@@ -356,20 +356,20 @@
 				return
 			}
 			got := a.(internalapi.LeaseAnswer)
-			if s.chance(s.net.cross) {
+			if s.chance(s.net.crossedAnswerRate) {
 				s.report.Faults["cross"]++
 				got.Call--
 			}
-			s.invariantChecker.heard(d, c, got)
+			s.invariantChecker.observeAnswer(d, c, got)
 			d.scheduler.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, got)
-			d.wake()
+			d.schedulePass()
 		}})
 }
 
 // read is Node.Read of one job.
 func (d *dataPlane) read(key string, back func(v query.JobView, err error)) {
 	by := d.Now() + callTimeout
-	d.toLeader(callTimeout/2, true, by, func(c *controlPlane, reply func(any, error)) {
+	d.callLeader(callTimeout/2, true, by, func(c *controlPlane, reply func(any, error)) {
 		index, err := c.store.ReadIndex()
 		reply(index, err)
 	}, func(a any, err error) {
@@ -377,7 +377,7 @@
 			back(query.JobView{}, errs.Wrap(err, errs.Unavailable, "cannot confirm"))
 			return
 		}
-		d.reach(a.(uint64), callTimeout, func(err error) {
+		d.waitForIndex(a.(uint64), callTimeout, func(err error) {
 			if err != nil {
 				back(query.JobView{}, err)
 				return
--- a/internal/testbed/policysim/each.go
+++ b/internal/testbed/policysim/each.go
@@ -11,9 +11,9 @@
 	"crosstide/internal/routine"
 )
 
-// Each runs the seeds from..to, width at once, each on one thread, and gives their reports in order of seeds. After
+// RunSeeds runs the seeds from..to, width at once, each on one thread, and gives their reports in order of seeds. After
 // many breaches no further seed is begun (0: all are run); the reports of those have no events.
-func Each(opt Options, from, to uint64, width, many int) []Report {
+func RunSeeds(opt Options, from, to uint64, width, many int) []Report {
 	out := make([]Report, to-from+1)
 	bad := make(chan struct{}, len(out))
 	routine.Each(len(out), width, func(i int) {
@@ -30,19 +30,19 @@
 	return out
 }
 
-// Sum is what a set of runs showed together.
-type Sum struct {
-	Seeds, Broken                  int
-	Events                         uint64
-	Promise, Faults, Counts        map[string]uint64
-	Breaches                       []Report
-	PromiseZero, FaultsZero        []string
-	Resumes, CalmResumes, Attached []time.Duration // see Report
+// Summary is what a set of runs showed together.
+type Summary struct {
+	Seeds, Broken                          int
+	Events                                 uint64
+	Promise, Faults, Counts                map[string]uint64
+	Breaches                               []Report
+	UnexercisedPromises, UnexercisedFaults []string
+	Resumes, CalmResumes, Attached         []time.Duration // see Report
 }
 
-// Add sums up reports. wanted are the faults that must have been made.
-func Add(reports []Report, wanted []string) Sum {
-	s := Sum{Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
+// Summarize sums up reports. wanted are the faults that must have been made.
+func Summarize(reports []Report, wanted []string) Summary {
+	s := Summary{Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
 	for _, r := range reports {
 		if r.Events == 0 {
 			continue
@@ -67,28 +67,28 @@
 	}
 	for _, p := range Promises {
 		if s.Promise[p] == 0 {
-			s.PromiseZero = append(s.PromiseZero, p)
+			s.UnexercisedPromises = append(s.UnexercisedPromises, p)
 		}
 	}
 	for _, f := range wanted {
-		if n := s.Faults[made[f]]; n == 0 {
-			s.FaultsZero = append(s.FaultsZero, f)
+		if n := s.Faults[faultCounters[f]]; n == 0 {
+			s.UnexercisedFaults = append(s.UnexercisedFaults, f)
 		}
 	}
 	return s
 }
 
-// Want adds promises that must have been exercised.
-func (s *Sum) Want(promises []string) {
+// Require adds promises that must have been exercised.
+func (s *Summary) Require(promises []string) {
 	for _, p := range promises {
 		if s.Promise[p] == 0 {
-			s.PromiseZero = append(s.PromiseZero, p)
+			s.UnexercisedPromises = append(s.UnexercisedPromises, p)
 		}
 	}
 }
 
-// Show prints a sum: a line for each promise, fault and count, with how many cases there were.
-func (s Sum) Show(w io.Writer) error {
+// Print prints a sum: a line for each promise, fault and count, with how many cases there were.
+func (s Summary) Print(w io.Writer) error {
 	var err error
 	line := func(format string, args ...any) {
 		if err == nil {
@@ -114,10 +114,10 @@
 			line("time     %9d  %s: p50 %s, max %s", n, t.name, t.times[n/2], t.times[n-1])
 		}
 	}
-	for _, p := range s.PromiseZero {
+	for _, p := range s.UnexercisedPromises {
 		line("NOT EXERCISED promise %s", p)
 	}
-	for _, f := range s.FaultsZero {
+	for _, f := range s.UnexercisedFaults {
 		line("NOT EXERCISED fault %s", f)
 	}
 	return errs.Wrap(err, errs.Disk, "print")
@@ -128,8 +128,8 @@
 	"not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over", "draining", "evacuated", "fits", "order once",
 	"same log", "same state", "all ends", "linear"}
 
-// made tells under which name a fault is counted.
-var made = map[string]string{"net": "lose", "kill": "kill", "power": "power", "blackout": "blackout", "wipe": "wipe", "sync": "sync failed",
+// faultCounters tells under which name a fault is counted.
+var faultCounters = map[string]string{"net": "lose", "kill": "kill", "power": "power", "blackout": "blackout", "wipe": "wipe", "sync": "sync failed",
 	"slow": "slow", "freeze": "freeze", "holder": "holder", "dkill": "dkill", "leave": "leave", "split": "split", "oneway": "oneway",
 	"cut": "cut", "stall": "stall", "boot": "boot", "late": "late order", "lost": "lost at the minion", "drain": "drain", "zone": "zone",
 	"cancel": "cancel", "island": "island", "lag": "lag", "rejoin": "rejoin", "staleplan": "staleplan"}
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -35,8 +35,8 @@
 	"staleplan", // the holder of sched freezes with a plan under way and wakes when it is replaced
 }
 
-// Breaks are the guards that Options.Break takes out.
-var Breaks = []string{
+// Guards are the guards that Options.WithoutGuard takes out.
+var Guards = []string{
 	"epoch",   // the store does not look at a plan's epoch
 	"rebuild", // a holder releases before it has followed the store up to its grant
 	"floor",   // minions keep neither the floor nor the time after which an order is void
@@ -48,52 +48,52 @@
 }
 
 type faultInjector struct {
-	sim   *sim
-	on    map[string]bool
-	pace  time.Duration
-	wiped *controlPlane
+	sim     *sim
+	enabled map[string]bool
+	pace    time.Duration
+	wiped   *controlPlane
 }
 
 func (f *faultInjector) start() {
 	s := f.sim
 	f.pace = s.between(200*time.Millisecond, 2500*time.Millisecond)
-	if s.opt.Pace > 0 {
-		f.pace = s.opt.Pace
+	if s.options.MeanFaultInterval > 0 {
+		f.pace = s.options.MeanFaultInterval
 	}
-	f.on = map[string]bool{}
-	for _, name := range s.opt.Faults {
-		f.on[name] = true
+	f.enabled = map[string]bool{}
+	for _, name := range s.options.Faults {
+		f.enabled[name] = true
 	}
-	if f.on["net"] {
-		s.net.lose, s.net.double = s.rnd.Float64()*0.02, s.rnd.Float64()*0.05
-		s.net.delay, s.net.longest = s.rnd.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
-		s.net.cross = s.rnd.Float64() * 0.005
+	if f.enabled["net"] {
+		s.net.lossRate, s.net.duplicateRate = s.rng.Float64()*0.02, s.rng.Float64()*0.05
+		s.net.delayRate, s.net.maxDelay = s.rng.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
+		s.net.crossedAnswerRate = s.rng.Float64() * 0.005
 	}
 	for _, m := range s.workers {
-		if f.on["late"] {
-			m.late = s.rnd.Float64() * 0.3
+		if f.enabled["late"] {
+			m.lateOrderRate = s.rng.Float64() * 0.3
 		}
-		if f.on["lost"] {
-			m.lose = s.rnd.Float64() * 0.05
+		if f.enabled["lost"] {
+			m.answerLossRate = s.rng.Float64() * 0.05
 		}
 	}
-	s.on(s.between(2*time.Second, 6*time.Second), f.next)
-	s.on(s.opt.For, f.stop)
+	s.schedule(s.between(2*time.Second, 6*time.Second), f.injectNext)
+	s.schedule(s.options.FaultPeriod, f.stop)
 }
 
 // stop ends all faults.
 func (f *faultInjector) stop() {
 	s := f.sim
 	s.trace("faults end")
-	s.calm = true
+	s.faultsOver = true
 	s.net = net{}
 	for _, m := range s.workers {
-		m.late, m.lose = 0, 0
+		m.lateOrderRate, m.answerLossRate = 0, 0
 		m.wake()
 		m.drain(false)
 	}
 	for _, c := range s.controlPlanes {
-		c.slow, c.failing = 0, false
+		c.syncDelay, c.failNextSync = 0, false
 		c.wake()
 	}
 	for _, d := range s.dataPlanes {
@@ -105,21 +105,21 @@
 
 func (d *dataPlane) wakeProcess() { d.process.wake() }
 
-func (f *faultInjector) next() {
+func (f *faultInjector) injectNext() {
 	s := f.sim
-	if s.calm {
+	if s.faultsOver {
 		return
 	}
-	if len(s.opt.Faults) > 0 {
-		f.inject(s.opt.Faults[s.rnd.IntN(len(s.opt.Faults))])
+	if len(s.options.Faults) > 0 {
+		f.inject(s.options.Faults[s.rng.IntN(len(s.options.Faults))])
 	}
-	s.on(s.between(0, 2*f.pace), f.next)
+	s.schedule(s.between(0, 2*f.pace), f.injectNext)
 }
 
-// span draws how long a fault lasts: mostly short, now and then past every lease and hold.
-func (f *faultInjector) span() time.Duration {
+// drawDuration draws how long a fault lasts: mostly short, now and then past every lease and hold.
+func (f *faultInjector) drawDuration() time.Duration {
 	s := f.sim
-	switch s.rnd.IntN(4) {
+	switch s.rng.IntN(4) {
 	case 0:
 		return s.between(10*time.Millisecond, 600*time.Millisecond)
 	case 1:
@@ -128,7 +128,7 @@
 	return s.between(500*time.Millisecond, 8*time.Second)
 }
 
-func pick[T any](s *sim, list []T) T { return list[s.rnd.IntN(len(list))] }
+func pick[T any](s *sim, list []T) T { return list[s.rng.IntN(len(list))] }
 
 func (f *faultInjector) inject(name string) {
 	s := f.sim
@@ -142,96 +142,96 @@
 		if c.alive {
 			count(c.process, name)
 			c.crash(name == "power")
-			s.on(f.span(), c.up)
+			s.schedule(f.drawDuration(), c.restart)
 		}
 	case "blackout":
 		s.report.Faults[name]++
 		s.trace("fault blackout")
 		for _, c := range s.controlPlanes {
 			c.crash(true)
-			s.on(s.between(0, 3*time.Second), c.up)
+			s.schedule(s.between(0, 3*time.Second), c.restart)
 		}
 	case "wipe":
-		if f.wiped != nil && !s.invariantChecker.repaired(f.wiped) {
+		if f.wiped != nil && !s.invariantChecker.isVoter(f.wiped) {
 			return
 		}
 		count(c.process, name)
 		f.wipe(c, s.between(10*time.Millisecond, 3*time.Second))
 	case "sync":
 		if c.alive {
-			c.failing = true
+			c.failNextSync = true
 		}
 	case "slow":
 		count(c.process, name)
-		c.slow = s.between(5*time.Millisecond, 400*time.Millisecond)
-		s.on(f.span(), func() { c.slow = 0 })
+		c.syncDelay = s.between(5*time.Millisecond, 400*time.Millisecond)
+		s.schedule(f.drawDuration(), func() { c.syncDelay = 0 })
 	case "freeze":
 		p := pick(s, []*process{c.process, d.process})
-		f.stopForGood(p, count)
+		f.freezeForSpan(p, count)
 	case "holder":
 		for _, d := range s.dataPlanes {
 			if d.alive && d.scheduler.MayAct(d.Now()) {
-				switch s.rnd.IntN(3) {
+				switch s.rng.IntN(3) {
 				case 0:
-					f.end(d, count)
+					f.killDataPlane(d, count)
 				case 1:
-					f.stopForGood(d.process, count)
+					f.freezeForSpan(d.process, count)
 				default:
 					count(d.process, "cut off")
-					f.cut([]*process{d.process}, true)
+					f.cutOff([]*process{d.process}, true)
 				}
 				return
 			}
 		}
 	case "dkill":
-		f.end(d, count)
+		f.killDataPlane(d, count)
 	case "leave":
 		if d.alive && !d.frozen && !d.leaving {
 			count(d.process, name)
-			gen := d.gen
+			generation := d.generation
 			d.releaseRole()
-			s.on(s.between(100*time.Millisecond, 2*time.Second), func() {
-				if d.gen == gen {
-					d.die()
-					s.on(s.between(0, time.Second), d.up)
+			s.schedule(s.between(100*time.Millisecond, 2*time.Second), func() {
+				if d.generation == generation {
+					d.endIncarnation()
+					s.schedule(s.between(0, time.Second), d.restart)
 				}
 			})
 		}
 	case "split", "oneway":
 		var side []*process
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			if p != s.clients.process && s.chance(0.5) {
 				side = append(side, p)
 			}
 		}
 		s.report.Faults[name]++
-		s.trace("fault %s %s", name, names(side))
-		f.cut(side, name == "split")
+		s.trace("fault %s %s", name, addresses(side))
+		f.cutOff(side, name == "split")
 	case "island":
-		z, half := zone(s.rnd.IntN(3)), s.chance(0.5)
+		z, half := zone(s.rng.IntN(3)), s.chance(0.5)
 		var side []*process
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			d, m := s.dataPlaneAt(p), s.workerAt(p)
 			if half && (d != nil && d.alive && d.scheduler.MayAct(d.Now()) || m != nil && s.chance(0.5)) || !half && p.zone == z {
 				side = append(side, p)
 			}
 		}
 		s.report.Faults[name]++
-		s.trace("fault island %s", names(side))
-		f.cut(side, true)
+		s.trace("fault island %s", addresses(side))
+		f.cutOff(side, true)
 	case "cut":
-		p := pick(s, s.procs)
+		p := pick(s, s.processes)
 		if p != s.clients.process {
 			count(p, name)
-			f.cut([]*process{p}, true)
+			f.cutOff([]*process{p}, true)
 		}
 	case "stall":
-		f.stopForGood(m.process, count)
+		f.freezeForSpan(m.process, count)
 	case "boot":
 		if m.alive && !m.frozen {
 			count(m.process, name)
 			m.kill()
-			s.on(s.between(time.Millisecond, 4*time.Second), func() {
+			s.schedule(s.between(time.Millisecond, 4*time.Second), func() {
 				if !m.alive {
 					m.open()
 				}
@@ -241,42 +241,42 @@
 		if m.alive && !m.frozen && !m.draining {
 			count(m.process, name)
 			m.drain(true)
-			s.on(s.between(time.Second, 10*time.Second), func() { m.drain(false) })
+			s.schedule(s.between(time.Second, 10*time.Second), func() { m.drain(false) })
 		}
 	case "lag":
-		f.lag(count)
+		f.lagReplicas(count)
 	case "rejoin":
-		f.rejoin()
+		f.rejoinWiped()
 	case "staleplan":
 		f.stalePlan()
 	case "zone":
-		if s.clients.evacuate(zone(s.rnd.IntN(3))) {
+		if s.clients.evacuate(zone(s.rng.IntN(3))) {
 			s.report.Faults[name]++
 		}
 	}
 }
 
-func (d *dataPlane) up() {
+func (d *dataPlane) restart() {
 	if !d.alive {
 		d.open()
 	}
 }
 
-func (f *faultInjector) end(d *dataPlane, count func(*process, string)) {
+func (f *faultInjector) killDataPlane(d *dataPlane, count func(*process, string)) {
 	if d.alive {
 		count(d.process, "kill")
-		d.die()
-		f.sim.on(f.span(), d.up)
+		d.endIncarnation()
+		f.sim.schedule(f.drawDuration(), d.restart)
 	}
 }
 
-func (f *faultInjector) stopForGood(p *process, count func(*process, string)) {
+func (f *faultInjector) freezeForSpan(p *process, count func(*process, string)) {
 	if p.alive && !p.frozen {
 		count(p, "freeze")
-		gen := p.gen
+		generation := p.generation
 		p.freeze()
-		f.sim.on(f.span(), func() {
-			if p.gen == gen {
+		f.sim.schedule(f.drawDuration(), func() {
+			if p.generation == generation {
 				f.sim.trace("%s wakes", p.addr)
 				p.wake()
 			}
@@ -284,16 +284,16 @@
 	}
 }
 
-// cut parts a set from all others for a while.
-func (f *faultInjector) cut(side []*process, both bool) {
-	f.sim.on(f.span(), f.partition(side, both))
+// cutOff parts a set from all others for a while.
+func (f *faultInjector) cutOff(side []*process, both bool) {
+	f.sim.schedule(f.drawDuration(), f.partition(side, both))
 }
 
 // partition parts a set from all others until what it gives is called.
 func (f *faultInjector) partition(side []*process, both bool) (heal func()) {
 	s := f.sim
-	c := &cut{from: map[*process]bool{}, to: map[*process]bool{}, both: both}
-	for _, p := range s.procs {
+	c := &cut{from: map[*process]bool{}, to: map[*process]bool{}, bothWays: both}
+	for _, p := range s.processes {
 		if slices.Contains(side, p) {
 			c.from[p] = true
 		} else if p != s.clients.process {
@@ -307,7 +307,7 @@
 	}
 }
 
-func names(list []*process) (out []string) {
+func addresses(list []*process) (out []string) {
 	for _, p := range list {
 		out = append(out, p.addr)
 	}
--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -9,7 +9,7 @@
 
 const guardSeeds = 4
 
-// Each guard that Options.Break takes out is missed within a few seeds, under the faults that it is there for; with the
+// RunSeeds guard that Options.WithoutGuard takes out is missed within a few seeds, under the faults that it is there for; with the
 // guard the same seeds hold.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
@@ -25,10 +25,10 @@
 		{"epoch", "decided in office", []string{"staleplan"}, 14 * time.Second},
 	} {
 		Convey("Without its guard "+c.guard+" the promise "+c.promise+" breaks", t, func() {
-			opt := Options{For: c.length, Faults: c.faults}
-			So(Add(Each(opt, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
-			opt.Break = c.guard
-			sum := Add(Each(opt, 1, guardSeeds, 2, 0), nil)
+			opt := Options{FaultPeriod: c.length, Faults: c.faults}
+			So(Summarize(RunSeeds(opt, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
+			opt.WithoutGuard = c.guard
+			sum := Summarize(RunSeeds(opt, 1, guardSeeds, 2, 0), nil)
 			var broken []string
 			for _, r := range sum.Breaches {
 				broken = append(broken, r.Breach.Promise)
--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -22,7 +22,7 @@
 		var lines strings.Builder
 		for seed := uint64(101); seed <= 108; seed++ {
 			digest := sha256.New()
-			report := Run(Options{Seed: seed, For: 20 * time.Second, Parties: seed%2 == 0, Trace: digest})
+			report := Run(Options{Seed: seed, FaultPeriod: 20 * time.Second, Parties: seed%2 == 0, Trace: digest})
 			fmt.Fprintf(&lines, "seed %d: %d events, %d cases of once at a time, %d starts under faults, %x\n", seed, report.Events, report.Promise["once at a time"], report.Counts["starts under faults"], digest.Sum(nil))
 		}
 		if *updateHistories {
--- a/internal/testbed/policysim/invariants_test.go
+++ b/internal/testbed/policysim/invariants_test.go
@@ -9,10 +9,10 @@
 	"crosstide/internal/state"
 )
 
-// waitFor lets the oracle look at the oldest due task every quarter of a second, and nothing else happen.
-func (o *invariantChecker) waitFor(d time.Duration) {
+// checkPassedOverFor lets the oracle look at the oldest due task every quarter of a second, and nothing else happen.
+func (o *invariantChecker) checkPassedOverFor(d time.Duration) {
 	for end := o.sim.now + d; o.sim.now < end; o.sim.now += 250 * time.Millisecond {
-		o.passing()
+		o.checkPassedOver()
 	}
 }
 
@@ -22,12 +22,12 @@
 		o := s.invariantChecker
 		s.now = time.Minute
 		spec := state.Spec{Key: "j", Team: "t", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "k", Tasks: 1, Cores: 1}}}
-		o.ref.Jobs["j"] = &state.Job{Spec: spec, Phase: state.JobRunning, Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
-		o.ref.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b", Cores: s.workers[0].cores}
+		o.reference.Jobs["j"] = &state.Job{Spec: spec, Phase: state.JobRunning, Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
+		o.reference.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b", Cores: s.workers[0].cores}
 		Convey("with all up it is passed over after its time", func() {
-			o.waitFor(startTimeout)
+			o.checkPassedOverFor(startTimeout)
 			So(s.report.Breach, ShouldBeNil)
-			o.waitFor(time.Second)
+			o.checkPassedOverFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 			So(s.report.Breach.Promise, ShouldEqual, "not passed over")
 		})
@@ -35,26 +35,26 @@
 			for _, c := range s.controlPlanes[:3] {
 				c.crash(false)
 			}
-			o.waitFor(calmAfter)
+			o.checkPassedOverFor(recoveryTime)
 			So(s.report.Breach, ShouldBeNil)
-			s.controlPlanes[0].up()
-			o.waitFor(startTimeout)
+			s.controlPlanes[0].restart()
+			o.checkPassedOverFor(startTimeout)
 			So(s.report.Breach, ShouldBeNil)
-			o.waitFor(time.Second)
+			o.checkPassedOverFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 		})
 		Convey("nor does it without a dplane", func() {
 			for _, d := range s.dataPlanes {
-				d.die()
+				d.endIncarnation()
 			}
-			o.waitFor(calmAfter)
+			o.checkPassedOverFor(recoveryTime)
 			So(s.report.Breach, ShouldBeNil)
 		})
 		Convey("two of five members gone are no reason", func() {
 			for _, c := range s.controlPlanes[:2] {
 				c.crash(false)
 			}
-			o.waitFor(startTimeout + time.Second)
+			o.checkPassedOverFor(startTimeout + time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 		})
 	})
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -21,26 +21,26 @@
 
 // Options of a run.
 type Options struct {
-	Seed   uint64
-	For    time.Duration // faults and fresh jobs come so long; default 40s
-	Faults []string      // default: all of Faults
-	Break  string        // a guard to be taken out, of Breaks; "" for none
-	Pace   time.Duration // mean time between two faults; default: drawn, 200 ms to 2.5 s
-	Trace  io.Writer     // gets every line; nil for none
+	Seed              uint64
+	FaultPeriod       time.Duration // faults and fresh jobs come so long; default 40s
+	Faults            []string      // default: all of Faults
+	WithoutGuard      string        // a guard to be taken out, of Breaks; "" for none
+	MeanFaultInterval time.Duration // mean time between two faults; default: drawn, 200 ms to 2.5 s
+	Trace             io.Writer     // gets every line; nil for none
 	// Parties lets two parties pay for some of the jobs, of which one runs dry again and again.
 	Parties bool
 }
 
 // Report is what a run showed.
 type Report struct {
-	Seed    uint64
-	Breach  *Breach           // nil if every promise held
-	Promise map[string]uint64 // cases seen by promise
-	Faults  map[string]uint64 // cases made by fault
-	Counts  map[string]uint64 // what is counted apart
-	Events  uint64
-	Virtual time.Duration
-	Trace   uint64 // xxhash64 of all lines
+	Seed        uint64
+	Breach      *Breach           // nil if every promise held
+	Promise     map[string]uint64 // cases seen by promise
+	Faults      map[string]uint64 // cases made by fault
+	Counts      map[string]uint64 // what is counted apart
+	Events      uint64
+	VirtualTime time.Duration
+	TraceHash   uint64 // xxhash64 of all lines
 	// With Parties: from the yes to a top-up until work went on, under faults and after them, and from the loss of a
 	// lasting task's minion until it ran again.
 	Resumes, CalmResumes, Attached []time.Duration
@@ -48,10 +48,10 @@
 
 // Breach is a broken promise.
 type Breach struct {
-	Promise string
-	At      time.Duration
-	What    string
-	Last    []string // lines of the trace before it
+	Promise   string
+	At        time.Duration
+	Detail    string
+	TraceTail []string // lines of the trace before it
 }
 
 type event struct {
@@ -85,17 +85,17 @@
 	return x
 }
 
-const kept = 120 // lines of the trace shown with a breach
+const traceTail = 120 // lines of the trace shown with a breach
 
 type sim struct {
-	opt   Options
-	rnd   *rand.Rand
-	now   time.Duration
-	seq   uint64
-	queue eventHeap
+	options Options
+	rng     *rand.Rand
+	now     time.Duration
+	seq     uint64
+	queue   eventHeap
 
 	net              net
-	procs            []*process
+	processes        []*process
 	byAddr           map[string]*process
 	controlPlanes    []*controlPlane
 	dataPlanes       []*dataPlane
@@ -105,22 +105,22 @@
 	invariantChecker *invariantChecker
 	billing          *balances // nil without Options.Parties
 
-	calm   bool // no faults any more
-	report Report
-	hash   *xxhash.Digest
-	ring   []string
-	at     int
+	faultsOver bool // no faults any more
+	report     Report
+	hash       *xxhash.Digest
+	recent     []string
+	recentNext int
 }
 
 // Run runs one seed to its end or to the first breach. Example:
 //
 //	r := policysim.Run(policysim.Options{Seed: 7, For: 30 * time.Second})
 //	if r.Breach != nil {
-//		fmt.Println(r.Seed, r.Breach.Promise, r.Breach.What)
+//		fmt.Println(r.Seed, r.Breach.Promise, r.Breach.Detail)
 //	}
 func Run(opt Options) Report {
 	s := newSim(opt)
-	end := s.opt.For + s.billing.paidUp() + bound
+	end := s.options.FaultPeriod + s.billing.paidUpDelay() + bound
 	for s.queue.Len() > 0 && s.report.Breach == nil {
 		e := heap.Pop(&s.queue).(event)
 		if s.now = e.at; s.now > end {
@@ -128,34 +128,34 @@
 		}
 		s.report.Events++
 		e.do()
-		if s.calm && s.clients.over() {
+		if s.faultsOver && s.clients.allEnded() {
 			break
 		}
 	}
 	if s.report.Breach == nil {
-		s.invariantChecker.end()
-		s.clients.seen.judge(s)
+		s.invariantChecker.checkEnd()
+		s.clients.history.check(s)
 	}
-	s.report.Virtual, s.report.Trace = s.now, s.hash.Sum64()
+	s.report.VirtualTime, s.report.TraceHash = s.now, s.hash.Sum64()
 	return s.report
 }
 
 // newSim builds the fleet of a seed at time 0.
 func newSim(opt Options) *sim {
-	if opt.For <= 0 {
-		opt.For = 40 * time.Second
+	if opt.FaultPeriod <= 0 {
+		opt.FaultPeriod = 40 * time.Second
 	}
 	if opt.Faults == nil {
 		opt.Faults = Faults
 	}
-	s := &sim{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 0x7469646563726f73)), byAddr: map[string]*process{}, hash: xxhash.New(),
+	s := &sim{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x7469646563726f73)), byAddr: map[string]*process{}, hash: xxhash.New(),
 		report: Report{Seed: opt.Seed, Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}}
 	s.build()
 	return s
 }
 
-// on puts an event d from now.
-func (s *sim) on(d time.Duration, do func()) {
+// enabled puts an event d from now.
+func (s *sim) schedule(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, do})
 }
@@ -164,18 +164,18 @@
 func (s *sim) trace(format string, args ...any) {
 	line := fmt.Sprintf("%12.6f ", s.now.Seconds()) + fmt.Sprintf(format, args...)
 	_, _ = s.hash.WriteString(line) // never fails
-	if s.opt.Trace != nil {
-		_, _ = io.WriteString(s.opt.Trace, line+"\n") // a trace that nobody reads changes no run
+	if s.options.Trace != nil {
+		_, _ = io.WriteString(s.options.Trace, line+"\n") // a trace that nobody reads changes no run
 	}
-	if len(s.ring) < kept {
-		s.ring = append(s.ring, line)
+	if len(s.recent) < traceTail {
+		s.recent = append(s.recent, line)
 	} else {
-		s.ring[s.at] = line
+		s.recent[s.recentNext] = line
 	}
-	s.at = (s.at + 1) % kept
+	s.recentNext = (s.recentNext + 1) % traceTail
 }
 
-// granted counts a case of a promise.
+// grantedEpoch counts a case of a promise.
 func (s *sim) countCase(promise string) { s.report.Promise[promise]++ }
 
 // reportBreach notes the first breach.
@@ -185,22 +185,22 @@
 	}
 	what := fmt.Sprintf(format, args...)
 	s.trace("BREACH %s: %s", promise, what)
-	last := append([]string(nil), s.ring...)
-	if len(last) == kept {
-		last = append(last[s.at:], last[:s.at]...)
+	last := append([]string(nil), s.recent...)
+	if len(last) == traceTail {
+		last = append(last[s.recentNext:], last[:s.recentNext]...)
 	}
-	s.report.Breach = &Breach{Promise: promise, At: s.now, What: what, Last: last}
+	s.report.Breach = &Breach{Promise: promise, At: s.now, Detail: what, TraceTail: last}
 }
 
 // chance is true with probability p.
-func (s *sim) chance(p float64) bool { return s.rnd.Float64() < p }
+func (s *sim) chance(p float64) bool { return s.rng.Float64() < p }
 
 // between draws a duration.
 func (s *sim) between(a, b time.Duration) time.Duration {
 	if b <= a {
 		return a
 	}
-	return a + time.Duration(s.rnd.Int64N(int64(b-a)))
+	return a + time.Duration(s.rng.Int64N(int64(b-a)))
 }
 
 // must is for what cannot fail in the simulator; a panic names the seed in Run's caller.
--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -9,10 +9,10 @@
 )
 
 // playUnbroken runs seeds two at a time, wants no promise broken in any, and gives what they showed together.
-func playUnbroken(t *testing.T, opt Options, first, last uint64) Sum {
-	sum := Add(Each(opt, first, last, 2, 0), nil)
+func playUnbroken(t *testing.T, opt Options, first, last uint64) Summary {
+	sum := Summarize(RunSeeds(opt, first, last, 2, 0), nil)
 	for _, r := range sum.Breaches {
-		t.Errorf("seed %d breaks %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.What)
+		t.Errorf("seed %d breaks %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
 	}
 	So(sum.Broken, ShouldEqual, 0)
 	return sum
@@ -20,7 +20,7 @@
 
 func TestSeeds(t *testing.T) {
 	Convey("No promise breaks in a fixed set of seeds with all faults", t, func() {
-		sum := playUnbroken(t, Options{For: 20 * time.Second}, 1, 4)
+		sum := playUnbroken(t, Options{FaultPeriod: 20 * time.Second}, 1, 4)
 		So(sum.Promise["once at a time"], ShouldBeGreaterThan, 200)
 		So(sum.Promise["linear"], ShouldBeGreaterThan, 200)
 	})
@@ -29,19 +29,19 @@
 func TestTrace(t *testing.T) {
 	Convey("The same seed gives the same trace, byte for byte", t, func() {
 		var a, b bytes.Buffer
-		first := Run(Options{Seed: 4, For: 10 * time.Second, Trace: &a})
-		again := Run(Options{Seed: 4, For: 10 * time.Second, Trace: &b})
+		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &a})
+		again := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &b})
 		So(a.Len(), ShouldBeGreaterThan, 10000)
 		So(bytes.Equal(a.Bytes(), b.Bytes()), ShouldBeTrue)
-		So(again.Trace, ShouldEqual, first.Trace)
-		So(Run(Options{Seed: 5, For: 10 * time.Second}).Trace, ShouldNotEqual, first.Trace)
+		So(again.TraceHash, ShouldEqual, first.TraceHash)
+		So(Run(Options{Seed: 5, FaultPeriod: 10 * time.Second}).TraceHash, ShouldNotEqual, first.TraceHash)
 	})
 }
 
 // Minutes reach what seconds do not: lost leases longer than a hold, long queues, jobs of many tries.
 func TestMinutes(t *testing.T) {
 	Convey("No promise breaks in a few seeds of five minutes with all faults", t, func() {
-		sum := playUnbroken(t, Options{For: 5 * time.Minute}, 641000, 641003)
+		sum := playUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
 		So(sum.Promise["not passed over"], ShouldBeGreaterThan, 100)
 		So(sum.Promise["all ends"], ShouldEqual, 4)
 	})
@@ -50,7 +50,7 @@
 // Where faults come every few hundred milliseconds little starts until they end; with pauses between them most does.
 func TestMinutesWithPauses(t *testing.T) {
 	Convey("No promise breaks in two seeds of two minutes with a fault every 5 s", t, func() {
-		sum := playUnbroken(t, Options{For: 2 * time.Minute, Pace: 5 * time.Second}, 641000, 641001)
+		sum := playUnbroken(t, Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
 		So(sum.Counts["starts under faults"], ShouldBeGreaterThan, 300)
 	})
 }
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -21,38 +21,38 @@
 type worker struct {
 	*process
 	workerIncarnation
-	kind  string
-	cores int
-	gpus  int
-	lab   map[string]string
-	tag   uint64
-	waits map[uint64]func(any, error)
-	lose  float64
-	late  float64
-	floor uint64 // told, where the guard is out
+	kind           string
+	cores          int
+	gpus           int
+	labels         map[string]string
+	tag            uint64
+	pendingReplies map[uint64]func(any, error)
+	answerLossRate float64
+	lateOrderRate  float64
+	floor          uint64 // told, where the guard is out
 	// draining since then; 0: not
-	drains   time.Duration
-	draining bool
+	drainingSince time.Duration
+	draining      bool
 }
 
 func (m *worker) open() {
 	s := m.sim
-	m.begin()
-	m.traits = policyworker.Traits{Name: m.addr, Incarnation: fmt.Sprintf("%s-%d", m.addr, m.gen), Kind: m.kind, Zone: m.zone, Labels: m.lab,
-		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, FailProbability: 0.03, SlowFactor: 1.2, Seed: s.rnd.Uint64()}
-	m.zero = s.now // the minion's clock starts with the boot
-	m.core, m.waits, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
-	s.invariantChecker.booted(m)
-	m.carry(m.core.Start())
+	m.startIncarnation()
+	m.traits = policyworker.Traits{Name: m.addr, Incarnation: fmt.Sprintf("%s-%d", m.addr, m.generation), Kind: m.kind, Zone: m.zone, Labels: m.labels,
+		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, FailProbability: 0.03, SlowFactor: 1.2, Seed: s.rng.Uint64()}
+	m.clockZero = s.now // the minion's clock starts with the boot
+	m.core, m.pendingReplies, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
+	s.invariantChecker.observeWorkerStart(m)
+	m.perform(m.core.Start())
 	m.announce()
 }
 
 func (m *worker) announce() {
 	s := m.sim
-	d := s.dataPlanes[s.rnd.IntN(len(s.dataPlanes))]
-	s.request(request{from: m.process, addr: d.addr, within: 2 * time.Second, keep: 2 * time.Second, twice: true,
+	d := s.dataPlanes[s.rng.IntN(len(s.dataPlanes))]
+	s.request(request{from: m.process, addr: d.addr, timeout: 2 * time.Second, resendFor: 2 * time.Second, mayRepeat: true,
 		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announce(m, reply) },
-		back: func(_ any, err error, _ bool) {
+		onAnswer: func(_ any, err error, _ bool) {
 			again := 3 * time.Second
 			if err != nil {
 				again /= 6
@@ -61,32 +61,32 @@
 		}})
 }
 
-// carry does what a step asks for: the witness first, then the answers.
-func (m *worker) carry(step policyworker.Actions) {
+// perform does what a step asks for: the witness first, then the answers.
+func (m *worker) perform(step policyworker.Actions) {
 	for _, e := range step.Journal {
-		m.sim.invariantChecker.witness(m, e)
+		m.sim.invariantChecker.observeJournal(m, e)
 	}
 	for _, r := range step.Replies {
-		if w := m.waits[r.Tag]; w != nil {
-			delete(m.waits, r.Tag)
-			if m.sim.opt.Break == "floor" {
+		if w := m.pendingReplies[r.Tag]; w != nil {
+			delete(m.pendingReplies, r.Tag)
+			if m.sim.options.WithoutGuard == "floor" {
 				r.Answer.Floor = max(r.Answer.Floor, m.floor)
 			}
 			w(r.Answer, r.Err)
 		}
 	}
 	if step.WakeAt != policyworker.Never {
-		m.after(step.WakeAt-m.Now(), func() { m.carry(m.core.Tick(m.Now())) })
+		m.after(step.WakeAt-m.Now(), func() { m.perform(m.core.Tick(m.Now())) })
 	}
 }
 
 // renewLease takes in a call, perhaps late, and answers, perhaps not.
 func (m *worker) renewLease(call internalapi.LeaseCall, reply func(any, error)) {
 	s := m.sim
-	lost, late := s.chance(m.lose), time.Duration(0)
+	lost, late := s.chance(m.answerLossRate), time.Duration(0)
 	if len(call.Starts) > 0 {
-		s.invariantChecker.arrived(m, call)
-		if s.chance(m.late) {
+		s.invariantChecker.observeOrderArrived(m, call)
+		if s.chance(m.lateOrderRate) {
 			s.report.Faults["late order"]++
 			late = s.between(0, lateness)
 			lost = lost || s.chance(0.5)
@@ -95,7 +95,7 @@
 	m.after(late, func() {
 		m.tag++
 		tag := m.tag
-		m.waits[tag] = func(a any, err error) {
+		m.pendingReplies[tag] = func(a any, err error) {
 			if !lost {
 				reply(a, err)
 			}
@@ -103,7 +103,7 @@
 		if lost {
 			s.report.Faults["lost at the minion"]++
 		}
-		if s.opt.Break == "floor" {
+		if s.options.WithoutGuard == "floor" {
 			m.floor = max(m.floor, call.Floor)
 			call.Floor = 0
 			starts := append([]internalapi.StartOrder(nil), call.Starts...)
@@ -113,10 +113,10 @@
 			call.Starts = starts
 		}
 		step := m.core.RenewLease(m.Now(), tag, call)
-		s.invariantChecker.renewed(m, call)
-		m.carry(step)
+		s.invariantChecker.observeRenewal(m, call)
+		m.perform(step)
 		if lost {
-			delete(m.waits, tag)
+			delete(m.pendingReplies, tag)
 			m.core.AnswerLost(tag)
 		}
 	})
@@ -126,16 +126,16 @@
 func (m *worker) drain(on bool) {
 	if m.alive && !m.frozen && m.draining != on {
 		m.draining = on
-		m.drains = m.sim.now
-		m.carry(m.core.Drain(m.Now(), on, false))
+		m.drainingSince = m.sim.now
+		m.perform(m.core.Drain(m.Now(), on, false))
 	}
 }
 
 // kill ends the process; what it ran goes on until its hold lapses or the next life begins.
 func (m *worker) kill() {
 	if m.alive {
-		m.die()
-		m.sim.invariantChecker.orphaned(m)
+		m.endIncarnation()
+		m.sim.invariantChecker.observeWorkerKill(m)
 	}
 }
 
