--- a/internal/testbed/load/entry.go
+++ b/internal/testbed/load/entry.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// What an Entry of a client tells.
+// Events of an Entry.
 const (
-	Submit    = "submit"    // a job is being handed in for the first time
-	Accepted  = "accepted"  // a node said yes
-	Again     = "again"     // the same job was handed in again after its yes, and a node answered
-	Refused   = "refused"   // the client gave the job up; Why says with what it was refused last
-	Poll      = "poll"      // a poll told a state new to the client, or (each time) that the job is not there
-	Cancel    = "cancel"    // a cancel is being asked for
+	Submit    = "submit"    // a job is about to be submitted for the first time
+	Accepted  = "accepted"  // a node accepted it
+	Again     = "again"     // the same job was submitted once more after that, and a node answered
+	Refused   = "refused"   // the client gave the job up; Reason is that of the last refusal
+	Poll      = "poll"      // a poll found a state new to the client, or (each time) that the job is not there
+	Cancel    = "cancel"    // a cancel is about to be requested
 	Cancelled = "cancelled" // a node acknowledged the cancel
 )
 
 // Missing is the State of a poll that was answered 404.
 const Missing = "404"
 
-// Entry is one line of a client's journal, DIR/journal/client-*.jsonl. What was acknowledged is journaled
+// Entry is one line of a client's journal, DIR/journal/consumer-*.jsonl. What was acknowledged is journaled
 // when its answer has come, so At is never before the acknowledgement.
 type Entry struct {
 	At     int64  `json:"at"` // Unix time in ns, of writing
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/generator_test.go
@@ -44,7 +44,7 @@
 	return *a, nil
 }
 
-func says(status int, after time.Duration, phase state.JobPhase) *fleet.Reply {
+func reply(status int, after time.Duration, phase state.JobPhase) *fleet.Reply {
 	body, err := json.Marshal(map[string]any{"state": phase})
 	So(err, ShouldBeNil)
 	return &fleet.Reply{Status: status, RetryAfter: after, Body: body}
@@ -58,11 +58,10 @@
 		So(err, ShouldBeNil)
 		defer writer.Close()
 		caller, clock := &script{answers: answers}, &fakeClock{}
-		l := &generator{opt: o, caller: caller, clock: clock, polls: rate.NewLimiter(rate.Inf, 1), accept: newLatencies(),
-			nodes: []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}}, acceptedAt: map[string]int64{}}
-		l.counts.Refused, l.counts.Overloaded = map[string]int{}, map[string]int{}
+		l := newGenerator(o, caller, clock, []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}})
+		l.polls = rate.NewLimiter(rate.Inf, 1)
 		of.spec = state.Spec{Key: "k"}
-		l.followJob(context.Background(), writer, of, 0)
+		l.follow(context.Background(), writer, of, 0)
 		var evs []string
 		for line, err := range journal.Lines(o.Dir) {
 			So(err, ShouldBeNil)
@@ -84,8 +83,8 @@
 	})
 
 	Convey("A job goes from node to node until a yes, as Retry-After says, and is followed to its end", t, func() {
-		l, caller, clock, evs := follow(arrival{cancel: -1}, nil, says(503, 2*time.Second, ""), says(202, 0, "accepted"),
-			says(200, 0, "running"), says(503, 0, ""), says(200, 0, "running"), says(404, 0, ""), says(200, 0, "done"))
+		l, caller, clock, evs := follow(arrival{cancelAfter: -1}, nil, reply(503, 2*time.Second, ""), reply(202, 0, "accepted"),
+			reply(200, 0, "running"), reply(503, 0, ""), reply(200, 0, "running"), reply(404, 0, ""), reply(200, 0, "done"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "poll running", "poll 404", "poll done"})
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
 		So(caller.calls[1], ShouldNotEqual, caller.calls[2])
@@ -96,18 +95,18 @@
 	})
 
 	Convey("A refusal for good is not repeated; one for now is given up in time", t, func() {
-		l, caller, _, evs := follow(arrival{cancel: -1}, says(422, 0, ""))
+		l, caller, _, evs := follow(arrival{cancelAfter: -1}, reply(422, 0, ""))
 		So(len(caller.calls), ShouldEqual, 1)
 		So(evs, ShouldResemble, []string{"submit ", "refused "})
 		So(l.counts.Refused, ShouldResemble, map[string]int{"status 422": 1})
-		l, _, clock, _ := follow(arrival{cancel: -1}, nil)
+		l, _, clock, _ := follow(arrival{cancelAfter: -1}, nil)
 		So(l.counts.Refused, ShouldResemble, map[string]int{"lost": 1})
 		So(clock.now, ShouldBeBetween, 20*time.Second, 31*time.Second)
 	})
 
 	Convey("A second hand-in goes to another node, a cancel is journaled when it was acknowledged", t, func() {
-		l, caller, _, evs := follow(arrival{cancel: time.Millisecond, dup: true}, says(202, 0, "accepted"),
-			says(200, 0, "accepted"), nil, says(202, 0, "stopping"), says(200, 0, "cancelled"))
+		l, caller, _, evs := follow(arrival{cancelAfter: time.Millisecond, isRepeated: true}, reply(202, 0, "accepted"),
+			reply(200, 0, "accepted"), nil, reply(202, 0, "stopping"), reply(200, 0, "cancelled"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "again accepted", "cancel ",
 			"cancelled stopping", "poll cancelled"})
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
--- /dev/null
+++ b/internal/testbed/load/job.go
@@ -0,0 +1,225 @@
+package load
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/state"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/journal"
+)
+
+const (
+	callTimeout       = 5 * time.Second        // of one call
+	firstPollInterval = 200 * time.Millisecond // before the first poll; it grows by half with every poll
+	maxPollInterval   = 3 * time.Second
+	minBackoff        = 50 * time.Millisecond // before another node is tried without a Retry-After; it doubles
+	maxBackoff        = 3 * time.Second       // of a Retry-After, too
+)
+
+// lost is the reason of a call that was never answered: it may have been carried out all the same.
+const lost = "lost"
+
+// job is one job as its client sees it. It belongs to the goroutine that follows it.
+type job struct {
+	*generator
+	arrival
+	writer *journal.Writer
+	rng    *rand.Rand
+	node   int // index of the node that was tried last
+}
+
+// follow sees a job through: accepted, perhaps submitted once more, perhaps cancelled, polled to its end. due is when
+// it arrived, on the generator's clock.
+func (g *generator) follow(ctx context.Context, writer *journal.Writer, next arrival, due time.Duration) {
+	j := &job{generator: g, arrival: next, writer: writer, rng: rand.New(rand.NewPCG(next.seed, 2))}
+	j.node = j.rng.IntN(len(g.nodes))
+	if !j.submit(ctx, due) {
+		return
+	}
+	if j.isRepeated {
+		j.resubmit(ctx)
+	}
+	cancelAt := time.Duration(-1)
+	if j.cancelAfter >= 0 {
+		cancelAt = g.clock.Now() + j.cancelAfter
+	}
+	j.pollToEnd(ctx, cancelAt)
+}
+
+// submit offers the job until a node accepts it; false if it was given up.
+func (j *job) submit(ctx context.Context, due time.Duration) bool {
+	j.record(Entry{Event: Submit, Node: j.nodeName(), Team: j.spec.Team, Queue: j.spec.Queue})
+	reply, reason := j.callUntilAnswered(ctx, http.MethodPost, "/v1/jobs", j.spec)
+	if reason != "" {
+		j.record(Entry{Event: Refused, Node: j.nodeName(), Reason: reason, Status: reply.Status})
+		j.count(func(r *Report) { r.Refused[reason]++ })
+		return false
+	}
+	acceptedAt := j.record(Entry{Event: Accepted, Node: j.nodeName(), Team: j.spec.Team, Queue: j.spec.Queue,
+		State: stateOf(reply), Status: reply.Status, Steps: stepsOf(j.spec)})
+	took := j.clock.Now() - due
+	j.count(func(r *Report) {
+		r.Accepted++
+		j.accept.Record(max(took, time.Microsecond))
+		j.acceptedAt[j.spec.Key] = acceptedAt
+	})
+	return true
+}
+
+// resubmit submits the job once more at another node: it must be the same job.
+func (j *job) resubmit(ctx context.Context) {
+	j.switchNode()
+	reply, reason := j.callUntilAnswered(ctx, http.MethodPost, "/v1/jobs", j.spec)
+	j.record(Entry{Event: Again, Node: j.nodeName(), Status: reply.Status, State: stateOf(reply), Reason: reason})
+	j.count(func(r *Report) {
+		r.Dups++
+		if reason != "" {
+			r.DupsRefused++
+		}
+	})
+}
+
+// pollToEnd polls until the job has ended; from cancelAt on (below 0: never) it cancels first. Of the polls only a
+// state that is new, and each that found no job, is journaled.
+func (j *job) pollToEnd(ctx context.Context, cancelAt time.Duration) {
+	seen, wasMissing := "", false
+	for interval := firstPollInterval; ; interval = min(interval*3/2, maxPollInterval) {
+		wait := interval
+		if cancelAt >= 0 {
+			wait = min(interval, cancelAt-j.clock.Now())
+		}
+		if !j.sleep(ctx, wait) || j.polls.Wait(ctx) != nil {
+			j.count(func(r *Report) { r.addEnd("", wasMissing) })
+			return
+		}
+		if cancelAt >= 0 && j.clock.Now() >= cancelAt {
+			cancelAt = -1
+			j.requestCancel(ctx)
+		}
+		found, status, isAnswered := j.poll(ctx)
+		if !isAnswered {
+			continue
+		}
+		wasMissing = wasMissing || found == Missing
+		if found == seen && found != Missing {
+			continue
+		}
+		seen = found
+		j.record(Entry{Event: Poll, Node: j.nodeName(), State: found, Status: status})
+		if phase := state.JobPhase(found); phase.IsTerminal() {
+			j.count(func(r *Report) { r.addEnd(phase, wasMissing) })
+			return
+		}
+	}
+}
+
+func (j *job) requestCancel(ctx context.Context) {
+	j.record(Entry{Event: Cancel, Node: j.nodeName()})
+	reply, reason := j.callUntilAnswered(ctx, http.MethodDelete, "/v1/jobs/"+j.spec.Key, nil)
+	if reason != "" {
+		return
+	}
+	j.record(Entry{Event: Cancelled, Node: j.nodeName(), State: stateOf(reply), Status: reply.Status})
+	j.count(func(r *Report) { r.Cancels++ })
+}
+
+// poll asks a node drawn at random for the job's state, which is Missing after a 404. Any other refusal, and a lost
+// answer, say nothing about the job: isAnswered is false.
+func (j *job) poll(ctx context.Context) (found string, status int, isAnswered bool) {
+	j.node = j.rng.IntN(len(j.nodes))
+	addr, path := j.nodes[j.node].Addr, "/v1/jobs/"+j.spec.Key
+	reply, err := j.caller.Call(ctx, http.MethodGet, addr, path, nil, callTimeout)
+	j.count(func(r *Report) { r.Polls++ })
+	switch {
+	case err == nil && reply.IsSuccess():
+		return stateOf(reply), reply.Status, true
+	case err == nil && reply.Status == http.StatusNotFound:
+		return Missing, reply.Status, true
+	}
+	return "", 0, false
+}
+
+// callUntilAnswered sends a call that may be repeated to one node after another until it is answered for good or
+// the submit timeout is over; reason is the kind of the last refusal, "" after a success.
+func (j *job) callUntilAnswered(ctx context.Context, method, path string, in any) (reply fleet.Reply, reason string) {
+	deadline := j.clock.Now() + j.options.SubmitTimeout
+	for backoff := minBackoff; ; backoff = min(backoff*2, maxBackoff) {
+		got, err := j.caller.Call(ctx, method, j.nodes[j.node].Addr, path, in, callTimeout)
+		switch {
+		case err != nil:
+			reason = lost
+		case got.IsSuccess():
+			return got, ""
+		default:
+			reply, reason = got, got.ErrorKind()
+			if !isTransient(got.Status) {
+				return reply, reason
+			}
+		}
+		j.count(func(r *Report) { r.Overloaded[reason]++ })
+		wait := time.Duration((0.5 + j.rng.Float64()) * float64(backoff))
+		if err == nil && got.RetryAfter > 0 {
+			wait = min(got.RetryAfter, maxBackoff)
+		}
+		if j.clock.Now()+wait > deadline || !j.sleep(ctx, wait) {
+			return reply, reason
+		}
+		j.switchNode()
+		j.count(func(r *Report) { r.Retries++ })
+	}
+}
+
+// isTransient reports whether the same call may well be answered otherwise at another time or node.
+func isTransient(status int) bool {
+	switch status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusBadGateway,
+		http.StatusGatewayTimeout, http.StatusMisdirectedRequest:
+		return true
+	}
+	return false
+}
+
+func (j *job) nodeName() string { return j.nodes[j.node].Name }
+
+// switchNode goes on to another node, if there is one.
+func (j *job) switchNode() {
+	if n := len(j.nodes); n > 1 {
+		j.node = (j.node + 1 + j.rng.IntN(n-1)) % n
+	}
+}
+
+// record journals an event of the job and returns its time, Unix ns.
+func (j *job) record(e Entry) int64 {
+	e.At, e.Job = j.clock.Wall().UnixNano(), j.spec.Key
+	if err := j.writer.Append(e); err != nil {
+		j.mu.Lock()
+		defer j.mu.Unlock()
+		if j.err == nil {
+			j.err = errs.Pass(err, "client's journal")
+		}
+	}
+	return e.At
+}
+
+// stateOf is the job's state in an answer; "?" if it has none.
+func stateOf(r fleet.Reply) string {
+	var view struct{ State string }
+	if json.Unmarshal(r.Body, &view) != nil || view.State == "" {
+		return "?"
+	}
+	return view.State
+}
+
+// stepsOf is what the audit must know of a job's steps.
+func stepsOf(spec state.Spec) []Step {
+	var out []Step
+	for _, s := range spec.Steps {
+		out = append(out, Step{s.Name, s.Type, s.Tasks, s.Cores, s.Labels})
+	}
+	return out
+}
--- /dev/null
+++ b/internal/testbed/load/options.go
@@ -0,0 +1,74 @@
+package load
+
+import (
+	"time"
+
+	"crosstide/internal/errs"
+)
+
+// Options are what a load is made of. Zero values take the defaults of SetDefaults.
+type Options struct {
+	Dir  string // of the fleet
+	Seed uint64 // of all chance in the arrivals and in the choice of nodes
+
+	// Arrivals.
+	Rate     float64       // jobs per second on average, arrivals as of many independent clients
+	Count    int           // exactly so many jobs, one after the other at the start, in place of Rate
+	Duration time.Duration // how long jobs are offered
+	Prefix   string        // of the jobs' keys; default is new with each load
+
+	// Each job.
+	Steps        int           // per job, one after the other, default 1
+	Tasks        int           // per step, default 1
+	TaskDuration time.Duration // in whole ms
+	Cores        int           // of a task, default 1
+	GPUs         int           // of a task
+	Gang         bool          // the tasks of a step start together
+	LongRunning  bool          // jobs run until they are cancelled, each when the offers end
+	Type         string        // default "scan"
+	Queue        string        // default "default"
+	Team         string        // default "drill"
+	Labels       map[string]string
+	Retries      int // of a task
+
+	// What clients do with it.
+	CancelProbability    float64       // that a job is cancelled some time after it was accepted
+	DuplicateProbability float64       // that a job is submitted once more at another node
+	Clients              int           // each with its own journal, default 4
+	MaxPollsPerSecond    float64       // of all clients, default 1000
+	EndTimeout           time.Duration // after Duration, until every accepted job has ended, default 60s
+	SubmitTimeout        time.Duration // how long a job is offered to one node after another, default 30s
+}
+
+// SetDefaults replaces zero values by the defaults, then validates. Failure: Invalid.
+func (o *Options) SetDefaults() error {
+	for _, n := range []*int{&o.Tasks, &o.Steps, &o.Cores} {
+		*n = max(*n, 1)
+	}
+	for s, v := range map[*string]string{&o.Type: "scan", &o.Queue: "default", &o.Team: "drill"} {
+		if *s == "" {
+			*s = v
+		}
+	}
+	for d, v := range map[*time.Duration]time.Duration{&o.EndTimeout: time.Minute, &o.SubmitTimeout: 30 * time.Second} {
+		if *d == 0 {
+			*d = v
+		}
+	}
+	if o.Clients < 1 {
+		o.Clients = 4
+	}
+	if o.MaxPollsPerSecond <= 0 {
+		o.MaxPollsPerSecond = 1000
+	}
+	isProbability := func(p float64) bool { return p >= 0 && p <= 1 }
+	switch {
+	case o.Rate <= 0 && o.Count <= 0 || o.Duration <= 0:
+		return errs.Field(errs.Invalid, "rate", "rate and duration must be above 0")
+	case !isProbability(o.CancelProbability) || !isProbability(o.DuplicateProbability):
+		return errs.Field(errs.Invalid, "cancel", "cancel and dup are probabilities")
+	case o.TaskDuration < 0 || o.EndTimeout < 0 || o.SubmitTimeout < 0:
+		return errs.Field(errs.Invalid, "wait", "durations must not be below 0")
+	}
+	return nil
+}
--- a/internal/testbed/load/report.go
+++ b/internal/testbed/load/report.go
@@ -3,14 +3,13 @@
 import (
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"crosstide/internal/errs"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/latency"
 )
 
-// Report is what a load came to; its JSON is what `drill generator` prints.
+// Report is what a load came to; its JSON is what `crosstide-testbed load` prints.
 type Report struct {
 	Seed        uint64         `json:"seed"`
 	Prefix      string         `json:"prefix"` // of the jobs' keys
@@ -20,7 +19,7 @@
 	Failed      int            `json:"fault"`
 	Cancelled   int            `json:"cancelled"`
 	Unknown     int            `json:"unknown"`    // accepted, and answered 404 at least once
-	Unfinished  int            `json:"unfinished"` // accepted, and not seen over
+	Unfinished  int            `json:"unfinished"` // accepted, and not seen to end
 	Refused     map[string]int `json:"refused"`    // given up, by the last refusal; "lost": without any answer
 	Overloaded  map[string]int `json:"overloaded"` // answers that sent a client to another node, by kind
 	Retries     int            `json:"retries"`
@@ -30,10 +29,10 @@
 	DupsRefused int            `json:"dups_refused"`
 	Seconds     float64        `json:"seconds"` // from the first arrival to the last end
 	Rate        float64        `json:"rate_offered"`
-	StartsPerS  float64        `json:"starts_per_s"` // from the first start to the last, by the minions' journals
+	StartsPerS  float64        `json:"starts_per_s"` // from the first start to the last, by the workers' journals
 	Starts      int            `json:"starts"`
-	Accept      Spread         `json:"accept_ms"`          // from the arrival of a job to its yes, retries and all
-	ToStart     Spread         `json:"accept_to_start_ms"` // from the yes to the first start of the job
+	Accept      Spread         `json:"accept_ms"`          // from the arrival of a job until it was accepted, with all retries
+	ToStart     Spread         `json:"accept_to_start_ms"` // from that to the first start of the job
 }
 
 // Spread is a distribution in milliseconds.
@@ -50,7 +49,8 @@
 	return r.Accepted > 0 && r.Done == r.Accepted && r.Unknown == 0
 }
 
-func (r *Report) end(phase state.JobPhase, missing bool) {
+// addEnd counts a job that was accepted by the phase that it was last seen in; wasMissing: a poll did not find it.
+func (r *Report) addEnd(phase state.JobPhase, wasMissing bool) {
 	switch phase {
 	case state.JobDone:
 		r.Done++
@@ -61,70 +61,52 @@
 	default:
 		r.Unfinished++
 	}
-	if missing {
+	if wasMissing {
 		r.Unknown++
 	}
 }
 
-// overload records durations from a microsecond to an hour at three significant digits.
-type latencies struct{ histogram *hdrhistogram.Histogram }
-
-func newLatencies() *latencies {
-	return &latencies{hdrhistogram.New(1, time.Hour.Microseconds(), 3)}
-}
-
-func (p *latencies) record(d time.Duration) {
-	us := min(max(d.Microseconds(), 1), time.Hour.Microseconds())
-	if err := p.histogram.RecordValue(us); err != nil {
-		panic(err) // us is within the bounds
-	}
-}
-
-func (p *latencies) spread() Spread {
-	ms := func(us int64) float64 { return float64(us) / 1000 }
-	if p.histogram.TotalCount() == 0 {
-		return Spread{}
-	}
-	return Spread{ms(p.histogram.ValueAtPercentile(50)), ms(p.histogram.ValueAtPercentile(90)), ms(p.histogram.ValueAtPercentile(99)),
-		ms(p.histogram.Max()), p.histogram.TotalCount()}
+func spreadOf(h *latency.Histogram) Spread {
+	ms := latency.Milliseconds
+	return Spread{P50: ms(h.Quantile(50)), P90: ms(h.Quantile(90)), P99: ms(h.Quantile(99)), Max: ms(h.Max()), Count: h.Count()}
 }
 
-// report puts the figures together, with the starts as the minions' journals tell them.
-func (l *generator) report() (Report, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.err != nil {
-		return l.counts, l.err
+// report completes the counts by the starts of this load's jobs, as the workers' journals have them.
+func (g *generator) report() (Report, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.err != nil {
+		return g.counts, g.err
 	}
-	first := map[string]int64{}
+	firstStart := map[string]int64{} // by job
 	var from, to int64
-	for line, err := range journal.Lines(l.opt.Dir) {
+	for line, err := range journal.Lines(g.options.Dir) {
 		if err != nil {
-			return l.counts, errs.Pass(err, "starts")
+			return g.counts, errs.Pass(err, "starts")
 		}
 		e, err := line.Entry()
 		if err != nil || e.Event != journal.Start {
-			continue // not a minion's
+			continue // not a worker's
 		}
-		if _, ours := l.acceptedAt[e.Job]; !ours {
+		if _, isOurs := g.acceptedAt[e.Job]; !isOurs {
 			continue
 		}
-		l.counts.Starts++
-		if at, ok := first[e.Job]; !ok || e.At < at {
-			first[e.Job] = e.At
+		g.counts.Starts++
+		if at, ok := firstStart[e.Job]; !ok || e.At < at {
+			firstStart[e.Job] = e.At
 		}
 		if from == 0 || e.At < from {
 			from = e.At
 		}
 		to = max(to, e.At)
 	}
-	starts := newLatencies()
-	for job, at := range first {
-		starts.record(time.Duration(at - l.acceptedAt[job]))
+	toStart := latency.New()
+	for job, at := range firstStart {
+		toStart.Record(max(time.Duration(at-g.acceptedAt[job]), time.Microsecond))
 	}
-	r := &l.counts
-	r.Seed, r.Prefix = l.opt.Seed, l.opt.Prefix
-	r.Accept, r.ToStart = l.accept.spread(), starts.spread()
+	r := &g.counts
+	r.Seed, r.Prefix = g.options.Seed, g.options.Prefix
+	r.Accept, r.ToStart = spreadOf(g.accept), spreadOf(toStart)
 	if to > from {
 		r.StartsPerS = float64(r.Starts-1) / time.Duration(to-from).Seconds()
 	}
