--- a/internal/testbed/load/job.go
+++ b/internal/testbed/load/job.go
@@ -97,10 +97,7 @@
 			j.count(func(r *Report) { r.addEnd("", wasMissing) })
 			return
 		}
-		if cancelAt >= 0 && j.clock.Now() >= cancelAt {
-			cancelAt = -1
-			j.requestCancel(ctx)
-		}
+		cancelAt = j.cancelWhenDue(ctx, cancelAt)
 		found, status, isAnswered := j.poll(ctx)
 		if !isAnswered {
 			continue
@@ -118,14 +115,18 @@
 	}
 }
 
-func (j *job) requestCancel(ctx context.Context) {
+// cancelWhenDue cancels the job if cancelAt has come, and returns when to cancel it; below 0: no more.
+func (j *job) cancelWhenDue(ctx context.Context, cancelAt time.Duration) time.Duration {
+	if cancelAt < 0 || j.clock.Now() < cancelAt {
+		return cancelAt
+	}
 	j.record(Entry{Event: Cancel, Node: j.nodeName()})
 	reply, reason := j.callUntilAnswered(ctx, http.MethodDelete, "/v1/jobs/"+j.spec.Key, nil)
-	if reason != "" {
-		return
+	if reason == "" {
+		j.record(Entry{Event: Cancelled, Node: j.nodeName(), State: stateOf(reply), Status: reply.Status})
+		j.count(func(r *Report) { r.Cancels++ })
 	}
-	j.record(Entry{Event: Cancelled, Node: j.nodeName(), State: stateOf(reply), Status: reply.Status})
-	j.count(func(r *Report) { r.Cancels++ })
+	return -1
 }
 
 // poll asks a node drawn at random for the job's state, which is Missing after a 404. Any other refusal, and a lost
--- a/internal/testbed/load/report.go
+++ b/internal/testbed/load/report.go
@@ -31,7 +31,7 @@
 	Rate        float64        `json:"rate_offered"`
 	StartsPerS  float64        `json:"starts_per_s"` // from the first start to the last, by the workers' journals
 	Starts      int            `json:"starts"`
-	Accept      Spread         `json:"accept_ms"`          // from the arrival of a job until it was accepted, with all retries
+	Accept      Spread         `json:"accept_ms"`          // from the arrival until it was accepted
 	ToStart     Spread         `json:"accept_to_start_ms"` // from that to the first start of the job
 }
 
@@ -68,7 +68,8 @@
 
 func spreadOf(h *latency.Histogram) Spread {
 	ms := latency.Milliseconds
-	return Spread{P50: ms(h.Quantile(50)), P90: ms(h.Quantile(90)), P99: ms(h.Quantile(99)), Max: ms(h.Max()), Count: h.Count()}
+	return Spread{P50: ms(h.Quantile(50)), P90: ms(h.Quantile(90)), P99: ms(h.Quantile(99)),
+		Max: ms(h.Max()), Count: h.Count()}
 }
 
 // report completes the counts by the starts of this load's jobs, as the workers' journals have them.
--- /dev/null
+++ b/internal/testbed/operator/change.go
@@ -0,0 +1,189 @@
+package operator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"crosstide/internal/routine"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// operators is how many there are; each version needs the signatures of both.
+const operators = 2
+
+// bodyAttempts is how often the text of a patched bundle is asked for.
+const bodyAttempts = 10
+
+// draft is a bundle that was written and has no signature yet.
+type draft struct {
+	version uint64
+	digest  string
+	text    []byte
+}
+
+// change makes change i: a draft, alone or raced for by both operators, its signatures, and the look at all nodes.
+func (o *session) change(ctx context.Context, i int) {
+	base, isKnown := o.newestVersion(ctx)
+	if !isKnown {
+		o.sleep(ctx, retryBackoff)
+		return
+	}
+	won := o.pickWinner(o.writeDrafts(ctx, i, base))
+	if won == nil {
+		return
+	}
+	signers := o.rng.Perm(operators)
+	atOnce := 1 + o.rng.IntN(operators)
+	results := make([]signResult, operators)
+	routine.Each(operators, atOnce, func(k int) {
+		id := fmt.Sprintf("%s-%d-s%d", o.prefix, i, signers[k])
+		results[k] = o.sign(ctx, id, o.keys[signers[k]], won)
+	})
+	for _, result := range results {
+		if result.isInForce {
+			o.afterForce(ctx, won, result)
+		}
+	}
+}
+
+// newestVersion asks for the version that the next draft is written against.
+func (o *session) newestVersion(ctx context.Context) (version uint64, isKnown bool) {
+	var log struct{ Newest uint64 }
+	isKnown = o.read(ctx, o.anyControlPlane(), "/v1/bundles?limit=1", &log)
+	return log.Newest, isKnown
+}
+
+// writeDrafts lets one operator, or both at once, write against base. nil stands for one that was refused.
+func (o *session) writeDrafts(ctx context.Context, i int, base uint64) []*draft {
+	authors := []int{o.rng.IntN(operators)}
+	if o.rng.Float64() < o.RaceProbability {
+		authors = []int{0, 1}
+		o.counts.Races++
+	}
+	texts := make([][]byte, len(authors))
+	for k := range texts {
+		texts[k] = o.bundleText()
+	}
+	isPatch := len(authors) == 1 && o.rng.IntN(3) == 0
+	drafts := make([]*draft, len(authors))
+	routine.Each(len(authors), operators, func(k int) {
+		id, key := fmt.Sprintf("%s-%d-%d", o.prefix, i, authors[k]), o.keys[authors[k]]
+		if isPatch {
+			drafts[k] = o.patch(ctx, id, key, base)
+		} else {
+			drafts[k] = o.put(ctx, id, key, base, texts[k])
+		}
+	})
+	return drafts
+}
+
+// pickWinner returns the last draft that was accepted; of a race only one may be.
+func (o *session) pickWinner(drafts []*draft) (won *draft) {
+	for _, d := range drafts {
+		if d == nil {
+			continue
+		}
+		if won != nil {
+			o.counts.BothWon++
+		}
+		won = d
+	}
+	return won
+}
+
+// put writes a complete bundle.
+func (o *session) put(ctx context.Context, id string, key signature.Key, base uint64, text []byte) *draft {
+	query := signedQuery(id, base, key, signature.Put(id, base, signature.Digest(text)))
+	entry := Entry{Event: Put, Order: id, By: key.Name, Base: base}
+	return o.writeDraft(ctx, "/v1/bundles?"+query, text, text, entry)
+}
+
+// patch changes one queue; the text is what the fleet made of it, read before anyone signs.
+func (o *session) patch(ctx context.Context, id string, key signature.Key, base uint64) *draft {
+	raw, err := json.Marshal(map[string]any{"queues": map[string]any{"default": o.queue()}})
+	if err != nil {
+		return nil
+	}
+	query := signedQuery(id, base, key, signature.Patch(id, base, signature.Digest(raw)))
+	entry := Entry{Event: Put, Order: id, By: key.Name, Base: base}
+	return o.writeDraft(ctx, "/v1/bundles/patch?"+query, raw, nil, entry)
+}
+
+// signedQuery is the query of a call that writes a draft: its ID, base, author and signature.
+func signedQuery(id string, base uint64, key signature.Key, signed string) string {
+	return url.Values{"order": {id}, "base": {strconv.FormatUint(base, 10)}, "by": {key.Name},
+		"sig": {key.Sign(signed)}}.Encode()
+}
+
+// writeDraft sends a draft; a nil text is read back from the fleet.
+func (o *session) writeDraft(ctx context.Context, path string, body, text []byte, entry Entry) *draft {
+	var done command.BundleDrafted
+	complete := func(e *Entry) { e.Version, e.SHA = done.Version, done.Digest }
+	if _, isDone := o.order(ctx, path, body, entry, &done, complete); !isDone {
+		return nil
+	}
+	o.count(func(r *Report) { r.Puts++ })
+	bodyPath := fmt.Sprintf("/v1/bundles/%d/body", done.Version)
+	for attempt := 0; text == nil && attempt < bodyAttempts && ctx.Err() == nil; attempt++ {
+		reply, err := o.caller.Call(ctx, http.MethodGet, o.anyControlPlane().Addr, bodyPath, nil, callTimeout)
+		if err == nil && reply.IsSuccess() {
+			text = reply.Body
+		} else if !o.sleep(ctx, retryBackoff) {
+			break
+		}
+	}
+	if text == nil {
+		return nil
+	}
+	return &draft{done.Version, signature.Digest(text), text}
+}
+
+// signResult is what a signature came to.
+type signResult struct {
+	answer
+	order, by string
+	isInForce bool // it was the last one needed: the version is in force
+}
+
+func (o *session) sign(ctx context.Context, id string, key signature.Key, d *draft) signResult {
+	body := mustEncode(map[string]string{"order": id, "sha256": d.digest, "by": key.Name,
+		"sig": key.Sign(signature.Bundle(d.version, d.digest))})
+	entry := Entry{Event: Sign, Order: id, By: key.Name, Version: d.version, SHA: d.digest}
+	var done command.BundleSigned
+	path := fmt.Sprintf("/v1/bundles/%d/sign", d.version)
+	got, isDone := o.order(ctx, path, body, entry, &done, func(*Entry) {})
+	return signResult{got, id, key.Name, isDone && done.Phase == state.RevisionInForce}
+}
+
+// submitInvalid sends a text that must be refused with all four of its validation errors.
+func (o *session) submitInvalid(ctx context.Context, i int) {
+	base, isKnown := o.newestVersion(ctx)
+	if !isKnown {
+		return
+	}
+	text := []byte(`{"queues":{"default":{"placement":{"zones":[]},"hold":"soon"}},"limits":{"scan":-1},"nope":1}`)
+	id, key := fmt.Sprintf("%s-%d-i", o.prefix, i), o.keys[o.rng.IntN(operators)]
+	query := signedQuery(id, base, key, signature.Put(id, base, signature.Digest(text)))
+	got, err := o.sendUntilAnswered(ctx, "/v1/bundles?"+query, text)
+	o.counts.Invalid++
+	isRefused := got.reply.Status == http.StatusUnprocessableEntity &&
+		strings.Contains(string(got.reply.Body), "4 mistakes")
+	if err == nil && !isRefused {
+		o.counts.InvalidTaken++
+	}
+}
+
+func mustEncode(body map[string]string) []byte {
+	raw, err := json.Marshal(body)
+	if err != nil {
+		panic(err) // strings
+	}
+	return raw
+}
--- a/internal/testbed/operator/evacuation.go
+++ b/internal/testbed/operator/evacuation.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"net/http"
 	"time"
 
 	"crosstide/internal/signature"
@@ -12,14 +10,20 @@
 	"crosstide/internal/state/query"
 )
 
-// evacuation is the zone that is out, and until when.
+// Length of an evacuation: the least, and how much chance adds at most.
+const (
+	minEvacuation       = 6 * time.Second
+	extraEvacuationInMS = 4000
+)
+
+// evacuation is a zone that is evacuated, and until when on the session's clock; the zero value: none is.
 type evacuation struct {
 	zone  string
 	until time.Duration
 }
 
-// maybeEvacuate evacuates a zone by one operator's word, now and then, and lifts that by both some seconds later.
-func (o *session) maybeEvacuate(ctx context.Context, i int) {
+// evacuateOrLift evacuates a zone, which takes one operator, or lifts the one that is due, which takes both.
+func (o *session) evacuateOrLift(ctx context.Context, i int) {
 	if o.evacuated.zone != "" {
 		if o.clock.Now() >= o.evacuated.until {
 			o.lift(ctx, i)
@@ -29,50 +33,66 @@
 	if o.EvacuateProbability == 0 || o.rng.Float64() >= o.EvacuateProbability {
 		return
 	}
-	zone, key := o.zones[o.rng.IntN(len(o.zones))], o.keys[o.rng.IntN(2)]
+	zone, key := o.zones[o.rng.IntN(len(o.zones))], o.keys[o.rng.IntN(operators)]
 	id := fmt.Sprintf("%s-%d-e", o.prefix, i)
-	var done command.ZoneEvacuation
-	body := mustEncode(map[string]string{"order": id, "by": key.Name, "sig": key.Sign(signature.Evacuate(id, zone))})
-	e := Entry{Event: "evacuation", Order: id, By: key.Name}
-	if _, yes := o.order(ctx, "/v1/zones/"+zone+"/evacuate", body, e, &done, func(*Entry) {}); yes {
-		o.record(Entry{Event: Evacuate, Zone: zone, Order: id, By: key.Name, OK: true})
-		o.counts.Evacuations++
-		o.evacuated = evacuation{zone, o.clock.Now() + 6*time.Second + time.Duration(o.rng.IntN(4000))*time.Millisecond}
+	entry := Entry{Event: "evacuation", Order: id, By: key.Name}
+	if !o.zoneOrder(ctx, zone, "evacuate", key, signature.Evacuate(id, zone), entry, &command.ZoneEvacuation{}) {
+		return
 	}
+	o.record(Entry{Event: Evacuate, Zone: zone, Order: id, By: key.Name, OK: true})
+	o.counts.Evacuations++
+	extra := time.Duration(o.rng.IntN(extraEvacuationInMS)) * time.Millisecond
+	o.evacuated = evacuation{zone, o.clock.Now() + minEvacuation + extra}
 }
 
-// lift needs both operators; the first alone must not lift.
+// lift lifts the open evacuation by the orders of both operators; the first alone must not lift it. If the fleet does
+// not answer, it stays open until the next turn.
 func (o *session) lift(ctx context.Context, i int) {
 	zone := o.evacuated.zone
-	reply, err := o.caller.Call(ctx, http.MethodGet, o.anyControlPlane().Addr, "/v1/zones", nil, callTimeout)
-	var list struct{ Zones []query.ZoneView }
-	if err != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &list) != nil {
-		return // at the next turn
-	}
-	since := time.Time{}
-	for _, z := range list.Zones {
-		if z.Zone == zone {
-			since = z.Since
-		}
+	since, isKnown := o.evacuatedSince(ctx, zone)
+	if !isKnown {
+		return
 	}
 	if since.IsZero() {
 		o.evacuated = evacuation{}
 		return
 	}
-	for k, at := range o.rng.Perm(2) {
-		key := o.keys[at]
+	for k, at := range o.rng.Perm(operators) {
+		key, isLast := o.keys[at], k == operators-1
 		id := fmt.Sprintf("%s-%d-l%d", o.prefix, i, at)
-		if k == 1 {
+		if isLast { // before the order: starts may come from its commit on
 			o.record(Entry{Event: Lift, Zone: zone, Order: id, By: key.Name})
 		}
 		var done command.ZoneEvacuation
-		body := mustEncode(map[string]string{"order": id, "by": key.Name, "sig": key.Sign(signature.Lift(zone, since))})
-		_, yes := o.order(ctx, "/v1/zones/"+zone+"/lift", body, Entry{Event: "lifting", Order: id, By: key.Name}, &done, func(*Entry) {})
-		if yes && done.Evacuated != (k == 0) {
+		entry := Entry{Event: "lifting", Order: id, By: key.Name}
+		isDone := o.zoneOrder(ctx, zone, "lift", key, signature.Lift(zone, since), entry, &done)
+		if isDone && done.Evacuated == isLast {
 			o.counts.LiftsWrong++
 		}
-		if yes && k == 1 {
+		if isDone && isLast {
 			o.evacuated = evacuation{}
 		}
 	}
 }
+
+// evacuatedSince asks since when a zone is evacuated; the zero time: it is not.
+func (o *session) evacuatedSince(ctx context.Context, zone string) (since time.Time, isKnown bool) {
+	var list struct{ Zones []query.ZoneView }
+	if !o.read(ctx, o.anyControlPlane(), "/v1/zones", &list) {
+		return since, false
+	}
+	for _, z := range list.Zones {
+		if z.Zone == zone {
+			since = z.Since
+		}
+	}
+	return since, true
+}
+
+// zoneOrder sends one operator's order about a zone and reports whether it was carried out.
+func (o *session) zoneOrder(ctx context.Context, zone, verb string, key signature.Key, signed string, entry Entry,
+	done *command.ZoneEvacuation) bool {
+	body := mustEncode(map[string]string{"order": entry.Order, "by": key.Name, "sig": key.Sign(signed)})
+	_, isDone := o.order(ctx, "/v1/zones/"+zone+"/"+verb, body, entry, done, func(*Entry) {})
+	return isDone
+}
