--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,10 +1,12 @@
-// Package audit checks the promises of crosstide against what the minions, clients and operators of a rehearsal
-// witnessed. It trusts no daemon: its checks are pure functions over a History of journal lines, to which Probe
-// may add what the public API tells at the end.
+// Package audit is the invariant checker of the testbed for the policy deployment: it checks what crosstide promises
+// against the journals of the workers, clients, operators and injected faults of a run. It trusts no daemon: Check is a
+// pure function over a History of journal lines, to which Probe may add what the public API answers at the end.
+//
+// Each invariant is one function in the table checks, in the file of its subject: runs (spans.go, runs.go), placement,
+// drains and evacuations (windows.go), jobs, bundle versions. MeasureOutage and Lags measure, they judge nothing.
 package audit
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"slices"
@@ -12,175 +14,48 @@
 	"time"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/load"
-	"crosstide/internal/testbed/operator"
 )
 
-// What the audit grants, as the promises have it.
+// What the promises grant.
 const (
-	cancelGrace   = 3 * time.Second // from a cancel's yes to the last start of its job
-	knownGrace    = 3 * time.Second // from a job's yes until no node may call it unknown
-	drainGrace    = 2 * time.Second // from a drain to the end of the last run on its minion
+	cancelGrace   = 3 * time.Second // from a cancel's acknowledgement to the last start of its job
+	knownGrace    = 3 * time.Second // from a job's acceptance until no node may call it unknown
+	drainGrace    = 2 * time.Second // from a drain to the end of the last run on its worker
 	bundleGrace   = 2 * time.Second // from a bundle's acknowledgement to the last start under an older one
-	evacuateGrace = 5 * time.Second // from an evacuation's yes to the end of the last run in its zone
+	evacuateGrace = 5 * time.Second // from an evacuation's acknowledgement to the end of the last run in its zone
 )
 
-// Event kinds of operators' and the drill's own journals.
-const (
-	Evacuate = "evacuate" // operator: zone Zone was acknowledged as evacuated
-	Lift     = "lift"     // operator: the evacuation of Zone is being lifted
-	Drain    = "drain"    // operator: the drain of minion Node was acknowledged
-	Undrain  = "undrain"  // operator: the drain of minion Node is being lifted
-	Kill     = "kill"     // drill: process Node got a signal to end
-	Freeze   = "freeze"   // drill: process Node is being frozen
-	Wipe     = "wipe"     // drill: the data of Node were removed
-)
-
-// Source says whose journal a line is of.
-type Source string
-
-// Sources, by the names of the journals: client-*, operator-*, drill-*; any other is a minion's.
-const (
-	Worker   Source = "minion"
-	Client   Source = "consumer"
-	Operator Source = "operator"
-	Testbed  Source = "drill"
-)
-
-// Event is one line of any journal.
-type Event struct {
-	journal.Entry
-	State         string
-	Node          string
-	Team          string
-	Steps         []load.Step
-	OperatorEntry operator.Entry // of an operator's line
-
-	Source Source
-	File   string
-	Line   int
-	Raw    string
-}
-
-// String is where the line stands, and the line.
-func (e Event) String() string { return fmt.Sprintf("%s:%d %s", e.File, e.Line, e.Raw) }
-
-// since reports how long after at e is.
-func (e Event) since(at int64) time.Duration { return time.Duration(e.At - at) }
-
-// task names a task for good.
-type task struct {
-	job, step string
-	index     int
-}
-
-func (e Event) task() task { return task{e.Job, e.Step, e.Task} }
-
-// History is all lines: those of each file in order of writing.
-type History struct{ Events []Event }
-
-// filter returns the events of a source in order of time; equal times keep the order of the files.
-func (h History) filter(from Source, evs ...string) []Event {
-	var out []Event
-	for _, e := range h.Events {
-		if e.Source == from && (len(evs) == 0 || slices.Contains(evs, e.Event)) {
-			out = append(out, e)
-		}
-	}
-	slices.SortStableFunc(out, func(a, b Event) int { return int(min(max(a.At-b.At, -1), 1)) })
-	return out
-}
-
-// byWorker returns each minion's events in order of writing.
-func (h History) byWorker() map[string][]Event {
-	out := map[string][]Event{}
-	for _, e := range h.Events {
-		if e.Source == Worker {
-			out[e.Worker] = append(out[e.Worker], e)
-		}
-	}
-	return out
-}
-
-// Read reads the journals of dir. A damaged line is a fault: half a witness proves nothing. Faults: Disk, Damaged,
-// Unknown (no line at all).
-func Read(dir string) (History, error) {
-	var h History
-	for line, err := range journal.Lines(dir) {
-		if err != nil {
-			return h, errs.Pass(err, "audit")
-		}
-		e, err := Parse(line)
-		if err != nil {
-			return h, errs.Pass(err, "audit")
-		}
-		h.Events = append(h.Events, e)
-	}
-	if len(h.Events) == 0 {
-		return h, errs.New(errs.Unknown, "%s holds no journals", dir)
-	}
-	return h, nil
-}
-
-// Parse reads one line of any journal. Failure: Damaged.
-func Parse(line journal.Line) (Event, error) {
-	var own struct {
-		State string
-		Node  string
-		Team  string
-		Steps []load.Step
-	}
-	e := Event{Source: Worker, File: line.File, Line: line.Number, Raw: string(line.Raw)}
-	for _, from := range []Source{Client, Operator, Testbed} {
-		if strings.HasPrefix(line.File, string(from)+"-") {
-			e.Source = from
-		}
-	}
-	if err := json.Unmarshal(line.Raw, &e.Entry); err != nil {
-		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
-	}
-	if err := json.Unmarshal(line.Raw, &own); err != nil {
-		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
-	}
-	e.State, e.Node, e.Team, e.Steps = own.State, own.Node, own.Team, own.Steps
-	if e.Source == Operator {
-		if err := json.Unmarshal(line.Raw, &e.OperatorEntry); err != nil {
-			return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
-		}
-	}
-	return e, nil
-}
-
-// Verdict on a promise.
+// Verdicts on an invariant.
 const (
 	Satisfied    = "held"
 	Violated     = "broken"
 	NotExercised = "not exercised"
 )
 
-// Finding is what the audit says of one promise.
+// Finding is what the audit says of one invariant.
 type Finding struct {
 	Invariant string   `json:"promise"`
 	Verdict   string   `json:"verdict"`
-	Cases     int      `json:"cases"`
+	Cases     int      `json:"cases"` // in which it could have been violated
 	Note      string   `json:"note,omitempty"`
-	Lines     []string `json:"lines,omitempty"` // the offending ones
+	Lines     []string `json:"lines,omitempty"` // the offending ones; any: it is violated
 }
 
-func (f *Finding) violate(what string, lines ...Event) {
-	s := what
-	for _, e := range lines {
-		s += "\n      " + e.String()
+// violate adds a violation, with the lines that prove it.
+func (f *Finding) violate(what string, proof ...Event) {
+	var line strings.Builder
+	line.WriteString(what)
+	for _, e := range proof {
+		line.WriteString("\n      " + e.String())
 	}
-	f.Lines = append(f.Lines, s)
+	f.Lines = append(f.Lines, line.String())
 }
 
-// checks are the promises that can be judged, in the order of the design's table. A nil check has no witness yet.
+// checks are the invariants, in the order of the design's table. A nil check has no evidence in the journals.
 var checks = []struct {
 	invariant    string
 	check        func(h History, f *Finding)
-	notCheckable string // why there is no witness
+	notCheckable string // why, of a nil check
 }{
 	{"once", checkSingleRun, ""},
 	{"ticket-newer", checkRunIDsIncrease, ""},
@@ -199,7 +74,7 @@
 	{"repair", checkRepair, ""},
 }
 
-// Check judges every promise. Example:
+// Check checks every invariant. Example:
 //
 //	history, err := audit.Read(dir)
 //	findings := audit.Check(history)
@@ -224,31 +99,35 @@
 	return out
 }
 
-// NoneViolated reports whether nothing is broken.
+// NoneViolated reports whether no invariant is violated.
 func NoneViolated(findings []Finding) bool {
 	return !slices.ContainsFunc(findings, func(f Finding) bool { return f.Verdict == Violated })
 }
 
-// WriteReport writes one line per promise, and below a broken one the lines that break it, at most shown of them.
+// WriteReport writes one line per invariant, and below a violated one its offending lines, at most shown of them.
 func WriteReport(w io.Writer, findings []Finding, shown int) error {
 	for _, f := range findings {
-		s := fmt.Sprintf("%-13s%s", f.Invariant, f.Verdict)
-		if f.Verdict != NotExercised {
-			s += fmt.Sprintf(" %d cases", f.Cases)
-		}
-		if f.Note != "" {
-			s += " (" + f.Note + ")"
-		}
-		for i, line := range f.Lines {
-			if i == shown {
-				s += fmt.Sprintf("\n    and %d more", len(f.Lines)-shown)
-				break
-			}
-			s += "\n    " + line
-		}
-		if _, err := fmt.Fprintln(w, s); err != nil {
+		if _, err := fmt.Fprintln(w, f.text(shown)); err != nil {
 			return errs.Wrap(err, errs.Disk, "print the audit")
 		}
 	}
 	return nil
 }
+
+func (f Finding) text(shown int) string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "%-13s%s", f.Invariant, f.Verdict)
+	if f.Verdict != NotExercised {
+		fmt.Fprintf(&out, " %d cases", f.Cases)
+	}
+	if f.Note != "" {
+		out.WriteString(" (" + f.Note + ")")
+	}
+	for _, line := range f.Lines[:min(len(f.Lines), shown)] {
+		out.WriteString("\n    " + line)
+	}
+	if left := len(f.Lines) - shown; left > 0 {
+		fmt.Fprintf(&out, "\n    and %d more", left)
+	}
+	return out.String()
+}
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -109,7 +109,7 @@
 		}
 	})
 
-	Convey("While a signature's fate is unsure, starts are not judged by placement policies", t, func() {
+	Convey("While it is unknown what came of a signature, starts are not judged by placement policies", t, func() {
 		late := `m7 4.2 "ev":"start","boot":"b1","zone":"z7","queue":"default","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`
 		unsure := `operator-3 34 "ev":"unsure","sent":4000000000,"order":"s3","version":3`
 		So(verdicts(history(append(clean(), late)...))["place"], ShouldEqual, Violated)
--- /dev/null
+++ b/internal/testbed/audit/history.go
@@ -0,0 +1,149 @@
+package audit
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/operator"
+)
+
+// Events of the operators' and the testbed's own journals.
+const (
+	Evacuate = "evacuate" // operator: zone Zone was acknowledged as evacuated
+	Lift     = "lift"     // operator: the evacuation of Zone is about to be lifted
+	Drain    = "drain"    // operator: the drain of worker Node was acknowledged
+	Undrain  = "undrain"  // operator: the drain of worker Node is about to be lifted
+	Kill     = "kill"     // testbed: process Node is about to get a signal to end
+	Freeze   = "freeze"   // testbed: process Node is about to be frozen
+	Wipe     = "wipe"     // testbed: the data of Node were removed
+)
+
+// Source is whose journal a line is of.
+type Source string
+
+// Sources, by the prefix of the journal's name; without one of these prefixes it is a worker's.
+const (
+	Worker   Source = "minion"
+	Client   Source = "consumer"
+	Operator Source = "operator"
+	Testbed  Source = "drill"
+)
+
+// Event is one line of any journal: which fields are set depends on its Source.
+type Event struct {
+	journal.Entry // of a worker's line; of any line At and Event, and what else it has
+	State         string
+	Node          string
+	Team          string
+	Steps         []load.Step
+	OperatorEntry operator.Entry // of an operator's line
+
+	Source Source
+	File   string // base name of the journal
+	Line   int    // from 1
+	Raw    string
+}
+
+// String is where the line stands, and the line.
+func (e Event) String() string { return fmt.Sprintf("%s:%d %s", e.File, e.Line, e.Raw) }
+
+// since reports how long after at (Unix ns) e is.
+func (e Event) since(at int64) time.Duration { return time.Duration(e.At - at) }
+
+// task identifies a task for good.
+type task struct {
+	job, step string
+	index     int
+}
+
+func (e Event) task() task { return task{e.Job, e.Step, e.Task} }
+
+// incarnation identifies one life of a worker's process.
+type incarnation struct{ worker, id string }
+
+func (e Event) incarnation() incarnation { return incarnation{e.Worker, e.Incarnation} }
+
+// History is all lines of all journals: those of each file in the order they were written.
+type History struct{ Events []Event }
+
+// filter returns the events of a source in order of time; equal times keep the order of the files. Without kinds it
+// returns all of them.
+func (h History) filter(from Source, kinds ...string) []Event {
+	var out []Event
+	for _, e := range h.Events {
+		if e.Source == from && (len(kinds) == 0 || slices.Contains(kinds, e.Event)) {
+			out = append(out, e)
+		}
+	}
+	slices.SortStableFunc(out, byTime)
+	return out
+}
+
+// byTime orders events by their time.
+func byTime(a, b Event) int { return int(min(max(a.At-b.At, -1), 1)) }
+
+// byWorker returns each worker's events in the order they were written.
+func (h History) byWorker() map[string][]Event {
+	out := map[string][]Event{}
+	for _, e := range h.Events {
+		if e.Source == Worker {
+			out[e.Worker] = append(out[e.Worker], e)
+		}
+	}
+	return out
+}
+
+// Read reads the journals of dir. A damaged line is a failure: half a journal proves nothing. Failures: Disk,
+// Damaged, Unknown (no line at all).
+func Read(dir string) (History, error) {
+	var h History
+	for line, err := range journal.Lines(dir) {
+		if err != nil {
+			return h, errs.Pass(err, "audit")
+		}
+		e, err := Parse(line)
+		if err != nil {
+			return h, errs.Pass(err, "audit")
+		}
+		h.Events = append(h.Events, e)
+	}
+	if len(h.Events) == 0 {
+		return h, errs.New(errs.Unknown, "%s holds no journals", dir)
+	}
+	return h, nil
+}
+
+// Parse reads one line of any journal. Failure: Damaged.
+func Parse(line journal.Line) (Event, error) {
+	var own struct {
+		State string
+		Node  string
+		Team  string
+		Steps []load.Step
+	}
+	e := Event{Source: Worker, File: line.File, Line: line.Number, Raw: string(line.Raw)}
+	for _, from := range []Source{Client, Operator, Testbed} {
+		if strings.HasPrefix(line.File, string(from)+"-") {
+			e.Source = from
+		}
+	}
+	if err := json.Unmarshal(line.Raw, &e.Entry); err != nil {
+		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
+	}
+	if err := json.Unmarshal(line.Raw, &own); err != nil {
+		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
+	}
+	e.State, e.Node, e.Team, e.Steps = own.State, own.Node, own.Team, own.Steps
+	if e.Source == Operator {
+		if err := json.Unmarshal(line.Raw, &e.OperatorEntry); err != nil {
+			return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
+		}
+	}
+	return e, nil
+}
--- /dev/null
+++ b/internal/testbed/audit/jobs.go
@@ -0,0 +1,115 @@
+package audit
+
+import (
+	"fmt"
+
+	"crosstide/internal/state"
+	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/load"
+)
+
+// acceptedJobs returns the first acceptance of every job.
+func acceptedJobs(h History) map[string]Event {
+	return firstByJob(h.filter(Client, load.Accepted))
+}
+
+func firstByJob(events []Event) map[string]Event {
+	out := map[string]Event{}
+	for _, e := range events {
+		if _, ok := out[e.Job]; !ok {
+			out[e.Job] = e
+		}
+	}
+	return out
+}
+
+// checkCancel: no start of a job later than the grace after its cancel was acknowledged. Cases are the cancelled jobs.
+func checkCancel(h History, f *Finding) {
+	cancelled := firstByJob(h.filter(Client, load.Cancelled))
+	f.Cases = len(cancelled)
+	for _, e := range h.filter(Worker, journal.Start) {
+		if c, ok := cancelled[e.Job]; ok && e.since(c.At) > cancelGrace {
+			f.violate("started after its cancel", c, e)
+		}
+	}
+}
+
+// checkKnown: no poll of an accepted job finds that it is not there, later than the grace after it was accepted. Cases
+// are the accepted jobs that were polled.
+func checkKnown(h History, f *Finding) {
+	accepted, polled, early := acceptedJobs(h), map[string]bool{}, 0
+	for _, e := range h.filter(Client, load.Poll) {
+		a, ok := accepted[e.Job]
+		if !ok {
+			continue
+		}
+		polled[e.Job] = true
+		switch {
+		case e.State != load.Missing:
+		case e.since(a.At) > knownGrace:
+			f.violate("accepted, then unknown", a, e)
+		case e.At >= a.At:
+			early++
+		}
+	}
+	f.Cases = len(polled)
+	if early > 0 {
+		f.Note = fmt.Sprintf("%d polls found no job within the grace", early)
+	}
+}
+
+// checkDone: when a poll finds a job done, every task of it has succeeded before. Cases are the jobs found done.
+func checkDone(h History, f *Finding) {
+	accepted, succeeded, checked := acceptedJobs(h), successfulEnds(h), map[string]bool{}
+	for _, e := range h.filter(Client, load.Poll) {
+		a, ok := accepted[e.Job]
+		if !ok || e.State != string(state.JobDone) || checked[e.Job] {
+			continue
+		}
+		checked[e.Job] = true
+		f.Cases++
+		for _, s := range a.Steps {
+			for n := range s.Tasks {
+				if end, ok := succeeded[task{e.Job, s.Name, n}]; !ok || end.At > e.At {
+					f.violate(fmt.Sprintf("shown as done, step %s task %d had not ended well", s.Name, n), a, e)
+				}
+			}
+		}
+	}
+}
+
+// checkRepair: after a disk was wiped and another node of the same role was killed, all that was accepted before is
+// still known. Cases are wipes with a later kill of another node and a poll after that.
+func checkRepair(h History, f *Finding) {
+	polls, accepted := h.filter(Client, load.Poll), acceptedJobs(h)
+	for _, wipe := range h.filter(Testbed, Wipe) {
+		kill, ok := secondLoss(h, wipe)
+		if !ok {
+			continue
+		}
+		isPolled := false
+		for _, p := range polls {
+			a, ok := accepted[p.Job]
+			if !ok || a.At > kill.At || p.At < kill.At {
+				continue
+			}
+			isPolled = true
+			if p.State == load.Missing && p.since(a.At) > knownGrace {
+				f.violate("lost after a repair and a second loss", wipe, kill, a, p)
+			}
+		}
+		if isPolled {
+			f.Cases++
+		}
+	}
+}
+
+// secondLoss returns the first kill, after a wipe, of another node of the same role, which its name begins with.
+func secondLoss(h History, wipe Event) (Event, bool) {
+	for _, kill := range h.filter(Testbed, Kill) {
+		if kill.Node != wipe.Node && kill.At >= wipe.At && kill.Node != "" && kill.Node[0] == wipe.Node[0] {
+			return kill, true
+		}
+	}
+	return Event{}, false
+}
--- a/internal/testbed/audit/outage.go
+++ b/internal/testbed/audit/outage.go
@@ -7,34 +7,33 @@
 	"crosstide/internal/testbed/load"
 )
 
-// Outage reports how long the service was away after a blow, in seconds; below 0: it was not seen to come back.
+// Outage is how long the service was away after a fault, in seconds; below 0: it was not seen to come back.
 type Outage struct {
-	FirstAccept float64 `json:"first_accept_s"` // until the yes to a job that was first handed in after the blow
-	FirstStart  float64 `json:"first_start_s"`  // until a run started after the blow
-	AcceptGap   float64 `json:"accept_gap_s"`   // the longest time without a yes, from the blow to the last yes
-	StartGap    float64 `json:"start_gap_s"`    // the longest time without a start, from the blow to the last start
+	FirstAccept float64 `json:"first_accept_s"` // until a job was accepted that was first submitted after the fault
+	FirstStart  float64 `json:"first_start_s"`  // until a run started after the fault
+	AcceptGap   float64 `json:"accept_gap_s"`   // the longest time without an acceptance, up to the last one
+	StartGap    float64 `json:"start_gap_s"`    // the longest time without a start, up to the last one
 }
 
-// MeasureOutage measures the outage after a blow. Example:
+// MeasureOutage measures the outage after a fault. Example:
 //
 //	outage := audit.MeasureOutage(history, killedAt)
 func MeasureOutage(h History, faultAt time.Time) Outage {
 	at := faultAt.UnixNano()
-	fresh := map[string]bool{}
+	isNew := map[string]bool{} // jobs first submitted after the fault
 	for _, e := range h.filter(Client, load.Submit) {
-		fresh[e.Job] = e.At > at
+		isNew[e.Job] = e.At > at
 	}
-	yes := h.filter(Client, load.Accepted)
-	starts := h.filter(Worker, journal.Start)
+	accepted := h.filter(Client, load.Accepted)
 	out := Outage{FirstAccept: -1}
-	for _, e := range yes {
-		if e.At > at && fresh[e.Job] {
+	for _, e := range accepted {
+		if e.At > at && isNew[e.Job] {
 			out.FirstAccept = e.since(at).Seconds()
 			break
 		}
 	}
-	_, out.AcceptGap = gaps(yes, at)
-	out.FirstStart, out.StartGap = gaps(starts, at)
+	_, out.AcceptGap = gaps(accepted, at)
+	out.FirstStart, out.StartGap = gaps(h.filter(Worker, journal.Start), at)
 	return out
 }
 
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -15,45 +15,56 @@
 	"crosstide/internal/testbed/load"
 )
 
-// maxProbed bounds how many accepted jobs are asked for.
-const maxProbed = 500
+const (
+	maxProbed    = 500 // accepted jobs that are asked for
+	probesAtOnce = 16
+	probeTimeout = 2 * time.Second
+)
 
-// Caller sends one call to a node (*fleet.Caller).
+// Caller sends one call to a node (*fleet.Caller). It may be called from many goroutines.
 type Caller interface {
 	Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (fleet.Reply, error)
 }
 
-// Probe polls accepted jobs, spread evenly over all, once at each in turn of the nodes, and gives the history
-// with what was answered, and how many answered. A node that is down or cannot confirm tells nothing.
-func Probe(ctx context.Context, h History, c Caller, nodes []fleet.Node) (History, int) {
+// Probe polls accepted jobs, spread evenly over all, each at one of the nodes in turn. It returns the history with the
+// answers as polls of a client, and how many answered. A node that is down or cannot confirm its state adds nothing.
+func Probe(ctx context.Context, h History, caller Caller, nodes []fleet.Node) (History, int) {
 	jobs := slices.Sorted(maps.Keys(acceptedJobs(h)))
 	if len(nodes) == 0 || len(jobs) == 0 {
 		return h, 0
 	}
-	step := max(1, (len(jobs)+maxProbed-1)/maxProbed)
+	every := max(1, (len(jobs)+maxProbed-1)/maxProbed)
 	var mu sync.Mutex
-	out := History{Events: slices.Clone(h.Events)}
-	got := 0
-	routine.Each((len(jobs)+step-1)/step, 16, func(i int) {
-		node := nodes[i%len(nodes)]
-		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/v1/jobs/"+jobs[i*step], nil, 2*time.Second)
-		if err != nil || !reply.IsSuccess() && reply.Status != http.StatusNotFound {
+	out, answered := History{Events: slices.Clone(h.Events)}, 0
+	routine.Each((len(jobs)+every-1)/every, probesAtOnce, func(i int) {
+		e, ok := probeJob(ctx, caller, nodes[i%len(nodes)], jobs[i*every])
+		if !ok {
 			return
 		}
-		e := Event{Source: Client, File: "probe", Line: i + 1, Node: node.Name, State: load.Missing}
-		e.Event, e.Job, e.At = load.Poll, jobs[i*step], time.Now().UnixNano()
-		if reply.IsSuccess() {
-			var view struct{ State string }
-			if json.Unmarshal(reply.Body, &view) != nil {
-				return
-			}
-			e.State = view.State
-		}
-		e.Raw = fmt.Sprintf(`{"at":%d,"ev":"poll","job":%q,"state":%q,"node":%q}`, e.At, e.Job, e.State, e.Node)
+		e.Line = i + 1
 		mu.Lock()
 		defer mu.Unlock()
-		got++
+		answered++
 		out.Events = append(out.Events, e)
 	})
-	return out, got
+	return out, answered
+}
+
+// probeJob asks a node for a job; false if the answer says nothing about it.
+func probeJob(ctx context.Context, caller Caller, node fleet.Node, job string) (Event, bool) {
+	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/jobs/"+job, nil, probeTimeout)
+	if err != nil || !reply.IsSuccess() && reply.Status != http.StatusNotFound {
+		return Event{}, false
+	}
+	e := Event{Source: Client, File: "probe", Node: node.Name, State: load.Missing}
+	e.Event, e.Job, e.At = load.Poll, job, time.Now().UnixNano()
+	if reply.IsSuccess() {
+		var view struct{ State string }
+		if json.Unmarshal(reply.Body, &view) != nil {
+			return Event{}, false
+		}
+		e.State = view.State
+	}
+	e.Raw = fmt.Sprintf(`{"at":%d,"ev":"poll","job":%q,"state":%q,"node":%q}`, e.At, e.Job, e.State, e.Node)
+	return e, true
 }
--- /dev/null
+++ b/internal/testbed/audit/windows.go
@@ -0,0 +1,94 @@
+package audit
+
+import (
+	"math"
+	"time"
+
+	"crosstide/internal/testbed/journal"
+)
+
+// window is a time, Unix ns, for which something holds; to is math.MaxInt64 until it is closed.
+type window struct {
+	event    Event // that opened it
+	from, to int64
+}
+
+func (w window) contains(at int64) bool { return at >= w.from && at <= w.to }
+
+// windows pairs the events that open a window with those that close it, by key.
+func windows(events []Event, key func(Event) string, opens func(Event) bool) map[string][]window {
+	out := map[string][]window{}
+	for _, e := range events {
+		k := key(e)
+		list := out[k]
+		isOpen := len(list) > 0 && list[len(list)-1].to == math.MaxInt64
+		switch {
+		case opens(e) && !isOpen:
+			out[k] = append(list, window{e, e.At, math.MaxInt64})
+		case !opens(e) && isOpen:
+			list[len(list)-1].to = e.At
+		}
+	}
+	return out
+}
+
+// reportedDrains are the drains of workers as these reported them, by worker; a new incarnation does not drain.
+func reportedDrains(h History) map[string][]window {
+	return windows(h.filter(Worker, journal.Drain, journal.NewIncarnation), func(e Event) string { return e.Worker },
+		func(e Event) bool { return e.Event == journal.Drain && e.OK })
+}
+
+// orderedDrains are the drains of workers as operators ordered them, by worker.
+func orderedDrains(h History) map[string][]window {
+	return windows(h.filter(Operator, Drain, Undrain), func(e Event) string { return e.Node },
+		func(e Event) bool { return e.Event == Drain })
+}
+
+// evacuations are those of zones as operators ordered them, by zone.
+func evacuations(h History) map[string][]window {
+	return windows(h.filter(Operator, Evacuate, Lift), func(e Event) string { return e.Zone },
+		func(e Event) bool { return e.Event == Evacuate })
+}
+
+func startedOn(worker string) func(Event) bool {
+	return func(e Event) bool { return e.Worker == worker }
+}
+
+func startedIn(zone string) func(Event) bool { return func(e Event) bool { return e.Zone == zone } }
+
+// checkDrain: no run on a worker that has been draining for longer than the grace, as it or an operator said.
+func checkDrain(h History, f *Finding) {
+	runs := flatten(spans(h))
+	for _, drains := range []map[string][]window{reportedDrains(h), orderedDrains(h)} {
+		for worker, list := range drains {
+			f.checkNoRuns(list, drainGrace, runs, startedOn(worker), "on a draining minion")
+		}
+	}
+}
+
+// checkEvacuation: no run in a zone that has been evacuated for longer than the grace.
+func checkEvacuation(h History, f *Finding) {
+	runs := flatten(spans(h))
+	for zone, list := range evacuations(h) {
+		f.checkNoRuns(list, evacuateGrace, runs, startedIn(zone), "in an evacuated zone")
+	}
+}
+
+// checkNoRuns finds the runs of concern that started in a window, or surely still ran, later than its grace. Each
+// window is a case.
+func (f *Finding) checkNoRuns(list []window, grace time.Duration, runs []span, concerns func(Event) bool,
+	where string) {
+	for _, w := range list {
+		f.Cases++
+		latest := w.from + int64(grace)
+		for _, s := range runs {
+			switch {
+			case !concerns(s.start) || s.start.At >= w.to:
+			case s.start.At > latest:
+				f.violate("started "+where, w.event, s.start)
+			case s.isEndKnown && min(s.to, w.to) > latest:
+				f.violate("still ran "+where, w.event, s.start)
+			}
+		}
+	}
+}
--- a/internal/testbed/operator/entry.go
+++ b/internal/testbed/operator/entry.go
@@ -9,7 +9,7 @@
 	Force       = "bundle" // a version was acknowledged as in force; Bundle is its text
 	Unanswered  = "unsure" // no answer came; Version may be in force from Sent on
 	ReadBack    = "read"   // the version in force was read back; SHA is of the bytes that came
-	NodeVersion = "has"    // Node reported its version, or (not OK) could not confirm it
+	NodeVersion = "has"    // Node reported its version, or (not OK) could not
 
 	Evacuate = "evacuate" // the evacuation of Zone was acknowledged
 	Lift     = "lift"     // the second signature for lifting it is about to be sent
