--- a/internal/testbed/netproxy/fault.go
+++ b/internal/testbed/netproxy/fault.go
@@ -1,5 +1,3 @@
-// Package netproxy is the faulty links of a rehearsal: TCP proxies on the way between any two nodes that lose bytes
-// in silence, hold them back or slow them down while a cut lasts.
 package netproxy
 
 import (
@@ -11,23 +9,17 @@
 	"crosstide/internal/rpc"
 )
 
-// Link is one link: From dials Listen to reach To at Dial.
-type Link struct {
-	From     string `json:"from"`
-	FromZone string `json:"from_zone"`
-	To       string `json:"to"`
-	ToZone   string `json:"to_zone"`
-	Listen   string `json:"listen"`
-	Dial     string `json:"dial"`
-}
-
-// Kind a cut works.
+// Kinds of faults.
 const (
-	Blackhole       = "silent" // what comes is swallowed; a connection that lost something is reset at the end of the cut
-	OneWayBlackhole = "oneway" // what the node or zone sends is swallowed, it still hears the others
-	AddLatency      = "slow"   // everything arrives Delay later
-	Stall           = "late"   // everything is held back and arrives, in order, at the end of the cut; what was sent by one
-	// that has closed its connection since arrives too
+	// Blackhole swallows what comes. A connection that lost something is reset at the end of the fault.
+	Blackhole = "silent"
+	// OneWayBlackhole swallows what the node or zone sends; it still receives.
+	OneWayBlackhole = "oneway"
+	// AddLatency delivers everything Fault.Delay later.
+	AddLatency = "slow"
+	// Stall holds everything back and delivers it, in order, at the end of the fault: also what was sent by one that
+	// has closed its connection since.
+	Stall = "late"
 )
 
 // Fault is an order to the links between a node, or a zone, and all others. It heals by itself after For.
@@ -36,10 +28,10 @@
 	Zone  string        `json:"zone,omitempty"`
 	Kind  string        `json:"how"`
 	For   time.Duration `json:"for"`             // ns
-	Delay time.Duration `json:"delay,omitempty"` // ns, of slow
+	Delay time.Duration `json:"delay,omitempty"` // ns, of AddLatency
 }
 
-// FaultAnswer reports how many links are touched.
+// FaultAnswer is how many links are affected.
 type FaultAnswer struct {
 	Links int `json:"links"`
 }
@@ -47,39 +39,39 @@
 // InjectFault is the call of the control port.
 var InjectFault = rpc.Endpoint[Fault, FaultAnswer]{Path: "/v1/cut"}
 
-// Check reports what is wrong with an order. Failure: Invalid.
-func (c Fault) Check() error {
+// Check validates a fault. Failure: Invalid.
+func (f Fault) Check() error {
 	switch {
-	case (c.Node == "") == (c.Zone == ""):
+	case (f.Node == "") == (f.Zone == ""):
 		return errs.Field(errs.Invalid, "node", "either a node or a zone must be given")
-	case c.For <= 0 || c.For > time.Hour:
-		return errs.Field(errs.Invalid, "for", "must be up to 1h, is %s", c.For)
-	case !slices.Contains([]string{Blackhole, OneWayBlackhole, AddLatency, Stall}, c.Kind):
-		return errs.Field(errs.Invalid, "how", "is %q", c.Kind)
-	case (c.Kind == AddLatency) != (c.Delay > 0):
-		return errs.Field(errs.Invalid, "delay", "goes with slow, is %s", c.Delay)
+	case f.For <= 0 || f.For > time.Hour:
+		return errs.Field(errs.Invalid, "for", "must be up to 1h, is %s", f.For)
+	case !slices.Contains([]string{Blackhole, OneWayBlackhole, AddLatency, Stall}, f.Kind):
+		return errs.Field(errs.Invalid, "how", "is %q", f.Kind)
+	case (f.Kind == AddLatency) != (f.Delay > 0):
+		return errs.Field(errs.Invalid, "delay", "goes with slow, is %s", f.Delay)
 	}
 	return nil
 }
 
-func (c Fault) isInside(node, zone string) bool {
-	return c.Node != "" && node == c.Node || c.Zone != "" && zone == c.Zone
+func (f Fault) isInside(node, zone string) bool {
+	return f.Node != "" && node == f.Node || f.Zone != "" && zone == f.Zone
 }
 
-// crosses reports whether a way leads over the cut; out: what From sends to To leaves the node or zone.
-func (c Fault) crosses(w Link) (yes, out bool) {
-	from, to := c.isInside(w.From, w.FromZone), c.isInside(w.To, w.ToZone)
+// affects reports whether a link leads into or out of the node or zone; isOutbound: what From sends to To leaves it.
+func (f Fault) affects(link Link) (isAffected, isOutbound bool) {
+	from, to := f.isInside(link.From, link.FromZone), f.isInside(link.To, link.ToZone)
 	return from != to, from
 }
 
-// verdictFor is what becomes of bytes.
+// verdict is what becomes of bytes.
 type verdict struct {
-	due  time.Duration // when they may go on
-	lost bool          // they may not
-	end  time.Duration // lost: when the cut is over
+	due    time.Duration // when they may go on
+	isLost bool          // they never may
+	end    time.Duration // isLost: when the fault is over
 }
 
-// faultSet knows the cuts at work.
+// faultSet is the faults that are active. The zero value has none.
 type faultSet struct {
 	mu     sync.Mutex
 	active []activeFault
@@ -90,30 +82,30 @@
 	end time.Duration
 }
 
-// add puts a cut to work from now on.
-func (g *faultSet) add(now time.Duration, c Fault) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.active = slices.DeleteFunc(g.active, func(l activeFault) bool { return l.end <= now })
-	g.active = append(g.active, activeFault{c, now + c.For})
+// add makes a fault active from now on.
+func (s *faultSet) add(now time.Duration, f Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.active = slices.DeleteFunc(s.active, func(old activeFault) bool { return old.end <= now })
+	s.active = append(s.active, activeFault{f, now + f.For})
 }
 
-// verdictFor judges bytes that come in now on a way; forward: from the one that dialed. Cuts add up.
-func (g *faultSet) verdictFor(now time.Duration, w Link, forward bool) verdict {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	f := verdict{due: now}
-	for _, c := range g.active {
-		yes, out := c.crosses(w)
+// verdictFor judges bytes that come in now on a link; isForward: from the end that dialed. Faults add up.
+func (s *faultSet) verdictFor(now time.Duration, link Link, isForward bool) verdict {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v := verdict{due: now}
+	for _, f := range s.active {
+		isAffected, isOutbound := f.affects(link)
 		switch {
-		case !yes || c.end <= now:
-		case c.Kind == Blackhole || c.Kind == OneWayBlackhole && out == forward:
-			f.lost, f.end = true, max(f.end, c.end)
-		case c.Kind == AddLatency:
-			f.due = max(f.due, now+c.Delay)
-		case c.Kind == Stall:
-			f.due = max(f.due, c.end)
+		case !isAffected || f.end <= now:
+		case f.Kind == Blackhole || f.Kind == OneWayBlackhole && isOutbound == isForward:
+			v.isLost, v.end = true, max(v.end, f.end)
+		case f.Kind == AddLatency:
+			v.due = max(v.due, now+f.Delay)
+		case f.Kind == Stall:
+			v.due = max(v.due, f.end)
 		}
 	}
-	return f
+	return v
 }
--- a/internal/testbed/netproxy/proxy.go
+++ b/internal/testbed/netproxy/proxy.go
@@ -1,13 +1,16 @@
+// Package netproxy is the network proxy of the testbed: a TCP proxy on the link between any two nodes, which loses
+// bytes without a reset, delays them or holds them back while a fault is active.
+//
+// Run listens on every link and on a control port. Each connection (connection.go) asks the faultSet (fault.go) what
+// becomes of each read; an order to the control port adds a Fault, which ends by itself. The proxy reads no protocol:
+// it neither drops single calls nor changes bytes.
 package netproxy
 
 import (
 	"context"
 	"encoding/json"
-	"errors"
-	"io"
 	"net"
 	"os"
-	"slices"
 	"time"
 
 	"github.com/go-kit/log"
@@ -20,13 +23,20 @@
 	"crosstide/internal/testbed/journal"
 )
 
-const (
-	bufferBytes       = 32 << 10
-	maxQueuedSegments = 4096 // chunks that a direction of a connection holds back at most; then it stops reading
-	dialTimeout       = 2 * time.Second
-)
+// serverGrace is how long an order that is being answered may take when the proxy stops.
+const serverGrace = time.Second
+
+// Link is one way on which a node dials another: From dials Listen to reach To, which listens at Dial.
+type Link struct {
+	From     string `json:"from"`
+	FromZone string `json:"from_zone"`
+	To       string `json:"to"`
+	ToZone   string `json:"to_zone"`
+	Listen   string `json:"listen"`
+	Dial     string `json:"dial"`
+}
 
-// Settings are those of `drill link`.
+// Settings are those of `crosstide-testbed link`.
 type Settings struct {
 	Control string `json:"control"` // host:port that takes orders
 	Journal string `json:"journal"`
@@ -43,226 +53,100 @@
 	return s, errs.Wrap(json.Unmarshal(raw, &s), errs.Settings, "%s", path)
 }
 
-// Proxy is a process's links.
+// Proxy is the links of a process and the faults on them.
 type Proxy struct {
 	settings Settings
 	clock    clock.Clock
 	logger   log.Logger
 	writer   *journal.Writer
-	group    *routine.Group
+	group    *routine.Group // of all connections
 	faults   faultSet
 }
 
-// Run opens the links and takes orders until ctx ends. Faults: Settings, Disk. Example:
+// Run opens the links and takes orders until ctx ends. Failures: Settings, Disk. Example:
 //
-//	err := netproxy.Run(ctx, set, clock.Real{}, logger)
+//	err := netproxy.Run(ctx, settings, clock.Real{}, logger)
 func Run(ctx context.Context, settings Settings, clock clock.Clock, logger log.Logger) error {
 	writer, err := journal.Open(settings.Journal)
 	if err != nil {
 		return errs.Pass(err, "links")
 	}
 	defer writer.Close()
-	l := &Proxy{settings: settings, clock: clock, logger: logger, writer: writer, group: routine.New(ctx)}
-	defer l.group.Stop()
-	for _, w := range settings.Links {
-		ln, err := net.Listen("tcp", w.Listen)
-		if err != nil {
-			return errs.Wrap(err, errs.Settings, "link from %s to %s", w.From, w.To)
+	p := &Proxy{settings: settings, clock: clock, logger: logger, writer: writer, group: routine.New(ctx)}
+	defer p.group.Stop()
+	for _, link := range settings.Links {
+		if err := p.listen(link); err != nil {
+			return errs.Pass(err, "links")
 		}
-		context.AfterFunc(l.group.Context(), func() { _ = ln.Close() })
-		l.group.Go(func(ctx context.Context) { l.accept(ctx, ln, w) })
 	}
-	srv := rpc.NewServer(rpc.ServerOptions{Addr: settings.Control, Logger: logger})
-	rpc.Handle(srv, InjectFault, func(_ context.Context, c Fault) (FaultAnswer, error) {
-		a, err := l.inject(c)
-		return a, errs.Pass(err, "order")
+	server := rpc.NewServer(rpc.ServerOptions{Addr: settings.Control, Logger: logger})
+	rpc.Handle(server, InjectFault, func(_ context.Context, f Fault) (FaultAnswer, error) {
+		answer, err := p.inject(f)
+		return answer, errs.Pass(err, "order")
 	})
-	if err := srv.Start(); err != nil {
+	if err := server.Start(); err != nil {
 		return errs.Pass(err, "control port of the links")
 	}
-	_ = level.Info(logger).Log("msg", "links are up", "links", len(settings.Links), "control", srv.Addr())
+	_ = level.Info(logger).Log("msg", "links opened", "links", len(settings.Links), "control", server.Addr())
 	<-ctx.Done()
-	return errs.Pass(srv.Stop(time.Second), "links")
+	return errs.Pass(server.Stop(serverGrace), "links")
 }
 
-// inject carries out an order, after it is in the journal, and journals when it is over.
-func (l *Proxy) inject(c Fault) (FaultAnswer, error) {
-	var answer FaultAnswer
-	if err := c.Check(); err != nil {
-		return answer, errs.Pass(err, "cut")
-	}
-	for _, w := range l.settings.Links {
-		if yes, _ := c.crosses(w); yes {
-			answer.Links++
-		}
-	}
-	if answer.Links == 0 {
-		return answer, errs.New(errs.Unknown, "no link leads to %s%s", c.Node, c.Zone)
-	}
-	record := func(ev string) error {
-		err := l.writer.Append(map[string]any{"at": l.clock.Wall().UnixNano(), "ev": ev, "node": c.Node, "zone": c.Zone,
-			"how": c.Kind, "for": c.For.String(), "delay": c.Delay.String()})
-		return errs.Pass(err, "links' journal")
-	}
-	if err := record("cut"); err != nil {
-		return answer, errs.Pass(err, "cut")
+// listen accepts connections of a link until the group stops.
+func (p *Proxy) listen(link Link) error {
+	listener, err := net.Listen("tcp", link.Listen)
+	if err != nil {
+		return errs.Wrap(err, errs.Settings, "link from %s to %s", link.From, link.To)
 	}
-	l.faults.add(l.clock.Now(), c)
-	l.clock.Set(c.For, func() {
-		if err := record("heal"); err != nil {
-			_ = level.Warn(l.logger).Log("msg", "journal", "err", err)
-		}
-	})
-	_ = level.Info(l.logger).Log("msg", "cut", "node", c.Node, "zone", c.Zone, "how", c.Kind, "for", c.For, "links", answer.Links)
-	return answer, nil
+	context.AfterFunc(p.group.Context(), func() { _ = listener.Close() })
+	p.group.Go(func(ctx context.Context) { p.accept(ctx, listener, link) })
+	return nil
 }
 
-func (l *Proxy) accept(ctx context.Context, ln net.Listener, w Link) {
+func (p *Proxy) accept(ctx context.Context, listener net.Listener, link Link) {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				_ = level.Error(l.logger).Log("msg", "a link has ended", "from", w.From, "to", w.To, "err", err)
+				_ = level.Error(p.logger).Log("msg", "link closed", "from", link.From, "to", link.To, "err", err)
 			}
 			return
 		}
-		l.group.Go(func(ctx context.Context) { l.serve(ctx, w, c.(*net.TCPConn)) })
+		p.group.Go(func(ctx context.Context) { p.serve(ctx, link, conn.(*net.TCPConn)) })
 	}
 }
 
-// connection is one connection through a link: its two ends, reset together.
-type connection struct {
-	*Proxy
-	Link
-	group *routine.Group
-}
-
-// serve leads one connection. The opening of it is judged as its bytes are: held back, or never answered.
-func (l *Proxy) serve(ctx context.Context, w Link, in *net.TCPConn) {
-	t := &connection{l, w, routine.New(ctx)}
-	defer t.group.Stop()
-	resetOnStop(t.group, in)
-	to := make(chan segment, maxQueuedSegments)
-	ended := make(chan struct{}, 2)
-	open := t.judge(true)
-	t.group.Go(func(context.Context) { t.read(in, true, to) }) // at once: bytes may come that are to be held back
-	if open.lost || !t.wait(open.due) {
-		<-t.group.Context().Done()
-		return
-	}
-	dialer := net.Dialer{Timeout: dialTimeout}
-	c, err := dialer.DialContext(t.group.Context(), "tcp", w.Dial)
-	if err != nil {
-		return // as the node's own kernel would: reset
+// inject makes a fault active, after it is in the journal, and journals its end.
+func (p *Proxy) inject(f Fault) (FaultAnswer, error) {
+	var answer FaultAnswer
+	if err := f.Check(); err != nil {
+		return answer, errs.Pass(err, "cut")
 	}
-	out := c.(*net.TCPConn)
-	resetOnStop(t.group, out)
-	from := make(chan segment, maxQueuedSegments)
-	t.group.Go(func(context.Context) { t.read(out, false, from) })
-	t.group.Go(func(context.Context) { t.write(out, to); ended <- struct{}{} })
-	t.group.Go(func(context.Context) { t.write(in, from); ended <- struct{}{} })
-	for range 2 {
-		select {
-		case <-ended:
-		case <-t.group.Context().Done():
+	for _, link := range p.settings.Links {
+		if isAffected, _ := f.affects(link); isAffected {
+			answer.Links++
 		}
 	}
-}
-
-// resetOnStop resets c when the group ends.
-func resetOnStop(g *routine.Group, c *net.TCPConn) {
-	context.AfterFunc(g.Context(), func() {
-		_ = c.SetLinger(0)
-		_ = c.Close()
-	})
-}
-
-// judge returns the fate of what comes now; what is lost dooms the connection: a stream with a gap cannot go on.
-func (t *connection) judge(forward bool) verdict {
-	now := t.clock.Now()
-	f := t.faults.verdictFor(now, t.Link, forward)
-	if f.lost {
-		t.clock.Set(f.end-now, t.group.Cancel)
-	}
-	return f
-}
-
-// wait waits until due, false if the connection ends before.
-func (t *connection) wait(due time.Duration) bool {
-	d := due - t.clock.Now()
-	if d <= 0 {
-		return true
+	if answer.Links == 0 {
+		return answer, errs.New(errs.Unknown, "no link leads to %s%s", f.Node, f.Zone)
 	}
-	elapsed := make(chan struct{})
-	timer := t.clock.Set(d, func() { close(elapsed) })
-	select {
-	case <-elapsed:
-		return true
-	case <-t.group.Context().Done():
-		timer.Stop()
-		return false
+	if err := p.record("cut", f); err != nil {
+		return answer, errs.Pass(err, "cut")
 	}
-}
-
-// segment is what came at one moment: bytes, or the stream's end.
-type segment struct {
-	data []byte
-	due  time.Duration
-	err  error // the end: io.EOF or a reset
-}
-
-// read takes in a direction's bytes until its end, or until something of it is lost; then all the rest is.
-func (t *connection) read(from *net.TCPConn, forward bool, to chan<- segment) {
-	buf := make([]byte, bufferBytes)
-	for {
-		n, err := from.Read(buf)
-		f := t.judge(forward)
-		if f.lost {
-			_, _ = io.Copy(io.Discard, from) // nothing of it matters any more
-			return
-		}
-		if n > 0 && !t.enqueue(to, segment{data: slices.Clone(buf[:n]), due: f.due}) {
-			return
-		}
-		if err != nil {
-			t.enqueue(to, segment{due: f.due, err: err})
-			return
+	p.faults.add(p.clock.Now(), f)
+	p.clock.Set(f.For, func() {
+		if err := p.record("heal", f); err != nil {
+			_ = level.Warn(p.logger).Log("msg", "journal not written", "err", err)
 		}
-	}
-}
-
-func (t *connection) enqueue(to chan<- segment, p segment) bool {
-	select {
-	case to <- p:
-		return true
-	case <-t.group.Context().Done():
-		return false
-	}
+	})
+	_ = level.Info(p.logger).Log("msg", "fault injected", "node", f.Node, "zone", f.Zone, "how", f.Kind, "for", f.For,
+		"links", answer.Links)
+	return answer, nil
 }
 
-// write lets pieces go on when they are due. An end goes on as what it was, a reset takes both sides.
-func (t *connection) write(to *net.TCPConn, from <-chan segment) {
-	for {
-		var p segment
-		select {
-		case p = <-from:
-		case <-t.group.Context().Done():
-			return
-		}
-		if !t.wait(p.due) {
-			return
-		}
-		if len(p.data) > 0 {
-			if _, err := to.Write(p.data); err != nil {
-				t.group.Cancel()
-				return
-			}
-		}
-		if p.err != nil {
-			if !errors.Is(p.err, io.EOF) || to.CloseWrite() != nil {
-				t.group.Cancel()
-			}
-			return
-		}
-	}
+// record journals an event of a fault.
+func (p *Proxy) record(event string, f Fault) error {
+	err := p.writer.Append(map[string]any{"at": p.clock.Wall().UnixNano(), "ev": event, "node": f.Node, "zone": f.Zone,
+		"how": f.Kind, "for": f.For.String(), "delay": f.Delay.String()})
+	return errs.Pass(err, "links' journal")
 }
--- a/internal/testbed/netproxy/proxy_test.go
+++ b/internal/testbed/netproxy/proxy_test.go
@@ -18,12 +18,12 @@
 
 var way = Link{From: "d1", FromZone: "z1", To: "c2", ToZone: "z2"}
 
-func TestGate(t *testing.T) {
+func TestFaultSet(t *testing.T) {
 	Convey("A cut touches what crosses it, for its time; cuts add up", t, func() {
 		g := &faultSet{}
 		out := func(now time.Duration, w Link, forward bool) []any {
 			f := g.verdictFor(now, w, forward)
-			return []any{f.lost, f.end, f.due}
+			return []any{f.isLost, f.end, f.due}
 		}
 		sameZone := Link{From: "d1", FromZone: "z1", To: "c1", ToZone: "z1"}
 		g.add(0, Fault{Zone: "z1", Kind: Blackhole, For: 10})
@@ -113,7 +113,7 @@
 	return b[0]
 }
 
-func TestLinks(t *testing.T) {
+func TestProxy(t *testing.T) {
 	Convey("Bytes and ends go through, both ways", t, func() {
 		_, _, dial := pipe(t)
 		c := dial()
