--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -115,7 +115,7 @@
 		So(ends(c, 2*time.Second), ShouldResemble, []jobs.EndReason{jobs.EndDone, jobs.EndLeaseExpired})
 		So(c.Status(2 * time.Second).Ended[1].Checkpoint, ShouldEqual, "900")
 	})
-	Convey("A hold call renews the lease, a fenced one does nothing", t, func() {
+	Convey("A renewal extends the lease, a fenced one does nothing", t, func() {
 		c, _ := newCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":-1}`)), ShouldEqual, "")
 		So(c.RenewLease(900*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 3, Deadline: 3 * time.Second}), ShouldBeNil)
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -32,7 +32,7 @@
 	leader     string
 }
 
-// Beat keeps a heartbeat.
+// Heartbeat keeps a heartbeat.
 func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,7 +40,7 @@
 	return controller.HeartbeatAnswer{HeartbeatAddress: f.leader}, nil
 }
 
-// waitForEnd gives the first heartbeat that is as wanted, once there is one.
+// await returns the first heartbeat that is as wanted, once there is one.
 func (f *fakeCore) await(wanted func(controller.HeartbeatCall) bool) controller.HeartbeatCall {
 	for {
 		f.mu.Lock()
@@ -96,14 +96,14 @@
 		call := context.Background()
 		order := scheduler.StartOrder{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}, Payload: `{"ms":30}`, Token: 1, LeaseDeadline: time.Hour}
 
-		Convey("it carries orders out, and a hold call waits for the end", func() {
+		Convey("it carries orders out, and a lease renewal waits for the end", func() {
 			answer, err := client.Start(call, worker, order)
 			So([]any{answer.Refusal, err}, ShouldResemble, []any{scheduler.Refusal(""), nil})
 			lists, err := client.RenewLease(call, worker, scheduler.LeaseRenewal{Token: 1, Wait: 20 * time.Second})
 			So(err, ShouldBeNil)
 			So(lists.Ended, ShouldResemble, []scheduler.EndedRun{{Sequence: 1, Key: order.Key, Reason: jobs.EndDone}})
 		})
-		Convey("another life is not here, and a lower token does nothing", func() {
+		Convey("another incarnation is not here, and a lower token does nothing", func() {
 			other := worker
 			other.ID = "w-0"
 			_, err := client.Start(call, other, order)
--- a/internal/testbed/journal/journal.go
+++ b/internal/testbed/journal/journal.go
@@ -1,4 +1,8 @@
-// Package journal is the witness of a rehearsal: append-only JSON lines that trust no daemon.
+// Package journal is the history that a run of the testbed leaves behind: append-only JSON lines, one file a writer,
+// which package audit checks. It trusts no daemon: each line says what its writer itself did or was answered.
+//
+// A Writer appends to DIR/journal/NAME.jsonl; Lines reads all of them back. Entry is the line of a stand-in worker; the
+// other writers have entries of their own (packages load and operator, and the faults that the testbed injects).
 package journal
 
 import (
@@ -15,19 +19,19 @@
 	"crosstide/internal/errs"
 )
 
-// What an Entry of a minion tells.
+// Events of an Entry.
 const (
-	NewIncarnation = "boot"   // the process began under a new boot id
+	NewIncarnation = "boot"   // the process began under a new incarnation
 	Order          = "order"  // a start order came
 	Start          = "start"  // its run began
-	Refuse         = "refuse" // it was refused, Why says for what
-	Stop           = "stop"   // a run was killed on an order, or as the minion left
-	End            = "end"    // a run came to its own end, OK says how
-	Expire         = "lapse"  // a run was killed (or not begun) as its hold had lapsed
-	Drain          = "drain"  // draining was switched, OK says to what
+	Refuse         = "refuse" // it was refused for Reason
+	Stop           = "stop"   // a run was killed on an order, or as the worker left
+	End            = "end"    // a run ended by itself; OK: it succeeded
+	Expire         = "lapse"  // a run was killed (or not begun) as its lease had expired
+	Drain          = "drain"  // draining was switched; OK: on
 )
 
-// Entry is one line of a minion's journal.
+// Entry is one line of a worker's journal. Labels, Cores and GPUs are the worker's with NewIncarnation, else the run's.
 type Entry struct {
 	At          int64             `json:"at"` // Unix time in ns, of writing
 	Event       string            `json:"ev"`
@@ -39,14 +43,14 @@
 	Epoch       uint64            `json:"epoch"` // of the call that brought the order
 	Type        string            `json:"type"`
 	Zone        string            `json:"zone"`
-	Rack        string            `json:"rack,omitempty"` // boot: of the minion
+	Rack        string            `json:"rack,omitempty"` // of the worker, with NewIncarnation
 	OK          bool              `json:"ok"`
 	Step        string            `json:"step,omitempty"`
 	Queue       string            `json:"queue,omitempty"`
-	Labels      map[string]string `json:"labels,omitempty"` // boot: of the minion; else: that the step asks for
-	Cores       int               `json:"cores,omitempty"`  // boot: of the minion; else: of the run
+	Labels      map[string]string `json:"labels,omitempty"` // of the worker, or that the step asks for
+	Cores       int               `json:"cores,omitempty"`  // of the worker, or of the run
 	GPUs        int               `json:"gpus,omitempty"`
-	Clock       int64             `json:"clock,omitempty"` // the minion's own clock in ns
+	Clock       int64             `json:"clock,omitempty"` // the worker's own clock in ns
 	Reason      string            `json:"why,omitempty"`
 }
 
@@ -57,7 +61,7 @@
 }
 
 // Open opens path for appending, with its folder if need be. A torn last line, left by a killed writer, is cut.
-// Faults: Disk.
+// Failure: Disk.
 func Open(path string) (*Writer, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "folder of journal %s", path)
@@ -88,7 +92,7 @@
 // Append writes v, commonly an Entry, as one line by one write(2): a process killed afterwards loses nothing.
 // Faults: Internal (v is no JSON), Disk. Example:
 //
-//	err := w.Append(journal.Entry{At: time.Now().UnixNano(), Ev: journal.Incarnation, Minion: "m1"})
+//	err := w.Append(journal.Entry{At: time.Now().UnixNano(), Event: journal.NewIncarnation, Worker: "m1"})
 func (w *Writer) Append(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -112,7 +116,7 @@
 	Raw    []byte // valid JSON, kept by nobody else
 }
 
-// Entry decodes the line as a minion's. Failure: Damaged.
+// Entry decodes the line as a worker's. Failure: Damaged.
 func (l Line) Entry() (Entry, error) {
 	var e Entry
 	err := json.Unmarshal(l.Raw, &e)
@@ -120,8 +124,8 @@
 }
 
 // Lines goes over all lines of dir/journal/*.jsonl, by file name and then in order of writing. A last line
-// without its line end is torn and left out. Any other line that is no JSON is yielded with a Damaged fault;
-// a file that cannot be read with a Disk fault. Example:
+// without its line end is torn and left out. Any other line that is no JSON is yielded with the failure
+// Damaged, a file that cannot be read with Disk. Example:
 //
 //	for line, err := range journal.Lines(dir) {
 //		if err != nil {
