--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -15,7 +15,7 @@
 const maxEndsPerAnswer = 200
 
 // Core is one incarnation of a worker as a step machine, without a clock or a network of its own. Every method takes
-// the time on the worker's clock, which must not go back. It is not safe for concurrent use: its owner, Host, guards it.
+// the time on the worker's clock, which must not go back. It is not safe for concurrent use; its owner is Host.
 type Core struct {
 	id             string
 	capacity       jobs.Resources
--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -1,10 +1,13 @@
-// Package policyworker is the stand-in minion of the rehearsal kit: a pure step machine (Core) that keeps the contract
-// of docs/ops/minion-contract.md, and the process around it (Host).
+// Package policyworker is the stand-in worker of the testbed for the policy deployment, by the contract of
+// docs/ops/minion-contract.md. It starts no real work: a run is a program, a length of time and an outcome.
+//
+// Core is a pure step machine: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions what is to be done. Host
+// is the process around one or many cores, on a real clock; the simulator internal/testbed/policysim drives the same
+// Core on a virtual one. Begin with Core.process and Core.RenewLease.
 package policyworker
 
 import (
 	"math"
-	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -13,27 +16,27 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// Kinds of minions.
+// Kinds of workers.
 const (
-	KindObey  = "obey"  // starts whatever it is told
+	KindObey  = "obey"  // starts whatever it is ordered to
 	KindCheck = "check" // refuses late, old and unfitting orders
 )
 
-// Never is the Wake of a core that waits for nothing but calls.
+// Never is Actions.WakeAt of a core that waits for nothing but calls.
 const Never = time.Duration(math.MaxInt64)
 
-// Traits are what a core is, for the whole of one boot.
+// Traits are what a core is, for all of one incarnation.
 type Traits struct {
 	Name, Incarnation string
-	Kind              string // Obey or Check
+	Kind              string // KindObey or KindCheck
 	Zone, Rack        string
 	Labels            map[string]string
 	Cores             int
 	GPUs              int
-	Grace             time.Duration // how long a leaving minion waits for its runs and for its ends to be acknowledged
-	FailProbability   float64       // probability that a run ends in a fault
+	Grace             time.Duration // of a worker that leaves, for its runs to end and its ends to be acknowledged
+	FailProbability   float64       // that a run fails
 	SlowFactor        float64       // runs take up to this many times as long; at most 1: as long as they say
-	Seed              uint64        // of Fail and Slow; what a run ID meets does not depend on the order of calls
+	Seed              uint64        // of both; what a run meets depends on its ID, not on the order of calls
 }
 
 // Reply answers the call that came with Tag.
@@ -46,48 +49,42 @@
 // Actions is what an input brings about, to be done in the order of the fields.
 type Actions struct {
 	Journal []journal.Entry // At is not set
-	Replies []Reply         // a call without a reply in its own step is parked
-	WakeAt  time.Duration   // the clock reading to call Tick at, or Never
+	Replies []Reply         // a call without a reply in its own step is a long poll
+	WakeAt  time.Duration   // the reading of the worker's clock to call Tick at, or Never
 	Exit    bool            // the process is to exit
 }
 
-// Core is one boot of a minion as a pure step machine: no clock, socket or goroutine of its own. Every input
-// carries the minion's own clock, which starts at 0 with the boot, counts suspension and never goes back.
-// It is not safe for concurrent use. Example:
+// Core is one incarnation of a worker as a pure step machine: no clock, socket or goroutine of its own. Every input
+// carries the worker's own clock, which starts at 0 with the incarnation, counts suspension and never goes back.
+// It is not safe for concurrent use; its owner is a driver of Host, or the simulator. Example:
 //
-//	core := policyworker.NewCore(policyworker.Traits{Name: "m1", Boot: "b1", Kind: policyworker.KindCheck, Zone: "z1", Cores: 4})
+//	core := policyworker.NewCore(policyworker.Traits{Name: "m1", Incarnation: "b1", Kind: policyworker.KindCheck,
+//		Zone: "z1", Cores: 4})
 //	core.Start()
-//	step := core.RenewLease(5*time.Millisecond, 1, internalapi.HoldCall{Call: 1, Epoch: 7, Minion: "m1", Boot: "b1"})
-//	// step.Replies[0].Tag is 1
+//	actions := core.RenewLease(5*time.Millisecond, 1, internalapi.LeaseCall{Call: 1, Epoch: 7, Worker: "m1",
+//		Incarnation: "b1"})
+//	// actions.Replies[0].Tag is 1
 type Core struct {
 	traits         Traits
-	epoch          uint64 // newest seen
-	highestRunID   uint64 // highest run ID seen in a start order
-	runIDFloor     uint64
-	runs           []*run // in order of starting
-	unacknowledged []internalapi.RunEnd
-	usedCores      int // taken by runs
-	usedGPUs       int
-	draining       bool
-	leaveDeadline  time.Duration // when a leaving minion gives up waiting; Never if it does not leave
-	exited         bool
-
-	hasUpdate   bool // something to say since the last answer
-	pendingPoll *longPoll
-
-	now     time.Duration
-	actions *Actions // being made
-}
-
-type run struct {
-	order      internalapi.StartOrder
-	epoch      uint64
-	endsAt     time.Duration // Never for a standing run
-	leaseUntil time.Duration
-	outcome    string
-	reason     string
+	epoch          uint64               // newest seen
+	highestRunID   uint64               // seen in a start order
+	runIDFloor     uint64               // no run ID up to it may start any more; it only grows
+	runs           []*run               // in the order they started
+	unacknowledged []internalapi.RunEnd // ends that are listed until acknowledged; one for each run ID
+	usedCores      int                  // of runs
+	usedGPUs       int                  // of runs
+	isDraining     bool
+	leaveDeadline  time.Duration // when a worker that leaves gives up waiting; Never: it does not leave
+	hasExited      bool
+
+	hasUpdate   bool      // something to report since the last answer
+	pendingPoll *longPoll // the call that waits for an update; nil: none
+
+	now     time.Duration // of the present step
+	actions *Actions      // of the present step, being made
 }
 
+// longPoll is a call that is answered when there is an update, at its deadline or when a newer call comes.
 type longPoll struct {
 	tag      uint64
 	call     uint64
@@ -97,44 +94,33 @@
 // NewCore makes a core that has not started.
 func NewCore(t Traits) *Core { return &Core{traits: t, leaveDeadline: Never, hasUpdate: true} }
 
-// Start journals the boot, at clock 0.
+// Start journals the incarnation, at clock 0.
 func (c *Core) Start() Actions {
 	return c.process(0, func() { c.record(journal.NewIncarnation, nil, c.traits.Kind) })
 }
 
-// RenewLease takes in a hold call; tag names it in Step.Replies, in this step or in a later one. The arrival of a call
-// answers a parked one first, with what was known before.
+// RenewLease carries out a lease call; tag names it in Actions.Replies, of this step or of a later one. A pending long
+// poll is answered first, with what was known before.
 func (c *Core) RenewLease(now time.Duration, tag uint64, call internalapi.LeaseCall) Actions {
 	return c.process(now, func() {
 		c.answerPendingPoll()
-		if call.Worker != c.traits.Name {
-			c.replyError(tag, errs.Field(errs.Unknown, "minion", "this is %s", c.traits.Name))
-			return
-		}
-		if c.traits.Kind == KindCheck && call.Epoch < c.epoch {
-			c.replyError(tag, errs.Field(errs.Stale, "epoch", "epoch %d is over, %d was seen", call.Epoch, c.epoch))
+		if err := c.checkCall(call); err != nil {
+			c.replyError(tag, err)
 			return
 		}
-		c.hasUpdate = c.hasUpdate || call.Epoch > c.epoch || call.Floor > c.runIDFloor || call.Incarnation != "" && call.Incarnation != c.traits.Incarnation
-		c.epoch, c.runIDFloor = max(c.epoch, call.Epoch), max(c.runIDFloor, call.Floor)
-		c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e internalapi.RunEnd) bool { return slices.Contains(call.Acked, e.RunID) })
-		if call.Incarnation == c.traits.Incarnation || call.Incarnation == "" { // Until is a reading of that boot's clock
-			for _, r := range c.runs {
-				if slices.Contains(call.Renew, r.order.RunID) {
-					r.leaseUntil = max(r.leaseUntil, call.RenewUntil)
-				}
-			}
-		}
+		c.observe(call)
+		c.renew(call)
 		for _, s := range call.Stops {
-			c.endRuns(func(r *run) bool { return r.order.RunID == s.RunID }, journal.Stop, internalapi.OutcomeStopped, s.Why)
+			isMeant := func(r *run) bool { return r.order.RunID == s.RunID }
+			c.endRuns(isMeant, journal.Stop, internalapi.OutcomeStopped, s.Why)
 		}
 		var refused []internalapi.StartRefusal
-		for _, o := range call.Starts {
-			if reason := c.startRun(call, o); reason != "" {
-				refused = append(refused, internalapi.StartRefusal{RunID: o.RunID, Why: reason})
+		for _, order := range call.Starts {
+			if reason := c.startRun(call, order); reason != "" {
+				refused = append(refused, internalapi.StartRefusal{RunID: order.RunID, Why: reason})
 			}
 		}
-		c.endDueRuns() // runs that end at once are told at once
+		c.endDueRuns() // runs that end at once are reported at once
 		if call.Wait > 0 && len(call.Starts) == 0 && !c.hasUpdate {
 			c.pendingPoll = &longPoll{tag: tag, call: call.Call, deadline: addSaturating(c.now, call.Wait)}
 			return
@@ -143,7 +129,44 @@
 	})
 }
 
-// Tick lets time pass: runs end, holds lapse, parked calls are answered.
+// checkCall rejects a call to another worker and, of a checking worker, one of an older epoch.
+func (c *Core) checkCall(call internalapi.LeaseCall) error {
+	if call.Worker != c.traits.Name {
+		return errs.Field(errs.Unknown, "minion", "this is %s", c.traits.Name)
+	}
+	if c.traits.Kind == KindCheck && call.Epoch < c.epoch {
+		return errs.Field(errs.Stale, "epoch", "epoch %d is over, %d was seen", call.Epoch, c.epoch)
+	}
+	return nil
+}
+
+// observe keeps the epoch, the floor and the acknowledgements of a call. A new epoch or floor is answered at once, and
+// so is a caller that knows another incarnation.
+func (c *Core) observe(call internalapi.LeaseCall) {
+	isOtherIncarnation := call.Incarnation != "" && call.Incarnation != c.traits.Incarnation
+	if call.Epoch > c.epoch || call.Floor > c.runIDFloor || isOtherIncarnation {
+		c.hasUpdate = true
+	}
+	c.epoch, c.runIDFloor = max(c.epoch, call.Epoch), max(c.runIDFloor, call.Floor)
+	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e internalapi.RunEnd) bool {
+		return slices.Contains(call.Acked, e.RunID)
+	})
+}
+
+// renew extends the leases that a call names. The new deadline is a reading of the clock of the incarnation that the
+// caller knows: one of another incarnation's clock extends nothing.
+func (c *Core) renew(call internalapi.LeaseCall) {
+	if call.Incarnation != c.traits.Incarnation && call.Incarnation != "" {
+		return
+	}
+	for _, r := range c.runs {
+		if slices.Contains(call.Renew, r.order.RunID) {
+			r.leaseUntil = max(r.leaseUntil, call.RenewUntil)
+		}
+	}
+}
+
+// Tick lets time pass: runs end, leases expire, a long poll is answered.
 func (c *Core) Tick(now time.Duration) Actions { return c.process(now, func() {}) }
 
 // Drain switches draining. With leave it is final: the core leaves once nothing runs and all ends are
@@ -151,8 +174,8 @@
 func (c *Core) Drain(now time.Duration, on, leave bool) Actions {
 	return c.process(now, func() {
 		on = on || leave || c.leaveDeadline != Never
-		if on != c.draining {
-			c.draining, c.hasUpdate = on, true
+		if on != c.isDraining {
+			c.isDraining, c.hasUpdate = on, true
 			c.record(journal.Drain, &run{outcome: map[bool]string{true: internalapi.OutcomeOK}[on]}, "")
 		}
 		if leave && c.leaveDeadline == Never {
@@ -161,7 +184,7 @@
 	})
 }
 
-// AnswerLost reports that the answer to the call tagged tag did not get out: what it said is news again.
+// AnswerLost reports that the answer to the call tagged tag did not get out: what it reported is an update again.
 func (c *Core) AnswerLost(tag uint64) {
 	c.hasUpdate = true
 	if c.pendingPoll != nil && c.pendingPoll.tag == tag {
@@ -169,147 +192,37 @@
 	}
 }
 
-// process makes a step: what time brought first, then what the input brings, then what follows.
-func (c *Core) process(now time.Duration, work func()) Actions {
+// process makes a step: first what is due, then the input, then what follows from both.
+func (c *Core) process(now time.Duration, input func()) Actions {
 	c.now, c.actions = max(c.now, now), &Actions{WakeAt: Never}
 	c.endDueRuns()
-	work()
+	input()
 	if c.leaveDeadline <= c.now {
-		c.endRuns(func(*run) bool { return true }, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
+		all := func(*run) bool { return true }
+		c.endRuns(all, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
 	}
-	idle := len(c.runs) == 0 && len(c.unacknowledged) == 0
-	c.exited = c.exited || c.leaveDeadline <= c.now || c.leaveDeadline != Never && idle
-	if p := c.pendingPoll; p != nil && (c.hasUpdate || c.exited || p.deadline <= c.now) {
+	isIdle := len(c.runs) == 0 && len(c.unacknowledged) == 0
+	c.hasExited = c.hasExited || c.leaveDeadline <= c.now || c.leaveDeadline != Never && isIdle
+	if p := c.pendingPoll; p != nil && (c.hasUpdate || c.hasExited || p.deadline <= c.now) {
 		c.answerPendingPoll()
 	}
-	c.actions.Exit = c.exited
-	if !c.exited {
-		c.actions.WakeAt = c.leaveDeadline
-		for _, r := range c.runs {
-			c.actions.WakeAt = min(c.actions.WakeAt, r.endsAt, r.leaseUntil)
-		}
-		if c.pendingPoll != nil {
-			c.actions.WakeAt = min(c.actions.WakeAt, c.pendingPoll.deadline)
-		}
+	c.actions.Exit = c.hasExited
+	if !c.hasExited {
+		c.actions.WakeAt = c.nextDeadline()
 	}
 	return *c.actions
 }
 
-// endDueRuns ends what time has ended: lapses first, so that a run that outlived its hold never counts as well done.
-func (c *Core) endDueRuns() {
-	c.endRuns(func(r *run) bool { return r.leaseUntil <= c.now }, journal.Expire, internalapi.OutcomeLeaseExpired, "the hold lapsed")
-	c.endRuns(func(r *run) bool { return r.endsAt <= c.now }, journal.End, "", "")
-}
-
-// endRuns takes out the runs that match; an empty how leaves them their own.
-func (c *Core) endRuns(match func(*run) bool, event, outcome, reason string) {
-	c.runs = slices.DeleteFunc(c.runs, func(r *run) bool {
-		if !match(r) {
-			return false
-		}
-		if outcome != "" {
-			r.outcome, r.reason = outcome, reason
-		}
-		c.usedCores -= r.order.Cores
-		c.usedGPUs -= r.order.GPUs
-		c.recordEnd(event, r)
-		return true
-	})
-}
-
-// recordEnd journals an end and lists it, once per run ID: an obeying minion may run a run ID twice.
-func (c *Core) recordEnd(event string, r *run) {
-	listed := slices.ContainsFunc(c.unacknowledged, func(e internalapi.RunEnd) bool { return e.RunID == r.order.RunID })
-	if !listed {
-		c.unacknowledged = append(c.unacknowledged, internalapi.RunEnd{RunID: r.order.RunID, Outcome: r.outcome, Reason: r.reason})
-	}
-	c.hasUpdate = true
-	c.record(event, r, r.reason)
-}
-
-// startRun carries out a start order, or tells why not.
-func (c *Core) startRun(call internalapi.LeaseCall, o internalapi.StartOrder) (refused string) {
-	r := &run{order: o, epoch: call.Epoch, leaseUntil: o.LeaseUntil}
-	c.record(journal.Order, r, "")
-	if c.traits.Kind == KindCheck {
-		refused = c.refusalReason(call, o)
-	}
-	c.highestRunID = max(c.highestRunID, o.RunID)
-	c.hasUpdate = true
-	if refused != "" {
-		c.record(journal.Refuse, r, refused)
-		return refused
-	}
-	if o.LeaseUntil <= c.now { // a hold that is over already: even an obeying minion does not run past it
-		r.outcome, r.reason = internalapi.OutcomeLeaseExpired, "the hold had lapsed before the start"
-		if c.isRunning(o.RunID) {
-			c.record(journal.Expire, r, r.reason)
-		} else {
-			c.recordEnd(journal.Expire, r)
-		}
-		return ""
-	}
-	c.drawOutcome(r)
-	c.runs = append(c.runs, r)
-	c.usedCores += o.Cores
-	c.usedGPUs += o.GPUs
-	c.record(journal.Start, r, "")
-	return ""
-}
-
-// refusalReason returns the first reason for which a checking minion refuses o; "" if there is none.
-func (c *Core) refusalReason(call internalapi.LeaseCall, o internalapi.StartOrder) string {
-	switch {
-	case call.Incarnation != c.traits.Incarnation:
-		return "boot"
-	case o.RunID <= c.highestRunID:
-		return "ticket"
-	case o.RunID <= c.runIDFloor:
-		return "floor"
-	case c.now > o.StartBy, c.now >= o.LeaseUntil:
-		return "late"
-	case c.usedCores+o.Cores > c.traits.Cores, c.usedGPUs+o.GPUs > c.traits.GPUs:
-		return "room"
-	case !c.hasLabels(o.Labels):
-		return "label"
-	case c.draining:
-		return "drain"
-	}
-	return ""
-}
-
-func (c *Core) hasLabels(labels map[string]string) bool {
-	for k, v := range labels {
-		if have, ok := c.traits.Labels[k]; !ok || have != v {
-			return false
-		}
-	}
-	return true
-}
-
-func (c *Core) isRunning(t uint64) bool {
-	return slices.ContainsFunc(c.runs, func(r *run) bool { return r.order.RunID == t })
-}
-
-// drawOutcome sets when and how r will end by itself.
-func (c *Core) drawOutcome(r *run) {
-	program, err := parseProgram(r.order.Run)
-	if err != nil {
-		r.endsAt, r.outcome, r.reason = c.now, internalapi.OutcomeFailed, errs.Of(err).Message
-		return
-	}
-	rng := rand.New(rand.NewPCG(c.traits.Seed, r.order.RunID))
-	fails, factor := rng.Float64() < c.traits.FailProbability, 1+rng.Float64()*max(c.traits.SlowFactor-1, 0)
-	r.endsAt, r.outcome = Never, internalapi.OutcomeOK
-	if program.duration >= 0 {
-		r.endsAt = addSaturating(c.now, time.Duration(float64(program.duration)*factor))
+// nextDeadline is when something is due without a call, or Never.
+func (c *Core) nextDeadline() time.Duration {
+	next := c.leaveDeadline
+	for _, r := range c.runs {
+		next = min(next, r.endsAt, r.leaseUntil)
 	}
-	switch {
-	case !program.succeeds:
-		r.outcome, r.reason = internalapi.OutcomeFailed, "the run is not ok"
-	case fails:
-		r.outcome, r.reason = internalapi.OutcomeFailed, "failed by chance"
+	if c.pendingPoll != nil {
+		next = min(next, c.pendingPoll.deadline)
 	}
+	return next
 }
 
 func (c *Core) answerPendingPoll() {
@@ -323,6 +236,7 @@
 	c.actions.Replies = append(c.actions.Replies, Reply{Tag: tag, Err: err})
 }
 
+// replyAnswer reports all that there is. A listed end is proof that nothing of its run ID runs.
 func (c *Core) replyAnswer(tag, call uint64, refused []internalapi.StartRefusal) {
 	var running []uint64
 	for _, r := range c.runs {
@@ -330,22 +244,24 @@
 	}
 	slices.Sort(running)
 	ended := slices.Clone(c.unacknowledged)
-	// A listed end is proof that nothing of the run ID runs.
 	ended = slices.DeleteFunc(ended, func(e internalapi.RunEnd) bool { return c.isRunning(e.RunID) })
 	c.hasUpdate = false
+	t := &c.traits
 	c.actions.Replies = append(c.actions.Replies, Reply{Tag: tag, Answer: internalapi.LeaseAnswer{
-		Call: call, Epoch: c.epoch, Incarnation: c.traits.Incarnation, Clock: c.now, Seen: c.highestRunID, Floor: c.runIDFloor,
+		Call: call, Epoch: c.epoch, Incarnation: t.Incarnation, Clock: c.now, Seen: c.highestRunID, Floor: c.runIDFloor,
 		Running: slices.Compact(running), Ended: ended, Refused: refused,
-		Kind: c.traits.Kind, Zone: c.traits.Zone, Rack: c.traits.Rack, Labels: c.traits.Labels, Cores: c.traits.Cores, GPUs: c.traits.GPUs,
-		Draining: c.draining,
+		Kind: t.Kind, Zone: t.Zone, Rack: t.Rack, Labels: t.Labels, Cores: t.Cores, GPUs: t.GPUs,
+		Draining: c.isDraining,
 	}})
 }
 
-// record journals ev about r, nil for the minion itself.
+// record journals an event about r, nil for the worker itself.
 func (c *Core) record(event string, r *run, reason string) {
-	e := journal.Entry{Event: event, Worker: c.traits.Name, Incarnation: c.traits.Incarnation, Zone: c.traits.Zone, Clock: int64(c.now), Reason: reason, Epoch: c.epoch}
+	t := &c.traits
+	e := journal.Entry{Event: event, Worker: t.Name, Incarnation: t.Incarnation, Zone: t.Zone, Clock: int64(c.now),
+		Reason: reason, Epoch: c.epoch}
 	if event == journal.NewIncarnation {
-		e.Rack, e.Labels, e.Cores, e.GPUs = c.traits.Rack, c.traits.Labels, c.traits.Cores, c.traits.GPUs
+		e.Rack, e.Labels, e.Cores, e.GPUs = t.Rack, t.Labels, t.Cores, t.GPUs
 	}
 	if r != nil {
 		o := r.order
@@ -359,7 +275,7 @@
 	c.actions.Journal = append(c.actions.Journal, e)
 }
 
-// addSaturating is a+b without going over Never.
+// addSaturating is a+b, at most Never.
 func addSaturating(a, b time.Duration) time.Duration {
 	if b > Never-a {
 		return Never
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -77,7 +77,7 @@
 	return out
 }
 
-func TestEveryOrder(t *testing.T) {
+func TestCallsInEveryOrder(t *testing.T) {
 	const first, again, floor, renew, delay = 0, 1, 2, 3, 4
 	start1, start2 := starts(order(1, longRunning, 50*sec)), starts(order(2, longRunning, 50*sec))
 	start2.Starts[0].StartBy = 5 * ms // every call comes at 10 ms or later
@@ -129,8 +129,8 @@
 	}
 }
 
-func TestLease(t *testing.T) {
-	Convey("A run ends by itself before its hold does", t, func() {
+func TestLeases(t *testing.T) {
+	Convey("A run ends by itself before its lease does", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
 		s := b.take(b.RenewLease(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
 		So(s.WakeAt, ShouldEqual, 60*ms)
@@ -145,7 +145,7 @@
 			So(b.ask(113*ms, internalapi.LeaseCall{Acked: []uint64{1, 7}}).Ended, ShouldBeEmpty)
 		})
 	})
-	Convey("After a freeze past the hold a run counts as lapsed, and a renewal comes too late", t, func() {
+	Convey("After a freeze past the lease a run counts as expired, and a renewal comes too late", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
 		b.ask(10*ms, starts(order(1, `{"ms":100}`, sec)))
 		a := b.ask(25*sec, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: 60 * sec})
@@ -154,7 +154,7 @@
 		So(b.ev[journal.End][1], ShouldEqual, 0)
 		So(b.ev[journal.Expire][1], ShouldEqual, 1)
 	})
-	Convey("A hold is only raised, and not by a call that knows another boot", t, func() {
+	Convey("A lease is only extended, and not by a call that knows another incarnation", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
 		b.ask(10*ms, starts(order(1, longRunning, 2*sec)))
 		b.ask(11*ms, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: sec})
@@ -162,20 +162,20 @@
 		s := b.RenewLease(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older", Renew: []uint64{1}, RenewUntil: 9 * sec})
 		So(s.WakeAt, ShouldEqual, 2*sec)
 	})
-	Convey("Even an obeying minion does not start a run whose hold is over", t, func() {
+	Convey("Even an obeying worker does not start a run whose lease is over", t, func() {
 		b := newHarness(Traits{Kind: KindObey})
 		a := b.ask(3*sec, starts(order(1, longRunning, 2*sec)))
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
 		So(b.ev[journal.Start][1], ShouldEqual, 0)
-		Convey("nor is its ticket listed as ended while a run of it goes on", func() {
+		Convey("nor is its run ID listed as ended while a run of it goes on", func() {
 			b.ask(3*sec, starts(order(2, longRunning, 9*sec)))
 			a := b.ask(3*sec, starts(order(2, longRunning, 2*sec)))
 			So(a.Running, ShouldResemble, []uint64{2})
 			So(a.Ended, ShouldHaveLength, 1)
 		})
 	})
-	Convey("A stop kills, and frees the room for starts of the same call", t, func() {
+	Convey("A stop kills, and frees the capacity for starts of the same call", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 1})
 		b.ask(10*ms, starts(order(1, longRunning, sec)))
 		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, longRunning, sec)).Starts})
@@ -192,7 +192,7 @@
 			So(a.Ended[0].Reason, ShouldNotBeBlank)
 		}
 	})
-	Convey("What chance does to a ticket depends on the seed and the ticket only", t, func() {
+	Convey("What chance does to a run depends on the seed and the run ID only", t, func() {
 		ends := func(first, second uint64) map[uint64]string {
 			b := newHarness(Traits{Kind: KindObey, FailProbability: 0.5, SlowFactor: 3, Seed: 7})
 			b.ask(10*ms, starts(order(first, `{"ms":9}`, sec)))
@@ -228,7 +228,7 @@
 			b.take(b.Drain(ms, true, false))
 		},
 	}
-	Convey("A checking minion refuses, with its reason, what an obeying one starts", t, func() {
+	Convey("A checking worker refuses, with its reason, what an obeying one starts", t, func() {
 		for reason, spoil := range cases {
 			for _, kind := range []string{KindCheck, KindObey} {
 				traits.Kind = kind
@@ -249,7 +249,7 @@
 			}
 		}
 	})
-	Convey("Under an older epoch a checking minion does nothing at all; an obeying one obeys", t, func() {
+	Convey("Under an older epoch a checking worker does nothing at all; an obeying one obeys", t, func() {
 		for kind, want := range map[string]errs.Kind{KindCheck: errs.Stale, KindObey: ""} {
 			b := newHarness(Traits{Kind: kind, Cores: 2})
 			b.ask(ms, internalapi.LeaseCall{Epoch: 9})
@@ -269,7 +269,7 @@
 	wait := func(n uint64) internalapi.LeaseCall {
 		return internalapi.LeaseCall{Call: n, Worker: "m", Incarnation: "b", Epoch: 1, Wait: sec}
 	}
-	Convey("With a run going and nothing new to say, a call that may wait is parked", t, func() {
+	Convey("With a run going and nothing new to say, a call that may wait is a long poll", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4, Grace: 5 * sec})
 		b.ask(10*ms, starts(order(1, `{"ms":500}`, 9*sec)))
 		s := b.take(b.RenewLease(20*ms, 2, wait(2)))
@@ -322,7 +322,7 @@
 			So(tag(b.RenewLease(32*ms, 5, c)), ShouldResemble, []uint64{5})
 		})
 	})
-	Convey("When the grace is over a leaving minion stops its runs", t, func() {
+	Convey("When the grace is over a leaving worker stops its runs", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4, Grace: 5 * sec})
 		b.ask(10*ms, starts(order(1, longRunning, 60*sec)))
 		So(b.Drain(20*ms, true, true).WakeAt, ShouldEqual, 5020*ms)
--- a/internal/testbed/policyworker/host_test.go
+++ b/internal/testbed/policyworker/host_test.go
@@ -46,7 +46,7 @@
 		return out
 	}
 
-	Convey("Hollow minions share an address, and each announces, runs, drains and leaves under its own name", t, func() {
+	Convey("Workers of a process share an address, and each announces, runs, drains and leaves under its own name", t, func() {
 		heard := make(chan internalapi.AnnounceWorkerCall, 8)
 		dataPlane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		rpc.Handle(dataPlane, internalapi.AnnounceWorker, func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
@@ -90,7 +90,7 @@
 		So(events(dir), ShouldResemble, []string{"m boot", "m order", "m start", "m end"})
 	})
 
-	Convey("All mistakes of the settings are told at once", t, func() {
+	Convey("All validation errors of the settings are reported at once", t, func() {
 		err := Settings{Addr: "x", Kind: "y"}.Check()
 		So(errs.KindOf(err), ShouldEqual, errs.Settings)
 		for _, field := range []string{"name", "addr", "kind", "zone", "journal", "count", "slow"} {
