--- a/cmd/crosstide-testbed/bench.go
+++ b/cmd/crosstide-testbed/bench.go
@@ -52,7 +52,7 @@
 		if n.Name != who.Store && n.Name != who.Scheduler {
 			continue
 		}
-		f, err := fleet.Scrape(ctx, c, n.Addr)
+		f, _, err := fleet.Scrape(ctx, c, n.Addr)
 		if err != nil {
 			return s, errs.Pass(err, "sample of %s", n.Name)
 		}
--- a/internal/testbed/fleet/caller.go
+++ b/internal/testbed/fleet/caller.go
@@ -14,8 +14,10 @@
 	"crosstide/internal/errs"
 )
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 16 << 20
+const (
+	maxAnswerBytes  = 16 << 20 // that are read of an answer
+	idleConnTimeout = 30 * time.Second
+)
 
 // Reply is an answer over HTTP, whatever its status.
 type Reply struct {
@@ -27,32 +29,33 @@
 // IsSuccess reports whether the status is 2xx.
 func (r Reply) IsSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
-// ErrorKind is the fault kind in the body; without one it is "status N".
+// ErrorKind is the kind of error in the body; without one it is "status N".
 func (r Reply) ErrorKind() string {
-	var f errs.Error
-	if json.Unmarshal(r.Body, &f) == nil && f.Kind != "" {
-		return string(f.Kind)
+	var failure errs.Error
+	if json.Unmarshal(r.Body, &failure) == nil && failure.Kind != "" {
+		return string(failure.Kind)
 	}
 	return "status " + strconv.Itoa(r.Status)
 }
 
-// Caller is the one place through which the rig calls the public APIs.
+// Caller is how the testbed calls the public APIs of a fleet. It may be used from many goroutines.
 type Caller struct{ client *http.Client }
 
 // NewCaller makes a Caller with at most conns connections to each node.
 func NewCaller(conns int) *Caller {
 	return &Caller{&http.Client{
-		Transport: &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns, IdleConnTimeout: 30 * time.Second},
+		Transport: &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns,
+			IdleConnTimeout: idleConnTimeout},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
 		},
 	}}
 }
 
-// Call sends one request and reads the answer within bound; in is sent as JSON unless nil. Any answer at all is
-// a Reply. Faults: Internal (in is no JSON), Timeout (no whole answer: what was asked may have happened). Example:
+// Call sends one request and reads the answer within timeout; in is sent as JSON unless nil. Any answer at all is
+// a Reply. Failures: Internal (in is no JSON), Timeout (no whole answer: what was asked may have happened). Example:
 //
-//	reply, err := caller.Call(ctx, http.MethodGet, jobsnode.Addr, "/v1/who", nil, time.Second)
+//	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/who", nil, time.Second)
 func (c *Caller) Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (Reply, error) {
 	var body []byte
 	if in != nil {
@@ -66,7 +69,8 @@
 }
 
 // Send is Call with the bytes of the body as they are, JSON or not.
-func (c *Caller) Send(ctx context.Context, method, addr, path string, body []byte, timeout time.Duration) (Reply, error) {
+func (c *Caller) Send(ctx context.Context, method, addr, path string, body []byte,
+	timeout time.Duration) (Reply, error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
@@ -85,7 +89,7 @@
 		return Reply{}, errs.Wrap(err, errs.Timeout, "%s %s%s", method, addr, req.URL.Path)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return Reply{}, errs.Wrap(err, errs.Timeout, "answer of %s%s", addr, req.URL.Path)
 	}
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestPlan(t *testing.T) {
-	Convey("A fleet is laid over zones and racks, written once, and read back", t, func() {
+	Convey("A fleet is spread over zones and racks, written once, and read back", t, func() {
 		dir := filepath.Join(t.TempDir(), "f")
 		s := Shape{ControlPlanes: 5, DataPlanes: 3, Workers: 30, Zones: 3, Cores: 16, Kind: "mixed", Bin: "bin"}
 		n, err := Plan(dir, s)
@@ -35,7 +35,7 @@
 		_, err = Plan(dir, s)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 	})
-	Convey("Hollow minions share processes: one port, line, zone and journal for each", t, func() {
+	Convey("Workers may share processes: one port, line, zone and journal for each", t, func() {
 		dir := filepath.Join(t.TempDir(), "f")
 		n, err := Plan(dir, Shape{ControlPlanes: 1, DataPlanes: 1, Workers: 1, Zones: 2, Cores: 4, Kind: "check", Bin: "bin", SharedWorkers: 7, SharedProcesses: 3})
 		So(err, ShouldBeNil)
@@ -50,7 +50,7 @@
 		_, err = Plan(filepath.Join(t.TempDir(), "g"), Shape{ControlPlanes: 1, DataPlanes: 1, Zones: 1, Cores: 1, Kind: "check", SharedWorkers: 3, SharedProcesses: 2})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 	})
-	Convey("With links, every address that a node dials leads over a link of its own", t, func() {
+	Convey("With a proxy, every address that a node dials leads through a link of its own", t, func() {
 		dir := t.TempDir()
 		n, err := Plan(dir, Shape{ControlPlanes: 3, DataPlanes: 2, Workers: 4, Zones: 2, Cores: 1, Kind: "check", Bin: "bin", Proxied: true})
 		So(err, ShouldBeNil)
@@ -80,9 +80,9 @@
 		So(errs.KindOf(Kill(dir, "c1")), ShouldEqual, errs.Unknown)
 		So(errs.KindOf(Kill(dir, "c2")), ShouldEqual, errs.Unknown)
 	})
-	Convey("Minions are read from a list or a page", t, func() {
+	Convey("Workers are read from a list or a page", t, func() {
 		for _, body := range []string{`[{"name":"m1","boot":"b"},{"name":"m2"}]`, `{"minions":[{"name":"m1","boot":"b"},{"name":"m2"}]}`} {
-			So(parseIncarnations([]byte(body)), ShouldResemble, map[string]bool{"m1": true, "m2": false})
+			So(parseWorkers([]byte(body)), ShouldResemble, map[string]bool{"m1": true, "m2": false})
 		}
 	})
 }
--- a/internal/testbed/fleet/metrics.go
+++ b/internal/testbed/fleet/metrics.go
@@ -3,84 +3,96 @@
 import (
 	"bytes"
 	"context"
+	"iter"
 	"net/http"
 	"strings"
 	"time"
 
+	dto "github.com/prometheus/client_model/go"
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
 	"crosstide/internal/errs"
 )
 
+const scrapeTimeout = 5 * time.Second
+
 // Metrics are a node's metrics: by name, and by name{label="value",…} with the labels in order of their names. A
-// histogram or summary gives name_sum and name_count.
+// histogram or summary is NAME_sum and NAME_count.
 type Metrics map[string]float64
 
-// Sum adds up all series of a name whose labels contain every one of parts.
-func (f Metrics) Sum(name string, parts ...string) float64 {
-	total := 0.0
-next:
-	for key, v := range f {
-		series, labels, _ := strings.Cut(key, "{")
-		if series != name {
-			continue
-		}
-		for _, p := range parts {
-			if !strings.Contains(labels, p) {
-				continue next
+// Series goes over all series of a name: the text of their labels, and their values.
+func (m Metrics) Series(name string) iter.Seq2[string, float64] {
+	return func(yield func(string, float64) bool) {
+		for key, value := range m {
+			if series, labels, _ := strings.Cut(key, "{"); series == name && !yield(labels, value) {
+				return
 			}
 		}
-		total += v
+	}
+}
+
+// Sum adds up all series of a name.
+func (m Metrics) Sum(name string) float64 {
+	total := 0.0
+	for _, value := range m.Series(name) {
+		total += value
 	}
 	return total
 }
 
-// Scrape reads GET /metrics of a node. Faults: Timeout (no answer), Malformed (no metrics). Example:
+// Scrape reads GET /metrics of a node; size is that of the answer in bytes. Failures: Timeout (no answer), Malformed
+// (no metrics). Example:
 //
-//	now, err := fleet.Scrape(ctx, caller, jobsnode.Addr)
-//	syncs := now.Sum("crosstide_store_sync_seconds_count")
-func Scrape(ctx context.Context, c *Caller, addr string) (Metrics, error) {
-	reply, err := c.Call(ctx, http.MethodGet, addr, "/metrics", nil, 5*time.Second)
+//	metrics, _, err := fleet.Scrape(ctx, caller, node.Addr)
+//	syncs := metrics.Sum("crosstide_store_sync_seconds_count")
+func Scrape(ctx context.Context, c *Caller, addr string) (metrics Metrics, size int, err error) {
+	reply, err := c.Call(ctx, http.MethodGet, addr, "/metrics", nil, scrapeTimeout)
 	if err != nil {
-		return nil, errs.Pass(err, "metrics of %s", addr)
+		return nil, 0, errs.Pass(err, "metrics of %s", addr)
 	}
 	if !reply.IsSuccess() {
-		return nil, errs.New(errs.Malformed, "metrics of %s: status %d", addr, reply.Status)
+		return nil, 0, errs.New(errs.Malformed, "metrics of %s: status %d", addr, reply.Status)
 	}
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(reply.Body))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Malformed, "metrics of %s", addr)
+		return nil, 0, errs.Wrap(err, errs.Malformed, "metrics of %s", addr)
 	}
-	out := Metrics{}
+	metrics = Metrics{}
 	for name, family := range families {
 		for _, m := range family.GetMetric() {
-			labels := ""
-			for i, l := range m.GetLabel() { // the text format has them sorted
-				if i > 0 {
-					labels += ","
-				}
-				labels += l.GetName() + `="` + l.GetValue() + `"`
-			}
-			if labels != "" {
-				labels = "{" + labels + "}"
-			}
-			switch {
-			case m.GetHistogram() != nil:
-				out[name+"_sum"+labels] = m.GetHistogram().GetSampleSum()
-				out[name+"_count"+labels] = float64(m.GetHistogram().GetSampleCount())
-			case m.GetSummary() != nil:
-				out[name+"_sum"+labels] = m.GetSummary().GetSampleSum()
-				out[name+"_count"+labels] = float64(m.GetSummary().GetSampleCount())
-			case m.GetCounter() != nil:
-				out[name+labels] = m.GetCounter().GetValue()
-			case m.GetGauge() != nil:
-				out[name+labels] = m.GetGauge().GetValue()
-			default:
-				out[name+labels] = m.GetUntyped().GetValue()
-			}
+			metrics.add(name, labelsOf(m), m)
 		}
 	}
-	return out, nil
+	return metrics, len(reply.Body), nil
+}
+
+// labelsOf is the text of a series' labels; the text format has them sorted.
+func labelsOf(m *dto.Metric) string {
+	var labels []string
+	for _, label := range m.GetLabel() {
+		labels = append(labels, label.GetName()+`="`+label.GetValue()+`"`)
+	}
+	if len(labels) == 0 {
+		return ""
+	}
+	return "{" + strings.Join(labels, ",") + "}"
+}
+
+func (m Metrics) add(name, labels string, metric *dto.Metric) {
+	switch {
+	case metric.GetHistogram() != nil:
+		m[name+"_sum"+labels] = metric.GetHistogram().GetSampleSum()
+		m[name+"_count"+labels] = float64(metric.GetHistogram().GetSampleCount())
+	case metric.GetSummary() != nil:
+		m[name+"_sum"+labels] = metric.GetSummary().GetSampleSum()
+		m[name+"_count"+labels] = float64(metric.GetSummary().GetSampleCount())
+	case metric.GetCounter() != nil:
+		m[name+labels] = metric.GetCounter().GetValue()
+	case metric.GetGauge() != nil:
+		m[name+labels] = metric.GetGauge().GetValue()
+	default:
+		m[name+labels] = metric.GetUntyped().GetValue()
+	}
 }
--- /dev/null
+++ b/internal/testbed/fleet/ports.go
@@ -0,0 +1,57 @@
+package fleet
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"strconv"
+
+	"crosstide/internal/errs"
+)
+
+const (
+	lowestPort         = 10240
+	defaultLowestLocal = 32768 // of the range for outgoing connections, if the system does not say
+)
+
+// FreePorts finds n free loopback ports below the range that outgoing connections take theirs from, so that a port
+// stays free for its node while that is down. Failure: Unavailable.
+func FreePorts(n int) ([]int, error) {
+	end := lowestLocalPort()
+	span := end - lowestPort
+	if span < 4*n {
+		return nil, errs.New(errs.Unavailable, "ports %d to %d are too few for %d nodes", lowestPort, end, n)
+	}
+	from := rand.IntN(span)
+	var out []int
+	for i := 0; i < span && len(out) < n; i++ {
+		port := lowestPort + (from+i)%span
+		listener, err := net.Listen("tcp", loopback(port))
+		if err != nil {
+			continue
+		}
+		if err := listener.Close(); err == nil {
+			out = append(out, port)
+		}
+	}
+	if len(out) < n {
+		return nil, errs.New(errs.Unavailable, "only %d of %d ports are free", len(out), n)
+	}
+	return out, nil
+}
+
+// lowestLocalPort is where the range for outgoing connections begins.
+func lowestLocalPort() int {
+	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
+	if err != nil {
+		return defaultLowestLocal
+	}
+	lowest := 0
+	if _, err := fmt.Sscan(string(data), &lowest); err != nil {
+		return defaultLowestLocal
+	}
+	return lowest
+}
+
+func loopback(port int) string { return "127.0.0.1:" + strconv.Itoa(port) }
--- /dev/null
+++ b/internal/testbed/fleet/process.go
@@ -0,0 +1,69 @@
+package fleet
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"golang.org/x/sys/unix"
+
+	"crosstide/internal/errs"
+)
+
+// PIDs reads DIR/pids: process IDs by name. Failures: Disk, Malformed.
+func PIDs(dir string) (map[string]int, error) {
+	data, err := os.ReadFile(filepath.Join(dir, "pids"))
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Disk, "pids of the fleet")
+	}
+	out := map[string]int{}
+	for line := range strings.Lines(string(data)) {
+		var name string
+		var pid int
+		if _, err := fmt.Sscan(line, &name, &pid); err != nil || pid < 2 {
+			return nil, errs.New(errs.Malformed, "pids: line %q", strings.TrimSpace(line))
+		}
+		out[name] = pid
+	}
+	return out, nil
+}
+
+// Kill is Signal with SIGKILL.
+func Kill(dir, name string) error { return errs.Pass(Signal(dir, name, unix.SIGKILL), "kill") }
+
+// Signal sends a signal to the named process of the fleet, if the pid still is that process. Failures: as of Pid.
+func Signal(dir, name string, sig unix.Signal) error {
+	pid, err := PID(dir, name)
+	if err != nil {
+		return errs.Pass(err, "signal %s", name)
+	}
+	return errs.Wrap(unix.Kill(pid, sig), errs.Unknown, "signal %s, pid %d", name, pid)
+}
+
+// PID returns the pid of a node that runs: the process with the pid of DIR/pids must have the command line of
+// DIR/start. Failures: Disk, Malformed, Unknown (no such process any more).
+func PID(dir, name string) (int, error) {
+	pids, err := PIDs(dir)
+	if err != nil {
+		return 0, errs.Pass(err, "pid of %s", name)
+	}
+	pid, ok := pids[name]
+	if !ok {
+		return 0, errs.New(errs.Unknown, "%s has no pid", name)
+	}
+	starts, err := os.ReadFile(filepath.Join(dir, "start"))
+	if err != nil {
+		return 0, errs.Wrap(err, errs.Disk, "start lines of the fleet")
+	}
+	argv, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/cmdline")
+	if err != nil {
+		return 0, errs.Wrap(err, errs.Unknown, "%s, pid %d", name, pid)
+	}
+	line := name + " " + strings.Join(strings.Split(strings.TrimRight(string(argv), "\x00"), "\x00"), " ")
+	if !strings.Contains("\n"+string(starts), "\n"+line+"\n") {
+		return 0, errs.New(errs.Unknown, "pid %d is not %s any more", pid, name)
+	}
+	return pid, nil
+}
--- /dev/null
+++ b/internal/testbed/fleet/shape.go
@@ -0,0 +1,111 @@
+package fleet
+
+import "crosstide/internal/errs"
+
+// Shape is what a fleet is made of.
+type Shape struct {
+	ControlPlanes   int
+	DataPlanes      int
+	Workers         int // with a process of their own
+	Zones           int
+	Cores           int    // of each worker
+	Kind            string // of the workers: policyworker.KindObey, KindCheck, or "mixed" for both in turn
+	Bin             string // folder of the programs
+	Proxied         bool   // all calls between nodes go through a network proxy
+	SharedWorkers   int    // that share processes
+	SharedProcesses int    // the processes that these share
+	Profile         string // a deployment's name, see WithProfile; empty: none
+	FailingWorkers  int    // the first ones fail every run
+}
+
+// Check validates a shape. Failure: Invalid.
+func (s Shape) Check() error {
+	switch {
+	case s.ControlPlanes < 1 || s.DataPlanes < 1 || s.Workers < 0:
+		return errs.Field(errs.Invalid, "nodes", "at least one cplane and one dplane are needed")
+	case s.Zones < 1 || s.Cores < 1:
+		return errs.Field(errs.Invalid, "zones", "zones and cores must be at least 1")
+	case s.SharedWorkers < 0 || s.SharedWorkers > 0 && (s.SharedProcesses < 1 || s.SharedWorkers < 2*s.SharedProcesses):
+		return errs.Field(errs.Invalid, "hollow", "%d hollow minions cannot share %d processes", s.SharedWorkers,
+			s.SharedProcesses)
+	case s.SharedWorkers > 0 && s.Proxied:
+		return errs.Field(errs.Invalid, "hollow", "hollow minions take no links")
+	case s.Kind != "obey" && s.Kind != "check" && s.Kind != mixedKinds:
+		return errs.Field(errs.Invalid, "kind", "is %q, must be obey, check or mixed", s.Kind)
+	}
+	return nil
+}
+
+const mixedKinds = "mixed"
+
+// kindOf is the kind of worker i.
+func (s Shape) kindOf(i int) string {
+	if s.Kind == mixedKinds {
+		return []string{"check", "obey"}[i%2]
+	}
+	return s.Kind
+}
+
+// linkCount counts the links of a shape: among the daemons, and between data planes and workers.
+func (s Shape) linkCount() int {
+	if !s.Proxied {
+		return 0
+	}
+	daemons := s.ControlPlanes + s.DataPlanes
+	return daemons*(daemons-1) + 2*s.DataPlanes*s.Workers
+}
+
+// processCount counts the processes with a port of their own, the proxy aside.
+func (s Shape) processCount() int {
+	n := s.ControlPlanes + s.DataPlanes + s.Workers
+	if s.SharedWorkers > 0 {
+		n += s.SharedProcesses
+	}
+	return n
+}
+
+// workersIn is how many of the shared workers are in shared process i.
+func (s Shape) workersIn(i int) int {
+	n := s.SharedWorkers / s.SharedProcesses
+	if i < s.SharedWorkers%s.SharedProcesses {
+		n++
+	}
+	return n
+}
+
+// Worker pools of the deployment mamlaka.
+const activationWorkers = 29 // the first ones; the others are for reconciliation
+
+// profiles are the two deployments of the brief at their own sizes.
+var profiles = map[string]Shape{
+	// one region of three zones; the tracking service on 48 workers of 16 cores, eight to a rack, that start
+	// whatever they are ordered to
+	"lubra": {ControlPlanes: 5, DataPlanes: 9, Workers: 48, Zones: 3, Cores: 16, Kind: "obey"},
+	// one region of four zones; activation on 29 workers of 64 cores with GPUs, reconciliation on 19 of 16 cores;
+	// they refuse what does not fit
+	"mamlaka": {ControlPlanes: 5, DataPlanes: 8, Workers: 48, Zones: 4, Cores: 16, Kind: "check"},
+}
+
+// WithProfile returns the shape of a deployment by name, in place of s but for what is no matter of size. Failure:
+// Invalid.
+func (s Shape) WithProfile(name string) (Shape, error) {
+	p, ok := profiles[name]
+	if !ok {
+		return s, errs.Field(errs.Invalid, "profile", "is %q, must be lubra or mamlaka", name)
+	}
+	p.Profile, p.Bin, p.Proxied = name, s.Bin, s.Proxied
+	p.FailingWorkers, p.SharedProcesses = s.FailingWorkers, s.SharedProcesses
+	return p, nil
+}
+
+// setResources sets the size and the labels of worker i.
+func (s Shape) setResources(i int, worker *Node) {
+	worker.Cores = s.Cores
+	if s.Profile != "mamlaka" {
+		return
+	}
+	worker.Labels = map[string]string{"pool": "recon"}
+	if i < activationWorkers {
+		worker.Cores, worker.GPUs, worker.Labels = 64, 4, map[string]string{"pool": "activation"}
+	}
+}
--- /dev/null
+++ b/internal/testbed/scale/csv.go
@@ -0,0 +1,111 @@
+package scale
+
+import (
+	"encoding/csv"
+	"errors"
+	"io"
+	"io/fs"
+	"os"
+	"slices"
+	"strconv"
+
+	"crosstide/internal/errs"
+)
+
+// columns are the names of cells, in the order of Row.cells.
+var columns = []string{"minions", "offered_per_s", "starts_per_s", "running", "start_p50_ms", "start_p99_ms", "left",
+	"machine_cores", "loop_kb_s", "loop_packets_s", "role", "procs", "cpu_pct", "mb", "msgs_s", "body_kb_s", "net_kb_s",
+	"syncs_s", "log_kb_s", "note"}
+
+// cells are pointers to a row's fields, in the order of columns.
+func (r *Row) cells() []any {
+	return []any{&r.Workers, &r.Offered, &r.Starts, &r.Running, &r.P50, &r.P99, &r.Unfinished,
+		&r.Cores, &r.LoopKB, &r.LoopPk, &r.Role, &r.Procs, &r.CPU, &r.MB, &r.Msgs, &r.KB, &r.Net,
+		&r.Syncs, &r.LogKB, &r.Note}
+}
+
+// record is a row as a line of CSV.
+func (r Row) record() []string {
+	var out []string
+	for _, cell := range r.cells() {
+		switch field := cell.(type) {
+		case *int:
+			out = append(out, strconv.Itoa(*field))
+		case *float64:
+			out = append(out, strconv.FormatFloat(*field, 'f', 3, 64))
+		case *string:
+			out = append(out, *field)
+		}
+	}
+	return out
+}
+
+// parse sets a row from a line of CSV; n is the line's number.
+func (r *Row) parse(record []string, n int) error {
+	for i, cell := range r.cells() {
+		if text, isText := cell.(*string); isText {
+			*text = record[i]
+			continue
+		}
+		value, err := strconv.ParseFloat(record[i], 64)
+		if err != nil {
+			return errs.Wrap(err, errs.Malformed, "row %d, %s", n, columns[i])
+		}
+		switch field := cell.(type) {
+		case *int:
+			*field = int(value)
+		case *float64:
+			*field = value
+		}
+	}
+	return nil
+}
+
+// AppendRows adds rows to a CSV file, with a head if it is new. Failure: Disk.
+func AppendRows(path string, rows []Row) error {
+	_, err := os.Stat(path)
+	isNew := errors.Is(err, fs.ErrNotExist)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	if err != nil {
+		return errs.Wrap(err, errs.Disk, "open %s", path)
+	}
+	w := csv.NewWriter(file)
+	if isNew {
+		_ = w.Write(columns) // Error reports it
+	}
+	for _, r := range rows {
+		_ = w.Write(r.record()) // Error reports it
+	}
+	w.Flush()
+	return errs.Wrap(errors.Join(w.Error(), file.Close()), errs.Disk, "write %s", path)
+}
+
+// ReadRows reads what AppendRows wrote. Failures: Disk, Malformed.
+func ReadRows(path string) ([]Row, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Disk, "open %s", path)
+	}
+	defer file.Close()
+	var out []Row
+	for reader, n := csv.NewReader(file), 0; ; n++ {
+		record, err := reader.Read()
+		if err == io.EOF {
+			return out, nil
+		}
+		if err != nil {
+			return nil, errs.Wrap(err, errs.Malformed, "%s", path)
+		}
+		if n == 0 {
+			if !slices.Equal(record, columns) {
+				return nil, errs.New(errs.Malformed, "%s has other columns", path)
+			}
+			continue
+		}
+		var row Row
+		if err := row.parse(record, n); err != nil {
+			return nil, errs.Pass(err, "%s", path)
+		}
+		out = append(out, row)
+	}
+}
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -10,29 +10,36 @@
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/pause"
 )
 
-// fillNote begins the note of the burst that puts the long tasks out: no steady step.
-const fillNote = "fill: "
+const (
+	fillNote         = "fill: " // begins the note of the burst that starts the long tasks: no steady step
+	fillTasks        = 1000     // of a job, at most
+	fillPollInterval = 500 * time.Millisecond
+	submitTimeout    = 5 * time.Second
+	endTimeout       = 6 * time.Second // of a load, beyond the length of a task
+	pollsPerSecond   = 300             // of a load
+)
 
 // Plan is what a fleet is measured under.
 type Plan struct {
 	Dir          string
-	Running      int           // long tasks that are put out first
-	FillTimeout  time.Duration // bound on that
+	Running      int           // long tasks that are started first
+	FillTimeout  time.Duration // for that
 	Rates        []float64     // task starts a second, one step each; 0: no load
-	StepDuration time.Duration // of a step
+	StepDuration time.Duration
 	WarmUp       time.Duration // left out at the start of a step
 	Tasks        int           // of a job
-	TaskDuration time.Duration // of a task
+	TaskDuration time.Duration
 	MaxP99       time.Duration // a step whose 99th percentile to the first start is over it is the last; 0: none
 }
 
-// TaskDuration measures step after step and gives each step's rows to tell. It ends early, with a note in that step's rows,
-// when a step fails its bound or leaves jobs unfinished. Faults: those of Probe.Read, Invalid, Unavailable.
-func Run(ctx context.Context, p Plan, probe *Probe, report func([]Row) error) error {
-	if p.Running > 0 {
-		rows, err := probe.fill(ctx, p)
+// Run measures step after step and passes each step's rows to report. It ends early, with a note in that step's rows,
+// when a step is over MaxP99 or leaves jobs unfinished. Failures: those of Probe.Read and report, Invalid, Unavailable.
+func Run(ctx context.Context, plan Plan, probe *Probe, report func([]Row) error) error {
+	if plan.Running > 0 {
+		rows, err := probe.fill(ctx, plan)
 		if err != nil {
 			return errs.Pass(err, "fill")
 		}
@@ -40,50 +47,61 @@
 			return errs.Pass(err, "fill")
 		}
 	}
-	for i, rate := range p.Rates {
-		rows, stop, err := probe.step(ctx, p, i, rate)
+	for i, rate := range plan.Rates {
+		rows, isLast, err := probe.step(ctx, plan, i, rate)
 		if err != nil {
 			return errs.Pass(err, "%g starts a second", rate)
 		}
-		if err := report(rows); err != nil || stop {
+		if err := report(rows); err != nil || isLast {
 			return errs.Pass(err, "step")
 		}
 	}
 	return nil
 }
 
-// fill hands in jobs of long tasks until p.Running of them run, and measures the burst.
+// fill submits jobs of long tasks until plan.Running of them run, and measures the burst.
 func (p *Probe) fill(ctx context.Context, plan Plan) ([]Row, error) {
-	const most = 1000 // tasks of a job
 	from, err := p.Read(ctx)
 	if err != nil {
 		return nil, errs.Pass(err, "before")
 	}
-	for left, n := plan.Running, 0; left > 0; n++ {
-		spec := state.Spec{Key: fmt.Sprintf("fill-%d-%d", p.clock.Wall().UnixMilli(), n), Team: fmt.Sprintf("t%d", n%20), Queue: "default",
-			Steps: []state.StepSpec{{Name: "s1", Type: "fill", Tasks: min(left, most), Cores: 1, Run: []byte(`{"ms":3600000}`)}}}
-		left -= most
-		reply, err := p.caller.Call(ctx, http.MethodPost, p.nodes.DataPlanes[n%len(p.nodes.DataPlanes)].Addr, "/v1/jobs", spec, 5*time.Second)
-		if err != nil || !reply.IsSuccess() {
-			return nil, errs.New(errs.Unavailable, "job %d is not taken: %s %v", n, reply.Body, err)
-		}
+	if err := p.submitLongTasks(ctx, plan.Running); err != nil {
+		return nil, errs.Pass(err, "long tasks")
 	}
-	step := Step{Workers: p.Workers(), Offered: float64(plan.Running)}
-	began, snap := p.clock.Now(), from
-	for p.clock.Now() < began+plan.FillTimeout && runningTasks(snap) < float64(plan.Running) {
-		if err := p.sleep(ctx, 500*time.Millisecond); err != nil {
+	began, now := p.clock.Now(), from
+	for p.clock.Now() < began+plan.FillTimeout && runningTasks(now) < float64(plan.Running) {
+		if err := p.sleep(ctx, fillPollInterval); err != nil {
 			return nil, errs.Pass(err, "fill")
 		}
-		if snap, err = p.Read(ctx); err != nil {
+		if now, err = p.Read(ctx); err != nil {
 			return nil, errs.Pass(err, "fill")
 		}
 	}
-	step.Note = fmt.Sprintf(fillNote+"%.0f of %d out after %.1f s", runningTasks(snap), plan.Running, (snap.At - from.At).Seconds())
-	rows, err := Rows(from, snap, step)
+	step := Step{Workers: p.Workers(), Offered: float64(plan.Running)}
+	step.Note = fmt.Sprintf(fillNote+"%.0f of %d out after %.1f s", runningTasks(now), plan.Running,
+		(now.At - from.At).Seconds())
+	rows, err := Rows(from, now, step)
 	return rows, errs.Pass(err, "fill")
 }
 
-// runningTasks is how many run IDs are out as the holder of sched has them.
+// submitLongTasks submits jobs of so many tasks of an hour, over all data planes in turn.
+func (p *Probe) submitLongTasks(ctx context.Context, tasks int) error {
+	for n := 0; tasks > 0; n++ {
+		spec := state.Spec{Key: fmt.Sprintf("fill-%d-%d", p.clock.Wall().UnixMilli(), n),
+			Team: fmt.Sprintf("t%d", n%20), Queue: "default",
+			Steps: []state.StepSpec{{Name: "s1", Type: "fill", Tasks: min(tasks, fillTasks), Cores: 1,
+				Run: []byte(`{"ms":3600000}`)}}}
+		tasks -= fillTasks
+		node := p.nodes.DataPlanes[n%len(p.nodes.DataPlanes)]
+		reply, err := p.caller.Call(ctx, http.MethodPost, node.Addr, "/v1/jobs", spec, submitTimeout)
+		if err != nil || !reply.IsSuccess() {
+			return errs.New(errs.Unavailable, "job %d is not taken: %s %v", n, reply.Body, err)
+		}
+	}
+	return nil
+}
+
+// runningTasks is how many run IDs are in use, as the leader of the scheduler has them.
 func runningTasks(s Snapshot) float64 {
 	for _, r := range s.Procs {
 		if r.Role == SchedulerLeader {
@@ -93,30 +111,21 @@
 	return 0
 }
 
-func (p *Probe) step(ctx context.Context, plan Plan, nth int, rate float64) (rows []Row, stop bool, err error) {
+// step measures the fleet under a load of nth step's seed; isLast: the fleet does not keep up with it.
+func (p *Probe) step(ctx context.Context, plan Plan, nth int, rate float64) (rows []Row, isLast bool, err error) {
 	var report load.Report
 	var loadErr error
 	group := routine.New(ctx)
 	defer group.Stop()
 	if rate > 0 {
-		group.Go(func(ctx context.Context) {
-			report, loadErr = load.Run(ctx, load.Options{Dir: plan.Dir, Rate: rate / float64(plan.Tasks), Duration: plan.StepDuration, Seed: uint64(nth + 1),
-				Tasks: plan.Tasks, TaskDuration: plan.TaskDuration, EndTimeout: 6*time.Second + plan.TaskDuration, SubmitTimeout: 5 * time.Second, MaxPollsPerSecond: 300})
-		})
-	}
-	if err := p.sleep(ctx, plan.WarmUp); err != nil {
-		return nil, true, errs.Pass(err, "settle")
-	}
-	from, err := p.Read(ctx)
-	if err != nil {
-		return nil, true, errs.Pass(err, "from")
-	}
-	if err := p.sleep(ctx, plan.StepDuration-plan.WarmUp); err != nil {
-		return nil, true, errs.Pass(err, "step")
+		options := load.Options{Dir: plan.Dir, Rate: rate / float64(plan.Tasks), Duration: plan.StepDuration,
+			Seed: uint64(nth + 1), Tasks: plan.Tasks, TaskDuration: plan.TaskDuration, SubmitTimeout: submitTimeout,
+			EndTimeout: endTimeout + plan.TaskDuration, MaxPollsPerSecond: pollsPerSecond}
+		group.Go(func(ctx context.Context) { report, loadErr = load.Run(ctx, options) })
 	}
-	to, err := p.Read(ctx)
+	from, to, err := p.measure(ctx, plan)
 	if err != nil {
-		return nil, true, errs.Pass(err, "to")
+		return nil, true, errs.Pass(err, "measure")
 	}
 	group.Wait()
 	if loadErr != nil {
@@ -124,23 +133,41 @@
 	}
 	step := Step{Workers: p.Workers(), Offered: rate, P50: report.ToStart.P50, P99: report.ToStart.P99,
 		Unfinished: report.Unfinished + report.Offered - report.Accepted}
+	step.Note = plan.reasonToStop(step, report.Offered)
+	rows, err = Rows(from, to, step)
+	return rows, step.Note != "", errs.Pass(err, "step")
+}
+
+// measure takes the snapshots at the end of a step's warm-up and at its own end.
+func (p *Probe) measure(ctx context.Context, plan Plan) (from, to Snapshot, err error) {
+	if err := p.sleep(ctx, plan.WarmUp); err != nil {
+		return from, to, errs.Pass(err, "warm-up")
+	}
+	if from, err = p.Read(ctx); err != nil {
+		return from, to, errs.Pass(err, "from")
+	}
+	if err := p.sleep(ctx, plan.StepDuration-plan.WarmUp); err != nil {
+		return from, to, errs.Pass(err, "step")
+	}
+	to, err = p.Read(ctx)
+	return from, to, errs.Pass(err, "to")
+}
+
+// reasonToStop is why a step of so many jobs is the last; "" if it is not.
+func (plan Plan) reasonToStop(step Step, offered int) string {
 	switch {
 	case step.Unfinished > 0:
-		step.Note, stop = fmt.Sprintf("stopped here: %d of %d jobs not accepted or not over in time", step.Unfinished, report.Offered), true
+		return fmt.Sprintf("stopped here: %d of %d jobs not accepted or not over in time", step.Unfinished, offered)
 	case plan.MaxP99 > 0 && step.P99 > float64(plan.MaxP99.Milliseconds()):
-		step.Note, stop = fmt.Sprintf("stopped here: p99 to the first start over %s", plan.MaxP99), true
+		return fmt.Sprintf("stopped here: p99 to the first start over %s", plan.MaxP99)
 	}
-	rows, err = Rows(from, to, step)
-	return rows, stop, errs.Pass(err, "step")
+	return ""
 }
 
+// sleep waits for d. Failure: Stopped, if ctx ends first.
 func (p *Probe) sleep(ctx context.Context, d time.Duration) error {
-	elapsed := make(chan struct{})
-	defer p.clock.Set(d, func() { close(elapsed) }).Stop()
-	select {
-	case <-elapsed:
-		return nil
-	case <-ctx.Done():
+	if !pause.For(ctx, p.clock, d) {
 		return errs.Wrap(ctx.Err(), errs.Stopped, "stopped")
 	}
+	return nil
 }
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestRows(t *testing.T) {
-	Convey("Rows are means per process and second, of a minion per minion", t, func() {
+	Convey("Rows are means per process and second, of a worker per worker", t, func() {
 		a := Snapshot{Procs: map[string]Reading{"c1": {Role: Follower, Count: 1}, "c2": {Role: Leader, Count: 1}, "c3": {Role: Follower, Count: 1},
 			"d1": {Role: SchedulerLeader, Count: 1}, "h1": {Role: SharedWorker, Count: 50}}}
 		b := Snapshot{At: 10 * time.Second, Busy: 20, Loop: 1e6, Procs: map[string]Reading{
@@ -39,7 +39,7 @@
 			So(info.Size(), ShouldBeGreaterThan, 1000)
 			So(errs.KindOf(Plot(path, nil)), ShouldEqual, errs.Invalid)
 		})
-		Convey("a process that was started anew is no measurement", func() {
+		Convey("a process that was restarted is no measurement", func() {
 			_, err := Rows(b, a, Step{})
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 		})
