--- /dev/null
+++ b/internal/testbed/endtoend/audit_runs.go
@@ -0,0 +1,115 @@
+package endtoend
+
+import (
+	"slices"
+	"time"
+
+	"crosstide/internal/jobs"
+	"crosstide/internal/testbed/jobsworker"
+)
+
+// onStart checks a run that begins, and follows it.
+func (a *auditor) onStart(e jobsworker.Event) {
+	a.report.Runs++
+	key := e.Run.Key()
+	s := &span{worker: e.Worker, number: key.Number, needs: e.Needs, task: key.Task, began: e.At,
+		resumed: e.Checkpoint}
+	if _, known := a.specs[key.Task.Job]; !known {
+		a.violate("%v began on %s: no such job was accepted", key, e.Worker)
+		return
+	}
+	if e.Token < a.tokens[e.Worker] {
+		a.violate("%v began on %s under token %d after %d", key, e.Worker, e.Token, a.tokens[e.Worker])
+	}
+	a.tokens[e.Worker] = max(a.tokens[e.Worker], e.Token)
+	past := a.tasks[key.Task]
+	if past == nil {
+		past = &history{}
+		a.tasks[key.Task] = past
+	}
+	a.checkExclusive(s, past)
+	a.checkResumed(s, past)
+	past.spans = append(past.spans, s)
+	a.running[e.Worker] = append(a.running[e.Worker], s)
+	a.checkPlacement(s)
+	a.checkOrder(s)
+}
+
+// checkExclusive checks a run against those of its task before it.
+func (a *auditor) checkExclusive(s *span, past *history) {
+	for _, before := range past.spans {
+		switch {
+		case !before.hasEnded():
+			a.violate("%v: run %d began on %s while run %d goes on at %s", s.task, s.number, s.worker, before.number,
+				before.worker)
+		case before.reason == jobs.EndDone && !a.step(s.task).LongRunning:
+			a.violate("%v: run %d began on %s after run %d was done", s.task, s.number, s.worker, before.number)
+		case before.number >= s.number:
+			a.violate("%v: run %d began on %s after run %d", s.task, s.number, s.worker, before.number)
+		}
+	}
+}
+
+// checkResumed checks that a run resumes from the checkpoint that the last one of its task saved.
+func (a *auditor) checkResumed(s *span, past *history) {
+	step := a.step(s.task)
+	if len(past.spans) == 0 || !step.Checkpoints || step.Gang {
+		return
+	}
+	last := past.spans[len(past.spans)-1]
+	if last.hasEnded() && last.checkpoint != s.resumed {
+		a.violate("%v: run %d goes on from %q, run %d had saved %q", s.task, s.number, s.resumed, last.number,
+			last.checkpoint)
+	}
+}
+
+func (a *auditor) step(task jobs.TaskRef) jobs.Step { return a.specs[task.Job].Steps[task.Step] }
+
+// checkPlacement checks that a run's worker may have it.
+func (a *auditor) checkPlacement(s *span) {
+	worker, step := a.workers[s.worker], a.step(s.task)
+	if step.Label != "" && !slices.Contains(worker.Labels, step.Label) {
+		a.violate("%v began on %s, which has no label %s", s.task, s.worker, step.Label)
+	}
+	for _, e := range a.evacuations {
+		if worker.Zone == e.Zone && s.began.After(e.From.Add(evacuationGrace)) && s.began.Before(e.To) {
+			a.violate("%v began on %s %s after zone %s was evacuated", s.task, s.worker, s.began.Sub(e.From), e.Zone)
+		}
+	}
+	a.checkCapacity(s, worker.Needs, step.MaxPerWorker)
+}
+
+// checkCapacity checks all that runs on a run's worker, with that run.
+func (a *auditor) checkCapacity(s *span, capacity jobs.Resources, maxPerWorker int) {
+	var used jobs.Resources
+	ofStep := 0
+	for _, other := range a.running[s.worker] {
+		used.MilliCPU += other.needs.MilliCPU
+		used.MemoryMB += other.needs.MemoryMB
+		used.GPUs += other.needs.GPUs
+		if other.task.Job == s.task.Job && other.task.Round == s.task.Round && other.task.Step == s.task.Step {
+			ofStep++
+		}
+	}
+	if used.MilliCPU > capacity.MilliCPU || used.MemoryMB > capacity.MemoryMB || used.GPUs > capacity.GPUs {
+		a.violate("%s runs %+v, it has %+v", s.worker, used, capacity)
+	}
+	if maxPerWorker > 0 && ofStep > maxPerWorker {
+		a.violate("%v: %d tasks of the step run on %s", s.task, ofStep, s.worker)
+	}
+}
+
+// checkOrder checks that a run's time has come and that the steps before it are done.
+func (a *auditor) checkOrder(s *span) {
+	spec := a.specs[s.task.Job]
+	due := spec.FirstRun.Add(time.Duration(s.task.Round) * spec.Interval)
+	if spec.Rounds > 0 && s.began.Before(due) {
+		a.violate("%v began %s before its time", s.task, due.Sub(s.began))
+	}
+	for _, before := range spec.Steps[s.task.Step].After {
+		done, tasks := a.done(s.task.Job, s.task.Round, before), spec.Steps[before].Count
+		if done < tasks {
+			a.violate("%v began with %d of %d tasks of step %d done", s.task, done, tasks, before)
+		}
+	}
+}
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -38,8 +38,8 @@
 
 func (s *eventLog) start(on string, r workerapi.Run, change ...func(*jobsworker.Event)) {
 	e := jobsworker.Event{Event: jobsworker.EventRunStart, Worker: on, Run: r, Token: 1, Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
-	for _, proc := range change {
-		proc(&e)
+	for _, apply := range change {
+		apply(&e)
 	}
 	s.add(e)
 }
@@ -61,38 +61,38 @@
 }
 
 func TestAudit(t *testing.T) {
-	proc, two := job(jobs.Succeeded, smallStep(1)), job(jobs.Succeeded, smallStep(2))
+	single, two := job(jobs.Succeeded, smallStep(1)), job(jobs.Succeeded, smallStep(2))
 	chain := job(jobs.Succeeded, smallStep(1), smallStep(1).with(func(s *Step) { s.After = []int{0} }))
 	gang := job(jobs.Succeeded, smallStep(2).with(func(s *Step) { s.Gang = true }))
 	labelled := job(jobs.Succeeded, smallStep(1).with(func(s *Step) { s.Label = "ssd" }))
 	apart := job(jobs.Succeeded, smallStep(2).with(func(s *Step) { s.MostPerWorker = 1 }))
 	saving := job(jobs.Succeeded, smallStep(1).with(func(s *Step) { s.Checkpoints = true }))
-	timed := proc
+	timed := single
 	timed.Times = &Times{First: time.Unix(1001, 0), Every: "1s", Rounds: 1}
 	cases := []struct {
 		name        string
 		job         Job
-		logf        func(s *eventLog)
+		write       func(s *eventLog)
 		wrong       string // part of the one thing that is wrong; empty: nothing is
 		evacuations []Evacuation
 	}{
-		{"all is well", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "", nil},
+		{"all is well", single, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "", nil},
 		{"a task is lost", two, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "1 of 2 tasks", nil},
-		{"a task was stopped and not tried again", proc, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.end("a", run(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
-		{"a task is done twice", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "was done", nil},
-		{"a task runs twice at once", proc, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "goes on at a", nil},
-		{"a run number comes again", proc, func(s *eventLog) {
+		{"a task was stopped and not tried again", single, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.end("a", run(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
+		{"a task is done twice", single, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "was done", nil},
+		{"a task runs twice at once", single, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "goes on at a", nil},
+		{"a run number comes again", single, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.end("a", run(0, 0, 1), jobs.EndStopped)
 			s.good("b", run(0, 0, 1))
 		}, "after run 1", nil},
-		{"a task is tried again", proc, func(s *eventLog) {
+		{"a task is tried again", single, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
 			s.end("a", run(0, 0, 1), jobs.EndStopped)
 			s.good("b", run(0, 0, 2))
 		}, "", nil},
-		{"a job that nobody handed in", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
-		{"an end without a run", proc, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.end("b", run(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
+		{"a job that nobody handed in", single, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
+		{"an end without a run", single, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.end("b", run(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
 		{"a lower token", two, func(s *eventLog) {
 			s.start("a", run(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
 			s.end("a", run(0, 0, 1), jobs.EndDone)
@@ -128,7 +128,7 @@
 			s.end("b", run(0, 1, 1), jobs.EndStopped)
 		}, "", nil},
 		{"half a gang", gang, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "1 of 2 members", nil},
-		{"a start in a closed zone", proc, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("a", run(0, 0, 1)) }, "after zone z was evacuated",
+		{"a start in a closed zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("a", run(0, 0, 1)) }, "after zone z was evacuated",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"starts before and after", two, func(s *eventLog) {
 			s.at = time.Unix(1002, 0)
@@ -136,7 +136,7 @@
 			s.at = time.Unix(1004, 0)
 			s.good("a", run(0, 1, 1))
 		}, "", []Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"a start in another zone", proc, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("b", run(0, 0, 1)) }, "",
+		{"a start in another zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("b", run(0, 0, 1)) }, "",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"progress is kept", saving, func(s *eventLog) {
 			s.start("a", run(0, 0, 1))
@@ -157,7 +157,7 @@
 	Convey("Each broken promise is found, and nothing else", t, func() {
 		for _, c := range cases {
 			s := newEventLog()
-			c.logf(s)
+			c.write(s)
 			report, err := Audit([]Job{c.job}, c.evacuations, s.events)
 			So(err, ShouldBeNil)
 			found := strings.Join(report.Violations, "\n")
@@ -173,7 +173,7 @@
 		s := newEventLog()
 		s.good("a", run(0, 0, 1))
 		s.add(jobsworker.Event{Event: jobsworker.EventRunRefuse, Worker: "a", Run: run(0, 0, 2), Reason: "room"})
-		report, err := Audit([]Job{proc}, nil, s.events)
+		report, err := Audit([]Job{single}, nil, s.events)
 		So(err, ShouldBeNil)
 		So([]any{report.Runs, report.Ends[jobs.EndDone], report.Refused["room"]}, ShouldResemble, []any{1, 1, 1})
 	})
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -1,5 +1,3 @@
-// Package endtoend rehearses the product's own interface to jobs: it puts a configuration in force, hands in a mix of
-// jobs of every kind, and audits what the stand-in workers have journaled against what was promised.
 package endtoend
 
 import (
@@ -15,6 +13,7 @@
 	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobs"
 	"crosstide/internal/rpc"
+	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -22,13 +21,13 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// Client makes clients' and operators' calls; a call that may be sent again is sent again, to the next node, until its
+// Client makes clients' and operators' calls. A call that may be repeated is sent again, to the next node, until its
 // ctx ends.
 type Client struct {
 	caller       *rpc.Client
 	clock        clock.Clock
-	frontAddrs   []string // addresses of front nodes
-	controlAddrs []string // control addresses of core nodes
+	frontAddrs   []string // of the data planes
+	controlAddrs []string // of the control planes
 }
 
 // NewClient makes a client.
@@ -36,12 +35,12 @@
 	return &Client{caller: caller, clock: clock, frontAddrs: fronts, controlAddrs: control}
 }
 
-// Submit hands a job in.
+// Submit submits a job.
 func (c *Client) Submit(ctx context.Context, job any) error {
 	return errs.Pass(c.call(ctx, c.frontAddrs, http.MethodPost, "/v2/jobs", job, nil), "submit")
 }
 
-// Show asks for a job.
+// Show reads a job.
 func (c *Client) Show(ctx context.Context, id string) (view controller.JobView, err error) {
 	err = c.call(ctx, c.frontAddrs, http.MethodGet, "/v2/jobs/"+url.PathEscape(id), nil, &view)
 	return view, errs.Pass(err, "show %s", id)
@@ -49,10 +48,11 @@
 
 // Cancel cancels a job.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return errs.Pass(c.call(ctx, c.frontAddrs, http.MethodDelete, "/v2/jobs/"+url.PathEscape(id), nil, nil), "cancel %s", id)
+	err := c.call(ctx, c.frontAddrs, http.MethodDelete, "/v2/jobs/"+url.PathEscape(id), nil, nil)
+	return errs.Pass(err, "cancel %s", id)
 }
 
-// AwaitState asks for a job until it is in a state.
+// AwaitState polls a job until it is in a state. Failures: Conflict: it ended in another one, Timeout.
 func (c *Client) AwaitState(ctx context.Context, id string, state jobs.JobState) error {
 	for {
 		view, err := c.Show(ctx, id)
@@ -84,7 +84,8 @@
 
 // Zone evacuates or restores a zone.
 func (c *Client) Zone(ctx context.Context, zone, verb string) error {
-	return errs.Pass(c.call(ctx, c.controlAddrs, http.MethodPost, "/v2/zones/"+url.PathEscape(zone)+"/"+verb, nil, nil), "%s", verb)
+	err := c.call(ctx, c.controlAddrs, http.MethodPost, "/v2/zones/"+url.PathEscape(zone)+"/"+verb, nil, nil)
+	return errs.Pass(err, "%s", verb)
 }
 
 // Workers lists the workers.
@@ -93,13 +94,13 @@
 	return workers, errs.Pass(err, "workers")
 }
 
-// Topology asks for the leader and the members.
+// Topology reads the leader and the members.
 func (c *Client) Topology(ctx context.Context) (topology controller.TopologyAnswer, err error) {
 	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/topology", nil, &topology)
 	return topology, errs.Pass(err, "topology")
 }
 
-// call sends a call to each of addrs in turn until one answers it for good.
+// call sends a call to each of addrs in turn until one answers for good.
 func (c *Client) call(ctx context.Context, addrs []string, method, path string, body, answer any) error {
 	request := rpc.Request{Method: method, Path: path, Header: map[string]string{"Content-Type": "application/json"}}
 	if body != nil {
@@ -110,18 +111,19 @@
 		request.Body = data
 	}
 	for i := 0; ; i++ {
-		retryable, err := c.attempt(ctx, addrs[i%len(addrs)], request, answer)
+		isRetryable, err := c.attempt(ctx, addrs[i%len(addrs)], request, answer)
 		if err == nil {
 			return nil
 		}
-		if !retryable || !c.sleep(ctx) {
+		if !isRetryable || !c.sleep(ctx) {
 			return errs.Pass(err, "%s %s", method, path)
 		}
 	}
 }
 
-// attempt sends a call once and tells whether it may be sent again.
-func (c *Client) attempt(ctx context.Context, addr string, request rpc.Request, answer any) (retryable bool, err error) {
+// attempt sends a call once; isRetryable: it may be sent again.
+func (c *Client) attempt(ctx context.Context, addr string, request rpc.Request,
+	answer any) (isRetryable bool, err error) {
 	response, err := c.caller.Do(ctx, addr, request, callTimeout)
 	if err != nil {
 		return true, errs.Pass(err, "%s", addr)
@@ -139,15 +141,5 @@
 	return false, errs.Wrap(json.Unmarshal(response.Body, answer), errs.Malformed, "answer of %s", addr)
 }
 
-// sleep waits a little; false when ctx has ended.
-func (c *Client) sleep(ctx context.Context) bool {
-	elapsed := make(chan struct{})
-	timer := c.clock.Set(retryInterval, func() { close(elapsed) })
-	defer timer.Stop()
-	select {
-	case <-elapsed:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
+// sleep waits before another attempt; false when ctx has ended.
+func (c *Client) sleep(ctx context.Context) bool { return pause.For(ctx, c.clock, retryInterval) }
--- a/internal/testbed/endtoend/jobs.go
+++ b/internal/testbed/endtoend/jobs.go
@@ -11,10 +11,10 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// What the configuration of the drill has.
+// What the configuration of a scenario has.
 const (
 	Service  = "batch"
-	Urgent   = "urgent" // the queue that goes first
+	Urgent   = "urgent" // the queue of higher priority
 	Normal   = "normal"
 	Attempts = 3 // of a task in either queue
 )
@@ -26,22 +26,24 @@
 	Services []jobsapi.Service `json:"services"`
 }
 
-// Configuration is the order that puts the drill's configuration in force on top of a version.
+// Configuration is the order that puts the scenario's configuration in force on top of a version.
 func Configuration(base uint64) any {
 	queue := func(name string, priority int) jobsapi.Queue {
-		return jobsapi.Queue{Name: name, Service: Service, Priority: priority, Attempts: Attempts, Stretch: 1, Target: "1s", Timeout: "1h"}
+		return jobsapi.Queue{Name: name, Service: Service, Priority: priority, Attempts: Attempts, Stretch: 1,
+			Target: "1s", Timeout: "1h"}
 	}
-	return configOrder{Base: base, Services: []jobsapi.Service{{Name: Service}}, Queues: []jobsapi.Queue{queue(Urgent, 0), queue(Normal, 5)}}
+	return configOrder{Base: base, Services: []jobsapi.Service{{Name: Service}},
+		Queues: []jobsapi.Queue{queue(Urgent, 0), queue(Normal, 5)}}
 }
 
-// Job is a job of the mix, and the state that it must come to.
+// Job is a job as a client writes it, with what the audit must know of it.
 type Job struct {
 	ID        string             `json:"id"`
 	Queue     string             `json:"queue"`
 	Payload   string             `json:"payload"`
 	Times     *Times             `json:"times,omitempty"`
 	Steps     []Step             `json:"steps"`
-	WantState jobs.JobState      `json:"-"`
+	WantState jobs.JobState      `json:"-"` // that it must come to
 	Program   jobsworker.Program `json:"-"`
 }
 
@@ -85,7 +87,7 @@
 	return Step{Tasks: tasks, MilliCPU: 200, MemoryMB: 32, Estimate: "100ms"}
 }
 
-// with gives the step changed.
+// with returns the step changed.
 func (s Step) with(change func(*Step)) Step {
 	change(&s)
 	return s
@@ -105,38 +107,44 @@
 	return newJob("bulk", Normal, jobs.Succeeded, jobsworker.Program{MS: 4000, SaveMS: 100}, step)
 }
 
-// LongRunning is a job that runs until it is cancelled.
-func LongRunning() Job {
-	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, smallStep(1).with(func(s *Step) { s.LongRunning = true }))
+// LongRunningJob is a job that runs until it is cancelled.
+func LongRunningJob() Job {
+	step := smallStep(1).with(func(s *Step) { s.LongRunning = true })
+	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, step)
 }
 
-// MixedJobs gives jobs of every kind that ends by itself; first is when the timed one is due.
+// MixedJobs returns jobs of every kind that ends by itself; first is when the timed one is due.
 func MixedJobs(first time.Time) []Job {
-	quick := jobsworker.Program{MS: 60}
-	timed := newJob("timed", Urgent, jobs.Succeeded, quick, smallStep(2))
+	quick, slow := jobsworker.Program{MS: 60}, jobsworker.Program{MS: 300}
+	failing := func(ms, fails int) jobsworker.Program { return jobsworker.Program{MS: ms, Fails: fails} }
+	succeeds := func(id string, program jobsworker.Program, steps ...Step) Job {
+		return newJob(id, Urgent, jobs.Succeeded, program, steps...)
+	}
+	after := func(steps ...int) func(*Step) { return func(s *Step) { s.After = steps } }
+	timed := succeeds("timed", quick, smallStep(2))
 	timed.Times = &Times{First: first.UTC(), Every: "400ms", Rounds: 3}
 	return []Job{
 		newJob("plain", Normal, jobs.Succeeded, quick, smallStep(10)),
-		newJob("chain", Urgent, jobs.Succeeded, quick, smallStep(4),
-			smallStep(3).with(func(s *Step) { s.After = []int{0} }), smallStep(2).with(func(s *Step) { s.After = []int{0, 1} })),
-		newJob("gang", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, smallStep(4).with(func(s *Step) { s.Gang, s.OneRack = true, true })),
-		newJob("gang-retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 100, Fails: 1}, smallStep(3).with(func(s *Step) { s.Gang = true })),
-		newJob("speculative", Urgent, jobs.Succeeded, quick, smallStep(3).with(func(s *Step) { s.Speculative = true })),
-		newJob("labelled", Urgent, jobs.Succeeded, quick, smallStep(4).with(func(s *Step) { s.Label = "ssd" })),
-		newJob("gpu", Urgent, jobs.Succeeded, quick, smallStep(3).with(func(s *Step) { s.GPUs = 1 })),
-		newJob("near", Urgent, jobs.Succeeded, quick, smallStep(3).with(func(s *Step) { s.Near = "r2" })),
-		newJob("apart", Urgent, jobs.Succeeded, jobsworker.Program{MS: 300}, smallStep(3).with(func(s *Step) { s.MostPerWorker = 1 })),
-		newJob("retried", Urgent, jobs.Succeeded, jobsworker.Program{MS: 60, Fails: Attempts - 1}, smallStep(1)),
-		newJob("hopeless", Urgent, jobs.Failed, jobsworker.Program{MS: 60, Fails: 1000}, smallStep(1)),
+		succeeds("chain", quick, smallStep(4), smallStep(3).with(after(0)), smallStep(2).with(after(0, 1))),
+		succeeds("gang", slow, smallStep(4).with(func(s *Step) { s.Gang, s.OneRack = true, true })),
+		succeeds("gang-retried", failing(100, 1), smallStep(3).with(func(s *Step) { s.Gang = true })),
+		succeeds("speculative", quick, smallStep(3).with(func(s *Step) { s.Speculative = true })),
+		succeeds("labelled", quick, smallStep(4).with(func(s *Step) { s.Label = "ssd" })),
+		succeeds("gpu", quick, smallStep(3).with(func(s *Step) { s.GPUs = 1 })),
+		succeeds("near", quick, smallStep(3).with(func(s *Step) { s.Near = "r2" })),
+		succeeds("apart", slow, smallStep(3).with(func(s *Step) { s.MostPerWorker = 1 })),
+		succeeds("retried", failing(60, Attempts-1), smallStep(1)),
+		newJob("hopeless", Urgent, jobs.Failed, failing(60, 1000), smallStep(1)),
 		timed,
 	}
 }
 
-// NumberedJobs gives small jobs with IDs of a common beginning.
+// NumberedJobs returns small jobs with IDs of a common prefix.
 func NumberedJobs(prefix string, count int) []Job {
 	var out []Job
 	for i := range count {
-		out = append(out, newJob(fmt.Sprintf("%s-%d", prefix, i), Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, smallStep(2)))
+		id := fmt.Sprintf("%s-%d", prefix, i)
+		out = append(out, newJob(id, Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, smallStep(2)))
 	}
 	return out
 }
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -137,7 +137,7 @@
 		read, err := client.Config(ctx)
 		So([]any{read.Version, len(read.Queues), err}, ShouldResemble, []any{uint64(2), 2, nil})
 
-		accepted := append(MixedJobs(clock.Real{}.Wall().Add(500*time.Millisecond)), LongRunning())
+		accepted := append(MixedJobs(clock.Real{}.Wall().Add(500*time.Millisecond)), LongRunningJob())
 		for _, job := range accepted {
 			So(client.Submit(ctx, job), ShouldBeNil)
 			So(client.Submit(ctx, job), ShouldBeNil) // it is the same job
@@ -178,7 +178,7 @@
 		failed := report.Failed["hopeless"] + report.Failed["retried"] + report.Failed["gang-retried"]
 		So(report.Ends[jobs.EndFailed], ShouldEqual, failed)
 	})
-	Convey("Urgent work takes the place of other work, and a worker leaves: what was stopped goes on from its progress once there is room", t, func() {
+	Convey("Urgent work takes the place of other work, and a worker leaves: what was stopped resumes from its checkpoint once there is capacity", t, func() {
 		s := startSystem(t.TempDir(), Shapes(2))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
@@ -189,7 +189,7 @@
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)
 		urgent := newJob("urgent", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
 		So(s.client.Submit(ctx, urgent), ShouldBeNil)
-		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no room but that of the slow one
+		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no capacity but that of the slow one
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)           // and it has it back
 		s.stop[0]()
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks/2), ShouldBeNil)
--- a/internal/testbed/endtoend/workers.go
+++ b/internal/testbed/endtoend/workers.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// Shape is one worker of the drill.
+// Shape is one worker of a scenario.
 type Shape struct {
 	Name     string
 	Zone     string
@@ -19,7 +19,7 @@
 	Capacity jobs.Resources
 }
 
-// Shapes gives count workers: two zones and two racks in turn, every other one with a label, the first two with GPUs.
+// Shapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with GPUs.
 func Shapes(count int) []Shape {
 	var out []Shape
 	for i := range count {
@@ -39,8 +39,8 @@
 
 // settings are those of the shape's process.
 func (s Shape) settings(address string, core []string, journal string) jobsworker.Settings {
-	return jobsworker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack, Labels: s.Labels,
-		Capacity: s.Capacity, ControlAddrs: core, Journal: journal}
+	return jobsworker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack,
+		Labels: s.Labels, Capacity: s.Capacity, ControlAddrs: core, Journal: journal}
 }
 
 // Events reads the journals of the workers in DIR/journal.
