--- a/cmd/crosstide-testbed/jobs.go
+++ b/cmd/crosstide-testbed/jobs.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -15,32 +16,38 @@
 	"crosstide/internal/testbed/endtoend"
 )
 
-func init() {
-	commands = append(commands, &cli.Command{
-		Name: "jobs", Usage: "the jobs interface end to end: processes on loopback, a mix of jobs, the leader killed, an audit",
-		Description: "Starts cplanes, dplanes and workers, hands in jobs of every kind, tells a worker to leave, kills the leader\n" +
-			"once, evacuates a zone, waits for every job and audits the workers' journals. Exit 1 if a promise is broken.",
+const jobsDescription = "" +
+	"Starts cplanes, dplanes and workers, hands in jobs of every kind, tells a worker to leave, kills the leader\n" +
+	"once, evacuates a zone, waits for every job and audits the workers' journals. Exit 1 if a promise is broken."
+
+func jobsCommand() *cli.Command {
+	return &cli.Command{
+		Name:        "jobs",
+		Usage:       "the jobs interface end to end: processes on loopback, a mix of jobs, the leader killed, an audit",
+		Description: jobsDescription,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "dir", Usage: "`DIR` for settings, data, logs and journals; default: a new one, removed if all is well"},
+			&cli.StringFlag{Name: "dir",
+				Usage: "`DIR` for settings, data, logs and journals; default: a new one, removed if all is well"},
 			&cli.StringFlag{Name: "bin", Usage: "`FOLDER` of the programs (default: this program's)"},
 			&cli.IntFlag{Name: "cplanes", Value: 3},
 			&cli.IntFlag{Name: "dplanes", Value: 2},
 			&cli.IntFlag{Name: "workers", Value: 6},
 		},
-		Action: runEndToEnd,
-	})
+		Action: runJobs,
+	}
 }
 
-func runEndToEnd(ctx context.Context, cmd *cli.Command) error {
-	dir, made, err := workFolder(cmd.String("dir"))
+func runJobs(ctx context.Context, cmd *cli.Command) error {
+	dir, isNew, err := jobsFolder(cmd.String("dir"))
 	if err != nil {
 		return errs.Pass(err, "jobs")
 	}
 	bin := cmd.String("bin")
 	if bin == "" {
-		bin = filepath.Dir(program("crosstide-testbed"))
+		bin = binDir()
 	}
-	plan, err := endtoend.NewPlan(dir, bin, endtoend.Size{ControlPlanes: cmd.Int("cplanes"), DataPlanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
+	plan, err := endtoend.NewPlan(dir, bin, endtoend.Size{ControlPlanes: cmd.Int("cplanes"),
+		DataPlanes: cmd.Int("dplanes"), Workers: cmd.Int("workers")})
 	if err != nil {
 		return errs.Pass(err, "jobs")
 	}
@@ -53,18 +60,20 @@
 	if err != nil {
 		return errs.Pass(err, "jobs; logs are in %s", dir)
 	}
-	printResult(cmd, result)
-	if len(result.Violations) > 0 {
-		return errs.New(errs.Internal, "%d promises are broken; logs and journals are in %s", len(result.Violations), dir)
+	if err := printf(cmd, "%s", resultText(result)); err != nil {
+		return errs.Pass(err, "jobs")
+	}
+	if n := len(result.Violations); n > 0 {
+		return errs.New(errs.Internal, "%d promises are broken; logs and journals are in %s", n, dir)
 	}
-	if made {
+	if isNew {
 		return errs.Wrap(os.RemoveAll(dir), errs.Disk, "remove %s", dir)
 	}
 	return nil
 }
 
-// workFolder gives the drill's folder; made tells that it is a new one.
-func workFolder(named string) (dir string, made bool, err error) {
+// jobsFolder returns the folder to work in: the one named, else a new one.
+func jobsFolder(named string) (dir string, isNew bool, err error) {
 	if named != "" {
 		dir, err = filepath.Abs(named)
 		return dir, false, errs.Wrap(err, errs.Disk, "folder")
@@ -73,20 +82,22 @@
 	return dir, true, errs.Wrap(err, errs.Disk, "folder")
 }
 
-func printResult(cmd *cli.Command, result endtoend.Result) {
-	out := cmd.Root().Writer
-	fmt.Fprintf(out, "jobs %d  runs %d", result.Accepted, result.Runs)
-	for _, kind := range slices.Sorted(maps.Keys(result.Ends)) {
-		fmt.Fprintf(out, "  %s %d", kind, result.Ends[kind])
+// resultText is what a scenario came to: the counts on one line, then a line for each violation.
+func resultText(result endtoend.Result) string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "jobs %d  runs %d", result.Accepted, result.Runs)
+	for _, reason := range slices.Sorted(maps.Keys(result.Ends)) {
+		fmt.Fprintf(&out, "  %s %d", reason, result.Ends[reason])
 	}
-	for _, why := range slices.Sorted(maps.Keys(result.Refused)) {
-		fmt.Fprintf(out, "  refused-%s %d", why, result.Refused[why])
+	for _, reason := range slices.Sorted(maps.Keys(result.Refused)) {
+		fmt.Fprintf(&out, "  refused-%s %d", reason, result.Refused[reason])
 	}
-	fmt.Fprintf(out, "\naccepted again %s after the kill\n", result.AcceptedIn.Round(time.Millisecond))
-	for _, wrong := range result.Violations {
-		fmt.Fprintln(out, "BROKEN", wrong)
+	fmt.Fprintf(&out, "\naccepted again %s after the kill\n", result.AcceptedIn.Round(time.Millisecond))
+	for _, violation := range result.Violations {
+		fmt.Fprintln(&out, "BROKEN", violation)
 	}
 	if len(result.Violations) == 0 {
-		fmt.Fprintln(out, "held: nothing lost, nothing twice, order, room, labels, gangs, progress, attempts")
+		fmt.Fprintln(&out, "held: nothing lost, nothing twice, order, room, labels, gangs, progress, attempts")
 	}
+	return out.String()
 }
--- a/cmd/crosstide-testbed/main.go
+++ b/cmd/crosstide-testbed/main.go
@@ -1,4 +1,6 @@
-// Command crosstide-testbed is the rehearsal kit: stand-in minions and clients, faulty links, load, audits and drills.
+// Command crosstide-testbed is the testbed of crosstide: stand-in workers and clients, load, injected faults, audits
+// and simulators. Each file is one command and is named for it; it parses, checks and wires, and one of the packages
+// under internal/testbed does the work.
 package main
 
 import (
@@ -9,14 +11,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// commands are the subcommands; each file adds its own in an init.
-var commands []*cli.Command
-
 func main() {
 	root := &cli.Command{
-		Name:     "crosstide-testbed",
-		Usage:    "rehearse a crosstide fleet on one machine",
-		Commands: commands,
+		Name:  "crosstide-testbed",
+		Usage: "rehearse a crosstide fleet on one machine",
+		Commands: []*cli.Command{
+			auditCommand(), balancesCommand(), benchCommand(), diskCommand(), bundlesCommand(), churnCommand(),
+			lagsCommand(), portsCommand(), planCommand(), readyCommand(), whoCommand(), freezeCommand(), jobsCommand(),
+			linkCommand(), cutCommand(), loadCommand(), minionCommand(), monthCommand(), rehearseCommand(),
+			scaleCommand(), plotCommand(), simCommand(), workerCommand(), zoneCommand(),
+		},
 	}
 	if err := root.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "crosstide-testbed:", err)
--- a/cmd/crosstide-testbed/minion.go
+++ b/cmd/crosstide-testbed/minion.go
@@ -17,12 +17,14 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-func init() {
-	commands = append(commands, &cli.Command{
-		Name:  "minion",
-		Usage: "run a stand-in minion, or many hollow ones at one address",
-		Description: "SIGTERM and SIGINT drain and then leave, a second one leaves at once;\n" +
-			"SIGUSR1 switches draining on and off. Flags go over what the settings file says.",
+const minionDescription = "SIGTERM and SIGINT drain and then leave, a second one leaves at once;\n" +
+	"SIGUSR1 switches draining on and off. Flags go over what the settings file says."
+
+func minionCommand() *cli.Command {
+	return &cli.Command{
+		Name:        "minion",
+		Usage:       "run a stand-in minion, or many hollow ones at one address",
+		Description: minionDescription,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` with the names of these flags"},
 			&cli.StringFlag{Name: "name", Usage: "the minion's name"},
@@ -38,60 +40,68 @@
 			&cli.StringFlag{Name: "journal", Usage: "`FILE` to append to; {name} stands for the minion's name"},
 			&cli.IntFlag{Name: "count", Usage: "`N` hollow minions NAME-0 and on (default 1: NAME itself)"},
 			&cli.DurationFlag{Name: "grace", Usage: "how long a leaving minion waits (default 10s)"},
-			&cli.DurationFlag{Name: "late", Usage: "carry out calls with starts late by up to `D`, half of them unanswered"},
+			&cli.DurationFlag{Name: "late",
+				Usage: "carry out calls with starts late by up to `D`, half of them unanswered"},
 			&cli.FloatFlag{Name: "lose", Usage: "drop an answer with probability `P`"},
 			&cli.FloatFlag{Name: "fail", Usage: "end a run in a fault with probability `P`"},
 			&cli.FloatFlag{Name: "slow", Usage: "let runs take up to `F` times as long (default 1)"},
 			&cli.Uint64Flag{Name: "seed", Usage: "of late, lose, fail and slow"},
 			&cli.StringFlag{Name: "log", Value: "info", Usage: "`LEVEL`: debug, info, warn or error"},
 		},
-		Action: runPolicyWorker,
-	})
+		Action: runMinion,
+	}
 }
 
-func runPolicyWorker(ctx context.Context, cmd *cli.Command) error {
-	set, err := policyWorkerSettings(cmd)
+func runMinion(ctx context.Context, cmd *cli.Command) error {
+	settings, err := minionSettings(cmd)
 	if err != nil {
 		return errs.Pass(err, "minion")
 	}
-	at, err := level.Parse(cmd.String("log"))
+	lowest, err := level.Parse(cmd.String("log"))
 	if err != nil {
 		return errs.Wrap(err, errs.Settings, "log")
 	}
-	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC, "minion", set.Name)
-	logger = level.NewFilter(logger, level.Allow(at))
+	logger := log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))
+	logger = log.With(logger, "ts", log.DefaultTimestampUTC, "minion", settings.Name)
+	logger = level.NewFilter(logger, level.Allow(lowest))
 
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	defer signal.Stop(signals)
-	host, err := policyworker.Open(set, clock.Real{}, logger)
+	host, err := policyworker.Open(settings, clock.Real{}, logger)
 	if err != nil {
 		return errs.Pass(err, "minion")
 	}
 	group := routine.New(ctx)
 	defer group.Stop()
 	group.Go(func(ctx context.Context) {
-		on, leave := false, false
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case s := <-signals:
-				if leave && s != syscall.SIGUSR1 {
-					group.Cancel()
-					return
-				}
-				leave = leave || s != syscall.SIGUSR1
-				on = leave || !on
-				host.Drain(on, leave)
-			}
+		if followSignals(ctx, signals, host) {
+			group.Cancel()
 		}
 	})
 	return errs.Pass(host.Run(group.Context()), "minion")
 }
 
-// policyWorkerSettings takes the defaults, then the file, then the flags that were given.
-func policyWorkerSettings(cmd *cli.Command) (policyworker.Settings, error) {
+// followSignals drains the host as signals say, until ctx ends; true when it is to end at once.
+func followSignals(ctx context.Context, signals <-chan os.Signal, host *policyworker.Host) (endNow bool) {
+	isDraining, isLeaving := false, false
+	for {
+		select {
+		case <-ctx.Done():
+			return false
+		case s := <-signals:
+			if isLeaving && s != syscall.SIGUSR1 {
+				return true
+			}
+			isLeaving = isLeaving || s != syscall.SIGUSR1
+			isDraining = isLeaving || !isDraining
+			host.Drain(isDraining, isLeaving)
+		}
+	}
+}
+
+// minionSettings are the defaults, over them the file, over both the flags that were given. Failure: Settings.
+func minionSettings(cmd *cli.Command) (policyworker.Settings, error) {
 	set := policyworker.Defaults()
 	if path := cmd.String("settings"); path != "" {
 		if err := set.Load(path); err != nil {
@@ -118,10 +128,3 @@
 	setFlag(cmd, "seed", &set.Seed, cmd.Uint64)
 	return set, errs.Pass(set.Check(), "settings")
 }
-
-// setFlag sets *to from the flag name, if it was given.
-func setFlag[T any](cmd *cli.Command, name string, to *T, get func(string) T) {
-	if cmd.IsSet(name) {
-		*to = get(name)
-	}
-}
--- a/cmd/crosstide-testbed/month.go
+++ b/cmd/crosstide-testbed/month.go
@@ -11,11 +11,15 @@
 	"crosstide/internal/testbed/soak"
 )
 
-func init() {
-	commands = append(commands, &cli.Command{
-		Name: "month", Usage: "let a state live through days of jobs and print its size at the end of each, as JSON lines",
-		Description: "No process runs: the commands of the log are applied one after the other under simulated times, with the\n" +
-			"letting go of ended jobs, tombstones and orders as a leader proposes it under its default settings.",
+const monthDescription = "" +
+	"No process runs: the commands of the log are applied one after the other under simulated times, with the\n" +
+	"letting go of ended jobs, tombstones and orders as a leader proposes it under its default settings."
+
+func monthCommand() *cli.Command {
+	return &cli.Command{
+		Name:        "month",
+		Usage:       "let a state live through days of jobs and print its size at the end of each, as JSON lines",
+		Description: monthDescription,
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "days", Value: 30},
 			&cli.IntFlag{Name: "jobs", Value: 21000, Usage: "a day"},
@@ -25,12 +29,15 @@
 			&cli.IntFlag{Name: "orders", Value: 670, Usage: "of operators, a day"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
-		Action: func(_ context.Context, cmd *cli.Command) error {
-			o := soak.Options{Days: cmd.Int("days"), Jobs: cmd.Int("jobs"), Tasks: cmd.Int("tasks"), TaskDuration: cmd.Duration("last"),
-				Workers: cmd.Int("minions"), Orders: cmd.Int("orders"), Seed: cmd.Uint64("seed"), Keep: config.DefaultControlPlane()}
-			return errs.Pass(soak.Run(o, func(d soak.Day) error {
-				return errs.Pass(printJSON(cmd.Root().Writer, d), "day")
-			}), "month")
-		},
-	})
+		Action: runMonth,
+	}
+}
+
+func runMonth(_ context.Context, cmd *cli.Command) error {
+	options := soak.Options{Days: cmd.Int("days"), Jobs: cmd.Int("jobs"), Tasks: cmd.Int("tasks"),
+		TaskDuration: cmd.Duration("last"), Workers: cmd.Int("minions"), Orders: cmd.Int("orders"),
+		Seed: cmd.Uint64("seed"), Keep: config.DefaultControlPlane()}
+	return errs.Pass(soak.Run(options, func(day soak.Day) error {
+		return errs.Pass(printJSON(cmd, day), "day")
+	}), "month")
 }
--- /dev/null
+++ b/cmd/crosstide-testbed/ready.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/pause"
+)
+
+func readyCommand() *cli.Command {
+	return &cli.Command{
+		Name: "ready", Usage: "wait until a fleet is ready; name what is not and exit 1 when the bound is over",
+		Description: "Ready: /readyz of every cplane and dplane is 200 and the store knows a boot of every minion.",
+		Flags:       []cli.Flag{fleetFlag(), &cli.DurationFlag{Name: "for", Value: 20 * time.Second}},
+		Action:      runReady,
+	}
+}
+
+const readyPollInterval = 200 * time.Millisecond
+
+func runReady(ctx context.Context, cmd *cli.Command) error {
+	nodes, err := fleet.Read(cmd.String("fleet"))
+	if err != nil {
+		return errs.Pass(err, "ready")
+	}
+	caller, clock := fleet.NewCaller(2), clock.Real{}
+	for deadline := clock.Now() + cmd.Duration("for"); ; {
+		notReady := fleet.NotReady(ctx, caller, nodes)
+		if len(notReady) == 0 {
+			return nil
+		}
+		if clock.Now() >= deadline {
+			return errs.New(errs.Unavailable, "not ready: %s", strings.Join(notReady, " "))
+		}
+		if !pause.For(ctx, clock, readyPollInterval) {
+			return errs.Wrap(ctx.Err(), errs.Stopped, "ready")
+		}
+	}
+}
--- a/cmd/crosstide-testbed/worker.go
+++ b/cmd/crosstide-testbed/worker.go
@@ -15,8 +15,8 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-func init() {
-	commands = append(commands, &cli.Command{
+func workerCommand() *cli.Command {
+	return &cli.Command{
 		Name: "worker", Usage: "a stand-in worker for the jobs interface; SIGTERM drains it and lets it leave",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Required: true},
@@ -35,23 +35,25 @@
 			&cli.StringFlag{Name: "log", Value: "info", Usage: "`LEVEL`: debug, info, warn or error"},
 		},
 		Action: runWorker,
-	})
+	}
 }
 
 func runWorker(ctx context.Context, cmd *cli.Command) error {
-	set := jobsworker.Settings{
+	settings := jobsworker.Settings{
 		Name: cmd.String("name"), Address: cmd.String("addr"), Service: cmd.String("service"), Zone: cmd.String("zone"),
-		Rack: cmd.String("rack"), Labels: cmd.StringSlice("label"), ControlAddrs: cmd.StringSlice("core"), Journal: cmd.String("journal"),
+		Rack: cmd.String("rack"), Labels: cmd.StringSlice("label"), ControlAddrs: cmd.StringSlice("core"),
+		Journal:           cmd.String("journal"),
 		HeartbeatInterval: cmd.Duration("every"), Grace: cmd.Duration("grace"),
-		Capacity: jobs.Resources{MilliCPU: cmd.Int("milli-cpu"), MemoryMB: cmd.Int("memory-mb"), GPUs: cmd.Int("gpus")},
+		Capacity: jobs.Resources{MilliCPU: cmd.Int("milli-cpu"), MemoryMB: cmd.Int("memory-mb"),
+			GPUs: cmd.Int("gpus")},
 	}
 	ctx, stop := daemon.Signals(ctx)
 	defer stop()
-	logger := log.With(daemon.Logger(cmd.String("log"), os.Stderr), "worker", set.Name)
-	host, err := jobsworker.Open(set, clock.Real{}, logger)
+	logger := log.With(daemon.Logger(cmd.String("log"), os.Stderr), "worker", settings.Name)
+	host, err := jobsworker.Open(settings, clock.Real{}, logger)
 	if err != nil {
 		return errs.Pass(err, "worker")
 	}
-	_ = level.Info(logger).Log("msg", "the worker is up", "id", host.ID(), "addr", set.Address)
+	_ = level.Info(logger).Log("msg", "worker started", "id", host.ID(), "addr", settings.Address)
 	return errs.Pass(host.Run(ctx), "worker")
 }
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -51,6 +51,9 @@
 	f.Lines = append(f.Lines, line.String())
 }
 
+// known is the invariant that Probe adds cases to.
+const known = "known"
+
 // checks are the invariants, in the order of the design's table. A nil check has no evidence in the journals.
 var checks = []struct {
 	invariant    string
@@ -66,7 +69,7 @@
 	{"drain", checkDrain, ""},
 	{"evacuate", checkEvacuation, ""},
 	{"cancel", checkCancel, ""},
-	{"known", checkKnown, ""},
+	{known, checkKnown, ""},
 	{"done", checkDone, ""},
 	{"operators", checkOperatorOrders, ""},
 	{"bundle", checkRollout, ""},
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -7,9 +7,11 @@
 	"maps"
 	"net/http"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
+	"crosstide/internal/errs"
 	"crosstide/internal/routine"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/load"
@@ -68,3 +70,23 @@
 	e.Raw = fmt.Sprintf(`{"at":%d,"ev":"poll","job":%q,"state":%q,"node":%q}`, e.At, e.Job, e.State, e.Node)
 	return e, true
 }
+
+// CheckFleet checks the fleet in dir: its journals and, where it answers, its data planes' views of accepted jobs.
+// Failures: those of Read.
+func CheckFleet(ctx context.Context, dir string) ([]Finding, error) {
+	history, err := Read(dir)
+	if err != nil {
+		return nil, errs.Pass(err, "journals of %s", dir)
+	}
+	answered := 0
+	if nodes, err := fleet.Read(dir); err == nil {
+		history, answered = Probe(ctx, history, fleet.NewCaller(probesAtOnce), nodes.DataPlanes)
+	}
+	findings := Check(history)
+	for i, f := range findings {
+		if f.Invariant == known {
+			findings[i].Note = strings.TrimPrefix(f.Note+fmt.Sprintf("; %d asked for at the end", answered), "; ")
+		}
+	}
+	return findings, nil
+}
--- a/internal/testbed/billingload/billingload_test.go
+++ b/internal/testbed/billingload/export_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/errs"
 )
 
-func TestAdd(t *testing.T) {
+func TestSumExport(t *testing.T) {
 	Convey("An export adds up to its head; one that was changed does not", t, func() {
 		at := time.Unix(1_700_000_000, 0).UTC()
 		accounts := account.NewTable()
--- /dev/null
+++ b/internal/testbed/billingload/operator.go
@@ -0,0 +1,197 @@
+// Package billingload is the stand-in operator of prepaid balances: it puts a paying party into the bundle of a fleet,
+// opens its account, tops it up, reads it back and exports its ledger, over the public API. SumExport checks an export
+// by its own arithmetic. The package offers no jobs and judges no fleet; package rehearsal does.
+package billingload
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"crosstide/internal/account"
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/pause"
+)
+
+// Price and reservation window of the party.
+const (
+	CorePrice = 10              // units for a second of a core
+	Window    = 2 * time.Second // that is reserved for a run
+)
+
+const (
+	callTimeout  = 2 * time.Second // of one attempt
+	orderTimeout = 30 * time.Second
+	retryBackoff = 50 * time.Millisecond
+	connsPerNode = 4
+)
+
+// Operator is an operator of a fleet. It is not safe for concurrent use.
+type Operator struct {
+	nodes  fleet.Nodes
+	keys   []signature.Key
+	caller *fleet.Caller
+	clock  clock.Clock
+	prefix string // of the orders' IDs
+	serial int    // of the newest order
+	node   int    // index of the control plane that is called first
+}
+
+// New makes the operator of the fleet in dir. Failures: Disk, Malformed.
+func New(dir, prefix string) (*Operator, error) {
+	nodes, err := fleet.Read(dir)
+	if err != nil {
+		return nil, errs.Pass(err, "fleet")
+	}
+	keys, err := fleet.Keys(dir)
+	if err != nil {
+		return nil, errs.Pass(err, "keys")
+	}
+	return &Operator{nodes: nodes, keys: keys, caller: fleet.NewCaller(connsPerNode), clock: clock.Real{},
+		prefix: prefix}, nil
+}
+
+// newOrderID returns an ID that no other order of this operator has.
+func (o *Operator) newOrderID() string {
+	o.serial++
+	return fmt.Sprintf("%s-%d", o.prefix, o.serial)
+}
+
+// call sends a call to one control plane after another until it is answered for good. Failures: the answer's own,
+// Timeout.
+func (o *Operator) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+	route, _, _ := strings.Cut(path, "?") // the query may hold a signature
+	for deadline := o.clock.Now() + orderTimeout; ; {
+		node := o.nodes.ControlPlanes[o.node%len(o.nodes.ControlPlanes)]
+		reply, err := o.caller.Send(ctx, method, node.Addr, path, body, callTimeout)
+		switch {
+		case err == nil && reply.IsSuccess():
+			return reply.Body, nil
+		case err == nil && reply.IsRefusal():
+			return nil, errs.New(errs.Kind(reply.ErrorKind()), "%s %s: %s", method, route, reply.Body)
+		case ctx.Err() == nil && o.clock.Now() <= deadline:
+			o.node++
+			pause.For(ctx, o.clock, retryBackoff)
+		case err != nil:
+			return nil, errs.Wrap(err, errs.Timeout, "%s %s: no good answer within %s", method, route, orderTimeout)
+		default:
+			return nil, errs.New(errs.Timeout, "%s %s: status %d, no good answer within %s", method, route,
+				reply.Status, orderTimeout)
+		}
+	}
+}
+
+// callJSON is call with a body and an answer in JSON; in may be nil.
+func (o *Operator) callJSON(ctx context.Context, method, path string, in, out any) error {
+	var body []byte
+	if in != nil {
+		var err error
+		if body, err = json.Marshal(in); err != nil {
+			return errs.Wrap(err, errs.Internal, "encode")
+		}
+	}
+	raw, err := o.call(ctx, method, path, body)
+	if err != nil {
+		return errs.Pass(err, "ask")
+	}
+	return errs.Wrap(json.Unmarshal(raw, out), errs.Malformed, "answer to %s", path)
+}
+
+// CreateParty opens an account and adds a party of its name to the bundle in force, which pays for a team of its name.
+func (o *Operator) CreateParty(ctx context.Context, name string) error {
+	id, key := o.newOrderID(), o.keys[0]
+	var opened json.RawMessage
+	err := o.callJSON(ctx, http.MethodPost, "/v1/accounts/"+name+"/create", internalapi.AccountCreateCall{Order: id,
+		By: key.Name, Sig: key.Sign(signature.AccountCreate(id, name, 0))}, &opened)
+	if err != nil {
+		return errs.Pass(err, "open account")
+	}
+	var newest state.Revision
+	if err := o.callJSON(ctx, http.MethodGet, "/v1/bundles/newest", nil, &newest); err != nil {
+		return errs.Pass(err, "newest bundle")
+	}
+	patch := fmt.Appendf(nil,
+		`{"parties":{%q:{"teams":[%q],"price":{"core":%d},"reserve":%q,"warn":"30s"}}}`,
+		name, name, CorePrice, Window.String())
+	drafted, err := o.patch(ctx, newest.Version, patch)
+	if err != nil {
+		return errs.Pass(err, "patch")
+	}
+	return errs.Pass(o.sign(ctx, drafted), "sign")
+}
+
+// patch drafts a version on top of base.
+func (o *Operator) patch(ctx context.Context, base uint64, patch []byte) (drafted state.Revision, err error) {
+	id, key := o.newOrderID(), o.keys[0]
+	query := url.Values{"order": {id}, "base": {strconv.FormatUint(base, 10)}, "by": {key.Name},
+		"sig": {key.Sign(signature.Patch(id, base, signature.Digest(patch)))}}
+	raw, err := o.call(ctx, http.MethodPost, "/v1/bundles/patch?"+query.Encode(), patch)
+	if err != nil {
+		return drafted, errs.Pass(err, "draft")
+	}
+	return drafted, errs.Wrap(json.Unmarshal(raw, &drafted), errs.Malformed, "draft")
+}
+
+// sign lets all operators sign a draft, which puts it in force.
+func (o *Operator) sign(ctx context.Context, drafted state.Revision) error {
+	path := fmt.Sprintf("/v1/bundles/%d/sign", drafted.Version)
+	for _, key := range o.keys {
+		order := map[string]string{"order": o.newOrderID(), "sha256": drafted.Digest, "by": key.Name,
+			"sig": key.Sign(signature.Bundle(drafted.Version, drafted.Digest))}
+		var signed json.RawMessage
+		if err := o.callJSON(ctx, http.MethodPost, path, order, &signed); err != nil {
+			return errs.Pass(err, "%s", key.Name)
+		}
+	}
+	return nil
+}
+
+// TopUp is the order of a top-up, which may be sent more than once.
+type TopUp struct {
+	Account string
+	Call    internalapi.TopUpCall
+}
+
+// NewTopUp makes the order of a top-up.
+func (o *Operator) NewTopUp(account string, amount int64) TopUp {
+	id, key := o.newOrderID(), o.keys[0]
+	return TopUp{account, internalapi.TopUpCall{Key: id, Amount: amount, By: key.Name,
+		Sig: key.Sign(signature.AccountTopUp(id, account, amount))}}
+}
+
+// SendTopUp sends a top-up until it is acknowledged.
+func (o *Operator) SendTopUp(ctx context.Context, order TopUp) (account.TopUp, error) {
+	var done account.TopUp
+	err := o.callJSON(ctx, http.MethodPost, "/v1/accounts/"+order.Account+"/top-up", order.Call, &done)
+	return done, errs.Pass(err, "top-up")
+}
+
+// Account reads an account.
+func (o *Operator) Account(ctx context.Context, name string) (internalapi.AccountView, error) {
+	var view internalapi.AccountView
+	err := o.callJSON(ctx, http.MethodGet, "/v1/accounts/"+name, nil, &view)
+	return view, errs.Pass(err, "show")
+}
+
+// Export reads an account's ledger from one control plane.
+func (o *Operator) Export(ctx context.Context, node fleet.Node, name string) ([]byte, error) {
+	path := "/v1/accounts/" + name + "/export"
+	reply, err := o.caller.Send(ctx, http.MethodGet, node.Addr, path, nil, callTimeout)
+	if err != nil {
+		return nil, errs.Pass(err, "export")
+	}
+	if !reply.IsSuccess() {
+		return nil, errs.New(errs.Kind(reply.ErrorKind()), "export: %s", reply.Body)
+	}
+	return reply.Body, nil
+}
--- /dev/null
+++ b/internal/testbed/faults/processes.go
@@ -0,0 +1,90 @@
+package faults
+
+import (
+	"context"
+	"errors"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/routine"
+	"crosstide/internal/testbed/audit"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/journal"
+)
+
+// openJournal opens one of the testbed's own journals, DIR/journal/drill-NAME.jsonl.
+func (t *Target) openJournal(name string) (*journal.Writer, error) {
+	writer, err := journal.Open(filepath.Join(t.Dir, "journal", "drill-"+name+".jsonl"))
+	return writer, errs.Pass(err, "drill's journal")
+}
+
+// record journals what is done to a process, at a time in Unix ns.
+func record(writer *journal.Writer, at int64, event, node, signal string) error {
+	err := writer.Append(map[string]any{"at": at, "ev": event, "node": node, "how": signal})
+	return errs.Pass(err, "drill's journal")
+}
+
+func (t *Target) now() int64 { return t.clock.Wall().UnixNano() }
+
+// Kill sends SIGKILL to processes, all at once, and journals each under the name of a journal; one that is gone already
+// is left out.
+func (t *Target) Kill(journalName string, names []string) (killed []string, err error) {
+	writer, err := t.openJournal(journalName)
+	if err != nil {
+		return nil, errs.Pass(err, "kill")
+	}
+	defer writer.Close()
+	for _, name := range names {
+		at := t.now() // before the kill, which may fail: then nothing is journaled
+		if err := fleet.Kill(t.Dir, name); errs.Is(err, errs.Unknown) {
+			continue
+		} else if err != nil {
+			return killed, errs.Pass(err, "kill all")
+		}
+		killed = append(killed, name)
+		if err := record(writer, at, audit.Kill, name, "SIGKILL"); err != nil {
+			return killed, errs.Pass(err, "kill all")
+		}
+	}
+	return killed, nil
+}
+
+// Freeze stops a process for d, or until ctx ends, as a machine that hangs; it is always woken. Failures: Unknown (it
+// does not run), Disk.
+func (t *Target) Freeze(ctx context.Context, name string, d time.Duration) error {
+	pid, err := fleet.PID(t.Dir, name)
+	if err != nil {
+		return errs.Pass(err, "freeze %s", name)
+	}
+	writer, err := t.openJournal("freeze-" + name)
+	if err != nil {
+		return errs.Pass(err, "freeze %s", name)
+	}
+	defer writer.Close()
+	if err := record(writer, t.now(), audit.Freeze, name, "SIGSTOP"); err != nil {
+		return errs.Pass(err, "freeze %s", name)
+	}
+	if err := unix.Kill(pid, unix.SIGSTOP); err != nil {
+		return errs.Wrap(err, errs.Unknown, "freeze %s, pid %d", name, pid)
+	}
+	t.Sleep(ctx, d)
+	woken := fleet.Signal(t.Dir, name, unix.SIGCONT) // it may have been killed, and the pid be another's
+	return errors.Join(errs.Pass(woken, "thaw"), record(writer, t.now(), "thaw", name, "SIGCONT"))
+}
+
+// FreezeAll freezes processes for d, all at once.
+func (t *Target) FreezeAll(ctx context.Context, names []string, d time.Duration) error {
+	var mu sync.Mutex
+	var all []error
+	routine.Each(len(names), len(names), func(i int) {
+		err := t.Freeze(ctx, names[i], d)
+		mu.Lock()
+		defer mu.Unlock()
+		all = append(all, err)
+	})
+	return errors.Join(all...)
+}
--- /dev/null
+++ b/internal/testbed/faults/target.go
@@ -0,0 +1,95 @@
+// Package faults injects faults into a running fleet of the policy deployment on this machine: processes killed or
+// frozen, links cut, zones evacuated. Each is journaled in DIR/journal for the audit: what takes something away before
+// it happens, what an operator ordered once it is acknowledged.
+//
+// Open the fleet as a Target and call its methods. The package plays no load and judges nothing.
+package faults
+
+import (
+	"context"
+	"os/exec"
+	"path/filepath"
+	"time"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/pause"
+)
+
+const (
+	connsPerNode  = 16
+	awaitInterval = 100 * time.Millisecond
+)
+
+// Target is a running fleet that faults are injected into. It may be used from many goroutines.
+type Target struct {
+	Dir    string // absolute
+	Nodes  fleet.Nodes
+	Caller *fleet.Caller
+
+	script string // scripts/fleet
+	clock  clock.Clock
+}
+
+// Open opens the fleet in dir. script is scripts/fleet, which starts processes again; empty if nothing is restarted.
+// Failures: Settings, Disk, Malformed.
+func Open(dir, script string) (*Target, error) {
+	dir, err := filepath.Abs(dir)
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Settings, "fleet")
+	}
+	nodes, err := fleet.Read(dir)
+	if err != nil {
+		return nil, errs.Pass(err, "fleet")
+	}
+	caller := fleet.NewCaller(connsPerNode)
+	return &Target{Dir: dir, Nodes: nodes, Caller: caller, script: script, clock: clock.Real{}}, nil
+}
+
+// Restart has the fleet's script start processes again; flags are those of `fleet restart`. Failure: Internal.
+func (t *Target) Restart(ctx context.Context, names []string, flags ...string) error {
+	for _, name := range names {
+		cmd := exec.CommandContext(ctx, t.script, append([]string{"restart", t.Dir, name}, flags...)...)
+		if out, err := cmd.CombinedOutput(); err != nil {
+			return errs.Wrap(err, errs.Internal, "restart %s: %s", name, out)
+		}
+	}
+	return nil
+}
+
+// Await polls until ok, and returns how many seconds that took. Failure: Timeout.
+func (t *Target) Await(ctx context.Context, timeout time.Duration, what string, ok func() bool) (float64, error) {
+	began := t.clock.Now()
+	for !ok() {
+		if t.clock.Now()-began > timeout || !t.Sleep(ctx, awaitInterval) {
+			return 0, errs.New(errs.Timeout, "%s not so within %s", what, timeout)
+		}
+	}
+	return (t.clock.Now() - began).Seconds(), nil
+}
+
+// AwaitReady polls until every node is ready, and returns how many seconds that took. Failure: Timeout.
+func (t *Target) AwaitReady(ctx context.Context, timeout time.Duration, what string) (float64, error) {
+	seconds, err := t.Await(ctx, timeout, what, func() bool { return len(t.NotReady(ctx)) == 0 })
+	return seconds, errs.Pass(err, "ready")
+}
+
+// NotReady names the nodes that are not ready.
+func (t *Target) NotReady(ctx context.Context) []string {
+	return fleet.NotReady(ctx, t.Caller, t.Nodes)
+}
+
+// AwaitLeaders polls until the fleet's leaders are as wanted. Failure: Timeout.
+func (t *Target) AwaitLeaders(ctx context.Context, timeout time.Duration, what string,
+	isWanted func(fleet.Leaders) bool) (leaders fleet.Leaders, err error) {
+	_, err = t.Await(ctx, timeout, what, func() bool {
+		got, err := fleet.FindLeaders(ctx, t.Caller, t.Nodes)
+		leaders = got
+		return err == nil && isWanted(got)
+	})
+	return leaders, errs.Pass(err, "leaders")
+}
+
+// Sleep waits for d; false if ctx ends first.
+func (t *Target) Sleep(ctx context.Context, d time.Duration) bool { return pause.For(ctx, t.clock, d) }
--- /dev/null
+++ b/internal/testbed/faults/zone.go
@@ -0,0 +1,37 @@
+package faults
+
+import (
+	"context"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/testbed/netproxy"
+)
+
+// Ways to take a zone out.
+const (
+	ZoneKill     = "kill" // its processes stay down
+	ZoneEvacuate = "evacuate"
+	ZoneCut      = "cut"
+	ZoneFreeze   = "freeze"
+)
+
+// ZoneKinds are all ways to take a zone out.
+var ZoneKinds = []string{ZoneKill, ZoneEvacuate, ZoneCut, ZoneFreeze}
+
+// TakeZoneOut takes a zone out, for d unless it is killed, and returns the processes that it hit.
+func (t *Target) TakeZoneOut(ctx context.Context, zone, kind string, d time.Duration) ([]string, error) {
+	names := t.Nodes.ProcessesInZone(zone)
+	var err error
+	switch kind {
+	case ZoneKill:
+		names, err = t.Kill("zone", names)
+	case ZoneFreeze:
+		err = t.FreezeAll(ctx, names, d)
+	case ZoneCut:
+		_, err = t.InjectNetwork(ctx, netproxy.Fault{Zone: zone, Kind: netproxy.Blackhole, For: d})
+	default:
+		err = t.Evacuate(ctx, zone, d)
+	}
+	return names, errs.Pass(err, "%s of %s", kind, zone)
+}
--- a/internal/testbed/fleet/caller.go
+++ b/internal/testbed/fleet/caller.go
@@ -29,6 +29,12 @@
 // IsSuccess reports whether the status is 2xx.
 func (r Reply) IsSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
+// IsRefusal reports whether the node refused the call for good: another try, or another node, would answer the same.
+func (r Reply) IsRefusal() bool {
+	return !r.IsSuccess() && r.Status < http.StatusInternalServerError &&
+		r.Status != http.StatusTooManyRequests && r.Status != http.StatusMisdirectedRequest
+}
+
 // ErrorKind is the kind of error in the body; without one it is "status N".
 func (r Reply) ErrorKind() string {
 	var failure errs.Error
--- a/internal/testbed/operator/entry.go
+++ b/internal/testbed/operator/entry.go
@@ -15,8 +15,8 @@
 	Lift     = "lift"     // the second signature for lifting it is about to be sent
 )
 
-// Entry is one line of an operator's journal, DIR/journal/operator-bundles-*.jsonl. Sent is before the call was sent, At
-// after its answer came: what was acknowledged was so between them.
+// Entry is one line of an operator's journal, DIR/journal/operator-bundles-*.jsonl. Sent is before the call was sent,
+// At after its answer came: what was acknowledged was so between them.
 type Entry struct {
 	At      int64           `json:"at"` // Unix time in ns, of writing
 	Event   string          `json:"ev"`
--- /dev/null
+++ b/internal/testbed/rehearsal/churn.go
@@ -0,0 +1,233 @@
+package rehearsal
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/operatorapi"
+	"crosstide/internal/routine"
+	"crosstide/internal/testbed/audit"
+	"crosstide/internal/testbed/faults"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/load"
+	"crosstide/internal/testbed/operator"
+)
+
+const (
+	maxDowntime       = 4 * time.Second // of a process that is killed
+	maxFreeze         = 6 * time.Second
+	drainDuration     = 3 * time.Second
+	evacuationLength  = 6 * time.Second
+	gracefulTimeout   = 15 * time.Second // of a worker that is signalled to leave
+	cancelledJobs     = 20
+	changeProbability = 0.2 // of a race, and of an order that is repeated
+)
+
+// ChurnOptions are what a churn is made of.
+type ChurnOptions struct {
+	Target         *faults.Target
+	Profile        string  // of load.RunProfile
+	Scale          float64 // of the profile's rates
+	Duration       time.Duration
+	EndTimeout     time.Duration // after Duration, until every accepted job has ended
+	Seed           uint64
+	FaultInterval  time.Duration // from the end of a fault to the next, on average
+	ChangeInterval time.Duration // from a change of bundle to the next, on average; 0: none
+	Only           []string      // kinds of faults; empty: all
+}
+
+// ChurnReport is the result of a churn.
+type ChurnReport struct {
+	Faults  map[string]int         `json:"faults"` // by kind
+	Work    map[string]load.Report `json:"work"`   // by kind of work
+	Bundles *operator.Report       `json:"bundles,omitempty"`
+}
+
+// churn injects the faults, one after the other; operators and load run beside it.
+type churn struct {
+	*faults.Target
+	options ChurnOptions
+	rng     *rand.Rand
+	writer  *journal.Writer // an operator's, for ordered drains
+	orders  int             // sent so far, for their IDs
+	counts  map[string]int  // of faults, by kind
+}
+
+// faultKinds are the kinds of faults in the order of the documentation: a seed draws by their index.
+var faultKinds = []string{"kill", "freeze", "drain", "leave", "evacuate", "cancel"}
+
+// RunChurn runs a deployment's work beside operators and random faults, until all three have ended. Failures: Invalid,
+// those of the load, the operators and the faults.
+func RunChurn(ctx context.Context, options ChurnOptions) (ChurnReport, error) {
+	writer, err := journal.Open(filepath.Join(options.Target.Dir, "journal", "operator-churn.jsonl"))
+	if err != nil {
+		return ChurnReport{}, errs.Pass(err, "churn")
+	}
+	defer writer.Close()
+	c := &churn{Target: options.Target, options: options, rng: rand.New(rand.NewPCG(options.Seed, 7)), writer: writer,
+		counts: map[string]int{}}
+	report := ChurnReport{Faults: c.counts}
+	var mu sync.Mutex
+	var failures []error
+	group := routine.New(ctx)
+	run := func(what string, work func(ctx context.Context) error) {
+		group.Go(func(ctx context.Context) {
+			if err := work(ctx); err != nil {
+				mu.Lock()
+				defer mu.Unlock()
+				failures = append(failures, errs.Pass(err, "%s", what))
+			}
+		})
+	}
+	run("work", func(ctx context.Context) (err error) {
+		report.Work, err = load.RunProfile(ctx, options.Profile, options.Scale, load.Options{Dir: c.Dir,
+			Duration: options.Duration, EndTimeout: options.EndTimeout, Seed: options.Seed})
+		return errs.Pass(err, "load")
+	})
+	if options.ChangeInterval > 0 {
+		run("bundles", func(ctx context.Context) error {
+			changes, err := operator.Run(ctx, operator.Options{Dir: c.Dir, For: options.Duration, Seed: options.Seed,
+				Interval: options.ChangeInterval, RaceProbability: changeProbability,
+				RepeatProbability: changeProbability})
+			report.Bundles = &changes
+			return errs.Pass(err, "operators")
+		})
+	}
+	run("faults", c.injectFaults)
+	group.Wait()
+	if err := errors.Join(failures...); err != nil {
+		return report, errs.Wrap(err, errs.Internal, "churn")
+	}
+	return report, nil
+}
+
+// injectFaults injects faults until the duration is over; the last one is healed before it returns.
+func (c *churn) injectFaults(ctx context.Context) error {
+	inject := map[string]func(context.Context) error{"kill": c.killOne, "freeze": c.freezeOne, "drain": c.drainSome,
+		"leave": c.leaveOne, "evacuate": c.evacuateOne, "cancel": c.cancelMany}
+	kinds := c.options.Only
+	if len(kinds) == 0 {
+		kinds = faultKinds
+	}
+	for _, kind := range kinds {
+		if !slices.Contains(faultKinds, kind) {
+			return errs.Field(errs.Invalid, "only", "no kind of fault is named %q", kind)
+		}
+	}
+	clock := clock.Real{}
+	for end := clock.Now() + c.options.Duration; clock.Now() < end; {
+		if !c.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.options.FaultInterval))) {
+			return nil
+		}
+		kind := kinds[c.rng.IntN(len(kinds))]
+		if err := inject[kind](ctx); err != nil && ctx.Err() == nil {
+			return errs.Pass(err, "%s", kind)
+		}
+		c.counts[kind]++
+	}
+	return nil
+}
+
+func (c *churn) pickNode(list []fleet.Node) fleet.Node { return list[c.rng.IntN(len(list))] }
+
+// pickAnyNode picks a control plane, a data plane or a worker, each role as often as the others.
+func (c *churn) pickAnyNode() fleet.Node {
+	roles := [][]fleet.Node{c.Nodes.ControlPlanes, c.Nodes.DataPlanes, c.Nodes.Workers}
+	return c.pickNode(roles[c.rng.IntN(len(roles))])
+}
+
+func (c *churn) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(limit)))
+}
+
+// killOne kills a node and starts it again a while later.
+func (c *churn) killOne(ctx context.Context) error {
+	name := c.pickAnyNode().Name
+	killed, err := c.Kill("rehearse", []string{name})
+	if err == nil && len(killed) == 0 {
+		err = errs.New(errs.Unknown, "%s was not there to be killed", name)
+	}
+	if err != nil {
+		return errs.Pass(err, "kill")
+	}
+	c.Sleep(ctx, c.randomDuration(maxDowntime))
+	return errs.Pass(c.Restart(context.WithoutCancel(ctx), []string{name}), "back")
+}
+
+func (c *churn) freezeOne(ctx context.Context) error {
+	return errs.Pass(c.Freeze(ctx, c.pickAnyNode().Name, c.randomDuration(maxFreeze)), "freeze")
+}
+
+// drainSome drains a few workers by an operator's orders, and undrains them.
+func (c *churn) drainSome(ctx context.Context) error {
+	var drained []fleet.Node
+	for range 1 + len(c.Nodes.Workers)/16 {
+		drained = append(drained, c.pickNode(c.Nodes.Workers))
+	}
+	for _, w := range drained {
+		if err := c.sendWorkerOrder(ctx, w.Name, "drain"); err != nil {
+			return errs.Pass(err, "drain %s", w.Name)
+		}
+		if err := c.record(audit.Drain, w.Name); err != nil {
+			return errs.Pass(err, "drain %s", w.Name)
+		}
+	}
+	c.Sleep(ctx, drainDuration)
+	for _, w := range drained {
+		recorded := c.record(audit.Undrain, w.Name) // before the order: starts may come from its commit on
+		sent := c.sendWorkerOrder(context.WithoutCancel(ctx), w.Name, "open")
+		if err := errors.Join(sent, recorded); err != nil {
+			return errs.Pass(err, "open %s", w.Name)
+		}
+	}
+	return nil
+}
+
+// sendWorkerOrder sends an operator's order about a worker.
+func (c *churn) sendWorkerOrder(ctx context.Context, worker, verb string) error {
+	c.orders++
+	id := fmt.Sprintf("churn-%d-%d", clock.Real{}.Wall().UnixNano(), c.orders)
+	err := c.SendOrder(ctx, "/v1/minions/"+worker+"/"+verb, operatorapi.Order{Order: id})
+	return errs.Pass(err, "order")
+}
+
+// record journals an operator's order.
+func (c *churn) record(event, worker string) error {
+	err := c.writer.Append(map[string]any{"at": clock.Real{}.Wall().UnixNano(), "ev": event, "node": worker})
+	return errs.Pass(err, "journal")
+}
+
+// leaveOne signals a worker to leave, as the platform does, and starts it again.
+func (c *churn) leaveOne(ctx context.Context) error {
+	name := c.pickNode(c.Nodes.Workers).Name
+	if err := fleet.Signal(c.Dir, name, unix.SIGTERM); err != nil {
+		return errs.Pass(err, "leave")
+	}
+	hasLeft := func() bool { _, err := fleet.PID(c.Dir, name); return err != nil }
+	_, err := c.Await(ctx, gracefulTimeout, name+" gone", hasLeft)
+	return errors.Join(err, c.Restart(context.WithoutCancel(ctx), []string{name}))
+}
+
+func (c *churn) evacuateOne(ctx context.Context) error {
+	zone := c.pickNode(c.Nodes.ControlPlanes).Zone
+	return errs.Pass(c.Evacuate(ctx, zone, evacuationLength), "zone %s", zone)
+}
+
+// cancelMany submits many jobs and cancels them at once, one after the other.
+func (c *churn) cancelMany(ctx context.Context) error {
+	_, err := load.Run(ctx, load.Options{Dir: c.Dir, Count: cancelledJobs, Duration: time.Second,
+		TaskDuration: 5 * time.Second, CancelProbability: 1, Team: "crowd", Seed: c.rng.Uint64(), Clients: 2,
+		EndTimeout: 20 * time.Second, Prefix: fmt.Sprintf("x%d", clock.Real{}.Wall().UnixNano())})
+	return errs.Pass(err, "crowd")
+}
--- /dev/null
+++ b/internal/testbed/rehearsal/findings.go
@@ -0,0 +1,57 @@
+package rehearsal
+
+import (
+	"context"
+	"fmt"
+	"sync"
+
+	"crosstide/internal/testbed/audit"
+)
+
+// findings are what a rehearsal notes of its own course. A fault that is injected beside it may add to them.
+type findings struct {
+	mu         sync.Mutex
+	notes      []string
+	violations []string
+}
+
+func (f *findings) notef(format string, args ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.notes = append(f.notes, fmt.Sprintf(format, args...))
+}
+
+func (f *findings) violatef(format string, args ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
+}
+
+// maxShown is how many violations of one invariant a case reports.
+const maxShown = 3
+
+// addNew audits and adds the violations that are not in seen, and adds them to seen.
+func (f *findings) addNew(ctx context.Context, dir string, seen map[string]bool) {
+	all, err := audit.CheckFleet(ctx, dir)
+	if err != nil {
+		f.violatef("audit: %v", err)
+		return
+	}
+	for _, finding := range all {
+		added := 0
+		for _, line := range finding.Lines {
+			key := finding.Invariant + line
+			if seen[key] {
+				continue
+			}
+			seen[key] = true
+			added++
+			if added <= maxShown {
+				f.violatef("%s: %s", finding.Invariant, line)
+			}
+		}
+		if added > maxShown {
+			f.violatef("%s: and %d more", finding.Invariant, added-maxShown)
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/rehearsal/scenarios.go
@@ -0,0 +1,175 @@
+package rehearsal
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/operatorapi"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/netproxy"
+)
+
+const (
+	longOutage    = 25 * time.Second // over every lease and time-out
+	repairTimeout = 20 * time.Second
+	leaveTimeout  = 12 * time.Second // the workers' own grace is 10 s
+	readTimeout   = 2 * time.Second
+)
+
+// scenario is a case: a fault injected under load.
+type scenario struct {
+	key, name string
+	offer     time.Duration // how long jobs are offered
+	inject    func(ctx context.Context, r *caseRun) error
+}
+
+// scenarios are the cases, in the order in which they are played.
+var scenarios = []scenario{
+	{"a", "kill -9 of the holder of sched", 20 * time.Second, func(ctx context.Context, r *caseRun) error {
+		return errs.Pass(r.killAndRestart(ctx, 6*time.Second, r.leaders.Scheduler), "kill")
+	}},
+	{"b", "kill -9 of the store's leader", 20 * time.Second, func(ctx context.Context, r *caseRun) error {
+		return errs.Pass(r.killAndRestart(ctx, 6*time.Second, r.leaders.Store), "kill")
+	}},
+	{"c", "kill -9 of all cplanes, started again", 20 * time.Second, func(ctx context.Context, r *caseRun) error {
+		var names []string
+		for _, n := range r.Nodes.ControlPlanes {
+			names = append(names, n.Name)
+		}
+		return errs.Pass(r.killAndRestart(ctx, time.Second, names...), "kill")
+	}},
+	{"d", "holder of sched frozen 25 s, woken", 36 * time.Second, func(ctx context.Context, r *caseRun) error {
+		r.notef("%s frozen", r.leaders.Scheduler)
+		return errs.Pass(r.Freeze(ctx, r.leaders.Scheduler, longOutage), "freeze")
+	}},
+	{"e", "holder of sched cut off silently 25 s, healed", 36 * time.Second, isolateScheduler},
+	{"f", "cplane wiped, repaired, then the leader killed", 30 * time.Second, wipeAndKillLeader},
+	{"g", "kill -9 of the zone of the holder of sched", 24 * time.Second, func(ctx context.Context, r *caseRun) error {
+		zone := r.zoneOf(r.leaders.Scheduler)
+		r.notef("zone %s", zone)
+		return errs.Pass(r.killAndRestart(ctx, 8*time.Second, r.Nodes.ProcessesInZone(zone)...), "kill")
+	}},
+	{"h", "kill -9 of two minions, started again", 20 * time.Second, func(ctx context.Context, r *caseRun) error {
+		return errs.Pass(r.killAndRestart(ctx, 3*time.Second, r.pickWorkers(0)...), "kill")
+	}},
+	{"i", "two minions told to leave (SIGTERM)", 20 * time.Second, drainWorkers},
+	{"j", "one job at three nodes, broken bodies and settings", 8 * time.Second, sendInvalidRequests},
+}
+
+// zoneOf is the zone of a node; empty if there is no such node.
+func (r *caseRun) zoneOf(name string) string {
+	for _, n := range r.Nodes.All() {
+		if n.Name == name {
+			return n.Zone
+		}
+	}
+	return ""
+}
+
+// pickWorkers returns a worker of either kind, or two of the one kind there is; from is the index of the first that is
+// considered.
+func (r *caseRun) pickWorkers(from int) []string {
+	var out []string
+	isPicked := map[string]bool{} // kinds
+	for _, oneOfKind := range []bool{true, false} {
+		for _, w := range r.Nodes.Workers[min(from, len(r.Nodes.Workers)):] {
+			if len(out) < 2 && !slices.Contains(out, w.Name) && !(oneOfKind && isPicked[w.Kind]) {
+				out = append(out, w.Name)
+				isPicked[w.Kind] = true
+			}
+		}
+	}
+	return out
+}
+
+// killAndRestart kills processes at once and starts them again after a while.
+func (r *caseRun) killAndRestart(ctx context.Context, after time.Duration, names ...string) error {
+	err := r.kill(names...)
+	r.Sleep(ctx, after)
+	return errors.Join(err, r.Restart(ctx, names))
+}
+
+// isolateScheduler cuts the leader of the scheduler off from all nodes.
+func isolateScheduler(ctx context.Context, r *caseRun) error {
+	name := r.leaders.Scheduler
+	r.notef("%s cut off", name)
+	_, err := r.InjectNetwork(ctx, netproxy.Fault{Node: name, Kind: netproxy.Blackhole, For: longOutage})
+	if err == nil {
+		r.Sleep(ctx, longOutage)
+	}
+	return errs.Pass(err, "cut")
+}
+
+// wipeAndKillLeader removes a follower's data, waits until the node is a voting member again, and kills the leader at
+// once after that: what was accepted before must survive both losses.
+func wipeAndKillLeader(ctx context.Context, r *caseRun) error {
+	isFollower := func(n fleet.Node) bool { return n.Name != r.leaders.Store }
+	i := slices.IndexFunc(r.Nodes.ControlPlanes, isFollower)
+	if i < 0 {
+		return errs.New(errs.Settings, "there is only one cplane")
+	}
+	victim := r.Nodes.ControlPlanes[i]
+	if err := r.Restart(ctx, []string{victim.Name}, "--wipe"); err != nil {
+		return errs.Pass(err, "wipe %s", victim.Name)
+	}
+	leader := ""
+	seconds, err := r.Await(ctx, repairTimeout, victim.Name+" repaired", func() (isRepaired bool) {
+		leader, isRepaired = r.leaderAfterRepair(ctx, victim)
+		return isRepaired
+	})
+	if err != nil {
+		return errs.Pass(err, "wipe")
+	}
+	if leader == victim.Name {
+		return errs.New(errs.Internal, "%s leads already, it cannot be the second loss", leader)
+	}
+	r.notef("%s wiped, repaired in %.1f s", victim.Name, seconds)
+	return errs.Pass(r.killAndRestart(ctx, 6*time.Second, leader), "kill")
+}
+
+// leaderAfterRepair asks a node that was wiped for the store's leader, and whether the node votes again: as a member
+// with the ID NAME~INCARNATION that is no learner.
+func (r *caseRun) leaderAfterRepair(ctx context.Context, victim fleet.Node) (leader string, isRepaired bool) {
+	reply, err := r.Caller.Call(ctx, http.MethodGet, victim.Addr, "/v1/who", nil, readTimeout)
+	var who operatorapi.Who
+	if err != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &who) != nil {
+		return "", false
+	}
+	leader, _, _ = strings.Cut(who.Store, "~")
+	if len(who.Members) != len(r.Nodes.ControlPlanes) || leader == "" {
+		return "", false
+	}
+	for _, m := range who.Members {
+		if strings.HasPrefix(m.ID, victim.Name+"~") && !m.Learner {
+			return leader, true
+		}
+	}
+	return "", false
+}
+
+// drainWorkers signals workers to leave and waits until they have.
+func drainWorkers(ctx context.Context, r *caseRun) error {
+	names := r.pickWorkers(2)
+	r.markFault()
+	for _, name := range names {
+		if err := fleet.Signal(r.Dir, name, unix.SIGTERM); err != nil {
+			return errs.Pass(err, "leave")
+		}
+	}
+	isRunning := func(name string) bool { _, err := fleet.PID(r.Dir, name); return err == nil }
+	seconds, err := r.Await(ctx, leaveTimeout, strings.Join(names, " ")+" gone", func() bool {
+		return !slices.ContainsFunc(names, isRunning)
+	})
+	if err == nil {
+		r.notef("%s left in %.1f s", strings.Join(names, " "), seconds)
+	}
+	return errors.Join(err, r.Restart(ctx, names))
+}
--- /dev/null
+++ b/internal/testbed/scale/slopes.go
@@ -0,0 +1,44 @@
+package scale
+
+// Slope is how a role's cost at idle grows with the fleet: Base + PerWorker for each worker.
+type Slope struct {
+	Role, Cost      string
+	Base, PerWorker float64
+}
+
+// idleCosts are the costs that IdleSlopes fits.
+var idleCosts = []struct {
+	name  string
+	value func(Row) float64
+}{
+	{"cpu %", func(r Row) float64 { return r.CPU }},
+	{"MB", func(r Row) float64 { return r.MB }},
+	{"KB/s", func(r Row) float64 { return r.Net }},
+	{"msg/s", func(r Row) float64 { return r.Msgs }},
+	{loopbackCost, func(r Row) float64 { return r.LoopKB }},
+}
+
+// loopbackCost is of the whole machine, the same in the rows of all roles: it is fitted once.
+const loopbackCost = "loopback KB/s"
+
+// IdleSlopes fits each cost of each role at idle over the numbers of workers; a cost with too few sizes is left out.
+func IdleSlopes(rows []Row) []Slope {
+	var out []Slope
+	for _, role := range Roles {
+		for _, cost := range idleCosts {
+			if cost.name == loopbackCost && role != SchedulerLeader {
+				continue
+			}
+			var workers, values []float64
+			for _, r := range rows {
+				if r.Role == role && r.IsIdle() {
+					workers, values = append(workers, float64(r.Workers)), append(values, cost.value(r))
+				}
+			}
+			if base, slope, ok := FitLine(workers, values); ok {
+				out = append(out, Slope{Role: role, Cost: cost.name, Base: base, PerWorker: slope})
+			}
+		}
+	}
+	return out
+}
--- a/internal/testbed/soak/simulation.go
+++ b/internal/testbed/soak/simulation.go
@@ -114,8 +114,8 @@
 
 func (s *simulation) submitJob() error {
 	spec := state.Spec{Key: "job-" + strconv.Itoa(s.serial), Team: "team-" + strconv.Itoa(s.serial%20),
-		Queue: "default", Steps: []state.StepSpec{{Name: "s1", Type: "scan", Tasks: s.options.Tasks, Cores: 1, Retries: 3,
-			Run: json.RawMessage(`{"ms":60000,"ok":true}`)}}}
+		Queue: "default", Steps: []state.StepSpec{{Name: "s1", Type: "scan", Tasks: s.options.Tasks, Cores: 1,
+			Retries: 3, Run: json.RawMessage(`{"ms":60000,"ok":true}`)}}}
 	digest := fmt.Sprintf("%064x", xxhash.Sum64String(spec.Key))
 	_, err := s.apply(&command.Submit{Spec: spec, Digest: digest, Bound: s.options.Keep.QueueLimit})
 	return errs.Pass(err, "submit")
