--- a/cmd/crosstide-testbed/main.go
+++ b/cmd/crosstide-testbed/main.go
@@ -18,7 +18,7 @@
 		Commands: []*cli.Command{
 			auditCommand(), balancesCommand(), benchCommand(), diskCommand(), bundlesCommand(), churnCommand(),
 			lagsCommand(), portsCommand(), planCommand(), readyCommand(), whoCommand(), freezeCommand(), jobsCommand(),
-			linkCommand(), cutCommand(), loadCommand(), minionCommand(), monthCommand(), rehearseCommand(),
+			linkCommand(), cutCommand(), loadCommand(), policyWorkerCommand(), monthCommand(), rehearseCommand(),
 			scaleCommand(), plotCommand(), simCommand(), workerCommand(), zoneCommand(),
 		},
 	}
--- a/cmd/crosstide-testbed/minion.go
+++ b/cmd/crosstide-testbed/minion.go
@@ -17,14 +17,14 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-const minionDescription = "SIGTERM and SIGINT drain and then leave, a second one leaves at once;\n" +
+const policyWorkerDescription = "SIGTERM and SIGINT drain and then leave, a second one leaves at once;\n" +
 	"SIGUSR1 switches draining on and off. Flags go over what the settings file says."
 
-func minionCommand() *cli.Command {
+func policyWorkerCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "minion",
 		Usage:       "run a stand-in minion, or many hollow ones at one address",
-		Description: minionDescription,
+		Description: policyWorkerDescription,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` with the names of these flags"},
 			&cli.StringFlag{Name: "name", Usage: "the minion's name"},
@@ -48,12 +48,12 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "of late, lose, fail and slow"},
 			&cli.StringFlag{Name: "log", Value: "info", Usage: "`LEVEL`: debug, info, warn or error"},
 		},
-		Action: runMinion,
+		Action: runPolicyWorker,
 	}
 }
 
-func runMinion(ctx context.Context, cmd *cli.Command) error {
-	settings, err := minionSettings(cmd)
+func runPolicyWorker(ctx context.Context, cmd *cli.Command) error {
+	settings, err := policyWorkerSettings(cmd)
 	if err != nil {
 		return errs.Pass(err, "minion")
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// minionSettings are the defaults, over them the file, over both the flags that were given. Failure: Settings.
-func minionSettings(cmd *cli.Command) (policyworker.Settings, error) {
+// policyWorkerSettings are the defaults, over them the file, over both the flags that were given. Failure: Settings.
+func policyWorkerSettings(cmd *cli.Command) (policyworker.Settings, error) {
 	set := policyworker.Defaults()
 	if path := cmd.String("settings"); path != "" {
 		if err := set.Load(path); err != nil {
--- /dev/null
+++ b/internal/testbed/faults/faults_test.go
@@ -0,0 +1,83 @@
+package faults
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/operatorapi"
+	"crosstide/internal/rpc"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/netproxy"
+)
+
+// elapsing is a clock whose timers fire while they are set.
+type elapsing struct{ clock.Real }
+
+func (elapsing) Set(_ time.Duration, call func()) clock.Stopper {
+	call()
+	return time.NewTimer(0)
+}
+
+// controlPlane answers every order in turn with one of failures, the last one again and again; nil is a success. It
+// returns the node and how often it was called.
+func controlPlane(failures ...error) (fleet.Node, *atomic.Int32) {
+	calls := &atomic.Int32{}
+	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
+	server.Route("/", func(w http.ResponseWriter, _ *http.Request) {
+		if err := failures[min(int(calls.Add(1)), len(failures))-1]; err != nil {
+			rpc.WriteError(w, err)
+			return
+		}
+		rpc.WriteJSON(w, http.StatusOK, struct{}{})
+	})
+	So(server.Start(), ShouldBeNil)
+	Reset(func() { So(server.Stop(time.Minute), ShouldBeNil) })
+	return fleet.Node{Name: "c", Addr: server.Addr()}, calls
+}
+
+func TestSendOrder(t *testing.T) {
+	send := func(nodes ...fleet.Node) error {
+		target := &Target{Nodes: fleet.Nodes{ControlPlanes: nodes}, Caller: fleet.NewCaller(1), clock: elapsing{}}
+		return target.SendOrder(context.Background(), "/v1/order", operatorapi.Order{Order: "o"})
+	}
+	Convey("An order goes from node to node until one has carried it out", t, func() {
+		down, askedDown := controlPlane(errs.New(errs.Unavailable, "on purpose"))
+		up, askedUp := controlPlane(errs.New(errs.Overloaded, "on purpose"), nil)
+		So(send(down, up), ShouldBeNil)
+		So([]int32{askedDown.Load(), askedUp.Load()}, ShouldResemble, []int32{2, 2})
+	})
+	Convey("An order that is refused for good is not sent again", t, func() {
+		refusing, asked := controlPlane(errs.New(errs.Conflict, "on purpose"))
+		So(errs.KindOf(send(refusing)), ShouldEqual, errs.Internal)
+		So(asked.Load(), ShouldEqual, 1)
+	})
+}
+
+func TestInjectNetwork(t *testing.T) {
+	Convey("A fault that is invalid, or of a fleet without a proxy, is refused", t, func() {
+		target := &Target{Caller: fleet.NewCaller(1), clock: elapsing{}}
+		_, err := target.InjectNetwork(context.Background(), netproxy.Fault{})
+		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
+		fault := netproxy.Fault{Node: "d1", Kind: netproxy.Blackhole, For: time.Second}
+		_, err = target.InjectNetwork(context.Background(), fault)
+		So(errs.KindOf(err), ShouldEqual, errs.Settings)
+	})
+}
+
+func TestAwait(t *testing.T) {
+	Convey("Await polls until so, and no longer than the timeout", t, func() {
+		target := &Target{clock: elapsing{}}
+		polls := 0
+		_, err := target.Await(context.Background(), time.Hour, "third", func() bool { polls++; return polls == 3 })
+		So(err, ShouldBeNil)
+		_, err = target.Await(context.Background(), -1, "never", func() bool { return false })
+		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
+	})
+}
