--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,6 +1,6 @@
 // Package audit is the invariant checker of the testbed for the policy deployment: it checks what crosstide promises
 // against the journals of the workers, clients, operators and injected faults of a run. It trusts no daemon: Check is a
-// pure function over a History of journal lines, to which Probe may add what the public API answers at the end.
+// pure function over a History of journal lines, to which CheckFleet adds what the public API answers at the end.
 //
 // Each invariant is one function in the table checks, in the file of its subject: runs (spans.go, runs.go), placement,
 // drains and evacuations (windows.go), jobs, bundle versions. MeasureOutage and Lags measure, they judge nothing.
@@ -51,7 +51,7 @@
 	f.Lines = append(f.Lines, line.String())
 }
 
-// known is the invariant that Probe adds cases to.
+// known is the invariant that probe adds cases to.
 const known = "known"
 
 // checks are the invariants, in the order of the design's table. A nil check has no evidence in the journals.
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -28,9 +28,9 @@
 	Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (fleet.Reply, error)
 }
 
-// Probe polls accepted jobs, spread evenly over all, each at one of the nodes in turn. It returns the history with the
+// probe polls accepted jobs, spread evenly over all, each at one of the nodes in turn. It returns the history with the
 // answers as polls of a client, and how many answered. A node that is down or cannot confirm its state adds nothing.
-func Probe(ctx context.Context, h History, caller Caller, nodes []fleet.Node) (History, int) {
+func probe(ctx context.Context, h History, caller Caller, nodes []fleet.Node) (History, int) {
 	jobs := slices.Sorted(maps.Keys(acceptedJobs(h)))
 	if len(nodes) == 0 || len(jobs) == 0 {
 		return h, 0
@@ -80,7 +80,7 @@
 	}
 	answered := 0
 	if nodes, err := fleet.Read(dir); err == nil {
-		history, answered = Probe(ctx, history, fleet.NewCaller(probesAtOnce), nodes.DataPlanes)
+		history, answered = probe(ctx, history, fleet.NewCaller(probesAtOnce), nodes.DataPlanes)
 	}
 	findings := Check(history)
 	for i, f := range findings {
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -21,39 +21,39 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// Client makes clients' and operators' calls. A call that may be repeated is sent again, to the next node, until its
+// client makes clients' and operators' calls. A call that may be repeated is sent again, to the next node, until its
 // ctx ends.
-type Client struct {
+type client struct {
 	caller       *rpc.Client
 	clock        clock.Clock
 	frontAddrs   []string // of the data planes
 	controlAddrs []string // of the control planes
 }
 
-// NewClient makes a client.
-func NewClient(caller *rpc.Client, clock clock.Clock, fronts, control []string) *Client {
-	return &Client{caller: caller, clock: clock, frontAddrs: fronts, controlAddrs: control}
+// newClient makes a client.
+func newClient(caller *rpc.Client, clock clock.Clock, fronts, control []string) *client {
+	return &client{caller: caller, clock: clock, frontAddrs: fronts, controlAddrs: control}
 }
 
 // Submit submits a job.
-func (c *Client) Submit(ctx context.Context, job any) error {
+func (c *client) Submit(ctx context.Context, job any) error {
 	return errs.Pass(c.call(ctx, c.frontAddrs, http.MethodPost, "/v2/jobs", job, nil), "submit")
 }
 
 // Show reads a job.
-func (c *Client) Show(ctx context.Context, id string) (view controller.JobView, err error) {
+func (c *client) Show(ctx context.Context, id string) (view controller.JobView, err error) {
 	err = c.call(ctx, c.frontAddrs, http.MethodGet, "/v2/jobs/"+url.PathEscape(id), nil, &view)
 	return view, errs.Pass(err, "show %s", id)
 }
 
 // Cancel cancels a job.
-func (c *Client) Cancel(ctx context.Context, id string) error {
+func (c *client) Cancel(ctx context.Context, id string) error {
 	err := c.call(ctx, c.frontAddrs, http.MethodDelete, "/v2/jobs/"+url.PathEscape(id), nil, nil)
 	return errs.Pass(err, "cancel %s", id)
 }
 
 // AwaitState polls a job until it is in a state. Failures: Conflict: it ended in another one, Timeout.
-func (c *Client) AwaitState(ctx context.Context, id string, state jobs.JobState) error {
+func (c *client) AwaitState(ctx context.Context, id string, state jobs.JobState) error {
 	for {
 		view, err := c.Show(ctx, id)
 		if err != nil {
@@ -72,36 +72,36 @@
 }
 
 // Config reads the configuration in force.
-func (c *Client) Config(ctx context.Context) (config jobsapi.Configuration, err error) {
+func (c *client) Config(ctx context.Context) (config jobsapi.Configuration, err error) {
 	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/config", nil, &config)
 	return config, errs.Pass(err, "configuration")
 }
 
 // Configure puts a whole configuration in force, or patches it.
-func (c *Client) Configure(ctx context.Context, method string, order any) error {
+func (c *client) Configure(ctx context.Context, method string, order any) error {
 	return errs.Pass(c.call(ctx, c.controlAddrs, method, "/v2/config", order, nil), "configure")
 }
 
 // Zone evacuates or restores a zone.
-func (c *Client) Zone(ctx context.Context, zone, verb string) error {
+func (c *client) Zone(ctx context.Context, zone, verb string) error {
 	err := c.call(ctx, c.controlAddrs, http.MethodPost, "/v2/zones/"+url.PathEscape(zone)+"/"+verb, nil, nil)
 	return errs.Pass(err, "%s", verb)
 }
 
 // Workers lists the workers.
-func (c *Client) Workers(ctx context.Context) (workers jobsapi.Workers, err error) {
+func (c *client) Workers(ctx context.Context) (workers jobsapi.Workers, err error) {
 	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/workers", nil, &workers)
 	return workers, errs.Pass(err, "workers")
 }
 
 // Topology reads the leader and the members.
-func (c *Client) Topology(ctx context.Context) (topology controller.TopologyAnswer, err error) {
+func (c *client) Topology(ctx context.Context) (topology controller.TopologyAnswer, err error) {
 	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/topology", nil, &topology)
 	return topology, errs.Pass(err, "topology")
 }
 
 // call sends a call to each of addrs in turn until one answers for good.
-func (c *Client) call(ctx context.Context, addrs []string, method, path string, body, answer any) error {
+func (c *client) call(ctx context.Context, addrs []string, method, path string, body, answer any) error {
 	request := rpc.Request{Method: method, Path: path, Header: map[string]string{"Content-Type": "application/json"}}
 	if body != nil {
 		data, err := json.Marshal(body)
@@ -122,7 +122,7 @@
 }
 
 // attempt sends a call once; isRetryable: it may be sent again.
-func (c *Client) attempt(ctx context.Context, addr string, request rpc.Request,
+func (c *client) attempt(ctx context.Context, addr string, request rpc.Request,
 	answer any) (isRetryable bool, err error) {
 	response, err := c.caller.Do(ctx, addr, request, callTimeout)
 	if err != nil {
@@ -142,4 +142,4 @@
 }
 
 // sleep waits before another attempt; false when ctx has ended.
-func (c *Client) sleep(ctx context.Context) bool { return pause.For(ctx, c.clock, retryInterval) }
+func (c *client) sleep(ctx context.Context) bool { return pause.For(ctx, c.clock, retryInterval) }
--- a/internal/testbed/endtoend/jobs.go
+++ b/internal/testbed/endtoend/jobs.go
@@ -26,8 +26,8 @@
 	Services []jobsapi.Service `json:"services"`
 }
 
-// Configuration is the order that puts the scenario's configuration in force on top of a version.
-func Configuration(base uint64) any {
+// configuration is the order that puts the scenario's configuration in force on top of a version.
+func configuration(base uint64) any {
 	queue := func(name string, priority int) jobsapi.Queue {
 		return jobsapi.Queue{Name: name, Service: Service, Priority: priority, Attempts: Attempts, Stretch: 1,
 			Target: "1s", Timeout: "1h"}
@@ -101,20 +101,20 @@
 	return Job{ID: id, Queue: queue, Payload: string(payload), Steps: steps, WantState: wantState, Program: program}
 }
 
-// BulkJob is the low-priority work that fills the workers and saves its progress: more urgent work preempts it.
-func BulkJob(workers int) Job {
+// bulkJob is the low-priority work that fills the workers and saves its progress: more urgent work preempts it.
+func bulkJob(workers int) Job {
 	step := Step{Tasks: 4 * workers, MilliCPU: 1000, MemoryMB: 64, Estimate: "4s", Checkpoints: true}
 	return newJob("bulk", Normal, jobs.Succeeded, jobsworker.Program{MS: 4000, SaveMS: 100}, step)
 }
 
-// LongRunningJob is a job that runs until it is cancelled.
-func LongRunningJob() Job {
+// longRunningJob is a job that runs until it is cancelled.
+func longRunningJob() Job {
 	step := smallStep(1).with(func(s *Step) { s.LongRunning = true })
 	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, step)
 }
 
-// MixedJobs returns jobs of every kind that ends by itself; first is when the timed one is due.
-func MixedJobs(first time.Time) []Job {
+// mixedJobs returns jobs of every kind that ends by itself; first is when the timed one is due.
+func mixedJobs(first time.Time) []Job {
 	quick, slow := jobsworker.Program{MS: 60}, jobsworker.Program{MS: 300}
 	failing := func(ms, fails int) jobsworker.Program { return jobsworker.Program{MS: ms, Fails: fails} }
 	succeeds := func(id string, program jobsworker.Program, steps ...Step) Job {
@@ -139,8 +139,8 @@
 	}
 }
 
-// NumberedJobs returns small jobs with IDs of a common prefix.
-func NumberedJobs(prefix string, count int) []Job {
+// numberedJobs returns small jobs with IDs of a common prefix.
+func numberedJobs(prefix string, count int) []Job {
 	var out []Job
 	for i := range count {
 		id := fmt.Sprintf("%s-%d", prefix, i)
--- a/internal/testbed/endtoend/plan.go
+++ b/internal/testbed/endtoend/plan.go
@@ -55,7 +55,7 @@
 			return Plan{}, errs.Wrap(err, errs.Disk, "folder %s", folder)
 		}
 	}
-	plan := Plan{Dir: dir, NamesByAddr: map[string]string{}, Shapes: Shapes(size.Workers)}
+	plan := Plan{Dir: dir, NamesByAddr: map[string]string{}, Shapes: newShapes(size.Workers)}
 	p := &planner{plan: plan, bin: bin, ports: ports}
 	p.addControlPlanes(size.ControlPlanes)
 	p.addDataPlanes(size.DataPlanes)
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -30,7 +30,7 @@
 
 // smallStep system: one core node, one front node and workers, all in this process on loopback.
 type testSystem struct {
-	client  *Client
+	client  *client
 	workers []*jobsworker.Host
 	stop    []func() // of each worker
 	dir     string
@@ -70,7 +70,7 @@
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
 	s := &testSystem{dir: dir, group: routine.New(context.Background()), end: end, caller: rpc.NewClient(rpc.ClientOptions{})}
-	s.client = NewClient(s.caller, clock.Real{}, []string{front}, []string{control})
+	s.client = newClient(s.caller, clock.Real{}, []string{front}, []string{control})
 	s.group.Go(func(context.Context) { _ = core.Run(ctx) })
 	s.group.Go(func(context.Context) { _ = fronts.Run(ctx, nil) })
 	for _, shape := range shapes {
@@ -113,7 +113,7 @@
 	s.end()
 	s.group.Wait()
 	s.caller.Close()
-	events, err := Events(s.dir)
+	events, err := readEvents(s.dir)
 	So(err, ShouldBeNil)
 	report, err := Audit(accepted, evacuations, events)
 	So(err, ShouldBeNil)
@@ -122,14 +122,14 @@
 
 func TestSystem(t *testing.T) {
 	Convey("A mix of jobs comes through one core node, one front node and workers, and the audit finds nothing", t, func() {
-		s := startSystem(t.TempDir(), Shapes(4))
+		s := startSystem(t.TempDir(), newShapes(4))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
 		client := s.client
 
-		So(client.Configure(ctx, http.MethodPut, Configuration(0)), ShouldBeNil)
-		So(client.Configure(ctx, http.MethodPut, Configuration(0)), ShouldBeNil) // the same order again
-		other := Configuration(0).(configOrder)
+		So(client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil)
+		So(client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil) // the same order again
+		other := configuration(0).(configOrder)
 		other.Queues = other.Queues[:1]
 		So(errs.KindOf(client.Configure(ctx, http.MethodPut, other)), ShouldEqual, errs.Stale)
 		patch := map[string]any{"base": 1, "remove": map[string]any{"queues": []string{"none"}}}
@@ -137,7 +137,7 @@
 		read, err := client.Config(ctx)
 		So([]any{read.Version, len(read.Queues), err}, ShouldResemble, []any{uint64(2), 2, nil})
 
-		accepted := append(MixedJobs(clock.Real{}.Wall().Add(500*time.Millisecond)), LongRunningJob())
+		accepted := append(mixedJobs(clock.Real{}.Wall().Add(500*time.Millisecond)), longRunningJob())
 		for _, job := range accepted {
 			So(client.Submit(ctx, job), ShouldBeNil)
 			So(client.Submit(ctx, job), ShouldBeNil) // it is the same job
@@ -179,10 +179,10 @@
 		So(report.Ends[jobs.EndFailed], ShouldEqual, failed)
 	})
 	Convey("Urgent work takes the place of other work, and a worker leaves: what was stopped resumes from its checkpoint once there is capacity", t, func() {
-		s := startSystem(t.TempDir(), Shapes(2))
+		s := startSystem(t.TempDir(), newShapes(2))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
-		So(s.client.Configure(ctx, http.MethodPut, Configuration(0)), ShouldBeNil)
+		So(s.client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil)
 		whole := Step{Tasks: 8, MilliCPU: 1000, MemoryMB: 32, Estimate: "10m", Checkpoints: true}
 		slow := newJob("slow", Normal, jobs.Cancelled, jobsworker.Program{MS: 600_000, SaveMS: 1}, whole)
 		So(s.client.Submit(ctx, slow), ShouldBeNil)
--- a/internal/testbed/endtoend/scenario.go
+++ b/internal/testbed/endtoend/scenario.go
@@ -39,7 +39,7 @@
 	caller := rpc.NewClient(rpc.ClientOptions{})
 	defer caller.Close()
 	s := &scenario{plan: plan, processes: processes, out: out, clock: clock.Real{},
-		client: NewClient(caller, clock.Real{}, plan.FrontAddrs, plan.ControlAddrs)}
+		client: newClient(caller, clock.Real{}, plan.FrontAddrs, plan.ControlAddrs)}
 	s.begin = s.clock.Now()
 	for _, phase := range []func(context.Context) error{
 		s.prepare, s.submitJobs, s.drainWorker, s.killLeader, s.evacuate, s.awaitEnds,
@@ -49,7 +49,7 @@
 		}
 	}
 	processes.Stop()
-	events, err := Events(plan.Dir)
+	events, err := readEvents(plan.Dir)
 	if err != nil {
 		return s.result, errs.Pass(err, "drill")
 	}
@@ -62,7 +62,7 @@
 type scenario struct {
 	plan        Plan
 	processes   *Processes
-	client      *Client
+	client      *client
 	clock       clock.Clock
 	out         io.Writer
 	begin       time.Duration
@@ -98,7 +98,7 @@
 
 // prepare waits for the leader and the workers and puts the configuration in force.
 func (s *scenario) prepare(ctx context.Context) error {
-	if err := s.client.Configure(ctx, http.MethodPut, Configuration(0)); err != nil {
+	if err := s.client.Configure(ctx, http.MethodPut, configuration(0)); err != nil {
 		return errs.Pass(err, "settle")
 	}
 	s.logf("the configuration is in force")
@@ -120,7 +120,7 @@
 
 // submitJobs fills the workers with work of low priority and submits a mix of jobs.
 func (s *scenario) submitJobs(ctx context.Context) error {
-	if err := s.submit(ctx, BulkJob(len(s.plan.Shapes))); err != nil {
+	if err := s.submit(ctx, bulkJob(len(s.plan.Shapes))); err != nil {
 		return errs.Pass(err, "bulk")
 	}
 	err := s.await(ctx, "low-priority work runs", func(ctx context.Context) (bool, error) {
@@ -130,7 +130,7 @@
 	if err != nil {
 		return errs.Pass(err, "bulk")
 	}
-	if err := s.submit(ctx, append(MixedJobs(s.clock.Wall().Add(timedDelay)), LongRunningJob())...); err != nil {
+	if err := s.submit(ctx, append(mixedJobs(s.clock.Wall().Add(timedDelay)), longRunningJob())...); err != nil {
 		return errs.Pass(err, "mix")
 	}
 	s.logf("%d jobs are accepted", len(s.accepted))
@@ -170,7 +170,7 @@
 		return errs.Pass(err, "leader")
 	}
 	s.logf("%s, which led, is killed", leader)
-	for i, job := range NumberedJobs("later", failoverJobs) {
+	for i, job := range numberedJobs("later", failoverJobs) {
 		if err := s.submit(ctx, job); err != nil {
 			return errs.Pass(err, "after the kill")
 		}
@@ -193,7 +193,7 @@
 		return errs.Pass(err, "evacuate")
 	}
 	evacuation := Evacuation{Zone: evacuatedZone, From: s.clock.Wall()}
-	meanwhile := NumberedJobs("closed", evacuationJobs)
+	meanwhile := numberedJobs("closed", evacuationJobs)
 	if err := s.submit(ctx, meanwhile...); err != nil {
 		return errs.Pass(err, "evacuate")
 	}
--- a/internal/testbed/endtoend/workers.go
+++ b/internal/testbed/endtoend/workers.go
@@ -19,8 +19,8 @@
 	Capacity jobs.Resources
 }
 
-// Shapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with GPUs.
-func Shapes(count int) []Shape {
+// newShapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with GPUs.
+func newShapes(count int) []Shape {
 	var out []Shape
 	for i := range count {
 		s := Shape{Name: fmt.Sprintf("w%d", i+1), Zone: fmt.Sprintf("z%d", i%2+1), Rack: fmt.Sprintf("r%d", i%2+1),
@@ -43,8 +43,8 @@
 		Labels: s.Labels, Capacity: s.Capacity, ControlAddrs: core, Journal: journal}
 }
 
-// Events reads the journals of the workers in DIR/journal.
-func Events(dir string) ([]jobsworker.Event, error) {
+// readEvents reads the journals of the workers in DIR/journal.
+func readEvents(dir string) ([]jobsworker.Event, error) {
 	var out []jobsworker.Event
 	for line, err := range journal.Lines(dir) {
 		if err != nil {
--- a/internal/testbed/faults/processes.go
+++ b/internal/testbed/faults/processes.go
@@ -76,8 +76,8 @@
 	return errors.Join(errs.Pass(woken, "thaw"), record(writer, t.now(), "thaw", name, "SIGCONT"))
 }
 
-// FreezeAll freezes processes for d, all at once.
-func (t *Target) FreezeAll(ctx context.Context, names []string, d time.Duration) error {
+// freezeAll freezes processes for d, all at once.
+func (t *Target) freezeAll(ctx context.Context, names []string, d time.Duration) error {
 	var mu sync.Mutex
 	var all []error
 	routine.Each(len(names), len(names), func(i int) {
--- a/internal/testbed/faults/zone.go
+++ b/internal/testbed/faults/zone.go
@@ -27,7 +27,7 @@
 	case ZoneKill:
 		names, err = t.Kill("zone", names)
 	case ZoneFreeze:
-		err = t.FreezeAll(ctx, names, d)
+		err = t.freezeAll(ctx, names, d)
 	case ZoneCut:
 		_, err = t.InjectNetwork(ctx, netproxy.Fault{Zone: zone, Kind: netproxy.Blackhole, For: d})
 	default:
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -14,9 +14,9 @@
 // maxEndsPerAnswer is how many ends one answer lists.
 const maxEndsPerAnswer = 200
 
-// Core is one incarnation of a worker as a step machine, without a clock or a network of its own. Every method takes
+// core is one incarnation of a worker as a step machine, without a clock or a network of its own. Every method takes
 // the time on the worker's clock, which must not go back. It is not safe for concurrent use; its owner is Host.
-type Core struct {
+type core struct {
 	id             string
 	capacity       jobs.Resources
 	isDraining     bool
@@ -29,21 +29,21 @@
 	record         func(Event)
 }
 
-// NewCore makes a worker without runs; record is called with all that it does.
-func NewCore(id string, capacity jobs.Resources, record func(Event)) *Core {
-	return &Core{id: id, capacity: capacity, closedUpTo: map[jobs.TaskRef]int{}, record: record}
+// newCore makes a worker without runs; record is called with all that it does.
+func newCore(id string, capacity jobs.Resources, record func(Event)) *core {
+	return &core{id: id, capacity: capacity, closedUpTo: map[jobs.TaskRef]int{}, record: record}
 }
 
 // Drain makes the worker refuse all starts from here on.
-func (c *Core) Drain() { c.isDraining = true }
+func (c *core) Drain() { c.isDraining = true }
 
 // IsIdle reports whether nothing runs and all ends were acknowledged.
-func (c *Core) IsIdle() bool { return len(c.runs) == 0 && !c.hasUnacknowledged() }
+func (c *core) IsIdle() bool { return len(c.runs) == 0 && !c.hasUnacknowledged() }
 
-func (c *Core) hasUnacknowledged() bool { return len(c.unacknowledged) > 0 }
+func (c *core) hasUnacknowledged() bool { return len(c.unacknowledged) > 0 }
 
 // NextDeadline is when Advance is to be called at the latest; false if nothing runs.
-func (c *Core) NextDeadline() (time.Duration, bool) {
+func (c *core) NextDeadline() (time.Duration, bool) {
 	if len(c.runs) == 0 {
 		return 0, false
 	}
@@ -58,7 +58,7 @@
 
 // Advance ends the runs that are due: those that end by themselves, and, when the lease has expired, all that still
 // run. A run that was over before the lease expired has its own end. It reports whether any run ended.
-func (c *Core) Advance(now time.Duration) bool {
+func (c *core) Advance(now time.Duration) bool {
 	hasEnded := false
 	for _, r := range slices.Clone(c.runs) {
 		at, ends := r.endsAt()
@@ -76,7 +76,7 @@
 }
 
 // end is the one place where a run ends: it is listed until acknowledged, and journaled.
-func (c *Core) end(r *run, at time.Duration, reason jobs.EndReason) {
+func (c *core) end(r *run, at time.Duration, reason jobs.EndReason) {
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
 	c.closeUpTo(r.key)
 	c.endSequence++
@@ -88,12 +88,12 @@
 }
 
 // closeUpTo makes a run, and all before it of the same task, impossible to start.
-func (c *Core) closeUpTo(key jobs.RunKey) {
+func (c *core) closeUpTo(key jobs.RunKey) {
 	c.closedUpTo[key.Task] = max(c.closedUpTo[key.Task], key.Number)
 }
 
 // observeToken keeps the highest fencing token; false if this one is lower, so that the call must change nothing.
-func (c *Core) observeToken(token uint64) bool {
+func (c *core) observeToken(token uint64) bool {
 	if token < c.token {
 		return false
 	}
@@ -101,7 +101,7 @@
 	return true
 }
 
-func (c *Core) checkWorker(worker string) error {
+func (c *core) checkWorker(worker string) error {
 	if worker != c.id {
 		return errs.Field(errs.Unknown, "worker", "%q is not here, %q is", worker, c.id)
 	}
@@ -109,7 +109,7 @@
 }
 
 // Start carries out a start order. Failure: Unknown: another incarnation is meant.
-func (c *Core) Start(now time.Duration, call workerapi.StartCall) (workerapi.StartAnswer, error) {
+func (c *core) Start(now time.Duration, call workerapi.StartCall) (workerapi.StartAnswer, error) {
 	if err := c.checkWorker(call.Worker); err != nil {
 		return workerapi.StartAnswer{}, errs.Pass(err, "start")
 	}
@@ -122,7 +122,7 @@
 }
 
 // startRun starts a run, or returns the first reason to refuse it. An order that comes twice starts one run.
-func (c *Core) startRun(now time.Duration, call workerapi.StartCall) scheduler.Refusal {
+func (c *core) startRun(now time.Duration, call workerapi.StartCall) scheduler.Refusal {
 	key := call.Run.Key()
 	if !c.observeToken(call.Token) {
 		return scheduler.RefusedFenced
@@ -153,7 +153,7 @@
 	return ""
 }
 
-func (c *Core) findRun(key jobs.RunKey) *run {
+func (c *core) findRun(key jobs.RunKey) *run {
 	for _, r := range c.runs {
 		if r.key == key {
 			return r
@@ -163,7 +163,7 @@
 }
 
 // fits reports whether there is capacity for needs beside all that runs.
-func (c *Core) fits(needs jobs.Resources) bool {
+func (c *core) fits(needs jobs.Resources) bool {
 	for _, r := range c.runs {
 		needs.MilliCPU += r.needs.MilliCPU
 		needs.MemoryMB += r.needs.MemoryMB
@@ -174,7 +174,7 @@
 }
 
 // Stop carries out a stop order, also one that comes before its start. Failures: Unknown, Stale: it is fenced.
-func (c *Core) Stop(now time.Duration, call workerapi.StopCall) (workerapi.StopAnswer, error) {
+func (c *core) Stop(now time.Duration, call workerapi.StopCall) (workerapi.StopAnswer, error) {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return workerapi.StopAnswer{}, errs.Pass(err, "stop")
 	}
@@ -187,7 +187,7 @@
 }
 
 // checkCall rejects a call to another incarnation or under a lower token.
-func (c *Core) checkCall(now time.Duration, worker string, token uint64) error {
+func (c *core) checkCall(now time.Duration, worker string, token uint64) error {
 	if err := c.checkWorker(worker); err != nil {
 		return errs.Pass(err, "call")
 	}
@@ -200,7 +200,7 @@
 
 // RenewLease extends the lease and drops the ends that are acknowledged. The answer is Status, at once or later.
 // Failures: Unknown, Stale: it is fenced.
-func (c *Core) RenewLease(now time.Duration, call workerapi.RenewLeaseCall) error {
+func (c *core) RenewLease(now time.Duration, call workerapi.RenewLeaseCall) error {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return errs.Pass(err, "hold")
 	}
@@ -212,7 +212,7 @@
 }
 
 // Status is what runs and which ends are not acknowledged.
-func (c *Core) Status(now time.Duration) workerapi.RenewLeaseAnswer {
+func (c *core) Status(now time.Duration) workerapi.RenewLeaseAnswer {
 	answer := workerapi.RenewLeaseAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{},
 		More: len(c.unacknowledged) > maxEndsPerAnswer}
 	for _, r := range c.runs {
@@ -225,7 +225,7 @@
 }
 
 // StopAll ends all that runs, as the worker leaves.
-func (c *Core) StopAll(now time.Duration) {
+func (c *core) StopAll(now time.Duration) {
 	c.Advance(now)
 	for _, r := range slices.Clone(c.runs) {
 		c.end(r, now, jobs.EndStopped)
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -24,21 +24,21 @@
 		Needs: workerapi.Needs{MilliCPU: 400, MemoryMB: 10, GPUs: 1}}
 }
 
-func newCore() (*Core, *[]Event) {
+func newTestCore() (*core, *[]Event) {
 	var events []Event
-	core := NewCore("w", jobs.Resources{MilliCPU: 1000, MemoryMB: 25, GPUs: 2}, func(e Event) { events = append(events, e) })
+	core := newCore("w", jobs.Resources{MilliCPU: 1000, MemoryMB: 25, GPUs: 2}, func(e Event) { events = append(events, e) })
 	return core, &events
 }
 
 // refusal gives why a start was refused, empty if it was not.
-func refusal(c *Core, now time.Duration, call workerapi.StartCall) string {
+func refusal(c *core, now time.Duration, call workerapi.StartCall) string {
 	answer, err := c.Start(now, call)
 	So(err, ShouldBeNil)
 	return string(answer.Refused)
 }
 
 // unacknowledged gives how the listed runs ended.
-func ends(c *Core, now time.Duration) []jobs.EndReason {
+func ends(c *core, now time.Duration) []jobs.EndReason {
 	var out []jobs.EndReason
 	for _, e := range c.Status(now).Ended {
 		out = append(out, e.EndReason)
@@ -48,7 +48,7 @@
 
 func TestStart(t *testing.T) {
 	Convey("A start is carried out once, or refused for the first reason there is", t, func() {
-		c, events := newCore()
+		c, events := newTestCore()
 		So(refusal(c, 0, startOf(0, 3, `{"ms":100}`)), ShouldEqual, "")
 		So(refusal(c, 0, startOf(0, 3, `{"ms":100}`)), ShouldEqual, "") // it came twice
 		So(len(*events), ShouldEqual, 1)
@@ -82,7 +82,7 @@
 
 func TestEnds(t *testing.T) {
 	Convey("Runs end by themselves, on an order, or with the lease, and are listed until that is acknowledged", t, func() {
-		c, _ := newCore()
+		c, _ := newTestCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":100,"fails":1}`)), ShouldEqual, "")
 		So(refusal(c, 0, startOf(1, 1, `{"ms":-1}`)), ShouldEqual, "")
 		next, runs := c.NextDeadline()
@@ -102,13 +102,13 @@
 		So(c.IsIdle(), ShouldBeTrue)
 	})
 	Convey("A stop comes before its start: the run never starts", t, func() {
-		c, _ := newCore()
+		c, _ := newTestCore()
 		_, err := c.Stop(0, workerapi.StopCall{Worker: "w", Run: runOf(0, 2), Token: 2})
 		So(err, ShouldBeNil)
 		So(refusal(c, 0, startOf(0, 2, `{}`)), ShouldEqual, string(scheduler.RefusedStale))
 	})
 	Convey("The lease kills what runs at its end and no earlier; a run that was over by then has its own end", t, func() {
-		c, _ := newCore()
+		c, _ := newTestCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":900}`)), ShouldEqual, "")
 		So(refusal(c, 0, startOf(1, 1, `{"ms":5000,"save_ms":300}`)), ShouldEqual, "")
 		c.Advance(2 * time.Second) // it was frozen
@@ -116,7 +116,7 @@
 		So(c.Status(2 * time.Second).Ended[1].Checkpoint, ShouldEqual, "900")
 	})
 	Convey("A renewal extends the lease, a fenced one does nothing", t, func() {
-		c, _ := newCore()
+		c, _ := newTestCore()
 		So(refusal(c, 0, startOf(0, 1, `{"ms":-1}`)), ShouldEqual, "")
 		So(c.RenewLease(900*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 3, Deadline: 3 * time.Second}), ShouldBeNil)
 		err := c.RenewLease(950*ms, workerapi.RenewLeaseCall{Worker: "w", Token: 2, Deadline: time.Hour, SeenUpTo: 9})
@@ -128,7 +128,7 @@
 		So(errs.KindOf(c.RenewLease(0, workerapi.RenewLeaseCall{Worker: "v"})), ShouldEqual, errs.Unknown)
 	})
 	Convey("A run goes on from its saved progress", t, func() {
-		c, _ := newCore()
+		c, _ := newTestCore()
 		call := startOf(0, 2, `{"ms":500,"save_ms":100}`)
 		call.Checkpoint = "300"
 		So(refusal(c, 0, call), ShouldEqual, "")
@@ -137,7 +137,7 @@
 		So(c.Advance(200*ms), ShouldBeTrue)
 	})
 	Convey("A worker that goes stops all, and lists no more ends at once than an answer holds", t, func() {
-		c, _ := newCore()
+		c, _ := newTestCore()
 		for i := range maxEndsPerAnswer + 1 {
 			call := startOf(i, 1, `{"ms":-1}`)
 			call.Needs = workerapi.Needs{}
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -2,8 +2,8 @@
 // internal/httpapi/workerapi: it guards its own capacity, keeps its lease by its own clock, refuses fenced orders and
 // journals all that it does. It starts no real work: a run is a Program, a length of time and an outcome.
 //
-// Host is the process: it serves the calls, sends the heartbeats and wakes at the deadlines of Core, which decides.
-// Begin with Core.Advance and Core.Start.
+// Host is the process: it serves the calls, sends the heartbeats and wakes at the deadlines of its core, which decides.
+// Begin with core.Advance and core.Start.
 package jobsworker
 
 import (
@@ -28,11 +28,11 @@
 
 const (
 	serverGrace      = time.Second
-	idleInterval     = time.Minute // between two calls of Core.Advance while nothing runs
+	idleInterval     = time.Minute // between two calls of core.Advance while nothing runs
 	idlePollInterval = 50 * time.Millisecond
 )
 
-// Host is one incarnation of a worker as a process: its server, its heartbeats and its timer around a Core.
+// Host is one incarnation of a worker as a process: its server, its heartbeats and its timer around a core.
 type Host struct {
 	settings  Settings
 	id        string // the worker's ID
@@ -45,7 +45,7 @@
 	group     *routine.Group
 
 	mu         sync.Mutex
-	core       *Core
+	core       *core
 	changed    chan struct{} // closed, and replaced, when a call or a deadline may have changed core
 	sequence   int           // of the newest heartbeat
 	isDraining bool
@@ -70,7 +70,7 @@
 	if err := h.openJournal(); err != nil {
 		return nil, errs.Pass(err, "worker %s", settings.Name)
 	}
-	h.core = NewCore(h.id, settings.Capacity, h.record)
+	h.core = newCore(h.id, settings.Capacity, h.record)
 	h.client = rpc.NewClient(rpc.ClientOptions{Logger: logger, Clock: clock})
 	h.server = rpc.NewServer(rpc.ServerOptions{Addr: settings.Address, Logger: logger, Clock: clock, Loops: 1})
 	rpc.Handle(h.server, workerapi.StartPair, h.start)
--- a/internal/testbed/netproxy/connection.go
+++ b/internal/testbed/netproxy/connection.go
@@ -20,7 +20,7 @@
 
 // connection is one connection through a link: its two ends, which are reset together when its group ends.
 type connection struct {
-	*Proxy
+	*proxy
 	Link
 	group *routine.Group
 }
@@ -33,7 +33,7 @@
 }
 
 // serve carries one connection. Its opening is judged as its bytes are: held back, or never answered.
-func (p *Proxy) serve(ctx context.Context, link Link, in *net.TCPConn) {
+func (p *proxy) serve(ctx context.Context, link Link, in *net.TCPConn) {
 	c := &connection{p, link, routine.New(ctx)}
 	defer c.group.Stop()
 	resetOnStop(c.group, in)
--- a/internal/testbed/netproxy/proxy.go
+++ b/internal/testbed/netproxy/proxy.go
@@ -53,8 +53,8 @@
 	return s, errs.Wrap(json.Unmarshal(raw, &s), errs.Settings, "%s", path)
 }
 
-// Proxy is the links of a process and the faults on them.
-type Proxy struct {
+// proxy is the links of a process and the faults on them.
+type proxy struct {
 	settings Settings
 	clock    clock.Clock
 	logger   log.Logger
@@ -72,7 +72,7 @@
 		return errs.Pass(err, "links")
 	}
 	defer writer.Close()
-	p := &Proxy{settings: settings, clock: clock, logger: logger, writer: writer, group: routine.New(ctx)}
+	p := &proxy{settings: settings, clock: clock, logger: logger, writer: writer, group: routine.New(ctx)}
 	defer p.group.Stop()
 	for _, link := range settings.Links {
 		if err := p.listen(link); err != nil {
@@ -93,7 +93,7 @@
 }
 
 // listen accepts connections of a link until the group stops.
-func (p *Proxy) listen(link Link) error {
+func (p *proxy) listen(link Link) error {
 	listener, err := net.Listen("tcp", link.Listen)
 	if err != nil {
 		return errs.Wrap(err, errs.Settings, "link from %s to %s", link.From, link.To)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (p *Proxy) accept(ctx context.Context, listener net.Listener, link Link) {
+func (p *proxy) accept(ctx context.Context, listener net.Listener, link Link) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -117,7 +117,7 @@
 }
 
 // inject makes a fault active, after it is in the journal, and journals its end.
-func (p *Proxy) inject(f Fault) (FaultAnswer, error) {
+func (p *proxy) inject(f Fault) (FaultAnswer, error) {
 	var answer FaultAnswer
 	if err := f.Check(); err != nil {
 		return answer, errs.Pass(err, "cut")
@@ -145,7 +145,7 @@
 }
 
 // record journals an event of a fault.
-func (p *Proxy) record(event string, f Fault) error {
+func (p *proxy) record(event string, f Fault) error {
 	err := p.writer.Append(map[string]any{"at": p.clock.Wall().UnixNano(), "ev": event, "node": f.Node, "zone": f.Zone,
 		"how": f.Kind, "for": f.For.String(), "delay": f.Delay.String()})
 	return errs.Pass(err, "links' journal")
--- a/internal/testbed/netproxy/proxy_test.go
+++ b/internal/testbed/netproxy/proxy_test.go
@@ -66,7 +66,7 @@
 }
 
 // pipe is a link to a peer that answers every byte with the next one.
-func pipe(t *testing.T) (*Proxy, *counted, func() net.Conn) {
+func pipe(t *testing.T) (*proxy, *counted, func() net.Conn) {
 	clock, group := &counted{sets: make(chan struct{}, 100)}, routine.New(context.Background())
 	writer, err := journal.Open(filepath.Join(t.TempDir(), "j"))
 	So(err, ShouldBeNil)
@@ -91,7 +91,7 @@
 	})
 	w := way
 	w.Dial = peer.Addr().String()
-	l := &Proxy{settings: Settings{Links: []Link{w}}, clock: clock, logger: log.NewNopLogger(), writer: writer, group: group}
+	l := &proxy{settings: Settings{Links: []Link{w}}, clock: clock, logger: log.NewNopLogger(), writer: writer, group: group}
 	group.Go(func(ctx context.Context) { l.accept(ctx, front, w) })
 	Reset(func() { group.Stop(); So(writer.Close(), ShouldBeNil) })
 	return l, clock, func() net.Conn {
--- a/internal/testbed/scale/rows.go
+++ b/internal/testbed/scale/rows.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// FitLine fits y = base + slope*x by least squares; more than two points and two values of x are needed, else ok is
+// fitLine fits y = base + slope*x by least squares; more than two points and two values of x are needed, else ok is
 // false.
-func FitLine(x, y []float64) (base, slope float64, ok bool) {
+func fitLine(x, y []float64) (base, slope float64, ok bool) {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy float64
 	for i := range x {
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -45,9 +45,9 @@
 		})
 	})
 	Convey("A line is fitted", t, func() {
-		base, slope, ok := FitLine([]float64{1, 2, 3}, []float64{3, 5, 7})
+		base, slope, ok := fitLine([]float64{1, 2, 3}, []float64{3, 5, 7})
 		So([]any{base, slope, ok}, ShouldResemble, []any{1.0, 2.0, true})
-		_, _, ok = FitLine([]float64{1, 1, 1}, []float64{3, 5, 7})
+		_, _, ok = fitLine([]float64{1, 1, 1}, []float64{3, 5, 7})
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/testbed/scale/slopes.go
+++ b/internal/testbed/scale/slopes.go
@@ -35,7 +35,7 @@
 					workers, values = append(workers, float64(r.Workers)), append(values, cost.value(r))
 				}
 			}
-			if base, slope, ok := FitLine(workers, values); ok {
+			if base, slope, ok := fitLine(workers, values); ok {
 				out = append(out, Slope{Role: role, Cost: cost.name, Base: base, PerWorker: slope})
 			}
 		}
