--- a/internal/testbed/endtoend/workers.go
+++ b/internal/testbed/endtoend/workers.go
@@ -19,7 +19,8 @@
 	Capacity jobs.Resources
 }
 
-// newShapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with GPUs.
+// newShapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with
+// GPUs.
 func newShapes(count int) []Shape {
 	var out []Shape
 	for i := range count {
--- a/internal/testbed/fleet/caller.go
+++ b/internal/testbed/fleet/caller.go
@@ -59,7 +59,7 @@
 }
 
 // Call sends one request and reads the answer within timeout; in is sent as JSON unless nil. Any answer at all is
-// a Reply. Failures: Internal (in is no JSON), Timeout (no whole answer: what was asked may have happened). Example:
+// a Reply. Failures: Internal (in is no JSON), Timeout (no complete answer: what was asked may have happened). Example:
 //
 //	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/who", nil, time.Second)
 func (c *Caller) Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (Reply, error) {
--- a/internal/testbed/journal/journal.go
+++ b/internal/testbed/journal/journal.go
@@ -90,7 +90,7 @@
 }
 
 // Append writes v, commonly an Entry, as one line by one write(2): a process killed afterwards loses nothing.
-// Faults: Internal (v is no JSON), Disk. Example:
+// Failures: Internal (v is no JSON), Disk. Example:
 //
 //	err := w.Append(journal.Entry{At: time.Now().UnixNano(), Event: journal.NewIncarnation, Worker: "m1"})
 func (w *Writer) Append(v any) error {
--- a/internal/testbed/operator/order.go
+++ b/internal/testbed/operator/order.go
@@ -66,7 +66,7 @@
 }
 
 // sendUntilAnswered sends an order to one control plane after another until it is answered for good. With the failure
-// Timeout the answer still tells where and when it was sent last.
+// Timeout the answer still says where and when it was sent last.
 func (o *session) sendUntilAnswered(ctx context.Context, path string, body []byte) (answer, error) {
 	for deadline := o.clock.Now() + orderTimeout; ; {
 		node := o.anyControlPlane()
--- /dev/null
+++ b/internal/testbed/rehearsal/balances_steps.go
@@ -0,0 +1,255 @@
+package rehearsal
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"strings"
+	"time"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/routine"
+	"crosstide/internal/testbed/audit"
+	"crosstide/internal/testbed/billingload"
+	"crosstide/internal/testbed/fleet"
+	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/netproxy"
+)
+
+// readAccount reads the account and keeps the lowest balance.
+func (b *balances) readAccount(ctx context.Context) (internalapi.AccountView, error) {
+	account, err := b.operator.Account(ctx, b.party)
+	if err == nil {
+		b.report.Lowest = min(b.report.Lowest, account.Balance)
+		if account.Balance+account.Reserved+account.Spent != account.ToppedUp {
+			b.violatef("not conserved: %+v", account)
+		}
+	}
+	return account, errs.Pass(err, "show")
+}
+
+// awaitExhausted waits until the party's balance is less than a start needs.
+func (b *balances) awaitExhausted(ctx context.Context) error {
+	need := int64(billingload.CorePrice * billingload.Window / time.Second)
+	clock := clock.Real{}
+	for end := clock.Now() + exhaustTimeout; clock.Now() < end; {
+		account, err := b.readAccount(ctx)
+		if err != nil {
+			return errs.Pass(err, "dry")
+		}
+		if account.Balance < need {
+			return nil
+		}
+		if !b.Sleep(ctx, balanceInterval) {
+			return errs.New(errs.Stopped, "stopped before %s was dry", b.party)
+		}
+	}
+	return errs.New(errs.Timeout, "the party is not dry within %s", exhaustTimeout)
+}
+
+// checkStaysExhausted leaves the party without balance: once what ran has ended, nothing of it starts.
+func (b *balances) checkStaysExhausted(ctx context.Context) error {
+	b.Sleep(ctx, exhaustedFor)
+	from := clock.Real{}.Wall()
+	b.Sleep(ctx, exhaustedFor/2)
+	started, err := b.starts(b.party+"-paid", from)
+	if err != nil {
+		return errs.Pass(err, "stay dry")
+	}
+	account, err := b.readAccount(ctx)
+	if err != nil {
+		return errs.Pass(err, "stay dry")
+	}
+	if len(started) > 0 {
+		b.violatef("%d jobs started though the party is dry, at a balance of %d", len(started), account.Balance)
+	}
+	b.notef("dry at %d, %d jobs wait", account.Balance, account.Waiting)
+	if account.Waiting == 0 {
+		b.violatef("nothing waits while the party is dry")
+	}
+	return nil
+}
+
+// starts returns the starts of jobs with a prefix since a time, by the workers' journals.
+func (b *balances) starts(prefix string, since time.Time) ([]audit.Event, error) {
+	history, err := audit.Read(b.Dir)
+	if err != nil {
+		return nil, errs.Pass(err, "journals")
+	}
+	return slices.DeleteFunc(history.Events, func(e audit.Event) bool {
+		isStart := e.Source == audit.Worker && e.Event == journal.Start
+		return !isStart || !strings.HasPrefix(e.Job, prefix) || e.At < since.UnixNano()
+	}), nil
+}
+
+// topUp sends a top-up until it is acknowledged, and then once more: the answer must be the same. It returns when it
+// was acknowledged first.
+func (b *balances) topUp(ctx context.Context, amount int64) (time.Time, error) {
+	order := b.operator.NewTopUp(b.party, amount)
+	first, err := b.operator.SendTopUp(ctx, order)
+	if err != nil {
+		return time.Time{}, errs.Pass(err, "top-up")
+	}
+	at := clock.Real{}.Wall()
+	b.topUps[order.Call.Key] = amount
+	again, err := b.operator.SendTopUp(ctx, order)
+	b.report.Sent += 2
+	if err != nil || again != first {
+		b.violatef("a top-up sent again is answered %+v (%v), first %+v", again, err, first)
+	}
+	return at, nil
+}
+
+// topUpAndMeasure tops the party up, with a fault meanwhile unless inject is nil, and measures until its jobs start
+// again.
+func (b *balances) topUpAndMeasure(ctx context.Context, amount int64, inject func(context.Context) error) error {
+	account, err := b.readAccount(ctx)
+	if err != nil {
+		return errs.Pass(err, "resume")
+	}
+	before := clock.Real{}.Wall()
+	group := routine.New(ctx)
+	var faultErr error
+	if inject != nil {
+		group.Go(func(ctx context.Context) { faultErr = inject(ctx) })
+	}
+	acknowledged, err := b.topUp(ctx, amount+max(0, -account.Balance))
+	if err != nil {
+		group.Wait()
+		return errs.Pass(errors.Join(err, faultErr), "resume")
+	}
+	var started []audit.Event
+	_, err = b.Await(ctx, resumeTimeout, "work after the top-up", func() bool {
+		var err error
+		started, err = b.starts(b.party+"-paid", before)
+		return err == nil && len(started) > 0
+	})
+	group.Wait()
+	if err != nil || faultErr != nil {
+		return errs.Pass(errors.Join(err, faultErr), "resume")
+	}
+	first := slices.MinFunc(started, compareTimes)
+	took := max(0, time.Unix(0, first.At).Sub(acknowledged))
+	b.report.Resumed = append(b.report.Resumed, took.Seconds())
+	if took > maxResume {
+		b.violatef("work went on %s after the yes to a top-up", took)
+	}
+	return nil
+}
+
+func compareTimes(a, b audit.Event) int { return int(min(max(a.At-b.At, -1), 1)) }
+
+// storeLeader names the store's leader.
+func (b *balances) storeLeader(ctx context.Context) (string, error) {
+	isKnown := func(l fleet.Leaders) bool { return l.Store != "" }
+	leaders, err := b.AwaitLeaders(ctx, leaderTimeout, "leader", isKnown)
+	return leaders.Store, errs.Pass(err, "leader")
+}
+
+// killAndRestart kills a process and starts it again a while later.
+func (b *balances) killAndRestart(ctx context.Context, after time.Duration, name string) error {
+	killed, err := b.Kill("rehearse", []string{name})
+	b.notef("%s killed", strings.Join(killed, " "))
+	if err == nil && len(killed) == 0 {
+		err = errs.New(errs.Unknown, "%s was not there to be killed", name)
+	}
+	b.Sleep(ctx, after)
+	return errors.Join(err, b.Restart(ctx, []string{name}))
+}
+
+// killLeader kills the store's leader and starts it again a while later.
+func (b *balances) killLeader(ctx context.Context) error {
+	name, err := b.storeLeader(ctx)
+	if err != nil {
+		return errs.Pass(err, "kill")
+	}
+	return errs.Pass(b.killAndRestart(ctx, leaderDowntime, name), "kill")
+}
+
+// killLeaderAtLastDraw kills the leader as the balance runs out, and then the worker of a long-running task.
+func (b *balances) killLeaderAtLastDraw(ctx context.Context) error {
+	for _, step := range []func(context.Context) error{
+		b.awaitExhausted, b.killLeader, b.checkStaysExhausted, b.killLongRunningWorker,
+	} {
+		if err := step(ctx); err != nil {
+			return errs.Pass(err, "draw")
+		}
+	}
+	return nil
+}
+
+// killLongRunningWorker kills the worker of a long-running task while the party has no balance: the task must run
+// again.
+func (b *balances) killLongRunningWorker(ctx context.Context) error {
+	started, err := b.starts(b.party+"-lasting", time.Time{})
+	if err != nil {
+		return errs.Pass(err, "lasting task")
+	}
+	if len(started) == 0 {
+		return errs.New(errs.Unknown, "no lasting task of %s has started", b.party)
+	}
+	last := slices.MaxFunc(started, compareTimes)
+	before := clock.Real{}.Wall()
+	if err := b.killAndRestart(ctx, workerDowntime, last.Worker); err != nil {
+		return errs.Pass(err, "kill minion")
+	}
+	var again []audit.Event
+	_, err = b.Await(ctx, restartTimeout, "a lasting task runs again", func() bool {
+		var err error
+		again, err = b.starts(last.Job, before)
+		return err == nil && len(again) > 0
+	})
+	if err != nil {
+		return errs.Pass(err, "attach")
+	}
+	b.report.Attached = append(b.report.Attached, time.Unix(0, again[0].At).Sub(before).Seconds())
+	return nil
+}
+
+func (b *balances) killLeaderAtTopUp(ctx context.Context) error {
+	return errs.Pass(b.topUpAndMeasure(ctx, smallTopUp, b.killLeader), "top-up")
+}
+
+// isolateLeader cuts the leader off while the party runs out of balance and is topped up.
+func (b *balances) isolateLeader(ctx context.Context) error {
+	if b.Nodes.ProxyAddr == "" {
+		b.notef("not run: the leader cut off; the fleet has no links")
+		return nil
+	}
+	if err := b.awaitExhausted(ctx); err != nil {
+		return errs.Pass(err, "cut")
+	}
+	name, err := b.storeLeader(ctx)
+	if err != nil {
+		return errs.Pass(err, "cut")
+	}
+	fault := netproxy.Fault{Node: name, Kind: netproxy.Blackhole, For: 2 * exhaustedFor}
+	if _, err := b.InjectNetwork(ctx, fault); err != nil {
+		return errs.Pass(err, "cut")
+	}
+	b.notef("%s cut off", name)
+	if err := b.checkStaysExhausted(ctx); err != nil {
+		return errs.Pass(err, "cut")
+	}
+	return errs.Pass(b.topUpAndMeasure(ctx, smallTopUp, nil), "cut")
+}
+
+// wipeMember removes a follower's data while the party has no balance.
+func (b *balances) wipeMember(ctx context.Context) error {
+	if err := b.awaitExhausted(ctx); err != nil {
+		return errs.Pass(err, "wipe")
+	}
+	leader, err := b.storeLeader(ctx)
+	if err != nil {
+		return errs.Pass(err, "wipe")
+	}
+	i := slices.IndexFunc(b.Nodes.ControlPlanes, func(n fleet.Node) bool { return n.Name != leader })
+	follower := b.Nodes.ControlPlanes[i].Name
+	if err := b.Restart(ctx, []string{follower}, "--wipe"); err != nil {
+		return errs.Pass(err, "wipe")
+	}
+	b.notef("%s wiped", follower)
+	return errs.Pass(b.checkStaysExhausted(ctx), "wipe")
+}
