--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -7,13 +7,13 @@
 	"crosstide/internal/errs"
 )
 
-// configuration is the member set an entry (or snapshot) at Index brought.
+// configuration is a member set and the index of the entry (or snapshot) that brought it.
 type configuration struct {
 	index   uint64
 	members []Member
 }
 
-// configurationOf decodes and checks the set of a Members entry.
+// configurationOf decodes and validates the set of a Members entry.
 func configurationOf(e Entry) (configuration, error) {
 	c := configuration{index: e.Index}
 	if err := json.Unmarshal(e.Data, &c.members); err != nil {
@@ -22,6 +22,20 @@
 	return c, errs.Pass(validateMembers(c.members), "members at index %d", e.Index)
 }
 
+// configurationsOf collects the member sets among entries.
+func configurationsOf(entries []Entry) (out []configuration, err error) {
+	for _, e := range entries {
+		if e.Kind == Members {
+			f, err := configurationOf(e)
+			if err != nil {
+				return nil, errs.Pass(err, "entries")
+			}
+			out = append(out, f)
+		}
+	}
+	return out, nil
+}
+
 // DecodeMembers returns the member set that a Members entry brings.
 func DecodeMembers(e Entry) ([]Member, error) {
 	c, err := configurationOf(e)
@@ -29,10 +43,10 @@
 }
 
 // validateMembers checks a member set by itself.
-func validateMembers(ms []Member) error {
-	seen := make(map[string]bool, len(ms))
+func validateMembers(members []Member) error {
+	seen := make(map[string]bool, len(members))
 	voters := 0
-	for _, m := range ms {
+	for _, m := range members {
 		if m.ID == "" || seen[m.ID] {
 			return errs.Field(errs.Invalid, "members", "ID %q is empty or doubled", m.ID)
 		}
@@ -48,28 +62,52 @@
 }
 
 // findMember returns the member with the ID.
-func findMember(ms []Member, id string) (Member, bool) {
-	if i := slices.IndexFunc(ms, func(m Member) bool { return m.ID == id }); i >= 0 {
-		return ms[i], true
+func findMember(members []Member, id string) (Member, bool) {
+	if i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id }); i >= 0 {
+		return members[i], true
 	}
 	return Member{}, false
 }
 
-func isVoter(ms []Member, id string) bool {
-	m, ok := findMember(ms, id)
+func isVoter(members []Member, id string) bool {
+	m, ok := findMember(members, id)
 	return ok && !m.Learner
 }
 
-// configurationsOf collects the member sets among entries.
-func configurationsOf(es []Entry) (out []configuration, err error) {
-	for _, e := range es {
-		if e.Kind == Members {
-			f, err := configurationOf(e)
-			if err != nil {
-				return nil, errs.Pass(err, "entries")
-			}
-			out = append(out, f)
+// latestConfiguration is the set in force. Only a node that has one may call it, as a leader has.
+func (c *Core) latestConfiguration() configuration { return c.configurations[len(c.configurations)-1] }
+
+// members is the set in force; nil if none is known.
+func (c *Core) members() []Member {
+	if len(c.configurations) == 0 {
+		return nil
+	}
+	return c.latestConfiguration().members
+}
+
+// clearBlank ends blankness once a committed set names this node a learner: no vote under its ID can have been
+// forgotten, as learners have none.
+func (c *Core) clearBlank(members []Member) {
+	if m, ok := findMember(members, c.cfg.ID); ok && m.Learner && c.hardState.Blank {
+		c.hardState.Blank, c.hardStateChanged = false, true
+	}
+}
+
+// CommittedMembers returns the newest member set that is known here to be committed, and the index of its entry; none
+// on a node that began empty and has not caught up.
+func (c *Core) CommittedMembers() (index uint64, members []Member) {
+	if len(c.configurations) == 0 {
+		return 0, nil
+	}
+	return c.configurations[0].index, slices.Clone(c.configurations[0].members)
+}
+
+// MemberSince returns the index of the oldest set known here, committed or not, that has this node; 0 if none has.
+func (c *Core) MemberSince() uint64 {
+	for _, f := range c.configurations {
+		if _, ok := findMember(f.members, c.cfg.ID); ok {
+			return f.index
 		}
 	}
-	return out, nil
+	return 0
 }
--- /dev/null
+++ b/internal/raft/initialstate.go
@@ -0,0 +1,61 @@
+package raft
+
+import (
+	"cmp"
+	"slices"
+
+	"crosstide/internal/errs"
+)
+
+// InitialState is what the disk had when the process started.
+type InitialState struct {
+	HardState HardState
+	Snapshot  Meta
+	Entries   []Entry
+}
+
+// Bootstrap returns the initial state of every bootstrap member at the first start of a fleet: the snapshot of the
+// empty state at index 1, term 1, with the members in order of ID; the log begins at index 2. All must pass the same
+// set. The runtime stores the snapshot as its first durable one (the body is the empty state), so that a later node can
+// fetch it. Example:
+//
+//	core, err := raft.New(cfg, raft.Bootstrap(settings.Members), now)
+func Bootstrap(members []Member) InitialState {
+	ms := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
+	return InitialState{HardState: HardState{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: ms}}
+}
+
+// loadEntries puts the stored entries after the snapshot into the log. Entries that the snapshot contradicts are
+// invalid: the stored log is to be reset. Failure: Damaged.
+func (c *Core) loadEntries(entries []Entry) error {
+	s := c.snapshot
+	if i := slices.IndexFunc(entries, func(e Entry) bool { return e.Index >= s.Index }); i < 0 {
+		c.logReset, entries = len(entries) > 0, nil // all of them lie before the snapshot
+	} else if entries[i].Index == s.Index {
+		if entries[i].Term == s.Term {
+			entries = entries[i+1:]
+		} else {
+			c.logReset, entries = true, nil
+		}
+	}
+	term := s.Term
+	for n, e := range entries {
+		if e.Index != s.Index+1+uint64(n) || e.Term < term {
+			return errs.New(errs.Damaged, "stored entry %d of term %d does not follow index %d, term %d",
+				e.Index, e.Term, s.Index+uint64(n), term)
+		}
+		term = e.Term
+	}
+	configurations, err := configurationsOf(entries)
+	if err != nil {
+		return errs.Wrap(err, errs.Damaged, "members")
+	}
+	c.configurations = append(c.configurations, configurations...)
+	c.log.entries = slices.Clone(entries)
+	c.firstUnstable = c.log.last() + 1
+	if c.hardState.Term < term { // the vote of that term was never synced, so it was never sent
+		c.hardState = HardState{Term: term, Blank: c.hardState.Blank}
+		c.hardStateChanged = true
+	}
+	return nil
+}
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// leaseUntil is the end of the lease, never if there is none.
+// leaseUntil is the end of the leader's lease, never if there is none. It counts from the send of the newest message
+// that a majority answered: each of them votes for nobody else for longer than that (see leaderStickiness).
 func (c *Core) leaseUntil() time.Duration {
 	if c.leadership.timeoutNowSent {
 		return never
 	}
-	from := majority(c.members(), func(id string) time.Duration {
+	quorumAcked := majority(c.members(), func(id string) time.Duration {
 		if p := c.leadership.progress[id]; p != nil {
 			return p.ackedSendTime
 		}
 		return c.now
 	})
-	if from == never {
+	if quorumAcked == never {
 		return never
 	}
-	return from + c.cfg.LeaseDuration
+	return quorumAcked + c.cfg.LeaseDuration
 }
 
 // LeaseReadIndex returns the commit index that is safe to read at: no other leader can have committed more at the time
-// now. ok is false unless this node leads, holds its lease at now and has committed an entry of its own term.
+// now. ok is false unless this node leads, has its lease at now and has committed an entry of its own term.
 // Example:
 //
 //	if commit, ok := core.LeaseReadIndex(now); ok && applied >= commit { answer() }
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -5,37 +5,39 @@
 	"sort"
 )
 
-// memoryLog is the log in memory: entries[0] has index offset+1. Elements are never overwritten, so slices of it may be kept.
+// memoryLog is the log in memory. Elements of entries are never overwritten, so slices of it may be kept by others.
 type memoryLog struct {
-	offset, offsetTerm uint64
-	entries            []Entry
+	offset     uint64  // the last index that is not in entries; entries[0] has offset+1
+	offsetTerm uint64  // the term of offset
+	entries    []Entry // indexes without a gap
 }
 
+// last is the index of the newest entry, offset if there is none.
 func (l *memoryLog) last() uint64 { return l.offset + uint64(len(l.entries)) }
 
-// term returns the term of index i, false if it is not known here.
-func (l *memoryLog) term(i uint64) (uint64, bool) {
+// term returns the term of an index, false if it is not known here.
+func (l *memoryLog) term(index uint64) (uint64, bool) {
 	switch {
-	case i == l.offset:
+	case index == l.offset:
 		return l.offsetTerm, true
-	case i < l.offset || i > l.last():
+	case index < l.offset || index > l.last():
 		return 0, false
 	}
-	return l.entries[i-l.offset-1].Term, true
+	return l.entries[index-l.offset-1].Term, true
 }
 
-func (l *memoryLog) lastTerm() uint64 { t, _ := l.term(l.last()); return t }
+func (l *memoryLog) lastTerm() uint64 { term, _ := l.term(l.last()); return term }
 
 // slice returns the entries from..to, both included.
 func (l *memoryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
 	}
-	a, b := from-l.offset-1, to-l.offset
-	return l.entries[a:b:b]
+	first, end := from-l.offset-1, to-l.offset
+	return l.entries[first:end:end]
 }
 
-// sliceUpTo is cut up to a size, at least one entry.
+// sliceUpTo is slice, cut to a size but not under one entry.
 func (l *memoryLog) sliceUpTo(from, to uint64, bytes int) []Entry {
 	all := l.slice(from, to)
 	for i, e := range all {
@@ -46,28 +48,28 @@
 	return all
 }
 
-// truncate drops the entries at and after from; what is appended next takes a new array.
+// truncate removes the entries at and after from. The capacity ends there too: the next append takes a new array.
 func (l *memoryLog) truncate(from uint64) {
 	n := from - l.offset - 1
 	l.entries = l.entries[:n:n]
 }
 
-// compact drops the entries up to i. The array is copied once half of it is void, so the cost is spread.
-func (l *memoryLog) compact(i uint64) {
-	if i <= l.offset {
+// compact removes the entries up to index. The array is copied once half of it is unused, so that the cost is spread.
+func (l *memoryLog) compact(index uint64) {
+	if index <= l.offset {
 		return
 	}
-	l.offsetTerm, _ = l.term(i)
-	n := i - l.offset
-	rest := l.entries[n:]
-	if n >= uint64(len(rest)) {
+	l.offsetTerm, _ = l.term(index)
+	removed := index - l.offset
+	rest := l.entries[removed:]
+	if removed >= uint64(len(rest)) {
 		rest = slices.Clone(rest)
 	}
-	l.entries, l.offset = rest, i
+	l.entries, l.offset = rest, index
 }
 
-// lastOfLowerTerm returns the newest index under i of a term lower than that of i.
-func (l *memoryLog) lastOfLowerTerm(i uint64) uint64 {
-	t, _ := l.term(i)
-	return l.offset + uint64(sort.Search(len(l.entries), func(n int) bool { return l.entries[n].Term >= t }))
+// lastOfLowerTerm returns the newest index under index of a term lower than that of index.
+func (l *memoryLog) lastOfLowerTerm(index uint64) uint64 {
+	term, _ := l.term(index)
+	return l.offset + uint64(sort.Search(len(l.entries), func(n int) bool { return l.entries[n].Term >= term }))
 }
--- /dev/null
+++ b/internal/raft/membership.go
@@ -0,0 +1,81 @@
+package raft
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"crosstide/internal/errs"
+)
+
+// ProposeMembers appends a new member set. It may differ from the present one in one voter: a learner that is caught up
+// is promoted, or a voter is removed or made a learner. A new machine is added as a learner first. Learners come and go
+// freely. Status().Match shows their progress.
+// Failures: NotLeader; Unavailable while another change is not committed, before the first commit of the term, or when
+// the promoted learner is not caught up; Invalid for a set that is rejected.
+func (c *Core) ProposeMembers(now time.Duration, next []Member) (index, term uint64, err error) {
+	c.advanceClock(now)
+	if err := c.checkProposable(); err != nil {
+		return 0, 0, errs.Pass(err, "propose members")
+	}
+	if c.latestConfiguration().index > c.commit || c.commit < c.leadership.firstIndex {
+		return 0, 0, errs.New(errs.Unavailable,
+			"a change of members, or the first entry of the term, is not committed yet")
+	}
+	if err := validateMembers(next); err != nil {
+		return 0, 0, errs.Pass(err, "propose members")
+	}
+	if err := c.checkMemberChange(next); err != nil {
+		return 0, 0, errs.Pass(err, "propose members")
+	}
+	data, err := json.Marshal(next)
+	if err != nil {
+		return 0, 0, errs.Wrap(err, errs.Internal, "members")
+	}
+	c.appendOwn(Members, data)
+	c.configurations = append(c.configurations, configuration{c.log.last(), slices.Clone(next)})
+	c.updateProgress()
+	c.advanceCommit() // fewer voters may be a majority already
+	return c.log.last(), c.hardState.Term, nil
+}
+
+// checkMemberChange checks that next differs from the present set in one voter at most: two majorities of such sets
+// always have a voter in common.
+func (c *Core) checkMemberChange(next []Member) error {
+	changed := 0
+	for _, m := range c.members() {
+		n, ok := findMember(next, m.ID)
+		if ok && n.Incarnation != m.Incarnation {
+			return errs.Field(errs.Invalid, "members", "%s keeps its ID but not its incarnation", m.ID)
+		}
+		if !m.Learner && (!ok || n.Learner) {
+			changed++
+		}
+	}
+	for _, n := range next {
+		if n.Learner || isVoter(c.members(), n.ID) {
+			continue
+		}
+		changed++
+		if err := c.checkCaughtUp(n.ID); err != nil {
+			return errs.Pass(err, "promote a learner")
+		}
+	}
+	if changed > 1 {
+		return errs.Field(errs.Invalid, "members", "%d voters change, one may", changed)
+	}
+	return nil
+}
+
+// checkCaughtUp checks that a node can become a voter: it is a learner that has nearly the whole log. A voter that is
+// far behind would stop commits until it has caught up if another voter failed.
+func (c *Core) checkCaughtUp(id string) error {
+	p := c.leadership.progress[id]
+	if p == nil {
+		return errs.Field(errs.Invalid, "members", "%s must be a learner before it is a voter", id)
+	}
+	if p.blank || p.match < max(c.leadership.caughtUpIndex, c.latestConfiguration().index) {
+		return errs.New(errs.Unavailable, "learner %s is not caught up: at %d of %d", id, p.match, c.commit)
+	}
+	return nil
+}
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,33 +1,34 @@
-// Package raft is the replication core of the control store: Raft with pre-vote, check-quorum, a leader lease,
-// learners, member changes one at a time, snapshots and pipelined appends. It is a pure step function: its
-// input is the time and messages, its output what is to be stored, sent and applied. It has no clock, socket, disk or
-// goroutine of its own and is not safe for concurrent use.
+// Package raft is the consensus core of the control store: Raft with pre-vote, check-quorum, a leader lease, learners,
+// membership changes one voter at a time, snapshots, leadership transfer and pipelined appends.
 //
-// The runtime loops:
+// Core is a pure step function: its input is the time and messages, its output (Ready) is what the runtime must store,
+// send and apply. It never reads a clock, opens a socket, writes a disk or starts a goroutine, and it is not safe for
+// concurrent use. Entries are opaque to it, but for member sets.
 //
-//	core.Tick(now)             // four times a heartbeat; or Step, Propose, Synced ...
+// The runtime (internal/store) drives it in one loop:
+//
+//	core.Tick(now)             // four times per heartbeat interval; or Step, Propose, Synced ...
 //	r := core.Ready()          // after each burst of calls: appends are made here, so a burst is one append
 //	send(r.Messages)
-//	disk.Queue(r.ResetLog, r.HardState, r.Entries)     // in the order of the Readys; Reset first
+//	disk.Queue(r.ResetLog, r.HardState, r.Entries) // in the order of the Readys; ResetLog first
 //	onSync: send(r.MessagesAfterSync); core.Synced(now, last.Index, last.Term) // last of r.Entries, if any
 //	apply(r.CommittedEntries); fetch(r.Fetch)
 //
-// The runtime must ensure, for safety:
+// Safety depends on the runtime:
 //   - now never runs backwards within a process and counts suspension; each process has its own zero;
-//   - Readys reach the disk in their order; a later one is never durable without the earlier ones;
+//   - Readys reach the disk in their order: a later one is never durable without the earlier ones;
 //   - the stored log is cut at its front (up to a durable snapshot) only in that same order, behind the Readys
 //     handed out before;
-//   - a new data folder gets a new ID. An empty one is booted empty, never with Founding.
+//   - a new data folder gets a new member ID. An empty one starts with an empty InitialState, never with Bootstrap.
+//
+// The first start of a fleet passes Bootstrap(members) on every bootstrap member; only an operator's explicit order may
+// do so.
 //
-// The first boot of a fleet passes Founding(members) on every founder; only an explicit order to found may do so.
+// Begin to read at Core (core.go) and Step (step.go). The rules of a role stand in election.go, leader.go,
+// replication.go and follower.go; membership.go and transfer.go have the two operations on a leader.
 package raft
 
-import (
-	"cmp"
-	"encoding/json"
-	"slices"
-	"time"
-)
+import "encoding/json"
 
 // Role is the role of a node in its term.
 type Role string
@@ -40,25 +41,27 @@
 	Leader       Role = "leader"
 )
 
-// Member is one node of the store. ID belongs to one life of a data folder: a wiped machine takes a new one.
+// Member is one node of the store.
 type Member struct {
+	// ID belongs to one incarnation of a data folder: a wiped machine takes a new one.
 	ID          string `json:"id"`
 	Addr        string `json:"addr"`
 	Zone        string `json:"zone,omitempty"`
-	Incarnation string `json:"incarnation,omitempty"`
-	Learner     bool   `json:"learner,omitempty"` // gets entries, does not count
+	Incarnation string `json:"incarnation,omitempty"` // fixed for an ID
+	Learner     bool   `json:"learner,omitempty"`     // receives entries, counts in no majority
 }
 
 // EntryKind says what an entry's Data is.
 type EntryKind uint8
 
+// The kinds of entries.
 const (
 	Normal  EntryKind = iota // a command of the store
-	Noop                     // the first entry of a leader; no data
+	Noop                     // the first entry of a leader's term; no data
 	Members                  // JSON []Member: the whole new set, in force as soon as it is in the log
 )
 
-// Entry is one place of the log. Indexes are dense.
+// Entry is one entry of the log. Indexes follow each other without a gap; terms never decrease.
 type Entry struct {
 	Term  uint64          `json:"t"`
 	Index uint64          `json:"i"`
@@ -66,20 +69,20 @@
 	Data  json.RawMessage `json:"d,omitempty"`
 }
 
-// size is what the entry takes of a byte limit.
+// size is what the entry counts against a byte limit.
 func (e Entry) size() int { return len(e.Data) + 32 }
 
-// HardState is what must be synced before any answer that depends on it.
+// HardState must be durable before any message that depends on it is sent.
 type HardState struct {
 	Term uint64 `json:"t"`
-	Vote string `json:"v,omitempty"`
+	Vote string `json:"v,omitempty"` // the candidate this node voted for in Term; empty: none
 	// Leader is the leader of Term that this node has led or followed; empty if none.
 	Leader string `json:"l,omitempty"`
-	// Blank: the folder began empty and no committed set has named it a learner yet; it may have forgotten
-	// votes given under its ID, so it neither votes nor campaigns.
+	// Blank: the folder began empty and no committed set has named this node a learner yet. It may have forgotten votes
+	// that were given under its ID, so it neither votes nor campaigns.
 	Blank bool `json:"b,omitempty"`
-	// Commit is an index up to which the stored log is known to be committed; there may be more. It is stored along with
-	// entries, so that a node that starts can apply them before it hears of a leader.
+	// Commit is an index up to which the stored log is known to be committed; there may be more. It is stored along
+	// with entries, so that a node that starts can apply them before it hears from a leader.
 	Commit uint64 `json:"c,omitempty"`
 }
 
@@ -89,104 +92,3 @@
 	Term    uint64   `json:"t"`
 	Members []Member `json:"m"`
 }
-
-// Kind names a message.
-type Kind string
-
-// The kinds of messages. Those named Reply answer the kind before them.
-const (
-	PreVote       Kind = "prevote"
-	PreVoteReply  Kind = "prevote_reply"
-	Vote          Kind = "vote"
-	VoteReply     Kind = "vote_reply"
-	Append        Kind = "append"
-	AppendReply   Kind = "append_reply"
-	Snapshot      Kind = "snapshot"
-	SnapshotReply Kind = "snapshot_reply"
-	TimeoutNow    Kind = "handover" // campaign at once, the leader gave up its lease
-)
-
-// Message goes between two cores. It may be lost, doubled, delayed or reordered.
-type Message struct {
-	Kind      Kind          `json:"k"`
-	From      string        `json:"f"`
-	To        string        `json:"o"`
-	Term      uint64        `json:"t"`           // prevote: the term it would campaign in
-	PrevIndex uint64        `json:"i,omitempty"` // (pre)vote: last of the log; append: before Entries; reply to it: echoed
-	PrevTerm  uint64        `json:"p,omitempty"` // the term of PrevIndex
-	Entries   []Entry       `json:"e,omitempty"`
-	Commit    uint64        `json:"c,omitempty"`
-	Sent      time.Duration `json:"s,omitempty"` // clock of the leader at the send; echoed
-	Match     uint64        `json:"m,omitempty"` // the log equals the leader's up to here, synced
-	Hint      uint64        `json:"h,omitempty"` // rejected append: the newest index that may be equal
-	Reject    bool          `json:"r,omitempty"`
-	Force     bool          `json:"w,omitempty"` // vote after a handover: do not mind the old leader's lease
-	Blank     bool          `json:"b,omitempty"` // reply: see Hard.Blank
-	Meta      *Meta         `json:"n,omitempty"` // snapshot
-	Addr      string        `json:"a,omitempty"` // snapshot: where to fetch the body
-}
-
-// Config is fixed for the life of a Core.
-type Config struct {
-	ID                 string
-	ElectionTimeout    time.Duration // least silence before a campaign; the time-out is Election..2*Election; default 1s
-	HeartbeatInterval  time.Duration // default Election/10
-	LeaseDuration      time.Duration // below Election by more than clocks drift apart; default 7/10 of Election
-	MaxAppendBytes     int           // of one append; default 1 MiB; one entry always fits
-	MaxInflightAppends int           // appends under way to one follower; default 64
-	Seed               uint64        // of the random part of the election time-out
-}
-
-// InitialState is what the disk had.
-type InitialState struct {
-	HardState HardState
-	Snapshot  Meta
-	Entries   []Entry
-}
-
-// Bootstrap returns the Boot of every founder at the first boot of a fleet: the snapshot of the empty state at
-// index 1, term 1, with the members in order of ID; the log begins at index 2. All founders must pass the same
-// set; the runtime stores it as its first durable snapshot (the body is the empty state), so a later node can
-// fetch it. Example:
-//
-//	core, err := raft.New(cfg, raft.Bootstrap(settings.Members), now)
-func Bootstrap(members []Member) InitialState {
-	ms := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-	return InitialState{HardState: HardState{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: ms}}
-}
-
-// Ready is the output since the last Ready.
-type Ready struct {
-	HardState         *HardState // store, if not nil
-	ResetLog          bool       // every stored entry is void (a snapshot took its place); do it before Append
-	Entries           []Entry    // store; replaces stored entries at and after Append[0].Index
-	Messages          []Message  // may leave before the sync
-	MessagesAfterSync []Message  // must leave only after Hard, Reset and Append are synced
-	Commit            uint64
-	CommittedEntries  []Entry // newly committed, in order, each once; after boot from the snapshot on. They may not be synced here yet
-	Fetch             *FetchSnapshot
-}
-
-// FetchSnapshot asks the runtime to fetch a snapshot body at the address From, at or after Meta, to sync and apply
-// it and to call Installed with the Meta of what it got. It is asked anew from time to time: while a fetch runs, leave it.
-type FetchSnapshot struct {
-	Meta Meta
-	From string
-}
-
-// Status is a view for people and the runtime.
-type Status struct {
-	ID         string            `json:"id"`
-	Role       Role              `json:"role"`
-	Term       uint64            `json:"term"`
-	Leader     string            `json:"leader,omitempty"`
-	LeaderAddr string            `json:"leader_addr,omitempty"`
-	Commit     uint64            `json:"commit"`
-	Last       uint64            `json:"last"`
-	First      uint64            `json:"first"` // first entry in memory
-	Members    []Member          `json:"members"`
-	Match      map[string]uint64 `json:"match,omitempty"` // leader: synced entries by member
-	LeaseUntil time.Duration     `json:"lease_until"`     // leader; 0 without a lease
-	Voter      bool              `json:"voter"`           // counted here, and not blank
-	Refused    uint64            `json:"refused"`         // messages that contradict what is committed here; must stay 0
-}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -5,22 +5,31 @@
 	"time"
 )
 
+// snapshotFetch is the fetch that a follower has asked its runtime for; its owner is Core. The zero value: none.
+type snapshotFetch struct {
+	meta Meta
+	from string        // address
+	at   time.Duration // when it was asked for last
+}
+
+// onSnapshot handles the leader's offer of a snapshot. While a fetch of the same one runs, it is only repeated from
+// time to time, as the runtime may have failed at it.
 func (c *Core) onSnapshot(m Message) {
 	if m.Meta == nil || validateMembers(m.Meta.Members) != nil {
 		return
 	}
-	s := *m.Meta
+	meta := *m.Meta
 	c.leaderAddr = m.Addr
-	if t, ok := c.log.term(s.Index); ok && t == s.Term && s.Index > c.commit {
-		c.commitTo(s.Index)
+	if term, ok := c.log.term(meta.Index); ok && term == meta.Term && meta.Index > c.commit {
+		c.commitTo(meta.Index)
 	}
-	if s.Index <= c.commit {
+	if meta.Index <= c.commit {
 		c.reply(m, Message{Kind: SnapshotReply, Match: c.commit})
 		return
 	}
-	if s.Index > c.fetching.Index || m.Addr != c.fetchFrom || c.now >= c.fetchAt+c.cfg.ElectionTimeout {
-		c.fetching, c.fetchFrom, c.fetchAt = s, m.Addr, c.now
-		c.fetchRequest = &FetchSnapshot{Meta: s, From: m.Addr}
+	if meta.Index > c.fetch.meta.Index || m.Addr != c.fetch.from || c.now >= c.fetch.at+c.cfg.ElectionTimeout {
+		c.fetch = snapshotFetch{meta: meta, from: m.Addr, at: c.now}
+		c.fetchRequest = &FetchSnapshot{Meta: meta, From: m.Addr}
 	}
 	c.reply(m, Message{Kind: SnapshotReply}) // alive, and busy with it
 }
@@ -29,14 +38,14 @@
 // One at or before the commit index changes nothing: the runtime must then not apply it.
 func (c *Core) SnapshotInstalled(now time.Duration, meta Meta) {
 	c.advanceClock(now)
-	c.fetching, c.fetchFrom, c.fetchRequest = Meta{}, "", nil
+	c.fetch.meta, c.fetch.from, c.fetchRequest = Meta{}, "", nil
 	if meta.Index <= c.commit || validateMembers(meta.Members) != nil {
 		return
 	}
 	if c.role != Follower {
 		c.becomeFollower(c.hardState.Term, "")
 	}
-	if t, ok := c.log.term(meta.Index); ok && t == meta.Term {
+	if term, ok := c.log.term(meta.Index); ok && term == meta.Term {
 		c.log.compact(meta.Index)
 	} else {
 		c.log = memoryLog{offset: meta.Index, offsetTerm: meta.Term}
@@ -62,9 +71,3 @@
 		c.snapshot = meta
 	}
 }
-
-// Compact lets the log up to index go from memory, never beyond the newest durable snapshot. Keep a tail (call
-// it with less than the snapshot's index), so that followers a little behind need no snapshot.
-func (c *Core) Compact(index uint64) {
-	c.log.compact(min(index, c.snapshot.Index, c.applied, c.firstUnstable-1))
-}
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -11,7 +11,7 @@
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || m.From == "" {
 		return
 	}
-	switch m.Kind {
+	switch m.Kind { // pre-votes start no term, so they are handled before the terms are compared
 	case PreVote:
 		c.onPreVote(m)
 		return
@@ -52,11 +52,7 @@
 	case Vote:
 		c.onVote(m)
 	case VoteReply:
-		if c.role == Candidate && !m.Reject {
-			if c.votesGranted[m.From] = true; c.hasMajority() {
-				c.becomeLeader(false)
-			}
-		}
+		c.onVoteReply(m)
 	case Append, Snapshot:
 		c.onLeaderMessage(m)
 	case AppendReply, SnapshotReply:
@@ -70,24 +66,8 @@
 	}
 }
 
-// onLeaderMessage handles an append or snapshot of the term's leader.
-func (c *Core) onLeaderMessage(m Message) {
-	if c.role == Leader { // a term has one leader
-		c.refused++
-		return
-	}
-	c.becomeFollower(m.Term, m.From)
-	c.lastLeaderContact = c.now
-	c.resetElectionTimer()
-	if m.Kind == Append {
-		c.onAppend(m)
-	} else {
-		c.onSnapshot(m)
-	}
-}
-
 // reply answers m: once the pending changes are synced, or at once for a pre-vote, which promises nothing.
-func (c *Core) reply(m Message, r Message) {
+func (c *Core) reply(m, r Message) {
 	r.From, r.To, r.Sent, r.Blank = c.cfg.ID, m.From, m.Sent, c.hardState.Blank
 	r.Term = cmp.Or(r.Term, c.hardState.Term)
 	if r.Kind == PreVoteReply {
@@ -96,85 +76,3 @@
 		c.messagesAfterSync = append(c.messagesAfterSync, r)
 	}
 }
-
-// isWellFormed reports whether the entries of an append follow each other without a gap, in terms that do not go back.
-func (m Message) isWellFormed() bool {
-	term := m.PrevTerm
-	for n, e := range m.Entries {
-		if e.Index != m.PrevIndex+1+uint64(n) || e.Term < term || e.Term > m.Term {
-			return false
-		}
-		term = e.Term
-	}
-	return true
-}
-
-// onAppend stores the entries of an append and answers how far the log now equals the leader's.
-func (c *Core) onAppend(m Message) {
-	if !m.isWellFormed() {
-		return
-	}
-	match := m.PrevIndex + uint64(len(m.Entries))
-	if m.PrevIndex < c.commit { // what is committed is the same in every leader's log
-		if match <= c.commit {
-			c.reply(m, Message{Kind: AppendReply, Match: c.commit, PrevIndex: m.PrevIndex})
-			return
-		}
-		n := c.commit - m.PrevIndex
-		m.PrevIndex, m.PrevTerm, m.Entries = c.commit, m.Entries[n-1].Term, m.Entries[n:]
-	}
-	if t, ok := c.log.term(m.PrevIndex); !ok || t != m.PrevTerm {
-		hint := c.log.last()
-		if ok {
-			hint = c.log.lastOfLowerTerm(m.PrevIndex)
-		}
-		if m.PrevIndex == c.commit && m.PrevIndex > 0 {
-			c.refused++
-			return
-		}
-		c.reply(m, Message{Kind: AppendReply, Reject: true, PrevIndex: m.PrevIndex, Hint: max(hint, c.commit)})
-		return
-	}
-	for n, e := range m.Entries {
-		if t, ok := c.log.term(e.Index); !ok || t != e.Term {
-			if !c.replaceEntries(m.Entries[n:]) {
-				return
-			}
-			break
-		}
-	}
-	c.commitTo(min(m.Commit, match))
-	c.reply(m, Message{Kind: AppendReply, Match: match, PrevIndex: m.PrevIndex})
-}
-
-// replaceEntries stores entries in the log in place of those at and after the first one's index.
-func (c *Core) replaceEntries(es []Entry) bool {
-	cs, err := configurationsOf(es)
-	if err != nil {
-		c.refused++
-		return false
-	}
-	from := es[0].Index
-	if from <= c.log.last() {
-		c.log.truncate(from)
-		c.firstUnstable = min(c.firstUnstable, from)
-		for len(c.configurations) > 0 && c.configurations[len(c.configurations)-1].index >= from {
-			c.configurations = c.configurations[:len(c.configurations)-1]
-		}
-	}
-	c.log.entries = append(c.log.entries, es...)
-	c.configurations = append(c.configurations, cs...)
-	return true
-}
-
-// commitTo raises the commit index.
-func (c *Core) commitTo(to uint64) {
-	if to <= c.commit {
-		return
-	}
-	c.commit = to
-	for len(c.configurations) > 1 && c.configurations[1].index <= to {
-		c.configurations = c.configurations[1:]
-		c.clearBlank(c.configurations[0].members)
-	}
-}
