--- /dev/null
+++ b/internal/raft/membership_test.go
@@ -0,0 +1,62 @@
+package raft
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/errs"
+)
+
+func TestMembership_wipedMachine(t *testing.T) {
+	Convey("A wiped machine returns under a new ID as a learner and replaces the old member", t, func() {
+		w := newWorld(7, "a", "b", "c")
+		w.run(5*time.Second, w.propose)
+		l := w.leader()
+		old := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })]
+		w.crash(old)
+		now := func() time.Duration { return w.now + l.zero }
+		_, _, err := l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x"}))
+		So(errs.Is(err, errs.Invalid), ShouldBeTrue)
+		_, _, err = l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x", Learner: true}))
+		So(err, ShouldBeNil)
+		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c"))
+		So(errs.Is(err, errs.Unavailable), ShouldBeTrue)
+		x := w.join("x", InitialState{})
+		w.run(2*time.Second, nil)
+		So(x.core.Status().Voter, ShouldBeFalse)
+		So(x.applied, ShouldEqual, l.applied)
+		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c", "x"))
+		So(err, ShouldBeNil)
+		w.run(time.Second, nil)
+		So(x.core.Status().Voter, ShouldBeTrue)
+		rest := slices.DeleteFunc(voters("a", "b", "c", "x"), func(m Member) bool { return m.ID == old.id })
+		_, _, err = l.core.ProposeMembers(now(), rest)
+		So(err, ShouldBeNil)
+		w.run(time.Second, nil)
+		So(l.core.Status().Members, ShouldResemble, rest)
+		w.crash(l) // the new voter and the last one are the majority
+		w.run(6*time.Second, nil)
+		So(w.leader(), ShouldNotBeNil)
+		So(w.failures, ShouldBeEmpty)
+	})
+	Convey("A wiped machine under its old ID never votes, also once it has received the members", t, func() {
+		w := newWorld(8, "a", "b", "c")
+		w.run(5*time.Second, w.propose)
+		l := w.leader()
+		i := slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })
+		w.nodes[i].disk = InitialState{}
+		w.startNode(w.nodes[i])
+		w.run(time.Second, nil)
+		w.crash(l)
+		w.run(20*time.Second, nil) // a leader would need its vote
+		So(w.leader(), ShouldBeNil)
+		w.startNode(l)
+		w.run(5*time.Second, nil)
+		So(w.leader(), ShouldNotBeNil)
+		So(w.nodes[i].core.Status().Voter, ShouldBeFalse)
+		So(w.failures, ShouldBeEmpty)
+	})
+}
