--- a/internal/storage/append.go
+++ b/internal/storage/append.go
@@ -2,62 +2,94 @@
 
 import (
 	"slices"
+	"time"
 
 	"crosstide/internal/errs"
 )
 
-// Append writes recs with one write and one sync and returns when they are durable. An entry replaces the one of its
+// bufferKept is up to which capacity Append keeps its buffer.
+const bufferKept = MaxData / 16
+
+// Append writes records with one write and one sync and returns when they are durable. An entry replaces the one of its
 // index and all after it; it must follow the last entry without a gap and lie past the newest snapshot. Failures:
-// Invalid and TooLarge (nothing was written), Stopped, Disk (a write or sync failed, now or before: end the
-// process, or call Resume if IsFull; what recs became is unknown). Example:
+// Invalid and TooLarge (nothing was written), Stopped, Disk (a write or sync failed, now or before: end the process, or
+// call Resume if IsFull; what became of the records is unknown). Example:
 //
 //	err := store.Append([]storage.Record{{Kind: storage.KindHardState, Data: vote}, {Term: 2, Index: 9, Data: order}})
-func (s *Store) Append(recs []Record) error {
+func (s *Store) Append(records []Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.checkUsable(); err != nil {
-		return errs.Pass(err, "append %d records", len(recs))
+		return errs.Pass(err, "append %d records", len(records))
 	}
-	if len(recs) == 0 {
+	if len(records) == 0 {
 		return nil
 	}
-	last := max(s.log.lastIndex(), s.newest.Index)
+	if err := s.checkRecords(records); err != nil {
+		return errs.Pass(err, "append %d records", len(records))
+	}
 	s.buf = s.buf[:0]
-	for _, r := range recs {
+	for _, r := range records {
+		s.buf = appendRecord(s.buf, s.log.active().number, s.log.size, r)
+	}
+	took, err := s.writeLog(s.buf)
+	if err != nil {
+		return errs.Pass(s.markFailed(err), "append %d records", len(records))
+	}
+	s.log.size += len(s.buf)
+	for _, r := range records {
+		s.log.active().track(r)
+		s.log.state.apply(r.kept())
+	}
+	s.updateStats(func(stats *Stats) {
+		stats.Syncs++
+		stats.Bytes += uint64(len(s.buf))
+		stats.Records += uint64(len(records))
+		stats.LastSync, stats.LongestSync = took, max(stats.LongestSync, took)
+	})
+	if cap(s.buf) > bufferKept {
+		s.buf = nil
+	}
+	return nil
+}
+
+// checkRecords checks that records may be appended: a group that is rejected leaves the log as it was.
+func (s *Store) checkRecords(records []Record) error {
+	last := max(s.log.state.lastIndex(), s.newest.Index)
+	for _, r := range records {
 		switch {
 		case len(r.Data) > MaxData:
 			return errs.New(errs.TooLarge, "a record of %d bytes, at most %d", len(r.Data), MaxData)
 		case r.Kind == kindSnapshot:
 			return errs.Field(errs.Invalid, "kind", "%d is the store's own", r.Kind)
-		case r.Kind != KindHardState && (r.Index > last+1 || r.Index <= s.newest.Index):
+		case r.Kind == KindHardState:
+		case r.Index > last+1 || r.Index <= s.newest.Index:
 			return errs.Field(errs.Invalid, "index", "entry %d after %d, image at %d", r.Index, last, s.newest.Index)
-		case r.Kind != KindHardState:
+		default:
 			last = r.Index
 		}
-		s.buf = appendRecord(s.buf, s.segments[len(s.segments)-1].number, s.size, r)
 	}
-	if _, err := s.file.Write(s.buf); err != nil {
-		return errs.Pass(s.markFailed(errs.Wrap(markFull(err), errs.Disk, "write the log")), "append %d records", len(recs))
+	return nil
+}
+
+// writeLog writes to the active segment and syncs it, and returns how long the sync took.
+func (s *Store) writeLog(b []byte) (took time.Duration, err error) {
+	if _, err := s.log.file.Write(b); err != nil {
+		return 0, errs.Wrap(markFull(err), errs.Disk, "write the log")
 	}
 	from := s.clock.Now()
-	if err := s.file.Sync(); err != nil {
-		return errs.Pass(s.markFailed(errs.Wrap(err, errs.Disk, "sync the log")), "append %d records", len(recs))
-	}
-	took := s.clock.Now() - from
-	s.size += len(s.buf)
-	for _, r := range recs {
-		s.segments[len(s.segments)-1].track(r)
-		if r.Data = slices.Clone(r.Data); r.Kind != KindHardState {
-			r.Data = nil
-		}
-		s.log.apply(r)
+	if err := s.log.file.Sync(); err != nil {
+		return 0, errs.Wrap(err, errs.Disk, "sync the log")
 	}
-	s.updateStats(func(c *Stats) {
-		c.Syncs, c.Bytes, c.Records = c.Syncs+1, c.Bytes+uint64(len(s.buf)), c.Records+uint64(len(recs))
-		c.LastSync, c.LongestSync = took, max(c.LongestSync, took)
-	})
-	if cap(s.buf) > MaxData/16 {
-		s.buf = nil
+	return s.clock.Now() - from, nil
+}
+
+// kept is what the store keeps of a record in memory: of the hard state a copy, of an entry all but Data.
+func (r Record) kept() Record {
+	if r.Kind == KindHardState {
+		r.Data = slices.Clone(r.Data)
+	} else {
+		r.Data = nil
 	}
-	return nil
+	return r
 }
--- a/internal/storage/logstate.go
+++ b/internal/storage/logstate.go
@@ -1,11 +1,13 @@
 package storage
 
-// logState is the outcome of a sequence of records.
+import "slices"
+
+// logState is the outcome of a sequence of records. Store has the one of its log; reading a folder builds another.
 type logState struct {
-	entries      []Record // the entries that were not replaced, indexes without a gap
-	hardState    *Record
-	compactedTo  uint64 // entries up to here are known only through a snapshot
-	lastSnapshot Record // the last kindSnapshot
+	entries      []Record // those that were not replaced, indexes without a gap
+	hardState    *Record  // the last KindHardState
+	lastSnapshot Record   // the last kindSnapshot
+	compactedTo  uint64   // entries up to here are known only through a snapshot
 }
 
 // lastIndex is the index of the newest entry.
@@ -36,23 +38,31 @@
 	return true
 }
 
-// applySnapshot records that a snapshot was written. Entries that include its index with its term stay. Entries that the
-// snapshot contradicts, or that end before it, are dropped: it came from another member.
-func (t *logState) applySnapshot(b Record) {
-	t.lastSnapshot = b
+// applySnapshot records that a snapshot was written. Entries that include its index with its term stay. Entries that
+// the snapshot contradicts, or that end before it, are removed: it came from another member.
+func (t *logState) applySnapshot(snap Record) {
+	t.lastSnapshot = snap
 	if len(t.entries) > 0 {
 		first := t.entries[0].Index
-		if first > b.Index {
+		if first > snap.Index {
 			return
 		}
-		if at := b.Index - first; at < uint64(len(t.entries)) && t.entries[at].Term == b.Term {
+		if at := snap.Index - first; at < uint64(len(t.entries)) && t.entries[at].Term == snap.Term {
 			return
 		}
 	}
-	t.entries, t.compactedTo = nil, max(t.compactedTo, b.Index)
+	t.entries, t.compactedTo = nil, max(t.compactedTo, snap.Index)
+}
+
+// compact removes the entries up to index. If none is left, the log continues from the snapshot at newest.
+func (t *logState) compact(index, newest uint64) {
+	t.entries = slices.DeleteFunc(t.entries, func(r Record) bool { return r.Index <= index })
+	if len(t.entries) == 0 {
+		t.compactedTo = max(t.compactedTo, newest)
+	}
 }
 
-// entriesAfter returns the entries after an image of index; false if the log does not follow it without a gap.
+// entriesAfter returns the entries after a snapshot at index; false if the log does not follow it without a gap.
 func (t *logState) entriesAfter(index uint64) ([]Record, bool) {
 	if t.compactedTo > index {
 		return nil, false
--- a/internal/storage/memdisk.go
+++ b/internal/storage/memdisk.go
@@ -10,29 +10,31 @@
 	"crosstide/internal/errs"
 )
 
-// MemDisk is a Disk in memory that keeps what is synced apart from what is not, for tests and the simulator.
-// It is safe for use from many goroutines.
+// MemDisk is a Disk in memory that keeps what is synced apart from what is not, for tests and the simulators. It is
+// safe for concurrent use.
 type MemDisk struct {
-	mu            sync.Mutex
-	live          map[string]*inode
+	mu            sync.Mutex          // guards the fields below, and all inodes and files of the disk
+	live          map[string]*inode   // the files by name, as they are read
 	durable       map[string]*inode   // the files by name, as last synced
 	unsyncedNames []map[string]*inode // the files by name after each change since then
-	incarnation   int
-	failSync      int
-	powerOff      int
+	incarnation   int                 // counts crashes: files opened before one are invalid
+	failSync      int                 // the n-th sync from now fails; 0: none
+	powerOff      int                 // the n-th change from now and all after it fail; 0: none
 }
 
+// inode is the contents of a file, which outlive its name.
 type inode struct {
 	data       []byte
 	durable    int  // bytes that survive a crash
 	syncFailed bool // a sync failed: bytes written before it are never durable, though they can be read
 }
 
+// memFile is an open file.
 type memFile struct {
 	disk        *MemDisk
 	inode       *inode
-	incarnation int
-	offset      int
+	incarnation int // of the disk when the file was opened
+	offset      int // of the next read
 }
 
 // NewMemDisk makes an empty folder. Example:
@@ -40,7 +42,7 @@
 //	d := storage.NewMemDisk()
 //	store, _, err := storage.Open(d, storage.Options{})
 //	d.Crash(rand.New(rand.NewSource(7)))
-//	store, boot, err := storage.Open(d, storage.Options{}) // all that was appended is in boot
+//	store, recovered, err := storage.Open(d, storage.Options{}) // all that was appended is in recovered
 func NewMemDisk() *MemDisk {
 	return &MemDisk{live: map[string]*inode{}, durable: map[string]*inode{}}
 }
@@ -52,8 +54,8 @@
 // PowerOff makes the n-th changing call from now and all after it fail until Crash; 0 cancels it.
 func (d *MemDisk) PowerOff(n int) { d.mu.Lock(); defer d.mu.Unlock(); d.powerOff = n }
 
-// Crash is a power loss: of unsynced bytes a random prefix stays, now and then followed by zeros; of unsynced
-// creates, removes and renames the first few stay. Files open before it fail from now on.
+// Crash is a power loss: of unsynced bytes a random prefix survives, now and then followed by zeros; of unsynced
+// creations, removals and renames the first few survive. Files open before it fail from now on.
 func (d *MemDisk) Crash(r *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,21 +67,21 @@
 	d.unsyncedNames, d.live = nil, maps.Clone(d.durable)
 	for _, name := range slices.Sorted(maps.Keys(d.live)) {
 		n := d.live[name]
-		loose := len(n.data) - n.durable
+		unsynced := len(n.data) - n.durable
 		if n.syncFailed {
-			loose = 0
+			unsynced = 0
 		}
-		stay := n.durable + r.Intn(loose+1)
-		data := slices.Clone(n.data[:stay])
+		kept := n.durable + r.Intn(unsynced+1)
+		data := slices.Clone(n.data[:kept])
 		if r.Intn(3) == 0 {
-			data = append(data, make([]byte, len(n.data)-stay)...)
+			data = append(data, make([]byte, len(n.data)-kept)...)
 		}
 		d.live[name] = &inode{data: data, durable: len(data)}
 	}
 	d.durable = maps.Clone(d.live)
 }
 
-// Flip turns over the bits of mask in one byte of a file; nothing happens past its end.
+// Flip inverts the bits of mask in one byte of a file; nothing happens past its end.
 func (d *MemDisk) Flip(name string, offset int, mask byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +122,8 @@
 	return out
 }
 
-// checkWritable counts a changing call; it fails while the power is off and for files opened before a crash.
+// checkWritable counts a changing call; it fails while the power is off and for files opened before a crash. The caller
+// holds mu.
 func (d *MemDisk) checkWritable(recovered int) error {
 	if d.powerOff > 1 {
 		d.powerOff--
@@ -133,6 +136,7 @@
 	return nil
 }
 
+// syncFails counts a sync and reports whether it is to fail. The caller holds mu.
 func (d *MemDisk) syncFails() bool {
 	if d.failSync == 0 {
 		return false
@@ -141,7 +145,7 @@
 	return d.failSync == 0
 }
 
-// changeNames runs edit on the live names and records the outcome.
+// changeNames runs edit on the live names and records the outcome. The caller holds mu.
 func (d *MemDisk) changeNames(edit func()) {
 	edit()
 	d.unsyncedNames = append(d.unsyncedNames, maps.Clone(d.live))
@@ -193,18 +197,18 @@
 	return nil
 }
 
-// Rename moves old to name.
-func (d *MemDisk) Rename(old, name string) error {
+// Rename renames a file, in place of one that has the new name.
+func (d *MemDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.checkWritable(d.incarnation); err != nil {
-		return errs.Pass(err, "rename %s", old)
+		return errs.Pass(err, "rename %s", from)
 	}
-	n := d.live[old]
+	n := d.live[from]
 	if n == nil {
-		return errs.New(errs.Disk, "%s is missing", old)
+		return errs.New(errs.Disk, "%s is missing", from)
 	}
-	d.changeNames(func() { delete(d.live, old); d.live[name] = n })
+	d.changeNames(func() { delete(d.live, from); d.live[to] = n })
 	return nil
 }
 
@@ -234,7 +238,7 @@
 	return n, nil
 }
 
-// Write appends to the file. It is errs.Disk after the disk was crashed or cut off.
+// Write appends to the file. It is errs.Disk after a crash of the disk and while the power is off.
 func (f *memFile) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -264,4 +268,4 @@
 }
 
 // Close does nothing.
-func (f *memFile) Close() error { return nil }
+func (*memFile) Close() error { return nil }
--- a/internal/storage/osdisk.go
+++ b/internal/storage/osdisk.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -12,31 +11,14 @@
 	"crosstide/internal/errs"
 )
 
-// Disk is a folder. Names have no path. Unsynced changes may be lost, any part of them.
-type Disk interface {
-	Create(name string) (File, error) // a new empty file to write; fails when the name is taken
-	Open(name string) (File, error)   // to read from the start
-	List() ([]string, error)
-	Remove(name string) error
-	Rename(old, name string) error // replaces name
-	Sync() error                   // makes creations, removals and renames durable
-}
-
-// File is a file that is either read or written from its start to its end.
-type File interface {
-	io.Reader
-	io.Writer
-	Sync() error // makes the bytes and the length durable
-	Close() error
-}
-
-// osDisk is a folder of the system. The folder is opened ahead, so that a process that is out of descriptors can still make
-// the renaming of a written file durable.
+// osDisk is a folder of the operating system.
 type osDisk struct {
-	dir    string
+	dir string
+	// folder is dir, opened ahead, so that a process that is out of descriptors can still make a rename durable.
 	folder *os.File
 }
 
+// osFile is a file of an osDisk.
 type osFile struct{ *os.File }
 
 // OSDisk returns the folder dir, created (and synced in its parent) if it is missing. Failure: Disk. Example:
@@ -76,11 +58,11 @@
 	return osDisk{dir: dir, folder: folder}, nil
 }
 
-func (d osDisk) at(name string) string { return filepath.Join(d.dir, name) }
+func (d osDisk) path(name string) string { return filepath.Join(d.dir, name) }
 
 // Create makes a new file for writing; a name that is taken is errs.Disk.
 func (d osDisk) Create(name string) (File, error) {
-	f, err := os.OpenFile(d.at(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
+	f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "create %s", name)
 	}
@@ -89,7 +71,7 @@
 
 // Open opens a file for reading.
 func (d osDisk) Open(name string) (File, error) {
-	f, err := os.Open(d.at(name))
+	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "open %s", name)
 	}
@@ -98,12 +80,12 @@
 
 // List returns the names of the regular files, in order.
 func (d osDisk) List() ([]string, error) {
-	all, err := os.ReadDir(d.dir)
+	entries, err := os.ReadDir(d.dir)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "list the folder")
 	}
 	var out []string
-	for _, e := range all {
+	for _, e := range entries {
 		if e.Type().IsRegular() {
 			out = append(out, e.Name())
 		}
@@ -113,12 +95,12 @@
 
 // Remove deletes a file.
 func (d osDisk) Remove(name string) error {
-	return errs.Wrap(os.Remove(d.at(name)), errs.Disk, "remove %s", name)
+	return errs.Wrap(os.Remove(d.path(name)), errs.Disk, "remove %s", name)
 }
 
 // Rename renames a file, in place of one that has the new name.
-func (d osDisk) Rename(old, name string) error {
-	return errs.Wrap(os.Rename(d.at(old), d.at(name)), errs.Disk, "rename %s to %s", old, name)
+func (d osDisk) Rename(from, to string) error {
+	return errs.Wrap(os.Rename(d.path(from), d.path(to)), errs.Disk, "rename %s to %s", from, to)
 }
 
 // Sync makes the creations, removals and renames in the folder durable.
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -9,8 +9,8 @@
 // KindHardState is the kind of a record of the hard state; its Data (term and vote) is the caller's.
 const KindHardState uint8 = 255
 
-// kindSnapshot is the kind of a record that says which snapshot was the newest at that place of the log. Only the store
-// writes it.
+// kindSnapshot is the kind of a record that says which snapshot was the newest at that position of the log. Only the
+// store writes it.
 const kindSnapshot uint8 = 254
 
 // MaxData bounds the Data of one record, in bytes.
@@ -23,12 +23,10 @@
 	Data        []byte
 }
 
+// The format of a record: magic, checksum, length of Data, kind, term, index, Data.
 const (
-	recordMagic          = "\xc7\x1dRc"     // starts each record, so that a reader can find one again after damage
-	recordHeaderSize     = 29               // mark 4, sum 4, length 4, kind 1, term 8, index 8
-	snapshotMagic        = "ctslot\x00\x01" // starts a slot
-	snapshotHeaderSize   = 48               // mark 8, number 8, index 8, term 8, meta length 8, body length 8
-	snapshotChecksumSize = 8                // the sum at the end
+	recordMagic      = "\xc7\x1dRc" // starts each record, so that a reader can find one again after damage
+	recordHeaderSize = 29           // magic 4, checksum 4, length 4, kind 1, term 8, index 8
 )
 
 var (
@@ -36,7 +34,8 @@
 	byteOrder  = binary.LittleEndian
 )
 
-// recordChecksum is the checksum over the record's place (segment, offset), length, kind, term, index and data.
+// recordChecksum is the checksum over where the record stands (segment, offset), length, kind, term, index and data. A
+// record that the disk returns from another place is thus invalid.
 func recordChecksum(segment uint64, offset int, rest []byte) uint32 {
 	var at [16]byte
 	byteOrder.PutUint64(at[:], segment)
@@ -58,8 +57,8 @@
 	return buf
 }
 
-// recordAt reads the record at offset of a segment; ok is false unless it is whole and its sum is right.
-// Data is a part of all.
+// recordAt reads the record at offset of a segment; ok is false unless it is complete and its checksum is right. Data
+// is a part of all.
 func recordAt(all []byte, segment uint64, offset int) (r Record, end int, ok bool) {
 	b := all[offset:]
 	if len(b) < recordHeaderSize || string(b[:4]) != recordMagic {
@@ -77,7 +76,7 @@
 	return r, offset + len(b), true
 }
 
-// readSegment returns the records up to the first bad byte, and that offset.
+// readSegment returns the records up to the first invalid byte, and that offset.
 func readSegment(all []byte, segment uint64) (out []Record, end int) {
 	for end < len(all) {
 		r, next, ok := recordAt(all, segment, end)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,14 +1,22 @@
-// Package storage is the durable storage of the control store: a snapshot of the whole state in one of two files
-// (slots) that are written in turn, and a write-ahead log in segments. Only synced data counts. Each file is written
-// and synced under a temporary name and then renamed; only the last segment of the log is written in place, so a
-// torn write can be found only there.
+// Package storage is the durable storage of the control store in one folder: a write-ahead log in segments, and the
+// newest two snapshots of the whole state in two files that are written in turn.
 //
-// open.go reads a folder, append.go writes the log, snapshot.go and snapshotfile.go the snapshots; record.go has the
-// log's format, logview.go the meaning of a sequence of records. disk.go and memdisk.go are the folders.
+// Open returns what is durable (Recovered); after that the owner calls Append for each group of records and
+// WriteSnapshot now and then, which also removes the segments that are not needed any more. The package knows nothing
+// of consensus: the Data of an entry and of the hard state is the caller's, and it never decides what to keep.
+//
+// Only synced data counts. Each file is written and synced under a temporary name and then renamed; only the last
+// segment of the log is written in place, so a torn write can be found only there. Anything else that is amiss is
+// errs.Damaged: the folder must not be used as a member's disk any more. After a failed sync a Store is unusable for
+// good, as nobody knows what the sync left behind; after a write that found the disk full, Resume makes it usable
+// again.
+//
+// Begin to read at open.go (what a folder means) and append.go. snapshot.go writes and reads snapshots; record.go and
+// snapshotfile.go have the formats, logstate.go the meaning of a sequence of records. osdisk.go and memdisk.go are the
+// folders.
 package storage
 
 import (
-	"io"
 	"sync"
 	"time"
 
@@ -16,68 +24,68 @@
 	"crosstide/internal/errs"
 )
 
-const (
-	unfinishedSuffix = ".tmp" // of the name of a file that may not be synced yet
-	segmentPrefix    = "log-" // of the name of a segment, before its number
-)
-
-// snapshotFileNames are the files of the two snapshots.
-var snapshotFileNames = [2]string{"slot-a", "slot-b"}
-
 // Options are the settings of a Store.
 type Options struct {
-	Clock clock.Clock // times the syncs for Stats; nil takes clock.Real
-}
-
-// Recovered is what Open read.
-type Recovered struct {
-	Snapshot  *Snapshot // the newest snapshot that the log follows; nil if none was ever written
-	Records   []Record  // the last KindHardState if there is one, then the entries after Image, without a gap
-	Fresh     bool      // the folder holds no image, no hard state and no entry
-	TornBytes int64     // bytes of torn tail that were cut
+	Clock clock.Clock // times the syncs for Stats; default clock.Real
 }
 
 // Stats counts since Open.
 type Stats struct {
-	Syncs, Bytes, Records, Snapshots, Segments uint64        // Bytes are all bytes written; Segments those in the folder
-	LastSync, LongestSync                      time.Duration // of Append
+	Syncs       uint64
+	Bytes       uint64 // written, of all files
+	Records     uint64
+	Snapshots   uint64
+	Segments    uint64        // in the folder now
+	LastSync    time.Duration // of Append
+	LongestSync time.Duration // of Append
 }
 
-// Store is an open folder. Append, WriteSlot, NewestSlot and Stats may run at the same time.
+// Store is an open folder. Append, WriteSnapshot, NewestSnapshot and Stats may run at the same time.
 type Store struct {
-	disk       Disk
-	clock      clock.Clock
-	snapshotMu sync.Mutex // held by one WriteSlot
+	disk  Disk
+	clock clock.Clock
 
-	mu         sync.Mutex // guards the log and the fields below; never held while a snapshot is written
-	file       File       // the last segment
-	size       int
-	buf        []byte
-	segments   []segment
-	log        logState // entries without Data
-	failure    error
-	newest     Snapshot // without Meta and Body
-	newestFile int      // the newest slot's place in snapshotFileNames
+	snapshotMu sync.Mutex // serializes WriteSnapshot, Resume and Close; locked before mu
+
+	mu         sync.Mutex // guards the fields below; never held while a snapshot is written
+	log        appendLog
+	buf        []byte   // of Append, kept to save allocations
+	newest     Snapshot // the newest snapshot, without Meta and Body; Number 0: none
+	newestFile int      // its index in snapshotFileNames; the other file is the next to be written
+	failure    error    // the first one of a write or sync; nil: none, or Resume was called since
 	closed     bool
 
-	countMu sync.Mutex
+	statsMu sync.Mutex // guards stats; locked last
 	stats   Stats
 }
 
-func (s *Store) readFile(name string) ([]byte, error) {
-	file, err := s.disk.Open(name)
-	if err != nil {
-		return nil, errs.Wrap(err, errs.Disk, "open %s", name)
-	}
-	defer file.Close()
-	all, err := io.ReadAll(file)
-	return all, errs.Wrap(err, errs.Disk, "read %s", name)
+// appendLog is the log that a Store appends to; its owner is Store.
+type appendLog struct {
+	file     File      // the last segment
+	size     int       // bytes in it
+	segments []segment // in the folder, oldest first; never empty once open
+	state    logState  // entries without Data
+}
+
+// active is the segment that is written to.
+func (l *appendLog) active() *segment { return &l.segments[len(l.segments)-1] }
+
+// Stats returns the counters since Open.
+func (s *Store) Stats() Stats {
+	s.mu.Lock()
+	segments := uint64(len(s.log.segments))
+	s.mu.Unlock()
+	s.statsMu.Lock()
+	defer s.statsMu.Unlock()
+	out := s.stats
+	out.Segments = segments
+	return out
 }
 
-func (s *Store) updateStats(add func(c *Stats)) {
-	s.countMu.Lock()
-	defer s.countMu.Unlock()
-	add(&s.stats)
+func (s *Store) updateStats(update func(stats *Stats)) {
+	s.statsMu.Lock()
+	defer s.statsMu.Unlock()
+	update(&s.stats)
 }
 
 // checkUsable returns why the store may not write any more, nil if it may. The caller holds mu.
@@ -91,7 +99,7 @@
 	return nil
 }
 
-// markFailed ends the use of the store for good; called under mu.
+// markFailed makes the store unusable; only a failure that IsFull can be resumed from. The caller holds mu.
 func (s *Store) markFailed(err error) error {
 	if s.failure == nil {
 		s.failure = err
@@ -99,19 +107,7 @@
 	return errs.Wrap(err, errs.Disk, "the store failed")
 }
 
-// Stats returns the counters since Open.
-func (s *Store) Stats() Stats {
-	s.mu.Lock()
-	segments := uint64(len(s.segments))
-	s.mu.Unlock()
-	s.countMu.Lock()
-	defer s.countMu.Unlock()
-	out := s.stats
-	out.Segments = segments
-	return out
-}
-
-// Close ends the use of the store, after a WriteSlot that is under way. All that was appended is durable already.
+// Close ends the use of the store, after a WriteSnapshot that runs. All that was appended is durable already.
 func (s *Store) Close() error {
 	s.snapshotMu.Lock()
 	defer s.snapshotMu.Unlock()
@@ -121,5 +117,5 @@
 		return nil
 	}
 	s.closed = true
-	return errs.Wrap(s.file.Close(), errs.Disk, "close the log")
+	return errs.Wrap(s.log.file.Close(), errs.Disk, "close the log")
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -156,7 +156,7 @@
 	Convey("Every prefix of the log gives the whole records in it", t, func() {
 		d, m, ends := NewMemDisk(), model{}, []int{}
 		s := must(Open(d, virtual))
-		name := s.segments[0].name()
+		name := s.log.segments[0].name()
 		ends = append(ends, len(d.Bytes(name)))
 		for i := uint64(1); i <= 5; i++ {
 			So(s.Append([]Record{entry(1, i)}), ShouldBeNil)
