--- a/internal/storage/crashpoints_test.go
+++ b/internal/storage/crashpoints_test.go
@@ -19,7 +19,7 @@
 	kept    map[string]*crashFile   // the names as last synced
 	pending []map[string]*crashFile // the names after each change since then
 	points  []crashPoint
-	// The guards that can be taken out: a sync that does nothing.
+	// What the test of the test takes out: a sync that does nothing.
 	noFileSync, noFolderSync bool
 }
 
@@ -38,8 +38,8 @@
 	return &crashDisk{live: map[string]*crashFile{}, kept: map[string]*crashFile{}}
 }
 
-// track keeps what a loss of power now may leave.
-func (d *crashDisk) note() {
+// recordPoint keeps what a loss of power now may leave.
+func (d *crashDisk) recordPoint() {
 	point := crashPoint{}
 	for _, names := range append([]map[string]*crashFile{d.kept}, d.pending...) {
 		copied := map[string]crashFile{}
@@ -54,7 +54,7 @@
 func (d *crashDisk) rename(edit func()) {
 	edit()
 	d.pending = append(d.pending, maps.Clone(d.live))
-	d.note()
+	d.recordPoint()
 }
 
 func (d *crashDisk) Create(name string) (File, error) {
@@ -89,7 +89,7 @@
 func (d *crashDisk) Sync() error {
 	if !d.noFolderSync {
 		d.kept, d.pending = maps.Clone(d.live), nil
-		d.note()
+		d.recordPoint()
 	}
 	return nil
 }
@@ -111,19 +111,19 @@
 
 func (h *crashHandle) Write(p []byte) (int, error) {
 	h.f.data = append(h.f.data, p...)
-	h.d.note()
+	h.d.recordPoint()
 	return len(p), nil
 }
 
 func (h *crashHandle) Sync() error {
 	if !h.d.noFileSync {
 		h.f.kept = len(h.f.data)
-		h.d.note()
+		h.d.recordPoint()
 	}
 	return nil
 }
 
-func (h *crashHandle) Close() error { return nil }
+func (*crashHandle) Close() error { return nil }
 
 // folders calls do with every folder that the point may leave: each state of the names, every length of what was not
 // synced, with and without zeros in the place of the rest.
@@ -133,22 +133,22 @@
 		for _, f := range names {
 			longest = max(longest, len(f.data)-f.kept)
 		}
-		for stay := 0; stay <= longest; stay++ {
+		for kept := 0; kept <= longest; kept++ {
 			for _, zeros := range []bool{false, true} {
-				if zeros && stay == longest {
+				if zeros && kept == longest {
 					continue // nothing is left to be zeros
 				}
-				do(folderOf(names, stay, zeros))
+				do(folderOf(names, kept, zeros))
 			}
 		}
 	}
 }
 
-// folderOf makes the folder in which so many bytes beyond the synced ones stay of each file.
-func folderOf(names map[string]crashFile, stay int, zeros bool) *MemDisk {
+// folderOf makes the folder in which so many bytes beyond the synced ones are kept of each file.
+func folderOf(names map[string]crashFile, kept int, zeros bool) *MemDisk {
 	d := NewMemDisk()
 	for name, f := range names {
-		data := slices.Clone(f.data[:min(len(f.data), f.kept+stay)])
+		data := slices.Clone(f.data[:min(len(f.data), f.kept+kept)])
 		if zeros {
 			data = append(data, bytes.Repeat([]byte{0}, len(f.data)-len(data))...)
 		}
@@ -164,7 +164,7 @@
 	after model
 }
 
-// crashScript has appends, appends that replace entries, own slots, a slot that keeps segments, and a slot that came
+// crashScript has appends, appends that replace entries, own snapshots, one that keeps segments, and one that came
 // from another member and contradicts the log.
 func crashScript() []crashStep {
 	var steps []crashStep
@@ -173,28 +173,28 @@
 		m = m.with(recs...)
 		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.Append(recs), "append") }, recs, m})
 	}
-	slot := func(index, keepFrom uint64) {
+	snapshot := func(index, keepFrom uint64) {
 		snap := m.image(index)
 		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.WriteSnapshot(snap, keepFrom), "slot") }, nil, m})
 	}
 	add(hard(1), entry(1, 1), entry(1, 2), entry(1, 3))
 	add(entry(1, 4))
-	slot(2, 0)
+	snapshot(2, 0)
 	add(hard(2), entry(2, 4), entry(2, 5)) // takes the place of an entry
-	slot(4, 1)
+	snapshot(4, 1)
 	add(entry(2, 6), entry(2, 7))
-	slot(6, 0)
+	snapshot(6, 0)
 	add(hard(3))
 	m = m.with(entry(9, 7), entry(9, 8)) // as another member has it
-	slot(8, 0)
+	snapshot(8, 0)
 	add(entry(9, 9), entry(9, 10))
-	slot(9, 0)
+	snapshot(9, 0)
 	add(hard(10), entry(10, 10), entry(10, 11))
 	return steps
 }
 
-// playCrashes plays the script and opens every folder that a loss of power may leave at any point of it. It gives how
-// many folders there were, and how many of them lacked what was synced or held what was never written.
+// playCrashes plays the script and opens every folder that a loss of power may leave at any point of it. It returns
+// how many folders there were, and how many of them lacked what was synced or held what was never written.
 func playCrashes(d *crashDisk) (folders, wrong int) {
 	s := must(Open(d, virtual))
 	steps := crashScript()
@@ -205,7 +205,7 @@
 			d.points[k].step = i
 		}
 		// The step has succeeded: a loss of power from here on must leave all of it.
-		d.note()
+		d.recordPoint()
 		d.points[len(d.points)-1].step = i + 1
 	}
 	for _, point := range d.points {
@@ -222,7 +222,7 @@
 	return folders, wrong
 }
 
-// opensWell tells whether a folder holds what it must after a loss of power during a step, also when the power is lost
+// opensWell reports whether a folder holds what it must after a loss of power during a step, also when the power is lost
 // again at each call of the start, and whether a store on it can go on.
 func opensWell(d *MemDisk, steps []crashStep, step int) bool {
 	before := model{}
@@ -249,7 +249,7 @@
 	}
 }
 
-// allowedAfter tells whether what a start found may be there after a loss of power during a step.
+// allowedAfter reports whether what a start found may be there after a loss of power during a step.
 func allowedAfter(recovered Recovered, before model, steps []crashStep, step int) bool {
 	if before.fits(recovered) {
 		return true
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// FuzzOpen reads any bytes as files of the folder: no panic, only records whose sum is right, and what was
+// FuzzOpen reads any bytes as files of the folder: no panic, only records whose checksum is right, and what was
 // opened opens again to the same.
 func FuzzOpen(f *testing.F) {
 	f.Fuzz(func(t *testing.T, log1, log2, snapshotA, snapshotB []byte) {
--- a/internal/storage/resume_test.go
+++ b/internal/storage/resume_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/errs"
 )
 
-// limited is a disk with room for so many more bytes and names; a write beyond it keeps what fits and is refused.
+// limited is a disk with space for so many more bytes and names; a write beyond it keeps what fits and is rejected.
 type limited struct {
 	Disk
 	free *int
@@ -50,7 +50,7 @@
 const plenty = 1 << 20
 
 func TestFullDisk(t *testing.T) {
-	// step does one thing with a store whose disk may be full, and gives the records that count when it succeeds.
+	// step does one thing with a store whose disk may be full; then returns what it must have when that succeeded.
 	type step struct {
 		name string
 		do   func(s *Store, m model) error
@@ -61,11 +61,11 @@
 			func(m model) model { return m.with(hard(12), entry(12, 12)) }},
 		{"append that replaces", func(s *Store, _ model) error { return s.Append([]Record{entry(12, 10)}) },
 			func(m model) model { m = m.with(entry(12, 10)); m.entries = m.entries[:10]; return m }},
-		{"slot", func(s *Store, m model) error { return s.WriteSnapshot(m.image(11), 0) },
+		{"snapshot", func(s *Store, m model) error { return s.WriteSnapshot(m.image(11), 0) },
 			func(m model) model { return m }},
 	}
 	for _, step := range steps {
-		Convey("However little room is left, nothing synced is lost and the store goes on once there is room: "+step.name, t, func() {
+		Convey("However little space is left, nothing synced is lost and the store goes on once there is space: "+step.name, t, func() {
 			fullErrors := 0
 			for free := 0; free < 2000; free++ {
 				full, done := playOnFullDisk(free, step.do, step.then)
@@ -87,7 +87,7 @@
 		So(s.Resume(), shouldBe, errs.Disk)
 		So(s.Append([]Record{entry(12, 12)}), shouldBe, errs.Disk)
 	})
-	Convey("A start on a full disk is refused, changes nothing that counts, and can be tried again", t, func() {
+	Convey("A start on a full disk is rejected, changes nothing that counts, and can be tried again", t, func() {
 		for free := 0; free < 400; free++ {
 			d, m := filled()
 			left := free
@@ -107,8 +107,8 @@
 	})
 }
 
-// playOnFullDisk does a step on a disk with so much room, looks after a loss of power at what lasts, and then does it again
-// with room. It gives whether the first try found the disk full, and whether it succeeded.
+// playOnFullDisk does a step on a disk with so much space, checks what survives a loss of power, and then does it again
+// with space. It returns 1 if the first attempt found the disk full, and whether it succeeded.
 func playOnFullDisk(free int, do func(*Store, model) error, then func(model) model) (full int, done bool) {
 	d, m := filled()
 	left := plenty
@@ -119,14 +119,14 @@
 		return 0, true
 	}
 	So(IsFull(err), ShouldBeTrue)
-	lasts := d.Clone()
-	lasts.Crash(rand.New(rand.NewSource(int64(free))))
-	_, recovered, err := Open(lasts, virtual)
+	survivor := d.Clone()
+	survivor.Crash(rand.New(rand.NewSource(int64(free))))
+	_, recovered, err := Open(survivor, virtual)
 	So(err, ShouldBeNil)
 	So(m.fits(recovered) || then(m).fits(recovered) || m.with(hard(12)).fits(recovered), ShouldBeTrue)
 
 	left = 0
-	if err := s.Resume(); err != nil { // a slot that found no room has broken nothing
+	if err := s.Resume(); err != nil { // a snapshot that found no space has broken nothing
 		So(IsFull(err), ShouldBeTrue)
 		So(IsFull(s.Append([]Record{hard(13)})), ShouldBeTrue)
 	}
@@ -155,7 +155,7 @@
 }
 
 func TestOutOfDescriptors(t *testing.T) {
-	Convey("A snapshot that finds no descriptor is refused as for want of room, and written once there is one", t, func() {
+	Convey("A snapshot that finds no descriptor is rejected as on a full disk, and written once there is one", t, func() {
 		left := 10
 		disk := NewMemDisk()
 		store, _, err := Open(descriptorLimited{disk, &left}, Options{})
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -51,7 +51,7 @@
 	return snap
 }
 
-// fits reports whether boot is m.
+// fits reports whether m was recovered.
 func (m model) fits(recovered Recovered) bool {
 	recs, from := recovered.Records, uint64(0)
 	if m.hard != nil {
@@ -75,7 +75,7 @@
 	return s
 }
 
-// filled is a folder with two slots (at 4 and 8), entries to 11 and a hard state.
+// filled is a folder with two snapshots (at 4 and 8), entries to 11 and a hard state.
 func filled() (*MemDisk, model) {
 	d, m := NewMemDisk(), model{}
 	s := must(Open(d, virtual))
@@ -128,7 +128,7 @@
 		So(m.with(entry(2, 3), entry(2, 4)).fits(recovered), ShouldBeTrue)
 		So(s.Close(), ShouldBeNil)
 	})
-	Convey("An image from another member fells what it contradicts, and only that", t, func() {
+	Convey("A snapshot from another member removes what it contradicts, and only that", t, func() {
 		d, m := filled()
 		s := must(Open(d, virtual))
 		So(s.WriteSnapshot(Snapshot{Index: 10, Term: 20, Body: []byte("theirs")}, 0), ShouldBeNil)
@@ -152,8 +152,8 @@
 	})
 }
 
-func TestDamage(t *testing.T) {
-	Convey("Every prefix of the log gives the whole records in it", t, func() {
+func TestOpen_damagedFiles(t *testing.T) {
+	Convey("Every prefix of the log recovers the complete records in it", t, func() {
 		d, m, ends := NewMemDisk(), model{}, []int{}
 		s := must(Open(d, virtual))
 		name := s.log.segments[0].name()
@@ -184,7 +184,7 @@
 		}
 		So(wrong, ShouldEqual, 0)
 	})
-	Convey("A turned byte anywhere is damage, a cut of the last record, or made good by the log", t, func() {
+	Convey("An inverted bit anywhere is damage, a torn last record, or repaired from the log", t, func() {
 		d, m := filled()
 		names, _ := d.List()
 		So(names, ShouldHaveLength, 4)
@@ -212,7 +212,7 @@
 		So(wrong, ShouldEqual, 0)
 		So(damaged*cut*good, ShouldBeGreaterThan, 0)
 	})
-	Convey("Slots that are torn or missing", t, func() {
+	Convey("Snapshots that are torn or missing", t, func() {
 		for broken, kind := range map[string]errs.Kind{"": "", "a": "", "b": "", "ab": errs.Damaged} {
 			for _, missing := range []bool{false, true} {
 				d, m := filled()
@@ -230,14 +230,14 @@
 		d, _ := filled()
 		names, _ := d.List()
 		So(d.Remove(names[0]), ShouldBeNil)
-		So(d.Remove(snapshotFileNames[1]), ShouldBeNil) // the older slot, and a hole after it
+		So(d.Remove(snapshotFileNames[1]), ShouldBeNil) // the older snapshot, and a gap after it
 		_, _, err := Open(d, virtual)
 		So(err, shouldBe, errs.Damaged)
 	})
 }
 
-func TestHole(t *testing.T) {
-	Convey("Entries that do not follow the start, the image or each other are damage", t, func() {
+func TestOpen_gapInLog(t *testing.T) {
+	Convey("Entries that do not follow the start, the snapshot or each other are damage", t, func() {
 		for _, c := range []struct{ base, first, then uint64 }{{0, 2, 3}, {0, 1, 3}, {4, 6, 7}, {4, 5, 7}, {4, 5, 6}} {
 			d, all := NewMemDisk(), []byte(nil)
 			head, tail := encodeSnapshot(Snapshot{Number: 1, Index: c.base, Term: 1})
@@ -254,9 +254,9 @@
 	})
 }
 
-func TestCrash(t *testing.T) {
+func TestOpen_afterCrash(t *testing.T) {
 	Convey("What was appended is there after a crash at any moment", t, func() {
-		bad, crashes, slots := 0, 0, 0
+		bad, crashes, snapshots := 0, 0, 0
 		for seed := range int64(600) {
 			r, d := rand.New(rand.NewSource(seed)), NewMemDisk()
 			m, commit, term := model{}, uint64(0), uint64(1)
@@ -267,7 +267,7 @@
 				for err == nil {
 					if at := commit; r.Intn(5) == 0 && at > 0 {
 						if err = s.WriteSnapshot(m.image(at), uint64(r.Intn(3))*at/2); err == nil {
-							slots++
+							snapshots++
 						}
 						continue
 					}
@@ -306,17 +306,17 @@
 		}
 		So(bad, ShouldEqual, 0)
 		So(crashes, ShouldEqual, 3600)
-		So(slots, ShouldBeGreaterThan, 1000)
+		So(snapshots, ShouldBeGreaterThan, 1000)
 	})
-	Convey("A failed sync is fatal, and what is read after it lasts", t, func() {
+	Convey("A failed sync is fatal, and what is read after it is durable", t, func() {
 		for n := 1; n <= 5; n++ {
-			for _, slot := range []bool{false, true} {
+			for _, isSnapshot := range []bool{false, true} {
 				d, m := filled()
 				s := must(Open(d, virtual))
 				d.FailSync(n)
 				var err error
 				for i := 0; i < n && err == nil; i++ {
-					if !slot {
+					if !isSnapshot {
 						err = s.Append([]Record{entry(12, 12)})
 					} else {
 						err = s.WriteSnapshot(m.image(11), 0)
@@ -334,7 +334,7 @@
 			}
 		}
 	})
-	Convey("Appends and slots at the same time", t, func() {
+	Convey("Appends and snapshots at the same time", t, func() {
 		d, m := NewMemDisk(), model{}
 		for i := uint64(1); i <= 300; i++ {
 			m = m.with(entry(1, i))
