--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -24,7 +24,7 @@
 
 func newHistory(n int) history {
 	s := state.New()
-	s.Index, s.Term = 1, 1 // the founding
+	s.Index, s.Term = 1, 1 // bootstrap
 	first, err := s.Encode()
 	So(err, ShouldBeNil)
 	h := history{states: [][]byte{nil, first}}
@@ -41,8 +41,8 @@
 	return h
 }
 
-// begin returns a replica at the founding's snapshot.
-func (h history) begin() *Replica {
+// bootstrapped returns a replica at the first snapshot.
+func (h history) bootstrapped() *Replica {
 	r := New(nil, nil)
 	f := &fake{body: h.states[1], number: 1, size: 1 << 20}
 	f.answers = []internalapi.SourceUpdate{{Snapshot: f.snapshot(1)}}
@@ -52,7 +52,7 @@
 
 func (h history) changes(from, to uint64) []raft.Entry { return h.log[from-2 : to-1] }
 
-// fake answers what the test lays out: the answers in turn, chunks of a body with a failure before some.
+// fake is a source that returns the answers in turn, and chunks of a body with a failure before some.
 type fake struct {
 	answers  []internalapi.SourceUpdate
 	body     []byte
@@ -72,7 +72,7 @@
 func (f *fake) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	if f.failures > 0 {
 		f.failures--
-		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "cut")
+		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "lost")
 	}
 	end := min(int(call.From)+f.size, len(f.body))
 	return internalapi.ChunkAnswer{Snapshot: internalapi.Snapshot{Number: f.number, Size: int64(len(f.body))}, Data: f.body[call.From:end], Sum: xxhash.Sum64(f.body)}, nil
@@ -82,20 +82,20 @@
 	return &internalapi.Snapshot{Number: f.number, Index: index, Term: 1, Size: int64(len(f.body))}
 }
 
-func TestPulls(t *testing.T) {
-	Convey("whatever order answers come in, the replica never goes back and never skips a change", t, func() {
+func TestPull_answersInAnyOrder(t *testing.T) {
+	Convey("In whatever order answers arrive, the replica never goes back and never skips a change", t, func() {
 		h := newHistory(6)
 		answers := [][]raft.Entry{h.changes(2, 4), h.changes(2, 3), h.changes(4, 5), h.changes(6, 7), nil}
 		orders, whole := 0, 0
 		var walk func(seq []int, used int)
 		walk = func(seq []int, used int) {
 			if len(seq) == len(answers) {
-				r := h.begin()
-				core := &fake{}
+				r := h.bootstrapped()
+				source := &fake{}
 				for _, i := range seq {
 					before := r.Index()
-					core.answers = append(core.answers, internalapi.SourceUpdate{Changes: answers[i]})
-					err := r.Pull(context.Background(), core, "d", 0)
+					source.answers = append(source.answers, internalapi.SourceUpdate{Changes: answers[i]})
+					err := r.Pull(context.Background(), source, "d", 0)
 					if err != nil && !errs.Is(err, errs.Stale) {
 						panic(err)
 					}
@@ -122,14 +122,17 @@
 		So(orders, ShouldEqual, 120)
 		So(whole, ShouldBeGreaterThan, 0)
 	})
-	Convey("a snapshot comes in parts, a cut costs a part, and what follows is applied to it", t, func() {
+}
+
+func TestPull_snapshotInChunks(t *testing.T) {
+	Convey("A snapshot comes in chunks, a lost one is requested again alone, and what follows is applied to it", t, func() {
 		h := newHistory(6)
-		for _, cuts := range []int{0, 1, 5} {
-			core := &fake{body: h.states[5], number: 3, size: 100, failures: cuts}
-			core.answers = []internalapi.SourceUpdate{{Snapshot: core.snapshot(5), Changes: h.changes(5, 7)}}
+		for _, lost := range []int{0, 1, 5} {
+			source := &fake{body: h.states[5], number: 3, size: 100, failures: lost}
+			source.answers = []internalapi.SourceUpdate{{Snapshot: source.snapshot(5), Changes: h.changes(5, 7)}}
 			resets := 0
 			r := New(nil, func(*state.State) { resets++ })
-			So(r.Pull(context.Background(), core, "d", 0), ShouldBeNil)
+			So(r.Pull(context.Background(), source, "d", 0), ShouldBeNil)
 			So(r.Index(), ShouldEqual, 7)
 			So(resets, ShouldEqual, 1)
 			body, err := r.Lock().Encode()
@@ -137,19 +140,19 @@
 			So(err, ShouldBeNil)
 			So(string(body), ShouldEqual, string(h.states[7]))
 		}
-		Convey("too many cuts, a spoilt body or an older snapshot leave the replica as it was", func() {
-			for _, spoil := range []func(f *fake){
+		Convey("Too many lost chunks, a damaged body or an older snapshot leave the replica as it was", func() {
+			for _, damage := range []func(f *fake){
 				func(f *fake) { f.failures = 6 },
 				func(f *fake) { f.body = append([]byte("x"), f.body[1:]...) },
 				func(f *fake) { f.body = h.states[3] },
 			} {
-				r := h.begin()
+				r := h.bootstrapped()
 				first := &fake{answers: []internalapi.SourceUpdate{{Changes: h.changes(2, 4)}}}
 				So(r.Pull(context.Background(), first, "d", 0), ShouldBeNil)
-				core := &fake{body: h.states[5], number: 3, size: 1 << 20}
-				spoil(core)
-				core.answers = []internalapi.SourceUpdate{{Snapshot: core.snapshot(5)}}
-				So(r.Pull(context.Background(), core, "d", 0), ShouldNotBeNil)
+				source := &fake{body: h.states[5], number: 3, size: 1 << 20}
+				damage(source)
+				source.answers = []internalapi.SourceUpdate{{Snapshot: source.snapshot(5)}}
+				So(r.Pull(context.Background(), source, "d", 0), ShouldNotBeNil)
 				So(r.Index(), ShouldEqual, 4)
 			}
 		})
