--- a/internal/rpc/addresslimiter.go
+++ b/internal/rpc/addresslimiter.go
@@ -8,69 +8,70 @@
 	"crosstide/internal/errs"
 )
 
-// addressLimiter lets so many calls to an address run at a time; the others wait, first come, first served.
+// addressLimiter bounds the concurrent calls to each address; further calls wait, first come, first served.
 type addressLimiter struct {
-	limit int // 0: any number
+	limit int // calls to one address; 0: any number
 
-	mu      sync.Mutex
-	running map[string]int
-	waiting map[string][]chan struct{} // closed when the turn comes
+	mu      sync.Mutex                 // guards the fields below
+	running map[string]int             // by address; no zero entries
+	waiting map[string][]chan struct{} // by address, the longest waiting first; closed when the call may run
 }
 
-func newAddressLimiter(most int) *addressLimiter {
-	return &addressLimiter{limit: most, running: map[string]int{}, waiting: map[string][]chan struct{}{}}
+func newAddressLimiter(limit int) *addressLimiter {
+	return &addressLimiter{limit: limit, running: map[string]int{}, waiting: map[string][]chan struct{}{}}
 }
 
-// acquire waits for a turn at addr until ctx ends: then it is errs.Timeout. Each turn is to be released.
-func (t *addressLimiter) acquire(ctx context.Context, addr string) error {
-	if t.limit <= 0 {
+// acquire waits until a call to addr may run, at most until ctx ends: then it is errs.Timeout. After nil, release is
+// due.
+func (l *addressLimiter) acquire(ctx context.Context, addr string) error {
+	if l.limit <= 0 {
 		return nil
 	}
-	t.mu.Lock()
-	if t.running[addr] < t.limit {
-		t.running[addr]++
-		t.mu.Unlock()
+	l.mu.Lock()
+	if l.running[addr] < l.limit {
+		l.running[addr]++
+		l.mu.Unlock()
 		return nil
 	}
-	turn := make(chan struct{})
-	t.waiting[addr] = append(t.waiting[addr], turn)
-	t.mu.Unlock()
+	acquired := make(chan struct{})
+	l.waiting[addr] = append(l.waiting[addr], acquired)
+	l.mu.Unlock()
 	select {
-	case <-turn:
+	case <-acquired:
 		return nil
 	case <-ctx.Done():
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if at := slices.Index(t.waiting[addr], turn); at >= 0 {
-		t.setWaiting(addr, slices.Delete(t.waiting[addr], at, at+1))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if at := slices.Index(l.waiting[addr], acquired); at >= 0 {
+		l.setWaiting(addr, slices.Delete(l.waiting[addr], at, at+1))
 		return errs.Wrap(ctx.Err(), errs.Timeout, "earlier calls to %s are not over", addr)
 	}
-	return nil // the turn came at the same moment
+	return nil // acquired at the same moment
 }
 
-// release passes a turn at addr on.
-func (t *addressLimiter) release(addr string) {
-	if t.limit <= 0 {
+// release ends a call to addr: the longest waiting one may run.
+func (l *addressLimiter) release(addr string) {
+	if l.limit <= 0 {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if next := t.waiting[addr]; len(next) > 0 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if next := l.waiting[addr]; len(next) > 0 {
 		close(next[0])
-		t.setWaiting(addr, next[1:])
+		l.setWaiting(addr, next[1:])
 		return
 	}
-	if t.running[addr]--; t.running[addr] == 0 {
-		delete(t.running, addr)
+	if l.running[addr]--; l.running[addr] == 0 {
+		delete(l.running, addr)
 	}
 }
 
-// setWaiting keeps no entry for an address at which nobody waits. The mutex is held.
-func (t *addressLimiter) setWaiting(addr string, waiting []chan struct{}) {
+// setWaiting keeps no entry for an address without waiting calls. The caller holds mu.
+func (l *addressLimiter) setWaiting(addr string, waiting []chan struct{}) {
 	if len(waiting) == 0 {
-		delete(t.waiting, addr)
+		delete(l.waiting, addr)
 		return
 	}
-	t.waiting[addr] = waiting
+	l.waiting[addr] = waiting
 }
--- a/internal/rpc/admission.go
+++ b/internal/rpc/admission.go
@@ -8,46 +8,47 @@
 	"crosstide/internal/errs"
 )
 
-// admission counts a server's connections in its share. The engine tells of each that opens and closes; one that finds no
-// room is served a refusal, for a bare close would look like a node that is gone.
+// admission is a server's admission control: it counts connections in the server's quota. One that found none free
+// stays open until its first request is rejected: a bare close would look like a node that is down.
 type admission struct {
-	quota *ConnQuota // nil: nothing is counted
-	// held tells of each open connection, by its peer, whether it has room in the share.
-	connections *xsync.Map[string, bool]
+	quota *ConnQuota // nil: every connection is admitted, none is counted
+	// admitted has for each open connection, by its peer, whether it counts in the quota.
+	admitted *xsync.Map[string, bool]
 }
 
 func newAdmission(quota *ConnQuota) admission {
-	return admission{quota: quota, connections: xsync.NewMap[string, bool]()}
+	return admission{quota: quota, admitted: xsync.NewMap[string, bool]()}
 }
 
-// onOpen takes in a new connection.
+// onOpen admits a new connection or marks it to be rejected.
 func (a admission) onOpen(c net.Conn) {
 	if a.quota == nil {
 		return
 	}
-	headroom := a.quota.tryAcquire()
-	if !headroom {
+	isAdmitted := a.quota.tryAcquire()
+	if !isAdmitted {
 		a.quota.countRejected()
 	}
-	a.connections.Store(c.RemoteAddr().String(), headroom)
+	a.admitted.Store(c.RemoteAddr().String(), isAdmitted)
 }
 
-// onClose takes in that a connection is gone. Ones that were never told of, as the engine's own, are passed over.
+// onClose releases what a connection has of the quota. Connections of which onOpen was never called, as the engine's
+// own, are ignored.
 func (a admission) onClose(c net.Conn) {
 	if a.quota == nil || c.RemoteAddr() == nil {
 		return
 	}
-	if headroom, known := a.connections.LoadAndDelete(c.RemoteAddr().String()); known && headroom {
+	if isAdmitted, known := a.admitted.LoadAndDelete(c.RemoteAddr().String()); known && isAdmitted {
 		a.quota.release()
 	}
 }
 
-// check is errs.Unavailable for a request on a connection that found no room.
+// check is errs.Unavailable for a request on a connection that was not admitted.
 func (a admission) check(peer string) error {
 	if a.quota == nil {
 		return nil
 	}
-	if headroom, known := a.connections.Load(peer); !known || headroom {
+	if isAdmitted, known := a.admitted.Load(peer); !known || isAdmitted {
 		return nil
 	}
 	err := errs.New(errs.Unavailable, "too many connections are open here")
--- /dev/null
+++ b/internal/rpc/body.go
@@ -0,0 +1,38 @@
+package rpc
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+
+	"crosstide/internal/errs"
+)
+
+// ReadBody reads a body of at most limit bytes; the bytes are the caller's own. A declared or real length over limit is
+// errs.TooLarge, a broken body errs.Malformed.
+func ReadBody(r *http.Request, limit int64) ([]byte, error) {
+	var buf bytes.Buffer
+	if err := readInto(&buf, r.Body, r.ContentLength, limit); err != nil {
+		return nil, errs.Pass(err, "request")
+	}
+	return buf.Bytes(), nil
+}
+
+// readInto appends body to buf, up to limit bytes; length is the declared one, below 0 if there is none.
+func readInto(buf *bytes.Buffer, body io.Reader, length, limit int64) error {
+	if length > limit {
+		return errs.New(errs.TooLarge, "the body has %d bytes, at most %d are taken", length, limit)
+	}
+	if body == nil {
+		return nil
+	}
+	buf.Grow(int(max(length, 0)) + bytes.MinRead)
+	n, err := buf.ReadFrom(io.LimitReader(body, limit+1))
+	if err != nil {
+		return errs.Wrap(err, errs.Malformed, "read the body")
+	}
+	if n > limit {
+		return errs.New(errs.TooLarge, "the body has more than %d bytes", limit)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/rpc/call.go
@@ -0,0 +1,106 @@
+package rpc
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"crosstide/internal/codec"
+	"crosstide/internal/errs"
+)
+
+// Call sends call to addr (host:port) and returns the answer. It ends at the latest after timeout, on the client's
+// clock, or with ctx: the connection is closed with a reset and the error is errs.Timeout, also while dialing. A
+// refused or broken connection is errs.Unavailable, a closed client errs.Stopped, an answer that is no JSON of A
+// errs.Malformed; a failure answered by the peer comes back with its kind, field, message, hint and After. See IsUnsent
+// for calls of which nothing was sent, IsRemote for failures that the peer returned. Example:
+//
+//	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
+func Call[C, A any](
+	ctx context.Context, c *Client, addr string, e Endpoint[C, A], call C, timeout time.Duration,
+) (A, error) {
+	var answer, none A
+	if err := c.CallInto(ctx, addr, e.Path, call, &answer, timeout); err != nil {
+		return none, errs.Pass(err, "shared connection")
+	}
+	return answer, nil
+}
+
+// CallInto is Call for endpoints of several types: answer is a pointer to the answer's type. After an error it may hold
+// a part of the answer.
+func (c *Client) CallInto(ctx context.Context, addr, path string, call, answer any, timeout time.Duration) error {
+	t := transfer{addr: addr, path: path, method: http.MethodPost, timeout: timeout}
+	return errs.Pass(c.roundTrip(ctx, c, t, call, answer), "ask %s", path)
+}
+
+// headBytes is what a request's head takes at most, besides its path and address.
+const headBytes = 160
+
+// roundTrip encodes call, makes the transfer t over a connection of source and decodes the answer.
+func (c *Client) roundTrip(ctx context.Context, source connectionSource, t transfer, call, answer any) error {
+	c.metrics.calls.WithLabelValues(t.path).Inc()
+	headroom := len(t.path) + len(t.addr) + headBytes
+	out, in := takeFrame(headroom), takeFrame(0)
+	defer out.free()
+	defer in.free()
+	err := out.encode(call)
+	if err == nil {
+		t.request, t.response = out.prependHead(headroom, t.path, t.addr), &in.buf
+		err = c.transferCall(ctx, source, t)
+	} else {
+		err = errs.Pass(&marked[unsent]{err}, "the call")
+	}
+	if err == nil {
+		err = errs.Wrap(codec.Decode(in.buf.Bytes(), answer), errs.Malformed, "the answer of %s at %s", t.path, t.addr)
+	}
+	if err != nil {
+		c.metrics.failures.WithLabelValues(t.path, string(knownKind(errs.KindOf(err)))).Inc()
+	}
+	return errs.Pass(err, "call")
+}
+
+// transferCall makes the transfer of a call: an answer other than 200 is returned as the failure in it.
+func (c *Client) transferCall(ctx context.Context, source connectionSource, t transfer) error {
+	response, err := c.transfer(ctx, source, t)
+	if err != nil {
+		return errs.Pass(err, "send")
+	}
+	if response.StatusCode == http.StatusOK {
+		return nil
+	}
+	return errs.Pass(decodeError(response, t.response.Bytes()), "%s at %s", t.path, t.addr)
+}
+
+// prependHead writes the request's head right before the body, into the headroom kept for it, and returns the whole
+// request.
+func (f *frame) prependHead(headroom int, path, addr string) []byte {
+	request := f.buf.Bytes()
+	head := make([]byte, 0, headroom)
+	head = append(append(head, "POST "...), path...)
+	head = append(append(head, " HTTP/1.1\r\nHost: "...), addr...)
+	head = append(head, "\r\nContent-Type: application/json\r\nContent-Length: "...)
+	head = strconv.AppendInt(head, int64(len(request)-headroom), 10)
+	head = append(head, "\r\n\r\n"...)
+	start := headroom - len(head)
+	copy(request[start:], head)
+	return request[start:]
+}
+
+// decodeError makes the failure of an answer other than 200; one with an error body is marked for IsRemote.
+func decodeError(response *http.Response, body []byte) error {
+	var b errorBody
+	if err := json.Unmarshal(body, &b); err != nil || b.Kind == "" {
+		kind := errs.Internal
+		if response.StatusCode >= http.StatusInternalServerError {
+			kind = errs.Unavailable
+		}
+		return errs.New(kind, "status %d without an error body", response.StatusCode)
+	}
+	failure := &errs.Error{Kind: knownKind(b.Kind), Field: b.Field, Message: b.Message, Hint: b.Hint}
+	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && seconds > 0 {
+		failure.After = time.Duration(seconds) * time.Second
+	}
+	return &marked[remote]{failure}
+}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -17,28 +17,45 @@
 	"crosstide/internal/errs"
 )
 
-// ClientOptions are the settings of a Caller; all have defaults.
+// ClientOptions are the settings of a Client; all have defaults.
 type ClientOptions struct {
-	Clock             clock.Clock           // default clock.Real
-	UserTimeout       time.Duration         // TCP_USER_TIMEOUT: how long the kernel may resend unconfirmed bytes; 0: its own
+	Clock clock.Clock // default clock.Real
+	// UserTimeout is TCP_USER_TIMEOUT: how long the kernel may resend unacknowledged bytes. Default: the kernel's own.
+	UserTimeout       time.Duration
 	DialTimeout       time.Duration         // default 2s
-	DialOverrides     map[string]string     // an address in it is reached by dialing the other one, as a rehearsal's links want
+	DialOverrides     map[string]string     // the address to dial for an address, as a network proxy needs
 	MaxIdlePerAddress int                   // idle connections kept per address, default 16
-	IdleTimeout       time.Duration         // an idle connection is dropped after it, default 1m, under a server's 2m
+	IdleTimeout       time.Duration         // an idle connection is closed after it, default 1m, under a server's 2m
 	MaxBody           int64                 // bound on an answer in bytes, default MaxBody
 	ReadBuffer        int                   // bytes of the read buffer of each connection, default 4096
 	Logger            log.Logger            // default: none
-	Registry          prometheus.Registerer // default: the counters are not shown
-	// Share bounds the open connections: a call that needs one more waits its turn, and fails as IsQuotaExhausted when its time is
-	// over. Default: nothing bounds them.
+	Registry          prometheus.Registerer // default: the counters are not registered
+	// Quota bounds the open connections: a call that needs one more waits for it, and IsQuotaExhausted holds for its
+	// error when its time is over. Default: nothing bounds them.
 	Quota *ConnQuota
-	// MaxCallsPerAddress is how many calls to an address run at a time. Others wait their turn within their time; one whose turn
-	// never came is Unsent. Default: any number.
+	// MaxCallsPerAddress is how many calls to an address run at a time. Others wait within their time-out; IsUnsent
+	// holds for the error of one that never ran. Default: any number.
 	MaxCallsPerAddress int
 }
 
-// Client asks pairs over connections pooled per address, one call at a time on each. It is safe for any number
-// of goroutines. A call is never sent twice: a broken connection is the asker's errs.Unavailable.
+// withDefaults fills in the defaults.
+func (opt ClientOptions) withDefaults() ClientOptions {
+	if opt.Clock == nil {
+		opt.Clock = clock.Real{}
+	}
+	opt.DialTimeout = firstPositive(opt.DialTimeout, 2*time.Second)
+	opt.IdleTimeout = firstPositive(opt.IdleTimeout, time.Minute)
+	opt.MaxIdlePerAddress = firstPositive(opt.MaxIdlePerAddress, 16)
+	opt.MaxBody = firstPositive(opt.MaxBody, MaxBody)
+	opt.ReadBuffer = firstPositive(opt.ReadBuffer, 4096)
+	if opt.Logger == nil {
+		opt.Logger = log.NewNopLogger()
+	}
+	return opt
+}
+
+// Client makes calls over connections pooled per address, one call at a time on each. It is safe for concurrent use. A
+// call is never sent twice: a connection that breaks is the caller's errs.Unavailable.
 type Client struct {
 	opt            ClientOptions
 	dialer         net.Dialer
@@ -47,126 +64,98 @@
 	addressLimiter *addressLimiter
 }
 
-// NewClient makes a caller. Close it in the end.
+// NewClient makes a client. Close ends it.
 func NewClient(opt ClientOptions) *Client {
-	if opt.Clock == nil {
-		opt.Clock = clock.Real{}
-	}
-	opt.DialTimeout = firstPositive(opt.DialTimeout, 2*time.Second)
-	opt.IdleTimeout = firstPositive(opt.IdleTimeout, time.Minute)
-	if opt.MaxIdlePerAddress <= 0 {
-		opt.MaxIdlePerAddress = 16
-	}
-	if opt.MaxBody <= 0 {
-		opt.MaxBody = MaxBody
-	}
-	if opt.ReadBuffer <= 0 {
-		opt.ReadBuffer = 4096
-	}
-	if opt.Logger == nil {
-		opt.Logger = log.NewNopLogger()
+	opt = opt.withDefaults()
+	return &Client{
+		opt:            opt,
+		dialer:         net.Dialer{Timeout: opt.DialTimeout, Control: setUserTimeout(opt.UserTimeout)},
+		metrics:        newMetrics("caller", opt.Registry),
+		pool:           newPool(opt.Clock, opt.MaxIdlePerAddress, opt.IdleTimeout, opt.Quota),
+		addressLimiter: newAddressLimiter(opt.MaxCallsPerAddress),
 	}
-	k := &Client{opt: opt, metrics: newMetrics("caller", opt.Registry),
-		pool: newPool(opt.Clock, opt.MaxIdlePerAddress, opt.IdleTimeout, opt.Quota), addressLimiter: newAddressLimiter(opt.MaxCallsPerAddress)}
-	k.dialer = net.Dialer{Timeout: opt.DialTimeout, Control: func(_, _ string, c syscall.RawConn) error {
-		if opt.UserTimeout <= 0 {
+}
+
+// setUserTimeout returns a dialer's control function that sets TCP_USER_TIMEOUT, in whole milliseconds rounded up.
+func setUserTimeout(timeout time.Duration) func(network, addr string, c syscall.RawConn) error {
+	return func(_, _ string, c syscall.RawConn) error {
+		if timeout <= 0 {
 			return nil
 		}
-		var set error
+		var setErr error
 		err := c.Control(func(fd uintptr) {
-			ms := int((opt.UserTimeout + time.Millisecond - 1) / time.Millisecond)
-			set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, ms)
+			ms := int((timeout + time.Millisecond - 1) / time.Millisecond)
+			setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, ms)
 		})
-		return errs.Wrap(errors.Join(err, set), errs.Internal, "set TCP_USER_TIMEOUT")
-	}}
-	return k
-}
-
-// Close resets every connection, those of lines too; calls that still run end as errs.Stopped.
-func (k *Client) Close() { k.pool.close() }
-
-// Call sends call to addr (host:port) and returns the answer. It ends at the latest after within, on the caller's
-// clock, or with ctx: the connection is closed with a reset and the error is errs.Timeout, also while dialing. A refused or
-// broken connection is errs.Unavailable, a closed caller errs.Stopped, an answer that is no JSON of A
-// errs.Malformed; a failure answered by the peer comes back with its kind, field, message, hint and After.
-// See Unsent for calls of which nothing was sent, Answered for failures that the peer returned. Example:
-//
-//	verdict, err := rpc.Call(ctx, caller, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
-func Call[C, A any](ctx context.Context, k *Client, addr string, p Endpoint[C, A], call C, timeout time.Duration) (A, error) {
-	var answer, none A
-	if err := k.CallInto(ctx, addr, p.Path, call, &answer, timeout); err != nil {
-		return none, errs.Pass(err, "shared connection")
+		return errs.Wrap(errors.Join(err, setErr), errs.Internal, "set TCP_USER_TIMEOUT")
 	}
-	return answer, nil
 }
 
-// CallInto is Ask for callers that hold pairs of several types: answer is a pointer to the answer's type. After an
-// error it may hold a part of the answer.
-func (k *Client) CallInto(ctx context.Context, addr, path string, call, answer any, timeout time.Duration) error {
-	return errs.Pass(k.call(ctx, k, addr, path, call, answer, timeout, nil), "ask %s", path)
-}
+// Close resets every connection, the dedicated ones too; calls that still run end as errs.Stopped.
+func (c *Client) Close() { c.pool.close() }
 
-// dial opens a connection within the caller's share.
-func (k *Client) dial(ctx context.Context, addr string) (*connection, error) {
-	if err := k.opt.Quota.acquire(ctx); err != nil {
-		return nil, errs.Pass(&quotaError{err}, "dial")
+// dial opens a connection within the client's quota.
+func (c *Client) dial(ctx context.Context, addr string) (*connection, error) {
+	if err := c.opt.Quota.acquire(ctx); err != nil {
+		return nil, errs.Pass(&marked[quotaExhausted]{err}, "dial")
 	}
-	l, err := k.connect(ctx, addr)
+	conn, err := c.connect(ctx, addr)
 	if err != nil {
-		k.opt.Quota.release()
+		c.opt.Quota.release()
 		return nil, errs.Pass(err, "dial")
 	}
-	if !k.pool.add(l) {
-		l.reset()
-		k.opt.Quota.release()
+	if !c.pool.add(conn) {
+		conn.reset()
+		c.opt.Quota.release()
 		return nil, errs.New(errs.Stopped, "the caller is closed")
 	}
-	return l, nil
+	return conn, nil
 }
 
-func (k *Client) connect(ctx context.Context, addr string) (*connection, error) {
-	by := addr
-	if link := k.opt.DialOverrides[addr]; link != "" {
-		by = link
+// connect opens a TCP connection; the caller of it has acquired the quota.
+func (c *Client) connect(ctx context.Context, addr string) (*connection, error) {
+	dialAddr := addr
+	if override := c.opt.DialOverrides[addr]; override != "" {
+		dialAddr = override
 	}
-	c, err := k.dialer.DialContext(ctx, "tcp", by)
+	conn, err := c.dialer.DialContext(ctx, "tcp", dialAddr)
 	if err != nil {
-		_ = level.Debug(k.opt.Logger).Log("msg", "dial failed", "addr", addr, "err", err)
+		_ = level.Debug(c.opt.Logger).Log("msg", "dial failed", "addr", addr, "err", err)
 		return nil, errs.Wrap(err, errs.Unavailable, "connect")
 	}
-	tcp := c.(*net.TCPConn)
+	tcp := conn.(*net.TCPConn)
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		_ = tcp.Close()
 		return nil, errs.Wrap(err, errs.Internal, "raw connection")
 	}
-	return &connection{TCPConn: tcp, raw: raw, reader: bufio.NewReaderSize(tcp, k.opt.ReadBuffer), addr: addr}, nil
+	return &connection{TCPConn: tcp, raw: raw, reader: bufio.NewReaderSize(tcp, c.opt.ReadBuffer), addr: addr}, nil
 }
 
-// acquire gives a connection to addr, once it is the call's turn there: an idle one, or a new one once the caller's share has
-// room for it.
-func (k *Client) acquire(ctx context.Context, addr string) (*connection, error) {
-	if err := k.addressLimiter.acquire(ctx, addr); err != nil {
+// acquire returns a connection to addr, once the call may run there: an idle one, or a new one once the client's quota
+// has one free.
+func (c *Client) acquire(ctx context.Context, addr string) (*connection, error) {
+	if err := c.addressLimiter.acquire(ctx, addr); err != nil {
 		return nil, errs.Pass(err, "wait for a turn")
 	}
-	if l := k.pool.get(addr); l != nil {
-		return l, nil
+	if conn := c.pool.get(addr); conn != nil {
+		return conn, nil
 	}
-	l, err := k.dial(ctx, addr)
+	conn, err := c.dial(ctx, addr)
 	if err != nil {
-		k.addressLimiter.release(addr)
+		c.addressLimiter.release(addr)
 		return nil, errs.Pass(err, "no idle connection to %s", addr)
 	}
-	return l, nil
+	return conn, nil
 }
 
-func (k *Client) release(l *connection, reusable bool) {
-	defer k.addressLimiter.release(l.addr)
+func (c *Client) release(conn *connection, reusable bool) {
+	defer c.addressLimiter.release(conn.addr)
 	if reusable {
-		k.pool.put(l)
+		c.pool.put(conn)
 	} else {
-		k.pool.discard(l)
+		c.pool.discard(conn)
 	}
 }
 
-func (k *Client) isClosed() bool { return k.pool.isClosed() }
+func (c *Client) isClosed() bool { return c.pool.isClosed() }
--- a/internal/rpc/connection.go
+++ b/internal/rpc/connection.go
@@ -13,28 +13,29 @@
 	"crosstide/internal/errs"
 )
 
-// connection is one connection.
+// connection is a client's TCP connection. Its owner is the call that uses it, or the pool while it is idle.
 type connection struct {
 	*net.TCPConn
 	raw         syscall.RawConn
 	reader      *bufio.Reader
-	addr        string
-	idleSince   time.Duration // idle since, on the caller's clock
-	idleElement *list.Element // of the pool's list of idle connections; nil while in use
+	addr        string        // as the caller named it, not a dial override
+	idleSince   time.Duration // on the client's clock; of the last use while in use
+	idleElement *list.Element // of the pool's idleByAge; nil while in use
 }
 
-// reset closes at once: unsent and unconfirmed bytes are thrown away, the peer gets a reset.
-func (l *connection) reset() {
-	_ = l.SetLinger(0) // without it the close is an ordinary one
-	_ = l.Close()      // nothing on it counts any more
+// reset closes at once: bytes that are not sent or acknowledged are discarded, the peer receives a reset.
+func (c *connection) reset() {
+	_ = c.SetLinger(0) // without it the close is an ordinary one
+	_ = c.Close()      // nothing on it counts any more
 }
 
-// write hands b to the kernel straight, calling check immediately before each write(2); sent counts.
-func (l *connection) write(b []byte, sent *int, check func() error) error {
-	var failed error
-	err := l.raw.Write(func(fd uintptr) bool {
+// write hands b to the kernel directly, calling check immediately before each write(2); sent counts the bytes that the
+// kernel took.
+func (c *connection) write(b []byte, sent *int, check func() error) error {
+	var writeErr error
+	err := c.raw.Write(func(fd uintptr) bool {
 		for *sent < len(b) {
-			if failed = check(); failed != nil {
+			if writeErr = check(); writeErr != nil {
 				return true
 			}
 			n, err := unix.Write(int(fd), b[*sent:])
@@ -43,7 +44,7 @@
 				return false // wait until the socket takes more
 			case err == unix.EINTR:
 			case err != nil:
-				failed = err
+				writeErr = err
 				return true
 			default:
 				*sent += n
@@ -51,33 +52,33 @@
 		}
 		return true
 	})
-	if failed == nil {
-		failed = err
+	if writeErr == nil {
+		writeErr = err
 	}
-	return errs.Wrap(failed, errs.Unavailable, "write")
+	return errs.Wrap(writeErr, errs.Unavailable, "write")
 }
 
 // alive reports whether an idle connection is still open with nothing to be read.
-func (l *connection) alive() bool {
+func (c *connection) alive() bool {
 	open := false
-	err := l.raw.Read(func(fd uintptr) bool {
+	err := c.raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		open = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && open && l.reader.Buffered() == 0
+	return err == nil && open && c.reader.Buffered() == 0
 }
 
-// response reads the head of the final response; interim ones (1xx) are passed over.
-func (l *connection) response(method string) (*http.Response, error) {
+// readHead reads the head of the final response; interim ones (1xx) are skipped.
+func (c *connection) readHead(method string) (*http.Response, error) {
 	for {
-		res, err := http.ReadResponse(l.reader, &http.Request{Method: method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Unavailable, "response")
 		}
-		if res.StatusCode >= http.StatusOK || res.StatusCode == http.StatusSwitchingProtocols {
-			return res, nil
+		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
+			return response, nil
 		}
 	}
 }
--- a/internal/rpc/connlimiter.go
+++ b/internal/rpc/connlimiter.go
@@ -1,205 +1,101 @@
 package rpc
 
 import (
-	"context"
 	"slices"
 	"sync"
-	"time"
 
 	"crosstide/internal/errs"
 )
 
-// ConnLimiter bounds the connections of a process. It is cut into shares: each has a number of connections that nobody else
-// can take, and may have more while the rest of the budget allows it. A Budget is safe for any number of goroutines.
+// ConnLimiter bounds the open connections of a process. It is divided into quotas: each has connections reserved to it
+// that nobody else can take, and may have more while the rest of the limit allows it. It is safe for concurrent use.
 type ConnLimiter struct {
-	mu     sync.Mutex
-	total  int
+	mu     sync.Mutex // guards quotas and what is in each of them
+	limit  int        // fixed
 	quotas []*ConnQuota
 }
 
-// Quota is one use of a Budget. A nil Share bounds nothing.
-type ConnQuota struct {
-	limiter   *ConnLimiter
-	name      string
-	reserved  int
-	used      int
-	waiters   []chan struct{} // of acquire, the longest waiting first; closed when the connection may be opened
-	evictIdle func() bool     // closes an idle connection of this share; nil: it has none
-	rejected  uint64          // connections that found no room
-}
-
-// NewConnLimiter makes a budget of total connections.
-func NewConnLimiter(total int) *ConnLimiter { return &ConnLimiter{total: total} }
+// NewConnLimiter makes a limiter of so many connections.
+func NewConnLimiter(limit int) *ConnLimiter { return &ConnLimiter{limit: limit} }
 
-// Quota adds a share to which least connections are reserved. Shares that are added first go first where several wait.
-// More than is left of the budget is errs.Settings.
-func (b *ConnLimiter) NewQuota(name string, reserved int) (*ConnQuota, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	left := b.total
-	for _, s := range b.quotas {
-		left -= s.reserved
+// NewQuota adds a quota to which connections are reserved. Quotas that are added first are served first where several
+// have waiters. A reservation beyond what is left of the limit is errs.Settings.
+func (l *ConnLimiter) NewQuota(name string, reserved int) (*ConnQuota, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	left := l.limit
+	for _, q := range l.quotas {
+		left -= q.reserved
 	}
 	if reserved < 0 || reserved > left {
 		return nil, errs.Field(errs.Settings, name, "%d connections cannot be reserved, %d are left", reserved, left)
 	}
-	s := &ConnQuota{limiter: b, name: name, reserved: reserved}
-	b.quotas = append(b.quotas, s)
-	return s, nil
+	q := &ConnQuota{limiter: l, name: name, reserved: reserved}
+	l.quotas = append(l.quotas, q)
+	return q, nil
 }
 
-// QuotaUsage tells how a share stands.
+// QuotaUsage is the state of a quota.
 type QuotaUsage struct {
 	Name     string
 	Used     int    // connections that are open or being opened
 	Reserved int    // reserved to it
 	Waiting  int    // calls that wait for a connection
-	Rejected uint64 // connections that found no room, since the start
-}
-
-// Usage tells how all shares stand, in the order in which they were added.
-func (b *ConnLimiter) Usage() []QuotaUsage {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]QuotaUsage, 0, len(b.quotas))
-	for _, s := range b.quotas {
-		out = append(out, QuotaUsage{Name: s.name, Used: s.used, Reserved: s.reserved, Waiting: len(s.waiters), Rejected: s.rejected})
+	Rejected uint64 // connections that found none free, since the start
+}
+
+// Usage returns the state of all quotas, in the order in which they were added.
+func (l *ConnLimiter) Usage() []QuotaUsage {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make([]QuotaUsage, 0, len(l.quotas))
+	for _, q := range l.quotas {
+		out = append(out, QuotaUsage{
+			Name: q.name, Used: q.used, Reserved: q.reserved, Waiting: len(q.waiters), Rejected: q.rejected,
+		})
 	}
 	return out
 }
 
-// canAcquire tells whether s may have one more. The mutex is held.
-func (b *ConnLimiter) canAcquire(s *ConnQuota) bool {
-	if s.used < s.reserved {
+// canAcquire reports whether q may have one more connection. The caller holds mu.
+func (l *ConnLimiter) canAcquire(q *ConnQuota) bool {
+	if q.used < q.reserved {
 		return true
 	}
-	rest := b.total
-	for _, other := range b.quotas {
-		rest -= max(other.used, other.reserved)
+	free := l.limit
+	for _, other := range l.quotas {
+		free -= max(other.used, other.reserved)
 	}
-	return rest > 0
+	return free > 0
 }
 
-// wake lets those that wait open a connection, as far as there is room. The mutex is held.
-func (b *ConnLimiter) wake() {
-	for _, s := range b.quotas {
-		for len(s.waiters) > 0 && b.canAcquire(s) {
-			close(s.waiters[0])
-			s.waiters = s.waiters[1:]
-			s.used++
+// wakeWaiters lets waiters open a connection, as many as there are free. The caller holds mu.
+func (l *ConnLimiter) wakeWaiters() {
+	for _, q := range l.quotas {
+		for len(q.waiters) > 0 && l.canAcquire(q) {
+			close(q.waiters[0])
+			q.waiters = q.waiters[1:]
+			q.used++
 		}
 	}
 }
 
-// hasWaiters tells whether a call waits for a connection.
-func (b *ConnLimiter) hasWaiters() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.ContainsFunc(b.quotas, func(s *ConnQuota) bool { return len(s.waiters) > 0 })
-}
-
-// tryAcquire takes a connection for s if there is room.
-func (b *ConnLimiter) tryAcquire(s *ConnQuota) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(s.waiters) > 0 || !b.canAcquire(s) {
-		return false
-	}
-	s.used++
-	return true
-}
-
-// evictOne closes an idle connection: one of s, or of a share that has more than is reserved to it.
-func (b *ConnLimiter) evictOne(s *ConnQuota) bool {
-	b.mu.Lock()
-	var from []func() bool
-	for _, other := range b.quotas {
-		if other.evictIdle != nil && (other == s || other.used > other.reserved) {
-			from = append(from, other.evictIdle)
-		}
-	}
-	b.mu.Unlock()
-	return slices.ContainsFunc(from, func(reclaim func() bool) bool { return reclaim() })
+// hasWaiters reports whether a call waits for a connection of any quota.
+func (l *ConnLimiter) hasWaiters() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.ContainsFunc(l.quotas, func(q *ConnQuota) bool { return len(q.waiters) > 0 })
 }
 
-// tryAcquire takes room for one connection. Idle connections are closed for it.
-func (s *ConnQuota) tryAcquire() bool {
-	if s == nil {
-		return true
-	}
-	for {
-		if s.limiter.tryAcquire(s) {
-			return true
-		}
-		if !s.limiter.evictOne(s) {
-			return false
+// evictOne closes an idle connection: one of q, or of a quota that uses more than is reserved to it.
+func (l *ConnLimiter) evictOne(q *ConnQuota) bool {
+	l.mu.Lock()
+	var evictors []func() bool
+	for _, other := range l.quotas {
+		if other.evictIdle != nil && (other == q || other.used > other.reserved) {
+			evictors = append(evictors, other.evictIdle)
 		}
 	}
+	l.mu.Unlock() // an evictor releases what it closes, which locks mu
+	return slices.ContainsFunc(evictors, func(evict func() bool) bool { return evict() })
 }
-
-// retryAfter is told to whoever found no room.
-const retryAfter = time.Second
-
-// acquire takes room for one connection and waits for it until ctx ends: then it is errs.Overloaded.
-func (s *ConnQuota) acquire(ctx context.Context) error {
-	if s.tryAcquire() {
-		return nil
-	}
-	turn := make(chan struct{})
-	s.limiter.mu.Lock()
-	s.waiters = append(s.waiters, turn)
-	s.limiter.wake() // room may have come up meanwhile
-	s.limiter.mu.Unlock()
-	select {
-	case <-turn:
-		return nil
-	case <-ctx.Done():
-	}
-	return errs.Pass(s.cancelWait(turn), "no room for a connection")
-}
-
-// cancelWait takes a call off the list of those that wait; nil if its turn came at the same moment.
-func (s *ConnQuota) cancelWait(turn chan struct{}) error {
-	s.limiter.mu.Lock()
-	defer s.limiter.mu.Unlock()
-	at := slices.Index(s.waiters, turn)
-	if at < 0 {
-		return nil
-	}
-	s.waiters = slices.Delete(s.waiters, at, at+1)
-	s.rejected++
-	err := errs.New(errs.Overloaded, "%s: %d connections are open", s.name, s.used)
-	errs.Of(err).After = retryAfter
-	return err
-}
-
-// countRejected counts a connection that found no room.
-func (s *ConnQuota) countRejected() {
-	s.limiter.mu.Lock()
-	defer s.limiter.mu.Unlock()
-	s.rejected++
-}
-
-// release gives the room of a connection back.
-func (s *ConnQuota) release() {
-	if s == nil {
-		return
-	}
-	s.limiter.mu.Lock()
-	defer s.limiter.mu.Unlock()
-	s.used--
-	s.limiter.wake()
-}
-
-// onEvict sets what closes an idle connection of the share; it tells whether there was one.
-func (s *ConnQuota) onEvict(close func() bool) {
-	if s == nil {
-		return
-	}
-	s.limiter.mu.Lock()
-	defer s.limiter.mu.Unlock()
-	s.evictIdle = close
-}
-
-// hasWaiters tells whether a call waits for a connection of the budget.
-func (s *ConnQuota) hasWaiters() bool { return s != nil && s.limiter.hasWaiters() }
--- a/internal/rpc/connlimitermetrics.go
+++ b/internal/rpc/connlimitermetrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// ConnLimiterMetrics are the figures of a Budget, as a prometheus.Collector.
+// ConnLimiterMetrics is the prometheus.Collector of a ConnLimiter, read when it is scraped.
 type ConnLimiterMetrics struct {
 	limiter                        *ConnLimiter
 	connections, refused, reserved *prometheus.Desc
@@ -10,7 +10,7 @@
 
 var _ prometheus.Collector = (*ConnLimiterMetrics)(nil)
 
-// NewConnLimiterMetrics makes the figures of a budget.
+// NewConnLimiterMetrics makes the collector of a limiter.
 func NewConnLimiterMetrics(limiter *ConnLimiter) *ConnLimiterMetrics {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("crosstide_connections"+name, help, labels, nil)
@@ -21,22 +21,22 @@
 		refused:     desc("_refused_total", "Connections that found no room, by use.", "use")}
 }
 
-// Describe tells the figures there are.
+// Describe sends the descriptions of the metrics.
 func (m *ConnLimiterMetrics) Describe(out chan<- *prometheus.Desc) {
 	for _, desc := range []*prometheus.Desc{m.connections, m.reserved, m.refused} {
 		out <- desc
 	}
 }
 
-// Collect gives the figures.
+// Collect sends the metrics.
 func (m *ConnLimiterMetrics) Collect(out chan<- prometheus.Metric) {
 	gauge := func(desc *prometheus.Desc, value int, labels ...string) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value), labels...)
 	}
-	for _, use := range m.limiter.Usage() {
-		gauge(m.connections, use.Used, use.Name, "open")
-		gauge(m.connections, use.Waiting, use.Name, "waiting")
-		gauge(m.reserved, use.Reserved, use.Name)
-		out <- prometheus.MustNewConstMetric(m.refused, prometheus.CounterValue, float64(use.Rejected), use.Name)
+	for _, usage := range m.limiter.Usage() {
+		gauge(m.connections, usage.Used, usage.Name, "open")
+		gauge(m.connections, usage.Waiting, usage.Name, "waiting")
+		gauge(m.reserved, usage.Reserved, usage.Name)
+		out <- prometheus.MustNewConstMetric(m.refused, prometheus.CounterValue, float64(usage.Rejected), usage.Name)
 	}
 }
--- a/internal/rpc/dedicated.go
+++ b/internal/rpc/dedicated.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"time"
 
@@ -9,101 +10,112 @@
 )
 
 // DedicatedConn is a connection to one address that is shared with nothing else. It carries one call at a time and is
-// dialed when a call needs it.
+// dialed when a call needs it. It is safe for concurrent use.
 type DedicatedConn struct {
 	client *Client
 	addr   string
-	inUse  chan struct{}
+	inUse  chan struct{} // a semaphore of one: whose call has sent to it may use the connection
 
-	mu         sync.Mutex
-	connection *connection
+	mu         sync.Mutex  // guards the fields below
+	connection *connection // nil: the next call dials
 	closed     bool
 }
 
-// NewDedicatedConn makes a connection to addr that is not dialed yet. It takes the options and counters of k and is
-// closed with k.
-func NewDedicatedConn(k *Client, addr string) *DedicatedConn {
-	return &DedicatedConn{client: k, addr: addr, inUse: make(chan struct{}, 1)}
+// NewDedicatedConn makes a connection to addr that is not dialed yet. It takes the options and counters of c and is
+// closed with c.
+func NewDedicatedConn(c *Client, addr string) *DedicatedConn {
+	return &DedicatedConn{client: c, addr: addr, inUse: make(chan struct{}, 1)}
 }
 
-// CallDedicated is Ask over l. Calls wait for their turn, within counts that too. before (nil for none) runs after
-// dialing and encoding, immediately before each write(2) of the call: once as a rule, again only when the socket
+// CallDedicated is Call over d. Calls wait for each other, which counts in timeout. beforeWrite (nil for none) runs
+// after dialing and encoding, immediately before each write(2) of the call: once as a rule, again only when the socket
 // took a part. Its error stops the writing, closes the connection with a reset and comes back wrapped, its kind kept.
-// Nothing ever waits in a user-space buffer. After any error but one answered by the peer the next call
-// dials anew. Example:
+// Nothing ever waits in a user-space buffer. After any error but one answered by the peer the next call dials anew.
+// Example:
 //
-//	answer, err := rpc.CallDedicated(ctx, conn, Hold, orders, time.Second, lease.Check)
+//	answer, err := rpc.CallDedicated(ctx, conn, RenewLease, orders, time.Second, lease.Check)
 //	if rpc.IsUnsent(err) {
-//		void(orders) // the minion surely has not seen them
+//		invalidate(orders) // the worker surely has not seen them
 //	}
-func CallDedicated[C, A any](ctx context.Context, l *DedicatedConn, p Endpoint[C, A], call C, timeout time.Duration, beforeWrite func() error) (A, error) {
+func CallDedicated[C, A any](
+	ctx context.Context, d *DedicatedConn, e Endpoint[C, A], call C, timeout time.Duration, beforeWrite func() error,
+) (A, error) {
 	var answer, none A
-	if err := l.client.call(ctx, l, l.addr, p.Path, call, &answer, timeout, beforeWrite); err != nil {
-		return none, errs.Pass(err, "line, ask %s", p.Path)
+	t := transfer{addr: d.addr, path: e.Path, method: http.MethodPost, timeout: timeout, beforeWrite: beforeWrite}
+	if err := d.client.roundTrip(ctx, d, t, call, &answer); err != nil {
+		return none, errs.Pass(err, "line, ask %s", e.Path)
 	}
 	return answer, nil
 }
 
 // Close resets the connection; a call that runs fails, later ones are errs.Stopped.
-func (l *DedicatedConn) Close() {
-	l.mu.Lock()
-	current := l.connection
-	l.connection, l.closed = nil, true
-	l.mu.Unlock()
+func (d *DedicatedConn) Close() {
+	d.mu.Lock()
+	current := d.connection
+	d.connection, d.closed = nil, true
+	d.mu.Unlock()
 	if current != nil {
-		l.client.pool.discard(current)
+		d.client.pool.discard(current)
 	}
 }
 
-func (l *DedicatedConn) acquire(ctx context.Context, _ string) (*connection, error) {
+func (d *DedicatedConn) acquire(ctx context.Context, _ string) (*connection, error) {
 	select {
-	case l.inUse <- struct{}{}:
+	case d.inUse <- struct{}{}:
 	case <-ctx.Done():
 		return nil, errs.Wrap(ctx.Err(), errs.Timeout, "wait for the line")
 	}
-	l.mu.Lock()
-	current, closed := l.connection, l.closed
-	l.mu.Unlock()
-	if current != nil && !closed {
-		if l.client.opt.Clock.Now()-current.idleSince < l.client.opt.IdleTimeout && current.alive() {
+	conn, err := d.connect(ctx)
+	if err != nil {
+		<-d.inUse
+		return nil, errs.Pass(err, "line to %s", d.addr)
+	}
+	return conn, nil
+}
+
+// connect returns the connection if it is still usable, or dials. The caller has acquired inUse.
+func (d *DedicatedConn) connect(ctx context.Context) (*connection, error) {
+	d.mu.Lock()
+	current, closed := d.connection, d.closed
+	d.mu.Unlock()
+	if closed {
+		return nil, errs.New(errs.Stopped, "the line is closed")
+	}
+	if current != nil {
+		if d.client.opt.Clock.Now()-current.idleSince < d.client.opt.IdleTimeout && current.alive() {
 			return current, nil
 		}
-		l.client.pool.discard(current)
+		d.client.pool.discard(current)
 	}
-	var fresh *connection
-	err := errs.New(errs.Stopped, "the line is closed")
-	if !closed {
-		fresh, err = l.client.dial(ctx, l.addr)
+	dialed, err := d.client.dial(ctx, d.addr)
+	if err != nil {
+		return nil, errs.Pass(err, "dedicated connection")
 	}
-	if err == nil {
-		l.mu.Lock()
-		l.connection, closed = fresh, l.closed
-		l.mu.Unlock()
-		if !closed {
-			return fresh, nil
-		}
-		l.client.pool.discard(fresh)
-		err = errs.New(errs.Stopped, "the line was closed")
+	d.mu.Lock()
+	d.connection, closed = dialed, d.closed
+	d.mu.Unlock()
+	if closed {
+		d.client.pool.discard(dialed)
+		return nil, errs.New(errs.Stopped, "the line was closed")
 	}
-	<-l.inUse
-	return nil, errs.Pass(err, "line to %s", l.addr)
+	return dialed, nil
 }
 
-func (l *DedicatedConn) release(used *connection, reusable bool) {
-	l.mu.Lock()
-	used.idleSince = l.client.opt.Clock.Now()
-	if l.closed || !reusable {
-		l.connection, reusable = nil, false
+func (d *DedicatedConn) release(conn *connection, reusable bool) {
+	d.mu.Lock()
+	conn.idleSince = d.client.opt.Clock.Now()
+	if d.closed || !reusable {
+		d.connection, reusable = nil, false
 	}
-	l.mu.Unlock()
+	d.mu.Unlock()
 	if !reusable {
-		l.client.pool.discard(used)
+		d.client.pool.discard(conn)
 	}
-	<-l.inUse
+	<-d.inUse
 }
 
-func (l *DedicatedConn) isClosed() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.closed || l.client.isClosed()
+func (d *DedicatedConn) isClosed() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.closed || d.client.isClosed()
 }
--- a/internal/rpc/digest.go
+++ b/internal/rpc/digest.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Digest gives the SHA-256 of parts in hexadecimal, each part with its length before it. It tells a call that is sent
-// again from another one under the same name.
+// Digest returns the SHA-256 of parts in hexadecimal, each part with its length before it. It tells a call that is sent
+// again from a different one under the same name.
 func Digest(parts ...[]byte) string {
 	sum := sha256.New()
 	for _, part := range parts {
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -2,45 +2,43 @@
 
 import "errors"
 
-// IsUnsent reports whether a call certainly failed before its first byte was handed to the kernel.
-func IsUnsent(err error) bool {
-	var u *unsentError
-	return errors.As(err, &u)
-}
-
-type unsentError struct{ cause error }
+// IsUnsent reports whether a call certainly failed before its first byte was handed to the kernel: the peer cannot have
+// seen it, so it may be sent again.
+func IsUnsent(err error) bool { return isMarked[unsent](err) }
 
-// Error says what kept the call from being sent.
-func (u *unsentError) Error() string { return "not sent: " + u.cause.Error() }
+// IsQuotaExhausted reports whether a call failed because its own process had no quota for one more connection: it says
+// nothing of the peer. IsUnsent holds for it too.
+func IsQuotaExhausted(err error) bool { return isMarked[quotaExhausted](err) }
 
-// Unwrap returns the error under the mark.
-func (u *unsentError) Unwrap() error { return u.cause }
+// IsRemote reports whether err is a failure that the peer's handler (or its server) returned as the answer.
+func IsRemote(err error) bool { return isMarked[remote](err) }
 
-// IsQuotaExhausted reports whether a call failed because its own process had no room for one more connection: it says nothing of the
-// peer. Unsent holds for it too.
-func IsQuotaExhausted(err error) bool {
-	var n *quotaError
-	return errors.As(err, &n)
-}
+// mark is what a call's error is marked with; its label begins the error's text.
+type mark interface{ label() string }
 
-type quotaError struct{ cause error }
+type (
+	unsent         struct{}
+	quotaExhausted struct{}
+	remote         struct{}
+)
 
-// Error says which share of the connections is used up.
-func (n *quotaError) Error() string { return "no room: " + n.cause.Error() }
+func (unsent) label() string         { return "not sent" }
+func (quotaExhausted) label() string { return "no room" }
+func (remote) label() string         { return "answered" }
 
-// Unwrap returns the error under the mark.
-func (n *quotaError) Unwrap() error { return n.cause }
+// marked is an error with a mark. One error may carry several marks, as unsent and quotaExhausted.
+type marked[M mark] struct{ cause error }
 
-// IsRemote reports whether err is a failure that the peer's handler (or its server) returned as the answer.
-func IsRemote(err error) bool {
-	var a *remoteError
-	return errors.As(err, &a)
+// Error is the cause's text after the mark's label.
+func (e *marked[M]) Error() string {
+	var m M
+	return m.label() + ": " + e.cause.Error()
 }
 
-type remoteError struct{ cause error }
-
-// Error says with which error the peer answered.
-func (a *remoteError) Error() string { return "answered: " + a.cause.Error() }
-
 // Unwrap returns the error under the mark.
-func (a *remoteError) Unwrap() error { return a.cause }
+func (e *marked[M]) Unwrap() error { return e.cause }
+
+func isMarked[M mark](err error) bool {
+	var e *marked[M]
+	return errors.As(err, &e)
+}
--- a/internal/rpc/eventloops.go
+++ b/internal/rpc/eventloops.go
@@ -11,18 +11,18 @@
 	"crosstide/internal/errs"
 )
 
-// waitForLoops waits until every event loop of nbio runs: a stop that comes before is lost on the loop, and the engine's
-// Stop would wait for it forever. Each loop gets one end of a local connection and has to see it close.
+// waitForLoops waits until every event loop of nbio runs: a stop that comes before is lost on the loop, and the
+// engine's Stop would wait for it forever. Each loop gets one end of a local connection and has to see it close.
 func (s *Server) waitForLoops() error {
 	loops := s.engine.Engine.NPoller
 	if loops == 1 {
 		return errs.Pass(s.waitForOnlyLoop(), "the only event loop")
 	}
-	gone := make(chan struct{}, loops)
+	closed := make(chan struct{}, loops)
 	s.engine.OnClose(func(c net.Conn, _ error) {
 		s.admission.onClose(c)
 		if _, local := c.RemoteAddr().(*net.UnixAddr); local {
-			gone <- struct{}{}
+			closed <- struct{}{}
 		}
 	})
 	for loop := range loops {
@@ -31,19 +31,19 @@
 		}
 	}
 	for range loops {
-		<-gone
+		<-closed
 	}
 	return nil
 }
 
-// waitForOnlyLoop is waitForLoops for a single loop, which any connection reaches: one to the server's own address, as not every
-// machine has local socket pairs.
+// waitForOnlyLoop is waitForLoops for a single loop, which any connection reaches: one to the server's own address, as
+// not every machine has local socket pairs.
 func (s *Server) waitForOnlyLoop() error {
-	gone := make(chan struct{}, 1)
+	closed := make(chan struct{}, 1)
 	s.engine.OnClose(func(c net.Conn, _ error) {
 		s.admission.onClose(c)
 		select {
-		case gone <- struct{}{}:
+		case closed <- struct{}{}:
 		default:
 		}
 	})
@@ -54,13 +54,13 @@
 	if err := c.Close(); err != nil {
 		return errs.Wrap(err, errs.Internal, "close")
 	}
-	<-gone
+	<-closed
 	return nil
 }
 
-// connectToLoop returns one loop a connection that is closed at its other end. nbio picks the loop by the descriptor, so
-// copies are made until one has a number that fits. All others are closed before that one is handed over: epoll
-// goes on telling of a connection as long as a copy is open, by a number that may be another's by then.
+// connectToLoop hands one event loop a connection that is closed at its other end. nbio picks the loop by the
+// descriptor, so duplicates are made until one has a matching number. All others are closed before that one is handed
+// over: epoll reports events of a connection as long as a duplicate is open, by a number that may be another's by then.
 func (s *Server) connectToLoop(loop, loops int) error {
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -69,15 +69,15 @@
 	here, there := os.NewFile(uintptr(ends[0]), "here"), os.NewFile(uintptr(ends[1]), "there")
 	defer there.Close()
 	spare := []io.Closer{here}
-	var fits *nbio.Conn
-	for err == nil && fits == nil {
+	var matching *nbio.Conn
+	for err == nil && matching == nil {
 		var c net.Conn
 		var end *nbio.Conn
 		if c, err = net.FileConn(here); err == nil {
 			end, err = nbio.NBConn(c) // closes c
 		}
 		if err == nil && end.Hash()%loops == loop {
-			fits = end
+			matching = end
 		} else if err == nil {
 			spare = append(spare, end)
 		}
@@ -86,7 +86,7 @@
 		_ = one.Close() // nothing was sent on it
 	}
 	if err == nil {
-		_, err = s.engine.AddConn(fits)
+		_, err = s.engine.AddConn(matching)
 	}
 	return errs.Wrap(err, errs.Internal, "local connection")
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/errs"
 )
 
-// frame is a pooled buffer with its JSON encoder.
+// frame is a pooled buffer with its JSON encoder. Its owner is the call or answer that took it, until free.
 type frame struct {
 	buf bytes.Buffer
 	enc *json.Encoder
@@ -21,7 +21,7 @@
 	return f
 }}
 
-// takeFrame returns an empty frame that starts with room for a head of that many bytes.
+// takeFrame returns a frame that is empty but for so many bytes of headroom, where a head is written later.
 func takeFrame(headroom int) *frame {
 	f := frames.Get().(*frame)
 	f.buf.Reset()
@@ -30,12 +30,17 @@
 	return f
 }
 
+// encode appends v as JSON.
 func (f *frame) encode(v any) error {
 	return errs.Wrap(f.enc.Encode(v), errs.Internal, "encode %T", v)
 }
 
+// maxPooledBytes is up to which capacity a frame goes back to the pool.
+const maxPooledBytes = 1 << 20
+
+// free returns the frame to the pool: its bytes are invalid then.
 func (f *frame) free() {
-	if f.buf.Cap() <= 1<<20 {
+	if f.buf.Cap() <= maxPooledBytes {
 		frames.Put(f)
 	}
 }
--- a/internal/rpc/json.go
+++ b/internal/rpc/json.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/errs"
 )
 
-// ParseJSON parses a call's body strictly; the value lives until the parser's next use. The parser goes first, as it
-// bounds the nesting; the validation after it refuses what the parser lets pass (NaN, bad escapes), and takes time that
+// ParseJSON parses a call's body strictly; the value is valid until the parser's next use. The parser runs first, as it
+// bounds the nesting; the validation after it rejects what the parser accepts (NaN, invalid escapes), in time that
 // grows with the square of the nesting, and stack with it. Failure: errs.Malformed; its cause quotes the body.
 func ParseJSON(parser *fastjson.Parser, body []byte) (*fastjson.Value, error) {
 	if !utf8.Valid(body) {
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -6,31 +6,42 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics counts for one side, "server" or "caller". Several meters may share a registry.
+// metrics are the counters of one side, "server" or "caller". Several clients and servers may share a registry: they
+// add to the same counters.
 type metrics struct {
-	calls, failures *prometheus.CounterVec
-	in, out         prometheus.Counter
+	calls    *prometheus.CounterVec // by path
+	failures *prometheus.CounterVec // by path and kind
+	in, out  prometheus.Counter     // bytes of bodies
 }
 
-func newMetrics(side string, to prometheus.Registerer) *metrics {
+func newMetrics(side string, registry prometheus.Registerer) *metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
-		c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, append([]string{"side"}, labels...))
-		if to != nil {
-			if err := to.Register(c); err != nil {
-				var have prometheus.AlreadyRegisteredError
-				if !errors.As(err, &have) {
-					panic("rpc: register " + name + ": " + err.Error())
-				}
-				c = have.ExistingCollector.(*prometheus.CounterVec)
-			}
-		}
-		return c.MustCurryWith(prometheus.Labels{"side": side})
+		return registerCounter(registry, name, help, labels).MustCurryWith(prometheus.Labels{"side": side})
 	}
-	size := counter("crosstide_rpc_bytes_total", "Bytes of bodies, by direction.", "dir")
+	bytes := counter("crosstide_rpc_bytes_total", "Bytes of bodies, by direction.", "dir")
 	return &metrics{
-		calls:    counter("crosstide_rpc_calls_total", "Calls, by path.", "path"),
-		failures: counter("crosstide_rpc_failures_total", "Calls that ended in a failure, by path and kind.", "path", "kind"),
-		in:       size.WithLabelValues("in"),
-		out:      size.WithLabelValues("out"),
+		calls: counter("crosstide_rpc_calls_total", "Calls, by path.", "path"),
+		failures: counter("crosstide_rpc_failures_total",
+			"Calls that ended in a failure, by path and kind.", "path", "kind"),
+		in:  bytes.WithLabelValues("in"),
+		out: bytes.WithLabelValues("out"),
 	}
 }
+
+// registerCounter returns the registry's counter of that name, registered now or before; a new one without a registry.
+func registerCounter(registry prometheus.Registerer, name, help string, labels []string) *prometheus.CounterVec {
+	opts := prometheus.CounterOpts{Name: name, Help: help}
+	counter := prometheus.NewCounterVec(opts, append([]string{"side"}, labels...))
+	if registry == nil {
+		return counter
+	}
+	err := registry.Register(counter)
+	if err == nil {
+		return counter
+	}
+	var registered prometheus.AlreadyRegisteredError
+	if !errors.As(err, &registered) {
+		panic("rpc: register " + name + ": " + err.Error())
+	}
+	return registered.ExistingCollector.(*prometheus.CounterVec)
+}
--- a/internal/rpc/nbiolog.go
+++ b/internal/rpc/nbiolog.go
@@ -11,18 +11,19 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// boundDescriptors bounds nbio's tables of connections, which it makes as long as there may be descriptors.
+// boundDescriptors bounds nbio's tables of connections, which it makes as long as the process may have descriptors.
 func boundDescriptors(n int) {
-	descriptorsMu.Lock()
-	defer descriptorsMu.Unlock()
+	maxOpenFilesMu.Lock()
+	defer maxOpenFilesMu.Unlock()
 	if n > 0 && n < nbio.MaxOpenFiles {
 		nbio.MaxOpenFiles = n
 	}
 }
 
-var descriptorsMu sync.Mutex
+// maxOpenFilesMu guards nbio.MaxOpenFiles.
+var maxOpenFilesMu sync.Mutex
 
-// redirectLogs sends nbio's own lines, which have one logger per process, to the latest server's logger.
+// redirectLogs sends nbio's own log lines, which have one logger per process, to the latest server's logger.
 func redirectLogs(to log.Logger) {
 	logTo.Store(&to)
 	logOnce.Do(func() { logging.SetLogger(nbioLog{}) })
@@ -33,20 +34,21 @@
 	logOnce sync.Once
 )
 
+// nbioLog is nbio's logger; its lines are redirected to logTo.
 type nbioLog struct{}
 
-func (nbioLog) put(at func(log.Logger) log.Logger, format string, v []any) {
+func (nbioLog) log(at func(log.Logger) log.Logger, format string, v []any) {
 	_ = at(*logTo.Load()).Log("part", "nbio", "msg", fmt.Sprintf(format, v...))
 }
 
 // Debug logs a line of nbio at the level debug.
-func (n nbioLog) Debug(format string, v ...any) { n.put(level.Debug, format, v) }
+func (n nbioLog) Debug(format string, v ...any) { n.log(level.Debug, format, v) }
 
 // Info logs at the level debug, as nbio's lines on its start and stop are of no use to operators.
-func (n nbioLog) Info(format string, v ...any) { n.put(level.Debug, format, v) } // its start and stop lines
+func (n nbioLog) Info(format string, v ...any) { n.log(level.Debug, format, v) }
 
 // Warn logs a line of nbio at the level warn.
-func (n nbioLog) Warn(format string, v ...any) { n.put(level.Warn, format, v) }
+func (n nbioLog) Warn(format string, v ...any) { n.log(level.Warn, format, v) }
 
 // Error logs a line of nbio at the level error.
-func (n nbioLog) Error(format string, v ...any) { n.put(level.Error, format, v) }
+func (n nbioLog) Error(format string, v ...any) { n.log(level.Error, format, v) }
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/errs"
 )
 
-// Request is a plain HTTP/1.1 request to a peer that does not use pairs of types.
+// Request is a plain HTTP/1.1 request to a peer that has no Endpoint.
 type Request struct {
 	Method string
 	Path   string // with its query, as it is sent
@@ -31,38 +31,41 @@
 // exchangeLabel replaces the path in the counters: paths of plain requests are not a closed list.
 const exchangeLabel = "exchange"
 
-// Do sends r once to addr (host:port) over the pooled connections and returns the response; no status is an error.
-// It ends at the latest after within, or with ctx: the connection is closed with a reset and the error is
-// errs.Timeout. A refused or broken connection is errs.Unavailable, a closed caller errs.Stopped, a request that
-// cannot be sent errs.Invalid, a response over MaxBody errs.TooLarge. See Unsent for requests of which
-// no byte was handed to the kernel. Example:
+// Do sends r once to addr (host:port) over the pooled connections and returns the response; no status is an error. It
+// ends at the latest after timeout, or with ctx: the connection is closed with a reset and the error is errs.Timeout. A
+// refused or broken connection is errs.Unavailable, a closed client errs.Stopped, a request that cannot be sent
+// errs.Invalid, a response over MaxBody errs.TooLarge. See IsUnsent for requests of which no byte was handed to the
+// kernel. Example:
 //
-//	res, err := caller.Do(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
-func (k *Client) Do(ctx context.Context, addr string, r Request, timeout time.Duration) (Response, error) {
-	k.metrics.calls.WithLabelValues(exchangeLabel).Inc()
+//	response, err := client.Do(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
+func (c *Client) Do(ctx context.Context, addr string, r Request, timeout time.Duration) (Response, error) {
+	c.metrics.calls.WithLabelValues(exchangeLabel).Inc()
 	out, in := takeFrame(0), takeFrame(0)
 	defer out.free()
 	defer in.free()
-	res, err := k.do(ctx, addr, r, timeout, &out.buf, &in.buf)
+	response, err := c.sendRequest(ctx, addr, r, timeout, &out.buf, &in.buf)
 	if err != nil {
-		k.metrics.failures.WithLabelValues(exchangeLabel, string(knownKind(errs.KindOf(err)))).Inc()
+		c.metrics.failures.WithLabelValues(exchangeLabel, string(knownKind(errs.KindOf(err)))).Inc()
 		return Response{}, errs.Pass(err, "%s %s", r.Method, r.Path)
 	}
-	return Response{Status: res.StatusCode, Header: res.Header, Body: bytes.Clone(in.buf.Bytes())}, nil
+	return Response{Status: response.StatusCode, Header: response.Header, Body: bytes.Clone(in.buf.Bytes())}, nil
 }
 
-func (k *Client) do(ctx context.Context, addr string, r Request, timeout time.Duration, out, in *bytes.Buffer) (*http.Response, error) {
-	if err := r.check(); err != nil {
-		return nil, errs.Pass(&unsentError{err}, "the request")
+// sendRequest encodes r into out and reads the body of its response into in.
+func (c *Client) sendRequest(
+	ctx context.Context, addr string, r Request, timeout time.Duration, out, in *bytes.Buffer,
+) (*http.Response, error) {
+	if err := r.validate(); err != nil {
+		return nil, errs.Pass(&marked[unsent]{err}, "the request")
 	}
 	r.encode(out, addr)
 	t := transfer{addr: addr, path: r.Path, method: r.Method, request: out.Bytes(), response: in, timeout: timeout}
-	res, err := k.transfer(ctx, k, t)
-	return res, errs.Pass(err, "exchange")
+	response, err := c.transfer(ctx, c, t)
+	return response, errs.Pass(err, "exchange")
 }
 
-// check refuses what would break the request's head.
-func (r Request) check() error {
+// validate rejects what would break the request's head.
+func (r Request) validate() error {
 	if r.Method == "" || strings.ContainsAny(r.Method, " \t\r\n") {
 		return errs.Field(errs.Invalid, "method", "%q is no method", r.Method)
 	}
@@ -77,7 +80,7 @@
 	return nil
 }
 
-// encode writes the request: the headers in order of name, Host and Content-Length by itself.
+// encode writes the request, the headers in order of name. It sets Host, unless a header does, and Content-Length.
 func (r Request) encode(to *bytes.Buffer, addr string) {
 	host := addr
 	to.WriteString(r.Method + " " + r.Path + " HTTP/1.1\r\n")
