--- a/internal/rpc/connlimiter_test.go
+++ b/internal/rpc/connlimiter_test.go
@@ -1,12 +1,7 @@
 package rpc
 
 import (
-	"bufio"
 	"context"
-	"io"
-	"net"
-	"net/http"
-	"runtime"
 	"testing"
 	"time"
 
@@ -18,21 +13,14 @@
 	"crosstide/internal/routine"
 )
 
-// waitUntil yields until a condition holds that other goroutines bring about.
-func waitUntil(condition func() bool) {
-	for !condition() {
-		runtime.Gosched()
-	}
-}
-
-func TestConnLimiter(t *testing.T) {
-	Convey("Shares never exceed the budget together, and each gets what is reserved to it", t, func() {
+func TestConnLimiter_reservations(t *testing.T) {
+	Convey("Quotas never exceed the limit together, and each can acquire what is reserved to it", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			total := rapid.IntRange(1, 30).Draw(t, "total")
 			limiter, left := NewConnLimiter(total), total
 			var quotas []*ConnQuota
-			for i := range rapid.IntRange(1, 4).Draw(t, "shares") {
-				reserved := rapid.IntRange(0, left).Draw(t, "least")
+			for i := range rapid.IntRange(1, 4).Draw(t, "quotas") {
+				reserved := rapid.IntRange(0, left).Draw(t, "reserved")
 				left -= reserved
 				quota, err := limiter.NewQuota(string(rune('a'+i)), reserved)
 				if err != nil {
@@ -41,11 +29,11 @@
 				quotas = append(quotas, quota)
 			}
 			for range rapid.IntRange(0, 100).Draw(t, "steps") {
-				s := rapid.SampledFrom(quotas).Draw(t, "share")
-				if rapid.Bool().Draw(t, "take") {
-					owed := s.used < s.reserved
-					if took := s.tryAcquire(); owed && !took {
-						t.Fatalf("share %s has %d of %d and gets no more", s.name, s.used, s.reserved)
+				s := rapid.SampledFrom(quotas).Draw(t, "quota")
+				if rapid.Bool().Draw(t, "acquire") {
+					isReserved := s.used < s.reserved
+					if took := s.tryAcquire(); isReserved && !took {
+						t.Fatalf("quota %s has %d of %d and gets no more", s.name, s.used, s.reserved)
 					}
 				} else if s.used > 0 {
 					s.release()
@@ -60,7 +48,10 @@
 			}
 		})
 	})
-	Convey("More than there is cannot be reserved", t, func() {
+}
+
+func TestConnLimiter_reservationTooLarge(t *testing.T) {
+	Convey("More than the limit cannot be reserved", t, func() {
 		limiter := NewConnLimiter(10)
 		_, err := limiter.NewQuota("a", 7)
 		So(err, ShouldBeNil)
@@ -68,7 +59,10 @@
 		So(errs.KindOf(err), ShouldEqual, errs.Settings)
 		So(errs.Of(err).Field, ShouldEqual, "b")
 	})
-	Convey("Who waits is let in when room comes up, the first share first, and who gives up is told to come back", t, func() {
+}
+
+func TestConnLimiter_orderOfWaiters(t *testing.T) {
+	Convey("A released connection goes to a waiter, of the first quota first; one that gives up is asked to try again later", t, func() {
 		limiter := NewConnLimiter(2)
 		first, err := limiter.NewQuota("first", 0)
 		So(err, ShouldBeNil)
@@ -101,7 +95,7 @@
 }
 
 func TestQuotaExhausted(t *testing.T) {
-	Convey("A call that finds no room for a connection is Unsent and NoRoom; one to a dead peer is only Unsent", t, func() {
+	Convey("A call without quota for a connection is unsent and quota-exhausted; one to a dead peer is only unsent", t, func() {
 		addresses, end := quietPeers(1)
 		limiter, virtual := NewConnLimiter(1), &clock.Virtual{}
 		quota, err := limiter.NewQuota("calls", 0)
@@ -127,46 +121,3 @@
 		So(limiter.Usage()[0].Used, ShouldEqual, 0)
 	})
 }
-
-// get sends one request over c and gives the response's status and how long to wait before the next.
-func get(c net.Conn) (status int, after string, closing bool) {
-	_, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
-	So(err, ShouldBeNil)
-	res, err := http.ReadResponse(bufio.NewReader(c), nil)
-	So(err, ShouldBeNil)
-	_, err = io.Copy(io.Discard, res.Body)
-	So(err, ShouldBeNil)
-	return res.StatusCode, res.Header.Get("Retry-After"), res.Close
-}
-
-func TestAdmission(t *testing.T) {
-	Convey("A connection beyond the server's share is told to come back; once another is closed there is room again", t, func() {
-		limiter := NewConnLimiter(1)
-		quota, err := limiter.NewQuota("clients", 1)
-		So(err, ShouldBeNil)
-		s := NewServer(ServerOptions{Addr: "127.0.0.1:0", Quota: quota, Loops: 1})
-		s.Route("GET /x", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, note{}) })
-		So(s.Start(), ShouldBeNil)
-		waitUntil(func() bool { return limiter.Usage()[0].Used == 0 }) // the one that the start made
-		dial := func() net.Conn {
-			c, err := net.Dial("tcp", s.Addr())
-			So(err, ShouldBeNil)
-			return c
-		}
-		first := dial()
-		status, _, _ := get(first)
-		So(status, ShouldEqual, http.StatusOK)
-		second := dial()
-		status, after, closing := get(second)
-		So([]any{status, after, closing}, ShouldResemble, []any{http.StatusServiceUnavailable, "1", true})
-		So(limiter.Usage()[0].Rejected, ShouldBeGreaterThanOrEqualTo, 1)
-		So(first.Close(), ShouldBeNil)
-		waitUntil(func() bool { return limiter.Usage()[0].Used == 0 })
-		third := dial()
-		status, _, _ = get(third)
-		So(status, ShouldEqual, http.StatusOK)
-		So(second.Close(), ShouldBeNil)
-		So(third.Close(), ShouldBeNil)
-		So(s.Stop(time.Minute), ShouldBeNil)
-	})
-}
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -1,10 +1,7 @@
 package rpc
 
 import (
-	"bufio"
 	"context"
-	"io"
-	"net"
 	"testing"
 	"time"
 
@@ -15,31 +12,17 @@
 	"crosstide/internal/routine"
 )
 
-// quietPeers listens at so many addresses and takes connections without a word.
-func quietPeers(count int) (addresses []string, end func()) {
-	var ends []func()
-	for range count {
-		addr, over := plainPeer(func(_ int, c net.Conn, _ *bufio.Reader) { _, _ = io.Copy(io.Discard, c) })
-		addresses, ends = append(addresses, addr), append(ends, over)
-	}
-	return addresses, func() {
-		for _, over := range ends {
-			over()
-		}
-	}
-}
-
-// poolModel plays calls against a caller and remembers the connections that they hold.
+// poolModel makes calls by a client and remembers the connections that they use.
 type poolModel struct {
 	clock  *clock.Virtual
-	caller *Client
+	client *Client
 	quota  *ConnQuota
 	inUse  []*connection
 }
 
-// violation says what is wrong with the pool; empty: nothing is.
+// violation is an invariant of the pool that does not hold; empty: all hold.
 func (m *poolModel) violation(total int) string {
-	pool := m.caller.pool
+	pool := m.client.pool
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	idle := 0
@@ -65,15 +48,15 @@
 	case idle != pool.idleByAge.Len():
 		return "the list by age and the lists by address differ"
 	case m.quota.limiter.Usage()[0].Used != len(pool.open):
-		return "the share does not count what is open"
+		return "the quota does not count what is open"
 	case len(pool.open) > total:
-		return "more connections are open than the budget has"
+		return "more connections are open than the limit"
 	}
 	return ""
 }
 
 func TestPool(t *testing.T) {
-	Convey("Whatever is taken and given back, what is open is in use or idle, and within the budget", t, func() {
+	Convey("Whatever is acquired and released, what is open is in use or idle, and within the limit", t, func() {
 		addresses, end := quietPeers(3)
 		defer end()
 		rapid.Check(t, func(t *rapid.T) {
@@ -84,8 +67,8 @@
 				t.Fatal(err)
 			}
 			m := &poolModel{clock: &clock.Virtual{}, quota: quota}
-			m.caller = NewClient(ClientOptions{Clock: m.clock, MaxIdlePerAddress: 2, IdleTimeout: 10 * time.Second, Quota: quota})
-			defer m.caller.Close()
+			m.client = NewClient(ClientOptions{Clock: m.clock, MaxIdlePerAddress: 2, IdleTimeout: 10 * time.Second, Quota: quota})
+			defer m.client.Close()
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				m.step(t, addresses, total)
 				if wrong := m.violation(total); wrong != "" {
@@ -94,7 +77,7 @@
 			}
 		})
 	})
-	Convey("A connection that becomes idle makes room for a call to another address that waits", t, func() {
+	Convey("A connection that becomes idle is closed for a call to another address that waits", t, func() {
 		addresses, end := quietPeers(2)
 		defer end()
 		limiter := NewConnLimiter(1)
@@ -122,12 +105,12 @@
 	})
 }
 
-// step takes a connection, gives one back or lets time pass.
+// step acquires a connection, releases one or advances the clock.
 func (m *poolModel) step(t *rapid.T, addresses []string, total int) {
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0, 1:
 		if len(m.inUse) < total {
-			l, err := m.caller.acquire(ctx, rapid.SampledFrom(addresses).Draw(t, "to"))
+			l, err := m.client.acquire(ctx, rapid.SampledFrom(addresses).Draw(t, "to"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -138,48 +121,9 @@
 			i := rapid.IntRange(0, len(m.inUse)-1).Draw(t, "which")
 			l := m.inUse[i]
 			m.inUse = append(m.inUse[:i], m.inUse[i+1:]...)
-			m.caller.release(l, rapid.IntRange(0, 4).Draw(t, "whole") > 0)
+			m.client.release(l, rapid.IntRange(0, 4).Draw(t, "reusable") > 0)
 		}
 	case 3:
 		m.clock.Advance(time.Duration(rapid.IntRange(0, 8).Draw(t, "seconds")) * time.Second)
 	}
 }
-
-func TestAddressLimiter(t *testing.T) {
-	Convey("Calls to one address take turns in order, others do not wait, and one whose time is over is Unsent", t, func() {
-		addresses, end := quietPeers(2)
-		defer end()
-		virtual := &clock.Virtual{}
-		k := NewClient(ClientOptions{Clock: virtual, MaxCallsPerAddress: 1})
-		defer k.Close()
-		first, err := k.acquire(ctx, addresses[0])
-		So(err, ShouldBeNil)
-		other, err := k.acquire(ctx, addresses[1])
-		So(err, ShouldBeNil)
-		waiting := func() int {
-			k.addressLimiter.mu.Lock()
-			defer k.addressLimiter.mu.Unlock()
-			return len(k.addressLimiter.waiting[addresses[0]])
-		}
-		work, failed, taken := routine.New(ctx), make(chan error, 1), make(chan *connection, 1)
-		work.Go(func(context.Context) {
-			_, err := k.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
-			failed <- err
-		})
-		waitUntil(func() bool { return waiting() == 1 })
-		work.Go(func(context.Context) {
-			l, _ := k.acquire(ctx, addresses[0])
-			taken <- l
-		})
-		waitUntil(func() bool { return waiting() == 2 })
-		virtual.Advance(time.Second)
-		err = <-failed
-		So([]bool{IsUnsent(err), IsQuotaExhausted(err)}, ShouldResemble, []bool{true, false})
-		k.release(first, true)
-		So(<-taken == first, ShouldBeTrue) // the idle connection goes to the next in turn
-		k.release(first, true)
-		k.release(other, true)
-		So([]int{len(k.addressLimiter.running), len(k.addressLimiter.waiting)}, ShouldResemble, []int{0, 0})
-		work.Wait()
-	})
-}
--- a/internal/rpc/request_test.go
+++ b/internal/rpc/request_test.go
@@ -16,34 +16,10 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
-	"crosstide/internal/routine"
 )
 
-// plainPeer listens and hands each connection to serve, with its number from 1.
-func plainPeer(serve func(n int, c net.Conn, in *bufio.Reader)) (addr string, end func()) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	So(err, ShouldBeNil)
-	work := routine.New(ctx)
-	work.Go(func(context.Context) {
-		for n := 1; ; n++ {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			work.Go(func(context.Context) {
-				defer c.Close()
-				serve(n, c, bufio.NewReader(c))
-			})
-		}
-	})
-	return ln.Addr().String(), func() {
-		_ = ln.Close()
-		work.Stop()
-	}
-}
-
-func TestExchange(t *testing.T) {
-	Convey("Requests go out as they are and every status is a response, over one kept connection", t, func() {
+func TestDo_anyStatus(t *testing.T) {
+	Convey("Requests go out as they are and every status is a response, over one pooled connection", t, func() {
 		type seen struct {
 			n                        int
 			line, host, sent, length string
@@ -83,7 +59,10 @@
 		k.Close()
 		end()
 	})
-	Convey("Time that is over and a ctx that ends give Timeout and a reset", t, func() {
+}
+
+func TestDo_timeout(t *testing.T) {
+	Convey("A time-out and a ctx that ends cause Timeout and a reset", t, func() {
 		for _, byClock := range []bool{true, false} {
 			clock := &clock.Virtual{}
 			k := NewClient(ClientOptions{Clock: clock})
@@ -107,7 +86,10 @@
 			So(len(k.pool.open), ShouldEqual, 0)
 		}
 	})
-	Convey("What surely did not leave is Unsent: a refused connection, no time, a request that cannot be sent", t, func() {
+}
+
+func TestDo_unsent(t *testing.T) {
+	Convey("Not sent for sure: a refused connection, no time, a request that cannot be encoded", t, func() {
 		addr, end := plainPeer(nil)
 		end()
 		k := NewClient(ClientOptions{})
@@ -124,7 +106,10 @@
 		_, err = k.Do(ctx, addr, Request{Method: "POST", Path: "/"}, time.Minute)
 		So([]any{errs.KindOf(err), IsUnsent(err)}, ShouldResemble, []any{errs.Stopped, true})
 	})
-	Convey("A kept connection that the peer closed is passed over; one that breaks under a request is an error, sent once", t, func() {
+}
+
+func TestDo_brokenConnection(t *testing.T) {
+	Convey("An idle connection that the peer closed is skipped; one that breaks under a request is an error, sent once", t, func() {
 		const answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		requests := make(chan int, 10)
 		addr, end := plainPeer(func(n int, c net.Conn, in *bufio.Reader) {
@@ -156,7 +141,10 @@
 		_, err = k.Do(ctx, addr, r, time.Minute)
 		So([]any{err, <-requests, len(requests)}, ShouldResemble, []any{nil, 3, 0})
 	})
-	Convey("A response over the bound is TooLarge, and its connection is not kept", t, func() {
+}
+
+func TestDo_responseTooLarge(t *testing.T) {
+	Convey("A response over the bound is TooLarge, and its connection is not reused", t, func() {
 		addr, end := plainPeer(func(_ int, c net.Conn, in *bufio.Reader) {
 			_, _ = http.ReadRequest(in)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n"+strings.Repeat("x", 11))
@@ -167,12 +155,4 @@
 		_, err := k.Do(ctx, addr, Request{Method: "GET", Path: "/"}, time.Minute)
 		So([]any{errs.KindOf(err), IsUnsent(err), len(k.pool.open)}, ShouldResemble, []any{errs.TooLarge, false, 0})
 	})
-	Convey("Answered tells the peer's errors from our own", t, func() {
-		b := newBench()
-		defer b.end()
-		_, err := Call(ctx, b.Client, b.Addr(), fail, note{}, time.Second)
-		So(IsRemote(err), ShouldBeTrue)
-		_, err = Call(ctx, b.Client, b.Addr(), Endpoint[note, int]{"/echo"}, note{}, time.Second)
-		So([]any{errs.KindOf(err), IsRemote(err)}, ShouldResemble, []any{errs.Malformed, false})
-	})
 }
