--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,37 +6,50 @@
 	"time"
 )
 
-// Directory is one node's part in the membership: no clock, socket or goroutine of its own. now is a reading of the
-// node's clock, which counts suspension. It is not safe for use by several goroutines.
+// Core is one node's part in the membership: no clock, socket or goroutine of its own. now is a reading of the node's
+// clock, which counts suspension. It is not safe for concurrent use.
 type Core struct {
-	cfg          Config
-	self         Member
-	seeds        []string
-	rng          *rand.Rand
-	neighbours   []*neighbour // the partial view
-	directory    []*neighbour // all cplanes known, this node not counted
-	tombstones   map[string]*tombstone
-	pending      map[uint64]*pendingCall // calls without an answer yet
-	lastCallID   uint64
-	lastSeed     int // the seed visited last
-	round        int
-	nextVisit    int           // round of the next visit to a seed
-	missedVisits int           // visits without an answer since the last good one
-	nextShuffle  time.Duration // of the next shuffle
-	leaving      bool
-	changes      []Change
-	Counters     Counters
+	cfg        Config
+	self       Member // Age 0; Heartbeat rises with each message
+	random     *rand.Rand
+	neighbours []*neighbour          // the partial view, at most ViewSize
+	directory  []*neighbour          // the control-plane nodes known, this node not counted, at most DirectorySize
+	tombstones map[string]*tombstone // by name, at most MaxTombstones
+
+	nextShuffle time.Duration
+	round       int // counts shuffles that were due
+	seeds       seedRotation
+	pending     map[uint64]*pendingCall // calls without an answer yet, by ID
+	lastCallID  uint64
+
+	leaving  bool     // Leave was called
+	changes  []Change // of the directory, since Changes was called
+	Counters Counters
 }
 
 // Counters only go up.
-type Counters struct{ Shuffles, Failures, SeedVisits, Received, Suspects, Dropped uint64 }
+type Counters struct {
+	Shuffles   uint64 // sent, those to seeds counted
+	Failures   uint64 // without an answer
+	SeedVisits uint64
+	Received   uint64
+	Suspects   uint64 // neighbours that were suspected
+	Dropped    uint64 // suspects that were removed
+}
 
-// neighbour is a node that this one knows, with the newest version of its note.
+// neighbour is a node that this one knows, with the newest version of it.
 type neighbour struct {
 	Member
 	sentAt       time.Duration // when the node sent this version, on this node's clock
-	suspectSince time.Duration // valid while suspected
 	suspected    bool
+	suspectSince time.Duration // valid while suspected
+}
+
+// memberAt is the version with its age at now, as it is sent.
+func (e *neighbour) memberAt(now time.Duration) Member {
+	m := e.Member
+	m.Age = max(0, (now - e.sentAt).Milliseconds())
+	return m
 }
 
 // tombstone marks a version as ended; with left set, the whole incarnation has ended.
@@ -46,69 +59,56 @@
 	left   bool
 }
 
-// pendingCall is a call that has no answer yet.
-type pendingCall struct {
-	name       string // of the neighbour called, "" for a seed that is no neighbour
-	seed       bool
-	neighbours []string // the neighbours whose notes it carried
-	sentAt     time.Duration
-}
-
-// HandleShuffle is a message to be sent to Addr. Its outcome is passed to Answer or Failure under ID.
-type Call struct {
-	ID   uint64
-	Addr string
-	Message
-}
-
-// New makes the core of self, which knows nothing but the addresses of its seeds. The same rnd leads to the same steps.
-// Example:
+// New makes the core of self, which knows nothing but the addresses of its seeds. The same randomSeed leads to the same
+// steps. Example:
 //
-//	c := membership.New(membership.Defaults(), membership.Member{Name: "d1", Addr: addr, Zone: "a", Role: membership.RoleDataPlane, Boot: boot}, seeds, 1)
-//	for _, call := range c.Tick(now) {
+//	self := membership.Member{Name: "d1", Addr: addr, Zone: "a", Role: membership.RoleDataPlane, Incarnation: started}
+//	core := membership.New(membership.Defaults(), self, seeds, 1)
+//	for _, call := range core.Tick(now) {
 //		if answer, err := send(call.Addr, call.Message); err != nil {
-//			c.HandleFailure(now, call.ID)
+//			core.HandleFailure(now, call.ID)
 //		} else {
-//			c.HandleAnswer(now, call.ID, answer)
+//			core.HandleAnswer(now, call.ID, answer)
 //		}
 //	}
 func New(cfg Config, self Member, seeds []string, randomSeed uint64) *Core {
-	c := &Core{cfg: cfg, self: self, rng: rand.New(rand.NewPCG(randomSeed, 0)), tombstones: map[string]*tombstone{}, pending: map[uint64]*pendingCall{}}
+	c := &Core{
+		cfg:        cfg,
+		self:       self,
+		random:     rand.New(rand.NewPCG(randomSeed, 0)),
+		tombstones: map[string]*tombstone{},
+		pending:    map[uint64]*pendingCall{},
+	}
 	c.self.Age = 0
-	for _, s := range seeds {
-		if s != self.Addr && !slices.Contains(c.seeds, s) {
-			c.seeds = append(c.seeds, s)
+	for _, addr := range seeds {
+		if addr != self.Addr && !slices.Contains(c.seeds.addrs, addr) {
+			c.seeds.addrs = append(c.seeds.addrs, addr)
 		}
 	}
-	if len(c.seeds) > 0 {
-		c.lastSeed = c.rng.IntN(len(c.seeds))
+	if len(c.seeds.addrs) > 0 {
+		c.seeds.last = c.random.IntN(len(c.seeds.addrs))
 	}
-	c.nextVisit = len(c.seeds) + 1 + c.rng.IntN(max(1, cfg.ShufflesPerSeedVisit))
+	c.seeds.nextVisit = len(c.seeds.addrs) + 1 + c.random.IntN(max(1, cfg.ShufflesPerSeedVisit))
 	return c
 }
 
 // NextTick is when the next Tick has something to do.
 func (c *Core) NextTick() time.Duration { return c.nextShuffle }
 
-// Tick drops what has expired and, when a shuffle is due, returns the call for it.
+// Tick removes what has expired and, when a shuffle is due, returns the call for it.
 func (c *Core) Tick(now time.Duration) []Call {
 	if now < c.nextShuffle || c.leaving {
 		return nil
 	}
-	c.nextShuffle = now + c.cfg.ShuffleInterval*time.Duration(90+c.rng.IntN(21))/100
+	c.nextShuffle = now + c.cfg.ShuffleInterval*time.Duration(90+c.random.IntN(21))/100
 	c.round++
 	c.expire(now)
 	target := c.oldestNeighbour()
-	joins := c.round <= len(c.seeds) // every seed is visited once: those that start together may have met elsewhere
-	if target == nil || joins || c.round >= c.nextVisit {
-		c.nextVisit = c.round + c.cfg.ShufflesPerSeedVisit
-		// In a large fleet only the few cplanes go on visiting seeds, so that the seeds' overload does not grow with it.
-		if addr := c.nextSeed(); addr != "" && (target == nil || joins || c.self.Role == RoleControlPlane || len(c.directory) == 0) {
-			c.Counters.SeedVisits++
-			call := c.newShuffle(now, addr, c.neighbourAt(addr))
-			c.pending[call.ID].seed = true
-			return []Call{call}
-		}
+	if addr := c.seedDue(target); addr != "" {
+		c.Counters.SeedVisits++
+		call := c.newShuffle(now, addr, c.neighbourAt(addr))
+		c.pending[call.ID].isSeedVisit = true
+		return []Call{call}
 	}
 	if target == nil {
 		return nil
@@ -116,27 +116,19 @@
 	return []Call{c.newShuffle(now, target.Addr, target)}
 }
 
-func (c *Core) nextSeed() string {
-	if len(c.seeds) == 0 {
-		return ""
-	}
-	c.lastSeed = (c.lastSeed + 1) % len(c.seeds)
-	return c.seeds[c.lastSeed]
-}
-
 // oldestNeighbour returns the neighbour with the oldest version, nil if there is none. Suspected neighbours and those
-// with a call under way are left out.
-func (c *Core) oldestNeighbour() (out *neighbour) {
-	busy := map[string]bool{}
-	for _, a := range c.pending {
-		busy[a.name] = true
+// with a call in flight are left out.
+func (c *Core) oldestNeighbour() (oldest *neighbour) {
+	inFlight := map[string]bool{}
+	for _, call := range c.pending {
+		inFlight[call.name] = true
 	}
 	for _, e := range c.neighbours {
-		if !e.suspected && !busy[e.Name] && (out == nil || e.sentAt < out.sentAt) {
-			out = e
+		if !e.suspected && !inFlight[e.Name] && (oldest == nil || e.sentAt < oldest.sentAt) {
+			oldest = e
 		}
 	}
-	return out
+	return oldest
 }
 
 func (c *Core) neighbourAt(addr string) *neighbour {
@@ -148,120 +140,31 @@
 	return nil
 }
 
-func (c *Core) newShuffle(now time.Duration, addr string, to *neighbour) Call {
-	a := &pendingCall{sentAt: now}
-	if to != nil {
-		a.name = to.Name
-	}
-	m, sent := c.newMessage(now, a.name)
-	for _, e := range c.neighbours {
-		if e.suspected && len(m.Suspects) < c.cfg.MaxDepartures {
-			m.Suspects = append(m.Suspects, e.Name)
+// expire removes what has expired, and the suspects of which no newer version came in time.
+func (c *Core) expire(now time.Duration) {
+	c.neighbours = slices.DeleteFunc(c.neighbours, func(e *neighbour) bool {
+		isGone := e.suspected && now-e.suspectSince >= c.cfg.SuspectTimeout
+		if isGone {
+			c.addTombstone(e, false)
+			c.Counters.Dropped++
 		}
-	}
-	a.neighbours = sent
-	c.lastCallID++
-	c.pending[c.lastCallID] = a
-	c.Counters.Shuffles++
-	return Call{c.lastCallID, addr, m}
-}
-
-// newMessage returns a message for the node named to, and the names of the neighbours in it.
-func (c *Core) newMessage(now time.Duration, to string) (Message, []string) {
-	c.self.Heartbeat++
-	m := Message{From: c.self, Leaving: c.leaving}
-	var sent []string
-	for _, i := range c.rng.Perm(len(c.neighbours)) {
-		if e := c.neighbours[i]; !e.suspected && e.Name != to && len(sent) < c.cfg.ShuffleLength-1 {
-			m.Sample = append(m.Sample, e.memberAt(now))
-			sent = append(sent, e.Name)
+		return isGone || now-e.sentAt >= c.cfg.MemberTTL
+	})
+	c.directory = slices.DeleteFunc(c.directory, func(e *neighbour) bool {
+		isExpired := now-e.sentAt >= c.cfg.DirectoryTTL
+		if isExpired {
+			c.changes = append(c.changes, Change{Expired, e.Member})
 		}
-	}
-	for _, e := range c.directory {
-		m.Directory = append(m.Directory, e.memberAt(now))
-	}
-	for _, name := range sortedNames(c.tombstones) {
-		if t := c.tombstones[name]; t.left && now-t.sentAt < c.cfg.MemberTTL {
-			m.Departed = append(m.Departed, (&neighbour{Member: t.Member, sentAt: t.sentAt}).memberAt(now))
-		}
-	}
-	c.rng.Shuffle(len(m.Departed), func(i, j int) { m.Departed[i], m.Departed[j] = m.Departed[j], m.Departed[i] })
-	m.Departed = m.Departed[:min(len(m.Departed), c.cfg.MaxDepartures)]
-	return m, sent
-}
-
-func (e *neighbour) memberAt(now time.Duration) Member {
-	n := e.Member
-	n.Age = max(0, (now - e.sentAt).Milliseconds())
-	return n
-}
-
-// HandleShuffle handles an incoming message and returns the answer.
-func (c *Core) HandleShuffle(now time.Duration, m Message) Message {
-	c.Counters.Received++
-	c.expire(now)
-	out, sent := c.newMessage(now, m.From.Name)
-	for _, name := range m.Suspects[:min(len(m.Suspects), c.cfg.MaxDepartures)] {
-		if e := c.newest(name); e != nil && !slices.Contains(sent, name) {
-			out.Sample = append(out.Sample, e.memberAt(now))
-		}
-	}
-	c.merge(now, now, m, sent, true)
-	return out
-}
-
-// HandleAnswer takes the answer to the call id. Ages in it are counted from when the call was sent.
-func (c *Core) HandleAnswer(now time.Duration, id uint64, m Message) {
-	a := c.pending[id]
-	if a == nil {
-		return
-	}
-	delete(c.pending, id)
-	if a.seed {
-		c.missedVisits = 0
-	}
-	if e := findByName(c.neighbours, a.name); e != nil {
-		if m.From.Name != a.name {
-			c.addTombstone(e, false) // another node lives at its address
+		return isExpired
+	})
+	for name, t := range c.tombstones {
+		if now-t.sentAt >= 2*c.cfg.MemberTTL {
+			delete(c.tombstones, name)
 		}
-		// Its place is freed for the nodes in its answer: it has just received some of ours.
-		c.neighbours = slices.DeleteFunc(c.neighbours, func(one *neighbour) bool { return one == e })
 	}
-	c.merge(now, a.sentAt, m, a.neighbours, false)
-}
-
-// HandleFailure records that the call id failed: the node that was called is suspected.
-func (c *Core) HandleFailure(now time.Duration, id uint64) {
-	a := c.pending[id]
-	if a == nil {
-		return
-	}
-	delete(c.pending, id)
-	c.Counters.Failures++
-	if a.seed {
-		// The next seed soon, but with neighbours in between: dead seeds must not keep a node from shuffling.
-		c.missedVisits = min(c.missedVisits+1, c.cfg.ShufflesPerSeedVisit)
-		c.nextVisit = min(c.nextVisit, c.round+1+c.missedVisits)
-	}
-	// A version sent since the call clears it.
-	if e := findByName(c.neighbours, a.name); e != nil && !e.suspected && e.sentAt < a.sentAt {
-		e.suspected, e.suspectSince = true, now
-		c.Counters.Suspects++
-	}
-}
-
-// Leave returns the last calls of this node, which announce its departure to some cplanes and neighbours. Their
-// outcomes need not be passed on; Tick returns no calls any more.
-func (c *Core) Leave(now time.Duration) (out []Call) {
-	c.leaving = true
-	m, _ := c.newMessage(now, "")
-	m.Sample, m.Directory = nil, nil
-	to := append(slices.Clone(c.directory), c.neighbours...)
-	for _, e := range to {
-		if len(out) < c.cfg.ShuffleLength && !e.suspected && !slices.ContainsFunc(out, func(k Call) bool { return k.Addr == e.Addr }) {
-			c.lastCallID++
-			out = append(out, Call{c.lastCallID, e.Addr, m})
+	for id, call := range c.pending {
+		if now-call.sentAt >= c.cfg.MemberTTL {
+			delete(c.pending, id)
 		}
 	}
-	return out
 }
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -1,58 +1,93 @@
 package membership
 
 import (
-	"maps"
 	"slices"
 	"strings"
 	"time"
 )
 
-// newest returns the newest version known of a node, nil if there is none.
-func (c *Core) newest(name string) *neighbour {
-	e, d := findByName(c.neighbours, name), findByName(c.directory, name)
-	if e == nil || d != nil && compareVersions(e.Member, d.Member) < 0 {
-		return d
-	}
-	return e
+// Kinds of change in the directory of control-plane nodes.
+const (
+	Joined    = "came"
+	Restarted = "again" // under a new incarnation
+	Moved     = "moved" // to another address
+	Left      = "left"  // announced by the node itself
+	Expired   = "lost"  // no newer version for Config.DirectoryTTL
+)
+
+// Change is a change in the directory of control-plane nodes.
+type Change struct {
+	Kind   string
+	Member Member
 }
 
-// Changes returns the changes of the directory of cplanes since the last call.
+// Changes returns the changes of the directory since the last call.
 func (c *Core) Changes() []Change {
 	out := c.changes
 	c.changes = nil
 	return out
 }
 
-// OnControlPlanes returns the addresses of all cplanes known, in order of their names, this node not counted.
+// ControlPlanes returns the addresses of all control-plane nodes known, in order of their names, this node not counted.
 func (c *Core) ControlPlanes() []string {
-	list := slices.Clone(c.directory)
-	slices.SortFunc(list, byName)
-	out := make([]string, len(list))
-	for i, e := range list {
+	sorted := slices.Clone(c.directory)
+	slices.SortFunc(sorted, byName)
+	out := make([]string, len(sorted))
+	for i, e := range sorted {
 		out[i] = e.Addr
 	}
 	return out
 }
 
-// Nodes returns all nodes known at now, in order of their names: this one, its neighbours and the directory of cplanes.
+// MemberStatus is a node as this one knows it.
+type MemberStatus struct {
+	Name        string        `json:"name"`
+	Role        string        `json:"role"`
+	Zone        string        `json:"zone"`
+	Addr        string        `json:"addr"`
+	Incarnation uint64        `json:"boot"`
+	Age         time.Duration `json:"age"` // since it sent the newest version known here, in nanoseconds
+	Suspect     bool          `json:"suspect,omitempty"`
+}
+
+// Nodes returns all nodes known at now, in order of their names: this one, its neighbours and the directory.
 func (c *Core) Nodes(now time.Duration) []MemberStatus {
-	list := []*neighbour{{Member: c.self, sentAt: now}}
+	known := []*neighbour{{Member: c.self, sentAt: now}}
 	for _, e := range append(slices.Clone(c.neighbours), c.directory...) {
-		if findByName(list, e.Name) == nil && now-e.sentAt < c.cfg.MemberTTL {
-			list = append(list, c.newest(e.Name))
+		if findByName(known, e.Name) == nil && now-e.sentAt < c.cfg.MemberTTL {
+			known = append(known, c.newest(e.Name))
 		}
 	}
-	slices.SortFunc(list, byName)
-	out := make([]MemberStatus, len(list))
-	for i, e := range list {
-		v := findByName(c.neighbours, e.Name)
-		out[i] = MemberStatus{e.Name, e.Role, e.Zone, e.Addr, e.Incarnation, now - e.sentAt, v != nil && v.suspected}
+	slices.SortFunc(known, byName)
+	out := make([]MemberStatus, len(known))
+	for i, e := range known {
+		inView := findByName(c.neighbours, e.Name)
+		out[i] = MemberStatus{
+			Name: e.Name, Role: e.Role, Zone: e.Zone, Addr: e.Addr, Incarnation: e.Incarnation,
+			Age: now - e.sentAt, Suspect: inView != nil && inView.suspected,
+		}
 	}
 	return out
 }
 
-// Size returns the number of neighbours and of cplanes in the directory.
-func (c *Core) Size() (view, core int) { return len(c.neighbours), len(c.directory) }
+// Size returns the number of neighbours, of suspects among them, and of control-plane nodes in the directory.
+func (c *Core) Size() (neighbours, suspects, directory int) {
+	for _, e := range c.neighbours {
+		if e.suspected {
+			suspects++
+		}
+	}
+	return len(c.neighbours), suspects, len(c.directory)
+}
+
+// newest returns the newest version known of a node, nil if there is none.
+func (c *Core) newest(name string) *neighbour {
+	e, d := findByName(c.neighbours, name), findByName(c.directory, name)
+	if e == nil || d != nil && compareVersions(e.Member, d.Member) < 0 {
+		return d
+	}
+	return e
+}
 
 func byName(a, b *neighbour) int { return strings.Compare(a.Name, b.Name) }
 
@@ -64,5 +99,3 @@
 	}
 	return nil
 }
-
-func sortedNames(m map[string]*tombstone) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -1,132 +1,165 @@
 package membership
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
 
-// merge applies a message; its ages count back from at. sent are neighbours whose places may be reused. The sender of
-// a call takes the first place that is free or may be reused; the sender of an answer only a free one.
-func (c *Core) merge(now, at time.Duration, m Message, sent []string, caller bool) {
-	for _, n := range m.Departed[:min(len(m.Departed), c.cfg.MaxTombstones)] {
-		c.markLeft(now, at, n)
+// mergeCall applies the message of a call. sample are the neighbours in the answer to it, whose places may be reused.
+// The sender takes the first place that is free or may be reused.
+func (c *Core) mergeCall(now time.Duration, m Message, sample []string) {
+	c.mergeDeparted(now, now, m)
+	from := m.From
+	from.Age = 0
+	if m.Leaving {
+		c.markLeft(now, now, from)
+	} else {
+		c.addNeighbour(now, now, from, &sample)
 	}
+	c.mergeSample(now, now, m, &sample)
+	c.mergeDirectory(now, now, m)
+}
+
+// mergeAnswer applies the message of an answer, whose ages count back from sentAt. sample are the neighbours in the
+// call, whose places may be reused, but not for the sender.
+func (c *Core) mergeAnswer(now, sentAt time.Duration, m Message, sample []string) {
+	c.mergeDeparted(now, sentAt, m)
 	from := m.From
 	from.Age = 0
 	if m.Leaving {
-		c.markLeft(now, at, from)
-	} else if caller {
-		c.addNeighbour(now, at, from, &sent)
+		c.markLeft(now, sentAt, from)
 	}
-	for _, n := range m.Sample[:min(len(m.Sample), 2*c.cfg.ShuffleLength)] {
-		c.addNeighbour(now, at, n, &sent)
+	c.mergeSample(now, sentAt, m, &sample)
+	if !m.Leaving {
+		c.addNeighbour(now, sentAt, from, nil)
 	}
-	if !m.Leaving && !caller {
-		c.addNeighbour(now, at, from, nil)
+	c.mergeDirectory(now, sentAt, m)
+}
+
+func (c *Core) mergeDeparted(now, at time.Duration, m Message) {
+	for _, n := range m.Departed[:min(len(m.Departed), c.cfg.MaxTombstones)] {
+		c.markLeft(now, at, n)
 	}
+}
+
+func (c *Core) mergeSample(now, at time.Duration, m Message, reusable *[]string) {
+	for _, n := range m.Sample[:min(len(m.Sample), 2*c.cfg.ShuffleLength)] {
+		c.addNeighbour(now, at, n, reusable)
+	}
+}
+
+func (c *Core) mergeDirectory(now, at time.Duration, m Message) {
 	for _, n := range m.Directory[:min(len(m.Directory), c.cfg.DirectorySize)] {
 		c.addControlPlane(now, at, n)
 	}
 }
 
-// admit reports whether n may be stored, and when it was sent. A note with this node's own name from another process
-// makes this node raise its incarnation above it.
-func (c *Core) admit(now, at time.Duration, n Member) (time.Duration, bool) {
-	if !n.valid() {
+// admit reports whether n may be stored, and when it was sent; its age counts back from at. A member with this node's
+// own name from another process makes this node raise its incarnation above it.
+func (c *Core) admit(now, at time.Duration, n Member) (sentAt time.Duration, ok bool) {
+	if !n.isValid() {
 		return 0, false
 	}
 	if n.Name == c.self.Name {
-		if n.Incarnation > c.self.Incarnation || n.Incarnation == c.self.Incarnation && n.Heartbeat > c.self.Heartbeat {
+		if compareVersions(n, c.self) > 0 {
 			c.self.Incarnation, c.self.Heartbeat = n.Incarnation+1, 0
 		}
 		return 0, false
 	}
-	at -= time.Duration(min(max(0, n.Age), c.cfg.MemberTTL.Milliseconds())) * time.Millisecond
-	if now-at >= c.cfg.MemberTTL {
+	age := min(max(0, n.Age), c.cfg.MemberTTL.Milliseconds())
+	sentAt = at - time.Duration(age)*time.Millisecond
+	if now-sentAt >= c.cfg.MemberTTL {
 		return 0, false
 	}
-	if t := c.tombstones[n.Name]; t != nil && (n.Incarnation < t.Incarnation || n.Incarnation == t.Incarnation && (t.left || n.Heartbeat <= t.Heartbeat)) {
+	if t := c.tombstones[n.Name]; t != nil && t.covers(n) {
 		return 0, false
 	}
-	return at, true
+	return sentAt, true
 }
 
-// update replaces e by n if that is the newer version.
-func (e *neighbour) update(n Member, at time.Duration) {
+// covers reports whether the tombstone marks a version as ended.
+func (t *tombstone) covers(n Member) bool {
+	return n.Incarnation < t.Incarnation || n.Incarnation == t.Incarnation && (t.left || n.Heartbeat <= t.Heartbeat)
+}
+
+// update replaces e by n if that is the newer version, which also ends a suspicion.
+func (e *neighbour) update(n Member, sentAt time.Duration) {
 	switch order := compareVersions(e.Member, n); {
 	case order < 0:
-		*e = neighbour{Member: n, sentAt: at}
+		*e = neighbour{Member: n, sentAt: sentAt}
 	case order == 0:
-		e.sentAt = min(e.sentAt, at) // an age leaves out the time in transit: the greater one is closer to the truth
+		// An age leaves out the time in transit: the greater one is closer to the truth.
+		e.sentAt = min(e.sentAt, sentAt)
 	}
 }
 
-// addNeighbour stores a note among the neighbours, and in the directory if it is a cplane's. sent are neighbours
-// whose places may be reused.
-func (c *Core) addNeighbour(now, at time.Duration, n Member, sent *[]string) {
-	at, ok := c.admit(now, at, n)
+// addNeighbour stores a member among the neighbours, and in the directory if it is a control-plane node. reusable are
+// the neighbours whose places may be reused; nil: none.
+func (c *Core) addNeighbour(now, at time.Duration, n Member, reusable *[]string) {
+	sentAt, ok := c.admit(now, at, n)
 	if !ok {
 		return
 	}
 	n.Age = 0
-	c.updateDirectory(now, n, at)
-	if k := findByName(c.directory, n.Name); k != nil && n.Incarnation < k.Incarnation {
-		n, at = k.Member, k.sentAt
+	c.updateDirectory(now, n, sentAt)
+	if known := findByName(c.directory, n.Name); known != nil && n.Incarnation < known.Incarnation {
+		n, sentAt = known.Member, known.sentAt
 	}
 	if e := findByName(c.neighbours, n.Name); e != nil {
-		e.update(n, at)
+		e.update(n, sentAt)
 		return
 	}
 	if len(c.neighbours) < c.cfg.ViewSize {
-		c.neighbours = append(c.neighbours, &neighbour{Member: n, sentAt: at})
+		c.neighbours = append(c.neighbours, &neighbour{Member: n, sentAt: sentAt})
 		return
 	}
-	for sent != nil && len(*sent) > 0 {
-		out := findByName(c.neighbours, (*sent)[0])
-		if *sent = (*sent)[1:]; out != nil {
-			*out = neighbour{Member: n, sentAt: at}
+	for reusable != nil && len(*reusable) > 0 {
+		replaced := findByName(c.neighbours, (*reusable)[0])
+		if *reusable = (*reusable)[1:]; replaced != nil {
+			*replaced = neighbour{Member: n, sentAt: sentAt}
 			return
 		}
 	}
 }
 
-// addControlPlane stores a note of a cplane in the directory. A neighbour of that name is updated only when it is suspected
-// or restarted: the directory is always recent, and a neighbour kept recent by it would never be the oldest one, and
-// would stay a neighbour of most nodes.
+// addControlPlane stores a member of a message's directory. A neighbour of that name is updated only when it is
+// suspected or restarted: the directory is always recent, and a neighbour kept recent by it would never be the oldest
+// one, and would stay a neighbour of most nodes.
 func (c *Core) addControlPlane(now, at time.Duration, n Member) {
-	at, ok := c.admit(now, at, n)
+	sentAt, ok := c.admit(now, at, n)
 	if !ok {
 		return
 	}
 	n.Age = 0
-	c.updateDirectory(now, n, at)
+	c.updateDirectory(now, n, sentAt)
 	if e := findByName(c.neighbours, n.Name); e != nil && (e.suspected || e.Incarnation < n.Incarnation) {
-		e.update(n, at)
+		e.update(n, sentAt)
 	}
 }
 
-// updateDirectory stores a note in the directory if it is a cplane's, and records the change.
-func (c *Core) updateDirectory(now time.Duration, n Member, at time.Duration) {
-	if n.Role != RoleControlPlane || now-at >= c.cfg.DirectoryTTL {
+// updateDirectory stores a member in the directory if it is a control-plane node, and records the change.
+func (c *Core) updateDirectory(now time.Duration, n Member, sentAt time.Duration) {
+	if n.Role != RoleControlPlane || now-sentAt >= c.cfg.DirectoryTTL {
 		return
 	}
-	if v := findByName(c.neighbours, n.Name); v != nil && compareVersions(n, v.Member) < 0 {
-		n, at = v.Member, v.sentAt
+	if known := findByName(c.neighbours, n.Name); known != nil && compareVersions(n, known.Member) < 0 {
+		n, sentAt = known.Member, known.sentAt
 	}
 	e := findByName(c.directory, n.Name)
 	if e == nil {
 		if len(c.directory) < c.cfg.DirectorySize {
-			c.directory = append(c.directory, &neighbour{Member: n, sentAt: at})
+			c.directory = append(c.directory, &neighbour{Member: n, sentAt: sentAt})
 			c.changes = append(c.changes, Change{Joined, n})
 		}
 		return
 	}
-	was := e.Member
-	e.update(n, at)
+	before := e.Member
+	e.update(n, sentAt)
 	switch {
-	case e.Incarnation != was.Incarnation:
+	case e.Incarnation != before.Incarnation:
 		c.changes = append(c.changes, Change{Restarted, e.Member})
-	case e.Addr != was.Addr:
+	case e.Addr != before.Addr:
 		c.changes = append(c.changes, Change{Moved, e.Member})
 	}
 }
@@ -136,7 +169,7 @@
 	if n.Name == c.self.Name && n.Incarnation >= c.self.Incarnation && !c.leaving {
 		c.self.Incarnation, c.self.Heartbeat = n.Incarnation+1, 0
 	}
-	at, ok := c.admit(now, at, n)
+	sentAt, ok := c.admit(now, at, n)
 	if !ok {
 		return
 	}
@@ -147,54 +180,28 @@
 	if e := findByName(c.directory, n.Name); e != nil {
 		c.changes = append(c.changes, Change{Left, e.Member})
 	}
-	c.addTombstone(&neighbour{Member: n, sentAt: at}, true)
-	ours := func(e *neighbour) bool { return e.Name == n.Name }
-	c.neighbours, c.directory = slices.DeleteFunc(c.neighbours, ours), slices.DeleteFunc(c.directory, ours)
+	c.addTombstone(&neighbour{Member: n, sentAt: sentAt}, true)
+	hasLeft := func(e *neighbour) bool { return e.Name == n.Name }
+	c.neighbours, c.directory = slices.DeleteFunc(c.neighbours, hasLeft), slices.DeleteFunc(c.directory, hasLeft)
 }
 
-// addTombstone records a version as ended until all copies of it have expired. Over the bound the oldest is dropped.
+// addTombstone marks a version as ended until all copies of it have expired. Over the bound the oldest is removed.
 func (c *Core) addTombstone(e *neighbour, left bool) {
-	if t := c.tombstones[e.Name]; t != nil && (compareVersions(t.Member, e.Member) > 0 || t.left && t.Incarnation == e.Incarnation) {
+	if t := c.tombstones[e.Name]; t != nil &&
+		(compareVersions(t.Member, e.Member) > 0 || t.left && t.Incarnation == e.Incarnation) {
 		return
 	}
 	c.tombstones[e.Name] = &tombstone{e.Member, e.sentAt, left}
 	if len(c.tombstones) <= c.cfg.MaxTombstones {
 		return
 	}
-	first := ""
+	oldest := ""
 	for _, name := range sortedNames(c.tombstones) {
-		if first == "" || c.tombstones[name].sentAt < c.tombstones[first].sentAt {
-			first = name
+		if oldest == "" || c.tombstones[name].sentAt < c.tombstones[oldest].sentAt {
+			oldest = name
 		}
 	}
-	delete(c.tombstones, first)
+	delete(c.tombstones, oldest)
 }
 
-// expire drops what has expired, and the suspects of which no newer version came in time.
-func (c *Core) expire(now time.Duration) {
-	c.neighbours = slices.DeleteFunc(c.neighbours, func(e *neighbour) bool {
-		out := e.suspected && now-e.suspectSince >= c.cfg.SuspectTimeout
-		if out {
-			c.addTombstone(e, false)
-			c.Counters.Dropped++
-		}
-		return out || now-e.sentAt >= c.cfg.MemberTTL
-	})
-	c.directory = slices.DeleteFunc(c.directory, func(e *neighbour) bool {
-		out := now-e.sentAt >= c.cfg.DirectoryTTL
-		if out {
-			c.changes = append(c.changes, Change{Expired, e.Member})
-		}
-		return out
-	})
-	for name, t := range c.tombstones {
-		if now-t.sentAt >= 2*c.cfg.MemberTTL {
-			delete(c.tombstones, name)
-		}
-	}
-	for id, a := range c.pending {
-		if now-a.sentAt >= c.cfg.MemberTTL {
-			delete(c.pending, id)
-		}
-	}
-}
+func sortedNames(m map[string]*tombstone) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -15,35 +15,37 @@
 	"crosstide/internal/routine"
 )
 
-// Send sends a message to an address and returns the answer; it has its own time-out.
+// SendFunc sends a message to an address and returns the answer; it has its own time-out.
 type SendFunc func(ctx context.Context, addr string, m Message) (Message, error)
 
-// Options are what a node is made of; Self, Ask and Clock are needed.
+// Options are what a node is made of; Self, Send and Clock are needed.
 type Options struct {
-	Self       Member // Boot 0 takes the time of day in milliseconds
+	Self       Member // Incarnation 0 takes the time of day in milliseconds
 	Seeds      []string
-	RandomSeed uint64
+	RandomSeed uint64  // of the steps, see New
 	Config     *Config // default Defaults
 	Send       SendFunc
 	Clock      clock.Clock
-	Logger     log.Logger
-	Registry   prometheus.Registerer // default: not shown
-	// Cplanes is called with the addresses of the cplanes after each change of their directory.
+	Logger     log.Logger            // default: none
+	Registry   prometheus.Registerer // default: the metrics are not registered
+	// OnControlPlanes is called with the addresses of the control-plane nodes after each change of their directory, one
+	// call at a time. Default: none.
 	OnControlPlanes func(addrs []string)
 }
 
-// Node runs a Core.
+// Node runs a Core on a clock and the network. It is safe for concurrent use.
 type Node struct {
 	opt   Options
-	group *routine.Group
-	mu    sync.Mutex
-	core  *Core
-	bytes prometheus.Counter
+	group *routine.Group     // from Start on
+	bytes prometheus.Counter // of JSON sent
+
+	mu   sync.Mutex // guards core, and orders the calls of OnControlPlanes
+	core *Core
 }
 
 // NewNode makes a node; Start runs it. Example:
 //
-//	n := membership.NewNode(membership.Options{Self: self, Seeds: seeds, Ask: ask, Clock: clock.Real{}})
+//	n := membership.NewNode(membership.Options{Self: self, Seeds: seeds, Send: send, Clock: clock.Real{}})
 //	rpc.Handle(srv, internalapi.Shuffle, n.Serve)
 //	n.Start(ctx)
 //	defer n.Stop(ctx)
@@ -73,7 +75,7 @@
 	n.group.Go(n.run)
 }
 
-// Stop ends the node and announces its departure to some neighbours, until ctx ends at the latest.
+// Stop ends the node and announces its departure to some nodes, until ctx ends at the latest.
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
 	calls := n.core.Leave(n.opt.Clock.Now())
@@ -82,11 +84,12 @@
 	routine.Each(len(calls), len(calls), func(i int) {
 		n.countBytes(calls[i].Message)
 		if _, err := n.opt.Send(ctx, calls[i].Addr, calls[i].Message); err != nil {
-			_ = level.Debug(n.opt.Logger).Log("msg", "leaving was not heard", "addr", calls[i].Addr, "err", err)
+			_ = level.Debug(n.opt.Logger).Log("msg", "departure announcement failed", "addr", calls[i].Addr, "err", err)
 		}
 	})
 }
 
+// run shuffles until ctx ends, each on a goroutine of its own, so that a slow peer delays nothing.
 func (n *Node) run(ctx context.Context) {
 	for {
 		n.mu.Lock()
@@ -109,6 +112,7 @@
 	}
 }
 
+// shuffle makes one call and passes its outcome to the core.
 func (n *Node) shuffle(ctx context.Context, call Call) {
 	n.countBytes(call.Message)
 	answer, err := n.opt.Send(ctx, call.Addr, call.Message)
@@ -120,14 +124,14 @@
 	}
 	n.mu.Unlock()
 	if err != nil {
-		_ = level.Debug(n.opt.Logger).Log("msg", "a shuffle failed", "addr", call.Addr, "err", err)
+		_ = level.Debug(n.opt.Logger).Log("msg", "shuffle failed", "addr", call.Addr, "err", err)
 	}
 	n.reportChanges()
 }
 
 // Serve answers a shuffle. Failure: Invalid.
 func (n *Node) Serve(_ context.Context, m Message) (Message, error) {
-	if !m.From.valid() {
+	if !m.From.isValid() {
 		return Message{}, errs.Field(errs.Invalid, "from", "must be a node with its name and address")
 	}
 	n.mu.Lock()
@@ -143,8 +147,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock() // the order of two changes is kept
 	changes := n.core.Changes()
-	for _, ch := range changes {
-		_ = level.Info(n.opt.Logger).Log("msg", "cplane", "what", ch.Kind, "name", ch.Member.Name, "addr", ch.Member.Addr, "boot", ch.Member.Incarnation)
+	for _, change := range changes {
+		_ = level.Info(n.opt.Logger).Log("msg", "control plane changed", "change", change.Kind,
+			"name", change.Member.Name, "addr", change.Member.Addr, "incarnation", change.Member.Incarnation)
 	}
 	if len(changes) > 0 && n.opt.OnControlPlanes != nil {
 		n.opt.OnControlPlanes(n.core.ControlPlanes())
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -11,8 +11,8 @@
 	"crosstide/internal/errs"
 )
 
-func TestNode(t *testing.T) {
-	Convey("A shuffle that comes in is answered, counted, and its cplanes are handed on; one from nobody is refused", t, func() {
+func TestNode_serve(t *testing.T) {
+	Convey("A shuffle that comes in is answered, counted, and its control planes are reported; one without a sender is rejected", t, func() {
 		var got []string
 		reg := prometheus.NewRegistry()
 		n := NewNode(Options{Self: Member{Name: "d1", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, Clock: &clock.Virtual{},
