--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -14,8 +14,8 @@
 	"crosstide/internal/state/command"
 )
 
-// StoreSource names the store's changes in a vector of versions; their version is the log index.
-const StoreSource = "store"
+// storeSource names the store's changes in a vector of versions; their version is the log index.
+const storeSource = "store"
 
 // Bounds of a pull.
 const (
@@ -59,12 +59,12 @@
 func (r *Replica) Pull(ctx context.Context, source Source, node string, wait time.Duration) error {
 	from := r.Index()
 	answer, err := source.Follow(ctx, internalapi.FollowCall{
-		Node: node, Vector: map[string]uint64{StoreSource: from}, Wait: wait, Max: maxChangeBytes,
+		Node: node, Vector: map[string]uint64{storeSource: from}, Wait: wait, Max: maxChangeBytes,
 	})
 	if err != nil {
 		return errs.Pass(err, "follow from %d", from)
 	}
-	missing := answer.Updates[StoreSource]
+	missing := answer.Updates[storeSource]
 	if missing.Snapshot != nil {
 		if err := r.installSnapshot(ctx, source, *missing.Snapshot); err != nil {
 			return errs.Pass(err, "snapshot at %d", missing.Snapshot.Index)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -63,10 +63,10 @@
 }
 
 func (f *fake) Follow(_ context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
-	f.asked = append(f.asked, call.Vector[StoreSource])
+	f.asked = append(f.asked, call.Vector[storeSource])
 	a := f.answers[0]
 	f.answers = f.answers[1:]
-	return internalapi.FollowAnswer{Updates: map[string]internalapi.SourceUpdate{StoreSource: a}}, nil
+	return internalapi.FollowAnswer{Updates: map[string]internalapi.SourceUpdate{storeSource: a}}, nil
 }
 
 func (f *fake) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
--- a/internal/storage/append.go
+++ b/internal/storage/append.go
@@ -8,7 +8,7 @@
 )
 
 // bufferKept is up to which capacity Append keeps its buffer.
-const bufferKept = MaxData / 16
+const bufferKept = maxData / 16
 
 // Append writes records with one write and one sync and returns when they are durable. An entry replaces the one of its
 // index and all after it; it must follow the last entry without a gap and lie past the newest snapshot. Failures:
@@ -58,8 +58,8 @@
 	last := max(s.log.state.lastIndex(), s.newest.Index)
 	for _, r := range records {
 		switch {
-		case len(r.Data) > MaxData:
-			return errs.New(errs.TooLarge, "a record of %d bytes, at most %d", len(r.Data), MaxData)
+		case len(r.Data) > maxData:
+			return errs.New(errs.TooLarge, "a record of %d bytes, at most %d", len(r.Data), maxData)
 		case r.Kind == kindSnapshot:
 			return errs.Field(errs.Invalid, "kind", "%d is the store's own", r.Kind)
 		case r.Kind == KindHardState:
--- a/internal/storage/memdisk.go
+++ b/internal/storage/memdisk.go
@@ -81,15 +81,6 @@
 	d.durable = maps.Clone(d.live)
 }
 
-// Flip inverts the bits of mask in one byte of a file; nothing happens past its end.
-func (d *MemDisk) Flip(name string, offset int, mask byte) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if n := d.live[name]; n != nil && offset < len(n.data) {
-		n.data[offset] ^= mask
-	}
-}
-
 // Bytes returns a copy of a file, nil if it is missing.
 func (d *MemDisk) Bytes(name string) []byte {
 	d.mu.Lock()
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -13,8 +13,8 @@
 // store writes it.
 const kindSnapshot uint8 = 254
 
-// MaxData bounds the Data of one record, in bytes.
-const MaxData = 64 << 20
+// maxData bounds the Data of one record, in bytes.
+const maxData = 64 << 20
 
 // Record is one record of the log: an entry (any kind below 254), or KindHardState.
 type Record struct {
@@ -65,7 +65,7 @@
 		return r, offset, false
 	}
 	size := byteOrder.Uint32(b[8:])
-	if size > MaxData || int(size) > len(b)-recordHeaderSize {
+	if size > maxData || int(size) > len(b)-recordHeaderSize {
 		return r, offset, false
 	}
 	b = b[:recordHeaderSize+int(size)]
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -138,7 +138,7 @@
 		So(err, ShouldBeNil)
 		So(recovered.Snapshot.Number, ShouldEqual, 3)
 		So(recovered.Records, ShouldResemble, []Record{{Kind: KindHardState, Data: m.hard}, entry(20, 11)})
-		d.Flip(snapshotFileNames[0], 60, 1) // theirs; the log cannot replace it
+		d.flip(snapshotFileNames[0], 60, 1) // theirs; the log cannot replace it
 		_, _, err = Open(d, virtual)
 		So(err, shouldBe, errs.Damaged)
 	})
@@ -194,7 +194,7 @@
 		for _, name := range names {
 			for at := range d.Bytes(name) {
 				c := d.Clone()
-				c.Flip(name, at, 1<<(at%8))
+				c.flip(name, at, 1<<(at%8))
 				_, recovered, err := Open(c, virtual)
 				isTail := name == last && at >= tail
 				switch {
