--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -38,56 +38,57 @@
 }
 
 func (c *Core) mergeDeparted(now, at time.Duration, m Message) {
-	for _, n := range m.Departed[:min(len(m.Departed), c.cfg.MaxTombstones)] {
-		c.markLeft(now, at, n)
+	for _, member := range m.Departed[:min(len(m.Departed), c.cfg.MaxTombstones)] {
+		c.markLeft(now, at, member)
 	}
 }
 
 func (c *Core) mergeSample(now, at time.Duration, m Message, reusable *[]string) {
-	for _, n := range m.Sample[:min(len(m.Sample), 2*c.cfg.ShuffleLength)] {
-		c.addNeighbour(now, at, n, reusable)
+	for _, member := range m.Sample[:min(len(m.Sample), 2*c.cfg.ShuffleLength)] {
+		c.addNeighbour(now, at, member, reusable)
 	}
 }
 
 func (c *Core) mergeDirectory(now, at time.Duration, m Message) {
-	for _, n := range m.Directory[:min(len(m.Directory), c.cfg.DirectorySize)] {
-		c.addControlPlane(now, at, n)
+	for _, member := range m.Directory[:min(len(m.Directory), c.cfg.DirectorySize)] {
+		c.addControlPlane(now, at, member)
 	}
 }
 
-// admit reports whether n may be stored, and when it was sent; its age counts back from at. A member with this node's
-// own name from another process makes this node raise its incarnation above it.
-func (c *Core) admit(now, at time.Duration, n Member) (sentAt time.Duration, ok bool) {
-	if !n.isValid() {
+// admit reports whether a member may be stored, and when it was sent; its age counts back from at. A member with this
+// node's own name from another process makes this node raise its incarnation above it.
+func (c *Core) admit(now, at time.Duration, member Member) (sentAt time.Duration, ok bool) {
+	if !member.isValid() {
 		return 0, false
 	}
-	if n.Name == c.self.Name {
-		if compareVersions(n, c.self) > 0 {
-			c.self.Incarnation, c.self.Heartbeat = n.Incarnation+1, 0
+	if member.Name == c.self.Name {
+		if compareVersions(member, c.self) > 0 {
+			c.self.Incarnation, c.self.Heartbeat = member.Incarnation+1, 0
 		}
 		return 0, false
 	}
-	age := min(max(0, n.Age), c.cfg.MemberTTL.Milliseconds())
+	age := min(max(0, member.Age), c.cfg.MemberTTL.Milliseconds())
 	sentAt = at - time.Duration(age)*time.Millisecond
 	if now-sentAt >= c.cfg.MemberTTL {
 		return 0, false
 	}
-	if t := c.tombstones[n.Name]; t != nil && t.covers(n) {
+	if t := c.tombstones[member.Name]; t != nil && t.covers(member) {
 		return 0, false
 	}
 	return sentAt, true
 }
 
 // covers reports whether the tombstone marks a version as ended.
-func (t *tombstone) covers(n Member) bool {
-	return n.Incarnation < t.Incarnation || n.Incarnation == t.Incarnation && (t.left || n.Heartbeat <= t.Heartbeat)
+func (t *tombstone) covers(member Member) bool {
+	return member.Incarnation < t.Incarnation ||
+		member.Incarnation == t.Incarnation && (t.left || member.Heartbeat <= t.Heartbeat)
 }
 
-// update replaces e by n if that is the newer version, which also ends a suspicion.
-func (e *neighbour) update(n Member, sentAt time.Duration) {
-	switch order := compareVersions(e.Member, n); {
+// update replaces e by the member if that is the newer version, which also ends a suspicion.
+func (e *neighbour) update(member Member, sentAt time.Duration) {
+	switch order := compareVersions(e.Member, member); {
 	case order < 0:
-		*e = neighbour{Member: n, sentAt: sentAt}
+		*e = neighbour{Member: member, sentAt: sentAt}
 	case order == 0:
 		// An age leaves out the time in transit: the greater one is closer to the truth.
 		e.sentAt = min(e.sentAt, sentAt)
@@ -96,28 +97,28 @@
 
 // addNeighbour stores a member among the neighbours, and in the directory if it is a control-plane node. reusable are
 // the neighbours whose places may be reused; nil: none.
-func (c *Core) addNeighbour(now, at time.Duration, n Member, reusable *[]string) {
-	sentAt, ok := c.admit(now, at, n)
+func (c *Core) addNeighbour(now, at time.Duration, member Member, reusable *[]string) {
+	sentAt, ok := c.admit(now, at, member)
 	if !ok {
 		return
 	}
-	n.Age = 0
-	c.updateDirectory(now, n, sentAt)
-	if known := findByName(c.directory, n.Name); known != nil && n.Incarnation < known.Incarnation {
-		n, sentAt = known.Member, known.sentAt
+	member.Age = 0
+	c.updateDirectory(now, member, sentAt)
+	if known := findByName(c.directory, member.Name); known != nil && member.Incarnation < known.Incarnation {
+		member, sentAt = known.Member, known.sentAt
 	}
-	if e := findByName(c.neighbours, n.Name); e != nil {
-		e.update(n, sentAt)
+	if e := findByName(c.neighbours, member.Name); e != nil {
+		e.update(member, sentAt)
 		return
 	}
 	if len(c.neighbours) < c.cfg.ViewSize {
-		c.neighbours = append(c.neighbours, &neighbour{Member: n, sentAt: sentAt})
+		c.neighbours = append(c.neighbours, &neighbour{Member: member, sentAt: sentAt})
 		return
 	}
 	for reusable != nil && len(*reusable) > 0 {
 		replaced := findByName(c.neighbours, (*reusable)[0])
 		if *reusable = (*reusable)[1:]; replaced != nil {
-			*replaced = neighbour{Member: n, sentAt: sentAt}
+			*replaced = neighbour{Member: member, sentAt: sentAt}
 			return
 		}
 	}
@@ -126,36 +127,36 @@
 // addControlPlane stores a member of a message's directory. A neighbour of that name is updated only when it is
 // suspected or restarted: the directory is always recent, and a neighbour kept recent by it would never be the oldest
 // one, and would stay a neighbour of most nodes.
-func (c *Core) addControlPlane(now, at time.Duration, n Member) {
-	sentAt, ok := c.admit(now, at, n)
+func (c *Core) addControlPlane(now, at time.Duration, member Member) {
+	sentAt, ok := c.admit(now, at, member)
 	if !ok {
 		return
 	}
-	n.Age = 0
-	c.updateDirectory(now, n, sentAt)
-	if e := findByName(c.neighbours, n.Name); e != nil && (e.suspected || e.Incarnation < n.Incarnation) {
-		e.update(n, sentAt)
+	member.Age = 0
+	c.updateDirectory(now, member, sentAt)
+	if e := findByName(c.neighbours, member.Name); e != nil && (e.suspected || e.Incarnation < member.Incarnation) {
+		e.update(member, sentAt)
 	}
 }
 
 // updateDirectory stores a member in the directory if it is a control-plane node, and records the change.
-func (c *Core) updateDirectory(now time.Duration, n Member, sentAt time.Duration) {
-	if n.Role != RoleControlPlane || now-sentAt >= c.cfg.DirectoryTTL {
+func (c *Core) updateDirectory(now time.Duration, member Member, sentAt time.Duration) {
+	if member.Role != RoleControlPlane || now-sentAt >= c.cfg.DirectoryTTL {
 		return
 	}
-	if known := findByName(c.neighbours, n.Name); known != nil && compareVersions(n, known.Member) < 0 {
-		n, sentAt = known.Member, known.sentAt
+	if known := findByName(c.neighbours, member.Name); known != nil && compareVersions(member, known.Member) < 0 {
+		member, sentAt = known.Member, known.sentAt
 	}
-	e := findByName(c.directory, n.Name)
+	e := findByName(c.directory, member.Name)
 	if e == nil {
 		if len(c.directory) < c.cfg.DirectorySize {
-			c.directory = append(c.directory, &neighbour{Member: n, sentAt: sentAt})
-			c.changes = append(c.changes, Change{Joined, n})
+			c.directory = append(c.directory, &neighbour{Member: member, sentAt: sentAt})
+			c.changes = append(c.changes, Change{Joined, member})
 		}
 		return
 	}
 	before := e.Member
-	e.update(n, sentAt)
+	e.update(member, sentAt)
 	switch {
 	case e.Incarnation != before.Incarnation:
 		c.changes = append(c.changes, Change{Restarted, e.Member})
@@ -164,24 +165,24 @@
 	}
 }
 
-// markLeft records that the incarnation of n has left.
-func (c *Core) markLeft(now, at time.Duration, n Member) {
-	if n.Name == c.self.Name && n.Incarnation >= c.self.Incarnation && !c.leaving {
-		c.self.Incarnation, c.self.Heartbeat = n.Incarnation+1, 0
+// markLeft records that the incarnation of a member has left.
+func (c *Core) markLeft(now, at time.Duration, member Member) {
+	if member.Name == c.self.Name && member.Incarnation >= c.self.Incarnation && !c.leaving {
+		c.self.Incarnation, c.self.Heartbeat = member.Incarnation+1, 0
 	}
-	sentAt, ok := c.admit(now, at, n)
+	sentAt, ok := c.admit(now, at, member)
 	if !ok {
 		return
 	}
-	n.Age = 0
-	if e := c.newest(n.Name); e != nil && e.Incarnation > n.Incarnation {
+	member.Age = 0
+	if e := c.newest(member.Name); e != nil && e.Incarnation > member.Incarnation {
 		return
 	}
-	if e := findByName(c.directory, n.Name); e != nil {
+	if e := findByName(c.directory, member.Name); e != nil {
 		c.changes = append(c.changes, Change{Left, e.Member})
 	}
-	c.addTombstone(&neighbour{Member: n, sentAt: sentAt}, true)
-	hasLeft := func(e *neighbour) bool { return e.Name == n.Name }
+	c.addTombstone(&neighbour{Member: member, sentAt: sentAt}, true)
+	hasLeft := func(e *neighbour) bool { return e.Name == member.Name }
 	c.neighbours, c.directory = slices.DeleteFunc(c.neighbours, hasLeft), slices.DeleteFunc(c.directory, hasLeft)
 }
 
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -15,22 +15,22 @@
 
 // configurationOf decodes and validates the set of a Members entry.
 func configurationOf(e Entry) (configuration, error) {
-	c := configuration{index: e.Index}
-	if err := json.Unmarshal(e.Data, &c.members); err != nil {
-		return c, errs.Wrap(err, errs.Damaged, "members at index %d", e.Index)
+	conf := configuration{index: e.Index}
+	if err := json.Unmarshal(e.Data, &conf.members); err != nil {
+		return conf, errs.Wrap(err, errs.Damaged, "members at index %d", e.Index)
 	}
-	return c, errs.Pass(validateMembers(c.members), "members at index %d", e.Index)
+	return conf, errs.Pass(validateMembers(conf.members), "members at index %d", e.Index)
 }
 
 // configurationsOf collects the member sets among entries.
 func configurationsOf(entries []Entry) (out []configuration, err error) {
 	for _, e := range entries {
 		if e.Kind == Members {
-			f, err := configurationOf(e)
+			conf, err := configurationOf(e)
 			if err != nil {
 				return nil, errs.Pass(err, "entries")
 			}
-			out = append(out, f)
+			out = append(out, conf)
 		}
 	}
 	return out, nil
@@ -38,8 +38,8 @@
 
 // DecodeMembers returns the member set that a Members entry brings.
 func DecodeMembers(e Entry) ([]Member, error) {
-	c, err := configurationOf(e)
-	return c.members, errs.Pass(err, "decode")
+	conf, err := configurationOf(e)
+	return conf.members, errs.Pass(err, "decode")
 }
 
 // validateMembers checks a member set by itself.
@@ -104,9 +104,9 @@
 
 // MemberSince returns the index of the oldest set known here, committed or not, that has this node; 0 if none has.
 func (c *Core) MemberSince() uint64 {
-	for _, f := range c.configurations {
-		if _, ok := findMember(f.members, c.cfg.ID); ok {
-			return f.index
+	for _, conf := range c.configurations {
+		if _, ok := findMember(conf.members, c.cfg.ID); ok {
+			return conf.index
 		}
 	}
 	return 0
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -48,34 +48,34 @@
 	if err != nil {
 		return nil, errs.Pass(err, "config")
 	}
-	s := initial.Snapshot
+	snapshot := initial.Snapshot
 	c := &Core{
 		cfg:       cfg,
 		random:    rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
 		now:       now,
 		role:      Follower,
 		hardState: initial.HardState,
-		log:       memoryLog{offset: s.Index, offsetTerm: s.Term},
-		snapshot:  s,
-		commit:    s.Index,
-		applied:   s.Index,
+		log:       memoryLog{offset: snapshot.Index, offsetTerm: snapshot.Term},
+		snapshot:  snapshot,
+		commit:    snapshot.Index,
+		applied:   snapshot.Index,
 		election:  electionState{lastLeaderContact: now},
 	}
-	if len(s.Members) == 0 {
-		if s.Index != 0 || len(initial.Entries) != 0 {
+	if len(snapshot.Members) == 0 {
+		if snapshot.Index != 0 || len(initial.Entries) != 0 {
 			return nil, errs.New(errs.Damaged, "a log without members")
 		}
 		c.hardState.Blank, c.hardStateChanged = true, true
 	} else {
-		if err := validateMembers(s.Members); err != nil {
-			return nil, errs.Wrap(err, errs.Damaged, "members of the snapshot at index %d", s.Index)
+		if err := validateMembers(snapshot.Members); err != nil {
+			return nil, errs.Wrap(err, errs.Damaged, "members of the snapshot at index %d", snapshot.Index)
 		}
-		c.configurations = []configuration{{s.Index, s.Members}}
+		c.configurations = []configuration{{snapshot.Index, snapshot.Members}}
 	}
 	if err := c.loadEntries(initial.Entries); err != nil {
 		return nil, errs.Pass(err, "stored log")
 	}
-	c.clearBlank(s.Members)
+	c.clearBlank(snapshot.Members)
 	c.commitTo(min(c.hardState.Commit, c.log.last()))
 	c.election.deadline = now + c.jitter(cfg.HeartbeatInterval)
 	if c.hardState.Leader != cfg.ID {
@@ -162,7 +162,9 @@
 	if from <= c.log.last() {
 		c.log.truncate(from)
 		c.firstUnstable = min(c.firstUnstable, from)
-		c.configurations = slices.DeleteFunc(c.configurations, func(f configuration) bool { return f.index >= from })
+		c.configurations = slices.DeleteFunc(c.configurations, func(conf configuration) bool {
+			return conf.index >= from
+		})
 	}
 	c.log.entries = append(c.log.entries, entries...)
 	c.configurations = append(c.configurations, configurations...)
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -33,8 +33,8 @@
 // the committed one. The latter matters when only this node has the entry that removes it: nobody else can win.
 // It counts by the set in force also then, that is without itself.
 func (c *Core) promotable() bool {
-	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(f configuration) bool {
-		return isVoter(f.members, c.cfg.ID)
+	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
+		return isVoter(conf.members, c.cfg.ID)
 	})
 }
 
--- a/internal/raft/initialstate.go
+++ b/internal/raft/initialstate.go
@@ -28,21 +28,21 @@
 // loadEntries puts the stored entries after the snapshot into the log. Entries that the snapshot contradicts are
 // invalid: the stored log is to be reset. Failure: Damaged.
 func (c *Core) loadEntries(entries []Entry) error {
-	s := c.snapshot
-	if i := slices.IndexFunc(entries, func(e Entry) bool { return e.Index >= s.Index }); i < 0 {
+	snapshot := c.snapshot
+	if i := slices.IndexFunc(entries, func(e Entry) bool { return e.Index >= snapshot.Index }); i < 0 {
 		c.logReset, entries = len(entries) > 0, nil // all of them lie before the snapshot
-	} else if entries[i].Index == s.Index {
-		if entries[i].Term == s.Term {
+	} else if entries[i].Index == snapshot.Index {
+		if entries[i].Term == snapshot.Term {
 			entries = entries[i+1:]
 		} else {
 			c.logReset, entries = true, nil
 		}
 	}
-	term := s.Term
+	term := snapshot.Term
 	for n, e := range entries {
-		if e.Index != s.Index+1+uint64(n) || e.Term < term {
+		if e.Index != snapshot.Index+1+uint64(n) || e.Term < term {
 			return errs.New(errs.Damaged, "stored entry %d of term %d does not follow index %d, term %d",
-				e.Index, e.Term, s.Index+uint64(n), term)
+				e.Index, e.Term, snapshot.Index+uint64(n), term)
 		}
 		term = e.Term
 	}
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -41,8 +41,8 @@
 
 // updateProgress makes the tracked members match the members in force.
 func (c *Core) updateProgress() {
-	for _, f := range c.configurations {
-		if m, ok := findMember(f.members, c.cfg.ID); ok {
+	for _, conf := range c.configurations {
+		if m, ok := findMember(conf.members, c.cfg.ID); ok {
 			c.leaderAddr = m.Addr // an older set has it while this leader commits its own removal
 		}
 	}
@@ -146,8 +146,8 @@
 		return
 	}
 	c.commitTo(stored)
-	if f := c.latestConfiguration(); f.index <= c.commit && !isVoter(f.members, c.cfg.ID) {
-		c.stepDownAfterRemoval(f.members)
+	if conf := c.latestConfiguration(); conf.index <= c.commit && !isVoter(conf.members, c.cfg.ID) {
+		c.stepDownAfterRemoval(conf.members)
 	}
 }
 
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -53,7 +53,9 @@
 		c.firstUnstable = meta.Index + 1
 	}
 	c.firstUnstable = max(c.firstUnstable, meta.Index+1)
-	c.configurations = slices.DeleteFunc(c.configurations, func(f configuration) bool { return f.index <= meta.Index })
+	c.configurations = slices.DeleteFunc(c.configurations, func(conf configuration) bool {
+		return conf.index <= meta.Index
+	})
 	c.configurations = slices.Insert(c.configurations, 0, configuration{meta.Index, meta.Members})
 	c.commit, c.applied, c.snapshot = meta.Index, meta.Index, meta
 	if meta.Term > c.hardState.Term {
