--- a/internal/rpc/addresslimiter.go
+++ b/internal/rpc/addresslimiter.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"sync"
 
 	"crosstide/internal/errs"
@@ -12,13 +11,13 @@
 type addressLimiter struct {
 	limit int // calls to one address; 0: any number
 
-	mu      sync.Mutex                 // guards the fields below
-	running map[string]int             // by address; no zero entries
-	waiting map[string][]chan struct{} // by address, the longest waiting first; closed when the call may run
+	mu      sync.Mutex           // guards the fields below
+	running map[string]int       // by address; no zero entries
+	waiting map[string]waitQueue // by address; a call that is woken may run; no empty queues
 }
 
 func newAddressLimiter(limit int) *addressLimiter {
-	return &addressLimiter{limit: limit, running: map[string]int{}, waiting: map[string][]chan struct{}{}}
+	return &addressLimiter{limit: limit, running: map[string]int{}, waiting: map[string]waitQueue{}}
 }
 
 // acquire waits until a call to addr may run, at most until ctx ends: then it is errs.Timeout. After nil, release is
@@ -33,8 +32,9 @@
 		l.mu.Unlock()
 		return nil
 	}
-	acquired := make(chan struct{})
-	l.waiting[addr] = append(l.waiting[addr], acquired)
+	queue := l.waiting[addr]
+	acquired := queue.join()
+	l.waiting[addr] = queue
 	l.mu.Unlock()
 	select {
 	case <-acquired:
@@ -43,11 +43,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at := slices.Index(l.waiting[addr], acquired); at >= 0 {
-		l.setWaiting(addr, slices.Delete(l.waiting[addr], at, at+1))
-		return errs.Wrap(ctx.Err(), errs.Timeout, "earlier calls to %s are not over", addr)
+	queue = l.waiting[addr]
+	if !queue.leave(acquired) {
+		return nil // acquired at the same moment
 	}
-	return nil // acquired at the same moment
+	l.setWaiting(addr, queue)
+	return errs.Wrap(ctx.Err(), errs.Timeout, "earlier calls to %s are not over", addr)
 }
 
 // release ends a call to addr: the longest waiting one may run.
@@ -57,9 +58,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if next := l.waiting[addr]; len(next) > 0 {
-		close(next[0])
-		l.setWaiting(addr, next[1:])
+	if queue := l.waiting[addr]; len(queue) > 0 {
+		queue.wakeFirst()
+		l.setWaiting(addr, queue)
 		return
 	}
 	if l.running[addr]--; l.running[addr] == 0 {
@@ -68,10 +69,10 @@
 }
 
 // setWaiting keeps no entry for an address without waiting calls. The caller holds mu.
-func (l *addressLimiter) setWaiting(addr string, waiting []chan struct{}) {
-	if len(waiting) == 0 {
+func (l *addressLimiter) setWaiting(addr string, queue waitQueue) {
+	if len(queue) == 0 {
 		delete(l.waiting, addr)
 		return
 	}
-	l.waiting[addr] = waiting
+	l.waiting[addr] = queue
 }
--- a/internal/rpc/connlimiter.go
+++ b/internal/rpc/connlimiter.go
@@ -73,8 +73,7 @@
 func (l *ConnLimiter) wakeWaiters() {
 	for _, q := range l.quotas {
 		for len(q.waiters) > 0 && l.canAcquire(q) {
-			close(q.waiters[0])
-			q.waiters = q.waiters[1:]
+			q.waiters.wakeFirst()
 			q.used++
 		}
 	}
--- a/internal/rpc/connquota.go
+++ b/internal/rpc/connquota.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"time"
 
 	"crosstide/internal/errs"
@@ -16,11 +15,11 @@
 type ConnQuota struct {
 	limiter   *ConnLimiter
 	name      string
-	reserved  int             // connections that no other quota can take
-	used      int             // connections that are open or being opened
-	waiters   []chan struct{} // of acquire, the longest waiting first; closed when the connection may be opened
-	evictIdle func() bool     // closes an idle connection of this quota; nil: it has none
-	rejected  uint64          // connections that found none free
+	reserved  int         // connections that no other quota can take
+	used      int         // connections that are open or being opened
+	waiters   waitQueue   // of acquire; a call that is woken has its connection
+	evictIdle func() bool // closes an idle connection of this quota; nil: it has none
+	rejected  uint64      // connections that found none free
 }
 
 // tryAcquire takes one connection of the quota if one is free. Idle connections are closed for it.
@@ -54,9 +53,8 @@
 	if q.tryAcquire() {
 		return nil
 	}
-	acquired := make(chan struct{})
 	q.limiter.mu.Lock()
-	q.waiters = append(q.waiters, acquired)
+	acquired := q.waiters.join()
 	q.limiter.wakeWaiters() // a connection may have been released meanwhile
 	q.limiter.mu.Unlock()
 	select {
@@ -71,11 +69,9 @@
 func (q *ConnQuota) cancelWait(acquired chan struct{}) error {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
-	at := slices.Index(q.waiters, acquired)
-	if at < 0 {
+	if !q.waiters.leave(acquired) {
 		return nil
 	}
-	q.waiters = slices.Delete(q.waiters, at, at+1)
 	q.rejected++
 	err := errs.New(errs.Overloaded, "%s: %d connections are open", q.name, q.used)
 	errs.Of(err).After = retryAfter
