--- /dev/null
+++ b/internal/rpc/client.go
@@ -0,0 +1,161 @@
+package rpc
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"net"
+	"syscall"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+	"github.com/prometheus/client_golang/prometheus"
+	"golang.org/x/sys/unix"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+)
+
+// ClientOptions are the settings of a Client; all have defaults.
+type ClientOptions struct {
+	Clock clock.Clock // default clock.Real
+	// UserTimeout is TCP_USER_TIMEOUT: how long the kernel may resend unacknowledged bytes. Default: the kernel's own.
+	UserTimeout       time.Duration
+	DialTimeout       time.Duration         // default 2s
+	DialOverrides     map[string]string     // the address to dial for an address, as a network proxy needs
+	MaxIdlePerAddress int                   // idle connections kept per address, default 16
+	IdleTimeout       time.Duration         // an idle connection is closed after it, default 1m, under a server's 2m
+	MaxBody           int64                 // bound on an answer in bytes, default MaxBody
+	ReadBuffer        int                   // bytes of the read buffer of each connection, default 4096
+	Logger            log.Logger            // default: none
+	Registry          prometheus.Registerer // default: the counters are not registered
+	// Quota bounds the open connections: a call that needs one more waits for it, and IsQuotaExhausted holds for its
+	// error when its time is over. Default: nothing bounds them.
+	Quota *ConnQuota
+	// MaxCallsPerAddress is how many calls to an address run at a time. Others wait within their time-out; IsUnsent
+	// holds for the error of one that never ran. Default: any number.
+	MaxCallsPerAddress int
+}
+
+// withDefaults fills in the defaults.
+func (opt ClientOptions) withDefaults() ClientOptions {
+	if opt.Clock == nil {
+		opt.Clock = clock.Real{}
+	}
+	opt.DialTimeout = firstPositive(opt.DialTimeout, 2*time.Second)
+	opt.IdleTimeout = firstPositive(opt.IdleTimeout, time.Minute)
+	opt.MaxIdlePerAddress = firstPositive(opt.MaxIdlePerAddress, 16)
+	opt.MaxBody = firstPositive(opt.MaxBody, MaxBody)
+	opt.ReadBuffer = firstPositive(opt.ReadBuffer, 4096)
+	if opt.Logger == nil {
+		opt.Logger = log.NewNopLogger()
+	}
+	return opt
+}
+
+// Client makes calls over connections pooled per address, one call at a time on each. It is safe for concurrent use. A
+// call is never sent twice: a connection that breaks is the caller's errs.Unavailable.
+type Client struct {
+	opt            ClientOptions
+	dialer         net.Dialer
+	metrics        *metrics
+	pool           *pool
+	addressLimiter *addressLimiter
+}
+
+// NewClient makes a client. Close ends it.
+func NewClient(opt ClientOptions) *Client {
+	opt = opt.withDefaults()
+	return &Client{
+		opt:            opt,
+		dialer:         net.Dialer{Timeout: opt.DialTimeout, Control: setUserTimeout(opt.UserTimeout)},
+		metrics:        newMetrics("caller", opt.Registry),
+		pool:           newPool(opt.Clock, opt.MaxIdlePerAddress, opt.IdleTimeout, opt.Quota),
+		addressLimiter: newAddressLimiter(opt.MaxCallsPerAddress),
+	}
+}
+
+// setUserTimeout returns a dialer's control function that sets TCP_USER_TIMEOUT, in whole milliseconds rounded up.
+func setUserTimeout(timeout time.Duration) func(network, addr string, c syscall.RawConn) error {
+	return func(_, _ string, c syscall.RawConn) error {
+		if timeout <= 0 {
+			return nil
+		}
+		var setErr error
+		err := c.Control(func(fd uintptr) {
+			ms := int((timeout + time.Millisecond - 1) / time.Millisecond)
+			setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, ms)
+		})
+		return errs.Wrap(errors.Join(err, setErr), errs.Internal, "set TCP_USER_TIMEOUT")
+	}
+}
+
+// Close resets every connection, the dedicated ones too; calls that still run end as errs.Stopped.
+func (c *Client) Close() { c.pool.close() }
+
+// dial opens a connection within the client's quota.
+func (c *Client) dial(ctx context.Context, addr string) (*connection, error) {
+	if err := c.opt.Quota.acquire(ctx); err != nil {
+		return nil, errs.Pass(&marked[quotaExhausted]{err}, "dial")
+	}
+	conn, err := c.connect(ctx, addr)
+	if err != nil {
+		c.opt.Quota.release()
+		return nil, errs.Pass(err, "dial")
+	}
+	if !c.pool.add(conn) {
+		conn.reset()
+		c.opt.Quota.release()
+		return nil, errs.New(errs.Stopped, "the caller is closed")
+	}
+	return conn, nil
+}
+
+// connect opens a TCP connection; the caller of it has acquired the quota.
+func (c *Client) connect(ctx context.Context, addr string) (*connection, error) {
+	dialAddr := addr
+	if override := c.opt.DialOverrides[addr]; override != "" {
+		dialAddr = override
+	}
+	conn, err := c.dialer.DialContext(ctx, "tcp", dialAddr)
+	if err != nil {
+		_ = level.Debug(c.opt.Logger).Log("msg", "dial failed", "addr", addr, "err", err)
+		return nil, errs.Wrap(err, errs.Unavailable, "connect")
+	}
+	tcp := conn.(*net.TCPConn)
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		_ = tcp.Close()
+		return nil, errs.Wrap(err, errs.Internal, "raw connection")
+	}
+	return &connection{TCPConn: tcp, raw: raw, reader: bufio.NewReaderSize(tcp, c.opt.ReadBuffer), addr: addr}, nil
+}
+
+// acquire returns a connection to addr, once the call may run there: an idle one, or a new one once the client's quota
+// has one free.
+func (c *Client) acquire(ctx context.Context, addr string) (*connection, error) {
+	if err := c.addressLimiter.acquire(ctx, addr); err != nil {
+		return nil, errs.Pass(err, "wait for a turn")
+	}
+	if conn := c.pool.get(addr); conn != nil {
+		return conn, nil
+	}
+	conn, err := c.dial(ctx, addr)
+	if err != nil {
+		c.addressLimiter.release(addr)
+		return nil, errs.Pass(err, "no idle connection to %s", addr)
+	}
+	return conn, nil
+}
+
+func (c *Client) release(conn *connection, reusable bool) {
+	defer c.addressLimiter.release(conn.addr)
+	if reusable {
+		c.pool.put(conn)
+	} else {
+		c.pool.discard(conn)
+	}
+}
+
+func (c *Client) isClosed() bool { return c.pool.isClosed() }
