--- a/internal/controller/scheduler/balance.go
+++ b/internal/controller/scheduler/balance.go
@@ -1,6 +1,8 @@
 package scheduler
 
-import "crosstide/internal/jobs"
+import (
+	"crosstide/internal/jobs"
+)
 
 // balanceCheck keeps the starts of one pass within the balances of the parties that pay for them. The table checks each start
 // again when it is committed; this saves it from refusing the same starts again and again.
--- a/internal/controller/scheduler/config.go
+++ b/internal/controller/scheduler/config.go
@@ -1,6 +1,8 @@
 package scheduler
 
-import "time"
+import (
+	"time"
+)
 
 // Config holds the durations and factors that the scheduler goes by.
 type Config struct {
--- a/internal/controller/scheduler/connbackoff.go
+++ b/internal/controller/scheduler/connbackoff.go
@@ -1,6 +1,8 @@
 package scheduler
 
-import "time"
+import (
+	"time"
+)
 
 // connBackoff is a want of connections on this node, as the failures of calls tell of it. While it lasts nothing is planned:
 // orders that cannot leave only tie their tasks to workers.
@@ -20,23 +22,3 @@
 
 // reset takes in that an order found room.
 func (s *connBackoff) reset() { *s = connBackoff{} }
-
-// orderSent counts an order that leaves for a worker.
-func (c *Core) orderSent(w *worker) {
-	w.ordersInFlight++
-	c.ordersInFlight++
-}
-
-// orderDone counts an order that is not under way any more.
-func (c *Core) orderDone(w *worker) {
-	if w.ordersInFlight == 0 {
-		return // of an earlier term
-	}
-	w.ordersInFlight--
-	c.ordersInFlight--
-}
-
-// orderBudget is how many starts more may be planned: those that are recorded and wait to leave count as under way.
-func (c *Core) orderBudget() int {
-	return c.cfg.MaxOrdersInFlight - c.ordersInFlight - len(c.unsentStarts)
-}
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -21,46 +21,6 @@
 	"crosstide/internal/jobs"
 )
 
-// Actions is what a pass wants done.
-type Actions struct {
-	Progress *jobs.Progress  // to be committed under its term; answered by Committed
-	Starts   []StartAction   // each answered by StartAnswered
-	Stops    []StopAction    // each answered by StopAnswered
-	Renewals []RenewalAction // each answered by RenewalAnswered
-	Next     time.Duration   // when the next pass is due at the latest
-}
-
-// StartAction is a start order to be sent.
-type StartAction struct {
-	Worker jobs.Worker
-	Order  StartOrder
-}
-
-// StopAction is a stop order to be sent.
-type StopAction struct {
-	Worker jobs.Worker
-	Order  StopOrder
-}
-
-// RenewalAction is a hold call to be sent. Number tells it from others to the same worker.
-type RenewalAction struct {
-	Worker jobs.Worker
-	Number uint64
-	Call   LeaseRenewal
-}
-
-// Counts are what a Core counted since it was made.
-type Counts struct {
-	Started, Done, Failed, Lost, Expired, Refused, Unconfirmed, Stopped, Preempted, Moved uint64
-}
-
-// proposal is the Progress under way.
-type proposal struct {
-	progress   *jobs.Progress
-	highestEnd map[string]uint64 // by worker: the end that may be acknowledged once it is committed
-	starts     map[jobs.RunKey]bool
-}
-
 // Core holds the scheduler's records. One caller at a time.
 type Core struct {
 	cfg         Config
@@ -190,22 +150,15 @@
 	return out
 }
 
-func (c *Core) refreshDirtyJobs(wall time.Time) {
-	if !c.nextDue.IsZero() && !wall.Before(c.nextDue) {
-		c.nextDue = time.Time{}
-		for id, j := range c.activeJobs {
-			if j.timed {
-				c.dirtyJobs[id] = true
-			}
-		}
-	}
-	if len(c.dirtyJobs) == 0 {
-		return
+func (c *Core) nextPass(now time.Duration, wall time.Time) time.Duration {
+	next := now + time.Second
+	if len(c.runs) > 0 || len(c.activeJobs) > 0 {
+		next = max(now+time.Millisecond, c.nextSweep)
 	}
-	for _, id := range sortedKeys(c.dirtyJobs) {
-		c.refreshJob(id, wall)
+	if !c.nextDue.IsZero() {
+		next = min(next, now+max(time.Millisecond, c.nextDue.Sub(wall)))
 	}
-	clear(c.dirtyJobs)
+	return next
 }
 
 // sweepInterval is the pause between looks at all workers and runs.
@@ -233,119 +186,3 @@
 	}
 	c.placementDue = true
 }
-
-// propose makes the next Progress, if none is under way.
-func (c *Core) propose(now time.Duration, wall time.Time, out *Actions) {
-	if c.inFlight != nil {
-		return
-	}
-	var starts []jobs.Start
-	if c.placementDue {
-		c.placementDue = false
-		starts = c.place(now, wall)
-	}
-	var forget []string
-	if now >= c.nextForget {
-		forget, c.nextForget = c.workersToForget(now), now+sweepInterval
-	}
-	if len(c.pendingEnds) == 0 && len(starts) == 0 && len(forget) == 0 && len(c.highestEnd) == 0 {
-		return
-	}
-	progress := &jobs.Progress{Term: c.term, At: wall, Ends: c.pendingEnds, Starts: starts, Forget: forget}
-	c.inFlight = &proposal{progress: progress, highestEnd: c.highestEnd, starts: map[jobs.RunKey]bool{}}
-	for _, s := range starts {
-		c.inFlight.starts[jobs.RunKey{Task: s.Task, Number: s.Number}] = true
-	}
-	c.pendingEnds, c.highestEnd = nil, map[string]uint64{}
-	if len(progress.Ends)+len(progress.Starts)+len(progress.Forget) == 0 {
-		c.markDurable(c.inFlight.highestEnd) // only ends of runs that are long settled: nothing to commit
-		c.inFlight = nil
-		return
-	}
-	out.Progress = progress
-}
-
-// Committed takes in the outcome of the Progress under way. After an error its starts are never sent; if they were
-// recorded all the same, they are found in the table and ended as lost.
-func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.Started, err error) {
-	c.now = now
-	if c.term == 0 || c.inFlight == nil || c.inFlight.progress != progress {
-		return
-	}
-	done := c.inFlight
-	c.inFlight, c.placementDue = nil, true
-	if err != nil {
-		c.pendingEnds = append(done.progress.Ends, c.pendingEnds...)
-		for id, sequence := range done.highestEnd {
-			c.highestEnd[id] = max(c.highestEnd[id], sequence)
-		}
-		for _, s := range done.progress.Starts {
-			c.dirtyJobs[s.Task.Job] = true
-		}
-		return
-	}
-	c.markDurable(done.highestEnd)
-	for i, s := range progress.Starts {
-		c.dirtyJobs[s.Task.Job] = true
-		if i < len(started.Recorded) && started.Recorded[i] {
-			c.recordStart(s)
-		}
-	}
-}
-
-func (c *Core) markDurable(seen map[string]uint64) {
-	for id, sequence := range seen {
-		if w := c.workers[id]; w != nil && sequence > w.durableEnd {
-			w.durableEnd, w.durableAt = sequence, c.now
-		}
-	}
-}
-
-// recordStart notes a run whose handle was committed; its order leaves with the next pass.
-func (c *Core) recordStart(s jobs.Start) {
-	key := jobs.RunKey{Task: s.Task, Number: s.Number}
-	r := c.trackRun(key, s.Worker, true)
-	if r != nil {
-		c.unsentStarts = append(c.unsentStarts, key)
-	}
-}
-
-// sendStarts gives the start orders of the handles just recorded. One for a worker that has stopped answering meanwhile
-// never leaves: its task is due again at once, and no doubt can come of it.
-func (c *Core) sendStarts(out *Actions) {
-	var later []jobs.RunKey
-	for _, key := range c.unsentStarts {
-		r := c.runs[key]
-		if r == nil || r.sent || r.ending {
-			continue
-		}
-		w := c.workers[r.worker]
-		j := c.table.Jobs[key.Task.Job]
-		if w == nil || w.record() == nil || !w.isReachable() || j == nil || j.State.IsTerminal() || r.toStop {
-			c.endRun(r, jobs.EndLost, "") // it never left
-			continue
-		}
-		if !w.canOrder(c) {
-			later = append(later, key)
-			continue
-		}
-		r.sent, r.sentAt = true, c.now
-		c.orderSent(w)
-		task := j.Rounds[key.Task.Round][key.Task.Step][key.Task.Index]
-		out.Starts = append(out.Starts, StartAction{Worker: *w.record(), Order: StartOrder{
-			Key: key, Payload: j.Spec.Payload, Needs: r.needs, LeaseDeadline: w.grantLease(c, c.now), Token: c.term, Checkpoint: task.Checkpoint}})
-		c.Counts.Started++
-	}
-	c.unsentStarts = later
-}
-
-func (c *Core) nextPass(now time.Duration, wall time.Time) time.Duration {
-	next := now + time.Second
-	if len(c.runs) > 0 || len(c.activeJobs) > 0 {
-		next = max(now+time.Millisecond, c.nextSweep)
-	}
-	if !c.nextDue.IsZero() {
-		next = min(next, now+max(time.Millisecond, c.nextDue.Sub(wall)))
-	}
-	return next
-}
--- a/internal/controller/scheduler/discard.go
+++ b/internal/controller/scheduler/discard.go
@@ -48,10 +48,3 @@
 	}
 	c.discarded[cause] = sum
 }
-
-// requestStop marks a run to be stopped; the first cause counts.
-func (c *Core) requestStop(r *run, cause Cause) {
-	r.toStop = true
-	r.cause = cmp.Or(r.cause, cause)
-	c.queueStop(r)
-}
--- a/internal/controller/scheduler/preempt.go
+++ b/internal/controller/scheduler/preempt.go
@@ -3,8 +3,6 @@
 import (
 	"cmp"
 	"slices"
-
-	"crosstide/internal/jobs"
 )
 
 // preempt stops less urgent runs so that count tasks of a unit find room. It tells whether room is on the way.
@@ -55,15 +53,6 @@
 	return true
 }
 
-// reserve keeps room for a task that waits until runs here have stopped: less urgent units of this pass must not take
-// what is free of it already, else more runs would be stopped again and again.
-func (n *node) reserve(needs jobs.Resources) {
-	left := minus(plus(n.free, n.freeing), needs)
-	free := jobs.Resources{MilliCPU: min(n.free.MilliCPU, left.MilliCPU), MemoryMB: min(n.free.MemoryMB, left.MemoryMB),
-		GPUs: min(n.free.GPUs, left.GPUs)}
-	n.free, n.freeing = free, minus(left, free)
-}
-
 // victims gives the runs to stop on a node for one task of a unit, and the work thrown away in core-seconds.
 func (p *placement) victims(u *unit, n *node) (stop []*run, waste float64, ok bool) {
 	var candidates []*run
@@ -101,10 +90,3 @@
 	}
 	return waste
 }
-
-// coresPerGPU is what an accelerator counts as, in cores.
-const coresPerGPU = 8
-
-func coresOf(needs jobs.Resources) float64 {
-	return float64(needs.MilliCPU)/1000 + float64(coresPerGPU*needs.GPUs)
-}
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -8,14 +8,6 @@
 	"crosstide/internal/jobs"
 )
 
-// job is the scheduler's record of a job that is not over or has handles out.
-type job struct {
-	id    string
-	timed bool // a round of it is not due yet
-	runs  map[jobs.RunKey]bool
-	units []*unit
-}
-
 // unit is what is placed together: the due tasks of a step of a round, one by one, or a gang whole.
 type unit struct {
 	job          *jobs.Job
@@ -41,100 +33,34 @@
 	return ref
 }
 
-func (c *Core) markDirty(id string) { c.dirtyJobs[id] = true }
+func (u *unit) tasks() []jobs.Task { return u.job.Rounds[u.round][u.stepIndex] }
 
-// refreshJob makes a job's record anew from the table.
-func (c *Core) refreshJob(id string, wall time.Time) {
-	rec := c.activeJobs[id]
-	if rec == nil {
-		rec = &job{id: id, runs: map[jobs.RunKey]bool{}}
-		c.activeJobs[id] = rec
-	}
-	j := c.table.Jobs[id]
-	handles := c.syncRuns(rec, j)
-	before := rec.units
-	rec.units, rec.timed = nil, false
-	if j == nil || j.State.IsTerminal() {
-		if handles == 0 {
-			delete(c.activeJobs, id)
-			c.dropTaskHistory(id)
-		}
-		return
-	}
-	q := c.table.Config.Queue(j.Spec.Queue)
-	if q == nil {
-		return // no configuration directs it anywhere
-	}
-	for round := range j.Rounds {
-		c.addDueUnits(rec, j, q, round, wall)
-	}
-	for _, u := range rec.units {
-		u.waitingSince = c.now
-		for _, old := range before {
-			if old.round == u.round && old.stepIndex == u.stepIndex {
-				u.waitingSince = old.waitingSince
-			}
-		}
-	}
-}
-
-func (c *Core) dropTaskHistory(id string) {
-	for key := range c.speeds.byStep {
-		if key.job == id {
-			delete(c.speeds.byStep, key)
-		}
-	}
-	for ref := range c.avoidWorker {
-		if ref.Job == id {
-			delete(c.avoidWorker, ref)
-		}
-	}
-	for ref := range c.moveCount {
-		if ref.Job == id {
-			delete(c.moveCount, ref)
-		}
+// dueUnits gives all units in the order in which they are to be placed.
+func (c *Core) dueUnits(wall time.Time) []*unit {
+	var units []*unit
+	for _, rec := range c.activeJobs {
+		units = append(units, rec.units...)
 	}
+	slices.SortFunc(units, func(a, b *unit) int {
+		return cmp.Or(
+			cmp.Compare(a.tier(wall), b.tier(wall)),
+			a.latestStart.Compare(b.latestStart),
+			cmp.Compare(a.job.Sequence, b.job.Sequence),
+			cmp.Compare(a.round, b.round),
+			cmp.Compare(a.stepIndex, b.stepIndex))
+	})
+	return units
 }
 
-// syncRuns brings the run records of a job in line with its handles and gives how many there are.
-func (c *Core) syncRuns(rec *job, j *jobs.Job) int {
-	present := map[jobs.RunKey]bool{}
-	if j != nil {
-		for round, steps := range j.Rounds {
-			for step, tasks := range steps {
-				for index := range tasks {
-					c.syncTask(j, jobs.TaskRef{Job: rec.id, Round: round, Step: step, Index: index}, &tasks[index], present)
-				}
-			}
-		}
-	}
-	for key := range rec.runs {
-		if r := c.runs[key]; !present[key] && r != nil {
-			c.untrackRun(r)
-		}
-	}
-	rec.runs = present
-	return len(present)
-}
+// expiredTier comes after every priority.
+const expiredTier = 1 << 20
 
-func (c *Core) syncTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
-	for _, handle := range task.Runs {
-		key := jobs.RunKey{Task: ref, Number: handle.Number}
-		present[key] = true
-		r := c.runs[key]
-		if r == nil {
-			if c.startInFlight(key) {
-				continue // its commit is about to be reported
-			}
-			mine := handle.Term == c.term
-			if r = c.trackRun(key, handle.Worker, mine); mine && r != nil {
-				c.endRun(r, jobs.EndLost, "") // recorded under this term, and its order never left
-			}
-		}
-		if r != nil && (task.Done || j.State.IsTerminal()) && !r.toStop {
-			c.requestStop(r, CauseJobOver)
-		}
+// tier is the unit's class of urgency: its queue's priority, or the last one once it can earn nothing any more.
+func (u *unit) tier(wall time.Time) int {
+	if wall.After(u.expiresAt) {
+		return expiredTier
 	}
+	return u.queue.Priority
 }
 
 // addDueUnits adds the units of a round that are due.
@@ -206,31 +132,3 @@
 	}
 	return most
 }
-
-// dueUnits gives all units in the order in which they are to be placed.
-func (c *Core) dueUnits(wall time.Time) []*unit {
-	var units []*unit
-	for _, rec := range c.activeJobs {
-		units = append(units, rec.units...)
-	}
-	slices.SortFunc(units, func(a, b *unit) int {
-		return cmp.Or(
-			cmp.Compare(a.tier(wall), b.tier(wall)),
-			a.latestStart.Compare(b.latestStart),
-			cmp.Compare(a.job.Sequence, b.job.Sequence),
-			cmp.Compare(a.round, b.round),
-			cmp.Compare(a.stepIndex, b.stepIndex))
-	})
-	return units
-}
-
-// expiredTier comes after every priority.
-const expiredTier = 1 << 20
-
-// tier is the unit's class of urgency: its queue's priority, or the last one once it can earn nothing any more.
-func (u *unit) tier(wall time.Time) int {
-	if wall.After(u.expiresAt) {
-		return expiredTier
-	}
-	return u.queue.Priority
-}
