--- a/internal/controller/scheduler/config.go
+++ b/internal/controller/scheduler/config.go
@@ -1,42 +1,69 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// Config holds the durations and factors that the scheduler goes by.
+// Config holds the timeouts, limits and factors of a Core. Defaults has values that work together.
 type Config struct {
-	Lease            time.Duration // lease of everything on a worker, renewed by every hold call
-	RenewalWait      time.Duration // how long a worker may keep a hold call waiting
-	SilenceTimeout   time.Duration // no starts on a worker unheard for this long
-	OrderTimeout     time.Duration // a start or stop without an answer is in doubt after it
-	RenewalMargin    time.Duration // a hold call without an answer has failed so long after its wait
-	RetryMin         time.Duration // pause after the first call that failed; it doubles
-	RetryMax         time.Duration // longest pause between calls to a worker that does not answer
-	ExpiryMargin     time.Duration // from the end of a lease to the certainty that everything is killed
-	ClockSlack       float64       // a worker's clock runs at least 1-ClockSlack times as fast as ours
-	EarlyStart       time.Duration // how much ahead of its time a round may start
-	RemoteDataFactor float64       // how many times as long a task takes far from its data
-	ReserveAfter     time.Duration // a gang that has waited so long keeps room free for itself
-	ForgetAfter      time.Duration // a worker without runs that was unheard for this long is forgotten
-	MaxStarts        int           // most starts in one commit
-	// MaxOrdersPerWorker is the most start and stop orders under way to a worker at once. Each needs a connection, a worker takes
-	// so many at most, and those of a leader that lost its power stay open there.
+	// Lease is how long the runs on a worker stay alive without a renewal.
+	Lease time.Duration
+	// RenewalWait is how long a worker may hold a renewal open until a run ends (long poll).
+	RenewalWait time.Duration
+	// RenewalMargin is how long after its wait a renewal without an answer counts as failed.
+	RenewalMargin time.Duration
+	// SilenceTimeout is how long after its last answer or heartbeat a worker takes starts.
+	SilenceTimeout time.Duration
+	// OrderTimeout is when a start or stop without an answer counts as unconfirmed.
+	OrderTimeout time.Duration
+	// RetryMin is the first back-off after a failed call; it doubles up to RetryMax.
+	RetryMin, RetryMax time.Duration
+	// ExpiryMargin is the time from the end of a lease to the certainty that the worker has killed its runs.
+	ExpiryMargin time.Duration
+	// ClockSlack bounds clock drift: a worker's clock runs at least 1-ClockSlack times as fast as the leader's.
+	ClockSlack float64
+	// EarlyStart is how long before its due time a round may start.
+	EarlyStart time.Duration
+	// RemoteDataFactor is how many times as long a task takes away from its data.
+	RemoteDataFactor float64
+	// ReserveAfter is how long a unit waits before free capacity is reserved for it.
+	ReserveAfter time.Duration
+	// ForgetAfter is how long a worker without runs may be silent before it is deleted from the table.
+	ForgetAfter time.Duration
+
+	// MaxStarts limits the starts of one commit.
+	MaxStarts int
+	// MaxOrdersPerWorker limits the start and stop orders in flight to one worker. Each needs a connection; a worker
+	// accepts few, and those of a leader that lost power stay open there.
 	MaxOrdersPerWorker int
-	// MaxOrdersInFlight bounds the start and stop orders under way to all workers. No starts are planned beyond it: what cannot
-	// leave at once waits better where it may still be placed elsewhere.
+	// MaxOrdersInFlight limits the start and stop orders in flight to all workers. No starts are planned beyond it: a
+	// task whose order can't leave at once had better wait in the queue, where another worker may still be selected for
+	// it.
 	MaxOrdersInFlight int
-	MaxPreemptions    int // most runs that one pass stops for more urgent work
-	MaxProbes         int // most workers that are asked at once and have not answered
+	// MaxPreemptions limits the runs that one pass stops for more urgent work.
+	MaxPreemptions int
+	// MaxProbes limits the workers with an unanswered probe.
+	MaxProbes int
 }
 
-// Defaults are the starting values.
+// Defaults returns the settings of a cluster without settings of its own.
 func Defaults() Config {
 	return Config{
-		Lease: 5 * time.Second, RenewalWait: time.Second,
-		SilenceTimeout: 4 * time.Second, OrderTimeout: 300 * time.Millisecond, RenewalMargin: 400 * time.Millisecond,
-		RetryMin: 200 * time.Millisecond, RetryMax: 500 * time.Millisecond, ExpiryMargin: 600 * time.Millisecond,
-		ClockSlack: 0.02, EarlyStart: 0, RemoteDataFactor: 1.5, ReserveAfter: 500 * time.Millisecond,
-		ForgetAfter: 15 * time.Second, MaxStarts: 512, MaxOrdersPerWorker: 4, MaxOrdersInFlight: 512, MaxPreemptions: 32, MaxProbes: 32,
+		Lease:              5 * time.Second,
+		RenewalWait:        time.Second,
+		RenewalMargin:      400 * time.Millisecond,
+		SilenceTimeout:     4 * time.Second,
+		OrderTimeout:       300 * time.Millisecond,
+		RetryMin:           200 * time.Millisecond,
+		RetryMax:           500 * time.Millisecond,
+		ExpiryMargin:       600 * time.Millisecond,
+		ClockSlack:         0.02,
+		EarlyStart:         0,
+		RemoteDataFactor:   1.5,
+		ReserveAfter:       500 * time.Millisecond,
+		ForgetAfter:        15 * time.Second,
+		MaxStarts:          512,
+		MaxOrdersPerWorker: 4,
+		MaxOrdersInFlight:  512,
+		MaxPreemptions:     32,
+		MaxProbes:          32,
 	}
 }
--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -7,77 +7,85 @@
 	"crosstide/internal/jobs"
 )
 
-// StartOrder tells a worker to start one run.
+// StartOrder tells a worker to start one run. It is marshalled in the answers to heartbeats: a renamed field keeps the
+// name in its tag.
 type StartOrder struct {
-	Key           jobs.RunKey
-	Payload       string
-	Needs         jobs.Resources // what the run takes of the worker
-	LeaseDeadline time.Duration  `json:"Deadline"` // the lease of everything on the worker, on the worker's clock
-	Token         uint64         // fencing token: the term of the leader
-	Checkpoint    string         // progress to go on from; empty: from the beginning
+	Key     jobs.RunKey    `json:"Key"`
+	Payload string         `json:"Payload"`
+	Needs   jobs.Resources `json:"Needs"` // what the run takes of the worker's capacity
+	// LeaseDeadline is when the lease of all runs on the worker expires, on the worker's clock.
+	LeaseDeadline time.Duration `json:"Deadline"`
+	Token         uint64        `json:"Token"`      // fencing token: the term of the leader
+	Checkpoint    string        `json:"Checkpoint"` // to resume from; empty: start from the beginning
 }
 
 // StopOrder tells a worker to stop one run, and never to start it later.
 type StopOrder struct {
 	Key   jobs.RunKey
-	Token uint64
+	Token uint64 // fencing token
 }
 
-// LeaseRenewal renews a worker's lease and asks what runs and what has ended.
+// LeaseRenewal renews a worker's lease, acknowledges ends, and asks which runs run and which have ended.
 type LeaseRenewal struct {
-	Token            uint64
-	AcknowledgedUpTo uint64        // ends numbered up to it are durable here
-	LeaseDeadline    time.Duration // the new lease, on the worker's clock; 0: none
-	Wait             time.Duration // how long the answer may be held until an end comes
+	Token            uint64        // fencing token
+	AcknowledgedUpTo uint64        // the worker may forget the ends numbered up to it: they are committed
+	LeaseDeadline    time.Duration // of the new lease, on the worker's clock; 0: none is granted
+	Wait             time.Duration // how long the worker may hold the answer until a run ends
 }
 
-// Refusal says why a worker did not take a start; empty: it took it.
+// Refusal says why a worker refused a start; empty: it accepted it. The values are part of the wire format.
 type Refusal string
 
 // The refusals of a worker. In each case the run has not started and this order never starts it.
 const (
 	RefusedFenced    Refusal = "fence"     // the worker has seen a higher token
-	RefusedStale     Refusal = "old"       // the run is not above one that was stopped or ended there
-	RefusedExpired   Refusal = "late"      // the deadline is over
-	RefusedCapacity  Refusal = "room"      // it does not fit
-	RefusedInvalid   Refusal = "invalid"   // the order cannot be read
-	RefusedUnhealthy Refusal = "unhealthy" // the worker takes nothing now
+	RefusedStale     Refusal = "old"       // a run of its task with this number or a higher one has ended
+	RefusedExpired   Refusal = "late"      // the lease deadline of the order has passed
+	RefusedCapacity  Refusal = "room"      // its needs exceed what is free
+	RefusedInvalid   Refusal = "invalid"   // the order can't be read
+	RefusedUnhealthy Refusal = "unhealthy" // the worker accepts nothing now
 )
 
-// StartAnswer is a worker's answer to a start.
+// StartAnswer is a worker's answer to a start order.
 type StartAnswer struct {
-	Clock   time.Duration // the worker's clock; 0 if not told
+	Clock   time.Duration // the worker's clock; 0 if it did not say
 	Refusal Refusal
 }
 
-// ListedRun is one run that a worker lists as running.
+// ListedRun is a run that a worker lists as running.
 type ListedRun struct {
-	Key        jobs.RunKey
-	Checkpoint string
-	Percent    int
+	Key        jobs.RunKey `json:"Key"`
+	Checkpoint string      `json:"Checkpoint"` // the newest one; empty: none
+	Percent    int         `json:"Percent"`    // its progress
 }
 
-// EndedRun is one end that a worker lists until it is acknowledged.
+// EndedRun is an end that a worker lists until it is acknowledged.
 type EndedRun struct {
-	Sequence   uint64 // from 1, rising, within one life of the worker
-	Key        jobs.RunKey
+	Sequence   uint64         `json:"Sequence"` // from 1, rising, within one incarnation of the worker
+	Key        jobs.RunKey    `json:"Key"`
 	Reason     jobs.EndReason `json:"How"`
-	Checkpoint string
+	Checkpoint string         `json:"Checkpoint"`
 }
 
-// RenewalAnswer is a worker's answer to a hold call.
+// RenewalAnswer is a worker's answer to a lease renewal. It is marshalled in heartbeats, with the runs in it: a renamed
+// field keeps the name in its tag.
 type RenewalAnswer struct {
-	Clock   time.Duration
-	Running []ListedRun
-	Ended   []EndedRun
-	Full    bool // more ends wait than an answer holds: what is not listed may have ended
+	Clock   time.Duration `json:"Clock"` // the worker's clock
+	Running []ListedRun   `json:"Running"`
+	Ended   []EndedRun    `json:"Ended"` // oldest first
+	// Full: more ends are unacknowledged than an answer holds, so that a run that isn't listed may have ended.
+	Full bool `json:"Full"`
 }
 
-// Workers carries orders to workers. Failures: errs.Unknown: another life answers at the address, the worker is gone
-// for good; errs.Unavailable with rpc.Unsent: nothing left; any other: the call may or may not be carried out, now
-// or later.
+// Workers sends calls to workers. Each call returns when the worker has answered or its context is done.
+//
+// The kinds of errors: errs.Unknown: another incarnation answers at the address, the worker is gone for good;
+// an error for which rpc.IsUnsent holds: nothing left this node; any other: the call may be carried out, now or later.
 type Workers interface {
+	// Start delivers a start order.
 	Start(ctx context.Context, worker jobs.Worker, order StartOrder) (StartAnswer, error)
+	// Stop delivers a stop order.
 	Stop(ctx context.Context, worker jobs.Worker, order StopOrder) error
+	// RenewLease renews the lease of all runs on a worker. The answer may take LeaseRenewal.Wait.
 	RenewLease(ctx context.Context, worker jobs.Worker, call LeaseRenewal) (RenewalAnswer, error)
 }
