--- a/internal/controller/scheduler/actions.go
+++ b/internal/controller/scheduler/actions.go
@@ -6,35 +6,31 @@
 	"crosstide/internal/jobs"
 )
 
-// Actions is what a pass wants done.
+// Actions is what a pass wants done by the owner of the Core.
 type Actions struct {
-	Progress *jobs.Progress  // to be committed under its term; answered by Committed
+	Progress *jobs.Progress  // to be committed under its term, answered by Committed; nil: nothing
 	Starts   []StartAction   // each answered by StartAnswered
 	Stops    []StopAction    // each answered by StopAnswered
 	Renewals []RenewalAction // each answered by RenewalAnswered
 	Next     time.Duration   // when the next pass is due at the latest
 }
 
-// StartAction is a start order to be sent.
+// StartAction is a start order to be sent to a worker.
 type StartAction struct {
 	Worker jobs.Worker
 	Order  StartOrder
 }
 
-// StopAction is a stop order to be sent.
+// StopAction is a stop order to be sent to a worker.
 type StopAction struct {
 	Worker jobs.Worker
 	Order  StopOrder
 }
 
-// RenewalAction is a hold call to be sent. Number tells it from others to the same worker.
+// RenewalAction is a lease renewal to be sent to a worker. Two may be in flight to a worker at once; Number says which
+// of them an answer belongs to.
 type RenewalAction struct {
 	Worker jobs.Worker
 	Number uint64
 	Call   LeaseRenewal
 }
-
-// Counts are what a Core counted since it was made.
-type Counts struct {
-	Started, Done, Failed, Lost, Expired, Refused, Unconfirmed, Stopped, Preempted, Moved uint64
-}
--- a/internal/controller/scheduler/balance.go
+++ b/internal/controller/scheduler/balance.go
@@ -1,18 +1,17 @@
 package scheduler
 
-import (
-	"crosstide/internal/jobs"
-)
+import "crosstide/internal/jobs"
 
-// balanceCheck keeps the starts of one pass within the balances of the parties that pay for them. The table checks each start
-// again when it is committed; this saves it from refusing the same starts again and again.
+// balanceCheck keeps the starts of one placement within the balances of the parties that pay for them. The table checks
+// each start again when it is committed; without this check it would refuse the same starts again and again. A nil
+// balanceCheck permits everything.
 type balanceCheck struct {
 	table    *jobs.Table
-	reserved map[string]int64 // what the starts of this pass need, by party
-	blocked  map[string]bool  // parties whose balance is kept for a unit that it does not cover
+	reserved map[string]int64 // by party: what the starts planned so far cost
+	blocked  map[string]bool  // parties whose balance is kept for a more urgent unit that it doesn't cover
 }
 
-// newBalanceCheck gives nil where nobody pays.
+// newBalanceCheck returns nil where nobody pays.
 func newBalanceCheck(table *jobs.Table) *balanceCheck {
 	if len(table.Parties) == 0 {
 		return nil
@@ -20,21 +19,22 @@
 	return &balanceCheck{table: table, reserved: map[string]int64{}, blocked: map[string]bool{}}
 }
 
-// affordable gives the part of a unit that its party's balance covers: the first tasks, of a gang all or none. Nil if it
-// covers none.
-func (p *balanceCheck) affordable(u *unit) *unit {
-	if p == nil {
+// affordable returns the part of a unit that its party's balance covers: the first tasks, of a gang all or none; nil if
+// it covers none.
+func (b *balanceCheck) affordable(u *unit) *unit {
+	if b == nil {
 		return u
 	}
-	party := p.table.PartyOf(u.job)
+	party := b.table.PartyOf(u.job)
 	if party == nil {
 		return u
 	}
-	covered, cost := []int(nil), p.reserved[party.Name]
+	var covered []int
+	cost := b.reserved[party.Name]
 	for _, index := range u.taskIndexes {
-		fee := p.table.Fee(u.job, u.task(index))
-		if fee > 0 && (p.blocked[party.Name] || !p.table.Covers(party, cost+fee)) {
-			p.blocked[party.Name] = true
+		fee := b.table.Fee(u.job, u.task(index))
+		if fee > 0 && (b.blocked[party.Name] || !b.table.Covers(party, cost+fee)) {
+			b.blocked[party.Name] = true
 			continue
 		}
 		cost += fee
@@ -48,14 +48,14 @@
 	return &part
 }
 
-// reserve takes the starts of a unit into account that were planned.
-func (p *balanceCheck) reserve(u *unit, starts []jobs.Start) {
-	if p == nil || len(starts) == 0 {
+// reserve deducts what planned starts of a unit cost from what is left for later units.
+func (b *balanceCheck) reserve(u *unit, starts []jobs.Start) {
+	if b == nil || len(starts) == 0 {
 		return
 	}
-	if party := p.table.PartyOf(u.job); party != nil {
+	if party := b.table.PartyOf(u.job); party != nil {
 		for _, start := range starts {
-			p.reserved[party.Name] += p.table.Fee(u.job, start.Task)
+			b.reserved[party.Name] += b.table.Fee(u.job, start.Task)
 		}
 	}
 }
--- a/internal/controller/scheduler/commit.go
+++ b/internal/controller/scheduler/commit.go
@@ -6,17 +6,17 @@
 	"crosstide/internal/jobs"
 )
 
-// proposal is the Progress under way.
+// proposal is a Progress whose commit is in flight. Owned by propose and Committed.
 type proposal struct {
 	progress   *jobs.Progress
-	highestEnd map[string]uint64 // by worker: the end that may be acknowledged once it is committed
+	highestEnd map[string]uint64 // by worker: the end up to which the commit permits to acknowledge
 	starts     map[jobs.RunKey]bool
 }
 
-// propose makes the next Progress, if none is under way.
-func (c *Core) propose(now time.Duration, wall time.Time, out *Actions) {
+// propose returns the next Progress to commit; nil if there is nothing to commit or a proposal is in flight.
+func (c *Core) propose(now time.Duration, wall time.Time) *jobs.Progress {
 	if c.inFlight != nil {
-		return
+		return nil
 	}
 	var starts []jobs.Start
 	if c.placementDue {
@@ -28,24 +28,24 @@
 		forget, c.nextForget = c.workersToForget(now), now+sweepInterval
 	}
 	if len(c.pendingEnds) == 0 && len(starts) == 0 && len(forget) == 0 && len(c.highestEnd) == 0 {
-		return
+		return nil
+	}
+	ends, highestEnd := c.pendingEnds, c.highestEnd
+	c.pendingEnds, c.highestEnd = nil, map[string]uint64{}
+	if len(ends) == 0 && len(starts) == 0 && len(forget) == 0 {
+		c.markDurable(highestEnd) // the runs that ended have no handles any more: nothing to commit
+		return nil
 	}
-	progress := &jobs.Progress{Term: c.term, At: wall, Ends: c.pendingEnds, Starts: starts, Forget: forget}
-	c.inFlight = &proposal{progress: progress, highestEnd: c.highestEnd, starts: map[jobs.RunKey]bool{}}
+	progress := &jobs.Progress{Term: c.term, At: wall, Ends: ends, Starts: starts, Forget: forget}
+	c.inFlight = &proposal{progress: progress, highestEnd: highestEnd, starts: map[jobs.RunKey]bool{}}
 	for _, s := range starts {
 		c.inFlight.starts[jobs.RunKey{Task: s.Task, Number: s.Number}] = true
 	}
-	c.pendingEnds, c.highestEnd = nil, map[string]uint64{}
-	if len(progress.Ends)+len(progress.Starts)+len(progress.Forget) == 0 {
-		c.markDurable(c.inFlight.highestEnd) // only ends of runs that are long settled: nothing to commit
-		c.inFlight = nil
-		return
-	}
-	out.Progress = progress
+	return progress
 }
 
-// Committed takes in the outcome of the Progress under way. After an error its starts are never sent; if they were
-// recorded all the same, they are found in the table and ended as lost.
+// Committed takes in the outcome of the proposal in flight. After an error its starts are never sent; if they were
+// recorded all the same, their handles are found in the table and ended as lost.
 func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.Started, err error) {
 	c.now = now
 	if c.term == 0 || c.inFlight == nil || c.inFlight.progress != progress {
@@ -54,13 +54,7 @@
 	done := c.inFlight
 	c.inFlight, c.placementDue = nil, true
 	if err != nil {
-		c.pendingEnds = append(done.progress.Ends, c.pendingEnds...)
-		for id, sequence := range done.highestEnd {
-			c.highestEnd[id] = max(c.highestEnd[id], sequence)
-		}
-		for _, s := range done.progress.Starts {
-			c.dirtyJobs[s.Task.Job] = true
-		}
+		c.retryProposal(done)
 		return
 	}
 	c.markDurable(done.highestEnd)
@@ -72,23 +66,26 @@
 	}
 }
 
-func (c *Core) startInFlight(key jobs.RunKey) bool {
-	return c.inFlight != nil && c.inFlight.starts[key]
+// retryProposal puts the ends of a failed proposal into the next one, and its tasks back into the queue.
+func (c *Core) retryProposal(failed *proposal) {
+	c.pendingEnds = append(failed.progress.Ends, c.pendingEnds...)
+	for id, number := range failed.highestEnd {
+		c.highestEnd[id] = max(c.highestEnd[id], number)
+	}
+	for _, s := range failed.progress.Starts {
+		c.dirtyJobs[s.Task.Job] = true
+	}
 }
 
-func (c *Core) markDurable(seen map[string]uint64) {
-	for id, sequence := range seen {
-		if w := c.workers[id]; w != nil && sequence > w.durableEnd {
-			w.durableEnd, w.durableAt = sequence, c.now
-		}
-	}
+// isStartInFlight reports whether the handle of a run is part of the proposal in flight.
+func (c *Core) isStartInFlight(key jobs.RunKey) bool {
+	return c.inFlight != nil && c.inFlight.starts[key]
 }
 
-// recordStart notes a run whose handle was committed; its order leaves with the next pass.
+// recordStart tracks a run whose handle was committed; its order leaves with the next pass.
 func (c *Core) recordStart(s jobs.Start) {
 	key := jobs.RunKey{Task: s.Task, Number: s.Number}
-	r := c.trackRun(key, s.Worker, true)
-	if r != nil {
+	if r := c.trackRun(key, s.Worker, true); r != nil {
 		c.unsentStarts = append(c.unsentStarts, key)
 	}
 }
--- a/internal/controller/scheduler/connbackoff.go
+++ b/internal/controller/scheduler/connbackoff.go
@@ -1,24 +1,22 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// connBackoff is a want of connections on this node, as the failures of calls tell of it. While it lasts nothing is planned:
-// orders that cannot leave only tie their tasks to workers.
+// connBackoff is the back-off while this node lacks connections, which failures of calls show. Until it ends no starts
+// are planned: orders that can't leave would only bind their tasks to workers.
 type connBackoff struct {
-	until time.Duration // no starts are planned before it
-	delay time.Duration // the last pause
+	until time.Duration
+	delay time.Duration // the newest one
 }
 
-// failed takes in that a call found no room. The pause doubles with each time that it was not long enough.
-func (s *connBackoff) failed(cfg Config, now time.Duration) {
-	if now < s.until {
+// failed takes in that a call found no connection. The delay doubles each time that it was not long enough.
+func (b *connBackoff) failed(cfg Config, now time.Duration) {
+	if now < b.until {
 		return
 	}
-	s.delay = min(max(2*s.delay, cfg.RetryMin), cfg.RetryMax)
-	s.until = now + s.delay
+	b.delay = min(max(2*b.delay, cfg.RetryMin), cfg.RetryMax)
+	b.until = now + b.delay
 }
 
-// reset takes in that an order found room.
-func (s *connBackoff) reset() { *s = connBackoff{} }
+// reset takes in that an order found a connection.
+func (b *connBackoff) reset() { *b = connBackoff{} }
--- a/internal/controller/scheduler/connbackoff_test.go
+++ b/internal/controller/scheduler/connbackoff_test.go
@@ -17,8 +17,8 @@
 		So(len(h.sent), ShouldEqual, 1)
 		first := h.sent[0].Order.Key
 		h.core.StartAnswered(h.now, "w", first, StartAnswer{}, StartNoConnection)
-		So(h.core.workers["w"].isReachable(), ShouldBeTrue)
-		So(h.core.workers["w"].throttledUntil, ShouldEqual, 0)
+		So(h.core.workers["w"].contact.isReachable(), ShouldBeTrue)
+		So(h.core.workers["w"].contact.throttledUntil, ShouldEqual, 0)
 		h.pass()
 		So(h.sent, ShouldBeEmpty)
 		h.now += h.core.cfg.RetryMin
@@ -50,17 +50,17 @@
 		h.pass()
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}
 		w := h.core.workers["w"]
-		h.core.RenewalAnswered(h.now, "w", w.longPoll, RenewalAnswer{}, RenewalNoConnection)
-		So([]any{w.isReachable(), w.longPoll, w.throttledUntil}, ShouldResemble, []any{true, uint64(0), time.Duration(0)})
+		h.core.RenewalAnswered(h.now, "w", w.renewal.longPoll.number, RenewalAnswer{}, RenewalNoConnection)
+		So([]any{w.contact.isReachable(), w.renewal.longPoll.number, w.contact.throttledUntil}, ShouldResemble, []any{true, uint64(0), time.Duration(0)})
 		h.now += h.core.cfg.RetryMin
 		h.pass()
-		So(w.longPoll, ShouldNotEqual, 0)
+		So(w.renewal.longPoll.number, ShouldNotEqual, 0)
 		_, err := h.table.Cancel(jobs.Cancel{ID: "j", At: time.Time{}.Add(h.now)})
 		So(err, ShouldBeNil)
 		h.pass()
 		So(len(h.stops), ShouldEqual, 1)
 		h.core.StopAnswered(h.now, "w", key, StopNoConnection)
-		So(w.isReachable(), ShouldBeTrue)
+		So(w.contact.isReachable(), ShouldBeTrue)
 		h.now += h.core.cfg.RetryMin
 		h.pass()
 		So(len(h.stops), ShouldEqual, 1)
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -1,16 +1,3 @@
-// Package scheduler decides which task runs on which worker, and proves which runs are dead. It runs beside the leader
-// of the store, under the leader's term.
-//
-// Core is a step function without clock, socket or goroutine: its owner feeds it changes of the job table, answers of
-// workers and the time, and carries out what Pass gives. The order on the ordinary path:
-//
-//  1. Pass chooses workers for due tasks and gives a Progress to be committed: the run handles.
-//  2. After the commit (Committed) the start orders leave, under the term as fencing token.
-//  3. Hold calls renew the lease of each worker and bring the lists of running and ended runs.
-//  4. Ends go into the next Progress; only after its commit are they acknowledged to the worker.
-//
-// A new leader takes over with Lead: every handle in the table is a run of unknown fate until the first answer of its
-// worker under the new term lists it, or does not.
 package scheduler
 
 import (
@@ -21,85 +8,99 @@
 	"crosstide/internal/jobs"
 )
 
-// Core holds the scheduler's records. One caller at a time.
+// Core is the scheduler's step function; see the package comment for how it is driven. It isn't safe for concurrent
+// use: its owner calls it from one goroutine.
 type Core struct {
-	cfg         Config
-	table       *jobs.Table
-	term        uint64 // 0: not leading
-	leaderSince time.Duration
-	now         time.Duration
-	// sequence counts calls and answers, so that an answer can be told to be of a call sent after something.
+	cfg  Config
+	term uint64        // under which it schedules; 0: not leading
+	now  time.Duration // of the newest pass, answer or commit
+	// sequence numbers renewals and answers in the order of their events, across terms. A renewal that left after an
+	// event has a higher number than it, so its answer can prove something about it.
 	sequence uint64
 
+	termState // all that is known under the term; replaced as a whole when the term changes
+
+	discarded map[Cause]Discarded // since New
+
+	// Counts are totals since New, for metrics and tests.
+	Counts Counts
+}
+
+// Counts are the totals of a Core since it was made.
+type Counts struct {
+	Started, Done, Failed, Lost, Expired, Refused, Unconfirmed, Stopped, Preempted, Moved uint64
+}
+
+// termState is what a Core knows and has in flight under one term.
+type termState struct {
+	table       *jobs.Table // read only; its owner changes it between calls, and reports each change by TableChanged
+	leaderSince time.Duration
+
 	workers    map[string]*worker
-	workerIDs  []string  // of workers, in the order they were met
-	workerList []*worker // the same workers, for looks at all of them
+	workerList []*worker // the values of workers in the order in which they were first seen: every scan goes by it
 	runs       map[jobs.RunKey]*run
-	activeJobs map[string]*job // jobs that are not over or have handles out
-	dirtyJobs  map[string]bool // jobs to look at again
-
-	runsToStop         map[jobs.RunKey]*run // runs to be stopped
-	workersWithOrphans map[string]bool      // workers with runs that the table does not have
-
-	pendingEnds  []jobs.End
-	highestEnd   map[string]uint64 // by worker: highest end in ends
-	unsentStarts []jobs.RunKey     // recorded, to be sent
-	inFlight     *proposal
-	placementDue bool // something changed that may let a due task be placed
-
-	nextSweep      time.Duration
-	nextForget     time.Duration           // the next look for workers to forget
-	nextDue        time.Time               // the next round that falls due
-	ordersInFlight int                     // start and stop orders under way to all workers
-	connBackoff    connBackoff             // of connections, here
-	avoidWorker    map[jobs.TaskRef]string // workers that tasks failed on or were moved away from
-	moveCount      map[jobs.TaskRef]int    // how often tasks were moved away from slow workers
-	speeds         speedStats
+	activeJobs map[string]*job // jobs that aren't terminal or have run handles
+	dirtyJobs  map[string]bool // jobs whose record must be rebuilt from the table before the next decision
+	nextDue    time.Time       // when the earliest round that isn't due yet falls due; zero: none is known
 
-	discarded map[Cause]Discarded // since this core was made
+	runsToStop         map[jobs.RunKey]*run // candidates for a stop order; sendStops drops those that need none
+	workersWithOrphans map[string]bool      // by ID; sendStops drops those that have none left
 
-	// Counts are for metrics and tests.
-	Counts Counts
+	pendingEnds  []jobs.End        // of the next proposal
+	highestEnd   map[string]uint64 // by worker: the highest number among its ends received since the last proposal
+	inFlight     *proposal         // nil: none; there is at most one
+	unsentStarts []jobs.RunKey     // committed handles whose start order hasn't left yet
+
+	placementDue bool // an input since the last placement may let a due task be placed
+	nextSweep    time.Duration
+	nextForget   time.Duration // when workersToForget runs next
+
+	ordersInFlight int // start and stop orders to all workers: the sum of worker.ordersInFlight
+	connBackoff    connBackoff
+	history        taskHistory
+	speeds         speedStats
 }
 
-// New makes a core that does not lead.
-func New(cfg Config) *Core {
-	c := &Core{cfg: cfg, discarded: map[Cause]Discarded{}}
-	c.reset()
-	return c
+func newTermState() termState {
+	return termState{
+		workers:            map[string]*worker{},
+		runs:               map[jobs.RunKey]*run{},
+		activeJobs:         map[string]*job{},
+		dirtyJobs:          map[string]bool{},
+		runsToStop:         map[jobs.RunKey]*run{},
+		workersWithOrphans: map[string]bool{},
+		highestEnd:         map[string]uint64{},
+		history:            newTaskHistory(),
+		speeds:             newSpeedStats(),
+	}
 }
 
-func (c *Core) reset() {
-	c.workers, c.workerIDs, c.workerList, c.runs = map[string]*worker{}, nil, nil, map[jobs.RunKey]*run{}
-	c.activeJobs, c.dirtyJobs, c.highestEnd = map[string]*job{}, map[string]bool{}, map[string]uint64{}
-	c.runsToStop, c.workersWithOrphans = map[jobs.RunKey]*run{}, map[string]bool{}
-	c.pendingEnds, c.unsentStarts, c.inFlight = nil, nil, nil
-	c.nextForget, c.ordersInFlight, c.connBackoff = 0, 0, connBackoff{}
-	c.avoidWorker, c.moveCount, c.speeds = map[jobs.TaskRef]string{}, map[jobs.TaskRef]int{}, newSpeedStats()
-	c.nextDue = time.Time{}
+// New returns a Core that doesn't lead.
+func New(cfg Config) *Core {
+	return &Core{cfg: cfg, termState: newTermState(), discarded: map[Cause]Discarded{}}
 }
 
-// BecomeLeader takes up the scheduling of table under term. The table has every commit of earlier terms. The owner passes the
-// table's notes to Note from now on.
+// BecomeLeader begins to schedule table under term. The commits of all earlier terms must be applied to the table. From
+// now on the owner reports each of its changes by TableChanged.
 func (c *Core) BecomeLeader(now time.Duration, term uint64, table *jobs.Table) {
-	c.reset()
+	c.termState = newTermState()
 	c.table, c.term, c.leaderSince, c.now = table, term, now, now
 	for _, id := range sortedKeys(table.Workers) {
 		c.trackWorker(id)
 	}
 	for _, id := range sortedKeys(table.Jobs) {
-		c.markDirty(id)
+		c.dirtyJobs[id] = true
 	}
 	c.placementDue, c.nextSweep = true, now
 }
 
-// StepDown lays the scheduling down.
+// StepDown stops scheduling. Inputs are ignored until the next BecomeLeader.
 func (c *Core) StepDown() {
 	c.term = 0
-	c.reset()
+	c.termState = newTermState()
 }
 
-// Term is the term under which this core schedules; 0 when it does not.
+// Term returns the term under which this Core schedules; 0 when it doesn't.
 func (c *Core) Term() uint64 { return c.term }
 
 // TableChanged takes in a change of the table.
@@ -113,22 +114,19 @@
 		c.dirtyJobs[change.Name] = true
 	case jobs.WorkerChanged:
 		c.trackWorker(change.Name)
-	case jobs.ConfigChanged: // a queue may have gone, come back or moved to another service
+	case jobs.ConfigChanged: // a queue may have been removed, added again or assigned to another service
 		for id := range c.activeJobs {
 			c.dirtyJobs[id] = true
 		}
 	case jobs.WorkerGone:
-		if w := c.workers[change.Name]; w != nil {
-			c.ordersInFlight -= w.ordersInFlight
-		}
-		delete(c.workers, change.Name)
-		delete(c.speeds.byWorker, change.Name)
-		c.workerIDs = slices.DeleteFunc(c.workerIDs, func(id string) bool { return id == change.Name })
-		c.workerList = slices.DeleteFunc(c.workerList, func(w *worker) bool { return w.id == change.Name })
+		c.untrackWorker(change.Name)
 	}
 }
 
-// Pass gives what is to be done at now; wall is the time of day.
+// Pass returns what is to be done at now; wall is the time of day.
+//
+// The order of its steps matters. Orders that were decided earlier leave first. Renewals come last: whether one may be
+// sent depends on the orders in flight and on the ends that were just proposed.
 func (c *Core) Pass(now time.Duration, wall time.Time) Actions {
 	c.now = now
 	if c.term == 0 {
@@ -138,45 +136,29 @@
 	if now >= c.nextSweep {
 		c.sweep(now)
 	}
-	var out Actions
-	c.sendStarts(&out)
-	c.sendStops(&out)
-	c.propose(now, wall, &out)
-	waiting := c.sendRenewals(now, &out)
-	out.Next = c.nextPass(now, wall)
-	if waiting {
-		out.Next = min(out.Next, now+probeWindow)
+	var actions Actions
+	c.sendStarts(&actions)
+	c.sendStops(&actions)
+	actions.Progress = c.propose(now, wall)
+	throttled := c.sendRenewals(now, &actions)
+	actions.Next = c.nextPass(now, wall)
+	if throttled {
+		actions.Next = min(actions.Next, now+probeWindow)
 	}
-	return out
+	return actions
 }
 
-func (c *Core) nextPass(now time.Duration, wall time.Time) time.Duration {
-	next := now + time.Second
-	if len(c.runs) > 0 || len(c.activeJobs) > 0 {
-		next = max(now+time.Millisecond, c.nextSweep)
-	}
-	if !c.nextDue.IsZero() {
-		next = min(next, now+max(time.Millisecond, c.nextDue.Sub(wall)))
-	}
-	return next
-}
-
-// sweepInterval is the pause between looks at all workers and runs.
+// sweepInterval is the pause between sweeps.
 const sweepInterval = 250 * time.Millisecond
 
-// sweep looks at everything that time alone changes.
+// sweep handles what changes by time alone: it ends the runs of workers whose lease has expired, probes workers that
+// wait for an acknowledgement, and requests stops that were not requested where the run was marked.
 func (c *Core) sweep(now time.Duration) {
 	c.nextSweep = now + sweepInterval
 	for _, w := range c.workerList {
-		w.probeDue = w.probeDue || w.needsAck(now)
+		w.renewal.probeDue = w.renewal.probeDue || w.needsAck(now)
 		if w.leaseExpired(c, now) {
-			for _, key := range sortedRuns(w.runs) {
-				if r := w.runs[key]; r.sent && !r.ending {
-					r.cause = cmp.Or(r.cause, CauseLeaseExpired)
-					c.endRun(r, jobs.EndLost, "")
-					c.Counts.Expired++
-				}
-			}
+			c.endExpiredRuns(w)
 		}
 	}
 	for _, r := range c.runs {
@@ -186,3 +168,46 @@
 	}
 	c.placementDue = true
 }
+
+// endExpiredRuns ends the runs of a worker whose lease has expired.
+func (c *Core) endExpiredRuns(w *worker) {
+	for _, key := range sortedRuns(w.runs) {
+		if r := w.runs[key]; r.start.sent && !r.ending {
+			r.stop.cause = cmp.Or(r.stop.cause, CauseLeaseExpired)
+			c.endRun(r, jobs.EndLost, "")
+			c.Counts.Expired++
+		}
+	}
+}
+
+// nextPass returns when time alone will require another pass.
+func (c *Core) nextPass(now time.Duration, wall time.Time) time.Duration {
+	next := now + time.Second
+	if len(c.runs) > 0 || len(c.activeJobs) > 0 {
+		next = max(now+time.Millisecond, c.nextSweep)
+	}
+	if !c.nextDue.IsZero() {
+		next = min(next, now+max(time.Millisecond, c.nextDue.Sub(wall)))
+	}
+	return next
+}
+
+// sortedRuns returns the keys of runs in order: decisions must not depend on the order of a map.
+func sortedRuns(runs map[jobs.RunKey]*run) []jobs.RunKey {
+	keys := make([]jobs.RunKey, 0, len(runs))
+	for key := range runs {
+		keys = append(keys, key)
+	}
+	slices.SortFunc(keys, jobs.RunKey.Compare)
+	return keys
+}
+
+// sortedKeys returns the keys of m in order: decisions must not depend on the order of a map.
+func sortedKeys[V any](m map[string]V) []string {
+	keys := make([]string, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
+}
--- a/internal/controller/scheduler/deregister_test.go
+++ b/internal/controller/scheduler/deregister_test.go
@@ -32,7 +32,7 @@
 		Convey("its lease is renewed, nothing more starts there, and its end is taken in", func() {
 			for range 20 {
 				h.now += 200 * time.Millisecond
-				h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
+				h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 				h.pass()
 				So(h.sent, ShouldBeEmpty)
 				if len(h.renewals) > 0 {
@@ -66,7 +66,7 @@
 		h.renewals = nil
 		for range 10 {
 			h.now += time.Second
-			h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
+			h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 			h.pass()
 		}
 		So(h.renewals, ShouldBeEmpty)
@@ -91,7 +91,7 @@
 		h.core.StartAnswered(h.now, "w", h.sent[0].Order.Key, StartAnswer{}, StartUnsent)
 		for range 10 {
 			h.now += time.Second
-			h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0) // it serves on
+			h.core.Heartbeat(h.now, "w", time.Minute+h.now) // it serves on
 			h.pass()
 			So(h.table.Workers["w"], ShouldNotBeNil)
 			So(h.sent, ShouldBeEmpty)
--- a/internal/controller/scheduler/discard.go
+++ b/internal/controller/scheduler/discard.go
@@ -6,45 +6,50 @@
 	"crosstide/internal/jobs"
 )
 
-// Cause says why the work of a run was thrown away.
+// Cause says why the work of a run was discarded. The values are part of metric labels.
 type Cause string
 
-// The causes for which work is thrown away. A run that fails by its own fault is not among them: its client pays for it.
+// The causes for which work is discarded. A failure of the run itself isn't among them: its client pays for it.
 const (
-	CauseJobOver      Cause = "job_over"   // its job was cancelled or given up
+	CauseJobOver      Cause = "job_over"   // its job was cancelled or has failed
 	CausePreempted    Cause = "preempted"  // stopped for a more urgent one
-	CauseMoved        Cause = "moved"      // stopped on a slow worker, to begin anew elsewhere
+	CauseMoved        Cause = "moved"      // stopped on a slow worker, to restart elsewhere
 	CauseGang         Cause = "gang"       // another member of its gang had ended
-	CauseUnanswered   Cause = "unanswered" // its start was never answered, and it was stopped lest it begins late
-	CauseLeaseExpired Cause = "lapsed"     // the lease of its worker was over
-	CauseLost         Cause = "lost"       // its worker was gone, or did not list it any more
+	CauseUnanswered   Cause = "unanswered" // its start got no answer, and it was stopped lest it starts late
+	CauseLeaseExpired Cause = "lapsed"     // the lease of its worker expired
+	CauseLost         Cause = "lost"       // its worker is gone, or didn't list it any more
 	CauseGangTimeout  Cause = "alone"      // it waited too long for the other members of its gang
 )
 
-// Discarded is the work thrown away for one cause.
+// Discarded is the work discarded for one cause.
 type Discarded struct {
 	Runs int
-	// CoreSeconds is the work of those runs that had no checkpoint, an accelerator counting as coresPerGPU cores. Lasting
-	// tasks are not in it, nor runs that an earlier leader started.
+	// CoreSeconds is the work of those runs that had no checkpoint, an accelerator counting as coresPerGPU cores.
+	// Long-running tasks and runs that an earlier leader started aren't in it.
 	CoreSeconds float64
 }
 
-// endCauses are the causes that the end of a run tells by itself.
+// endCauses are the causes of ends for which the run has none of its own. Other ends discard nothing.
 var endCauses = map[jobs.EndReason]Cause{
-	jobs.EndLeaseExpired: CauseLeaseExpired, jobs.EndGangBroken: CauseGang, jobs.EndGangTimeout: CauseGangTimeout, jobs.EndLost: CauseLost, jobs.EndStopped: CauseLost,
+	jobs.EndLeaseExpired: CauseLeaseExpired,
+	jobs.EndGangBroken:   CauseGang,
+	jobs.EndGangTimeout:  CauseGangTimeout,
+	jobs.EndLost:         CauseLost,
+	jobs.EndStopped:      CauseLost,
 }
 
-// discard counts a run that ended neither well nor by its own fault. Why it was stopped goes before how it ended.
-func (c *Core) discard(r *run, reason jobs.EndReason, checkpoint string) {
+// countDiscarded counts the work of a run that neither ended well nor failed by itself. The cause for which it was
+// stopped takes precedence over the reason of its end.
+func (c *Core) countDiscarded(r *run, reason jobs.EndReason, checkpoint string) {
 	cause, known := endCauses[reason]
-	if !known || !r.sent {
+	if !known || !r.start.sent {
 		return
 	}
-	cause = cmp.Or(r.cause, cause)
+	cause = cmp.Or(r.stop.cause, cause)
 	sum := c.discarded[cause]
 	sum.Runs++
-	if r.ownTerm && !r.longRunning && r.checkpoint == "" && checkpoint == "" {
-		sum.CoreSeconds += (c.now - r.sentAt).Seconds() * coresOf(r.needs)
+	if r.ownTerm && !r.longRunning && r.progress.checkpoint == "" && checkpoint == "" {
+		sum.CoreSeconds += (c.now - r.start.sentAt).Seconds() * coresOf(r.needs)
 	}
 	c.discarded[cause] = sum
 }
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -20,7 +20,7 @@
 	h.pass()
 	h.answer(RenewalAnswer{Running: []ListedRun{{Key: key, Checkpoint: checkpoint, Percent: 1}}})
 	h.pass()
-	h.core.runs[key].sentAt = h.now - time.Second
+	h.core.runs[key].start.sentAt = h.now - time.Second
 	return key
 }
 
--- a/internal/controller/scheduler/feasible.go
+++ b/internal/controller/scheduler/feasible.go
@@ -7,43 +7,33 @@
 	"crosstide/internal/jobs"
 )
 
-// node is a worker that may take starts in this pass, with the room it has left.
+// node is a worker that may take starts in this pass. It belongs to one placement.
 type node struct {
 	worker   *worker
 	record   *jobs.Worker
-	free     jobs.Resources
-	freeing  jobs.Resources // what runs give back that are being stopped, or whose ends wait to be committed
-	reserved bool           // kept free for a more urgent unit
-	slowdown float64        // how many times as long a task takes here
-	// lowest is the priority of the least urgent run here that may be stopped for a more urgent one; -1: none.
+	free     jobs.Resources // after the starts planned so far
+	freeing  jobs.Resources // of runs that are being stopped, or whose ends wait to be committed
+	reserved bool           // for a more urgent unit: it takes no more starts in this pass
+	slowdown float64        // how many times as long a task takes here as on the average worker
+	// lowestPriority is that of the least urgent run here that may be preempted; -1: none may.
 	lowestPriority int
 }
 
-// feasibleNodes gives the nodes of a service, the same for all units of a pass.
+// feasibleNodes returns the nodes of a service, the same for all units of a pass.
 func (p *placement) feasibleNodes(service string) []*node {
 	if nodes, ok := p.feasible[service]; ok {
 		return nodes
 	}
 	var nodes, stalled []*node
-	for _, id := range p.core.workerIDs {
-		w := p.core.workers[id]
+	for _, w := range p.core.workerList {
 		rec := w.record()
 		if rec == nil || rec.Service != service || !w.canTakeStarts(p.core, p.now) {
 			continue
 		}
-		n := &node{worker: w, record: rec, free: minus(rec.Capacity, p.core.table.Used(id)), slowdown: p.core.speeds.slowdown(id), lowestPriority: -1}
-		for _, r := range w.runs {
-			if r.toStop || r.ending {
-				n.freeing = plus(n.freeing, r.needs)
-			}
-			if r.isPreemptible() {
-				n.lowestPriority = max(n.lowestPriority, r.priority)
-			}
-		}
-		if w.isStalled(p.now) {
-			stalled = append(stalled, n)
+		if w.cooldown.isStalled(p.now) {
+			stalled = append(stalled, p.newNode(w, rec))
 		} else {
-			nodes = append(nodes, n)
+			nodes = append(nodes, p.newNode(w, rec))
 		}
 	}
 	if len(stalled) > len(nodes)/minHealthyPerStalled {
@@ -53,60 +43,88 @@
 	return nodes
 }
 
-// Pauses after a worker refused a start, or after a run on it was found standing still.
+// newNode returns a node with what its runs leave free.
+func (p *placement) newNode(w *worker, rec *jobs.Worker) *node {
+	n := &node{
+		worker:         w,
+		record:         rec,
+		free:           minus(rec.Capacity, p.core.table.Used(w.id)),
+		slowdown:       p.core.speeds.slowdown(w.id),
+		lowestPriority: -1,
+	}
+	for _, r := range w.runs {
+		if r.stop.wanted || r.ending {
+			n.freeing = plus(n.freeing, r.needs)
+		}
+		if r.isPreemptible() {
+			n.lowestPriority = max(n.lowestPriority, r.priority)
+		}
+	}
+	return n
+}
+
+// cooldown says when a worker last showed that it is a bad place for starts. Times are of the leader's clock; 0: never.
+type cooldown struct {
+	fullAt      time.Duration // it refused a start for lack of capacity: the table's account lags
+	unhealthyAt time.Duration // it refused a start as unhealthy
+	stalledAt   time.Duration // a run on it was found stalled, and none has made progress since
+}
+
+// How long a worker takes no starts after it refused one, or after a run on it was found stalled.
 const (
 	fullBackoff      = 300 * time.Millisecond
 	unhealthyBackoff = time.Second
 	stalledBackoff   = 2 * time.Second
 )
 
-// minHealthyPerStalled is how many workers there must be for each one that is left out because its runs stand still.
+// minHealthyPerStalled is how many other workers there must be for each one that is excluded because its runs are
+// stalled.
 const minHealthyPerStalled = 3
 
-// isStalled tells whether a worker is left out because its runs stand still.
-func (w *worker) isStalled(now time.Duration) bool {
-	return w.stalledAt > 0 && now-w.stalledAt < stalledBackoff
+// isStalled reports whether the worker is to be excluded because its runs are stalled.
+func (d *cooldown) isStalled(now time.Duration) bool {
+	return d.stalledAt > 0 && now-d.stalledAt < stalledBackoff
+}
+
+// hasRefused reports whether the worker has refused a start lately.
+func (d *cooldown) hasRefused(now time.Duration) bool {
+	return d.fullAt > 0 && now-d.fullAt < fullBackoff || d.unhealthyAt > 0 && now-d.unhealthyAt < unhealthyBackoff
 }
 
-// canTakeStarts tells whether a worker may be given starts.
+// markRefused records why a worker refused a start.
+func (w *worker) markRefused(now time.Duration, why Refusal) {
+	switch why {
+	case RefusedCapacity:
+		w.cooldown.fullAt = max(now, 1)
+		w.renewal.probeDue = true // its list shows what it runs that the table doesn't know of
+	case RefusedUnhealthy, RefusedInvalid:
+		w.cooldown.unhealthyAt = max(now, 1)
+	}
+}
+
+// canTakeStarts reports whether a worker may be given starts at all.
 func (w *worker) canTakeStarts(c *Core, now time.Duration) bool {
 	rec := w.record()
 	switch {
 	case isLeaving(rec) || c.table.Evacuated[rec.Zone]:
 		return false
-	case !w.clockOK || w.heardAt == 0 || now-w.heardAt > c.cfg.SilenceTimeout || !w.isReachable():
-		return false
-	case !w.answered || w.answeredAt < w.verifyAt:
+	case !w.lease.clockKnown || w.contact.isSilent(now, c.cfg.SilenceTimeout) || !w.contact.isReachable():
 		return false
-	case w.fullAt > 0 && now-w.fullAt < fullBackoff || w.unhealthyAt > 0 && now-w.unhealthyAt < unhealthyBackoff:
+	case !w.lease.fenced || w.contact.answeredAt < w.contact.verifyAt:
 		return false
 	}
-	return true
+	return !w.cooldown.hasRefused(now)
 }
 
-// isFeasible tells whether a unit's tasks may run on a node at all, room apart.
+// isFeasible reports whether a unit's tasks may run on a node at all, its free capacity apart.
 func (p *placement) isFeasible(u *unit, n *node) bool {
 	if u.step.Label != "" && !slices.Contains(n.record.Labels, u.step.Label) {
 		return false
 	}
-	return u.step.MaxPerWorker == 0 || p.countOnNode(u, n.record.ID) < u.step.MaxPerWorker
-}
-
-// countOnNode counts a unit's tasks on a worker, those planned in this pass included.
-func (p *placement) countOnNode(u *unit, id string) int {
-	counts := p.assigned[u.key()]
-	if counts == nil {
-		counts = map[string]int{}
-		for _, task := range u.job.Rounds[u.round][u.stepIndex] {
-			for _, handle := range task.Runs {
-				counts[handle.Worker]++
-			}
-		}
-		p.assigned[u.key()] = counts
-	}
-	return counts[id]
+	return u.step.MaxPerWorker == 0 || p.tasksOn(u)[n.record.ID] < u.step.MaxPerWorker
 }
 
+// totalCapacity returns how many of a unit's tasks some nodes would take if they were empty.
 func (p *placement) totalCapacity(u *unit, nodes []*node) int {
 	sum := 0
 	for _, n := range nodes {
@@ -115,13 +133,16 @@
 	return sum
 }
 
-// capacityFor is how many of a unit's tasks an empty node takes.
+// maxTasksPerNode bounds the capacity of a node for tasks that need nothing.
+const maxTasksPerNode = 1 << 10
+
+// capacityFor returns how many of a unit's tasks a node would take if it were empty.
 func (p *placement) capacityFor(u *unit, n *node) int {
 	if !p.isFeasible(u, n) {
 		return 0
 	}
 	needs, has := u.step.Needs, n.record.Capacity
-	most := 1 << 10
+	most := maxTasksPerNode
 	if needs.MilliCPU > 0 {
 		most = min(most, has.MilliCPU/needs.MilliCPU)
 	}
--- /dev/null
+++ b/internal/controller/scheduler/flowcontrol.go
@@ -0,0 +1,29 @@
+package scheduler
+
+// orderSent counts an order that leaves for a worker.
+func (c *Core) orderSent(w *worker) {
+	w.ordersInFlight++
+	c.ordersInFlight++
+}
+
+// orderDone counts an order that was answered or has failed.
+func (c *Core) orderDone(w *worker) {
+	if w.ordersInFlight == 0 {
+		return // of an earlier term
+	}
+	w.ordersInFlight--
+	c.ordersInFlight--
+}
+
+// orderBudget returns how many more starts may be planned. Those that wait to leave count as in flight.
+func (c *Core) orderBudget() int {
+	return c.cfg.MaxOrdersInFlight - c.ordersInFlight - len(c.unsentStarts)
+}
+
+// canOrder reports whether one more order may be in flight to the worker.
+func (w *worker) canOrder(c *Core) bool {
+	if w.contact.isThrottled(c.now) {
+		return w.ordersInFlight == 0
+	}
+	return w.ordersInFlight < c.cfg.MaxOrdersPerWorker
+}
--- a/internal/controller/scheduler/health_test.go
+++ b/internal/controller/scheduler/health_test.go
@@ -17,7 +17,7 @@
 		Convey("the other one is silent once the time is over", func() {
 			for range 10 {
 				b.pass(time.Second)
-				b.core.Heartbeat(b.now, "w1", b.now, 0)
+				b.core.Heartbeat(b.now, "w1", b.now)
 			}
 			health := b.core.Health(b.now)
 			So(health.Workers, ShouldEqual, 2)
--- a/internal/controller/scheduler/job.go
+++ b/internal/controller/scheduler/job.go
@@ -6,21 +6,21 @@
 	"crosstide/internal/jobs"
 )
 
-// job is the scheduler's record of a job that is not over or has handles out.
+// job is the scheduler's record of a job that isn't terminal or has run handles. refreshJob rebuilds it whenever the
+// job has changed in the table.
 type job struct {
-	id    string
-	timed bool // a round of it is not due yet
-	runs  map[jobs.RunKey]bool
-	units []*unit
+	id            string
+	runs          map[jobs.RunKey]bool // handles of its tasks
+	units         []*unit              // what of it is due
+	hasUndueRound bool                 // a round of it isn't due yet
 }
 
-func (c *Core) markDirty(id string) { c.dirtyJobs[id] = true }
-
+// refreshDirtyJobs rebuilds the records of jobs that have changed, or of which a round may have fallen due.
 func (c *Core) refreshDirtyJobs(wall time.Time) {
 	if !c.nextDue.IsZero() && !wall.Before(c.nextDue) {
 		c.nextDue = time.Time{}
 		for id, j := range c.activeJobs {
-			if j.timed {
+			if j.hasUndueRound {
 				c.dirtyJobs[id] = true
 			}
 		}
@@ -34,7 +34,7 @@
 	clear(c.dirtyJobs)
 }
 
-// refreshJob makes a job's record anew from the table.
+// refreshJob rebuilds a job's record from the table. A unit that was due before keeps its place in the queue.
 func (c *Core) refreshJob(id string, wall time.Time) {
 	rec := c.activeJobs[id]
 	if rec == nil {
@@ -44,17 +44,18 @@
 	j := c.table.Jobs[id]
 	handles := c.syncRuns(rec, j)
 	before := rec.units
-	rec.units, rec.timed = nil, false
+	rec.units, rec.hasUndueRound = nil, false
 	if j == nil || j.State.IsTerminal() {
 		if handles == 0 {
 			delete(c.activeJobs, id)
-			c.dropTaskHistory(id)
+			c.history.forgetJob(id)
+			c.speeds.forgetJob(id)
 		}
 		return
 	}
 	q := c.table.Config.Queue(j.Spec.Queue)
 	if q == nil {
-		return // no configuration directs it anywhere
+		return // its queue was removed: it waits until a configuration has it again
 	}
 	for round := range j.Rounds {
 		c.addDueUnits(rec, j, q, round, wall)
@@ -68,21 +69,3 @@
 		}
 	}
 }
-
-func (c *Core) dropTaskHistory(id string) {
-	for key := range c.speeds.byStep {
-		if key.job == id {
-			delete(c.speeds.byStep, key)
-		}
-	}
-	for ref := range c.avoidWorker {
-		if ref.Job == id {
-			delete(c.avoidWorker, ref)
-		}
-	}
-	for ref := range c.moveCount {
-		if ref.Job == id {
-			delete(c.moveCount, ref)
-		}
-	}
-}
--- a/internal/controller/scheduler/lease.go
+++ b/internal/controller/scheduler/lease.go
@@ -1,33 +1,61 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// grantLease gives the deadline of a new lease, on the worker's clock, and notes that it may be in force.
-func (w *worker) grantLease(c *Core, now time.Duration) time.Duration {
-	if !w.clockOK {
+// leaseState bounds the leases that may be in force on a worker. Lease deadlines are of the worker's own clock, so that
+// a renewal that is delivered late extends nothing.
+type leaseState struct {
+	// fenced: the worker answered a renewal under this term, so it accepts nothing from an earlier leader any more.
+	fenced bool
+
+	clock      time.Duration // of the worker at clockAt
+	clockAt    time.Duration // of the leader
+	clockKnown bool
+
+	until time.Duration // the latest lease that may be in force, on the worker's clock; 0: not known
+}
+
+// setClock takes in the worker's clock; 0 if it did not say.
+func (l *leaseState) setClock(now, clock time.Duration) {
+	if clock > 0 && (!l.clockKnown || clock > l.clock) {
+		l.clock, l.clockAt, l.clockKnown = clock, now, true
+	}
+}
+
+// grant returns the deadline of a new lease and records that it may be in force; 0 if the worker's clock isn't known.
+func (l *leaseState) grant(now, lease time.Duration) time.Duration {
+	if !l.clockKnown {
 		return 0
 	}
-	deadline := w.clock + (now - w.clockAt) + c.cfg.Lease
-	w.leaseUntil = max(w.leaseUntil, deadline)
+	deadline := l.clock + (now - l.clockAt) + lease
+	l.until = max(l.until, deadline)
 	return deadline
 }
 
-// minClock is the least that the worker's clock shows at now.
-func (w *worker) minClock(c *Core, now time.Duration) time.Duration {
-	return w.clock + time.Duration(float64(now-w.clockAt)*(1-c.cfg.ClockSlack))
+// fence records the first answer to a renewal under this term. No earlier leader can renew from here on; what one
+// granted ends by then, as all go by the same settings.
+func (l *leaseState) fence(clock time.Duration, cfg Config) {
+	if !l.fenced {
+		l.fenced = true
+		l.until = max(l.until, clock+cfg.Lease+cfg.ExpiryMargin)
+	}
+}
+
+// minClock returns the least that the worker's clock can show at now.
+func (l *leaseState) minClock(now time.Duration, slack float64) time.Duration {
+	return l.clock + time.Duration(float64(now-l.clockAt)*(1-slack))
 }
 
-// leaseExpired tells whether every lease that may have been given to the worker is surely over. Heartbeats say nothing of it:
-// they may come by way of another node while no call gets through.
+// leaseExpired reports whether every lease that may have been granted to the worker has certainly expired, and its runs
+// are killed. Heartbeats don't count: they may come by way of another node while no call gets through.
 func (w *worker) leaseExpired(c *Core, now time.Duration) bool {
 	// An earlier leader may have granted a whole lease just before this term began.
-	if !w.answered && time.Duration(float64(now-c.leaderSince)*(1-c.cfg.ClockSlack)) <= c.cfg.Lease+2*c.cfg.ExpiryMargin {
+	sinceTerm := time.Duration(float64(now-c.leaderSince) * (1 - c.cfg.ClockSlack))
+	if !w.lease.fenced && sinceTerm <= c.cfg.Lease+2*c.cfg.ExpiryMargin {
 		return false
 	}
-	if !w.answered && w.leaseUntil == 0 {
+	if !w.lease.fenced && w.lease.until == 0 {
 		return true
 	}
-	return w.minClock(c, now) > w.leaseUntil+c.cfg.ExpiryMargin
+	return w.lease.minClock(now, c.cfg.ClockSlack) > w.lease.until+c.cfg.ExpiryMargin
 }
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -17,7 +17,7 @@
 		}
 		h.renewals = nil
 		if heartbeats {
-			h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
+			h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 		}
 		h.pass()
 	}
@@ -52,7 +52,7 @@
 		h.core.BecomeLeader(h.now, harnessTerm+1, h.table)
 		var granted time.Duration // what the worker's lease may be by now, on its clock
 		for end := h.now + 8*time.Second; h.now < end && len(h.table.RunsOn("w")) > 0; h.now += 200 * time.Millisecond {
-			h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
+			h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 			out := h.core.Pass(h.now, time.Time{}.Add(h.now))
 			for _, renewal := range out.Renewals {
 				granted = max(granted, renewal.Call.LeaseDeadline)
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -73,7 +73,7 @@
 	cancelled := m.submitKind("stays")
 	for pass := range monthPasses {
 		for _, id := range m.workers {
-			m.core.Heartbeat(m.now, id, m.now, 0)
+			m.core.Heartbeat(m.now, id, m.now)
 		}
 		m.carryOut(m.pass(100 * time.Millisecond))
 		if crash && pass == monthPasses/4 {
--- a/internal/controller/scheduler/move.go
+++ b/internal/controller/scheduler/move.go
@@ -7,31 +7,36 @@
 	"crosstide/internal/jobs"
 )
 
-// Bounds of what is moved away from a slow worker.
+// Conditions under which a run is moved away from a slow worker, and limits of moves.
 const (
-	slowFactor      = 2.0                    // a run is looked at once it took so many times as long as its peers
-	stallTime       = 700 * time.Millisecond // a run without any progress for so long stands still
-	stallFraction   = 0.05                   // if it is also so large a part of its expected time: progress is told in percent
-	maxMovesPerTask = 2                      // times that one task is moved by a leader
-	moveCost        = 500 * time.Millisecond // a stop, two commits and a start
-	gainFactor      = 1.5                    // what is left must be so many times as long as beginning anew elsewhere
-	maxProgressAge  = 2 * time.Second        // progress that was listed longer ago says nothing
-	maxMovesPerPass = 16                     // runs moved by one pass
-	certainSlowdown = 5.0                    // times as long as its peers: its worker is slow, whatever else runs there
-	minSlowRuns     = 2                      // runs at slowFactor by which a worker is slow
+	// stallTime: a run without progress for so long is stalled, if that is also stallFraction of its expected time, as
+	// progress is reported in whole percent.
+	stallTime     = 700 * time.Millisecond
+	stallFraction = 0.05
+
+	slowFactor      = 2.0 // a run is slow from so many times the time of its peers on
+	certainSlowdown = 5.0 // from so many times on its worker is slow, whatever else runs there
+	minSlowRuns     = 2   // a worker with so many slow runs is slow
+
+	moveCost       = 500 * time.Millisecond // of a stop, two commits and a start
+	gainFactor     = 1.5                    // what is left must take so many times as long as a restart elsewhere
+	maxProgressAge = 2 * time.Second        // progress that was listed longer ago proves nothing
+
+	maxMovesPerTask = 2 // under one term
+	maxMovesPerPass = 16
 )
 
-// moveSlowRuns stops runs that stand still or go on far slower than elsewhere, where another worker has room for them. They
-// are due again once their end is listed, and shun the worker that they come from.
+// moveSlowRuns stops runs that are stalled, or far slower than elsewhere, where another worker has capacity for them.
+// Their tasks are due again once the end is listed, and avoid the worker that they come from.
 func (p *placement) moveSlowRuns() {
-	slow := map[jobs.RunKey]*run{} // few of all runs: only these are put in order
+	slow := map[jobs.RunKey]*run{} // few of all runs: only these are sorted
 	for key, r := range p.core.runs {
 		w := p.core.workers[r.worker]
-		if w == nil || w.failures > 0 || !p.isMovable(r) {
-			continue // nothing is known of it
+		if w == nil || w.contact.failures > 0 || !p.isMovable(r) {
+			continue // its progress isn't known
 		}
 		if p.isStalled(r) {
-			w.stalledAt = p.now
+			w.cooldown.stalledAt = p.now
 			slow[key] = r
 		} else if p.isSlow(r) {
 			slow[key] = r
@@ -45,45 +50,39 @@
 	}
 }
 
-// expected is how long a run should take on an average worker, by its client's guess.
-func (c *Core) expected(estimate time.Duration) time.Duration {
-	ratio := max(c.speeds.meanRatio, 1)
-	return time.Duration(float64(max(estimate, minEstimate)) * ratio)
-}
-
-// isMovable tells whether a run's progress is known and the run may be moved.
+// isMovable reports whether a run's progress is known and the run may be moved.
 func (p *placement) isMovable(r *run) bool {
-	if r.longRunning || r.gang || !r.listed || r.toStop || r.ending || !r.ownTerm || p.now-r.progressAt > maxProgressAge {
+	if r.longRunning || r.gang || !r.ownTerm || !r.progress.listed || r.stop.wanted || r.ending {
 		return false
 	}
-	return p.core.moveCount[r.key.Task] < maxMovesPerTask
+	return p.now-r.progress.at <= maxProgressAge && p.core.history.moves[r.key.Task] < maxMovesPerTask
 }
 
-// isStalled tells whether a run has made no progress for long, against its expected time.
+// isStalled reports whether a run has made no progress for long, compared with its expected time.
 func (p *placement) isStalled(r *run) bool {
-	still := r.progressAt - r.advancedAt
+	still := r.progress.at - r.progress.advancedAt
 	if still < stallTime {
 		return false
 	}
 	peers, _ := p.core.speeds.peerMean(r.key.Task)
-	return still >= time.Duration(stallFraction*float64(max(p.core.expected(r.estimate), peers)))
+	return still >= time.Duration(stallFraction*float64(max(p.core.speeds.expected(r.estimate), peers)))
 }
 
-// observeMove tells whether what is left of a run takes far longer than beginning it anew elsewhere: other tasks of its step
-// took a fraction of its time, and that lies with its worker. The tasks of a step differ: one that is long takes as long
-// anywhere.
+// isSlow reports whether what is left of a run takes far longer than a restart elsewhere: its peers, the other tasks of
+// its step, took a fraction of its time, and the cause is its worker. The tasks of a step differ: one that is long
+// takes as long on any worker.
 func (p *placement) isSlow(r *run) bool {
 	peers, known := p.core.speeds.peerMean(r.key.Task)
-	elapsed := r.progressAt - r.sentAt
+	elapsed := r.progress.at - r.start.sentAt
 	if !known || elapsed < time.Duration(slowFactor*float64(peers)) {
 		return false
 	}
-	left := time.Duration(float64(elapsed) * float64(100-r.percent) / float64(max(r.percent, 1)))
+	left := time.Duration(float64(elapsed) * float64(100-r.progress.percent) / float64(max(r.progress.percent, 1)))
 	return left > time.Duration(gainFactor*float64(peers+moveCost)) && p.isWorkerSlow(r)
 }
 
-// isWorkerSlow tells whether the slowness of a run lies with its worker: by other runs there, by those that have ended
-// there, or because the run is slower than tasks of one step ever differ.
+// isWorkerSlow reports whether a run is slow because of its worker: by other runs there, by those that have ended
+// there, or because the run is slower than the tasks of one step ever differ.
 func (p *placement) isWorkerSlow(r *run) bool {
 	if p.core.speeds.slowdown(r.worker) >= slowFactor || p.runSlowdown(r) >= certainSlowdown {
 		return true
@@ -97,62 +96,63 @@
 	return slow >= minSlowRuns
 }
 
-// runSlowdown is how many times as long as its peers a run takes, by its progress so far; 0 if its peers are not known.
+// runSlowdown returns how many times as long as its peers a run takes, extrapolated from its progress; 0 if its peers
+// aren't known.
 func (p *placement) runSlowdown(r *run) float64 {
 	peers, known := p.core.speeds.peerMean(r.key.Task)
 	if !known || peers <= 0 {
 		return 0
 	}
-	whole := float64(r.progressAt-r.sentAt) * 100 / float64(max(r.percent, 1))
-	return whole / (float64(peers) * p.remoteFactor(r))
+	total := float64(r.progress.at-r.start.sentAt) * 100 / float64(max(r.progress.percent, 1))
+	return total / (float64(peers) * p.remoteFactor(r))
 }
 
-// remoteFactor is how many times as long a run takes for being away from its data.
+// remoteFactor returns how many times as long a run takes for being away from its data.
 func (p *placement) remoteFactor(r *run) float64 {
 	j, rec := p.core.table.Jobs[r.key.Task.Job], p.core.table.Workers[r.worker]
 	if j == nil || rec == nil || r.key.Task.Step >= len(j.Spec.Steps) {
 		return 1
 	}
-	near := j.Spec.Steps[r.key.Task.Step].PreferredRack
-	if near == "" || slices.Contains(rec.Labels, near) {
+	rack := j.Spec.Steps[r.key.Task.Step].PreferredRack
+	if rack == "" || slices.Contains(rec.Labels, rack) {
 		return 1
 	}
 	return p.core.cfg.RemoteDataFactor
 }
 
-// moveOne stops a run if another worker has room for its task.
+// moveOne stops a run if another worker has capacity for its task. It reports whether it did.
 func (p *placement) moveOne(r *run) bool {
-	j := p.core.table.Jobs[r.key.Task.Job]
-	if j == nil || j.State.IsTerminal() || r.key.Task.Step >= len(j.Spec.Steps) {
+	task := r.key.Task
+	j := p.core.table.Jobs[task.Job]
+	if j == nil || j.State.IsTerminal() || task.Step >= len(j.Spec.Steps) {
 		return false
 	}
 	q := p.core.table.Config.Queue(j.Spec.Queue)
 	if q == nil {
 		return false
 	}
-	u := &unit{job: j, step: &j.Spec.Steps[r.key.Task.Step], queue: q, round: r.key.Task.Round, stepIndex: r.key.Task.Step}
+	u := &unit{job: j, step: &j.Spec.Steps[task.Step], queue: q, round: task.Round, stepIndex: task.Step}
 	n := p.selectOtherNode(u, p.feasibleNodes(q.Service), r.worker)
 	if n == nil {
 		return false
 	}
 	n.free = minus(n.free, u.step.Needs)
 	p.core.requestStop(r, CauseMoved)
-	p.core.avoidWorker[r.key.Task] = r.worker
-	p.core.moveCount[r.key.Task]++
+	p.core.history.avoid[task] = r.worker
+	p.core.history.moves[task]++
 	p.core.speeds.observeMove(r.worker)
 	p.core.Counts.Moved++
 	return true
 }
 
-// selectOtherNode is best among all nodes but one.
+// selectOtherNode selects among all nodes but one.
 func (p *placement) selectOtherNode(u *unit, nodes []*node, except string) *node {
 	at := slices.IndexFunc(nodes, func(n *node) bool { return n.record.ID == except })
 	if at < 0 {
 		return p.selectNode(u, nodes, "")
 	}
 	own := nodes[at]
-	reserved := own.reserved
-	own.reserved = true
-	defer func() { own.reserved = reserved }()
+	defer func(reserved bool) { own.reserved = reserved }(own.reserved)
+	own.reserved = true // for this selection, which passes over reserved nodes
 	return p.selectNode(u, nodes, "")
 }
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -33,7 +33,7 @@
 		for i, key := range h.table.RunsOn(renewal.Worker.ID) {
 			done := percent[renewal.Worker.ID][i%2]
 			if done == usual {
-				h.core.runs[key].sentAt = h.now - 900*time.Millisecond // it began later
+				h.core.runs[key].start.sentAt = h.now - 900*time.Millisecond // it began later
 			}
 			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: done})
 		}
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -7,39 +7,49 @@
 	"crosstide/internal/jobs"
 )
 
-// placement is the work of one pass.
+// placement is the state of one placement: the decisions of one pass, on the free capacity that its earlier decisions
+// have left. It ends with the pass.
 type placement struct {
-	core      *Core
-	now       time.Duration
-	wall      time.Time
-	feasible  map[string][]*node // by service
+	core *Core
+	now  time.Duration
+	wall time.Time
+
 	starts    []jobs.Start
-	assigned  map[jobs.TaskRef]map[string]int // planned tasks of a unit on a worker
-	byFree    map[string][]*node              // by service: the nodes with most free room first; gone with each start
-	preempted int
+	assigned  map[jobs.TaskRef]map[string]int // by unit key and worker: its tasks there, those of starts included
+	preempted int                             // runs that were stopped for more urgent work
+
+	feasible map[string][]*node // by service, see feasibleNodes
+	byFree   map[string][]*node // by service, see nodesByFree; emptied by each planned start
 }
 
-// place chooses workers for due tasks.
+// place selects workers for the due tasks, most urgent first, and moves runs away from slow workers. It returns the
+// starts to commit; stops are requested at once.
 func (c *Core) place(now time.Duration, wall time.Time) []jobs.Start {
-	capacity := min(c.cfg.MaxStarts, c.orderBudget())
-	if now < c.connBackoff.until || capacity <= 0 {
+	budget := min(c.cfg.MaxStarts, c.orderBudget())
+	if now < c.connBackoff.until || budget <= 0 {
 		c.placementDue = true
 		return nil
 	}
 	units := c.dueUnits(wall)
-	p := &placement{core: c, now: now, wall: wall, feasible: map[string][]*node{}, assigned: map[jobs.TaskRef]map[string]int{},
-		byFree: map[string][]*node{}}
-	paid := newBalanceCheck(c.table)
+	p := &placement{
+		core:     c,
+		now:      now,
+		wall:     wall,
+		assigned: map[jobs.TaskRef]map[string]int{},
+		feasible: map[string][]*node{},
+		byFree:   map[string][]*node{},
+	}
+	balances := newBalanceCheck(c.table)
 	for _, u := range units {
-		if len(p.starts) >= capacity {
+		if len(p.starts) >= budget {
 			c.placementDue = true
 			break
 		}
-		if u = paid.affordable(u); u == nil {
+		if u = balances.affordable(u); u == nil {
 			continue
 		}
-		if u.step.Gang && len(p.starts)+len(u.taskIndexes) > capacity && capacity < c.cfg.MaxOrdersInFlight {
-			c.placementDue = true // its orders leave together, once fewer are under way
+		if u.step.Gang && len(p.starts)+len(u.taskIndexes) > budget && budget < c.cfg.MaxOrdersInFlight {
+			c.placementDue = true // the orders of a gang leave together, once fewer are in flight
 			continue
 		}
 		before := len(p.starts)
@@ -48,7 +58,7 @@
 		} else {
 			p.placeTasks(u)
 		}
-		paid.reserve(u, p.starts[before:])
+		balances.reserve(u, p.starts[before:])
 	}
 	p.moveSlowRuns()
 	return p.starts
@@ -59,7 +69,7 @@
 	nodes := p.feasibleNodes(u.queue.Service)
 	tasks := u.tasks()
 	for position, index := range u.taskIndexes {
-		n := p.selectNode(u, nodes, p.core.avoidWorker[u.task(index)])
+		n := p.selectNode(u, nodes, p.core.history.avoid[u.task(index)])
 		if n == nil {
 			p.freeCapacity(u, nodes, len(u.taskIndexes)-position)
 			return
@@ -68,13 +78,16 @@
 	}
 }
 
+// rackTimeoutFactor is how many times Config.ReserveAfter a gang waits for one rack before it is spread over several.
+const rackTimeoutFactor = 4
+
 // placeGang places all members of a gang, or none.
 func (p *placement) placeGang(u *unit) {
 	nodes := p.feasibleNodes(u.queue.Service)
 	groups := [][]*node{nodes}
 	if u.step.SameRack {
 		groups = byRack(nodes)
-		if p.now-u.waitingSince > 4*p.core.cfg.ReserveAfter || !p.someRackFits(u, groups) {
+		if p.now-u.waitingSince > rackTimeoutFactor*p.core.cfg.ReserveAfter || !p.someRackFits(u, groups) {
 			groups = append(groups, nodes) // slower over several racks, but not waiting
 		}
 	}
@@ -86,21 +99,22 @@
 	p.freeCapacity(u, nodes, len(u.taskIndexes))
 }
 
-// someRackFits tells whether some rack, were it empty, would hold the whole gang.
+// someRackFits reports whether some rack, were it empty, would hold the whole gang.
 func (p *placement) someRackFits(u *unit, racks [][]*node) bool {
 	return slices.ContainsFunc(racks, func(rack []*node) bool { return p.totalCapacity(u, rack) >= len(u.taskIndexes) })
 }
 
+// tryGang assigns all members of a gang to nodes of a group under one run number. It assigns none if one doesn't fit.
 func (p *placement) tryGang(u *unit, nodes []*node) bool {
 	number := 0
 	for _, task := range u.tasks() {
 		number = max(number, task.LastRun+1)
 	}
-	length := len(p.starts)
+	planned := len(p.starts)
 	for _, index := range u.taskIndexes {
 		n := p.selectNode(u, nodes, "")
 		if n == nil {
-			p.rollback(u, nodes, length)
+			p.rollback(u, nodes, planned)
 			return false
 		}
 		p.assign(u, n, index, number)
@@ -108,31 +122,46 @@
 	return true
 }
 
-// assign plans a start of one task on a node.
+// assign plans the start of a task on a node.
 func (p *placement) assign(u *unit, n *node, index, number int) {
 	n.free = minus(n.free, u.step.Needs)
 	clear(p.byFree)
-	p.countOnNode(u, n.record.ID)
-	p.assigned[u.key()][n.record.ID]++
+	p.tasksOn(u)[n.record.ID]++
 	p.starts = append(p.starts, jobs.Start{Task: u.task(index), Number: number, Worker: n.record.ID})
 }
 
-// rollback undoes the newest starts, down to a length of the list.
-func (p *placement) rollback(u *unit, nodes []*node, length int) {
+// rollback undoes the newest starts, which are of the unit, down to a number of planned ones.
+func (p *placement) rollback(u *unit, nodes []*node, planned int) {
 	clear(p.byFree)
-	for _, s := range p.starts[length:] {
+	for _, s := range p.starts[planned:] {
 		for _, n := range nodes {
 			if n.record.ID == s.Worker {
 				n.free = plus(n.free, u.step.Needs)
 			}
 		}
-		p.assigned[u.key()][s.Worker]--
+		p.tasksOn(u)[s.Worker]--
+	}
+	p.starts = p.starts[:planned]
+}
+
+// tasksOn returns the count of a unit's tasks by worker, those planned in this pass included.
+func (p *placement) tasksOn(u *unit) map[string]int {
+	counts := p.assigned[u.key()]
+	if counts == nil {
+		counts = map[string]int{}
+		for _, task := range u.tasks() {
+			for _, handle := range task.Runs {
+				counts[handle.Worker]++
+			}
+		}
+		p.assigned[u.key()] = counts
 	}
-	p.starts = p.starts[:length]
+	return counts
 }
 
-// freeCapacity is for a unit of which count tasks found no room: less urgent runs are stopped for it, and once it has waited
-// for a while room is kept free for it.
+// freeCapacity handles a unit of which count tasks found no node: it preempts less urgent runs, or, once the unit has
+// waited for Config.ReserveAfter, reserves nodes for it. Expired units get neither, and small tasks find free capacity
+// soon anyway.
 func (p *placement) freeCapacity(u *unit, nodes []*node, count int) {
 	if u.tier(p.wall) == expiredTier {
 		return
--- a/internal/controller/scheduler/preempt.go
+++ b/internal/controller/scheduler/preempt.go
@@ -3,9 +3,12 @@
 import (
 	"cmp"
 	"slices"
+
+	"crosstide/internal/jobs"
 )
 
-// preempt stops less urgent runs so that count tasks of a unit find room. It tells whether room is on the way.
+// preempt stops less urgent runs so that count tasks of a unit find capacity. It reports whether capacity for all of
+// them is becoming free. Gangs and long-running tasks preempt nothing: they wait or reserve.
 func (p *placement) preempt(u *unit, nodes []*node, count int) bool {
 	if u.step.Gang || u.step.LongRunning {
 		return false
@@ -18,7 +21,7 @@
 	return true
 }
 
-// preemptOne makes room for one task on the node where that throws the least work away.
+// preemptOne frees capacity for one task on the node where that discards the least work.
 func (p *placement) preemptOne(u *unit, nodes []*node) bool {
 	var chosen *node
 	var victims []*run
@@ -27,16 +30,16 @@
 		if n.reserved || !p.isFeasible(u, n) || !fits(n.record.Capacity, u.step.Needs) {
 			continue
 		}
-		if fits(plus(n.free, n.freeing), u.step.Needs) { // room is on the way here
-			n.reserve(u.step.Needs)
+		if fits(plus(n.free, n.freeing), u.step.Needs) { // enough is becoming free here
+			n.claim(u.step.Needs)
 			return true
 		}
 		if n.lowestPriority <= u.queue.Priority || p.preempted >= p.core.cfg.MaxPreemptions {
 			continue // nothing to stop here, or no more may be stopped in this pass
 		}
-		stop, waste, ok := p.victims(u, n)
+		candidates, waste, ok := p.victims(u, n)
 		if ok && (chosen == nil || waste < least) {
-			chosen, victims, least = n, stop, waste
+			chosen, victims, least = n, candidates, waste
 		}
 	}
 	if chosen == nil || p.preempted+len(victims) > p.core.cfg.MaxPreemptions {
@@ -49,12 +52,25 @@
 	}
 	p.preempted += len(victims)
 	p.core.placementDue = true
-	chosen.reserve(u.step.Needs)
+	chosen.claim(u.step.Needs)
 	return true
 }
 
-// victims gives the runs to stop on a node for one task of a unit, and the work thrown away in core-seconds.
-func (p *placement) victims(u *unit, n *node) (stop []*run, waste float64, ok bool) {
+// claim keeps capacity for a task that waits until runs here have stopped. Without it less urgent units of this pass
+// would take what is free of it already, and more runs would be stopped again and again.
+func (n *node) claim(needs jobs.Resources) {
+	left := minus(plus(n.free, n.freeing), needs)
+	free := jobs.Resources{
+		MilliCPU: min(n.free.MilliCPU, left.MilliCPU),
+		MemoryMB: min(n.free.MemoryMB, left.MemoryMB),
+		GPUs:     min(n.free.GPUs, left.GPUs),
+	}
+	n.free, n.freeing = free, minus(left, free)
+}
+
+// victims returns the runs to stop on a node for one task of a unit, and the work in core-seconds that this discards.
+// ok is false if stopping all that may be preempted isn't enough.
+func (p *placement) victims(u *unit, n *node) (victims []*run, waste float64, ok bool) {
 	var candidates []*run
 	for _, r := range n.worker.runs {
 		if r.priority > u.queue.Priority && r.isPreemptible() {
@@ -71,22 +87,29 @@
 		}
 		capacity = plus(capacity, r.needs)
 		waste += p.wastedWork(r)
-		stop = append(stop, r)
+		victims = append(victims, r)
 	}
-	return stop, waste, fits(capacity, u.step.Needs)
+	return victims, waste, fits(capacity, u.step.Needs)
+}
+
+// isPreemptible reports whether a run may be stopped for a more urgent one. Members of a gang may not: all others would
+// have to be stopped too.
+func (r *run) isPreemptible() bool {
+	return r.start.sent && r.progress.listed && !r.stop.wanted && !r.ending && !r.gang
 }
 
-// isPreemptible tells whether a run may be stopped for a more urgent one.
-func (r *run) isPreemptible() bool { return r.sent && r.listed && !r.toStop && !r.ending && !r.gang }
+// checkpointedWaste divides the work that is wasted if a run with a checkpoint is stopped.
+const checkpointedWaste = 4
 
-// wastedWork is the work that a stop of a run throws away, in core-seconds; a saved run loses little.
+// wastedWork returns what the stop of a run discards, in core-seconds. A long-running task is never finished, so that
+// its restart counts a little on top.
 func (p *placement) wastedWork(r *run) float64 {
-	waste := (p.now - r.sentAt).Seconds() * coresOf(r.needs)
-	if r.checkpoint != "" {
-		waste /= 4
+	waste := (p.now - r.start.sentAt).Seconds() * coresOf(r.needs)
+	if r.progress.checkpoint != "" {
+		waste /= checkpointedWaste
 	}
 	if r.longRunning {
-		waste += 1
+		waste++
 	}
 	return waste
 }
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -8,34 +8,36 @@
 	"crosstide/internal/jobs"
 )
 
-// unit is what is placed together: the due tasks of a step of a round, one by one, or a gang whole.
+// unit is what the queue orders and placement handles as one: the due tasks of one step of one round. They are placed
+// one by one, or all or none if the step is a gang.
 type unit struct {
 	job          *jobs.Job
 	step         *jobs.Step
 	queue        *jobs.Queue
 	round        int
-	stepIndex    int   // index of the step
-	taskIndexes  []int // of due tasks
-	waitingSince time.Duration
-	latestStart  time.Time // start by then to end in time
-	expiresAt    time.Time // from then on the round earns nothing any more
+	stepIndex    int
+	taskIndexes  []int         // of the due tasks, ascending
+	waitingSince time.Duration // when it was first due under this term
+	latestStart  time.Time     // the latest start with which the job can meet its objective; orders the queue
+	expiresAt    time.Time     // after it the round is so late that it is placed only where nothing else is due
 }
 
-// key tells units of the same step and round apart from others.
+// key returns the reference of the unit's step in its round, with the task index left 0.
 func (u *unit) key() jobs.TaskRef {
 	return jobs.TaskRef{Job: u.job.Spec.ID, Round: u.round, Step: u.stepIndex}
 }
 
-// task names the unit's task of an index.
+// task returns the reference of the unit's task of an index.
 func (u *unit) task(index int) jobs.TaskRef {
 	ref := u.key()
 	ref.Index = index
 	return ref
 }
 
+// tasks returns all tasks of the unit's step, due or not.
 func (u *unit) tasks() []jobs.Task { return u.job.Rounds[u.round][u.stepIndex] }
 
-// dueUnits gives all units in the order in which they are to be placed.
+// dueUnits returns all units in the order in which they are placed.
 func (c *Core) dueUnits(wall time.Time) []*unit {
 	var units []*unit
 	for _, rec := range c.activeJobs {
@@ -55,7 +57,7 @@
 // expiredTier comes after every priority.
 const expiredTier = 1 << 20
 
-// tier is the unit's class of urgency: its queue's priority, or the last one once it can earn nothing any more.
+// tier returns the unit's class of urgency: its queue's priority, or the last one once it has expired.
 func (u *unit) tier(wall time.Time) int {
 	if wall.After(u.expiresAt) {
 		return expiredTier
@@ -63,20 +65,26 @@
 	return u.queue.Priority
 }
 
-// addDueUnits adds the units of a round that are due.
+// Expiry of units.
+const (
+	expiryObjectives  = 3 // a round expires after so many times its objective
+	longRunningExpiry = 24 * time.Hour
+)
+
+// addDueUnits adds the units of a round that are due; if the round itself isn't due yet, it notes when it will be.
 func (c *Core) addDueUnits(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
 		begin = j.Spec.FirstRun.Add(time.Duration(round) * j.Spec.Interval)
 		if due := begin.Add(-c.cfg.EarlyStart); wall.Before(due) {
-			rec.timed = true
+			rec.hasUndueRound = true
 			if c.nextDue.IsZero() || due.Before(c.nextDue) {
 				c.nextDue = due
 			}
 			return
 		}
 	}
-	objective := time.Duration(q.Stretch*float64(criticalPath(j.Spec.Steps, 0, true))) + q.Target
+	objective := time.Duration(q.Stretch*float64(criticalPath(j.Spec.Steps))) + q.Target
 	for number := range j.Spec.Steps {
 		step := &j.Spec.Steps[number]
 		indexes := dueTasks(j.Rounds[round][number], step.Gang)
@@ -84,16 +92,17 @@
 			continue
 		}
 		u := &unit{job: j, step: step, queue: q, round: round, stepIndex: number, taskIndexes: indexes}
-		u.latestStart = begin.Add(objective - criticalPath(j.Spec.Steps, number, false))
-		u.expiresAt = begin.Add(3 * objective)
 		if step.LongRunning {
-			u.latestStart, u.expiresAt = begin.Add(q.Target), begin.Add(24*time.Hour)
+			u.latestStart, u.expiresAt = begin.Add(q.Target), begin.Add(longRunningExpiry)
+		} else {
+			u.latestStart = begin.Add(objective - criticalPathFrom(j.Spec.Steps, number))
+			u.expiresAt = begin.Add(expiryObjectives * objective)
 		}
 		rec.units = append(rec.units, u)
 	}
 }
 
-// dueTasks gives the tasks of a step that are to be started; of a gang all or none.
+// dueTasks returns the indexes of the tasks of a step that are to be started; of a gang all or none.
 func dueTasks(tasks []jobs.Task, gang bool) []int {
 	var due []int
 	for index := range tasks {
@@ -107,28 +116,37 @@
 	return due
 }
 
-// minEstimate stands for a step whose client gave no estimate.
+// minEstimate stands for a step whose client estimated less, or nothing.
 const minEstimate = 200 * time.Millisecond
 
-// criticalPath is the longest time along steps that wait for each other: of the whole job, or from one step on.
-func criticalPath(steps []jobs.Step, from int, whole bool) time.Duration {
-	longest := make([]time.Duration, len(steps))
+// criticalPath returns the longest time along steps that wait for each other.
+func criticalPath(steps []jobs.Step) time.Duration {
+	return longestPath(steps, func(int) bool { return true })
+}
+
+// criticalPathFrom returns the longest time along steps that wait for each other, from one step on.
+func criticalPathFrom(steps []jobs.Step, first int) time.Duration {
+	return longestPath(steps, func(number int) bool { return number == first })
+}
+
+// longestPath returns the longest time along steps that wait for each other, of the paths that begin at a first step. A
+// step waits only for earlier ones.
+func longestPath(steps []jobs.Step, isFirst func(number int) bool) time.Duration {
+	longest := make([]time.Duration, len(steps)) // of the paths that end with a step; 0: there is none
 	var most time.Duration
 	for number := range steps {
-		estimate := max(steps[number].Estimate, minEstimate)
+		isReached := isFirst(number)
 		var before time.Duration
-		reached := whole || number == from
 		for _, earlier := range steps[number].After {
 			if earlier < number && longest[earlier] > 0 {
 				before = max(before, longest[earlier])
-				reached = true
+				isReached = true
 			}
 		}
-		if !reached || number < from {
-			continue
+		if isReached {
+			longest[number] = before + max(steps[number].Estimate, minEstimate)
+			most = max(most, longest[number])
 		}
-		longest[number] = before + estimate
-		most = max(most, longest[number])
 	}
 	return most
 }
--- a/internal/controller/scheduler/rank.go
+++ b/internal/controller/scheduler/rank.go
@@ -6,39 +6,21 @@
 	"slices"
 )
 
-// Bounds of how much the speed of a worker counts.
+// How much the speed of a worker counts.
 const (
 	speedSteps    = 8   // speeds that differ by less than one part in so many count as equal
-	tooSlowFactor = 1.6 // from this factor on a worker is too slow for anything that could run elsewhere
+	tooSlowFactor = 1.6 // from this slowdown on a worker is too slow for anything that could run elsewhere
 )
 
-// speedCost is how much the speed of a node counts against it for a unit. The fast nodes are left to urgent work: work
-// that is not urgent goes by room alone, and lasting work, which no speed makes shorter, to the slower ones.
-func (u *unit) speedCost(n *node) float64 {
-	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
-	switch {
-	case n.slowdown >= tooSlowFactor:
-		return n.slowdown
-	case u.step.LongRunning:
-		return 1 + 1/max(rounded, 0.1)
-	case u.queue.Priority > 0:
-		return 1
-	}
-	return rounded
-}
+// avoidedCost multiplies the cost of a worker on which the task failed, or from which it was moved: better there again
+// than not at all.
+const avoidedCost = 4
 
-// cost is how long a unit's task takes on a node, by what is known.
-func (p *placement) cost(u *unit, n *node) float64 {
-	cost := u.speedCost(n)
-	if u.step.PreferredRack != "" && !slices.Contains(n.record.Labels, u.step.PreferredRack) {
-		cost *= p.core.cfg.RemoteDataFactor
-	}
-	return cost
-}
-
-// selectNode gives the node that suits the unit's next task best; nil if none has room.
+// selectNode returns the node of least cost for the unit's next task; nil if none has enough free capacity. Of equal
+// ones prefersNode decides, then their order. avoid is the ID of a worker that the task had better not run on, or
+// empty.
 func (p *placement) selectNode(u *unit, nodes []*node, avoid string) *node {
-	var found *node
+	var best *node
 	var least float64
 	for _, n := range nodes {
 		if n.reserved || !fits(n.free, u.step.Needs) || !p.isFeasible(u, n) {
@@ -46,18 +28,42 @@
 		}
 		cost := p.cost(u, n)
 		if n.record.ID == avoid {
-			cost *= 4 // better there again than not at all
+			cost *= avoidedCost
 		}
-		if found == nil || cost < least || cost == least && u.prefersNode(n, found) {
-			found, least = n, cost
+		if best == nil || cost < least || cost == least && u.prefersNode(n, best) {
+			best, least = n, cost
 		}
 	}
-	return found
+	return best
 }
 
-// prefersNode tells whether a node is to be preferred to another of the same cost: the emptier one, so that every rack keeps
-// room for tasks whose data is there; for tasks on accelerators the fuller one, so that whole nodes stay free for those
-// that need several.
+// cost returns how long a unit's task is expected to take on a node, relative to the others.
+func (p *placement) cost(u *unit, n *node) float64 {
+	cost := u.speedCost(n)
+	if u.step.PreferredRack != "" && !slices.Contains(n.record.Labels, u.step.PreferredRack) {
+		cost *= p.core.cfg.RemoteDataFactor
+	}
+	return cost
+}
+
+// speedCost returns how much the speed of a node counts for a unit. Fast nodes are left to urgent work: work of lower
+// priority goes by free capacity alone, and long-running work, which no speed makes shorter, to the slower ones.
+func (u *unit) speedCost(n *node) float64 {
+	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
+	switch {
+	case n.slowdown >= tooSlowFactor:
+		return n.slowdown
+	case u.step.LongRunning:
+		return 1 + 1/max(rounded, 0.1)
+	case u.queue.Priority > 0:
+		return 1
+	}
+	return rounded
+}
+
+// prefersNode reports whether a node is better than another of the same cost: the emptier one, so that every rack has
+// free capacity for tasks whose data is there; for tasks on accelerators the fuller one, so that whole nodes stay free
+// for tasks that need several.
 func (u *unit) prefersNode(n, other *node) bool {
 	if u.step.Needs.GPUs > 0 {
 		return n.free.GPUs < other.free.GPUs
@@ -65,7 +71,7 @@
 	return n.free.MilliCPU > other.free.MilliCPU
 }
 
-// byRack groups nodes by rack, in the order of the racks' free processors, most first.
+// byRack groups nodes by rack, racks with most free processors first.
 func byRack(nodes []*node) [][]*node {
 	racks := map[string][]*node{}
 	free := map[string]int{}
@@ -82,19 +88,9 @@
 	return groups
 }
 
+// sortByFree returns a copy of nodes, those with most free processors first.
 func sortByFree(nodes []*node) []*node {
 	sorted := slices.Clone(nodes)
 	slices.SortStableFunc(sorted, func(a, b *node) int { return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU) })
 	return sorted
 }
-
-// nodesByFree gives all nodes of a service, those with most free room first. Units that wait follow one another without a
-// start in between, so the order is kept until the next start.
-func (p *placement) nodesByFree(service string, nodes []*node) []*node {
-	sorted, ok := p.byFree[service]
-	if !ok {
-		sorted = sortByFree(nodes)
-		p.byFree[service] = sorted
-	}
-	return sorted
-}
--- a/internal/controller/scheduler/reconcile.go
+++ b/internal/controller/scheduler/reconcile.go
@@ -6,13 +6,13 @@
 	"crosstide/internal/jobs"
 )
 
-// recordEnds takes in ended runs; an end is a fact however old the answer is.
+// recordEnds takes in the ends that a worker lists. An end is a fact, however old the answer is.
 func (c *Core) recordEnds(w *worker, ended []EndedRun) {
 	for _, e := range ended {
-		if e.Sequence <= w.receivedEnd {
+		if e.Sequence <= w.ends.received {
 			continue
 		}
-		w.receivedEnd = e.Sequence
+		w.ends.received = e.Sequence
 		c.highestEnd[w.id] = e.Sequence
 		delete(w.orphans, e.Key)
 		r := w.runs[e.Key]
@@ -20,39 +20,28 @@
 			continue
 		}
 		if e.Reason == jobs.EndDone {
-			w.stalledAt = 0
+			w.cooldown.stalledAt = 0
 		}
-		c.speeds.observeEnd(c, w, r, e.Reason)
+		c.speeds.observeEnd(c.now, r, e.Reason)
 		c.endRun(r, e.Reason, e.Checkpoint)
 	}
 }
 
-// reconcileRunning holds the list of running runs against the handles, both ways.
+// reconcileRunning compares the runs that a worker lists with the handles of the table, both ways: a listed run without
+// a handle is an orphan and is stopped; a run with a handle that isn't listed is ended if that proves it dead. number
+// is that of the renewal that was answered.
 func (c *Core) reconcileRunning(w *worker, number uint64, answer RenewalAnswer) {
 	present := make(map[jobs.RunKey]bool, len(answer.Running)+len(answer.Ended))
 	for _, e := range answer.Ended {
 		present[e.Key] = true
 	}
-	for _, l := range answer.Running {
-		present[l.Key] = true
-		r := w.runs[l.Key]
-		if r == nil {
-			if w.orphans[l.Key] == nil && c.runs[l.Key] == nil && !c.startInFlight(l.Key) {
-				w.orphans[l.Key] = &orphan{}
-				c.workersWithOrphans[w.id] = true
-			}
-			continue
-		}
-		if !r.listed {
-			r.listed, r.advancedAt = true, c.now
-			if r.accepted != 0 {
-				r.advancedAt = r.acceptedAt
-			}
+	for _, listed := range answer.Running {
+		present[listed.Key] = true
+		if r := w.runs[listed.Key]; r != nil {
+			c.recordProgress(w, r, listed)
+		} else {
+			c.trackOrphan(w, listed.Key)
 		}
-		if l.Percent > r.percent {
-			r.advancedAt, w.stalledAt = c.now, 0
-		}
-		r.checkpoint, r.percent, r.progressAt = l.Checkpoint, l.Percent, c.now
 	}
 	for key := range w.orphans {
 		if !present[key] {
@@ -60,44 +49,75 @@
 		}
 	}
 	if answer.Full {
-		return
+		return // what isn't listed may have ended
 	}
 	for _, key := range sortedRuns(w.runs) {
-		r := w.runs[key]
-		switch {
-		case present[key] || r.ending:
-		case r.isProvedDead(number):
-			c.endRun(r, jobs.EndLost, "")
-		case r.unconfirmed && r.unconfirmedAt < number:
-			r.missing, r.cause = true, cmp.Or(r.cause, CauseUnanswered)
-			c.queueStop(r)
+		if r := w.runs[key]; !present[key] && !r.ending {
+			c.reconcileAbsent(r, number)
+		}
+	}
+}
+
+// recordProgress takes in that a worker lists a run as running.
+func (c *Core) recordProgress(w *worker, r *run, listed ListedRun) {
+	if !r.progress.listed {
+		r.progress.listed, r.progress.advancedAt = true, c.now
+		if r.start.acceptedSeq != 0 {
+			r.progress.advancedAt = r.start.acceptedAt
 		}
 	}
+	if listed.Percent > r.progress.percent {
+		r.progress.advancedAt, w.cooldown.stalledAt = c.now, 0
+	}
+	r.progress.checkpoint, r.progress.percent, r.progress.at = listed.Checkpoint, listed.Percent, c.now
+}
+
+// trackOrphan records that a worker lists a run that has no handle on it, unless the commit of the handle is in flight
+// or the handle is on another worker.
+func (c *Core) trackOrphan(w *worker, key jobs.RunKey) {
+	if w.orphans[key] == nil && c.runs[key] == nil && !c.isStartInFlight(key) {
+		w.orphans[key] = &orderRetry{}
+		c.workersWithOrphans[w.id] = true
+	}
+}
+
+// reconcileAbsent takes in that the answer to the renewal of a number doesn't list a run. It ends the run if that
+// proves it dead, and stops it if its start is unconfirmed: the order may be carried out late.
+func (c *Core) reconcileAbsent(r *run, number uint64) {
+	switch {
+	case r.isProvedDead(number):
+		c.endRun(r, jobs.EndLost, "")
+	case r.start.unconfirmedSeq != 0 && r.start.unconfirmedSeq < number:
+		r.start.missing, r.stop.cause = true, cmp.Or(r.stop.cause, CauseUnanswered)
+		c.queueStop(r)
+	}
 }
 
-// isProvedDead tells whether a run that the answer to the hold call of a number does not list is surely dead and never
-// starts later: a run of an earlier term, whose orders the token of that call has fenced; one whose start or stop was
-// answered before the call left. A start without an answer proves nothing: it may be carried out late.
+// isProvedDead reports whether a run that the answer to the renewal of a number doesn't list is dead and can't start
+// later: a run of an earlier term, whose orders the token of that renewal has fenced, or one whose start or stop was
+// answered before the renewal left. A start without an answer proves nothing: it may be carried out late.
 func (r *run) isProvedDead(number uint64) bool {
 	switch {
 	case !r.ownTerm:
 		return true
-	case !r.sent:
+	case !r.start.sent:
 		return false
-	case r.stopped != 0 && r.stopped < number:
+	case r.stop.answeredSeq != 0 && r.stop.answeredSeq < number:
 		return true
 	}
-	return r.accepted != 0 && r.accepted < number
+	return r.start.acceptedSeq != 0 && r.start.acceptedSeq < number
 }
 
-// syncRuns brings the run records of a job in line with its handles and gives how many there are.
+// syncRuns brings the run records of a job in line with the handles of its tasks and returns how many there are. j is
+// nil if the table has no such job any more.
 func (c *Core) syncRuns(rec *job, j *jobs.Job) int {
 	present := map[jobs.RunKey]bool{}
 	if j != nil {
 		for round, steps := range j.Rounds {
 			for step, tasks := range steps {
 				for index := range tasks {
-					c.syncTask(j, jobs.TaskRef{Job: rec.id, Round: round, Step: step, Index: index}, &tasks[index], present)
+					ref := jobs.TaskRef{Job: rec.id, Round: round, Step: step, Index: index}
+					c.syncTask(j, ref, &tasks[index], present)
 				}
 			}
 		}
@@ -111,21 +131,23 @@
 	return len(present)
 }
 
+// syncTask tracks the handles of a task, adds them to present, and stops the runs of a task or job that is over.
 func (c *Core) syncTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
 	for _, handle := range task.Runs {
 		key := jobs.RunKey{Task: ref, Number: handle.Number}
 		present[key] = true
 		r := c.runs[key]
 		if r == nil {
-			if c.startInFlight(key) {
-				continue // its commit is about to be reported
+			if c.isStartInFlight(key) {
+				continue // Committed tracks it
 			}
-			mine := handle.Term == c.term
-			if r = c.trackRun(key, handle.Worker, mine); mine && r != nil {
-				c.endRun(r, jobs.EndLost, "") // recorded under this term, and its order never left
+			ownTerm := handle.Term == c.term
+			r = c.trackRun(key, handle.Worker, ownTerm)
+			if ownTerm && r != nil {
+				c.endRun(r, jobs.EndLost, "") // its commit was reported as failed, so its order never left
 			}
 		}
-		if r != nil && (task.Done || j.State.IsTerminal()) && !r.toStop {
+		if r != nil && (task.Done || j.State.IsTerminal()) && !r.stop.wanted {
 			c.requestStop(r, CauseJobOver)
 		}
 	}
--- a/internal/controller/scheduler/renewal.go
+++ b/internal/controller/scheduler/renewal.go
@@ -6,94 +6,86 @@
 	"crosstide/internal/jobs"
 )
 
-// RenewalError says how a hold call without an answer failed.
-type RenewalError int
+// renewalState is what is in flight of a worker's lease renewals. Two kinds are sent to it, at most one of each at a
+// time: a long poll, which the worker holds open until a run ends, and a probe, which it answers at once.
+type renewalState struct {
+	longPoll renewalCall
+	probe    renewalCall
+	probeDue bool // a probe must be sent as soon as one may
+}
 
-// The failures of a hold call.
-const (
-	RenewalOK               RenewalError = iota // it was answered
-	RenewalFailed                               // no answer
-	RenewalOtherIncarnation                     // another life answered: the worker is gone for good
-	RenewalFenced                               // the worker has seen a higher token: this leader is an old one
-	RenewalNoConnection                         // it never left, for want of a connection here: it says nothing of the worker
-)
+// renewalCall is a renewal in flight.
+type renewalCall struct {
+	number uint64 // of its RenewalAction; 0: none is in flight
+	ack    uint64 // the end up to which it acknowledges
+	sentAt time.Duration
+}
 
-// sendRenewals gives the hold calls that are due. A new leader asks every worker at once; it does so a few at a time, as the
-// store's heartbeats share its processor. It tells whether some must wait for that.
-func (c *Core) sendRenewals(now time.Duration, out *Actions) (waiting bool) {
+// sendRenewals adds the lease renewals that are due. A new leader must probe every worker; it does so a few at a time,
+// as the store's heartbeats share its processor. The result reports whether a probe was put off for that.
+func (c *Core) sendRenewals(now time.Duration, actions *Actions) (throttled bool) {
 	probes := c.probesInFlight(now)
 	for _, w := range c.workerList {
-		if !w.probeDue && (w.longPoll != 0 || len(w.runs) == 0) || now < w.retryAt {
-			continue // nothing to ask: the rule for most workers in most passes
+		if !w.renewal.probeDue && (w.renewal.longPoll.number != 0 || len(w.runs) == 0) || now < w.contact.retryAt {
+			continue // nothing to ask: so it is for most workers in most passes
 		}
 		rec := w.record()
-		if rec == nil || rec.Left && len(w.runs) == 0 && w.acknowledgedEnd >= w.durableEnd {
-			continue // it takes no starts any more, and nothing of it is waited for
+		if rec == nil || rec.Left && len(w.runs) == 0 && w.ends.acknowledged >= w.ends.durable {
+			continue // it takes no starts any more, and nothing is expected of it
 		}
-		if w.probeDue && w.probeCall == 0 {
-			if probes < c.cfg.MaxProbes {
-				w.probeDue, w.probeSentAt, w.probeAck = false, now, w.durableEnd
-				w.probeCall = c.renewLease(w, rec, 0, out)
-				probes++
-			} else {
-				waiting = true
+		switch {
+		case w.renewal.probeDue && w.renewal.probe.number == 0:
+			if probes >= c.cfg.MaxProbes {
+				throttled = true
+				continue
 			}
-			continue
-		}
-		_, pending := c.highestEnd[w.id]
-		committing := c.inFlight != nil && c.inFlight.highestEnd[w.id] > 0
-		if w.canLongPoll(c) && !pending && !committing {
-			w.longPoll, w.longPollAck = c.renewLease(w, rec, w.renewalWait(c), out), w.durableEnd
+			probes++
+			w.renewal.probeDue = false
+			w.renewal.probe = c.renewLease(w, rec, 0, actions)
+		case w.canLongPoll(c) && !c.hasUncommittedEnd(w):
+			w.renewal.longPoll = c.renewLease(w, rec, w.renewalWait(c), actions)
 		}
 	}
-	return waiting
+	return throttled
 }
 
-// renewal makes one hold call and gives its number. A worker that did not answer the call before gets no new lease: a call
-// that may or may not have arrived must not put the lapse off for ever.
-func (c *Core) renewLease(w *worker, rec *jobs.Worker, wait time.Duration, out *Actions) uint64 {
+// renewLease adds one renewal. A worker that didn't answer the newest call gets no new lease: a call that may or may
+// not have arrived must not defer the expiry for ever.
+func (c *Core) renewLease(w *worker, rec *jobs.Worker, wait time.Duration, actions *Actions) renewalCall {
 	c.sequence++
-	call := LeaseRenewal{Token: c.term, AcknowledgedUpTo: w.durableEnd, Wait: wait}
-	if len(w.runs) > 0 && w.failures == 0 {
-		call.LeaseDeadline = w.grantLease(c, c.now)
+	call := LeaseRenewal{Token: c.term, AcknowledgedUpTo: w.ends.durable, Wait: wait}
+	if len(w.runs) > 0 && w.contact.failures == 0 {
+		call.LeaseDeadline = w.lease.grant(c.now, c.cfg.Lease)
 	}
-	out.Renewals = append(out.Renewals, RenewalAction{Worker: *rec, Number: c.sequence, Call: call})
-	return c.sequence
+	actions.Renewals = append(actions.Renewals, RenewalAction{Worker: *rec, Number: c.sequence, Call: call})
+	return renewalCall{number: c.sequence, ack: w.ends.durable, sentAt: c.now}
 }
 
-// probeWindow is how long a hold call that asks at once counts as under way for Config.MaxProbes: a worker that is there
-// answers within it, and those that are not must not keep the leader from asking the others.
+// probeWindow is how long a probe counts for Config.MaxProbes. A reachable worker answers within it, and those that
+// aren't reachable must not keep the leader from probing the others.
 const probeWindow = 50 * time.Millisecond
 
-// probesInFlight counts the workers that were asked at once just now and have not answered.
+// probesInFlight counts the workers that were probed within probeWindow and have not answered.
 func (c *Core) probesInFlight(now time.Duration) int {
 	count := 0
 	for _, w := range c.workerList {
-		if w.probeCall != 0 && now-w.probeSentAt < probeWindow {
+		if w.renewal.probe.number != 0 && now-w.renewal.probe.sentAt < probeWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// ackDelay is how long an end that is durable may wait for a call that tells the worker so. Mostly the next run brings one.
-const ackDelay = 1500 * time.Millisecond
-
-// needsAck tells whether a worker on which nothing runs waits to hear that its last ends are durable.
-func (w *worker) needsAck(now time.Duration) bool {
-	calling := w.longPoll != 0 || w.probeCall != 0
-	return w.durableEnd > w.acknowledgedEnd && len(w.runs) == 0 && !calling && now-w.durableAt >= ackDelay
-}
-
-// canLongPoll tells whether a hold call that waits for an end may be sent.
+// canLongPoll reports whether a long poll may be sent. A throttled worker gets one only if no other call is in flight
+// or due, as it would occupy the connection.
 func (w *worker) canLongPoll(c *Core) bool {
-	if !w.isReachable() || w.longPoll != 0 || len(w.runs) == 0 || !w.answered {
+	if !w.contact.isReachable() || w.renewal.longPoll.number != 0 || len(w.runs) == 0 || !w.lease.fenced {
 		return false
 	}
-	return c.now >= w.throttledUntil || w.ordersInFlight == 0 && w.probeCall == 0 && !w.hasRunsToStop()
+	return !w.contact.isThrottled(c.now) || w.ordersInFlight == 0 && w.renewal.probe.number == 0 && !w.hasRunsToStop()
 }
 
-// hasRunsToStop tells whether a run on the worker is to be stopped.
+// hasRunsToStop reports whether a run on the worker is to be stopped.
 func (w *worker) hasRunsToStop() bool {
 	for _, r := range w.runs {
 		if r.needsStop() {
@@ -103,69 +95,88 @@
 	return len(w.orphans) > 0
 }
 
-// Shorter waits of hold calls.
+// Long polls that are shorter than Config.RenewalWait.
 const (
-	throttledWait = 250 * time.Millisecond // at a worker that is called with care
-	overdueWait   = 400 * time.Millisecond // while a run takes longer than expected: it may stand still
+	throttledWait = 250 * time.Millisecond // at a throttled worker
+	overdueWait   = 400 * time.Millisecond // while a run takes longer than expected: it may be stalled
 )
 
-// renewalWait is how long the next hold call waits.
+// renewalWait returns how long the next long poll waits.
 func (w *worker) renewalWait(c *Core) time.Duration {
 	switch {
-	case c.now < w.throttledUntil:
+	case w.contact.isThrottled(c.now):
 		return min(c.cfg.RenewalWait, throttledWait)
-	case w.isOverdue(c):
+	case w.hasOverdueRun(c):
 		return min(c.cfg.RenewalWait, overdueWait)
 	}
 	return c.cfg.RenewalWait
 }
 
-// isOverdue tells whether a run on the worker takes longer than expected and might be moved.
-func (w *worker) isOverdue(c *Core) bool {
+// hasOverdueRun reports whether a run on the worker takes longer than expected and might be moved.
+func (w *worker) hasOverdueRun(c *Core) bool {
 	for _, r := range w.runs {
-		if r.ownTerm && r.sent && !r.longRunning && !r.gang && !r.ending && c.now-r.sentAt > c.expected(r.estimate) {
+		if !r.ownTerm || !r.start.sent || r.longRunning || r.gang || r.ending {
+			continue
+		}
+		if c.now-r.start.sentAt > c.speeds.expected(r.estimate) {
 			return true
 		}
 	}
 	return false
 }
 
-// RenewalAnswered takes in the answer to the hold call of a number.
+// RenewalError says how a lease renewal without an answer failed.
+type RenewalError int
+
+// The failures of a lease renewal. RenewalNoConnection says nothing of the worker.
+const (
+	RenewalOK               RenewalError = iota // it was answered
+	RenewalFailed                               // no answer
+	RenewalOtherIncarnation                     // another incarnation answered: the worker is gone for good
+	RenewalFenced                               // the worker has seen a higher token: this leader is an old one
+	RenewalNoConnection                         // it never left: this node lacks connections
+)
+
+// RenewalAnswered takes in the answer to the renewal of a number, or its failure.
 func (c *Core) RenewalAnswered(now time.Duration, id string, number uint64, answer RenewalAnswer, err RenewalError) {
 	c.now = now
 	w := c.workers[id]
-	if c.term == 0 || w == nil || number != w.longPoll && number != w.probeCall {
+	if c.term == 0 || w == nil {
 		return
 	}
-	acknowledged := w.probeAck
-	if number == w.longPoll {
-		w.longPoll, acknowledged = 0, w.longPollAck
-	} else {
-		w.probeCall = 0
+	var acknowledged uint64
+	switch number {
+	case w.renewal.longPoll.number:
+		acknowledged, w.renewal.longPoll = w.renewal.longPoll.ack, renewalCall{}
+	case w.renewal.probe.number:
+		acknowledged, w.renewal.probe = w.renewal.probe.ack, renewalCall{}
+	default:
+		return // of an earlier term
 	}
+	if err != RenewalOK {
+		c.renewalFailed(w, err)
+		return
+	}
+	w.markAnswered(now, answer.Clock)
+	w.ends.acknowledged = max(w.ends.acknowledged, acknowledged)
+	w.lease.fence(answer.Clock, c.cfg)
+	c.placementDue = true
+	c.recordEnds(w, answer.Ended)
+	c.reconcileRunning(w, number, answer)
+}
+
+// renewalFailed takes in the failure of a renewal.
+func (c *Core) renewalFailed(w *worker, err RenewalError) {
 	switch err {
 	case RenewalNoConnection:
-		c.connBackoff.failed(c.cfg, now)
-		w.retryAt = max(w.retryAt, c.connBackoff.until)
-		w.probeDue = w.probeDue || !w.answered
-		return
+		c.connBackoff.failed(c.cfg, c.now)
+		w.contact.retryAt = max(w.contact.retryAt, c.connBackoff.until)
+		w.renewal.probeDue = w.renewal.probeDue || !w.lease.fenced
 	case RenewalOtherIncarnation:
 		c.endReplacedWorker(w)
-		return
 	case RenewalFailed, RenewalFenced:
-		c.markUnanswered(w, now)
-		w.markFailed(c, now)
-		w.probeDue = w.probeDue || len(w.runs) > 0 || !w.answered
-		return
+		c.markUnanswered(w, c.now)
+		w.contact.backOff(c.now, c.cfg)
+		w.renewal.probeDue = w.renewal.probeDue || len(w.runs) > 0 || !w.lease.fenced
 	}
-	w.markHeard(c, now, answer.Clock)
-	w.acknowledgedEnd = max(w.acknowledgedEnd, acknowledged)
-	if !w.answered {
-		w.answered = true
-		// No earlier leader can renew from here on; what one granted ends by then, as all go by the same settings.
-		w.leaseUntil = max(w.leaseUntil, answer.Clock+c.cfg.Lease+c.cfg.ExpiryMargin)
-	}
-	c.placementDue = true
-	c.recordEnds(w, answer.Ended)
-	c.reconcileRunning(w, number, answer)
 }
--- a/internal/controller/scheduler/reserve.go
+++ b/internal/controller/scheduler/reserve.go
@@ -1,24 +1,15 @@
 package scheduler
 
-import (
-	"crosstide/internal/jobs"
-)
-
-// smallTaskMilliCPU is a task, in thousandths of a core, for which room turns up by itself.
+// smallTaskMilliCPU is the size up to which a task finds free capacity soon enough without a reservation.
 const smallTaskMilliCPU = 2000
 
-// reserve keeps the nodes that would take the unit soonest from less urgent units of this pass. A gang for which all of
-// them, were they empty, would not do waits for other workers: room kept for it would only stand idle.
+// reserve keeps less urgent units of this pass off the nodes that would take count tasks of a unit soonest. Nothing is
+// reserved for a gang that wouldn't fit even if all nodes were empty: it waits for other workers, and what is reserved
+// for it would only be idle.
 func (p *placement) reserve(u *unit, nodes []*node, count int) {
 	group := p.nodesByFree(u.queue.Service, nodes)
 	if u.step.SameRack {
-		group = nil
-		for _, rack := range byRack(nodes) {
-			if group == nil || p.totalCapacity(u, rack) > p.totalCapacity(u, group) {
-				group = rack
-			}
-		}
-		group = sortByFree(group)
+		group = sortByFree(p.largestRack(u, nodes))
 	}
 	if u.step.Gang && p.totalCapacity(u, group) < count {
 		return
@@ -27,18 +18,31 @@
 		if count <= 0 {
 			return
 		}
-		if could := p.capacityFor(u, n); could > 0 && !n.reserved {
+		if capacity := p.capacityFor(u, n); capacity > 0 && !n.reserved {
 			n.reserved = true
-			count -= could
+			count -= capacity
 		}
 	}
 }
 
-// reserve keeps room for a task that waits until runs here have stopped: less urgent units of this pass must not take
-// what is free of it already, else more runs would be stopped again and again.
-func (n *node) reserve(needs jobs.Resources) {
-	left := minus(plus(n.free, n.freeing), needs)
-	free := jobs.Resources{MilliCPU: min(n.free.MilliCPU, left.MilliCPU), MemoryMB: min(n.free.MemoryMB, left.MemoryMB),
-		GPUs: min(n.free.GPUs, left.GPUs)}
-	n.free, n.freeing = free, minus(left, free)
+// largestRack returns the nodes of the rack that would take most tasks of a unit if it were empty.
+func (p *placement) largestRack(u *unit, nodes []*node) []*node {
+	var largest []*node
+	for _, rack := range byRack(nodes) {
+		if largest == nil || p.totalCapacity(u, rack) > p.totalCapacity(u, largest) {
+			largest = rack
+		}
+	}
+	return largest
+}
+
+// nodesByFree returns all nodes of a service, those with most free processors first. Units that wait follow one another
+// without a start in between, so the order is kept until the next start.
+func (p *placement) nodesByFree(service string, nodes []*node) []*node {
+	sorted, ok := p.byFree[service]
+	if !ok {
+		sorted = sortByFree(nodes)
+		p.byFree[service] = sorted
+	}
+	return sorted
 }
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -19,7 +19,7 @@
 	h.pass()
 	for range 10 {
 		h.now += Defaults().ReserveAfter / 5
-		h.core.Heartbeat(h.now, "w", time.Minute+h.now, 0)
+		h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 		h.pass()
 	}
 	So(h.sent, ShouldBeEmpty)
--- a/internal/controller/scheduler/resources.go
+++ b/internal/controller/scheduler/resources.go
@@ -1,9 +1,8 @@
 package scheduler
 
-import (
-	"crosstide/internal/jobs"
-)
+import "crosstide/internal/jobs"
 
+// fits reports whether needs fit into what is free.
 func fits(free, needs jobs.Resources) bool {
 	return needs.MilliCPU <= free.MilliCPU && needs.MemoryMB <= free.MemoryMB && needs.GPUs <= free.GPUs
 }
@@ -16,9 +15,10 @@
 	return jobs.Resources{MilliCPU: a.MilliCPU - b.MilliCPU, MemoryMB: a.MemoryMB - b.MemoryMB, GPUs: a.GPUs - b.GPUs}
 }
 
-// coresPerGPU is what an accelerator counts as, in cores.
+// coresPerGPU is how many cores an accelerator counts as where work is compared.
 const coresPerGPU = 8
 
+// coresOf returns needs as one number, in cores.
 func coresOf(needs jobs.Resources) float64 {
 	return float64(needs.MilliCPU)/1000 + float64(coresPerGPU*needs.GPUs)
 }
--- a/internal/controller/scheduler/run.go
+++ b/internal/controller/scheduler/run.go
@@ -7,43 +7,36 @@
 	"crosstide/internal/jobs"
 )
 
-// run is what the leader knows of a run whose handle is in the table.
+// run is the record of a run whose handle is in the table. It lives as long as the handle.
 type run struct {
 	key     jobs.RunKey
-	worker  string
-	ownTerm bool // recorded under this term
-	sent    bool // its order may have left
-	sentAt  time.Duration
-	// accepted is the sequence at which its start was answered well; 0: not.
-	accepted    uint64
-	acceptedAt  time.Duration
-	unconfirmed bool // its start got no answer
-	// unconfirmedAt is the sequence at which that was known.
-	unconfirmedAt uint64
-	// missing: a hold call sent after that did not list it, so it is stopped, lest it start late.
-	missing    bool
-	listed     bool // the worker listed it as running
+	worker  string // ID
+	ownTerm bool   // its handle was recorded under this term
+
+	// Copied from the job when the run was first seen.
+	gang        bool
+	longRunning bool
+	estimate    time.Duration
+	needs       jobs.Resources
+	priority    int // of its queue; lower is more urgent
+
+	start    startState
+	progress runProgress
+	stop     stopState
+	ending   bool // its end waits to be committed
+}
+
+// runProgress is what the worker's lists of running runs say of a run. Owned by reconcile.go.
+type runProgress struct {
+	listed     bool // the worker has listed it as running
 	checkpoint string
 	percent    int
-	// progressAt is when the progress was listed.
-	progressAt time.Duration
-	// advancedAt is when it was first listed, or last listed with more progress than before.
-	advancedAt   time.Duration
-	toStop       bool   // it is to be stopped
-	cause        Cause  // why; empty: not stopped
-	stopInFlight bool   // a stop order is under way
-	stopped      uint64 // sequence at which a stop order was answered; 0: not
-	retryAt      time.Duration
-	ending       bool // its end waits to be committed
-	gang         bool
-	longRunning  bool
-	estimate     time.Duration
-	priority     int
-	needs        jobs.Resources
+	at         time.Duration // of the newest list with it
+	advancedAt time.Duration // when it was first listed, or last listed with a higher percent than before
 }
 
-// trackRun notes a handle of the table; nil if its worker or job is not known.
-func (c *Core) trackRun(key jobs.RunKey, workerID string, mine bool) *run {
+// trackRun returns the record of a handle of the table, made on first sight; nil if its job isn't known.
+func (c *Core) trackRun(key jobs.RunKey, workerID string, ownTerm bool) *run {
 	if r := c.runs[key]; r != nil {
 		return r
 	}
@@ -51,7 +44,8 @@
 	if j == nil {
 		return nil
 	}
-	r := &run{key: key, worker: workerID, ownTerm: mine, sent: !mine}
+	// The order of an earlier leader may have left.
+	r := &run{key: key, worker: workerID, ownTerm: ownTerm, start: startState{sent: !ownTerm}}
 	if key.Task.Step < len(j.Spec.Steps) {
 		step := &j.Spec.Steps[key.Task.Step]
 		r.gang, r.longRunning, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
@@ -60,12 +54,11 @@
 		r.priority = q.Priority
 	}
 	c.runs[key] = r
-	w := c.trackWorker(workerID)
-	w.runs[key] = r
+	c.trackWorker(workerID).runs[key] = r
 	return r
 }
 
-// untrackRun forgets a run whose handle has left the table.
+// untrackRun drops the record of a run whose handle has left the table.
 func (c *Core) untrackRun(r *run) {
 	delete(c.runs, r.key)
 	if w := c.workers[r.worker]; w != nil {
@@ -73,21 +66,23 @@
 	}
 }
 
-// endRun puts a run's end into the next Progress.
+// endRun puts a run's end into the next proposal; the first end counts.
 func (c *Core) endRun(r *run, reason jobs.EndReason, checkpoint string) {
 	if r.ending {
 		return
 	}
 	r.ending = true
 	c.placementDue = true
-	c.discard(r, reason, checkpoint)
-	c.pendingEnds = append(c.pendingEnds, jobs.End{Key: r.key, Worker: r.worker, Reason: reason, Checkpoint: cmp.Or(checkpoint, r.checkpoint)})
+	c.countDiscarded(r, reason, checkpoint)
+	c.pendingEnds = append(c.pendingEnds, jobs.End{
+		Key: r.key, Worker: r.worker, Reason: reason, Checkpoint: cmp.Or(checkpoint, r.progress.checkpoint),
+	})
 	switch reason {
 	case jobs.EndDone:
 		c.Counts.Done++
 	case jobs.EndFailed:
 		c.Counts.Failed++
-		c.avoidWorker[r.key.Task] = r.worker
+		c.history.avoid[r.key.Task] = r.worker
 	case jobs.EndLost:
 		c.Counts.Lost++
 	}
@@ -95,3 +90,10 @@
 		c.stopGang(r)
 	}
 }
+
+// endUndeliveredRun ends a run as lost whose start order is known never to be carried out.
+func (c *Core) endUndeliveredRun(r *run) {
+	if r != nil && r.start.sent && !r.progress.listed {
+		c.endRun(r, jobs.EndLost, "")
+	}
+}
--- a/internal/controller/scheduler/silent_worker_test.go
+++ b/internal/controller/scheduler/silent_worker_test.go
@@ -90,7 +90,7 @@
 						b.core.RenewalAnswered(b.now, "w2", renewal.Number, RenewalAnswer{Clock: b.now}, RenewalOK)
 					}
 				}
-				b.core.Heartbeat(b.now, "w2", b.now, 0)
+				b.core.Heartbeat(b.now, "w2", b.now)
 				if len(out.Starts) > 0 {
 					again = &out.Starts[0]
 					break
@@ -110,7 +110,7 @@
 		start := b.firstStart()
 		key := start.Order.Key
 		b.core.StartAnswered(b.now, "w1", key, StartAnswer{Clock: b.now}, StartOK)
-		b.core.runs[key].toStop = true
+		b.core.runs[key].stop.wanted = true
 		Convey("the failure counts as an attempt", func() {
 			for range 20 {
 				out := b.pass(time.Millisecond)
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -6,123 +6,162 @@
 	"crosstide/internal/jobs"
 )
 
-// speedStats is what the ends of runs tell of workers: how long tasks take there against their estimates, and how many
-// fail there. It is a guess that orders placement and decides nothing that must hold.
+// speedStats estimates from the ends of runs how fast workers are and how long the tasks of a step take. The estimates
+// order placement; nothing that must hold depends on them.
 type speedStats struct {
 	byWorker        map[string]*workerSpeed
-	meanRatio       float64 // of time against estimate, over all workers
-	meanFailureRate float64 // share of runs that fail, over all workers
+	meanRatio       float64 // of duration to estimate, over all workers; 0: not known
+	meanFailureRate float64 // over all workers
 	byStep          map[stepKey]*stepDuration
 }
 
-// stepKey names a step of a job, over all its rounds.
+// workerSpeed holds moving averages over the runs of a worker.
+type workerSpeed struct {
+	ratio       float64 // of duration to estimate; 0: not known
+	failureRate float64
+}
+
+// stepKey names a step of a job, in all its rounds.
 type stepKey struct {
 	job  string
 	step int
 }
 
-// stepDuration is how long the runs of a step that ended well took.
+// stepDuration is the mean duration of the runs of a step that ended well.
 type stepDuration struct {
 	count int
 	mean  time.Duration
 }
 
-type workerSpeed struct {
-	ratio       float64 // time against estimate; 0: not known
-	failureRate float64 // share of runs that failed
-}
-
-// speedWeight is the weight of a new observation.
-const speedWeight = 0.2
-
 func newSpeedStats() speedStats {
 	return speedStats{byWorker: map[string]*workerSpeed{}, byStep: map[stepKey]*stepDuration{}}
 }
 
-// minPeers is the number of ended runs of a step from which their mean time says something.
-const minPeers = 2
+// Constants of the estimates.
+const (
+	workerWeight = 0.2 // of a new observation in a worker's moving averages
+	meanWindow   = 50  // a new observation counts for one part in so many in the averages over all workers
 
-// peerMean gives the mean time of the runs of a task's step that ended well.
+	minRatio, maxRatio = 0.1, 10.0             // bounds of one observation
+	minRatioEstimate   = 50 * time.Millisecond // stands for a smaller estimate, or none
+
+	movedRatio = 4 // a run that was moved away counts as if it took so many times the mean ratio
+
+	minPeers = 2 // a step's mean duration is known from so many runs on
+
+	// A worker's failure rate above the mean by more than tolerated slows it down by failureWeight times the excess.
+	toleratedFailures = 0.15
+	failureWeight     = 4
+)
+
+// peerMean returns the mean duration of the peers of a task: the runs of its step that ended well.
 func (s *speedStats) peerMean(task jobs.TaskRef) (mean time.Duration, known bool) {
-	t := s.byStep[stepKey{task.Job, task.Step}]
-	if t == nil || t.count < minPeers {
+	d := s.byStep[stepKey{task.Job, task.Step}]
+	if d == nil || d.count < minPeers {
 		return 0, false
 	}
-	return t.mean, true
+	return d.mean, true
 }
 
-// observeDuration takes in the time of a run that ended well.
-func (s *speedStats) observeDuration(task jobs.TaskRef, duration time.Duration) {
-	key := stepKey{task.Job, task.Step}
-	t := s.byStep[key]
-	if t == nil {
-		t = &stepDuration{}
-		s.byStep[key] = t
-	}
-	t.count++
-	t.mean += (duration - t.mean) / time.Duration(t.count)
+// expected returns how long a run should take on an average worker, by its client's estimate.
+func (s *speedStats) expected(estimate time.Duration) time.Duration {
+	ratio := max(s.meanRatio, 1)
+	return time.Duration(float64(max(estimate, minEstimate)) * ratio)
 }
 
-func (s *speedStats) forWorker(id string) *workerSpeed {
+// slowdown returns how many times as long a task is expected to take on a worker as on the average one.
+func (s *speedStats) slowdown(id string) float64 {
 	known := s.byWorker[id]
 	if known == nil {
-		known = &workerSpeed{}
-		s.byWorker[id] = known
+		return 1
 	}
-	return known
+	factor := 1.0
+	if known.ratio > 0 && s.meanRatio > 0 {
+		factor = known.ratio / s.meanRatio
+	}
+	if excess := known.failureRate - s.meanFailureRate; excess > toleratedFailures {
+		factor *= 1 + failureWeight*excess
+	}
+	return factor
 }
 
-func ewma(old, observed float64) float64 { return old + speedWeight*(observed-old) }
-
-// observeEnd takes in the end of a run.
-func (s *speedStats) observeEnd(c *Core, w *worker, r *run, reason jobs.EndReason) {
-	if r.longRunning || r.toStop || reason != jobs.EndDone && reason != jobs.EndFailed {
+// observeEnd takes in the end of a run. Only ends that say something of the worker count, and only the durations of
+// runs whose start this leader has seen.
+func (s *speedStats) observeEnd(now time.Duration, r *run, reason jobs.EndReason) {
+	if r.longRunning || r.stop.wanted || reason != jobs.EndDone && reason != jobs.EndFailed {
 		return
 	}
-	known := s.forWorker(w.id)
+	known := s.forWorker(r.worker)
 	failed := 0.0
 	if reason == jobs.EndFailed {
 		failed = 1
 	}
-	known.failureRate = ewma(known.failureRate, failed)
-	s.meanFailureRate += (failed - s.meanFailureRate) / 50
-	if reason == jobs.EndFailed || r.gang || !r.ownTerm || r.sentAt == 0 {
+	known.failureRate = movingAverage(known.failureRate, failed)
+	s.meanFailureRate += (failed - s.meanFailureRate) / meanWindow
+	if reason == jobs.EndFailed || r.gang || !r.ownTerm || r.start.sentAt == 0 {
 		return
 	}
-	s.observeDuration(r.key.Task, c.now-r.sentAt)
-	ratio := float64(c.now-r.sentAt) / float64(max(r.estimate, 50*time.Millisecond))
-	ratio = min(max(ratio, 0.1), 10)
+	duration := now - r.start.sentAt
+	s.observeDuration(r.key.Task, duration)
+	ratio := float64(duration) / float64(max(r.estimate, minRatioEstimate))
+	s.observeRatio(known, min(max(ratio, minRatio), maxRatio))
+}
+
+// observeRatio takes in the ratio of duration to estimate of a run on a worker. A first observation counts as the
+// average.
+func (s *speedStats) observeRatio(known *workerSpeed, ratio float64) {
 	if known.ratio == 0 {
 		known.ratio = s.meanRatio
 	}
 	if known.ratio == 0 {
 		known.ratio = ratio
 	}
-	known.ratio = ewma(known.ratio, ratio)
+	known.ratio = movingAverage(known.ratio, ratio)
 	if s.meanRatio == 0 {
 		s.meanRatio = ratio
 	}
-	s.meanRatio += (ratio - s.meanRatio) / 50
+	s.meanRatio += (ratio - s.meanRatio) / meanWindow
 }
 
-// observeMove takes in that a run was moved away from a worker because it went on far too slowly there.
+// observeDuration takes in the duration of a run that ended well.
+func (s *speedStats) observeDuration(task jobs.TaskRef, duration time.Duration) {
+	key := stepKey{task.Job, task.Step}
+	d := s.byStep[key]
+	if d == nil {
+		d = &stepDuration{}
+		s.byStep[key] = d
+	}
+	d.count++
+	d.mean += (duration - d.mean) / time.Duration(d.count)
+}
+
+// observeMove takes in that a run was moved away from a worker because it was far too slow there.
 func (s *speedStats) observeMove(id string) {
 	known := s.forWorker(id)
-	known.ratio = ewma(max(known.ratio, s.meanRatio), 4*s.meanRatio)
+	known.ratio = movingAverage(max(known.ratio, s.meanRatio), movedRatio*s.meanRatio)
 }
 
-// slowdown is how many times as long a task is expected to take on a worker as on the average one.
-func (s *speedStats) slowdown(id string) float64 {
+// forWorker returns the averages of a worker, made on first use.
+func (s *speedStats) forWorker(id string) *workerSpeed {
 	known := s.byWorker[id]
 	if known == nil {
-		return 1
-	}
-	factor := 1.0
-	if known.ratio > 0 && s.meanRatio > 0 {
-		factor = known.ratio / s.meanRatio
+		known = &workerSpeed{}
+		s.byWorker[id] = known
 	}
-	if excess := known.failureRate - s.meanFailureRate; excess > 0.15 {
-		factor *= 1 + 4*excess
+	return known
+}
+
+// forgetWorker drops the averages of a worker.
+func (s *speedStats) forgetWorker(id string) { delete(s.byWorker, id) }
+
+// forgetJob drops the durations of a job's steps.
+func (s *speedStats) forgetJob(id string) {
+	for key := range s.byStep {
+		if key.job == id {
+			delete(s.byStep, key)
+		}
 	}
-	return factor
 }
+
+// movingAverage returns an exponentially weighted moving average after a new observation.
+func movingAverage(old, observed float64) float64 { return old + workerWeight*(observed-old) }
--- a/internal/controller/scheduler/stalled_worker_test.go
+++ b/internal/controller/scheduler/stalled_worker_test.go
@@ -78,7 +78,7 @@
 	})
 	Convey("Where the runs of more than a quarter of the workers stand still, they take starts all the same", t, func() {
 		h := newHarness()
-		h.core.workers["w"].stalledAt = h.now
+		h.core.workers["w"].cooldown.stalledAt = h.now
 		h.submit(jobs.Step{Count: 1, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 1000}})
 		h.pass()
 		So(h.sent, ShouldHaveLength, 1)
@@ -91,7 +91,7 @@
 			h.pass()
 			h.acceptAll()
 			w := h.core.workers["w"]
-			w.stalledAt = h.now
+			w.cooldown.stalledAt = h.now
 			h.submitTo("q", "more", jobs.Step{Count: 4, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1000}})
 			h.pass()
 			So(h.sent, ShouldHaveLength, 3)
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -6,30 +6,51 @@
 	"crosstide/internal/jobs"
 )
 
-// sendStarts gives the start orders of the handles just recorded. One for a worker that has stopped answering meanwhile
-// never leaves: its task is due again at once, and no doubt can come of it.
-func (c *Core) sendStarts(out *Actions) {
+// startState is what is known of the start order of a run. Owned by this file, missing by reconcile.go.
+type startState struct {
+	sent   bool          // the order may have left, now or under an earlier term
+	sentAt time.Duration // when it left; 0: not under this term
+
+	acceptedSeq uint64 // Core.sequence when the worker accepted it; 0: it has not
+	acceptedAt  time.Duration
+
+	unconfirmedSeq uint64 // Core.sequence when the order was found to have no answer; 0: it was not
+
+	// missing: unconfirmed, and a renewal sent later didn't list the run. It is stopped, lest the order be carried out
+	// late.
+	missing bool
+}
+
+// sendStarts adds the start orders of handles that were committed. A run whose worker has become unreachable meanwhile
+// is ended instead: its order never left, so its task is due again at once and nothing is left unconfirmed.
+func (c *Core) sendStarts(actions *Actions) {
 	var later []jobs.RunKey
 	for _, key := range c.unsentStarts {
 		r := c.runs[key]
-		if r == nil || r.sent || r.ending {
+		if r == nil || r.start.sent || r.ending {
 			continue
 		}
 		w := c.workers[r.worker]
 		j := c.table.Jobs[key.Task.Job]
-		if w == nil || w.record() == nil || !w.isReachable() || j == nil || j.State.IsTerminal() || r.toStop {
-			c.endRun(r, jobs.EndLost, "") // it never left
+		if w == nil || w.record() == nil || !w.contact.isReachable() ||
+			j == nil || j.State.IsTerminal() || r.stop.wanted {
+			c.endRun(r, jobs.EndLost, "")
 			continue
 		}
 		if !w.canOrder(c) {
 			later = append(later, key)
 			continue
 		}
-		r.sent, r.sentAt = true, c.now
+		r.start.sent, r.start.sentAt = true, c.now
 		c.orderSent(w)
-		task := j.Rounds[key.Task.Round][key.Task.Step][key.Task.Index]
-		out.Starts = append(out.Starts, StartAction{Worker: *w.record(), Order: StartOrder{
-			Key: key, Payload: j.Spec.Payload, Needs: r.needs, LeaseDeadline: w.grantLease(c, c.now), Token: c.term, Checkpoint: task.Checkpoint}})
+		actions.Starts = append(actions.Starts, StartAction{Worker: *w.record(), Order: StartOrder{
+			Key:           key,
+			Payload:       j.Spec.Payload,
+			Needs:         r.needs,
+			LeaseDeadline: w.lease.grant(c.now, c.cfg.Lease),
+			Token:         c.term,
+			Checkpoint:    j.Rounds[key.Task.Round][key.Task.Step][key.Task.Index].Checkpoint,
+		}})
 		c.Counts.Started++
 	}
 	c.unsentStarts = later
@@ -38,16 +59,16 @@
 // StartError says how a start order without an answer failed.
 type StartError int
 
-// The failures of a start order.
+// The failures of a start order. StartNoConnection says nothing of the worker.
 const (
 	StartOK               StartError = iota // it was answered
-	StartUnsent                             // no byte of it left: it never starts
+	StartUnsent                             // no byte of it left: it is never carried out
 	StartUnknown                            // it may be carried out, now or later
-	StartOtherIncarnation                   // another life answered: the worker is gone for good
-	StartNoConnection                       // no byte of it left, for want of a connection here: it says nothing of the worker
+	StartOtherIncarnation                   // another incarnation answered: the worker is gone for good
+	StartNoConnection                       // no byte of it left: this node lacks connections
 )
 
-// StartAnswered takes in the answer to a start order.
+// StartAnswered takes in the answer to a start order, or its failure.
 func (c *Core) StartAnswered(now time.Duration, workerID string, key jobs.RunKey, answer StartAnswer, err StartError) {
 	c.now = now
 	w, r := c.workers[workerID], c.runs[key]
@@ -56,45 +77,44 @@
 	}
 	c.orderDone(w)
 	c.sequence++
-	switch err {
-	case StartNoConnection:
-		c.connBackoff.failed(c.cfg, now)
-		if r != nil && r.sent && !r.listed {
-			c.endRun(r, jobs.EndLost, "")
-		}
-		return
-	case StartOtherIncarnation:
-		c.endReplacedWorker(w)
-		return
-	case StartUnsent:
-		c.markUnanswered(w, now)
-		w.markFailed(c, now)
-		if r != nil && r.sent && !r.listed {
-			c.endRun(r, jobs.EndLost, "")
-		}
-		return
-	case StartUnknown:
-		c.markUnanswered(w, now)
-		w.suspect, w.probeDue = true, true
-		if r != nil && !r.listed {
-			r.unconfirmed, r.unconfirmedAt = true, c.sequence
-			c.Counts.Unconfirmed++
-		}
+	if err != StartOK {
+		c.startFailed(w, r, err)
 		return
 	}
-	w.markHeard(c, now, answer.Clock)
+	w.markAnswered(now, answer.Clock)
 	c.connBackoff.reset()
 	if r == nil {
 		return
 	}
 	if answer.Refusal == "" {
-		r.accepted, r.acceptedAt = c.sequence, now
+		r.start.acceptedSeq, r.start.acceptedAt = c.sequence, now
 		return
 	}
 	c.Counts.Refused++
-	w.markRefused(c, now, answer.Refusal)
-	if !r.listed {
+	w.markRefused(now, answer.Refusal)
+	if !r.progress.listed {
 		c.endRun(r, jobs.EndLost, "")
-		c.avoidWorker[key.Task] = workerID
+		c.history.avoid[key.Task] = workerID
+	}
+}
+
+// startFailed takes in the failure of a start order; r is nil if its handle has left the table.
+func (c *Core) startFailed(w *worker, r *run, err StartError) {
+	switch err {
+	case StartNoConnection:
+		c.connBackoff.failed(c.cfg, c.now)
+		c.endUndeliveredRun(r)
+	case StartOtherIncarnation:
+		c.endReplacedWorker(w)
+	case StartUnsent:
+		c.markUnanswered(w, c.now)
+		w.contact.backOff(c.now, c.cfg)
+		c.endUndeliveredRun(r)
+	case StartUnknown:
+		c.orderUnanswered(w)
+		if r != nil && !r.progress.listed {
+			r.start.unconfirmedSeq = c.sequence
+			c.Counts.Unconfirmed++
+		}
 	}
 }
--- a/internal/controller/scheduler/start_test.go
+++ b/internal/controller/scheduler/start_test.go
@@ -12,7 +12,7 @@
 func TestUnsentStartsOfSilentWorker(t *testing.T) {
 	Convey("Given four starts for a worker that is called with care, so that one order leaves at a time", t, func() {
 		h := newHarness()
-		h.core.workers["w"].throttledUntil = h.now + throttlePeriod
+		h.core.workers["w"].contact.throttledUntil = h.now + throttlePeriod
 		h.submit(jobs.Step{Count: 4, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		h.pass()
 		So(h.sent, ShouldHaveLength, 1)
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -7,14 +7,31 @@
 	"crosstide/internal/jobs"
 )
 
+// stopState is what is known of the stop of a run. Owned by this file.
+type stopState struct {
+	wanted      bool
+	cause       Cause // the first one; empty: none. Also set for a run that ends without a stop
+	order       orderRetry
+	answeredSeq uint64 // Core.sequence when a stop order was answered; 0: none was
+}
+
+// orderRetry says when a stop order may be sent, again if need be.
+type orderRetry struct {
+	inFlight bool
+	notUntil time.Duration
+}
+
+// isDue reports whether the order may be sent at now.
+func (o *orderRetry) isDue(now time.Duration) bool { return !o.inFlight && now >= o.notUntil }
+
 // requestStop marks a run to be stopped; the first cause counts.
 func (c *Core) requestStop(r *run, cause Cause) {
-	r.toStop = true
-	r.cause = cmp.Or(r.cause, cause)
+	r.stop.wanted = true
+	r.stop.cause = cmp.Or(r.stop.cause, cause)
 	c.queueStop(r)
 }
 
-// stopGang stops the other members of a run that has ended: they can do nothing alone.
+// stopGang stops the other members of the gang of a run that has ended: they can do nothing alone.
 func (c *Core) stopGang(ended *run) {
 	j := c.table.Jobs[ended.key.Task.Job]
 	if j == nil || j.Rounds == nil {
@@ -29,18 +46,17 @@
 	}
 }
 
-// queueStop puts a run that is to be stopped on the list that sendStops goes through. The sweep adds those that were
-// marked in another way.
+// queueStop adds a run to those that sendStops scans. The sweep adds those that were marked in another way.
 func (c *Core) queueStop(r *run) { c.runsToStop[r.key] = r }
 
-// needsStop tells whether a stop order is wanted for the run and was not answered yet.
+// needsStop reports whether a stop order must be sent for the run and none was answered yet.
 func (r *run) needsStop() bool {
-	return (r.toStop || r.missing && !r.listed) && !r.ending && r.stopped == 0
+	return (r.stop.wanted || r.start.missing && !r.progress.listed) && !r.ending && r.stop.answeredSeq == 0
 }
 
-// sendStops gives the stop orders that are due. It looks only at the runs and workers on its lists: most runs are never
+// sendStops adds the stop orders that are due. It scans only runsToStop and workersWithOrphans: most runs are never
 // stopped, and there is a pass for each answer of a worker.
-func (c *Core) sendStops(out *Actions) {
+func (c *Core) sendStops(actions *Actions) {
 	for _, key := range sortedRuns(c.runsToStop) {
 		r := c.runsToStop[key]
 		w := c.workers[r.worker]
@@ -48,50 +64,45 @@
 			delete(c.runsToStop, key)
 			continue
 		}
-		rec := w.record()
-		if rec == nil || !r.sent || r.stopInFlight || c.now < r.retryAt || !w.canOrder(c) {
-			continue
+		if r.start.sent && c.sendStop(w, key, &r.stop.order, actions) {
+			c.Counts.Stopped++
 		}
-		r.stopInFlight = true
-		c.orderSent(w)
-		out.Stops = append(out.Stops, StopAction{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
-		c.Counts.Stopped++
 	}
 	for _, id := range sortedKeys(c.workersWithOrphans) {
-		if w := c.workers[id]; w == nil || len(w.orphans) == 0 {
+		w := c.workers[id]
+		if w == nil || len(w.orphans) == 0 {
 			delete(c.workersWithOrphans, id)
-		} else {
-			c.stopOrphans(w, out)
+			continue
+		}
+		for _, key := range w.orphanKeys() {
+			c.sendStop(w, key, w.orphans[key], actions)
 		}
 	}
 }
 
-// stopOrphans gives the stop orders for runs on a worker that the table does not have.
-func (c *Core) stopOrphans(w *worker, out *Actions) {
+// sendStop adds a stop order if it is due and one more order may be in flight to the worker. It reports whether it did.
+func (c *Core) sendStop(w *worker, key jobs.RunKey, order *orderRetry, actions *Actions) bool {
 	rec := w.record()
-	if rec == nil {
-		return
-	}
-	for _, key := range w.orphanKeys() {
-		if s := w.orphans[key]; !s.stopInFlight && c.now >= s.retryAt && w.canOrder(c) {
-			s.stopInFlight = true
-			c.orderSent(w)
-			out.Stops = append(out.Stops, StopAction{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
-		}
+	if rec == nil || !order.isDue(c.now) || !w.canOrder(c) {
+		return false
 	}
+	order.inFlight = true
+	c.orderSent(w)
+	actions.Stops = append(actions.Stops, StopAction{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
+	return true
 }
 
 // StopError says how a stop order without an answer failed.
 type StopError int
 
-// The failures of a stop order.
+// The failures of a stop order. StopNoConnection says nothing of the worker.
 const (
 	StopOK           StopError = iota // it was answered
 	StopFailed                        // no answer
-	StopNoConnection                  // it never left, for want of a connection here: it says nothing of the worker
+	StopNoConnection                  // it never left: this node lacks connections
 )
 
-// StopAnswered takes in the answer to a stop order.
+// StopAnswered takes in the answer to a stop order, or its failure.
 func (c *Core) StopAnswered(now time.Duration, workerID string, key jobs.RunKey, err StopError) {
 	c.now = now
 	w := c.workers[workerID]
@@ -100,9 +111,10 @@
 	}
 	c.orderDone(w)
 	c.sequence++
-	retry := now + c.cfg.RetryMin
-	if s := w.orphans[key]; s != nil {
-		if s.stopInFlight, s.retryAt = false, retry; err == StopOK {
+	retryAt := now + c.cfg.RetryMin
+	if order := w.orphans[key]; order != nil {
+		order.inFlight, order.notUntil = false, retryAt
+		if err == StopOK {
 			delete(w.orphans, key)
 		}
 	}
@@ -110,17 +122,15 @@
 	if r == nil {
 		return
 	}
-	r.stopInFlight = false
+	r.stop.order.inFlight = false
 	switch err {
 	case StopNoConnection:
-		r.retryAt = retry
-		return
+		r.stop.order.notUntil = retryAt
 	case StopFailed:
-		c.markUnanswered(w, now)
-		w.suspect, w.probeDue = true, true
-		r.retryAt = retry
-		return
+		c.orderUnanswered(w)
+		r.stop.order.notUntil = retryAt
+	default:
+		r.stop.answeredSeq = c.sequence
+		w.renewal.probeDue = true // its list after the stop proves the run dead
 	}
-	r.stopped = c.sequence
-	w.probeDue = true
 }
--- a/internal/controller/scheduler/worker.go
+++ b/internal/controller/scheduler/worker.go
@@ -1,148 +1,104 @@
 package scheduler
 
 import (
+	"slices"
 	"time"
 
 	"crosstide/internal/jobs"
 )
 
-// worker is what the leader knows of a worker under its term.
+// worker is the record of a worker under one term. Its parts are each owned by the file that they are named for.
 type worker struct {
-	id    string
-	table *jobs.Table
-	runs  map[jobs.RunKey]*run
-	// orphans are runs that the worker lists and the table does not have: to be stopped.
-	orphans map[jobs.RunKey]*orphan
+	id        string
+	table     *jobs.Table
+	trackedAt time.Duration // when it was first seen under this term
 
-	trackedAt time.Duration // when its record was first seen under this term
-	heardAt   time.Duration // when it last answered or sent a heartbeat; 0: not under this term
-	answered  bool          // it answered a hold call under this term: no older token counts there any more
-	// answeredAt is when it last answered a call; verifyAt, when an answer newer than that began to be needed.
-	answeredAt, verifyAt time.Duration
-	unansweredAt         time.Duration // when the first call since answeredAt was found to be without an answer; 0: never
-	clock                time.Duration // its clock at clockAt
-	clockAt              time.Duration
-	clockOK              bool
-	leaseUntil           time.Duration // the latest lease that may be in force there, on its clock; 0: unknown
+	runs    map[jobs.RunKey]*run        // those of Core.runs that are on it
+	orphans map[jobs.RunKey]*orderRetry // stop orders for runs that it lists and that have no handle in the table
 
-	longPoll              uint64        // the hold call that waits; 0: none
-	probeCall             uint64        // the hold call that asks at once; 0: none
-	probeSentAt           time.Duration // when it was sent
-	probeDue              bool          // something must be asked at once
-	receivedEnd           uint64        // highest end taken in
-	durableEnd            uint64        // highest end that is durable
-	durableAt             time.Duration // when it became so
-	acknowledgedEnd       uint64        // highest end that the worker surely knows to be durable
-	longPollAck, probeAck uint64        // what the calls under way tell of it
-	failures              int
-	// throttledUntil is when the worker is called without care again.
-	throttledUntil time.Duration
-	suspect        bool // an order got no answer, and nothing was heard since
-	retryAt        time.Duration
-	ordersInFlight int           // start and stop orders under way
-	fullAt         time.Duration // it refused for room then: our account of it is wrong for a moment
-	unhealthyAt    time.Duration // it refused as unhealthy then
-	stalledAt      time.Duration // a run on it was found standing still then, and none has gone on since; 0: none
-	leavesAt       time.Duration // while draining: when it may be gone, on our clock; 0: unknown
+	contact  contact
+	lease    leaseState
+	renewal  renewalState
+	ends     endAcks
+	cooldown cooldown
+
+	ordersInFlight int // start and stop orders, see Config.MaxOrdersPerWorker
 }
 
-// trackWorker gives the record of a worker.
+// trackWorker returns the record of a worker, made on first sight. A new one must be probed before it takes starts.
 func (c *Core) trackWorker(id string) *worker {
 	w := c.workers[id]
 	if w == nil {
-		w = &worker{id: id, table: c.table, trackedAt: c.now, runs: map[jobs.RunKey]*run{}, orphans: map[jobs.RunKey]*orphan{}, probeDue: true}
+		w = &worker{
+			id:        id,
+			table:     c.table,
+			trackedAt: c.now,
+			runs:      map[jobs.RunKey]*run{},
+			orphans:   map[jobs.RunKey]*orderRetry{},
+			renewal:   renewalState{probeDue: true},
+		}
 		c.workers[id] = w
-		c.workerIDs, c.workerList = append(c.workerIDs, id), append(c.workerList, w)
+		c.workerList = append(c.workerList, w)
 	}
 	return w
 }
 
-func (w *worker) record() *jobs.Worker { return w.table.Workers[w.id] }
-
-// isLeaving tells whether a worker has said that it ends.
-func isLeaving(rec *jobs.Worker) bool { return rec.Draining || rec.Left }
-
-// isReachable tells whether the newest call to the worker was answered.
-func (w *worker) isReachable() bool { return w.failures == 0 && !w.suspect }
-
-// markHeard notes a sign of life, with the worker's clock if it was told.
-func (w *worker) markHeard(c *Core, now, clock time.Duration) {
-	w.heardAt, w.answeredAt = max(now, 1), max(now, 1)
-	w.failures, w.retryAt, w.suspect = 0, 0, false
-	if clock > 0 && (!w.clockOK || clock > w.clock) {
-		w.clock, w.clockAt, w.clockOK = clock, now, true
+// untrackWorker drops the record of a worker that was deleted from the table.
+func (c *Core) untrackWorker(id string) {
+	if w := c.workers[id]; w != nil {
+		c.ordersInFlight -= w.ordersInFlight
 	}
+	delete(c.workers, id)
+	c.speeds.forgetWorker(id)
+	c.workerList = slices.DeleteFunc(c.workerList, func(w *worker) bool { return w.id == id })
 }
 
-// markFailed notes a call without an answer.
-func (w *worker) markFailed(c *Core, now time.Duration) {
-	w.failures++
-	pause := c.cfg.RetryMin << min(w.failures-1, 8)
-	w.retryAt = now + min(pause, c.cfg.RetryMax)
-}
+// record returns the worker's entry in the table; nil if it has none.
+func (w *worker) record() *jobs.Worker { return w.table.Workers[w.id] }
 
-// markRefused notes why a worker did not take a start.
-func (w *worker) markRefused(c *Core, now time.Duration, why Refusal) {
-	switch why {
-	case RefusedCapacity:
-		w.fullAt = max(now, 1)
-		w.probeDue = true
-	case RefusedUnhealthy, RefusedInvalid:
-		w.unhealthyAt = max(now, 1)
+// isLeaving reports whether a worker has announced that it shuts down.
+func isLeaving(rec *jobs.Worker) bool { return rec.Draining || rec.Left }
+
+// orphanKeys returns the runs of orphans in order.
+func (w *worker) orphanKeys() []jobs.RunKey {
+	keys := make([]jobs.RunKey, 0, len(w.orphans))
+	for key := range w.orphans {
+		keys = append(keys, key)
 	}
+	slices.SortFunc(keys, jobs.RunKey.Compare)
+	return keys
 }
 
-// Heartbeat takes in a heartbeat. remaining is how long a draining worker stays at least; 0 if it did not say.
-func (c *Core) Heartbeat(now time.Duration, id string, clock, remaining time.Duration) {
-	w := c.workers[id]
-	if c.term == 0 || w == nil {
-		return
-	}
-	silent := w.heardAt == 0 || w.failures > 0 || now-w.heardAt > c.cfg.SilenceTimeout
-	if w.retryAt > now+c.cfg.RetryMax {
-		return // another life has its address
-	}
-	w.heardAt = max(now, 1)
-	if clock > 0 && !w.clockOK {
-		w.clock, w.clockAt, w.clockOK = clock, now, true
-	}
-	if remaining > 0 {
-		w.leavesAt = now + remaining
-	}
-	if silent {
-		w.probeDue, w.retryAt = true, min(w.retryAt, now)
-		c.placementDue = true
-	}
+// markAnswered records an answered call, with the worker's clock (0 if it did not say).
+func (w *worker) markAnswered(now, clock time.Duration) {
+	w.contact.answered(now)
+	w.lease.setClock(now, clock)
 }
 
-// endReplacedWorker ends all runs of a worker in whose place another life answers.
+// endReplacedWorker ends the runs of a worker in whose place another incarnation answers: they died with their process.
+// The worker takes no starts and isn't called until it is forgotten.
 func (c *Core) endReplacedWorker(w *worker) {
 	for _, key := range sortedRuns(w.runs) {
-		if r := w.runs[key]; r.sent {
+		if r := w.runs[key]; r.start.sent {
 			c.endRun(r, jobs.EndLost, "")
 		}
 	}
-	w.markDead(c)
-}
-
-// markDead makes a worker take no starts until it is forgotten.
-func (w *worker) markDead(c *Core) {
-	w.heardAt, w.failures, w.retryAt = 0, 1, c.now+time.Hour
+	w.contact.heardAt, w.contact.failures, w.contact.retryAt = 0, 1, c.now+time.Hour
 	clear(w.orphans)
 }
 
-// workersToForget gives the workers without runs that are gone: silent for long. One that said that it ends serves on for a
-// while, and heartbeats that it sent before may come late; forgotten too soon, it would come back as a new one.
+// workersToForget returns the workers without runs that were silent for so long that they are gone. A worker that has
+// announced its shutdown serves on for a while, and its heartbeats may come late: deleted from the table too soon, it
+// would register again as a new one.
 func (c *Core) workersToForget(now time.Duration) []string {
-	var out []string
+	var ids []string
 	for _, w := range c.workerList {
-		rec := w.record()
-		if rec == nil || len(w.runs) > 0 || w.ordersInFlight > 0 {
+		if w.record() == nil || len(w.runs) > 0 || w.ordersInFlight > 0 {
 			continue
 		}
-		if now-max(w.heardAt, w.trackedAt) > c.cfg.ForgetAfter {
-			out = append(out, w.id)
+		if now-max(w.contact.heardAt, w.trackedAt) > c.cfg.ForgetAfter {
+			ids = append(ids, w.id)
 		}
 	}
-	return out
+	return ids
 }
--- a/internal/controller/scheduler/zone.go
+++ b/internal/controller/scheduler/zone.go
@@ -1,43 +1,42 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// Bounds of the suspicion that a whole zone is lost.
+// Conditions under which a whole zone is suspected to be lost.
 const (
-	minZoneLosses  = 3                     // workers of a zone without an answer, at least
-	zoneFraction   = 16                    // and one in so many of its workers
-	zoneLossWindow = time.Second           // within which they were found
-	freshAnswer    = 50 * time.Millisecond // an answer that is younger needs no other
+	minZoneLosses  = 3                     // at least so many of its workers don't answer
+	zoneFraction   = 16                    // and at least one in so many of its workers
+	zoneLossWindow = time.Second           // and all of these were found within it
+	freshAnswer    = 50 * time.Millisecond // an answer that is younger needs no confirmation
 )
 
-// verifyZone asks all workers of a worker's zone at once, if several of them have stopped answering. None takes starts
-// before it has answered: a start that is sent into a lost zone is stuck until the worker's lease ends. Workers that have
-// said that they end tell nothing of their zone when they do.
+// verifyZone probes all workers of a worker's zone if several of them have stopped answering. None takes starts before
+// it has answered: a start that is sent into a lost zone stays unconfirmed until the worker's lease expires. Workers
+// that have announced their shutdown don't count: when they stop answering, that says nothing of their zone.
 func (c *Core) verifyZone(w *worker, now time.Duration) {
 	rec := w.record()
 	if rec == nil || isLeaving(rec) {
 		return
 	}
-	var others []*worker
+	var unverified []*worker
 	losses, members := 0, 0
-	for _, other := range c.workerList {
-		otherRec := other.record()
-		if otherRec == nil || otherRec.Zone != rec.Zone || isLeaving(otherRec) {
+	for _, member := range c.workerList {
+		memberRec := member.record()
+		if memberRec == nil || memberRec.Zone != rec.Zone || isLeaving(memberRec) {
 			continue
 		}
 		members++
-		if other.unansweredAt > other.answeredAt && now-other.unansweredAt <= zoneLossWindow {
+		switch {
+		case member.contact.hasStoppedAnswering() && now-member.contact.unansweredAt <= zoneLossWindow:
 			losses++
-		} else if now-other.answeredAt > freshAnswer {
-			others = append(others, other)
+		case now-member.contact.answeredAt > freshAnswer:
+			unverified = append(unverified, member)
 		}
 	}
 	if losses < max(minZoneLosses, members/zoneFraction) {
 		return
 	}
-	for _, other := range others {
-		other.verifyAt, other.probeDue = now, true
+	for _, member := range unverified {
+		member.contact.verifyAt, member.renewal.probeDue = now, true
 	}
 }
--- a/internal/controller/scheduler/zone_test.go
+++ b/internal/controller/scheduler/zone_test.go
@@ -112,7 +112,7 @@
 			h.core.markUnanswered(h.core.workers[fmt.Sprint("east", i)], h.now)
 		}
 	}
-	verifying := func(h *harness) bool { return h.core.workers["east30"].verifyAt > 0 }
+	verifying := func(h *harness) bool { return h.core.workers["east30"].contact.verifyAt > 0 }
 	Convey("In a large zone a few workers without an answer tell nothing of it, a part of all does", t, func() {
 		h := newZonesOf(100, "east")
 		lose(h, 100/zoneFraction-1)
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -157,7 +157,7 @@
 		}
 	}
 	if !call.Leaving {
-		l.enqueueEvent(func(c *scheduler.Core, now time.Duration) { c.Heartbeat(now, worker.ID, call.Clock, call.Remaining) })
+		l.enqueueEvent(func(c *scheduler.Core, now time.Duration) { c.Heartbeat(now, worker.ID, call.Clock) })
 	}
 	if l.opt.Mailboxes != nil && call.Listing != nil {
 		hasLease := func() bool { return l.hasLease(term) }
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -224,7 +224,7 @@
 	}
 	finish := func(err error) {
 		if err == nil && !call.leaving {
-			n.deliver(func(c *scheduler.Core, now time.Duration) { c.Heartbeat(now, worker.ID, call.clock, call.remaining) })
+			n.deliver(func(c *scheduler.Core, now time.Duration) { c.Heartbeat(now, worker.ID, call.clock) })
 		}
 		done(err)
 	}
