--- a/internal/controller/scheduler/ack_test.go
+++ b/internal/controller/scheduler/ack_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLastEndsAreAcknowledged(t *testing.T) {
-	Convey("A worker on which nothing runs any more is told in time that its last ends are durable, once", t, func() {
+	Convey("The last ends of a worker on which nothing runs any more are acknowledged in time, once", t, func() {
 		h := newHarness()
 		h.endAs(h.runningTask(jobs.Step{}, ""), jobs.EndDone)
 		acknowledged := func() (calls int) {
@@ -22,7 +22,7 @@
 		}
 		h.renewals = nil
 		h.pass()
-		So(acknowledged(), ShouldEqual, 0) // the next run mostly brings a call
+		So(acknowledged(), ShouldEqual, 0) // usually the next run brings a call
 		for range 20 {
 			h.now += sweepInterval
 			h.pass()
--- a/internal/controller/scheduler/balance_test.go
+++ b/internal/controller/scheduler/balance_test.go
@@ -21,7 +21,7 @@
 func (a paidAccounts) Reserve(c account.Charge) error { return a.Table.Reserve(c, a.at()) }
 func (a paidAccounts) Debit(run string)               { a.Table.Debit(run, a.at()) }
 
-// pay lets acme pay for queue q: 10 a second for a core, 100 to start.
+// pay makes acme pay for queue q: 10 a second for a core, 100 to start.
 func (h *harness) pay(units int64) paidAccounts {
 	So(h.table.SetParties(jobs.SetParties{Parties: []jobs.Party{{Name: "acme", Queues: []string{"q"}, Price: account.Price{Core: 10},
 		Window: 10 * time.Second}}}), ShouldBeNil)
@@ -37,10 +37,10 @@
 	So(err, ShouldBeNil)
 }
 
-// count is how many starts were sent of a job.
+// count returns how many starts of a job were sent.
 func (h *harness) count(job string) int {
 	n := 0
-	for _, s := range h.sent {
+	for _, s := range h.starts {
 		if s.Order.Key.Task.Job == job {
 			n++
 		}
@@ -49,11 +49,11 @@
 }
 
 func TestQueueOfExhaustedAccount(t *testing.T) {
-	Convey("A queue whose party is dry waits without commits, others go on, and a top-up is used within a sweep", t, func() {
+	Convey("A queue whose account is exhausted waits without commits, others go on, and a top-up is used within a sweep", t, func() {
 		h := newHarness()
 		a := h.pay(150)
 		h.submit(jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}})
-		h.pass() // it ends: no start is proposed and refused again and again
+		h.pass() // it returns: no start is proposed and refused again and again
 		So(h.count("j"), ShouldEqual, 1)
 		h.accept()
 		h.answer(RenewalAnswer{Running: []ListedRun{{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}}}})
--- a/internal/controller/scheduler/connbackoff_test.go
+++ b/internal/controller/scheduler/connbackoff_test.go
@@ -10,24 +10,24 @@
 )
 
 func TestConnectionBackoff(t *testing.T) {
-	Convey("A start that found no connection here is due again, costs no attempt and is not held against the worker", t, func() {
+	Convey("A start that found no connection on this node is due again, costs no attempt and says nothing of the worker", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		h.pass()
-		So(len(h.sent), ShouldEqual, 1)
-		first := h.sent[0].Order.Key
+		So(len(h.starts), ShouldEqual, 1)
+		first := h.starts[0].Order.Key
 		h.core.StartAnswered(h.now, "w", first, StartAnswer{}, StartNoConnection)
 		So(h.core.workers["w"].contact.isReachable(), ShouldBeTrue)
 		So(h.core.workers["w"].contact.throttledUntil, ShouldEqual, 0)
 		h.pass()
-		So(h.sent, ShouldBeEmpty)
+		So(h.starts, ShouldBeEmpty)
 		h.now += h.core.cfg.RetryMin
 		h.pass()
-		So(len(h.sent), ShouldEqual, 1)
-		So(h.sent[0].Order.Key, ShouldResemble, jobs.RunKey{Task: first.Task, Number: 2})
+		So(len(h.starts), ShouldEqual, 1)
+		So(h.starts[0].Order.Key, ShouldResemble, jobs.RunKey{Task: first.Task, Number: 2})
 		So(h.table.Jobs["j"].State, ShouldNotEqual, jobs.Failed)
 	})
-	Convey("The pause before the next starts grows to a bound while nothing gets through, and ends with the first that does", t, func() {
+	Convey("The back-off grows to a limit while no call gets through, and ends with the first that does", t, func() {
 		var s connBackoff
 		cfg, now := Defaults(), time.Second
 		s.failed(cfg, now)
@@ -42,7 +42,7 @@
 		s.reset()
 		So(s.until, ShouldEqual, 0)
 	})
-	Convey("A hold call or a stop that found no connection is made again, and is not held against the worker", t, func() {
+	Convey("A renewal or a stop that found no connection is sent again, and says nothing of the worker", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
 		h.pass()
@@ -65,16 +65,16 @@
 		h.pass()
 		So(len(h.stops), ShouldEqual, 1)
 	})
-	Convey("No starts are planned beyond the orders that may be under way to all workers", t, func() {
+	Convey("No starts are planned beyond the orders that may be in flight to all workers", t, func() {
 		h := newHarness()
 		h.core.cfg.MaxOrdersInFlight = 2
 		for _, id := range []string{"a", "b", "c"} {
 			h.submitTo("q", id, jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
 		}
 		h.pass()
-		So(len(h.sent), ShouldEqual, 2)
+		So(len(h.starts), ShouldEqual, 2)
 		h.accept()
 		h.pass()
-		So(len(h.sent), ShouldEqual, 1)
+		So(len(h.starts), ShouldEqual, 1)
 	})
 }
--- a/internal/controller/scheduler/deregister_test.go
+++ b/internal/controller/scheduler/deregister_test.go
@@ -9,32 +9,25 @@
 	"crosstide/internal/jobs"
 )
 
-// deregister records that the worker says that it ends.
-func (h *harness) deregister() {
-	worker := *h.table.Workers["w"]
-	worker.Left = true
-	So(h.table.Register(jobs.Register{Workers: []jobs.Worker{worker}}), ShouldBeNil)
-}
-
-// TestDeregisteredWorkerServesOn is a worker that never says that it drains: it deregisters, serves on, and ends.
+// TestDeregisteredWorkerServesOn has a worker that never announces that it drains: it deregisters, serves on, and exits.
 func TestDeregisteredWorkerServesOn(t *testing.T) {
 	Convey("Given a run on a worker that has deregistered and serves on", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second, MaxPerWorker: 1})
 		h.pass()
 		h.accept()
-		So(h.sent, ShouldHaveLength, 1)
-		key := h.sent[0].Order.Key
+		So(h.starts, ShouldHaveLength, 1)
+		key := h.starts[0].Order.Key
 		h.answer(RenewalAnswer{Running: []ListedRun{{Key: key}}})
 		h.pass()
 		h.deregister()
 		h.submitTo("urgent", "k", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-		Convey("its lease is renewed, nothing more starts there, and its end is taken in", func() {
+		Convey("its lease is renewed, nothing more starts there, and the end of its run is recorded", func() {
 			for range 20 {
 				h.now += 200 * time.Millisecond
 				h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 				h.pass()
-				So(h.sent, ShouldBeEmpty)
+				So(h.starts, ShouldBeEmpty)
 				if len(h.renewals) > 0 {
 					So(h.renewals[len(h.renewals)-1].Call.LeaseDeadline, ShouldBeGreaterThan, time.Minute+h.now)
 					h.answer(RenewalAnswer{Running: []ListedRun{{Key: key}}})
@@ -45,15 +38,15 @@
 			h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: key, Reason: jobs.EndDone}}})
 			h.pass()
 			So(h.table.Jobs["j"].Rounds[0][0][key.Task.Index].Done, ShouldBeTrue)
-			So(h.sent, ShouldBeEmpty)
+			So(h.starts, ShouldBeEmpty)
 		})
-		Convey("when it has ended, its run is dead once the lease is surely over, not before", func() {
+		Convey("when it has exited, its run is lost once the lease has certainly expired, not before", func() {
 			h.failRenewals(Defaults().Lease-time.Second, false)
 			So(h.table.RunsOn("w"), ShouldHaveLength, 1)
 			h.failRenewals(4*time.Second, false)
 			So(h.table.RunsOn("w"), ShouldBeEmpty)
 		})
-		Convey("when another life answers in its place, its run is dead at once", func() {
+		Convey("when another incarnation answers in its place, its run is lost at once", func() {
 			h.core.RenewalAnswered(h.now, "w", h.renewals[len(h.renewals)-1].Number, RenewalAnswer{}, RenewalOtherIncarnation)
 			h.pass()
 			So(h.table.RunsOn("w"), ShouldBeEmpty)
@@ -70,7 +63,7 @@
 			h.pass()
 		}
 		So(h.renewals, ShouldBeEmpty)
-		Convey("one that was never heard is kept for as long as heartbeats may come late, whatever the age of the term", func() {
+		Convey("one that was never heard is kept for as long as heartbeats may be late, whatever the age of the term", func() {
 			h.now += time.Hour
 			h.pass()
 			So(h.table.Workers["unknown"], ShouldBeNil)
@@ -82,19 +75,19 @@
 			So(h.table.Workers["another"], ShouldNotBeNil)
 		})
 	})
-	Convey("A deregistered worker without runs is not forgotten over one call that failed: a late heartbeat would make it "+
-		"pass for a new one", t, func() {
+	Convey("A deregistered worker without runs is not forgotten after one failed call: a late heartbeat would register it "+
+		"as a new one", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		h.pass()
 		h.deregister()
-		h.core.StartAnswered(h.now, "w", h.sent[0].Order.Key, StartAnswer{}, StartUnsent)
+		h.core.StartAnswered(h.now, "w", h.starts[0].Order.Key, StartAnswer{}, StartUnsent)
 		for range 10 {
 			h.now += time.Second
 			h.core.Heartbeat(h.now, "w", time.Minute+h.now) // it serves on
 			h.pass()
 			So(h.table.Workers["w"], ShouldNotBeNil)
-			So(h.sent, ShouldBeEmpty)
+			So(h.starts, ShouldBeEmpty)
 		}
 		h.now += Defaults().ForgetAfter
 		h.pass()
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -9,27 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
-// runningTask starts one task of two cores, which the worker lists with a checkpoint, and lets a second pass.
-func (h *harness) runningTask(step jobs.Step, checkpoint string) jobs.RunKey {
-	step.Count, step.Needs = 1, jobs.Resources{MilliCPU: 2000}
-	h.submit(step)
-	h.pass()
-	So(h.sent, ShouldHaveLength, 1)
-	h.accept()
-	key := h.sent[0].Order.Key
-	h.pass()
-	h.answer(RenewalAnswer{Running: []ListedRun{{Key: key, Checkpoint: checkpoint, Percent: 1}}})
-	h.pass()
-	h.core.runs[key].start.sentAt = h.now - time.Second
-	return key
-}
-
-func (h *harness) endAs(key jobs.RunKey, reason jobs.EndReason) {
-	h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: key, Reason: reason}}})
-}
-
 func TestDiscardedWork(t *testing.T) {
-	Convey("Work is counted by why it was thrown away", t, func() {
+	Convey("Discarded work is counted by cause", t, func() {
 		causes := map[jobs.EndReason]Cause{jobs.EndLeaseExpired: CauseLeaseExpired, jobs.EndGangBroken: CauseGang, jobs.EndGangTimeout: CauseGangTimeout, jobs.EndLost: CauseLost}
 		for reason, cause := range causes {
 			h := newHarness()
@@ -41,7 +22,7 @@
 			So(got[cause].CoreSeconds, ShouldAlmostEqual, 2, 0.1)
 		}
 	})
-	Convey("The reason of a stop goes before the way it ended", t, func() {
+	Convey("The cause of a stop takes precedence over the reason of the end", t, func() {
 		h := newHarness()
 		key := h.runningTask(jobs.Step{}, "")
 		_, err := h.table.Cancel(jobs.Cancel{ID: "j"})
@@ -50,7 +31,7 @@
 		h.endAs(key, jobs.EndStopped)
 		So(h.core.Health(h.now).Discarded[CauseJobOver].Runs, ShouldEqual, 1)
 	})
-	Convey("Good ends and failures throw nothing away; work that was saved, and lasting work, costs no core-seconds", t, func() {
+	Convey("Good ends and failures discard nothing; work with a checkpoint, and long-running work, costs no core-seconds", t, func() {
 		for _, reason := range []jobs.EndReason{jobs.EndDone, jobs.EndFailed} {
 			h := newHarness()
 			h.endAs(h.runningTask(jobs.Step{}, ""), reason)
@@ -63,10 +44,10 @@
 		h.endAs(h.runningTask(jobs.Step{LongRunning: true}, ""), jobs.EndLeaseExpired)
 		So(h.core.Health(h.now).Discarded[CauseLeaseExpired], ShouldResemble, Discarded{Runs: 1})
 	})
-	Convey("A lease that this leader finds over counts as lapsed, a run that its worker does not list as lost", t, func() {
+	Convey("A run whose lease this leader finds expired counts as such, one that its worker does not list as lost", t, func() {
 		h := newHarness()
 		h.runningTask(jobs.Step{}, "")
-		for range 60 { // nothing is heard of the worker
+		for range 60 { // the worker is silent
 			h.now += sweepInterval
 			h.pass()
 		}
@@ -84,7 +65,7 @@
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 		h.pass()
-		key := h.sent[0].Order.Key
+		key := h.starts[0].Order.Key
 		h.core.StartAnswered(h.now, "w", key, StartAnswer{}, StartUnknown)
 		h.now += time.Second
 		h.pass()
--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -9,17 +9,17 @@
 	"crosstide/internal/jobs"
 )
 
-// fleet is a fleet of 350 workers under a load of which a part must wait. Commits and answers take the time that they
-// take on the platform, on a clock of its own.
+// fleet is a cluster of 350 workers under a load of which a part must wait. Commits and answers take the time that they
+// take on the platform, on a simulated clock.
 type fleet struct {
-	*bench
-	random *rand.Rand
-	later  map[time.Duration][]func() // by time in milliseconds
-	lists  map[string]map[jobs.RunKey]span
-	ended  map[string][]EndedRun
-	counts map[string]uint64
-	waits  map[string]*RenewalAction
-	passes int
+	*cluster
+	random    *rand.Rand
+	later     map[time.Duration][]func() // by time in milliseconds
+	running   map[string]map[jobs.RunKey]span
+	ended     map[string][]EndedRun
+	counts    map[string]uint64
+	longPolls map[string]*RenewalAction
+	passes    int
 }
 
 // span is when a run began and how long it takes.
@@ -32,8 +32,8 @@
 )
 
 func newFleet() *fleet {
-	w := &fleet{bench: newBench(3), random: rand.New(rand.NewPCG(1, 2)), later: map[time.Duration][]func(){},
-		lists: map[string]map[jobs.RunKey]span{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}, waits: map[string]*RenewalAction{}}
+	w := &fleet{cluster: newCluster(3), random: rand.New(rand.NewPCG(1, 2)), later: map[time.Duration][]func(){},
+		running: map[string]map[jobs.RunKey]span{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}, longPolls: map[string]*RenewalAction{}}
 	must(w.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{
 		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 4, Target: 3 * time.Second, Timeout: time.Second}}}))
 	for i := range fleetWorkers {
@@ -41,7 +41,7 @@
 		rack := fmt.Sprintf("r%d", i/12)
 		must(w.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z", Rack: rack,
 			Labels: []string{"a", rack}, Capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536}}}}))
-		w.lists[id] = map[jobs.RunKey]span{}
+		w.running[id] = map[jobs.RunKey]span{}
 	}
 	return w
 }
@@ -59,7 +59,7 @@
 
 func (w *fleet) width(mean float64) int { return 1 + int(w.random.ExpFloat64()*mean) }
 
-// step moves the time on by a millisecond and runs a pass.
+// step advances the clock by a millisecond and runs a pass.
 func (w *fleet) step(load float64) {
 	w.now += time.Millisecond
 	w.wall = w.wall.Add(time.Millisecond)
@@ -80,23 +80,23 @@
 	w.passes++
 }
 
-func (w *fleet) carryOut(out Actions) {
-	if p := out.Progress; p != nil {
+func (w *fleet) carryOut(actions Actions) {
+	if p := actions.Progress; p != nil {
 		w.after(commitTime, func() {
 			started, err := w.table.Progress(testTerm, *p)
 			w.core.Committed(w.now, p, started, err)
 		})
 	}
-	for _, s := range out.Starts {
+	for _, s := range actions.Starts {
 		w.after(answerTime, func() { w.start(s) })
 	}
-	for _, s := range out.Stops {
+	for _, s := range actions.Stops {
 		w.after(answerTime, func() {
 			w.end(s.Worker.ID, s.Order.Key, jobs.EndStopped)
 			w.core.StopAnswered(w.now, s.Worker.ID, s.Order.Key, StopOK)
 		})
 	}
-	for _, h := range out.Renewals {
+	for _, h := range actions.Renewals {
 		w.after(answerTime, func() { w.renew(h) })
 	}
 }
@@ -109,19 +109,19 @@
 		return
 	}
 	took := time.Duration(float64(j.Spec.Steps[key.Task.Step].Estimate) * (0.7 + 0.6*w.random.Float64()))
-	w.lists[s.Worker.ID][key] = span{from: w.now, duration: took}
+	w.running[s.Worker.ID][key] = span{from: w.now, duration: took}
 	w.after(took, func() { w.end(s.Worker.ID, key, jobs.EndDone) })
 }
 
 func (w *fleet) end(id string, key jobs.RunKey, reason jobs.EndReason) {
-	if _, runs := w.lists[id][key]; !runs {
+	if _, runs := w.running[id][key]; !runs {
 		return
 	}
-	delete(w.lists[id], key)
+	delete(w.running[id], key)
 	w.counts[id]++
 	w.ended[id] = append(w.ended[id], EndedRun{Sequence: w.counts[id], Key: key, Reason: reason})
-	if h := w.waits[id]; h != nil {
-		w.waits[id] = nil
+	if h := w.longPolls[id]; h != nil {
+		w.longPolls[id] = nil
 		w.answer(*h)
 	}
 }
@@ -135,10 +135,10 @@
 		w.answer(h)
 		return
 	}
-	w.waits[id] = &h
+	w.longPolls[id] = &h
 	w.after(h.Call.Wait, func() {
-		if w.waits[id] == &h {
-			w.waits[id] = nil
+		if w.longPolls[id] == &h {
+			w.longPolls[id] = nil
 			w.answer(h)
 		}
 	})
@@ -146,14 +146,14 @@
 
 func (w *fleet) answer(h RenewalAction) {
 	a := RenewalAnswer{Clock: w.now, Ended: w.ended[h.Worker.ID]}
-	for key, at := range w.lists[h.Worker.ID] {
+	for key, at := range w.running[h.Worker.ID] {
 		a.Running = append(a.Running, ListedRun{Key: key, Percent: int(100 * (w.now - at.from) / at.duration)})
 	}
 	w.core.RenewalAnswered(w.now, h.Worker.ID, h.Number, a, RenewalOK)
 }
 
-// BenchmarkPassesOfLoadedFleet is a second of scheduling for 350 workers, after ten seconds of the same load: 1 is about what the
-// workers can take, 3 is what storms bring.
+// BenchmarkPassesOfLoadedFleet measures a second of scheduling for 350 workers, after ten seconds of the same load: 1 is
+// about the capacity of the workers, 3 is the load of a storm of submissions.
 func BenchmarkPassesOfLoadedFleet(b *testing.B) {
 	for _, load := range []float64{1, 3} {
 		b.Run(fmt.Sprintf("load=%v", load), func(b *testing.B) {
--- a/internal/controller/scheduler/health_test.go
+++ b/internal/controller/scheduler/health_test.go
@@ -9,12 +9,12 @@
 
 func TestHealth(t *testing.T) {
 	Convey("Given two workers of a zone, of which one sends heartbeats", t, func() {
-		b := newBench(1, "w1", "w2")
+		b := newCluster(1, "w1", "w2")
 		b.pass(time.Millisecond)
 		Convey("none is silent at first: a new leader may not have heard them yet", func() {
 			So(b.core.Health(b.now).Silent, ShouldBeEmpty)
 		})
-		Convey("the other one is silent once the time is over", func() {
+		Convey("the other one is silent after SilenceTimeout", func() {
 			for range 10 {
 				b.pass(time.Second)
 				b.core.Heartbeat(b.now, "w1", b.now)
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -9,22 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
-// failRenewals lets all calls that wait fail, pass by pass, for a while.
-func (h *harness) failRenewals(d time.Duration, heartbeats bool) {
-	for end := h.now + d; h.now < end; h.now += 200 * time.Millisecond {
-		for _, renewal := range h.renewals {
-			h.core.RenewalAnswered(h.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
-		}
-		h.renewals = nil
-		if heartbeats {
-			h.core.Heartbeat(h.now, "w", time.Minute+h.now)
-		}
-		h.pass()
-	}
-}
-
 func TestLeaseOfSilentWorkerExpires(t *testing.T) {
-	Convey("The lease of a worker that answers no more ends, however often it is called", t, func() { expiresSilentWorker(false) })
+	Convey("The lease of a worker that stops answering expires, however often it is called", t, func() { expiresSilentWorker(false) })
 	Convey("The same while its heartbeats go on", t, func() { expiresSilentWorker(true) })
 }
 
@@ -33,7 +19,7 @@
 	h.submit(jobs.Step{Count: 1, Estimate: time.Hour})
 	h.pass()
 	h.accept()
-	h.answer(RenewalAnswer{Running: []ListedRun{{Key: h.sent[0].Order.Key}}})
+	h.answer(RenewalAnswer{Running: []ListedRun{{Key: h.starts[0].Order.Key}}})
 	h.pass()
 	So(h.table.RunsOn("w"), ShouldHaveLength, 1)
 	h.failRenewals(Defaults().Lease, heartbeats)
@@ -43,23 +29,23 @@
 }
 
 func TestNewLeaderWaitsOutUnconfirmedLease(t *testing.T) {
-	Convey("A lease that calls without an answer may have renewed is waited out by a new leader", t, func() {
+	Convey("A new leader waits out a lease that renewals without an answer may have extended", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Estimate: time.Hour})
 		h.pass()
 		h.core.StepDown()
 		h.renewals = nil
 		h.core.BecomeLeader(h.now, harnessTerm+1, h.table)
-		var granted time.Duration // what the worker's lease may be by now, on its clock
+		var granted time.Duration // the latest lease that the worker may hold, on its clock
 		for end := h.now + 8*time.Second; h.now < end && len(h.table.RunsOn("w")) > 0; h.now += 200 * time.Millisecond {
 			h.core.Heartbeat(h.now, "w", time.Minute+h.now)
-			out := h.core.Pass(h.now, time.Time{}.Add(h.now))
-			for _, renewal := range out.Renewals {
+			actions := h.core.Pass(h.now, time.Time{}.Add(h.now))
+			for _, renewal := range actions.Renewals {
 				granted = max(granted, renewal.Call.LeaseDeadline)
 				h.core.RenewalAnswered(h.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
 			}
-			if out.Progress != nil {
-				So(out.Progress.Ends, ShouldHaveLength, 1)
+			if actions.Progress != nil {
+				So(actions.Progress.Ends, ShouldHaveLength, 1)
 				So(time.Minute+h.now, ShouldBeGreaterThan, granted)
 				return
 			}
@@ -67,3 +53,35 @@
 		So("the run was never proved dead", ShouldBeEmpty)
 	})
 }
+
+func TestTaskOfSilentWorkerRestartsElsewhere(t *testing.T) {
+	Convey("Given a run on a worker that falls silent and is called again and again", t, func() {
+		b := newCluster(2, "w1")
+		b.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
+		start := b.firstStart()
+		b.core.StartAnswered(b.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: b.now}, StartOK)
+		must(b.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
+			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
+		Convey("its lease expires all the same, and the task starts elsewhere under a new number", func() {
+			var again *StartAction
+			for range 200 {
+				actions := b.pass(50 * time.Millisecond)
+				for _, renewal := range actions.Renewals {
+					if renewal.Worker.ID == "w1" {
+						b.core.RenewalAnswered(b.now, "w1", renewal.Number, RenewalAnswer{}, RenewalFailed)
+					} else {
+						b.core.RenewalAnswered(b.now, "w2", renewal.Number, RenewalAnswer{Clock: b.now}, RenewalOK)
+					}
+				}
+				b.core.Heartbeat(b.now, "w2", b.now)
+				if len(actions.Starts) > 0 {
+					again = &actions.Starts[0]
+					break
+				}
+			}
+			So(again, ShouldNotBeNil)
+			So(again.Worker.ID, ShouldEqual, "w2")
+			So(again.Order.Key.Number, ShouldEqual, 2)
+		})
+	})
+}
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -12,27 +12,27 @@
 	"crosstide/internal/jobs"
 )
 
-// month is a scheduler under one term for a simulated month, in spells of work with pauses between them.
+// month is a cluster under one term for a simulated month, in periods of work with pauses between them.
 type month struct {
-	*bench
-	workers      []string // those that are up
+	*cluster
+	workers      []string // IDs of the running ones
 	incarnations int
-	lists        map[string][]jobs.RunKey
+	running      map[string][]jobs.RunKey
 	ended        map[string][]EndedRun
 	counts       map[string]uint64
 	jobs         int
 }
 
 const (
-	monthWorkers = 6
-	monthPause   = 20 * time.Minute // from one spell to the next
-	monthPasses  = 40               // passes of a spell
-	monthDay     = int(24 * time.Hour / monthPause)
-	monthKeep    = 10 * time.Minute
+	monthWorkers   = 6
+	periodInterval = 20 * time.Minute // from the begin of one period to that of the next
+	periodPasses   = 40               // of a period
+	periodsPerDay  = int(24 * time.Hour / periodInterval)
+	jobRetention   = 10 * time.Minute
 )
 
 func newMonth() *month {
-	m := &month{bench: newBench(2), lists: map[string][]jobs.RunKey{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}}
+	m := &month{cluster: newCluster(2), running: map[string][]jobs.RunKey{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}}
 	for range monthWorkers {
 		m.startWorker()
 	}
@@ -48,16 +48,16 @@
 		Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
 }
 
-// crash ends the oldest worker without a word.
+// crash ends the oldest worker, which announces nothing.
 func (m *month) crash() {
 	id := m.workers[0]
 	m.workers = m.workers[1:]
-	delete(m.lists, id)
+	delete(m.running, id)
 	delete(m.ended, id)
 	delete(m.counts, id)
 }
 
-// submitKind submits a job whose ID tells how its runs end.
+// submitKind submits a job whose ID says how its runs end.
 func (m *month) submitKind(kind string) string {
 	m.jobs++
 	id := fmt.Sprintf("%s%d", kind, m.jobs)
@@ -66,29 +66,29 @@
 }
 
 // period hands jobs in, works on them, and lets jobs go that are over for long. A worker may crash in the middle of it.
-func (m *month) workPeriod(crash bool) {
-	m.now, m.wall = m.now+monthPause, m.wall.Add(monthPause)
+func (m *month) runPeriod(crash bool) {
+	m.now, m.wall = m.now+periodInterval, m.wall.Add(periodInterval)
 	m.submitKind("done")
 	m.submitKind("fails")
 	cancelled := m.submitKind("stays")
-	for pass := range monthPasses {
+	for pass := range periodPasses {
 		for _, id := range m.workers {
 			m.core.Heartbeat(m.now, id, m.now)
 		}
 		m.carryOut(m.pass(100 * time.Millisecond))
-		if crash && pass == monthPasses/4 {
+		if crash && pass == periodPasses/4 {
 			m.crash()
 			m.startWorker()
 		}
-		if pass == monthPasses/2 {
+		if pass == periodPasses/2 {
 			_, err := m.table.Cancel(jobs.Cancel{ID: cancelled, At: m.wall})
 			must(err)
 		}
 	}
-	m.table.Purge(m.wall.Add(-monthKeep))
+	m.table.Purge(m.wall.Add(-jobRetention))
 }
 
-func (m *month) up(id string) bool {
+func (m *month) isUp(id string) bool {
 	for _, other := range m.workers {
 		if other == id {
 			return true
@@ -97,35 +97,35 @@
 	return false
 }
 
-// carryOut answers what a pass wants as workers do that are up.
-func (m *month) carryOut(out Actions) {
-	for _, s := range out.Starts {
-		if !m.up(s.Worker.ID) {
+// carryOut answers the calls of a pass as running workers do, and not at all as crashed ones.
+func (m *month) carryOut(actions Actions) {
+	for _, s := range actions.Starts {
+		if !m.isUp(s.Worker.ID) {
 			m.core.StartAnswered(m.now, s.Worker.ID, s.Order.Key, StartAnswer{}, StartUnknown)
 			continue
 		}
-		m.lists[s.Worker.ID] = append(m.lists[s.Worker.ID], s.Order.Key)
+		m.running[s.Worker.ID] = append(m.running[s.Worker.ID], s.Order.Key)
 		m.core.StartAnswered(m.now, s.Worker.ID, s.Order.Key, StartAnswer{Clock: m.now}, StartOK)
 	}
-	for _, s := range out.Stops {
+	for _, s := range actions.Stops {
 		m.finish(s.Worker.ID, s.Order.Key, jobs.EndStopped)
-		m.core.StopAnswered(m.now, s.Worker.ID, s.Order.Key, stopOutcome(m.up(s.Worker.ID)))
+		m.core.StopAnswered(m.now, s.Worker.ID, s.Order.Key, stopOutcome(m.isUp(s.Worker.ID)))
 	}
-	for _, h := range out.Renewals {
+	for _, h := range actions.Renewals {
 		m.answer(h)
 	}
 }
 
 func (m *month) answer(h RenewalAction) {
 	id := h.Worker.ID
-	if !m.up(id) {
+	if !m.isUp(id) {
 		m.core.RenewalAnswered(m.now, id, h.Number, RenewalAnswer{}, RenewalFailed)
 		return
 	}
 	for len(m.ended[id]) > 0 && m.ended[id][0].Sequence <= h.Call.AcknowledgedUpTo {
 		m.ended[id] = m.ended[id][1:]
 	}
-	for _, key := range append([]jobs.RunKey{}, m.lists[id]...) {
+	for _, key := range append([]jobs.RunKey{}, m.running[id]...) {
 		switch {
 		case strings.HasPrefix(key.Task.Job, "done"):
 			m.finish(id, key, jobs.EndDone)
@@ -134,16 +134,16 @@
 		}
 	}
 	answer := RenewalAnswer{Clock: m.now, Ended: m.ended[id]}
-	for _, key := range m.lists[id] {
+	for _, key := range m.running[id] {
 		answer.Running = append(answer.Running, ListedRun{Key: key})
 	}
 	m.core.RenewalAnswered(m.now, id, h.Number, answer, RenewalOK)
 }
 
 func (m *month) finish(id string, key jobs.RunKey, reason jobs.EndReason) {
-	for i, other := range m.lists[id] {
+	for i, other := range m.running[id] {
 		if other == key {
-			m.lists[id] = append(append([]jobs.RunKey{}, m.lists[id][:i]...), m.lists[id][i+1:]...)
+			m.running[id] = append(append([]jobs.RunKey{}, m.running[id][:i]...), m.running[id][i+1:]...)
 			m.counts[id]++
 			m.ended[id] = append(m.ended[id], EndedRun{Sequence: m.counts[id], Key: key, Reason: reason})
 			return
@@ -151,7 +151,7 @@
 	}
 }
 
-// sizes gives the lengths of all maps and lists of a value, by name, and those of the structs in it.
+// sizes collects the lengths of all maps and slices of a value and of the structs in it, by path.
 func sizes(name string, v reflect.Value, into map[string]int) {
 	switch v.Kind() {
 	case reflect.Map, reflect.Slice:
@@ -163,7 +163,7 @@
 	}
 }
 
-// size is all that grows with what the scheduler and its table have seen.
+// size returns the sizes of all that the scheduler and its table keep.
 func (m *month) size() map[string]int {
 	out := map[string]int{}
 	sizes("core", reflect.ValueOf(m.core).Elem(), out)
@@ -179,8 +179,8 @@
 		m := newMonth()
 		var early map[string]int
 		for day := 1; day <= 30; day++ {
-			for period := range monthDay {
-				m.workPeriod(period%12 == 0)
+			for period := range periodsPerDay {
+				m.runPeriod(period%12 == 0)
 			}
 			if day == 3 {
 				early = m.size()
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -9,17 +10,17 @@
 	"crosstide/internal/jobs"
 )
 
-// usual is the progress in percent of a run that is as quick as its peers.
-const usual = 90
+// usualPercent is the progress of a run that is as fast as its peers.
+const usualPercent = 90
 
-// paced sets runs going on four workers, two tasks on each, of a step whose other tasks took a second. It lets time pass,
-// lists the progress in percent that each worker's two runs have made, and gives the workers on which runs were stopped.
+// paced starts runs on four workers, two on each, of a step whose other tasks took a second. After a time it lists the
+// progress in percent of each worker's two runs, and returns the workers on which runs were stopped.
 func (h *harness) paced(elapsed time.Duration, near string, percent map[string][2]int) (stopped []string) {
 	h.addWorkers("x", "y", "z")
 	h.submit(jobs.Step{Count: 8, Estimate: time.Second, PreferredRack: near, Needs: jobs.Resources{MilliCPU: 1000}})
 	h.pass()
-	So(h.sent, ShouldHaveLength, 8)
-	h.acceptAll()
+	So(h.starts, ShouldHaveLength, 8)
+	h.accept()
 	for range minPeers {
 		h.core.speeds.observeDuration(jobs.TaskRef{Job: "j"}, time.Second)
 	}
@@ -32,7 +33,7 @@
 		answer := RenewalAnswer{Clock: time.Minute + h.now}
 		for i, key := range h.table.RunsOn(renewal.Worker.ID) {
 			done := percent[renewal.Worker.ID][i%2]
-			if done == usual {
+			if done == usualPercent {
 				h.core.runs[key].start.sentAt = h.now - 900*time.Millisecond // it began later
 			}
 			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: done})
@@ -48,7 +49,7 @@
 }
 
 func TestOnlySlowWorkersLoseRuns(t *testing.T) {
-	even := map[string][2]int{"w": {usual, usual}, "x": {usual, usual}, "y": {usual, usual}, "z": {usual, usual}}
+	even := map[string][2]int{"w": {usualPercent, usualPercent}, "x": {usualPercent, usualPercent}, "y": {usualPercent, usualPercent}, "z": {usualPercent, usualPercent}}
 	with := func(id string, percent [2]int) map[string][2]int {
 		out := map[string][2]int{}
 		for other, p := range even {
@@ -57,18 +58,87 @@
 		out[id] = percent
 		return out
 	}
-	Convey("A task that is long among short ones stays where its worker is as quick as others", t, func() {
-		So(newHarness().paced(2200*time.Millisecond, "", with("w", [2]int{47, usual})), ShouldBeEmpty)
+	Convey("A long task among short ones stays on a worker that is as fast as others", t, func() {
+		So(newHarness().paced(2200*time.Millisecond, "", with("w", [2]int{47, usualPercent})), ShouldBeEmpty)
 	})
-	Convey("Two runs that both take long show a slow worker: they are moved", t, func() {
+	Convey("Two runs that both take long prove a slow worker: they are moved", t, func() {
 		So(newHarness().paced(2200*time.Millisecond, "", with("w", [2]int{47, 47})), ShouldResemble, []string{"w", "w"})
 	})
 	Convey("One run that takes longer than tasks of a step ever differ is moved too", t, func() {
-		So(newHarness().paced(2200*time.Millisecond, "", with("w", [2]int{30, usual})), ShouldResemble, []string{"w"})
+		So(newHarness().paced(2200*time.Millisecond, "", with("w", [2]int{30, usualPercent})), ShouldResemble, []string{"w"})
 	})
-	Convey("Away from its data a run takes longer everywhere: that is no sign of a slow worker", t, func() {
-		slowForItsPlace := with("w", [2]int{50, usual})
+	Convey("Away from its data a run takes longer everywhere: that is no proof of a slow worker", t, func() {
+		slowForItsPlace := with("w", [2]int{50, usualPercent})
 		So(newHarness().paced(3*time.Second, "", slowForItsPlace), ShouldResemble, []string{"w"})
 		So(newHarness().paced(3*time.Second, "r", slowForItsPlace), ShouldBeEmpty)
 	})
 }
+
+func TestRunsLeaveStalledWorker(t *testing.T) {
+	Convey("A run without progress is moved within 1.5 s, and its worker is excluded until it shows progress again", t, func() {
+		h := newHarness()
+		h.addWorkers("x", "y", "z")
+		h.submit(jobs.Step{Count: 4, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 3000}})
+		h.pass()
+		So(h.starts, ShouldHaveLength, 4)
+		stalled := h.starts[0].Worker.ID
+		h.accept()
+		percent := map[string]int{}
+		began := h.now
+		var stopped []StopAction
+		for h.now < began+1500*time.Millisecond && len(stopped) == 0 {
+			h.now += 100 * time.Millisecond
+			for _, id := range []string{"w", "x", "y", "z"} {
+				if id != stalled {
+					percent[id] = int((h.now - began) / (50 * time.Millisecond))
+				}
+			}
+			if h.now > began+500*time.Millisecond { // the others end, so that there is capacity to move to
+				h.endRuns(stalled)
+			}
+			h.answerAll(percent)
+			h.pass()
+			stopped = h.stops
+		}
+		So(stopped, ShouldHaveLength, 1)
+		So(stopped[0].Worker.ID, ShouldEqual, stalled)
+		So(h.now-began, ShouldBeLessThan, 1500*time.Millisecond)
+		h.submitTo("q", "more", jobs.Step{Count: 3, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 1000}})
+		h.pass()
+		So(h.starts, ShouldHaveLength, 3)
+		for _, s := range h.starts {
+			So(s.Worker.ID, ShouldNotEqual, stalled)
+		}
+	})
+	Convey("Where the runs of more than a quarter of the workers are stalled, these take starts all the same", t, func() {
+		h := newHarness()
+		h.core.workers["w"].cooldown.stalledAt = h.now
+		h.submit(jobs.Step{Count: 1, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 1000}})
+		h.pass()
+		So(h.starts, ShouldHaveLength, 1)
+	})
+	Convey("A stalled worker takes starts again after progress of any run, or after a time", t, func() {
+		for _, again := range []string{"progress", "time"} {
+			h := newHarness()
+			h.addWorkers("x", "y", "z")
+			h.submit(jobs.Step{Count: 4, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 3000}})
+			h.pass()
+			h.accept()
+			w := h.core.workers["w"]
+			w.cooldown.stalledAt = h.now
+			h.submitTo("q", "more", jobs.Step{Count: 4, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1000}})
+			h.pass()
+			So(h.starts, ShouldHaveLength, 3)
+			h.accept()
+			if again == "time" {
+				h.now += stalledBackoff
+			} else {
+				h.answerAll(map[string]int{"w": 1})
+			}
+			h.now += sweepInterval
+			h.pass()
+			So(fmt.Sprint(again, len(h.starts)), ShouldEqual, fmt.Sprint(again, 1))
+			So(h.starts[0].Worker.ID, ShouldEqual, "w")
+		}
+	})
+}
--- a/internal/controller/scheduler/renewal_test.go
+++ b/internal/controller/scheduler/renewal_test.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/jobs"
 )
 
-func TestNewLeaderAsksAFewAtATime(t *testing.T) {
-	Convey("A new leader asks at most MostProbes workers at once, and all of them in the end", t, func() {
+func TestNewLeaderProbesAFewAtATime(t *testing.T) {
+	Convey("A new leader probes at most MaxProbes workers at once, and all of them in the end", t, func() {
 		const workers = 100
 		h := newHarness()
 		for i := range workers {
@@ -21,16 +21,16 @@
 		most := h.core.cfg.MaxProbes
 		asked := map[string]bool{}
 		for range 2 * workers / most {
-			out := h.core.Pass(h.now, time.Time{}.Add(h.now))
-			So(len(out.Renewals), ShouldBeLessThanOrEqualTo, most)
-			for _, renewal := range out.Renewals {
+			actions := h.core.Pass(h.now, time.Time{}.Add(h.now))
+			So(len(actions.Renewals), ShouldBeLessThanOrEqualTo, most)
+			for _, renewal := range actions.Renewals {
 				asked[renewal.Worker.ID] = true
 				h.core.RenewalAnswered(h.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: time.Minute}, RenewalOK)
 			}
 		}
 		So(asked, ShouldHaveLength, workers+1)
 	})
-	Convey("Workers that do not answer keep the others waiting for a moment only", t, func() {
+	Convey("Workers that do not answer delay the probes of the others for a moment only", t, func() {
 		h := newHarness()
 		most := h.core.cfg.MaxProbes
 		for i := range 2 * most {
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -9,7 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
-// waitingGang lets a gang of so many cores wait beside work that takes three of the worker's four.
+// waitingGang returns a harness in which a gang of so many cores waits, as work takes three of the worker's four, and then
+// a small task is submitted.
 func waitingGang(cores int) *harness {
 	h := newHarness()
 	h.submitTo("q", "busy", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 3000}, Estimate: time.Hour})
@@ -22,19 +23,19 @@
 		h.core.Heartbeat(h.now, "w", time.Minute+h.now)
 		h.pass()
 	}
-	So(h.sent, ShouldBeEmpty)
+	So(h.starts, ShouldBeEmpty)
 	h.submitTo("q", "small", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 	h.pass()
 	return h
 }
 
-func TestReserveForGang(t *testing.T) {
-	Convey("A gang that has waited, and would fit, has room kept for it", t, func() {
-		So(waitingGang(4).sent, ShouldBeEmpty)
+func TestNodesAreReservedForGang(t *testing.T) {
+	Convey("Nodes are reserved for a gang that has waited and would fit on empty workers", t, func() {
+		So(waitingGang(4).starts, ShouldBeEmpty)
 	})
-	Convey("One that would not fit on empty workers keeps no room from others", t, func() {
+	Convey("Nothing is reserved for one that would not fit on empty workers", t, func() {
 		h := waitingGang(5)
-		So(h.sent, ShouldHaveLength, 1)
-		So(h.sent[0].Order.Key.Task.Job, ShouldEqual, "small")
+		So(h.starts, ShouldHaveLength, 1)
+		So(h.starts[0].Order.Key.Task.Job, ShouldEqual, "small")
 	})
 }
--- a/internal/controller/scheduler/zone_test.go
+++ b/internal/controller/scheduler/zone_test.go
@@ -10,10 +10,10 @@
 	"crosstide/internal/jobs"
 )
 
-// newZones makes a core with four workers in each of the zones east and west; all have answered.
+// newZones returns a harness with four workers in each of the zones east and west; all have answered.
 func newZones() *harness { return newZonesOf(4, "east", "west") }
 
-// newZonesOf makes a core with so many workers in each of the zones; all have answered.
+// newZonesOf returns a harness with so many workers in each of the zones; all have answered.
 func newZonesOf(count int, zones ...string) *harness {
 	h := newHarness()
 	for _, zone := range zones {
@@ -29,28 +29,9 @@
 	return h
 }
 
-// loseStarts lets the start orders of the newest passes to some workers go without an answer.
-func (h *harness) loseStarts(workers ...string) {
-	for _, s := range h.sent {
-		for _, id := range workers {
-			if s.Worker.ID == id {
-				h.core.StartAnswered(h.now, id, s.Order.Key, StartAnswer{}, StartUnknown)
-			}
-		}
-	}
-}
-
-func (h *harness) startedOn() map[string]int {
-	on := map[string]int{}
-	for _, s := range h.sent {
-		on[s.Worker.ID]++
-	}
-	return on
-}
-
-func TestLostZone(t *testing.T) {
+func TestZoneIsVerifiedAfterLosses(t *testing.T) {
 	wide := jobs.Step{Count: 9, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1500}}
-	Convey("When several workers of a zone answer no more, its others get no starts before they have answered", t, func() {
+	Convey("When several workers of a zone stop answering, its others get no starts before they have answered", t, func() {
 		h := newZones()
 		h.submit(wide)
 		h.pass()
@@ -60,7 +41,7 @@
 		h.pass()
 		So(h.startedOn()["east3"], ShouldEqual, 0)
 		So(h.startedOn()["west0"], ShouldEqual, 1)
-		Convey("which they are asked for at once", func() {
+		Convey("and they are probed at once", func() {
 			asked := false
 			for _, renewal := range h.renewals {
 				if renewal.Worker.ID == "east3" {
@@ -84,28 +65,6 @@
 	})
 }
 
-func TestUnsentStart(t *testing.T) {
-	Convey("A start that waits for others to a worker goes elsewhere once the worker does not answer", t, func() {
-		h := newHarness()
-		h.core.cfg.MaxOrdersPerWorker = 1
-		h.submit(jobs.Step{Count: 3, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1000}})
-		h.pass()
-		So(h.sent, ShouldHaveLength, 1)
-		So(h.table.RunsOn("w"), ShouldHaveLength, 3)
-		h.loseStarts("w")
-		So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "x", Service: "s", Capacity: jobs.Resources{MilliCPU: 4000}}}}), ShouldBeNil)
-		h.pass()
-		So(h.table.RunsOn("w"), ShouldHaveLength, 1)
-		for _, renewal := range h.renewals {
-			if renewal.Worker.ID == "x" {
-				h.core.RenewalAnswered(h.now, "x", renewal.Number, RenewalAnswer{Clock: time.Minute + h.now}, RenewalOK)
-			}
-		}
-		h.pass()
-		So(h.table.RunsOn("x"), ShouldHaveLength, 2)
-	})
-}
-
 func TestLossesThatDoNotImplicateZone(t *testing.T) {
 	lose := func(h *harness, count int) {
 		for i := range count {
@@ -113,14 +72,14 @@
 		}
 	}
 	verifying := func(h *harness) bool { return h.core.workers["east30"].contact.verifyAt > 0 }
-	Convey("In a large zone a few workers without an answer tell nothing of it, a part of all does", t, func() {
+	Convey("In a large zone a few workers without an answer say nothing of it, a fraction of all does", t, func() {
 		h := newZonesOf(100, "east")
 		lose(h, 100/zoneFraction-1)
 		So(verifying(h), ShouldBeFalse)
 		lose(h, 100/zoneFraction)
 		So(verifying(h), ShouldBeTrue)
 	})
-	Convey("Workers that said that they end tell nothing of their zone when they do", t, func() {
+	Convey("Workers that announced their shutdown say nothing of their zone when they stop answering", t, func() {
 		h := newZonesOf(40, "east")
 		for i := range 20 {
 			leaving := *h.table.Workers[fmt.Sprint("east", i)]
