--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -28,7 +28,16 @@
 
 // Counts are the totals of a Core since it was made.
 type Counts struct {
-	Started, Done, Failed, Lost, Expired, Refused, Unconfirmed, Stopped, Preempted, Moved uint64
+	Started     uint64 // start orders sent
+	Refused     uint64 // start orders refused
+	Unconfirmed uint64 // start orders without an answer
+	Stopped     uint64 // stop orders sent for runs with a handle
+	Preempted   uint64 // runs stopped for more urgent ones
+	Moved       uint64 // runs stopped on slow workers
+	Done        uint64 // runs that ended well
+	Failed      uint64 // runs that failed by themselves
+	Lost        uint64 // runs ended without a report of their worker
+	Expired     uint64 // those of Lost whose worker's lease expired
 }
 
 // termState is what a Core knows and has in flight under one term.
--- a/internal/controller/scheduler/failure_test.go
+++ b/internal/controller/scheduler/failure_test.go
@@ -25,21 +25,21 @@
 
 func TestFailureOfStoppedRunCounts(t *testing.T) {
 	Convey("Given a run that fails by itself while it is being stopped", t, func() {
-		b := newCluster(1, "w1")
-		b.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-		start := b.firstStart()
+		c := newCluster(1, "w1")
+		c.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
+		start := c.firstStart()
 		key := start.Order.Key
-		b.core.StartAnswered(b.now, "w1", key, StartAnswer{Clock: b.now}, StartOK)
-		b.core.runs[key].stop.wanted = true
+		c.core.StartAnswered(c.now, "w1", key, StartAnswer{Clock: c.now}, StartOK)
+		c.core.runs[key].stop.wanted = true
 		Convey("the failure counts as an attempt", func() {
 			for range 20 {
-				actions := b.pass(time.Millisecond)
+				actions := c.pass(time.Millisecond)
 				for _, renewal := range actions.Renewals {
-					b.core.RenewalAnswered(b.now, "w1", renewal.Number, RenewalAnswer{Clock: b.now,
+					c.core.RenewalAnswered(c.now, "w1", renewal.Number, RenewalAnswer{Clock: c.now,
 						Ended: []EndedRun{{Sequence: 1, Key: key, Reason: jobs.EndFailed}}}, RenewalOK)
 				}
 			}
-			So(b.table.Jobs["j1"].State, ShouldEqual, jobs.Failed)
+			So(c.table.Jobs["j1"].State, ShouldEqual, jobs.Failed)
 		})
 	})
 }
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -56,24 +56,24 @@
 
 func TestTaskOfSilentWorkerRestartsElsewhere(t *testing.T) {
 	Convey("Given a run on a worker that falls silent and is called again and again", t, func() {
-		b := newCluster(2, "w1")
-		b.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-		start := b.firstStart()
-		b.core.StartAnswered(b.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: b.now}, StartOK)
-		must(b.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
+		c := newCluster(2, "w1")
+		c.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
+		start := c.firstStart()
+		c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.now}, StartOK)
+		must(c.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
 			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
 		Convey("its lease expires all the same, and the task starts elsewhere under a new number", func() {
 			var again *StartAction
 			for range 200 {
-				actions := b.pass(50 * time.Millisecond)
+				actions := c.pass(50 * time.Millisecond)
 				for _, renewal := range actions.Renewals {
 					if renewal.Worker.ID == "w1" {
-						b.core.RenewalAnswered(b.now, "w1", renewal.Number, RenewalAnswer{}, RenewalFailed)
+						c.core.RenewalAnswered(c.now, "w1", renewal.Number, RenewalAnswer{}, RenewalFailed)
 					} else {
-						b.core.RenewalAnswered(b.now, "w2", renewal.Number, RenewalAnswer{Clock: b.now}, RenewalOK)
+						c.core.RenewalAnswered(c.now, "w2", renewal.Number, RenewalAnswer{Clock: c.now}, RenewalOK)
 					}
 				}
-				b.core.Heartbeat(b.now, "w2", b.now)
+				c.core.Heartbeat(c.now, "w2", c.now)
 				if len(actions.Starts) > 0 {
 					again = &actions.Starts[0]
 					break
@@ -85,3 +85,36 @@
 		})
 	})
 }
+
+func TestLeaseExpired(t *testing.T) {
+	Convey("Given a leader since second 100, with a lease of 5 s, a margin of 1 s and clock drift of at most 2 %", t, func() {
+		cfg := Defaults()
+		cfg.Lease, cfg.ExpiryMargin, cfg.ClockSlack = 5*time.Second, time.Second, 0.02
+		core := New(cfg)
+		core.leaderSince = 100 * time.Second
+		// The worker's clock showed 50 s at second 100.
+		lease := func(fenced bool, until time.Duration) leaseState {
+			return leaseState{fenced: fenced, clock: 50 * time.Second, clockAt: 100 * time.Second, clockKnown: true, until: until}
+		}
+		for _, c := range []struct {
+			name  string
+			lease leaseState
+			after time.Duration // the first moment after 100 s, in steps of 10 ms, at which it has expired
+		}{
+			// 7 s at 98 % of the leader's speed.
+			{"a lease of an earlier leader is waited out, with twice the margin", leaseState{}, 7150 * time.Millisecond},
+			{"so it is if renewals were granted but never answered and end sooner", lease(false, 52*time.Second), 7150 * time.Millisecond},
+			{"and these are waited out if they end later", lease(false, 57*time.Second), 8170 * time.Millisecond},
+			{"after an answer only what was granted counts", lease(true, 52*time.Second), 3070 * time.Millisecond},
+		} {
+			Convey(c.name, func() {
+				w := &worker{lease: c.lease}
+				at := core.leaderSince
+				for !w.leaseExpired(core, at) && at < core.leaderSince+time.Minute {
+					at += 10 * time.Millisecond
+				}
+				So(at-core.leaderSince, ShouldEqual, c.after)
+			})
+		}
+	})
+}
--- a/internal/controller/scheduler/queue_test.go
+++ b/internal/controller/scheduler/queue_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
@@ -20,3 +21,57 @@
 		So(len(h.starts), ShouldEqual, 1)
 	})
 }
+
+func TestCriticalPath(t *testing.T) {
+	Convey("The critical path is the longest time along steps that wait for each other", t, func() {
+		step := func(estimate time.Duration, after ...int) jobs.Step {
+			return jobs.Step{Estimate: estimate, After: after}
+		}
+		diamond := []jobs.Step{step(time.Second), step(3*time.Second, 0), step(2*time.Second, 0), step(time.Second, 1, 2)}
+		for _, c := range []struct {
+			name  string
+			steps []jobs.Step
+			whole time.Duration
+			from  []time.Duration // by step
+		}{
+			{"no steps", nil, 0, nil},
+			{"a step without an estimate", []jobs.Step{step(0)}, minEstimate, []time.Duration{minEstimate}},
+			{"independent steps", []jobs.Step{step(time.Second), step(2 * time.Second)}, 2 * time.Second,
+				[]time.Duration{time.Second, 2 * time.Second}},
+			{"a chain", []jobs.Step{step(time.Second), step(2*time.Second, 0)}, 3 * time.Second,
+				[]time.Duration{3 * time.Second, 2 * time.Second}},
+			{"a diamond", diamond, 5 * time.Second,
+				[]time.Duration{5 * time.Second, 4 * time.Second, 3 * time.Second, time.Second}},
+		} {
+			Convey(c.name, func() {
+				So(criticalPath(c.steps), ShouldEqual, c.whole)
+				for number, want := range c.from {
+					So(criticalPathFrom(c.steps, number), ShouldEqual, want)
+				}
+			})
+		}
+	})
+}
+
+func TestQueueOrder(t *testing.T) {
+	Convey("Units are placed by priority, then by latest start, then as their jobs came; expired ones last", t, func() {
+		at := time.Unix(1_000_000, 0)
+		due := func(id string, priority int, sequence uint64, latestStart time.Duration) *unit {
+			return &unit{job: &jobs.Job{Spec: jobs.Spec{ID: id}, Sequence: sequence}, queue: &jobs.Queue{Priority: priority},
+				latestStart: at.Add(latestStart), expiresAt: at.Add(time.Hour)}
+		}
+		expired := due("expired", 0, 1, 0)
+		expired.expiresAt = at.Add(-time.Second)
+		core := New(Defaults())
+		for _, u := range []*unit{
+			expired, due("low", 1, 2, 0), due("late", 0, 3, time.Minute), due("second", 0, 5, 0), due("first", 0, 4, 0),
+		} {
+			core.activeJobs[u.job.Spec.ID] = &job{units: []*unit{u}}
+		}
+		var order []string
+		for _, u := range core.dueUnits(at) {
+			order = append(order, u.job.Spec.ID)
+		}
+		So(order, ShouldResemble, []string{"first", "second", "late", "low", "expired"})
+	})
+}
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/jobs"
 )
 
-// startState is what is known of the start order of a run. Owned by this file, missing by reconcile.go.
+// startState is what is known of the start order of a run. Owned by this file; reconcile.go sets missing.
 type startState struct {
 	sent   bool          // the order may have left, now or under an earlier term
 	sentAt time.Duration // when it left; 0: not under this term
--- a/internal/controller/scheduler/stop_test.go
+++ b/internal/controller/scheduler/stop_test.go
@@ -11,45 +11,45 @@
 
 func TestStopsOfCancelledJob(t *testing.T) {
 	Convey("Given a job with runs on two workers", t, func() {
-		b := newCluster(2, "w1", "w2")
-		b.startAll(6)
-		So(len(b.core.runs), ShouldEqual, 6)
+		c := newCluster(2, "w1", "w2")
+		c.startAll(6)
+		So(len(c.core.runs), ShouldEqual, 6)
 		Convey("When it is cancelled, each run gets one stop order", func() {
-			_, err := b.table.Cancel(jobs.Cancel{ID: "j1", At: b.wall})
+			_, err := c.table.Cancel(jobs.Cancel{ID: "j1", At: c.wall})
 			must(err)
-			So(len(b.pass(time.Millisecond).Stops), ShouldEqual, 6)
-			So(b.pass(time.Millisecond).Stops, ShouldBeEmpty)
+			So(len(c.pass(time.Millisecond).Stops), ShouldEqual, 6)
+			So(c.pass(time.Millisecond).Stops, ShouldBeEmpty)
 			Convey("and another after a pause if the order got no answer, but none once it was answered", func() {
-				for key, r := range b.core.runs {
-					b.core.StopAnswered(b.now, r.worker, key, stopOutcome(key.Task.Index > 0))
+				for key, r := range c.core.runs {
+					c.core.StopAnswered(c.now, r.worker, key, stopOutcome(key.Task.Index > 0))
 				}
-				So(b.pass(time.Millisecond).Stops, ShouldBeEmpty)
-				again := b.pass(b.core.cfg.RetryMin).Stops
+				So(c.pass(time.Millisecond).Stops, ShouldBeEmpty)
+				again := c.pass(c.core.cfg.RetryMin).Stops
 				So(len(again), ShouldEqual, 1)
 				So(again[0].Order.Key.Task.Index, ShouldEqual, 0)
 			})
 		})
 		Convey("When nothing is to be stopped, runsToStop is empty", func() {
-			b.pass(sweepInterval)
-			So(b.core.runsToStop, ShouldBeEmpty)
+			c.pass(sweepInterval)
+			So(c.core.runsToStop, ShouldBeEmpty)
 		})
 	})
 }
 
 func TestOrphanIsStopped(t *testing.T) {
 	Convey("Given a worker that lists a run of which the table has no handle", t, func() {
-		b := newCluster(2, "w1")
-		actions := b.pass(time.Millisecond)
+		c := newCluster(2, "w1")
+		actions := c.pass(time.Millisecond)
 		So(len(actions.Renewals), ShouldEqual, 1)
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "gone"}, Number: 3}
-		b.core.RenewalAnswered(b.now, "w1", actions.Renewals[0].Number, RenewalAnswer{Clock: b.now, Running: []ListedRun{{Key: key}}}, RenewalOK)
+		c.core.RenewalAnswered(c.now, "w1", actions.Renewals[0].Number, RenewalAnswer{Clock: c.now, Running: []ListedRun{{Key: key}}}, RenewalOK)
 		Convey("Then it gets a stop order, and the orphan is forgotten after its answer", func() {
-			stops := b.pass(time.Millisecond).Stops
+			stops := c.pass(time.Millisecond).Stops
 			So(len(stops), ShouldEqual, 1)
 			So(stops[0].Order.Key, ShouldResemble, key)
-			b.core.StopAnswered(b.now, "w1", key, StopOK)
-			So(b.pass(time.Second).Stops, ShouldBeEmpty)
-			So(b.core.workersWithOrphans, ShouldBeEmpty)
+			c.core.StopAnswered(c.now, "w1", key, StopOK)
+			So(c.pass(time.Second).Stops, ShouldBeEmpty)
+			So(c.core.workersWithOrphans, ShouldBeEmpty)
 		})
 	})
 }
