--- a/internal/controller/scheduler/ack.go
+++ b/internal/controller/scheduler/ack.go
@@ -5,7 +5,7 @@
 // endAcks tracks the ends that a worker lists, which it numbers from 1. Each step waits for the one before:
 // received >= durable >= acknowledged.
 type endAcks struct {
-	received     uint64        // the highest end taken in
+	received     uint64        // the highest end that was recorded
 	durable      uint64        // the highest end that is committed: the next call acknowledges up to it
 	durableAt    time.Duration // when durable last rose
 	acknowledged uint64        // the highest end that an answered call has acknowledged
--- a/internal/controller/scheduler/actions.go
+++ b/internal/controller/scheduler/actions.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/jobs"
 )
 
-// Actions is what a pass wants done by the owner of the Core.
+// Actions are the calls and the commit that a pass asks of the owner of the Core.
 type Actions struct {
 	Progress *jobs.Progress  // to be committed under its term, answered by Committed; nil: nothing
 	Starts   []StartAction   // each answered by StartAnswered
--- a/internal/controller/scheduler/commit.go
+++ b/internal/controller/scheduler/commit.go
@@ -44,7 +44,7 @@
 	return progress
 }
 
-// Committed takes in the outcome of the proposal in flight. After an error its starts are never sent; if they were
+// Committed handles the outcome of the proposal in flight. After an error its starts are never sent; if they were
 // recorded all the same, their handles are found in the table and ended as lost.
 func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.Started, err error) {
 	c.now = now
--- a/internal/controller/scheduler/connbackoff.go
+++ b/internal/controller/scheduler/connbackoff.go
@@ -9,7 +9,7 @@
 	delay time.Duration // the newest one
 }
 
-// failed takes in that a call found no connection. The delay doubles each time that it was not long enough.
+// failed records that a call found no connection. The delay doubles each time that it was not long enough.
 func (b *connBackoff) failed(cfg Config, now time.Duration) {
 	if now < b.until {
 		return
@@ -18,5 +18,5 @@
 	b.until = now + b.delay
 }
 
-// reset takes in that an order found a connection.
+// reset records that an order found a connection.
 func (b *connBackoff) reset() { *b = connBackoff{} }
--- a/internal/controller/scheduler/contact.go
+++ b/internal/controller/scheduler/contact.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// contact is what calls and heartbeats say of whether a worker can be reached. Times are of the leader's clock.
+// contact says whether a worker can be reached, by the outcomes of calls and by heartbeats. Times are of the leader's
+// clock.
 type contact struct {
 	heardAt time.Duration // of the newest answer or heartbeat; 0: none under this term
 
@@ -67,7 +68,7 @@
 	w.contact.suspect, w.renewal.probeDue = true, true
 }
 
-// Heartbeat takes in a heartbeat of a worker, with its clock (0 if it did not say). A heartbeat may come by way of
+// Heartbeat handles a heartbeat of a worker, with the worker's clock (0: unknown). A heartbeat may come by way of
 // another node, so it doesn't prove that calls get through: it renews no lease and ends no throttling.
 func (c *Core) Heartbeat(now time.Duration, id string, clock time.Duration) {
 	w := c.workers[id]
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -42,8 +42,8 @@
 
 // termState is what a Core knows and has in flight under one term.
 type termState struct {
-	table       *jobs.Table // read only; its owner changes it between calls, and reports each change by TableChanged
-	leaderSince time.Duration
+	table       *jobs.Table   // read only; its owner changes it between calls, and reports each change by TableChanged
+	leaderSince time.Duration // when BecomeLeader was called
 
 	workers    map[string]*worker
 	workerList []*worker // the values of workers in the order in which they were first seen: every scan goes by it
@@ -60,13 +60,13 @@
 	inFlight     *proposal         // nil: none; there is at most one
 	unsentStarts []jobs.RunKey     // committed handles whose start order hasn't left yet
 
-	placementDue bool // an input since the last placement may let a due task be placed
+	placementDue bool // since the last placement an input came that may make a due task placeable
 	nextSweep    time.Duration
-	nextForget   time.Duration // when workersToForget runs next
+	nextForget   time.Duration // when workersToForget is called next
 
 	ordersInFlight int // start and stop orders to all workers: the sum of worker.ordersInFlight
 	connBackoff    connBackoff
-	history        taskHistory
+	history        taskHistory // of tasks of activeJobs
 	speeds         speedStats
 }
 
@@ -112,7 +112,7 @@
 // Term returns the term under which this Core schedules; 0 when it doesn't.
 func (c *Core) Term() uint64 { return c.term }
 
-// TableChanged takes in a change of the table.
+// TableChanged handles a change of the table. Each must be reported, in order.
 func (c *Core) TableChanged(change jobs.Event) {
 	if c.term == 0 {
 		return
--- a/internal/controller/scheduler/history.go
+++ b/internal/controller/scheduler/history.go
@@ -3,7 +3,7 @@
 import "crosstide/internal/jobs"
 
 // taskHistory is what earlier runs of tasks say about where to place them next. It covers one term, and the tasks of
-// active jobs alone.
+// active jobs only.
 type taskHistory struct {
 	// avoid has the worker on which a task failed or was refused, or from which it was moved, last.
 	avoid map[jobs.TaskRef]string
--- a/internal/controller/scheduler/lease.go
+++ b/internal/controller/scheduler/lease.go
@@ -15,7 +15,7 @@
 	until time.Duration // the latest lease that may be in force, on the worker's clock; 0: not known
 }
 
-// setClock takes in the worker's clock; 0 if it did not say.
+// setClock records the worker's clock, unless it is 0 (unknown) or older than the one that is known.
 func (l *leaseState) setClock(now, clock time.Duration) {
 	if clock > 0 && (!l.clockKnown || clock > l.clock) {
 		l.clock, l.clockAt, l.clockKnown = clock, now, true
--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -48,7 +48,7 @@
 
 // StartAnswer is a worker's answer to a start order.
 type StartAnswer struct {
-	Clock   time.Duration // the worker's clock; 0 if it did not say
+	Clock   time.Duration // the worker's clock; 0: unknown
 	Refusal Refusal
 }
 
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -160,8 +160,8 @@
 }
 
 // freeCapacity handles a unit of which count tasks found no node: it preempts less urgent runs, or, once the unit has
-// waited for Config.ReserveAfter, reserves nodes for it. Expired units get neither, and small tasks find free capacity
-// soon anyway.
+// waited for Config.ReserveAfter, reserves nodes for it. Expired units get neither; small tasks get no reservation, as
+// capacity for them becomes free soon anyway.
 func (p *placement) freeCapacity(u *unit, nodes []*node, count int) {
 	if u.tier(p.wall) == expiredTier {
 		return
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -19,7 +19,7 @@
 	taskIndexes  []int         // of the due tasks, ascending
 	waitingSince time.Duration // when it was first due under this term
 	latestStart  time.Time     // the latest start with which the job can meet its objective; orders the queue
-	expiresAt    time.Time     // after it the round is so late that it is placed only where nothing else is due
+	expiresAt    time.Time     // after it the unit is placed last, and no capacity is freed for it
 }
 
 // key returns the reference of the unit's step in its round, with the task index left 0.
--- a/internal/controller/scheduler/reconcile.go
+++ b/internal/controller/scheduler/reconcile.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/jobs"
 )
 
-// recordEnds takes in the ends that a worker lists. An end is a fact, however old the answer is.
+// recordEnds records the ends that a worker lists. An end is a fact, however old the answer is.
 func (c *Core) recordEnds(w *worker, ended []EndedRun) {
 	for _, e := range ended {
 		if e.Sequence <= w.ends.received {
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordProgress takes in that a worker lists a run as running.
+// recordProgress records that a worker lists a run as running.
 func (c *Core) recordProgress(w *worker, r *run, listed ListedRun) {
 	if !r.progress.listed {
 		r.progress.listed, r.progress.advancedAt = true, c.now
@@ -81,7 +81,7 @@
 	}
 }
 
-// reconcileAbsent takes in that the answer to the renewal of a number doesn't list a run. It ends the run if that
+// reconcileAbsent handles a run that the answer to the renewal of a number doesn't list. It ends the run if that
 // proves it dead, and stops it if its start is unconfirmed: the order may be carried out late.
 func (c *Core) reconcileAbsent(r *run, number uint64) {
 	switch {
--- a/internal/controller/scheduler/renewal.go
+++ b/internal/controller/scheduler/renewal.go
@@ -128,7 +128,7 @@
 // RenewalError says how a lease renewal without an answer failed.
 type RenewalError int
 
-// The failures of a lease renewal. RenewalNoConnection says nothing of the worker.
+// The failures of a lease renewal. RenewalNoConnection proves nothing about the worker.
 const (
 	RenewalOK               RenewalError = iota // it was answered
 	RenewalFailed                               // no answer
@@ -137,7 +137,7 @@
 	RenewalNoConnection                         // it never left: this node lacks connections
 )
 
-// RenewalAnswered takes in the answer to the renewal of a number, or its failure.
+// RenewalAnswered handles the answer to the renewal of a number, or its failure.
 func (c *Core) RenewalAnswered(now time.Duration, id string, number uint64, answer RenewalAnswer, err RenewalError) {
 	c.now = now
 	w := c.workers[id]
@@ -165,7 +165,7 @@
 	c.reconcileRunning(w, number, answer)
 }
 
-// renewalFailed takes in the failure of a renewal.
+// renewalFailed handles the failure of a renewal.
 func (c *Core) renewalFailed(w *worker, err RenewalError) {
 	switch err {
 	case RenewalNoConnection:
--- a/internal/controller/scheduler/run.go
+++ b/internal/controller/scheduler/run.go
@@ -26,7 +26,7 @@
 	ending   bool // its end waits to be committed
 }
 
-// runProgress is what the worker's lists of running runs say of a run. Owned by reconcile.go.
+// runProgress is the progress of a run by the worker's lists of running runs. Owned by reconcile.go.
 type runProgress struct {
 	listed     bool // the worker has listed it as running
 	checkpoint string
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -85,7 +85,7 @@
 	return factor
 }
 
-// observeEnd takes in the end of a run. Only ends that say something of the worker count, and only the durations of
+// observeEnd records the end of a run. Only ends that depend on the worker count, and only the durations of
 // runs whose start this leader has seen.
 func (s *speedStats) observeEnd(now time.Duration, r *run, reason jobs.EndReason) {
 	if r.longRunning || r.stop.wanted || reason != jobs.EndDone && reason != jobs.EndFailed {
@@ -107,7 +107,7 @@
 	s.observeRatio(known, min(max(ratio, minRatio), maxRatio))
 }
 
-// observeRatio takes in the ratio of duration to estimate of a run on a worker. A first observation counts as the
+// observeRatio records the ratio of duration to estimate of a run on a worker. A first observation counts as the
 // average.
 func (s *speedStats) observeRatio(known *workerSpeed, ratio float64) {
 	if known.ratio == 0 {
@@ -123,7 +123,7 @@
 	s.meanRatio += (ratio - s.meanRatio) / meanWindow
 }
 
-// observeDuration takes in the duration of a run that ended well.
+// observeDuration records the duration of a run that ended well.
 func (s *speedStats) observeDuration(task jobs.TaskRef, duration time.Duration) {
 	key := stepKey{task.Job, task.Step}
 	d := s.byStep[key]
@@ -135,7 +135,7 @@
 	d.mean += (duration - d.mean) / time.Duration(d.count)
 }
 
-// observeMove takes in that a run was moved away from a worker because it was far too slow there.
+// observeMove records that a run was moved away from a worker because it was far too slow there.
 func (s *speedStats) observeMove(id string) {
 	known := s.forWorker(id)
 	known.ratio = movingAverage(max(known.ratio, s.meanRatio), movedRatio*s.meanRatio)
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -59,7 +59,7 @@
 // StartError says how a start order without an answer failed.
 type StartError int
 
-// The failures of a start order. StartNoConnection says nothing of the worker.
+// The failures of a start order. StartNoConnection proves nothing about the worker.
 const (
 	StartOK               StartError = iota // it was answered
 	StartUnsent                             // no byte of it left: it is never carried out
@@ -68,7 +68,7 @@
 	StartNoConnection                       // no byte of it left: this node lacks connections
 )
 
-// StartAnswered takes in the answer to a start order, or its failure.
+// StartAnswered handles the answer to a start order, or its failure.
 func (c *Core) StartAnswered(now time.Duration, workerID string, key jobs.RunKey, answer StartAnswer, err StartError) {
 	c.now = now
 	w, r := c.workers[workerID], c.runs[key]
@@ -98,7 +98,7 @@
 	}
 }
 
-// startFailed takes in the failure of a start order; r is nil if its handle has left the table.
+// startFailed handles the failure of a start order; r is nil if its handle has left the table.
 func (c *Core) startFailed(w *worker, r *run, err StartError) {
 	switch err {
 	case StartNoConnection:
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -95,14 +95,14 @@
 // StopError says how a stop order without an answer failed.
 type StopError int
 
-// The failures of a stop order. StopNoConnection says nothing of the worker.
+// The failures of a stop order. StopNoConnection proves nothing about the worker.
 const (
 	StopOK           StopError = iota // it was answered
 	StopFailed                        // no answer
 	StopNoConnection                  // it never left: this node lacks connections
 )
 
-// StopAnswered takes in the answer to a stop order, or its failure.
+// StopAnswered handles the answer to a stop order, or its failure.
 func (c *Core) StopAnswered(now time.Duration, workerID string, key jobs.RunKey, err StopError) {
 	c.now = now
 	w := c.workers[workerID]
--- a/internal/controller/scheduler/worker.go
+++ b/internal/controller/scheduler/worker.go
@@ -7,20 +7,20 @@
 	"crosstide/internal/jobs"
 )
 
-// worker is the record of a worker under one term. Its parts are each owned by the file that they are named for.
+// worker is the record of a worker under one term.
 type worker struct {
 	id        string
-	table     *jobs.Table
+	table     *jobs.Table   // Core.table
 	trackedAt time.Duration // when it was first seen under this term
 
 	runs    map[jobs.RunKey]*run        // those of Core.runs that are on it
 	orphans map[jobs.RunKey]*orderRetry // stop orders for runs that it lists and that have no handle in the table
 
-	contact  contact
-	lease    leaseState
-	renewal  renewalState
-	ends     endAcks
-	cooldown cooldown
+	contact  contact      // owned by contact.go
+	lease    leaseState   // owned by lease.go
+	renewal  renewalState // owned by renewal.go; others set probeDue
+	ends     endAcks      // owned by ack.go; recordEnds sets received, RenewalAnswered acknowledged
+	cooldown cooldown     // owned by feasible.go; reconcile.go and move.go set stalledAt
 
 	ordersInFlight int // start and stop orders, see Config.MaxOrdersPerWorker
 }
@@ -69,7 +69,7 @@
 	return keys
 }
 
-// markAnswered records an answered call, with the worker's clock (0 if it did not say).
+// markAnswered records an answered call, with the worker's clock (0: unknown).
 func (w *worker) markAnswered(now, clock time.Duration) {
 	w.contact.answered(now)
 	w.lease.setClock(now, clock)
--- a/internal/controller/scheduler/zone.go
+++ b/internal/controller/scheduler/zone.go
@@ -12,7 +12,7 @@
 
 // verifyZone probes all workers of a worker's zone if several of them have stopped answering. None takes starts before
 // it has answered: a start that is sent into a lost zone stays unconfirmed until the worker's lease expires. Workers
-// that have announced their shutdown don't count: when they stop answering, that says nothing of their zone.
+// that have announced their shutdown don't count: when they stop answering, that proves nothing about their zone.
 func (c *Core) verifyZone(w *worker, now time.Duration) {
 	rec := w.record()
 	if rec == nil || isLeaving(rec) {
