--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -36,7 +36,7 @@
 	Moved       uint64 // runs stopped on slow workers
 	Done        uint64 // runs that ended well
 	Failed      uint64 // runs that failed by themselves
-	Lost        uint64 // runs ended without a report of their worker
+	Lost        uint64 // runs that ended with jobs.EndLost
 	Expired     uint64 // those of Lost whose worker's lease expired
 }
 
