--- /dev/null
+++ b/internal/controller/scheduler/job.go
@@ -0,0 +1,71 @@
+package scheduler
+
+import (
+	"time"
+
+	"crosstide/internal/jobs"
+)
+
+// job is the scheduler's record of a job that isn't terminal or has run handles. refreshJob rebuilds it whenever the
+// job has changed in the table.
+type job struct {
+	id            string
+	runs          map[jobs.RunKey]bool // handles of its tasks
+	units         []*unit              // what of it is due
+	hasUndueRound bool                 // a round of it isn't due yet
+}
+
+// refreshDirtyJobs rebuilds the records of jobs that have changed, or of which a round may have fallen due.
+func (c *Core) refreshDirtyJobs(wall time.Time) {
+	if !c.nextDue.IsZero() && !wall.Before(c.nextDue) {
+		c.nextDue = time.Time{}
+		for id, j := range c.activeJobs {
+			if j.hasUndueRound {
+				c.dirtyJobs[id] = true
+			}
+		}
+	}
+	if len(c.dirtyJobs) == 0 {
+		return
+	}
+	for _, id := range sortedKeys(c.dirtyJobs) {
+		c.refreshJob(id, wall)
+	}
+	clear(c.dirtyJobs)
+}
+
+// refreshJob rebuilds a job's record from the table. A unit that was due before keeps its place in the queue.
+func (c *Core) refreshJob(id string, wall time.Time) {
+	rec := c.activeJobs[id]
+	if rec == nil {
+		rec = &job{id: id, runs: map[jobs.RunKey]bool{}}
+		c.activeJobs[id] = rec
+	}
+	j := c.table.Jobs[id]
+	handles := c.syncRuns(rec, j)
+	before := rec.units
+	rec.units, rec.hasUndueRound = nil, false
+	if j == nil || j.State.IsTerminal() {
+		if handles == 0 {
+			delete(c.activeJobs, id)
+			c.history.forgetJob(id)
+			c.speeds.forgetJob(id)
+		}
+		return
+	}
+	q := c.table.Config.Queue(j.Spec.Queue)
+	if q == nil {
+		return // its queue was removed: it waits until a configuration has it again
+	}
+	for round := range j.Rounds {
+		c.addDueUnits(rec, j, q, round, wall)
+	}
+	for _, u := range rec.units {
+		u.waitingSince = c.now
+		for _, old := range before {
+			if old.round == u.round && old.stepIndex == u.stepIndex {
+				u.waitingSince = old.waitingSince
+			}
+		}
+	}
+}
