--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -1,5 +1,3 @@
-// Package controller serves clients, workers and operators from the core: the leader of the store answers, and every
-// other node passes calls on to it.
 package controller
 
 import (
@@ -16,7 +14,7 @@
 	Path string `json:"path"`
 }
 
-// SubmitCall hands a job in. Spec.ID is what follows the queue's prefix in the path; Spec.Queue is found by the leader,
+// SubmitCall submits a job. Spec.ID is what follows the queue's prefix in the path; Spec.Queue is found by the leader,
 // unless it is given.
 type SubmitCall struct {
 	Location Location  `json:"at"`
@@ -35,7 +33,7 @@
 	Cancel   bool     `json:"cancel,omitempty"`
 }
 
-// JobAnswer tells a job's state. Gone: there is no such job.
+// JobAnswer is a job's state. Gone: there is no such job.
 type JobAnswer struct {
 	State jobs.JobState `json:"state,omitempty"`
 	Gone  bool          `json:"gone,omitempty"`
@@ -51,32 +49,32 @@
 	Waiting int `json:"waiting"`
 }
 
-// HeartbeatCall is a worker's heartbeat. Leaving: it ends now.
+// HeartbeatCall is a worker's heartbeat.
 type HeartbeatCall struct {
 	Worker          jobs.Worker   `json:"worker"`
-	Sequence        uint64        `json:"seq"`
-	Clock           time.Duration `json:"clock"`
+	Sequence        uint64        `json:"seq"`                 // rising within the worker's incarnation
+	Clock           time.Duration `json:"clock"`               // the worker's own
 	Remaining       time.Duration `json:"remaining,omitempty"` // while draining: the least time it has left
 	WarmupRemaining time.Duration `json:"cold,omitempty"`
-	Leaving         bool          `json:"leaving,omitempty"`
-	// Listing is what runs and what has ended, where orders go with the answers to heartbeats.
+	Leaving         bool          `json:"leaving,omitempty"` // the worker ends now; of Worker only the ID counts
+	// Listing is what runs and what has ended, where orders go with the answers to heartbeats; nil otherwise.
 	Listing *scheduler.RenewalAnswer `json:"listing,omitempty"`
 }
 
-// HeartbeatAnswer acknowledges a heartbeat: what it told is known to the scheduler and durable.
+// HeartbeatAnswer acknowledges a heartbeat: what it reported is durable and queued for the scheduler.
 type HeartbeatAnswer struct {
-	HeartbeatAddress string           `json:"home,omitempty"`   // control address that later heartbeats are best sent to
+	HeartbeatAddress string           `json:"home,omitempty"`   // where later heartbeats are best sent to
 	Orders           *HeartbeatOrders `json:"orders,omitempty"` // where orders go with the answers to heartbeats
 }
 
 // HeartbeatOrders are the orders in the answer to a heartbeat.
 type HeartbeatOrders struct {
-	Lease         time.Duration          `json:"lease"` // of everything on the worker, from the arrival of the answer
-	SeenUpTo      uint64                 `json:"seen"`  // ends numbered up to it are durable here
-	Token         uint64                 `json:"token"` // fencing token
-	Starts        []scheduler.StartOrder `json:"starts,omitempty"`
-	Stops         []jobs.RunKey          `json:"stops,omitempty"`
-	NextHeartbeat time.Duration          `json:"again"` // pause before the next heartbeat
+	Lease            time.Duration          `json:"lease"` // of all runs on the worker, from the arrival of the answer
+	AcknowledgedUpTo uint64                 `json:"seen"`  // ends numbered up to it are durable here
+	Token            uint64                 `json:"token"` // fencing token
+	Starts           []scheduler.StartOrder `json:"starts,omitempty"`
+	Stops            []jobs.RunKey          `json:"stops,omitempty"`
+	NextHeartbeat    time.Duration          `json:"again"` // pause before the next heartbeat
 }
 
 // ConfigCall asks for the configuration in force.
@@ -97,6 +95,89 @@
 // EvacuateAnswer says that an evacuation is in force and durable.
 type EvacuateAnswer struct{}
 
+// ShowCall asks for a job by its ID alone.
+type ShowCall struct {
+	ID string `json:"id"`
+}
+
+// StepView is the progress of one step's tasks, all rounds together.
+type StepView struct {
+	Tasks    int `json:"tasks"`
+	Done     int `json:"done"`
+	Running  int `json:"running"` // tasks with a run that is not over
+	Failures int `json:"failures,omitempty"`
+}
+
+// JobView is a job as its client sees it. Steps is empty once the job is over and nothing of it runs.
+type JobView struct {
+	ID       string        `json:"id"`
+	Queue    string        `json:"queue"`
+	State    jobs.JobState `json:"state"`
+	Accepted time.Time     `json:"accepted"`
+	Ended    time.Time     `json:"ended,omitzero"`
+	Steps    []StepView    `json:"steps,omitempty"`
+}
+
+// CancelCall cancels a job by its ID alone.
+type CancelCall struct {
+	ID string `json:"id"`
+}
+
+// ListCall asks for jobs in the order of their IDs; an empty filter takes all.
+type ListCall struct {
+	Queue string        `json:"queue,omitempty"`
+	State jobs.JobState `json:"state,omitempty"`
+	After string        `json:"after,omitempty"` // only IDs above it
+	Limit int           `json:"limit"`
+}
+
+// JobSummary is a job in a list.
+type JobSummary struct {
+	ID       string        `json:"id"`
+	Queue    string        `json:"queue"`
+	State    jobs.JobState `json:"state"`
+	Accepted time.Time     `json:"accepted"`
+	Ended    time.Time     `json:"ended,omitzero"`
+}
+
+// ListAnswer is one page of a list. More: there are jobs after the last one.
+type ListAnswer struct {
+	Jobs []JobSummary `json:"jobs"`
+	More bool         `json:"more,omitempty"`
+}
+
+// QueuesCall asks for the queues of the configuration.
+type QueuesCall struct{}
+
+// QueueView is one queue and how many of its jobs wait.
+type QueueView struct {
+	Name     string `json:"name"`
+	Service  string `json:"service"`
+	Priority int    `json:"priority"`
+	Waiting  int    `json:"waiting"`
+}
+
+// QueuesAnswer lists the queues in the order of the configuration.
+type QueuesAnswer struct {
+	Queues []QueueView `json:"queues"`
+}
+
+// WorkersCall asks for the workers.
+type WorkersCall struct{}
+
+// WorkerView is one worker and what the runs on it take.
+type WorkerView struct {
+	jobs.Worker
+	Used jobs.Resources `json:"used"`
+	Runs int            `json:"runs"`
+}
+
+// WorkersAnswer lists the workers by ID, and the zones that are evacuated by name.
+type WorkersAnswer struct {
+	Workers   []WorkerView `json:"workers"`
+	Evacuated []string     `json:"evacuated"`
+}
+
 // The calls that the leader answers; any other node answers errs.NotLeader with the leader's address as hint. Failures:
 // errs.Unknown: no such queue; errs.Unavailable: surely not taken; errs.Timeout: it may or may not have been taken;
 // errs.Invalid with the field; errs.Stale: another version is in force.
@@ -110,3 +191,12 @@
 	EvacuatePair  = rpc.Endpoint[jobs.Evacuate, EvacuateAnswer]{Path: "/c/evacuate"}
 	TopologyPair  = rpc.Endpoint[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
 )
+
+// The calls that find jobs by ID alone. Failures are those of the other calls; errs.Unknown: no such job.
+var (
+	ShowPair    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
+	CancelPair  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
+	ListPair    = rpc.Endpoint[ListCall, ListAnswer]{Path: "/c/list"}
+	QueuesPair  = rpc.Endpoint[QueuesCall, QueuesAnswer]{Path: "/c/queues"}
+	WorkersPair = rpc.Endpoint[WorkersCall, WorkersAnswer]{Path: "/c/workers"}
+)
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
-	"sync"
 	"time"
 
 	"github.com/go-kit/log"
@@ -11,53 +9,48 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
-	"crosstide/internal/jobs"
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 )
 
 const (
-	defaultAttempt     = 700 * time.Millisecond
-	readyWindow        = 2500 * time.Millisecond // a leader that has answered makes the client ready for so long
-	probeInterval      = time.Second
-	memberListInterval = 10 * time.Second // the members are asked for so often though the leader answers calls
-	retryAfter         = time.Second      // told with a call that was given up
+	defaultAttemptTimeout = 700 * time.Millisecond
+	readyWindow           = 2500 * time.Millisecond // a leader's answer makes the client ready for so long
+	probeInterval         = time.Second             // between probes while no call has reached the leader
+	memberListInterval    = 10 * time.Second        // between probes for the members' list while calls reach the leader
 )
 
 // ClientOptions are the settings of a Client; Caller and Seeds are needed.
 type ClientOptions struct {
 	Caller  *rpc.Client
 	Seeds   []string      // internal addresses of nodes of the core to ask at first
-	Self    string        // own internal address when the client runs on a node of the core: it is not asked in turn
+	Self    string        // own internal address when the client runs on a node of the core: it is never asked
 	Clock   clock.Clock   // default clock.Real
 	Logger  log.Logger    // default: none
-	Attempt time.Duration // bound of one attempt of a call, default 700ms
+	Attempt time.Duration // timeout of one attempt of a call, default 700ms
 }
 
-// Client asks the core's leader. It remembers the leader and the members, follows a node's hint to the leader and
-// tries the others in turn when a node fails, until the deadline of the call's ctx nears. Its errors are
+// Client calls the core's leader. It remembers the leader and the members, follows a node's hint to the leader and
+// tries the others in rotation when a node fails, until the deadline of the call's ctx nears. Its errors are
 //
 //   - the leader's refusal, of kind errs.Unknown, Invalid, Malformed, TooLarge, Conflict, Stale, Forbidden or
 //     Overloaded: the call was surely not carried out;
 //   - errs.Unavailable: it was surely not carried out;
 //   - errs.Timeout: it may or may not have been carried out, or may be yet.
 //
-// It is safe for any number of goroutines.
+// It is safe for concurrent use.
 type Client struct {
 	opt       ClientOptions
 	directory *directory
-	work      *routine.Group
+	contacts  *contactLog
+	group     *routine.Group // the probes
 
+	// Replaced by tests.
 	ask   func(ctx context.Context, addr string, q query, answer any, timeout time.Duration) reply
 	sleep func(ctx context.Context, d time.Duration)
-
-	mu            sync.Mutex
-	lastReachedAt *time.Duration // when a node of the core last answered anything; nil: never
-	lastLeaderAt  *time.Duration // when a leader last answered
-	lastMembersAt *time.Duration // when a leader last listed the members
 }
 
-// NewClient makes a client; Start makes it look for the leader by itself. Example:
+// NewClient makes a client. It can be used at once; Start makes it look for the leader before the first call. Example:
 //
 //	client := controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: seeds})
 //	client.Start()
@@ -71,133 +64,63 @@
 		opt.Logger = log.NewNopLogger()
 	}
 	if opt.Attempt <= 0 {
-		opt.Attempt = defaultAttempt
+		opt.Attempt = defaultAttemptTimeout
+	}
+	c := &Client{
+		opt:       opt,
+		directory: newDirectory(opt.Self, opt.Seeds),
+		contacts:  newContactLog(opt.Clock),
+		group:     routine.New(context.Background()),
 	}
-	c := &Client{opt: opt, directory: newDirectory(opt.Self, opt.Seeds), work: routine.New(context.Background())}
-	c.ask, c.sleep = c.askRPC, c.sleepClock
+	c.ask, c.sleep = c.askRPC, c.sleepOnClock
 	return c
 }
 
-// Submit hands a job in.
-func (c *Client) Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error) {
-	answer, err := callPair(ctx, c, SubmitPair, call, query{mutates: true})
-	return answer, errs.Pass(err, "submit")
-}
-
-// Job asks for a job or cancels it.
-func (c *Client) Job(ctx context.Context, call JobCall) (JobAnswer, error) {
-	answer, err := callPair(ctx, c, JobPair, call, query{mutates: call.Cancel, hedge: !call.Cancel})
-	return answer, errs.Pass(err, "job")
-}
-
-// Count asks how many jobs of a queue wait.
-func (c *Client) Count(ctx context.Context, call CountCall) (CountAnswer, error) {
-	answer, err := callPair(ctx, c, CountPair, call, query{hedge: true})
-	return answer, errs.Pass(err, "count")
-}
-
-// Heartbeat passes a worker's heartbeat on.
-func (c *Client) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
-	answer, err := callPair(ctx, c, HeartbeatPair, call, query{mutates: true})
-	return answer, errs.Pass(err, "heartbeat")
-}
-
-// Config asks for the configuration in force.
-func (c *Client) Config(ctx context.Context, call ConfigCall) (jobs.Config, error) {
-	answer, err := callPair(ctx, c, ConfigPair, call, query{hedge: true, large: true})
-	return answer, errs.Pass(err, "read the configuration")
-}
-
-// Configure changes the configuration.
-func (c *Client) Configure(ctx context.Context, call jobs.Configure) (ConfigureAnswer, error) {
-	answer, err := callPair(ctx, c, ConfigurePair, call, query{mutates: true, large: true})
-	return answer, errs.Pass(err, "configure")
-}
-
-// Evacuate starts or withdraws the evacuation of a zone.
-func (c *Client) Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
-	answer, err := callPair(ctx, c, EvacuatePair, call, query{mutates: true})
-	return answer, errs.Pass(err, "evacuate")
-}
-
 // SetSeeds replaces the seeds.
 func (c *Client) SetSeeds(seeds []string) { c.directory.setSeeds(seeds) }
 
-// Hint tells the client of a leader's address that its caller has learnt; "" is passed over.
+// Hint tells the client of a leader's address that its caller has learnt; "" changes nothing.
 func (c *Client) Hint(leader string) { c.directory.followHint("", leader, c.opt.Clock.Now()) }
 
-// Start looks for the leader now and again, so that Ready tells and calls need not search. Call it once.
-func (c *Client) Start() { c.work.Go(c.watchLeader) }
+// Start begins to probe for the leader, so that Ready is up to date and calls need not search. Call it once.
+func (c *Client) Start() { c.group.Go(c.watchLeader) }
 
-// Stop ends what Start began. Calls may go on.
-func (c *Client) Stop() { c.work.Stop() }
+// Stop ends the probes. Calls may go on.
+func (c *Client) Stop() { c.group.Stop() }
 
 // Ready is nil when a leader has answered lately, else errs.Unavailable.
 func (c *Client) Ready() error { return errs.Pass(c.CheckLeader(readyWindow), "core") }
 
-// CheckLeader is nil when a leader has answered within the last d, else errs.Unavailable.
-func (c *Client) CheckLeader(d time.Duration) error {
-	if c.isRecent(&c.lastLeaderAt, d) {
+// CheckLeader is nil when a leader has answered within the last maxAge, else errs.Unavailable.
+func (c *Client) CheckLeader(maxAge time.Duration) error {
+	if c.contacts.isRecent(contactLeader, maxAge) {
 		return nil
 	}
-	return errs.New(errs.Unavailable, "no leader of the core has answered for %s", d)
+	return errs.New(errs.Unavailable, "no leader of the core has answered for %s", maxAge)
 }
 
+// watchLeader probes for the leader whenever calls have not reached it lately, and logs when it is lost or found.
 func (c *Client) watchLeader(ctx context.Context) {
-	was := false
+	wasReady := false
 	for ctx.Err() == nil {
-		if !c.isRecent(&c.lastLeaderAt, probeInterval) || !c.isRecent(&c.lastMembersAt, memberListInterval) {
+		if !c.contacts.isRecent(contactLeader, probeInterval) ||
+			!c.contacts.isRecent(contactMembers, memberListInterval) {
 			c.probe(ctx)
 		}
-		if is := c.Ready() == nil; is != was {
-			was = is
-			_ = level.Info(c.opt.Logger).Log("msg", "the core's leader", "answers", is)
+		if isReady := c.Ready() == nil; isReady != wasReady {
+			wasReady = isReady
+			_ = level.Info(c.opt.Logger).Log("msg", "the core's leader", "answers", isReady)
 		}
 		c.sleep(ctx, probeInterval)
 	}
 }
 
-// probe looks for the leader and asks it for the members. A probe that fails is followed by the next.
+// probe looks for the leader and asks it for the members. One that fails is not repeated before the next is due.
 func (c *Client) probe(ctx context.Context) {
-	_, err := callPair(ctx, c, TopologyPair, TopologyCall{}, query{bound: probeInterval, topology: true})
+	_, err := callEndpoint(ctx, c, TopologyPair, TopologyCall{}, query{bound: probeInterval, topology: true})
 	if err != nil {
 		_ = level.Debug(c.opt.Logger).Log("msg", "no leader found", "err", err)
 	}
 }
 
-// timeout tells whether the time at is set and at most d ago.
-func (c *Client) isRecent(at **time.Duration, d time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return *at != nil && c.opt.Clock.Now()-**at <= d
-}
-
-func (c *Client) recordNow(at **time.Duration) {
-	now := c.opt.Clock.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	*at = &now
-}
-
-// unreachedSince is when the core was last reached, at the earliest begin.
-func (c *Client) unreachedSince(begin time.Duration) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.lastReachedAt == nil {
-		return begin
-	}
-	return max(begin, *c.lastReachedAt)
-}
-
-func (c *Client) sleepClock(ctx context.Context, d time.Duration) {
-	over := make(chan struct{})
-	timer := c.opt.Clock.Set(d, func() { close(over) })
-	defer timer.Stop()
-	select {
-	case <-over:
-	case <-ctx.Done():
-	}
-}
-
-// jitter gives a time from half of d to d.
-func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
+func (c *Client) sleepOnClock(ctx context.Context, d time.Duration) { sleep(ctx, c.opt.Clock, d) }
--- a/internal/controller/client_directory.go
+++ b/internal/controller/client_directory.go
@@ -7,29 +7,37 @@
 	"time"
 )
 
-// failureBackoff is how long an address that failed is passed over while there are others.
-const failureBackoff = 500 * time.Millisecond
-
-// maxMembers bounds the addresses that are learnt from nodes that do not lead.
-const maxMembers = 64
+const (
+	// failureBackoff is how long an address that failed is not picked while there are others.
+	failureBackoff = 500 * time.Millisecond
+	// maxMembers bounds the addresses that are learnt from nodes that do not lead.
+	maxMembers = 64
+)
 
-// directory is what a client knows of the core: the believed leader, the members, and which of them failed lately.
+// directory is what a client knows of the core: the presumed leader, the members, and which of them failed lately. It
+// is safe for concurrent use.
 type directory struct {
-	self string // our own address, never picked in turn
+	self string // the own address, never in the rotation
 
 	mu           sync.Mutex
 	seeds        []string
 	members      []string
-	leader       string                   // "" when none is believed in
-	backoffUntil map[string]time.Duration // until when an address is passed over
-	rotation     int                      // where the turn through all addresses goes on
+	leader       string                   // "" if none is presumed
+	backoffUntil map[string]time.Duration // of the addresses that failed lately
+	rotation     int                      // index of the next address in addresses, modulo its length
 }
 
+// newDirectory begins the rotation at random, so that clients that start together spread over the core.
 func newDirectory(self string, seeds []string) *directory {
-	return &directory{self: self, seeds: slices.Clone(seeds), backoffUntil: map[string]time.Duration{}, rotation: rand.IntN(1 << 16)}
+	return &directory{
+		self:         self,
+		seeds:        slices.Clone(seeds),
+		backoffUntil: map[string]time.Duration{},
+		rotation:     rand.IntN(1 << 16),
+	}
 }
 
-// addresses lists every address once; the turn goes through it. The mutex is held.
+// addresses lists every address of the rotation once. The mutex is held.
 func (d *directory) addresses() []string {
 	list := make([]string, 0, len(d.members)+len(d.seeds))
 	for _, addr := range slices.Concat(d.members, d.seeds) {
@@ -40,12 +48,13 @@
 	return list
 }
 
+// isBackedOff reports whether the node at addr failed lately. The mutex is held.
 func (d *directory) isBackedOff(addr string, now time.Duration) bool {
 	return now < d.backoffUntil[addr]
 }
 
-// pick gives the address to ask: the believed leader, else the next one in turn; one that failed lately only when all
-// did. It is "" when no address is known.
+// pick returns the address to ask: the presumed leader, else the next one in rotation; one that failed lately only if
+// all did. It is "" if no address is known.
 func (d *directory) pick(now time.Duration) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,13 +64,15 @@
 	return d.nextInRotation(now, "")
 }
 
-// pickOther is pick of an address that is not except.
+// pickOther returns the next address in rotation that is not except.
 func (d *directory) pickOther(now time.Duration, except string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.nextInRotation(now, except)
 }
 
+// nextInRotation returns the next address that is not backed off, else the one whose backoff ends first. The mutex is
+// held.
 func (d *directory) nextInRotation(now time.Duration, except string) string {
 	list := d.addresses()
 	soonest := ""
@@ -81,28 +92,28 @@
 	return soonest
 }
 
-// followHint takes the word of the node at from that leader leads; "" for none. It tells whether to ask leader at once.
-func (d *directory) followHint(from, leader string, now time.Duration) bool {
+// followHint presumes the leader that the node at from named, "" if it named none. A hint to the node itself, or to one
+// that failed lately, is worth nothing.
+func (d *directory) followHint(from, leader string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if leader == from || leader == "" || d.isBackedOff(leader, now) {
 		if d.leader == from {
 			d.leader = ""
 		}
-		return false
+		return
 	}
 	d.leader = leader
-	return true
 }
 
-// isLeader tells whether the node at addr is taken for the leader and may be asked.
+// isLeader reports whether the node at addr is presumed to lead and is not backed off.
 func (d *directory) isLeader(addr string, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return addr != "" && addr == d.leader && !d.isBackedOff(addr, now)
 }
 
-// lastLeaderAt notes that the node at addr has answered as the leader.
+// recordLeader notes that the node at addr has answered as the leader.
 func (d *directory) recordLeader(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +121,7 @@
 	delete(d.backoffUntil, addr)
 }
 
-// clearLeader drops the belief that the node at addr leads.
+// clearLeader ends the presumption that the node at addr leads.
 func (d *directory) clearLeader(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,7 +130,7 @@
 	}
 }
 
-// recordFailure notes that the node at addr did not answer.
+// recordFailure notes that the node at addr did not answer: it is backed off.
 func (d *directory) recordFailure(addr string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +145,8 @@
 	d.backoffUntil[addr] = now + failureBackoff
 }
 
-// updateMembers takes the members that a node lists: the leader's word is all of them, another's adds to them.
+// updateMembers takes the members that a node lists: the leader's list replaces the known ones, another node's adds to
+// them.
 func (d *directory) updateMembers(members []string, fromLeader bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/client_hedge.go
+++ b/internal/controller/client_hedge.go
@@ -8,23 +8,23 @@
 	"crosstide/internal/routine"
 )
 
-// hedgeDelay is how long a read waits for the first node before another one is asked too.
+// hedgeDelay is how long a read waits for the first node's answer before it asks another one too.
 const hedgeDelay = 400 * time.Millisecond
 
 // hedged asks the node at addr and, when it has not answered after hedgeDelay, another one at the same time. The first
-// success counts; else the first node's reply.
+// success counts, else the first node's reply.
 func (c *Client) hedged(ctx context.Context, addr string, q query, timeout time.Duration) reply {
-	firstCtx, endFirst := context.WithCancel(ctx)
-	secondCtx, endSecond := context.WithCancel(ctx)
-	defer endFirst()
-	defer endSecond()
-	var second reply
+	firstCtx, cancelFirst := context.WithCancel(ctx)
+	secondCtx, cancelSecond := context.WithCancel(ctx)
+	defer cancelFirst()
+	defer cancelSecond()
+	var second reply // written before over is closed
 	over := make(chan struct{})
 	timer := c.opt.Clock.Set(hedgeDelay, func() {
 		routine.New(secondCtx).Go(func(ctx context.Context) {
 			defer close(over)
 			if second = c.askAnother(ctx, addr, q, timeout-hedgeDelay); second.err == nil {
-				endFirst()
+				cancelFirst()
 			}
 		})
 	})
@@ -35,7 +35,7 @@
 	}
 	<-over
 	if second.err == nil {
-		c.directory.clearLeader(addr) // it may be slow only; askAnother has noted who answered
+		c.directory.clearLeader(addr) // it may only be slow; askAnother has recorded who answered
 		return second
 	}
 	c.recordReply(ctx, addr, timeout, first)
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -210,7 +210,7 @@
 		f.nodes["a"], f.nodes["b"] = f.connectTimesOut, f.connectTimesOut
 		kind, took := f.submit(time.Minute)
 		So(kind, ShouldEqual, errs.Unavailable)
-		So(took, ShouldBeBetween, unreachableTimeout, unreachableTimeout+defaultAttempt+maxBackoff)
+		So(took, ShouldBeBetween, unreachableTimeout, unreachableTimeout+defaultAttemptTimeout+maxBackoff)
 	})
 	Convey("It is not given up when a node answers, nor when the call may have been carried out", t, func() {
 		f := newFakeCore(map[string]node{"a": connectionRefused, "b": redirectsTo("")}, "a", "b")
@@ -249,7 +249,7 @@
 		_, _ = f.Submit(f.until(time.Minute), SubmitCall{})
 		_, _ = f.Configure(f.until(time.Minute), jobs.Configure{})
 		_, _ = f.Submit(f.until(100*time.Millisecond), SubmitCall{})
-		So(bounds, ShouldResemble, []time.Duration{defaultAttempt, largeFactor * defaultAttempt, 90 * time.Millisecond})
+		So(bounds, ShouldResemble, []time.Duration{defaultAttemptTimeout, largeFactor * defaultAttemptTimeout, 90 * time.Millisecond})
 	})
 }
 
@@ -293,7 +293,7 @@
 		f.nodes = map[string]node{"a": f.timesOut, "b": answersAsLeader}
 		f.submit(2 * time.Second)
 		So(f.asked, ShouldResemble, []string{"a", "b"})
-		So(f.clock.Now(), ShouldBeGreaterThanOrEqualTo, defaultAttempt)
+		So(f.clock.Now(), ShouldBeGreaterThanOrEqualTo, defaultAttemptTimeout)
 	})
 }
 
--- /dev/null
+++ b/internal/controller/gc.go
@@ -0,0 +1,50 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/jobs"
+	"crosstide/internal/state/command"
+)
+
+// DefaultJobRetention is how long a job that is over can be asked for by default.
+const DefaultJobRetention = 10 * time.Minute
+
+// expiryInterval is how often the leader deletes expired jobs.
+const expiryInterval = 20 * time.Second
+
+// deleteExpiredJobs deletes the jobs that have been over for JobRetention, every expiryInterval. A proposal that fails
+// is not repeated: the next one covers it.
+func (l *Leader) deleteExpiredJobs(now time.Duration, term uint64) {
+	if now < l.nextExpiryAt {
+		return
+	}
+	l.nextExpiryAt = now + expiryInterval
+	before := l.clock.Wall().Add(-l.opt.JobRetention)
+	l.group.Go(func(ctx context.Context) {
+		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &command.JobPurge{Before: before}); err != nil {
+			_ = level.Debug(l.log).Log("msg", "expired jobs not deleted", "err", err)
+		}
+	})
+}
+
+// forgetWorker drops what the controller keeps of a worker beside the table.
+func (l *Leader) forgetWorker(worker string) {
+	l.heartbeats.forget(worker)
+	if l.opt.Mailboxes != nil {
+		l.opt.Mailboxes.ForgetWorker(worker)
+	}
+}
+
+// dropForgottenWorkers drops what the controller keeps of workers that were forgotten while another node led: this node
+// has seen no change for them.
+func (l *Leader) dropForgottenWorkers(workers map[string]*jobs.Worker) {
+	gone := func(id string) bool { return workers[id] == nil }
+	l.heartbeats.forgetAll(gone)
+	if l.opt.Mailboxes != nil {
+		l.opt.Mailboxes.ForgetWorkers(gone)
+	}
+}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -13,35 +13,38 @@
 	"crosstide/internal/controller/scheduler"
 )
 
-// healthInterval is the least pause between looks at the workers' health.
+// healthInterval is how often the workers' health is reported.
 const healthInterval = time.Second
 
-// healthLog writes a line when workers fall silent or come back, and when runs end that no worker has reported.
+// healthLog writes a line when workers fall silent or come back, and when runs end that no worker has reported. The
+// leader's loop owns it.
 type healthLog struct {
-	log  log.Logger
-	next time.Duration
-	last scheduler.Health
+	log    log.Logger
+	nextAt time.Duration
+	last   scheduler.Health // as of the last report
 }
 
-// isDue tells whether it is time for a look.
-func (h *healthLog) isDue(now time.Duration) bool { return now >= h.next }
+// isDue reports whether it is time for a report.
+func (h *healthLog) isDue(now time.Duration) bool { return now >= h.nextAt }
 
-// change writes what has changed since the last look.
+// report logs what changed since the last report.
 func (h *healthLog) report(now time.Duration, health scheduler.Health) {
-	h.next = now + healthInterval
+	h.nextAt = now + healthInterval
 	last := h.last
 	h.last = health
 	if !maps.Equal(last.Silent, health.Silent) {
 		_ = level.Warn(h.log).Log("msg", "silent workers", "of", health.Workers, "zones", zoneCounts(health.Silent))
 	}
-	lost, lapsed := health.Counts.Lost-last.Counts.Lost, health.Counts.Expired-last.Counts.Expired
-	unconfirmed, refused := health.Counts.Unconfirmed-last.Counts.Unconfirmed, health.Counts.Refused-last.Counts.Refused
+	lost, expired := health.Counts.Lost-last.Counts.Lost, health.Counts.Expired-last.Counts.Expired
+	unconfirmed := health.Counts.Unconfirmed - last.Counts.Unconfirmed
+	refused := health.Counts.Refused - last.Counts.Refused
 	if lost+unconfirmed+refused > 0 {
-		_ = level.Warn(h.log).Log("msg", "runs without an end", "lost", lost, "lapsed", lapsed, "doubted", unconfirmed, "refused", refused)
+		_ = level.Warn(h.log).Log("msg", "runs without an end", "lost", lost, "lapsed", expired,
+			"doubted", unconfirmed, "refused", refused)
 	}
 }
 
-// zoneCounts writes counts by zone in one order.
+// zoneCounts formats counts by zone, in the zones' order.
 func zoneCounts(counts map[string]int) string {
 	parts := make([]string, 0, len(counts))
 	for _, zone := range slices.Sorted(maps.Keys(counts)) {
--- /dev/null
+++ b/internal/controller/heartbeat.go
@@ -0,0 +1,118 @@
+package controller
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"crosstide/internal/controller/scheduler"
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/state/command"
+)
+
+// Heartbeat takes a worker's heartbeat. What it changes is durable, and queued for the scheduler, before it is
+// answered. A heartbeat older than one taken before is acknowledged and changes nothing: it was delayed on its way, or
+// is a copy.
+func (l *Leader) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
+	answer := HeartbeatAnswer{HeartbeatAddress: l.heartbeatAddress(call.Worker.ID)}
+	worker := call.Worker
+	changed := false
+	term, err := l.readTable(func(table *jobs.Table) error {
+		known := table.Workers[worker.ID]
+		if call.Leaving {
+			worker = leavingWorker(known, worker.ID)
+		}
+		changed = known == nil || !sameWorker(known, &worker)
+		return nil
+	})
+	if err != nil {
+		return HeartbeatAnswer{}, errs.Pass(err, "heartbeat")
+	}
+	if !call.Leaving && !l.heartbeats.advance(worker.ID, call.Sequence) {
+		return answer, nil
+	}
+	if changed {
+		register := command.JobRegister{Register: jobs.Register{Workers: []jobs.Worker{worker}}}
+		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &register); err != nil {
+			return HeartbeatAnswer{}, errs.Pass(err, "heartbeat")
+		}
+	}
+	if !call.Leaving {
+		l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) {
+			core.Heartbeat(now, worker.ID, call.Clock, call.Remaining)
+		})
+	}
+	if l.opt.Mailboxes != nil && call.Listing != nil {
+		hasLease := func() bool { return l.hasLease(term) }
+		answer.Orders = l.opt.Mailboxes.Exchange(ctx, worker.ID, call.Sequence, term, *call.Listing, hasLease)
+	}
+	return answer, nil
+}
+
+// heartbeatAddress returns the address to which a worker is to send its heartbeats.
+func (l *Leader) heartbeatAddress(worker string) string {
+	if l.assigner == nil {
+		return l.opt.ControlAddress
+	}
+	if node := l.assigner.nodeFor(l.clock.Now(), worker); node != "" {
+		return l.opt.ControlAddressOf(node)
+	}
+	return l.opt.ControlAddress
+}
+
+// leavingWorker is the record of a worker that says that it ends. One that is not known is recorded too: its first
+// heartbeat may have been lost with a leader, or come late, and must not make it pass for a worker that takes starts.
+func leavingWorker(known *jobs.Worker, id string) jobs.Worker {
+	worker := jobs.Worker{ID: id}
+	if known != nil {
+		worker = *known
+	}
+	worker.Left = true
+	return worker
+}
+
+// sameWorker reports whether a worker's report changes nothing of its record. Draining and Left are never withdrawn.
+func sameWorker(known, reported *jobs.Worker) bool {
+	return known.Address == reported.Address && known.Service == reported.Service && known.Zone == reported.Zone &&
+		known.Rack == reported.Rack && known.Capacity == reported.Capacity &&
+		slices.Equal(known.Labels, reported.Labels) &&
+		(known.Draining || !reported.Draining) && (known.Left || !reported.Left)
+}
+
+// heartbeatSequences keeps the sequence number of each worker's newest heartbeat, so that one that comes late does not
+// undo what a newer one reported. It is not replicated: a new leader begins without.
+type heartbeatSequences struct {
+	mu       sync.Mutex
+	byWorker map[string]uint64
+}
+
+func newHeartbeatSequences() *heartbeatSequences {
+	return &heartbeatSequences{byWorker: map[string]uint64{}}
+}
+
+// advance records a worker's heartbeat; false: a newer one was recorded before. A copy of the newest one counts as new.
+func (s *heartbeatSequences) advance(worker string, sequence uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if sequence < s.byWorker[worker] {
+		return false
+	}
+	s.byWorker[worker] = sequence
+	return true
+}
+
+func (s *heartbeatSequences) forget(worker string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.byWorker, worker)
+}
+
+// forgetAll drops the workers that are gone.
+func (s *heartbeatSequences) forgetAll(gone func(id string) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	maps.DeleteFunc(s.byWorker, func(id string, _ uint64) bool { return gone(id) })
+}
--- a/internal/controller/heartbeat_assigner.go
+++ b/internal/controller/heartbeat_assigner.go
@@ -9,22 +9,22 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// memberRefreshInterval is the least pause between looks at which nodes are there.
+// memberRefreshInterval is how long the reachable members are taken as known.
 const memberRefreshInterval = 250 * time.Millisecond
 
-// assigner spreads workers over the nodes of the core: each sends its heartbeats to one, which passes them on to the leader. So
-// no node has a connection to every worker for them, and a change of leader moves none. A node that is lost only moves its
-// own workers.
+// heartbeatAssigner spreads the workers' heartbeats over the nodes of the core, by rendezvous hashing: each worker
+// sends its own to one node, which forwards them to the leader. So no node needs a connection to every worker, a
+// change of leader moves no worker, and the loss of a node moves that node's workers only.
 type heartbeatAssigner struct {
-	reachable func() []string // internal addresses of the members that are there, the leader among them
+	reachable func() []string // internal addresses of the members that are there, the leader's among them
 
 	mu            sync.Mutex
-	members       []string // as of the last look
+	members       []string // as of the last refresh, sorted
 	table         *rendezvous.Rendezvous
 	nextRefreshAt time.Duration
 }
 
-// nodeFor gives the internal address of a worker's home at now; "" if no member is known.
+// nodeFor returns the internal address of the node that takes a worker's heartbeats; "" if no member is known.
 func (h *heartbeatAssigner) nodeFor(now time.Duration, worker string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +37,7 @@
 	return h.table.Lookup(worker)
 }
 
-// readTable takes in which members are there. The mutex is held.
+// refresh takes the members that are reachable now. The mutex is held.
 func (h *heartbeatAssigner) refresh(now time.Duration) {
 	h.nextRefreshAt = now + memberRefreshInterval
 	members := slices.Sorted(slices.Values(h.reachable()))
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"maps"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,41 +10,50 @@
 
 	"crosstide/internal/clock"
 	"crosstide/internal/controller/scheduler"
-	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/routine"
-	"crosstide/internal/rpc"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
 
+const (
+	// minPassInterval is the least time from the beginning of one pass to that of the next. Workers' answers come by
+	// the thousand a second; those that come in the meantime share a pass.
+	minPassInterval = 2 * time.Millisecond
+	// followerPollInterval is how often a node that does not lead checks whether it does now.
+	followerPollInterval = time.Second
+	// leasePollInterval is how often a node that leads without its lease in force checks the lease.
+	leasePollInterval = 20 * time.Millisecond
+)
+
 // Store is the replicated store as the controller needs it.
 type Store interface {
-	// View lets read look at the live state under the store's lock.
+	// View calls read with the live state, under the store's lock.
 	View(read func(*state.State))
-	// LeaderTerm gives the term in which this node leads; held tells that the leader's lease is in force at now and
-	// that everything committed before is applied here.
+	// LeaderTerm returns the term in which this node leads, 0 if it does not. hasLease: the leader's lease is in force
+	// at now, and all that was committed before is applied here.
 	LeaderTerm(now time.Duration) (term uint64, hasLease bool)
-	// ProposeIn commits a command under a term and applies it.
+	// ProposeIn commits a command under a term and applies it. It fails if the term is over.
 	ProposeIn(ctx context.Context, term uint64, c command.Command) (index uint64, answer any, err error)
-	// Changed gives a channel that is closed when the live state moves on or the leadership changes.
+	// Changed returns a channel that is closed when the live state or the leadership next changes.
 	Changed() <-chan struct{}
-	// Members gives the leader's address, if one is known, and those of all members.
+	// Members returns the leader's address, "" if none is known, and the addresses of all members.
 	Members() (leader string, addresses []string)
-	// ReachableVoters gives the addresses of the voters that this leader has lately heard of, its own among them.
+	// ReachableVoters returns the addresses of the voters that this leader has lately heard of, its own among them.
 	ReachableVoters() []string
 }
 
-// LeaderOptions are the parts of a Leader.
+// LeaderOptions are the parts and settings of a Leader.
 type LeaderOptions struct {
 	Store   Store
-	Workers scheduler.Workers
+	Workers scheduler.Workers // carries orders to workers
 	// Mailboxes are the Workers where orders go with the answers to heartbeats; nil otherwise.
 	Mailboxes      *Mailboxes
 	Config         scheduler.Config
-	ControlAddress string // address at which this node takes heartbeats
-	// ControlAddressOf gives the address at which the node with an internal address takes heartbeats; then workers are spread over
-	// all members. nil: all heartbeats go to the leader. With Mailboxes they always do, as orders go with them.
+	ControlAddress string // where this node takes heartbeats
+	// ControlAddressOf returns the address at which the node with an internal address takes heartbeats; then workers
+	// are spread over all members. nil: all heartbeats go to the leader. With Mailboxes they always do, as orders go
+	// with them.
 	ControlAddressOf func(internal string) string
 	// JobRetention is how long a job that is over stays in the table; 0 takes DefaultJobRetention.
 	JobRetention time.Duration
@@ -55,30 +61,23 @@
 	Logger       log.Logger
 }
 
-// DefaultJobRetention is how long a job that is over can be asked for by default.
-const DefaultJobRetention = 10 * time.Minute
-
-// Leader serves calls and runs the scheduler on the node that leads the store; on any other node it answers
-// errs.NotLeader.
+// Leader answers calls and runs the scheduler on the node that leads the store; on any other node it answers
+// errs.NotLeader. It owns the scheduler's core, which its loop alone may touch.
 type Leader struct {
-	opt    LeaderOptions
-	clock  clock.Clock
-	log    log.Logger
-	group  *routine.Group
-	core   *scheduler.Core // of the loop alone
-	health healthLog       // of the loop alone
-
-	nextExpiryAt time.Duration // of the loop alone
-
-	assigner *heartbeatAssigner // nil: all heartbeats go to the leader
+	opt   LeaderOptions
+	clock clock.Clock
+	log   log.Logger
+	group *routine.Group // the loop, and one goroutine for each action under way
 
-	latestHealth atomic.Pointer[scheduler.Health] // nil before the first look
+	inbox        *inbox
+	heartbeats   *heartbeatSequences
+	assigner     *heartbeatAssigner               // nil: all heartbeats go to the leader
+	latestHealth atomic.Pointer[scheduler.Health] // as of the last pass that took it; nil before the first one
 
-	mu                 sync.Mutex
-	events             []func(*scheduler.Core, time.Duration)
-	changes            []jobs.Event
-	wakeup             chan struct{}
-	heartbeatSequences map[string]uint64 // newest heartbeat of each worker, by its sequence number
+	// Of the loop alone.
+	core         *scheduler.Core
+	health       healthLog
+	nextExpiryAt time.Duration
 }
 
 // NewLeader makes a controller that does nothing before Start.
@@ -89,101 +88,59 @@
 	if opt.Mailboxes != nil {
 		opt.Config.OrderTimeout, opt.Config.RenewalMargin = heartbeatOrderTimeout, heartbeatOrderTimeout
 	}
-	l := &Leader{opt: opt, clock: opt.Clock, log: opt.Logger, group: routine.New(context.Background()),
-		core: scheduler.New(opt.Config), health: healthLog{log: opt.Logger}, wakeup: make(chan struct{}, 1), heartbeatSequences: map[string]uint64{}}
+	l := &Leader{
+		opt:        opt,
+		clock:      opt.Clock,
+		log:        opt.Logger,
+		group:      routine.New(context.Background()),
+		inbox:      newInbox(),
+		heartbeats: newHeartbeatSequences(),
+		core:       scheduler.New(opt.Config),
+		health:     healthLog{log: opt.Logger},
+	}
 	if opt.ControlAddressOf != nil && opt.Mailboxes == nil {
 		l.assigner = &heartbeatAssigner{reachable: opt.Store.ReachableVoters}
 	}
 	return l
 }
 
-// heartbeatAddress gives the address to which a worker is to send its heartbeats.
-func (l *Leader) heartbeatAddress(worker string) string {
-	if l.assigner == nil {
-		return l.opt.ControlAddress
-	}
-	if at := l.assigner.nodeFor(l.clock.Now(), worker); at != "" {
-		return l.opt.ControlAddressOf(at)
-	}
-	return l.opt.ControlAddress
-}
-
 // Start begins to schedule whenever this node leads. It returns at once.
 func (l *Leader) Start() { l.group.Go(l.loop) }
 
 // Stop ends all goroutines of the controller.
 func (l *Leader) Stop() { l.group.Stop() }
 
-// enqueueEvent queues an input of the scheduler and wakes the loop.
-func (l *Leader) enqueueEvent(event func(*scheduler.Core, time.Duration)) {
-	l.mu.Lock()
-	l.events = append(l.events, event)
-	l.mu.Unlock()
-	l.wake()
-}
-
-func (l *Leader) wake() {
-	select {
-	case l.wakeup <- struct{}{}:
-	default:
-	}
-}
-
-// watchLeader takes a note of the job table; it is called under the store's lock.
-func (l *Leader) onTableChange(change jobs.Event) {
-	l.mu.Lock()
-	l.changes = append(l.changes, change)
-	l.mu.Unlock()
-	l.wake()
-}
-
+// loop makes a pass whenever something came in, the table or the leadership changed, or the last pass's time is up.
 func (l *Leader) loop(ctx context.Context) {
 	for {
 		changed := l.opt.Store.Changed()
 		begin := l.clock.Now()
 		next := l.pass()
-		timer := l.clock.Set(max(time.Millisecond, next-l.clock.Now()), l.wake)
+		timer := l.clock.Set(max(time.Millisecond, next-l.clock.Now()), l.inbox.wake)
 		if l.core.Term() != 0 {
-			changed = nil // what matters of it comes as notes
+			changed = nil // the table's changes come to the inbox
 		}
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-l.wakeup:
+		case <-l.inbox.wakeup:
 		case <-changed:
 		}
 		timer.Stop()
-		l.waitForBatch(ctx, begin+minPassInterval)
+		l.waitForBatch(ctx, begin)
 	}
 }
 
-// minPassInterval is the least time from one pass to the next. Answers of workers come by the thousand a second; what comes in
-// the meantime is taken in together.
-const minPassInterval = 2 * time.Millisecond
-
-// waitForBatch waits until a time.
-func (l *Leader) waitForBatch(ctx context.Context, until time.Duration) {
-	pause := until - l.clock.Now()
-	if pause <= 0 {
-		return
-	}
-	over := make(chan struct{})
-	timer := l.clock.Set(pause, func() { close(over) })
-	defer timer.Stop()
-	select {
-	case <-over:
-	case <-ctx.Done():
+// waitForBatch waits until a pass that follows one begun at lastBegin is due.
+func (l *Leader) waitForBatch(ctx context.Context, lastBegin time.Duration) {
+	if pause := lastBegin + minPassInterval - l.clock.Now(); pause > 0 {
+		sleep(ctx, l.clock, pause)
 	}
 }
 
-// followerPollInterval is the pause between looks at the leadership on a node that does not lead.
-const followerPollInterval = time.Second
-
-// leasePollInterval is the pause before the next look while this node leads without its lease in force.
-const leasePollInterval = 20 * time.Millisecond
-
-// pass is one turn of the loop; it gives when the next is due.
+// pass follows the leadership and, while this node leads with its lease in force, carries out one pass of the
+// scheduler. It returns when the next one is due.
 func (l *Leader) pass() time.Duration {
 	now := l.clock.Now()
 	term, hasLease := l.opt.Store.LeaderTerm(now)
@@ -196,80 +153,58 @@
 	case !hasLease:
 		return now + leasePollInterval
 	}
-	var out scheduler.Actions
+	var actions scheduler.Actions
 	l.opt.Store.View(func(s *state.State) {
 		if l.core.Term() == 0 {
 			l.becomeLeader(now, term, s.JobTable)
 		}
-		events, changes := l.takeInputs()
-		for _, change := range changes {
-			l.core.TableChanged(change)
-			if change.Kind == jobs.WorkerGone {
-				l.forgetWorker(change.Name)
-			}
-		}
-		for _, event := range events {
-			event(l.core, now)
-		}
-		out = l.core.Pass(now, l.clock.Wall())
-		if l.health.isDue(now) {
-			health := l.core.Health(now)
-			l.health.report(now, health)
-			l.latestHealth.Store(&health)
-		}
+		l.takeInputs(now)
+		actions = l.core.Pass(now, l.clock.Wall())
+		l.updateHealth(now)
 	})
-	l.dispatch(term, out)
+	l.dispatch(term, actions)
 	l.deleteExpiredJobs(now, term)
-	return out.Next
+	return actions.Next
 }
 
-// forgetWorker lets go of what is kept of a worker beside the table.
-func (l *Leader) forgetWorker(worker string) {
-	l.mu.Lock()
-	delete(l.heartbeatSequences, worker)
-	l.mu.Unlock()
-	if l.opt.Mailboxes != nil {
-		l.opt.Mailboxes.ForgetWorker(worker)
+// takeInputs hands all that came in since the last pass to the core: changes of the table first, as the heartbeat that
+// registers a worker is an event that follows the worker's registration.
+func (l *Leader) takeInputs(now time.Duration) {
+	events, changes := l.inbox.drain()
+	for _, change := range changes {
+		l.core.TableChanged(change)
+		if change.Kind == jobs.WorkerGone {
+			l.forgetWorker(change.Name)
+		}
 	}
-}
-
-// dropForgottenWorkers lets go of what is kept of workers that were forgotten while another node led.
-func (l *Leader) dropForgottenWorkers(workers map[string]*jobs.Worker) {
-	gone := func(id string) bool { return workers[id] == nil }
-	l.mu.Lock()
-	maps.DeleteFunc(l.heartbeatSequences, func(id string, _ uint64) bool { return gone(id) })
-	l.mu.Unlock()
-	if l.opt.Mailboxes != nil {
-		l.opt.Mailboxes.ForgetWorkers(gone)
+	for _, event := range events {
+		event(l.core, now)
 	}
 }
 
-// expiryInterval is the pause between two looks for jobs that are over for long.
-const expiryInterval = 20 * time.Second
-
-// deleteExpiredJobs lets jobs go that are over for longer than they have to be known.
-func (l *Leader) deleteExpiredJobs(now time.Duration, term uint64) {
-	if now < l.nextExpiryAt {
+// updateHealth logs what changed in the workers' health and publishes it to the metrics, when that is due.
+func (l *Leader) updateHealth(now time.Duration) {
+	if !l.health.isDue(now) {
 		return
 	}
-	l.nextExpiryAt = now + expiryInterval
-	before := l.clock.Wall().Add(-l.opt.JobRetention)
-	l.group.Go(func(ctx context.Context) {
-		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &command.JobPurge{Before: before}); err != nil {
-			_ = level.Debug(l.log).Log("msg", "tidy", "err", err)
-		}
-	})
+	health := l.core.Health(now)
+	l.health.report(now, health)
+	l.latestHealth.Store(&health)
 }
 
+// becomeLeader begins to schedule under a term. Events of an earlier term are dropped: the core knows nothing of what
+// they answer. The store's lock is held.
 func (l *Leader) becomeLeader(now time.Duration, term uint64, table *jobs.Table) {
-	l.takeInputs()
+	l.inbox.drain()
 	l.dropForgottenWorkers(table.Workers)
-	table.OnEvent = l.onTableChange
+	table.OnEvent = l.inbox.onTableChange
 	l.core.BecomeLeader(now, term, table)
 	l.nextExpiryAt = now + expiryInterval
-	_ = level.Info(l.log).Log("msg", "scheduling", "term", term, "jobs", len(table.Jobs), "workers", len(table.Workers))
+	_ = level.Info(l.log).Log("msg", "scheduling started", "term", term,
+		"jobs", len(table.Jobs), "workers", len(table.Workers))
 }
 
+// stepDown ends scheduling if this node schedules. Actions under way end by themselves: each checks the lease.
 func (l *Leader) stepDown() {
 	if l.core.Term() == 0 {
 		return
@@ -277,134 +212,12 @@
 	_ = level.Info(l.log).Log("msg", "no longer scheduling", "term", l.core.Term())
 	l.core.StepDown()
 	l.opt.Store.View(func(s *state.State) { s.JobTable.OnEvent = nil })
-	l.takeInputs()
-}
-
-func (l *Leader) takeInputs() ([]func(*scheduler.Core, time.Duration), []jobs.Event) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	events, changes := l.events, l.changes
-	l.events, l.changes = nil, nil
-	return events, changes
+	l.inbox.drain()
 }
 
-// dispatch does what a pass wants done.
-func (l *Leader) dispatch(term uint64, out scheduler.Actions) {
-	if out.Progress != nil {
-		l.group.Go(func(ctx context.Context) { l.commitProgress(ctx, term, out.Progress) })
-	}
-	for _, start := range out.Starts {
-		l.group.Go(func(ctx context.Context) { l.sendStart(ctx, term, start) })
-	}
-	for _, stop := range out.Stops {
-		l.group.Go(func(ctx context.Context) { l.sendStop(ctx, term, stop) })
-	}
-	for _, renewal := range out.Renewals {
-		l.group.Go(func(ctx context.Context) { l.renewLease(ctx, term, renewal) })
-	}
-}
-
-func (l *Leader) commitProgress(ctx context.Context, term uint64, progress *jobs.Progress) {
-	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &command.JobProgress{Progress: *progress})
-	started, _ := answer.(jobs.Started)
-	if err != nil {
-		_ = level.Warn(l.log).Log("msg", "progress not committed", "err", err)
-	}
-	l.enqueueEvent(func(c *scheduler.Core, now time.Duration) { c.Committed(now, progress, started, err) })
-}
-
-// hasLease tells whether this node may send orders under a term now: called immediately before each order.
+// hasLease reports whether this node leads in a term with its lease in force. It is called immediately before each
+// order, so that a node that lost the lead sends none.
 func (l *Leader) hasLease(term uint64) bool {
 	current, hasLease := l.opt.Store.LeaderTerm(l.clock.Now())
 	return hasLease && current == term
 }
-
-// heartbeatOrderTimeout bounds an order that waits for the worker's heartbeat.
-const heartbeatOrderTimeout = 3 * time.Second
-
-func (l *Leader) sendStart(ctx context.Context, term uint64, start scheduler.StartAction) {
-	id, key := start.Worker.ID, start.Order.Key
-	failure := scheduler.StartUnsent
-	var answer scheduler.StartAnswer
-	if l.hasLease(term) {
-		bounded, cancel := l.withTimeout(ctx, l.opt.Config.OrderTimeout)
-		var err error
-		answer, err = l.opt.Workers.Start(bounded, start.Worker, start.Order)
-		cancel()
-		failure = startError(err)
-	}
-	l.enqueueEvent(func(c *scheduler.Core, now time.Duration) { c.StartAnswered(now, id, key, answer, failure) })
-}
-
-func startError(err error) scheduler.StartError {
-	switch {
-	case err == nil:
-		return scheduler.StartOK
-	case errs.Is(err, errs.Unknown):
-		return scheduler.StartOtherIncarnation
-	case rpc.IsQuotaExhausted(err):
-		return scheduler.StartNoConnection
-	case rpc.IsUnsent(err), errors.Is(err, errNotDelivered):
-		return scheduler.StartUnsent
-	}
-	return scheduler.StartUnknown
-}
-
-func (l *Leader) sendStop(ctx context.Context, term uint64, stop scheduler.StopAction) {
-	id, key := stop.Worker.ID, stop.Order.Key
-	failure := scheduler.StopFailed
-	if l.hasLease(term) {
-		bounded, cancel := l.withTimeout(ctx, l.opt.Config.OrderTimeout)
-		failure = stopError(l.opt.Workers.Stop(bounded, stop.Worker, stop.Order))
-		cancel()
-	}
-	l.enqueueEvent(func(c *scheduler.Core, now time.Duration) { c.StopAnswered(now, id, key, failure) })
-}
-
-func stopError(err error) scheduler.StopError {
-	switch {
-	case err == nil:
-		return scheduler.StopOK
-	case rpc.IsQuotaExhausted(err):
-		return scheduler.StopNoConnection
-	}
-	return scheduler.StopFailed
-}
-
-func (l *Leader) renewLease(ctx context.Context, term uint64, renewal scheduler.RenewalAction) {
-	id, number := renewal.Worker.ID, renewal.Number
-	failure := scheduler.RenewalFailed
-	var answer scheduler.RenewalAnswer
-	if l.hasLease(term) {
-		bounded, cancel := l.withTimeout(ctx, renewal.Call.Wait+l.opt.Config.RenewalMargin)
-		var err error
-		answer, err = l.opt.Workers.RenewLease(bounded, renewal.Worker, renewal.Call)
-		cancel()
-		failure = renewalError(err)
-	}
-	l.enqueueEvent(func(c *scheduler.Core, now time.Duration) { c.RenewalAnswered(now, id, number, answer, failure) })
-}
-
-func renewalError(err error) scheduler.RenewalError {
-	switch {
-	case err == nil:
-		return scheduler.RenewalOK
-	case errs.Is(err, errs.Unknown):
-		return scheduler.RenewalOtherIncarnation
-	case errs.Is(err, errs.Stale):
-		return scheduler.RenewalFenced
-	case rpc.IsQuotaExhausted(err):
-		return scheduler.RenewalNoConnection
-	}
-	return scheduler.RenewalFailed
-}
-
-// timeout bounds a context by the controller's clock.
-func (l *Leader) withTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
-	bounded, cancel := context.WithCancel(ctx)
-	timer := l.clock.Set(limit, cancel)
-	return bounded, func() {
-		timer.Stop()
-		cancel()
-	}
-}
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -174,11 +174,11 @@
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		sendHeartbeat(l, heartbeat(1))
-		So(l.heartbeatSequences, ShouldHaveLength, 1)
+		So(l.heartbeats.byWorker, ShouldHaveLength, 1)
 		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		l.pass()
-		So(l.heartbeatSequences, ShouldBeEmpty)
+		So(l.heartbeats.byWorker, ShouldBeEmpty)
 	})
 	Convey("Also those of workers that were forgotten while another node led", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
@@ -193,7 +193,7 @@
 		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		l.pass()
-		So(l.heartbeatSequences, ShouldBeEmpty)
+		So(l.heartbeats.byWorker, ShouldBeEmpty)
 		So(l.opt.Mailboxes.byWorker, ShouldBeEmpty)
 	})
 }
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -147,7 +147,7 @@
 		})
 		b.waitForOrders(1)
 		Convey("it takes the lists of a heartbeat after two answers, and no earlier one", func() {
-			So(b.heartbeat(1, runKey(1)).SeenUpTo, ShouldEqual, 4)
+			So(b.heartbeat(1, runKey(1)).AcknowledgedUpTo, ShouldEqual, 4)
 			b.heartbeat(2, runKey(1))
 			b.heartbeat(2, runKey(1)) // the same heartbeat again proves nothing
 			b.heartbeat(3, runKey(2))
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -6,9 +6,10 @@
 	"crosstide/internal/jobs"
 )
 
-// Metrics are the figures of the job table, as a prometheus.Collector. Only the leader shows more than whether it leads.
+// Metrics are the figures of the job table, as a prometheus.Collector. A node that does not lead shows only that.
 type Metrics struct {
-	leader   *Leader
+	leader *Leader
+
 	isLeader *prometheus.Desc
 	waiting  *prometheus.Desc
 	workers  *prometheus.Desc
@@ -35,14 +36,17 @@
 		runs:     desc("runs", "Runs that are not over, by zone of their worker.", "zone"),
 		version:  desc("config_version", "Version of the configuration in force."),
 
-		discardedRuns: desc("discarded_runs_total", "Runs that ended neither well nor by their own fault, by cause.", "cause"),
-		discardedWork: desc("discarded_core_seconds_total", "Work of such runs that had no checkpoint, by cause.", "cause"),
+		discardedRuns: desc("discarded_runs_total",
+			"Runs that ended neither well nor by their own fault, by cause.", "cause"),
+		discardedWork: desc("discarded_core_seconds_total",
+			"Work of such runs that had no checkpoint, by cause.", "cause"),
 	}
 }
 
-// Describe tells the figures there are.
+// Describe sends the descriptions of all figures.
 func (m *Metrics) Describe(out chan<- *prometheus.Desc) {
-	for _, desc := range []*prometheus.Desc{m.isLeader, m.waiting, m.workers, m.runs, m.version, m.discardedRuns, m.discardedWork} {
+	for _, desc := range []*prometheus.Desc{m.isLeader, m.waiting, m.workers, m.runs, m.version,
+		m.discardedRuns, m.discardedWork} {
 		out <- desc
 	}
 }
@@ -50,7 +54,7 @@
 // workerGroup is what workers are counted by.
 type workerGroup struct{ zone, state string }
 
-// tableStats are what one look at the table counts.
+// tableStats are the counts of one reading of the table.
 type tableStats struct {
 	version uint64
 	waiting map[string]int // by queue
@@ -58,14 +62,14 @@
 	runs    map[string]int // by zone
 }
 
-// Collect counts now.
+// Collect sends the figures as of now.
 func (m *Metrics) Collect(out chan<- prometheus.Metric) {
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	counted := tableStats{waiting: map[string]int{}, workers: map[workerGroup]int{}, runs: map[string]int{}}
+	stats := tableStats{waiting: map[string]int{}, workers: map[workerGroup]int{}, runs: map[string]int{}}
 	_, err := m.leader.readTable(func(table *jobs.Table) error {
-		counted.count(table)
+		stats.count(table)
 		return nil
 	})
 	if err != nil {
@@ -74,19 +78,19 @@
 	}
 	gauge(m.isLeader, 1)
 	m.collectDiscarded(out)
-	gauge(m.version, float64(counted.version))
-	for queue, count := range counted.waiting {
+	gauge(m.version, float64(stats.version))
+	for queue, count := range stats.waiting {
 		gauge(m.waiting, float64(count), queue)
 	}
-	for group, count := range counted.workers {
+	for group, count := range stats.workers {
 		gauge(m.workers, float64(count), group.zone, group.state)
 	}
-	for zone, count := range counted.runs {
+	for zone, count := range stats.runs {
 		gauge(m.runs, float64(count), zone)
 	}
 }
 
-// collectDiscarded tells the work thrown away, as of the leader's last look.
+// collectDiscarded sends the figures of discarded runs, as of the leader's latest health.
 func (m *Metrics) collectDiscarded(out chan<- prometheus.Metric) {
 	health := m.leader.latestHealth.Load()
 	if health == nil {
--- /dev/null
+++ b/internal/controller/orders.go
@@ -0,0 +1,128 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/controller/scheduler"
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/rpc"
+	"crosstide/internal/state/command"
+)
+
+// heartbeatOrderTimeout bounds an order that waits for the worker's heartbeat.
+const heartbeatOrderTimeout = 3 * time.Second
+
+// dispatch carries out a pass's actions, each on a goroutine of its own. Every action reports its outcome to the core,
+// by one event, also when it was not carried out.
+func (l *Leader) dispatch(term uint64, actions scheduler.Actions) {
+	if actions.Progress != nil {
+		l.group.Go(func(ctx context.Context) { l.commitProgress(ctx, term, actions.Progress) })
+	}
+	for _, start := range actions.Starts {
+		l.group.Go(func(ctx context.Context) { l.sendStart(ctx, term, start) })
+	}
+	for _, stop := range actions.Stops {
+		l.group.Go(func(ctx context.Context) { l.sendStop(ctx, term, stop) })
+	}
+	for _, renewal := range actions.Renewals {
+		l.group.Go(func(ctx context.Context) { l.renewLease(ctx, term, renewal) })
+	}
+}
+
+func (l *Leader) commitProgress(ctx context.Context, term uint64, progress *jobs.Progress) {
+	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &command.JobProgress{Progress: *progress})
+	started, _ := answer.(jobs.Started)
+	if err != nil {
+		_ = level.Warn(l.log).Log("msg", "progress not committed", "err", err)
+	}
+	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.Committed(now, progress, started, err) })
+}
+
+// sendStart sends a start to its worker. An order that surely did not reach it is reported as unsent, so that the core
+// may place the run elsewhere at once; one whose outcome is unknown must be confirmed by the worker's lists first.
+func (l *Leader) sendStart(ctx context.Context, term uint64, start scheduler.StartAction) {
+	id, key := start.Worker.ID, start.Order.Key
+	failure := scheduler.StartUnsent
+	var answer scheduler.StartAnswer
+	if l.hasLease(term) {
+		bounded, cancel := withTimeout(ctx, l.clock, l.opt.Config.OrderTimeout)
+		var err error
+		answer, err = l.opt.Workers.Start(bounded, start.Worker, start.Order)
+		cancel()
+		failure = startErrorOf(err)
+	}
+	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) {
+		core.StartAnswered(now, id, key, answer, failure)
+	})
+}
+
+func startErrorOf(err error) scheduler.StartError {
+	switch {
+	case err == nil:
+		return scheduler.StartOK
+	case errs.Is(err, errs.Unknown):
+		return scheduler.StartOtherIncarnation
+	case rpc.IsQuotaExhausted(err):
+		return scheduler.StartNoConnection
+	case rpc.IsUnsent(err), errors.Is(err, errNotDelivered):
+		return scheduler.StartUnsent
+	}
+	return scheduler.StartUnknown
+}
+
+func (l *Leader) sendStop(ctx context.Context, term uint64, stop scheduler.StopAction) {
+	id, key := stop.Worker.ID, stop.Order.Key
+	failure := scheduler.StopFailed
+	if l.hasLease(term) {
+		bounded, cancel := withTimeout(ctx, l.clock, l.opt.Config.OrderTimeout)
+		failure = stopErrorOf(l.opt.Workers.Stop(bounded, stop.Worker, stop.Order))
+		cancel()
+	}
+	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.StopAnswered(now, id, key, failure) })
+}
+
+func stopErrorOf(err error) scheduler.StopError {
+	switch {
+	case err == nil:
+		return scheduler.StopOK
+	case rpc.IsQuotaExhausted(err):
+		return scheduler.StopNoConnection
+	}
+	return scheduler.StopFailed
+}
+
+// renewLease renews a worker's lease and reports the worker's lists to the core.
+func (l *Leader) renewLease(ctx context.Context, term uint64, renewal scheduler.RenewalAction) {
+	id, number := renewal.Worker.ID, renewal.Number
+	failure := scheduler.RenewalFailed
+	var answer scheduler.RenewalAnswer
+	if l.hasLease(term) {
+		bounded, cancel := withTimeout(ctx, l.clock, renewal.Call.Wait+l.opt.Config.RenewalMargin)
+		var err error
+		answer, err = l.opt.Workers.RenewLease(bounded, renewal.Worker, renewal.Call)
+		cancel()
+		failure = renewalErrorOf(err)
+	}
+	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) {
+		core.RenewalAnswered(now, id, number, answer, failure)
+	})
+}
+
+func renewalErrorOf(err error) scheduler.RenewalError {
+	switch {
+	case err == nil:
+		return scheduler.RenewalOK
+	case errs.Is(err, errs.Unknown):
+		return scheduler.RenewalOtherIncarnation
+	case errs.Is(err, errs.Stale):
+		return scheduler.RenewalFenced
+	case rpc.IsQuotaExhausted(err):
+		return scheduler.RenewalNoConnection
+	}
+	return scheduler.RenewalFailed
+}
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -4,122 +4,89 @@
 	"context"
 	"slices"
 	"strings"
-	"time"
 
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/rpc"
-	"crosstide/internal/state/command"
+	"crosstide/internal/state"
 )
 
-// ShowCall asks for a job by its ID alone.
-type ShowCall struct {
-	ID string `json:"id"`
-}
-
-// StepView tells how far the tasks of one step are, all rounds together.
-type StepView struct {
-	Tasks    int `json:"tasks"`
-	Done     int `json:"done"`
-	Running  int `json:"running"` // tasks with a run that is not over
-	Failures int `json:"failures,omitempty"`
-}
-
-// JobView is a job as its client sees it. Steps is empty once the job is over and nothing of it runs.
-type JobView struct {
-	ID       string        `json:"id"`
-	Queue    string        `json:"queue"`
-	State    jobs.JobState `json:"state"`
-	Accepted time.Time     `json:"accepted"`
-	Ended    time.Time     `json:"ended,omitzero"`
-	Steps    []StepView    `json:"steps,omitempty"`
-}
-
-// CancelCall cancels a job by its ID alone.
-type CancelCall struct {
-	ID string `json:"id"`
-}
-
-// ListCall asks for jobs in the order of their IDs; an empty filter takes all.
-type ListCall struct {
-	Queue string        `json:"queue,omitempty"`
-	State jobs.JobState `json:"state,omitempty"`
-	After string        `json:"after,omitempty"` // only IDs above it
-	Limit int           `json:"limit"`
-}
-
-// JobSummary is a job in a list.
-type JobSummary struct {
-	ID       string        `json:"id"`
-	Queue    string        `json:"queue"`
-	State    jobs.JobState `json:"state"`
-	Accepted time.Time     `json:"accepted"`
-	Ended    time.Time     `json:"ended,omitzero"`
-}
-
-// ListAnswer is one page of a list. More: there are jobs after the last one.
-type ListAnswer struct {
-	Jobs []JobSummary `json:"jobs"`
-	More bool         `json:"more,omitempty"`
+// readTable calls read with the job table, under the store's lock, if this node leads with its lease in force: then the
+// table has every commit. It returns the term, under which a command that follows from the reading is to be proposed.
+// Failures: NotLeader with the leader's address as hint, Unavailable, and those of read.
+func (l *Leader) readTable(read func(*jobs.Table) error) (term uint64, err error) {
+	term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now())
+	if term == 0 {
+		leader, _ := l.opt.Store.Members()
+		err := errs.New(errs.NotLeader, "this node does not lead")
+		errs.Of(err).Hint = leader
+		return 0, err
+	}
+	if !hasLease {
+		return term, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
+	}
+	l.opt.Store.View(func(s *state.State) { err = read(s.JobTable) })
+	return term, errs.Pass(err, "read the job table")
 }
 
-// QueuesCall asks for the queues of the configuration.
-type QueuesCall struct{}
-
-// QueueView is one queue and how many of its jobs wait.
-type QueueView struct {
-	Name     string `json:"name"`
-	Service  string `json:"service"`
-	Priority int    `json:"priority"`
-	Waiting  int    `json:"waiting"`
+// queueAt finds the queue of a call.
+func queueAt(table *jobs.Table, at Location) (*jobs.Queue, error) {
+	if table.Config.Version == 0 {
+		return nil, errs.New(errs.Unavailable, "there is no configuration yet")
+	}
+	queue := table.QueueFor(at.Host, at.Path)
+	if queue == nil {
+		return nil, errs.New(errs.Unknown, "no queue at %s%s", at.Host, at.Path)
+	}
+	return queue, nil
 }
 
-// QueuesAnswer lists the queues in the order of the configuration.
-type QueuesAnswer struct {
-	Queues []QueueView `json:"queues"`
+// jobByID finds a job by its ID alone.
+func jobByID(table *jobs.Table, id string) (*jobs.Job, error) {
+	if job := table.Jobs[id]; job != nil {
+		return job, nil
+	}
+	return nil, errs.Field(errs.Unknown, "id", "no job %q", id)
 }
 
-// WorkersCall asks for the workers.
-type WorkersCall struct{}
-
-// WorkerView is one worker and what the runs on it take.
-type WorkerView struct {
-	jobs.Worker
-	Used jobs.Resources `json:"used"`
-	Runs int            `json:"runs"`
+// Count returns how many jobs of a queue wait.
+func (l *Leader) Count(_ context.Context, call CountCall) (answer CountAnswer, err error) {
+	_, err = l.readTable(func(table *jobs.Table) error {
+		queue, err := queueAt(table, call.Location)
+		if err == nil {
+			answer.Waiting = table.QueuedCount(queue.Name)
+		}
+		return errs.Pass(err, "count")
+	})
+	return answer, errs.Pass(err, "count")
 }
 
-// WorkersAnswer lists the workers by ID, and the zones that are evacuated by name.
-type WorkersAnswer struct {
-	Workers   []WorkerView `json:"workers"`
-	Evacuated []string     `json:"evacuated"`
+// Config returns the configuration in force.
+func (l *Leader) Config(context.Context, ConfigCall) (config jobs.Config, err error) {
+	_, err = l.readTable(func(table *jobs.Table) error {
+		config = table.Config
+		config.Queues, config.Services = slices.Clone(config.Queues), slices.Clone(config.Services)
+		return nil
+	})
+	return config, errs.Pass(err, "configuration")
 }
 
-// The calls that find jobs by ID alone. Failures are those of the other calls; errs.Unknown: no such job.
-var (
-	ShowPair    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
-	CancelPair  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
-	ListPair    = rpc.Endpoint[ListCall, ListAnswer]{Path: "/c/list"}
-	QueuesPair  = rpc.Endpoint[QueuesCall, QueuesAnswer]{Path: "/c/queues"}
-	WorkersPair = rpc.Endpoint[WorkersCall, WorkersAnswer]{Path: "/c/workers"}
-)
-
-// Show tells a job's state and how far it is.
+// Show returns a job's state and the progress of its steps.
 func (l *Leader) Show(_ context.Context, call ShowCall) (view JobView, err error) {
 	_, err = l.readTable(func(table *jobs.Table) error {
-		job := table.Jobs[call.ID]
-		if job == nil {
-			return errs.Field(errs.Unknown, "id", "no job %q", call.ID)
+		job, err := jobByID(table, call.ID)
+		if err == nil {
+			view = viewOf(job)
 		}
-		view = viewOf(job)
-		return nil
+		return errs.Pass(err, "show")
 	})
 	return view, errs.Pass(err, "show")
 }
 
 func viewOf(job *jobs.Job) JobView {
-	view := JobView{ID: job.Spec.ID, Queue: job.Spec.Queue, State: job.State, Accepted: job.AcceptedAt, Ended: job.EndedAt}
-	view.Steps = make([]StepView, len(job.Spec.Steps))
+	view := JobView{
+		ID: job.Spec.ID, Queue: job.Spec.Queue, State: job.State, Accepted: job.AcceptedAt, Ended: job.EndedAt,
+		Steps: make([]StepView, len(job.Spec.Steps)),
+	}
 	for _, round := range job.Rounds {
 		for step, tasks := range round {
 			for _, task := range tasks {
@@ -141,30 +108,15 @@
 	}
 }
 
-// Cancel ends a job.
-func (l *Leader) Cancel(ctx context.Context, call CancelCall) (JobAnswer, error) {
-	term, err := l.readTable(func(table *jobs.Table) error {
-		if table.Jobs[call.ID] == nil {
-			return errs.Field(errs.Unknown, "id", "no job %q", call.ID)
-		}
-		return nil
-	})
-	if err != nil {
-		return JobAnswer{}, errs.Pass(err, "cancel")
-	}
-	_, result, err := l.opt.Store.ProposeIn(ctx, term, &command.JobCancel{Cancel: jobs.Cancel{ID: call.ID, At: l.clock.Wall()}})
-	state, _ := result.(jobs.JobState)
-	return JobAnswer{State: state}, errs.Pass(err, "cancel")
-}
-
-// List gives one page of jobs.
+// List returns one page of jobs.
 func (l *Leader) List(_ context.Context, call ListCall) (ListAnswer, error) {
 	answer := ListAnswer{Jobs: []JobSummary{}}
 	_, err := l.readTable(func(table *jobs.Table) error {
 		for id, job := range table.Jobs {
 			if call.matches(job) {
-				answer.Jobs = append(answer.Jobs, JobSummary{ID: id, Queue: job.Spec.Queue, State: job.State,
-					Accepted: job.AcceptedAt, Ended: job.EndedAt})
+				answer.Jobs = append(answer.Jobs, JobSummary{
+					ID: id, Queue: job.Spec.Queue, State: job.State, Accepted: job.AcceptedAt, Ended: job.EndedAt,
+				})
 			}
 		}
 		return nil
@@ -177,7 +129,8 @@
 }
 
 func (c ListCall) matches(job *jobs.Job) bool {
-	return job.Spec.ID > c.After && (c.Queue == "" || c.Queue == job.Spec.Queue) && (c.State == "" || c.State == job.State)
+	return job.Spec.ID > c.After && (c.Queue == "" || c.Queue == job.Spec.Queue) &&
+		(c.State == "" || c.State == job.State)
 }
 
 // Queues lists the queues.
@@ -185,8 +138,10 @@
 	answer := QueuesAnswer{Queues: []QueueView{}}
 	_, err := l.readTable(func(table *jobs.Table) error {
 		for _, queue := range table.Config.Queues {
-			answer.Queues = append(answer.Queues, QueueView{Name: queue.Name, Service: queue.Service, Priority: queue.Priority,
-				Waiting: table.QueuedCount(queue.Name)})
+			answer.Queues = append(answer.Queues, QueueView{
+				Name: queue.Name, Service: queue.Service, Priority: queue.Priority,
+				Waiting: table.QueuedCount(queue.Name),
+			})
 		}
 		return nil
 	})
@@ -198,7 +153,8 @@
 	answer := WorkersAnswer{Workers: []WorkerView{}, Evacuated: []string{}}
 	_, err := l.readTable(func(table *jobs.Table) error {
 		for id, worker := range table.Workers {
-			answer.Workers = append(answer.Workers, WorkerView{Worker: *worker, Used: table.Used(id), Runs: table.RunCount(id)})
+			view := WorkerView{Worker: *worker, Used: table.Used(id), Runs: table.RunCount(id)}
+			answer.Workers = append(answer.Workers, view)
 		}
 		for zone := range table.Evacuated {
 			answer.Evacuated = append(answer.Evacuated, zone)
@@ -210,32 +166,11 @@
 	return answer, errs.Pass(err, "workers")
 }
 
-// Show asks for a job.
-func (c *Client) Show(ctx context.Context, call ShowCall) (JobView, error) {
-	answer, err := callPair(ctx, c, ShowPair, call, query{hedge: true})
-	return answer, errs.Pass(err, "show")
-}
-
-// Cancel cancels a job.
-func (c *Client) Cancel(ctx context.Context, call CancelCall) (JobAnswer, error) {
-	answer, err := callPair(ctx, c, CancelPair, call, query{mutates: true})
-	return answer, errs.Pass(err, "cancel")
-}
-
-// List asks for jobs.
-func (c *Client) List(ctx context.Context, call ListCall) (ListAnswer, error) {
-	answer, err := callPair(ctx, c, ListPair, call, query{hedge: true, large: true})
-	return answer, errs.Pass(err, "list")
-}
-
-// Queues asks for the queues.
-func (c *Client) Queues(ctx context.Context, call QueuesCall) (QueuesAnswer, error) {
-	answer, err := callPair(ctx, c, QueuesPair, call, query{hedge: true})
-	return answer, errs.Pass(err, "queues")
-}
-
-// Workers asks for the workers.
-func (c *Client) Workers(ctx context.Context, call WorkersCall) (WorkersAnswer, error) {
-	answer, err := callPair(ctx, c, WorkersPair, call, query{hedge: true, large: true})
-	return answer, errs.Pass(err, "workers")
+// Topology returns the leader and the members of the core, as this node knows them.
+func (l *Leader) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
+	leader, members := l.opt.Store.Members()
+	if term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now()); term != 0 && !hasLease {
+		leader = "" // without the lease another node may lead already
+	}
+	return TopologyAnswer{Leader: leader, Members: members}, nil
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -2,64 +2,12 @@
 
 import (
 	"context"
-	"time"
 
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/rpc"
 )
 
-// Local answers the calls on a node of the core, by the contract of the pairs: a node that does not lead gives
-// errs.NotLeader with the leader's internal address as hint and has done nothing. Topology is answered by any node; it
-// names this node as the leader only while its lease holds.
-type Local interface {
-	Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error)
-	Job(ctx context.Context, call JobCall) (JobAnswer, error)
-	Count(ctx context.Context, call CountCall) (CountAnswer, error)
-	Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error)
-	Config(ctx context.Context, call ConfigCall) (jobs.Config, error)
-	Configure(ctx context.Context, call jobs.Configure) (ConfigureAnswer, error)
-	Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error)
-	Topology(ctx context.Context, call TopologyCall) (TopologyAnswer, error)
-	Show(ctx context.Context, call ShowCall) (JobView, error)
-	Cancel(ctx context.Context, call CancelCall) (JobAnswer, error)
-	List(ctx context.Context, call ListCall) (ListAnswer, error)
-	Queues(ctx context.Context, call QueuesCall) (QueuesAnswer, error)
-	Workers(ctx context.Context, call WorkersCall) (WorkersAnswer, error)
-}
-
-var _ Local = (*Leader)(nil)
-
-// serveTimeout bounds a call at the node that answers it: its caller has long gone on by then.
-const serveTimeout = 10 * time.Second
-
-// Serve answers all pairs of the core at s by local; nothing is passed on from there. Call it before s starts.
-func Serve(s *rpc.Server, local Local) {
-	handle(s, SubmitPair, local.Submit)
-	handle(s, JobPair, local.Job)
-	handle(s, CountPair, local.Count)
-	handle(s, HeartbeatPair, local.Heartbeat)
-	handle(s, ConfigPair, local.Config)
-	handle(s, ConfigurePair, local.Configure)
-	handle(s, EvacuatePair, local.Evacuate)
-	handle(s, TopologyPair, local.Topology)
-	handle(s, ShowPair, local.Show)
-	handle(s, CancelPair, local.Cancel)
-	handle(s, ListPair, local.List)
-	handle(s, QueuesPair, local.Queues)
-	handle(s, WorkersPair, local.Workers)
-}
-
-func handle[C, A any](s *rpc.Server, p rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
-	rpc.Handle(s, p, func(ctx context.Context, call C) (A, error) {
-		ctx, cancel := context.WithTimeout(ctx, serveTimeout)
-		defer cancel()
-		answer, err := serve(ctx, call)
-		return answer, errs.Pass(err, "%s", p.Path)
-	})
-}
-
-// Relay answers calls on any node of the core: by the node itself when it leads, else by the leader.
+// Relay answers calls on any node of the core: by the node itself while it leads, else it forwards them to the leader.
 type Relay struct {
 	local  Local
 	remote *Client
@@ -71,7 +19,7 @@
 	return &Relay{local: local, remote: remote, self: self}
 }
 
-// Submit hands a job in.
+// Submit submits a job.
 func (r *Relay) Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error) {
 	answer, err := relay(ctx, r, call, r.local.Submit, r.remote.Submit)
 	return answer, errs.Pass(err, "relay")
@@ -89,7 +37,7 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Heartbeat passes a worker's heartbeat on.
+// Heartbeat delivers a worker's heartbeat.
 func (r *Relay) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
 	answer, err := relay(ctx, r, call, r.local.Heartbeat, r.remote.Heartbeat)
 	return answer, errs.Pass(err, "relay")
@@ -119,13 +67,15 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Topology tells the leader and the members of the core, as this node knows them.
+// Topology returns the leader and the members of the core, as this node knows them.
 func (r *Relay) Topology(ctx context.Context, call TopologyCall) (TopologyAnswer, error) {
 	answer, err := r.local.Topology(ctx, call)
 	return answer, errs.Pass(err, "relay")
 }
 
-func relay[C, A any](ctx context.Context, r *Relay, call C, local, remote func(context.Context, C) (A, error)) (A, error) {
+// relay makes a call at this node, and at the leader if this node has not carried it out because it does not lead.
+func relay[C, A any](ctx context.Context, r *Relay, call C,
+	local, remote func(context.Context, C) (A, error)) (A, error) {
 	answer, err := local(ctx, call)
 	if err == nil || !r.shouldForward(ctx, err) {
 		return answer, errs.Pass(err, "this node")
@@ -134,15 +84,16 @@
 	return answer, errs.Pass(err, "the leader")
 }
 
-// shouldForward tells whether a call that this node has not carried out, with err, may be another node's.
+// shouldForward reports whether a call that failed here with err, and surely was not carried out, may succeed at
+// another node. A node that leads without its lease in force forwards too: another one may lead already.
 func (r *Relay) shouldForward(ctx context.Context, err error) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
 		r.remote.Hint(errs.Of(err).Hint)
 		return true
 	case errs.Unavailable:
-		t, unknown := r.local.Topology(ctx, TopologyCall{})
-		return unknown != nil || t.Leader != r.self
+		topology, failed := r.local.Topology(ctx, TopologyCall{})
+		return failed != nil || topology.Leader != r.self
 	}
 	return false
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -197,7 +197,7 @@
 		So(c.directory.addresses(), ShouldResemble, []string{nodes[0].addr, nodes[1].addr})
 		c.Stop()
 		end()
-		c.sleep = c.sleepClock
+		c.sleep = c.sleepOnClock
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		_, err := c.Submit(ctx, SubmitCall{})
--- /dev/null
+++ b/internal/controller/server.go
@@ -0,0 +1,61 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/rpc"
+)
+
+// Local answers the calls on a node of the core, as the endpoints' contract says: a node that does not lead fails with
+// errs.NotLeader, with the leader's internal address as hint, and has done nothing. Any node answers Topology; it names
+// itself as the leader only while its lease is in force.
+type Local interface {
+	Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error)
+	Job(ctx context.Context, call JobCall) (JobAnswer, error)
+	Count(ctx context.Context, call CountCall) (CountAnswer, error)
+	Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error)
+	Config(ctx context.Context, call ConfigCall) (jobs.Config, error)
+	Configure(ctx context.Context, call jobs.Configure) (ConfigureAnswer, error)
+	Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error)
+	Topology(ctx context.Context, call TopologyCall) (TopologyAnswer, error)
+	Show(ctx context.Context, call ShowCall) (JobView, error)
+	Cancel(ctx context.Context, call CancelCall) (JobAnswer, error)
+	List(ctx context.Context, call ListCall) (ListAnswer, error)
+	Queues(ctx context.Context, call QueuesCall) (QueuesAnswer, error)
+	Workers(ctx context.Context, call WorkersCall) (WorkersAnswer, error)
+}
+
+var _ Local = (*Leader)(nil)
+
+// serveTimeout bounds a call at the node that answers it: its caller has given it up long before.
+const serveTimeout = 10 * time.Second
+
+// Serve adds the endpoints of the core to s, answered by local: a call that reaches the wrong node is refused, not
+// forwarded. Call it before s starts.
+func Serve(s *rpc.Server, local Local) {
+	handle(s, SubmitPair, local.Submit)
+	handle(s, JobPair, local.Job)
+	handle(s, CountPair, local.Count)
+	handle(s, HeartbeatPair, local.Heartbeat)
+	handle(s, ConfigPair, local.Config)
+	handle(s, ConfigurePair, local.Configure)
+	handle(s, EvacuatePair, local.Evacuate)
+	handle(s, TopologyPair, local.Topology)
+	handle(s, ShowPair, local.Show)
+	handle(s, CancelPair, local.Cancel)
+	handle(s, ListPair, local.List)
+	handle(s, QueuesPair, local.Queues)
+	handle(s, WorkersPair, local.Workers)
+}
+
+func handle[C, A any](s *rpc.Server, p rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
+	rpc.Handle(s, p, func(ctx context.Context, call C) (A, error) {
+		ctx, cancel := context.WithTimeout(ctx, serveTimeout)
+		defer cancel()
+		answer, err := serve(ctx, call)
+		return answer, errs.Pass(err, "%s", p.Path)
+	})
+}
