--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -19,7 +19,7 @@
 // startLeader starts a core of one node that cancels every job.
 func startLeader() *rpc.Server {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	rpc.Handle(s, controller.JobPair, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
+	rpc.Handle(s, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
 		return controller.JobAnswer{State: jobs.Cancelled}, nil
 	})
 	So(s.Start(), ShouldBeNil)
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -182,21 +182,21 @@
 // errs.Unknown: no such queue; errs.Unavailable: surely not taken; errs.Timeout: it may or may not have been taken;
 // errs.Invalid with the field; errs.Stale: another version is in force.
 var (
-	SubmitPair    = rpc.Endpoint[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
-	JobPair       = rpc.Endpoint[JobCall, JobAnswer]{Path: "/c/job"}
-	CountPair     = rpc.Endpoint[CountCall, CountAnswer]{Path: "/c/count"}
-	HeartbeatPair = rpc.Endpoint[HeartbeatCall, HeartbeatAnswer]{Path: "/c/beat"}
-	ConfigPair    = rpc.Endpoint[ConfigCall, jobs.Config]{Path: "/c/config"}
-	ConfigurePair = rpc.Endpoint[jobs.Configure, ConfigureAnswer]{Path: "/c/configure"}
-	EvacuatePair  = rpc.Endpoint[jobs.Evacuate, EvacuateAnswer]{Path: "/c/evacuate"}
-	TopologyPair  = rpc.Endpoint[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
+	SubmitEndpoint    = rpc.Endpoint[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
+	JobEndpoint       = rpc.Endpoint[JobCall, JobAnswer]{Path: "/c/job"}
+	CountEndpoint     = rpc.Endpoint[CountCall, CountAnswer]{Path: "/c/count"}
+	HeartbeatEndpoint = rpc.Endpoint[HeartbeatCall, HeartbeatAnswer]{Path: "/c/beat"}
+	ConfigEndpoint    = rpc.Endpoint[ConfigCall, jobs.Config]{Path: "/c/config"}
+	ConfigureEndpoint = rpc.Endpoint[jobs.Configure, ConfigureAnswer]{Path: "/c/configure"}
+	EvacuateEndpoint  = rpc.Endpoint[jobs.Evacuate, EvacuateAnswer]{Path: "/c/evacuate"}
+	TopologyEndpoint  = rpc.Endpoint[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
 )
 
 // The calls that find jobs by ID alone. Failures are those of the other calls; errs.Unknown: no such job.
 var (
-	ShowPair    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
-	CancelPair  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
-	ListPair    = rpc.Endpoint[ListCall, ListAnswer]{Path: "/c/list"}
-	QueuesPair  = rpc.Endpoint[QueuesCall, QueuesAnswer]{Path: "/c/queues"}
-	WorkersPair = rpc.Endpoint[WorkersCall, WorkersAnswer]{Path: "/c/workers"}
+	ShowEndpoint    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
+	CancelEndpoint  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
+	ListEndpoint    = rpc.Endpoint[ListCall, ListAnswer]{Path: "/c/list"}
+	QueuesEndpoint  = rpc.Endpoint[QueuesCall, QueuesAnswer]{Path: "/c/queues"}
+	WorkersEndpoint = rpc.Endpoint[WorkersCall, WorkersAnswer]{Path: "/c/workers"}
 )
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -117,7 +117,7 @@
 
 // probe looks for the leader and asks it for the members. One that fails is not repeated before the next is due.
 func (c *Client) probe(ctx context.Context) {
-	_, err := callEndpoint(ctx, c, TopologyPair, TopologyCall{}, query{bound: probeInterval, topology: true})
+	_, err := callEndpoint(ctx, c, TopologyEndpoint, TopologyCall{}, query{bound: probeInterval, topology: true})
 	if err != nil {
 		_ = level.Debug(c.opt.Logger).Log("msg", "no leader found", "err", err)
 	}
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -19,19 +19,19 @@
 )
 
 func (n *coreNode) Show(_ context.Context, call ShowCall) (JobView, error) {
-	return JobView{ID: call.ID}, n.carryOut("show " + call.ID)
+	return JobView{ID: call.ID}, n.execute("show " + call.ID)
 }
 func (n *coreNode) Cancel(_ context.Context, call CancelCall) (JobAnswer, error) {
-	return JobAnswer{State: jobs.Cancelled}, n.carryOut("cancel " + call.ID)
+	return JobAnswer{State: jobs.Cancelled}, n.execute("cancel " + call.ID)
 }
 func (n *coreNode) List(_ context.Context, call ListCall) (ListAnswer, error) {
-	return ListAnswer{More: true}, n.carryOut("list " + call.Queue)
+	return ListAnswer{More: true}, n.execute("list " + call.Queue)
 }
 func (n *coreNode) Queues(context.Context, QueuesCall) (QueuesAnswer, error) {
-	return QueuesAnswer{Queues: []QueueView{{Name: "q"}}}, n.carryOut("queues")
+	return QueuesAnswer{Queues: []QueueView{{Name: "q"}}}, n.execute("queues")
 }
 func (n *coreNode) Workers(context.Context, WorkersCall) (WorkersAnswer, error) {
-	return WorkersAnswer{Evacuated: []string{"z"}}, n.carryOut("workers")
+	return WorkersAnswer{Evacuated: []string{"z"}}, n.execute("workers")
 }
 
 func TestQueriesReachTheLeader(t *testing.T) {
@@ -50,14 +50,14 @@
 		So([]any{list.More, err}, ShouldResemble, []any{true, nil})
 		queues, err := client.Queues(ctx, QueuesCall{})
 		So([]any{queues.Queues[0].Name, err}, ShouldResemble, []any{"q", nil})
-		So(leader.taken(), ShouldResemble, []string{"show a", "cancel b", "list q", "queues"})
+		So(leader.takeCalls(), ShouldResemble, []string{"show a", "cancel b", "list q", "queues"})
 		relay := NewRelay(follower, NewClient(patient(k, follower.addr, leader.addr)), follower.addr)
 		workers, err := relay.Workers(ctx, WorkersCall{})
 		So([]any{workers.Evacuated, err}, ShouldResemble, []any{[]string{"z"}, nil})
 		topology, err := relay.Topology(ctx, TopologyCall{})
 		So([]any{topology.Leader, err}, ShouldResemble, []any{leader.addr, nil})
-		So(leader.taken(), ShouldResemble, []string{"workers"})
-		So(len(follower.taken()), ShouldEqual, 0)
+		So(leader.takeCalls(), ShouldResemble, []string{"workers"})
+		So(len(follower.takeCalls()), ShouldEqual, 0)
 	})
 }
 
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -28,7 +28,7 @@
 	members []string
 }
 
-func (n *coreNode) carryOut(name string) error {
+func (n *coreNode) execute(name string) error {
 	n.core.mu.Lock()
 	defer n.core.mu.Unlock()
 	if n.refuse != nil {
@@ -42,7 +42,7 @@
 }
 
 // accepted gives the calls that the node carried out since the last question.
-func (n *coreNode) taken() []string {
+func (n *coreNode) takeCalls() []string {
 	n.core.mu.Lock()
 	defer n.core.mu.Unlock()
 	done := n.done
@@ -57,25 +57,25 @@
 }
 
 func (n *coreNode) Submit(_ context.Context, call SubmitCall) (SubmitAnswer, error) {
-	return SubmitAnswer{State: jobs.Queued}, n.carryOut("submit " + call.Spec.ID)
+	return SubmitAnswer{State: jobs.Queued}, n.execute("submit " + call.Spec.ID)
 }
 func (n *coreNode) Job(_ context.Context, call JobCall) (JobAnswer, error) {
-	return JobAnswer{Gone: true}, n.carryOut("job " + call.Location.Path)
+	return JobAnswer{Gone: true}, n.execute("job " + call.Location.Path)
 }
 func (n *coreNode) Count(_ context.Context, call CountCall) (CountAnswer, error) {
-	return CountAnswer{Waiting: 7}, n.carryOut("count " + call.Location.Host)
+	return CountAnswer{Waiting: 7}, n.execute("count " + call.Location.Host)
 }
 func (n *coreNode) Heartbeat(_ context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
-	return HeartbeatAnswer{HeartbeatAddress: n.addr}, n.carryOut("beat " + call.Worker.ID)
+	return HeartbeatAnswer{HeartbeatAddress: n.addr}, n.execute("beat " + call.Worker.ID)
 }
 func (n *coreNode) Config(context.Context, ConfigCall) (jobs.Config, error) {
-	return jobs.Config{Version: 3}, n.carryOut("config")
+	return jobs.Config{Version: 3}, n.execute("config")
 }
 func (n *coreNode) Configure(_ context.Context, call jobs.Configure) (ConfigureAnswer, error) {
-	return ConfigureAnswer{}, n.carryOut("configure " + call.Digest)
+	return ConfigureAnswer{}, n.execute("configure " + call.Digest)
 }
 func (n *coreNode) Evacuate(_ context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
-	return EvacuateAnswer{}, n.carryOut("evacuate " + call.Zone)
+	return EvacuateAnswer{}, n.execute("evacuate " + call.Zone)
 }
 func (n *coreNode) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
 	n.core.mu.Lock()
@@ -130,8 +130,8 @@
 	So([]any{job.Gone, err}, ShouldResemble, []any{true, nil})
 	count, err := c.Count(ctx, CountCall{Location: Location{Host: "h"}})
 	So([]any{count.Waiting, err}, ShouldResemble, []any{7, nil})
-	beat, err := c.Heartbeat(ctx, HeartbeatCall{Worker: jobs.Worker{ID: "w"}})
-	So([]any{beat.HeartbeatAddress, err}, ShouldResemble, []any{leader, nil})
+	heartbeat, err := c.Heartbeat(ctx, HeartbeatCall{Worker: jobs.Worker{ID: "w"}})
+	So([]any{heartbeat.HeartbeatAddress, err}, ShouldResemble, []any{leader, nil})
 	config, err := c.Config(ctx, ConfigCall{})
 	So([]any{config.Version, err}, ShouldResemble, []any{uint64(3), nil})
 	_, err = c.Configure(ctx, jobs.Configure{Digest: "d"})
@@ -150,12 +150,12 @@
 		defer cancel()
 		leader := nodes[2]
 		callAll(ctx, NewClient(patient(k, "", nodes[0].addr)), leader.addr)
-		So(leader.taken(), ShouldResemble, allDone)
+		So(leader.takeCalls(), ShouldResemble, allDone)
 		for _, n := range nodes {
 			callAll(ctx, NewRelay(n, NewClient(patient(k, n.addr, nodes[0].addr)), n.addr), leader.addr)
-			So(leader.taken(), ShouldResemble, allDone)
+			So(leader.takeCalls(), ShouldResemble, allDone)
 		}
-		So(len(nodes[0].taken())+len(nodes[1].taken()), ShouldEqual, 0)
+		So(len(nodes[0].takeCalls())+len(nodes[1].takeCalls()), ShouldEqual, 0)
 	})
 	Convey("A node that does not lead passes on what it cannot do; the leader's own word stands", t, func() {
 		nodes, k, end := startCore(2)
@@ -176,12 +176,12 @@
 			}
 			So(errs.KindOf(err), ShouldEqual, want)
 		}
-		So(len(leader.taken()), ShouldEqual, 1)
+		So(len(leader.takeCalls()), ShouldEqual, 1)
 		leader.refuses(errs.Unavailable)
 		r := NewRelay(leader, NewClient(patient(k, leader.addr, follower.addr)), leader.addr)
 		_, err := r.Submit(ctx, SubmitCall{})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
-		So(len(follower.taken()), ShouldEqual, 0)
+		So(len(follower.takeCalls()), ShouldEqual, 0)
 	})
 	Convey("A client that is started gets ready, and a core that has gone is told as Unavailable", t, func() {
 		nodes, k, end := startCore(2)
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -36,19 +36,19 @@
 // Serve adds the endpoints of the core to s, answered by local: a call that reaches the wrong node is refused, not
 // forwarded. Call it before s starts.
 func Serve(s *rpc.Server, local Local) {
-	handle(s, SubmitPair, local.Submit)
-	handle(s, JobPair, local.Job)
-	handle(s, CountPair, local.Count)
-	handle(s, HeartbeatPair, local.Heartbeat)
-	handle(s, ConfigPair, local.Config)
-	handle(s, ConfigurePair, local.Configure)
-	handle(s, EvacuatePair, local.Evacuate)
-	handle(s, TopologyPair, local.Topology)
-	handle(s, ShowPair, local.Show)
-	handle(s, CancelPair, local.Cancel)
-	handle(s, ListPair, local.List)
-	handle(s, QueuesPair, local.Queues)
-	handle(s, WorkersPair, local.Workers)
+	handle(s, SubmitEndpoint, local.Submit)
+	handle(s, JobEndpoint, local.Job)
+	handle(s, CountEndpoint, local.Count)
+	handle(s, HeartbeatEndpoint, local.Heartbeat)
+	handle(s, ConfigEndpoint, local.Config)
+	handle(s, ConfigureEndpoint, local.Configure)
+	handle(s, EvacuateEndpoint, local.Evacuate)
+	handle(s, TopologyEndpoint, local.Topology)
+	handle(s, ShowEndpoint, local.Show)
+	handle(s, CancelEndpoint, local.Cancel)
+	handle(s, ListEndpoint, local.List)
+	handle(s, QueuesEndpoint, local.Queues)
+	handle(s, WorkersEndpoint, local.Workers)
 }
 
 func handle[C, A any](s *rpc.Server, p rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -37,7 +37,7 @@
 func (c *Client) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	call := StartCall{Worker: worker.ID, Run: RunOf(order.Key), Needs: NeedsOf(order.Needs), Payload: order.Payload,
 		Checkpoint: order.Checkpoint, Deadline: order.LeaseDeadline, Token: order.Token}
-	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartPair, call, c.timeout)
+	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartEndpoint, call, c.timeout)
 	if errs.Is(err, errs.Malformed) && rpc.IsRemote(err) {
 		return scheduler.StartAnswer{Refusal: scheduler.RefusedInvalid}, nil
 	}
@@ -67,7 +67,7 @@
 // Stop tells worker to stop one run.
 func (c *Client) Stop(ctx context.Context, worker jobs.Worker, order scheduler.StopOrder) error {
 	call := StopCall{Worker: worker.ID, Run: RunOf(order.Key), Token: order.Token}
-	answer, err := rpc.Call(ctx, c.renewals, worker.Address, StopPair, call, c.timeout)
+	answer, err := rpc.Call(ctx, c.renewals, worker.Address, StopEndpoint, call, c.timeout)
 	if err != nil {
 		return errs.Pass(err, "stop on %s", worker.ID)
 	}
@@ -77,8 +77,8 @@
 // Hold renews the lease of worker and asks for its lists.
 func (c *Client) RenewLease(ctx context.Context, worker jobs.Worker, call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
 	wait := min(max(call.Wait, 0), maxWait)
-	sent := RenewLeaseCall{Worker: worker.ID, Token: call.Token, SeenUpTo: call.AcknowledgedUpTo, Deadline: call.LeaseDeadline, Wait: wait}
-	answer, err := rpc.Call(ctx, c.renewals, worker.Address, RenewLeasePair, sent, c.timeout+wait)
+	sent := RenewLeaseCall{Worker: worker.ID, Token: call.Token, AcknowledgedUpTo: call.AcknowledgedUpTo, Deadline: call.LeaseDeadline, Wait: wait}
+	answer, err := rpc.Call(ctx, c.renewals, worker.Address, RenewLeaseEndpoint, sent, c.timeout+wait)
 	if err != nil {
 		return scheduler.RenewalAnswer{}, errs.Pass(err, "hold on %s", worker.ID)
 	}
--- a/internal/httpapi/workerapi/golden_test.go
+++ b/internal/httpapi/workerapi/golden_test.go
@@ -10,9 +10,9 @@
 // TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
-		pair(StartPair),
-		pair(StopPair),
-		pair(RenewLeasePair),
+		pair(StartEndpoint),
+		pair(StopEndpoint),
+		pair(RenewLeaseEndpoint),
 		golden.Shape("run", Run{}),
 		golden.Shape("needs", Needs{}),
 		golden.Shape("running run", RunningRun{}),
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -80,11 +80,11 @@
 
 // RenewLeaseCall renews a worker's lease and asks what runs and what has ended.
 type RenewLeaseCall struct {
-	Worker   string        `json:"worker"`
-	Token    uint64        `json:"token"`
-	SeenUpTo uint64        `json:"seen"`               // ends numbered up to it are durable: the worker forgets them
-	Deadline time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: none
-	Wait     time.Duration `json:"wait,omitempty"`     // how long the answer may be kept back until a run ends
+	Worker           string        `json:"worker"`
+	Token            uint64        `json:"token"`
+	AcknowledgedUpTo uint64        `json:"seen"`               // ends numbered up to it are durable: the worker forgets them
+	Deadline         time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: none
+	Wait             time.Duration `json:"wait,omitempty"`     // how long the answer may be kept back until a run ends
 }
 
 // RunningRun is a run that is not over.
@@ -115,7 +115,7 @@
 // The calls that a worker answers. Failures: errs.Unknown: another life answers, the named one is gone for good;
 // errs.Stale: the worker has seen a higher token, nothing was done; errs.Malformed: the call cannot be read.
 var (
-	StartPair      = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
-	StopPair       = rpc.Endpoint[StopCall, StopAnswer]{Path: "/v2/stop"}
-	RenewLeasePair = rpc.Endpoint[RenewLeaseCall, RenewLeaseAnswer]{Path: "/v2/hold"}
+	StartEndpoint      = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
+	StopEndpoint       = rpc.Endpoint[StopCall, StopAnswer]{Path: "/v2/stop"}
+	RenewLeaseEndpoint = rpc.Endpoint[RenewLeaseCall, RenewLeaseAnswer]{Path: "/v2/hold"}
 )
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -22,10 +22,10 @@
 // startLeader starts a core of one node; a cancel is held until gate is closed.
 func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, end func()) {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	rpc.Handle(s, controller.TopologyPair, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
+	rpc.Handle(s, controller.TopologyEndpoint, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
 		return controller.TopologyAnswer{Leader: s.Addr(), Members: []string{s.Addr()}}, nil
 	})
-	rpc.Handle(s, controller.JobPair, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
+	rpc.Handle(s, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
 		entered <- struct{}{}
 		<-gate
 		return controller.JobAnswer{State: jobs.Cancelled}, nil
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -279,7 +279,7 @@
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return errs.Pass(err, "hold")
 	}
-	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e workerapi.EndedRun) bool { return e.Sequence <= call.SeenUpTo })
+	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e workerapi.EndedRun) bool { return e.Sequence <= call.AcknowledgedUpTo })
 	c.leaseDeadline = max(c.leaseDeadline, call.Deadline)
 	return nil
 }
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -110,9 +110,9 @@
 	h.core = NewCore(h.id, settings.Capacity, h.record)
 	h.caller = rpc.NewClient(rpc.ClientOptions{Logger: logger, Clock: clock})
 	h.server = rpc.NewServer(rpc.ServerOptions{Addr: settings.Address, Logger: logger, Clock: clock, Loops: 1})
-	rpc.Handle(h.server, workerapi.StartPair, h.start)
-	rpc.Handle(h.server, workerapi.StopPair, h.stop)
-	rpc.Handle(h.server, workerapi.RenewLeasePair, h.renewLease)
+	rpc.Handle(h.server, workerapi.StartEndpoint, h.start)
+	rpc.Handle(h.server, workerapi.StopEndpoint, h.stop)
+	rpc.Handle(h.server, workerapi.RenewLeaseEndpoint, h.renewLease)
 	h.record(Event{Event: EventWorkerStart, Worker: h.id, Zone: settings.Zone, Rack: settings.Rack, Labels: settings.Labels, Needs: settings.Capacity})
 	if err := h.server.Start(); err != nil {
 		h.close()
