--- /dev/null
+++ b/internal/controller/commands_test.go
@@ -0,0 +1,140 @@
+package controller
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/state/command"
+)
+
+// submitCall hands in job j of queue q.
+func submitCall(digest string) SubmitCall {
+	return SubmitCall{Location: Location{Host: "h", Path: "/q/j"}, Digest: digest,
+		Spec: jobs.Spec{ID: "j", Payload: "p", Steps: []jobs.Step{{Count: 1, Estimate: time.Second}}}}
+}
+
+func configured(store *fakeStore, version uint64) {
+	_, err := store.commit(&command.JobConfigure{Configure: jobs.Configure{Base: version - 1, Version: version, Replace: true,
+		Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s",
+			MaxAttempts: 3, Stretch: 2, Target: time.Second, Timeout: time.Second}}}})
+	So(err, ShouldBeNil)
+}
+
+func TestSubmitIsIdempotent(t *testing.T) {
+	ctx := context.Background()
+	Convey("A job that is handed in again stays one job", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		configured(store, 1)
+		Convey("seconds after it was accepted, at a new leader", func() {
+			_, err := l.Submit(ctx, submitCall("d"))
+			So(err, ShouldBeNil)
+			accepted := *store.state.JobTable.Jobs["j"]
+			by.Advance(5 * time.Second)
+			answer, err := fakeLeader(store, by).Submit(ctx, submitCall("d"))
+			So([]any{answer.State, err}, ShouldResemble, []any{jobs.Queued, nil})
+			So(store.state.JobTable.Jobs, ShouldHaveLength, 1)
+			So(store.state.JobTable.Jobs["j"].Sequence, ShouldEqual, accepted.Sequence)
+			So(store.state.JobTable.Jobs["j"].AcceptedAt, ShouldResemble, accepted.AcceptedAt)
+		})
+		Convey("when nobody knows whether the first attempt was committed", func() {
+			for _, late := range []bool{false, true} {
+				store.refuses, store.late = errs.Timeout, late
+				_, err := l.Submit(ctx, submitCall("d"))
+				So(errs.KindOf(err), ShouldEqual, errs.Timeout)
+				store.refuses = ""
+				_, err = l.Submit(ctx, submitCall("d"))
+				So(err, ShouldBeNil)
+				So(store.state.JobTable.Jobs, ShouldHaveLength, 1)
+			}
+		})
+		Convey("when it is over, and after it was cancelled", func() {
+			_, err := l.Submit(ctx, submitCall("d"))
+			So(err, ShouldBeNil)
+			_, err = l.Job(ctx, JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true})
+			So(err, ShouldBeNil)
+			answer, err := l.Submit(ctx, submitCall("d"))
+			So([]any{answer.State, err}, ShouldResemble, []any{jobs.Cancelled, nil})
+		})
+		Convey("another job under its ID is refused", func() {
+			_, err := l.Submit(ctx, submitCall("d"))
+			So(err, ShouldBeNil)
+			_, err = l.Submit(ctx, submitCall("other"))
+			So(errs.KindOf(err), ShouldEqual, errs.Conflict)
+		})
+		Convey("a node without a configuration says that it took nothing, not that there is no queue", func() {
+			_, err := fakeLeader(newFakeStore(), by).Submit(ctx, submitCall("d"))
+			So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
+		})
+	})
+}
+
+func TestCancelIsIdempotent(t *testing.T) {
+	ctx := context.Background()
+	cancel := JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true}
+	Convey("Given a job and a cancel whose answer is lost", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		configured(store, 1)
+		_, err := l.Submit(ctx, submitCall("d"))
+		So(err, ShouldBeNil)
+		for _, late := range []bool{false, true} {
+			store.refuses, store.late = errs.Timeout, late
+			_, err = l.Job(ctx, cancel)
+			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
+		}
+		store.refuses = ""
+		Convey("the next one is acknowledged, by this or by a new leader, as often as it comes", func() {
+			for _, leader := range []*Leader{l, fakeLeader(store, by), l} {
+				answer, err := leader.Job(ctx, cancel)
+				So([]any{answer.State, answer.Gone, err}, ShouldResemble, []any{jobs.Cancelled, false, nil})
+			}
+		})
+		Convey("one that comes when the job is forgotten says so", func() {
+			store.state.JobTable.Purge(by.Wall().Add(time.Hour))
+			answer, err := l.Job(ctx, cancel)
+			So([]any{answer.Gone, err}, ShouldResemble, []any{true, nil})
+		})
+	})
+}
+
+// TestCancelDuringLeaderLoss plays a front's cancels over the loss of the leader.
+func TestCancelDuringLeaderLoss(t *testing.T) {
+	// ackTime is the shortest time within which the platform wants a cancel acknowledged.
+	const ackTime = 4 * time.Second
+	// electionTime is the longest until the core has another leader.
+	const electionTime = 1500 * time.Millisecond
+	Convey("A cancel is acknowledged in time although the leader is lost before, while or after it takes it", t, func() {
+		for name, lose := range map[string]func(f *fakeCore) node{
+			"killed": func(*fakeCore) node { return connectionRefused },
+			"silent": func(f *fakeCore) node { return f.timesOut },
+			"hangs":  func(f *fakeCore) node { return f.connectTimesOut },
+			"stops":  func(*fakeCore) node { return failsWith(errs.Stopped) },
+			"cut":    func(*fakeCore) node { return failsWith(errs.Timeout) },
+		} {
+			f := newFakeCore(nil, "a", "b", "c")
+			newLeader := func(ctx context.Context, q query, answer any, timeout time.Duration) reply {
+				if f.clock.Now() < electionTime {
+					return redirectsTo("a")(ctx, q, answer, timeout)
+				}
+				return answersAsLeader(ctx, q, answer, timeout)
+			}
+			f.nodes = map[string]node{"a": lose(f), "b": newLeader, "c": redirectsTo("b")}
+			f.directory.recordLeader("a")
+			// The client asks a front again and again, each time for a second; it gives no answer later than that.
+			for f.clock.Now() < ackTime {
+				if _, err := f.Job(f.until(time.Second), JobCall{Cancel: true}); err == nil {
+					break
+				}
+			}
+			So(f.clock.Now(), ShouldBeLessThan, ackTime)
+			t.Log(name, f.clock.Now())
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/heartbeat_test.go
@@ -0,0 +1,130 @@
+package controller
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/state/command"
+)
+
+// heartbeat is a call of a worker that is ready.
+func heartbeat(sequence uint64) HeartbeatCall {
+	return HeartbeatCall{Sequence: sequence, Clock: time.Minute, Worker: jobs.Worker{ID: "w1", Address: "10.0.0.1:80", Service: "s",
+		Zone: "z", Capacity: jobs.Resources{MilliCPU: 4000}}}
+}
+
+func sendHeartbeat(l *Leader, call HeartbeatCall) {
+	answer, err := l.Heartbeat(context.Background(), call)
+	So(err, ShouldBeNil)
+	So(answer.HeartbeatAddress, ShouldEqual, "lead:2")
+}
+
+func draining(call HeartbeatCall) HeartbeatCall {
+	call.Worker.Draining, call.Remaining = true, 2*time.Second
+	return call
+}
+
+func TestLateHeartbeats(t *testing.T) {
+	Convey("Given a worker that drains, and earlier heartbeats of it that come late", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		sendHeartbeat(l, heartbeat(1))
+		sendHeartbeat(l, draining(heartbeat(5)))
+		record := func() jobs.Worker { return *store.state.JobTable.Workers["w1"] }
+		So(record().Draining, ShouldBeTrue)
+		Convey("they are acknowledged and change nothing", func() {
+			before, entries := record(), store.index
+			for _, sequence := range []uint64{4, 2, 3, 1} {
+				late := heartbeat(sequence)
+				late.Worker.Address = "10.0.0.9:80"
+				by.Advance(time.Second)
+				sendHeartbeat(l, late)
+			}
+			So(record(), ShouldResemble, before)
+			So(store.index, ShouldEqual, entries)
+		})
+		Convey("at a new leader, which has not seen the newer ones, the worker drains still", func() {
+			other := fakeLeader(store, by)
+			sendHeartbeat(other, heartbeat(4))
+			So(record().Draining, ShouldBeTrue)
+			sendHeartbeat(other, draining(heartbeat(6)))
+			sendHeartbeat(other, heartbeat(5))
+			So(record().Draining, ShouldBeTrue)
+		})
+		Convey("the same heartbeat sent again after a lost answer is acknowledged", func() {
+			sendHeartbeat(l, draining(heartbeat(5)))
+			So(record().Draining, ShouldBeTrue)
+		})
+	})
+	Convey("What a heartbeat changes is committed before it is acknowledged", t, func() {
+		store := newFakeStore()
+		l := fakeLeader(store, &clock.Virtual{})
+		sendHeartbeat(l, heartbeat(1))
+		store.refuses = errs.Timeout
+		_, err := l.Heartbeat(context.Background(), draining(heartbeat(2)))
+		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
+		store.refuses = ""
+		sendHeartbeat(l, draining(heartbeat(3)))
+		So(store.state.JobTable.Workers["w1"].Draining, ShouldBeTrue)
+	})
+}
+
+func TestLeavingWorker(t *testing.T) {
+	Convey("Given a worker that never says that it drains, but that it ends, and serves on", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		sendHeartbeat(l, heartbeat(1))
+		sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
+		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
+		Convey("heartbeats that come later do not bring it back, here or at a new leader", func() {
+			sendHeartbeat(l, heartbeat(2))
+			sendHeartbeat(fakeLeader(store, by), heartbeat(3))
+			So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
+		})
+		Convey("said again it is acknowledged and changes nothing", func() {
+			entries := store.index
+			sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
+			So(store.index, ShouldEqual, entries)
+		})
+	})
+	Convey("A worker that is not known yet has left all the same: its heartbeat may come later", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
+		sendHeartbeat(l, heartbeat(1))
+		sendHeartbeat(fakeLeader(store, by), heartbeat(2))
+		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
+	})
+	Convey("The sequence numbers of workers that are forgotten are let go", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		sendHeartbeat(l, heartbeat(1))
+		So(l.heartbeats.byWorker, ShouldHaveLength, 1)
+		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
+		So(err, ShouldBeNil)
+		l.pass()
+		So(l.heartbeats.byWorker, ShouldBeEmpty)
+	})
+	Convey("Also those of workers that were forgotten while another node led", t, func() {
+		store, by := newFakeStore(), &clock.Virtual{}
+		l := fakeLeader(store, by)
+		l.opt.Mailboxes = NewMailboxes()
+		l.opt.Mailboxes.mailboxOf("w1")
+		sendHeartbeat(l, heartbeat(1))
+		lead := store.term
+		store.term = 0
+		l.pass()
+		store.term = lead + 1
+		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
+		So(err, ShouldBeNil)
+		l.pass()
+		So(l.heartbeats.byWorker, ShouldBeEmpty)
+		So(l.opt.Mailboxes.byWorker, ShouldBeEmpty)
+	})
+}
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -14,26 +14,9 @@
 	"crosstide/internal/controller/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
-	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
 
-func (n *coreNode) Show(_ context.Context, call ShowCall) (JobView, error) {
-	return JobView{ID: call.ID}, n.execute("show " + call.ID)
-}
-func (n *coreNode) Cancel(_ context.Context, call CancelCall) (JobAnswer, error) {
-	return JobAnswer{State: jobs.Cancelled}, n.execute("cancel " + call.ID)
-}
-func (n *coreNode) List(_ context.Context, call ListCall) (ListAnswer, error) {
-	return ListAnswer{More: true}, n.execute("list " + call.Queue)
-}
-func (n *coreNode) Queues(context.Context, QueuesCall) (QueuesAnswer, error) {
-	return QueuesAnswer{Queues: []QueueView{{Name: "q"}}}, n.execute("queues")
-}
-func (n *coreNode) Workers(context.Context, WorkersCall) (WorkersAnswer, error) {
-	return WorkersAnswer{Evacuated: []string{"z"}}, n.execute("workers")
-}
-
 func TestQueriesReachTheLeader(t *testing.T) {
 	Convey("Calls by ID reach the leader from a client, once, and those of operators from any node", t, func() {
 		nodes, k, end := startCore(2)
@@ -61,36 +44,6 @@
 	})
 }
 
-// singleNodeStore is a store of one node, which leads in term 1.
-type singleNodeStore struct {
-	state *state.State
-	index uint64
-
-	follows bool // another node leads
-}
-
-func newSingleNodeStore() *singleNodeStore { return &singleNodeStore{state: state.New()} }
-
-func (s *singleNodeStore) View(read func(*state.State)) { read(s.state) }
-func (s *singleNodeStore) LeaderTerm(time.Duration) (uint64, bool) {
-	if s.follows {
-		return 0, false
-	}
-	return 1, true
-}
-func (s *singleNodeStore) Changed() <-chan struct{}               { return nil }
-func (s *singleNodeStore) ReachableVoters() []string              { return []string{"here"} }
-func (s *singleNodeStore) Members() (leader string, all []string) { return "here", []string{"here"} }
-func (s *singleNodeStore) ProposeIn(_ context.Context, term uint64, c command.Command) (uint64, any, error) {
-	s.index++
-	data, err := command.Encode(time.Unix(0, 0), c)
-	if err != nil {
-		return 0, nil, errs.Pass(err, "encode")
-	}
-	answer, err := command.Apply(s.state, s.index, term, data)
-	return s.index, answer, errs.Pass(err, "apply")
-}
-
 // gatheredMetrics gives the figures of a registry: name, labels, value.
 func gatheredMetrics(registry *prometheus.Registry) []string {
 	families, err := registry.Gather()
@@ -110,7 +63,7 @@
 
 func TestLeaderQueries(t *testing.T) {
 	Convey("Given a leader with two queues and a worker", t, func() {
-		store := newSingleNodeStore()
+		store := newFakeStore()
 		clock := &clock.Virtual{}
 		leader := NewLeader(LeaderOptions{Store: store, Config: scheduler.Defaults(), Clock: clock, Logger: log.NewNopLogger()})
 		ctx := context.Background()
@@ -131,7 +84,7 @@
 		_, err = leader.Heartbeat(ctx, HeartbeatCall{Sequence: 1, Worker: jobs.Worker{ID: "w", Service: "s", Zone: "z", Capacity: jobs.Resources{MilliCPU: 1000}}})
 		So(err, ShouldBeNil)
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "j2", Index: 1}, Number: 1}
-		_, _, err = store.ProposeIn(ctx, 1, &command.JobProgress{Progress: jobs.Progress{Term: 1,
+		_, _, err = store.ProposeIn(ctx, store.term, &command.JobProgress{Progress: jobs.Progress{Term: store.term,
 			Starts: []jobs.Start{{Task: key.Task, Number: 1, Worker: "w"}}}})
 		So(err, ShouldBeNil)
 
@@ -190,7 +143,7 @@
 			leader.latestHealth.Store(&scheduler.Health{Discarded: map[scheduler.Cause]scheduler.Discarded{scheduler.CauseMoved: {Runs: 2, CoreSeconds: 7}}})
 			So(gatheredMetrics(registry), ShouldContain, "crosstide_jobs_discarded_runs_total cause=moved 2")
 			So(gatheredMetrics(registry), ShouldContain, "crosstide_jobs_discarded_core_seconds_total cause=moved 7")
-			store.follows = true
+			store.term = 0
 			So(gatheredMetrics(registry), ShouldResemble, []string{"crosstide_jobs_leads 0"})
 		})
 		Convey("workers tell what runs on them", func() {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sync"
 	"testing"
 	"time"
 
@@ -13,100 +12,6 @@
 	"crosstide/internal/rpc"
 )
 
-// coreNode is a node of a core in which leader (an address) leads. It counts the calls that it carried out.
-type coreNode struct {
-	addr   string
-	core   *coreNodes
-	refuse error // answered instead
-	done   []string
-}
-
-// coreNodes is what the nodes of a core share; mu is for all their fields too.
-type coreNodes struct {
-	mu      sync.Mutex
-	leader  string
-	members []string
-}
-
-func (n *coreNode) execute(name string) error {
-	n.core.mu.Lock()
-	defer n.core.mu.Unlock()
-	if n.refuse != nil {
-		return n.refuse
-	}
-	if n.core.leader != n.addr {
-		return &errs.Error{Kind: errs.NotLeader, Message: "on purpose", Hint: n.core.leader}
-	}
-	n.done = append(n.done, name)
-	return nil
-}
-
-// accepted gives the calls that the node carried out since the last question.
-func (n *coreNode) takeCalls() []string {
-	n.core.mu.Lock()
-	defer n.core.mu.Unlock()
-	done := n.done
-	n.done = nil
-	return done
-}
-
-func (n *coreNode) refuses(kind errs.Kind) {
-	n.core.mu.Lock()
-	defer n.core.mu.Unlock()
-	n.refuse = errs.New(kind, "on purpose")
-}
-
-func (n *coreNode) Submit(_ context.Context, call SubmitCall) (SubmitAnswer, error) {
-	return SubmitAnswer{State: jobs.Queued}, n.execute("submit " + call.Spec.ID)
-}
-func (n *coreNode) Job(_ context.Context, call JobCall) (JobAnswer, error) {
-	return JobAnswer{Gone: true}, n.execute("job " + call.Location.Path)
-}
-func (n *coreNode) Count(_ context.Context, call CountCall) (CountAnswer, error) {
-	return CountAnswer{Waiting: 7}, n.execute("count " + call.Location.Host)
-}
-func (n *coreNode) Heartbeat(_ context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
-	return HeartbeatAnswer{HeartbeatAddress: n.addr}, n.execute("beat " + call.Worker.ID)
-}
-func (n *coreNode) Config(context.Context, ConfigCall) (jobs.Config, error) {
-	return jobs.Config{Version: 3}, n.execute("config")
-}
-func (n *coreNode) Configure(_ context.Context, call jobs.Configure) (ConfigureAnswer, error) {
-	return ConfigureAnswer{}, n.execute("configure " + call.Digest)
-}
-func (n *coreNode) Evacuate(_ context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
-	return EvacuateAnswer{}, n.execute("evacuate " + call.Zone)
-}
-func (n *coreNode) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
-	n.core.mu.Lock()
-	defer n.core.mu.Unlock()
-	return TopologyAnswer{Leader: n.core.leader, Members: n.core.members}, nil
-}
-
-// startCore starts a core of n nodes on loopback; the last one leads.
-func startCore(n int) (nodes []*coreNode, caller *rpc.Client, end func()) {
-	core := &coreNodes{}
-	caller = rpc.NewClient(rpc.ClientOptions{})
-	var servers []*rpc.Server
-	for range n {
-		one := &coreNode{core: core}
-		s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Serve(s, one)
-		So(s.Start(), ShouldBeNil)
-		core.mu.Lock()
-		one.addr = s.Addr()
-		core.leader, core.members = one.addr, append(core.members, one.addr)
-		core.mu.Unlock()
-		nodes, servers = append(nodes, one), append(servers, s)
-	}
-	return nodes, caller, func() {
-		caller.Close()
-		for _, s := range servers {
-			So(s.Stop(time.Minute), ShouldBeNil)
-		}
-	}
-}
-
 // patient are the options of a client whose attempts a busy machine does not cut short.
 func patient(caller *rpc.Client, self string, seeds ...string) ClientOptions {
 	return ClientOptions{Caller: caller, Seeds: seeds, Self: self, Attempt: 30 * time.Second}
