--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -1,6 +1,3 @@
-// Package jobsnode builds the two kinds of nodes that serve jobs, from typed options: a core node is a member of the
-// replicated store with the leader's controller, a front node takes clients' calls and passes them on. What is said to
-// clients, workers and operators is the caller's to add.
 package jobsnode
 
 import (
@@ -23,55 +20,60 @@
 )
 
 const (
-	dialTimeout        = 700 * time.Millisecond  // a connection to a machine that is gone hangs
-	userTimeout        = 1500 * time.Millisecond // how long the kernel resends bytes that nobody confirms
-	peerIdleConns      = 5                       // idle connections that a core node keeps to each other node
-	renewalIdleConns   = 2                       // and to each worker: one for a hold call that waits, one for what is asked at once
-	renewalIdleTimeout = 3 * time.Second         // hold calls to a worker that runs something follow one another sooner
-	startIdleConns     = 1                       // and for starts, which go one after the other
-	workerReadBuffer   = 1 << 10                 // bytes of the read buffer of a connection to a worker, whose answers are short
-	minGrace           = time.Second             // for handing the lead over
-	drainTimeout       = time.Second             // for calls that run at the end
+	dialTimeout = 700 * time.Millisecond  // a connection to a machine that is gone hangs
+	userTimeout = 1500 * time.Millisecond // how long the kernel resends bytes that are not acknowledged
+
+	peerIdleConns = 5 // idle connections that a core node keeps to each other node
+
+	// Of connections to workers, which are many and whose answers are short.
+	renewalIdleConns   = 2               // to each: one for a renewal that waits, one for calls answered at once
+	renewalIdleTimeout = 3 * time.Second // renewals to a worker that runs something follow one another sooner
+	startIdleConns     = 1               // to each: starts go one after the other
+	workerReadBuffer   = 1 << 10         // bytes
+
+	minGrace     = time.Second // for the transfer of the lead
+	drainTimeout = time.Second // for calls under way when the node stops
 )
 
-// CoreOptions are the parts of a core node.
+// CoreOptions are the parts and settings of a core node.
 type CoreOptions struct {
 	Store config.ControlPlane // settings of the store; its seeds are the nodes to ask at first
-	// Open opens the store; it may wait until ctx ends.
+	// OpenStore opens the store; it may wait until ctx ends.
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
 	Scheduler    scheduler.Config
-	JobRetention time.Duration // how long a job that is over stays; 0 takes a default
-	// Workers carries hold calls, stops and starts to workers. It is not asked with OrdersByHeartbeat.
+	JobRetention time.Duration // how long a job that is over stays in the table; 0 takes the controller's default
+	// Workers makes what carries renewals, stops and starts to workers, over two clients. It is not called with
+	// OrdersByHeartbeat.
 	Workers           func(renewals, starts *rpc.Client) scheduler.Workers
 	OrdersByHeartbeat bool   // orders go with the answers to workers' heartbeats
-	ControlAddress    string // address for workers and operators
-	// ControlAddressOf gives the control address of the node with an internal address; then workers are spread over all nodes for
-	// their heartbeats. nil: all go to the leader.
+	ControlAddress    string // for workers and operators
+	// ControlAddressOf returns the control address of the node with an internal address; then workers are spread over
+	// all nodes for their heartbeats. nil: all go to the leader.
 	ControlAddressOf func(internal string) string
 	// ServeControl adds the calls of workers and operators.
 	ServeControl func(control *rpc.Server, relay *controller.Relay)
-	// ServeNodes adds further calls at the address of Store; nil adds none.
+	// ServeNodes adds further calls at the internal address; nil adds none.
 	ServeNodes  func(server *rpc.Server, store *store.Store)
-	OnRemoved   func()                // told when this node was removed from the members while it was away; see store.Options
+	OnRemoved   func()                // called if this node was removed from the members; see store.Options
 	Descriptors int                   // bound on file descriptors; 0: the system's
-	Grace       time.Duration         // for handing the lead over, a second at least
+	Grace       time.Duration         // for the transfer of the lead, a second at least
 	Registry    prometheus.Registerer // nil: metrics are not shown
 	Logger      log.Logger
 	Version     string
 }
 
-// CoreAddresses is a core node.
+// Core is a core node. It owns its clients, servers and store, and closes them when Run returns.
 type Core struct {
 	opt           CoreOptions
-	shares        coreShares
-	peers         *rpc.Client // asks other nodes
-	renewals      *rpc.Client // carries hold calls and stops to workers
+	quotas        coreQuotas
+	peers         *rpc.Client // calls other nodes
+	renewals      *rpc.Client // carries lease renewals and stops to workers
 	starts        *rpc.Client // carries starts to workers
 	store         *store.Store
 	leader        *controller.Leader
-	client        *controller.Client // asks the leader where this node does not lead
-	peerServer    *rpc.Server        // other nodes call it
-	controlServer *rpc.Server        // workers and operators call it
+	client        *controller.Client // calls the leader where this node does not lead
+	peerServer    *rpc.Server        // for other nodes
+	controlServer *rpc.Server        // for workers and operators
 }
 
 // NewCore makes a core node and opens its store, which may wait until ctx ends. Example:
@@ -82,64 +84,98 @@
 //	}
 //	return core.Run(ctx)
 func NewCore(ctx context.Context, opt CoreOptions) (*Core, error) {
-	part := func(name string) log.Logger { return daemon.Part(opt.Logger, name) }
 	n := &Core{opt: opt}
 	var err error
-	if n.shares, err = newCoreShares(opt.Descriptors); err != nil {
+	if n.quotas, err = newCoreQuotas(opt.Descriptors); err != nil {
 		return nil, errs.Pass(err, "connections")
 	}
 	if opt.Registry != nil {
-		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(n.shares.budget))
+		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(n.quotas.limiter))
 	}
-	n.peers = n.newCaller("caller", n.shares.peers, rpc.ClientOptions{MaxIdlePerAddress: peerIdleConns})
-	n.renewals = n.newCaller("holds", n.shares.renewals,
-		rpc.ClientOptions{MaxIdlePerAddress: renewalIdleConns, IdleTimeout: renewalIdleTimeout, ReadBuffer: workerReadBuffer})
-	n.starts = n.newCaller("starts", n.shares.starts,
-		rpc.ClientOptions{MaxIdlePerAddress: startIdleConns, MaxCallsPerAddress: startIdleConns, ReadBuffer: workerReadBuffer})
-	n.store, err = opt.OpenStore(ctx, store.Options{Settings: opt.Store, Net: store.NetworkOf(n.peers, opt.Store), Logger: part("store"),
-		Registry: opt.Registry, Fatal: n.fatal, Removed: opt.OnRemoved}, opt.Logger)
+	n.makeClients()
+	n.store, err = opt.OpenStore(ctx, n.storeOptions(), opt.Logger)
 	if err != nil {
-		n.closeCallers()
+		n.closeClients()
 		return nil, errs.Pass(err, "open the store")
 	}
 	n.leader = controller.NewLeader(n.leaderOptions())
 	if opt.Registry != nil {
 		opt.Registry.MustRegister(controller.NewMetrics(n.leader))
 	}
-	n.client = controller.NewClient(controller.ClientOptions{Caller: n.peers, Seeds: opt.Store.Seeds, Self: opt.Store.Addr,
-		Logger: part("client")})
-	n.peerServer = n.server(opt.Store.Addr, "wire", n.shares.nodes)
-	n.store.Serve(n.peerServer)
-	controller.Serve(n.peerServer, n.leader)
-	if opt.ServeNodes != nil {
-		opt.ServeNodes(n.peerServer, n.store)
-	}
-	n.controlServer = n.server(opt.ControlAddress, "control", n.shares.control)
-	opt.ServeControl(n.controlServer, controller.NewRelay(n.leader, n.client, opt.Store.Addr))
+	n.client = controller.NewClient(controller.ClientOptions{
+		Caller: n.peers, Seeds: opt.Store.Seeds, Self: opt.Store.Addr, Logger: n.logger("client"),
+	})
+	n.makeServers()
 	return n, nil
 }
 
-// newCaller makes a caller within a share; options holds what is its own.
-func (n *Core) newCaller(part string, share *rpc.ConnQuota, options rpc.ClientOptions) *rpc.Client {
+func (n *Core) logger(part string) log.Logger { return daemon.Part(n.opt.Logger, part) }
+
+// makeClients makes the clients, whose order is that of their metrics. Starts have a client of their own, so that
+// renewals and stops, which keep work alive or end it, wait for no start's connection.
+func (n *Core) makeClients() {
+	n.peers = n.newClient("caller", n.quotas.peers, rpc.ClientOptions{MaxIdlePerAddress: peerIdleConns})
+	n.renewals = n.newClient("holds", n.quotas.renewals, rpc.ClientOptions{
+		MaxIdlePerAddress: renewalIdleConns, IdleTimeout: renewalIdleTimeout, ReadBuffer: workerReadBuffer,
+	})
+	n.starts = n.newClient("starts", n.quotas.starts, rpc.ClientOptions{
+		MaxIdlePerAddress: startIdleConns, MaxCallsPerAddress: startIdleConns, ReadBuffer: workerReadBuffer,
+	})
+}
+
+// newClient completes the options of a client that takes its connections from a quota.
+func (n *Core) newClient(part string, quota *rpc.ConnQuota, options rpc.ClientOptions) *rpc.Client {
 	options.DialTimeout, options.UserTimeout, options.DialOverrides = dialTimeout, userTimeout, n.opt.Store.Via
-	options.Registry, options.Logger, options.Quota = n.opt.Registry, daemon.Part(n.opt.Logger, part), share
+	options.Registry, options.Logger, options.Quota = n.opt.Registry, n.logger(part), quota
 	return rpc.NewClient(options)
 }
 
-func (n *Core) closeCallers() {
-	for _, caller := range []*rpc.Client{n.peers, n.renewals, n.starts} {
-		caller.Close()
+func (n *Core) closeClients() {
+	for _, client := range []*rpc.Client{n.peers, n.renewals, n.starts} {
+		client.Close()
 	}
 }
 
-func (n *Core) server(addr, part string, share *rpc.ConnQuota) *rpc.Server {
-	return rpc.NewServer(rpc.ServerOptions{Addr: addr, Loops: 1, Descriptors: n.opt.Descriptors, Registry: n.opt.Registry,
-		Logger: daemon.Part(n.opt.Logger, part), Quota: share})
+// makeServers makes the servers and adds their calls.
+func (n *Core) makeServers() {
+	n.peerServer = n.newServer(n.opt.Store.Addr, "wire", n.quotas.nodes)
+	n.store.Serve(n.peerServer)
+	controller.Serve(n.peerServer, n.leader)
+	if n.opt.ServeNodes != nil {
+		n.opt.ServeNodes(n.peerServer, n.store)
+	}
+	n.controlServer = n.newServer(n.opt.ControlAddress, "control", n.quotas.control)
+	n.opt.ServeControl(n.controlServer, controller.NewRelay(n.leader, n.client, n.opt.Store.Addr))
+}
+
+func (n *Core) newServer(addr, part string, quota *rpc.ConnQuota) *rpc.Server {
+	return rpc.NewServer(rpc.ServerOptions{
+		Addr: addr, Loops: 1, Descriptors: n.opt.Descriptors, Registry: n.opt.Registry, Logger: n.logger(part),
+		Quota: quota,
+	})
+}
+
+func (n *Core) storeOptions() store.Options {
+	return store.Options{
+		Settings: n.opt.Store,
+		Net:      store.NetworkOf(n.peers, n.opt.Store),
+		Logger:   n.logger("store"),
+		Registry: n.opt.Registry,
+		Fatal:    n.fatal,
+		Removed:  n.opt.OnRemoved,
+	}
 }
 
 func (n *Core) leaderOptions() controller.LeaderOptions {
-	options := controller.LeaderOptions{Store: n.store, Config: n.opt.Scheduler, ControlAddress: n.opt.ControlAddress, ControlAddressOf: n.opt.ControlAddressOf, JobRetention: n.opt.JobRetention,
-		Clock: clock.Real{}, Logger: daemon.Part(n.opt.Logger, "controller")}
+	options := controller.LeaderOptions{
+		Store:            n.store,
+		Config:           n.opt.Scheduler,
+		ControlAddress:   n.opt.ControlAddress,
+		ControlAddressOf: n.opt.ControlAddressOf,
+		JobRetention:     n.opt.JobRetention,
+		Clock:            clock.Real{},
+		Logger:           n.logger("controller"),
+	}
 	if n.opt.OrdersByHeartbeat {
 		options.Mailboxes = controller.NewMailboxes()
 		options.Workers = options.Mailboxes
@@ -149,14 +185,15 @@
 	return options
 }
 
+// fatal ends the process at once: a store that cannot write must acknowledge nothing more.
 func (n *Core) fatal(err error) {
 	_ = level.Error(n.opt.Logger).Log("msg", "the process ends", "err", err)
 	os.Exit(1)
 }
 
-// Run serves until ctx ends, then hands the lead over and drains. background runs meanwhile.
+// Run serves until ctx ends, then transfers the lead and drains. background runs meanwhile.
 func (n *Core) Run(ctx context.Context, background ...func(ctx context.Context)) error {
-	defer n.closeCallers()
+	defer n.closeClients()
 	if err := n.start(); err != nil {
 		n.store.Stop()
 		return errs.Pass(err, "start")
@@ -183,15 +220,17 @@
 	n.store.Start()
 	n.leader.Start()
 	n.client.Start()
-	_ = level.Info(n.opt.Logger).Log("msg", "serving", "addr", n.peerServer.Addr(), "zone", n.opt.Store.Zone, "version", n.opt.Version)
+	_ = level.Info(n.opt.Logger).Log("msg", "serving", "addr", n.peerServer.Addr(), "zone", n.opt.Store.Zone,
+		"version", n.opt.Version)
 	return nil
 }
 
-// stop hands the lead over first, so that the next leader begins while this one still answers.
+// stop transfers the lead first, so that the next leader begins while this node still answers. The store is last, as
+// all others use it.
 func (n *Core) stop() {
-	leave, over := context.WithTimeout(context.Background(), max(n.opt.Grace, minGrace))
-	defer over()
-	n.store.TransferLeadership(leave)
+	ctx, cancel := context.WithTimeout(context.Background(), max(n.opt.Grace, minGrace))
+	defer cancel()
+	n.store.TransferLeadership(ctx)
 	if err := n.controlServer.Stop(drainTimeout); err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "calls were cut off", "err", err)
 	}
--- a/internal/jobsnode/front.go
+++ b/internal/jobsnode/front.go
@@ -18,21 +18,21 @@
 
 const (
 	coreIdleConns = 64                      // idle connections that a front node keeps to each core node
-	drainDelay    = 2500 * time.Millisecond // new clients still come so long after the node says that it is not ready
-	exitMargin    = 500 * time.Millisecond  // left of the grace for the process's own end
+	drainDelay    = 2500 * time.Millisecond // from not ready to the refusal of calls: new clients still come meanwhile
+	exitMargin    = 500 * time.Millisecond  // of the grace, left for the process's own end
 	defaultGrace  = 5 * time.Second
-	seedsInterval = 10 * time.Second // the seeds are read again so often while no leader is found
+	seedsInterval = 10 * time.Second // between readings of the seeds while no leader is found
 )
 
-// FrontOptions are the parts of a front node.
+// FrontOptions are the parts and settings of a front node.
 type FrontOptions struct {
-	CoreAddresses []string          // addresses of core nodes to ask at first
+	CoreAddresses []string          // core nodes to ask at first
 	Via           map[string]string // an address in it is reached by dialing the other one
-	Address       string            // where clients reach the node
+	Address       string            // for clients
 	// ServeClients adds the clients' calls.
 	ServeClients func(clients *rpc.Server, client *controller.Client)
-	ReadyAddress string // where the node is asked for readiness; empty: at Address
-	// ServeReady adds the question for readiness, which check answers.
+	ReadyAddress string // for readiness checks; empty: Address
+	// ServeReady adds the readiness check, which check answers.
 	ServeReady func(server *rpc.Server, check func() error)
 	// ReadSeeds reads the addresses of core nodes anew; nil: they stay.
 	ReadSeeds   func() ([]string, error)
@@ -44,14 +44,15 @@
 	Version     string
 }
 
-// Front is a front node: it takes clients' calls and passes them to the core.
+// Front is a front node: it takes clients' calls and forwards them to the core's leader. It owns its client and
+// servers, and closes them when Run returns.
 type Front struct {
 	opt          FrontOptions
-	shares       frontShares
+	quotas       frontQuotas
 	caller       *rpc.Client
 	client       *controller.Client
-	clientServer *rpc.Server // clients call it
-	readyServer  *rpc.Server // it is asked for readiness; may be clients
+	clientServer *rpc.Server
+	readyServer  *rpc.Server // clientServer, if the readiness check has no address of its own
 	readiness    readiness
 }
 
@@ -63,35 +64,42 @@
 //	}
 //	return front.Run(ctx, changed)
 func NewFront(opt FrontOptions) (*Front, error) {
-	part := func(name string) log.Logger { return daemon.Part(opt.Logger, name) }
 	f := &Front{opt: opt}
 	var err error
-	if f.shares, err = newFrontShares(opt.Descriptors); err != nil {
+	if f.quotas, err = newFrontQuotas(opt.Descriptors); err != nil {
 		return nil, errs.Pass(err, "connections")
 	}
 	if opt.Registry != nil {
-		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(f.shares.budget))
+		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(f.quotas.limiter))
 	}
-	f.caller = rpc.NewClient(rpc.ClientOptions{DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: coreIdleConns, DialOverrides: opt.Via,
-		Registry: opt.Registry, Logger: part("caller"), Quota: f.shares.core})
-	f.client = controller.NewClient(controller.ClientOptions{Caller: f.caller, Seeds: opt.CoreAddresses, Logger: part("client")})
+	f.caller = rpc.NewClient(rpc.ClientOptions{
+		DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: coreIdleConns, DialOverrides: opt.Via,
+		Registry: opt.Registry, Logger: f.logger("caller"), Quota: f.quotas.core,
+	})
+	f.client = controller.NewClient(controller.ClientOptions{
+		Caller: f.caller, Seeds: opt.CoreAddresses, Logger: f.logger("client"),
+	})
 	f.readiness.leaderReady, f.readiness.leaderAnswered = f.client.Ready, f.client.CheckLeader
-	f.clientServer = f.server(opt.Address, f.shares.clients)
+	f.clientServer = f.newServer(opt.Address, f.quotas.clients)
 	opt.ServeClients(f.clientServer, f.client)
 	f.readyServer = f.clientServer
 	if opt.ReadyAddress != "" {
-		f.readyServer = f.server(opt.ReadyAddress, f.shares.ready)
+		f.readyServer = f.newServer(opt.ReadyAddress, f.quotas.ready)
 	}
 	opt.ServeReady(f.readyServer, f.readiness.check)
 	return f, nil
 }
 
-func (f *Front) server(addr string, share *rpc.ConnQuota) *rpc.Server {
-	return rpc.NewServer(rpc.ServerOptions{Addr: addr, Loops: 1, Descriptors: f.opt.Descriptors, Registry: f.opt.Registry,
-		Logger: daemon.Part(f.opt.Logger, "wire"), Quota: share})
+func (f *Front) logger(part string) log.Logger { return daemon.Part(f.opt.Logger, part) }
+
+func (f *Front) newServer(addr string, quota *rpc.ConnQuota) *rpc.Server {
+	return rpc.NewServer(rpc.ServerOptions{
+		Addr: addr, Loops: 1, Descriptors: f.opt.Descriptors, Registry: f.opt.Registry, Logger: f.logger("wire"),
+		Quota: quota,
+	})
 }
 
-// Run serves until ctx ends, then lets the node drain. changed, which may be nil, tells that the seeds may have changed.
+// Run serves until ctx ends, then drains the node. changed, which may be nil, signals that the seeds may have changed.
 func (f *Front) Run(ctx context.Context, changed <-chan os.Signal) error {
 	defer f.caller.Close()
 	if err := f.start(); err != nil {
@@ -99,7 +107,7 @@
 	}
 	var background []func(ctx context.Context)
 	if f.opt.ReadSeeds != nil {
-		background = append(background, func(ctx context.Context) { f.followSeeds(ctx, changed) })
+		background = append(background, func(ctx context.Context) { f.refreshSeeds(ctx, changed) })
 	}
 	daemon.RunUntilDone(ctx, background...)
 	f.stop()
@@ -117,13 +125,14 @@
 		}
 	}
 	f.client.Start()
-	_ = level.Info(f.opt.Logger).Log("msg", "serving", "addr", f.clientServer.Addr(), "zone", f.opt.Zone, "version", f.opt.Version)
+	_ = level.Info(f.opt.Logger).Log("msg", "serving", "addr", f.clientServer.Addr(), "zone", f.opt.Zone,
+		"version", f.opt.Version)
 	return nil
 }
 
-// followSeeds reads the seeds anew: when the process is told that they changed, and now and again while no leader is
-// found, for they may change without a word.
-func (f *Front) followSeeds(ctx context.Context, changed <-chan os.Signal) {
+// refreshSeeds reads the seeds again when changed signals, and every seedsInterval while no leader is found: the
+// settings may change without a signal.
+func (f *Front) refreshSeeds(ctx context.Context, changed <-chan os.Signal) {
 	for {
 		due := make(chan struct{})
 		timer := clock.Real{}.Set(seedsInterval, func() { close(due) })
@@ -145,33 +154,33 @@
 func (f *Front) readSeeds() {
 	seeds, err := f.opt.ReadSeeds()
 	if err != nil {
-		_ = level.Warn(f.opt.Logger).Log("msg", "the settings cannot be read; the old seeds stay", "err", err)
+		_ = level.Warn(f.opt.Logger).Log("msg", "seeds not read, the old ones stay", "err", err)
 		return
 	}
 	f.client.SetSeeds(seeds)
 }
 
-// stop lets the node go: it is not ready any more, serves on while new clients may still come, then refuses new calls
-// and answers those that run.
+// stop drains the node: it is not ready any more, serves on while new clients may still come, then refuses new calls
+// and answers those under way.
 func (f *Front) stop() {
-	clock := clock.Real{}
-	begin := clock.Now()
+	clk := clock.Real{}
+	begin := clk.Now()
 	grace := f.opt.Grace
 	if grace <= 0 {
 		grace = defaultGrace
 	}
 	grace = max(grace-exitMargin, grace/2)
-	f.readiness.drain()
-	gone := make(chan struct{})
-	clock.Set(min(drainDelay, grace/2), func() { close(gone) })
-	<-gone
-	if err := f.clientServer.Stop(max(grace-(clock.Now()-begin), 0)); err != nil {
+	f.readiness.startDraining()
+	delayed := make(chan struct{})
+	clk.Set(min(drainDelay, grace/2), func() { close(delayed) })
+	<-delayed
+	if err := f.clientServer.Stop(max(grace-(clk.Now()-begin), 0)); err != nil {
 		_ = level.Warn(f.opt.Logger).Log("msg", "calls were cut off", "err", err)
 	}
 	f.client.Stop()
 	if f.readyServer != f.clientServer {
 		if err := f.readyServer.Stop(0); err != nil {
-			_ = level.Debug(f.opt.Logger).Log("msg", "a question for readiness was cut off", "err", err)
+			_ = level.Debug(f.opt.Logger).Log("msg", "readiness check cut off", "err", err)
 		}
 	}
 	_ = level.Info(f.opt.Logger).Log("msg", "end")
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -122,7 +122,7 @@
 		So(err, ShouldNotBeNil) // no seed at all
 		changed := make(chan os.Signal)
 		work := routine.New(context.Background())
-		work.Go(func(ctx context.Context) { f.followSeeds(ctx, changed) })
+		work.Go(func(ctx context.Context) { f.refreshSeeds(ctx, changed) })
 		changed <- syscall.SIGHUP
 		changed <- syscall.SIGHUP // taken once the first one is done with
 		_, err = f.client.Job(ctx, controller.JobCall{})
--- a/internal/jobsnode/quotas_test.go
+++ b/internal/jobsnode/quotas_test.go
@@ -8,12 +8,12 @@
 	"crosstide/internal/errs"
 )
 
-func TestCoreShares(t *testing.T) {
+func TestCoreQuotas(t *testing.T) {
 	Convey("A core node's shares leave room for the store's files, and something for whoever needs it", t, func() {
-		shares, err := newCoreShares(1000)
+		quotas, err := newCoreQuotas(1000)
 		So(err, ShouldBeNil)
 		reserved, names := 0, []string{}
-		for _, use := range shares.budget.Usage() {
+		for _, use := range quotas.limiter.Usage() {
 			reserved += use.Reserved
 			names = append(names, use.Name)
 		}
@@ -21,20 +21,20 @@
 		So(reserved, ShouldBeBetween, (1000-reservedDescriptors)*3/4, 1000-reservedDescriptors)
 	})
 	Convey("Too few descriptors are refused by name; none told takes what the system allows", t, func() {
-		_, err := newCoreShares(2 * reservedDescriptors)
+		_, err := newCoreQuotas(2 * reservedDescriptors)
 		So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Settings, "descriptors"})
-		shares, err := newCoreShares(0)
+		quotas, err := newCoreQuotas(0)
 		So(err, ShouldBeNil)
-		So(shares.budget.Usage()[0].Reserved, ShouldBeGreaterThan, 0)
+		So(quotas.limiter.Usage()[0].Reserved, ShouldBeGreaterThan, 0)
 	})
 }
 
-func TestFrontShares(t *testing.T) {
+func TestFrontQuotas(t *testing.T) {
 	Convey("Clients may take what a front node's other connections leave, and cannot take those", t, func() {
-		shares, err := newFrontShares(1000)
+		quotas, err := newFrontQuotas(1000)
 		So(err, ShouldBeNil)
 		reserved := 0
-		for _, use := range shares.budget.Usage() {
+		for _, use := range quotas.limiter.Usage() {
 			if use.Name != "clients" {
 				So(use.Reserved, ShouldBeGreaterThan, 100)
 				reserved += use.Reserved
--- a/internal/jobsnode/readiness.go
+++ b/internal/jobsnode/readiness.go
@@ -11,10 +11,10 @@
 // must not take all front nodes out at once.
 const leaderlessGrace = 4 * time.Second
 
-// readiness reports whether the node takes clients.
+// readiness decides whether the node takes new clients. It is safe for concurrent use.
 type readiness struct {
-	leaderReady    func() error                // the leader has answered just now
-	leaderAnswered func(d time.Duration) error // the leader has answered within d
+	leaderReady    func() error                     // nil if the leader has answered just now
+	leaderAnswered func(maxAge time.Duration) error // nil if the leader has answered within maxAge
 
 	mu       sync.Mutex
 	wasReady bool // ready at the last check
@@ -37,8 +37,8 @@
 	return errs.Pass(err, "not ready")
 }
 
-// drain makes the node not ready for good.
-func (r *readiness) drain() {
+// startDraining makes the node not ready for good.
+func (r *readiness) startDraining() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
--- a/internal/jobsnode/readiness_test.go
+++ b/internal/jobsnode/readiness_test.go
@@ -30,7 +30,7 @@
 		So(errs.KindOf(r.check()), ShouldEqual, errs.Unavailable)
 		silent = time.Second
 		So(r.check(), ShouldBeNil)
-		r.drain()
+		r.startDraining()
 		So(errs.KindOf(r.check()), ShouldEqual, errs.Stopped)
 	})
 }
