--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -111,8 +111,8 @@
 
 func (n *Core) logger(part string) log.Logger { return daemon.Part(n.opt.Logger, part) }
 
-// makeClients makes the clients, whose order is that of their metrics. Starts have a client of their own, so that
-// renewals and stops, which keep work alive or end it, wait for no start's connection.
+// makeClients makes the clients. Starts have one of their own, so that renewals and stops, which keep work alive or end
+// it, wait for no start's connection.
 func (n *Core) makeClients() {
 	n.peers = n.newClient("caller", n.quotas.peers, rpc.ClientOptions{MaxIdlePerAddress: peerIdleConns})
 	n.renewals = n.newClient("holds", n.quotas.renewals, rpc.ClientOptions{
