--- a/internal/httpapi/jobsapi/client_calls.go
+++ b/internal/httpapi/jobsapi/client_calls.go
@@ -13,12 +13,9 @@
 	"crosstide/internal/rpc"
 )
 
-// Bounds of calls.
 const (
-	maxJobBody     = 4 << 20
-	defaultTimeout = 3 * time.Second
-
-	defaultPage = 200
+	maxJobBody  = 4 << 20
+	defaultPage = 200 // jobs
 	maxPage     = 1000
 )
 
@@ -33,24 +30,19 @@
 	Queues(ctx context.Context, call controller.QueuesCall) (controller.QueuesAnswer, error)
 }
 
-// Router is what the API needs of its server (*rpc.Server).
-type Router interface {
-	Route(pattern string, serve func(w http.ResponseWriter, r *http.Request))
-}
-
 // JobState answers a submission or a cancellation.
 type JobState struct {
 	ID    string        `json:"id"`
 	State jobs.JobState `json:"state"`
 }
 
-// Page answers GET /v2/jobs. Next, if there is one, is the `after` of the next page.
+// Page answers GET /v2/jobs. Next is the `after` of the next page, empty if there is none.
 type Page struct {
 	Jobs []controller.JobSummary `json:"jobs"`
 	Next string                  `json:"next,omitempty"`
 }
 
-// ServeClients adds the clients' calls to server; a call that takes longer than within, 0 for a default, is given up.
+// ServeClients adds the clients' calls, which backend answers, to server. timeout bounds each call; 0 takes a default.
 // Call it before the server starts.
 //
 //	POST   /v2/jobs       200 JobState; sent again it is the same job
@@ -58,8 +50,8 @@
 //	DELETE /v2/jobs/{id}  200 JobState
 //	GET    /v2/jobs       200 Page; ?queue= &state= &after= &limit= (1 to 1000, 200 if not given)
 //	GET    /v2/queues     200 controller.QueuesAnswer
-func ServeClients(server Router, to Jobs, timeout time.Duration) {
-	c := clients{backend: to}
+func ServeClients(server Router, backend Jobs, timeout time.Duration) {
+	c := clientCalls{backend: backend}
 	route(server, "POST /v2/jobs", timeout, c.submit)
 	route(server, "GET /v2/jobs", timeout, c.list)
 	route(server, "GET /v2/jobs/{id}", timeout, c.show)
@@ -67,38 +59,10 @@
 	route(server, "GET /v2/queues", timeout, c.queues)
 }
 
-// route answers pattern by serve within a time.
-func route(server Router, pattern string, timeout time.Duration, serve func(ctx context.Context, r *http.Request) (any, error)) {
-	if timeout <= 0 {
-		timeout = defaultTimeout
-	}
-	server.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), timeout)
-		defer cancel()
-		answer, err := serve(ctx, r)
-		if err != nil {
-			rpc.WriteError(w, publicError(ctx, err))
-			return
-		}
-		rpc.WriteJSON(w, http.StatusOK, answer)
-	})
-}
-
-// publicError gives a failure as a caller from outside sees it: which node leads is no matter of its, and an internal
-// failure at the end of the call's time is the time's.
-func publicError(ctx context.Context, err error) error {
-	switch {
-	case errs.Is(err, errs.NotLeader):
-		return errs.Wrap(err, errs.Unavailable, "no leader can be reached now")
-	case errs.Is(err, errs.Internal) && ctx.Err() != nil:
-		return errs.Wrap(err, errs.Timeout, "the call's time is over")
-	}
-	return errs.Pass(err, "call")
-}
-
-type clients struct{ backend Jobs }
+// clientCalls are the handlers of the clients' calls.
+type clientCalls struct{ backend Jobs }
 
-func (c clients) submit(ctx context.Context, r *http.Request) (any, error) {
+func (c clientCalls) submit(ctx context.Context, r *http.Request) (any, error) {
 	body, err := rpc.ReadBody(r, maxJobBody)
 	if err != nil {
 		return nil, errs.Pass(err, "submit")
@@ -120,7 +84,7 @@
 	return id, nil
 }
 
-func (c clients) show(ctx context.Context, r *http.Request) (any, error) {
+func (c clientCalls) show(ctx context.Context, r *http.Request) (any, error) {
 	id, err := jobID(r)
 	if err != nil {
 		return nil, errs.Pass(err, "show")
@@ -129,7 +93,7 @@
 	return answer, errs.Pass(err, "show")
 }
 
-func (c clients) cancel(ctx context.Context, r *http.Request) (any, error) {
+func (c clientCalls) cancel(ctx context.Context, r *http.Request) (any, error) {
 	id, err := jobID(r)
 	if err != nil {
 		return nil, errs.Pass(err, "cancel")
@@ -138,7 +102,7 @@
 	return JobState{ID: id, State: answer.State}, errs.Pass(err, "cancel")
 }
 
-func (c clients) list(ctx context.Context, r *http.Request) (any, error) {
+func (c clientCalls) list(ctx context.Context, r *http.Request) (any, error) {
 	call, err := parseList(r)
 	if err != nil {
 		return nil, errs.Pass(err, "list")
@@ -154,12 +118,13 @@
 	return page, nil
 }
 
-func (c clients) queues(ctx context.Context, _ *http.Request) (any, error) {
+func (c clientCalls) queues(ctx context.Context, _ *http.Request) (any, error) {
 	answer, err := c.backend.Queues(ctx, controller.QueuesCall{})
 	return answer, errs.Pass(err, "queues")
 }
 
-var states = []jobs.JobState{jobs.Queued, jobs.Running, jobs.Succeeded, jobs.Failed, jobs.Cancelled}
+// jobStates are the states by which a list may be filtered.
+var jobStates = []jobs.JobState{jobs.Queued, jobs.Running, jobs.Succeeded, jobs.Failed, jobs.Cancelled}
 
 // parseList reads the query of a list.
 func parseList(r *http.Request) (controller.ListCall, error) {
@@ -183,8 +148,8 @@
 		call.After = value
 	case "state":
 		call.State = jobs.JobState(value)
-		if !slices.Contains(states, call.State) {
-			return errs.Field(errs.Invalid, field, "must be one of %v, is %q", states, value)
+		if !slices.Contains(jobStates, call.State) {
+			return errs.Field(errs.Invalid, field, "must be one of %v, is %q", jobStates, value)
 		}
 		return nil
 	case "limit":
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -18,8 +18,8 @@
 	maxVersion  = 1 << 53 // whole numbers up to it are exact in every reader of JSON
 )
 
-// Queue is a queue of the configuration on the wire. A queue of priority 0 goes first. A job should be over within
-// Target and Stretch times the estimate of its longest chain of steps; Timeout bounds a run.
+// Queue is a queue of the configuration on the wire. Jobs of a queue of priority 0 go first. A job should be over
+// within Target and Stretch times the estimate of its longest chain of steps; Timeout bounds a run.
 type Queue struct {
 	Name     string  `json:"name"`
 	Service  string  `json:"service"`
@@ -30,11 +30,11 @@
 	Timeout  string  `json:"timeout"`
 }
 
-// Service is a service of the configuration on the wire: a kind of worker. RejectsOverload: its workers refuse what does not
-// fit, so that the scheduler need not.
+// Service is a service of the configuration on the wire: a kind of worker. ChecksCapacity: its workers refuse what
+// does not fit, so that the scheduler need not.
 type Service struct {
-	Name            string `json:"name"`
-	RejectsOverload bool   `json:"guards_room"`
+	Name           string `json:"name"`
+	ChecksCapacity bool   `json:"guards_room"`
 }
 
 // Configuration is the configuration in force on the wire.
@@ -44,96 +44,99 @@
 	Services []Service `json:"services"`
 }
 
-// configurationOf gives a configuration as it stands on the wire.
+// configurationOf returns a configuration as it stands on the wire.
 func configurationOf(c jobs.Config) Configuration {
 	out := Configuration{Version: c.Version, Queues: []Queue{}, Services: []Service{}}
 	for _, q := range c.Queues {
 		out.Queues = append(out.Queues, queueOf(q))
 	}
 	for _, s := range c.Services {
-		out.Services = append(out.Services, Service{Name: s.Name, RejectsOverload: s.ChecksCapacity})
+		out.Services = append(out.Services, Service{Name: s.Name, ChecksCapacity: s.ChecksCapacity})
 	}
 	return out
 }
 
 func queueOf(q jobs.Queue) Queue {
-	return Queue{Name: q.Name, Service: q.Service, Priority: q.Priority, Attempts: q.MaxAttempts, Stretch: q.Stretch,
-		Target: q.Target.String(), Timeout: q.Timeout.String()}
+	return Queue{
+		Name: q.Name, Service: q.Service, Priority: q.Priority, Attempts: q.MaxAttempts, Stretch: q.Stretch,
+		Target: q.Target.String(), Timeout: q.Timeout.String(),
+	}
 }
 
 // parsePut reads the body of PUT /v2/config: the whole configuration on top of version base.
 func parsePut(body []byte) (jobs.Configure, error) {
-	order := jobs.Configure{Replace: true}
+	change := jobs.Configure{Replace: true}
 	err := parse(body, func(r *config.Reader) {
 		r.Require("base", "queues", "services")
-		readBase(r, &order)
-		readItems(r, &order)
+		readBase(r, &change)
+		readQueuesAndServices(r, &change)
 	})
 	if err != nil {
 		return jobs.Configure{}, errs.Pass(err, "configuration")
 	}
-	order, err = completeOrder(order, body)
-	return order, errs.Pass(err, "configuration")
+	change, err = completeChange(change, body)
+	return change, errs.Pass(err, "configuration")
 }
 
 // parsePatch reads the body of PATCH /v2/config: items to put and names to remove, on top of version base.
 func parsePatch(body []byte) (jobs.Configure, error) {
-	var order jobs.Configure
+	var change jobs.Configure
 	err := parse(body, func(r *config.Reader) {
 		r.Require("base")
-		readBase(r, &order)
-		r.Object("put", func(r *config.Reader) { readItems(r, &order) })
+		readBase(r, &change)
+		r.Object("put", func(r *config.Reader) { readQueuesAndServices(r, &change) })
 		r.Object("remove", func(r *config.Reader) {
-			r.Strings("queues", &order.RemoveQueues, checkName)
-			r.Strings("services", &order.RemoveServices, checkName)
+			r.Strings("queues", &change.RemoveQueues, checkName)
+			r.Strings("services", &change.RemoveServices, checkName)
 		})
-		if len(order.Queues)+len(order.Services)+len(order.RemoveQueues)+len(order.RemoveServices) == 0 {
+		if len(change.Queues)+len(change.Services)+len(change.RemoveQueues)+len(change.RemoveServices) == 0 {
 			r.Reject("put", "must be given, or remove")
 		}
 	})
 	if err != nil {
 		return jobs.Configure{}, errs.Pass(err, "configuration")
 	}
-	order, err = completeOrder(order, body)
-	return order, errs.Pass(err, "configuration")
+	change, err = completeChange(change, body)
+	return change, errs.Pass(err, "configuration")
 }
 
-// completeOrder gives an order its version, which is the one after its base, its digest and its items' documents.
-func completeOrder(order jobs.Configure, body []byte) (jobs.Configure, error) {
-	order.Version = order.Base + 1
-	order.Digest = rpc.Digest(fmt.Appendf(nil, "replace %t", order.Replace), body)
-	for i := range order.Queues {
-		q := &order.Queues[i]
-		if err := document(&q.Document, queueOf(*q)); err != nil {
+// completeChange sets a change's version, which is the one after its base, its digest and its items' documents.
+func completeChange(change jobs.Configure, body []byte) (jobs.Configure, error) {
+	change.Version = change.Base + 1
+	change.Digest = rpc.Digest(fmt.Appendf(nil, "replace %t", change.Replace), body)
+	for i := range change.Queues {
+		q := &change.Queues[i]
+		if err := encodeDocument(&q.Document, queueOf(*q)); err != nil {
 			return jobs.Configure{}, errs.Pass(err, "queue")
 		}
 	}
-	for i := range order.Services {
-		s := &order.Services[i]
-		if err := document(&s.Document, Service{Name: s.Name, RejectsOverload: s.ChecksCapacity}); err != nil {
+	for i := range change.Services {
+		s := &change.Services[i]
+		if err := encodeDocument(&s.Document, Service{Name: s.Name, ChecksCapacity: s.ChecksCapacity}); err != nil {
 			return jobs.Configure{}, errs.Pass(err, "service")
 		}
 	}
-	return order, nil
+	return change, nil
 }
 
-func document(to *json.RawMessage, item any) error {
+// encodeDocument sets an item's document: its own text, by which the configuration is shown.
+func encodeDocument(to *json.RawMessage, item any) error {
 	data, err := json.Marshal(item)
 	*to = data
 	return errs.Wrap(err, errs.Internal, "encode an item")
 }
 
-func readBase(r *config.Reader, order *jobs.Configure) {
+func readBase(r *config.Reader, change *jobs.Configure) {
 	base := 0
 	r.Int("base", &base, 0, maxVersion)
-	order.Base = uint64(base)
+	change.Base = uint64(base)
 }
 
-func readItems(r *config.Reader, order *jobs.Configure) {
-	config.List(r, "queues", &order.Queues, readQueue)
-	config.List(r, "services", &order.Services, readService)
-	checkOnce(r, "queues", order.Queues, func(q jobs.Queue) string { return q.Name })
-	checkOnce(r, "services", order.Services, func(s jobs.Service) string { return s.Name })
+func readQueuesAndServices(r *config.Reader, change *jobs.Configure) {
+	config.List(r, "queues", &change.Queues, readQueue)
+	config.List(r, "services", &change.Services, readService)
+	checkUniqueNames(r, "queues", change.Queues, func(q jobs.Queue) string { return q.Name })
+	checkUniqueNames(r, "services", change.Services, func(s jobs.Service) string { return s.Name })
 }
 
 func readQueue(r *config.Reader, q *jobs.Queue) {
@@ -146,7 +149,7 @@
 	r.Float("stretch", &q.Stretch, 0, maxStretch)
 	r.Duration("target", &q.Target, 0, maxDuration)
 	r.Duration("timeout", &q.Timeout, time.Millisecond, maxDuration)
-	q.Prefix = "/" + q.Name + "/" // the table wants each queue at a place of its own
+	q.Prefix = "/" + q.Name + "/" // the job table requires a prefix of each queue, unlike the others'
 }
 
 func readService(r *config.Reader, s *jobs.Service) {
@@ -155,7 +158,8 @@
 	r.Bool("guards_room", &s.ChecksCapacity)
 }
 
-func checkOnce[T any](r *config.Reader, list string, items []T, name func(T) string) {
+// checkUniqueNames refuses items whose name an earlier one has.
+func checkUniqueNames[T any](r *config.Reader, list string, items []T, name func(T) string) {
 	seen := map[string]bool{}
 	for i, one := range items {
 		if seen[name(one)] {
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -13,23 +13,23 @@
 
 func TestParsePut(t *testing.T) {
 	Convey("A whole configuration is read, with the defaults of a queue", t, func() {
-		order, err := parsePut([]byte(`{"base":3,"services":[{"name":"s","guards_room":true}],"queues":[
+		change, err := parsePut([]byte(`{"base":3,"services":[{"name":"s","guards_room":true}],"queues":[
 			{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,"target":"30s","timeout":"1h"},
 			{"name":"b","service":"s","timeout":"1m"}]}`))
 		So(err, ShouldBeNil)
-		So([]any{order.Base, order.Version, order.Replace, len(order.Digest)}, ShouldResemble, []any{uint64(3), uint64(4), true, 64})
-		a, b := order.Queues[0], order.Queues[1]
+		So([]any{change.Base, change.Version, change.Replace, len(change.Digest)}, ShouldResemble, []any{uint64(3), uint64(4), true, 64})
+		a, b := change.Queues[0], change.Queues[1]
 		So(string(a.Document), ShouldEqual, `{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,"target":"30s","timeout":"1h0m0s"}`)
 		a.Document, b.Document = nil, nil
 		So(a, ShouldResemble, jobs.Queue{Name: "a", Prefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 5, Stretch: 1.5, Target: 30 * time.Second, Timeout: time.Hour})
 		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, Stretch: 1, Timeout: time.Minute})
-		So([]any{order.Services[0].Name, order.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
+		So([]any{change.Services[0].Name, change.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
 	})
 	Convey("What is wrong is refused with its field", t, func() {
 		queue := func(fields string) string {
 			return `{"base":0,"services":[],"queues":[{"name":"a","service":"s","timeout":"1m"` + fields + `}]}`
 		}
-		shouldRefuse(func(body []byte) error { _, err := parsePut(body); return errs.Pass(err, "put") }, []refused{
+		shouldRefuse(func(body []byte) error { _, err := parsePut(body); return errs.Pass(err, "put") }, []rejection{
 			{queue(""), "", ""},
 			{`x`, errs.Malformed, ""},
 			{`{"queues":[],"services":[]}`, errs.Invalid, "base"},
@@ -57,9 +57,9 @@
 
 func TestParsePatch(t *testing.T) {
 	Convey("Items are read, and the names to remove", t, func() {
-		order, err := parsePatch([]byte(`{"base":3,"put":{"services":[{"name":"s"}]},"remove":{"queues":["a"],"services":["t"]}}`))
+		change, err := parsePatch([]byte(`{"base":3,"put":{"services":[{"name":"s"}]},"remove":{"queues":["a"],"services":["t"]}}`))
 		So(err, ShouldBeNil)
-		So([]any{order.Base, order.Version, order.Replace, order.Services[0].Name, order.RemoveQueues, order.RemoveServices},
+		So([]any{change.Base, change.Version, change.Replace, change.Services[0].Name, change.RemoveQueues, change.RemoveServices},
 			ShouldResemble, []any{uint64(3), uint64(4), false, "s", []string{"a"}, []string{"t"}})
 	})
 	Convey("The same text as a patch and as a put are two orders, and so are two texts", t, func() {
@@ -71,7 +71,7 @@
 		So(rpc.Digest([]byte("a"), []byte("b")), ShouldNotEqual, rpc.Digest([]byte("ab")))
 	})
 	Convey("What is wrong is refused with its field", t, func() {
-		shouldRefuse(func(body []byte) error { _, err := parsePatch(body); return errs.Pass(err, "patch") }, []refused{
+		shouldRefuse(func(body []byte) error { _, err := parsePatch(body); return errs.Pass(err, "patch") }, []rejection{
 			{`{"base":1,"remove":{"queues":["a"]}}`, "", ""},
 			{`{"base":1}`, errs.Invalid, "put"},
 			{`{"base":1,"put":{},"remove":{}}`, errs.Invalid, "put"},
--- a/internal/httpapi/jobsapi/heartbeat.go
+++ b/internal/httpapi/jobsapi/heartbeat.go
@@ -10,14 +10,14 @@
 	"crosstide/internal/jobs"
 )
 
-// The states that a worker tells with its heartbeats.
+// The states that a worker reports with its heartbeats.
 const (
 	StateReady    = "ready"
 	StateDraining = "draining" // nothing new is to start there
 	StateLeaving  = "leaving"  // it ends now, and all that runs there with it
 )
 
-// maxLabels is the most labels of a worker.
+// maxLabels bounds the labels of a worker.
 const maxLabels = 64
 
 // parseHeartbeat reads the heartbeat of the worker id. Durations are whole nanoseconds.
--- a/internal/httpapi/jobsapi/heartbeat_test.go
+++ b/internal/httpapi/jobsapi/heartbeat_test.go
@@ -28,7 +28,7 @@
 		So([]any{call.Leaving, call.Worker.ID, err}, ShouldResemble, []any{true, "w1", nil})
 	})
 	Convey("What is wrong is refused with its field", t, func() {
-		shouldRefuse(func(body []byte) error { _, err := parseHeartbeat("w1", body); return errs.Pass(err, "heartbeat") }, []refused{
+		shouldRefuse(func(body []byte) error { _, err := parseHeartbeat("w1", body); return errs.Pass(err, "heartbeat") }, []rejection{
 			{heartbeatJSON(`,"state":"ready"`), "", ""},
 			{`no`, errs.Malformed, ""},
 			{heartbeatJSON(``), errs.Invalid, "state"},
--- a/internal/httpapi/jobsapi/job.go
+++ b/internal/httpapi/jobsapi/job.go
@@ -14,15 +14,15 @@
 
 // Bounds of a job.
 const (
-	MaxSteps    = 1000
-	MaxJobTasks = 100_000 // over all rounds
-	MaxAmount   = 1 << 30 // of any resource of a task
-	MaxPayload  = 16 << 10
+	maxSteps    = 1000
+	maxJobTasks = 100_000 // over all rounds
+	maxAmount   = 1 << 30 // of any resource of a task
+	maxPayload  = 16 << 10
 	maxDuration = 10 * 365 * 24 * time.Hour
 )
 
-// ParseJob reads the body of POST /v2/jobs into a job and its digest, which is the same whatever the order of the fields
-// and the white space. Failures: Malformed, Invalid with the field. Example:
+// ParseJob reads the body of POST /v2/jobs into a job and its digest, which is the same whatever the order of the
+// fields and the white space. Failures: Malformed, Invalid with the field. Example:
 //
 //	spec, digest, err := jobsapi.ParseJob([]byte(`{"id":"j-1","queue":"nightly","steps":[{"milli_cpu":500}]}`))
 func ParseJob(body []byte) (jobs.Spec, string, error) {
@@ -48,8 +48,8 @@
 }
 
 func checkPayload(value string) string {
-	if len(value) > MaxPayload {
-		return fmt.Sprintf("must be at most %d bytes, is %d", MaxPayload, len(value))
+	if len(value) > maxPayload {
+		return fmt.Sprintf("must be at most %d bytes, is %d", maxPayload, len(value))
 	}
 	return ""
 }
@@ -59,7 +59,7 @@
 	spec.Rounds = 1
 	r.Require("first")
 	r.Time("first", &spec.FirstRun)
-	r.Int("rounds", &spec.Rounds, 1, MaxJobTasks)
+	r.Int("rounds", &spec.Rounds, 1, maxJobTasks)
 	r.Duration("every", &spec.Interval, time.Millisecond, maxDuration)
 	if spec.Rounds > 1 && spec.Interval == 0 {
 		r.Reject("every", "must be given with more than one round")
@@ -68,13 +68,13 @@
 
 func readStep(r *config.Reader, step *jobs.Step) {
 	step.Count = 1
-	r.Int("tasks", &step.Count, 1, MaxJobTasks)
+	r.Int("tasks", &step.Count, 1, maxJobTasks)
 	readResources(r, &step.Needs)
 	r.Duration("estimate", &step.Estimate, 0, maxDuration)
-	r.Ints("after", &step.After, 0, MaxSteps-1)
+	r.Ints("after", &step.After, 0, maxSteps-1)
 	r.String("label", &step.Label, checkName)
 	r.String("near", &step.PreferredRack, checkName)
-	r.Int("most_per_worker", &step.MaxPerWorker, 1, MaxJobTasks)
+	r.Int("most_per_worker", &step.MaxPerWorker, 1, maxJobTasks)
 	r.Bool("checkpoints", &step.Checkpoints)
 	r.Bool("gang", &step.Gang)
 	r.Bool("one_rack", &step.SameRack)
@@ -89,15 +89,15 @@
 }
 
 func readResources(r *config.Reader, needs *jobs.Resources) {
-	r.Int("milli_cpu", &needs.MilliCPU, 0, MaxAmount)
-	r.Int("memory_mb", &needs.MemoryMB, 0, MaxAmount)
-	r.Int("gpus", &needs.GPUs, 0, MaxAmount)
+	r.Int("milli_cpu", &needs.MilliCPU, 0, maxAmount)
+	r.Int("memory_mb", &needs.MemoryMB, 0, maxAmount)
+	r.Int("gpus", &needs.GPUs, 0, maxAmount)
 }
 
-// checkSteps checks what the steps of a job are among themselves.
+// checkSteps checks the steps of a job against each other and their total.
 func checkSteps(r *config.Reader, spec *jobs.Spec) {
-	if len(spec.Steps) < 1 || len(spec.Steps) > MaxSteps {
-		r.Reject("steps", "must be 1 to %d, are %d", MaxSteps, len(spec.Steps))
+	if len(spec.Steps) < 1 || len(spec.Steps) > maxSteps {
+		r.Reject("steps", "must be 1 to %d, are %d", maxSteps, len(spec.Steps))
 		return
 	}
 	total := 0
@@ -105,8 +105,8 @@
 		total += step.Count
 		checkAfter(r, spec, i)
 	}
-	if total *= max(spec.Rounds, 1); total > MaxJobTasks {
-		r.Reject("steps", "must have at most %d tasks over all rounds, have %d", MaxJobTasks, total)
+	if total *= max(spec.Rounds, 1); total > maxJobTasks {
+		r.Reject("steps", "must have at most %d tasks over all rounds, have %d", maxJobTasks, total)
 	}
 }
 
--- a/internal/httpapi/jobsapi/job_test.go
+++ b/internal/httpapi/jobsapi/job_test.go
@@ -11,15 +11,15 @@
 	"crosstide/internal/jobs"
 )
 
-// refused is a body and the failure that it must get; kind "" is none.
-type refused struct {
+// rejection is a body and the failure that it must get; kind "" is none.
+type rejection struct {
 	body  string
 	kind  errs.Kind
 	field string
 }
 
 // shouldRefuse checks what parsing each body gives.
-func shouldRefuse(parse func(body []byte) error, cases []refused) {
+func shouldRefuse(parse func(body []byte) error, cases []rejection) {
 	for _, c := range cases {
 		err := parse([]byte(c.body))
 		field := ""
@@ -58,7 +58,7 @@
 		So(other, ShouldNotEqual, one)
 	})
 	Convey("What is wrong is refused with its field", t, func() {
-		shouldRefuse(func(body []byte) error { _, _, err := ParseJob(body); return errs.Pass(err, "job") }, []refused{
+		shouldRefuse(func(body []byte) error { _, _, err := ParseJob(body); return errs.Pass(err, "job") }, []rejection{
 			{job(""), "", ""},
 			{"", errs.Malformed, ""},
 			{"{", errs.Malformed, ""},
@@ -76,7 +76,7 @@
 			{`{"id":"` + strings.Repeat("a", 129) + `","queue":"q","steps":[{}]}`, errs.Invalid, "id"},
 			{`{"id":"j","queue":"","steps":[{}]}`, errs.Invalid, "queue"},
 			{job(`,"payload":{}`), errs.Invalid, "payload"},
-			{job(`,"payload":"` + strings.Repeat("a", MaxPayload+1) + `"`), errs.Invalid, "payload"},
+			{job(`,"payload":"` + strings.Repeat("a", maxPayload+1) + `"`), errs.Invalid, "payload"},
 			{job(`,"times":{}`), errs.Invalid, "times.first"},
 			{job(`,"times":{"first":"today"}`), errs.Invalid, "times.first"},
 			{job(`,"times":{"first":"2026-12-02T08:00:00Z"}`), "", ""},
--- a/internal/httpapi/jobsapi/operator_calls.go
+++ b/internal/httpapi/jobsapi/operator_calls.go
@@ -14,15 +14,15 @@
 const (
 	maxHeartbeatBody = 64 << 10
 	maxConfigBody    = 16 << 20
-	heartbeatTimeout = time.Second // a worker goes on to another node after it
+	heartbeatTimeout = time.Second // a worker tries another node after it
 )
 
 // Control answers the operators' calls and the workers' heartbeats. Each call returns when its ctx ends.
 type Control interface {
 	Heartbeat(ctx context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error)
 	Config(ctx context.Context, call controller.ConfigCall) (jobs.Config, error)
-	Configure(ctx context.Context, order jobs.Configure) (controller.ConfigureAnswer, error)
-	Evacuate(ctx context.Context, order jobs.Evacuate) (controller.EvacuateAnswer, error)
+	Configure(ctx context.Context, change jobs.Configure) (controller.ConfigureAnswer, error)
+	Evacuate(ctx context.Context, change jobs.Evacuate) (controller.EvacuateAnswer, error)
 	Topology(ctx context.Context, call controller.TopologyCall) (controller.TopologyAnswer, error)
 	Workers(ctx context.Context, call controller.WorkersCall) (controller.WorkersAnswer, error)
 }
@@ -70,8 +70,8 @@
 	Evacuated []string `json:"evacuated"`
 }
 
-// ServeControl adds the operators' calls and the workers' heartbeats to server; a call of an operator that takes longer
-// than within, 0 for a default, is given up. Call it before the server starts.
+// ServeControl adds the operators' calls and the workers' heartbeats, which backend answers, to server. timeout bounds
+// each operator's call; 0 takes a default. Call it before the server starts.
 //
 //	GET   /v2/config                    200 Configuration
 //	PUT   /v2/config                    200 ConfigVersion; the whole configuration on top of a version
@@ -81,8 +81,8 @@
 //	GET   /v2/topology                  200 controller.TopologyAnswer
 //	GET   /v2/workers                   200 Workers
 //	POST  /v2/workers/{id}/heartbeat    200 Heartbeat
-func ServeControl(server Router, to Control, timeout time.Duration) {
-	o := operators{backend: to}
+func ServeControl(server Router, backend Control, timeout time.Duration) {
+	o := operatorCalls{backend: backend}
 	route(server, "GET /v2/config", timeout, o.config)
 	route(server, "PUT /v2/config", timeout, o.configure(parsePut))
 	route(server, "PATCH /v2/config", timeout, o.configure(parsePatch))
@@ -93,29 +93,30 @@
 	route(server, "POST /v2/workers/{id}/heartbeat", heartbeatTimeout, o.heartbeat)
 }
 
-type operators struct{ backend Control }
+// operatorCalls are the handlers of the operators' calls and of heartbeats.
+type operatorCalls struct{ backend Control }
 
-func (o operators) config(ctx context.Context, _ *http.Request) (any, error) {
+func (o operatorCalls) config(ctx context.Context, _ *http.Request) (any, error) {
 	config, err := o.backend.Config(ctx, controller.ConfigCall{})
 	return configurationOf(config), errs.Pass(err, "configuration")
 }
 
-func (o operators) configure(parse func(body []byte) (jobs.Configure, error)) func(context.Context, *http.Request) (any, error) {
+func (o operatorCalls) configure(parse func(body []byte) (jobs.Configure, error)) handler {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		body, err := rpc.ReadBody(r, maxConfigBody)
 		if err != nil {
 			return nil, errs.Pass(err, "configure")
 		}
-		order, err := parse(body)
+		change, err := parse(body)
 		if err != nil {
 			return nil, errs.Pass(err, "configure")
 		}
-		_, err = o.backend.Configure(ctx, order)
-		return ConfigVersion{Version: order.Version}, errs.Pass(err, "configure")
+		_, err = o.backend.Configure(ctx, change)
+		return ConfigVersion{Version: change.Version}, errs.Pass(err, "configure")
 	}
 }
 
-func (o operators) evacuate(start bool) func(context.Context, *http.Request) (any, error) {
+func (o operatorCalls) evacuate(start bool) handler {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		zone := r.PathValue("zone")
 		if wrong := checkName(zone); wrong != "" {
@@ -126,12 +127,12 @@
 	}
 }
 
-func (o operators) topology(ctx context.Context, _ *http.Request) (any, error) {
+func (o operatorCalls) topology(ctx context.Context, _ *http.Request) (any, error) {
 	answer, err := o.backend.Topology(ctx, controller.TopologyCall{})
 	return answer, errs.Pass(err, "topology")
 }
 
-func (o operators) workers(ctx context.Context, _ *http.Request) (any, error) {
+func (o operatorCalls) workers(ctx context.Context, _ *http.Request) (any, error) {
 	answer, err := o.backend.Workers(ctx, controller.WorkersCall{})
 	if err != nil {
 		return nil, errs.Pass(err, "workers")
@@ -159,7 +160,7 @@
 	return Resources{MilliCPU: r.MilliCPU, MemoryMB: r.MemoryMB, GPUs: r.GPUs}
 }
 
-func (o operators) heartbeat(ctx context.Context, r *http.Request) (any, error) {
+func (o operatorCalls) heartbeat(ctx context.Context, r *http.Request) (any, error) {
 	body, err := rpc.ReadBody(r, maxHeartbeatBody)
 	if err != nil {
 		return nil, errs.Pass(err, "heartbeat")
--- a/internal/httpapi/jobsapi/parse.go
+++ b/internal/httpapi/jobsapi/parse.go
@@ -1,6 +1,3 @@
-// Package jobsapi is the product's own interface to the jobs of internal/jobs, as JSON over HTTP/1.1: the clients' calls
-// of a front node, and the operators' calls and the workers' heartbeats of a core node. What it reads it reads strictly:
-// an unknown field, a wrong type or a value out of its range is refused with the field's name.
 package jobsapi
 
 import (
@@ -16,14 +13,15 @@
 	"crosstide/internal/rpc"
 )
 
-// maxReportedErrors is how many mistakes of a body are told at once.
+// maxReportedErrors is how many validation errors of a body are reported at once.
 const maxReportedErrors = 20
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 const nameRule = "must be 1 to 128 of A-Z a-z 0-9 . _ : -"
 
-// checkName allows what may name a job, a queue, a service, a worker, a zone, a rack or a label.
+// checkName returns what is wrong with the name of a job, a queue, a service, a worker, a zone, a rack or a label; ""
+// if nothing is.
 func checkName(value string) string {
 	if nameForm.MatchString(value) {
 		return ""
@@ -31,8 +29,8 @@
 	return nameRule
 }
 
-// parse reads a body by into. Failures: Malformed: no JSON; Invalid: a field is refused. The failure has the first
-// mistake's field, its message tells the others too.
+// parse reads a body by into. Failures: Malformed: no JSON; Invalid: a field is refused. The failure has the field of
+// the first validation error; its message names the others too.
 func parse(body []byte, into func(r *config.Reader)) error {
 	var parser fastjson.Parser
 	if _, err := rpc.ParseJSON(&parser, body); err != nil {
@@ -41,12 +39,13 @@
 	err := config.Parse(body, into)
 	var validationErrs config.ValidationErrors
 	if errors.As(err, &validationErrs) {
-		return errs.Pass(refusal(validationErrs), "body")
+		return errs.Pass(rejectionOf(validationErrs), "body")
 	}
 	return errs.Pass(err, "body")
 }
 
-func refusal(validationErrs config.ValidationErrors) error {
+// rejectionOf joins the validation errors of a body into one failure.
+func rejectionOf(validationErrs config.ValidationErrors) error {
 	first := validationErrs[0]
 	messages := []string{first.Message}
 	for _, one := range validationErrs[1:min(len(validationErrs), maxReportedErrors)] {
--- a/internal/httpapi/jobsapi/serve_test.go
+++ b/internal/httpapi/jobsapi/serve_test.go
@@ -50,12 +50,12 @@
 	return jobs.Config{Version: 3, Services: []jobs.Service{{Name: "s"}},
 		Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Timeout: time.Minute}}}, f.err
 }
-func (f *fakeCore) Configure(_ context.Context, order jobs.Configure) (controller.ConfigureAnswer, error) {
-	f.call = order
+func (f *fakeCore) Configure(_ context.Context, change jobs.Configure) (controller.ConfigureAnswer, error) {
+	f.call = change
 	return controller.ConfigureAnswer{}, f.err
 }
-func (f *fakeCore) Evacuate(_ context.Context, order jobs.Evacuate) (controller.EvacuateAnswer, error) {
-	f.call = order
+func (f *fakeCore) Evacuate(_ context.Context, change jobs.Evacuate) (controller.EvacuateAnswer, error) {
+	f.call = change
 	return controller.EvacuateAnswer{}, f.err
 }
 func (f *fakeCore) Topology(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
@@ -66,8 +66,8 @@
 	return controller.WorkersAnswer{Evacuated: []string{"z"}, Workers: []controller.WorkerView{{Worker: draining, Used: jobs.Resources{MilliCPU: 4}, Runs: 1}}}, f.err
 }
 
-// serving runs test with a server of all calls.
-func serving(core *fakeCore, test func(send func(method, path, body string) (int, string))) {
+// withServer runs test with a server of all calls.
+func withServer(core *fakeCore, test func(send func(method, path, body string) (int, string))) {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	ServeClients(server, core, time.Minute)
 	ServeControl(server, core, time.Minute)
@@ -90,7 +90,7 @@
 func TestCalls(t *testing.T) {
 	Convey("Each call is answered", t, func() {
 		core := &fakeCore{}
-		serving(core, func(send func(method, path, body string) (int, string)) {
+		withServer(core, func(send func(method, path, body string) (int, string)) {
 			for _, c := range []struct{ method, path, body, want string }{
 				{"POST", "/v2/jobs", job(""), `{"id":"j","state":"queued"}`},
 				{"GET", "/v2/jobs/j-1", "", `{"id":"j-1","queue":"","state":"running","accepted":"0001-01-01T00:00:00Z","steps":[{"tasks":2,"done":1,"running":0}]}`},
@@ -113,17 +113,17 @@
 	})
 	Convey("What the configuration answers can be put again as it is, on top of its version", t, func() {
 		core := &fakeCore{}
-		serving(core, func(send func(method, path, body string) (int, string)) {
+		withServer(core, func(send func(method, path, body string) (int, string)) {
 			_, body := send("GET", "/v2/config", "")
 			status, _ := send("PUT", "/v2/config", strings.Replace(body, `"version"`, `"base"`, 1))
 			So(status, ShouldEqual, 200)
-			order := core.call.(jobs.Configure)
-			So([]any{order.Base, order.Queues[0].Name, order.Queues[0].Timeout}, ShouldResemble, []any{uint64(3), "q", time.Minute})
+			change := core.call.(jobs.Configure)
+			So([]any{change.Base, change.Queues[0].Name, change.Queues[0].Timeout}, ShouldResemble, []any{uint64(3), "q", time.Minute})
 		})
 	})
 	Convey("A call that is wrong is refused with its field and does not reach the core", t, func() {
 		core := &fakeCore{}
-		serving(core, func(send func(method, path, body string) (int, string)) {
+		withServer(core, func(send func(method, path, body string) (int, string)) {
 			for _, c := range []struct {
 				method, path, body string
 				status             int
@@ -159,7 +159,7 @@
 	Convey("Each failure of the core has its status; a node that does not lead is none of the caller's matters", t, func() {
 		for kind, want := range map[errs.Kind]int{errs.Unknown: 404, errs.Conflict: 409, errs.Stale: 412, errs.Overloaded: 429,
 			errs.Unavailable: 503, errs.NotLeader: 503, errs.Stopped: 503, errs.Timeout: 504, errs.Invalid: 422, errs.Internal: 500} {
-			serving(&fakeCore{err: errs.New(kind, "on purpose")}, func(send func(method, path, body string) (int, string)) {
+			withServer(&fakeCore{err: errs.New(kind, "on purpose")}, func(send func(method, path, body string) (int, string)) {
 				for _, path := range []string{"/v2/jobs/j", "/v2/jobs", "/v2/queues", "/v2/config", "/v2/topology", "/v2/workers"} {
 					status, _ := send("GET", path, "")
 					So([]any{kind, path, status}, ShouldResemble, []any{kind, path, want})
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	defaultTimeout = 2 * time.Second // bound of a call, besides the time that its answer may be kept back
+	defaultTimeout = 2 * time.Second // of a call, besides the time that its answer may be delayed
 	maxWait        = 30 * time.Second
 )
 
-// Client carries the scheduler's orders to workers.
+// Client carries the scheduler's orders to workers. It keeps no state between calls.
 type Client struct {
 	renewals, starts *rpc.Client
-	timeout          time.Duration
+	timeout          time.Duration // of a call, besides the time that its answer may be delayed
 }
 
 var _ scheduler.Workers = (*Client)(nil)
 
-// NewClient makes a client whose starts are carried by a caller of their own: hold calls and stops, which keep work alive or end
-// it, wait for no start's connection. within bounds each call, besides the time that a hold call may wait; 0 takes a default.
+// NewClient makes a client whose starts are carried apart: lease renewals and stops, which keep work alive or end it,
+// wait for no start's connection. timeout bounds each call, besides the time that a renewal asks the worker to wait; 0
+// takes a default.
 func NewClient(renewals, starts *rpc.Client, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -33,10 +34,13 @@
 	return &Client{renewals: renewals, starts: starts, timeout: timeout}
 }
 
-// Start tells worker to start one run.
-func (c *Client) Start(ctx context.Context, worker jobs.Worker, order scheduler.StartOrder) (scheduler.StartAnswer, error) {
-	call := StartCall{Worker: worker.ID, Run: RunOf(order.Key), Needs: NeedsOf(order.Needs), Payload: order.Payload,
-		Checkpoint: order.Checkpoint, Deadline: order.LeaseDeadline, Token: order.Token}
+// Start orders worker to start one run. A worker that cannot read the order has refused it.
+func (c *Client) Start(ctx context.Context, worker jobs.Worker,
+	order scheduler.StartOrder) (scheduler.StartAnswer, error) {
+	call := StartCall{
+		Worker: worker.ID, Run: RunOf(order.Key), Needs: needsOf(order.Needs), Payload: order.Payload,
+		Checkpoint: order.Checkpoint, Deadline: order.LeaseDeadline, Token: order.Token,
+	}
 	answer, err := rpc.Call(ctx, c.starts, worker.Address, StartEndpoint, call, c.timeout)
 	if errs.Is(err, errs.Malformed) && rpc.IsRemote(err) {
 		return scheduler.StartAnswer{Refusal: scheduler.RefusedInvalid}, nil
@@ -44,52 +48,60 @@
 	if err != nil {
 		return scheduler.StartAnswer{}, errs.Pass(err, "start on %s", worker.ID)
 	}
-	if err := checkStart(worker.ID, answer); err != nil {
+	if err := checkStartAnswer(worker.ID, answer); err != nil {
 		return scheduler.StartAnswer{}, errs.Pass(err, "start on %s", worker.ID)
 	}
 	return scheduler.StartAnswer{Clock: answer.Clock, Refusal: answer.Refused}, nil
 }
 
-// refusals are the reasons that a worker may give.
-var refusals = []scheduler.Refusal{"", scheduler.RefusedFenced, scheduler.RefusedStale, scheduler.RefusedExpired, scheduler.RefusedCapacity,
-	scheduler.RefusedInvalid, scheduler.RefusedUnhealthy}
-
-func checkStart(worker string, answer StartAnswer) error {
-	if err := checkAnswer(worker, answer.Worker, answer.Clock); err != nil {
-		return errs.Pass(err, "answer")
-	}
-	if !slices.Contains(refusals, answer.Refused) {
-		return errs.Field(errs.Malformed, "refused", "%q is not known", answer.Refused)
-	}
-	return nil
-}
-
-// Stop tells worker to stop one run.
+// Stop orders worker to stop one run.
 func (c *Client) Stop(ctx context.Context, worker jobs.Worker, order scheduler.StopOrder) error {
 	call := StopCall{Worker: worker.ID, Run: RunOf(order.Key), Token: order.Token}
 	answer, err := rpc.Call(ctx, c.renewals, worker.Address, StopEndpoint, call, c.timeout)
 	if err != nil {
 		return errs.Pass(err, "stop on %s", worker.ID)
 	}
-	return errs.Pass(checkAnswer(worker.ID, answer.Worker, 0), "stop on %s", worker.ID)
+	return errs.Pass(checkIdentity(worker.ID, answer.Worker, 0), "stop on %s", worker.ID)
 }
 
-// Hold renews the lease of worker and asks for its lists.
-func (c *Client) RenewLease(ctx context.Context, worker jobs.Worker, call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
-	wait := min(max(call.Wait, 0), maxWait)
-	sent := RenewLeaseCall{Worker: worker.ID, Token: call.Token, AcknowledgedUpTo: call.AcknowledgedUpTo, Deadline: call.LeaseDeadline, Wait: wait}
-	answer, err := rpc.Call(ctx, c.renewals, worker.Address, RenewLeaseEndpoint, sent, c.timeout+wait)
+// RenewLease renews the lease of worker and asks for its lists.
+func (c *Client) RenewLease(ctx context.Context, worker jobs.Worker,
+	renewal scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
+	wait := min(max(renewal.Wait, 0), maxWait)
+	call := RenewLeaseCall{
+		Worker: worker.ID, Token: renewal.Token, AcknowledgedUpTo: renewal.AcknowledgedUpTo,
+		Deadline: renewal.LeaseDeadline, Wait: wait,
+	}
+	answer, err := rpc.Call(ctx, c.renewals, worker.Address, RenewLeaseEndpoint, call, c.timeout+wait)
 	if err != nil {
-		return scheduler.RenewalAnswer{}, errs.Pass(err, "hold on %s", worker.ID)
+		return scheduler.RenewalAnswer{}, errs.Pass(err, "renew lease on %s", worker.ID)
 	}
 	lists, err := listsOf(worker.ID, answer)
-	return lists, errs.Pass(err, "hold on %s", worker.ID)
+	return lists, errs.Pass(err, "renew lease on %s", worker.ID)
 }
 
-// listsOf checks an answer and gives its lists. A run that is not listed counts as over: an answer that does not name
-// the worker, or has no lists, is none.
+// refusals are the reasons for which a worker may refuse a start; "": it did not.
+var refusals = []scheduler.Refusal{"", scheduler.RefusedFenced, scheduler.RefusedStale, scheduler.RefusedExpired,
+	scheduler.RefusedCapacity, scheduler.RefusedInvalid, scheduler.RefusedUnhealthy}
+
+func checkStartAnswer(worker string, answer StartAnswer) error {
+	if err := checkIdentity(worker, answer.Worker, answer.Clock); err != nil {
+		return errs.Pass(err, "answer")
+	}
+	if !slices.Contains(refusals, answer.Refused) {
+		return errs.Field(errs.Malformed, "refused", "%q is not known", answer.Refused)
+	}
+	return nil
+}
+
+// endReasons are the reasons for which a worker may list a run as ended.
+var endReasons = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired,
+	jobs.EndGangBroken, jobs.EndGangTimeout}
+
+// listsOf checks an answer and returns its lists. A run that is not listed counts as over, so an answer that does not
+// name the worker, or lacks a list, is no answer.
 func listsOf(worker string, answer RenewLeaseAnswer) (scheduler.RenewalAnswer, error) {
-	if err := checkAnswer(worker, answer.Worker, answer.Clock); err != nil {
+	if err := checkIdentity(worker, answer.Worker, answer.Clock); err != nil {
 		return scheduler.RenewalAnswer{}, errs.Pass(err, "answer")
 	}
 	if answer.Running == nil || answer.Ended == nil {
@@ -97,24 +109,24 @@
 	}
 	lists := scheduler.RenewalAnswer{Clock: answer.Clock, Full: answer.More}
 	for _, r := range answer.Running {
-		lists.Running = append(lists.Running, scheduler.ListedRun{Key: r.Run.Key(), Checkpoint: r.Checkpoint, Percent: r.Percent})
+		run := scheduler.ListedRun{Key: r.Run.Key(), Checkpoint: r.Checkpoint, Percent: r.Percent}
+		lists.Running = append(lists.Running, run)
 	}
 	for _, e := range answer.Ended {
 		if !slices.Contains(endReasons, e.EndReason) {
 			return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "ended", "%q is not known", e.EndReason)
 		}
-		lists.Ended = append(lists.Ended, scheduler.EndedRun{Sequence: e.Sequence, Key: e.Run.Key(), Reason: e.EndReason, Checkpoint: e.Checkpoint})
+		lists.Ended = append(lists.Ended, scheduler.EndedRun{
+			Sequence: e.Sequence, Key: e.Run.Key(), Reason: e.EndReason, Checkpoint: e.Checkpoint,
+		})
 	}
 	return lists, nil
 }
 
-// endReasons are the ends that a worker may tell.
-var endReasons = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired, jobs.EndGangBroken, jobs.EndGangTimeout}
-
-// checkAnswer refuses an answer that is not the worker's own.
-func checkAnswer(worker, answers string, clock time.Duration) error {
-	if answers != worker {
-		return errs.Field(errs.Malformed, "worker", "must be %q, is %q", worker, answers)
+// checkIdentity refuses an answer that is not the worker's own.
+func checkIdentity(worker, answering string, clock time.Duration) error {
+	if answering != worker {
+		return errs.Field(errs.Malformed, "worker", "must be %q, is %q", worker, answering)
 	}
 	if clock < 0 {
 		return errs.Field(errs.Malformed, "clock", "must not be negative, is %s", clock)
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -1,6 +1,12 @@
-// Package workerapi is the contract between the leader of the core and a worker: three calls, start, stop and hold, as
-// JSON over HTTP/1.1. A worker is one life of a process, under an ID that is never used again. Durations are whole
-// nanoseconds; deadlines are readings of the worker's own clock, so that no two clocks are compared.
+// Package workerapi is the contract between the leader of the core and a worker, in the product's own form: three
+// calls, to start a run, to stop one, and to renew the worker's lease, as JSON over HTTP/1.1. Client is the leader's
+// side; a worker answers the endpoints. The package decides nothing and retries nothing.
+//
+// A worker is one incarnation of a process, under an ID that is never used again. Durations are whole nanoseconds;
+// deadlines are readings of the worker's own clock, so that no two clocks are compared. Every call has the leader's
+// fencing token: a worker refuses one with a lower token than it has seen.
+//
+// Begin with the endpoints at the end of workerapi.go.
 package workerapi
 
 import (
@@ -20,18 +26,17 @@
 	Number int    `json:"number"`
 }
 
-// RunOf gives the name of a run on the wire.
+// RunOf returns the name of a run on the wire.
 func RunOf(key jobs.RunKey) Run {
 	return Run{Job: key.Task.Job, Round: key.Task.Round, Step: key.Task.Step, Index: key.Task.Index, Number: key.Number}
 }
 
-// Key gives the run's name in the job table.
+// Key returns the run's name in the job table.
 func (r Run) Key() jobs.RunKey {
 	return jobs.RunKey{Task: jobs.TaskRef{Job: r.Job, Round: r.Round, Step: r.Step, Index: r.Index}, Number: r.Number}
 }
 
-// StartCall tells a worker to start one run. Token is the leader's term: a worker refuses what is under a lower one than
-// it has seen.
+// StartCall orders a worker to start one run.
 type StartCall struct {
 	Worker     string        `json:"worker"`
 	Run        Run           `json:"run"`
@@ -39,41 +44,41 @@
 	Payload    string        `json:"payload,omitempty"`
 	Checkpoint string        `json:"checkpoint,omitempty"` // saved progress to go on from
 	Deadline   time.Duration `json:"deadline"`             // new end of the lease of all that runs on the worker
-	Token      uint64        `json:"token"`
+	Token      uint64        `json:"token"`                // fencing token: the leader's term
 }
 
-// Needs is what a run takes of a worker.
+// Needs are the resources that a run takes of a worker.
 type Needs struct {
 	MilliCPU int `json:"milli_cpu,omitempty"`
 	MemoryMB int `json:"memory_mb,omitempty"`
 	GPUs     int `json:"gpus,omitempty"`
 }
 
-// NeedsOf gives needs as they stand on the wire.
-func NeedsOf(needs jobs.Resources) Needs {
+// needsOf returns needs as they stand on the wire.
+func needsOf(needs jobs.Resources) Needs {
 	return Needs{MilliCPU: needs.MilliCPU, MemoryMB: needs.MemoryMB, GPUs: needs.GPUs}
 }
 
-// Resources gives needs as they stand in the job table.
+// Resources returns needs as they stand in the job table.
 func (n Needs) Resources() jobs.Resources {
 	return jobs.Resources{MilliCPU: n.MilliCPU, MemoryMB: n.MemoryMB, GPUs: n.GPUs}
 }
 
-// StartAnswer tells whether a run was started, and why not. A refused order never starts its run later.
+// StartAnswer says whether a run was started, and why not. A refused order never starts its run later.
 type StartAnswer struct {
 	Worker  string            `json:"worker"`
-	Clock   time.Duration     `json:"clock"`
+	Clock   time.Duration     `json:"clock"` // the worker's own
 	Refused scheduler.Refusal `json:"refused,omitempty"`
 }
 
-// StopCall tells a worker to end one run, and never to start it later.
+// StopCall orders a worker to end one run, and never to start it later.
 type StopCall struct {
 	Worker string `json:"worker"`
 	Run    Run    `json:"run"`
 	Token  uint64 `json:"token"`
 }
 
-// StopAnswer says that the order was taken. The run's end is listed once it is over.
+// StopAnswer says that the order was accepted. The run's end is listed once it is over.
 type StopAnswer struct {
 	Worker string `json:"worker"`
 }
@@ -82,9 +87,9 @@
 type RenewLeaseCall struct {
 	Worker           string        `json:"worker"`
 	Token            uint64        `json:"token"`
-	AcknowledgedUpTo uint64        `json:"seen"`               // ends numbered up to it are durable: the worker forgets them
+	AcknowledgedUpTo uint64        `json:"seen"`               // ends numbered up to it are durable
 	Deadline         time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: none
-	Wait             time.Duration `json:"wait,omitempty"`     // how long the answer may be kept back until a run ends
+	Wait             time.Duration `json:"wait,omitempty"`     // how long the answer may be delayed until a run ends
 }
 
 // RunningRun is a run that is not over.
@@ -94,16 +99,16 @@
 	Percent    int    `json:"percent,omitempty"`
 }
 
-// EndedRun is a run that is over. It is listed until a hold call acknowledges it.
+// EndedRun is a run that is over. It is listed until a lease renewal acknowledges it.
 type EndedRun struct {
-	Sequence   uint64         `json:"sequence"` // from 1, rising within the worker's life
+	Sequence   uint64         `json:"sequence"` // from 1, rising within the worker's incarnation
 	Run        Run            `json:"run"`
 	EndReason  jobs.EndReason `json:"how"` // done, failed, stopped, lapsed, broken or alone
 	Checkpoint string         `json:"checkpoint,omitempty"`
 }
 
-// RenewLeaseAnswer lists all that runs on a worker and the ends that are not acknowledged yet, oldest first. More: there are
-// further ends, so that a run that is not listed may be over.
+// RenewLeaseAnswer lists all that runs on a worker and the ends that are not acknowledged yet, oldest first. More:
+// there are further ends, so that a run that is not listed may be over.
 type RenewLeaseAnswer struct {
 	Worker  string        `json:"worker"`
 	Clock   time.Duration `json:"clock"`
@@ -112,7 +117,7 @@
 	More    bool          `json:"more,omitempty"`
 }
 
-// The calls that a worker answers. Failures: errs.Unknown: another life answers, the named one is gone for good;
+// The calls that a worker answers. Failures: errs.Unknown: another incarnation answers, the named one is gone for good;
 // errs.Stale: the worker has seen a higher token, nothing was done; errs.Malformed: the call cannot be read.
 var (
 	StartEndpoint      = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
