--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -79,7 +79,7 @@
 // SetSeeds replaces the seeds.
 func (c *Client) SetSeeds(seeds []string) { c.directory.setSeeds(seeds) }
 
-// Hint tells the client of a leader's address that its caller has learnt; "" changes nothing.
+// Hint makes the client try an address as the leader's next, one that its caller has learnt; "" changes nothing.
 func (c *Client) Hint(leader string) { c.directory.followHint("", leader, c.opt.Clock.Now()) }
 
 // Start begins to probe for the leader, so that Ready is up to date and calls need not search. Call it once.
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -36,7 +36,7 @@
 	return f
 }
 
-// until gives a ctx whose deadline is on the virtual clock.
+// until returns a ctx whose deadline is on the virtual clock.
 func (f *fakeCore) until(d time.Duration) context.Context {
 	return deadlineContext{context.Background(), f.clock.Wall().Add(d)}
 }
@@ -48,7 +48,7 @@
 
 func (d deadlineContext) Deadline() (time.Time, bool) { return d.deadline, true }
 
-// submit hands a job in and gives the kind of the error and how long it took.
+// submit submits a job and returns the kind of the error and the time that it took.
 func (f *fakeCore) submit(timeout time.Duration) (errs.Kind, time.Duration) {
 	begin := f.clock.Now()
 	f.asked = nil
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state/command"
 )
 
-// submitCall hands in job j of queue q.
+// submitCall submits job j of queue q.
 func submitCall(digest string) SubmitCall {
 	return SubmitCall{Location: Location{Host: "h", Path: "/q/j"}, Digest: digest,
 		Spec: jobs.Spec{ID: "j", Payload: "p", Steps: []jobs.Step{{Count: 1, Estimate: time.Second}}}}
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// accepted gives the calls that the node carried out since the last question.
+// takeCalls returns the calls that the node carried out since it was last called.
 func (n *coreNode) takeCalls() []string {
 	n.core.mu.Lock()
 	defer n.core.mu.Unlock()
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// gatheredMetrics gives the figures of a registry: name, labels, value.
+// gatheredMetrics returns the figures of a registry: name, labels, value.
 func gatheredMetrics(registry *prometheus.Registry) []string {
 	families, err := registry.Gather()
 	So(err, ShouldBeNil)
--- a/internal/httpapi/jobsapi/docs_test.go
+++ b/internal/httpapi/jobsapi/docs_test.go
@@ -14,7 +14,7 @@
 // page is the operators' page whose examples must be taken as they stand there.
 const page = "../../../docs/ops/jobs.md"
 
-// between gives all texts that stand between two marks.
+// between returns all texts that stand between two marks.
 func between(text, open, end string) []string {
 	var out []string
 	for {
--- a/internal/httpapi/jobsapi/job_test.go
+++ b/internal/httpapi/jobsapi/job_test.go
@@ -18,7 +18,7 @@
 	field string
 }
 
-// shouldRefuse checks what parsing each body gives.
+// shouldRefuse checks the outcome of parsing each body.
 func shouldRefuse(parse func(body []byte) error, cases []rejection) {
 	for _, c := range cases {
 		err := parse([]byte(c.body))
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -19,7 +19,7 @@
 	"crosstide/internal/rpc"
 )
 
-// startLeader starts a core of one node; a cancel is held until gate is closed.
+// startLeader starts a core of one node; a cancel is not answered until gate is closed.
 func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, end func()) {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	rpc.Handle(s, controller.TopologyEndpoint, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
@@ -63,7 +63,7 @@
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger()}
 }
 
-// cancelJob cancels a job at a front node and gives the answer's status, 0 for none.
+// cancelJob cancels a job at a front node and returns the answer's status, 0 for none.
 func cancelJob(addr string) int {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+addr+"/job", nil)
 	if err != nil {
