--- /dev/null
+++ b/internal/controller/orders_test.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"context"
+	"testing"
+
+	"github.com/go-kit/log"
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/controller/scheduler"
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+)
+
+func TestOrderErrors(t *testing.T) {
+	notDelivered := errs.Wrap(errNotDelivered, errs.Unavailable, "worker w")
+	Convey("Each error of an order says to the scheduler what may have become of the order", t, func() {
+		for _, c := range []struct {
+			err     error
+			start   scheduler.StartError
+			stop    scheduler.StopError
+			renewal scheduler.RenewalError
+		}{
+			{nil, scheduler.StartOK, scheduler.StopOK, scheduler.RenewalOK},
+			{errs.New(errs.Unknown, "another incarnation"), scheduler.StartOtherIncarnation, scheduler.StopFailed,
+				scheduler.RenewalOtherIncarnation},
+			{errs.New(errs.Stale, "a higher token"), scheduler.StartUnknown, scheduler.StopFailed, scheduler.RenewalFenced},
+			{notDelivered, scheduler.StartUnsent, scheduler.StopFailed, scheduler.RenewalFailed},
+			{errs.New(errs.Unavailable, "refused"), scheduler.StartUnknown, scheduler.StopFailed, scheduler.RenewalFailed},
+			{errs.New(errs.Timeout, "no answer"), scheduler.StartUnknown, scheduler.StopFailed, scheduler.RenewalFailed},
+		} {
+			err := errs.Pass(c.err, "order")
+			So([]any{c.err, startErrorOf(err), stopErrorOf(err), renewalErrorOf(err)}, ShouldResemble,
+				[]any{c.err, c.start, c.stop, c.renewal})
+		}
+	})
+}
+
+// countingWorkers count the orders that reach them.
+type countingWorkers struct {
+	unresponsiveWorkers
+	orders int
+}
+
+func (w *countingWorkers) Stop(context.Context, jobs.Worker, scheduler.StopOrder) error {
+	w.orders++
+	return nil
+}
+
+func TestOrderWithoutLease(t *testing.T) {
+	Convey("An order under a term goes out while the node leads in it, and its outcome becomes an event", t, func() {
+		store, workers := newFakeStore(), &countingWorkers{}
+		leader := NewLeader(LeaderOptions{Store: store, Workers: workers, Config: scheduler.Defaults(),
+			Clock: &clock.Virtual{}, Logger: log.NewNopLogger()})
+		leader.sendStop(context.Background(), store.term, scheduler.StopAction{})
+		So([]int{workers.orders, len(leader.inbox.events)}, ShouldResemble, []int{1, 1})
+		Convey("one of an earlier term does not, and its failure becomes an event too", func() {
+			leader.sendStop(context.Background(), store.term-1, scheduler.StopAction{})
+			So([]int{workers.orders, len(leader.inbox.events)}, ShouldResemble, []int{1, 2})
+		})
+	})
+}
