--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -56,7 +56,7 @@
 	return errs.KindOf(err), f.clock.Now() - begin
 }
 
-// hasLease answers as the leader.
+// answersAsLeader answers as the leader.
 func answersAsLeader(_ context.Context, _ query, answer any, _ time.Duration) reply {
 	switch a := answer.(type) {
 	case *SubmitAnswer:
@@ -86,7 +86,7 @@
 	return reply{err: errs.New(errs.Unavailable, "refused"), unsent: true}
 }
 
-// timesOut takes the call and says nothing; hangs takes no connection.
+// timesOut takes the call and never answers; connectTimesOut takes no connection.
 func (f *fakeCore) timesOut(_ context.Context, _ query, _ any, timeout time.Duration) reply {
 	f.clock.Advance(timeout)
 	return reply{err: errs.New(errs.Timeout, "silent")}
@@ -105,7 +105,7 @@
 		f.submit(time.Second)
 		So(f.asked, ShouldResemble, []string{"c"})
 	})
-	Convey("A leader that is gone is passed over for a moment, also when others still name it", t, func() {
+	Convey("A leader that is gone is backed off, also when others still name it", t, func() {
 		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": redirectsTo("a"), "c": redirectsTo("a")}, "a", "b", "c")
 		f.submit(time.Second)
 		f.nodes["a"] = connectionRefused
@@ -136,7 +136,7 @@
 		f.SetSeeds([]string{"z"})
 		So(f.directory.addresses(), ShouldResemble, []string{"a", "b", "z"})
 	})
-	Convey("Our own address is not asked in turn, but by a hint", t, func() {
+	Convey("The own address is not in the rotation, but is asked after a hint", t, func() {
 		f := newFakeCore(map[string]node{"b": redirectsTo("")}, "a", "b")
 		f.directory.self = "a"
 		kind, _ := f.submit(300 * time.Millisecond)
@@ -146,7 +146,7 @@
 		kind, _ = f.submit(300 * time.Millisecond)
 		So([]any{kind, f.asked}, ShouldResemble, []any{errs.Kind(""), []string{"b", "a"}})
 	})
-	Convey("A call whose own time was short does not make its node pass for lost", t, func() {
+	Convey("A call whose own time was short does not make its node count as failed", t, func() {
 		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": answersAsLeader}, "a", "b")
 		f.submit(time.Second)
 		f.nodes["a"] = f.timesOut
@@ -165,7 +165,7 @@
 			So([]any{got, took, len(f.asked)}, ShouldResemble, []any{kind, time.Duration(0), 1})
 		}
 	})
-	Convey("After an attempt that may have been carried out, a refusal stays but for Pressure, which is Timeout", t, func() {
+	Convey("After an attempt that may have been carried out, a refusal stays, but Overloaded becomes Timeout", t, func() {
 		for _, kind := range final {
 			f := newFakeCore(map[string]node{"b": failsWith(kind)}, "a", "b")
 			f.nodes["a"] = f.timesOut
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -28,7 +28,7 @@
 
 func TestSubmitIsIdempotent(t *testing.T) {
 	ctx := context.Background()
-	Convey("A job that is handed in again stays one job", t, func() {
+	Convey("A job that is submitted again stays one job", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		configured(store, 1)
--- a/internal/controller/heartbeat_assigner_test.go
+++ b/internal/controller/heartbeat_assigner_test.go
@@ -25,8 +25,8 @@
 			return out
 		}
 		before, counts := all(), map[string]int{}
-		for _, home := range before {
-			counts[home]++
+		for _, node := range before {
+			counts[node]++
 		}
 		So(counts, ShouldHaveLength, len(members))
 		for _, count := range counts {
@@ -36,22 +36,22 @@
 		members = []string{"e:1", "d:1", "b:1", "a:1"}
 		h.nodeFor(memberRefreshInterval, "w")
 		So(looks, ShouldEqual, 2)
-		for id, home := range all() {
+		for id, node := range all() {
 			if before[id] == "c:1" {
-				So(home, ShouldNotEqual, "c:1")
+				So(node, ShouldNotEqual, "c:1")
 			} else {
-				So(home, ShouldEqual, before[id])
+				So(node, ShouldEqual, before[id])
 			}
 		}
 	})
-	Convey("Without members there is no home", t, func() {
+	Convey("Without members no node is assigned", t, func() {
 		h := &heartbeatAssigner{reachable: func() []string { return nil }}
 		So(h.nodeFor(0, "w"), ShouldBeEmpty)
 	})
 }
 
 func TestHeartbeatAddressInAnswer(t *testing.T) {
-	Convey("The answer to a heartbeat names the worker's home where workers are spread, else the leader", t, func() {
+	Convey("The answer to a heartbeat names the worker's node where workers are spread, else the leader", t, func() {
 		spread := func(internal string) string { return "control of " + internal }
 		for _, c := range []struct {
 			options LeaderOptions
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -101,7 +101,7 @@
 		sendHeartbeat(fakeLeader(store, by), heartbeat(2))
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 	})
-	Convey("The sequence numbers of workers that are forgotten are let go", t, func() {
+	Convey("The sequence numbers of workers that are forgotten are dropped", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		sendHeartbeat(l, heartbeat(1))
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -18,13 +18,13 @@
 
 // mailboxFixture is the mailbox of one worker, under term 3.
 type mailboxFixture struct {
-	boxes *Mailboxes
-	group *routine.Group
-	leads bool
+	mailboxes *Mailboxes
+	group     *routine.Group
+	leads     bool
 }
 
 func newMailboxFixture() *mailboxFixture {
-	return &mailboxFixture{boxes: NewMailboxes(), group: routine.New(context.Background()), leads: true}
+	return &mailboxFixture{mailboxes: NewMailboxes(), group: routine.New(context.Background()), leads: true}
 }
 
 // heartbeat is one heartbeat; a worker with nothing to do would wait for orders, so it lists one foreign run.
@@ -33,16 +33,16 @@
 	for _, key := range running {
 		listing.Running = append(listing.Running, scheduler.ListedRun{Key: key})
 	}
-	return b.boxes.Exchange(context.Background(), "w", sequence, mailboxTerm, listing, func() bool { return b.leads })
+	return b.mailboxes.Exchange(context.Background(), "w", sequence, mailboxTerm, listing, func() bool { return b.leads })
 }
 
-// startResult waits until count letters are in the worker's box.
+// waitForOrders waits until count orders are in the worker's mailbox.
 func (b *mailboxFixture) waitForOrders(count int) {
 	for {
-		b.boxes.mu.Lock()
-		box := b.boxes.mailboxOf("w")
+		b.mailboxes.mu.Lock()
+		box := b.mailboxes.mailboxOf("w")
 		filled, have := box.orderAdded, len(box.starts)+len(box.stops)+len(box.renewals)
-		b.boxes.mu.Unlock()
+		b.mailboxes.mu.Unlock()
 		if have >= count {
 			return
 		}
@@ -54,7 +54,7 @@
 	return jobs.RunKey{Task: jobs.TaskRef{Job: "j", Index: index}, Number: 1}
 }
 
-// outcome of one order.
+// startResult is the outcome of one start.
 type startResult struct {
 	clock   time.Duration
 	refusal scheduler.Refusal
@@ -64,7 +64,7 @@
 func (b *mailboxFixture) start(ctx context.Context, index int) chan startResult {
 	done := make(chan startResult, 1)
 	b.group.Go(func(context.Context) {
-		answer, err := b.boxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailboxTerm, LeaseDeadline: time.Minute + 5*time.Second})
+		answer, err := b.mailboxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailboxTerm, LeaseDeadline: time.Minute + 5*time.Second})
 		done <- startResult{answer.Clock, answer.Refusal, err}
 	})
 	b.waitForOrders(1)
@@ -89,17 +89,17 @@
 				So(second.Token, ShouldBeGreaterThan, first.Token)
 				So(third.Token, ShouldBeLessThan, uint64((mailboxTerm+1)*tokensPerTerm))
 			})
-			Convey("and the lease leaves room for the way of the answer", func() {
+			Convey("and the lease leaves time for the answer to arrive", func() {
 				So(first.Lease, ShouldEqual, 5*time.Second-answerTimeout)
 			})
 		})
 		Convey("a worker that lists it as refused has not taken it", func() {
 			b.heartbeat(1)
 			listing := scheduler.RenewalAnswer{Clock: time.Minute, Ended: []scheduler.EndedRun{{Sequence: 1, Key: runKey(1), Reason: jobs.EndLost}}}
-			b.boxes.Exchange(context.Background(), "w", 2, mailboxTerm, listing, func() bool { return true })
+			b.mailboxes.Exchange(context.Background(), "w", 2, mailboxTerm, listing, func() bool { return true })
 			So((<-done).refusal, ShouldEqual, scheduler.RefusedCapacity)
 		})
-		Convey("taken back before a heartbeat came, it never left", func() {
+		Convey("taken back before a heartbeat came, it was surely not delivered", func() {
 			cancel()
 			So(errors.Is((<-done).err, errNotDelivered), ShouldBeTrue)
 			So(b.heartbeat(1).Starts, ShouldBeEmpty)
@@ -109,7 +109,7 @@
 			cancel()
 			So(errs.KindOf((<-done).err), ShouldEqual, errs.Timeout)
 		})
-		Convey("a node that does not lead any more gives no orders", func() {
+		Convey("a node that does not lead any more sends no orders", func() {
 			b.leads = false
 			So(b.heartbeat(1), ShouldBeNil)
 		})
@@ -121,10 +121,10 @@
 		b := newMailboxFixture()
 		done := make(chan error, 1)
 		b.group.Go(func(ctx context.Context) {
-			done <- b.boxes.Stop(ctx, jobs.Worker{ID: "w"}, scheduler.StopOrder{Key: runKey(1), Token: mailboxTerm})
+			done <- b.mailboxes.Stop(ctx, jobs.Worker{ID: "w"}, scheduler.StopOrder{Key: runKey(1), Token: mailboxTerm})
 		})
 		b.waitForOrders(1)
-		Convey("it is settled by a heartbeat that does not list the run, after two answers carried it", func() {
+		Convey("it is confirmed by a heartbeat that does not list the run, after two answers carried it", func() {
 			So(b.heartbeat(1, runKey(1)).Stops, ShouldResemble, []jobs.RunKey{runKey(1)})
 			So(len(b.heartbeat(2).Stops), ShouldEqual, 1)
 			So(len(b.heartbeat(3).Stops), ShouldEqual, 0)
@@ -142,7 +142,7 @@
 		b := newMailboxFixture()
 		done := make(chan scheduler.RenewalAnswer, 1)
 		b.group.Go(func(ctx context.Context) {
-			answer, _ := b.boxes.RenewLease(ctx, jobs.Worker{ID: "w"}, scheduler.LeaseRenewal{Token: mailboxTerm, AcknowledgedUpTo: 4})
+			answer, _ := b.mailboxes.RenewLease(ctx, jobs.Worker{ID: "w"}, scheduler.LeaseRenewal{Token: mailboxTerm, AcknowledgedUpTo: 4})
 			done <- answer
 		})
 		b.waitForOrders(1)
@@ -158,12 +158,12 @@
 }
 
 func TestHeartbeatInterval(t *testing.T) {
-	Convey("A worker that runs something beats as often as one leader can answer all of them", t, func() {
+	Convey("A worker that runs something sends heartbeats as often as one leader can answer those of all", t, func() {
 		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 48: minHeartbeatInterval, 400: 200 * time.Millisecond, 5000: maxHeartbeatInterval} {
 			So(heartbeatInterval(false, workers), ShouldEqual, pause)
 		}
 	})
-	Convey("The time that an answer was held is part of the pause", t, func() {
+	Convey("The time that an answer was delayed is part of the pause", t, func() {
 		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 400: minHeartbeatInterval, 1000: minHeartbeatInterval, 1500: 250 * time.Millisecond, 5000: maxHeartbeatInterval} {
 			So(heartbeatInterval(true, workers), ShouldEqual, pause)
 		}
