--- a/internal/controller/client_directory.go
+++ b/internal/controller/client_directory.go
@@ -92,8 +92,8 @@
 	return soonest
 }
 
-// followHint presumes the leader that the node at from named, "" if it named none. A hint that names the node itself, or
-// one that failed lately, only ends the presumption that the node at from leads.
+// followHint presumes the leader that the node at from named, "" if it named none. A hint that names the node itself,
+// or one that failed lately, only ends the presumption that the node at from leads.
 func (d *directory) followHint(from, leader string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -124,7 +124,7 @@
 	})
 	Convey("Members that the topology lists are asked when the seeds are gone", t, func() {
 		f := newFakeCore(map[string]node{"b": answersAsLeader}, "a")
-		f.nodes["a"] = func(_ context.Context, q query, answer any, _ time.Duration) reply {
+		f.nodes["a"] = func(_ context.Context, _ query, answer any, _ time.Duration) reply {
 			*answer.(*TopologyAnswer) = TopologyAnswer{Leader: "a", Members: []string{"a", "b"}}
 			return reply{answered: true}
 		}
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -31,10 +31,10 @@
 
 func (f *fakeStore) View(read func(*state.State))            { read(f.state) }
 func (f *fakeStore) LeaderTerm(time.Duration) (uint64, bool) { return f.term, f.term != 0 }
-func (f *fakeStore) Changed() <-chan struct{}                { return nil }
+func (*fakeStore) Changed() <-chan struct{}                  { return nil }
 func (f *fakeStore) ReachableVoters() []string               { return f.reached }
 
-func (f *fakeStore) Members() (leader string, addresses []string) {
+func (*fakeStore) Members() (leader string, addresses []string) {
 	return "lead:1", []string{"lead:1"}
 }
 func (f *fakeStore) commit(c command.Command) (answer any, err error) {
