--- /dev/null
+++ b/internal/controller/commands.go
@@ -0,0 +1,99 @@
+package controller
+
+import (
+	"context"
+	"strings"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/state/command"
+)
+
+// Submit accepts a job. A spec that names its queue needs no location. Sent again with the same digest it is the same
+// job.
+func (l *Leader) Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error) {
+	term, err := l.readTable(func(table *jobs.Table) error {
+		if call.Spec.Queue != "" && table.Config.Version > 0 {
+			return nil // the table refuses a queue that it does not have
+		}
+		queue, err := queueAt(table, call.Location)
+		if err != nil {
+			return errs.Pass(err, "submit")
+		}
+		call.Spec.Queue = queue.Name
+		return nil
+	})
+	if err != nil {
+		return SubmitAnswer{}, errs.Pass(err, "submit")
+	}
+	submit := command.JobSubmit{Submit: jobs.Submit{Spec: call.Spec, Digest: call.Digest, At: l.clock.Wall()}}
+	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &submit)
+	state, _ := answer.(jobs.JobState)
+	return SubmitAnswer{State: state}, errs.Pass(err, "submit")
+}
+
+// Job returns a job's state, or cancels the job. The job's ID is the last part of the location's path.
+func (l *Leader) Job(ctx context.Context, call JobCall) (JobAnswer, error) {
+	var answer JobAnswer
+	id := call.Location.Path[strings.LastIndexByte(call.Location.Path, '/')+1:]
+	term, err := l.readTable(func(table *jobs.Table) error {
+		if _, err := queueAt(table, call.Location); err != nil {
+			return errs.Pass(err, "job")
+		}
+		if job := table.Jobs[id]; job != nil {
+			answer.State = job.State
+		} else {
+			answer.Gone = true
+		}
+		return nil
+	})
+	if err != nil || !call.Cancel || answer.Gone {
+		return answer, errs.Pass(err, "job")
+	}
+	answer.State, err = l.cancelJob(ctx, term, id)
+	if errs.Is(err, errs.Unknown) {
+		return JobAnswer{Gone: true}, nil // deleted meanwhile
+	}
+	return answer, errs.Pass(err, "cancel")
+}
+
+// Cancel ends a job.
+func (l *Leader) Cancel(ctx context.Context, call CancelCall) (JobAnswer, error) {
+	term, err := l.readTable(func(table *jobs.Table) error {
+		_, err := jobByID(table, call.ID)
+		return errs.Pass(err, "cancel")
+	})
+	if err != nil {
+		return JobAnswer{}, errs.Pass(err, "cancel")
+	}
+	state, err := l.cancelJob(ctx, term, call.ID)
+	return JobAnswer{State: state}, errs.Pass(err, "cancel")
+}
+
+// cancelJob commits a job's cancellation and returns the job's state after it.
+func (l *Leader) cancelJob(ctx context.Context, term uint64, id string) (jobs.JobState, error) {
+	cancel := command.JobCancel{Cancel: jobs.Cancel{ID: id, At: l.clock.Wall()}}
+	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &cancel)
+	state, _ := answer.(jobs.JobState)
+	return state, errs.Pass(err, "propose")
+}
+
+// Configure changes the configuration.
+func (l *Leader) Configure(ctx context.Context, call jobs.Configure) (ConfigureAnswer, error) {
+	return ConfigureAnswer{}, errs.Pass(l.propose(ctx, &command.JobConfigure{Configure: call}), "configure")
+}
+
+// Evacuate starts or withdraws the evacuation of a zone.
+func (l *Leader) Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
+	return EvacuateAnswer{}, errs.Pass(l.propose(ctx, &command.JobEvacuate{Evacuate: call}), "evacuate")
+}
+
+// propose commits a command if this node leads with its lease in force.
+func (l *Leader) propose(ctx context.Context, c command.Command) error {
+	term, err := l.readTable(func(*jobs.Table) error { return nil })
+	if err != nil {
+		return errs.Pass(err, "propose")
+	}
+	_, _, err = l.opt.Store.ProposeIn(ctx, term, c)
+	return errs.Pass(err, "propose")
+}
--- /dev/null
+++ b/internal/controller/relay.go
@@ -0,0 +1,99 @@
+package controller
+
+import (
+	"context"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+)
+
+// Relay answers calls on any node of the core: by the node itself while it leads, else it forwards them to the leader.
+type Relay struct {
+	local  Local
+	remote *Client
+	self   string
+}
+
+// NewRelay makes a relay on the node whose internal address is self.
+func NewRelay(local Local, remote *Client, self string) *Relay {
+	return &Relay{local: local, remote: remote, self: self}
+}
+
+// Submit submits a job.
+func (r *Relay) Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Submit, r.remote.Submit)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Job asks for a job or cancels it.
+func (r *Relay) Job(ctx context.Context, call JobCall) (JobAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Job, r.remote.Job)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Count asks how many jobs of a queue wait.
+func (r *Relay) Count(ctx context.Context, call CountCall) (CountAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Count, r.remote.Count)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Heartbeat delivers a worker's heartbeat.
+func (r *Relay) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Heartbeat, r.remote.Heartbeat)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Config asks for the configuration in force.
+func (r *Relay) Config(ctx context.Context, call ConfigCall) (jobs.Config, error) {
+	answer, err := relay(ctx, r, call, r.local.Config, r.remote.Config)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Configure changes the configuration.
+func (r *Relay) Configure(ctx context.Context, call jobs.Configure) (ConfigureAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Configure, r.remote.Configure)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Evacuate starts or withdraws the evacuation of a zone.
+func (r *Relay) Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Evacuate, r.remote.Evacuate)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Workers lists the workers.
+func (r *Relay) Workers(ctx context.Context, call WorkersCall) (WorkersAnswer, error) {
+	answer, err := relay(ctx, r, call, r.local.Workers, r.remote.Workers)
+	return answer, errs.Pass(err, "relay")
+}
+
+// Topology returns the leader and the members of the core, as this node knows them.
+func (r *Relay) Topology(ctx context.Context, call TopologyCall) (TopologyAnswer, error) {
+	answer, err := r.local.Topology(ctx, call)
+	return answer, errs.Pass(err, "relay")
+}
+
+// relay makes a call at this node, and at the leader if this node has not carried it out because it does not lead.
+func relay[C, A any](ctx context.Context, r *Relay, call C,
+	local, remote func(context.Context, C) (A, error)) (A, error) {
+	answer, err := local(ctx, call)
+	if err == nil || !r.shouldForward(ctx, err) {
+		return answer, errs.Pass(err, "this node")
+	}
+	answer, err = remote(ctx, call)
+	return answer, errs.Pass(err, "the leader")
+}
+
+// shouldForward reports whether a call that failed here with err, and surely was not carried out, may succeed at
+// another node. A node that leads without its lease in force forwards too: another one may lead already.
+func (r *Relay) shouldForward(ctx context.Context, err error) bool {
+	switch errs.KindOf(err) {
+	case errs.NotLeader:
+		r.remote.Hint(errs.Of(err).Hint)
+		return true
+	case errs.Unavailable:
+		topology, failed := r.local.Topology(ctx, TopologyCall{})
+		return failed != nil || topology.Leader != r.self
+	}
+	return false
+}
--- a/internal/httpapi/jobsapi/docs_test.go
+++ b/internal/httpapi/jobsapi/docs_test.go
@@ -14,7 +14,7 @@
 // page is the operators' page whose examples must be taken as they stand there.
 const page = "../../../docs/ops/jobs.md"
 
-// between gives all texts that stand between two marks.
+// between returns all texts that stand between two marks.
 func between(text, open, end string) []string {
 	var out []string
 	for {
@@ -40,19 +40,19 @@
 		So(os.WriteFile(settings, []byte(fences[0]), 0o600), ShouldBeNil)
 		core, err := config.LoadJobsControlPlane(settings)
 		So([]any{core.Control, err}, ShouldResemble, []any{"10.0.1.10:7200", nil})
-		beat, err := parseHeartbeat("w", []byte(fences[1]))
-		So([]any{beat.Worker.Rack, err}, ShouldResemble, []any{"r7", nil})
+		heartbeat, err := parseHeartbeat("w", []byte(fences[1]))
+		So([]any{heartbeat.Worker.Rack, err}, ShouldResemble, []any{"r7", nil})
 
 		submitted := between(text, "/v2/jobs -d '", "'\n")
 		So(len(submitted), ShouldEqual, 1)
 		spec, _, err := ParseJob([]byte(submitted[0]))
 		So([]any{len(spec.Steps), spec.Rounds, err}, ShouldResemble, []any{3, 8, nil})
 
-		orders := between(text, "echo '", "' |")
-		So(len(orders), ShouldEqual, 2)
-		put, err := parsePut([]byte(orders[0]))
+		changes := between(text, "echo '", "' |")
+		So(len(changes), ShouldEqual, 2)
+		put, err := parsePut([]byte(changes[0]))
 		So([]any{put.Version, err}, ShouldResemble, []any{uint64(1), nil})
-		patch, err := parsePatch([]byte(orders[1]))
+		patch, err := parsePatch([]byte(changes[1]))
 		So([]any{patch.Version, err}, ShouldResemble, []any{uint64(2), nil})
 	})
 }
