--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -8,149 +8,83 @@
 	"crosstide/internal/jobs"
 )
 
-// job is the scheduler's record of a job that is not over or has handles out.
-type job struct {
-	id    string
-	timed bool // a round of it is not due yet
-	runs  map[jobs.RunKey]bool
-	units []*unit
-}
-
-// unit is what is placed together: the due tasks of a step of a round, one by one, or a gang whole.
+// unit is what the queue orders and placement handles as one: the due tasks of one step of one round. They are placed
+// one by one, or all or none if the step is a gang.
 type unit struct {
 	job          *jobs.Job
 	step         *jobs.Step
 	queue        *jobs.Queue
 	round        int
-	stepIndex    int   // index of the step
-	taskIndexes  []int // of due tasks
-	waitingSince time.Duration
-	latestStart  time.Time // start by then to end in time
-	expiresAt    time.Time // from then on the round earns nothing any more
+	stepIndex    int
+	taskIndexes  []int         // of the due tasks, ascending
+	waitingSince time.Duration // when it was first due under this term
+	latestStart  time.Time     // the latest start with which the job can meet its objective; orders the queue
+	expiresAt    time.Time     // after it the unit is placed last, and no capacity is freed for it
 }
 
-// key tells units of the same step and round apart from others.
+// key returns the reference of the unit's step in its round, with the task index left 0.
 func (u *unit) key() jobs.TaskRef {
 	return jobs.TaskRef{Job: u.job.Spec.ID, Round: u.round, Step: u.stepIndex}
 }
 
-// task names the unit's task of an index.
+// task returns the reference of the unit's task of an index.
 func (u *unit) task(index int) jobs.TaskRef {
 	ref := u.key()
 	ref.Index = index
 	return ref
 }
 
-func (c *Core) markDirty(id string) { c.dirtyJobs[id] = true }
+// tasks returns all tasks of the unit's step, due or not.
+func (u *unit) tasks() []jobs.Task { return u.job.Rounds[u.round][u.stepIndex] }
 
-// refreshJob makes a job's record anew from the table.
-func (c *Core) refreshJob(id string, wall time.Time) {
-	rec := c.activeJobs[id]
-	if rec == nil {
-		rec = &job{id: id, runs: map[jobs.RunKey]bool{}}
-		c.activeJobs[id] = rec
-	}
-	j := c.table.Jobs[id]
-	handles := c.syncRuns(rec, j)
-	before := rec.units
-	rec.units, rec.timed = nil, false
-	if j == nil || j.State.IsTerminal() {
-		if handles == 0 {
-			delete(c.activeJobs, id)
-			c.dropTaskHistory(id)
-		}
-		return
-	}
-	q := c.table.Config.Queue(j.Spec.Queue)
-	if q == nil {
-		return // no configuration directs it anywhere
-	}
-	for round := range j.Rounds {
-		c.addDueUnits(rec, j, q, round, wall)
-	}
-	for _, u := range rec.units {
-		u.waitingSince = c.now
-		for _, old := range before {
-			if old.round == u.round && old.stepIndex == u.stepIndex {
-				u.waitingSince = old.waitingSince
-			}
-		}
+// dueUnits returns all units in the order in which they are placed.
+func (c *Core) dueUnits(wall time.Time) []*unit {
+	var units []*unit
+	for _, rec := range c.activeJobs {
+		units = append(units, rec.units...)
 	}
+	slices.SortFunc(units, func(a, b *unit) int {
+		return cmp.Or(
+			cmp.Compare(a.tier(wall), b.tier(wall)),
+			a.latestStart.Compare(b.latestStart),
+			cmp.Compare(a.job.Sequence, b.job.Sequence),
+			cmp.Compare(a.round, b.round),
+			cmp.Compare(a.stepIndex, b.stepIndex))
+	})
+	return units
 }
 
-func (c *Core) dropTaskHistory(id string) {
-	for key := range c.speeds.byStep {
-		if key.job == id {
-			delete(c.speeds.byStep, key)
-		}
-	}
-	for ref := range c.avoidWorker {
-		if ref.Job == id {
-			delete(c.avoidWorker, ref)
-		}
-	}
-	for ref := range c.moveCount {
-		if ref.Job == id {
-			delete(c.moveCount, ref)
-		}
-	}
-}
+// expiredTier comes after every priority.
+const expiredTier = 1 << 20
 
-// syncRuns brings the run records of a job in line with its handles and gives how many there are.
-func (c *Core) syncRuns(rec *job, j *jobs.Job) int {
-	present := map[jobs.RunKey]bool{}
-	if j != nil {
-		for round, steps := range j.Rounds {
-			for step, tasks := range steps {
-				for index := range tasks {
-					c.syncTask(j, jobs.TaskRef{Job: rec.id, Round: round, Step: step, Index: index}, &tasks[index], present)
-				}
-			}
-		}
-	}
-	for key := range rec.runs {
-		if r := c.runs[key]; !present[key] && r != nil {
-			c.untrackRun(r)
-		}
+// tier returns the unit's class of urgency: its queue's priority, or the last one once it has expired.
+func (u *unit) tier(wall time.Time) int {
+	if wall.After(u.expiresAt) {
+		return expiredTier
 	}
-	rec.runs = present
-	return len(present)
+	return u.queue.Priority
 }
 
-func (c *Core) syncTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
-	for _, handle := range task.Runs {
-		key := jobs.RunKey{Task: ref, Number: handle.Number}
-		present[key] = true
-		r := c.runs[key]
-		if r == nil {
-			if c.startInFlight(key) {
-				continue // its commit is about to be reported
-			}
-			mine := handle.Term == c.term
-			if r = c.trackRun(key, handle.Worker, mine); mine && r != nil {
-				c.endRun(r, jobs.EndLost, "") // recorded under this term, and its order never left
-			}
-		}
-		if r != nil && (task.Done || j.State.IsTerminal()) && !r.toStop {
-			c.requestStop(r, CauseJobOver)
-		}
-	}
-}
+// Expiry of units.
+const (
+	expiryObjectives  = 3 // a round expires after so many times its objective
+	longRunningExpiry = 24 * time.Hour
+)
 
-// addDueUnits adds the units of a round that are due.
+// addDueUnits adds the units of a round that are due; if the round itself isn't due yet, it notes when it will be.
 func (c *Core) addDueUnits(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
 		begin = j.Spec.FirstRun.Add(time.Duration(round) * j.Spec.Interval)
 		if due := begin.Add(-c.cfg.EarlyStart); wall.Before(due) {
-			rec.timed = true
+			rec.hasUndueRound = true
 			if c.nextDue.IsZero() || due.Before(c.nextDue) {
 				c.nextDue = due
 			}
 			return
 		}
 	}
-	objective := time.Duration(q.Stretch*float64(criticalPath(j.Spec.Steps, 0, true))) + q.Target
+	objective := time.Duration(q.Stretch*float64(criticalPath(j.Spec.Steps))) + q.Target
 	for number := range j.Spec.Steps {
 		step := &j.Spec.Steps[number]
 		indexes := dueTasks(j.Rounds[round][number], step.Gang)
@@ -158,16 +92,17 @@
 			continue
 		}
 		u := &unit{job: j, step: step, queue: q, round: round, stepIndex: number, taskIndexes: indexes}
-		u.latestStart = begin.Add(objective - criticalPath(j.Spec.Steps, number, false))
-		u.expiresAt = begin.Add(3 * objective)
 		if step.LongRunning {
-			u.latestStart, u.expiresAt = begin.Add(q.Target), begin.Add(24*time.Hour)
+			u.latestStart, u.expiresAt = begin.Add(q.Target), begin.Add(longRunningExpiry)
+		} else {
+			u.latestStart = begin.Add(objective - criticalPathFrom(j.Spec.Steps, number))
+			u.expiresAt = begin.Add(expiryObjectives * objective)
 		}
 		rec.units = append(rec.units, u)
 	}
 }
 
-// dueTasks gives the tasks of a step that are to be started; of a gang all or none.
+// dueTasks returns the indexes of the tasks of a step that are to be started; of a gang all or none.
 func dueTasks(tasks []jobs.Task, gang bool) []int {
 	var due []int
 	for index := range tasks {
@@ -181,56 +116,37 @@
 	return due
 }
 
-// minEstimate stands for a step whose client gave no estimate.
+// minEstimate stands for a step whose client estimated less, or nothing.
 const minEstimate = 200 * time.Millisecond
 
-// criticalPath is the longest time along steps that wait for each other: of the whole job, or from one step on.
-func criticalPath(steps []jobs.Step, from int, whole bool) time.Duration {
-	longest := make([]time.Duration, len(steps))
+// criticalPath returns the longest time along steps that wait for each other.
+func criticalPath(steps []jobs.Step) time.Duration {
+	return longestPath(steps, func(int) bool { return true })
+}
+
+// criticalPathFrom returns the longest time along steps that wait for each other, from one step on.
+func criticalPathFrom(steps []jobs.Step, first int) time.Duration {
+	return longestPath(steps, func(number int) bool { return number == first })
+}
+
+// longestPath returns the longest time along steps that wait for each other, of the paths that begin at a first step. A
+// step waits only for earlier ones.
+func longestPath(steps []jobs.Step, isFirst func(number int) bool) time.Duration {
+	longest := make([]time.Duration, len(steps)) // of the paths that end with a step; 0: there is none
 	var most time.Duration
 	for number := range steps {
-		estimate := max(steps[number].Estimate, minEstimate)
+		isReached := isFirst(number)
 		var before time.Duration
-		reached := whole || number == from
 		for _, earlier := range steps[number].After {
 			if earlier < number && longest[earlier] > 0 {
 				before = max(before, longest[earlier])
-				reached = true
+				isReached = true
 			}
 		}
-		if !reached || number < from {
-			continue
+		if isReached {
+			longest[number] = before + max(steps[number].Estimate, minEstimate)
+			most = max(most, longest[number])
 		}
-		longest[number] = before + estimate
-		most = max(most, longest[number])
 	}
 	return most
 }
-
-// dueUnits gives all units in the order in which they are to be placed.
-func (c *Core) dueUnits(wall time.Time) []*unit {
-	var units []*unit
-	for _, rec := range c.activeJobs {
-		units = append(units, rec.units...)
-	}
-	slices.SortFunc(units, func(a, b *unit) int {
-		return cmp.Or(
-			cmp.Compare(a.tier(wall), b.tier(wall)),
-			a.latestStart.Compare(b.latestStart),
-			cmp.Compare(a.job.Sequence, b.job.Sequence),
-			cmp.Compare(a.round, b.round),
-			cmp.Compare(a.stepIndex, b.stepIndex))
-	})
-	return units
-}
-
-// expiredTier comes after every priority.
-const expiredTier = 1 << 20
-
-// tier is the unit's class of urgency: its queue's priority, or the last one once it can earn nothing any more.
-func (u *unit) tier(wall time.Time) int {
-	if wall.After(u.expiresAt) {
-		return expiredTier
-	}
-	return u.queue.Priority
-}
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -205,7 +205,7 @@
 		return errs.Pass(err, "hold")
 	}
 	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e workerapi.EndedRun) bool {
-		return e.Sequence <= call.SeenUpTo
+		return e.Sequence <= call.AcknowledgedUpTo
 	})
 	c.leaseDeadline = max(c.leaseDeadline, call.Deadline)
 	return nil
