--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -54,14 +54,14 @@
 
 func TestBadDaysHaveAll(t *testing.T) {
 	Convey("Every disruption and every guard is in one kind of bad day", t, func() {
-		disruptions, guards := map[Disruption]int{}, map[Guard]int{}
+		disruptions, checksCapacity := map[Disruption]int{}, map[Guard]int{}
 		for _, day := range BadDays() {
 			So(day.Guards, ShouldNotBeEmpty)
 			for _, kind := range day.Disruptions {
 				disruptions[kind]++
 			}
 			for _, guard := range day.Guards {
-				guards[guard]++
+				checksCapacity[guard]++
 			}
 		}
 		for _, kind := range Disruptions() {
@@ -69,8 +69,8 @@
 		}
 		So(disruptions, ShouldHaveLength, len(Disruptions()))
 		for _, guard := range Guards() {
-			So(guards[guard], ShouldEqual, 1)
+			So(checksCapacity[guard], ShouldEqual, 1)
 		}
-		So(guards, ShouldHaveLength, len(Guards()))
+		So(checksCapacity, ShouldHaveLength, len(Guards()))
 	})
 }
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -24,7 +24,7 @@
 	prefix     string
 	sentAt     time.Duration
 	attempts   int
-	unclear    bool          // an attempt got no clear answer
+	isUnclear  bool          // an attempt got no clear answer
 	accepted   bool          // an attempt was answered well
 	acceptedAt time.Duration // when
 	rejected   bool          // every attempt was rejected
@@ -47,12 +47,12 @@
 }
 
 const (
-	submitAttempts = 4
-	answerLimit    = time.Second // a client waits so long for an answer
-	retryPause     = 400 * time.Millisecond
-	pollLeast      = 500 * time.Millisecond
-	pollMost       = 3 * time.Second
-	pollsAfterEnd  = 2
+	submitAttempts  = 4
+	answerTimeout   = time.Second // a client waits so long for an answer
+	retryBackoff    = 400 * time.Millisecond
+	minPollInterval = 500 * time.Millisecond
+	maxPollInterval = 3 * time.Second
+	pollsAfterEnd   = 2
 )
 
 func (s *simulator) buildClients() {
@@ -107,19 +107,19 @@
 	}
 	n := s.anyLeader()
 	if n == nil {
-		s.after(s.link(), func() { finish(nil, errs.New(errs.Unavailable, "no leader")) })
+		s.after(s.linkDelay(), func() { finish(nil, errs.New(errs.Unavailable, "no leader")) })
 		return
 	}
-	s.after(answerLimit, func() { finish(nil, errs.New(errs.Timeout, "no answer")) })
-	s.after(s.link(), func() {
-		n.do(0, func() {
-			make(n, func(answer any, err error) { s.after(s.link(), func() { finish(answer, err) }) })
+	s.after(answerTimeout, func() { finish(nil, errs.New(errs.Timeout, "no answer")) })
+	s.after(s.linkDelay(), func() {
+		n.after(0, func() {
+			make(n, func(answer any, err error) { s.after(s.linkDelay(), func() { finish(answer, err) }) })
 		})
 	})
 }
 
-// surelyNotTaken tells whether an error says that a job was not taken.
-func surelyNotTaken(err error) bool {
+// isCertainlyNotAccepted tells whether an error says that a job was not taken.
+func isCertainlyNotAccepted(err error) bool {
 	switch errorKind(err) {
 	case errs.Unavailable, errs.NotLeader, errs.Unknown:
 		return true
@@ -135,21 +135,21 @@
 			if !j.accepted {
 				j.accepted, j.acceptedAt = true, c.sim.now
 				c.sim.report.Jobs++
-				c.sim.invariantChecker.accepted(j)
+				c.sim.checker.accepted(j)
 				c.follow(j)
 				if c.sim.chance(0.1) {
 					c.sim.after(c.sim.between(0, 6*time.Second), func() { c.submitAgain(j) })
 				}
 			}
 			return
-		case !surelyNotTaken(err):
-			j.unclear = true
+		case !isCertainlyNotAccepted(err):
+			j.isUnclear = true
 		}
 		if j.attempts < submitAttempts {
-			c.sim.after(c.sim.between(retryPause/2, retryPause*3/2), func() { c.submit(j) })
-		} else if !j.unclear {
+			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff*3/2), func() { c.submit(j) })
+		} else if !j.isUnclear {
 			j.rejected = true
-			c.sim.invariantChecker.rejected(j)
+			c.sim.checker.rejected(j)
 		}
 	})
 }
@@ -161,14 +161,14 @@
 		switch errorKind(err) {
 		case "", errs.Unavailable, errs.NotLeader, errs.Timeout, errs.Unknown:
 		default:
-			c.sim.invariantChecker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v", j.spec.ID, err)
+			c.sim.checker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v", j.spec.ID, err)
 		}
 	})
 }
 
 // submit is controller.Leader.Submit.
 func (n *node) submit(j *clientJob, done func(any, error)) {
-	table, term, err := n.look()
+	table, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
@@ -192,7 +192,7 @@
 	if !j.cancelSent && c.sim.chance(0.06) {
 		c.sim.after(c.sim.between(0, 4*time.Second), func() { c.cancel(j) })
 	}
-	c.sim.after(c.sim.between(pollLeast, pollMost), func() {
+	c.sim.after(c.sim.between(minPollInterval, maxPollInterval), func() {
 		c.poll(j)
 		if j.polls < pollsAfterEnd {
 			c.follow(j)
@@ -212,7 +212,7 @@
 			return
 		}
 		done := answer.(jobAnswer)
-		c.sim.invariantChecker.shown(j, done)
+		c.sim.checker.shown(j, done)
 		j.lastShown = done.state
 		if done.state.IsTerminal() {
 			j.polls++
@@ -233,21 +233,21 @@
 			if errorKind(err) == errs.Unknown {
 				j.cancelFrom = c.sim.now // its queue is not there at the moment: that is an answer
 			}
-			c.sim.after(c.sim.between(retryPause/2, retryPause), func() { c.cancel(j) })
+			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff), func() { c.cancel(j) })
 			return
 		}
-		c.sim.invariantChecker.acknowledged("a cancel", j.cancelFrom)
-		c.sim.invariantChecker.shown(j, answer.(jobAnswer))
+		c.sim.checker.checkAcknowledgement("a cancel", j.cancelFrom)
+		c.sim.checker.shown(j, answer.(jobAnswer))
 		if answer.(jobAnswer).state == jobs.Cancelled {
 			j.cancelled, j.cancelAt = true, c.sim.now
-			c.sim.invariantChecker.cancelled(j)
+			c.sim.checker.cancelled(j)
 		}
 	})
 }
 
 // job is controller.Leader.Job.
 func (n *node) job(j *clientJob, cancel bool, done func(any, error)) {
-	table, term, err := n.look()
+	table, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -76,24 +76,28 @@
 
 // quiet tells when the last disruptions ended.
 type quiet struct {
-	core time.Duration // of the core
-	any  time.Duration // of anything but configurations, cancels and new workers
+	coreUntil time.Duration // of the core
+	anyUntil  time.Duration // of anything but configurations, cancels and new workers
 }
 
-func (s *simulator) coreDisturbed(until time.Duration) {
-	s.quiet.core = max(s.quiet.core, until)
-	s.disturbed(until)
+func (s *simulator) markCoreDisrupted(until time.Duration) {
+	s.quiet.coreUntil = max(s.quiet.coreUntil, until)
+	s.markDisrupted(until)
 }
 
-func (s *simulator) disturbed(until time.Duration) { s.quiet.any = max(s.quiet.any, until) }
+func (s *simulator) markDisrupted(until time.Duration) {
+	s.quiet.anyUntil = max(s.quiet.anyUntil, until)
+}
 
-// inTouch tells whether the machines of the core are in touch.
+// wasInTouch tells whether the machines of the core are in touch.
 func (s *simulator) inTouch() bool {
-	return s.now > s.quiet.core+contactTimeout && s.now > contactTimeout
+	return s.now > s.quiet.coreUntil+contactTimeout && s.now > contactTimeout
 }
 
 // calmSince tells whether nothing was disrupted near the time from a moment until now.
-func (s *simulator) calmSince(since time.Duration) bool { return since > s.quiet.any+2*contactTimeout }
+func (s *simulator) calmSince(since time.Duration) bool {
+	return since > s.quiet.anyUntil+2*contactTimeout
+}
 
 // disrupting tells whether disruptions still come.
 func (s *simulator) disrupting() bool {
@@ -124,7 +128,7 @@
 	}
 	s.report.Disruptions[CoreOutage]++
 	s.trace("final fault")
-	s.after(s.quiet.core-s.now+recoveryTime, func() {
+	s.after(s.quiet.coreUntil-s.now+recoveryTime, func() {
 		for range 8 {
 			s.clients.submitNew(s.clients.shortJob()).afterFault = true
 		}
@@ -162,7 +166,7 @@
 	case SlowCommits:
 		d := s.between(time.Second, 5*time.Second)
 		s.log.slowUntil = s.now + d
-		s.coreDisturbed(s.now + d + slowCommit)
+		s.markCoreDisrupted(s.now + d + maxSlowCommitDelay)
 	case MemberWiped:
 		made = s.wipeMember()
 	case ZoneLost:
@@ -211,38 +215,38 @@
 	switch kind {
 	case LeaderFreeze:
 		n.frozenUntil = s.now + back
-		n.do(s.between(0, 300*time.Millisecond), func() { n.learn() })
+		n.after(s.between(0, 300*time.Millisecond), func() { n.learnNewerTerm() })
 	case LeaderCut:
 		n.cut = true
 		s.after(back, func() {
 			n.cut = false
-			n.do(s.between(0, 300*time.Millisecond), n.learn)
+			n.after(s.between(0, 300*time.Millisecond), n.learnNewerTerm)
 		})
 	default:
 		n.kill()
 		s.after(back, n.startProcess)
 	}
-	election := s.between(electionLeast, electionMost)
+	election := s.between(minElectionTime, maxElectionTime)
 	s.after(election, s.log.elect)
-	s.coreDisturbed(s.now + max(back, election) + 300*time.Millisecond)
+	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
 	return true
 }
 
-// learn lets a node that led hear of the newer term.
-func (n *node) learn() {
+// learnNewerTerm lets a node that led hear of the newer term.
+func (n *node) learnNewerTerm() {
 	if n.sim.log.leader != n {
 		n.stepDown()
 	}
 }
 
 func (s *simulator) majorityWithout(n *node) bool {
-	isRunning := 0
+	running := 0
 	for _, other := range s.nodes {
 		if other != n && other.isRunning() {
-			isRunning++
+			running++
 		}
 	}
-	return isRunning > len(s.nodes)/2
+	return running > len(s.nodes)/2
 }
 
 // outage stops the whole core for a while.
@@ -258,7 +262,7 @@
 		s.after(s.between(longest/2, longest), n.startProcess)
 	}
 	s.after(longest+s.between(0, time.Second), s.log.elect)
-	s.coreDisturbed(s.now + longest + electionMost)
+	s.markCoreDisrupted(s.now + longest + maxElectionTime)
 	return true
 }
 
@@ -282,7 +286,7 @@
 		host.cutFrom[n] = true
 		s.after(d, func() { delete(host.cutFrom, n) })
 	case WorkerCrash:
-		w.die()
+		w.terminate()
 		if s.chance(0.3) {
 			d += 20 * time.Second // nothing is there for long
 		}
@@ -292,11 +296,11 @@
 		host.cutFor(d)
 	case WorkerDrain:
 		w.drain()
-		d = plannedEnd
+		d = maxDrainTime
 		host.replace()
 	case WorkerLeaves:
 		w.deregister()
-		d = plannedEnd
+		d = maxDrainTime
 		host.replace()
 	case WorkerFlaps:
 		host.flap(s.now + d)
@@ -304,34 +308,34 @@
 		w.refuses = true
 		s.after(d, func() { w.refuses = false })
 	case WorkerFailsPart:
-		w.failing = s.between(200*time.Millisecond, 700*time.Millisecond).Seconds()
-		s.after(d, func() { w.failing = 0 })
+		w.failShare = s.between(200*time.Millisecond, 700*time.Millisecond).Seconds()
+		s.after(d, func() { w.failShare = 0 })
 	case HeartbeatsDelayed:
 		host.heartbeatsDelayedUntil = s.now + d
 		host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d+maxHeartbeatDelay)
 		if s.chance(0.5) { // heartbeats that say that it is ready come after those that say that it drains
 			s.after(time.Second, w.drain)
-			d = time.Second + plannedEnd
+			d = time.Second + maxDrainTime
 			host.replace()
 		}
 	case WorkerHang:
 		w.stall()
 		s.after(d, w.resume)
 	case WorkerSlow:
-		w.slow = 3
-		s.after(d, func() { w.slow = 1 })
+		w.slowFactor = 3
+		s.after(d, func() { w.slowFactor = 1 })
 	case WorkerFailsAll:
 		w.failsAll = true
 		s.after(d/2, func() { w.failsAll = false })
 	case WorkerLate:
 		host.lateUntil = s.now + d
-		d += lateMost
+		d += maxLateDelay
 	case WorkerAnswersLost:
 		host.answersLostUntil, host.answerLossShare = s.now+d, []float64{0.5, 1}[s.rng.IntN(2)]
 	}
 	host.disruptedAt = s.now + d
-	s.invariantChecker.died(w)
-	s.disturbed(s.now + d)
+	s.checker.workerLost(w)
+	s.markDisrupted(s.now + d)
 	return true
 }
 
@@ -343,13 +347,13 @@
 	s.after(d, func() { host.cut = false })
 }
 
-// plannedEnd is the longest from the first word of a worker's end to its end.
-const plannedEnd = 10 * time.Second
+// maxDrainTime is the longest from the first word of a worker's end to its end.
+const maxDrainTime = 10 * time.Second
 
 // replace starts another life once the present one has ended as planned.
 func (host *workerHost) replace() {
 	s := host.sim
-	s.after(plannedEnd+time.Second+s.between(100*time.Millisecond, 2*time.Second), host.startWorker)
+	s.after(maxDrainTime+time.Second+s.between(100*time.Millisecond, 2*time.Second), host.startWorker)
 }
 
 // stall lets the tasks of a worker stand still.
--- a/internal/testbed/jobssim/disruptions_core.go
+++ b/internal/testbed/jobssim/disruptions_core.go
@@ -8,13 +8,13 @@
 
 // majorityWithoutAll tells whether the core can go on without some nodes.
 func (s *simulator) majorityWithoutAll(lost []*node) bool {
-	isRunning := 0
+	running := 0
 	for _, n := range s.nodes {
 		if n.isRunning() && !slices.Contains(lost, n) {
-			isRunning++
+			running++
 		}
 	}
-	return isRunning > len(s.nodes)/2
+	return running > len(s.nodes)/2
 }
 
 // killNodes kills processes of the core, which leave a majority, and starts them again after a while.
@@ -22,7 +22,7 @@
 	election := time.Duration(0)
 	if slices.Contains(lost, s.log.leader) {
 		s.log.lose()
-		election = s.between(electionLeast, electionMost)
+		election = s.between(minElectionTime, maxElectionTime)
 		s.after(election, s.log.elect)
 	}
 	for _, n := range lost {
@@ -31,7 +31,7 @@
 			s.after(back, n.startProcess)
 		}
 	}
-	s.coreDisturbed(s.now + max(back, election) + 300*time.Millisecond)
+	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
 }
 
 // wipeMember ends a member of the core, the leader now and then, and starts it again with an empty disk.
@@ -74,8 +74,8 @@
 		return
 	}
 	host.disruptedAt = max(host.disruptedAt, s.now+back)
-	s.disturbed(s.now + back)
-	w.die()
+	s.markDisrupted(s.now + back)
+	w.terminate()
 	s.after(back+s.between(0, 500*time.Millisecond), host.startWorker)
 }
 
@@ -89,11 +89,11 @@
 			s.crashHost(host, back)
 		default:
 			host.disruptedAt = max(host.disruptedAt, s.now+back)
-			s.invariantChecker.died(host.current)
+			s.checker.workerLost(host.current)
 			host.cutFor(back)
 		}
 	}
-	s.disturbed(s.now + back)
+	s.markDisrupted(s.now + back)
 }
 
 // killMany kills half of all workers and the most members of the core that it bears, the leader among them, at one
--- a/internal/testbed/jobssim/failover_test.go
+++ b/internal/testbed/jobssim/failover_test.go
@@ -28,7 +28,7 @@
 		middle, last := len(whole)/2, len(whole)-1
 		t.Logf("%d losses: last start of the old leader to first of the new one p50 %s, max %s; from the election p50 %s, max %s",
 			len(whole), whole[middle], whole[last], own[middle], own[last])
-		So(whole[last], ShouldBeLessThan, electionMost+time.Second)
+		So(whole[last], ShouldBeLessThan, maxElectionTime+time.Second)
 		So(own[middle], ShouldBeLessThan, 100*time.Millisecond)
 	})
 }
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -54,7 +54,7 @@
 	case UnconfirmedIsDead:
 		return scheduler.StartUnsent
 	case UnconfirmedReservesNothing:
-		n.widen(term, start)
+		n.widenCapacity(term, start)
 	}
 	return scheduler.StartUnknown
 }
@@ -69,8 +69,8 @@
 	n.sim.log.propose(n, term, change, done)
 }
 
-// widen records a worker with the room of a run on top of its capacity.
-func (n *node) widen(term uint64, start scheduler.StartAction) {
+// widenCapacity records a worker with the room of a run on top of its capacity.
+func (n *node) widenCapacity(term uint64, start scheduler.StartAction) {
 	known, j := n.table.Workers[start.Worker.ID], n.table.Jobs[start.Order.Key.Task.Job]
 	if known == nil || j == nil || j.Rounds == nil {
 		return
@@ -81,8 +81,8 @@
 	n.sim.log.propose(n, term, jobs.Register{Workers: []jobs.Worker{worker}}, func(any, error) {})
 }
 
-// startAhead sends the starts of a Progress that is not committed.
-func (n *node) startAhead(term uint64, progress *jobs.Progress) {
+// startBeforeCommit sends the starts of a Progress that is not committed.
+func (n *node) startBeforeCommit(term uint64, progress *jobs.Progress) {
 	for _, s := range progress.Starts {
 		worker, j := n.table.Workers[s.Worker], n.table.Jobs[s.Task.Job]
 		if worker == nil || j == nil || j.Rounds == nil {
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -18,13 +18,13 @@
 // buildWorkers makes the machines of both services.
 func (s *simulator) buildWorkers() {
 	for i := range workersPerService * 2 {
-		guards := i%2 == 0
+		checksCapacity := i%2 == 0
 		place := i / 2
-		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen, guards: guards,
+		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen, checksCapacity: checksCapacity,
 			zone: fmt.Sprintf("zone%d", place%zoneCount), rack: fmt.Sprintf("r%d", place%rackCount),
 			capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536, GPUs: 2},
 			speed:    0.8 + 0.5*s.rng.Float64(), cutFrom: map[*node]bool{}, disruptedAt: -time.Minute}
-		if guards {
+		if checksCapacity {
 			host.service = serviceGuards
 		}
 		host.labels = []string{"kind" + string(rune('a'+place%2)), host.rack}
@@ -53,7 +53,7 @@
 
 // heartbeatLoop sends heartbeats for as long as the life lasts.
 func (w *workerIncarnation) heartbeatLoop() {
-	if !w.up() {
+	if !w.isUp() {
 		return
 	}
 	w.sendHeartbeat(false, func(bool) {})
@@ -85,10 +85,10 @@
 	if s.chance(0.01) || s.now < w.host.heartbeatsDelayedUntil && s.chance(0.7) {
 		late = s.between(0, maxHeartbeatDelay)
 	}
-	s.after(s.link()+late, func() {
-		n.do(0, func() {
+	s.after(s.linkDelay()+late, func() {
+		n.after(0, func() {
 			n.receiveHeartbeat(call, func(err error) {
-				s.after(s.link(), func() {
+				s.after(s.linkDelay(), func() {
 					if ok := err == nil && !w.host.cut; ok && late == 0 {
 						w.heartbeatAcknowledged(call, n)
 						done(true)
@@ -101,7 +101,7 @@
 
 // heartbeatAcknowledged counts the time of a drain from its first acknowledgement.
 func (w *workerIncarnation) heartbeatAcknowledged(call heartbeat, _ *node) {
-	if !call.worker.Draining || w.drainAcknowledgedAt != 0 || !w.up() {
+	if !call.worker.Draining || w.drainAcknowledgedAt != 0 || !w.isUp() {
 		return
 	}
 	s := w.host.sim
@@ -114,20 +114,20 @@
 	w.leaving, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s deregisters first", w.id)
 	w.announceLeaving()
-	w.host.sim.after(plannedEnd, w.die) // also without an acknowledgement
+	w.host.sim.after(maxDrainTime, w.terminate) // also without an acknowledgement
 }
 
 func (w *workerIncarnation) announceLeaving() {
-	if !w.up() || w.drainAcknowledgedAt != 0 {
+	if !w.isUp() || w.drainAcknowledgedAt != 0 {
 		return
 	}
 	s := w.host.sim
 	w.sendHeartbeat(true, func(bool) {
-		if !w.up() || w.drainAcknowledgedAt != 0 {
+		if !w.isUp() || w.drainAcknowledgedAt != 0 {
 			return
 		}
 		w.leavingAcknowledged()
-		s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.die)
+		s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.terminate)
 	})
 	s.after(heartbeatTimeout, w.announceLeaving)
 }
@@ -136,29 +136,29 @@
 func (w *workerIncarnation) leavingAcknowledged() {
 	s := w.host.sim
 	w.drainAcknowledgedAt = s.now
-	s.invariantChecker.count(DrainRule)
+	s.checker.count(DrainRule)
 	if w.leavingSince >= w.host.heartbeatsUnreliableUntil {
-		s.invariantChecker.acknowledged("the leaving of a worker", w.leavingSince)
+		s.checker.checkAcknowledgement("the leaving of a worker", w.leavingSince)
 	}
 }
 
-// leave says that the worker ends, and ends it.
+// removeRun says that the worker ends, and ends it.
 func (w *workerIncarnation) leave() {
-	if !w.up() {
+	if !w.isUp() {
 		return
 	}
 	w.sendHeartbeat(true, func(bool) {})
-	w.host.sim.after(w.host.sim.between(5*time.Millisecond, 50*time.Millisecond), w.die)
+	w.host.sim.after(w.host.sim.between(5*time.Millisecond, 50*time.Millisecond), w.terminate)
 }
 
 // drain begins a planned end.
 func (w *workerIncarnation) drain() {
-	if w.draining || w.leaving || !w.up() {
+	if w.draining || w.leaving || !w.isUp() {
 		return
 	}
 	w.draining, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s drains", w.id)
-	w.host.sim.after(plannedEnd, w.leave) // also without an acknowledgement
+	w.host.sim.after(maxDrainTime, w.leave) // also without an acknowledgement
 }
 
 // record is what the worker tells of itself.
@@ -182,8 +182,8 @@
 	return leading[s.rng.IntN(len(leading))]
 }
 
-// look reads the table if this node may answer for it, as controller.Leader.look.
-func (n *node) look() (table *jobs.Table, term uint64, err error) {
+// readTable reads the table if this node may answer for it, as controller.Leader.readTable.
+func (n *node) readTable() (table *jobs.Table, term uint64, err error) {
 	term, isLeader := n.leadTerm()
 	if without := n.sim.opt.Break; (without == NoLeaseCheck || without == OldLeadersAnswer) && n.core.Term() != 0 {
 		term, isLeader = n.core.Term(), true
@@ -199,7 +199,7 @@
 
 // receiveHeartbeat takes a heartbeat in, as controller.Leader.Beat.
 func (n *node) receiveHeartbeat(call heartbeat, done func(error)) {
-	table, term, err := n.look()
+	table, term, err := n.readTable()
 	if err != nil {
 		done(err)
 		return
@@ -216,11 +216,11 @@
 			worker = *known
 		}
 		worker.Left = true
-	} else if call.sequence < n.beats[worker.ID] && n.sim.opt.Break != StaleHeartbeatsCount {
+	} else if call.sequence < n.newestHeartbeat[worker.ID] && n.sim.opt.Break != StaleHeartbeatsCount {
 		done(nil)
 		return
 	} else {
-		n.beats[worker.ID] = call.sequence
+		n.newestHeartbeat[worker.ID] = call.sequence
 	}
 	finish := func(err error) {
 		if err == nil && !call.leaving {
--- a/internal/testbed/jobssim/invariants.go
+++ b/internal/testbed/jobssim/invariants.go
@@ -43,7 +43,7 @@
 
 // Bounds of the rules.
 const (
-	configApply    = 2 * time.Second
+	configTime     = 2 * time.Second
 	evacuationTime = 5 * time.Second
 	cancelTime     = 3 * time.Second
 	visibleTime    = 3 * time.Second
@@ -54,12 +54,12 @@
 
 // endRecord is an end of a run as a worker listed it.
 type endRecord struct {
-	run    *liveRun
-	reason jobs.EndReason
-	at     time.Duration
-	noted  bool       // it was acknowledged while the lease that it ended under was in force
-	voided bool       // the lease of its worker lapsed before it was acknowledged
-	starts []*liveRun // of the task after this end, before it was noted
+	run            *liveRun
+	reason         jobs.EndReason
+	at             time.Duration
+	isAcknowledged bool       // it was acknowledged while the lease that it ended under was in force
+	isInvalidated  bool       // the lease of its worker lapsed before it was acknowledged
+	starts         []*liveRun // of the task after this end, before it was noted
 }
 
 // taskHistory is what became of a task, or of a gang.
@@ -72,31 +72,31 @@
 
 // jobHistory is what became of a job.
 type jobHistory struct {
-	job       *clientJob
-	tasks     map[jobs.TaskRef]*taskHistory
-	running   int           // runs on workers
-	idleFrom  time.Duration // since when it is idle although it could run; 0: it is not
-	idleAll   time.Duration // the same without any excuse of the scheduler
-	disturbed time.Duration // until then a disruption of a worker may keep it from running
-	succeeded bool          // it was shown as succeeded
+	job               *clientJob
+	tasks             map[jobs.TaskRef]*taskHistory
+	running           int           // runs on workers
+	idleSince         time.Duration // since when it is idle although it could run; 0: it is not
+	idleSinceAnyCause time.Duration // the same without any excuse of the scheduler
+	excusedUntil      time.Duration // until then a disruption of a worker may keep it from running
+	succeeded         bool          // it was shown as succeeded
 }
 
-// invariantChecker judges what workers and clients saw.
+// checker judges what workers and clients saw.
 type invariantChecker struct {
-	sim         *simulator
-	histories   map[string]*jobHistory
-	brought     map[gangKey]string        // checkpoints by run of a gang
-	sentTo      map[gangKey][]*workerHost // where the members of a run of a gang were sent
-	longRunning map[jobs.TaskRef]*longRunningTask
-	lastAt      time.Duration // of the last start on a worker
-	lostAt      time.Duration // last start before the lead was lost; 0: none
-	newest      uint64        // term that was elected last
-	chosen      time.Duration // when
-	first       bool          // its first start has not come yet
+	sim                 *simulator
+	histories           map[string]*jobHistory
+	gangCheckpoints     map[gangKey]string        // checkpoints by run of a gang
+	gangHosts           map[gangKey][]*workerHost // where the members of a run of a gang were sent
+	longRunning         map[jobs.TaskRef]*longRunningTask
+	lastStartAt         time.Duration // of the last start on a worker
+	lastStartBeforeLoss time.Duration // last start before the lead was lost; 0: none
+	newestTerm          uint64        // term that was elected last
+	electedAt           time.Duration // when
+	awaitsFirstStart    bool          // its first start has not come yet
 }
 
 func newInvariantChecker(s *simulator) *invariantChecker {
-	return &invariantChecker{sim: s, histories: map[string]*jobHistory{}, brought: map[gangKey]string{}, sentTo: map[gangKey][]*workerHost{},
+	return &invariantChecker{sim: s, histories: map[string]*jobHistory{}, gangCheckpoints: map[gangKey]string{}, gangHosts: map[gangKey][]*workerHost{},
 		longRunning: map[jobs.TaskRef]*longRunningTask{}}
 }
 
@@ -145,7 +145,7 @@
 // String names the run and its worker for a report.
 func (r *liveRun) String() string {
 	k := r.key
-	return fmt.Sprintf("%s.%d.%d.%d run %d on %s", k.Task.Job, k.Task.Round, k.Task.Step, k.Task.Index, k.Number, r.on.id)
+	return fmt.Sprintf("%s.%d.%d.%d run %d on %s", k.Task.Job, k.Task.Round, k.Task.Step, k.Task.Index, k.Number, r.worker.id)
 }
 
 // unknownStart judges a start of a job that no client sent.
@@ -156,27 +156,27 @@
 // started judges a start; the run is not among the worker's runs yet.
 func (o *invariantChecker) started(r *liveRun, order scheduler.StartOrder) {
 	o.sim.report.Starts++
-	o.sim.trace("start %s token %d late %v", r, order.Token, r.order.late)
+	o.sim.trace("start %s token %d late %v", r, order.Token, r.order.isLate)
 	j := o.job(r.key.Task.Job)
-	o.judgeCapacity(r)
+	o.checkCapacity(r)
 	o.checkNoDuplicateRun(j, r)
 	o.checkStepOrder(j, r)
 	o.checkRoute(r)
 	o.checkAttemptBudget(j, r)
 	o.checkRequested(j, r, order)
 	o.checkPlacement(r)
-	o.failover(r, order.Token)
+	o.measureFailover(r, order.Token)
 	t := j.task(r.key.Task)
 	t.running = append(t.running, r)
 	j.running++
 }
 
-func (o *invariantChecker) judgeCapacity(r *liveRun) {
-	if r.on.host.guards {
+func (o *invariantChecker) checkCapacity(r *liveRun) {
+	if r.worker.host.checksCapacity {
 		return
 	}
-	used := plus(r.on.used(), r.step.Needs)
-	o.require(LimitRule, fits(used, r.on.host.capacity), "%s: %+v of %+v in use", r, used, r.on.host.capacity)
+	used := plus(r.worker.used(), r.step.Needs)
+	o.require(LimitRule, fits(used, r.worker.host.capacity), "%s: %+v of %+v in use", r, used, r.worker.host.capacity)
 }
 
 func (o *invariantChecker) checkNoDuplicateRun(j *jobHistory, r *liveRun) {
@@ -186,11 +186,11 @@
 	}
 	o.count(TwiceRule)
 	for _, other := range t.running {
-		o.breach(TwiceRule, "%s (late %v) beside %s", r, r.order.late, other)
+		o.breach(TwiceRule, "%s (late %v) beside %s", r, r.order.isLate, other)
 	}
 	for _, done := range j.ending(r.key.Task).done {
-		if done.noted {
-			o.breach(TwiceRule, "%s (late %v) after %s ended done", r, r.order.late, done.run)
+		if done.isAcknowledged {
+			o.breach(TwiceRule, "%s (late %v) after %s ended done", r, r.order.isLate, done.run)
 		}
 		done.starts = append(done.starts, r)
 	}
@@ -221,24 +221,24 @@
 	queue := queueOf(o.sim.clients.byID[r.spec.ID].prefix)
 	ever, now := false, false
 	for i, c := range o.sim.operator.configs {
-		directed := c.services[queue] == r.on.host.service
+		directed := c.services[queue] == r.worker.host.service
 		ever = ever || directed
 		over := false // a newer one was acknowledged long enough ago
 		for _, newer := range o.sim.operator.configs[i+1:] {
-			over = over || newer.acked && o.sim.now > newer.ackedAt+configApply
+			over = over || newer.acked && o.sim.now > newer.ackedAt+configTime
 		}
 		now = now || directed && !over
 	}
-	o.require(RouteRule, ever, "%s: no configuration directs %s to %s", r, queue, r.on.host.service)
-	if !r.order.late && r.order.inTouch {
-		o.require(ConfigRule, now, "%s: no configuration in force directs %s to %s", r, queue, r.on.host.service)
+	o.require(RouteRule, ever, "%s: no configuration directs %s to %s", r, queue, r.worker.host.service)
+	if !r.order.isLate && r.order.wasInTouch {
+		o.require(ConfigRule, now, "%s: no configuration in force directs %s to %s", r, queue, r.worker.host.service)
 	}
 	if r.step.Label != "" {
-		o.require(RouteRule, slices.Contains(r.on.host.labels, r.step.Label), "%s: no label %s", r, r.step.Label)
+		o.require(RouteRule, slices.Contains(r.worker.host.labels, r.step.Label), "%s: no label %s", r, r.step.Label)
 	}
 	if r.step.MaxPerWorker > 0 {
 		beside := 1
-		for _, other := range r.on.runs {
+		for _, other := range r.worker.runs {
 			if a, b := other.key.Task, r.key.Task; a.Job == b.Job && a.Round == b.Round && a.Step == b.Step {
 				beside++
 			}
@@ -255,7 +255,7 @@
 	}
 	noted := 0
 	for _, f := range j.ending(r.key.Task).failed {
-		if f.noted {
+		if f.isAcknowledged {
 			noted++
 		}
 		f.starts = append(f.starts, r)
@@ -273,7 +273,7 @@
 		o.checkGangCheckpoint(r, order.Checkpoint)
 	}
 	o.require(RefusedRule, !c.rejected, "%s although its job was refused", r)
-	if c.cancelled && r.order.inTouch && !r.order.late {
+	if c.cancelled && r.order.wasInTouch && !r.order.isLate {
 		o.require(UnaskedRule, o.sim.now <= c.cancelAt+cancelTime, "%s %s after its cancelling", r, o.sim.now-c.cancelAt)
 	}
 }
@@ -281,9 +281,9 @@
 // checkGangCheckpoint judges that all members of one run of a gang bring the same checkpoint.
 func (o *invariantChecker) checkGangCheckpoint(r *liveRun, checkpoint string) {
 	key := r.gangKey()
-	first, known := o.brought[key]
+	first, known := o.gangCheckpoints[key]
 	if !known {
-		o.brought[key] = checkpoint
+		o.gangCheckpoints[key] = checkpoint
 		return
 	}
 	o.require(UnaskedRule, first == checkpoint, "%s with checkpoint %q, another member brought %q", r, checkpoint, first)
@@ -291,14 +291,14 @@
 
 // checkPlacement judges starts on workers that drain or have deregistered, and in zones that are evacuated.
 func (o *invariantChecker) checkPlacement(r *liveRun) {
-	if r.order.late || !r.order.inTouch {
+	if r.order.isLate || !r.order.wasInTouch {
 		return
 	}
-	if done := r.on.drainAcknowledgedAt; done != 0 {
+	if done := r.worker.drainAcknowledgedAt; done != 0 {
 		o.require(DrainRule, o.sim.now <= done+drainTimeout, "%s %s after its leaving was acknowledged", r, o.sim.now-done)
 	}
 	for _, e := range o.sim.operator.evacuations {
-		if e.zone == r.on.host.zone && e.acked && !e.finished {
+		if e.zone == r.worker.host.zone && e.acked && !e.finished {
 			o.require(EvacRule, o.sim.now <= e.ackedAt+evacuationTime, "%s %s after the evacuation of %s", r, o.sim.now-e.ackedAt, e.zone)
 		}
 	}
@@ -311,7 +311,7 @@
 	ref, spec := start.Order.Key.Task, o.sim.clients.spec(start.Order.Key.Task.Job)
 	if spec != nil && spec.Steps[ref.Step].Gang {
 		key := gangKey{ref.Job, ref.Round, ref.Step, start.Order.Key.Number}
-		o.sentTo[key] = append(o.sentTo[key], host)
+		o.gangHosts[key] = append(o.gangHosts[key], host)
 	}
 	if o.sim.now < host.disruptedAt || host.current == nil || host.current.id != start.Worker.ID {
 		o.expectUnconfirmed(o.job(start.Order.Key.Task.Job))
@@ -320,15 +320,15 @@
 
 // expectUnconfirmed excuses a job from running for as long as a run of it may be in doubt.
 func (o *invariantChecker) expectUnconfirmed(j *jobHistory) {
-	j.disturbed = max(j.disturbed, o.sim.now+o.sim.schedulerConfig().Lease+2*contactTimeout)
+	j.excusedUntil = max(j.excusedUntil, o.sim.now+o.sim.schedulerConfig().Lease+2*contactTimeout)
 }
 
 // ended takes in the end of a run.
 func (o *invariantChecker) ended(r *liveRun, reason jobs.EndReason) *endRecord {
 	o.sim.trace("end %s %s", r, reason)
 	j := o.job(r.key.Task.Job)
-	o.leave(j, r)
-	if o.sim.now < r.on.host.disruptedAt {
+	o.removeRun(j, r)
+	if o.sim.now < r.worker.host.disruptedAt {
 		o.expectUnconfirmed(j)
 	}
 	o.sim.report.Seen["end: "+string(reason)]++
@@ -336,7 +336,7 @@
 		o.sim.report.Seen["stopped for other work"]++
 	}
 	e := &endRecord{run: r, reason: reason, at: o.sim.now}
-	o.listed(r.on, e)
+	o.listed(r.worker, e)
 	t := j.ending(r.key.Task)
 	switch reason {
 	case jobs.EndDone:
@@ -346,7 +346,7 @@
 	case jobs.EndGangTimeout:
 		o.checkGangStart(j, r)
 	case jobs.EndLeaseExpired:
-		j.disturbed = max(j.disturbed, o.sim.now+contactTimeout)
+		j.excusedUntil = max(j.excusedUntil, o.sim.now+contactTimeout)
 	}
 	return e
 }
@@ -361,10 +361,10 @@
 // calmGang tells whether no disruption is near a run of a gang: neither of the core nor of a worker that a member was
 // sent to.
 func (o *invariantChecker) calmGang(r *liveRun) bool {
-	if !r.order.inTouch || r.order.late || !o.sim.inTouch() {
+	if !r.order.wasInTouch || r.order.isLate || !o.sim.inTouch() {
 		return false
 	}
-	for _, host := range o.sentTo[r.gangKey()] {
+	for _, host := range o.gangHosts[r.gangKey()] {
 		if r.began < host.disruptedAt+contactTimeout || host.current == nil {
 			return false
 		}
@@ -372,8 +372,8 @@
 	return true
 }
 
-// leave takes a run out of those that run.
-func (o *invariantChecker) leave(j *jobHistory, r *liveRun) {
+// removeRun takes a run out of those that run.
+func (o *invariantChecker) removeRun(j *jobHistory, r *liveRun) {
 	t := j.task(r.key.Task)
 	before := len(t.running)
 	t.running = slices.DeleteFunc(t.running, func(other *liveRun) bool { return other == r })
@@ -385,34 +385,34 @@
 	}
 }
 
-// gone takes in that a run has vanished with its worker.
-func (o *invariantChecker) gone(r *liveRun) {
+// runLost takes in that a run has vanished with its worker.
+func (o *invariantChecker) runLost(r *liveRun) {
 	j := o.job(r.key.Task.Job)
-	o.leave(j, r)
+	o.removeRun(j, r)
 	o.expectUnconfirmed(j)
 }
 
-// died takes in that a worker has vanished, or is disrupted, with ends that were not acknowledged.
-func (o *invariantChecker) died(w *workerIncarnation) {
-	for _, e := range w.notes {
+// workerLost takes in that a worker has vanished, or is disrupted, with ends that were not acknowledged.
+func (o *invariantChecker) workerLost(w *workerIncarnation) {
+	for _, e := range w.endRecords {
 		o.expectUnconfirmed(o.job(e.run.key.Task.Job))
 	}
 }
 
-// lapsed takes in that the lease of a worker is over.
-func (o *invariantChecker) lapsed(w *workerIncarnation) {
+// leaseExpired takes in that the lease of a worker is over.
+func (o *invariantChecker) leaseExpired(w *workerIncarnation) {
 	o.sim.trace("lease of %s is over", w.id)
-	for _, e := range w.notes {
-		e.voided = true
+	for _, e := range w.endRecords {
+		e.isInvalidated = true
 	}
 }
 
-// noted takes in that an end is acknowledged.
-func (o *invariantChecker) noted(e *endRecord) {
-	if e == nil || e.voided {
+// isAcknowledged takes in that an end is acknowledged.
+func (o *invariantChecker) endAcknowledged(e *endRecord) {
+	if e == nil || e.isInvalidated {
 		return
 	}
-	e.noted = true
+	e.isAcknowledged = true
 	o.sim.trace("noted %s %s", e.run, e.reason)
 	j := o.job(e.run.key.Task.Job)
 	for _, r := range e.starts {
@@ -429,42 +429,42 @@
 func (j *jobHistory) failedBefore(r *liveRun) int {
 	count := 0
 	for _, f := range j.ending(r.key.Task).failed {
-		if f.noted && f.at <= r.began && !r.step.LongRunning {
+		if f.isAcknowledged && f.at <= r.began && !r.step.LongRunning {
 			count++
 		}
 	}
 	return count
 }
 
-// savedAs notes a checkpoint that a worker told.
-func (o *invariantChecker) savedAs(r *liveRun, text string) {
+// recordCheckpoint notes a checkpoint that a worker told.
+func (o *invariantChecker) recordCheckpoint(r *liveRun, text string) {
 	o.job(r.key.Task.Job).ending(r.key.Task).checkpoints[text] = true
 }
 
 // elected and failover measure the time from the last start of a leader to the first of the next one.
 func (o *invariantChecker) elected(term uint64) {
-	o.lostAt = o.lastAt
-	if o.first {
-		o.lostAt = 0 // the leader before was lost before it started anything: two losses in one
+	o.lastStartBeforeLoss = o.lastStartAt
+	if o.awaitsFirstStart {
+		o.lastStartBeforeLoss = 0 // the leader before was lost before it started anything: two losses in one
 	}
-	o.newest, o.chosen, o.first = term, o.sim.now, true
+	o.newestTerm, o.electedAt, o.awaitsFirstStart = term, o.sim.now, true
 	for _, j := range o.histories {
-		if j.disturbed > o.sim.now-2*contactTimeout { // the doubt begins anew for a leader that did not see how it came
+		if j.excusedUntil > o.sim.now-2*contactTimeout { // the doubt begins anew for a leader that did not see how it came
 			o.expectUnconfirmed(j)
 		}
 	}
 }
 
-func (o *invariantChecker) failover(r *liveRun, token uint64) {
-	if r.order.late {
+func (o *invariantChecker) measureFailover(r *liveRun, token uint64) {
+	if r.order.isLate {
 		return
 	}
-	if token == o.newest && o.first {
-		o.first = false
-		if o.lostAt > 0 {
-			o.sim.report.Failovers = append(o.sim.report.Failovers, o.sim.now-o.lostAt)
-			o.sim.report.Takeovers = append(o.sim.report.Takeovers, o.sim.now-o.chosen)
+	if token == o.newestTerm && o.awaitsFirstStart {
+		o.awaitsFirstStart = false
+		if o.lastStartBeforeLoss > 0 {
+			o.sim.report.Failovers = append(o.sim.report.Failovers, o.sim.now-o.lastStartBeforeLoss)
+			o.sim.report.Takeovers = append(o.sim.report.Takeovers, o.sim.now-o.electedAt)
 		}
 	}
-	o.lastAt = o.sim.now
+	o.lastStartAt = o.sim.now
 }
--- a/internal/testbed/jobssim/invariants_jobs.go
+++ b/internal/testbed/jobssim/invariants_jobs.go
@@ -70,7 +70,7 @@
 // cancelled takes in that a job's cancelling was acknowledged.
 func (o *invariantChecker) cancelled(c *clientJob) {
 	since := o.sim.now
-	o.sim.after(cancelTime+stopMost, func() {
+	o.sim.after(cancelTime+maxStopDelay, func() {
 		if !o.sim.calmSince(since) {
 			return
 		}
@@ -88,23 +88,23 @@
 	})
 }
 
-// acknowledged judges how long an order waited for its acknowledgement in the newest stretch in which the core was stable.
-func (o *invariantChecker) acknowledged(what string, sent time.Duration) {
-	stable := max(sent, o.sim.quiet.core+contactTimeout)
+// checkAcknowledgement judges how long an order waited for its acknowledgement in the newest stretch in which the core was stable.
+func (o *invariantChecker) checkAcknowledgement(what string, sent time.Duration) {
+	stable := max(sent, o.sim.quiet.coreUntil+contactTimeout)
 	o.require(AckRule, o.sim.now-stable <= ackTime, "%s waited %s for its acknowledgement, the core being stable", what, o.sim.now-stable)
 }
 
 const (
-	idleMost  = 3 * time.Second
-	idleCheck = 250 * time.Millisecond
+	maxIdle           = 3 * time.Second
+	idleCheckInterval = 250 * time.Millisecond
 )
 
 // onTableChange looks for idle jobs again and again.
-func (o *invariantChecker) watch() {
-	o.sim.after(idleCheck, func() {
+func (o *invariantChecker) watchIdle() {
+	o.sim.after(idleCheckInterval, func() {
 		o.findIdle()
 		o.findDetached()
-		o.watch()
+		o.watchIdle()
 	})
 }
 
@@ -116,21 +116,21 @@
 		}
 		j := o.job(c.spec.ID)
 		if !o.couldRun(j) {
-			j.idleFrom, j.idleAll = 0, 0
+			j.idleSince, j.idleSinceAnyCause = 0, 0
 			continue
 		}
 		o.recordIdlePeriod(j)
-		if o.sim.now < j.disturbed {
-			j.idleFrom = 0
+		if o.sim.now < j.excusedUntil {
+			j.idleSince = 0
 			continue
 		}
-		if j.idleFrom == 0 {
-			j.idleFrom = o.sim.now
+		if j.idleSince == 0 {
+			j.idleSince = o.sim.now
 			continue
 		}
-		if o.sim.now-j.idleFrom > idleMost {
-			o.breach(LostRule, "job %s has been idle since %s: %s", c.spec.ID, j.idleFrom, o.describe(queueOf(c.prefix)))
-			j.idleFrom = o.sim.now
+		if o.sim.now-j.idleSince > maxIdle {
+			o.breach(LostRule, "job %s has been idle since %s: %s", c.spec.ID, j.idleSince, o.describe(queueOf(c.prefix)))
+			j.idleSince = o.sim.now
 		}
 		o.count(LostRule)
 	}
@@ -138,11 +138,11 @@
 
 // recordIdlePeriod keeps account of how long a job is idle, whatever the cause.
 func (o *invariantChecker) recordIdlePeriod(j *jobHistory) {
-	if j.idleAll == 0 {
-		j.idleAll = o.sim.now
+	if j.idleSinceAnyCause == 0 {
+		j.idleSinceAnyCause = o.sim.now
 	}
-	disruptionPeriod := o.sim.now - j.idleAll
-	if disruptionPeriod > idleMost && disruptionPeriod <= idleMost+idleCheck {
+	disruptionPeriod := o.sim.now - j.idleSinceAnyCause
+	if disruptionPeriod > maxIdle && disruptionPeriod <= maxIdle+idleCheckInterval {
 		o.sim.report.IdlePeriods++
 		o.sim.trace("job %s has been idle for %s", j.job.spec.ID, disruptionPeriod)
 	}
@@ -190,7 +190,7 @@
 func (o *invariantChecker) serviceOf(j *jobHistory) string {
 	configs := o.sim.operator.configs
 	newest := configs[len(configs)-1]
-	if !newest.acked || o.sim.now < newest.ackedAt+configApply {
+	if !newest.acked || o.sim.now < newest.ackedAt+configTime {
 		return ""
 	}
 	return newest.services[queueOf(j.job.prefix)]
@@ -242,7 +242,7 @@
 // isHealthy tells whether a worker could be given starts by any scheduler.
 func (o *invariantChecker) isHealthy(host *workerHost) bool {
 	w := host.current
-	if w.draining || w.leaving || w.refuses || w.failing > 0 || w.failsAll || w.stalledSince > 0 || host.cut || len(host.cutFrom) > 0 || o.sim.now < host.disruptedAt || o.sim.now-w.startedAt < contactTimeout {
+	if w.draining || w.leaving || w.refuses || w.failShare > 0 || w.failsAll || w.stalledSince > 0 || host.cut || len(host.cutFrom) > 0 || o.sim.now < host.disruptedAt || o.sim.now-w.startedAt < contactTimeout {
 		return false
 	}
 	for _, e := range o.sim.operator.evacuations {
--- a/internal/testbed/jobssim/invariants_longrunning.go
+++ b/internal/testbed/jobssim/invariants_longrunning.go
@@ -8,14 +8,14 @@
 
 // Bounds of the rules on lasting tasks and on the ends that workers list.
 const (
-	reattachTime = 6 * time.Second // a lasting task runs again so long after its last run, where there is room
-	calmBefore   = 4 * time.Second // before the idle time that is judged nothing was disrupted
-	noteTime     = ackTime         // an end that is listed is acknowledged within it
+	reattachTime    = 6 * time.Second // a lasting task runs again so long after its last run, where there is room
+	calmBefore      = 4 * time.Second // before the idle time that is judged nothing was disrupted
+	acknowledgeTime = ackTime         // an end that is listed is acknowledged within it
 )
 
 // longRunningTask is what the oracle knows of one task that lasts.
 type longRunningTask struct {
-	idleFrom      time.Duration // since when it does not run; 0: it runs
+	idleSince     time.Duration // since when it does not run; 0: it runs
 	capacitySince time.Duration // since when there is room for it twice over meanwhile; 0: there is not
 }
 
@@ -50,8 +50,8 @@
 			o.count(LongRunningRule)
 			continue
 		}
-		if l.idleFrom == 0 {
-			l.idleFrom = o.sim.now
+		if l.idleSince == 0 {
+			l.idleSince = o.sim.now
 		}
 		switch {
 		case !hasCapacity:
@@ -59,8 +59,8 @@
 		case l.capacitySince == 0:
 			l.capacitySince = o.sim.now
 		}
-		if l.capacitySince > 0 && o.sim.now-l.idleFrom > reattachTime && o.sim.now-l.capacitySince > idleMost {
-			o.breach(LongRunningRule, "%s.%d of a lasting step has not run since %s, with room since %s", ref.Job, index, l.idleFrom, l.capacitySince)
+		if l.capacitySince > 0 && o.sim.now-l.idleSince > reattachTime && o.sim.now-l.capacitySince > maxIdle {
+			o.breach(LongRunningRule, "%s.%d of a lasting step has not run since %s, with room since %s", ref.Job, index, l.idleSince, l.capacitySince)
 			*l = longRunningTask{}
 		}
 	}
@@ -68,7 +68,7 @@
 
 // couldAttach tells whether a lasting step's tasks could be started now, by what any scheduler knows.
 func (o *invariantChecker) couldAttach(j *jobHistory, step *jobs.Step) bool {
-	if !o.sim.inTouch() || !o.sim.calmSince(o.sim.now-calmBefore) || o.sim.now < j.disturbed {
+	if !o.sim.inTouch() || !o.sim.calmSince(o.sim.now-calmBefore) || o.sim.now < j.excusedUntil {
 		return false
 	}
 	service := o.serviceOf(j)
@@ -78,10 +78,10 @@
 // listed takes in that a worker has an end to tell.
 func (o *invariantChecker) listed(w *workerIncarnation, e *endRecord) {
 	since := o.sim.now
-	o.sim.after(noteTime, func() {
-		if !w.up() || e.voided || !o.sim.calmSince(since) || !o.sim.inTouch() || since < w.host.disruptedAt+contactTimeout {
+	o.sim.after(acknowledgeTime, func() {
+		if !w.isUp() || e.isInvalidated || !o.sim.calmSince(since) || !o.sim.inTouch() || since < w.host.disruptedAt+contactTimeout {
 			return
 		}
-		o.require(NotedRule, e.noted, "%s ended %s at %s, which is not acknowledged", e.run, e.reason, since)
+		o.require(NotedRule, e.isAcknowledged, "%s ended %s at %s, which is not acknowledged", e.run, e.reason, since)
 	})
 }
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -35,29 +35,29 @@
 }
 
 const (
-	commitLeast     = 5 * time.Millisecond
-	commitMost      = 30 * time.Millisecond
-	slowCommit      = 700 * time.Millisecond // longest commit on slow disks
-	proposalTimeout = time.Second            // a proposal without an outcome is given up after it
-	unknownOutcome  = 0.01                   // share of proposals whose outcome is not told
+	minCommitDelay      = 5 * time.Millisecond
+	maxCommitDelay      = 30 * time.Millisecond
+	maxSlowCommitDelay  = 700 * time.Millisecond // longest commit on slow disks
+	proposalTimeout     = time.Second            // a proposal without an outcome is given up after it
+	unknownOutcomeShare = 0.01                   // share of proposals whose outcome is not told
 )
 
 // propose is the store's ProposeIn: done is called on the node with the answer or with an error.
 func (l *replicatedLog) propose(n *node, term uint64, change any, done func(any, error)) {
 	if n.term != term {
-		n.do(0, func() { done(nil, errs.New(errs.Unavailable, "another term")) })
+		n.after(0, func() { done(nil, errs.New(errs.Unavailable, "another term")) })
 		return
 	}
 	if l.leader != n || n.cut {
-		n.do(proposalTimeout, func() { done(nil, errs.New(errs.Timeout, "no majority")) })
+		n.after(proposalTimeout, func() { done(nil, errs.New(errs.Timeout, "no majority")) })
 		return
 	}
 	p := &proposal{entry: entry{term: term, change: change}, node: n, done: done}
-	delay := l.sim.between(commitLeast, commitMost)
+	delay := l.sim.between(minCommitDelay, maxCommitDelay)
 	if l.sim.now < l.slowUntil {
-		delay = l.sim.between(commitMost, slowCommit)
+		delay = l.sim.between(maxCommitDelay, maxSlowCommitDelay)
 	}
-	if l.sim.disrupting() && l.sim.chance(unknownOutcome) {
+	if l.sim.disrupting() && l.sim.chance(unknownOutcomeShare) {
 		delay = l.loseOutcome(p, delay)
 		if p.dropped {
 			return
@@ -72,7 +72,7 @@
 func (l *replicatedLog) loseOutcome(p *proposal, delay time.Duration) time.Duration {
 	done := p.done
 	p.done = func(any, error) {}
-	p.node.do(l.sim.between(10*time.Millisecond, 200*time.Millisecond), func() {
+	p.node.after(l.sim.between(10*time.Millisecond, 200*time.Millisecond), func() {
 		done(nil, errs.New(errs.Timeout, "outcome unknown"))
 	})
 	p.dropped = l.sim.chance(0.5)
@@ -87,7 +87,7 @@
 	l.pending = l.pending[1:]
 	l.entries = append(l.entries, p.entry)
 	answer, err := p.node.applyAll()
-	p.node.do(0, func() { p.done(answer, err) })
+	p.node.after(0, func() { p.done(answer, err) })
 }
 
 // lose takes the leader's power away: some of what it proposed last is committed by the next leader, the rest never.
@@ -101,7 +101,7 @@
 	for i, p := range l.pending {
 		p.dropped = true
 		done := p.done
-		old.do(proposalTimeout, func() { done(nil, errs.New(errs.Timeout, "leadership lost")) })
+		old.after(proposalTimeout, func() { done(nil, errs.New(errs.Timeout, "leadership lost")) })
 		if i < kept {
 			l.entries = append(l.entries, p.entry)
 		}
@@ -111,10 +111,10 @@
 
 const (
 	leaderLease     = 500 * time.Millisecond
-	electionLeast   = 600 * time.Millisecond
-	electionMost    = 2 * time.Second
+	minElectionTime = 600 * time.Millisecond
+	maxElectionTime = 2 * time.Second
 	electionRetry   = 200 * time.Millisecond
-	termStepsAtMost = 3
+	maxTermStep     = 3
 )
 
 // elect gives the lead to a node that is up and sees the majority.
@@ -122,31 +122,31 @@
 	if l.leader != nil {
 		return
 	}
-	var isRunning []*node
+	var running []*node
 	for _, n := range l.sim.nodes {
 		if n.isRunning() {
-			isRunning = append(isRunning, n)
+			running = append(running, n)
 		}
 	}
-	if len(isRunning) <= len(l.sim.nodes)/2 {
+	if len(running) <= len(l.sim.nodes)/2 {
 		l.sim.after(electionRetry, l.elect)
 		return
 	}
-	n := isRunning[l.sim.rng.IntN(len(isRunning))]
+	n := running[l.sim.rng.IntN(len(running))]
 	n.stepDown()
-	l.term += 1 + uint64(l.sim.rng.IntN(termStepsAtMost))
+	l.term += 1 + uint64(l.sim.rng.IntN(maxTermStep))
 	l.leader = n
 	l.last = l.sim.now
 	n.catchUp()
 	n.term = l.term
 	l.sim.trace("elected %s term %d", n.name, l.term)
-	l.sim.invariantChecker.elected(l.term)
+	l.sim.checker.elected(l.term)
 	n.wakeScheduler()
 }
 
 // apply makes a change in a table.
 func (s *simulator) apply(t *jobs.Table, e entry) (answer any, err error) {
-	switch c := weaken(s.opt.Break, t, e.change).(type) {
+	switch c := withoutGuard(s.opt.Break, t, e.change).(type) {
 	case jobs.Submit:
 		answer, err = t.Submit(c)
 	case jobs.Cancel:
--- a/internal/testbed/jobssim/network.go
+++ b/internal/testbed/jobssim/network.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	linkLeast = 300 * time.Microsecond
-	linkMost  = 3 * time.Millisecond
-	lateLeast = 2 * time.Second
-	lateMost  = 12 * time.Second
+	minLinkDelay = 300 * time.Microsecond
+	maxLinkDelay = 3 * time.Millisecond
+	minLateDelay = 2 * time.Second
+	maxLateDelay = 12 * time.Second
 )
 
-// link draws how long a message is on its way.
-func (s *simulator) link() time.Duration {
+// linkDelay draws how long a message is on its way.
+func (s *simulator) linkDelay() time.Duration {
 	if s.chance(0.01) {
 		return s.between(20*time.Millisecond, 400*time.Millisecond)
 	}
-	return s.between(linkLeast, linkMost)
+	return s.between(minLinkDelay, maxLinkDelay)
 }
 
 // handler is what a worker does with a call. late: it is carried out late.
@@ -43,7 +43,7 @@
 			done(answer, f)
 		}
 	}
-	n.do(limit, func() {
+	n.after(limit, func() {
 		if !over {
 			s.report.Seen["call without an answer"]++
 		}
@@ -68,18 +68,18 @@
 		if host.cutOff(n) || s.now < host.answersLostUntil && s.chance(host.answerLossShare) {
 			return // the answer is lost
 		}
-		n.do(s.link(), func() { finish(answer, f) })
+		n.after(s.linkDelay(), func() { finish(answer, f) })
 	}
 	switch {
 	case host.cutOff(n) || host.current == nil:
 		if s.chance(0.3) {
-			n.do(s.link(), func() { finish(nil, unsent) })
+			n.after(s.linkDelay(), func() { finish(nil, unsent) })
 		} else if s.chance(0.4) {
-			s.after(s.between(lateLeast, lateMost), func() { deliver(true, nothing) })
+			s.after(s.between(minLateDelay, maxLateDelay), func() { deliver(true, nothing) })
 		}
 	case s.now < host.lateUntil && s.chance(0.4):
-		s.after(s.between(lateLeast, lateMost), func() { deliver(true, nothing) })
+		s.after(s.between(minLateDelay, maxLateDelay), func() { deliver(true, nothing) })
 	default:
-		s.after(s.link(), func() { deliver(false, send) })
+		s.after(s.linkDelay(), func() { deliver(false, send) })
 	}
 }
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -12,11 +12,11 @@
 
 // node is a machine of the core: a replica of the table, and the loop of controller.Leader round a scheduler.Core.
 type node struct {
-	sim               *simulator
-	name              string
-	table             *jobs.Table
-	applied           int
-	workerIncarnation int // rises with each start of the process
+	sim         *simulator
+	name        string
+	table       *jobs.Table
+	applied     int
+	incarnation int // rises with each start of the process
 
 	term        uint64 // in which it leads, as far as it knows; 0: it does not
 	leaseUntil  time.Duration
@@ -25,14 +25,14 @@
 	frozenUntil time.Duration
 	skew        time.Duration // of its time of day
 
-	core    *scheduler.Core
-	events  []func(*scheduler.Core, time.Duration)
-	notes   []jobs.Event
-	passNo  int // newest planned pass
-	passAt  time.Duration
-	planned bool
-	beats   map[string]uint64
-	ends    map[string]uint64 // newest end seen of each worker, for EarlyAcknowledgement
+	core            *scheduler.Core
+	inputs          []func(*scheduler.Core, time.Duration)
+	tableEvents     []jobs.Event
+	passNumber      int // newest planned pass
+	passAt          time.Duration
+	isPassPlanned   bool
+	newestHeartbeat map[string]uint64
+	newestEnd       map[string]uint64 // newest end seen of each worker, for EarlyAcknowledgement
 }
 
 // coreSize is how many machines the core has.
@@ -47,11 +47,11 @@
 		s.nodes = append(s.nodes, n)
 	}
 	s.after(0, s.log.elect)
-	s.after(followEvery, s.follow)
+	s.after(followInterval, s.follow)
 }
 
-// followEvery is the pause between catch-ups of the followers.
-const followEvery = time.Second
+// followInterval is the pause between catch-ups of the followers.
+const followInterval = time.Second
 
 // follow lets the followers apply what is committed.
 func (s *simulator) follow() {
@@ -60,7 +60,7 @@
 			n.catchUp()
 		}
 	}
-	s.after(followEvery, s.follow)
+	s.after(followInterval, s.follow)
 }
 
 // schedulerConfig is the configuration of the schedulers, cut to the lease of the platform.
@@ -73,14 +73,14 @@
 
 // startProcess starts the process anew: its memory is gone, its log is not.
 func (n *node) startProcess() {
-	if !n.down && n.workerIncarnation > 0 {
+	if !n.down && n.incarnation > 0 {
 		return
 	}
-	n.workerIncarnation++
-	n.down, n.term, n.planned = false, 0, false
+	n.incarnation++
+	n.down, n.term, n.isPassPlanned = false, 0, false
 	n.core = scheduler.New(n.sim.schedulerConfig())
-	n.events, n.notes = nil, nil
-	n.beats, n.ends = map[string]uint64{}, map[string]uint64{}
+	n.inputs, n.tableEvents = nil, nil
+	n.newestHeartbeat, n.newestEnd = map[string]uint64{}, map[string]uint64{}
 	if n.applied > 0 {
 		n.reload()
 	}
@@ -94,7 +94,7 @@
 		err = table.UnmarshalJSON(data)
 	}
 	if err != nil {
-		n.sim.invariantChecker.breach(ReplicaRule, "%s cannot read its snapshot: %v", n.name, err)
+		n.sim.checker.breach(ReplicaRule, "%s cannot read its snapshot: %v", n.name, err)
 		return
 	}
 	n.table = table
@@ -104,20 +104,20 @@
 func (n *node) wipe() { n.table, n.applied = jobs.NewTable(), 0 }
 
 func (n *node) kill() {
-	n.workerIncarnation++
+	n.incarnation++
 	n.down, n.term = true, 0
 }
 
-// isRunning tells whether it can be a member of a majority now.
+// running tells whether it can be a member of a majority now.
 func (n *node) isRunning() bool { return !n.down && !n.cut && n.sim.now >= n.frozenUntil }
 
-// do plans a call on this life of the node; a frozen node makes it after it wakes.
-func (n *node) do(d time.Duration, call func()) {
-	workerIncarnation := n.workerIncarnation
+// after plans a call on this life of the node; a frozen node makes it after it wakes.
+func (n *node) after(d time.Duration, call func()) {
+	incarnation := n.incarnation
 	var fire func()
 	fire = func() {
 		switch {
-		case n.workerIncarnation != workerIncarnation:
+		case n.incarnation != incarnation:
 		case n.sim.now < n.frozenUntil:
 			n.sim.after(n.frozenUntil-n.sim.now+n.sim.between(0, time.Millisecond), fire)
 		default:
@@ -162,12 +162,12 @@
 
 // deliver queues an input of the scheduler.
 func (n *node) deliver(e func(*scheduler.Core, time.Duration)) {
-	n.events = append(n.events, e)
+	n.inputs = append(n.inputs, e)
 	n.wakeScheduler()
 }
 
 func (n *node) onTableChange(note jobs.Event) {
-	n.notes = append(n.notes, note)
+	n.tableEvents = append(n.tableEvents, note)
 	n.wakeScheduler()
 }
 
@@ -175,23 +175,23 @@
 
 // passIn plans the next pass; an earlier one takes the place of a later one.
 func (n *node) passIn(d time.Duration) {
-	if at := n.sim.now + d; n.planned && n.passAt <= at && n.passAt >= n.sim.now {
+	if at := n.sim.now + d; n.isPassPlanned && n.passAt <= at && n.passAt >= n.sim.now {
 		return
 	}
-	n.passNo++
-	number := n.passNo
-	n.planned, n.passAt = true, n.sim.now+d
-	n.do(d, func() {
-		if number == n.passNo {
-			n.planned = false
+	n.passNumber++
+	number := n.passNumber
+	n.isPassPlanned, n.passAt = true, n.sim.now+d
+	n.after(d, func() {
+		if number == n.passNumber {
+			n.isPassPlanned = false
 			n.pass()
 		}
 	})
 }
 
 const (
-	idlePass  = time.Second
-	leasePass = 20 * time.Millisecond
+	idleInterval  = time.Second
+	leaseInterval = 20 * time.Millisecond
 )
 
 // pass is one turn of the loop, as controller.Leader.pass.
@@ -206,32 +206,32 @@
 	}
 	switch {
 	case term == 0:
-		n.passIn(idlePass)
+		n.passIn(idleInterval)
 		return
 	case !isLeader:
-		n.passIn(leasePass)
+		n.passIn(leaseInterval)
 		return
 	}
 	if n.core.Term() == 0 {
 		n.becomeLeader(term)
 	}
-	events, notes := n.events, n.notes
-	n.events, n.notes = nil, nil
-	for _, note := range notes {
+	inputs, tableEvents := n.inputs, n.tableEvents
+	n.inputs, n.tableEvents = nil, nil
+	for _, note := range tableEvents {
 		n.core.TableChanged(note)
 	}
-	for _, e := range events {
+	for _, e := range inputs {
 		e(n.core, now)
 	}
 	out := n.core.Pass(now, n.wall())
-	n.carryOut(term, out)
+	n.dispatchActions(term, out)
 	n.passIn(max(time.Millisecond, out.Next-now))
 }
 
 func (n *node) wall() time.Time { return n.sim.wall().Add(n.skew) }
 
 func (n *node) becomeLeader(term uint64) {
-	n.events, n.notes = nil, nil
+	n.inputs, n.tableEvents = nil, nil
 	if n.sim.opt.Break == NoFencingWait {
 		n.forgetHandles(term)
 	}
@@ -245,7 +245,7 @@
 	}
 	n.core.StepDown()
 	n.table.OnEvent = nil
-	n.events, n.notes = nil, nil
+	n.inputs, n.tableEvents = nil, nil
 }
 
 // compareReplicas holds the tables of all nodes against each other.
@@ -254,14 +254,14 @@
 	for _, n := range s.nodes {
 		n.catchUp()
 		data, err := n.table.Encode()
-		s.invariantChecker.count(ReplicaRule)
+		s.checker.count(ReplicaRule)
 		if err != nil {
-			s.invariantChecker.breach(ReplicaRule, "%s cannot write its table: %v", n.name, err)
+			s.checker.breach(ReplicaRule, "%s cannot write its table: %v", n.name, err)
 		}
 		if first == nil {
 			first = data
 		} else if !bytes.Equal(first, data) {
-			s.invariantChecker.breach(ReplicaRule, "%s has another table than %s", n.name, s.nodes[0].name)
+			s.checker.breach(ReplicaRule, "%s has another table than %s", n.name, s.nodes[0].name)
 		}
 	}
 }
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -64,7 +64,7 @@
 	o.send(c)
 }
 
-// base is the version that the next change is built on.
+// clockBase is the version that the next change is built on.
 func (o *operator) base() uint64 {
 	if len(o.configs) == 0 {
 		return 0
@@ -108,9 +108,9 @@
 	}
 	c.acked, c.ackedAt = true, o.sim.now
 	o.moved, o.without = c.moved, c.without
-	o.sim.invariantChecker.acknowledged("a configuration", c.sentAt)
+	o.sim.checker.checkAcknowledgement("a configuration", c.sentAt)
 	if c.rival != nil {
-		o.sim.invariantChecker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
+		o.sim.checker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
 			c.change.Version, c.rival.change.Version, c.change.Base)
 		if !c.rival.lost {
 			return // the other one has no answer yet
@@ -126,17 +126,17 @@
 func (o *operator) sendAgain(c *sentConfig) {
 	o.busy = true
 	o.order(c.change, func() {
-		o.sim.invariantChecker.count(ConfigRule)
+		o.sim.checker.count(ConfigRule)
 		o.busy = false
 	}, func(err error) {
-		o.sim.invariantChecker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v", c.change.Version, err)
+		o.sim.checker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v", c.change.Version, err)
 	})
 }
 
 // refusedConfig takes in that a configuration was refused: only the loser of a race may be.
 func (o *operator) refusedConfig(c *sentConfig, err error) {
 	rival := c.rival
-	o.sim.invariantChecker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errorKind(err) == errs.Stale,
+	o.sim.checker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errorKind(err) == errs.Stale,
 		"version %d is refused: %v", c.change.Version, err)
 	c.lost = true
 	o.configs = slices.DeleteFunc(o.configs, func(other *sentConfig) bool { return other == c })
@@ -158,7 +158,7 @@
 		}
 		switch errorKind(err) {
 		case errs.Unavailable, errs.NotLeader, errs.Timeout:
-			o.sim.after(o.sim.between(retryPause/2, retryPause), func() { o.order(change, acknowledged, refused) })
+			o.sim.after(o.sim.between(retryBackoff/2, retryBackoff), func() { o.order(change, acknowledged, refused) })
 		default:
 			refused(err)
 		}
@@ -167,7 +167,7 @@
 
 // neverRefused is for orders that are always valid.
 func (o *operator) neverRefused(err error) {
-	o.sim.invariantChecker.breach(ConfigRule, "order refused: %v", err)
+	o.sim.checker.breach(ConfigRule, "order refused: %v", err)
 }
 
 // race lets two operators send different changes on top of the same version at once.
@@ -205,13 +205,13 @@
 	}
 	c.change.Digest += " invalid: " + what
 	o.order(c.change, func() {
-		o.sim.invariantChecker.breach(ConfigRule, "a configuration that %s is acknowledged", what)
-	}, func(error) { o.sim.invariantChecker.count(ConfigRule) })
+		o.sim.checker.breach(ConfigRule, "a configuration that %s is acknowledged", what)
+	}, func(error) { o.sim.checker.count(ConfigRule) })
 }
 
 // change is controller.Leader.change.
 func (n *node) change(change any, done func(any, error)) {
-	_, term, err := n.look()
+	_, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
@@ -257,8 +257,8 @@
 	sent := o.sim.now
 	o.order(jobs.Evacuate{Zone: e.zone, Start: true}, func() {
 		e.acked, e.ackedAt = true, o.sim.now
-		o.sim.invariantChecker.count(EvacRule)
-		o.sim.invariantChecker.acknowledged("an evacuation", sent)
+		o.sim.checker.count(EvacRule)
+		o.sim.checker.checkAcknowledgement("an evacuation", sent)
 	}, o.neverRefused)
 	o.sim.after(o.sim.between(6*time.Second, 12*time.Second), func() { o.finishEvacuation(e) })
 }
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -10,24 +10,24 @@
 // callTimeout bounds start and stop orders and the part of a hold call beyond its wait, as the controller's does.
 const callTimeout = 700 * time.Millisecond
 
-// carryOut does what a pass wants done, as controller.Leader.carryOut.
-func (n *node) carryOut(term uint64, out scheduler.Actions) {
+// dispatchActions does what a pass wants done, as controller.Leader.dispatchActions.
+func (n *node) dispatchActions(term uint64, out scheduler.Actions) {
 	if out.Progress != nil {
 		n.commit(term, out.Progress)
 	}
 	for _, start := range out.Starts {
-		n.do(n.dispatch(), func() { n.start(term, start) })
+		n.after(n.dispatchDelay(), func() { n.start(term, start) })
 	}
 	for _, stop := range out.Stops {
-		n.do(n.dispatch(), func() { n.stop(term, stop) })
+		n.after(n.dispatchDelay(), func() { n.stop(term, stop) })
 	}
 	for _, renewal := range out.Renewals {
-		n.do(n.dispatch(), func() { n.renewLease(term, renewal) })
+		n.after(n.dispatchDelay(), func() { n.renewLease(term, renewal) })
 	}
 }
 
-// dispatch is how long an order waits for its goroutine: orders of a pass leave in any order.
-func (n *node) dispatch() time.Duration {
+// dispatchDelay is how long an order waits for its goroutine: orders of a pass leave in any order.
+func (n *node) dispatchDelay() time.Duration {
 	if n.sim.chance(0.01) {
 		return n.sim.between(0, 30*time.Millisecond)
 	}
@@ -36,7 +36,7 @@
 
 func (n *node) commit(term uint64, progress *jobs.Progress) {
 	if n.sim.opt.Break == StartBeforeCommit {
-		n.startAhead(term, progress)
+		n.startBeforeCommit(term, progress)
 	}
 	n.sim.log.propose(n, term, *progress, func(answer any, err error) {
 		started, _ := answer.(jobs.Started)
@@ -63,10 +63,10 @@
 		n.failStart(answered)
 		return
 	}
-	n.sim.invariantChecker.sent(start)
-	order := order{from: n, sent: n.sim.now, inTouch: n.sim.inTouch()}
+	n.sim.checker.sent(start)
+	order := order{from: n, sent: n.sim.now, wasInTouch: n.sim.inTouch()}
 	n.sim.exchange(n, start.Worker, callTimeout, func(w *workerIncarnation, late bool, reply func(any)) {
-		order.late = late
+		order.isLate = late
 		reply(w.start(order, start.Order))
 	}, func(answer any, failure failure) {
 		done, _ := answer.(scheduler.StartAnswer)
@@ -122,7 +122,7 @@
 	done := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalError) {
 		n.sim.trace("hold %d to %s answered: %d running, %d ended, failure %d", number, id, len(answer.Running), len(answer.Ended), failure)
 		for _, e := range answer.Ended {
-			n.ends[id] = max(n.ends[id], e.Sequence)
+			n.newestEnd[id] = max(n.newestEnd[id], e.Sequence)
 		}
 		n.deliver(func(c *scheduler.Core, now time.Duration) { c.RenewalAnswered(now, id, number, answer, failure) })
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	if n.sim.opt.Break == EarlyAcknowledgement {
-		call.AcknowledgedUpTo = max(call.AcknowledgedUpTo, n.ends[id])
+		call.AcknowledgedUpTo = max(call.AcknowledgedUpTo, n.newestEnd[id])
 	}
 	n.sim.exchange(n, renewal.Worker, call.Wait+callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
 		w.renewLease(call, func(r leaseReply) { reply(r) })
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -14,10 +14,10 @@
 
 // order is what is known of the order that began a run.
 type order struct {
-	from    *node
-	sent    time.Duration
-	inTouch bool // its sender was in touch when it left
-	late    bool // the worker carried it out late
+	from       *node
+	sent       time.Duration
+	wasInTouch bool // its sender was in touch when it left
+	isLate     bool // the worker carried it out late
 }
 
 // liveRun is a run on a worker.
@@ -26,7 +26,7 @@
 	order    order
 	spec     *jobs.Spec
 	step     *jobs.Step
-	on       *workerIncarnation
+	worker   *workerIncarnation
 	began    time.Duration
 	work     time.Duration // what is left to do here, checkpoint counted in
 	saved    time.Duration // work done before, by its checkpoint
@@ -37,16 +37,16 @@
 	gang     *gang
 }
 
-// begin starts a run.
-func (w *workerIncarnation) begin(from order, o scheduler.StartOrder, spec *jobs.Spec, step *jobs.Step) {
+// beginRun starts a run.
+func (w *workerIncarnation) beginRun(from order, o scheduler.StartOrder, spec *jobs.Spec, step *jobs.Step) {
 	s := w.host.sim
-	r := &liveRun{key: o.Key, order: from, spec: spec, step: step, on: w, began: s.now, workedAt: -1}
-	s.invariantChecker.started(r, o)
+	r := &liveRun{key: o.Key, order: from, spec: spec, step: step, worker: w, began: s.now, workedAt: -1}
+	s.checker.started(r, o)
 	w.runs = append(w.runs, r)
 	r.saved = checkpointWork(o.Checkpoint)
 	whole := workOf(spec, o.Key.Task)
-	r.fails = w.failsAll || s.chance(w.failing) || failsItself(spec, o.Key)
-	factor := w.host.speed * w.slow
+	r.fails = w.failsAll || s.chance(w.failShare) || failsItself(spec, o.Key)
+	factor := w.host.speed * w.slowFactor
 	if step.PreferredRack != "" && !slices.Contains(w.host.labels, step.PreferredRack) {
 		factor *= spreadFactor
 	}
@@ -65,38 +65,38 @@
 		s.joinGang(r)
 		return
 	}
-	r.run()
+	r.startWork()
 }
 
-// run begins the work.
-func (r *liveRun) run() {
-	r.workedAt = r.on.worked()
-	r.expect(r.work)
+// startWork begins the work.
+func (r *liveRun) startWork() {
+	r.workedAt = r.worker.workedTime()
+	r.scheduleEnd(r.work)
 }
 
-// expect looks again when the work may be done.
-func (r *liveRun) expect(d time.Duration) {
-	r.on.host.sim.after(d, func() {
-		if !r.on.present(r) || r.stopping {
+// scheduleEnd looks again when the work may be done.
+func (r *liveRun) scheduleEnd(d time.Duration) {
+	r.worker.host.sim.after(d, func() {
+		if !r.worker.hasRun(r) || r.stopping {
 			return
 		}
-		if left := r.work - (r.on.worked() - r.workedAt); left > 0 {
-			r.expect(max(left, 100*time.Millisecond))
+		if left := r.work - (r.worker.workedTime() - r.workedAt); left > 0 {
+			r.scheduleEnd(max(left, 100*time.Millisecond))
 			return
 		}
 		if r.fails {
-			r.on.finish(r, jobs.EndFailed)
+			r.worker.finish(r, jobs.EndFailed)
 		} else {
-			r.on.finish(r, jobs.EndDone)
+			r.worker.finish(r, jobs.EndDone)
 		}
 	})
 }
 
-func (w *workerIncarnation) present(r *liveRun) bool { return w.up() && slices.Contains(w.runs, r) }
+func (w *workerIncarnation) hasRun(r *liveRun) bool { return w.isUp() && slices.Contains(w.runs, r) }
 
 // finish ends a run that is here and lists its end.
 func (w *workerIncarnation) finish(r *liveRun, reason jobs.EndReason) {
-	if !w.present(r) {
+	if !w.hasRun(r) {
 		return
 	}
 	checkpoint := r.checkpoint()
@@ -105,20 +105,20 @@
 	}
 	w.listEnd(r, reason, checkpoint)
 	if r.gang != nil {
-		r.gang.left(r, reason)
+		r.gang.memberEnded(r, reason)
 	}
 }
 
 // listEnd takes a run out and lists its end, the rest of its gang apart.
 func (w *workerIncarnation) listEnd(r *liveRun, reason jobs.EndReason, checkpoint string) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
-	w.last++
-	w.floor[r.key.Task] = max(w.floor[r.key.Task], r.key.Number)
+	w.newestEnd++
+	w.closedUpTo[r.key.Task] = max(w.closedUpTo[r.key.Task], r.key.Number)
 	if reason == jobs.EndDone {
 		checkpoint = ""
 	}
-	w.ends = append(w.ends, scheduler.EndedRun{Sequence: w.last, Key: r.key, Reason: reason, Checkpoint: checkpoint})
-	w.notes[w.last] = w.host.sim.invariantChecker.ended(r, reason)
+	w.unacknowledged = append(w.unacknowledged, scheduler.EndedRun{Sequence: w.newestEnd, Key: r.key, Reason: reason, Checkpoint: checkpoint})
+	w.endRecords[w.newestEnd] = w.host.sim.checker.ended(r, reason)
 	pendingRenewals := w.pendingRenewals
 	w.pendingRenewals = nil
 	for _, h := range pendingRenewals {
@@ -130,7 +130,7 @@
 func (w *workerIncarnation) remove(r *liveRun) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	if r.gang != nil {
-		r.gang.left(r, jobs.EndLost)
+		r.gang.memberEnded(r, jobs.EndLost)
 	}
 }
 
@@ -139,7 +139,7 @@
 	if r.workedAt < 0 {
 		return r.saved
 	}
-	return r.saved + time.Duration(float64(r.on.worked()-r.workedAt)/r.factor)
+	return r.saved + time.Duration(float64(r.worker.workedTime()-r.workedAt)/r.factor)
 }
 
 // percent is the share of the work that is done, as it is listed.
@@ -168,7 +168,7 @@
 		return ""
 	}
 	text := fmt.Sprintf("%08x-%s", done.Milliseconds(), checkpointOwner(r.key.Task, r.step.Gang))
-	r.on.host.sim.invariantChecker.savedAs(r, text)
+	r.worker.host.sim.checker.recordCheckpoint(r, text)
 	return text
 }
 
@@ -238,18 +238,18 @@
 
 // gang is one run of a gang: its members can work only together.
 type gang struct {
-	sim     *simulator
-	members []*liveRun
-	count   int
-	working bool
-	over    bool
+	sim       *simulator
+	members   []*liveRun
+	count     int
+	isWorking bool
+	hasEnded  bool
 }
 
 // joinGang lets a run wait for the other members, or begin with them.
 func (s *simulator) joinGang(r *liveRun) {
 	key := r.gangKey()
 	g := s.gangs[key]
-	if g == nil || g.over {
+	if g == nil || g.hasEnded {
 		g = &gang{sim: s, count: r.step.Count}
 		s.gangs[key] = g
 	}
@@ -260,36 +260,36 @@
 		return
 	}
 	s.after(gangTimeout, func() {
-		if !g.working && r.on.present(r) {
-			r.on.finish(r, jobs.EndGangTimeout)
+		if !g.isWorking && r.worker.hasRun(r) {
+			r.worker.finish(r, jobs.EndGangTimeout)
 		}
 	})
 }
 
-// begin is called when all members are present.
+// beginRun is called when all members are present.
 func (g *gang) begin() {
-	g.working = true
+	g.isWorking = true
 	var work time.Duration
 	racks := map[string]bool{}
 	for _, m := range g.members {
-		m.workedAt = m.on.worked()
+		m.workedAt = m.worker.workedTime()
 		work = max(work, m.work)
-		racks[m.on.host.rack] = true
+		racks[m.worker.host.rack] = true
 	}
 	if g.members[0].step.SameRack && len(racks) > 1 {
 		work = time.Duration(float64(work) * spreadFactor)
 	}
-	g.expect(work)
+	g.scheduleEnd(work)
 }
 
-func (g *gang) expect(d time.Duration) {
+func (g *gang) scheduleEnd(d time.Duration) {
 	g.sim.after(d, func() {
-		if g.over {
+		if g.hasEnded {
 			return
 		}
 		for _, m := range g.members {
-			if m.on.stalledSince > 0 {
-				g.expect(200 * time.Millisecond)
+			if m.worker.stalledSince > 0 {
+				g.scheduleEnd(200 * time.Millisecond)
 				return
 			}
 		}
@@ -300,30 +300,30 @@
 // done ends all members together, or one as failed and the rest as broken.
 func (g *gang) done() {
 	for _, m := range g.members {
-		if m.fails && m.on.present(m) {
-			m.on.finish(m, jobs.EndFailed)
+		if m.fails && m.worker.hasRun(m) {
+			m.worker.finish(m, jobs.EndFailed)
 			return
 		}
 	}
-	g.over = true
+	g.hasEnded = true
 	for _, m := range slices.Clone(g.members) {
-		if m.on.present(m) {
-			m.on.listEnd(m, jobs.EndDone, "")
+		if m.worker.hasRun(m) {
+			m.worker.listEnd(m, jobs.EndDone, "")
 		}
 	}
 }
 
-// left is called when a member has ended: the others are broken if they were at work.
-func (g *gang) left(r *liveRun, reason jobs.EndReason) {
+// memberEnded is called when a member has ended: the others are broken if they were at work.
+func (g *gang) memberEnded(r *liveRun, reason jobs.EndReason) {
 	g.members = slices.DeleteFunc(g.members, func(m *liveRun) bool { return m == r })
-	if g.over || !g.working {
+	if g.hasEnded || !g.isWorking {
 		return
 	}
-	g.over = true
+	g.hasEnded = true
 	for _, m := range slices.Clone(g.members) {
-		if m.on.present(m) {
+		if m.worker.hasRun(m) {
 			checkpoint := m.checkpoint()
-			m.on.listEnd(m, jobs.EndGangBroken, checkpoint)
+			m.worker.listEnd(m, jobs.EndGangBroken, checkpoint)
 		}
 	}
 }
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -15,24 +15,24 @@
 
 // A shortage ends of itself: a call that waits is served before later ones, so that no worker or job is left out for long.
 const (
-	longestShortage = 2 * time.Second
-	shortagePause   = 3 * time.Second
+	maxShortage         = 2 * time.Second
+	minShortageInterval = 3 * time.Second
 )
 
 // beginShortage begins a shortage, unless one was lately.
 func (s *simulator) beginShortage() bool {
-	if s.now < s.shortage.until+shortagePause {
+	if s.now < s.shortage.until+minShortageInterval {
 		return false
 	}
-	s.shortage = shortage{until: s.now + s.between(longestShortage/10, longestShortage), share: 0.3 + 0.6*s.rng.Float64()}
+	s.shortage = shortage{until: s.now + s.between(maxShortage/10, maxShortage), share: 0.3 + 0.6*s.rng.Float64()}
 	return true
 }
 
 // connectionWait is how long a call waits for a connection before it is given up.
 const connectionWait = 300 * time.Millisecond
 
-// urgentPart is how much more seldom a hold call or a stop finds no connection than a start, which comes after them.
-const urgentPart = 0.1
+// urgentShare is how much more seldom a hold call or a stop finds no connection than a start, which comes after them.
+const urgentShare = 0.1
 
 // startFindsNoConnection tells whether a start finds no connection; it is given up after connectionWait.
 func (s *simulator) startFindsNoConnection() bool {
@@ -41,13 +41,13 @@
 
 // urgentFindsNoConnection tells the same of a hold call or a stop.
 func (s *simulator) urgentFindsNoConnection() bool {
-	return s.now < s.shortage.until && s.chance(s.shortage.share*urgentPart)
+	return s.now < s.shortage.until && s.chance(s.shortage.share*urgentShare)
 }
 
 // failStart gives up a start for want of a connection.
 func (n *node) failStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
 	n.sim.report.Seen["short: start"]++
-	n.do(connectionWait, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
+	n.after(connectionWait, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
 }
 
 // failStop gives up a stop for want of a connection.
@@ -57,11 +57,11 @@
 	if n.sim.opt.Break == UnsentStopsCount {
 		failure = scheduler.StopOK
 	}
-	n.do(connectionWait, func() { done(failure) })
+	n.after(connectionWait, func() { done(failure) })
 }
 
 // failLeaseRenewal gives up a hold call for want of a connection.
 func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
 	n.sim.report.Seen["short: hold"]++
-	n.do(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
+	n.after(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
 }
--- a/internal/testbed/jobssim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -51,8 +51,8 @@
 	What string
 }
 
-// mostBreaches ends a run.
-const mostBreaches = 5
+// maxBreaches ends a run.
+const maxBreaches = 5
 
 // event is a call that is due at a time.
 type event struct {
@@ -96,16 +96,16 @@
 	number uint64
 	report Report
 
-	log              *replicatedLog
-	nodes            []*node
-	hosts            []*workerHost
-	gangs            map[gangKey]*gang
-	clients          *clients
-	operator         *operator
-	invariantChecker *invariantChecker
-	quiet            quiet
-	shortage         shortage
-	incarnations     int
+	log          *replicatedLog
+	nodes        []*node
+	hosts        []*workerHost
+	gangs        map[gangKey]*gang
+	clients      *clients
+	operator     *operator
+	checker      *invariantChecker
+	quiet        quiet
+	shortage     shortage
+	incarnations int
 }
 
 // epoch is the time of day at which each run begins.
@@ -124,13 +124,13 @@
 	}
 	s := &simulator{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 7)), gangs: map[gangKey]*gang{}}
 	s.report = Report{Seed: opt.Seed, Cases: map[Rule]int{}, Disruptions: map[Disruption]int{}, Seen: map[string]int{}}
-	s.invariantChecker = newInvariantChecker(s)
+	s.checker = newInvariantChecker(s)
 	s.buildCore()
 	s.buildWorkers()
 	s.buildOperator()
 	s.buildClients()
 	s.planDisruptions()
-	s.invariantChecker.watch()
+	s.checker.watchIdle()
 	s.loop()
 	s.report.Virtual = s.now
 	return s.report
@@ -139,7 +139,7 @@
 // loop carries out events until all jobs have ended or time is up.
 func (s *simulator) loop() {
 	end := s.opt.For + s.opt.DrainTime
-	for len(s.queue) > 0 && len(s.report.Breaches) < mostBreaches {
+	for len(s.queue) > 0 && len(s.report.Breaches) < maxBreaches {
 		e := heap.Pop(&s.queue).(event)
 		if e.at > end || s.now > s.opt.For && s.clients.allEnded() {
 			break
@@ -148,8 +148,8 @@
 		s.report.Events++
 		e.call()
 	}
-	if len(s.report.Breaches) < mostBreaches {
-		s.invariantChecker.finish()
+	if len(s.report.Breaches) < maxBreaches {
+		s.checker.finish()
 	}
 }
 
--- a/internal/testbed/jobssim/weaken.go
+++ b/internal/testbed/jobssim/weaken.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/jobs"
 )
 
-// weaken gives a change as a table without a guard would make it: every node does it alike.
-func weaken(without Guard, t *jobs.Table, change any) any {
+// withoutGuard gives a change as a table without a guard would make it: every node does it alike.
+func withoutGuard(without Guard, t *jobs.Table, change any) any {
 	switch c := change.(type) {
 	case jobs.Submit:
 		return weakenSubmit(without, t, c)
@@ -47,13 +47,13 @@
 	case NoOrderMemory:
 		c.Digest = ""
 	case NoConfigCheck:
-		return putRight(t, c)
+		return repairConfig(t, c)
 	}
 	return c
 }
 
-// putRight makes an invalid configuration a valid one.
-func putRight(t *jobs.Table, c jobs.Configure) jobs.Configure {
+// repairConfig makes an invalid configuration a valid one.
+func repairConfig(t *jobs.Table, c jobs.Configure) jobs.Configure {
 	c.Queues = append([]jobs.Queue{}, c.Queues...)
 	for i := range c.Queues {
 		q := &c.Queues[i]
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -12,7 +12,7 @@
 // What the platform's settings say of workers.
 const (
 	maxLease           = 10 * time.Second
-	stopMost           = 400 * time.Millisecond
+	maxStopDelay       = 400 * time.Millisecond
 	gangTimeout        = 3 * time.Second
 	checkpointInterval = time.Second
 	restoreTime        = 100 * time.Millisecond
@@ -23,17 +23,17 @@
 
 // host is a machine of workers: one life of a worker after another at one address.
 type workerHost struct {
-	sim      *simulator
-	address  string
-	service  string
-	guards   bool
-	zone     string
-	rack     string
-	labels   []string
-	kinds    [2]string // of the present life, and the other one
-	capacity jobs.Resources
-	speed    float64            // how many times as long a task takes here
-	current  *workerIncarnation // nil: nothing runs here
+	sim            *simulator
+	address        string
+	service        string
+	checksCapacity bool
+	zone           string
+	rack           string
+	labels         []string
+	kinds          [2]string // of the present life, and the other one
+	capacity       jobs.Resources
+	speed          float64            // how many times as long a task takes here
+	current        *workerIncarnation // nil: nothing runs here
 
 	cut              bool           // from the whole core
 	cutFrom          map[*node]bool // from single nodes
@@ -49,34 +49,34 @@
 // cutOff tells whether nothing passes between the slot and a node.
 func (host *workerHost) cutOff(n *node) bool { return host.cut || host.cutFrom[n] }
 
-// workerIncarnation is one life of a worker, under an ID of its own.
+// incarnation is one life of a worker, under an ID of its own.
 type workerIncarnation struct {
 	host            *workerHost
 	id              string
 	startedAt       time.Duration
-	base            time.Duration // its clock when it began
-	rate            float64       // of its clock
+	clockBase       time.Duration // its clock when it began
+	clockRate       float64       // of its clock
 	token           uint64        // highest fencing token seen
-	lease           time.Duration // on its clock
+	leaseDeadline   time.Duration // on its clock
 	runs            []*liveRun    // in the order they came
-	ends            []scheduler.EndedRun
-	last            uint64                // number of the newest end
-	floor           map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
-	notes           map[uint64]*endRecord // the oracle's records of the ends that are listed
+	unacknowledged  []scheduler.EndedRun
+	newestEnd       uint64                // number of the newest end
+	closedUpTo      map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
+	endRecords      map[uint64]*endRecord // the oracle's records of the ends that are listed
 	pendingRenewals []*pendingRenewal
 
 	stalledSince        time.Duration // tasks stand still since; 0: they work
 	stalledFor          time.Duration // how long they stood still before
 	failsAll            bool          // fails all it starts
-	failing             float64       // share of what it starts that fails
+	failShare           float64       // share of what it starts that fails
 	refuses             bool          // it refuses starts as if it were sick
-	slow                float64       // on top of the slot's speed
+	slowFactor          float64       // on top of the slot's speed
 	draining            bool
 	drainAcknowledgedAt time.Duration // when the core first acknowledged it; 0: not yet
 	leaving             bool          // it deregisters first and serves on
 	leavingSince        time.Duration // when it first said that it drains or ends
 	heartbeatSequence   uint64
-	leaseNo             int
+	leaseNumber         int
 }
 
 // pendingRenewal is a hold call whose answer waits for an end.
@@ -92,9 +92,9 @@
 	if s.incarnations%otherKindEvery == 0 {
 		host.changeKind()
 	}
-	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now, base: s.between(time.Second, 500*time.Second),
-		rate: slowestClock + (1-slowestClock)*s.rng.Float64(), slow: 1,
-		floor: map[jobs.TaskRef]int{}, notes: map[uint64]*endRecord{}}
+	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now, clockBase: s.between(time.Second, 500*time.Second),
+		clockRate: slowestClock + (1-slowestClock)*s.rng.Float64(), slowFactor: 1,
+		closedUpTo: map[jobs.TaskRef]int{}, endRecords: map[uint64]*endRecord{}}
 	host.current = w
 	w.heartbeatLoop()
 }
@@ -110,14 +110,14 @@
 
 // clock is what the worker's own clock shows.
 func (w *workerIncarnation) clock() time.Duration {
-	return w.base + time.Duration(float64(w.host.sim.now-w.startedAt)*w.rate)
+	return w.clockBase + time.Duration(float64(w.host.sim.now-w.startedAt)*w.clockRate)
 }
 
-// up tells whether this life still runs.
-func (w *workerIncarnation) up() bool { return w.host.current == w }
+// isUp tells whether this life still runs.
+func (w *workerIncarnation) isUp() bool { return w.host.current == w }
 
-// worked is the time its tasks had for work since it began.
-func (w *workerIncarnation) worked() time.Duration {
+// workedTime is the time its tasks had for work since it began.
+func (w *workerIncarnation) workedTime() time.Duration {
 	t := w.host.sim.now - w.startedAt - w.stalledFor
 	if w.stalledSince > 0 {
 		t -= w.host.sim.now - w.stalledSince
@@ -134,26 +134,26 @@
 	return false
 }
 
-// extend renews the lease of everything that runs.
-func (w *workerIncarnation) extend(deadline time.Duration) {
+// extendLease renews the lease of everything that runs.
+func (w *workerIncarnation) extendLease(deadline time.Duration) {
 	deadline = min(deadline, w.clock()+maxLease)
-	if deadline <= w.lease {
+	if deadline <= w.leaseDeadline {
 		return
 	}
-	w.lease = deadline
-	w.leaseNo++
-	number := w.leaseNo
-	real := time.Duration(float64(deadline-w.clock())/w.rate) + time.Millisecond
+	w.leaseDeadline = deadline
+	w.leaseNumber++
+	number := w.leaseNumber
+	real := time.Duration(float64(deadline-w.clock())/w.clockRate) + time.Millisecond
 	w.host.sim.after(real, func() {
-		if w.up() && number == w.leaseNo && w.clock() >= w.lease {
-			w.lapse()
+		if w.isUp() && number == w.leaseNumber && w.clock() >= w.leaseDeadline {
+			w.expireLease()
 		}
 	})
 }
 
-// lapse kills everything that runs.
-func (w *workerIncarnation) lapse() {
-	w.host.sim.invariantChecker.lapsed(w)
+// expireLease kills everything that runs.
+func (w *workerIncarnation) expireLease() {
+	w.host.sim.checker.leaseExpired(w)
 	for _, r := range slices.Clone(w.runs) {
 		w.finish(r, jobs.EndLeaseExpired)
 	}
@@ -168,8 +168,8 @@
 	if w.fenced(o.Token) {
 		return refuse(scheduler.RefusedFenced)
 	}
-	if w.find(o.Key) != nil {
-		w.extend(o.LeaseDeadline)
+	if w.findRun(o.Key) != nil {
+		w.extendLease(o.LeaseDeadline)
 		return scheduler.StartAnswer{Clock: w.clock()}
 	}
 	if o.LeaseDeadline <= w.clock() {
@@ -178,20 +178,20 @@
 	if w.refuses || w.host.sim.chance(0.002) {
 		return refuse(scheduler.RefusedUnhealthy)
 	}
-	w.extend(o.LeaseDeadline)
-	if o.Key.Number <= w.floor[o.Key.Task] {
+	w.extendLease(o.LeaseDeadline)
+	if o.Key.Number <= w.closedUpTo[o.Key.Task] {
 		return refuse(scheduler.RefusedStale)
 	}
 	spec := w.host.sim.clients.spec(o.Key.Task.Job)
 	if spec == nil {
-		w.host.sim.invariantChecker.unknownStart(o)
+		w.host.sim.checker.unknownStart(o)
 		return refuse(scheduler.RefusedInvalid)
 	}
 	step := &spec.Steps[o.Key.Task.Step]
-	if w.host.guards && !fits(plus(w.used(), step.Needs), w.host.capacity) {
+	if w.host.checksCapacity && !fits(plus(w.used(), step.Needs), w.host.capacity) {
 		return refuse(scheduler.RefusedCapacity)
 	}
-	w.begin(from, o, spec, step)
+	w.beginRun(from, o, spec, step)
 	return scheduler.StartAnswer{Clock: w.clock()}
 }
 
@@ -200,10 +200,10 @@
 	if w.fenced(o.Token) {
 		return false
 	}
-	w.floor[o.Key.Task] = max(w.floor[o.Key.Task], o.Key.Number)
-	if r := w.find(o.Key); r != nil && !r.stopping {
+	w.closedUpTo[o.Key.Task] = max(w.closedUpTo[o.Key.Task], o.Key.Number)
+	if r := w.findRun(o.Key); r != nil && !r.stopping {
 		r.stopping = true
-		w.host.sim.after(w.host.sim.between(0, stopMost), func() { w.finish(r, jobs.EndStopped) })
+		w.host.sim.after(w.host.sim.between(0, maxStopDelay), func() { w.finish(r, jobs.EndStopped) })
 	}
 	return true
 }
@@ -216,17 +216,17 @@
 	}
 	w.acknowledge(call.AcknowledgedUpTo)
 	if call.LeaseDeadline > 0 {
-		w.extend(call.LeaseDeadline)
+		w.extendLease(call.LeaseDeadline)
 	}
-	if call.Wait <= 0 || len(w.ends) > 0 {
-		reply(w.lists())
+	if call.Wait <= 0 || len(w.unacknowledged) > 0 {
+		reply(w.status())
 		return
 	}
 	done := false
 	answer := func() {
-		if !done && w.up() {
+		if !done && w.isUp() {
 			done = true
-			reply(w.lists())
+			reply(w.status())
 		}
 	}
 	w.pendingRenewals = append(w.pendingRenewals, &pendingRenewal{reply: answer})
@@ -235,24 +235,24 @@
 
 // acknowledge forgets ends.
 func (w *workerIncarnation) acknowledge(upTo uint64) {
-	for len(w.ends) > 0 && w.ends[0].Sequence <= upTo {
-		w.host.sim.invariantChecker.noted(w.notes[w.ends[0].Sequence])
-		delete(w.notes, w.ends[0].Sequence)
-		w.ends = w.ends[1:]
+	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Sequence <= upTo {
+		w.host.sim.checker.endAcknowledged(w.endRecords[w.unacknowledged[0].Sequence])
+		delete(w.endRecords, w.unacknowledged[0].Sequence)
+		w.unacknowledged = w.unacknowledged[1:]
 	}
 }
 
-// endsInAnswer is how many ends an answer holds.
-const endsInAnswer = 12
+// maxEndsPerAnswer is how many ends an answer holds.
+const maxEndsPerAnswer = 12
 
-// lists gives the answer to a hold call.
-func (w *workerIncarnation) lists() leaseReply {
+// status gives the answer to a hold call.
+func (w *workerIncarnation) status() leaseReply {
 	a := scheduler.RenewalAnswer{Clock: w.clock()}
 	for _, r := range w.runs {
 		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(), Percent: r.percent()})
 	}
-	a.Ended = slices.Clone(w.ends[:min(endsInAnswer, len(w.ends))])
-	if a.Full = len(w.ends) > endsInAnswer; a.Full {
+	a.Ended = slices.Clone(w.unacknowledged[:min(maxEndsPerAnswer, len(w.unacknowledged))])
+	if a.Full = len(w.unacknowledged) > maxEndsPerAnswer; a.Full {
 		w.host.sim.report.Seen["answer full of ends"]++
 	}
 	return leaseReply{answer: a}
@@ -267,7 +267,7 @@
 	return sum
 }
 
-func (w *workerIncarnation) find(key jobs.RunKey) *liveRun {
+func (w *workerIncarnation) findRun(key jobs.RunKey) *liveRun {
 	for _, r := range w.runs {
 		if r.key == key {
 			return r
@@ -276,17 +276,17 @@
 	return nil
 }
 
-// die ends this life: everything on it is gone without an end.
-func (w *workerIncarnation) die() {
-	if !w.up() {
+// terminate ends this life: everything on it is gone without an end.
+func (w *workerIncarnation) terminate() {
+	if !w.isUp() {
 		return
 	}
 	w.host.current = nil
 	w.host.sim.trace("%s dies", w.id)
-	w.host.sim.invariantChecker.died(w)
+	w.host.sim.checker.workerLost(w)
 	for _, r := range slices.Clone(w.runs) {
 		w.remove(r)
-		w.host.sim.invariantChecker.gone(r)
+		w.host.sim.checker.runLost(r)
 	}
 }
 
