--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -30,7 +30,7 @@
 			}
 		})
 		for _, guard := range day.Guards {
-			Convey("The oracle finds the lack of a guard: "+string(guard), t, func() {
+			Convey("The checker finds the lack of a guard: "+string(guard), t, func() {
 				seed, found := findLack(day, guard)
 				So(found, ShouldNotBeEmpty)
 				t.Logf("%s: seed %d: %s %s", guard, seed, found[0].Rule, found[0].What)
@@ -54,14 +54,14 @@
 
 func TestBadDaysHaveAll(t *testing.T) {
 	Convey("Every disruption and every guard is in one kind of bad day", t, func() {
-		disruptions, checksCapacity := map[Disruption]int{}, map[Guard]int{}
+		disruptions, guards := map[Disruption]int{}, map[Guard]int{}
 		for _, day := range BadDays() {
 			So(day.Guards, ShouldNotBeEmpty)
 			for _, kind := range day.Disruptions {
 				disruptions[kind]++
 			}
 			for _, guard := range day.Guards {
-				checksCapacity[guard]++
+				guards[guard]++
 			}
 		}
 		for _, kind := range Disruptions() {
@@ -69,8 +69,8 @@
 		}
 		So(disruptions, ShouldHaveLength, len(Disruptions()))
 		for _, guard := range Guards() {
-			So(checksCapacity[guard], ShouldEqual, 1)
+			So(guards[guard], ShouldEqual, 1)
 		}
-		So(checksCapacity, ShouldHaveLength, len(Guards()))
+		So(guards, ShouldHaveLength, len(Guards()))
 	})
 }
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/jobs"
 )
 
-// Load says which jobs come.
+// Load is which jobs come.
 type Load string
 
 // The loads.
@@ -24,31 +24,30 @@
 	prefix     string
 	sentAt     time.Duration
 	attempts   int
-	isUnclear  bool          // an attempt got no clear answer
-	accepted   bool          // an attempt was answered well
+	isUnclear  bool          // an attempt may have been accepted
+	accepted   bool          // an attempt was accepted
 	acceptedAt time.Duration // when
 	rejected   bool          // every attempt was rejected
 	cancelSent bool
 	cancelFrom time.Duration // when it was first sent
-	afterFault bool          // handed in when the machines had been back from the final fault for long enough
+	afterFault bool          // submitted when the machines had recovered from the final fault
 	cancelled  bool          // its cancelling was acknowledged
 	cancelAt   time.Duration
 	lastShown  jobs.JobState
-	polls      int // made since it was shown as over
+	polls      int // since it was shown as ended
 }
 
-// clients hand jobs in, ask for them and cancel some.
+// clients submit jobs, poll them and cancel some.
 type clients struct {
-	sim  *simulator
-	jobs []*clientJob
-	byID map[string]*clientJob
-	// faultPending tells that the final fault, or the jobs that are handed in after it, are still to come.
-	faultPending bool
+	sim          *simulator
+	jobs         []*clientJob
+	byID         map[string]*clientJob
+	faultPending bool // the final fault, or the jobs that are submitted after it, are still to come
 }
 
 const (
 	submitAttempts  = 4
-	answerTimeout   = time.Second // a client waits so long for an answer
+	answerTimeout   = time.Second // for an answer
 	retryBackoff    = 400 * time.Millisecond
 	minPollInterval = 500 * time.Millisecond
 	maxPollInterval = 3 * time.Second
@@ -61,7 +60,7 @@
 	s.after(s.opt.For+time.Second, s.clients.cancelLongRunning)
 }
 
-// spec gives a job as a client sent it; nil if none did.
+// spec returns a job as a client sent it; nil if none did.
 func (c *clients) spec(id string) *jobs.Spec {
 	if j := c.byID[id]; j != nil {
 		return &j.spec
@@ -69,7 +68,7 @@
 	return nil
 }
 
-// arrive hands one job in and plans the next.
+// arrive submits one job and schedules the next.
 func (c *clients) arrive() {
 	s := c.sim
 	if s.now >= s.opt.For {
@@ -85,7 +84,7 @@
 	s.after(pause, c.arrive)
 }
 
-// submitNew begins to hand a job in.
+// submitNew begins to submit a job.
 func (c *clients) submitNew(spec jobs.Spec, prefix string) *clientJob {
 	j := &clientJob{spec: spec, prefix: prefix, sentAt: c.sim.now}
 	c.jobs = append(c.jobs, j)
@@ -95,8 +94,8 @@
 	return j
 }
 
-// call makes a call to a node that may lead; done is told once, with a Timeout if no answer comes.
-func (c *clients) call(make func(n *node, done func(any, error)), done func(any, error)) {
+// call makes a call to a node that may lead; done is called once, with a Timeout if no answer comes.
+func (c *clients) call(send func(n *node, done func(any, error)), done func(any, error)) {
 	s := c.sim
 	over := false
 	finish := func(answer any, err error) {
@@ -113,14 +112,14 @@
 	s.after(answerTimeout, func() { finish(nil, errs.New(errs.Timeout, "no answer")) })
 	s.after(s.linkDelay(), func() {
 		n.after(0, func() {
-			make(n, func(answer any, err error) { s.after(s.linkDelay(), func() { finish(answer, err) }) })
+			send(n, func(answer any, err error) { s.after(s.linkDelay(), func() { finish(answer, err) }) })
 		})
 	})
 }
 
-// isCertainlyNotAccepted tells whether an error says that a job was not taken.
+// isCertainlyNotAccepted reports whether an error says that a job was not accepted.
 func isCertainlyNotAccepted(err error) bool {
-	switch errorKind(err) {
+	switch errs.KindOf(err) {
 	case errs.Unavailable, errs.NotLeader, errs.Unknown:
 		return true
 	}
@@ -154,14 +153,15 @@
 	})
 }
 
-// submitAgain hands a job in once more that was accepted, at whatever node leads by then.
+// submitAgain submits a job once more that was accepted, at whatever node leads by then.
 func (c *clients) submitAgain(j *clientJob) {
 	c.sim.report.Seen["handed in again after its acceptance"]++
 	c.call(func(n *node, done func(any, error)) { n.submit(j, done) }, func(_ any, err error) {
-		switch errorKind(err) {
+		switch errs.KindOf(err) {
 		case "", errs.Unavailable, errs.NotLeader, errs.Timeout, errs.Unknown:
 		default:
-			c.sim.checker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v", j.spec.ID, err)
+			c.sim.checker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v",
+				j.spec.ID, err)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 	n.answer(term, jobs.Submit{Spec: spec, Digest: "d" + spec.ID, At: n.wall()}, done)
 }
 
-// follow asks for an accepted job until it is over, and a little longer; some are cancelled on the way.
+// follow polls an accepted job until it has ended, and a little longer; some are cancelled on the way.
 func (c *clients) follow(j *clientJob) {
 	if !j.cancelSent && c.sim.chance(0.06) {
 		c.sim.after(c.sim.between(0, 4*time.Second), func() { c.cancel(j) })
@@ -230,7 +230,7 @@
 	}
 	c.call(func(n *node, done func(any, error)) { n.job(j, true, done) }, func(answer any, err error) {
 		if err != nil {
-			if errorKind(err) == errs.Unknown {
+			if errs.KindOf(err) == errs.Unknown {
 				j.cancelFrom = c.sim.now // its queue is not there at the moment: that is an answer
 			}
 			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff), func() { c.cancel(j) })
@@ -245,7 +245,7 @@
 	})
 }
 
-// job is controller.Leader.Job.
+// job is controller.Leader.Job and, with cancel, Cancel.
 func (n *node) job(j *clientJob, cancel bool, done func(any, error)) {
 	table, term, err := n.readTable()
 	if err != nil {
@@ -270,7 +270,7 @@
 	}
 }
 
-// cancelMany cancels most of the jobs that are not over.
+// cancelMany cancels half of the jobs that have not ended.
 func (c *clients) cancelMany() {
 	for _, j := range c.jobs {
 		if j.accepted && !j.lastShown.IsTerminal() && !j.cancelSent && c.sim.chance(0.5) {
@@ -279,17 +279,17 @@
 	}
 }
 
-// cancelLongRunning ends the lasting jobs, so that a run can settle.
+// cancelLongRunning cancels the long-running jobs, so that a run can end.
 func (c *clients) cancelLongRunning() {
 	for _, j := range c.jobs {
-		if lasts(&j.spec) && j.accepted && !j.cancelSent {
+		if isLongRunning(&j.spec) && j.accepted && !j.cancelSent {
 			c.cancel(j)
 		}
 	}
 	c.sim.after(time.Second, c.cancelLongRunning)
 }
 
-func lasts(spec *jobs.Spec) bool {
+func isLongRunning(spec *jobs.Spec) bool {
 	for i := range spec.Steps {
 		if spec.Steps[i].LongRunning {
 			return true
@@ -298,7 +298,7 @@
 	return false
 }
 
-// allEnded tells whether all accepted jobs were shown as over and asked for again.
+// allEnded reports whether all accepted jobs were shown as ended and polled again after that.
 func (c *clients) allEnded() bool {
 	if c.faultPending {
 		return false
--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Disruption names a kind of disruption.
+// Disruption is a kind of disruption.
 type Disruption string
 
 // The disruptions.
@@ -50,8 +50,8 @@
 func overloads() []Disruption { return []Disruption{Burst, UrgentStorm, Unschedulable, MassCancel} }
 
 func workerDisruptions() []Disruption {
-	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerReportsUnhealthy, WorkerFailsPart, WorkerHang, WorkerSlow, WorkerFailsAll,
-		WorkerLate, WorkerAnswersLost, HeartbeatsDelayed}
+	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerReportsUnhealthy, WorkerFailsPart,
+		WorkerHang, WorkerSlow, WorkerFailsAll, WorkerLate, WorkerAnswersLost, HeartbeatsDelayed}
 }
 
 func machineDisruptions() []Disruption {
@@ -66,15 +66,16 @@
 	return []Disruption{Reconfigure, ConfigRace, BadConfig, AckLost, Evacuation}
 }
 
-// Disruptions lists all kinds.
+// Disruptions are all kinds.
 func Disruptions() []Disruption {
-	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(), connectionShortages())
+	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(),
+		connectionShortages())
 }
 
 // contactTimeout is how long after a disruption a machine is in touch again.
 const contactTimeout = 3 * time.Second
 
-// quiet tells when the last disruptions ended.
+// quiet is when the last disruptions end.
 type quiet struct {
 	coreUntil time.Duration // of the core
 	anyUntil  time.Duration // of anything but configurations, cancels and new workers
@@ -89,22 +90,22 @@
 	s.quiet.anyUntil = max(s.quiet.anyUntil, until)
 }
 
-// wasInTouch tells whether the machines of the core are in touch.
+// inTouch reports whether the machines of the core are in touch.
 func (s *simulator) inTouch() bool {
 	return s.now > s.quiet.coreUntil+contactTimeout && s.now > contactTimeout
 }
 
-// calmSince tells whether nothing was disrupted near the time from a moment until now.
+// calmSince reports whether nothing was disrupted near the time from a moment until now.
 func (s *simulator) calmSince(since time.Duration) bool {
 	return since > s.quiet.anyUntil+2*contactTimeout
 }
 
-// disrupting tells whether disruptions still come.
+// disrupting reports whether disruptions still come.
 func (s *simulator) disrupting() bool {
 	return s.now < s.opt.For && (s.opt.Kinds == nil || len(s.opt.Kinds) > 0)
 }
 
-// planDisruptions begins the disruptions. They come in spells, with calm between them.
+// planDisruptions schedules the disruptions. They come in periods, with calm between them.
 func (s *simulator) planDisruptions() {
 	kinds := s.opt.Kinds
 	if kinds == nil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// finalFault takes the power from the whole core, and hands jobs in when the machines have been back for long enough.
+// finalFault takes the power from the whole core, and submits jobs when the machines have recovered.
 func (s *simulator) finalFault() {
 	if !s.outage() {
 		s.after(500*time.Millisecond, s.finalFault)
@@ -204,7 +205,7 @@
 	}
 }
 
-// loseLeader takes the lead from its holder.
+// loseLeader makes the leader lose its lead.
 func (s *simulator) loseLeader(kind Disruption) bool {
 	n := s.log.leader
 	if n == nil || !s.majorityWithout(n) {
@@ -232,7 +233,7 @@
 	return true
 }
 
-// learnNewerTerm lets a node that led hear of the newer term.
+// learnNewerTerm ends the lead of a node that led once it hears of the newer term.
 func (n *node) learnNewerTerm() {
 	if n.sim.log.leader != n {
 		n.stepDown()
@@ -266,7 +267,7 @@
 	return true
 }
 
-// disruptWorker disrupts what runs at a slot.
+// disruptWorker disrupts what runs on a host; false if nothing runs there, or it drains already.
 func (s *simulator) disruptWorker(kind Disruption, host *workerHost) bool {
 	w := host.current
 	if w == nil || w.draining || w.leaving {
@@ -274,64 +275,8 @@
 	}
 	d := s.between(time.Second, 10*time.Second)
 	host.disruptedAt = s.now + d
-	switch kind {
-	case NodeLinkCut:
-		n := s.nodes[s.rng.IntN(len(s.nodes))]
-		if s.chance(0.5) && s.log.leader != nil {
-			n = s.log.leader
-		}
-		if s.chance(0.3) {
-			d += 20 * time.Second
-		}
-		host.cutFrom[n] = true
-		s.after(d, func() { delete(host.cutFrom, n) })
-	case WorkerCrash:
-		w.terminate()
-		if s.chance(0.3) {
-			d += 20 * time.Second // nothing is there for long
-		}
-		s.after(s.between(500*time.Millisecond, d), host.startWorker)
-	case WorkerCut:
-		d += s.between(0, 4*time.Second)
-		host.cutFor(d)
-	case WorkerDrain:
-		w.drain()
-		d = maxDrainTime
-		host.replace()
-	case WorkerLeaves:
-		w.deregister()
-		d = maxDrainTime
-		host.replace()
-	case WorkerFlaps:
-		host.flap(s.now + d)
-	case WorkerReportsUnhealthy:
-		w.refuses = true
-		s.after(d, func() { w.refuses = false })
-	case WorkerFailsPart:
-		w.failShare = s.between(200*time.Millisecond, 700*time.Millisecond).Seconds()
-		s.after(d, func() { w.failShare = 0 })
-	case HeartbeatsDelayed:
-		host.heartbeatsDelayedUntil = s.now + d
-		host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d+maxHeartbeatDelay)
-		if s.chance(0.5) { // heartbeats that say that it is ready come after those that say that it drains
-			s.after(time.Second, w.drain)
-			d = time.Second + maxDrainTime
-			host.replace()
-		}
-	case WorkerHang:
-		w.stall()
-		s.after(d, w.resume)
-	case WorkerSlow:
-		w.slowFactor = 3
-		s.after(d, func() { w.slowFactor = 1 })
-	case WorkerFailsAll:
-		w.failsAll = true
-		s.after(d/2, func() { w.failsAll = false })
-	case WorkerLate:
-		host.lateUntil = s.now + d
-		d += maxLateDelay
-	case WorkerAnswersLost:
-		host.answersLostUntil, host.answerLossShare = s.now+d, []float64{0.5, 1}[s.rng.IntN(2)]
+	if disrupt := workerDisruptors[kind]; disrupt != nil {
+		d = disrupt(w, d)
 	}
 	host.disruptedAt = s.now + d
 	s.checker.workerLost(w)
@@ -339,33 +284,20 @@
 	return true
 }
 
-// cutFor cuts the slot off from the whole core for a while.
-func (host *workerHost) cutFor(d time.Duration) {
-	s := host.sim
-	host.cut = true
-	host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d)
-	s.after(d, func() { host.cut = false })
-}
-
-// maxDrainTime is the longest from the first word of a worker's end to its end.
-const maxDrainTime = 10 * time.Second
-
-// replace starts another life once the present one has ended as planned.
-func (host *workerHost) replace() {
-	s := host.sim
-	s.after(maxDrainTime+time.Second+s.between(100*time.Millisecond, 2*time.Second), host.startWorker)
-}
-
-// stall lets the tasks of a worker stand still.
-func (w *workerIncarnation) stall() {
-	if w.stalledSince == 0 {
-		w.stalledSince = w.host.sim.now
-	}
-}
-
-func (w *workerIncarnation) resume() {
-	if w.stalledSince > 0 {
-		w.stalledFor += w.host.sim.now - w.stalledSince
-		w.stalledSince = 0
-	}
+// workerDisruptors disrupt a worker for d, and return for how long it may be out of touch.
+var workerDisruptors = map[Disruption]func(w *workerIncarnation, d time.Duration) time.Duration{
+	NodeLinkCut:            (*workerIncarnation).cutFromNode,
+	WorkerCrash:            (*workerIncarnation).crash,
+	WorkerCut:              (*workerIncarnation).cutFromCore,
+	WorkerDrain:            (*workerIncarnation).drainAndReplace,
+	WorkerLeaves:           (*workerIncarnation).leaveAndReplace,
+	WorkerFlaps:            (*workerIncarnation).flap,
+	WorkerReportsUnhealthy: (*workerIncarnation).reportUnhealthy,
+	WorkerFailsPart:        (*workerIncarnation).failPart,
+	HeartbeatsDelayed:      (*workerIncarnation).delayHeartbeats,
+	WorkerHang:             (*workerIncarnation).hang,
+	WorkerSlow:             (*workerIncarnation).slowDown,
+	WorkerFailsAll:         (*workerIncarnation).failAll,
+	WorkerLate:             (*workerIncarnation).delayOrders,
+	WorkerAnswersLost:      (*workerIncarnation).loseAnswers,
 }
--- a/internal/testbed/jobssim/disruptions_core.go
+++ b/internal/testbed/jobssim/disruptions_core.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// majorityWithoutAll tells whether the core can go on without some nodes.
+// majorityWithoutAll reports whether the core can go on without some nodes.
 func (s *simulator) majorityWithoutAll(lost []*node) bool {
 	running := 0
 	for _, n := range s.nodes {
@@ -34,7 +34,7 @@
 	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
 }
 
-// wipeMember ends a member of the core, the leader now and then, and starts it again with an empty disk.
+// wipeMember kills a member of the core, which may be the leader, and starts it again with an empty disk.
 func (s *simulator) wipeMember() bool {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if n.down || !s.majorityWithoutAll([]*node{n}) {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// crashHost ends what runs at a slot and starts another life after a while.
+// crashHost ends what runs on a host and starts another incarnation after a while.
 func (s *simulator) crashHost(host *workerHost, back time.Duration) {
 	w := host.current
 	if w == nil {
@@ -96,8 +96,8 @@
 	s.markDisrupted(s.now + back)
 }
 
-// killMany kills half of all workers and the most members of the core that it bears, the leader among them, at one
-// moment.
+// killMany kills half of all workers and as many members of the core as leave a majority, the leader among them, at
+// once.
 func (s *simulator) killMany() bool {
 	leader := s.log.leader
 	if leader == nil {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// flap lets the lives at a slot end and begin by turns.
+// flap ends and starts incarnations on a host by turns.
 func (host *workerHost) flap(until time.Duration) {
 	s := host.sim
 	if s.now >= until || s.now >= s.opt.For {
--- a/internal/testbed/jobssim/failover_test.go
+++ b/internal/testbed/jobssim/failover_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestFailover measures how long nothing is started round the loss of a leader under a steady stream of short tasks.
+// TestFailover measures how long nothing is started around the loss of a leader under a steady stream of short tasks.
 func TestFailover(t *testing.T) {
 	Convey("A new leader starts tasks soon after its election", t, func() {
 		losses := 15
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -8,20 +8,20 @@
 	"crosstide/internal/jobs"
 )
 
-// Guard names a safety measure that a run can do without, to show that the oracle finds its lack.
+// Guard is a safety measure that a run can do without, to show that the checker finds its lack.
 type Guard string
 
-// The guards that can be taken out.
+// The guards that can be removed.
 const (
 	NoAttemptBound  Guard = "no attempt bound" // runs that failed are not counted
-	NoCapacityCheck Guard = "no room check"    // workers are given twice what they have room for
-	NoIdentity      Guard = "no identity"      // a job that is handed in again is another job
+	NoCapacityCheck Guard = "no room check"    // workers are assigned twice their capacity
+	NoIdentity      Guard = "no identity"      // a job that is submitted again is another job
 
-	UnconfirmedIsDead          Guard = "doubt is dead"         // a start without an answer is taken for one that never left
-	UnconfirmedReservesNothing Guard = "doubt takes no room"   // the room of a doubtful run is given away
+	UnconfirmedIsDead          Guard = "doubt is dead"         // a start without an answer counts as never sent
+	UnconfirmedReservesNothing Guard = "doubt takes no room"   // the capacity of an unconfirmed run is assigned again
 	NoDrainMark                Guard = "no drain mark"         // that a worker drains is acknowledged and not recorded
 	NoLeaveMark                Guard = "no leave mark"         // that a worker ends is acknowledged and not recorded
-	StaleHeartbeatsCount       Guard = "late heartbeats count" // a heartbeat replaces what a newer one told
+	StaleHeartbeatsCount       Guard = "late heartbeats count" // a heartbeat replaces what a newer one reported
 
 	EarlyAcknowledgement Guard = "early acknowledgement" // ends are acknowledged before their commit
 	StartBeforeCommit    Guard = "start before commit"   // starts leave before their handles are committed
@@ -39,7 +39,7 @@
 	UnsentStopsCount Guard = "unsent stops count" // a stop that found no connection is taken for answered
 )
 
-// Guards lists all guards that can be taken out.
+// Guards are all guards that can be removed.
 func Guards() []Guard {
 	return []Guard{NoAttemptBound, NoCapacityCheck, NoIdentity,
 		UnconfirmedIsDead, UnconfirmedReservesNothing, NoDrainMark, NoLeaveMark, StaleHeartbeatsCount,
@@ -48,7 +48,7 @@
 		NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark, UnsentStopsCount}
 }
 
-// startOutcome gives what the scheduler is told of a start without an answer.
+// startOutcome is what the scheduler learns of a start without an answer.
 func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartError {
 	switch n.sim.opt.Break {
 	case UnconfirmedIsDead:
@@ -59,7 +59,7 @@
 	return scheduler.StartUnknown
 }
 
-// answer commits a change of a client or an operator and tells the outcome.
+// answer commits a change of a client or an operator and answers with the outcome.
 func (n *node) answer(term uint64, change any, done func(any, error)) {
 	if n.sim.opt.Break == EarlyAnswers && n.sim.log.leader == n {
 		answered := done
@@ -69,7 +69,7 @@
 	n.sim.log.propose(n, term, change, done)
 }
 
-// widenCapacity records a worker with the room of a run on top of its capacity.
+// widenCapacity records a worker with the needs of a run on top of its capacity.
 func (n *node) widenCapacity(term uint64, start scheduler.StartAction) {
 	known, j := n.table.Workers[start.Worker.ID], n.table.Jobs[start.Order.Key.Task.Job]
 	if known == nil || j == nil || j.Rounds == nil {
@@ -107,6 +107,8 @@
 			progress.Ends = append(progress.Ends, jobs.End{Key: key, Worker: id, Reason: jobs.EndLost})
 		}
 	}
-	slices.SortFunc(progress.Ends, func(a, b jobs.End) int { return cmp.Or(a.Key.Compare(b.Key), cmp.Compare(a.Worker, b.Worker)) })
+	slices.SortFunc(progress.Ends, func(a, b jobs.End) int {
+		return cmp.Or(a.Key.Compare(b.Key), cmp.Compare(a.Worker, b.Worker))
+	})
 	n.sim.log.propose(n, term, progress, func(any, error) {})
 }
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -12,16 +12,17 @@
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = time.Second
-	maxHeartbeatDelay = 4 * time.Second // how late a heartbeat may come
+	maxHeartbeatDelay = 4 * time.Second // of a heartbeat that is late
 )
 
-// buildWorkers makes the machines of both services.
+// buildWorkers builds the machines of both services.
 func (s *simulator) buildWorkers() {
 	for i := range workersPerService * 2 {
 		checksCapacity := i%2 == 0
 		place := i / 2
-		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen, checksCapacity: checksCapacity,
-			zone: fmt.Sprintf("zone%d", place%zoneCount), rack: fmt.Sprintf("r%d", place%rackCount),
+		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen,
+			checksCapacity: checksCapacity,
+			zone:           fmt.Sprintf("zone%d", place%zoneCount), rack: fmt.Sprintf("r%d", place%rackCount),
 			capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536, GPUs: 2},
 			speed:    0.8 + 0.5*s.rng.Float64(), cutFrom: map[*node]bool{}, disruptedAt: -time.Minute}
 		if checksCapacity {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// heartbeatLoop sends heartbeats for as long as the life lasts.
+// heartbeatLoop sends heartbeats for as long as the incarnation lasts.
 func (w *workerIncarnation) heartbeatLoop() {
 	if !w.isUp() {
 		return
@@ -60,7 +61,7 @@
 	w.host.sim.after(w.host.sim.between(heartbeatInterval*9/10, heartbeatInterval*11/10), w.heartbeatLoop)
 }
 
-// heartbeat is a heartbeat as it was sent.
+// heartbeat is one heartbeat.
 type heartbeat struct {
 	worker    jobs.Worker
 	sequence  uint64
@@ -99,7 +100,7 @@
 	})
 }
 
-// heartbeatAcknowledged counts the time of a drain from its first acknowledgement.
+// heartbeatAcknowledged ends a drain some time after its first acknowledgement.
 func (w *workerIncarnation) heartbeatAcknowledged(call heartbeat, _ *node) {
 	if !call.worker.Draining || w.drainAcknowledgedAt != 0 || !w.isUp() {
 		return
@@ -109,7 +110,7 @@
 	s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.leave)
 }
 
-// deregister says that the worker ends, without saying that it drains, serves on for a while and ends.
+// deregister reports that the worker leaves, without a drain before; it serves on for a while and ends.
 func (w *workerIncarnation) deregister() {
 	w.leaving, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s deregisters first", w.id)
@@ -132,7 +133,7 @@
 	s.after(heartbeatTimeout, w.announceLeaving)
 }
 
-// leavingAcknowledged takes in the acknowledgement of the worker's leaving.
+// leavingAcknowledged records the first acknowledgement that the worker leaves.
 func (w *workerIncarnation) leavingAcknowledged() {
 	s := w.host.sim
 	w.drainAcknowledgedAt = s.now
@@ -142,7 +143,7 @@
 	}
 }
 
-// removeRun says that the worker ends, and ends it.
+// leave reports that the worker leaves, and ends it.
 func (w *workerIncarnation) leave() {
 	if !w.isUp() {
 		return
@@ -161,14 +162,14 @@
 	w.host.sim.after(maxDrainTime, w.leave) // also without an acknowledgement
 }
 
-// record is what the worker tells of itself.
+// record is what the worker reports of itself.
 func (w *workerIncarnation) record() jobs.Worker {
 	host := w.host
 	return jobs.Worker{ID: w.id, Address: host.address, Service: host.service, Zone: host.zone, Rack: host.rack,
 		Labels: host.labels, Capacity: host.capacity, Draining: w.draining}
 }
 
-// anyLeader gives a node that takes itself for the leader; nil if there is none.
+// anyLeader returns a node that takes itself for the leader; nil if there is none.
 func (s *simulator) anyLeader() *node {
 	var leading []*node
 	for _, n := range s.nodes {
@@ -197,7 +198,7 @@
 	return n.table, term, nil
 }
 
-// receiveHeartbeat takes a heartbeat in, as controller.Leader.Beat.
+// receiveHeartbeat handles a heartbeat, as controller.Leader.Heartbeat.
 func (n *node) receiveHeartbeat(call heartbeat, done func(error)) {
 	table, term, err := n.readTable()
 	if err != nil {
@@ -228,7 +229,8 @@
 		}
 		done(err)
 	}
-	if known != nil && !changedWorker(known, &worker) && (n.sim.opt.Break != StaleHeartbeatsCount || known.Draining == worker.Draining) {
+	countsStale := n.sim.opt.Break == StaleHeartbeatsCount && known != nil && known.Draining != worker.Draining
+	if known != nil && !changedWorker(known, &worker) && !countsStale {
 		finish(nil)
 		return
 	}
--- a/internal/testbed/jobssim/invariants_jobs.go
+++ b/internal/testbed/jobssim/invariants_jobs.go
@@ -2,96 +2,75 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"crosstide/internal/jobs"
 )
 
-// accepted takes in that a job was accepted.
-func (o *invariantChecker) accepted(j *clientJob) { o.job(j.spec.ID) }
+// accepted records that a job was accepted.
+func (ic *invariantChecker) accepted(j *clientJob) { ic.job(j.spec.ID) }
 
-// rejected takes in that every attempt to hand a job in was rejected.
-func (o *invariantChecker) rejected(j *clientJob) {
-	t := o.job(j.spec.ID)
+// rejected records that every attempt to submit a job was rejected.
+func (ic *invariantChecker) rejected(j *clientJob) {
+	t := ic.job(j.spec.ID)
 	started := t.running > 0 || len(t.tasks) > 0
-	o.require(RefusedRule, !started, "job %s was refused and has started", j.spec.ID)
+	ic.require(RefusedRule, !started, "job %s was refused and has started", j.spec.ID)
 }
 
-// lastShown judges what a client is told of its job.
-func (o *invariantChecker) shown(c *clientJob, a jobAnswer) {
-	j := o.job(c.spec.ID)
+// shown judges what a client is shown of its job.
+func (ic *invariantChecker) shown(c *clientJob, a jobAnswer) {
+	j := ic.job(c.spec.ID)
 	if a.gone {
 		if c.accepted && !c.cancelSent {
-			o.require(LostRule, o.sim.now <= c.acceptedAt+visibleTime || !o.sim.inTouch(), "job %s is accepted and not known", c.spec.ID)
+			isExcused := ic.sim.now <= c.acceptedAt+visibleTime || !ic.sim.inTouch()
+			ic.require(LostRule, isExcused, "job %s is accepted and not known", c.spec.ID)
 		}
 		return
 	}
 	switch a.state {
 	case jobs.Succeeded:
-		o.require(MixedRule, j.allDone(), "job %s is shown as succeeded and is not done", c.spec.ID)
+		ic.require(MixedRule, j.allDone(), "job %s is shown as succeeded and is not done", c.spec.ID)
 		j.succeeded = true
 	case jobs.Failed:
-		o.require(LostRule, j.attemptsExhausted(), "job %s is shown as failed without cause", c.spec.ID)
+		ic.require(LostRule, j.attemptsExhausted(), "job %s is shown as failed without cause", c.spec.ID)
 	case jobs.Cancelled:
-		o.require(LostRule, c.cancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
+		ic.require(LostRule, c.cancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
 	default:
-		o.count(LostRule)
+		ic.count(LostRule)
 		if c.lastShown.IsTerminal() {
-			o.breach(LostRule, "job %s is shown as %s after %s", c.spec.ID, a.state, c.lastShown)
+			ic.breach(LostRule, "job %s is shown as %s after %s", c.spec.ID, a.state, c.lastShown)
 		}
 	}
 }
 
-// rounds is how many times the steps of a job are run.
-func rounds(spec *jobs.Spec) int { return max(1, spec.Rounds) }
-
-// allDone tells whether every task has ended done.
-func (j *jobHistory) allDone() bool {
-	for round := range rounds(&j.job.spec) {
-		for step := range j.job.spec.Steps {
-			if !j.stepDone(round, step) {
-				return false
-			}
-		}
-	}
-	return true
-}
-
-// attemptsExhausted tells whether a task has failed as often as it may.
-func (j *jobHistory) attemptsExhausted() bool {
-	for ref, t := range j.tasks {
-		if !j.job.spec.Steps[ref.Step].LongRunning && len(t.failed) >= maxAttempts {
-			return true
-		}
-	}
-	return false
-}
-
-// cancelled takes in that a job's cancelling was acknowledged.
-func (o *invariantChecker) cancelled(c *clientJob) {
-	since := o.sim.now
-	o.sim.after(cancelTime+maxStopDelay, func() {
-		if !o.sim.calmSince(since) {
+// cancelled records that a job's cancel was acknowledged.
+func (ic *invariantChecker) cancelled(c *clientJob) {
+	since := ic.sim.now
+	ic.sim.after(cancelTime+maxStopDelay, func() {
+		if !ic.sim.calmSince(since) {
 			return
 		}
-		for _, host := range o.sim.hosts {
+		for _, host := range ic.sim.hosts {
 			if host.current == nil {
 				continue
 			}
 			for _, r := range host.current.runs {
 				if r.spec.ID == c.spec.ID {
-					o.breach(UnaskedRule, "%s runs on after its cancelling", r)
+					ic.breach(UnaskedRule, "%s runs on after its cancelling", r)
 				}
 			}
 		}
-		o.count(UnaskedRule)
+		ic.count(UnaskedRule)
 	})
 }
 
-// checkAcknowledgement judges how long an order waited for its acknowledgement in the newest stretch in which the core was stable.
-func (o *invariantChecker) checkAcknowledgement(what string, sent time.Duration) {
-	stable := max(sent, o.sim.quiet.coreUntil+contactTimeout)
-	o.require(AckRule, o.sim.now-stable <= ackTime, "%s waited %s for its acknowledgement, the core being stable", what, o.sim.now-stable)
+// checkAcknowledgement judges how long an order waited for its acknowledgement in the newest time in which the core was
+// stable.
+func (ic *invariantChecker) checkAcknowledgement(what string, sent time.Duration) {
+	stable := max(sent, ic.sim.quiet.coreUntil+contactTimeout)
+	waited := ic.sim.now - stable
+	ic.require(AckRule, waited <= ackTime, "%s waited %s for its acknowledgement, the core being stable", what, waited)
 }
 
 const (
@@ -99,85 +78,87 @@
 	idleCheckInterval = 250 * time.Millisecond
 )
 
-// onTableChange looks for idle jobs again and again.
-func (o *invariantChecker) watchIdle() {
-	o.sim.after(idleCheckInterval, func() {
-		o.findIdle()
-		o.findDetached()
-		o.watchIdle()
+// watchIdle looks for idle jobs at intervals.
+func (ic *invariantChecker) watchIdle() {
+	ic.sim.after(idleCheckInterval, func() {
+		ic.findIdle()
+		ic.findDetached()
+		ic.watchIdle()
 	})
 }
 
-// findIdle finds jobs that could run and do not.
-func (o *invariantChecker) findIdle() {
-	for _, c := range o.sim.clients.jobs {
+// findIdle judges jobs that could run and do not.
+func (ic *invariantChecker) findIdle() {
+	for _, c := range ic.sim.clients.jobs {
 		if !c.accepted || c.lastShown.IsTerminal() || c.cancelSent {
 			continue
 		}
-		j := o.job(c.spec.ID)
-		if !o.couldRun(j) {
+		j := ic.job(c.spec.ID)
+		if !ic.couldRun(j) {
 			j.idleSince, j.idleSinceAnyCause = 0, 0
 			continue
 		}
-		o.recordIdlePeriod(j)
-		if o.sim.now < j.excusedUntil {
+		ic.recordIdlePeriod(j)
+		if ic.sim.now < j.excusedUntil {
 			j.idleSince = 0
 			continue
 		}
 		if j.idleSince == 0 {
-			j.idleSince = o.sim.now
+			j.idleSince = ic.sim.now
 			continue
 		}
-		if o.sim.now-j.idleSince > maxIdle {
-			o.breach(LostRule, "job %s has been idle since %s: %s", c.spec.ID, j.idleSince, o.describe(queueOf(c.prefix)))
-			j.idleSince = o.sim.now
+		if ic.sim.now-j.idleSince > maxIdle {
+			ic.breach(LostRule, "job %s has been idle since %s: %s", c.spec.ID, j.idleSince,
+				ic.describe(queueOf(c.prefix)))
+			j.idleSince = ic.sim.now
 		}
-		o.count(LostRule)
+		ic.count(LostRule)
 	}
 }
 
-// recordIdlePeriod keeps account of how long a job is idle, whatever the cause.
-func (o *invariantChecker) recordIdlePeriod(j *jobHistory) {
+// recordIdlePeriod records how long a job is idle, whatever the cause.
+func (ic *invariantChecker) recordIdlePeriod(j *jobHistory) {
 	if j.idleSinceAnyCause == 0 {
-		j.idleSinceAnyCause = o.sim.now
+		j.idleSinceAnyCause = ic.sim.now
 	}
-	disruptionPeriod := o.sim.now - j.idleSinceAnyCause
-	if disruptionPeriod > maxIdle && disruptionPeriod <= maxIdle+idleCheckInterval {
-		o.sim.report.IdlePeriods++
-		o.sim.trace("job %s has been idle for %s", j.job.spec.ID, disruptionPeriod)
+	period := ic.sim.now - j.idleSinceAnyCause
+	if period > maxIdle && period <= maxIdle+idleCheckInterval {
+		ic.sim.report.IdlePeriods++
+		ic.sim.trace("job %s has been idle for %s", j.job.spec.ID, period)
 	}
-	o.sim.report.LongestIdle = max(o.sim.report.LongestIdle, disruptionPeriod)
+	ic.sim.report.LongestIdle = max(ic.sim.report.LongestIdle, period)
 }
 
 // describe lists the workers of the service of a queue.
-func (o *invariantChecker) describe(queue string) string {
-	configs := o.sim.operator.configs
+func (ic *invariantChecker) describe(queue string) string {
+	configs := ic.sim.operator.configs
 	service := configs[len(configs)-1].services[queue]
 	text := service
-	for _, host := range o.sim.hosts {
+	for _, host := range ic.sim.hosts {
 		if host.service == service && host.current != nil {
-			text += fmt.Sprintf(" %s(sound %v, used %v)", host.current.id, o.isHealthy(host), host.current.used())
+			text += fmt.Sprintf(" %s(sound %v, used %v)", host.current.id, ic.isHealthy(host), host.current.used())
 		}
 	}
 	return text
 }
 
-// couldRun tells whether nothing of a job runs although a task's turn has come and there is room twice over.
-func (o *invariantChecker) couldRun(j *jobHistory) bool {
-	if j.running > 0 || !o.sim.inTouch() || j.attemptsExhausted() {
+// couldRun reports whether nothing of a job runs although a task's turn has come and there is capacity for it twice.
+func (ic *invariantChecker) couldRun(j *jobHistory) bool {
+	if j.running > 0 || !ic.sim.inTouch() || j.attemptsExhausted() {
 		return false
 	}
-	service := o.serviceOf(j)
+	service := ic.serviceOf(j)
 	if service == "" {
 		return false
 	}
-	for round := range rounds(&j.job.spec) {
-		spec := &j.job.spec
-		if spec.Rounds > 0 && o.sim.wall().Before(spec.FirstRun.Add(time.Duration(round)*spec.Interval+200*time.Millisecond)) {
+	spec := &j.job.spec
+	for round := range rounds(spec) {
+		due := spec.FirstRun.Add(time.Duration(round)*spec.Interval + 200*time.Millisecond)
+		if spec.Rounds > 0 && ic.sim.wall().Before(due) {
 			continue
 		}
 		for number := range spec.Steps {
-			if o.turnHasCome(j, round, number) && o.hasCapacityTwice(&spec.Steps[number], service) {
+			if ic.turnHasCome(j, round, number) && ic.hasCapacityTwice(&spec.Steps[number], service) {
 				return true
 			}
 		}
@@ -185,19 +166,19 @@
 	return false
 }
 
-// serviceOf is the service to which the newest configuration directs a job; empty if none, or if that one need not be in
-// force yet.
-func (o *invariantChecker) serviceOf(j *jobHistory) string {
-	configs := o.sim.operator.configs
+// serviceOf is the service to which the newest configuration directs a job; empty if none, or if that configuration
+// need not be in force yet.
+func (ic *invariantChecker) serviceOf(j *jobHistory) string {
+	configs := ic.sim.operator.configs
 	newest := configs[len(configs)-1]
-	if !newest.acked || o.sim.now < newest.ackedAt+configTime {
+	if !newest.acked || ic.sim.now < newest.ackedAt+configTime {
 		return ""
 	}
 	return newest.services[queueOf(j.job.prefix)]
 }
 
-// turnHasCome tells whether a task of a step of a round is not done, and all steps before are.
-func (o *invariantChecker) turnHasCome(j *jobHistory, round, number int) bool {
+// turnHasCome reports whether a task of a step of a round is not done, and all steps before are.
+func (*invariantChecker) turnHasCome(j *jobHistory, round, number int) bool {
 	if j.stepDone(round, number) {
 		return false
 	}
@@ -209,24 +190,24 @@
 	return true
 }
 
-// hasCapacityTwice tells whether sound workers of a service have room for a task, or a gang, twice over, and whether under
-// half of what these workers have is in use.
-func (o *invariantChecker) hasCapacityTwice(step *jobs.Step, service string) bool {
+// hasCapacityTwice reports whether healthy workers of a service have capacity for a task, or a gang, twice, and less
+// than half of their capacity is in use.
+func (ic *invariantChecker) hasCapacityTwice(step *jobs.Step, service string) bool {
 	wanted, could := 2, 0
 	if step.Gang {
 		wanted = 2 * step.Count
 	}
 	var capacity, used jobs.Resources
-	for _, host := range o.sim.hosts {
+	for _, host := range ic.sim.hosts {
 		w := host.current
 		if host.service != service || w == nil {
 			continue
 		}
-		if !o.isHealthy(host) {
+		if !ic.isHealthy(host) {
 			continue
 		}
 		capacity, used = plus(capacity, host.capacity), plus(used, w.used())
-		if step.Label != "" && !labelled(host, step.Label) {
+		if step.Label != "" && !slices.Contains(host.labels, step.Label) {
 			continue
 		}
 		here, free := 0, plus(w.used(), step.Needs)
@@ -236,49 +217,46 @@
 		}
 		could += here
 	}
-	return could >= wanted && 2*used.MilliCPU < capacity.MilliCPU && 2*used.MemoryMB < capacity.MemoryMB && 2*used.GPUs <= capacity.GPUs
+	isHalfFree := 2*used.MilliCPU < capacity.MilliCPU && 2*used.MemoryMB < capacity.MemoryMB &&
+		2*used.GPUs <= capacity.GPUs
+	return could >= wanted && isHalfFree
 }
 
-// isHealthy tells whether a worker could be given starts by any scheduler.
-func (o *invariantChecker) isHealthy(host *workerHost) bool {
+// isHealthy reports whether any scheduler could assign starts to a worker.
+func (ic *invariantChecker) isHealthy(host *workerHost) bool {
 	w := host.current
-	if w.draining || w.leaving || w.refuses || w.failShare > 0 || w.failsAll || w.stalledSince > 0 || host.cut || len(host.cutFrom) > 0 || o.sim.now < host.disruptedAt || o.sim.now-w.startedAt < contactTimeout {
+	isImpaired := w.draining || w.leaving || w.refuses || w.failShare > 0 || w.failsAll || w.stalledSince > 0
+	isOutOfTouch := host.cut || len(host.cutFrom) > 0 || ic.sim.now < host.disruptedAt ||
+		ic.sim.now-w.startedAt < contactTimeout
+	if isImpaired || isOutOfTouch {
 		return false
 	}
-	for _, e := range o.sim.operator.evacuations {
-		if e.zone == host.zone && !(e.finished && o.sim.now > e.ackedAt+evacuationTime+contactTimeout) {
+	for _, e := range ic.sim.operator.evacuations {
+		if e.zone == host.zone && !(e.finished && ic.sim.now > e.ackedAt+evacuationTime+contactTimeout) {
 			return false
 		}
 	}
 	return true
 }
 
-func labelled(host *workerHost, label string) bool {
-	for _, l := range host.labels {
-		if l == label {
-			return true
-		}
-	}
-	return false
-}
-
 // finish judges what is left when a run is over.
-func (o *invariantChecker) finish() {
-	for _, c := range o.sim.clients.jobs {
+func (ic *invariantChecker) finish() {
+	for _, c := range ic.sim.clients.jobs {
 		if !c.accepted {
 			continue
 		}
-		o.require(EndRule, c.lastShown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID, c.lastShown)
+		ic.require(EndRule, c.lastShown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID,
+			c.lastShown)
 	}
-	o.recovered()
-	o.finishConfig()
-	o.sim.compareReplicas()
+	ic.recovered()
+	ic.finishConfig()
+	ic.sim.compareReplicas()
 }
 
-// recovered judges the jobs that were handed in after the final fault, when the machines had been back for long enough.
-func (o *invariantChecker) recovered() {
+// recovered judges the jobs that were submitted after the final fault, when the machines had been back for long enough.
+func (ic *invariantChecker) recovered() {
 	served, all := 0, 0
-	for _, c := range o.sim.clients.jobs {
+	for _, c := range ic.sim.clients.jobs {
 		if c.afterFault {
 			all++
 			if c.accepted {
@@ -287,20 +265,20 @@
 		}
 	}
 	if all > 0 {
-		o.require(RecoverRule, 4*served >= all, "%d of %d jobs were accepted after the final fault", served, all)
+		ic.require(RecoverRule, 4*served >= all, "%d of %d jobs were accepted after the final fault", served, all)
 	}
 }
 
-// finishConfig holds what is in force at the end against what was acknowledged.
-func (o *invariantChecker) finishConfig() {
-	n := o.sim.log.leader
+// finishConfig compares what is in force at the end with what was acknowledged.
+func (ic *invariantChecker) finishConfig() {
+	n := ic.sim.log.leader
 	if n == nil {
-		o.breach(EndRule, "there is no leader at the end")
+		ic.breach(EndRule, "there is no leader at the end")
 		return
 	}
 	n.catchUp()
 	at, newest := -1, -1
-	for i, c := range o.sim.operator.configs {
+	for i, c := range ic.sim.operator.configs {
 		if c.change.Version == n.table.Config.Version && (c.acked || !c.lost) {
 			at = i
 		}
@@ -308,11 +286,11 @@
 			newest = i
 		}
 	}
-	o.require(ConfigRule, at >= newest && at >= 0, "version %d is in force at the end, older than what was acknowledged or never sent",
-		n.table.Config.Version)
-	for _, e := range o.sim.operator.evacuations {
+	ic.require(ConfigRule, at >= newest && at >= 0,
+		"version %d is in force at the end, older than what was acknowledged or never sent", n.table.Config.Version)
+	for _, e := range ic.sim.operator.evacuations {
 		if e.acked && !e.finished {
-			o.require(LostRule, n.table.Evacuated[e.zone], "the evacuation of %s is gone", e.zone)
+			ic.require(LostRule, n.table.Evacuated[e.zone], "the evacuation of %s is gone", e.zone)
 		}
 	}
 }
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -38,8 +38,8 @@
 	minCommitDelay      = 5 * time.Millisecond
 	maxCommitDelay      = 30 * time.Millisecond
 	maxSlowCommitDelay  = 700 * time.Millisecond // longest commit on slow disks
-	proposalTimeout     = time.Second            // a proposal without an outcome is given up after it
-	unknownOutcomeShare = 0.01                   // share of proposals whose outcome is not told
+	proposalTimeout     = time.Second            // of a proposal without an outcome
+	unknownOutcomeShare = 0.01                   // of proposals
 )
 
 // propose is the store's ProposeIn: done is called on the node with the answer or with an error.
@@ -68,7 +68,7 @@
 	l.sim.after(l.last-l.sim.now, func() { l.commit(p) })
 }
 
-// loseOutcome answers a proposal with an error and lets it be committed later or never; it gives the new delay.
+// loseOutcome answers a proposal with an error and lets it be committed later or never; it returns the new delay.
 func (l *replicatedLog) loseOutcome(p *proposal, delay time.Duration) time.Duration {
 	done := p.done
 	p.done = func(any, error) {}
@@ -90,7 +90,7 @@
 	p.node.after(0, func() { p.done(answer, err) })
 }
 
-// lose takes the leader's power away: some of what it proposed last is committed by the next leader, the rest never.
+// lose ends the leader's lead: some of what it proposed last is committed by the next leader, the rest never.
 func (l *replicatedLog) lose() {
 	old := l.leader
 	if old == nil {
@@ -117,7 +117,7 @@
 	maxTermStep     = 3
 )
 
-// elect gives the lead to a node that is up and sees the majority.
+// elect elects a node that is up and sees the majority.
 func (l *replicatedLog) elect() {
 	if l.leader != nil {
 		return
--- a/internal/testbed/jobssim/network.go
+++ b/internal/testbed/jobssim/network.go
@@ -6,14 +6,14 @@
 	"crosstide/internal/jobs"
 )
 
-// failure says how a call to a worker went.
+// failure is how a call to a worker went.
 type failure int
 
 const (
 	answered         failure = iota
 	unsent                   // no byte of it left
 	unknown                  // it may be carried out, now or later
-	otherIncarnation         // another life has the address
+	otherIncarnation         // another incarnation has the address
 )
 
 const (
@@ -23,7 +23,7 @@
 	maxLateDelay = 12 * time.Second
 )
 
-// linkDelay draws how long a message is on its way.
+// linkDelay draws how long a message is under way.
 func (s *simulator) linkDelay() time.Duration {
 	if s.chance(0.01) {
 		return s.between(20*time.Millisecond, 400*time.Millisecond)
@@ -31,55 +31,73 @@
 	return s.between(minLinkDelay, maxLinkDelay)
 }
 
-// handler is what a worker does with a call. late: it is carried out late.
-type handler func(w *workerIncarnation, late bool, reply func(any))
+// handler is what a worker does with a call; isLate: long after it was sent.
+type handler func(w *workerIncarnation, isLate bool, reply func(any))
 
-// exchange makes a call to a worker: done is called once on the node, with the answer or with what is known of it.
-func (s *simulator) exchange(n *node, to jobs.Worker, limit time.Duration, handle handler, done func(any, failure)) {
-	over := false
-	finish := func(answer any, f failure) {
-		if !over {
-			over = true
-			done(answer, f)
-		}
-	}
-	n.after(limit, func() {
-		if !over {
+// exchange is a call to a worker. done is called once on the node, with the answer or with what is known of it.
+type exchange struct {
+	node   *node
+	host   *workerHost
+	to     jobs.Worker
+	handle handler
+	done   func(any, failure)
+	isOver bool
+}
+
+// exchange makes a call to a worker; after timeout without an answer it counts as unknown.
+func (s *simulator) exchange(n *node, to jobs.Worker, timeout time.Duration, handle handler, done func(any, failure)) {
+	e := &exchange{node: n, host: s.hostAt(to.Address), to: to, handle: handle, done: done}
+	n.after(timeout, func() {
+		if !e.isOver {
 			s.report.Seen["call without an answer"]++
 		}
-		finish(nil, unknown)
+		e.finish(nil, unknown)
 	})
-	host := s.hostAt(to.Address)
-	if host == nil {
+	if e.host == nil {
 		return
 	}
-	deliver := func(late bool, answer func(any, failure)) {
-		w := host.current
-		switch {
-		case w == nil || host.cutOff(n):
-		case w.id != to.ID:
-			answer(nil, otherIncarnation)
-		default:
-			handle(w, late, func(a any) { answer(a, answered) })
-		}
-	}
-	nothing := func(any, failure) {}
-	send := func(answer any, f failure) {
-		if host.cutOff(n) || s.now < host.answersLostUntil && s.chance(host.answerLossShare) {
-			return // the answer is lost
-		}
-		n.after(s.linkDelay(), func() { finish(answer, f) })
-	}
 	switch {
-	case host.cutOff(n) || host.current == nil:
+	case e.host.cutOff(n) || e.host.current == nil:
 		if s.chance(0.3) {
-			n.after(s.linkDelay(), func() { finish(nil, unsent) })
+			n.after(s.linkDelay(), func() { e.finish(nil, unsent) })
 		} else if s.chance(0.4) {
-			s.after(s.between(minLateDelay, maxLateDelay), func() { deliver(true, nothing) })
+			s.after(s.between(minLateDelay, maxLateDelay), e.deliverLate)
 		}
-	case s.now < host.lateUntil && s.chance(0.4):
-		s.after(s.between(minLateDelay, maxLateDelay), func() { deliver(true, nothing) })
+	case s.now < e.host.lateUntil && s.chance(0.4):
+		s.after(s.between(minLateDelay, maxLateDelay), e.deliverLate)
 	default:
-		s.after(s.linkDelay(), func() { deliver(false, send) })
+		s.after(s.linkDelay(), func() { e.deliver(false, e.sendBack) })
+	}
+}
+
+// finish passes the first outcome to the caller.
+func (e *exchange) finish(answer any, f failure) {
+	if !e.isOver {
+		e.isOver = true
+		e.done(answer, f)
+	}
+}
+
+// deliver has the worker carry the call out, if it is the one that is meant and in touch.
+func (e *exchange) deliver(isLate bool, answer func(any, failure)) {
+	w := e.host.current
+	switch {
+	case w == nil || e.host.cutOff(e.node):
+	case w.id != e.to.ID:
+		answer(nil, otherIncarnation)
+	default:
+		e.handle(w, isLate, func(a any) { answer(a, answered) })
+	}
+}
+
+// deliverLate delivers a call whose answer nobody waits for any more.
+func (e *exchange) deliverLate() { e.deliver(true, func(any, failure) {}) }
+
+// sendBack sends an answer back, unless it is lost.
+func (e *exchange) sendBack(answer any, f failure) {
+	s := e.host.sim
+	if e.host.cutOff(e.node) || s.now < e.host.answersLostUntil && s.chance(e.host.answerLossShare) {
+		return
 	}
+	e.node.after(s.linkDelay(), func() { e.finish(answer, f) })
 }
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/jobs"
 )
 
-// node is a machine of the core: a replica of the table, and the loop of controller.Leader round a scheduler.Core.
+// node is a machine of the core: a replica of the table, and the loop of controller.Leader around a scheduler.Core.
 type node struct {
 	sim         *simulator
 	name        string
@@ -50,7 +50,7 @@
 	s.after(followInterval, s.follow)
 }
 
-// followInterval is the pause between catch-ups of the followers.
+// followInterval is the time between two catch-ups of the followers.
 const followInterval = time.Second
 
 // follow lets the followers apply what is committed.
@@ -64,14 +64,14 @@
 }
 
 // schedulerConfig is the configuration of the schedulers, cut to the lease of the platform.
-func (s *simulator) schedulerConfig() scheduler.Config {
+func (*simulator) schedulerConfig() scheduler.Config {
 	cfg := scheduler.Defaults()
 	cfg.Lease = min(cfg.Lease, maxLease)
 	cfg.RemoteDataFactor = spreadFactor
 	return cfg
 }
 
-// startProcess starts the process anew: its memory is gone, its log is not.
+// startProcess restarts the process: its memory is lost, its log is not.
 func (n *node) startProcess() {
 	if !n.down && n.incarnation > 0 {
 		return
@@ -100,7 +100,7 @@
 	n.table = table
 }
 
-// wipe takes the disk of a node that is down.
+// wipe empties the disk of a node that is down.
 func (n *node) wipe() { n.table, n.applied = jobs.NewTable(), 0 }
 
 func (n *node) kill() {
@@ -108,10 +108,10 @@
 	n.down, n.term = true, 0
 }
 
-// running tells whether it can be a member of a majority now.
+// isRunning reports whether it can be a member of a majority now.
 func (n *node) isRunning() bool { return !n.down && !n.cut && n.sim.now >= n.frozenUntil }
 
-// after plans a call on this life of the node; a frozen node makes it after it wakes.
+// after schedules a call on this incarnation of the node; a frozen node makes it after it wakes.
 func (n *node) after(d time.Duration, call func()) {
 	incarnation := n.incarnation
 	var fire func()
@@ -127,7 +127,7 @@
 	n.sim.after(d, fire)
 }
 
-// applyAll applies what is committed and gives the answer of the newest entry.
+// applyAll applies what is committed and returns the answer of the newest entry.
 func (n *node) applyAll() (answer any, err error) {
 	for n.applied < len(n.sim.log.entries) {
 		answer, err = n.sim.apply(n.table, n.sim.log.entries[n.applied])
@@ -138,7 +138,7 @@
 
 func (n *node) catchUp() { _, _ = n.applyAll() } // a refused entry is an outcome
 
-// stepDown lets the node learn that it leads no more.
+// stepDown ends the node's lead, which it may still believe in.
 func (n *node) stepDown() {
 	if n.term != 0 {
 		n.term = 0
@@ -151,7 +151,7 @@
 	return n.term, n.term != 0 && (n.sim.log.leader == n && !n.cut || n.sim.now < n.leaseUntil)
 }
 
-// leads tells whether an order may be sent under a term now.
+// leads reports whether an order may be sent under a term now.
 func (n *node) leads(term uint64) bool {
 	if n.sim.opt.Break == NoLeaseCheck {
 		return true
@@ -173,7 +173,7 @@
 
 func (n *node) wakeScheduler() { n.passIn(n.sim.between(0, time.Millisecond)) }
 
-// passIn plans the next pass; an earlier one takes the place of a later one.
+// passIn schedules the next pass; an earlier one replaces a later one.
 func (n *node) passIn(d time.Duration) {
 	if at := n.sim.now + d; n.isPassPlanned && n.passAt <= at && n.passAt >= n.sim.now {
 		return
@@ -248,7 +248,7 @@
 	n.inputs, n.tableEvents = nil, nil
 }
 
-// compareReplicas holds the tables of all nodes against each other.
+// compareReplicas compares the tables of all nodes.
 func (s *simulator) compareReplicas() {
 	var first []byte
 	for _, n := range s.nodes {
@@ -265,6 +265,3 @@
 		}
 	}
 }
-
-// errorKind gives the class of an error of a proposal or a look.
-func errorKind(err error) errs.Kind { return errs.KindOf(err) }
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -64,7 +64,7 @@
 	o.send(c)
 }
 
-// clockBase is the version that the next change is built on.
+// base is the version that the next change is built on.
 func (o *operator) base() uint64 {
 	if len(o.configs) == 0 {
 		return 0
@@ -72,17 +72,18 @@
 	return o.configs[len(o.configs)-1].change.Version
 }
 
-// build makes a configuration on top of a version.
+// build builds a configuration on top of a version.
 func (o *operator) build(base uint64, moved, without bool) *sentConfig {
 	version := base + 1 + uint64(o.sim.rng.IntN(3))
-	c := &sentConfig{sentAt: o.sim.now, moved: moved, without: without, services: map[string]string{}, change: jobs.Configure{
-		Base: base, Version: version, Replace: true,
+	c := &sentConfig{sentAt: o.sim.now, moved: moved, without: without, services: map[string]string{}}
+	c.change = jobs.Configure{Base: base, Version: version, Replace: true,
 		Digest:   fmt.Sprintf("config %d on %d moved %v without %v", version, base, moved, without),
-		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}}
+		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}
 	queue := func(name, service string, priority int) {
 		c.services[name] = service
 		c.change.Queues = append(c.change.Queues, jobs.Queue{Name: name, Host: queueHost, Prefix: "/" + name + "/",
-			Service: service, Priority: priority, MaxAttempts: maxAttempts, Stretch: 2, Target: time.Second, Timeout: time.Second})
+			Service: service, Priority: priority, MaxAttempts: maxAttempts, Stretch: 2, Target: time.Second,
+			Timeout: time.Second})
 	}
 	queue("urgent", serviceGuards, 0)
 	queue("bulk", serviceOpen, 2)
@@ -98,11 +99,11 @@
 }
 
 func (o *operator) send(c *sentConfig) {
-	o.order(c.change, func() { o.taken(c) }, func(err error) { o.refusedConfig(c, err) })
+	o.order(c.change, func() { o.configAcknowledged(c) }, func(err error) { o.configRefused(c, err) })
 }
 
-// taken takes in that a configuration was acknowledged.
-func (o *operator) taken(c *sentConfig) {
+// configAcknowledged records that a configuration was acknowledged.
+func (o *operator) configAcknowledged(c *sentConfig) {
 	if c.acked {
 		return
 	}
@@ -129,14 +130,15 @@
 		o.sim.checker.count(ConfigRule)
 		o.busy = false
 	}, func(err error) {
-		o.sim.checker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v", c.change.Version, err)
+		o.sim.checker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v",
+			c.change.Version, err)
 	})
 }
 
-// refusedConfig takes in that a configuration was refused: only the loser of a race may be.
-func (o *operator) refusedConfig(c *sentConfig, err error) {
+// configRefused records that a configuration was refused: only the loser of a race may be.
+func (o *operator) configRefused(c *sentConfig, err error) {
 	rival := c.rival
-	o.sim.checker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errorKind(err) == errs.Stale,
+	o.sim.checker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errs.KindOf(err) == errs.Stale,
 		"version %d is refused: %v", c.change.Version, err)
 	c.lost = true
 	o.configs = slices.DeleteFunc(o.configs, func(other *sentConfig) bool { return other == c })
@@ -156,7 +158,7 @@
 			acknowledged()
 			return
 		}
-		switch errorKind(err) {
+		switch errs.KindOf(err) {
 		case errs.Unavailable, errs.NotLeader, errs.Timeout:
 			o.sim.after(o.sim.between(retryBackoff/2, retryBackoff), func() { o.order(change, acknowledged, refused) })
 		default:
@@ -209,7 +211,7 @@
 	}, func(error) { o.sim.checker.count(ConfigRule) })
 }
 
-// change is controller.Leader.change.
+// change is what controller.Leader does with an operator's change.
 func (n *node) change(change any, done func(any, error)) {
 	_, term, err := n.readTable()
 	if err != nil {
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -7,10 +7,10 @@
 	"crosstide/internal/jobs"
 )
 
-// callTimeout bounds start and stop orders and the part of a hold call beyond its wait, as the controller's does.
+// callTimeout bounds start and stop orders, and a lease renewal beyond its wait, as the controller's does.
 const callTimeout = 700 * time.Millisecond
 
-// dispatchActions does what a pass wants done, as controller.Leader.dispatchActions.
+// dispatchActions carries out the actions of a pass, as controller.Leader.dispatch.
 func (n *node) dispatchActions(term uint64, out scheduler.Actions) {
 	if out.Progress != nil {
 		n.commit(term, out.Progress)
@@ -110,7 +110,7 @@
 	})
 }
 
-// leaseReply is a worker's answer to a hold call.
+// leaseReply is a worker's answer to a lease renewal.
 type leaseReply struct {
 	answer scheduler.RenewalAnswer
 	fenced bool
@@ -120,7 +120,8 @@
 	id, number, call := renewal.Worker.ID, renewal.Number, renewal.Call
 	n.sim.trace("hold %d to %s wait %s", number, id, call.Wait)
 	done := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalError) {
-		n.sim.trace("hold %d to %s answered: %d running, %d ended, failure %d", number, id, len(answer.Running), len(answer.Ended), failure)
+		n.sim.trace("hold %d to %s answered: %d running, %d ended, failure %d", number, id, len(answer.Running),
+			len(answer.Ended), failure)
 		for _, e := range answer.Ended {
 			n.newestEnd[id] = max(n.newestEnd[id], e.Sequence)
 		}
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/jobs"
 )
 
-// order is what is known of the order that began a run.
+// order is what the checker must know of the order that began a run.
 type order struct {
 	from       *node
 	sent       time.Duration
@@ -28,9 +28,9 @@
 	step     *jobs.Step
 	worker   *workerIncarnation
 	began    time.Duration
-	work     time.Duration // what is left to do here, checkpoint counted in
+	work     time.Duration // that is left to do here, by the checkpoint
 	saved    time.Duration // work done before, by its checkpoint
-	workedAt time.Duration // the life's time of work when it began to work; -1: it waits for its gang
+	workedAt time.Duration // workedTime of its worker when it began to work; -1: it waits for its gang
 	factor   float64       // how many times as long the work takes here
 	fails    bool
 	stopping bool
@@ -74,7 +74,7 @@
 	r.scheduleEnd(r.work)
 }
 
-// scheduleEnd looks again when the work may be done.
+// scheduleEnd ends the run when its work is done, at the earliest after d.
 func (r *liveRun) scheduleEnd(d time.Duration) {
 	r.worker.host.sim.after(d, func() {
 		if !r.worker.hasRun(r) || r.stopping {
@@ -105,11 +105,11 @@
 	}
 	w.listEnd(r, reason, checkpoint)
 	if r.gang != nil {
-		r.gang.memberEnded(r, reason)
+		r.gang.memberEnded(r)
 	}
 }
 
-// listEnd takes a run out and lists its end, the rest of its gang apart.
+// listEnd removes a run and lists its end; the rest of its gang is not concerned.
 func (w *workerIncarnation) listEnd(r *liveRun, reason jobs.EndReason, checkpoint string) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	w.newestEnd++
@@ -117,7 +117,8 @@
 	if reason == jobs.EndDone {
 		checkpoint = ""
 	}
-	w.unacknowledged = append(w.unacknowledged, scheduler.EndedRun{Sequence: w.newestEnd, Key: r.key, Reason: reason, Checkpoint: checkpoint})
+	w.unacknowledged = append(w.unacknowledged, scheduler.EndedRun{Sequence: w.newestEnd, Key: r.key, Reason: reason,
+		Checkpoint: checkpoint})
 	w.endRecords[w.newestEnd] = w.host.sim.checker.ended(r, reason)
 	pendingRenewals := w.pendingRenewals
 	w.pendingRenewals = nil
@@ -126,15 +127,15 @@
 	}
 }
 
-// remove takes a run out without an end.
+// remove removes a run without an end.
 func (w *workerIncarnation) remove(r *liveRun) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	if r.gang != nil {
-		r.gang.memberEnded(r, jobs.EndLost)
+		r.gang.memberEnded(r)
 	}
 }
 
-// progress is the work done, what was saved before included.
+// progress is the work that is done, with what was saved before.
 func (r *liveRun) progress() time.Duration {
 	if r.workedAt < 0 {
 		return r.saved
@@ -142,7 +143,7 @@
 	return r.saved + time.Duration(float64(r.worker.workedTime()-r.workedAt)/r.factor)
 }
 
-// percent is the share of the work that is done, as it is listed.
+// percent is the share of the work that is done, as the worker lists it.
 func (r *liveRun) percent() int {
 	whole := workOf(r.spec, r.key.Task)
 	if whole <= 0 {
@@ -151,7 +152,7 @@
 	return int(min(99, 100*r.progress()/whole))
 }
 
-// checkpoint is the newest saved progress as it is listed.
+// checkpoint is the newest saved progress, as the worker lists it.
 func (r *liveRun) checkpoint() string {
 	if !r.step.Checkpoints {
 		return ""
@@ -190,14 +191,14 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// draw gives a number in [0, 1) that depends on what is named alone.
+// draw returns a number in [0, 1) that depends on its arguments alone.
 func draw(parts ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, parts...) // never fails
 	return float64(h.Sum64()%100003) / 100003
 }
 
-// workOf is how long a task takes on a sound worker.
+// workOf is how long a task takes on a healthy worker.
 func workOf(spec *jobs.Spec, ref jobs.TaskRef) time.Duration {
 	step := &spec.Steps[ref.Step]
 	if step.Gang {
@@ -207,14 +208,14 @@
 	return time.Duration(float64(step.Estimate) * factor)
 }
 
-// Payloads that tell the stand-in how a job's tasks behave.
+// Payloads: how a job's tasks behave on the stand-in.
 const (
 	payloadSound  = "sound"
 	payloadFlaky  = "flaky"  // a fifth of the runs fail
 	payloadPoison = "poison" // every run of the first task fails
 )
 
-// failsItself tells whether a run fails through its own fault.
+// failsItself reports whether a run fails whatever the worker.
 func failsItself(spec *jobs.Spec, key jobs.RunKey) bool {
 	kind, _, _ := strings.Cut(spec.Payload, " ")
 	switch kind {
@@ -225,105 +226,3 @@
 	}
 	return false
 }
-
-// gangKey names one run of a gang.
-type gangKey struct {
-	job                 string
-	round, step, number int
-}
-
-func (r *liveRun) gangKey() gangKey {
-	return gangKey{r.key.Task.Job, r.key.Task.Round, r.key.Task.Step, r.key.Number}
-}
-
-// gang is one run of a gang: its members can work only together.
-type gang struct {
-	sim       *simulator
-	members   []*liveRun
-	count     int
-	isWorking bool
-	hasEnded  bool
-}
-
-// joinGang lets a run wait for the other members, or begin with them.
-func (s *simulator) joinGang(r *liveRun) {
-	key := r.gangKey()
-	g := s.gangs[key]
-	if g == nil || g.hasEnded {
-		g = &gang{sim: s, count: r.step.Count}
-		s.gangs[key] = g
-	}
-	r.gang = g
-	g.members = append(g.members, r)
-	if len(g.members) == g.count {
-		g.begin()
-		return
-	}
-	s.after(gangTimeout, func() {
-		if !g.isWorking && r.worker.hasRun(r) {
-			r.worker.finish(r, jobs.EndGangTimeout)
-		}
-	})
-}
-
-// beginRun is called when all members are present.
-func (g *gang) begin() {
-	g.isWorking = true
-	var work time.Duration
-	racks := map[string]bool{}
-	for _, m := range g.members {
-		m.workedAt = m.worker.workedTime()
-		work = max(work, m.work)
-		racks[m.worker.host.rack] = true
-	}
-	if g.members[0].step.SameRack && len(racks) > 1 {
-		work = time.Duration(float64(work) * spreadFactor)
-	}
-	g.scheduleEnd(work)
-}
-
-func (g *gang) scheduleEnd(d time.Duration) {
-	g.sim.after(d, func() {
-		if g.hasEnded {
-			return
-		}
-		for _, m := range g.members {
-			if m.worker.stalledSince > 0 {
-				g.scheduleEnd(200 * time.Millisecond)
-				return
-			}
-		}
-		g.done()
-	})
-}
-
-// done ends all members together, or one as failed and the rest as broken.
-func (g *gang) done() {
-	for _, m := range g.members {
-		if m.fails && m.worker.hasRun(m) {
-			m.worker.finish(m, jobs.EndFailed)
-			return
-		}
-	}
-	g.hasEnded = true
-	for _, m := range slices.Clone(g.members) {
-		if m.worker.hasRun(m) {
-			m.worker.listEnd(m, jobs.EndDone, "")
-		}
-	}
-}
-
-// memberEnded is called when a member has ended: the others are broken if they were at work.
-func (g *gang) memberEnded(r *liveRun, reason jobs.EndReason) {
-	g.members = slices.DeleteFunc(g.members, func(m *liveRun) bool { return m == r })
-	if g.hasEnded || !g.isWorking {
-		return
-	}
-	g.hasEnded = true
-	for _, m := range slices.Clone(g.members) {
-		if m.worker.hasRun(m) {
-			checkpoint := m.checkpoint()
-			m.worker.listEnd(m, jobs.EndGangBroken, checkpoint)
-		}
-	}
-}
--- a/internal/testbed/jobssim/scenarios.go
+++ b/internal/testbed/jobssim/scenarios.go
@@ -1,7 +1,7 @@
 package jobssim
 
-// BadDay is a kind of bad day: the disruptions that make it, and the guards that it needs. docs/design/bad-days.md tells
-// more of each.
+// BadDay is a kind of bad day: the disruptions that make it, and the guards that it needs. docs/design/bad-days.md
+// explains each.
 type BadDay struct {
 	Name        string
 	Disruptions []Disruption
@@ -17,7 +17,8 @@
 		{"lost, frozen, wiped and killed machines, slow disks", machineDisruptions(),
 			[]Guard{EarlyAcknowledgement, StartBeforeCommit, EarlyAnswers}},
 		{"a split or powerless core", partitions(), []Guard{NoLeaseCheck, NoFencingWait, OldLeadersAnswer}},
-		{"lost, racing and invalid orders", operatorDisruptions(), []Guard{NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark}},
+		{"lost, racing and invalid orders", operatorDisruptions(),
+			[]Guard{NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark}},
 		{"a leader short of connections", connectionShortages(), []Guard{UnsentStopsCount}},
 	}
 }
--- a/internal/testbed/jobssim/shapes.go
+++ b/internal/testbed/jobssim/shapes.go
@@ -36,7 +36,8 @@
 		spec.FirstRun = s.wall().Add(s.between(-time.Second, 4*time.Second))
 		spec.Interval = s.between(500*time.Millisecond, 3*time.Second)
 	case s.chance(0.06):
-		spec.Steps = []jobs.Step{{Count: 1 + s.rng.IntN(5), Needs: c.anyNeeds(), Estimate: time.Second, LongRunning: true}}
+		spec.Steps = []jobs.Step{{Count: 1 + s.rng.IntN(5), Needs: c.anyNeeds(), Estimate: time.Second,
+			LongRunning: true}}
 	}
 	return spec, prefix
 }
@@ -52,7 +53,8 @@
 
 func (c *clients) anyStep(number int) jobs.Step {
 	s := c.sim
-	step := jobs.Step{Count: 1 + s.rng.IntN(8), Needs: c.anyNeeds(), Estimate: s.between(100*time.Millisecond, 4*time.Second)}
+	step := jobs.Step{Count: 1 + s.rng.IntN(8), Needs: c.anyNeeds(),
+		Estimate: s.between(100*time.Millisecond, 4*time.Second)}
 	if number > 0 && s.chance(0.7) {
 		step.After = []int{number - 1}
 		if number > 1 && s.chance(0.5) {
@@ -81,7 +83,7 @@
 	return step
 }
 
-// urgentStorm hands in many small jobs at once that go before all others.
+// urgentStorm submits many small jobs of the highest priority at once.
 func (c *clients) urgentStorm() {
 	for range 40 {
 		spec, prefix := c.shortJob()
@@ -90,7 +92,7 @@
 	}
 }
 
-// submitUnschedulable hands in jobs at once that fail however often they are run.
+// submitUnschedulable submits jobs at once that fail however often they are run.
 func (c *clients) submitUnschedulable() {
 	for range 10 {
 		spec, prefix := c.shortJob()
@@ -100,11 +102,12 @@
 	}
 }
 
-// burst hands in a few wide jobs at once.
+// burst submits a few jobs of many tasks at once.
 func (c *clients) burst() {
 	for range 3 {
 		spec, _ := c.anyJob()
-		spec.Rounds, spec.Steps = 0, []jobs.Step{{Count: 60 + c.sim.rng.IntN(60), Needs: jobs.Resources{MilliCPU: 1500, MemoryMB: 512},
+		spec.Rounds, spec.Steps = 0, []jobs.Step{{Count: 60 + c.sim.rng.IntN(60),
+			Needs:    jobs.Resources{MilliCPU: 1500, MemoryMB: 512},
 			Estimate: c.sim.between(300*time.Millisecond, 2*time.Second), Checkpoints: c.sim.chance(0.5)}}
 		c.submitNew(spec, "/bulk/")
 	}
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -6,14 +6,14 @@
 	"crosstide/internal/controller/scheduler"
 )
 
-// shortage is a time in which a share of the leader's calls finds no connection. It is no disruption of any machine: rules
-// hold as if there were none.
+// shortage is a time in which a share of the leader's calls finds no connection. It is no disruption of any machine:
+// rules hold as if there were none.
 type shortage struct {
 	until time.Duration
 	share float64
 }
 
-// A shortage ends of itself: a call that waits is served before later ones, so that no worker or job is left out for long.
+// A shortage ends by itself: a call that waits is served before later ones, so that no worker or job waits for long.
 const (
 	maxShortage         = 2 * time.Second
 	minShortageInterval = 3 * time.Second
@@ -24,22 +24,24 @@
 	if s.now < s.shortage.until+minShortageInterval {
 		return false
 	}
-	s.shortage = shortage{until: s.now + s.between(maxShortage/10, maxShortage), share: 0.3 + 0.6*s.rng.Float64()}
+	s.shortage = shortage{until: s.now + s.between(maxShortage/10, maxShortage),
+		share: 0.3 + 0.6*s.rng.Float64()}
 	return true
 }
 
 // connectionWait is how long a call waits for a connection before it is given up.
 const connectionWait = 300 * time.Millisecond
 
-// urgentShare is how much more seldom a hold call or a stop finds no connection than a start, which comes after them.
+// urgentShare is how much more seldom a lease renewal or a stop finds no connection than a start, which has a lower
+// priority.
 const urgentShare = 0.1
 
-// startFindsNoConnection tells whether a start finds no connection; it is given up after connectionWait.
+// startFindsNoConnection reports whether a start finds no connection; it is given up after connectionWait.
 func (s *simulator) startFindsNoConnection() bool {
 	return s.now < s.shortage.until && s.chance(s.shortage.share)
 }
 
-// urgentFindsNoConnection tells the same of a hold call or a stop.
+// urgentFindsNoConnection reports the same of a lease renewal or a stop.
 func (s *simulator) urgentFindsNoConnection() bool {
 	return s.now < s.shortage.until && s.chance(s.shortage.share*urgentShare)
 }
@@ -60,7 +62,7 @@
 	n.after(connectionWait, func() { done(failure) })
 }
 
-// failLeaseRenewal gives up a hold call for want of a connection.
+// failLeaseRenewal gives up a lease renewal for want of a connection.
 func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
 	n.sim.report.Seen["short: hold"]++
 	n.after(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
--- a/internal/testbed/jobssim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -1,10 +1,13 @@
-// Package jobssim runs the scheduler on the core against stand-ins of workers, clients and an operator, on one thread
-// under a virtual clock, from one seed.
+// Package jobssim is the deterministic simulator of the jobs deployment: it runs the scheduler against stand-ins of
+// workers, clients and an operator, on one thread under a virtual clock, from one seed.
 //
-// What decides is the product's own code: scheduler.Core over jobs.Table. The loop round it mirrors
-// controller.Leader: the same check of the lease before each order, the same notes and events. The replicated log, the
-// links and the workers are stand-ins that do whatever the platform allows. The oracle judges only what workers and
-// clients saw. The same seed gives the same run, event by event.
+// What decides is the product's own code: scheduler.Core over jobs.Table. The loop around it (node.go, orders.go,
+// heartbeats.go) mirrors controller.Leader: the same check of the lease before each order, the same inputs and table
+// events. The replicated log (log.go), the links (network.go) and the workers (worker.go, run.go) are stand-ins that do
+// whatever the platform allows. Disruptions come at random (disruptions.go); the invariant checker (invariants.go)
+// judges only what workers and clients saw. The same seed makes the same run, event by event: TestHistories pins that.
+//
+// Run is one run. Begin with simulator.loop and node.pass.
 package jobssim
 
 import (
@@ -18,23 +21,23 @@
 // Options of a run.
 type Options struct {
 	Seed      uint64
-	For       time.Duration // disruptions and fresh jobs come so long; default 32 s
-	DrainTime time.Duration // most time after it until every job has ended; default 45 s
-	Break     Guard         // a guard that is taken out; empty: none
+	For       time.Duration // how long disruptions and new jobs come; default 32 s
+	DrainTime time.Duration // after For, until every job has ended, at most; default 45 s
+	Break     Guard         // a guard that is removed; empty: none
 	Load      Load          // which jobs come; default Mixed
 	Kinds     []Disruption  // which disruptions come; nil: all
 	Pace      float64       // how many times as many disruptions come as usual; default 1
-	Trace     io.Writer     // gets a line per event of note; nil: none
+	Trace     io.Writer     // a line for each event of note; nil: none
 }
 
-// Report is what a run showed.
+// Report is what came of a run.
 type Report struct {
 	Seed        uint64
 	Breaches    []Breach
-	Cases       map[Rule]int       // situations judged, by rule
+	Cases       map[Rule]int       // situations that were checked, by rule
 	Disruptions map[Disruption]int // disruptions made, by kind
-	Seen        map[string]int     // what else was met, such as refusals of workers
-	IdlePeriods int                // spells of over 3 s in which a job could run and did not, excused ones included
+	Seen        map[string]int     // what else occurred, such as refusals of workers
+	IdlePeriods int                // of over maxIdle, in which a job could run and did not, excused ones included
 	LongestIdle time.Duration      // the longest of them
 	Failovers   []time.Duration    // from the last start of a leader to the first of the next one
 	Takeovers   []time.Duration    // from the election of a leader to its first start
@@ -51,13 +54,13 @@
 	What string
 }
 
-// maxBreaches ends a run.
+// maxBreaches is after how many breaches a run ends.
 const maxBreaches = 5
 
 // event is a call that is due at a time.
 type event struct {
 	at     time.Duration
-	number uint64
+	number uint64 // in the order of planning
 	call   func()
 }
 
@@ -90,10 +93,10 @@
 // simulator is one run.
 type simulator struct {
 	opt    Options
-	rng    *rand.Rand
+	rng    *rand.Rand // one for all draws: their order is part of the run
 	now    time.Duration
 	queue  eventQueue
-	number uint64
+	number uint64 // of the newest event
 	report Report
 
 	log          *replicatedLog
@@ -136,7 +139,7 @@
 	return s.report
 }
 
-// loop carries out events until all jobs have ended or time is up.
+// loop plays events until all jobs have ended or time is up.
 func (s *simulator) loop() {
 	end := s.opt.For + s.opt.DrainTime
 	for len(s.queue) > 0 && len(s.report.Breaches) < maxBreaches {
@@ -153,7 +156,7 @@
 	}
 }
 
-// after plans a call.
+// after schedules a call.
 func (s *simulator) after(d time.Duration, call func()) {
 	s.number++
 	heap.Push(&s.queue, event{at: s.now + max(0, d), number: s.number, call: call})
--- a/internal/testbed/jobssim/sim_test.go
+++ b/internal/testbed/jobssim/sim_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestQuiet(t *testing.T) {
-	Convey("Without disruptions nothing lapses, waits in vain or is refused, and no job stands idle", t, func() {
+	Convey("Without disruptions no lease expires, no gang waits in vain, no start is refused and no job is idle", t, func() {
 		for seed := uint64(1); seed <= 4; seed++ {
 			report := Run(Options{Seed: seed, Kinds: []Disruption{}})
 			So(report.Breaches, ShouldBeEmpty)
--- a/internal/testbed/jobssim/weaken.go
+++ b/internal/testbed/jobssim/weaken.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/jobs"
 )
 
-// withoutGuard gives a change as a table without a guard would make it: every node does it alike.
+// withoutGuard returns a change as a table without a guard would make it; every node does the same.
 func withoutGuard(without Guard, t *jobs.Table, change any) any {
 	switch c := change.(type) {
 	case jobs.Submit:
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/jobs"
 )
 
-// What the platform's settings say of workers.
+// The platform's settings of workers.
 const (
 	maxLease           = 10 * time.Second
 	maxStopDelay       = 400 * time.Millisecond
@@ -21,7 +21,7 @@
 	slowestClock       = 0.98
 )
 
-// host is a machine of workers: one life of a worker after another at one address.
+// workerHost is a machine of workers: one incarnation of a worker after another at one address.
 type workerHost struct {
 	sim            *simulator
 	address        string
@@ -30,7 +30,7 @@
 	zone           string
 	rack           string
 	labels         []string
-	kinds          [2]string // of the present life, and the other one
+	kinds          [2]string // of the present incarnation, and the other one
 	capacity       jobs.Resources
 	speed          float64            // how many times as long a task takes here
 	current        *workerIncarnation // nil: nothing runs here
@@ -46,10 +46,10 @@
 	heartbeatsUnreliableUntil time.Duration // until then heartbeats may not come, or their answers do not count
 }
 
-// cutOff tells whether nothing passes between the slot and a node.
+// cutOff reports whether nothing passes between the host and a node.
 func (host *workerHost) cutOff(n *node) bool { return host.cut || host.cutFrom[n] }
 
-// incarnation is one life of a worker, under an ID of its own.
+// workerIncarnation is one incarnation of a worker, under an ID of its own.
 type workerIncarnation struct {
 	host            *workerHost
 	id              string
@@ -58,19 +58,19 @@
 	clockRate       float64       // of its clock
 	token           uint64        // highest fencing token seen
 	leaseDeadline   time.Duration // on its clock
-	runs            []*liveRun    // in the order they came
+	runs            []*liveRun    // in the order they began
 	unacknowledged  []scheduler.EndedRun
 	newestEnd       uint64                // number of the newest end
 	closedUpTo      map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
-	endRecords      map[uint64]*endRecord // the oracle's records of the ends that are listed
+	endRecords      map[uint64]*endRecord // the checker's records of unacknowledged, by number
 	pendingRenewals []*pendingRenewal
 
-	stalledSince        time.Duration // tasks stand still since; 0: they work
-	stalledFor          time.Duration // how long they stood still before
+	stalledSince        time.Duration // its tasks make no progress since; 0: they do
+	stalledFor          time.Duration // how long they made none before that
 	failsAll            bool          // fails all it starts
 	failShare           float64       // share of what it starts that fails
-	refuses             bool          // it refuses starts as if it were sick
-	slowFactor          float64       // on top of the slot's speed
+	refuses             bool          // it refuses starts as if it were unhealthy
+	slowFactor          float64       // on top of the host's speed
 	draining            bool
 	drainAcknowledgedAt time.Duration // when the core first acknowledged it; 0: not yet
 	leaving             bool          // it deregisters first and serves on
@@ -79,7 +79,7 @@
 	leaseNumber         int
 }
 
-// pendingRenewal is a hold call whose answer waits for an end.
+// pendingRenewal is a lease renewal whose answer waits for an end.
 type pendingRenewal struct{ reply func() }
 
 // startWorker starts a worker, if none runs here.
@@ -92,14 +92,15 @@
 	if s.incarnations%otherKindEvery == 0 {
 		host.changeKind()
 	}
-	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now, clockBase: s.between(time.Second, 500*time.Second),
+	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now,
+		clockBase: s.between(time.Second, 500*time.Second),
 		clockRate: slowestClock + (1-slowestClock)*s.rng.Float64(), slowFactor: 1,
 		closedUpTo: map[jobs.TaskRef]int{}, endRecords: map[uint64]*endRecord{}}
 	host.current = w
 	w.heartbeatLoop()
 }
 
-// otherKindEvery is how often a new life at an address is of another kind than the one before.
+// otherKindEvery is how often a new incarnation at an address is of another kind than the one before.
 const otherKindEvery = 5
 
 func (host *workerHost) changeKind() {
@@ -113,10 +114,10 @@
 	return w.clockBase + time.Duration(float64(w.host.sim.now-w.startedAt)*w.clockRate)
 }
 
-// isUp tells whether this life still runs.
+// isUp reports whether this incarnation still runs.
 func (w *workerIncarnation) isUp() bool { return w.host.current == w }
 
-// workedTime is the time its tasks had for work since it began.
+// workedTime is the time in which its tasks made progress since it began.
 func (w *workerIncarnation) workedTime() time.Duration {
 	t := w.host.sim.now - w.startedAt - w.stalledFor
 	if w.stalledSince > 0 {
@@ -125,8 +126,8 @@
 	return t
 }
 
-// fenced tells whether an order carries a lower token than one seen before.
-func (w *workerIncarnation) fenced(token uint64) bool {
+// isFenced reports whether an order has a lower token than one seen before; else it keeps the token.
+func (w *workerIncarnation) isFenced(token uint64) bool {
 	if token < w.token {
 		return true
 	}
@@ -143,8 +144,8 @@
 	w.leaseDeadline = deadline
 	w.leaseNumber++
 	number := w.leaseNumber
-	real := time.Duration(float64(deadline-w.clock())/w.clockRate) + time.Millisecond
-	w.host.sim.after(real, func() {
+	remaining := time.Duration(float64(deadline-w.clock())/w.clockRate) + time.Millisecond
+	w.host.sim.after(remaining, func() {
 		if w.isUp() && number == w.leaseNumber && w.clock() >= w.leaseDeadline {
 			w.expireLease()
 		}
@@ -159,13 +160,13 @@
 	}
 }
 
-// start carries a start order out.
+// start carries out a start order.
 func (w *workerIncarnation) start(from order, o scheduler.StartOrder) scheduler.StartAnswer {
 	refuse := func(why scheduler.Refusal) scheduler.StartAnswer {
 		w.host.sim.report.Seen["start refused: "+string(why)]++
 		return scheduler.StartAnswer{Clock: w.clock(), Refusal: why}
 	}
-	if w.fenced(o.Token) {
+	if w.isFenced(o.Token) {
 		return refuse(scheduler.RefusedFenced)
 	}
 	if w.findRun(o.Key) != nil {
@@ -195,9 +196,9 @@
 	return scheduler.StartAnswer{Clock: w.clock()}
 }
 
-// stop carries a stop order out; it tells whether it was taken.
+// stop carries out a stop order; false if it is fenced.
 func (w *workerIncarnation) stop(o scheduler.StopOrder) bool {
-	if w.fenced(o.Token) {
+	if w.isFenced(o.Token) {
 		return false
 	}
 	w.closedUpTo[o.Key.Task] = max(w.closedUpTo[o.Key.Task], o.Key.Number)
@@ -208,9 +209,9 @@
 	return true
 }
 
-// renewLease carries a hold call out; the answer may wait for an end.
+// renewLease carries out a lease renewal; the answer may wait for an end.
 func (w *workerIncarnation) renewLease(call scheduler.LeaseRenewal, reply func(leaseReply)) {
-	if w.fenced(call.Token) {
+	if w.isFenced(call.Token) {
 		reply(leaseReply{fenced: true})
 		return
 	}
@@ -233,7 +234,7 @@
 	w.host.sim.after(call.Wait, answer)
 }
 
-// acknowledge forgets ends.
+// acknowledge drops the ends up to a number.
 func (w *workerIncarnation) acknowledge(upTo uint64) {
 	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Sequence <= upTo {
 		w.host.sim.checker.endAcknowledged(w.endRecords[w.unacknowledged[0].Sequence])
@@ -242,14 +243,15 @@
 	}
 }
 
-// maxEndsPerAnswer is how many ends an answer holds.
+// maxEndsPerAnswer is how many ends an answer lists.
 const maxEndsPerAnswer = 12
 
-// status gives the answer to a hold call.
+// status is the answer to a lease renewal.
 func (w *workerIncarnation) status() leaseReply {
 	a := scheduler.RenewalAnswer{Clock: w.clock()}
 	for _, r := range w.runs {
-		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(), Percent: r.percent()})
+		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(),
+			Percent: r.percent()})
 	}
 	a.Ended = slices.Clone(w.unacknowledged[:min(maxEndsPerAnswer, len(w.unacknowledged))])
 	if a.Full = len(w.unacknowledged) > maxEndsPerAnswer; a.Full {
@@ -258,7 +260,7 @@
 	return leaseReply{answer: a}
 }
 
-// used is what everything here takes, what is being stopped included.
+// used is what all runs take, with those that are being stopped.
 func (w *workerIncarnation) used() jobs.Resources {
 	var sum jobs.Resources
 	for _, r := range w.runs {
@@ -276,7 +278,7 @@
 	return nil
 }
 
-// terminate ends this life: everything on it is gone without an end.
+// terminate ends this incarnation: everything on it is lost without an end.
 func (w *workerIncarnation) terminate() {
 	if !w.isUp() {
 		return
