--- /dev/null
+++ b/internal/state/bundle.go
@@ -0,0 +1,78 @@
+package state
+
+import (
+	"cmp"
+	"time"
+)
+
+// Bundle is a version of the operators' configuration of the policy deployment, as package bundle reads it from its
+// text. State.Bundle is the one in force.
+type Bundle struct {
+	Version uint64           `json:"version"`
+	Queues  map[string]Queue `json:"queues"`
+	Limits  map[string]int   `json:"limits,omitempty"` // by task type: running tasks; they only order the queue
+	Backoff Backoff          `json:"backoff"`
+	// Retries bounds what steps may ask for; nil: no bound.
+	Retries *int `json:"retries,omitempty"`
+	// LeaseTTL is how long a run goes on without a renewal; 0: the scheduler's setting.
+	LeaseTTL time.Duration `json:"hold,omitempty"`
+	// Weights are the teams' shares under contention; a team that is not listed has 1.
+	Weights map[string]int `json:"weights,omitempty"`
+	// Operators, if any are listed, are the operators from this version on: name to public key.
+	Operators map[string]string `json:"operators,omitempty"`
+	// Parties pay for runs, by name. The other two are derived by SetParties: queue and team to the party's name.
+	Parties      map[string]Party  `json:"parties,omitempty"`
+	PartyByQueue map[string]string `json:"paying_queues,omitempty"`
+	PartyByTeam  map[string]string `json:"paying_teams,omitempty"`
+}
+
+// Queue is an operators' queue with its placement policy. An empty list allows any.
+type Queue struct {
+	Types    []string          `json:"types,omitempty"`
+	Teams    []string          `json:"teams,omitempty"`
+	Labels   map[string]string `json:"labels,omitempty"` // a worker must have them
+	Workers  []string          `json:"minions,omitempty"`
+	Zones    []string          `json:"zones,omitempty"`
+	Racks    []string          `json:"racks,omitempty"`
+	Urgent   bool              `json:"urgent,omitempty"`
+	Near     []Near            `json:"near,omitempty"`    // all must be satisfied
+	LeaseTTL time.Duration     `json:"hold,omitempty"`    // over Bundle.LeaseTTL; 0: as it says
+	Retries  *int              `json:"retries,omitempty"` // over Bundle.Retries; nil: as it says
+}
+
+// Near wants a data set nearby: some worker in the same zone or rack has Label with Value.
+type Near struct {
+	Label string `json:"label"`
+	Value string `json:"value"`
+	Scope string `json:"within"` // ScopeZone or ScopeRack
+}
+
+// Backoff bounds the pause before a task that ended in failure is due again.
+type Backoff struct {
+	Min time.Duration `json:"min"`
+	Max time.Duration `json:"max"`
+}
+
+// After is the pause after so many failures in all, at least 1: Min, doubled with each further one, at most Max.
+func (b Backoff) After(failures int) time.Duration {
+	const safeShift = 15 // of any Min in the bounds of a bundle
+	if failures > safeShift {
+		return b.Max
+	}
+	return min(b.Max, b.Min<<(failures-1))
+}
+
+// LeaseTTLFor returns the lease TTL of a queue's runs; fallback is the scheduler's setting.
+func (b *Bundle) LeaseTTLFor(queue string, fallback time.Duration) time.Duration {
+	return cmp.Or(b.Queues[queue].LeaseTTL, b.LeaseTTL, fallback)
+}
+
+// RetriesFor returns how often a task in a queue is retried whose step asks for so many retries.
+func (b *Bundle) RetriesFor(queue string, asked int) int {
+	for _, bound := range []*int{b.Queues[queue].Retries, b.Retries} {
+		if bound != nil {
+			return min(asked, *bound)
+		}
+	}
+	return asked
+}
--- /dev/null
+++ b/internal/state/event.go
@@ -0,0 +1,35 @@
+package state
+
+// Event is a change that State.OnEvent is called for, after it was made.
+type Event struct {
+	Kind   EventKind
+	Ref    TaskRef
+	Handle *Handle
+	Name   string // job key, or name of the worker, role, zone or account
+}
+
+// EventKind says which change an Event is, and which of its fields are set.
+type EventKind uint8
+
+// The kinds of events, with the fields they set.
+const (
+	EventTaskDue          EventKind = iota // a task became due (Ref)
+	EventHandleCreated                     // a handle was recorded (Handle, Ref)
+	EventHandleReleased                    // a handle was released (Handle, Ref)
+	EventWorkerChanged                     // a worker was added or changed (Name)
+	EventWorkerRetired                     // a worker was removed (Name)
+	EventJobSubmitted                      // a job entered the inbox (Name)
+	EventJobStopping                       // a job's runs are to be stopped (Name)
+	EventRoleChanged                       // a role was granted or released (Name)
+	EventPlacementChanged                  // another bundle or evacuation is in force, or labels have moved
+	EventAccountChanged                    // an account was opened or topped up (Name)
+)
+
+// NotifyWatcher reports a change that package command made in a record itself.
+func (s *State) NotifyWatcher(kind EventKind, name string) { s.notify(Event{Kind: kind, Name: name}) }
+
+func (s *State) notify(event Event) {
+	if s.OnEvent != nil {
+		s.OnEvent(event)
+	}
+}
--- /dev/null
+++ b/internal/state/indexes.go
@@ -0,0 +1,123 @@
+package state
+
+import (
+	"maps"
+	"slices"
+)
+
+// indexes are derived from the records, never stored, and owned by State: New and Decode rebuild them, and the
+// functions that change a record keep them.
+type indexes struct {
+	usage          map[string]*Usage // by worker; an entry stays when its handles are gone
+	runningByType  map[string]int    // handles by task type; no zeros
+	openJobs       int               // jobs that are not terminal
+	openJobsByTeam map[string]int    // the same by team; no zeros
+	labelSites     map[labelSite]int // workers by labelSite; no zeros
+}
+
+// Usage is what the handles on a worker take. It is State's: read only.
+type Usage struct {
+	Cores, GPUs int
+	Handles     map[uint64]*Handle // by run ID
+}
+
+// rebuildIndexes derives all indexes from the records.
+func (s *State) rebuildIndexes() {
+	s.indexes = indexes{
+		usage: map[string]*Usage{}, runningByType: map[string]int{}, openJobsByTeam: map[string]int{},
+		labelSites: map[labelSite]int{},
+	}
+	for _, w := range s.Workers {
+		s.indexes.addLabels(w, 1)
+	}
+	for _, j := range s.Jobs {
+		j.rebuildIndex()
+		if !j.Phase.IsTerminal() {
+			s.indexes.addOpenJob(j.Spec.Team, 1)
+		}
+	}
+	for _, h := range s.Handles {
+		s.indexes.addHandle(h)
+	}
+	if s.Accounts != nil {
+		s.Accounts.Rebuild()
+		s.UseAccounts(s.Accounts)
+	}
+}
+
+func (x *indexes) addHandle(h *Handle) {
+	u := x.usageOf(h.Worker)
+	u.Cores += h.Cores
+	u.GPUs += h.GPUs
+	u.Handles[h.RunID] = h
+	x.runningByType[h.Type]++
+}
+
+func (x *indexes) removeHandle(h *Handle) {
+	u := x.usageOf(h.Worker)
+	u.Cores -= h.Cores
+	u.GPUs -= h.GPUs
+	delete(u.Handles, h.RunID)
+	if x.runningByType[h.Type]--; x.runningByType[h.Type] == 0 {
+		delete(x.runningByType, h.Type)
+	}
+}
+
+func (x *indexes) usageOf(worker string) *Usage {
+	u := x.usage[worker]
+	if u == nil {
+		u = &Usage{Handles: map[uint64]*Handle{}}
+		x.usage[worker] = u
+	}
+	return u
+}
+
+// addOpenJob counts a team's job in (1) or out (-1).
+func (x *indexes) addOpenJob(team string, by int) {
+	x.openJobs += by
+	if x.openJobsByTeam[team] += by; x.openJobsByTeam[team] == 0 {
+		delete(x.openJobsByTeam, team)
+	}
+}
+
+// addLabels counts a worker's labels in (1) or out (-1). It reports whether some labelSite appeared or disappeared.
+func (x *indexes) addLabels(w *Worker, by int) bool {
+	changed := false
+	for label, value := range w.Labels {
+		for _, scope := range []string{ScopeZone, ScopeRack} {
+			at := labelSiteOf(Near{label, value, scope}, w)
+			n := x.labelSites[at] + by
+			changed = changed || n == 0 || n == by
+			if x.labelSites[at] = n; n == 0 {
+				delete(x.labelSites, at)
+			}
+		}
+	}
+	return changed
+}
+
+// UsageOf returns what the handles on a worker take; never nil.
+func (s *State) UsageOf(worker string) *Usage { return s.indexes.usageOf(worker) }
+
+// RunIDsOn returns the IDs of the runs with a handle on a worker, oldest first.
+func (s *State) RunIDsOn(worker string) []uint64 {
+	handles := s.UsageOf(worker).Handles
+	ids := make([]uint64, 0, len(handles))
+	for id := range handles {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// RunningCount returns the number of handles of a task type.
+func (s *State) RunningCount(taskType string) int { return s.indexes.runningByType[taskType] }
+
+// RunningCounts returns the number of handles by task type, as a copy.
+func (s *State) RunningCounts() map[string]int { return maps.Clone(s.indexes.runningByType) }
+
+// OpenJobs is the number of jobs that are not terminal.
+func (s *State) OpenJobs() int { return s.indexes.openJobs }
+
+// OpenJobsOf is OpenJobs for one team.
+func (s *State) OpenJobsOf(team string) int { return s.indexes.openJobsByTeam[team] }
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -2,41 +2,53 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 )
 
-// PlacementRefusal tells why a task of step may not run on m by bundle, labels, zone or drain; "" if it may.
-// Room is not looked at. The store asks it in the same step that commits a run ID.
-func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, m *Worker) string {
+// Why a task may not be assigned to a worker; see State.PlacementRefusal. The strings are sent to the scheduler.
+const (
+	RefusedQueue       = "queue"   // the bundle has no such queue
+	RefusedIncarnation = "boot"    // the worker's incarnation is not known yet, or is another one
+	RefusedDrain       = "drain"   // the worker drains
+	RefusedZone        = "zone"    // its zone is evacuated
+	RefusedType        = "type"    // the queue does not take the task's type
+	RefusedTeam        = "team"    // the queue does not take the job's team
+	RefusedPolicy      = "charter" // the placement policy does not list the worker, its zone or its rack
+	RefusedLabel       = "label"   // the worker lacks a label
+	RefusedNear        = "near"    // nothing near the worker has a label that the placement policy wants
+)
+
+// PlacementRefusal is why a task of step may not be assigned to a worker by bundle, labels, evacuation or drain; "" if
+// it may. Capacity is not checked. The scheduler asks when it plans, package command again when the plan is applied.
+func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) string {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	switch {
 	case !ok:
-		return "queue"
-	case m.Incarnation == "":
-		return "boot"
-	case m.Draining || m.Closed:
-		return "drain"
-	case s.isEvacuated(m.Zone):
-		return "zone"
+		return RefusedQueue
+	case w.Incarnation == "":
+		return RefusedIncarnation
+	case w.Draining || w.Closed:
+		return RefusedDrain
+	case s.isEvacuated(w.Zone):
+		return RefusedZone
 	case !allows(q.Types, step.Type):
-		return "type"
+		return RefusedType
 	case !allows(q.Teams, spec.Team):
-		return "team"
-	case !allows(q.Workers, m.Name), !allows(q.Zones, m.Zone), !allows(q.Racks, m.Rack):
-		return "charter"
-	case !hasLabels(q.Labels, m.Labels), !hasLabels(step.Labels, m.Labels):
-		return "label"
+		return RefusedTeam
+	case !allows(q.Workers, w.Name), !allows(q.Zones, w.Zone), !allows(q.Racks, w.Rack):
+		return RefusedPolicy
+	case !hasLabels(w, q.Labels), !hasLabels(w, step.Labels):
+		return RefusedLabel
 	}
-	for _, n := range q.Near {
-		if s.labelSites[labelSiteOf(n, m)] == 0 {
-			return "near"
+	for _, near := range q.Near {
+		if s.indexes.labelSites[labelSiteOf(near, w)] == 0 {
+			return RefusedNear
 		}
 	}
 	return ""
 }
 
-// WaitReason tells why the bundle in force keeps a job's due tasks from every minion; "" if it does not.
+// WaitReason is why the bundle in force lets a job's due tasks start on no worker at all; "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
@@ -53,65 +65,27 @@
 	return ""
 }
 
-// labelSite is a label borne by some minion in a rack (of a zone) or in a zone.
+// The scopes of Near.
+const (
+	ScopeZone = "zone"
+	ScopeRack = "rack"
+)
+
+// labelSite is a label with its value that some worker has, in a zone or in one rack of it.
 type labelSite struct{ zone, rack, label, value string }
 
-func labelSiteOf(n Near, m *Worker) labelSite {
-	at := labelSite{zone: m.Zone, label: n.Label, value: n.Value}
-	if n.Scope == "rack" {
-		at.rack = "r" + m.Rack
+// labelSiteOf is the site where near is satisfied for a worker.
+func labelSiteOf(near Near, w *Worker) labelSite {
+	at := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
+	if near.Scope == ScopeRack {
+		at.rack = "r" + w.Rack // also of a worker without a rack it differs from a whole zone
 	}
 	return at
 }
 
-// countLabels counts a minion's labels in or out of the sites; it tells whether a site came or went.
-func (s *State) countLabels(m *Worker, by int) bool {
-	moved := false
-	for label, value := range m.Labels {
-		for _, scope := range []string{"zone", "rack"} {
-			at := labelSiteOf(Near{label, value, scope}, m)
-			n := s.labelSites[at] + by
-			moved = moved || n == 0 || n == by
-			if s.labelSites[at] = n; n == 0 {
-				delete(s.labelSites, at)
-			}
-		}
-	}
-	return moved
-}
-
-// PutWorker makes m what the store knows of a minion, and tells watchers.
-func (s *State) PutWorker(m *Worker) {
-	moved := false
-	if old := s.Workers[m.Name]; old != nil {
-		if old.Zone == m.Zone && old.Rack == m.Rack && maps.Equal(old.Labels, m.Labels) {
-			s.Workers[m.Name] = m
-			s.notify(Event{Kind: EventWorkerChanged, Name: m.Name})
-			return
-		}
-		moved = s.countLabels(old, -1)
-	}
-	s.Workers[m.Name] = m
-	moved = s.countLabels(m, 1) || moved
-	s.notify(Event{Kind: EventWorkerChanged, Name: m.Name})
-	s.notifyIfNearChanged(moved)
-}
-
-// DropWorker forgets a minion, and tells watchers.
-func (s *State) DropWorker(name string) {
-	m := s.Workers[name]
-	if m == nil {
-		return
-	}
-	delete(s.Workers, name)
-	moved := s.countLabels(m, -1)
-	s.notify(Event{Kind: EventWorkerRetired, Name: name})
-	s.notifyIfNearChanged(moved)
-}
-
-// notifyIfNearChanged tells watchers that what is near to what has changed, if any placement policy asks for it.
-func (s *State) notifyIfNearChanged(moved bool) {
-	if !moved {
+// notifyIfNearChanged reports that label sites have changed, if any placement policy depends on them.
+func (s *State) notifyIfNearChanged(sitesChanged bool) {
+	if !sitesChanged {
 		return
 	}
 	for _, q := range s.Bundle.Queues {
@@ -123,15 +97,16 @@
 }
 
 func (s *State) isEvacuated(zone string) bool {
-	_, out := s.Evacuated[zone]
-	return out
+	_, evacuated := s.Evacuated[zone]
+	return evacuated
 }
 
+// allows reports whether a list of a placement policy allows a name; an empty list allows any.
 func allows(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 
-func hasLabels(want, have map[string]string) bool {
-	for k, v := range want {
-		if have[k] != v {
+func hasLabels(w *Worker, want map[string]string) bool {
+	for label, value := range want {
+		if w.Labels[label] != value {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/state/role.go
@@ -0,0 +1,9 @@
+package state
+
+// Role is a singleton role, such as the scheduler's, and the node that holds it.
+type Role struct {
+	Holder      string `json:"holder,omitempty"` // node name; "" after it was released
+	Addr        string `json:"addr,omitempty"`
+	Incarnation string `json:"boot,omitempty"` // of the holder's process
+	Epoch       uint64 `json:"epoch"`          // log index of the newest grant or release: the fencing token
+}
--- /dev/null
+++ b/internal/state/tombstone.go
@@ -0,0 +1,29 @@
+package state
+
+import "time"
+
+// Tombstone is what remains of a purged job: enough to answer a repeated submission.
+type Tombstone struct {
+	Digest  string    `json:"d"`
+	Team    string    `json:"m,omitempty"`
+	Phase   JobPhase  `json:"p"`
+	Reason  string    `json:"w,omitempty"`
+	EndedAt time.Time `json:"e"`
+}
+
+// BuryOldestJob replaces the oldest terminal job, the first of EndedJobs, by its tombstone.
+func (s *State) BuryOldestJob() {
+	j := s.Jobs[s.EndedJobs[0]]
+	s.Tombstones[j.Spec.Key] = &Tombstone{
+		Digest: j.Digest, Team: j.Spec.Team, Phase: j.Phase, Reason: j.Reason, EndedAt: j.EndedAt,
+	}
+	s.TombstoneOrder = append(s.TombstoneOrder, j.Spec.Key)
+	delete(s.Jobs, j.Spec.Key)
+	s.EndedJobs = s.EndedJobs[1:]
+}
+
+// DropOldestTombstone forgets the oldest tombstone; its job's key may then be used again.
+func (s *State) DropOldestTombstone() {
+	delete(s.Tombstones, s.TombstoneOrder[0])
+	s.TombstoneOrder = s.TombstoneOrder[1:]
+}
