--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -1,18 +1,23 @@
 package command
 
 import (
+	"encoding/json"
 	"time"
 
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
+	"crosstide/internal/signature"
 	"crosstide/internal/state"
 )
 
+// The commands on the job table carry the changes of package jobs, which checks and makes them: here they only get
+// their op, their JSON in the log and, for orders of operators, the signature.
+
 // JobSubmit accepts a job into the job table; the answer is its jobs.JobState.
 type JobSubmit struct{ jobs.Submit }
 
 // Op is "job-submit".
-func (c *JobSubmit) Op() string { return "job-submit" }
+func (*JobSubmit) Op() string { return "job-submit" }
 
 func (c *JobSubmit) apply(s *state.State, _ uint64) (any, error) {
 	answer, err := s.JobTable.Submit(c.Submit)
@@ -23,7 +28,7 @@
 type JobCancel struct{ jobs.Cancel }
 
 // Op is "job-cancel".
-func (c *JobCancel) Op() string { return "job-cancel" }
+func (*JobCancel) Op() string { return "job-cancel" }
 
 func (c *JobCancel) apply(s *state.State, _ uint64) (any, error) {
 	answer, err := s.JobTable.Cancel(c.Cancel)
@@ -34,7 +39,7 @@
 type JobConfigure struct{ jobs.Configure }
 
 // Op is "job-configure".
-func (c *JobConfigure) Op() string { return "job-configure" }
+func (*JobConfigure) Op() string { return "job-configure" }
 
 func (c *JobConfigure) apply(s *state.State, _ uint64) (any, error) {
 	return nil, errs.Pass(s.JobTable.Configure(c.Configure), "configure")
@@ -44,7 +49,7 @@
 type JobEvacuate struct{ jobs.Evacuate }
 
 // Op is "job-evacuate".
-func (c *JobEvacuate) Op() string { return "job-evacuate" }
+func (*JobEvacuate) Op() string { return "job-evacuate" }
 
 func (c *JobEvacuate) apply(s *state.State, _ uint64) (any, error) {
 	return nil, errs.Pass(s.JobTable.Evacuate(c.Evacuate), "evacuate")
@@ -54,33 +59,68 @@
 type JobRegister struct{ jobs.Register }
 
 // Op is "job-register".
-func (c *JobRegister) Op() string { return "job-register" }
+func (*JobRegister) Op() string { return "job-register" }
 
 func (c *JobRegister) apply(s *state.State, _ uint64) (any, error) {
 	return nil, errs.Pass(s.JobTable.Register(c.Register), "register")
 }
 
-// JobProgress records what the scheduler has decided and heard; the answer is jobs.Started. The term of its log entry
-// must be its own.
+// JobProgress records what the scheduler has decided and what workers have reported; the answer is jobs.Started. It is
+// refused unless its log entry is of the term that it was decided in.
 type JobProgress struct{ jobs.Progress }
 
 // Op is "job-progress".
-func (c *JobProgress) Op() string { return "job-progress" }
+func (*JobProgress) Op() string { return "job-progress" }
 
 func (c *JobProgress) apply(s *state.State, _ uint64) (any, error) {
 	answer, err := s.JobTable.Progress(s.Term, c.Progress)
 	return answer, errs.Pass(err, "progress")
 }
 
-// JobPurge drops the jobs of the job table that ended before a time.
+// JobPurge deletes the jobs of the job table that ended before a time.
 type JobPurge struct {
 	Before time.Time `json:"before"`
 }
 
 // Op is "job-tidy".
-func (c *JobPurge) Op() string { return "job-tidy" }
+func (*JobPurge) Op() string { return "job-tidy" }
 
 func (c *JobPurge) apply(s *state.State, _ uint64) (any, error) {
 	s.JobTable.Purge(c.Before)
 	return nil, nil
 }
+
+// JobParties sets who pays for which queues of the job table. Once the store knows operators, one of them signs
+// signature.JobParties over the digest of the parties' JSON.
+type JobParties struct {
+	Order string `json:"order"`
+	jobs.SetParties
+	By  string `json:"by,omitempty"`
+	Sig string `json:"sig,omitempty"`
+}
+
+// Op is "job-parties".
+func (*JobParties) Op() string { return "job-parties" }
+
+func (c *JobParties) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c)
+	return answer, errs.Pass(err, "parties")
+}
+
+func (c *JobParties) check(s *state.State) error {
+	digest, err := c.Digest()
+	if err != nil {
+		return errs.Pass(err, "parties")
+	}
+	return errs.Pass(verifyIfOperatorsKnown(s, c.By, c.Sig, signature.JobParties(c.Order, digest)), "signature")
+}
+
+func (c *JobParties) change(s *state.State) (any, error) {
+	return struct{}{}, errs.Pass(s.JobTable.SetParties(c.SetParties), "parties")
+}
+
+// Digest is the SHA-256 of the parties' JSON, in hex.
+func (c *JobParties) Digest() (string, error) {
+	data, err := json.Marshal(c.SetParties)
+	return signature.Digest(data), errs.Wrap(err, errs.Internal, "encode parties")
+}
--- a/internal/state/command/order.go
+++ b/internal/state/command/order.go
@@ -4,46 +4,57 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
-	"slices"
 
 	"crosstide/internal/errs"
 	"crosstide/internal/state"
 )
 
-func has(list []string, name string) bool { return slices.Contains(list, name) }
-
-func fieldPath(list string, i int, field string) string {
-	return fmt.Sprintf("%s[%d].%s", list, i, field)
+// order is a command of an operator that is applied at most once for each order ID.
+type order interface {
+	Command
+	// check returns why the order is refused; it changes nothing.
+	check(s *state.State) error
+	// change makes an order that check has not refused, and returns the answer. An error changes nothing.
+	change(s *state.State) (any, error)
 }
 
-// applyOnce applies an operator's order at most once: the same id with the same content gets the first answer
-// again, with other content a conflict. A refusal is not remembered: nothing was done.
-func applyOnce(s *state.State, id string, c Command, do func() (any, error)) (any, error) {
+// applyOnce applies an order at most once: repeated with the same ID and content it is answered as the first time, with
+// other content it is a conflict. A refusal is not remembered, as it has changed nothing.
+func applyOnce(s *state.State, id string, c order) (any, error) {
 	if id == "" {
 		return nil, errs.Field(errs.Invalid, "order", "an order needs an id")
 	}
-	raw, err := json.Marshal(c)
+	digest, err := orderDigest(c)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "encode order %s", id)
+		return nil, errs.Pass(err, "order %s", id)
 	}
-	sum := sha256.Sum256(raw)
-	digest := c.Op() + ":" + hex.EncodeToString(sum[:])
-	if o := s.Orders[id]; o != nil {
-		if o.Digest != digest {
+	if first := s.Orders[id]; first != nil {
+		if first.Digest != digest {
 			return nil, errs.Field(errs.Conflict, "order", "id %q is taken by another order", id)
 		}
-		return o.Answer, nil
+		return first.Answer, nil
+	}
+	if err := c.check(s); err != nil {
+		return nil, errs.Pass(err, "order %s", id)
 	}
-	answer, err := do()
+	answer, err := c.change(s)
 	if err != nil {
 		return nil, errs.Pass(err, "order %s", id)
 	}
-	raw, err = json.Marshal(answer)
+	raw, err := json.Marshal(answer)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode answer to order %s", id)
 	}
-	s.Orders[id] = &state.AnsweredOrder{Digest: digest, Answer: raw, At: s.At}
-	s.OrderKeys = append(s.OrderKeys, id)
+	s.RememberOrder(id, digest, raw)
 	return json.RawMessage(raw), nil
 }
+
+// orderDigest is the op and the SHA-256 of the order's JSON. It is stored with the answer.
+func orderDigest(c order) (string, error) {
+	raw, err := json.Marshal(c)
+	if err != nil {
+		return "", errs.Wrap(err, errs.Internal, "encode order")
+	}
+	sum := sha256.Sum256(raw)
+	return c.Op() + ":" + hex.EncodeToString(sum[:]), nil
+}
--- /dev/null
+++ b/internal/state/command/policy_cancel.go
@@ -0,0 +1,104 @@
+package command
+
+import (
+	"slices"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/state"
+)
+
+// cancelReason is stored with each cancelled job.
+const cancelReason = "cancelled by a consumer"
+
+// Cancel stops a job: no task of it starts after this entry.
+type Cancel struct {
+	Key string `json:"key"`
+}
+
+// Cancelled answers Cancel with the phase after it; a terminal job stays what it was.
+type Cancelled struct {
+	Key   string         `json:"key"`
+	Phase state.JobPhase `json:"state"`
+}
+
+// Op is "cancel".
+func (*Cancel) Op() string { return "cancel" }
+
+func (c *Cancel) apply(s *state.State, _ uint64) (any, error) {
+	if j := s.Jobs[c.Key]; j != nil {
+		s.StopJob(j, state.JobCancelled, cancelReason)
+		return Cancelled{c.Key, j.Phase}, nil
+	}
+	if t := s.Tombstones[c.Key]; t != nil {
+		return Cancelled{c.Key, t.Phase}, nil
+	}
+	return nil, errs.Field(errs.Unknown, "key", "no job %q", c.Key)
+}
+
+// MaxCancels bounds the keys of one CancelMany.
+const MaxCancels = 10000
+
+// CancelMany stops many jobs in one step: those of Keys, or all of a team, of a queue, or of a team in a queue.
+type CancelMany struct {
+	Keys  []string `json:"keys,omitempty"`
+	Team  string   `json:"team,omitempty"`
+	Queue string   `json:"queue,omitempty"`
+}
+
+// CancelledMany answers CancelMany.
+type CancelledMany struct {
+	Cancelled int      `json:"cancelled"`         // stopped by this call
+	Over      int      `json:"over,omitempty"`    // were terminal or stopping
+	Unknown   []string `json:"unknown,omitempty"` // keys that no job has
+}
+
+// Op is "cancels".
+func (*CancelMany) Op() string { return "cancels" }
+
+func (c *CancelMany) apply(s *state.State, _ uint64) (any, error) {
+	if err := c.check(); err != nil {
+		return nil, errs.Pass(err, "cancel")
+	}
+	answer := CancelledMany{}
+	for _, key := range c.selected(s) {
+		switch j := s.Jobs[key]; {
+		case j != nil && !j.Phase.IsTerminal() && j.Phase != state.JobStopping:
+			s.StopJob(j, state.JobCancelled, cancelReason)
+			answer.Cancelled++
+		case j != nil || s.Tombstones[key] != nil:
+			answer.Over++
+		default:
+			answer.Unknown = append(answer.Unknown, key)
+		}
+	}
+	return answer, nil
+}
+
+func (c *CancelMany) check() error {
+	byGroup := c.Team+c.Queue != ""
+	switch {
+	case len(c.Keys) > MaxCancels:
+		return errs.Field(errs.Invalid, "keys", "%d keys, at most %d", len(c.Keys), MaxCancels)
+	case len(c.Keys) > 0 && byGroup:
+		return errs.Field(errs.Invalid, "keys", "keys go without team and queue")
+	case len(c.Keys) == 0 && !byGroup:
+		return errs.Field(errs.Invalid, "keys", "keys, a team or a queue are needed")
+	}
+	return nil
+}
+
+// selected returns the keys of the jobs to stop, in the same order on every node.
+func (c *CancelMany) selected(s *state.State) []string {
+	if len(c.Keys) > 0 {
+		return c.Keys
+	}
+	var keys []string
+	for key, j := range s.Jobs {
+		isOpen := !j.Phase.IsTerminal()
+		if isOpen && (c.Team == "" || j.Spec.Team == c.Team) && (c.Queue == "" || j.Spec.Queue == c.Queue) {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
--- /dev/null
+++ b/internal/state/command/policy_runs.go
@@ -0,0 +1,136 @@
+package command
+
+import (
+	"time"
+
+	"crosstide/internal/state"
+)
+
+// End is the reported end of a run. By Ref, its task, the end is known of a run whose handle was released meanwhile.
+type End struct {
+	RunID  uint64        `json:"t"`
+	Ref    state.TaskRef `json:"f,omitzero"`
+	OK     bool          `json:"ok"`
+	Reason string        `json:"w,omitempty"` // of a failure
+}
+
+// Proof says that a handle is dead without a reported end, and why.
+type Proof struct {
+	RunID  uint64 `json:"t"`
+	Why    string `json:"w"`           // one of the kinds of proof
+	Reason string `json:"r,omitempty"` // kept in the task, if any
+}
+
+// The kinds of proof.
+const (
+	ProofFloor          = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
+	ProofNewIncarnation = "boot"   // the worker runs under another incarnation
+	ProofLeaseExpired   = "lapse"  // its lease has expired on any clock
+	ProofUnsent         = "unsent" // its start order never left this scheduler
+	ProofRefuse         = "refuse" // the worker refused it
+	ProofStop           = "stop"   // the worker stopped it as ordered
+)
+
+// startsAnything is the state.Worker.Kind of a worker that starts whatever it is ordered to, unlike one that checks the
+// incarnation in the order.
+const startsAnything = "obey"
+
+// recordEnd records a reported end. After a failure the task is due again after a backoff, up to the step's retries; a
+// long-running task is always retried.
+func recordEnd(s *state.State, e End) {
+	h := s.Handles[e.RunID]
+	if h == nil {
+		recordLateEnd(s, e)
+		return
+	}
+	if e.OK {
+		must(s.SetTaskPhase(h.Ref, state.TaskDone, nil))
+		return
+	}
+	j, t := s.TaskOf(h.Ref)
+	t.Failures++
+	t.Reason = e.Reason
+	if isOutOfRetries(s, j, t, h.Ref) {
+		must(s.SetTaskPhase(h.Ref, state.TaskFailed, nil))
+		s.StopJob(j, state.JobFailed, "step "+stepOf(s, h.Ref).Name+" gave up: "+e.Reason)
+		return
+	}
+	requeueTask(s, h, e.Reason, s.At.Add(s.Bundle.Backoff.After(t.Failures)))
+}
+
+// isOutOfRetries reports whether the newest failure of a task fails its job.
+func isOutOfRetries(s *state.State, j *state.Job, t *state.Task, ref state.TaskRef) bool {
+	step := stepOf(s, ref)
+	return t.Failures > s.Bundle.RetriesFor(j.Spec.Queue, step.Retries) && !step.LongRunning &&
+		j.Phase == state.JobRunning
+}
+
+// recordLateEnd records that a run ended well whose handle was released by a proof before its end was reported. It
+// counts as long as no newer run of its task has been assigned.
+func recordLateEnd(s *state.State, e End) {
+	if _, t := s.TaskOf(e.Ref); e.OK && t != nil && t.RunID == e.RunID && t.Phase == state.TaskDue {
+		must(s.SetTaskPhase(e.Ref, state.TaskDone, nil))
+	}
+}
+
+// recordReport records what a worker reported of itself. Under a new incarnation its older runs are dead, as a worker
+// kills what an older incarnation left before it reports. But a start order that is still in flight may reach a worker
+// that starts anything: the handle of such a run stays until the scheduler proves it dead.
+func recordReport(s *state.State, w state.Worker) {
+	old := s.Workers[w.Name]
+	if old == nil {
+		return // retired meanwhile
+	}
+	w.Closed, w.Addr = old.Closed, old.Addr
+	s.PutWorker(&w)
+	if w.Incarnation == old.Incarnation {
+		return
+	}
+	for _, id := range s.RunIDsOn(w.Name) {
+		h := s.Handles[id]
+		maySurvive := w.Kind == startsAnything && h.Phase != state.TaskRunning
+		if h.Incarnation != w.Incarnation && !maySurvive {
+			s.RefundRun(h.RunID)
+			requeueTask(s, h, "the minion came back under a new boot", time.Time{})
+		}
+	}
+}
+
+// recordPhase records runs as running or unconfirmed. Run IDs without a handle are overtaken by an end or a proof.
+func recordPhase(s *state.State, runIDs []uint64, to state.TaskPhase) {
+	for _, id := range runIDs {
+		if h := s.Handles[id]; h != nil && h.Phase != to {
+			must(s.SetTaskPhase(h.Ref, to, nil))
+		}
+	}
+}
+
+// recordProof releases a handle that was proved dead. Only a run that was stopped as ordered is paid for.
+func recordProof(s *state.State, p Proof) {
+	h := s.Handles[p.RunID]
+	if h == nil {
+		return
+	}
+	if p.Why != ProofStop {
+		s.RefundRun(h.RunID)
+	}
+	requeueTask(s, h, p.Reason, time.Time{})
+}
+
+// requeueTask releases a handle without an end that counts: the task is due again, at once if due is zero, or skipped
+// if its job stops.
+func requeueTask(s *state.State, h *state.Handle, reason string, due time.Time) {
+	j, t := s.TaskOf(h.Ref)
+	t.DueAt = due
+	if reason != "" {
+		t.Reason = reason
+	}
+	if due.IsZero() {
+		t.Lost++
+	}
+	to := state.TaskDue
+	if j.Phase != state.JobRunning {
+		to = state.TaskSkipped
+	}
+	must(s.SetTaskPhase(h.Ref, to, nil))
+}
--- /dev/null
+++ b/internal/state/command/policy_starts.go
@@ -0,0 +1,114 @@
+package command
+
+import "crosstide/internal/state"
+
+// Start wants a run ID for a due task on a worker. Adjacent starts with the same Group above 0 get theirs together or
+// not at all.
+type Start struct {
+	Ref         state.TaskRef `json:"r"`
+	Worker      string        `json:"m"`
+	Incarnation string        `json:"b"` // of the worker that the scheduler decided on
+	Group       int           `json:"g,omitempty"`
+}
+
+// Why a start is refused, beside the reasons of State.PlacementRefusal. The strings are sent to the scheduler.
+const (
+	RefusedBundle   = "charter version" // another bundle is in force than the plan was decided on
+	RefusedJob      = "job"             // the job is not running, or has no such task
+	RefusedTask     = "task"            // the task is not due
+	RefusedCapacity = "room"            // the worker's free capacity is too small
+	RefusedBalance  = "balance"         // the party's balance does not cover the start
+)
+
+// groupEnd is the position after the last start of the group that begins at first.
+func (c *Plan) groupEnd(first int) int {
+	end := first + 1
+	if group := c.Starts[first].Group; group > 0 {
+		for end < len(c.Starts) && c.Starts[end].Group == group {
+			end++
+		}
+	}
+	return end
+}
+
+// groupRefusal is why the starts of a group may not be assigned together, "" if they may. Capacity and balance must
+// suffice for all of them.
+func (c *Plan) groupRefusal(s *state.State, group []Start) string {
+	if c.BundleVersion != s.Bundle.Version {
+		return RefusedBundle
+	}
+	taken := map[string]capacity{} // by worker, by the starts before in the group
+	var fees groupFees
+	for _, start := range group {
+		if why := startRefusal(s, start); why != "" {
+			return why
+		}
+		taken[start.Worker] = taken[start.Worker].plus(stepOf(s, start.Ref))
+		if !taken[start.Worker].fits(s.Workers[start.Worker], s.UsageOf(start.Worker)) {
+			return RefusedCapacity
+		}
+		if !fees.add(s, start.Ref) {
+			return RefusedBalance
+		}
+	}
+	return ""
+}
+
+// startRefusal is why one start may not be assigned, whatever else its group takes; "" if it may.
+func startRefusal(s *state.State, start Start) string {
+	j, t := s.TaskOf(start.Ref)
+	w := s.Workers[start.Worker]
+	switch {
+	case t == nil || j.Phase != state.JobRunning:
+		return RefusedJob
+	case t.Phase != state.TaskDue:
+		return RefusedTask
+	case w == nil || w.Incarnation != start.Incarnation:
+		return state.RefusedIncarnation
+	}
+	return s.PlacementRefusal(&j.Spec, stepOf(s, start.Ref), w)
+}
+
+// assign issues a run ID and records the handle of a start that was not refused.
+func (c *Plan) assign(s *state.State, start Start) uint64 {
+	j, _ := s.TaskOf(start.Ref)
+	step := stepOf(s, start.Ref)
+	s.LastRunID++
+	must(s.SetTaskPhase(start.Ref, state.TaskAssigned, &state.Handle{
+		RunID: s.LastRunID, Ref: start.Ref, Worker: start.Worker, Incarnation: start.Incarnation,
+		Epoch: c.Epoch, BundleVersion: c.BundleVersion, Type: step.Type, Cores: step.Cores, GPUs: step.GPUs,
+		LeaseTTL: s.Bundle.LeaseTTLFor(j.Spec.Queue, c.LeaseTTL),
+	}))
+	return s.LastRunID
+}
+
+func stepOf(s *state.State, ref state.TaskRef) *state.StepSpec {
+	return &s.Jobs[ref.Job].Spec.Steps[ref.Step]
+}
+
+// capacity is what starts take on a worker.
+type capacity struct{ cores, gpus int }
+
+func (c capacity) plus(step *state.StepSpec) capacity {
+	return capacity{c.cores + step.Cores, c.gpus + step.GPUs}
+}
+
+// fits reports whether a worker has so much free beside its handles.
+func (c capacity) fits(w *state.Worker, used *state.Usage) bool {
+	return used.Cores+c.cores <= w.Cores && used.GPUs+c.gpus <= w.GPUs
+}
+
+// groupFees is the sum of the fees of a group's starts. All are of one job, and so of one party.
+type groupFees struct{ sum state.Fee }
+
+// add adds the fee of a start, and reports whether the party's balance covers the sum.
+func (f *groupFees) add(s *state.State, ref state.TaskRef) bool {
+	j, _ := s.TaskOf(ref)
+	fee := s.Fee(j, ref)
+	if fee.Party == "" {
+		return true
+	}
+	f.sum.Party = fee.Party
+	f.sum.Cost += fee.Cost
+	return s.Covers(f.sum)
+}
--- /dev/null
+++ b/internal/state/command/policy_submit.go
@@ -0,0 +1,76 @@
+package command
+
+import (
+	"fmt"
+	"slices"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/state"
+)
+
+// Submit puts a job into the inbox. Repeated with the same digest it is the same job; with another one it is a
+// conflict. Bound is the most jobs that may be open; State.OverloadReason says who is rejected before.
+type Submit struct {
+	Spec   state.Spec `json:"spec"`
+	Digest string     `json:"digest"`
+	Bound  int        `json:"bound"`
+}
+
+// Submitted answers Submit: the job's phase now, and whether this call brought it in.
+type Submitted struct {
+	Key    string         `json:"key"`
+	Phase  state.JobPhase `json:"state"`
+	Reason string         `json:"reason,omitempty"`
+	Fresh  bool           `json:"fresh"`
+}
+
+// Op is "submit".
+func (*Submit) Op() string { return "submit" }
+
+func (c *Submit) apply(s *state.State, _ uint64) (any, error) {
+	key := c.Spec.Key
+	if j := s.Jobs[key]; j != nil {
+		if j.Digest != c.Digest {
+			return nil, errs.Field(errs.Conflict, "key", "%q is the key of another job", key)
+		}
+		return Submitted{Key: key, Phase: j.Phase, Reason: j.Reason}, nil
+	}
+	if t := s.Tombstones[key]; t != nil {
+		if t.Digest != c.Digest {
+			return nil, errs.Field(errs.Conflict, "key", "%q was the key of another job", key)
+		}
+		return Submitted{Key: key, Phase: t.Phase, Reason: t.Reason}, nil
+	}
+	if err := c.check(s); err != nil {
+		return nil, errs.Pass(err, "submit")
+	}
+	return c.change(s), nil
+}
+
+// check returns why a new job is refused: by the placement policy of its queue, or as overload.
+func (c *Submit) check(s *state.State) error {
+	q, ok := s.Bundle.Queues[c.Spec.Queue]
+	if !ok {
+		return errs.Field(errs.Invalid, "queue", "no queue %q in bundle %d", c.Spec.Queue, s.Bundle.Version)
+	}
+	if len(q.Teams) > 0 && !slices.Contains(q.Teams, c.Spec.Team) {
+		return errs.Field(errs.Forbidden, "team", "%q may not use queue %q", c.Spec.Team, c.Spec.Queue)
+	}
+	for i, step := range c.Spec.Steps {
+		if len(q.Types) > 0 && !slices.Contains(q.Types, step.Type) {
+			return errs.Field(errs.Forbidden, fmt.Sprintf("steps[%d].type", i),
+				"%q may not use queue %q", step.Type, c.Spec.Queue)
+		}
+	}
+	if why := s.OverloadReason(c.Spec.Team, q.Urgent, c.Bound); why != "" {
+		return errs.New(errs.Overloaded, "%s", why)
+	}
+	return nil
+}
+
+func (c *Submit) change(s *state.State) Submitted {
+	s.Seq++
+	j := &state.Job{Spec: c.Spec, Digest: c.Digest, Phase: state.JobAccepted, Seq: s.Seq, SubmittedAt: s.At}
+	s.EnqueueJob(j)
+	return Submitted{Key: c.Spec.Key, Phase: j.Phase, Fresh: true}
+}
--- /dev/null
+++ b/internal/state/command/policy_workers.go
@@ -0,0 +1,79 @@
+package command
+
+import (
+	"crosstide/internal/errs"
+	"crosstide/internal/state"
+)
+
+// Announce makes a worker known. Of a known worker it changes the address only: what a worker is and which incarnation
+// runs is taken only from its answers to the scheduler (Plan.Workers).
+type Announce struct {
+	Worker state.Worker `json:"minion"`
+}
+
+// Op is "announce".
+func (*Announce) Op() string { return "announce" }
+
+func (c *Announce) apply(s *state.State, _ uint64) (any, error) {
+	known := s.Workers[c.Worker.Name]
+	switch {
+	case known == nil:
+		added := c.Worker
+		added.Incarnation = ""
+		s.PutWorker(&added)
+	case known.Addr != c.Worker.Addr:
+		moved := *known
+		moved.Addr = c.Worker.Addr
+		s.PutWorker(&moved)
+	}
+	return nil, nil
+}
+
+// CloseWorker drains a worker by an operator's order, reopens it, or retires it (only without handles).
+type CloseWorker struct {
+	Order  string `json:"order"`
+	Worker string `json:"minion"`
+	Closed bool   `json:"closed"`
+	Retire bool   `json:"retire,omitempty"`
+}
+
+// workerClosed and workerRetired answer CloseWorker. The answers are stored: their keys are in alphabetical order.
+type (
+	workerClosed struct {
+		Closed bool   `json:"closed"`
+		Worker string `json:"minion"`
+	}
+	workerRetired struct {
+		Worker  string `json:"minion"`
+		Retired bool   `json:"retired"`
+	}
+)
+
+// Op is "close".
+func (*CloseWorker) Op() string { return "close" }
+
+func (c *CloseWorker) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c)
+	return answer, errs.Pass(err, "close worker %q", c.Worker)
+}
+
+func (c *CloseWorker) check(s *state.State) error {
+	if s.Workers[c.Worker] == nil {
+		return errs.Field(errs.Unknown, "minion", "no minion %q", c.Worker)
+	}
+	if handles := len(s.UsageOf(c.Worker).Handles); c.Retire && handles > 0 {
+		return errs.Field(errs.Conflict, "minion", "%q has %d tickets out; drain it first", c.Worker, handles)
+	}
+	return nil
+}
+
+func (c *CloseWorker) change(s *state.State) (any, error) {
+	if c.Retire {
+		s.DropWorker(c.Worker)
+		return workerRetired{Worker: c.Worker, Retired: true}, nil
+	}
+	next := *s.Workers[c.Worker]
+	next.Closed = c.Closed
+	s.PutWorker(&next)
+	return workerClosed{Worker: c.Worker, Closed: c.Closed}, nil
+}
