--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state"
 )
 
-// Accounts gives every account in order of names.
+// Accounts returns every account in order of names.
 func Accounts(s *state.State) []internalapi.AccountView {
 	if s.Accounts == nil {
 		return []internalapi.AccountView{}
@@ -26,7 +26,7 @@
 	return out
 }
 
-// Account gives one account. Failure: Unknown.
+// Account returns one account. Failure: Unknown.
 func Account(s *state.State, name string) (internalapi.AccountView, error) {
 	if _, err := findAccount(s, name); err != nil {
 		return internalapi.AccountView{}, errs.Pass(err, "show")
@@ -34,16 +34,18 @@
 	return accountView(s, name, runsByAccount(s)[name], waitingByParty(s)[name]), nil
 }
 
-// Ledger gives entries of an account after a number, at most limit. Failure: Unknown.
+// Ledger returns the entries of an account's ledger after a number, at most limit. Failure: Unknown.
 func Ledger(s *state.State, name string, after uint64, limit int) (internalapi.LedgerAnswer, error) {
 	a, err := findAccount(s, name)
 	if err != nil {
 		return internalapi.LedgerAnswer{}, errs.Pass(err, "ledger")
 	}
-	return internalapi.LedgerAnswer{Account: name, Base: a.Ledger.Base, Head: a.Ledger.Head, Entries: a.Ledger.Since(after, limit)}, nil
+	return internalapi.LedgerAnswer{
+		Account: name, Base: a.Ledger.Base, Head: a.Ledger.Head, Entries: a.Ledger.Since(after, limit),
+	}, nil
 }
 
-// ExportLedger gives an account's ledger as CSV. Failures: Unknown, Damaged.
+// ExportLedger returns an account's ledger as CSV. Failures: Unknown, Damaged.
 func ExportLedger(s *state.State, name string) ([]byte, error) {
 	a, err := findAccount(s, name)
 	if err != nil {
@@ -63,14 +65,16 @@
 
 func accountView(s *state.State, name string, runs, waiting int) internalapi.AccountView {
 	a, p := s.Accounts.Accounts[name], s.Bundle.Parties[name]
-	v := internalapi.AccountView{Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
-		Runs: runs, Rate: a.Rate(), Teams: p.Teams, Queues: p.Queues, Waiting: waiting}
+	v := internalapi.AccountView{
+		Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
+		Runs: runs, Rate: a.Rate(), Teams: p.Teams, Queues: p.Queues, Waiting: waiting,
+	}
 	v.ExhaustedIn, v.Draws = a.ExhaustedIn()
 	v.Warning = balanceWarning(&v, p)
 	return v
 }
 
-// balanceWarning tells that an account is dry, or soon will be; "" if neither.
+// balanceWarning says that an account is exhausted, or soon will be; "" if neither.
 func balanceWarning(v *internalapi.AccountView, p state.Party) string {
 	switch {
 	case v.Waiting > 0:
@@ -81,6 +85,7 @@
 	return ""
 }
 
+// runsByAccount counts the runs with a reservation.
 func runsByAccount(s *state.State) map[string]int {
 	out := map[string]int{}
 	for _, r := range s.Accounts.Reservations {
@@ -97,29 +102,32 @@
 	}
 	for _, j := range s.Jobs {
 		if j.Phase == state.JobRunning && s.UnpaidReason(j) != "" {
-			out[s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)]++
+			out[partyOf(s, j)]++
 		}
 	}
 	return out
 }
 
-// waitsBehindReason tells that a job's due tasks wait as the balance of their party is kept for a job that goes before it; ""
-// if they do not. It looks at all jobs of the party.
+// waitsBehindReason says that a job's due tasks wait because their party's balance is kept for a job that is paid for
+// before it; "" if they do not. It takes time in the number of all jobs.
 func waitsBehindReason(s *state.State, j *state.Job) string {
-	party := s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)
+	party := partyOf(s, j)
 	if party == "" || j.Phase != state.JobRunning || !hasDueTask(j) {
 		return ""
 	}
 	for _, other := range s.Jobs {
-		if other.Phase == state.JobRunning && s.Bundle.PartyOf(other.Spec.Queue, other.Spec.Team) == party && goesBefore(s, other, j) &&
+		if other.Phase == state.JobRunning && partyOf(s, other) == party && goesBefore(s, other, j) &&
 			s.UnpaidReason(other) != "" {
-			return fmt.Sprintf("party %s is dry for a job that goes before this one; the job goes on by itself after a top-up", party)
+			return fmt.Sprintf("party %s is dry for a job that goes before this one; "+
+				"the job goes on by itself after a top-up", party)
 		}
 	}
 	return ""
 }
 
-// goesBefore tells whether the tasks of one job are paid for before those of another.
+func partyOf(s *state.State, j *state.Job) string { return s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) }
+
+// goesBefore reports whether the tasks of one job are paid for before those of another.
 func goesBefore(s *state.State, one, other *state.Job) bool {
 	first, second := s.Bundle.Queues[one.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
 	if first != second {
--- /dev/null
+++ b/internal/state/query/counts.go
@@ -0,0 +1,17 @@
+package query
+
+import "crosstide/internal/state"
+
+// Counts is how many records of each kind the state holds.
+type Counts struct {
+	Jobs, Inbox, Tombstones, Handles, Workers int
+	RunningCounts                             map[string]int // handles by task type
+}
+
+// Count returns the Counts of s.
+func Count(s *state.State) Counts {
+	return Counts{
+		Jobs: len(s.Jobs), Inbox: len(s.Inbox), Tombstones: len(s.Tombstones), Handles: len(s.Handles),
+		Workers: len(s.Workers), RunningCounts: s.RunningCounts(),
+	}
+}
--- a/internal/state/query/jobs.go
+++ b/internal/state/query/jobs.go
@@ -1,4 +1,3 @@
-// Package query reads the replicated state.
 package query
 
 import (
@@ -16,13 +15,13 @@
 	Queue      string         `json:"queue,omitempty"`
 	State      state.JobPhase `json:"state"`
 	Reason     string         `json:"reason,omitempty"`
-	WaitReason string         `json:"waits,omitempty"` // why bundle or balance let nothing of it start
+	WaitReason string         `json:"waits,omitempty"` // why bundle or balance let none of its tasks start
 	Submitted  time.Time      `json:"submitted,omitzero"`
 	Ended      time.Time      `json:"ended,omitzero"`
 	Steps      []StepView     `json:"steps,omitempty"`
 }
 
-// StepView counts the tasks of a step by where they stand.
+// StepView counts the tasks of a step by their phases.
 type StepView struct {
 	Name        string `json:"name"`
 	Type        string `json:"type"`
@@ -35,12 +34,12 @@
 	Done        int    `json:"done,omitempty"`
 	Failed      int    `json:"spent,omitempty"`
 	Skipped     int    `json:"skipped,omitempty"`
-	Failures    int    `json:"faults,omitempty"`
-	Lost        int    `json:"lost,omitempty"`
+	Failures    int    `json:"faults,omitempty"` // ends in failure, of all tasks
+	Lost        int    `json:"lost,omitempty"`   // handles proved dead without an end, of all tasks
 	Reason      string `json:"reason,omitempty"` // of the newest failure of a task that is not done
 }
 
-// Job gives a job, or what its tombstone still tells; errs.Unknown if the store has neither.
+// Job returns a job, or what its tombstone says of it. Failure: Unknown (the store has neither).
 func Job(s *state.State, key string) (JobView, error) {
 	if j := s.Jobs[key]; j != nil {
 		v := jobView(s, j)
@@ -55,38 +54,11 @@
 	return JobView{}, errs.Field(errs.Unknown, "key", "no job %q", key)
 }
 
-func jobView(s *state.State, j *state.Job) JobView {
-	v := JobView{Key: j.Spec.Key, Team: j.Spec.Team, Queue: j.Spec.Queue, State: j.Phase, Reason: j.Reason,
-		Submitted: j.SubmittedAt, Ended: j.EndedAt, Steps: make([]StepView, len(j.Spec.Steps))}
-	if !j.Phase.IsTerminal() && j.Phase != state.JobStopping {
-		if v.WaitReason = s.WaitReason(&j.Spec); v.WaitReason == "" {
-			v.WaitReason = s.UnpaidReason(j)
-		}
-	}
-	for i, step := range j.Spec.Steps {
-		sv := &v.Steps[i]
-		sv.Name, sv.Type, sv.Tasks = step.Name, step.Type, step.Tasks
-		taskCounts := map[state.TaskPhase]*int{
-			state.TaskWaiting: &sv.Waiting, state.TaskDue: &sv.Due, state.TaskAssigned: &sv.Assigned,
-			state.TaskRunning: &sv.Running, state.TaskUnconfirmed: &sv.Unconfirmed, state.TaskDone: &sv.Done,
-			state.TaskFailed: &sv.Failed, state.TaskSkipped: &sv.Skipped,
-		}
-		for k := range j.Tasks[i] {
-			t := &j.Tasks[i][k]
-			*taskCounts[t.Phase]++
-			sv.Failures += t.Failures
-			sv.Lost += t.Lost
-			if t.Reason != "" && t.Phase != state.TaskDone {
-				sv.Reason = t.Reason
-			}
-		}
-	}
-	return v
-}
-
-// Jobs gives the jobs of a team ("" any) in a state ("" any) with keys after `after`, in order of keys, at most
-// limit; more tells whether there are others.
-func Jobs(s *state.State, team string, phase state.JobPhase, after string, limit int) (jobs []JobView, more bool) {
+// Jobs lists the jobs of a team ("" any) in a phase ("" any) with keys above after, in order of keys, at most limit and
+// without their steps. more reports whether there are others.
+func Jobs(
+	s *state.State, team string, phase state.JobPhase, after string, limit int,
+) (jobs []JobView, more bool) {
 	keys := make([]string, 0, 64)
 	for key, j := range s.Jobs {
 		if key > after && (team == "" || j.Spec.Team == team) && (phase == "" || j.Phase == phase) {
@@ -105,31 +77,37 @@
 	return jobs, more
 }
 
-// Counts counts what is in the store.
-type Counts struct {
-	Jobs, Inbox, Tombstones, Handles, Workers int
-	RunningCounts                             map[string]int
-}
-
-// Count gives the Figures of s.
-func Count(s *state.State) Counts {
-	return Counts{len(s.Jobs), len(s.Inbox), len(s.Tombstones), len(s.Handles), len(s.Workers), s.RunningCounts()}
-}
-
-// WorkerView is a minion with what is out on it.
-type WorkerView struct {
-	state.Worker
-	RunCount  int `json:"tickets"`
-	UsedCores int `json:"used_cores"`
-	UsedGPUs  int `json:"used_gpus"`
+func jobView(s *state.State, j *state.Job) JobView {
+	v := JobView{
+		Key: j.Spec.Key, Team: j.Spec.Team, Queue: j.Spec.Queue, State: j.Phase, Reason: j.Reason,
+		Submitted: j.SubmittedAt, Ended: j.EndedAt, Steps: make([]StepView, len(j.Spec.Steps)),
+	}
+	if !j.Phase.IsTerminal() && j.Phase != state.JobStopping {
+		if v.WaitReason = s.WaitReason(&j.Spec); v.WaitReason == "" {
+			v.WaitReason = s.UnpaidReason(j)
+		}
+	}
+	for i := range j.Spec.Steps {
+		v.Steps[i] = stepView(&j.Spec.Steps[i], j.Tasks[i])
+	}
+	return v
 }
 
-// Workers gives every minion in order of names.
-func Workers(s *state.State) []WorkerView {
-	out := make([]WorkerView, 0, len(s.Workers))
-	for _, name := range s.WorkerNames() {
-		r := s.UsageOf(name)
-		out = append(out, WorkerView{*s.Workers[name], len(r.Handles), r.Cores, r.GPUs})
+func stepView(step *state.StepSpec, tasks []state.Task) StepView {
+	v := StepView{Name: step.Name, Type: step.Type, Tasks: step.Tasks}
+	taskCounts := map[state.TaskPhase]*int{
+		state.TaskWaiting: &v.Waiting, state.TaskDue: &v.Due, state.TaskAssigned: &v.Assigned,
+		state.TaskRunning: &v.Running, state.TaskUnconfirmed: &v.Unconfirmed, state.TaskDone: &v.Done,
+		state.TaskFailed: &v.Failed, state.TaskSkipped: &v.Skipped,
 	}
-	return out
+	for i := range tasks {
+		t := &tasks[i]
+		*taskCounts[t.Phase]++
+		v.Failures += t.Failures
+		v.Lost += t.Lost
+		if t.Reason != "" && t.Phase != state.TaskDone {
+			v.Reason = t.Reason
+		}
+	}
+	return v
 }
--- /dev/null
+++ b/internal/state/query/zones.go
@@ -0,0 +1,26 @@
+package query
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"crosstide/internal/state"
+)
+
+// ZoneView is an evacuated zone. Since is part of the text that is signed to lift the evacuation (signature.Lift).
+type ZoneView struct {
+	Zone   string    `json:"zone"`
+	Since  time.Time `json:"since"`
+	Signed []string  `json:"signed,omitempty"` // operators who signed for lifting it
+}
+
+// Zones returns the evacuated zones in order of names.
+func Zones(s *state.State) []ZoneView {
+	out := []ZoneView{}
+	for zone, since := range s.Evacuated {
+		out = append(out, ZoneView{Zone: zone, Since: since, Signed: slices.Clone(s.LiftSignatures[zone])})
+	}
+	slices.SortFunc(out, func(a, b ZoneView) int { return cmp.Compare(a.Zone, b.Zone) })
+	return out
+}
