--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -131,11 +131,11 @@
 		So(len(m.Jobs), ShouldBeLessThanOrEqualTo, monthHourJobs)
 		So(m.Workers, ShouldBeEmpty)
 		So(m.Orders, ShouldHaveLength, MaxOrders)
-		So(m.orders, ShouldHaveLength, MaxOrders)
+		So(m.indexes.orders, ShouldHaveLength, MaxOrders)
 		So(m.Evacuated, ShouldBeEmpty)
-		So(m.queued, ShouldBeEmpty)
-		So(m.occupancy, ShouldBeEmpty)
-		So(len(m.retired), ShouldEqual, len(m.Jobs))
+		So(m.indexes.queued, ShouldBeEmpty)
+		So(m.indexes.occupancy, ShouldBeEmpty)
+		So(len(m.indexes.retired), ShouldEqual, len(m.Jobs))
 	})
 	Convey("Without the letting go of what is over, or of workers that are gone, it grows day by day", t, func() {
 		for _, m := range []*monthTable{{noPurge: true}, {noForget: true}} {
--- a/internal/jobs/indexes.go
+++ b/internal/jobs/indexes.go
@@ -2,6 +2,16 @@
 
 import "container/heap"
 
+// indexes are derived from the records, never stored, and owned by Table: Rebuild makes them, and the functions that
+// change a record keep them.
+type indexes struct {
+	partyByQueue map[string]*Party     // into Table.Parties
+	orders       map[string]struct{}   // Table.Orders as a set
+	queued       map[string]int        // jobs in Queued by queue; no zeros
+	occupancy    map[string]*occupancy // by worker ID; none for a worker without handles
+	retired      retiredJobs           // terminal jobs without a handle
+}
+
 // stepRef names a step of one round of a job.
 type stepRef struct {
 	job         string
@@ -14,17 +24,17 @@
 type occupancy struct {
 	used  Resources
 	runs  map[RunKey]struct{}
-	steps map[stepRef]int // handles by step of a round
+	steps map[stepRef]int // handles by step of a round; no zeros
 }
 
-// jobIndex is what is derived of a job, so that no change has to look at all of its tasks.
+// jobIndex is derived from a job's tasks, so that no change has to scan all of them. It is zero for a retired job.
 type jobIndex struct {
 	remaining [][]int // tasks that are not done, by round and step
-	undone    int     // tasks that are not done
-	handles   int     // handles that are out
+	undone    int     // the sum of remaining
+	handles   int     // of all tasks
 }
 
-// Rebuild makes anew what is derived from the exported fields. UnmarshalJSON calls it.
+// Rebuild derives the indexes from the exported fields, and fills maps that are nil. UnmarshalJSON calls it.
 func (t *Table) Rebuild() {
 	if t.Jobs == nil {
 		t.Jobs = map[string]*Job{}
@@ -35,19 +45,25 @@
 	if t.Evacuated == nil {
 		t.Evacuated = map[string]bool{}
 	}
+	t.indexes = indexes{orders: map[string]struct{}{}, queued: map[string]int{}, occupancy: map[string]*occupancy{}}
 	t.indexParties()
-	t.orders = map[string]struct{}{}
 	for _, digest := range t.Orders {
-		t.orders[digest] = struct{}{}
+		t.indexes.orders[digest] = struct{}{}
 	}
-	t.queued = map[string]int{}
-	t.occupancy = map[string]*occupancy{}
-	t.retired = nil
 	for _, job := range t.Jobs {
 		t.indexJob(job)
 	}
 }
 
+func (t *Table) indexParties() {
+	t.indexes.partyByQueue = map[string]*Party{}
+	for i := range t.Parties {
+		for _, queue := range t.Parties[i].Queues {
+			t.indexes.partyByQueue[queue] = &t.Parties[i]
+		}
+	}
+}
+
 // indexJob derives a job's index and enters the job and its handles into the table's.
 func (t *Table) indexJob(job *Job) {
 	job.index = jobIndex{remaining: make([][]int, len(job.Rounds))}
@@ -61,10 +77,10 @@
 		}
 	}
 	if job.State == Queued {
-		t.queued[job.Spec.Queue]++
+		t.indexes.countQueued(job.Spec.Queue, 1)
 	}
 	if job.State.IsTerminal() && job.index.handles == 0 {
-		heap.Push(&t.retired, job)
+		heap.Push(&t.indexes.retired, job)
 	}
 }
 
@@ -75,28 +91,35 @@
 	}
 	for _, run := range task.Runs {
 		job.index.handles++
-		t.occupy(run.Worker, RunKey{Task: ref, Number: run.Number}, job.Spec.Steps[ref.Step].Needs)
+		t.indexes.occupy(run.Worker, RunKey{Task: ref, Number: run.Number}, job.Spec.Steps[ref.Step].Needs)
+	}
+}
+
+// countQueued counts a job of a queue in (1) or out (-1).
+func (x *indexes) countQueued(queue string, by int) {
+	if x.queued[queue] += by; x.queued[queue] == 0 {
+		delete(x.queued, queue)
 	}
 }
 
-// occupy counts a handle in on its worker.
-func (t *Table) occupy(worker string, key RunKey, needs Resources) {
-	o := t.occupancy[worker]
+// occupy adds a handle to its worker's occupancy.
+func (x *indexes) occupy(worker string, key RunKey, needs Resources) {
+	o := x.occupancy[worker]
 	if o == nil {
 		o = &occupancy{runs: map[RunKey]struct{}{}, steps: map[stepRef]int{}}
-		t.occupancy[worker] = o
+		x.occupancy[worker] = o
 	}
 	o.used = o.used.plus(needs, 1)
 	o.runs[key] = struct{}{}
 	o.steps[key.Task.stepRef()]++
 }
 
-// vacate counts a handle out on its worker.
-func (t *Table) vacate(worker string, key RunKey, needs Resources) {
-	o := t.occupancy[worker]
+// vacate removes a handle from its worker's occupancy.
+func (x *indexes) vacate(worker string, key RunKey, needs Resources) {
+	o := x.occupancy[worker]
 	delete(o.runs, key)
 	if len(o.runs) == 0 {
-		delete(t.occupancy, worker)
+		delete(x.occupancy, worker)
 		return
 	}
 	o.used = o.used.plus(needs, -1)
@@ -106,30 +129,16 @@
 	}
 }
 
-// plus gives r and times as much as needs.
-func (r Resources) plus(needs Resources, times int) Resources {
-	return Resources{
-		MilliCPU: r.MilliCPU + times*needs.MilliCPU,
-		MemoryMB: r.MemoryMB + times*needs.MemoryMB,
-		GPUs:     r.GPUs + times*needs.GPUs,
-	}
-}
-
-// fitsIn tells whether r is no more than capacity in any kind.
-func (r Resources) fitsIn(capacity Resources) bool {
-	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB && r.GPUs <= capacity.GPUs
-}
-
 // retiredJobs is a heap of jobs by end, then by acceptance.
 type retiredJobs []*Job
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (r retiredJobs) Len() int { return len(r) }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (r retiredJobs) Swap(i, k int) { r[i], r[k] = r[k], r[i] }
 
-// Less orders jobs by their end, then by their acceptance; part of heap.Interface.
+// Less orders jobs by their end, then by their acceptance; it implements heap.Interface.
 func (r retiredJobs) Less(i, k int) bool {
 	if r[i].EndedAt.Equal(r[k].EndedAt) {
 		return r[i].Sequence < r[k].Sequence
@@ -137,10 +146,10 @@
 	return r[i].EndedAt.Before(r[k].EndedAt)
 }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (r *retiredJobs) Push(job any) { *r = append(*r, job.(*Job)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (r *retiredJobs) Pop() any {
 	last := len(*r) - 1
 	job := (*r)[last]
--- a/internal/jobs/payment.go
+++ b/internal/jobs/payment.go
@@ -11,32 +11,43 @@
 // Party pays for the runs of queues, out of the account of its name.
 type Party struct {
 	Name   string        `json:"name"`
-	Queues []string      `json:"queues"`
+	Queues []string      `json:"queues"` // no queue is in two parties
 	Price  account.Price `json:"price"`
 	Window time.Duration `json:"window"` // that each start pays in advance
 }
 
-// Payments are the accounts that runs are paid from. All calls are at the time of the change that makes them.
+// Payments are the accounts that runs are paid from. The table calls them while it makes a change, and each call is as
+// of the time of that change.
 type Payments interface {
-	// Covers tells whether a party's balance holds a cost.
+	// Covers reports whether a party's balance covers a cost.
 	Covers(party string, cost int64) bool
-	// Reserve sets the first window of a run aside; a refusal changes nothing.
+	// Reserve reserves the first window of a run; a refusal changes nothing.
 	Reserve(charge account.Charge) error
-	// Debit draws the time of a run that is over. A run without a reservation is none of its.
+	// Debit debits the time of a run that ended. A run without a reservation is ignored.
 	Debit(run string)
-	// Refund gives the open window of a lost run back.
+	// Refund returns the open window of a lost run. A run without a reservation is ignored.
 	Refund(run string)
 }
 
-// SetParties says who pays for which queues from now on. Nobody pays until it is called.
+// SetParties sets who pays for which queues from now on. Nobody pays until it is applied.
 type SetParties struct {
 	Parties []Party `json:"parties"`
 }
 
-// SetParties puts other parties in force; runs that are out go on as they were reserved. Failure: Invalid.
+// SetParties puts other parties in force; runs that have a handle go on as they were reserved. Failure: Invalid.
 func (t *Table) SetParties(c SetParties) error {
+	if err := validateParties(c.Parties); err != nil {
+		return errs.Pass(err, "set")
+	}
+	t.Parties = c.Parties
+	t.indexParties()
+	t.notify(ConfigChanged, "")
+	return nil
+}
+
+func validateParties(parties []Party) error {
 	queues := map[string]string{}
-	for i, p := range c.Parties {
+	for i, p := range parties {
 		at := fmt.Sprintf("parties[%d]", i)
 		switch {
 		case p.Name == "":
@@ -53,36 +64,24 @@
 			queues[queue] = p.Name
 		}
 	}
-	t.Parties = c.Parties
-	t.indexParties()
-	t.notify(ConfigChanged, "")
 	return nil
 }
 
-func (t *Table) indexParties() {
-	t.partyByQueue = map[string]*Party{}
-	for i := range t.Parties {
-		for _, queue := range t.Parties[i].Queues {
-			t.partyByQueue[queue] = &t.Parties[i]
-		}
-	}
-}
-
-// Covers tells whether a party's balance holds a cost. Without accounts it holds none.
+// Covers reports whether a party's balance covers a cost. Without accounts it covers none.
 func (t *Table) Covers(party *Party, cost int64) bool {
 	return cost == 0 || t.Payments != nil && t.Payments.Covers(party.Name, cost)
 }
 
-// PartyOf gives the party that pays for a job; nil if nobody does.
+// PartyOf returns the party that pays for a job; nil if nobody does.
 func (t *Table) PartyOf(job *Job) *Party {
 	if len(t.Parties) == 0 {
 		return nil
 	}
-	return t.partyByQueue[job.Spec.Queue]
+	return t.indexes.partyByQueue[job.Spec.Queue]
 }
 
-// Fee is what the start of a task needs on its party's balance: the price of a window, nothing if nobody pays, or for a
-// lasting task that ran before, which stays attached also when its party is dry.
+// Fee is what the start of a task reserves on its party's balance: the price of a window; nothing if nobody pays, or
+// for a restart of a long-running task, which goes on even when its party's balance is exhausted.
 func (t *Table) Fee(job *Job, ref TaskRef) int64 {
 	party := t.PartyOf(job)
 	if party == nil || job.isRestart(ref) {
@@ -91,16 +90,19 @@
 	return party.rate(&job.Spec.Steps[ref.Step]).Cost(party.Window)
 }
 
+// rate is what a run of a step costs the party.
 func (p *Party) rate(step *Step) account.Rate {
-	return p.Price.Rate(account.Needs{MilliCPU: step.Needs.MilliCPU, MemoryMB: step.Needs.MemoryMB, GPUs: step.Needs.GPUs})
+	return p.Price.Rate(account.Needs{
+		MilliCPU: step.Needs.MilliCPU, MemoryMB: step.Needs.MemoryMB, GPUs: step.Needs.GPUs,
+	})
 }
 
-// isRestart tells whether a task is a lasting one that ran before.
+// isRestart reports whether a task is a long-running one that ran before.
 func (j *Job) isRestart(ref TaskRef) bool {
 	return j.Spec.Steps[ref.Step].LongRunning && j.Rounds[ref.Round][ref.Step][ref.Index].LastRun > 0
 }
 
-// isCovered tells whether the balance of a job's party holds what the starts of a group need together.
+// isCovered reports whether the balance of a job's party covers the starts of a group together.
 func (t *Table) isCovered(job *Job, starts []Start, group []int) bool {
 	party := t.PartyOf(job)
 	if party == nil {
@@ -118,21 +120,23 @@
 	return fmt.Sprintf("j%q/%d/%d/%d#%d", k.Task.Job, k.Task.Round, k.Task.Step, k.Task.Index, k.Number)
 }
 
-// reserve sets the first window of a run aside that was just found covered, with the others of its group. What needs no
-// balance, as a lasting task that ran before, runs for nothing if its party has no account.
+// reserve reserves the first window of a run that was just found covered with the others of its group. The restart of a
+// long-running task whose party has no account is not paid for.
 func (t *Table) reserve(job *Job, key RunKey) {
 	party := t.PartyOf(job)
 	if party == nil || t.Payments == nil {
 		return
 	}
-	err := t.Payments.Reserve(account.Charge{Run: key.RunName(), Account: party.Name,
-		Rate: party.rate(&job.Spec.Steps[key.Task.Step]), Window: party.Window, Granted: true})
+	err := t.Payments.Reserve(account.Charge{
+		Run: key.RunName(), Account: party.Name, Rate: party.rate(&job.Spec.Steps[key.Task.Step]),
+		Window: party.Window, Granted: true,
+	})
 	if err != nil && !errs.Is(err, errs.Unknown) {
-		panic(err) // the run has a reservation: run numbers are never given twice
+		panic(err) // the run has a reservation: but run numbers are never reused
 	}
 }
 
-// closeReservation settles the reservation of a run whose handle goes, or gives its open window back if the run was lost.
+// closeReservation debits the time of a run whose handle is released, or refunds its open window if the run was lost.
 func (t *Table) closeReservation(key RunKey, reason EndReason) {
 	switch {
 	case t.Payments == nil:
--- a/internal/jobs/payment_test.go
+++ b/internal/jobs/payment_test.go
@@ -128,8 +128,8 @@
 	})
 }
 
-// Whatever is started and ended in whatever order, reservations and handles stay one to one, and no start passes that the
-// balance did not cover.
+// Whatever is started and ended in whatever order, reservations and handles stay one to one, and no start passes that
+// the balance did not cover.
 func TestPaidHistories(t *testing.T) {
 	Convey("Reservations are those of the handles that are out", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
--- /dev/null
+++ b/internal/jobs/progress_end.go
@@ -0,0 +1,81 @@
+package jobs
+
+import "time"
+
+// recordEnd removes the handle of a run that ended, with all that follows for its task and job; false if there is no
+// such handle.
+func (t *Table) recordEnd(end End, at time.Time) bool {
+	ref := end.Key.Task
+	job, task := t.findTask(ref)
+	if task == nil || !t.releaseHandle(job, task, end) {
+		return false
+	}
+	members := job.members(ref)
+	if end.Checkpoint != "" {
+		for i := range members {
+			members[i].Checkpoint = end.Checkpoint
+		}
+	}
+	switch end.Reason {
+	case EndDone:
+		t.markDone(job, ref, members, at)
+	case EndFailed:
+		t.countFailure(job, task, &members[0], end.Key, at)
+	}
+	if job.State.IsTerminal() && job.Rounds != nil {
+		t.retire(job)
+	}
+	return true
+}
+
+// releaseHandle removes the handle that an end names; false if there is none.
+func (t *Table) releaseHandle(job *Job, task *Task, end End) bool {
+	for i, run := range task.Runs {
+		if run.Number != end.Key.Number || run.Worker != end.Worker {
+			continue
+		}
+		if task.Runs = append(task.Runs[:i:i], task.Runs[i+1:]...); len(task.Runs) == 0 {
+			task.Runs = nil
+		}
+		job.index.handles--
+		t.closeReservation(end.Key, end.Reason)
+		t.indexes.vacate(run.Worker, end.Key, job.Spec.Steps[end.Key.Task.Step].Needs)
+		return true
+	}
+	return false
+}
+
+// markDone makes a task done, with the other members of its gang. The tasks of a long-running step are due again
+// instead.
+func (t *Table) markDone(job *Job, ref TaskRef, members []Task, at time.Time) {
+	if job.Spec.Steps[ref.Step].LongRunning {
+		return
+	}
+	for i := range members {
+		if !members[i].Done {
+			members[i].Done = true
+			job.index.remaining[ref.Round][ref.Step]--
+			job.index.undone--
+		}
+	}
+	t.succeedIfDone(job, at)
+}
+
+// countFailure counts a failure of a task at counter, the task itself or the first member of its gang, and fails the
+// job after the most attempts of its queue. A gang's run counts once, however many of its members report a failure.
+func (t *Table) countFailure(job *Job, task, counter *Task, key RunKey, at time.Time) {
+	step := &job.Spec.Steps[key.Task.Step]
+	if task.Done || job.State.IsTerminal() || step.LongRunning {
+		return
+	}
+	if step.Gang {
+		if key.Number <= counter.FailedRun {
+			return
+		}
+		counter.FailedRun = key.Number
+	}
+	counter.Failures++
+	if queue := t.Config.Queue(job.Spec.Queue); queue != nil && counter.Failures >= queue.MaxAttempts {
+		t.finish(job, Failed, at)
+	}
+}
--- a/internal/jobs/start.go
+++ b/internal/jobs/progress_start.go
@@ -11,8 +11,8 @@
 	number int
 }
 
-// recordStarts records the starts whose preconditions hold, and tells which: those of a gang together or not at all. A
-// job that may not be tried again is given up.
+// recordStarts records the starts whose preconditions hold, those of a gang together or not at all, and returns which
+// were recorded. A job that is found out of attempts fails.
 func (t *Table) recordStarts(term uint64, at time.Time, starts []Start) []bool {
 	if len(starts) == 0 {
 		return nil
@@ -38,8 +38,8 @@
 	return recorded
 }
 
-// failIfOutOfAttempts ends a job of which a task, or a gang, has failed as often as its queue allows. That is found when the last
-// run fails, except while no configuration had the queue, or when a later one allows fewer attempts.
+// failIfOutOfAttempts fails a job of which a task, or a gang, has failed as often as its queue allows. That is noticed
+// when the last run fails, except while no configuration had the queue, or when a later one allows fewer attempts.
 func (t *Table) failIfOutOfAttempts(job *Job, ref TaskRef, at time.Time) bool {
 	queue := t.Config.Queue(job.Spec.Queue)
 	failures := job.members(ref)[0].Failures
@@ -51,7 +51,7 @@
 	return true
 }
 
-// gangRuns gives the positions of the starts of each run of a gang.
+// gangRuns returns the positions of the starts of each run of a gang.
 func (t *Table) gangRuns(starts []Start) map[gangRun][]int {
 	var gangs map[gangRun][]int
 	for i, start := range starts {
@@ -68,10 +68,12 @@
 	return gangs
 }
 
-// mayStart tells whether all starts of a group, one task or one run of a gang, may be recorded together.
+// mayStart reports whether all starts of a group, one task or one run of a gang, may be recorded together. group holds
+// their positions.
 func (t *Table) mayStart(job *Job, starts []Start, group []int) bool {
 	first := starts[group[0]].Task
-	if job.State.IsTerminal() || len(group) != len(job.members(first)) || !t.IsStepReady(job, first.Round, first.Step) {
+	isWhole := len(group) == len(job.members(first))
+	if job.State.IsTerminal() || !isWhole || !t.IsStepReady(job, first.Round, first.Step) {
 		return false
 	}
 	members := map[int]bool{}
@@ -91,7 +93,7 @@
 	return true
 }
 
-// canAccept tells whether a worker may be given so many more runs of a step.
+// canAccept reports whether so many more runs of a step may be placed on a worker.
 func (t *Table) canAccept(id string, job *Job, ref stepRef, runs int) bool {
 	worker := t.Workers[id]
 	queue := t.Config.Queue(job.Spec.Queue)
@@ -114,15 +116,16 @@
 	return t.Used(id).plus(step.Needs, runs).fitsIn(worker.Capacity)
 }
 
-// recordStart makes the handle of a start that may be recorded.
+// recordStart records the handle of a start that may be recorded.
 func (t *Table) recordStart(job *Job, start Start, term uint64) {
 	ref := start.Task
+	key := RunKey{Task: ref, Number: start.Number}
 	task := &job.Rounds[ref.Round][ref.Step][ref.Index]
-	t.reserve(job, RunKey{Task: ref, Number: start.Number})
+	t.reserve(job, key)
 	task.LastRun = start.Number
 	task.Runs = []Run{{Number: start.Number, Worker: start.Worker, Term: term}}
 	job.index.handles++
-	t.occupy(start.Worker, RunKey{Task: ref, Number: start.Number}, job.Spec.Steps[ref.Step].Needs)
+	t.indexes.occupy(start.Worker, key, job.Spec.Steps[ref.Step].Needs)
 	if job.State == Queued {
 		t.setState(job, Running)
 	}
--- /dev/null
+++ b/internal/jobs/resources.go
@@ -0,0 +1,22 @@
+package jobs
+
+// Resources are what a task takes on a worker, or what a worker has.
+type Resources struct {
+	MilliCPU int `json:"c,omitempty"` // thousandths of a core
+	MemoryMB int `json:"m,omitempty"`
+	GPUs     int `json:"g,omitempty"`
+}
+
+// plus returns r and times as much as needs.
+func (r Resources) plus(needs Resources, times int) Resources {
+	return Resources{
+		MilliCPU: r.MilliCPU + times*needs.MilliCPU,
+		MemoryMB: r.MemoryMB + times*needs.MemoryMB,
+		GPUs:     r.GPUs + times*needs.GPUs,
+	}
+}
+
+// fitsIn reports whether r is no more than capacity in any kind.
+func (r Resources) fitsIn(capacity Resources) bool {
+	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB && r.GPUs <= capacity.GPUs
+}
--- /dev/null
+++ b/internal/jobs/submit.go
@@ -0,0 +1,58 @@
+package jobs
+
+import (
+	"fmt"
+	"time"
+
+	"crosstide/internal/errs"
+)
+
+// Submit accepts a job. The same ID with the same digest is the same job.
+type Submit struct {
+	Spec   Spec      `json:"spec"`
+	Digest string    `json:"digest"`
+	At     time.Time `json:"at"`
+}
+
+// Submit accepts a job, or finds it if it was accepted before. Failures: Conflict (the ID is another job's), Unknown
+// (no such queue), Invalid (a step cannot be built).
+func (t *Table) Submit(c Submit) (JobState, error) {
+	if job := t.Jobs[c.Spec.ID]; job != nil {
+		if job.Digest != c.Digest {
+			return "", errs.Field(errs.Conflict, "id", "%q is the ID of another job", c.Spec.ID)
+		}
+		return job.State, nil
+	}
+	if t.Config.Queue(c.Spec.Queue) == nil {
+		return "", errs.Field(errs.Unknown, "queue", "no queue %q", c.Spec.Queue)
+	}
+	if err := validateSteps(c.Spec.Steps); err != nil {
+		return "", errs.Pass(err, "job %q", c.Spec.ID)
+	}
+	t.Sequence++
+	job := &Job{
+		Spec: c.Spec, Digest: c.Digest, State: Queued, Sequence: t.Sequence, AcceptedAt: c.At,
+		Rounds: newRounds(&c.Spec),
+	}
+	t.Jobs[c.Spec.ID] = job
+	t.indexJob(job)
+	t.succeedIfDone(job, c.At) // only a job without tasks
+	t.notify(JobChanged, c.Spec.ID)
+	return job.State, nil
+}
+
+// validateSteps refuses steps that the table could not hold. Failure: Invalid.
+func validateSteps(steps []Step) error {
+	for i, step := range steps {
+		if step.Count < 0 {
+			return errs.Field(errs.Invalid, fmt.Sprintf("steps[%d].count", i),
+				"must not be negative, is %d", step.Count)
+		}
+		for _, before := range step.After {
+			if before < 0 || before >= i {
+				return errs.Field(errs.Invalid, fmt.Sprintf("steps[%d].after", i), "%d is no earlier step", before)
+			}
+		}
+	}
+	return nil
+}
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -7,59 +7,36 @@
 	"crosstide/internal/errs"
 )
 
-// MaxOrders is how many digests of configuration orders are remembered, the newest.
-const MaxOrders = 1024
-
-// Table is the replicated table. It has no lock: its owner has.
+// Table is the replicated table of the jobs deployment. It has no lock: the store owns it and serializes all access.
+// The order of the fields is the order of the keys in snapshots.
 type Table struct {
-	Jobs      map[string]*Job    `json:"jobs"`
-	Workers   map[string]*Worker `json:"workers"`
-	Config    Config             `json:"config"`
-	Evacuated map[string]bool    `json:"evacuated,omitempty"` // zones being evacuated
+	Jobs      map[string]*Job    `json:"jobs"`                // by ID, until Purge
+	Workers   map[string]*Worker `json:"workers"`             // by ID, until Progress.Forget
+	Config    Config             `json:"config"`              // in force
+	Evacuated map[string]bool    `json:"evacuated,omitempty"` // zones being evacuated; no false values
 	Sequence  uint64             `json:"seq"`                 // of the newest accepted job
-	Term      uint64             `json:"term"`                // of the newest Progress
-	Orders    []string           `json:"orders,omitempty"`    // digests of configuration orders taken, oldest first
-
-	Parties []Party `json:"parties,omitempty"` // who pays for which queues; none: nobody
+	Term      uint64             `json:"term"`                // of the newest Progress; never goes back
+	Orders    []string           `json:"orders,omitempty"`    // digests of accepted Configure orders, oldest first
+	Parties   []Party            `json:"parties,omitempty"`   // who pays for which queues; none: nobody pays
 
-	// OnEvent is told of each change after it was made; it must not change the table.
+	// OnEvent is called after each change, on the goroutine that applies the entry; it must not change the table. Nil: no
+	// one is notified.
 	OnEvent func(Event) `json:"-"`
-	// Payments are the accounts that Parties pay from; nil until there is one. They are set by the table's owner.
-	Payments Payments `json:"-"`
-
-	partyByQueue map[string]*Party     // Parties by queue
-	orders       map[string]struct{}   // Orders as a set
-	queued       map[string]int        // queued jobs by queue
-	occupancy    map[string]*occupancy // what handles take, by worker ID; none for a worker without handles
-	retired      retiredJobs           // jobs that are over and have no handle out, oldest end first
-}
-
-// EventKind says what a Note is about.
-type EventKind uint8
 
-// The kinds of notes. A job that was dropped is told as changed too.
-const (
-	JobChanged    EventKind = iota + 1 // a job came, changed or was dropped (its ID)
-	WorkerChanged                      // the record of a worker came or changed (its ID)
-	WorkerGone                         // a worker was forgotten (its ID)
-	ConfigChanged                      // another configuration is in force
-	ZonesChanged                       // an evacuation was started or withdrawn (the zone)
-)
+	// Payments are the accounts that Parties pay from; nil until there is one. The table's owner sets them.
+	Payments Payments `json:"-"`
 
-// Event is a change that the watcher is told of.
-type Event struct {
-	Kind EventKind
-	Name string
+	indexes indexes
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{}
 	t.Rebuild()
 	return t
 }
 
-// Encode gives the table as JSON, the same bytes for the same table.
+// Encode returns the table as JSON, the same bytes for the same table.
 func (t *Table) Encode() ([]byte, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
@@ -68,7 +45,7 @@
 	return data, nil
 }
 
-// UnmarshalJSON replaces the table by what Encode gave. Watch and Payments stay.
+// UnmarshalJSON replaces the table by what Encode wrote. OnEvent and Payments stay. Failure: Damaged.
 func (t *Table) UnmarshalJSON(data []byte) error {
 	type plain Table // without this method
 	var decoded plain
@@ -80,9 +57,3 @@
 	t.Rebuild()
 	return nil
 }
-
-func (t *Table) notify(kind EventKind, name string) {
-	if t.OnEvent != nil {
-		t.OnEvent(Event{Kind: kind, Name: name})
-	}
-}
--- /dev/null
+++ b/internal/jobs/worker.go
@@ -0,0 +1,55 @@
+package jobs
+
+import "slices"
+
+// Worker is what is durable of a worker: one incarnation of it, under an ID that is never reused. A stored Worker is
+// never changed, only replaced (Register).
+type Worker struct {
+	ID       string    `json:"id"`
+	Address  string    `json:"addr"`
+	Service  string    `json:"service"`
+	Zone     string    `json:"zone"`
+	Rack     string    `json:"rack,omitempty"`
+	Labels   []string  `json:"labels,omitempty"`
+	Capacity Resources `json:"cap"`
+	Draining bool      `json:"draining,omitempty"` // never withdrawn
+	Left     bool      `json:"left,omitempty"`     // it reported that it ends; never withdrawn
+}
+
+// Register records workers that are new or have changed.
+type Register struct {
+	Workers []Worker `json:"workers"`
+}
+
+// Register records workers that are new or have changed. One that drains or has left never comes back under its ID.
+func (t *Table) Register(c Register) error {
+	for _, worker := range c.Workers {
+		old := t.Workers[worker.ID]
+		if old != nil {
+			worker.Draining = worker.Draining || old.Draining
+			worker.Left = worker.Left || old.Left
+			if old.equal(&worker) {
+				continue
+			}
+		}
+		t.Workers[worker.ID] = &worker
+		t.notify(WorkerChanged, worker.ID)
+	}
+	return nil
+}
+
+func (w *Worker) equal(other *Worker) bool {
+	return w.ID == other.ID && w.Address == other.Address && w.Service == other.Service && w.Zone == other.Zone &&
+		w.Rack == other.Rack && w.Capacity == other.Capacity && w.Draining == other.Draining && w.Left == other.Left &&
+		slices.Equal(w.Labels, other.Labels)
+}
+
+// dropWorkers deletes the records of workers that have no handle.
+func (t *Table) dropWorkers(ids []string) {
+	for _, id := range ids {
+		if t.Workers[id] != nil && t.indexes.occupancy[id] == nil {
+			delete(t.Workers, id)
+			t.notify(WorkerGone, id)
+		}
+	}
+}
