--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -19,8 +19,8 @@
 	Orders    []string           `json:"orders,omitempty"`    // digests of accepted Configure orders, oldest first
 	Parties   []Party            `json:"parties,omitempty"`   // who pays for which queues; none: nobody pays
 
-	// OnEvent is called after each change, on the goroutine that applies the entry; it must not change the table. Nil: no
-	// one is notified.
+	// OnEvent is called after each change, on the goroutine that applies the entry; it must not change the table. Nil:
+	// no one is notified.
 	OnEvent func(Event) `json:"-"`
 
 	// Payments are the accounts that Parties pay from; nil until there is one. The table's owner sets them.
