--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"math/big"
 	"strings"
@@ -18,10 +17,10 @@
 // start is when the tests' clocks begin.
 var start = time.Unix(1_700_000_000, 0).UTC()
 
-// after gives the time so many milliseconds after the start.
+// after is the time so many milliseconds after the start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// funded is a book with one account, "acme", of so many units.
+// funded returns a table with one account, "acme", of so many units.
 func funded(amount int64) *Table {
 	b := NewTable()
 	So(b.Create("acme", 0), ShouldBeNil)
@@ -35,43 +34,43 @@
 	return Charge{Run: run, Account: "acme", Rate: 10_000, Window: 10 * time.Second}
 }
 
-// figures are balance, reserved and spent.
-func figures(b *Table) [3]int64 {
+// sums are balance, reserved and spent.
+func sums(b *Table) [3]int64 {
 	a := b.Accounts["acme"]
 	return [3]int64{a.Balance, a.Reserved, a.Spent}
 }
 
-func TestRun(t *testing.T) {
+func TestReservations(t *testing.T) {
 	Convey("A run reserves its window and pays its time, rounded up once", t, func() {
 		b := funded(250)
 		So(b.Reserve(charge("1"), start), ShouldBeNil)
-		So(figures(b), ShouldEqual, [3]int64{150, 100, 0})
+		So(sums(b), ShouldEqual, [3]int64{150, 100, 0})
 		So(errs.KindOf(b.Reserve(charge("1"), start)), ShouldEqual, errs.Conflict)
 		So(b.Reserve(charge("2"), start), ShouldBeNil)
 		err := b.Reserve(charge("3"), start)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		So(err.Error(), ShouldContainSubstring, "has 50, a start reserves 100")
 		b.Debit("1", after(1201)) // 12.01 units
-		So(figures(b), ShouldEqual, [3]int64{137, 100, 13})
+		So(sums(b), ShouldEqual, [3]int64{137, 100, 13})
 		So(b.Reserve(charge("3"), after(1300)), ShouldBeNil)
 		b.Refund("2")
 		b.Debit("2", after(9000)) // it is gone: nothing
 		b.Refund("nobody")
-		So(figures(b), ShouldEqual, [3]int64{137, 100, 13})
+		So(sums(b), ShouldEqual, [3]int64{137, 100, 13})
 		So(b.Check(), ShouldBeNil)
 	})
 	Convey("A run that outlives its window has it drawn and the next one reserved, also below zero", t, func() {
 		b := funded(150)
 		So(b.Reserve(charge("1"), start), ShouldBeNil)
 		b.Renew(after(9_999))
-		So(figures(b), ShouldEqual, [3]int64{50, 100, 0})
+		So(sums(b), ShouldEqual, [3]int64{50, 100, 0})
 		b.Renew(after(10_000))
-		So(figures(b), ShouldEqual, [3]int64{-50, 100, 100})
+		So(sums(b), ShouldEqual, [3]int64{-50, 100, 100})
 		b.Renew(after(35_000)) // two windows at once
-		So(figures(b), ShouldEqual, [3]int64{-250, 100, 300})
+		So(sums(b), ShouldEqual, [3]int64{-250, 100, 300})
 		So(b.Accounts["acme"].Ledger.Head.Number, ShouldEqual, 3)
 		b.Refund("1") // lost: what was drawn stays drawn
-		So(figures(b), ShouldEqual, [3]int64{-150, 0, 300})
+		So(sums(b), ShouldEqual, [3]int64{-150, 0, 300})
 		So(b.Covers("acme", 0), ShouldBeFalse)
 		_, err := b.TopUp("acme", "second", 250, after(40_000))
 		So(err, ShouldBeNil)
@@ -79,12 +78,12 @@
 		So(b.Covers("acme", 101), ShouldBeFalse)
 		So(b.Check(), ShouldBeNil)
 	})
-	Convey("A lasting task that ran before is reserved whatever the balance is; without an account nothing is", t, func() {
+	Convey("The restart of a long-running task is reserved whatever the balance is; without an account nothing is", t, func() {
 		b := funded(50)
 		again := charge("1")
 		again.Granted = true
 		So(b.Reserve(again, start), ShouldBeNil)
-		So(figures(b), ShouldEqual, [3]int64{-50, 100, 0})
+		So(sums(b), ShouldEqual, [3]int64{-50, 100, 0})
 		again.Account = "other"
 		So(errs.KindOf(b.Reserve(again, start)), ShouldEqual, errs.Unknown)
 		var none *Table
@@ -226,157 +225,6 @@
 	})
 }
 
-// history drives a book by drawn events and keeps its own sums.
-type history struct {
-	*rapid.T
-	table  *Table
-	now    time.Time
-	topUps map[string]int64 // by account and key
-	runs   map[string]Charge
-	began  map[string]time.Time
-	next   int
-}
-
-func (h *history) event() {
-	h.now = h.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(h.T, "ms")) * time.Millisecond)
-	h.table.Renew(h.now)
-	name := rapid.SampledFrom([]string{"a", "b", "none"}).Draw(h.T, "account")
-	switch rapid.IntRange(0, 5).Draw(h.T, "event") {
-	case 0:
-		h.topUp(name)
-	case 1, 2, 3:
-		h.reserve(name)
-	case 4:
-		if run := h.anyRun(); run != "" {
-			h.settle(run)
-		}
-	default:
-		if run := h.anyRun(); run != "" {
-			h.table.Refund(run)
-			delete(h.runs, run)
-		}
-	}
-}
-
-func (h *history) topUp(name string) {
-	key := fmt.Sprint("k", rapid.IntRange(0, 20).Draw(h.T, "key"))
-	amount := rapid.Int64Range(1, 3).Draw(h.T, "amount") * 100
-	_, err := h.table.TopUp(name, key, amount, h.now)
-	before, known := h.topUps[name+key]
-	switch {
-	case name == "none":
-		if errs.KindOf(err) != errs.Unknown {
-			h.Fatalf("%v", err)
-		}
-	case known && before != amount:
-		if errs.KindOf(err) != errs.Conflict {
-			h.Fatalf("key %s of %d again with %d: %v", key, before, amount, err)
-		}
-	case err != nil:
-		h.Fatalf("%v", err)
-	default:
-		h.topUps[name+key] = amount
-	}
-}
-
-func (h *history) reserve(name string) {
-	h.next++
-	c := Charge{Run: fmt.Sprint("r", h.next), Account: name, Rate: Rate(rapid.Int64Range(0, 20_000).Draw(h.T, "rate")),
-		Window: time.Duration(rapid.IntRange(1, 8000).Draw(h.T, "window")) * time.Millisecond, Granted: rapid.IntRange(0, 9).Draw(h.T, "attached") == 0}
-	covered := name != "none" && h.table.Accounts[name].Balance >= c.Rate.Cost(c.Window)
-	err := h.table.Reserve(c, h.now)
-	if (err == nil) != (covered || c.Granted && name != "none") {
-		h.Fatalf("covered %v, attached %v: %v", covered, c.Granted, err)
-	}
-	if err == nil {
-		h.runs[c.Run], h.began[c.Run] = c, h.now
-		if !c.Granted && h.table.Accounts[name].Balance < 0 {
-			h.Fatalf("a start drew account %s to %d", name, h.table.Accounts[name].Balance)
-		}
-	}
-}
-
-// settle checks that a run pays exactly its time.
-func (h *history) settle(run string) {
-	c := h.runs[run]
-	a := h.table.Accounts[c.Account]
-	drawn := h.table.Reservations[run].Drawn
-	spent := a.Spent
-	h.table.Debit(run, h.now)
-	if paid, want := drawn+a.Spent-spent, c.Rate.Cost(h.now.Sub(h.began[run])); paid != want {
-		h.Fatalf("%s paid %d for %s, want %d", run, paid, h.now.Sub(h.began[run]), want)
-	}
-	delete(h.runs, run)
-}
-
-// anyRun draws one of those that are out.
-func (h *history) anyRun() string {
-	var open []string
-	for i := 1; i <= h.next; i++ {
-		if _, ok := h.runs[fmt.Sprint("r", i)]; ok {
-			open = append(open, fmt.Sprint("r", i))
-		}
-	}
-	if len(open) == 0 {
-		return ""
-	}
-	return rapid.SampledFrom(open).Draw(h.T, "run")
-}
-
-// judge checks what must hold after every event.
-func (h *history) judge() {
-	if err := h.table.Check(); err != nil {
-		h.Fatalf("%v", err)
-	}
-	sums := map[string]int64{}
-	for key, amount := range h.topUps {
-		sums[key[:1]] += amount
-	}
-	for name, a := range h.table.Accounts {
-		if a.ToppedUp != sums[name] {
-			h.Fatalf("account %s was topped up with %d, has %d", name, sums[name], a.ToppedUp)
-		}
-	}
-	for run, r := range h.table.Reservations {
-		if _, out := h.runs[run]; !out || !r.Until.After(h.now) || r.Until.Sub(h.now) > r.Window {
-			h.Fatalf("reservation of %s until %s at %s", run, r.Until, h.now)
-		}
-	}
-	if len(h.runs) != len(h.table.Reservations) {
-		h.Fatalf("%d runs, %d reservations", len(h.runs), len(h.table.Reservations))
-	}
-}
-
-func TestRandomHistories(t *testing.T) {
-	Convey("Whatever happens in whatever order, nothing is lost or doubled, and a copy goes on the same", t, func() {
-		rapid.Check(t, func(t *rapid.T) {
-			h := &history{T: t, table: NewTable(), now: start, topUps: map[string]int64{}, runs: map[string]Charge{}, began: map[string]time.Time{}}
-			must(h.table.Create("a", 0))
-			must(h.table.Create("b", 0))
-			for range rapid.IntRange(1, 80).Draw(t, "events") {
-				h.event()
-				h.judge()
-				h.table = decodedCopy(t, h.table) // the next event is applied to what came from its bytes
-			}
-		})
-	})
-}
-
-// decodedCopy gives the book that comes from a book's bytes; its own bytes must be the same.
-func decodedCopy(t *rapid.T, b *Table) *Table {
-	data, err := json.Marshal(b)
-	must(err)
-	back := &Table{}
-	must(json.Unmarshal(data, back))
-	back.Rebuild()
-	again, err := json.Marshal(back)
-	must(err)
-	if !bytes.Equal(data, again) {
-		t.Fatalf("%s\n%s", data, again)
-	}
-	return back
-}
-
 func BenchmarkRun(b *testing.B) {
 	table := NewTable()
 	must(table.Create("acme", 0))
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -2,30 +2,27 @@
 
 import (
 	"crypto/sha256"
-	"encoding/csv"
 	"encoding/hex"
 	"fmt"
-	"io"
 	"slices"
-	"strconv"
 	"time"
 
 	"crosstide/internal/errs"
 )
 
-// KeepEntries is how many of the newest entries of an account a compaction leaves. It is made at twice as many.
+// KeepEntries is how many of the newest entries a compaction leaves. The ledger is compacted at twice as many.
 const KeepEntries = 256
 
-// EntryKind says what an entry of a ledger is about.
+// EntryKind is the kind of a ledger's entry.
 type EntryKind string
 
-// The kinds of entries.
+// The kinds of entries. The strings are stored, and part of the hashes.
 const (
 	EntryTopUp EntryKind = "top-up" // Amount was added; Key is its idempotency key
-	EntryDraw  EntryKind = "draw"   // Amount was spent; Key is the run, Part counts the draws of it from 0
+	EntryDraw  EntryKind = "draw"   // Amount was spent; Key is the run, DrawIndex counts its draws from 0
 )
 
-// Entry is one entry of an account's ledger. Key and Part stand in one entry at most.
+// Entry is one entry of an account's ledger. No two draws have the same Key and DrawIndex.
 type Entry struct {
 	Number    uint64    `json:"n"` // from 1 on, without gaps
 	At        time.Time `json:"at"`
@@ -35,9 +32,10 @@
 	Amount    int64     `json:"u"`
 }
 
-// hash is the hash of the chain up to this entry, in hex; before is that up to the entry before.
+// hash is the hash of the chain up to this entry, in hex; before is the hash up to the previous entry.
 func (e *Entry) hash(before string) string {
-	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n", before, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
+	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n",
+		before, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
@@ -50,7 +48,7 @@
 	Hash     string `json:"hash,omitempty"` // of the chain, in hex; "" before the first entry
 }
 
-// add gives the sum with one more entry. Failure: Damaged, if it does not follow.
+// add returns the sum with one more entry. Failure: Damaged (it does not follow, or is of no known kind).
 func (c Checkpoint) add(e *Entry) (Checkpoint, error) {
 	if e.Number != c.Number+1 {
 		return c, errs.New(errs.Damaged, "entry %d follows entry %d", e.Number, c.Number)
@@ -67,7 +65,7 @@
 	return c, nil
 }
 
-// Ledger is an account's entries: Base stands for those that were compacted, Head sums up all.
+// Ledger is an account's entries: Base is the sum of those that were compacted, Head the sum of all.
 type Ledger struct {
 	Base    Checkpoint `json:"base"`
 	Entries []Entry    `json:"entries,omitempty"` // oldest first
@@ -96,7 +94,7 @@
 	l.Entries = slices.Clone(l.Entries[n:])
 }
 
-// Verify adds the entries up from the base; what comes out must be the head. Failure: Damaged.
+// Verify reports whether the entries add up from the base to the head. Failure: Damaged.
 func (l *Ledger) Verify() error {
 	sum := l.Base
 	for i := range l.Entries {
@@ -112,7 +110,7 @@
 	return nil
 }
 
-// Since gives the entries after a number, oldest first, at most limit; those that were compacted are left out.
+// Since returns the entries after a number, oldest first, at most limit; compacted ones are missing.
 func (l *Ledger) Since(number uint64, limit int) []Entry {
 	from := len(l.Entries)
 	for i := range l.Entries {
@@ -123,31 +121,3 @@
 	}
 	return slices.Clone(l.Entries[from:min(len(l.Entries), from+limit)])
 }
-
-// WriteCSV writes the ledger: a row for the base, one for each entry, one for the head. Failure: Disk.
-func (l *Ledger) WriteCSV(to io.Writer) error {
-	out := csv.NewWriter(to)
-	rows := [][]string{{"number", "at", "kind", "key", "part", "amount", "topped_up", "spent", "hash"}}
-	sum := l.Base
-	rows = append(rows, sum.row("base"))
-	for i := range l.Entries {
-		e := &l.Entries[i]
-		next, err := sum.add(e)
-		if err != nil {
-			return errs.Pass(err, "export")
-		}
-		sum = next
-		rows = append(rows, []string{number(e.Number), e.At.UTC().Format(time.RFC3339Nano), string(e.Kind), e.Key,
-			strconv.Itoa(e.DrawIndex), units(e.Amount), units(sum.ToppedUp), units(sum.Spent), sum.Hash})
-	}
-	rows = append(rows, l.Head.row("head"))
-	return errs.Wrap(out.WriteAll(rows), errs.Disk, "write the ledger")
-}
-
-func (c Checkpoint) row(kind string) []string {
-	return []string{number(c.Number), "", kind, "", "", "", units(c.ToppedUp), units(c.Spent), c.Hash}
-}
-
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
-
-func units(n int64) string { return strconv.FormatInt(n, 10) }
--- /dev/null
+++ b/internal/account/reservation.go
@@ -0,0 +1,96 @@
+package account
+
+import (
+	"container/heap"
+	"time"
+
+	"crosstide/internal/errs"
+)
+
+// Reservation is what is reserved for a run: the price of its open window, which ends at Until.
+type Reservation struct {
+	Account string        `json:"a"`
+	Rate    Rate          `json:"r"`
+	Window  time.Duration `json:"w"`
+	Start   time.Time     `json:"s"`           // of the run
+	Until   time.Time     `json:"u"`           // Start plus a whole number of windows
+	Drawn   int64         `json:"d,omitempty"` // for the windows before the open one
+	Draws   int           `json:"p,omitempty"` // number of draws so far
+}
+
+// openCost is the price of the open window. It is the difference of two costs since Start, so that rounding up does not
+// add up over the windows.
+func (r *Reservation) openCost() int64 { return r.Rate.Cost(r.Until.Sub(r.Start)) - r.Drawn }
+
+// Charge asks for the reservation of a run's first window.
+type Charge struct {
+	Run     string // its name, never reused
+	Account string
+	Rate    Rate
+	Window  time.Duration // at least 1 ms
+	// Granted reserves also when the balance does not cover it: the caller has found the starts of a group covered
+	// together, or it is the restart of a long-running task.
+	Granted bool
+}
+
+// cost is the price of the first window.
+func (c *Charge) cost() int64 { return c.Rate.Cost(c.Window) }
+
+// Reserve reserves the first window of a run. Failures: Unknown (no such account), Conflict (the run has a reservation,
+// or the balance does not cover it). A refusal changes nothing.
+func (t *Table) Reserve(c Charge, at time.Time) error {
+	a := t.find(c.Account)
+	switch {
+	case a == nil:
+		return errs.Field(errs.Unknown, "account", "no account %q", c.Account)
+	case t.Reservations[c.Run] != nil:
+		return errs.Field(errs.Conflict, "run", "%q has a reservation", c.Run)
+	case !c.Granted && !a.covers(c.cost()):
+		return errs.Field(errs.Conflict, "balance", "account %q has %d, a start reserves %d",
+			c.Account, a.Balance, c.cost())
+	}
+	r := &Reservation{Account: c.Account, Rate: c.Rate, Window: max(c.Window, time.Millisecond), Start: at}
+	r.Until = at.Add(r.Window)
+	t.Reservations[c.Run] = r
+	heap.Push(&t.renewals, renewal{r.Until, c.Run})
+	a.reserve(r.openCost())
+	a.rate += r.Rate
+	return nil
+}
+
+// Debit ends a run: its time up to at is drawn, and the rest of its reservation released. Without a reservation it does
+// nothing.
+func (t *Table) Debit(run string, at time.Time) {
+	r := t.remove(run)
+	if r == nil {
+		return
+	}
+	a := t.Accounts[r.Account]
+	a.reserve(-r.openCost())
+	a.draw(run, r, r.Rate.Cost(at.Sub(r.Start))-r.Drawn, at)
+}
+
+// Refund ends a run that was lost: its open window is released whole. Without a reservation it does nothing.
+func (t *Table) Refund(run string) {
+	if r := t.remove(run); r != nil {
+		t.Accounts[r.Account].reserve(-r.openCost())
+	}
+}
+
+// remove removes a run's reservation; nil if it has none. What it reserves on the account is for the caller to release.
+func (t *Table) remove(run string) *Reservation {
+	if t == nil {
+		return nil
+	}
+	r := t.Reservations[run]
+	if r == nil {
+		return nil
+	}
+	delete(t.Reservations, run)
+	t.Accounts[r.Account].rate -= r.Rate
+	return r
+}
+
+// HasReservations reports whether any run has a reservation: then the log needs entries, by whose times its windows are
+// renewed.
+func (t *Table) HasReservations() bool { return t != nil && len(t.Reservations) > 0 }
