--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -1,7 +1,6 @@
 package bundle
 
 import (
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -9,7 +8,6 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/errs"
-	"crosstide/internal/signature"
 	"crosstide/internal/state"
 )
 
@@ -18,7 +16,7 @@
 "limits":{"scan":40},"weights":{"parcel":3},"retries":5,"backoff":{"min":"1s","max":"1m"},"hold":"30s"}`
 
 func TestParse(t *testing.T) {
-	Convey("A bundle says what it says; the first text is the state's own first bundle", t, func() {
+	Convey("A bundle is read whole; the initial text is the bundle of a new state", t, func() {
 		b, err := Parse([]byte(fullBundle))
 		So(err, ShouldBeNil)
 		two, five := 2, 5
@@ -34,7 +32,7 @@
 		So(state.New().Bundle, ShouldResemble, first)
 		So(state.New().Head().Digest, ShouldEqual, Digest([]byte(state.InitialBundle)))
 	})
-	Convey("All mistakes are told at once, with their paths", t, func() {
+	Convey("All validation errors are reported at once, with their paths", t, func() {
 		_, err := Parse([]byte(`{"queues":{"a b":{},"q":{"zones":["z1"],"types":[],"hold":"1ms","placement":{"racks":["r 1",7],
 			"near":[{"label":"x","within":"room"}]}}},"limits":{"scan":-1},"weights":{"t":0},"backoff":{"min":"2s","max":"1s"},
 			"operators":[{"name":"o","key":"QQ=="}],"limit":{}}`))
@@ -67,7 +65,7 @@
 }
 
 func TestMerge(t *testing.T) {
-	Convey("A merge patch sets, replaces and takes away, and the difference is told by paths", t, func() {
+	Convey("A merge patch sets, replaces and removes, and the difference is reported by paths", t, func() {
 		next, err := Merge([]byte(fullBundle), []byte(`{"queues":{"scan":{"placement":{"zones":["z2"],"racks":null},"teams":null},"new":{}},"limits":null}`))
 		So(err, ShouldBeNil)
 		b, err := Parse(next)
@@ -87,19 +85,3 @@
 		}
 	})
 }
-
-func TestKeys(t *testing.T) {
-	Convey("A key survives its file, which is not written over, and signs what it signed", t, func() {
-		key, err := signature.New("ada")
-		So(err, ShouldBeNil)
-		path := filepath.Join(t.TempDir(), "ada.json")
-		So(key.Save(path), ShouldBeNil)
-		So(errs.KindOf(key.Save(path)), ShouldEqual, errs.Disk)
-		back, err := signature.Load(path)
-		So(err, ShouldBeNil)
-		So(back, ShouldResemble, key)
-		sig := back.Sign(signature.Bundle(2, "d"))
-		So(signature.Verify(key.Public(), signature.Bundle(2, "d"), sig), ShouldBeTrue)
-		So(signature.Verify(key.Public(), signature.Bundle(3, "d"), sig), ShouldBeFalse)
-	})
-}
--- /dev/null
+++ b/internal/bundle/fields.go
@@ -0,0 +1,96 @@
+package bundle
+
+import (
+	"regexp"
+	"slices"
+
+	"crosstide/internal/config"
+)
+
+// maxCount bounds counts; it catches slips, not odd choices.
+const maxCount = 1 << 30
+
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$`)
+
+// validateName is the rule for a name: what is wrong with it, "" if nothing is.
+func validateName(value string) string {
+	if namePattern.MatchString(value) {
+		return ""
+	}
+	return "must be a name of 1 to 128 of A-Z a-z 0-9 . _ : -, is " + quoteShort(value)
+}
+
+// validateLabelValue is the rule for a label's value, like validateName.
+func validateLabelValue(value string) string {
+	if value == "" || len(value) > 256 {
+		return "must be 1 to 256 bytes, is " + quoteShort(value)
+	}
+	return ""
+}
+
+// quoteShort quotes a value for a message, cut to 40 characters.
+func quoteShort(value string) string {
+	if r := []rune(value); len(r) > 40 {
+		value = string(r[:40]) + "…"
+	}
+	return `"` + value + `"`
+}
+
+// checkName rejects a field whose own name is no valid name.
+func checkName(r *config.Reader, name string) {
+	if wrong := validateName(name); wrong != "" {
+		r.Reject(name, "%s", wrong)
+	}
+}
+
+// readNames reads a list of names, sorted and without repetitions. An empty list is rejected: it would allow any, and
+// may be meant to allow none.
+func readNames(r *config.Reader, field string, to *[]string) {
+	got := []string{""} // stays when the field is missing or rejected
+	switch r.Strings(field, &got, validateName); {
+	case len(got) == 0:
+		r.Reject(field, "must not be empty; leave it out to allow any")
+	case got[0] != "":
+		slices.Sort(got)
+		*to = slices.Compact(got)
+	}
+}
+
+// readByName reads an object with a value for each name; nil if it has none.
+func readByName[T any](r *config.Reader, field string, read func(r *config.Reader, name string) T) map[string]T {
+	var out map[string]T
+	r.Object(field, func(r *config.Reader) {
+		for _, name := range r.Names() {
+			checkName(r, name)
+			value := read(r, name)
+			if out == nil {
+				out = map[string]T{}
+			}
+			out[name] = value
+		}
+	})
+	return out
+}
+
+func readLabels(r *config.Reader, field string) map[string]string {
+	return readByName(r, field, func(r *config.Reader, name string) (value string) {
+		r.String(name, &value, validateLabelValue)
+		return value
+	})
+}
+
+func readCounts(r *config.Reader, field string, least int) map[string]int {
+	return readByName(r, field, func(r *config.Reader, name string) (n int) {
+		r.Int(name, &n, least, maxCount)
+		return n
+	})
+}
+
+// readRetries reads the field retries; nil if it is missing.
+func readRetries(r *config.Reader) *int {
+	n := 0
+	if r.Int("retries", &n, 0, maxCount); r.Has("retries") {
+		return &n
+	}
+	return nil
+}
--- a/internal/bundle/parties.go
+++ b/internal/bundle/parties.go
@@ -1,7 +1,6 @@
 package bundle
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -16,7 +15,7 @@
 	maxReserve = 24 * time.Hour
 )
 
-// readParties reads who pays for which teams and queues, and what. A team or queue has one party at most.
+// readParties reads who pays what for which teams and queues. A team or queue has one party at most.
 func readParties(r *config.Reader, b *state.Bundle) {
 	found := map[string]state.Party{}
 	r.Object("parties", func(r *config.Reader) {
@@ -40,7 +39,7 @@
 		}
 	})
 	if len(found) > 0 {
-		b.SetParties(maps.Clone(found))
+		b.SetParties(found)
 	}
 }
 
@@ -63,7 +62,7 @@
 	return int64(n)
 }
 
-// claim makes it a mistake that a second party pays for the same.
+// claim rejects field if what it names is paid for by another party already.
 func claim(r *config.Reader, field, what, party string, taken map[string]string) {
 	if other, ok := taken[what]; ok {
 		r.Reject(field, "%q is paid for by %q already", what, other)
--- a/internal/signature/signature.go
+++ b/internal/signature/signature.go
@@ -1,4 +1,9 @@
-// Package signature is the operators' signatures: their Ed25519 keys, the texts that are signed, and the check of both.
+// Package signature is the operators' signatures: their Ed25519 keys and key files, the texts that are signed, and the
+// verification. A text names everything that an order does, so that a signature can't be used for another order. The
+// texts and the format of key files never change: signatures are stored, and operators' tools make them too.
+//
+// An operator's tool calls Load, then Key.Sign with a text of texts.go; package command calls Verify with the same
+// text.
 package signature
 
 import (
@@ -8,9 +13,7 @@
 	"encoding/base64"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
 	"os"
-	"time"
 
 	"crosstide/internal/errs"
 )
@@ -28,7 +31,7 @@
 	Private string `json:"private"`
 }
 
-// New draws a key for an operator. Failures: Invalid (no name), Internal.
+// New generates a key for an operator. Failures: Invalid (no name), Internal.
 func New(name string) (Key, error) {
 	if name == "" {
 		return Key{}, errs.Field(errs.Invalid, "name", "an operator needs a name")
@@ -52,14 +55,16 @@
 	}
 	seed, err := base64.StdEncoding.DecodeString(f.Private)
 	if err != nil || len(seed) != ed25519.SeedSize || f.Name == "" {
-		return Key{}, errs.New(errs.Malformed, "%s is no key file: it needs a name and a private key of %d bytes", path, ed25519.SeedSize)
+		return Key{}, errs.New(errs.Malformed, "%s is no key file: it needs a name and a private key of %d bytes",
+			path, ed25519.SeedSize)
 	}
 	return Key{f.Name, ed25519.NewKeyFromSeed(seed)}, nil
 }
 
 // Save writes the key to a new file that only its owner may read. Failure: Disk, also when the file is there.
 func (k Key) Save(path string) error {
-	data, err := json.MarshalIndent(keyFile{k.Name, k.Public(), base64.StdEncoding.EncodeToString(k.private.Seed())}, "", "  ")
+	seed := base64.StdEncoding.EncodeToString(k.private.Seed())
+	data, err := json.MarshalIndent(keyFile{Name: k.Name, Public: k.Public(), Private: seed}, "", "  ")
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the key")
 	}
@@ -101,28 +106,3 @@
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
-
-// Bundle is the text that two operators sign to put a version in force: version and digest of its exact bytes.
-func Bundle(version uint64, digest string) string {
-	return fmt.Sprintf("crosstide bundle\nversion %d\nsha256 %s\n", version, digest)
-}
-
-// Put is the text of an order that writes a draft against a base.
-func Put(order string, base uint64, digest string) string {
-	return fmt.Sprintf("crosstide put\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
-}
-
-// Patch is the text of an order that changes a base by a merge patch; digest is the patch's.
-func Patch(order string, base uint64, digest string) string {
-	return fmt.Sprintf("crosstide patch\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
-}
-
-// Evacuate is the text of an order that evacuates a zone.
-func Evacuate(order, zone string) string {
-	return fmt.Sprintf("crosstide evacuate\norder %q\nzone %q\n", order, zone)
-}
-
-// Lift is the text that two operators sign to lift the evacuation of a zone that began at since.
-func Lift(zone string, since time.Time) string {
-	return fmt.Sprintf("crosstide lift\nzone %q\nsince %d\n", zone, since.UnixNano())
-}
