--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -85,3 +85,24 @@
 		}
 	})
 }
+
+func TestParse_parties(t *testing.T) {
+	Convey("The bundle maps teams and queues to parties, each to one", t, func() {
+		b, err := Parse([]byte(`{"queues":{"q":{},"r":{}},"parties":{"acme":{"teams":["a"],"queues":["q"],"price":{"core":10,"gpu":500},
+			"reserve":"30s"},"blue":{"teams":["b"],"price":{"core":1},"warn":"1h"}}}`))
+		So(err, ShouldBeNil)
+		for _, c := range [][3]string{{"q", "b", "acme"}, {"r", "b", "blue"}, {"r", "a", "acme"}, {"r", "c", ""}} {
+			So(b.PartyOf(c[0], c[1]), ShouldEqual, c[2])
+		}
+		So(b.Parties["acme"].Window(), ShouldEqual, 30*time.Second)
+		So(b.Parties["blue"].Window(), ShouldEqual, state.DefaultReserve)
+		So(b.Parties["blue"].WarnBefore(), ShouldEqual, time.Hour)
+		_, err = Parse([]byte(`{"queues":{"q":{}},"parties":{"acme":{"teams":["a"],"queues":["z"],"price":{"core":-1}},
+			"blue":{"teams":["a"],"price":{}},"cold":{"teams":[],"price":{"core":1},"reserve":"1ms"}}}`))
+		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
+		for _, mistake := range []string{"5 mistakes", `there is no queue "z"`, "price.core", `parties.blue.teams: "a" is paid for by "acme" already`,
+			"cold.teams", "cold.reserve"} {
+			So(err.Error(), ShouldContainSubstring, mistake)
+		}
+	})
+}
--- a/internal/state/command/jobs_table_test.go
+++ b/internal/state/command/jobs_table_test.go
@@ -7,6 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"crosstide/internal/account"
 	"crosstide/internal/errs"
 	"crosstide/internal/jobs"
 	"crosstide/internal/state"
@@ -55,7 +56,7 @@
 	})
 	Convey("Progress that another term's entry carries is stale, and an unknown job is unknown", t, func() {
 		b := testState{state.New()}
-		_, err := b.do(&JobProgress{jobs.Progress{Term: 2}}) // the book's entries are of term 1
+		_, err := b.do(&JobProgress{jobs.Progress{Term: 2}}) // the test's entries are of term 1
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		_, err = b.do(&JobCancel{jobs.Cancel{ID: "j"}})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
@@ -77,3 +78,33 @@
 		}
 	})
 }
+
+func TestJobTable_payment(t *testing.T) {
+	Convey("The job table draws on the same accounts, also in a state that came from its bytes", t, func() {
+		b := testState{state.New()}
+		b.must(&JobConfigure{jobs.Configure{Version: 1, Replace: true, Services: []jobs.Service{{Name: "s"}},
+			Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 1, Timeout: time.Second}}}})
+		b.must(&JobRegister{jobs.Register{Workers: []jobs.Worker{{ID: "w", Service: "s", Capacity: jobs.Resources{MilliCPU: 4000}}}}})
+		b.must(&JobParties{Order: "parties", SetParties: jobs.SetParties{Parties: []jobs.Party{{Name: "acme", Queues: []string{"q"},
+			Price: account.Price{Core: 10}, Window: window}}}})
+		b.must(&JobSubmit{jobs.Submit{Spec: jobs.Spec{ID: "j", Queue: "q", Steps: []jobs.Step{{Count: 3, Needs: jobs.Resources{MilliCPU: 1000}}}}}})
+		start := func(index int) bool {
+			return b.must(&JobProgress{jobs.Progress{Term: 1, Starts: []jobs.Start{{Task: jobs.TaskRef{Job: "j", Index: index}, Number: 1,
+				Worker: "w"}}}}).(jobs.Started).Recorded[0]
+		}
+		So(start(0), ShouldBeFalse) // there is no account
+		b.must(&AccountCreate{Order: "open", Account: "acme"})
+		b.topUp("first", 150)
+		So(start(0), ShouldBeTrue)
+		data, err := b.Encode()
+		So(err, ShouldBeNil)
+		b.State, err = state.Decode(data)
+		So(err, ShouldBeNil)
+		So(start(1), ShouldBeFalse)
+		So(b.sums(), ShouldEqual, [3]int64{50, 100, 0})
+		b.must(&JobProgress{jobs.Progress{Term: 1, Ends: []jobs.End{{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}, Worker: "w",
+			Reason: jobs.EndDone}}}})
+		So(b.sums(), ShouldEqual, [3]int64{130, 0, 20})
+		So(start(1), ShouldBeTrue)
+	})
+}
--- /dev/null
+++ b/internal/state/command/operators_test.go
@@ -0,0 +1,80 @@
+package command
+
+import (
+	"fmt"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/bundle"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+)
+
+// operatorsFixture is a store of one with two operators, and a third who is none.
+type operatorsFixture struct {
+	st   *state.State
+	keys map[string]signature.Key
+}
+
+func newOperatorsFixture() *operatorsFixture {
+	o := &operatorsFixture{st: state.New(), keys: map[string]signature.Key{}}
+	public := map[string]string{}
+	for _, name := range []string{"ada", "ben", "eve"} {
+		key, err := signature.New(name)
+		So(err, ShouldBeNil)
+		if o.keys[name] = key; name != "eve" {
+			public[name] = key.Public()
+		}
+	}
+	_, err := o.do(&SetOperators{Operators: public})
+	So(err, ShouldBeNil)
+	return o
+}
+
+func (o *operatorsFixture) do(c Command) (any, error) {
+	data, err := Encode(time.Unix(int64(o.st.Index), 0).UTC(), c)
+	So(err, ShouldBeNil)
+	return Apply(o.st, o.st.Index+1, 1, data)
+}
+
+func (o *operatorsFixture) put(order, by string, base uint64, body string) *PutBundle {
+	return &PutBundle{Order: order, Base: base, By: by, Body: []byte(body), Sig: o.keys[by].Sign(signature.Put(order, base, bundle.Digest([]byte(body))))}
+}
+
+func (o *operatorsFixture) patch(order, by string, base uint64, patch string) *PatchBundle {
+	return &PatchBundle{Order: order, Base: base, By: by, Patch: []byte(patch), Sig: o.keys[by].Sign(signature.Patch(order, base, bundle.Digest([]byte(patch))))}
+}
+
+func (o *operatorsFixture) sign(order, by string, version uint64) *SignBundle {
+	digest := ""
+	if r := o.st.Revision(version); r != nil {
+		digest = r.Digest
+	}
+	return &SignBundle{Order: order, Version: version, Digest: digest, By: by, Sig: o.keys[by].Sign(signature.Bundle(version, digest))}
+}
+
+func (o *operatorsFixture) zone(order, by, zone string, out bool) *EvacuateZone {
+	text := signature.Evacuate(order, zone)
+	if !out {
+		text = signature.Lift(zone, o.st.Evacuated[zone])
+	}
+	return &EvacuateZone{Order: order, Zone: zone, Out: out, By: by, Sig: o.keys[by].Sign(text)}
+}
+
+// force puts a text in force and returns its version.
+func (o *operatorsFixture) force(body string) uint64 {
+	base := o.st.Head().Version
+	for i, c := range []func() Command{
+		func() Command { return o.put(fmt.Sprintf("p%d", base), "ada", base, body) },
+		func() Command { return o.sign(fmt.Sprintf("a%d", base), "ada", base+1) },
+		func() Command { return o.sign(fmt.Sprintf("b%d", base), "ben", base+1) },
+	} {
+		_, err := o.do(c())
+		So(fmt.Sprint(i, err), ShouldEqual, fmt.Sprint(i, nil))
+	}
+	So(o.st.Bundle.Version, ShouldEqual, base+1)
+	return base + 1
+}
+
+const zonedBundle = ` {"queues": {"default":{"placement":{"zones":["%s"]}}} }` + "\n\n"
--- /dev/null
+++ b/internal/state/command/order_test.go
@@ -0,0 +1,57 @@
+package command
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/errs"
+)
+
+func TestOrders_repeated(t *testing.T) {
+	Convey("An operator's order is applied once and answered the same when repeated; its ID is no other order's", t, func() {
+		b := newTestState()
+		first, err := b.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
+		So(err, ShouldBeNil)
+		b.do(&EvacuateZone{Order: "p", Zone: "z1"})
+		again, err := b.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
+		So(err, ShouldBeNil)
+		So(fmt.Sprint(again), ShouldEqual, fmt.Sprint(first))
+		So(b.Evacuated, ShouldBeEmpty) // not applied a second time
+		_, err = b.do(&EvacuateZone{Order: "o", Zone: "z2", Out: true})
+		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
+	})
+}
+
+// TestOrders_storedAnswers pins the stored answers to the byte: they are part of snapshots, which must be the same on
+// nodes of all versions of the program.
+func TestOrders_storedAnswers(t *testing.T) {
+	Convey("The answers of orders that change workers and members are stored as they always were", t, func() {
+		b := newTestState()
+		for _, c := range []struct {
+			order  Command
+			answer string
+		}{
+			{&CloseWorker{Order: "o1", Worker: "m1", Closed: true}, `{"closed":true,"minion":"m1"}`},
+			{&CloseWorker{Order: "o2", Worker: "m<2", Closed: true}, ``},
+			{&CloseWorker{Order: "o3", Worker: "m1", Retire: true}, `{"minion":"m1","retired":true}`},
+			{&ReplaceMember{Order: "o4", Old: "c2", New: "c4"}, `{"new":"c4","old":"c2"}`},
+			{&ReplaceMember{Order: "o5", Old: "c&3", New: "c5"}, `{"new":"c5","old":"c\u00263"}`},
+			{&EvacuateZone{Order: "o6", Zone: "z1", Out: true}, `{"zone":"z1","evacuated":true}`},
+		} {
+			answer, err := b.do(c.order)
+			if c.answer == "" {
+				So(errs.KindOf(err), ShouldEqual, errs.Unknown)
+				continue
+			}
+			So(err, ShouldBeNil)
+			So(string(answer.(json.RawMessage)), ShouldEqual, c.answer)
+		}
+		So(b.OrderKeys, ShouldResemble, []string{"o1", "o3", "o4", "o5", "o6"})
+		So(string(b.Orders["o1"].Answer), ShouldEqual, `{"closed":true,"minion":"m1"}`)
+		So(b.Orders["o1"].Digest, ShouldEqual,
+			"close:31b187e9316ee7a7025ac60019d0582d0449b8bbce89ffd591005cef9a30a458")
+	})
+}
