--- a/internal/jobs/attempts_test.go
+++ b/internal/jobs/attempts_test.go
@@ -33,7 +33,7 @@
 	return started.Recorded[0]
 }
 
-func TestAttempts(t *testing.T) {
+func TestAttempts_withoutQueue(t *testing.T) {
 	Convey("The last failure while no configuration has the queue", t, func() {
 		table := attemptsTable(1)
 		recorded := attemptsRun(table, 1, func() {
@@ -47,6 +47,9 @@
 			So(table.Jobs["j"].State, ShouldEqual, Failed)
 		})
 	})
+}
+
+func TestAttempts_lowered(t *testing.T) {
 	Convey("A configuration that allows no more attempts than have failed", t, func() {
 		table := attemptsTable(3)
 		So(attemptsRun(table, 1, func() {}), ShouldBeTrue)
--- a/internal/jobs/configure_test.go
+++ b/internal/jobs/configure_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/errs"
 )
 
-func TestConfigure(t *testing.T) {
+func TestConfigure_invalid(t *testing.T) {
 	Convey("A refused configuration names its field and changes nothing", t, func() {
 		table := testTable()
 		before := table.bytes()
@@ -50,6 +50,9 @@
 			So(table.bytes(), ShouldEqual, before)
 		}
 	})
+}
+
+func TestConfigure_update(t *testing.T) {
 	Convey("An update removes, then replaces in place or appends; a new whole configuration replaces all", t, func() {
 		table := testTable()
 		changed := testConfig().Queues[0]
@@ -75,6 +78,9 @@
 			So(table.Config.Queues, ShouldResemble, []Queue{one, added})
 		})
 	})
+}
+
+func TestConfigure_sameBase(t *testing.T) {
 	Convey("Of orders on one base the first wins, in whatever order they and their repeats come", t, func() {
 		orders := make([]Configure, 6) // three orders, each sent twice
 		for i := range orders {
@@ -97,7 +103,10 @@
 		})
 		So(cases, ShouldEqual, 720)
 	})
-	Convey("An order that was taken is answered alike after later ones, among the newest, also after a decode", t, func() {
+}
+
+func TestConfigure_repeated(t *testing.T) {
+	Convey("An accepted order is answered alike after later ones, among the newest, also after a decode", t, func() {
 		table := testTable()
 		for i := range uint64(MaxOrders) {
 			So(table.Configure(Configure{Base: 5 + i, Version: 6 + i, Digest: fmt.Sprint(i)}), ShouldBeNil)
@@ -111,7 +120,10 @@
 			So(each.bytes(), ShouldEqual, before)
 		}
 	})
-	Convey("An order without a digest is never taken for another", t, func() {
+}
+
+func TestConfigure_withoutDigest(t *testing.T) {
+	Convey("An order without a digest is never mistaken for another", t, func() {
 		table := testTable()
 		So(table.Configure(Configure{Base: 5, Version: 6}), ShouldBeNil)
 		So(table.Configure(Configure{Base: 6, Version: 7}), ShouldBeNil)
@@ -119,74 +131,3 @@
 		So(table.Configure(Configure{Base: 6, Version: 7}), shouldBeKind, errs.Stale)
 	})
 }
-
-func TestQueueFor(t *testing.T) {
-	Convey("The longest prefix of the host counts, with or without a port", t, func() {
-		table := NewTable()
-		at := func(name, host, prefix string) Queue {
-			return Queue{Name: name, Host: host, Prefix: prefix, Service: "s", Timeout: 1}
-		}
-		must(table.Configure(Configure{Version: 1, Services: []Service{{Name: "s"}}, Queues: []Queue{
-			at("long", "a.example", "/x/y/"), at("short", "a.example", "/x/"), at("other", "b.example", "/x/y/z/"),
-		}}))
-		for _, c := range [][3]string{
-			{"a.example", "/x/y/1", "long"}, {"a.example:80", "/x/y/z/1", "long"}, {"A.Example", "/x/1", "short"},
-			{"b.example:1", "/x/y/z/", "other"}, {"b.example", "/x/y/1", ""}, {"c.example", "/x/", ""}, {"a.example", "/", ""},
-		} {
-			name := ""
-			if queue := table.QueueFor(c[0], c[1]); queue != nil {
-				name = queue.Name
-			}
-			So(name, ShouldEqual, c[2])
-		}
-	})
-}
-
-func TestWorkers(t *testing.T) {
-	Convey("A worker that drains or left does not come back under its ID, in whatever order it is told", t, func() {
-		plain, draining, left := testWorker("w1", "open"), testWorker("w1", "open"), testWorker("w1", "open")
-		draining.Draining, left.Left = true, true
-		notified := []Worker{plain, draining, left}
-		permutations(3, func(order []int) {
-			table := testTable()
-			for _, i := range order {
-				must(table.Register(Register{Workers: notified[i : i+1]}))
-			}
-			if w := table.Workers["w1"]; !w.Draining || !w.Left {
-				panic(fmt.Sprint(order))
-			}
-		})
-		table := testTable()
-		plain.Zone, plain.Labels = "elsewhere", nil
-		must(table.Register(Register{Workers: []Worker{plain}}))
-		So(*table.Workers["w1"], ShouldResemble, plain)
-	})
-	Convey("An evacuation is started and withdrawn, each as often as one likes", t, func() {
-		table := testTable()
-		before := table.bytes()
-		must(table.Evacuate(Evacuate{Zone: "zone-1"}))
-		So(table.bytes(), ShouldEqual, before)
-		must(table.Evacuate(Evacuate{Zone: "zone-1", Start: true}))
-		must(table.Evacuate(Evacuate{Zone: "zone-1", Start: true}))
-		So(table.Evacuated, ShouldResemble, map[string]bool{"zone-1": true})
-		must(table.Evacuate(Evacuate{Zone: "zone-1"}))
-		So(table.bytes(), ShouldEqual, before)
-	})
-	Convey("A worker is forgotten only without a handle", t, func() {
-		table := testTable()
-		table.mustSubmit(testJob("j", oneCore(1)))
-		start := startOf(taskOf("j", 0, 0), 1, "w1")
-		table.start(start)
-		forget := func(p Progress) {
-			p.Term, p.Forget = testTerm, []string{"w1"}
-			_, err := table.Progress(testTerm, p)
-			must(err)
-		}
-		forget(Progress{})
-		So(table.Workers["w1"], ShouldNotBeNil)
-		forget(Progress{Ends: []End{endOf(start, EndLost)}, Starts: []Start{startOf(start.Task, 2, "w1")}})
-		So(table.Workers["w1"], ShouldNotBeNil)
-		forget(Progress{Ends: []End{endOf(startOf(start.Task, 2, "w1"), EndLost)}})
-		So(table.Workers["w1"], ShouldBeNil)
-	})
-}
--- a/internal/jobs/gang_test.go
+++ b/internal/jobs/gang_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// gangOf gives the starts of one run of a gang, its members on the workers in turn.
+// gangOf returns the starts of one run of a gang, its members on the workers in turn.
 func gangOf(job string, number int, workers ...string) []Start {
 	starts := make([]Start, len(workers))
 	for i, worker := range workers {
@@ -39,7 +39,7 @@
 				}
 			})
 		})
-		Convey("none is if one is missing, said twice, under another number, or does not fit", func() {
+		Convey("none is if one is missing, listed twice, under another number, or does not fit", func() {
 			gang := gangOf("j", 1, "w1", "w1", "w2")
 			So(table.start(gang[:2]...), ShouldResemble, none[:2])
 			twice := startOf(taskOf("j", 0, 0), 1, "w2") // there is room for it
@@ -60,7 +60,7 @@
 			So(table.start(gangOf("k", 1, "w1", "w1", "w2")...), ShouldResemble, none)
 			So(table.start(gangOf("k", 1, "w1", "w2", "w3")...), ShouldResemble, []bool{true, true, true})
 		})
-		Convey("no new run starts while a handle of the old one is out, and then under a higher number", func() {
+		Convey("no new run starts while the old one has a handle, and then under a higher number", func() {
 			gang := gangOf("j", 4, "w1", "w1", "w2")
 			table.start(gang...)
 			table.end(endOf(gang[0], EndLost), endOf(gang[2], EndLost))
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestGangEnds(t *testing.T) {
+func TestGangEnds_done(t *testing.T) {
 	Convey("One end done is for all members; their handles stay until their own ends, in any order", t, func() {
 		permutations(3, func(order []int) {
 			table := testTable()
@@ -94,6 +94,9 @@
 			}
 		})
 	})
+}
+
+func TestGangEnds_failedAfterDone(t *testing.T) {
 	Convey("A member that fails after its gang is done counts for nothing while other steps go on", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(2), oneCore(1)))
@@ -103,6 +106,9 @@
 		So(job.State, ShouldEqual, Running)
 		So(job.Rounds[0][0], ShouldResemble, []Task{{Done: true, LastRun: 1}, {Done: true, LastRun: 1}})
 	})
+}
+
+func TestGangEnds_failureCountsOnce(t *testing.T) {
 	Convey("A run of a gang counts one failure at the first member, in any order of the ends", t, func() {
 		permutations(3, func(order []int) {
 			table := testTable()
@@ -124,7 +130,10 @@
 			}
 		})
 	})
-	Convey("Saved progress is that of every member", t, func() {
+}
+
+func TestGangEnds_checkpoint(t *testing.T) {
+	Convey("A checkpoint is that of every member", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(2), oneCore(1)))
 		gang := gangOf("j", 1, "w1", "w2")
@@ -135,7 +144,10 @@
 		So(job.Rounds[0][0], ShouldResemble, []Task{{LastRun: 1, Checkpoint: "half"}, {LastRun: 1, Checkpoint: "half"}})
 		So(job.Rounds[0][1], ShouldResemble, []Task{{}})
 	})
-	Convey("A lasting gang is due again however it ends", t, func() {
+}
+
+func TestGangEnds_longRunning(t *testing.T) {
+	Convey("A long-running gang is due again however it ends", t, func() {
 		table := testTable()
 		step := gangStep(2)
 		step.LongRunning = true
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -9,20 +9,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// monthTable is a table through a simulated month of jobs that end in every way, of workers that come and go, of
+// monthTable is a table in a simulated month of jobs that end in every way, of workers that come and go, of
 // configurations and of evacuations.
 type monthTable struct {
 	*Table
 	at           time.Time
 	jobs         int
 	incarnations int
-	// The guards that can be taken out: what is over, and workers that are gone, is let go.
+	// Guards that can be switched off: terminal jobs are purged, and workers that are gone are forgotten.
 	noPurge, noForget bool
 }
 
 const (
 	monthHourJobs         = 20
-	monthKeepOver         = 4 * time.Minute // twice as long as a client may ask for
+	monthKeepTerminal     = 4 * time.Minute // twice as long as a client may ask for
 	monthHourIncarnations = 2
 	monthConfigs          = 3 // an hour: more in a month than orders are remembered
 	monthPayload          = 4000
@@ -34,7 +34,7 @@
 	return m
 }
 
-// hour is an hour of the month.
+// hour simulates an hour of the month.
 func (m *monthTable) hour() {
 	var gone []string
 	for range monthHourIncarnations {
@@ -60,7 +60,7 @@
 		m.progress(Progress{Forget: gone})
 	}
 	if !m.noPurge {
-		m.Purge(m.at.Add(-monthKeepOver))
+		m.Purge(m.at.Add(-monthKeepTerminal))
 	}
 }
 
@@ -101,14 +101,14 @@
 	must(err)
 }
 
-// size is the length of the table as it is written to a slot.
+// size is the length of the table in a snapshot.
 func (m *monthTable) size() int {
 	data, err := m.Encode()
 	must(err)
 	return len(data)
 }
 
-// month plays days, and gives the size at the end of each.
+// month simulates days, and returns the size at the end of each.
 func (m *monthTable) month(days int) (sizes []int) {
 	for range days {
 		for range 24 {
@@ -119,7 +119,7 @@
 	return sizes
 }
 
-func TestMonth(t *testing.T) {
+func TestGrowth_overAMonth(t *testing.T) {
 	const days = 30
 	Convey("The table is no larger at the end of a month than when the remembered orders were first full", t, func() {
 		m := newMonthTable()
@@ -137,7 +137,10 @@
 		So(m.indexes.occupancy, ShouldBeEmpty)
 		So(len(m.indexes.retired), ShouldEqual, len(m.Jobs))
 	})
-	Convey("Without the letting go of what is over, or of workers that are gone, it grows day by day", t, func() {
+}
+
+func TestGrowth_withoutPurging(t *testing.T) {
+	Convey("Without purging, or without forgetting workers that are gone, it grows day by day", t, func() {
 		for _, m := range []*monthTable{{noPurge: true}, {noForget: true}} {
 			m.Table, m.at = NewTable(), noon
 			must(m.Configure(testConfig()))
@@ -146,7 +149,10 @@
 			So(sizes[5], ShouldBeGreaterThan, sizes[2]*3/2)
 		}
 	})
-	Convey("A job that is over holds nothing of what its client handed in but its name", t, func() {
+}
+
+func TestGrowth_ofATerminalJob(t *testing.T) {
+	Convey("A terminal job keeps nothing of what its client submitted but its ID and queue", t, func() {
 		m := newMonthTable()
 		m.noPurge = true
 		m.hour()
--- a/internal/jobs/helpers_test.go
+++ b/internal/jobs/helpers_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// testWorker gives a worker with two cores in the zone of its second letter.
+// testWorker is a worker with two cores in the zone of its second letter.
 func testWorker(id, service string) Worker {
 	return Worker{
 		ID: id, Address: id + ":1", Service: service, Zone: "zone-" + id[1:2], Labels: []string{"ssd"},
@@ -80,7 +80,7 @@
 	return End{Key: RunKey{Task: start.Task, Number: start.Number}, Worker: start.Worker, Reason: reason}
 }
 
-// start records starts and gives which were taken.
+// start records starts and returns which were recorded.
 func (t *Table) start(starts ...Start) []bool {
 	started, err := t.Progress(testTerm, Progress{Term: testTerm, At: noon, Starts: starts})
 	must(err)
--- /dev/null
+++ b/internal/jobs/model_test.go
@@ -0,0 +1,115 @@
+package jobs
+
+import "slices"
+
+// expectedStarts is the model of recordStarts: it makes the ends, then places one start or gang after the other on a
+// copy, scanning all tasks of the table each time.
+func expectedStarts(t *Table, p Progress) []bool {
+	if len(p.Starts) == 0 {
+		return nil
+	}
+	c := t.decodedCopy()
+	_, err := c.Progress(testTerm, Progress{Term: p.Term, At: p.At, Ends: p.Ends})
+	must(err)
+	recorded := make([]bool, len(p.Starts))
+	tried := make([]bool, len(p.Starts))
+	for i, start := range p.Starts {
+		group := expectedGroup(c, p.Starts, i)
+		if tried[i] || len(group) == 0 {
+			continue
+		}
+		for _, member := range group {
+			tried[member] = true
+		}
+		next, all := c.decodedCopy(), true
+		for _, member := range group {
+			all = all && expectPlacement(next, p.Starts[member])
+		}
+		if job := c.Jobs[start.Task.Job]; all && job.Spec.Steps[start.Task.Step].Gang {
+			all = len(group) == job.Spec.Steps[start.Task.Step].Count
+		}
+		if all {
+			c = next
+			for _, member := range group {
+				recorded[member] = true
+			}
+		}
+	}
+	return recorded
+}
+
+// expectedGroup returns the positions of the starts that are recorded together with one.
+func expectedGroup(t *Table, starts []Start, i int) []int {
+	job := t.Jobs[starts[i].Task.Job]
+	if job == nil || job.Rounds == nil {
+		return nil
+	}
+	if !job.Spec.Steps[starts[i].Task.Step].Gang {
+		return []int{i}
+	}
+	var group []int
+	for k, other := range starts {
+		task := other.Task
+		task.Index = starts[i].Task.Index
+		if task == starts[i].Task && other.Number == starts[i].Number {
+			group = append(group, k)
+		}
+	}
+	return group
+}
+
+// expectPlacement records one handle if its preconditions hold, and does not update the indexes.
+func expectPlacement(t *Table, start Start) bool {
+	job := t.Jobs[start.Task.Job]
+	step := job.Spec.Steps[start.Task.Step]
+	tasks := job.Rounds[start.Task.Round]
+	task := &tasks[start.Task.Step][start.Task.Index]
+	worker, queue := t.Workers[start.Worker], t.Config.Queue(job.Spec.Queue)
+	switch {
+	case job.State.IsTerminal(), task.Done, start.Number <= task.LastRun, len(task.Runs) > 0,
+		worker == nil, queue == nil:
+		return false
+	case worker.Draining, worker.Left, t.Evacuated[worker.Zone], worker.Service != queue.Service,
+		step.Label != "" && !slices.Contains(worker.Labels, step.Label):
+		return false
+	}
+	for _, before := range step.After {
+		for _, other := range tasks[before] {
+			if !other.Done {
+				return false
+			}
+		}
+	}
+	used, ofStep := step.Needs, 1
+	eachHandle(t, func(ref TaskRef, run Run, needs Resources) {
+		if run.Worker != start.Worker {
+			return
+		}
+		used = used.plus(needs, 1)
+		if ref.stepRef() == start.Task.stepRef() {
+			ofStep++
+		}
+	})
+	if step.MaxPerWorker > 0 && ofStep > step.MaxPerWorker {
+		return false
+	}
+	if !t.Config.Service(worker.Service).ChecksCapacity && !used.fitsIn(worker.Capacity) {
+		return false
+	}
+	task.LastRun, task.Runs = start.Number, []Run{{Number: start.Number, Worker: start.Worker, Term: testTerm}}
+	return true
+}
+
+func eachHandle(t *Table, do func(TaskRef, Run, Resources)) {
+	for id, job := range t.Jobs {
+		for round, steps := range job.Rounds {
+			for step, tasks := range steps {
+				for index, task := range tasks {
+					for _, run := range task.Runs {
+						do(TaskRef{id, round, step, index}, run, job.Spec.Steps[step].Needs)
+					}
+				}
+			}
+		}
+	}
+}
--- a/internal/jobs/payment_test.go
+++ b/internal/jobs/payment_test.go
@@ -41,8 +41,8 @@
 	return t, a
 }
 
-func TestPaidStarts(t *testing.T) {
-	Convey("A start reserves and is refused when the balance does not cover it; ends settle, losses go back", t, func() {
+func TestPayment_ofRuns(t *testing.T) {
+	Convey("A start reserves and is refused when the balance does not cover it; ends are debited, losses refunded", t, func() {
 		table, a := paidTable(250)
 		table.mustSubmit(testJob("j", oneCore(4)))
 		first, second, third := startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"), startOf(taskOf("j", 0, 2), 1, "w2")
@@ -55,6 +55,9 @@
 		So(a.sums(), ShouldEqual, [3]int64{235, 0, 15})
 		So(table.start(third), ShouldResemble, []bool{true})
 	})
+}
+
+func TestPayment_ofGangs(t *testing.T) {
 	Convey("A gang is paid for together or not at all", t, func() {
 		table, a := paidTable(199)
 		gang := oneCore(2)
@@ -67,7 +70,10 @@
 		So(table.start(starts...), ShouldResemble, []bool{true, true})
 		So(a.sums(), ShouldEqual, [3]int64{0, 200, 0})
 	})
-	Convey("A lasting task that ran before starts again when dry; one that never ran waits", t, func() {
+}
+
+func TestPayment_ofLongRunningTasks(t *testing.T) {
+	Convey("A long-running task that ran before restarts on an exhausted balance; one that never ran waits", t, func() {
 		table, a := paidTable(100)
 		feed := oneCore(1)
 		feed.LongRunning = true
@@ -82,7 +88,10 @@
 		So(table.start(other), ShouldResemble, []bool{true})
 		So(a.sums(), ShouldEqual, [3]int64{-100, 200, 0})
 	})
-	Convey("Of a lasting gang a member that never ran is paid for beside one that did", t, func() {
+}
+
+func TestPayment_ofLongRunningGangs(t *testing.T) {
+	Convey("Of a long-running gang a member that never ran is paid for beside one that did", t, func() {
 		table, a := paidTable(100)
 		gang := oneCore(2)
 		gang.Gang, gang.LongRunning = true, true
@@ -91,7 +100,10 @@
 		So(table.start(startOf(taskOf("j", 0, 0), 2, "w1"), startOf(taskOf("j", 0, 1), 2, "w2")), ShouldResemble, []bool{true, true})
 		So(a.sums(), ShouldEqual, [3]int64{-100, 200, 0})
 	})
-	Convey("Queues that nobody pays for, and tables where nobody does, take no account", t, func() {
+}
+
+func TestPayment_withoutParty(t *testing.T) {
+	Convey("Queues that nobody pays for, and tables without parties, need no account", t, func() {
 		table, a := paidTable(0)
 		guarded := testJob("g", oneCore(1))
 		guarded.Spec.Queue = "guarded"
@@ -103,13 +115,19 @@
 		So(free.bytes(), ShouldNotContainSubstring, "parties")
 		So(free.start(startOf(taskOf("j", 0, 0), 1, "w1")), ShouldResemble, []bool{true})
 	})
+}
+
+func TestPayment_withoutAccount(t *testing.T) {
 	Convey("Without any account a party's queue waits", t, func() {
 		table, _ := paidTable(0)
 		table.Payments = nil
 		table.mustSubmit(testJob("j", oneCore(1)))
 		So(table.start(startOf(taskOf("j", 0, 0), 1, "w1")), ShouldResemble, []bool{false})
 	})
-	Convey("Parties come back from the table's bytes, and wrong ones are refused", t, func() {
+}
+
+func TestSetParties(t *testing.T) {
+	Convey("Parties are decoded from the table's bytes, and invalid ones are refused", t, func() {
 		table, _ := paidTable(0)
 		back := table.decodedCopy()
 		job := table.mustSubmit(testJob("j", oneCore(1)))
@@ -128,10 +146,10 @@
 	})
 }
 
-// Whatever is started and ended in whatever order, reservations and handles stay one to one, and no start passes that
-// the balance did not cover.
-func TestPaidHistories(t *testing.T) {
-	Convey("Reservations are those of the handles that are out", t, func() {
+// Whatever is started and ended in whatever order, reservations and handles stay one to one, and no start is recorded
+// that the balance did not cover.
+func TestPayment_randomHistories(t *testing.T) {
+	Convey("There is a reservation for each handle", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			table, a := paidTable(rapid.Int64Range(0, 600).Draw(t, "units"))
 			table.mustSubmit(testJob("j", oneCore(6)))
--- /dev/null
+++ b/internal/jobs/progress_start_test.go
@@ -0,0 +1,143 @@
+package jobs
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestStarts(t *testing.T) {
+	Convey("A start is recorded only while everything it needs holds", t, func() {
+		table := testTable()
+		labelled := oneCore(1)
+		labelled.Label = "fast"
+		after := Step{Count: 1, After: []int{0}}
+		table.mustSubmit(testJob("j", oneCore(1), labelled, after))
+		good := startOf(taskOf("j", 0, 0), 1, "w1")
+		for _, bad := range []Start{
+			startOf(taskOf("k", 0, 0), 1, "w1"), startOf(taskOf("j", 3, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"),
+			startOf(TaskRef{Job: "j", Round: 1}, 1, "w1"), startOf(TaskRef{Job: "j", Index: -1}, 1, "w1"),
+			startOf(good.Task, 0, "w1"), startOf(good.Task, 1, "w9"), startOf(good.Task, 1, "g1"),
+			startOf(taskOf("j", 1, 0), 1, "w1"), startOf(taskOf("j", 2, 0), 1, "w1"),
+		} {
+			So(table.start(bad), ShouldResemble, []bool{false})
+		}
+		bars := []func(*Table){
+			func(x *Table) {
+				w := testWorker("w1", "open")
+				w.Draining = true
+				must(x.Register(Register{Workers: []Worker{w}}))
+			},
+			func(x *Table) {
+				w := testWorker("w1", "open")
+				w.Left = true
+				must(x.Register(Register{Workers: []Worker{w}}))
+			},
+			func(x *Table) { must(x.Evacuate(Evacuate{Zone: "zone-1", Start: true})) },
+			func(x *Table) {
+				queue := testConfig().Queues[0]
+				queue.Service = "guard"
+				must(x.Configure(Configure{Base: 5, Version: 6, Queues: []Queue{queue}}))
+			},
+			func(x *Table) { _, err := x.Cancel(Cancel{ID: "j", At: noon}); must(err) },
+			func(x *Table) { x.start(startOf(good.Task, 4, "w2")) },
+			func(x *Table) {
+				x.start(startOf(good.Task, 4, "w2"))
+				x.end(endOf(startOf(good.Task, 4, "w2"), EndLost))
+			},
+		}
+		for _, bar := range bars {
+			barred := table.decodedCopy()
+			bar(barred)
+			So(barred.start(good), ShouldResemble, []bool{false})
+		}
+		So(table.start(good, good), ShouldResemble, []bool{true, false})
+		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeFalse)
+		table.end(endOf(good, EndDone))
+		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeTrue)
+		So(table.IsStepReady(table.Jobs["j"], 1, 0), ShouldBeFalse)
+		So(table.IsStepReady(table.Jobs["j"], 0, 3), ShouldBeFalse)
+		fast := testWorker("w2", "open")
+		fast.Labels = []string{"ssd", "fast"}
+		must(table.Register(Register{Workers: []Worker{fast}}))
+		So(table.start(startOf(taskOf("j", 1, 0), 1, "w2"), startOf(taskOf("j", 2, 0), 1, "w1")), ShouldResemble, []bool{true, true})
+	})
+}
+
+func TestStarts_races(t *testing.T) {
+	Convey("A start is recorded exactly if it comes before the change that forbids it", t, func() {
+		changes := []func(*Table){
+			func(x *Table) { x.start(startOf(taskOf("j", 0, 0), 1, "w1")) },
+			func(x *Table) { _, err := x.Cancel(Cancel{ID: "j", At: noon}); must(err) },
+			func(x *Table) { must(x.Evacuate(Evacuate{Zone: "zone-1", Start: true})) },
+			func(x *Table) { must(x.Configure(Configure{Base: 5, Version: 6, RemoveQueues: []string{"plain"}})) },
+		}
+		permutations(len(changes), func(order []int) {
+			table := testTable()
+			table.mustSubmit(testJob("j", oneCore(1)))
+			for _, i := range order {
+				changes[i](table)
+			}
+			if got := len(table.RunsOn("w1")) == 1; got != (order[0] == 0) {
+				panic(fmt.Sprint(order, got))
+			}
+		})
+	})
+}
+
+func TestStarts_rounds(t *testing.T) {
+	Convey("Rounds do not wait for one another, and each has its own steps", t, func() {
+		table := testTable()
+		spec := testJob("j", oneCore(1), Step{Count: 1, After: []int{0}})
+		spec.Spec.Rounds = 2
+		job := table.mustSubmit(spec)
+		later := startOf(TaskRef{Job: "j", Round: 1}, 1, "w1")
+		So(table.start(later), ShouldResemble, []bool{true})
+		table.end(endOf(later, EndDone))
+		So(table.IsStepReady(job, 0, 1), ShouldBeFalse)
+		So(table.IsStepReady(job, 1, 1), ShouldBeTrue)
+	})
+}
+
+func TestStarts_capacity(t *testing.T) {
+	Convey("Capacity is checked for a service whose workers do not check it, and else left to them", t, func() {
+		table := testTable()
+		table.mustSubmit(testJob("j", oneCore(3)))
+		guarded := testJob("k", oneCore(3))
+		guarded.Spec.Queue = "guarded"
+		table.mustSubmit(guarded)
+		all := func(job, worker string) []Start {
+			return []Start{startOf(taskOf(job, 0, 0), 1, worker), startOf(taskOf(job, 0, 1), 1, worker), startOf(taskOf(job, 0, 2), 1, worker)}
+		}
+		So(table.start(all("j", "w1")...), ShouldResemble, []bool{true, true, false})
+		So(table.Used("w1"), ShouldResemble, Resources{MilliCPU: 2000})
+		So(table.start(all("k", "g1")...), ShouldResemble, []bool{true, true, true})
+		So(table.Used("g1"), ShouldResemble, Resources{MilliCPU: 3000})
+		Convey("an end in the same change frees its capacity first", func() {
+			started, err := table.Progress(testTerm, Progress{Term: testTerm, Ends: []End{endOf(all("j", "w1")[0], EndDone)}, Starts: all("j", "w1")[2:]})
+			So(err, ShouldBeNil)
+			So(started.Recorded, ShouldResemble, []bool{true})
+			So(table.RunsOn("w1"), ShouldResemble, []RunKey{{taskOf("j", 0, 1), 1}, {taskOf("j", 0, 2), 1}})
+		})
+		for _, needs := range []Resources{{MemoryMB: 1001}, {GPUs: 2}, {MilliCPU: 2001}} {
+			id := fmt.Sprint(needs)
+			table.mustSubmit(testJob(id, Step{Count: 1, Needs: needs}))
+			So(table.start(startOf(taskOf(id, 0, 0), 1, "w2")), ShouldResemble, []bool{false})
+		}
+	})
+}
+
+func TestStarts_maxPerWorker(t *testing.T) {
+	Convey("A worker runs no more tasks of a step of one round than the step allows", t, func() {
+		table := testTable()
+		spec := testJob("j", Step{Count: 3, MaxPerWorker: 1})
+		spec.Spec.Rounds = 2
+		table.mustSubmit(spec)
+		other := startOf(TaskRef{Job: "j", Round: 1}, 1, "w1")
+		So(table.start(startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"), startOf(taskOf("j", 0, 2), 1, "w2"), other),
+			ShouldResemble, []bool{true, false, true, true})
+		table.end(endOf(startOf(taskOf("j", 0, 0), 1, "w1"), EndLost))
+		So(table.start(startOf(taskOf("j", 0, 1), 1, "w1")), ShouldResemble, []bool{true})
+	})
+}
--- /dev/null
+++ b/internal/jobs/query_test.go
@@ -0,0 +1,29 @@
+package jobs
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestQueueFor(t *testing.T) {
+	Convey("The longest prefix of the host counts, with or without a port", t, func() {
+		table := NewTable()
+		at := func(name, host, prefix string) Queue {
+			return Queue{Name: name, Host: host, Prefix: prefix, Service: "s", Timeout: 1}
+		}
+		must(table.Configure(Configure{Version: 1, Services: []Service{{Name: "s"}}, Queues: []Queue{
+			at("long", "a.example", "/x/y/"), at("short", "a.example", "/x/"), at("other", "b.example", "/x/y/z/"),
+		}}))
+		for _, c := range [][3]string{
+			{"a.example", "/x/y/1", "long"}, {"a.example:80", "/x/y/z/1", "long"}, {"A.Example", "/x/1", "short"},
+			{"b.example:1", "/x/y/z/", "other"}, {"b.example", "/x/y/1", ""}, {"c.example", "/x/", ""}, {"a.example", "/", ""},
+		} {
+			name := ""
+			if queue := table.QueueFor(c[0], c[1]); queue != nil {
+				name = queue.Name
+			}
+			So(name, ShouldEqual, c[2])
+		}
+	})
+}
--- /dev/null
+++ b/internal/jobs/worker_test.go
@@ -0,0 +1,49 @@
+package jobs
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestRegister_leavingWorker(t *testing.T) {
+	Convey("A worker that drains or left does not come back under its ID, in whatever order its reports come", t, func() {
+		plain, draining, left := testWorker("w1", "open"), testWorker("w1", "open"), testWorker("w1", "open")
+		draining.Draining, left.Left = true, true
+		notified := []Worker{plain, draining, left}
+		permutations(3, func(order []int) {
+			table := testTable()
+			for _, i := range order {
+				must(table.Register(Register{Workers: notified[i : i+1]}))
+			}
+			if w := table.Workers["w1"]; !w.Draining || !w.Left {
+				panic(fmt.Sprint(order))
+			}
+		})
+		table := testTable()
+		plain.Zone, plain.Labels = "elsewhere", nil
+		must(table.Register(Register{Workers: []Worker{plain}}))
+		So(*table.Workers["w1"], ShouldResemble, plain)
+	})
+}
+
+func TestForget_workerWithHandles(t *testing.T) {
+	Convey("A worker is forgotten only without handles", t, func() {
+		table := testTable()
+		table.mustSubmit(testJob("j", oneCore(1)))
+		start := startOf(taskOf("j", 0, 0), 1, "w1")
+		table.start(start)
+		forget := func(p Progress) {
+			p.Term, p.Forget = testTerm, []string{"w1"}
+			_, err := table.Progress(testTerm, p)
+			must(err)
+		}
+		forget(Progress{})
+		So(table.Workers["w1"], ShouldNotBeNil)
+		forget(Progress{Ends: []End{endOf(start, EndLost)}, Starts: []Start{startOf(start.Task, 2, "w1")}})
+		So(table.Workers["w1"], ShouldNotBeNil)
+		forget(Progress{Ends: []End{endOf(startOf(start.Task, 2, "w1"), EndLost)}})
+		So(table.Workers["w1"], ShouldBeNil)
+	})
+}
