--- a/internal/account/price.go
+++ b/internal/account/price.go
@@ -28,12 +28,12 @@
 // Rate is what a run costs in thousandths of a unit per second.
 type Rate int64
 
-// Valid tells whether every part of a price is within its bounds.
+// Valid reports whether every part of a price is within its bounds.
 func (p Price) Valid() bool {
 	return min(p.Core, p.GPU, p.Memory) >= 0 && max(p.Core, p.GPU, p.Memory) <= MaxPrice
 }
 
-// Rate gives what a run with these needs costs.
+// Rate returns what a run with these needs costs.
 func (p Price) Rate(n Needs) Rate {
 	return Rate(int64(n.MilliCPU)*p.Core + int64(n.GPUs)*1000*p.GPU + int64(n.MemoryMB)*p.Memory)
 }
--- a/internal/bundle/fields.go
+++ b/internal/bundle/fields.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"crosstide/internal/config"
+	"crosstide/internal/state"
 )
 
 // maxCount bounds counts; it catches slips, not odd choices.
@@ -72,7 +73,7 @@
 	return out
 }
 
-func readLabels(r *config.Reader, field string) map[string]string {
+func readLabels(r *config.Reader, field string) state.Labels {
 	return readByName(r, field, func(r *config.Reader, name string) (value string) {
 		r.String(name, &value, validateLabelValue)
 		return value
--- a/internal/bundle/operators.go
+++ b/internal/bundle/operators.go
@@ -21,7 +21,7 @@
 	if !r.Has("operators") {
 		return
 	}
-	b.Operators = map[string]string{}
+	b.Operators = state.Operators{}
 	for _, o := range list {
 		b.Operators[o.name] = o.key
 	}
@@ -32,7 +32,7 @@
 
 // OperatorsError is what is wrong with a set of operators that was listed in so many lines: two of them must be able to
 // sign, and none may sign under two names. "" if nothing is.
-func OperatorsError(operators map[string]string, listed int) string {
+func OperatorsError(operators state.Operators, listed int) string {
 	keys := slices.Sorted(maps.Values(operators))
 	switch {
 	case len(operators) < listed || len(slices.Compact(keys)) < listed:
--- a/internal/state/bundle.go
+++ b/internal/state/bundle.go
@@ -18,8 +18,8 @@
 	LeaseTTL time.Duration `json:"hold,omitempty"`
 	// Weights are the teams' shares under contention; a team that is not listed has 1.
 	Weights map[string]int `json:"weights,omitempty"`
-	// Operators, if any are listed, are the operators from this version on: name to public key.
-	Operators map[string]string `json:"operators,omitempty"`
+	// Operators, if any are listed, are the operators from this version on.
+	Operators Operators `json:"operators,omitempty"`
 	// Parties pay for runs, by name. The other two are derived by SetParties: queue and team to the party's name.
 	Parties      map[string]Party  `json:"parties,omitempty"`
 	PartyByQueue map[string]string `json:"paying_queues,omitempty"`
@@ -28,16 +28,16 @@
 
 // Queue is an operators' queue with its placement policy. An empty list allows any.
 type Queue struct {
-	Types    []string          `json:"types,omitempty"`
-	Teams    []string          `json:"teams,omitempty"`
-	Labels   map[string]string `json:"labels,omitempty"` // a worker must have them
-	Workers  []string          `json:"minions,omitempty"`
-	Zones    []string          `json:"zones,omitempty"`
-	Racks    []string          `json:"racks,omitempty"`
-	Urgent   bool              `json:"urgent,omitempty"`
-	Near     []Near            `json:"near,omitempty"`    // all must be satisfied
-	LeaseTTL time.Duration     `json:"hold,omitempty"`    // over Bundle.LeaseTTL; 0: as it says
-	Retries  *int              `json:"retries,omitempty"` // over Bundle.Retries; nil: as it says
+	Types    []string      `json:"types,omitempty"`
+	Teams    []string      `json:"teams,omitempty"`
+	Labels   Labels        `json:"labels,omitempty"` // a worker must have them
+	Workers  []string      `json:"minions,omitempty"`
+	Zones    []string      `json:"zones,omitempty"`
+	Racks    []string      `json:"racks,omitempty"`
+	Urgent   bool          `json:"urgent,omitempty"`
+	Near     []Near        `json:"near,omitempty"`    // all must be satisfied
+	LeaseTTL time.Duration `json:"hold,omitempty"`    // over Bundle.LeaseTTL; 0: as it says
+	Retries  *int          `json:"retries,omitempty"` // over Bundle.Retries; nil: as it says
 }
 
 // Near wants a data set nearby: some worker in the same zone or rack has Label with Value.
@@ -55,8 +55,8 @@
 
 // After is the pause after so many failures in all, at least 1: Min, doubled with each further one, at most Max.
 func (b Backoff) After(failures int) time.Duration {
-	const safeShift = 15 // of any Min in the bounds of a bundle
-	if failures > safeShift {
+	const maxDoubled = 15 // Min of a day, the greatest that a bundle may have, does not overflow up to here
+	if failures > maxDoubled {
 		return b.Max
 	}
 	return min(b.Max, b.Min<<(failures-1))
--- a/internal/state/command/operators.go
+++ b/internal/state/command/operators.go
@@ -10,7 +10,7 @@
 // SetOperators makes the operators known, once: the first leader whose settings list them proposes it. From then on
 // only a bundle that two of them signed changes them.
 type SetOperators struct {
-	Operators map[string]string `json:"operators"` // name to public key
+	Operators state.Operators `json:"operators"`
 }
 
 // Op is "keys".
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -31,17 +31,17 @@
 
 // StepSpec is one step: Tasks equal tasks of one type, after the steps named.
 type StepSpec struct {
-	Name        string            `json:"name"`
-	Type        string            `json:"type"`
-	After       []string          `json:"after,omitempty"` // names of steps whose tasks must all be done first
-	Tasks       int               `json:"tasks"`
-	Cores       int               `json:"cores"` // of each task
-	GPUs        int               `json:"gpus,omitempty"`
-	Labels      map[string]string `json:"labels,omitempty"` // a worker must have them
-	Retries     int               `json:"retries"`          // bounded by Bundle.RetriesFor
-	Run         json.RawMessage   `json:"run,omitempty"`    // handed to the worker with each start
-	LongRunning bool              `json:"standing,omitempty"`
-	Gang        bool              `json:"gang,omitempty"` // all tasks start together
+	Name        string          `json:"name"`
+	Type        string          `json:"type"`
+	After       []string        `json:"after,omitempty"` // names of steps whose tasks must all be done first
+	Tasks       int             `json:"tasks"`
+	Cores       int             `json:"cores"` // of each task
+	GPUs        int             `json:"gpus,omitempty"`
+	Labels      Labels          `json:"labels,omitempty"` // a worker must have them
+	Retries     int             `json:"retries"`          // bounded by Bundle.RetriesFor
+	Run         json.RawMessage `json:"run,omitempty"`    // handed to the worker with each start
+	LongRunning bool            `json:"standing,omitempty"`
+	Gang        bool            `json:"gang,omitempty"` // all tasks start together
 }
 
 // Job is the record of a job of the policy deployment.
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -37,7 +37,7 @@
 		return RefusedTeam
 	case !allows(q.Workers, w.Name), !allows(q.Zones, w.Zone), !allows(q.Racks, w.Rack):
 		return RefusedPolicy
-	case !hasLabels(w, q.Labels), !hasLabels(w, step.Labels):
+	case !w.Labels.HasAll(q.Labels), !w.Labels.HasAll(step.Labels):
 		return RefusedLabel
 	}
 	for _, near := range q.Near {
@@ -103,12 +103,3 @@
 
 // allows reports whether a list of a placement policy allows a name; an empty list allows any.
 func allows(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
-
-func hasLabels(w *Worker, want map[string]string) bool {
-	for label, value := range want {
-		if w.Labels[label] != value {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -39,9 +39,9 @@
 	Workers map[string]*Worker `json:"minions"` // by name
 	Roles   map[string]*Role   `json:"duties"`  // by name, for both deployments
 
-	Bundle    Bundle            `json:"bundle"`    // the version in force
-	Revisions []*Revision       `json:"line"`      // versions of the bundle, oldest first; never empty
-	Operators map[string]string `json:"operators"` // name to public key; empty until the first are known
+	Bundle    Bundle      `json:"bundle"`    // the version in force
+	Revisions []*Revision `json:"line"`      // versions of the bundle, oldest first; never empty
+	Operators Operators   `json:"operators"` // empty until the first are known
 
 	Evacuated map[string]time.Time `json:"evacuated"` // zone to the start of its evacuation
 
@@ -77,7 +77,7 @@
 		Roles:          map[string]*Role{},
 		Evacuated:      map[string]time.Time{},
 		Orders:         map[string]*AnsweredOrder{},
-		Operators:      map[string]string{},
+		Operators:      Operators{},
 		LiftSignatures: map[string][]string{},
 		Bundle: Bundle{
 			Version: 1,
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -8,17 +8,17 @@
 // Worker is the record of a worker of the policy deployment. A stored Worker is never changed, only replaced
 // (PutWorker).
 type Worker struct {
-	Name        string            `json:"name"`
-	Addr        string            `json:"addr"`
-	Incarnation string            `json:"boot,omitempty"` // by its newest answer to the scheduler; "" before
-	Kind        string            `json:"kind"`           // obey or check: whether it starts whatever it is ordered to
-	Zone        string            `json:"zone"`
-	Rack        string            `json:"rack,omitempty"`
-	Labels      map[string]string `json:"labels,omitempty"`
-	Cores       int               `json:"cores"`
-	GPUs        int               `json:"gpus,omitempty"`
-	Draining    bool              `json:"draining,omitempty"` // reported by the worker
-	Closed      bool              `json:"closed,omitempty"`   // drained by an operator
+	Name        string `json:"name"`
+	Addr        string `json:"addr"`
+	Incarnation string `json:"boot,omitempty"` // by its newest answer to the scheduler; "" before
+	Kind        string `json:"kind"`           // obey or check: whether it starts whatever it is ordered to
+	Zone        string `json:"zone"`
+	Rack        string `json:"rack,omitempty"`
+	Labels      Labels `json:"labels,omitempty"`
+	Cores       int    `json:"cores"`
+	GPUs        int    `json:"gpus,omitempty"`
+	Draining    bool   `json:"draining,omitempty"` // reported by the worker
+	Closed      bool   `json:"closed,omitempty"`   // drained by an operator
 }
 
 // PutWorker adds a worker or replaces its record.
