--- a/internal/state/bundle.go
+++ b/internal/state/bundle.go
@@ -55,7 +55,8 @@
 
 // After is the pause after so many failures in all, at least 1: Min, doubled with each further one, at most Max.
 func (b Backoff) After(failures int) time.Duration {
-	const maxDoubled = 15 // Min of a day, the greatest that a bundle may have, does not overflow up to here
+	// Up to here doubling overflows for no Min within the bounds of a bundle; beyond it the pause is Max.
+	const maxDoubled = 15
 	if failures > maxDoubled {
 		return b.Max
 	}
