--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/errs"
 )
 
-// MaxTopUpKeys is how many idempotency keys of an account are remembered, the newest.
-const MaxTopUpKeys = 4096
+// maxTopUpKeys is how many idempotency keys of an account are remembered, the newest.
+const maxTopUpKeys = 4096
 
 // maxNameBytes bounds the name of an account.
 const maxNameBytes = 128
@@ -72,7 +72,7 @@
 func (a *Account) rememberTopUp(made TopUp) {
 	a.TopUps[made.Key] = made
 	a.Keys = append(a.Keys, made.Key)
-	if len(a.Keys) > MaxTopUpKeys {
+	if len(a.Keys) > maxTopUpKeys {
 		delete(a.TopUps, a.Keys[0])
 		a.Keys = a.Keys[1:]
 	}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -138,11 +138,11 @@
 	})
 	Convey("So many keys are remembered, no more", t, func() {
 		b := funded(1)
-		for i := range MaxTopUpKeys {
+		for i := range maxTopUpKeys {
 			_, err := b.TopUp("acme", fmt.Sprint(i), 1, start)
 			So(err, ShouldBeNil)
 		}
-		So(len(b.Accounts["acme"].TopUps), ShouldEqual, MaxTopUpKeys)
+		So(len(b.Accounts["acme"].TopUps), ShouldEqual, maxTopUpKeys)
 		_, known := b.Accounts["acme"].TopUps["first"]
 		So(known, ShouldBeFalse)
 		So(b.Check(), ShouldBeNil)
@@ -152,16 +152,16 @@
 func TestLedger(t *testing.T) {
 	Convey("given an account of many entries", t, func() {
 		b := funded(1)
-		for i := range 3 * KeepEntries {
+		for i := range 3 * keepEntries {
 			_, err := b.TopUp("acme", fmt.Sprint(i), 2, after(i))
 			So(err, ShouldBeNil)
 		}
 		l := &b.Accounts["acme"].Ledger
 		Convey("the oldest are folded into the base, and the sum still holds", func() {
-			So(len(l.Entries), ShouldBeBetween, KeepEntries-1, 2*KeepEntries)
-			So(l.Head.Number, ShouldEqual, 3*KeepEntries+1)
+			So(len(l.Entries), ShouldBeBetween, keepEntries-1, 2*keepEntries)
+			So(l.Head.Number, ShouldEqual, 3*keepEntries+1)
 			So(l.Base.Number+uint64(len(l.Entries)), ShouldEqual, l.Head.Number)
-			So(l.Head.ToppedUp, ShouldEqual, 6*KeepEntries+1)
+			So(l.Head.ToppedUp, ShouldEqual, 6*keepEntries+1)
 			So(l.Verify(), ShouldBeNil)
 		})
 		Convey("an entry that was changed, left out or doubled is found", func() {
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/errs"
 )
 
-// KeepEntries is how many of the newest entries a compaction leaves. The ledger is compacted at twice as many.
-const KeepEntries = 256
+// keepEntries is how many of the newest entries a compaction leaves. The ledger is compacted at twice as many.
+const keepEntries = 256
 
 // EntryKind is the kind of a ledger's entry.
 type EntryKind string
@@ -79,8 +79,8 @@
 	must(err)
 	l.Head = head
 	l.Entries = append(l.Entries, e)
-	if len(l.Entries) >= 2*KeepEntries {
-		l.compact(len(l.Entries) - KeepEntries)
+	if len(l.Entries) >= 2*keepEntries {
+		l.compact(len(l.Entries) - keepEntries)
 	}
 }
 
--- a/internal/jobs/configure.go
+++ b/internal/jobs/configure.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/errs"
 )
 
-// MaxOrders is how many digests of configuration orders are remembered, the newest.
-const MaxOrders = 1024
+// maxOrders is how many digests of configuration orders are remembered, the newest.
+const maxOrders = 1024
 
 // Configure changes the configuration on top of version Base. With Replace, Queues, Services and Limits are the whole
 // new configuration; else they are added or replace those of the same name, after the removals.
@@ -54,7 +54,7 @@
 	}
 	t.Orders = append(t.Orders, digest)
 	t.indexes.orders[digest] = struct{}{}
-	if excess := len(t.Orders) - MaxOrders; excess > 0 {
+	if excess := len(t.Orders) - maxOrders; excess > 0 {
 		for _, old := range t.Orders[:excess] {
 			delete(t.indexes.orders, old)
 		}
--- a/internal/jobs/configure_test.go
+++ b/internal/jobs/configure_test.go
@@ -108,10 +108,10 @@
 func TestConfigure_repeated(t *testing.T) {
 	Convey("An accepted order is answered alike after later ones, among the newest, also after a decode", t, func() {
 		table := testTable()
-		for i := range uint64(MaxOrders) {
+		for i := range uint64(maxOrders) {
 			So(table.Configure(Configure{Base: 5 + i, Version: 6 + i, Digest: fmt.Sprint(i)}), ShouldBeNil)
 		}
-		So(table.Orders, ShouldHaveLength, MaxOrders)
+		So(table.Orders, ShouldHaveLength, maxOrders)
 		for _, each := range []*Table{table, table.decodedCopy()} {
 			before := each.bytes()
 			So(each.Configure(Configure{Base: 5, Version: 6, Digest: "0"}), ShouldBeNil)
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -124,14 +124,14 @@
 	Convey("The table is no larger at the end of a month than when the remembered orders were first full", t, func() {
 		m := newMonthTable()
 		sizes := m.month(days)
-		full := MaxOrders/(24*monthConfigs) + 1 // the day from which on the oldest orders are forgotten
+		full := maxOrders/(24*monthConfigs) + 1 // the day from which on the oldest orders are forgotten
 		t.Log(m.jobs, "jobs,", m.incarnations, "workers; bytes by day", sizes)
 		So(sizes[days-1], ShouldBeLessThan, sizes[full]*101/100)
 		So(sizes[days-1], ShouldBeLessThan, 100_000)
 		So(len(m.Jobs), ShouldBeLessThanOrEqualTo, monthHourJobs)
 		So(m.Workers, ShouldBeEmpty)
-		So(m.Orders, ShouldHaveLength, MaxOrders)
-		So(m.indexes.orders, ShouldHaveLength, MaxOrders)
+		So(m.Orders, ShouldHaveLength, maxOrders)
+		So(m.indexes.orders, ShouldHaveLength, maxOrders)
 		So(m.Evacuated, ShouldBeEmpty)
 		So(m.indexes.queued, ShouldBeEmpty)
 		So(m.indexes.occupancy, ShouldBeEmpty)
--- a/internal/state/command/policy_cancel.go
+++ b/internal/state/command/policy_cancel.go
@@ -35,8 +35,8 @@
 	return nil, errs.Field(errs.Unknown, "key", "no job %q", c.Key)
 }
 
-// MaxCancels bounds the keys of one CancelMany.
-const MaxCancels = 10000
+// maxCancels bounds the keys of one CancelMany.
+const maxCancels = 10000
 
 // CancelMany stops many jobs in one step: those of Keys, or all of a team, of a queue, or of a team in a queue.
 type CancelMany struct {
@@ -77,8 +77,8 @@
 func (c *CancelMany) check() error {
 	byGroup := c.Team+c.Queue != ""
 	switch {
-	case len(c.Keys) > MaxCancels:
-		return errs.Field(errs.Invalid, "keys", "%d keys, at most %d", len(c.Keys), MaxCancels)
+	case len(c.Keys) > maxCancels:
+		return errs.Field(errs.Invalid, "keys", "%d keys, at most %d", len(c.Keys), maxCancels)
 	case len(c.Keys) > 0 && byGroup:
 		return errs.Field(errs.Invalid, "keys", "keys go without team and queue")
 	case len(c.Keys) == 0 && !byGroup:
--- a/internal/state/labels.go
+++ b/internal/state/labels.go
@@ -3,8 +3,8 @@
 // Labels are a worker's labels with their values, or those that a step or placement policy wants.
 type Labels map[string]string
 
-// HasAll reports whether l has every label of want, with its value.
-func (l Labels) HasAll(want Labels) bool {
+// hasAll reports whether l has every label of want, with its value.
+func (l Labels) hasAll(want Labels) bool {
 	for label, value := range want {
 		if l[label] != value {
 			return false
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -37,7 +37,7 @@
 		return RefusedTeam
 	case !allows(q.Workers, w.Name), !allows(q.Zones, w.Zone), !allows(q.Racks, w.Rack):
 		return RefusedPolicy
-	case !w.Labels.HasAll(q.Labels), !w.Labels.HasAll(step.Labels):
+	case !w.Labels.hasAll(q.Labels), !w.Labels.hasAll(step.Labels):
 		return RefusedLabel
 	}
 	for _, near := range q.Near {
