--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -54,7 +54,8 @@
 		s.StopJob(j, state.JobFailed, "step "+stepOf(s, h.Ref).Name+" gave up: "+e.Reason)
 		return
 	}
-	requeueTask(s, h, e.Reason, s.At.Add(s.Bundle.Backoff.After(t.Failures)))
+	t.DueAt = s.At.Add(s.Bundle.Backoff.After(t.Failures))
+	requeueTask(s, h)
 }
 
 // isOutOfRetries reports whether the newest failure of a task fails its job.
@@ -90,7 +91,7 @@
 		maySurvive := w.Kind == startsAnything && h.Phase != state.TaskRunning
 		if h.Incarnation != w.Incarnation && !maySurvive {
 			s.RefundRun(h.RunID)
-			requeueTask(s, h, "the minion came back under a new boot", time.Time{})
+			requeueLost(s, h, "the minion came back under a new boot")
 		}
 	}
 }
@@ -113,22 +114,25 @@
 	if p.Why != ProofStop {
 		s.RefundRun(h.RunID)
 	}
-	requeueTask(s, h, p.Reason, time.Time{})
+	requeueLost(s, h, p.Reason)
 }
 
-// requeueTask releases a handle without an end that counts: the task is due again, at once if due is zero, or skipped
-// if its job stops.
-func requeueTask(s *state.State, h *state.Handle, reason string, due time.Time) {
-	j, t := s.TaskOf(h.Ref)
-	t.DueAt = due
+// requeueLost releases a handle whose run has no end: its task may start again at once.
+func requeueLost(s *state.State, h *state.Handle, reason string) {
+	_, t := s.TaskOf(h.Ref)
+	t.DueAt = time.Time{}
 	if reason != "" {
 		t.Reason = reason
 	}
-	if due.IsZero() {
-		t.Lost++
-	}
+	t.Lost++
+	requeueTask(s, h)
+}
+
+// requeueTask releases a handle and makes its task due again, from the DueAt that the caller has set, or skips it if
+// its job stops.
+func requeueTask(s *state.State, h *state.Handle) {
 	to := state.TaskDue
-	if j.Phase != state.JobRunning {
+	if s.Jobs[h.Ref.Job].Phase != state.JobRunning {
 		to = state.TaskSkipped
 	}
 	must(s.SetTaskPhase(h.Ref, to, nil))
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -14,10 +14,13 @@
 	Cost  int64
 }
 
+// PartyOf returns the party that pays for a job's runs, "" if none does.
+func (s *State) PartyOf(j *Job) string { return s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) }
+
 // Fee returns what the start of a task reserves: the price of a window; nothing if nobody pays for it, or for a restart
 // of a long-running task, which goes on even when its party's balance is exhausted.
 func (s *State) Fee(j *Job, ref TaskRef) Fee {
-	party := s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)
+	party := s.PartyOf(j)
 	if party == "" || j.isRestart(ref) {
 		return Fee{}
 	}
@@ -30,7 +33,7 @@
 
 // UnpaidReason is why a job's due tasks wait for a top-up; "" if none does.
 func (s *State) UnpaidReason(j *Job) string {
-	if s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) == "" {
+	if s.PartyOf(j) == "" {
 		return ""
 	}
 	for i := range j.Tasks {
@@ -75,7 +78,7 @@
 // reserve reserves the first window of a run, if somebody pays for it, in the step that records its handle. The restart
 // of a long-running task whose party has no account is not paid for.
 func (s *State) reserve(j *Job, ref TaskRef, runID uint64) error {
-	party := s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team)
+	party := s.PartyOf(j)
 	isRestart := j.isRestart(ref)
 	if party == "" || isRestart && (s.Accounts == nil || s.Accounts.Accounts[party] == nil) {
 		return nil
--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -102,7 +102,7 @@
 	}
 	for _, j := range s.Jobs {
 		if j.Phase == state.JobRunning && s.UnpaidReason(j) != "" {
-			out[partyOf(s, j)]++
+			out[s.PartyOf(j)]++
 		}
 	}
 	return out
@@ -111,12 +111,12 @@
 // waitsBehindReason says that a job's due tasks wait because their party's balance is kept for a job that is paid for
 // before it; "" if they do not. It takes time in the number of all jobs.
 func waitsBehindReason(s *state.State, j *state.Job) string {
-	party := partyOf(s, j)
+	party := s.PartyOf(j)
 	if party == "" || j.Phase != state.JobRunning || !hasDueTask(j) {
 		return ""
 	}
 	for _, other := range s.Jobs {
-		if other.Phase == state.JobRunning && partyOf(s, other) == party && goesBefore(s, other, j) &&
+		if other.Phase == state.JobRunning && s.PartyOf(other) == party && goesBefore(s, other, j) &&
 			s.UnpaidReason(other) != "" {
 			return fmt.Sprintf("party %s is dry for a job that goes before this one; "+
 				"the job goes on by itself after a top-up", party)
@@ -125,8 +125,6 @@
 	return ""
 }
 
-func partyOf(s *state.State, j *state.Job) string { return s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) }
-
 // goesBefore reports whether the tasks of one job are paid for before those of another.
 func goesBefore(s *state.State, one, other *state.Job) bool {
 	first, second := s.Bundle.Queues[one.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
