--- a/internal/state/transition.go
+++ b/internal/state/transition.go
@@ -63,8 +63,8 @@
 }
 
 // SetTaskPhase changes a task's phase, with all that follows for its handle, step and job. h is the new handle on the
-// way into TaskAssigned, else nil. Failures: Stale (no such task, or taskTransitions has no such change), Conflict (the
-// party's account does not cover the run). A refusal changes nothing. Example:
+// way into TaskAssigned, else nil. Failures: Stale (no such task, or taskTransitions has no such change), Conflict or
+// Unknown (the party that pays has no account). A refusal changes nothing. Example:
 //
 //	err := s.SetTaskPhase(h.Ref, state.TaskDone, nil) // the run of h ended well
 func (s *State) SetTaskPhase(ref TaskRef, to TaskPhase, h *Handle) error {
