--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -23,11 +23,12 @@
 
 // The kinds of proof.
 const (
-	ProofFloor        = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
-	ProofLeaseExpired = "lapse"  // its lease has expired on any clock
-	ProofUnsent       = "unsent" // its start order never left this scheduler
-	ProofRefuse       = "refuse" // the worker refused it
-	ProofStop         = "stop"   // the worker stopped it as ordered
+	ProofFloor          = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
+	ProofNewIncarnation = "boot"   // the worker runs under another incarnation; no scheduler writes it: see recordReport
+	ProofLeaseExpired   = "lapse"  // its lease has expired on any clock
+	ProofUnsent         = "unsent" // its start order never left this scheduler
+	ProofRefuse         = "refuse" // the worker refused it
+	ProofStop           = "stop"   // the worker stopped it as ordered
 )
 
 // startsAnything is the state.Worker.Kind of a worker that starts whatever it is ordered to, unlike one that checks the
