--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -24,7 +24,7 @@
 // The kinds of proof.
 const (
 	ProofFloor          = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
-	ProofNewIncarnation = "boot"   // the worker runs under another incarnation; no scheduler writes it: see recordReport
+	ProofNewIncarnation = "boot"   // the worker runs under another incarnation; not written: see recordReport
 	ProofLeaseExpired   = "lapse"  // its lease has expired on any clock
 	ProofUnsent         = "unsent" // its start order never left this scheduler
 	ProofRefuse         = "refuse" // the worker refused it
