--- a/internal/account/doc.go
+++ b/internal/account/doc.go
@@ -9,5 +9,5 @@
 //
 // Table is part of the replicated state: it changes only by its methods, in the order of the log, and is the same on
 // every node that applied the same entries. It reads no clock; every change carries its time. All amounts are in whole
-// units. It has no lock; its owner, the store, serializes all access.
+// units. It has no lock; the owner of the state.State that it is part of serializes all access.
 package account
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/errs"
 )
 
-// Table holds all accounts and reservations. It has no lock: its owner serializes all access. Covers, Debit, Refund,
-// Renew, Check and HasReservations may be called on a nil table, which holds nothing.
+// Table holds all accounts and reservations. It has no lock: the owner of its State serializes all access. Covers,
+// Debit, Refund, Renew, Check and HasReservations may be called on a nil table, which holds nothing.
 type Table struct {
 	Accounts     map[string]*Account     `json:"accounts"`     // by the party's name; never removed
 	Reservations map[string]*Reservation `json:"reservations"` // by run; each of an account in Accounts
--- a/internal/jobs/config.go
+++ b/internal/jobs/config.go
@@ -31,7 +31,7 @@
 	Stretch float64       `json:"stretch"`
 	Target  time.Duration `json:"target"`
 
-	Timeout  time.Duration   `json:"timeout"` // above 0; nothing else in the module reads it
+	Timeout  time.Duration   `json:"timeout"` // above 0
 	Document json.RawMessage `json:"doc"`     // the item as the operator sent it
 }
 
--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -8,8 +8,9 @@
 // nothing either: package controller/scheduler decides on the leader what starts and when a run is dead, and hands the
 // decisions in as Progress, whose starts are checked again here against the newest records.
 //
-// Table has no lock; its owner, the store, serializes all access. Readers use its exported fields and query methods,
-// and change nothing. Records and changes are stored under the JSON names of their tags, which never change.
+// Table has no lock; the owner of the state.State that it is part of serializes all access. Readers use its exported
+// fields and query methods, and change nothing. Records and changes are stored under the JSON names of their tags,
+// which never change.
 //
 // Begin with Table (table.go) and Progress (progress.go).
 package jobs
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestRandomChanges draws changes and makes them on a table and on one that is now and then encoded and decoded. Both
-// must stay equal to the byte, answer alike and keep the indexes equal to what a scan of all records counts; each start must be
-// recorded exactly when a model that checks all its preconditions says so.
+// must stay equal to the byte, answer alike and keep the indexes equal to what a scan of all records counts; each start
+// must be recorded exactly when a model that checks all its preconditions says so.
 func TestRandomChanges(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// Table is the replicated table of the jobs deployment. It has no lock: the store owns it and serializes all access.
+// Table is the replicated table of the jobs deployment. It has no lock: the owner of its State serializes all access.
 // The order of the fields is the order of the keys in snapshots.
 type Table struct {
 	Jobs      map[string]*Job    `json:"jobs"`                // by ID, until Purge
--- a/internal/signature/signature.go
+++ b/internal/signature/signature.go
@@ -1,9 +1,9 @@
 // Package signature is the operators' signatures: their Ed25519 keys and key files, the texts that are signed, and the
-// verification. A text names everything that an order does, so that a signature can't be used for another order. The
-// texts and the format of key files never change: signatures are stored, and operators' tools make them too.
+// verification. A text names everything that its order does, so that a signature is of no use for another order. The
+// texts and the format of key files never change: signatures stay in the replicated state, key files with the
+// operators.
 //
-// An operator's tool calls Load, then Key.Sign with a text of texts.go; package command calls Verify with the same
-// text.
+// Who signs calls Load, then Key.Sign with a text of texts.go; package command calls Verify with the same text.
 package signature
 
 import (
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -13,7 +13,10 @@
 // State is changed only by package command, in the order of the log, and is the same on every node that applied the
 // same entries; package query reads it. The package therefore reads no clock (State.At is the store time) and draws no
 // random numbers, and where the order of a map's keys could reach a record, an event or an answer, the keys are sorted
-// first. It has no lock: the store, which owns the State, serializes all access.
+// first.
+//
+// State has no lock. Its owner serializes all access: package store on a control plane node, which holds a second State
+// for writing snapshots, and package replica on a data plane node.
 //
 // Records are stored under the JSON names of their tags; those names and the strings of the phases are part of the
 // stored data and never change. Unexported fields are indexes: Decode rebuilds them, Encode leaves them out.
--- a/internal/state/handle.go
+++ b/internal/state/handle.go
@@ -9,7 +9,7 @@
 	Ref           TaskRef       `json:"r"`
 	Worker        string        `json:"m"`
 	Incarnation   string        `json:"b"` // of the worker to which the run was assigned
-	Epoch         uint64        `json:"e"` // of the scheduler role under which it was assigned: its fencing token
+	Epoch         uint64        `json:"e"` // of the scheduler role under which it was assigned
 	BundleVersion uint64        `json:"c"` // under whose placement policies it was assigned
 	Type          string        `json:"y"`
 	Cores         int           `json:"n"`
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/jobs"
 )
 
-// State is the whole replicated state. It has no lock: the store owns it and serializes all access. The order of the
-// fields is the order of the keys in snapshots.
+// State is the whole replicated state. It has no lock: its owner serializes all access (see the package). The order of
+// the fields is the order of the keys in snapshots.
 type State struct {
 	Index uint64 `json:"index"` // of the newest entry applied
 	Term  uint64 `json:"term"`  // of the newest entry applied
