--- a/internal/signature/signature.go
+++ b/internal/signature/signature.go
@@ -1,5 +1,5 @@
 // Package signature is the operators' signatures: their Ed25519 keys and key files, the texts that are signed, and the
-// verification. A text names everything that its order does, so that a signature is of no use for another order. The
+// verification. A text names everything that its order does, so that a signature holds for nothing else. The
 // texts and the format of key files never change: signatures stay in the replicated state, key files with the
 // operators.
 //
