--- a/internal/jobs/config.go
+++ b/internal/jobs/config.go
@@ -1,47 +1,12 @@
 package jobs
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
-	"time"
 
 	"crosstide/internal/errs"
 )
 
-// Config is the operators' configuration in force.
-type Config struct {
-	Version  uint64          `json:"version"`
-	Queues   []Queue         `json:"queues,omitempty"`   // in the order they were sent
-	Services []Service       `json:"services,omitempty"` // in the order they were sent
-	Limits   json.RawMessage `json:"limits,omitempty"`   // as the operator sent them; the table does not read them
-}
-
-// Queue is one queue of the configuration.
-type Queue struct {
-	Name        string `json:"name"`
-	Host        string `json:"host"`               // with Prefix: where clients find it
-	Prefix      string `json:"prefix"`             // of the path of a call
-	Service     string `json:"service"`            // whose workers serve it
-	Priority    int    `json:"priority,omitempty"` // 0 goes first
-	MaxAttempts int    `json:"attempts"`           // of a task, after which its job has failed
-
-	// Stretch and Target are the latency objective of a job's round: Stretch times the estimate of its critical path,
-	// plus Target. A long-running task has Target alone, to its start.
-	Stretch float64       `json:"stretch"`
-	Target  time.Duration `json:"target"`
-
-	Timeout  time.Duration   `json:"timeout"` // above 0
-	Document json.RawMessage `json:"doc"`     // the item as the operator sent it
-}
-
-// Service is one service of the configuration: a kind of worker.
-type Service struct {
-	Name           string          `json:"name"`
-	ChecksCapacity bool            `json:"guards,omitempty"` // its workers refuse what does not fit, the table does not
-	Document       json.RawMessage `json:"doc"`              // the item as the operator sent it
-}
-
 // Queue finds a queue by name; nil if there is none.
 func (c *Config) Queue(name string) *Queue {
 	for i := range c.Queues {
--- a/internal/jobs/configure.go
+++ b/internal/jobs/configure.go
@@ -1,7 +1,6 @@
 package jobs
 
 import (
-	"encoding/json"
 	"slices"
 
 	"crosstide/internal/errs"
@@ -10,20 +9,6 @@
 // maxOrders is how many digests of configuration orders are remembered, the newest.
 const maxOrders = 1024
 
-// Configure changes the configuration on top of version Base. With Replace, Queues, Services and Limits are the whole
-// new configuration; else they are added or replace those of the same name, after the removals.
-type Configure struct {
-	Base           uint64          `json:"base"`
-	Version        uint64          `json:"version"` // of the new configuration; above Base
-	Digest         string          `json:"digest"`  // of the order's own bytes and its base: tells a repeated order
-	Replace        bool            `json:"replace,omitempty"`
-	Queues         []Queue         `json:"queues,omitempty"`
-	Services       []Service       `json:"services,omitempty"`
-	Limits         json.RawMessage `json:"limits,omitempty"`
-	RemoveQueues   []string        `json:"rq,omitempty"`
-	RemoveServices []string        `json:"rs,omitempty"`
-}
-
 // Configure puts another configuration in force. A repeated order succeeds and changes nothing, whatever is in force by
 // now. Failures: Stale (another version than Base is in force), Invalid with the field. A refused order changes
 // nothing.
--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -12,5 +12,6 @@
 // fields and query methods, and change nothing. Records and changes are stored under the JSON names of their tags,
 // which never change.
 //
-// Begin with Table (table.go) and Progress (progress.go).
+// The records are declared in jobs.go, the changes in changes.go; the methods that make a change are in the file of its
+// name. Begin with Table (table.go) and Table.Progress (progress.go).
 package jobs
--- a/internal/jobs/evacuate.go
+++ b/internal/jobs/evacuate.go
@@ -1,11 +1,5 @@
 package jobs
 
-// Evacuate starts or withdraws the evacuation of a zone: no task is started in it meanwhile.
-type Evacuate struct {
-	Zone  string `json:"zone"`
-	Start bool   `json:"start"`
-}
-
 // Evacuate starts or withdraws the evacuation of a zone; repeated it changes nothing.
 func (t *Table) Evacuate(c Evacuate) error {
 	if t.Evacuated[c.Zone] == c.Start {
--- a/internal/jobs/lifecycle.go
+++ b/internal/jobs/lifecycle.go
@@ -7,12 +7,6 @@
 	"crosstide/internal/errs"
 )
 
-// Cancel ends a job that is not terminal: none of its tasks starts any more.
-type Cancel struct {
-	ID string    `json:"id"`
-	At time.Time `json:"at"`
-}
-
 // Cancel ends a job that is not terminal. Its handles stay until their runs' ends. Failure: Unknown.
 func (t *Table) Cancel(c Cancel) (JobState, error) {
 	job := t.Jobs[c.ID]
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -1,12 +1,5 @@
 package jobs
 
-// Resources are what a task takes on a worker, or what a worker has.
-type Resources struct {
-	MilliCPU int `json:"c,omitempty"` // thousandths of a core
-	MemoryMB int `json:"m,omitempty"`
-	GPUs     int `json:"g,omitempty"`
-}
-
 // plus returns r and times as much as needs.
 func (r Resources) plus(needs Resources, times int) Resources {
 	return Resources{
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -2,18 +2,10 @@
 
 import (
 	"fmt"
-	"time"
 
 	"crosstide/internal/errs"
 )
 
-// Submit accepts a job. The same ID with the same digest is the same job.
-type Submit struct {
-	Spec   Spec      `json:"spec"`
-	Digest string    `json:"digest"`
-	At     time.Time `json:"at"`
-}
-
 // Submit accepts a job, or finds it if it was accepted before. Failures: Conflict (the ID is another job's), Unknown
 // (no such queue), Invalid (a step cannot be built).
 func (t *Table) Submit(c Submit) (JobState, error) {
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -2,20 +2,6 @@
 
 import "cmp"
 
-// TaskRef names a task.
-type TaskRef struct {
-	Job   string `json:"j"`
-	Round int    `json:"k,omitempty"`
-	Step  int    `json:"s,omitempty"`
-	Index int    `json:"i,omitempty"`
-}
-
-// RunKey names one run of a task.
-type RunKey struct {
-	Task   TaskRef `json:"t"`
-	Number int     `json:"n"`
-}
-
 // Compare orders runs by job, round, step, index and number.
 func (k RunKey) Compare(other RunKey) int {
 	return cmp.Or(
@@ -27,24 +13,6 @@
 	)
 }
 
-// Run is the durable handle of a run: recorded before its start order is sent, and kept until its end is reported or it
-// is proved dead. Until then its task is not started again.
-type Run struct {
-	Number int    `json:"n"`
-	Worker string `json:"w"` // worker ID
-	Term   uint64 `json:"t"` // leadership term in which it was recorded: the fencing token of its start order
-}
-
-// Task is one task of a round.
-type Task struct {
-	Done       bool   `json:"d,omitempty"`
-	LastRun    int    `json:"r,omitempty"`  // newest run number issued; numbers ascend and are never reused
-	Failures   int    `json:"f,omitempty"`  // runs that ended failed; of a gang: counted at its first member
-	FailedRun  int    `json:"fr,omitempty"` // of a gang's first member: the newest run number that counted as failed
-	Checkpoint string `json:"k,omitempty"`  // newest saved progress
-	Runs       []Run  `json:"h,omitempty"`  // handles; at most one
-}
-
 // findTask finds a task and its job; nil if there is none (any more).
 func (t *Table) findTask(ref TaskRef) (*Job, *Task) {
 	job := t.Jobs[ref.Job]
@@ -57,3 +25,24 @@
 	}
 	return job, &steps[ref.Step][ref.Index]
 }
+
+// newRounds returns the tasks of a job, none of them started.
+func newRounds(spec *Spec) [][][]Task {
+	rounds := make([][][]Task, max(1, spec.Rounds))
+	for round := range rounds {
+		rounds[round] = make([][]Task, len(spec.Steps))
+		for step := range spec.Steps {
+			rounds[round][step] = make([]Task, spec.Steps[step].Count)
+		}
+	}
+	return rounds
+}
+
+// members returns the tasks that start and end together with a task: of a gang all of the step, else it alone.
+func (j *Job) members(ref TaskRef) []Task {
+	tasks := j.Rounds[ref.Round][ref.Step]
+	if j.Spec.Steps[ref.Step].Gang {
+		return tasks
+	}
+	return tasks[ref.Index : ref.Index+1]
+}
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -2,25 +2,6 @@
 
 import "slices"
 
-// Worker is what is durable of a worker: one incarnation of it, under an ID that is never reused. A stored Worker is
-// never changed, only replaced (Register).
-type Worker struct {
-	ID       string    `json:"id"`
-	Address  string    `json:"addr"`
-	Service  string    `json:"service"`
-	Zone     string    `json:"zone"`
-	Rack     string    `json:"rack,omitempty"`
-	Labels   []string  `json:"labels,omitempty"`
-	Capacity Resources `json:"cap"`
-	Draining bool      `json:"draining,omitempty"` // never withdrawn
-	Left     bool      `json:"left,omitempty"`     // it reported that it ends; never withdrawn
-}
-
-// Register records workers that are new or have changed.
-type Register struct {
-	Workers []Worker `json:"workers"`
-}
-
 // Register records workers that are new or have changed. One that drains or has left never comes back under its ID.
 func (t *Table) Register(c Register) error {
 	for _, worker := range c.Workers {
