--- a/internal/state/command/doc.go
+++ b/internal/state/command/doc.go
@@ -8,7 +8,7 @@
 // applied: check changes nothing, change makes what was checked and returns the answer.
 //
 // The files named policy_* are of the policy deployment, those named jobs_* of the jobs deployment, whose changes and
-// checks are in package jobs; roles, members, operators, orders and accounts serve both.
+// checks are in package jobs; members, operators, orders and accounts serve both.
 //
 // Begin with Command and Apply (entry.go), then Plan (policy_plan.go), which carries all that the scheduler decides.
 package command
--- a/internal/state/command/entry.go
+++ b/internal/state/command/entry.go
@@ -28,8 +28,6 @@
 // constructors make an empty command for each op.
 var constructors = map[string]func() Command{
 	// Of both deployments.
-	"grant":          func() Command { return &GrantRole{} },
-	"giveup":         func() Command { return &ReleaseRole{} },
 	"succeed":        func() Command { return &ReplaceMember{} },
 	"keys":           func() Command { return &SetOperators{} },
 	"account-create": func() Command { return &AccountCreate{} },
@@ -41,6 +39,8 @@
 	"cancels":  func() Command { return &CancelMany{} },
 	"announce": func() Command { return &Announce{} },
 	"plan":     func() Command { return &Plan{} },
+	"grant":    func() Command { return &GrantRole{} },
+	"giveup":   func() Command { return &ReleaseRole{} },
 	"zone":     func() Command { return &EvacuateZone{} },
 	"close":    func() Command { return &CloseWorker{} },
 	"tidy":     func() Command { return &Purge{} },
