--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,7 +19,7 @@
 	// At is the store time: the greatest time of any applied entry, so it never goes back.
 	At time.Time `json:"at"`
 
-	// From here to Handles and Workers: the policy deployment.
+	// The records of the policy deployment, up to LiftSignatures; of these Operators and Successors serve both.
 
 	// LastRunID is the newest run ID issued; run IDs are issued in ascending order and never reused.
 	LastRunID uint64 `json:"ticket"`
@@ -40,9 +40,6 @@
 	Handles map[uint64]*Handle `json:"handles"` // by run ID; one for each task whose phase HasHandle
 	Workers map[string]*Worker `json:"minions"` // by name
 
-	// Of the policy deployment too: the scheduler role, the bundle in force with its history, the operators whom a bundle
-	// names, and evacuations.
-
 	Roles map[string]*Role `json:"duties"` // by name
 
 	Bundle    Bundle      `json:"bundle"`    // the version in force
@@ -51,14 +48,13 @@
 
 	Evacuated map[string]time.Time `json:"evacuated"` // zone to the start of its evacuation
 
-	// From here to Orders: both deployments, but for LiftSignatures.
-
 	// Successors are the control plane nodes that may join in another's place, by an operator's order: new name to old.
 	Successors map[string]string `json:"successors,omitempty"`
 
 	// LiftSignatures has for each evacuated zone the operators who signed for lifting the evacuation so far.
 	LiftSignatures map[string][]string `json:"lifts,omitempty"`
 
+	// Orders are the answered orders of operators, of both deployments.
 	Orders    map[string]*AnsweredOrder `json:"orders"`     // by order ID
 	OrderKeys []string                  `json:"order_keys"` // the keys of Orders, oldest first
 
