--- /dev/null
+++ b/internal/state/command/policy_bundle.go
@@ -0,0 +1,185 @@
+package command
+
+import (
+	"slices"
+	"strings"
+
+	"crosstide/internal/bundle"
+	"crosstide/internal/errs"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+)
+
+// PutBundle writes a version of the bundle as a draft against Base, which must be the newest. By signs signature.Put.
+type PutBundle struct {
+	Order string `json:"order"`
+	Base  uint64 `json:"base"`
+	By    string `json:"by"`
+	Sig   string `json:"sig"`
+	Body  []byte `json:"body"`
+}
+
+// BundleDrafted answers PutBundle and PatchBundle: the new version, what is to be signed, and its phase.
+type BundleDrafted struct {
+	Version uint64              `json:"version"`
+	Base    uint64              `json:"base"`
+	Digest  string              `json:"sha256"`
+	Phase   state.RevisionPhase `json:"state"`
+}
+
+// Op is "put".
+func (*PutBundle) Op() string { return "put" }
+
+func (c *PutBundle) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c)
+	return answer, errs.Pass(err, "put")
+}
+
+func (c *PutBundle) check(s *state.State) error {
+	text := signature.Put(c.Order, c.Base, bundle.Digest(c.Body))
+	if err := verifySignature(s, c.By, c.Sig, text); err != nil {
+		return errs.Pass(err, "put")
+	}
+	return errs.Pass(checkBase(s, c.Base), "put")
+}
+
+func (c *PutBundle) change(s *state.State) (any, error) {
+	drafted, err := appendDraft(s, c.Order, c.By, c.Body)
+	return drafted, errs.Pass(err, "put")
+}
+
+// PatchBundle writes a version as a draft: Base, which must be the newest, changed by a JSON merge patch. The result is
+// checked as a whole. By signs signature.Patch.
+type PatchBundle struct {
+	Order string `json:"order"`
+	Base  uint64 `json:"base"`
+	By    string `json:"by"`
+	Sig   string `json:"sig"`
+	Patch []byte `json:"patch"`
+}
+
+// Op is "patch".
+func (*PatchBundle) Op() string { return "patch" }
+
+func (c *PatchBundle) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c)
+	return answer, errs.Pass(err, "patch")
+}
+
+func (c *PatchBundle) check(s *state.State) error {
+	text := signature.Patch(c.Order, c.Base, bundle.Digest(c.Patch))
+	if err := verifySignature(s, c.By, c.Sig, text); err != nil {
+		return errs.Pass(err, "patch")
+	}
+	return errs.Pass(checkBase(s, c.Base), "patch")
+}
+
+func (c *PatchBundle) change(s *state.State) (any, error) {
+	body, err := bundle.Merge(s.Head().Body, c.Patch)
+	if err != nil {
+		return nil, errs.Pass(err, "patch")
+	}
+	drafted, err := appendDraft(s, c.Order, c.By, body)
+	return drafted, errs.Pass(err, "patch")
+}
+
+// checkBase is nil if base is the newest version, in force or not. Failure: Conflict.
+func checkBase(s *state.State, base uint64) error {
+	head := s.Head()
+	switch {
+	case base > head.Version:
+		return errs.Field(errs.Conflict, "base", "there is no version %d, the newest is %d", base, head.Version)
+	case base < head.Version:
+		author := head.Author
+		if next := s.Revision(base + 1); next != nil {
+			author = next.Author
+		}
+		return errs.Field(errs.Conflict, "base",
+			"someone else was first: version %d, by %s, was written against %d; the newest is %d",
+			base+1, author, base, head.Version)
+	}
+	return nil
+}
+
+// appendDraft makes a text the newest version. Failures: Invalid, TooLarge; they change nothing.
+func appendDraft(s *state.State, order, author string, body []byte) (any, error) {
+	if _, err := bundle.Parse(body); err != nil {
+		return nil, errs.Pass(err, "draft")
+	}
+	base := s.Head().Version
+	r := &state.Revision{
+		Version: base + 1, Base: base, Digest: bundle.Digest(body), Size: len(body),
+		Order: order, Author: author, WrittenAt: s.At, Phase: state.RevisionDraft, Body: body,
+	}
+	must(s.AppendRevision(r)) // a head that waits for signatures may always be replaced
+	return BundleDrafted{r.Version, r.Base, r.Digest, r.Phase}, nil
+}
+
+// SignBundle is an operator's signature of a version: Sig is over signature.Bundle. The second one, by another
+// operator, puts the version in force in the same step.
+type SignBundle struct {
+	Order   string `json:"order"`
+	Version uint64 `json:"version"`
+	Digest  string `json:"sha256"`
+	By      string `json:"by"`
+	Sig     string `json:"sig"`
+}
+
+// BundleSigned answers SignBundle: the version's phase now, and who signed it.
+type BundleSigned struct {
+	Version uint64              `json:"version"`
+	Digest  string              `json:"sha256"`
+	Phase   state.RevisionPhase `json:"state"`
+	Signed  []string            `json:"signed"`
+}
+
+// Op is "sign".
+func (*SignBundle) Op() string { return "sign" }
+
+func (c *SignBundle) apply(s *state.State, _ uint64) (any, error) {
+	answer, err := applyOnce(s, c.Order, c)
+	return answer, errs.Pass(err, "sign")
+}
+
+func (c *SignBundle) check(s *state.State) error {
+	r := s.Revision(c.Version)
+	switch {
+	case r == nil:
+		return errs.Field(errs.Unknown, "version", "no version %d", c.Version)
+	case !strings.EqualFold(r.Digest, c.Digest):
+		return errs.Field(errs.Invalid, "sha256", "version %d has %s, not %s", r.Version, r.Digest, c.Digest)
+	}
+	if err := verifySignature(s, c.By, c.Sig, signature.Bundle(r.Version, r.Digest)); err != nil {
+		return errs.Pass(err, "sign")
+	}
+	switch {
+	case r.Phase == state.RevisionInForce:
+		return errs.Field(errs.Conflict, "version", "version %d is in force already", r.Version)
+	case r.Phase == state.RevisionReplaced:
+		return errs.Field(errs.Conflict, "version",
+			"someone else was first: version %d was replaced, the newest is %d", r.Version, s.Head().Version)
+	case slices.ContainsFunc(r.Signed, func(g state.Signature) bool { return g.By == c.By }):
+		return errs.Field(errs.Forbidden, "by",
+			"%s has signed version %d; another operator must sign too", c.By, r.Version)
+	}
+	return nil
+}
+
+func (c *SignBundle) change(s *state.State) (any, error) {
+	r := s.Revision(c.Version)
+	r.Signed = append(r.Signed, state.Signature{By: c.By, At: s.At, Sig: c.Sig})
+	if len(r.Signed) == 1 {
+		must(s.SetRevisionPhase(r, state.RevisionSigned))
+	} else {
+		// The draft was parsed when it was written. A node of another version of the program that refuses it now must
+		// stop: the bundle must not be in force on some nodes only.
+		b, err := bundle.Parse(r.Body)
+		must(err)
+		must(s.PutInForce(r, b))
+	}
+	answer := BundleSigned{Version: r.Version, Digest: r.Digest, Phase: r.Phase}
+	for _, g := range r.Signed {
+		answer.Signed = append(answer.Signed, g.By)
+	}
+	return answer, nil
+}
--- /dev/null
+++ b/internal/state/command/policy_plan.go
@@ -0,0 +1,86 @@
+package command
+
+import (
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/state"
+)
+
+// schedulerRole is the role whose holder writes plans.
+const schedulerRole = "sched"
+
+// Plan is all that the scheduler changes, in one commit: the jobs it admits, what workers reported, what was proved,
+// and the starts it wants. Every part is checked again when the plan is applied, so parts that were decided on an older
+// state and are overtaken change nothing.
+type Plan struct {
+	Epoch         uint64         `json:"e"`           // of the scheduler role; a plan of another epoch is refused
+	BundleVersion uint64         `json:"v"`           // decided on; starts are refused under another
+	Seq           uint64         `json:"q,omitempty"` // jobs in the inbox up to this number are admitted
+	Workers       []state.Worker `json:"m,omitempty"` // as they reported themselves
+	Running       []uint64       `json:"r,omitempty"` // run IDs reported as running
+	Unconfirmed   []uint64       `json:"u,omitempty"` // run IDs whose order or answer was lost
+	Ends          []End          `json:"x,omitempty"` // reported ends
+	Dead          []Proof        `json:"k,omitempty"` // handles proved dead without a reported end
+	Starts        []Start        `json:"s,omitempty"`
+	// LeaseTTL is the scheduler's setting, put into every handle of Starts unless the bundle has another.
+	LeaseTTL time.Duration `json:"h,omitempty"`
+}
+
+// Planned answers Plan: for each of Starts its run ID, or 0 and the reason of the refusal.
+type Planned struct {
+	RunIDs  []uint64 `json:"tickets,omitempty"`
+	Refused []string `json:"refused,omitempty"`
+}
+
+// Op is "plan".
+func (*Plan) Op() string { return "plan" }
+
+func (c *Plan) apply(s *state.State, _ uint64) (any, error) {
+	if err := c.check(s); err != nil {
+		return nil, errs.Pass(err, "plan")
+	}
+	s.AdmitJobs(c.Seq)
+	// Ends come before reports: a report of a new incarnation releases what has not ended under the old one.
+	for _, e := range c.Ends {
+		recordEnd(s, e)
+	}
+	for _, w := range c.Workers {
+		recordReport(s, w)
+	}
+	recordPhase(s, c.Running, state.TaskRunning)
+	recordPhase(s, c.Unconfirmed, state.TaskUnconfirmed)
+	for _, p := range c.Dead {
+		recordProof(s, p)
+	}
+	return c.assignStarts(s), nil
+}
+
+// check refuses the plan of a scheduler that has lost or released its role since.
+func (c *Plan) check(s *state.State) error {
+	if role := s.Roles[schedulerRole]; role == nil || role.Epoch != c.Epoch || role.Holder == "" {
+		return errs.New(errs.Stale, "plan of epoch %d, the duty sched has moved on", c.Epoch)
+	}
+	return nil
+}
+
+// assignStarts assigns the starts in their order, those of a group together or not at all.
+func (c *Plan) assignStarts(s *state.State) Planned {
+	if len(c.Starts) == 0 {
+		return Planned{}
+	}
+	planned := Planned{RunIDs: make([]uint64, len(c.Starts)), Refused: make([]string, len(c.Starts))}
+	for first := 0; first < len(c.Starts); {
+		end := c.groupEnd(first)
+		why := c.groupRefusal(s, c.Starts[first:end])
+		for i := first; i < end; i++ {
+			if why != "" {
+				planned.Refused[i] = why
+			} else {
+				planned.RunIDs[i] = c.assign(s, c.Starts[i])
+			}
+		}
+		first = end
+	}
+	return planned
+}
