--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -1,91 +1,101 @@
 package main
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"net/url"
 	"os"
-	"time"
+	"strconv"
 
+	"github.com/go-kit/log"
 	"github.com/urfave/cli/v3"
 
+	"crosstide/internal/config"
+	"crosstide/internal/controller"
+	"crosstide/internal/daemon"
 	"crosstide/internal/errs"
-	"crosstide/internal/state/command"
+	"crosstide/internal/httpapi/jobsapi"
+	"crosstide/internal/jobsnode"
+	"crosstide/internal/rpc"
 )
 
-// policyJobCommands are the clients' commands: they ask a dplane's API and print its answer.
-func policyJobCommands() []*cli.Command {
-	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any data-plane node", Required: true}
-	return []*cli.Command{{Name: "job", Usage: "hand in, show, list and cancel jobs", Commands: []*cli.Command{
-		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE", Flags: []cli.Flag{addr},
-			Action: func(ctx context.Context, cmd *cli.Command) error {
-				in := io.Reader(os.Stdin)
-				if name := cmd.Args().First(); name != "-" {
-					f, err := os.Open(name)
-					if err != nil {
-						return errs.Wrap(err, errs.Invalid, "job file")
-					}
-					defer f.Close()
-					in = f
-				}
-				return errs.Pass(printResponse(ctx, http.MethodPost, cmd.String("addr"), "/v1/jobs", in), "hand in a job")
-			}},
-		{Name: "show", Usage: "print the job KEY", ArgsUsage: "KEY", Flags: []cli.Flag{addr},
-			Action: func(ctx context.Context, cmd *cli.Command) error {
-				key := cmd.Args().First()
-				return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v1/jobs/"+url.PathEscape(key), nil), "show job %q", key)
-			}},
-		{Name: "cancel", Usage: "cancel the jobs KEY…, or all of a team or queue", ArgsUsage: "[KEY…]",
-			Flags: []cli.Flag{addr, &cli.StringFlag{Name: "team"}, &cli.StringFlag{Name: "queue"}},
-			Action: func(ctx context.Context, cmd *cli.Command) error {
-				if cmd.Args().Len() != 1 || cmd.IsSet("team") || cmd.IsSet("queue") {
-					body, err := json.Marshal(command.CancelMany{Keys: cmd.Args().Slice(), Team: cmd.String("team"), Queue: cmd.String("queue")})
-					if err != nil {
-						return errs.Wrap(err, errs.Internal, "encode")
-					}
-					return errs.Pass(printResponse(ctx, http.MethodPost, cmd.String("addr"), "/v1/jobs/cancel", bytes.NewReader(body)), "cancel")
-				}
-				key := cmd.Args().First()
-				return errs.Pass(printResponse(ctx, http.MethodDelete, cmd.String("addr"), "/v1/jobs/"+url.PathEscape(key), nil), "cancel job %q", key)
-			}},
-		{Name: "list", Usage: "print jobs", Flags: []cli.Flag{addr, &cli.StringFlag{Name: "team"}, &cli.StringFlag{Name: "state"},
-			&cli.StringFlag{Name: "after", Usage: "page on after this `KEY`"}},
+// jobsCommand serves jobs as a front node, and has the clients' commands for such nodes.
+func jobsCommand() *cli.Command {
+	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any front node", Required: true}
+	program := daemon.Program[config.JobsDataPlane]{
+		Version: version, Load: config.LoadJobsDataPlane, Check: config.CheckJobsDataPlane, Serve: serveJobs,
+		Common: func(settings *config.JobsDataPlane) *config.Common { return &settings.Common },
+	}
+	calls := []*cli.Command{
+		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE", Flags: []cli.Flag{addr}, Action: submitJob},
+		{Name: "show", Usage: "print the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr}, Action: jobAction(http.MethodGet)},
+		{Name: "cancel", Usage: "cancel the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr}, Action: jobAction(http.MethodDelete)},
+		{Name: "list", Usage: "print jobs by ID", Flags: []cli.Flag{addr, &cli.StringFlag{Name: "queue"}, &cli.StringFlag{Name: "state"},
+			&cli.StringFlag{Name: "after", Usage: "page on after this `ID`"}, &cli.IntFlag{Name: "limit", Usage: "most jobs of a page"}},
+			Action: listJobs},
+		{Name: "queues", Usage: "print the queues, and how many jobs wait in each", Flags: []cli.Flag{addr},
 			Action: func(ctx context.Context, cmd *cli.Command) error {
-				q := url.Values{}
-				for _, name := range []string{"team", "state", "after"} {
-					if cmd.IsSet(name) {
-						q.Set(name, cmd.String(name))
-					}
-				}
-				return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v1/jobs?"+q.Encode(), nil), "list jobs")
+				return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v2/queues", nil), "queues")
 			}},
-	}}}
+	}
+	return &cli.Command{Name: "jobs", Usage: "serve jobs as a front node; clients' commands for such nodes",
+		Commands: append(program.Commands(), calls...)}
 }
 
-// printResponse makes one request and prints the answer; a failure answer is an error.
-func printResponse(ctx context.Context, method, addr, path string, body io.Reader) error {
-	ctx, stop := context.WithTimeout(ctx, 10*time.Second)
-	defer stop()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+func serveJobs(ctx context.Context, settings config.JobsDataPlane, profiles bool, logger log.Logger) error {
+	front, err := jobsnode.NewFront(jobsOptions(settings, profiles, logger))
 	if err != nil {
-		return errs.Wrap(err, errs.Invalid, "request")
+		return errs.Pass(err, "make the node")
 	}
-	res, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return errs.Wrap(err, errs.Unavailable, "%s", addr)
+	return errs.Pass(front.Run(ctx, nil), "serve")
+}
+
+// jobsOptions maps settings to a front node's options.
+func jobsOptions(settings config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.FrontOptions {
+	registry := daemon.Registry()
+	return jobsnode.FrontOptions{
+		CoreAddresses: settings.ControlPlaneAddresses(), Via: settings.Via, Address: settings.Addr,
+		ServeClients: func(clients *rpc.Server, client *controller.Client) {
+			jobsapi.ServeClients(clients, client, settings.CallTimeout)
+			if profiles {
+				daemon.Profiles(clients)
+			}
+		},
+		ServeReady: func(asked *rpc.Server, check func() error) { daemon.Routes(asked, registry, check) },
+		Grace:      settings.Grace, Registry: registry, Logger: logger, Zone: settings.Zone, Version: version,
 	}
-	defer res.Body.Close()
-	data, err := io.ReadAll(res.Body)
-	if err != nil {
-		return errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
+}
+
+func submitJob(ctx context.Context, cmd *cli.Command) error {
+	in := io.Reader(os.Stdin)
+	if name := cmd.Args().First(); name != "-" {
+		file, err := os.Open(name)
+		if err != nil {
+			return errs.Wrap(err, errs.Invalid, "job file")
+		}
+		defer file.Close()
+		in = file
+	}
+	return errs.Pass(printResponse(ctx, http.MethodPost, cmd.String("addr"), "/v2/jobs", in), "hand in a job")
+}
+
+func jobAction(method string) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		id := cmd.Args().First()
+		return errs.Pass(printResponse(ctx, method, cmd.String("addr"), "/v2/jobs/"+url.PathEscape(id), nil), "job %q", id)
+	}
+}
+
+func listJobs(ctx context.Context, cmd *cli.Command) error {
+	query := url.Values{}
+	for _, name := range []string{"queue", "state", "after"} {
+		if cmd.IsSet(name) {
+			query.Set(name, cmd.String(name))
+		}
 	}
-	if res.StatusCode >= 300 {
-		return errs.New(errs.Invalid, "%s: %s", res.Status, bytes.TrimSpace(data))
+	if cmd.IsSet("limit") {
+		query.Set("limit", strconv.Itoa(cmd.Int("limit")))
 	}
-	fmt.Println(string(bytes.TrimSpace(data)))
-	return nil
+	return errs.Pass(printResponse(ctx, http.MethodGet, cmd.String("addr"), "/v2/jobs?"+query.Encode(), nil), "list jobs")
 }
