--- a/cmd/crosstide-controlplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -13,6 +13,14 @@
 var version = "dev"
 
 func main() {
+	if err := newApp().Run(context.Background(), os.Args); err != nil {
+		fmt.Fprintln(os.Stderr, "crosstide-controlplane:", err)
+		os.Exit(exitCode(err))
+	}
+}
+
+// newApp returns the program's command line: the daemons of both deployments and the operators' commands.
+func newApp() *cli.Command {
 	app := &cli.Command{
 		Name:     "crosstide-controlplane",
 		Usage:    "a member of the control store",
@@ -30,9 +38,6 @@
 			orderCommand("open", "MINION may be used again", "MINION", "/v1/minions/%s/open"),
 			orderCommand("retire", "forget MINION, which must be empty", "MINION", "/v1/minions/%s/retire"),
 		}}, accountCommand())...)...)
-	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the codes are ours, see exit.go
-	if err := app.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "crosstide-controlplane:", err)
-		os.Exit(exitCode(err))
-	}
+	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the codes are ours, see exitcodes.go
+	return app
 }
--- a/cmd/crosstide-dataplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -29,15 +29,20 @@
 var version = "dev"
 
 func main() {
+	if err := newApp().Run(context.Background(), os.Args); err != nil {
+		fmt.Fprintln(os.Stderr, "crosstide-dataplane:", err)
+		os.Exit(1)
+	}
+}
+
+// newApp returns the program's command line: the daemons of both deployments and the clients' commands.
+func newApp() *cli.Command {
 	program := daemon.Program[config.DataPlane]{
 		Version: version, Load: config.LoadDataPlane, Check: config.CheckDataPlane, Serve: servePolicy,
 		Common: func(settings *config.DataPlane) *config.Common { return &settings.Common },
 	}
-	app := &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide", Commands: append(append(program.Commands(), policyJobCommands()...), platformCommand(), jobsCommand())}
-	if err := app.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "crosstide-dataplane:", err)
-		os.Exit(1)
-	}
+	commands := append(append(program.Commands(), policyJobCommands()...), platformCommand(), jobsCommand())
+	return &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide", Commands: commands}
 }
 
 func schedulerConfig(settings config.DataPlane) scheduler.Config {
