--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -2,14 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"net/url"
 	"os"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -21,114 +18,112 @@
 	"crosstide/internal/state/command"
 )
 
-// accountCommand is `cplane account`: the parties' prepaid balances.
+// accountCommand is for the parties' prepaid accounts.
 func accountCommand() *cli.Command {
-	asked := func(more ...cli.Flag) []cli.Flag { return append(append(addrFlags(), jsonFlag()), more...) }
-	return &cli.Command{Name: "account", Usage: "open, top up and read the prepaid accounts of parties", Commands: []*cli.Command{
-		{Name: "create", Usage: "open the account of the party NAME", ArgsUsage: "NAME", Action: accountCreate,
-			Flags: asked(keyFlag(), orderFlag(), &cli.Int64Flag{Name: "credit", Usage: "how many `UNITS` below zero starts may reserve"})},
-		{Name: "top-up", Usage: "add UNITS to the account NAME; sent again with the same --order it counts once", ArgsUsage: "NAME UNITS",
-			Action: accountTopUp, Flags: asked(keyFlag(), orderFlag())},
-		{Name: "show", Usage: "print the account NAME", ArgsUsage: "NAME", Action: accountShow, Flags: asked()},
-		{Name: "list", Usage: "print every account", Action: accountList, Flags: asked()},
-		{Name: "ledger", Usage: "print entries of the ledger of NAME", ArgsUsage: "NAME", Action: accountLedger,
-			Flags: asked(&cli.Uint64Flag{Name: "after", Usage: "only those after this `NUMBER`"}, &cli.IntFlag{Name: "limit", Value: 100})},
-		{Name: "export", Usage: "print the ledger of NAME as CSV, with the hash of each entry", ArgsUsage: "NAME", Action: accountExport,
-			Flags: addrFlags()},
-	}}
+	credit := &cli.Int64Flag{Name: "credit", Usage: "how many `UNITS` below zero starts may reserve"}
+	after := &cli.Uint64Flag{Name: "after", Usage: "only those after this `NUMBER`"}
+	limit := &cli.IntFlag{Name: "limit", Value: 100}
+	return &cli.Command{Name: "account", Usage: "open, top up and read the prepaid accounts of parties",
+		Commands: []*cli.Command{
+			{Name: "create", Usage: "open the account of the party NAME", ArgsUsage: "NAME",
+				Flags: signedOrderFlags(credit), Action: createAccount},
+			{Name: "top-up", Usage: "add UNITS to the account NAME; sent again with the same --order it counts once",
+				ArgsUsage: "NAME UNITS", Flags: signedOrderFlags(), Action: topUpAccount},
+			{Name: "show", Usage: "print the account NAME", ArgsUsage: "NAME", Flags: queryFlags(),
+				Action: showAccount},
+			{Name: "list", Usage: "print every account", Flags: queryFlags(),
+				Action: queryAction("/v1/accounts", renderAccounts)},
+			{Name: "ledger", Usage: "print entries of the ledger of NAME", ArgsUsage: "NAME",
+				Flags: queryFlags(after, limit), Action: showLedger},
+			{Name: "export", Usage: "print the ledger of NAME as CSV, with the hash of each entry", ArgsUsage: "NAME",
+				Flags: []cli.Flag{addrFlag()}, Action: exportLedger},
+		}}
 }
 
 func accountPath(name, rest string) string { return "/v1/accounts/" + url.PathEscape(name) + rest }
 
-func accountCreate(ctx context.Context, cmd *cli.Command) error {
-	a, err := exactArgs(cmd, "NAME")
+func createAccount(ctx context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
-	key, err := loadSigner(cmd)
+	by, err := loadOperator(cmd)
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
-	in := internalapi.AccountCreateCall{Order: orderID(cmd), Credit: cmd.Int64("credit")}
-	if key != nil {
-		in.By, in.Sig = key.Name, key.Sign(signature.AccountCreate(in.Order, a[0], in.Credit))
-	}
-	raw, err := postJSON(ctx, cmd, accountPath(a[0], "/create"), in)
-	if err != nil {
-		return errs.Pass(err, "order %s", in.Order)
-	}
-	var done command.AccountCreated
-	return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
-		fmt.Fprintf(w, "account\t%s\ncredit\t%d\nopened\t%s\n", done.Account, done.Credit, formatTime(done.At))
-	}), "create")
+	call := internalapi.AccountCreateCall{Order: orderID(cmd), Credit: cmd.Int64("credit")}
+	call.By, call.Sig = by.sign(signature.AccountCreate(call.Order, args[0], call.Credit))
+	err = printJSONOrder(ctx, cmd, call.Order, accountPath(args[0], "/create"), call,
+		func(t table, done command.AccountCreated) {
+			t.row("account", done.Account)
+			t.row("credit", done.Credit)
+			t.row("opened", formatTime(done.At))
+		})
+	return errs.Pass(err, "create")
 }
 
-func accountTopUp(ctx context.Context, cmd *cli.Command) error {
-	a, err := exactArgs(cmd, "NAME", "UNITS")
+func topUpAccount(ctx context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "NAME", "UNITS")
 	if err != nil {
 		return errs.Pass(err, "top-up")
 	}
-	amount, err := strconv.ParseInt(a[1], 10, 64)
+	amount, err := strconv.ParseInt(args[1], 10, 64)
 	if err != nil || amount < 1 {
-		return errs.Field(errs.Settings, "UNITS", "must be a whole number above 0, is %q", a[1])
+		return errs.Field(errs.Settings, "UNITS", "must be a whole number above 0, is %q", args[1])
 	}
-	key, err := loadSigner(cmd)
+	by, err := loadOperator(cmd)
 	if err != nil {
 		return errs.Pass(err, "top-up")
 	}
-	in := internalapi.TopUpCall{Key: orderID(cmd), Amount: amount}
-	if key != nil {
-		in.By, in.Sig = key.Name, key.Sign(signature.AccountTopUp(in.Key, a[0], amount))
-	}
-	raw, err := postJSON(ctx, cmd, accountPath(a[0], "/top-up"), in)
-	if err != nil {
-		return errs.Pass(err, "order %s", in.Key)
-	}
-	var done account.TopUp
-	return errs.Pass(printAnswer(cmd, raw, &done, func(w io.Writer) {
-		fmt.Fprintf(w, "account\t%s\nkey\t%s\namount\t%d\nbalance then\t%d\nentry\t%d\nat\t%s\n", done.Account, done.Key, done.Amount,
-			done.Balance, done.Number, formatTime(done.At))
-	}), "top-up")
+	call := internalapi.TopUpCall{Key: orderID(cmd), Amount: amount}
+	call.By, call.Sig = by.sign(signature.AccountTopUp(call.Key, args[0], amount))
+	err = printJSONOrder(ctx, cmd, call.Key, accountPath(args[0], "/top-up"), call, func(t table, done account.TopUp) {
+		t.row("account", done.Account)
+		t.row("key", done.Key)
+		t.row("amount", done.Amount)
+		t.row("balance then", done.Balance)
+		t.row("entry", done.Number)
+		t.row("at", formatTime(done.At))
+	})
+	return errs.Pass(err, "top-up")
 }
 
-// postJSON sends an order and gives the answer's bytes.
-func postJSON(ctx context.Context, cmd *cli.Command, path string, in any) ([]byte, error) {
-	body, err := json.Marshal(in)
+func showAccount(ctx context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "NAME")
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "encode the order")
+		return errs.Pass(err, "show")
 	}
-	raw, err := doRequest(ctx, http.MethodPost, cmd.String("addr"), path, body)
-	return raw, errs.Pass(err, "post")
+	return errs.Pass(printQuery(ctx, cmd, accountPath(args[0], ""), renderAccount), "show")
 }
 
-func accountShow(ctx context.Context, cmd *cli.Command) error {
-	a, err := exactArgs(cmd, "NAME")
-	if err != nil {
-		return errs.Pass(err, "show")
-	}
-	var v internalapi.AccountView
-	return errs.Pass(printQuery(ctx, cmd, accountPath(a[0], ""), &v, func(w io.Writer) {
-		fmt.Fprintf(w, "account\t%s\nbalance\t%d\nreserved\t%d\nspent\t%d\ntopped up\t%d\ncredit\t%d\n", v.Name, v.Balance, v.Reserved,
-			v.Spent, v.ToppedUp, v.Credit)
-		fmt.Fprintf(w, "runs\t%d\nunits a second\t%s\ndry in\t%s\nwaiting jobs\t%d\nteams\t%s\nqueues\t%s\nwarning\t%s\n", v.Runs, perSecond(v.Rate),
-			exhaustedIn(v), v.Waiting, orDash(strings.Join(v.Teams, " ")), orDash(strings.Join(v.Queues, " ")), orDash(v.Warning))
-	}), "show")
+func renderAccount(t table, v internalapi.AccountView) {
+	t.row("account", v.Name)
+	t.row("balance", v.Balance)
+	t.row("reserved", v.Reserved)
+	t.row("spent", v.Spent)
+	t.row("topped up", v.ToppedUp)
+	t.row("credit", v.Credit)
+	t.row("runs", v.Runs)
+	t.row("units a second", unitsPerSecond(v.Rate))
+	t.row("dry in", exhaustedIn(v))
+	t.row("waiting jobs", v.Waiting)
+	t.row("teams", orDash(joined(v.Teams)))
+	t.row("queues", orDash(joined(v.Queues)))
+	t.row("warning", orDash(v.Warning))
 }
 
-func accountList(ctx context.Context, cmd *cli.Command) error {
-	var list internalapi.AccountsAnswer
-	return errs.Pass(printQuery(ctx, cmd, "/v1/accounts", &list, func(w io.Writer) {
-		fmt.Fprintln(w, "ACCOUNT\tBALANCE\tRESERVED\tSPENT\tTOPPED UP\tRUNS\tUNITS/S\tDRY IN\tWAITING\tWARNING")
-		for _, v := range list.Accounts {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%d\t%s\n", v.Name, v.Balance, v.Reserved, v.Spent, v.ToppedUp, v.Runs,
-				perSecond(v.Rate), exhaustedIn(v), v.Waiting, orDash(v.Warning))
-		}
-	}), "list")
+func renderAccounts(t table, list internalapi.AccountsAnswer) {
+	t.row("ACCOUNT", "BALANCE", "RESERVED", "SPENT", "TOPPED UP", "RUNS", "UNITS/S", "DRY IN", "WAITING", "WARNING")
+	for _, v := range list.Accounts {
+		t.row(v.Name, v.Balance, v.Reserved, v.Spent, v.ToppedUp, v.Runs, unitsPerSecond(v.Rate), exhaustedIn(v),
+			v.Waiting, orDash(v.Warning))
+	}
 }
 
-// perSecond shows a rate in units per second.
-func perSecond(r account.Rate) string { return fmt.Sprintf("%d.%03d", r/1000, r%1000) }
+// unitsPerSecond shows a rate, which is in thousandths of a unit per second.
+func unitsPerSecond(rate account.Rate) string { return fmt.Sprintf("%d.%03d", rate/1000, rate%1000) }
 
+// exhaustedIn shows in what time an account is exhausted at its present rate.
 func exhaustedIn(v internalapi.AccountView) string {
 	if !v.Draws {
 		return "-"
@@ -136,36 +131,37 @@
 	return v.ExhaustedIn.Round(time.Second).String()
 }
 
-func accountLedger(ctx context.Context, cmd *cli.Command) error {
-	a, err := exactArgs(cmd, "NAME")
+func showLedger(ctx context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "ledger")
 	}
-	path := fmt.Sprintf("/ledger?after=%d&limit=%d", cmd.Uint64("after"), cmd.Int("limit"))
-	var out internalapi.LedgerAnswer
-	return errs.Pass(printQuery(ctx, cmd, accountPath(a[0], path), &out, func(w io.Writer) {
-		fmt.Fprintln(w, "NUMBER\tAT\tKIND\tKEY\tPART\tAMOUNT")
-		for _, e := range out.Entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\n", e.Number, formatTime(e.At), e.Kind, e.Key, e.DrawIndex, e.Amount)
-		}
-		ledgerSum(w, "compacted", out.Base)
-		ledgerSum(w, "all", out.Head)
-	}), "ledger")
+	page := fmt.Sprintf("/ledger?after=%d&limit=%d", cmd.Uint64("after"), cmd.Int("limit"))
+	return errs.Pass(printQuery(ctx, cmd, accountPath(args[0], page), renderLedger), "ledger")
 }
 
-func ledgerSum(w io.Writer, what string, sum account.Checkpoint) {
-	fmt.Fprintf(w, "%s to %d\t\t\t\ttopped up %d\tspent %d\n", what, sum.Number, sum.ToppedUp, sum.Spent)
+func renderLedger(t table, ledger internalapi.LedgerAnswer) {
+	t.row("NUMBER", "AT", "KIND", "KEY", "PART", "AMOUNT")
+	for _, entry := range ledger.Entries {
+		t.row(entry.Number, formatTime(entry.At), entry.Kind, entry.Key, entry.DrawIndex, entry.Amount)
+	}
+	sum := func(name string, sum account.Checkpoint) {
+		t.row(fmt.Sprintf("%s to %d", name, sum.Number), "", "", "",
+			fmt.Sprintf("topped up %d", sum.ToppedUp), fmt.Sprintf("spent %d", sum.Spent))
+	}
+	sum("compacted", ledger.Base)
+	sum("all", ledger.Head)
 }
 
-func accountExport(ctx context.Context, cmd *cli.Command) error {
-	a, err := exactArgs(cmd, "NAME")
+func exportLedger(ctx context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "NAME")
 	if err != nil {
 		return errs.Pass(err, "export")
 	}
-	raw, err := doRequest(ctx, http.MethodGet, cmd.String("addr"), accountPath(a[0], "/export"), nil)
+	raw, err := doRequest(ctx, cmd, http.MethodGet, accountPath(args[0], "/export"), nil)
 	if err != nil {
 		return errs.Pass(err, "export")
 	}
 	_, err = os.Stdout.Write(raw)
-	return errs.Wrap(err, errs.Disk, "print the ledger of %s", a[0])
+	return errs.Wrap(err, errs.Disk, "print the ledger of %s", args[0])
 }
--- a/cmd/crosstide-controlplane/exitcodes.go
+++ b/cmd/crosstide-controlplane/exitcodes.go
@@ -11,8 +11,8 @@
 
 // Exit codes of the operators' commands, for scripts.
 const (
-	exitOther       = 1
-	exitUsage       = 2
+	exitOther       = 1 // any other failure, of the daemons too
+	exitUsage       = 2 // arguments, files or settings that cannot be used
 	exitConflict    = 3 // someone else was first, or the order id is another order's
 	exitRefused     = 4 // invalid, unknown, not signed as it must be
 	exitUnavailable = 5 // send the same again
@@ -35,48 +35,50 @@
 }
 
 // Unwrap returns the failure.
-func (c exitError) Unwrap() error { return c.error }
+func (e exitError) Unwrap() error { return e.error }
 
-// Error is the field and the message: an operator needs no trace of where it came from.
-func (c exitError) Error() string {
-	f := errs.Of(c.error)
-	if f.Field != "" {
-		return string(f.Kind) + ": " + f.Field + ": " + f.Message
+// Error is the kind, the field and the message: an operator needs no trace of where the failure came from.
+func (e exitError) Error() string {
+	failure := errs.Of(e.error)
+	if failure.Field != "" {
+		return string(failure.Kind) + ": " + failure.Field + ": " + failure.Message
 	}
-	return string(f.Kind) + ": " + f.Message
+	return string(failure.Kind) + ": " + failure.Message
 }
 
-// withExitCodes returns every command of a tree exit codes of the table.
+// withExitCodes makes every command of the trees fail with an exit code of the table.
 func withExitCodes(commands ...*cli.Command) []*cli.Command {
-	for _, c := range commands {
-		withExitCodes(c.Commands...)
-		do := c.Action
-		if do == nil {
-			continue
-		}
-		c.Action = func(ctx context.Context, cmd *cli.Command) error {
-			err := do(ctx, cmd)
-			if err == nil {
-				return nil
-			}
-			code, ok := exitCodes[errs.KindOf(err)]
-			if !ok {
-				code = exitOther
-			}
-			return exitError{err, code}
+	for _, command := range commands {
+		withExitCodes(command.Commands...)
+		if command.Action != nil {
+			command.Action = withExitCode(command.Action)
 		}
 	}
 	return commands
 }
 
+func withExitCode(action cli.ActionFunc) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		err := action(ctx, cmd)
+		if err == nil {
+			return nil
+		}
+		code, ok := exitCodes[errs.KindOf(err)]
+		if !ok {
+			code = exitOther
+		}
+		return exitError{err, code}
+	}
+}
+
 // exitCode returns the exit code of an error: an error without a kind is cli's message on wrong usage.
 func exitCode(err error) int {
-	var c exitError
-	var f *errs.Error
-	if errors.As(err, &c) {
-		return c.code
-	}
-	if errors.As(err, &f) {
+	var coded exitError
+	var failure *errs.Error
+	switch {
+	case errors.As(err, &coded):
+		return coded.code
+	case errors.As(err, &failure):
 		return exitOther
 	}
 	return exitUsage
--- /dev/null
+++ b/cmd/crosstide-controlplane/flags.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"crypto/rand"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/signature"
+)
+
+func addrFlag() cli.Flag {
+	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}
+}
+
+// jobsAddrFlag is addrFlag for the jobs deployment, where operators are served at another address than the other nodes.
+func jobsAddrFlag() cli.Flag {
+	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` where any core node takes workers and operators",
+		Required: true}
+}
+
+func jsonFlag() cli.Flag {
+	return &cli.BoolFlag{Name: "json", Usage: "print the answer as JSON"}
+}
+
+func keyFlag() cli.Flag {
+	return &cli.StringFlag{Name: "key", Usage: "`FILE` of the operator who signs"}
+}
+
+func orderFlag() cli.Flag {
+	return &cli.StringFlag{Name: "order",
+		Usage: "`ID` of the order; drawn if it is not given. Sent again it is carried out once"}
+}
+
+// queryFlags are the flags of a command that asks a node, and more.
+func queryFlags(more ...cli.Flag) []cli.Flag {
+	return append([]cli.Flag{addrFlag(), jsonFlag()}, more...)
+}
+
+// signedOrderFlags are the flags of a command that sends a signed order, and more.
+func signedOrderFlags(more ...cli.Flag) []cli.Flag {
+	return queryFlags(append([]cli.Flag{keyFlag(), orderFlag()}, more...)...)
+}
+
+// exactArgs returns the arguments; there must be one for each name.
+func exactArgs(cmd *cli.Command, names ...string) ([]string, error) {
+	if cmd.NArg() != len(names) {
+		return nil, errs.Field(errs.Settings, strings.Join(names, " "), "%d arguments are needed, are %d", len(names),
+			cmd.NArg())
+	}
+	return cmd.Args().Slice(), nil
+}
+
+// readFileArg reads the file that the one argument names; - is standard input.
+func readFileArg(cmd *cli.Command) ([]byte, error) {
+	args, err := exactArgs(cmd, "FILE")
+	if err != nil {
+		return nil, errs.Pass(err, "file")
+	}
+	if args[0] == "-" {
+		data, err := io.ReadAll(os.Stdin)
+		return data, errs.Wrap(err, errs.Disk, "standard input")
+	}
+	data, err := os.ReadFile(args[0])
+	return data, errs.Wrap(err, errs.Disk, "file")
+}
+
+// orderID returns the order's ID: the flag's, or a random one that is printed on standard error, so that the order
+// can be sent again.
+func orderID(cmd *cli.Command) string {
+	id := cmd.String("order")
+	if id == "" {
+		id = rand.Text()[:16]
+		fmt.Fprintln(os.Stderr, "order", id)
+	}
+	return id
+}
+
+// operator signs orders. The zero value signs nothing: the store may know no operators yet.
+type operator struct{ key *signature.Key }
+
+// loadOperator reads the key that --key names, if it is given.
+func loadOperator(cmd *cli.Command) (operator, error) {
+	if !cmd.IsSet("key") {
+		return operator{}, nil
+	}
+	key, err := signature.Load(cmd.String("key"))
+	return operator{&key}, errs.Pass(err, "key")
+}
+
+// sign returns the operator's name and signature of the text, or two empty words without a key.
+func (o operator) sign(text string) (by, sig string) {
+	if o.key == nil {
+		return "", ""
+	}
+	return o.key.Name, o.key.Sign(text)
+}
--- a/cmd/crosstide-controlplane/incarnations.go
+++ b/cmd/crosstide-controlplane/incarnations.go
@@ -6,16 +6,17 @@
 	"crosstide/internal/errs"
 )
 
-// runIncarnations runs lives of a node, one after another, until ctx ends. A life ends when its context does; removed ends
-// it after the store told that the node was removed from the members while it was away. The node then begins anew as
-// another incarnation in the same process: to its supervisor, a process that ends by itself is a failure.
-func runIncarnations(ctx context.Context, live func(ctx context.Context, removed func()) error) error {
+// runIncarnations runs incarnations of a node, one after another, until ctx ends or one fails. The context of an
+// incarnation ends with ctx, and when removed is called: the store calls it on learning that the node was removed from
+// the members while it was away. The node then joins anew in the same process, because a process that ends by itself is
+// a failure to its supervisor.
+func runIncarnations(ctx context.Context, run func(ctx context.Context, removed func()) error) error {
 	for {
-		lifecycle, end := context.WithCancel(ctx)
-		err := live(lifecycle, end)
-		end()
+		incarnation, cancel := context.WithCancel(ctx)
+		err := run(incarnation, cancel)
+		cancel()
 		if err != nil || ctx.Err() != nil {
-			return errs.Pass(err, "lives")
+			return errs.Pass(err, "incarnations")
 		}
 	}
 }
--- a/cmd/crosstide-controlplane/incarnations_test.go
+++ b/cmd/crosstide-controlplane/incarnations_test.go
@@ -13,19 +13,19 @@
 	Convey("A node that was removed begins anew in the same process, again and again, until the process is to end", t, func() {
 		ctx, end := context.WithCancel(context.Background())
 		incarnations := 0
-		err := runIncarnations(ctx, func(lifecycle context.Context, removed func()) error {
+		err := runIncarnations(ctx, func(incarnation context.Context, removed func()) error {
 			if incarnations++; incarnations < 4 {
 				removed()
 			} else {
 				end()
 			}
-			<-lifecycle.Done()
+			<-incarnation.Done()
 			return nil
 		})
 		So(err, ShouldBeNil)
 		So(incarnations, ShouldEqual, 4)
 	})
-	Convey("A life that fails is the last one", t, func() {
+	Convey("An incarnation that fails is the last one", t, func() {
 		incarnations := 0
 		err := runIncarnations(context.Background(), func(_ context.Context, removed func()) error {
 			incarnations++
--- /dev/null
+++ b/cmd/crosstide-controlplane/jobscommands.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+	"strings"
+
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/controller"
+	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/jobsapi"
+)
+
+// jobsCommands are the operators' commands of the jobs deployment.
+func jobsCommands() []*cli.Command {
+	flags := func(more ...cli.Flag) []cli.Flag { return append([]cli.Flag{jobsAddrFlag()}, more...) }
+	return []*cli.Command{
+		{Name: "config", Usage: "read or change the configuration of queues and services", Commands: []*cli.Command{
+			{Name: "get", Usage: "print the configuration in force", Flags: flags(), Action: showJobsConfig},
+			{Name: "put", Usage: "put the whole configuration in FILE (- for standard input) in force",
+				ArgsUsage: "FILE", Flags: flags(), Action: jobsConfigAction(http.MethodPut)},
+			{Name: "patch", Usage: "put and remove the items in FILE (- for standard input)", ArgsUsage: "FILE",
+				Flags: flags(), Action: jobsConfigAction(http.MethodPatch)},
+		}},
+		{Name: "evacuate", Usage: "no new starts in ZONE; what runs there ends there", ArgsUsage: "ZONE",
+			Flags: flags(), Action: jobsZoneAction("evacuate")},
+		{Name: "restore", Usage: "ZONE may be used again", ArgsUsage: "ZONE", Flags: flags(),
+			Action: jobsZoneAction("restore")},
+		{Name: "topology", Usage: "print the leader and the members of the core", Flags: flags(jsonFlag()),
+			Action: queryAction("/v2/topology", renderTopology)},
+		{Name: "workers", Usage: "print every worker", Flags: flags(jsonFlag()),
+			Action: queryAction("/v2/workers", renderJobsWorkers)},
+	}
+}
+
+func showJobsConfig(ctx context.Context, cmd *cli.Command) error {
+	return errs.Pass(printResponse(ctx, cmd, http.MethodGet, "/v2/config", nil), "config get")
+}
+
+// jobsConfigAction sends the file that the argument names as the configuration, or as a change of it.
+func jobsConfigAction(method string) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		body, err := readFileArg(cmd)
+		if err != nil {
+			return errs.Pass(err, "configuration")
+		}
+		return errs.Pass(printResponse(ctx, cmd, method, "/v2/config", body), "configuration")
+	}
+}
+
+func jobsZoneAction(verb string) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		args, err := exactArgs(cmd, "ZONE")
+		if err != nil {
+			return errs.Pass(err, "%s", verb)
+		}
+		path := "/v2/zones/" + url.PathEscape(args[0]) + "/" + verb
+		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, nil), "%s", verb)
+	}
+}
+
+func renderTopology(t table, topology controller.TopologyAnswer) {
+	t.line("leader", orDash(topology.Leader))
+	for _, member := range topology.Members {
+		t.line("member", member)
+	}
+}
+
+func renderJobsWorkers(t table, list jobsapi.Workers) {
+	t.row("ID", "ADDRESS", "SERVICE", "ZONE", "RACK", "LABELS", "MILLI_CPU", "MEMORY_MB", "GPUS", "RUNS", "STATE")
+	for _, w := range list.Workers {
+		t.row(w.ID, w.Address, w.Service, w.Zone, orDash(w.Rack), orDash(strings.Join(w.Labels, ",")),
+			usedOf(w.Used.MilliCPU, w.Capacity.MilliCPU), usedOf(w.Used.MemoryMB, w.Capacity.MemoryMB),
+			usedOf(w.Used.GPUs, w.Capacity.GPUs), w.Runs, w.State)
+	}
+	for _, zone := range list.Evacuated {
+		t.line("evacuated", zone)
+	}
+}
--- /dev/null
+++ b/cmd/crosstide-controlplane/key.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"context"
+
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/signature"
+)
+
+func keyCommand() *cli.Command {
+	return &cli.Command{Name: "key", Usage: "an operator's key", Commands: []*cli.Command{
+		{Name: "new", Usage: "draw a key for the operator NAME and write it to FILE", ArgsUsage: "NAME FILE",
+			Action: newKey},
+		{Name: "show", Usage: "print the public part of the key in FILE, as operator_keys holds it", ArgsUsage: "FILE",
+			Action: showKey},
+	}}
+}
+
+func newKey(_ context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "NAME", "FILE")
+	if err != nil {
+		return errs.Pass(err, "key")
+	}
+	key, err := signature.New(args[0])
+	if err != nil {
+		return errs.Pass(err, "key")
+	}
+	if err := key.Save(args[1]); err != nil {
+		return errs.Pass(err, "key")
+	}
+	return errs.Pass(printPublicKey(key), "key")
+}
+
+func showKey(_ context.Context, cmd *cli.Command) error {
+	args, err := exactArgs(cmd, "FILE")
+	if err != nil {
+		return errs.Pass(err, "key")
+	}
+	key, err := signature.Load(args[0])
+	if err != nil {
+		return errs.Pass(err, "key")
+	}
+	return errs.Pass(printPublicKey(key), "key")
+}
+
+func printPublicKey(key signature.Key) error {
+	return errs.Pass(printJSON(map[string]string{"name": key.Name, "key": key.Public()}), "key")
+}
--- a/cmd/crosstide-controlplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -1,4 +1,12 @@
-// Command crosstide-controlplane is a member of the control store, and the operators' command for it.
+// Command crosstide-controlplane is a member of the replicated store, and the operators' command line.
+//
+// It runs in two deployments. In the policy deployment (`run`) it is the store and the operators' API alone; the
+// schedulers are crosstide-dataplane. In the jobs deployment (`jobs run`, and `platform` on the users' platform) it is
+// a core node, in which the leader of the store runs the controller and its scheduler too.
+//
+// The program parses, checks, wires and runs; it decides nothing. Begin with policy.go, jobs.go or platform.go for a
+// deployment's daemon; every other command has a file of its name, on request.go (one call to a node) and print.go
+// (answers in columns).
 package main
 
 import (
@@ -26,18 +34,8 @@
 		Usage:    "a member of the control store",
 		Commands: append(policyProgram().Commands(), platformCommand(), jobsCommand()),
 	}
-	app.Commands = append(app.Commands, withExitCodes(append(bundleCommands(),
-		&cli.Command{Name: "who", Usage: "print who holds what", Action: showRoles, Flags: append(addrFlags(), jsonFlag())},
-		&cli.Command{Name: "member", Usage: "list the members of the store, replace one", Commands: []*cli.Command{
-			{Name: "list", Usage: "print every member", Action: listMembers, Flags: append(addrFlags(), jsonFlag())},
-			orderCommand("replace", "the cplane NEW may join in the place of OLD, whose machine is gone", "OLD NEW", "/v1/members/%s/replace/%s"),
-		}},
-		&cli.Command{Name: "minion", Usage: "list, drain, open and retire minions", Commands: []*cli.Command{
-			{Name: "list", Usage: "print every minion", Action: listWorkers, Flags: append(addrFlags(), jsonFlag())},
-			orderCommand("drain", "no new starts on MINION", "MINION", "/v1/minions/%s/drain"),
-			orderCommand("open", "MINION may be used again", "MINION", "/v1/minions/%s/open"),
-			orderCommand("retire", "forget MINION, which must be empty", "MINION", "/v1/minions/%s/retire"),
-		}}, accountCommand())...)...)
+	app.Commands = append(app.Commands, withExitCodes(keyCommand(), bundleCommand(), rolloutCommand(), zoneCommand(),
+		whoCommand(), memberCommand(), workerCommand(), accountCommand())...)
 	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the codes are ours, see exitcodes.go
 	return app
 }
--- a/cmd/crosstide-controlplane/request.go
+++ b/cmd/crosstide-controlplane/request.go
@@ -3,14 +3,12 @@
 import (
 	"bytes"
 	"context"
-	"crypto/rand"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"net/url"
-	"os"
 	"strings"
 	"time"
 
@@ -20,62 +18,20 @@
 	"crosstide/internal/httpapi/operatorapi"
 )
 
-func addrFlags() []cli.Flag {
-	return []cli.Flag{&cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}}
-}
-
-// orderID returns the order's id: the flag's, or a random one that is printed on standard error, so that the order
-// can be sent again.
-func orderID(cmd *cli.Command) string {
-	id := cmd.String("order")
-	if id == "" {
-		id = rand.Text()[:16]
-		fmt.Fprintln(os.Stderr, "order", id)
-	}
-	return id
-}
-
-// orderCommand posts an order that needs no signature. Sent again with the same --order it is carried out once.
-func orderCommand(name, usage, what, path string) *cli.Command {
-	return &cli.Command{
-		Name: name, Usage: usage, ArgsUsage: what, Flags: append(addrFlags(), orderFlag()),
-		Action: func(ctx context.Context, cmd *cli.Command) error {
-			a, err := exactArgs(cmd, strings.Fields(what)...)
-			if err != nil {
-				return errs.Pass(err, "%s", name)
-			}
-			id := orderID(cmd)
-			body, err := json.Marshal(operatorapi.Order{Order: id})
-			if err != nil {
-				return errs.Wrap(err, errs.Internal, "encode the order")
-			}
-			raw, err := doRequest(ctx, http.MethodPost, cmd.String("addr"), fmt.Sprintf(path, escapePaths(a)...), body)
-			if err != nil {
-				return errs.Pass(err, "order %s", id)
-			}
-			fmt.Println(string(bytes.TrimSpace(raw)))
-			return nil
-		},
-	}
-}
-
-// escapePaths makes words fit for a path.
-func escapePaths(words []string) []any {
-	out := make([]any, len(words))
-	for i, w := range words {
-		out[i] = url.PathEscape(w)
-	}
-	return out
-}
+// requestTimeout is how long an operator's command waits for an answer.
+const requestTimeout = 10 * time.Second
 
-func doRequest(ctx context.Context, method, addr, path string, body []byte) ([]byte, error) {
-	ctx, over := context.WithTimeout(ctx, callTimeout)
-	defer over()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+// doRequest sends one request to the node at --addr and returns the body of its answer. An answer that is not 200 is
+// the error in its body, or Unavailable if there is none.
+func doRequest(ctx context.Context, cmd *cli.Command, method, path string, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	addr := cmd.String("addr")
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "request")
 	}
-	res, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		var failed *url.Error // its text is the whole URL, whose query may hold a signature
 		if errors.As(err, &failed) {
@@ -83,73 +39,90 @@
 		}
 		return nil, errs.Wrap(err, errs.Unavailable, "ask %s", addr)
 	}
-	defer func() { _ = res.Body.Close() }() // all of it was read
-	raw, err := io.ReadAll(res.Body)
+	defer func() { _ = response.Body.Close() }() // all of it was read
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
 	}
-	if res.StatusCode != http.StatusOK {
-		f := &errs.Error{Kind: errs.Unavailable, Message: res.Status}
-		_ = json.Unmarshal(raw, f) // without an error body the status says enough
-		return nil, errs.Field(f.Kind, f.Field, "%s", f.Message)
+	if response.StatusCode != http.StatusOK {
+		failure := &errs.Error{Kind: errs.Unavailable, Message: response.Status}
+		_ = json.Unmarshal(raw, failure) // without an error body the status says enough
+		return nil, errs.Field(failure.Kind, failure.Field, "%s", failure.Message)
 	}
 	return raw, nil
 }
 
-func showRoles(ctx context.Context, cmd *cli.Command) error {
-	var w operatorapi.Who
-	return errs.Pass(printQuery(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
-		fmt.Fprintln(out, "store", w.Store)
-		fmt.Fprintln(out, "sched", w.Scheduler)
-		for _, m := range w.Members {
-			kind := "voter"
-			if m.Learner {
-				kind = "learner"
-			}
-			fmt.Fprintln(out, kind, m.ID, m.Addr, m.Zone)
-		}
-		for _, n := range w.Nodes {
-			fmt.Fprintln(out, "node", n.Name, n.Role, n.Zone, n.Addr, n.Age.Round(time.Millisecond))
-		}
-		for _, zone := range w.Evacuated {
-			fmt.Fprintln(out, "evacuated", zone)
-		}
-	}), "who")
+// printResponse sends one request and prints the answer as it came.
+func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body []byte) error {
+	raw, err := doRequest(ctx, cmd, method, path, body)
+	if err != nil {
+		return errs.Pass(err, "%s", path)
+	}
+	fmt.Println(string(bytes.TrimSpace(raw)))
+	return nil
 }
 
-// listMembers prints the members of the store, with how far each has its log.
-func listMembers(ctx context.Context, cmd *cli.Command) error {
-	var w operatorapi.Who
-	return errs.Pass(printQuery(ctx, cmd, "/v1/who", &w, func(out io.Writer) {
-		fmt.Fprintln(out, "ID\tADDR\tZONE\tSTANDS\tMATCH")
-		for _, m := range w.Members {
-			stands := "voter"
-			if m.Learner {
-				stands = "learner"
-			}
-			match := "-"
-			if w.Status != nil && w.Status.Raft.Match[m.ID] > 0 { // only the leader knows
-				match = fmt.Sprint(w.Status.Raft.Match[m.ID])
-			}
-			if w.Store == m.ID || strings.HasPrefix(m.ID, w.Store+"~") {
-				stands += ", leads"
-			}
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\n", m.ID, m.Addr, m.Zone, stands, match)
-		}
-	}), "members")
+// printQuery gets path and prints the answer: with --json as it came, else as render shows it.
+func printQuery[T any](ctx context.Context, cmd *cli.Command, path string, render func(t table, answer T)) error {
+	raw, err := doRequest(ctx, cmd, http.MethodGet, path, nil)
+	if err != nil {
+		return errs.Pass(err, "%s", path)
+	}
+	return errs.Pass(printAnswer(cmd, raw, render), "%s", path)
+}
+
+// queryAction is the action of a command without arguments that prints the answer at path.
+func queryAction[T any](path string, render func(t table, answer T)) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		return errs.Pass(printQuery(ctx, cmd, path, render), "query")
+	}
+}
+
+// printOrder posts an order and prints its outcome. A failure names the order's ID: it may be sent again.
+func printOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, body []byte,
+	render func(t table, outcome T)) error {
+	raw, err := doRequest(ctx, cmd, http.MethodPost, path, body)
+	if err != nil {
+		return errs.Pass(err, "order %s", id)
+	}
+	return errs.Pass(printAnswer(cmd, raw, render), "order %s", id)
+}
+
+// printJSONOrder is printOrder with the JSON of order as its body.
+func printJSONOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, order any,
+	render func(t table, outcome T)) error {
+	body, err := json.Marshal(order)
+	if err != nil {
+		return errs.Wrap(err, errs.Internal, "encode the order")
+	}
+	return errs.Pass(printOrder(ctx, cmd, id, path, body, render), "order")
 }
 
-func listWorkers(ctx context.Context, cmd *cli.Command) error {
-	var list operatorapi.Workers
-	return errs.Pass(printQuery(ctx, cmd, "/v1/minions", &list, func(out io.Writer) {
-		fmt.Fprintln(out, "NAME\tADDR\tZONE\tKIND\tBOOT\tTICKETS\tCORES\tGPUS\tSTATE")
-		for _, m := range list.Workers {
-			state := "open"
-			if m.Closed || m.Draining {
-				state = "drain"
-			}
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%d/%d\t%d/%d\t%s\n", m.Name, m.Addr, m.Zone, m.Kind, m.Incarnation, m.RunCount,
-				m.UsedCores, m.Cores, m.UsedGPUs, m.GPUs, state)
+// unsignedOrderCommand posts an order that needs no signature and prints the answer as it came. format is the path,
+// with a verb for each of the arguments, whose names args holds.
+func unsignedOrderCommand(name, usage, args, format string) *cli.Command {
+	action := func(ctx context.Context, cmd *cli.Command) error {
+		words, err := exactArgs(cmd, strings.Fields(args)...)
+		if err != nil {
+			return errs.Pass(err, "%s", name)
+		}
+		id := orderID(cmd)
+		body, err := json.Marshal(operatorapi.Order{Order: id})
+		if err != nil {
+			return errs.Wrap(err, errs.Internal, "encode the order")
 		}
-	}), "minions")
+		path := fmt.Sprintf(format, escapePaths(words)...)
+		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, body), "order %s", id)
+	}
+	return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: []cli.Flag{addrFlag(), orderFlag()},
+		Action: action}
+}
+
+// escapePaths makes words fit to be parts of a path.
+func escapePaths(words []string) []any {
+	out := make([]any, len(words))
+	for i, word := range words {
+		out[i] = url.PathEscape(word)
+	}
+	return out
 }
--- /dev/null
+++ b/cmd/crosstide-controlplane/who.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/httpapi/operatorapi"
+)
+
+// whoCommand prints the leader of the store, the scheduler role's holder and the nodes.
+func whoCommand() *cli.Command {
+	return &cli.Command{Name: "who", Usage: "print who holds what", Flags: queryFlags(),
+		Action: queryAction("/v1/who", renderWho)}
+}
+
+func renderWho(t table, who operatorapi.Who) {
+	t.line("store", who.Store)
+	t.line("sched", who.Scheduler)
+	for _, member := range who.Members {
+		t.line(votingRight(member), member.ID, member.Addr, member.Zone)
+	}
+	for _, node := range who.Nodes {
+		t.line("node", node.Name, node.Role, node.Zone, node.Addr, node.Age.Round(time.Millisecond))
+	}
+	for _, zone := range who.Evacuated {
+		t.line("evacuated", zone)
+	}
+}
