--- a/cmd/crosstide-dataplane/platform.go
+++ b/cmd/crosstide-dataplane/platform.go
@@ -22,7 +22,8 @@
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// servePlatform runs a front node until ctx ends, then lets it drain. changed tells that the settings have changed.
+// servePlatform runs a front node until ctx ends, then drains it. changed has a value whenever the settings have
+// changed; the node then reads its seeds again.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core := settings.Core()
 	daemon.LimitMemory(core.MemoryBytes)
@@ -37,8 +38,10 @@
 func frontOptions(core platform.CoreSettings, logger log.Logger) jobsnode.FrontOptions {
 	return jobsnode.FrontOptions{
 		CoreAddresses: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
-		ServeClients: func(clients *rpc.Server, client *controller.Client) { platform.NewIngress(client).Routes(clients) },
-		ServeReady:   platform.Readiness,
+		ServeClients: func(clients *rpc.Server, client *controller.Client) {
+			platform.NewIngress(client).Routes(clients)
+		},
+		ServeReady: platform.Readiness,
 		ReadSeeds: func() ([]string, error) {
 			settings, err := platform.LoadSettings()
 			return settings.Core().Seeds, errs.Pass(err, "seeds")
