--- a/internal/testbed/policysim/balances.go
+++ b/internal/testbed/policysim/balances.go
@@ -282,11 +282,7 @@
 		b.pendingAttachments = append(b.pendingAttachments, attachment{ref: r.ref, after: r.runID, since: s.now, exhausted: !b.covers(limitedParty, corePrice*5)})
 		m := r.worker
 		m.kill()
-		s.schedule(500*time.Millisecond, func() {
-			if !m.alive {
-				m.open()
-			}
-		})
+		s.schedule(500*time.Millisecond, m.restart)
 		return
 	}
 }
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -268,8 +268,6 @@
 	})
 }
 
-func (p *clients) lift() {}
-
 // resubmit hands a job in that was accepted long ago: it stays one job.
 func (p *clients) resubmit() {
 	if len(p.jobs) > 0 {
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -366,6 +366,12 @@
 		}})
 }
 
+func (d *dataPlane) restart() {
+	if !d.alive {
+		d.open()
+	}
+}
+
 // read is Node.Read of one job.
 func (d *dataPlane) read(key string, back func(v query.JobView, err error)) {
 	by := d.Now() + callTimeout
--- a/internal/testbed/policysim/directedfaults.go
+++ b/internal/testbed/policysim/directedfaults.go
@@ -10,19 +10,19 @@
 // guard of the product is there; see docs/design/simulator.md.
 
 const (
-	lagLead            = 2 * time.Second        // for which replicas lag before their holder ends
-	lagFor             = 10 * time.Second       // over the lease of a duty, with its margin
+	lagLead            = 2 * time.Second        // for which replicas lag before the role holder ends
+	lagFor             = 10 * time.Second       // longer than the role's lease and its margin
 	majorityAloneFor   = 2 * time.Second        // for which the majority commits without the rest
-	wipedAloneFor      = 10 * time.Second       // for which the rest has the emptied member to itself
-	planTimeout        = 2 * time.Second        // a holder has a plan under way by then; under the lease of a duty
-	replacementTimeout = 30 * time.Second       // another holder has been granted the duty by then
-	pollInterval       = 20 * time.Millisecond  // how often a directed fault looks for its moment
+	wipedAloneFor      = 10 * time.Second       // for which the rest is alone with the wiped member
+	planTimeout        = 2 * time.Second        // until a role holder has a plan in flight; shorter than the role's lease
+	replacementTimeout = 30 * time.Second       // until another node has been granted the role
+	pollInterval       = 20 * time.Millisecond  // between two checks whether the moment has come
 	shortDelay         = 100 * time.Millisecond // as good as at once
 )
 
-// lagReplicas lets the replicas of all dplanes but the holder's stand still, and ends the holder: its successor is granted the
-// duty before its replica has the grant.
-func (f *faultInjector) lagReplicas(count func(*process, string)) {
+// lagReplicas stops the replicas of all data-plane nodes but the role holder's, and ends the holder: its successor is
+// granted the role before its replica has the grant.
+func (f *faultInjector) lagReplicas(targets) {
 	s := f.sim
 	holder := s.roleHolder()
 	if holder == nil {
@@ -35,14 +35,14 @@
 		}
 	}
 	s.trace("fault lag, all replicas but that of %s", holder.addr)
-	s.schedule(lagLead, func() { f.killDataPlane(holder, count) })
+	s.schedule(lagLead, func() { f.kill("lag", holder) })
 }
 
-// rejoinWiped cuts two cplanes off until they lack entries, takes the disk of a third, and leaves these three to themselves:
-// they are a majority by their names, but none of them has the newest entries.
-func (f *faultInjector) rejoinWiped() {
+// rejoinWiped cuts two control-plane nodes off until they lack entries, wipes the disk of a third, and leaves these three
+// to themselves: they are a majority by their names, but none of them has the newest entries.
+func (f *faultInjector) rejoinWiped(targets) {
 	s := f.sim
-	if f.wiped != nil && !s.invariantChecker.isVoter(f.wiped) {
+	if f.wipedIsAway() {
 		return
 	}
 	order := s.rng.Perm(len(s.controlPlanes))
@@ -53,7 +53,7 @@
 	s.trace("fault rejoin, %v lag, %s is wiped", addresses(late), empty.addr)
 	heal := f.partition(late, true)
 	s.schedule(majorityAloneFor, func() {
-		if s.faultsOver || f.wiped != nil && !s.invariantChecker.isVoter(f.wiped) {
+		if s.faultsOver || f.wipedIsAway() {
 			heal()
 			return
 		}
@@ -64,7 +64,13 @@
 	})
 }
 
-// wipe ends a cplane and takes its disk; it comes back empty after a while.
+// wipedIsAway tells whether the member whose disk was wiped last does not vote yet. No other disk is wiped before that:
+// the store need not survive the loss of more disks at once.
+func (f *faultInjector) wipedIsAway() bool {
+	return f.wiped != nil && !f.sim.invariantChecker.isVoter(f.wiped)
+}
+
+// wipe ends a control-plane node and its disk; it comes back empty after a while.
 func (f *faultInjector) wipe(c *controlPlane, back time.Duration) {
 	f.wiped = c
 	c.crash(false)
@@ -76,9 +82,9 @@
 	f.sim.schedule(back, c.restart)
 }
 
-// stalePlan ends the leader of the store, freezes the holder while a plan of it is under way, and wakes it once another
-// was granted the duty: it sends the plan again, to the new leader.
-func (f *faultInjector) stalePlan() {
+// freezeWithPlanOut ends the leader of the store, freezes the role holder while a plan of it is in flight, and wakes it
+// once another node was granted the role: it then sends the plan again, to the new leader.
+func (f *faultInjector) freezeWithPlanOut(targets) {
 	s := f.sim
 	holder, leader := s.roleHolder(), s.storeLeader()
 	if holder == nil || leader == nil {
@@ -96,7 +102,7 @@
 	})
 }
 
-// freezeUntilReplaced freezes the holder until another one has been granted its duty.
+// freezeUntilReplaced freezes the role holder until another node has been granted the role.
 func (f *faultInjector) freezeUntilReplaced(holder *dataPlane) {
 	s := f.sim
 	generation, epoch := holder.generation, holder.scheduler.Epoch()
@@ -107,21 +113,21 @@
 	}, func() {
 		if holder.generation == generation {
 			s.trace("%s wakes", holder.addr)
-			holder.process.wake()
+			holder.wake()
 		}
 	})
 }
 
-// waitUntil looks again and again until something is so, or a time is over, and then does what is to be done.
-func (s *sim) waitUntil(until time.Duration, so func() bool, do func()) {
-	if so() || s.now >= until {
+// waitUntil calls do once the condition holds, or at the deadline.
+func (s *sim) waitUntil(deadline time.Duration, condition func() bool, do func()) {
+	if condition() || s.now >= deadline {
 		do()
 		return
 	}
-	s.schedule(pollInterval, func() { s.waitUntil(until, so, do) })
+	s.schedule(pollInterval, func() { s.waitUntil(deadline, condition, do) })
 }
 
-// roleHolder is the dplane that acts under the duty now; nil if there is none.
+// roleHolder is the data-plane node that acts under the scheduler role now; nil if there is none.
 func (s *sim) roleHolder() *dataPlane {
 	for _, d := range s.dataPlanes {
 		if d.alive && !d.frozen && d.scheduler.MayAct(d.Now()) {
@@ -131,7 +137,7 @@
 	return nil
 }
 
-// storeLeader is a cplane that leads the store in its own eyes; nil if there is none.
+// storeLeader is a control-plane node that takes itself for the leader of the store; nil if there is none.
 func (s *sim) storeLeader() *controlPlane {
 	for _, c := range s.controlPlanes {
 		if c.alive && !c.frozen && c.driver.Core() != nil && c.driver.Core().Status().Role == "leader" {
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -5,55 +5,94 @@
 	"time"
 )
 
+// fault is a way in which a run may go wrong. Most faults are injected at random moments into processes that are drawn;
+// the others are rates, which faultInjector.start sets, or something that the clients do.
+type fault struct {
+	name    string
+	counter string // the key of Report.Faults that counts its cases
+	inject  func(f *faultInjector, at targets)
+}
+
+// targets are the processes that are drawn for a fault, one of each kind. A fault takes those that it needs.
+type targets struct {
+	controlPlane *controlPlane
+	dataPlane    *dataPlane
+	worker       *worker
+}
+
+// faults is the table of all faults. Its order is part of every history: the injector draws from it by index.
+var faults = []fault{
+	{"net", "lose", nil}, // lost, delayed, doubled messages, crossed answers
+	{"kill", "kill", (*faultInjector).killControlPlane},            // a process ends and comes back
+	{"power", "power", (*faultInjector).cutPower},                  // the same, with the loss of what was not synced
+	{"blackout", "blackout", (*faultInjector).blackOut},            // all control-plane nodes lose power at once
+	{"wipe", "wipe", (*faultInjector).wipeDisk},                    // a control-plane node loses its disk, joins anew
+	{"sync", "sync failed", (*faultInjector).failSync},             // a sync fails, the process ends
+	{"slow", "slow", (*faultInjector).slowDisk},                    // syncs take long
+	{"freeze", "freeze", (*faultInjector).freezeNode},              // a control- or data-plane node freezes and wakes
+	{"holder", "holder", (*faultInjector).disturbRoleHolder},       // the role holder is killed, frozen or cut off
+	{"dkill", "dkill", (*faultInjector).killDataPlane},             // a data-plane node ends, comes back with nothing
+	{"leave", "leave", (*faultInjector).shutDownDataPlane},         // a data-plane node is told to end
+	{"split", "split", (*faultInjector).splitNetwork},              // the machines fall into two partitions
+	{"oneway", "oneway", (*faultInjector).splitNetworkOneWay},      // bytes go one way only
+	{"island", "island", (*faultInjector).isolateZoneOrScheduler},  // a zone, or the role holder with some workers
+	{"cut", "cut", (*faultInjector).isolateOne},                    // one machine is cut off
+	{"stall", "stall", (*faultInjector).freezeWorker},              // a worker freezes and wakes
+	{"boot", "boot", (*faultInjector).restartWorker},               // a worker comes back as another incarnation
+	{"late", "late order", nil},                                    // workers carry out orders late
+	{"lost", "lost at the minion", nil},                            // workers lose answers
+	{"drain", "drain", (*faultInjector).drainWorker},               // a worker drains for a while
+	{"zone", "zone", (*faultInjector).evacuateZone},                // operators evacuate a zone and lift it
+	{"cancel", "cancel", nil},                                      // clients cancel
+	{"lag", "lag", (*faultInjector).lagReplicas},                   // replicas lag, then the role holder ends
+	{"rejoin", "rejoin", (*faultInjector).rejoinWiped},             // a wiped member joins two that lack entries
+	{"staleplan", "staleplan", (*faultInjector).freezeWithPlanOut}, // the role holder wakes when it is replaced
+}
+
 // Faults are the names that Options.Faults takes.
-var Faults = []string{
-	"net",      // messages lost, delayed, doubled; answers lost, answers crossed
-	"kill",     // a cplane's process ends and comes back
-	"power",    // a cplane loses power, and what was not synced
-	"blackout", // the whole core loses power at once
-	"wipe",     // a cplane loses its disk and joins anew
-	"sync",     // a sync fails, the process ends
-	"slow",     // a disk is slow
-	"freeze",   // a cplane or dplane stands still and wakes
-	"holder",   // the dplane that holds sched is killed, frozen or cut off
-	"dkill",    // a dplane ends and comes back with nothing
-	"leave",    // a dplane is told to end
-	"split",    // the machines fall into two sets
-	"oneway",   // bytes go one way only
-	"island",   // a zone, or the holder of sched with some minions, is cut off from the rest
-	"cut",      // one machine is cut off
-	"stall",    // a minion stands still and wakes
-	"boot",     // a minion ends and comes back under a new boot
-	"late",     // minions carry orders out late
-	"lost",     // minions lose answers
-	"drain",    // a minion drains for a while
-	"zone",     // operators evacuate a zone and lift it
-	"cancel",   // clients cancel
+var Faults = faultNames()
 
-	"lag",       // replicas stand still, and then the holder of sched ends
-	"rejoin",    // a member that lost its disk comes back among two that lack entries
-	"staleplan", // the holder of sched freezes with a plan under way and wakes when it is replaced
+func faultNames() (names []string) {
+	for _, f := range faults {
+		names = append(names, f.name)
+	}
+	return names
+}
+
+// faultCounter is the key of Report.Faults that counts a fault; "" for a name that is no fault's.
+func faultCounter(name string) string {
+	if i := faultIndex(name); i >= 0 {
+		return faults[i].counter
+	}
+	return ""
+}
+
+// faultIndex is the place of a fault in the table; negative for a name that is no fault's.
+func faultIndex(name string) int {
+	return slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 }
 
 // Guards are the guards that Options.WithoutGuard takes out.
 var Guards = []string{
-	"epoch",   // the store does not look at a plan's epoch
-	"rebuild", // a holder releases before it has followed the store up to its grant
-	"floor",   // minions keep neither the floor nor the time after which an order is void
-	"sync",    // a cplane answers before its log is synced
-	"learner", // a wiped cplane votes under its old name
-	"reserve", // the scheduler keeps no room for what fits nowhere
-	"balance", // accounts have a credit that no draw reaches, so that the check in the commit of a start lets all pass
-	"lease",   // holders think that leases last longer than the granter waits
+	"epoch",   // the store does not check a plan's epoch
+	"rebuild", // a role holder decides before its replica has reached its grant
+	"floor",   // workers keep neither the floor of call numbers nor the time after which an order is invalid
+	"sync",    // a control-plane node answers before its log is synced
+	"learner", // a wiped control-plane node votes under its old name
+	"reserve", // the scheduler reserves no capacity for what fits nowhere
+	"balance", // accounts have a credit that no draw reaches, so that the check in the commit of a start passes all
+	"lease",   // role holders take leases to be longer than the granter does
 }
 
+// faultInjector injects faults until Options.FaultPeriod is over, and then ends them all.
 type faultInjector struct {
 	sim     *sim
-	enabled map[string]bool
-	pace    time.Duration
-	wiped   *controlPlane
+	enabled map[string]bool // by the names in Options.Faults
+	pace    time.Duration   // mean time between two faults
+	wiped   *controlPlane   // the last whose disk was wiped: the next is wiped when this one votes again
 }
 
+// start sets the rates of the faults that have one, and injects the first of the others soon.
 func (f *faultInjector) start() {
 	s := f.sim
 	f.pace = s.between(200*time.Millisecond, 2500*time.Millisecond)
@@ -69,12 +108,12 @@
 		s.net.delayRate, s.net.maxDelay = s.rng.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
 		s.net.crossedAnswerRate = s.rng.Float64() * 0.005
 	}
-	for _, m := range s.workers {
+	for _, w := range s.workers {
 		if f.enabled["late"] {
-			m.lateOrderRate = s.rng.Float64() * 0.3
+			w.lateOrderRate = s.rng.Float64() * 0.3
 		}
 		if f.enabled["lost"] {
-			m.answerLossRate = s.rng.Float64() * 0.05
+			w.answerLossRate = s.rng.Float64() * 0.05
 		}
 	}
 	s.schedule(s.between(2*time.Second, 6*time.Second), f.injectNext)
@@ -87,10 +126,10 @@
 	s.trace("faults end")
 	s.faultsOver = true
 	s.net = net{}
-	for _, m := range s.workers {
-		m.lateOrderRate, m.answerLossRate = 0, 0
-		m.wake()
-		m.drain(false)
+	for _, w := range s.workers {
+		w.lateOrderRate, w.answerLossRate = 0, 0
+		w.wake()
+		w.drain(false)
 	}
 	for _, c := range s.controlPlanes {
 		c.syncDelay, c.failNextSync = 0, false
@@ -98,13 +137,10 @@
 	}
 	for _, d := range s.dataPlanes {
 		d.lagUntil = 0
-		d.wakeProcess()
+		d.wake()
 	}
-	s.clients.lift()
 }
 
-func (d *dataPlane) wakeProcess() { d.process.wake() }
-
 func (f *faultInjector) injectNext() {
 	s := f.sim
 	if s.faultsOver {
@@ -116,7 +152,23 @@
 	s.schedule(s.between(0, 2*f.pace), f.injectNext)
 }
 
-// drawDuration draws how long a fault lasts: mostly short, now and then past every lease and hold.
+// inject draws targets for any fault, also for those that take none: the draws that follow must not depend on which
+// faults do.
+func (f *faultInjector) inject(name string) {
+	s := f.sim
+	at := targets{pick(s, s.controlPlanes), pick(s, s.dataPlanes), pick(s, s.workers)}
+	if i := faultIndex(name); i >= 0 && faults[i].inject != nil {
+		faults[i].inject(f, at)
+	}
+}
+
+// count counts a case of a fault at a process. what is the trace's word for it.
+func (f *faultInjector) count(name string, at *process, what string) {
+	f.sim.report.Faults[name]++
+	f.sim.trace("fault %s %s", what, at.addr)
+}
+
+// drawDuration draws how long a fault lasts: mostly short, now and then longer than every lease.
 func (f *faultInjector) drawDuration() time.Duration {
 	s := f.sim
 	switch s.rng.IntN(4) {
@@ -129,187 +181,3 @@
 }
 
 func pick[T any](s *sim, list []T) T { return list[s.rng.IntN(len(list))] }
-
-func (f *faultInjector) inject(name string) {
-	s := f.sim
-	count := func(p *process, what string) {
-		s.report.Faults[name]++
-		s.trace("fault %s %s", what, p.addr)
-	}
-	c, d, m := pick(s, s.controlPlanes), pick(s, s.dataPlanes), pick(s, s.workers)
-	switch name {
-	case "kill", "power":
-		if c.alive {
-			count(c.process, name)
-			c.crash(name == "power")
-			s.schedule(f.drawDuration(), c.restart)
-		}
-	case "blackout":
-		s.report.Faults[name]++
-		s.trace("fault blackout")
-		for _, c := range s.controlPlanes {
-			c.crash(true)
-			s.schedule(s.between(0, 3*time.Second), c.restart)
-		}
-	case "wipe":
-		if f.wiped != nil && !s.invariantChecker.isVoter(f.wiped) {
-			return
-		}
-		count(c.process, name)
-		f.wipe(c, s.between(10*time.Millisecond, 3*time.Second))
-	case "sync":
-		if c.alive {
-			c.failNextSync = true
-		}
-	case "slow":
-		count(c.process, name)
-		c.syncDelay = s.between(5*time.Millisecond, 400*time.Millisecond)
-		s.schedule(f.drawDuration(), func() { c.syncDelay = 0 })
-	case "freeze":
-		p := pick(s, []*process{c.process, d.process})
-		f.freezeForSpan(p, count)
-	case "holder":
-		for _, d := range s.dataPlanes {
-			if d.alive && d.scheduler.MayAct(d.Now()) {
-				switch s.rng.IntN(3) {
-				case 0:
-					f.killDataPlane(d, count)
-				case 1:
-					f.freezeForSpan(d.process, count)
-				default:
-					count(d.process, "cut off")
-					f.cutOff([]*process{d.process}, true)
-				}
-				return
-			}
-		}
-	case "dkill":
-		f.killDataPlane(d, count)
-	case "leave":
-		if d.alive && !d.frozen && !d.leaving {
-			count(d.process, name)
-			generation := d.generation
-			d.releaseRole()
-			s.schedule(s.between(100*time.Millisecond, 2*time.Second), func() {
-				if d.generation == generation {
-					d.endIncarnation()
-					s.schedule(s.between(0, time.Second), d.restart)
-				}
-			})
-		}
-	case "split", "oneway":
-		var side []*process
-		for _, p := range s.processes {
-			if p != s.clients.process && s.chance(0.5) {
-				side = append(side, p)
-			}
-		}
-		s.report.Faults[name]++
-		s.trace("fault %s %s", name, addresses(side))
-		f.cutOff(side, name == "split")
-	case "island":
-		z, half := zone(s.rng.IntN(3)), s.chance(0.5)
-		var side []*process
-		for _, p := range s.processes {
-			d, m := s.dataPlaneAt(p), s.workerAt(p)
-			if half && (d != nil && d.alive && d.scheduler.MayAct(d.Now()) || m != nil && s.chance(0.5)) || !half && p.zone == z {
-				side = append(side, p)
-			}
-		}
-		s.report.Faults[name]++
-		s.trace("fault island %s", addresses(side))
-		f.cutOff(side, true)
-	case "cut":
-		p := pick(s, s.processes)
-		if p != s.clients.process {
-			count(p, name)
-			f.cutOff([]*process{p}, true)
-		}
-	case "stall":
-		f.freezeForSpan(m.process, count)
-	case "boot":
-		if m.alive && !m.frozen {
-			count(m.process, name)
-			m.kill()
-			s.schedule(s.between(time.Millisecond, 4*time.Second), func() {
-				if !m.alive {
-					m.open()
-				}
-			})
-		}
-	case "drain":
-		if m.alive && !m.frozen && !m.draining {
-			count(m.process, name)
-			m.drain(true)
-			s.schedule(s.between(time.Second, 10*time.Second), func() { m.drain(false) })
-		}
-	case "lag":
-		f.lagReplicas(count)
-	case "rejoin":
-		f.rejoinWiped()
-	case "staleplan":
-		f.stalePlan()
-	case "zone":
-		if s.clients.evacuate(zone(s.rng.IntN(3))) {
-			s.report.Faults[name]++
-		}
-	}
-}
-
-func (d *dataPlane) restart() {
-	if !d.alive {
-		d.open()
-	}
-}
-
-func (f *faultInjector) killDataPlane(d *dataPlane, count func(*process, string)) {
-	if d.alive {
-		count(d.process, "kill")
-		d.endIncarnation()
-		f.sim.schedule(f.drawDuration(), d.restart)
-	}
-}
-
-func (f *faultInjector) freezeForSpan(p *process, count func(*process, string)) {
-	if p.alive && !p.frozen {
-		count(p, "freeze")
-		generation := p.generation
-		p.freeze()
-		f.sim.schedule(f.drawDuration(), func() {
-			if p.generation == generation {
-				f.sim.trace("%s wakes", p.addr)
-				p.wake()
-			}
-		})
-	}
-}
-
-// cutOff parts a set from all others for a while.
-func (f *faultInjector) cutOff(side []*process, both bool) {
-	f.sim.schedule(f.drawDuration(), f.partition(side, both))
-}
-
-// partition parts a set from all others until what it gives is called.
-func (f *faultInjector) partition(side []*process, both bool) (heal func()) {
-	s := f.sim
-	c := &cut{from: map[*process]bool{}, to: map[*process]bool{}, bothWays: both}
-	for _, p := range s.processes {
-		if slices.Contains(side, p) {
-			c.from[p] = true
-		} else if p != s.clients.process {
-			c.to[p] = true
-		}
-	}
-	s.net.cuts = append(s.net.cuts, c)
-	return func() {
-		s.trace("a cut heals")
-		s.net.cuts = slices.DeleteFunc(s.net.cuts, func(x *cut) bool { return x == c })
-	}
-}
-
-func addresses(list []*process) (out []string) {
-	for _, p := range list {
-		out = append(out, p.addr)
-	}
-	return out
-}
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -71,7 +71,7 @@
 		}
 	}
 	for _, f := range wanted {
-		if n := s.Faults[faultCounters[f]]; n == 0 {
+		if s.Faults[faultCounter(f)] == 0 {
 			s.UnexercisedFaults = append(s.UnexercisedFaults, f)
 		}
 	}
@@ -127,9 +127,3 @@
 var Promises = []string{"once at a time", "not after it ended well", "newer ticket", "fence", "decided in office", "rebuilt", "durable", "ordered once",
 	"not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over", "draining", "evacuated", "fits", "order once",
 	"same log", "same state", "all ends", "linear"}
-
-// faultCounters tells under which name a fault is counted.
-var faultCounters = map[string]string{"net": "lose", "kill": "kill", "power": "power", "blackout": "blackout", "wipe": "wipe", "sync": "sync failed",
-	"slow": "slow", "freeze": "freeze", "holder": "holder", "dkill": "dkill", "leave": "leave", "split": "split", "oneway": "oneway",
-	"cut": "cut", "stall": "stall", "boot": "boot", "late": "late order", "lost": "lost at the minion", "drain": "drain", "zone": "zone",
-	"cancel": "cancel", "island": "island", "lag": "lag", "rejoin": "rejoin", "staleplan": "staleplan"}
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -139,6 +139,13 @@
 	}
 }
 
+// restart starts another incarnation, unless one runs.
+func (m *worker) restart() {
+	if !m.alive {
+		m.open()
+	}
+}
+
 func (s *sim) workerAt(p *process) *worker {
 	for _, m := range s.workers {
 		if m.process == p {
