--- a/internal/testbed/policysim/balances.go
+++ b/internal/testbed/policysim/balances.go
@@ -147,7 +147,7 @@
 		z.By, z.Sig = "ada", b.keys["ada"].Sign(signature.Evacuate(z.Order, z.Zone))
 		return []command.Command{&z}
 	}
-	text := signature.Lift(z.Zone, b.sim.invariantChecker.reference.Evacuated[z.Zone])
+	text := signature.Lift(z.Zone, b.sim.checker.reference.Evacuated[z.Zone])
 	first, second := z, z
 	first.Order += "a"
 	first.By, first.Sig = "ada", b.keys["ada"].Sign(text)
@@ -220,7 +220,7 @@
 		j := &job{sentAt: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
 			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
 		s.clients.jobs = append(s.clients.jobs, j)
-		s.invariantChecker.jobs[j.spec.Key] = j
+		s.checker.jobs[j.spec.Key] = j
 		b.longRunningJobs = append(b.longRunningJobs, j)
 		s.clients.submit(j, 0)
 		if s.chance(0.5) {
@@ -273,8 +273,8 @@
 // killLongRunningWorker ends the minion of a lasting run; it comes back soon.
 func (b *balances) killLongRunningWorker() {
 	s := b.sim
-	for _, r := range s.invariantChecker.runs {
-		j := s.invariantChecker.reference.Jobs[r.ref.Job]
+	for _, r := range s.checker.running {
+		j := s.checker.reference.Jobs[r.ref.Job]
 		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].LongRunning || !r.worker.alive {
 			continue
 		}
@@ -288,7 +288,7 @@
 }
 
 func (b *balances) covers(name string, cost int64) bool {
-	return b.sim.invariantChecker.reference.Accounts.Covers(name, cost)
+	return b.sim.checker.reference.Accounts.Covers(name, cost)
 }
 
 // checkDeadlines judges what must happen in time.
@@ -304,7 +304,7 @@
 	if b == nil {
 		return true
 	}
-	ref0 := b.sim.invariantChecker.reference
+	ref0 := b.sim.checker.reference
 	fee := ref0.Fee(j, ref)
 	if fee.Party == "" {
 		return true
@@ -313,7 +313,7 @@
 	if !ref0.Covers(fee) {
 		return false
 	}
-	for _, key := range b.sim.invariantChecker.runningJobs() {
+	for _, key := range b.sim.checker.runningJobs() {
 		if older := ref0.Jobs[key]; older.Seq < j.Seq && b.hasUncoveredTask(older, fee.Party) {
 			return false
 		}
@@ -337,7 +337,7 @@
 
 // hasUncoveredTask tells whether a job has a due task that its party's balance does not cover.
 func (b *balances) hasUncoveredTask(j *state.Job, party string) bool {
-	o := b.sim.invariantChecker
+	o := b.sim.checker
 	if o.reference.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
 		return false
 	}
--- a/internal/testbed/policysim/billing.go
+++ b/internal/testbed/policysim/billing.go
@@ -65,8 +65,8 @@
 func newBillingChecker(s *sim) *billingChecker {
 	o := &billingChecker{sim: s, accountModels: map[string]*accountModel{}, runs: map[uint64]*paidRun{}, everRan: map[state.TaskRef]bool{},
 		starts: map[string]uint64{}, topUps: map[string]time.Duration{}}
-	watch := s.invariantChecker.reference.OnEvent
-	s.invariantChecker.reference.OnEvent = func(n state.Event) {
+	watch := s.checker.reference.OnEvent
+	s.checker.reference.OnEvent = func(n state.Event) {
 		watch(n)
 		switch n.Kind {
 		case state.EventHandleCreated:
@@ -79,14 +79,14 @@
 }
 
 func (o *billingChecker) account(name string) *account.Account {
-	if o.sim.invariantChecker.reference.Accounts == nil {
+	if o.sim.checker.reference.Accounts == nil {
 		return nil
 	}
-	return o.sim.invariantChecker.reference.Accounts.Accounts[name]
+	return o.sim.checker.reference.Accounts.Accounts[name]
 }
 
 // recentNext is the store's time.
-func (o *billingChecker) storeTime() time.Time { return o.sim.invariantChecker.reference.At }
+func (o *billingChecker) storeTime() time.Time { return o.sim.checker.reference.At }
 
 // price is what a rate costs for a time, rounded up.
 func price(rate int64, length time.Duration) int64 {
@@ -130,14 +130,14 @@
 	if len(data) > 0 {
 		must(json.Unmarshal(data, &e))
 	}
-	runID := o.sim.invariantChecker.reference.LastRunID
+	runID := o.sim.checker.reference.LastRunID
 	waiting := false
 	switch e.Op {
 	case "plan":
 		o.plan = &command.Plan{}
 		must(json.Unmarshal(e.Body, o.plan))
 		o.incarnations = map[string]string{}
-		for name, m := range o.sim.invariantChecker.reference.Workers {
+		for name, m := range o.sim.checker.reference.Workers {
 			o.incarnations[name] = m.Incarnation
 		}
 	case "account-top-up":
@@ -158,7 +158,7 @@
 
 // hasWaitingTask tells whether a due task of a team has room on a minion, and can or cannot be paid.
 func (b *balances) hasWaitingTask(team string, payable bool) bool {
-	so := b.sim.invariantChecker
+	so := b.sim.checker
 	for _, key := range so.runningJobs() {
 		j := so.reference.Jobs[key]
 		if j.Spec.Team != team {
@@ -203,9 +203,9 @@
 
 // checkOpened takes in that a run ID was given. A start must have been covered; only a lasting task that ran before need not.
 func (o *billingChecker) checkOpened(h *state.Handle) {
-	j, _ := o.sim.invariantChecker.reference.TaskOf(h.Ref)
+	j, _ := o.sim.checker.reference.TaskOf(h.Ref)
 	party := map[string]string{limitedTeam: limitedParty, unlimitedTeam: unlimitedParty}[j.Spec.Team]
-	if party == "" || o.sim.invariantChecker.reference.Bundle.Version < 2 {
+	if party == "" || o.sim.checker.reference.Bundle.Version < 2 {
 		return
 	}
 	longRunning := j.Spec.Steps[h.Ref.Step].LongRunning
@@ -276,7 +276,7 @@
 	}
 	const often = 64
 	if o.checks++; o.checks%often == 0 {
-		if err := s.invariantChecker.reference.Accounts.Check(); err != nil {
+		if err := s.checker.reference.Accounts.Check(); err != nil {
 			s.reportBreach("conserved", "%v", err)
 		}
 	}
@@ -333,7 +333,7 @@
 // checkStart takes in that a minion starts a run.
 func (o *billingChecker) observeStart(ref state.TaskRef, runID uint64) {
 	s := o.sim
-	j := s.invariantChecker.jobs[ref.Job]
+	j := s.checker.jobs[ref.Job]
 	if r := o.pendingResume; r != nil && r.started == 0 && j.spec.Team == r.team && runID > r.runID && !j.spec.Steps[ref.Step].LongRunning {
 		r.started = s.now
 		o.finishResume()
@@ -389,8 +389,8 @@
 func (b *balances) checkAttached() {
 	s := b.sim
 	b.pendingAttachments = slices.DeleteFunc(b.pendingAttachments, func(w attachment) bool {
-		j := s.invariantChecker.reference.Jobs[w.ref.Job]
-		if j == nil || j.Phase != state.JobRunning || s.invariantChecker.jobs[w.ref.Job].cancelRequested {
+		j := s.checker.reference.Jobs[w.ref.Job]
+		if j == nil || j.Phase != state.JobRunning || s.checker.jobs[w.ref.Job].cancelRequested {
 			return true // it was cancelled
 		}
 		if s.now-w.since > reattachTimeout {
--- a/internal/testbed/policysim/build.go
+++ b/internal/testbed/policysim/build.go
@@ -26,7 +26,7 @@
 		}
 		s.workers = append(s.workers, m)
 	}
-	s.invariantChecker = s.newInvariantChecker()
+	s.checker = newInvariantChecker(s)
 	if s.options.Parties || s.options.WithoutGuard == "balance" {
 		s.billing = newBalances(s)
 	}
--- /dev/null
+++ b/internal/testbed/policysim/checklog.go
@@ -0,0 +1,173 @@
+package policysim
+
+import (
+	"bytes"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"crosstide/internal/raft"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// committedLog is the log of the store as the control-plane nodes show it. An entry belongs to it from the first node
+// on that shows it as committed.
+type committedLog struct {
+	entries  []entryDigest            // from index 2 on: the first one is the bootstrap's
+	observed map[*controlPlane]uint64 // index up to which a node's committed entries were compared
+	members  []raft.Member            // by the newest entry that changes them
+}
+
+type entryDigest struct {
+	term uint64
+	sum  uint64
+}
+
+// observeCommits compares what a control-plane node shows as committed with what all others showed. It must run before
+// the node compacts its log.
+func (ic *invariantChecker) observeCommits(c *controlPlane) {
+	core := c.driver.Core()
+	if core == nil {
+		return
+	}
+	commit := c.driver.State().Index
+	for ic.observed[c] < commit {
+		from := max(ic.observed[c]+1, core.Status().First, 2)
+		if from > commit {
+			ic.observed[c] = commit
+			return
+		}
+		es, err := core.Entries(from, 1<<20)
+		if err != nil || len(es) == 0 {
+			return
+		}
+		for _, e := range es {
+			ic.observeEntry(c, e)
+			ic.observed[c] = e.Index
+		}
+	}
+}
+
+// observeEntry checks one committed entry (invariants: same log, durable) and applies a new one to the reference.
+func (ic *invariantChecker) observeEntry(c *controlPlane, e raft.Entry) {
+	s := ic.sim
+	r := entryDigest{e.Term, xxhash.Sum64(e.Data)}
+	if at := int(e.Index) - 2; at < len(ic.entries) {
+		s.countCase("same log")
+		if ic.entries[at] != r {
+			s.reportBreach("same log", "entry %d at %s is of term %d, elsewhere of %d", e.Index, c.addr, e.Term,
+				ic.entries[at].term)
+		}
+		return
+	} else if at > len(ic.entries) {
+		s.reportBreach("same log", "%s shows entry %d as committed, %d is unknown", c.addr, e.Index, len(ic.entries)+2)
+		return
+	}
+	ic.entries = append(ic.entries, r)
+	s.countCase("durable")
+	if !ic.isDurable(e.Index, e.Term) {
+		s.reportBreach("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks",
+			c.addr, e.Index, e.Term)
+	}
+	if e.Kind == raft.Members {
+		ms, err := raft.DecodeMembers(e)
+		must(err)
+		ic.members = ms
+		s.report.Counts["member changes"]++
+		s.trace("members: %v", memberIDs(ms))
+	}
+	data := e.Data
+	if e.Kind != raft.Normal {
+		data = nil
+	}
+	s.billing.apply(data, func() {
+		_, _ = command.Apply(ic.reference, e.Index, e.Term, data) // its fault is an outcome
+	})
+}
+
+func memberIDs(ms []raft.Member) (out []string) {
+	for _, m := range ms {
+		id := m.ID
+		if m.Learner {
+			id += "(learner)"
+		}
+		out = append(out, id)
+	}
+	return out
+}
+
+// isVoter tells whether a wiped control-plane node is a voter again.
+func (ic *invariantChecker) isVoter(c *controlPlane) bool {
+	if !c.alive || c.driver == nil || c.driver.Core() == nil {
+		return false
+	}
+	id := c.driver.Core().Status().ID
+	return slices.ContainsFunc(ic.members, func(m raft.Member) bool { return m.ID == id && !m.Learner })
+}
+
+// isDurable tells whether a majority of some member set in force has an entry on its disks. A wiped disk counts as it
+// was: the entry may have been acknowledged before.
+func (ic *invariantChecker) isDurable(index, term uint64) bool {
+	have := map[string]bool{}
+	sets := [][]raft.Member{ic.members}
+	for _, c := range ic.sim.controlPlanes {
+		if c.wipedID != "" {
+			have[c.wipedID] = have[c.wipedID] || index <= c.wipedSnapshot || c.wipedTerms[index] == term
+		}
+		if c.driver == nil || c.driver.Core() == nil {
+			continue
+		}
+		status := c.driver.Core().Status()
+		have[status.ID] = have[status.ID] || c.hasDurable(index, term)
+		sets = append(sets, status.Members)
+	}
+	return slices.ContainsFunc(sets, func(members []raft.Member) bool { return isMajority(members, have) })
+}
+
+// isMajority tells whether a majority of the voters among members is in a set.
+func isMajority(members []raft.Member, in map[string]bool) bool {
+	voters, count := 0, 0
+	for _, member := range members {
+		if member.Learner {
+			continue
+		}
+		voters++
+		if in[member.ID] {
+			count++
+		}
+	}
+	return 2*count > voters
+}
+
+// compareStates compares the states of all nodes that are at the same index (invariant: same state), every 2 s.
+func (ic *invariantChecker) compareStates() {
+	s := ic.sim
+	first := map[uint64][]byte{}
+	compare := func(name string, st *state.State) {
+		raw, err := st.Encode()
+		must(err)
+		have, ok := first[st.Index]
+		if !ok {
+			first[st.Index] = raw
+			return
+		}
+		s.countCase("same state")
+		if !bytes.Equal(have, raw) {
+			s.reportBreach("same state", "%s has another state at %d", name, st.Index)
+		}
+	}
+	compare("the log", ic.reference)
+	for _, c := range s.controlPlanes {
+		if c.alive && c.driver.IsMember() {
+			compare(c.addr, c.driver.State())
+		}
+	}
+	for _, d := range s.dataPlanes {
+		if d.alive && d.replica.Index() > 0 {
+			compare(d.addr, d.state())
+		}
+	}
+	s.schedule(2*time.Second, ic.compareStates)
+}
--- /dev/null
+++ b/internal/testbed/policysim/checkprogress.go
@@ -0,0 +1,211 @@
+package policysim
+
+import (
+	"slices"
+	"time"
+
+	"crosstide/internal/state"
+)
+
+// endTimeout is how long after the faults everything must have ended: the longest lease, then retries and long runs.
+const endTimeout = 150 * time.Second
+
+const (
+	idleTimeout      = 3 * time.Second
+	recoveryTime     = 30 * time.Second // from the end of faults until a due task must not be idle any more
+	startTimeout     = 20 * time.Second // the longest run, and then the oldest due task must have got its run ID
+	gangStartTimeout = 45 * time.Second // the same for a gang, which needs capacity on several workers at one moment
+)
+
+// dueTasks is since when tasks wait, by the log of the store.
+type dueTasks struct {
+	dueAt       map[state.TaskRef]time.Duration // when a task may start, be it in the future
+	idleSince   map[state.TaskRef]time.Duration // since when a task that is due could run at once on some worker
+	oldestTask  state.TaskRef                   // the oldest due task that the workers could run, were they empty
+	oldestSince time.Duration                   // since when it is the oldest; 0: there is none, or the fleet is down
+}
+
+// checkWaiting checks the tasks that wait, once the faults are over, every 250 ms.
+func (ic *invariantChecker) checkWaiting() {
+	s := ic.sim
+	s.schedule(250*time.Millisecond, ic.checkWaiting)
+	if !s.faultsOver {
+		return
+	}
+	ic.checkPassedOver()
+	if s.now >= s.options.FaultPeriod+recoveryTime {
+		ic.checkIdle()
+	}
+}
+
+// checkIdle checks that no due task waits beside free capacity (invariant: not idle beside room).
+func (ic *invariantChecker) checkIdle() {
+	for _, key := range ic.runningJobs() {
+		j := ic.reference.Jobs[key]
+		for i := range j.Tasks {
+			for k := range j.Tasks[i] {
+				ic.checkIdleTask(j, state.TaskRef{Job: key, Step: i, Task: k})
+			}
+		}
+	}
+}
+
+func (ic *invariantChecker) checkIdleTask(j *state.Job, ref state.TaskRef) {
+	s := ic.sim
+	if !ic.isStartable(j, ref) {
+		delete(ic.idleSince, ref)
+		return
+	}
+	if ic.idleSince[ref] == 0 {
+		ic.idleSince[ref] = s.now
+	}
+	s.countCase("not idle beside room")
+	if s.now-ic.idleSince[ref] > idleTimeout {
+		s.reportBreach("not idle beside room", "%v is due since %v and there is room for it since %v",
+			ref, ic.dueAt[ref], ic.idleSince[ref])
+	}
+}
+
+// checkPassedOver checks that the oldest due task that the workers could run, were they empty, starts in time
+// (invariant: not passed over): younger ones that need less may go before it only for a while. The time counts while
+// the fleet can start anything at all: a process that a fault ended may be down for up to recoveryTime after the
+// faults.
+func (ic *invariantChecker) checkPassedOver() {
+	s := ic.sim
+	ref, found := ic.oldestPlaceable()
+	switch {
+	case !found || !ic.isServing():
+		ic.oldestSince = 0
+	case ic.oldestSince == 0 || ref != ic.oldestTask:
+		ic.oldestTask, ic.oldestSince = ref, s.now
+	default:
+		s.countCase("not passed over")
+		timeout := startTimeout
+		if ic.reference.Jobs[ref.Job].Spec.Steps[ref.Step].Gang {
+			timeout = gangStartTimeout
+		}
+		if s.now-ic.oldestSince > timeout {
+			s.reportBreach("not passed over", "%v is the oldest due task since %v", ref, ic.oldestSince)
+		}
+	}
+}
+
+// isServing tells whether a majority of the store's voters and a data-plane node are up.
+func (ic *invariantChecker) isServing() bool {
+	up := map[string]bool{}
+	for _, c := range ic.sim.controlPlanes {
+		if c.alive && !c.frozen && c.driver.Core() != nil {
+			up[c.driver.Core().Status().ID] = true
+		}
+	}
+	return isMajority(ic.members, up) &&
+		slices.ContainsFunc(ic.sim.dataPlanes, func(d *dataPlane) bool { return d.alive && !d.frozen })
+}
+
+// oldestPlaceable is the oldest due task that the workers could run, were they empty.
+func (ic *invariantChecker) oldestPlaceable() (first state.TaskRef, found bool) {
+	var seq uint64
+	for _, key := range ic.runningJobs() {
+		j := ic.reference.Jobs[key]
+		if found && j.Seq > seq {
+			continue
+		}
+		if ref, ok := ic.firstPlaceable(j); ok {
+			first, seq, found = ref, j.Seq, true
+		}
+	}
+	return first, found
+}
+
+// firstPlaceable is the first due task of a job that the workers could run, were they empty.
+func (ic *invariantChecker) firstPlaceable(j *state.Job) (state.TaskRef, bool) {
+	for i, tasks := range j.Tasks {
+		for k := range tasks {
+			ref := state.TaskRef{Job: j.Spec.Key, Step: i, Task: k}
+			if tasks[k].Phase == state.TaskDue && ic.sim.now >= ic.dueAt[ref] && ic.sim.billing.payable(j, ref) &&
+				ic.fitsEmptyFleet(j, i) {
+				return ref, true
+			}
+		}
+	}
+	return state.TaskRef{}, false
+}
+
+// fitsEmptyFleet tells whether the workers could run what of a step starts together, were they empty.
+func (ic *invariantChecker) fitsEmptyFleet(j *state.Job, at int) bool {
+	step := &j.Spec.Steps[at]
+	need, have := 1, 0
+	if step.Gang {
+		need = step.Tasks
+	}
+	for _, w := range ic.usableWorkers() {
+		if ic.reference.PlacementRefusal(&j.Spec, step, ic.reference.Workers[w.addr]) == "" {
+			have += w.cores / step.Cores
+		}
+	}
+	return have >= need
+}
+
+// runningJobs are the keys of the running jobs, in order.
+func (ic *invariantChecker) runningJobs() []string {
+	var out []string
+	for key, j := range ic.reference.Jobs {
+		if j.Phase == state.JobRunning {
+			out = append(out, key)
+		}
+	}
+	slices.Sort(out)
+	return out
+}
+
+// isStartable tells whether a task is due, paid for, and a worker has capacity for it now.
+func (ic *invariantChecker) isStartable(j *state.Job, ref state.TaskRef) bool {
+	return ic.fitsNow(j, ref) && ic.sim.billing.payable(j, ref)
+}
+
+// fitsNow tells whether a task is due and a worker has capacity for it now. A gang's never does: it needs several.
+func (ic *invariantChecker) fitsNow(j *state.Job, ref state.TaskRef) bool {
+	step := &j.Spec.Steps[ref.Step]
+	if j.Tasks[ref.Step][ref.Task].Phase != state.TaskDue || step.Gang || ic.sim.now < ic.dueAt[ref] {
+		return false
+	}
+	return slices.ContainsFunc(ic.usableWorkers(), func(w *worker) bool {
+		return ic.reference.PlacementRefusal(&j.Spec, step, ic.reference.Workers[w.addr]) == "" &&
+			ic.reference.UsageOf(w.addr).Cores+step.Cores <= w.cores
+	})
+}
+
+// usableWorkers are the workers that are up and get starts: unhealthy ones, which fail what they run, do not.
+func (ic *invariantChecker) usableWorkers() []*worker {
+	var unhealthy []string
+	for _, d := range ic.sim.dataPlanes {
+		if d.alive && d.scheduler.Epoch() > 0 {
+			unhealthy = d.scheduler.UnhealthyWorkers()
+		}
+	}
+	var out []*worker
+	for _, w := range ic.sim.workers {
+		if ic.reference.Workers[w.addr] != nil && w.alive && !w.frozen && !w.draining &&
+			!slices.Contains(unhealthy, w.addr) {
+			out = append(out, w)
+		}
+	}
+	return out
+}
+
+// checkEnd checks what must hold at the end of a run (invariant: all ends).
+func (ic *invariantChecker) checkEnd() {
+	s := ic.sim
+	s.countCase("all ends")
+	for _, j := range s.clients.jobs {
+		if !j.abandoned && j.outcome == "" {
+			phase := state.JobPhase("unknown")
+			if k := ic.reference.Jobs[j.spec.Key]; k != nil {
+				phase = k.Phase
+			}
+			s.reportBreach("all ends", "%s, sent at %v, accepted at %v, has not ended; the log has it as %q",
+				j.spec.Key, j.sentAt, j.acceptedAt, phase)
+		}
+	}
+	ic.compareStates()
+}
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -69,7 +69,7 @@
 	for range min(n, p.maxOpen()-p.jobsOpen()-p.abandonedOpen()) {
 		j := &job{spec: p.randomSpec(), sentAt: s.now}
 		p.jobs = append(p.jobs, j)
-		s.invariantChecker.jobs[j.spec.Key] = j
+		s.checker.jobs[j.spec.Key] = j
 		p.submit(j, 0)
 	}
 	p.after(s.between(50*time.Millisecond, 900*time.Millisecond), p.submitJobs)
@@ -156,7 +156,7 @@
 			if j.cancelledAt == 0 {
 				j.cancelledAt = s.now
 				s.report.Faults["cancel"]++
-				if k := s.invariantChecker.reference.Jobs[j.spec.Key]; k != nil && k.Outcome == state.JobCancelled || k != nil && k.Phase == state.JobCancelled {
+				if k := s.checker.reference.Jobs[j.spec.Key]; k != nil && k.Outcome == state.JobCancelled || k != nil && k.Phase == state.JobCancelled {
 					s.countCase("cancelled starts nothing")
 				}
 				s.trace("%s cancelled: %s", j.spec.Key, a.(json.RawMessage))
@@ -186,7 +186,7 @@
 				}
 				if v.State.IsTerminal() {
 					j.outcome = v.State
-					s.invariantChecker.checkDone(j)
+					s.checker.checkDone(j)
 				}
 			}
 			if j.outcome == "" || s.chance(0.2) {
@@ -210,7 +210,7 @@
 func (p *clients) abandonedOpen() int {
 	n := 0
 	for _, j := range p.jobs {
-		if k := p.sim.invariantChecker.reference.Jobs[j.spec.Key]; j.abandoned && k != nil && !k.Phase.IsTerminal() {
+		if k := p.sim.checker.reference.Jobs[j.spec.Key]; j.abandoned && k != nil && !k.Phase.IsTerminal() {
 			n++
 		}
 	}
@@ -251,7 +251,7 @@
 	p.evacuatedZones[zone] = true
 	p.sendInOrder(s.billing.signedEvacuation(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.orderCount), Zone: zone, Out: true}), func() {
 		s.trace("operator: %s is evacuated", zone)
-		s.invariantChecker.evacuated[zone] = s.now
+		s.checker.evacuated[zone] = s.now
 		s.countCase("evacuated")
 		p.after(s.between(3*time.Second, 12*time.Second), func() { p.liftEvacuation(zone) })
 	})
@@ -261,7 +261,7 @@
 func (p *clients) liftEvacuation(zone string) {
 	s := p.sim
 	p.orderCount++
-	delete(s.invariantChecker.evacuated, zone) // from the sending on it may be open
+	delete(s.checker.evacuated, zone) // from the sending on it may be open
 	p.sendInOrder(s.billing.signedEvacuation(command.EvacuateZone{Order: fmt.Sprintf("o%d", p.orderCount), Zone: zone, Out: false}), func() {
 		s.trace("operator: %s is open", zone)
 		delete(p.evacuatedZones, zone)
--- a/internal/testbed/policysim/clients_test.go
+++ b/internal/testbed/policysim/clients_test.go
@@ -17,12 +17,12 @@
 			for range most {
 				j := &job{spec: s.clients.randomSpec(), abandoned: true}
 				s.clients.jobs = append(s.clients.jobs, j)
-				s.invariantChecker.reference.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
+				s.checker.reference.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
 			}
 			s.clients.submitJobs()
 			So(s.clients.jobs, ShouldHaveLength, most)
 			Convey("until the store has worked one off", func() {
-				s.invariantChecker.reference.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
+				s.checker.reference.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
 				s.clients.submitJobs()
 				So(s.clients.jobs, ShouldHaveLength, most+1)
 			})
--- a/internal/testbed/policysim/controlplane.go
+++ b/internal/testbed/policysim/controlplane.go
@@ -89,7 +89,7 @@
 	}
 	c.readDurable()
 	s.trace("%s up, folder to %d", c.addr, c.durableIndex)
-	s.invariantChecker.observed[c] = 0
+	s.checker.observed[c] = 0
 	c.tick()
 	c.after(10*time.Second, c.collectGarbage)
 	if !c.driver.IsMember() || c.joining() {
@@ -213,7 +213,7 @@
 		return
 	}
 	c.driver.Pass()
-	s.invariantChecker.observeCommits(c) // before Shade lets go of it
+	s.checker.observeCommits(c) // before Shade lets go of it
 	for _, p := range c.driver.TakeMessages() {
 		to := s.byAddr[p.Addr]
 		if to == nil || to == c.process {
@@ -352,7 +352,7 @@
 		epoch, then := p.Epoch, done
 		done = func(index uint64, answer any, err error) {
 			if err == nil {
-				c.sim.invariantChecker.observePlanCommitted(epoch, index)
+				c.sim.checker.observePlanCommitted(epoch, index)
 			}
 			then(index, answer, err)
 		}
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -251,7 +251,7 @@
 			if d.state().Index >= a.Epoch && len(d.state().Handles) > 0 {
 				d.sim.countCase("rebuilt")
 			}
-			d.sim.invariantChecker.checkRebuilt(d)
+			d.sim.checker.checkRebuilt(d)
 		}
 		d.scheduler.SetRoleLease(sent + a.TTL)
 		d.schedulePass()
@@ -311,7 +311,7 @@
 	}
 	d.sim.trace("%s plans under epoch %d: to %d, %d reports, running %v, doubt %v, ends %v, dead %v, %d starts", d.addr, plan.Epoch, plan.Seq,
 		len(plan.Workers), plan.Running, plan.Unconfirmed, plan.Ends, plan.Dead, len(plan.Starts))
-	d.sim.invariantChecker.observePlanMade(d, plan)
+	d.sim.checker.observePlanMade(d, plan)
 	d.planning = true
 	d.propose(plan, false, 0, func(index uint64, answer json.RawMessage, err error) {
 		d.planning = false
@@ -344,7 +344,7 @@
 		fail(nil, false)
 		return
 	}
-	s.invariantChecker.observeLeaseCall(d, c)
+	s.checker.observeLeaseCall(d, c)
 	s.request(request{from: d.process, addr: c.Addr, timeout: c.Call.Wait + callTimeout/2, resendFor: scheduler.DefaultConfig().RoleLeaseMargin / 2,
 		serve: func(to *process, reply func(any, error)) { s.workerAt(to).renewLease(c.Call, reply) },
 		onAnswer: func(a any, err error, sent bool) {
@@ -360,7 +360,7 @@
 				s.report.Faults["cross"]++
 				got.Call--
 			}
-			s.invariantChecker.observeAnswer(d, c, got)
+			s.checker.observeAnswer(d, c, got)
 			d.scheduler.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, got)
 			d.schedulePass()
 		}})
--- a/internal/testbed/policysim/directedfaults.go
+++ b/internal/testbed/policysim/directedfaults.go
@@ -10,11 +10,12 @@
 // guard of the product is there; see docs/design/simulator.md.
 
 const (
-	lagLead            = 2 * time.Second        // for which replicas lag before the role holder ends
-	lagFor             = 10 * time.Second       // longer than the role's lease and its margin
-	majorityAloneFor   = 2 * time.Second        // for which the majority commits without the rest
-	wipedAloneFor      = 10 * time.Second       // for which the rest is alone with the wiped member
-	planTimeout        = 2 * time.Second        // until a role holder has a plan in flight; shorter than the role's lease
+	lagLead          = 2 * time.Second  // for which replicas lag before the role holder ends
+	lagFor           = 10 * time.Second // longer than the role's lease and its margin
+	majorityAloneFor = 2 * time.Second  // for which the majority commits without the rest
+	wipedAloneFor    = 10 * time.Second // for which the rest is alone with the wiped member
+	// until a role holder has a plan in flight; shorter than the role's lease
+	planTimeout        = 2 * time.Second
 	replacementTimeout = 30 * time.Second       // until another node has been granted the role
 	pollInterval       = 20 * time.Millisecond  // between two checks whether the moment has come
 	shortDelay         = 100 * time.Millisecond // as good as at once
@@ -38,8 +39,8 @@
 	s.schedule(lagLead, func() { f.kill("lag", holder) })
 }
 
-// rejoinWiped cuts two control-plane nodes off until they lack entries, wipes the disk of a third, and leaves these three
-// to themselves: they are a majority by their names, but none of them has the newest entries.
+// rejoinWiped cuts two control-plane nodes off until they lack entries, wipes the disk of a third, and leaves these
+// three to themselves: they are a majority by their names, but none of them has the newest entries.
 func (f *faultInjector) rejoinWiped(targets) {
 	s := f.sim
 	if f.wipedIsAway() {
@@ -67,7 +68,7 @@
 // wipedIsAway tells whether the member whose disk was wiped last does not vote yet. No other disk is wiped before that:
 // the store need not survive the loss of more disks at once.
 func (f *faultInjector) wipedIsAway() bool {
-	return f.wiped != nil && !f.sim.invariantChecker.isVoter(f.wiped)
+	return f.wiped != nil && !f.sim.checker.isVoter(f.wiped)
 }
 
 // wipe ends a control-plane node and its disk; it comes back empty after a while.
@@ -109,7 +110,7 @@
 	s.trace("%s freezes with a plan under way: %v", holder.addr, holder.planning)
 	holder.freeze()
 	s.waitUntil(s.now+replacementTimeout, func() bool {
-		return s.faultsOver || s.invariantChecker.newestEpoch(s.invariantChecker.reference.Index) > epoch
+		return s.faultsOver || s.checker.newestEpoch(s.checker.reference.Index) > epoch
 	}, func() {
 		if holder.generation == generation {
 			s.trace("%s wakes", holder.addr)
--- a/internal/testbed/policysim/injections.go
+++ b/internal/testbed/policysim/injections.go
@@ -74,7 +74,8 @@
 	})
 }
 
-// disturbRoleHolder kills, freezes or cuts off the first data-plane node that may act as the role's holder, be it frozen.
+// disturbRoleHolder kills, freezes or cuts off the first data-plane node that may act as the role's holder, be it
+// frozen.
 func (f *faultInjector) disturbRoleHolder(targets) {
 	for _, d := range f.sim.dataPlanes {
 		if !d.alive || !d.scheduler.MayAct(d.Now()) {
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -94,16 +94,16 @@
 	seq     uint64
 	queue   eventHeap
 
-	net              net
-	processes        []*process
-	byAddr           map[string]*process
-	controlPlanes    []*controlPlane
-	dataPlanes       []*dataPlane
-	workers          []*worker
-	clients          *clients
-	faults           *faultInjector
-	invariantChecker *invariantChecker
-	billing          *balances // nil without Options.Parties
+	net           net
+	processes     []*process
+	byAddr        map[string]*process
+	controlPlanes []*controlPlane
+	dataPlanes    []*dataPlane
+	workers       []*worker
+	clients       *clients
+	faults        *faultInjector
+	checker       *invariantChecker
+	billing       *balances // nil without Options.Parties
 
 	faultsOver bool // no faults any more
 	report     Report
@@ -120,7 +120,7 @@
 //	}
 func Run(opt Options) Report {
 	s := newSim(opt)
-	end := s.options.FaultPeriod + s.billing.paidUpDelay() + bound
+	end := s.options.FaultPeriod + s.billing.paidUpDelay() + endTimeout
 	for s.queue.Len() > 0 && s.report.Breach == nil {
 		e := heap.Pop(&s.queue).(event)
 		if s.now = e.at; s.now > end {
@@ -133,7 +133,7 @@
 		}
 	}
 	if s.report.Breach == nil {
-		s.invariantChecker.checkEnd()
+		s.checker.checkEnd()
 		s.clients.history.check(s)
 	}
 	s.report.VirtualTime, s.report.TraceHash = s.now, s.hash.Sum64()
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -122,8 +122,3 @@
 	}
 	return errs.Wrap(err, errs.Disk, "print")
 }
-
-// Promises are the names that the oracle uses.
-var Promises = []string{"once at a time", "not after it ended well", "newer ticket", "fence", "decided in office", "rebuilt", "durable", "ordered once",
-	"not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over", "draining", "evacuated", "fits", "order once",
-	"same log", "same state", "all ends", "linear"}
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -42,7 +42,7 @@
 		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, FailProbability: 0.03, SlowFactor: 1.2, Seed: s.rng.Uint64()}
 	m.clockZero = s.now // the minion's clock starts with the boot
 	m.core, m.pendingReplies, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
-	s.invariantChecker.observeWorkerStart(m)
+	s.checker.observeWorkerStart(m)
 	m.perform(m.core.Start())
 	m.announce()
 }
@@ -64,7 +64,7 @@
 // perform does what a step asks for: the witness first, then the answers.
 func (m *worker) perform(step policyworker.Actions) {
 	for _, e := range step.Journal {
-		m.sim.invariantChecker.observeJournal(m, e)
+		m.sim.checker.observeJournal(m, e)
 	}
 	for _, r := range step.Replies {
 		if w := m.pendingReplies[r.Tag]; w != nil {
@@ -85,7 +85,7 @@
 	s := m.sim
 	lost, late := s.chance(m.answerLossRate), time.Duration(0)
 	if len(call.Starts) > 0 {
-		s.invariantChecker.observeOrderArrived(m, call)
+		s.checker.observeOrderArrived(m, call)
 		if s.chance(m.lateOrderRate) {
 			s.report.Faults["late order"]++
 			late = s.between(0, lateness)
@@ -113,7 +113,7 @@
 			call.Starts = starts
 		}
 		step := m.core.RenewLease(m.Now(), tag, call)
-		s.invariantChecker.observeRenewal(m, call)
+		s.checker.observeRenewal(m, call)
 		m.perform(step)
 		if lost {
 			delete(m.pendingReplies, tag)
@@ -135,7 +135,7 @@
 func (m *worker) kill() {
 	if m.alive {
 		m.endIncarnation()
-		m.sim.invariantChecker.observeWorkerKill(m)
+		m.sim.checker.observeWorkerKill(m)
 	}
 }
 
