--- a/internal/testbed/policysim/billingscenario.go
+++ b/internal/testbed/policysim/billingscenario.go
@@ -44,25 +44,25 @@
 const lastTopUpAfter = 22 * time.Second
 
 // paidUpDelay is how long after the faults the payer is topped up for good: what waits for money has its time from there.
-func (b *balances) paidUpDelay() time.Duration {
+func (b *billingScenario) paidUpDelay() time.Duration {
 	if b == nil {
 		return 0
 	}
 	return recoveryTime + lastTopUpAfter
 }
 
-// balances is what the people do with balances.
-type balances struct {
+// billingScenario is what the people do with balances.
+type billingScenario struct {
 	sim             *sim
 	keys            map[string]signature.Key
 	ready           bool // parties are in force and their accounts open
 	lastNumber      int
-	longRunningJobs []*job
+	longRunningJobs []*clientJob
 	*billingChecker
 }
 
-func newBalances(s *sim) *balances {
-	b := &balances{sim: s, keys: map[string]signature.Key{}, billingChecker: newBillingChecker(s)}
+func newBillingScenario(s *sim) *billingScenario {
+	b := &billingScenario{sim: s, keys: map[string]signature.Key{}, billingChecker: newBillingChecker(s)}
 	for _, name := range []string{"ada", "ben"} {
 		key, err := signature.New(name)
 		must(err)
@@ -72,7 +72,7 @@
 }
 
 // start makes the operators known, puts the parties in force and opens their accounts.
-func (b *balances) start() {
+func (b *billingScenario) start() {
 	if b == nil {
 		return
 	}
@@ -106,9 +106,9 @@
 }
 
 // registerOperators makes the operators known; a second time it is a conflict.
-func (b *balances) registerOperators(keys command.Command, done func()) {
+func (b *billingScenario) registerOperators(keys command.Command, done func()) {
 	p := b.sim.clients
-	p.operator.propose(keys, true, p.Now()+5*time.Second, func(_ uint64, _ json.RawMessage, err error) {
+	p.operator.propose(keys, p.Now()+orderTimeout, func(_ json.RawMessage, err error) {
 		if err == nil || errs.Is(err, errs.Conflict) {
 			done()
 			return
@@ -117,29 +117,20 @@
 	})
 }
 
-// sendInOrder sends orders one after another, each when the one before is acknowledged.
-func (p *clients) sendInOrder(orders []command.Command, done func()) {
-	if len(orders) == 0 {
-		done()
-		return
-	}
-	p.sendOrder(orders[0], nil, func() { p.sendInOrder(orders[1:], done) })
-}
-
-func (b *balances) openAccount(name string, credit int64) command.Command {
+func (b *billingScenario) openAccount(name string, credit int64) command.Command {
 	order := "open-" + name
 	return &command.AccountCreate{Order: order, Account: name, Credit: credit, By: "ada",
 		Sig: b.keys["ada"].Sign(signature.AccountCreate(order, name, credit))}
 }
 
-func (b *balances) topUp(name string, amount int64) command.Command {
+func (b *billingScenario) topUp(name string, amount int64) command.Command {
 	b.lastNumber++
 	key := fmt.Sprintf("top-up-%d", b.lastNumber)
 	return &command.AccountTopUp{Account: name, Key: key, Amount: amount, By: "ben", Sig: b.keys["ben"].Sign(signature.AccountTopUp(key, name, amount))}
 }
 
 // signedEvacuation makes the commands that evacuate a zone or lift that: once there are operators they sign.
-func (b *balances) signedEvacuation(z command.EvacuateZone) []command.Command {
+func (b *billingScenario) signedEvacuation(z command.EvacuateZone) []command.Command {
 	if b == nil {
 		return []command.Command{&z}
 	}
@@ -156,7 +147,7 @@
 }
 
 // drawTeam draws whose the next job is.
-func (b *balances) drawTeam() string {
+func (b *billingScenario) drawTeam() string {
 	if b == nil || !b.ready {
 		return freeTeam
 	}
@@ -170,7 +161,7 @@
 }
 
 // topUpPeriodically tops the payer up now and then with about what it needs, so that it is dry for a good part of the time.
-func (b *balances) topUpPeriodically() {
+func (b *billingScenario) topUpPeriodically() {
 	s := b.sim
 	if s.faultsOver {
 		return
@@ -180,7 +171,7 @@
 }
 
 // topUpLimited tops the payer up; now and then the leader is killed meanwhile.
-func (b *balances) topUpLimited(amount int64) {
+func (b *billingScenario) topUpLimited(amount int64) {
 	s := b.sim
 	if s.chance(0.25) {
 		b.killLeader("leader killed at a top-up", s.between(0, 20*time.Millisecond))
@@ -190,7 +181,7 @@
 }
 
 // killLeader ends the leader of the store, and starts it again.
-func (b *balances) killLeader(what string, in time.Duration) {
+func (b *billingScenario) killLeader(what string, in time.Duration) {
 	s := b.sim
 	if s.faultsOver || !s.faults.enabled["kill"] {
 		return
@@ -209,15 +200,15 @@
 }
 
 // submitLongRunning hands lasting jobs in, and cancels them after a while.
-func (b *balances) submitLongRunning() {
+func (b *billingScenario) submitLongRunning() {
 	s := b.sim
 	if s.faultsOver {
 		return
 	}
-	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs, func(j *job) bool { return j.abandoned || j.outcome != "" })
+	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs, func(j *clientJob) bool { return j.abandoned || j.outcome != "" })
 	if len(b.longRunningJobs) < maxLongRunning {
 		b.lastNumber++
-		j := &job{sentAt: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
+		j := &clientJob{sentAt: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
 			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
 		s.clients.jobs = append(s.clients.jobs, j)
 		s.checker.jobs[j.spec.Key] = j
@@ -231,7 +222,7 @@
 }
 
 // cancelledAt cancels a job once it is accepted.
-func (b *balances) cancel(j *job) {
+func (b *billingScenario) cancel(j *clientJob) {
 	switch {
 	case j.abandoned || j.cancelRequested:
 	case j.acceptedAt == 0:
@@ -243,7 +234,7 @@
 
 // scheduleQuietTail plays the end when nothing else goes wrong any more: the payer is dry, a lasting task's minion is lost, two
 // top-ups come that do not last, then one that does; at last the lasting jobs are cancelled.
-func (b *balances) scheduleQuietTail() {
+func (b *billingScenario) scheduleQuietTail() {
 	s := b.sim
 	for _, step := range []struct {
 		in time.Duration
@@ -264,14 +255,14 @@
 }
 
 // topUpLimitedTo tops the payer up to about so much above zero.
-func (b *balances) topUpLimitedTo(amount int64) {
+func (b *billingScenario) topUpLimitedTo(amount int64) {
 	if a := b.account(limitedParty); a != nil {
 		b.topUpLimited(max(0, -a.Balance) + amount)
 	}
 }
 
 // killLongRunningWorker ends the minion of a lasting run; it comes back soon.
-func (b *balances) killLongRunningWorker() {
+func (b *billingScenario) killLongRunningWorker() {
 	s := b.sim
 	for _, r := range s.checker.running {
 		j := s.checker.reference.Jobs[r.ref.Job]
@@ -287,12 +278,12 @@
 	}
 }
 
-func (b *balances) covers(name string, cost int64) bool {
+func (b *billingScenario) covers(name string, cost int64) bool {
 	return b.sim.checker.reference.Accounts.Covers(name, cost)
 }
 
 // checkDeadlines judges what must happen in time.
-func (b *balances) checkDeadlines() {
+func (b *billingScenario) checkDeadlines() {
 	b.sim.schedule(100*time.Millisecond, b.checkDeadlines)
 	b.checkResume()
 	b.checkAttached()
@@ -300,7 +291,7 @@
 
 // payable tells whether a due task needs no top-up: nobody pays for it, or the balance covers it and is not kept for one
 // that comes before it.
-func (b *balances) payable(j *state.Job, ref state.TaskRef) bool {
+func (b *billingScenario) payable(j *state.Job, ref state.TaskRef) bool {
 	if b == nil {
 		return true
 	}
@@ -336,7 +327,7 @@
 }
 
 // hasUncoveredTask tells whether a job has a due task that its party's balance does not cover.
-func (b *balances) hasUncoveredTask(j *state.Job, party string) bool {
+func (b *billingScenario) hasUncoveredTask(j *state.Job, party string) bool {
 	o := b.sim.checker
 	if o.reference.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
 		return false
--- a/internal/testbed/policysim/checkbilling.go
+++ b/internal/testbed/policysim/checkbilling.go
@@ -119,7 +119,7 @@
 }
 
 // apply applies an entry to the oracle's copy of the state, and judges the accounts after it.
-func (b *balances) apply(data []byte, apply func()) {
+func (b *billingScenario) apply(data []byte, apply func()) {
 	if b == nil {
 		apply()
 		return
@@ -157,7 +157,7 @@
 }
 
 // hasWaitingTask tells whether a due task of a team has room on a minion, and can or cannot be paid.
-func (b *balances) hasWaitingTask(team string, payable bool) bool {
+func (b *billingScenario) hasWaitingTask(team string, payable bool) bool {
 	so := b.sim.checker
 	for _, key := range so.runningJobs() {
 		j := so.reference.Jobs[key]
@@ -261,7 +261,7 @@
 }
 
 // checkAccounts holds the replicated accounts against the oracle's own.
-func (o *billingChecker) checkAccounts(b *balances) {
+func (o *billingChecker) checkAccounts(b *billingScenario) {
 	s, at := o.sim, o.storeTime()
 	for _, name := range sortedNames(o.accountModels) {
 		a, p := o.account(name), o.accountModels[name]
@@ -301,7 +301,7 @@
 }
 
 // checkExhaustedPeriod counts dry spells; at the draw that begins one the leader may be killed.
-func (o *billingChecker) checkExhaustedPeriod(b *balances, name string, p *accountModel, balance int64) {
+func (o *billingChecker) checkExhaustedPeriod(b *billingScenario, name string, p *accountModel, balance int64) {
 	exhausted := balance < price(corePrice, paidWindow)
 	if exhausted && !p.exhausted {
 		o.sim.report.Counts["dry spells"]++
@@ -371,7 +371,7 @@
 }
 
 // checkResume looks for work that does not go on after a top-up.
-func (b *balances) checkResume() {
+func (b *billingScenario) checkResume() {
 	r := b.pendingResume
 	if r == nil || r.acked == 0 || b.sim.now-r.acked <= resumeTimeout {
 		return
@@ -386,7 +386,7 @@
 }
 
 // checkAttached looks for lasting tasks that were lost and do not run again.
-func (b *balances) checkAttached() {
+func (b *billingScenario) checkAttached() {
 	s := b.sim
 	b.pendingAttachments = slices.DeleteFunc(b.pendingAttachments, func(w attachment) bool {
 		j := s.checker.reference.Jobs[w.ref.Job]
--- a/internal/testbed/policysim/checkruns.go
+++ b/internal/testbed/policysim/checkruns.go
@@ -286,7 +286,7 @@
 }
 
 // checkDone checks a job that its client sees as done (invariant: done): each of its tasks ended well at a worker.
-func (ic *invariantChecker) checkDone(j *job) {
+func (ic *invariantChecker) checkDone(j *clientJob) {
 	if j.outcome != state.JobDone {
 		return
 	}
--- a/internal/testbed/policysim/clients_test.go
+++ b/internal/testbed/policysim/clients_test.go
@@ -15,7 +15,7 @@
 		So(most, ShouldEqual, 15*jobsPerCore) // the minions of this seed have 15 cores
 		Convey("also counting those that they gave up and that the store has still", func() {
 			for range most {
-				j := &job{spec: s.clients.randomSpec(), abandoned: true}
+				j := &clientJob{spec: s.clients.randomSpec(), abandoned: true}
 				s.clients.jobs = append(s.clients.jobs, j)
 				s.checker.reference.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
 			}
--- a/internal/testbed/policysim/controlplane.go
+++ b/internal/testbed/policysim/controlplane.go
@@ -407,7 +407,7 @@
 func (d directNetwork) reachable(addr string) (*controlPlane, error) {
 	s := d.controlPlane.sim
 	p := s.byAddr[addr]
-	if p == nil || !p.alive || p.frozen || s.blocked(d.controlPlane.process, p) || s.blocked(p, d.controlPlane.process) || s.chance(s.net.lossRate) {
+	if p == nil || !p.alive || p.frozen || s.blocked(d.controlPlane.process, p) || s.blocked(p, d.controlPlane.process) || s.chance(s.network.lossRate) {
 		return nil, errs.New(errs.Unavailable, "%s does not answer", addr)
 	}
 	return s.controlPlaneAt(p), nil
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -104,9 +104,9 @@
 		f.enabled[name] = true
 	}
 	if f.enabled["net"] {
-		s.net.lossRate, s.net.duplicateRate = s.rng.Float64()*0.02, s.rng.Float64()*0.05
-		s.net.delayRate, s.net.maxDelay = s.rng.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
-		s.net.crossedAnswerRate = s.rng.Float64() * 0.005
+		s.network.lossRate, s.network.duplicateRate = s.rng.Float64()*0.02, s.rng.Float64()*0.05
+		s.network.delayRate, s.network.maxDelay = s.rng.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
+		s.network.crossedAnswerRate = s.rng.Float64() * 0.005
 	}
 	for _, w := range s.workers {
 		if f.enabled["late"] {
@@ -125,7 +125,7 @@
 	s := f.sim
 	s.trace("faults end")
 	s.faultsOver = true
-	s.net = net{}
+	s.network = network{}
 	for _, w := range s.workers {
 		w.lateOrderRate, w.answerLossRate = 0, 0
 		w.wake()
--- a/internal/testbed/policysim/fleet.go
+++ b/internal/testbed/policysim/fleet.go
@@ -28,7 +28,7 @@
 	}
 	s.checker = newInvariantChecker(s)
 	if s.options.Parties || s.options.WithoutGuard == "balance" {
-		s.billing = newBalances(s)
+		s.billing = newBillingScenario(s)
 	}
 	s.clients.start()
 	for _, c := range s.controlPlanes {
--- a/internal/testbed/policysim/injections.go
+++ b/internal/testbed/policysim/injections.go
@@ -186,10 +186,10 @@
 			c.to[p] = true
 		}
 	}
-	s.net.cuts = append(s.net.cuts, c)
+	s.network.cuts = append(s.network.cuts, c)
 	return func() {
 		s.trace("a cut heals")
-		s.net.cuts = slices.DeleteFunc(s.net.cuts, func(x *cut) bool { return x == c })
+		s.network.cuts = slices.DeleteFunc(s.network.cuts, func(x *cut) bool { return x == c })
 	}
 }
 
@@ -214,7 +214,7 @@
 
 func (f *faultInjector) evacuateZone(targets) {
 	s := f.sim
-	if s.clients.evacuate(zone(s.rng.IntN(3))) {
+	if s.clients.evacuateZone(zone(s.rng.IntN(3))) {
 		s.report.Faults["zone"]++
 	}
 }
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -26,7 +26,7 @@
 	sim       *sim
 	reference *state.State             // the committed entries, applied
 	grants    []uint64                 // epochs of the scheduler role, in order
-	jobs      map[string]*job          // by key; the clients add theirs and keep them
+	jobs      map[string]*clientJob    // by key; the clients add theirs and keep them
 	evacuated map[string]time.Duration // since when a zone is, by the operators, who set and delete it
 	committedLog
 	runRecords
@@ -34,7 +34,7 @@
 }
 
 func newInvariantChecker(s *sim) *invariantChecker {
-	ic := &invariantChecker{sim: s, reference: state.New(), jobs: map[string]*job{},
+	ic := &invariantChecker{sim: s, reference: state.New(), jobs: map[string]*clientJob{},
 		evacuated:    map[string]time.Duration{},
 		committedLog: committedLog{observed: map[*controlPlane]uint64{}},
 		runRecords: runRecords{runIDs: map[uint64]*runIDHistory{}, ended: map[state.TaskRef][]*completion{},
--- a/internal/testbed/policysim/network.go
+++ b/internal/testbed/policysim/network.go
@@ -98,8 +98,8 @@
 	return r
 }
 
-// net is what lies between the processes.
-type net struct {
+// network is what lies between the processes.
+type network struct {
 	lossRate, duplicateRate, delayRate float64       // per message
 	maxDelay                           time.Duration // of a delay
 	crossedAnswerRate                  float64       // an answer is that of another call
@@ -113,7 +113,7 @@
 }
 
 func (s *sim) blocked(from, to *process) bool {
-	for _, c := range s.net.cuts {
+	for _, c := range s.network.cuts {
 		if c.from[from] && c.to[to] || c.bothWays && c.from[to] && c.to[from] {
 			return true
 		}
@@ -124,9 +124,9 @@
 // latency draws how long a message is under way.
 func (s *sim) latency() time.Duration {
 	d := s.between(100*time.Microsecond, 2*time.Millisecond)
-	if s.chance(s.net.delayRate) {
+	if s.chance(s.network.delayRate) {
 		s.report.Faults["delay"]++
-		d = s.between(0, s.net.maxDelay)
+		d = s.between(0, s.network.maxDelay)
 	}
 	return d
 }
@@ -134,12 +134,12 @@
 // transmit brings do to the other side once, never, or (if twice) now and then two times. What meets a cut stays in
 // the kernel, which sends it again until keep is over or the connection is closed.
 func (s *sim) transmit(from, to *process, resendFor time.Duration, mayRepeat bool, open func() bool, do func()) {
-	if s.chance(s.net.lossRate) {
+	if s.chance(s.network.lossRate) {
 		s.report.Faults["lose"]++
 		return
 	}
 	n := 1
-	if mayRepeat && s.chance(s.net.duplicateRate) {
+	if mayRepeat && s.chance(s.network.duplicateRate) {
 		s.report.Faults["double"]++
 		n = 2
 	}
@@ -213,7 +213,7 @@
 		}
 		to.execute(incarnation, func() {
 			q.serve(to, func(a any, err error) {
-				if s.chance(s.net.lossRate) {
+				if s.chance(s.network.lossRate) {
 					s.report.Faults["lost answer"]++
 					return
 				}
--- /dev/null
+++ b/internal/testbed/policysim/operators.go
@@ -0,0 +1,75 @@
+package policysim
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"crosstide/internal/state/command"
+)
+
+// orderTimeout is how long an operator waits for an answer.
+const orderTimeout = 5 * time.Second
+
+// sendOrder sends an operator's order until it is acknowledged, and then now and then once more (invariant: order once).
+// first is the answer that acknowledged it; nil before.
+func (c *clients) sendOrder(cmd command.Command, first json.RawMessage, done func()) {
+	c.operator.propose(cmd, c.Now()+orderTimeout, func(answer json.RawMessage, err error) {
+		s := c.sim
+		switch {
+		case err != nil:
+			c.after(200*time.Millisecond, func() { c.sendOrder(cmd, first, done) })
+		case first != nil:
+			s.countCase("order once")
+			if !bytes.Equal(first, answer) {
+				s.reportBreach("order once", "an order sent again was answered %s, first %s", answer, first)
+			}
+		default:
+			done()
+			if s.chance(0.5) {
+				c.sendOrder(cmd, answer, done)
+			}
+		}
+	})
+}
+
+// sendInOrder sends orders one after another, each when the one before is acknowledged.
+func (c *clients) sendInOrder(orders []command.Command, done func()) {
+	if len(orders) == 0 {
+		done()
+		return
+	}
+	c.sendOrder(orders[0], nil, func() { c.sendInOrder(orders[1:], done) })
+}
+
+// evacuateZone evacuates a zone for a while, unless one is evacuated already.
+func (c *clients) evacuateZone(zone string) (ordered bool) {
+	if len(c.evacuatedZones) > 0 {
+		return false
+	}
+	s := c.sim
+	c.evacuatedZones[zone] = true
+	c.sendInOrder(s.billing.signedEvacuation(c.evacuationOrder(zone, true)), func() {
+		s.trace("operator: %s is evacuated", zone)
+		s.checker.evacuated[zone] = s.now
+		s.countCase("evacuated")
+		c.after(s.between(3*time.Second, 12*time.Second), func() { c.liftEvacuation(zone) })
+	})
+	return true
+}
+
+// liftEvacuation lifts the evacuation of a zone, which may be in use again as soon as the order is sent.
+func (c *clients) liftEvacuation(zone string) {
+	s := c.sim
+	delete(s.checker.evacuated, zone)
+	c.sendInOrder(s.billing.signedEvacuation(c.evacuationOrder(zone, false)), func() {
+		s.trace("operator: %s is open", zone)
+		delete(c.evacuatedZones, zone)
+	})
+}
+
+func (c *clients) evacuationOrder(zone string, out bool) command.EvacuateZone {
+	c.orderCount++
+	return command.EvacuateZone{Order: fmt.Sprintf("o%d", c.orderCount), Zone: zone, Out: out}
+}
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -94,7 +94,7 @@
 	seq     uint64
 	queue   eventHeap
 
-	net           net
+	network       network
 	processes     []*process
 	byAddr        map[string]*process
 	controlPlanes []*controlPlane
@@ -103,7 +103,7 @@
 	clients       *clients
 	faults        *faultInjector
 	checker       *invariantChecker
-	billing       *balances // nil without Options.Parties
+	billing       *billingScenario // nil without Options.Parties
 
 	faultsOver bool // no faults any more
 	report     Report
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -51,7 +51,7 @@
 	s := m.sim
 	d := s.dataPlanes[s.rng.IntN(len(s.dataPlanes))]
 	s.request(request{from: m.process, addr: d.addr, timeout: 2 * time.Second, resendFor: 2 * time.Second, mayRepeat: true,
-		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announce(m, reply) },
+		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announceWorker(m, reply) },
 		onAnswer: func(_ any, err error, _ bool) {
 			again := 3 * time.Second
 			if err != nil {
