--- a/internal/testbed/policysim/checklog.go
+++ b/internal/testbed/policysim/checklog.go
@@ -114,13 +114,13 @@
 	sets := [][]raft.Member{ic.members}
 	for _, c := range ic.sim.controlPlanes {
 		if c.wipedID != "" {
-			have[c.wipedID] = have[c.wipedID] || index <= c.wipedSnapshot || c.wipedTerms[index] == term
+			have[c.wipedID] = have[c.wipedID] || c.wiped.has(index, term)
 		}
 		if c.driver == nil || c.driver.Core() == nil {
 			continue
 		}
 		status := c.driver.Core().Status()
-		have[status.ID] = have[status.ID] || c.hasDurable(index, term)
+		have[status.ID] = have[status.ID] || c.durable.has(index, term)
 		sets = append(sets, status.Members)
 	}
 	return slices.ContainsFunc(sets, func(members []raft.Member) bool { return isMajority(members, have) })
--- /dev/null
+++ b/internal/testbed/policysim/controlplaneloop.go
@@ -0,0 +1,200 @@
+package policysim
+
+import (
+	"fmt"
+	"time"
+
+	"crosstide/internal/internalapi"
+	"crosstide/internal/store"
+)
+
+// tick is the loop of the store.
+func (c *controlPlane) tick() {
+	c.advance()
+	c.after(10*time.Millisecond, c.tick)
+}
+
+func (c *controlPlane) collectGarbage() {
+	c.driver.ProposeGC()
+	c.advance()
+	c.after(10*time.Second, c.collectGarbage)
+}
+
+// advance runs one pass of the store and takes all that comes out of it to where it goes: messages, a batch for the disk,
+// snapshots, answers. Its steps are those of the daemon's goroutines, in a fixed order.
+func (c *controlPlane) advance() {
+	if !c.alive || c.driver == nil {
+		return
+	}
+	c.driver.Pass()
+	c.sim.checker.observeCommits(c) // before a snapshot lets the log be compacted
+	for _, message := range c.driver.TakeMessages() {
+		c.sendMessage(message)
+	}
+	if batch := c.driver.TakeDiskBatch(); batch != nil {
+		c.startSync(batch)
+	}
+	if !c.runSnapshotter() {
+		return
+	}
+	c.answerWaiting()
+	c.traceRole()
+}
+
+func (c *controlPlane) sendMessage(message store.OutboundCall) {
+	s := c.sim
+	to := s.byAddr[message.Addr]
+	if to == nil || to == c.process {
+		return
+	}
+	generation, call := to.generation, message.Call
+	s.transmit(c.process, to, 500*time.Millisecond, true, func() bool { return true }, func() {
+		to.execute(generation, func() {
+			if peer := s.controlPlaneAt(to); peer.driver != nil {
+				peer.store.Step(call)
+				peer.advance()
+			}
+		})
+	})
+}
+
+// startSync lets a batch be on the disk after a while. Without the guard sync it is taken as stored at once, now and then.
+func (c *controlPlane) startSync(batch *store.DiskBatch) {
+	s := c.sim
+	c.batch = batch
+	if s.options.WithoutGuard == "sync" && s.chance(0.5) {
+		batch.MarkStored()
+		c.after(s.between(0, 300*time.Millisecond), func() { c.finishSync(batch, func() {}) })
+		return
+	}
+	c.after(s.between(200*time.Microsecond, 3*time.Millisecond)+c.syncDelay,
+		func() { c.finishSync(batch, batch.MarkStored) })
+}
+
+// finishSync writes a batch and then calls stored, unless the incarnation that began it has ended.
+func (c *controlPlane) finishSync(batch *store.DiskBatch, stored func()) {
+	if c.batch != batch {
+		return
+	}
+	if c.failNextSync {
+		c.failNextSync = false
+		c.disk.FailSync(1)
+	}
+	if err := batch.Write(); err != nil {
+		c.sim.report.Faults["sync failed"]++
+		c.batch = nil
+		c.onDiskFault(c.generation, err)
+		return
+	}
+	c.batch = nil
+	for _, entry := range batch.Entries() {
+		c.durable.add(entry.Index, entry.Term)
+	}
+	stored()
+	c.advance()
+}
+
+// runSnapshotter writes snapshots, and fetches one soon if the store asks for it; false if the disk failed.
+func (c *controlPlane) runSnapshotter() bool {
+	s := c.sim
+	before := c.driver.SnapshotIndex()
+	if err := c.driver.RunSnapshotter(); err != nil {
+		c.onDiskFault(c.generation, err)
+		return false
+	}
+	if written := c.driver.SnapshotIndex(); written != before {
+		c.durable.snapshot = max(c.durable.snapshot, written)
+		s.report.Counts["slots written"]++
+	}
+	if c.driver.WantsSnapshot() {
+		c.after(s.between(time.Millisecond, 50*time.Millisecond), func() {
+			if err := c.driver.FetchSnapshot(); err == nil {
+				s.report.Counts["snapshots fetched by a cplane"]++
+				c.advance()
+			}
+		})
+	}
+	return true
+}
+
+// traceRole makes a line of the trace when the node's role in the store has changed.
+func (c *controlPlane) traceRole() {
+	s, core := c.sim, c.driver.Core()
+	if core == nil {
+		return
+	}
+	status := core.Status()
+	if role := fmt.Sprintf("%s of term %d", status.Role, status.Term); role != c.role {
+		c.role = role
+		s.trace("%s is %s, commit %d, last %d", status.ID, role, status.Commit, status.Last)
+		if status.Role == "leader" {
+			s.report.Counts["leaders of the store"]++
+		}
+	}
+	if status.Refused > 0 {
+		s.reportBreach("log", "%s refused %d messages that contradict what is committed", c.addr, status.Refused)
+	}
+}
+
+// proposal awaits the outcome of a command.
+type proposal struct {
+	pending  *store.Proposal
+	deadline time.Duration // by the process's clock
+	done     func(index uint64, answer any, err error)
+}
+
+// follower awaits a change after the version that its replica has.
+type follower struct {
+	version  uint64
+	deadline time.Duration // by the process's clock
+	reply    func(any, error)
+}
+
+// answerWaiting answers all whose outcome is known or whose deadline is over. Both lists are complete again before the
+// first answer, which may add to them.
+func (c *controlPlane) answerWaiting() {
+	answers := append(c.takeDecided(), c.takeServed()...)
+	for _, answer := range answers {
+		answer()
+	}
+}
+
+// takeDecided takes out the proposals that can be answered, and returns their answers.
+func (c *controlPlane) takeDecided() (answers []func()) {
+	waiting := c.proposals[:0:0]
+	for _, p := range c.proposals {
+		index, answer, err, ok := p.pending.Done()
+		switch {
+		case ok:
+			answers = append(answers, func() { p.done(index, answer, err) })
+		case c.Now() >= p.deadline:
+			err := p.pending.Abandon()
+			answers = append(answers, func() { p.done(0, nil, err) })
+		default:
+			waiting = append(waiting, p)
+		}
+	}
+	c.proposals = waiting
+	return answers
+}
+
+// takeServed takes out the followers that can be answered, and returns their answers.
+func (c *controlPlane) takeServed() (answers []func()) {
+	waiting := c.followers[:0:0]
+	for _, f := range c.followers {
+		changes, err := c.driver.ChangesAfter(f.version)
+		switch {
+		case err != nil:
+			answers = append(answers, func() { f.reply(nil, err) })
+		case changes != nil:
+			updates := map[string]internalapi.SourceUpdate{"store": *changes}
+			answers = append(answers, func() { f.reply(internalapi.FollowAnswer{Updates: updates}, nil) })
+		case c.Now() >= f.deadline:
+			answers = append(answers, func() { f.reply(internalapi.FollowAnswer{}, nil) })
+		default:
+			waiting = append(waiting, f)
+		}
+	}
+	c.followers = waiting
+	return answers
+}
--- a/internal/testbed/policysim/directedfaults.go
+++ b/internal/testbed/policysim/directedfaults.go
@@ -76,10 +76,10 @@
 	f.wiped = c
 	c.crash(false)
 	if c.driver.Core() != nil {
-		c.wipedID, c.wipedTerms, c.wipedSnapshot = c.driver.Core().Status().ID, c.durableTerms, c.durableSnapshot
+		c.wipedID, c.wiped = c.driver.Core().Status().ID, c.durable
 	}
 	c.disk = storage.NewMemDisk()
-	c.durableSnapshot, c.durableIndex, c.durableTerms = 0, 0, nil
+	c.durable = durableLog{}
 	f.sim.schedule(back, c.restart)
 }
 
--- a/internal/testbed/policysim/fleet.go
+++ b/internal/testbed/policysim/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"crosstide/internal/config"
 	"crosstide/internal/storage"
 	"crosstide/internal/testbed/policyworker"
 )
@@ -44,3 +45,45 @@
 	s.faults.start()
 	s.billing.start()
 }
+
+// members are the store's first members, one at each control-plane node.
+func (s *sim) members() (out []config.Member) {
+	for i := range 5 {
+		name := fmt.Sprintf("c%d", i)
+		out = append(out, config.Member{ID: name, Addr: name, Zone: zone(i)})
+	}
+	return out
+}
+
+// zone is the zone of the node of a number.
+func zone(i int) string { return fmt.Sprintf("z%d", i%3) }
+
+// controlPlaneAt is the control-plane node that runs as a process; nil for another process.
+func (s *sim) controlPlaneAt(p *process) *controlPlane {
+	for _, c := range s.controlPlanes {
+		if c.process == p {
+			return c
+		}
+	}
+	return nil
+}
+
+// dataPlaneAt is the data-plane node that runs as a process; nil for another process.
+func (s *sim) dataPlaneAt(p *process) *dataPlane {
+	for _, d := range s.dataPlanes {
+		if d.process == p {
+			return d
+		}
+	}
+	return nil
+}
+
+// workerAt is the worker that runs as a process; nil for another process.
+func (s *sim) workerAt(p *process) *worker {
+	for _, w := range s.workers {
+		if w.process == p {
+			return w
+		}
+	}
+	return nil
+}
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -145,21 +145,3 @@
 		m.open()
 	}
 }
-
-func (s *sim) workerAt(p *process) *worker {
-	for _, m := range s.workers {
-		if m.process == p {
-			return m
-		}
-	}
-	return nil
-}
-
-func (s *sim) dataPlaneAt(p *process) *dataPlane {
-	for _, d := range s.dataPlanes {
-		if d.process == p {
-			return d
-		}
-	}
-	return nil
-}
