--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -179,5 +179,3 @@
 	}
 	return s.between(500*time.Millisecond, 8*time.Second)
 }
-
-func pick[T any](s *sim, list []T) T { return list[s.rng.IntN(len(list))] }
--- a/internal/testbed/policysim/fleet.go
+++ b/internal/testbed/policysim/fleet.go
@@ -8,24 +8,19 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// build makes the fleet: 5 cplanes, 3 dplanes, 6 minions in 3 zones, and the people.
+// build makes the fleet: 5 control-plane nodes, 3 data-plane nodes and 6 workers in 3 zones, and the clients. The order of
+// the steps, and of their draws, is part of every history.
 func (s *sim) build() {
 	s.clients = &clients{process: s.newProcess("people", "")}
 	for i, m := range s.members() {
-		s.controlPlanes = append(s.controlPlanes, &controlPlane{process: s.newProcess(m.Addr, zone(i)), disk: storage.NewMemDisk()})
+		machine := s.newProcess(m.Addr, zone(i))
+		s.controlPlanes = append(s.controlPlanes, &controlPlane{process: machine, disk: storage.NewMemDisk()})
 	}
 	for i := range 3 {
 		s.dataPlanes = append(s.dataPlanes, &dataPlane{process: s.newProcess(fmt.Sprintf("d%d", i), zone(i))})
 	}
 	for i := range 6 {
-		m := &worker{process: s.newProcess(fmt.Sprintf("m%d", i), zone(i)), kind: policyworker.KindCheck, cores: 2 + s.rng.IntN(4), labels: map[string]string{}}
-		if i%2 == 0 {
-			m.kind = policyworker.KindObey
-		}
-		if i < 4 {
-			m.labels["disk"] = "ssd"
-		}
-		s.workers = append(s.workers, m)
+		s.workers = append(s.workers, s.newWorker(i))
 	}
 	s.checker = newInvariantChecker(s)
 	if s.options.Parties || s.options.WithoutGuard == "balance" {
@@ -38,14 +33,27 @@
 	for _, d := range s.dataPlanes {
 		d.open()
 	}
-	for _, m := range s.workers {
-		m.open()
+	for _, w := range s.workers {
+		w.open()
 	}
 	s.faults = &faultInjector{sim: s}
 	s.faults.start()
 	s.billing.start()
 }
 
+// newWorker makes a worker: every other one obeys start orders without a check of its own, two thirds have an ssd.
+func (s *sim) newWorker(number int) *worker {
+	w := &worker{process: s.newProcess(fmt.Sprintf("m%d", number), zone(number)), kind: policyworker.KindCheck,
+		cores: 2 + s.rng.IntN(4), labels: map[string]string{}}
+	if number%2 == 0 {
+		w.kind = policyworker.KindObey
+	}
+	if number < 4 {
+		w.labels["disk"] = "ssd"
+	}
+	return w
+}
+
 // members are the store's first members, one at each control-plane node.
 func (s *sim) members() (out []config.Member) {
 	for i := range 5 {
--- a/internal/testbed/policysim/network.go
+++ b/internal/testbed/policysim/network.go
@@ -3,115 +3,27 @@
 import (
 	"time"
 
-	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 )
 
-// newProcess is a process on a machine of its own. Its clock has its own zero and goes on while it is frozen.
-type process struct {
-	sim        *sim
-	addr       string
-	zone       string
-	generation int // goes up with every start and end
-	alive      bool
-	frozen     bool
-	delayed    []func()
-	wokeAt     time.Duration // when it woke last
-	clockZero  time.Duration
-	wallSkew   time.Duration // of its wall clock
-}
-
-func (s *sim) newProcess(addr, zone string) *process {
-	p := &process{sim: s, addr: addr, zone: zone, wallSkew: s.between(-2*time.Second, 2*time.Second)}
-	s.processes = append(s.processes, p)
-	s.byAddr[addr] = p
-	return p
-}
-
-// startIncarnation starts a life of the process.
-func (p *process) startIncarnation() {
-	p.generation++
-	p.alive, p.frozen, p.delayed = true, false, nil
-	p.clockZero = p.sim.now - p.sim.between(time.Second, time.Hour)
-}
-
-// endIncarnation ends it.
-func (p *process) endIncarnation() {
-	p.generation++
-	p.alive, p.frozen, p.delayed = false, false, nil
-}
-
-// execute does what reaches the process now; a frozen one does it when it wakes.
-func (p *process) execute(generation int, do func()) {
-	switch {
-	case !p.alive || p.generation != generation:
-	case p.frozen:
-		p.delayed = append(p.delayed, do)
-	default:
-		do()
-	}
-}
-
-// after is an timer of this life.
-func (p *process) after(d time.Duration, do func()) {
-	generation := p.generation
-	p.sim.schedule(d, func() { p.execute(generation, do) })
-}
-
-func (p *process) freeze() { p.frozen = p.alive }
+// resendInterval is between two attempts of a kernel to send what meets a partition.
+const resendInterval = 20 * time.Millisecond
 
-// schedulePass goes on with all that fell due meanwhile, in any order.
-func (p *process) wake() {
-	if !p.alive || !p.frozen {
-		return
-	}
-	delayed := p.delayed
-	p.frozen, p.delayed, p.wokeAt = false, nil, p.sim.now
-	if p.sim.chance(0.5) {
-		p.sim.rng.Shuffle(len(delayed), func(i, j int) { delayed[i], delayed[j] = delayed[j], delayed[i] })
-	}
-	for _, do := range delayed {
-		p.after(p.sim.between(0, time.Millisecond), do)
-	}
-}
-
-// Now is the process's clock.
-func (p *process) Now() time.Duration { return p.sim.now - p.clockZero }
-
-// Wall is the time of day as this machine has it.
-func (p *process) Wall() time.Time { return time.Unix(1_700_000_000, 0).Add(p.sim.now + p.wallSkew) }
-
-type timer struct{ off bool }
-
-// Stop keeps the timer from firing and tells whether it was still to fire.
-func (r *timer) Stop() bool { was := !r.off; r.off = true; return was }
-
-// Set is an timer of the process.
-func (p *process) Set(d time.Duration, call func()) clock.Stopper {
-	r := &timer{}
-	p.after(d, func() {
-		if !r.off {
-			r.off = true
-			call()
-		}
-	})
-	return r
-}
-
-// network is what lies between the processes.
+// network is what lies between the processes. Its zero value is a good one.
 type network struct {
 	lossRate, duplicateRate, delayRate float64       // per message
-	maxDelay                           time.Duration // of a delay
-	crossedAnswerRate                  float64       // an answer is that of another call
+	maxDelay                           time.Duration // of a message that is delayed
+	crossedAnswerRate                  float64       // of lease calls: the answer is that of another call
 	cuts                               []*cut
 }
 
-// cutOff drops what goes from one set of processes to another.
+// cut drops what goes from one set of processes to another, and back if it is bothWays.
 type cut struct {
 	from, to map[*process]bool
 	bothWays bool
 }
 
+// blocked tells whether a message from one process to another meets a cut.
 func (s *sim) blocked(from, to *process) bool {
 	for _, c := range s.network.cuts {
 		if c.from[from] && c.to[to] || c.bothWays && c.from[to] && c.to[from] {
@@ -121,7 +33,7 @@
 	return false
 }
 
-// latency draws how long a message is under way.
+// latency draws how long a message is in flight.
 func (s *sim) latency() time.Duration {
 	d := s.between(100*time.Microsecond, 2*time.Millisecond)
 	if s.chance(s.network.delayRate) {
@@ -131,9 +43,9 @@
 	return d
 }
 
-// transmit brings do to the other side once, never, or (if twice) now and then two times. What meets a cut stays in
-// the kernel, which sends it again until keep is over or the connection is closed.
-func (s *sim) transmit(from, to *process, resendFor time.Duration, mayRepeat bool, open func() bool, do func()) {
+// transmit runs do at the other side once, never, or, if it may be repeated, now and then twice. What meets a cut stays
+// in the kernel, which resends it until resendFor is over or the connection is closed.
+func (s *sim) transmit(from, to *process, resendFor time.Duration, mayRepeat bool, isOpen func() bool, do func()) {
 	if s.chance(s.network.lossRate) {
 		s.report.Faults["lose"]++
 		return
@@ -144,11 +56,12 @@
 		n = 2
 	}
 	for range n {
-		s.deliver(from, to, s.now+resendFor, open, do)
+		s.deliver(from, to, s.now+resendFor, isOpen, do)
 	}
 }
 
-func (s *sim) deliver(from, to *process, until time.Duration, open func() bool, do func()) {
+// deliver sends a message, and sends it again until the deadline if it meets a cut.
+func (s *sim) deliver(from, to *process, deadline time.Duration, isOpen func() bool, do func()) {
 	if !s.blocked(from, to) {
 		s.schedule(s.latency(), func() {
 			if !s.blocked(from, to) || s.chance(0.5) {
@@ -158,67 +71,88 @@
 		return
 	}
 	s.report.Faults["dropped by a cut"]++
-	if s.now+20*time.Millisecond < until {
-		s.schedule(20*time.Millisecond, func() {
-			if open() {
-				s.deliver(from, to, until, open, do)
+	if s.now+resendInterval < deadline {
+		s.schedule(resendInterval, func() {
+			if isOpen() {
+				s.deliver(from, to, deadline, isOpen, do)
 			}
 		})
 	}
 }
 
-// request is a call with its answer. back comes once: with the answer, or a fault; sent tells whether a byte of the call
-// may have left. keep is how long the kernel resends.
+// request is a call over a connection of its own.
 type request struct {
 	from      *process
 	addr      string
 	timeout   time.Duration
-	resendFor time.Duration
-	mayRepeat bool // the call may arrive two times
+	resendFor time.Duration // how long the kernels resend
+	mayRepeat bool          // the call may arrive twice
 	serve     func(to *process, reply func(any, error))
-	onAnswer  func(a any, err error, sent bool)
-}
-
-func (s *sim) request(q request) {
-	over := false
-	generation := q.from.generation
-	finish := func(a any, err error, sent bool) {
-		q.from.execute(generation, func() {
-			if !over {
-				over = true
-				q.onAnswer(a, err, sent)
-			}
+	// onAnswer is called once, if the caller lives so long: with the answer or a failure. sent: a byte of the call may have
+	// left.
+	onAnswer func(answer any, err error, sent bool)
+}
+
+// connection is what request keeps of a call that is in flight.
+type connection struct {
+	request
+	sim         *sim
+	generation  int // of the caller
+	peer        *process
+	incarnation int // generation of the peer that the connection leads to
+	closed      bool
+}
+
+// request makes a call.
+func (s *sim) request(r request) {
+	c := &connection{request: r, sim: s, generation: r.from.generation, peer: s.byAddr[r.addr]}
+	isDown := c.peer == nil || !c.peer.alive
+	if isDown && s.chance(0.7) {
+		s.schedule(s.latency(), func() {
+			c.finish(nil, errs.New(errs.Unavailable, "%s refuses the connection", r.addr), false)
 		})
+		return
 	}
-	to := s.byAddr[q.addr]
-	if to == nil || !to.alive {
-		if s.chance(0.7) {
-			s.schedule(s.latency(), func() { finish(nil, errs.New(errs.Unavailable, "%s refuses the connection", q.addr), false) })
-			return
-		}
-	}
-	q.from.after(q.timeout, func() { finish(nil, errs.New(errs.Timeout, "no answer of %s", q.addr), true) })
-	if to == nil || !to.alive {
+	r.from.after(r.timeout, func() { c.finish(nil, errs.New(errs.Timeout, "no answer of %s", r.addr), true) })
+	if isDown {
 		return
 	}
-	incarnation := to.generation // the connection leads to this life of the other side
-	open := func() bool { return !over }
-	s.transmit(q.from, to, q.resendFor, q.mayRepeat, open, func() {
-		if over && !q.mayRepeat { // closed with a reset, which went the same way
-			return
-		}
-		if !to.alive || to.generation != incarnation {
-			s.deliver(to, q.from, s.now, open, func() { finish(nil, errs.New(errs.Unavailable, "%s reset the connection", q.addr), true) })
-			return
+	c.incarnation = c.peer.generation
+	s.transmit(r.from, c.peer, r.resendFor, r.mayRepeat, c.isOpen, c.arrive)
+}
+
+func (c *connection) isOpen() bool { return !c.closed }
+
+// finish closes the connection, at the caller's side, with an answer or a failure. Only the first one counts.
+func (c *connection) finish(answer any, err error, sent bool) {
+	c.from.execute(c.generation, func() {
+		if !c.closed {
+			c.closed = true
+			c.onAnswer(answer, err, sent)
 		}
-		to.execute(incarnation, func() {
-			q.serve(to, func(a any, err error) {
-				if s.chance(s.network.lossRate) {
-					s.report.Faults["lost answer"]++
-					return
-				}
-				s.transmit(to, q.from, q.resendFor, false, open, func() { finish(a, err, true) })
-			})
-		})
 	})
 }
+
+// arrive serves the call at the peer, or resets the connection if it leads to another incarnation.
+func (c *connection) arrive() {
+	if c.closed && !c.mayRepeat { // closed with a reset, which went the same way
+		return
+	}
+	if !c.peer.alive || c.peer.generation != c.incarnation {
+		c.sim.deliver(c.peer, c.from, c.sim.now, c.isOpen, func() {
+			c.finish(nil, errs.New(errs.Unavailable, "%s reset the connection", c.addr), true)
+		})
+		return
+	}
+	c.peer.execute(c.incarnation, func() { c.serve(c.peer, c.reply) })
+}
+
+// reply sends the answer back.
+func (c *connection) reply(answer any, err error) {
+	s := c.sim
+	if s.chance(s.network.lossRate) {
+		s.report.Faults["lost answer"]++
+		return
+	}
+	s.transmit(c.peer, c.from, c.resendFor, false, c.isOpen, func() { c.finish(answer, err, true) })
+}
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -2,146 +2,158 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"crosstide/internal/internalapi"
 	"crosstide/internal/testbed/policyworker"
 )
 
-// lateness is how late an obeying minion carries out an order at most, counted from its arrival; under the bound
-// that the scheduler is told by what an order may be under way.
+// lateness is how late an obeying worker carries out an order at most, counted from its arrival. It is below the bound
+// in the scheduler's settings by as much as an order may be in flight.
 const lateness = 1700 * time.Millisecond
 
-// worker is the host of one policyworker.Core.
-type workerIncarnation struct {
-	core   *policyworker.Core
-	traits policyworker.Traits
-}
-
+// worker is the host of a policyworker.Core: it passes calls and time to it, and carries out its actions.
 type worker struct {
 	*process
-	workerIncarnation
-	kind           string
-	cores          int
-	gpus           int
-	labels         map[string]string
-	tag            uint64
-	pendingReplies map[uint64]func(any, error)
-	answerLossRate float64
-	lateOrderRate  float64
-	floor          uint64 // told, where the guard is out
-	// draining since then; 0: not
-	drainingSince time.Duration
-	draining      bool
+	kind   string
+	cores  int
+	gpus   int
+	labels map[string]string
+
+	// Of the incarnation.
+	core           *policyworker.Core
+	traits         policyworker.Traits
+	pendingReplies map[uint64]func(any, error) // to calls, by their tags
+	draining       bool
+	drainingSince  time.Duration // virtual time
+	floor          uint64        // highest that a call carried, without the guard floor
+
+	lastTag        uint64
+	answerLossRate float64 // for the fault lost
+	lateOrderRate  float64 // for the fault late
+}
+
+// open starts an incarnation, on which nothing runs. Its clock starts with it.
+func (w *worker) open() {
+	s := w.sim
+	w.startIncarnation()
+	w.traits = policyworker.Traits{Name: w.addr, Incarnation: fmt.Sprintf("%s-%d", w.addr, w.generation), Kind: w.kind,
+		Zone: w.zone, Labels: w.labels, Cores: w.cores, GPUs: w.gpus,
+		Grace: 5 * time.Second, FailProbability: 0.03, SlowFactor: 1.2, Seed: s.rng.Uint64()}
+	w.clockZero = s.now
+	w.core, w.pendingReplies = policyworker.NewCore(w.traits), map[uint64]func(any, error){}
+	w.draining, w.floor = false, 0
+	s.checker.observeWorkerStart(w)
+	w.perform(w.core.Start())
+	w.announce()
 }
 
-func (m *worker) open() {
-	s := m.sim
-	m.startIncarnation()
-	m.traits = policyworker.Traits{Name: m.addr, Incarnation: fmt.Sprintf("%s-%d", m.addr, m.generation), Kind: m.kind, Zone: m.zone, Labels: m.labels,
-		Cores: m.cores, GPUs: m.gpus, Grace: 5 * time.Second, FailProbability: 0.03, SlowFactor: 1.2, Seed: s.rng.Uint64()}
-	m.clockZero = s.now // the minion's clock starts with the boot
-	m.core, m.pendingReplies, m.draining, m.floor = policyworker.NewCore(m.traits), map[uint64]func(any, error){}, false, 0
-	s.checker.observeWorkerStart(m)
-	m.perform(m.core.Start())
-	m.announce()
+// restart starts another incarnation, unless one runs.
+func (w *worker) restart() {
+	if !w.alive {
+		w.open()
+	}
+}
+
+// kill ends the process. What it ran goes on until its lease expires or the next incarnation starts.
+func (w *worker) kill() {
+	if w.alive {
+		w.endIncarnation()
+		w.sim.checker.observeWorkerKill(w)
+	}
 }
 
-func (m *worker) announce() {
-	s := m.sim
-	d := s.dataPlanes[s.rng.IntN(len(s.dataPlanes))]
-	s.request(request{from: m.process, addr: d.addr, timeout: 2 * time.Second, resendFor: 2 * time.Second, mayRepeat: true,
-		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announceWorker(m, reply) },
+// announce announces the worker to any data-plane node, again and again.
+func (w *worker) announce() {
+	s := w.sim
+	d := pick(s, s.dataPlanes)
+	s.request(request{from: w.process, addr: d.addr, timeout: 2 * time.Second, resendFor: 2 * time.Second, mayRepeat: true,
+		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announceWorker(w, reply) },
 		onAnswer: func(_ any, err error, _ bool) {
-			again := 3 * time.Second
+			interval := 3 * time.Second
 			if err != nil {
-				again /= 6
+				interval = 500 * time.Millisecond
 			}
-			m.after(again, m.announce)
+			w.after(interval, w.announce)
 		}})
 }
 
-// perform does what a step asks for: the witness first, then the answers.
-func (m *worker) perform(step policyworker.Actions) {
-	for _, e := range step.Journal {
-		m.sim.checker.observeJournal(m, e)
+// perform carries out what the core decided: the checker has what the worker did before anybody has an answer.
+func (w *worker) perform(actions policyworker.Actions) {
+	for _, entry := range actions.Journal {
+		w.sim.checker.observeJournal(w, entry)
 	}
-	for _, r := range step.Replies {
-		if w := m.pendingReplies[r.Tag]; w != nil {
-			delete(m.pendingReplies, r.Tag)
-			if m.sim.options.WithoutGuard == "floor" {
-				r.Answer.Floor = max(r.Answer.Floor, m.floor)
-			}
-			w(r.Answer, r.Err)
+	for _, r := range actions.Replies {
+		reply := w.pendingReplies[r.Tag]
+		if reply == nil {
+			continue
+		}
+		delete(w.pendingReplies, r.Tag)
+		if w.sim.options.WithoutGuard == "floor" {
+			r.Answer.Floor = max(r.Answer.Floor, w.floor)
 		}
+		reply(r.Answer, r.Err)
 	}
-	if step.WakeAt != policyworker.Never {
-		m.after(step.WakeAt-m.Now(), func() { m.perform(m.core.Tick(m.Now())) })
+	if actions.WakeAt != policyworker.Never {
+		w.after(actions.WakeAt-w.Now(), func() { w.perform(w.core.Tick(w.Now())) })
 	}
 }
 
-// renewLease takes in a call, perhaps late, and answers, perhaps not.
-func (m *worker) renewLease(call internalapi.LeaseCall, reply func(any, error)) {
-	s := m.sim
-	lost, late := s.chance(m.answerLossRate), time.Duration(0)
+// renewLease answers a lease call, perhaps late, perhaps never.
+func (w *worker) renewLease(call internalapi.LeaseCall, reply func(any, error)) {
+	s := w.sim
+	isLost, late := s.chance(w.answerLossRate), time.Duration(0)
 	if len(call.Starts) > 0 {
-		s.checker.observeOrderArrived(m, call)
-		if s.chance(m.lateOrderRate) {
+		s.checker.observeOrderArrived(w, call)
+		if s.chance(w.lateOrderRate) {
 			s.report.Faults["late order"]++
 			late = s.between(0, lateness)
-			lost = lost || s.chance(0.5)
+			isLost = isLost || s.chance(0.5)
 		}
 	}
-	m.after(late, func() {
-		m.tag++
-		tag := m.tag
-		m.pendingReplies[tag] = func(a any, err error) {
-			if !lost {
-				reply(a, err)
-			}
-		}
-		if lost {
+	w.after(late, func() {
+		if isLost {
 			s.report.Faults["lost at the minion"]++
+			reply = func(any, error) {}
 		}
-		if s.options.WithoutGuard == "floor" {
-			m.floor = max(m.floor, call.Floor)
-			call.Floor = 0
-			starts := append([]internalapi.StartOrder(nil), call.Starts...)
-			for i := range starts {
-				starts[i].StartBy = policyworker.Never
-			}
-			call.Starts = starts
-		}
-		step := m.core.RenewLease(m.Now(), tag, call)
-		s.checker.observeRenewal(m, call)
-		m.perform(step)
-		if lost {
-			delete(m.pendingReplies, tag)
-			m.core.AnswerLost(tag)
-		}
+		w.handle(call, reply, isLost)
 	})
 }
 
-// drain switches draining.
-func (m *worker) drain(on bool) {
-	if m.alive && !m.frozen && m.draining != on {
-		m.draining = on
-		m.drainingSince = m.sim.now
-		m.perform(m.core.Drain(m.Now(), on, false))
+// handle passes a call to the core. If its connection is lost, the core learns that after it has carried the call out.
+func (w *worker) handle(call internalapi.LeaseCall, reply func(any, error), isLost bool) {
+	w.lastTag++
+	tag := w.lastTag
+	w.pendingReplies[tag] = reply
+	if w.sim.options.WithoutGuard == "floor" {
+		call = w.withoutFloor(call)
+	}
+	actions := w.core.RenewLease(w.Now(), tag, call)
+	w.sim.checker.observeRenewal(w, call)
+	w.perform(actions)
+	if isLost {
+		delete(w.pendingReplies, tag)
+		w.core.AnswerLost(tag)
 	}
 }
 
-// kill ends the process; what it ran goes on until its hold lapses or the next life begins.
-func (m *worker) kill() {
-	if m.alive {
-		m.endIncarnation()
-		m.sim.checker.observeWorkerKill(m)
+// withoutFloor takes the floor, and the times after which its orders are invalid, out of a call.
+func (w *worker) withoutFloor(call internalapi.LeaseCall) internalapi.LeaseCall {
+	w.floor = max(w.floor, call.Floor)
+	call.Floor = 0
+	call.Starts = slices.Clone(call.Starts)
+	for i := range call.Starts {
+		call.Starts[i].StartBy = policyworker.Never
 	}
+	return call
 }
 
-// restart starts another incarnation, unless one runs.
-func (m *worker) restart() {
-	if !m.alive {
-		m.open()
+// drain switches draining.
+func (w *worker) drain(on bool) {
+	if w.alive && !w.frozen && w.draining != on {
+		w.draining = on
+		w.drainingSince = w.sim.now
+		w.perform(w.core.Drain(w.Now(), on, false))
 	}
 }
