--- a/internal/testbed/policysim/checklinearizability.go
+++ b/internal/testbed/policysim/checklinearizability.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state/command"
 )
 
-// kind is what a client does.
+// operationKind is what a client asks for.
 type operationKind string
 
 const (
@@ -22,7 +22,7 @@
 	opCancel operationKind = "cancel"
 )
 
-// answerWaiting is what it was told; "" is no certain answer.
+// answerKind is what a client was answered; "" is no certain answer. The words are part of the keys of Report.Counts.
 type answerKind string
 
 const (
@@ -42,187 +42,81 @@
 	calledAt   time.Duration
 	answeredAt time.Duration
 	answer     answerKind
-	phase      state.JobPhase // as told with fresh, same and phase
+	phase      state.JobPhase // in the answers fresh, same and phase
 }
 
 // String describes the call and its answer for a report.
-func (m *operation) String() string {
-	return fmt.Sprintf("%v..%v %s %s: %s %s", m.calledAt, m.answeredAt, m.kind, m.digest, m.answer, m.phase)
+func (op *operation) String() string {
+	return fmt.Sprintf("%v..%v %s %s: %s %s", op.calledAt, op.answeredAt, op.kind, op.digest, op.answer, op.phase)
 }
 
-// clientHistory keeps what clients did and were told. It draws no chance and makes no event.
-type clientHistory struct{ operations []*operation }
-
-// called notes a call; it has no certain answer until told is called.
-func (l *clientHistory) called(at time.Duration, key string, a operationKind, digest string) *operation {
-	m := &operation{key: key, kind: a, digest: digest, calledAt: at}
-	l.operations = append(l.operations, m)
-	return m
-}
-
-// observeTopUpAnswer notes the answer to a submit or a cancel. Faults that do not tell what the store decided are no certain answer.
-func (m *operation) complete(at time.Duration, a any, err error) {
-	raw, _ := a.(json.RawMessage)
+// complete records the answer to a submit or a cancel. A failure that leaves open what the store decided is no certain
+// answer.
+func (op *operation) complete(at time.Duration, answer any, err error) {
+	raw, _ := answer.(json.RawMessage)
 	switch {
 	case errs.Is(err, errs.Unknown):
-		m.observe(at, answerUnknown, "")
+		op.observe(at, answerUnknown, "")
 	case errs.Is(err, errs.Conflict):
-		m.observe(at, answerConflict, "")
+		op.observe(at, answerConflict, "")
 	case errs.Is(err, errs.Overloaded):
-		m.observe(at, answerOverloaded, "")
-	case err == nil && m.kind == opSubmit:
-		var s command.Submitted
-		must(json.Unmarshal(raw, &s))
-		m.observe(at, answerSame, s.Phase)
-		if s.Fresh {
-			m.answer = answerFresh
+		op.observe(at, answerOverloaded, "")
+	case err == nil && op.kind == opSubmit:
+		var submitted command.Submitted
+		must(json.Unmarshal(raw, &submitted))
+		kind := answerSame
+		if submitted.Fresh {
+			kind = answerFresh
 		}
+		op.observe(at, kind, submitted.Phase)
 	case err == nil:
-		var c command.Cancelled
-		must(json.Unmarshal(raw, &c))
-		m.observe(at, answerPhase, c.Phase)
-	}
-}
-
-func (m *operation) observe(at time.Duration, a answerKind, p state.JobPhase) {
-	m.answeredAt, m.answer, m.phase = at, a, p
-}
-
-// porcupineHistory makes operations that end by end of the moves. A call may reach the store more than once (dplanes send
-// again, the network doubles) and late, so each submit and cancel also counts as one without an answer, from its call
-// to the end. Of those that are equal the earliest is enough, as a second one changes nothing.
-func porcupineHistory(operations []*operation, end time.Duration) (out []porcupine.Operation) {
-	type kind struct {
-		key, digest string
-		act         operationKind
+		var cancelled command.Cancelled
+		must(json.Unmarshal(raw, &cancelled))
+		op.observe(at, answerPhase, cancelled.Phase)
 	}
-	loose := map[kind]bool{}
-	add := func(m *operation, back time.Duration) {
-		out = append(out, porcupine.Operation{Input: m, Call: int64(m.calledAt), Output: m, Return: int64(back)})
-	}
-	for _, m := range operations { // in the order of their calls
-		if m.answer != "" {
-			add(m, m.answeredAt)
-		}
-		k := kind{m.key, m.digest, m.kind}
-		if m.kind != opPoll && !loose[k] {
-			loose[k] = true
-			add(&operation{key: m.key, kind: m.kind, digest: m.digest, calledAt: m.calledAt}, end)
-		}
-	}
-	return out
 }
 
-// registerOperators is what the answers up to a point tell of a job: its digest ("" while absent), the phase it has reached at
-// least, and whether a cancel took effect. Between answers a job may move on by itself, never back.
-type jobModel struct {
-	digest        string
-	phase         state.JobPhase // "" after a cancel without an answer: stopping or over
-	cancelApplied bool
+// observe records a certain answer.
+func (op *operation) observe(at time.Duration, answer answerKind, phase state.JobPhase) {
+	op.answeredAt, op.answer, op.phase = at, answer, phase
 }
 
-var phaseRank = map[state.JobPhase]int{state.JobAccepted: 0, state.JobRunning: 1, state.JobStopping: 2, "": 2, state.JobDone: 3,
-	state.JobFailed: 3, state.JobCancelled: 3}
+// clientHistory is what clients asked and were answered, in the order of the calls. It draws no random number and makes
+// no event.
+type clientHistory struct{ operations []*operation }
 
-// observe tells whether a job may stand at p now, and what is known then.
-func (k jobModel) observe(p state.JobPhase) (bool, jobModel) {
-	r, ok := phaseRank[p]
-	switch {
-	case !ok || p == "" || k.digest == "" || r < phaseRank[k.phase]:
-		return false, k
-	case k.phase.IsTerminal() && p != k.phase: // an outcome stays
-		return false, k
-	case k.phase == state.JobStopping && p == state.JobDone: // it was not done when it was stopped
-		return false, k
-	case p == state.JobCancelled && !k.cancelApplied:
-		return false, k
-	}
-	k.phase = p
-	return true, k
+// called records a call; it has no certain answer until complete or observe is called.
+func (h *clientHistory) called(at time.Duration, key string, kind operationKind, digest string) *operation {
+	op := &operation{key: key, kind: kind, digest: digest, calledAt: at}
+	h.operations = append(h.operations, op)
+	return op
 }
 
-// afterCancel is what is known after a cancel took effect.
-func (k jobModel) afterCancel() jobModel {
-	if k.digest == "" {
-		return k
-	}
-	k.cancelApplied = true
-	if phaseRank[k.phase] < phaseRank[state.JobStopping] {
-		k.phase = ""
-	}
-	return k
-}
-
-func (k jobModel) step(m *operation) (bool, jobModel) {
-	switch m.kind {
-	case opSubmit:
-		fresh := k
-		if k.digest == "" {
-			fresh = jobModel{digest: m.digest, phase: state.JobAccepted}
-		}
-		switch m.answer {
-		case "":
-			return true, fresh
-		case answerFresh:
-			if k.digest != "" {
-				return false, k
-			}
-			return fresh.observe(m.phase)
-		case answerSame:
-			if k.digest != m.digest {
-				return false, k
-			}
-			return k.observe(m.phase)
-		case answerConflict:
-			return k.digest != "" && k.digest != m.digest, k
-		case answerOverloaded:
-			return k.digest == "", k
-		}
-	case opPoll:
-		if m.answer == answerUnknown {
-			return k.digest == "", k
-		}
-		return k.observe(m.phase)
-	case opCancel:
-		switch m.answer {
-		case "":
-			return true, k.afterCancel()
-		case answerUnknown:
-			return k.digest == "", k
-		case answerPhase:
-			return k.afterCancel().observe(m.phase)
+// check checks at the end of a run whether the answers are linearizable by the model (invariant: linear).
+func (h *clientHistory) check(s *sim) {
+	for _, op := range h.operations {
+		if op.answer == "" {
+			s.report.Counts["consumer calls without a certain answer"]++
+			continue
 		}
+		s.countCase("linear")
+		s.report.Counts["consumer answers: "+string(op.kind)+" "+string(op.answer)]++
+	}
+	if key := firstNonlinearizable(h.operations, s.now+1); key != "" {
+		ofKey := slices.DeleteFunc(slices.Clone(h.operations), func(op *operation) bool { return op.key != key })
+		s.reportBreach("linear", "no order explains the answers about %s: %v", key, ofKey)
 	}
-	return false, k
-}
-
-var model = porcupine.Model{
-	Partition: func(all []porcupine.Operation) (out [][]porcupine.Operation) {
-		at := map[string]int{}
-		for _, op := range all {
-			key := op.Input.(*operation).key
-			i, ok := at[key]
-			if !ok {
-				i = len(out)
-				at[key], out = i, append(out, nil)
-			}
-			out[i] = append(out[i], op)
-		}
-		return out
-	},
-	Init: func() any { return jobModel{} },
-	Step: func(k, in, _ any) (bool, any) { return k.(jobModel).step(in.(*operation)) },
 }
 
-// firstNonlinearizable gives the first key whose moves no order of single steps explains, "" if there is none. Example:
+// firstNonlinearizable is the first key whose operations no order of single steps explains; "" if there is none. Example:
 //
-//	key := check(moves, time.Minute) // moves in the order of their calls, all of them before the minute
+//	key := firstNonlinearizable(operations, time.Minute) // in the order of their calls, all before the minute
 func firstNonlinearizable(operations []*operation, end time.Duration) string {
-	all := porcupineHistory(operations, end)
-	if porcupine.CheckOperations(model, all) {
+	history := porcupineHistory(operations, end)
+	if porcupine.CheckOperations(model, history) {
 		return ""
 	}
-	for _, part := range model.Partition(all) { // one by one, so that the same key is named every time
+	for _, part := range model.Partition(history) { // one by one, so that the same key is named every time
 		if !porcupine.CheckOperations(model, part) {
 			return part[0].Input.(*operation).key
 		}
@@ -230,18 +124,28 @@
 	return ""
 }
 
-// checkAccounts holds what clients were told against the model.
-func (l *clientHistory) check(s *sim) {
-	for _, m := range l.operations {
-		if m.answer == "" {
-			s.report.Counts["consumer calls without a certain answer"]++
-			continue
-		}
-		s.countCase("linear")
-		s.report.Counts["consumer answers: "+string(m.kind)+" "+string(m.answer)]++
+// porcupineHistory makes the checker's operations, which end at end at the latest. A call may reach the store more than
+// once (data-plane nodes retry, the network duplicates) and late, so each submit and cancel also counts as one without an
+// answer, from its call to the end. Of those that are equal the earliest is enough, as a second one changes nothing.
+func porcupineHistory(operations []*operation, end time.Duration) (history []porcupine.Operation) {
+	type effect struct {
+		key, digest string
+		kind        operationKind
+	}
+	repeatable := map[effect]bool{}
+	add := func(op *operation, answeredAt time.Duration) {
+		history = append(history, porcupine.Operation{Input: op, Call: int64(op.calledAt),
+			Output: op, Return: int64(answeredAt)})
 	}
-	if key := firstNonlinearizable(l.operations, s.now+1); key != "" {
-		of := slices.DeleteFunc(slices.Clone(l.operations), func(m *operation) bool { return m.key != key })
-		s.reportBreach("linear", "no order explains the answers about %s: %v", key, of)
+	for _, op := range operations {
+		if op.answer != "" {
+			add(op, op.answeredAt)
+		}
+		e := effect{op.key, op.digest, op.kind}
+		if op.kind != opPoll && !repeatable[e] {
+			repeatable[e] = true
+			add(&operation{key: op.key, kind: op.kind, digest: op.digest, calledAt: op.calledAt}, end)
+		}
 	}
+	return history
 }
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -5,89 +5,90 @@
 	"io"
 	"maps"
 	"slices"
+	"sync/atomic"
 	"time"
 
 	"crosstide/internal/errs"
 	"crosstide/internal/routine"
 )
 
-// RunSeeds runs the seeds from..to, width at once, each on one thread, and gives their reports in order of seeds. After
-// many breaches no further seed is begun (0: all are run); the reports of those have no events.
-func RunSeeds(opt Options, from, to uint64, width, many int) []Report {
-	out := make([]Report, to-from+1)
-	bad := make(chan struct{}, len(out))
-	routine.Each(len(out), width, func(i int) {
-		o := opt
-		o.Seed = from + uint64(i)
-		if many > 0 && len(bad) >= many {
-			out[i].Seed = o.Seed
+// RunSeeds runs the seeds from..to, width at once, each on one goroutine, and returns their reports in the order of the
+// seeds. After maxBreaches no further seed is begun (0: all are run); the reports of those have no events.
+func RunSeeds(options Options, from, to uint64, width, maxBreaches int) []Report {
+	reports := make([]Report, to-from+1)
+	var breaches atomic.Int64
+	routine.Each(len(reports), width, func(i int) {
+		seeded := options
+		seeded.Seed = from + uint64(i)
+		if maxBreaches > 0 && breaches.Load() >= int64(maxBreaches) {
+			reports[i].Seed = seeded.Seed
 			return
 		}
-		if out[i] = Run(o); out[i].Breach != nil {
-			bad <- struct{}{}
+		if reports[i] = Run(seeded); reports[i].Breach != nil {
+			breaches.Add(1)
 		}
 	})
-	return out
+	return reports
 }
 
 // Summary is what a set of runs showed together.
 type Summary struct {
 	Seeds, Broken                          int
 	Events                                 uint64
-	Promise, Faults, Counts                map[string]uint64
-	Breaches                               []Report
-	UnexercisedPromises, UnexercisedFaults []string
-	Resumes, CalmResumes, Attached         []time.Duration // see Report
+	Promise, Faults, Counts                map[string]uint64 // see Report
+	Breaches                               []Report          // those of the broken seeds
+	UnexercisedPromises, UnexercisedFaults []string          // that were wanted and of which there was no case
+	Resumes, CalmResumes, Attached         []time.Duration   // see Report
 }
 
-// Summarize sums up reports. wanted are the faults that must have been made.
+// Summarize adds up reports. wanted are the faults of which there must be cases.
 func Summarize(reports []Report, wanted []string) Summary {
 	s := Summary{Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
 	for _, r := range reports {
-		if r.Events == 0 {
-			continue
-		}
-		s.Seeds++
-		s.Events += r.Events
-		for k, n := range r.Promise {
-			s.Promise[k] += n
-		}
-		for k, n := range r.Faults {
-			s.Faults[k] += n
-		}
-		for k, n := range r.Counts {
-			s.Counts[k] += n
-		}
-		s.Resumes, s.CalmResumes = append(s.Resumes, r.Resumes...), append(s.CalmResumes, r.CalmResumes...)
-		s.Attached = append(s.Attached, r.Attached...)
-		if r.Breach != nil {
-			s.Broken++
-			s.Breaches = append(s.Breaches, r)
+		if r.Events > 0 {
+			s.add(r)
 		}
 	}
-	for _, p := range Promises {
-		if s.Promise[p] == 0 {
-			s.UnexercisedPromises = append(s.UnexercisedPromises, p)
-		}
-	}
-	for _, f := range wanted {
-		if s.Faults[faultCounter(f)] == 0 {
-			s.UnexercisedFaults = append(s.UnexercisedFaults, f)
+	s.Require(Promises)
+	for _, name := range wanted {
+		if s.Faults[faultCounter(name)] == 0 {
+			s.UnexercisedFaults = append(s.UnexercisedFaults, name)
 		}
 	}
 	return s
 }
 
-// Require adds promises that must have been exercised.
+func (s *Summary) add(r Report) {
+	s.Seeds++
+	s.Events += r.Events
+	addCounts(s.Promise, r.Promise)
+	addCounts(s.Faults, r.Faults)
+	addCounts(s.Counts, r.Counts)
+	s.Resumes = append(s.Resumes, r.Resumes...)
+	s.CalmResumes = append(s.CalmResumes, r.CalmResumes...)
+	s.Attached = append(s.Attached, r.Attached...)
+	if r.Breach != nil {
+		s.Broken++
+		s.Breaches = append(s.Breaches, r)
+	}
+}
+
+func addCounts(to, from map[string]uint64) {
+	for name, n := range from {
+		to[name] += n
+	}
+}
+
+// Require adds invariants of which there must be cases.
 func (s *Summary) Require(promises []string) {
-	for _, p := range promises {
-		if s.Promise[p] == 0 {
-			s.UnexercisedPromises = append(s.UnexercisedPromises, p)
+	for _, promise := range promises {
+		if s.Promise[promise] == 0 {
+			s.UnexercisedPromises = append(s.UnexercisedPromises, promise)
 		}
 	}
 }
 
-// Print prints a sum: a line for each promise, fault and count, with how many cases there were.
+// Print prints a line for each invariant, fault and count, with how many cases there were, and for what took time.
 func (s Summary) Print(w io.Writer) error {
 	var err error
 	line := func(format string, args ...any) {
@@ -95,30 +96,29 @@
 			_, err = fmt.Fprintf(w, format+"\n", args...)
 		}
 	}
-	line("%d seeds, %d events, %d broken", s.Seeds, s.Events, s.Broken)
-	part := func(title string, m map[string]uint64) {
-		for _, k := range slices.Sorted(maps.Keys(m)) {
-			line("%-8s %9d  %s", title, m[k], k)
+	counts := func(title string, counts map[string]uint64) {
+		for _, name := range slices.Sorted(maps.Keys(counts)) {
+			line("%-8s %9d  %s", title, counts[name], name)
 		}
 	}
-	part("promise", s.Promise)
-	part("fault", s.Faults)
-	part("count", s.Counts)
-	for _, t := range []struct {
-		name  string
-		times []time.Duration
-	}{{"resumed after a top-up, under faults", s.Resumes}, {"resumed after a top-up, faults over", s.CalmResumes},
-		{"lasting task attached again", s.Attached}} {
-		if n := len(t.times); n > 0 {
-			slices.Sort(t.times)
-			line("time     %9d  %s: p50 %s, max %s", n, t.name, t.times[n/2], t.times[n-1])
+	times := func(title string, times []time.Duration) {
+		if n := len(times); n > 0 {
+			sorted := slices.Sorted(slices.Values(times))
+			line("time     %9d  %s: p50 %s, max %s", n, title, sorted[n/2], sorted[n-1])
 		}
 	}
-	for _, p := range s.UnexercisedPromises {
-		line("NOT EXERCISED promise %s", p)
+	line("%d seeds, %d events, %d broken", s.Seeds, s.Events, s.Broken)
+	counts("promise", s.Promise)
+	counts("fault", s.Faults)
+	counts("count", s.Counts)
+	times("resumed after a top-up, under faults", s.Resumes)
+	times("resumed after a top-up, faults over", s.CalmResumes)
+	times("lasting task attached again", s.Attached)
+	for _, promise := range s.UnexercisedPromises {
+		line("NOT EXERCISED promise %s", promise)
 	}
-	for _, f := range s.UnexercisedFaults {
-		line("NOT EXERCISED fault %s", f)
+	for _, fault := range s.UnexercisedFaults {
+		line("NOT EXERCISED fault %s", fault)
 	}
 	return errs.Wrap(err, errs.Disk, "print")
 }
