--- a/internal/testbed/policysim/billing_test.go
+++ b/internal/testbed/policysim/billing_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// Without the check of the balance in the commit of a start, the oracle must find a start that was not paid for.
+// Without the check of the balance in the commit of a start, the checker must find a start that was not paid for.
 func TestMissingBalanceCheck(t *testing.T) {
 	Convey("A start that the balance does not cover is found", t, func() {
 		sum := Summarize(RunSeeds(Options{FaultPeriod: 20 * time.Second, WithoutGuard: "balance"}, 1, 6, 2, 0), nil)
--- a/internal/testbed/policysim/billingscenario.go
+++ b/internal/testbed/policysim/billingscenario.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"maps"
 	"slices"
 	"time"
 
@@ -14,8 +13,8 @@
 	"crosstide/internal/state/command"
 )
 
-// The two parties of a run with balances: payer runs dry again and again, rich never does. Team freeTeam is paid for by
-// nobody.
+// The two parties of a run with Options.Parties: the account of limitedParty is exhausted again and again, that of
+// unlimitedParty never. Nobody pays for freeTeam.
 const (
 	limitedParty   = "acme"
 	unlimitedParty = "blue"
@@ -24,45 +23,39 @@
 	freeTeam       = "t"
 )
 
-// Detail the parties pay, in units.
+// partyOf is who pays for a team.
+var partyOf = map[string]string{limitedTeam: limitedParty, unlimitedTeam: unlimitedParty}
+
+// What the parties pay, in units.
 const (
-	corePrice      = 10 // a second of a core
-	paidWindow     = 5 * time.Second
-	amplePayment   = 1_000_000_000
-	maxLongRunning = 2 // lasting jobs of the payer at once
+	corePrice    = 10 // a second of a core
+	paidWindow   = 5 * time.Second
+	amplePayment = 1_000_000_000
 )
 
+// partiesBundle puts the parties in force, with the prices above.
 const partiesBundle = `{"queues":{"default":{}},"backoff":{"min":"200ms","max":"30s"},"parties":{` +
-	`"acme":{"teams":["a"],"price":{"core":10},"reserve":"5s"},"blue":{"teams":["b"],"price":{"core":10},"reserve":"5s"}}}`
+	`"acme":{"teams":["a"],"price":{"core":10},"reserve":"5s"},` +
+	`"blue":{"teams":["b"],"price":{"core":10},"reserve":"5s"}}}`
 
-const (
-	resumeTimeout   = time.Second      // from the yes to a top-up until work goes on, once the faults are over
-	reattachTimeout = 10 * time.Second // from the loss of a lasting task's minion until it runs again, the same
-)
+// maxLongRunning is how many long-running jobs of limitedTeam are open at most.
+const maxLongRunning = 2
 
-// lastTopUpAfter is from the quiet part's begin to the top-up that lasts.
+// lastTopUpAfter is from the begin of the quiet tail to the top-up after which the account is not exhausted any more.
 const lastTopUpAfter = 22 * time.Second
 
-// paidUpDelay is how long after the faults the payer is topped up for good: what waits for money has its time from there.
-func (b *billingScenario) paidUpDelay() time.Duration {
-	if b == nil {
-		return 0
-	}
-	return recoveryTime + lastTopUpAfter
-}
-
-// billingScenario is what the people do with balances.
+// billingScenario is what clients and operators do in a run with Options.Parties. billingChecker checks it. The methods
+// that a run calls in any case take a nil scenario.
 type billingScenario struct {
 	sim             *sim
-	keys            map[string]signature.Key
-	ready           bool // parties are in force and their accounts open
-	lastNumber      int
+	keys            map[string]signature.Key // of the operators, by name
+	ready           bool                     // parties are in force and their accounts open
+	lastNumber      int                      // in the keys of top-ups and long-running jobs
 	longRunningJobs []*clientJob
-	*billingChecker
 }
 
 func newBillingScenario(s *sim) *billingScenario {
-	b := &billingScenario{sim: s, keys: map[string]signature.Key{}, billingChecker: newBillingChecker(s)}
+	b := &billingScenario{sim: s, keys: map[string]signature.Key{}}
 	for _, name := range []string{"ada", "ben"} {
 		key, err := signature.New(name)
 		must(err)
@@ -71,49 +64,68 @@
 	return b
 }
 
-// start makes the operators known, puts the parties in force and opens their accounts.
+// paidUpDelay is how long after the faults limitedParty is topped up for good: what waits for payment has its time from
+// there.
+func (b *billingScenario) paidUpDelay() time.Duration {
+	if b == nil {
+		return 0
+	}
+	return recoveryTime + lastTopUpAfter
+}
+
+// start registers the operators, puts the parties in force and opens their accounts.
 func (b *billingScenario) start() {
 	if b == nil {
 		return
 	}
-	p := b.sim.clients
+	s := b.sim
 	public := map[string]string{}
 	for name, key := range b.keys {
 		public[name] = key.Public()
 	}
+	orders := b.setUpOrders()
+	b.registerOperators(&command.SetOperators{Operators: public}, func() {
+		s.clients.sendInOrder(orders, func() {
+			b.ready = true
+			s.trace("parties are in force")
+			b.submitLongRunning()
+			b.topUpPeriodically()
+		})
+	})
+	s.schedule(100*time.Millisecond, s.billingChecker.checkDeadlines)
+	s.schedule(s.options.FaultPeriod+recoveryTime, b.scheduleQuietTail)
+}
+
+func (b *billingScenario) setUpOrders() []command.Command {
 	body := []byte(partiesBundle)
 	digest := signature.Digest(body)
+	sign := func(order, operator string) command.Command {
+		return &command.SignBundle{Order: order, Version: 2, Digest: digest, By: operator,
+			Sig: b.keys[operator].Sign(signature.Bundle(2, digest))}
+	}
 	credit := int64(0)
 	if b.sim.options.WithoutGuard == "balance" {
 		credit = amplePayment
 	}
-	orders := []command.Command{
-		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)), Body: body},
-		&command.SignBundle{Order: "sign1", Version: 2, Digest: digest, By: "ada", Sig: b.keys["ada"].Sign(signature.Bundle(2, digest))},
-		b.openAccount(limitedParty, credit), b.openAccount(unlimitedParty, 0), b.topUp(unlimitedParty, amplePayment), b.topUp(limitedParty, 300),
-		&command.SignBundle{Order: "sign2", Version: 2, Digest: digest, By: "ben", Sig: b.keys["ben"].Sign(signature.Bundle(2, digest))},
+	return []command.Command{
+		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)),
+			Body: body},
+		sign("sign1", "ada"),
+		b.openAccount(limitedParty, credit), b.openAccount(unlimitedParty, 0),
+		b.topUp(unlimitedParty, amplePayment), b.topUp(limitedParty, 300),
+		sign("sign2", "ben"),
 	}
-	b.registerOperators(&command.SetOperators{Operators: public}, func() {
-		p.sendInOrder(orders, func() {
-			b.ready = true
-			b.sim.trace("parties are in force")
-			b.submitLongRunning()
-			b.topUpPeriodically()
-		})
-	})
-	b.sim.schedule(100*time.Millisecond, b.checkDeadlines)
-	b.sim.schedule(b.sim.options.FaultPeriod+recoveryTime, b.scheduleQuietTail)
 }
 
-// registerOperators makes the operators known; a second time it is a conflict.
+// registerOperators makes the operators known to the store; a second time it is a conflict.
 func (b *billingScenario) registerOperators(keys command.Command, done func()) {
-	p := b.sim.clients
-	p.operator.propose(keys, p.Now()+orderTimeout, func(_ json.RawMessage, err error) {
+	c := b.sim.clients
+	c.operator.propose(keys, c.Now()+orderTimeout, func(_ json.RawMessage, err error) {
 		if err == nil || errs.Is(err, errs.Conflict) {
 			done()
 			return
 		}
-		p.after(200*time.Millisecond, func() { b.registerOperators(keys, done) })
+		c.after(200*time.Millisecond, func() { b.registerOperators(keys, done) })
 	})
 }
 
@@ -123,13 +135,15 @@
 		Sig: b.keys["ada"].Sign(signature.AccountCreate(order, name, credit))}
 }
 
-func (b *billingScenario) topUp(name string, amount int64) command.Command {
+func (b *billingScenario) topUp(name string, amount int64) *command.AccountTopUp {
 	b.lastNumber++
 	key := fmt.Sprintf("top-up-%d", b.lastNumber)
-	return &command.AccountTopUp{Account: name, Key: key, Amount: amount, By: "ben", Sig: b.keys["ben"].Sign(signature.AccountTopUp(key, name, amount))}
+	return &command.AccountTopUp{Account: name, Key: key, Amount: amount, By: "ben",
+		Sig: b.keys["ben"].Sign(signature.AccountTopUp(key, name, amount))}
 }
 
-// signedEvacuation makes the commands that evacuate a zone or lift that: once there are operators they sign.
+// signedEvacuation is the commands that evacuate a zone or lift that: once there are operators they sign, and two are
+// needed to lift.
 func (b *billingScenario) signedEvacuation(z command.EvacuateZone) []command.Command {
 	if b == nil {
 		return []command.Command{&z}
@@ -160,7 +174,8 @@
 	return freeTeam
 }
 
-// topUpPeriodically tops the payer up now and then with about what it needs, so that it is dry for a good part of the time.
+// topUpPeriodically tops limitedParty up now and then with about what it needs, so that its account is exhausted for a
+// good part of the time.
 func (b *billingScenario) topUpPeriodically() {
 	s := b.sim
 	if s.faultsOver {
@@ -170,48 +185,55 @@
 	s.clients.after(s.between(time.Second, 9*time.Second), b.topUpPeriodically)
 }
 
-// topUpLimited tops the payer up; now and then the leader is killed meanwhile.
+// topUpLimited tops limitedParty up; now and then the leader of the store is killed meanwhile.
 func (b *billingScenario) topUpLimited(amount int64) {
 	s := b.sim
 	if s.chance(0.25) {
 		b.killLeader("leader killed at a top-up", s.between(0, 20*time.Millisecond))
 	}
-	cmd := b.topUp(limitedParty, amount)
-	s.clients.sendOrder(cmd, nil, func() { b.observeTopUpAnswer(cmd.(*command.AccountTopUp)) })
+	topUp := b.topUp(limitedParty, amount)
+	s.clients.sendOrder(topUp, nil, func() { s.billingChecker.observeTopUpAnswer(topUp) })
+}
+
+// topUpLimitedTo tops limitedParty up to about so much above zero.
+func (b *billingScenario) topUpLimitedTo(amount int64) {
+	if account := b.sim.billingChecker.account(limitedParty); account != nil {
+		b.topUpLimited(max(0, -account.Balance) + amount)
+	}
 }
 
-// killLeader ends the leader of the store, and starts it again.
-func (b *billingScenario) killLeader(what string, in time.Duration) {
+// killLeader ends the leader of the store after a while, and starts it again. name is that of the fault.
+func (b *billingScenario) killLeader(name string, in time.Duration) {
 	s := b.sim
 	if s.faultsOver || !s.faults.enabled["kill"] {
 		return
 	}
 	s.schedule(in, func() {
-		for _, c := range s.controlPlanes {
-			if c.alive && c.driver != nil && c.driver.Core() != nil && c.driver.Core().Status().Role == raft.Leader {
-				s.report.Faults[what]++
-				s.trace("fault %s: %s", what, c.addr)
-				c.crash(s.chance(0.5))
-				s.schedule(s.faults.drawDuration(), c.restart)
-				return
-			}
+		i := slices.IndexFunc(s.controlPlanes, func(c *controlPlane) bool {
+			return c.alive && c.driver != nil && c.driver.Core() != nil && c.driver.Core().Status().Role == raft.Leader
+		})
+		if i < 0 {
+			return
 		}
+		c := s.controlPlanes[i]
+		s.report.Faults[name]++
+		s.trace("fault %s: %s", name, c.addr)
+		c.crash(s.chance(0.5))
+		s.schedule(s.faults.drawDuration(), c.restart)
 	})
 }
 
-// submitLongRunning hands lasting jobs in, and cancels them after a while.
+// submitLongRunning submits long-running jobs, and cancels some after a while.
 func (b *billingScenario) submitLongRunning() {
 	s := b.sim
 	if s.faultsOver {
 		return
 	}
-	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs, func(j *clientJob) bool { return j.abandoned || j.outcome != "" })
+	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs,
+		func(j *clientJob) bool { return j.abandoned || j.outcome != "" })
 	if len(b.longRunningJobs) < maxLongRunning {
-		b.lastNumber++
-		j := &clientJob{sentAt: s.now, spec: state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
-			Steps: []state.StepSpec{{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true, Run: json.RawMessage(`{"ms":-1}`)}}}}
-		s.clients.jobs = append(s.clients.jobs, j)
-		s.checker.jobs[j.spec.Key] = j
+		j := &clientJob{spec: b.longRunningSpec(), sentAt: s.now}
+		s.clients.add(j)
 		b.longRunningJobs = append(b.longRunningJobs, j)
 		s.clients.submit(j, 0)
 		if s.chance(0.5) {
@@ -221,7 +243,15 @@
 	s.clients.after(s.between(time.Second, 5*time.Second), b.submitLongRunning)
 }
 
-// cancelledAt cancels a job once it is accepted.
+func (b *billingScenario) longRunningSpec() state.Spec {
+	b.lastNumber++
+	step := state.StepSpec{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true,
+		Run: json.RawMessage(`{"ms":-1}`)}
+	return state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
+		Steps: []state.StepSpec{step}}
+}
+
+// cancel cancels a job once it is accepted.
 func (b *billingScenario) cancel(j *clientJob) {
 	switch {
 	case j.abandoned || j.cancelRequested:
@@ -232,10 +262,10 @@
 	}
 }
 
-// scheduleQuietTail plays the end when nothing else goes wrong any more: the payer is dry, a lasting task's minion is lost, two
-// top-ups come that do not last, then one that does; at last the lasting jobs are cancelled.
+// scheduleQuietTail schedules the end, when nothing else goes wrong any more: the account of limitedParty is exhausted
+// and a long-running task loses its worker, two top-ups come that are used up, then one that is not; at last the
+// long-running jobs are cancelled.
 func (b *billingScenario) scheduleQuietTail() {
-	s := b.sim
 	for _, step := range []struct {
 		in time.Duration
 		do func()
@@ -250,18 +280,11 @@
 			}
 		}},
 	} {
-		s.clients.after(step.in, step.do)
-	}
-}
-
-// topUpLimitedTo tops the payer up to about so much above zero.
-func (b *billingScenario) topUpLimitedTo(amount int64) {
-	if a := b.account(limitedParty); a != nil {
-		b.topUpLimited(max(0, -a.Balance) + amount)
+		b.sim.clients.after(step.in, step.do)
 	}
 }
 
-// killLongRunningWorker ends the minion of a lasting run; it comes back soon.
+// killLongRunningWorker ends the worker of a long-running task; it comes back soon.
 func (b *billingScenario) killLongRunningWorker() {
 	s := b.sim
 	for _, r := range s.checker.running {
@@ -270,82 +293,9 @@
 			continue
 		}
 		s.trace("%s, which runs %v, is ended", r.worker.addr, r.ref)
-		b.pendingAttachments = append(b.pendingAttachments, attachment{ref: r.ref, after: r.runID, since: s.now, exhausted: !b.covers(limitedParty, corePrice*5)})
-		m := r.worker
-		m.kill()
-		s.schedule(500*time.Millisecond, m.restart)
+		s.billingChecker.expectAttachment(r)
+		r.worker.kill()
+		s.schedule(500*time.Millisecond, r.worker.restart)
 		return
 	}
 }
-
-func (b *billingScenario) covers(name string, cost int64) bool {
-	return b.sim.checker.reference.Accounts.Covers(name, cost)
-}
-
-// checkDeadlines judges what must happen in time.
-func (b *billingScenario) checkDeadlines() {
-	b.sim.schedule(100*time.Millisecond, b.checkDeadlines)
-	b.checkResume()
-	b.checkAttached()
-}
-
-// payable tells whether a due task needs no top-up: nobody pays for it, or the balance covers it and is not kept for one
-// that comes before it.
-func (b *billingScenario) payable(j *state.Job, ref state.TaskRef) bool {
-	if b == nil {
-		return true
-	}
-	ref0 := b.sim.checker.reference
-	fee := ref0.Fee(j, ref)
-	if fee.Party == "" {
-		return true
-	}
-	fee.Cost *= dueTogether(j, ref.Step)
-	if !ref0.Covers(fee) {
-		return false
-	}
-	for _, key := range b.sim.checker.runningJobs() {
-		if older := ref0.Jobs[key]; older.Seq < j.Seq && b.hasUncoveredTask(older, fee.Party) {
-			return false
-		}
-	}
-	return true
-}
-
-// dueTogether is how many due tasks of a step start together.
-func dueTogether(j *state.Job, step int) int64 {
-	if !j.Spec.Steps[step].Gang {
-		return 1
-	}
-	due := int64(0)
-	for i := range j.Tasks[step] {
-		if j.Tasks[step][i].Phase == state.TaskDue {
-			due++
-		}
-	}
-	return due
-}
-
-// hasUncoveredTask tells whether a job has a due task that its party's balance does not cover.
-func (b *billingScenario) hasUncoveredTask(j *state.Job, party string) bool {
-	o := b.sim.checker
-	if o.reference.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
-		return false
-	}
-	for i := range j.Tasks {
-		for k := range j.Tasks[i] {
-			ref := state.TaskRef{Job: j.Spec.Key, Step: i, Task: k}
-			if j.Tasks[i][k].Phase != state.TaskDue || b.sim.now < o.dueAt[ref] {
-				continue
-			}
-			fee := o.reference.Fee(j, ref)
-			fee.Cost *= dueTogether(j, i)
-			if !o.reference.Covers(fee) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/testbed/policysim/checklinearizability.go
+++ b/internal/testbed/policysim/checklinearizability.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// firstNonlinearizable is the first key whose operations no order of single steps explains; "" if there is none. Example:
+// firstNonlinearizable is the first key whose operations no order of single steps explains; "" if there is none.
+// Example:
 //
 //	key := firstNonlinearizable(operations, time.Minute) // in the order of their calls, all before the minute
 func firstNonlinearizable(operations []*operation, end time.Duration) string {
@@ -125,8 +126,8 @@
 }
 
 // porcupineHistory makes the checker's operations, which end at end at the latest. A call may reach the store more than
-// once (data-plane nodes retry, the network duplicates) and late, so each submit and cancel also counts as one without an
-// answer, from its call to the end. Of those that are equal the earliest is enough, as a second one changes nothing.
+// once (data-plane nodes retry, the network duplicates) and late, so each submit and cancel also counts as one without
+// an answer, from its call to the end. Of those that are equal the earliest is enough, as a second one changes nothing.
 func porcupineHistory(operations []*operation, end time.Duration) (history []porcupine.Operation) {
 	type effect struct {
 		key, digest string
--- a/internal/testbed/policysim/checklog.go
+++ b/internal/testbed/policysim/checklog.go
@@ -82,7 +82,7 @@
 	if e.Kind != raft.Normal {
 		data = nil
 	}
-	s.billing.apply(data, func() {
+	s.billingChecker.apply(data, func() {
 		_, _ = command.Apply(ic.reference, e.Index, e.Term, data) // its fault is an outcome
 	})
 }
--- a/internal/testbed/policysim/checkprogress.go
+++ b/internal/testbed/policysim/checkprogress.go
@@ -1,6 +1,7 @@
 package policysim
 
 import (
+	"iter"
 	"slices"
 	"time"
 
@@ -42,10 +43,8 @@
 func (ic *invariantChecker) checkIdle() {
 	for _, key := range ic.runningJobs() {
 		j := ic.reference.Jobs[key]
-		for i := range j.Tasks {
-			for k := range j.Tasks[i] {
-				ic.checkIdleTask(j, state.TaskRef{Job: key, Step: i, Task: k})
-			}
+		for ref := range tasksOf(j) {
+			ic.checkIdleTask(j, ref)
 		}
 	}
 }
@@ -119,13 +118,10 @@
 
 // firstPlaceable is the first due task of a job that the workers could run, were they empty.
 func (ic *invariantChecker) firstPlaceable(j *state.Job) (state.TaskRef, bool) {
-	for i, tasks := range j.Tasks {
-		for k := range tasks {
-			ref := state.TaskRef{Job: j.Spec.Key, Step: i, Task: k}
-			if tasks[k].Phase == state.TaskDue && ic.sim.now >= ic.dueAt[ref] && ic.sim.billing.payable(j, ref) &&
-				ic.fitsEmptyFleet(j, i) {
-				return ref, true
-			}
+	for ref := range tasksOf(j) {
+		isDue := j.Tasks[ref.Step][ref.Task].Phase == state.TaskDue && ic.sim.now >= ic.dueAt[ref]
+		if isDue && ic.sim.billingChecker.isPayable(j, ref) && ic.fitsEmptyFleet(j, ref.Step) {
+			return ref, true
 		}
 	}
 	return state.TaskRef{}, false
@@ -146,6 +142,19 @@
 	return have >= need
 }
 
+// tasksOf are the tasks of a job, in order.
+func tasksOf(j *state.Job) iter.Seq[state.TaskRef] {
+	return func(yield func(state.TaskRef) bool) {
+		for step := range j.Tasks {
+			for task := range j.Tasks[step] {
+				if !yield(state.TaskRef{Job: j.Spec.Key, Step: step, Task: task}) {
+					return
+				}
+			}
+		}
+	}
+}
+
 // runningJobs are the keys of the running jobs, in order.
 func (ic *invariantChecker) runningJobs() []string {
 	var out []string
@@ -160,7 +169,7 @@
 
 // isStartable tells whether a task is due, paid for, and a worker has capacity for it now.
 func (ic *invariantChecker) isStartable(j *state.Job, ref state.TaskRef) bool {
-	return ic.fitsNow(j, ref) && ic.sim.billing.payable(j, ref)
+	return ic.fitsNow(j, ref) && ic.sim.billingChecker.isPayable(j, ref)
 }
 
 // fitsNow tells whether a task is due and a worker has capacity for it now. A gang's never does: it needs several.
--- a/internal/testbed/policysim/checkruns.go
+++ b/internal/testbed/policysim/checkruns.go
@@ -136,8 +136,8 @@
 	switch e.Event {
 	case journal.Start:
 		ic.checkStart(w, e)
-		if t := ic.runIDs[e.RunID]; t != nil && ic.sim.billing != nil {
-			ic.sim.billing.observeStart(t.handle.Ref, e.RunID)
+		if t := ic.runIDs[e.RunID]; t != nil {
+			ic.sim.billingChecker.observeStart(t.handle.Ref, e.RunID)
 		}
 	case journal.Refuse:
 		ic.sim.report.Counts["refused: "+e.Reason]++
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -20,8 +20,8 @@
 const jobsPerCore = 4
 
 // clients are the clients and the operators (operators.go), as one process outside of all partitions. Clients submit
-// jobs, poll each until it has ended, and cancel some. What they are answered is checked as it comes, and at the end of a
-// run as a history.
+// jobs, poll each until it has ended, and cancel some. What they are answered is checked as it comes, and at the end of
+// a run as a history.
 type clients struct {
 	*process
 	jobs    []*clientJob
@@ -109,9 +109,10 @@
 func (c *clients) call(serve func(d *dataPlane, reply func(any, error)),
 	onAnswer func(d *dataPlane, answer any, err error)) {
 	d := pick(c.sim, c.sim.dataPlanes)
-	c.sim.request(request{from: c.process, addr: d.addr, timeout: clientTimeout, resendFor: clientTimeout, mayRepeat: true,
-		serve:    func(_ *process, reply func(any, error)) { serve(d, reply) },
-		onAnswer: func(a any, err error, _ bool) { onAnswer(d, a, err) }})
+	c.sim.request(request{from: c.process, addr: d.addr, timeout: clientTimeout, resendFor: clientTimeout,
+		mayRepeat: true,
+		serve:     func(_ *process, reply func(any, error)) { serve(d, reply) },
+		onAnswer:  func(a any, err error, _ bool) { onAnswer(d, a, err) }})
 }
 
 // propose calls any data-plane node that is to propose a command.
--- a/internal/testbed/policysim/controlplane.go
+++ b/internal/testbed/policysim/controlplane.go
@@ -84,7 +84,7 @@
 func (c *controlPlane) openStore() (*store.Store, error) {
 	s, generation := c.sim, c.generation
 	settings := config.DefaultControlPlane()
-	settings.Name, settings.Addr, settings.Zone, settings.Members = c.addr, c.addr, c.zone, s.members()
+	settings.Name, settings.Addr, settings.Zone, settings.Members = c.addr, c.addr, c.zone, initialMembers()
 	settings.SnapshotEvery, settings.KeepEnded, settings.KeepEndedFor = 40+s.rng.IntN(100), 10, 20*time.Second
 	opened, err := store.Open(store.Options{Settings: settings, Disk: c.disk, Net: directNetwork{controlPlane: c},
 		Seed: s.rng.Uint64() | 1, Clock: c.process,
--- a/internal/testbed/policysim/controlplanecalls.go
+++ b/internal/testbed/policysim/controlplanecalls.go
@@ -87,8 +87,8 @@
 	return raw
 }
 
-// directNetwork is the store's network for the calls that are made within one event. They fail as others do, but take no
-// time. The embedded interface is nil: the store makes no other call here.
+// directNetwork is the store's network for the calls that are made within one event. They fail as others do, but take
+// no time. The embedded interface is nil: the store makes no other call here.
 type directNetwork struct {
 	store.Net
 	controlPlane *controlPlane
@@ -98,7 +98,8 @@
 func (d directNetwork) reachable(addr string) (*controlPlane, error) {
 	s, from := d.controlPlane.sim, d.controlPlane.process
 	to := s.byAddr[addr]
-	if to == nil || !to.alive || to.frozen || s.blocked(from, to) || s.blocked(to, from) || s.chance(s.network.lossRate) {
+	if to == nil || !to.alive || to.frozen || s.blocked(from, to) || s.blocked(to, from) ||
+		s.chance(s.network.lossRate) {
 		return nil, errs.New(errs.Unavailable, "%s does not answer", addr)
 	}
 	return s.controlPlaneAt(to), nil
--- a/internal/testbed/policysim/controlplaneloop.go
+++ b/internal/testbed/policysim/controlplaneloop.go
@@ -20,8 +20,8 @@
 	c.after(10*time.Second, c.collectGarbage)
 }
 
-// advance runs one pass of the store and takes all that comes out of it to where it goes: messages, a batch for the disk,
-// snapshots, answers. Its steps are those of the daemon's goroutines, in a fixed order.
+// advance runs one pass of the store and takes all that comes out of it to where it goes: messages, a batch for the
+// disk, snapshots, answers. Its steps are those of the daemon's goroutines, in a fixed order.
 func (c *controlPlane) advance() {
 	if !c.alive || c.driver == nil {
 		return
@@ -58,7 +58,8 @@
 	})
 }
 
-// startSync lets a batch be on the disk after a while. Without the guard sync it is taken as stored at once, now and then.
+// startSync lets a batch be on the disk after a while. Without the guard sync it is taken as stored at once, now and
+// then.
 func (c *controlPlane) startSync(batch *store.DiskBatch) {
 	s := c.sim
 	c.batch = batch
--- a/internal/testbed/policysim/dataplanecalls.go
+++ b/internal/testbed/policysim/dataplanecalls.go
@@ -68,8 +68,8 @@
 	return kind == errs.Unavailable || kind == errs.Timeout || kind == errs.Stopped
 }
 
-// mayRetry tells whether another attempt may be made. harmless: the failed one surely had no effect, or a second effect is
-// none.
+// mayRetry tells whether another attempt may be made. harmless: the failed one surely had no effect, or a second effect
+// is none.
 func mayRetry(kind errs.Kind, harmless bool) bool {
 	return kind == errs.NotLeader || isUnanswered(kind) && harmless
 }
--- a/internal/testbed/policysim/dataplanerole.go
+++ b/internal/testbed/policysim/dataplanerole.go
@@ -10,7 +10,8 @@
 const claimInterval = 300 * time.Millisecond
 
 func (d *dataPlane) roleCall(epoch uint64, release bool) internalapi.ClaimRoleCall {
-	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.incarnationID, Epoch: epoch,
+	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.incarnationID,
+		Epoch:   epoch,
 		Release: release}
 }
 
@@ -41,8 +42,8 @@
 		}})
 }
 
-// acceptRole takes a lease of the role. A new epoch takes effect once the replica has reached its grant: before that the
-// node does not know all that its predecessors did. The lease counts from when the claim was sent.
+// acceptRole takes a lease of the role. A new epoch takes effect once the replica has reached its grant: before that
+// the node does not know all that its predecessors did. The lease counts from when the claim was sent.
 func (d *dataPlane) acceptRole(lease internalapi.RoleLease, sent time.Duration, again func()) {
 	d.grantedEpoch = lease.Epoch
 	guarded := d.sim.options.WithoutGuard != "rebuild"
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -105,7 +105,8 @@
 	}
 	if f.enabled["net"] {
 		s.network.lossRate, s.network.duplicateRate = s.rng.Float64()*0.02, s.rng.Float64()*0.05
-		s.network.delayRate, s.network.maxDelay = s.rng.Float64()*0.05, s.between(10*time.Millisecond, 1500*time.Millisecond)
+		s.network.delayRate, s.network.maxDelay = s.rng.Float64()*0.05,
+			s.between(10*time.Millisecond, 1500*time.Millisecond)
 		s.network.crossedAnswerRate = s.rng.Float64() * 0.005
 	}
 	for _, w := range s.workers {
--- a/internal/testbed/policysim/fleet.go
+++ b/internal/testbed/policysim/fleet.go
@@ -8,11 +8,11 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// build makes the fleet: 5 control-plane nodes, 3 data-plane nodes and 6 workers in 3 zones, and the clients. The order of
-// the steps, and of their draws, is part of every history.
+// build makes the fleet: 5 control-plane nodes, 3 data-plane nodes and 6 workers in 3 zones, and the clients. The order
+// of the steps, and of their draws, is part of every history.
 func (s *sim) build() {
 	s.clients = &clients{process: s.newProcess("people", "")}
-	for i, m := range s.members() {
+	for i, m := range initialMembers() {
 		machine := s.newProcess(m.Addr, zone(i))
 		s.controlPlanes = append(s.controlPlanes, &controlPlane{process: machine, disk: storage.NewMemDisk()})
 	}
@@ -24,7 +24,7 @@
 	}
 	s.checker = newInvariantChecker(s)
 	if s.options.Parties || s.options.WithoutGuard == "balance" {
-		s.billing = newBillingScenario(s)
+		s.billing, s.billingChecker = newBillingScenario(s), newBillingChecker(s)
 	}
 	s.clients.start()
 	for _, c := range s.controlPlanes {
@@ -54,8 +54,8 @@
 	return w
 }
 
-// members are the store's first members, one at each control-plane node.
-func (s *sim) members() (out []config.Member) {
+// initialMembers are the store's first members, one at each control-plane node.
+func initialMembers() (out []config.Member) {
 	for i := range 5 {
 		name := fmt.Sprintf("c%d", i)
 		out = append(out, config.Member{ID: name, Addr: name, Zone: zone(i)})
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -41,7 +41,7 @@
 			newestOrder: map[*worker]uint64{}},
 		dueTasks: dueTasks{dueAt: map[state.TaskRef]time.Duration{}, idleSince: map[state.TaskRef]time.Duration{}},
 	}
-	for _, m := range s.members() {
+	for _, m := range initialMembers() {
 		ic.members = append(ic.members, raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone})
 	}
 	ic.reference.Index, ic.reference.Term = 1, 1
--- a/internal/testbed/policysim/jobmodel.go
+++ b/internal/testbed/policysim/jobmodel.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/state"
 )
 
-// jobModel is what the answers up to a point tell of a job: its digest ("" while absent), the phase that it has reached at
-// least, and whether a cancel took effect. Between answers a job may move on by itself, never back.
+// jobModel is what the answers up to a point tell of a job: its digest ("" while absent), the phase that it has reached
+// at least, and whether a cancel took effect. Between answers a job may move on by itself, never back.
 type jobModel struct {
 	digest        string
 	phase         state.JobPhase // "" after a cancel without an answer: stopping or over
--- a/internal/testbed/policysim/network.go
+++ b/internal/testbed/policysim/network.go
@@ -88,8 +88,8 @@
 	resendFor time.Duration // how long the kernels resend
 	mayRepeat bool          // the call may arrive twice
 	serve     func(to *process, reply func(any, error))
-	// onAnswer is called once, if the caller lives so long: with the answer or a failure. sent: a byte of the call may have
-	// left.
+	// onAnswer is called once, if the caller lives so long: with the answer or a failure. sent: a byte of the call may
+	// have left.
 	onAnswer func(answer any, err error, sent bool)
 }
 
--- a/internal/testbed/policysim/operators.go
+++ b/internal/testbed/policysim/operators.go
@@ -12,8 +12,8 @@
 // orderTimeout is how long an operator waits for an answer.
 const orderTimeout = 5 * time.Second
 
-// sendOrder sends an operator's order until it is acknowledged, and then now and then once more (invariant: order once).
-// first is the answer that acknowledged it; nil before.
+// sendOrder sends an operator's order until it is acknowledged, and then now and then once more (invariant: order
+// once). first is the answer that acknowledged it; nil before.
 func (c *clients) sendOrder(cmd command.Command, first json.RawMessage, done func()) {
 	c.operator.propose(cmd, c.Now()+orderTimeout, func(answer json.RawMessage, err error) {
 		s := c.sim
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -5,9 +5,9 @@
 // beside each other.
 //
 // All decisions are made by the daemons' own code: raft.Core, store.Store (its steps taken by store.ManualDriver) on a
-// storage.MemDisk, state and command, replica.Replica, scheduler.Core, policyworker.Core. The glue of dataplane.Node and
-// of the worker's host is written anew here, as events instead of goroutines: a step that a daemon takes must be taken
-// here too. Nothing is measured here but time to recover; for load and real processes see the other testbeds.
+// storage.MemDisk, state and command, replica.Replica, scheduler.Core, policyworker.Core. The glue of dataplane.Node
+// and of the worker's host is written anew here, as events instead of goroutines: a step that a daemon takes must be
+// taken here too. Nothing is measured here but time to recover; for load and real processes see the other testbeds.
 //
 // Run loops over the events in order of time:
 //
@@ -18,8 +18,8 @@
 //		e.do()                              // a timer of a process (process.go), an arrival (network.go), a fault
 //	}
 //
-// Begin with simulation.go and invariants.go. The nodes are controlplane*.go, dataplane*.go and worker.go, what goes wrong
-// is faults.go, injections.go and directedfaults.go, what is checked is invariants.go and check*.go.
+// Begin with simulation.go and invariants.go. The nodes are controlplane*.go, dataplane*.go and worker.go, what goes
+// wrong is faults.go, injections.go and directedfaults.go, what is checked is invariants.go and check*.go.
 package policysim
 
 import (
--- a/internal/testbed/policysim/process.go
+++ b/internal/testbed/policysim/process.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/clock"
 )
 
-// process is a process on a machine of its own. It is the clock.Clock of the daemon that runs as it: its clock has its own
-// zero, and goes on while the process is frozen.
+// process is a process on a machine of its own. It is the clock.Clock of the daemon that runs as it: its clock has its
+// own zero, and goes on while the process is frozen.
 type process struct {
 	sim        *sim
 	addr       string
--- a/internal/testbed/policysim/simulation.go
+++ b/internal/testbed/policysim/simulation.go
@@ -66,7 +66,9 @@
 	clients       *clients
 	faults        *faultInjector
 	checker       *invariantChecker
-	billing       *billingScenario // nil without Options.Parties; its methods take that
+
+	billing        *billingScenario // nil without Options.Parties, as billingChecker is
+	billingChecker *billingChecker
 
 	faultsOver bool
 	report     Report
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -68,8 +68,9 @@
 func (w *worker) announce() {
 	s := w.sim
 	d := pick(s, s.dataPlanes)
-	s.request(request{from: w.process, addr: d.addr, timeout: 2 * time.Second, resendFor: 2 * time.Second, mayRepeat: true,
-		serve: func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announceWorker(w, reply) },
+	s.request(request{from: w.process, addr: d.addr, timeout: 2 * time.Second, resendFor: 2 * time.Second,
+		mayRepeat: true,
+		serve:     func(to *process, reply func(any, error)) { s.dataPlaneAt(to).announceWorker(w, reply) },
 		onAnswer: func(_ any, err error, _ bool) {
 			interval := 3 * time.Second
 			if err != nil {
