--- a/cmd/crosstide-controlplane/member.go
+++ b/cmd/crosstide-controlplane/member.go
@@ -22,14 +22,14 @@
 func renderMembers(t table, who operatorapi.Who) {
 	t.row("ID", "ADDR", "ZONE", "STANDS", "MATCH")
 	for _, member := range who.Members {
-		standing, match := votingRight(member), "-"
+		rights, match := votingRight(member), "-"
 		if who.Status != nil && who.Status.Raft.Match[member.ID] > 0 { // only the leader knows
 			match = fmt.Sprint(who.Status.Raft.Match[member.ID])
 		}
 		if who.Store == member.ID || strings.HasPrefix(member.ID, who.Store+"~") {
-			standing += ", leads"
+			rights += ", leads"
 		}
-		t.row(member.ID, member.Addr, member.Zone, standing, match)
+		t.row(member.ID, member.Addr, member.Zone, rights, match)
 	}
 }
 
--- a/cmd/crosstide-controlplane/openstore_test.go
+++ b/cmd/crosstide-controlplane/openstore_test.go
@@ -17,8 +17,9 @@
 	"crosstide/internal/store"
 )
 
-// damaged makes a folder whose slots are there and whose log is gone.
+// damaged makes a folder whose snapshots are there and whose log is gone.
 func damaged(t *testing.T) string {
+	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
 	disk, err := storage.OSDisk(dir)
 	So(err, ShouldBeNil)
@@ -37,7 +38,7 @@
 
 func TestDamagedFolder(t *testing.T) {
 	for _, open := range []bool{false, true} {
-		Convey("A node with a damaged folder begins anew and never founds", t, func() {
+		Convey("A node with a damaged folder joins anew and never bootstraps", t, func() {
 			dir := damaged(t)
 			settings := config.DefaultControlPlane()
 			settings.Name, settings.Addr, settings.Data, settings.OpenMembership = "10.0.0.1", "10.0.0.1:7000", dir, open
@@ -64,7 +65,7 @@
 			s.Stop()
 		})
 	}
-	Convey("A folder that cannot be made is no damaged one", t, func() {
+	Convey("A folder that cannot be made is not a damaged one", t, func() {
 		settings := config.DefaultControlPlane()
 		settings.Data = filepath.Join(damaged(t), "other", "data")
 		_, err := openTestStore(store.Options{Settings: settings})
--- a/cmd/crosstide-controlplane/platform_lease_test.go
+++ b/cmd/crosstide-controlplane/platform_lease_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestWorkerLease(t *testing.T) {
-	Convey("The lease rides out a loss of contact, a hold call and a pause between calls, within its bounds", t, func() {
+	Convey("The lease outlasts a loss of contact, a lease renewal and a pause between calls, within its bounds", t, func() {
 		cases := []struct{ contact, longest, lease time.Duration }{
 			{3 * time.Second, 10 * time.Second, 4500 * time.Millisecond},
 			{4 * time.Second, 6 * time.Second, 5500 * time.Millisecond},
@@ -26,7 +26,7 @@
 			So(config.RenewalWait, ShouldBeLessThanOrEqualTo, config.Lease/3)
 		}
 	})
-	Convey("Without a longest lease the scheduler's own holds", t, func() {
+	Convey("Without a longest lease the scheduler's own is used", t, func() {
 		So(schedulerSettings(platform.SchedulerSettings{}, time.Hour).Lease, ShouldEqual, scheduler.Defaults().Lease)
 	})
 }
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestStoreSettings(t *testing.T) {
-	Convey("A core node's settings are the store's, with the seeds as founders", t, func() {
+	Convey("A core node's settings are the store's, with the seeds as bootstrap members", t, func() {
 		settings := storeSettings(platform.CoreSettings{Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r",
 			DataFolder: "data", Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, Grace: 6 * time.Second})
 		So(settings.Members, ShouldResemble, []config.Member{{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"}})
--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-// send makes a request and gives the answer's status.
+// send makes a request and returns the answer's status.
 func send(method, url string) int {
 	request, err := http.NewRequest(method, url, nil)
 	So(err, ShouldBeNil)
@@ -38,7 +38,7 @@
 }
 
 func TestFrontOptions(t *testing.T) {
-	Convey("The platform's settings make a front node that passes clients' calls on and tells its readiness", t, func() {
+	Convey("The platform's settings make a front node that forwards clients' calls and answers its readiness", t, func() {
 		leader := startLeader()
 		core := platform.CoreSettings{ClientAddress: "10.0.0.1:80", ReadyAddress: "10.0.0.1:81", Seeds: []string{leader.Addr()},
 			Zone: "z", Grace: 3 * time.Second, Descriptors: 4000}
--- a/internal/testbed/policysim/checklinearizability_test.go
+++ b/internal/testbed/policysim/checklinearizability_test.go
@@ -17,11 +17,11 @@
 	poll := func(from int, p state.JobPhase) *operation { return at(from, from+1, opPoll, "", answerPhase, p) }
 	lost := at(3, 0, opCancel, "", "", "")
 	for _, c := range []struct {
-		name       string
-		operations []*operation
-		holds      bool
+		name         string
+		operations   []*operation
+		linearizable bool
 	}{
-		{"a plain life", []*operation{fresh, poll(3, state.JobRunning), poll(5, state.JobDone), poll(7, state.JobDone)}, true},
+		{"submitted, running, done", []*operation{fresh, poll(3, state.JobRunning), poll(5, state.JobDone), poll(7, state.JobDone)}, true},
 		{"a poll beside another", []*operation{fresh, at(3, 9, opPoll, "", answerPhase, state.JobRunning), poll(4, state.JobDone)}, true},
 		{"a stale poll after done", []*operation{fresh, poll(3, state.JobDone), poll(5, state.JobRunning)}, false},
 		{"accepted again after running", []*operation{fresh, poll(3, state.JobRunning), poll(5, state.JobAccepted)}, false},
@@ -54,7 +54,7 @@
 			other := *fresh
 			other.key = "other"
 			key := firstNonlinearizable(append([]*operation{&other}, c.operations...), 100)
-			So(key == "", ShouldEqual, c.holds)
+			So(key == "", ShouldEqual, c.linearizable)
 			So(key, ShouldNotEqual, "other")
 		})
 	}
--- a/internal/testbed/policysim/checkprogress_test.go
+++ b/internal/testbed/policysim/checkprogress_test.go
@@ -43,7 +43,7 @@
 			ic.checkPassedOverFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 		})
-		Convey("nor does it without a dplane", func() {
+		Convey("nor does it without a data-plane node", func() {
 			for _, d := range s.dataPlanes {
 				d.endIncarnation()
 			}
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -122,7 +122,7 @@
 	}, func(_ *dataPlane, answer any, err error) { onAnswer(answer, err) })
 }
 
-// submit submits a job, again and again until it is accepted or its client gives up.
+// submit submits a job, again and again until it is accepted or its client abandons it.
 func (c *clients) submit(j *clientJob, attempt int) {
 	cmd := &command.Submit{Spec: j.spec, Digest: "d-" + j.spec.Key, Bound: 10000}
 	op := c.history.called(c.sim.now, j.spec.Key, opSubmit, cmd.Digest)
--- a/internal/testbed/policysim/clients_test.go
+++ b/internal/testbed/policysim/clients_test.go
@@ -12,7 +12,7 @@
 	Convey("Clients hand in no more jobs than the fleet works off in the quiet tail", t, func() {
 		s := newSim(Options{Seed: 9, Faults: []string{}})
 		most := s.clients.maxOpen()
-		So(most, ShouldEqual, 15*jobsPerCore) // the minions of this seed have 15 cores
+		So(most, ShouldEqual, 15*jobsPerCore) // the workers of this seed have 15 cores
 		Convey("also counting those that they gave up and that the store has still", func() {
 			for range most {
 				j := &clientJob{spec: s.clients.randomSpec(), abandoned: true}
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -27,7 +27,7 @@
 	scheduler     *scheduler.Core
 	passScheduled bool
 	planning      bool // a plan is in flight to the store
-	leaving       bool // the node was told to end
+	leaving       bool // the node is shutting down
 
 	grantedEpoch uint64 // of the role's lease that this node has by the last answer; 0: none
 	leaderHint   string // where the leader of the store answered last; "": unknown
--- a/internal/testbed/policysim/dataplanerole.go
+++ b/internal/testbed/policysim/dataplanerole.go
@@ -15,7 +15,7 @@
 		Release: release}
 }
 
-// claimRole claims the scheduler role, or renews its lease, again and again until the node is told to end.
+// claimRole claims the scheduler role, or renews its lease, again and again until the node shuts down.
 func (d *dataPlane) claimRole() {
 	if d.leaving {
 		return
@@ -83,7 +83,7 @@
 	s.checker.checkRebuilt(d)
 }
 
-// releaseRole steps down and releases the role, as a daemon does that is told to end.
+// releaseRole steps down and releases the role, as a daemon does that shuts down.
 func (d *dataPlane) releaseRole() {
 	d.leaving = true
 	epoch := d.grantedEpoch
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -32,7 +32,7 @@
 	{"freeze", "freeze", (*faultInjector).freezeNode},              // a control- or data-plane node freezes and wakes
 	{"holder", "holder", (*faultInjector).disturbRoleHolder},       // the role holder is killed, frozen or cut off
 	{"dkill", "dkill", (*faultInjector).killDataPlane},             // a data-plane node ends, comes back with nothing
-	{"leave", "leave", (*faultInjector).shutDownDataPlane},         // a data-plane node is told to end
+	{"leave", "leave", (*faultInjector).shutDownDataPlane},         // a data-plane node shuts down
 	{"split", "split", (*faultInjector).splitNetwork},              // the machines fall into two partitions
 	{"oneway", "oneway", (*faultInjector).splitNetworkOneWay},      // bytes go one way only
 	{"island", "island", (*faultInjector).isolateZoneOrScheduler},  // a zone, or the role holder with some workers
--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -24,7 +24,7 @@
 		{"learner", "same log", []string{"rejoin"}, 12 * time.Second},
 		{"epoch", "decided in office", []string{"staleplan"}, 14 * time.Second},
 	} {
-		Convey("Without its guard "+c.guard+" the promise "+c.promise+" breaks", t, func() {
+		Convey("Without its guard "+c.guard+" the invariant "+c.promise+" breaks", t, func() {
 			opt := Options{FaultPeriod: c.length, Faults: c.faults}
 			So(Summarize(RunSeeds(opt, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
 			opt.WithoutGuard = c.guard
--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -8,8 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// playUnbroken runs seeds two at a time, wants no promise broken in any, and gives what they showed together.
-func playUnbroken(t *testing.T, opt Options, first, last uint64) Summary {
+// runUnbroken runs seeds two at a time, wants no invariant broken in any, and returns what they showed together.
+func runUnbroken(t *testing.T, opt Options, first, last uint64) Summary {
+	t.Helper()
 	sum := Summarize(RunSeeds(opt, first, last, 2, 0), nil)
 	for _, r := range sum.Breaches {
 		t.Errorf("seed %d breaks %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
@@ -19,15 +20,15 @@
 }
 
 func TestSeeds(t *testing.T) {
-	Convey("No promise breaks in a fixed set of seeds with all faults", t, func() {
-		sum := playUnbroken(t, Options{FaultPeriod: 20 * time.Second}, 1, 4)
+	Convey("No invariant breaks in a fixed set of seeds with all faults", t, func() {
+		sum := runUnbroken(t, Options{FaultPeriod: 20 * time.Second}, 1, 4)
 		So(sum.Promise["once at a time"], ShouldBeGreaterThan, 200)
 		So(sum.Promise["linear"], ShouldBeGreaterThan, 200)
 	})
 }
 
-func TestTrace(t *testing.T) {
-	Convey("The same seed gives the same trace, byte for byte", t, func() {
+func TestTraceIsDeterministic(t *testing.T) {
+	Convey("The same seed has the same trace, byte for byte", t, func() {
 		var a, b bytes.Buffer
 		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &a})
 		again := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &b})
@@ -38,10 +39,10 @@
 	})
 }
 
-// Minutes reach what seconds do not: lost leases longer than a hold, long queues, jobs of many tries.
+// Minutes reach what seconds do not: leases that are lost for longer than they last, long queues, jobs of many attempts.
 func TestMinutes(t *testing.T) {
-	Convey("No promise breaks in a few seeds of five minutes with all faults", t, func() {
-		sum := playUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
+	Convey("No invariant breaks in a few seeds of five minutes with all faults", t, func() {
+		sum := runUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
 		So(sum.Promise["not passed over"], ShouldBeGreaterThan, 100)
 		So(sum.Promise["all ends"], ShouldEqual, 4)
 	})
@@ -49,8 +50,8 @@
 
 // Where faults come every few hundred milliseconds little starts until they end; with pauses between them most does.
 func TestMinutesWithPauses(t *testing.T) {
-	Convey("No promise breaks in two seeds of two minutes with a fault every 5 s", t, func() {
-		sum := playUnbroken(t, Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
+	Convey("No invariant breaks in two seeds of two minutes with a fault every 5 s", t, func() {
+		sum := runUnbroken(t, Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
 		So(sum.Counts["starts under faults"], ShouldBeGreaterThan, 300)
 	})
 }
