--- a/internal/testbed/policysim/checkprogress_test.go
+++ b/internal/testbed/policysim/checkprogress_test.go
@@ -21,9 +21,12 @@
 		s := newSim(Options{Seed: 1, Faults: []string{}})
 		ic := s.checker
 		s.now = time.Minute
-		spec := state.Spec{Key: "j", Team: "t", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "k", Tasks: 1, Cores: 1}}}
-		ic.reference.Jobs["j"] = &state.Job{Spec: spec, Phase: state.JobRunning, Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
-		ic.reference.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b", Cores: s.workers[0].cores}
+		spec := state.Spec{Key: "j", Team: "t", Queue: "default",
+			Steps: []state.StepSpec{{Name: "s", Type: "k", Tasks: 1, Cores: 1}}}
+		ic.reference.Jobs["j"] = &state.Job{Spec: spec, Phase: state.JobRunning,
+			Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
+		ic.reference.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b",
+			Cores: s.workers[0].cores}
 		Convey("with all up it is passed over after its time", func() {
 			ic.checkPassedOverFor(startTimeout)
 			So(s.report.Breach, ShouldBeNil)
--- /dev/null
+++ b/internal/testbed/policysim/checkstart.go
@@ -0,0 +1,144 @@
+package policysim
+
+import (
+	"time"
+
+	"crosstide/internal/state"
+	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/policyworker"
+)
+
+const (
+	cancelTimeout     = 3 * time.Second // from an acknowledged cancel until nothing of the job starts any more
+	drainTimeout      = 2 * time.Second // from the begin of a drain until no start is ordered at the worker any more
+	evacuationTimeout = 5 * time.Second // from an acknowledged evacuation until nothing starts in the zone any more
+)
+
+// checkStart checks a start, the one event that must never be wrong.
+func (ic *invariantChecker) checkStart(w *worker, e journal.Entry) {
+	s := ic.sim
+	started := ic.runIDs[e.RunID]
+	if started == nil || started.orderedAt == 0 || started.handle.Worker != w.addr {
+		s.reportBreach("durable", "%s starts ticket %d, which was not ordered there", w.addr, e.RunID)
+		return
+	}
+	if !s.faultsOver {
+		s.report.Counts["starts under faults"]++
+	}
+	ic.checkOnceAtATime(w, started)
+	s.countCase("not after it ended well")
+	for _, end := range ic.ended[started.handle.Ref] {
+		ic.checkRepeat(started, end)
+	}
+	ic.checkCancelled(started)
+	ic.checkNotLate(w, started)
+	ic.checkWorkerOpen(w, started)
+	ic.checkFits(w, started)
+}
+
+// checkOnceAtATime checks that no other run of the task has a lease.
+func (ic *invariantChecker) checkOnceAtATime(w *worker, started *runIDHistory) {
+	s, ref := ic.sim, started.handle.Ref
+	s.countCase("once at a time")
+	for _, r := range ic.running {
+		if r.ref == ref && s.now < r.leaseUntil {
+			s.reportBreach("once at a time", "%v starts as ticket %d on %s while ticket %d runs on %s",
+				ref, started.handle.RunID, w.addr, r.runID, r.worker.addr)
+		}
+	}
+}
+
+// checkRepeat checks the start of a task of which a run ended well before. The scheduler knows of the end once a role
+// holder had it in an answer; until then nobody can know it, and a task must not wait for ever for a worker that is
+// gone. So it is a breach if the store has the task as done, or if the holder that decided the start knew of the end a
+// second before the old handle was released. Else it is counted apart.
+func (ic *invariantChecker) checkRepeat(started *runIDHistory, end *completion) {
+	s := ic.sim
+	old := ic.runIDs[end.runID]
+	if end.runID >= started.handle.RunID {
+		return
+	}
+	ref, runID := started.handle.Ref, started.handle.RunID
+	if _, task := ic.reference.TaskOf(ref); task == nil || task.Phase == state.TaskDone && task.RunID != runID {
+		s.reportBreach("not after it ended well", "ticket %d starts %v, which the store has as done", runID, ref)
+	}
+	if at, ok := end.acknowledged[started.handle.Epoch]; ok && at+time.Second < old.closedAt {
+		s.reportBreach("not after it ended well",
+			"ticket %d starts %v; its holder was told at %v that ticket %d ended well, which was closed at %v",
+			runID, ref, at, end.runID, old.closedAt)
+	}
+	if end.worker.generation != end.generation {
+		s.report.Counts["ran again: the minion forgot the end with its boot"]++
+	} else {
+		s.report.Counts["ran again: the end was not heard until the hold had lapsed"]++
+	}
+}
+
+func (ic *invariantChecker) checkCancelled(started *runIDHistory) {
+	s, key := ic.sim, started.handle.Ref.Job
+	j := ic.jobs[key]
+	if j.cancelledAt > 0 && s.now > j.cancelledAt+cancelTimeout {
+		s.reportBreach("cancelled starts nothing", "ticket %d of %s, cancelled at %v", started.handle.RunID, key,
+			j.cancelledAt)
+	}
+}
+
+// checkNotLate checks that a start order was carried out in time after it left the role holder. What lay in the kernel
+// of a frozen machine is carried out when it wakes, and counts from there.
+func (ic *invariantChecker) checkNotLate(w *worker, started *runIDHistory) {
+	s := ic.sim
+	s.countCase("not late")
+	// The time after which the order is invalid, by the worker's clock, and the time that the worker's report of its
+	// clock was in flight.
+	late := 700 * time.Millisecond
+	if w.kind == policyworker.KindObey {
+		// The order was in flight until its connection was closed at most.
+		late = callTimeout/2 + lateness + 100*time.Millisecond
+	}
+	if s.now-max(started.orderedAt, w.wokeAt) > late {
+		s.reportBreach("not late", "ticket %d was written at %v and starts on %s (%s)",
+			started.handle.RunID, started.orderedAt, w.addr, w.kind)
+	}
+}
+
+// checkWorkerOpen checks that a start isn't in an evacuated zone or at a draining worker (invariants: evacuated,
+// draining).
+func (ic *invariantChecker) checkWorkerOpen(w *worker, started *runIDHistory) {
+	s := ic.sim
+	if at, out := ic.evacuated[w.zone]; out && s.now > at+evacuationTimeout {
+		s.reportBreach("evacuated", "ticket %d starts on %s, %s is evacuated since %v",
+			started.handle.RunID, w.addr, w.zone, at)
+	}
+	if !w.draining {
+		return
+	}
+	s.countCase("draining")
+	if started.orderedAt > w.drainingSince+drainTimeout {
+		s.reportBreach("draining", "ticket %d was written at %v for %s, which drains since %v",
+			started.handle.RunID, started.orderedAt, w.addr, w.drainingSince)
+	}
+}
+
+// checkFits checks the labels and the cores of a worker with a start, which is among its runs from here on.
+func (ic *invariantChecker) checkFits(w *worker, started *runIDHistory) {
+	s, ref := ic.sim, started.handle.Ref
+	s.countCase("fits")
+	step := ic.jobs[ref.Job].spec.Steps[ref.Step]
+	for label, value := range step.Labels {
+		if w.labels[label] != value {
+			s.reportBreach("fits", "ticket %d wants %s=%s, %s has not", started.handle.RunID, label, value, w.addr)
+		}
+	}
+	ic.running = append(ic.running,
+		&workerRun{ref: ref, runID: started.handle.RunID, worker: w, generation: w.generation,
+			cores: step.Cores, leaseUntil: started.leaseUntil})
+	taken := 0
+	for _, r := range ic.running {
+		if r.worker == w && s.now < r.leaseUntil {
+			taken += r.cores
+		}
+	}
+	if taken > w.cores {
+		s.reportBreach("fits", "%d cores run on %s, it has %d", taken, w.addr, w.cores)
+	}
+}
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/state"
 )
 
-// Promises are the invariants that a run checks, by the names under which Report.Promise counts their cases.
-var Promises = []string{
+// promises are the invariants that a run checks, by the names under which Report.Promise counts their cases.
+var promises = []string{
 	"once at a time", "not after it ended well", "newer ticket", "fence", "decided in office", "rebuilt", "durable",
 	"ordered once", "not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over",
 	"draining", "evacuated", "fits", "order once", "same log", "same state", "all ends", "linear",
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -49,7 +49,7 @@
 			s.add(r)
 		}
 	}
-	s.Require(Promises)
+	s.Require(promises)
 	for _, name := range wanted {
 		if s.Faults[faultCounter(name)] == 0 {
 			s.UnexercisedFaults = append(s.UnexercisedFaults, name)
