--- a/internal/testbed/policysim/checkbilling.go
+++ b/internal/testbed/policysim/checkbilling.go
@@ -17,7 +17,8 @@
 
 // billingChecker checks the invariants of billing. It keeps accounts of its own, from the commands in the log and from
 // when handles are created and released, and compares the replicated ones with them after every entry. Whether work
-// goes on after a top-up, and long-running tasks run again, is in checkbillingprogress.go.
+// goes on after a top-up, and long-running tasks run again, is in checkbillingprogress.go. It acts in one place: when
+// an account becomes exhausted it may let the leader be killed.
 type billingChecker struct {
 	sim      *sim
 	accounts map[string]*accountModel
--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -9,7 +9,7 @@
 
 const guardSeeds = 4
 
-// RunSeeds guard that Options.WithoutGuard takes out is missed within a few seeds, under the faults that it is there for; with the
+// Each guard that Options.WithoutGuard takes out is missed within a few seeds, under the faults that it is there for; with the
 // guard the same seeds hold.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -14,14 +14,14 @@
 	"draining", "evacuated", "fits", "order once", "same log", "same state", "all ends", "linear",
 }
 
-// checker checks the invariants against what really happened: what was written to workers, what workers
+// invariantChecker checks the invariants against what really happened: what was written to workers, what workers
 // started and ended, what clients and operators were answered, and what disks have. Of the daemons it believes only the
 // log, of which it keeps a copy from the first control-plane node that shows an entry as committed. It draws no random
-// number and changes nothing outside of itself, so that a run is the same without it.
+// number and acts on nothing; faults and clients read what it knows.
 //
 // Every event of the simulation that matters to an invariant calls an observe method; the check methods judge. They
-// stand by what they check: checklog.go, checkrole.go, checkruns.go, checkprogress.go, and with Options.Parties
-// billing.go.
+// stand by what they check: checklog.go, checkrole.go, checkruns.go, checkstart.go, checkprogress.go, and with
+// Options.Parties checkbilling.go and checkbillingprogress.go.
 type invariantChecker struct {
 	sim       *sim
 	reference *state.State             // the committed entries, applied
