--- /dev/null
+++ b/cmd/crosstide-dataplane/policy_test.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/config"
+)
+
+func TestNodeOptions(t *testing.T) {
+	Convey("The settings of a data-plane node make its options, and the scheduler's settings", t, func() {
+		settings := config.DefaultDataPlane()
+		settings.Name, settings.Addr, settings.QueueLimit = "d1", "10.0.0.1:7000", 17
+		settings.CallTimeout, settings.RunLease, settings.PollWait = time.Second, 2*time.Second, 3*time.Second
+		settings.StartWindow, settings.Lateness, settings.LeaseMargin = 4*time.Second, 5*time.Second, 6*time.Second
+		settings.MaxUnhealthyShare = 25
+		options := nodeOptions(settings, log.NewNopLogger())
+		So([]any{options.Name, options.Addr, options.QueueLimit, options.CallTimeout}, ShouldResemble,
+			[]any{"d1", "10.0.0.1:7000", 17, time.Second})
+		got := options.Scheduler
+		So([]time.Duration{got.RunLease, got.PollWait, got.StartWindow, got.Lateness, got.RoleLeaseMargin}, ShouldResemble,
+			[]time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second})
+		So(got.Health.MaxShare, ShouldEqual, 0.25)
+	})
+	Convey("The control-plane nodes are those of the settings, else the seeds until the membership has found them", t, func() {
+		settings := config.DefaultDataPlane()
+		settings.Seeds = []string{"10.0.1.1:7000"}
+		So(nodeOptions(settings, log.NewNopLogger()).ControlPlanes, ShouldResemble, settings.Seeds)
+		settings.ControlPlanes = []string{"10.0.2.1:7000"}
+		So(nodeOptions(settings, log.NewNopLogger()).ControlPlanes, ShouldResemble, settings.ControlPlanes)
+	})
+}
