--- /dev/null
+++ b/cmd/crosstide-controlplane/jobs.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"context"
+
+	"github.com/go-kit/log"
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/config"
+	"crosstide/internal/controller"
+	"crosstide/internal/controller/scheduler"
+	"crosstide/internal/daemon"
+	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/jobsapi"
+	"crosstide/internal/httpapi/operatorapi"
+	"crosstide/internal/httpapi/workerapi"
+	"crosstide/internal/jobsnode"
+	"crosstide/internal/membership"
+	"crosstide/internal/rpc"
+	"crosstide/internal/store"
+)
+
+// jobsCommand is for the jobs deployment: the daemon of a core node, and the operators' commands for such nodes.
+func jobsCommand() *cli.Command {
+	return &cli.Command{Name: "jobs", Usage: "serve jobs as a core node; operators' commands for such nodes",
+		Commands: append(jobsProgram().Commands(), withExitCodes(jobsCommands()...)...)}
+}
+
+// jobsProgram is the daemon's commands in the jobs deployment.
+func jobsProgram() daemon.Program[config.JobsControlPlane] {
+	return daemon.Program[config.JobsControlPlane]{
+		Version: version, Load: config.LoadJobsControlPlane, Check: config.CheckJobsControlPlane, Serve: serveJobs,
+		Common: func(settings *config.JobsControlPlane) *config.Common { return &settings.Common },
+		StringFlags: map[string]func(*config.JobsControlPlane) *string{
+			"data": func(settings *config.JobsControlPlane) *string { return &settings.Data },
+		},
+		Flags: []cli.Flag{dataFlag()},
+	}
+}
+
+// serveJobs runs a core node until ctx ends.
+func serveJobs(ctx context.Context, settings config.JobsControlPlane, profiles bool, logger log.Logger) error {
+	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
+		options := jobsOptions(settings, profiles, logger)
+		options.OnRemoved = removed
+		core, err := jobsnode.NewCore(ctx, options)
+		if err != nil {
+			return errs.Pass(err, "make the node")
+		}
+		return errs.Pass(core.Run(ctx), "incarnation")
+	})
+	return errs.Pass(err, "serve")
+}
+
+// jobsOptions maps settings to a core node's options.
+func jobsOptions(settings config.JobsControlPlane, profiles bool, logger log.Logger) jobsnode.CoreOptions {
+	registry := daemon.Registry()
+	return jobsnode.CoreOptions{
+		Store: settings.ControlPlane, OpenStore: openStore,
+		Scheduler: jobsScheduler(settings.Scheduler), JobRetention: settings.KeepFinished,
+		Workers: func(renewals, starts *rpc.Client) scheduler.Workers {
+			return workerapi.NewClient(renewals, starts, 0)
+		},
+		ControlAddress: settings.Control,
+		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
+			jobsapi.ServeControl(control, relay, settings.CallTimeout)
+		},
+		ServeNodes: func(inner *rpc.Server, store *store.Store) {
+			serveOperators(inner, store)
+			daemon.Routes(inner, registry, store.Ready)
+			if profiles {
+				daemon.Profiles(inner)
+			}
+		},
+		Grace: settings.Grace, Registry: registry, Logger: logger, Version: version,
+	}
+}
+
+// serveOperators adds the operators' calls about the members of the store. A core node keeps no membership, so the
+// calls know of no other nodes.
+func serveOperators(inner *rpc.Server, members *store.Store) {
+	operatorapi.Serve(inner, members, store.NameOf, func() []membership.MemberStatus { return nil })
+}
+
+// jobsScheduler maps the settings of the jobs deployment to the scheduler's.
+func jobsScheduler(settings config.JobsScheduler) scheduler.Config {
+	config := scheduler.Defaults()
+	config.Lease, config.RenewalWait, config.SilenceTimeout = settings.Lease, settings.PollWait, settings.Silence
+	config.ExpiryMargin, config.EarlyStart = settings.LapseMargin, settings.EarlyStart
+	config.RemoteDataFactor, config.ForgetAfter = settings.RemoteFactor, settings.ForgetAfter
+	return config
+}
--- /dev/null
+++ b/cmd/crosstide-controlplane/request.go
@@ -0,0 +1,128 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"strings"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/httpapi/operatorapi"
+)
+
+// requestTimeout is how long an operator's command waits for an answer.
+const requestTimeout = 10 * time.Second
+
+// doRequest sends one request to the node at --addr and returns the body of its answer. An answer that is not 200 is
+// the error in its body, or Unavailable if there is none.
+func doRequest(ctx context.Context, cmd *cli.Command, method, path string, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	addr := cmd.String("addr")
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Invalid, "request")
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		var failed *url.Error // its text is the whole URL, whose query may hold a signature
+		if errors.As(err, &failed) {
+			err = failed.Err
+		}
+		return nil, errs.Wrap(err, errs.Unavailable, "ask %s", addr)
+	}
+	defer func() { _ = response.Body.Close() }() // all of it was read
+	raw, err := io.ReadAll(response.Body)
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
+	}
+	if response.StatusCode != http.StatusOK {
+		failure := &errs.Error{Kind: errs.Unavailable, Message: response.Status}
+		_ = json.Unmarshal(raw, failure) // without an error body the status says enough
+		return nil, errs.Field(failure.Kind, failure.Field, "%s", failure.Message)
+	}
+	return raw, nil
+}
+
+// printResponse sends one request and prints the answer as it came.
+func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body []byte) error {
+	raw, err := doRequest(ctx, cmd, method, path, body)
+	if err != nil {
+		return errs.Pass(err, "%s", path)
+	}
+	fmt.Println(string(bytes.TrimSpace(raw)))
+	return nil
+}
+
+// printQuery gets path and prints the answer: with --json as it came, else as render shows it.
+func printQuery[T any](ctx context.Context, cmd *cli.Command, path string, render func(t table, answer T)) error {
+	raw, err := doRequest(ctx, cmd, http.MethodGet, path, nil)
+	if err != nil {
+		return errs.Pass(err, "%s", path)
+	}
+	return errs.Pass(printAnswer(cmd, raw, render), "%s", path)
+}
+
+// queryAction is the action of a command without arguments that prints the answer at path.
+func queryAction[T any](path string, render func(t table, answer T)) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		return errs.Pass(printQuery(ctx, cmd, path, render), "query")
+	}
+}
+
+// printOrder posts an order and prints its outcome. A failure names the order's ID: it may be sent again.
+func printOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, body []byte,
+	render func(t table, outcome T)) error {
+	raw, err := doRequest(ctx, cmd, http.MethodPost, path, body)
+	if err != nil {
+		return errs.Pass(err, "order %s", id)
+	}
+	return errs.Pass(printAnswer(cmd, raw, render), "order %s", id)
+}
+
+// printJSONOrder is printOrder with the JSON of order as its body.
+func printJSONOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, order any,
+	render func(t table, outcome T)) error {
+	body, err := json.Marshal(order)
+	if err != nil {
+		return errs.Wrap(err, errs.Internal, "encode the order")
+	}
+	return errs.Pass(printOrder(ctx, cmd, id, path, body, render), "order")
+}
+
+// unsignedOrderCommand posts an order that needs no signature and prints the answer as it came. format is the path,
+// with a verb for each of the arguments, whose names args holds.
+func unsignedOrderCommand(name, usage, args, format string) *cli.Command {
+	action := func(ctx context.Context, cmd *cli.Command) error {
+		words, err := exactArgs(cmd, strings.Fields(args)...)
+		if err != nil {
+			return errs.Pass(err, "%s", name)
+		}
+		id := orderID(cmd)
+		body, err := json.Marshal(operatorapi.Order{Order: id})
+		if err != nil {
+			return errs.Wrap(err, errs.Internal, "encode the order")
+		}
+		path := fmt.Sprintf(format, escapePaths(words)...)
+		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, body), "order %s", id)
+	}
+	return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: []cli.Flag{addrFlag(), orderFlag()},
+		Action: action}
+}
+
+// escapePaths makes words fit to be parts of a path.
+func escapePaths(words []string) []any {
+	out := make([]any, len(words))
+	for i, word := range words {
+		out[i] = url.PathEscape(word)
+	}
+	return out
+}
