--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -9,7 +9,7 @@
 
 const guardSeeds = 4
 
-// RunSeeds guard that Options.WithoutGuard takes out is missed within a few seeds, under the faults that it is there for; with the
+// Each guard that Options.WithoutGuard takes out is missed within a few seeds, under the faults that it is there for; with the
 // guard the same seeds hold.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
@@ -24,7 +24,7 @@
 		{"learner", "same log", []string{"rejoin"}, 12 * time.Second},
 		{"epoch", "decided in office", []string{"staleplan"}, 14 * time.Second},
 	} {
-		Convey("Without its guard "+c.guard+" the promise "+c.promise+" breaks", t, func() {
+		Convey("Without its guard "+c.guard+" the invariant "+c.promise+" breaks", t, func() {
 			opt := Options{FaultPeriod: c.length, Faults: c.faults}
 			So(Summarize(RunSeeds(opt, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
 			opt.WithoutGuard = c.guard
--- /dev/null
+++ b/internal/testbed/policysim/network.go
@@ -0,0 +1,158 @@
+package policysim
+
+import (
+	"time"
+
+	"crosstide/internal/errs"
+)
+
+// resendInterval is between two attempts of a kernel to send what meets a partition.
+const resendInterval = 20 * time.Millisecond
+
+// network is what lies between the processes. Its zero value is a good one.
+type network struct {
+	lossRate, duplicateRate, delayRate float64       // per message
+	maxDelay                           time.Duration // of a message that is delayed
+	crossedAnswerRate                  float64       // of lease calls: the answer is that of another call
+	cuts                               []*cut
+}
+
+// cut drops what goes from one set of processes to another, and back if it is bothWays.
+type cut struct {
+	from, to map[*process]bool
+	bothWays bool
+}
+
+// blocked tells whether a message from one process to another meets a cut.
+func (s *sim) blocked(from, to *process) bool {
+	for _, c := range s.network.cuts {
+		if c.from[from] && c.to[to] || c.bothWays && c.from[to] && c.to[from] {
+			return true
+		}
+	}
+	return false
+}
+
+// latency draws how long a message is in flight.
+func (s *sim) latency() time.Duration {
+	d := s.between(100*time.Microsecond, 2*time.Millisecond)
+	if s.chance(s.network.delayRate) {
+		s.report.Faults["delay"]++
+		d = s.between(0, s.network.maxDelay)
+	}
+	return d
+}
+
+// transmit runs do at the other side once, never, or, if it may be repeated, now and then twice. What meets a cut stays
+// in the kernel, which resends it until resendFor is over or the connection is closed.
+func (s *sim) transmit(from, to *process, resendFor time.Duration, mayRepeat bool, isOpen func() bool, do func()) {
+	if s.chance(s.network.lossRate) {
+		s.report.Faults["lose"]++
+		return
+	}
+	n := 1
+	if mayRepeat && s.chance(s.network.duplicateRate) {
+		s.report.Faults["double"]++
+		n = 2
+	}
+	for range n {
+		s.deliver(from, to, s.now+resendFor, isOpen, do)
+	}
+}
+
+// deliver sends a message, and sends it again until the deadline if it meets a cut.
+func (s *sim) deliver(from, to *process, deadline time.Duration, isOpen func() bool, do func()) {
+	if !s.blocked(from, to) {
+		s.schedule(s.latency(), func() {
+			if !s.blocked(from, to) || s.chance(0.5) {
+				do()
+			}
+		})
+		return
+	}
+	s.report.Faults["dropped by a cut"]++
+	if s.now+resendInterval < deadline {
+		s.schedule(resendInterval, func() {
+			if isOpen() {
+				s.deliver(from, to, deadline, isOpen, do)
+			}
+		})
+	}
+}
+
+// request is a call over a connection of its own.
+type request struct {
+	from      *process
+	addr      string
+	timeout   time.Duration
+	resendFor time.Duration // how long the kernels resend
+	mayRepeat bool          // the call may arrive twice
+	serve     func(to *process, reply func(any, error))
+	// onAnswer is called once, if the caller lives so long: with the answer or a failure. sent: a byte of the call may
+	// have left.
+	onAnswer func(answer any, err error, sent bool)
+}
+
+// connection is what request keeps of a call that is in flight.
+type connection struct {
+	request
+	sim         *sim
+	generation  int // of the caller
+	peer        *process
+	incarnation int // generation of the peer that the connection leads to
+	closed      bool
+}
+
+// request makes a call.
+func (s *sim) request(r request) {
+	c := &connection{request: r, sim: s, generation: r.from.generation, peer: s.byAddr[r.addr]}
+	isDown := c.peer == nil || !c.peer.alive
+	if isDown && s.chance(0.7) {
+		s.schedule(s.latency(), func() {
+			c.finish(nil, errs.New(errs.Unavailable, "%s refuses the connection", r.addr), false)
+		})
+		return
+	}
+	r.from.after(r.timeout, func() { c.finish(nil, errs.New(errs.Timeout, "no answer of %s", r.addr), true) })
+	if isDown {
+		return
+	}
+	c.incarnation = c.peer.generation
+	s.transmit(r.from, c.peer, r.resendFor, r.mayRepeat, c.isOpen, c.arrive)
+}
+
+func (c *connection) isOpen() bool { return !c.closed }
+
+// finish closes the connection, at the caller's side, with an answer or a failure. Only the first one counts.
+func (c *connection) finish(answer any, err error, sent bool) {
+	c.from.execute(c.generation, func() {
+		if !c.closed {
+			c.closed = true
+			c.onAnswer(answer, err, sent)
+		}
+	})
+}
+
+// arrive serves the call at the peer, or resets the connection if it leads to another incarnation.
+func (c *connection) arrive() {
+	if c.closed && !c.mayRepeat { // closed with a reset, which went the same way
+		return
+	}
+	if !c.peer.alive || c.peer.generation != c.incarnation {
+		c.sim.deliver(c.peer, c.from, c.sim.now, c.isOpen, func() {
+			c.finish(nil, errs.New(errs.Unavailable, "%s reset the connection", c.addr), true)
+		})
+		return
+	}
+	c.peer.execute(c.incarnation, func() { c.serve(c.peer, c.reply) })
+}
+
+// reply sends the answer back.
+func (c *connection) reply(answer any, err error) {
+	s := c.sim
+	if s.chance(s.network.lossRate) {
+		s.report.Faults["lost answer"]++
+		return
+	}
+	s.transmit(c.peer, c.from, c.resendFor, false, c.isOpen, func() { c.finish(answer, err, true) })
+}
