--- a/internal/testbed/jobssim/invariants.go
+++ b/internal/testbed/jobssim/invariants.go
@@ -79,9 +79,9 @@
 }
 
 // require counts a case of an invariant and records a breach if it does not hold.
-func (ic *invariantChecker) require(rule Rule, holds bool, format string, args ...any) {
+func (ic *invariantChecker) require(rule Rule, isSatisfied bool, format string, args ...any) {
 	ic.count(rule)
-	if !holds {
+	if !isSatisfied {
 		ic.breach(rule, format, args...)
 	}
 }
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -15,24 +15,24 @@
 	sim         *simulator
 	name        string
 	table       *jobs.Table
-	applied     int
-	incarnation int // rises with each start of the process
+	applied     int // entries of the log that table has
+	incarnation int // rises with each start and kill of the process: what an older one scheduled is dropped
 
-	term        uint64 // in which it leads, as far as it knows; 0: it does not
-	leaseUntil  time.Duration
-	down        bool
-	cut         bool // from the rest of the core
+	term        uint64        // in which it leads, as far as it knows; 0: it does not
+	leaseUntil  time.Duration // of a leader that lost the majority: until then it may still answer
+	down        bool          // its process does not run
+	cut         bool          // from the rest of the core
 	frozenUntil time.Duration
 	skew        time.Duration // of its time of day
 
 	core            *scheduler.Core
-	inputs          []func(*scheduler.Core, time.Duration)
-	tableEvents     []jobs.Event
-	passNumber      int // newest planned pass
-	passAt          time.Duration
-	isPassPlanned   bool
-	newestHeartbeat map[string]uint64
-	newestEnd       map[string]uint64 // newest end seen of each worker, for EarlyAcknowledgement
+	inputs          []func(*scheduler.Core, time.Duration) // of the next pass
+	tableEvents     []jobs.Event                           // of the next pass, which takes them before inputs
+	passNumber      int                                    // of the newest scheduled pass: older ones are dropped
+	passAt          time.Duration                          // when that is due
+	isPassPlanned   bool                                   // it is still to come
+	newestHeartbeat map[string]uint64                      // sequence, by worker
+	newestEnd       map[string]uint64                      // seen of each worker, for EarlyAcknowledgement
 }
 
 // coreSize is how many machines the core has.
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -76,7 +76,7 @@
 	leaving             bool          // it deregisters first and serves on
 	leavingSince        time.Duration // when it first said that it drains or ends
 	heartbeatSequence   uint64
-	leaseNumber         int
+	leaseNumber         int // of the newest extension: the timers of older ones are dropped
 }
 
 // pendingRenewal is a lease renewal whose answer waits for an end.
