--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -89,7 +89,7 @@
 func TestAudit(t *testing.T) {
 	judged := []string{"once", "ticket-newer", "fence", "place", "drain", "evacuate", "cancel", "known", "done", "operators", "bundle", "readback", "repair"}
 
-	Convey("A clean history holds, with cases for every promise that has a check", t, func() {
+	Convey("A clean history satisfies every invariant that has a check, with cases for each", t, func() {
 		findings := Check(history(clean()...))
 		So(NoneViolated(findings), ShouldBeTrue)
 		for _, f := range findings {
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -9,22 +9,14 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/operatorapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/netproxy"
+	"crosstide/internal/testbed/testclock"
 )
 
-// elapsing is a clock whose timers fire while they are set.
-type elapsing struct{ clock.Real }
-
-func (elapsing) Set(_ time.Duration, call func()) clock.Stopper {
-	call()
-	return time.NewTimer(0)
-}
-
 // controlPlane answers every order in turn with one of failures, the last one again and again; nil is a success. It
 // returns the node and how often it was called.
 func controlPlane(failures ...error) (fleet.Node, *atomic.Int32) {
@@ -44,7 +36,7 @@
 
 func TestSendOrder(t *testing.T) {
 	send := func(nodes ...fleet.Node) error {
-		target := &Target{Nodes: fleet.Nodes{ControlPlanes: nodes}, Caller: fleet.NewCaller(1), clock: elapsing{}}
+		target := &Target{Nodes: fleet.Nodes{ControlPlanes: nodes}, Caller: fleet.NewCaller(1), clock: &testclock.Elapsing{}}
 		return target.SendOrder(context.Background(), "/v1/order", operatorapi.Order{Order: "o"})
 	}
 	Convey("An order goes from node to node until one has carried it out", t, func() {
@@ -62,7 +54,7 @@
 
 func TestInjectNetwork(t *testing.T) {
 	Convey("A fault that is invalid, or of a fleet without a proxy, is refused", t, func() {
-		target := &Target{Caller: fleet.NewCaller(1), clock: elapsing{}}
+		target := &Target{Caller: fleet.NewCaller(1), clock: &testclock.Elapsing{}}
 		_, err := target.InjectNetwork(context.Background(), netproxy.Fault{})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		fault := netproxy.Fault{Node: "d1", Kind: netproxy.Blackhole, For: time.Second}
@@ -73,7 +65,7 @@
 
 func TestAwait(t *testing.T) {
 	Convey("Await polls until so, and no longer than the timeout", t, func() {
-		target := &Target{clock: elapsing{}}
+		target := &Target{clock: &testclock.Elapsing{}}
 		polls := 0
 		_, err := target.Await(context.Background(), time.Hour, "third", func() bool { polls++; return polls == 3 })
 		So(err, ShouldBeNil)
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -136,7 +136,7 @@
 		So([]any{listed.Checkpoint, listed.Percent}, ShouldResemble, []any{"400", 80})
 		So(c.Advance(200*ms), ShouldBeTrue)
 	})
-	Convey("A worker that goes stops all, and lists no more ends at once than an answer holds", t, func() {
+	Convey("A worker that leaves stops all runs, and an answer lists no more than its limit of ends", t, func() {
 		c, _ := newTestCore()
 		for i := range maxEndsPerAnswer + 1 {
 			call := startOf(i, 1, `{"ms":-1}`)
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -112,7 +112,7 @@
 			So(err, ShouldBeNil)
 			So(errs.KindOf(client.Stop(call, worker, scheduler.StopOrder{Key: order.Key, Token: 1})), ShouldEqual, errs.Stale)
 		})
-		Convey("told to leave it says that it drains, stops what runs, and leaves", func() {
+		Convey("signalled to leave it reports that it drains, stops what runs, and leaves", func() {
 			order.Payload = `{"ms":-1}`
 			_, err := client.Start(call, worker, order)
 			So(err, ShouldBeNil)
--- a/internal/testbed/load/generator_test.go
+++ b/internal/testbed/load/generator_test.go
@@ -11,24 +11,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"golang.org/x/time/rate"
 
-	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/testclock"
 )
 
-// fakeClock is a clock on which every timer rings at once, its time having passed.
-type fakeClock struct{ now time.Duration }
-
-func (l *fakeClock) Now() time.Duration { return l.now }
-func (l *fakeClock) Wall() time.Time    { return time.Unix(0, int64(l.now)) }
-func (l *fakeClock) Set(d time.Duration, ring func()) clock.Stopper {
-	l.now += max(d, 0)
-	ring()
-	return time.NewTimer(0)
-}
-
 // script answers calls in turn, the last answer again and again; a nil one is a lost answer.
 type script struct {
 	answers []*fleet.Reply
@@ -51,13 +40,13 @@
 }
 
 func TestLoad(t *testing.T) {
-	follow := func(of arrival, answers ...*fleet.Reply) (*generator, *script, *fakeClock, []string) {
+	follow := func(of arrival, answers ...*fleet.Reply) (*generator, *script, *testclock.Elapsing, []string) {
 		o := Options{Dir: t.TempDir(), Rate: 1, Duration: time.Second}
 		So(o.SetDefaults(), ShouldBeNil)
 		writer, err := journal.Open(filepath.Join(o.Dir, "journal", "consumer-1.jsonl"))
 		So(err, ShouldBeNil)
 		defer writer.Close()
-		caller, clock := &script{answers: answers}, &fakeClock{}
+		caller, clock := &script{answers: answers}, &testclock.Elapsing{}
 		l := newGenerator(o, caller, clock, []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}})
 		l.polls = rate.NewLimiter(rate.Inf, 1)
 		of.spec = state.Spec{Key: "k"}
@@ -82,13 +71,13 @@
 		So(offers[3].spec.Steps[1].After, ShouldResemble, []string{"s1"})
 	})
 
-	Convey("A job goes from node to node until a yes, as Retry-After says, and is followed to its end", t, func() {
+	Convey("A job goes from node to node until it is accepted, as Retry-After says, and is followed to its end", t, func() {
 		l, caller, clock, evs := follow(arrival{cancelAfter: -1}, nil, reply(503, 2*time.Second, ""), reply(202, 0, "accepted"),
 			reply(200, 0, "running"), reply(503, 0, ""), reply(200, 0, "running"), reply(404, 0, ""), reply(200, 0, "done"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "poll running", "poll 404", "poll done"})
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
 		So(caller.calls[1], ShouldNotEqual, caller.calls[2])
-		So(clock.now, ShouldBeGreaterThan, 2*time.Second)
+		So(clock.Now(), ShouldBeGreaterThan, 2*time.Second)
 		r := l.counts
 		So([]int{r.Accepted, r.Done, r.Unknown, r.Retries, r.Polls}, ShouldResemble, []int{1, 1, 1, 2, 5})
 		So(r.Overloaded, ShouldResemble, map[string]int{"lost": 1, "status 503": 1})
@@ -101,10 +90,10 @@
 		So(l.counts.Refused, ShouldResemble, map[string]int{"status 422": 1})
 		l, _, clock, _ := follow(arrival{cancelAfter: -1}, nil)
 		So(l.counts.Refused, ShouldResemble, map[string]int{"lost": 1})
-		So(clock.now, ShouldBeBetween, 20*time.Second, 31*time.Second)
+		So(clock.Now(), ShouldBeBetween, 20*time.Second, 31*time.Second)
 	})
 
-	Convey("A second hand-in goes to another node, a cancel is journaled when it was acknowledged", t, func() {
+	Convey("A job that is submitted once more goes to another node, a cancel is journaled when it was acknowledged", t, func() {
 		l, caller, _, evs := follow(arrival{cancelAfter: time.Millisecond, isRepeated: true}, reply(202, 0, "accepted"),
 			reply(200, 0, "accepted"), nil, reply(202, 0, "stopping"), reply(200, 0, "cancelled"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "again accepted", "cancel ",
--- a/internal/testbed/operator/operator_test.go
+++ b/internal/testbed/operator/operator_test.go
@@ -12,21 +12,13 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/testclock"
 )
 
-// elapsing is a clock whose timers fire while they are set.
-type elapsing struct{ clock.Real }
-
-func (elapsing) Set(_ time.Duration, call func()) clock.Stopper {
-	call()
-	return time.NewTimer(0)
-}
-
 // newTestSession is a session whose only control plane answers its calls in turn; the last answer again and again.
 func newTestSession(dir string, answers ...any) *session {
 	var calls atomic.Int32
@@ -47,7 +39,7 @@
 		So(server.Stop(time.Minute), ShouldBeNil)
 	})
 	return &session{nodes: fleet.Nodes{ControlPlanes: []fleet.Node{{Name: "c1", Addr: server.Addr()}}},
-		caller: fleet.NewCaller(1), clock: elapsing{}, callRng: rand.New(rand.NewPCG(1, 1)), writer: writer,
+		caller: fleet.NewCaller(1), clock: &testclock.Elapsing{}, callRng: rand.New(rand.NewPCG(1, 1)), writer: writer,
 		counts: Report{Refused: map[string]int{}}}
 }
 
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSoak(t *testing.T) {
-	Convey("A state stays within its bounds: past the horizon a day adds nothing, and what ended leaves no handle", t, func() {
+	Convey("A state stays within its bounds: past the time that ended jobs are kept a day adds nothing, and what ended leaves no handle", t, func() {
 		keep := config.DefaultControlPlane()
 		keep.KeepTombstonesFor = 48 * time.Hour
 		var days []Day
--- /dev/null
+++ b/internal/testbed/testclock/testclock_test.go
@@ -0,0 +1,17 @@
+package testclock
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestElapsing(t *testing.T) {
+	Convey("A timer fires while it is set, and its time has passed", t, func() {
+		c, calls := &Elapsing{}, 0
+		So(c.Set(time.Second, func() { calls++ }).Stop(), ShouldBeFalse)
+		c.Set(-time.Second, func() { calls++ })
+		So([]any{calls, c.Now(), c.Wall()}, ShouldResemble, []any{2, time.Second, time.Unix(1, 0)})
+	})
+}
