--- a/internal/lint/returns.go
+++ b/internal/lint/returns.go
@@ -22,27 +22,38 @@
 		case *ast.FuncLit:
 			return false // a function of its own
 		case *ast.ReturnStmt:
-			var e ast.Expr
-			if len(n.Results) > 0 {
-				e = n.Results[len(n.Results)-1]
-			} else if len(last.Names) > 0 {
-				e = last.Names[len(last.Names)-1]
-			}
-			switch e := e.(type) {
-			case *ast.CallExpr:
-				if call := f.bare(e); call != "" {
-					f.add(n, RuleBare, "returns the error of "+call+" as it came")
-				}
-			case *ast.Ident:
-				if call := f.origin(body, e, n); call != "" {
-					f.add(n, RuleBare, fmt.Sprintf("returns %s of %s as it came", e.Name, call))
-				}
-			}
+			f.checkReturn(body, n, returnedError(n, last))
 		}
 		return true
 	})
 }
 
+// returnedError returns the expression that a return statement gives its last result, nil if there is none. A bare
+// return gives the named result.
+func returnedError(statement *ast.ReturnStmt, result *ast.Field) ast.Expr {
+	switch {
+	case len(statement.Results) > 0:
+		return statement.Results[len(statement.Results)-1]
+	case len(result.Names) > 0:
+		return result.Names[len(result.Names)-1]
+	}
+	return nil
+}
+
+// checkReturn reports a returned error that no function of errs or trace has named.
+func (f *file) checkReturn(body *ast.BlockStmt, statement *ast.ReturnStmt, returned ast.Expr) {
+	switch returned := returned.(type) {
+	case *ast.CallExpr:
+		if call := f.bare(returned); call != "" {
+			f.add(statement, RuleBare, "returns the error of "+call+" as it came")
+		}
+	case *ast.Ident:
+		if call := f.origin(body, returned, statement); call != "" {
+			f.add(statement, RuleBare, fmt.Sprintf("returns %s of %s as it came", returned.Name, call))
+		}
+	}
+}
+
 // bare names the callee if its error is not one that was named: those of errs, trace and errors are.
 func (f *file) bare(c *ast.CallExpr) string {
 	name := f.named(c.Fun)
@@ -79,54 +90,15 @@
 }
 
 // origin finds a bare call whose error id may hold at ret: in the nearest assignment that certainly comes before
-// ret, or in one on a branch since. An assignment under `if id != nil` counts as sure: without it the
-// value is nil.
+// ret, or in one on a branch since.
 func (f *file) origin(body *ast.BlockStmt, id *ast.Ident, ret ast.Node) string {
 	if id.Obj == nil || id.Name == "nil" {
 		return ""
 	}
-	var all []source
-	var walk func(n ast.Node, start, end token.Pos)
-	walk = func(n ast.Node, start, end token.Pos) {
-		ast.Inspect(n, func(c ast.Node) bool {
-			switch c := c.(type) {
-			case *ast.FuncLit:
-				return false
-			case *ast.IfStmt:
-				if c.Init != nil {
-					walk(c.Init, c.Pos(), c.End())
-				}
-				inStart, inEnd := c.Body.Pos(), c.Body.End()
-				if notNil(c.Cond, id) {
-					inStart, inEnd = start, end
-				}
-				for _, s := range c.Body.List {
-					walk(s, inStart, inEnd)
-				}
-				if c.Else != nil {
-					walk(c.Else, c.Else.Pos(), c.Else.End())
-				}
-				return false
-			case *ast.BlockStmt, *ast.CaseClause, *ast.CommClause, *ast.ForStmt, *ast.RangeStmt:
-				if c != n {
-					walk(c, c.Pos(), c.End())
-					return false
-				}
-			case *ast.AssignStmt:
-				f.assigned(c.Lhs, c.Rhs, id, source{pos: c.Pos(), start: start, end: end}, &all)
-			case *ast.ValueSpec:
-				lhs := make([]ast.Expr, len(c.Names))
-				for i, name := range c.Names {
-					lhs[i] = name
-				}
-				f.assigned(lhs, c.Values, id, source{pos: c.Pos(), start: start, end: end}, &all)
-			}
-			return true
-		})
-	}
-	walk(body, body.Pos(), body.End())
-	slices.SortFunc(all, func(a, b source) int { return int(b.pos - a.pos) })
-	for _, s := range all {
+	finder := sourceFinder{file: f, id: id}
+	finder.walk(body, body.Pos(), body.End())
+	slices.SortFunc(finder.found, func(a, b source) int { return int(b.pos - a.pos) })
+	for _, s := range finder.found {
 		if s.pos > ret.Pos() {
 			continue
 		}
@@ -140,24 +112,76 @@
 	return ""
 }
 
-// assigned appends to all the source of id, if the assignment of rhs to lhs sets it.
-func (f *file) assigned(lhs, rhs []ast.Expr, id *ast.Ident, s source, all *[]source) {
-	for i, l := range lhs {
-		x, ok := l.(*ast.Ident)
-		if !ok || x.Obj != id.Obj {
+// sourceFinder collects the assignments to one variable.
+type sourceFinder struct {
+	file  *file
+	id    *ast.Ident
+	found []source
+}
+
+// walk collects the assignments below n. Their values replace earlier ones from start to end.
+func (w *sourceFinder) walk(n ast.Node, start, end token.Pos) {
+	ast.Inspect(n, func(c ast.Node) bool {
+		switch c := c.(type) {
+		case *ast.FuncLit:
+			return false
+		case *ast.IfStmt:
+			w.walkIf(c, start, end)
+			return false
+		case *ast.BlockStmt, *ast.CaseClause, *ast.CommClause, *ast.ForStmt, *ast.RangeStmt:
+			if c != n {
+				w.walk(c, c.Pos(), c.End())
+				return false
+			}
+		case *ast.AssignStmt:
+			w.assigned(c.Lhs, c.Rhs, source{pos: c.Pos(), start: start, end: end})
+		case *ast.ValueSpec:
+			names := make([]ast.Expr, len(c.Names))
+			for i, name := range c.Names {
+				names[i] = name
+			}
+			w.assigned(names, c.Values, source{pos: c.Pos(), start: start, end: end})
+		}
+		return true
+	})
+}
+
+// walkIf collects the assignments of an if statement. One under `if id != nil` counts as sure: without it the value is
+// nil.
+func (w *sourceFinder) walkIf(statement *ast.IfStmt, start, end token.Pos) {
+	if statement.Init != nil {
+		w.walk(statement.Init, statement.Pos(), statement.End())
+	}
+	bodyStart, bodyEnd := statement.Body.Pos(), statement.Body.End()
+	if notNil(statement.Cond, w.id) {
+		bodyStart, bodyEnd = start, end
+	}
+	for _, s := range statement.Body.List {
+		w.walk(s, bodyStart, bodyEnd)
+	}
+	if statement.Else != nil {
+		w.walk(statement.Else, statement.Else.Pos(), statement.Else.End())
+	}
+}
+
+// assigned records s as a source of the variable, if the assignment of values to names sets it.
+func (w *sourceFinder) assigned(names, values []ast.Expr, s source) {
+	for i, name := range names {
+		x, ok := name.(*ast.Ident)
+		if !ok || x.Obj != w.id.Obj {
 			continue
 		}
 		var from ast.Expr
 		switch {
-		case len(rhs) == len(lhs):
-			from = rhs[i]
-		case len(rhs) == 1 && i == len(lhs)-1:
-			from = rhs[0]
+		case len(values) == len(names):
+			from = values[i]
+		case len(values) == 1 && i == len(names)-1:
+			from = values[0]
 		}
 		if c, ok := from.(*ast.CallExpr); ok {
-			s.call = f.bare(c)
+			s.call = w.file.bare(c)
 		}
-		*all = append(*all, s)
+		w.found = append(w.found, s)
 	}
 }
 
--- a/internal/raft/failover_test.go
+++ b/internal/raft/failover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -66,7 +65,7 @@
 }
 
 // kill ends a node; what it was syncing is lost, and so are messages to it.
-func (f *failoverFleet) kill(n *failoverNode) { n.core, n.syncing = nil, nil }
+func (*failoverFleet) kill(n *failoverNode) { n.core, n.syncing = nil, nil }
 
 // step lets a millisecond pass.
 func (f *failoverFleet) step() {
@@ -188,8 +187,8 @@
 			So(o.took, ShouldBeLessThan, time.Duration(o.rounds)*1300*time.Millisecond)
 		}
 		slices.SortFunc(all, func(a, b failover) int { return cmp.Compare(a.took, b.took) })
-		t.Log(fmt.Sprintf("%d failovers: %s in the middle, %s at most, %d with split votes",
-			len(all), all[len(all)/2].took, all[len(all)-1].took, split))
+		t.Logf("%d failovers: %s in the middle, %s at most, %d with split votes",
+			len(all), all[len(all)/2].took, all[len(all)-1].took, split)
 		So(split*100, ShouldBeLessThan, len(all))
 		So(all[len(all)/2].took, ShouldBeLessThan, 900*time.Millisecond)
 	})
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -393,18 +393,18 @@
 	return Lines(label, sorted(found)...)
 }
 
-// Descs makes a collector for Metrics of descriptions, of a real one that tells none in advance.
+// Descs is a collector, for Metrics, in place of one whose descriptions are known but not announced by its Describe.
 type Descs []*prometheus.Desc
 
-// Describe tells them.
+// Describe sends the descriptions.
 func (d Descs) Describe(to chan<- *prometheus.Desc) {
-	for _, one := range d {
-		to <- one
+	for _, desc := range d {
+		to <- desc
 	}
 }
 
-// Collect tells nothing.
-func (d Descs) Collect(chan<- prometheus.Metric) {}
+// Collect sends nothing: Metrics reads descriptions only.
+func (Descs) Collect(chan<- prometheus.Metric) {}
 
 // Registry is a prometheus.Registerer that keeps what is registered, for Metrics.
 type Registry struct{ Collectors []prometheus.Collector }
@@ -418,8 +418,8 @@
 // MustRegister keeps the collectors.
 func (r *Registry) MustRegister(c ...prometheus.Collector) { r.Collectors = append(r.Collectors, c...) }
 
-// Unregister keeps them.
-func (r *Registry) Unregister(prometheus.Collector) bool { return false }
+// Unregister does nothing and reports so.
+func (*Registry) Unregister(prometheus.Collector) bool { return false }
 
 // LogLines lists what stands in the calls x.Log(...) of the code under root, sorted: string literals as they are, other
 // arguments as "_". So the keys and messages of log lines are pinned, not how often they stand in the code.
--- a/internal/testbed/golden/golden_test.go
+++ b/internal/testbed/golden/golden_test.go
@@ -16,7 +16,7 @@
 		Parts map[string][]one `json:"p"`
 		Plain string
 		Local int `json:"-"`
-		local int
+		unset int
 	}
 	otherInner struct {
 		X int64 `json:"a,omitempty"`
