--- a/internal/testbed/golden/golden_test.go
+++ b/internal/testbed/golden/golden_test.go
@@ -12,11 +12,11 @@
 	}
 	one struct {
 		inner
-		Time  time.Time        `json:"t"`
-		Parts map[string][]one `json:"p"`
-		Plain string
-		Local int `json:"-"`
-		unset int
+		Time   time.Time        `json:"t"`
+		Parts  map[string][]one `json:"p"`
+		Plain  string
+		Local  int `json:"-"`
+		hidden int
 	}
 	otherInner struct {
 		X int64 `json:"a,omitempty"`
@@ -31,7 +31,7 @@
 
 func TestShape(t *testing.T) {
 	want := "# x\n. object\nPlain string\na integer omitempty\np map by string\np{} list\np{}[] recursive\nt time\n"
-	for _, v := range []any{one{local: 1}, &one{}, renamed{}} {
+	for _, v := range []any{one{hidden: 1}, &one{}, renamed{}} {
 		if got := Shape("x", v); got != want {
 			t.Errorf("%T: %s", v, got)
 		}
