--- a/internal/testbed/fleet/shape.go
+++ b/internal/testbed/fleet/shape.go
@@ -73,7 +73,7 @@
 	return n
 }
 
-// Worker pools of the deployment mamlaka.
+// activationWorkers is how many workers of the deployment mamlaka are for activation.
 const activationWorkers = 29 // the first ones; the others are for reconciliation
 
 // profiles are the two deployments of the brief at their own sizes.
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -30,14 +30,14 @@
 	return core, &events
 }
 
-// refusal gives why a start was refused, empty if it was not.
+// refusal returns why a start was refused, empty if it was not.
 func refusal(c *core, now time.Duration, call workerapi.StartCall) string {
 	answer, err := c.Start(now, call)
 	So(err, ShouldBeNil)
 	return string(answer.Refused)
 }
 
-// unacknowledged gives how the listed runs ended.
+// ends returns how the listed runs ended.
 func ends(c *core, now time.Duration) []jobs.EndReason {
 	var out []jobs.EndReason
 	for _, e := range c.Status(now).Ended {
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -43,7 +43,7 @@
 	return s
 }
 
-// ask calls and gives the answer, which must come at once.
+// ask calls and returns the answer, which must come at once.
 func (b *harness) ask(now time.Duration, call internalapi.LeaseCall) internalapi.LeaseAnswer {
 	call.Worker, call.Incarnation, call.Epoch = "m", "b", max(call.Epoch, 1)
 	s := b.take(b.RenewLease(now, 99, call))
