--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -17,7 +17,7 @@
 		Convey("With all guards no rule breaks on days of "+day.Name, t, func() {
 			made := map[Disruption]int{}
 			for seed := uint64(1); seed <= daySeeds; seed++ {
-				report := Run(Options{Seed: seed, Kinds: day.Disruptions})
+				report := Run(Options{Seed: seed, Disruptions: day.Disruptions})
 				for _, b := range report.Breaches {
 					t.Errorf("seed %d breaks %s at %s: %s", seed, b.Rule, b.At, b.What)
 				}
@@ -47,7 +47,7 @@
 	seed = firstSeeds[guard]
 	for len(found) == 0 && seed < mostGuardSeeds {
 		seed++
-		found = Run(Options{Seed: seed, Break: guard, Kinds: day.Disruptions}).Breaches
+		found = Run(Options{Seed: seed, WithoutGuard: guard, Disruptions: day.Disruptions}).Breaches
 	}
 	return seed, found
 }
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -20,21 +20,21 @@
 
 // clientJob is a job as its client knows it.
 type clientJob struct {
-	spec       jobs.Spec
-	prefix     string
-	sentAt     time.Duration
-	attempts   int
-	isUnclear  bool          // an attempt may have been accepted
-	accepted   bool          // an attempt was accepted
-	acceptedAt time.Duration // when
-	rejected   bool          // every attempt was rejected
-	cancelSent bool
-	cancelFrom time.Duration // when it was first sent
-	afterFault bool          // submitted when the machines had recovered from the final fault
-	cancelled  bool          // its cancelling was acknowledged
-	cancelAt   time.Duration
-	lastShown  jobs.JobState
-	polls      int // since it was shown as ended
+	spec         jobs.Spec
+	prefix       string
+	sentAt       time.Duration
+	attempts     int
+	isUnclear    bool          // an attempt may have been accepted
+	isAccepted   bool          // an attempt was accepted
+	acceptedAt   time.Duration // when
+	isRejected   bool          // every attempt was rejected
+	isCancelSent bool
+	cancelFrom   time.Duration // when it was first sent
+	afterFault   bool          // submitted when the machines had recovered from the final fault
+	isCancelled  bool          // its cancelling was acknowledged
+	cancelAt     time.Duration
+	lastShown    jobs.JobState
+	polls        int // since it was shown as ended
 }
 
 // clients submit jobs, poll them and cancel some.
@@ -57,7 +57,7 @@
 func (s *simulator) buildClients() {
 	s.clients = &clients{sim: s, byID: map[string]*clientJob{}}
 	s.after(2*time.Second, s.clients.arrive)
-	s.after(s.opt.For+time.Second, s.clients.cancelLongRunning)
+	s.after(s.options.DisruptionPeriod+time.Second, s.clients.cancelLongRunning)
 }
 
 // spec returns a job as a client sent it; nil if none did.
@@ -71,11 +71,11 @@
 // arrive submits one job and schedules the next.
 func (c *clients) arrive() {
 	s := c.sim
-	if s.now >= s.opt.For {
+	if s.now >= s.options.DisruptionPeriod {
 		return
 	}
 	pause := s.between(100*time.Millisecond, 900*time.Millisecond)
-	if s.opt.Load == Short {
+	if s.options.Load == Short {
 		pause = s.between(5*time.Millisecond, 45*time.Millisecond)
 		c.submitNew(c.shortJob())
 	} else {
@@ -131,8 +131,8 @@
 	c.call(func(n *node, done func(any, error)) { n.submit(j, done) }, func(_ any, err error) {
 		switch {
 		case err == nil:
-			if !j.accepted {
-				j.accepted, j.acceptedAt = true, c.sim.now
+			if !j.isAccepted {
+				j.isAccepted, j.acceptedAt = true, c.sim.now
 				c.sim.report.Jobs++
 				c.sim.checker.accepted(j)
 				c.follow(j)
@@ -147,7 +147,7 @@
 		if j.attempts < submitAttempts {
 			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff*3/2), func() { c.submit(j) })
 		} else if !j.isUnclear {
-			j.rejected = true
+			j.isRejected = true
 			c.sim.checker.rejected(j)
 		}
 	})
@@ -189,7 +189,7 @@
 
 // follow polls an accepted job until it has ended, and a little longer; some are cancelled on the way.
 func (c *clients) follow(j *clientJob) {
-	if !j.cancelSent && c.sim.chance(0.06) {
+	if !j.isCancelSent && c.sim.chance(0.06) {
 		c.sim.after(c.sim.between(0, 4*time.Second), func() { c.cancel(j) })
 	}
 	c.sim.after(c.sim.between(minPollInterval, maxPollInterval), func() {
@@ -222,11 +222,11 @@
 
 // cancel sends a cancel until it is acknowledged.
 func (c *clients) cancel(j *clientJob) {
-	if j.cancelled || j.lastShown.IsTerminal() {
+	if j.isCancelled || j.lastShown.IsTerminal() {
 		return
 	}
-	if !j.cancelSent {
-		j.cancelSent, j.cancelFrom = true, c.sim.now
+	if !j.isCancelSent {
+		j.isCancelSent, j.cancelFrom = true, c.sim.now
 	}
 	c.call(func(n *node, done func(any, error)) { n.job(j, true, done) }, func(answer any, err error) {
 		if err != nil {
@@ -239,7 +239,7 @@
 		c.sim.checker.checkAcknowledgement("a cancel", j.cancelFrom)
 		c.sim.checker.shown(j, answer.(jobAnswer))
 		if answer.(jobAnswer).state == jobs.Cancelled {
-			j.cancelled, j.cancelAt = true, c.sim.now
+			j.isCancelled, j.cancelAt = true, c.sim.now
 			c.sim.checker.cancelled(j)
 		}
 	})
@@ -273,7 +273,7 @@
 // cancelMany cancels half of the jobs that have not ended.
 func (c *clients) cancelMany() {
 	for _, j := range c.jobs {
-		if j.accepted && !j.lastShown.IsTerminal() && !j.cancelSent && c.sim.chance(0.5) {
+		if j.isAccepted && !j.lastShown.IsTerminal() && !j.isCancelSent && c.sim.chance(0.5) {
 			c.cancel(j)
 		}
 	}
@@ -282,7 +282,7 @@
 // cancelLongRunning cancels the long-running jobs, so that a run can end.
 func (c *clients) cancelLongRunning() {
 	for _, j := range c.jobs {
-		if isLongRunning(&j.spec) && j.accepted && !j.cancelSent {
+		if isLongRunning(&j.spec) && j.isAccepted && !j.isCancelSent {
 			c.cancel(j)
 		}
 	}
@@ -304,7 +304,7 @@
 		return false
 	}
 	for _, j := range c.jobs {
-		if j.accepted && j.polls < pollsAfterEnd || !j.accepted && !j.rejected && j.attempts < submitAttempts {
+		if j.isAccepted && j.polls < pollsAfterEnd || !j.isAccepted && !j.isRejected && j.attempts < submitAttempts {
 			return false
 		}
 	}
--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -102,22 +102,22 @@
 
 // disrupting reports whether disruptions still come.
 func (s *simulator) disrupting() bool {
-	return s.now < s.opt.For && (s.opt.Kinds == nil || len(s.opt.Kinds) > 0)
+	return s.now < s.options.DisruptionPeriod && (s.options.Disruptions == nil || len(s.options.Disruptions) > 0)
 }
 
 // planDisruptions schedules the disruptions. They come in periods, with calm between them.
 func (s *simulator) planDisruptions() {
-	kinds := s.opt.Kinds
+	kinds := s.options.Disruptions
 	if kinds == nil {
 		kinds = Disruptions()
 	}
 	if len(kinds) == 0 {
 		return
 	}
-	s.after(s.between(3*time.Second, 5*time.Second), func() { s.disruptionPeriod(kinds) })
+	s.after(s.between(3*time.Second, 5*time.Second), func() { s.disruptForPeriod(kinds) })
 	if slices.Contains(kinds, CoreOutage) && s.chance(0.3) {
 		s.clients.faultPending = true
-		s.after(s.opt.For, s.finalFault)
+		s.after(s.options.DisruptionPeriod, s.finalFault)
 	}
 }
 
@@ -137,20 +137,20 @@
 	})
 }
 
-// disruptionPeriod makes disruptions for a while.
-func (s *simulator) disruptionPeriod(kinds []Disruption) {
-	end := min(s.now+s.between(4*time.Second, 14*time.Second), s.opt.For)
+// disruptForPeriod makes disruptions for a while.
+func (s *simulator) disruptForPeriod(kinds []Disruption) {
+	end := min(s.now+s.between(4*time.Second, 14*time.Second), s.options.DisruptionPeriod)
 	var next func()
 	next = func() {
 		if s.now >= end {
-			if s.now < s.opt.For {
-				s.after(s.between(2*time.Second, 12*time.Second), func() { s.disruptionPeriod(kinds) })
+			if s.now < s.options.DisruptionPeriod {
+				s.after(s.between(2*time.Second, 12*time.Second), func() { s.disruptForPeriod(kinds) })
 			}
 			return
 		}
 		s.disrupt(kinds[s.rng.IntN(len(kinds))])
 		pause := s.between(100*time.Millisecond, 1500*time.Millisecond)
-		s.after(time.Duration(float64(pause)/s.opt.Pace), next)
+		s.after(time.Duration(float64(pause)/s.options.DisruptionRate), next)
 	}
 	next()
 }
@@ -218,9 +218,9 @@
 		n.frozenUntil = s.now + back
 		n.after(s.between(0, 300*time.Millisecond), func() { n.learnNewerTerm() })
 	case LeaderCut:
-		n.cut = true
+		n.isCutOff = true
 		s.after(back, func() {
-			n.cut = false
+			n.isCutOff = false
 			n.after(s.between(0, 300*time.Millisecond), n.learnNewerTerm)
 		})
 	default:
@@ -259,7 +259,7 @@
 	longest := s.between(500*time.Millisecond, 8*time.Second)
 	for _, n := range s.nodes {
 		n.kill()
-		n.frozenUntil, n.cut = 0, false
+		n.frozenUntil, n.isCutOff = 0, false
 		s.after(s.between(longest/2, longest), n.startProcess)
 	}
 	s.after(longest+s.between(0, time.Second), s.log.elect)
@@ -270,7 +270,7 @@
 // disruptWorker disrupts what runs on a host; false if nothing runs there, or it drains already.
 func (s *simulator) disruptWorker(kind Disruption, host *workerHost) bool {
 	w := host.current
-	if w == nil || w.draining || w.leaving {
+	if w == nil || w.isDraining || w.isLeaving {
 		return false
 	}
 	d := s.between(time.Second, 10*time.Second)
--- a/internal/testbed/jobssim/disruptions_core.go
+++ b/internal/testbed/jobssim/disruptions_core.go
@@ -26,7 +26,7 @@
 		s.after(election, s.log.elect)
 	}
 	for _, n := range lost {
-		if !n.down {
+		if !n.isDown {
 			n.kill()
 			s.after(back, n.startProcess)
 		}
@@ -37,7 +37,7 @@
 // wipeMember kills a member of the core, which may be the leader, and starts it again with an empty disk.
 func (s *simulator) wipeMember() bool {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if n.down || !s.majorityWithoutAll([]*node{n}) {
+	if n.isDown || !s.majorityWithoutAll([]*node{n}) {
 		return false
 	}
 	s.killNodes([]*node{n}, s.between(time.Second, 4*time.Second))
@@ -124,7 +124,7 @@
 // flap ends and starts incarnations on a host by turns.
 func (host *workerHost) flap(until time.Duration) {
 	s := host.sim
-	if s.now >= until || s.now >= s.opt.For {
+	if s.now >= until || s.now >= s.options.DisruptionPeriod {
 		return
 	}
 	host.disruptedAt = max(host.disruptedAt, until)
--- a/internal/testbed/jobssim/disruptions_workers.go
+++ b/internal/testbed/jobssim/disruptions_workers.go
@@ -114,9 +114,9 @@
 // cutFor cuts the host off from the whole core for a while.
 func (host *workerHost) cutFor(d time.Duration) {
 	s := host.sim
-	host.cut = true
+	host.isCutOff = true
 	host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d)
-	s.after(d, func() { host.cut = false })
+	s.after(d, func() { host.isCutOff = false })
 }
 
 // maxDrainTime is the longest from a worker's first report that it drains or leaves to its end.
--- a/internal/testbed/jobssim/failover_test.go
+++ b/internal/testbed/jobssim/failover_test.go
@@ -19,7 +19,7 @@
 		}
 		var whole, own []time.Duration
 		for seed := uint64(1); len(whole) < losses; seed++ {
-			report := Run(Options{Seed: seed, Load: Short, Pace: 3, Kinds: []Disruption{LeaderFreeze, LeaderCut, LeaderKill}})
+			report := Run(Options{Seed: seed, Load: Short, DisruptionRate: 3, Disruptions: []Disruption{LeaderFreeze, LeaderCut, LeaderKill}})
 			So(report.Breaches, ShouldBeEmpty)
 			whole, own = append(whole, report.Failovers...), append(own, report.Takeovers...)
 		}
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -50,7 +50,7 @@
 
 // startOutcome is what the scheduler learns of a start without an answer.
 func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartError {
-	switch n.sim.opt.Break {
+	switch n.sim.options.WithoutGuard {
 	case UnconfirmedIsDead:
 		return scheduler.StartUnsent
 	case UnconfirmedReservesNothing:
@@ -61,7 +61,7 @@
 
 // answer commits a change of a client or an operator and answers with the outcome.
 func (n *node) answer(term uint64, change any, done func(any, error)) {
-	if n.sim.opt.Break == EarlyAnswers && n.sim.log.leader == n {
+	if n.sim.options.WithoutGuard == EarlyAnswers && n.sim.log.leader == n {
 		answered := done
 		answered(nil, nil)
 		done = func(any, error) {}
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -75,11 +75,11 @@
 	s := w.host.sim
 	w.heartbeatSequence++
 	call := heartbeat{worker: w.record(), sequence: w.heartbeatSequence, clock: w.clock(), leaving: leaving}
-	if w.draining {
+	if w.isDraining {
 		call.remaining = drainTimeout
 	}
 	n := s.anyLeader()
-	if n == nil || w.host.cut { // a node that it is cut from is reached by way of another
+	if n == nil || w.host.isCutOff { // a node that it is cut from is reached by way of another
 		return
 	}
 	late := time.Duration(0)
@@ -90,7 +90,7 @@
 		n.after(0, func() {
 			n.receiveHeartbeat(call, func(err error) {
 				s.after(s.linkDelay(), func() {
-					if ok := err == nil && !w.host.cut; ok && late == 0 {
+					if ok := err == nil && !w.host.isCutOff; ok && late == 0 {
 						w.heartbeatAcknowledged(call, n)
 						done(true)
 					}
@@ -112,7 +112,7 @@
 
 // deregister reports that the worker leaves, without a drain before; it serves on for a while and ends.
 func (w *workerIncarnation) deregister() {
-	w.leaving, w.leavingSince = true, w.host.sim.now
+	w.isLeaving, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s deregisters first", w.id)
 	w.announceLeaving()
 	w.host.sim.after(maxDrainTime, w.terminate) // also without an acknowledgement
@@ -154,10 +154,10 @@
 
 // drain begins a planned end.
 func (w *workerIncarnation) drain() {
-	if w.draining || w.leaving || !w.isUp() {
+	if w.isDraining || w.isLeaving || !w.isUp() {
 		return
 	}
-	w.draining, w.leavingSince = true, w.host.sim.now
+	w.isDraining, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s drains", w.id)
 	w.host.sim.after(maxDrainTime, w.leave) // also without an acknowledgement
 }
@@ -166,14 +166,14 @@
 func (w *workerIncarnation) record() jobs.Worker {
 	host := w.host
 	return jobs.Worker{ID: w.id, Address: host.address, Service: host.service, Zone: host.zone, Rack: host.rack,
-		Labels: host.labels, Capacity: host.capacity, Draining: w.draining}
+		Labels: host.labels, Capacity: host.capacity, Draining: w.isDraining}
 }
 
 // anyLeader returns a node that takes itself for the leader; nil if there is none.
 func (s *simulator) anyLeader() *node {
 	var leading []*node
 	for _, n := range s.nodes {
-		if n.term != 0 && !n.down {
+		if n.term != 0 && !n.isDown {
 			leading = append(leading, n)
 		}
 	}
@@ -186,7 +186,8 @@
 // readTable reads the table if this node may answer for it, as controller.Leader.readTable.
 func (n *node) readTable() (table *jobs.Table, term uint64, err error) {
 	term, isLeader := n.leadTerm()
-	if without := n.sim.opt.Break; (without == NoLeaseCheck || without == OldLeadersAnswer) && n.core.Term() != 0 {
+	removed := n.sim.options.WithoutGuard
+	if (removed == NoLeaseCheck || removed == OldLeadersAnswer) && n.core.Term() != 0 {
 		term, isLeader = n.core.Term(), true
 	}
 	switch {
@@ -217,7 +218,7 @@
 			worker = *known
 		}
 		worker.Left = true
-	} else if call.sequence < n.newestHeartbeat[worker.ID] && n.sim.opt.Break != StaleHeartbeatsCount {
+	} else if call.sequence < n.newestHeartbeat[worker.ID] && n.sim.options.WithoutGuard != StaleHeartbeatsCount {
 		done(nil)
 		return
 	} else {
@@ -229,8 +230,8 @@
 		}
 		done(err)
 	}
-	countsStale := n.sim.opt.Break == StaleHeartbeatsCount && known != nil && known.Draining != worker.Draining
-	if known != nil && !changedWorker(known, &worker) && !countsStale {
+	countsStale := n.sim.options.WithoutGuard == StaleHeartbeatsCount
+	if known != nil && !changedWorker(known, &worker) && (!countsStale || known.Draining == worker.Draining) {
 		finish(nil)
 		return
 	}
--- a/internal/testbed/jobssim/hunt_test.go
+++ b/internal/testbed/jobssim/hunt_test.go
@@ -14,16 +14,16 @@
 func TestHunt(t *testing.T) {
 	count, _ := strconv.ParseUint(os.Getenv("FLEETSIM_SEEDS"), 10, 64)
 	from, _ := strconv.ParseUint(os.Getenv("FLEETSIM_FROM"), 10, 64)
-	opt := Options{Break: Guard(os.Getenv("FLEETSIM_BREAK")), Load: Load(os.Getenv("FLEETSIM_LOAD"))}
-	opt.Pace, _ = strconv.ParseFloat(os.Getenv("FLEETSIM_PACE"), 64)
-	opt.For, _ = time.ParseDuration(os.Getenv("FLEETSIM_FOR"))
+	opt := Options{WithoutGuard: Guard(os.Getenv("FLEETSIM_BREAK")), Load: Load(os.Getenv("FLEETSIM_LOAD"))}
+	opt.DisruptionRate, _ = strconv.ParseFloat(os.Getenv("FLEETSIM_PACE"), 64)
+	opt.DisruptionPeriod, _ = time.ParseDuration(os.Getenv("FLEETSIM_FOR"))
 	if kinds := os.Getenv("FLEETSIM_KINDS"); kinds != "" {
 		for kind := range strings.SplitSeq(kinds, ",") {
-			opt.Kinds = append(opt.Kinds, Disruption(kind))
+			opt.Disruptions = append(opt.Disruptions, Disruption(kind))
 		}
 	}
 	if day, err := strconv.Atoi(os.Getenv("FLEETSIM_DAY")); err == nil {
-		opt.Kinds = BadDays()[day-1].Disruptions
+		opt.Disruptions = BadDays()[day-1].Disruptions
 	}
 	if path := os.Getenv("FLEETSIM_TRACE"); path != "" {
 		file, err := os.Create(path)
--- a/internal/testbed/jobssim/invariants_ends.go
+++ b/internal/testbed/jobssim/invariants_ends.go
@@ -15,7 +15,7 @@
 		ic.expectUnconfirmed(j)
 	}
 	ic.sim.report.Seen["end: "+string(reason)]++
-	if reason == jobs.EndStopped && !j.job.cancelSent && !j.attemptsExhausted() {
+	if reason == jobs.EndStopped && !j.job.isCancelSent && !j.attemptsExhausted() {
 		ic.sim.report.Seen["stopped for other work"]++
 	}
 	e := &endRecord{run: r, reason: reason, at: ic.sim.now}
@@ -36,7 +36,7 @@
 
 // checkGangStart judges a member of a gang that waited in vain.
 func (ic *invariantChecker) checkGangStart(j *jobHistory, r *liveRun) {
-	if ic.calmGang(r) && !j.job.cancelSent {
+	if ic.calmGang(r) && !j.job.isCancelSent {
 		ic.breach(GangRule, "%s ended alone", r)
 	}
 }
--- a/internal/testbed/jobssim/invariants_jobs.go
+++ b/internal/testbed/jobssim/invariants_jobs.go
@@ -22,7 +22,7 @@
 func (ic *invariantChecker) shown(c *clientJob, a jobAnswer) {
 	j := ic.job(c.spec.ID)
 	if a.gone {
-		if c.accepted && !c.cancelSent {
+		if c.isAccepted && !c.isCancelSent {
 			isExcused := ic.sim.now <= c.acceptedAt+visibleTime || !ic.sim.inTouch()
 			ic.require(LostRule, isExcused, "job %s is accepted and not known", c.spec.ID)
 		}
@@ -35,7 +35,7 @@
 	case jobs.Failed:
 		ic.require(LostRule, j.attemptsExhausted(), "job %s is shown as failed without cause", c.spec.ID)
 	case jobs.Cancelled:
-		ic.require(LostRule, c.cancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
+		ic.require(LostRule, c.isCancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
 	default:
 		ic.count(LostRule)
 		if c.lastShown.IsTerminal() {
@@ -90,7 +90,7 @@
 // findIdle judges jobs that could run and do not.
 func (ic *invariantChecker) findIdle() {
 	for _, c := range ic.sim.clients.jobs {
-		if !c.accepted || c.lastShown.IsTerminal() || c.cancelSent {
+		if !c.isAccepted || c.lastShown.IsTerminal() || c.isCancelSent {
 			continue
 		}
 		j := ic.job(c.spec.ID)
@@ -225,8 +225,8 @@
 // isHealthy reports whether any scheduler could assign starts to a worker.
 func (ic *invariantChecker) isHealthy(host *workerHost) bool {
 	w := host.current
-	isImpaired := w.draining || w.leaving || w.refuses || w.failShare > 0 || w.failsAll || w.stalledSince > 0
-	isOutOfTouch := host.cut || len(host.cutFrom) > 0 || ic.sim.now < host.disruptedAt ||
+	isImpaired := w.isDraining || w.isLeaving || w.refuses || w.failShare > 0 || w.failsAll || w.stalledSince > 0
+	isOutOfTouch := host.isCutOff || len(host.cutFrom) > 0 || ic.sim.now < host.disruptedAt ||
 		ic.sim.now-w.startedAt < contactTimeout
 	if isImpaired || isOutOfTouch {
 		return false
@@ -242,7 +242,7 @@
 // finish judges what is left when a run is over.
 func (ic *invariantChecker) finish() {
 	for _, c := range ic.sim.clients.jobs {
-		if !c.accepted {
+		if !c.isAccepted {
 			continue
 		}
 		ic.require(EndRule, c.lastShown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID,
@@ -259,7 +259,7 @@
 	for _, c := range ic.sim.clients.jobs {
 		if c.afterFault {
 			all++
-			if c.accepted {
+			if c.isAccepted {
 				served++
 			}
 		}
--- a/internal/testbed/jobssim/invariants_longrunning.go
+++ b/internal/testbed/jobssim/invariants_longrunning.go
@@ -22,7 +22,7 @@
 // findDetached judges long-running tasks that could run and do not, whether others of their job run or not.
 func (ic *invariantChecker) findDetached() {
 	for _, c := range ic.sim.clients.jobs {
-		if !c.accepted || c.lastShown.IsTerminal() || c.cancelSent {
+		if !c.isAccepted || c.lastShown.IsTerminal() || c.isCancelSent {
 			continue
 		}
 		j := ic.job(c.spec.ID)
--- a/internal/testbed/jobssim/invariants_starts.go
+++ b/internal/testbed/jobssim/invariants_starts.go
@@ -123,8 +123,8 @@
 	if r.step.Gang {
 		ic.checkGangCheckpoint(r, order.Checkpoint)
 	}
-	ic.require(RefusedRule, !c.rejected, "%s although its job was refused", r)
-	if c.cancelled && r.order.wasInTouch && !r.order.isLate {
+	ic.require(RefusedRule, !c.isRejected, "%s although its job was refused", r)
+	if c.isCancelled && r.order.wasInTouch && !r.order.isLate {
 		since := ic.sim.now - c.cancelAt
 		ic.require(UnaskedRule, since <= cancelTime, "%s %s after its cancelling", r, since)
 	}
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -48,7 +48,7 @@
 		n.after(0, func() { done(nil, errs.New(errs.Unavailable, "another term")) })
 		return
 	}
-	if l.leader != n || n.cut {
+	if l.leader != n || n.isCutOff {
 		n.after(proposalTimeout, func() { done(nil, errs.New(errs.Timeout, "no majority")) })
 		return
 	}
@@ -146,7 +146,7 @@
 
 // apply makes a change in a table.
 func (s *simulator) apply(t *jobs.Table, e entry) (answer any, err error) {
-	switch c := withoutGuard(s.opt.Break, t, e.change).(type) {
+	switch c := withoutGuard(s.options.WithoutGuard, t, e.change).(type) {
 	case jobs.Submit:
 		answer, err = t.Submit(c)
 	case jobs.Cancel:
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -20,8 +20,8 @@
 
 	term        uint64        // in which it leads, as far as it knows; 0: it does not
 	leaseUntil  time.Duration // of a leader that lost the majority: until then it may still answer
-	down        bool          // its process does not run
-	cut         bool          // from the rest of the core
+	isDown      bool          // its process does not run
+	isCutOff    bool          // from the rest of the core
 	frozenUntil time.Duration
 	skew        time.Duration // of its time of day
 
@@ -73,11 +73,11 @@
 
 // startProcess restarts the process: its memory is lost, its log is not.
 func (n *node) startProcess() {
-	if !n.down && n.incarnation > 0 {
+	if !n.isDown && n.incarnation > 0 {
 		return
 	}
 	n.incarnation++
-	n.down, n.term, n.isPassPlanned = false, 0, false
+	n.isDown, n.term, n.isPassPlanned = false, 0, false
 	n.core = scheduler.New(n.sim.schedulerConfig())
 	n.inputs, n.tableEvents = nil, nil
 	n.newestHeartbeat, n.newestEnd = map[string]uint64{}, map[string]uint64{}
@@ -105,11 +105,11 @@
 
 func (n *node) kill() {
 	n.incarnation++
-	n.down, n.term = true, 0
+	n.isDown, n.term = true, 0
 }
 
 // isRunning reports whether it can be a member of a majority now.
-func (n *node) isRunning() bool { return !n.down && !n.cut && n.sim.now >= n.frozenUntil }
+func (n *node) isRunning() bool { return !n.isDown && !n.isCutOff && n.sim.now >= n.frozenUntil }
 
 // after schedules a call on this incarnation of the node; a frozen node makes it after it wakes.
 func (n *node) after(d time.Duration, call func()) {
@@ -148,12 +148,12 @@
 
 // leadTerm is the store's LeadTerm.
 func (n *node) leadTerm() (term uint64, isLeader bool) {
-	return n.term, n.term != 0 && (n.sim.log.leader == n && !n.cut || n.sim.now < n.leaseUntil)
+	return n.term, n.term != 0 && (n.sim.log.leader == n && !n.isCutOff || n.sim.now < n.leaseUntil)
 }
 
 // leads reports whether an order may be sent under a term now.
 func (n *node) leads(term uint64) bool {
-	if n.sim.opt.Break == NoLeaseCheck {
+	if n.sim.options.WithoutGuard == NoLeaseCheck {
 		return true
 	}
 	current, isLeader := n.leadTerm()
@@ -198,7 +198,7 @@
 func (n *node) pass() {
 	now := n.sim.now
 	term, isLeader := n.leadTerm()
-	if n.sim.opt.Break == NoLeaseCheck && n.core.Term() != 0 && (term == 0 || term == n.core.Term()) {
+	if n.sim.options.WithoutGuard == NoLeaseCheck && n.core.Term() != 0 && (term == 0 || term == n.core.Term()) {
 		term, isLeader = n.core.Term(), true
 	}
 	if term == 0 || term != n.core.Term() && n.core.Term() != 0 {
@@ -232,7 +232,7 @@
 
 func (n *node) becomeLeader(term uint64) {
 	n.inputs, n.tableEvents = nil, nil
-	if n.sim.opt.Break == NoFencingWait {
+	if n.sim.options.WithoutGuard == NoFencingWait {
 		n.forgetHandles(term)
 	}
 	n.table.OnEvent = n.onTableChange
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -17,15 +17,15 @@
 
 // sentConfig is a configuration that the operator sent.
 type sentConfig struct {
-	change   jobs.Configure
-	sentAt   time.Duration
-	acked    bool
-	ackedAt  time.Duration
-	moved    bool              // its moving queue is on the open service
-	without  bool              // its side queue is not there
-	rival    *sentConfig       // the other one of a race; nil: none
-	lost     bool              // it was refused because the other one of its race won
-	services map[string]string // by queue
+	change           jobs.Configure
+	sentAt           time.Duration
+	acked            bool
+	ackedAt          time.Duration
+	isQueueMoved     bool              // its moving queue is on the open service
+	withoutSideQueue bool              // its side queue is not there
+	rival            *sentConfig       // the other one of a race; nil: none
+	lost             bool              // it was refused because the other one of its race won
+	services         map[string]string // by queue
 }
 
 // evacuation is one evacuation of a zone.
@@ -42,8 +42,8 @@
 	sim                       *simulator
 	configs                   []*sentConfig // those that may be in force or were, the newest last
 	evacuations               []*evacuation
-	moved                     bool // the moving queue is on the open service
-	without                   bool // the side queue is not there
+	isQueueMoved              bool // the moving queue is on the open service
+	withoutSideQueue          bool // the side queue is not there
 	busy                      bool
 	acknowledgementsLostUntil time.Duration // until then most answers to it are lost
 }
@@ -59,7 +59,7 @@
 		return
 	}
 	o.busy = true
-	c := o.build(o.base(), o.moved, o.without)
+	c := o.build(o.base(), o.isQueueMoved, o.withoutSideQueue)
 	o.configs = append(o.configs, c)
 	o.send(c)
 }
@@ -73,11 +73,11 @@
 }
 
 // build builds a configuration on top of a version.
-func (o *operator) build(base uint64, moved, without bool) *sentConfig {
+func (o *operator) build(base uint64, moved, removed bool) *sentConfig {
 	version := base + 1 + uint64(o.sim.rng.IntN(3))
-	c := &sentConfig{sentAt: o.sim.now, moved: moved, without: without, services: map[string]string{}}
+	c := &sentConfig{sentAt: o.sim.now, isQueueMoved: moved, withoutSideQueue: removed, services: map[string]string{}}
 	c.change = jobs.Configure{Base: base, Version: version, Replace: true,
-		Digest:   fmt.Sprintf("config %d on %d moved %v without %v", version, base, moved, without),
+		Digest:   fmt.Sprintf("config %d on %d moved %v without %v", version, base, moved, removed),
 		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}
 	queue := func(name, service string, priority int) {
 		c.services[name] = service
@@ -92,7 +92,7 @@
 		service = serviceOpen
 	}
 	queue("moving", service, 1)
-	if !without {
+	if !removed {
 		queue("side", serviceOpen, 1)
 	}
 	return c
@@ -108,7 +108,7 @@
 		return
 	}
 	c.acked, c.ackedAt = true, o.sim.now
-	o.moved, o.without = c.moved, c.without
+	o.isQueueMoved, o.withoutSideQueue = c.isQueueMoved, c.withoutSideQueue
 	o.sim.checker.checkAcknowledgement("a configuration", c.sentAt)
 	if c.rival != nil {
 		o.sim.checker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
@@ -179,7 +179,7 @@
 	}
 	o.busy = true
 	base := o.base()
-	one, other := o.build(base, !o.moved, o.without), o.build(base, o.moved, !o.without)
+	one, other := o.build(base, !o.isQueueMoved, o.withoutSideQueue), o.build(base, o.isQueueMoved, !o.withoutSideQueue)
 	one.rival, other.rival = other, one
 	o.configs = append(o.configs, one, other)
 	o.send(one)
@@ -193,7 +193,7 @@
 	if len(o.configs) == 0 {
 		return
 	}
-	c := o.build(o.base(), o.moved, o.without)
+	c := o.build(o.base(), o.isQueueMoved, o.withoutSideQueue)
 	what := ""
 	switch o.sim.rng.IntN(4) {
 	case 0:
@@ -227,9 +227,9 @@
 		return
 	}
 	if o.sim.chance(0.5) {
-		o.moved = !o.moved
+		o.isQueueMoved = !o.isQueueMoved
 	} else {
-		o.without = true
+		o.withoutSideQueue = true
 		o.sim.after(o.sim.between(2*time.Second, 6*time.Second), o.restoreQueue)
 	}
 	o.configure()
@@ -241,8 +241,8 @@
 		o.sim.after(200*time.Millisecond, o.restoreQueue)
 		return
 	}
-	if o.without {
-		o.without = false
+	if o.withoutSideQueue {
+		o.withoutSideQueue = false
 		o.configure()
 	}
 }
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -35,7 +35,7 @@
 }
 
 func (n *node) commit(term uint64, progress *jobs.Progress) {
-	if n.sim.opt.Break == StartBeforeCommit {
+	if n.sim.options.WithoutGuard == StartBeforeCommit {
 		n.startBeforeCommit(term, progress)
 	}
 	n.sim.log.propose(n, term, *progress, func(answer any, err error) {
@@ -135,7 +135,7 @@
 		n.failLeaseRenewal(done)
 		return
 	}
-	if n.sim.opt.Break == EarlyAcknowledgement {
+	if n.sim.options.WithoutGuard == EarlyAcknowledgement {
 		call.AcknowledgedUpTo = max(call.AcknowledgedUpTo, n.newestEnd[id])
 	}
 	n.sim.exchange(n, renewal.Worker, call.Wait+callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -22,19 +22,19 @@
 
 // liveRun is a run on a worker.
 type liveRun struct {
-	key      jobs.RunKey
-	order    order
-	spec     *jobs.Spec
-	step     *jobs.Step
-	worker   *workerIncarnation
-	began    time.Duration
-	work     time.Duration // that is left to do here, by the checkpoint
-	saved    time.Duration // work done before, by its checkpoint
-	workedAt time.Duration // workedTime of its worker when it began to work; -1: it waits for its gang
-	factor   float64       // how many times as long the work takes here
-	fails    bool
-	stopping bool
-	gang     *gang
+	key        jobs.RunKey
+	order      order
+	spec       *jobs.Spec
+	step       *jobs.Step
+	worker     *workerIncarnation
+	began      time.Duration
+	work       time.Duration // that is left to do here, by the checkpoint
+	saved      time.Duration // work done before, by its checkpoint
+	workedAt   time.Duration // workedTime of its worker when it began to work; -1: it waits for its gang
+	factor     float64       // how many times as long the work takes here
+	fails      bool
+	isStopping bool
+	gang       *gang
 }
 
 // beginRun starts a run.
@@ -77,7 +77,7 @@
 // scheduleEnd ends the run when its work is done, at the earliest after d.
 func (r *liveRun) scheduleEnd(d time.Duration) {
 	r.worker.host.sim.after(d, func() {
-		if !r.worker.hasRun(r) || r.stopping {
+		if !r.worker.hasRun(r) || r.isStopping {
 			return
 		}
 		if left := r.work - (r.worker.workedTime() - r.workedAt); left > 0 {
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -56,7 +56,7 @@
 func (n *node) failStop(done func(scheduler.StopError)) {
 	n.sim.report.Seen["short: stop"]++
 	failure := scheduler.StopNoConnection
-	if n.sim.opt.Break == UnsentStopsCount {
+	if n.sim.options.WithoutGuard == UnsentStopsCount {
 		failure = scheduler.StopOK
 	}
 	n.after(connectionWait, func() { done(failure) })
--- a/internal/testbed/jobssim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -20,14 +20,14 @@
 
 // Options of a run.
 type Options struct {
-	Seed      uint64
-	For       time.Duration // how long disruptions and new jobs come; default 32 s
-	DrainTime time.Duration // after For, until every job has ended, at most; default 45 s
-	Break     Guard         // a guard that is removed; empty: none
-	Load      Load          // which jobs come; default Mixed
-	Kinds     []Disruption  // which disruptions come; nil: all
-	Pace      float64       // how many times as many disruptions come as usual; default 1
-	Trace     io.Writer     // a line for each event of note; nil: none
+	Seed             uint64
+	DisruptionPeriod time.Duration // how long disruptions and new jobs come; default 32 s
+	DrainTime        time.Duration // after that, until every job has ended, at most; default 45 s
+	WithoutGuard     Guard         // a guard that is removed; empty: none
+	Load             Load          // which jobs come; default Mixed
+	Disruptions      []Disruption  // which disruptions come; nil: all
+	DisruptionRate   float64       // how many times as many disruptions come as usual; default 1
+	Trace            io.Writer     // a line for each event of note; nil: none
 }
 
 // Report is what came of a run.
@@ -44,7 +44,7 @@
 	Starts      int                // starts on workers
 	Jobs        int                // jobs accepted
 	Events      int
-	Virtual     time.Duration
+	VirtualTime time.Duration
 }
 
 // Breach is a broken rule.
@@ -92,12 +92,12 @@
 
 // simulator is one run.
 type simulator struct {
-	opt    Options
-	rng    *rand.Rand // one for all draws: their order is part of the run
-	now    time.Duration
-	queue  eventQueue
-	number uint64 // of the newest event
-	report Report
+	options Options
+	rng     *rand.Rand // one for all draws: their order is part of the run
+	now     time.Duration
+	queue   eventQueue
+	number  uint64 // of the newest event
+	report  Report
 
 	log          *replicatedLog
 	nodes        []*node
@@ -116,16 +116,16 @@
 
 // Run plays one seed.
 func Run(opt Options) Report {
-	if opt.For == 0 {
-		opt.For = 32 * time.Second
+	if opt.DisruptionPeriod == 0 {
+		opt.DisruptionPeriod = 32 * time.Second
 	}
 	if opt.DrainTime == 0 {
 		opt.DrainTime = 45 * time.Second
 	}
-	if opt.Pace == 0 {
-		opt.Pace = 1
+	if opt.DisruptionRate == 0 {
+		opt.DisruptionRate = 1
 	}
-	s := &simulator{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 7)), gangs: map[gangKey]*gang{}}
+	s := &simulator{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 7)), gangs: map[gangKey]*gang{}}
 	s.report = Report{Seed: opt.Seed, Cases: map[Rule]int{}, Disruptions: map[Disruption]int{}, Seen: map[string]int{}}
 	s.checker = newInvariantChecker(s)
 	s.buildCore()
@@ -135,16 +135,16 @@
 	s.planDisruptions()
 	s.checker.watchIdle()
 	s.loop()
-	s.report.Virtual = s.now
+	s.report.VirtualTime = s.now
 	return s.report
 }
 
 // loop plays events until all jobs have ended or time is up.
 func (s *simulator) loop() {
-	end := s.opt.For + s.opt.DrainTime
+	end := s.options.DisruptionPeriod + s.options.DrainTime
 	for len(s.queue) > 0 && len(s.report.Breaches) < maxBreaches {
 		e := heap.Pop(&s.queue).(event)
-		if e.at > end || s.now > s.opt.For && s.clients.allEnded() {
+		if e.at > end || s.now > s.options.DisruptionPeriod && s.clients.allEnded() {
 			break
 		}
 		s.now = e.at
@@ -174,8 +174,8 @@
 func (s *simulator) wall() time.Time { return epoch.Add(s.now) }
 
 func (s *simulator) trace(format string, args ...any) {
-	if s.opt.Trace != nil {
+	if s.options.Trace != nil {
 		// A trace that nobody reads changes no run.
-		_, _ = fmt.Fprintf(s.opt.Trace, "%9.4f %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
+		_, _ = fmt.Fprintf(s.options.Trace, "%9.4f %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/testbed/jobssim/sim_test.go
+++ b/internal/testbed/jobssim/sim_test.go
@@ -38,7 +38,7 @@
 func TestQuiet(t *testing.T) {
 	Convey("Without disruptions no lease expires, no gang waits in vain, no start is refused and no job is idle", t, func() {
 		for seed := uint64(1); seed <= 4; seed++ {
-			report := Run(Options{Seed: seed, Kinds: []Disruption{}})
+			report := Run(Options{Seed: seed, Disruptions: []Disruption{}})
 			So(report.Breaches, ShouldBeEmpty)
 			So(report.Seen["end: lapsed"]+report.Seen["end: alone"], ShouldEqual, 0)
 			So(report.Seen["start refused: room"]+report.Seen["start refused: fence"], ShouldEqual, 0)
--- a/internal/testbed/jobssim/weaken.go
+++ b/internal/testbed/jobssim/weaken.go
@@ -8,16 +8,16 @@
 )
 
 // withoutGuard returns a change as a table without a guard would make it; every node does the same.
-func withoutGuard(without Guard, t *jobs.Table, change any) any {
+func withoutGuard(removed Guard, t *jobs.Table, change any) any {
 	switch c := change.(type) {
 	case jobs.Submit:
-		return weakenSubmit(without, t, c)
+		return weakenSubmit(removed, t, c)
 	case jobs.Configure:
-		return weakenConfigure(without, t, c)
+		return weakenConfigure(removed, t, c)
 	case jobs.Register:
-		return weakenRegister(without, t, c)
+		return weakenRegister(removed, t, c)
 	case jobs.Evacuate:
-		if without == NoEvacuationMark {
+		if removed == NoEvacuationMark {
 			c.Start = false
 		}
 		return c
@@ -25,8 +25,8 @@
 	return change
 }
 
-func weakenSubmit(without Guard, t *jobs.Table, c jobs.Submit) jobs.Submit {
-	if without == NoIdentity && t.Jobs[c.Spec.ID] != nil {
+func weakenSubmit(removed Guard, t *jobs.Table, c jobs.Submit) jobs.Submit {
+	if removed == NoIdentity && t.Jobs[c.Spec.ID] != nil {
 		c.Spec.ID += " again"
 	}
 	return c
@@ -35,8 +35,8 @@
 // manyAttempts is more than any task of a run makes.
 const manyAttempts = 1000
 
-func weakenConfigure(without Guard, t *jobs.Table, c jobs.Configure) jobs.Configure {
-	switch without {
+func weakenConfigure(removed Guard, t *jobs.Table, c jobs.Configure) jobs.Configure {
+	switch removed {
 	case NoAttemptBound:
 		c.Queues = append([]jobs.Queue{}, c.Queues...)
 		for i := range c.Queues {
@@ -73,11 +73,11 @@
 	return c
 }
 
-func weakenRegister(without Guard, t *jobs.Table, c jobs.Register) jobs.Register {
+func weakenRegister(removed Guard, t *jobs.Table, c jobs.Register) jobs.Register {
 	c.Workers = append([]jobs.Worker{}, c.Workers...)
 	for i := range c.Workers {
 		w := &c.Workers[i]
-		switch without {
+		switch removed {
 		case NoCapacityCheck:
 			w.Capacity = plus(w.Capacity, w.Capacity)
 		case NoDrainMark:
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -35,7 +35,7 @@
 	speed          float64            // how many times as long a task takes here
 	current        *workerIncarnation // nil: nothing runs here
 
-	cut              bool           // from the whole core
+	isCutOff         bool           // from the whole core
 	cutFrom          map[*node]bool // from single nodes
 	lateUntil        time.Duration  // until then it carries many orders out late
 	answersLostUntil time.Duration  // until then it loses answers
@@ -47,7 +47,7 @@
 }
 
 // cutOff reports whether nothing passes between the host and a node.
-func (host *workerHost) cutOff(n *node) bool { return host.cut || host.cutFrom[n] }
+func (host *workerHost) cutOff(n *node) bool { return host.isCutOff || host.cutFrom[n] }
 
 // workerIncarnation is one incarnation of a worker, under an ID of its own.
 type workerIncarnation struct {
@@ -71,9 +71,9 @@
 	failShare           float64       // share of what it starts that fails
 	refuses             bool          // it refuses starts as if it were unhealthy
 	slowFactor          float64       // on top of the host's speed
-	draining            bool
+	isDraining          bool
 	drainAcknowledgedAt time.Duration // when the core first acknowledged it; 0: not yet
-	leaving             bool          // it deregisters first and serves on
+	isLeaving           bool          // it deregisters first and serves on
 	leavingSince        time.Duration // when it first said that it drains or ends
 	heartbeatSequence   uint64
 	leaseNumber         int // of the newest extension: the timers of older ones are dropped
@@ -202,8 +202,8 @@
 		return false
 	}
 	w.closedUpTo[o.Key.Task] = max(w.closedUpTo[o.Key.Task], o.Key.Number)
-	if r := w.findRun(o.Key); r != nil && !r.stopping {
-		r.stopping = true
+	if r := w.findRun(o.Key); r != nil && !r.isStopping {
+		r.isStopping = true
 		w.host.sim.after(w.host.sim.between(0, maxStopDelay), func() { w.finish(r, jobs.EndStopped) })
 	}
 	return true
