--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -15,17 +15,22 @@
 // maxAttempts is how many runs of a task may fail, in every configuration.
 const maxAttempts = 3
 
+// configVariant is how a configuration differs from others.
+type configVariant struct {
+	isQueueMoved     bool // the moving queue is on the open service
+	withoutSideQueue bool // the side queue is not there
+}
+
 // sentConfig is a configuration that the operator sent.
 type sentConfig struct {
-	change           jobs.Configure
-	sentAt           time.Duration
-	acked            bool
-	ackedAt          time.Duration
-	isQueueMoved     bool              // its moving queue is on the open service
-	withoutSideQueue bool              // its side queue is not there
-	rival            *sentConfig       // the other one of a race; nil: none
-	lost             bool              // it was refused because the other one of its race won
-	services         map[string]string // by queue
+	change   jobs.Configure
+	sentAt   time.Duration
+	acked    bool
+	ackedAt  time.Duration
+	variant  configVariant
+	rival    *sentConfig       // the other one of a race; nil: none
+	lost     bool              // it was refused because the other one of its race won
+	services map[string]string // by queue
 }
 
 // evacuation is one evacuation of a zone.
@@ -42,8 +47,7 @@
 	sim                       *simulator
 	configs                   []*sentConfig // those that may be in force or were, the newest last
 	evacuations               []*evacuation
-	isQueueMoved              bool // the moving queue is on the open service
-	withoutSideQueue          bool // the side queue is not there
+	variant                   configVariant // of the newest configuration
 	busy                      bool
 	acknowledgementsLostUntil time.Duration // until then most answers to it are lost
 }
@@ -59,7 +63,7 @@
 		return
 	}
 	o.busy = true
-	c := o.build(o.base(), o.isQueueMoved, o.withoutSideQueue)
+	c := o.build(o.base(), o.variant)
 	o.configs = append(o.configs, c)
 	o.send(c)
 }
@@ -73,11 +77,12 @@
 }
 
 // build builds a configuration on top of a version.
-func (o *operator) build(base uint64, moved, removed bool) *sentConfig {
+func (o *operator) build(base uint64, variant configVariant) *sentConfig {
 	version := base + 1 + uint64(o.sim.rng.IntN(3))
-	c := &sentConfig{sentAt: o.sim.now, isQueueMoved: moved, withoutSideQueue: removed, services: map[string]string{}}
+	c := &sentConfig{sentAt: o.sim.now, variant: variant, services: map[string]string{}}
 	c.change = jobs.Configure{Base: base, Version: version, Replace: true,
-		Digest:   fmt.Sprintf("config %d on %d moved %v without %v", version, base, moved, removed),
+		Digest: fmt.Sprintf("config %d on %d moved %v without %v", version, base, variant.isQueueMoved,
+			variant.withoutSideQueue),
 		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}
 	queue := func(name, service string, priority int) {
 		c.services[name] = service
@@ -88,11 +93,11 @@
 	queue("urgent", serviceGuards, 0)
 	queue("bulk", serviceOpen, 2)
 	service := serviceGuards
-	if moved {
+	if variant.isQueueMoved {
 		service = serviceOpen
 	}
 	queue("moving", service, 1)
-	if !removed {
+	if !variant.withoutSideQueue {
 		queue("side", serviceOpen, 1)
 	}
 	return c
@@ -108,7 +113,7 @@
 		return
 	}
 	c.acked, c.ackedAt = true, o.sim.now
-	o.isQueueMoved, o.withoutSideQueue = c.isQueueMoved, c.withoutSideQueue
+	o.variant = c.variant
 	o.sim.checker.checkAcknowledgement("a configuration", c.sentAt)
 	if c.rival != nil {
 		o.sim.checker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
@@ -179,11 +184,14 @@
 	}
 	o.busy = true
 	base := o.base()
-	one, other := o.build(base, !o.isQueueMoved, o.withoutSideQueue), o.build(base, o.isQueueMoved, !o.withoutSideQueue)
-	one.rival, other.rival = other, one
-	o.configs = append(o.configs, one, other)
+	moved, other := o.variant, o.variant
+	moved.isQueueMoved = !moved.isQueueMoved
+	other.withoutSideQueue = !other.withoutSideQueue
+	one, rival := o.build(base, moved), o.build(base, other)
+	one.rival, rival.rival = rival, one
+	o.configs = append(o.configs, one, rival)
 	o.send(one)
-	o.sim.after(o.sim.between(0, 20*time.Millisecond), func() { o.send(other) })
+	o.sim.after(o.sim.between(0, 20*time.Millisecond), func() { o.send(rival) })
 	o.sim.after(o.sim.between(2*time.Second, 6*time.Second), o.restoreQueue)
 	return true
 }
@@ -193,7 +201,7 @@
 	if len(o.configs) == 0 {
 		return
 	}
-	c := o.build(o.base(), o.isQueueMoved, o.withoutSideQueue)
+	c := o.build(o.base(), o.variant)
 	what := ""
 	switch o.sim.rng.IntN(4) {
 	case 0:
@@ -227,9 +235,9 @@
 		return
 	}
 	if o.sim.chance(0.5) {
-		o.isQueueMoved = !o.isQueueMoved
+		o.variant.isQueueMoved = !o.variant.isQueueMoved
 	} else {
-		o.withoutSideQueue = true
+		o.variant.withoutSideQueue = true
 		o.sim.after(o.sim.between(2*time.Second, 6*time.Second), o.restoreQueue)
 	}
 	o.configure()
@@ -241,8 +249,8 @@
 		o.sim.after(200*time.Millisecond, o.restoreQueue)
 		return
 	}
-	if o.withoutSideQueue {
-		o.withoutSideQueue = false
+	if o.variant.withoutSideQueue {
+		o.variant.withoutSideQueue = false
 		o.configure()
 	}
 }
