--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -295,7 +295,7 @@
 	call := internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}
 	for i := 0; ; i++ {
 		s.mu.Lock()
-		addr, voter := s.leaderAddr(), s.status.Voter
+		addr, voter := s.status.LeaderAddr, s.status.Voter
 		s.mu.Unlock()
 		if voter {
 			_ = level.Info(s.logger).Log("msg", "joined as a voter", "id", s.id)
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -226,7 +226,7 @@
 // snapshotDue tells whether the shadow has applied enough since the newest snapshot. One that falls due just after this
 // node began to lead waits: the node then has its hands full with taking over.
 func (s *Store) snapshotDue() bool {
-	if s.bytesSinceSnapshot >= maxBytes {
+	if s.bytesSinceSnapshot >= maxSnapshotLogBytes {
 		return true
 	}
 	return s.entriesSinceSnapshot >= s.settings.SnapshotEvery && !s.inTakeover()
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -17,10 +17,3 @@
 	commit, current := s.core.LeaseReadIndex(now)
 	return s.leaderTerm, current && s.live.Index >= commit
 }
-
-// Changed gives a channel that is closed when the live state moves on. Take it before you look at the state.
-func (s *Store) Changed() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.changed
-}
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -66,7 +66,7 @@
 	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
 		return call, "", false
 	}
-	return internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}, s.leaderAddr(), true
+	return internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}, s.status.LeaderAddr, true
 }
 
 // Pass is a turn of the loop.
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -22,7 +22,7 @@
 func (s *Store) Members() (leader string, addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaderAddr(), addressesOf(s.status.Members)
+	return s.status.LeaderAddr, addressesOf(s.status.Members)
 }
 
 // Reached gives the addresses of the voters that this leader has heard of within an election time, its own among them; none
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -65,7 +65,7 @@
 func (g *collector) Collect(to chan<- prometheus.Metric) {
 	s := g.store
 	s.mu.Lock()
-	st, applied, waiting := s.status, s.live.Index, s.proposalCount
+	st, applied, waiting := s.status, s.live.Index, s.proposals.count
 	figures, accounts := query.Count(s.live), query.Accounts(s.live)
 	var disk storage.Stats
 	inFlight := s.storage
--- /dev/null
+++ b/internal/store/proposals.go
@@ -0,0 +1,150 @@
+package store
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+)
+
+const (
+	maxCommand       = 8 << 20  // bytes of one encoded command
+	maxProposals     = 16384    // proposals without an outcome
+	maxProposalBytes = 64 << 20 // their bytes
+)
+
+// outcome of a proposal.
+type outcome struct {
+	index  uint64
+	answer any
+	err    error
+}
+
+// waiter is a proposal without an outcome, and who waits for it. The proposals own it.
+type waiter struct {
+	data     json.RawMessage
+	onlyTerm uint64 // the leader's term it may be proposed in; 0: any
+	term     uint64 // of its entry; 0 while it is pending
+	index    uint64 // of its entry
+	since    time.Duration
+	done     chan outcome // buffered for the one outcome, so that finish never blocks
+	finished bool         // done has had its outcome
+}
+
+// proposals are the commands of callers at this node from their arrival to their outcome. A Store owns them; all is
+// guarded by Store.mu.
+type proposals struct {
+	clock         clock.Clock
+	commitSeconds prometheus.Observer
+
+	pending []*waiter          // not in the log yet, in the order of arrival
+	inLog   map[uint64]*waiter // by the index of the entry, not applied yet
+	count   int                // in pending and inLog
+	bytes   int                // of data in pending and inLog
+}
+
+func newProposals(by clock.Clock, commitSeconds prometheus.Observer) proposals {
+	return proposals{clock: by, commitSeconds: commitSeconds, inLog: map[uint64]*waiter{}}
+}
+
+// isFull tells whether a command of n bytes more would exceed the bounds.
+func (p *proposals) isFull(n int) bool {
+	return p.count >= maxProposals || p.bytes+n > maxProposalBytes
+}
+
+// add appends w to what waits for the log.
+func (p *proposals) add(w *waiter) {
+	p.count++
+	p.bytes += len(w.data)
+	w.since = p.clock.Now()
+	p.pending = append(p.pending, w)
+}
+
+// finish sends w its outcome, once.
+func (p *proposals) finish(w *waiter, o outcome) {
+	if w.finished {
+		return
+	}
+	w.finished = true
+	p.count--
+	p.bytes -= len(w.data)
+	if o.err == nil {
+		p.commitSeconds.Observe((p.clock.Now() - w.since).Seconds())
+	}
+	w.done <- o
+}
+
+// abandon ends the wait for w; a proposal that is in the log may still be committed.
+func (p *proposals) abandon(w *waiter) outcome {
+	if w.finished {
+		return <-w.done
+	}
+	err := errs.New(errs.Timeout, "not committed in time; it may or may not be yet")
+	if w.term == 0 {
+		err = errs.New(errs.Unavailable, "the proposal found no way into the log in time")
+	} else {
+		delete(p.inLog, w.index)
+	}
+	p.finish(w, outcome{err: err})
+	return <-w.done
+}
+
+// takePending removes all that waits for the log and returns what may enter it in the leader's term. Proposals for
+// another term end as Stale; those that were abandoned are dropped.
+func (p *proposals) takePending(leaderTerm uint64) []*waiter {
+	batch := p.pending[:0]
+	for _, w := range p.pending {
+		if w.onlyTerm != 0 && w.onlyTerm != leaderTerm {
+			p.finish(w, outcome{err: errs.New(errs.Stale, "decided in term %d, it is %d now", w.onlyTerm, leaderTerm)})
+		}
+		if !w.finished {
+			batch = append(batch, w)
+		}
+	}
+	p.pending = nil
+	return batch
+}
+
+// entered records that a batch stands in the log from the index first on, or, with an error, that it does not.
+func (p *proposals) entered(batch []*waiter, first, term uint64, err error) {
+	for i, w := range batch {
+		if err != nil {
+			p.finish(w, outcome{err: err})
+			continue
+		}
+		w.index, w.term = first+uint64(i), term
+		p.inLog[w.index] = w
+	}
+}
+
+// applied ends the proposal whose entry was applied, if it was made here. An entry of another term at its index means
+// that the proposal was overwritten.
+func (p *proposals) applied(e raft.Entry, answer any, err error) {
+	w := p.inLog[e.Index]
+	if w == nil {
+		return
+	}
+	delete(p.inLog, e.Index)
+	if w.term != e.Term {
+		p.finish(w, outcome{err: errs.New(errs.Unavailable, "another leader's entry took the place %d", e.Index)})
+		return
+	}
+	p.finish(w, outcome{index: e.Index, answer: answer, err: err})
+}
+
+// failAll ends all proposals: those in the log with cause, as this node can no longer learn their outcome, the
+// pending ones with Unavailable, as they surely were not proposed.
+func (p *proposals) failAll(cause error) {
+	for index, w := range p.inLog {
+		delete(p.inLog, index)
+		p.finish(w, outcome{err: cause})
+	}
+	for _, w := range p.pending {
+		p.finish(w, outcome{err: errs.New(errs.Unavailable, "the leader changed before the proposal was in the log")})
+	}
+	p.pending = nil
+}
--- /dev/null
+++ b/internal/store/read.go
@@ -0,0 +1,100 @@
+package store
+
+import (
+	"context"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+)
+
+// readIndexTimeout bounds the wait for the leader's lease: over a slow network the lease is valid only for a moment
+// after each answer of the others.
+const readIndexTimeout = 600 * time.Millisecond
+
+// View calls read with the live state as it is here, which may be behind the leader's. It runs under the store's lock:
+// be short, keep nothing of the state.
+func (s *Store) View(read func(*state.State)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	read(s.live)
+}
+
+// Read is a linearizable View at any node: the state has all that was committed before the call. The leader, one hop
+// away at most, confirms the index to wait for. Failures: Unavailable, Timeout.
+func (s *Store) Read(ctx context.Context, read func(*state.State)) error {
+	index, err := s.ReadIndex()
+	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
+		var a internalapi.ReadIndexAnswer
+		a, err = s.opt.Net.ReadIndex(ctx, errs.Of(err).Hint)
+		index = a.Index
+	}
+	if err == nil {
+		err = s.WaitApplied(ctx, index)
+	}
+	if err != nil {
+		return errs.Pass(hideNotLeader(err), "read")
+	}
+	s.View(read)
+	return nil
+}
+
+// ReadIndex returns an index that every earlier commit is at or below. Failures: NotLeader (Hint), Unavailable.
+func (s *Store) ReadIndex() (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	index, err := s.readIndexLocked()
+	return index, errs.Pass(err, "index")
+}
+
+// readIndexLocked is ReadIndex under the lock, which it releases while it waits for the lease: what the caller read
+// before may have changed.
+func (s *Store) readIndexLocked() (uint64, error) {
+	deadline := s.clock.Now() + readIndexTimeout
+	for {
+		if err := s.checkLeader(); err != nil {
+			return 0, errs.Pass(err, "confirm")
+		}
+		now := s.clock.Now()
+		commit, ok := s.core.LeaseReadIndex(now)
+		if ok {
+			return commit, nil
+		}
+		if now >= deadline || s.manual != nil || s.group.Context().Err() != nil {
+			return 0, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
+		}
+		s.mu.Unlock()
+		s.sleep(s.group.Context(), pollInterval)
+		s.mu.Lock()
+	}
+}
+
+// WaitApplied waits until the live state is at index or past it. Failure: Timeout.
+func (s *Store) WaitApplied(ctx context.Context, index uint64) error {
+	expired := make(chan struct{})
+	defer s.clock.Set(proposeTimeout, func() { close(expired) }).Stop()
+	for {
+		s.mu.Lock()
+		at, changed := s.live.Index, s.changed
+		s.mu.Unlock()
+		if at >= index {
+			return nil
+		}
+		select {
+		case <-changed:
+		case <-expired:
+			return errs.New(errs.Timeout, "at %d, not at %d in time", at, index)
+		case <-ctx.Done():
+			return errs.Wrap(ctx.Err(), errs.Timeout, "at %d, not yet at %d", at, index)
+		}
+	}
+}
+
+// Changed returns a channel that is closed when the live state moves on. Take it before you read the state, or a
+// change in between is missed.
+func (s *Store) Changed() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.changed
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -33,13 +33,10 @@
 const (
 	pollInterval          = 10 * time.Millisecond // of what is waited for but gives no sign
 	ticksPerHeartbeat     = 4                     // of the core, in one Heartbeat
-	proposeTimeout        = 2 * time.Second       // a proposal waits no longer
 	maxReadyLag           = 2 * time.Second       // a ready node was level with its leader within it
 	gcInterval            = 10 * time.Second
 	takeoverPeriod        = 2 * time.Second // of a new leader: no snapshot is written meanwhile
-	maxCommand            = 8 << 20         // bytes of one encoded command
-	maxProposals          = 16384           // proposals that wait
-	maxBytes              = 64 << 20        // bytes of proposals that wait; of log between two slots
+	maxSnapshotLogBytes   = 64 << 20        // of log between two snapshots
 	maxUnsnapshottedBytes = 256 << 20
 )
 
@@ -100,14 +97,11 @@
 	frozen       bool // a snapshot is being installed: nothing goes into the core or out of it
 	halted       bool // a write failed: nothing leaves any more
 
-	pending       []*waiter    // not in the log yet
-	unapplied     []raft.Entry // committed, not in the live state yet
-	waiters       map[uint64]*waiter
-	proposalCount int // both, and their bytes
-	proposalBytes int
-	leaderTerm    uint64 // 0: not leading
-	leaderSince   time.Duration
-	roleLeases    *roleLeases
+	proposals   proposals
+	unapplied   []raft.Entry // committed, not in the live state yet
+	leaderTerm  uint64       // 0: not leading
+	leaderSince time.Duration
+	roleLeases  *roleLeases
 
 	leaderCommit              uint64        // commit index the leader told
 	leaderHeardAt, caughtUpAt time.Duration // told at, level at
@@ -148,10 +142,11 @@
 		incarnation: opt.RandomID()[:12],
 		wakeLoop:    make(chan struct{}, 1), wakeDisk: make(chan struct{}, 1), wakeSnapshotter: make(chan struct{}, 1),
 		live: state.New(), peers: map[string]*peer{}, learnedAddrs: map[string]string{}, knownAddrs: map[string]bool{}, changed: make(chan struct{}),
-		waiters: map[uint64]*waiter{}, followerBundles: map[string]internalapi.NodeBundle{}, roleLeases: newRoleLeases(opt.Settings.RoleLease, opt.Settings.RoleLease/10),
+		followerBundles: map[string]internalapi.NodeBundle{}, roleLeases: newRoleLeases(opt.Settings.RoleLease, opt.Settings.RoleLease/10),
 		caughtUpAt: -maxReadyLag * 2,
 	}
 	s.metrics = newMetrics()
+	s.proposals = newProposals(s.clock, s.metrics.commits)
 	if err := s.recoverFolder(); err != nil {
 		return nil, errs.Pass(err, "open the store")
 	}
@@ -245,7 +240,7 @@
 		case <-ctx.Done():
 			ring.Stop()
 			s.mu.Lock()
-			s.failProposals(errs.New(errs.Stopped, "the store is stopping; the proposal may or may not be committed"))
+			s.proposals.failAll(errs.New(errs.Stopped, "the store is stopping; the proposal may or may not be committed"))
 			s.mu.Unlock()
 			return
 		case <-s.wakeLoop:
@@ -316,16 +311,7 @@
 	for _, e := range batch {
 		answer, err := applyTo(s.live, e)
 		s.unsnapshottedBytes += len(e.Data) + entryOverhead
-		w := s.waiters[e.Index]
-		if w == nil {
-			continue
-		}
-		delete(s.waiters, e.Index)
-		if w.term != e.Term {
-			w.finish(s, outcome{err: errs.New(errs.Unavailable, "another leader's entry took the place %d", e.Index)})
-			continue
-		}
-		w.finish(s, outcome{index: e.Index, answer: answer, err: err})
+		s.proposals.applied(e, answer, err)
 	}
 	s.committed = append(s.committed, batch...)
 	signal(s.wakeSnapshotter)
@@ -387,7 +373,7 @@
 		lead = st.Term
 	}
 	if lead != s.leaderTerm {
-		s.failProposals(errs.New(errs.Timeout, "the leader changed; the proposal may or may not be committed"))
+		s.proposals.failAll(errs.New(errs.Timeout, "the leader changed; the proposal may or may not be committed"))
 		s.roleLeases.StepDown()
 		s.leaderTerm, s.leaderSince = lead, now
 	}
@@ -486,13 +472,6 @@
 	}
 }
 
-// View lets read look at the live state as it is here, under the lock: be short, keep nothing of it.
-func (s *Store) View(read func(*state.State)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	read(s.live)
-}
-
 // Ready is nil when the node knows a leader and was level with it within the last 2 s.
 func (s *Store) Ready() error {
 	s.mu.Lock()
