--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -69,8 +69,8 @@
 		if live, err = state.Decode(img.Body); err != nil {
 			return errs.Pass(err, "slot %d", img.Number)
 		}
-		s.newestSnapshot = internalapi.Snapshot{Number: img.Number, Index: img.Index, Term: img.Term, Size: int64(len(img.Body))}
-		s.durable = img.Index
+		s.snapshots.newest = internalapi.Snapshot{Number: img.Number, Index: img.Index, Term: img.Term, Size: int64(len(img.Body))}
+		s.disk.durable = img.Index
 	}
 	for _, r := range recovered.Records {
 		if r.Kind == storage.KindHardState {
@@ -80,7 +80,7 @@
 			continue
 		}
 		b.Entries = append(b.Entries, raft.Entry{Term: r.Term, Index: r.Index, Kind: raft.EntryKind(r.Kind), Data: r.Data})
-		s.durable = r.Index
+		s.disk.durable = r.Index
 	}
 	core, err := raft.New(raft.Config{ID: s.id, ElectionTimeout: s.settings.Election, HeartbeatInterval: s.settings.Heartbeat,
 		LeaseDuration: s.settings.Lease, Seed: s.opt.Seed}, b, s.clock.Now())
@@ -89,13 +89,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.snapshotState, s.initialImage, s.snapshotMembers = nil, nil, b.Snapshot.Members
+	s.snapshotter = snapshotter{members: b.Snapshot.Members}
 	if img := recovered.Snapshot; img != nil {
-		s.initialImage = img.Body
+		s.snapshotter.initialImage = img.Body
 	}
 	s.replaceState(live)
 	s.core, s.status = core, core.Status()
-	_ = level.Info(s.logger).Log("msg", "begin", "id", s.id, "slot", s.newestSnapshot.Index, "entries", len(b.Entries), "term", s.status.Term, "cut", recovered.TornBytes)
+	_ = level.Info(s.logger).Log("msg", "begin", "id", s.id, "slot", s.snapshots.newest.Index, "entries", len(b.Entries), "term", s.status.Term, "cut", recovered.TornBytes)
 	return nil
 }
 
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -28,7 +28,7 @@
 func (s *Store) durableIndex() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.durable
+	return s.disk.durable
 }
 
 func TestDiskFull_leaderStepsDown(t *testing.T) {
--- /dev/null
+++ b/internal/store/downloadsnapshot.go
@@ -0,0 +1,85 @@
+package store
+
+import (
+	"context"
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/raft"
+	"crosstide/internal/storage"
+)
+
+const (
+	downloadTries = 8       // in a row without progress
+	downloadChunk = 1 << 20 // bytes asked for in one call
+)
+
+// download is a snapshot of another member as far as it has come.
+type download struct {
+	head internalapi.ChunkAnswer // the first chunk's description; Number is 0 before there is one
+	body []byte
+	left int // tries until it fails
+}
+
+// restart begins at the first byte of the newest snapshot, at the cost of a try.
+func (d *download) restart() { *d = download{left: d.left - 1} }
+
+func (d *download) isComplete() bool { return d.head.Number != 0 && int64(len(d.body)) >= d.head.Size }
+
+// add takes in the answer to the call for the next chunk. An error ends the download; a failed call does not.
+func (d *download) add(a internalapi.ChunkAnswer, err error) error {
+	switch {
+	case errs.Is(err, errs.Unknown) && d.head.Number != 0: // a newer snapshot took its place
+		d.restart()
+	case err != nil:
+		d.left--
+	case d.head.Number != 0 && (a.Number != d.head.Number || a.Sum != d.head.Sum || a.Size != d.head.Size):
+		d.restart()
+	case len(a.Data) == 0 && int64(len(d.body)) < a.Size || a.Size > math.MaxInt32*16:
+		return errs.New(errs.Malformed, "an empty part at %d of %d bytes", len(d.body), a.Size)
+	default:
+		d.head, d.body, d.left = a, append(d.body, a.Data...), downloadTries
+	}
+	return nil
+}
+
+// verified checks what was downloaded against its sum and against what was asked for.
+func (d *download) verified(wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
+	meta, err := decodeSnapshotMeta(d.head.Meta)
+	if err != nil {
+		return nil, errs.Pass(err, "slot of %s", wanted.From)
+	}
+	if int64(len(d.body)) != d.head.Size || xxhash.Sum64(d.body) != d.head.Sum ||
+		meta.Index != d.head.Index || meta.Term != d.head.Term {
+		return nil, errs.New(errs.Damaged, "the snapshot of %s does not fit its sum", wanted.From)
+	}
+	if meta.Index < wanted.Meta.Index {
+		return nil, errs.New(errs.Stale, "the snapshot of %s is at %d, before %d", wanted.From, meta.Index, wanted.Meta.Index)
+	}
+	image := storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: d.head.Meta, Body: d.body}
+	return &fetchedSnapshot{image: image, meta: meta}, nil
+}
+
+// download gets the chunks of a snapshot in order. After a failed call it goes on at the byte it reached; it fails
+// after a few tries without progress.
+func (s *Store) download(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
+	d := download{left: downloadTries}
+	for {
+		call := internalapi.ChunkCall{Number: d.head.Number, From: int64(len(d.body)), Max: downloadChunk}
+		a, err := s.opt.Net.FetchChunk(ctx, wanted.From, call)
+		if err := d.add(a, err); err != nil {
+			return nil, errs.Pass(err, "chunk")
+		}
+		if d.isComplete() {
+			break
+		}
+		if d.left == 0 || err != nil && !s.sleep(ctx, retryInterval) {
+			return nil, errs.Pass(err, "no part after byte %d", len(d.body))
+		}
+	}
+	fetched, err := d.verified(wanted)
+	return fetched, errs.Pass(err, "verify")
+}
--- /dev/null
+++ b/internal/store/installsnapshot.go
@@ -0,0 +1,133 @@
+package store
+
+import (
+	"context"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+	"crosstide/internal/state"
+	"crosstide/internal/storage"
+)
+
+// fetchedSnapshot is a snapshot of another member that is to take the place of this node's state. The fetch makes it,
+// the snapshotter installs it.
+type fetchedSnapshot struct {
+	image storage.Snapshot
+	meta  raft.Meta
+	live  *state.State  // decoded from the image, to become the live state
+	done  chan struct{} // closed once it is installed or dropped
+}
+
+// startFetch fetches the snapshot that the core asked for, unless one is being fetched. Called under the lock.
+func (s *Store) startFetch(wanted *raft.FetchSnapshot) {
+	if wanted == nil || s.snapshots.fetching {
+		return
+	}
+	s.snapshots.fetching = true
+	request := *wanted
+	if s.manual != nil {
+		s.manual.wanted = &request
+		return
+	}
+	s.group.Go(func(ctx context.Context) { s.fetch(ctx, request) })
+}
+
+// fetch gets a snapshot from another member and has it installed. When it fails, the core asks for it again.
+func (s *Store) fetch(ctx context.Context, wanted raft.FetchSnapshot) {
+	err := s.fetchAndInstall(ctx, wanted)
+	if err != nil {
+		_ = level.Warn(s.logger).Log("msg", "snapshot fetch failed", "from", wanted.From, "err", err)
+	}
+	s.mu.Lock()
+	s.snapshots.fetching = false
+	s.mu.Unlock()
+}
+
+func (s *Store) fetchAndInstall(ctx context.Context, wanted raft.FetchSnapshot) error {
+	fetched, err := s.fetchDecoded(ctx, wanted)
+	if err != nil {
+		return errs.Pass(err, "fetch")
+	}
+	s.mu.Lock()
+	s.snapshots.toInstall = fetched
+	s.mu.Unlock()
+	signal(s.snapshots.wake)
+	select {
+	case <-fetched.done:
+	case <-ctx.Done():
+	}
+	return nil
+}
+
+// fetchDecoded downloads a snapshot and decodes it, ready to be installed.
+func (s *Store) fetchDecoded(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
+	fetched, err := s.download(ctx, wanted)
+	if err != nil {
+		return nil, errs.Pass(err, "download")
+	}
+	if fetched.live, err = state.Decode(fetched.image.Body); err != nil {
+		return nil, errs.Pass(err, "decode")
+	}
+	fetched.done = make(chan struct{})
+	return fetched, nil
+}
+
+// installFetched puts the snapshot of another member in the place of the own state. The core is frozen meanwhile: no
+// message enters it and no output leaves it, so that the log on the disk cannot move between the image and
+// SnapshotInstalled.
+func (s *Store) installFetched(ctx context.Context, fetched *fetchedSnapshot) error {
+	if !s.freeze(fetched) {
+		return nil
+	}
+	defer s.unfreeze()
+	for !s.isDiskIdle() { // what was handed out before must be on the disk before the image
+		signal(s.disk.wake)
+		if !s.sleep(ctx, pollInterval) {
+			return nil
+		}
+	}
+	return errs.Pass(s.replaceWithFetched(ctx, fetched), "adopt")
+}
+
+// freeze stops the core if the snapshot is newer than what is committed here; false: it is of no use.
+func (s *Store) freeze(fetched *fetchedSnapshot) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.frozen = fetched.meta.Index > s.core.Status().Commit
+	return s.frozen
+}
+
+func (s *Store) unfreeze() {
+	s.mu.Lock()
+	s.frozen = false
+	s.mu.Unlock()
+	signal(s.wakeLoop)
+}
+
+// replaceWithFetched stores the snapshot and makes it the state of the core, the snapshotter and the readers. The core
+// is frozen and the disk idle.
+func (s *Store) replaceWithFetched(ctx context.Context, fetched *fetchedSnapshot) error {
+	err := s.retryWhileDiskFull(ctx, "write a fetched snapshot", func() error {
+		return errs.Pass(s.storage.WriteSnapshot(fetched.image, 0), "image")
+	})
+	if err != nil {
+		return errs.Pass(err, "put")
+	}
+	replica, err := state.Decode(fetched.image.Body)
+	if err != nil {
+		return errs.Pass(err, "a fetched snapshot")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.snapshots.written(fetched.meta, len(fetched.image.Body))
+	s.core.SnapshotInstalled(s.clock.Now(), fetched.meta)
+	s.snapshotter = snapshotter{state: replica, members: fetched.meta.Members}
+	s.snapshots.committed, s.snapshots.unsnapshottedBytes, s.unapplied = nil, 0, nil
+	s.disk.durable = max(s.disk.durable, fetched.meta.Index)
+	s.replaceState(fetched.live)
+	_ = level.Info(s.logger).Log("msg", "snapshot installed", "index", fetched.meta.Index,
+		"bytes", len(fetched.image.Body))
+	return nil
+}
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -104,7 +104,7 @@
 
 // TakeDiskBatch takes what waits for the disk; nil if it is busy or there is nothing.
 func (h *ManualDriver) TakeDiskBatch() *DiskBatch {
-	if h.store.diskBusySince != 0 || h.store.halted {
+	if h.store.disk.busySince != 0 || h.store.halted {
 		return nil
 	}
 	if w := h.store.takeDiskWrites(); len(w) > 0 {
@@ -136,7 +136,7 @@
 	if fetched != nil && h.store.freeze(fetched) {
 		h.fetched = fetched
 	}
-	if h.fetched == nil || !h.store.diskIdle() {
+	if h.fetched == nil || !h.store.isDiskIdle() {
 		return nil
 	}
 	fetched, h.fetched = h.fetched, nil
@@ -150,16 +150,12 @@
 		return nil
 	}
 	wanted := *h.wanted
-	h.wanted, h.store.fetching = nil, false
+	h.wanted, h.store.snapshots.fetching = nil, false
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // no rests between tries
-	fetched, err := h.store.download(ctx, wanted)
+	fetched, err := h.store.fetchDecoded(ctx, wanted)
 	if err == nil {
-		fetched.live, err = state.Decode(fetched.image.Body)
-	}
-	if err == nil {
-		fetched.done = make(chan struct{})
-		h.store.toInstall = fetched
+		h.store.snapshots.toInstall = fetched
 	}
 	return errs.Pass(err, "fetch")
 }
@@ -227,7 +223,7 @@
 func (h *ManualDriver) State() *state.State { return h.store.live }
 
 // SnapshotIndex is the index of the newest slot.
-func (h *ManualDriver) SnapshotIndex() uint64 { return h.store.newestSnapshot.Index }
+func (h *ManualDriver) SnapshotIndex() uint64 { return h.store.snapshots.newest.Index }
 
 // WantsSnapshot tells whether the core asked for a snapshot.
 func (h *ManualDriver) WantsSnapshot() bool { return h.wanted != nil && h.fetched == nil }
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -128,9 +128,9 @@
 	if err := s.checkLeader(); err != nil {
 		return errs.Pass(err, "enter")
 	}
-	if s.proposals.isFull(len(w.data)) || s.unsnapshottedBytes > maxUnsnapshottedBytes {
+	if s.proposals.isFull(len(w.data)) || s.snapshots.unsnapshottedBytes > maxUnsnapshottedBytes {
 		return errs.New(errs.Overloaded, "%d proposals wait, %d bytes; %d bytes of log since the last slot",
-			s.proposals.count, s.proposals.bytes, s.unsnapshottedBytes)
+			s.proposals.count, s.proposals.bytes, s.snapshots.unsnapshottedBytes)
 	}
 	s.proposals.add(w)
 	return nil
--- /dev/null
+++ b/internal/store/servesnapshot.go
@@ -0,0 +1,126 @@
+package store
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/storage"
+)
+
+const (
+	maxChunkBytes     = 4 << 20
+	snapshotCacheIdle = 30 * time.Second // a cached snapshot that nobody asked for this long is dropped
+	snapshotCacheSize = 2
+)
+
+// snapshotCache keeps the snapshots that others are fetching, so that a newer one does not end their fetch and each
+// chunk needs no read of the disk. A Store owns it; guarded by Store.mu.
+type snapshotCache struct{ images []*cachedSnapshot }
+
+// cachedSnapshot is fixed but for lastUsed.
+type cachedSnapshot struct {
+	image          storage.Snapshot
+	sum            uint64 // of image.Body
+	lastUsed       time.Duration
+	compactedBytes int // snapshots.compactedBytes when it was loaded
+}
+
+// get returns the cached snapshot of a number, nil if there is none, and records the use.
+func (c *snapshotCache) get(number uint64, now time.Duration) *cachedSnapshot {
+	for _, k := range c.images {
+		if k.image.Number == number {
+			k.lastUsed = now
+			return k
+		}
+	}
+	return nil
+}
+
+// add adds a snapshot in the place of the oldest, if there is no space.
+func (c *snapshotCache) add(k *cachedSnapshot) {
+	c.images = append(c.images, k)
+	if len(c.images) > snapshotCacheSize {
+		c.images = c.images[1:]
+	}
+}
+
+// dropIdle drops what was not used for snapshotCacheIdle.
+func (c *snapshotCache) dropIdle(now time.Duration) {
+	list := c.images[:0:0]
+	for _, k := range c.images {
+		if now-k.lastUsed < snapshotCacheIdle {
+			list = append(list, k)
+		}
+	}
+	c.images = list
+}
+
+// Chunk returns a part of a snapshot. Failure: Unknown when there is no such snapshot any more; begin anew with
+// Number 0, which stands for the newest.
+func (s *Store) Chunk(call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
+	cached, err := s.snapshotFor(call.Number)
+	if err != nil {
+		return internalapi.ChunkAnswer{}, errs.Pass(err, "chunk")
+	}
+	image := cached.image
+	size := int64(len(image.Body))
+	if call.From < 0 || call.From > size {
+		return internalapi.ChunkAnswer{}, errs.Field(errs.Invalid, "from", "%d of %d bytes", call.From, size)
+	}
+	limit := call.Max
+	if limit <= 0 || limit > maxChunkBytes {
+		limit = maxChunkBytes
+	}
+	end := min(call.From+int64(limit), size)
+	return internalapi.ChunkAnswer{
+		Snapshot: internalapi.Snapshot{Number: image.Number, Index: image.Index, Term: image.Term, Size: size},
+		Meta:     json.RawMessage(image.Meta), Data: image.Body[call.From:end], Sum: cached.sum,
+	}, nil
+}
+
+// snapshotFor returns the snapshot of a number, 0 for the newest, from the cache or the disk, which it reads without
+// the lock.
+func (s *Store) snapshotFor(number uint64) (*cachedSnapshot, error) {
+	now := s.clock.Now()
+	s.mu.Lock()
+	newest := s.snapshots.newest.Number
+	if number == 0 {
+		number = newest
+	}
+	cached := s.served.get(number, now)
+	s.mu.Unlock()
+	if cached != nil {
+		return cached, nil
+	}
+	if number != newest || newest == 0 {
+		return nil, errs.New(errs.Unknown, "slot %d is gone, the newest is %d", number, newest)
+	}
+	image, err := s.storage.NewestSnapshot()
+	if err != nil {
+		return nil, errs.Pass(err, "slot %d", number)
+	}
+	loaded := &cachedSnapshot{image: image, sum: xxhash.Sum64(image.Body), lastUsed: now}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if cached := s.served.get(image.Number, now); cached != nil { // another call loaded it meanwhile
+		return cached, nil
+	}
+	loaded.compactedBytes = s.snapshots.compactedBytes
+	s.served.add(loaded)
+	s.clock.Set(snapshotCacheIdle, s.evictIdleSnapshots)
+	return loaded, nil
+}
+
+// evictIdleSnapshots is called by the clock for as long as a snapshot is cached.
+func (s *Store) evictIdleSnapshots() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.served.dropIdle(s.clock.Now())
+	if len(s.served.images) > 0 && s.group.Context().Err() == nil {
+		s.clock.Set(snapshotCacheIdle, s.evictIdleSnapshots)
+	}
+}
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -10,16 +10,16 @@
 
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
 	Convey("The shadow takes no entries while the live state has some to catch up on", t, func() {
-		s := &Store{durable: 9, committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}, unapplied: []raft.Entry{{Index: 11}}}
+		s := &Store{disk: diskQueue{durable: 9}, snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}}, unapplied: []raft.Entry{{Index: 11}}}
 		_, batch := s.takeStored()
 		So(batch, ShouldBeEmpty)
 		s.unapplied = nil
 		_, batch = s.takeStored()
 		So(batch, ShouldHaveLength, 2) // entry 10 is not stored here yet
-		So(s.committed, ShouldHaveLength, 1)
+		So(s.snapshots.committed, ShouldHaveLength, 1)
 	})
 	Convey("An image that is to be adopted does not wait for that", t, func() {
-		s := &Store{unapplied: []raft.Entry{{Index: 11}}, toInstall: &fetchedSnapshot{}}
+		s := &Store{unapplied: []raft.Entry{{Index: 11}}, snapshots: snapshots{toInstall: &fetchedSnapshot{}}}
 		fetched, _ := s.takeStored()
 		So(fetched, ShouldNotBeNil)
 	})
@@ -43,5 +43,5 @@
 func newestSnapshot(s *Store) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newestSnapshot.Index
+	return s.snapshots.newest.Index
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,7 +9,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"encoding/json"
 	"hash/maphash"
 	"strings"
 	"sync"
@@ -31,13 +30,11 @@
 )
 
 const (
-	pollInterval          = 10 * time.Millisecond // of what is waited for but gives no sign
-	ticksPerHeartbeat     = 4                     // of the core, in one Heartbeat
-	maxReadyLag           = 2 * time.Second       // a ready node was level with its leader within it
-	gcInterval            = 10 * time.Second
-	takeoverPeriod        = 2 * time.Second // of a new leader: no snapshot is written meanwhile
-	maxSnapshotLogBytes   = 64 << 20        // of log between two snapshots
-	maxUnsnapshottedBytes = 256 << 20
+	pollInterval      = 10 * time.Millisecond // of what is waited for but gives no sign
+	ticksPerHeartbeat = 4                     // of the core, in one Heartbeat
+	maxReadyLag       = 2 * time.Second       // a ready node was level with its leader within it
+	gcInterval        = 10 * time.Second
+	takeoverPeriod    = 2 * time.Second // of a new leader: no snapshot is written meanwhile
 )
 
 // Net carries the calls to other cplanes at an address; all end by their own time-out.
@@ -83,7 +80,7 @@
 	incarnation string // of this process
 	id          string // in the quorum; fixed before core is set
 
-	wakeLoop, wakeDisk, wakeSnapshotter chan struct{}
+	wakeLoop chan struct{} // capacity 1: the loop has something to do
 
 	mu           sync.Mutex
 	core         *raft.Core // nil until the node knows who it is
@@ -105,21 +102,10 @@
 
 	leaderCommit              uint64        // commit index the leader told
 	leaderHeardAt, caughtUpAt time.Duration // told at, level at
-	fetching                  bool
-	diskQueue                 []diskWrite   // for the disk
-	diskBusySince             time.Duration // since when the disk works on one batch, 0 when idle
-	durable                   uint64        // the stored log equals the core's up to here
-	committed                 []raft.Entry  // committed, for the shadow
-	unsnapshottedBytes        int           // their bytes, and of those the shadow applied since its last slot
-	snapshotState             *state.State  // the shadow goroutine's own; nil before it has something to apply
-	initialImage              []byte        // the snapshot that the store began with, for the shadow to begin with; nil: none
-	snapshotMembers           []raft.Member
-	entriesSinceSnapshot      int
-	bytesSinceSnapshot        int
-	newestSnapshot            internalapi.Snapshot // the newest slot
-	compactedBytes            int                  // bytes of log that slots took the place of
+	disk                      diskQueue
+	snapshots                 snapshots
+	snapshotter               snapshotter // of the snapshotter goroutine, not under mu
 	bootstrapMembers          map[string]string
-	toInstall                 *fetchedSnapshot
 	served                    snapshotCache
 	ownBundle                 internalapi.NodeBundle            // the bundle of the live state
 	followerBundles           map[string]internalapi.NodeBundle // by node
@@ -140,7 +126,7 @@
 	s := &Store{
 		opt: opt, settings: opt.Settings, clock: opt.Clock, logger: opt.Logger, group: routine.New(context.Background()),
 		incarnation: opt.RandomID()[:12],
-		wakeLoop:    make(chan struct{}, 1), wakeDisk: make(chan struct{}, 1), wakeSnapshotter: make(chan struct{}, 1),
+		wakeLoop:    make(chan struct{}, 1), disk: diskQueue{wake: make(chan struct{}, 1)}, snapshots: snapshots{wake: make(chan struct{}, 1)},
 		live: state.New(), peers: map[string]*peer{}, learnedAddrs: map[string]string{}, knownAddrs: map[string]bool{}, changed: make(chan struct{}),
 		followerBundles: map[string]internalapi.NodeBundle{}, roleLeases: newRoleLeases(opt.Settings.RoleLease, opt.Settings.RoleLease/10),
 		caughtUpAt: -maxReadyLag * 2,
@@ -268,24 +254,10 @@
 	before := s.status
 	s.status = s.core.Status()
 	s.enqueueMessages(r.Messages)
-	if r.HardState != nil || len(r.Entries) > 0 || len(r.MessagesAfterSync) > 0 {
-		if len(r.Entries) > 0 {
-			s.durable = min(s.durable, r.Entries[0].Index-1)
-		}
-		s.diskQueue = append(s.diskQueue, diskWrite{r.HardState, r.Entries, r.MessagesAfterSync})
-		signal(s.wakeDisk)
-	}
+	s.disk.add(r)
 	s.apply(r.CommittedEntries)
 	s.onStatusChange(before, now)
-	if r.Fetch != nil && !s.fetching {
-		s.fetching = true
-		wanted := *r.Fetch
-		if s.manual != nil {
-			s.manual.wanted = &wanted
-		} else {
-			s.group.Go(func(ctx context.Context) { s.fetch(ctx, wanted) })
-		}
-	}
+	s.startFetch(r.Fetch)
 	return s.untilNextPass(now)
 }
 
@@ -310,11 +282,11 @@
 	}
 	for _, e := range batch {
 		answer, err := applyTo(s.live, e)
-		s.unsnapshottedBytes += len(e.Data) + entryOverhead
+		s.snapshots.unsnapshottedBytes += len(e.Data) + entryOverhead
 		s.proposals.applied(e, answer, err)
 	}
-	s.committed = append(s.committed, batch...)
-	signal(s.wakeSnapshotter)
+	s.snapshots.committed = append(s.snapshots.committed, batch...)
+	signal(s.snapshots.wake)
 	s.trackOwnBundle()
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -391,9 +363,9 @@
 // stepDownIfDiskHangs gives the lead away when the own disk hangs: the others commit without it, but a node that cannot
 // store must not go on deciding for them.
 func (s *Store) stepDownIfDiskHangs(now time.Duration) {
-	if s.status.Role == raft.Leader && s.diskBusySince != 0 && now-s.diskBusySince > 2*s.settings.Election {
+	if s.status.Role == raft.Leader && s.disk.isHung(now, 2*s.settings.Election) {
 		if to := s.successor(); to != "" && s.core.TransferLeadership(now, to) == nil {
-			_ = level.Warn(s.logger).Log("msg", "the disk hangs: handing over", "to", to, "for", now-s.diskBusySince)
+			_ = level.Warn(s.logger).Log("msg", "the disk hangs: handing over", "to", to, "for", now-s.disk.busySince)
 		}
 	}
 }
@@ -535,6 +507,22 @@
 // NameOf gives the name of the cplane that has a quorum ID.
 func NameOf(id string) string { return nameOf(id) }
 
-func decodeSnapshotMeta(raw []byte) (m raft.Meta, err error) {
-	return m, errs.Wrap(json.Unmarshal(raw, &m), errs.Damaged, "meta of a slot")
+// replaceState makes next the live state. Called under the lock.
+func (s *Store) replaceState(next *state.State) {
+	s.live = next
+	s.live.OnEvent = func(n state.Event) {
+		if n.Kind == state.EventRoleChanged {
+			s.roleLeases.ObserveEpoch(s.clock.Now(), n.Name, s.live.Roles[n.Name].Epoch)
+		}
+	}
+	s.trackOwnBundle()
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// inTakeover tells whether this node has led for a short time only.
+func (s *Store) inTakeover() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.leaderTerm != 0 && s.clock.Now()-s.leaderSince < takeoverPeriod
 }
