--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -45,7 +45,7 @@
 // logNew logs a line for each account that is dry, or soon will be, once until it is well again. Only the leader does.
 func (w accountWarnings) logNew(s *Store) {
 	s.mu.Lock()
-	leads, accounts := s.leaderTerm != 0, []internalapi.AccountView(nil)
+	leads, accounts := s.leadership.term != 0, []internalapi.AccountView(nil)
 	if leads {
 		accounts = query.Accounts(s.live)
 	}
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -32,7 +32,7 @@
 			return strings.Count(lines.String(), "account runs dry")
 		}
 		So(look(), ShouldEqual, 0) // it does not lead
-		s.leaderTerm = 1
+		s.leadership.term = 1
 		So(look(), ShouldEqual, 1)
 		So(look(), ShouldEqual, 1)
 		_, err = leases.TopUp("acme", "k2", 10_000, at)
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -207,17 +207,17 @@
 func (s *Store) BootstrapStatus(internalapi.DiscoverCall) internalapi.DiscoverAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.DiscoverAnswer{ID: s.id, Incarnation: s.incarnation, BootstrapIncarnations: s.bootstrapMembers, Digest: s.digest(),
+	out := internalapi.DiscoverAnswer{ID: s.id, Incarnation: s.incarnation, BootstrapIncarnations: s.membership.bootstrapped, Digest: s.digest(),
 		Fresh: s.core == nil && s.id == "" && s.settings.Bootstrap}
 	if s.core != nil {
 		st := s.core.Status()
 		out.Term, out.Leader = st.Term, st.LeaderAddr
 		// Who founded in this process goes by its settings; after that, only what is on the disk counts.
-		if out.MembersAt, out.Members = s.core.CommittedMembers(); s.settings.OpenMembership && s.bootstrapMembers == nil {
+		if out.MembersAt, out.Members = s.core.CommittedMembers(); s.settings.OpenMembership && s.membership.bootstrapped == nil {
 			out.Digest = digestOf(seedsOf(out.Members))
 		}
 		out.Commit = st.Commit
-		out.Fresh = st.Term <= 1 && st.Last <= 1 && nameOf(s.id) == s.id
+		out.Fresh = st.Term <= 1 && st.Last <= 1 && NameOf(s.id) == s.id
 	}
 	return out
 }
@@ -257,7 +257,7 @@
 		return errs.Pass(err, "found")
 	}
 	s.mu.Lock()
-	s.id, s.bootstrapMembers = s.settings.Name, bootstrapMembers
+	s.id, s.membership.bootstrapped = s.settings.Name, bootstrapMembers
 	s.mu.Unlock()
 	_ = level.Info(s.logger).Log("msg", "founding the fleet", "members", len(members))
 	hard, err := json.Marshal(b.HardState)
@@ -344,7 +344,7 @@
 		place = name
 	}
 	if !named && !s.settings.OpenMembership {
-		known := func(m raft.Member) bool { return nameOf(m.ID) == name }
+		known := func(m raft.Member) bool { return NameOf(m.ID) == name }
 		first := func(m config.Member) bool { return m.ID == name }
 		if !slices.ContainsFunc(st.Members, known) && !slices.ContainsFunc(s.settings.Members, first) {
 			return internalapi.JoinAnswer{}, errs.Field(errs.Forbidden, "name",
@@ -362,9 +362,9 @@
 		switch {
 		case m.ID == call.ID:
 			at = len(next)
-		case nameOf(m.ID) == name && m.Learner:
+		case NameOf(m.ID) == name && m.Learner:
 			continue // an earlier folder that never became a voter
-		case nameOf(m.ID) == name || nameOf(m.ID) == place:
+		case NameOf(m.ID) == name || NameOf(m.ID) == place:
 			old = &m
 		}
 		next = append(next, m)
--- /dev/null
+++ b/internal/store/gc.go
@@ -0,0 +1,45 @@
+package store
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/state/command"
+)
+
+const gcInterval = 10 * time.Second
+
+// runGC is the goroutine by which the leader proposes to purge what is past its retention, and warns of accounts.
+func (s *Store) runGC(ctx context.Context) {
+	warned := accountWarnings{}
+	for s.sleep(ctx, gcInterval) {
+		warned.logNew(s)
+		c := s.gcCommand()
+		if c == nil {
+			continue
+		}
+		if _, _, err := s.Propose(ctx, c); err != nil {
+			_ = level.Debug(s.logger).Log("msg", "purge failed", "err", err)
+		}
+	}
+}
+
+// gcCommand returns the command that purges what is past its retention; nil on a node that does not lead, or where
+// there is nothing that could be.
+func (s *Store) gcCommand() command.Command {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	live := s.live
+	nothing := len(live.EndedJobs)+len(live.TombstoneOrder)+len(live.OrderKeys) == 0 && !live.Accounts.HasReservations()
+	if s.leadership.term == 0 || nothing {
+		return nil
+	}
+	at := s.clock.Wall()
+	return &command.Purge{
+		JobsBefore: at.Add(-s.settings.KeepEndedFor), JobsKeep: s.settings.KeepEnded,
+		TombstonesBefore: at.Add(-s.settings.KeepTombstonesFor), TombstonesKeep: s.settings.KeepTombstones,
+		OrdersBefore: at.Add(-s.settings.KeepTombstonesFor),
+	}
+}
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -1,19 +1,127 @@
 package store
 
-import "time"
+import (
+	"context"
+	"time"
 
-// LeadTerm gives the term in which this node leads. held tells that at now, a time of the store's clock, no other
-// node can lead: the lease is held, and all that earlier leaders committed is in the live state. Example:
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+)
+
+// takeoverPeriod is how long a new leader writes no snapshot.
+const takeoverPeriod = 2 * time.Second
+
+// leadership is what this node keeps as the leader, and only while it leads. A Store owns it; guarded by Store.mu.
+type leadership struct {
+	term   uint64 // in which this node leads; 0: it does not
+	since  time.Duration
+	leases *roleLeases // active once the leader's lease was confirmed in this term
+}
+
+// onStatusChange follows the status of the core after each pass: it ends what a change of leader makes void, starts the
+// count of role leases once the lead is confirmed, and makes the peers those of the member set. Called under the lock.
+func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
+	st := &s.status
+	if before.Role != st.Role || before.Leader != st.Leader || before.Term != st.Term {
+		_ = level.Info(s.logger).Log("msg", "raft role changed", "role", st.Role, "term", st.Term, "leader", st.Leader,
+			"commit", st.Commit)
+	}
+	term := uint64(0)
+	if st.Role == raft.Leader {
+		term = st.Term
+	}
+	lead := &s.leadership
+	if term != lead.term {
+		s.proposals.failAll(errs.New(errs.Timeout, "the leader changed; the proposal may or may not be committed"))
+		lead.leases.StepDown()
+		lead.term, lead.since = term, now
+	}
+	if term != 0 && !lead.leases.Active() {
+		if commit, ok := s.core.LeaseReadIndex(now); ok && s.live.Index >= commit {
+			lead.leases.BecomeLeader(now, s.live.Roles)
+		}
+	}
+	s.progress.onApplied(s.live.Index)
+	s.updatePeers()
+}
+
+// LeaderTerm returns the term in which this node leads, 0 if it does not. hasLease tells that at now, a time of the
+// store's clock, no other node can lead: the leader's lease is valid, and all that earlier leaders committed is in the
+// live state. Example:
 //
-//	if term, held := s.LeadTerm(clock.Now()); held {
+//	if term, hasLease := s.LeaderTerm(clock.Now()); hasLease {
 //		_, _, err = s.ProposeIn(ctx, term, decide())
 //	}
-func (s *Store) LeaderTerm(now time.Duration) (term uint64, current bool) {
+func (s *Store) LeaderTerm(now time.Duration) (term uint64, hasLease bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core == nil || s.halted || s.leaderTerm == 0 || !s.roleLeases.Active() {
+	if s.core == nil || s.halted || s.leadership.term == 0 || !s.leadership.leases.Active() {
 		return 0, false
 	}
-	commit, current := s.core.LeaseReadIndex(now)
-	return s.leaderTerm, current && s.live.Index >= commit
+	commit, hasLease := s.core.LeaseReadIndex(now)
+	return s.leadership.term, hasLease && s.live.Index >= commit
+}
+
+// inTakeover tells whether this node has led for a short time only.
+func (s *Store) inTakeover() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.leadership.term != 0 && s.clock.Now()-s.leadership.since < takeoverPeriod
+}
+
+// TransferLeadership makes another node the leader if this one leads, and waits for it, one Election at most.
+func (s *Store) TransferLeadership(ctx context.Context) {
+	s.mu.Lock()
+	if s.core == nil || s.status.Role != raft.Leader {
+		s.mu.Unlock()
+		return
+	}
+	to := s.successor()
+	err := s.core.TransferLeadership(s.clock.Now(), to)
+	s.mu.Unlock()
+	signal(s.wakeLoop)
+	if err != nil {
+		_ = level.Warn(s.logger).Log("msg", "leadership transfer failed", "err", err)
+		return
+	}
+	for end := s.clock.Now() + s.settings.Election; s.clock.Now() < end && s.sleep(ctx, pollInterval); {
+		s.mu.Lock()
+		leads := s.status.Role == raft.Leader
+		s.mu.Unlock()
+		if !leads {
+			_ = level.Info(s.logger).Log("msg", "leadership transferred", "to", to)
+			return
+		}
+	}
+}
+
+// stepDownIfDiskHangs transfers the leadership when the own disk hangs: the others commit without it, but a node that
+// cannot store must not go on deciding for them. Called under the lock, at each tick.
+func (s *Store) stepDownIfDiskHangs(now time.Duration) {
+	if s.status.Role != raft.Leader || !s.disk.isHung(now, 2*s.settings.Election) {
+		return
+	}
+	if to := s.successor(); to != "" && s.core.TransferLeadership(now, to) == nil {
+		_ = level.Warn(s.logger).Log("msg", "disk hung, leadership transferring", "to", to, "for", now-s.disk.busySince)
+	}
+}
+
+// successor is the voter, other than this node, that has most of the log, of those heard of within an Election; of two
+// alike the one heard of last. "": there is none. Called under the lock.
+func (s *Store) successor() (to string) {
+	now := s.clock.Now()
+	var newest time.Duration
+	for _, m := range s.status.Members {
+		heard, ok := s.core.LastContact(now, m.ID)
+		if m.ID == s.id || m.Learner || !ok || now-heard >= s.settings.Election {
+			continue
+		}
+		more := s.status.Match[m.ID] > s.status.Match[to]
+		if to == "" || more || s.status.Match[m.ID] == s.status.Match[to] && heard > newest {
+			to, newest = m.ID, heard
+		}
+	}
+	return to
 }
--- /dev/null
+++ b/internal/store/loop.go
@@ -0,0 +1,124 @@
+package store
+
+import (
+	"context"
+	"time"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/raft"
+)
+
+const (
+	pollInterval      = 10 * time.Millisecond // of what is waited for and sends no signal
+	ticksPerHeartbeat = 4                     // of the core
+)
+
+// loop is the goroutine that drives the core: a pass whenever it is woken or a tick is due.
+func (s *Store) loop(ctx context.Context) {
+	var timer clock.Stopper
+	wake := func() { signal(s.wakeLoop) }
+	for {
+		due := s.pass()
+		if s.isCatchingUp() {
+			s.sleep(ctx, applyPause)
+		}
+		if timer != nil {
+			timer.Stop()
+		}
+		timer = s.clock.Set(due, wake)
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			s.mu.Lock()
+			s.proposals.failAll(errs.New(errs.Stopped, "the store is stopping; the proposal may or may not be committed"))
+			s.mu.Unlock()
+			return
+		case <-s.wakeLoop:
+		}
+	}
+}
+
+// pass is one turn of the loop: it ticks the core if that is due, proposes what is pending, and hands out what the
+// core has ready, to the peers, the disk, the live state and the fetch. It returns the time until the next pass is due.
+func (s *Store) pass() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.Now()
+	tick := s.tickInterval()
+	if s.frozen || s.halted {
+		return tick
+	}
+	if now-s.lastTick >= tick {
+		s.core.Tick(now)
+		s.lastTick = now
+		s.stepDownIfDiskHangs(now)
+		s.removeSilent(now)
+	}
+	s.proposePending(now)
+	ready := s.core.Ready()
+	before := s.status
+	s.status = s.core.Status()
+	s.enqueueMessages(ready.Messages)
+	s.disk.add(ready)
+	s.apply(ready.CommittedEntries)
+	s.onStatusChange(before, now)
+	s.startFetch(ready.Fetch)
+	return s.untilNextPass(now)
+}
+
+// untilNextPass is the time until the core needs a tick; a follower waits for messages until it may campaign.
+func (s *Store) untilNextPass(now time.Duration) time.Duration {
+	next := s.lastTick + s.tickInterval()
+	if s.status.Role != raft.Leader {
+		next = max(next, s.core.ElectionDeadline())
+	}
+	return max(0, next-now)
+}
+
+// tickInterval is the time between two ticks of the core; in between the loop runs only when it is woken.
+func (s *Store) tickInterval() time.Duration { return s.settings.Heartbeat / ticksPerHeartbeat }
+
+// Step passes messages of another member to the core; they may be lost. From of the call is the sender's address, by
+// which a node that has no members yet can answer.
+func (s *Store) Step(call internalapi.RaftCall) {
+	s.mu.Lock()
+	s.rememberAddresses(call.From)
+	if s.core == nil || s.frozen || s.halted {
+		s.mu.Unlock()
+		return
+	}
+	now := s.clock.Now()
+	for _, m := range call.Messages {
+		s.peers.learn(m.From, call.From)
+		s.core.Step(now, m)
+		if m.Kind == raft.Append && m.To == s.id && m.Term >= s.status.Term {
+			s.progress.onAppend(m.Commit, now)
+		}
+	}
+	s.mu.Unlock()
+	signal(s.wakeLoop)
+}
+
+// signal wakes the goroutine that waits on c, a channel of capacity 1.
+func signal(c chan struct{}) {
+	select {
+	case c <- struct{}{}:
+	default:
+	}
+}
+
+// sleep waits for d; false if ctx ended first.
+func (s *Store) sleep(ctx context.Context, d time.Duration) bool { return sleep(ctx, s.clock, d) }
+
+func sleep(ctx context.Context, by clock.Clock, d time.Duration) bool {
+	expired := make(chan struct{})
+	defer by.Set(d, func() { close(expired) }).Stop()
+	select {
+	case <-expired:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -87,8 +87,8 @@
 	if h.store.halted {
 		return nil
 	}
-	for _, id := range slices.Sorted(maps.Keys(h.store.peers)) {
-		p := h.store.peers[id]
+	for _, id := range slices.Sorted(maps.Keys(h.store.peers.byID)) {
+		p := h.store.peers.byID[id]
 		for len(p.queue) > 0 {
 			out = append(out, OutboundCall{p.addr, internalapi.RaftCall{From: h.store.settings.Addr, Messages: p.takeBatch()}})
 		}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -18,6 +18,16 @@
 	maxKnownAddresses    = 64               // addresses of other nodes that are remembered
 )
 
+// membership is what this node knows of the fleet besides the member set, which the core has. A Store owns it; guarded
+// by Store.mu.
+type membership struct {
+	// bootstrapped has the incarnations, by ID, of the other members that were found fresh when this very process
+	// bootstrapped the fleet: each may be told that it is a bootstrap member. nil: nobody is vouched for.
+	bootstrapped map[string]string
+	// known has the addresses of nodes that others told of; in an open fleet only.
+	known map[string]bool
+}
+
 // Members gives the address of the leader, "" if none is known, and the addresses of all members, voters first.
 func (s *Store) Members() (leader string, addresses []string) {
 	s.mu.Lock()
@@ -82,8 +92,8 @@
 		return
 	}
 	for _, a := range addresses {
-		if a != "" && a != s.settings.Addr && len(s.knownAddrs) < maxKnownAddresses {
-			s.knownAddrs[a] = true
+		if a != "" && a != s.settings.Addr && len(s.membership.known) < maxKnownAddresses {
+			s.membership.known[a] = true
 		}
 	}
 }
@@ -92,7 +102,7 @@
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := maps.Clone(s.knownAddrs)
+	all := maps.Clone(s.membership.known)
 	for _, m := range s.settings.Members {
 		all[m.Addr] = true
 	}
--- a/internal/store/network.go
+++ b/internal/store/network.go
@@ -39,6 +39,17 @@
 	})
 }
 
+// Net carries the calls to other control-plane nodes at an address; each ends by its own time-out.
+type Net interface {
+	SendMessages(ctx context.Context, addr string, call internalapi.RaftCall) error
+	FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
+	BootstrapStatus(ctx context.Context, addr string, call internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error)
+	Join(ctx context.Context, addr string, call internalapi.JoinCall) (internalapi.JoinAnswer, error)
+	Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error)
+	ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error)
+	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
+}
+
 // NetworkOf is the Net of a daemon.
 func NetworkOf(k *rpc.Client, settings config.ControlPlane) Net {
 	return networkCalls{k, settings.Election}
--- a/internal/store/openfleet.go
+++ b/internal/store/openfleet.go
@@ -238,7 +238,7 @@
 func (s *Store) isLeaderless() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.status.Role != raft.Leader && s.clock.Now()-s.leaderHeardAt > 2*s.settings.Election
+	return s.status.Role != raft.Leader && s.clock.Now()-s.progress.leaderHeardAt > 2*s.settings.Election
 }
 
 // provesRemoval tells whether an answer proves that this node is no member any more: a set that was committed after the
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -755,7 +755,7 @@
 	for _, s := range r.nodes {
 		members, there := memberIDs(s), 0
 		for _, id := range members {
-			if n := nameOf(id); r.nodes[n] != nil && !r.cut[n] && r.nodes[n].Status().Raft.ID == id {
+			if n := NameOf(id); r.nodes[n] != nil && !r.cut[n] && r.nodes[n].Status().Raft.ID == id {
 				there++
 			}
 		}
--- /dev/null
+++ b/internal/store/operatorkeys.go
@@ -0,0 +1,43 @@
+package store
+
+import (
+	"context"
+	"maps"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/state/command"
+)
+
+const operatorKeysInterval = 200 * time.Millisecond
+
+// installOperatorKeys is the goroutine by which the leader commits the operators' keys of its settings into a state that
+// has none yet. The first leader decides them for all: every replica checks signatures by what stands in the log.
+func (s *Store) installOperatorKeys(ctx context.Context) {
+	if len(s.settings.OperatorKeys) == 0 {
+		return
+	}
+	operators := map[string]string{}
+	for _, k := range s.settings.OperatorKeys {
+		operators[k.Name] = k.Key
+	}
+	for s.sleep(ctx, operatorKeysInterval) {
+		s.mu.Lock()
+		leads := s.leadership.term != 0 && s.leadership.leases.Active()
+		installed, same := len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
+		s.mu.Unlock()
+		if installed {
+			if !same {
+				_ = level.Warn(s.logger).Log("msg", "operator_keys differ from the stored ones, which apply")
+			}
+			return
+		}
+		if !leads {
+			continue
+		}
+		if _, _, err := s.Propose(ctx, &command.SetOperators{Operators: operators}); err != nil {
+			_ = level.Debug(s.logger).Log("msg", "operator keys not installed", "err", err)
+		}
+	}
+}
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -8,21 +8,65 @@
 )
 
 const (
-	maxPeerMessages  = 4096     // a peer's queue; the oldest fall
+	maxPeerMessages  = 4096     // in a peer's queue; the oldest are dropped
 	maxPeerBytes     = 32 << 20 // likewise
 	maxCallBytes     = 8 << 20  // of one call, about
-	maxInFlightCalls = 8        // calls to a peer that may be under way at once, over a slow way
+	maxInFlightCalls = 8        // to one peer at once, over a slow network
+	maxLearnedAddrs  = 64
 )
 
-// peer is the way to another member: its pending messages go as one call, one call after the other, see post.
+// peers are the other members that messages go to. A Store owns them; guarded by Store.mu.
+type peers struct {
+	byID map[string]*peer
+	// learned has the addresses of senders that are in no member set here yet, by ID: a node that has no members could
+	// not answer without.
+	learned map[string]string
+}
+
+func newPeers() peers { return peers{byID: map[string]*peer{}, learned: map[string]string{}} }
+
+// learn keeps the address of a sender that is no peer.
+func (p *peers) learn(id, addr string) {
+	if p.byID[id] == nil && addr != "" && len(p.learned) < maxLearnedAddrs {
+		p.learned[id] = addr
+	}
+}
+
+// peer is the queue of messages to one member. Its sender takes them from there, many in one call.
 type peer struct {
 	addr  string
 	queue []raft.Message
-	bytes int
-	wake  chan struct{}
+	bytes int           // of queue, about
+	wake  chan struct{} // capacity 1: the sender has something to do
 	stop  context.CancelFunc
 }
 
+// enqueue appends a message and drops the oldest beyond the bounds; the core bears the loss. It returns their number.
+func (p *peer) enqueue(m raft.Message) (dropped int) {
+	p.queue = append(p.queue, m)
+	p.bytes += messageSize(m)
+	for len(p.queue) > maxPeerMessages || p.bytes > maxPeerBytes && len(p.queue) > 1 {
+		p.bytes -= messageSize(p.queue[0])
+		p.queue = p.queue[1:]
+		dropped++
+	}
+	signal(p.wake)
+	return dropped
+}
+
+// takeBatch removes the messages of the next call from the queue.
+func (p *peer) takeBatch() []raft.Message {
+	n, bytes := 0, 0
+	for n < len(p.queue) && (n == 0 || bytes+messageSize(p.queue[n]) <= maxCallBytes) {
+		bytes += messageSize(p.queue[n])
+		n++
+	}
+	batch := p.queue[:n:n]
+	p.queue, p.bytes = p.queue[n:], p.bytes-bytes
+	return batch
+}
+
+// messageSize is about what a message takes in a call.
 func messageSize(m raft.Message) int {
 	n := 256
 	for _, e := range m.Entries {
@@ -31,79 +75,63 @@
 	return n
 }
 
-// enqueueMessages puts messages into the queues of those they are for; called under the lock.
+// enqueueMessages queues messages for those they are for; without an address they are lost. Called under the lock.
 func (s *Store) enqueueMessages(messages []raft.Message) {
 	if s.halted {
 		return
 	}
 	for _, m := range messages {
-		p := s.peers[m.To]
+		p := s.peers.byID[m.To]
 		if p == nil {
-			if p = s.startPeer(m.To, s.learnedAddrs[m.To]); p == nil {
+			if p = s.startPeer(m.To, s.peers.learned[m.To]); p == nil {
 				continue
 			}
 		}
-		p.queue = append(p.queue, m)
-		p.bytes += messageSize(m)
-		for len(p.queue) > maxPeerMessages || p.bytes > maxPeerBytes && len(p.queue) > 1 {
-			p.bytes -= messageSize(p.queue[0])
-			p.queue = p.queue[1:]
-			s.metrics.dropped.Inc()
-		}
-		signal(p.wake)
+		s.metrics.dropped.Add(float64(p.enqueue(m)))
 	}
 }
 
-// updatePeers makes the peers follow the member set; called under the lock.
+// updatePeers makes the peers those of the member set. One that is in no set stays while its address was learned and it
+// may be the leader of this node, which knows no members yet. Called under the lock.
 func (s *Store) updatePeers() {
-	known := make(map[string]bool, len(s.status.Members))
+	members := make(map[string]bool, len(s.status.Members))
 	for _, m := range s.status.Members {
-		known[m.ID] = true
+		members[m.ID] = true
 		if m.ID == s.id {
 			continue
 		}
-		if p := s.peers[m.ID]; p == nil || p.addr != m.Addr {
+		if p := s.peers.byID[m.ID]; p == nil || p.addr != m.Addr {
 			s.startPeer(m.ID, m.Addr)
 		}
 	}
-	for id, p := range s.peers {
-		if !known[id] && (s.learnedAddrs[id] == "" || len(s.status.Members) > 0 && s.status.Leader != id) {
+	for id, p := range s.peers.byID {
+		if !members[id] && (s.peers.learned[id] == "" || len(s.status.Members) > 0 && s.status.Leader != id) {
 			p.stop()
-			delete(s.peers, id)
-			delete(s.learnedAddrs, id)
+			delete(s.peers.byID, id)
+			delete(s.peers.learned, id)
 		}
 	}
 }
 
-// startPeer starts the sender to a member; nil if there is no address.
+// startPeer starts the sender to a member, in the place of one to an older address; nil if there is no address. Called
+// under the lock.
 func (s *Store) startPeer(id, addr string) *peer {
 	if addr == "" || s.group.Context().Err() != nil {
 		return nil
 	}
-	if old := s.peers[id]; old != nil {
+	if old := s.peers.byID[id]; old != nil {
 		old.stop()
 	}
 	ctx, stop := context.WithCancel(s.group.Context())
 	p := &peer{addr: addr, wake: make(chan struct{}, 1), stop: stop}
-	s.peers[id] = p
+	s.peers.byID[id] = p
 	if s.manual == nil {
 		s.group.Go(func(context.Context) { s.runSender(ctx, p) })
 	}
 	return p
 }
 
-// takeBatch gives the messages of the next call.
-func (p *peer) takeBatch() []raft.Message {
-	n, bytes := 0, 0
-	for n < len(p.queue) && (n == 0 || bytes+messageSize(p.queue[n]) <= maxCallBytes) {
-		bytes += messageSize(p.queue[n])
-		n++
-	}
-	batch := p.queue[:n:n]
-	p.queue, p.bytes = p.queue[n:], p.bytes-bytes
-	return batch
-}
-
+// runSender is the goroutine of one peer: it sends what is queued until ctx ends.
 func (s *Store) runSender(ctx context.Context, p *peer) {
 	inFlight := make(chan struct{}, maxInFlightCalls)
 	for {
@@ -115,9 +143,9 @@
 		s.mu.Lock()
 		batch := p.takeBatch()
 		more := len(p.queue) > 0
-		broken := s.halted
+		halted := s.halted
 		s.mu.Unlock()
-		if len(batch) == 0 || broken {
+		if len(batch) == 0 || halted {
 			continue
 		}
 		if !s.sendBatch(ctx, p, batch, inFlight) {
@@ -129,9 +157,9 @@
 	}
 }
 
-// sendBatch sends one call and waits until it is answered, or a heartbeat long: over a way that takes longer than that,
-// calls follow one another without waiting, up to the number of slots, so that the leader's lease does not hang
-// on a whole turn for each. The core bears messages that overtake one another. false: ctx has ended.
+// sendBatch makes one call and waits until it is answered, or a heartbeat long: over a network that takes longer than
+// that, calls follow one another without waiting, as many as inFlight has capacity for, so that the leader's lease does
+// not depend on a whole round trip for each. The core bears messages that overtake one another. false: ctx has ended.
 func (s *Store) sendBatch(ctx context.Context, p *peer, batch []raft.Message, inFlight chan struct{}) bool {
 	select {
 	case inFlight <- struct{}{}:
@@ -142,7 +170,8 @@
 	s.group.Go(func(context.Context) {
 		defer func() { <-inFlight; close(done) }()
 		// A failure costs these messages only; the core makes up for what is lost.
-		if err := s.opt.Net.SendMessages(ctx, p.addr, internalapi.RaftCall{From: s.settings.Addr, Messages: batch}); err != nil {
+		call := internalapi.RaftCall{From: s.settings.Addr, Messages: batch}
+		if err := s.opt.Net.SendMessages(ctx, p.addr, call); err != nil {
 			s.metrics.dropped.Add(float64(len(batch)))
 		}
 	})
@@ -155,26 +184,3 @@
 	}
 	return true
 }
-
-// Step takes in messages of another member. From of the call is the sender's address, by which a node that has
-// no members yet can answer.
-func (s *Store) Step(call internalapi.RaftCall) {
-	s.mu.Lock()
-	s.rememberAddresses(call.From)
-	if s.core == nil || s.frozen || s.halted {
-		s.mu.Unlock()
-		return // messages may be lost
-	}
-	now := s.clock.Now()
-	for _, m := range call.Messages {
-		if s.peers[m.From] == nil && call.From != "" && len(s.learnedAddrs) < 64 {
-			s.learnedAddrs[m.From] = call.From
-		}
-		s.core.Step(now, m)
-		if m.Kind == raft.Append && m.To == s.id && m.Term >= s.status.Term {
-			s.leaderCommit, s.leaderHeardAt = m.Commit, now
-		}
-	}
-	s.mu.Unlock()
-	signal(s.wakeLoop)
-}
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -11,81 +11,88 @@
 	"crosstide/internal/state/command"
 )
 
-// ClaimRole claims, renews or gives up a duty; only the confirmed leader answers. See Book for why no two hold one.
-// Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
+// ClaimRole claims, renews or releases a singleton role; only the leader, with its lease confirmed, answers. See
+// roleLeases for why a role never has two holders. Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
 func (s *Store) ClaimRole(ctx context.Context, call internalapi.ClaimRoleCall) (internalapi.RoleLease, error) {
 	if call.Role == "" || call.Holder == "" || call.Incarnation == "" {
 		return internalapi.RoleLease{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
 	}
-	a, current, c, err := s.evaluateRoleCall(call)
+	answer, current, c, err := s.evaluateRoleCall(call)
 	if err != nil || c == nil {
-		return a, errs.Pass(err, "duty %s", call.Role)
+		return answer, errs.Pass(err, "duty %s", call.Role)
 	}
 	index, _, err := s.Propose(ctx, c)
-	a, err = s.finishRoleCall(call, current, index, err)
-	return a, errs.Pass(err, "call")
+	answer, err = s.finishRoleCall(call, current, index, err)
+	return answer, errs.Pass(err, "call")
 }
 
-// evaluateRoleCall judges a call: the answer, or the command on the duty that is to be committed first.
-func (s *Store) evaluateRoleCall(call internalapi.ClaimRoleCall) (a internalapi.RoleLease, current state.Role, c command.Command, err error) {
+// evaluateRoleCall decides a call: the answer, or the command on the role that is to be committed first; then
+// finishRoleCall must follow, with the role as it was.
+func (s *Store) evaluateRoleCall(call internalapi.ClaimRoleCall) (
+	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
+) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current, decision, err := s.checkRoleCall(call)
+	current, result, err := s.checkRoleCall(call)
 	switch {
 	case err != nil:
-		return a, current, nil, errs.Pass(err, "ask")
-	case decision == claimRenewed || decision == claimDenied:
-		return s.roleAnswer(current, decision == claimRenewed), current, nil, nil
+		return answer, current, nil, errs.Pass(err, "ask")
+	case result == claimRenewed || result == claimDenied:
+		return s.roleAnswer(current, result == claimRenewed), current, nil, nil
 	case call.Release:
-		return a, current, &command.ReleaseRole{Role: call.Role, Epoch: current.Epoch}, nil
+		return answer, current, &command.ReleaseRole{Role: call.Role, Epoch: current.Epoch}, nil
 	}
-	return a, current, &command.GrantRole{Role: call.Role, Holder: call.Holder, Addr: call.Addr, Incarnation: call.Incarnation, After: current.Epoch}, nil
+	return answer, current, &command.GrantRole{Role: call.Role, Holder: call.Holder, Addr: call.Addr,
+		Incarnation: call.Incarnation, After: current.Epoch}, nil
 }
 
-// finishRoleCall takes in how the command of ask ended, and answers.
-func (s *Store) finishRoleCall(call internalapi.ClaimRoleCall, current state.Role, index uint64, err error) (internalapi.RoleLease, error) {
+// checkRoleCall asks the leases. On claimGrantable the role is reserved until finishRoleCall. Called under the lock,
+// which it releases while the leader's lease is confirmed.
+func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, result claimResult, err error) {
+	if _, err := s.readIndexLocked(); err != nil {
+		return current, result, errs.Pass(err, "judge")
+	}
+	now, leases := s.clock.Now(), s.leadership.leases
+	if !leases.Active() {
+		return current, result, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
+	}
+	if r := s.live.Roles[call.Role]; r != nil {
+		current = *r
+	}
+	if !call.Release {
+		return current, leases.Claim(now, current, call), nil
+	}
+	if leases.Release(now, current, call) {
+		return current, claimGrantable, nil
+	}
+	return current, claimDenied, nil
+}
+
+// finishRoleCall answers a call by the outcome of the command of evaluateRoleCall.
+func (s *Store) finishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
+	internalapi.RoleLease, error,
+) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.roleLeases.ProposalDone(call.Role, current.Epoch)
-	now := s.live.Roles[call.Role]
+	s.leadership.leases.ProposalDone(call.Role, before.Epoch)
+	current := s.live.Roles[call.Role]
 	switch {
 	case err != nil && !errs.Is(err, errs.Stale):
 		return internalapi.RoleLease{}, errs.Pass(err, "duty %s", call.Role)
-	case now == nil:
+	case current == nil:
 		return internalapi.RoleLease{}, nil
 	}
-	mine := err == nil && !call.Release && now.Epoch == index
-	if mine {
-		_ = level.Info(s.logger).Log("msg", "duty granted", "duty", call.Role, "holder", call.Holder, "epoch", index)
-	}
-	return s.roleAnswer(*now, mine), nil
-}
-
-// decideBootstrap asks the book; called under the lock. On Free a proposal is to follow.
-func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, v claimResult, err error) {
-	if _, err := s.readIndexLocked(); err != nil {
-		return current, v, errs.Pass(err, "judge")
-	}
-	now := s.clock.Now()
-	if !s.roleLeases.Active() {
-		return current, v, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
-	}
-	if d := s.live.Roles[call.Role]; d != nil {
-		current = *d
-	}
-	if call.Release {
-		if s.roleLeases.Release(now, current, call) {
-			return current, claimGrantable, nil
-		}
-		return current, claimDenied, nil
+	granted := err == nil && !call.Release && current.Epoch == index
+	if granted {
+		_ = level.Info(s.logger).Log("msg", "role granted", "role", call.Role, "holder", call.Holder, "epoch", index)
 	}
-	return current, s.roleLeases.Claim(now, current, call), nil
+	return s.roleAnswer(*current, granted), nil
 }
 
-func (s *Store) roleAnswer(d state.Role, mine bool) internalapi.RoleLease {
-	a := internalapi.RoleLease{Mine: mine, Epoch: d.Epoch, Holder: d.Holder, Addr: d.Addr}
-	if mine {
-		a.TTL = s.settings.RoleLease
+func (s *Store) roleAnswer(r state.Role, isCallers bool) internalapi.RoleLease {
+	answer := internalapi.RoleLease{Mine: isCallers, Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
+	if isCallers {
+		answer.TTL = s.settings.RoleLease
 	}
-	return a
+	return answer
 }
--- a/internal/store/rolelease.go
+++ b/internal/store/rolelease.go
@@ -7,119 +7,124 @@
 	"crosstide/internal/state"
 )
 
-// claimResult is what the Book says to a call for a duty.
+// claimResult is the answer of roleLeases to a call on a role.
 type claimResult uint8
 
 const (
-	claimDenied    claimResult = iota // held by another, or a change of it is under way
+	claimDenied    claimResult = iota // another holds it, or a change of it is under way
 	claimRenewed                      // the caller's lease is renewed
-	claimGrantable                    // may be granted to the caller: propose command.Grant, then tell Settled
+	claimGrantable                    // may be granted to the caller: propose command.GrantRole, then call ProposalDone
 )
 
-// roleLeases is the leader's account of duty leases. It lives in memory only, and only while this node is the
-// confirmed leader: Lead opens it, Lose closes it. It has no clock and no lock of its own.
+// roleLeases counts the leases of singleton roles. The leadership owns it: it is active only while this node is the
+// confirmed leader, between BecomeLeader and StepDown. It lives in memory only, has no clock, and is guarded by Store.mu.
 //
-// Why no two hold a duty at once: the holder counts its lease from before it sent its call, the book from when
-// the call was answered, plus a margin for clocks that do not run equally fast. A new leader does not know when
-// its predecessor answered last, but surely that was before it became the confirmed leader itself: it counts
-// every lease as granted at that moment. Once a grant or an end of an epoch was proposed, its fate may stay
-// unknown: the epoch is never renewed again by this leader.
+// Why a role never has two holders: the holder counts its lease from before it sent its call, the leader from when it
+// answered the call, plus a margin for clocks that do not run equally fast. A new leader does not know when its
+// predecessor answered last, but surely that was before it became the confirmed leader itself: it counts every lease
+// as granted at that moment. Once a grant or a release of an epoch was proposed, its outcome may stay unknown: the epoch
+// is never renewed again by this leader.
 type roleLeases struct {
-	duration, margin time.Duration
-	active           bool
-	leases           map[string]*roleLease
+	duration time.Duration // what holders are told
+	margin   time.Duration // what is waited beyond that before another is granted the role
+	active   bool
+	leases   map[string]*roleLease // by role; only while active
 }
 
-// roleLease is the account of one epoch of a duty.
+// roleLease is the lease on one epoch of a role.
 type roleLease struct {
 	epoch            uint64
 	expiresAt        time.Duration
-	invalidated      bool // a change of it was proposed: no renewal
-	proposalInFlight bool // that proposal is under way
+	invalidated      bool // a change of the epoch was proposed: no renewal
+	proposalInFlight bool // that proposal has no outcome yet
 }
 
-// newRoleLeases makes a closed book. lease is what holders are told, margin what the book waits longer.
-func newRoleLeases(lease, margin time.Duration) *roleLeases {
-	return &roleLeases{duration: lease, margin: margin}
+func newRoleLeases(duration, margin time.Duration) *roleLeases {
+	return &roleLeases{duration: duration, margin: margin}
 }
 
-// BecomeLeader opens the book at the moment this node became the confirmed leader and its state has all that earlier
+// BecomeLeader begins the count, at the moment this node became the confirmed leader and its state has all that earlier
 // leaders committed: all leases count as just granted.
-func (b *roleLeases) BecomeLeader(now time.Duration, duties map[string]*state.Role) {
-	b.active, b.leases = true, map[string]*roleLease{}
-	for name, d := range duties {
-		b.leaseOf(now, name, d.Epoch)
+func (l *roleLeases) BecomeLeader(now time.Duration, roles map[string]*state.Role) {
+	l.active, l.leases = true, map[string]*roleLease{}
+	for name, r := range roles {
+		l.leaseOf(now, name, r.Epoch)
 	}
 }
 
-// StepDown closes the book.
-func (b *roleLeases) StepDown() { b.active, b.leases = false, nil }
+// StepDown ends the count.
+func (l *roleLeases) StepDown() { l.active, l.leases = false, nil }
 
 // Active tells whether this node counts leases.
-func (b *roleLeases) Active() bool { return b.active }
+func (l *roleLeases) Active() bool { return l.active }
 
-// ObserveEpoch takes in that the state shows a duty at an epoch, now. It is told of each grant as it is applied; a
-// grant told of late is counted late, which is safe.
-func (b *roleLeases) ObserveEpoch(now time.Duration, duty string, epoch uint64) {
-	if b.active {
-		b.leaseOf(now, duty, epoch)
+// ObserveEpoch records that the state shows a role at an epoch, now. It is called for each grant as that is applied; a
+// grant that is observed late is counted late, which is safe.
+func (l *roleLeases) ObserveEpoch(now time.Duration, role string, epoch uint64) {
+	if l.active {
+		l.leaseOf(now, role, epoch)
 	}
 }
 
-// roleLease gives the account of a duty, begun now if its epoch is new to the book.
-func (b *roleLeases) leaseOf(now time.Duration, duty string, epoch uint64) *roleLease {
-	p := b.leases[duty]
-	if p == nil || p.epoch < epoch {
-		p = &roleLease{epoch: epoch, expiresAt: now + b.duration + b.margin}
-		b.leases[duty] = p
+// leaseOf returns the lease on a role, begun now if its epoch is new here.
+func (l *roleLeases) leaseOf(now time.Duration, role string, epoch uint64) *roleLease {
+	lease := l.leases[role]
+	if lease == nil || lease.epoch < epoch {
+		lease = &roleLease{epoch: epoch, expiresAt: now + l.duration + l.margin}
+		l.leases[role] = lease
 	}
-	return p
+	return lease
 }
 
-// Claim judges a call that is answered at now, on the duty as the state shows it. The caller has made sure that
-// this node is the confirmed leader at now and that the state is as new as that. On Free the duty is held back
-// until Settled. Example:
+// Claim decides a call that is answered at now, on the role as the state shows it. The caller has made sure that this
+// node is the confirmed leader at now and that the state is as new as that. On claimGrantable the role is reserved
+// until ProposalDone. Example:
 //
-//	if book.Claim(now, held, call) == Mine {
-//		return internalapi.DutyAnswer{Mine: true, Epoch: held.Epoch, Lease: lease}
+//	if leases.Claim(now, current, call) == claimRenewed {
+//		return internalapi.RoleLease{Mine: true, Epoch: current.Epoch, TTL: duration}
 //	}
-func (b *roleLeases) Claim(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) claimResult {
-	if !b.active {
+func (l *roleLeases) Claim(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) claimResult {
+	if !l.active {
 		return claimDenied
 	}
-	p := b.leaseOf(now, call.Role, current.Epoch)
+	lease := l.leaseOf(now, call.Role, current.Epoch)
 	switch {
-	case p.epoch != current.Epoch || p.proposalInFlight:
+	case lease.epoch != current.Epoch || lease.proposalInFlight:
 		return claimDenied
-	case current.Holder == "": // given up or never granted: nothing runs under it
-	case now >= p.expiresAt: // over; also for its holder, who has stopped by itself and begins a new epoch
-	case !p.invalidated && call.Epoch == current.Epoch && call.Incarnation == current.Incarnation && call.Holder == current.Holder:
-		p.expiresAt = now + b.duration + b.margin
+	case current.Holder == "": // released or never granted: nothing runs under it
+	case now >= lease.expiresAt: // also for its holder, who has stopped by itself and begins a new epoch
+	case !lease.invalidated && isHolder(current, call):
+		lease.expiresAt = now + l.duration + l.margin
 		return claimRenewed
 	default:
 		return claimDenied
 	}
-	p.invalidated, p.proposalInFlight = true, true
+	lease.invalidated, lease.proposalInFlight = true, true
 	return claimGrantable
 }
 
-// Release voids an epoch whose holder gives it up; false if it is not the caller's to give up or under change.
-func (b *roleLeases) Release(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) bool {
-	if !b.active || current.Holder != call.Holder || current.Incarnation != call.Incarnation || current.Epoch != call.Epoch || call.Epoch == 0 {
+// Release invalidates an epoch that its holder gives up; false if it is not the caller's or a change is under way.
+func (l *roleLeases) Release(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) bool {
+	if !l.active || !isHolder(current, call) || call.Epoch == 0 {
 		return false
 	}
-	p := b.leaseOf(now, call.Role, current.Epoch)
-	if p.epoch != current.Epoch || p.proposalInFlight {
+	lease := l.leaseOf(now, call.Role, current.Epoch)
+	if lease.epoch != current.Epoch || lease.proposalInFlight {
 		return false
 	}
-	p.invalidated, p.proposalInFlight = true, true
+	lease.invalidated, lease.proposalInFlight = true, true
 	return true
 }
 
-// ProposalDone takes in that the proposal about an epoch came back, well or not: others may ask again. The epoch
-// stays void, as its proposal may still be committed.
-func (b *roleLeases) ProposalDone(duty string, epoch uint64) {
-	if p := b.leases[duty]; b.active && p != nil && p.epoch == epoch {
-		p.proposalInFlight = false
+// ProposalDone records that the proposal about an epoch came back, well or not: others may claim the role again. The
+// epoch stays invalidated, as its proposal may still be committed.
+func (l *roleLeases) ProposalDone(role string, epoch uint64) {
+	if lease := l.leases[role]; l.active && lease != nil && lease.epoch == epoch {
+		lease.proposalInFlight = false
 	}
 }
+
+// isHolder tells whether the caller holds the role, in this epoch and incarnation.
+func isHolder(current state.Role, call internalapi.ClaimRoleCall) bool {
+	return call.Epoch == current.Epoch && call.Incarnation == current.Incarnation && call.Holder == current.Holder
+}
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -7,55 +7,51 @@
 	"slices"
 	"time"
 
-	"github.com/go-kit/log/level"
-
+	"crosstide/internal/clock"
 	"crosstide/internal/internalapi"
 	"crosstide/internal/routine"
-	"crosstide/internal/state/command"
 )
 
-const (
-	operatorKeysInterval = 200 * time.Millisecond
-	followerRetention    = 10 * time.Minute // a dplane unheard for it is left out of the roll-out
-)
+// followerRetention is how long a data plane that does not call any more is reported.
+const followerRetention = 10 * time.Minute
 
-// installOperatorKeys lets the leader bring the operators of its settings into a store that knows none yet. Whoever leads first
-// settles them: they must stand in the log, as every replica judges signatures by them.
-func (s *Store) installOperatorKeys(ctx context.Context) {
-	if len(s.settings.OperatorKeys) == 0 {
-		return
-	}
-	operators := map[string]string{}
-	for _, k := range s.settings.OperatorKeys {
-		operators[k.Name] = k.Key
-	}
-	for s.sleep(ctx, operatorKeysInterval) {
-		s.mu.Lock()
-		leads, known, same := s.leaderTerm != 0 && s.roleLeases.Active(), len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
-		s.mu.Unlock()
-		if known {
-			if !same {
-				_ = level.Warn(s.logger).Log("msg", "operator_keys in the settings are not those the store knows; its own hold")
-			}
-			return
-		}
-		if !leads {
-			continue
-		}
-		if _, _, err := s.Propose(ctx, &command.SetOperators{Operators: operators}); err != nil {
-			_ = level.Debug(s.logger).Log("msg", "operator keys", "err", err)
-		}
+// rolloutReport is which version of the bundle this node and its followers have. A Store owns it; guarded by Store.mu.
+type rolloutReport struct {
+	own       internalapi.NodeBundle
+	followers map[string]internalapi.NodeBundle // by the follower's name, as its newest call said
+}
+
+func newRolloutReport() rolloutReport {
+	return rolloutReport{followers: map[string]internalapi.NodeBundle{}}
+}
+
+// observeOwn records since when the live state has the version that it has.
+func (r *rolloutReport) observeOwn(node string, version uint64, by clock.Clock) {
+	if r.own.Version != version {
+		r.own = internalapi.NodeBundle{Node: node, Kind: "cplane", Version: version, Since: by.Wall()}
 	}
 }
 
-// elapsed notes when the live state came to the bundle it has; called under the lock.
-func (s *Store) trackOwnBundle() {
-	if v := s.live.Bundle.Version; s.ownBundle.Version != v {
-		s.ownBundle = internalapi.NodeBundle{Node: s.settings.Name, Kind: "cplane", Version: v, Since: s.clock.Wall()}
+// observeFollower records what a follower's call says, and drops followers that have not called for long.
+func (r *rolloutReport) observeFollower(call internalapi.FollowCall, now time.Time) {
+	maps.DeleteFunc(r.followers, func(_ string, n internalapi.NodeBundle) bool {
+		return now.Sub(n.Heard) > followerRetention
+	})
+	r.followers[call.Node] = internalapi.NodeBundle{Node: call.Node, Kind: "dplane", Version: call.Bundle,
+		Since: now.Add(-call.Age), Heard: now}
+}
+
+// nodes returns what is known now, the own node first, the followers by name.
+func (r *rolloutReport) nodes(now time.Time) []internalapi.NodeBundle {
+	own := r.own
+	own.Heard = now
+	out := []internalapi.NodeBundle{own}
+	for _, name := range slices.Sorted(maps.Keys(r.followers)) {
+		out = append(out, r.followers[name])
 	}
+	return out
 }
 
-// recordFollowerBundle notes what a follower says of its bundle.
 func (s *Store) recordFollowerBundle(call internalapi.FollowCall) {
 	if call.Node == "" {
 		return
@@ -63,24 +59,17 @@
 	now := s.clock.Wall()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.followerBundles, func(_ string, n internalapi.NodeBundle) bool { return now.Sub(n.Heard) > followerRetention })
-	s.followerBundles[call.Node] = internalapi.NodeBundle{Node: call.Node, Kind: "dplane", Version: call.Bundle, Since: now.Add(-call.Age), Heard: now}
+	s.rollout.observeFollower(call, now)
 }
 
-// localRollout is the answer to internalapi.Rollout.
+// localRollout answers internalapi.Rollout.
 func (s *Store) localRollout() internalapi.RolloutAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	own := s.ownBundle
-	own.Heard = s.clock.Wall()
-	out := internalapi.RolloutAnswer{Nodes: []internalapi.NodeBundle{own}}
-	for _, name := range slices.Sorted(maps.Keys(s.followerBundles)) {
-		out.Nodes = append(out.Nodes, s.followerBundles[name])
-	}
-	return out
+	return internalapi.RolloutAnswer{Nodes: s.rollout.nodes(s.clock.Wall())}
 }
 
-// Rollout asks every member which bundle version it has and which its followers have, and gives the newest word on
+// Rollout asks every member which bundle version it has and which its followers have, and returns the newest report of
 // each node, by kind and name; silent names the members that did not answer.
 func (s *Store) Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string) {
 	members := s.Status().Raft.Members
@@ -96,7 +85,7 @@
 	newest := map[string]internalapi.NodeBundle{}
 	for i, a := range answers {
 		if a == nil {
-			silent = append(silent, nameOf(members[i].ID))
+			silent = append(silent, NameOf(members[i].ID))
 			continue
 		}
 		for _, n := range a.Nodes {
