--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -50,7 +50,7 @@
 		if m.ID == s.settings.Name {
 			continue
 		}
-		if a, err := s.opt.Net.BootstrapStatus(context.Background(), m.Addr, internalapi.DiscoverCall{Name: s.settings.Name, Incarnation: s.incarnation}); err == nil {
+		if a, err := s.opt.Net.BootstrapStatus(context.Background(), m.Addr, s.discoverCall()); err == nil {
 			answers[m.ID] = a
 		}
 	}
@@ -66,7 +66,7 @@
 	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
 		return call, "", false
 	}
-	return internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}, s.status.LeaderAddr, true
+	return s.joinCall(), s.status.LeaderAddr, true
 }
 
 // Pass is a turn of the loop.
--- /dev/null
+++ b/internal/store/recovery.go
@@ -0,0 +1,127 @@
+package store
+
+import (
+	"encoding/json"
+	"strings"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/raft"
+	"crosstide/internal/state"
+	"crosstide/internal/storage"
+)
+
+// idFile holds the raft ID of a folder that began empty in a fleet that existed.
+const idFile = "id"
+
+// recoverFolder reads the folder. If it tells who this node is, the core is made; else resolveEmptyFolder must follow.
+func (s *Store) recoverFolder() error {
+	if err := s.finishDiscard(); err != nil {
+		return errs.Pass(err, "discard")
+	}
+	if err := s.loadPeerAddresses(); err != nil {
+		return errs.Pass(err, "load")
+	}
+	id, err := readID(s.opt.Disk)
+	if err != nil {
+		return errs.Pass(err, "read the id")
+	}
+	opened, recovered, err := storage.Open(s.opt.Disk, storage.Options{Clock: s.clock})
+	if err != nil {
+		return errs.Pass(err, "open the folder")
+	}
+	s.storage = opened
+	switch {
+	case id != "":
+		s.id = id
+	case recovered.Fresh && (s.opt.Damaged || !s.settings.Bootstrap):
+		return errs.Pass(s.startNewIncarnation(), "begin anew")
+	case recovered.Fresh:
+		return nil
+	default:
+		s.id = s.settings.Name
+	}
+	return errs.Pass(s.startCore(recovered), "begin")
+}
+
+// startCore makes the core and the live state of what the disk had. No other goroutine uses the store yet but for
+// calls of other nodes, which need the lock.
+func (s *Store) startCore(recovered storage.Recovered) error {
+	initial, live, err := decodeRecovered(recovered)
+	if err != nil {
+		return errs.Pass(err, "recover")
+	}
+	core, err := raft.New(raft.Config{ID: s.id, ElectionTimeout: s.settings.Election,
+		HeartbeatInterval: s.settings.Heartbeat, LeaseDuration: s.settings.Lease, Seed: s.opt.Seed}, initial, s.clock.Now())
+	if err != nil {
+		return errs.Pass(err, "start the core")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.snapshotter = snapshotter{members: initial.Snapshot.Members}
+	if image := recovered.Snapshot; image != nil {
+		s.snapshotter.initialImage = image.Body
+		s.snapshots.newest = internalapi.Snapshot{Number: image.Number, Index: image.Index, Term: image.Term,
+			Size: int64(len(image.Body))}
+		s.disk.durable = image.Index
+	}
+	if n := len(initial.Entries); n > 0 {
+		s.disk.durable = initial.Entries[n-1].Index
+	}
+	s.replaceState(live)
+	s.core, s.status = core, core.Status()
+	_ = level.Info(s.logger).Log("msg", "folder recovered", "id", s.id, "snapshot", s.snapshots.newest.Index,
+		"entries", len(initial.Entries), "term", s.status.Term, "torn_bytes", recovered.TornBytes)
+	return nil
+}
+
+// decodeRecovered decodes what the disk had: the snapshot, if any, the newest hard state and the entries.
+func decodeRecovered(recovered storage.Recovered) (initial raft.InitialState, live *state.State, err error) {
+	live = state.New()
+	if image := recovered.Snapshot; image != nil {
+		if initial.Snapshot, err = decodeSnapshotMeta(image.Meta); err != nil {
+			return initial, nil, errs.Pass(err, "slot %d", image.Number)
+		}
+		if live, err = state.Decode(image.Body); err != nil {
+			return initial, nil, errs.Pass(err, "slot %d", image.Number)
+		}
+	}
+	for _, r := range recovered.Records {
+		if r.Kind == storage.KindHardState {
+			if err := json.Unmarshal(r.Data, &initial.HardState); err != nil {
+				return initial, nil, errs.Wrap(err, errs.Damaged, "the hard state")
+			}
+			continue
+		}
+		entry := raft.Entry{Term: r.Term, Index: r.Index, Kind: raft.EntryKind(r.Kind), Data: r.Data}
+		initial.Entries = append(initial.Entries, entry)
+	}
+	return initial, live, nil
+}
+
+// startNewIncarnation sets an empty folder to an ID of its own, synced before anything is done under it, and starts
+// the core empty.
+func (s *Store) startNewIncarnation() error {
+	id := s.newID()
+	if err := writeFile(s.opt.Disk, idFile, id); err != nil {
+		return errs.Pass(err, "take a new id")
+	}
+	s.mu.Lock()
+	s.id = id
+	s.mu.Unlock()
+	return errs.Pass(s.startCore(storage.Recovered{}), "begin empty")
+}
+
+// newID returns a raft ID for a new incarnation of this node's folder.
+func (s *Store) newID() string { return s.settings.Name + "~" + strings.ToLower(s.opt.RandomID()[:10]) }
+
+// readID returns the folder's own raft ID, "" if it has none.
+func readID(d storage.Disk) (string, error) {
+	id, ok, err := readFile(d, idFile)
+	if err == nil && ok && id == "" {
+		return "", errs.New(errs.Damaged, "the id file is empty")
+	}
+	return id, errs.Pass(err, "id file")
+}
