--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -9,14 +9,17 @@
 )
 
 var (
-	descAccount     = describe("account_units", "Units of an account: balance, reserved, spent, topped_up.", "account", "of")
-	descRate        = describe("account_units_per_second", "What the runs of an account cost now.", "account")
-	descExhaustedIn = describe("account_dry_in_seconds", "Forecast until an account is dry, at the rate of now; none if nothing draws.", "account")
-	descUnpaid      = describe("account_waiting_jobs", "Jobs that wait for a top-up.", "account")
-	descWarning     = describe("account_warning", "1 for an account that is dry or soon will be.", "account")
+	descAccount = describe("account_units", "Units of an account: balance, reserved, spent, topped_up.",
+		"account", "of")
+	descRate = describe("account_units_per_second", "What the runs of an account cost now.",
+		"account")
+	descExhaustedIn = describe("account_dry_in_seconds",
+		"Forecast until an account is dry, at the rate of now; none if nothing draws.", "account")
+	descUnpaid  = describe("account_waiting_jobs", "Jobs that wait for a top-up.", "account")
+	descWarning = describe("account_warning", "1 for an account that is dry or soon will be.", "account")
 )
 
-// collectAccounts gives the figures of accounts.
+// collectAccounts sends the gauges of accounts.
 func collectAccounts(accounts []internalapi.AccountView, to chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
@@ -39,10 +42,11 @@
 	}
 }
 
-// accountWarnings remembers which accounts the leader has warned of.
+// accountWarnings has the accounts that the leader has warned of. The goroutine runGC owns it.
 type accountWarnings map[string]bool
 
-// logNew logs a line for each account that is dry, or soon will be, once until it is well again. Only the leader does.
+// logNew logs a line for each account that is exhausted, or soon will be, once until it no longer is. Only the leader
+// does.
 func (w accountWarnings) logNew(s *Store) {
 	s.mu.Lock()
 	leads, accounts := s.leadership.term != 0, []internalapi.AccountView(nil)
@@ -61,7 +65,8 @@
 		}
 		if !w[v.Name] {
 			w[v.Name] = true
-			_ = level.Warn(s.logger).Log("msg", "account runs dry", "account", v.Name, "balance", v.Balance, "why", v.Warning)
+			_ = level.Warn(s.logger).Log("msg", "account runs dry", "account", v.Name, "balance", v.Balance,
+				"why", v.Warning)
 		}
 	}
 }
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// discardFile marks a folder whose contents are no member's any more. It goes last, after the folder got a new
-	// ID, so that a crash on the way never leaves an empty folder that could found a fleet. It holds the addresses
-	// of other nodes that were known.
+	// discardFile marks a folder whose contents are no member's any more. It is removed last, after the folder got a
+	// new ID, so that a crash on the way never leaves an empty folder that could bootstrap a fleet. It holds the
+	// addresses of other nodes that were known.
 	discardFile = "discard"
-	// peersFile holds the addresses that discardFile had.
+	// peersFile holds the addresses that discardFile had, for the new incarnation to ask.
 	peersFile = "peers"
 )
 
-// Discard marks the contents of a folder as void, and makes that last: the next Open removes them and begins as a
-// new incarnation, which asks the nodes at the addresses to be taken in, besides its seeds. Use it on a folder
-// that is damaged, or of a member that was removed. Failure: Disk.
+// Discard marks the contents of a folder as void, durably: the next Open removes them and begins as a new incarnation,
+// which asks the nodes at the addresses to be taken in, besides its seeds. Use it on a folder that is damaged, or of a
+// member that was removed. Failure: Disk.
 func Discard(d storage.Disk, addresses ...string) error {
 	names, err := d.List()
 	if err != nil {
 		return errs.Pass(err, "discard")
 	}
 	if slices.Contains(names, discardFile) {
-		return errs.Pass(d.Sync(), "discard") // the one that made it may not have got so far
+		return errs.Pass(d.Sync(), "discard") // an earlier Discard may have crashed before its sync
 	}
 	return errs.Pass(writeFile(d, discardFile, strings.Join(addresses, "\n")), "discard")
 }
 
-// finishDiscard ends what Discard began, if it did: an empty folder with a new ID is left.
+// finishDiscard removes the contents of a folder that Discard marked; an empty folder with a new ID is left.
 func (s *Store) finishDiscard() error {
 	disk := s.opt.Disk
 	peers, marked, err := readFile(disk, discardFile)
@@ -57,7 +57,7 @@
 	return errs.Pass(disk.Sync(), "sync")
 }
 
-// loadPeerAddresses takes in the addresses that were known before the folder's contents were discarded.
+// loadPeerAddresses learns the addresses that were known before the folder's contents were discarded.
 func (s *Store) loadPeerAddresses() error {
 	peers, _, err := readFile(s.opt.Disk, peersFile)
 	s.rememberAddresses(strings.Fields(peers)...)
--- a/internal/store/discovery.go
+++ b/internal/store/discovery.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/routine"
 )
 
-const maxKnownAddresses = 64 // of nodes that others told of
+const maxKnownAddresses = 64 // of nodes that other nodes named
 
 // jitter returns d, longer or shorter by up to a quarter: nodes of an open fleet that were started together must not
 // ask in step.
@@ -38,7 +38,7 @@
 	}
 }
 
-// addresses are those of all nodes that may know the fleet: seeds, members, and those that others told of.
+// addresses are those of all nodes that may know the fleet: seeds, members, and those that other nodes named.
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/diskfull.go
+++ b/internal/store/diskfull.go
@@ -10,22 +10,23 @@
 	"crosstide/internal/storage"
 )
 
-// Pauses between writes to a full disk; they double.
+// Pauses between tries on a full disk; they double.
 const (
 	diskFullMinBackoff = 100 * time.Millisecond
 	diskFullMaxBackoff = 2 * time.Second
 )
 
-// retryWhileDiskFull calls write until the disk takes it. Meanwhile nothing that waits for the write leaves this node: it stays a
-// member that acknowledges nothing. Any failure other than a full disk is given back, as is the end of ctx.
+// retryWhileDiskFull calls write until the disk has space for it. Meanwhile nothing that waits for the write leaves
+// this node: it stays a member that acknowledges nothing. Any other failure is returned; Stopped when ctx ends.
 func (s *Store) retryWhileDiskFull(ctx context.Context, what string, write func() error) error {
-	for pause := diskFullMinBackoff; ; pause = min(2*pause, diskFullMaxBackoff) {
+	for backoff := diskFullMinBackoff; ; backoff = min(2*backoff, diskFullMaxBackoff) {
 		err := write()
 		if !storage.IsFull(err) {
 			return errs.Pass(err, "%s", what)
 		}
-		_ = level.Error(s.logger).Log("msg", "no room for a write: nothing is acknowledged", "write", what, "again", pause, "err", err)
-		if !s.sleep(ctx, pause) {
+		_ = level.Error(s.logger).Log("msg", "no room for a write: nothing is acknowledged", "write", what,
+			"again", backoff, "err", err)
+		if !s.sleep(ctx, backoff) {
 			return errs.New(errs.Stopped, "the store is stopping")
 		}
 		if err := s.storage.Resume(); err != nil && !storage.IsFull(err) {
@@ -34,16 +35,16 @@
 	}
 }
 
-// OpenWhenDiskHasSpace is Open, tried again and again while the disk is full, until ctx ends.
+// OpenWhenDiskHasSpace is Open, tried again while the disk is full. Failures: those of Open; Stopped when ctx ends.
 func OpenWhenDiskHasSpace(ctx context.Context, opt Options) (*Store, error) {
 	opt = opt.withDefaults()
-	for pause := diskFullMinBackoff; ; pause = min(2*pause, diskFullMaxBackoff) {
+	for backoff := diskFullMinBackoff; ; backoff = min(2*backoff, diskFullMaxBackoff) {
 		s, err := Open(opt)
 		if !storage.IsFull(err) {
 			return s, errs.Pass(err, "open")
 		}
-		_ = level.Error(opt.Logger).Log("msg", "no room for a write: not started yet", "again", pause, "err", err)
-		if !sleep(ctx, opt.Clock, pause) {
+		_ = level.Error(opt.Logger).Log("msg", "no room for a write: not started yet", "again", backoff, "err", err)
+		if !sleep(ctx, opt.Clock, backoff) {
 			return nil, errs.Wrap(err, errs.Stopped, "the start was called off")
 		}
 	}
--- a/internal/store/downloadsnapshot.go
+++ b/internal/store/downloadsnapshot.go
@@ -57,7 +57,8 @@
 		return nil, errs.New(errs.Damaged, "the snapshot of %s does not fit its sum", wanted.From)
 	}
 	if meta.Index < wanted.Meta.Index {
-		return nil, errs.New(errs.Stale, "the snapshot of %s is at %d, before %d", wanted.From, meta.Index, wanted.Meta.Index)
+		return nil, errs.New(errs.Stale, "the snapshot of %s is at %d, before %d", wanted.From, meta.Index,
+			wanted.Meta.Index)
 	}
 	image := storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: d.head.Meta, Body: d.body}
 	return &fetchedSnapshot{image: image, meta: meta}, nil
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -96,7 +96,8 @@
 	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == s.id && !m.Learner })
 }
 
-// askToJoin moves this node one step towards being a voter. Failure Stale: it was removed, its folder is void.
+// askToJoin moves this node one step towards being a voter. Failure Stale: it was removed, its folder must be
+// discarded.
 func (s *Store) askToJoin(ctx context.Context, leader string, call internalapi.JoinCall) error {
 	a, err := s.opt.Net.Join(ctx, leader, call)
 	if err != nil {
@@ -166,7 +167,8 @@
 		return nil
 	}
 	return errs.Field(errs.Forbidden, "name",
-		"no member is named %s; an operator says whom it replaces: crosstide-controlplane member replace OLD %s", name, name)
+		"no member is named %s; an operator says whom it replaces: crosstide-controlplane member replace OLD %s",
+		name, name)
 }
 
 // joinPlan is the member set as it concerns a node that joins.
@@ -205,7 +207,8 @@
 		return errs.Pass(s.changeMembers(plan.from, without(plan.next, old.ID)), "take %s out", old.ID)
 	}
 	if silent := s.silentVoter(plan.from); silent != "" {
-		return errs.Pass(s.changeMembers(plan.from, without(plan.next, silent)), "take %s out before a new voter", silent)
+		return errs.Pass(s.changeMembers(plan.from, without(plan.next, silent)), "take %s out before a new voter",
+			silent)
 	}
 	plan.next[plan.at].Learner = false
 	return errs.Pass(s.changeMembers(plan.from, plan.next), "join as a voter")
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -20,8 +20,9 @@
 	leases *roleLeases // active once the leader's lease was confirmed in this term
 }
 
-// onStatusChange follows the status of the core after each pass: it ends what a change of leader makes void, starts the
-// count of role leases once the lead is confirmed, and makes the peers those of the member set. Called under the lock.
+// onStatusChange follows the status of the core after each pass: it ends what a change of leader invalidates, starts
+// the count of role leases once the lead is confirmed, and makes the peers those of the member set. Called under the
+// lock.
 func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
 	st := &s.status
 	if before.Role != st.Role || before.Leader != st.Leader || before.Term != st.Term {
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -32,7 +32,8 @@
 		case <-ctx.Done():
 			timer.Stop()
 			s.mu.Lock()
-			s.proposals.failAll(errs.New(errs.Stopped, "the store is stopping; the proposal may or may not be committed"))
+			s.proposals.failAll(errs.New(errs.Stopped,
+				"the store is stopping; the proposal may or may not be committed"))
 			s.mu.Unlock()
 			return
 		case <-s.wakeLoop:
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -13,38 +13,39 @@
 )
 
 // ManualDriver drives a store that was not started, step by step on one goroutine: the deterministic simulator runs the
-// daemon's own code with it. What the goroutines of a started store wait for is a question here, and the caller
-// decides when a sync is done or a message arrives. Net must answer at once. Example:
+// daemon's own code with it. Each step is one that a goroutine of a started store makes when it is woken; the caller
+// decides when a sync is done or a message arrives. Nothing waits: Net must answer at once. Example:
 //
-//	s, err := store.Active(options)
-//	h := s.ByHand()
-//	h.Pass()                   // a turn of the loop
-//	b := h.TakeDiskBatch()              // what waits for the disk, nil if nothing
+//	s, err := store.Open(options)
+//	d := s.Manual()
+//	d.Pass()                   // a turn of the loop
+//	b := d.TakeDiskBatch()     // what waits for the disk, nil if nothing
 //	err = b.Write()            // later: it is synced,
-//	b.MarkStored()                 // and the store takes that in
-//	err = h.RunSnapshotter()            // the shadow follows, slots are written
-//	for _, p := range h.TakeMessages() { send(p.Addr, p.Call) }
+//	b.MarkStored()             // and the store knows
+//	err = d.RunSnapshotter()   // the replica follows, snapshots are written
+//	for _, m := range d.TakeMessages() { send(m.Addr, m.Call) }
 type ManualDriver struct {
 	store   *Store
-	wanted  *raft.FetchSnapshot
-	fetched *fetchedSnapshot
+	wanted  *raft.FetchSnapshot // asked for by the core; nil: nothing
+	fetched *fetchedSnapshot    // waits for the disk to be idle; the store is frozen meanwhile
 }
 
-// Manual gives the store's driver; the store must not be started.
+// Manual returns a driver; the store must not be started then.
 func (s *Store) Manual() *ManualDriver {
 	s.manual = &ManualDriver{store: s}
 	return s.manual
 }
 
-// IsMember tells whether the node knows who it is.
-func (h *ManualDriver) IsMember() bool { return h.store.core != nil }
+// IsMember tells whether the folder tells who this node is, or that was resolved: the core runs.
+func (d *ManualDriver) IsMember() bool { return d.store.core != nil }
 
-// Bootstrap begins a fleet as settle does once all members were found fresh.
-func (h *ManualDriver) Bootstrap() error { return errs.Pass(h.store.bootstrap(nil), "found") }
+// Bootstrap begins a fleet, as resolveEmptyFolder does once all members were found fresh.
+func (d *ManualDriver) Bootstrap() error { return errs.Pass(d.store.bootstrap(nil), "found") }
 
-// ResolveEmptyFolder is one round of asking the other members what the empty folder means.
-func (h *ManualDriver) ResolveEmptyFolder() error {
-	s := h.store
+// ResolveEmptyFolder is one round of asking the other members what the empty folder means. It joins an existing fleet,
+// and never bootstraps one.
+func (d *ManualDriver) ResolveEmptyFolder() error {
+	s := d.store
 	answers := map[string]internalapi.DiscoverAnswer{}
 	for _, m := range s.settings.Members {
 		if m.ID == s.settings.Name {
@@ -54,15 +55,17 @@
 			answers[m.ID] = a
 		}
 	}
-	if v, _ := decideBootstrap(s.settings.Name, s.incarnation, s.digest(), len(s.settings.Members), answers, nil); v == fleetExists {
+	decision, _ := decideBootstrap(s.settings.Name, s.incarnation, s.digest(), len(s.settings.Members), answers, nil)
+	if decision == fleetExists {
 		return errs.Pass(s.startNewIncarnation(), "settle")
 	}
 	return nil
 }
 
-// JoinCall gives the call that takes this node in; false if it is a voter or never was another.
-func (h *ManualDriver) JoinCall() (call internalapi.JoinCall, addr string, ok bool) {
-	s := h.store
+// JoinCall returns the call that takes this node in, and the leader's address; false if it is a voter, or a bootstrap
+// member under its own name.
+func (d *ManualDriver) JoinCall() (call internalapi.JoinCall, addr string, ok bool) {
+	s := d.store
 	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
 		return call, "", false
 	}
@@ -70,9 +73,9 @@
 }
 
 // Pass is a turn of the loop.
-func (h *ManualDriver) Pass() {
-	if h.store.core != nil {
-		h.store.pass()
+func (d *ManualDriver) Pass() {
+	if d.store.core != nil {
+		d.store.pass()
 	}
 }
 
@@ -83,14 +86,15 @@
 }
 
 // TakeMessages takes the messages to other members, in the order of their IDs.
-func (h *ManualDriver) TakeMessages() (out []OutboundCall) {
-	if h.store.halted {
+func (d *ManualDriver) TakeMessages() (out []OutboundCall) {
+	if d.store.halted {
 		return nil
 	}
-	for _, id := range slices.Sorted(maps.Keys(h.store.peers.byID)) {
-		p := h.store.peers.byID[id]
+	for _, id := range slices.Sorted(maps.Keys(d.store.peers.byID)) {
+		p := d.store.peers.byID[id]
 		for len(p.queue) > 0 {
-			out = append(out, OutboundCall{p.addr, internalapi.RaftCall{From: h.store.settings.Addr, Messages: p.takeBatch()}})
+			call := internalapi.RaftCall{From: d.store.settings.Addr, Messages: p.takeBatch()}
+			out = append(out, OutboundCall{p.addr, call})
 		}
 	}
 	return out
@@ -103,23 +107,23 @@
 }
 
 // TakeDiskBatch takes what waits for the disk; nil if it is busy or there is nothing.
-func (h *ManualDriver) TakeDiskBatch() *DiskBatch {
-	if h.store.disk.busySince != 0 || h.store.halted {
+func (d *ManualDriver) TakeDiskBatch() *DiskBatch {
+	if d.store.disk.busySince != 0 || d.store.halted {
 		return nil
 	}
-	if w := h.store.takeDiskWrites(); len(w) > 0 {
-		return &DiskBatch{h.store, w}
+	if w := d.store.takeDiskWrites(); len(w) > 0 {
+		return &DiskBatch{d.store, w}
 	}
 	return nil
 }
 
-// Write writes and syncs the batch; Stored must follow.
+// Write writes and syncs the batch; MarkStored must follow.
 func (b *DiskBatch) Write() error { return errs.Pass(b.store.writeBatch(b.writes), "write") }
 
-// MarkStored takes in that the batch is synced.
+// MarkStored reports to the store that the batch is synced.
 func (b *DiskBatch) MarkStored() { b.store.onStored(b.writes) }
 
-// Entries are those in the batch, in the order of writing.
+// Entries returns those in the batch, in the order of writing.
 func (b *DiskBatch) Entries() (out []raft.Entry) {
 	for _, w := range b.writes {
 		out = append(out, w.entries...)
@@ -127,59 +131,60 @@
 	return out
 }
 
-// RunSnapshotter brings the shadow up and adopts a fetched image once the disk is idle.
-func (h *ManualDriver) RunSnapshotter() error {
-	fetched, err := h.store.applyStored(context.Background())
+// RunSnapshotter applies what is stored to the replica, writes the snapshots that are due, and installs a fetched one
+// once the disk is idle.
+func (d *ManualDriver) RunSnapshotter() error {
+	fetched, err := d.store.applyStored(context.Background())
 	if err != nil {
 		return errs.Pass(err, "shade")
 	}
-	if fetched != nil && h.store.freeze(fetched) {
-		h.fetched = fetched
+	if fetched != nil && d.store.freeze(fetched) {
+		d.fetched = fetched
 	}
-	if h.fetched == nil || !h.store.isDiskIdle() {
+	if d.fetched == nil || !d.store.isDiskIdle() {
 		return nil
 	}
-	fetched, h.fetched = h.fetched, nil
-	defer h.store.unfreeze()
-	return errs.Pass(h.store.replaceWithFetched(context.Background(), fetched), "shade")
+	fetched, d.fetched = d.fetched, nil
+	defer d.store.unfreeze()
+	return errs.Pass(d.store.replaceWithFetched(context.Background(), fetched), "shade")
 }
 
-// FetchSnapshot fetches the snapshot that the core asked for, at once; nothing if it asked for none.
-func (h *ManualDriver) FetchSnapshot() error {
-	if h.wanted == nil || h.fetched != nil {
+// FetchSnapshot downloads the snapshot that the core asked for, at once; nothing if it asked for none.
+func (d *ManualDriver) FetchSnapshot() error {
+	if d.wanted == nil || d.fetched != nil {
 		return nil
 	}
-	wanted := *h.wanted
-	h.wanted, h.store.snapshots.fetching = nil, false
+	wanted := *d.wanted
+	d.wanted, d.store.snapshots.fetching = nil, false
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // no rests between tries
-	fetched, err := h.store.fetchDecoded(ctx, wanted)
+	cancel() // no pauses between tries
+	fetched, err := d.store.fetchDecoded(ctx, wanted)
 	if err == nil {
-		h.store.snapshots.toInstall = fetched
+		d.store.snapshots.toInstall = fetched
 	}
 	return errs.Pass(err, "fetch")
 }
 
-// Proposal is a command under way.
+// Proposal is a command without an outcome yet.
 type Proposal struct {
 	store  *Store
 	waiter *waiter
 }
 
 // Propose is Store.Propose without the wait.
-func (h *ManualDriver) Propose(c command.Command) (*Proposal, error) {
-	data, err := command.Encode(h.store.clock.Wall(), c)
+func (d *ManualDriver) Propose(c command.Command) (*Proposal, error) {
+	data, err := command.Encode(d.store.clock.Wall(), c)
 	if err != nil {
 		return nil, errs.Pass(err, "propose")
 	}
 	w := &waiter{data: data, done: make(chan outcome, 1)}
-	if err := h.store.enqueueProposal(w); err != nil {
+	if err := d.store.enqueueProposal(w); err != nil {
 		return nil, errs.Pass(err, "propose")
 	}
-	return &Proposal{h.store, w}, nil
+	return &Proposal{d.store, w}, nil
 }
 
-// Done gives the outcome; false while there is none.
+// Done returns the outcome; false while there is none.
 func (p *Proposal) Done() (index uint64, answer any, err error, ok bool) {
 	select {
 	case o := <-p.waiter.done:
@@ -194,39 +199,44 @@
 	return errs.Pass(p.store.abandonProposal(p.waiter).err, "propose")
 }
 
-// ClaimRole is Store.ClaimRole up to its proposal: the answer, or a command to propose and then to tell Granted of.
-func (h *ManualDriver) ClaimRole(call internalapi.ClaimRoleCall) (a internalapi.RoleLease, current state.Role, c command.Command, err error) {
-	a, current, c, err = h.store.evaluateRoleCall(call)
-	return a, current, c, errs.Pass(err, "duty")
+// ClaimRole is Store.ClaimRole up to its proposal: the answer, or a command to propose, after whose outcome
+// FinishRoleCall must be called.
+func (d *ManualDriver) ClaimRole(call internalapi.ClaimRoleCall) (
+	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
+) {
+	answer, current, c, err = d.store.evaluateRoleCall(call)
+	return answer, current, c, errs.Pass(err, "duty")
 }
 
-// FinishRoleCall ends what Duty began.
-func (h *ManualDriver) FinishRoleCall(call internalapi.ClaimRoleCall, current state.Role, index uint64, err error) (internalapi.RoleLease, error) {
-	a, err := h.store.finishRoleCall(call, current, index, err)
-	return a, errs.Pass(err, "duty")
+// FinishRoleCall answers a call by the outcome of the command that ClaimRole returned.
+func (d *ManualDriver) FinishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
+	internalapi.RoleLease, error,
+) {
+	answer, err := d.store.finishRoleCall(call, before, index, err)
+	return answer, errs.Pass(err, "duty")
 }
 
 // ChangesAfter is Store.Follow without the wait: nil if the caller lacks nothing.
-func (h *ManualDriver) ChangesAfter(version uint64) (*internalapi.SourceUpdate, error) {
-	l, _, err := h.store.changesAfter(version, maxFollowBytes)
-	return l, errs.Pass(err, "lack")
+func (d *ManualDriver) ChangesAfter(version uint64) (*internalapi.SourceUpdate, error) {
+	update, _, err := d.store.changesAfter(version, maxFollowBytes)
+	return update, errs.Pass(err, "lack")
 }
 
-// ProposeGC proposes the letting go of what is old, if this node leads.
-func (h *ManualDriver) ProposeGC() {
-	if c := h.store.gcCommand(); c != nil {
-		_, _ = h.Propose(c) // what it misses the next one does
+// ProposeGC proposes to purge what is past its retention, if this node leads.
+func (d *ManualDriver) ProposeGC() {
+	if c := d.store.gcCommand(); c != nil {
+		_, _ = d.Propose(c) // a failed one is made up for by the next
 	}
 }
 
-// State is the live state.
-func (h *ManualDriver) State() *state.State { return h.store.live }
+// State returns the live state.
+func (d *ManualDriver) State() *state.State { return d.store.live }
 
-// SnapshotIndex is the index of the newest slot.
-func (h *ManualDriver) SnapshotIndex() uint64 { return h.store.snapshots.newest.Index }
+// SnapshotIndex returns the index of the newest snapshot.
+func (d *ManualDriver) SnapshotIndex() uint64 { return d.store.snapshots.newest.Index }
 
-// WantsSnapshot tells whether the core asked for a snapshot.
-func (h *ManualDriver) WantsSnapshot() bool { return h.wanted != nil && h.fetched == nil }
+// WantsSnapshot tells whether the core asked for a snapshot that FetchSnapshot has not fetched yet.
+func (d *ManualDriver) WantsSnapshot() bool { return d.wanted != nil && d.fetched == nil }
 
-// Core is the replication core, nil before the node knows who it is.
-func (h *ManualDriver) Core() *raft.Core { return h.store.core }
+// Core returns the replication core; nil before IsMember.
+func (d *ManualDriver) Core() *raft.Core { return d.store.core }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -15,9 +15,9 @@
 // by Store.mu.
 type membership struct {
 	// bootstrapped has the incarnations, by ID, of the other members that were found fresh when this very process
-	// bootstrapped the fleet: each may be told that it is a bootstrap member. nil: nobody is vouched for.
+	// bootstrapped the fleet: each that asks may know that it is a bootstrap member. nil: none may.
 	bootstrapped map[string]string
-	// known has the addresses of nodes that others told of; in an open fleet only.
+	// known has the addresses of nodes that other nodes named; in an open fleet only.
 	known map[string]bool
 }
 
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/storage"
 )
 
-// metrics is what the store shows of itself.
+// metrics are the counters and histograms of a store. They need no lock.
 type metrics struct {
 	proposals, dropped        prometheus.Counter
 	syncs, commits, snapshots prometheus.Histogram
@@ -31,14 +31,14 @@
 	}
 }
 
-// register registers all that the meter shows; nil does nothing.
+// register adds these and the collector of the store to a registry; nil does nothing.
 func (m *metrics) register(s *Store, to prometheus.Registerer) {
 	if to != nil {
 		to.MustRegister(m.proposals, m.dropped, m.syncs, m.commits, m.snapshots, &collector{store: s})
 	}
 }
 
-// collector are read when they are asked for.
+// collector reads what the store has at the time of a scrape.
 type collector struct{ store *Store }
 
 func describe(name, help string, labels ...string) *prometheus.Desc {
@@ -58,20 +58,19 @@
 	descType    = describe("running", "Handles out, by type of job.", "type")
 )
 
-// Describe tells nothing in advance: the labels come with the state.
-func (g *collector) Describe(chan<- *prometheus.Desc) {}
+// Describe describes nothing: the labels come with the state.
+func (*collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives the figures of now.
-func (g *collector) Collect(to chan<- prometheus.Metric) {
-	s := g.store
+// Collect sends the values of now.
+func (c *collector) Collect(to chan<- prometheus.Metric) {
+	s := c.store
 	s.mu.Lock()
 	st, applied, waiting := s.status, s.live.Index, s.proposals.count
 	figures, accounts := query.Count(s.live), query.Accounts(s.live)
-	var disk storage.Stats
-	inFlight := s.storage
 	s.mu.Unlock()
-	if inFlight != nil {
-		disk = inFlight.Stats()
+	var disk storage.Stats
+	if s.storage != nil {
+		disk = s.storage.Stats()
 	}
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
--- a/internal/store/operatorkeys.go
+++ b/internal/store/operatorkeys.go
@@ -12,8 +12,8 @@
 
 const operatorKeysInterval = 200 * time.Millisecond
 
-// installOperatorKeys is the goroutine by which the leader commits the operators' keys of its settings into a state that
-// has none yet. The first leader decides them for all: every replica checks signatures by what stands in the log.
+// installOperatorKeys is the goroutine by which the leader commits the operators' keys of its settings into a state
+// that has none yet. The first leader decides them for all: every replica checks signatures by what stands in the log.
 func (s *Store) installOperatorKeys(ctx context.Context) {
 	if len(s.settings.OperatorKeys) == 0 {
 		return
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -53,8 +53,13 @@
 	if err != nil {
 		return errs.Pass(err, "recover")
 	}
-	core, err := raft.New(raft.Config{ID: s.id, ElectionTimeout: s.settings.Election,
-		HeartbeatInterval: s.settings.Heartbeat, LeaseDuration: s.settings.Lease, Seed: s.opt.Seed}, initial, s.clock.Now())
+	core, err := raft.New(raft.Config{
+		ID:                s.id,
+		ElectionTimeout:   s.settings.Election,
+		HeartbeatInterval: s.settings.Heartbeat,
+		LeaseDuration:     s.settings.Lease,
+		Seed:              s.opt.Seed,
+	}, initial, s.clock.Now())
 	if err != nil {
 		return errs.Pass(err, "start the core")
 	}
--- a/internal/store/rolelease.go
+++ b/internal/store/rolelease.go
@@ -13,19 +13,19 @@
 const (
 	claimDenied    claimResult = iota // another holds it, or a change of it is under way
 	claimRenewed                      // the caller's lease is renewed
-	claimGrantable                    // may be granted to the caller: propose command.GrantRole, then call ProposalDone
+	claimGrantable                    // the caller may have it: propose command.GrantRole, then call ProposalDone
 )
 
-// roleLeases counts the leases of singleton roles. The leadership owns it: it is active only while this node is the
-// confirmed leader, between BecomeLeader and StepDown. It lives in memory only, has no clock, and is guarded by Store.mu.
+// roleLeases counts the leases of singleton roles. The leadership owns it; guarded by Store.mu. It is active only while
+// this node is the confirmed leader, between BecomeLeader and StepDown. It lives in memory only and has no clock.
 //
 // Why a role never has two holders: the holder counts its lease from before it sent its call, the leader from when it
 // answered the call, plus a margin for clocks that do not run equally fast. A new leader does not know when its
 // predecessor answered last, but surely that was before it became the confirmed leader itself: it counts every lease
-// as granted at that moment. Once a grant or a release of an epoch was proposed, its outcome may stay unknown: the epoch
-// is never renewed again by this leader.
+// as granted at that moment. Once a grant or a release of an epoch was proposed, its outcome may stay unknown: this
+// leader never renews that epoch again.
 type roleLeases struct {
-	duration time.Duration // what holders are told
+	duration time.Duration // as holders count it
 	margin   time.Duration // what is waited beyond that before another is granted the role
 	active   bool
 	leases   map[string]*roleLease // by role; only while active
--- a/internal/store/silentmembers.go
+++ b/internal/store/silentmembers.go
@@ -51,8 +51,8 @@
 	return s.longestSilentVoter(s.clock.Now(), members)
 }
 
-// longestSilentVoter returns the voter that has been silent for longest, RemoveAfter at least, if the others have a live
-// majority without it; else "". Called under the lock.
+// longestSilentVoter returns the voter that has been silent for longest, RemoveAfter at least, if the others have a
+// live majority without it; else "". Called under the lock.
 func (s *Store) longestSilentVoter(now time.Duration, members []raft.Member) (id string) {
 	longest := s.settings.RemoveAfter
 	for _, m := range members {
--- a/internal/store/smallfile.go
+++ b/internal/store/smallfile.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/storage"
 )
 
-// readFile reads a small file of the folder; ok is false if it is missing.
+// readFile reads a small file of the folder; ok is false if it is missing. Failure: Disk.
 func readFile(d storage.Disk, name string) (content string, ok bool, err error) {
 	names, err := d.List()
 	if err != nil || !slices.Contains(names, name) {
@@ -23,12 +23,12 @@
 	return string(raw), true, errs.Wrap(err, errs.Disk, "read %s", name)
 }
 
-// writeFile puts a small file in the place of the one of its name, synced.
+// writeFile writes a small file in the place of the one of its name, synced: after a crash either is there, whole.
 func writeFile(d storage.Disk, name, content string) error {
 	temporary := name + ".tmp"
 	if _, left, err := readFile(d, temporary); err != nil {
 		return errs.Pass(err, "look for %s", temporary)
-	} else if left { // by a crash
+	} else if left { // of a write that crashed
 		if err := d.Remove(temporary); err != nil {
 			return errs.Pass(err, "remove %s", temporary)
 		}
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -191,7 +191,7 @@
 	if err != nil {
 		return errs.Pass(err, "slot")
 	}
-	err = s.retryWhileDiskFull(ctx, "write a slot", func() error {
+	err = s.retryWhileDiskFull(ctx, "write a snapshot", func() error {
 		return errs.Pass(s.storage.WriteSnapshot(image, 0), "own state")
 	})
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -45,7 +45,8 @@
 	Settings config.ControlPlane
 	Disk     storage.Disk
 	Net      Net
-	// Fatal is called, once, after a failed write or sync, or when the state cannot be trusted. It must end the process.
+	// Fatal is called, once, after a failed write or sync, or when the state cannot be trusted. It must end the
+	// process.
 	Fatal func(error)
 	// Removed is called, once, when this node was removed from the members while it was away: its folder is discarded.
 	// It must see to it that the store is stopped and its folder opened anew; the node joins as a new incarnation then.
@@ -120,7 +121,8 @@
 // Open reads the folder and makes a store that takes part in nothing yet. Failures: Disk, Damaged (see Options).
 // Example:
 //
-//	s, err := store.Open(store.Options{Settings: settings, Disk: disk, Net: store.NetworkOf(caller, settings), Fatal: die})
+//	s, err := store.Open(store.Options{Settings: settings, Disk: disk, Net: store.NetworkOf(client, settings),
+//		Fatal: die})
 //	s.Serve(server)
 //	s.Start()
 //	defer s.Stop()
