--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -20,12 +20,12 @@
 		var lines bytes.Buffer
 		s := &Store{live: state.New(), logger: log.NewLogfmtLogger(&lines)}
 		at := time.Unix(1_700_000_000, 0).UTC()
-		leases := account.NewTable()
-		So(leases.Create("acme", 0), ShouldBeNil)
-		_, err := leases.TopUp("acme", "k1", 200, at)
+		table := account.NewTable()
+		So(table.Create("acme", 0), ShouldBeNil)
+		_, err := table.TopUp("acme", "k1", 200, at)
 		So(err, ShouldBeNil)
-		So(leases.Reserve(account.Charge{Run: "r", Account: "acme", Rate: 1000, Window: 100 * time.Second}, at), ShouldBeNil)
-		s.live.UseAccounts(leases)
+		So(table.Reserve(account.Charge{Run: "r", Account: "acme", Rate: 1000, Window: 100 * time.Second}, at), ShouldBeNil)
+		s.live.UseAccounts(table)
 		warned := accountWarnings{}
 		look := func() int {
 			warned.logNew(s)
@@ -35,10 +35,10 @@
 		s.leadership.term = 1
 		So(look(), ShouldEqual, 1)
 		So(look(), ShouldEqual, 1)
-		_, err = leases.TopUp("acme", "k2", 10_000, at)
+		_, err = table.TopUp("acme", "k2", 10_000, at)
 		So(err, ShouldBeNil)
 		So(look(), ShouldEqual, 1)
-		leases.Renew(at.Add(9_900 * time.Second))
+		table.Renew(at.Add(9_900 * time.Second))
 		So(look(), ShouldEqual, 2)
 	})
 	Convey("Each account has its gauges; a forecast only while something draws", t, func() {
--- a/internal/store/apply_test.go
+++ b/internal/store/apply_test.go
@@ -37,7 +37,7 @@
 			s.unapplied[0].Data = make([]byte, applyBytes)
 			So(len(s.nextApplied()), ShouldEqual, 1)
 		})
-		Convey("Then a store that is driven by hand applies all at once", func() {
+		Convey("Then a store with a manual driver applies all at once", func() {
 			s.manual = &ManualDriver{}
 			So(len(s.nextApplied()), ShouldEqual, 2*applyEntries+8)
 		})
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -47,53 +47,53 @@
 }
 
 func TestOpenBootstrap(t *testing.T) {
-	withOpenFleet(t, 5, func(r *testStores) {
-		took := r.elapsed(func() {
-			r.startAll()
-			r.waitVoters("c1", "c2", "c3", "c4", "c5")
+	withOpenFleet(t, 5, func(fleet *testFleet) {
+		took := fleet.elapsed(func() {
+			fleet.startAll()
+			fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
 		})
 		Printf("\nfive voters after %s", took)
 		So(took, ShouldBeLessThan, 4*time.Second)
 		for _, n := range []string{"c1", "c2", "c3"} {
-			So(r.nodes[n].Status().Raft.ID, ShouldEqual, n) // founded, not joined
+			So(fleet.nodes[n].Status().Raft.ID, ShouldEqual, n) // founded, not joined
 		}
-		So(r.submitJobs("a", 100), ShouldBeEmpty)
-		r.waitLevel()
+		So(fleet.submitJobs("a", 100), ShouldBeEmpty)
+		fleet.waitLevel()
 
-		joined := r.elapsed(func() {
-			r.startFresh("c6")
-			r.waitVoters("c1", "c2", "c3", "c4", "c5", "c6")
+		joined := fleet.elapsed(func() {
+			fleet.startFresh("c6")
+			fleet.waitVoters("c1", "c2", "c3", "c4", "c5", "c6")
 		})
 		Printf("\na newcomer is a voter after %s", joined)
 		So(joined, ShouldBeLessThan, time.Second)
-		r.waitLevel()
+		fleet.waitLevel()
 
-		leader, addresses := r.nodes["c6"].Members()
-		So(leader, ShouldEqual, r.leader().settings.Addr)
+		leader, addresses := fleet.nodes["c6"].Members()
+		So(leader, ShouldEqual, fleet.leader().settings.Addr)
 		So(addresses, ShouldHaveLength, 6)
 	})
 }
 
 func TestOpenBootstrap_waitsForAllSeeds(t *testing.T) {
-	withOpenFleet(t, 5, func(r *testStores) {
+	withOpenFleet(t, 5, func(fleet *testFleet) {
 		for _, n := range []string{"c1", "c2", "c4", "c5"} { // c3 is late
-			r.start(n)
+			fleet.start(n)
 		}
-		r.advance(10 * time.Second)
-		for n, s := range r.nodes {
+		fleet.advance(10 * time.Second)
+		for n, s := range fleet.nodes {
 			So(fmt.Sprint(n, s.BootstrapStatus(internalapi.DiscoverCall{}).Commit), ShouldEqual, n+"0")
 		}
-		r.start("c3")
-		r.waitVoters("c1", "c2", "c3", "c4", "c5")
+		fleet.start("c3")
+		fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
 	})
 }
 
 func TestOpenBootstrap_neverWhenDisallowed(t *testing.T) {
-	withOpenFleet(t, 5, func(r *testStores) {
-		r.settings.Bootstrap = false
-		r.startAll()
-		r.advance(20 * time.Second)
-		for _, s := range r.nodes {
+	withOpenFleet(t, 5, func(fleet *testFleet) {
+		fleet.settings.Bootstrap = false
+		fleet.startAll()
+		fleet.advance(20 * time.Second)
+		for _, s := range fleet.nodes {
 			a := s.BootstrapStatus(internalapi.DiscoverCall{})
 			So(a.Fresh, ShouldBeFalse)
 			So(a.Commit, ShouldEqual, 0)
@@ -101,13 +101,13 @@
 			So(s.Ready(), ShouldNotBeNil)
 		}
 	})
-	withOpenFleet(t, 3, func(r *testStores) { // one seed has lost its folder: the others must not found without its word
-		r.start("c1")
-		r.start("c2")
-		r.settings.Bootstrap = false
-		r.start("c3")
-		r.advance(20 * time.Second)
-		for _, s := range r.nodes {
+	withOpenFleet(t, 3, func(fleet *testFleet) { // one seed has lost its folder: the others must not found without its word
+		fleet.start("c1")
+		fleet.start("c2")
+		fleet.settings.Bootstrap = false
+		fleet.start("c3")
+		fleet.advance(20 * time.Second)
+		for _, s := range fleet.nodes {
 			So(s.BootstrapStatus(internalapi.DiscoverCall{}).Commit, ShouldEqual, 0)
 		}
 	})
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -14,13 +14,13 @@
 )
 
 // submitAll submits until n jobs are acknowledged; what a change of leader leaves open is submitted again.
-func (r *testStores) submitAll(label string, n int) {
+func (fleet *testFleet) submitAll(label string, n int) {
 	for try := 0; ; try++ {
-		if failures := r.submitJobs(label, n); len(failures) == 0 {
+		if failures := fleet.submitJobs(label, n); len(failures) == 0 {
 			return
 		}
 		So(try, ShouldBeLessThan, 20)
-		r.advance(100 * time.Millisecond)
+		fleet.advance(100 * time.Millisecond)
 	}
 }
 
@@ -32,119 +32,119 @@
 }
 
 func TestDiskFull_leaderStepsDown(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		r.submitAll("before", 50)
-		old := r.leader()
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitAll("before", 50)
+		old := fleet.leader()
 		name := old.settings.Name
-		r.setFull(name, true)
+		fleet.setFull(name, true)
 		var err error
-		r.call(func(ctx context.Context) { _, _, err = old.Propose(ctx, job("while full")) })
+		fleet.call(func(ctx context.Context) { _, _, err = old.Propose(ctx, job("while full")) })
 		if err == nil { // the two others have it
-			r.acked["while full"] = 1
+			fleet.acked["while full"] = 1
 		}
-		r.until("another leader", func() bool { return old.Status().Raft.Role != raft.Leader })
+		fleet.until("another leader", func() bool { return old.Status().Raft.Role != raft.Leader })
 		at := old.durableIndex()
-		r.submitAll("without it", 200)
+		fleet.submitAll("without it", 200)
 		So(old.durableIndex(), ShouldEqual, at) // it acknowledges nothing
-		So(r.died, ShouldBeEmpty)
-		r.advance(30 * time.Second)
-		So(r.died, ShouldBeEmpty)
-		So(r.leader().settings.Name, ShouldNotEqual, name)
+		So(fleet.died, ShouldBeEmpty)
+		fleet.advance(30 * time.Second)
+		So(fleet.died, ShouldBeEmpty)
+		So(fleet.leader().settings.Name, ShouldNotEqual, name)
 
-		r.setFull(name, false)
-		r.waitLevel()
-		So(r.died, ShouldBeEmpty)
+		fleet.setFull(name, false)
+		fleet.waitLevel()
+		So(fleet.died, ShouldBeEmpty)
 		// What it acknowledges now counts: with one other node gone, it makes the majority.
-		gone := r.others(name)[0]
-		r.kill(gone)
-		r.submitAll("with it", 50)
-		r.start(gone)
-		r.waitLevel()
+		gone := fleet.others(name)[0]
+		fleet.kill(gone)
+		fleet.submitAll("with it", 50)
+		fleet.start(gone)
+		fleet.waitLevel()
 	})
 }
 
 // TestRefusedWrite_isFatal: without the mark of a full disk a refused write ends the process, as a failed sync does.
 func TestRefusedWrite_isFatal(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		r.submitAll("before", 20)
-		lead := r.leader()
-		r.setRefusal(lead.settings.Name, unix.EIO)
-		r.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
-		r.until("the end of the process", func() bool { return r.died[lead.settings.Name] != nil })
-		So(r.died, ShouldHaveLength, 1)
-		r.kill(lead.settings.Name)
-		r.setRefusal(lead.settings.Name, nil)
-		r.start(lead.settings.Name)
-		r.submitAll("after", 20)
-		r.waitLevel()
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitAll("before", 20)
+		lead := fleet.leader()
+		fleet.setRefusal(lead.settings.Name, unix.EIO)
+		fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
+		fleet.until("the end of the process", func() bool { return fleet.died[lead.settings.Name] != nil })
+		So(fleet.died, ShouldHaveLength, 1)
+		fleet.kill(lead.settings.Name)
+		fleet.setRefusal(lead.settings.Name, nil)
+		fleet.start(lead.settings.Name)
+		fleet.submitAll("after", 20)
+		fleet.waitLevel()
 	})
 }
 
 func TestDiskFull_atStartWaits(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		r.submitAll("before", 50)
-		name := r.follower(r.leader()).settings.Name
-		r.kill(name)
-		r.setFull(name, true)
-		r.submitAll("meanwhile", 50)
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitAll("before", 50)
+		name := fleet.follower(fleet.leader()).settings.Name
+		fleet.kill(name)
+		fleet.setFull(name, true)
+		fleet.submitAll("meanwhile", 50)
 		var s *Store
 		var err error
 		done := false
-		r.work.Go(func(ctx context.Context) {
-			s, err = OpenWhenDiskHasSpace(ctx, r.options(name))
+		fleet.work.Go(func(ctx context.Context) {
+			s, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
 			done = true
 		})
-		r.advance(30 * time.Second)
+		fleet.advance(30 * time.Second)
 		So(done, ShouldBeFalse)
-		r.setFull(name, false)
-		r.until("the start", func() bool { return done })
+		fleet.setFull(name, false)
+		fleet.until("the start", func() bool { return done })
 		So(err, ShouldBeNil)
-		r.mu.Lock()
-		r.nodes[name] = s
-		r.mu.Unlock()
+		fleet.mu.Lock()
+		fleet.nodes[name] = s
+		fleet.mu.Unlock()
 		s.Start()
-		r.waitLevel()
-		So(r.died, ShouldBeEmpty)
+		fleet.waitLevel()
+		So(fleet.died, ShouldBeEmpty)
 	})
 }
 
 func TestDiskFull_startIsCancelled(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		name := r.follower(r.leader()).settings.Name
-		r.kill(name)
-		r.setFull(name, true)
+	withFleet(t, 40, func(fleet *testFleet) {
+		name := fleet.follower(fleet.leader()).settings.Name
+		fleet.kill(name)
+		fleet.setFull(name, true)
 		ctx, cancel := context.WithCancel(context.Background())
 		var err error
 		done := false
-		r.work.Go(func(context.Context) {
-			_, err = OpenWhenDiskHasSpace(ctx, r.options(name))
+		fleet.work.Go(func(context.Context) {
+			_, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
 			done = true
 		})
-		r.advance(time.Second)
+		fleet.advance(time.Second)
 		cancel()
-		r.until("the end of the start", func() bool { return done })
+		fleet.until("the end of the start", func() bool { return done })
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
 	})
 }
 
 // TestHungDisk_leaderStepsDown lets the disks of one node after the other hang, the leader's among them.
 func TestHungDisk_leaderStepsDown(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		for round, m := range slices.Clone(r.settings.Members) {
-			s := r.nodes[m.ID]
-			r.setHang(m.ID, true)
-			r.until("a leader whose disk works", func() bool {
-				lead := r.leader()
+	withFleet(t, 40, func(fleet *testFleet) {
+		for round, m := range slices.Clone(fleet.settings.Members) {
+			s := fleet.nodes[m.ID]
+			fleet.setHang(m.ID, true)
+			fleet.until("a leader whose disk works", func() bool {
+				lead := fleet.leader()
 				if lead != s {
 					return true
 				}
-				r.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a write shows that the disk hangs")) })
+				fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a write shows that the disk hangs")) })
 				return false
 			})
-			r.submitAll(m.ID+" hangs", 50+round)
-			So(r.died, ShouldBeEmpty)
-			r.setHang(m.ID, false)
-			r.waitLevel()
+			fleet.submitAll(m.ID+" hangs", 50+round)
+			So(fleet.died, ShouldBeEmpty)
+			fleet.setHang(m.ID, false)
+			fleet.waitLevel()
 		}
 	})
 }
--- a/internal/store/fleet_test.go
+++ b/internal/store/fleet_test.go
@@ -23,104 +23,115 @@
 	"crosstide/internal/storage"
 )
 
-// rig is a fleet of stores in one process, over memory disks and a virtual clock. It lives in a synctest bubble:
+// testFleet is a fleet of stores in one process, over memory disks and a virtual clock. It lives in a synctest bubble:
 // the clock moves only when every goroutine waits.
-type testStores struct {
+type testFleet struct {
 	clock    clock.Virtual
-	settings config.ControlPlane
+	settings config.ControlPlane // of the nodes that start from now on, but for name, address and zone
+	seed     uint64              // likewise, besides their names
+	slow     atomic.Int64        // nanoseconds that a sync takes on the virtual clock
+	work     *routine.Group      // of calls that wait on the stores while the clock moves
+	acked    map[string]uint64   // the index of each acknowledged job, by key: what must not be lost
 	disks    map[string]*storage.MemDisk
-	mu       sync.Mutex
-	nodes    map[string]*Store // by address; nil while it is down
-	died     map[string]error
-	work     *routine.Group
-	acked    map[string]uint64
-	seed     uint64           // of the nodes that start from now on, besides their names
-	slow     atomic.Int64     // nanoseconds that a sync takes on the virtual clock
-	cut      map[string]bool  // addresses of nodes that are cut off from all others: calls to and from them time out
-	full     map[string]error // what disks refuse writes with, by the names of their nodes
-	hangs    map[string]bool  // names of nodes whose disks end no sync
-	removed  map[string]bool  // nodes that were told that they are no members any more
-}
-
-// sleep waits on the rig's clock.
-func (r *testStores) sleep(d time.Duration) {
+
+	mu      sync.Mutex // guards all below against the goroutines of the stores
+	nodes   map[string]*Store
+	died    map[string]error // why nodes ended their process
+	removed map[string]bool  // nodes that ended the use of their store, as they are no members any more
+	cut     map[string]bool  // nodes that are cut off from all others: calls to and from them time out
+	full    map[string]error // what disks refuse writes with
+	hangs   map[string]bool  // nodes whose disks end no sync
+}
+
+// sleep waits on the fleet's clock.
+func (fleet *testFleet) sleep(d time.Duration) {
 	expired := make(chan struct{})
-	r.clock.Set(d, func() { close(expired) })
+	fleet.clock.Set(d, func() { close(expired) })
 	<-expired
 }
 
-func newTestStores(n, snapshotEvery int, operators ...signature.Key) *testStores {
-	r := &testStores{settings: config.DefaultControlPlane(), disks: map[string]*storage.MemDisk{}, nodes: map[string]*Store{},
-		died: map[string]error{}, removed: map[string]bool{}, work: routine.New(context.Background()), acked: map[string]uint64{}, cut: map[string]bool{}, full: map[string]error{}, hangs: map[string]bool{}}
-	r.settings.SnapshotEvery = snapshotEvery
+func newTestFleet(n, snapshotEvery int, operators ...signature.Key) *testFleet {
+	fleet := &testFleet{
+		settings: config.DefaultControlPlane(),
+		disks:    map[string]*storage.MemDisk{},
+		nodes:    map[string]*Store{},
+		died:     map[string]error{},
+		work:     routine.New(context.Background()),
+		acked:    map[string]uint64{},
+		cut:      map[string]bool{},
+		full:     map[string]error{},
+		hangs:    map[string]bool{},
+		removed:  map[string]bool{},
+	}
+	fleet.settings.SnapshotEvery = snapshotEvery
 	for _, key := range operators {
-		r.settings.OperatorKeys = append(r.settings.OperatorKeys, config.OperatorKey{Name: key.Name, Key: key.Public()})
+		fleet.settings.OperatorKeys = append(fleet.settings.OperatorKeys, config.OperatorKey{Name: key.Name, Key: key.Public()})
 	}
 	for i := range n {
 		name := fmt.Sprintf("c%d", i+1)
-		r.settings.Members = append(r.settings.Members, config.Member{ID: name, Addr: name, Zone: "z"})
-		r.disks[name] = storage.NewMemDisk()
+		fleet.settings.Members = append(fleet.settings.Members, config.Member{ID: name, Addr: name, Zone: "z"})
+		fleet.disks[name] = storage.NewMemDisk()
 	}
-	for _, m := range r.settings.Members {
-		r.start(m.ID)
+	for _, m := range fleet.settings.Members {
+		fleet.start(m.ID)
 	}
-	return r
+	return fleet
 }
 
-// options are those that a node starts with.
-func (r *testStores) options(name string) Options {
-	settings := r.settings
+// options returns those that a node starts with.
+func (fleet *testFleet) options(name string) Options {
+	settings := fleet.settings
 	settings.Name, settings.Addr, settings.Zone = name, name, "z"
-	return Options{Settings: settings, Disk: testDisk{r.disks[name], r, name}, Net: testNet{r, name}, Clock: &r.clock, Seed: uint64(name[1]) + r.seed,
-		Fatal:   func(err error) { r.mu.Lock(); r.died[name] = err; r.mu.Unlock() },
-		Removed: func() { r.mu.Lock(); r.removed[name] = true; r.mu.Unlock() }}
+	return Options{Settings: settings, Disk: testDisk{fleet.disks[name], fleet, name}, Net: testNet{fleet, name}, Clock: &fleet.clock, Seed: uint64(name[1]) + fleet.seed,
+		Fatal:   func(err error) { fleet.mu.Lock(); fleet.died[name] = err; fleet.mu.Unlock() },
+		Removed: func() { fleet.mu.Lock(); fleet.removed[name] = true; fleet.mu.Unlock() }}
 }
 
-func (r *testStores) start(name string) {
+func (fleet *testFleet) start(name string) {
 	var s *Store
 	var err error
-	r.call(func(context.Context) { s, err = Open(r.options(name)) }) // its syncs may take time
+	fleet.call(func(context.Context) { s, err = Open(fleet.options(name)) }) // its syncs may take time
 	So(err, ShouldBeNil)
-	r.mu.Lock()
-	r.nodes[name] = s
-	r.mu.Unlock()
+	fleet.mu.Lock()
+	fleet.nodes[name] = s
+	fleet.mu.Unlock()
 	s.Start()
 }
 
 // kill ends a node; what its disk had not synced may be gone.
-func (r *testStores) kill(name string) {
-	s := r.nodes[name]
-	r.mu.Lock()
-	delete(r.nodes, name)
-	r.mu.Unlock()
-	r.call(func(context.Context) { s.Stop() }) // a sync may be under way
-	r.disks[name].Crash(rand.New(rand.NewSource(int64(name[1]))))
-}
-
-func (r *testStores) close() {
-	for name := range r.nodes {
-		r.kill(name)
+func (fleet *testFleet) kill(name string) {
+	s := fleet.nodes[name]
+	fleet.mu.Lock()
+	delete(fleet.nodes, name)
+	fleet.mu.Unlock()
+	fleet.call(func(context.Context) { s.Stop() }) // a sync may be under way
+	fleet.disks[name].Crash(rand.New(rand.NewSource(int64(name[1]))))
+}
+
+func (fleet *testFleet) close() {
+	for name := range fleet.nodes {
+		fleet.kill(name)
 	}
-	r.clock.Advance(time.Minute) // timers that are still set, such as those of proposals
-	r.work.Stop()
+	fleet.clock.Advance(time.Minute) // timers that are still set, such as those of proposals
+	fleet.work.Stop()
 }
 
-// expiresAt moves the clock on, a little at a time, until cond holds.
-func (r *testStores) until(what string, cond func() bool) {
+// until moves the clock on, a little at a time, until cond holds.
+func (fleet *testFleet) until(what string, cond func() bool) {
 	for range 20000 {
 		synctest.Wait()
 		if cond() {
 			return
 		}
-		r.clock.Advance(2 * time.Millisecond)
+		fleet.clock.Advance(2 * time.Millisecond)
 	}
 	So("not reached", ShouldEqual, what)
 }
 
-func (r *testStores) leader() *Store {
+func (fleet *testFleet) leader() *Store {
 	var found *Store
-	r.until("a ready leader", func() bool {
-		for _, s := range r.nodes {
+	fleet.until("a ready leader", func() bool {
+		for _, s := range fleet.nodes {
 			if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader {
 				found = s
 				return true
@@ -132,10 +143,10 @@
 }
 
 // call runs what waits on the stores while the clock moves.
-func (r *testStores) call(do func(ctx context.Context)) {
+func (fleet *testFleet) call(do func(ctx context.Context)) {
 	done := false
-	r.work.Go(func(ctx context.Context) { do(ctx); done = true })
-	r.until("the end of a call", func() bool { return done })
+	fleet.work.Go(func(ctx context.Context) { do(ctx); done = true })
+	fleet.until("the end of a call", func() bool { return done })
 }
 
 func job(key string) command.Command {
@@ -144,10 +155,10 @@
 }
 
 // submitJobs submits n jobs at once at the leader and notes what was acknowledged.
-func (r *testStores) submitJobs(label string, n int) (failures []errs.Kind) {
-	s := r.leader()
+func (fleet *testFleet) submitJobs(label string, n int) (failures []errs.Kind) {
+	s := fleet.leader()
 	keys, got, outcomes := make([]string, n), make([]uint64, n), make([]error, n)
-	r.call(func(ctx context.Context) {
+	fleet.call(func(ctx context.Context) {
 		routine.Each(n, n, func(i int) {
 			keys[i] = fmt.Sprintf("%s-%d", label, i)
 			got[i], _, outcomes[i] = s.Propose(ctx, job(keys[i]))
@@ -155,7 +166,7 @@
 	})
 	for i, err := range outcomes {
 		if err == nil {
-			r.acked[keys[i]] = got[i]
+			fleet.acked[keys[i]] = got[i]
 		} else {
 			failures = append(failures, errs.KindOf(err))
 		}
@@ -164,10 +175,10 @@
 }
 
 // waitLevel waits until every node has applied the same, and checks that all that was acknowledged is there.
-func (r *testStores) waitLevel() {
-	lead := r.leader()
-	r.until("all nodes level", func() bool {
-		for _, s := range r.nodes {
+func (fleet *testFleet) waitLevel() {
+	lead := fleet.leader()
+	fleet.until("all nodes level", func() bool {
+		for _, s := range fleet.nodes {
 			if s.Status().Applied != lead.Status().Applied {
 				return false
 			}
@@ -175,10 +186,10 @@
 		return true
 	})
 	wanted := ""
-	for _, s := range r.nodes {
+	for _, s := range fleet.nodes {
 		s.View(func(st *state.State) {
 			lost := 0
-			for key := range r.acked {
+			for key := range fleet.acked {
 				if st.Jobs[key] == nil {
 					lost++
 				}
@@ -195,20 +206,20 @@
 	}
 }
 
-// withFleet runs a test in a bubble, with a rig of 3 nodes.
-func withFleet(t *testing.T, snapshotEvery int, do func(r *testStores), operators ...signature.Key) {
+// withFleet runs a test in a bubble, with a fleet of 3 nodes.
+func withFleet(t *testing.T, snapshotEvery int, do func(fleet *testFleet), operators ...signature.Key) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Given a fleet", t, func() {
-			r := newTestStores(3, snapshotEvery, operators...)
-			defer r.close()
-			do(r)
+			fleet := newTestFleet(3, snapshotEvery, operators...)
+			defer fleet.close()
+			do(fleet)
 		})
 	})
 }
 
-func (r *testStores) follower(of *Store) *Store {
-	for _, m := range r.settings.Members {
-		if s := r.nodes[m.ID]; s != nil && s != of {
+func (fleet *testFleet) follower(of *Store) *Store {
+	for _, m := range fleet.settings.Members {
+		if s := fleet.nodes[m.ID]; s != nil && s != of {
 			return s
 		}
 	}
@@ -216,14 +227,14 @@
 }
 
 // advance moves the clock on by d, a little at a time.
-func (r *testStores) advance(d time.Duration) {
-	end := r.clock.Now() + d
-	r.until("the end of a time", func() bool { return r.clock.Now() >= end })
+func (fleet *testFleet) advance(d time.Duration) {
+	end := fleet.clock.Now() + d
+	fleet.until("the end of a time", func() bool { return fleet.clock.Now() >= end })
 }
 
 // elapsed tells how long do took on the clock.
-func (r *testStores) elapsed(do func()) time.Duration {
-	from := r.clock.Now()
+func (fleet *testFleet) elapsed(do func()) time.Duration {
+	from := fleet.clock.Now()
 	do()
-	return r.clock.Now() - from
+	return fleet.clock.Now() - from
 }
--- a/internal/store/propose_test.go
+++ b/internal/store/propose_test.go
@@ -15,11 +15,11 @@
 )
 
 func TestPropose_commitsAndServesReadsAndFollowers(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		lead := r.leader()
-		other := r.follower(lead)
-		So(r.submitJobs("a", 300), ShouldBeEmpty)
-		r.waitLevel()
+	withFleet(t, 40, func(fleet *testFleet) {
+		lead := fleet.leader()
+		other := fleet.follower(lead)
+		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
+		fleet.waitLevel()
 		_, _, err := other.Propose(context.Background(), job("x"))
 		So(errs.KindOf(err), ShouldEqual, errs.NotLeader)
 		So(errs.Of(err).Hint, ShouldEqual, lead.settings.Addr)
@@ -27,7 +27,7 @@
 		// Orders and reads work at any node.
 		var raw []byte
 		seen := false
-		r.call(func(ctx context.Context) {
+		fleet.call(func(ctx context.Context) {
 			if raw, err = other.ProposeOrForward(ctx, job("hop")); err == nil {
 				err = other.Read(ctx, func(st *state.State) { seen = st.Jobs["hop"] != nil })
 			}
@@ -35,14 +35,14 @@
 		So(err, ShouldBeNil)
 		So(string(raw), ShouldContainSubstring, `"fresh":true`)
 		So(seen, ShouldBeTrue)
-		r.call(func(ctx context.Context) { _, err = other.ProposeOrForward(ctx, &command.Cancel{Key: "nobody"}) })
+		fleet.call(func(ctx context.Context) { _, err = other.ProposeOrForward(ctx, &command.Cancel{Key: "nobody"}) })
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 
 		// Followers get changes, a snapshot where those are gone, and wait for what comes.
 		at := other.Status().Applied
 		follow := func(from uint64, wait time.Duration, during func(ctx context.Context)) internalapi.SourceUpdate {
 			var a internalapi.FollowAnswer
-			r.call(func(ctx context.Context) {
+			fleet.call(func(ctx context.Context) {
 				waiting := routine.New(ctx)
 				waiting.Go(func(ctx context.Context) {
 					a, err = other.Follow(ctx, internalapi.FollowCall{Vector: map[string]uint64{vectorSource: from}, Wait: wait, Max: 1 << 20})
--- a/internal/store/role_test.go
+++ b/internal/store/role_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestClaimRole(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
+	withFleet(t, 40, func(fleet *testFleet) {
 		ask := func(holder string, epoch uint64, giveUp bool) (a internalapi.RoleLease) {
-			s := r.leader()
+			s := fleet.leader()
 			var err error
-			r.call(func(ctx context.Context) {
+			fleet.call(func(ctx context.Context) {
 				a, err = s.ClaimRole(ctx, internalapi.ClaimRoleCall{Role: "sched", Holder: holder, Addr: holder, Incarnation: "1", Epoch: epoch, Release: giveUp})
 			})
 			So(err, ShouldBeNil)
@@ -25,17 +25,17 @@
 		So(first.Mine, ShouldBeTrue)
 		So(ask("b", 0, false).Mine, ShouldBeFalse)
 		// The leader falls: the next one counts the lease anew, and still knows the epoch.
-		lead := r.leader()
-		r.kill(lead.settings.Name)
+		lead := fleet.leader()
+		fleet.kill(lead.settings.Name)
 		So(ask("b", 0, false).Mine, ShouldBeFalse)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeTrue)
 		var second internalapi.RoleLease
-		began, tries := r.clock.Now(), 0
+		began, tries := fleet.clock.Now(), 0
 		for ; !second.Mine; tries++ {
 			second = ask("b", 0, false)
-			r.clock.Advance(50 * time.Millisecond)
+			fleet.clock.Advance(50 * time.Millisecond)
 		}
-		So(r.clock.Now()-began, ShouldBeGreaterThan, r.settings.RoleLease)
+		So(fleet.clock.Now()-began, ShouldBeGreaterThan, fleet.settings.RoleLease)
 		So(second.Epoch, ShouldBeGreaterThan, first.Epoch)
 		So(ask("a", first.Epoch, false).Mine, ShouldBeFalse)
 		So(ask("b", second.Epoch, true).Mine, ShouldBeFalse)
--- a/internal/store/rolelease_test.go
+++ b/internal/store/rolelease_test.go
@@ -22,12 +22,12 @@
 		var clock clock.Virtual
 		leases := newRoleLeases(testLease, testMargin)
 		current := state.Role{Holder: "a", Incarnation: "1", Epoch: 7}
-		duties := map[string]*state.Role{"sched": &current}
+		roles := map[string]*state.Role{"sched": &current}
 		a := internalapi.ClaimRoleCall{Role: "sched", Holder: "a", Incarnation: "1", Epoch: 7}
 		b := internalapi.ClaimRoleCall{Role: "sched", Holder: "b", Incarnation: "1"}
 		ask := func(c internalapi.ClaimRoleCall) claimResult { return leases.Claim(clock.Now(), current, c) }
 		So(ask(a), ShouldEqual, claimDenied)
-		leases.BecomeLeader(clock.Now(), duties)
+		leases.BecomeLeader(clock.Now(), roles)
 
 		Convey("the holder renews and no other is granted before lease and margin are over", func() {
 			clock.Advance(testLease)
@@ -59,7 +59,7 @@
 			leases.StepDown()
 			So(ask(a), ShouldEqual, claimDenied)
 			clock.Advance(testLease)
-			leases.BecomeLeader(clock.Now(), duties)
+			leases.BecomeLeader(clock.Now(), roles)
 			So(ask(b), ShouldEqual, claimDenied)
 			So(ask(a), ShouldEqual, claimRenewed)
 		})
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
-	Convey("The shadow takes no entries while the live state has some to catch up on", t, func() {
+	Convey("The snapshotter takes no entries while the live state has some to catch up on", t, func() {
 		s := &Store{disk: diskQueue{durable: 9}, snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}}, unapplied: []raft.Entry{{Index: 11}}}
 		_, batch := s.takeStored()
 		So(batch, ShouldBeEmpty)
@@ -26,17 +26,17 @@
 }
 
 func TestSnapshotter_pausesInTakeover(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		s := r.leader()
-		began := r.clock.Now()
-		r.submitJobs("a", 60)
-		r.waitLevel()
-		So(r.clock.Now()-began, ShouldBeLessThan, takeoverPeriod)
+	withFleet(t, 40, func(fleet *testFleet) {
+		s := fleet.leader()
+		began := fleet.clock.Now()
+		fleet.submitJobs("a", 60)
+		fleet.waitLevel()
+		So(fleet.clock.Now()-began, ShouldBeLessThan, takeoverPeriod)
 		So(s.Status().Raft.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
-		r.until("the end of the take-over", func() bool { return r.clock.Now()-began > takeoverPeriod })
-		r.submitJobs("b", 1)
-		r.until("the snapshot that was due", func() bool { return newestSnapshot(s) > 40 })
+		fleet.until("the end of the take-over", func() bool { return fleet.clock.Now()-began > takeoverPeriod })
+		fleet.submitJobs("b", 1)
+		fleet.until("the snapshot that was due", func() bool { return newestSnapshot(s) > 40 })
 	})
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,34 +14,34 @@
 )
 
 func TestStore_keepsAcknowledgedOverCrashes(t *testing.T) {
-	withFleet(t, 40, func(r *testStores) {
-		r.submitJobs("a", 100)
-		lead := r.leader()
-		r.kill(lead.settings.Name)
-		r.submitJobs("b", 100) // the one that is down needs a snapshot now
-		r.start(lead.settings.Name)
-		r.waitLevel()
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitJobs("a", 100)
+		lead := fleet.leader()
+		fleet.kill(lead.settings.Name)
+		fleet.submitJobs("b", 100) // the one that is down needs a snapshot now
+		fleet.start(lead.settings.Name)
+		fleet.waitLevel()
 		for round := range 3 {
-			for _, m := range r.settings.Members {
-				r.kill(m.ID)
+			for _, m := range fleet.settings.Members {
+				fleet.kill(m.ID)
 			}
-			for _, m := range r.settings.Members {
-				r.start(m.ID)
+			for _, m := range fleet.settings.Members {
+				fleet.start(m.ID)
 			}
-			So(r.submitJobs(fmt.Sprint("c", round), 70), ShouldBeEmpty)
+			So(fleet.submitJobs(fmt.Sprint("c", round), 70), ShouldBeEmpty)
 		}
-		r.waitLevel()
-		So(len(r.acked), ShouldEqual, 410)
+		fleet.waitLevel()
+		So(len(fleet.acked), ShouldEqual, 410)
 
 		// Without a majority no proposal is acknowledged; the waiters hear in time that nobody knows.
-		lead = r.leader()
-		for _, m := range r.settings.Members {
+		lead = fleet.leader()
+		for _, m := range fleet.settings.Members {
 			if m.ID != lead.settings.Name {
-				r.kill(m.ID)
+				fleet.kill(m.ID)
 			}
 		}
 		var err error
-		r.call(func(ctx context.Context) { _, _, err = lead.Propose(ctx, job("alone")) })
+		fleet.call(func(ctx context.Context) { _, _, err = lead.Propose(ctx, job("alone")) })
 		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 	})
 }
@@ -58,28 +58,28 @@
 }
 
 func TestIdle_timersPerSecond(t *testing.T) {
-	withOpenFleet(t, 3, func(r *testStores) {
+	withOpenFleet(t, 3, func(fleet *testFleet) {
 		sets := map[string]*atomic.Int64{}
 		for i := range 3 {
 			n := nodeName(i)
-			settings := r.settings
+			settings := fleet.settings
 			settings.Name, settings.Addr, settings.Zone = n, n, "z"
 			sets[n] = &atomic.Int64{}
-			s, err := Open(Options{Settings: settings, Disk: r.disks[n], Net: testNet{r, n}, Clock: countingClock{&r.clock, sets[n]},
+			s, err := Open(Options{Settings: settings, Disk: fleet.disks[n], Net: testNet{fleet, n}, Clock: countingClock{&fleet.clock, sets[n]},
 				Seed: uint64(i + 1), Fatal: func(error) {}})
 			So(err, ShouldBeNil)
-			r.nodes[n] = s
+			fleet.nodes[n] = s
 		}
-		for _, s := range r.nodes {
+		for _, s := range fleet.nodes {
 			s.Start()
 		}
-		r.waitVoters("c1", "c2", "c3")
-		lead := r.leader()
+		fleet.waitVoters("c1", "c2", "c3")
+		lead := fleet.leader()
 		before := map[string]int64{}
 		for n, c := range sets {
 			before[n] = c.Load()
 		}
-		r.advance(10 * time.Second)
+		fleet.advance(10 * time.Second)
 		for n, c := range sets {
 			perSecond := (c.Load() - before[n]) / 10
 			Printf("\n%s leads %v: %d alarms a second", n, n == lead.settings.Name, perSecond)
--- a/internal/store/testdisk_test.go
+++ b/internal/store/testdisk_test.go
@@ -9,29 +9,29 @@
 	"crosstide/internal/storage"
 )
 
-// testDisk is a disk whose syncs take the rig's time, and that is full when the rig says so.
+// testDisk is a disk whose syncs take the fleet's time, and that is full when the fleet says so.
 type testDisk struct {
 	storage.Disk
-	r    *testStores
-	name string
+	fleet *testFleet
+	name  string
 }
 
 type testDiskFile struct {
 	storage.File
-	r    *testStores
-	name string
+	fleet *testFleet
+	name  string
 }
 
 func (d testDisk) Create(name string) (storage.File, error) {
-	if err := d.r.refusal(d.name); err != nil {
+	if err := d.fleet.refusal(d.name); err != nil {
 		return nil, err
 	}
 	f, err := d.Disk.Create(name)
-	return testDiskFile{f, d.r, d.name}, err
+	return testDiskFile{f, d.fleet, d.name}, err
 }
 
 func (f testDiskFile) Write(p []byte) (int, error) {
-	refusal := f.r.refusal(f.name)
+	refusal := f.fleet.refusal(f.name)
 	if refusal == nil {
 		return f.File.Write(p)
 	}
@@ -40,46 +40,46 @@
 }
 
 func (f testDiskFile) Sync() error {
-	for f.r.doesHang(f.name) {
-		f.r.sleep(10 * time.Millisecond)
+	for f.fleet.doesHang(f.name) {
+		f.fleet.sleep(10 * time.Millisecond)
 	}
-	if took := time.Duration(f.r.slow.Load()); took > 0 {
-		f.r.sleep(took)
+	if took := time.Duration(f.fleet.slow.Load()); took > 0 {
+		f.fleet.sleep(took)
 	}
 	return f.File.Sync()
 }
 
-func (r *testStores) refusal(name string) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.full[name]
+func (fleet *testFleet) refusal(name string) error {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	return fleet.full[name]
 }
 
 // setRefusal makes a node's disk refuse writes with an error, or take them again.
-func (r *testStores) setRefusal(name string, with error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.full[name] = with
+func (fleet *testFleet) setRefusal(name string, with error) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	fleet.full[name] = with
 }
 
-// setFull makes a node's disk full, or gives it room again.
-func (r *testStores) setFull(name string, full bool) {
+// setFull makes a node's disk full, or ends that.
+func (fleet *testFleet) setFull(name string, full bool) {
 	if full {
-		r.setRefusal(name, unix.ENOSPC)
+		fleet.setRefusal(name, unix.ENOSPC)
 	} else {
-		r.setRefusal(name, nil)
+		fleet.setRefusal(name, nil)
 	}
 }
 
-func (r *testStores) doesHang(name string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.hangs[name]
+func (fleet *testFleet) doesHang(name string) bool {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	return fleet.hangs[name]
 }
 
 // setHang makes syncs of a node's disk wait, or end again.
-func (r *testStores) setHang(name string, hangs bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.hangs[name] = hangs
+func (fleet *testFleet) setHang(name string, hangs bool) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	fleet.hangs[name] = hangs
 }
--- a/internal/store/testnet_test.go
+++ b/internal/store/testnet_test.go
@@ -9,18 +9,18 @@
 
 // testNet carries the calls of one node straight to the other store.
 type testNet struct {
-	r    *testStores
-	from string
+	fleet *testFleet
+	from  string
 }
 
 func callNode[A any](ctx context.Context, n testNet, addr string, do func(s *Store) (A, error)) (A, error) {
-	n.r.mu.Lock()
-	s, cut := n.r.nodes[addr], n.r.cut[addr] || n.r.cut[n.from]
-	n.r.mu.Unlock()
+	n.fleet.mu.Lock()
+	s, cut := n.fleet.nodes[addr], n.fleet.cut[addr] || n.fleet.cut[n.from]
+	n.fleet.mu.Unlock()
 	var none A
 	if cut {
 		timedOut := make(chan struct{})
-		defer n.r.clock.Set(n.r.settings.Election/2, func() { close(timedOut) }).Stop()
+		defer n.fleet.clock.Set(n.fleet.settings.Election/2, func() { close(timedOut) }).Stop()
 		select {
 		case <-timedOut:
 		case <-ctx.Done():
