--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -36,7 +36,7 @@
 	return f
 }
 
-// until gives a ctx whose deadline is on the virtual clock.
+// until returns a ctx whose deadline is on the virtual clock.
 func (f *fakeCore) until(d time.Duration) context.Context {
 	return deadlineContext{context.Background(), f.clock.Wall().Add(d)}
 }
@@ -48,7 +48,7 @@
 
 func (d deadlineContext) Deadline() (time.Time, bool) { return d.deadline, true }
 
-// submit hands a job in and gives the kind of the error and how long it took.
+// submit submits a job and returns the kind of the error and the time that it took.
 func (f *fakeCore) submit(timeout time.Duration) (errs.Kind, time.Duration) {
 	begin := f.clock.Now()
 	f.asked = nil
@@ -56,7 +56,7 @@
 	return errs.KindOf(err), f.clock.Now() - begin
 }
 
-// hasLease answers as the leader.
+// answersAsLeader answers as the leader.
 func answersAsLeader(_ context.Context, _ query, answer any, _ time.Duration) reply {
 	switch a := answer.(type) {
 	case *SubmitAnswer:
@@ -86,7 +86,7 @@
 	return reply{err: errs.New(errs.Unavailable, "refused"), unsent: true}
 }
 
-// timesOut takes the call and says nothing; hangs takes no connection.
+// timesOut takes the call and never answers; connectTimesOut takes no connection.
 func (f *fakeCore) timesOut(_ context.Context, _ query, _ any, timeout time.Duration) reply {
 	f.clock.Advance(timeout)
 	return reply{err: errs.New(errs.Timeout, "silent")}
@@ -105,7 +105,7 @@
 		f.submit(time.Second)
 		So(f.asked, ShouldResemble, []string{"c"})
 	})
-	Convey("A leader that is gone is passed over for a moment, also when others still name it", t, func() {
+	Convey("A leader that is gone is backed off, also when others still name it", t, func() {
 		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": redirectsTo("a"), "c": redirectsTo("a")}, "a", "b", "c")
 		f.submit(time.Second)
 		f.nodes["a"] = connectionRefused
@@ -124,7 +124,7 @@
 	})
 	Convey("Members that the topology lists are asked when the seeds are gone", t, func() {
 		f := newFakeCore(map[string]node{"b": answersAsLeader}, "a")
-		f.nodes["a"] = func(_ context.Context, q query, answer any, _ time.Duration) reply {
+		f.nodes["a"] = func(_ context.Context, _ query, answer any, _ time.Duration) reply {
 			*answer.(*TopologyAnswer) = TopologyAnswer{Leader: "a", Members: []string{"a", "b"}}
 			return reply{answered: true}
 		}
@@ -136,7 +136,7 @@
 		f.SetSeeds([]string{"z"})
 		So(f.directory.addresses(), ShouldResemble, []string{"a", "b", "z"})
 	})
-	Convey("Our own address is not asked in turn, but by a hint", t, func() {
+	Convey("The own address is not in the rotation, but is asked after a hint", t, func() {
 		f := newFakeCore(map[string]node{"b": redirectsTo("")}, "a", "b")
 		f.directory.self = "a"
 		kind, _ := f.submit(300 * time.Millisecond)
@@ -146,7 +146,7 @@
 		kind, _ = f.submit(300 * time.Millisecond)
 		So([]any{kind, f.asked}, ShouldResemble, []any{errs.Kind(""), []string{"b", "a"}})
 	})
-	Convey("A call whose own time was short does not make its node pass for lost", t, func() {
+	Convey("A call whose own time was short does not make its node count as failed", t, func() {
 		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": answersAsLeader}, "a", "b")
 		f.submit(time.Second)
 		f.nodes["a"] = f.timesOut
@@ -165,7 +165,7 @@
 			So([]any{got, took, len(f.asked)}, ShouldResemble, []any{kind, time.Duration(0), 1})
 		}
 	})
-	Convey("After an attempt that may have been carried out, a refusal stays but for Pressure, which is Timeout", t, func() {
+	Convey("After an attempt that may have been carried out, a refusal stays, but Overloaded becomes Timeout", t, func() {
 		for _, kind := range final {
 			f := newFakeCore(map[string]node{"b": failsWith(kind)}, "a", "b")
 			f.nodes["a"] = f.timesOut
@@ -210,7 +210,7 @@
 		f.nodes["a"], f.nodes["b"] = f.connectTimesOut, f.connectTimesOut
 		kind, took := f.submit(time.Minute)
 		So(kind, ShouldEqual, errs.Unavailable)
-		So(took, ShouldBeBetween, unreachableTimeout, unreachableTimeout+defaultAttempt+maxBackoff)
+		So(took, ShouldBeBetween, unreachableTimeout, unreachableTimeout+defaultAttemptTimeout+maxBackoff)
 	})
 	Convey("It is not given up when a node answers, nor when the call may have been carried out", t, func() {
 		f := newFakeCore(map[string]node{"a": connectionRefused, "b": redirectsTo("")}, "a", "b")
@@ -249,7 +249,7 @@
 		_, _ = f.Submit(f.until(time.Minute), SubmitCall{})
 		_, _ = f.Configure(f.until(time.Minute), jobs.Configure{})
 		_, _ = f.Submit(f.until(100*time.Millisecond), SubmitCall{})
-		So(bounds, ShouldResemble, []time.Duration{defaultAttempt, largeFactor * defaultAttempt, 90 * time.Millisecond})
+		So(bounds, ShouldResemble, []time.Duration{defaultAttemptTimeout, largeFactor * defaultAttemptTimeout, 90 * time.Millisecond})
 	})
 }
 
@@ -293,7 +293,7 @@
 		f.nodes = map[string]node{"a": f.timesOut, "b": answersAsLeader}
 		f.submit(2 * time.Second)
 		So(f.asked, ShouldResemble, []string{"a", "b"})
-		So(f.clock.Now(), ShouldBeGreaterThanOrEqualTo, defaultAttempt)
+		So(f.clock.Now(), ShouldBeGreaterThanOrEqualTo, defaultAttemptTimeout)
 	})
 }
 
--- /dev/null
+++ b/internal/controller/scheduler/run.go
@@ -0,0 +1,99 @@
+package scheduler
+
+import (
+	"cmp"
+	"time"
+
+	"crosstide/internal/jobs"
+)
+
+// run is the record of a run whose handle is in the table. It lives as long as the handle.
+type run struct {
+	key     jobs.RunKey
+	worker  string // ID
+	ownTerm bool   // its handle was recorded under this term
+
+	// Copied from the job when the run was first seen.
+	gang        bool
+	longRunning bool
+	estimate    time.Duration
+	needs       jobs.Resources
+	priority    int // of its queue; lower is more urgent
+
+	start    startState
+	progress runProgress
+	stop     stopState
+	ending   bool // its end waits to be committed
+}
+
+// runProgress is the progress of a run by the worker's lists of running runs. Owned by reconcile.go.
+type runProgress struct {
+	listed     bool // the worker has listed it as running
+	checkpoint string
+	percent    int
+	at         time.Duration // of the newest list with it
+	advancedAt time.Duration // when it was first listed, or last listed with a higher percent than before
+}
+
+// trackRun returns the record of a handle of the table, made on first sight; nil if its job isn't known.
+func (c *Core) trackRun(key jobs.RunKey, workerID string, ownTerm bool) *run {
+	if r := c.runs[key]; r != nil {
+		return r
+	}
+	j := c.table.Jobs[key.Task.Job]
+	if j == nil {
+		return nil
+	}
+	// The order of an earlier leader may have left.
+	r := &run{key: key, worker: workerID, ownTerm: ownTerm, start: startState{sent: !ownTerm}}
+	if key.Task.Step < len(j.Spec.Steps) {
+		step := &j.Spec.Steps[key.Task.Step]
+		r.gang, r.longRunning, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
+	}
+	if q := c.table.Config.Queue(j.Spec.Queue); q != nil {
+		r.priority = q.Priority
+	}
+	c.runs[key] = r
+	c.trackWorker(workerID).runs[key] = r
+	return r
+}
+
+// untrackRun drops the record of a run whose handle has left the table.
+func (c *Core) untrackRun(r *run) {
+	delete(c.runs, r.key)
+	if w := c.workers[r.worker]; w != nil {
+		delete(w.runs, r.key)
+	}
+}
+
+// endRun puts a run's end into the next proposal; the first end counts.
+func (c *Core) endRun(r *run, reason jobs.EndReason, checkpoint string) {
+	if r.ending {
+		return
+	}
+	r.ending = true
+	c.placementDue = true
+	c.countDiscarded(r, reason, checkpoint)
+	c.pendingEnds = append(c.pendingEnds, jobs.End{
+		Key: r.key, Worker: r.worker, Reason: reason, Checkpoint: cmp.Or(checkpoint, r.progress.checkpoint),
+	})
+	switch reason {
+	case jobs.EndDone:
+		c.Counts.Done++
+	case jobs.EndFailed:
+		c.Counts.Failed++
+		c.history.avoid[r.key.Task] = r.worker
+	case jobs.EndLost:
+		c.Counts.Lost++
+	}
+	if r.gang {
+		c.stopGang(r)
+	}
+}
+
+// endUndeliveredRun ends a run as lost whose start order is known never to be carried out.
+func (c *Core) endUndeliveredRun(r *run) {
+	if r != nil && r.start.sent && !r.progress.listed {
+		c.endRun(r, jobs.EndLost, "")
+	}
+}
--- /dev/null
+++ b/internal/controller/scheduler/start.go
@@ -0,0 +1,120 @@
+package scheduler
+
+import (
+	"time"
+
+	"crosstide/internal/jobs"
+)
+
+// startState is what is known of the start order of a run. Owned by this file; reconcile.go sets missing.
+type startState struct {
+	sent   bool          // the order may have left, now or under an earlier term
+	sentAt time.Duration // when it left; 0: not under this term
+
+	acceptedSeq uint64 // Core.sequence when the worker accepted it; 0: it has not
+	acceptedAt  time.Duration
+
+	unconfirmedSeq uint64 // Core.sequence when the order was found to have no answer; 0: it was not
+
+	// missing: unconfirmed, and a renewal sent later didn't list the run. It is stopped, lest the order be carried out
+	// late.
+	missing bool
+}
+
+// sendStarts adds the start orders of handles that were committed. A run whose worker has become unreachable meanwhile
+// is ended instead: its order never left, so its task is due again at once and nothing is left unconfirmed.
+func (c *Core) sendStarts(actions *Actions) {
+	var later []jobs.RunKey
+	for _, key := range c.unsentStarts {
+		r := c.runs[key]
+		if r == nil || r.start.sent || r.ending {
+			continue
+		}
+		w := c.workers[r.worker]
+		j := c.table.Jobs[key.Task.Job]
+		if w == nil || w.record() == nil || !w.contact.isReachable() ||
+			j == nil || j.State.IsTerminal() || r.stop.wanted {
+			c.endRun(r, jobs.EndLost, "")
+			continue
+		}
+		if !w.canOrder(c) {
+			later = append(later, key)
+			continue
+		}
+		r.start.sent, r.start.sentAt = true, c.now
+		c.orderSent(w)
+		actions.Starts = append(actions.Starts, StartAction{Worker: *w.record(), Order: StartOrder{
+			Key:           key,
+			Payload:       j.Spec.Payload,
+			Needs:         r.needs,
+			LeaseDeadline: w.lease.grant(c.now, c.cfg.Lease),
+			Token:         c.term,
+			Checkpoint:    j.Rounds[key.Task.Round][key.Task.Step][key.Task.Index].Checkpoint,
+		}})
+		c.Counts.Started++
+	}
+	c.unsentStarts = later
+}
+
+// StartError says how a start order without an answer failed.
+type StartError int
+
+// The failures of a start order. StartNoConnection proves nothing about the worker.
+const (
+	StartOK               StartError = iota // it was answered
+	StartUnsent                             // no byte of it left: it is never carried out
+	StartUnknown                            // it may be carried out, now or later
+	StartOtherIncarnation                   // another incarnation answered: the worker is gone for good
+	StartNoConnection                       // no byte of it left: this node lacks connections
+)
+
+// StartAnswered handles the answer to a start order, or its failure.
+func (c *Core) StartAnswered(now time.Duration, workerID string, key jobs.RunKey, answer StartAnswer, err StartError) {
+	c.now = now
+	w, r := c.workers[workerID], c.runs[key]
+	if c.term == 0 || w == nil {
+		return
+	}
+	c.orderDone(w)
+	c.sequence++
+	if err != StartOK {
+		c.startFailed(w, r, err)
+		return
+	}
+	w.markAnswered(now, answer.Clock)
+	c.connBackoff.reset()
+	if r == nil {
+		return
+	}
+	if answer.Refusal == "" {
+		r.start.acceptedSeq, r.start.acceptedAt = c.sequence, now
+		return
+	}
+	c.Counts.Refused++
+	w.markRefused(now, answer.Refusal)
+	if !r.progress.listed {
+		c.endRun(r, jobs.EndLost, "")
+		c.history.avoid[key.Task] = workerID
+	}
+}
+
+// startFailed handles the failure of a start order; r is nil if its handle has left the table.
+func (c *Core) startFailed(w *worker, r *run, err StartError) {
+	switch err {
+	case StartNoConnection:
+		c.connBackoff.failed(c.cfg, c.now)
+		c.endUndeliveredRun(r)
+	case StartOtherIncarnation:
+		c.endReplacedWorker(w)
+	case StartUnsent:
+		c.markUnanswered(w, c.now)
+		w.contact.backOff(c.now, c.cfg)
+		c.endUndeliveredRun(r)
+	case StartUnknown:
+		c.orderUnanswered(w)
+		if r != nil && !r.progress.listed {
+			r.start.unconfirmedSeq = c.sequence
+			c.Counts.Unconfirmed++
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/scheduler/stop.go
@@ -0,0 +1,136 @@
+package scheduler
+
+import (
+	"cmp"
+	"time"
+
+	"crosstide/internal/jobs"
+)
+
+// stopState is what is known of the stop of a run. Owned by this file.
+type stopState struct {
+	wanted      bool
+	cause       Cause // the first one; empty: none. Also set for a run that ends without a stop
+	order       orderRetry
+	answeredSeq uint64 // Core.sequence when a stop order was answered; 0: none was
+}
+
+// orderRetry says when a stop order may be sent, again if need be.
+type orderRetry struct {
+	inFlight bool
+	notUntil time.Duration
+}
+
+// isDue reports whether the order may be sent at now.
+func (o *orderRetry) isDue(now time.Duration) bool { return !o.inFlight && now >= o.notUntil }
+
+// requestStop marks a run to be stopped; the first cause counts.
+func (c *Core) requestStop(r *run, cause Cause) {
+	r.stop.wanted = true
+	r.stop.cause = cmp.Or(r.stop.cause, cause)
+	c.queueStop(r)
+}
+
+// stopGang stops the other members of the gang of a run that has ended: they can do nothing alone.
+func (c *Core) stopGang(ended *run) {
+	j := c.table.Jobs[ended.key.Task.Job]
+	if j == nil || j.Rounds == nil {
+		return
+	}
+	key := ended.key
+	for i := range j.Rounds[key.Task.Round][key.Task.Step] {
+		key.Task.Index = i
+		if r := c.runs[key]; r != nil && !r.ending {
+			c.requestStop(r, CauseGang)
+		}
+	}
+}
+
+// queueStop adds a run to those that sendStops scans. The sweep adds those that were marked in another way.
+func (c *Core) queueStop(r *run) { c.runsToStop[r.key] = r }
+
+// needsStop reports whether a stop order must be sent for the run and none was answered yet.
+func (r *run) needsStop() bool {
+	return (r.stop.wanted || r.start.missing && !r.progress.listed) && !r.ending && r.stop.answeredSeq == 0
+}
+
+// sendStops adds the stop orders that are due. It scans only runsToStop and workersWithOrphans: most runs are never
+// stopped, and there is a pass for each answer of a worker.
+func (c *Core) sendStops(actions *Actions) {
+	for _, key := range sortedRuns(c.runsToStop) {
+		r := c.runsToStop[key]
+		w := c.workers[r.worker]
+		if c.runs[key] != r || w == nil || !r.needsStop() {
+			delete(c.runsToStop, key)
+			continue
+		}
+		if r.start.sent && c.sendStop(w, key, &r.stop.order, actions) {
+			c.Counts.Stopped++
+		}
+	}
+	for _, id := range sortedKeys(c.workersWithOrphans) {
+		w := c.workers[id]
+		if w == nil || len(w.orphans) == 0 {
+			delete(c.workersWithOrphans, id)
+			continue
+		}
+		for _, key := range w.orphanKeys() {
+			c.sendStop(w, key, w.orphans[key], actions)
+		}
+	}
+}
+
+// sendStop adds a stop order if it is due and one more order may be in flight to the worker. It reports whether it did.
+func (c *Core) sendStop(w *worker, key jobs.RunKey, order *orderRetry, actions *Actions) bool {
+	rec := w.record()
+	if rec == nil || !order.isDue(c.now) || !w.canOrder(c) {
+		return false
+	}
+	order.inFlight = true
+	c.orderSent(w)
+	actions.Stops = append(actions.Stops, StopAction{Worker: *rec, Order: StopOrder{Key: key, Token: c.term}})
+	return true
+}
+
+// StopError says how a stop order without an answer failed.
+type StopError int
+
+// The failures of a stop order. StopNoConnection proves nothing about the worker.
+const (
+	StopOK           StopError = iota // it was answered
+	StopFailed                        // no answer
+	StopNoConnection                  // it never left: this node lacks connections
+)
+
+// StopAnswered handles the answer to a stop order, or its failure.
+func (c *Core) StopAnswered(now time.Duration, workerID string, key jobs.RunKey, err StopError) {
+	c.now = now
+	w := c.workers[workerID]
+	if c.term == 0 || w == nil {
+		return
+	}
+	c.orderDone(w)
+	c.sequence++
+	retryAt := now + c.cfg.RetryMin
+	if order := w.orphans[key]; order != nil {
+		order.inFlight, order.notUntil = false, retryAt
+		if err == StopOK {
+			delete(w.orphans, key)
+		}
+	}
+	r := w.runs[key]
+	if r == nil {
+		return
+	}
+	r.stop.order.inFlight = false
+	switch err {
+	case StopNoConnection:
+		r.stop.order.notUntil = retryAt
+	case StopFailed:
+		c.orderUnanswered(w)
+		r.stop.order.notUntil = retryAt
+	default:
+		r.stop.answeredSeq = c.sequence
+		w.renewal.probeDue = true // its list after the stop proves the run dead
+	}
+}
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -19,13 +19,13 @@
 	"crosstide/internal/rpc"
 )
 
-// startLeader starts a core of one node; a cancel is held until gate is closed.
+// startLeader starts a core of one node; a cancel is not answered until gate is closed.
 func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, end func()) {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	rpc.Handle(s, controller.TopologyPair, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
+	rpc.Handle(s, controller.TopologyEndpoint, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
 		return controller.TopologyAnswer{Leader: s.Addr(), Members: []string{s.Addr()}}, nil
 	})
-	rpc.Handle(s, controller.JobPair, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
+	rpc.Handle(s, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
 		entered <- struct{}{}
 		<-gate
 		return controller.JobAnswer{State: jobs.Cancelled}, nil
@@ -63,7 +63,7 @@
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger()}
 }
 
-// cancelJob cancels a job at a front node and gives the answer's status, 0 for none.
+// cancelJob cancels a job at a front node and returns the answer's status, 0 for none.
 func cancelJob(addr string) int {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+addr+"/job", nil)
 	if err != nil {
@@ -122,7 +122,7 @@
 		So(err, ShouldNotBeNil) // no seed at all
 		changed := make(chan os.Signal)
 		work := routine.New(context.Background())
-		work.Go(func(ctx context.Context) { f.followSeeds(ctx, changed) })
+		work.Go(func(ctx context.Context) { f.refreshSeeds(ctx, changed) })
 		changed <- syscall.SIGHUP
 		changed <- syscall.SIGHUP // taken once the first one is done with
 		_, err = f.client.Job(ctx, controller.JobCall{})
--- /dev/null
+++ b/internal/rpc/metrics.go
@@ -0,0 +1,47 @@
+package rpc
+
+import (
+	"errors"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+// metrics are the counters of one side, "server" or "caller". Several clients and servers may share a registry: they
+// add to the same counters.
+type metrics struct {
+	calls    *prometheus.CounterVec // by path
+	failures *prometheus.CounterVec // by path and kind
+	in, out  prometheus.Counter     // bytes of bodies
+}
+
+func newMetrics(side string, registry prometheus.Registerer) *metrics {
+	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
+		return registerCounter(registry, name, help, labels).MustCurryWith(prometheus.Labels{"side": side})
+	}
+	bytes := counter("crosstide_rpc_bytes_total", "Bytes of bodies, by direction.", "dir")
+	return &metrics{
+		calls: counter("crosstide_rpc_calls_total", "Calls, by path.", "path"),
+		failures: counter("crosstide_rpc_failures_total",
+			"Calls that ended in a failure, by path and kind.", "path", "kind"),
+		in:  bytes.WithLabelValues("in"),
+		out: bytes.WithLabelValues("out"),
+	}
+}
+
+// registerCounter returns the registry's counter of that name, registered now or before; a new one without a registry.
+func registerCounter(registry prometheus.Registerer, name, help string, labels []string) *prometheus.CounterVec {
+	opts := prometheus.CounterOpts{Name: name, Help: help}
+	counter := prometheus.NewCounterVec(opts, append([]string{"side"}, labels...))
+	if registry == nil {
+		return counter
+	}
+	err := registry.Register(counter)
+	if err == nil {
+		return counter
+	}
+	var registered prometheus.AlreadyRegisteredError
+	if !errors.As(err, &registered) {
+		panic("rpc: register " + name + ": " + err.Error())
+	}
+	return registered.ExistingCollector.(*prometheus.CounterVec)
+}
