--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -77,7 +77,7 @@
 	}
 	s.replaceState(live)
 	s.core, s.status = core, core.Status()
-	_ = level.Info(s.logger).Log("msg", "folder recovered", "id", s.id, "snapshot", s.snapshots.newest.Index,
+	_ = level.Info(s.logger).Log("msg", "raft core started", "id", s.id, "snapshot", s.snapshots.newest.Index,
 		"entries", len(initial.Entries), "term", s.status.Term, "torn_bytes", recovered.TornBytes)
 	return nil
 }
--- a/internal/store/servesnapshot.go
+++ b/internal/store/servesnapshot.go
@@ -31,18 +31,18 @@
 
 // get returns the cached snapshot of a number, nil if there is none, and records the use.
 func (c *snapshotCache) get(number uint64, now time.Duration) *cachedSnapshot {
-	for _, k := range c.images {
-		if k.image.Number == number {
-			k.lastUsed = now
-			return k
+	for _, cached := range c.images {
+		if cached.image.Number == number {
+			cached.lastUsed = now
+			return cached
 		}
 	}
 	return nil
 }
 
 // add adds a snapshot in the place of the oldest, if there is no space.
-func (c *snapshotCache) add(k *cachedSnapshot) {
-	c.images = append(c.images, k)
+func (c *snapshotCache) add(cached *cachedSnapshot) {
+	c.images = append(c.images, cached)
 	if len(c.images) > snapshotCacheSize {
 		c.images = c.images[1:]
 	}
@@ -51,9 +51,9 @@
 // dropIdle drops what was not used for snapshotCacheIdle.
 func (c *snapshotCache) dropIdle(now time.Duration) {
 	list := c.images[:0:0]
-	for _, k := range c.images {
-		if now-k.lastUsed < snapshotCacheIdle {
-			list = append(list, k)
+	for _, cached := range c.images {
+		if now-cached.lastUsed < snapshotCacheIdle {
+			list = append(list, cached)
 		}
 	}
 	c.images = list
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -32,19 +32,19 @@
 }
 
 // written records the newest snapshot on the disk.
-func (n *snapshots) written(meta raft.Meta, bytes int) {
-	n.newest = internalapi.Snapshot{Number: n.newest.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(bytes)}
+func (q *snapshots) written(meta raft.Meta, bytes int) {
+	q.newest = internalapi.Snapshot{Number: q.newest.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(bytes)}
 }
 
 // takeDurable removes the committed entries up to the index that is durable here and returns them.
-func (n *snapshots) takeDurable(durable uint64) []raft.Entry {
+func (q *snapshots) takeDurable(durable uint64) []raft.Entry {
 	end := 0
-	for end < len(n.committed) && n.committed[end].Index <= durable {
+	for end < len(q.committed) && q.committed[end].Index <= durable {
 		end++
 	}
-	batch := n.committed[:end:end]
-	if n.committed = n.committed[end:]; len(n.committed) == 0 {
-		n.committed = nil
+	batch := q.committed[:end:end]
+	if q.committed = q.committed[end:]; len(q.committed) == 0 {
+		q.committed = nil
 	}
 	return batch
 }
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -41,6 +41,7 @@
 	return errs.Pass(s.checkReady(s.clock.Now()), "ready")
 }
 
+// checkReady is Ready under the lock.
 func (s *Store) checkReady(now time.Duration) error {
 	switch {
 	case s.core == nil:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -131,19 +131,19 @@
 	if strings.Contains(opt.Settings.Name, "~") {
 		return nil, errs.Field(errs.Settings, "name", "must not hold ~, which sets the incarnation of a folder apart")
 	}
-	metrics, set := newMetrics(), opt.Settings
+	stats, set := newMetrics(), opt.Settings
 	s := &Store{
 		opt:         opt,
 		settings:    set,
 		clock:       opt.Clock,
 		logger:      opt.Logger,
 		group:       routine.New(context.Background()),
-		metrics:     metrics,
+		metrics:     stats,
 		incarnation: opt.RandomID()[:12],
 		wakeLoop:    make(chan struct{}, 1),
 		live:        state.New(),
 		changed:     make(chan struct{}),
-		proposals:   newProposals(opt.Clock, metrics.commits),
+		proposals:   newProposals(opt.Clock, stats.commits),
 		disk:        diskQueue{wake: make(chan struct{}, 1)},
 		snapshots:   snapshots{wake: make(chan struct{}, 1)},
 		peers:       newPeers(),
