--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestDecideBootstrap(t *testing.T) {
-	Convey("An empty folder founds only when it is sure to have no earlier life", t, func() {
+	Convey("An empty folder bootstraps only when it surely had no earlier incarnation", t, func() {
 		say := func(a ...internalapi.DiscoverAnswer) bootstrapDecision {
 			all := map[string]internalapi.DiscoverAnswer{}
 			for i, one := range a {
@@ -114,7 +114,7 @@
 }
 
 func TestDecideOpenBootstrap(t *testing.T) {
-	Convey("Only seeds with the same seeds found together, and only where nobody knows a fleet", t, func() {
+	Convey("Only seeds with the same seeds bootstrap together, and only where nobody knows a fleet", t, func() {
 		s := &Store{incarnation: "boot"}
 		s.settings.Name, s.settings.Addr = "c1", "c1"
 		s.settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
--- a/internal/store/discard_test.go
+++ b/internal/store/discard_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestDiscard_survivesPowerLoss(t *testing.T) {
-	Convey("A discarded folder never founds and never keeps its ID, wherever the power goes on the way", t, func() {
+	Convey("A discarded folder never bootstraps and never keeps its ID, wherever the power fails on the way", t, func() {
 		full := func() *storage.MemDisk {
 			d := storage.NewMemDisk()
 			So(writeFile(d, idFile, "c1~old"), ShouldBeNil)
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// TestRefusedWrite_isFatal: without the mark of a full disk a refused write ends the process, as a failed sync does.
+// A refused write that does not say that the disk is full ends the process, as a failed sync does.
 func TestRefusedWrite_isFatal(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 20)
@@ -127,7 +127,7 @@
 	})
 }
 
-// TestHungDisk_leaderStepsDown lets the disks of one node after the other hang, the leader's among them.
+// TestHungDisk_leaderStepsDown hangs the disk of each node in turn, the leader's among them.
 func TestHungDisk_leaderStepsDown(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		for round, m := range slices.Clone(fleet.settings.Members) {
--- a/internal/store/rolelease_test.go
+++ b/internal/store/rolelease_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestRoleLeases(t *testing.T) {
-	Convey("Given an open book and a duty held by a", t, func() {
+	Convey("Given active leases and a role that a holds", t, func() {
 		var clock clock.Virtual
 		leases := newRoleLeases(testLease, testMargin)
 		current := state.Role{Holder: "a", Incarnation: "1", Epoch: 7}
@@ -37,7 +37,7 @@
 			So(ask(b), ShouldEqual, claimDenied)
 			clock.Advance(1)
 			So(ask(b), ShouldEqual, claimGrantable)
-			Convey("and then the old epoch is never renewed again, whatever the grant's fate", func() {
+			Convey("and then the old epoch is never renewed again, whatever the grant's outcome", func() {
 				So(ask(a), ShouldEqual, claimDenied)
 				So(ask(b), ShouldEqual, claimDenied) // one proposal at a time
 				leases.ProposalDone("sched", 7)
@@ -46,7 +46,7 @@
 				So(ask(a), ShouldEqual, claimGrantable) // as a candidate for a new epoch
 			})
 		})
-		Convey("a new boot of the holder waits like any other", func() {
+		Convey("a new incarnation of the holder waits like any other", func() {
 			again := a
 			again.Incarnation = "2"
 			So(ask(again), ShouldEqual, claimDenied)
@@ -63,7 +63,7 @@
 			So(ask(b), ShouldEqual, claimDenied)
 			So(ask(a), ShouldEqual, claimRenewed)
 		})
-		Convey("a duty given up is free at once, and its epoch over", func() {
+		Convey("a released role is free at once, and its epoch over", func() {
 			So(leases.Release(clock.Now(), current, a), ShouldBeTrue)
 			So(ask(a), ShouldEqual, claimDenied)
 			leases.ProposalDone("sched", 7)
@@ -75,9 +75,9 @@
 }
 
 // Every order of renewals, expiries, grants whose answers are lost and changes of leader, by seeds: no two
-// holders believe in the duty at once, each counting its own lease from before it sent its call.
+// holders believe that they have the role at once, each counting its own lease from before it sent its call.
 func TestRoleLeases_neverTwoHolders(t *testing.T) {
-	Convey("Over many seeds no two nodes hold the duty at once", t, func() {
+	Convey("Over many seeds no two nodes hold the role at once", t, func() {
 		worst, grants := 0, 0
 		for seed := range uint64(400) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -18,7 +18,7 @@
 		So(batch, ShouldHaveLength, 2) // entry 10 is not stored here yet
 		So(s.snapshots.committed, ShouldHaveLength, 1)
 	})
-	Convey("An image that is to be adopted does not wait for that", t, func() {
+	Convey("A fetched snapshot does not wait for that", t, func() {
 		s := &Store{unapplied: []raft.Entry{{Index: 11}}, snapshots: snapshots{toInstall: &fetchedSnapshot{}}}
 		fetched, _ := s.takeStored()
 		So(fetched, ShouldNotBeNil)
