--- /dev/null
+++ b/internal/store/diskwriter.go
@@ -0,0 +1,161 @@
+package store
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+	"crosstide/internal/storage"
+)
+
+// entryOverhead is what an entry takes beside its data, in the counts of bytes kept here.
+const entryOverhead = 64
+
+// diskWrite is what one Ready of the core wants on the disk. Ready.ResetLog needs nothing here: writing the snapshot
+// that caused it made the storage drop the same entries.
+type diskWrite struct {
+	hard          *raft.HardState
+	entries       []raft.Entry
+	sendAfterSync []raft.Message // must not leave before all of the write is synced
+}
+
+// diskQueue is what waits for the disk writer and how far it has come. A Store owns it; all but wake is guarded by
+// Store.mu.
+type diskQueue struct {
+	wake chan struct{} // capacity 1: the disk writer has something to do
+
+	writes    []diskWrite   // in the order of the Readys
+	busySince time.Duration // since when the disk writer works on one batch; 0 while it is idle
+	durable   uint64        // the stored log equals the core's up to this index
+}
+
+// add queues what a Ready wants on the disk, if anything. Entries that replace stored ones are not durable any more.
+func (q *diskQueue) add(r raft.Ready) {
+	if r.HardState == nil && len(r.Entries) == 0 && len(r.MessagesAfterSync) == 0 {
+		return
+	}
+	if len(r.Entries) > 0 {
+		q.durable = min(q.durable, r.Entries[0].Index-1)
+	}
+	q.writes = append(q.writes, diskWrite{r.HardState, r.Entries, r.MessagesAfterSync})
+	signal(q.wake)
+}
+
+// take removes all that waits, for one sync.
+func (q *diskQueue) take(now time.Duration) []diskWrite {
+	batch := q.writes
+	q.writes = nil
+	if len(batch) > 0 {
+		q.busySince = now
+	}
+	return batch
+}
+
+// synced records that the log is stored up to index, less what queued writes will replace.
+func (q *diskQueue) synced(index uint64) {
+	q.durable = index
+	for _, w := range q.writes {
+		if len(w.entries) > 0 {
+			q.durable = min(q.durable, w.entries[0].Index-1)
+		}
+	}
+}
+
+func (q *diskQueue) isIdle() bool { return len(q.writes) == 0 && q.busySince == 0 }
+
+// isHung tells whether the disk writer has worked on one batch for longer than limit.
+func (q *diskQueue) isHung(now, limit time.Duration) bool {
+	return q.busySince != 0 && now-q.busySince > limit
+}
+
+// runDiskWriter is the goroutine of the disk: it stores all that is queued with one sync, again and again.
+func (s *Store) runDiskWriter(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.disk.wake:
+		}
+		batch := s.takeDiskWrites()
+		if len(batch) == 0 {
+			continue
+		}
+		err := s.retryWhileDiskFull(ctx, "store the log", func() error {
+			return errs.Pass(s.writeBatch(batch), "batch")
+		})
+		if errs.Is(err, errs.Stopped) {
+			return
+		}
+		if err != nil {
+			s.fatal(err)
+			return
+		}
+		s.onStored(batch)
+	}
+}
+
+func (s *Store) takeDiskWrites() []diskWrite {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.disk.take(s.clock.Now())
+}
+
+// writeBatch writes a batch with one sync. It runs without the lock: the disk may be slow.
+func (s *Store) writeBatch(batch []diskWrite) error {
+	records, err := recordsOf(batch)
+	if err == nil && len(records) > 0 {
+		from := s.clock.Now()
+		err = s.storage.Append(records)
+		s.metrics.syncs.Observe((s.clock.Now() - from).Seconds())
+	}
+	return errs.Pass(err, "append")
+}
+
+// recordsOf is the stored form of a batch.
+func recordsOf(batch []diskWrite) (out []storage.Record, err error) {
+	for _, w := range batch {
+		if w.hard != nil {
+			data, err := json.Marshal(w.hard)
+			if err != nil {
+				return nil, errs.Wrap(err, errs.Internal, "encode the hard state")
+			}
+			out = append(out, storage.Record{Kind: storage.KindHardState, Data: data})
+		}
+		for _, e := range w.entries {
+			out = append(out, storage.Record{Kind: uint8(e.Kind), Term: e.Term, Index: e.Index, Data: e.Data})
+		}
+	}
+	return out, nil
+}
+
+// onStored sends what waited for the sync of a batch and reports the sync to the core, the snapshotter and the loop.
+func (s *Store) onStored(batch []diskWrite) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.disk.busySince = 0
+	var last raft.Entry
+	for _, w := range batch {
+		s.enqueueMessages(w.sendAfterSync)
+		if n := len(w.entries); n > 0 {
+			last = w.entries[n-1]
+		}
+	}
+	if last.Index > 0 {
+		s.core.Synced(s.clock.Now(), last.Index, last.Term)
+		s.disk.synced(last.Index)
+		signal(s.snapshots.wake)
+	}
+	signal(s.wakeLoop)
+	if len(s.disk.writes) > 0 {
+		signal(s.disk.wake)
+	}
+}
+
+// isDiskIdle tells whether the disk writer has nothing to do.
+func (s *Store) isDiskIdle() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.disk.isIdle()
+}
--- /dev/null
+++ b/internal/store/snapshotter_test.go
@@ -0,0 +1,47 @@
+package store
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/raft"
+)
+
+func TestSnapshotter_waitsForCatchUp(t *testing.T) {
+	Convey("The snapshotter takes no entries while the live state has some to catch up on", t, func() {
+		s := &Store{disk: diskQueue{durable: 9}, snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}}, unapplied: []raft.Entry{{Index: 11}}}
+		_, batch := s.takeStored()
+		So(batch, ShouldBeEmpty)
+		s.unapplied = nil
+		_, batch = s.takeStored()
+		So(batch, ShouldHaveLength, 2) // entry 10 is not stored here yet
+		So(s.snapshots.committed, ShouldHaveLength, 1)
+	})
+	Convey("A fetched snapshot does not wait for that", t, func() {
+		s := &Store{unapplied: []raft.Entry{{Index: 11}}, snapshots: snapshots{toInstall: &fetchedSnapshot{}}}
+		fetched, _ := s.takeStored()
+		So(fetched, ShouldNotBeNil)
+	})
+}
+
+func TestSnapshotter_pausesInTakeover(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		s := fleet.leader()
+		began := fleet.clock.Now()
+		fleet.submitJobs("a", 60)
+		fleet.waitLevel()
+		So(fleet.clock.Now()-began, ShouldBeLessThan, takeoverPeriod)
+		So(s.Status().Raft.Role, ShouldEqual, raft.Leader)
+		So(newestSnapshot(s), ShouldBeLessThan, 40)
+		fleet.until("the end of the take-over", func() bool { return fleet.clock.Now()-began > takeoverPeriod })
+		fleet.submitJobs("b", 1)
+		fleet.until("the snapshot that was due", func() bool { return newestSnapshot(s) > 40 })
+	})
+}
+
+func newestSnapshot(s *Store) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.snapshots.newest.Index
+}
