--- /dev/null
+++ b/internal/store/diskfull_test.go
@@ -0,0 +1,150 @@
+package store
+
+import (
+	"context"
+	"slices"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+	"golang.org/x/sys/unix"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+)
+
+// submitAll submits until n jobs are acknowledged; what a change of leader leaves open is submitted again.
+func (fleet *testFleet) submitAll(label string, n int) {
+	for try := 0; ; try++ {
+		if failures := fleet.submitJobs(label, n); len(failures) == 0 {
+			return
+		}
+		So(try, ShouldBeLessThan, 20)
+		fleet.advance(100 * time.Millisecond)
+	}
+}
+
+// durableIndex is the newest entry that is durable at a node.
+func (s *Store) durableIndex() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.disk.durable
+}
+
+func TestDiskFull_leaderStepsDown(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitAll("before", 50)
+		old := fleet.leader()
+		name := old.settings.Name
+		fleet.setFull(name, true)
+		var err error
+		fleet.call(func(ctx context.Context) { _, _, err = old.Propose(ctx, job("while full")) })
+		if err == nil { // the two others have it
+			fleet.acked["while full"] = 1
+		}
+		fleet.until("another leader", func() bool { return old.Status().Raft.Role != raft.Leader })
+		at := old.durableIndex()
+		fleet.submitAll("without it", 200)
+		So(old.durableIndex(), ShouldEqual, at) // it acknowledges nothing
+		So(fleet.died, ShouldBeEmpty)
+		fleet.advance(30 * time.Second)
+		So(fleet.died, ShouldBeEmpty)
+		So(fleet.leader().settings.Name, ShouldNotEqual, name)
+
+		fleet.setFull(name, false)
+		fleet.waitLevel()
+		So(fleet.died, ShouldBeEmpty)
+		// What it acknowledges now counts: with one other node gone, it makes the majority.
+		gone := fleet.others(name)[0]
+		fleet.kill(gone)
+		fleet.submitAll("with it", 50)
+		fleet.start(gone)
+		fleet.waitLevel()
+	})
+}
+
+// A refused write that does not say that the disk is full ends the process, as a failed sync does.
+func TestRefusedWrite_isFatal(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitAll("before", 20)
+		lead := fleet.leader()
+		fleet.setRefusal(lead.settings.Name, unix.EIO)
+		fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
+		fleet.until("the end of the process", func() bool { return fleet.died[lead.settings.Name] != nil })
+		So(fleet.died, ShouldHaveLength, 1)
+		fleet.kill(lead.settings.Name)
+		fleet.setRefusal(lead.settings.Name, nil)
+		fleet.start(lead.settings.Name)
+		fleet.submitAll("after", 20)
+		fleet.waitLevel()
+	})
+}
+
+func TestDiskFull_atStartWaits(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		fleet.submitAll("before", 50)
+		name := fleet.follower(fleet.leader()).settings.Name
+		fleet.kill(name)
+		fleet.setFull(name, true)
+		fleet.submitAll("meanwhile", 50)
+		var s *Store
+		var err error
+		done := false
+		fleet.work.Go(func(ctx context.Context) {
+			s, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
+			done = true
+		})
+		fleet.advance(30 * time.Second)
+		So(done, ShouldBeFalse)
+		fleet.setFull(name, false)
+		fleet.until("the start", func() bool { return done })
+		So(err, ShouldBeNil)
+		fleet.mu.Lock()
+		fleet.nodes[name] = s
+		fleet.mu.Unlock()
+		s.Start()
+		fleet.waitLevel()
+		So(fleet.died, ShouldBeEmpty)
+	})
+}
+
+func TestDiskFull_startIsCancelled(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		name := fleet.follower(fleet.leader()).settings.Name
+		fleet.kill(name)
+		fleet.setFull(name, true)
+		ctx, cancel := context.WithCancel(context.Background())
+		var err error
+		done := false
+		fleet.work.Go(func(context.Context) {
+			_, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
+			done = true
+		})
+		fleet.advance(time.Second)
+		cancel()
+		fleet.until("the end of the start", func() bool { return done })
+		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
+	})
+}
+
+// TestHungDisk_leaderStepsDown hangs the disk of each node in turn, the leader's among them.
+func TestHungDisk_leaderStepsDown(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		for round, m := range slices.Clone(fleet.settings.Members) {
+			s := fleet.nodes[m.ID]
+			fleet.setHang(m.ID, true)
+			fleet.until("a leader whose disk works", func() bool {
+				lead := fleet.leader()
+				if lead != s {
+					return true
+				}
+				fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a write shows that the disk hangs")) })
+				return false
+			})
+			fleet.submitAll(m.ID+" hangs", 50+round)
+			So(fleet.died, ShouldBeEmpty)
+			fleet.setHang(m.ID, false)
+			fleet.waitLevel()
+		}
+	})
+}
--- /dev/null
+++ b/internal/store/diskwriter_test.go
@@ -0,0 +1,43 @@
+package store
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/errs"
+)
+
+func TestDiskWriter_groupsCommits(t *testing.T) {
+	withFleet(t, 1<<20, func(fleet *testFleet) { // no snapshots: they sync too
+		lead := fleet.leader()
+		fleet.slow.Store(int64(5 * time.Millisecond)) // a disk without a delay would leave the grouping to the scheduler
+		before := lead.storage.Stats().Syncs
+		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
+		So(300/(lead.storage.Stats().Syncs-before), ShouldBeGreaterThan, 10)
+		fleet.slow.Store(0)
+		fleet.clock.Advance(time.Second) // lets the syncs under way end
+	})
+}
+
+func TestFailedSync_isFatal(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		lead := fleet.leader()
+		fleet.disks[lead.settings.Name].FailSync(1)
+		var err error
+		fleet.call(func(ctx context.Context) { _, _, err = lead.Propose(ctx, job("a")) })
+		if err == nil { // the two others had it synced before the failure showed: it must stay
+			fleet.acked["a"] = 1
+		} else {
+			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
+		}
+		So(fleet.died[lead.settings.Name], ShouldNotBeNil)
+		So(fleet.died, ShouldHaveLength, 1)
+		fleet.kill(lead.settings.Name)
+		So(fleet.submitJobs("b", 20), ShouldBeEmpty)
+		fleet.start(lead.settings.Name)
+		fleet.waitLevel()
+	})
+}
--- /dev/null
+++ b/internal/store/silentmembers_test.go
@@ -0,0 +1,67 @@
+package store
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+)
+
+func TestRemoveSilent_bounds(t *testing.T) {
+	withOpenFleet(t, 4, func(fleet *testFleet) {
+		fleet.startAll()
+		fleet.waitVoters("c1", "c2", "c3", "c4")
+		gone := fleet.follower(fleet.leader()).settings.Name
+		fleet.kill(gone)
+		fleet.advance(fleet.settings.RemoveAfter - 500*time.Millisecond)
+		So(memberIDs(fleet.leader()), ShouldHaveLength, 4)
+		fleet.waitVoters(fleet.others()...)
+		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
+
+		// Never below three.
+		fleet.kill(fleet.follower(fleet.leader()).settings.Name)
+		fleet.advance(20 * time.Second)
+		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
+		So(fleet.submitJobs("a", 20), ShouldBeEmpty)
+
+		// A newcomer is the fourth, and the dead one goes after that.
+		fleet.startFresh("c9")
+		fleet.waitVoters(fleet.others()...)
+		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
+
+		// Without a majority nobody is removed.
+		lead := fleet.leader()
+		for _, n := range fleet.others(lead.settings.Name) {
+			fleet.kill(n)
+		}
+		fleet.advance(20 * time.Second)
+		So(lead.Status().Raft.Members, ShouldHaveLength, 3)
+	})
+}
+
+func TestRemoveSilent_dropsLearner(t *testing.T) {
+	withOpenFleet(t, 3, func(fleet *testFleet) {
+		fleet.startAll()
+		fleet.waitVoters("c1", "c2", "c3")
+		lead := fleet.leader()
+		_, err := lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9"})
+		So(err, ShouldBeNil)
+		fleet.until("a learner", func() bool { return len(lead.Status().Raft.Members) == 4 })
+		fleet.advance(silentLearnerTimeout - time.Second)
+		So(lead.Status().Raft.Members, ShouldHaveLength, 4)
+		since := lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt
+		fleet.waitVoters("c1", "c2", "c3")
+		fleet.until("the removal is committed", func() bool { return lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt > since })
+
+		// It does not come back under its ID, as its folder says that it was a member.
+		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
+		So(errs.KindOf(err), ShouldEqual, errs.Stale)
+		// A folder whose membership was never committed is no such one.
+		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since + 100})
+		So(err, ShouldBeNil)
+	})
+}
