--- /dev/null
+++ b/internal/testbed/endtoend/scenario.go
@@ -0,0 +1,228 @@
+package endtoend
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"syscall"
+	"time"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/rpc"
+)
+
+const (
+	scenarioTimeout = 2 * time.Minute
+	awaitTimeout    = 30 * time.Second
+	timedDelay      = 3 * time.Second // the timed job is due so long after it is submitted
+	failoverJobs    = 10              // submitted while there is no leader
+	evacuatedZone   = "z2"
+	evacuationJobs  = 20 // submitted while the zone is evacuated
+)
+
+// Result is what a scenario measured.
+type Result struct {
+	Report
+	Accepted   int           // jobs
+	AcceptedIn time.Duration // from the kill of the leader to the first job accepted after it
+}
+
+// Run plays the scenario on processes that have just been started: a mix of jobs, one worker drained, the leader
+// killed with jobs submitted meanwhile, a zone evacuated; then it waits for every job's state, ends the processes and
+// audits. Its progress is written to out.
+func Run(ctx context.Context, plan Plan, processes *Processes, out io.Writer) (Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, scenarioTimeout)
+	defer cancel()
+	caller := rpc.NewClient(rpc.ClientOptions{})
+	defer caller.Close()
+	s := &scenario{plan: plan, processes: processes, out: out, clock: clock.Real{},
+		client: newClient(caller, clock.Real{}, plan.FrontAddrs, plan.ControlAddrs)}
+	s.begin = s.clock.Now()
+	for _, phase := range []func(context.Context) error{
+		s.prepare, s.submitJobs, s.drainWorker, s.killLeader, s.evacuate, s.awaitEnds,
+	} {
+		if err := phase(ctx); err != nil {
+			return s.result, errs.Pass(err, "drill")
+		}
+	}
+	processes.Stop()
+	events, err := readEvents(plan.Dir)
+	if err != nil {
+		return s.result, errs.Pass(err, "drill")
+	}
+	s.result.Report, err = Audit(s.accepted, s.evacuations, events)
+	s.result.Accepted = len(s.accepted)
+	return s.result, errs.Pass(err, "drill")
+}
+
+// scenario is a scenario under way. Its phases run one after the other.
+type scenario struct {
+	plan        Plan
+	processes   *Processes
+	client      *client
+	clock       clock.Clock
+	out         io.Writer
+	begin       time.Duration
+	accepted    []Job
+	evacuations []Evacuation
+	result      Result
+}
+
+// logf writes a line of progress.
+func (s *scenario) logf(format string, args ...any) {
+	elapsed := (s.clock.Now() - s.begin).Seconds()
+	fmt.Fprintf(s.out, "%6.2fs  %s\n", elapsed, fmt.Sprintf(format, args...))
+}
+
+// await polls until isSo holds. Failures: Timeout, those of isSo.
+func (s *scenario) await(ctx context.Context, what string, isSo func(ctx context.Context) (bool, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
+	defer cancel()
+	for {
+		ok, err := isSo(ctx)
+		if err != nil {
+			return errs.Pass(err, "%s", what)
+		}
+		if ok {
+			s.logf("%s", what)
+			return nil
+		}
+		if !s.client.sleep(ctx) {
+			return errs.New(errs.Timeout, "not in %s: %s", awaitTimeout, what)
+		}
+	}
+}
+
+// prepare waits for the leader and the workers and puts the configuration in force.
+func (s *scenario) prepare(ctx context.Context) error {
+	if err := s.client.Configure(ctx, http.MethodPut, configuration(0)); err != nil {
+		return errs.Pass(err, "settle")
+	}
+	s.logf("the configuration is in force")
+	return errs.Pass(s.await(ctx, "all workers are known", func(ctx context.Context) (bool, error) {
+		workers, err := s.client.Workers(ctx)
+		return len(workers.Workers) == len(s.plan.Shapes), errs.Pass(err, "workers")
+	}), "settle")
+}
+
+func (s *scenario) submit(ctx context.Context, list ...Job) error {
+	for _, job := range list {
+		if err := s.client.Submit(ctx, job); err != nil {
+			return errs.Pass(err, "hand in %s", job.ID)
+		}
+		s.accepted = append(s.accepted, job)
+	}
+	return nil
+}
+
+// submitJobs fills the workers with work of low priority and submits a mix of jobs.
+func (s *scenario) submitJobs(ctx context.Context) error {
+	if err := s.submit(ctx, bulkJob(len(s.plan.Shapes))); err != nil {
+		return errs.Pass(err, "bulk")
+	}
+	err := s.await(ctx, "low-priority work runs", func(ctx context.Context) (bool, error) {
+		view, err := s.client.Show(ctx, "bulk")
+		return len(view.Steps) > 0 && view.Steps[0].Running > 0, errs.Pass(err, "bulk")
+	})
+	if err != nil {
+		return errs.Pass(err, "bulk")
+	}
+	if err := s.submit(ctx, append(mixedJobs(s.clock.Wall().Add(timedDelay)), longRunningJob())...); err != nil {
+		return errs.Pass(err, "mix")
+	}
+	s.logf("%d jobs are accepted", len(s.accepted))
+	return nil
+}
+
+// drainWorker signals the last worker to leave.
+func (s *scenario) drainWorker(ctx context.Context) error {
+	name := s.plan.Shapes[len(s.plan.Shapes)-1].Name
+	if err := s.processes.Signal(name, syscall.SIGTERM); err != nil {
+		return errs.Pass(err, "leave")
+	}
+	return errs.Pass(s.await(ctx, name+" drains", func(ctx context.Context) (bool, error) {
+		workers, err := s.client.Workers(ctx)
+		draining := 0
+		for _, w := range workers.Workers {
+			if w.State != "ready" {
+				draining++
+			}
+		}
+		return draining > 0 || len(workers.Workers) < len(s.plan.Shapes), errs.Pass(err, "workers")
+	}), "leave")
+}
+
+// killLeader kills the leader, submits jobs at once, and starts the node again.
+func (s *scenario) killLeader(ctx context.Context) error {
+	topology, err := s.client.Topology(ctx)
+	if err != nil {
+		return errs.Pass(err, "leader")
+	}
+	leader := s.plan.NamesByAddr[topology.Leader]
+	if leader == "" {
+		return errs.New(errs.Unavailable, "no leader is told, %q", topology.Leader)
+	}
+	killed := s.clock.Now()
+	if err := s.processes.Signal(leader, syscall.SIGKILL); err != nil {
+		return errs.Pass(err, "leader")
+	}
+	s.logf("%s, which led, is killed", leader)
+	for i, job := range numberedJobs("later", failoverJobs) {
+		if err := s.submit(ctx, job); err != nil {
+			return errs.Pass(err, "after the kill")
+		}
+		if i == 0 {
+			s.result.AcceptedIn = s.clock.Now() - killed
+		}
+	}
+	s.logf("%d jobs more are accepted, the first %s after the kill", failoverJobs,
+		s.result.AcceptedIn.Round(time.Millisecond))
+	if !s.processes.Wait(ctx, leader) {
+		return errs.New(errs.Timeout, "%s does not end", leader)
+	}
+	return errs.Pass(s.processes.Launch(leader), "start %s again", leader)
+}
+
+// evacuate evacuates a zone, submits jobs that run elsewhere meanwhile, and restores it. What runs in the zone ends
+// there.
+func (s *scenario) evacuate(ctx context.Context) error {
+	if err := s.client.Zone(ctx, evacuatedZone, "evacuate"); err != nil {
+		return errs.Pass(err, "evacuate")
+	}
+	evacuation := Evacuation{Zone: evacuatedZone, From: s.clock.Wall()}
+	meanwhile := numberedJobs("closed", evacuationJobs)
+	if err := s.submit(ctx, meanwhile...); err != nil {
+		return errs.Pass(err, "evacuate")
+	}
+	for _, job := range meanwhile {
+		if err := s.client.AwaitState(ctx, job.ID, job.WantState); err != nil {
+			return errs.Pass(err, "evacuate")
+		}
+	}
+	evacuation.To = s.clock.Wall()
+	s.evacuations = append(s.evacuations, evacuation)
+	s.logf("%d jobs ran while %s was closed", evacuationJobs, evacuatedZone)
+	return errs.Pass(s.client.Zone(ctx, evacuatedZone, "restore"), "restore")
+}
+
+// awaitEnds waits until every job is in the state that it must come to.
+func (s *scenario) awaitEnds(ctx context.Context) error {
+	for _, job := range s.accepted {
+		if job.WantState == jobs.Cancelled {
+			if err := s.client.AwaitState(ctx, job.ID, jobs.Running); err != nil {
+				return errs.Pass(err, "finish")
+			}
+			if err := s.client.Cancel(ctx, job.ID); err != nil {
+				return errs.Pass(err, "finish")
+			}
+		}
+		if err := s.client.AwaitState(ctx, job.ID, job.WantState); err != nil {
+			return errs.Pass(err, "finish")
+		}
+	}
+	s.logf("all %d jobs have come to their states", len(s.accepted))
+	return nil
+}
--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -17,7 +17,7 @@
 		Convey("With all guards no rule breaks on days of "+day.Name, t, func() {
 			made := map[Disruption]int{}
 			for seed := uint64(1); seed <= daySeeds; seed++ {
-				report := Run(Options{Seed: seed, Kinds: day.Disruptions})
+				report := Run(Options{Seed: seed, Disruptions: day.Disruptions})
 				for _, b := range report.Breaches {
 					t.Errorf("seed %d breaks %s at %s: %s", seed, b.Rule, b.At, b.What)
 				}
@@ -30,7 +30,7 @@
 			}
 		})
 		for _, guard := range day.Guards {
-			Convey("The oracle finds the lack of a guard: "+string(guard), t, func() {
+			Convey("The checker finds the lack of a guard: "+string(guard), t, func() {
 				seed, found := findLack(day, guard)
 				So(found, ShouldNotBeEmpty)
 				t.Logf("%s: seed %d: %s %s", guard, seed, found[0].Rule, found[0].What)
@@ -47,7 +47,7 @@
 	seed = firstSeeds[guard]
 	for len(found) == 0 && seed < mostGuardSeeds {
 		seed++
-		found = Run(Options{Seed: seed, Break: guard, Kinds: day.Disruptions}).Breaches
+		found = Run(Options{Seed: seed, WithoutGuard: guard, Disruptions: day.Disruptions}).Breaches
 	}
 	return seed, found
 }
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/jobs"
 )
 
-// Load says which jobs come.
+// Load is which jobs come.
 type Load string
 
 // The loads.
@@ -20,48 +20,47 @@
 
 // clientJob is a job as its client knows it.
 type clientJob struct {
-	spec       jobs.Spec
-	prefix     string
-	sentAt     time.Duration
-	attempts   int
-	unclear    bool          // an attempt got no clear answer
-	accepted   bool          // an attempt was answered well
-	acceptedAt time.Duration // when
-	rejected   bool          // every attempt was rejected
-	cancelSent bool
-	cancelFrom time.Duration // when it was first sent
-	afterFault bool          // handed in when the machines had been back from the final fault for long enough
-	cancelled  bool          // its cancelling was acknowledged
-	cancelAt   time.Duration
-	lastShown  jobs.JobState
-	polls      int // made since it was shown as over
+	spec         jobs.Spec
+	prefix       string
+	sentAt       time.Duration
+	attempts     int
+	isUnclear    bool          // an attempt may have been accepted
+	isAccepted   bool          // an attempt was accepted
+	acceptedAt   time.Duration // when
+	isRejected   bool          // every attempt was rejected
+	isCancelSent bool
+	cancelFrom   time.Duration // when it was first sent
+	afterFault   bool          // submitted when the machines had recovered from the final fault
+	isCancelled  bool          // its cancelling was acknowledged
+	cancelAt     time.Duration
+	lastShown    jobs.JobState
+	polls        int // since it was shown as ended
 }
 
-// clients hand jobs in, ask for them and cancel some.
+// clients submit jobs, poll them and cancel some.
 type clients struct {
-	sim  *simulator
-	jobs []*clientJob
-	byID map[string]*clientJob
-	// faultPending tells that the final fault, or the jobs that are handed in after it, are still to come.
-	faultPending bool
+	sim          *simulator
+	jobs         []*clientJob
+	byID         map[string]*clientJob
+	faultPending bool // the final fault, or the jobs that are submitted after it, are still to come
 }
 
 const (
-	submitAttempts = 4
-	answerLimit    = time.Second // a client waits so long for an answer
-	retryPause     = 400 * time.Millisecond
-	pollLeast      = 500 * time.Millisecond
-	pollMost       = 3 * time.Second
-	pollsAfterEnd  = 2
+	submitAttempts  = 4
+	answerTimeout   = time.Second // for an answer
+	retryBackoff    = 400 * time.Millisecond
+	minPollInterval = 500 * time.Millisecond
+	maxPollInterval = 3 * time.Second
+	pollsAfterEnd   = 2
 )
 
 func (s *simulator) buildClients() {
 	s.clients = &clients{sim: s, byID: map[string]*clientJob{}}
 	s.after(2*time.Second, s.clients.arrive)
-	s.after(s.opt.For+time.Second, s.clients.cancelLongRunning)
+	s.after(s.options.DisruptionPeriod+time.Second, s.clients.cancelLongRunning)
 }
 
-// spec gives a job as a client sent it; nil if none did.
+// spec returns a job as a client sent it; nil if none did.
 func (c *clients) spec(id string) *jobs.Spec {
 	if j := c.byID[id]; j != nil {
 		return &j.spec
@@ -69,14 +68,14 @@
 	return nil
 }
 
-// arrive hands one job in and plans the next.
+// arrive submits one job and schedules the next.
 func (c *clients) arrive() {
 	s := c.sim
-	if s.now >= s.opt.For {
+	if s.now >= s.options.DisruptionPeriod {
 		return
 	}
 	pause := s.between(100*time.Millisecond, 900*time.Millisecond)
-	if s.opt.Load == Short {
+	if s.options.Load == Short {
 		pause = s.between(5*time.Millisecond, 45*time.Millisecond)
 		c.submitNew(c.shortJob())
 	} else {
@@ -85,7 +84,7 @@
 	s.after(pause, c.arrive)
 }
 
-// submitNew begins to hand a job in.
+// submitNew begins to submit a job.
 func (c *clients) submitNew(spec jobs.Spec, prefix string) *clientJob {
 	j := &clientJob{spec: spec, prefix: prefix, sentAt: c.sim.now}
 	c.jobs = append(c.jobs, j)
@@ -95,8 +94,8 @@
 	return j
 }
 
-// call makes a call to a node that may lead; done is told once, with a Timeout if no answer comes.
-func (c *clients) call(make func(n *node, done func(any, error)), done func(any, error)) {
+// call makes a call to a node that may lead; done is called once, with a Timeout if no answer comes.
+func (c *clients) call(send func(n *node, done func(any, error)), done func(any, error)) {
 	s := c.sim
 	over := false
 	finish := func(answer any, err error) {
@@ -107,20 +106,20 @@
 	}
 	n := s.anyLeader()
 	if n == nil {
-		s.after(s.link(), func() { finish(nil, errs.New(errs.Unavailable, "no leader")) })
+		s.after(s.linkDelay(), func() { finish(nil, errs.New(errs.Unavailable, "no leader")) })
 		return
 	}
-	s.after(answerLimit, func() { finish(nil, errs.New(errs.Timeout, "no answer")) })
-	s.after(s.link(), func() {
-		n.do(0, func() {
-			make(n, func(answer any, err error) { s.after(s.link(), func() { finish(answer, err) }) })
+	s.after(answerTimeout, func() { finish(nil, errs.New(errs.Timeout, "no answer")) })
+	s.after(s.linkDelay(), func() {
+		n.after(0, func() {
+			send(n, func(answer any, err error) { s.after(s.linkDelay(), func() { finish(answer, err) }) })
 		})
 	})
 }
 
-// surelyNotTaken tells whether an error says that a job was not taken.
-func surelyNotTaken(err error) bool {
-	switch errorKind(err) {
+// isCertainlyNotAccepted reports whether an error says that a job was not accepted.
+func isCertainlyNotAccepted(err error) bool {
+	switch errs.KindOf(err) {
 	case errs.Unavailable, errs.NotLeader, errs.Unknown:
 		return true
 	}
@@ -132,43 +131,44 @@
 	c.call(func(n *node, done func(any, error)) { n.submit(j, done) }, func(_ any, err error) {
 		switch {
 		case err == nil:
-			if !j.accepted {
-				j.accepted, j.acceptedAt = true, c.sim.now
+			if !j.isAccepted {
+				j.isAccepted, j.acceptedAt = true, c.sim.now
 				c.sim.report.Jobs++
-				c.sim.invariantChecker.accepted(j)
+				c.sim.checker.accepted(j)
 				c.follow(j)
 				if c.sim.chance(0.1) {
 					c.sim.after(c.sim.between(0, 6*time.Second), func() { c.submitAgain(j) })
 				}
 			}
 			return
-		case !surelyNotTaken(err):
-			j.unclear = true
+		case !isCertainlyNotAccepted(err):
+			j.isUnclear = true
 		}
 		if j.attempts < submitAttempts {
-			c.sim.after(c.sim.between(retryPause/2, retryPause*3/2), func() { c.submit(j) })
-		} else if !j.unclear {
-			j.rejected = true
-			c.sim.invariantChecker.rejected(j)
+			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff*3/2), func() { c.submit(j) })
+		} else if !j.isUnclear {
+			j.isRejected = true
+			c.sim.checker.rejected(j)
 		}
 	})
 }
 
-// submitAgain hands a job in once more that was accepted, at whatever node leads by then.
+// submitAgain submits a job once more that was accepted, at whatever node leads by then.
 func (c *clients) submitAgain(j *clientJob) {
 	c.sim.report.Seen["handed in again after its acceptance"]++
 	c.call(func(n *node, done func(any, error)) { n.submit(j, done) }, func(_ any, err error) {
-		switch errorKind(err) {
+		switch errs.KindOf(err) {
 		case "", errs.Unavailable, errs.NotLeader, errs.Timeout, errs.Unknown:
 		default:
-			c.sim.invariantChecker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v", j.spec.ID, err)
+			c.sim.checker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v",
+				j.spec.ID, err)
 		}
 	})
 }
 
 // submit is controller.Leader.Submit.
 func (n *node) submit(j *clientJob, done func(any, error)) {
-	table, term, err := n.look()
+	table, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
@@ -187,12 +187,12 @@
 	n.answer(term, jobs.Submit{Spec: spec, Digest: "d" + spec.ID, At: n.wall()}, done)
 }
 
-// follow asks for an accepted job until it is over, and a little longer; some are cancelled on the way.
+// follow polls an accepted job until it has ended, and a little longer; some are cancelled on the way.
 func (c *clients) follow(j *clientJob) {
-	if !j.cancelSent && c.sim.chance(0.06) {
+	if !j.isCancelSent && c.sim.chance(0.06) {
 		c.sim.after(c.sim.between(0, 4*time.Second), func() { c.cancel(j) })
 	}
-	c.sim.after(c.sim.between(pollLeast, pollMost), func() {
+	c.sim.after(c.sim.between(minPollInterval, maxPollInterval), func() {
 		c.poll(j)
 		if j.polls < pollsAfterEnd {
 			c.follow(j)
@@ -212,7 +212,7 @@
 			return
 		}
 		done := answer.(jobAnswer)
-		c.sim.invariantChecker.shown(j, done)
+		c.sim.checker.shown(j, done)
 		j.lastShown = done.state
 		if done.state.IsTerminal() {
 			j.polls++
@@ -222,32 +222,32 @@
 
 // cancel sends a cancel until it is acknowledged.
 func (c *clients) cancel(j *clientJob) {
-	if j.cancelled || j.lastShown.IsTerminal() {
+	if j.isCancelled || j.lastShown.IsTerminal() {
 		return
 	}
-	if !j.cancelSent {
-		j.cancelSent, j.cancelFrom = true, c.sim.now
+	if !j.isCancelSent {
+		j.isCancelSent, j.cancelFrom = true, c.sim.now
 	}
 	c.call(func(n *node, done func(any, error)) { n.job(j, true, done) }, func(answer any, err error) {
 		if err != nil {
-			if errorKind(err) == errs.Unknown {
+			if errs.KindOf(err) == errs.Unknown {
 				j.cancelFrom = c.sim.now // its queue is not there at the moment: that is an answer
 			}
-			c.sim.after(c.sim.between(retryPause/2, retryPause), func() { c.cancel(j) })
+			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff), func() { c.cancel(j) })
 			return
 		}
-		c.sim.invariantChecker.acknowledged("a cancel", j.cancelFrom)
-		c.sim.invariantChecker.shown(j, answer.(jobAnswer))
+		c.sim.checker.checkAcknowledgement("a cancel", j.cancelFrom)
+		c.sim.checker.shown(j, answer.(jobAnswer))
 		if answer.(jobAnswer).state == jobs.Cancelled {
-			j.cancelled, j.cancelAt = true, c.sim.now
-			c.sim.invariantChecker.cancelled(j)
+			j.isCancelled, j.cancelAt = true, c.sim.now
+			c.sim.checker.cancelled(j)
 		}
 	})
 }
 
-// job is controller.Leader.Job.
+// job is controller.Leader.Job and, with cancel, Cancel.
 func (n *node) job(j *clientJob, cancel bool, done func(any, error)) {
-	table, term, err := n.look()
+	table, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
@@ -270,26 +270,26 @@
 	}
 }
 
-// cancelMany cancels most of the jobs that are not over.
+// cancelMany cancels half of the jobs that have not ended.
 func (c *clients) cancelMany() {
 	for _, j := range c.jobs {
-		if j.accepted && !j.lastShown.IsTerminal() && !j.cancelSent && c.sim.chance(0.5) {
+		if j.isAccepted && !j.lastShown.IsTerminal() && !j.isCancelSent && c.sim.chance(0.5) {
 			c.cancel(j)
 		}
 	}
 }
 
-// cancelLongRunning ends the lasting jobs, so that a run can settle.
+// cancelLongRunning cancels the long-running jobs, so that a run can end.
 func (c *clients) cancelLongRunning() {
 	for _, j := range c.jobs {
-		if lasts(&j.spec) && j.accepted && !j.cancelSent {
+		if isLongRunning(&j.spec) && j.isAccepted && !j.isCancelSent {
 			c.cancel(j)
 		}
 	}
 	c.sim.after(time.Second, c.cancelLongRunning)
 }
 
-func lasts(spec *jobs.Spec) bool {
+func isLongRunning(spec *jobs.Spec) bool {
 	for i := range spec.Steps {
 		if spec.Steps[i].LongRunning {
 			return true
@@ -298,13 +298,13 @@
 	return false
 }
 
-// allEnded tells whether all accepted jobs were shown as over and asked for again.
+// allEnded reports whether all accepted jobs were shown as ended and polled again after that.
 func (c *clients) allEnded() bool {
 	if c.faultPending {
 		return false
 	}
 	for _, j := range c.jobs {
-		if j.accepted && j.polls < pollsAfterEnd || !j.accepted && !j.rejected && j.attempts < submitAttempts {
+		if j.isAccepted && j.polls < pollsAfterEnd || !j.isAccepted && !j.isRejected && j.attempts < submitAttempts {
 			return false
 		}
 	}
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -15,14 +15,19 @@
 // maxAttempts is how many runs of a task may fail, in every configuration.
 const maxAttempts = 3
 
+// configVariant is how a configuration differs from others.
+type configVariant struct {
+	isQueueMoved     bool // the moving queue is on the open service
+	withoutSideQueue bool // the side queue is not there
+}
+
 // sentConfig is a configuration that the operator sent.
 type sentConfig struct {
 	change   jobs.Configure
 	sentAt   time.Duration
 	acked    bool
 	ackedAt  time.Duration
-	moved    bool              // its moving queue is on the open service
-	without  bool              // its side queue is not there
+	variant  configVariant
 	rival    *sentConfig       // the other one of a race; nil: none
 	lost     bool              // it was refused because the other one of its race won
 	services map[string]string // by queue
@@ -42,8 +47,7 @@
 	sim                       *simulator
 	configs                   []*sentConfig // those that may be in force or were, the newest last
 	evacuations               []*evacuation
-	moved                     bool // the moving queue is on the open service
-	without                   bool // the side queue is not there
+	variant                   configVariant // of the newest configuration
 	busy                      bool
 	acknowledgementsLostUntil time.Duration // until then most answers to it are lost
 }
@@ -59,7 +63,7 @@
 		return
 	}
 	o.busy = true
-	c := o.build(o.base(), o.moved, o.without)
+	c := o.build(o.base(), o.variant)
 	o.configs = append(o.configs, c)
 	o.send(c)
 }
@@ -72,45 +76,47 @@
 	return o.configs[len(o.configs)-1].change.Version
 }
 
-// build makes a configuration on top of a version.
-func (o *operator) build(base uint64, moved, without bool) *sentConfig {
+// build builds a configuration on top of a version.
+func (o *operator) build(base uint64, variant configVariant) *sentConfig {
 	version := base + 1 + uint64(o.sim.rng.IntN(3))
-	c := &sentConfig{sentAt: o.sim.now, moved: moved, without: without, services: map[string]string{}, change: jobs.Configure{
-		Base: base, Version: version, Replace: true,
-		Digest:   fmt.Sprintf("config %d on %d moved %v without %v", version, base, moved, without),
-		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}}
+	c := &sentConfig{sentAt: o.sim.now, variant: variant, services: map[string]string{}}
+	c.change = jobs.Configure{Base: base, Version: version, Replace: true,
+		Digest: fmt.Sprintf("config %d on %d moved %v without %v", version, base, variant.isQueueMoved,
+			variant.withoutSideQueue),
+		Services: []jobs.Service{{Name: serviceGuards, ChecksCapacity: true}, {Name: serviceOpen}}}
 	queue := func(name, service string, priority int) {
 		c.services[name] = service
 		c.change.Queues = append(c.change.Queues, jobs.Queue{Name: name, Host: queueHost, Prefix: "/" + name + "/",
-			Service: service, Priority: priority, MaxAttempts: maxAttempts, Stretch: 2, Target: time.Second, Timeout: time.Second})
+			Service: service, Priority: priority, MaxAttempts: maxAttempts, Stretch: 2, Target: time.Second,
+			Timeout: time.Second})
 	}
 	queue("urgent", serviceGuards, 0)
 	queue("bulk", serviceOpen, 2)
 	service := serviceGuards
-	if moved {
+	if variant.isQueueMoved {
 		service = serviceOpen
 	}
 	queue("moving", service, 1)
-	if !without {
+	if !variant.withoutSideQueue {
 		queue("side", serviceOpen, 1)
 	}
 	return c
 }
 
 func (o *operator) send(c *sentConfig) {
-	o.order(c.change, func() { o.taken(c) }, func(err error) { o.refusedConfig(c, err) })
+	o.order(c.change, func() { o.configAcknowledged(c) }, func(err error) { o.configRefused(c, err) })
 }
 
-// taken takes in that a configuration was acknowledged.
-func (o *operator) taken(c *sentConfig) {
+// configAcknowledged records that a configuration was acknowledged.
+func (o *operator) configAcknowledged(c *sentConfig) {
 	if c.acked {
 		return
 	}
 	c.acked, c.ackedAt = true, o.sim.now
-	o.moved, o.without = c.moved, c.without
-	o.sim.invariantChecker.acknowledged("a configuration", c.sentAt)
+	o.variant = c.variant
+	o.sim.checker.checkAcknowledgement("a configuration", c.sentAt)
 	if c.rival != nil {
-		o.sim.invariantChecker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
+		o.sim.checker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
 			c.change.Version, c.rival.change.Version, c.change.Base)
 		if !c.rival.lost {
 			return // the other one has no answer yet
@@ -126,17 +132,18 @@
 func (o *operator) sendAgain(c *sentConfig) {
 	o.busy = true
 	o.order(c.change, func() {
-		o.sim.invariantChecker.count(ConfigRule)
+		o.sim.checker.count(ConfigRule)
 		o.busy = false
 	}, func(err error) {
-		o.sim.invariantChecker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v", c.change.Version, err)
+		o.sim.checker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v",
+			c.change.Version, err)
 	})
 }
 
-// refusedConfig takes in that a configuration was refused: only the loser of a race may be.
-func (o *operator) refusedConfig(c *sentConfig, err error) {
+// configRefused records that a configuration was refused: only the loser of a race may be.
+func (o *operator) configRefused(c *sentConfig, err error) {
 	rival := c.rival
-	o.sim.invariantChecker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errorKind(err) == errs.Stale,
+	o.sim.checker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errs.KindOf(err) == errs.Stale,
 		"version %d is refused: %v", c.change.Version, err)
 	c.lost = true
 	o.configs = slices.DeleteFunc(o.configs, func(other *sentConfig) bool { return other == c })
@@ -156,9 +163,9 @@
 			acknowledged()
 			return
 		}
-		switch errorKind(err) {
+		switch errs.KindOf(err) {
 		case errs.Unavailable, errs.NotLeader, errs.Timeout:
-			o.sim.after(o.sim.between(retryPause/2, retryPause), func() { o.order(change, acknowledged, refused) })
+			o.sim.after(o.sim.between(retryBackoff/2, retryBackoff), func() { o.order(change, acknowledged, refused) })
 		default:
 			refused(err)
 		}
@@ -167,7 +174,7 @@
 
 // neverRefused is for orders that are always valid.
 func (o *operator) neverRefused(err error) {
-	o.sim.invariantChecker.breach(ConfigRule, "order refused: %v", err)
+	o.sim.checker.breach(ConfigRule, "order refused: %v", err)
 }
 
 // race lets two operators send different changes on top of the same version at once.
@@ -177,11 +184,14 @@
 	}
 	o.busy = true
 	base := o.base()
-	one, other := o.build(base, !o.moved, o.without), o.build(base, o.moved, !o.without)
-	one.rival, other.rival = other, one
-	o.configs = append(o.configs, one, other)
+	moved, other := o.variant, o.variant
+	moved.isQueueMoved = !moved.isQueueMoved
+	other.withoutSideQueue = !other.withoutSideQueue
+	one, rival := o.build(base, moved), o.build(base, other)
+	one.rival, rival.rival = rival, one
+	o.configs = append(o.configs, one, rival)
 	o.send(one)
-	o.sim.after(o.sim.between(0, 20*time.Millisecond), func() { o.send(other) })
+	o.sim.after(o.sim.between(0, 20*time.Millisecond), func() { o.send(rival) })
 	o.sim.after(o.sim.between(2*time.Second, 6*time.Second), o.restoreQueue)
 	return true
 }
@@ -191,7 +201,7 @@
 	if len(o.configs) == 0 {
 		return
 	}
-	c := o.build(o.base(), o.moved, o.without)
+	c := o.build(o.base(), o.variant)
 	what := ""
 	switch o.sim.rng.IntN(4) {
 	case 0:
@@ -205,13 +215,13 @@
 	}
 	c.change.Digest += " invalid: " + what
 	o.order(c.change, func() {
-		o.sim.invariantChecker.breach(ConfigRule, "a configuration that %s is acknowledged", what)
-	}, func(error) { o.sim.invariantChecker.count(ConfigRule) })
+		o.sim.checker.breach(ConfigRule, "a configuration that %s is acknowledged", what)
+	}, func(error) { o.sim.checker.count(ConfigRule) })
 }
 
-// change is controller.Leader.change.
+// change is what controller.Leader does with an operator's change.
 func (n *node) change(change any, done func(any, error)) {
-	_, term, err := n.look()
+	_, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
@@ -225,9 +235,9 @@
 		return
 	}
 	if o.sim.chance(0.5) {
-		o.moved = !o.moved
+		o.variant.isQueueMoved = !o.variant.isQueueMoved
 	} else {
-		o.without = true
+		o.variant.withoutSideQueue = true
 		o.sim.after(o.sim.between(2*time.Second, 6*time.Second), o.restoreQueue)
 	}
 	o.configure()
@@ -239,8 +249,8 @@
 		o.sim.after(200*time.Millisecond, o.restoreQueue)
 		return
 	}
-	if o.without {
-		o.without = false
+	if o.variant.withoutSideQueue {
+		o.variant.withoutSideQueue = false
 		o.configure()
 	}
 }
@@ -257,8 +267,8 @@
 	sent := o.sim.now
 	o.order(jobs.Evacuate{Zone: e.zone, Start: true}, func() {
 		e.acked, e.ackedAt = true, o.sim.now
-		o.sim.invariantChecker.count(EvacRule)
-		o.sim.invariantChecker.acknowledged("an evacuation", sent)
+		o.sim.checker.count(EvacRule)
+		o.sim.checker.checkAcknowledgement("an evacuation", sent)
 	}, o.neverRefused)
 	o.sim.after(o.sim.between(6*time.Second, 12*time.Second), func() { o.finishEvacuation(e) })
 }
