--- /dev/null
+++ b/internal/dataplane/scheduler/admit.go
@@ -0,0 +1,201 @@
+package scheduler
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"crosstide/internal/state"
+)
+
+// queue holds the due tasks: those in back-off by time, the others by class. An entry may be out of date; it is checked
+// against the replica when it is taken. Owner: Core.
+type queue struct {
+	classes map[string]*class // by key
+	backoff backoffHeap
+	queued  map[state.TaskRef]bool // all of classes and backoff
+}
+
+func (q *queue) clear() {
+	q.classes, q.backoff, q.queued = map[string]*class{}, nil, map[state.TaskRef]bool{}
+}
+
+func (q *queue) len() int { return len(q.queued) }
+
+// isIdle reports whether no task is ready to be placed.
+func (q *queue) isIdle() bool { return len(q.queued) == len(q.backoff) }
+
+// class is the due tasks that the same workers may run.
+type class struct {
+	key      string
+	taskType string
+	queue    string
+	team     string
+	gang     bool // all of its tasks start together
+
+	refs []queuedTask // by age of their jobs, from head on
+	head int
+
+	unschedulable bool // fitted on no worker when all were tried last
+	// passedOverSince is since when younger tasks have been started while none of it fitted; 0: they were not.
+	passedOverSince   time.Duration
+	nextReservationAt time.Duration // no reservation for it before
+}
+
+// queuedTask is a due task in its class.
+type queuedTask struct {
+	state.TaskRef
+	seq uint64 // of its job
+}
+
+// insert puts a task behind those of its job and of older ones, so that one that falls due again keeps its place.
+// Most tasks come last, and those that come again belong near the head: the shorter side is moved.
+func (k *class) insert(q queuedTask) {
+	at, _ := slices.BinarySearchFunc(k.refs[k.head:], q.seq+1,
+		func(e queuedTask, seq uint64) int { return cmp.Compare(e.seq, seq) })
+	if k.head > 0 && at < len(k.refs)-k.head-at {
+		k.head--
+		copy(k.refs[k.head:], k.refs[k.head+1:k.head+1+at])
+		k.refs[k.head+at] = q
+		return
+	}
+	k.refs = slices.Insert(k.refs, k.head+at, q)
+}
+
+// groupSize is how many of its tasks are placed together.
+func (k *class) groupSize() int {
+	if k.gang {
+		return len(k.refs) - k.head
+	}
+	return 1
+}
+
+// backoffTask is a due task that is not to be placed before at.
+type backoffTask struct {
+	at  time.Duration
+	ref state.TaskRef
+}
+
+// backoffHeap is a container/heap by time.
+type backoffHeap []backoffTask
+
+// Len is part of heap.Interface.
+func (h backoffHeap) Len() int { return len(h) }
+
+// Less orders the tasks by the end of their back-off; part of heap.Interface.
+func (h backoffHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap is part of heap.Interface.
+func (h backoffHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push is part of heap.Interface.
+func (h *backoffHeap) Push(x any) { *h = append(*h, x.(backoffTask)) }
+
+// Pop is part of heap.Interface.
+func (h *backoffHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
+
+// enqueueDueTasks enqueues what is due of a job.
+func (c *Core) enqueueDueTasks(job *state.Job) {
+	for step := range job.Tasks {
+		for task := range job.Tasks[step] {
+			if job.Tasks[step][task].Phase == state.TaskDue {
+				c.enqueue(state.TaskRef{Job: job.Spec.Key, Step: step, Task: task})
+			}
+		}
+	}
+}
+
+// enqueue admits a task that fell due; one that is queued already, or not due any more, is passed over.
+func (c *Core) enqueue(ref state.TaskRef) {
+	_, task := c.st.TaskOf(ref)
+	if task == nil || task.Phase != state.TaskDue {
+		return
+	}
+	if task.RunID > 0 && c.released[task.RunID] == nil {
+		c.released[task.RunID] = &releasedRun{ref: ref}
+	}
+	if c.queue.queued[ref] {
+		return
+	}
+	c.queue.queued[ref] = true
+	if wait := task.DueAt.Sub(c.st.At); !task.DueAt.IsZero() && wait > 0 {
+		heap.Push(&c.queue.backoff, backoffTask{c.now + wait, ref})
+		return
+	}
+	c.addToClass(ref)
+}
+
+// endBackoffs moves tasks whose back-off is over to their classes.
+func (c *Core) endBackoffs(now time.Duration) {
+	for len(c.queue.backoff) > 0 && c.queue.backoff[0].at <= now {
+		c.addToClass(heap.Pop(&c.queue.backoff).(backoffTask).ref)
+	}
+}
+
+// addToClass puts a task into its class, a new one if there is none.
+func (c *Core) addToClass(ref state.TaskRef) {
+	job, _ := c.st.TaskOf(ref)
+	if job == nil {
+		delete(c.queue.queued, ref)
+		return
+	}
+	step := &job.Spec.Steps[ref.Step]
+	key := c.classKey(job, step, ref)
+	k := c.queue.classes[key]
+	if k == nil {
+		k = &class{key: key, taskType: step.Type, queue: job.Spec.Queue, team: job.Spec.Team, gang: step.Gang}
+		c.queue.classes[key] = k
+	}
+	k.insert(queuedTask{ref, job.Seq})
+}
+
+// classKey names all that decides which workers may run a task. Ties between classes go by it.
+func (c *Core) classKey(job *state.Job, step *state.StepSpec, ref state.TaskRef) string {
+	var key strings.Builder
+	fmt.Fprintf(&key, "%s|%s|%s|%d|%d", job.Spec.Queue, job.Spec.Team, step.Type, step.Cores, step.GPUs)
+	for _, label := range slices.Sorted(maps.Keys(step.Labels)) {
+		key.WriteString("|" + label + "=" + step.Labels[label])
+	}
+	if step.Gang {
+		fmt.Fprintf(&key, "|gang|%s|%d", ref.Job, ref.Step)
+	}
+	if !step.Gang && c.st.IsRestart(ref) { // not to wait behind one that its party's balance does not cover
+		key.WriteString("|attached")
+	}
+	return key.String()
+}
+
+// peek returns the oldest task of a class that is still due, with its job; nil if none is left. Tasks that are not due
+// any more are dropped.
+func (c *Core) peek(k *class) (*state.Job, *state.TaskRef) {
+	for k.head < len(k.refs) {
+		ref := &k.refs[k.head].TaskRef
+		if job, task := c.st.TaskOf(*ref); task != nil && task.Phase == state.TaskDue && job.Phase == state.JobRunning {
+			return job, ref
+		}
+		c.pop(k)
+	}
+	return nil, nil
+}
+
+// pop removes the oldest task of a class.
+func (c *Core) pop(k *class) {
+	delete(c.queue.queued, k.refs[k.head].TaskRef)
+	k.head++
+	switch {
+	case k.head == len(k.refs):
+		k.refs, k.head = nil, 0
+	case k.head > 1024 && k.head > len(k.refs)/2:
+		k.refs = append([]queuedTask(nil), k.refs[k.head:]...)
+		k.head = 0
+	}
+}
--- a/internal/dataplane/scheduler/budget_test.go
+++ b/internal/dataplane/scheduler/budget_test.go
@@ -171,7 +171,7 @@
 		for i := range 200 {
 			p.free(fmt.Sprint("f", i))
 			p.serve(50 * time.Millisecond)
-			So(p.core.reservation, ShouldBeNil)
+			So(p.core.placement.reservation, ShouldBeNil)
 			if h := p.st.Handles[p.st.LastRunID]; h != nil {
 				p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: h.RunID, OK: true}}})
 			}
--- a/internal/dataplane/scheduler/health.go
+++ b/internal/dataplane/scheduler/health.go
@@ -7,36 +7,40 @@
 	"crosstide/internal/state"
 )
 
-// HealthConfig says when a minion counts as sick: it spoils tasks of a type that its peers end well.
+// HealthConfig says when a worker is ejected as unhealthy: it fails tasks of a type that its peers complete.
 type HealthConfig struct {
-	MinFailures      float64       // ends in failure of a type, recent ones counting more, before a minion is judged
-	MinExcessRate    float64       // its failure rate must be above its peers' by this much
+	MinFailures      float64       // decayed failures of a type, before a worker is judged
+	MinExcessRate    float64       // its failure rate must exceed its peers' by this much
 	HalfLife         time.Duration // an end counts half after it
-	MaxShare         float64       // of the minions of a zone that may be held sick at once, one at least; 0: none is
-	ProbeInterval    time.Duration // between two probes of a sick minion, doubled after each that fails
+	MaxShare         float64       // of a zone's workers that may be ejected at once, one at least; 0: none is
+	ProbeInterval    time.Duration // between two probes of an ejected worker, doubled after each that fails
 	MaxProbeInterval time.Duration
-	RecoverAfter     int // probes that must end well in a row
+	RecoverAfter     int // probes that must succeed in a row
 }
 
-// DefaultHealthConfig are our starting values.
+// DefaultHealthConfig has the values that a node starts with where its settings do not say.
 func DefaultHealthConfig() HealthConfig {
-	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxShare: 0.3, ProbeInterval: 4 * time.Second,
-		MaxProbeInterval: 15 * time.Second, RecoverAfter: 3}
+	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxShare: 0.3,
+		ProbeInterval: 4 * time.Second, MaxProbeInterval: 15 * time.Second, RecoverAfter: 3}
 }
 
-// score counts ends, halved every half-life.
+// maxBlamedWorkers is how many workers may be blamed for the failures of one job. A job that fails on one worker after
+// another cannot succeed, and its failures say nothing about the workers.
+const maxBlamedWorkers = 2
+
+// score counts ends of runs, halved every half-life.
 type score struct {
 	succeeded, failed float64
-	at                time.Duration
+	at                time.Duration // of the newest halving
 }
 
-func (s *score) decay(now, half time.Duration) {
-	for s.at == 0 || now-s.at >= half {
-		if s.at == 0 || now-s.at >= 16*half {
+func (s *score) decay(now, halfLife time.Duration) {
+	for s.at == 0 || now-s.at >= halfLife {
+		if s.at == 0 || now-s.at >= 16*halfLife {
 			*s = score{at: now}
 			return
 		}
-		s.succeeded, s.failed, s.at = s.succeeded/2, s.failed/2, s.at+half
+		s.succeeded, s.failed, s.at = s.succeeded/2, s.failed/2, s.at+halfLife
 	}
 }
 
@@ -47,155 +51,179 @@
 	return s.failed / (s.succeeded + s.failed)
 }
 
-// ejection is the record of a sick minion.
+// ejection is the record of an ejected worker, which gets single starts as probes until enough of them succeed.
 type ejection struct {
-	since         time.Duration
-	taskType      string        // the type it spoils
-	nextProbeAt   time.Duration // when the next probe may start
+	nextProbeAt   time.Duration
 	probeInterval time.Duration
-	successes     int
-	probes        map[uint64]bool // run IDs out as probes
+	successes     int             // in a row
+	probes        map[uint64]bool // run IDs in flight
 }
 
-// health judges minions by how the tasks end that they were given. It is the holder's own memory: a new holder
-// learns anew.
+// health judges workers by the ends of their runs. It is this leader's own memory; a new leader begins without. Owner:
+// Core.
 type health struct {
 	cfg          HealthConfig
-	scores       map[string]map[string]*score // by minion, by type
-	totals       map[string]*score            // by type, over all minions
-	unhealthy    map[string]*ejection
-	failedByTask map[state.TaskRef][]string // minions on which a task ended in failure, oldest first
-	failedByJob  map[string][]string        // minions on which a job's tasks ended in failure
-	ejections    uint64                     // minions taken for sick so far
+	scores       map[string]map[string]*score // by worker, by task type
+	totals       map[string]*score            // by task type, over all workers
+	unhealthy    map[string]*ejection         // by worker
+	failedByTask map[state.TaskRef][]string   // workers on which a task failed, oldest first
+	failedByJob  map[string][]string          // workers on which tasks of a job failed
 }
 
 func newHealth(cfg HealthConfig) health {
-	return health{cfg: cfg, scores: map[string]map[string]*score{}, totals: map[string]*score{}, unhealthy: map[string]*ejection{},
-		failedByTask: map[state.TaskRef][]string{}, failedByJob: map[string][]string{}}
+	return health{
+		cfg:          cfg,
+		scores:       map[string]map[string]*score{},
+		totals:       map[string]*score{},
+		unhealthy:    map[string]*ejection{},
+		failedByTask: map[state.TaskRef][]string{},
+		failedByJob:  map[string][]string{},
+	}
 }
 
-func (h *health) score(worker, kind string) *score {
+func (h *health) score(worker, taskType string) *score {
 	if h.scores[worker] == nil {
 		h.scores[worker] = map[string]*score{}
 	}
-	if h.scores[worker][kind] == nil {
-		h.scores[worker][kind] = &score{}
+	if h.scores[worker][taskType] == nil {
+		h.scores[worker][taskType] = &score{}
 	}
-	return h.scores[worker][kind]
+	return h.scores[worker][taskType]
 }
 
-func (h *health) total(kind string) *score {
-	if h.totals[kind] == nil {
-		h.totals[kind] = &score{}
+func (h *health) total(taskType string) *score {
+	if h.totals[taskType] == nil {
+		h.totals[taskType] = &score{}
 	}
-	return h.totals[kind]
+	return h.totals[taskType]
 }
 
-// maxBlamedWorkers is how many minions a job may spoil before its ends in failure are held against itself, not against them.
-const maxBlamedWorkers = 2
-
-// endPending takes in how a run ended. A job that ends in failure on one minion after another is a job that cannot
-// succeed: its ends tell nothing of the minions.
-func (h *health) recordEnd(now time.Duration, hd *state.Handle, well bool) {
-	name, ref := hd.Worker, hd.Ref
-	one, all := h.score(name, hd.Type), h.total(hd.Type)
+// recordEnd counts an end of a run, and of a probe if it was one.
+func (h *health) recordEnd(now time.Duration, handle *state.Handle, ok bool) {
+	one, all := h.score(handle.Worker, handle.Type), h.total(handle.Type)
 	one.decay(now, h.cfg.HalfLife)
 	all.decay(now, h.cfg.HalfLife)
-	switch {
-	case well:
+	if ok {
 		one.succeeded++
 		all.succeeded++
-		delete(h.failedByTask, ref)
-	default:
-		if at := h.failedByTask[ref]; !slices.Contains(at, name) {
-			h.failedByTask[ref] = append(at, name)
-		}
-		at := h.failedByJob[ref.Job]
-		if !slices.Contains(at, name) {
-			at = append(at, name)
-			h.failedByJob[ref.Job] = at
-		}
-		if len(at) <= maxBlamedWorkers {
-			one.failed++
-			all.failed++
-		}
+		delete(h.failedByTask, handle.Ref)
+	} else if h.recordFailure(handle.Worker, handle.Ref) {
+		one.failed++
+		all.failed++
+	}
+	h.recordProbeEnd(now, handle, ok)
+}
+
+// recordFailure remembers on which worker a task failed, and reports whether the worker is to blame.
+func (h *health) recordFailure(worker string, ref state.TaskRef) bool {
+	if failed := h.failedByTask[ref]; !slices.Contains(failed, worker) {
+		h.failedByTask[ref] = append(failed, worker)
 	}
-	w := h.unhealthy[name]
-	if w == nil || !w.probes[hd.RunID] {
+	if failed := h.failedByJob[ref.Job]; !slices.Contains(failed, worker) {
+		h.failedByJob[ref.Job] = append(failed, worker)
+	}
+	return len(h.failedByJob[ref.Job]) <= maxBlamedWorkers
+}
+
+// recordProbeEnd ends an ejection after enough good probes, and puts the next probe off after a failed one.
+func (h *health) recordProbeEnd(now time.Duration, handle *state.Handle, ok bool) {
+	e := h.unhealthy[handle.Worker]
+	if e == nil || !e.probes[handle.RunID] {
 		return
 	}
-	delete(w.probes, hd.RunID)
-	if !well {
-		w.successes, w.probeInterval = 0, min(2*w.probeInterval, h.cfg.MaxProbeInterval)
-		w.nextProbeAt = now + w.probeInterval
+	delete(e.probes, handle.RunID)
+	if !ok {
+		e.successes, e.probeInterval = 0, min(2*e.probeInterval, h.cfg.MaxProbeInterval)
+		e.nextProbeAt = now + e.probeInterval
 		return
 	}
-	w.nextProbeAt = now
-	if w.successes++; w.successes >= h.cfg.RecoverAfter {
-		delete(h.unhealthy, name)
-		delete(h.scores, name) // a fresh start
+	e.nextProbeAt = now
+	if e.successes++; e.successes >= h.cfg.RecoverAfter {
+		delete(h.unhealthy, handle.Worker)
+		delete(h.scores, handle.Worker) // what it failed before must not eject it again
 	}
 }
 
-// recordLost takes in that a run is over without an end that tells anything.
+// recordLost forgets a probe that is over without an end.
 func (h *health) recordLost(worker string, runID uint64) {
-	if w := h.unhealthy[worker]; w != nil {
-		delete(w.probes, runID)
+	if e := h.unhealthy[worker]; e != nil {
+		delete(e.probes, runID)
 	}
 }
 
-// checkHealth tells whether a minion is to be held sick now, for a type: it ends clearly more of it in failure than its
-// peers do. zone counts the minions of its zone and those of them held sick.
-func (h *health) ejectIfUnhealthy(now time.Duration, name, kind string, zone, unhealthy int) bool {
-	if h.cfg.MaxShare == 0 || h.unhealthy[name] != nil || float64(unhealthy+1) > max(1, h.cfg.MaxShare*float64(zone)) {
+// recordProbe counts a run ID as a probe if its worker is ejected.
+func (h *health) recordProbe(worker string, runID uint64) {
+	if e := h.unhealthy[worker]; e != nil {
+		e.probes[runID] = true
+	}
+}
+
+// ejectIfUnhealthy ejects a worker, and reports it, if it fails clearly more tasks of a type than its peers do. inZone
+// counts the workers of its zone, ejected those of them that are ejected.
+func (h *health) ejectIfUnhealthy(now time.Duration, worker, taskType string, inZone, ejected int) bool {
+	if h.cfg.MaxShare == 0 || h.unhealthy[worker] != nil {
 		return false
 	}
-	one, all := *h.score(name, kind), *h.total(kind)
+	if float64(ejected+1) > max(1, h.cfg.MaxShare*float64(inZone)) {
+		return false
+	}
+	one, all := *h.score(worker, taskType), *h.total(taskType)
 	one.decay(now, h.cfg.HalfLife)
 	all.decay(now, h.cfg.HalfLife)
 	if one.failed < h.cfg.MinFailures {
 		return false
 	}
 	peers := score{succeeded: max(all.succeeded-one.succeeded, 0), failed: max(all.failed-one.failed, 0)}
-	if peers.succeeded < 1 { // nobody ends it well: the failure is not the minion's
+	if peers.succeeded < 1 { // nobody completes the type: the cause is not the worker
 		return false
 	}
 	if one.failureRate() < peers.failureRate()+h.cfg.MinExcessRate {
 		return false
 	}
-	h.unhealthy[name] = &ejection{since: now, taskType: kind, probeInterval: h.cfg.ProbeInterval, nextProbeAt: now + h.cfg.ProbeInterval, probes: map[uint64]bool{}}
-	h.ejections++
+	h.unhealthy[worker] = &ejection{probeInterval: h.cfg.ProbeInterval, nextProbeAt: now + h.cfg.ProbeInterval,
+		probes: map[uint64]bool{}}
 	return true
 }
 
-// admitsStart tells whether a minion may get another start now: a healthy one always, a sick one a single probe.
-func (h *health) admitsStart(now time.Duration, name string) bool {
-	w := h.unhealthy[name]
-	return w == nil || len(w.probes) == 0 && now >= w.nextProbeAt
-}
-
-// recordProbe notes that a run ID was given on a minion; on a sick one it is a probe.
-func (h *health) recordProbe(name string, runID uint64) {
-	if w := h.unhealthy[name]; w != nil {
-		w.probes[runID] = true
-	}
+// admitsStart reports whether a worker may get another start now: a healthy one always, an ejected one a single probe.
+func (h *health) admitsStart(now time.Duration, worker string) bool {
+	e := h.unhealthy[worker]
+	return e == nil || len(e.probes) == 0 && now >= e.nextProbeAt
 }
 
-// hasFailedOn tells whether a task had better not run on a minion again: it ended in failure there.
-func (h *health) hasFailedOn(ref state.TaskRef, name string) bool {
-	return slices.Contains(h.failedByTask[ref], name)
+// hasFailedOn reports whether a task has failed on a worker, and had better run on another.
+func (h *health) hasFailedOn(ref state.TaskRef, worker string) bool {
+	return slices.Contains(h.failedByTask[ref], worker)
 }
 
-// dropFinishedJobs lets go of what is held about jobs that are over.
-func (h *health) dropFinishedJobs(alive func(job string) bool) {
+// dropFinishedJobs forgets the failures of jobs that are over.
+func (h *health) dropFinishedJobs(isOpen func(job string) bool) {
 	for ref := range h.failedByTask {
-		if !alive(ref.Job) {
+		if !isOpen(ref.Job) {
 			delete(h.failedByTask, ref)
 		}
 	}
 	for job := range h.failedByJob {
-		if !alive(job) {
+		if !isOpen(job) {
 			delete(h.failedByJob, job)
 		}
 	}
 }
+
+// checkHealth ejects a worker that fails what its peers complete, as far as its zone can spare it.
+func (c *Core) checkHealth(now time.Duration, w *worker, taskType string) {
+	rec := c.st.Workers[w.name]
+	if rec == nil || c.health.score(w.name, taskType).failed < c.cfg.Health.MinFailures {
+		return
+	}
+	inZone, ejected := 0, 0
+	for name, other := range c.st.Workers {
+		if other.Zone == rec.Zone {
+			inZone++
+			if c.health.unhealthy[name] != nil {
+				ejected++
+			}
+		}
+	}
+	c.health.ejectIfUnhealthy(now, w.name, taskType, inZone, ejected)
+}
--- /dev/null
+++ b/internal/dataplane/scheduler/place.go
@@ -0,0 +1,306 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// placement is what placement remembers from one plan to the next. Owner: Core.
+type placement struct {
+	ring         []string        // names of workers, in the order in which they were first seen
+	ringOffset   int             // where in the ring the next plan begins, so that starts spread over the workers
+	freedWorkers map[string]bool // workers that may take what they could not when placement ran last
+	fullScan     bool            // the next placement tries every class on all workers
+	current      bool            // nothing that placement depends on has changed since it ran last
+
+	reservation       *reservation // nil: none
+	nextReservationAt time.Duration
+	budget            budget
+}
+
+func (p *placement) clear() {
+	p.ring, p.freedWorkers, p.fullScan = nil, map[string]bool{}, true
+	p.reservation, p.nextReservationAt = nil, 0
+}
+
+// candidate is what is free on a worker while a plan is made.
+type candidate struct {
+	rec         *state.Worker
+	cores, gpus int
+	probe       bool // of an ejected worker: one start, no more
+}
+
+// placementRound is one run of placement.
+type placementRound struct {
+	plan *command.Plan
+	// The workers that may get a start, and those among them that freedWorkers names. The first is empty if no class
+	// is to be tried on all. The search for a worker goes on where the one before ended.
+	all, freed           []*candidate
+	nextInAll, nextFreed int
+
+	unschedulable map[string]bool // classes that fit on none of the workers that they are tried on, by key
+	startsByType  map[string]int
+	startsByTeam  map[string]int
+}
+
+// place puts starts for due tasks into a plan. Urgent queues go first, then types under their limit, then those over
+// it; in each the team first that has fewest runs for its weight, if the policy has weights, then the oldest job.
+//
+// A class that fits nowhere delays no other one but by short reservations (see reserve.go): no limit and no large task
+// leaves capacity idle for long that another due task may use.
+func (c *Core) place(now time.Duration, p *command.Plan) {
+	c.endBackoffs(now)
+	if c.queue.isIdle() || len(c.placement.ring) == 0 {
+		return
+	}
+	c.resetBudget()
+	if c.placement.fullScan {
+		c.updateReservation(now)
+	}
+	round := c.newRound(now, p)
+	if len(round.all)+len(round.freed) == 0 {
+		clear(c.placement.freedWorkers)
+		return
+	}
+	for len(p.Starts) < c.cfg.MaxStarts {
+		k, job := c.nextClass(round)
+		if k == nil {
+			break
+		}
+		if !c.placeGroup(now, round, k, job) {
+			round.unschedulable[k.key], k.unschedulable = true, true
+		}
+	}
+	c.recordPassedOver(now, round)
+	clear(c.placement.budget.reserved)
+	c.placement.ringOffset = (c.placement.ringOffset + round.nextInAll) % len(c.placement.ring)
+	if len(p.Starts) < c.cfg.MaxStarts {
+		clear(c.placement.freedWorkers)
+	}
+}
+
+// newRound selects the workers that may get a start now, and the classes that fit on none of them.
+//
+// A class that fitted nowhere is tried on freed workers only, until a sweep or a change of placement: on a full cluster
+// every answer would else cost the number of classes times that of workers.
+func (c *Core) newRound(now time.Duration, p *command.Plan) *placementRound {
+	round := &placementRound{plan: p, unschedulable: map[string]bool{},
+		startsByType: map[string]int{}, startsByTeam: map[string]int{}}
+	tryAll := c.placement.fullScan
+	for _, k := range c.queue.classes {
+		tryAll = tryAll || !k.unschedulable
+	}
+	if tryAll {
+		round.all = c.candidates(now, c.rotatedRing())
+		for _, w := range round.all {
+			if c.placement.freedWorkers[w.rec.Name] {
+				round.freed = append(round.freed, w)
+			}
+		}
+	} else {
+		round.freed = c.candidates(now, sortedKeys(c.placement.freedWorkers))
+	}
+	for key, k := range c.queue.classes {
+		if c.placement.fullScan || !k.unschedulable {
+			k.unschedulable = !c.fitsAny(k, round.all)
+			round.unschedulable[key] = k.unschedulable
+		} else {
+			round.unschedulable[key] = !c.fitsAny(k, round.freed)
+		}
+	}
+	c.placement.fullScan = false
+	return round
+}
+
+// rotatedRing is the ring from its offset on.
+func (c *Core) rotatedRing() []string {
+	ring := make([]string, len(c.placement.ring))
+	for i := range ring {
+		ring[i] = c.placement.ring[(c.placement.ringOffset+i)%len(ring)]
+	}
+	return ring
+}
+
+// candidates returns those of the named workers that may get a start now.
+func (c *Core) candidates(now time.Duration, names []string) []*candidate {
+	out := make([]*candidate, 0, len(names))
+	for _, name := range names {
+		w, rec := c.workers[name], c.st.Workers[name]
+		if w == nil || rec == nil || !c.acceptsStarts(now, w, rec) {
+			continue
+		}
+		used := c.st.UsageOf(name)
+		free := &candidate{rec, rec.Cores - used.Cores, rec.GPUs - used.GPUs, c.health.unhealthy[name] != nil}
+		if free.cores > 0 {
+			out = append(out, free)
+		}
+	}
+	return out
+}
+
+// acceptsStarts reports whether a worker may get starts now. One with an order on its way gets none: orders go out one
+// at a time, in the order of run IDs.
+func (c *Core) acceptsStarts(now time.Duration, w *worker, rec *state.Worker) bool {
+	answers := w.heardAt > 0 && w.failures == 0 && now-w.heardAt <= c.cfg.PlacementTimeout
+	known := w.report == nil && rec.Incarnation == w.incarnation // by the store
+	return answers && known && !w.draining && w.orderCall == 0 && len(w.outbox) == 0 &&
+		c.health.admitsStart(now, w.name)
+}
+
+// fitsAny reports whether any candidate would take the oldest task of a class.
+func (c *Core) fitsAny(k *class, candidates []*candidate) bool {
+	job, ref := c.peek(k)
+	if job == nil {
+		return true // nextClass drops it
+	}
+	if c.awaitsTopUp(k) {
+		return false
+	}
+	step := &job.Spec.Steps[ref.Step]
+	return slices.ContainsFunc(candidates, func(w *candidate) bool { return c.fits(k, job, step, w) })
+}
+
+// fits reports whether a candidate would take a task of a class.
+func (c *Core) fits(k *class, job *state.Job, step *state.StepSpec, w *candidate) bool {
+	return c.mayUse(k, w.rec.Name) && w.cores >= step.Cores && w.gpus >= step.GPUs &&
+		c.st.PlacementRefusal(&job.Spec, step, w.rec) == ""
+}
+
+// classPriority orders the classes that placement may take next.
+type classPriority struct {
+	rank  rank
+	share float64
+	seq   uint64 // of the oldest job
+	key   string
+}
+
+func (p classPriority) before(other classPriority) bool {
+	switch {
+	case p.rank != other.rank:
+		return p.rank < other.rank
+	case p.share != other.share:
+		return p.share < other.share
+	case p.seq != other.seq:
+		return p.seq < other.seq
+	}
+	return p.key < other.key
+}
+
+// nextClass returns the class whose oldest task is next, with the job of that task; nil if none is left. Classes
+// without tasks are dropped.
+func (c *Core) nextClass(round *placementRound) (*class, *state.Job) {
+	var next *class
+	var nextJob *state.Job
+	var first classPriority
+	for key, k := range c.queue.classes {
+		if round.unschedulable[key] {
+			continue
+		}
+		job, _ := c.peek(k)
+		if job == nil {
+			delete(c.queue.classes, key)
+			continue
+		}
+		rank, share := c.rankOf(k, round.startsByType[k.taskType]), c.teamShare(k.team, round.startsByTeam[k.team])
+		if p := (classPriority{rank, share, job.Seq, key}); next == nil || p.before(first) {
+			next, nextJob, first = k, job, p
+		}
+	}
+	return next, nextJob
+}
+
+// teamShare is the number of a team's runs for its weight, with its starts of this round; 0 for all while the policy
+// has no weights.
+func (c *Core) teamShare(team string, starts int) float64 {
+	if len(c.st.Bundle.Weights) == 0 {
+		return 0
+	}
+	return float64(c.runningByTeam[team]+starts) / float64(max(1, c.st.Bundle.Weights[team]))
+}
+
+// placeGroup puts starts for the next tasks of a class that go together into the plan. It reports false, and changes
+// nothing, if not all of them fit or their party's balance does not cover them.
+func (c *Core) placeGroup(now time.Duration, round *placementRound, k *class, job *state.Job) bool {
+	size := k.groupSize()
+	candidates, next := round.all, &round.nextInAll
+	if k.unschedulable && !k.gang || len(round.all) == 0 {
+		candidates, next = round.freed, &round.nextFreed
+	}
+	if !c.isCovered(k, job) {
+		return false
+	}
+	starts := c.fitGroup(candidates, next, k, job, size)
+	if starts == nil {
+		return false
+	}
+	c.reserveFee(k, job)
+	for range size {
+		c.pop(k)
+	}
+	if k.passedOverSince = 0; c.placement.reservation != nil && c.placement.reservation.class == k.key {
+		c.endReservation(now)
+	}
+	if k.gang {
+		delete(c.queue.classes, k.key)
+		for i := range starts {
+			starts[i].Group = len(round.plan.Starts) + 1
+		}
+	}
+	round.plan.Starts = append(round.plan.Starts, starts...)
+	round.startsByType[k.taskType] += size
+	round.startsByTeam[k.team] += size
+	return true
+}
+
+// fitGroup finds workers for the next size tasks of a class and takes their capacity, for all or none: nil if they do
+// not all fit.
+func (c *Core) fitGroup(candidates []*candidate, next *int, k *class, job *state.Job, size int) []command.Start {
+	var starts []command.Start
+	var taken []*candidate
+	for i := range size {
+		ref := k.refs[k.head+i].TaskRef
+		step := &job.Spec.Steps[ref.Step]
+		found := c.findWorker(candidates, next, k, job, ref, size > 1)
+		if found == nil {
+			for n, w := range taken {
+				step := &job.Spec.Steps[starts[n].Ref.Step]
+				w.cores += step.Cores
+				w.gpus += step.GPUs
+			}
+			return nil
+		}
+		found.cores -= step.Cores
+		found.gpus -= step.GPUs
+		if found.probe {
+			found.cores = 0
+		}
+		taken = append(taken, found)
+		starts = append(starts, command.Start{Ref: ref, Worker: found.rec.Name, Incarnation: found.rec.Incarnation})
+	}
+	return starts
+}
+
+// findWorker returns the next candidate that takes a task, nil if none does. One on which the task has failed before
+// is taken only if no other one takes it, and not as a probe. A probe must not delay a gang.
+func (c *Core) findWorker(candidates []*candidate, next *int, k *class, job *state.Job, ref state.TaskRef,
+	inGang bool) *candidate {
+	step := &job.Spec.Steps[ref.Step]
+	var fallback *candidate
+	for range candidates {
+		w := candidates[*next%len(candidates)]
+		*next++
+		if w.probe && inGang || !c.fits(k, job, step, w) {
+			continue
+		}
+		if !c.health.hasFailedOn(ref, w.rec.Name) {
+			return w
+		}
+		if fallback == nil && !w.probe {
+			fallback = w
+		}
+	}
+	return fallback
+}
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -1,8 +1,26 @@
-// Package scheduler is the duty `sched`: the running counts, placement, run IDs and the hold calls to the minions.
+// Package scheduler decides, for the policy deployment, which task runs on which worker: it admits due tasks, places
+// them under the placement policy in force, asks the store for their run IDs, renews the leases of runs, and finds out
+// what became of each run. It is the singleton role named `sched`; at most one node acts in it at a time.
 //
-// Core is a step function without clock, socket or goroutine: its owner feeds it notes of the replicated state,
-// answers, failures and the time, and carries out what Pass gives. Runs and minions are records in tables; a pass
-// runs over those that changed, and over all on every sweep.
+// Core is a step function: it has no clock, socket or goroutine, never blocks, and never changes the replicated state
+// that it reads. Its owner (package dataplane) drives it under one lock:
+//
+//	core := scheduler.New(cfg, replica)   // replica changes go to core.StateChanged
+//	core.BecomeLeader(now, epoch)         // once the replica has reached the grant of the role
+//	core.SetRoleLease(until)              // with every renewal of the role's lease
+//	for {
+//		actions := core.Pass(now)         // on each input, and every few milliseconds
+//		// propose actions.Plan; hand its answer to core.PlanAnswered
+//		// send actions.Calls; hand each answer to core.CallAnswered or core.CallFailed
+//	}
+//
+// The rule that all of it keeps: a task has one run at a time. A start order leaves only after the commit of its run ID
+// was answered, inside a window; a task gets another run ID only after the store has the end of the run before it, or
+// the proof that this run can never run any more.
+//
+// The passes, one file each: admit (due tasks by class), place (workers for due tasks), reserve and budget (what
+// placement must keep free), plan (what is to be committed), renew (calls to workers), reconcile (what their answers
+// say), expire (what time alone changes), health (workers whose tasks fail). Begin with Core.Pass below, then place.go.
 package scheduler
 
 import (
@@ -16,58 +34,74 @@
 	"crosstide/internal/state/command"
 )
 
-// Config holds the durations that the passes go by.
+// Config holds the limits of the passes.
 type Config struct {
-	RunLease         time.Duration // how long a run goes on unheard
-	PollWait         time.Duration // how long a minion may keep a call waiting
-	StartWindow      time.Duration // from the answer of a run ID's commit to the write of its order
-	PlanWindow       time.Duration // from the sending of a plan to the write of its orders
-	Lateness         time.Duration // how late an obeying minion may carry out an order
-	RoleLeaseMargin  time.Duration // the duty's work stops this long before the lease ends
-	RetryInterval    time.Duration // between calls to a minion that does not answer
-	PlacementTimeout time.Duration // no new starts on a minion unheard for this long
-	// OrderTimeout bounds how long a minion may have been unheard when an order is sent: it may have begun to drain, and
-	// starts on it must end within 2 s of that.
+	RunLease         time.Duration // how long a run goes on without renewal, where its policy does not say
+	PollWait         time.Duration // how long a worker may delay the answer to a call without starts
+	StartWindow      time.Duration // from the answer to a run ID's commit until its start order is written
+	PlanWindow       time.Duration // from the proposal of a plan until its start orders are written
+	Lateness         time.Duration // bound on how late a worker of kind obey carries out an order
+	RoleLeaseMargin  time.Duration // the node stops to act this long before its role lease ends
+	RetryInterval    time.Duration // between calls to a worker that does not answer
+	PlacementTimeout time.Duration // no new starts on a worker unheard for this long
+	// OrderTimeout bounds how long a worker may have been unheard when an order is sent: it may have begun to drain,
+	// and starts on it must end within 2 s of that.
 	OrderTimeout  time.Duration
 	SweepInterval time.Duration // between passes over all records
-	MaxStarts     int           // most starts in a plan
-	// A kind of task that younger ones passed over for ReserveAfter, as it fitted nowhere, gets minions reserved for
-	// ReserveFor; ReserveRest lies between two reservations, ReserveRetry between two for the same kind.
+	MaxStarts     int           // of one plan
+	// A class that younger tasks passed over for ReserveAfter, because it fitted nowhere, gets workers reserved for
+	// ReserveFor. ReserveRest lies between two reservations, ReserveRetry between two for the same class.
 	ReserveAfter, ReserveFor, ReserveRest, ReserveRetry time.Duration
 	// From ReserveLongAfter on its reservations last ReserveLong, and one follows the other after ReserveRest.
 	ReserveLongAfter, ReserveLong time.Duration
-	Health                        HealthConfig
-}
 
-// DefaultConfig are our starting values.
-func DefaultConfig() Config {
-	return Config{RunLease: 20 * time.Second, PollWait: time.Second, StartWindow: 500 * time.Millisecond,
-		PlanWindow: 1900 * time.Millisecond, Lateness: 2 * time.Second, RoleLeaseMargin: 500 * time.Millisecond,
-		RetryInterval: 500 * time.Millisecond, PlacementTimeout: 2500 * time.Millisecond, OrderTimeout: 1500 * time.Millisecond, SweepInterval: 100 * time.Millisecond, MaxStarts: 1024,
-		ReserveAfter: 5 * time.Second, ReserveFor: 1500 * time.Millisecond, ReserveRest: time.Second, ReserveRetry: 3 * time.Second,
-		ReserveLongAfter: 10 * time.Second, ReserveLong: 2200 * time.Millisecond,
-		Health: DefaultHealthConfig()}
+	Health HealthConfig
 }
 
-// Phase is where the duty stands on this node.
+// DefaultConfig has the values that a node starts with where its settings do not say.
+func DefaultConfig() Config {
+	return Config{
+		RunLease:         20 * time.Second,
+		PollWait:         time.Second,
+		StartWindow:      500 * time.Millisecond,
+		PlanWindow:       1900 * time.Millisecond,
+		Lateness:         2 * time.Second,
+		RoleLeaseMargin:  500 * time.Millisecond,
+		RetryInterval:    500 * time.Millisecond,
+		PlacementTimeout: 2500 * time.Millisecond,
+		OrderTimeout:     1500 * time.Millisecond,
+		SweepInterval:    100 * time.Millisecond,
+		MaxStarts:        1024,
+		ReserveAfter:     5 * time.Second,
+		ReserveFor:       1500 * time.Millisecond,
+		ReserveRest:      time.Second,
+		ReserveRetry:     3 * time.Second,
+		ReserveLongAfter: 10 * time.Second,
+		ReserveLong:      2200 * time.Millisecond,
+		Health:           DefaultHealthConfig(),
+	}
+}
+
+// Phase is where the role stands on this node.
 type Phase string
 
+// Phases of the role.
 const (
-	Idle  Phase = "idle"  // another node has the duty
-	Ready Phase = "ready" // granted, tallies rebuilt
+	Idle  Phase = "idle"  // another node has the role, or none
+	Ready Phase = "ready" // granted to this node, records rebuilt
 )
 
 // Actions is what a pass wants done.
 type Actions struct {
-	Plan  *command.Plan  // to be committed; answered by Planned
-	Calls []OutgoingCall // to be sent; each answered by Answer or Failure
+	Plan  *command.Plan  // to be committed; answered by PlanAnswered
+	Calls []OutgoingCall // to be sent; each answered by CallAnswered or CallFailed
 }
 
-// OutgoingCall is one hold call to be sent.
+// OutgoingCall is one lease call to be sent.
 type OutgoingCall struct {
 	Worker  string
 	Addr    string
-	IsOrder bool // on the order line, else on the waiting line
+	IsOrder bool // on the worker's order connection, else on its poll connection
 	Call    internalapi.LeaseCall
 	// WriteBy is the time by which starts must have been written; 0 without starts.
 	WriteBy time.Duration
@@ -75,188 +109,124 @@
 
 // Counts are what a Core counted since it was made.
 type Counts struct {
-	RunIDs, Refused, Sent, Ended, FailedEnds, Unconfirmed, Stops, Plans, PlanFailures, CallFailures, StaleAnswers, MarkedUnhealthy uint64
-	ProvedDead                                                                                                                     map[string]uint64 // by proof
-}
-
-// Core is the duty's record tables and the passes over them. One caller at a time.
+	Plans        uint64
+	PlanFailures uint64
+	RunIDs       uint64 // given by the store
+	Refused      uint64 // starts refused by the store or by a worker
+	Sent         uint64 // start orders
+	Stops        uint64 // stop orders
+	Ended        uint64 // ends listed by workers
+	FailedEnds   uint64
+	Unconfirmed  uint64
+	CallFailures uint64
+	StaleAnswers uint64            // answers dropped because a newer one was handled before
+	ProvedDead   map[string]uint64 // runs, by kind of proof
+}
+
+// Core is the role's records and the passes over them. One caller at a time. The records are rebuilt from the replica
+// when the node takes the role; what workers answered under an earlier epoch is not carried over.
 type Core struct {
-	cfg         Config
-	st          *state.State
-	phase       Phase
-	epoch       uint64
-	leaderSince time.Duration // when this node took up the duty
-	leaseUntil  time.Duration // when its lease ends
-	// Where this node takes the same epoch up anew, it may have sent orders for run IDs up to old; its calls go on
-	// counting from called.
-	lastInheritedRunID, highestCall uint64
-	paused                          bool // the lease did not let this node act when it last looked
-
-	runs         map[uint64]*run
-	released     map[uint64]*releasedRun // by run ID
-	workers      map[string]*worker
-	ring         []string // minion names, for placement in turn
-	ringOffset   int
-	callsDue     map[string]bool // minions with something to send
-	reported     map[string]bool // minions with a report for the next plan
-	freedWorkers map[string]bool // minions that may take what they could not when placement last looked
-	fullScan     bool            // placement is to hold every class against all minions
-	queue        queue
-	health       health
-	// What some class has for itself now, and from when on there may be another reservation.
-	reservation       *reservation
-	nextReservationAt time.Duration
-	runningCounts     map[string]int
-	runningByTeam     map[string]int // handles out by team
-	budget            budget
-
-	planInFlight     *inFlightPlan
-	newlyRunning     []uint64
-	unconfirmed      []uint64
-	ends             []command.End
-	proofs           []command.Proof
-	nextSweepAt      time.Duration
-	nextGCAt         time.Duration
-	now              time.Duration // of the newest input
-	placementCurrent bool          // placement looked at the queue since the last change
-
 	Counts Counts
-}
 
-// inFlightPlan is the plan under way.
-type inFlightPlan struct {
-	plan        *command.Plan
-	sentAt      time.Duration
-	invalidated bool
-}
+	cfg  Config
+	st   *state.State  // the node's replica; read only
+	now  time.Duration // of the newest input
+	role role
 
-// run is the record of a handle.
-type run struct {
-	handle            *state.Handle
-	team              string
-	orderedIn         uint64        // the call its order went out with under this epoch; 0: not sent by this holder
-	inOutbox          bool          // waits in its minion's outbox
-	inFlight          bool          // its order is under way, unanswered
-	ofThisEpoch       bool          // its run ID was given under this epoch
-	leaseUntil        time.Duration // the latest hold that may have been told, in the minion's clock; 0: unknown
-	leaseIncarnation  string        // the boot whose clock until is of
-	absentSince       time.Duration // obeying minion: its clock when it was first found missing at or below the floor
-	absentIncarnation string        // under this boot
-	stopReason        string        // why it is to be stopped; "" if it is not
-	listed            bool
-	closing           bool // its end or proof waits in the next plan
-	endPending        bool // its end does
-}
+	runs          map[uint64]*run         // one for each handle of the replica
+	released      map[uint64]*releasedRun // by run ID
+	workers       map[string]*worker
+	runningCounts map[string]int  // handles by task type
+	runningByTeam map[string]int  // handles by team
+	callsDue      map[string]bool // workers that something may have to be sent to; emptied by each pass
 
-// releasedRun is the record of a due task whose newest run ID was let go without a good end. That end may still be heard,
-// and counts until a newer run ID is given.
-type releasedRun struct {
-	ref        state.TaskRef
-	endPending bool // its end waits in the next plan
+	facts        facts
+	planInFlight *inFlightPlan
+	queue        queue
+	placement    placement
+	health       health
+	nextSweepAt  time.Duration
+	nextGCAt     time.Duration // of records about finished jobs
 }
 
-// worker is the record of a minion: what its answers tell under this epoch.
-type worker struct {
-	name                string
-	incarnation         string
-	pastIncarnations    map[string]bool // boots before it
-	kind                string
-	draining            bool
-	heardAt             time.Duration // when the newest answer came; 0: not under this epoch
-	clock               time.Duration // its clock in that answer
-	lastCall            uint64        // number of the newest call
-	lastAnswered        uint64        // number of the newest call whose answer was taken in
-	pollCall            uint64        // the call on the waiting line; 0: none
-	orderCall           uint64        // the call on the order line; 0: none
-	failures            int
-	retryAt             time.Duration
-	lastCallBeforePause uint64 // calls up to this one left before the newest pause of the lease
-	unanswered          bool   // a later one got no answer, and none did since
-	floor               uint64
-	ackedFloor          uint64 // the floor it is known to have
-	runs                map[uint64]*run
-	outbox              []uint64 // committed run IDs to be ordered, ascending
-	outboxDeadline      time.Duration
-	acks                []uint64
-	orphans             map[uint64]string // listed as running without a handle: to be stopped
-	urgent              bool              // something must go out before the waiting call comes back
-	report              *state.Worker     // to go into the next plan
+// role is the state of the role on this node. Owner: the methods of this file.
+type role struct {
+	phase      Phase
+	epoch      uint64        // log index of the grant; stays after StepDown, so that a return under it is noticed
+	since      time.Duration // when this node took the role
+	leaseUntil time.Duration
+	paused     bool // the lease did not allow the newest pass to act
+
+	// Set when the node takes the role again under the same epoch: it may have sent orders for run IDs up to
+	// lastInheritedRunID, and numbers its calls on from highestCall.
+	lastInheritedRunID uint64
+	highestCall        uint64
 }
 
-// New makes a core that reads st, the node's replica. The owner passes st's notes to Note.
+// New makes a core without the role that reads st, the node's replica. The owner hands each change of st to
+// StateChanged.
 func New(cfg Config, st *state.State) *Core {
-	c := &Core{cfg: cfg, st: st, phase: Idle, Counts: Counts{ProvedDead: map[string]uint64{}}, budget: newBudget()}
-	c.clear()
+	c := &Core{cfg: cfg, st: st, Counts: Counts{ProvedDead: map[string]uint64{}}}
+	c.role.phase = Idle
+	c.placement.budget = newBudget()
+	c.clearRecords()
 	return c
 }
 
-func (c *Core) clear() {
+// clearRecords forgets all but the role, the plan under way and the ends not committed yet: ends are facts, and the
+// workers that reported them may have been told to forget them.
+func (c *Core) clearRecords() {
+	c.runs = map[uint64]*run{}
 	c.released = map[uint64]*releasedRun{}
-	c.runs, c.workers, c.callsDue, c.runningCounts = map[uint64]*run{}, map[string]*worker{}, map[string]bool{}, map[string]int{}
-	c.runningByTeam, c.reported, c.freedWorkers, c.fullScan = map[string]int{}, map[string]bool{}, map[string]bool{}, true
-	c.ring = nil
-	if c.planInFlight != nil && !c.planInFlight.invalidated {
-		c.planInFlight.invalidated = true // its answer says nothing any more, and must not be taken for that of a later plan
-		c.ends = append(c.planInFlight.plan.Ends, c.ends...)
-	}
-	c.newlyRunning, c.unconfirmed, c.proofs = nil, nil, nil // ends are facts, and their minions may forget them
+	c.workers = map[string]*worker{}
+	c.runningCounts = map[string]int{}
+	c.runningByTeam = map[string]int{}
+	c.callsDue = map[string]bool{}
+	if f := c.planInFlight; f != nil && !f.invalidated {
+		f.invalidated = true // its answer must not be taken for that of a later plan
+		c.facts.ends = append(f.plan.Ends, c.facts.ends...)
+	}
+	c.facts = facts{ends: c.facts.ends, reported: map[string]bool{}}
 	c.queue.clear()
-	c.reservation, c.nextReservationAt = nil, 0
+	c.placement.clear()
 	c.health = newHealth(c.cfg.Health)
 }
 
-// Reset puts another replica in place (after a snapshot). The duty, if held, is rebuilt from it.
+// Reset puts another replica in place, after a snapshot. If this node has the role, its records are rebuilt.
 func (c *Core) Reset(now time.Duration, st *state.State) {
 	c.st = st
-	if c.phase == Ready {
-		c.BecomeLeader(now, c.epoch)
+	if c.role.phase == Ready {
+		c.BecomeLeader(now, c.role.epoch)
 	}
 }
 
-// Phase tells where the duty stands here.
-func (c *Core) Phase() Phase { return c.phase }
-
-// Epoch is the duty's epoch here, 0 when idle.
-func (c *Core) Epoch() uint64 {
-	if c.phase == Idle {
-		return 0
-	}
-	return c.epoch
-}
-
-// BecomeLeader takes the duty up under epoch, the log index of the grant. The caller has followed the store up to that
-// index at least, so that no older epoch can add a handle any more. Every tally is rebuilt from the handles
-// before anything is released.
+// BecomeLeader takes the role under epoch, the log index of the grant. The replica must have reached that index, so
+// that no older epoch can add a handle any more. All records are rebuilt before anything is placed.
 //
-// Taken up anew under the same epoch (after a snapshot, say), what this node did before under it is forgotten: runs
-// up to there are those of another holder, to be proved dead as such; nothing is surely unsent.
+// Under the same epoch as before (after a snapshot, say) what this node did is forgotten: earlier runs count as those
+// of another leader, and none of their orders counts as surely unsent.
 func (c *Core) BecomeLeader(now time.Duration, epoch uint64) {
-	c.clear()
-	if c.lastInheritedRunID = c.st.LastRunID; epoch != c.epoch {
-		c.planInFlight, c.lastInheritedRunID, c.highestCall = nil, 0, 0
+	c.clearRecords()
+	if c.role.lastInheritedRunID = c.st.LastRunID; epoch != c.role.epoch {
+		c.planInFlight, c.role.lastInheritedRunID, c.role.highestCall = nil, 0, 0
 	}
-	c.now, c.epoch, c.leaderSince, c.nextSweepAt = now, epoch, now, now
+	c.now, c.role.epoch, c.role.since, c.nextSweepAt = now, epoch, now, now
 	for _, name := range c.st.WorkerNames() {
 		c.trackWorker(name)
 	}
-	for _, t := range slices.Sorted(maps.Keys(c.st.Handles)) {
-		c.handleOpened(c.st.Handles[t])
+	for _, runID := range slices.Sorted(maps.Keys(c.st.Handles)) {
+		c.addRun(c.st.Handles[runID])
 	}
-	for _, j := range slices.SortedFunc(maps.Values(c.st.Jobs), func(a, b *state.Job) int { return cmp.Compare(a.Seq, b.Seq) }) {
-		for i := range j.Tasks {
-			for k := range j.Tasks[i] {
-				if j.Tasks[i][k].Phase == state.TaskDue {
-					c.enqueue(state.TaskRef{Job: j.Spec.Key, Step: i, Task: k})
-				}
-			}
-		}
+	bySeq := func(a, b *state.Job) int { return cmp.Compare(a.Seq, b.Seq) }
+	for _, job := range slices.SortedFunc(maps.Values(c.st.Jobs), bySeq) {
+		c.enqueueDueTasks(job)
 	}
-	c.ends = slices.DeleteFunc(c.ends, func(e command.End) bool { return !c.keepEnd(e) })
-	c.phase = Ready
+	c.facts.ends = slices.DeleteFunc(c.facts.ends, func(e command.End) bool { return !c.keepEnd(e) })
+	c.role.phase = Ready
 }
 
-// keepEnd notes that an end heard before this node took the duty up anew is still to be committed; false if it says
-// nothing any more.
+// keepEnd reports whether an end heard before this node took the role again is still to be committed, and marks its
+// run so that nothing else is.
 func (c *Core) keepEnd(e command.End) bool {
 	if r := c.runs[e.RunID]; r != nil {
 		r.closing, r.endPending = true, true
@@ -270,276 +240,69 @@
 	return true
 }
 
-// findReleased finds the due task whose newest run ID this is; nil if there is none.
-func (c *Core) findReleased(runID uint64) *releasedRun {
-	r := c.released[runID]
-	if r == nil {
-		return nil
-	}
-	if _, t := c.st.TaskOf(r.ref); t == nil || t.Phase != state.TaskDue || t.RunID != runID {
-		delete(c.released, runID)
-		return nil
-	}
-	return r
-}
-
-// SetRoleLease says until when the duty is held.
-func (c *Core) SetRoleLease(until time.Duration) { c.leaseUntil = until }
-
-// StepDown lays the duty down.
+// StepDown gives the role up.
 func (c *Core) StepDown() {
-	c.phase = Idle
-	c.clear()
-}
-
-// MayAct tells whether the duty may act at now: it is ready and its lease has a margin left.
-func (c *Core) MayAct(now time.Duration) bool {
-	return c.phase == Ready && now < c.leaseUntil-c.cfg.RoleLeaseMargin
-}
-
-// StateChanged takes in a change of the replica.
-func (c *Core) StateChanged(n state.Event) {
-	if c.phase != Ready {
-		return
-	}
-	switch n.Kind {
-	case state.EventTaskDue:
-		c.enqueue(n.Ref)
-	case state.EventHandleCreated:
-		c.handleOpened(n.Handle)
-	case state.EventHandleReleased:
-		c.handleClosed(n.Handle)
-	case state.EventWorkerChanged:
-		m := c.trackWorker(n.Name)
-		c.callsDue[m.name], c.freedWorkers[m.name] = true, true
-		for _, r := range m.runs {
-			c.reviewRun(r)
-		}
-	case state.EventWorkerRetired:
-		delete(c.workers, n.Name)
-		c.ring = slices.DeleteFunc(c.ring, func(s string) bool { return s == n.Name })
-	case state.EventJobStopping:
-		if j := c.st.Jobs[n.Name]; j != nil && j.HandleCount() > 0 {
-			for i := range j.Tasks {
-				for k := range j.Tasks[i] {
-					if t := &j.Tasks[i][k]; t.Phase.HasHandle() && c.runs[t.RunID] != nil {
-						c.reviewRun(c.runs[t.RunID])
-					}
-				}
-			}
-		}
-	case state.EventAccountChanged:
-		c.fullScan = true
-	case state.EventPlacementChanged:
-		c.fullScan = true
-		for _, r := range c.runs {
-			c.reviewRun(r)
-		}
-	}
-	c.placementCurrent = false
+	c.role.phase = Idle
+	c.clearRecords()
 }
 
-func (c *Core) trackWorker(name string) *worker {
-	m := c.workers[name]
-	if m == nil {
-		m = &worker{name: name, runs: map[uint64]*run{}, orphans: map[uint64]string{}, floor: c.st.LastRunID,
-			lastCall: c.highestCall, lastCallBeforePause: c.highestCall}
-		c.workers[name] = m
-		c.ring = append(c.ring, name)
-		c.callsDue[name] = true
-	}
-	return m
-}
+// SetRoleLease sets the time at which the lease of the role ends.
+func (c *Core) SetRoleLease(until time.Duration) { c.role.leaseUntil = until }
 
-func (c *Core) handleOpened(h *state.Handle) {
-	r := &run{handle: h, ofThisEpoch: h.Epoch == c.epoch && h.RunID > c.lastInheritedRunID}
-	c.runs[h.RunID] = r
-	m := c.trackWorker(h.Worker)
-	m.runs[h.RunID] = r
-	c.runningCounts[h.Type]++
-	c.health.recordProbe(h.Worker, h.RunID)
-	if j, _ := c.st.TaskOf(h.Ref); j != nil {
-		r.team = j.Spec.Team
-	}
-	c.runningByTeam[r.team]++
-	if c.phase != Ready {
-		c.reviewRun(r)
-	}
+// MayAct reports whether this node may act in the role at now: its lease has more than the margin left.
+func (c *Core) MayAct(now time.Duration) bool {
+	return c.role.phase == Ready && now < c.role.leaseUntil-c.cfg.RoleLeaseMargin
 }
 
-func (c *Core) handleClosed(h *state.Handle) {
-	if r := c.runs[h.RunID]; r != nil {
-		if c.runningByTeam[r.team]--; c.runningByTeam[r.team] == 0 {
-			delete(c.runningByTeam, r.team)
-		}
-	}
-	delete(c.runs, h.RunID)
-	c.freedWorkers[h.Worker] = true
-	c.health.recordLost(h.Worker, h.RunID)
-	if m := c.workers[h.Worker]; m != nil {
-		delete(m.runs, h.RunID)
-	}
-	if c.runningCounts[h.Type]--; c.runningCounts[h.Type] == 0 {
-		delete(c.runningCounts, h.Type)
-	}
-}
+// Phase is where the role stands on this node.
+func (c *Core) Phase() Phase { return c.role.phase }
 
-// reviewRun notes whether a run is to be stopped: its job stops, or bundle, zone or drain do not allow it any more.
-func (c *Core) reviewRun(r *run) {
-	j, _ := c.st.TaskOf(r.handle.Ref)
-	why := ""
-	switch m := c.st.Workers[r.handle.Worker]; {
-	case j == nil:
-		why = "job"
-	case j.Phase != state.JobRunning:
-		why = string(j.Outcome)
-	case m != nil:
-		if why = c.st.PlacementRefusal(&j.Spec, &j.Spec.Steps[r.handle.Ref.Step], m); why == "boot" {
-			why = ""
-		}
-	}
-	if r.stopReason = why; why != "" {
-		if m := c.workers[r.handle.Worker]; m != nil {
-			m.urgent = true
-			c.callsDue[m.name] = true
-		}
+// Epoch is the epoch of this node's grant, 0 when idle.
+func (c *Core) Epoch() uint64 {
+	if c.role.phase == Idle {
+		return 0
 	}
+	return c.role.epoch
 }
 
-// RunningCount gives the tally of a type, as rebuilt and kept by this holder.
-func (c *Core) RunningCount(kind string) int { return c.runningCounts[kind] }
+// RunningCount is the number of handles of a task type, as rebuilt and kept by this node.
+func (c *Core) RunningCount(taskType string) int { return c.runningCounts[taskType] }
 
-// MarkedUnhealthy gives the minions that are held sick, by name.
+// UnhealthyWorkers are the ejected workers, by name.
 func (c *Core) UnhealthyWorkers() []string { return slices.Sorted(maps.Keys(c.health.unhealthy)) }
 
-// checkHealth holds a minion sick if it spoils what its peers end well, as far as its zone can spare it.
-func (c *Core) checkHealth(now time.Duration, m *worker, kind string) {
-	rec := c.st.Workers[m.name]
-	if rec == nil || c.health.score(m.name, kind).failed < c.cfg.Health.MinFailures {
-		return
-	}
-	zone, unhealthy := 0, 0
-	for name, other := range c.st.Workers {
-		if other.Zone == rec.Zone {
-			zone++
-			if c.health.unhealthy[name] != nil {
-				unhealthy++
-			}
-		}
-	}
-	if c.health.ejectIfUnhealthy(now, m.name, kind, zone, unhealthy) {
-		c.Counts.MarkedUnhealthy++
-	}
-}
-
 // QueueLength is how many due tasks wait for a run ID, those in back-off included.
 func (c *Core) QueueLength() int { return c.queue.len() }
 
-// Pass runs the passes and gives what is to be done at now.
+// Pass runs the passes and returns what is to be done at now.
 func (c *Core) Pass(now time.Duration) Actions {
 	c.now = now
 	if !c.MayAct(now) {
-		c.paused = true
+		c.role.paused = true
 		return Actions{}
 	}
-	if c.paused {
+	if c.role.paused {
 		c.resume()
 	}
 	if now >= c.nextSweepAt {
 		c.nextSweepAt = now + c.cfg.SweepInterval
 		c.sweep(now)
 	}
-	out := Actions{Plan: c.nextPlan(now)}
+	actions := Actions{Plan: c.nextPlan(now)}
 	for _, name := range sortedKeys(c.callsDue) {
-		out.Calls = c.appendCalls(now, c.workers[name], out.Calls)
+		actions.Calls = c.appendCalls(now, c.workers[name], actions.Calls)
 	}
 	clear(c.callsDue)
-	return out
+	return actions
 }
 
-// resume takes in that the lease lets this node act again. It asked nobody meanwhile, so that a minion was not heard
-// since says nothing about the minion.
+// resume begins anew to count unanswered calls: while the lease did not allow this node to act it called nobody, so
+// silence in that time says nothing about a worker.
 func (c *Core) resume() {
-	c.paused = false
-	for _, m := range c.workers {
-		m.lastCallBeforePause, m.unanswered = m.lastCall, false
-	}
-}
-
-// sweep is the pass over all records: lapses, orphans, silent minions, the tally.
-func (c *Core) sweep(now time.Duration) {
-	old := len(c.proofs)
-	for _, m := range c.workers {
-		c.callsDue[m.name] = true
-		if m.heardAt == 0 || now-m.heardAt > c.cfg.PlacementTimeout {
-			for _, r := range m.runs {
-				c.expireLease(now, m, r)
-			}
-		}
-	}
-	if c.planInFlight == nil {
-		for _, r := range c.runs {
-			if r.ofThisEpoch && r.orderedIn == 0 && !r.inOutbox {
-				c.proveDead(r, command.ProofUnsent, "")
-			}
-		}
-	}
-	c.sortProofs(old, len(c.unconfirmed))
-	c.placementCurrent, c.fullScan = false, true
-	if now >= c.nextGCAt {
-		c.nextGCAt = now + 10*time.Second
-		for runID := range c.released {
-			c.findReleased(runID) // lets go of what is over
-		}
-		c.health.dropFinishedJobs(func(job string) bool { j := c.st.Jobs[job]; return j != nil && !j.Phase.IsTerminal() })
-	}
-}
-
-// orderCall sorts the proofs and doubts that a walk over a table has added, so that the same inputs give the same plan.
-func (c *Core) sortProofs(dead, unconfirmed int) {
-	slices.SortFunc(c.proofs[dead:], func(a, b command.Proof) int { return cmp.Compare(a.RunID, b.RunID) })
-	slices.Sort(c.unconfirmed[unconfirmed:])
-}
-
-// minElapsed allows for a minion's clock that runs a little slow against ours.
-func minElapsed(d time.Duration) time.Duration { return d - d/500 }
-
-// expireLease proves a run dead whose hold has surely run out. The minion must have been asked in vain: one that answers
-// tells what became of the run.
-func (c *Core) expireLease(now time.Duration, m *worker, r *run) {
-	if r.closing || r.inOutbox || r.inFlight || !m.unanswered {
-		return
-	}
-	margin := 200 * time.Millisecond
-	if m.kind == "obey" || m.heardAt == 0 {
-		margin += c.cfg.Lateness
-	}
-	over := false
-	if r.leaseUntil > 0 && r.leaseIncarnation == m.incarnation && m.heardAt > 0 {
-		over = m.clock+minElapsed(now-m.heardAt) > r.leaseUntil+margin
-	} else {
-		over = minElapsed(now-c.leaderSince) > max(r.handle.LeaseTTL, c.cfg.RunLease)+margin && minElapsed(now-m.heardAt) > max(r.handle.LeaseTTL, c.cfg.RunLease)+margin
-	}
-	if over {
-		c.proveDead(r, command.ProofLeaseExpired, "its hold lapsed unheard")
+	c.role.paused = false
+	for _, w := range c.workers {
+		w.lastCallBeforePause, w.unanswered = w.lastCall, false
 	}
 }
 
-// proveDead puts a proof into the next plan.
-func (c *Core) proveDead(r *run, why, reason string) {
-	if r.closing {
-		return
-	}
-	r.closing = true
-	c.proofs = append(c.proofs, command.Proof{RunID: r.handle.RunID, Why: why, Reason: reason})
-	c.Counts.ProvedDead[why]++
-}
-
-func sortedKeys(set map[string]bool) []string {
-	out := make([]string, 0, len(set))
-	for k := range set {
-		out = append(out, k)
-	}
-	slices.Sort(out)
-	return out
-}
+func sortedKeys(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
