--- a/internal/dataplane/controlplane.go
+++ b/internal/dataplane/controlplane.go
@@ -6,22 +6,33 @@
 	"sync"
 	"time"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state/command"
 )
 
-// controlPlaneClient calls the cplanes: it knows their addresses, the last leader, and the one that the replica follows.
+const (
+	// retryStep is added to the pause before each further attempt to reach the leader, up to maxRetryPause.
+	retryStep     = 10 * time.Millisecond
+	maxRetryPause = 200 * time.Millisecond
+	// chunkTimeouts is how many times the timeout of a call one chunk of a snapshot may take.
+	chunkTimeouts = 5
+)
+
+// controlPlaneClient calls the control plane. It remembers the addresses, the leader, and the node that the replica
+// follows. Safe for use by several goroutines.
 type controlPlaneClient struct {
 	caller  *rpc.Client
-	timeout time.Duration
+	clock   clock.Clock
+	timeout time.Duration // of a call
 
 	mu           sync.Mutex
-	addrs        []string
-	leader       string
-	next         int
-	followedAddr string
+	addrs        []string // never empty
+	leader       string   // "": unknown
+	next         int      // counts the addresses tried in turn
+	followedAddr string   // "": the next one in turn
 }
 
 // setAddresses replaces the addresses; an empty list leaves them as they are.
@@ -33,33 +44,48 @@
 	}
 }
 
+// leaderAddr is the address of the leader, of the next node in turn if it is unknown.
 func (c *controlPlaneClient) leaderAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == "" {
-		c.next++
-		return c.addrs[c.next%len(c.addrs)]
+		return c.nextAddrLocked()
 	}
 	return c.leader
 }
 
-// learnLeader takes the hint of a failure, or forgets the leader that did not answer.
+func (c *controlPlaneClient) nextAddrLocked() string {
+	c.next++
+	return c.addrs[c.next%len(c.addrs)]
+}
+
+// learnLeader learns from the outcome of a call to asked: that it is the leader, that another node is, or that it is
+// not any more.
 func (c *controlPlaneClient) learnLeader(asked string, err error) {
-	f := errs.Of(err)
+	failure := errs.Of(err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch {
-	case f == nil:
+	if failure == nil {
 		c.leader = asked
-	case f.Kind == errs.NotLeader && f.Hint != "" && f.Hint != asked:
-		c.leader = f.Hint
-	case c.leader == asked && (f.Kind == errs.NotLeader || f.Kind == errs.Unavailable || f.Kind == errs.Timeout || f.Kind == errs.Stopped):
+		return
+	}
+	switch failure.Kind {
+	case errs.NotLeader:
+		if failure.Hint != "" && failure.Hint != asked {
+			c.leader = failure.Hint
+			return
+		}
+	case errs.Unavailable, errs.Timeout, errs.Stopped:
+	default:
+		return
+	}
+	if c.leader == asked {
 		c.leader = ""
 	}
 }
 
-// mayRetryElsewhere reports whether a call that ended in err may be tried at another cplane: it surely did nothing, or it may
-// be repeated.
+// mayRetryElsewhere reports whether a call that ended in err may be made again at another node: it surely did nothing,
+// or it is idempotent.
 func mayRetryElsewhere(err error, idempotent bool) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
@@ -70,54 +96,60 @@
 	return false
 }
 
-// askLeader asks the leader, wherever it is, until ctx ends. again: the call may be repeated.
-func askLeader[C, A any](ctx context.Context, c *controlPlaneClient, n *Node, p rpc.Endpoint[C, A], call C, timeout time.Duration, idempotent bool) (A, error) {
+// askLeader calls the leader, wherever it is, and retries until ctx ends. A call that is not idempotent is not made
+// again once it may have been carried out.
+func askLeader[C, A any](ctx context.Context, c *controlPlaneClient, p rpc.Endpoint[C, A], call C,
+	timeout time.Duration, idempotent bool) (A, error) {
 	for attempt := 0; ; attempt++ {
 		addr := c.leaderAddr()
-		a, err := rpc.Call(ctx, c.caller, addr, p, call, timeout)
+		answer, err := rpc.Call(ctx, c.caller, addr, p, call, timeout)
 		c.learnLeader(addr, err)
 		if err == nil {
-			return a, nil
+			return answer, nil
 		}
 		if ctx.Err() != nil || !mayRetryElsewhere(err, idempotent) {
-			return a, errs.Pass(err, "ask the leader")
+			return answer, errs.Pass(err, "ask the leader")
+		}
+		if attempt == 0 {
+			continue
 		}
-		if attempt > 0 {
-			if werr := n.pause(ctx, min(200*time.Millisecond, time.Duration(attempt)*10*time.Millisecond)); werr != nil {
-				return a, errs.Wrap(err, errs.Unavailable, "no leader of the store found in time")
-			}
+		if pause(ctx, c.clock, min(maxRetryPause, time.Duration(attempt)*retryStep)) != nil {
+			return answer, errs.Wrap(err, errs.Unavailable, "no leader of the store found in time")
 		}
 	}
 }
 
-func (c *controlPlaneClient) propose(ctx context.Context, n *Node, cmd command.Command, idempotent bool) (internalapi.ProposeAnswer, error) {
+// propose commits a command at the leader.
+func (c *controlPlaneClient) propose(ctx context.Context, cmd command.Command,
+	idempotent bool) (internalapi.ProposeAnswer, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "encode %s", cmd.Op())
 	}
-	a, err := askLeader(ctx, c, n, internalapi.Propose, internalapi.ProposeCall{Op: cmd.Op(), Body: body}, c.timeout, idempotent)
-	return a, errs.Pass(err, "propose %s", cmd.Op())
+	call := internalapi.ProposeCall{Op: cmd.Op(), Body: body}
+	answer, err := askLeader(ctx, c, internalapi.Propose, call, c.timeout, idempotent)
+	return answer, errs.Pass(err, "propose %s", cmd.Op())
 }
 
-// Follow asks the cplane it asked last, and another one after a failure.
-func (c *controlPlaneClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
+// Follow asks the node that it asked last, and another one after a failure. It is part of replica.Source.
+func (c *controlPlaneClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer,
+	error) {
 	c.mu.Lock()
 	if c.followedAddr == "" {
-		c.next++
-		c.followedAddr = c.addrs[c.next%len(c.addrs)]
+		c.followedAddr = c.nextAddrLocked()
 	}
 	addr := c.followedAddr
 	c.mu.Unlock()
-	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.timeout)
+	answer, err := rpc.Call(ctx, c.caller, addr, internalapi.Follow, call, call.Wait+c.timeout)
 	if err != nil {
 		c.mu.Lock()
 		c.followedAddr = ""
 		c.mu.Unlock()
 	}
-	return a, errs.Pass(err, "follow %s", addr)
+	return answer, errs.Pass(err, "follow %s", addr)
 }
 
-// Chunk asks the cplane that is followed.
+// Chunk asks the node that is followed. It is part of replica.Source.
 func (c *controlPlaneClient) Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.mu.Lock()
 	addr := c.followedAddr
@@ -125,6 +157,6 @@
 	if addr == "" {
 		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "no cplane is followed")
 	}
-	a, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, 5*c.timeout)
-	return a, errs.Pass(err, "chunk from %s", addr)
+	answer, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, chunkTimeouts*c.timeout)
+	return answer, errs.Pass(err, "chunk from %s", addr)
 }
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -1,94 +1,151 @@
 package dataplane
 
 import (
+	"maps"
+
 	"github.com/prometheus/client_golang/prometheus"
 
 	"crosstide/internal/dataplane/scheduler"
 )
 
+// Figures are what the node shows of itself at one moment.
+type Figures struct {
+	// Of the replica.
+	Index, Changes, Bytes, Snapshots uint64
+	Jobs, Handles, Workers, Inbox    int
+	RunningCounts                    map[string]int // handles by task type
+
+	// Of the scheduler.
+	Phase              scheduler.Phase
+	Epoch              uint64
+	QueueLength        int
+	Counts             scheduler.Counts
+	UnhealthyWorkers   []string       // by name
+	TasksAwaitingTopUp map[string]int // due tasks that their party's balance does not cover, by party
+}
+
+// Figures returns the node's figures of now.
+func (n *Node) Figures() Figures {
+	st := n.replica.Lock()
+	defer n.replica.Unlock()
+	figures := Figures{
+		Index: st.Index, Changes: n.replica.Changes, Bytes: n.replica.Bytes, Snapshots: n.replica.Snapshots,
+		Jobs: len(st.Jobs), Handles: len(st.Handles), Workers: len(st.Workers), Inbox: len(st.Inbox),
+		RunningCounts: st.RunningCounts(),
+
+		Phase: n.scheduler.Phase(), Epoch: n.scheduler.Epoch(), QueueLength: n.scheduler.QueueLength(),
+		Counts: n.scheduler.Counts, UnhealthyWorkers: n.scheduler.UnhealthyWorkers(),
+		TasksAwaitingTopUp: n.scheduler.TasksAwaitingTopUp(),
+	}
+	figures.Counts.ProvedDead = maps.Clone(n.scheduler.Counts.ProvedDead) // the scheduler goes on counting in its own
+	return figures
+}
+
+// metric is one figure without labels.
+type metric struct {
+	name, help string
+	kind       prometheus.ValueType
+	value      func(Figures) float64
+}
+
+func gauge(name, help string, value func(Figures) int) metric {
+	return metric{name, help, prometheus.GaugeValue, func(f Figures) float64 { return float64(value(f)) }}
+}
+
+func counter(name, help string, value func(Figures) uint64) metric {
+	return metric{name, help, prometheus.CounterValue, func(f Figures) float64 { return float64(value(f)) }}
+}
+
+var metrics = []metric{
+	gauge("replica_index", "Log index the replica is at.", func(f Figures) int { return int(f.Index) }),
+	counter("replica_changes_total", "Changes applied.", func(f Figures) uint64 { return f.Changes }),
+	counter("replica_bytes_total", "Bytes of changes and snapshots taken in.",
+		func(f Figures) uint64 { return f.Bytes }),
+	counter("replica_snapshots_total", "Snapshots taken in.", func(f Figures) uint64 { return f.Snapshots }),
+
+	gauge("sched_holder", "1 while this node holds sched.", func(f Figures) int {
+		if f.Phase == scheduler.Ready {
+			return 1
+		}
+		return 0
+	}),
+	gauge("sched_epoch", "Epoch of the duty held, else 0.", func(f Figures) int { return int(f.Epoch) }),
+	gauge("sched_queue_length", "Due tasks waiting for a run ID.", func(f Figures) int { return f.QueueLength }),
+	counter("sched_plans_total", "Plans proposed.", func(f Figures) uint64 { return f.Counts.Plans }),
+	counter("sched_plan_failures_total", "Plans without a good answer.",
+		func(f Figures) uint64 { return f.Counts.PlanFailures }),
+	counter("sched_run_ids_total", "Run IDs given.", func(f Figures) uint64 { return f.Counts.RunIDs }),
+	counter("sched_refused_total", "Starts refused by the store or a minion.",
+		func(f Figures) uint64 { return f.Counts.Refused }),
+	counter("sched_sent_total", "Start orders written.", func(f Figures) uint64 { return f.Counts.Sent }),
+	counter("sched_ends_total", "Ends listed.", func(f Figures) uint64 { return f.Counts.Ended }),
+	counter("sched_end_failures_total", "Ends in failure listed.",
+		func(f Figures) uint64 { return f.Counts.FailedEnds }),
+	counter("sched_doubts_total", "Handles in doubt.", func(f Figures) uint64 { return f.Counts.Unconfirmed }),
+	counter("sched_stops_total", "Stop orders sent.", func(f Figures) uint64 { return f.Counts.Stops }),
+	counter("sched_call_failures_total", "Hold calls without an answer.",
+		func(f Figures) uint64 { return f.Counts.CallFailures }),
+	counter("sched_crossed_total", "Answers dropped as crossed.",
+		func(f Figures) uint64 { return f.Counts.StaleAnswers }),
+
+	gauge("state_jobs", "Jobs kept.", func(f Figures) int { return f.Jobs }),
+	gauge("state_handles", "Handles out.", func(f Figures) int { return f.Handles }),
+	gauge("state_minions", "Minions known.", func(f Figures) int { return f.Workers }),
+	gauge("state_inbox", "Jobs in the inbox.", func(f Figures) int { return f.Inbox }),
+}
+
 // Collector shows a node's Figures to Prometheus.
 type Collector struct {
-	node *Node
-	desc map[string]*prometheus.Desc
+	node  *Node
+	plain []*prometheus.Desc // of metrics, in their order
+
+	unhealthy, awaitingTopUp, provedDead, running *prometheus.Desc
 }
 
 // NewCollector makes the collector of a node's figures.
 func NewCollector(n *Node) *Collector {
-	m := &Collector{node: n, desc: map[string]*prometheus.Desc{}}
-	for name, help := range map[string]string{
-		"replica_index": "Log index the replica is at.", "replica_changes_total": "Changes applied.",
-		"replica_bytes_total": "Bytes of changes and snapshots taken in.", "replica_snapshots_total": "Snapshots taken in.",
-		"sched_holder": "1 while this node holds sched.", "sched_epoch": "Epoch of the duty held, else 0.",
-		"sched_queue_length": "Due tasks waiting for a run ID.", "sched_plans_total": "Plans proposed.",
-		"sched_plan_failures_total": "Plans without a good answer.", "sched_run_ids_total": "Run IDs given.",
-		"sched_refused_total": "Starts refused by the store or a minion.", "sched_sent_total": "Start orders written.",
-		"sched_ends_total": "Ends listed.", "sched_end_failures_total": "Ends in failure listed.", "sched_doubts_total": "Handles in doubt.",
-		"sched_stops_total": "Stop orders sent.", "sched_call_failures_total": "Hold calls without an answer.",
-		"sched_crossed_total": "Answers dropped as crossed.", "state_jobs": "Jobs kept.", "state_handles": "Handles out.",
-		"state_minions": "Minions known.", "state_inbox": "Jobs in the inbox.",
-	} {
-		m.desc[name] = prometheus.NewDesc("crosstide_"+name, help, nil, nil)
+	desc := func(name, help string, labels ...string) *prometheus.Desc {
+		return prometheus.NewDesc("crosstide_"+name, help, labels, nil)
 	}
-	m.desc["sched_sick"] = prometheus.NewDesc("crosstide_sched_sick", "1 for each minion held sick.", []string{"minion"}, nil)
-	m.desc["sched_dry"] = prometheus.NewDesc("crosstide_sched_dry_tasks", "Due tasks that wait for a top-up, by party.", []string{"party"}, nil)
-	m.desc["dead"] = prometheus.NewDesc("crosstide_sched_dead_total", "Handles proved dead, by proof.", []string{"proof"}, nil)
-	m.desc["running"] = prometheus.NewDesc("crosstide_sched_running", "Handles out, by type of job.", []string{"type"}, nil)
-	return m
+	c := &Collector{
+		node:          n,
+		unhealthy:     desc("sched_sick", "1 for each minion held sick.", "minion"),
+		awaitingTopUp: desc("sched_dry_tasks", "Due tasks that wait for a top-up, by party.", "party"),
+		provedDead:    desc("sched_dead_total", "Handles proved dead, by proof.", "proof"),
+		running:       desc("sched_running", "Handles out, by type of job.", "type"),
+	}
+	for _, m := range metrics {
+		c.plain = append(c.plain, desc(m.name, m.help))
+	}
+	return c
 }
 
-// Describe sends the descriptions.
-func (m *Collector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range m.desc {
+// Describe sends the descriptions. It is part of prometheus.Collector.
+func (c *Collector) Describe(to chan<- *prometheus.Desc) {
+	for _, d := range c.plain {
+		to <- d
+	}
+	for _, d := range []*prometheus.Desc{c.unhealthy, c.awaitingTopUp, c.provedDead, c.running} {
 		to <- d
 	}
 }
 
-// Collect sends the figures.
-func (m *Collector) Collect(to chan<- prometheus.Metric) {
-	f := m.node.Figures()
-	gauge := func(name string, v float64) {
-		to <- prometheus.MustNewConstMetric(m.desc[name], prometheus.GaugeValue, v)
-	}
-	count := func(name string, v uint64) {
-		to <- prometheus.MustNewConstMetric(m.desc[name], prometheus.CounterValue, float64(v))
-	}
-	holder := 0.0
-	if f.Phase == scheduler.Ready {
-		holder = 1
+// Collect sends the figures of now. It is part of prometheus.Collector.
+func (c *Collector) Collect(to chan<- prometheus.Metric) {
+	figures := c.node.Figures()
+	for i, m := range metrics {
+		to <- prometheus.MustNewConstMetric(c.plain[i], m.kind, m.value(figures))
 	}
-	gauge("replica_index", float64(f.Index))
-	gauge("sched_holder", holder)
-	gauge("sched_epoch", float64(f.Epoch))
-	gauge("sched_queue_length", float64(f.QueueLength))
-	gauge("state_jobs", float64(f.Jobs))
-	gauge("state_handles", float64(f.Handles))
-	gauge("state_minions", float64(f.Workers))
-	gauge("state_inbox", float64(f.Inbox))
-	count("replica_changes_total", f.Changes)
-	count("replica_bytes_total", f.Bytes)
-	count("replica_snapshots_total", f.Snapshots)
-	c := f.Counts
-	count("sched_plans_total", c.Plans)
-	count("sched_plan_failures_total", c.PlanFailures)
-	count("sched_run_ids_total", c.RunIDs)
-	count("sched_refused_total", c.Refused)
-	count("sched_sent_total", c.Sent)
-	count("sched_ends_total", c.Ended)
-	count("sched_end_failures_total", c.FailedEnds)
-	count("sched_doubts_total", c.Unconfirmed)
-	count("sched_stops_total", c.Stops)
-	count("sched_call_failures_total", c.CallFailures)
-	count("sched_crossed_total", c.StaleAnswers)
-	for _, name := range f.UnhealthyWorkers {
-		to <- prometheus.MustNewConstMetric(m.desc["sched_sick"], prometheus.GaugeValue, 1, name)
+	for _, worker := range figures.UnhealthyWorkers {
+		to <- prometheus.MustNewConstMetric(c.unhealthy, prometheus.GaugeValue, 1, worker)
 	}
-	for party, n := range f.TasksAwaitingTopUp {
-		to <- prometheus.MustNewConstMetric(m.desc["sched_dry"], prometheus.GaugeValue, float64(n), party)
+	for party, tasks := range figures.TasksAwaitingTopUp {
+		to <- prometheus.MustNewConstMetric(c.awaitingTopUp, prometheus.GaugeValue, float64(tasks), party)
 	}
-	for why, n := range c.ProvedDead {
-		to <- prometheus.MustNewConstMetric(m.desc["dead"], prometheus.CounterValue, float64(n), why)
+	for proof, runs := range figures.Counts.ProvedDead {
+		to <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), proof)
 	}
-	for kind, n := range f.RunningCounts {
-		to <- prometheus.MustNewConstMetric(m.desc["running"], prometheus.GaugeValue, float64(n), kind)
+	for taskType, runs := range figures.RunningCounts {
+		to <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
 	}
 }
--- /dev/null
+++ b/internal/dataplane/passes.go
@@ -0,0 +1,148 @@
+package dataplane
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/dataplane/scheduler"
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/rpc"
+	"crosstide/internal/state/command"
+)
+
+const (
+	// passInterval is the longest pause between two passes.
+	passInterval = 20 * time.Millisecond
+	// planRetryInterval delays the pass after a plan that failed.
+	planRetryInterval = 20 * time.Millisecond
+)
+
+// workerConns are the two connections to a worker: on one goes a call that the worker may delay, on the other one with
+// starts, which it answers at once.
+type workerConns struct {
+	addr                string
+	pollConn, orderConn *rpc.DedicatedConn
+}
+
+// wake asks for a pass soon; it never blocks.
+func (n *Node) wake() {
+	select {
+	case n.wakeups <- struct{}{}:
+	default:
+	}
+}
+
+// passLoop runs the scheduler's passes: after each input, and every passInterval in any case.
+func (n *Node) passLoop(ctx context.Context) {
+	for ctx.Err() == nil {
+		timer := n.opt.Clock.Set(passInterval, n.wake)
+		select {
+		case <-n.wakeups:
+			timer.Stop()
+		case <-ctx.Done():
+			timer.Stop()
+			return
+		}
+		n.replica.Lock()
+		actions := n.scheduler.Pass(n.opt.Clock.Now())
+		n.replica.Unlock()
+		if actions.Plan != nil {
+			n.group.Go(func(ctx context.Context) { n.commitPlan(ctx, actions.Plan) })
+		}
+		for _, call := range actions.Calls {
+			n.group.Go(func(ctx context.Context) { n.sendCall(ctx, call) })
+		}
+	}
+}
+
+// commitPlan proposes a plan once, and hands its answer to the scheduler when the replica has reached it. A plan is not
+// idempotent: the scheduler makes another one if it failed.
+func (n *Node) commitPlan(ctx context.Context, plan *command.Plan) {
+	planned, err := n.proposePlan(ctx, plan)
+	if err != nil {
+		_ = level.Warn(n.opt.Logger).Log("msg", "plan failed", "epoch", plan.Epoch, "err", err)
+		_ = pause(ctx, n.opt.Clock, planRetryInterval) // if ctx is over, so is the loop that the pause is for
+	}
+	n.replica.Lock()
+	n.scheduler.PlanAnswered(n.opt.Clock.Now(), plan.Epoch, planned, err)
+	n.replica.Unlock()
+	n.wake()
+}
+
+func (n *Node) proposePlan(ctx context.Context, plan *command.Plan) (planned command.Planned, err error) {
+	answer, err := n.controlPlane.propose(ctx, plan, false)
+	if err != nil {
+		return planned, errs.Pass(err, "plan")
+	}
+	waitCtx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
+	defer cancel()
+	if err := n.replica.WaitForIndex(waitCtx, answer.Index); err != nil {
+		return planned, errs.Pass(err, "plan")
+	}
+	err = json.Unmarshal(answer.Answer, &planned)
+	return planned, errs.Wrap(err, errs.Malformed, "the answer to a plan")
+}
+
+// sendCall makes one lease call and hands its outcome to the scheduler.
+func (n *Node) sendCall(ctx context.Context, c scheduler.OutgoingCall) {
+	timeout := c.Call.Wait + n.opt.CallTimeout/2
+	answer, err := rpc.CallDedicated(ctx, n.connTo(c), internalapi.RenewLease, c.Call, timeout, n.sendCheck(c))
+	now := n.opt.Clock.Now()
+	n.replica.Lock()
+	if err != nil {
+		n.scheduler.CallFailed(now, c.Worker, c.IsOrder, c.Call, !rpc.IsUnsent(err))
+	} else {
+		n.scheduler.CallAnswered(now, c.Worker, c.IsOrder, c.Call, answer)
+	}
+	n.replica.Unlock()
+	if err != nil {
+		_ = level.Debug(n.opt.Logger).Log("msg", "lease call failed", "worker", c.Worker, "call", c.Call.Call,
+			"starts", len(c.Call.Starts), "err", err)
+	}
+	n.wake()
+}
+
+// sendCheck returns the check that runs immediately before a call's bytes are written: it refuses a call whose role
+// lease is over, or whose window for starts has passed. After a refusal nothing is written.
+func (n *Node) sendCheck(c scheduler.OutgoingCall) func() error {
+	return func() error {
+		now := n.opt.Clock.Now()
+		n.replica.Lock()
+		mayAct := n.scheduler.MayAct(now) && n.scheduler.Epoch() == c.Call.Epoch
+		n.replica.Unlock()
+		if !mayAct {
+			return errs.New(errs.Stale, "the duty's lease is over")
+		}
+		if c.WriteBy > 0 && now >= c.WriteBy {
+			return errs.New(errs.Stale, "the window of these starts is over")
+		}
+		return nil
+	}
+}
+
+// connTo returns the connection for a call, new ones if the worker's address has changed.
+func (n *Node) connTo(c scheduler.OutgoingCall) *rpc.DedicatedConn {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	conns := n.workerConns[c.Worker]
+	if conns == nil || conns.addr != c.Addr {
+		if conns != nil {
+			conns.pollConn.Close()
+			conns.orderConn.Close()
+		}
+		conns = &workerConns{
+			addr:      c.Addr,
+			pollConn:  rpc.NewDedicatedConn(n.opt.WorkerCaller, c.Addr),
+			orderConn: rpc.NewDedicatedConn(n.opt.WorkerCaller, c.Addr),
+		}
+		n.workerConns[c.Worker] = conns
+	}
+	if c.IsOrder {
+		return conns.orderConn
+	}
+	return conns.pollConn
+}
--- a/internal/dataplane/rollout.go
+++ b/internal/dataplane/rollout.go
@@ -11,27 +11,31 @@
 	"crosstide/internal/state"
 )
 
-// puller follows a cplane for the replica. Each call says which bundle the node has, and since when.
+// confirmTimeout is how long a node tries to confirm that its policy bundle is the newest.
+const confirmTimeout = time.Second
+
+// puller is the replica's source. With each call it reports which policy bundle the node goes by, so that operators see
+// how far a new one has come.
 type puller struct {
 	*controlPlaneClient
 	node         *Node
-	version      uint64        // sent last; 0 until the first pull
+	version      uint64        // reported last; 0 until the first pull
 	versionSince time.Duration // when the node was first seen to have it
 }
 
-// Follow is core's, with the node's bundle.
+// Follow is that of the client, with the node's bundle.
 func (p *puller) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	now := p.node.opt.Clock.Now()
-	if v := p.node.bundle(); v != p.version {
+	if v := p.node.bundleVersion(); v != p.version {
 		p.version, p.versionSince = v, now
 	}
 	call.Bundle, call.Age = p.version, now-p.versionSince
-	a, err := p.controlPlaneClient.Follow(ctx, call)
-	return a, errs.Pass(err, "pull")
+	answer, err := p.controlPlaneClient.Follow(ctx, call)
+	return answer, errs.Pass(err, "pull")
 }
 
-// bundle is the version the node has, 0 before it has pulled.
-func (n *Node) bundle() (version uint64) {
+// bundleVersion is the version of the bundle that the node has, 0 before its first pull.
+func (n *Node) bundleVersion() (version uint64) {
 	if n.replica.HasPulled() {
 		n.replica.View(func(s *state.State) { version = s.Bundle.Version })
 	}
@@ -51,27 +55,24 @@
 	Index   uint64 `json:"index"` // of the newest change this node has
 }
 
-// confirmTimeout is how long a node tries to confirm that its bundle is the newest.
-const confirmTimeout = time.Second
-
-// Routes adds GET /v1/bundle. A node that is cut off, behind or just woken does not pass an old version off as the
+// Routes adds GET /v1/bundle. A node that is partitioned, behind or just resumed does not present an old version as the
 // one in force. Failure: Unavailable when it cannot confirm in a second.
-func (n *Node) Routes(srv Router) {
-	srv.Route("GET /v1/bundle", func(w http.ResponseWriter, r *http.Request) {
-		ctx, over := context.WithTimeout(r.Context(), confirmTimeout)
-		defer over()
-		out := Bundle{Node: n.opt.Name}
-		err := n.Read(ctx, func(s *state.State) error {
-			out.Version, out.Index = s.Bundle.Version, s.Index
-			if r := s.Revision(s.Bundle.Version); r != nil {
-				out.Digest = r.Digest
-			}
-			return nil
-		})
-		if err != nil {
-			rpc.WriteError(w, errs.Wrap(err, errs.Unavailable, "this node cannot confirm its bundle now"))
-			return
+func (n *Node) Routes(srv Router) { srv.Route("GET /v1/bundle", n.serveBundle) }
+
+func (n *Node) serveBundle(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), confirmTimeout)
+	defer cancel()
+	out := Bundle{Node: n.opt.Name}
+	err := n.Read(ctx, func(s *state.State) error {
+		out.Version, out.Index = s.Bundle.Version, s.Index
+		if revision := s.Revision(s.Bundle.Version); revision != nil {
+			out.Digest = revision.Digest
 		}
-		rpc.WriteJSON(w, http.StatusOK, out)
+		return nil
 	})
+	if err != nil {
+		rpc.WriteError(w, errs.Wrap(err, errs.Unavailable, "this node cannot confirm its bundle now"))
+		return
+	}
+	rpc.WriteJSON(w, http.StatusOK, out)
 }
