--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -43,7 +43,7 @@
 
 // metric is one figure without labels.
 type metric struct {
-	name, help string
+	name, help string // name without "crosstide_"
 	kind       prometheus.ValueType
 	value      func(Figures) float64
 }
@@ -105,17 +105,17 @@
 // NewCollector makes the collector of a node's figures.
 func NewCollector(n *Node) *Collector {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
-		return prometheus.NewDesc("crosstide_"+name, help, labels, nil)
+		return prometheus.NewDesc(name, help, labels, nil)
 	}
 	c := &Collector{
 		node:          n,
-		unhealthy:     desc("sched_sick", "1 for each minion held sick.", "minion"),
-		awaitingTopUp: desc("sched_dry_tasks", "Due tasks that wait for a top-up, by party.", "party"),
-		provedDead:    desc("sched_dead_total", "Handles proved dead, by proof.", "proof"),
-		running:       desc("sched_running", "Handles out, by type of job.", "type"),
+		unhealthy:     desc("crosstide_sched_sick", "1 for each minion held sick.", "minion"),
+		awaitingTopUp: desc("crosstide_sched_dry_tasks", "Due tasks that wait for a top-up, by party.", "party"),
+		provedDead:    desc("crosstide_sched_dead_total", "Handles proved dead, by proof.", "proof"),
+		running:       desc("crosstide_sched_running", "Handles out, by type of job.", "type"),
 	}
 	for _, m := range metrics {
-		c.plain = append(c.plain, desc(m.name, m.help))
+		c.plain = append(c.plain, desc("crosstide_"+m.name, m.help))
 	}
 	return c
 }
