--- a/internal/internalapi/account.go
+++ b/internal/internalapi/account.go
@@ -15,8 +15,8 @@
 	Sig    string `json:"sig,omitempty"`
 }
 
-// TopUpCall is the body of POST /v1/accounts/{name}/top-up. Sent again with the same key it counts once. Sig, in base64,
-// is over signature.AccountTopUp. The answer is an account.TopUp.
+// TopUpCall is the body of POST /v1/accounts/{name}/top-up. Sent again with the same key it counts once. Sig, in
+// base64, is over signature.AccountTopUp. The answer is an account.TopUp.
 type TopUpCall struct {
 	Key    string `json:"key"`
 	Amount int64  `json:"amount"` // units
@@ -27,14 +27,14 @@
 // AccountView is the answer of GET /v1/accounts/{name}.
 type AccountView struct {
 	Name        string        `json:"name"`
-	Balance     int64         `json:"balance"` // units; below zero only by what was running when it ran dry
+	Balance     int64         `json:"balance"` // units; below zero only by what was running when it was exhausted
 	Reserved    int64         `json:"reserved"`
 	Spent       int64         `json:"spent"`
 	ToppedUp    int64         `json:"topped_up"`
 	Credit      int64         `json:"credit,omitempty"`
-	Runs        int           `json:"runs"`             // that are out and paid for
+	Runs        int           `json:"runs"`             // that it pays for now
 	Rate        account.Rate  `json:"rate"`             // thousandths of a unit per second, of those runs
-	ExhaustedIn time.Duration `json:"dry_in,omitempty"` // forecast at that rate; 0 with Draws: it is dry now
+	ExhaustedIn time.Duration `json:"dry_in,omitempty"` // forecast at that rate; 0 with Draws: it is exhausted
 	Draws       bool          `json:"draws"`            // whether ExhaustedIn means anything
 	Warning     string        `json:"warning,omitempty"`
 	Teams       []string      `json:"teams,omitempty"`  // that it pays for, by the bundle in force
--- a/internal/internalapi/controlplane.go
+++ b/internal/internalapi/controlplane.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/rpc"
 )
 
-// Raft carries replication messages between cplanes. The answer says only that they arrived.
+// Raft carries consensus messages between control plane nodes. The answer says only that they arrived.
 var Raft = rpc.Endpoint[RaftCall, RaftAnswer]{Path: "/x/quorum"}
 
 // RaftCall is a batch of messages in order.
@@ -20,8 +20,8 @@
 // RaftAnswer is empty.
 type RaftAnswer struct{}
 
-// Propose commits one command. Only the leader takes it (errs.NotLeader with its address as hint). The answer
-// comes after the command was applied; a failure of the command's own is the answer's error.
+// Propose commits one command. Only the leader accepts it (else errs.NotLeader, with the leader's address as hint). The
+// answer comes after the command was applied; the command's own failure is the answer's error.
 var Propose = rpc.Endpoint[ProposeCall, ProposeAnswer]{Path: "/x/propose"}
 
 // ProposeCall is a command of package command: its op and its JSON.
@@ -36,8 +36,8 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// ReadIndex asks the leader for an index that any earlier commit is at or below: a state at or past it is as new
-// as the call.
+// ReadIndex asks the leader for an index that any earlier commit is at or below: a state that has reached it is at least
+// as new as the call.
 var ReadIndex = rpc.Endpoint[ReadIndexCall, ReadIndexAnswer]{Path: "/x/confirm"}
 
 // ReadIndexCall is empty.
@@ -48,16 +48,18 @@
 	Index uint64 `json:"index"`
 }
 
-// Follow returns committed changes past the caller's vector, from any cplane; waits up to Wait for the first.
+// Follow returns committed changes that the caller lacks, from any control plane node. It waits up to Wait for the first.
 var Follow = rpc.Endpoint[FollowCall, FollowAnswer]{Path: "/x/follow"}
 
-// FollowCall names, for each source, the version the caller has.
+// FollowCall names, for each source, the version that the caller has. The only source is "store"; its version is the log
+// index.
 type FollowCall struct {
 	Node   string            `json:"node"`
-	Vector map[string]uint64 `json:"vector"` // source to version; the store's source is "store", its version the log index
+	Vector map[string]uint64 `json:"vector"` // source to version
 	Wait   time.Duration     `json:"wait"`
 	Max    int               `json:"max"` // bytes of changes, about
-	// Bundle is the version the caller goes by, 0 before its first pull, and Age how long it has had it.
+	// Bundle is the version of the policy bundle that the caller goes by, 0 before its first pull, and Age how long it
+	// has had it.
 	Bundle uint64        `json:"bundle,omitempty"`
 	Age    time.Duration `json:"age,omitempty"`
 }
@@ -81,7 +83,7 @@
 	Size   int64  `json:"size"`
 }
 
-// Chunk fetches a part of a snapshot, so that a cut in the middle costs no more than the part.
+// Chunk fetches a part of a snapshot, so that a lost connection costs no more than the part.
 var Chunk = rpc.Endpoint[ChunkCall, ChunkAnswer]{Path: "/x/chunk"}
 
 // ChunkCall wants Max bytes from From on of snapshot Number (0: the newest).
@@ -94,15 +96,15 @@
 // ChunkAnswer is the part, with the snapshot that it belongs to. Sum is xxhash64 of the whole body.
 type ChunkAnswer struct {
 	Snapshot
-	Meta json.RawMessage `json:"meta"` // quorum.Meta of the snapshot
+	Meta json.RawMessage `json:"meta"` // raft.Meta of the snapshot
 	Data []byte          `json:"data"`
 	Sum  uint64          `json:"sum"`
 }
 
-// ClaimRole claims or renews a duty. Only the leader answers.
+// ClaimRole claims a singleton role, renews its lease, or releases it. Only the leader answers.
 var ClaimRole = rpc.Endpoint[ClaimRoleCall, RoleLease]{Path: "/x/duty"}
 
-// ClaimRoleCall is sent by every candidate again and again. Epoch is the caller's own grant, 0 if it has none.
+// ClaimRoleCall is sent by every candidate again and again. Epoch is that of the caller's own grant, 0 if it has none.
 type ClaimRoleCall struct {
 	Role        string `json:"duty"`
 	Holder      string `json:"holder"`
@@ -112,7 +114,7 @@
 	Release     bool   `json:"give_up,omitempty"`
 }
 
-// RoleLease reports who holds the duty. If Mine, the lease runs for Lease from the moment the call was sent.
+// RoleLease says who has the role. If Mine, it is the caller, for TTL from the moment at which the call was sent.
 type RoleLease struct {
 	Mine   bool          `json:"mine"`
 	Epoch  uint64        `json:"epoch"`
@@ -121,13 +123,13 @@
 	TTL    time.Duration `json:"lease"`
 }
 
-// Status asks a cplane for its state.
+// Status asks a control plane node for its state.
 var Status = rpc.Endpoint[StatusCall, StatusAnswer]{Path: "/x/status"}
 
 // StatusCall is empty.
 type StatusCall struct{}
 
-// StatusAnswer is what `who` prints and what the drill waits for.
+// StatusAnswer is what `who` prints and what the testbed waits for.
 type StatusAnswer struct {
 	Raft    raft.Status          `json:"quorum"`
 	Applied uint64               `json:"applied"`
--- a/internal/internalapi/join.go
+++ b/internal/internalapi/join.go
@@ -7,10 +7,11 @@
 	"crosstide/internal/rpc"
 )
 
-// Discover is asked by a cplane with an empty folder, before it takes part in anything: is there a fleet already?
+// Discover is asked by a control plane node with an empty folder before it takes part in anything: is there a cluster
+// already?
 var Discover = rpc.Endpoint[DiscoverCall, DiscoverAnswer]{Path: "/x/found"}
 
-// DiscoverCall names the asker. Boot is drawn anew by each process.
+// DiscoverCall names the asker. Incarnation is drawn anew by each process.
 type DiscoverCall struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"boot"`
@@ -18,13 +19,13 @@
 
 // DiscoverAnswer is the state of the node that was asked.
 type DiscoverAnswer struct {
-	ID          string `json:"id"` // in the quorum; "" while it has none
+	ID          string `json:"id"` // as a member; "" while it has none
 	Incarnation string `json:"boot"`
-	Fresh       bool   `json:"fresh"` // its folder is empty, or founded and without any vote or entry yet
-	// Commit is the highest index it knows to be committed; 1 is the founding itself.
+	Fresh       bool   `json:"fresh"` // its folder is empty, or bootstrapped and without a vote or entry yet
+	// Commit is the highest index it knows to be committed; 1 is the bootstrap itself.
 	Commit uint64 `json:"commit"`
-	// BootstrapIncarnations are the boots of the others, by name, that reported to it that they were fresh before it founded. A process
-	// that finds its own boot here has no earlier life in this fleet.
+	// BootstrapIncarnations are those of the others, by name, that reported to it that they were fresh before it
+	// bootstrapped the cluster. A process that finds its own here has no earlier incarnation in the cluster.
 	BootstrapIncarnations map[string]string `json:"founders,omitempty"`
 	Digest                string            `json:"digest"` // of the members in its settings
 	// Leader is the address of the leader it knows in Term, if any. Members is the newest member set that it knows
@@ -35,12 +36,12 @@
 	MembersAt uint64        `json:"members_at,omitempty"`
 }
 
-// Join asks the leader to take a node with an empty folder in: as a learner, then, once it has caught up, as a
-// voter in place of the older member of its name. Each call moves it one step at most; it is sent again and
-// again until the answer says Voter.
+// Join asks the leader to add a node with an empty folder: as a learner, then, once it has caught up, as a voter in
+// place of the older member of its name. Each call moves it one step at most; it is sent again and again until the
+// answer says Voter.
 var Join = rpc.Endpoint[JoinCall, JoinAnswer]{Path: "/x/join"}
 
-// JoinCall is the node. ID is Name, "~" and the incarnation of its folder.
+// JoinCall names the node. ID is Name, "~" and the incarnation of its folder.
 type JoinCall struct {
 	ID   string `json:"id"`
 	Name string `json:"name"`
@@ -50,7 +51,7 @@
 	Since uint64 `json:"since,omitempty"`
 }
 
-// JoinAnswer reports how far it is.
+// JoinAnswer reports how far the node is.
 type JoinAnswer struct {
 	Learner    bool          `json:"learner"`
 	Voter      bool          `json:"voter"`
--- a/internal/internalapi/rollout.go
+++ b/internal/internalapi/rollout.go
@@ -6,19 +6,20 @@
 	"crosstide/internal/rpc"
 )
 
-// Rollout asks a cplane which bundle it has, and what the dplanes that follow it said of theirs.
+// Rollout asks a control plane node which policy bundle it has, and which ones the data plane nodes that follow it have
+// reported.
 var Rollout = rpc.Endpoint[RolloutCall, RolloutAnswer]{Path: "/x/rollout"}
 
 // RolloutCall is empty.
 type RolloutCall struct{}
 
-// RolloutAnswer lists the asked cplane itself and the dplanes it heard of in the last minutes.
+// RolloutAnswer lists the asked node itself and the data plane nodes that it heard from in the last minutes.
 type RolloutAnswer struct {
 	Nodes []NodeBundle `json:"nodes"`
 }
 
-// NodeBundle is the bundle version a node has. Since is by the clock of the cplane that reports it: a dplane says how
-// long it has had the version, not when it got it.
+// NodeBundle is the bundle version that a node has. Since is by the clock of the control plane node that reports it: a
+// data plane node says how long it has had the version, not when it got it.
 type NodeBundle struct {
 	Node    string    `json:"node"`
 	Kind    string    `json:"kind"` // cplane or dplane
