--- a/internal/config/jobs.go
+++ b/internal/config/jobs.go
@@ -6,7 +6,8 @@
 	"crosstide/internal/errs"
 )
 
-// JobsControlPlane is the settings of a core node that serves jobs: those of a cplane, and a section jobs.
+// JobsControlPlane are the settings of a control plane node of the jobs deployment: those of ControlPlane, and a
+// section jobs. Each comment begins with the setting's name.
 type JobsControlPlane struct {
 	ControlPlane
 	Control     string        // jobs.control: IP:PORT where workers and operators reach the node, needed
@@ -16,32 +17,42 @@
 	Scheduler    JobsScheduler
 }
 
-// JobsScheduler is the part of the section jobs that the scheduler goes by.
+// JobsScheduler are the settings of the section jobs that the scheduler uses.
 type JobsScheduler struct {
 	Lease        time.Duration // jobs.lease: of all that runs on a worker; default 5s
-	PollWait     time.Duration // jobs.hold_wait: how long a worker may keep its answer back; default 1s, at most a third of lease
+	PollWait     time.Duration // jobs.hold_wait: how long a worker may delay its answer; default 1s, at most lease/3
 	Silence      time.Duration // jobs.silence: no starts on a worker unheard for so long; default 4s
-	LapseMargin  time.Duration // jobs.lapse_margin: within it a worker has killed all once its lease is over; default 600ms
+	LapseMargin  time.Duration // jobs.lapse_margin: in which a worker kills all once its lease is over; default 600ms
 	EarlyStart   time.Duration // jobs.early_start: how much ahead of its time a round may start; default 0s
 	RemoteFactor float64       // jobs.remote_factor: how many times as long a task takes far from its data; default 1.5
-	ForgetAfter  time.Duration // jobs.forget_after: a worker without runs, unheard for so long, is forgotten; default 15s
+	ForgetAfter  time.Duration // jobs.forget_after: a worker without runs is dropped when unheard so long; default 15s
 }
 
-// JobsDataPlane is the settings of a front node that serves jobs.
+// JobsDataPlane are the settings of a data plane node of the jobs deployment.
 type JobsDataPlane struct {
 	Common
-	ControlPlanes []string      // core: addresses of core nodes; this or seeds is needed
+	ControlPlanes []string      // core: addresses of control plane nodes; this or seeds is needed
 	CallTimeout   time.Duration // call_timeout: of a client's call; default 3s
 }
 
-// renewalsPerLease is how often a lease is renewed at least while it runs.
+// renewalsPerLease is how often at least a lease is renewed while it runs.
 const renewalsPerLease = 3
 
 // DefaultJobsControlPlane has every default, and nothing that is needed.
 func DefaultJobsControlPlane() JobsControlPlane {
-	return JobsControlPlane{ControlPlane: DefaultControlPlane(), CallTimeout: 3 * time.Second, KeepFinished: 10 * time.Minute, Scheduler: JobsScheduler{
-		Lease: 5 * time.Second, PollWait: time.Second, Silence: 4 * time.Second, LapseMargin: 600 * time.Millisecond,
-		RemoteFactor: 1.5, ForgetAfter: 15 * time.Second}}
+	return JobsControlPlane{
+		ControlPlane: DefaultControlPlane(),
+		CallTimeout:  3 * time.Second,
+		KeepFinished: 10 * time.Minute,
+		Scheduler: JobsScheduler{
+			Lease:        5 * time.Second,
+			PollWait:     time.Second,
+			Silence:      4 * time.Second,
+			LapseMargin:  600 * time.Millisecond,
+			RemoteFactor: 1.5,
+			ForgetAfter:  15 * time.Second,
+		},
+	}
 }
 
 // DefaultJobsDataPlane has every default, and nothing that is needed.
@@ -49,26 +60,26 @@
 	return JobsDataPlane{Common: defaultCommon(), CallTimeout: 3 * time.Second}
 }
 
-// LoadJobsControlPlane is LoadControlPlane for a core node that serves jobs.
+// LoadJobsControlPlane is LoadControlPlane for a control plane node of the jobs deployment.
 func LoadJobsControlPlane(path string) (JobsControlPlane, error) {
 	c := DefaultJobsControlPlane()
 	err := load(path, c.read)
 	return c, errs.Pass(err, "core node")
 }
 
-// LoadJobsDataPlane is LoadControlPlane for a front node that serves jobs.
+// LoadJobsDataPlane is LoadControlPlane for a data plane node of the jobs deployment.
 func LoadJobsDataPlane(path string) (JobsDataPlane, error) {
 	f := DefaultJobsDataPlane()
 	err := load(path, f.read)
 	return f, errs.Pass(err, "front node")
 }
 
-// CheckJobsControlPlane is CheckControlPlane for a core node that serves jobs.
+// CheckJobsControlPlane is CheckControlPlane for a control plane node of the jobs deployment.
 func CheckJobsControlPlane(c JobsControlPlane) error {
 	return errs.Pass(checkSettings(c.read), "core node")
 }
 
-// CheckJobsDataPlane is CheckControlPlane for a front node that serves jobs.
+// CheckJobsDataPlane is CheckControlPlane for a data plane node of the jobs deployment.
 func CheckJobsDataPlane(f JobsDataPlane) error { return errs.Pass(checkSettings(f.read), "front node") }
 
 func (c *JobsControlPlane) read(r *Reader) {
@@ -100,7 +111,8 @@
 		r.Reject("hold_wait", "must be at most a third of lease (%s), is %s", s.Lease, s.PollWait)
 	}
 	if s.ForgetAfter <= s.Lease+s.LapseMargin {
-		r.Reject("forget_after", "must be over lease and lapse_margin (%s), is %s", s.Lease+s.LapseMargin, s.ForgetAfter)
+		r.Reject("forget_after", "must be over lease and lapse_margin (%s), is %s",
+			s.Lease+s.LapseMargin, s.ForgetAfter)
 	}
 }
 
@@ -113,7 +125,7 @@
 	r.Duration("call_timeout", &f.CallTimeout, minDuration, maxDuration)
 }
 
-// ControlPlaneAddresses are the addresses of core nodes to ask at first.
+// ControlPlaneAddresses are the addresses to ask first: those of core, else the seeds.
 func (f JobsDataPlane) ControlPlaneAddresses() []string {
 	if len(f.ControlPlanes) > 0 {
 		return f.ControlPlanes
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -1,95 +1,39 @@
-// Package config reads the settings of the daemons: JSON, every value checked, all mistakes reported at once.
+// Package config reads the settings of the daemons: JSON, every value checked, all validation errors reported at
+// once.
+//
+// For each kind of daemon there is a struct with its settings, and Default, Load and Check for it. Its method read
+// names each setting once, with its bounds; Load runs it on a file, Check on values that flags have changed. The
+// names of settings are what operators have in their files: they never change, whatever the fields are named.
+//
+// Other packages use Parse and Reader for JSON of operators that must be as strict: policy bundles, jobs'
+// configurations.
 package config
 
 import (
-	"encoding/base64"
 	"fmt"
-	"maps"
-	"net/netip"
 	"slices"
 	"strconv"
-	"strings"
-	"time"
 
 	"github.com/valyala/fastjson"
 
 	"crosstide/internal/errs"
 )
 
-// ValidationError is one thing that is wrong in a settings file. Field is its path, such as members[2].addr.
-type ValidationError struct{ Field, Message string }
-
-// ValidationErrors is all that is wrong in one file, in the order in which it was found.
-type ValidationErrors []ValidationError
-
-// Error returns one line per mistake, "field: message".
-func (m ValidationErrors) Error() string {
-	lines := make([]string, len(m))
-	for i, one := range m {
-		lines[i] = strings.TrimPrefix(one.Field+": "+one.Message, ": ")
-	}
-	return strings.Join(lines, "\n")
-}
-
-// Rule checks a value and returns what it must be, or "" when it is valid.
-type Rule func(value string) string
-
-// NotEmpty refuses the empty string.
-func NotEmpty(value string) string {
-	if value == "" {
-		return "must not be empty"
-	}
-	return ""
-}
-
-// OneOf allows the listed values.
-func OneOf(values ...string) Rule {
-	return func(value string) string {
-		if slices.Contains(values, value) {
-			return ""
-		}
-		return fmt.Sprintf("must be one of %s, is %q", strings.Join(values, ", "), value)
-	}
-}
-
-// Address allows IP:port with a port from 1 to 65535.
-func Address(value string) string {
-	if a, err := netip.ParseAddrPort(value); err != nil || a.Port() == 0 {
-		return fmt.Sprintf("must be an address like \"10.0.0.7:7000\", is %q", value)
-	}
-	return ""
-}
-
-// Base64 allows the standard base64 of n bytes.
-func Base64(n int) Rule {
-	return func(value string) string {
-		if b, err := base64.StdEncoding.DecodeString(value); err != nil || len(b) != n {
-			return fmt.Sprintf("must be the base64 of %d bytes, is %q", n, value)
-		}
-		return ""
-	}
-}
-
-// Reader reads the fields of one JSON object. A field that is not there leaves its target, and so the default in
-// it, as it is. What is wrong is collected, and a wrong field leaves its target too.
+// Reader reads the fields of one JSON object. A field that is missing leaves its target, and so the default in it, as
+// it is. What is wrong is collected, and a wrong field leaves its target as it is, too.
 //
-// A reader without an object checks the targets themselves by the same rules, see check.
+// A reader without an object checks the values in the targets by the same rules; see checkSettings.
 type Reader struct {
-	path    string
-	obj     *fastjson.Object
-	seen    map[string]bool
-	invalid *ValidationErrors
-}
-
-// checkTargets runs into on a reader that judges the values already in the targets.
-func checkTargets(out *ValidationErrors, into func(r *Reader)) {
-	into(&Reader{invalid: out, seen: map[string]bool{}})
+	path    string            // of the object; "" for the file
+	obj     *fastjson.Object  // nil: check the targets
+	seen    map[string]bool   // fields that were asked for
+	invalid *ValidationErrors // shared by the readers of one file
 }
 
 func (r *Reader) checking() bool { return r.obj == nil }
 
-// Parse reads data by into. Fields that into did not ask for and fields given twice are mistakes too. The error is
-// nil or a errs.Settings whose text lists all mistakes; errors.As finds the Mistakes in it. Example:
+// Parse reads data by into. Fields that into did not ask for and fields given twice are errors too. The result is nil
+// or an errs.Settings whose text lists all; errors.As finds the ValidationErrors in it. Example:
 //
 //	lease := 3 * time.Second
 //	err := config.Parse(data, func(r *config.Reader) {
@@ -99,26 +43,12 @@
 	var parser fastjson.Parser // its values live as long as it does
 	v, err := parser.ParseBytes(data)
 	if err != nil {
-		return errs.Wrap(ValidationErrors{{"", "must be JSON: " + err.Error()}}, errs.Settings, "1 mistake in the settings")
-	}
-	var out ValidationErrors
-	readObject("", v, &out, into)
-	return errs.Wrap(out.orNil(), errs.Settings, "%s in the settings", out.count())
-}
-
-// orNil is m as an error, nil if there are none.
-func (m ValidationErrors) orNil() error {
-	if len(m) == 0 {
-		return nil
-	}
-	return m
-}
-
-func (m ValidationErrors) count() string {
-	if len(m) == 1 {
-		return "1 mistake"
+		invalid := ValidationErrors{{"", "must be JSON: " + err.Error()}}
+		return errs.Wrap(invalid, errs.Settings, "1 mistake in the settings")
 	}
-	return fmt.Sprintf("%d mistakes", len(m))
+	var invalid ValidationErrors
+	readObject("", v, &invalid, into)
+	return errs.Wrap(invalid.orNil(), errs.Settings, "%s in the settings", invalid.count())
 }
 
 func readObject(path string, v *fastjson.Value, out *ValidationErrors, into func(r *Reader)) {
@@ -142,7 +72,7 @@
 	})
 }
 
-// text shows a value in a message, cut short if need be.
+// text shows a value in a message, cut to a bounded length.
 func text(v *fastjson.Value) string {
 	s := v.String()
 	if r := []rune(s); len(r) > 60 {
@@ -151,7 +81,7 @@
 	return s
 }
 
-// Reject collects a mistake at field of this object; field "" is the object itself. Only the first mistake of a
+// Reject collects a validation error at field of this object; field "" is the object itself. Only the first one of a
 // field is reported.
 func (r *Reader) Reject(field, format string, args ...any) {
 	path := r.join(field)
@@ -180,7 +110,7 @@
 func (r *Reader) Has(field string) bool { return !r.checking() && r.obj.Get(field) != nil }
 
 // Names returns the names of this object's fields in the order of the text, for objects whose names the
-// operator chooses. A name given twice is there twice, and a mistake.
+// operator chooses. A name given twice is there twice, and an error.
 func (r *Reader) Names() []string {
 	var out []string
 	if !r.checking() {
@@ -189,14 +119,14 @@
 	return out
 }
 
-// Renamed makes a field under its former name a mistake whose text gives the name it has now.
+// Renamed rejects a field under its former name, with the name that it has now.
 func (r *Reader) Renamed(old, now string) {
 	if r.Has(old) {
 		r.Reject(old, "is now named %s", now)
 	}
 }
 
-// Require makes the absence of fields a mistake.
+// Require rejects the absence of fields.
 func (r *Reader) Require(fields ...string) {
 	for _, field := range fields {
 		if r.get(field) == nil && !r.checking() {
@@ -205,138 +135,6 @@
 	}
 }
 
-// String reads a string that every rule allows.
-func (r *Reader) String(field string, to *string, rules ...Rule) {
-	if v := r.get(field); v != nil {
-		r.readString(field, v, to, rules)
-	} else if r.checking() {
-		r.checkRules(field, *to, rules)
-	}
-}
-
-func (r *Reader) readString(field string, v *fastjson.Value, to *string, rules []Rule) {
-	b, err := v.StringBytes()
-	if err != nil {
-		r.Reject(field, "must be a string, is %s", text(v))
-		return
-	}
-	if r.checkRules(field, string(b), rules) {
-		*to = string(b)
-	}
-}
-
-func (r *Reader) checkRules(field, value string, rules []Rule) bool {
-	for _, rule := range rules {
-		if wrong := rule(value); wrong != "" {
-			r.Reject(field, "%s", wrong)
-			return false
-		}
-	}
-	return true
-}
-
-// Addr reads an IP:port.
-func (r *Reader) Addr(field string, to *string) { r.String(field, to, Address) }
-
-// Duration reads a duration such as "3s" or "1h30m" from least to most.
-func (r *Reader) Duration(field string, to *time.Duration, least, most time.Duration) {
-	d := *to
-	if v := r.get(field); v != nil {
-		b, err := v.StringBytes()
-		if err == nil {
-			d, err = time.ParseDuration(string(b))
-		}
-		if err != nil {
-			r.Reject(field, "must be a duration like \"3s\", is %s", text(v))
-			return
-		}
-	} else if !r.checking() {
-		return
-	}
-	if d < least || d > most {
-		r.Reject(field, "must be from %s to %s, is %s", least, most, d)
-		return
-	}
-	*to = d
-}
-
-// Int reads a whole number from least to most.
-func (r *Reader) Int(field string, to *int, least, most int) {
-	n := *to
-	if v := r.get(field); v != nil {
-		var err error
-		if n, err = v.Int(); err != nil {
-			r.Reject(field, "must be a whole number, is %s", text(v))
-			return
-		}
-	} else if !r.checking() {
-		return
-	}
-	if n < least || n > most {
-		r.Reject(field, "must be from %d to %d, is %d", least, most, n)
-		return
-	}
-	*to = n
-}
-
-// Bool reads true or false.
-func (r *Reader) Bool(field string, to *bool) {
-	v := r.get(field)
-	if v == nil {
-		return
-	}
-	b, err := v.Bool()
-	if err != nil {
-		r.Reject(field, "must be true or false, is %s", text(v))
-		return
-	}
-	*to = b
-}
-
-// Strings reads an array of strings that every rule allows; a mistake in one leaves the target as it is.
-func (r *Reader) Strings(field string, to *[]string, rules ...Rule) {
-	if r.checking() {
-		for i, one := range *to {
-			r.checkRules(itemPath(field, i), one, rules)
-		}
-		return
-	}
-	had := len(*r.invalid)
-	var list []string
-	there := r.readItems(field, func(at string, v *fastjson.Value) {
-		var one string
-		r.readString(at, v, &one, rules)
-		list = append(list, one)
-	})
-	if there && len(*r.invalid) == had {
-		*to = list
-	}
-}
-
-// Map reads an object of strings; every rule must allow its keys and values.
-func (r *Reader) Map(field string, to *map[string]string, rules ...Rule) {
-	out, had := *to, len(*r.invalid)
-	if v := r.get(field); v != nil {
-		out = map[string]string{}
-		readObject(r.join(field), v, r.invalid, func(r *Reader) {
-			r.obj.Visit(func(key []byte, v *fastjson.Value) {
-				var one string
-				r.seen[string(key)] = true
-				r.readString(string(key), v, &one, rules)
-				out[string(key)] = one
-			})
-		})
-	}
-	for _, key := range slices.Sorted(maps.Keys(out)) {
-		if r.checkRules(field, key, rules) && r.checking() {
-			r.checkRules(field+"."+key, out[key], rules)
-		}
-	}
-	if len(*r.invalid) == had {
-		*to = out
-	}
-}
-
 // Object reads a nested object.
 func (r *Reader) Object(field string, into func(r *Reader)) {
 	if v := r.get(field); v != nil {
--- a/internal/internalapi/controlplane.go
+++ b/internal/internalapi/controlplane.go
@@ -36,8 +36,8 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// ReadIndex asks the leader for an index that any earlier commit is at or below: a state that has reached it is at least
-// as new as the call.
+// ReadIndex asks the leader for an index that any earlier commit is at or below: a state that has reached it is at
+// least as new as the call.
 var ReadIndex = rpc.Endpoint[ReadIndexCall, ReadIndexAnswer]{Path: "/x/confirm"}
 
 // ReadIndexCall is empty.
@@ -48,11 +48,12 @@
 	Index uint64 `json:"index"`
 }
 
-// Follow returns committed changes that the caller lacks, from any control plane node. It waits up to Wait for the first.
+// Follow returns committed changes that the caller lacks, from any control plane node. It waits up to Wait for the
+// first.
 var Follow = rpc.Endpoint[FollowCall, FollowAnswer]{Path: "/x/follow"}
 
-// FollowCall names, for each source, the version that the caller has. The only source is "store"; its version is the log
-// index.
+// FollowCall names, for each source, the version that the caller has. The only source is "store"; its version is the
+// log index.
 type FollowCall struct {
 	Node   string            `json:"node"`
 	Vector map[string]uint64 `json:"vector"` // source to version
--- a/internal/internalapi/lease.go
+++ b/internal/internalapi/lease.go
@@ -20,7 +20,7 @@
 // worker's own clock (LeaseAnswer.Clock), in nanoseconds.
 type LeaseCall struct {
 	Call        uint64        `json:"call"`            // goes up with every call to this worker under Epoch
-	Epoch       uint64        `json:"epoch"`           // fencing token: a worker that has seen a newer one refuses all
+	Epoch       uint64        `json:"epoch"`           // fencing token: a worker refuses all older ones
 	Worker      string        `json:"minion"`          // that the scheduler means to call
 	Incarnation string        `json:"boot,omitempty"`  // as the scheduler knows it; starts are invalid under another
 	RenewUntil  time.Duration `json:"until,omitempty"` // runs of Renew may go on until the worker's clock shows this
@@ -59,13 +59,13 @@
 	Call        uint64            `json:"call"`
 	Epoch       uint64            `json:"epoch"` // the newest that the worker has seen
 	Incarnation string            `json:"boot"`
-	Clock       time.Duration     `json:"clock"` // the worker's own, counting suspension; begins anew with an incarnation
+	Clock       time.Duration     `json:"clock"` // the worker's own, of this incarnation; counts suspension
 	Seen        uint64            `json:"seen"`  // the highest run ID that it received in an order
 	Floor       uint64            `json:"floor"` // the highest that it received
 	Running     []uint64          `json:"running,omitempty"`
 	Ended       []RunEnd          `json:"ended,omitempty"`
 	Refused     []StartRefusal    `json:"refused,omitempty"` // of the starts of this very call
-	Kind        string            `json:"kind"`              // obey: carries out any start order; check: checks it first
+	Kind        string            `json:"kind"`              // obey (carries out any start) or check (checks it first)
 	Zone        string            `json:"zone"`
 	Rack        string            `json:"rack,omitempty"`
 	Labels      map[string]string `json:"labels,omitempty"`
