--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the clock and the timers: real ones for the daemons, virtual ones for tests and the simulator.
+// Package clock holds the clock and its timers: Real for the daemons, Virtual for tests and simulators. All else gets
+// its time from a Clock, so that a test or a simulator decides what the time is.
 package clock
 
 import (
@@ -13,13 +14,13 @@
 type Clock interface {
 	// Now is the time since the clock's start. It counts the time a machine was suspended.
 	Now() time.Duration
-	// Wall is the time of day, for people and for ages of records, never for leases.
+	// Wall is the time of day, for log lines and the ages of records, never for leases.
 	Wall() time.Time
-	// Set calls call once after d, on a goroutine of the clock. Stop of the result cancels it.
+	// Set calls call once after d, on a goroutine of the clock. Stop of the result cancels that.
 	Set(d time.Duration, call func()) Stopper
 }
 
-// Stopper cancels a timer. Stop tells whether the timer had not fired yet.
+// Stopper cancels a timer. Stop reports whether that kept it from firing.
 type Stopper interface{ Stop() bool }
 
 // Real is the machine's clock (CLOCK_BOOTTIME).
@@ -57,7 +58,7 @@
 	clock   *Virtual
 }
 
-// Stop keeps the timer from firing and tells whether it was still to fire.
+// Stop keeps the timer from firing, and reports whether it would still have fired.
 func (r *timer) Stop() bool {
 	r.clock.mu.Lock()
 	defer r.clock.mu.Unlock()
--- /dev/null
+++ b/internal/daemon/lifecycle.go
@@ -0,0 +1,55 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/routine"
+	"crosstide/internal/rpc"
+)
+
+// RunUntilDone runs all of background until ctx ends, and returns when they have returned.
+func RunUntilDone(ctx context.Context, background ...func(ctx context.Context)) {
+	group := routine.New(context.Background())
+	for _, one := range background {
+		group.Go(one)
+	}
+	<-ctx.Done()
+	group.Stop()
+}
+
+// Lifecycle is the order in which a daemon starts, serves and ends.
+type Lifecycle struct {
+	Server  *rpc.Server
+	Logger  log.Logger
+	Zone    string
+	Version string
+	Grace   time.Duration // for running calls at the end
+
+	Start func()                    // starts the daemon's parts once the server listens
+	Drain func(ctx context.Context) // announces the end to other nodes; ctx ends after Grace
+	Stop  func()                    // stops the daemon's parts after the server
+}
+
+// Run serves until ctx ends, then drains. Its only failure is a server that cannot listen; then Start was not called.
+func (l Lifecycle) Run(ctx context.Context) error {
+	if err := l.Server.Start(); err != nil {
+		return errs.Pass(err, "serve")
+	}
+	l.Start()
+	_ = level.Info(l.Logger).Log("msg", "serving", "addr", l.Server.Addr(), "zone", l.Zone, "version", l.Version)
+	<-ctx.Done()
+	drainCtx, cancel := context.WithTimeout(context.Background(), l.Grace)
+	defer cancel()
+	l.Drain(drainCtx)
+	err := l.Server.Stop(l.Grace)
+	l.Stop()
+	if err != nil {
+		_ = level.Warn(l.Logger).Log("msg", "running calls cut off", "err", err)
+	}
+	return nil
+}
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -19,16 +19,21 @@
 // shuffleTimeout bounds one shuffle, and the announcement that a daemon leaves.
 const shuffleTimeout = time.Second
 
-// NewMembership makes a daemon's membership node; the caller starts it, serves its shuffles and stops it. cplanes may
-// be nil, see membership.Options.
-func NewMembership(set config.Common, role string, seeds []string, k *rpc.Client, logger log.Logger, reg prometheus.Registerer,
-	controlPlanes func([]string)) *membership.Node {
+// NewMembership makes a daemon's membership node; the caller starts it, serves its shuffles and stops it.
+// onControlPlanes may be nil, see membership.Options.
+func NewMembership(settings config.Common, role string, seeds []string, caller *rpc.Client, logger log.Logger,
+	registry prometheus.Registerer, onControlPlanes func([]string)) *membership.Node {
 	return membership.NewNode(membership.Options{
-		Self:  membership.Member{Name: set.Name, Addr: set.Addr, Zone: set.Zone, Role: role},
-		Seeds: seeds, RandomSeed: rand.Uint64(), Clock: clock.Real{}, Logger: Part(logger, "membership"), Registry: reg, OnControlPlanes: controlPlanes,
+		Self:            membership.Member{Name: settings.Name, Addr: settings.Addr, Zone: settings.Zone, Role: role},
+		Seeds:           seeds,
+		RandomSeed:      rand.Uint64(),
+		Clock:           clock.Real{},
+		Logger:          Part(logger, "membership"),
+		Registry:        registry,
+		OnControlPlanes: onControlPlanes,
 		Send: func(ctx context.Context, addr string, m membership.Message) (membership.Message, error) {
-			a, err := rpc.Call(ctx, k, addr, internalapi.Shuffle, m, shuffleTimeout)
-			return a, errs.Pass(err, "shuffle")
+			answer, err := rpc.Call(ctx, caller, addr, internalapi.Shuffle, m, shuffleTimeout)
+			return answer, errs.Pass(err, "shuffle")
 		},
 	})
 }
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -3,16 +3,16 @@
 import "runtime/debug"
 
 const (
-	memoryShare    = 60 // percent of the process's memory for the heap; the rest is stacks, kernel buffers, C library
-	garbagePercent = 50 // the heap grows by so much between collections
-	minHeapBytes   = 16 << 20
+	heapPercent  = 60 // of the process's memory; the rest is for stacks, kernel buffers and the C library
+	gcPercent    = 50 // by which the heap grows between collections
+	minHeapBytes = 16 << 20
 )
 
-// LimitMemory keeps the heap well inside the memory that the process may use, in bytes; 0 leaves all as it is.
+// LimitMemory keeps the heap well inside the memory that the process may use, in bytes; 0 changes nothing.
 func LimitMemory(bytes int64) {
 	if bytes <= 0 {
 		return
 	}
-	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(max(bytes/100*memoryShare, minHeapBytes))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(max(bytes/100*heapPercent, minHeapBytes))
 }
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -19,11 +19,11 @@
 	Load    func(path string) (S, error) // reads and checks a file
 	Check   func(S) error                // checks settings that flags have changed
 	Common  func(*S) *config.Common
-	// StringFlags are the flags of run beside the common ones that are put over a setting, by name.
+	// StringFlags are the flags of run, beside the common ones, that replace a setting, by name.
 	StringFlags map[string]func(*S) *string
-	Flags       []cli.Flag // those of Words
+	Flags       []cli.Flag // the flags of StringFlags
 	// Serve runs the daemon until ctx ends, then drains it.
-	Serve func(ctx context.Context, set S, profiles bool, logger log.Logger) error
+	Serve func(ctx context.Context, settings S, profiles bool, logger log.Logger) error
 }
 
 // Commands returns the subcommands. Example:
@@ -39,14 +39,8 @@
 			&cli.DurationFlag{Name: "grace", Usage: "for running calls at the end, over the settings"},
 			&cli.BoolFlag{Name: "pprof", Usage: "show profiles at /debug/pprof/"},
 		}, p.Flags...)},
-		{Name: "check", Usage: "print all mistakes in the settings; exit 1 if there are any", Flags: []cli.Flag{settings},
-			Action: func(_ context.Context, cmd *cli.Command) error {
-				if _, err := p.Load(cmd.String("settings")); err != nil {
-					return errs.Pass(err, "check") // its text lists all mistakes
-				}
-				fmt.Println("ok")
-				return nil
-			}},
+		{Name: "check", Usage: "print all mistakes in the settings; exit 1 if there are any",
+			Flags: []cli.Flag{settings}, Action: p.check},
 		{Name: "version", Usage: "print the version", Action: func(context.Context, *cli.Command) error {
 			fmt.Println(p.Version)
 			return nil
@@ -54,41 +48,49 @@
 	}
 }
 
-// settings reads the settings with the flags over them.
-func (p Program[S]) settings(cmd *cli.Command) (S, error) {
-	set, err := p.Load(cmd.String("settings"))
+func (p Program[S]) check(_ context.Context, cmd *cli.Command) error {
+	if _, err := p.Load(cmd.String("settings")); err != nil {
+		return errs.Pass(err, "check") // its text lists all that is wrong
+	}
+	fmt.Println("ok")
+	return nil
+}
+
+// loadWithFlags reads the settings and replaces those that flags are given for.
+func (p Program[S]) loadWithFlags(cmd *cli.Command) (S, error) {
+	settings, err := p.Load(cmd.String("settings"))
 	if err != nil {
-		return set, errs.Pass(err, "settings")
+		return settings, errs.Pass(err, "settings")
 	}
-	common := p.Common(&set)
-	words := map[string]*string{"addr": &common.Addr, "zone": &common.Zone, "log-level": &common.LogLevel}
-	for name, word := range p.StringFlags {
-		words[name] = word(&set)
+	common := p.Common(&settings)
+	targets := map[string]*string{"addr": &common.Addr, "zone": &common.Zone, "log-level": &common.LogLevel}
+	for name, target := range p.StringFlags {
+		targets[name] = target(&settings)
 	}
-	for name, to := range words {
+	for name, target := range targets {
 		if cmd.IsSet(name) {
-			*to = cmd.String(name)
+			*target = cmd.String(name)
 		}
 	}
 	if cmd.IsSet("grace") {
 		common.Grace = cmd.Duration("grace")
 	}
-	return set, errs.Pass(p.Check(set), "settings with flags")
+	return settings, errs.Pass(p.Check(settings), "settings with flags")
 }
 
 func (p Program[S]) run(ctx context.Context, cmd *cli.Command) error {
-	set, err := p.settings(cmd)
+	settings, err := p.loadWithFlags(cmd)
 	if err != nil {
 		return errs.Pass(err, "run")
 	}
-	common := p.Common(&set)
+	common := p.Common(&settings)
 	logger := log.With(Logger(common.LogLevel, os.Stderr), "node", common.Name)
 	ctx, stop := Signals(ctx)
 	defer stop()
-	if err := p.Serve(ctx, set, cmd.Bool("pprof"), logger); err != nil {
-		_ = level.Error(logger).Log("msg", "end", "err", err)
+	if err := p.Serve(ctx, settings, cmd.Bool("pprof"), logger); err != nil {
+		_ = level.Error(logger).Log("msg", "daemon failed", "err", err)
 		return errs.Pass(err, "run")
 	}
-	_ = level.Info(logger).Log("msg", "end")
+	_ = level.Info(logger).Log("msg", "daemon stopped")
 	return nil
 }
--- /dev/null
+++ b/internal/daemon/routes.go
@@ -0,0 +1,82 @@
+package daemon
+
+import (
+	"bytes"
+	"net/http"
+	"runtime/pprof"
+	"strconv"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/errs"
+	"crosstide/internal/rpc"
+)
+
+// Of a CPU profile, in seconds.
+const (
+	defaultProfileSeconds = 5
+	maxProfileSeconds     = 60
+)
+
+// probeAnswer is the answer of a probe that succeeds.
+type probeAnswer struct {
+	OK bool `json:"ok"`
+}
+
+// Routes adds GET /livez (200 while the process answers), GET /readyz (200, or the failure that ready returns) and
+// GET /metrics.
+func Routes(srv *rpc.Server, registry prometheus.Gatherer, ready func() error) {
+	srv.Route("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
+		rpc.WriteJSON(w, http.StatusOK, probeAnswer{true})
+	})
+	srv.Route("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
+		if err := ready(); err != nil {
+			rpc.WriteError(w, err)
+			return
+		}
+		rpc.WriteJSON(w, http.StatusOK, probeAnswer{true})
+	})
+	srv.Route("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP)
+}
+
+// Profiles adds GET /debug/pprof/cpu?seconds=N (1 to 60, default 5) and GET /debug/pprof/NAME for heap, goroutine and
+// the other profiles of the runtime. A profile costs time while it is taken; a daemon serves them only with --pprof.
+func Profiles(srv *rpc.Server) {
+	srv.Route("GET /debug/pprof/cpu", serveCPUProfile)
+	srv.Route("GET /debug/pprof/{name}", serveProfile)
+}
+
+func serveCPUProfile(w http.ResponseWriter, r *http.Request) {
+	seconds, err := strconv.Atoi(r.URL.Query().Get("seconds"))
+	if err != nil || seconds < 1 || seconds > maxProfileSeconds {
+		seconds = defaultProfileSeconds
+	}
+	var out bytes.Buffer
+	if err := pprof.StartCPUProfile(&out); err != nil {
+		rpc.WriteError(w, errs.Wrap(err, errs.Conflict, "a profile is being taken"))
+		return
+	}
+	over := make(chan struct{})
+	clock.Real{}.Set(time.Duration(seconds)*time.Second, func() { close(over) })
+	<-over
+	pprof.StopCPUProfile()
+	_, _ = w.Write(out.Bytes()) // fails only if the client is gone
+}
+
+func serveProfile(w http.ResponseWriter, r *http.Request) {
+	name := r.PathValue("name")
+	profile := pprof.Lookup(name)
+	if profile == nil {
+		rpc.WriteError(w, errs.Field(errs.Unknown, "name", "no profile %q", name))
+		return
+	}
+	var out bytes.Buffer
+	if err := profile.WriteTo(&out, 0); err != nil {
+		rpc.WriteError(w, errs.Wrap(err, errs.Internal, "profile"))
+		return
+	}
+	_, _ = w.Write(out.Bytes()) // fails only if the client is gone
+}
--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -1,4 +1,5 @@
-// Package routine is the one place of crosstide that starts goroutines.
+// Package routine is the only package of crosstide that starts goroutines: who starts one owns a Group, and whoever
+// stops the group knows that none is left.
 package routine
 
 import (
@@ -8,9 +9,9 @@
 
 // Group is a set of goroutines that stop together. The zero value is not usable; see New.
 type Group struct {
-	ctx  context.Context
-	stop context.CancelFunc
-	wait sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
 }
 
 // New makes a group whose context ends with parent or with Stop. Example:
@@ -19,15 +20,15 @@
 //	g.Go(func(ctx context.Context) { <-ctx.Done() })
 //	g.Stop() // ends the context and waits for all
 func New(parent context.Context) *Group {
-	ctx, stop := context.WithCancel(parent)
-	return &Group{ctx: ctx, stop: stop}
+	ctx, cancel := context.WithCancel(parent)
+	return &Group{ctx: ctx, cancel: cancel}
 }
 
 // Go starts work in the group.
 func (g *Group) Go(work func(ctx context.Context)) {
-	g.wait.Add(1)
+	g.wg.Add(1)
 	go func() {
-		defer g.wait.Done()
+		defer g.wg.Done()
 		work(g.ctx)
 	}()
 }
@@ -36,31 +37,31 @@
 func (g *Group) Context() context.Context { return g.ctx }
 
 // Cancel ends the group's context and does not wait.
-func (g *Group) Cancel() { g.stop() }
+func (g *Group) Cancel() { g.cancel() }
 
 // Stop ends the group's context and waits until all of its goroutines have returned.
 func (g *Group) Stop() {
-	g.stop()
-	g.wait.Wait()
+	g.cancel()
+	g.wg.Wait()
 }
 
 // Wait waits until all goroutines have returned.
-func (g *Group) Wait() { g.wait.Wait() }
+func (g *Group) Wait() { g.wg.Wait() }
 
 // Each runs work for 0..n-1, at most width at once, and waits for all.
 func Each(n, width int, work func(i int)) {
-	if width < 1 {
-		width = 1
-	}
-	slots := make(chan struct{}, width)
-	var wait sync.WaitGroup
+	running := make(chan struct{}, max(width, 1))
+	var wg sync.WaitGroup
 	for i := range n {
-		slots <- struct{}{}
-		wait.Add(1)
+		running <- struct{}{}
+		wg.Add(1)
 		go func() {
-			defer func() { <-slots; wait.Done() }()
+			defer func() {
+				<-running
+				wg.Done()
+			}()
 			work(i)
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 }
