--- /dev/null
+++ b/internal/httpapi/clientapi/jobs.go
@@ -0,0 +1,109 @@
+package clientapi
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"net/http"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/rpc"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+	"crosstide/internal/state/query"
+)
+
+// MaxBody bounds the body of a job, in bytes.
+const MaxBody = 1 << 20
+
+// Accepted answers POST /v1/jobs and DELETE /v1/jobs/{key}.
+type Accepted struct {
+	Key    string         `json:"key"`
+	State  state.JobPhase `json:"state"`
+	Reason string         `json:"reason,omitempty"`
+}
+
+func (a *api) submit(ctx context.Context, r *http.Request) (int, any, error) {
+	defer a.submits.Add(-1)
+	if n := a.submits.Add(1); n > int64(a.opt.MaxSubmits) {
+		return 0, nil, errs.New(errs.Overloaded, "%d jobs are being handed in here, the bound", a.opt.MaxSubmits)
+	}
+	data, err := rpc.ReadBody(r, MaxBody)
+	if err != nil {
+		return 0, nil, errs.Pass(err, "submit")
+	}
+	spec, digest, err := Parse(data)
+	if err != nil {
+		return 0, nil, errs.Pass(err, "submit")
+	}
+	var got command.Submitted
+	submit := &command.Submit{Spec: spec, Digest: digest, Bound: a.store.QueueLimit()}
+	if err := a.propose(ctx, submit, &got); err != nil {
+		return 0, nil, errs.Pass(err, "submit %s", spec.Key)
+	}
+	status := http.StatusOK
+	if got.Fresh {
+		status = http.StatusAccepted
+	}
+	return status, Accepted{got.Key, got.Phase, got.Reason}, nil
+}
+
+func (a *api) cancelJob(ctx context.Context, r *http.Request) (int, any, error) {
+	key, err := jobKey(r)
+	if err != nil {
+		return 0, nil, errs.Pass(err, "cancel")
+	}
+	var got command.Cancelled
+	if err := a.propose(ctx, &command.Cancel{Key: key}, &got); err != nil {
+		return 0, nil, errs.Pass(err, "cancel %s", key)
+	}
+	status := http.StatusAccepted
+	if got.Phase.IsTerminal() {
+		status = http.StatusOK
+	}
+	return status, Accepted{Key: got.Key, State: got.Phase}, nil
+}
+
+// cancelJobs cancels the listed jobs, or all of a team, of a queue or of both.
+func (a *api) cancelJobs(ctx context.Context, r *http.Request) (int, any, error) {
+	data, err := rpc.ReadBody(r, MaxBody)
+	if err != nil {
+		return 0, nil, errs.Pass(err, "cancels")
+	}
+	var cancel command.CancelMany
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&cancel); err != nil {
+		return 0, nil, errs.Wrap(err, errs.Malformed, "the body is not {keys} or {team, queue}: %s", err)
+	}
+	var got command.CancelledMany
+	if err := a.propose(ctx, &cancel, &got); err != nil {
+		return 0, nil, errs.Pass(err, "cancels")
+	}
+	return http.StatusAccepted, got, nil
+}
+
+func (a *api) getJob(ctx context.Context, r *http.Request) (int, any, error) {
+	key, err := jobKey(r)
+	if err != nil {
+		return 0, nil, errs.Pass(err, "job")
+	}
+	var view query.JobView
+	var miss error // kept apart: only a confirmed state may say that a job is not there
+	if err := a.read(ctx, func(s *state.State) { view, miss = query.Job(s, key) }); err != nil {
+		return 0, nil, errs.Pass(err, "job %s", key)
+	}
+	if miss != nil {
+		return 0, nil, errs.Pass(miss, "job %s", key)
+	}
+	return http.StatusOK, view, nil
+}
+
+// jobKey reads the key of a job in the path.
+func jobKey(r *http.Request) (string, error) {
+	key := r.PathValue("key")
+	if !nameForm.MatchString(key) {
+		return "", errs.Field(errs.Invalid, "key", nameRule)
+	}
+	return key, nil
+}
--- /dev/null
+++ b/internal/httpapi/clientapi/steps.go
@@ -0,0 +1,67 @@
+package clientapi
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/state"
+)
+
+// checkSteps checks how steps name each other: once each, only steps that exist, no cycle.
+func (r *reader) checkSteps(steps []state.StepSpec) {
+	index := map[string]int{}
+	for i, s := range steps {
+		if s.Name == "" {
+			continue
+		}
+		if first, twice := index[s.Name]; twice {
+			r.reject(errs.Invalid, fmt.Sprintf("steps[%d].name", i), "%q is the name of steps[%d] too", s.Name, first)
+			continue
+		}
+		index[s.Name] = i
+	}
+	for i, s := range steps {
+		for k, name := range s.After {
+			if _, ok := index[name]; !ok && name != "" {
+				r.reject(errs.Invalid, fmt.Sprintf("steps[%d].after[%d]", i, k), "no step is named %q", name)
+			}
+		}
+	}
+	r.checkCycles(steps, index)
+}
+
+// checkCycles refuses steps that wait for each other. index has the places of the steps by name.
+func (r *reader) checkCycles(steps []state.StepSpec, index map[string]int) {
+	const onPath, cleared = 1, 2
+	mark := make([]int, len(steps))
+	var path []string
+	var visit func(i int) bool
+	visit = func(i int) bool {
+		mark[i] = onPath
+		path = append(path, steps[i].Name)
+		for k, name := range steps[i].After {
+			next, ok := index[name]
+			if !ok || mark[next] == cleared {
+				continue
+			}
+			if mark[next] == onPath {
+				cycle := strings.Join(append(path[slices.Index(path, name):], name), " after ")
+				r.reject(errs.Invalid, fmt.Sprintf("steps[%d].after[%d]", i, k), "steps wait for each other: %s", cycle)
+				return false
+			}
+			if !visit(next) {
+				return false
+			}
+		}
+		mark[i] = cleared
+		path = path[:len(path)-1]
+		return true
+	}
+	for i := range steps {
+		if mark[i] == 0 && !visit(i) {
+			return
+		}
+	}
+}
