--- a/internal/httpapi/operatorapi/account.go
+++ b/internal/httpapi/operatorapi/account.go
@@ -1,7 +1,6 @@
 package operatorapi
 
 import (
-	"encoding/json"
 	"net/http"
 	"strconv"
 
@@ -13,7 +12,7 @@
 	"crosstide/internal/state/query"
 )
 
-// maxEntries bounds the entries of one answer.
+// maxEntries bounds the ledger entries of one answer.
 const maxEntries = 1000
 
 // serveAccounts adds the routes of the parties' accounts:
@@ -28,69 +27,44 @@
 // Failures: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Unavailable, Timeout (send the same again).
 func serveAccounts(srv *rpc.Server, s Store) {
 	a := accounts{s}
-	route := func(pattern string, do func(r *http.Request) (any, error)) {
-		srv.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
-			answer, err := do(r)
-			if err != nil {
-				rpc.WriteError(w, err)
-				return
-			}
-			rpc.WriteJSON(w, http.StatusOK, answer)
-		})
-	}
-	route("POST /v1/accounts/{name}/create", a.create)
-	route("POST /v1/accounts/{name}/top-up", a.topUp)
-	route("GET /v1/accounts", a.list)
-	route("GET /v1/accounts/{name}", a.show)
-	route("GET /v1/accounts/{name}/ledger", a.ledger)
+	route(srv, "POST /v1/accounts/{name}/create", a.create)
+	route(srv, "POST /v1/accounts/{name}/top-up", a.topUp)
+	route(srv, "GET /v1/accounts", a.list)
+	route(srv, "GET /v1/accounts/{name}", a.show)
+	route(srv, "GET /v1/accounts/{name}/ledger", a.ledger)
 	srv.Route("GET /v1/accounts/{name}/export", a.export)
 }
 
+// accounts are the handlers of accounts.
 type accounts struct{ store Store }
 
-// decode reads the body of an order into a call.
-func decode(r *http.Request, into any) error {
-	raw, err := rpc.ReadBody(r, maxBody)
-	if err != nil {
-		return errs.Pass(err, "order")
-	}
-	if err := json.Unmarshal(raw, into); err != nil {
-		return errs.Wrap(err, errs.Malformed, "the body must be a JSON object of the order")
-	}
-	return nil
-}
-
-// checkID refuses an order's id or a top-up's key that the store would not keep.
-func checkID(field, id string) error {
-	if id == "" || len(id) > 200 {
-		return errs.Field(errs.Invalid, field, "must be 1 to 200 bytes, is %d", len(id))
-	}
-	return nil
+func decodeAccountOrder(r *http.Request, into any) error {
+	return errs.Pass(decode(r, into, "the body must be a JSON object of the order"), "account")
 }
 
 func (a accounts) create(r *http.Request) (any, error) {
 	var in internalapi.AccountCreateCall
-	if err := decode(r, &in); err != nil {
+	if err := decodeAccountOrder(r, &in); err != nil {
 		return nil, errs.Pass(err, "create")
 	}
 	if err := checkID("order", in.Order); err != nil {
 		return nil, errs.Pass(err, "create")
 	}
-	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountCreate{Order: in.Order, Account: r.PathValue("name"), Credit: in.Credit,
-		By: in.By, Sig: in.Sig})
+	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountCreate{Order: in.Order,
+		Account: r.PathValue("name"), Credit: in.Credit, By: in.By, Sig: in.Sig})
 	return answer, errs.Pass(err, "create")
 }
 
 func (a accounts) topUp(r *http.Request) (any, error) {
 	var in internalapi.TopUpCall
-	if err := decode(r, &in); err != nil {
+	if err := decodeAccountOrder(r, &in); err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
 	if err := checkID("key", in.Key); err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
-	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountTopUp{Account: r.PathValue("name"), Key: in.Key, Amount: in.Amount,
-		By: in.By, Sig: in.Sig})
+	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountTopUp{Account: r.PathValue("name"),
+		Key: in.Key, Amount: in.Amount, By: in.By, Sig: in.Sig})
 	return answer, errs.Pass(err, "top-up")
 }
 
@@ -100,13 +74,14 @@
 	return out, errs.Pass(err, "accounts")
 }
 
-// read looks at an account; the failure is the store's, or that of the look.
-func (a accounts) read(r *http.Request, look func(s *state.State, name string) error) error {
-	var wrong error
-	if err := a.store.Read(r.Context(), func(s *state.State) { wrong = look(s, r.PathValue("name")) }); err != nil {
+// read runs do on an account; the failure is that of the store or of do.
+func (a accounts) read(r *http.Request, do func(s *state.State, name string) error) error {
+	var failure error // kept apart: only a confirmed state may say that an account is not there
+	err := a.store.Read(r.Context(), func(s *state.State) { failure = do(s, r.PathValue("name")) })
+	if err != nil {
 		return errs.Pass(err, "account")
 	}
-	return errs.Pass(wrong, "account")
+	return errs.Pass(failure, "account")
 }
 
 func (a accounts) show(r *http.Request) (any, error) {
@@ -131,7 +106,7 @@
 	return out, errs.Pass(err, "ledger")
 }
 
-// page reads after and limit, 0 and the most if they are not given.
+// page reads after and limit; 0 and maxEntries if they are not given.
 func page(r *http.Request) (after uint64, limit int, err error) {
 	limit = maxEntries
 	if text := r.URL.Query().Get("after"); text != "" {
@@ -157,7 +132,5 @@
 		rpc.WriteError(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", "text/csv")
-	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
-	_, _ = w.Write(out) // a caller that is gone hears nothing
+	writeBytes(w, "text/csv", out)
 }
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -1,73 +1,41 @@
-// Package operatorapi answers the operators' API at a cplane. Any cplane answers: orders go to the leader, reads
-// are as new as the call.
+// Package operatorapi is the operators' API of the policy deployment, served by every control plane node: policy
+// bundles, zones, workers, members and accounts. Orders are committed by the leader, wherever that is; reads are as
+// new as the call. The package keeps no state: it reads and commits through Store.
+//
+// Serve adds all routes. Their handlers: orders.go (what names its object in the path), bundle.go, rollout.go,
+// account.go, status.go.
 package operatorapi
 
 import (
 	"context"
 	"encoding/json"
 	"net/http"
-	"slices"
+	"strconv"
 
-	"crosstide/internal/errs"
 	"crosstide/internal/internalapi"
 	"crosstide/internal/membership"
-	"crosstide/internal/raft"
 	"crosstide/internal/rpc"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
-	"crosstide/internal/state/query"
 )
 
-// Store is what the API needs of the control store.
+// Store is what the API needs of the replicated store.
 type Store interface {
 	// ProposeOrForward commits a command at the leader, wherever that is, and returns its answer.
 	ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error)
-	// Read looks at a state that has all that was committed before the call.
+	// Read runs read on a state that has all that was committed before the call. read must not keep the state.
 	Read(ctx context.Context, read func(*state.State)) error
+	// Status is the state of the node that answers.
 	Status() internalapi.StatusAnswer
-	Roller
-}
-
-const (
-	maxBody    = 64 << 10
-	maxOrderID = 200 // bytes
-)
-
-// checkOrderID refuses an order without an id, or with one that is too long.
-func checkOrderID(id string) error {
-	if id == "" || len(id) > maxOrderID {
-		return errs.Field(errs.Invalid, "order", "must be 1 to %d bytes, is %d", maxOrderID, len(id))
-	}
-	return nil
-}
-
-// ProposeOrForward is the body of every order. The same id with the same content is carried out once and answered alike.
-type Order struct {
-	Order string `json:"order"`
-	By    string `json:"by,omitempty"`  // of evacuate and lift: the operator who signs
-	Sig   string `json:"sig,omitempty"` // over signature.Evacuate or signature.Lift, in base64
-}
-
-// Workers is the answer of GET /v1/minions.
-type Workers struct {
-	Workers []query.WorkerView `json:"minions"`
-}
-
-// Who is the answer of GET /v1/who: the names of the holders, "" if there is none, and the members of the store.
-type Who struct {
-	Store     string                    `json:"store"`
-	Scheduler string                    `json:"sched"`
-	Members   []raft.Member             `json:"members"`
-	Evacuated []string                  `json:"evacuated,omitempty"`
-	Status    *internalapi.StatusAnswer `json:"status,omitempty"` // of the cplane that answers
-	Nodes     []membership.MemberStatus `json:"nodes,omitempty"`  // as the cplane that answers knows them: all of a small fleet, else a part
+	// Rollout returns which bundle every node has, and the members of the store that did not answer.
+	Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string)
 }
 
 // Serve adds the routes:
 //
 //	POST /v1/bundles?order=ID&base=V&by=NAME&sig=S        body: the exact bytes; a draft against the newest version V
 //	POST /v1/bundles/patch?order=ID&base=V&by=NAME&sig=S  body: a JSON merge patch on V
-//	POST /v1/bundles/{version}/sign  {"order","sha256","by","sig"}  the second operator puts it in force
+//	POST /v1/bundles/{version}/sign  {"order","sha256","by","sig"}  the second signature puts it in force
 //	GET  /v1/bundles?limit=N         the versions, newest first, without bodies
 //	GET  /v1/bundles/{version}       one version without its body; also "current" and "newest"
 //	GET  /v1/bundles/{version}/body  the exact bytes
@@ -75,7 +43,7 @@
 //	GET  /v1/rollout                 which version every node has
 //	GET  /v1/zones                   the evacuated zones
 //	POST /v1/zones/{zone}/evacuate  {"order":"id","by","sig"}   no new starts there, what runs is stopped
-//	POST /v1/zones/{zone}/lift      {"order":"id","by","sig"}   two operators are needed
+//	POST /v1/zones/{zone}/lift      {"order":"id","by","sig"}   two operators must sign
 //	POST /v1/minions/{name}/drain   {"order":"id"}   no new starts on it
 //	POST /v1/minions/{name}/open    {"order":"id"}
 //	POST /v1/minions/{name}/retire  {"order":"id"}   it must be empty
@@ -84,92 +52,40 @@
 //	GET  /v1/who
 //	/v1/accounts…                   see serveAccounts
 //
-// Once the store knows operators, what needs a signature and has none is Forbidden; before that, zones take orders
-// without one. Failures: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Overloaded, Unavailable, Timeout
+// name translates a member's id into the node's name; nodes lists the cluster as the answering node knows it.
+//
+// Once the store knows operators, what needs a signature and has none is Forbidden; before that, orders for zones need
+// none. Failures: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Overloaded, Unavailable, Timeout
 // (send the same order again).
 func Serve(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
 	serveOrders(srv, s)
 	serveBundles(srv, s)
+	serveRollout(srv, s)
 	serveAccounts(srv, s)
-	srv.Route("GET /v1/minions", func(w http.ResponseWriter, r *http.Request) {
-		var out Workers
-		err := s.Read(r.Context(), func(st *state.State) { out.Workers = query.Workers(st) })
-		write(w, out, err)
-	})
-	srv.Route("GET /v1/who", func(w http.ResponseWriter, r *http.Request) {
-		out, err := who(r.Context(), s)
-		out.Store, out.Nodes = name(out.Status.Raft.Leader), nodes()
-		write(w, out, err)
-	})
+	serveStatus(srv, s, name, nodes)
 }
 
-// write answers v, or the failure if there is one.
-func write(w http.ResponseWriter, v any, err error) {
-	if err != nil {
-		rpc.WriteError(w, err)
-		return
-	}
-	rpc.WriteJSON(w, http.StatusOK, v)
-}
+// exactBytes is an answer of JSON that is sent byte for byte.
+type exactBytes []byte
 
-// who returns the holder of sched, the evacuated zones and the members of the store.
-func who(ctx context.Context, s Store) (Who, error) {
-	var out Who
-	err := s.Read(ctx, func(st *state.State) {
-		if d := st.Roles["sched"]; d != nil {
-			out.Scheduler = d.Holder
+// route adds a route that answers with what do returns.
+func route(srv *rpc.Server, pattern string, do func(r *http.Request) (any, error)) {
+	srv.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
+		answer, err := do(r)
+		if err != nil {
+			rpc.WriteError(w, err)
+			return
 		}
-		for zone := range st.Evacuated {
-			out.Evacuated = append(out.Evacuated, zone)
+		if raw, ok := answer.(exactBytes); ok {
+			writeBytes(w, "application/json", raw)
+			return
 		}
-		slices.Sort(out.Evacuated)
-	})
-	status := s.Status()
-	out.Members, out.Status = status.Raft.Members, &status
-	return out, errs.Pass(err, "who")
-}
-
-// serveOrders adds the routes of the orders that name their object in the path.
-func serveOrders(srv *rpc.Server, s Store) {
-	order := func(pattern string, make func(r *http.Request, in Order) command.Command) {
-		srv.Route("POST "+pattern, func(w http.ResponseWriter, r *http.Request) {
-			answer, err := readOrder(r, s, make)
-			write(w, answer, err)
-		})
-	}
-	order("/v1/zones/{zone}/evacuate", func(r *http.Request, in Order) command.Command {
-		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), Out: true, By: in.By, Sig: in.Sig}
-	})
-	order("/v1/zones/{zone}/lift", func(r *http.Request, in Order) command.Command {
-		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), By: in.By, Sig: in.Sig}
-	})
-	order("/v1/minions/{name}/drain", func(r *http.Request, in Order) command.Command {
-		return &command.CloseWorker{Order: in.Order, Worker: r.PathValue("name"), Closed: true}
-	})
-	order("/v1/minions/{name}/open", func(r *http.Request, in Order) command.Command {
-		return &command.CloseWorker{Order: in.Order, Worker: r.PathValue("name")}
-	})
-	order("/v1/minions/{name}/retire", func(r *http.Request, in Order) command.Command {
-		return &command.CloseWorker{Order: in.Order, Worker: r.PathValue("name"), Retire: true}
-	})
-	order("/v1/members/{old}/replace/{new}", func(r *http.Request, in Order) command.Command {
-		return &command.ReplaceMember{Order: in.Order, Old: r.PathValue("old"), New: r.PathValue("new")}
+		rpc.WriteJSON(w, http.StatusOK, answer)
 	})
 }
 
-// readOrder reads an order and commits the command that make makes of it.
-func readOrder(r *http.Request, s Store, make func(r *http.Request, in Order) command.Command) (json.RawMessage, error) {
-	raw, err := rpc.ReadBody(r, maxBody)
-	if err != nil {
-		return nil, errs.Pass(err, "order")
-	}
-	var body Order
-	if err := json.Unmarshal(raw, &body); err != nil {
-		return nil, errs.Wrap(err, errs.Malformed, "the body must be {\"order\":\"id\"}")
-	}
-	if err := checkOrderID(body.Order); err != nil {
-		return nil, errs.Pass(err, "order")
-	}
-	answer, err := s.ProposeOrForward(r.Context(), make(r, body))
-	return answer, errs.Pass(err, "order %s", body.Order)
+func writeBytes(w http.ResponseWriter, contentType string, body []byte) {
+	w.Header().Set("Content-Type", contentType)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	_, _ = w.Write(body) // fails only if the client is gone
 }
