--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -5,8 +5,6 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
-
 	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
@@ -85,34 +83,6 @@
 	c.CallAnswered(now, o.Worker, o.IsOrder, o.Call, a)
 }
 
-func TestUnschedulableClass(t *testing.T) {
-	Convey("A kind of task that fits nowhere is placed by the first pass after room came, without a sweep", t, func() {
-		c, st, now := fleet(t, 4, 4, 1)
-		index := st.Index
-		apply := func(cmd command.Command) {
-			index++
-			data, err := command.Encode(time.Unix(0, 0), cmd)
-			So(err, ShouldBeNil)
-			_, err = command.Apply(st, index, 1, data)
-			So(err, ShouldBeNil)
-		}
-		refusePlan(c, now, c.Pass(now).Plan)
-		So(c.Pass(now).Plan, ShouldBeNil)
-		apply(&command.Plan{Epoch: c.Epoch(), Ends: []command.End{{RunID: 3, OK: true}}})
-		p := c.Pass(now).Plan
-		So(p, ShouldNotBeNil)
-		So(len(p.Starts), ShouldEqual, 1)
-		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
-		Convey("a refused start leaves its room to the next pass", func() {
-			refusePlan(c, now, p)
-			again := c.Pass(now).Plan
-			So(again, ShouldNotBeNil)
-			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its kind
-			So(again.Starts[0].Worker, ShouldEqual, p.Starts[0].Worker)
-		})
-	})
-}
-
 // BenchmarkPass is one answer and the pass after it, at 1,600 minions with 28,800 runs: what the holder of sched does
 // some two thousand times a second. With classes it has that many kinds of due tasks which fit nowhere, while a core
 // is free on every minion.
--- /dev/null
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -0,0 +1,136 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+)
+
+// event is one thing that may happen after an order went out.
+type event struct {
+	name string
+	do   func(d *harness, w *workerModel)
+}
+
+// workerModel is what is true at the minion: whether the order arrived, ran, ended.
+type workerModel struct {
+	kind    string
+	order   OutgoingCall
+	arrived bool
+	floor   uint64
+	started map[uint64]int
+	running map[uint64]bool
+}
+
+func (w *workerModel) listing() internalapi.LeaseAnswer {
+	a := internalapi.LeaseAnswer{Floor: w.floor}
+	for t := range w.running {
+		a.Running = append(a.Running, t)
+	}
+	return a
+}
+
+// arrive carries the order out as a minion of the kind does.
+func (w *workerModel) arrive(d *harness) {
+	for _, s := range w.order.Call.Starts {
+		late := d.now > s.LeaseUntil
+		if w.kind == "check" {
+			late = late || s.RunID <= w.floor || d.now > s.StartBy
+		}
+		if !late {
+			w.started[s.RunID]++
+			w.running[s.RunID] = true
+		}
+	}
+	w.arrived = true
+}
+
+func permute(n int, do func(order []int)) {
+	order := make([]int, n)
+	var rec func(k int, used int)
+	rec = func(k, used int) {
+		if k == n {
+			do(order)
+			return
+		}
+		for i := range n {
+			if used&(1<<i) == 0 {
+				order[k] = i
+				rec(k+1, used|1<<i)
+			}
+		}
+	}
+	rec(0, 0)
+}
+
+// TestEveryEventOrder tries, one by one, every order of: the order's arrival, the loss of its answer, a waiting call
+// answered, a new leader, the lapse of time. Whatever the order, the task is never running twice, and a second
+// run ID is given only when the first can never run any more.
+func TestEveryEventOrder(t *testing.T) {
+	events := []event{
+		{"arrive", func(d *harness, w *workerModel) { w.arrive(d) }},
+		{"lost", func(d *harness, w *workerModel) { d.core.CallFailed(d.now, "m1", true, w.order.Call, true) }},
+		{"listing", func(d *harness, w *workerModel) { w.poll(d) }},
+		{"listing", func(d *harness, w *workerModel) { w.poll(d) }},
+		{"leader", func(d *harness, w *workerModel) { d.lead() }},
+		{"time", func(d *harness, w *workerModel) { d.now += 3 * time.Second }},
+	}
+	for _, kind := range []string{"check", "obey"} {
+		Convey("every order of a start, its lost answer, listings, a new leader and time: "+kind, t, func() {
+			cases, seconds := 0, 0
+			permute(len(events), func(seq []int) {
+				d := newHarness(kind, "m1")
+				d.greetWorkers(kind)
+				d.submit("j", state.StepSpec{})
+				calls := d.commitPlans()
+				o := findOrder(calls)
+				w := &workerModel{kind: kind, order: *o, started: map[uint64]int{}, running: map[uint64]bool{}}
+				names := ""
+				sent := d.now
+				for _, i := range seq {
+					names += events[i].name + " "
+					// An obeying minion may carry the order out late, up to its bound, and no later.
+					if events[i].name == "arrive" && kind == "obey" && d.now-sent > DefaultConfig().Lateness {
+						continue
+					}
+					events[i].do(d, w)
+					for _, c := range d.commitPlans() {
+						if len(c.Call.Starts) > 0 && c.Call.Starts[0].RunID != 1 {
+							seconds++
+							if w.running[1] {
+								panic(fmt.Sprintf("%s: a second ticket while the first runs: %s", kind, names))
+							}
+							if !w.arrived && (kind == "check" || d.now-sent <= DefaultConfig().Lateness) {
+								w.arrive(d) // the late order arrives now
+								if w.running[1] {
+									panic(fmt.Sprintf("%s: a late order started beside a second ticket: %s", kind, names))
+								}
+							}
+						}
+					}
+				}
+				cases++
+			})
+			So(cases, ShouldEqual, 720)
+			So(seconds, ShouldBeGreaterThan, 0) // the case that matters did come up
+		})
+	}
+}
+
+// poll answers the waiting call that is out, as things stand at the minion.
+func (w *workerModel) poll(d *harness) {
+	d.commitPlans()
+	if c, ok := d.wait["m1"]; ok {
+		delete(d.wait, "m1")
+		w.floor = max(w.floor, c.Call.Floor)
+		for _, s := range c.Call.Stops {
+			delete(w.running, s.RunID)
+		}
+		d.answer(c, w.kind, w.listing())
+	}
+}
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -64,3 +64,20 @@
 		So(d.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
 	})
 }
+
+func TestStaleAnswer(t *testing.T) {
+	Convey("an answer that is older than one taken in, or names another call, proves nothing", t, func() {
+		d := newHarness("check", "m1")
+		d.greetWorkers("check")
+		wait := d.wait["m1"]
+		d.submit("j", state.StepSpec{})
+		o := findOrder(d.commitPlans())
+		So(o, ShouldNotBeNil)
+		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		d.answer(wait, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
+		d.commitPlans()
+		So(d.st.Handles[1], ShouldNotBeNil)
+		So(d.st.Handles[1].Phase, ShouldEqual, state.TaskRunning)
+		So(d.core.Counts.StaleAnswers, ShouldEqual, 1)
+	})
+}
