--- a/internal/dataplane/scheduler/admit_test.go
+++ b/internal/dataplane/scheduler/admit_test.go
@@ -15,22 +15,22 @@
 
 func TestOldestJobFirst(t *testing.T) {
 	Convey("A task of an older job that falls due again goes before the queue of its kind", t, func() {
-		d := newHarness("check", "m1")
-		d.greetWorkers("check")
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
 		for n := range 5 {
-			d.submit(fmt.Sprintf("j%d", n), state.StepSpec{Cores: 4, Retries: 3})
+			h.submit(fmt.Sprintf("j%d", n), state.StepSpec{Cores: 4, Retries: 3})
 		}
 		var began []string
 		end := internalapi.OutcomeFailed // of the first run; all others end well
-		for calls := d.commitPlans(); len(began) < 6; calls = d.commitPlans() {
+		for calls := h.commitPlans(); len(began) < 6; calls = h.commitPlans() {
 			if o := findOrder(calls); o != nil {
 				s := o.Call.Starts[0]
 				began = append(began, s.Job)
-				d.answer(*o, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: s.RunID, Outcome: end}}})
+				h.answer(*o, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: s.RunID, Outcome: end}}})
 				end = internalapi.OutcomeOK
 			}
-			d.now += time.Second
-			d.reply("check", "", internalapi.LeaseAnswer{})
+			h.now += time.Second
+			h.reply("check", "", internalapi.LeaseAnswer{})
 		}
 		So(began, ShouldResemble, []string{"j0", "j1", "j0", "j2", "j3", "j4"})
 	})
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -10,8 +10,9 @@
 	"crosstide/internal/state/command"
 )
 
-// fleet makes a holder of sched at the size to design for, every minion heard once and cores per minion taken.
-func fleet(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
+// newFullCluster is a scheduler of a cluster on which runs are running: every worker was heard once, and one core of each
+// is free. Tasks of classes wait that need two.
+func newFullCluster(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
 	b.Helper()
 	st := state.New()
 	index := uint64(0)
@@ -83,13 +84,13 @@
 	c.CallAnswered(now, o.Worker, o.IsOrder, o.Call, a)
 }
 
-// BenchmarkPass is one answer and the pass after it, at 1,600 minions with 28,800 runs: what the holder of sched does
+// BenchmarkPass is one answer and the pass after it, at 1,600 workers with 28,800 runs: what the scheduler does
 // some two thousand times a second. With classes it has that many kinds of due tasks which fit nowhere, while a core
-// is free on every minion.
+// is free on every worker.
 func BenchmarkPass(b *testing.B) {
 	for _, classes := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("stuck=%d", classes), func(b *testing.B) {
-			c, st, now := fleet(b, 1600, 28800, classes)
+			c, st, now := newFullCluster(b, 1600, 28800, classes)
 			now += 10 * time.Millisecond
 			first := c.Pass(now)
 			refusePlan(c, now, first.Plan)
--- a/internal/dataplane/scheduler/budget_test.go
+++ b/internal/dataplane/scheduler/budget_test.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state/command"
 )
 
-// paid is a desk with a party that pays for team "a": a core costs 10 a second, a start of one core 100.
+// paid is a harness with a party that pays for team "a": a core costs 10 a second, a start of one core 100.
 type paid struct {
 	*harness
 	topUps int
@@ -41,7 +41,7 @@
 		Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}, Digest: key, Bound: 100})
 }
 
-// serve lets a time pass in steps; minions answer with what they were told, and starts are taken.
+// serve passes time in steps; workers carry out their orders and answer.
 func (p *paid) serve(length time.Duration) {
 	for end := p.now + length; p.now < end; {
 		p.now += 50 * time.Millisecond
@@ -57,7 +57,7 @@
 	}
 }
 
-// list is what runs on a minion.
+// list is the answer of a worker: what runs on it.
 func (p *paid) list(name string) (a internalapi.LeaseAnswer) {
 	a.Running = p.st.RunIDsOn(name)
 	a.Floor = p.st.LastRunID
@@ -75,7 +75,7 @@
 }
 
 func TestPartyAwaitingTopUp(t *testing.T) {
-	Convey("A dry party waits without commits, others go on, and a top-up is used at once and in order", t, func() {
+	Convey("An exhausted party waits without commits, others go on, and a top-up is used at once and in order", t, func() {
 		p := newPaid(200, "m1", "m2")
 		for i := range 6 {
 			p.submit(fmt.Sprint("j", i), state.StepSpec{})
@@ -101,7 +101,7 @@
 		So(p.core.Counts.Refused, ShouldEqual, 0)
 		So(p.st.Accounts.Check(), ShouldBeNil)
 	})
-	Convey("A new holder of the duty knows as much: it starts nothing before the top-up, all after it", t, func() {
+	Convey("A new leader knows as much: it starts nothing before the top-up, all after it", t, func() {
 		p := newPaid(0, "m1")
 		p.submit("j0", state.StepSpec{})
 		p.serve(time.Second)
@@ -126,7 +126,7 @@
 		p.serve(100 * time.Millisecond)
 		So(p.started("wide", "narrow"), ShouldResemble, []string{"wide", "narrow"})
 	})
-	Convey("A lasting task that ran before starts again though the party is dry and an older one waits", t, func() {
+	Convey("A long-running task that ran before starts again though the party is exhausted and an older one waits", t, func() {
 		p := newPaid(100, "m1")
 		p.submit("listener", state.StepSpec{LongRunning: true})
 		p.serve(200 * time.Millisecond)
@@ -159,13 +159,13 @@
 		p.serve(time.Second)
 		So(len(p.st.Handles), ShouldEqual, 2)
 	})
-	Convey("What waits for money is counted also where there is no minion", t, func() {
+	Convey("Tasks that await a top-up are counted also where there is no worker", t, func() {
 		p := newPaid(0)
 		p.submit("j0", state.StepSpec{Tasks: 2})
 		p.commitPlans()
 		So(p.core.TasksAwaitingTopUp(), ShouldResemble, map[string]int{"acme": 2})
 	})
-	Convey("No minion is kept for a task that waits for money", t, func() {
+	Convey("No worker is reserved for a task that awaits a top-up", t, func() {
 		p := newPaid(0, "m1")
 		p.submit("wide", state.StepSpec{Cores: 4})
 		for i := range 200 {
--- a/internal/dataplane/scheduler/determinism_test.go
+++ b/internal/dataplane/scheduler/determinism_test.go
@@ -13,27 +13,27 @@
 
 // The tables are maps; what a core does must not hang on the order in which they are walked.
 func TestSameInputsSamePlans(t *testing.T) {
-	Convey("A fresh holder takes the oldest due task first, every time the same way", t, func() {
+	Convey("A new leader places the oldest due task first, every time the same way", t, func() {
 		var plans [8]string
 		for i := range plans {
-			d := newHarness("check", "m1", "m2", "m3")
+			h := newHarness("check", "m1", "m2", "m3")
 			for n := range 20 {
-				d.submit(fmt.Sprintf("j%d", (n*7)%20), state.StepSpec{})
+				h.submit(fmt.Sprintf("j%d", (n*7)%20), state.StepSpec{})
 			}
-			d.commitPlans()
-			d.lead()
-			d.core.Pass(d.now)
-			d.core.Reset(d.now, d.st)
+			h.commitPlans()
+			h.lead()
+			h.core.Pass(h.now)
+			h.core.Reset(h.now, h.st)
 			for _, m := range []string{"m1", "m2", "m3"} {
-				rec := *d.st.Workers[m]
+				rec := *h.st.Workers[m]
 				rec.Incarnation, rec.Cores = "b1", 4
-				d.st.Workers[m] = &rec
+				h.st.Workers[m] = &rec
 			}
-			for _, c := range d.core.Pass(d.now).Calls {
-				d.answer(c, "check", internalapi.LeaseAnswer{Zone: "z1"})
+			for _, c := range h.core.Pass(h.now).Calls {
+				h.answer(c, "check", internalapi.LeaseAnswer{Zone: "z1"})
 			}
 			for {
-				out := d.core.Pass(d.now)
+				out := h.core.Pass(h.now)
 				if out.Plan == nil {
 					break
 				}
@@ -43,7 +43,7 @@
 				for k, s := range out.Plan.Starts {
 					So(s.Ref.Job, ShouldEqual, fmt.Sprintf("j%d", (k*7)%20))
 				}
-				d.commit(out.Plan)
+				h.commit(out.Plan)
 			}
 			So(plans[i], ShouldNotBeEmpty)
 			So(plans[i], ShouldEqual, plans[0])
--- a/internal/dataplane/scheduler/ends_test.go
+++ b/internal/dataplane/scheduler/ends_test.go
@@ -14,84 +14,84 @@
 
 func TestEndInStaleAnswer(t *testing.T) {
 	Convey("An end counts that stands in an answer older than one taken in", t, func() {
-		d := newHarness("check", "m1")
-		d.greetWorkers("check")
-		d.submit("j1", state.StepSpec{})
-		first := findOrder(d.commitPlans())
-		d.answer(*first, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
-		d.submit("j2", state.StepSpec{})
-		second := findOrder(d.commitPlans())
-		waiting := d.wait["m1"] // sent before it
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		h.submit("j1", state.StepSpec{})
+		first := findOrder(h.commitPlans())
+		h.answer(*first, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.submit("j2", state.StepSpec{})
+		second := findOrder(h.commitPlans())
+		waiting := h.wait["m1"] // sent before it
 		So(waiting.Call.Call, ShouldBeLessThan, second.Call.Call)
-		d.answer(*second, "check", internalapi.LeaseAnswer{Running: []uint64{1, 2}})
-		d.answer(waiting, "check", internalapi.LeaseAnswer{Running: []uint64{2}, Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}})
-		d.commitPlans()
-		So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+		h.answer(*second, "check", internalapi.LeaseAnswer{Running: []uint64{1, 2}})
+		h.answer(waiting, "check", internalapi.LeaseAnswer{Running: []uint64{2}, Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}})
+		h.commitPlans()
+		So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 	})
 }
 
 func TestEndAfterProof(t *testing.T) {
-	Convey("An end that is heard while the proof of a lapse is not committed yet goes before it", t, func() {
-		d := newHarness("check", "m1")
-		d.greetWorkers("check")
-		d.submit("j1", state.StepSpec{})
-		o := findOrder(d.commitPlans())
-		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
-		d.commitPlans()
-		w := d.wait["m1"]
-		d.core.CallFailed(d.now, "m1", false, w.Call, true)
-		d.now += 30 * time.Second
-		out := d.core.Pass(d.now)
+	Convey("An end that is heard while the proof of an expired lease is not committed yet goes before it", t, func() {
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		h.submit("j1", state.StepSpec{})
+		o := findOrder(h.commitPlans())
+		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.commitPlans()
+		w := h.wait["m1"]
+		h.core.CallFailed(h.now, "m1", false, w.Call, true)
+		h.now += 30 * time.Second
+		out := h.core.Pass(h.now)
 		So(out.Plan.Dead, ShouldHaveLength, 1)
 		So(out.Calls, ShouldHaveLength, 1)
-		d.answer(out.Calls[0], "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}})
-		d.core.PlanAnswered(d.now, out.Plan.Epoch, command.Planned{}, errs.New(errs.Timeout, "lost"))
-		d.commitPlans()
-		So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+		h.answer(out.Calls[0], "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}})
+		h.core.PlanAnswered(h.now, out.Plan.Epoch, command.Planned{}, errs.New(errs.Timeout, "lost"))
+		h.commitPlans()
+		So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 	})
 }
 
 func TestEndWhileProofIsCommitted(t *testing.T) {
 	ended := internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}}
-	Convey("With the proof of a lapse under way to the store", t, func() {
-		d := lapsed()
-		d.commitPlans()
-		d.core.CallFailed(d.now, "m1", false, d.wait["m1"].Call, true)
-		d.now += time.Second
-		out := d.core.Pass(d.now)
+	Convey("With the proof of an expired lease on its way to the store", t, func() {
+		h := newExpiredRun()
+		h.commitPlans()
+		h.core.CallFailed(h.now, "m1", false, h.wait["m1"].Call, true)
+		h.now += time.Second
+		out := h.core.Pass(h.now)
 		So(out.Plan.Dead, ShouldHaveLength, 1)
 		So(out.Calls, ShouldHaveLength, 1)
 
-		Convey("an end that is heard before it is committed counts, and the task gets no second ticket", func() {
-			d.answer(out.Calls[0], "check", ended)
-			d.commit(out.Plan)
-			d.commitPlans()
-			So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-			So(d.st.LastRunID, ShouldEqual, 1)
+		Convey("an end that is heard before it is committed counts, and the task gets no second run ID", func() {
+			h.answer(out.Calls[0], "check", ended)
+			h.commit(out.Plan)
+			h.commitPlans()
+			So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+			So(h.st.LastRunID, ShouldEqual, 1)
 		})
-		Convey("so does one that is heard after it, and the minion may forget it only then", func() {
-			d.commit(out.Plan)
-			So(taskOf(d, "j1").Phase, ShouldEqual, state.TaskDue)
-			d.answer(out.Calls[0], "check", ended)
-			again := d.core.Pass(d.now)
+		Convey("so does one that is heard after it, and the worker may forget it only then", func() {
+			h.commit(out.Plan)
+			So(taskOf(h, "j1").Phase, ShouldEqual, state.TaskDue)
+			h.answer(out.Calls[0], "check", ended)
+			again := h.core.Pass(h.now)
 			So(again.Calls[0].Call.Acked, ShouldBeEmpty)
-			d.answer(again.Calls[0], "check", ended)
+			h.answer(again.Calls[0], "check", ended)
 			So(again.Plan.Ends, ShouldHaveLength, 1)
-			d.commit(again.Plan)
-			d.commitPlans()
-			So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-			So(d.st.LastRunID, ShouldEqual, 1)
-			d.answer(d.wait["m1"], "check", ended)
-			So(d.core.Pass(d.now).Calls[0].Call.Acked, ShouldResemble, []uint64{1})
+			h.commit(again.Plan)
+			h.commitPlans()
+			So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+			So(h.st.LastRunID, ShouldEqual, 1)
+			h.answer(h.wait["m1"], "check", ended)
+			So(h.core.Pass(h.now).Calls[0].Call.Acked, ShouldResemble, []uint64{1})
 		})
-		Convey("it counts also if the holder takes a snapshot in between", func() {
-			d.answer(out.Calls[0], "check", ended)
-			d.do(out.Plan)
-			d.core.Reset(d.now, d.st)
-			d.core.PlanAnswered(d.now, out.Plan.Epoch, command.Planned{}, nil)
-			d.commitPlans()
-			So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-			So(d.st.LastRunID, ShouldEqual, 1)
+		Convey("it counts also if the leader takes a snapshot in between", func() {
+			h.answer(out.Calls[0], "check", ended)
+			h.do(out.Plan)
+			h.core.Reset(h.now, h.st)
+			h.core.PlanAnswered(h.now, out.Plan.Epoch, command.Planned{}, nil)
+			h.commitPlans()
+			So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+			So(h.st.LastRunID, ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/dataplane/scheduler/expire.go
+++ b/internal/dataplane/scheduler/expire.go
@@ -83,4 +83,4 @@
 }
 
 // minElapsed is the least that a worker's clock has moved on while ours moved on by d: it may run a little slow.
-func minElapsed(d time.Duration) time.Duration { return d - d/500 }
+func minElapsed(h time.Duration) time.Duration { return h - h/500 }
--- a/internal/dataplane/scheduler/expire_test.go
+++ b/internal/dataplane/scheduler/expire_test.go
@@ -13,82 +13,82 @@
 )
 
 func TestLeaseExpiryAndNewIncarnation(t *testing.T) {
-	Convey("given a running task on a minion that falls silent", t, func() {
-		d := newHarness("check", "m1", "m2")
-		d.greetWorkers("check")
-		d.submit("j", state.StepSpec{Run: json.RawMessage(`{}`)})
-		o := findOrder(d.commitPlans())
-		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
-		d.commitPlans()
-		Convey("its task is due again only when the hold told last has run out on its clock", func() {
+	Convey("given a running task on a worker that falls silent", t, func() {
+		h := newHarness("check", "m1", "m2")
+		h.greetWorkers("check")
+		h.submit("j", state.StepSpec{Run: json.RawMessage(`{}`)})
+		o := findOrder(h.commitPlans())
+		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.commitPlans()
+		Convey("its task is due again only when the lease renewed last has expired by its clock", func() {
 			end := o.Call.Starts[0].LeaseUntil
 			tick := func() {
-				for _, c := range d.commitPlans() {
+				for _, c := range h.commitPlans() {
 					So(c.Call.Starts, ShouldBeEmpty)
 				}
-				if c, ok := d.wait[o.Worker]; ok { // no renewal may go to a minion that does not answer
+				if c, ok := h.wait[o.Worker]; ok { // no renewal may go to a worker that does not answer
 					end = max(end, c.Call.RenewUntil)
-					delete(d.wait, o.Worker)
-					d.core.CallFailed(d.now, c.Worker, false, c.Call, true)
+					delete(h.wait, o.Worker)
+					h.core.CallFailed(h.now, c.Worker, false, c.Call, true)
 				}
-				d.reply("check", o.Worker, internalapi.LeaseAnswer{})
+				h.reply("check", o.Worker, internalapi.LeaseAnswer{})
 			}
-			for tick(); d.now+500*time.Millisecond < end+200*time.Millisecond; tick() {
-				d.now += 500 * time.Millisecond
+			for tick(); h.now+500*time.Millisecond < end+200*time.Millisecond; tick() {
+				h.now += 500 * time.Millisecond
 			}
-			So(taskOf(d, "j").RunID, ShouldEqual, 1)
+			So(taskOf(h, "j").RunID, ShouldEqual, 1)
 			So(end, ShouldBeLessThanOrEqualTo, o.Call.Starts[0].LeaseUntil+DefaultConfig().RunLease)
-			d.now += time.Second
-			d.commitPlans()
-			d.commitPlans()
-			So(taskOf(d, "j").RunID, ShouldEqual, 2)
-			So(d.core.Counts.ProvedDead[command.ProofLeaseExpired], ShouldEqual, 1)
+			h.now += time.Second
+			h.commitPlans()
+			h.commitPlans()
+			So(taskOf(h, "j").RunID, ShouldEqual, 2)
+			So(h.core.Counts.ProvedDead[command.ProofLeaseExpired], ShouldEqual, 1)
 		})
-		Convey("a new boot proves it dead at once", func() {
-			for range 2 { // the first one is older than the order's answer and tells nothing
-				d.reply("check", "", internalapi.LeaseAnswer{Incarnation: "b2"})
-				d.commitPlans()
+		Convey("a new incarnation proves it dead at once", func() {
+			for range 2 { // the first answer is older than that to the order, and proves nothing
+				h.reply("check", "", internalapi.LeaseAnswer{Incarnation: "b2"})
+				h.commitPlans()
 			}
-			So(d.st.Handles[1], ShouldBeNil)
-			So(taskOf(d, "j").Lost, ShouldEqual, 1)
+			So(h.st.Handles[1], ShouldBeNil)
+			So(taskOf(h, "j").Lost, ShouldEqual, 1)
 		})
 	})
 }
 
-// lapsed is a desk with a run that ended while its holder, which had no lease, asked nobody. At the holder's return
-// the hold has lapsed by the clock.
-func lapsed() *harness {
-	d := newHarness("check", "m1")
-	d.greetWorkers("check")
-	d.submit("j1", state.StepSpec{})
-	d.answer(*findOrder(d.commitPlans()), "check", internalapi.LeaseAnswer{Running: []uint64{1}})
-	d.commitPlans()
-	d.core.SetRoleLease(d.now)
-	d.core.Pass(d.now)
-	d.core.CallFailed(d.now, "m1", false, d.wait["m1"].Call, true)
-	d.now += 30 * time.Second
-	d.core.Pass(d.now)
-	d.core.SetRoleLease(d.now + time.Hour)
-	return d
+// newExpiredRun is a harness with a run that ended while its leader, which had no role lease, called nobody. At the
+// leader's return the run's lease has expired by the clock.
+func newExpiredRun() *harness {
+	h := newHarness("check", "m1")
+	h.greetWorkers("check")
+	h.submit("j1", state.StepSpec{})
+	h.answer(*findOrder(h.commitPlans()), "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+	h.commitPlans()
+	h.core.SetRoleLease(h.now)
+	h.core.Pass(h.now)
+	h.core.CallFailed(h.now, "m1", false, h.wait["m1"].Call, true)
+	h.now += 30 * time.Second
+	h.core.Pass(h.now)
+	h.core.SetRoleLease(h.now + time.Hour)
+	return h
 }
 
 func TestWorkerAskedBeforeLeaseExpires(t *testing.T) {
 	ended := internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}}
-	Convey("A holder whose lease was gone for longer than a hold asks the minion before it lets its runs go", t, func() {
-		d := lapsed()
-		d.commitPlans()
-		So(d.st.Handles[1], ShouldNotBeNil)
-		d.answer(d.wait["m1"], "check", ended)
-		d.commitPlans()
-		So(d.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
-		So(d.st.LastRunID, ShouldEqual, 1)
+	Convey("A leader without a role lease for longer than a run's lease asks the worker before it proves its runs dead", t, func() {
+		h := newExpiredRun()
+		h.commitPlans()
+		So(h.st.Handles[1], ShouldNotBeNil)
+		h.answer(h.wait["m1"], "check", ended)
+		h.commitPlans()
+		So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+		So(h.st.LastRunID, ShouldEqual, 1)
 	})
-	Convey("It lets them go once the minion was asked in vain", t, func() {
-		d := lapsed()
-		d.commitPlans()
-		d.core.CallFailed(d.now, "m1", false, d.wait["m1"].Call, true)
-		d.now += time.Second
-		d.commitPlans()
-		So(d.st.Handles[1], ShouldBeNil)
+	Convey("It proves them dead once the worker has left a call unanswered", t, func() {
+		h := newExpiredRun()
+		h.commitPlans()
+		h.core.CallFailed(h.now, "m1", false, h.wait["m1"].Call, true)
+		h.now += time.Second
+		h.commitPlans()
+		So(h.st.Handles[1], ShouldBeNil)
 	})
 }
--- a/internal/dataplane/scheduler/gang_test.go
+++ b/internal/dataplane/scheduler/gang_test.go
@@ -16,7 +16,7 @@
 	gangWarmUp  = 30 * time.Second // until as many long runs are out as there are going to be
 )
 
-// mixed gives lengths of which most are short and one in twenty is long, so that about half of the cores are in long
+// mixed returns lengths of which most are short and one in twenty is long, so that about half of the cores are in long
 // runs at any moment.
 func mixed(seed uint64) func(runID uint64) time.Duration {
 	rnd := rand.New(rand.NewPCG(seed, 1))
@@ -28,12 +28,12 @@
 	}
 }
 
-// newMixedCluster is a full fleet of two minions of 2 cores and two of 3, with mixed runs.
+// newMixedCluster is a full cluster of two workers of 2 cores and two of 3, with mixed runs.
 func newMixedCluster(seed uint64) *loadedCluster {
 	names := []string{"m1", "m2", "m3", "m4"}
-	d := newHarness("check", names...)
-	d.coresByWorker = map[string]int{"m1": 2, "m2": 2, "m3": 3, "m4": 3}
-	c := newLoadedClusterOf(d, names)
+	h := newHarness("check", names...)
+	h.coresByWorker = map[string]int{"m1": 2, "m2": 2, "m3": 3, "m4": 3}
+	c := newLoadedClusterOf(h, names)
 	c.length = mixed(seed)
 	for range gangWarmUp / runLengthStep {
 		c.step()
@@ -42,7 +42,7 @@
 }
 
 func TestGangBesideLongRuns(t *testing.T) {
-	Convey("A gang that needs three of four minions almost empty gets run IDs, though some runs take 15 s", t, func() {
+	Convey("A gang that needs three of four workers almost empty gets run IDs, though some runs take 15 s", t, func() {
 		for seed := range uint64(gangSeeds) {
 			c := newMixedCluster(seed)
 			c.submit("gang", state.StepSpec{Cores: 2, Tasks: 3, Gang: true})
--- a/internal/dataplane/scheduler/interleaving_test.go
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -14,10 +14,10 @@
 // event is one thing that may happen after an order went out.
 type event struct {
 	name string
-	do   func(d *harness, w *workerModel)
+	do   func(h *harness, w *workerModel)
 }
 
-// workerModel is what is true at the minion: whether the order arrived, ran, ended.
+// workerModel is what is true on the worker: whether the order arrived, ran, ended.
 type workerModel struct {
 	kind    string
 	order   OutgoingCall
@@ -35,12 +35,12 @@
 	return a
 }
 
-// arrive carries the order out as a minion of the kind does.
-func (w *workerModel) arrive(d *harness) {
+// arrive carries the order out as a worker of the kind does.
+func (w *workerModel) arrive(h *harness) {
 	for _, s := range w.order.Call.Starts {
-		late := d.now > s.LeaseUntil
+		late := h.now > s.LeaseUntil
 		if w.kind == "check" {
-			late = late || s.RunID <= w.floor || d.now > s.StartBy
+			late = late || s.RunID <= w.floor || h.now > s.StartBy
 		}
 		if !late {
 			w.started[s.RunID]++
@@ -69,46 +69,46 @@
 }
 
 // TestEveryEventOrder tries, one by one, every order of: the order's arrival, the loss of its answer, a waiting call
-// answered, a new leader, the lapse of time. Whatever the order, the task is never running twice, and a second
+// answered, a new leader, the passing of time. Whatever the order, the task is never running twice, and a second
 // run ID is given only when the first can never run any more.
 func TestEveryEventOrder(t *testing.T) {
 	events := []event{
-		{"arrive", func(d *harness, w *workerModel) { w.arrive(d) }},
-		{"lost", func(d *harness, w *workerModel) { d.core.CallFailed(d.now, "m1", true, w.order.Call, true) }},
-		{"listing", func(d *harness, w *workerModel) { w.poll(d) }},
-		{"listing", func(d *harness, w *workerModel) { w.poll(d) }},
-		{"leader", func(d *harness, w *workerModel) { d.lead() }},
-		{"time", func(d *harness, w *workerModel) { d.now += 3 * time.Second }},
+		{"arrive", func(h *harness, w *workerModel) { w.arrive(h) }},
+		{"lost", func(h *harness, w *workerModel) { h.core.CallFailed(h.now, "m1", true, w.order.Call, true) }},
+		{"listing", func(h *harness, w *workerModel) { w.poll(h) }},
+		{"listing", func(h *harness, w *workerModel) { w.poll(h) }},
+		{"leader", func(h *harness, w *workerModel) { h.lead() }},
+		{"time", func(h *harness, w *workerModel) { h.now += 3 * time.Second }},
 	}
 	for _, kind := range []string{"check", "obey"} {
 		Convey("every order of a start, its lost answer, listings, a new leader and time: "+kind, t, func() {
 			cases, seconds := 0, 0
 			permute(len(events), func(seq []int) {
-				d := newHarness(kind, "m1")
-				d.greetWorkers(kind)
-				d.submit("j", state.StepSpec{})
-				calls := d.commitPlans()
+				h := newHarness(kind, "m1")
+				h.greetWorkers(kind)
+				h.submit("j", state.StepSpec{})
+				calls := h.commitPlans()
 				o := findOrder(calls)
 				w := &workerModel{kind: kind, order: *o, started: map[uint64]int{}, running: map[uint64]bool{}}
 				names := ""
-				sent := d.now
+				sent := h.now
 				for _, i := range seq {
 					names += events[i].name + " "
-					// An obeying minion may carry the order out late, up to its bound, and no later.
-					if events[i].name == "arrive" && kind == "obey" && d.now-sent > DefaultConfig().Lateness {
+					// A worker that obeys may carry the order out late, up to its bound, and no later.
+					if events[i].name == "arrive" && kind == "obey" && h.now-sent > DefaultConfig().Lateness {
 						continue
 					}
-					events[i].do(d, w)
-					for _, c := range d.commitPlans() {
+					events[i].do(h, w)
+					for _, c := range h.commitPlans() {
 						if len(c.Call.Starts) > 0 && c.Call.Starts[0].RunID != 1 {
 							seconds++
 							if w.running[1] {
-								panic(fmt.Sprintf("%s: a second ticket while the first runs: %s", kind, names))
+								panic(fmt.Sprintf("%s: a second run ID while the first runs: %s", kind, names))
 							}
-							if !w.arrived && (kind == "check" || d.now-sent <= DefaultConfig().Lateness) {
-								w.arrive(d) // the late order arrives now
+							if !w.arrived && (kind == "check" || h.now-sent <= DefaultConfig().Lateness) {
+								w.arrive(h) // the late order arrives now
 								if w.running[1] {
-									panic(fmt.Sprintf("%s: a late order started beside a second ticket: %s", kind, names))
+									panic(fmt.Sprintf("%s: a late order started beside a second run ID: %s", kind, names))
 								}
 							}
 						}
@@ -122,15 +122,15 @@
 	}
 }
 
-// poll answers the waiting call that is out, as things stand at the minion.
-func (w *workerModel) poll(d *harness) {
-	d.commitPlans()
-	if c, ok := d.wait["m1"]; ok {
-		delete(d.wait, "m1")
+// poll answers the poll in flight, as things are on the worker.
+func (w *workerModel) poll(h *harness) {
+	h.commitPlans()
+	if c, ok := h.wait["m1"]; ok {
+		delete(h.wait, "m1")
 		w.floor = max(w.floor, c.Call.Floor)
 		for _, s := range c.Call.Stops {
 			delete(w.running, s.RunID)
 		}
-		d.answer(c, w.kind, w.listing())
+		h.answer(c, w.kind, w.listing())
 	}
 }
--- a/internal/dataplane/scheduler/place_test.go
+++ b/internal/dataplane/scheduler/place_test.go
@@ -11,31 +11,31 @@
 )
 
 func TestLimitOrdersOnly(t *testing.T) {
-	Convey("a type over its limit runs where there is room, after types under theirs", t, func() {
-		d := newHarness("check", "m1")
-		d.greetWorkers("check")
-		d.st.Bundle.Limits = map[string]int{"t": 1}
-		d.submit("j", state.StepSpec{Tasks: 6})
-		d.submit("k", state.StepSpec{})
-		d.st.Jobs["k"].Spec.Steps[0].Type = "u"
-		o := findOrder(d.commitPlans())
+	Convey("a type over its limit runs where capacity is free, after types under theirs", t, func() {
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		h.st.Bundle.Limits = map[string]int{"t": 1}
+		h.submit("j", state.StepSpec{Tasks: 6})
+		h.submit("k", state.StepSpec{})
+		h.st.Jobs["k"].Spec.Steps[0].Type = "u"
+		o := findOrder(h.commitPlans())
 		So(o, ShouldNotBeNil)
-		So(o.Call.Starts, ShouldHaveLength, 4) // all the room there is, though the limit of t is 1
+		So(o.Call.Starts, ShouldHaveLength, 4) // all cores, though the limit of t is 1
 		So(o.Call.Starts[1].Type, ShouldEqual, "u")
-		So(d.core.RunningCount("t"), ShouldEqual, 3)
-		So(d.st.RunningCount("t"), ShouldEqual, 3)
-		Convey("and a new holder rebuilds the same tally before it releases anything", func() {
-			d.lead()
-			So(d.core.RunningCount("t"), ShouldEqual, 3)
-			So(d.core.RunningCount("u"), ShouldEqual, 1)
-			So(findOrder(d.commitPlans()), ShouldBeNil) // no minion has answered under the new epoch
+		So(h.core.RunningCount("t"), ShouldEqual, 3)
+		So(h.st.RunningCount("t"), ShouldEqual, 3)
+		Convey("and a new leader rebuilds the same counts before it places anything", func() {
+			h.lead()
+			So(h.core.RunningCount("t"), ShouldEqual, 3)
+			So(h.core.RunningCount("u"), ShouldEqual, 1)
+			So(findOrder(h.commitPlans()), ShouldBeNil) // no worker has answered under the new epoch
 		})
 	})
 }
 
 func TestUnschedulableClass(t *testing.T) {
-	Convey("A kind of task that fits nowhere is placed by the first pass after room came, without a sweep", t, func() {
-		c, st, now := fleet(t, 4, 4, 1)
+	Convey("A class that fits nowhere is placed by the first pass after capacity came free, without a sweep", t, func() {
+		c, st, now := newFullCluster(t, 4, 4, 1)
 		index := st.Index
 		apply := func(cmd command.Command) {
 			index++
@@ -51,7 +51,7 @@
 		So(p, ShouldNotBeNil)
 		So(len(p.Starts), ShouldEqual, 1)
 		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
-		Convey("a refused start leaves its room to the next pass", func() {
+		Convey("a refused start leaves its capacity to the next pass", func() {
 			refusePlan(c, now, p)
 			again := c.Pass(now).Plan
 			So(again, ShouldNotBeNil)
--- a/internal/dataplane/scheduler/renew_test.go
+++ b/internal/dataplane/scheduler/renew_test.go
@@ -11,19 +11,19 @@
 )
 
 func TestFirstLease(t *testing.T) {
-	Convey("the first hold of an obeying minion's run is short, and is renewed in full when the run is listed", t, func() {
+	Convey("the first lease of a run on a worker that obeys is short, and is renewed in full when the run is listed", t, func() {
 		cfg := DefaultConfig()
 		for kind, first := range map[string]time.Duration{"check": cfg.RunLease, "obey": cfg.Lateness} {
-			d := newHarness(kind, "m1")
-			d.greetWorkers(kind)
-			d.submit("j", state.StepSpec{})
-			o := findOrder(d.commitPlans())
-			So(o.Call.Starts[0].LeaseUntil-d.now, ShouldEqual, first)
-			d.answer(*o, kind, internalapi.LeaseAnswer{Running: []uint64{1}})
-			d.commitPlans()
-			d.reply(kind, "", internalapi.LeaseAnswer{Running: []uint64{1}})
-			d.commitPlans()
-			So(d.core.runs[1].leaseUntil-d.now, ShouldEqual, cfg.RunLease)
+			h := newHarness(kind, "m1")
+			h.greetWorkers(kind)
+			h.submit("j", state.StepSpec{})
+			o := findOrder(h.commitPlans())
+			So(o.Call.Starts[0].LeaseUntil-h.now, ShouldEqual, first)
+			h.answer(*o, kind, internalapi.LeaseAnswer{Running: []uint64{1}})
+			h.commitPlans()
+			h.reply(kind, "", internalapi.LeaseAnswer{Running: []uint64{1}})
+			h.commitPlans()
+			So(h.core.runs[1].leaseUntil-h.now, ShouldEqual, cfg.RunLease)
 		}
 	})
 }
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -13,14 +13,14 @@
 	"crosstide/internal/state"
 )
 
-// loadedCluster is a desk whose minions of 4 cores are full of tasks of one core, with more of them always due.
+// loadedCluster is a harness whose workers of 4 cores are full of tasks of one core, with more of them always due.
 type loadedCluster struct {
 	*harness
 	workers []string
 	runs    map[uint64]time.Duration // when a run ends
 	began   map[string]time.Duration // when a job got its first run ID
 	serial  int
-	// length gives how long the run of a run ID takes.
+	// length is how long the run of a run ID takes.
 	length func(runID uint64) time.Duration
 }
 
@@ -34,8 +34,8 @@
 	return newLoadedClusterOf(newHarness("check", workers...), workers)
 }
 
-func newLoadedClusterOf(d *harness, workers []string) *loadedCluster {
-	c := &loadedCluster{harness: d, workers: workers, runs: map[uint64]time.Duration{}, began: map[string]time.Duration{}, length: alike}
+func newLoadedClusterOf(h *harness, workers []string) *loadedCluster {
+	c := &loadedCluster{harness: h, workers: workers, runs: map[uint64]time.Duration{}, began: map[string]time.Duration{}, length: alike}
 	c.greetWorkers("check")
 	for range 4 * len(workers) {
 		c.narrow()
@@ -43,7 +43,7 @@
 	return c
 }
 
-// alike gives lengths that are nearly the same.
+// alike returns lengths that are nearly the same.
 func alike(runID uint64) time.Duration { return shortestRun + time.Duration(runID*7%10)*runLengthStep }
 
 func (c *loadedCluster) narrow() {
@@ -51,7 +51,7 @@
 	c.submit(fmt.Sprintf("n%04d", c.serial), state.StepSpec{})
 }
 
-// step lets time pass: fresh tasks come, runs end, each minion answers its calls, run IDs are given and ordered.
+// step passes time: new tasks come, runs end, each worker answers its calls, run IDs are committed and ordered.
 func (c *loadedCluster) step() {
 	c.now += runLengthStep
 	for range tasksDue - c.core.QueueLength() {
@@ -72,7 +72,7 @@
 	}
 }
 
-// start lets a minion carry out an order call.
+// start carries out an order call as a worker does.
 func (c *loadedCluster) start(call OutgoingCall) {
 	for _, s := range call.Call.Starts {
 		if c.began[s.Job] == 0 {
@@ -83,7 +83,7 @@
 	c.answer(call, "check", c.list(call.Worker))
 }
 
-// list is what runs and what has ended on a minion; its runs end one by one.
+// list is the answer of a worker: what runs and what has ended on it. Its runs end one by one.
 func (c *loadedCluster) list(name string) (a internalapi.LeaseAnswer) {
 	for _, t := range slices.Sorted(maps.Keys(c.runs)) {
 		switch h := c.st.Handles[t]; {
@@ -99,7 +99,7 @@
 	return a
 }
 
-// serve lets time pass, with narrow tasks always due, until a job has its first run ID or a time is over.
+// serve passes time, with narrow tasks always due, until a job has its first run ID or the timeout is over.
 func (c *loadedCluster) serve(job string, timeout time.Duration) bool {
 	for end := c.now + timeout; c.now < end && c.began[job] == 0; {
 		c.step()
@@ -108,12 +108,12 @@
 }
 
 func TestNotPassedOverForEver(t *testing.T) {
-	Convey("A fleet is full of narrow tasks, and more of them are due all the time", t, func() {
+	Convey("A cluster is full of narrow tasks, and more of them are due all the time", t, func() {
 		c := newLoadedCluster("m1", "m2", "m3")
 		for range 40 {
 			c.step()
 		}
-		Convey("a task of two cores gets a ticket", func() {
+		Convey("a task of two cores gets a run ID", func() {
 			c.submit("wide", state.StepSpec{Cores: 2})
 			So(c.serve("wide", 20*time.Second), ShouldBeTrue)
 		})
@@ -122,7 +122,7 @@
 			c.submit("wide", state.StepSpec{Cores: 2})
 			So(c.serve("wide", time.Minute), ShouldBeFalse)
 		})
-		Convey("so does one of a whole minion", func() {
+		Convey("so does one of a whole worker", func() {
 			c.submit("wide", state.StepSpec{Cores: 4})
 			So(c.serve("wide", time.Minute), ShouldBeTrue)
 		})
@@ -160,7 +160,7 @@
 	})
 }
 
-// longestFree lets time pass and gives the longest time for which a core of a minion stood free without a break.
+// longestFree passes time and returns the longest time for which a core of a worker was free without a break.
 func (c *loadedCluster) longestFree(worker string, until time.Duration) (longest time.Duration) {
 	var free time.Duration
 	for c.now < until {
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -10,74 +10,74 @@
 	"crosstide/internal/state"
 )
 
-// answerAt answers a call at clock, under a boot, as it arrives now.
-func (d *harness) answerAt(c OutgoingCall, kind, incarnation string, clock time.Duration, a internalapi.LeaseAnswer) {
+// answerAt answers a call at clock, under an incarnation, as it arrives now.
+func (h *harness) answerAt(c OutgoingCall, kind, incarnation string, clock time.Duration, a internalapi.LeaseAnswer) {
 	a.Call, a.Kind, a.Incarnation, a.Clock, a.Floor, a.Cores, a.Zone = c.Call.Call, kind, incarnation, clock, c.Call.Floor, 4, "z1"
-	d.core.CallAnswered(d.now, c.Worker, c.IsOrder, c.Call, a)
+	h.core.CallAnswered(h.now, c.Worker, c.IsOrder, c.Call, a)
 }
 
 func TestLateAnswer(t *testing.T) {
 	Convey("What was missing in an answer long under way is not missing since then", t, func() {
-		d := newHarness("obey", "m1")
-		d.greetWorkers("obey")
-		d.submit("j1", state.StepSpec{})
-		o := findOrder(d.commitPlans())
-		d.core.CallFailed(d.now, "m1", true, o.Call, true)
-		d.reply("obey", "", internalapi.LeaseAnswer{}) // raises the floor
-		d.now += time.Second
-		d.commitPlans()
-		from := d.now
-		d.reply("obey", "", internalapi.LeaseAnswer{}) // missing
-		d.now += 10 * time.Millisecond
-		d.commitPlans()
-		late := d.wait["m1"]
-		d.now = from + DefaultConfig().Lateness + 100*time.Millisecond
-		d.answerAt(late, "obey", "b1", from+time.Second, internalapi.LeaseAnswer{})
-		d.commitPlans()
-		So(d.st.Handles[1], ShouldNotBeNil)
-		d.now += time.Second
-		d.commitPlans()
-		d.reply("obey", "", internalapi.LeaseAnswer{})
-		d.commitPlans()
-		So(d.st.Handles[1], ShouldBeNil)
+		h := newHarness("obey", "m1")
+		h.greetWorkers("obey")
+		h.submit("j1", state.StepSpec{})
+		o := findOrder(h.commitPlans())
+		h.core.CallFailed(h.now, "m1", true, o.Call, true)
+		h.reply("obey", "", internalapi.LeaseAnswer{}) // raises the floor
+		h.now += time.Second
+		h.commitPlans()
+		from := h.now
+		h.reply("obey", "", internalapi.LeaseAnswer{}) // missing
+		h.now += 10 * time.Millisecond
+		h.commitPlans()
+		late := h.wait["m1"]
+		h.now = from + DefaultConfig().Lateness + 100*time.Millisecond
+		h.answerAt(late, "obey", "b1", from+time.Second, internalapi.LeaseAnswer{})
+		h.commitPlans()
+		So(h.st.Handles[1], ShouldNotBeNil)
+		h.now += time.Second
+		h.commitPlans()
+		h.reply("obey", "", internalapi.LeaseAnswer{})
+		h.commitPlans()
+		So(h.st.Handles[1], ShouldBeNil)
 	})
-	Convey("An answer of an older boot that comes late does not bring that boot back", t, func() {
-		d := newHarness("check", "m1")
-		d.greetWorkers("check")
-		d.submit("j1", state.StepSpec{})
-		o := findOrder(d.commitPlans())
-		late := d.wait["m1"]
-		d.answerAt(*o, "check", "b1", d.now, internalapi.LeaseAnswer{Running: []uint64{1}})
-		d.submit("j2", state.StepSpec{})
-		o = findOrder(d.commitPlans())
-		if o.Call.Call > late.Call.Call { // the waiting call that came back of an older boot must be the newer one
-			d.answerAt(late, "check", "b1", d.now, internalapi.LeaseAnswer{Running: []uint64{1}})
-			d.commitPlans()
-			late = d.wait["m1"]
+	Convey("An answer of an older incarnation that comes late does not bring that incarnation back", t, func() {
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		h.submit("j1", state.StepSpec{})
+		o := findOrder(h.commitPlans())
+		late := h.wait["m1"]
+		h.answerAt(*o, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.submit("j2", state.StepSpec{})
+		o = findOrder(h.commitPlans())
+		if o.Call.Call > late.Call.Call { // the poll that comes back late must be the newer call
+			h.answerAt(late, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
+			h.commitPlans()
+			late = h.wait["m1"]
 		}
 		So(late.Call.Call, ShouldBeGreaterThan, o.Call.Call)
-		d.answerAt(*o, "check", "b2", time.Second, internalapi.LeaseAnswer{Refused: []internalapi.StartRefusal{{RunID: 2, Why: "boot"}}})
-		d.commitPlans()
-		So(d.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
-		d.answerAt(late, "check", "b1", d.now, internalapi.LeaseAnswer{Running: []uint64{1}})
-		d.commitPlans()
-		So(d.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
+		h.answerAt(*o, "check", "b2", time.Second, internalapi.LeaseAnswer{Refused: []internalapi.StartRefusal{{RunID: 2, Why: "boot"}}})
+		h.commitPlans()
+		So(h.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
+		h.answerAt(late, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.commitPlans()
+		So(h.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
 	})
 }
 
 func TestStaleAnswer(t *testing.T) {
 	Convey("an answer that is older than one taken in, or names another call, proves nothing", t, func() {
-		d := newHarness("check", "m1")
-		d.greetWorkers("check")
-		wait := d.wait["m1"]
-		d.submit("j", state.StepSpec{})
-		o := findOrder(d.commitPlans())
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		wait := h.wait["m1"]
+		h.submit("j", state.StepSpec{})
+		o := findOrder(h.commitPlans())
 		So(o, ShouldNotBeNil)
-		d.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
-		d.answer(wait, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
-		d.commitPlans()
-		So(d.st.Handles[1], ShouldNotBeNil)
-		So(d.st.Handles[1].Phase, ShouldEqual, state.TaskRunning)
-		So(d.core.Counts.StaleAnswers, ShouldEqual, 1)
+		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.answer(wait, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
+		h.commitPlans()
+		So(h.st.Handles[1], ShouldNotBeNil)
+		So(h.st.Handles[1].Phase, ShouldEqual, state.TaskRunning)
+		So(h.core.Counts.StaleAnswers, ShouldEqual, 1)
 	})
 }
