--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestReader(t *testing.T) {
-	Convey("Three mistakes in one file are told at once, each with its field, and leave their targets", t, func() {
+	Convey("Three errors in one file are reported at once, each with its field, and leave their targets", t, func() {
 		lease, n, on, names := 3*time.Second, 5, true, []string{"x"}
 		var of []int
 		err := Parse([]byte(`{"sched":{"lease":"3 monkeys","n":99},"names":["a",4],"each":[{"k":1},{"k":"2"}],"od":0}`), func(r *Reader) {
@@ -71,7 +71,7 @@
 			"via." + a + ": must be a string, is 7", `via: must be an address like "10.0.0.7:7000", is "x"`})
 		So(via, ShouldResemble, map[string]string{a: b})
 	})
-	Convey("Broken JSON, wrong shapes, doubles and absent needs are mistakes", t, func() {
+	Convey("Broken JSON, wrong shapes, doubles and missing fields are errors", t, func() {
 		into := func(r *Reader) {
 			var s string
 			r.Require("a")
@@ -133,7 +133,7 @@
 		}
 		So(lines(CheckControlPlane(c))[0], ShouldEqual, "members: must be at most 3 with open_membership, are 4")
 	})
-	Convey("The mistakes of a cplane's file come together", t, func() {
+	Convey("The errors of a control plane's file are reported together", t, func() {
 		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, key, `"QQ=="`, `"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(controlPlaneJSON)
 		_, err := LoadControlPlane(file(t, text))
 		So(lines(err), ShouldResemble, []string{
--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -11,14 +11,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// writeSettings writes a settings file and gives its path.
+// writeSettings writes a settings file and returns its path.
 func writeSettings(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil)
 	return path
 }
 
-// invalidFields gives the fields of all mistakes in err.
+// invalidFields returns the fields of all validation errors in err.
 func invalidFields(err error) string {
 	var invalid ValidationErrors
 	if !errors.As(err, &invalid) {
@@ -37,7 +37,7 @@
 }
 
 func TestJobsControlPlane(t *testing.T) {
-	Convey("A core node's settings are a cplane's and the section jobs", t, func() {
+	Convey("A control plane node's settings are those of the policy deployment and the section jobs", t, func() {
 		set, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(`,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`)))
 		So(err, ShouldBeNil)
 		So([]any{set.Name, set.Election, set.Control, set.Scheduler.Lease, set.Scheduler.PollWait, set.Scheduler.RemoteFactor, set.KeepFinished}, ShouldResemble,
@@ -46,7 +46,7 @@
 		set.Control = set.Addr
 		So(invalidFields(CheckJobsControlPlane(set)), ShouldEqual, "jobs.control")
 	})
-	Convey("Every mistake is told with its field, all at once", t, func() {
+	Convey("Every error is reported with its field, all at once", t, func() {
 		for section, fields := range map[string]string{
 			``:                                     "jobs",
 			`,"jobs":7`:                            "jobs",
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -98,7 +98,7 @@
 	*to = b
 }
 
-// Strings reads an array of strings that every rule allows; a mistake in one leaves the target as it is.
+// Strings reads an array of strings that every rule allows; if one is wrong, the target stays as it is.
 func (r *Reader) Strings(field string, to *[]string, rules ...Rule) {
 	if r.checking() {
 		for i, one := range *to {
@@ -178,7 +178,7 @@
 	r.Reject(field, "must be a time like \"2026-12-02T08:00:00Z\", is %s", text(v))
 }
 
-// Ints reads an array of whole numbers from least to most; a mistake in one leaves the target as it is.
+// Ints reads an array of whole numbers from least to most; if one is wrong, the target stays as it is.
 func (r *Reader) Ints(field string, to *[]int, least, most int) {
 	v := r.get(field)
 	if v == nil {
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -8,7 +8,7 @@
 // is. The replica follows a control plane node beside them. Begin with Start; then role.go, passes.go, requests.go.
 //
 // The scheduler is guarded by the replica's lock: a change of the replica reaches it in the same critical section.
-// Node.mu is only taken inside no other lock.
+// Node.mu is never held together with it.
 package dataplane
 
 import (
@@ -38,7 +38,7 @@
 	Incarnation   string   // of this process, drawn anew by each
 	ControlPlanes []string // addresses, at least one
 	Scheduler     scheduler.Config
-	CallTimeout   time.Duration // of a call to the control plane, and twice that of a worker's answer beyond its wait
+	CallTimeout   time.Duration // of a call to the control plane; a worker has half of it beyond its wait
 	QueueLimit    int           // jobs that may be open at most
 	Clock         clock.Clock
 	Logger        log.Logger
--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -94,9 +94,9 @@
 	now := n.opt.Clock.Now()
 	n.replica.Lock()
 	if err != nil {
-		n.scheduler.CallFailed(now, c.Worker, c.IsOrder, c.Call, !rpc.IsUnsent(err))
+		n.scheduler.CallFailed(now, c, !rpc.IsUnsent(err))
 	} else {
-		n.scheduler.CallAnswered(now, c.Worker, c.IsOrder, c.Call, answer)
+		n.scheduler.CallAnswered(now, c, answer)
 	}
 	n.replica.Unlock()
 	if err != nil {
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -81,7 +81,7 @@
 	m := st.Workers[o.Worker]
 	a := internalapi.LeaseAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Incarnation: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
 	a.Running = st.RunIDsOn(m.Name)
-	c.CallAnswered(now, o.Worker, o.IsOrder, o.Call, a)
+	c.CallAnswered(now, o, a)
 }
 
 // BenchmarkPass is one answer and the pass after it, at 1,600 workers with 28,800 runs: what the scheduler does
--- a/internal/dataplane/scheduler/ends_test.go
+++ b/internal/dataplane/scheduler/ends_test.go
@@ -39,7 +39,7 @@
 		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
 		w := h.wait["m1"]
-		h.core.CallFailed(h.now, "m1", false, w.Call, true)
+		h.core.CallFailed(h.now, w, true)
 		h.now += 30 * time.Second
 		out := h.core.Pass(h.now)
 		So(out.Plan.Dead, ShouldHaveLength, 1)
@@ -56,7 +56,7 @@
 	Convey("With the proof of an expired lease on its way to the store", t, func() {
 		h := newExpiredRun()
 		h.commitPlans()
-		h.core.CallFailed(h.now, "m1", false, h.wait["m1"].Call, true)
+		h.core.CallFailed(h.now, h.wait["m1"], true)
 		h.now += time.Second
 		out := h.core.Pass(h.now)
 		So(out.Plan.Dead, ShouldHaveLength, 1)
--- a/internal/dataplane/scheduler/expire_test.go
+++ b/internal/dataplane/scheduler/expire_test.go
@@ -29,7 +29,7 @@
 				if c, ok := h.wait[o.Worker]; ok { // no renewal may go to a worker that does not answer
 					end = max(end, c.Call.RenewUntil)
 					delete(h.wait, o.Worker)
-					h.core.CallFailed(h.now, c.Worker, false, c.Call, true)
+					h.core.CallFailed(h.now, c, true)
 				}
 				h.reply("check", o.Worker, internalapi.LeaseAnswer{})
 			}
@@ -65,7 +65,7 @@
 	h.commitPlans()
 	h.core.SetRoleLease(h.now)
 	h.core.Pass(h.now)
-	h.core.CallFailed(h.now, "m1", false, h.wait["m1"].Call, true)
+	h.core.CallFailed(h.now, h.wait["m1"], true)
 	h.now += 30 * time.Second
 	h.core.Pass(h.now)
 	h.core.SetRoleLease(h.now + time.Hour)
@@ -86,7 +86,7 @@
 	Convey("It proves them dead once the worker has left a call unanswered", t, func() {
 		h := newExpiredRun()
 		h.commitPlans()
-		h.core.CallFailed(h.now, "m1", false, h.wait["m1"].Call, true)
+		h.core.CallFailed(h.now, h.wait["m1"], true)
 		h.now += time.Second
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldBeNil)
--- a/internal/dataplane/scheduler/harness_test.go
+++ b/internal/dataplane/scheduler/harness_test.go
@@ -94,7 +94,7 @@
 	if a.Incarnation == "" {
 		a.Incarnation = "b1"
 	}
-	h.core.CallAnswered(h.now, c.Worker, c.IsOrder, c.Call, a)
+	h.core.CallAnswered(h.now, c, a)
 }
 
 // greetWorkers answers the polls, so that every worker is known.
--- a/internal/dataplane/scheduler/interleaving_test.go
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -74,7 +74,7 @@
 func TestEveryEventOrder(t *testing.T) {
 	events := []event{
 		{"arrive", func(h *harness, w *workerModel) { w.arrive(h) }},
-		{"lost", func(h *harness, w *workerModel) { h.core.CallFailed(h.now, "m1", true, w.order.Call, true) }},
+		{"lost", func(h *harness, w *workerModel) { h.core.CallFailed(h.now, w.order, true) }},
 		{"listing", func(h *harness, w *workerModel) { w.poll(h) }},
 		{"listing", func(h *harness, w *workerModel) { w.poll(h) }},
 		{"leader", func(h *harness, w *workerModel) { h.lead() }},
--- a/internal/dataplane/scheduler/reconcile.go
+++ b/internal/dataplane/scheduler/reconcile.go
@@ -9,11 +9,11 @@
 	"crosstide/internal/state/command"
 )
 
-// CallFailed handles a call without an answer. isOrder is as in the OutgoingCall; sent reports whether any byte of the
-// call may have left this node.
-func (c *Core) CallFailed(now time.Duration, name string, isOrder bool, call internalapi.LeaseCall, sent bool) {
+// CallFailed handles a call without an answer; sent reports whether any byte of it may have left this node.
+func (c *Core) CallFailed(now time.Duration, out OutgoingCall, sent bool) {
 	c.now = now
-	w := c.finishCall(name, isOrder, call)
+	call := out.Call
+	w := c.finishCall(out)
 	if w == nil {
 		return
 	}
@@ -40,35 +40,35 @@
 
 // finishCall returns the worker of a call that came back, and makes its connection free; nil if the call is not of this
 // epoch or not the one in flight.
-func (c *Core) finishCall(name string, isOrder bool, call internalapi.LeaseCall) *worker {
-	w := c.workers[name]
-	if w == nil || c.role.phase != Ready || call.Epoch != c.role.epoch {
+func (c *Core) finishCall(out OutgoingCall) *worker {
+	w := c.workers[out.Worker]
+	if w == nil || c.role.phase != Ready || out.Call.Epoch != c.role.epoch {
 		return nil
 	}
 	inFlight := &w.pollCall
-	if isOrder {
+	if out.IsOrder {
 		inFlight = &w.orderCall
 	}
-	if *inFlight != call.Call {
+	if *inFlight != out.Call.Call {
 		return nil
 	}
 	*inFlight = 0
-	c.callsDue[name], c.placement.freedWorkers[name] = true, true
+	c.callsDue[w.name], c.placement.freedWorkers[w.name] = true, true
 	c.placement.current = false
 	return w
 }
 
 // CallAnswered handles the answer to a call. Of an answer that is older than one handled before only the ends and the
 // refusals count; one that names another call counts as none.
-func (c *Core) CallAnswered(now time.Duration, name string, isOrder bool, call internalapi.LeaseCall,
-	answer internalapi.LeaseAnswer) {
+func (c *Core) CallAnswered(now time.Duration, out OutgoingCall, answer internalapi.LeaseAnswer) {
 	c.now = now
+	call := out.Call
 	if answer.Call != call.Call {
 		c.Counts.StaleAnswers++
-		c.CallFailed(now, name, isOrder, call, true)
+		c.CallFailed(now, out, true)
 		return
 	}
-	w := c.finishCall(name, isOrder, call)
+	w := c.finishCall(out)
 	if w == nil {
 		return
 	}
@@ -250,7 +250,7 @@
 			r.absentSince, r.absentIncarnation = max(answer.Clock, 1), answer.Incarnation
 			c.markUnconfirmed(r)
 		}
-		// By the worker's clock: the answer may have been on its way for long, and holds for when it was made.
+		// By the worker's clock: the answer may have been on its way for long, and is true of when it was made.
 		if minElapsed(answer.Clock-r.absentSince) < c.cfg.Lateness {
 			return
 		}
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 	"crosstide/internal/state/command"
 )
 
-// Config holds the limits of the passes.
+// Config are the times and limits that the passes keep.
 type Config struct {
 	RunLease         time.Duration // how long a run goes on without renewal, where its policy does not say
 	PollWait         time.Duration // how long a worker may delay the answer to a call without starts
@@ -173,8 +173,8 @@
 	return c
 }
 
-// clearRecords forgets all but the role, the plan under way and the ends not committed yet: ends are facts, and the
-// workers that reported them may have been told to forget them.
+// clearRecords forgets all but the role, the plan in flight and the ends not committed yet: ends are facts, and the
+// workers that reported them may not report them again.
 func (c *Core) clearRecords() {
 	c.runs = map[uint64]*run{}
 	c.released = map[uint64]*releasedRun{}
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -13,7 +13,7 @@
 // answerAt answers a call at clock, under an incarnation, as it arrives now.
 func (h *harness) answerAt(c OutgoingCall, kind, incarnation string, clock time.Duration, a internalapi.LeaseAnswer) {
 	a.Call, a.Kind, a.Incarnation, a.Clock, a.Floor, a.Cores, a.Zone = c.Call.Call, kind, incarnation, clock, c.Call.Floor, 4, "z1"
-	h.core.CallAnswered(h.now, c.Worker, c.IsOrder, c.Call, a)
+	h.core.CallAnswered(h.now, c, a)
 }
 
 func TestLateAnswer(t *testing.T) {
@@ -22,7 +22,7 @@
 		h.greetWorkers("obey")
 		h.submit("j1", state.StepSpec{})
 		o := findOrder(h.commitPlans())
-		h.core.CallFailed(h.now, "m1", true, o.Call, true)
+		h.core.CallFailed(h.now, *o, true)
 		h.reply("obey", "", internalapi.LeaseAnswer{}) // raises the floor
 		h.now += time.Second
 		h.commitPlans()
--- a/internal/httpapi/clientapi/clientapi_test.go
+++ b/internal/httpapi/clientapi/clientapi_test.go
@@ -32,7 +32,7 @@
 		So(spec, ShouldResemble, state.Spec{Key: "k", Team: "depot", Queue: "default",
 			Steps: []state.StepSpec{{Name: "a", Type: "scan", Tasks: 1, Cores: 1, Retries: 3}}})
 	})
-	Convey("Bodies with a mistake name its field", t, func() {
+	Convey("A body with an error names its field", t, func() {
 		many := func(n int, one string) string { return strings.TrimSuffix(strings.Repeat(one+",", n), ",") }
 		for _, c := range []struct {
 			body  string
@@ -85,7 +85,7 @@
 			So(f.Message, ShouldContainSubstring, c.says)
 		}
 	})
-	Convey("The digest tells jobs apart and nothing else", t, func() {
+	Convey("The digest differs between jobs, and for nothing else", t, func() {
 		of := func(body string) string {
 			_, digest, err := Parse([]byte(body))
 			So(err, ShouldBeNil)
@@ -105,7 +105,7 @@
 	s       *state.State
 	bound   int
 	fail    error
-	entered chan struct{} // if set: Propose tells that it was entered, and waits for ctx or leave
+	entered chan struct{} // if set: Propose signals that it was entered, and waits for ctx or leave
 	leave   chan struct{}
 }
 
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -23,7 +23,7 @@
 	"crosstide/internal/state/query"
 )
 
-// counter is a served desk with the operator ada.
+// counter is a served store with the operator ada.
 type counter struct {
 	*fakeStore
 	addr string
@@ -115,7 +115,7 @@
 				So(fmt.Sprint(path, status), ShouldEqual, fmt.Sprint(path, want))
 			}
 		})
-		Convey("a job says what it waits for, and the account warns before it is dry and when it is", func() {
+		Convey("a job says what it waits for, and the account warns before it is exhausted and when it is", func() {
 			c.topUp("acme", "k", 250)
 			d.st.Bundle.SetParties(map[string]state.Party{"acme": {Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: 10 * time.Second,
 				Warn: 10 * time.Second}})
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -47,7 +47,7 @@
 //	POST /v1/minions/{name}/drain   {"order":"id"}   no new starts on it
 //	POST /v1/minions/{name}/open    {"order":"id"}
 //	POST /v1/minions/{name}/retire  {"order":"id"}   it must be empty
-//	POST /v1/members/{old}/replace/{new}  {"order":"id"}   the cplane new may join in the place of old
+//	POST /v1/members/{old}/replace/{new}  {"order":"id"}   the node new may join in place of old
 //	GET  /v1/minions
 //	GET  /v1/who
 //	/v1/accounts…                   see serveAccounts
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -337,7 +337,7 @@
 func (d *dataPlane) sendLeaseCall(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	fail := func(err error, sent bool) {
-		d.scheduler.CallFailed(d.Now(), c.Worker, c.IsOrder, c.Call, sent)
+		d.scheduler.CallFailed(d.Now(), c, sent)
 		d.schedulePass()
 	}
 	if !d.scheduler.MayAct(now) || d.scheduler.Epoch() != c.Call.Epoch || c.WriteBy > 0 && now >= c.WriteBy {
@@ -361,7 +361,7 @@
 				got.Call--
 			}
 			s.invariantChecker.observeAnswer(d, c, got)
-			d.scheduler.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, got)
+			d.scheduler.CallAnswered(d.Now(), c, got)
 			d.schedulePass()
 		}})
 }
