--- a/internal/dataplane/scheduler/expire.go
+++ b/internal/dataplane/scheduler/expire.go
@@ -74,7 +74,8 @@
 	if r.leaseUntil > 0 && r.leaseIncarnation == w.incarnation && w.heardAt > 0 {
 		expired = w.clock+minElapsed(now-w.heardAt) > r.leaseUntil+margin
 	} else {
-		// Its lease is not known here. At latest it was renewed when this node took the role, or when the worker was heard.
+		// Its lease is not known here. It was renewed at latest when this node took the role, or when the worker was
+		// heard.
 		atMost := max(r.handle.LeaseTTL, c.cfg.RunLease) + margin
 		expired = minElapsed(now-c.role.since) > atMost && minElapsed(now-w.heardAt) > atMost
 	}
