--- a/internal/dataplane/scheduler/admit.go
+++ b/internal/dataplane/scheduler/admit.go
@@ -54,22 +54,22 @@
 
 // insert puts a task behind those of its job and of older ones, so that one that falls due again keeps its place.
 // Most tasks come last, and those that come again belong near the head: the shorter side is moved.
-func (k *class) insert(q queuedTask) {
-	at, _ := slices.BinarySearchFunc(k.refs[k.head:], q.seq+1,
+func (cls *class) insert(q queuedTask) {
+	at, _ := slices.BinarySearchFunc(cls.refs[cls.head:], q.seq+1,
 		func(e queuedTask, seq uint64) int { return cmp.Compare(e.seq, seq) })
-	if k.head > 0 && at < len(k.refs)-k.head-at {
-		k.head--
-		copy(k.refs[k.head:], k.refs[k.head+1:k.head+1+at])
-		k.refs[k.head+at] = q
+	if cls.head > 0 && at < len(cls.refs)-cls.head-at {
+		cls.head--
+		copy(cls.refs[cls.head:], cls.refs[cls.head+1:cls.head+1+at])
+		cls.refs[cls.head+at] = q
 		return
 	}
-	k.refs = slices.Insert(k.refs, k.head+at, q)
+	cls.refs = slices.Insert(cls.refs, cls.head+at, q)
 }
 
 // groupSize is how many of its tasks are placed together.
-func (k *class) groupSize() int {
-	if k.gang {
-		return len(k.refs) - k.head
+func (cls *class) groupSize() int {
+	if cls.gang {
+		return len(cls.refs) - cls.head
 	}
 	return 1
 }
@@ -150,12 +150,12 @@
 	}
 	step := &job.Spec.Steps[ref.Step]
 	key := c.classKey(job, step, ref)
-	k := c.queue.classes[key]
-	if k == nil {
-		k = &class{key: key, taskType: step.Type, queue: job.Spec.Queue, team: job.Spec.Team, gang: step.Gang}
-		c.queue.classes[key] = k
+	cls := c.queue.classes[key]
+	if cls == nil {
+		cls = &class{key: key, taskType: step.Type, queue: job.Spec.Queue, team: job.Spec.Team, gang: step.Gang}
+		c.queue.classes[key] = cls
 	}
-	k.insert(queuedTask{ref, job.Seq})
+	cls.insert(queuedTask{ref, job.Seq})
 }
 
 // classKey names all that decides which workers may run a task. Ties between classes go by it.
@@ -176,26 +176,26 @@
 
 // peek returns the oldest task of a class that is still due, with its job; nil if none is left. Tasks that are not due
 // any more are dropped.
-func (c *Core) peek(k *class) (*state.Job, *state.TaskRef) {
-	for k.head < len(k.refs) {
-		ref := &k.refs[k.head].TaskRef
+func (c *Core) peek(cls *class) (*state.Job, *state.TaskRef) {
+	for cls.head < len(cls.refs) {
+		ref := &cls.refs[cls.head].TaskRef
 		if job, task := c.st.TaskOf(*ref); task != nil && task.Phase == state.TaskDue && job.Phase == state.JobRunning {
 			return job, ref
 		}
-		c.pop(k)
+		c.pop(cls)
 	}
 	return nil, nil
 }
 
 // pop removes the oldest task of a class.
-func (c *Core) pop(k *class) {
-	delete(c.queue.queued, k.refs[k.head].TaskRef)
-	k.head++
+func (c *Core) pop(cls *class) {
+	delete(c.queue.queued, cls.refs[cls.head].TaskRef)
+	cls.head++
 	switch {
-	case k.head == len(k.refs):
-		k.refs, k.head = nil, 0
-	case k.head > 1024 && k.head > len(k.refs)/2:
-		k.refs = append([]queuedTask(nil), k.refs[k.head:]...)
-		k.head = 0
+	case cls.head == len(cls.refs):
+		cls.refs, cls.head = nil, 0
+	case cls.head > 1024 && cls.head > len(cls.refs)/2:
+		cls.refs = append([]queuedTask(nil), cls.refs[cls.head:]...)
+		cls.head = 0
 	}
 }
--- a/internal/dataplane/scheduler/budget.go
+++ b/internal/dataplane/scheduler/budget.go
@@ -36,17 +36,17 @@
 	if len(c.st.Bundle.Parties) == 0 {
 		return
 	}
-	for _, k := range c.queue.classes {
-		if job, _ := c.peek(k); job != nil {
-			c.isCovered(k, job)
+	for _, cls := range c.queue.classes {
+		if job, _ := c.peek(cls); job != nil {
+			c.isCovered(cls, job)
 		}
 	}
 }
 
 // nextFee is what the next tasks of a class need, all that are placed together.
-func (c *Core) nextFee(k *class, job *state.Job) state.Fee {
+func (c *Core) nextFee(cls *class, job *state.Job) state.Fee {
 	var sum state.Fee
-	for _, task := range k.refs[k.head : k.head+k.groupSize()] {
+	for _, task := range cls.refs[cls.head : cls.head+cls.groupSize()] {
 		if fee := c.st.Fee(job, task.TaskRef); fee.Party != "" {
 			sum.Party = fee.Party
 			sum.Cost += fee.Cost
@@ -57,12 +57,12 @@
 
 // isCovered reports whether a balance covers the fee of a class beside what the plan needs already. If not, the balance
 // is kept for it: tasks of the same party that come later wait too.
-func (c *Core) isCovered(k *class, job *state.Job) bool {
-	fee := c.nextFee(k, job)
+func (c *Core) isCovered(cls *class, job *state.Job) bool {
+	fee := c.nextFee(cls, job)
 	if fee.Party == "" {
 		return true
 	}
-	order := paymentOrder{c.rankOf(k, 0), job.Seq}
+	order := paymentOrder{c.rankOf(cls, 0), job.Seq}
 	first, waits := c.placement.budget.firstUncovered[fee.Party]
 	if waits && first.before(order) {
 		return false
@@ -76,33 +76,33 @@
 }
 
 // reserveFee adds the fee of a class's next tasks to the plan; they must still be queued.
-func (c *Core) reserveFee(k *class, job *state.Job) {
-	if fee := c.nextFee(k, job); fee.Party != "" {
+func (c *Core) reserveFee(cls *class, job *state.Job) {
+	if fee := c.nextFee(cls, job); fee.Party != "" {
 		c.placement.budget.reserved[fee.Party] += fee.Cost
 	}
 }
 
 // awaitsTopUp reports whether a class waits for its party's balance. Such a class delays no other party: it gets no
 // reservation, and is tried again with the next sweep, and at once when an account is topped up.
-func (c *Core) awaitsTopUp(k *class) bool {
+func (c *Core) awaitsTopUp(cls *class) bool {
 	if len(c.st.Bundle.Parties) == 0 {
 		return false
 	}
-	job, _ := c.peek(k)
-	return job != nil && !c.isCovered(k, job)
+	job, _ := c.peek(cls)
+	return job != nil && !c.isCovered(cls, job)
 }
 
 // TasksAwaitingTopUp is how many due tasks wait for a top-up, by party.
 func (c *Core) TasksAwaitingTopUp() map[string]int {
 	var out map[string]int
-	for _, k := range c.queue.classes {
-		if !c.awaitsTopUp(k) {
+	for _, cls := range c.queue.classes {
+		if !c.awaitsTopUp(cls) {
 			continue
 		}
 		if out == nil {
 			out = map[string]int{}
 		}
-		out[c.st.Bundle.PartyOf(k.queue, k.team)] += len(k.refs) - k.head
+		out[c.st.Bundle.PartyOf(cls.queue, cls.team)] += len(cls.refs) - cls.head
 	}
 	return out
 }
--- a/internal/dataplane/scheduler/place.go
+++ b/internal/dataplane/scheduler/place.go
@@ -66,12 +66,12 @@
 		return
 	}
 	for len(p.Starts) < c.cfg.MaxStarts {
-		k, job := c.nextClass(round)
-		if k == nil {
+		cls, job := c.nextClass(round)
+		if cls == nil {
 			break
 		}
-		if !c.placeGroup(now, round, k, job) {
-			round.unschedulable[k.key], k.unschedulable = true, true
+		if !c.placeGroup(now, round, cls, job) {
+			round.unschedulable[cls.key], cls.unschedulable = true, true
 		}
 	}
 	c.recordPassedOver(now, round)
@@ -90,8 +90,8 @@
 	round := &placementRound{plan: p, unschedulable: map[string]bool{},
 		startsByType: map[string]int{}, startsByTeam: map[string]int{}}
 	tryAll := c.placement.fullScan
-	for _, k := range c.queue.classes {
-		tryAll = tryAll || !k.unschedulable
+	for _, cls := range c.queue.classes {
+		tryAll = tryAll || !cls.unschedulable
 	}
 	if tryAll {
 		round.all = c.candidates(now, c.rotatedRing())
@@ -103,12 +103,12 @@
 	} else {
 		round.freed = c.candidates(now, sortedKeys(c.placement.freedWorkers))
 	}
-	for key, k := range c.queue.classes {
-		if c.placement.fullScan || !k.unschedulable {
-			k.unschedulable = !c.fitsAny(k, round.all)
-			round.unschedulable[key] = k.unschedulable
+	for key, cls := range c.queue.classes {
+		if c.placement.fullScan || !cls.unschedulable {
+			cls.unschedulable = !c.fitsAny(cls, round.all)
+			round.unschedulable[key] = cls.unschedulable
 		} else {
-			round.unschedulable[key] = !c.fitsAny(k, round.freed)
+			round.unschedulable[key] = !c.fitsAny(cls, round.freed)
 		}
 	}
 	c.placement.fullScan = false
@@ -151,21 +151,21 @@
 }
 
 // fitsAny reports whether any candidate would take the oldest task of a class.
-func (c *Core) fitsAny(k *class, candidates []*candidate) bool {
-	job, ref := c.peek(k)
+func (c *Core) fitsAny(cls *class, candidates []*candidate) bool {
+	job, ref := c.peek(cls)
 	if job == nil {
 		return true // nextClass drops it
 	}
-	if c.awaitsTopUp(k) {
+	if c.awaitsTopUp(cls) {
 		return false
 	}
 	step := &job.Spec.Steps[ref.Step]
-	return slices.ContainsFunc(candidates, func(w *candidate) bool { return c.fits(k, job, step, w) })
+	return slices.ContainsFunc(candidates, func(w *candidate) bool { return c.fits(cls, job, step, w) })
 }
 
 // fits reports whether a candidate would take a task of a class.
-func (c *Core) fits(k *class, job *state.Job, step *state.StepSpec, w *candidate) bool {
-	return c.mayUse(k, w.rec.Name) && w.cores >= step.Cores && w.gpus >= step.GPUs &&
+func (c *Core) fits(cls *class, job *state.Job, step *state.StepSpec, w *candidate) bool {
+	return c.mayUse(cls, w.rec.Name) && w.cores >= step.Cores && w.gpus >= step.GPUs &&
 		c.st.PlacementRefusal(&job.Spec, step, w.rec) == ""
 }
 
@@ -195,18 +195,19 @@
 	var next *class
 	var nextJob *state.Job
 	var first classPriority
-	for key, k := range c.queue.classes {
+	for key, cls := range c.queue.classes {
 		if round.unschedulable[key] {
 			continue
 		}
-		job, _ := c.peek(k)
+		job, _ := c.peek(cls)
 		if job == nil {
 			delete(c.queue.classes, key)
 			continue
 		}
-		rank, share := c.rankOf(k, round.startsByType[k.taskType]), c.teamShare(k.team, round.startsByTeam[k.team])
+		rank := c.rankOf(cls, round.startsByType[cls.taskType])
+		share := c.teamShare(cls.team, round.startsByTeam[cls.team])
 		if p := (classPriority{rank, share, job.Seq, key}); next == nil || p.before(first) {
-			next, nextJob, first = k, job, p
+			next, nextJob, first = cls, job, p
 		}
 	}
 	return next, nextJob
@@ -223,47 +224,47 @@
 
 // placeGroup puts starts for the next tasks of a class that go together into the plan. It reports false, and changes
 // nothing, if not all of them fit or their party's balance does not cover them.
-func (c *Core) placeGroup(now time.Duration, round *placementRound, k *class, job *state.Job) bool {
-	size := k.groupSize()
+func (c *Core) placeGroup(now time.Duration, round *placementRound, cls *class, job *state.Job) bool {
+	size := cls.groupSize()
 	candidates, next := round.all, &round.nextInAll
-	if k.unschedulable && !k.gang || len(round.all) == 0 {
+	if cls.unschedulable && !cls.gang || len(round.all) == 0 {
 		candidates, next = round.freed, &round.nextFreed
 	}
-	if !c.isCovered(k, job) {
+	if !c.isCovered(cls, job) {
 		return false
 	}
-	starts := c.fitGroup(candidates, next, k, job, size)
+	starts := c.fitGroup(candidates, next, cls, job, size)
 	if starts == nil {
 		return false
 	}
-	c.reserveFee(k, job)
+	c.reserveFee(cls, job)
 	for range size {
-		c.pop(k)
+		c.pop(cls)
 	}
-	if k.passedOverSince = 0; c.placement.reservation != nil && c.placement.reservation.class == k.key {
+	if cls.passedOverSince = 0; c.placement.reservation != nil && c.placement.reservation.class == cls.key {
 		c.endReservation(now)
 	}
-	if k.gang {
-		delete(c.queue.classes, k.key)
+	if cls.gang {
+		delete(c.queue.classes, cls.key)
 		for i := range starts {
 			starts[i].Group = len(round.plan.Starts) + 1
 		}
 	}
 	round.plan.Starts = append(round.plan.Starts, starts...)
-	round.startsByType[k.taskType] += size
-	round.startsByTeam[k.team] += size
+	round.startsByType[cls.taskType] += size
+	round.startsByTeam[cls.team] += size
 	return true
 }
 
 // fitGroup finds workers for the next size tasks of a class and takes their capacity, for all or none: nil if they do
 // not all fit.
-func (c *Core) fitGroup(candidates []*candidate, next *int, k *class, job *state.Job, size int) []command.Start {
+func (c *Core) fitGroup(candidates []*candidate, next *int, cls *class, job *state.Job, size int) []command.Start {
 	var starts []command.Start
 	var taken []*candidate
 	for i := range size {
-		ref := k.refs[k.head+i].TaskRef
+		ref := cls.refs[cls.head+i].TaskRef
 		step := &job.Spec.Steps[ref.Step]
-		found := c.findWorker(candidates, next, k, job, ref, size > 1)
+		found := c.findWorker(candidates, next, cls, job, ref, size > 1)
 		if found == nil {
 			for n, w := range taken {
 				step := &job.Spec.Steps[starts[n].Ref.Step]
@@ -285,14 +286,14 @@
 
 // findWorker returns the next candidate that takes a task, nil if none does. One on which the task has failed before
 // is taken only if no other one takes it, and not as a probe. A probe must not delay a gang.
-func (c *Core) findWorker(candidates []*candidate, next *int, k *class, job *state.Job, ref state.TaskRef,
+func (c *Core) findWorker(candidates []*candidate, next *int, cls *class, job *state.Job, ref state.TaskRef,
 	inGang bool) *candidate {
 	step := &job.Spec.Steps[ref.Step]
 	var fallback *candidate
 	for range candidates {
 		w := candidates[*next%len(candidates)]
 		*next++
-		if w.probe && inGang || !c.fits(k, job, step, w) {
+		if w.probe && inGang || !c.fits(cls, job, step, w) {
 			continue
 		}
 		if !c.health.hasFailedOn(ref, w.rec.Name) {
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -56,26 +56,26 @@
 }
 
 // PlanAnswered handles the answer to the plan in flight. The replica must have reached the plan's index, so that it has
-// the handles of the plan's run IDs. A plan that failed may have been committed all the same: its facts go into the
-// next one, and the run IDs that it got are never sent.
+// the handles of the plan's run IDs. A plan that failed may have been committed all the same: what it said is said again
+// in the next one, and the run IDs that it got are never sent.
 func (c *Core) PlanAnswered(now time.Duration, epoch uint64, planned command.Planned, err error) {
 	c.now = now
-	f := c.planInFlight
-	if f == nil || f.plan.Epoch != epoch {
+	sent := c.planInFlight
+	if sent == nil || sent.plan.Epoch != epoch {
 		return
 	}
-	if c.planInFlight, c.placement.current = nil, false; f.invalidated || c.role.phase != Ready {
+	if c.planInFlight, c.placement.current = nil, false; sent.invalidated || c.role.phase != Ready {
 		return
 	}
-	for _, start := range f.plan.Starts { // a refused start left its capacity free
+	for _, start := range sent.plan.Starts { // a refused start left its capacity free
 		c.placement.freedWorkers[start.Worker] = true
 	}
 	if err != nil {
-		c.planFailed(f.plan, err)
+		c.planFailed(sent.plan, err)
 		return
 	}
-	sendBy := min(now+c.cfg.StartWindow, f.sentAt+c.cfg.PlanWindow)
-	for i, start := range f.plan.Starts {
+	sendBy := min(now+c.cfg.StartWindow, sent.sentAt+c.cfg.PlanWindow)
+	for i, start := range sent.plan.Starts {
 		runID := planned.RunIDs[i]
 		if runID == 0 {
 			c.Counts.Refused++
@@ -89,7 +89,8 @@
 	}
 }
 
-// planFailed puts what a failed plan would have committed back. A stale epoch means that another node has the role.
+// planFailed puts the ends, proofs and starts of a failed plan back; its other facts come again with the next answers of
+// workers. A stale epoch means that another node has the role.
 func (c *Core) planFailed(plan *command.Plan, err error) {
 	c.Counts.PlanFailures++
 	c.facts.ends = append(plan.Ends, c.facts.ends...)
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -35,39 +35,39 @@
 )
 
 // rankOf is the rank of a class; starts counts those of its type in the plan that is being made.
-func (c *Core) rankOf(k *class, starts int) rank {
-	if c.st.Bundle.Queues[k.queue].Urgent {
+func (c *Core) rankOf(cls *class, starts int) rank {
+	if c.st.Bundle.Queues[cls.queue].Urgent {
 		return rankUrgent
 	}
-	if limit, ok := c.st.Bundle.Limits[k.taskType]; ok && c.runningCounts[k.taskType]+starts >= limit {
+	if limit, ok := c.st.Bundle.Limits[cls.taskType]; ok && c.runningCounts[cls.taskType]+starts >= limit {
 		return rankOverLimit
 	}
 	return rankNormal
 }
 
 // mayUse reports whether a class may use a worker. Urgent queues do not wait for reservations.
-func (c *Core) mayUse(k *class, worker string) bool {
+func (c *Core) mayUse(cls *class, worker string) bool {
 	r := c.placement.reservation
-	return r == nil || r.class == k.key || !r.workers[worker] || c.st.Bundle.Queues[k.queue].Urgent
+	return r == nil || r.class == cls.key || !r.workers[worker] || c.st.Bundle.Queues[cls.queue].Urgent
 }
 
 // updateReservation ends a reservation that is over, and makes the next one if a class was passed over for too long.
 func (c *Core) updateReservation(now time.Duration) {
 	if r := c.placement.reservation; r != nil {
-		k := c.queue.classes[r.class]
-		if now < r.until && k != nil && !c.awaitsTopUp(k) {
+		cls := c.queue.classes[r.class]
+		if now < r.until && cls != nil && !c.awaitsTopUp(cls) {
 			return
 		}
 		c.endReservation(now)
-		if k != nil {
-			k.nextReservationAt = c.retryReservationAt(now, k)
+		if cls != nil {
+			cls.nextReservationAt = c.retryReservationAt(now, cls)
 		}
 	}
 	if now < c.placement.nextReservationAt {
 		return
 	}
-	if k, workers := c.pickPassedOver(now); k != nil {
-		c.placement.reservation = &reservation{k.key, workers, now + c.reservationLength(now, k)}
+	if cls, workers := c.pickPassedOver(now); cls != nil {
+		c.placement.reservation = &reservation{cls.key, workers, now + c.reservationLength(now, cls)}
 	}
 }
 
@@ -78,13 +78,13 @@
 }
 
 // isOverdue reports whether short reservations did not help a class for too long.
-func (c *Core) isOverdue(now time.Duration, k *class) bool {
-	return k.passedOverSince > 0 && now-k.passedOverSince >= c.cfg.ReserveLongAfter
+func (c *Core) isOverdue(now time.Duration, cls *class) bool {
+	return cls.passedOverSince > 0 && now-cls.passedOverSince >= c.cfg.ReserveLongAfter
 }
 
 // reservationLength is how long a reservation of a class lasts.
-func (c *Core) reservationLength(now time.Duration, k *class) time.Duration {
-	if c.isOverdue(now, k) {
+func (c *Core) reservationLength(now time.Duration, cls *class) time.Duration {
+	if c.isOverdue(now, cls) {
 		return c.cfg.ReserveLong
 	}
 	return c.cfg.ReserveFor
@@ -92,8 +92,8 @@
 
 // retryReservationAt is when a class may get its next reservation: an overdue one after the rest, or after the
 // reservation of another class if one waits.
-func (c *Core) retryReservationAt(now time.Duration, k *class) time.Duration {
-	if c.isOverdue(now, k) {
+func (c *Core) retryReservationAt(now time.Duration, cls *class) time.Duration {
+	if c.isOverdue(now, cls) {
 		return c.placement.nextReservationAt + 1
 	}
 	return now + c.cfg.ReserveRetry
@@ -107,12 +107,12 @@
 		seq   uint64
 	}
 	var waiting []passedOver
-	for _, k := range c.queue.classes {
-		if k.passedOverSince == 0 || now-k.passedOverSince < c.cfg.ReserveAfter || now < k.nextReservationAt {
+	for _, cls := range c.queue.classes {
+		if cls.passedOverSince == 0 || now-cls.passedOverSince < c.cfg.ReserveAfter || now < cls.nextReservationAt {
 			continue
 		}
-		if job, _ := c.peek(k); job != nil && !c.awaitsTopUp(k) {
-			waiting = append(waiting, passedOver{k, job.Seq})
+		if job, _ := c.peek(cls); job != nil && !c.awaitsTopUp(cls) {
+			waiting = append(waiting, passedOver{cls, job.Seq})
 		}
 	}
 	slices.SortFunc(waiting, func(a, b passedOver) int {
@@ -129,8 +129,8 @@
 
 // workersToReserve picks workers for a class, those with most free cores first; nil if the cluster cannot hold its next
 // tasks.
-func (c *Core) workersToReserve(k *class) map[string]bool {
-	job, ref := c.peek(k)
+func (c *Core) workersToReserve(cls *class) map[string]bool {
+	job, ref := c.peek(cls)
 	if job == nil {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	}
 	free := func(rec *state.Worker) int { return rec.Cores - c.st.UsageOf(rec.Name).Cores }
 	slices.SortStableFunc(fit, func(a, b *state.Worker) int { return free(b) - free(a) })
-	need, got, picked := k.groupSize(), 0, map[string]bool{}
+	need, got, picked := cls.groupSize(), 0, map[string]bool{}
 	for _, rec := range fit {
 		if got >= reserveFactor*need {
 			break
@@ -180,21 +180,21 @@
 		r := c.rankOf(&class{queue: job.Spec.Queue, taskType: step.Type}, 0)
 		newest[r] = max(newest[r], job.Seq)
 	}
-	for key, k := range c.queue.classes {
-		if c.awaitsTopUp(k) {
-			k.passedOverSince = 0 // others do not keep it from starting, its party's balance does
+	for key, cls := range c.queue.classes {
+		if c.awaitsTopUp(cls) {
+			cls.passedOverSince = 0 // others do not keep it from starting, its party's balance does
 			continue
 		}
-		if !round.unschedulable[key] || k.passedOverSince > 0 {
+		if !round.unschedulable[key] || cls.passedOverSince > 0 {
 			continue
 		}
-		job, _ := c.peek(k)
+		job, _ := c.peek(cls)
 		if job == nil {
 			continue
 		}
-		for r := c.rankOf(k, round.startsByType[k.taskType]); r < ranks; r++ {
+		for r := c.rankOf(cls, round.startsByType[cls.taskType]); r < ranks; r++ {
 			if newest[r] > job.Seq {
-				k.passedOverSince = now
+				cls.passedOverSince = now
 			}
 		}
 	}
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -182,9 +182,9 @@
 	c.runningCounts = map[string]int{}
 	c.runningByTeam = map[string]int{}
 	c.callsDue = map[string]bool{}
-	if f := c.planInFlight; f != nil && !f.invalidated {
-		f.invalidated = true // its answer must not be taken for that of a later plan
-		c.facts.ends = append(f.plan.Ends, c.facts.ends...)
+	if sent := c.planInFlight; sent != nil && !sent.invalidated {
+		sent.invalidated = true // its answer must not be taken for that of a later plan
+		c.facts.ends = append(sent.plan.Ends, c.facts.ends...)
 	}
 	c.facts = facts{ends: c.facts.ends, reported: map[string]bool{}}
 	c.queue.clear()
