--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -56,8 +56,8 @@
 }
 
 // PlanAnswered handles the answer to the plan in flight. The replica must have reached the plan's index, so that it has
-// the handles of the plan's run IDs. A plan that failed may have been committed all the same: what it said is said again
-// in the next one, and the run IDs that it got are never sent.
+// the handles of the plan's run IDs. A plan that failed may have been committed all the same: what it said is said
+// again in the next one, and the run IDs that it got are never sent.
 func (c *Core) PlanAnswered(now time.Duration, epoch uint64, planned command.Planned, err error) {
 	c.now = now
 	sent := c.planInFlight
@@ -89,8 +89,8 @@
 	}
 }
 
-// planFailed puts the ends, proofs and starts of a failed plan back; its other facts come again with the next answers of
-// workers. A stale epoch means that another node has the role.
+// planFailed puts the ends, proofs and starts of a failed plan back; its other facts come again with the next answers
+// of workers. A stale epoch means that another node has the role.
 func (c *Core) planFailed(plan *command.Plan, err error) {
 	c.Counts.PlanFailures++
 	c.facts.ends = append(plan.Ends, c.facts.ends...)
