--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestDaemons(t *testing.T) {
+func TestPolicyDeployment(t *testing.T) {
 	Convey("Sound files load, what is not set keeps its default, and a changed value is judged again", t, func() {
 		c, err := LoadControlPlane(file(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/dataplane/scheduler"
 )
 
-// Figures are what the node shows of itself at one moment.
-type Figures struct {
+// figures are what the node shows of itself at one moment.
+type figures struct {
 	// Of the replica.
 	Index, Changes, Bytes, Snapshots uint64
 	Jobs, Handles, Workers, Inbox    int
@@ -24,11 +24,11 @@
 	TasksAwaitingTopUp map[string]int // due tasks that their party's balance does not cover, by party
 }
 
-// Figures returns the node's figures of now.
-func (n *Node) Figures() Figures {
+// figures returns the node's figures of now.
+func (n *Node) figures() figures {
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
-	figures := Figures{
+	f := figures{
 		Index: st.Index, Changes: n.replica.Changes, Bytes: n.replica.Bytes, Snapshots: n.replica.Snapshots,
 		Jobs: len(st.Jobs), Handles: len(st.Handles), Workers: len(st.Workers), Inbox: len(st.Inbox),
 		RunningCounts: st.RunningCounts(),
@@ -37,64 +37,64 @@
 		Counts: n.scheduler.Counts, UnhealthyWorkers: n.scheduler.UnhealthyWorkers(),
 		TasksAwaitingTopUp: n.scheduler.TasksAwaitingTopUp(),
 	}
-	figures.Counts.ProvedDead = maps.Clone(n.scheduler.Counts.ProvedDead) // the scheduler goes on counting in its own
-	return figures
+	f.Counts.ProvedDead = maps.Clone(n.scheduler.Counts.ProvedDead) // the scheduler goes on counting in its own
+	return f
 }
 
 // metric is one figure without labels.
 type metric struct {
 	name, help string // name without "crosstide_"
 	kind       prometheus.ValueType
-	value      func(Figures) float64
+	value      func(figures) float64
 }
 
-func gauge(name, help string, value func(Figures) int) metric {
-	return metric{name, help, prometheus.GaugeValue, func(f Figures) float64 { return float64(value(f)) }}
+func gauge(name, help string, value func(figures) int) metric {
+	return metric{name, help, prometheus.GaugeValue, func(f figures) float64 { return float64(value(f)) }}
 }
 
-func counter(name, help string, value func(Figures) uint64) metric {
-	return metric{name, help, prometheus.CounterValue, func(f Figures) float64 { return float64(value(f)) }}
+func counter(name, help string, value func(figures) uint64) metric {
+	return metric{name, help, prometheus.CounterValue, func(f figures) float64 { return float64(value(f)) }}
 }
 
 var metrics = []metric{
-	gauge("replica_index", "Log index the replica is at.", func(f Figures) int { return int(f.Index) }),
-	counter("replica_changes_total", "Changes applied.", func(f Figures) uint64 { return f.Changes }),
+	gauge("replica_index", "Log index the replica is at.", func(f figures) int { return int(f.Index) }),
+	counter("replica_changes_total", "Changes applied.", func(f figures) uint64 { return f.Changes }),
 	counter("replica_bytes_total", "Bytes of changes and snapshots taken in.",
-		func(f Figures) uint64 { return f.Bytes }),
-	counter("replica_snapshots_total", "Snapshots taken in.", func(f Figures) uint64 { return f.Snapshots }),
+		func(f figures) uint64 { return f.Bytes }),
+	counter("replica_snapshots_total", "Snapshots taken in.", func(f figures) uint64 { return f.Snapshots }),
 
-	gauge("sched_holder", "1 while this node holds sched.", func(f Figures) int {
+	gauge("sched_holder", "1 while this node holds sched.", func(f figures) int {
 		if f.Phase == scheduler.Ready {
 			return 1
 		}
 		return 0
 	}),
-	gauge("sched_epoch", "Epoch of the duty held, else 0.", func(f Figures) int { return int(f.Epoch) }),
-	gauge("sched_queue_length", "Due tasks waiting for a run ID.", func(f Figures) int { return f.QueueLength }),
-	counter("sched_plans_total", "Plans proposed.", func(f Figures) uint64 { return f.Counts.Plans }),
+	gauge("sched_epoch", "Epoch of the duty held, else 0.", func(f figures) int { return int(f.Epoch) }),
+	gauge("sched_queue_length", "Due tasks waiting for a run ID.", func(f figures) int { return f.QueueLength }),
+	counter("sched_plans_total", "Plans proposed.", func(f figures) uint64 { return f.Counts.Plans }),
 	counter("sched_plan_failures_total", "Plans without a good answer.",
-		func(f Figures) uint64 { return f.Counts.PlanFailures }),
-	counter("sched_run_ids_total", "Run IDs given.", func(f Figures) uint64 { return f.Counts.RunIDs }),
+		func(f figures) uint64 { return f.Counts.PlanFailures }),
+	counter("sched_run_ids_total", "Run IDs given.", func(f figures) uint64 { return f.Counts.RunIDs }),
 	counter("sched_refused_total", "Starts refused by the store or a minion.",
-		func(f Figures) uint64 { return f.Counts.Refused }),
-	counter("sched_sent_total", "Start orders written.", func(f Figures) uint64 { return f.Counts.Sent }),
-	counter("sched_ends_total", "Ends listed.", func(f Figures) uint64 { return f.Counts.Ended }),
+		func(f figures) uint64 { return f.Counts.Refused }),
+	counter("sched_sent_total", "Start orders written.", func(f figures) uint64 { return f.Counts.Sent }),
+	counter("sched_ends_total", "Ends listed.", func(f figures) uint64 { return f.Counts.Ended }),
 	counter("sched_end_failures_total", "Ends in failure listed.",
-		func(f Figures) uint64 { return f.Counts.FailedEnds }),
-	counter("sched_doubts_total", "Handles in doubt.", func(f Figures) uint64 { return f.Counts.Unconfirmed }),
-	counter("sched_stops_total", "Stop orders sent.", func(f Figures) uint64 { return f.Counts.Stops }),
+		func(f figures) uint64 { return f.Counts.FailedEnds }),
+	counter("sched_doubts_total", "Handles in doubt.", func(f figures) uint64 { return f.Counts.Unconfirmed }),
+	counter("sched_stops_total", "Stop orders sent.", func(f figures) uint64 { return f.Counts.Stops }),
 	counter("sched_call_failures_total", "Hold calls without an answer.",
-		func(f Figures) uint64 { return f.Counts.CallFailures }),
+		func(f figures) uint64 { return f.Counts.CallFailures }),
 	counter("sched_crossed_total", "Answers dropped as crossed.",
-		func(f Figures) uint64 { return f.Counts.StaleAnswers }),
+		func(f figures) uint64 { return f.Counts.StaleAnswers }),
 
-	gauge("state_jobs", "Jobs kept.", func(f Figures) int { return f.Jobs }),
-	gauge("state_handles", "Handles out.", func(f Figures) int { return f.Handles }),
-	gauge("state_minions", "Minions known.", func(f Figures) int { return f.Workers }),
-	gauge("state_inbox", "Jobs in the inbox.", func(f Figures) int { return f.Inbox }),
+	gauge("state_jobs", "Jobs kept.", func(f figures) int { return f.Jobs }),
+	gauge("state_handles", "Handles out.", func(f figures) int { return f.Handles }),
+	gauge("state_minions", "Minions known.", func(f figures) int { return f.Workers }),
+	gauge("state_inbox", "Jobs in the inbox.", func(f figures) int { return f.Inbox }),
 }
 
-// Collector shows a node's Figures to Prometheus.
+// Collector shows a node's figures to Prometheus.
 type Collector struct {
 	node  *Node
 	plain []*prometheus.Desc // of metrics, in their order
@@ -132,20 +132,20 @@
 
 // Collect sends the figures of now. It is part of prometheus.Collector.
 func (c *Collector) Collect(to chan<- prometheus.Metric) {
-	figures := c.node.Figures()
+	f := c.node.figures()
 	for i, m := range metrics {
-		to <- prometheus.MustNewConstMetric(c.plain[i], m.kind, m.value(figures))
+		to <- prometheus.MustNewConstMetric(c.plain[i], m.kind, m.value(f))
 	}
-	for _, worker := range figures.UnhealthyWorkers {
+	for _, worker := range f.UnhealthyWorkers {
 		to <- prometheus.MustNewConstMetric(c.unhealthy, prometheus.GaugeValue, 1, worker)
 	}
-	for party, tasks := range figures.TasksAwaitingTopUp {
+	for party, tasks := range f.TasksAwaitingTopUp {
 		to <- prometheus.MustNewConstMetric(c.awaitingTopUp, prometheus.GaugeValue, float64(tasks), party)
 	}
-	for proof, runs := range figures.Counts.ProvedDead {
+	for proof, runs := range f.Counts.ProvedDead {
 		to <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), proof)
 	}
-	for taskType, runs := range figures.RunningCounts {
+	for taskType, runs := range f.RunningCounts {
 		to <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
 	}
 }
--- a/internal/dataplane/scheduler/health.go
+++ b/internal/dataplane/scheduler/health.go
@@ -18,8 +18,8 @@
 	RecoverAfter     int // probes that must succeed in a row
 }
 
-// DefaultHealthConfig has the values that a node starts with where its settings do not say.
-func DefaultHealthConfig() HealthConfig {
+// defaultHealthConfig has the values that a node starts with where its settings do not say.
+func defaultHealthConfig() HealthConfig {
 	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxShare: 0.3,
 		ProbeInterval: 4 * time.Second, MaxProbeInterval: 15 * time.Second, RecoverAfter: 3}
 }
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -105,7 +105,7 @@
 		So(h.st.Jobs["a0"].Phase, ShouldEqual, state.JobDone)
 	})
 	Convey("a type that nobody completes ejects no worker, and at most a share of a zone is ejected", t, func() {
-		h := newHealth(DefaultHealthConfig())
+		h := newHealth(defaultHealthConfig())
 		end := func(name, kind, job string, well bool) {
 			h.recordEnd(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, well)
 		}
--- a/internal/dataplane/scheduler/place_test.go
+++ b/internal/dataplane/scheduler/place_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/state/command"
 )
 
-func TestLimitOrdersOnly(t *testing.T) {
+func TestLimitLowersRankOnly(t *testing.T) {
 	Convey("a type over its limit runs where capacity is free, after types under theirs", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -78,7 +78,7 @@
 		ReserveRetry:     3 * time.Second,
 		ReserveLongAfter: 10 * time.Second,
 		ReserveLong:      2200 * time.Millisecond,
-		Health:           DefaultHealthConfig(),
+		Health:           defaultHealthConfig(),
 	}
 }
 
