--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -13,6 +13,7 @@
 
 // writeSettings writes a settings file and returns its path.
 func writeSettings(t *testing.T, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil)
 	return path
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -23,15 +22,9 @@
 
 const dataPlaneJSON = `{"name":"d1","zone":"a","region":"r","addr":"10.0.1.1:7000","core":["10.0.0.1:7000"],"sick_share":9}`
 
-func file(t *testing.T, text string) string {
-	path := filepath.Join(t.TempDir(), "settings.json")
-	So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil)
-	return path
-}
-
 func TestPolicyDeployment(t *testing.T) {
 	Convey("Sound files load, what is not set keeps its default, and a changed value is judged again", t, func() {
-		c, err := LoadControlPlane(file(t, controlPlaneJSON))
+		c, err := LoadControlPlane(writeSettings(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
 		So([]any{c.Lease, c.Election, c.QueueLimit, c.KeepTombstonesFor, c.Grace, c.Members[1].Zone, len(c.OperatorKeys)}, ShouldResemble,
 			[]any{800 * time.Millisecond, time.Second, 7, 168 * time.Hour, 5 * time.Second, "b", 2})
@@ -48,7 +41,7 @@
 			`members[1].addr: must differ from members[0], both are "10.0.0.1:7000"`,
 			`lease: must be under election (1s), is 1s`,
 		})
-		d, err := LoadDataPlane(file(t, dataPlaneJSON))
+		d, err := LoadDataPlane(writeSettings(t, dataPlaneJSON))
 		So(err, ShouldBeNil)
 		So([]any{d.MaxUnhealthyShare, d.RunLease, d.Lateness}, ShouldResemble, []any{9, 20 * time.Second, 2 * time.Second})
 		d.ControlPlanes, d.LeaseMargin = nil, 3*time.Second
@@ -56,12 +49,12 @@
 			"core: must be given when there are no seeds", "lease_margin: must be under duty_lease (3s), is 3s"})
 	})
 	Convey("An open membership is off by default, and asks for names that are IPs", t, func() {
-		c, err := LoadControlPlane(file(t, controlPlaneJSON))
+		c, err := LoadControlPlane(writeSettings(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
 		So([]any{c.OpenMembership, c.Bootstrap, c.RemoveAfter}, ShouldResemble, []any{false, true, 3 * time.Second})
 		text := strings.NewReplacer(`"name":"c1"`, `"open_membership":true,"founding":false,"remove_after":"4s","name":"10.0.0.1"`,
 			`"id":"c1"`, `"id":"10.0.0.1"`, `"id":"c2"`, `"id":"10.0.0.2"`).Replace(controlPlaneJSON)
-		c, err = LoadControlPlane(file(t, text))
+		c, err = LoadControlPlane(writeSettings(t, text))
 		So(err, ShouldBeNil)
 		So([]any{c.OpenMembership, c.Bootstrap, c.RemoveAfter}, ShouldResemble, []any{true, false, 4 * time.Second})
 		c.Name, c.Members[1].ID, c.RemoveAfter = "c1", "c2", time.Second
@@ -78,14 +71,14 @@
 	})
 	Convey("The errors of a control plane's file are reported together", t, func() {
 		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, key, `"QQ=="`, `"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(controlPlaneJSON)
-		_, err := LoadControlPlane(file(t, text))
+		_, err := LoadControlPlane(writeSettings(t, text))
 		So(lines(err), ShouldResemble, []string{
 			"seeds: must be 1 to 3 addresses, are 0",
 			"queue_limit: must be from 1 to 1073741824, is -1",
 			`operator_keys[0].key: must be the base64 of 32 bytes, is "QQ=="`,
 			"heartbeat: must be under half of lease (150ms), is 100ms",
 		})
-		_, err = LoadControlPlane(file(t, strings.Replace(controlPlaneJSON, `"queue_limit":7`, `"backlog":7,"slot_every":9`, 1)))
+		_, err = LoadControlPlane(writeSettings(t, strings.Replace(controlPlaneJSON, `"queue_limit":7`, `"backlog":7,"slot_every":9`, 1)))
 		So(lines(err), ShouldResemble, []string{"slot_every: is now named snapshot_every", "backlog: is now named queue_limit"})
 		_, err = LoadControlPlane(filepath.Join(t.TempDir(), "none"))
 		So(errs.Is(err, errs.Settings), ShouldBeTrue)
