--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -1,5 +1,4 @@
-// Package routine is the only package of crosstide that starts goroutines: who starts one owns a Group, and whoever
-// stops the group knows that none is left.
+// Package routine is the one place of crosstide that starts goroutines.
 package routine
 
 import (
@@ -9,9 +8,9 @@
 
 // Group is a set of goroutines that stop together. The zero value is not usable; see New.
 type Group struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	ctx  context.Context
+	stop context.CancelFunc
+	wait sync.WaitGroup
 }
 
 // New makes a group whose context ends with parent or with Stop. Example:
@@ -20,15 +19,15 @@
 //	g.Go(func(ctx context.Context) { <-ctx.Done() })
 //	g.Stop() // ends the context and waits for all
 func New(parent context.Context) *Group {
-	ctx, cancel := context.WithCancel(parent)
-	return &Group{ctx: ctx, cancel: cancel}
+	ctx, stop := context.WithCancel(parent)
+	return &Group{ctx: ctx, stop: stop}
 }
 
 // Go starts work in the group.
 func (g *Group) Go(work func(ctx context.Context)) {
-	g.wg.Add(1)
+	g.wait.Add(1)
 	go func() {
-		defer g.wg.Done()
+		defer g.wait.Done()
 		work(g.ctx)
 	}()
 }
@@ -37,31 +36,31 @@
 func (g *Group) Context() context.Context { return g.ctx }
 
 // Cancel ends the group's context and does not wait.
-func (g *Group) Cancel() { g.cancel() }
+func (g *Group) Cancel() { g.stop() }
 
 // Stop ends the group's context and waits until all of its goroutines have returned.
 func (g *Group) Stop() {
-	g.cancel()
-	g.wg.Wait()
+	g.stop()
+	g.wait.Wait()
 }
 
 // Wait waits until all goroutines have returned.
-func (g *Group) Wait() { g.wg.Wait() }
+func (g *Group) Wait() { g.wait.Wait() }
 
 // Each runs work for 0..n-1, at most width at once, and waits for all.
 func Each(n, width int, work func(i int)) {
-	running := make(chan struct{}, max(width, 1))
-	var wg sync.WaitGroup
+	if width < 1 {
+		width = 1
+	}
+	slots := make(chan struct{}, width)
+	var wait sync.WaitGroup
 	for i := range n {
-		running <- struct{}{}
-		wg.Add(1)
+		slots <- struct{}{}
+		wait.Add(1)
 		go func() {
-			defer func() {
-				<-running
-				wg.Done()
-			}()
+			defer func() { <-slots; wait.Done() }()
 			work(i)
 		}()
 	}
-	wg.Wait()
+	wait.Wait()
 }
