--- /dev/null
+++ b/internal/controller/queries.go
@@ -0,0 +1,176 @@
+package controller
+
+import (
+	"context"
+	"slices"
+	"strings"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/jobs"
+	"crosstide/internal/state"
+)
+
+// readTable calls read with the job table, under the store's lock, if this node leads with its lease in force: then the
+// table has every commit. It returns the term, under which a command that follows from the reading is to be proposed.
+// Failures: NotLeader with the leader's address as hint, Unavailable, and those of read.
+func (l *Leader) readTable(read func(*jobs.Table) error) (term uint64, err error) {
+	term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now())
+	if term == 0 {
+		leader, _ := l.opt.Store.Members()
+		err := errs.New(errs.NotLeader, "this node does not lead")
+		errs.Of(err).Hint = leader
+		return 0, err
+	}
+	if !hasLease {
+		return term, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
+	}
+	l.opt.Store.View(func(s *state.State) { err = read(s.JobTable) })
+	return term, errs.Pass(err, "read the job table")
+}
+
+// queueAt finds the queue of a call.
+func queueAt(table *jobs.Table, at Location) (*jobs.Queue, error) {
+	if table.Config.Version == 0 {
+		return nil, errs.New(errs.Unavailable, "there is no configuration yet")
+	}
+	queue := table.QueueFor(at.Host, at.Path)
+	if queue == nil {
+		return nil, errs.New(errs.Unknown, "no queue at %s%s", at.Host, at.Path)
+	}
+	return queue, nil
+}
+
+// jobByID finds a job by its ID alone.
+func jobByID(table *jobs.Table, id string) (*jobs.Job, error) {
+	if job := table.Jobs[id]; job != nil {
+		return job, nil
+	}
+	return nil, errs.Field(errs.Unknown, "id", "no job %q", id)
+}
+
+// Count returns how many jobs of a queue wait.
+func (l *Leader) Count(_ context.Context, call CountCall) (answer CountAnswer, err error) {
+	_, err = l.readTable(func(table *jobs.Table) error {
+		queue, err := queueAt(table, call.Location)
+		if err == nil {
+			answer.Waiting = table.QueuedCount(queue.Name)
+		}
+		return errs.Pass(err, "count")
+	})
+	return answer, errs.Pass(err, "count")
+}
+
+// Config returns the configuration in force.
+func (l *Leader) Config(context.Context, ConfigCall) (config jobs.Config, err error) {
+	_, err = l.readTable(func(table *jobs.Table) error {
+		config = table.Config
+		config.Queues, config.Services = slices.Clone(config.Queues), slices.Clone(config.Services)
+		return nil
+	})
+	return config, errs.Pass(err, "configuration")
+}
+
+// Show returns a job's state and the progress of its steps.
+func (l *Leader) Show(_ context.Context, call ShowCall) (view JobView, err error) {
+	_, err = l.readTable(func(table *jobs.Table) error {
+		job, err := jobByID(table, call.ID)
+		if err == nil {
+			view = viewOf(job)
+		}
+		return errs.Pass(err, "show")
+	})
+	return view, errs.Pass(err, "show")
+}
+
+func viewOf(job *jobs.Job) JobView {
+	view := JobView{
+		ID: job.Spec.ID, Queue: job.Spec.Queue, State: job.State, Accepted: job.AcceptedAt, Ended: job.EndedAt,
+		Steps: make([]StepView, len(job.Spec.Steps)),
+	}
+	for _, round := range job.Rounds {
+		for step, tasks := range round {
+			for _, task := range tasks {
+				view.Steps[step].count(task)
+			}
+		}
+	}
+	return view
+}
+
+func (v *StepView) count(task jobs.Task) {
+	v.Tasks++
+	v.Failures += task.Failures
+	if task.Done {
+		v.Done++
+	}
+	if len(task.Runs) > 0 {
+		v.Running++
+	}
+}
+
+// List returns one page of jobs.
+func (l *Leader) List(_ context.Context, call ListCall) (ListAnswer, error) {
+	answer := ListAnswer{Jobs: []JobSummary{}}
+	_, err := l.readTable(func(table *jobs.Table) error {
+		for id, job := range table.Jobs {
+			if call.matches(job) {
+				answer.Jobs = append(answer.Jobs, JobSummary{
+					ID: id, Queue: job.Spec.Queue, State: job.State, Accepted: job.AcceptedAt, Ended: job.EndedAt,
+				})
+			}
+		}
+		return nil
+	})
+	slices.SortFunc(answer.Jobs, func(a, b JobSummary) int { return strings.Compare(a.ID, b.ID) })
+	if limit := max(call.Limit, 0); len(answer.Jobs) > limit {
+		answer.Jobs, answer.More = answer.Jobs[:limit], true
+	}
+	return answer, errs.Pass(err, "list")
+}
+
+func (c ListCall) matches(job *jobs.Job) bool {
+	return job.Spec.ID > c.After && (c.Queue == "" || c.Queue == job.Spec.Queue) &&
+		(c.State == "" || c.State == job.State)
+}
+
+// Queues lists the queues.
+func (l *Leader) Queues(context.Context, QueuesCall) (QueuesAnswer, error) {
+	answer := QueuesAnswer{Queues: []QueueView{}}
+	_, err := l.readTable(func(table *jobs.Table) error {
+		for _, queue := range table.Config.Queues {
+			answer.Queues = append(answer.Queues, QueueView{
+				Name: queue.Name, Service: queue.Service, Priority: queue.Priority,
+				Waiting: table.QueuedCount(queue.Name),
+			})
+		}
+		return nil
+	})
+	return answer, errs.Pass(err, "queues")
+}
+
+// Workers lists the workers.
+func (l *Leader) Workers(context.Context, WorkersCall) (WorkersAnswer, error) {
+	answer := WorkersAnswer{Workers: []WorkerView{}, Evacuated: []string{}}
+	_, err := l.readTable(func(table *jobs.Table) error {
+		for id, worker := range table.Workers {
+			view := WorkerView{Worker: *worker, Used: table.Used(id), Runs: table.RunCount(id)}
+			answer.Workers = append(answer.Workers, view)
+		}
+		for zone := range table.Evacuated {
+			answer.Evacuated = append(answer.Evacuated, zone)
+		}
+		return nil
+	})
+	slices.SortFunc(answer.Workers, func(a, b WorkerView) int { return strings.Compare(a.ID, b.ID) })
+	slices.Sort(answer.Evacuated)
+	return answer, errs.Pass(err, "workers")
+}
+
+// Topology returns the leader and the members of the core, as this node knows them.
+func (l *Leader) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
+	leader, members := l.opt.Store.Members()
+	if term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now()); term != 0 && !hasLease {
+		leader = "" // without the lease another node may lead already
+	}
+	return TopologyAnswer{Leader: leader, Members: members}, nil
+}
--- a/internal/jobs/workers.go
+++ b/internal/jobs/worker.go
@@ -25,10 +25,10 @@
 		slices.Equal(w.Labels, other.Labels)
 }
 
-// dropWorkers drops workers that have no handle.
-func (t *Table) dropWorkers(workers []string) {
-	for _, id := range workers {
-		if t.Workers[id] != nil && t.occupancy[id] == nil {
+// dropWorkers deletes the records of workers that have no handle.
+func (t *Table) dropWorkers(ids []string) {
+	for _, id := range ids {
+		if t.Workers[id] != nil && t.indexes.occupancy[id] == nil {
 			delete(t.Workers, id)
 			t.notify(WorkerGone, id)
 		}
--- /dev/null
+++ b/internal/membership/metrics.go
@@ -0,0 +1,45 @@
+package membership
+
+import "github.com/prometheus/client_golang/prometheus"
+
+// collector is the prometheus.Collector of a node, read when it is scraped.
+type collector struct{ node *Node }
+
+var (
+	descSize = prometheus.NewDesc("crosstide_membership_nodes",
+		"Nodes known: neighbours, suspects among them, cplanes in the directory.", []string{"of"}, nil)
+	descShuffles = prometheus.NewDesc("crosstide_membership_shuffles_total",
+		"Shuffles: sent, taken, without an answer, and sent to seeds.", []string{"how"}, nil)
+	descSuspects = prometheus.NewDesc("crosstide_membership_suspects_total",
+		"Neighbours that were suspected, and of those dropped.", []string{"what"}, nil)
+)
+
+// Describe sends the descriptions.
+func (*collector) Describe(to chan<- *prometheus.Desc) {
+	to <- descSize
+	to <- descShuffles
+	to <- descSuspects
+}
+
+// Collect sends the metrics.
+func (c *collector) Collect(to chan<- prometheus.Metric) {
+	c.node.mu.Lock()
+	neighbours, suspects, directory := c.node.core.Size()
+	counters := c.node.core.Counters
+	c.node.mu.Unlock()
+	gauge := func(value int, of string) {
+		to <- prometheus.MustNewConstMetric(descSize, prometheus.GaugeValue, float64(value), of)
+	}
+	counter := func(desc *prometheus.Desc, value uint64, label string) {
+		to <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), label)
+	}
+	gauge(neighbours, "view")
+	gauge(suspects, "suspects")
+	gauge(directory, "core")
+	counter(descShuffles, counters.Shuffles, "sent")
+	counter(descShuffles, counters.Received, "taken")
+	counter(descShuffles, counters.Failures, "failed")
+	counter(descShuffles, counters.SeedVisits, "seed")
+	counter(descSuspects, counters.Suspects, "suspected")
+	counter(descSuspects, counters.Dropped, "dropped")
+}
--- /dev/null
+++ b/internal/state/payment.go
@@ -0,0 +1,133 @@
+package state
+
+import (
+	"fmt"
+	"strconv"
+
+	"crosstide/internal/account"
+	"crosstide/internal/errs"
+)
+
+// Fee is what a start reserves on a party's balance. Party is "" if nobody pays.
+type Fee struct {
+	Party string
+	Cost  int64
+}
+
+// PartyOf returns the party that pays for a job's runs, "" if none does.
+func (s *State) PartyOf(j *Job) string { return s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) }
+
+// Fee returns what the start of a task reserves: the price of a window; nothing if nobody pays for it, or for a restart
+// of a long-running task, which goes on even when its party's balance is exhausted.
+func (s *State) Fee(j *Job, ref TaskRef) Fee {
+	party := s.PartyOf(j)
+	if party == "" || j.isRestart(ref) {
+		return Fee{}
+	}
+	p := s.Bundle.Parties[party]
+	return Fee{party, p.rate(&j.Spec.Steps[ref.Step]).Cost(p.Window())}
+}
+
+// Covers reports whether the party's balance covers a fee, which may be the sum of several starts.
+func (s *State) Covers(f Fee) bool { return f.Party == "" || s.Accounts.Covers(f.Party, f.Cost) }
+
+// UnpaidReason is why a job's due tasks wait for a top-up; "" if none does.
+func (s *State) UnpaidReason(j *Job) string {
+	if s.PartyOf(j) == "" {
+		return ""
+	}
+	for i := range j.Tasks {
+		for k := range j.Tasks[i] {
+			if j.Tasks[i][k].Phase != TaskDue {
+				continue
+			}
+			if f := s.Fee(j, TaskRef{Job: j.Spec.Key, Step: i, Task: k}); !s.Covers(f) {
+				return s.insufficientBalance(f)
+			}
+		}
+	}
+	return ""
+}
+
+func (s *State) insufficientBalance(f Fee) string {
+	if s.Accounts == nil || s.Accounts.Accounts[f.Party] == nil {
+		return fmt.Sprintf("party %s has no account", f.Party)
+	}
+	return fmt.Sprintf("party %s has run dry: its balance is %d, a start needs %d; "+
+		"the job goes on by itself after a top-up", f.Party, s.Accounts.Accounts[f.Party].Balance, f.Cost)
+}
+
+// IsRestart reports whether a task is a long-running one that ran before.
+func (s *State) IsRestart(ref TaskRef) bool {
+	j, t := s.TaskOf(ref)
+	return t != nil && j.isRestart(ref)
+}
+
+func (j *Job) isRestart(ref TaskRef) bool {
+	return j.Spec.Steps[ref.Step].LongRunning && j.Tasks[ref.Step][ref.Task].RunID > 0
+}
+
+// rate is what a run of a step costs the party.
+func (p Party) rate(step *StepSpec) account.Rate {
+	return p.Price.Rate(account.Needs{MilliCPU: 1000 * step.Cores, GPUs: step.GPUs})
+}
+
+// RunName is the name of a run in the accounts.
+func RunName(runID uint64) string { return "r" + strconv.FormatUint(runID, 10) }
+
+// reserve reserves the first window of a run, if somebody pays for it, in the step that records its handle. The restart
+// of a long-running task whose party has no account is not paid for.
+func (s *State) reserve(j *Job, ref TaskRef, runID uint64) error {
+	party := s.PartyOf(j)
+	isRestart := j.isRestart(ref)
+	if party == "" || isRestart && (s.Accounts == nil || s.Accounts.Accounts[party] == nil) {
+		return nil
+	}
+	if s.Accounts == nil {
+		return errs.New(errs.Conflict, "party %q has no account", party)
+	}
+	p := s.Bundle.Parties[party]
+	charge := account.Charge{
+		Run: RunName(runID), Account: party, Rate: p.rate(&j.Spec.Steps[ref.Step]), Window: p.Window(),
+		Granted: true, // the plan found it covered with the others of its group, or it is a restart
+	}
+	return errs.Pass(s.Accounts.Reserve(charge, s.At), "reserve")
+}
+
+// debitRun debits the time of a run whose handle is released.
+func (s *State) debitRun(runID uint64) {
+	if s.Accounts != nil {
+		s.Accounts.Debit(RunName(runID), s.At)
+	}
+}
+
+// RefundRun refunds the open window of a run that was lost: nobody pays for it. It must be called before the run's
+// handle is released, which else would debit it.
+func (s *State) RefundRun(runID uint64) {
+	if s.Accounts != nil {
+		s.Accounts.Refund(RunName(runID))
+	}
+}
+
+// UseAccounts makes accounts the state's, and has the job table pay from them too.
+func (s *State) UseAccounts(accounts *account.Table) {
+	s.Accounts = accounts
+	s.JobTable.Payments = tablePayments{s}
+}
+
+// tablePayments is the jobs.Payments of the job table: the same accounts, at the store time.
+type tablePayments struct{ s *State }
+
+// Covers implements jobs.Payments.
+func (p tablePayments) Covers(party string, cost int64) bool { return p.s.Accounts.Covers(party, cost) }
+
+// Reserve implements jobs.Payments.
+func (p tablePayments) Reserve(charge account.Charge) error {
+	return errs.Pass(p.s.Accounts.Reserve(charge, p.s.At), "reserve")
+}
+
+// Debit implements jobs.Payments.
+func (p tablePayments) Debit(run string) { p.s.Accounts.Debit(run, p.s.At) }
+
+// Refund implements jobs.Payments.
+func (p tablePayments) Refund(run string) { p.s.Accounts.Refund(run) }
--- /dev/null
+++ b/internal/store/fleet_test.go
@@ -0,0 +1,240 @@
+package store
+
+import (
+	"context"
+	"fmt"
+	"math/rand"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
+	"crosstide/internal/config"
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+	"crosstide/internal/routine"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+	"crosstide/internal/storage"
+)
+
+// testFleet is a fleet of stores in one process, over memory disks and a virtual clock. It lives in a synctest bubble:
+// the clock moves only when every goroutine waits.
+type testFleet struct {
+	clock    clock.Virtual
+	settings config.ControlPlane // of the nodes that start from now on, but for name, address and zone
+	seed     uint64              // likewise, besides their names
+	slow     atomic.Int64        // nanoseconds that a sync takes on the virtual clock
+	work     *routine.Group      // of calls that wait on the stores while the clock moves
+	acked    map[string]uint64   // the index of each acknowledged job, by key: what must not be lost
+	disks    map[string]*storage.MemDisk
+
+	mu      sync.Mutex // guards all below against the goroutines of the stores
+	nodes   map[string]*Store
+	died    map[string]error // why nodes ended their process
+	removed map[string]bool  // nodes that ended the use of their store, as they are no members any more
+	cut     map[string]bool  // nodes that are cut off from all others: calls to and from them time out
+	full    map[string]error // what disks refuse writes with
+	hangs   map[string]bool  // nodes whose disks end no sync
+}
+
+// sleep waits on the fleet's clock.
+func (fleet *testFleet) sleep(d time.Duration) {
+	expired := make(chan struct{})
+	fleet.clock.Set(d, func() { close(expired) })
+	<-expired
+}
+
+func newTestFleet(n, snapshotEvery int, operators ...signature.Key) *testFleet {
+	fleet := &testFleet{
+		settings: config.DefaultControlPlane(),
+		disks:    map[string]*storage.MemDisk{},
+		nodes:    map[string]*Store{},
+		died:     map[string]error{},
+		work:     routine.New(context.Background()),
+		acked:    map[string]uint64{},
+		cut:      map[string]bool{},
+		full:     map[string]error{},
+		hangs:    map[string]bool{},
+		removed:  map[string]bool{},
+	}
+	fleet.settings.SnapshotEvery = snapshotEvery
+	for _, key := range operators {
+		fleet.settings.OperatorKeys = append(fleet.settings.OperatorKeys, config.OperatorKey{Name: key.Name, Key: key.Public()})
+	}
+	for i := range n {
+		name := fmt.Sprintf("c%d", i+1)
+		fleet.settings.Members = append(fleet.settings.Members, config.Member{ID: name, Addr: name, Zone: "z"})
+		fleet.disks[name] = storage.NewMemDisk()
+	}
+	for _, m := range fleet.settings.Members {
+		fleet.start(m.ID)
+	}
+	return fleet
+}
+
+// options returns those that a node starts with.
+func (fleet *testFleet) options(name string) Options {
+	settings := fleet.settings
+	settings.Name, settings.Addr, settings.Zone = name, name, "z"
+	return Options{Settings: settings, Disk: testDisk{fleet.disks[name], fleet, name}, Net: testNet{fleet, name}, Clock: &fleet.clock, Seed: uint64(name[1]) + fleet.seed,
+		Fatal:   func(err error) { fleet.mu.Lock(); fleet.died[name] = err; fleet.mu.Unlock() },
+		Removed: func() { fleet.mu.Lock(); fleet.removed[name] = true; fleet.mu.Unlock() }}
+}
+
+func (fleet *testFleet) start(name string) {
+	var s *Store
+	var err error
+	fleet.call(func(context.Context) { s, err = Open(fleet.options(name)) }) // its syncs may take time
+	So(err, ShouldBeNil)
+	fleet.mu.Lock()
+	fleet.nodes[name] = s
+	fleet.mu.Unlock()
+	s.Start()
+}
+
+// kill ends a node; what its disk had not synced may be gone.
+func (fleet *testFleet) kill(name string) {
+	s := fleet.nodes[name]
+	fleet.mu.Lock()
+	delete(fleet.nodes, name)
+	fleet.mu.Unlock()
+	fleet.call(func(context.Context) { s.Stop() }) // a sync may be under way
+	fleet.disks[name].Crash(rand.New(rand.NewSource(int64(name[1]))))
+}
+
+func (fleet *testFleet) close() {
+	for name := range fleet.nodes {
+		fleet.kill(name)
+	}
+	fleet.clock.Advance(time.Minute) // timers that are still set, such as those of proposals
+	fleet.work.Stop()
+}
+
+// until moves the clock on, a little at a time, until cond holds.
+func (fleet *testFleet) until(what string, cond func() bool) {
+	for range 20000 {
+		synctest.Wait()
+		if cond() {
+			return
+		}
+		fleet.clock.Advance(2 * time.Millisecond)
+	}
+	So("not reached", ShouldEqual, what)
+}
+
+func (fleet *testFleet) leader() *Store {
+	var found *Store
+	fleet.until("a ready leader", func() bool {
+		for _, s := range fleet.nodes {
+			if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader {
+				found = s
+				return true
+			}
+		}
+		return false
+	})
+	return found
+}
+
+// call runs what waits on the stores while the clock moves.
+func (fleet *testFleet) call(do func(ctx context.Context)) {
+	done := false
+	fleet.work.Go(func(ctx context.Context) { do(ctx); done = true })
+	fleet.until("the end of a call", func() bool { return done })
+}
+
+func job(key string) command.Command {
+	return &command.Submit{Digest: key, Bound: 1 << 20, Spec: state.Spec{Key: key, Queue: "default",
+		Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}}
+}
+
+// submitJobs submits n jobs at once at the leader and notes what was acknowledged.
+func (fleet *testFleet) submitJobs(label string, n int) (failures []errs.Kind) {
+	s := fleet.leader()
+	keys, got, outcomes := make([]string, n), make([]uint64, n), make([]error, n)
+	fleet.call(func(ctx context.Context) {
+		routine.Each(n, n, func(i int) {
+			keys[i] = fmt.Sprintf("%s-%d", label, i)
+			got[i], _, outcomes[i] = s.Propose(ctx, job(keys[i]))
+		})
+	})
+	for i, err := range outcomes {
+		if err == nil {
+			fleet.acked[keys[i]] = got[i]
+		} else {
+			failures = append(failures, errs.KindOf(err))
+		}
+	}
+	return failures
+}
+
+// waitLevel waits until every node has applied the same, and checks that all that was acknowledged is there.
+func (fleet *testFleet) waitLevel() {
+	lead := fleet.leader()
+	fleet.until("all nodes level", func() bool {
+		for _, s := range fleet.nodes {
+			if s.Status().Applied != lead.Status().Applied {
+				return false
+			}
+		}
+		return true
+	})
+	wanted := ""
+	for _, s := range fleet.nodes {
+		s.View(func(st *state.State) {
+			lost := 0
+			for key := range fleet.acked {
+				if st.Jobs[key] == nil {
+					lost++
+				}
+			}
+			So(lost, ShouldEqual, 0)
+			body, err := st.Encode()
+			So(err, ShouldBeNil)
+			if wanted == "" {
+				wanted = string(body)
+			}
+			So(string(body) == wanted, ShouldBeTrue)
+		})
+		So(s.Status().Raft.Refused, ShouldEqual, 0)
+	}
+}
+
+// withFleet runs a test in a bubble, with a fleet of 3 nodes.
+func withFleet(t *testing.T, snapshotEvery int, do func(fleet *testFleet), operators ...signature.Key) {
+	synctest.Test(t, func(t *testing.T) {
+		Convey("Given a fleet", t, func() {
+			fleet := newTestFleet(3, snapshotEvery, operators...)
+			defer fleet.close()
+			do(fleet)
+		})
+	})
+}
+
+func (fleet *testFleet) follower(of *Store) *Store {
+	for _, m := range fleet.settings.Members {
+		if s := fleet.nodes[m.ID]; s != nil && s != of {
+			return s
+		}
+	}
+	return nil
+}
+
+// advance moves the clock on by d, a little at a time.
+func (fleet *testFleet) advance(d time.Duration) {
+	end := fleet.clock.Now() + d
+	fleet.until("the end of a time", func() bool { return fleet.clock.Now() >= end })
+}
+
+// elapsed tells how long do took on the clock.
+func (fleet *testFleet) elapsed(do func()) time.Duration {
+	from := fleet.clock.Now()
+	do()
+	return fleet.clock.Now() - from
+}
--- /dev/null
+++ b/internal/store/role.go
@@ -0,0 +1,98 @@
+package store
+
+import (
+	"context"
+
+	"github.com/go-kit/log/level"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// ClaimRole claims, renews or releases a singleton role; only the leader, with its lease confirmed, answers. See
+// roleLeases for why a role never has two holders. Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
+func (s *Store) ClaimRole(ctx context.Context, call internalapi.ClaimRoleCall) (internalapi.RoleLease, error) {
+	if call.Role == "" || call.Holder == "" || call.Incarnation == "" {
+		return internalapi.RoleLease{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
+	}
+	answer, current, c, err := s.evaluateRoleCall(call)
+	if err != nil || c == nil {
+		return answer, errs.Pass(err, "duty %s", call.Role)
+	}
+	index, _, err := s.Propose(ctx, c)
+	answer, err = s.finishRoleCall(call, current, index, err)
+	return answer, errs.Pass(err, "call")
+}
+
+// evaluateRoleCall decides a call: the answer, or the command on the role that is to be committed first; then
+// finishRoleCall must follow, with the role as it was.
+func (s *Store) evaluateRoleCall(call internalapi.ClaimRoleCall) (
+	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
+) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	current, result, err := s.checkRoleCall(call)
+	switch {
+	case err != nil:
+		return answer, current, nil, errs.Pass(err, "ask")
+	case result == claimRenewed || result == claimDenied:
+		return s.roleAnswer(current, result == claimRenewed), current, nil, nil
+	case call.Release:
+		return answer, current, &command.ReleaseRole{Role: call.Role, Epoch: current.Epoch}, nil
+	}
+	return answer, current, &command.GrantRole{Role: call.Role, Holder: call.Holder, Addr: call.Addr,
+		Incarnation: call.Incarnation, After: current.Epoch}, nil
+}
+
+// checkRoleCall asks the leases. On claimGrantable the role is reserved until finishRoleCall. Called under the lock,
+// which it releases while the leader's lease is confirmed.
+func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, result claimResult, err error) {
+	if _, err := s.readIndexLocked(); err != nil {
+		return current, result, errs.Pass(err, "judge")
+	}
+	now, leases := s.clock.Now(), s.leadership.leases
+	if !leases.Active() {
+		return current, result, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
+	}
+	if r := s.live.Roles[call.Role]; r != nil {
+		current = *r
+	}
+	if !call.Release {
+		return current, leases.Claim(now, current, call), nil
+	}
+	if leases.Release(now, current, call) {
+		return current, claimGrantable, nil
+	}
+	return current, claimDenied, nil
+}
+
+// finishRoleCall answers a call by the outcome of the command of evaluateRoleCall.
+func (s *Store) finishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
+	internalapi.RoleLease, error,
+) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.leadership.leases.ProposalDone(call.Role, before.Epoch)
+	current := s.live.Roles[call.Role]
+	switch {
+	case err != nil && !errs.Is(err, errs.Stale):
+		return internalapi.RoleLease{}, errs.Pass(err, "duty %s", call.Role)
+	case current == nil:
+		return internalapi.RoleLease{}, nil
+	}
+	granted := err == nil && !call.Release && current.Epoch == index
+	if granted {
+		_ = level.Info(s.logger).Log("msg", "role granted", "role", call.Role, "holder", call.Holder, "epoch", index)
+	}
+	return s.roleAnswer(*current, granted), nil
+}
+
+func (s *Store) roleAnswer(r state.Role, isCallers bool) internalapi.RoleLease {
+	answer := internalapi.RoleLease{Mine: isCallers, Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
+	if isCallers {
+		answer.TTL = s.settings.RoleLease
+	}
+	return answer
+}
--- /dev/null
+++ b/internal/testbed/policysim/billingscenario.go
@@ -0,0 +1,301 @@
+package policysim
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/raft"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// The two parties of a run with Options.Parties: the account of limitedParty is exhausted again and again, that of
+// unlimitedParty never. Nobody pays for freeTeam.
+const (
+	limitedParty   = "acme"
+	unlimitedParty = "blue"
+	limitedTeam    = "a"
+	unlimitedTeam  = "b"
+	freeTeam       = "t"
+)
+
+// partyOf is who pays for a team.
+var partyOf = map[string]string{limitedTeam: limitedParty, unlimitedTeam: unlimitedParty}
+
+// What the parties pay, in units.
+const (
+	corePrice    = 10 // a second of a core
+	paidWindow   = 5 * time.Second
+	amplePayment = 1_000_000_000
+)
+
+// partiesBundle puts the parties in force, with the prices above.
+const partiesBundle = `{"queues":{"default":{}},"backoff":{"min":"200ms","max":"30s"},"parties":{` +
+	`"acme":{"teams":["a"],"price":{"core":10},"reserve":"5s"},` +
+	`"blue":{"teams":["b"],"price":{"core":10},"reserve":"5s"}}}`
+
+// maxLongRunning is how many long-running jobs of limitedTeam are open at most.
+const maxLongRunning = 2
+
+// lastTopUpAfter is from the begin of the quiet tail to the top-up after which the account is not exhausted any more.
+const lastTopUpAfter = 22 * time.Second
+
+// billingScenario is what clients and operators do in a run with Options.Parties. billingChecker checks it. The methods
+// that a run calls in any case take a nil scenario.
+type billingScenario struct {
+	sim             *sim
+	keys            map[string]signature.Key // of the operators, by name
+	ready           bool                     // parties are in force and their accounts open
+	lastNumber      int                      // in the keys of top-ups and long-running jobs
+	longRunningJobs []*clientJob
+}
+
+func newBillingScenario(s *sim) *billingScenario {
+	b := &billingScenario{sim: s, keys: map[string]signature.Key{}}
+	for _, name := range []string{"ada", "ben"} {
+		key, err := signature.New(name)
+		must(err)
+		b.keys[name] = key
+	}
+	return b
+}
+
+// paidUpDelay is how long after the faults limitedParty is topped up for good: what waits for payment has its time from
+// there.
+func (b *billingScenario) paidUpDelay() time.Duration {
+	if b == nil {
+		return 0
+	}
+	return recoveryTime + lastTopUpAfter
+}
+
+// start registers the operators, puts the parties in force and opens their accounts.
+func (b *billingScenario) start() {
+	if b == nil {
+		return
+	}
+	s := b.sim
+	public := map[string]string{}
+	for name, key := range b.keys {
+		public[name] = key.Public()
+	}
+	orders := b.setUpOrders()
+	b.registerOperators(&command.SetOperators{Operators: public}, func() {
+		s.clients.sendInOrder(orders, func() {
+			b.ready = true
+			s.trace("parties are in force")
+			b.submitLongRunning()
+			b.topUpPeriodically()
+		})
+	})
+	s.schedule(100*time.Millisecond, s.billingChecker.checkDeadlines)
+	s.schedule(s.options.FaultPeriod+recoveryTime, b.scheduleQuietTail)
+}
+
+func (b *billingScenario) setUpOrders() []command.Command {
+	body := []byte(partiesBundle)
+	digest := signature.Digest(body)
+	sign := func(order, operator string) command.Command {
+		return &command.SignBundle{Order: order, Version: 2, Digest: digest, By: operator,
+			Sig: b.keys[operator].Sign(signature.Bundle(2, digest))}
+	}
+	credit := int64(0)
+	if b.sim.options.WithoutGuard == "balance" {
+		credit = amplePayment
+	}
+	return []command.Command{
+		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)),
+			Body: body},
+		sign("sign1", "ada"),
+		b.openAccount(limitedParty, credit), b.openAccount(unlimitedParty, 0),
+		b.topUp(unlimitedParty, amplePayment), b.topUp(limitedParty, 300),
+		sign("sign2", "ben"),
+	}
+}
+
+// registerOperators makes the operators known to the store; a second time it is a conflict.
+func (b *billingScenario) registerOperators(keys command.Command, done func()) {
+	c := b.sim.clients
+	c.operator.propose(keys, c.Now()+orderTimeout, func(_ json.RawMessage, err error) {
+		if err == nil || errs.Is(err, errs.Conflict) {
+			done()
+			return
+		}
+		c.after(200*time.Millisecond, func() { b.registerOperators(keys, done) })
+	})
+}
+
+func (b *billingScenario) openAccount(name string, credit int64) command.Command {
+	order := "open-" + name
+	return &command.AccountCreate{Order: order, Account: name, Credit: credit, By: "ada",
+		Sig: b.keys["ada"].Sign(signature.AccountCreate(order, name, credit))}
+}
+
+func (b *billingScenario) topUp(name string, amount int64) *command.AccountTopUp {
+	b.lastNumber++
+	key := fmt.Sprintf("top-up-%d", b.lastNumber)
+	return &command.AccountTopUp{Account: name, Key: key, Amount: amount, By: "ben",
+		Sig: b.keys["ben"].Sign(signature.AccountTopUp(key, name, amount))}
+}
+
+// signedEvacuation is the commands that evacuate a zone or lift that: once there are operators they sign, and two are
+// needed to lift.
+func (b *billingScenario) signedEvacuation(z command.EvacuateZone) []command.Command {
+	if b == nil {
+		return []command.Command{&z}
+	}
+	if z.Out {
+		z.By, z.Sig = "ada", b.keys["ada"].Sign(signature.Evacuate(z.Order, z.Zone))
+		return []command.Command{&z}
+	}
+	text := signature.Lift(z.Zone, b.sim.checker.reference.Evacuated[z.Zone])
+	first, second := z, z
+	first.Order += "a"
+	first.By, first.Sig = "ada", b.keys["ada"].Sign(text)
+	second.By, second.Sig = "ben", b.keys["ben"].Sign(text)
+	return []command.Command{&first, &second}
+}
+
+// drawTeam draws whose the next job is.
+func (b *billingScenario) drawTeam() string {
+	if b == nil || !b.ready {
+		return freeTeam
+	}
+	switch n := b.sim.rng.IntN(10); {
+	case n < 6:
+		return limitedTeam
+	case n < 8:
+		return unlimitedTeam
+	}
+	return freeTeam
+}
+
+// topUpPeriodically tops limitedParty up now and then with about what it needs, so that its account is exhausted for a
+// good part of the time.
+func (b *billingScenario) topUpPeriodically() {
+	s := b.sim
+	if s.faultsOver {
+		return
+	}
+	b.topUpLimited(int64(50 + s.rng.IntN(350)))
+	s.clients.after(s.between(time.Second, 9*time.Second), b.topUpPeriodically)
+}
+
+// topUpLimited tops limitedParty up; now and then the leader of the store is killed meanwhile.
+func (b *billingScenario) topUpLimited(amount int64) {
+	s := b.sim
+	if s.chance(0.25) {
+		b.killLeader("leader killed at a top-up", s.between(0, 20*time.Millisecond))
+	}
+	topUp := b.topUp(limitedParty, amount)
+	s.clients.sendOrder(topUp, nil, func() { s.billingChecker.observeTopUpAnswer(topUp) })
+}
+
+// topUpLimitedTo tops limitedParty up to about so much above zero.
+func (b *billingScenario) topUpLimitedTo(amount int64) {
+	if account := b.sim.billingChecker.account(limitedParty); account != nil {
+		b.topUpLimited(max(0, -account.Balance) + amount)
+	}
+}
+
+// killLeader ends the leader of the store after a while, and starts it again. name is that of the fault.
+func (b *billingScenario) killLeader(name string, in time.Duration) {
+	s := b.sim
+	if s.faultsOver || !s.faults.enabled["kill"] {
+		return
+	}
+	s.schedule(in, func() {
+		i := slices.IndexFunc(s.controlPlanes, func(c *controlPlane) bool {
+			return c.alive && c.driver != nil && c.driver.Core() != nil && c.driver.Core().Status().Role == raft.Leader
+		})
+		if i < 0 {
+			return
+		}
+		c := s.controlPlanes[i]
+		s.report.Faults[name]++
+		s.trace("fault %s: %s", name, c.addr)
+		c.crash(s.chance(0.5))
+		s.schedule(s.faults.drawDuration(), c.restart)
+	})
+}
+
+// submitLongRunning submits long-running jobs, and cancels some after a while.
+func (b *billingScenario) submitLongRunning() {
+	s := b.sim
+	if s.faultsOver {
+		return
+	}
+	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs,
+		func(j *clientJob) bool { return j.abandoned || j.outcome != "" })
+	if len(b.longRunningJobs) < maxLongRunning {
+		j := &clientJob{spec: b.longRunningSpec(), sentAt: s.now}
+		s.clients.add(j)
+		b.longRunningJobs = append(b.longRunningJobs, j)
+		s.clients.submit(j, 0)
+		if s.chance(0.5) {
+			s.clients.after(s.between(5*time.Second, 25*time.Second), func() { b.cancel(j) })
+		}
+	}
+	s.clients.after(s.between(time.Second, 5*time.Second), b.submitLongRunning)
+}
+
+func (b *billingScenario) longRunningSpec() state.Spec {
+	b.lastNumber++
+	step := state.StepSpec{Name: "s0", Type: "feed", Tasks: 1, Cores: 1, LongRunning: true,
+		Run: json.RawMessage(`{"ms":-1}`)}
+	return state.Spec{Key: fmt.Sprintf("lasting-%d", b.lastNumber), Team: limitedTeam, Queue: "default",
+		Steps: []state.StepSpec{step}}
+}
+
+// cancel cancels a job once it is accepted.
+func (b *billingScenario) cancel(j *clientJob) {
+	switch {
+	case j.abandoned || j.cancelRequested:
+	case j.acceptedAt == 0:
+		b.sim.clients.after(200*time.Millisecond, func() { b.cancel(j) })
+	default:
+		b.sim.clients.cancel(j)
+	}
+}
+
+// scheduleQuietTail schedules the end, when nothing else goes wrong any more: the account of limitedParty is exhausted
+// and a long-running task loses its worker, two top-ups come that are used up, then one that is not; at last the
+// long-running jobs are cancelled.
+func (b *billingScenario) scheduleQuietTail() {
+	for _, step := range []struct {
+		in time.Duration
+		do func()
+	}{
+		{time.Second, b.killLongRunningWorker},
+		{12 * time.Second, func() { b.topUpLimitedTo(600) }},
+		{17 * time.Second, func() { b.topUpLimitedTo(400) }},
+		{lastTopUpAfter, func() { b.topUpLimited(amplePayment) }},
+		{30 * time.Second, func() {
+			for _, j := range b.longRunningJobs {
+				b.cancel(j)
+			}
+		}},
+	} {
+		b.sim.clients.after(step.in, step.do)
+	}
+}
+
+// killLongRunningWorker ends the worker of a long-running task; it comes back soon.
+func (b *billingScenario) killLongRunningWorker() {
+	s := b.sim
+	for _, r := range s.checker.running {
+		j := s.checker.reference.Jobs[r.ref.Job]
+		if j == nil || j.Phase != state.JobRunning || !j.Spec.Steps[r.ref.Step].LongRunning || !r.worker.alive {
+			continue
+		}
+		s.trace("%s, which runs %v, is ended", r.worker.addr, r.ref)
+		s.billingChecker.expectAttachment(r)
+		r.worker.kill()
+		s.schedule(500*time.Millisecond, r.worker.restart)
+		return
+	}
+}
--- /dev/null
+++ b/internal/testbed/policysim/checkruns.go
@@ -0,0 +1,172 @@
+package policysim
+
+import (
+	"slices"
+	"time"
+
+	"crosstide/internal/dataplane/scheduler"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+	"crosstide/internal/testbed/journal"
+	"crosstide/internal/testbed/policyworker"
+)
+
+// runRecords are all run IDs, and the runs as the workers show them.
+type runRecords struct {
+	runIDs      map[uint64]*runIDHistory
+	ended       map[state.TaskRef][]*completion
+	running     []*workerRun
+	newestOrder map[*worker]uint64 // newest run ID whose start order arrived at a worker
+}
+
+// runIDHistory is what became of a run ID.
+type runIDHistory struct {
+	handle     state.Handle
+	orderedAt  time.Duration // when its start order left the role holder; 0 before
+	closedAt   time.Duration // when its handle was released
+	leaseUntil time.Duration // end of the first lease, as the start order has it, in virtual time
+}
+
+// completion is a run that ended well at its worker.
+type completion struct {
+	runID        uint64
+	worker       *worker
+	generation   int                      // of the worker
+	acknowledged map[uint64]time.Duration // when a role holder first had the end in an answer, by epoch
+}
+
+// workerRun is a run at a worker. It is known to be over when the worker says so, when its lease has expired, or with
+// the worker's next incarnation.
+type workerRun struct {
+	ref        state.TaskRef
+	runID      uint64
+	worker     *worker
+	generation int // of the worker
+	cores      int
+	leaseUntil time.Duration // virtual time
+}
+
+// observeLeaseCall checks a lease call as it leaves a data-plane node (invariants: fence, durable, ordered once).
+func (ic *invariantChecker) observeLeaseCall(d *dataPlane, c scheduler.OutgoingCall) {
+	s := ic.sim
+	ic.checkFence(d, c)
+	for _, order := range c.Call.Starts {
+		ordered := ic.runIDs[order.RunID]
+		if ordered == nil {
+			s.reportBreach("durable", "the order of ticket %d leaves %s before it is committed", order.RunID, d.addr)
+			return
+		}
+		s.countCase("ordered once")
+		if ordered.orderedAt != 0 {
+			s.reportBreach("ordered once", "ticket %d was ordered at %v already", order.RunID, ordered.orderedAt)
+		}
+		ordered.orderedAt = s.now
+		s.trace("%s orders ticket %d (%s/%s/%d) at %s, epoch %d, call %d", d.addr, order.RunID, order.Job, order.Step,
+			order.Task, c.Worker, c.Call.Epoch, c.Call.Call)
+	}
+}
+
+// observeOrderArrived checks the start orders of a call that is at a worker (invariant: newer ticket).
+func (ic *invariantChecker) observeOrderArrived(w *worker, call internalapi.LeaseCall) {
+	for _, order := range call.Starts {
+		if ordered := ic.runIDs[order.RunID]; ordered != nil {
+			ordered.leaseUntil = w.clockZero + order.LeaseUntil
+		}
+		ic.sim.countCase("newer ticket")
+		newest := ic.newestOrder[w]
+		if order.RunID <= newest && w.kind == policyworker.KindObey {
+			ic.sim.reportBreach("newer ticket", "ticket %d reaches %s, which has seen %d", order.RunID, w.addr, newest)
+		}
+		ic.newestOrder[w] = max(newest, order.RunID)
+	}
+}
+
+// observeRenewal extends the leases that a call renews; the worker has carried it out.
+func (ic *invariantChecker) observeRenewal(w *worker, call internalapi.LeaseCall) {
+	if call.Incarnation != w.traits.Incarnation && call.Incarnation != "" {
+		return
+	}
+	for _, r := range ic.running {
+		if r.worker == w && r.generation == w.generation && slices.Contains(call.Renew, r.runID) {
+			r.leaseUntil = max(r.leaseUntil, w.clockZero+call.RenewUntil)
+		}
+	}
+}
+
+// observeAnswer records which ends a role holder learns from an answer.
+func (ic *invariantChecker) observeAnswer(d *dataPlane, c scheduler.OutgoingCall, a internalapi.LeaseAnswer) {
+	if a.Call != c.Call.Call || c.Call.Epoch != d.scheduler.Epoch() {
+		return
+	}
+	for _, ended := range a.Ended {
+		history := ic.runIDs[ended.RunID]
+		if history == nil || ended.Outcome != internalapi.OutcomeOK {
+			continue
+		}
+		for _, end := range ic.ended[history.handle.Ref] {
+			_, known := end.acknowledged[c.Call.Epoch]
+			if end.runID == ended.RunID && !known {
+				end.acknowledged[c.Call.Epoch] = ic.sim.now
+			}
+		}
+	}
+}
+
+// observeWorkerStart forgets the runs of a worker's former incarnation: they ended with it.
+func (ic *invariantChecker) observeWorkerStart(w *worker) {
+	ic.running = slices.DeleteFunc(ic.running, func(r *workerRun) bool { return r.worker == w })
+	ic.sim.trace("%s boots as %s", w.addr, w.traits.Incarnation)
+}
+
+func (ic *invariantChecker) observeWorkerKill(w *worker) { ic.sim.trace("%s is killed", w.addr) }
+
+// observeJournal takes in what a worker did, as its journal has it.
+func (ic *invariantChecker) observeJournal(w *worker, e journal.Entry) {
+	s := ic.sim
+	if e.Event == journal.NewIncarnation {
+		return
+	}
+	s.trace("%s %s ticket %d %s/%s/%d ok=%v %s", w.addr, e.Event, e.RunID, e.Job, e.Step, e.Task, e.OK, e.Reason)
+	switch e.Event {
+	case journal.Start:
+		ic.checkStart(w, e)
+		if started := ic.runIDs[e.RunID]; started != nil {
+			s.billingChecker.observeStart(started.handle.Ref, e.RunID)
+		}
+	case journal.Refuse:
+		s.report.Counts["refused: "+e.Reason]++
+	case journal.Expire:
+		s.report.Counts["lapsed"]++
+		ic.observeEnd(w, e)
+	case journal.End, journal.Stop:
+		ic.observeEnd(w, e)
+	}
+}
+
+// observeEnd takes in that a run is over at its worker.
+func (ic *invariantChecker) observeEnd(w *worker, e journal.Entry) {
+	before := len(ic.running)
+	ic.running = slices.DeleteFunc(ic.running, func(r *workerRun) bool { return r.worker == w && r.runID == e.RunID })
+	wasRunning := len(ic.running) < before
+	if history := ic.runIDs[e.RunID]; e.Event == journal.End && e.OK && history != nil && wasRunning {
+		ref := history.handle.Ref
+		ic.ended[ref] = append(ic.ended[ref], &completion{runID: e.RunID, worker: w, generation: w.generation,
+			acknowledged: map[uint64]time.Duration{}})
+	}
+}
+
+// checkDone checks a job that its client sees as done (invariant: done): each of its tasks ended well at a worker.
+func (ic *invariantChecker) checkDone(j *clientJob) {
+	if j.outcome != state.JobDone {
+		return
+	}
+	ic.sim.countCase("done")
+	for i, step := range j.spec.Steps {
+		for k := range step.Tasks {
+			if len(ic.ended[state.TaskRef{Job: j.spec.Key, Step: i, Task: k}]) == 0 {
+				ic.sim.reportBreach("done", "%s is shown as done, task %d of step %d never ended well", j.spec.Key, k,
+					i)
+			}
+		}
+	}
+}
