--- /dev/null
+++ b/internal/dataplane/scheduler/renew.go
@@ -0,0 +1,168 @@
+package scheduler
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// renewAfter is the part of a lease after which it is renewed.
+const renewAfter = 0.25
+
+// appendCalls appends the calls that a worker is to get now: start orders and urgent stops on its order connection, and
+// the next poll if none is in flight. w may be nil.
+func (c *Core) appendCalls(now time.Duration, w *worker, out []OutgoingCall) []OutgoingCall {
+	if w == nil {
+		return out
+	}
+	rec := c.st.Workers[w.name]
+	if rec == nil {
+		return out
+	}
+	if len(w.outbox) > 0 && (now > w.outboxDeadline || w.draining || now-w.heardAt > c.cfg.OrderTimeout) {
+		c.dropUnsentOrders(w)
+	}
+	if w.failures > 0 && now < w.retryAt {
+		return out
+	}
+	if w.orderCall == 0 && w.heardAt > 0 && (len(w.outbox) > 0 || w.urgent && w.pollCall != 0) {
+		out = append(out, c.newOrderCall(now, w, rec))
+	}
+	if w.pollCall == 0 {
+		call := c.newLeaseCall(now, w)
+		call.Wait = c.cfg.PollWait
+		if w.heardAt == 0 || w.failures > 0 || w.floor > w.ackedFloor { // its answer is needed at once
+			call.Wait = 0
+		}
+		w.pollCall = call.Call
+		out = append(out, OutgoingCall{Worker: w.name, Addr: rec.Addr, Call: call})
+	}
+	return out
+}
+
+// newLeaseCall makes a call with all but starts.
+func (c *Core) newLeaseCall(now time.Duration, w *worker) internalapi.LeaseCall {
+	w.lastCall++
+	c.role.highestCall = max(c.role.highestCall, w.lastCall)
+	call := internalapi.LeaseCall{Call: w.lastCall, Epoch: c.role.epoch, Worker: w.name, Incarnation: w.incarnation,
+		Floor: w.floor, Acked: w.acks}
+	w.acks, w.urgent = nil, false
+	var renewable []*run
+	for _, runID := range sortedRunIDs(w.runs) {
+		r := w.runs[runID]
+		switch {
+		case !r.listed:
+		case r.stopReason != "":
+			call.Stops = append(call.Stops, internalapi.StopOrder{RunID: runID, Why: r.stopReason})
+		case w.heardAt > 0 && w.failures == 0:
+			renewable = append(renewable, r)
+		}
+	}
+	c.addRenewals(now, w, renewable, &call)
+	for _, runID := range slices.Sorted(maps.Keys(w.orphans)) {
+		call.Stops = append(call.Stops, internalapi.StopOrder{RunID: runID, Why: w.orphans[runID]})
+	}
+	clear(w.orphans)
+	c.Counts.Stops += uint64(len(call.Stops))
+	return call
+}
+
+// addRenewals renews leases in a call. A lease is renewed once a quarter of it is used up, and only while the worker
+// answers: a call that may not have arrived must not put its expiry off for ever. A call has one RenewUntil: of leases
+// that differ in length, those go first that have used up most.
+func (c *Core) addRenewals(now time.Duration, w *worker, runs []*run, call *internalapi.LeaseCall) {
+	usedPart := func(r *run) float64 {
+		if r.leaseIncarnation != w.incarnation {
+			return 1
+		}
+		return float64(w.clockAt(now)+c.leaseOf(r)-r.leaseUntil) / float64(c.leaseOf(r))
+	}
+	var length time.Duration
+	mostUsed := 0.0
+	for _, r := range runs {
+		if used := usedPart(r); used > renewAfter && used > mostUsed {
+			mostUsed, length = used, c.leaseOf(r)
+		}
+	}
+	if length == 0 {
+		return
+	}
+	call.RenewUntil = w.clockAt(now) + length
+	for _, r := range runs {
+		if c.leaseOf(r) == length && usedPart(r) > renewAfter {
+			call.Renew = append(call.Renew, r.handle.RunID)
+			r.leaseUntil, r.leaseIncarnation = call.RenewUntil, w.incarnation
+		}
+	}
+}
+
+// leaseOf is the length of a run's lease: what its placement policy said when its run ID was given.
+func (c *Core) leaseOf(r *run) time.Duration { return cmp.Or(r.handle.LeaseTTL, c.cfg.RunLease) }
+
+// firstLease is the length of the lease in a start order. A worker that obeys checks nothing of an order but its
+// lease. One that was suspended with the order unread must not carry it out long after the job was cancelled or the
+// zone evacuated: its first lease is no longer than the bound on its lateness, and the first answer that lists the run
+// renews it in full. Other workers check StartBy.
+func (c *Core) firstLease(w *worker, r *run) time.Duration {
+	if w.obeys() && c.cfg.Lateness > 0 {
+		return min(c.leaseOf(r), c.cfg.Lateness)
+	}
+	return c.leaseOf(r)
+}
+
+// newOrderCall makes a call with the start orders of the outbox, in the order of run IDs. What is not to run any more
+// is left out, which proves it dead.
+func (c *Core) newOrderCall(now time.Duration, w *worker, rec *state.Worker) OutgoingCall {
+	call := c.newLeaseCall(now, w)
+	startBy := w.clockAt(now) + c.cfg.StartWindow
+	for _, runID := range w.outbox {
+		r := w.runs[runID]
+		if r == nil || r.closing {
+			continue
+		}
+		r.inOutbox = false
+		job, task := c.st.TaskOf(r.handle.Ref)
+		if r.stopReason != "" || task == nil || task.RunID != runID || r.handle.Incarnation != w.incarnation {
+			c.proveDead(r, command.ProofUnsent, "")
+			continue
+		}
+		r.orderedIn, r.inFlight = call.Call, true
+		r.leaseUntil, r.leaseIncarnation = w.clockAt(now)+c.firstLease(w, r), w.incarnation
+		call.Starts = append(call.Starts, startOrder(r, job, startBy))
+		c.Counts.Sent++
+	}
+	w.outbox = nil
+	w.orderCall = call.Call
+	out := OutgoingCall{Worker: w.name, Addr: rec.Addr, IsOrder: true, Call: call}
+	if len(call.Starts) > 0 {
+		out.WriteBy = w.outboxDeadline
+	}
+	return out
+}
+
+// startOrder is the order to start a run.
+func startOrder(r *run, job *state.Job, startBy time.Duration) internalapi.StartOrder {
+	ref := r.handle.Ref
+	step := &job.Spec.Steps[ref.Step]
+	return internalapi.StartOrder{
+		RunID: r.handle.RunID, Job: ref.Job, Step: step.Name, Task: ref.Task, Type: step.Type, Queue: job.Spec.Queue,
+		Cores: step.Cores, GPUs: step.GPUs, Labels: step.Labels, Run: step.Run,
+		StartBy: startBy, LeaseUntil: r.leaseUntil,
+	}
+}
+
+// dropUnsentOrders empties an outbox whose orders did not leave in time. They were never sent, so their runs are dead.
+func (c *Core) dropUnsentOrders(w *worker) {
+	for _, runID := range w.outbox {
+		if r := w.runs[runID]; r != nil {
+			r.inOutbox = false
+			c.proveDead(r, command.ProofUnsent, "")
+		}
+	}
+	w.outbox = nil
+}
