--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -89,6 +89,39 @@
 	s.workers, s.stop = append(s.workers, host), append(s.stop, stop)
 }
 
+// untilStarted waits until so many runs of a job go on by the workers' own journals. The leader shows a task as running
+// once its handle is committed, which is before the start order arrives: a worker that is told to stop in between
+// refuses the start.
+func (s *testSystem) untilStarted(ctx context.Context, id string, runs int) error {
+	for {
+		events, err := readEvents(s.dir)
+		if err != nil {
+			return errs.Pass(err, "started")
+		}
+		if startedRuns(events, id) == runs {
+			return nil
+		}
+		if !s.client.sleep(ctx) {
+			return errs.New(errs.Timeout, "%s has not started", id)
+		}
+	}
+}
+
+// startedRuns counts a job's runs that have begun and not ended.
+func startedRuns(events []jobsworker.Event, id string) int {
+	runs := 0
+	for _, e := range events {
+		switch {
+		case e.Run.Job != id:
+		case e.Event == jobsworker.EventRunStart:
+			runs++
+		case e.Event == jobsworker.EventRunEnd:
+			runs--
+		}
+	}
+	return runs
+}
+
 // untilRunning waits until so many tasks of a job's first step run.
 func (s *testSystem) untilRunning(ctx context.Context, id string, tasks int) error {
 	for {
@@ -191,6 +224,7 @@
 		So(s.client.Submit(ctx, urgent), ShouldBeNil)
 		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no capacity but that of the slow one
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)           // and it has it back
+		So(s.untilStarted(ctx, slow.ID, whole.Tasks), ShouldBeNil)
 		s.stop[0]()
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks/2), ShouldBeNil)
 		So(s.client.Cancel(ctx, slow.ID), ShouldBeNil)
