--- a/internal/testbed/golden/levels.go
+++ b/internal/testbed/golden/levels.go
@@ -7,31 +7,31 @@
 	"testing"
 )
 
-// LeveledMessage is a log line of the code at the level warn or error.
+// LeveledMessage is a log line of the code.
 type LeveledMessage struct {
 	Package string // name of the package that logs it
-	Level   string // "warn" or "error"
+	Level   string // "debug", "info", "warn" or "error"
 	Message string // value of "msg"; empty if it is not a string literal
 }
 
-// LeveledMessages lists the log lines at warn and error of the code under root, in the order of the code: calls
-// level.Warn(x).Log(…) and level.Error(x).Log(…), and calls v.Log(…) on a variable that the same function sets to one
-// of the two. The rest of the code's levels is left out.
+// LeveledMessages lists the log lines of the code under root, in its order: calls level.Warn(x).Log(…) and those of the
+// other levels, and calls v.Log(…) on a variable that the same function has set to level.Warn(x) or another. A line
+// whose variable may have several levels is listed once for each.
 func LeveledMessages(t *testing.T, root string) []LeveledMessage {
 	t.Helper()
 	var out []LeveledMessage
 	var pkg string
-	var levels map[string]string // of the variables of the function
+	var levels map[string][]string // of the variables of the function
 	each(t, root, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.File:
 			pkg = n.Name.Name
 		case *ast.FuncDecl:
-			levels = map[string]string{}
+			levels = map[string][]string{}
 		case *ast.AssignStmt:
 			noteLevels(n, levels)
 		case *ast.CallExpr:
-			if level := levelOf(n, levels); level != "" {
+			for _, level := range levelsOf(n, levels) {
 				out = append(out, LeveledMessage{Package: pkg, Level: level, Message: messageOf(n)})
 			}
 		}
@@ -40,32 +40,35 @@
 	return out
 }
 
-// noteLevels records the variables that an assignment sets to a logger at warn or error.
-func noteLevels(assign *ast.AssignStmt, levels map[string]string) {
+// noteLevels records the variables that an assignment sets to a logger of a level.
+func noteLevels(assign *ast.AssignStmt, levels map[string][]string) {
 	if len(assign.Lhs) != len(assign.Rhs) {
 		return
 	}
 	for i, value := range assign.Rhs {
 		name, isName := assign.Lhs[i].(*ast.Ident)
 		if level := leveledLogger(value); level != "" && isName {
-			levels[name.Name] = level
+			levels[name.Name] = append(levels[name.Name], level)
 		}
 	}
 }
 
-// levelOf returns the level of a call x.Log(…), or "" if it is no such call or of another level.
-func levelOf(call *ast.CallExpr, levels map[string]string) string {
+// levelsOf returns the levels that a call x.Log(…) may have; none if it is no such call.
+func levelsOf(call *ast.CallExpr, levels map[string][]string) []string {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || method.Sel.Name != "Log" {
-		return ""
+		return nil
 	}
 	if name, ok := method.X.(*ast.Ident); ok {
 		return levels[name.Name]
 	}
-	return leveledLogger(method.X)
+	if level := leveledLogger(method.X); level != "" {
+		return []string{level}
+	}
+	return nil
 }
 
-// leveledLogger returns "warn" or "error" for level.Warn(x) or level.Error(x), else "".
+// leveledLogger returns "warn" for level.Warn(x), and so on; "" for what is no such call.
 func leveledLogger(e ast.Expr) string {
 	call, ok := e.(*ast.CallExpr)
 	if !ok {
@@ -78,7 +81,7 @@
 	if pkg, ok := f.X.(*ast.Ident); !ok || pkg.Name != "level" {
 		return ""
 	}
-	return map[string]string{"Warn": "warn", "Error": "error"}[f.Sel.Name]
+	return map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}[f.Sel.Name]
 }
 
 // messageOf returns the value after "msg" in the arguments of a call, if it is a string literal.
--- a/internal/testbed/golden/levels_test.go
+++ b/internal/testbed/golden/levels_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLeveledMessages_finds_warn_and_error_only(t *testing.T) {
+func TestLeveledMessages_lists_every_level_a_line_may_have(t *testing.T) {
 	root := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(root, name), []byte(text), 0o644); err != nil {
@@ -32,7 +32,8 @@
 func h() { _ = level.Warn(log).Log("msg", "of a test") }
 `)
 	want := []LeveledMessage{
-		{"a", "warn", "disk slow"}, {"a", "error", "store halted"}, {"a", "warn", "joined anew"}, {"a", "error", ""},
+		{"a", "warn", "disk slow"}, {"a", "info", "started"}, {"a", "error", "store halted"},
+		{"a", "warn", "joined anew"}, {"a", "info", "joined anew"}, {"a", "error", ""},
 	}
 	if got := LeveledMessages(t, root); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
