--- /dev/null
+++ b/internal/state/command/accounts_test.go
@@ -0,0 +1,54 @@
+package command
+
+import (
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/signature"
+	"crosstide/internal/state"
+)
+
+func TestAccounts_orders(t *testing.T) {
+	Convey("Orders on accounts count once, are answered alike, and need an operator", t, func() {
+		o := newOperatorsFixture()
+		opened := &AccountCreate{Order: "o1", Account: "acme", By: "ada"}
+		opened.Sig = o.keys["ada"].Sign(signature.AccountCreate("o1", "acme", 0))
+		paid := &AccountTopUp{Account: "acme", Key: "k1", Amount: 50, By: "ben"}
+		paid.Sig = o.keys["ben"].Sign(signature.AccountTopUp("k1", "acme", 50))
+		_, err := o.do(paid)
+		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
+		first, err := o.do(opened)
+		So(err, ShouldBeNil)
+		made, err := o.do(paid)
+		So(err, ShouldBeNil)
+		data, err := o.st.Encode()
+		So(err, ShouldBeNil)
+		o.st, err = state.Decode(data)
+		So(err, ShouldBeNil)
+		again, err := o.do(opened)
+		So(err, ShouldBeNil)
+		So(fmt.Sprintf("%s", again), ShouldEqual, fmt.Sprintf("%s", first))
+		twice, err := o.do(paid)
+		So(err, ShouldBeNil)
+		So(twice, ShouldResemble, made)
+		So(o.st.Accounts.Accounts["acme"].Balance, ShouldEqual, 50)
+
+		more := *paid
+		more.Amount = 5000
+		eve := *paid
+		eve.By, eve.Sig = "eve", o.keys["eve"].Sign(signature.AccountTopUp("k1", "acme", 50))
+		unsigned := *opened
+		unsigned.Order, unsigned.Sig = "o2", ""
+		for _, bad := range []Command{&more, &eve, &unsigned} {
+			_, err := o.do(bad)
+			So(errs.KindOf(err), ShouldEqual, errs.Forbidden)
+		}
+		more.Sig = o.keys["ben"].Sign(signature.AccountTopUp("k1", "acme", 5000))
+		_, err = o.do(&more)
+		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
+		So(o.st.Accounts.Check(), ShouldBeNil)
+	})
+}
--- /dev/null
+++ b/internal/testbed/policysim/checkbilling.go
@@ -0,0 +1,297 @@
+package policysim
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"crosstide/internal/account"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+	"crosstide/internal/testbed/policyworker"
+)
+
+// BillingPromises are the invariants that a run with Options.Parties checks too.
+var BillingPromises = []string{"conserved", "paid for", "bounded below zero", "resumes in time", "attached"}
+
+// billingChecker checks the invariants of billing. It keeps accounts of its own, from the commands in the log and from
+// when handles are created and released, and compares the replicated ones with them after every entry. Whether work
+// goes on after a top-up, and long-running tasks run again, is in checkbillingprogress.go. It acts in one place: when
+// an account becomes exhausted it may let the leader be killed.
+type billingChecker struct {
+	sim      *sim
+	accounts map[string]*accountModel
+	runs     map[uint64]*paidRun // that are out, by run ID
+	everRan  map[state.TaskRef]bool
+	checks   uint64 // of the accounts
+
+	// Of the entry that is being applied, if it is a plan.
+	plan         *command.Plan
+	incarnations map[string]string // of the workers, before it
+
+	pendingResume      *resumption // nil: none
+	pendingAttachments []attachment
+}
+
+// accountModel is what the checker knows of an account.
+type accountModel struct {
+	topUps           map[string]int64 // by key
+	spent            int64            // by runs that are over
+	exhausted        bool
+	nonNegativeSince time.Time // the newest time at which the balance was not below zero
+	endedSinceBound  int64     // bound on what runs that ended since then drew
+}
+
+// paidRun is a run ID that is out and paid for.
+type paidRun struct {
+	party string
+	rate  int64 // units a second
+	start time.Time
+}
+
+// newBillingChecker makes the checker, which observes the reference after the invariant checker.
+func newBillingChecker(s *sim) *billingChecker {
+	bc := &billingChecker{sim: s, accounts: map[string]*accountModel{}, runs: map[uint64]*paidRun{},
+		everRan: map[state.TaskRef]bool{}}
+	observe := s.checker.reference.OnEvent
+	s.checker.reference.OnEvent = func(event state.Event) {
+		observe(event)
+		switch event.Kind {
+		case state.EventHandleCreated:
+			bc.checkCreated(event.Handle)
+		case state.EventHandleReleased:
+			bc.observeReleased(event.Handle)
+		}
+	}
+	return bc
+}
+
+// account is the replicated account; nil if there is none.
+func (bc *billingChecker) account(name string) *account.Account {
+	if bc.sim.checker.reference.Accounts == nil {
+		return nil
+	}
+	return bc.sim.checker.reference.Accounts.Accounts[name]
+}
+
+// storeTime is the time of the newest entry.
+func (bc *billingChecker) storeTime() time.Time { return bc.sim.checker.reference.At }
+
+// price is what a rate costs for a time, rounded up.
+func price(rate int64, length time.Duration) int64 {
+	return (rate*int64(length) + int64(time.Second) - 1) / int64(time.Second)
+}
+
+// closedWindows is the length of all windows of a run that are over at a time.
+func (r *paidRun) closedWindows(at time.Time) time.Duration {
+	return at.Sub(r.start) / paidWindow * paidWindow
+}
+
+// boundSince bounds what a run drew, or has reserved, since a time.
+func (r *paidRun) boundSince(since, at time.Time) int64 {
+	if since.Before(r.start) {
+		since = r.start
+	}
+	return price(r.rate, at.Sub(since)+paidWindow)
+}
+
+// sums are the sums of an account.
+type sums struct{ toppedUp, balance, reserved, spent int64 }
+
+// expectedSums are the sums of a party's account at a time, by the checker.
+func (bc *billingChecker) expectedSums(party string, at time.Time) (out sums) {
+	model := bc.accounts[party]
+	if model == nil {
+		return sums{}
+	}
+	for _, amount := range model.topUps {
+		out.toppedUp += amount
+	}
+	out.spent = model.spent
+	for _, r := range bc.runs {
+		if r.party == party {
+			closed := r.closedWindows(at)
+			out.spent += price(r.rate, closed)
+			out.reserved += price(r.rate, closed+paidWindow) - price(r.rate, closed)
+		}
+	}
+	out.balance = out.toppedUp - out.reserved - out.spent
+	return out
+}
+
+// apply applies an entry to the reference by calling apply, and checks the accounts after it. On a nil checker it only
+// applies.
+func (bc *billingChecker) apply(data []byte, apply func()) {
+	if bc == nil {
+		apply()
+		return
+	}
+	var entry command.Entry
+	if len(data) > 0 {
+		must(json.Unmarshal(data, &entry))
+	}
+	bc.plan = nil
+	switch entry.Op {
+	case "plan":
+		bc.observePlan(entry.Body)
+		apply()
+	case "account-create":
+		apply()
+		bc.observeCreate(entry.Body)
+	case "account-top-up":
+		bc.applyTopUp(entry.Body, apply)
+	default:
+		apply()
+	}
+	bc.checkAccounts()
+}
+
+// observePlan keeps a plan, and what it changes, while it is being applied.
+func (bc *billingChecker) observePlan(body []byte) {
+	bc.plan = &command.Plan{}
+	must(json.Unmarshal(body, bc.plan))
+	bc.incarnations = map[string]string{}
+	for name, w := range bc.sim.checker.reference.Workers {
+		bc.incarnations[name] = w.Incarnation
+	}
+}
+
+func (bc *billingChecker) observeCreate(body []byte) {
+	var create command.AccountCreate
+	must(json.Unmarshal(body, &create))
+	if bc.account(create.Account) != nil && bc.accounts[create.Account] == nil {
+		bc.accounts[create.Account] = &accountModel{topUps: map[string]int64{}, nonNegativeSince: bc.storeTime()}
+	}
+}
+
+func (bc *billingChecker) observeTopUp(topUp *command.AccountTopUp) {
+	s, model := bc.sim, bc.accounts[topUp.Account]
+	if model == nil {
+		return
+	}
+	if _, again := model.topUps[topUp.Key]; again {
+		s.report.Counts["top-ups that came again"]++
+		return
+	}
+	model.topUps[topUp.Key] = topUp.Amount
+	s.report.Counts["top-ups"]++
+	s.trace("account %s is topped up with %d by %s", topUp.Account, topUp.Amount, topUp.Key)
+}
+
+// checkCreated checks that the balance covers a run ID that was given (invariant: paid for). That of a long-running
+// task that ran before need not be covered.
+func (bc *billingChecker) checkCreated(h *state.Handle) {
+	s := bc.sim
+	j, _ := s.checker.reference.TaskOf(h.Ref)
+	party := partyOf[j.Spec.Team]
+	if party == "" || s.checker.reference.Bundle.Version < 2 {
+		return
+	}
+	longRunning := j.Spec.Steps[h.Ref.Step].LongRunning
+	rate := int64(h.Cores) * corePrice
+	if longRunning && bc.everRan[h.Ref] {
+		s.report.Counts["lasting tasks started again"]++
+	} else {
+		s.countCase("paid for")
+		cost := price(rate, paidWindow)
+		if balance := bc.expectedSums(party, bc.storeTime()).balance; balance < cost {
+			s.reportBreach("paid for", "run ID %d of %v is given at a balance of %d, it needs %d",
+				h.RunID, h.Ref, balance, cost)
+		}
+	}
+	bc.everRan[h.Ref] = longRunning
+	bc.runs[h.RunID] = &paidRun{party, rate, bc.storeTime()}
+}
+
+// observeReleased takes in that a handle is released: its time is spent, or only its closed windows if it was lost.
+func (bc *billingChecker) observeReleased(h *state.Handle) {
+	r := bc.runs[h.RunID]
+	if r == nil {
+		return
+	}
+	delete(bc.runs, h.RunID)
+	model, length := bc.accounts[r.party], bc.storeTime().Sub(r.start)
+	if bc.isLost(h) {
+		bc.sim.report.Counts["lost runs given back"]++
+		length = r.closedWindows(bc.storeTime())
+	}
+	model.spent += price(r.rate, length)
+	model.endedSinceBound += r.boundSince(model.nonNegativeSince, bc.storeTime())
+}
+
+// isLost tells whether the plan being applied releases a handle without an end, and not because the scheduler stopped
+// it.
+func (bc *billingChecker) isLost(h *state.Handle) bool {
+	if slices.ContainsFunc(bc.plan.Ends, func(e command.End) bool { return e.RunID == h.RunID }) {
+		return false
+	}
+	for _, w := range bc.plan.Workers {
+		isNew := w.Incarnation != bc.incarnations[w.Name] && w.Incarnation != h.Incarnation
+		if w.Name == h.Worker && isNew && (w.Kind != policyworker.KindObey || h.Phase == state.TaskRunning) {
+			return true
+		}
+	}
+	return !slices.ContainsFunc(bc.plan.Dead, func(proof command.Proof) bool {
+		return proof.RunID == h.RunID && proof.Why == command.ProofStop
+	})
+}
+
+// checkAccounts compares the replicated accounts with the checker's own (invariant: conserved).
+func (bc *billingChecker) checkAccounts() {
+	s := bc.sim
+	for _, name := range slices.Sorted(maps.Keys(bc.accounts)) {
+		replicated, want := bc.account(name), bc.expectedSums(name, bc.storeTime())
+		s.countCase("conserved")
+		got := sums{replicated.ToppedUp, replicated.Balance, replicated.Reserved, replicated.Spent}
+		if got != want {
+			s.reportBreach("conserved",
+				"account %s has %d topped up, %d balance, %d reserved, %d spent; it should be %d, %d, %d, %d", name,
+				got.toppedUp, got.balance, got.reserved, got.spent, want.toppedUp, want.balance, want.reserved,
+				want.spent)
+		}
+		bc.checkBound(name, want.balance)
+		bc.observeExhaustion(name, want.balance)
+	}
+	const checkEvery = 64 // it takes long
+	if bc.checks++; bc.checks%checkEvery == 0 {
+		if err := s.checker.reference.Accounts.Check(); err != nil {
+			s.reportBreach("conserved", "%v", err)
+		}
+	}
+}
+
+// checkBound compares a balance below zero with what was out since it was not (invariant: bounded below zero).
+func (bc *billingChecker) checkBound(name string, balance int64) {
+	model := bc.accounts[name]
+	if balance >= 0 {
+		model.nonNegativeSince, model.endedSinceBound = bc.storeTime(), 0
+		return
+	}
+	bc.sim.countCase("bounded below zero")
+	bound := model.endedSinceBound
+	for _, r := range bc.runs {
+		if r.party == name {
+			bound += r.boundSince(model.nonNegativeSince, bc.storeTime())
+		}
+	}
+	if -balance > bound {
+		bc.sim.reportBreach("bounded below zero", "account %s is at %d, what was out since %s draws %d at most",
+			name, balance, model.nonNegativeSince, bound)
+	}
+}
+
+// observeExhaustion counts the periods in which an account is exhausted; at the draw that begins one the leader of the
+// store may be killed.
+func (bc *billingChecker) observeExhaustion(name string, balance int64) {
+	s, model := bc.sim, bc.accounts[name]
+	exhausted := balance < price(corePrice, paidWindow)
+	if exhausted && !model.exhausted {
+		s.report.Counts["dry spells"]++
+		s.trace("account %s runs dry at %d", name, balance)
+		if name == limitedParty && s.chance(0.1) {
+			s.billing.killLeader("leader killed at the last draw", s.between(0, 5*time.Millisecond))
+		}
+	}
+	model.exhausted = exhausted
+}
