--- /dev/null
+++ b/internal/store/peer.go
@@ -0,0 +1,186 @@
+package store
+
+import (
+	"context"
+
+	"crosstide/internal/internalapi"
+	"crosstide/internal/raft"
+)
+
+const (
+	maxPeerMessages  = 4096     // in a peer's queue; the oldest are dropped
+	maxPeerBytes     = 32 << 20 // likewise
+	maxCallBytes     = 8 << 20  // of one call, about
+	maxInFlightCalls = 8        // to one peer at once, over a slow network
+	maxLearnedAddrs  = 64
+)
+
+// peers are the other members that messages go to. A Store owns them; guarded by Store.mu.
+type peers struct {
+	byID map[string]*peer
+	// learned has the addresses of senders that are in no member set here yet, by ID: a node that has no members could
+	// not answer without.
+	learned map[string]string
+}
+
+func newPeers() peers { return peers{byID: map[string]*peer{}, learned: map[string]string{}} }
+
+// learn keeps the address of a sender that is no peer.
+func (p *peers) learn(id, addr string) {
+	if p.byID[id] == nil && addr != "" && len(p.learned) < maxLearnedAddrs {
+		p.learned[id] = addr
+	}
+}
+
+// peer is the queue of messages to one member. Its sender takes them from there, many in one call.
+type peer struct {
+	addr  string
+	queue []raft.Message
+	bytes int           // of queue, about
+	wake  chan struct{} // capacity 1: the sender has something to do
+	stop  context.CancelFunc
+}
+
+// enqueue appends a message and drops the oldest beyond the bounds; the core bears the loss. It returns their number.
+func (p *peer) enqueue(m raft.Message) (dropped int) {
+	p.queue = append(p.queue, m)
+	p.bytes += messageSize(m)
+	for len(p.queue) > maxPeerMessages || p.bytes > maxPeerBytes && len(p.queue) > 1 {
+		p.bytes -= messageSize(p.queue[0])
+		p.queue = p.queue[1:]
+		dropped++
+	}
+	signal(p.wake)
+	return dropped
+}
+
+// takeBatch removes the messages of the next call from the queue.
+func (p *peer) takeBatch() []raft.Message {
+	n, bytes := 0, 0
+	for n < len(p.queue) && (n == 0 || bytes+messageSize(p.queue[n]) <= maxCallBytes) {
+		bytes += messageSize(p.queue[n])
+		n++
+	}
+	batch := p.queue[:n:n]
+	p.queue, p.bytes = p.queue[n:], p.bytes-bytes
+	return batch
+}
+
+// messageSize is about what a message takes in a call.
+func messageSize(m raft.Message) int {
+	n := 256
+	for _, e := range m.Entries {
+		n += len(e.Data) + entryOverhead
+	}
+	return n
+}
+
+// enqueueMessages queues messages for those they are for; without an address they are lost. Called under the lock.
+func (s *Store) enqueueMessages(messages []raft.Message) {
+	if s.halted {
+		return
+	}
+	for _, m := range messages {
+		p := s.peers.byID[m.To]
+		if p == nil {
+			if p = s.startPeer(m.To, s.peers.learned[m.To]); p == nil {
+				continue
+			}
+		}
+		s.metrics.dropped.Add(float64(p.enqueue(m)))
+	}
+}
+
+// updatePeers makes the peers those of the member set. One that is in no set stays while its address was learned and it
+// may be the leader of this node, which knows no members yet. Called under the lock.
+func (s *Store) updatePeers() {
+	members := make(map[string]bool, len(s.status.Members))
+	for _, m := range s.status.Members {
+		members[m.ID] = true
+		if m.ID == s.id {
+			continue
+		}
+		if p := s.peers.byID[m.ID]; p == nil || p.addr != m.Addr {
+			s.startPeer(m.ID, m.Addr)
+		}
+	}
+	for id, p := range s.peers.byID {
+		if !members[id] && (s.peers.learned[id] == "" || len(s.status.Members) > 0 && s.status.Leader != id) {
+			p.stop()
+			delete(s.peers.byID, id)
+			delete(s.peers.learned, id)
+		}
+	}
+}
+
+// startPeer starts the sender to a member, in the place of one to an older address; nil if there is no address. Called
+// under the lock.
+func (s *Store) startPeer(id, addr string) *peer {
+	if addr == "" || s.group.Context().Err() != nil {
+		return nil
+	}
+	if old := s.peers.byID[id]; old != nil {
+		old.stop()
+	}
+	ctx, stop := context.WithCancel(s.group.Context())
+	p := &peer{addr: addr, wake: make(chan struct{}, 1), stop: stop}
+	s.peers.byID[id] = p
+	if s.manual == nil {
+		s.group.Go(func(context.Context) { s.runSender(ctx, p) })
+	}
+	return p
+}
+
+// runSender is the goroutine of one peer: it sends what is queued until ctx ends.
+func (s *Store) runSender(ctx context.Context, p *peer) {
+	inFlight := make(chan struct{}, maxInFlightCalls)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.wake:
+		}
+		s.mu.Lock()
+		batch := p.takeBatch()
+		more := len(p.queue) > 0
+		halted := s.halted
+		s.mu.Unlock()
+		if len(batch) == 0 || halted {
+			continue
+		}
+		if !s.sendBatch(ctx, p, batch, inFlight) {
+			return
+		}
+		if more {
+			signal(p.wake)
+		}
+	}
+}
+
+// sendBatch makes one call and waits until it is answered, or a heartbeat long: over a network that takes longer than
+// that, calls follow one another without waiting, as many as inFlight has capacity for, so that the leader's lease does
+// not depend on a whole round trip for each. The core bears messages that overtake one another. false: ctx has ended.
+func (s *Store) sendBatch(ctx context.Context, p *peer, batch []raft.Message, inFlight chan struct{}) bool {
+	select {
+	case inFlight <- struct{}{}:
+	case <-ctx.Done():
+		return false
+	}
+	done, timedOut := make(chan struct{}), make(chan struct{})
+	s.group.Go(func(context.Context) {
+		defer func() { <-inFlight; close(done) }()
+		// A failure costs these messages only; the core makes up for what is lost.
+		call := internalapi.RaftCall{From: s.settings.Addr, Messages: batch}
+		if err := s.opt.Net.SendMessages(ctx, p.addr, call); err != nil {
+			s.metrics.dropped.Add(float64(len(batch)))
+		}
+	})
+	defer s.clock.Set(s.settings.Heartbeat, func() { close(timedOut) }).Stop()
+	select {
+	case <-done:
+	case <-timedOut:
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
