--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Disruption names a kind of disruption.
+// Disruption is a kind of disruption.
 type Disruption string
 
 // The disruptions.
@@ -50,8 +50,8 @@
 func overloads() []Disruption { return []Disruption{Burst, UrgentStorm, Unschedulable, MassCancel} }
 
 func workerDisruptions() []Disruption {
-	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerReportsUnhealthy, WorkerFailsPart, WorkerHang, WorkerSlow, WorkerFailsAll,
-		WorkerLate, WorkerAnswersLost, HeartbeatsDelayed}
+	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerReportsUnhealthy, WorkerFailsPart,
+		WorkerHang, WorkerSlow, WorkerFailsAll, WorkerLate, WorkerAnswersLost, HeartbeatsDelayed}
 }
 
 func machineDisruptions() []Disruption {
@@ -66,57 +66,62 @@
 	return []Disruption{Reconfigure, ConfigRace, BadConfig, AckLost, Evacuation}
 }
 
-// Disruptions lists all kinds.
+// Disruptions are all kinds.
 func Disruptions() []Disruption {
-	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(), connectionShortages())
+	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(),
+		connectionShortages())
 }
 
 // contactTimeout is how long after a disruption a machine is in touch again.
 const contactTimeout = 3 * time.Second
 
-// quiet tells when the last disruptions ended.
+// quiet is when the last disruptions end.
 type quiet struct {
-	core time.Duration // of the core
-	any  time.Duration // of anything but configurations, cancels and new workers
+	coreUntil time.Duration // of the core
+	anyUntil  time.Duration // of anything but configurations, cancels and new workers
 }
 
-func (s *simulator) coreDisturbed(until time.Duration) {
-	s.quiet.core = max(s.quiet.core, until)
-	s.disturbed(until)
+func (s *simulator) markCoreDisrupted(until time.Duration) {
+	s.quiet.coreUntil = max(s.quiet.coreUntil, until)
+	s.markDisrupted(until)
 }
 
-func (s *simulator) disturbed(until time.Duration) { s.quiet.any = max(s.quiet.any, until) }
+func (s *simulator) markDisrupted(until time.Duration) {
+	s.quiet.anyUntil = max(s.quiet.anyUntil, until)
+}
 
-// inTouch tells whether the machines of the core are in touch.
+// inTouch reports whether the machines of the core are in touch.
 func (s *simulator) inTouch() bool {
-	return s.now > s.quiet.core+contactTimeout && s.now > contactTimeout
+	return s.now > s.quiet.coreUntil+contactTimeout && s.now > contactTimeout
 }
 
-// calmSince tells whether nothing was disrupted near the time from a moment until now.
-func (s *simulator) calmSince(since time.Duration) bool { return since > s.quiet.any+2*contactTimeout }
+// calmSince reports whether nothing was disrupted near the time from a moment until now.
+func (s *simulator) calmSince(since time.Duration) bool {
+	return since > s.quiet.anyUntil+2*contactTimeout
+}
 
-// disrupting tells whether disruptions still come.
+// disrupting reports whether disruptions still come.
 func (s *simulator) disrupting() bool {
-	return s.now < s.opt.For && (s.opt.Kinds == nil || len(s.opt.Kinds) > 0)
+	return s.now < s.options.DisruptionPeriod && (s.options.Disruptions == nil || len(s.options.Disruptions) > 0)
 }
 
-// planDisruptions begins the disruptions. They come in spells, with calm between them.
+// planDisruptions schedules the disruptions. They come in periods, with calm between them.
 func (s *simulator) planDisruptions() {
-	kinds := s.opt.Kinds
+	kinds := s.options.Disruptions
 	if kinds == nil {
 		kinds = Disruptions()
 	}
 	if len(kinds) == 0 {
 		return
 	}
-	s.after(s.between(3*time.Second, 5*time.Second), func() { s.disruptionPeriod(kinds) })
+	s.after(s.between(3*time.Second, 5*time.Second), func() { s.disruptForPeriod(kinds) })
 	if slices.Contains(kinds, CoreOutage) && s.chance(0.3) {
 		s.clients.faultPending = true
-		s.after(s.opt.For, s.finalFault)
+		s.after(s.options.DisruptionPeriod, s.finalFault)
 	}
 }
 
-// finalFault takes the power from the whole core, and hands jobs in when the machines have been back for long enough.
+// finalFault takes the power from the whole core, and submits jobs when the machines have recovered.
 func (s *simulator) finalFault() {
 	if !s.outage() {
 		s.after(500*time.Millisecond, s.finalFault)
@@ -124,7 +129,7 @@
 	}
 	s.report.Disruptions[CoreOutage]++
 	s.trace("final fault")
-	s.after(s.quiet.core-s.now+recoveryTime, func() {
+	s.after(s.quiet.coreUntil-s.now+recoveryTime, func() {
 		for range 8 {
 			s.clients.submitNew(s.clients.shortJob()).afterFault = true
 		}
@@ -132,20 +137,20 @@
 	})
 }
 
-// disruptionPeriod makes disruptions for a while.
-func (s *simulator) disruptionPeriod(kinds []Disruption) {
-	end := min(s.now+s.between(4*time.Second, 14*time.Second), s.opt.For)
+// disruptForPeriod makes disruptions for a while.
+func (s *simulator) disruptForPeriod(kinds []Disruption) {
+	end := min(s.now+s.between(4*time.Second, 14*time.Second), s.options.DisruptionPeriod)
 	var next func()
 	next = func() {
 		if s.now >= end {
-			if s.now < s.opt.For {
-				s.after(s.between(2*time.Second, 12*time.Second), func() { s.disruptionPeriod(kinds) })
+			if s.now < s.options.DisruptionPeriod {
+				s.after(s.between(2*time.Second, 12*time.Second), func() { s.disruptForPeriod(kinds) })
 			}
 			return
 		}
 		s.disrupt(kinds[s.rng.IntN(len(kinds))])
 		pause := s.between(100*time.Millisecond, 1500*time.Millisecond)
-		s.after(time.Duration(float64(pause)/s.opt.Pace), next)
+		s.after(time.Duration(float64(pause)/s.options.DisruptionRate), next)
 	}
 	next()
 }
@@ -162,7 +167,7 @@
 	case SlowCommits:
 		d := s.between(time.Second, 5*time.Second)
 		s.log.slowUntil = s.now + d
-		s.coreDisturbed(s.now + d + slowCommit)
+		s.markCoreDisrupted(s.now + d + maxSlowCommitDelay)
 	case MemberWiped:
 		made = s.wipeMember()
 	case ZoneLost:
@@ -200,7 +205,7 @@
 	}
 }
 
-// loseLeader takes the lead from its holder.
+// loseLeader makes the leader lose its lead.
 func (s *simulator) loseLeader(kind Disruption) bool {
 	n := s.log.leader
 	if n == nil || !s.majorityWithout(n) {
@@ -211,38 +216,38 @@
 	switch kind {
 	case LeaderFreeze:
 		n.frozenUntil = s.now + back
-		n.do(s.between(0, 300*time.Millisecond), func() { n.learn() })
+		n.after(s.between(0, 300*time.Millisecond), func() { n.learnNewerTerm() })
 	case LeaderCut:
-		n.cut = true
+		n.isCutOff = true
 		s.after(back, func() {
-			n.cut = false
-			n.do(s.between(0, 300*time.Millisecond), n.learn)
+			n.isCutOff = false
+			n.after(s.between(0, 300*time.Millisecond), n.learnNewerTerm)
 		})
 	default:
 		n.kill()
 		s.after(back, n.startProcess)
 	}
-	election := s.between(electionLeast, electionMost)
+	election := s.between(minElectionTime, maxElectionTime)
 	s.after(election, s.log.elect)
-	s.coreDisturbed(s.now + max(back, election) + 300*time.Millisecond)
+	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
 	return true
 }
 
-// learn lets a node that led hear of the newer term.
-func (n *node) learn() {
+// learnNewerTerm ends the lead of a node that led once it hears of the newer term.
+func (n *node) learnNewerTerm() {
 	if n.sim.log.leader != n {
 		n.stepDown()
 	}
 }
 
 func (s *simulator) majorityWithout(n *node) bool {
-	isRunning := 0
+	running := 0
 	for _, other := range s.nodes {
 		if other != n && other.isRunning() {
-			isRunning++
+			running++
 		}
 	}
-	return isRunning > len(s.nodes)/2
+	return running > len(s.nodes)/2
 }
 
 // outage stops the whole core for a while.
@@ -254,114 +259,45 @@
 	longest := s.between(500*time.Millisecond, 8*time.Second)
 	for _, n := range s.nodes {
 		n.kill()
-		n.frozenUntil, n.cut = 0, false
+		n.frozenUntil, n.isCutOff = 0, false
 		s.after(s.between(longest/2, longest), n.startProcess)
 	}
 	s.after(longest+s.between(0, time.Second), s.log.elect)
-	s.coreDisturbed(s.now + longest + electionMost)
+	s.markCoreDisrupted(s.now + longest + maxElectionTime)
 	return true
 }
 
-// disruptWorker disrupts what runs at a slot.
+// disruptWorker disrupts what runs on a host; false if nothing runs there, or it drains already.
 func (s *simulator) disruptWorker(kind Disruption, host *workerHost) bool {
 	w := host.current
-	if w == nil || w.draining || w.leaving {
+	if w == nil || w.isDraining || w.isLeaving {
 		return false
 	}
 	d := s.between(time.Second, 10*time.Second)
 	host.disruptedAt = s.now + d
-	switch kind {
-	case NodeLinkCut:
-		n := s.nodes[s.rng.IntN(len(s.nodes))]
-		if s.chance(0.5) && s.log.leader != nil {
-			n = s.log.leader
-		}
-		if s.chance(0.3) {
-			d += 20 * time.Second
-		}
-		host.cutFrom[n] = true
-		s.after(d, func() { delete(host.cutFrom, n) })
-	case WorkerCrash:
-		w.die()
-		if s.chance(0.3) {
-			d += 20 * time.Second // nothing is there for long
-		}
-		s.after(s.between(500*time.Millisecond, d), host.startWorker)
-	case WorkerCut:
-		d += s.between(0, 4*time.Second)
-		host.cutFor(d)
-	case WorkerDrain:
-		w.drain()
-		d = plannedEnd
-		host.replace()
-	case WorkerLeaves:
-		w.deregister()
-		d = plannedEnd
-		host.replace()
-	case WorkerFlaps:
-		host.flap(s.now + d)
-	case WorkerReportsUnhealthy:
-		w.refuses = true
-		s.after(d, func() { w.refuses = false })
-	case WorkerFailsPart:
-		w.failing = s.between(200*time.Millisecond, 700*time.Millisecond).Seconds()
-		s.after(d, func() { w.failing = 0 })
-	case HeartbeatsDelayed:
-		host.heartbeatsDelayedUntil = s.now + d
-		host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d+maxHeartbeatDelay)
-		if s.chance(0.5) { // heartbeats that say that it is ready come after those that say that it drains
-			s.after(time.Second, w.drain)
-			d = time.Second + plannedEnd
-			host.replace()
-		}
-	case WorkerHang:
-		w.stall()
-		s.after(d, w.resume)
-	case WorkerSlow:
-		w.slow = 3
-		s.after(d, func() { w.slow = 1 })
-	case WorkerFailsAll:
-		w.failsAll = true
-		s.after(d/2, func() { w.failsAll = false })
-	case WorkerLate:
-		host.lateUntil = s.now + d
-		d += lateMost
-	case WorkerAnswersLost:
-		host.answersLostUntil, host.answerLossShare = s.now+d, []float64{0.5, 1}[s.rng.IntN(2)]
+	if disrupt := workerDisruptors[kind]; disrupt != nil {
+		d = disrupt(w, d)
 	}
 	host.disruptedAt = s.now + d
-	s.invariantChecker.died(w)
-	s.disturbed(s.now + d)
+	s.checker.workerLost(w)
+	s.markDisrupted(s.now + d)
 	return true
 }
 
-// cutFor cuts the slot off from the whole core for a while.
-func (host *workerHost) cutFor(d time.Duration) {
-	s := host.sim
-	host.cut = true
-	host.heartbeatsUnreliableUntil = max(host.heartbeatsUnreliableUntil, s.now+d)
-	s.after(d, func() { host.cut = false })
-}
-
-// plannedEnd is the longest from the first word of a worker's end to its end.
-const plannedEnd = 10 * time.Second
-
-// replace starts another life once the present one has ended as planned.
-func (host *workerHost) replace() {
-	s := host.sim
-	s.after(plannedEnd+time.Second+s.between(100*time.Millisecond, 2*time.Second), host.startWorker)
-}
-
-// stall lets the tasks of a worker stand still.
-func (w *workerIncarnation) stall() {
-	if w.stalledSince == 0 {
-		w.stalledSince = w.host.sim.now
-	}
-}
-
-func (w *workerIncarnation) resume() {
-	if w.stalledSince > 0 {
-		w.stalledFor += w.host.sim.now - w.stalledSince
-		w.stalledSince = 0
-	}
+// workerDisruptors disrupt a worker for d, and return for how long it may be out of touch.
+var workerDisruptors = map[Disruption]func(w *workerIncarnation, d time.Duration) time.Duration{
+	NodeLinkCut:            (*workerIncarnation).cutFromNode,
+	WorkerCrash:            (*workerIncarnation).crash,
+	WorkerCut:              (*workerIncarnation).cutFromCore,
+	WorkerDrain:            (*workerIncarnation).drainAndReplace,
+	WorkerLeaves:           (*workerIncarnation).leaveAndReplace,
+	WorkerFlaps:            (*workerIncarnation).flap,
+	WorkerReportsUnhealthy: (*workerIncarnation).reportUnhealthy,
+	WorkerFailsPart:        (*workerIncarnation).failPart,
+	HeartbeatsDelayed:      (*workerIncarnation).delayHeartbeats,
+	WorkerHang:             (*workerIncarnation).hang,
+	WorkerSlow:             (*workerIncarnation).slowDown,
+	WorkerFailsAll:         (*workerIncarnation).failAll,
+	WorkerLate:             (*workerIncarnation).delayOrders,
+	WorkerAnswersLost:      (*workerIncarnation).loseAnswers,
 }
--- a/internal/testbed/jobssim/disruptions_core.go
+++ b/internal/testbed/jobssim/disruptions_core.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// majorityWithoutAll tells whether the core can go on without some nodes.
+// majorityWithoutAll reports whether the core can go on without some nodes.
 func (s *simulator) majorityWithoutAll(lost []*node) bool {
-	isRunning := 0
+	running := 0
 	for _, n := range s.nodes {
 		if n.isRunning() && !slices.Contains(lost, n) {
-			isRunning++
+			running++
 		}
 	}
-	return isRunning > len(s.nodes)/2
+	return running > len(s.nodes)/2
 }
 
 // killNodes kills processes of the core, which leave a majority, and starts them again after a while.
@@ -22,22 +22,22 @@
 	election := time.Duration(0)
 	if slices.Contains(lost, s.log.leader) {
 		s.log.lose()
-		election = s.between(electionLeast, electionMost)
+		election = s.between(minElectionTime, maxElectionTime)
 		s.after(election, s.log.elect)
 	}
 	for _, n := range lost {
-		if !n.down {
+		if !n.isDown {
 			n.kill()
 			s.after(back, n.startProcess)
 		}
 	}
-	s.coreDisturbed(s.now + max(back, election) + 300*time.Millisecond)
+	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
 }
 
-// wipeMember ends a member of the core, the leader now and then, and starts it again with an empty disk.
+// wipeMember kills a member of the core, which may be the leader, and starts it again with an empty disk.
 func (s *simulator) wipeMember() bool {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if n.down || !s.majorityWithoutAll([]*node{n}) {
+	if n.isDown || !s.majorityWithoutAll([]*node{n}) {
 		return false
 	}
 	s.killNodes([]*node{n}, s.between(time.Second, 4*time.Second))
@@ -67,15 +67,15 @@
 	return true
 }
 
-// crashHost ends what runs at a slot and starts another life after a while.
+// crashHost ends what runs on a host and starts another incarnation after a while.
 func (s *simulator) crashHost(host *workerHost, back time.Duration) {
 	w := host.current
 	if w == nil {
 		return
 	}
 	host.disruptedAt = max(host.disruptedAt, s.now+back)
-	s.disturbed(s.now + back)
-	w.die()
+	s.markDisrupted(s.now + back)
+	w.terminate()
 	s.after(back+s.between(0, 500*time.Millisecond), host.startWorker)
 }
 
@@ -89,15 +89,15 @@
 			s.crashHost(host, back)
 		default:
 			host.disruptedAt = max(host.disruptedAt, s.now+back)
-			s.invariantChecker.died(host.current)
+			s.checker.workerLost(host.current)
 			host.cutFor(back)
 		}
 	}
-	s.disturbed(s.now + back)
+	s.markDisrupted(s.now + back)
 }
 
-// killMany kills half of all workers and the most members of the core that it bears, the leader among them, at one
-// moment.
+// killMany kills half of all workers and as many members of the core as leave a majority, the leader among them, at
+// once.
 func (s *simulator) killMany() bool {
 	leader := s.log.leader
 	if leader == nil {
@@ -121,10 +121,10 @@
 	return true
 }
 
-// flap lets the lives at a slot end and begin by turns.
+// flap ends and starts incarnations on a host by turns.
 func (host *workerHost) flap(until time.Duration) {
 	s := host.sim
-	if s.now >= until || s.now >= s.opt.For {
+	if s.now >= until || s.now >= s.options.DisruptionPeriod {
 		return
 	}
 	host.disruptedAt = max(host.disruptedAt, until)
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -12,19 +12,20 @@
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = time.Second
-	maxHeartbeatDelay = 4 * time.Second // how late a heartbeat may come
+	maxHeartbeatDelay = 4 * time.Second // of a heartbeat that is late
 )
 
-// buildWorkers makes the machines of both services.
+// buildWorkers builds the machines of both services.
 func (s *simulator) buildWorkers() {
 	for i := range workersPerService * 2 {
-		guards := i%2 == 0
+		checksCapacity := i%2 == 0
 		place := i / 2
-		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen, guards: guards,
-			zone: fmt.Sprintf("zone%d", place%zoneCount), rack: fmt.Sprintf("r%d", place%rackCount),
+		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen,
+			checksCapacity: checksCapacity,
+			zone:           fmt.Sprintf("zone%d", place%zoneCount), rack: fmt.Sprintf("r%d", place%rackCount),
 			capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536, GPUs: 2},
 			speed:    0.8 + 0.5*s.rng.Float64(), cutFrom: map[*node]bool{}, disruptedAt: -time.Minute}
-		if guards {
+		if checksCapacity {
 			host.service = serviceGuards
 		}
 		host.labels = []string{"kind" + string(rune('a'+place%2)), host.rack}
@@ -51,16 +52,16 @@
 	return nil
 }
 
-// heartbeatLoop sends heartbeats for as long as the life lasts.
+// heartbeatLoop sends heartbeats for as long as the incarnation lasts.
 func (w *workerIncarnation) heartbeatLoop() {
-	if !w.up() {
+	if !w.isUp() {
 		return
 	}
 	w.sendHeartbeat(false, func(bool) {})
 	w.host.sim.after(w.host.sim.between(heartbeatInterval*9/10, heartbeatInterval*11/10), w.heartbeatLoop)
 }
 
-// heartbeat is a heartbeat as it was sent.
+// heartbeat is one heartbeat.
 type heartbeat struct {
 	worker    jobs.Worker
 	sequence  uint64
@@ -74,22 +75,22 @@
 	s := w.host.sim
 	w.heartbeatSequence++
 	call := heartbeat{worker: w.record(), sequence: w.heartbeatSequence, clock: w.clock(), leaving: leaving}
-	if w.draining {
+	if w.isDraining {
 		call.remaining = drainTimeout
 	}
 	n := s.anyLeader()
-	if n == nil || w.host.cut { // a node that it is cut from is reached by way of another
+	if n == nil || w.host.isCutOff { // a node that it is cut from is reached by way of another
 		return
 	}
 	late := time.Duration(0)
 	if s.chance(0.01) || s.now < w.host.heartbeatsDelayedUntil && s.chance(0.7) {
 		late = s.between(0, maxHeartbeatDelay)
 	}
-	s.after(s.link()+late, func() {
-		n.do(0, func() {
+	s.after(s.linkDelay()+late, func() {
+		n.after(0, func() {
 			n.receiveHeartbeat(call, func(err error) {
-				s.after(s.link(), func() {
-					if ok := err == nil && !w.host.cut; ok && late == 0 {
+				s.after(s.linkDelay(), func() {
+					if ok := err == nil && !w.host.isCutOff; ok && late == 0 {
 						w.heartbeatAcknowledged(call, n)
 						done(true)
 					}
@@ -99,9 +100,9 @@
 	})
 }
 
-// heartbeatAcknowledged counts the time of a drain from its first acknowledgement.
+// heartbeatAcknowledged ends a drain some time after its first acknowledgement.
 func (w *workerIncarnation) heartbeatAcknowledged(call heartbeat, _ *node) {
-	if !call.worker.Draining || w.drainAcknowledgedAt != 0 || !w.up() {
+	if !call.worker.Draining || w.drainAcknowledgedAt != 0 || !w.isUp() {
 		return
 	}
 	s := w.host.sim
@@ -109,70 +110,70 @@
 	s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.leave)
 }
 
-// deregister says that the worker ends, without saying that it drains, serves on for a while and ends.
+// deregister reports that the worker leaves, without a drain before; it serves on for a while and ends.
 func (w *workerIncarnation) deregister() {
-	w.leaving, w.leavingSince = true, w.host.sim.now
+	w.isLeaving, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s deregisters first", w.id)
 	w.announceLeaving()
-	w.host.sim.after(plannedEnd, w.die) // also without an acknowledgement
+	w.host.sim.after(maxDrainTime, w.terminate) // also without an acknowledgement
 }
 
 func (w *workerIncarnation) announceLeaving() {
-	if !w.up() || w.drainAcknowledgedAt != 0 {
+	if !w.isUp() || w.drainAcknowledgedAt != 0 {
 		return
 	}
 	s := w.host.sim
 	w.sendHeartbeat(true, func(bool) {
-		if !w.up() || w.drainAcknowledgedAt != 0 {
+		if !w.isUp() || w.drainAcknowledgedAt != 0 {
 			return
 		}
 		w.leavingAcknowledged()
-		s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.die)
+		s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.terminate)
 	})
 	s.after(heartbeatTimeout, w.announceLeaving)
 }
 
-// leavingAcknowledged takes in the acknowledgement of the worker's leaving.
+// leavingAcknowledged records the first acknowledgement that the worker leaves.
 func (w *workerIncarnation) leavingAcknowledged() {
 	s := w.host.sim
 	w.drainAcknowledgedAt = s.now
-	s.invariantChecker.count(DrainRule)
+	s.checker.count(DrainRule)
 	if w.leavingSince >= w.host.heartbeatsUnreliableUntil {
-		s.invariantChecker.acknowledged("the leaving of a worker", w.leavingSince)
+		s.checker.checkAcknowledgement("the leaving of a worker", w.leavingSince)
 	}
 }
 
-// leave says that the worker ends, and ends it.
+// leave reports that the worker leaves, and ends it.
 func (w *workerIncarnation) leave() {
-	if !w.up() {
+	if !w.isUp() {
 		return
 	}
 	w.sendHeartbeat(true, func(bool) {})
-	w.host.sim.after(w.host.sim.between(5*time.Millisecond, 50*time.Millisecond), w.die)
+	w.host.sim.after(w.host.sim.between(5*time.Millisecond, 50*time.Millisecond), w.terminate)
 }
 
 // drain begins a planned end.
 func (w *workerIncarnation) drain() {
-	if w.draining || w.leaving || !w.up() {
+	if w.isDraining || w.isLeaving || !w.isUp() {
 		return
 	}
-	w.draining, w.leavingSince = true, w.host.sim.now
+	w.isDraining, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s drains", w.id)
-	w.host.sim.after(plannedEnd, w.leave) // also without an acknowledgement
+	w.host.sim.after(maxDrainTime, w.leave) // also without an acknowledgement
 }
 
-// record is what the worker tells of itself.
+// record is what the worker reports of itself.
 func (w *workerIncarnation) record() jobs.Worker {
 	host := w.host
 	return jobs.Worker{ID: w.id, Address: host.address, Service: host.service, Zone: host.zone, Rack: host.rack,
-		Labels: host.labels, Capacity: host.capacity, Draining: w.draining}
+		Labels: host.labels, Capacity: host.capacity, Draining: w.isDraining}
 }
 
-// anyLeader gives a node that takes itself for the leader; nil if there is none.
+// anyLeader returns a node that takes itself for the leader; nil if there is none.
 func (s *simulator) anyLeader() *node {
 	var leading []*node
 	for _, n := range s.nodes {
-		if n.term != 0 && !n.down {
+		if n.term != 0 && !n.isDown {
 			leading = append(leading, n)
 		}
 	}
@@ -182,10 +183,11 @@
 	return leading[s.rng.IntN(len(leading))]
 }
 
-// look reads the table if this node may answer for it, as controller.Leader.look.
-func (n *node) look() (table *jobs.Table, term uint64, err error) {
+// readTable reads the table if this node may answer for it, as controller.Leader.readTable.
+func (n *node) readTable() (table *jobs.Table, term uint64, err error) {
 	term, isLeader := n.leadTerm()
-	if without := n.sim.opt.Break; (without == NoLeaseCheck || without == OldLeadersAnswer) && n.core.Term() != 0 {
+	removed := n.sim.options.WithoutGuard
+	if (removed == NoLeaseCheck || removed == OldLeadersAnswer) && n.core.Term() != 0 {
 		term, isLeader = n.core.Term(), true
 	}
 	switch {
@@ -197,9 +199,9 @@
 	return n.table, term, nil
 }
 
-// receiveHeartbeat takes a heartbeat in, as controller.Leader.Beat.
+// receiveHeartbeat handles a heartbeat, as controller.Leader.Heartbeat.
 func (n *node) receiveHeartbeat(call heartbeat, done func(error)) {
-	table, term, err := n.look()
+	table, term, err := n.readTable()
 	if err != nil {
 		done(err)
 		return
@@ -216,11 +218,11 @@
 			worker = *known
 		}
 		worker.Left = true
-	} else if call.sequence < n.beats[worker.ID] && n.sim.opt.Break != StaleHeartbeatsCount {
+	} else if call.sequence < n.newestHeartbeat[worker.ID] && n.sim.options.WithoutGuard != StaleHeartbeatsCount {
 		done(nil)
 		return
 	} else {
-		n.beats[worker.ID] = call.sequence
+		n.newestHeartbeat[worker.ID] = call.sequence
 	}
 	finish := func(err error) {
 		if err == nil && !call.leaving {
@@ -228,7 +230,8 @@
 		}
 		done(err)
 	}
-	if known != nil && !changedWorker(known, &worker) && (n.sim.opt.Break != StaleHeartbeatsCount || known.Draining == worker.Draining) {
+	countsStale := n.sim.options.WithoutGuard == StaleHeartbeatsCount
+	if known != nil && !changedWorker(known, &worker) && (!countsStale || known.Draining == worker.Draining) {
 		finish(nil)
 		return
 	}
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -12,41 +12,41 @@
 	"crosstide/internal/jobs"
 )
 
-// order is what is known of the order that began a run.
+// order is what the checker must know of the order that began a run.
 type order struct {
-	from    *node
-	sent    time.Duration
-	inTouch bool // its sender was in touch when it left
-	late    bool // the worker carried it out late
+	from       *node
+	sent       time.Duration
+	wasInTouch bool // its sender was in touch when it left
+	isLate     bool // the worker carried it out late
 }
 
 // liveRun is a run on a worker.
 type liveRun struct {
-	key      jobs.RunKey
-	order    order
-	spec     *jobs.Spec
-	step     *jobs.Step
-	on       *workerIncarnation
-	began    time.Duration
-	work     time.Duration // what is left to do here, checkpoint counted in
-	saved    time.Duration // work done before, by its checkpoint
-	workedAt time.Duration // the life's time of work when it began to work; -1: it waits for its gang
-	factor   float64       // how many times as long the work takes here
-	fails    bool
-	stopping bool
-	gang     *gang
-}
-
-// begin starts a run.
-func (w *workerIncarnation) begin(from order, o scheduler.StartOrder, spec *jobs.Spec, step *jobs.Step) {
+	key        jobs.RunKey
+	order      order
+	spec       *jobs.Spec
+	step       *jobs.Step
+	worker     *workerIncarnation
+	began      time.Duration
+	work       time.Duration // that is left to do here, by the checkpoint
+	saved      time.Duration // work done before, by its checkpoint
+	workedAt   time.Duration // workedTime of its worker when it began to work; -1: it waits for its gang
+	factor     float64       // how many times as long the work takes here
+	fails      bool
+	isStopping bool
+	gang       *gang
+}
+
+// beginRun starts a run.
+func (w *workerIncarnation) beginRun(from order, o scheduler.StartOrder, spec *jobs.Spec, step *jobs.Step) {
 	s := w.host.sim
-	r := &liveRun{key: o.Key, order: from, spec: spec, step: step, on: w, began: s.now, workedAt: -1}
-	s.invariantChecker.started(r, o)
+	r := &liveRun{key: o.Key, order: from, spec: spec, step: step, worker: w, began: s.now, workedAt: -1}
+	s.checker.started(r, o)
 	w.runs = append(w.runs, r)
 	r.saved = checkpointWork(o.Checkpoint)
 	whole := workOf(spec, o.Key.Task)
-	r.fails = w.failsAll || s.chance(w.failing) || failsItself(spec, o.Key)
-	factor := w.host.speed * w.slow
+	r.fails = w.failsAll || s.chance(w.failShare) || failsItself(spec, o.Key)
+	factor := w.host.speed * w.slowFactor
 	if step.PreferredRack != "" && !slices.Contains(w.host.labels, step.PreferredRack) {
 		factor *= spreadFactor
 	}
@@ -65,38 +65,38 @@
 		s.joinGang(r)
 		return
 	}
-	r.run()
+	r.startWork()
 }
 
-// run begins the work.
-func (r *liveRun) run() {
-	r.workedAt = r.on.worked()
-	r.expect(r.work)
+// startWork begins the work.
+func (r *liveRun) startWork() {
+	r.workedAt = r.worker.workedTime()
+	r.scheduleEnd(r.work)
 }
 
-// expect looks again when the work may be done.
-func (r *liveRun) expect(d time.Duration) {
-	r.on.host.sim.after(d, func() {
-		if !r.on.present(r) || r.stopping {
+// scheduleEnd ends the run when its work is done, at the earliest after d.
+func (r *liveRun) scheduleEnd(d time.Duration) {
+	r.worker.host.sim.after(d, func() {
+		if !r.worker.hasRun(r) || r.isStopping {
 			return
 		}
-		if left := r.work - (r.on.worked() - r.workedAt); left > 0 {
-			r.expect(max(left, 100*time.Millisecond))
+		if left := r.work - (r.worker.workedTime() - r.workedAt); left > 0 {
+			r.scheduleEnd(max(left, 100*time.Millisecond))
 			return
 		}
 		if r.fails {
-			r.on.finish(r, jobs.EndFailed)
+			r.worker.finish(r, jobs.EndFailed)
 		} else {
-			r.on.finish(r, jobs.EndDone)
+			r.worker.finish(r, jobs.EndDone)
 		}
 	})
 }
 
-func (w *workerIncarnation) present(r *liveRun) bool { return w.up() && slices.Contains(w.runs, r) }
+func (w *workerIncarnation) hasRun(r *liveRun) bool { return w.isUp() && slices.Contains(w.runs, r) }
 
 // finish ends a run that is here and lists its end.
 func (w *workerIncarnation) finish(r *liveRun, reason jobs.EndReason) {
-	if !w.present(r) {
+	if !w.hasRun(r) {
 		return
 	}
 	checkpoint := r.checkpoint()
@@ -105,20 +105,21 @@
 	}
 	w.listEnd(r, reason, checkpoint)
 	if r.gang != nil {
-		r.gang.left(r, reason)
+		r.gang.memberEnded(r)
 	}
 }
 
-// listEnd takes a run out and lists its end, the rest of its gang apart.
+// listEnd removes a run and lists its end; the rest of its gang is not concerned.
 func (w *workerIncarnation) listEnd(r *liveRun, reason jobs.EndReason, checkpoint string) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
-	w.last++
-	w.floor[r.key.Task] = max(w.floor[r.key.Task], r.key.Number)
+	w.newestEnd++
+	w.closedUpTo[r.key.Task] = max(w.closedUpTo[r.key.Task], r.key.Number)
 	if reason == jobs.EndDone {
 		checkpoint = ""
 	}
-	w.ends = append(w.ends, scheduler.EndedRun{Sequence: w.last, Key: r.key, Reason: reason, Checkpoint: checkpoint})
-	w.notes[w.last] = w.host.sim.invariantChecker.ended(r, reason)
+	w.unacknowledged = append(w.unacknowledged, scheduler.EndedRun{Sequence: w.newestEnd, Key: r.key, Reason: reason,
+		Checkpoint: checkpoint})
+	w.endRecords[w.newestEnd] = w.host.sim.checker.ended(r, reason)
 	pendingRenewals := w.pendingRenewals
 	w.pendingRenewals = nil
 	for _, h := range pendingRenewals {
@@ -126,23 +127,23 @@
 	}
 }
 
-// remove takes a run out without an end.
+// remove removes a run without an end.
 func (w *workerIncarnation) remove(r *liveRun) {
 	w.runs = slices.DeleteFunc(w.runs, func(other *liveRun) bool { return other == r })
 	if r.gang != nil {
-		r.gang.left(r, jobs.EndLost)
+		r.gang.memberEnded(r)
 	}
 }
 
-// progress is the work done, what was saved before included.
+// progress is the work that is done, with what was saved before.
 func (r *liveRun) progress() time.Duration {
 	if r.workedAt < 0 {
 		return r.saved
 	}
-	return r.saved + time.Duration(float64(r.on.worked()-r.workedAt)/r.factor)
+	return r.saved + time.Duration(float64(r.worker.workedTime()-r.workedAt)/r.factor)
 }
 
-// percent is the share of the work that is done, as it is listed.
+// percent is the share of the work that is done, as the worker lists it.
 func (r *liveRun) percent() int {
 	whole := workOf(r.spec, r.key.Task)
 	if whole <= 0 {
@@ -151,7 +152,7 @@
 	return int(min(99, 100*r.progress()/whole))
 }
 
-// checkpoint is the newest saved progress as it is listed.
+// checkpoint is the newest saved progress, as the worker lists it.
 func (r *liveRun) checkpoint() string {
 	if !r.step.Checkpoints {
 		return ""
@@ -168,7 +169,7 @@
 		return ""
 	}
 	text := fmt.Sprintf("%08x-%s", done.Milliseconds(), checkpointOwner(r.key.Task, r.step.Gang))
-	r.on.host.sim.invariantChecker.savedAs(r, text)
+	r.worker.host.sim.checker.recordCheckpoint(r, text)
 	return text
 }
 
@@ -190,14 +191,14 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// draw gives a number in [0, 1) that depends on what is named alone.
+// draw returns a number in [0, 1) that depends on its arguments alone.
 func draw(parts ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, parts...) // never fails
 	return float64(h.Sum64()%100003) / 100003
 }
 
-// workOf is how long a task takes on a sound worker.
+// workOf is how long a task takes on a healthy worker.
 func workOf(spec *jobs.Spec, ref jobs.TaskRef) time.Duration {
 	step := &spec.Steps[ref.Step]
 	if step.Gang {
@@ -207,14 +208,14 @@
 	return time.Duration(float64(step.Estimate) * factor)
 }
 
-// Payloads that tell the stand-in how a job's tasks behave.
+// Payloads: how a job's tasks behave on the stand-in.
 const (
 	payloadSound  = "sound"
 	payloadFlaky  = "flaky"  // a fifth of the runs fail
 	payloadPoison = "poison" // every run of the first task fails
 )
 
-// failsItself tells whether a run fails through its own fault.
+// failsItself reports whether a run fails whatever the worker.
 func failsItself(spec *jobs.Spec, key jobs.RunKey) bool {
 	kind, _, _ := strings.Cut(spec.Payload, " ")
 	switch kind {
@@ -225,105 +226,3 @@
 	}
 	return false
 }
-
-// gangKey names one run of a gang.
-type gangKey struct {
-	job                 string
-	round, step, number int
-}
-
-func (r *liveRun) gangKey() gangKey {
-	return gangKey{r.key.Task.Job, r.key.Task.Round, r.key.Task.Step, r.key.Number}
-}
-
-// gang is one run of a gang: its members can work only together.
-type gang struct {
-	sim     *simulator
-	members []*liveRun
-	count   int
-	working bool
-	over    bool
-}
-
-// joinGang lets a run wait for the other members, or begin with them.
-func (s *simulator) joinGang(r *liveRun) {
-	key := r.gangKey()
-	g := s.gangs[key]
-	if g == nil || g.over {
-		g = &gang{sim: s, count: r.step.Count}
-		s.gangs[key] = g
-	}
-	r.gang = g
-	g.members = append(g.members, r)
-	if len(g.members) == g.count {
-		g.begin()
-		return
-	}
-	s.after(gangTimeout, func() {
-		if !g.working && r.on.present(r) {
-			r.on.finish(r, jobs.EndGangTimeout)
-		}
-	})
-}
-
-// begin is called when all members are present.
-func (g *gang) begin() {
-	g.working = true
-	var work time.Duration
-	racks := map[string]bool{}
-	for _, m := range g.members {
-		m.workedAt = m.on.worked()
-		work = max(work, m.work)
-		racks[m.on.host.rack] = true
-	}
-	if g.members[0].step.SameRack && len(racks) > 1 {
-		work = time.Duration(float64(work) * spreadFactor)
-	}
-	g.expect(work)
-}
-
-func (g *gang) expect(d time.Duration) {
-	g.sim.after(d, func() {
-		if g.over {
-			return
-		}
-		for _, m := range g.members {
-			if m.on.stalledSince > 0 {
-				g.expect(200 * time.Millisecond)
-				return
-			}
-		}
-		g.done()
-	})
-}
-
-// done ends all members together, or one as failed and the rest as broken.
-func (g *gang) done() {
-	for _, m := range g.members {
-		if m.fails && m.on.present(m) {
-			m.on.finish(m, jobs.EndFailed)
-			return
-		}
-	}
-	g.over = true
-	for _, m := range slices.Clone(g.members) {
-		if m.on.present(m) {
-			m.on.listEnd(m, jobs.EndDone, "")
-		}
-	}
-}
-
-// left is called when a member has ended: the others are broken if they were at work.
-func (g *gang) left(r *liveRun, reason jobs.EndReason) {
-	g.members = slices.DeleteFunc(g.members, func(m *liveRun) bool { return m == r })
-	if g.over || !g.working {
-		return
-	}
-	g.over = true
-	for _, m := range slices.Clone(g.members) {
-		if m.on.present(m) {
-			checkpoint := m.checkpoint()
-			m.on.listEnd(m, jobs.EndGangBroken, checkpoint)
-		}
-	}
-}
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -9,10 +9,10 @@
 	"crosstide/internal/jobs"
 )
 
-// What the platform's settings say of workers.
+// The platform's settings of workers.
 const (
 	maxLease           = 10 * time.Second
-	stopMost           = 400 * time.Millisecond
+	maxStopDelay       = 400 * time.Millisecond
 	gangTimeout        = 3 * time.Second
 	checkpointInterval = time.Second
 	restoreTime        = 100 * time.Millisecond
@@ -21,21 +21,21 @@
 	slowestClock       = 0.98
 )
 
-// host is a machine of workers: one life of a worker after another at one address.
+// workerHost is a machine of workers: one incarnation of a worker after another at one address.
 type workerHost struct {
-	sim      *simulator
-	address  string
-	service  string
-	guards   bool
-	zone     string
-	rack     string
-	labels   []string
-	kinds    [2]string // of the present life, and the other one
-	capacity jobs.Resources
-	speed    float64            // how many times as long a task takes here
-	current  *workerIncarnation // nil: nothing runs here
+	sim            *simulator
+	address        string
+	service        string
+	checksCapacity bool
+	zone           string
+	rack           string
+	labels         []string
+	kinds          [2]string // of the present incarnation, and the other one
+	capacity       jobs.Resources
+	speed          float64            // how many times as long a task takes here
+	current        *workerIncarnation // nil: nothing runs here
 
-	cut              bool           // from the whole core
+	isCutOff         bool           // from the whole core
 	cutFrom          map[*node]bool // from single nodes
 	lateUntil        time.Duration  // until then it carries many orders out late
 	answersLostUntil time.Duration  // until then it loses answers
@@ -46,40 +46,40 @@
 	heartbeatsUnreliableUntil time.Duration // until then heartbeats may not come, or their answers do not count
 }
 
-// cutOff tells whether nothing passes between the slot and a node.
-func (host *workerHost) cutOff(n *node) bool { return host.cut || host.cutFrom[n] }
+// cutOff reports whether nothing passes between the host and a node.
+func (host *workerHost) cutOff(n *node) bool { return host.isCutOff || host.cutFrom[n] }
 
-// workerIncarnation is one life of a worker, under an ID of its own.
+// workerIncarnation is one incarnation of a worker, under an ID of its own.
 type workerIncarnation struct {
 	host            *workerHost
 	id              string
 	startedAt       time.Duration
-	base            time.Duration // its clock when it began
-	rate            float64       // of its clock
+	clockBase       time.Duration // its clock when it began
+	clockRate       float64       // of its clock
 	token           uint64        // highest fencing token seen
-	lease           time.Duration // on its clock
-	runs            []*liveRun    // in the order they came
-	ends            []scheduler.EndedRun
-	last            uint64                // number of the newest end
-	floor           map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
-	notes           map[uint64]*endRecord // the oracle's records of the ends that are listed
+	leaseDeadline   time.Duration // on its clock
+	runs            []*liveRun    // in the order they began
+	unacknowledged  []scheduler.EndedRun
+	newestEnd       uint64                // number of the newest end
+	closedUpTo      map[jobs.TaskRef]int  // highest run of a task that was stopped or ended here
+	endRecords      map[uint64]*endRecord // the checker's records of unacknowledged, by number
 	pendingRenewals []*pendingRenewal
 
-	stalledSince        time.Duration // tasks stand still since; 0: they work
-	stalledFor          time.Duration // how long they stood still before
+	stalledSince        time.Duration // its tasks make no progress since; 0: they do
+	stalledFor          time.Duration // how long they made none before that
 	failsAll            bool          // fails all it starts
-	failing             float64       // share of what it starts that fails
-	refuses             bool          // it refuses starts as if it were sick
-	slow                float64       // on top of the slot's speed
-	draining            bool
+	failShare           float64       // share of what it starts that fails
+	refuses             bool          // it refuses starts as if it were unhealthy
+	slowFactor          float64       // on top of the host's speed
+	isDraining          bool
 	drainAcknowledgedAt time.Duration // when the core first acknowledged it; 0: not yet
-	leaving             bool          // it deregisters first and serves on
+	isLeaving           bool          // it deregisters first and serves on
 	leavingSince        time.Duration // when it first said that it drains or ends
 	heartbeatSequence   uint64
-	leaseNo             int
+	leaseNumber         int // of the newest extension: the timers of older ones are dropped
 }
 
-// pendingRenewal is a hold call whose answer waits for an end.
+// pendingRenewal is a lease renewal whose answer waits for an end.
 type pendingRenewal struct{ reply func() }
 
 // startWorker starts a worker, if none runs here.
@@ -92,14 +92,15 @@
 	if s.incarnations%otherKindEvery == 0 {
 		host.changeKind()
 	}
-	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now, base: s.between(time.Second, 500*time.Second),
-		rate: slowestClock + (1-slowestClock)*s.rng.Float64(), slow: 1,
-		floor: map[jobs.TaskRef]int{}, notes: map[uint64]*endRecord{}}
+	w := &workerIncarnation{host: host, id: fmt.Sprintf("w%03d", s.incarnations), startedAt: s.now,
+		clockBase: s.between(time.Second, 500*time.Second),
+		clockRate: slowestClock + (1-slowestClock)*s.rng.Float64(), slowFactor: 1,
+		closedUpTo: map[jobs.TaskRef]int{}, endRecords: map[uint64]*endRecord{}}
 	host.current = w
 	w.heartbeatLoop()
 }
 
-// otherKindEvery is how often a new life at an address is of another kind than the one before.
+// otherKindEvery is how often a new incarnation at an address is of another kind than the one before.
 const otherKindEvery = 5
 
 func (host *workerHost) changeKind() {
@@ -110,14 +111,14 @@
 
 // clock is what the worker's own clock shows.
 func (w *workerIncarnation) clock() time.Duration {
-	return w.base + time.Duration(float64(w.host.sim.now-w.startedAt)*w.rate)
+	return w.clockBase + time.Duration(float64(w.host.sim.now-w.startedAt)*w.clockRate)
 }
 
-// up tells whether this life still runs.
-func (w *workerIncarnation) up() bool { return w.host.current == w }
+// isUp reports whether this incarnation still runs.
+func (w *workerIncarnation) isUp() bool { return w.host.current == w }
 
-// worked is the time its tasks had for work since it began.
-func (w *workerIncarnation) worked() time.Duration {
+// workedTime is the time in which its tasks made progress since it began.
+func (w *workerIncarnation) workedTime() time.Duration {
 	t := w.host.sim.now - w.startedAt - w.stalledFor
 	if w.stalledSince > 0 {
 		t -= w.host.sim.now - w.stalledSince
@@ -125,8 +126,8 @@
 	return t
 }
 
-// fenced tells whether an order carries a lower token than one seen before.
-func (w *workerIncarnation) fenced(token uint64) bool {
+// isFenced reports whether an order has a lower token than one seen before; else it keeps the token.
+func (w *workerIncarnation) isFenced(token uint64) bool {
 	if token < w.token {
 		return true
 	}
@@ -134,42 +135,42 @@
 	return false
 }
 
-// extend renews the lease of everything that runs.
-func (w *workerIncarnation) extend(deadline time.Duration) {
+// extendLease renews the lease of everything that runs.
+func (w *workerIncarnation) extendLease(deadline time.Duration) {
 	deadline = min(deadline, w.clock()+maxLease)
-	if deadline <= w.lease {
+	if deadline <= w.leaseDeadline {
 		return
 	}
-	w.lease = deadline
-	w.leaseNo++
-	number := w.leaseNo
-	real := time.Duration(float64(deadline-w.clock())/w.rate) + time.Millisecond
-	w.host.sim.after(real, func() {
-		if w.up() && number == w.leaseNo && w.clock() >= w.lease {
-			w.lapse()
+	w.leaseDeadline = deadline
+	w.leaseNumber++
+	number := w.leaseNumber
+	remaining := time.Duration(float64(deadline-w.clock())/w.clockRate) + time.Millisecond
+	w.host.sim.after(remaining, func() {
+		if w.isUp() && number == w.leaseNumber && w.clock() >= w.leaseDeadline {
+			w.expireLease()
 		}
 	})
 }
 
-// lapse kills everything that runs.
-func (w *workerIncarnation) lapse() {
-	w.host.sim.invariantChecker.lapsed(w)
+// expireLease kills everything that runs.
+func (w *workerIncarnation) expireLease() {
+	w.host.sim.checker.leaseExpired(w)
 	for _, r := range slices.Clone(w.runs) {
 		w.finish(r, jobs.EndLeaseExpired)
 	}
 }
 
-// start carries a start order out.
+// start carries out a start order.
 func (w *workerIncarnation) start(from order, o scheduler.StartOrder) scheduler.StartAnswer {
 	refuse := func(why scheduler.Refusal) scheduler.StartAnswer {
 		w.host.sim.report.Seen["start refused: "+string(why)]++
 		return scheduler.StartAnswer{Clock: w.clock(), Refusal: why}
 	}
-	if w.fenced(o.Token) {
+	if w.isFenced(o.Token) {
 		return refuse(scheduler.RefusedFenced)
 	}
-	if w.find(o.Key) != nil {
-		w.extend(o.LeaseDeadline)
+	if w.findRun(o.Key) != nil {
+		w.extendLease(o.LeaseDeadline)
 		return scheduler.StartAnswer{Clock: w.clock()}
 	}
 	if o.LeaseDeadline <= w.clock() {
@@ -178,87 +179,88 @@
 	if w.refuses || w.host.sim.chance(0.002) {
 		return refuse(scheduler.RefusedUnhealthy)
 	}
-	w.extend(o.LeaseDeadline)
-	if o.Key.Number <= w.floor[o.Key.Task] {
+	w.extendLease(o.LeaseDeadline)
+	if o.Key.Number <= w.closedUpTo[o.Key.Task] {
 		return refuse(scheduler.RefusedStale)
 	}
 	spec := w.host.sim.clients.spec(o.Key.Task.Job)
 	if spec == nil {
-		w.host.sim.invariantChecker.unknownStart(o)
+		w.host.sim.checker.unknownStart(o)
 		return refuse(scheduler.RefusedInvalid)
 	}
 	step := &spec.Steps[o.Key.Task.Step]
-	if w.host.guards && !fits(plus(w.used(), step.Needs), w.host.capacity) {
+	if w.host.checksCapacity && !fits(plus(w.used(), step.Needs), w.host.capacity) {
 		return refuse(scheduler.RefusedCapacity)
 	}
-	w.begin(from, o, spec, step)
+	w.beginRun(from, o, spec, step)
 	return scheduler.StartAnswer{Clock: w.clock()}
 }
 
-// stop carries a stop order out; it tells whether it was taken.
+// stop carries out a stop order; false if it is fenced.
 func (w *workerIncarnation) stop(o scheduler.StopOrder) bool {
-	if w.fenced(o.Token) {
+	if w.isFenced(o.Token) {
 		return false
 	}
-	w.floor[o.Key.Task] = max(w.floor[o.Key.Task], o.Key.Number)
-	if r := w.find(o.Key); r != nil && !r.stopping {
-		r.stopping = true
-		w.host.sim.after(w.host.sim.between(0, stopMost), func() { w.finish(r, jobs.EndStopped) })
+	w.closedUpTo[o.Key.Task] = max(w.closedUpTo[o.Key.Task], o.Key.Number)
+	if r := w.findRun(o.Key); r != nil && !r.isStopping {
+		r.isStopping = true
+		w.host.sim.after(w.host.sim.between(0, maxStopDelay), func() { w.finish(r, jobs.EndStopped) })
 	}
 	return true
 }
 
-// renewLease carries a hold call out; the answer may wait for an end.
+// renewLease carries out a lease renewal; the answer may wait for an end.
 func (w *workerIncarnation) renewLease(call scheduler.LeaseRenewal, reply func(leaseReply)) {
-	if w.fenced(call.Token) {
+	if w.isFenced(call.Token) {
 		reply(leaseReply{fenced: true})
 		return
 	}
 	w.acknowledge(call.AcknowledgedUpTo)
 	if call.LeaseDeadline > 0 {
-		w.extend(call.LeaseDeadline)
+		w.extendLease(call.LeaseDeadline)
 	}
-	if call.Wait <= 0 || len(w.ends) > 0 {
-		reply(w.lists())
+	if call.Wait <= 0 || len(w.unacknowledged) > 0 {
+		reply(w.status())
 		return
 	}
 	done := false
 	answer := func() {
-		if !done && w.up() {
+		if !done && w.isUp() {
 			done = true
-			reply(w.lists())
+			reply(w.status())
 		}
 	}
 	w.pendingRenewals = append(w.pendingRenewals, &pendingRenewal{reply: answer})
 	w.host.sim.after(call.Wait, answer)
 }
 
-// acknowledge forgets ends.
+// acknowledge drops the ends up to a number.
 func (w *workerIncarnation) acknowledge(upTo uint64) {
-	for len(w.ends) > 0 && w.ends[0].Sequence <= upTo {
-		w.host.sim.invariantChecker.noted(w.notes[w.ends[0].Sequence])
-		delete(w.notes, w.ends[0].Sequence)
-		w.ends = w.ends[1:]
+	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Sequence <= upTo {
+		w.host.sim.checker.endAcknowledged(w.endRecords[w.unacknowledged[0].Sequence])
+		delete(w.endRecords, w.unacknowledged[0].Sequence)
+		w.unacknowledged = w.unacknowledged[1:]
 	}
 }
 
-// endsInAnswer is how many ends an answer holds.
-const endsInAnswer = 12
+// maxEndsPerAnswer is how many ends an answer lists.
+const maxEndsPerAnswer = 12
 
-// lists gives the answer to a hold call.
-func (w *workerIncarnation) lists() leaseReply {
+// status is the answer to a lease renewal.
+func (w *workerIncarnation) status() leaseReply {
 	a := scheduler.RenewalAnswer{Clock: w.clock()}
 	for _, r := range w.runs {
-		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(), Percent: r.percent()})
+		a.Running = append(a.Running, scheduler.ListedRun{Key: r.key, Checkpoint: r.checkpoint(),
+			Percent: r.percent()})
 	}
-	a.Ended = slices.Clone(w.ends[:min(endsInAnswer, len(w.ends))])
-	if a.Full = len(w.ends) > endsInAnswer; a.Full {
+	a.Ended = slices.Clone(w.unacknowledged[:min(maxEndsPerAnswer, len(w.unacknowledged))])
+	if a.Full = len(w.unacknowledged) > maxEndsPerAnswer; a.Full {
 		w.host.sim.report.Seen["answer full of ends"]++
 	}
 	return leaseReply{answer: a}
 }
 
-// used is what everything here takes, what is being stopped included.
+// used is what all runs take, with those that are being stopped.
 func (w *workerIncarnation) used() jobs.Resources {
 	var sum jobs.Resources
 	for _, r := range w.runs {
@@ -267,7 +269,7 @@
 	return sum
 }
 
-func (w *workerIncarnation) find(key jobs.RunKey) *liveRun {
+func (w *workerIncarnation) findRun(key jobs.RunKey) *liveRun {
 	for _, r := range w.runs {
 		if r.key == key {
 			return r
@@ -276,17 +278,17 @@
 	return nil
 }
 
-// die ends this life: everything on it is gone without an end.
-func (w *workerIncarnation) die() {
-	if !w.up() {
+// terminate ends this incarnation: everything on it is lost without an end.
+func (w *workerIncarnation) terminate() {
+	if !w.isUp() {
 		return
 	}
 	w.host.current = nil
 	w.host.sim.trace("%s dies", w.id)
-	w.host.sim.invariantChecker.died(w)
+	w.host.sim.checker.workerLost(w)
 	for _, r := range slices.Clone(w.runs) {
 		w.remove(r)
-		w.host.sim.invariantChecker.gone(r)
+		w.host.sim.checker.runLost(r)
 	}
 }
 
--- /dev/null
+++ b/internal/testbed/load/arrivals.go
@@ -0,0 +1,77 @@
+package load
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"crosstide/internal/state"
+)
+
+// arrival is one job to come; all chance in it is of the load's seed.
+type arrival struct {
+	at          time.Duration // since the start of the load
+	spec        state.Spec
+	cancelAfter time.Duration // after it was accepted; below 0: never
+	isRepeated  bool          // it is submitted once more at another node
+	seed        uint64        // of the choice of nodes
+}
+
+// countInterval is the time between two arrivals of a load of Options.Count jobs.
+const countInterval = 20 * time.Millisecond
+
+// planArrivals returns the arrivals of a load in order: the same seed makes the same ones. The order of the draws is
+// part of that: a draw that is added or moved changes the load of every seed.
+func planArrivals(o Options) []arrival {
+	rng := rand.New(rand.NewPCG(o.Seed, 1))
+	program := programOf(o)
+	var out []arrival
+	for at := time.Duration(0); ; {
+		if o.Count > 0 {
+			at += countInterval
+		} else {
+			at += time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second))
+		}
+		if at >= o.Duration || o.Count > 0 && len(out) == o.Count {
+			return out
+		}
+		next := arrival{at: at, cancelAfter: -1, seed: rng.Uint64()}
+		if rng.Float64() < o.CancelProbability {
+			next.cancelAfter = time.Duration(rng.Float64() * float64(time.Second))
+		}
+		if o.LongRunning {
+			next.cancelAfter = o.Duration - at
+		}
+		next.isRepeated = rng.Float64() < o.DuplicateProbability
+		next.spec = specOf(o, len(out), program)
+		out = append(out, next)
+	}
+}
+
+// programOf is what a task does on a stand-in worker.
+func programOf(o Options) []byte {
+	ms := o.TaskDuration.Milliseconds()
+	if o.LongRunning {
+		ms = -1
+	}
+	program, err := json.Marshal(map[string]any{"ms": ms, "ok": true})
+	if err != nil {
+		panic(err) // a number and a bool
+	}
+	return program
+}
+
+// specOf is the nth job of a load: steps one after the other.
+func specOf(o Options, nth int, program []byte) state.Spec {
+	spec := state.Spec{Key: fmt.Sprintf("%s-%d", o.Prefix, nth), Team: o.Team, Queue: o.Queue}
+	for i := range o.Steps {
+		step := state.StepSpec{Name: fmt.Sprintf("s%d", i+1), Type: o.Type, Tasks: o.Tasks, Cores: o.Cores,
+			GPUs: o.GPUs, Gang: o.Gang, LongRunning: o.LongRunning, Labels: o.Labels, Retries: o.Retries, Run: program}
+		if i > 0 {
+			step.After = []string{fmt.Sprintf("s%d", i)}
+		}
+		spec.Steps = append(spec.Steps, step)
+	}
+	return spec
+}
