--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -5,15 +5,14 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
-
 	"crosstide/internal/internalapi"
 	"crosstide/internal/state"
 	"crosstide/internal/state/command"
 )
 
-// fleet makes a holder of sched at the size to design for, every minion heard once and cores per minion taken.
-func fleet(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
+// newFullCluster is a scheduler of a cluster on which runs are running: every worker was heard once, and one core of each
+// is free. Tasks of classes wait that need two.
+func newFullCluster(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
 	b.Helper()
 	st := state.New()
 	index := uint64(0)
@@ -82,44 +81,16 @@
 	m := st.Workers[o.Worker]
 	a := internalapi.LeaseAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Incarnation: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
 	a.Running = st.RunIDsOn(m.Name)
-	c.CallAnswered(now, o.Worker, o.IsOrder, o.Call, a)
-}
-
-func TestUnschedulableClass(t *testing.T) {
-	Convey("A kind of task that fits nowhere is placed by the first pass after room came, without a sweep", t, func() {
-		c, st, now := fleet(t, 4, 4, 1)
-		index := st.Index
-		apply := func(cmd command.Command) {
-			index++
-			data, err := command.Encode(time.Unix(0, 0), cmd)
-			So(err, ShouldBeNil)
-			_, err = command.Apply(st, index, 1, data)
-			So(err, ShouldBeNil)
-		}
-		refusePlan(c, now, c.Pass(now).Plan)
-		So(c.Pass(now).Plan, ShouldBeNil)
-		apply(&command.Plan{Epoch: c.Epoch(), Ends: []command.End{{RunID: 3, OK: true}}})
-		p := c.Pass(now).Plan
-		So(p, ShouldNotBeNil)
-		So(len(p.Starts), ShouldEqual, 1)
-		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
-		Convey("a refused start leaves its room to the next pass", func() {
-			refusePlan(c, now, p)
-			again := c.Pass(now).Plan
-			So(again, ShouldNotBeNil)
-			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its kind
-			So(again.Starts[0].Worker, ShouldEqual, p.Starts[0].Worker)
-		})
-	})
+	c.CallAnswered(now, o, a)
 }
 
-// BenchmarkPass is one answer and the pass after it, at 1,600 minions with 28,800 runs: what the holder of sched does
+// BenchmarkPass is one answer and the pass after it, at 1,600 workers with 28,800 runs: what the scheduler does
 // some two thousand times a second. With classes it has that many kinds of due tasks which fit nowhere, while a core
-// is free on every minion.
+// is free on every worker.
 func BenchmarkPass(b *testing.B) {
 	for _, classes := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("stuck=%d", classes), func(b *testing.B) {
-			c, st, now := fleet(b, 1600, 28800, classes)
+			c, st, now := newFullCluster(b, 1600, 28800, classes)
 			now += 10 * time.Millisecond
 			first := c.Pass(now)
 			refusePlan(c, now, first.Plan)
--- /dev/null
+++ b/internal/dataplane/scheduler/determinism_test.go
@@ -0,0 +1,52 @@
+package scheduler
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+)
+
+// The tables are maps; what a core does must not hang on the order in which they are walked.
+func TestSameInputsSamePlans(t *testing.T) {
+	Convey("A new leader places the oldest due task first, every time the same way", t, func() {
+		var plans [8]string
+		for i := range plans {
+			h := newHarness("check", "m1", "m2", "m3")
+			for n := range 20 {
+				h.submit(fmt.Sprintf("j%d", (n*7)%20), state.StepSpec{})
+			}
+			h.commitPlans()
+			h.lead()
+			h.core.Pass(h.now)
+			h.core.Reset(h.now, h.st)
+			for _, m := range []string{"m1", "m2", "m3"} {
+				rec := *h.st.Workers[m]
+				rec.Incarnation, rec.Cores = "b1", 4
+				h.st.Workers[m] = &rec
+			}
+			for _, c := range h.core.Pass(h.now).Calls {
+				h.answer(c, "check", internalapi.LeaseAnswer{Zone: "z1"})
+			}
+			for {
+				out := h.core.Pass(h.now)
+				if out.Plan == nil {
+					break
+				}
+				raw, err := json.Marshal(out.Plan)
+				So(err, ShouldBeNil)
+				plans[i] += string(raw)
+				for k, s := range out.Plan.Starts {
+					So(s.Ref.Job, ShouldEqual, fmt.Sprintf("j%d", (k*7)%20))
+				}
+				h.commit(out.Plan)
+			}
+			So(plans[i], ShouldNotBeEmpty)
+			So(plans[i], ShouldEqual, plans[0])
+		}
+	})
+}
--- /dev/null
+++ b/internal/dataplane/scheduler/place_test.go
@@ -0,0 +1,62 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+func TestLimitLowersRankOnly(t *testing.T) {
+	Convey("a type over its limit runs where capacity is free, after types under theirs", t, func() {
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		h.st.Bundle.Limits = map[string]int{"t": 1}
+		h.submit("j", state.StepSpec{Tasks: 6})
+		h.submit("k", state.StepSpec{})
+		h.st.Jobs["k"].Spec.Steps[0].Type = "u"
+		o := findOrder(h.commitPlans())
+		So(o, ShouldNotBeNil)
+		So(o.Call.Starts, ShouldHaveLength, 4) // all cores, though the limit of t is 1
+		So(o.Call.Starts[1].Type, ShouldEqual, "u")
+		So(h.core.RunningCount("t"), ShouldEqual, 3)
+		So(h.st.RunningCount("t"), ShouldEqual, 3)
+		Convey("and a new leader rebuilds the same counts before it places anything", func() {
+			h.lead()
+			So(h.core.RunningCount("t"), ShouldEqual, 3)
+			So(h.core.RunningCount("u"), ShouldEqual, 1)
+			So(findOrder(h.commitPlans()), ShouldBeNil) // no worker has answered under the new epoch
+		})
+	})
+}
+
+func TestUnschedulableClass(t *testing.T) {
+	Convey("A class that fits nowhere is placed by the first pass after capacity came free, without a sweep", t, func() {
+		c, st, now := newFullCluster(t, 4, 4, 1)
+		index := st.Index
+		apply := func(cmd command.Command) {
+			index++
+			data, err := command.Encode(time.Unix(0, 0), cmd)
+			So(err, ShouldBeNil)
+			_, err = command.Apply(st, index, 1, data)
+			So(err, ShouldBeNil)
+		}
+		refusePlan(c, now, c.Pass(now).Plan)
+		So(c.Pass(now).Plan, ShouldBeNil)
+		apply(&command.Plan{Epoch: c.Epoch(), Ends: []command.End{{RunID: 3, OK: true}}})
+		p := c.Pass(now).Plan
+		So(p, ShouldNotBeNil)
+		So(len(p.Starts), ShouldEqual, 1)
+		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
+		Convey("a refused start leaves its capacity to the next pass", func() {
+			refusePlan(c, now, p)
+			again := c.Pass(now).Plan
+			So(again, ShouldNotBeNil)
+			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its kind
+			So(again.Starts[0].Worker, ShouldEqual, p.Starts[0].Worker)
+		})
+	})
+}
--- /dev/null
+++ b/internal/dataplane/scheduler/reset_test.go
@@ -0,0 +1,94 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/errs"
+	"crosstide/internal/internalapi"
+	"crosstide/internal/state"
+	"crosstide/internal/state/command"
+)
+
+// A leader whose replica falls behind takes a snapshot, and takes its role again under the same epoch.
+func TestSnapshotWhilePlanInFlight(t *testing.T) {
+	Convey("With a run out and a plan in flight, a leader takes a snapshot", t, func() {
+		h := newHarness("check", "m1", "m2")
+		h.greetWorkers("check")
+		h.submit("j1", state.StepSpec{Cores: 3})
+		calls := h.commitPlans()
+		var order OutgoingCall
+		for _, c := range calls {
+			if c.IsOrder {
+				order = c
+			}
+		}
+		So(order.Call.Starts, ShouldHaveLength, 1)
+		runID := order.Call.Starts[0].RunID
+		h.submit("j2", state.StepSpec{Cores: 3})
+		h.commit(h.core.Pass(h.now).Plan) // admits the job
+		plan := h.core.Pass(h.now).Plan
+		So(plan.Starts, ShouldHaveLength, 1)
+		answer := h.do(plan).(command.Planned)
+		body, err := h.st.Encode()
+		So(err, ShouldBeNil)
+		st, err := state.Decode(body)
+		So(err, ShouldBeNil)
+		h.st = st
+		h.st.OnEvent = h.core.StateChanged
+		h.core.Reset(h.now, h.st)
+
+		Convey("The run does not count as unsent, and the numbers of calls go on", func() {
+			for range 5 {
+				h.now += 200 * time.Millisecond
+				out := h.core.Pass(h.now)
+				So(out.Plan, ShouldBeNil) // the old one is still in flight
+				for _, c := range out.Calls {
+					So(c.Call.Call, ShouldBeGreaterThan, order.Call.Call)
+					h.answer(c, "check", internalapi.LeaseAnswer{Running: map[bool][]uint64{true: {runID}}[c.Worker == order.Worker]})
+				}
+			}
+			So(h.st.Handles[runID], ShouldNotBeNil)
+
+			Convey("Nor is the answer to the old plan taken for that of the next", func() {
+				h.submit("j3", state.StepSpec{})
+				h.core.PlanAnswered(h.now, plan.Epoch, answer, nil)
+				calls := h.commitPlans()
+				for _, c := range calls {
+					for _, s := range c.Call.Starts {
+						So(s.RunID, ShouldBeGreaterThan, answer.RunIDs[0])
+					}
+				}
+				So(h.st.Handles[runID], ShouldNotBeNil)
+				So(h.st.Handles[runID].Phase, ShouldEqual, state.TaskRunning)
+			})
+		})
+	})
+}
+
+func TestEndSurvivesNewEpoch(t *testing.T) {
+	Convey("An end that was heard is not forgotten when the node takes its role again, whatever became of its plan", t, func() {
+		h := newHarness("check", "m1")
+		h.greetWorkers("check")
+		h.submit("j1", state.StepSpec{})
+		o := findOrder(h.commitPlans())
+		h.answer(*o, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}})
+		plan := h.core.Pass(h.now).Plan
+		So(plan.Ends, ShouldHaveLength, 1)
+		again := map[string]func(){
+			"a snapshot":  func() { h.core.Reset(h.now, h.st) },
+			"a new epoch": func() { h.core.StepDown(); h.do(&command.GrantRole{Role: "sched", Holder: "d", After: plan.Epoch}) },
+		}
+		for name, do := range again {
+			Convey("After "+name, func() {
+				do()
+				h.core.PlanAnswered(h.now, plan.Epoch, command.Planned{}, errs.New(errs.Stale, "lost"))
+				h.core.BecomeLeader(h.now, h.st.Roles["sched"].Epoch)
+				h.commitPlans()
+				So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
+			})
+		}
+	})
+}
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -148,7 +148,7 @@
 func (d *dataPlane) sendLeaseCall(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	failed := func(sent bool) {
-		d.scheduler.CallFailed(d.Now(), c.Worker, c.IsOrder, c.Call, sent)
+		d.scheduler.CallFailed(d.Now(), c, sent)
 		d.schedulePass()
 	}
 	if !d.scheduler.MayAct(now) || d.scheduler.Epoch() != c.Call.Epoch || c.WriteBy > 0 && now >= c.WriteBy {
@@ -173,7 +173,7 @@
 				answer.Call--
 			}
 			s.checker.observeAnswer(d, c, answer)
-			d.scheduler.CallAnswered(d.Now(), c.Worker, c.IsOrder, c.Call, answer)
+			d.scheduler.CallAnswered(d.Now(), c, answer)
 			d.schedulePass()
 		}})
 }
