--- /dev/null
+++ b/internal/testbed/golden/levels_test.go
@@ -0,0 +1,41 @@
+package golden
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+func TestLeveledMessages_lists_every_level_a_line_may_have(t *testing.T) {
+	root := t.TempDir()
+	write := func(name, text string) {
+		if err := os.WriteFile(filepath.Join(root, name), []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write("a.go", `package a
+func f() {
+	_ = level.Warn(log).Log("msg", "disk slow", "for", 3)
+	_ = level.Info(log).Log("msg", "started")
+	_ = level.Error(log).Log("err", nil, "msg", "store halted")
+	at := level.Warn(log)
+	if quiet {
+		at = level.Info(log)
+	}
+	_ = at.Log("msg", "joined anew")
+	_ = level.Error(log).Log("msg", text)
+}
+func g() { _ = at.Log("msg", "of another function") }
+`)
+	write("a_test.go", `package a
+func h() { _ = level.Warn(log).Log("msg", "of a test") }
+`)
+	want := []LeveledMessage{
+		{"a", "warn", "disk slow"}, {"a", "info", "started"}, {"a", "error", "store halted"},
+		{"a", "warn", "joined anew"}, {"a", "info", "joined anew"}, {"a", "error", ""},
+	}
+	if got := LeveledMessages(t, root); !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
+	}
+}
