--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -211,6 +211,9 @@
 		failed := report.Failed["hopeless"] + report.Failed["retried"] + report.Failed["gang-retried"]
 		So(report.Ends[jobs.EndFailed], ShouldEqual, failed)
 	})
+}
+
+func TestSystem_preemptionAndDrain(t *testing.T) {
 	Convey("Urgent work takes the place of other work, and a worker leaves: what was stopped resumes from its checkpoint once there is capacity", t, func() {
 		s := startSystem(t.TempDir(), newShapes(2))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
