--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -8,21 +8,21 @@
 	"crosstide/internal/rpc"
 )
 
-// Location names the queue of a call: by host and path, as the configuration says.
+// Location identifies the queue of a call by the call's host and path; the configuration maps them to a queue.
 type Location struct {
 	Host string `json:"host"`
 	Path string `json:"path"`
 }
 
-// SubmitCall submits a job. Spec.ID is what follows the queue's prefix in the path; Spec.Queue is found by the leader,
-// unless it is given.
+// SubmitCall submits a job. Spec.ID is the part of the path after the queue's prefix. If Spec.Queue is empty, the
+// leader sets it by Location.
 type SubmitCall struct {
 	Location Location  `json:"at"`
 	Spec     jobs.Spec `json:"spec"`
 	Digest   string    `json:"digest"`
 }
 
-// SubmitAnswer says that the job is accepted and durable.
+// SubmitAnswer acknowledges a submission: the job is accepted and durable.
 type SubmitAnswer struct {
 	State jobs.JobState `json:"state"`
 }
@@ -33,18 +33,18 @@
 	Cancel   bool     `json:"cancel,omitempty"`
 }
 
-// JobAnswer is a job's state. Gone: there is no such job.
+// JobAnswer is a job's state. Gone is set if there is no such job.
 type JobAnswer struct {
 	State jobs.JobState `json:"state,omitempty"`
 	Gone  bool          `json:"gone,omitempty"`
 }
 
-// CountCall asks how many jobs of a queue wait.
+// CountCall asks for the number of a queue's waiting jobs: those of which no run was started yet.
 type CountCall struct {
 	Location Location `json:"at"`
 }
 
-// CountAnswer is the count.
+// CountAnswer is the number of a queue's waiting jobs.
 type CountAnswer struct {
 	Waiting int `json:"waiting"`
 }
@@ -54,17 +54,17 @@
 	Worker          jobs.Worker   `json:"worker"`
 	Sequence        uint64        `json:"seq"`                 // rising within the worker's incarnation
 	Clock           time.Duration `json:"clock"`               // the worker's own
-	Remaining       time.Duration `json:"remaining,omitempty"` // while draining: the least time it has left
-	WarmupRemaining time.Duration `json:"cold,omitempty"`
-	Leaving         bool          `json:"leaving,omitempty"` // the worker ends now; of Worker only the ID counts
-	// Listing is what runs and what has ended, where orders go with the answers to heartbeats; nil otherwise.
+	Remaining       time.Duration `json:"remaining,omitempty"` // while draining: the least time before the worker exits
+	WarmupRemaining time.Duration `json:"cold,omitempty"`      // until the worker is warmed up; 0: it is
+	Leaving         bool          `json:"leaving,omitempty"`   // the worker exits now; of Worker only ID is read
+	// Listing is the worker's running and ended runs if orders go with the answers to heartbeats; nil otherwise.
 	Listing *scheduler.RenewalAnswer `json:"listing,omitempty"`
 }
 
 // HeartbeatAnswer acknowledges a heartbeat: what it reported is durable and queued for the scheduler.
 type HeartbeatAnswer struct {
-	HeartbeatAddress string           `json:"home,omitempty"`   // where later heartbeats are best sent to
-	Orders           *HeartbeatOrders `json:"orders,omitempty"` // where orders go with the answers to heartbeats
+	HeartbeatAddress string           `json:"home,omitempty"`   // to which the worker had better send later heartbeats
+	Orders           *HeartbeatOrders `json:"orders,omitempty"` // nil unless orders go with the answers to heartbeats
 }
 
 // HeartbeatOrders are the orders in the answer to a heartbeat.
@@ -89,10 +89,10 @@
 	Members []string `json:"members"`
 }
 
-// ConfigureAnswer says that a configuration is in force and durable.
+// ConfigureAnswer acknowledges a change of the configuration: it is in force and durable.
 type ConfigureAnswer struct{}
 
-// EvacuateAnswer says that an evacuation is in force and durable.
+// EvacuateAnswer acknowledges the start or withdrawal of an evacuation: it is in force and durable.
 type EvacuateAnswer struct{}
 
 // ShowCall asks for a job by its ID alone.
@@ -140,7 +140,7 @@
 	Ended    time.Time     `json:"ended,omitzero"`
 }
 
-// ListAnswer is one page of a list. More: there are jobs after the last one.
+// ListAnswer is one page of a list. More is set if there are jobs after the last one.
 type ListAnswer struct {
 	Jobs []JobSummary `json:"jobs"`
 	More bool         `json:"more,omitempty"`
@@ -178,9 +178,14 @@
 	Evacuated []string     `json:"evacuated"`
 }
 
-// The calls that the leader answers; any other node answers errs.NotLeader with the leader's address as hint. Failures:
-// errs.Unknown: no such queue; errs.Unavailable: surely not taken; errs.Timeout: it may or may not have been taken;
-// errs.Invalid with the field; errs.Stale: another version is in force.
+// The calls that the leader answers. Their errors are, by kind:
+//
+//   - errs.NotLeader: this node does not lead and did nothing; the hint is the leader's address, if it is known;
+//   - errs.Unknown: there is no such queue;
+//   - errs.Invalid: a field is wrong; the error names it;
+//   - errs.Stale: another version of the configuration is in force;
+//   - errs.Unavailable: the call was surely not carried out;
+//   - errs.Timeout: the call may or may not have been carried out, or may be yet.
 var (
 	SubmitEndpoint    = rpc.Endpoint[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
 	JobEndpoint       = rpc.Endpoint[JobCall, JobAnswer]{Path: "/c/job"}
@@ -192,7 +197,7 @@
 	TopologyEndpoint  = rpc.Endpoint[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
 )
 
-// The calls that find jobs by ID alone. Failures are those of the other calls; errs.Unknown: no such job.
+// The calls that find jobs by ID alone. Their errors are those of the other calls; errs.Unknown: there is no such job.
 var (
 	ShowEndpoint    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
 	CancelEndpoint  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -15,18 +15,18 @@
 
 const (
 	defaultAttemptTimeout = 700 * time.Millisecond
-	readyWindow           = 2500 * time.Millisecond // a leader's answer makes the client ready for so long
+	readyWindow           = 2500 * time.Millisecond // how long a leader's answer keeps the client ready
 	probeInterval         = time.Second             // between probes while no call has reached the leader
-	memberListInterval    = 10 * time.Second        // between probes for the members' list while calls reach the leader
+	memberListInterval    = 10 * time.Second        // between probes for the list of members while calls reach the leader
 )
 
-// ClientOptions are the settings of a Client; Caller and Seeds are needed.
+// ClientOptions are the settings of a Client. Caller and Seeds are required.
 type ClientOptions struct {
 	Caller  *rpc.Client
-	Seeds   []string      // internal addresses of nodes of the core to ask at first
-	Self    string        // own internal address when the client runs on a node of the core: it is never asked
+	Seeds   []string      // internal addresses of core nodes, asked until the members are known
+	Self    string        // own internal address if the client runs on a core node: asked only after a hint
 	Clock   clock.Clock   // default clock.Real
-	Logger  log.Logger    // default: none
+	Logger  log.Logger    // default: no logging
 	Attempt time.Duration // timeout of one attempt of a call, default 700ms
 }
 
@@ -88,10 +88,10 @@
 // Stop ends the probes. Calls may go on.
 func (c *Client) Stop() { c.group.Stop() }
 
-// Ready is nil when a leader has answered lately, else errs.Unavailable.
+// Ready returns nil if a leader has answered within readyWindow, else errs.Unavailable.
 func (c *Client) Ready() error { return errs.Pass(c.CheckLeader(readyWindow), "core") }
 
-// CheckLeader is nil when a leader has answered within the last maxAge, else errs.Unavailable.
+// CheckLeader returns nil if a leader has answered within the last maxAge, else errs.Unavailable.
 func (c *Client) CheckLeader(maxAge time.Duration) error {
 	if c.contacts.isRecent(contactLeader, maxAge) {
 		return nil
@@ -115,7 +115,7 @@
 	}
 }
 
-// probe looks for the leader and asks it for the members. One that fails is not repeated before the next is due.
+// probe finds the leader and asks it for the members. A probe that fails is not repeated before the next is due.
 func (c *Client) probe(ctx context.Context) {
 	_, err := callEndpoint(ctx, c, TopologyEndpoint, TopologyCall{}, query{bound: probeInterval, topology: true})
 	if err != nil {
--- a/internal/controller/client_attempt.go
+++ b/internal/controller/client_attempt.go
@@ -13,7 +13,7 @@
 	answer   any
 	err      error
 	answered bool // the node answered, with the answer or a failure
-	unsent   bool // no byte left
+	unsent   bool // no byte of the call left this node
 }
 
 // outcome is what an attempt means for its call.
@@ -49,7 +49,7 @@
 	return uncertain
 }
 
-// attempt asks the node at addr, and another one too if q may be hedged.
+// attempt makes one attempt at the node at addr, hedged by another node if q allows it.
 func (c *Client) attempt(ctx context.Context, addr string, q query, timeout time.Duration) reply {
 	if q.hedge && timeout > hedgeDelay {
 		return c.hedged(ctx, addr, q, timeout)
@@ -78,7 +78,7 @@
 	return r
 }
 
-// recordReply keeps what a reply says of the node at addr, which had timeout for it.
+// recordReply updates the directory and the contacts by a reply of the node at addr, which had timeout to answer.
 func (c *Client) recordReply(ctx context.Context, addr string, timeout time.Duration, r reply) {
 	if r.answered {
 		c.contacts.record(contactAny)
@@ -93,7 +93,7 @@
 	case r.answered:
 		c.directory.clearLeader(addr)
 	case errs.Is(r.err, errs.Timeout) && (ctx.Err() != nil || timeout < c.opt.Attempt):
-		// the call's time was short: that says nothing of the node
+		// Too little time was left for the call: the timeout proves nothing about the node.
 	default:
 		c.directory.recordFailure(addr, now)
 	}
--- a/internal/controller/client_call.go
+++ b/internal/controller/client_call.go
@@ -15,12 +15,12 @@
 	initialBackoff     = 20 * time.Millisecond  // between attempts; it doubles
 	maxBackoff         = 200 * time.Millisecond // between attempts
 	maxHops            = 3                      // hints that are followed in a row without a pause
-	largeFactor        = 3                      // an attempt of a call with large bodies may take so many times as long
+	largeFactor        = 3                      // multiplies the timeout of an attempt of a call with large bodies
 	unreachableTimeout = 1200 * time.Millisecond
 	retryAfter         = time.Second // advised to the caller of a call that was given up
 )
 
-// query is one call of any endpoint, and how it is to be treated.
+// query is one call of any endpoint and the policy for its attempts.
 type query struct {
 	path      string
 	call      any
@@ -32,7 +32,7 @@
 	bound     time.Duration // of the whole call; 0: maxCallDuration
 }
 
-// callEndpoint makes a call. policy says how it is to be treated.
+// callEndpoint makes a call under a policy, which leaves path, call and newAnswer of the query unset.
 func callEndpoint[C, A any](ctx context.Context, c *Client, endpoint rpc.Endpoint[C, A], call C,
 	policy query) (A, error) {
 	policy.path, policy.call, policy.newAnswer = endpoint.Path, call, func() any { return new(A) }
@@ -44,7 +44,7 @@
 	return *answer.(*A), nil
 }
 
-// attempts is the course of one call.
+// attempts is the state of one call between its attempts.
 type attempts struct {
 	end       time.Duration // of the call's time
 	backoff   time.Duration // before the next attempt, jitter apart
@@ -89,7 +89,7 @@
 	}
 }
 
-// attemptTimeout is how long one attempt may take.
+// attemptTimeout returns how long one attempt may take.
 func (c *Client) attemptTimeout(q query) time.Duration {
 	if q.large {
 		return largeFactor * c.opt.Attempt
@@ -97,7 +97,7 @@
 	return c.opt.Attempt
 }
 
-// callTimeout is how long a call may take.
+// callTimeout returns how long a call may take: until answerMargin before the deadline of ctx, with an upper bound.
 func (c *Client) callTimeout(ctx context.Context, q query) time.Duration {
 	longest := maxCallDuration
 	if q.bound > 0 {
@@ -111,8 +111,8 @@
 	return min(longest, left-min(answerMargin, left/10))
 }
 
-// exhausted is the error of a call that ends without an answer. It names no more than the kind of the last failure:
-// clients see it.
+// exhausted returns the error of a call that ends without an answer. It names no more than the kind of the last
+// failure: clients see it.
 func (a *attempts) exhausted(why string) error {
 	kind := errs.Unavailable
 	if a.uncertain {
@@ -124,7 +124,8 @@
 	return &errs.Error{Kind: kind, Message: why, After: retryAfter}
 }
 
-// refusal is the error of a call that the leader refused. That it is overloaded now says nothing of an earlier attempt.
+// refusal returns the error of a call that the leader refused. That the leader is overloaded now proves nothing about
+// an earlier attempt, which may have been carried out.
 func (a *attempts) refusal(err error) error {
 	if a.uncertain && errs.Is(err, errs.Overloaded) {
 		return errs.Wrap(err, errs.Timeout, "an earlier attempt may have been carried out")
--- a/internal/controller/client_contacts.go
+++ b/internal/controller/client_contacts.go
@@ -16,19 +16,19 @@
 	contactMembers                // a leader listed the members
 )
 
-// contactLog keeps when a client last had an answer of each kind. It is safe for concurrent use.
+// contactLog records when a client last had an answer of each kind. It is safe for concurrent use.
 type contactLog struct {
 	clock clock.Clock
 
 	mu     sync.Mutex
-	lastAt map[contact]time.Duration // without those that never were
+	lastAt map[contact]time.Duration // no entry: there was none yet
 }
 
 func newContactLog(on clock.Clock) *contactLog {
 	return &contactLog{clock: on, lastAt: map[contact]time.Duration{}}
 }
 
-// record notes an answer of a kind, now.
+// record records an answer of a kind at the present time.
 func (l *contactLog) record(kind contact) {
 	now := l.clock.Now()
 	l.mu.Lock()
--- a/internal/controller/client_directory.go
+++ b/internal/controller/client_directory.go
@@ -113,7 +113,7 @@
 	return addr != "" && addr == d.leader && !d.isBackedOff(addr, now)
 }
 
-// recordLeader notes that the node at addr has answered as the leader.
+// recordLeader records that the node at addr has answered as the leader.
 func (d *directory) recordLeader(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordFailure notes that the node at addr did not answer: it is backed off.
+// recordFailure records that the node at addr did not answer: it is backed off.
 func (d *directory) recordFailure(addr string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,8 +145,8 @@
 	d.backoffUntil[addr] = now + failureBackoff
 }
 
-// updateMembers takes the members that a node lists: the leader's list replaces the known ones, another node's adds to
-// them.
+// updateMembers records the members that a node lists: the leader's list replaces the known ones, another node's adds
+// to them.
 func (d *directory) updateMembers(members []string, fromLeader bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/client_endpoints.go
+++ b/internal/controller/client_endpoints.go
@@ -19,7 +19,7 @@
 	return answer, errs.Pass(err, "job")
 }
 
-// Count asks how many jobs of a queue wait.
+// Count asks for the number of a queue's waiting jobs.
 func (c *Client) Count(ctx context.Context, call CountCall) (CountAnswer, error) {
 	answer, err := callEndpoint(ctx, c, CountEndpoint, call, query{hedge: true})
 	return answer, errs.Pass(err, "count")
--- a/internal/controller/client_hedge.go
+++ b/internal/controller/client_hedge.go
@@ -11,18 +11,18 @@
 // hedgeDelay is how long a read waits for the first node's answer before it asks another one too.
 const hedgeDelay = 400 * time.Millisecond
 
-// hedged asks the node at addr and, when it has not answered after hedgeDelay, another one at the same time. The first
-// success counts, else the first node's reply.
+// hedged asks the node at addr and, if it has not answered after hedgeDelay, another one at the same time. It returns
+// the first success, else the first node's reply.
 func (c *Client) hedged(ctx context.Context, addr string, q query, timeout time.Duration) reply {
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	secondCtx, cancelSecond := context.WithCancel(ctx)
 	defer cancelFirst()
 	defer cancelSecond()
-	var second reply // written before over is closed
-	over := make(chan struct{})
+	var second reply // written before secondDone is closed
+	secondDone := make(chan struct{})
 	timer := c.opt.Clock.Set(hedgeDelay, func() {
 		routine.New(secondCtx).Go(func(ctx context.Context) {
-			defer close(over)
+			defer close(secondDone)
 			if second = c.askAnother(ctx, addr, q, timeout-hedgeDelay); second.err == nil {
 				cancelFirst()
 			}
@@ -33,16 +33,16 @@
 		c.recordReply(ctx, addr, timeout, first)
 		return first
 	}
-	<-over
+	<-secondDone
 	if second.err == nil {
-		c.directory.clearLeader(addr) // it may only be slow; askAnother has recorded who answered
+		c.directory.clearLeader(addr) // not backed off, as it may only be slow; askAnother has recorded who answered
 		return second
 	}
 	c.recordReply(ctx, addr, timeout, first)
 	return first
 }
 
-// askAnother asks another node than the one at except, and the leader that it names.
+// askAnother asks a node other than the one at except and, if that one does not lead, the leader that it names.
 func (c *Client) askAnother(ctx context.Context, except string, q query, timeout time.Duration) reply {
 	addr := c.directory.pickOther(c.opt.Clock.Now(), except)
 	if addr == "" {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,8 +9,8 @@
 	"crosstide/internal/state/command"
 )
 
-// Submit accepts a job. A spec that names its queue needs no location. Sent again with the same digest it is the same
-// job.
+// Submit accepts a job. A spec that names its queue needs no location. A job submitted again with the same digest is
+// the same job: its state is returned.
 func (l *Leader) Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error) {
 	term, err := l.readTable(func(table *jobs.Table) error {
 		if call.Spec.Queue != "" && table.Config.Version > 0 {
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -7,8 +7,8 @@
 // is, for as long as the node leads with its lease in force:
 //
 //   - wait until an answer or a heartbeat comes in, the job table changes, or the time that the last pass named;
-//   - hand all of it to the core, under the store's lock, and ask it for its actions;
-//   - carry the actions out, each on a goroutine of its own: commit progress, send starts and stops to workers, renew
+//   - pass all of it to the core, under the store's lock, and ask it for its actions;
+//   - carry the actions out, each on its own goroutine: commit progress, send starts and stops to workers, renew
 //     their leases. Each action's outcome comes back as an event of a later pass.
 //
 // Before each order the node's lease is checked again, and each order has a fencing token that rises with the term: a
--- a/internal/controller/gc.go
+++ b/internal/controller/gc.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/state/command"
 )
 
-// DefaultJobRetention is how long a job that is over can be asked for by default.
+// DefaultJobRetention is how long a job that is over stays in the table by default.
 const DefaultJobRetention = 10 * time.Minute
 
 // expiryInterval is how often the leader deletes expired jobs.
@@ -31,7 +31,7 @@
 	})
 }
 
-// forgetWorker drops what the controller keeps of a worker beside the table.
+// forgetWorker drops the controller's own state of a worker that has left the table.
 func (l *Leader) forgetWorker(worker string) {
 	l.heartbeats.forget(worker)
 	if l.opt.Mailboxes != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// dropForgottenWorkers drops what the controller keeps of workers that were forgotten while another node led: this node
-// has seen no change for them.
+// dropForgottenWorkers drops the controller's own state of workers that left the table while another node led: this
+// node has seen no change for them.
 func (l *Leader) dropForgottenWorkers(workers map[string]*jobs.Worker) {
 	gone := func(id string) bool { return workers[id] == nil }
 	l.heartbeats.forgetAll(gone)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -13,9 +13,9 @@
 	"crosstide/internal/state/command"
 )
 
-// Heartbeat takes a worker's heartbeat. What it changes is durable, and queued for the scheduler, before it is
-// answered. A heartbeat older than one taken before is acknowledged and changes nothing: it was delayed on its way, or
-// is a copy.
+// Heartbeat handles a worker's heartbeat. What it changes is durable, and queued for the scheduler, before it is
+// answered. A heartbeat older than one handled before is acknowledged and changes nothing: it was delayed on its way,
+// or is a copy.
 func (l *Leader) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
 	answer := HeartbeatAnswer{HeartbeatAddress: l.heartbeatAddress(call.Worker.ID)}
 	worker := call.Worker
@@ -63,7 +63,7 @@
 	return l.opt.ControlAddress
 }
 
-// leavingWorker is the record of a worker that says that it ends. One that is not known is recorded too: its first
+// leavingWorker returns the record of a worker that has deregistered. One that is not known is recorded too: its first
 // heartbeat may have been lost with a leader, or come late, and must not make it pass for a worker that takes starts.
 func leavingWorker(known *jobs.Worker, id string) jobs.Worker {
 	worker := jobs.Worker{ID: id}
@@ -82,8 +82,8 @@
 		(known.Draining || !reported.Draining) && (known.Left || !reported.Left)
 }
 
-// heartbeatSequences keeps the sequence number of each worker's newest heartbeat, so that one that comes late does not
-// undo what a newer one reported. It is not replicated: a new leader begins without.
+// heartbeatSequences holds the sequence number of each worker's newest heartbeat, so that one that comes late does not
+// undo what a newer one reported. It is not replicated: a new leader begins with none.
 type heartbeatSequences struct {
 	mu       sync.Mutex
 	byWorker map[string]uint64
@@ -93,7 +93,7 @@
 	return &heartbeatSequences{byWorker: map[string]uint64{}}
 }
 
-// advance records a worker's heartbeat; false: a newer one was recorded before. A copy of the newest one counts as new.
+// advance records a worker's heartbeat and reports whether it is the newest. A copy of the newest one counts as new.
 func (s *heartbeatSequences) advance(worker string, sequence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/heartbeat_assigner.go
+++ b/internal/controller/heartbeat_assigner.go
@@ -9,14 +9,14 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// memberRefreshInterval is how long the reachable members are taken as known.
+// memberRefreshInterval is how long a list of the reachable members is used before it is read again.
 const memberRefreshInterval = 250 * time.Millisecond
 
 // heartbeatAssigner spreads the workers' heartbeats over the nodes of the core, by rendezvous hashing: each worker
 // sends its own to one node, which forwards them to the leader. So no node needs a connection to every worker, a
 // change of leader moves no worker, and the loss of a node moves that node's workers only.
 type heartbeatAssigner struct {
-	reachable func() []string // internal addresses of the members that are there, the leader's among them
+	reachable func() []string // returns the internal addresses of the reachable members, the leader's among them
 
 	mu            sync.Mutex
 	members       []string // as of the last refresh, sorted
@@ -24,7 +24,7 @@
 	nextRefreshAt time.Duration
 }
 
-// nodeFor returns the internal address of the node that takes a worker's heartbeats; "" if no member is known.
+// nodeFor returns the internal address of the node to which a worker is to send heartbeats; "" if no member is known.
 func (h *heartbeatAssigner) nodeFor(now time.Duration, worker string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +37,7 @@
 	return h.table.Lookup(worker)
 }
 
-// refresh takes the members that are reachable now. The mutex is held.
+// refresh reads which members are reachable now. The mutex is held.
 func (h *heartbeatAssigner) refresh(now time.Duration) {
 	h.nextRefreshAt = now + memberRefreshInterval
 	members := slices.Sorted(slices.Values(h.reachable()))
--- a/internal/controller/inbox.go
+++ b/internal/controller/inbox.go
@@ -11,8 +11,8 @@
 // schedulerEvent is an input of the scheduler's core, made on the loop's goroutine at the time now.
 type schedulerEvent func(core *scheduler.Core, now time.Duration)
 
-// inbox collects what the next pass takes in, and wakes the loop. Any goroutine may add to it; the loop alone drains
-// it.
+// inbox collects the inputs of the loop's next pass, and wakes the loop. Any goroutine may add to it; the loop alone
+// drains it.
 type inbox struct {
 	wakeup chan struct{} // holds one signal at most; the loop receives from it
 
@@ -47,7 +47,7 @@
 	b.wake()
 }
 
-// drain empties the inbox.
+// drain empties the inbox and returns what was in it.
 func (b *inbox) drain() ([]schedulerEvent, []jobs.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -30,8 +30,8 @@
 type Store interface {
 	// View calls read with the live state, under the store's lock.
 	View(read func(*state.State))
-	// LeaderTerm returns the term in which this node leads, 0 if it does not. hasLease: the leader's lease is in force
-	// at now, and all that was committed before is applied here.
+	// LeaderTerm returns the term in which this node leads, 0 if it does not. hasLease reports whether the leader's
+	// lease is in force at now and all that was committed before is applied here.
 	LeaderTerm(now time.Duration) (term uint64, hasLease bool)
 	// ProposeIn commits a command under a term and applies it. It fails if the term is over.
 	ProposeIn(ctx context.Context, term uint64, c command.Command) (index uint64, answer any, err error)
@@ -39,7 +39,7 @@
 	Changed() <-chan struct{}
 	// Members returns the leader's address, "" if none is known, and the addresses of all members.
 	Members() (leader string, addresses []string)
-	// ReachableVoters returns the addresses of the voters that this leader has lately heard of, its own among them.
+	// ReachableVoters returns the addresses of the voters that this leader has lately heard from, its own among them.
 	ReachableVoters() []string
 }
 
@@ -47,13 +47,13 @@
 type LeaderOptions struct {
 	Store   Store
 	Workers scheduler.Workers // carries orders to workers
-	// Mailboxes are the Workers where orders go with the answers to heartbeats; nil otherwise.
+	// Mailboxes are the Workers if orders go with the answers to heartbeats; nil otherwise.
 	Mailboxes      *Mailboxes
 	Config         scheduler.Config
-	ControlAddress string // where this node takes heartbeats
-	// ControlAddressOf returns the address at which the node with an internal address takes heartbeats; then workers
-	// are spread over all members. nil: all heartbeats go to the leader. With Mailboxes they always do, as orders go
-	// with them.
+	ControlAddress string // at which this node receives heartbeats
+	// ControlAddressOf returns the address at which the node with an internal address receives heartbeats; then workers
+	// are spread over all members. nil: all heartbeats go to the leader. With Mailboxes they always do, as the leader's
+	// answers carry the orders.
 	ControlAddressOf func(internal string) string
 	// JobRetention is how long a job that is over stays in the table; 0 takes DefaultJobRetention.
 	JobRetention time.Duration
@@ -72,9 +72,9 @@
 	inbox        *inbox
 	heartbeats   *heartbeatSequences
 	assigner     *heartbeatAssigner               // nil: all heartbeats go to the leader
-	latestHealth atomic.Pointer[scheduler.Health] // as of the last pass that took it; nil before the first one
+	latestHealth atomic.Pointer[scheduler.Health] // as of the last report; nil before the first one
 
-	// Of the loop alone.
+	// Owned by the loop.
 	core         *scheduler.Core
 	health       healthLog
 	nextExpiryAt time.Duration
@@ -110,7 +110,8 @@
 // Stop ends all goroutines of the controller.
 func (l *Leader) Stop() { l.group.Stop() }
 
-// loop makes a pass whenever something came in, the table or the leadership changed, or the last pass's time is up.
+// loop makes a pass whenever there is an input, the table or the leadership has changed, or the time that the last pass
+// named has come.
 func (l *Leader) loop(ctx context.Context) {
 	for {
 		changed := l.opt.Store.Changed()
@@ -167,8 +168,8 @@
 	return actions.Next
 }
 
-// takeInputs hands all that came in since the last pass to the core: changes of the table first, as the heartbeat that
-// registers a worker is an event that follows the worker's registration.
+// takeInputs passes the inputs since the last pass to the core: changes of the table first, as the event of the
+// heartbeat that registered a worker was enqueued after the change.
 func (l *Leader) takeInputs(now time.Duration) {
 	events, changes := l.inbox.drain()
 	for _, change := range changes {
@@ -182,7 +183,7 @@
 	}
 }
 
-// updateHealth logs what changed in the workers' health and publishes it to the metrics, when that is due.
+// updateHealth logs changes of the workers' health and publishes it to the metrics, if a report is due.
 func (l *Leader) updateHealth(now time.Duration) {
 	if !l.health.isDue(now) {
 		return
@@ -192,8 +193,8 @@
 	l.latestHealth.Store(&health)
 }
 
-// becomeLeader begins to schedule under a term. Events of an earlier term are dropped: the core knows nothing of what
-// they answer. The store's lock is held.
+// becomeLeader begins to schedule under a term. Events of an earlier term are dropped: the core has dropped the calls
+// that they answer. The store's lock is held.
 func (l *Leader) becomeLeader(now time.Duration, term uint64, table *jobs.Table) {
 	l.inbox.drain()
 	l.dropForgottenWorkers(table.Workers)
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -40,7 +40,7 @@
 
 var _ scheduler.Workers = (*Mailboxes)(nil)
 
-// NewMailboxes makes empty mailboxes.
+// NewMailboxes returns Mailboxes without any.
 func NewMailboxes() *Mailboxes { return &Mailboxes{byWorker: map[string]*mailbox{}} }
 
 // Start delivers a start; the worker confirms it by listing the run.
@@ -73,9 +73,9 @@
 	return answer, errs.Pass(err, "renew lease")
 }
 
-// Exchange completes the orders that the worker's heartbeat confirms and returns those that its answer carries. If
-// there are none and the worker is idle it waits for some, for idleAnswerDelay at most. hasLease reports, at the last
-// moment, whether this node may send orders under term; if not, the result is nil.
+// Exchange completes the orders that the worker's heartbeat confirms and returns those that the answer is to carry. If
+// there are none and the worker is idle, it waits for some, for idleAnswerDelay at most. It calls hasLease last, which
+// reports whether this node may send orders under term; if not, the result is nil.
 func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.RenewalAnswer,
 	hasLease func() bool) *HeartbeatOrders {
 	m.mu.Lock()
@@ -103,8 +103,8 @@
 	return orders
 }
 
-// heartbeatInterval is the pause before a worker's next heartbeat, by whether this answer was delayed and by how many
-// workers there are.
+// heartbeatInterval returns the pause before a worker's next heartbeat; delayed reports whether the answer was delayed
+// by idleAnswerDelay, workers is how many there are.
 func heartbeatInterval(delayed bool, workers int) time.Duration {
 	pause := time.Duration(workers) * intervalPerWorker
 	if delayed {
@@ -180,9 +180,9 @@
 	b.renewals = completeWhere(b.renewals, listing, func(p *pendingRenewal) bool { return p.deliveredBefore(sequence) })
 }
 
-// takeOrders returns what the answer to the heartbeat of a sequence carries, under a token of its own: a worker that
-// has taken it ignores an earlier answer that comes later. Orders of other terms are not sent: this node has no lease
-// for them.
+// takeOrders returns the orders that the answer to the heartbeat of a sequence carries, under a new token: a worker
+// that has seen it ignores an earlier answer that comes later. Orders of other terms are not sent: this node has no
+// lease for them.
 func (b *mailbox) takeOrders(sequence, term uint64, clock time.Duration) *HeartbeatOrders {
 	b.tokens = min(b.tokens+1, tokensPerTerm-1)
 	orders := &HeartbeatOrders{Token: term*tokensPerTerm + b.tokens, AcknowledgedUpTo: b.acknowledgedUpTo}
@@ -207,7 +207,8 @@
 	return orders
 }
 
-// renewalDeliveries is one for calls that only renew a lease, requiredDeliveries for those whose lists are a proof.
+// renewalDeliveries returns how many answers must have carried a renewal before a heartbeat confirms it: one if it only
+// renews a lease, requiredDeliveries if the lists that it asks for serve as a proof.
 func renewalDeliveries(call scheduler.LeaseRenewal) int {
 	if call.Wait > 0 {
 		return 1
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -6,7 +6,8 @@
 	"crosstide/internal/jobs"
 )
 
-// Metrics are the figures of the job table, as a prometheus.Collector. A node that does not lead shows only that.
+// Metrics are the metrics of the job table, as a prometheus.Collector. A node that does not lead exports isLeader
+// alone.
 type Metrics struct {
 	leader *Leader
 
@@ -21,7 +22,7 @@
 
 var _ prometheus.Collector = (*Metrics)(nil)
 
-// NewMetrics makes the figures of a leader. Example:
+// NewMetrics returns the metrics of a leader. Example:
 //
 //	registry.MustRegister(controller.NewMetrics(leader))
 func NewMetrics(leader *Leader) *Metrics {
@@ -43,7 +44,7 @@
 	}
 }
 
-// Describe sends the descriptions of all figures.
+// Describe sends the descriptions of all metrics.
 func (m *Metrics) Describe(out chan<- *prometheus.Desc) {
 	for _, desc := range []*prometheus.Desc{m.isLeader, m.waiting, m.workers, m.runs, m.version,
 		m.discardedRuns, m.discardedWork} {
@@ -51,10 +52,10 @@
 	}
 }
 
-// workerGroup is what workers are counted by.
+// workerGroup is the key by which workers are counted.
 type workerGroup struct{ zone, state string }
 
-// tableStats are the counts of one reading of the table.
+// tableStats are counts over the table at one time.
 type tableStats struct {
 	version uint64
 	waiting map[string]int // by queue
@@ -62,7 +63,7 @@
 	runs    map[string]int // by zone
 }
 
-// Collect sends the figures as of now.
+// Collect sends the metrics as of now.
 func (m *Metrics) Collect(out chan<- prometheus.Metric) {
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
@@ -90,7 +91,7 @@
 	}
 }
 
-// collectDiscarded sends the figures of discarded runs, as of the leader's latest health.
+// collectDiscarded sends the metrics of discarded runs, as of the leader's latest health.
 func (m *Metrics) collectDiscarded(out chan<- prometheus.Metric) {
 	health := m.leader.latestHealth.Load()
 	if health == nil {
@@ -102,10 +103,10 @@
 	}
 }
 
-func (f *tableStats) count(table *jobs.Table) {
-	f.version = table.Config.Version
+func (s *tableStats) count(table *jobs.Table) {
+	s.version = table.Config.Version
 	for _, queue := range table.Config.Queues {
-		f.waiting[queue.Name] = table.QueuedCount(queue.Name)
+		s.waiting[queue.Name] = table.QueuedCount(queue.Name)
 	}
 	for id, worker := range table.Workers {
 		state := "ready"
@@ -115,7 +116,7 @@
 		case worker.Draining:
 			state = "draining"
 		}
-		f.workers[workerGroup{worker.Zone, state}]++
-		f.runs[worker.Zone] += table.RunCount(id)
+		s.workers[workerGroup{worker.Zone, state}]++
+		s.runs[worker.Zone] += table.RunCount(id)
 	}
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -17,8 +17,8 @@
 // heartbeatOrderTimeout bounds an order that waits for the worker's heartbeat.
 const heartbeatOrderTimeout = 3 * time.Second
 
-// dispatch carries out a pass's actions, each on a goroutine of its own. Every action reports its outcome to the core,
-// by one event, also when it was not carried out.
+// dispatch carries out a pass's actions, each on its own goroutine. Every action reports its outcome to the core by one
+// event, even if it was not carried out.
 func (l *Leader) dispatch(term uint64, actions scheduler.Actions) {
 	if actions.Progress != nil {
 		l.group.Go(func(ctx context.Context) { l.commitProgress(ctx, term, actions.Progress) })
--- a/internal/controller/pending_order.go
+++ b/internal/controller/pending_order.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/errs"
 )
 
-// errNotDelivered says that an order was taken back before any answer carried it.
+// errNotDelivered is the cause of the error of an order that was withdrawn before any answer carried it.
 var errNotDelivered = errors.New("no heartbeat came to carry the order")
 
 // pendingOrder is an order in a mailbox that its worker has not confirmed yet. The mutex of Mailboxes guards it, apart
@@ -18,7 +18,7 @@
 	term             uint64
 	deliveries       int         // how many answers carried it
 	confirmableAfter uint64      // sequence of the heartbeat whose answer was the last required delivery; 0: none yet
-	result           chan Answer // has room for the one answer, so that completing never blocks
+	result           chan Answer // buffered, so that completing the order never blocks
 }
 
 type (
@@ -31,7 +31,8 @@
 	return &pendingOrder[Order, Answer]{order: order, term: term, result: make(chan Answer, 1)}
 }
 
-// recordDelivery notes that the answer to the heartbeat of a sequence carries the order.
+// recordDelivery records that the answer to the heartbeat of a sequence carries the order. The order can be confirmed
+// after the required number of deliveries.
 func (p *pendingOrder[Order, Answer]) recordDelivery(sequence uint64, required int) {
 	p.deliveries++
 	if p.confirmableAfter == 0 && p.deliveries >= required {
@@ -44,8 +45,9 @@
 	return p.confirmableAfter != 0 && p.confirmableAfter < sequence
 }
 
-// deliver puts an order into a list of a worker's mailbox, which listOf picks, and waits until it is completed or ctx
-// ends. Failures: errs.Unavailable with errNotDelivered: it was surely not carried out; errs.Timeout: it may be.
+// deliver puts an order into the list of a worker's mailbox that listOf returns, and waits until it is completed or ctx
+// ends. Then it withdraws the order; the error is errs.Unavailable with errNotDelivered if the order was surely not
+// carried out, errs.Timeout if it may be.
 func deliver[Order, Answer any](ctx context.Context, m *Mailboxes, worker string, p *pendingOrder[Order, Answer],
 	listOf func(*mailbox) *[]*pendingOrder[Order, Answer]) (Answer, error) {
 	m.mu.Lock()
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -12,7 +12,7 @@
 
 // readTable calls read with the job table, under the store's lock, if this node leads with its lease in force: then the
 // table has every commit. It returns the term, under which a command that follows from the reading is to be proposed.
-// Failures: NotLeader with the leader's address as hint, Unavailable, and those of read.
+// The error is errs.NotLeader with the leader's address as hint, errs.Unavailable, or that of read.
 func (l *Leader) readTable(read func(*jobs.Table) error) (term uint64, err error) {
 	term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now())
 	if term == 0 {
@@ -28,7 +28,7 @@
 	return term, errs.Pass(err, "read the job table")
 }
 
-// queueAt finds the queue of a call.
+// queueAt returns the queue at a location.
 func queueAt(table *jobs.Table, at Location) (*jobs.Queue, error) {
 	if table.Config.Version == 0 {
 		return nil, errs.New(errs.Unavailable, "there is no configuration yet")
@@ -40,7 +40,7 @@
 	return queue, nil
 }
 
-// jobByID finds a job by its ID alone.
+// jobByID returns a job by its ID alone.
 func jobByID(table *jobs.Table, id string) (*jobs.Job, error) {
 	if job := table.Jobs[id]; job != nil {
 		return job, nil
@@ -48,7 +48,7 @@
 	return nil, errs.Field(errs.Unknown, "id", "no job %q", id)
 }
 
-// Count returns how many jobs of a queue wait.
+// Count returns the number of a queue's waiting jobs.
 func (l *Leader) Count(_ context.Context, call CountCall) (answer CountAnswer, err error) {
 	_, err = l.readTable(func(table *jobs.Table) error {
 		queue, err := queueAt(table, call.Location)
@@ -133,7 +133,7 @@
 		(c.State == "" || c.State == job.State)
 }
 
-// Queues lists the queues.
+// Queues lists the queues in the order of the configuration.
 func (l *Leader) Queues(context.Context, QueuesCall) (QueuesAnswer, error) {
 	answer := QueuesAnswer{Queues: []QueueView{}}
 	_, err := l.readTable(func(table *jobs.Table) error {
@@ -148,7 +148,7 @@
 	return answer, errs.Pass(err, "queues")
 }
 
-// Workers lists the workers.
+// Workers lists the workers by ID, and the evacuated zones by name.
 func (l *Leader) Workers(context.Context, WorkersCall) (WorkersAnswer, error) {
 	answer := WorkersAnswer{Workers: []WorkerView{}, Evacuated: []string{}}
 	_, err := l.readTable(func(table *jobs.Table) error {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -7,14 +7,15 @@
 	"crosstide/internal/jobs"
 )
 
-// Relay answers calls on any node of the core: by the node itself while it leads, else it forwards them to the leader.
+// Relay answers calls on any node of the core: the node itself answers them while it leads, else they are forwarded to
+// the leader.
 type Relay struct {
 	local  Local
 	remote *Client
 	self   string
 }
 
-// NewRelay makes a relay on the node whose internal address is self.
+// NewRelay returns a Relay on the node whose internal address is self.
 func NewRelay(local Local, remote *Client, self string) *Relay {
 	return &Relay{local: local, remote: remote, self: self}
 }
@@ -31,7 +32,7 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Count asks how many jobs of a queue wait.
+// Count asks for the number of a queue's waiting jobs.
 func (r *Relay) Count(ctx context.Context, call CountCall) (CountAnswer, error) {
 	answer, err := relay(ctx, r, call, r.local.Count, r.remote.Count)
 	return answer, errs.Pass(err, "relay")
@@ -84,8 +85,8 @@
 	return answer, errs.Pass(err, "the leader")
 }
 
-// shouldForward reports whether a call that failed here with err, and surely was not carried out, may succeed at
-// another node. A node that leads without its lease in force forwards too: another one may lead already.
+// shouldForward reports whether a call that failed here with err was surely not carried out and may succeed at another
+// node. A node that leads without its lease in force forwards too: another one may lead already.
 func (r *Relay) shouldForward(ctx context.Context, err error) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -9,9 +9,10 @@
 	"crosstide/internal/rpc"
 )
 
-// Local answers the calls on a node of the core, as the endpoints' contract says: a node that does not lead fails with
-// errs.NotLeader, with the leader's internal address as hint, and has done nothing. Any node answers Topology; it names
-// itself as the leader only while its lease is in force.
+// Local answers the calls on a node of the core, with the errors that are listed at the endpoints. On a node that does
+// not lead each call but Topology does nothing and fails with errs.NotLeader; the hint is the leader's internal
+// address. Any node answers Topology; it names itself as the leader only while its lease is in force. Calls may be
+// concurrent and return when their ctx ends.
 type Local interface {
 	Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error)
 	Job(ctx context.Context, call JobCall) (JobAnswer, error)
@@ -30,7 +31,7 @@
 
 var _ Local = (*Leader)(nil)
 
-// serveTimeout bounds a call at the node that answers it: its caller has given it up long before.
+// serveTimeout bounds a call at the node that answers it. Callers give up long before.
 const serveTimeout = 10 * time.Second
 
 // Serve adds the endpoints of the core to s, answered by local: a call that reaches the wrong node is refused, not
