--- a/internal/controller/scheduler/actions.go
+++ b/internal/controller/scheduler/actions.go
@@ -8,7 +8,7 @@
 
 // Actions are the calls and the commit that a pass asks of the owner of the Core.
 type Actions struct {
-	Progress *jobs.Progress  // to be committed under its term, answered by Committed; nil: nothing
+	Progress *jobs.Progress  // to be committed under its term, answered by Committed; nil: nothing to commit
 	Starts   []StartAction   // each answered by StartAnswered
 	Stops    []StopAction    // each answered by StopAnswered
 	Renewals []RenewalAction // each answered by RenewalAnswered
@@ -27,8 +27,8 @@
 	Order  StopOrder
 }
 
-// RenewalAction is a lease renewal to be sent to a worker. Two may be in flight to a worker at once; Number says which
-// of them an answer belongs to.
+// RenewalAction is a lease renewal to be sent to a worker. Two may be in flight to a worker at once; Number identifies
+// the one that an answer belongs to.
 type RenewalAction struct {
 	Worker jobs.Worker
 	Number uint64
--- a/internal/controller/scheduler/balance.go
+++ b/internal/controller/scheduler/balance.go
@@ -7,11 +7,11 @@
 // balanceCheck permits everything.
 type balanceCheck struct {
 	table    *jobs.Table
-	reserved map[string]int64 // by party: what the starts planned so far cost
-	blocked  map[string]bool  // parties whose balance is kept for a more urgent unit that it doesn't cover
+	reserved map[string]int64 // by party: the cost of the starts planned so far
+	blocked  map[string]bool  // parties whose balance doesn't cover a more urgent unit, for which it is saved
 }
 
-// newBalanceCheck returns nil where nobody pays.
+// newBalanceCheck returns the check of one placement; nil if the table has no parties.
 func newBalanceCheck(table *jobs.Table) *balanceCheck {
 	if len(table.Parties) == 0 {
 		return nil
--- a/internal/controller/scheduler/commit.go
+++ b/internal/controller/scheduler/commit.go
@@ -9,7 +9,7 @@
 // proposal is a Progress whose commit is in flight. Owned by propose and Committed.
 type proposal struct {
 	progress   *jobs.Progress
-	highestEnd map[string]uint64 // by worker: the end up to which the commit permits to acknowledge
+	highestEnd map[string]uint64 // by worker: the end up to which ends may be acknowledged after the commit
 	starts     map[jobs.RunKey]bool
 }
 
@@ -33,7 +33,7 @@
 	ends, highestEnd := c.pendingEnds, c.highestEnd
 	c.pendingEnds, c.highestEnd = nil, map[string]uint64{}
 	if len(ends) == 0 && len(starts) == 0 && len(forget) == 0 {
-		c.markDurable(highestEnd) // the runs that ended have no handles any more: nothing to commit
+		c.markDurable(highestEnd) // the handles of these runs have left the table already: nothing to commit
 		return nil
 	}
 	progress := &jobs.Progress{Term: c.term, At: wall, Ends: ends, Starts: starts, Forget: forget}
--- a/internal/controller/scheduler/config.go
+++ b/internal/controller/scheduler/config.go
@@ -8,11 +8,11 @@
 	Lease time.Duration
 	// RenewalWait is how long a worker may hold a renewal open until a run ends (long poll).
 	RenewalWait time.Duration
-	// RenewalMargin is how long after its wait a renewal without an answer counts as failed.
+	// RenewalMargin is the time after its wait at which a renewal without an answer counts as failed.
 	RenewalMargin time.Duration
-	// SilenceTimeout is how long after its last answer or heartbeat a worker takes starts.
+	// SilenceTimeout is how long after its last answer or heartbeat a worker counts as silent and takes no starts.
 	SilenceTimeout time.Duration
-	// OrderTimeout is when a start or stop without an answer counts as unconfirmed.
+	// OrderTimeout is the time after which a start or stop without an answer counts as unconfirmed.
 	OrderTimeout time.Duration
 	// RetryMin is the first back-off after a failed call; it doubles up to RetryMax.
 	RetryMin, RetryMax time.Duration
@@ -20,9 +20,9 @@
 	ExpiryMargin time.Duration
 	// ClockSlack bounds clock drift: a worker's clock runs at least 1-ClockSlack times as fast as the leader's.
 	ClockSlack float64
-	// EarlyStart is how long before its due time a round may start.
+	// EarlyStart is how long before it is due a round may start.
 	EarlyStart time.Duration
-	// RemoteDataFactor is how many times as long a task takes away from its data.
+	// RemoteDataFactor multiplies the expected duration of a task that runs away from its data.
 	RemoteDataFactor float64
 	// ReserveAfter is how long a unit waits before free capacity is reserved for it.
 	ReserveAfter time.Duration
@@ -44,7 +44,7 @@
 	MaxProbes int
 }
 
-// Defaults returns the settings of a cluster without settings of its own.
+// Defaults returns the Config of a cluster that sets none.
 func Defaults() Config {
 	return Config{
 		Lease:              5 * time.Second,
--- a/internal/controller/scheduler/contact.go
+++ b/internal/controller/scheduler/contact.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// contact says whether a worker can be reached, by the outcomes of calls and by heartbeats. Times are of the leader's
+// contact tracks whether a worker can be reached, by the outcomes of calls and by heartbeats. Times are of the leader's
 // clock.
 type contact struct {
 	heardAt time.Duration // of the newest answer or heartbeat; 0: none under this term
@@ -11,11 +11,11 @@
 	unansweredAt time.Duration // when the first call after answeredAt was found to have no answer; 0: none was
 	verifyAt     time.Duration // the worker takes no starts before an answer that is newer than this
 
-	failures int           // calls without an answer in a row
+	failures int           // consecutive calls without an answer
 	retryAt  time.Duration // no renewals before it
 	suspect  bool          // an order got no answer, and no call was answered since
 
-	// throttledUntil: before it only one order at a time is in flight to the worker, see markUnanswered.
+	// throttledUntil is the end of the time in which only one order may be in flight to the worker, see markUnanswered.
 	throttledUntil time.Duration
 }
 
@@ -25,7 +25,7 @@
 // hasStoppedAnswering reports whether a call after the newest answer got none.
 func (t *contact) hasStoppedAnswering() bool { return t.unansweredAt > t.answeredAt }
 
-// isSilent reports whether neither an answer nor a heartbeat came within a timeout.
+// isSilent reports whether neither an answer nor a heartbeat came within the last timeout.
 func (t *contact) isSilent(now, timeout time.Duration) bool {
 	return t.heardAt == 0 || now-t.heardAt > timeout
 }
@@ -53,7 +53,7 @@
 //
 // A throttled worker gets one order at a time, and renewals that leave the connection free for it. A connection that is
 // given up behind a partition, or whose leader lost power, stays open at the worker. The worker accepts few and resets
-// further ones, so that the one that is left must do for everything.
+// further ones, so that all calls must share the one that is left.
 func (c *Core) markUnanswered(w *worker, now time.Duration) {
 	w.contact.throttledUntil = now + throttlePeriod
 	if !w.contact.hasStoppedAnswering() {
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -18,12 +18,11 @@
 	// event has a higher number than it, so its answer can prove something about it.
 	sequence uint64
 
-	termState // all that is known under the term; replaced as a whole when the term changes
+	termState // everything known under the term; replaced as a whole when the term changes
 
 	discarded map[Cause]Discarded // since New
 
-	// Counts are totals since New, for metrics and tests.
-	Counts Counts
+	Counts Counts // since New, for metrics and tests
 }
 
 // Counts are the totals of a Core since it was made.
@@ -42,7 +41,8 @@
 
 // termState is what a Core knows and has in flight under one term.
 type termState struct {
-	table       *jobs.Table   // read only; its owner changes it between calls, and reports each change by TableChanged
+	// table is only read here. Its owner changes it between calls, and reports each change by TableChanged.
+	table       *jobs.Table
 	leaderSince time.Duration // when BecomeLeader was called
 
 	workers    map[string]*worker
@@ -62,7 +62,7 @@
 
 	placementDue bool // since the last placement an input came that may make a due task placeable
 	nextSweep    time.Duration
-	nextForget   time.Duration // when workersToForget is called next
+	nextForget   time.Duration // when workersToForget is called next, at the earliest
 
 	ordersInFlight int // start and stop orders to all workers: the sum of worker.ordersInFlight
 	connBackoff    connBackoff
--- a/internal/controller/scheduler/discard.go
+++ b/internal/controller/scheduler/discard.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/jobs"
 )
 
-// Cause says why the work of a run was discarded. The values are part of metric labels.
+// Cause is the reason for which the work of a run was discarded. The values are part of metric labels.
 type Cause string
 
 // The causes for which work is discarded. A failure of the run itself isn't among them: its client pays for it.
@@ -15,7 +15,7 @@
 	CausePreempted    Cause = "preempted"  // stopped for a more urgent one
 	CauseMoved        Cause = "moved"      // stopped on a slow worker, to restart elsewhere
 	CauseGang         Cause = "gang"       // another member of its gang had ended
-	CauseUnanswered   Cause = "unanswered" // its start got no answer, and it was stopped lest it starts late
+	CauseUnanswered   Cause = "unanswered" // its start got no answer, and it was stopped lest it start late
 	CauseLeaseExpired Cause = "lapsed"     // the lease of its worker expired
 	CauseLost         Cause = "lost"       // its worker is gone, or didn't list it any more
 	CauseGangTimeout  Cause = "alone"      // it waited too long for the other members of its gang
@@ -24,12 +24,13 @@
 // Discarded is the work discarded for one cause.
 type Discarded struct {
 	Runs int
-	// CoreSeconds is the work of those runs that had no checkpoint, an accelerator counting as coresPerGPU cores.
-	// Long-running tasks and runs that an earlier leader started aren't in it.
+	// CoreSeconds is the work of those runs that had no checkpoint, an accelerator counting as coresPerGPU cores. It
+	// excludes long-running tasks and runs that an earlier leader started.
 	CoreSeconds float64
 }
 
-// endCauses are the causes of ends for which the run has none of its own. Other ends discard nothing.
+// endCauses maps the reason of an end to the cause that counts if the run was not stopped for another one. Ends for
+// other reasons discard nothing.
 var endCauses = map[jobs.EndReason]Cause{
 	jobs.EndLeaseExpired: CauseLeaseExpired,
 	jobs.EndGangBroken:   CauseGang,
--- a/internal/controller/scheduler/feasible.go
+++ b/internal/controller/scheduler/feasible.go
@@ -12,14 +12,14 @@
 	worker   *worker
 	record   *jobs.Worker
 	free     jobs.Resources // after the starts planned so far
-	freeing  jobs.Resources // of runs that are being stopped, or whose ends wait to be committed
+	freeing  jobs.Resources // held by runs that are being stopped, or whose ends wait to be committed
 	reserved bool           // for a more urgent unit: it takes no more starts in this pass
-	slowdown float64        // how many times as long a task takes here as on the average worker
-	// lowestPriority is that of the least urgent run here that may be preempted; -1: none may.
+	slowdown float64        // duration of a task here, as a multiple of that on the average worker
+	// lowestPriority is the priority of the least urgent run here that may be preempted; -1: none may.
 	lowestPriority int
 }
 
-// feasibleNodes returns the nodes of a service, the same for all units of a pass.
+// feasibleNodes returns the nodes of a service, made once for all units of a pass.
 func (p *placement) feasibleNodes(service string) []*node {
 	if nodes, ok := p.feasible[service]; ok {
 		return nodes
@@ -37,13 +37,13 @@
 		}
 	}
 	if len(stalled) > len(nodes)/minHealthyPerStalled {
-		nodes = append(nodes, stalled...) // so many at once: better there than nowhere
+		nodes = append(nodes, stalled...) // too many are excluded: a slow start is better than none
 	}
 	p.feasible[service] = nodes
 	return nodes
 }
 
-// newNode returns a node with what its runs leave free.
+// newNode returns the node of a worker, with the capacity that its runs leave free.
 func (p *placement) newNode(w *worker, rec *jobs.Worker) *node {
 	n := &node{
 		worker:         w,
@@ -63,9 +63,9 @@
 	return n
 }
 
-// cooldown says when a worker last showed that it is a bad place for starts. Times are of the leader's clock; 0: never.
+// cooldown holds when a worker last proved a bad place for starts. Times are of the leader's clock; 0: never.
 type cooldown struct {
-	fullAt      time.Duration // it refused a start for lack of capacity: the table's account lags
+	fullAt      time.Duration // it refused a start for lack of capacity: it runs more than the table knows
 	unhealthyAt time.Duration // it refused a start as unhealthy
 	stalledAt   time.Duration // a run on it was found stalled, and none has made progress since
 }
@@ -91,7 +91,7 @@
 	return d.fullAt > 0 && now-d.fullAt < fullBackoff || d.unhealthyAt > 0 && now-d.unhealthyAt < unhealthyBackoff
 }
 
-// markRefused records why a worker refused a start.
+// markRefused records the reason for which a worker refused a start.
 func (w *worker) markRefused(now time.Duration, why Refusal) {
 	switch why {
 	case RefusedCapacity:
@@ -102,7 +102,7 @@
 	}
 }
 
-// canTakeStarts reports whether a worker may be given starts at all.
+// canTakeStarts reports whether a worker may be sent starts at all.
 func (w *worker) canTakeStarts(c *Core, now time.Duration) bool {
 	rec := w.record()
 	switch {
@@ -116,7 +116,7 @@
 	return !w.cooldown.hasRefused(now)
 }
 
-// isFeasible reports whether a unit's tasks may run on a node at all, its free capacity apart.
+// isFeasible reports whether a unit's tasks may run on a node, whatever its free capacity.
 func (p *placement) isFeasible(u *unit, n *node) bool {
 	if u.step.Label != "" && !slices.Contains(n.record.Labels, u.step.Label) {
 		return false
--- a/internal/controller/scheduler/flowcontrol.go
+++ b/internal/controller/scheduler/flowcontrol.go
@@ -1,12 +1,12 @@
 package scheduler
 
-// orderSent counts an order that leaves for a worker.
+// orderSent counts an order to a worker as in flight.
 func (c *Core) orderSent(w *worker) {
 	w.ordersInFlight++
 	c.ordersInFlight++
 }
 
-// orderDone counts an order that was answered or has failed.
+// orderDone ends the count of an order that was answered or has failed.
 func (c *Core) orderDone(w *worker) {
 	if w.ordersInFlight == 0 {
 		return // of an earlier term
--- a/internal/controller/scheduler/health.go
+++ b/internal/controller/scheduler/health.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Health is what operators are shown of the workers under the present term.
+// Health summarizes the workers under the present term, for logs and metrics.
 type Health struct {
-	// Silent counts, by zone, the workers that were not heard for Config.SilenceTimeout. Deregistered ones don't count.
+	// Silent counts, by zone, the workers that were not heard from for Config.SilenceTimeout, but for deregistered ones.
 	Silent  map[string]int
-	Workers int
+	Workers int // that have not deregistered
 	Counts  Counts
 	// Discarded is the work discarded since New.
 	Discarded map[Cause]Discarded
--- a/internal/controller/scheduler/history.go
+++ b/internal/controller/scheduler/history.go
@@ -2,12 +2,12 @@
 
 import "crosstide/internal/jobs"
 
-// taskHistory is what earlier runs of tasks say about where to place them next. It covers one term, and the tasks of
+// taskHistory holds what earlier runs of a task imply for its next placement. It covers one term, and the tasks of
 // active jobs only.
 type taskHistory struct {
-	// avoid has the worker on which a task failed or was refused, or from which it was moved, last.
+	// avoid maps a task to the worker on which it last failed or was refused, or from which it was last moved.
 	avoid map[jobs.TaskRef]string
-	// moves is how often a task was moved, see maxMovesPerTask.
+	// moves counts how often a task was moved, see maxMovesPerTask.
 	moves map[jobs.TaskRef]int
 }
 
--- a/internal/controller/scheduler/job.go
+++ b/internal/controller/scheduler/job.go
@@ -11,11 +11,11 @@
 type job struct {
 	id            string
 	runs          map[jobs.RunKey]bool // handles of its tasks
-	units         []*unit              // what of it is due
-	hasUndueRound bool                 // a round of it isn't due yet
+	units         []*unit              // its due tasks, by step and round
+	hasUndueRound bool                 // some round of it isn't due yet
 }
 
-// refreshDirtyJobs rebuilds the records of jobs that have changed, or of which a round may have fallen due.
+// refreshDirtyJobs rebuilds the records of jobs that have changed, or that may have a round that fell due.
 func (c *Core) refreshDirtyJobs(wall time.Time) {
 	if !c.nextDue.IsZero() && !wall.Before(c.nextDue) {
 		c.nextDue = time.Time{}
--- a/internal/controller/scheduler/lease.go
+++ b/internal/controller/scheduler/lease.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// leaseState bounds the leases that may be in force on a worker. Lease deadlines are of the worker's own clock, so that
-// a renewal that is delivered late extends nothing.
+// leaseState bounds the leases that may be in force on a worker. Lease deadlines are readings of the worker's own
+// clock, so that a renewal that is delivered late extends nothing.
 type leaseState struct {
-	// fenced: the worker answered a renewal under this term, so it accepts nothing from an earlier leader any more.
+	// fenced is set once the worker has answered a renewal under this term: it accepts nothing from an earlier leader.
 	fenced bool
 
-	clock      time.Duration // of the worker at clockAt
-	clockAt    time.Duration // of the leader
+	clock      time.Duration // the worker's clock at clockAt
+	clockAt    time.Duration // on the leader's clock
 	clockKnown bool
 
-	until time.Duration // the latest lease that may be in force, on the worker's clock; 0: not known
+	until time.Duration // end of the latest lease that may be in force, on the worker's clock; 0: not known
 }
 
 // setClock records the worker's clock, unless it is 0 (unknown) or older than the one that is known.
@@ -32,8 +32,8 @@
 	return deadline
 }
 
-// fence records the first answer to a renewal under this term. No earlier leader can renew from here on; what one
-// granted ends by then, as all go by the same settings.
+// fence records the first answer to a renewal under this term. From then on no earlier leader can renew the lease; any
+// lease that one granted ends by until, as all leaders have the same settings.
 func (l *leaseState) fence(clock time.Duration, cfg Config) {
 	if !l.fenced {
 		l.fenced = true
@@ -41,13 +41,13 @@
 	}
 }
 
-// minClock returns the least that the worker's clock can show at now.
+// minClock returns the lowest reading that the worker's clock can have at now.
 func (l *leaseState) minClock(now time.Duration, slack float64) time.Duration {
 	return l.clock + time.Duration(float64(now-l.clockAt)*(1-slack))
 }
 
-// leaseExpired reports whether every lease that may have been granted to the worker has certainly expired, and its runs
-// are killed. Heartbeats don't count: they may come by way of another node while no call gets through.
+// leaseExpired reports whether every lease that may have been granted to the worker has certainly expired and its runs
+// are killed. Heartbeats don't count: they may come through another node while no call gets through.
 func (w *worker) leaseExpired(c *Core, now time.Duration) bool {
 	// An earlier leader may have granted a whole lease just before this term began.
 	sinceTerm := time.Duration(float64(now-c.leaderSince) * (1 - c.cfg.ClockSlack))
--- a/internal/controller/scheduler/move.go
+++ b/internal/controller/scheduler/move.go
@@ -9,18 +9,18 @@
 
 // Conditions under which a run is moved away from a slow worker, and limits of moves.
 const (
-	// stallTime: a run without progress for so long is stalled, if that is also stallFraction of its expected time, as
-	// progress is reported in whole percent.
+	// stallTime is how long a run must be without progress to count as stalled. It must also be stallFraction of the
+	// run's expected time, as progress is reported in whole percent.
 	stallTime     = 700 * time.Millisecond
 	stallFraction = 0.05
 
-	slowFactor      = 2.0 // a run is slow from so many times the time of its peers on
-	certainSlowdown = 5.0 // from so many times on its worker is slow, whatever else runs there
-	minSlowRuns     = 2   // a worker with so many slow runs is slow
+	slowFactor      = 2.0 // a run that takes this many times as long as its peers is slow
+	certainSlowdown = 5.0 // at this multiple its worker is slow, whatever else runs there
+	minSlowRuns     = 2   // a worker with this many slow runs is slow
 
-	moveCost       = 500 * time.Millisecond // of a stop, two commits and a start
-	gainFactor     = 1.5                    // what is left must take so many times as long as a restart elsewhere
-	maxProgressAge = 2 * time.Second        // progress that was listed longer ago proves nothing
+	moveCost       = 500 * time.Millisecond // time for a stop, two commits and a start
+	gainFactor     = 1.5                    // the rest of the run must take this many times as long as a restart elsewhere
+	maxProgressAge = 2 * time.Second        // progress that was listed earlier proves nothing
 
 	maxMovesPerTask = 2 // under one term
 	maxMovesPerPass = 16
@@ -29,7 +29,7 @@
 // moveSlowRuns stops runs that are stalled, or far slower than elsewhere, where another worker has capacity for them.
 // Their tasks are due again once the end is listed, and avoid the worker that they come from.
 func (p *placement) moveSlowRuns() {
-	slow := map[jobs.RunKey]*run{} // few of all runs: only these are sorted
+	slow := map[jobs.RunKey]*run{} // only these few are sorted, for a fixed order
 	for key, r := range p.core.runs {
 		w := p.core.workers[r.worker]
 		if w == nil || w.contact.failures > 0 || !p.isMovable(r) {
@@ -96,8 +96,8 @@
 	return slow >= minSlowRuns
 }
 
-// runSlowdown returns how many times as long as its peers a run takes, extrapolated from its progress; 0 if its peers
-// aren't known.
+// runSlowdown returns the duration of a run, extrapolated from its progress, as a multiple of its peers' mean; 0 if
+// that isn't known.
 func (p *placement) runSlowdown(r *run) float64 {
 	peers, known := p.core.speeds.peerMean(r.key.Task)
 	if !known || peers <= 0 {
@@ -107,7 +107,7 @@
 	return total / (float64(peers) * p.remoteFactor(r))
 }
 
-// remoteFactor returns how many times as long a run takes for being away from its data.
+// remoteFactor returns the factor by which a run is expected to take longer because it is away from its data.
 func (p *placement) remoteFactor(r *run) float64 {
 	j, rec := p.core.table.Jobs[r.key.Task.Job], p.core.table.Workers[r.worker]
 	if j == nil || rec == nil || r.key.Task.Step >= len(j.Spec.Steps) {
@@ -120,7 +120,7 @@
 	return p.core.cfg.RemoteDataFactor
 }
 
-// moveOne stops a run if another worker has capacity for its task. It reports whether it did.
+// moveOne stops a run if another worker has capacity for its task, and reports whether it did.
 func (p *placement) moveOne(r *run) bool {
 	task := r.key.Task
 	j := p.core.table.Jobs[task.Job]
@@ -145,7 +145,7 @@
 	return true
 }
 
-// selectOtherNode selects among all nodes but one.
+// selectOtherNode returns what selectNode does of all nodes but the one of a worker.
 func (p *placement) selectOtherNode(u *unit, nodes []*node, except string) *node {
 	at := slices.IndexFunc(nodes, func(n *node) bool { return n.record.ID == except })
 	if at < 0 {
--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/jobs"
 )
 
-// StartOrder tells a worker to start one run. It is marshalled in the answers to heartbeats: a renamed field keeps the
-// name in its tag.
+// StartOrder is the order to start one run. It is marshalled in the answers to heartbeats: a field that is renamed
+// keeps the name in its tag.
 type StartOrder struct {
 	Key     jobs.RunKey    `json:"Key"`
 	Payload string         `json:"Payload"`
@@ -19,21 +19,22 @@
 	Checkpoint    string        `json:"Checkpoint"` // to resume from; empty: start from the beginning
 }
 
-// StopOrder tells a worker to stop one run, and never to start it later.
+// StopOrder is the order to stop one run, and never to start it later.
 type StopOrder struct {
 	Key   jobs.RunKey
 	Token uint64 // fencing token
 }
 
-// LeaseRenewal renews a worker's lease, acknowledges ends, and asks which runs run and which have ended.
+// LeaseRenewal renews a worker's lease, acknowledges ends, and asks for the lists of running and ended runs.
 type LeaseRenewal struct {
 	Token            uint64        // fencing token
 	AcknowledgedUpTo uint64        // the worker may forget the ends numbered up to it: they are committed
-	LeaseDeadline    time.Duration // of the new lease, on the worker's clock; 0: none is granted
+	LeaseDeadline    time.Duration // end of the new lease, on the worker's clock; 0: none is granted
 	Wait             time.Duration // how long the worker may hold the answer until a run ends
 }
 
-// Refusal says why a worker refused a start; empty: it accepted it. The values are part of the wire format.
+// Refusal is the reason for which a worker refused a start; empty if it accepted it. The values are part of the wire
+// format.
 type Refusal string
 
 // The refusals of a worker. In each case the run has not started and this order never starts it.
@@ -41,7 +42,7 @@
 	RefusedFenced    Refusal = "fence"     // the worker has seen a higher token
 	RefusedStale     Refusal = "old"       // a run of its task with this number or a higher one has ended
 	RefusedExpired   Refusal = "late"      // the lease deadline of the order has passed
-	RefusedCapacity  Refusal = "room"      // its needs exceed what is free
+	RefusedCapacity  Refusal = "room"      // the run's needs exceed what is free on the worker
 	RefusedInvalid   Refusal = "invalid"   // the order can't be read
 	RefusedUnhealthy Refusal = "unhealthy" // the worker accepts nothing now
 )
@@ -67,20 +68,22 @@
 	Checkpoint string         `json:"Checkpoint"`
 }
 
-// RenewalAnswer is a worker's answer to a lease renewal. It is marshalled in heartbeats, with the runs in it: a renamed
-// field keeps the name in its tag.
+// RenewalAnswer is a worker's answer to a lease renewal. It is marshalled in heartbeats, with the runs in it: a field
+// that is renamed keeps the name in its tag.
 type RenewalAnswer struct {
 	Clock   time.Duration `json:"Clock"` // the worker's clock
 	Running []ListedRun   `json:"Running"`
 	Ended   []EndedRun    `json:"Ended"` // oldest first
-	// Full: more ends are unacknowledged than an answer holds, so that a run that isn't listed may have ended.
+	// Full is set if more ends are unacknowledged than an answer holds: a run that isn't listed may have ended.
 	Full bool `json:"Full"`
 }
 
-// Workers sends calls to workers. Each call returns when the worker has answered or its context is done.
+// Workers sends calls to workers. Each call returns when the worker has answered or its context is done; calls may be
+// concurrent. Their errors are:
 //
-// The kinds of errors: errs.Unknown: another incarnation answers at the address, the worker is gone for good;
-// an error for which rpc.IsUnsent holds: nothing left this node; any other: the call may be carried out, now or later.
+//   - of kind errs.Unknown: another incarnation answers at the address, the worker is gone for good;
+//   - one for which rpc.IsUnsent holds: nothing left this node;
+//   - any other: the call may be carried out, now or later.
 type Workers interface {
 	// Start delivers a start order.
 	Start(ctx context.Context, worker jobs.Worker, order StartOrder) (StartAnswer, error)
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -15,8 +15,8 @@
 	wall time.Time
 
 	starts    []jobs.Start
-	assigned  map[jobs.TaskRef]map[string]int // by unit key and worker: its tasks there, those of starts included
-	preempted int                             // runs that were stopped for more urgent work
+	assigned  map[jobs.TaskRef]map[string]int // by unit key and worker: the unit's tasks there, planned ones included
+	preempted int                             // runs stopped so far for more urgent work
 
 	feasible map[string][]*node // by service, see feasibleNodes
 	byFree   map[string][]*node // by service, see nodesByFree; emptied by each planned start
@@ -88,7 +88,7 @@
 	if u.step.SameRack {
 		groups = byRack(nodes)
 		if p.now-u.waitingSince > rackTimeoutFactor*p.core.cfg.ReserveAfter || !p.someRackFits(u, groups) {
-			groups = append(groups, nodes) // slower over several racks, but not waiting
+			groups = append(groups, nodes) // a gang over several racks is slower, but it runs
 		}
 	}
 	for _, group := range groups {
@@ -99,7 +99,7 @@
 	p.freeCapacity(u, nodes, len(u.taskIndexes))
 }
 
-// someRackFits reports whether some rack, were it empty, would hold the whole gang.
+// someRackFits reports whether some rack would hold the whole gang if it were empty.
 func (p *placement) someRackFits(u *unit, racks [][]*node) bool {
 	return slices.ContainsFunc(racks, func(rack []*node) bool { return p.totalCapacity(u, rack) >= len(u.taskIndexes) })
 }
@@ -130,7 +130,7 @@
 	p.starts = append(p.starts, jobs.Start{Task: u.task(index), Number: number, Worker: n.record.ID})
 }
 
-// rollback undoes the newest starts, which are of the unit, down to a number of planned ones.
+// rollback undoes the starts of a unit that were planned after the first planned ones.
 func (p *placement) rollback(u *unit, nodes []*node, planned int) {
 	clear(p.byFree)
 	for _, s := range p.starts[planned:] {
@@ -144,7 +144,7 @@
 	p.starts = p.starts[:planned]
 }
 
-// tasksOn returns the count of a unit's tasks by worker, those planned in this pass included.
+// tasksOn returns the number of a unit's tasks on each worker, those planned in this pass included.
 func (p *placement) tasksOn(u *unit) map[string]int {
 	counts := p.assigned[u.key()]
 	if counts == nil {
--- a/internal/controller/scheduler/preempt.go
+++ b/internal/controller/scheduler/preempt.go
@@ -30,7 +30,7 @@
 		if n.reserved || !p.isFeasible(u, n) || !fits(n.record.Capacity, u.step.Needs) {
 			continue
 		}
-		if fits(plus(n.free, n.freeing), u.step.Needs) { // enough is becoming free here
+		if fits(plus(n.free, n.freeing), u.step.Needs) { // enough capacity is becoming free here
 			n.claim(u.step.Needs)
 			return true
 		}
@@ -56,8 +56,8 @@
 	return true
 }
 
-// claim keeps capacity for a task that waits until runs here have stopped. Without it less urgent units of this pass
-// would take what is free of it already, and more runs would be stopped again and again.
+// claim sets capacity aside for a task that waits until runs here have stopped. Without it less urgent units of this
+// pass would take the part of it that is free already, and more runs would be stopped in each pass.
 func (n *node) claim(needs jobs.Resources) {
 	left := minus(plus(n.free, n.freeing), needs)
 	free := jobs.Resources{
@@ -98,7 +98,7 @@
 	return r.start.sent && r.progress.listed && !r.stop.wanted && !r.ending && !r.gang
 }
 
-// checkpointedWaste divides the work that is wasted if a run with a checkpoint is stopped.
+// checkpointedWaste divides the wasted work of a run with a checkpoint: it restarts from there.
 const checkpointedWaste = 4
 
 // wastedWork returns what the stop of a run discards, in core-seconds. A long-running task is never finished, so that
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/jobs"
 )
 
-// unit is what the queue orders and placement handles as one: the due tasks of one step of one round. They are placed
-// one by one, or all or none if the step is a gang.
+// unit is an entry of the queue: the due tasks of one step of one round. They are placed one by one, or all or none if
+// the step is a gang.
 type unit struct {
 	job          *jobs.Job
 	step         *jobs.Step
@@ -17,7 +17,7 @@
 	round        int
 	stepIndex    int
 	taskIndexes  []int         // of the due tasks, ascending
-	waitingSince time.Duration // when it was first due under this term
+	waitingSince time.Duration // when the unit was first due under this term
 	latestStart  time.Time     // the latest start with which the job can meet its objective; orders the queue
 	expiresAt    time.Time     // after it the unit is placed last, and no capacity is freed for it
 }
@@ -54,7 +54,7 @@
 	return units
 }
 
-// expiredTier comes after every priority.
+// expiredTier is the tier of expired units, after every priority.
 const expiredTier = 1 << 20
 
 // tier returns the unit's class of urgency: its queue's priority, or the last one once it has expired.
@@ -67,11 +67,11 @@
 
 // Expiry of units.
 const (
-	expiryObjectives  = 3 // a round expires after so many times its objective
-	longRunningExpiry = 24 * time.Hour
+	expiryObjectives  = 3              // a round expires after this many times its objective
+	longRunningExpiry = 24 * time.Hour // a round of a long-running step expires after it
 )
 
-// addDueUnits adds the units of a round that are due; if the round itself isn't due yet, it notes when it will be.
+// addDueUnits adds the units of a round that are due; if the round itself isn't due yet, it records when it will be.
 func (c *Core) addDueUnits(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
@@ -116,7 +116,7 @@
 	return due
 }
 
-// minEstimate stands for a step whose client estimated less, or nothing.
+// minEstimate replaces a smaller estimate, or none.
 const minEstimate = 200 * time.Millisecond
 
 // criticalPath returns the longest time along steps that wait for each other.
--- a/internal/controller/scheduler/rank.go
+++ b/internal/controller/scheduler/rank.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// How much the speed of a worker counts.
+// Weights of a worker's speed.
 const (
-	speedSteps    = 8   // speeds that differ by less than one part in so many count as equal
-	tooSlowFactor = 1.6 // from this slowdown on a worker is too slow for anything that could run elsewhere
+	speedSteps    = 8   // a slowdown is rounded to multiples of one part in speedSteps
+	tooSlowFactor = 1.6 // at this slowdown a worker is avoided by all tasks that could run elsewhere
 )
 
-// avoidedCost multiplies the cost of a worker on which the task failed, or from which it was moved: better there again
-// than not at all.
+// avoidedCost multiplies the cost of a worker on which the task failed, or from which it was moved: the task runs there
+// again rather than not at all.
 const avoidedCost = 4
 
-// selectNode returns the node of least cost for the unit's next task; nil if none has enough free capacity. Of equal
-// ones prefersNode decides, then their order. avoid is the ID of a worker that the task had better not run on, or
-// empty.
+// selectNode returns the node of least cost for the unit's next task; nil if none has enough free capacity. Among nodes
+// of equal cost prefersNode decides, then their order. avoid is the ID of a worker that the task had better not run on,
+// or empty.
 func (p *placement) selectNode(u *unit, nodes []*node, avoid string) *node {
 	var best *node
 	var least float64
@@ -46,8 +46,8 @@
 	return cost
 }
 
-// speedCost returns how much the speed of a node counts for a unit. Fast nodes are left to urgent work: work of lower
-// priority goes by free capacity alone, and long-running work, which no speed makes shorter, to the slower ones.
+// speedCost returns the part of a node's cost that depends on its speed. Fast nodes are left to urgent work: for work
+// of lower priority speed doesn't count, and long-running work, which no speed makes shorter, prefers slower nodes.
 func (u *unit) speedCost(n *node) float64 {
 	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
 	switch {
@@ -71,7 +71,7 @@
 	return n.free.MilliCPU > other.free.MilliCPU
 }
 
-// byRack groups nodes by rack, racks with most free processors first.
+// byRack groups nodes by rack, the racks with the most free processors first.
 func byRack(nodes []*node) [][]*node {
 	racks := map[string][]*node{}
 	free := map[string]int{}
@@ -88,7 +88,7 @@
 	return groups
 }
 
-// sortByFree returns a copy of nodes, those with most free processors first.
+// sortByFree returns a copy of nodes, those with the most free processors first.
 func sortByFree(nodes []*node) []*node {
 	sorted := slices.Clone(nodes)
 	slices.SortStableFunc(sorted, func(a, b *node) int { return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU) })
--- a/internal/controller/scheduler/reconcile.go
+++ b/internal/controller/scheduler/reconcile.go
@@ -108,8 +108,8 @@
 	return r.start.acceptedSeq != 0 && r.start.acceptedSeq < number
 }
 
-// syncRuns brings the run records of a job in line with the handles of its tasks and returns how many there are. j is
-// nil if the table has no such job any more.
+// syncRuns makes the run records of a job match the handles of its tasks, and returns the number of handles. j is nil
+// if the table has no such job any more.
 func (c *Core) syncRuns(rec *job, j *jobs.Job) int {
 	present := map[jobs.RunKey]bool{}
 	if j != nil {
--- a/internal/controller/scheduler/renewal.go
+++ b/internal/controller/scheduler/renewal.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/jobs"
 )
 
-// renewalState is what is in flight of a worker's lease renewals. Two kinds are sent to it, at most one of each at a
-// time: a long poll, which the worker holds open until a run ends, and a probe, which it answers at once.
+// renewalState holds a worker's lease renewals in flight. There are two kinds, at most one of each at a time: a long
+// poll, which the worker holds open until a run ends, and a probe, which it answers at once.
 type renewalState struct {
 	longPoll renewalCall
 	probe    renewalCall
@@ -17,17 +17,17 @@
 // renewalCall is a renewal in flight.
 type renewalCall struct {
 	number uint64 // of its RenewalAction; 0: none is in flight
-	ack    uint64 // the end up to which it acknowledges
+	ack    uint64 // it acknowledges the ends numbered up to it
 	sentAt time.Duration
 }
 
 // sendRenewals adds the lease renewals that are due. A new leader must probe every worker; it does so a few at a time,
-// as the store's heartbeats share its processor. The result reports whether a probe was put off for that.
+// as the store's heartbeats share its processor. throttled reports whether a probe was postponed for that.
 func (c *Core) sendRenewals(now time.Duration, actions *Actions) (throttled bool) {
 	probes := c.probesInFlight(now)
 	for _, w := range c.workerList {
 		if !w.renewal.probeDue && (w.renewal.longPoll.number != 0 || len(w.runs) == 0) || now < w.contact.retryAt {
-			continue // nothing to ask: so it is for most workers in most passes
+			continue // nothing to ask, as of most workers in most passes
 		}
 		rec := w.record()
 		if rec == nil || rec.Left && len(w.runs) == 0 && w.ends.acknowledged >= w.ends.durable {
@@ -61,7 +61,7 @@
 	return renewalCall{number: c.sequence, ack: w.ends.durable, sentAt: c.now}
 }
 
-// probeWindow is how long a probe counts for Config.MaxProbes. A reachable worker answers within it, and those that
+// probeWindow is how long a probe counts towards Config.MaxProbes. A reachable worker answers within it; workers that
 // aren't reachable must not keep the leader from probing the others.
 const probeWindow = 50 * time.Millisecond
 
@@ -125,7 +125,7 @@
 	return false
 }
 
-// RenewalError says how a lease renewal without an answer failed.
+// RenewalError is the way in which a lease renewal failed.
 type RenewalError int
 
 // The failures of a lease renewal. RenewalNoConnection proves nothing about the worker.
--- a/internal/controller/scheduler/reserve.go
+++ b/internal/controller/scheduler/reserve.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// smallTaskMilliCPU is the size up to which a task finds free capacity soon enough without a reservation.
+// smallTaskMilliCPU is the size up to which a task gets no reservation: it finds free capacity soon enough.
 const smallTaskMilliCPU = 2000
 
 // reserve keeps less urgent units of this pass off the nodes that would take count tasks of a unit soonest. Nothing is
@@ -36,8 +36,8 @@
 	return largest
 }
 
-// nodesByFree returns all nodes of a service, those with most free processors first. Units that wait follow one another
-// without a start in between, so the order is kept until the next start.
+// nodesByFree returns all nodes of a service, those with the most free processors first. Waiting units follow one
+// another without a start in between, so the order is kept until the next start is planned.
 func (p *placement) nodesByFree(service string, nodes []*node) []*node {
 	sorted, ok := p.byFree[service]
 	if !ok {
--- a/internal/controller/scheduler/resources.go
+++ b/internal/controller/scheduler/resources.go
@@ -15,7 +15,7 @@
 	return jobs.Resources{MilliCPU: a.MilliCPU - b.MilliCPU, MemoryMB: a.MemoryMB - b.MemoryMB, GPUs: a.GPUs - b.GPUs}
 }
 
-// coresPerGPU is how many cores an accelerator counts as where work is compared.
+// coresPerGPU is the number of cores that an accelerator counts as when work is compared.
 const coresPerGPU = 8
 
 // coresOf returns needs as one number, in cores.
--- a/internal/controller/scheduler/run.go
+++ b/internal/controller/scheduler/run.go
@@ -26,12 +26,12 @@
 	ending   bool // its end waits to be committed
 }
 
-// runProgress is the progress of a run by the worker's lists of running runs. Owned by reconcile.go.
+// runProgress is the progress of a run as its worker lists it. Owned by reconcile.go.
 type runProgress struct {
 	listed     bool // the worker has listed it as running
 	checkpoint string
 	percent    int
-	at         time.Duration // of the newest list with it
+	at         time.Duration // of the newest list that has the run
 	advancedAt time.Duration // when it was first listed, or last listed with a higher percent than before
 }
 
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -7,7 +7,7 @@
 )
 
 // speedStats estimates from the ends of runs how fast workers are and how long the tasks of a step take. The estimates
-// order placement; nothing that must hold depends on them.
+// rank nodes and select runs to move; no invariant depends on them.
 type speedStats struct {
 	byWorker        map[string]*workerSpeed
 	meanRatio       float64 // of duration to estimate, over all workers; 0: not known
@@ -40,14 +40,14 @@
 // Constants of the estimates.
 const (
 	workerWeight = 0.2 // of a new observation in a worker's moving averages
-	meanWindow   = 50  // a new observation counts for one part in so many in the averages over all workers
+	meanWindow   = 50  // a new observation has the weight 1/meanWindow in the averages over all workers
 
 	minRatio, maxRatio = 0.1, 10.0             // bounds of one observation
-	minRatioEstimate   = 50 * time.Millisecond // stands for a smaller estimate, or none
+	minRatioEstimate   = 50 * time.Millisecond // replaces a smaller estimate, or none
 
-	movedRatio = 4 // a run that was moved away counts as if it took so many times the mean ratio
+	movedRatio = 4 // a run that was moved away counts as an observation of movedRatio times the mean ratio
 
-	minPeers = 2 // a step's mean duration is known from so many runs on
+	minPeers = 2 // number of runs from which a step's mean duration counts as known
 
 	// A worker's failure rate above the mean by more than tolerated slows it down by failureWeight times the excess.
 	toleratedFailures = 0.15
@@ -63,7 +63,7 @@
 	return d.mean, true
 }
 
-// expected returns how long a run should take on an average worker, by its client's estimate.
+// expected returns the duration of a run on an average worker, by its client's estimate.
 func (s *speedStats) expected(estimate time.Duration) time.Duration {
 	ratio := max(s.meanRatio, 1)
 	return time.Duration(float64(max(estimate, minEstimate)) * ratio)
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/jobs"
 )
 
-// startState is what is known of the start order of a run. Owned by this file; reconcile.go sets missing.
+// startState is the state of a run's start order. Owned by this file; reconcile.go sets missing.
 type startState struct {
 	sent   bool          // the order may have left, now or under an earlier term
 	sentAt time.Duration // when it left; 0: not under this term
@@ -16,8 +16,8 @@
 
 	unconfirmedSeq uint64 // Core.sequence when the order was found to have no answer; 0: it was not
 
-	// missing: unconfirmed, and a renewal sent later didn't list the run. It is stopped, lest the order be carried out
-	// late.
+	// missing is set if the start is unconfirmed and the answer to a later renewal didn't list the run. The run is
+	// stopped, lest the order be carried out late.
 	missing bool
 }
 
@@ -56,7 +56,7 @@
 	c.unsentStarts = later
 }
 
-// StartError says how a start order without an answer failed.
+// StartError is the way in which a start order failed.
 type StartError int
 
 // The failures of a start order. StartNoConnection proves nothing about the worker.
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/jobs"
 )
 
-// stopState is what is known of the stop of a run. Owned by this file.
+// stopState is the state of a run's stop. Owned by this file.
 type stopState struct {
 	wanted      bool
 	cause       Cause // the first one; empty: none. Also set for a run that ends without a stop
@@ -15,7 +15,7 @@
 	answeredSeq uint64 // Core.sequence when a stop order was answered; 0: none was
 }
 
-// orderRetry says when a stop order may be sent, again if need be.
+// orderRetry holds when a stop order may be sent, for the first time or again.
 type orderRetry struct {
 	inFlight bool
 	notUntil time.Duration
@@ -31,7 +31,7 @@
 	c.queueStop(r)
 }
 
-// stopGang stops the other members of the gang of a run that has ended: they can do nothing alone.
+// stopGang stops the other members of the gang of a run that has ended: they can't work without it.
 func (c *Core) stopGang(ended *run) {
 	j := c.table.Jobs[ended.key.Task.Job]
 	if j == nil || j.Rounds == nil {
@@ -92,13 +92,13 @@
 	return true
 }
 
-// StopError says how a stop order without an answer failed.
+// StopError is the way in which a stop order failed.
 type StopError int
 
 // The failures of a stop order. StopNoConnection proves nothing about the worker.
 const (
 	StopOK           StopError = iota // it was answered
-	StopFailed                        // no answer
+	StopFailed                        // it got no answer: it may be carried out, now or later
 	StopNoConnection                  // it never left: this node lacks connections
 )
 
--- a/internal/controller/scheduler/worker.go
+++ b/internal/controller/scheduler/worker.go
@@ -11,10 +11,10 @@
 type worker struct {
 	id        string
 	table     *jobs.Table   // Core.table
-	trackedAt time.Duration // when it was first seen under this term
+	trackedAt time.Duration // when the worker was first seen under this term
 
-	runs    map[jobs.RunKey]*run        // those of Core.runs that are on it
-	orphans map[jobs.RunKey]*orderRetry // stop orders for runs that it lists and that have no handle in the table
+	runs    map[jobs.RunKey]*run        // those of Core.runs that are on the worker
+	orphans map[jobs.RunKey]*orderRetry // stop orders for runs that it lists without a handle in the table
 
 	contact  contact      // owned by contact.go
 	lease    leaseState   // owned by lease.go
@@ -87,9 +87,9 @@
 	clear(w.orphans)
 }
 
-// workersToForget returns the workers without runs that were silent for so long that they are gone. A worker that has
-// announced its shutdown serves on for a while, and its heartbeats may come late: deleted from the table too soon, it
-// would register again as a new one.
+// workersToForget returns the workers without runs that were silent for Config.ForgetAfter, and count as gone. A worker
+// that has announced its shutdown serves on for a while, and its heartbeats may come late: deleted from the table too
+// soon, it would register again as a new one.
 func (c *Core) workersToForget(now time.Duration) []string {
 	var ids []string
 	for _, w := range c.workerList {
--- a/internal/controller/scheduler/zone.go
+++ b/internal/controller/scheduler/zone.go
@@ -4,10 +4,10 @@
 
 // Conditions under which a whole zone is suspected to be lost.
 const (
-	minZoneLosses  = 3                     // at least so many of its workers don't answer
-	zoneFraction   = 16                    // and at least one in so many of its workers
-	zoneLossWindow = time.Second           // and all of these were found within it
-	freshAnswer    = 50 * time.Millisecond // an answer that is younger needs no confirmation
+	minZoneLosses  = 3                     // the least number of its workers that have stopped answering
+	zoneFraction   = 16                    // they are also at least one in zoneFraction of its workers
+	zoneLossWindow = time.Second           // only losses found within this time count
+	freshAnswer    = 50 * time.Millisecond // a worker whose answer is younger needs no probe
 )
 
 // verifyZone probes all workers of a worker's zone if several of them have stopped answering. None takes starts before
--- a/internal/httpapi/jobsapi/client_calls.go
+++ b/internal/httpapi/jobsapi/client_calls.go
@@ -19,9 +19,9 @@
 	maxPage     = 1000
 )
 
-// Jobs answers the clients' calls. Each call returns when its ctx ends. A failure of the kinds errs.Unavailable,
-// errs.Stopped, errs.NotLeader and errs.Overloaded says that a call was surely not carried out; errs.Timeout leaves it
-// open.
+// Jobs answers the clients' calls. Calls may be concurrent and return when their ctx ends. A call that fails with an
+// error of kind errs.Unavailable, errs.Stopped, errs.NotLeader or errs.Overloaded was surely not carried out; after
+// errs.Timeout it may have been.
 type Jobs interface {
 	Submit(ctx context.Context, call controller.SubmitCall) (controller.SubmitAnswer, error)
 	Show(ctx context.Context, call controller.ShowCall) (controller.JobView, error)
@@ -42,10 +42,10 @@
 	Next string                  `json:"next,omitempty"`
 }
 
-// ServeClients adds the clients' calls, which backend answers, to server. timeout bounds each call; 0 takes a default.
-// Call it before the server starts.
+// ServeClients adds the clients' calls, which backend answers, to server. timeout bounds each call; 0:
+// defaultTimeout. Call it before the server starts.
 //
-//	POST   /v2/jobs       200 JobState; sent again it is the same job
+//	POST   /v2/jobs       200 JobState; idempotent by the job's ID and content
 //	GET    /v2/jobs/{id}  200 controller.JobView
 //	DELETE /v2/jobs/{id}  200 JobState
 //	GET    /v2/jobs       200 Page; ?queue= &state= &after= &limit= (1 to 1000, 200 if not given)
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -30,8 +30,8 @@
 	Timeout  string  `json:"timeout"`
 }
 
-// Service is a service of the configuration on the wire: a kind of worker. ChecksCapacity: its workers refuse what
-// does not fit, so that the scheduler need not.
+// Service is a service of the configuration on the wire: a kind of worker. ChecksCapacity is set if its workers refuse
+// runs that do not fit.
 type Service struct {
 	Name           string `json:"name"`
 	ChecksCapacity bool   `json:"guards_room"`
@@ -44,16 +44,16 @@
 	Services []Service `json:"services"`
 }
 
-// configurationOf returns a configuration as it stands on the wire.
+// configurationOf returns the wire form of a configuration.
 func configurationOf(c jobs.Config) Configuration {
-	out := Configuration{Version: c.Version, Queues: []Queue{}, Services: []Service{}}
+	answer := Configuration{Version: c.Version, Queues: []Queue{}, Services: []Service{}}
 	for _, q := range c.Queues {
-		out.Queues = append(out.Queues, queueOf(q))
+		answer.Queues = append(answer.Queues, queueOf(q))
 	}
 	for _, s := range c.Services {
-		out.Services = append(out.Services, Service{Name: s.Name, ChecksCapacity: s.ChecksCapacity})
+		answer.Services = append(answer.Services, Service{Name: s.Name, ChecksCapacity: s.ChecksCapacity})
 	}
-	return out
+	return answer
 }
 
 func queueOf(q jobs.Queue) Queue {
@@ -119,7 +119,7 @@
 	return change, nil
 }
 
-// encodeDocument sets an item's document: its own text, by which the configuration is shown.
+// encodeDocument sets an item's document, its JSON text.
 func encodeDocument(to *json.RawMessage, item any) error {
 	data, err := json.Marshal(item)
 	*to = data
@@ -159,12 +159,13 @@
 }
 
 // checkUniqueNames refuses items whose name an earlier one has.
-func checkUniqueNames[T any](r *config.Reader, list string, items []T, name func(T) string) {
+func checkUniqueNames[T any](r *config.Reader, list string, items []T, nameOf func(T) string) {
 	seen := map[string]bool{}
-	for i, one := range items {
-		if seen[name(one)] {
-			r.Reject(fmt.Sprintf("%s[%d].name", list, i), "%q is given twice", name(one))
+	for i, item := range items {
+		name := nameOf(item)
+		if seen[name] {
+			r.Reject(fmt.Sprintf("%s[%d].name", list, i), "%q is given twice", name)
 		}
-		seen[name(one)] = true
+		seen[name] = true
 	}
 }
--- a/internal/httpapi/jobsapi/doc.go
+++ b/internal/httpapi/jobsapi/doc.go
@@ -2,7 +2,9 @@
 // clients' calls of a front node (ServeClients), and the operators' calls and the workers' heartbeats of a core node
 // (ServeControl).
 //
-// It translates between the wire and the controller's calls and keeps no state. What it reads it reads strictly: an
-// unknown field, a wrong type or a value out of its range is refused with the field's name. Begin with the tables of
-// calls at ServeClients and ServeControl; what each body holds is read in job.go, configuration.go and heartbeat.go.
+// It translates between the wire and the controller's calls; it decides nothing and keeps no state. Bodies are read
+// strictly: an unknown field, a wrong type or a value out of its range is refused with the field's name.
+//
+// Begin with the tables of calls at ServeClients and ServeControl; job.go, configuration.go and heartbeat.go read the
+// bodies.
 package jobsapi
--- a/internal/httpapi/jobsapi/heartbeat.go
+++ b/internal/httpapi/jobsapi/heartbeat.go
@@ -13,8 +13,8 @@
 // The states that a worker reports with its heartbeats.
 const (
 	StateReady    = "ready"
-	StateDraining = "draining" // nothing new is to start there
-	StateLeaving  = "leaving"  // it ends now, and all that runs there with it
+	StateDraining = "draining" // it takes no starts
+	StateLeaving  = "leaving"  // it exits now, and all its runs end
 )
 
 // maxLabels bounds the labels of a worker.
--- a/internal/httpapi/jobsapi/operator_calls.go
+++ b/internal/httpapi/jobsapi/operator_calls.go
@@ -17,7 +17,8 @@
 	heartbeatTimeout = time.Second // a worker tries another node after it
 )
 
-// Control answers the operators' calls and the workers' heartbeats. Each call returns when its ctx ends.
+// Control answers the operators' calls and the workers' heartbeats. Calls may be concurrent and return when their ctx
+// ends; their errors are those of Jobs.
 type Control interface {
 	Heartbeat(ctx context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error)
 	Config(ctx context.Context, call controller.ConfigCall) (jobs.Config, error)
@@ -38,7 +39,7 @@
 	Evacuated bool   `json:"evacuated"`
 }
 
-// Heartbeat answers a worker: Leader, if known, is the address that later heartbeats are best sent to.
+// Heartbeat answers a heartbeat. Leader, if known, is the address to which the worker had better send later ones.
 type Heartbeat struct {
 	Leader string `json:"leader,omitempty"`
 }
@@ -64,14 +65,14 @@
 	GPUs     int `json:"gpus"`
 }
 
-// Workers lists the workers, and the zones that are evacuated.
+// Workers lists the workers and the evacuated zones.
 type Workers struct {
 	Workers   []Worker `json:"workers"`
 	Evacuated []string `json:"evacuated"`
 }
 
 // ServeControl adds the operators' calls and the workers' heartbeats, which backend answers, to server. timeout bounds
-// each operator's call; 0 takes a default. Call it before the server starts.
+// each operator's call; 0: defaultTimeout. Call it before the server starts.
 //
 //	GET   /v2/config                    200 Configuration
 //	PUT   /v2/config                    200 ConfigVersion; the whole configuration on top of a version
@@ -82,15 +83,15 @@
 //	GET   /v2/workers                   200 Workers
 //	POST  /v2/workers/{id}/heartbeat    200 Heartbeat
 func ServeControl(server Router, backend Control, timeout time.Duration) {
-	o := operatorCalls{backend: backend}
-	route(server, "GET /v2/config", timeout, o.config)
-	route(server, "PUT /v2/config", timeout, o.configure(parsePut))
-	route(server, "PATCH /v2/config", timeout, o.configure(parsePatch))
-	route(server, "POST /v2/zones/{zone}/evacuate", timeout, o.evacuate(true))
-	route(server, "POST /v2/zones/{zone}/restore", timeout, o.evacuate(false))
-	route(server, "GET /v2/topology", timeout, o.topology)
-	route(server, "GET /v2/workers", timeout, o.workers)
-	route(server, "POST /v2/workers/{id}/heartbeat", heartbeatTimeout, o.heartbeat)
+	calls := operatorCalls{backend: backend}
+	route(server, "GET /v2/config", timeout, calls.config)
+	route(server, "PUT /v2/config", timeout, calls.configure(parsePut))
+	route(server, "PATCH /v2/config", timeout, calls.configure(parsePatch))
+	route(server, "POST /v2/zones/{zone}/evacuate", timeout, calls.evacuate(true))
+	route(server, "POST /v2/zones/{zone}/restore", timeout, calls.evacuate(false))
+	route(server, "GET /v2/topology", timeout, calls.topology)
+	route(server, "GET /v2/workers", timeout, calls.workers)
+	route(server, "POST /v2/workers/{id}/heartbeat", heartbeatTimeout, calls.heartbeat)
 }
 
 // operatorCalls are the handlers of the operators' calls and of heartbeats.
@@ -137,11 +138,11 @@
 	if err != nil {
 		return nil, errs.Pass(err, "workers")
 	}
-	out := Workers{Workers: []Worker{}, Evacuated: answer.Evacuated}
-	for _, w := range answer.Workers {
-		out.Workers = append(out.Workers, workerOf(w))
+	list := Workers{Workers: []Worker{}, Evacuated: answer.Evacuated}
+	for _, view := range answer.Workers {
+		list.Workers = append(list.Workers, workerOf(view))
 	}
-	return out, nil
+	return list, nil
 }
 
 func workerOf(w controller.WorkerView) Worker {
--- a/internal/httpapi/jobsapi/parse.go
+++ b/internal/httpapi/jobsapi/parse.go
@@ -20,8 +20,8 @@
 
 const nameRule = "must be 1 to 128 of A-Z a-z 0-9 . _ : -"
 
-// checkName returns what is wrong with the name of a job, a queue, a service, a worker, a zone, a rack or a label; ""
-// if nothing is.
+// checkName returns what is wrong with the name of a job, queue, service, worker, zone, rack or label; "" if it is
+// valid.
 func checkName(value string) string {
 	if nameForm.MatchString(value) {
 		return ""
@@ -29,8 +29,8 @@
 	return nameRule
 }
 
-// parse reads a body by into. Failures: Malformed: no JSON; Invalid: a field is refused. The failure has the field of
-// the first validation error; its message names the others too.
+// parse calls into with a reader of body. The error is errs.Malformed if body is no JSON, errs.Invalid if a field is
+// refused; it has the field of the first validation error, and its message names the others too.
 func parse(body []byte, into func(r *config.Reader)) error {
 	var parser fastjson.Parser
 	if _, err := rpc.ParseJSON(&parser, body); err != nil {
@@ -44,12 +44,12 @@
 	return errs.Pass(err, "body")
 }
 
-// rejectionOf joins the validation errors of a body into one failure.
+// rejectionOf joins the validation errors of a body into one error.
 func rejectionOf(validationErrs config.ValidationErrors) error {
 	first := validationErrs[0]
 	messages := []string{first.Message}
-	for _, one := range validationErrs[1:min(len(validationErrs), maxReportedErrors)] {
-		messages = append(messages, one.Field+": "+one.Message)
+	for _, further := range validationErrs[1:min(len(validationErrs), maxReportedErrors)] {
+		messages = append(messages, further.Field+": "+further.Message)
 	}
 	if more := len(validationErrs) - len(messages); more > 0 {
 		messages = append(messages, "and "+strconv.Itoa(more)+" more")
--- a/internal/httpapi/jobsapi/route.go
+++ b/internal/httpapi/jobsapi/route.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/rpc"
 )
 
-// defaultTimeout bounds a call.
+// defaultTimeout bounds a call for which no timeout is set.
 const defaultTimeout = 3 * time.Second
 
 // Router is what the API needs of its server (*rpc.Server).
@@ -17,10 +17,10 @@
 	Route(pattern string, serve func(w http.ResponseWriter, r *http.Request))
 }
 
-// handler answers one call: with what is to be written as JSON, or a failure.
+// handler answers one call with a value that is written as JSON, or an error.
 type handler func(ctx context.Context, r *http.Request) (any, error)
 
-// route answers the calls of a pattern by serve, whose ctx ends after timeout; 0 takes a default.
+// route answers the calls of a pattern by serve, whose ctx ends after timeout; 0: defaultTimeout.
 func route(server Router, pattern string, timeout time.Duration, serve handler) {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -37,8 +37,8 @@
 	})
 }
 
-// publicError is a failure as a caller from outside sees it: which node leads is none of its matters, and an internal
-// failure after the end of ctx is a timeout.
+// publicError returns the error that a caller from outside gets: it does not learn which node leads, and an internal
+// error after the end of ctx is a timeout.
 func publicError(ctx context.Context, err error) error {
 	switch {
 	case errs.Is(err, errs.NotLeader):
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -24,9 +24,9 @@
 
 var _ scheduler.Workers = (*Client)(nil)
 
-// NewClient makes a client whose starts are carried apart: lease renewals and stops, which keep work alive or end it,
-// wait for no start's connection. timeout bounds each call, besides the time that a renewal asks the worker to wait; 0
-// takes a default.
+// NewClient returns a Client that sends starts over another rpc.Client than lease renewals and stops: these keep work
+// alive or end it, and must not wait for a start's connection. timeout bounds each call, besides the time that a renewal
+// asks the worker to wait; 0: defaultTimeout.
 func NewClient(renewals, starts *rpc.Client, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -34,7 +34,7 @@
 	return &Client{renewals: renewals, starts: starts, timeout: timeout}
 }
 
-// Start orders worker to start one run. A worker that cannot read the order has refused it.
+// Start orders worker to start one run. An answer that the order cannot be read counts as a refusal.
 func (c *Client) Start(ctx context.Context, worker jobs.Worker,
 	order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	call := StartCall{
@@ -80,7 +80,7 @@
 	return lists, errs.Pass(err, "renew lease on %s", worker.ID)
 }
 
-// refusals are the reasons for which a worker may refuse a start; "": it did not.
+// refusals are the reasons for which a worker may refuse a start; "" if it accepted it.
 var refusals = []scheduler.Refusal{"", scheduler.RefusedFenced, scheduler.RefusedStale, scheduler.RefusedExpired,
 	scheduler.RefusedCapacity, scheduler.RefusedInvalid, scheduler.RefusedUnhealthy}
 
@@ -99,7 +99,7 @@
 	jobs.EndGangBroken, jobs.EndGangTimeout}
 
 // listsOf checks an answer and returns its lists. A run that is not listed counts as over, so an answer that does not
-// name the worker, or lacks a list, is no answer.
+// name the worker, or lacks a list, is refused.
 func listsOf(worker string, answer RenewLeaseAnswer) (scheduler.RenewalAnswer, error) {
 	if err := checkIdentity(worker, answer.Worker, answer.Clock); err != nil {
 		return scheduler.RenewalAnswer{}, errs.Pass(err, "answer")
@@ -123,7 +123,7 @@
 	return lists, nil
 }
 
-// checkIdentity refuses an answer that is not the worker's own.
+// checkIdentity refuses an answer that another worker gave, or that has a negative clock.
 func checkIdentity(worker, answering string, clock time.Duration) error {
 	if answering != worker {
 		return errs.Field(errs.Malformed, "worker", "must be %q, is %q", worker, answering)
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -1,12 +1,12 @@
-// Package workerapi is the contract between the leader of the core and a worker, in the product's own form: three
-// calls, to start a run, to stop one, and to renew the worker's lease, as JSON over HTTP/1.1. Client is the leader's
-// side; a worker answers the endpoints. The package decides nothing and retries nothing.
+// Package workerapi is the contract between the leader of the core and a worker, in the product's own wire format: three
+// calls, to start a run, to stop one, and to renew the worker's lease, as JSON over HTTP/1.1. The leader calls by a
+// Client; a worker answers the endpoints. The package decides nothing and retries nothing.
 //
 // A worker is one incarnation of a process, under an ID that is never used again. Durations are whole nanoseconds;
 // deadlines are readings of the worker's own clock, so that no two clocks are compared. Every call has the leader's
 // fencing token: a worker refuses one with a lower token than it has seen.
 //
-// Begin with the endpoints at the end of workerapi.go.
+// Begin with the endpoints at the end of workerapi.go, then Client.
 package workerapi
 
 import (
@@ -26,12 +26,12 @@
 	Number int    `json:"number"`
 }
 
-// RunOf returns the name of a run on the wire.
+// RunOf returns the wire form of a run's key.
 func RunOf(key jobs.RunKey) Run {
 	return Run{Job: key.Task.Job, Round: key.Task.Round, Step: key.Task.Step, Index: key.Task.Index, Number: key.Number}
 }
 
-// Key returns the run's name in the job table.
+// Key returns the run's key in the job table.
 func (r Run) Key() jobs.RunKey {
 	return jobs.RunKey{Task: jobs.TaskRef{Job: r.Job, Round: r.Round, Step: r.Step, Index: r.Index}, Number: r.Number}
 }
@@ -47,24 +47,24 @@
 	Token      uint64        `json:"token"`                // fencing token: the leader's term
 }
 
-// Needs are the resources that a run takes of a worker.
+// Needs are the resources that a run takes on a worker.
 type Needs struct {
 	MilliCPU int `json:"milli_cpu,omitempty"`
 	MemoryMB int `json:"memory_mb,omitempty"`
 	GPUs     int `json:"gpus,omitempty"`
 }
 
-// needsOf returns needs as they stand on the wire.
+// needsOf returns the wire form of needs.
 func needsOf(needs jobs.Resources) Needs {
 	return Needs{MilliCPU: needs.MilliCPU, MemoryMB: needs.MemoryMB, GPUs: needs.GPUs}
 }
 
-// Resources returns needs as they stand in the job table.
+// Resources returns needs as the job table has them.
 func (n Needs) Resources() jobs.Resources {
 	return jobs.Resources{MilliCPU: n.MilliCPU, MemoryMB: n.MemoryMB, GPUs: n.GPUs}
 }
 
-// StartAnswer says whether a run was started, and why not. A refused order never starts its run later.
+// StartAnswer acknowledges a start, or refuses it for the reason in Refused. A refused order never starts its run later.
 type StartAnswer struct {
 	Worker  string            `json:"worker"`
 	Clock   time.Duration     `json:"clock"` // the worker's own
@@ -78,16 +78,16 @@
 	Token  uint64 `json:"token"`
 }
 
-// StopAnswer says that the order was accepted. The run's end is listed once it is over.
+// StopAnswer acknowledges a stop. The run's end is listed once it is over.
 type StopAnswer struct {
 	Worker string `json:"worker"`
 }
 
-// RenewLeaseCall renews a worker's lease and asks what runs and what has ended.
+// RenewLeaseCall renews a worker's lease and asks for the lists of its running and ended runs.
 type RenewLeaseCall struct {
 	Worker           string        `json:"worker"`
 	Token            uint64        `json:"token"`
-	AcknowledgedUpTo uint64        `json:"seen"`               // ends numbered up to it are durable
+	AcknowledgedUpTo uint64        `json:"seen"`               // the worker may forget ends numbered up to it
 	Deadline         time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: none
 	Wait             time.Duration `json:"wait,omitempty"`     // how long the answer may be delayed until a run ends
 }
@@ -107,8 +107,8 @@
 	Checkpoint string         `json:"checkpoint,omitempty"`
 }
 
-// RenewLeaseAnswer lists all that runs on a worker and the ends that are not acknowledged yet, oldest first. More:
-// there are further ends, so that a run that is not listed may be over.
+// RenewLeaseAnswer lists all runs on a worker and the ends that are not acknowledged yet, oldest first. More is set if
+// there are further ends: then a run that is not listed may be over.
 type RenewLeaseAnswer struct {
 	Worker  string        `json:"worker"`
 	Clock   time.Duration `json:"clock"`
@@ -117,8 +117,11 @@
 	More    bool          `json:"more,omitempty"`
 }
 
-// The calls that a worker answers. Failures: errs.Unknown: another incarnation answers, the named one is gone for good;
-// errs.Stale: the worker has seen a higher token, nothing was done; errs.Malformed: the call cannot be read.
+// The calls that a worker answers. Their errors are, by kind:
+//
+//   - errs.Unknown: another incarnation answers, the named one is gone for good;
+//   - errs.Stale: the worker has seen a higher token; nothing was done;
+//   - errs.Malformed: the call cannot be read; nothing was done.
 var (
 	StartEndpoint      = rpc.Endpoint[StartCall, StartAnswer]{Path: "/v2/start"}
 	StopEndpoint       = rpc.Endpoint[StopCall, StopAnswer]{Path: "/v2/stop"}
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -20,44 +20,44 @@
 )
 
 const (
-	dialTimeout = 700 * time.Millisecond  // a connection to a machine that is gone hangs
+	dialTimeout = 700 * time.Millisecond  // a machine that is gone refuses no connection
 	userTimeout = 1500 * time.Millisecond // how long the kernel resends bytes that are not acknowledged
 
 	peerIdleConns = 5 // idle connections that a core node keeps to each other node
 
-	// Of connections to workers, which are many and whose answers are short.
-	renewalIdleConns   = 2               // to each: one for a renewal that waits, one for calls answered at once
+	// Connections to workers, which are many and whose answers are short.
+	renewalIdleConns   = 2               // to each worker: one for a long poll, one for calls that are answered at once
 	renewalIdleTimeout = 3 * time.Second // renewals to a worker that runs something follow one another sooner
-	startIdleConns     = 1               // to each: starts go one after the other
+	startIdleConns     = 1               // to each worker: starts go one after the other
 	workerReadBuffer   = 1 << 10         // bytes
 
 	minGrace     = time.Second // for the transfer of the lead
-	drainTimeout = time.Second // for calls under way when the node stops
+	drainTimeout = time.Second // for calls in flight when the node stops
 )
 
 // CoreOptions are the parts and settings of a core node.
 type CoreOptions struct {
-	Store config.ControlPlane // settings of the store; its seeds are the nodes to ask at first
+	Store config.ControlPlane // settings of the store; its seeds are the first nodes that are asked
 	// OpenStore opens the store; it may wait until ctx ends.
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
 	Scheduler    scheduler.Config
 	JobRetention time.Duration // how long a job that is over stays in the table; 0 takes the controller's default
-	// Workers makes what carries renewals, stops and starts to workers, over two clients. It is not called with
-	// OrdersByHeartbeat.
+	// Workers returns what carries orders to workers: renewals and stops over one client, starts over the other. It is
+	// not called with OrdersByHeartbeat.
 	Workers           func(renewals, starts *rpc.Client) scheduler.Workers
 	OrdersByHeartbeat bool   // orders go with the answers to workers' heartbeats
 	ControlAddress    string // for workers and operators
 	// ControlAddressOf returns the control address of the node with an internal address; then workers are spread over
 	// all nodes for their heartbeats. nil: all go to the leader.
 	ControlAddressOf func(internal string) string
-	// ServeControl adds the calls of workers and operators.
+	// ServeControl adds the calls of workers and operators to control, which relay answers.
 	ServeControl func(control *rpc.Server, relay *controller.Relay)
 	// ServeNodes adds further calls at the internal address; nil adds none.
 	ServeNodes  func(server *rpc.Server, store *store.Store)
 	OnRemoved   func()                // called if this node was removed from the members; see store.Options
 	Descriptors int                   // bound on file descriptors; 0: the system's
-	Grace       time.Duration         // for the transfer of the lead, a second at least
-	Registry    prometheus.Registerer // nil: metrics are not shown
+	Grace       time.Duration         // for the transfer of the lead, minGrace at least
+	Registry    prometheus.Registerer // nil: no metrics
 	Logger      log.Logger
 	Version     string
 }
@@ -71,7 +71,7 @@
 	starts        *rpc.Client // carries starts to workers
 	store         *store.Store
 	leader        *controller.Leader
-	client        *controller.Client // calls the leader where this node does not lead
+	client        *controller.Client // calls the leader while this node does not lead
 	peerServer    *rpc.Server        // for other nodes
 	controlServer *rpc.Server        // for workers and operators
 }
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// SetSeeds replaces the nodes to ask at first.
+// SetSeeds replaces the nodes that are asked before the members are known.
 func (n *Core) SetSeeds(seeds []string) {
 	n.client.SetSeeds(seeds)
 	n.store.LearnAddresses(seeds...)
--- a/internal/jobsnode/doc.go
+++ b/internal/jobsnode/doc.go
@@ -2,11 +2,11 @@
 //
 // A core node ([Core]) is a member of the replicated store. Each has a controller.Leader, which schedules while the
 // node leads, and serves other nodes at one address, workers and operators at another. A front node ([Front]) has no
-// state: it takes clients' calls and forwards them to the core's leader.
+// state: it receives clients' calls and forwards them to the core's leader.
 //
-// The package wires and orders start and stop; it decides nothing, and knows no form of any call: what is said to
-// clients, workers and operators is added by the caller, as functions in the options. A node is made by its
-// constructor, which opens what can fail, and driven by Run, which returns after a graceful stop.
+// The package wires the parts of a node and orders their start and stop. It decides nothing and has no wire format:
+// the caller adds the calls of clients, workers and operators by functions in the options. A constructor makes a node
+// and opens its store; Run drives it and returns after a graceful shutdown.
 //
 // Begin with NewCore and Core.stop, then NewFront and Front.stop.
 package jobsnode
--- a/internal/jobsnode/front.go
+++ b/internal/jobsnode/front.go
@@ -19,32 +19,32 @@
 const (
 	coreIdleConns = 64                      // idle connections that a front node keeps to each core node
 	drainDelay    = 2500 * time.Millisecond // from not ready to the refusal of calls: new clients still come meanwhile
-	exitMargin    = 500 * time.Millisecond  // of the grace, left for the process's own end
+	exitMargin    = 500 * time.Millisecond  // part of the grace that is left for the process to exit
 	defaultGrace  = 5 * time.Second
 	seedsInterval = 10 * time.Second // between readings of the seeds while no leader is found
 )
 
 // FrontOptions are the parts and settings of a front node.
 type FrontOptions struct {
-	CoreAddresses []string          // core nodes to ask at first
-	Via           map[string]string // an address in it is reached by dialing the other one
+	CoreAddresses []string          // core nodes that are asked before the members are known
+	Via           map[string]string // by address: the address that is dialed in its place
 	Address       string            // for clients
-	// ServeClients adds the clients' calls.
+	// ServeClients adds the clients' calls to clients, which client answers.
 	ServeClients func(clients *rpc.Server, client *controller.Client)
 	ReadyAddress string // for readiness checks; empty: Address
-	// ServeReady adds the readiness check, which check answers.
+	// ServeReady adds the readiness check to server; check returns nil if the node is ready.
 	ServeReady func(server *rpc.Server, check func() error)
-	// ReadSeeds reads the addresses of core nodes anew; nil: they stay.
+	// ReadSeeds returns the present addresses of core nodes; nil: CoreAddresses stay in force.
 	ReadSeeds   func() ([]string, error)
 	Descriptors int                   // bound on file descriptors; 0: the system's
-	Grace       time.Duration         // from the order to stop to the end; 0 takes a default
-	Registry    prometheus.Registerer // nil: metrics are not shown
+	Grace       time.Duration         // from the order to stop to the exit; 0: defaultGrace
+	Registry    prometheus.Registerer // nil: no metrics
 	Logger      log.Logger
 	Zone        string
 	Version     string
 }
 
-// Front is a front node: it takes clients' calls and forwards them to the core's leader. It owns its client and
+// Front is a front node: it receives clients' calls and forwards them to the core's leader. It owns its client and
 // servers, and closes them when Run returns.
 type Front struct {
 	opt          FrontOptions
@@ -52,11 +52,11 @@
 	caller       *rpc.Client
 	client       *controller.Client
 	clientServer *rpc.Server
-	readyServer  *rpc.Server // clientServer, if the readiness check has no address of its own
+	readyServer  *rpc.Server // clientServer, if ReadyAddress is empty
 	readiness    readiness
 }
 
-// NewFront makes a front node. Too few descriptors are errs.Settings. Example:
+// NewFront makes a front node. The error is errs.Settings if it may have too few descriptors. Example:
 //
 //	front, err := jobsnode.NewFront(options)
 //	if err != nil {
@@ -160,8 +160,8 @@
 	f.client.SetSeeds(seeds)
 }
 
-// stop drains the node: it is not ready any more, serves on while new clients may still come, then refuses new calls
-// and answers those under way.
+// stop drains the node: it reports not ready, serves on while new clients may still come, then refuses new calls and
+// answers those in flight.
 func (f *Front) stop() {
 	clk := clock.Real{}
 	begin := clk.Now()
--- a/internal/jobsnode/quotas.go
+++ b/internal/jobsnode/quotas.go
@@ -10,7 +10,7 @@
 // reservedDescriptors are for the store's files, the listeners and the runtime: no connection takes them.
 const reservedDescriptors = 64
 
-// Each use of a core node's connections has one in so many for itself. What is left over any use may take.
+// Each use of a core node's connections has one part in its divisor reserved. Any use may take from the rest.
 const (
 	peersDivisor    = 16 // calls to other nodes
 	nodesDivisor    = 8  // calls of other nodes
@@ -19,21 +19,22 @@
 	startsDivisor   = 8  // starts to workers
 )
 
-// Each use of a front node's connections has one in so many for itself. Clients may have all that is left over.
+// Each use of a front node's connections has one part in its divisor reserved. Clients may take all of the rest.
 const (
 	coreDivisor    = 8 // calls to the core
 	readyDivisor   = 8 // readiness checks
 	clientsDivisor = 2 // clients' calls
 )
 
-// reservation is a use of connections, and where its quota is to be put.
+// reservation is one use of connections.
 type reservation struct {
-	name    string // as metrics show it
-	divisor int
-	quota   **rpc.ConnQuota
+	name    string // in metrics
+	divisor int    // its quota is the total divided by it
+	quota   **rpc.ConnQuota // set by reserve
 }
 
-// reserve divides the connections of a process that may have so many descriptors; 0: as many as the system allows.
+// reserve divides the connections of a process among uses. descriptors bounds its file descriptors; 0: the system's
+// limit.
 func reserve(descriptors int, uses ...reservation) (*rpc.ConnLimiter, error) {
 	total, err := maxConnections(descriptors)
 	if err != nil {
@@ -48,9 +49,9 @@
 	return limiter, nil
 }
 
-// coreQuotas are the uses of a core node's connections. Where a connection becomes free, renewals and stops go before
-// starts: a lease that is not renewed ends work that runs, and a gang that cannot be stopped waits for members that
-// never come.
+// coreQuotas are the uses of a core node's connections. A connection that becomes free goes to renewals and stops before
+// starts: a lease that is not renewed ends running work, and a gang that cannot be stopped waits for members that never
+// come.
 type coreQuotas struct {
 	limiter                                 *rpc.ConnLimiter
 	peers, nodes, control, renewals, starts *rpc.ConnQuota
@@ -80,7 +81,7 @@
 	return q, errs.Pass(err, "front node")
 }
 
-// maxConnections is how many connections fit into so many descriptors; 0: as many as the system allows.
+// maxConnections returns the number of connections that descriptors permit; 0: the system's limit of descriptors.
 func maxConnections(descriptors int) (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/jobsnode/readiness.go
+++ b/internal/jobsnode/readiness.go
@@ -11,18 +11,18 @@
 // must not take all front nodes out at once.
 const leaderlessGrace = 4 * time.Second
 
-// readiness decides whether the node takes new clients. It is safe for concurrent use.
+// readiness decides when the node is ready for new clients. It is safe for concurrent use.
 type readiness struct {
-	leaderReady    func() error                     // nil if the leader has answered just now
-	leaderAnswered func(maxAge time.Duration) error // nil if the leader has answered within maxAge
+	leaderReady    func() error                     // returns nil if the leader has answered lately
+	leaderAnswered func(maxAge time.Duration) error // returns nil if the leader has answered within maxAge
 
 	mu       sync.Mutex
 	wasReady bool // ready at the last check
 	draining bool
 }
 
-// check is nil when the node takes new clients. A node becomes ready by a fresh answer of the leader, and stays so
-// through leaderlessGrace without one.
+// check returns nil if the node is ready. A node becomes ready by a fresh answer of the leader, and stays so through
+// leaderlessGrace without one.
 func (r *readiness) check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,7 +37,7 @@
 	return errs.Pass(err, "not ready")
 }
 
-// startDraining makes the node not ready for good.
+// startDraining makes the node not ready, for good.
 func (r *readiness) startDraining() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
