--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	dialTimeout = 700 * time.Millisecond  // a machine that is gone refuses no connection
+	dialTimeout = 700 * time.Millisecond  // connecting to a machine that is gone hangs
 	userTimeout = 1500 * time.Millisecond // how long the kernel resends bytes that are not acknowledged
 
 	peerIdleConns = 5 // idle connections that a core node keeps to each other node
--- a/internal/jobsnode/quotas.go
+++ b/internal/jobsnode/quotas.go
@@ -28,8 +28,8 @@
 
 // reservation is one use of connections.
 type reservation struct {
-	name    string // in metrics
-	divisor int    // its quota is the total divided by it
+	name    string          // in metrics
+	divisor int             // its quota is the total divided by it
 	quota   **rpc.ConnQuota // set by reserve
 }
 
@@ -49,9 +49,9 @@
 	return limiter, nil
 }
 
-// coreQuotas are the uses of a core node's connections. A connection that becomes free goes to renewals and stops before
-// starts: a lease that is not renewed ends running work, and a gang that cannot be stopped waits for members that never
-// come.
+// coreQuotas are the uses of a core node's connections. A connection that becomes free goes to renewals and stops
+// before starts: a lease that is not renewed ends running work, and a gang that cannot be stopped waits for members
+// that never come.
 type coreQuotas struct {
 	limiter                                 *rpc.ConnLimiter
 	peers, nodes, control, renewals, starts *rpc.ConnQuota
