--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -25,8 +25,8 @@
 var _ scheduler.Workers = (*Client)(nil)
 
 // NewClient returns a Client that sends starts over another rpc.Client than lease renewals and stops: these keep work
-// alive or end it, and must not wait for a start's connection. timeout bounds each call, besides the time that a renewal
-// asks the worker to wait; 0: defaultTimeout.
+// alive or end it, and must not wait for a start's connection. timeout bounds each call, besides the time that a
+// renewal asks the worker to wait; 0: defaultTimeout.
 func NewClient(renewals, starts *rpc.Client, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -1,6 +1,6 @@
-// Package workerapi is the contract between the leader of the core and a worker, in the product's own wire format: three
-// calls, to start a run, to stop one, and to renew the worker's lease, as JSON over HTTP/1.1. The leader calls by a
-// Client; a worker answers the endpoints. The package decides nothing and retries nothing.
+// Package workerapi is the contract between the leader of the core and a worker, in the product's own wire format:
+// three calls, to start a run, to stop one, and to renew the worker's lease, as JSON over HTTP/1.1. The leader calls by
+// a Client; a worker answers the endpoints. The package decides nothing and retries nothing.
 //
 // A worker is one incarnation of a process, under an ID that is never used again. Durations are whole nanoseconds;
 // deadlines are readings of the worker's own clock, so that no two clocks are compared. Every call has the leader's
@@ -64,7 +64,8 @@
 	return jobs.Resources{MilliCPU: n.MilliCPU, MemoryMB: n.MemoryMB, GPUs: n.GPUs}
 }
 
-// StartAnswer acknowledges a start, or refuses it for the reason in Refused. A refused order never starts its run later.
+// StartAnswer acknowledges a start, or refuses it for the reason in Refused. A refused order never starts its run
+// later.
 type StartAnswer struct {
 	Worker  string            `json:"worker"`
 	Clock   time.Duration     `json:"clock"` // the worker's own
