--- a/internal/controller/client_contacts_test.go
+++ b/internal/controller/client_contacts_test.go
@@ -16,7 +16,7 @@
 		contacts := newContactLog(by)
 		So(contacts.isRecent(contactAny, time.Hour), ShouldBeFalse)
 		So(contacts.since(contactAny, 7), ShouldEqual, 7)
-		Convey("one counts for its kind alone, until it is too old", func() {
+		Convey("a contact counts for its kind alone, until it is too old", func() {
 			contacts.record(contactLeader)
 			by.Advance(time.Second)
 			So(contacts.isRecent(contactLeader, time.Second), ShouldBeTrue)
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -58,11 +58,11 @@
 
 // answersAsLeader answers as the leader.
 func answersAsLeader(_ context.Context, _ query, answer any, _ time.Duration) reply {
-	switch a := answer.(type) {
+	switch answer := answer.(type) {
 	case *SubmitAnswer:
-		a.State = jobs.Queued
+		answer.State = jobs.Queued
 	case *JobAnswer:
-		a.State = jobs.Running
+		answer.State = jobs.Running
 	}
 	return reply{answered: true}
 }
@@ -136,7 +136,7 @@
 		f.SetSeeds([]string{"z"})
 		So(f.directory.addresses(), ShouldResemble, []string{"a", "b", "z"})
 	})
-	Convey("The own address is not in the rotation, but is asked after a hint", t, func() {
+	Convey("The client's own address is not in the rotation, but is asked after a hint", t, func() {
 		f := newFakeCore(map[string]node{"b": redirectsTo("")}, "a", "b")
 		f.directory.self = "a"
 		kind, _ := f.submit(300 * time.Millisecond)
@@ -146,7 +146,7 @@
 		kind, _ = f.submit(300 * time.Millisecond)
 		So([]any{kind, f.asked}, ShouldResemble, []any{errs.Kind(""), []string{"b", "a"}})
 	})
-	Convey("A call whose own time was short does not make its node count as failed", t, func() {
+	Convey("A timeout of a call that had little time left does not count against the node", t, func() {
 		f := newFakeCore(map[string]node{"a": answersAsLeader, "b": answersAsLeader}, "a", "b")
 		f.submit(time.Second)
 		f.nodes["a"] = f.timesOut
@@ -156,17 +156,21 @@
 	})
 }
 
-func TestClientReportsCallOutcome(t *testing.T) {
-	final := []errs.Kind{errs.Unknown, errs.Invalid, errs.Malformed, errs.TooLarge, errs.Conflict, errs.Stale, errs.Forbidden, errs.Overloaded}
+// refusalKinds are the kinds of errors that end a call: the leader has refused it.
+var refusalKinds = []errs.Kind{
+	errs.Unknown, errs.Invalid, errs.Malformed, errs.TooLarge, errs.Conflict, errs.Stale, errs.Forbidden, errs.Overloaded,
+}
+
+func TestClientReportsRefusal(t *testing.T) {
 	Convey("A refusal ends the call at once", t, func() {
-		for _, kind := range final {
+		for _, kind := range refusalKinds {
 			f := newFakeCore(map[string]node{"a": failsWith(kind)}, "a")
 			got, took := f.submit(time.Second)
 			So([]any{got, took, len(f.asked)}, ShouldResemble, []any{kind, time.Duration(0), 1})
 		}
 	})
 	Convey("After an attempt that may have been carried out, a refusal stays, but Overloaded becomes Timeout", t, func() {
-		for _, kind := range final {
+		for _, kind := range refusalKinds {
 			f := newFakeCore(map[string]node{"b": failsWith(kind)}, "a", "b")
 			f.nodes["a"] = f.timesOut
 			got, _ := f.submit(3 * time.Second)
@@ -177,11 +181,11 @@
 			So([]any{got, f.asked}, ShouldResemble, []any{want, []string{"a", "b"}})
 		}
 	})
-	Convey("When time is up: Unavailable if surely nothing was done, else Timeout", t, func() {
-		for _, c := range []struct {
-			a, b errs.Kind
-			want errs.Kind
-		}{
+}
+
+func TestClientReportsOutcome(t *testing.T) {
+	Convey("A call whose time is up fails as Unavailable if surely nothing was done, else as Timeout", t, func() {
+		for _, c := range []struct{ a, b, want errs.Kind }{
 			{errs.Unavailable, errs.NotLeader, errs.Unavailable},
 			{errs.Unavailable, errs.Timeout, errs.Timeout},
 			{errs.Unavailable, errs.Stopped, errs.Timeout},
@@ -194,14 +198,17 @@
 			So(took, ShouldBeBetween, 1900*time.Millisecond, 2*time.Second)
 		}
 	})
-	Convey("Reads are Unavailable whatever their attempts met", t, func() {
+	Convey("Reads fail as Unavailable whatever became of their attempts", t, func() {
 		f := newFakeCore(map[string]node{"a": failsWith(errs.Internal)}, "a")
 		_, err := f.Job(f.until(time.Second), JobCall{})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		_, err = f.Job(f.until(time.Second), JobCall{Cancel: true})
 		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 	})
-	Convey("A core that cannot be reached is given up early, with the time to come back", t, func() {
+}
+
+func TestClientGivesUp(t *testing.T) {
+	Convey("A call to a core that cannot be reached is given up early, with the time of the next try", t, func() {
 		f := newFakeCore(map[string]node{"a": connectionRefused, "b": connectionRefused}, "a", "b")
 		begin := f.clock.Now()
 		_, err := f.Submit(f.until(time.Minute), SubmitCall{})
@@ -212,7 +219,7 @@
 		So(kind, ShouldEqual, errs.Unavailable)
 		So(took, ShouldBeBetween, unreachableTimeout, unreachableTimeout+defaultAttemptTimeout+maxBackoff)
 	})
-	Convey("It is not given up when a node answers, nor when the call may have been carried out", t, func() {
+	Convey("A call is not given up early if a node answers, or if the call may have been carried out", t, func() {
 		f := newFakeCore(map[string]node{"a": connectionRefused, "b": redirectsTo("")}, "a", "b")
 		kind, took := f.submit(5 * time.Second)
 		So(kind, ShouldEqual, errs.Unavailable)
@@ -240,6 +247,9 @@
 		_, err := f.Submit(ctx, SubmitCall{})
 		So([]any{errs.KindOf(err), len(f.asked)}, ShouldResemble, []any{errs.Timeout, 1})
 	})
+}
+
+func TestClientAttemptTimeout(t *testing.T) {
 	Convey("Attempts are short, longer for large bodies, and never beyond the deadline", t, func() {
 		var bounds []time.Duration
 		f := newFakeCore(map[string]node{"a": func(_ context.Context, _ query, _ any, timeout time.Duration) reply {
@@ -254,7 +264,7 @@
 }
 
 func TestClientHedges(t *testing.T) {
-	Convey("A read that is slow is asked of another node too, and the first answer counts", t, func() {
+	Convey("A read that is slow is sent to another node too, and the first answer counts", t, func() {
 		f := newFakeCore(nil, "a", "b", "c")
 		cut := false
 		f.nodes = map[string]node{
@@ -288,7 +298,7 @@
 		answer, err := f.Job(f.until(time.Second), JobCall{})
 		So([]any{answer.State, err}, ShouldResemble, []any{jobs.Running, nil})
 	})
-	Convey("A call that changes something is asked of one node at a time", t, func() {
+	Convey("A call that changes something is sent to one node at a time", t, func() {
 		f := newFakeCore(nil, "a", "b")
 		f.nodes = map[string]node{"a": f.timesOut, "b": answersAsLeader}
 		f.submit(2 * time.Second)
@@ -312,7 +322,7 @@
 		f.submit(time.Second)
 		So(f.Ready(), ShouldBeNil)
 	})
-	Convey("A probe does not take another node's word for the leader's answer", t, func() {
+	Convey("Only the leader's own answer to a probe counts", t, func() {
 		f := newFakeCore(nil, "a")
 		f.nodes = map[string]node{"a": func(_ context.Context, _ query, answer any, _ time.Duration) reply {
 			*answer.(*TopologyAnswer) = TopologyAnswer{Leader: "b", Members: []string{"a", "b"}}
@@ -323,7 +333,7 @@
 		So(f.asked, ShouldContain, "b")
 		So(f.clock.Now(), ShouldBeLessThanOrEqualTo, probeInterval)
 	})
-	Convey("The watch probes at once and then no more while calls are answered", t, func() {
+	Convey("The client probes at once, and then not again while calls are answered", t, func() {
 		f := newFakeCore(nil, "a")
 		probes, rounds := 0, 0
 		f.nodes = map[string]node{"a": func(_ context.Context, q query, answer any, _ time.Duration) reply {
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -43,7 +43,7 @@
 			So(store.state.JobTable.Jobs["j"].Sequence, ShouldEqual, accepted.Sequence)
 			So(store.state.JobTable.Jobs["j"].AcceptedAt, ShouldResemble, accepted.AcceptedAt)
 		})
-		Convey("when nobody knows whether the first attempt was committed", func() {
+		Convey("when the outcome of the first attempt is unknown", func() {
 			for _, late := range []bool{false, true} {
 				store.refuses, store.late = errs.Timeout, late
 				_, err := l.Submit(ctx, submitCall("d"))
@@ -68,7 +68,7 @@
 			_, err = l.Submit(ctx, submitCall("other"))
 			So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		})
-		Convey("a node without a configuration says that it took nothing, not that there is no queue", func() {
+		Convey("a node without a configuration answers Unavailable, not that there is no queue", func() {
 			_, err := fakeLeader(newFakeStore(), by).Submit(ctx, submitCall("d"))
 			So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		})
@@ -78,7 +78,7 @@
 func TestCancelIsIdempotent(t *testing.T) {
 	ctx := context.Background()
 	cancel := JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true}
-	Convey("Given a job and a cancel whose answer is lost", t, func() {
+	Convey("Given a job and a cancellation whose answer is lost", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		configured(store, 1)
@@ -96,7 +96,7 @@
 				So([]any{answer.State, answer.Gone, err}, ShouldResemble, []any{jobs.Cancelled, false, nil})
 			}
 		})
-		Convey("one that comes when the job is forgotten says so", func() {
+		Convey("a cancellation of a job that is forgotten is answered Gone", func() {
 			store.state.JobTable.Purge(by.Wall().Add(time.Hour))
 			answer, err := l.Job(ctx, cancel)
 			So([]any{answer.Gone, err}, ShouldResemble, []any{true, nil})
@@ -110,7 +110,7 @@
 	const ackTime = 4 * time.Second
 	// electionTime is the longest until the core has another leader.
 	const electionTime = 1500 * time.Millisecond
-	Convey("A cancel is acknowledged in time although the leader is lost before, while or after it takes it", t, func() {
+	Convey("A cancellation is acknowledged in time if the leader is lost before, while or after it commits it", t, func() {
 		for name, lose := range map[string]func(f *fakeCore) node{
 			"killed": func(*fakeCore) node { return connectionRefused },
 			"silent": func(f *fakeCore) node { return f.timesOut },
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -72,13 +72,17 @@
 	return errs.New(errs.Timeout, "deaf")
 }
 
-func (unresponsiveWorkers) RenewLease(context.Context, jobs.Worker, scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
+func (unresponsiveWorkers) RenewLease(context.Context, jobs.Worker,
+	scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
 	return scheduler.RenewalAnswer{}, errs.New(errs.Timeout, "deaf")
 }
 
 // fakeLeader is a controller whose passes the test makes by hand.
 func fakeLeader(store *fakeStore, by *clock.Virtual) *Leader {
-	l := NewLeader(LeaderOptions{Store: store, Workers: unresponsiveWorkers{}, Config: scheduler.Defaults(), ControlAddress: "lead:2", Clock: by, Logger: log.NewNopLogger()})
+	l := NewLeader(LeaderOptions{
+		Store: store, Workers: unresponsiveWorkers{}, Config: scheduler.Defaults(), ControlAddress: "lead:2", Clock: by,
+		Logger: log.NewNopLogger(),
+	})
 	l.pass()
 	return l
 }
@@ -159,15 +163,15 @@
 	caller = rpc.NewClient(rpc.ClientOptions{})
 	var servers []*rpc.Server
 	for range n {
-		one := &coreNode{core: core}
+		node := &coreNode{core: core}
 		s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Serve(s, one)
+		Serve(s, node)
 		So(s.Start(), ShouldBeNil)
 		core.mu.Lock()
-		one.addr = s.Addr()
-		core.leader, core.members = one.addr, append(core.members, one.addr)
+		node.addr = s.Addr()
+		core.leader, core.members = node.addr, append(core.members, node.addr)
 		core.mu.Unlock()
-		nodes, servers = append(nodes, one), append(servers, s)
+		nodes, servers = append(nodes, node), append(servers, s)
 	}
 	return nodes, caller, func() {
 		caller.Close()
--- a/internal/controller/gc_test.go
+++ b/internal/controller/gc_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestExpiredJobs(t *testing.T) {
-	Convey("A job that is over is deleted once its retention is, and not before", t, func() {
+	Convey("A job that is over is deleted when its retention ends, and not before", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		leader := fakeLeader(store, by)
 		configured(store, 1)
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -16,14 +16,14 @@
 		var text bytes.Buffer
 		h := &healthLog{log: log.NewLogfmtLogger(&text)}
 		h.report(time.Second, scheduler.Health{Workers: 48, Silent: map[string]int{}})
-		Convey("healthy workers are no line", func() {
+		Convey("healthy workers log nothing", func() {
 			So(text.String(), ShouldBeEmpty)
 		})
-		Convey("the next look is due a second later", func() {
+		Convey("the next report is due a second later", func() {
 			So(h.isDue(time.Second+healthInterval-1), ShouldBeFalse)
 			So(h.isDue(time.Second+healthInterval), ShouldBeTrue)
 		})
-		Convey("silent workers are told by zone, once, and that they are back", func() {
+		Convey("silent workers are logged once, by zone, and so is their return", func() {
 			silent := scheduler.Health{Workers: 48, Silent: map[string]int{"south": 16, "north": 1}}
 			h.report(2*time.Second, silent)
 			h.report(3*time.Second, silent)
@@ -31,7 +31,7 @@
 			So(text.String(), ShouldEqual, "level=warn msg=\"silent workers\" of=48 zones=north:1,south:16\n"+
 				"level=warn msg=\"silent workers\" of=48 zones=none\n")
 		})
-		Convey("runs without an end are told as they rise", func() {
+		Convey("runs without an end are logged as their number rises", func() {
 			health := scheduler.Health{Workers: 48, Counts: scheduler.Counts{Lost: 5, Expired: 3, Refused: 2}}
 			h.report(2*time.Second, health)
 			h.report(3*time.Second, health)
--- a/internal/controller/heartbeat_assigner_test.go
+++ b/internal/controller/heartbeat_assigner_test.go
@@ -11,20 +11,20 @@
 )
 
 func TestHeartbeatAssigner(t *testing.T) {
-	Convey("Workers are spread over the members that are there; one that is lost moves its own workers only", t, func() {
+	Convey("Workers are spread over the reachable members, and the loss of one moves its own workers only", t, func() {
 		members := []string{"a:1", "b:1", "c:1", "d:1", "e:1"}
-		looks := 0
-		h := &heartbeatAssigner{reachable: func() []string { looks++; return members }}
+		reads := 0
+		h := &heartbeatAssigner{reachable: func() []string { reads++; return members }}
 		const workers = 1000
-		all := func() map[string]string {
-			out := map[string]string{}
+		nodesOfWorkers := func() map[string]string {
+			nodes := map[string]string{}
 			for i := range workers {
 				id := fmt.Sprint("w", i)
-				out[id] = h.nodeFor(0, id)
+				nodes[id] = h.nodeFor(0, id)
 			}
-			return out
+			return nodes
 		}
-		before, counts := all(), map[string]int{}
+		before, counts := nodesOfWorkers(), map[string]int{}
 		for _, node := range before {
 			counts[node]++
 		}
@@ -32,11 +32,11 @@
 		for _, count := range counts {
 			So(count, ShouldBeBetween, workers/len(members)/2, workers/len(members)*2)
 		}
-		So(looks, ShouldEqual, 1)
+		So(reads, ShouldEqual, 1)
 		members = []string{"e:1", "d:1", "b:1", "a:1"}
 		h.nodeFor(memberRefreshInterval, "w")
-		So(looks, ShouldEqual, 2)
-		for id, node := range all() {
+		So(reads, ShouldEqual, 2)
+		for id, node := range nodesOfWorkers() {
 			if before[id] == "c:1" {
 				So(node, ShouldNotEqual, "c:1")
 			} else {
@@ -51,7 +51,7 @@
 }
 
 func TestHeartbeatAddressInAnswer(t *testing.T) {
-	Convey("The answer to a heartbeat names the worker's node where workers are spread, else the leader", t, func() {
+	Convey("The answer to a heartbeat names the worker's node if workers are spread, else the leader", t, func() {
 		spread := func(internal string) string { return "control of " + internal }
 		for _, c := range []struct {
 			options LeaderOptions
@@ -65,7 +65,8 @@
 		} {
 			store := newFakeStore()
 			store.reached = c.reached
-			c.options.Store, c.options.ControlAddress, c.options.Clock, c.options.Logger = store, "own", &clock.Virtual{}, log.NewNopLogger()
+			c.options.Store, c.options.ControlAddress = store, "own"
+			c.options.Clock, c.options.Logger = &clock.Virtual{}, log.NewNopLogger()
 			So(NewLeader(c.options).heartbeatAddress("w"), ShouldEqual, c.want)
 		}
 	})
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -49,7 +49,7 @@
 			So(record(), ShouldResemble, before)
 			So(store.index, ShouldEqual, entries)
 		})
-		Convey("at a new leader, which has not seen the newer ones, the worker drains still", func() {
+		Convey("the worker still drains at a new leader, which has not seen the newer ones", func() {
 			other := fakeLeader(store, by)
 			sendHeartbeat(other, heartbeat(4))
 			So(record().Draining, ShouldBeTrue)
@@ -76,24 +76,24 @@
 }
 
 func TestLeavingWorker(t *testing.T) {
-	Convey("Given a worker that never says that it drains, but that it ends, and serves on", t, func() {
+	Convey("Given a worker that deregisters without draining and serves on", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		sendHeartbeat(l, heartbeat(1))
 		sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
-		Convey("heartbeats that come later do not bring it back, here or at a new leader", func() {
+		Convey("later heartbeats do not bring it back, here or at a new leader", func() {
 			sendHeartbeat(l, heartbeat(2))
 			sendHeartbeat(fakeLeader(store, by), heartbeat(3))
 			So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 		})
-		Convey("said again it is acknowledged and changes nothing", func() {
+		Convey("a second deregistration is acknowledged and changes nothing", func() {
 			entries := store.index
 			sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 			So(store.index, ShouldEqual, entries)
 		})
 	})
-	Convey("A worker that is not known yet has left all the same: its heartbeat may come later", t, func() {
+	Convey("A worker that deregisters before it is known has left: its heartbeat may come later", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		sendHeartbeat(l, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
@@ -101,7 +101,7 @@
 		sendHeartbeat(fakeLeader(store, by), heartbeat(2))
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 	})
-	Convey("The sequence numbers of workers that are forgotten are dropped", t, func() {
+	Convey("The sequence numbers of forgotten workers are dropped", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		sendHeartbeat(l, heartbeat(1))
@@ -111,7 +111,7 @@
 		l.pass()
 		So(l.heartbeats.byWorker, ShouldBeEmpty)
 	})
-	Convey("Also those of workers that were forgotten while another node led", t, func() {
+	Convey("So are those of workers that were forgotten while another node led", t, func() {
 		store, by := newFakeStore(), &clock.Virtual{}
 		l := fakeLeader(store, by)
 		l.opt.Mailboxes = NewMailboxes()
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -93,18 +93,18 @@
 				So(first.Lease, ShouldEqual, 5*time.Second-answerTimeout)
 			})
 		})
-		Convey("a worker that lists it as refused has not taken it", func() {
+		Convey("it is refused if the worker lists it as refused", func() {
 			b.heartbeat(1)
 			listing := scheduler.RenewalAnswer{Clock: time.Minute, Ended: []scheduler.EndedRun{{Sequence: 1, Key: runKey(1), Reason: jobs.EndLost}}}
 			b.mailboxes.Exchange(context.Background(), "w", 2, mailboxTerm, listing, func() bool { return true })
 			So((<-done).refusal, ShouldEqual, scheduler.RefusedCapacity)
 		})
-		Convey("taken back before a heartbeat came, it was surely not delivered", func() {
+		Convey("if it is withdrawn before a heartbeat came, it was surely not delivered", func() {
 			cancel()
 			So(errors.Is((<-done).err, errNotDelivered), ShouldBeTrue)
 			So(b.heartbeat(1).Starts, ShouldBeEmpty)
 		})
-		Convey("taken back after an answer carried it, it may be carried out", func() {
+		Convey("if it is withdrawn after an answer carried it, it may be carried out", func() {
 			b.heartbeat(1)
 			cancel()
 			So(errs.KindOf((<-done).err), ShouldEqual, errs.Timeout)
@@ -130,7 +130,7 @@
 			So(len(b.heartbeat(3).Stops), ShouldEqual, 0)
 			So(<-done, ShouldBeNil)
 		})
-		Convey("a run that is listed still is not stopped yet", func() {
+		Convey("it is not confirmed while the run is listed", func() {
 			for sequence := uint64(1); sequence < 5; sequence++ {
 				So(len(b.heartbeat(sequence, runKey(1)).Stops), ShouldEqual, 1)
 			}
@@ -138,7 +138,7 @@
 			So(<-done, ShouldBeNil)
 		})
 	})
-	Convey("Given a call whose answer is a proof", t, func() {
+	Convey("Given a renewal whose answer serves as a proof", t, func() {
 		b := newMailboxFixture()
 		done := make(chan scheduler.RenewalAnswer, 1)
 		b.group.Go(func(ctx context.Context) {
@@ -146,7 +146,7 @@
 			done <- answer
 		})
 		b.waitForOrders(1)
-		Convey("it takes the lists of a heartbeat after two answers, and no earlier one", func() {
+		Convey("it is answered by the lists of the first heartbeat after two answers", func() {
 			So(b.heartbeat(1, runKey(1)).AcknowledgedUpTo, ShouldEqual, 4)
 			b.heartbeat(2, runKey(1))
 			b.heartbeat(2, runKey(1)) // the same heartbeat again proves nothing
@@ -158,7 +158,7 @@
 }
 
 func TestHeartbeatInterval(t *testing.T) {
-	Convey("A worker that runs something sends heartbeats as often as one leader can answer those of all", t, func() {
+	Convey("A busy worker sends heartbeats as often as one leader can answer those of all workers", t, func() {
 		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 48: minHeartbeatInterval, 400: 200 * time.Millisecond, 5000: maxHeartbeatInterval} {
 			So(heartbeatInterval(false, workers), ShouldEqual, pause)
 		}
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -19,12 +19,12 @@
 
 func TestQueriesReachTheLeader(t *testing.T) {
 	Convey("Calls by ID reach the leader from a client, once, and those of operators from any node", t, func() {
-		nodes, k, end := startCore(2)
+		nodes, caller, end := startCore(2)
 		defer end()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		follower, leader := nodes[0], nodes[1]
-		client := NewClient(patient(k, "", follower.addr))
+		client := NewClient(patient(caller, "", follower.addr))
 		view, err := client.Show(ctx, ShowCall{ID: "a"})
 		So([]any{view.ID, err}, ShouldResemble, []any{"a", nil})
 		answer, err := client.Cancel(ctx, CancelCall{ID: "b"})
@@ -34,7 +34,7 @@
 		queues, err := client.Queues(ctx, QueuesCall{})
 		So([]any{queues.Queues[0].Name, err}, ShouldResemble, []any{"q", nil})
 		So(leader.takeCalls(), ShouldResemble, []string{"show a", "cancel b", "list q", "queues"})
-		relay := NewRelay(follower, NewClient(patient(k, follower.addr, leader.addr)), follower.addr)
+		relay := NewRelay(follower, NewClient(patient(caller, follower.addr, leader.addr)), follower.addr)
 		workers, err := relay.Workers(ctx, WorkersCall{})
 		So([]any{workers.Evacuated, err}, ShouldResemble, []any{[]string{"z"}, nil})
 		topology, err := relay.Topology(ctx, TopologyCall{})
@@ -44,62 +44,75 @@
 	})
 }
 
-// gatheredMetrics returns the figures of a registry: name, labels, value.
+// gatheredMetrics returns the metrics of a registry, one a line: name, labels, value.
 func gatheredMetrics(registry *prometheus.Registry) []string {
 	families, err := registry.Gather()
 	So(err, ShouldBeNil)
-	var out []string
+	var lines []string
 	for _, family := range families {
 		for _, metric := range family.GetMetric() {
 			line := family.GetName()
 			for _, label := range metric.GetLabel() {
 				line += " " + label.GetName() + "=" + label.GetValue()
 			}
-			out = append(out, fmt.Sprintf("%s %g", line, metric.GetGauge().GetValue()+metric.GetCounter().GetValue()))
+			value := metric.GetGauge().GetValue() + metric.GetCounter().GetValue()
+			lines = append(lines, fmt.Sprintf("%s %g", line, value))
 		}
 	}
-	return out
+	return lines
+}
+
+// newQueriedLeader returns a leader with the queues a and b, the jobs j1 to j3 and a worker that runs one task of j2.
+func newQueriedLeader() (*Leader, *fakeStore) {
+	store := newFakeStore()
+	leader := NewLeader(LeaderOptions{
+		Store: store, Config: scheduler.Defaults(), Clock: &clock.Virtual{}, Logger: log.NewNopLogger(),
+	})
+	ctx := context.Background()
+	So(errs.KindOf(submitTo(leader, "a", "early")), ShouldEqual, errs.Unavailable) // no configuration yet
+	_, err := leader.Configure(ctx, jobs.Configure{Version: 1, Replace: true,
+		Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{
+			{Name: "a", Prefix: "/a/", Service: "s", MaxAttempts: 2, Timeout: time.Hour},
+			{Name: "b", Prefix: "/b/", Service: "s", Priority: 3, MaxAttempts: 2, Timeout: time.Hour}}})
+	So(err, ShouldBeNil)
+	So(submitTo(leader, "a", "j2"), ShouldBeNil)
+	So(submitTo(leader, "b", "j1"), ShouldBeNil)
+	So(submitTo(leader, "a", "j3"), ShouldBeNil)
+	worker := jobs.Worker{ID: "w", Service: "s", Zone: "z", Capacity: jobs.Resources{MilliCPU: 1000}}
+	_, err = leader.Heartbeat(ctx, HeartbeatCall{Sequence: 1, Worker: worker})
+	So(err, ShouldBeNil)
+	task := jobs.TaskRef{Job: "j2", Index: 1}
+	_, _, err = store.ProposeIn(ctx, store.term, &command.JobProgress{Progress: jobs.Progress{Term: store.term,
+		Starts: []jobs.Start{{Task: task, Number: 1, Worker: "w"}}}})
+	So(err, ShouldBeNil)
+	return leader, store
+}
+
+// submitTo submits a job of three tasks to a queue.
+func submitTo(leader *Leader, queue, id string) error {
+	spec := jobs.Spec{ID: id, Queue: queue, Steps: []jobs.Step{{Count: 3, Needs: jobs.Resources{MilliCPU: 100}}}}
+	_, err := leader.Submit(context.Background(), SubmitCall{Spec: spec, Digest: id})
+	return err
 }
 
 func TestLeaderQueries(t *testing.T) {
 	Convey("Given a leader with two queues and a worker", t, func() {
-		store := newFakeStore()
-		clock := &clock.Virtual{}
-		leader := NewLeader(LeaderOptions{Store: store, Config: scheduler.Defaults(), Clock: clock, Logger: log.NewNopLogger()})
+		leader, store := newQueriedLeader()
 		ctx := context.Background()
-		submit := func(id, queue string) error {
-			spec := jobs.Spec{ID: id, Queue: queue, Steps: []jobs.Step{{Count: 3, Needs: jobs.Resources{MilliCPU: 100}}}}
-			_, err := leader.Submit(ctx, SubmitCall{Spec: spec, Digest: id})
-			return err
-		}
-		So(errs.KindOf(submit("early", "a")), ShouldEqual, errs.Unavailable) // no configuration yet
-		_, err := leader.Configure(ctx, jobs.Configure{Version: 1, Replace: true,
-			Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{
-				{Name: "a", Prefix: "/a/", Service: "s", MaxAttempts: 2, Timeout: time.Hour},
-				{Name: "b", Prefix: "/b/", Service: "s", Priority: 3, MaxAttempts: 2, Timeout: time.Hour}}})
-		So(err, ShouldBeNil)
-		So(submit("j2", "a"), ShouldBeNil)
-		So(submit("j1", "b"), ShouldBeNil)
-		So(submit("j3", "a"), ShouldBeNil)
-		_, err = leader.Heartbeat(ctx, HeartbeatCall{Sequence: 1, Worker: jobs.Worker{ID: "w", Service: "s", Zone: "z", Capacity: jobs.Resources{MilliCPU: 1000}}})
-		So(err, ShouldBeNil)
-		key := jobs.RunKey{Task: jobs.TaskRef{Job: "j2", Index: 1}, Number: 1}
-		_, _, err = store.ProposeIn(ctx, store.term, &command.JobProgress{Progress: jobs.Progress{Term: store.term,
-			Starts: []jobs.Start{{Task: key.Task, Number: 1, Worker: "w"}}}})
-		So(err, ShouldBeNil)
 
-		Convey("a queue that a spec names must be there", func() {
-			err := submit("j4", "c")
+		Convey("a queue that a spec names must exist", func() {
+			err := submitTo(leader, "c", "j4")
 			So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Unknown, "queue"})
 		})
-		Convey("a job is shown with how far it is", func() {
+		Convey("a job is shown with its progress", func() {
 			view, err := leader.Show(ctx, ShowCall{ID: "j2"})
 			So(err, ShouldBeNil)
-			So([]any{view.Queue, view.State, view.Steps}, ShouldResemble, []any{"a", jobs.Running, []StepView{{Tasks: 3, Running: 1}}})
+			So([]any{view.Queue, view.State, view.Steps}, ShouldResemble,
+				[]any{"a", jobs.Running, []StepView{{Tasks: 3, Running: 1}}})
 			_, err = leader.Show(ctx, ShowCall{ID: "none"})
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 		})
-		Convey("a job is cancelled by its ID, again too", func() {
+		Convey("a job is cancelled by its ID, as often as the call comes", func() {
 			for range 2 {
 				answer, err := leader.Cancel(ctx, CancelCall{ID: "j1"})
 				So([]any{answer.State, err}, ShouldResemble, []any{jobs.Cancelled, nil})
@@ -107,7 +120,7 @@
 			_, err := leader.Cancel(ctx, CancelCall{ID: "none"})
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 		})
-		Convey("lists go by ID, page by page, filtered", func() {
+		Convey("jobs are listed by ID, in pages, and filtered", func() {
 			for _, c := range []struct {
 				call ListCall
 				want []string
@@ -129,24 +142,30 @@
 				So([]any{got, answer.More}, ShouldResemble, []any{c.want, c.more})
 			}
 		})
-		Convey("queues tell how many jobs wait", func() {
+		Convey("queues are listed with the number of waiting jobs", func() {
 			answer, err := leader.Queues(ctx, QueuesCall{})
 			So(err, ShouldBeNil)
-			So(answer.Queues, ShouldResemble, []QueueView{{Name: "a", Service: "s", Waiting: 1}, {Name: "b", Service: "s", Priority: 3, Waiting: 1}})
+			So(answer.Queues, ShouldResemble, []QueueView{
+				{Name: "a", Service: "s", Waiting: 1},
+				{Name: "b", Service: "s", Priority: 3, Waiting: 1},
+			})
 		})
-		Convey("the metrics tell of queues, workers and runs", func() {
+		Convey("the metrics count queues, workers and runs", func() {
 			registry := prometheus.NewRegistry()
 			registry.MustRegister(NewMetrics(leader))
 			So(gatheredMetrics(registry), ShouldResemble, []string{
 				"crosstide_jobs_config_version 1", "crosstide_jobs_leads 1", "crosstide_jobs_runs zone=z 1",
-				"crosstide_jobs_waiting queue=a 1", "crosstide_jobs_waiting queue=b 1", "crosstide_jobs_workers state=ready zone=z 1"})
-			leader.latestHealth.Store(&scheduler.Health{Discarded: map[scheduler.Cause]scheduler.Discarded{scheduler.CauseMoved: {Runs: 2, CoreSeconds: 7}}})
+				"crosstide_jobs_waiting queue=a 1", "crosstide_jobs_waiting queue=b 1",
+				"crosstide_jobs_workers state=ready zone=z 1"})
+			leader.latestHealth.Store(&scheduler.Health{Discarded: map[scheduler.Cause]scheduler.Discarded{
+				scheduler.CauseMoved: {Runs: 2, CoreSeconds: 7},
+			}})
 			So(gatheredMetrics(registry), ShouldContain, "crosstide_jobs_discarded_runs_total cause=moved 2")
 			So(gatheredMetrics(registry), ShouldContain, "crosstide_jobs_discarded_core_seconds_total cause=moved 7")
 			store.term = 0
 			So(gatheredMetrics(registry), ShouldResemble, []string{"crosstide_jobs_leads 0"})
 		})
-		Convey("workers tell what runs on them", func() {
+		Convey("workers are listed with what their runs use", func() {
 			_, err := leader.Evacuate(ctx, jobs.Evacuate{Zone: "z", Start: true})
 			So(err, ShouldBeNil)
 			answer, err := leader.Workers(ctx, WorkersCall{})
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -62,7 +62,7 @@
 		}
 		So(len(nodes[0].takeCalls())+len(nodes[1].takeCalls()), ShouldEqual, 0)
 	})
-	Convey("A node that does not lead passes on what it cannot do; the leader's own word stands", t, func() {
+	Convey("A node that does not lead forwards calls; the leader's own error is returned", t, func() {
 		nodes, k, end := startCore(2)
 		defer end()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -88,7 +88,7 @@
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		So(len(follower.takeCalls()), ShouldEqual, 0)
 	})
-	Convey("A client that is started gets ready, and a core that has gone is told as Unavailable", t, func() {
+	Convey("A client becomes ready once started, and reports a core that is gone as Unavailable", t, func() {
 		nodes, k, end := startCore(2)
 		c := NewClient(patient(k, "", nodes[0].addr))
 		ready := make(chan struct{})
--- a/internal/controller/scheduler/balance_test.go
+++ b/internal/controller/scheduler/balance_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestQueueOfExhaustedAccount(t *testing.T) {
-	Convey("A queue whose account is exhausted waits without commits, others go on, and a top-up is used within a sweep", t, func() {
+	Convey("A queue whose account is exhausted waits without commits, and goes on within a sweep after a top-up", t, func() {
 		h := newHarness()
 		a := h.pay(150)
 		h.submit(jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}})
--- a/internal/controller/scheduler/connbackoff_test.go
+++ b/internal/controller/scheduler/connbackoff_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestConnectionBackoff(t *testing.T) {
-	Convey("A start that found no connection on this node is due again, costs no attempt and says nothing of the worker", t, func() {
+	Convey("A start that found no connection is due again, costs no attempt and does not count against the worker", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		h.pass()
@@ -42,7 +42,7 @@
 		s.reset()
 		So(s.until, ShouldEqual, 0)
 	})
-	Convey("A renewal or a stop that found no connection is sent again, and says nothing of the worker", t, func() {
+	Convey("A renewal or a stop that found no connection is sent again and does not count against the worker", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
 		h.pass()
--- a/internal/controller/scheduler/deregister_test.go
+++ b/internal/controller/scheduler/deregister_test.go
@@ -52,7 +52,7 @@
 			So(h.table.RunsOn("w"), ShouldBeEmpty)
 		})
 	})
-	Convey("A worker that has left and runs nothing is not called any more", t, func() {
+	Convey("A worker that has deregistered and runs nothing is not called any more", t, func() {
 		h := newHarness()
 		So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "unknown", Left: true}}}), ShouldBeNil)
 		h.deregister()
@@ -63,7 +63,7 @@
 			h.pass()
 		}
 		So(h.renewals, ShouldBeEmpty)
-		Convey("one that was never heard is kept for as long as heartbeats may be late, whatever the age of the term", func() {
+		Convey("A worker that was never heard from is kept as long as heartbeats may be late", func() {
 			h.now += time.Hour
 			h.pass()
 			So(h.table.Workers["unknown"], ShouldBeNil)
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -44,7 +44,7 @@
 		h.endAs(h.runningTask(jobs.Step{LongRunning: true}, ""), jobs.EndLeaseExpired)
 		So(h.core.Health(h.now).Discarded[CauseLeaseExpired], ShouldResemble, Discarded{Runs: 1})
 	})
-	Convey("A run whose lease this leader finds expired counts as such, one that its worker does not list as lost", t, func() {
+	Convey("A run counts as expired if its lease did, and as lost if its worker does not list it", t, func() {
 		h := newHarness()
 		h.runningTask(jobs.Step{}, "")
 		for range 60 { // the worker is silent
--- a/internal/controller/scheduler/failure_test.go
+++ b/internal/controller/scheduler/failure_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestFailureOfGangMemberCounts(t *testing.T) {
-	Convey("The failure of a gang member counts as an attempt, also if another member's end was listed first", t, func() {
+	Convey("The failure of a gang member counts as an attempt even if another member's end was listed first", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 2, Gang: true})
 		h.pass()
--- a/internal/controller/scheduler/feasible_test.go
+++ b/internal/controller/scheduler/feasible_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestCapacityFor(t *testing.T) {
-	Convey("The capacity of an empty node for a unit is bounded by what is scarcest", t, func() {
+	Convey("The capacity of an empty node for a unit is bounded by its scarcest resource", t, func() {
 		n := &node{record: &jobs.Worker{ID: "w", Capacity: jobs.Resources{MilliCPU: 8000, MemoryMB: 4000, GPUs: 2}}}
 		for _, c := range []struct {
 			name string
--- a/internal/controller/scheduler/health_test.go
+++ b/internal/controller/scheduler/health_test.go
@@ -11,7 +11,7 @@
 	Convey("Given two workers of a zone, of which one sends heartbeats", t, func() {
 		c := newCluster(1, "w1", "w2")
 		c.pass(time.Millisecond)
-		Convey("none is silent at first: a new leader may not have heard them yet", func() {
+		Convey("none is silent at first, as a new leader may not have heard from them yet", func() {
 			So(c.core.Health(c.now).Silent, ShouldBeEmpty)
 		})
 		Convey("the other one is silent after SilenceTimeout", func() {
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -11,7 +11,7 @@
 
 func TestLeaseOfSilentWorkerExpires(t *testing.T) {
 	Convey("The lease of a worker that stops answering expires, however often it is called", t, func() { expiresSilentWorker(false) })
-	Convey("The same while its heartbeats go on", t, func() { expiresSilentWorker(true) })
+	Convey("The lease of a worker that stops answering expires though its heartbeats go on", t, func() { expiresSilentWorker(true) })
 }
 
 func expiresSilentWorker(heartbeats bool) {
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -175,7 +175,7 @@
 }
 
 func TestMemoryStaysBoundedOverMonth(t *testing.T) {
-	Convey("Nothing that the scheduler and its table keep grows from the third day of a month to the last", t, func() {
+	Convey("No map or list of the scheduler and its table grows from the third day of a month to the last", t, func() {
 		m := newMonth()
 		var early map[string]int
 		for day := 1; day <= 30; day++ {
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -67,7 +67,7 @@
 	Convey("One run that takes longer than tasks of a step ever differ is moved too", t, func() {
 		So(newHarness().paced(2200*time.Millisecond, "", with("w", [2]int{30, usualPercent})), ShouldResemble, []string{"w"})
 	})
-	Convey("Away from its data a run takes longer everywhere: that is no proof of a slow worker", t, func() {
+	Convey("A run away from its data takes longer everywhere, which does not prove a slow worker", t, func() {
 		slowForItsPlace := with("w", [2]int{50, usualPercent})
 		So(newHarness().paced(3*time.Second, "", slowForItsPlace), ShouldResemble, []string{"w"})
 		So(newHarness().paced(3*time.Second, "r", slowForItsPlace), ShouldBeEmpty)
@@ -110,7 +110,7 @@
 			So(s.Worker.ID, ShouldNotEqual, stalled)
 		}
 	})
-	Convey("Where the runs of more than a quarter of the workers are stalled, these take starts all the same", t, func() {
+	Convey("Stalled workers take starts all the same if they are more than a quarter", t, func() {
 		h := newHarness()
 		h.core.workers["w"].cooldown.stalledAt = h.now
 		h.submit(jobs.Step{Count: 1, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 1000}})
--- a/internal/controller/scheduler/preempt_test.go
+++ b/internal/controller/scheduler/preempt_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPreemptedCapacityIsReserved(t *testing.T) {
-	Convey("Capacity that becomes free for an urgent task is not given to less urgent ones before it is enough", t, func() {
+	Convey("Capacity that becomes free for an urgent task is not used by less urgent ones", t, func() {
 		h := newHarness()
 		h.submit(jobs.Step{Count: 4, Needs: jobs.Resources{MilliCPU: 2000}, Estimate: time.Hour})
 		h.pass()
--- a/internal/controller/scheduler/rank_test.go
+++ b/internal/controller/scheduler/rank_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSelectNode(t *testing.T) {
-	Convey("The node of least cost is selected, of equal ones the better one for the unit's kind of work", t, func() {
+	Convey("The node of least cost is selected; among equal ones, the better one for the unit's kind of work", t, func() {
 		free := func(cores, gpus int) jobs.Resources { return jobs.Resources{MilliCPU: 1000 * cores, GPUs: gpus} }
 		at := func(id string, slowdown float64, free jobs.Resources, labels ...string) *node {
 			return &node{record: &jobs.Worker{ID: id, Labels: labels}, free: free, slowdown: slowdown}
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -33,7 +33,7 @@
 	Convey("Nodes are reserved for a gang that has waited and would fit on empty workers", t, func() {
 		So(waitingGang(4).starts, ShouldBeEmpty)
 	})
-	Convey("Nothing is reserved for one that would not fit on empty workers", t, func() {
+	Convey("Nothing is reserved for a gang that would not fit on empty workers", t, func() {
 		h := waitingGang(5)
 		So(h.starts, ShouldHaveLength, 1)
 		So(h.starts[0].Order.Key.Task.Job, ShouldEqual, "small")
--- a/internal/controller/scheduler/start_test.go
+++ b/internal/controller/scheduler/start_test.go
@@ -18,13 +18,13 @@
 		So(h.starts, ShouldHaveLength, 1)
 		So(h.table.RunsOn("w"), ShouldHaveLength, 4)
 		first := h.starts[0].Order.Key
-		Convey("when that one is answered the next one leaves", func() {
+		Convey("when that one is answered, the next one leaves", func() {
 			h.accept()
 			h.pass()
 			So(h.starts, ShouldHaveLength, 1)
 			So(h.starts[0].Order.Key, ShouldNotResemble, first)
 		})
-		Convey("when that one gets no answer the others never leave, and their tasks are due again at once", func() {
+		Convey("when that one gets no answer, the others never leave, and their tasks are due again at once", func() {
 			h.core.StartAnswered(h.now, "w", first, StartAnswer{}, StartUnknown)
 			h.pass()
 			So(h.starts, ShouldBeEmpty)
--- a/internal/controller/scheduler/stop_test.go
+++ b/internal/controller/scheduler/stop_test.go
@@ -19,7 +19,7 @@
 			must(err)
 			So(len(c.pass(time.Millisecond).Stops), ShouldEqual, 6)
 			So(c.pass(time.Millisecond).Stops, ShouldBeEmpty)
-			Convey("and another after a pause if the order got no answer, but none once it was answered", func() {
+			Convey("And another one after a pause if the order got no answer, but none once it was answered", func() {
 				for key, r := range c.core.runs {
 					c.core.StopAnswered(c.now, r.worker, key, stopOutcome(key.Task.Index > 0))
 				}
--- a/internal/controller/scheduler/zone_test.go
+++ b/internal/controller/scheduler/zone_test.go
@@ -54,7 +54,7 @@
 			So(h.startedOn()["east3"], ShouldEqual, 1)
 		})
 	})
-	Convey("Two workers without an answer say nothing of their zone", t, func() {
+	Convey("Two workers without an answer do not implicate their zone", t, func() {
 		h := newZones()
 		h.submit(wide)
 		h.pass()
@@ -72,14 +72,14 @@
 		}
 	}
 	verifying := func(h *harness) bool { return h.core.workers["east30"].contact.verifyAt > 0 }
-	Convey("In a large zone a few workers without an answer say nothing of it, a fraction of all does", t, func() {
+	Convey("A large zone is implicated by a fraction of its workers without an answer, not by a few", t, func() {
 		h := newZonesOf(100, "east")
 		lose(h, 100/zoneFraction-1)
 		So(verifying(h), ShouldBeFalse)
 		lose(h, 100/zoneFraction)
 		So(verifying(h), ShouldBeTrue)
 	})
-	Convey("Workers that announced their shutdown say nothing of their zone when they stop answering", t, func() {
+	Convey("Workers that announced their shutdown do not implicate their zone when they stop answering", t, func() {
 		h := newZonesOf(40, "east")
 		for i := range 20 {
 			leaving := *h.table.Workers[fmt.Sprint("east", i)]
--- a/internal/httpapi/jobsapi/calls_test.go
+++ b/internal/httpapi/jobsapi/calls_test.go
@@ -111,7 +111,7 @@
 			}
 		})
 	})
-	Convey("What the configuration answers can be put again as it is, on top of its version", t, func() {
+	Convey("The configuration that is read can be put again, on top of its version", t, func() {
 		core := &fakeCore{}
 		withServer(core, func(send func(method, path, body string) (int, string)) {
 			_, body := send("GET", "/v2/config", "")
@@ -121,7 +121,7 @@
 			So([]any{change.Base, change.Queues[0].Name, change.Queues[0].Timeout}, ShouldResemble, []any{uint64(3), "q", time.Minute})
 		})
 	})
-	Convey("A call that is wrong is refused with its field and does not reach the core", t, func() {
+	Convey("A wrong call is refused with its field and does not reach the core", t, func() {
 		core := &fakeCore{}
 		withServer(core, func(send func(method, path, body string) (int, string)) {
 			for _, c := range []struct {
@@ -156,7 +156,7 @@
 			So(core.call, ShouldBeNil)
 		})
 	})
-	Convey("Each failure of the core has its status; a node that does not lead is none of the caller's matters", t, func() {
+	Convey("Each error of the core has its status; callers do not learn which node leads", t, func() {
 		for kind, want := range map[errs.Kind]int{errs.Unknown: 404, errs.Conflict: 409, errs.Stale: 412, errs.Overloaded: 429,
 			errs.Unavailable: 503, errs.NotLeader: 503, errs.Stopped: 503, errs.Timeout: 504, errs.Invalid: 422, errs.Internal: 500} {
 			withServer(&fakeCore{err: errs.New(kind, "on purpose")}, func(send func(method, path, body string) (int, string)) {
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -25,7 +25,7 @@
 		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, Stretch: 1, Timeout: time.Minute})
 		So([]any{change.Services[0].Name, change.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
 	})
-	Convey("What is wrong is refused with its field", t, func() {
+	Convey("A wrong body is refused with its field", t, func() {
 		queue := func(fields string) string {
 			return `{"base":0,"services":[],"queues":[{"name":"a","service":"s","timeout":"1m"` + fields + `}]}`
 		}
@@ -56,7 +56,7 @@
 }
 
 func TestParsePatch(t *testing.T) {
-	Convey("Items are read, and the names to remove", t, func() {
+	Convey("Items to put and names to remove are read", t, func() {
 		change, err := parsePatch([]byte(`{"base":3,"put":{"services":[{"name":"s"}]},"remove":{"queues":["a"],"services":["t"]}}`))
 		So(err, ShouldBeNil)
 		So([]any{change.Base, change.Version, change.Replace, change.Services[0].Name, change.RemoveQueues, change.RemoveServices},
@@ -70,7 +70,7 @@
 		So(one.Digest, ShouldNotEqual, other.Digest)
 		So(rpc.Digest([]byte("a"), []byte("b")), ShouldNotEqual, rpc.Digest([]byte("ab")))
 	})
-	Convey("What is wrong is refused with its field", t, func() {
+	Convey("A wrong body is refused with its field", t, func() {
 		shouldRefuse(func(body []byte) error { _, err := parsePatch(body); return errs.Pass(err, "patch") }, []rejection{
 			{`{"base":1,"remove":{"queues":["a"]}}`, "", ""},
 			{`{"base":1}`, errs.Invalid, "put"},
--- a/internal/httpapi/jobsapi/docs_test.go
+++ b/internal/httpapi/jobsapi/docs_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestDocumentedExamples(t *testing.T) {
-	Convey("Every example of the operators' page is taken", t, func() {
+	Convey("Every example of the operators' page is accepted", t, func() {
 		data, err := os.ReadFile(page)
 		So(err, ShouldBeNil)
 		text := string(data)
--- a/internal/httpapi/jobsapi/heartbeat_test.go
+++ b/internal/httpapi/jobsapi/heartbeat_test.go
@@ -23,11 +23,11 @@
 			ID: "w1", Address: "10.0.0.1:7300", Service: "s", Zone: "z", Rack: "r1", Labels: []string{"ssd", "big"},
 			Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 512}, Draining: true}})
 	})
-	Convey("A worker that leaves needs to say no more", t, func() {
+	Convey("A leaving worker needs no other field than its state", t, func() {
 		call, err := parseHeartbeat("w1", []byte(`{"state":"leaving"}`))
 		So([]any{call.Leaving, call.Worker.ID, err}, ShouldResemble, []any{true, "w1", nil})
 	})
-	Convey("What is wrong is refused with its field", t, func() {
+	Convey("A wrong body is refused with its field", t, func() {
 		shouldRefuse(func(body []byte) error { _, err := parseHeartbeat("w1", body); return errs.Pass(err, "heartbeat") }, []rejection{
 			{heartbeatJSON(`,"state":"ready"`), "", ""},
 			{`no`, errs.Malformed, ""},
--- a/internal/httpapi/jobsapi/job_test.go
+++ b/internal/httpapi/jobsapi/job_test.go
@@ -35,7 +35,7 @@
 func steps(steps string) string { return `{"id":"j","queue":"q","steps":` + steps + `}` }
 
 func TestParseJob(t *testing.T) {
-	Convey("A whole job is read", t, func() {
+	Convey("Every field of a job is read", t, func() {
 		spec, digest, err := ParseJob([]byte(`{"id":"j-1","queue":"nightly","payload":"p",
 			"times":{"first":"2026-12-02T08:00:00Z","every":"1h","rounds":3},
 			"steps":[{"tasks":2,"milli_cpu":500,"memory_mb":64,"gpus":1,"estimate":"3s","label":"ssd","near":"r1","most_per_worker":1,"checkpoints":true},
@@ -57,7 +57,7 @@
 		So(same, ShouldEqual, one)
 		So(other, ShouldNotEqual, one)
 	})
-	Convey("What is wrong is refused with its field", t, func() {
+	Convey("A wrong body is refused with its field", t, func() {
 		shouldRefuse(func(body []byte) error { _, _, err := ParseJob(body); return errs.Pass(err, "job") }, []rejection{
 			{job(""), "", ""},
 			{"", errs.Malformed, ""},
@@ -110,7 +110,7 @@
 			{steps(`[{"cores":1}]`), errs.Invalid, "steps[0].cores"},
 		})
 	})
-	Convey("All mistakes are told at once, the first by its field", t, func() {
+	Convey("All validation errors are reported at once, the first one by its field", t, func() {
 		_, _, err := ParseJob([]byte(`{"id":"j","steps":[{"gpus":-1}],"x":1}`))
 		So(errs.Of(err).Field, ShouldEqual, "queue")
 		So(errs.Of(err).Message, ShouldContainSubstring, "steps[0].gpus")
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -41,7 +41,7 @@
 
 func TestStart(t *testing.T) {
 	ctx := context.Background()
-	Convey("A start goes out whole, and the answer must be the worker's own", t, func() {
+	Convey("A start is sent with all its fields, and the answer must be the worker's own", t, func() {
 		order := scheduler.StartOrder{Key: key, Payload: "p", Needs: jobs.Resources{MilliCPU: 5, MemoryMB: 6, GPUs: 7},
 			LeaseDeadline: 8, Token: 9, Checkpoint: "c"}
 		withWorker(200, `{"worker":"w1","clock":7}`, func(c *Client, w jobs.Worker, called func() string) {
@@ -72,7 +72,7 @@
 			})
 		}
 	})
-	Convey("An order to an address where nobody listens surely did not leave", t, func() {
+	Convey("An order to an address without a listener is unsent", t, func() {
 		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer caller.Close()
 		_, err := NewClient(caller, caller, time.Minute).Start(ctx, jobs.Worker{ID: "w", Address: "127.0.0.1:1"}, scheduler.StartOrder{})
@@ -81,7 +81,7 @@
 }
 
 func TestStop(t *testing.T) {
-	Convey("A stop goes out whole; only the worker's own yes is one", t, func() {
+	Convey("A stop is sent with all its fields, and only the worker's own answer counts", t, func() {
 		for body, kind := range map[string]errs.Kind{`{"worker":"w1"}`: "", `{}`: errs.Malformed, `{"worker":"w2"}`: errs.Malformed} {
 			withWorker(200, body, func(c *Client, w jobs.Worker, called func() string) {
 				err := c.Stop(context.Background(), w, scheduler.StopOrder{Key: key, Token: 9})
@@ -93,7 +93,7 @@
 }
 
 func TestRenewLease(t *testing.T) {
-	Convey("A hold goes out whole, and its lists come back", t, func() {
+	Convey("A renewal is sent with all its fields, and its lists are returned", t, func() {
 		body := `{"worker":"w1","clock":7,"running":[{"run":` + runJSON + `,"checkpoint":"c","percent":50}],` +
 			`"ended":[{"sequence":2,"run":` + runJSON + `,"how":"done","checkpoint":"d"}],"more":true}`
 		withWorker(200, body, func(c *Client, w jobs.Worker, called func() string) {
@@ -105,7 +105,7 @@
 			So(called(), ShouldEqual, `{"worker":"w1","token":9,"seen":1,"deadline":8,"wait":3}`+"\n")
 		})
 	})
-	Convey("What could pass for empty lists but is none is refused", t, func() {
+	Convey("An answer without both lists is refused, as it could pass for empty lists", t, func() {
 		for body, kind := range map[string]errs.Kind{
 			`{}`:                         errs.Malformed,
 			`{"worker":"w1"}`:            errs.Malformed,
@@ -120,7 +120,7 @@
 			})
 		}
 	})
-	Convey("A worker that has seen a higher token is Stale, another life Unknown", t, func() {
+	Convey("A worker that has seen a higher token answers Stale, another incarnation Unknown", t, func() {
 		for status, kind := range map[int]errs.Kind{412: errs.Stale, 404: errs.Unknown} {
 			withWorker(status, `{"kind":"`+string(kind)+`"}`, func(c *Client, w jobs.Worker, _ func() string) {
 				_, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{})
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -80,7 +80,7 @@
 }
 
 func TestFront(t *testing.T) {
-	Convey("A front node serves clients, says that it is not ready once it stops, and still answers what runs", t, func() {
+	Convey("A front node serves clients, is not ready once it stops, and still answers calls in flight", t, func() {
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
 		leader, end := startLeader(gate, entered)
 		defer end()
--- a/internal/jobsnode/quotas_test.go
+++ b/internal/jobsnode/quotas_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestCoreQuotas(t *testing.T) {
-	Convey("A core node's shares leave room for the store's files, and something for whoever needs it", t, func() {
+	Convey("A core node's quotas leave descriptors for the store's files and connections for any use", t, func() {
 		quotas, err := newCoreQuotas(1000)
 		So(err, ShouldBeNil)
 		reserved, names := 0, []string{}
@@ -20,7 +20,7 @@
 		So(names, ShouldResemble, []string{"peers", "nodes", "control", "holds", "starts"})
 		So(reserved, ShouldBeBetween, (1000-reservedDescriptors)*3/4, 1000-reservedDescriptors)
 	})
-	Convey("Too few descriptors are refused by name; none told takes what the system allows", t, func() {
+	Convey("Too few descriptors are refused by field; 0 is the system's limit", t, func() {
 		_, err := newCoreQuotas(2 * reservedDescriptors)
 		So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Settings, "descriptors"})
 		quotas, err := newCoreQuotas(0)
@@ -30,7 +30,7 @@
 }
 
 func TestFrontQuotas(t *testing.T) {
-	Convey("Clients may take what a front node's other connections leave, and cannot take those", t, func() {
+	Convey("Clients may take all connections but those reserved for a front node's other uses", t, func() {
 		quotas, err := newFrontQuotas(1000)
 		So(err, ShouldBeNil)
 		reserved := 0
--- a/internal/jobsnode/readiness_test.go
+++ b/internal/jobsnode/readiness_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestReadiness(t *testing.T) {
-	Convey("A node gets ready by a fresh answer, stays so through the grace, and is not ready once it drains", t, func() {
+	Convey("A node is ready after a fresh answer and through the grace, and not once it drains", t, func() {
 		silent := 3 * time.Second // since the leader's last answer
 		answeredIn := func(d time.Duration) error {
 			if silent <= d {
