--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -259,7 +259,8 @@
 		_, _ = f.Submit(f.until(time.Minute), SubmitCall{})
 		_, _ = f.Configure(f.until(time.Minute), jobs.Configure{})
 		_, _ = f.Submit(f.until(100*time.Millisecond), SubmitCall{})
-		So(bounds, ShouldResemble, []time.Duration{defaultAttemptTimeout, largeFactor * defaultAttemptTimeout, 90 * time.Millisecond})
+		So(bounds, ShouldResemble,
+			[]time.Duration{defaultAttemptTimeout, largeFactor * defaultAttemptTimeout, 90 * time.Millisecond})
 	})
 }
 
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -19,10 +19,12 @@
 		Spec: jobs.Spec{ID: "j", Payload: "p", Steps: []jobs.Step{{Count: 1, Estimate: time.Second}}}}
 }
 
+// configured commits a configuration with queue q, as a version on top of the one before.
 func configured(store *fakeStore, version uint64) {
-	_, err := store.commit(&command.JobConfigure{Configure: jobs.Configure{Base: version - 1, Version: version, Replace: true,
-		Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s",
-			MaxAttempts: 3, Stretch: 2, Target: time.Second, Timeout: time.Second}}}})
+	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/q/", Service: "s", MaxAttempts: 3, Stretch: 2,
+		Target: time.Second, Timeout: time.Second}
+	_, err := store.commit(&command.JobConfigure{Configure: jobs.Configure{Base: version - 1, Version: version,
+		Replace: true, Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{queue}}})
 	So(err, ShouldBeNil)
 }
 
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -13,10 +13,11 @@
 	"crosstide/internal/state/command"
 )
 
-// heartbeat is a call of a worker that is ready.
+// heartbeat returns the call of a worker that is ready.
 func heartbeat(sequence uint64) HeartbeatCall {
-	return HeartbeatCall{Sequence: sequence, Clock: time.Minute, Worker: jobs.Worker{ID: "w1", Address: "10.0.0.1:80", Service: "s",
-		Zone: "z", Capacity: jobs.Resources{MilliCPU: 4000}}}
+	worker := jobs.Worker{ID: "w1", Address: "10.0.0.1:80", Service: "s", Zone: "z",
+		Capacity: jobs.Resources{MilliCPU: 4000}}
+	return HeartbeatCall{Sequence: sequence, Clock: time.Minute, Worker: worker}
 }
 
 func sendHeartbeat(l *Leader, call HeartbeatCall) {
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -64,7 +64,8 @@
 func (b *mailboxFixture) start(ctx context.Context, index int) chan startResult {
 	done := make(chan startResult, 1)
 	b.group.Go(func(context.Context) {
-		answer, err := b.mailboxes.Start(ctx, jobs.Worker{ID: "w"}, scheduler.StartOrder{Key: runKey(index), Token: mailboxTerm, LeaseDeadline: time.Minute + 5*time.Second})
+		answer, err := b.mailboxes.Start(ctx, jobs.Worker{ID: "w"},
+			scheduler.StartOrder{Key: runKey(index), Token: mailboxTerm, LeaseDeadline: time.Minute + 5*time.Second})
 		done <- startResult{answer.Clock, answer.Refusal, err}
 	})
 	b.waitForOrders(1)
@@ -95,7 +96,8 @@
 		})
 		Convey("it is refused if the worker lists it as refused", func() {
 			b.heartbeat(1)
-			listing := scheduler.RenewalAnswer{Clock: time.Minute, Ended: []scheduler.EndedRun{{Sequence: 1, Key: runKey(1), Reason: jobs.EndLost}}}
+			listing := scheduler.RenewalAnswer{Clock: time.Minute,
+				Ended: []scheduler.EndedRun{{Sequence: 1, Key: runKey(1), Reason: jobs.EndLost}}}
 			b.mailboxes.Exchange(context.Background(), "w", 2, mailboxTerm, listing, func() bool { return true })
 			So((<-done).refusal, ShouldEqual, scheduler.RefusedCapacity)
 		})
@@ -142,7 +144,8 @@
 		b := newMailboxFixture()
 		done := make(chan scheduler.RenewalAnswer, 1)
 		b.group.Go(func(ctx context.Context) {
-			answer, _ := b.mailboxes.RenewLease(ctx, jobs.Worker{ID: "w"}, scheduler.LeaseRenewal{Token: mailboxTerm, AcknowledgedUpTo: 4})
+			answer, _ := b.mailboxes.RenewLease(ctx, jobs.Worker{ID: "w"},
+				scheduler.LeaseRenewal{Token: mailboxTerm, AcknowledgedUpTo: 4})
 			done <- answer
 		})
 		b.waitForOrders(1)
@@ -159,12 +162,17 @@
 
 func TestHeartbeatInterval(t *testing.T) {
 	Convey("A busy worker sends heartbeats as often as one leader can answer those of all workers", t, func() {
-		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 48: minHeartbeatInterval, 400: 200 * time.Millisecond, 5000: maxHeartbeatInterval} {
+		for workers, pause := range map[int]time.Duration{
+			1: minHeartbeatInterval, 48: minHeartbeatInterval, 400: 200 * time.Millisecond, 5000: maxHeartbeatInterval,
+		} {
 			So(heartbeatInterval(false, workers), ShouldEqual, pause)
 		}
 	})
 	Convey("The time that an answer was delayed is part of the pause", t, func() {
-		for workers, pause := range map[int]time.Duration{1: minHeartbeatInterval, 400: minHeartbeatInterval, 1000: minHeartbeatInterval, 1500: 250 * time.Millisecond, 5000: maxHeartbeatInterval} {
+		for workers, pause := range map[int]time.Duration{
+			1: minHeartbeatInterval, 400: minHeartbeatInterval, 1000: minHeartbeatInterval,
+			1500: 250 * time.Millisecond, 5000: maxHeartbeatInterval,
+		} {
 			So(heartbeatInterval(true, workers), ShouldEqual, pause)
 		}
 	})
--- a/internal/httpapi/jobsapi/calls_test.go
+++ b/internal/httpapi/jobsapi/calls_test.go
@@ -27,47 +27,63 @@
 	f.call = call
 	return controller.SubmitAnswer{State: jobs.Queued}, f.err
 }
+
 func (f *fakeCore) Show(_ context.Context, call controller.ShowCall) (controller.JobView, error) {
 	f.call = call
 	return controller.JobView{ID: call.ID, State: jobs.Running, Steps: []controller.StepView{{Tasks: 2, Done: 1}}}, f.err
 }
+
 func (f *fakeCore) Cancel(_ context.Context, call controller.CancelCall) (controller.JobAnswer, error) {
 	f.call = call
 	return controller.JobAnswer{State: jobs.Cancelled}, f.err
 }
+
 func (f *fakeCore) List(_ context.Context, call controller.ListCall) (controller.ListAnswer, error) {
 	f.call = call
 	return controller.ListAnswer{Jobs: []controller.JobSummary{{ID: "a"}, {ID: "b"}}, More: call.Limit == 2}, f.err
 }
+
 func (f *fakeCore) Queues(context.Context, controller.QueuesCall) (controller.QueuesAnswer, error) {
 	return controller.QueuesAnswer{Queues: []controller.QueueView{{Name: "q", Waiting: 3}}}, f.err
 }
+
 func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.call = call
 	return controller.HeartbeatAnswer{HeartbeatAddress: "10.0.0.1:7200"}, f.err
 }
+
 func (f *fakeCore) Config(context.Context, controller.ConfigCall) (jobs.Config, error) {
 	return jobs.Config{Version: 3, Services: []jobs.Service{{Name: "s"}},
 		Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Timeout: time.Minute}}}, f.err
 }
+
 func (f *fakeCore) Configure(_ context.Context, change jobs.Configure) (controller.ConfigureAnswer, error) {
 	f.call = change
 	return controller.ConfigureAnswer{}, f.err
 }
+
 func (f *fakeCore) Evacuate(_ context.Context, change jobs.Evacuate) (controller.EvacuateAnswer, error) {
 	f.call = change
 	return controller.EvacuateAnswer{}, f.err
 }
+
 func (f *fakeCore) Topology(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
 	return controller.TopologyAnswer{Leader: "l", Members: []string{"l", "m"}}, f.err
 }
+
 func (f *fakeCore) Workers(context.Context, controller.WorkersCall) (controller.WorkersAnswer, error) {
-	draining := jobs.Worker{ID: "w", Address: "a", Service: "s", Zone: "z", Draining: true, Capacity: jobs.Resources{MilliCPU: 9}}
-	return controller.WorkersAnswer{Evacuated: []string{"z"}, Workers: []controller.WorkerView{{Worker: draining, Used: jobs.Resources{MilliCPU: 4}, Runs: 1}}}, f.err
+	draining := jobs.Worker{
+		ID: "w", Address: "a", Service: "s", Zone: "z", Draining: true, Capacity: jobs.Resources{MilliCPU: 9},
+	}
+	view := controller.WorkerView{Worker: draining, Used: jobs.Resources{MilliCPU: 4}, Runs: 1}
+	return controller.WorkersAnswer{Evacuated: []string{"z"}, Workers: []controller.WorkerView{view}}, f.err
 }
 
-// withServer runs test with a server of all calls.
-func withServer(core *fakeCore, test func(send func(method, path, body string) (int, string))) {
+// sender sends one call to a test server and returns the status and the body of the answer.
+type sender func(method, path, body string) (int, string)
+
+// withServer runs test with a server of all calls, which core answers.
+func withServer(core *fakeCore, test func(send sender)) {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	ServeClients(server, core, time.Minute)
 	ServeControl(server, core, time.Minute)
@@ -87,23 +103,28 @@
 	So(server.Stop(time.Minute), ShouldBeNil)
 }
 
-func TestCalls(t *testing.T) {
+func TestCalls_answered(t *testing.T) {
 	Convey("Each call is answered", t, func() {
 		core := &fakeCore{}
-		withServer(core, func(send func(method, path, body string) (int, string)) {
+		withServer(core, func(send sender) {
 			for _, c := range []struct{ method, path, body, want string }{
 				{"POST", "/v2/jobs", job(""), `{"id":"j","state":"queued"}`},
-				{"GET", "/v2/jobs/j-1", "", `{"id":"j-1","queue":"","state":"running","accepted":"0001-01-01T00:00:00Z","steps":[{"tasks":2,"done":1,"running":0}]}`},
+				{"GET", "/v2/jobs/j-1", "", `{"id":"j-1","queue":"","state":"running","accepted":"0001-01-01T00:00:00Z",` +
+					`"steps":[{"tasks":2,"done":1,"running":0}]}`},
 				{"DELETE", "/v2/jobs/j-1", "", `{"id":"j-1","state":"cancelled"}`},
-				{"GET", "/v2/jobs?limit=2", "", `{"jobs":[{"id":"a","queue":"","state":"","accepted":"0001-01-01T00:00:00Z"},{"id":"b","queue":"","state":"","accepted":"0001-01-01T00:00:00Z"}],"next":"b"}`},
+				{"GET", "/v2/jobs?limit=2", "", `{"jobs":[{"id":"a","queue":"","state":"","accepted":"0001-01-01T00:00:00Z"},` +
+					`{"id":"b","queue":"","state":"","accepted":"0001-01-01T00:00:00Z"}],"next":"b"}`},
 				{"GET", "/v2/queues", "", `{"queues":[{"name":"q","service":"","priority":0,"waiting":3}]}`},
-				{"GET", "/v2/config", "", `{"version":3,"queues":[{"name":"q","service":"s","priority":0,"attempts":2,"stretch":1,"target":"0s","timeout":"1m0s"}],"services":[{"name":"s","guards_room":false}]}`},
+				{"GET", "/v2/config", "", `{"version":3,"queues":[{"name":"q","service":"s","priority":0,"attempts":2,` +
+					`"stretch":1,"target":"0s","timeout":"1m0s"}],"services":[{"name":"s","guards_room":false}]}`},
 				{"PUT", "/v2/config", `{"base":3,"queues":[],"services":[]}`, `{"version":4}`},
 				{"PATCH", "/v2/config", `{"base":3,"remove":{"queues":["q"]}}`, `{"version":4}`},
 				{"POST", "/v2/zones/z1/evacuate", "", `{"zone":"z1","evacuated":true}`},
 				{"POST", "/v2/zones/z1/restore", "", `{"zone":"z1","evacuated":false}`},
 				{"GET", "/v2/topology", "", `{"leader":"l","members":["l","m"]}`},
-				{"GET", "/v2/workers", "", `{"workers":[{"id":"w","address":"a","service":"s","zone":"z","capacity":{"milli_cpu":9,"memory_mb":0,"gpus":0},"used":{"milli_cpu":4,"memory_mb":0,"gpus":0},"runs":1,"state":"draining"}],"evacuated":["z"]}`},
+				{"GET", "/v2/workers", "", `{"workers":[{"id":"w","address":"a","service":"s","zone":"z",` +
+					`"capacity":{"milli_cpu":9,"memory_mb":0,"gpus":0},"used":{"milli_cpu":4,"memory_mb":0,"gpus":0},"runs":1,` +
+					`"state":"draining"}],"evacuated":["z"]}`},
 				{"POST", "/v2/workers/w1/heartbeat", heartbeatJSON(`,"state":"ready"`), `{"leader":"10.0.0.1:7200"}`},
 			} {
 				status, body := send(c.method, c.path, c.body)
@@ -113,17 +134,21 @@
 	})
 	Convey("The configuration that is read can be put again, on top of its version", t, func() {
 		core := &fakeCore{}
-		withServer(core, func(send func(method, path, body string) (int, string)) {
+		withServer(core, func(send sender) {
 			_, body := send("GET", "/v2/config", "")
 			status, _ := send("PUT", "/v2/config", strings.Replace(body, `"version"`, `"base"`, 1))
 			So(status, ShouldEqual, 200)
 			change := core.call.(jobs.Configure)
-			So([]any{change.Base, change.Queues[0].Name, change.Queues[0].Timeout}, ShouldResemble, []any{uint64(3), "q", time.Minute})
+			So([]any{change.Base, change.Queues[0].Name, change.Queues[0].Timeout}, ShouldResemble,
+				[]any{uint64(3), "q", time.Minute})
 		})
 	})
+}
+
+func TestCalls_refused(t *testing.T) {
 	Convey("A wrong call is refused with its field and does not reach the core", t, func() {
 		core := &fakeCore{}
-		withServer(core, func(send func(method, path, body string) (int, string)) {
+		withServer(core, func(send sender) {
 			for _, c := range []struct {
 				method, path, body string
 				status             int
@@ -156,11 +181,18 @@
 			So(core.call, ShouldBeNil)
 		})
 	})
+}
+
+func TestCalls_errors(t *testing.T) {
 	Convey("Each error of the core has its status; callers do not learn which node leads", t, func() {
-		for kind, want := range map[errs.Kind]int{errs.Unknown: 404, errs.Conflict: 409, errs.Stale: 412, errs.Overloaded: 429,
-			errs.Unavailable: 503, errs.NotLeader: 503, errs.Stopped: 503, errs.Timeout: 504, errs.Invalid: 422, errs.Internal: 500} {
-			withServer(&fakeCore{err: errs.New(kind, "on purpose")}, func(send func(method, path, body string) (int, string)) {
-				for _, path := range []string{"/v2/jobs/j", "/v2/jobs", "/v2/queues", "/v2/config", "/v2/topology", "/v2/workers"} {
+		for kind, want := range map[errs.Kind]int{
+			errs.Unknown: 404, errs.Conflict: 409, errs.Stale: 412, errs.Invalid: 422, errs.Overloaded: 429,
+			errs.Internal: 500, errs.Unavailable: 503, errs.NotLeader: 503, errs.Stopped: 503, errs.Timeout: 504,
+		} {
+			withServer(&fakeCore{err: errs.New(kind, "on purpose")}, func(send sender) {
+				for _, path := range []string{
+					"/v2/jobs/j", "/v2/jobs", "/v2/queues", "/v2/config", "/v2/topology", "/v2/workers",
+				} {
 					status, _ := send("GET", path, "")
 					So([]any{kind, path, status}, ShouldResemble, []any{kind, path, want})
 				}
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -17,12 +17,16 @@
 			{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,"target":"30s","timeout":"1h"},
 			{"name":"b","service":"s","timeout":"1m"}]}`))
 		So(err, ShouldBeNil)
-		So([]any{change.Base, change.Version, change.Replace, len(change.Digest)}, ShouldResemble, []any{uint64(3), uint64(4), true, 64})
+		So([]any{change.Base, change.Version, change.Replace, len(change.Digest)}, ShouldResemble,
+			[]any{uint64(3), uint64(4), true, 64})
 		a, b := change.Queues[0], change.Queues[1]
-		So(string(a.Document), ShouldEqual, `{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,"target":"30s","timeout":"1h0m0s"}`)
+		So(string(a.Document), ShouldEqual, `{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,`+
+			`"target":"30s","timeout":"1h0m0s"}`)
 		a.Document, b.Document = nil, nil
-		So(a, ShouldResemble, jobs.Queue{Name: "a", Prefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 5, Stretch: 1.5, Target: 30 * time.Second, Timeout: time.Hour})
-		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, Stretch: 1, Timeout: time.Minute})
+		So(a, ShouldResemble, jobs.Queue{Name: "a", Prefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 5, Stretch: 1.5,
+			Target: 30 * time.Second, Timeout: time.Hour})
+		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, Stretch: 1,
+			Timeout: time.Minute})
 		So([]any{change.Services[0].Name, change.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
 	})
 	Convey("A wrong body is refused with its field", t, func() {
@@ -57,17 +61,19 @@
 
 func TestParsePatch(t *testing.T) {
 	Convey("Items to put and names to remove are read", t, func() {
-		change, err := parsePatch([]byte(`{"base":3,"put":{"services":[{"name":"s"}]},"remove":{"queues":["a"],"services":["t"]}}`))
+		change, err := parsePatch([]byte(`{"base":3,"put":{"services":[{"name":"s"}]},` +
+			`"remove":{"queues":["a"],"services":["t"]}}`))
 		So(err, ShouldBeNil)
-		So([]any{change.Base, change.Version, change.Replace, change.Services[0].Name, change.RemoveQueues, change.RemoveServices},
-			ShouldResemble, []any{uint64(3), uint64(4), false, "s", []string{"a"}, []string{"t"}})
+		So([]any{change.Base, change.Version, change.Replace}, ShouldResemble, []any{uint64(3), uint64(4), false})
+		So([]any{change.Services[0].Name, change.RemoveQueues, change.RemoveServices}, ShouldResemble,
+			[]any{"s", []string{"a"}, []string{"t"}})
 	})
 	Convey("The same text as a patch and as a put are two orders, and so are two texts", t, func() {
-		one, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
+		change, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
 		again, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
 		other, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["b"]}}`))
-		So(one.Digest, ShouldEqual, again.Digest)
-		So(one.Digest, ShouldNotEqual, other.Digest)
+		So(change.Digest, ShouldEqual, again.Digest)
+		So(change.Digest, ShouldNotEqual, other.Digest)
 		So(rpc.Digest([]byte("a"), []byte("b")), ShouldNotEqual, rpc.Digest([]byte("ab")))
 	})
 	Convey("A wrong body is refused with its field", t, func() {
--- a/internal/httpapi/jobsapi/heartbeat_test.go
+++ b/internal/httpapi/jobsapi/heartbeat_test.go
@@ -1,6 +1,7 @@
 package jobsapi
 
 import (
+	"strings"
 	"testing"
 	"time"
 
@@ -11,24 +12,41 @@
 	"crosstide/internal/jobs"
 )
 
+// heartbeatJSON returns a heartbeat without a state, with further fields.
 func heartbeatJSON(fields string) string {
-	return `{"sequence":7,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":1000,"memory_mb":512}` + fields + `}`
+	return `{"sequence":7,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z",` +
+		`"capacity":{"milli_cpu":1000,"memory_mb":512}` + fields + `}`
+}
+
+const readyHeartbeat = `{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z",` +
+	`"capacity":{"milli_cpu":1,"memory_mb":1}}`
+
+// changed returns readyHeartbeat with one part of its text replaced.
+func changed(old, replacement string) string {
+	So(strings.Count(readyHeartbeat, old), ShouldEqual, 1)
+	return strings.Replace(readyHeartbeat, old, replacement, 1)
 }
 
 func TestParseHeartbeat(t *testing.T) {
 	Convey("A heartbeat is read", t, func() {
-		call, err := parseHeartbeat("w1", []byte(heartbeatJSON(`,"state":"draining","remaining":9,"rack":"r1","labels":["ssd","big"]`)))
+		call, err := parseHeartbeat("w1", []byte(heartbeatJSON(`,"state":"draining","remaining":9,"rack":"r1",`+
+			`"labels":["ssd","big"]`)))
 		So(err, ShouldBeNil)
-		So(call, ShouldResemble, controller.HeartbeatCall{Sequence: 7, Clock: 5 * time.Nanosecond, Remaining: 9, Worker: jobs.Worker{
-			ID: "w1", Address: "10.0.0.1:7300", Service: "s", Zone: "z", Rack: "r1", Labels: []string{"ssd", "big"},
-			Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 512}, Draining: true}})
+		So(call, ShouldResemble, controller.HeartbeatCall{Sequence: 7, Clock: 5 * time.Nanosecond, Remaining: 9,
+			Worker: jobs.Worker{
+				ID: "w1", Address: "10.0.0.1:7300", Service: "s", Zone: "z", Rack: "r1", Labels: []string{"ssd", "big"},
+				Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 512}, Draining: true}})
 	})
 	Convey("A leaving worker needs no other field than its state", t, func() {
 		call, err := parseHeartbeat("w1", []byte(`{"state":"leaving"}`))
 		So([]any{call.Leaving, call.Worker.ID, err}, ShouldResemble, []any{true, "w1", nil})
 	})
 	Convey("A wrong body is refused with its field", t, func() {
-		shouldRefuse(func(body []byte) error { _, err := parseHeartbeat("w1", body); return errs.Pass(err, "heartbeat") }, []rejection{
+		parse := func(body []byte) error {
+			_, err := parseHeartbeat("w1", body)
+			return errs.Pass(err, "heartbeat")
+		}
+		shouldRefuse(parse, []rejection{
 			{heartbeatJSON(`,"state":"ready"`), "", ""},
 			{`no`, errs.Malformed, ""},
 			{heartbeatJSON(``), errs.Invalid, "state"},
@@ -40,13 +58,13 @@
 			{heartbeatJSON(`,"state":"ready","labels":"ssd"`), errs.Invalid, "labels"},
 			{heartbeatJSON(`,"state":"ready","labels":["s s"]`), errs.Invalid, "labels[0]"},
 			{heartbeatJSON(`,"state":"draining","remaining":-1`), errs.Invalid, "remaining"},
-			{`{"state":"ready","sequence":0,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "sequence"},
-			{`{"state":"ready","sequence":1,"clock":"5s","address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "clock"},
-			{`{"state":"ready","sequence":1,"clock":5,"address":"here","service":"s","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "address"},
-			{`{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"","zone":"z","capacity":{"milli_cpu":1,"memory_mb":1}}`, errs.Invalid, "service"},
-			{`{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"memory_mb":1}}`, errs.Invalid, "capacity.milli_cpu"},
-			{`{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":{"milli_cpu":-1,"memory_mb":1}}`, errs.Invalid, "capacity.milli_cpu"},
-			{`{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z","capacity":[]}`, errs.Invalid, "capacity"},
+			{changed(`"sequence":1`, `"sequence":0`), errs.Invalid, "sequence"},
+			{changed(`"clock":5`, `"clock":"5s"`), errs.Invalid, "clock"},
+			{changed(`"10.0.0.1:7300"`, `"here"`), errs.Invalid, "address"},
+			{changed(`"service":"s"`, `"service":""`), errs.Invalid, "service"},
+			{changed(`"milli_cpu":1,`, ``), errs.Invalid, "capacity.milli_cpu"},
+			{changed(`"milli_cpu":1`, `"milli_cpu":-1`), errs.Invalid, "capacity.milli_cpu"},
+			{changed(`{"milli_cpu":1,"memory_mb":1}`, `[]`), errs.Invalid, "capacity"},
 		})
 		_, err := parseHeartbeat("w 1", []byte(heartbeatJSON(`,"state":"ready"`)))
 		So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Invalid, "id"})
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -14,8 +14,8 @@
 	"crosstide/internal/rpc"
 )
 
-// withWorker runs test with a client whose worker answers every call with a status and a body, and tells the body of the
-// newest call.
+// withWorker runs test with a client whose worker answers every call with a status and a body. called returns the body
+// of the newest call.
 func withWorker(status int, body string, test func(client *Client, worker jobs.Worker, called func() string)) {
 	var got string
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
@@ -30,7 +30,8 @@
 	})
 	So(server.Start(), ShouldBeNil)
 	caller := rpc.NewClient(rpc.ClientOptions{})
-	test(NewClient(caller, caller, time.Minute), jobs.Worker{ID: "w1", Address: server.Addr()}, func() string { return got })
+	test(NewClient(caller, caller, time.Minute), jobs.Worker{ID: "w1", Address: server.Addr()},
+		func() string { return got })
 	caller.Close()
 	So(server.Stop(time.Minute), ShouldBeNil)
 }
@@ -75,14 +76,17 @@
 	Convey("An order to an address without a listener is unsent", t, func() {
 		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer caller.Close()
-		_, err := NewClient(caller, caller, time.Minute).Start(ctx, jobs.Worker{ID: "w", Address: "127.0.0.1:1"}, scheduler.StartOrder{})
+		_, err := NewClient(caller, caller, time.Minute).Start(ctx, jobs.Worker{ID: "w", Address: "127.0.0.1:1"},
+			scheduler.StartOrder{})
 		So([]any{errs.KindOf(err), rpc.IsUnsent(err)}, ShouldResemble, []any{errs.Unavailable, true})
 	})
 }
 
 func TestStop(t *testing.T) {
 	Convey("A stop is sent with all its fields, and only the worker's own answer counts", t, func() {
-		for body, kind := range map[string]errs.Kind{`{"worker":"w1"}`: "", `{}`: errs.Malformed, `{"worker":"w2"}`: errs.Malformed} {
+		for body, kind := range map[string]errs.Kind{
+			`{"worker":"w1"}`: "", `{}`: errs.Malformed, `{"worker":"w2"}`: errs.Malformed,
+		} {
 			withWorker(200, body, func(c *Client, w jobs.Worker, called func() string) {
 				err := c.Stop(context.Background(), w, scheduler.StopOrder{Key: key, Token: 9})
 				So([]any{body, errs.KindOf(err)}, ShouldResemble, []any{body, kind})
@@ -97,7 +101,8 @@
 		body := `{"worker":"w1","clock":7,"running":[{"run":` + runJSON + `,"checkpoint":"c","percent":50}],` +
 			`"ended":[{"sequence":2,"run":` + runJSON + `,"how":"done","checkpoint":"d"}],"more":true}`
 		withWorker(200, body, func(c *Client, w jobs.Worker, called func() string) {
-			answer, err := c.RenewLease(context.Background(), w, scheduler.LeaseRenewal{Token: 9, AcknowledgedUpTo: 1, LeaseDeadline: 8, Wait: 3})
+			answer, err := c.RenewLease(context.Background(), w,
+				scheduler.LeaseRenewal{Token: 9, AcknowledgedUpTo: 1, LeaseDeadline: 8, Wait: 3})
 			So(err, ShouldBeNil)
 			So(answer, ShouldResemble, scheduler.RenewalAnswer{Clock: 7, Full: true,
 				Running: []scheduler.ListedRun{{Key: key, Checkpoint: "c", Percent: 50}},
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -22,9 +22,10 @@
 // startLeader starts a core of one node; a cancel is not answered until gate is closed.
 func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, end func()) {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	rpc.Handle(s, controller.TopologyEndpoint, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
+	topology := func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
 		return controller.TopologyAnswer{Leader: s.Addr(), Members: []string{s.Addr()}}, nil
-	})
+	}
+	rpc.Handle(s, controller.TopologyEndpoint, topology)
 	rpc.Handle(s, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
 		entered <- struct{}{}
 		<-gate
@@ -59,7 +60,8 @@
 
 // frontOf are the options of a front node of a core.
 func frontOf(core ...string) FrontOptions {
-	return FrontOptions{CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", ServeClients: serveCancel, ServeReady: serveReady,
+	return FrontOptions{CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
+		ServeClients: serveCancel, ServeReady: serveReady,
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger()}
 }
 
