--- a/internal/controller/scheduler/ack_test.go
+++ b/internal/controller/scheduler/ack_test.go
@@ -10,29 +10,29 @@
 
 func TestLastEndsAreAcknowledged(t *testing.T) {
 	Convey("The last ends of a worker on which nothing runs any more are acknowledged in time, once", t, func() {
-		h := newHarness()
-		h.endAs(h.runningTask(jobs.Step{}, ""), jobs.EndDone)
+		c := newReadyCluster()
+		c.endAs(c.runningTask(jobs.Step{}, ""), jobs.EndDone)
 		acknowledged := func() (calls int) {
-			for _, renewal := range h.renewals {
+			for _, renewal := range c.renewals {
 				if renewal.Call.AcknowledgedUpTo == 1 {
 					calls++
 				}
 			}
 			return calls
 		}
-		h.renewals = nil
-		h.pass()
+		c.renewals = nil
+		c.runPasses()
 		So(acknowledged(), ShouldEqual, 0) // usually the next run brings a call
 		for range 20 {
-			h.now += sweepInterval
-			h.pass()
+			c.now += sweepInterval
+			c.runPasses()
 		}
 		So(acknowledged(), ShouldEqual, 1)
-		h.answer(RenewalAnswer{})
+		c.answer(RenewalAnswer{})
 		for range 20 {
-			h.now += sweepInterval
-			h.pass()
+			c.now += sweepInterval
+			c.runPasses()
 		}
-		So(h.renewals, ShouldBeEmpty)
+		So(c.renewals, ShouldBeEmpty)
 	})
 }
--- a/internal/controller/scheduler/cluster_test.go
+++ b/internal/controller/scheduler/cluster_test.go
@@ -1,52 +1,115 @@
 package scheduler
 
 import (
+	"fmt"
 	"time"
 
+	. "github.com/smartystreets/goconvey/convey"
+
 	"crosstide/internal/jobs"
 )
 
-// cluster is a table and a Core that schedules it, whose commits succeed at once.
+// cluster is a Core that leads, the table that it schedules and a simulated clock. What the Core proposes is committed
+// at once; the test answers its calls.
 type cluster struct {
-	table *jobs.Table
 	core  *Core
+	table *jobs.Table
 	now   time.Duration
-	wall  time.Time
+
+	// Set by runPasses alone.
+	starts   []StartAction   // of the newest passes
+	stops    []StopAction    // of the newest passes
+	renewals []RenewalAction // in flight, oldest first
 }
 
 const testTerm = 7
 
+// newCluster returns a cluster with workers that have not answered yet. attempts is the limit of queue q.
 func newCluster(attempts int, workers ...string) *cluster {
-	c := &cluster{table: jobs.NewTable(), core: New(Defaults()), now: time.Minute, wall: time.Unix(1_000_000, 0)}
-	must(c.table.Configure(jobs.Configure{Version: 1, Digest: "first", Replace: true,
-		Queues: []jobs.Queue{{Name: "q", Host: "h", Prefix: "/p/", Service: "s", MaxAttempts: attempts, Stretch: 2,
-			Target: time.Second, Timeout: time.Second}},
-		Services: []jobs.Service{{Name: "s"}}}))
+	c := &cluster{core: New(Defaults()), table: jobs.NewTable(), now: time.Minute}
+	must(c.table.Configure(testConfig(1, attempts)))
 	for _, id := range workers {
-		must(c.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z",
-			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
+		must(c.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}}))
 	}
 	c.table.OnEvent = c.core.TableChanged
 	c.core.BecomeLeader(c.now, testTerm, c.table)
 	return c
 }
 
+// newReadyCluster returns a cluster of one worker, w, that has answered its first probe.
+func newReadyCluster() *cluster {
+	c := newCluster(3, "w")
+	So(c.table.Config.Version, ShouldEqual, 1)
+	So(c.table.Workers, ShouldHaveLength, 1)
+	c.runPasses()
+	c.answer(RenewalAnswer{})
+	return c
+}
+
+// testConfig returns a configuration with a queue q and a more urgent one.
+func testConfig(version uint64, attempts int) jobs.Configure {
+	q := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts, Stretch: 2,
+		Target: time.Second, Timeout: time.Second}
+	urgent := q
+	urgent.Name, urgent.Prefix, urgent.Priority = "urgent", "/urgent/", 0
+	return jobs.Configure{Base: version - 1, Version: version, Digest: fmt.Sprint(version), Replace: true,
+		Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{q, urgent}}
+}
+
+// testWorker returns a worker of 4 cores.
+func testWorker(id string) jobs.Worker {
+	return jobs.Worker{ID: id, Address: id + ":1", Service: "s", Zone: "z",
+		Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}
+}
+
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-func (c *cluster) submit(id string, steps ...jobs.Step) {
-	_, err := c.table.Submit(jobs.Submit{Spec: jobs.Spec{ID: id, Queue: "q", Steps: steps}, Digest: id, At: c.wall})
-	must(err)
+// wall returns the time of day.
+func (c *cluster) wall() time.Time { return time.Unix(1_000_000, 0).Add(c.now) }
+
+// workerClock returns the clock of the workers.
+func (c *cluster) workerClock() time.Duration { return time.Minute + c.now }
+
+// register puts a worker into the table.
+func (c *cluster) register(worker jobs.Worker) {
+	So(c.table.Register(jobs.Register{Workers: []jobs.Worker{worker}}), ShouldBeNil)
+}
+
+// addWorkers registers more workers, which answer their first probe.
+func (c *cluster) addWorkers(ids ...string) {
+	for _, id := range ids {
+		c.register(testWorker(id))
+	}
+	c.runPasses()
+	c.answerAll(nil)
+	c.runPasses()
+}
+
+// deregister records that worker w has deregistered.
+func (c *cluster) deregister() {
+	worker := *c.table.Workers["w"]
+	worker.Left = true
+	c.register(worker)
+}
+
+// submit submits a job to queue q.
+func (c *cluster) submit(id string, steps ...jobs.Step) { c.submitTo("q", id, steps...) }
+
+// submitTo submits a job to a queue.
+func (c *cluster) submitTo(queue, id string, steps ...jobs.Step) {
+	spec := jobs.Spec{ID: id, Queue: queue, Steps: steps}
+	_, err := c.table.Submit(jobs.Submit{Spec: spec, Digest: id, At: c.wall()})
+	So(err, ShouldBeNil)
 }
 
-// pass advances the clock and runs one pass; what it proposes is committed at once.
-func (c *cluster) pass(after time.Duration) Actions {
-	c.now += after
-	c.wall = c.wall.Add(after)
-	actions := c.core.Pass(c.now, c.wall)
+// passAfter advances the clock and runs one pass.
+func (c *cluster) passAfter(d time.Duration) Actions {
+	c.now += d
+	actions := c.core.Pass(c.now, c.wall())
 	if actions.Progress != nil {
 		started, err := c.table.Progress(testTerm, *actions.Progress)
 		c.core.Committed(c.now, actions.Progress, started, err)
@@ -54,12 +117,146 @@
 	return actions
 }
 
-// firstStart answers every call of passes as healthy workers do until a start leaves, and returns that start.
+// runPasses runs passes until nothing is left to commit, and collects the calls of all.
+func (c *cluster) runPasses() {
+	c.starts, c.stops = nil, nil
+	for {
+		actions := c.passAfter(10 * time.Millisecond)
+		c.starts = append(c.starts, actions.Starts...)
+		c.stops = append(c.stops, actions.Stops...)
+		c.renewals = append(c.renewals, actions.Renewals...)
+		if actions.Progress == nil {
+			return
+		}
+	}
+}
+
+// answer answers the newest renewal in flight, of worker w; the earlier ones stay unanswered.
+func (c *cluster) answer(answer RenewalAnswer) {
+	So(c.renewals, ShouldNotBeEmpty)
+	answer.Clock = c.workerClock()
+	c.core.RenewalAnswered(c.now, "w", c.renewals[len(c.renewals)-1].Number, answer, RenewalOK)
+	c.renewals = nil
+}
+
+// answerAll answers all renewals in flight. percent is the progress of the runs of each worker.
+func (c *cluster) answerAll(percent map[string]int) {
+	renewals := c.renewals
+	c.renewals = nil
+	for _, renewal := range renewals {
+		answer := RenewalAnswer{Clock: c.workerClock()}
+		for _, key := range c.table.RunsOn(renewal.Worker.ID) {
+			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: percent[renewal.Worker.ID]})
+		}
+		c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
+	}
+}
+
+// answerRenewalsOf answers the renewals in flight of one worker with empty lists, and returns how many there were.
+func (c *cluster) answerRenewalsOf(worker string) int {
+	answered := 0
+	for _, renewal := range c.renewals {
+		if renewal.Worker.ID == worker {
+			answered++
+			c.core.RenewalAnswered(c.now, worker, renewal.Number, RenewalAnswer{Clock: c.workerClock()}, RenewalOK)
+		}
+	}
+	return answered
+}
+
+// endAs answers the newest renewal with the end of a run.
+func (c *cluster) endAs(key jobs.RunKey, reason jobs.EndReason) {
+	c.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: key, Reason: reason}}})
+}
+
+// endRuns answers all renewals in flight, but for one worker's, with the good end of every run.
+func (c *cluster) endRuns(except string) {
+	renewals := c.renewals
+	c.renewals = nil
+	for _, renewal := range renewals {
+		if renewal.Worker.ID == except {
+			c.renewals = append(c.renewals, renewal)
+			continue
+		}
+		answer := RenewalAnswer{Clock: c.workerClock()}
+		for i, key := range c.table.RunsOn(renewal.Worker.ID) {
+			answer.Ended = append(answer.Ended, EndedRun{Sequence: uint64(i + 1), Key: key, Reason: jobs.EndDone})
+		}
+		c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
+	}
+}
+
+// failRenewals makes all renewals fail for a time, in passes 200 ms apart.
+func (c *cluster) failRenewals(d time.Duration, heartbeats bool) {
+	for end := c.now + d; c.now < end; c.now += 200 * time.Millisecond {
+		for _, renewal := range c.renewals {
+			c.core.RenewalAnswered(c.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
+		}
+		c.renewals = nil
+		if heartbeats {
+			c.core.Heartbeat(c.now, "w", c.workerClock())
+		}
+		c.runPasses()
+	}
+}
+
+// accept answers all start orders of the newest passes well.
+func (c *cluster) accept() {
+	for _, start := range c.starts {
+		c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.workerClock()}, StartOK)
+	}
+}
+
+// loseStarts leaves the start orders of the newest passes to some workers without an answer.
+func (c *cluster) loseStarts(workers ...string) {
+	for _, start := range c.starts {
+		for _, id := range workers {
+			if start.Worker.ID == id {
+				c.core.StartAnswered(c.now, id, start.Order.Key, StartAnswer{}, StartUnknown)
+			}
+		}
+	}
+}
+
+// startedOn counts the starts of the newest passes by worker.
+func (c *cluster) startedOn() map[string]int {
+	starts := map[string]int{}
+	for _, start := range c.starts {
+		starts[start.Worker.ID]++
+	}
+	return starts
+}
+
+// stopOutcome returns the outcome of a stop order that was answered, or was not.
+func stopOutcome(answered bool) StopError {
+	if answered {
+		return StopOK
+	}
+	return StopFailed
+}
+
+// runningTask starts one task of two cores, which worker w lists with a checkpoint and which has run for a second.
+func (c *cluster) runningTask(step jobs.Step, checkpoint string) jobs.RunKey {
+	step.Count, step.Needs = 1, jobs.Resources{MilliCPU: 2000}
+	c.submit("j", step)
+	c.runPasses()
+	So(c.starts, ShouldHaveLength, 1)
+	c.accept()
+	key := c.starts[0].Order.Key
+	c.runPasses()
+	c.answer(RenewalAnswer{Running: []ListedRun{{Key: key, Checkpoint: checkpoint, Percent: 1}}})
+	c.runPasses()
+	c.core.runs[key].start.sentAt = c.now - time.Second
+	return key
+}
+
+// firstStart answers every renewal of passes as healthy workers do until a start leaves, and returns that start.
 func (c *cluster) firstStart() StartAction {
 	for range 20 {
-		actions := c.pass(time.Millisecond)
+		actions := c.passAfter(time.Millisecond)
 		for _, renewal := range actions.Renewals {
-			c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: c.now}, RenewalOK)
+			answer := RenewalAnswer{Clock: c.workerClock()}
+			c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 		}
 		if len(actions.Starts) > 0 {
 			return actions.Starts[0]
@@ -68,18 +265,20 @@
 	panic("no start")
 }
 
-// startAll starts a job of count tasks on the cluster's workers, which answer all calls well.
+// startAll starts job j1 of count tasks on the cluster's workers, which answer all calls well.
 func (c *cluster) startAll(count int) {
 	c.submit("j1", jobs.Step{Count: count, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 	for range 20 {
-		actions := c.pass(time.Millisecond)
+		actions := c.passAfter(time.Millisecond)
 		for _, renewal := range actions.Renewals {
 			if renewal.Call.Wait == 0 { // long polls wait for an end, and none comes
-				c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: c.now}, RenewalOK)
+				answer := RenewalAnswer{Clock: c.workerClock()}
+				c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 			}
 		}
 		for _, start := range actions.Starts {
-			c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.now}, StartOK)
+			answer := StartAnswer{Clock: c.workerClock()}
+			c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, answer, StartOK)
 		}
 	}
 }
--- a/internal/controller/scheduler/connbackoff_test.go
+++ b/internal/controller/scheduler/connbackoff_test.go
@@ -10,22 +10,22 @@
 )
 
 func TestConnectionBackoff(t *testing.T) {
-	Convey("A start that found no connection is due again, costs no attempt and does not count against the worker", t, func() {
-		h := newHarness()
-		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-		h.pass()
-		So(len(h.starts), ShouldEqual, 1)
-		first := h.starts[0].Order.Key
-		h.core.StartAnswered(h.now, "w", first, StartAnswer{}, StartNoConnection)
-		So(h.core.workers["w"].contact.isReachable(), ShouldBeTrue)
-		So(h.core.workers["w"].contact.throttledUntil, ShouldEqual, 0)
-		h.pass()
-		So(h.starts, ShouldBeEmpty)
-		h.now += h.core.cfg.RetryMin
-		h.pass()
-		So(len(h.starts), ShouldEqual, 1)
-		So(h.starts[0].Order.Key, ShouldResemble, jobs.RunKey{Task: first.Task, Number: 2})
-		So(h.table.Jobs["j"].State, ShouldNotEqual, jobs.Failed)
+	Convey("A start that found no connection is due again, and is no attempt and no failure of its worker", t, func() {
+		c := newReadyCluster()
+		c.submit("j", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 1)
+		first := c.starts[0].Order.Key
+		c.core.StartAnswered(c.now, "w", first, StartAnswer{}, StartNoConnection)
+		So(c.core.workers["w"].contact.isReachable(), ShouldBeTrue)
+		So(c.core.workers["w"].contact.throttledUntil, ShouldEqual, 0)
+		c.runPasses()
+		So(c.starts, ShouldBeEmpty)
+		c.now += c.core.cfg.RetryMin
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 1)
+		So(c.starts[0].Order.Key, ShouldResemble, jobs.RunKey{Task: first.Task, Number: 2})
+		So(c.table.Jobs["j"].State, ShouldNotEqual, jobs.Failed)
 	})
 	Convey("The back-off grows to a limit while no call gets through, and ends with the first that does", t, func() {
 		var s connBackoff
@@ -43,38 +43,39 @@
 		So(s.until, ShouldEqual, 0)
 	})
 	Convey("A renewal or a stop that found no connection is sent again and does not count against the worker", t, func() {
-		h := newHarness()
-		h.submit(jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
-		h.pass()
-		h.accept()
-		h.pass()
+		c := newReadyCluster()
+		c.submit("j", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
+		c.runPasses()
+		c.accept()
+		c.runPasses()
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}
-		w := h.core.workers["w"]
-		h.core.RenewalAnswered(h.now, "w", w.renewal.longPoll.number, RenewalAnswer{}, RenewalNoConnection)
-		So([]any{w.contact.isReachable(), w.renewal.longPoll.number, w.contact.throttledUntil}, ShouldResemble, []any{true, uint64(0), time.Duration(0)})
-		h.now += h.core.cfg.RetryMin
-		h.pass()
+		w := c.core.workers["w"]
+		c.core.RenewalAnswered(c.now, "w", w.renewal.longPoll.number, RenewalAnswer{}, RenewalNoConnection)
+		So([]any{w.contact.isReachable(), w.renewal.longPoll.number, w.contact.throttledUntil}, ShouldResemble,
+			[]any{true, uint64(0), time.Duration(0)})
+		c.now += c.core.cfg.RetryMin
+		c.runPasses()
 		So(w.renewal.longPoll.number, ShouldNotEqual, 0)
-		_, err := h.table.Cancel(jobs.Cancel{ID: "j", At: time.Time{}.Add(h.now)})
+		_, err := c.table.Cancel(jobs.Cancel{ID: "j", At: c.wall()})
 		So(err, ShouldBeNil)
-		h.pass()
-		So(len(h.stops), ShouldEqual, 1)
-		h.core.StopAnswered(h.now, "w", key, StopNoConnection)
+		c.runPasses()
+		So(len(c.stops), ShouldEqual, 1)
+		c.core.StopAnswered(c.now, "w", key, StopNoConnection)
 		So(w.contact.isReachable(), ShouldBeTrue)
-		h.now += h.core.cfg.RetryMin
-		h.pass()
-		So(len(h.stops), ShouldEqual, 1)
+		c.now += c.core.cfg.RetryMin
+		c.runPasses()
+		So(len(c.stops), ShouldEqual, 1)
 	})
 	Convey("No starts are planned beyond the orders that may be in flight to all workers", t, func() {
-		h := newHarness()
-		h.core.cfg.MaxOrdersInFlight = 2
+		c := newReadyCluster()
+		c.core.cfg.MaxOrdersInFlight = 2
 		for _, id := range []string{"a", "b", "c"} {
-			h.submitTo("q", id, jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
+			c.submit(id, jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Hour})
 		}
-		h.pass()
-		So(len(h.starts), ShouldEqual, 2)
-		h.accept()
-		h.pass()
-		So(len(h.starts), ShouldEqual, 1)
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 2)
+		c.accept()
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 1)
 	})
 }
--- a/internal/controller/scheduler/failure_test.go
+++ b/internal/controller/scheduler/failure_test.go
@@ -11,15 +11,18 @@
 
 func TestFailureOfGangMemberCounts(t *testing.T) {
 	Convey("The failure of a gang member counts as an attempt even if another member's end was listed first", t, func() {
-		h := newHarness()
-		h.submit(jobs.Step{Count: 2, Gang: true})
-		h.pass()
-		So(len(h.starts), ShouldEqual, 2)
-		h.accept()
-		first, second := h.starts[0].Order.Key, h.starts[1].Order.Key
-		h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: second, Reason: jobs.EndGangBroken}, {Sequence: 2, Key: first, Reason: jobs.EndFailed}}})
-		h.pass()
-		So(h.table.Jobs["j"].Rounds[0][0][0].Failures, ShouldEqual, 1)
+		c := newReadyCluster()
+		c.submit("j", jobs.Step{Count: 2, Gang: true})
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 2)
+		c.accept()
+		first, second := c.starts[0].Order.Key, c.starts[1].Order.Key
+		c.answer(RenewalAnswer{Ended: []EndedRun{
+			{Sequence: 1, Key: second, Reason: jobs.EndGangBroken},
+			{Sequence: 2, Key: first, Reason: jobs.EndFailed},
+		}})
+		c.runPasses()
+		So(c.table.Jobs["j"].Rounds[0][0][0].Failures, ShouldEqual, 1)
 	})
 }
 
@@ -29,14 +32,15 @@
 		c.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		start := c.firstStart()
 		key := start.Order.Key
-		c.core.StartAnswered(c.now, "w1", key, StartAnswer{Clock: c.now}, StartOK)
+		c.core.StartAnswered(c.now, "w1", key, StartAnswer{Clock: c.workerClock()}, StartOK)
 		c.core.runs[key].stop.wanted = true
 		Convey("the failure counts as an attempt", func() {
 			for range 20 {
-				actions := c.pass(time.Millisecond)
+				actions := c.passAfter(time.Millisecond)
 				for _, renewal := range actions.Renewals {
-					c.core.RenewalAnswered(c.now, "w1", renewal.Number, RenewalAnswer{Clock: c.now,
-						Ended: []EndedRun{{Sequence: 1, Key: key, Reason: jobs.EndFailed}}}, RenewalOK)
+					ended := []EndedRun{{Sequence: 1, Key: key, Reason: jobs.EndFailed}}
+					answer := RenewalAnswer{Clock: c.workerClock(), Ended: ended}
+					c.core.RenewalAnswered(c.now, "w1", renewal.Number, answer, RenewalOK)
 				}
 			}
 			So(c.table.Jobs["j1"].State, ShouldEqual, jobs.Failed)
--- a/internal/controller/scheduler/feasible_test.go
+++ b/internal/controller/scheduler/feasible_test.go
@@ -11,37 +11,38 @@
 
 func TestCanTakeStarts(t *testing.T) {
 	Convey("Given a worker that has answered its first probe", t, func() {
-		h := newHarness()
-		w, rec := h.core.workers["w"], h.table.Workers["w"]
-		So(w.canTakeStarts(h.core, h.now), ShouldBeTrue)
-		for _, c := range []struct {
+		c := newReadyCluster()
+		w, rec := c.core.workers["w"], c.table.Workers["w"]
+		So(w.canTakeStarts(c.core, c.now), ShouldBeTrue)
+		for _, tt := range []struct {
 			name  string
 			event func()
 			after time.Duration // when it takes starts again; 0: not by time
 		}{
 			{"it takes none while it drains", func() { rec.Draining = true }, 0},
 			{"it takes none once it has deregistered", func() { rec.Left = true }, 0},
-			{"it takes none while its zone is evacuated", func() { h.table.Evacuated = map[string]bool{rec.Zone: true} }, 0},
+			{"it takes none while its zone is evacuated", func() { c.table.Evacuated = map[string]bool{rec.Zone: true} }, 0},
 			{"it takes none before it has answered under this term", func() { w.lease.fenced = false }, 0},
 			{"it takes none while its clock is not known", func() { w.lease.clockKnown = false }, 0},
-			{"it takes none after silence", func() { w.contact.heardAt = h.now - Defaults().SilenceTimeout - 1 }, 0},
-			{"it takes none after a call without an answer", func() { w.contact.backOff(h.now, Defaults()) }, 0},
+			{"it takes none after silence", func() { w.contact.heardAt = c.now - Defaults().SilenceTimeout - 1 }, 0},
+			{"it takes none after a call without an answer", func() { w.contact.backOff(c.now, Defaults()) }, 0},
 			{"it takes none after an order without an answer", func() { w.contact.suspect = true }, 0},
 			{"it takes none while its zone is being verified", func() { w.contact.verifyAt = w.contact.answeredAt + 1 }, 0},
 			{"it takes none for a moment after a refusal for lack of capacity",
-				func() { w.markRefused(h.now, RefusedCapacity) }, fullBackoff},
-			{"and longer after a refusal as unhealthy", func() { w.markRefused(h.now, RefusedUnhealthy) }, unhealthyBackoff},
-			{"but it does after a refusal that says nothing of the worker", func() { w.markRefused(h.now, RefusedStale) }, 1},
+				func() { w.markRefused(c.now, RefusedCapacity) }, fullBackoff},
+			{"it takes none for longer after a refusal as unhealthy",
+				func() { w.markRefused(c.now, RefusedUnhealthy) }, unhealthyBackoff},
+			{"it takes some after a refusal that does not count against it", func() { w.markRefused(c.now, RefusedStale) }, 1},
 		} {
-			Convey(c.name, func() {
-				c.event()
-				if c.after == 0 {
-					So(w.canTakeStarts(h.core, h.now), ShouldBeFalse)
-					So(w.canTakeStarts(h.core, h.now+2*time.Second), ShouldBeFalse)
+			Convey(tt.name, func() {
+				tt.event()
+				if tt.after == 0 {
+					So(w.canTakeStarts(c.core, c.now), ShouldBeFalse)
+					So(w.canTakeStarts(c.core, c.now+2*time.Second), ShouldBeFalse)
 					return
 				}
-				So(w.canTakeStarts(h.core, h.now+c.after-1), ShouldEqual, c.after == 1)
-				So(w.canTakeStarts(h.core, h.now+c.after), ShouldBeTrue)
+				So(w.canTakeStarts(c.core, c.now+tt.after-1), ShouldEqual, tt.after == 1)
+				So(w.canTakeStarts(c.core, c.now+tt.after), ShouldBeTrue)
 			})
 		}
 	})
--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -33,14 +33,19 @@
 
 func newFleet() *fleet {
 	w := &fleet{cluster: newCluster(3), random: rand.New(rand.NewPCG(1, 2)), later: map[time.Duration][]func(){},
-		running: map[string]map[jobs.RunKey]span{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}, longPolls: map[string]*RenewalAction{}}
-	must(w.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{
-		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 4, Target: 3 * time.Second, Timeout: time.Second}}}))
+		running: map[string]map[jobs.RunKey]span{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{},
+		longPolls: map[string]*RenewalAction{}}
+	q := testConfig(1, 3).Queues[0]
+	q.Priority = 0
+	must(w.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{q,
+		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 4,
+			Target: 3 * time.Second, Timeout: time.Second}}}))
 	for i := range fleetWorkers {
 		id := fmt.Sprintf("w%03d", i)
 		rack := fmt.Sprintf("r%d", i/12)
-		must(w.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z", Rack: rack,
-			Labels: []string{"a", rack}, Capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536}}}}))
+		worker := jobs.Worker{ID: id, Address: id + ":1", Service: "s", Zone: "z", Rack: rack,
+			Labels: []string{"a", rack}, Capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536}}
+		must(w.table.Register(jobs.Register{Workers: []jobs.Worker{worker}}))
 		w.running[id] = map[jobs.RunKey]span{}
 	}
 	return w
@@ -53,7 +58,7 @@
 
 func (w *fleet) arrive(queue string, steps ...jobs.Step) {
 	id := fmt.Sprintf("%016x", w.random.Uint64())
-	_, err := w.table.Submit(jobs.Submit{Spec: jobs.Spec{ID: id, Queue: queue, Steps: steps}, Digest: id, At: w.wall})
+	_, err := w.table.Submit(jobs.Submit{Spec: jobs.Spec{ID: id, Queue: queue, Steps: steps}, Digest: id, At: w.wall()})
 	must(err)
 }
 
@@ -62,21 +67,26 @@
 // step advances the clock by a millisecond and runs a pass.
 func (w *fleet) step(load float64) {
 	w.now += time.Millisecond
-	w.wall = w.wall.Add(time.Millisecond)
 	for _, do := range w.later[w.now.Truncate(time.Millisecond)] {
 		do()
 	}
 	delete(w.later, w.now.Truncate(time.Millisecond))
 	if w.random.Float64() < 0.035*load {
 		near := fmt.Sprintf("r%d", w.random.IntN(fleetWorkers/12))
-		w.arrive("q", jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, PreferredRack: near},
-			jobs.Step{Count: w.width(9), Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond, After: []int{0}})
+		step := jobs.Step{Needs: jobs.Resources{MilliCPU: 1900, MemoryMB: 3800}, Estimate: 800 * time.Millisecond}
+		first, second := step, step
+		first.Count, first.PreferredRack = w.width(9), near
+		second.Count, second.After = w.width(9), []int{0}
+		w.arrive("q", first, second)
 	}
 	if w.random.Float64() < 0.0016*load {
-		w.arrive("slow", jobs.Step{Count: w.width(39), Needs: jobs.Resources{MilliCPU: 4100, MemoryMB: 15000}, Estimate: 4800 * time.Millisecond, Checkpoints: true},
-			jobs.Step{Count: w.width(39), Needs: jobs.Resources{MilliCPU: 4100, MemoryMB: 15000}, Estimate: 4800 * time.Millisecond, After: []int{0}})
+		step := jobs.Step{Needs: jobs.Resources{MilliCPU: 4100, MemoryMB: 15000}, Estimate: 4800 * time.Millisecond}
+		first, second := step, step
+		first.Count, first.Checkpoints = w.width(39), true
+		second.Count, second.After = w.width(39), []int{0}
+		w.arrive("slow", first, second)
 	}
-	w.carryOut(w.core.Pass(w.now, w.wall))
+	w.carryOut(w.core.Pass(w.now, w.wall()))
 	w.passes++
 }
 
@@ -96,8 +106,8 @@
 			w.core.StopAnswered(w.now, s.Worker.ID, s.Order.Key, StopOK)
 		})
 	}
-	for _, h := range actions.Renewals {
-		w.after(answerTime, func() { w.renew(h) })
+	for _, renewal := range actions.Renewals {
+		w.after(answerTime, func() { w.renew(renewal) })
 	}
 }
 
@@ -120,40 +130,40 @@
 	delete(w.running[id], key)
 	w.counts[id]++
 	w.ended[id] = append(w.ended[id], EndedRun{Sequence: w.counts[id], Key: key, Reason: reason})
-	if h := w.longPolls[id]; h != nil {
+	if renewal := w.longPolls[id]; renewal != nil {
 		w.longPolls[id] = nil
-		w.answer(*h)
+		w.answerRenewal(*renewal)
 	}
 }
 
-func (w *fleet) renew(h RenewalAction) {
-	id := h.Worker.ID
-	for len(w.ended[id]) > 0 && w.ended[id][0].Sequence <= h.Call.AcknowledgedUpTo {
+func (w *fleet) renew(renewal RenewalAction) {
+	id := renewal.Worker.ID
+	for len(w.ended[id]) > 0 && w.ended[id][0].Sequence <= renewal.Call.AcknowledgedUpTo {
 		w.ended[id] = w.ended[id][1:]
 	}
-	if h.Call.Wait == 0 || len(w.ended[id]) > 0 {
-		w.answer(h)
+	if renewal.Call.Wait == 0 || len(w.ended[id]) > 0 {
+		w.answerRenewal(renewal)
 		return
 	}
-	w.longPolls[id] = &h
-	w.after(h.Call.Wait, func() {
-		if w.longPolls[id] == &h {
+	w.longPolls[id] = &renewal
+	w.after(renewal.Call.Wait, func() {
+		if w.longPolls[id] == &renewal {
 			w.longPolls[id] = nil
-			w.answer(h)
+			w.answerRenewal(renewal)
 		}
 	})
 }
 
-func (w *fleet) answer(h RenewalAction) {
-	a := RenewalAnswer{Clock: w.now, Ended: w.ended[h.Worker.ID]}
-	for key, at := range w.running[h.Worker.ID] {
+func (w *fleet) answerRenewal(renewal RenewalAction) {
+	a := RenewalAnswer{Clock: w.now, Ended: w.ended[renewal.Worker.ID]}
+	for key, at := range w.running[renewal.Worker.ID] {
 		a.Running = append(a.Running, ListedRun{Key: key, Percent: int(100 * (w.now - at.from) / at.duration)})
 	}
-	w.core.RenewalAnswered(w.now, h.Worker.ID, h.Number, a, RenewalOK)
+	w.core.RenewalAnswered(w.now, renewal.Worker.ID, renewal.Number, a, RenewalOK)
 }
 
-// BenchmarkPassesOfLoadedFleet measures a second of scheduling for 350 workers, after ten seconds of the same load: 1 is
-// about the capacity of the workers, 3 is the load of a storm of submissions.
+// BenchmarkPassesOfLoadedFleet measures a second of scheduling for 350 workers, after ten seconds of the same load: 1
+// is about the capacity of the workers, 3 is the load of a storm of submissions.
 func BenchmarkPassesOfLoadedFleet(b *testing.B) {
 	for _, load := range []float64{1, 3} {
 		b.Run(fmt.Sprintf("load=%v", load), func(b *testing.B) {
--- a/internal/controller/scheduler/health_test.go
+++ b/internal/controller/scheduler/health_test.go
@@ -10,14 +10,14 @@
 func TestHealth(t *testing.T) {
 	Convey("Given two workers of a zone, of which one sends heartbeats", t, func() {
 		c := newCluster(1, "w1", "w2")
-		c.pass(time.Millisecond)
+		c.passAfter(time.Millisecond)
 		Convey("none is silent at first, as a new leader may not have heard from them yet", func() {
 			So(c.core.Health(c.now).Silent, ShouldBeEmpty)
 		})
 		Convey("the other one is silent after SilenceTimeout", func() {
 			for range 10 {
-				c.pass(time.Second)
-				c.core.Heartbeat(c.now, "w1", c.now)
+				c.passAfter(time.Second)
+				c.core.Heartbeat(c.now, "w1", c.workerClock())
 			}
 			health := c.core.Health(c.now)
 			So(health.Workers, ShouldEqual, 2)
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -10,43 +10,45 @@
 )
 
 func TestLeaseOfSilentWorkerExpires(t *testing.T) {
-	Convey("The lease of a worker that stops answering expires, however often it is called", t, func() { expiresSilentWorker(false) })
-	Convey("The lease of a worker that stops answering expires though its heartbeats go on", t, func() { expiresSilentWorker(true) })
+	Convey("The lease of a worker that stops answering expires, however often it is called", t,
+		func() { expiresSilentWorker(false) })
+	Convey("The lease of a worker that stops answering expires though its heartbeats go on", t,
+		func() { expiresSilentWorker(true) })
 }
 
 func expiresSilentWorker(heartbeats bool) {
-	h := newHarness()
-	h.submit(jobs.Step{Count: 1, Estimate: time.Hour})
-	h.pass()
-	h.accept()
-	h.answer(RenewalAnswer{Running: []ListedRun{{Key: h.starts[0].Order.Key}}})
-	h.pass()
-	So(h.table.RunsOn("w"), ShouldHaveLength, 1)
-	h.failRenewals(Defaults().Lease, heartbeats)
-	So(h.table.RunsOn("w"), ShouldHaveLength, 1)
-	h.failRenewals(2*time.Second, heartbeats)
-	So(h.table.RunsOn("w"), ShouldBeEmpty)
+	c := newReadyCluster()
+	c.submit("j", jobs.Step{Count: 1, Estimate: time.Hour})
+	c.runPasses()
+	c.accept()
+	c.answer(RenewalAnswer{Running: []ListedRun{{Key: c.starts[0].Order.Key}}})
+	c.runPasses()
+	So(c.table.RunsOn("w"), ShouldHaveLength, 1)
+	c.failRenewals(Defaults().Lease, heartbeats)
+	So(c.table.RunsOn("w"), ShouldHaveLength, 1)
+	c.failRenewals(2*time.Second, heartbeats)
+	So(c.table.RunsOn("w"), ShouldBeEmpty)
 }
 
 func TestNewLeaderWaitsOutUnconfirmedLease(t *testing.T) {
 	Convey("A new leader waits out a lease that renewals without an answer may have extended", t, func() {
-		h := newHarness()
-		h.submit(jobs.Step{Count: 1, Estimate: time.Hour})
-		h.pass()
-		h.core.StepDown()
-		h.renewals = nil
-		h.core.BecomeLeader(h.now, harnessTerm+1, h.table)
+		c := newReadyCluster()
+		c.submit("j", jobs.Step{Count: 1, Estimate: time.Hour})
+		c.runPasses()
+		c.core.StepDown()
+		c.renewals = nil
+		c.core.BecomeLeader(c.now, testTerm+1, c.table)
 		var granted time.Duration // the latest lease that the worker may hold, on its clock
-		for end := h.now + 8*time.Second; h.now < end && len(h.table.RunsOn("w")) > 0; h.now += 200 * time.Millisecond {
-			h.core.Heartbeat(h.now, "w", time.Minute+h.now)
-			actions := h.core.Pass(h.now, time.Time{}.Add(h.now))
+		for end := c.now + 8*time.Second; c.now < end && len(c.table.RunsOn("w")) > 0; c.now += 200 * time.Millisecond {
+			c.core.Heartbeat(c.now, "w", c.workerClock())
+			actions := c.core.Pass(c.now, c.wall())
 			for _, renewal := range actions.Renewals {
 				granted = max(granted, renewal.Call.LeaseDeadline)
-				h.core.RenewalAnswered(h.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
+				c.core.RenewalAnswered(c.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
 			}
 			if actions.Progress != nil {
 				So(actions.Progress.Ends, ShouldHaveLength, 1)
-				So(time.Minute+h.now, ShouldBeGreaterThan, granted)
+				So(c.workerClock(), ShouldBeGreaterThan, granted)
 				return
 			}
 		}
@@ -59,21 +61,21 @@
 		c := newCluster(2, "w1")
 		c.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		start := c.firstStart()
-		c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.now}, StartOK)
+		c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.workerClock()}, StartOK)
 		must(c.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
 			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
 		Convey("its lease expires all the same, and the task starts elsewhere under a new number", func() {
 			var again *StartAction
 			for range 200 {
-				actions := c.pass(50 * time.Millisecond)
+				actions := c.passAfter(50 * time.Millisecond)
 				for _, renewal := range actions.Renewals {
 					if renewal.Worker.ID == "w1" {
 						c.core.RenewalAnswered(c.now, "w1", renewal.Number, RenewalAnswer{}, RenewalFailed)
 					} else {
-						c.core.RenewalAnswered(c.now, "w2", renewal.Number, RenewalAnswer{Clock: c.now}, RenewalOK)
+						c.core.RenewalAnswered(c.now, "w2", renewal.Number, RenewalAnswer{Clock: c.workerClock()}, RenewalOK)
 					}
 				}
-				c.core.Heartbeat(c.now, "w2", c.now)
+				c.core.Heartbeat(c.now, "w2", c.workerClock())
 				if len(actions.Starts) > 0 {
 					again = &actions.Starts[0]
 					break
@@ -87,14 +89,15 @@
 }
 
 func TestLeaseExpired(t *testing.T) {
-	Convey("Given a leader since second 100, with a lease of 5 s, a margin of 1 s and clock drift of at most 2 %", t, func() {
+	Convey("Given a leader since second 100, a lease of 5 s, a margin of 1 s and clock drift of 2 % at most", t, func() {
 		cfg := Defaults()
 		cfg.Lease, cfg.ExpiryMargin, cfg.ClockSlack = 5*time.Second, time.Second, 0.02
 		core := New(cfg)
 		core.leaderSince = 100 * time.Second
 		// The worker's clock showed 50 s at second 100.
 		lease := func(fenced bool, until time.Duration) leaseState {
-			return leaseState{fenced: fenced, clock: 50 * time.Second, clockAt: 100 * time.Second, clockKnown: true, until: until}
+			return leaseState{fenced: fenced, clock: 50 * time.Second, clockAt: 100 * time.Second, clockKnown: true,
+				until: until}
 		}
 		for _, c := range []struct {
 			name  string
@@ -103,7 +106,8 @@
 		}{
 			// 7 s at 98 % of the leader's speed.
 			{"a lease of an earlier leader is waited out, with twice the margin", leaseState{}, 7150 * time.Millisecond},
-			{"so it is if renewals were granted but never answered and end sooner", lease(false, 52*time.Second), 7150 * time.Millisecond},
+			{"so it is if renewals were granted but never answered and end sooner", lease(false, 52*time.Second),
+				7150 * time.Millisecond},
 			{"and these are waited out if they end later", lease(false, 57*time.Second), 8170 * time.Millisecond},
 			{"after an answer only what was granted counts", lease(true, 52*time.Second), 3070 * time.Millisecond},
 		} {
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -12,7 +13,7 @@
 	"crosstide/internal/jobs"
 )
 
-// month is a cluster under one term for a simulated month, in periods of work with pauses between them.
+// month is a cluster under one term for a simulated month, which alternates periods of work and pauses.
 type month struct {
 	*cluster
 	workers      []string // IDs of the running ones
@@ -32,7 +33,8 @@
 )
 
 func newMonth() *month {
-	m := &month{cluster: newCluster(2), running: map[string][]jobs.RunKey{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{}}
+	m := &month{cluster: newCluster(2), running: map[string][]jobs.RunKey{}, ended: map[string][]EndedRun{},
+		counts: map[string]uint64{}}
 	for range monthWorkers {
 		m.startWorker()
 	}
@@ -44,8 +46,7 @@
 	m.incarnations++
 	id := fmt.Sprintf("w%d", m.incarnations)
 	m.workers = append(m.workers, id)
-	must(m.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: id, Address: id + ":1", Service: "s", Zone: "z",
-		Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
+	must(m.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}}))
 }
 
 // crash ends the oldest worker, which announces nothing.
@@ -57,7 +58,7 @@
 	delete(m.counts, id)
 }
 
-// submitKind submits a job whose ID says how its runs end.
+// submitKind submits a job whose ID begins with the way in which its runs end.
 func (m *month) submitKind(kind string) string {
 	m.jobs++
 	id := fmt.Sprintf("%s%d", kind, m.jobs)
@@ -65,9 +66,9 @@
 	return id
 }
 
-// period hands jobs in, works on them, and lets jobs go that are over for long. A worker may crash in the middle of it.
+// runPeriod submits jobs, works on them, and purges old ones. A worker may crash in the middle of it.
 func (m *month) runPeriod(crash bool) {
-	m.now, m.wall = m.now+periodInterval, m.wall.Add(periodInterval)
+	m.now += periodInterval
 	m.submitKind("done")
 	m.submitKind("fails")
 	cancelled := m.submitKind("stays")
@@ -75,27 +76,20 @@
 		for _, id := range m.workers {
 			m.core.Heartbeat(m.now, id, m.now)
 		}
-		m.carryOut(m.pass(100 * time.Millisecond))
+		m.carryOut(m.passAfter(100 * time.Millisecond))
 		if crash && pass == periodPasses/4 {
 			m.crash()
 			m.startWorker()
 		}
 		if pass == periodPasses/2 {
-			_, err := m.table.Cancel(jobs.Cancel{ID: cancelled, At: m.wall})
+			_, err := m.table.Cancel(jobs.Cancel{ID: cancelled, At: m.wall()})
 			must(err)
 		}
 	}
-	m.table.Purge(m.wall.Add(-jobRetention))
+	m.table.Purge(m.wall().Add(-jobRetention))
 }
 
-func (m *month) isUp(id string) bool {
-	for _, other := range m.workers {
-		if other == id {
-			return true
-		}
-	}
-	return false
-}
+func (m *month) isUp(id string) bool { return slices.Contains(m.workers, id) }
 
 // carryOut answers the calls of a pass as running workers do, and not at all as crashed ones.
 func (m *month) carryOut(actions Actions) {
@@ -111,18 +105,18 @@
 		m.finish(s.Worker.ID, s.Order.Key, jobs.EndStopped)
 		m.core.StopAnswered(m.now, s.Worker.ID, s.Order.Key, stopOutcome(m.isUp(s.Worker.ID)))
 	}
-	for _, h := range actions.Renewals {
-		m.answer(h)
+	for _, renewal := range actions.Renewals {
+		m.answerRenewal(renewal)
 	}
 }
 
-func (m *month) answer(h RenewalAction) {
-	id := h.Worker.ID
+func (m *month) answerRenewal(renewal RenewalAction) {
+	id := renewal.Worker.ID
 	if !m.isUp(id) {
-		m.core.RenewalAnswered(m.now, id, h.Number, RenewalAnswer{}, RenewalFailed)
+		m.core.RenewalAnswered(m.now, id, renewal.Number, RenewalAnswer{}, RenewalFailed)
 		return
 	}
-	for len(m.ended[id]) > 0 && m.ended[id][0].Sequence <= h.Call.AcknowledgedUpTo {
+	for len(m.ended[id]) > 0 && m.ended[id][0].Sequence <= renewal.Call.AcknowledgedUpTo {
 		m.ended[id] = m.ended[id][1:]
 	}
 	for _, key := range append([]jobs.RunKey{}, m.running[id]...) {
@@ -137,7 +131,7 @@
 	for _, key := range m.running[id] {
 		answer.Running = append(answer.Running, ListedRun{Key: key})
 	}
-	m.core.RenewalAnswered(m.now, id, h.Number, answer, RenewalOK)
+	m.core.RenewalAnswered(m.now, id, renewal.Number, answer, RenewalOK)
 }
 
 func (m *month) finish(id string, key jobs.RunKey, reason jobs.EndReason) {
@@ -163,15 +157,15 @@
 	}
 }
 
-// size returns the sizes of all that the scheduler and its table keep.
+// size returns the lengths of all maps and slices of the scheduler and its table, and that of the encoded table.
 func (m *month) size() map[string]int {
-	out := map[string]int{}
-	sizes("core", reflect.ValueOf(m.core).Elem(), out)
-	sizes("table", reflect.ValueOf(m.table).Elem(), out)
+	lengths := map[string]int{}
+	sizes("core", reflect.ValueOf(m.core).Elem(), lengths)
+	sizes("table", reflect.ValueOf(m.table).Elem(), lengths)
 	data, err := m.table.Encode()
 	must(err)
-	out["bytes/1000"] = len(data) / 1000
-	return out
+	lengths["bytes/1000"] = len(data) / 1000
+	return lengths
 }
 
 func TestMemoryStaysBoundedOverMonth(t *testing.T) {
@@ -187,12 +181,12 @@
 			}
 		}
 		late := m.size()
-		t.Log(m.jobs, "jobs,", m.incarnations, "lives of workers:", late)
+		t.Log(m.jobs, "jobs,", m.incarnations, "incarnations of workers:", late)
 		So(m.core.Counts.Done, ShouldBeGreaterThan, 3000)
 		So(m.core.Counts.Failed, ShouldBeGreaterThan, 3000)
 		So(m.core.Counts.Lost, ShouldBeGreaterThan, 0)
-		for name, n := range late {
-			So(fmt.Sprint(name, " grows: ", n > early[name]+monthWorkers), ShouldEqual, name+" grows: false")
+		for name, length := range late {
+			So(fmt.Sprint(name, " grows: ", length > early[name]+monthWorkers), ShouldEqual, name+" grows: false")
 		}
 	})
 }
--- a/internal/controller/scheduler/preempt_test.go
+++ b/internal/controller/scheduler/preempt_test.go
@@ -11,25 +11,26 @@
 
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	Convey("Capacity that becomes free for an urgent task is not used by less urgent ones", t, func() {
-		h := newHarness()
-		h.submit(jobs.Step{Count: 4, Needs: jobs.Resources{MilliCPU: 2000}, Estimate: time.Hour})
-		h.pass()
-		So(len(h.starts), ShouldEqual, 2)
-		h.accept()
-		first, second := h.starts[0].Order.Key, h.starts[1].Order.Key
-		h.answer(RenewalAnswer{Running: []ListedRun{{Key: first}, {Key: second}}})
-		h.submitTo("urgent", "u", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 4000}, Estimate: time.Second})
-		h.pass()
-		So(len(h.stops)+len(h.starts), ShouldEqual, 0) // they are sent by the pass after the decision
-		h.pass()
-		So(len(h.stops), ShouldEqual, 2)
-		h.answer(RenewalAnswer{Running: []ListedRun{{Key: second}}, Ended: []EndedRun{{Sequence: 1, Key: first, Reason: jobs.EndStopped}}})
-		h.pass()
-		So(h.starts, ShouldBeEmpty)
-		h.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 2, Key: second, Reason: jobs.EndStopped}}})
-		h.pass()
-		So(len(h.starts), ShouldEqual, 1)
-		So(h.starts[0].Order.Key.Task.Job, ShouldEqual, "u")
+		c := newReadyCluster()
+		c.submit("j", jobs.Step{Count: 4, Needs: jobs.Resources{MilliCPU: 2000}, Estimate: time.Hour})
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 2)
+		c.accept()
+		first, second := c.starts[0].Order.Key, c.starts[1].Order.Key
+		c.answer(RenewalAnswer{Running: []ListedRun{{Key: first}, {Key: second}}})
+		c.submitTo("urgent", "u", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 4000}, Estimate: time.Second})
+		c.runPasses()
+		So(len(c.stops)+len(c.starts), ShouldEqual, 0) // they are sent by the pass after the decision
+		c.runPasses()
+		So(len(c.stops), ShouldEqual, 2)
+		c.answer(RenewalAnswer{Running: []ListedRun{{Key: second}},
+			Ended: []EndedRun{{Sequence: 1, Key: first, Reason: jobs.EndStopped}}})
+		c.runPasses()
+		So(c.starts, ShouldBeEmpty)
+		c.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 2, Key: second, Reason: jobs.EndStopped}}})
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 1)
+		So(c.starts[0].Order.Key.Task.Job, ShouldEqual, "u")
 	})
 }
 
@@ -40,8 +41,11 @@
 			return &run{key: jobs.RunKey{Task: jobs.TaskRef{Index: index}}, needs: jobs.Resources{MilliCPU: 1000 * cores},
 				priority: priority, start: startState{sent: true, sentAt: now - age}, progress: runProgress{listed: true}}
 		}
-		gang, checkpointed, longRunning, stopping := at(1, 2, 2, time.Second), at(1, 2, 2, 4*time.Second), at(1, 2, 2, time.Second), at(1, 2, 2, 0)
-		gang.gang, checkpointed.progress.checkpoint, longRunning.longRunning, stopping.stop.wanted = true, "c", true, true
+		gang, checkpointed := at(1, 2, 2, time.Second), at(1, 2, 2, 4*time.Second)
+		longRunning, stopping := at(1, 2, 2, time.Second), at(1, 2, 2, 0)
+		gang.gang, checkpointed.progress.checkpoint = true, "c"
+		longRunning.longRunning, stopping.stop.wanted = true, true
+		long, short := at(0, 2, 2, 3*time.Second), at(1, 2, 2, time.Second)
 		for _, c := range []struct {
 			name  string
 			runs  []*run
@@ -49,8 +53,8 @@
 			want  []int // indexes of the victims' tasks; nil: not enough may be preempted
 			waste float64
 		}{
-			{"the run with the least work is stopped", []*run{at(0, 2, 2, 3*time.Second), at(1, 2, 2, time.Second)}, 2, []int{1}, 2},
-			{"and more until the task fits", []*run{at(0, 2, 2, 3*time.Second), at(1, 2, 2, time.Second)}, 4, []int{1, 0}, 8},
+			{"the run with the least work is stopped", []*run{long, short}, 2, []int{1}, 2},
+			{"and more until the task fits", []*run{long, short}, 4, []int{1, 0}, 8},
 			{"of equal ones the first", []*run{at(1, 2, 2, time.Second), at(0, 2, 2, time.Second)}, 2, []int{0}, 2},
 			{"none that is as urgent", []*run{at(0, 2, 1, time.Second), at(1, 2, 2, time.Hour)}, 2, []int{1}, 7200},
 			{"so that there may be too few", []*run{at(0, 2, 1, time.Second), at(1, 2, 2, time.Hour)}, 4, nil, 0},
@@ -70,11 +74,11 @@
 				if !ok {
 					return
 				}
-				var got []int
+				var indexes []int
 				for _, r := range victims {
-					got = append(got, r.key.Task.Index)
+					indexes = append(indexes, r.key.Task.Index)
 				}
-				So(got, ShouldResemble, c.want)
+				So(indexes, ShouldResemble, c.want)
 				So(waste, ShouldAlmostEqual, c.waste, 1e-9)
 			})
 		}
--- a/internal/controller/scheduler/queue_test.go
+++ b/internal/controller/scheduler/queue_test.go
@@ -11,14 +11,14 @@
 
 func TestJobsWaitForRemovedQueue(t *testing.T) {
 	Convey("A job whose queue was removed is started when a configuration has the queue again", t, func() {
-		h := newHarness()
-		h.submit(jobs.Step{Count: 1})
-		So(h.table.Configure(jobs.Configure{Base: 1, Version: 2, RemoveQueues: []string{"q"}}), ShouldBeNil)
-		h.pass()
-		So(h.starts, ShouldBeEmpty)
-		So(h.table.Configure(harnessConfig(3)), ShouldBeNil)
-		h.pass()
-		So(len(h.starts), ShouldEqual, 1)
+		c := newReadyCluster()
+		c.submit("j", jobs.Step{Count: 1})
+		So(c.table.Configure(jobs.Configure{Base: 1, Version: 2, RemoveQueues: []string{"q"}}), ShouldBeNil)
+		c.runPasses()
+		So(c.starts, ShouldBeEmpty)
+		So(c.table.Configure(testConfig(3, 3)), ShouldBeNil)
+		c.runPasses()
+		So(len(c.starts), ShouldEqual, 1)
 	})
 }
 
--- a/internal/controller/scheduler/renewal_test.go
+++ b/internal/controller/scheduler/renewal_test.go
@@ -13,34 +13,34 @@
 func TestNewLeaderProbesAFewAtATime(t *testing.T) {
 	Convey("A new leader probes at most MaxProbes workers at once, and all of them in the end", t, func() {
 		const workers = 100
-		h := newHarness()
+		c := newReadyCluster()
 		for i := range workers {
-			So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: fmt.Sprintf("n%03d", i), Service: "s"}}}), ShouldBeNil)
+			c.register(jobs.Worker{ID: fmt.Sprintf("n%03d", i), Service: "s"})
 		}
-		h.core.BecomeLeader(h.now, harnessTerm, h.table)
-		most := h.core.cfg.MaxProbes
+		c.core.BecomeLeader(c.now, testTerm, c.table)
+		most := c.core.cfg.MaxProbes
 		asked := map[string]bool{}
 		for range 2 * workers / most {
-			actions := h.core.Pass(h.now, time.Time{}.Add(h.now))
+			actions := c.core.Pass(c.now, c.wall())
 			So(len(actions.Renewals), ShouldBeLessThanOrEqualTo, most)
 			for _, renewal := range actions.Renewals {
 				asked[renewal.Worker.ID] = true
-				h.core.RenewalAnswered(h.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: time.Minute}, RenewalOK)
+				c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, RenewalAnswer{Clock: time.Minute}, RenewalOK)
 			}
 		}
 		So(asked, ShouldHaveLength, workers+1)
 	})
 	Convey("Workers that do not answer delay the probes of the others for a moment only", t, func() {
-		h := newHarness()
-		most := h.core.cfg.MaxProbes
+		c := newReadyCluster()
+		most := c.core.cfg.MaxProbes
 		for i := range 2 * most {
-			So(h.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: fmt.Sprintf("n%03d", i), Service: "s"}}}), ShouldBeNil)
+			c.register(jobs.Worker{ID: fmt.Sprintf("n%03d", i), Service: "s"})
 		}
-		h.core.BecomeLeader(h.now, harnessTerm, h.table)
-		first := h.core.Pass(h.now, time.Time{}.Add(h.now))
+		c.core.BecomeLeader(c.now, testTerm, c.table)
+		first := c.core.Pass(c.now, c.wall())
 		So(first.Renewals, ShouldHaveLength, most)
-		So(first.Next, ShouldBeLessThanOrEqualTo, h.now+probeWindow)
-		So(h.core.Pass(h.now+probeWindow/2, time.Time{}.Add(h.now)).Renewals, ShouldBeEmpty)
-		So(h.core.Pass(first.Next, time.Time{}.Add(h.now)).Renewals, ShouldHaveLength, most)
+		So(first.Next, ShouldBeLessThanOrEqualTo, c.now+probeWindow)
+		So(c.core.Pass(c.now+probeWindow/2, c.wall()).Renewals, ShouldBeEmpty)
+		So(c.core.Pass(first.Next, c.wall()).Renewals, ShouldHaveLength, most)
 	})
 }
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -9,24 +9,25 @@
 	"crosstide/internal/jobs"
 )
 
-// waitingGang returns a harness in which a gang of so many cores waits, as work takes three of the worker's four, and then
-// a small task is submitted.
-func waitingGang(cores int) *harness {
-	h := newHarness()
-	h.submitTo("q", "busy", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 3000}, Estimate: time.Hour})
-	h.pass()
-	h.accept()
-	h.submitTo("q", "gang", jobs.Step{Count: cores, Gang: true, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-	h.pass()
+// waitingGang returns a cluster in which a gang of tasks of one core each waits, as other work takes three of the
+// worker's four cores; a small task was submitted after it.
+func waitingGang(cores int) *cluster {
+	c := newReadyCluster()
+	c.submit("busy", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 3000}, Estimate: time.Hour})
+	c.runPasses()
+	c.accept()
+	c.submit("gang", jobs.Step{Count: cores, Gang: true, Needs: jobs.Resources{MilliCPU: 1000},
+		Estimate: time.Second})
+	c.runPasses()
 	for range 10 {
-		h.now += Defaults().ReserveAfter / 5
-		h.core.Heartbeat(h.now, "w", time.Minute+h.now)
-		h.pass()
+		c.now += Defaults().ReserveAfter / 5
+		c.core.Heartbeat(c.now, "w", c.workerClock())
+		c.runPasses()
 	}
-	So(h.starts, ShouldBeEmpty)
-	h.submitTo("q", "small", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-	h.pass()
-	return h
+	So(c.starts, ShouldBeEmpty)
+	c.submit("small", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
+	c.runPasses()
+	return c
 }
 
 func TestNodesAreReservedForGang(t *testing.T) {
@@ -34,8 +35,8 @@
 		So(waitingGang(4).starts, ShouldBeEmpty)
 	})
 	Convey("Nothing is reserved for a gang that would not fit on empty workers", t, func() {
-		h := waitingGang(5)
-		So(h.starts, ShouldHaveLength, 1)
-		So(h.starts[0].Order.Key.Task.Job, ShouldEqual, "small")
+		c := waitingGang(5)
+		So(c.starts, ShouldHaveLength, 1)
+		So(c.starts[0].Order.Key.Task.Job, ShouldEqual, "small")
 	})
 }
--- a/internal/controller/scheduler/stop_test.go
+++ b/internal/controller/scheduler/stop_test.go
@@ -15,22 +15,22 @@
 		c.startAll(6)
 		So(len(c.core.runs), ShouldEqual, 6)
 		Convey("When it is cancelled, each run gets one stop order", func() {
-			_, err := c.table.Cancel(jobs.Cancel{ID: "j1", At: c.wall})
+			_, err := c.table.Cancel(jobs.Cancel{ID: "j1", At: c.wall()})
 			must(err)
-			So(len(c.pass(time.Millisecond).Stops), ShouldEqual, 6)
-			So(c.pass(time.Millisecond).Stops, ShouldBeEmpty)
+			So(len(c.passAfter(time.Millisecond).Stops), ShouldEqual, 6)
+			So(c.passAfter(time.Millisecond).Stops, ShouldBeEmpty)
 			Convey("And another one after a pause if the order got no answer, but none once it was answered", func() {
 				for key, r := range c.core.runs {
 					c.core.StopAnswered(c.now, r.worker, key, stopOutcome(key.Task.Index > 0))
 				}
-				So(c.pass(time.Millisecond).Stops, ShouldBeEmpty)
-				again := c.pass(c.core.cfg.RetryMin).Stops
+				So(c.passAfter(time.Millisecond).Stops, ShouldBeEmpty)
+				again := c.passAfter(c.core.cfg.RetryMin).Stops
 				So(len(again), ShouldEqual, 1)
 				So(again[0].Order.Key.Task.Index, ShouldEqual, 0)
 			})
 		})
 		Convey("When nothing is to be stopped, runsToStop is empty", func() {
-			c.pass(sweepInterval)
+			c.passAfter(sweepInterval)
 			So(c.core.runsToStop, ShouldBeEmpty)
 		})
 	})
@@ -39,16 +39,17 @@
 func TestOrphanIsStopped(t *testing.T) {
 	Convey("Given a worker that lists a run of which the table has no handle", t, func() {
 		c := newCluster(2, "w1")
-		actions := c.pass(time.Millisecond)
+		actions := c.passAfter(time.Millisecond)
 		So(len(actions.Renewals), ShouldEqual, 1)
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "gone"}, Number: 3}
-		c.core.RenewalAnswered(c.now, "w1", actions.Renewals[0].Number, RenewalAnswer{Clock: c.now, Running: []ListedRun{{Key: key}}}, RenewalOK)
+		c.core.RenewalAnswered(c.now, "w1", actions.Renewals[0].Number,
+			RenewalAnswer{Clock: c.workerClock(), Running: []ListedRun{{Key: key}}}, RenewalOK)
 		Convey("Then it gets a stop order, and the orphan is forgotten after its answer", func() {
-			stops := c.pass(time.Millisecond).Stops
+			stops := c.passAfter(time.Millisecond).Stops
 			So(len(stops), ShouldEqual, 1)
 			So(stops[0].Order.Key, ShouldResemble, key)
 			c.core.StopAnswered(c.now, "w1", key, StopOK)
-			So(c.pass(time.Second).Stops, ShouldBeEmpty)
+			So(c.passAfter(time.Second).Stops, ShouldBeEmpty)
 			So(c.core.workersWithOrphans, ShouldBeEmpty)
 		})
 	})
