--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -201,22 +202,16 @@
 	return next
 }
 
-// sortedRuns returns the keys of runs in order: decisions must not depend on the order of a map.
-func sortedRuns(runs map[jobs.RunKey]*run) []jobs.RunKey {
-	keys := make([]jobs.RunKey, 0, len(runs))
-	for key := range runs {
-		keys = append(keys, key)
-	}
+// sortedRuns returns the keys of m in order: decisions must not depend on the order of a map.
+func sortedRuns[V any](m map[jobs.RunKey]V) []jobs.RunKey {
+	keys := slices.AppendSeq(make([]jobs.RunKey, 0, len(m)), maps.Keys(m))
 	slices.SortFunc(keys, jobs.RunKey.Compare)
 	return keys
 }
 
 // sortedKeys returns the keys of m in order: decisions must not depend on the order of a map.
 func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
+	keys := slices.AppendSeq(make([]string, 0, len(m)), maps.Keys(m))
 	slices.Sort(keys)
 	return keys
 }
--- a/internal/controller/scheduler/history.go
+++ b/internal/controller/scheduler/history.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "crosstide/internal/jobs"
+import (
+	"maps"
+
+	"crosstide/internal/jobs"
+)
 
 // taskHistory holds what earlier runs of a task imply for its next placement. It covers one term, and the tasks of
 // active jobs only.
@@ -17,14 +21,6 @@
 
 // forgetJob drops the tasks of a job.
 func (h *taskHistory) forgetJob(id string) {
-	for ref := range h.avoid {
-		if ref.Job == id {
-			delete(h.avoid, ref)
-		}
-	}
-	for ref := range h.moves {
-		if ref.Job == id {
-			delete(h.moves, ref)
-		}
-	}
+	maps.DeleteFunc(h.avoid, func(task jobs.TaskRef, _ string) bool { return task.Job == id })
+	maps.DeleteFunc(h.moves, func(task jobs.TaskRef, _ int) bool { return task.Job == id })
 }
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"maps"
 	"time"
 
 	"crosstide/internal/jobs"
@@ -156,11 +157,7 @@
 
 // forgetJob drops the durations of a job's steps.
 func (s *speedStats) forgetJob(id string) {
-	for key := range s.byStep {
-		if key.job == id {
-			delete(s.byStep, key)
-		}
-	}
+	maps.DeleteFunc(s.byStep, func(step stepKey, _ *stepDuration) bool { return step.job == id })
 }
 
 // movingAverage returns an exponentially weighted moving average after a new observation.
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -74,7 +74,7 @@
 			delete(c.workersWithOrphans, id)
 			continue
 		}
-		for _, key := range w.orphanKeys() {
+		for _, key := range sortedRuns(w.orphans) {
 			c.sendStop(w, key, w.orphans[key], actions)
 		}
 	}
--- a/internal/controller/scheduler/worker.go
+++ b/internal/controller/scheduler/worker.go
@@ -59,16 +59,6 @@
 // isLeaving reports whether a worker has announced that it shuts down.
 func isLeaving(rec *jobs.Worker) bool { return rec.Draining || rec.Left }
 
-// orphanKeys returns the runs of orphans in order.
-func (w *worker) orphanKeys() []jobs.RunKey {
-	keys := make([]jobs.RunKey, 0, len(w.orphans))
-	for key := range w.orphans {
-		keys = append(keys, key)
-	}
-	slices.SortFunc(keys, jobs.RunKey.Compare)
-	return keys
-}
-
 // markAnswered records an answered call, with the worker's clock (0: unknown).
 func (w *worker) markAnswered(now, clock time.Duration) {
 	w.contact.answered(now)
