--- a/internal/controller/client_contacts.go
+++ b/internal/controller/client_contacts.go
@@ -24,8 +24,8 @@
 	lastAt map[contact]time.Duration // no entry: there was none yet
 }
 
-func newContactLog(on clock.Clock) *contactLog {
-	return &contactLog{clock: on, lastAt: map[contact]time.Duration{}}
+func newContactLog(clk clock.Clock) *contactLog {
+	return &contactLog{clock: clk, lastAt: map[contact]time.Duration{}}
 }
 
 // record records an answer of a kind at the present time.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -26,7 +26,7 @@
 	leasePollInterval = 20 * time.Millisecond
 )
 
-// Store is the replicated store as the controller needs it.
+// Store is the replicated store as the controller needs it. Its methods may be called concurrently.
 type Store interface {
 	// View calls read with the live state, under the store's lock.
 	View(read func(*state.State))
--- a/internal/controller/scheduler/cluster_test.go
+++ b/internal/controller/scheduler/cluster_test.go
@@ -48,12 +48,12 @@
 
 // testConfig returns a configuration with a queue q and a more urgent one.
 func testConfig(version uint64, attempts int) jobs.Configure {
-	q := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts, Stretch: 2,
+	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts, Stretch: 2,
 		Target: time.Second, Timeout: time.Second}
-	urgent := q
+	urgent := queue
 	urgent.Name, urgent.Prefix, urgent.Priority = "urgent", "/urgent/", 0
 	return jobs.Configure{Base: version - 1, Version: version, Digest: fmt.Sprint(version), Replace: true,
-		Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{q, urgent}}
+		Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{queue, urgent}}
 }
 
 // testWorker returns a worker of 4 cores.
--- a/internal/controller/scheduler/doc.go
+++ b/internal/controller/scheduler/doc.go
@@ -34,5 +34,8 @@
 // A new leader knows of the runs of earlier terms only that their handles are in the table. Each of them is unconfirmed
 // until the first renewal that its worker answers under the new term lists it, or does not.
 //
+// Short names mean the same everywhere: w is a *worker, r a *run, n a *node, u a *unit, j a *jobs.Job of the table, and
+// rec the record of a worker or job.
+//
 // Begin to read at Core.Pass.
 package scheduler
--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -35,9 +35,9 @@
 	w := &fleet{cluster: newCluster(3), random: rand.New(rand.NewPCG(1, 2)), later: map[time.Duration][]func(){},
 		running: map[string]map[jobs.RunKey]span{}, ended: map[string][]EndedRun{}, counts: map[string]uint64{},
 		longPolls: map[string]*RenewalAction{}}
-	q := testConfig(1, 3).Queues[0]
-	q.Priority = 0
-	must(w.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{q,
+	queue := testConfig(1, 3).Queues[0]
+	queue.Priority = 0
+	must(w.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{queue,
 		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 4,
 			Target: 3 * time.Second, Timeout: time.Second}}}))
 	for i := range fleetWorkers {
--- a/internal/controller/scheduler/job.go
+++ b/internal/controller/scheduler/job.go
@@ -53,12 +53,12 @@
 		}
 		return
 	}
-	q := c.table.Config.Queue(j.Spec.Queue)
-	if q == nil {
+	queue := c.table.Config.Queue(j.Spec.Queue)
+	if queue == nil {
 		return // its queue was removed: it waits until a configuration has it again
 	}
 	for round := range j.Rounds {
-		c.addDueUnits(rec, j, q, round, wall)
+		c.addDueUnits(rec, j, queue, round, wall)
 	}
 	for _, u := range rec.units {
 		u.waitingSince = c.now
--- a/internal/controller/scheduler/move.go
+++ b/internal/controller/scheduler/move.go
@@ -127,12 +127,12 @@
 	if j == nil || j.State.IsTerminal() || task.Step >= len(j.Spec.Steps) {
 		return false
 	}
-	q := p.core.table.Config.Queue(j.Spec.Queue)
-	if q == nil {
+	queue := p.core.table.Config.Queue(j.Spec.Queue)
+	if queue == nil {
 		return false
 	}
-	u := &unit{job: j, step: &j.Spec.Steps[task.Step], queue: q, round: task.Round, stepIndex: task.Step}
-	n := p.selectOtherNode(u, p.feasibleNodes(q.Service), r.worker)
+	u := &unit{job: j, step: &j.Spec.Steps[task.Step], queue: queue, round: task.Round, stepIndex: task.Step}
+	n := p.selectOtherNode(u, p.feasibleNodes(queue.Service), r.worker)
 	if n == nil {
 		return false
 	}
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -72,7 +72,7 @@
 )
 
 // addDueUnits adds the units of a round that are due; if the round itself isn't due yet, it records when it will be.
-func (c *Core) addDueUnits(rec *job, j *jobs.Job, q *jobs.Queue, round int, wall time.Time) {
+func (c *Core) addDueUnits(rec *job, j *jobs.Job, queue *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
 		begin = j.Spec.FirstRun.Add(time.Duration(round) * j.Spec.Interval)
@@ -84,16 +84,16 @@
 			return
 		}
 	}
-	objective := time.Duration(q.Stretch*float64(criticalPath(j.Spec.Steps))) + q.Target
+	objective := time.Duration(queue.Stretch*float64(criticalPath(j.Spec.Steps))) + queue.Target
 	for number := range j.Spec.Steps {
 		step := &j.Spec.Steps[number]
 		indexes := dueTasks(j.Rounds[round][number], step.Gang)
 		if len(indexes) == 0 || !c.table.IsStepReady(j, round, number) {
 			continue
 		}
-		u := &unit{job: j, step: step, queue: q, round: round, stepIndex: number, taskIndexes: indexes}
+		u := &unit{job: j, step: step, queue: queue, round: round, stepIndex: number, taskIndexes: indexes}
 		if step.LongRunning {
-			u.latestStart, u.expiresAt = begin.Add(q.Target), begin.Add(longRunningExpiry)
+			u.latestStart, u.expiresAt = begin.Add(queue.Target), begin.Add(longRunningExpiry)
 		} else {
 			u.latestStart = begin.Add(objective - criticalPathFrom(j.Spec.Steps, number))
 			u.expiresAt = begin.Add(expiryObjectives * objective)
--- a/internal/controller/scheduler/run.go
+++ b/internal/controller/scheduler/run.go
@@ -50,8 +50,8 @@
 		step := &j.Spec.Steps[key.Task.Step]
 		r.gang, r.longRunning, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
 	}
-	if q := c.table.Config.Queue(j.Spec.Queue); q != nil {
-		r.priority = q.Priority
+	if queue := c.table.Config.Queue(j.Spec.Queue); queue != nil {
+		r.priority = queue.Priority
 	}
 	c.runs[key] = r
 	c.trackWorker(workerID).runs[key] = r
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -57,11 +57,11 @@
 
 // peerMean returns the mean duration of the peers of a task: the runs of its step that ended well.
 func (s *speedStats) peerMean(task jobs.TaskRef) (mean time.Duration, known bool) {
-	d := s.byStep[stepKey{task.Job, task.Step}]
-	if d == nil || d.count < minPeers {
+	peers := s.byStep[stepKey{task.Job, task.Step}]
+	if peers == nil || peers.count < minPeers {
 		return 0, false
 	}
-	return d.mean, true
+	return peers.mean, true
 }
 
 // expected returns the duration of a run on an average worker, by its client's estimate.
@@ -127,13 +127,13 @@
 // observeDuration records the duration of a run that ended well.
 func (s *speedStats) observeDuration(task jobs.TaskRef, duration time.Duration) {
 	key := stepKey{task.Job, task.Step}
-	d := s.byStep[key]
-	if d == nil {
-		d = &stepDuration{}
-		s.byStep[key] = d
+	step := s.byStep[key]
+	if step == nil {
+		step = &stepDuration{}
+		s.byStep[key] = step
 	}
-	d.count++
-	d.mean += (duration - d.mean) / time.Duration(d.count)
+	step.count++
+	step.mean += (duration - step.mean) / time.Duration(step.count)
 }
 
 // observeMove records that a run was moved away from a worker because it was far too slow there.
--- a/internal/controller/wait.go
+++ b/internal/controller/wait.go
@@ -8,20 +8,20 @@
 )
 
 // sleep waits for d on the clock, or until ctx ends.
-func sleep(ctx context.Context, on clock.Clock, d time.Duration) {
-	over := make(chan struct{})
-	timer := on.Set(d, func() { close(over) })
+func sleep(ctx context.Context, clk clock.Clock, d time.Duration) {
+	expired := make(chan struct{})
+	timer := clk.Set(d, func() { close(expired) })
 	defer timer.Stop()
 	select {
-	case <-over:
+	case <-expired:
 	case <-ctx.Done():
 	}
 }
 
-// withTimeout bounds a context by the clock.
-func withTimeout(ctx context.Context, on clock.Clock, timeout time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after timeout on the clock. The caller must call the CancelFunc.
+func withTimeout(ctx context.Context, clk clock.Clock, timeout time.Duration) (context.Context, context.CancelFunc) {
 	bounded, cancel := context.WithCancel(ctx)
-	timer := on.Set(timeout, cancel)
+	timer := clk.Set(timeout, cancel)
 	return bounded, func() {
 		timer.Stop()
 		cancel()
--- a/internal/httpapi/jobsapi/route.go
+++ b/internal/httpapi/jobsapi/route.go
@@ -12,7 +12,8 @@
 // defaultTimeout bounds a call for which no timeout is set.
 const defaultTimeout = 3 * time.Second
 
-// Router is what the API needs of its server (*rpc.Server).
+// Router is what the API needs of its server (*rpc.Server). Route answers the calls that match a pattern of net/http's
+// ServeMux by serve, concurrently; it is called before the server starts.
 type Router interface {
 	Route(pattern string, serve func(w http.ResponseWriter, r *http.Request))
 }
