--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -23,7 +23,7 @@
 // ClientOptions are the settings of a Client. Caller and Seeds are required.
 type ClientOptions struct {
 	Caller  *rpc.Client
-	Seeds   []string      // internal addresses of core nodes, asked until the members are known
+	Seeds   []string      // internal addresses of core nodes that are asked beside the known members
 	Self    string        // own internal address if the client runs on a core node: asked only after a hint
 	Clock   clock.Clock   // default clock.Real
 	Logger  log.Logger    // default: no logging
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -75,7 +75,7 @@
 
 // Exchange completes the orders that the worker's heartbeat confirms and returns those that the answer is to carry. If
 // there are none and the worker is idle, it waits for some, for idleAnswerDelay at most. It calls hasLease last, which
-// reports whether this node may send orders under term; if not, the result is nil.
+// reports whether this node may send orders under term; if not, the result is nil. hasLease is called under the mutex.
 func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.RenewalAnswer,
 	hasLease func() bool) *HeartbeatOrders {
 	m.mu.Lock()
--- a/internal/controller/scheduler/connbackoff.go
+++ b/internal/controller/scheduler/connbackoff.go
@@ -6,7 +6,7 @@
 // are planned: orders that can't leave would only bind their tasks to workers.
 type connBackoff struct {
 	until time.Duration
-	delay time.Duration // the last one; the next is twice as long
+	delay time.Duration // the last one; the next is twice as long, up to Config.RetryMax
 }
 
 // failed records that a call found no connection. The delay doubles each time that it was not long enough.
--- a/internal/controller/scheduler/rank.go
+++ b/internal/controller/scheduler/rank.go
@@ -47,7 +47,8 @@
 }
 
 // speedCost returns the part of a node's cost that depends on its speed. Fast nodes are left to urgent work: for work
-// of lower priority speed doesn't count, and long-running work, which no speed makes shorter, prefers slower nodes.
+// of lower priority speed doesn't count, and long-running work, which no speed makes shorter, prefers slower nodes. A
+// node that is too slow for all costs its slowdown in each case.
 func (u *unit) speedCost(n *node) float64 {
 	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
 	switch {
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/core.go
@@ -37,7 +37,7 @@
 
 // CoreOptions are the parts and settings of a core node.
 type CoreOptions struct {
-	Store config.ControlPlane // settings of the store; its seeds are the first nodes that are asked
+	Store config.ControlPlane // settings of the store; its seeds are nodes that are asked beside the known members
 	// OpenStore opens the store; it may wait until ctx ends.
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
 	Scheduler    scheduler.Config
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// SetSeeds replaces the nodes that are asked before the members are known.
+// SetSeeds replaces the seeds: nodes that are asked beside the known members.
 func (n *Core) SetSeeds(seeds []string) {
 	n.client.SetSeeds(seeds)
 	n.store.LearnAddresses(seeds...)
--- a/internal/jobsnode/doc.go
+++ b/internal/jobsnode/doc.go
@@ -6,7 +6,7 @@
 //
 // The package wires the parts of a node and orders their start and stop. It decides nothing and has no wire format:
 // the caller adds the calls of clients, workers and operators by functions in the options. A constructor makes a node
-// and opens its store; Run drives it and returns after a graceful shutdown.
+// and, for a core node, opens its store; Run drives the node and returns after a graceful shutdown.
 //
 // Begin with NewCore and Core.stop, then NewFront and Front.stop.
 package jobsnode
--- a/internal/jobsnode/front.go
+++ b/internal/jobsnode/front.go
@@ -26,7 +26,7 @@
 
 // FrontOptions are the parts and settings of a front node.
 type FrontOptions struct {
-	CoreAddresses []string          // core nodes that are asked before the members are known
+	CoreAddresses []string          // seeds: core nodes that are asked beside the known members
 	Via           map[string]string // by address: the address that is dialed in its place
 	Address       string            // for clients
 	// ServeClients adds the clients' calls to clients, which client answers.
@@ -34,7 +34,7 @@
 	ReadyAddress string // for readiness checks; empty: Address
 	// ServeReady adds the readiness check to server; check returns nil if the node is ready.
 	ServeReady func(server *rpc.Server, check func() error)
-	// ReadSeeds returns the present addresses of core nodes; nil: CoreAddresses stay in force.
+	// ReadSeeds returns seeds that replace CoreAddresses; nil: they stay.
 	ReadSeeds   func() ([]string, error)
 	Descriptors int                   // bound on file descriptors; 0: the system's
 	Grace       time.Duration         // from the order to stop to the exit; 0: defaultGrace
