--- a/internal/controller/scheduler/discard.go
+++ b/internal/controller/scheduler/discard.go
@@ -29,7 +29,7 @@
 	CoreSeconds float64
 }
 
-// endCauses maps the reason of an end to the cause that counts if the run was not stopped for another one. Ends for
+// endCauses maps the reason of an end to its cause, which counts if the run was not stopped for another one. Ends for
 // other reasons discard nothing.
 var endCauses = map[jobs.EndReason]Cause{
 	jobs.EndLeaseExpired: CauseLeaseExpired,
--- a/internal/controller/scheduler/flowcontrol.go
+++ b/internal/controller/scheduler/flowcontrol.go
@@ -6,7 +6,7 @@
 	c.ordersInFlight++
 }
 
-// orderDone ends the count of an order that was answered or has failed.
+// orderDone counts an order as no longer in flight: it was answered, or it has failed.
 func (c *Core) orderDone(w *worker) {
 	if w.ordersInFlight == 0 {
 		return // of an earlier term
--- a/internal/controller/scheduler/move.go
+++ b/internal/controller/scheduler/move.go
@@ -19,7 +19,7 @@
 	minSlowRuns     = 2   // a worker with this many slow runs is slow
 
 	moveCost       = 500 * time.Millisecond // time for a stop, two commits and a start
-	gainFactor     = 1.5                    // the rest of the run must take this many times a restart elsewhere
+	gainFactor     = 1.5                    // the rest of a run must take this many times as long as a restart
 	maxProgressAge = 2 * time.Second        // progress that was listed earlier proves nothing
 
 	maxMovesPerTask = 2 // under one term
@@ -145,7 +145,7 @@
 	return true
 }
 
-// selectOtherNode returns what selectNode does of all nodes but the one of a worker.
+// selectOtherNode selects among all nodes but that of one worker.
 func (p *placement) selectOtherNode(u *unit, nodes []*node, except string) *node {
 	at := slices.IndexFunc(nodes, func(n *node) bool { return n.record.ID == except })
 	if at < 0 {
