--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -18,12 +19,11 @@
 	// event has a higher number than it, so its answer can prove something about it.
 	sequence uint64
 
-	termState // all that is known under the term; replaced as a whole when the term changes
+	termState // everything known under the term; replaced as a whole when the term changes
 
 	discarded map[Cause]Discarded // since New
 
-	// Counts are totals since New, for metrics and tests.
-	Counts Counts
+	Counts Counts // since New, for metrics and tests
 }
 
 // Counts are the totals of a Core since it was made.
@@ -42,7 +42,8 @@
 
 // termState is what a Core knows and has in flight under one term.
 type termState struct {
-	table       *jobs.Table   // read only; its owner changes it between calls, and reports each change by TableChanged
+	// table is only read here. Its owner changes it between calls, and reports each change by TableChanged.
+	table       *jobs.Table
 	leaderSince time.Duration // when BecomeLeader was called
 
 	workers    map[string]*worker
@@ -62,7 +63,7 @@
 
 	placementDue bool // since the last placement an input came that may make a due task placeable
 	nextSweep    time.Duration
-	nextForget   time.Duration // when workersToForget is called next
+	nextForget   time.Duration // when workersToForget is called next, at the earliest
 
 	ordersInFlight int // start and stop orders to all workers: the sum of worker.ordersInFlight
 	connBackoff    connBackoff
@@ -201,22 +202,16 @@
 	return next
 }
 
-// sortedRuns returns the keys of runs in order: decisions must not depend on the order of a map.
-func sortedRuns(runs map[jobs.RunKey]*run) []jobs.RunKey {
-	keys := make([]jobs.RunKey, 0, len(runs))
-	for key := range runs {
-		keys = append(keys, key)
-	}
+// sortedRuns returns the keys of m in order: decisions must not depend on the order of a map.
+func sortedRuns[V any](m map[jobs.RunKey]V) []jobs.RunKey {
+	keys := slices.AppendSeq(make([]jobs.RunKey, 0, len(m)), maps.Keys(m))
 	slices.SortFunc(keys, jobs.RunKey.Compare)
 	return keys
 }
 
 // sortedKeys returns the keys of m in order: decisions must not depend on the order of a map.
 func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
+	keys := slices.AppendSeq(make([]string, 0, len(m)), maps.Keys(m))
 	slices.Sort(keys)
 	return keys
 }
--- a/internal/controller/scheduler/history.go
+++ b/internal/controller/scheduler/history.go
@@ -1,13 +1,17 @@
 package scheduler
 
-import "crosstide/internal/jobs"
+import (
+	"maps"
 
-// taskHistory is what earlier runs of tasks say about where to place them next. It covers one term, and the tasks of
+	"crosstide/internal/jobs"
+)
+
+// taskHistory holds what earlier runs of a task imply for its next placement. It covers one term, and the tasks of
 // active jobs only.
 type taskHistory struct {
-	// avoid has the worker on which a task failed or was refused, or from which it was moved, last.
+	// avoid maps a task to the worker on which it last failed or was refused, or from which it was last moved.
 	avoid map[jobs.TaskRef]string
-	// moves is how often a task was moved, see maxMovesPerTask.
+	// moves counts how often a task was moved, see maxMovesPerTask.
 	moves map[jobs.TaskRef]int
 }
 
@@ -17,14 +21,6 @@
 
 // forgetJob drops the tasks of a job.
 func (h *taskHistory) forgetJob(id string) {
-	for ref := range h.avoid {
-		if ref.Job == id {
-			delete(h.avoid, ref)
-		}
-	}
-	for ref := range h.moves {
-		if ref.Job == id {
-			delete(h.moves, ref)
-		}
-	}
+	maps.DeleteFunc(h.avoid, func(task jobs.TaskRef, _ string) bool { return task.Job == id })
+	maps.DeleteFunc(h.moves, func(task jobs.TaskRef, _ int) bool { return task.Job == id })
 }
--- a/internal/controller/scheduler/run.go
+++ b/internal/controller/scheduler/run.go
@@ -26,12 +26,12 @@
 	ending   bool // its end waits to be committed
 }
 
-// runProgress is the progress of a run by the worker's lists of running runs. Owned by reconcile.go.
+// runProgress is the progress of a run as its worker lists it. Owned by reconcile.go.
 type runProgress struct {
 	listed     bool // the worker has listed it as running
 	checkpoint string
 	percent    int
-	at         time.Duration // of the newest list with it
+	at         time.Duration // of the newest list that has the run
 	advancedAt time.Duration // when it was first listed, or last listed with a higher percent than before
 }
 
@@ -50,8 +50,8 @@
 		step := &j.Spec.Steps[key.Task.Step]
 		r.gang, r.longRunning, r.estimate, r.needs = step.Gang, step.LongRunning, step.Estimate, step.Needs
 	}
-	if q := c.table.Config.Queue(j.Spec.Queue); q != nil {
-		r.priority = q.Priority
+	if queue := c.table.Config.Queue(j.Spec.Queue); queue != nil {
+		r.priority = queue.Priority
 	}
 	c.runs[key] = r
 	c.trackWorker(workerID).runs[key] = r
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -1,13 +1,14 @@
 package scheduler
 
 import (
+	"maps"
 	"time"
 
 	"crosstide/internal/jobs"
 )
 
 // speedStats estimates from the ends of runs how fast workers are and how long the tasks of a step take. The estimates
-// order placement; nothing that must hold depends on them.
+// rank nodes and select runs to move; no invariant depends on them.
 type speedStats struct {
 	byWorker        map[string]*workerSpeed
 	meanRatio       float64 // of duration to estimate, over all workers; 0: not known
@@ -40,14 +41,14 @@
 // Constants of the estimates.
 const (
 	workerWeight = 0.2 // of a new observation in a worker's moving averages
-	meanWindow   = 50  // a new observation counts for one part in so many in the averages over all workers
+	meanWindow   = 50  // a new observation has the weight 1/meanWindow in the averages over all workers
 
 	minRatio, maxRatio = 0.1, 10.0             // bounds of one observation
-	minRatioEstimate   = 50 * time.Millisecond // stands for a smaller estimate, or none
+	minRatioEstimate   = 50 * time.Millisecond // replaces a smaller estimate, or none
 
-	movedRatio = 4 // a run that was moved away counts as if it took so many times the mean ratio
+	movedRatio = 4 // a run that was moved away counts as an observation of movedRatio times the mean ratio
 
-	minPeers = 2 // a step's mean duration is known from so many runs on
+	minPeers = 2 // number of runs from which a step's mean duration counts as known
 
 	// A worker's failure rate above the mean by more than tolerated slows it down by failureWeight times the excess.
 	toleratedFailures = 0.15
@@ -56,14 +57,14 @@
 
 // peerMean returns the mean duration of the peers of a task: the runs of its step that ended well.
 func (s *speedStats) peerMean(task jobs.TaskRef) (mean time.Duration, known bool) {
-	d := s.byStep[stepKey{task.Job, task.Step}]
-	if d == nil || d.count < minPeers {
+	peers := s.byStep[stepKey{task.Job, task.Step}]
+	if peers == nil || peers.count < minPeers {
 		return 0, false
 	}
-	return d.mean, true
+	return peers.mean, true
 }
 
-// expected returns how long a run should take on an average worker, by its client's estimate.
+// expected returns the duration of a run on an average worker, by its client's estimate.
 func (s *speedStats) expected(estimate time.Duration) time.Duration {
 	ratio := max(s.meanRatio, 1)
 	return time.Duration(float64(max(estimate, minEstimate)) * ratio)
@@ -126,13 +127,13 @@
 // observeDuration records the duration of a run that ended well.
 func (s *speedStats) observeDuration(task jobs.TaskRef, duration time.Duration) {
 	key := stepKey{task.Job, task.Step}
-	d := s.byStep[key]
-	if d == nil {
-		d = &stepDuration{}
-		s.byStep[key] = d
+	step := s.byStep[key]
+	if step == nil {
+		step = &stepDuration{}
+		s.byStep[key] = step
 	}
-	d.count++
-	d.mean += (duration - d.mean) / time.Duration(d.count)
+	step.count++
+	step.mean += (duration - step.mean) / time.Duration(step.count)
 }
 
 // observeMove records that a run was moved away from a worker because it was far too slow there.
@@ -156,11 +157,7 @@
 
 // forgetJob drops the durations of a job's steps.
 func (s *speedStats) forgetJob(id string) {
-	for key := range s.byStep {
-		if key.job == id {
-			delete(s.byStep, key)
-		}
-	}
+	maps.DeleteFunc(s.byStep, func(step stepKey, _ *stepDuration) bool { return step.job == id })
 }
 
 // movingAverage returns an exponentially weighted moving average after a new observation.
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/front_test.go
@@ -19,12 +19,14 @@
 	"crosstide/internal/rpc"
 )
 
-// startLeader starts a core of one node; a cancel is not answered until gate is closed.
+// startLeader starts a core of one node, which signals each cancellation to entered and answers none until gate is
+// closed.
 func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, end func()) {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	rpc.Handle(s, controller.TopologyEndpoint, func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
+	topology := func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
 		return controller.TopologyAnswer{Leader: s.Addr(), Members: []string{s.Addr()}}, nil
-	})
+	}
+	rpc.Handle(s, controller.TopologyEndpoint, topology)
 	rpc.Handle(s, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
 		entered <- struct{}{}
 		<-gate
@@ -57,10 +59,13 @@
 	})
 }
 
-// frontOf are the options of a front node of a core.
+// frontOf returns the options of a front node of a core.
 func frontOf(core ...string) FrontOptions {
-	return FrontOptions{CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", ServeClients: serveCancel, ServeReady: serveReady,
-		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger()}
+	return FrontOptions{
+		CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
+		ServeClients: serveCancel, ServeReady: serveReady,
+		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger(),
+	}
 }
 
 // cancelJob cancels a job at a front node and returns the answer's status, 0 for none.
@@ -80,7 +85,7 @@
 }
 
 func TestFront(t *testing.T) {
-	Convey("A front node serves clients, says that it is not ready once it stops, and still answers what runs", t, func() {
+	Convey("A front node serves clients, is not ready once it stops, and still answers calls in flight", t, func() {
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
 		leader, end := startLeader(gate, entered)
 		defer end()
@@ -124,7 +129,7 @@
 		work := routine.New(context.Background())
 		work.Go(func(ctx context.Context) { f.refreshSeeds(ctx, changed) })
 		changed <- syscall.SIGHUP
-		changed <- syscall.SIGHUP // taken once the first one is done with
+		changed <- syscall.SIGHUP // received once the first one was handled
 		_, err = f.client.Job(ctx, controller.JobCall{})
 		So(err, ShouldBeNil)
 		work.Stop()
