--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -101,12 +101,7 @@
 		for _, call := range calls {
 			n.group.Go(func(ctx context.Context) { n.shuffle(ctx, call) })
 		}
-		fired := make(chan struct{})
-		timer := n.opt.Clock.Set(max(due, time.Millisecond), func() { close(fired) })
-		select {
-		case <-fired:
-		case <-ctx.Done():
-			timer.Stop()
+		if !clock.Sleep(ctx.Done(), n.opt.Clock, max(due, time.Millisecond)) {
 			return
 		}
 	}
--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -34,8 +34,8 @@
 	Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
 }
 
-// Run pulls until ctx ends. A failure is passed to onError and followed by a pause.
-func (r *Replica) Run(ctx context.Context, source Source, clock clock.Clock, node string, onError func(error)) {
+// Run pulls until ctx ends. Each failure is passed to onError and followed by a pause of retryInterval on clk.
+func (r *Replica) Run(ctx context.Context, source Source, clk clock.Clock, node string, onError func(error)) {
 	for ctx.Err() == nil {
 		err := r.Pull(ctx, source, node, longPollTimeout)
 		if err == nil {
@@ -45,13 +45,7 @@
 			return
 		}
 		onError(err)
-		fired := make(chan struct{})
-		timer := clock.Set(retryInterval, func() { close(fired) })
-		select {
-		case <-fired:
-		case <-ctx.Done():
-			timer.Stop()
-		}
+		clock.Sleep(ctx.Done(), clk, retryInterval)
 	}
 }
 
--- a/internal/rpc/listener.go
+++ b/internal/rpc/listener.go
@@ -41,13 +41,8 @@
 		if err == nil {
 			return c, nil
 		}
-		fired := make(chan struct{})
-		timer := l.clock.Set(acceptInterval, func() { close(fired) })
-		select {
-		case <-l.closed:
-			timer.Stop()
+		if !clock.Sleep(l.closed, l.clock, acceptInterval) {
 			return nil, errs.Wrap(err, errs.Stopped, "accept")
-		case <-fired:
 		}
 	}
 }
