--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,10 @@
-// Package clock is the clock and the timers: real ones for the daemons, virtual ones for tests and the simulator.
+// Package clock is the only source of time in crosstide: Real for the daemons, Virtual for tests and simulators.
+//
+// A component takes a Clock in its options and reads time and sets timers through it alone, so that a test decides when
+// time passes. The package decides nothing by time: leases, time-outs and backoffs belong to the callers. Step functions
+// take no Clock; their owner reads one and passes the time in.
+//
+// Begin to read at Clock; Sleep (sleep.go) is the pause that is built on it.
 package clock
 
 import (
@@ -9,23 +15,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the time since an arbitrary start that counts suspension and never goes back, and sets timers.
+// Clock reads the time and sets timers. It is safe for concurrent use.
 type Clock interface {
-	// Now is the time since the clock's start. It counts the time a machine was suspended.
+	// Now returns the time since an arbitrary start. It never goes back, and it counts the time for which the machine
+	// was suspended: a lease must not outlive a suspension of its holder.
 	Now() time.Duration
-	// Wall is the time of day, for people and for ages of records, never for leases.
+	// Wall returns the time of day, for people and for ages of records, never for leases: it may go back.
 	Wall() time.Time
-	// Set calls call once after d, on a goroutine of the clock. Stop of the result cancels it.
+	// Set calls call once, after d, on a goroutine of the clock: call must not block. Stop of the result cancels it.
 	Set(d time.Duration, call func()) Stopper
 }
 
-// Stopper cancels a timer. Stop tells whether the timer had not fired yet.
+// Stopper cancels a timer. Stop reports whether it kept the timer from firing; it does not wait for a call that runs.
 type Stopper interface{ Stop() bool }
 
 // Real is the machine's clock (CLOCK_BOOTTIME).
 type Real struct{}
 
-// Now reads CLOCK_BOOTTIME, which goes on while the machine or the process is suspended.
+// Now reads CLOCK_BOOTTIME, which advances while the machine or the process is suspended.
 func (Real) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -34,95 +41,98 @@
 	return time.Duration(ts.Nano())
 }
 
-// Wall is time.Now.
+// Wall returns time.Now().
 func (Real) Wall() time.Time { return time.Now() }
 
-// Set is time.AfterFunc.
+// Set starts a timer of the standard library.
 func (Real) Set(d time.Duration, call func()) Stopper { return time.AfterFunc(d, call) }
 
-// Virtual is a clock that moves only by Advance. Timers fire in order of time, then of setting.
+// Virtual is a clock that moves only by Advance. Timers fire in order of time, then in the order in which they were set.
 // The zero value starts at 0.
 type Virtual struct {
-	mu    sync.Mutex
-	now   time.Duration
-	next  uint64
-	queue timerHeap
+	mu      sync.Mutex // guards the fields below, and those of its timers
+	now     time.Duration
+	lastSeq uint64    // of the timer set last
+	timers  timerHeap // those that have not fired; stopped ones stay until they are due
 }
 
+// timer is a timer of a Virtual clock.
 type timer struct {
-	at      time.Duration
-	seq     uint64
-	call    func()
-	stopped bool
-	clock   *Virtual
+	clock *Virtual // fixed
+	at    time.Duration
+	seq   uint64 // counts the timers of a clock: of two that are due together the lower one fires first
+	call  func()
+	done  bool // it has fired or was stopped
 }
 
-// Stop keeps the timer from firing and tells whether it was still to fire.
-func (r *timer) Stop() bool {
-	r.clock.mu.Lock()
-	defer r.clock.mu.Unlock()
-	was := !r.stopped
-	r.stopped = true
-	return was
+// Stop keeps the timer from firing, and reports whether it was still pending.
+func (t *timer) Stop() bool {
+	t.clock.mu.Lock()
+	defer t.clock.mu.Unlock()
+	wasPending := !t.done
+	t.done = true
+	return wasPending
 }
 
+// timerHeap is a min-heap of timers for container/heap.
 type timerHeap []*timer
 
 // Len is part of heap.Interface.
-func (q timerHeap) Len() int { return len(q) }
+func (h timerHeap) Len() int { return len(h) }
 
 // Less orders timers by time, then by the order in which they were set; part of heap.Interface.
-func (q timerHeap) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
 // Swap is part of heap.Interface.
-func (q timerHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push is part of heap.Interface.
-func (q *timerHeap) Push(x any) { *q = append(*q, x.(*timer)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(*timer)) }
 
 // Pop is part of heap.Interface.
-func (q *timerHeap) Pop() any {
-	old := *q
+func (h *timerHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*q = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (v *Virtual) Now() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.now
 }
 
-// Wall is the Unix epoch plus Now.
+// Wall returns the Unix epoch plus Now.
 func (v *Virtual) Wall() time.Time { return time.Unix(0, 0).Add(v.Now()) }
 
 // Set adds a timer at Now+d.
 func (v *Virtual) Set(d time.Duration, call func()) Stopper {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.next++
-	r := &timer{at: v.now + max(d, 0), seq: v.next, call: call, clock: v}
-	heap.Push(&v.queue, r)
-	return r
+	v.lastSeq++
+	t := &timer{clock: v, at: v.now + max(d, 0), seq: v.lastSeq, call: call}
+	heap.Push(&v.timers, t)
+	return t
 }
 
-// Advance moves the clock by d and fires, in order, the timers that become due.
+// Advance moves the clock by d and fires the timers that become due, those that a call sets included. The calls run one
+// after the other on the goroutine of the caller, at the time of their timer and without a lock.
 func (v *Virtual) Advance(d time.Duration) {
 	v.mu.Lock()
 	end := v.now + d
-	for len(v.queue) > 0 && v.queue[0].at <= end {
-		r := heap.Pop(&v.queue).(*timer)
-		if r.stopped {
+	for len(v.timers) > 0 && v.timers[0].at <= end {
+		t := heap.Pop(&v.timers).(*timer)
+		if t.done {
 			continue
 		}
-		r.stopped = true
-		v.now = max(v.now, r.at)
+		t.done = true
+		v.now = max(v.now, t.at)
 		v.mu.Unlock()
-		r.call()
+		t.call()
 		v.mu.Lock()
 	}
 	v.now = max(v.now, end)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,30 +7,33 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestVirtual(t *testing.T) {
-	Convey("timers fire in order of time, then of setting; a cancelled one does not; one set on the way does", t, func() {
-		var v Virtual
-		var rang []string
-		timer := func(name string) func() { return func() { rang = append(rang, name) } }
-		v.Set(2*time.Second, timer("c"))
-		v.Set(time.Second, func() {
-			rang = append(rang, "a")
-			v.Set(500*time.Millisecond, timer("b"))
+func TestVirtual_order(t *testing.T) {
+	Convey("Timers fire by time, then in the order set, also one set by a call; a stopped one does not fire", t, func() {
+		var clk Virtual
+		var fired []string
+		record := func(name string) func() { return func() { fired = append(fired, name) } }
+		clk.Set(2*time.Second, record("c"))
+		clk.Set(time.Second, func() {
+			fired = append(fired, "a")
+			clk.Set(500*time.Millisecond, record("b"))
 		})
-		v.Set(2*time.Second, timer("d"))
-		off := v.Set(time.Second, timer("never"))
-		So(off.Stop(), ShouldBeTrue)
-		So(off.Stop(), ShouldBeFalse)
-		v.Set(5*time.Second, timer("later"))
-		v.Advance(3 * time.Second)
-		So(rang, ShouldResemble, []string{"a", "b", "c", "d"})
-		So(v.Now(), ShouldEqual, 3*time.Second)
+		clk.Set(2*time.Second, record("d"))
+		stopped := clk.Set(time.Second, record("never"))
+		So(stopped.Stop(), ShouldBeTrue)
+		So(stopped.Stop(), ShouldBeFalse)
+		clk.Set(5*time.Second, record("later"))
+		clk.Advance(3 * time.Second)
+		So(fired, ShouldResemble, []string{"a", "b", "c", "d"})
+		So(clk.Now(), ShouldEqual, 3*time.Second)
 	})
-	Convey("the machine's clock does not go back", t, func() {
-		c := Real{}
-		before := c.Now()
+}
+
+func TestReal_neverGoesBack(t *testing.T) {
+	Convey("The machine's clock does not go back", t, func() {
+		clk := Real{}
+		before := clk.Now()
 		for range 1000 {
-			now := c.Now()
+			now := clk.Now()
 			So(now, ShouldBeGreaterThanOrEqualTo, before)
 			before = now
 		}
