--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
 // Package clock is the only source of time in crosstide: Real for the daemons, Virtual for tests and simulators.
 //
-// A component takes a Clock in its options and reads time and sets timers through it alone, so that a test decides when
-// time passes. The package decides nothing by time: leases, time-outs and backoffs belong to the callers. Step functions
-// take no Clock; their owner reads one and passes the time in.
+// A component takes a Clock in its options and reads time and sets timers through it alone, so that a test decides
+// when time passes. The package decides nothing by time: leases, time-outs and backoffs belong to the callers. Step
+// functions take no Clock; their owner reads one and passes the time in.
 //
 // Begin to read at Clock; Sleep (sleep.go) is the pause that is built on it.
 package clock
@@ -47,8 +47,8 @@
 // Set starts a timer of the standard library.
 func (Real) Set(d time.Duration, call func()) Stopper { return time.AfterFunc(d, call) }
 
-// Virtual is a clock that moves only by Advance. Timers fire in order of time, then in the order in which they were set.
-// The zero value starts at 0.
+// Virtual is a clock that moves only by Advance. Timers fire in order of time, then in the order in which they were
+// set. The zero value starts at 0.
 type Virtual struct {
 	mu      sync.Mutex // guards the fields below, and those of its timers
 	now     time.Duration
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestVirtual_order(t *testing.T) {
-	Convey("Timers fire by time, then in the order set, also one set by a call; a stopped one does not fire", t, func() {
+	Convey("Timers fire by time, then in the order set, also one set by a call; a stopped one does not", t, func() {
 		var clk Virtual
 		var fired []string
 		record := func(name string) func() { return func() { fired = append(fired, name) } }
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,46 +1,64 @@
-// Package errs holds the closed list of error kinds of crosstide and the table from kind to answer.
+// Package errs has the errors of crosstide: a closed list of kinds, the error type that carries one, and the table of
+// the HTTP answers to each kind.
+//
+// Whoever detects an error makes it with New or Field, or names a foreign one with Wrap. Callers add context with Pass,
+// which keeps the kind, and match by Is or KindOf; errors.Is and errors.As reach the causes. The package logs nothing
+// and decides no retry: Reply only says what a caller may do.
+//
+// Begin to read at the kinds and at Error.
 package errs
 
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"net/http"
+	"slices"
 	"time"
 
 	"github.com/gravitational/trace"
 )
 
-// Kind names a class of error. The list below is closed: a kind that is not in the table is Internal.
+// Kind names a class of error. The values go over the wire and into stored outcomes, so they never change.
 type Kind string
 
+// The closed list of kinds. A kind that is not in it, as of a newer version, counts as Internal.
 const (
-	Malformed   Kind = "malformed"   // the bytes are not what the call takes (no JSON, wrong types)
-	Invalid     Kind = "invalid"     // well-formed, but a value is refused; Field names it
-	TooLarge    Kind = "too_large"   // the body is over its bound
-	Unknown     Kind = "unknown"     // surely not there
-	Conflict    Kind = "conflict"    // the key, version or order id is taken by something else
-	Stale       Kind = "stale"       // decided on an old view: epoch, placement policy version, boot or task state moved on
-	Forbidden   Kind = "forbidden"   // signature or right is missing
-	Overloaded  Kind = "overloaded"  // too much at the moment; come back after After
-	Unavailable Kind = "unavailable" // cannot confirm now; come back after After
-	NotLeader   Kind = "not_leader"  // another node leads; Hint may carry its address
-	Timeout     Kind = "timeout"     // no answer in time; what was asked may or may not have happened
-	Torn        Kind = "torn"        // the end of a log is cut off mid-record
-	Damaged     Kind = "damaged"     // data on disk fails its check
-	Disk        Kind = "disk"        // a read, write or sync failed
-	Settings    Kind = "settings"    // the settings file or flags are refused
-	Stopped     Kind = "stopped"     // the part is shutting down
-	Internal    Kind = "internal"    // a failure of ours
+	// Errors of the caller: the same call would be rejected again.
+
+	Malformed Kind = "malformed" // the bytes are not what the call takes (no JSON, wrong types)
+	Invalid   Kind = "invalid"   // well-formed, but a value is rejected; Error.Field names it
+	TooLarge  Kind = "too_large" // the body is longer than its bound
+	Unknown   Kind = "unknown"   // what the call names certainly does not exist
+	Conflict  Kind = "conflict"  // the key, version or order ID is taken by something else
+	Stale     Kind = "stale"     // decided on an old view: epoch, policy version, incarnation or task state has changed
+	Forbidden Kind = "forbidden" // a signature or a permission is missing
+
+	// Errors of the moment: the same call may succeed later, or at another node.
+
+	Overloaded  Kind = "overloaded"  // rejected for load; try again after Error.After
+	Unavailable Kind = "unavailable" // cannot be confirmed now; try again after Error.After
+	NotLeader   Kind = "not_leader"  // another node leads; Error.Hint has its address, if known
+	Timeout     Kind = "timeout"     // no answer in time: the call may or may not have had its effect
+
+	// Errors of this node itself.
+
+	Torn     Kind = "torn"     // the end of a log is cut off in the middle of a record
+	Damaged  Kind = "damaged"  // stored data fails its check
+	Disk     Kind = "disk"     // a read, write or sync failed
+	Settings Kind = "settings" // the settings file or a flag is rejected
+	Stopped  Kind = "stopped"  // the component that was called is shutting down, or closed
+	Internal Kind = "internal" // a bug, or an error that nobody has named
 )
 
-// Reply is what a kind is answered with over HTTP.
+// Reply is the HTTP answer to a kind of error.
 type Reply struct {
 	Status int           // HTTP status
-	After  time.Duration // default Retry-After, 0 for none
-	Again  bool          // the caller may send the same call again
+	After  time.Duration // default of Retry-After; 0: the header is not sent
+	Again  bool          // the caller may send the same call again; true exactly where After is set
 }
 
-// replies is the table from kind to answer.
+// replies has a row for each kind of the closed list.
 var replies = map[Kind]Reply{
 	Malformed:   {Status: http.StatusBadRequest},
 	Invalid:     {Status: http.StatusUnprocessableEntity},
@@ -61,16 +79,10 @@
 	Internal:    {Status: http.StatusInternalServerError},
 }
 
-// Kinds lists every kind of the closed list.
-func Kinds() []Kind {
-	out := make([]Kind, 0, len(replies))
-	for k := range replies {
-		out = append(out, k)
-	}
-	return out
-}
+// Kinds returns the closed list of kinds, in no particular order.
+func Kinds() []Kind { return slices.Collect(maps.Keys(replies)) }
 
-// ReplyOf returns the table's row for k; an unlisted kind answers as Internal.
+// ReplyOf returns the answer to kind k; that of Internal if k is not in the closed list.
 func ReplyOf(k Kind) Reply {
 	if r, ok := replies[k]; ok {
 		return r
@@ -78,48 +90,48 @@
 	return replies[Internal]
 }
 
-// Failure is an error with its kind. It travels between processes as JSON.
+// Error is an error with its kind. It goes between processes as JSON, without its cause.
 type Error struct {
 	Kind    Kind   `json:"kind"`
-	Field   string `json:"field,omitempty"`
-	Message string `json:"message"`
-	Hint    string `json:"hint,omitempty"` // NotLeader: address of the leader, if known
-	// After reports when to come back, in nanoseconds; 0 takes the table's value.
+	Field   string `json:"field,omitempty"` // the field of the call at fault, as steps[2].tasks; empty: none
+	Message string `json:"message"`         // for people; it may change
+	Hint    string `json:"hint,omitempty"`  // NotLeader: address of the leader; empty if unknown
+	// After is when the caller may try again, in nanoseconds; 0: Reply.After of the kind.
 	After time.Duration `json:"after,omitempty"`
-	cause error
+	cause error         // nil: none
 }
 
-// Error returns the field, the message and the cause in one short line.
-func (f *Error) Error() string {
-	s := string(f.Kind) + ": "
-	if f.Field != "" {
-		s += f.Field + ": "
+// Error returns the kind, the field, the message and the cause in one line.
+func (e *Error) Error() string {
+	text := string(e.Kind) + ": "
+	if e.Field != "" {
+		text += e.Field + ": "
 	}
-	s += f.Message
-	if f.cause != nil {
-		s += ": " + f.cause.Error()
+	text += e.Message
+	if e.cause != nil {
+		text += ": " + e.cause.Error()
 	}
-	return s
+	return text
 }
 
-// Unwrap returns the cause.
-func (f *Error) Unwrap() error { return f.cause }
+// Unwrap returns the cause; nil if there is none.
+func (e *Error) Unwrap() error { return e.cause }
 
-// New makes a failure of kind k. Example:
+// New returns an error of kind k with the trace of its caller. Example:
 //
 //	return errs.New(errs.Stale, "epoch %d is over, now %d", got, now)
 func New(k Kind, format string, args ...any) error {
 	return trace.Wrap(&Error{Kind: k, Message: fmt.Sprintf(format, args...)})
 }
 
-// Field makes a failure that names the field it is about. Example:
+// Field is New for an error about one field of a call. Example:
 //
 //	return errs.Field(errs.Invalid, "steps[2].tasks", "must be at least 1, is %d", n)
 func Field(k Kind, field, format string, args ...any) error {
 	return trace.Wrap(&Error{Kind: k, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// Wrap names err with kind k and a message; nil stays nil. Example:
+// Wrap returns an error of kind k whose cause is err; nil for a nil err. A kind that err has is hidden by k. Example:
 //
 //	if err := file.Sync(); err != nil {
 //		return errs.Wrap(err, errs.Disk, "sync %s", file.Name())
@@ -131,7 +143,7 @@
 	return trace.Wrap(&Error{Kind: k, Message: fmt.Sprintf(format, args...), cause: err})
 }
 
-// Pass wraps err with a message and keeps its kind, field and hint; nil stays nil.
+// Pass adds a message to err and keeps its kind, field and hint; it returns nil for a nil err.
 func Pass(err error, format string, args ...any) error {
 	if err == nil {
 		return nil
@@ -139,25 +151,26 @@
 	return trace.Wrap(err, append([]any{format}, args...)...)
 }
 
-// Of finds the outermost Failure in err; an error without one becomes Internal. Of(nil) is nil.
+// Of returns the outermost Error in the chain of err, which decides its kind. For an error without one it returns a new
+// Error of kind Internal, for nil nil. Whoever made err may set After or Hint through the result.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
 	}
-	var f *Error
-	if errors.As(err, &f) {
-		return f
+	var outermost *Error
+	if errors.As(err, &outermost) {
+		return outermost
 	}
 	return &Error{Kind: Internal, Message: err.Error()}
 }
 
-// KindOf returns the kind of err, "" for nil.
+// KindOf returns the kind of err; empty for nil.
 func KindOf(err error) Kind {
-	if f := Of(err); f != nil {
-		return f.Kind
+	if e := Of(err); e != nil {
+		return e.Kind
 	}
 	return ""
 }
 
-// Is reports whether err is of kind k.
+// Is reports whether err is not nil and of kind k.
 func Is(err error, k Kind) bool { return err != nil && KindOf(err) == k }
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestKinds(t *testing.T) {
-	Convey("every kind has an answer; what may be tried again says when", t, func() {
+func TestReplyOf_everyKind(t *testing.T) {
+	Convey("Every kind has an answer, with a time to retry exactly where the call may be sent again", t, func() {
 		So(Kinds(), ShouldHaveLength, 17)
 		for _, k := range Kinds() {
 			r := ReplyOf(k)
@@ -19,7 +19,10 @@
 		}
 		So(ReplyOf("odd"), ShouldResemble, ReplyOf(Internal))
 	})
-	Convey("an error keeps its kind, field and cause through every wrap", t, func() {
+}
+
+func TestOf_wrappedErrors(t *testing.T) {
+	Convey("An error keeps its kind, field and cause through every wrap", t, func() {
 		err := Pass(Wrap(io.EOF, Torn, "record %d", 7), "open")
 		So(KindOf(err), ShouldEqual, Torn)
 		So(errors.Is(err, io.EOF), ShouldBeTrue)
--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -52,8 +52,8 @@
 // Wait waits until all goroutines have returned, without ending their context.
 func (g *Group) Wait() { g.running.Wait() }
 
-// Each calls work with each of 0 to n-1, on at most width goroutines at a time (one if width is below that), and returns
-// once all calls have returned.
+// Each calls work with each of 0 to n-1, on at most width goroutines at a time (one if width is below that), and
+// returns once all calls have returned.
 func Each(n, width int, work func(i int)) {
 	semaphore := make(chan struct{}, max(width, 1))
 	var running sync.WaitGroup
--- a/internal/routine/routine_test.go
+++ b/internal/routine/routine_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"runtime"
+	"sync"
 	"sync/atomic"
 	"testing"
 
@@ -9,7 +11,7 @@
 )
 
 func TestGroup_stop(t *testing.T) {
-	Convey("Stop ends the context of every goroutine, also of one that a goroutine started, and waits for all", t, func() {
+	Convey("Stop ends the context of every goroutine, also of one started by another, and waits for all", t, func() {
 		group := New(context.Background())
 		var ended atomic.Int32
 		untilEnd := func(ctx context.Context) {
@@ -39,19 +41,23 @@
 func TestEach_width(t *testing.T) {
 	for _, c := range []struct{ n, width, most int }{{0, 1, 0}, {5, 0, 1}, {5, -1, 1}, {5, 2, 2}, {3, 9, 3}} {
 		Convey("Each calls work once with every number, on no more goroutines than its width", t, func() {
-			calls := make([]atomic.Int32, c.n)
-			var running, most atomic.Int32
+			var mu sync.Mutex
+			calls, running, most := make([]int, c.n), 0, 0
 			Each(c.n, c.width, func(i int) {
-				now := running.Add(1)
-				for seen := most.Load(); now > seen && !most.CompareAndSwap(seen, now); seen = most.Load() {
-				}
-				calls[i].Add(1)
-				running.Add(-1)
+				mu.Lock()
+				calls[i]++
+				running++
+				most = max(most, running)
+				mu.Unlock()
+				runtime.Gosched()
+				mu.Lock()
+				running--
+				mu.Unlock()
 			})
 			for i := range calls {
-				So(calls[i].Load(), ShouldEqual, 1)
+				So(calls[i], ShouldEqual, 1)
 			}
-			So(most.Load(), ShouldBeLessThanOrEqualTo, c.most)
+			So(most, ShouldBeLessThanOrEqualTo, c.most)
 		})
 	}
 }
