--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Config has the bounds of a Core; see Defaults. All times are real time.
+// Config has the bounds of a Core; Defaults returns the values of the daemons. All nodes of a fleet have the same.
 type Config struct {
 	ShuffleInterval time.Duration // between two shuffles of a node, a tenth more or less
-	ViewSize        int           // neighbours at most
-	ShuffleLength   int           // members of a shuffle, the sender counted
-	DirectorySize   int           // control-plane nodes kept, and sent, at most
-	MaxDepartures   int           // departures sent at most, and suspects asked for at most
-	MaxTombstones   int           // tombstones kept at most
-	SuspectTimeout  time.Duration // a suspect without a newer version is removed after it
-	MemberTTL       time.Duration // a version older than it is forgotten everywhere
-	// DirectoryTTL is the MemberTTL of the directory, whose entries are refreshed within a few shuffles.
+	ViewSize        int           // most neighbours of a node
+	ShuffleLength   int           // most members in a shuffle, the sender included
+	DirectorySize   int           // most control-plane nodes that a node keeps and sends
+	MaxDepartures   int           // most departures, and most suspects, in a message
+	MaxTombstones   int           // most tombstones that a node keeps
+	SuspectTimeout  time.Duration // how long a suspect may go without a newer version before it is removed
+	MemberTTL       time.Duration // age at which every node drops a version
+	// DirectoryTTL is the MemberTTL of the directory. It is shorter, as every message refreshes the directory.
 	DirectoryTTL time.Duration
-	// ShufflesPerSeedVisit is the number of shuffles between two visits to a seed, of a control-plane node or of one
-	// that knows none.
+	// ShufflesPerSeedVisit is the number of shuffles between two visits to a seed. It holds for control-plane nodes
+	// and for nodes that know none of them; the others do not visit seeds once they have joined.
 	ShufflesPerSeedVisit int
 }
 
-// Defaults are the values of the daemons.
+// Defaults returns the values of the daemons.
 func Defaults() Config {
 	return Config{
 		ShuffleInterval:      time.Second,
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// Core is one node's part in the membership: no clock, socket or goroutine of its own. now is a reading of the node's
-// clock, which counts suspension. It is not safe for concurrent use.
+// Core is one node's part in the membership: a step function without clock, socket or goroutine. The argument now of
+// its methods is a reading of the node's clock, which counts suspension and never decreases from call to call. A Core
+// is not safe for concurrent use.
 type Core struct {
 	cfg        Config
-	self       Member // Age 0; Heartbeat rises with each message
+	self       Member // Age is 0; Heartbeat rises with each message, Incarnation when another process has the name
 	random     *rand.Rand
-	neighbours []*neighbour          // the partial view, at most ViewSize
-	directory  []*neighbour          // the control-plane nodes known, this node not counted, at most DirectorySize
+	neighbours []*neighbour          // the partial view: at most ViewSize, names unique, never self
+	directory  []*neighbour          // the control-plane nodes known: at most DirectorySize, names unique, never self
 	tombstones map[string]*tombstone // by name, at most MaxTombstones
 
 	nextShuffle time.Duration
-	round       int // counts shuffles that were due
+	round       int // counts the shuffles that were due
 	seeds       seedRotation
-	pending     map[uint64]*pendingCall // calls without an answer yet, by ID
+	pending     map[uint64]*pendingCall // calls without an outcome yet, by ID
 	lastCallID  uint64
 
 	leaving  bool     // Leave was called
-	changes  []Change // of the directory, since Changes was called
-	Counters Counters
+	changes  []Change // of the directory since the last call of Changes
+	Counters Counters // read by the owner
 }
 
-// Counters only go up.
+// Counters count what a core did since New.
 type Counters struct {
-	Shuffles   uint64 // sent, those to seeds counted
-	Failures   uint64 // without an answer
+	Shuffles   uint64 // shuffles sent, visits to seeds included
+	Failures   uint64 // shuffles sent that failed
 	SeedVisits uint64
-	Received   uint64
-	Suspects   uint64 // neighbours that were suspected
+	Received   uint64 // shuffles of other nodes
+	Suspects   uint64 // neighbours that became suspected
 	Dropped    uint64 // suspects that were removed
 }
 
-// neighbour is a node that this one knows, with the newest version of it.
+// neighbour is a node that this one knows, at the newest version received.
 type neighbour struct {
-	Member
-	sentAt       time.Duration // when the node sent this version, on this node's clock
-	suspected    bool
+	Member                     // Age is 0: the age follows from sentAt
+	sentAt       time.Duration // when the node itself sent this version, on this node's clock
+	suspected    bool          // a call to it failed, and no version sent since has come
 	suspectSince time.Duration // valid while suspected
 }
 
-// memberAt is the version with its age at now, as it is sent.
+// memberAt returns the member with its age at now, as it is sent.
 func (e *neighbour) memberAt(now time.Duration) Member {
 	m := e.Member
 	m.Age = max(0, (now - e.sentAt).Milliseconds())
 	return m
 }
 
-// tombstone marks a version as ended; with left set, the whole incarnation has ended.
+// tombstone marks a version and all older ones as ended, so that copies that still go round are not stored again.
 type tombstone struct {
 	Member
-	sentAt time.Duration
-	left   bool
+	sentAt time.Duration // of the version, as in neighbour
+	left   bool          // the node announced its departure: the whole incarnation has ended
 }
 
-// New makes the core of self, which knows nothing but the addresses of its seeds. The same randomSeed leads to the same
-// steps. Example:
+// New returns the core of self, which knows nothing but the addresses of its seeds. With the same randomSeed and the
+// same calls it takes the same steps. Example:
 //
 //	self := membership.Member{Name: "d1", Addr: addr, Zone: "a", Role: membership.RoleDataPlane, Incarnation: started}
 //	core := membership.New(membership.Defaults(), self, seeds, 1)
@@ -92,10 +93,11 @@
 	return c
 }
 
-// NextTick is when the next Tick has something to do.
+// NextTick returns when Tick is due next. Other calls do not change it.
 func (c *Core) NextTick() time.Duration { return c.nextShuffle }
 
-// Tick removes what has expired and, when a shuffle is due, returns the call for it.
+// Tick does nothing before NextTick and after Leave. Otherwise it removes what has expired, and returns the call of a
+// shuffle: with a seed if a visit is due, else with the neighbour heard of least recently; none if there is neither.
 func (c *Core) Tick(now time.Duration) []Call {
 	if now < c.nextShuffle || c.leaving {
 		return nil
@@ -116,8 +118,8 @@
 	return []Call{c.newShuffle(now, target.Addr, target)}
 }
 
-// oldestNeighbour returns the neighbour with the oldest version, nil if there is none. Suspected neighbours and those
-// with a call in flight are left out.
+// oldestNeighbour returns the neighbour with the oldest version, nil if there is none. It skips suspected neighbours
+// and those with a call in flight.
 func (c *Core) oldestNeighbour() (oldest *neighbour) {
 	inFlight := map[string]bool{}
 	for _, call := range c.pending {
@@ -131,6 +133,7 @@
 	return oldest
 }
 
+// neighbourAt returns the neighbour at an address, nil if there is none.
 func (c *Core) neighbourAt(addr string) *neighbour {
 	for _, e := range c.neighbours {
 		if e.Addr == addr {
@@ -140,7 +143,8 @@
 	return nil
 }
 
-// expire removes what has expired, and the suspects of which no newer version came in time.
+// expire removes suspects without a newer version for SuspectTimeout, which leave a tombstone; versions, directory
+// entries and calls at the end of their time; and tombstones once every copy of their version has expired.
 func (c *Core) expire(now time.Duration) {
 	c.neighbours = slices.DeleteFunc(c.neighbours, func(e *neighbour) bool {
 		isGone := e.suspected && now-e.suspectSince >= c.cfg.SuspectTimeout
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Kinds of change in the directory of control-plane nodes.
+// The kinds of changes in the directory of control-plane nodes, as they stand in the log.
 const (
-	Joined    = "came"
+	Joined    = "came"  // not known before
 	Restarted = "again" // under a new incarnation
 	Moved     = "moved" // to another address
 	Left      = "left"  // announced by the node itself
@@ -18,28 +18,29 @@
 // Change is a change in the directory of control-plane nodes.
 type Change struct {
 	Kind   string
-	Member Member
+	Member Member // after the change; of Left and Expired the last version known
 }
 
-// Changes returns the changes of the directory since the last call.
+// Changes returns the changes of the directory since the last call, in order.
 func (c *Core) Changes() []Change {
-	out := c.changes
+	changes := c.changes
 	c.changes = nil
-	return out
+	return changes
 }
 
-// ControlPlanes returns the addresses of all control-plane nodes known, in order of their names, this node not counted.
+// ControlPlanes returns the addresses of the control-plane nodes in the directory, in order of their names. This node's
+// own is not among them.
 func (c *Core) ControlPlanes() []string {
 	sorted := slices.Clone(c.directory)
 	slices.SortFunc(sorted, byName)
-	out := make([]string, len(sorted))
+	addrs := make([]string, len(sorted))
 	for i, e := range sorted {
-		out[i] = e.Addr
+		addrs[i] = e.Addr
 	}
-	return out
+	return addrs
 }
 
-// MemberStatus is a node as this one knows it.
+// MemberStatus is a node as this one knows it, for operators.
 type MemberStatus struct {
 	Name        string        `json:"name"`
 	Role        string        `json:"role"`
@@ -50,7 +51,8 @@
 	Suspect     bool          `json:"suspect,omitempty"`
 }
 
-// Nodes returns all nodes known at now, in order of their names: this one, its neighbours and the directory.
+// Nodes returns all nodes known at now, in order of their names: this one, its neighbours and the directory. Versions
+// past MemberTTL that no Tick has removed yet are left out.
 func (c *Core) Nodes(now time.Duration) []MemberStatus {
 	known := []*neighbour{{Member: c.self, sentAt: now}}
 	for _, e := range append(slices.Clone(c.neighbours), c.directory...) {
@@ -59,15 +61,15 @@
 		}
 	}
 	slices.SortFunc(known, byName)
-	out := make([]MemberStatus, len(known))
+	statuses := make([]MemberStatus, len(known))
 	for i, e := range known {
 		inView := findByName(c.neighbours, e.Name)
-		out[i] = MemberStatus{
+		statuses[i] = MemberStatus{
 			Name: e.Name, Role: e.Role, Zone: e.Zone, Addr: e.Addr, Incarnation: e.Incarnation,
 			Age: now - e.sentAt, Suspect: inView != nil && inView.suspected,
 		}
 	}
-	return out
+	return statuses
 }
 
 // Size returns the number of neighbours, of suspects among them, and of control-plane nodes in the directory.
@@ -82,11 +84,11 @@
 
 // newest returns the newest version known of a node, nil if there is none.
 func (c *Core) newest(name string) *neighbour {
-	e, d := findByName(c.neighbours, name), findByName(c.directory, name)
-	if e == nil || d != nil && compareVersions(e.Member, d.Member) < 0 {
-		return d
+	inView, inDirectory := findByName(c.neighbours, name), findByName(c.directory, name)
+	if inView == nil || inDirectory != nil && compareVersions(inView.Member, inDirectory.Member) < 0 {
+		return inDirectory
 	}
-	return e
+	return inView
 }
 
 func byName(a, b *neighbour) int { return strings.Compare(a.Name, b.Name) }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -12,33 +12,35 @@
 	"crosstide/internal/clock"
 )
 
-// fleet runs pure cores on a virtual clock. Calls are made at once; loss is the part of answers that is lost.
+// fleet drives cores on a virtual clock. A call and its answer take no time.
 type fleet struct {
 	clock      clock.Virtual
 	random     *rand.Rand
 	nodes      []*Core // by index; nil: dead
 	partition  []int   // by index; nodes of different ones do not reach each other
-	loss       float64
-	bytes      int
-	calls      int
+	loss       float64 // probability that an answer is lost
+	calls      int     // that were answered
+	bytes      int     // of them, while countBytes is set
 	countBytes bool
 	indexes    map[string]int // by address
 	// controlPlane is the index of a control-plane node besides the first five.
 	controlPlane int
 }
 
-// headBytes is what a call and its answer need beside their JSON: see docs/design/membership.md.
+// headBytes is the length of the HTTP heads of a call and its answer: see docs/design/membership.md.
 const headBytes = 105 + 110
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
+// join starts the node of an index under an incarnation. The first five are control-plane nodes.
 func (f *fleet) join(i int, incarnation uint64) *Core {
 	role, seeds := RoleDataPlane, []string{addrOf(0), addrOf(1), addrOf(2)}
 	if i < 5 || i == f.controlPlane {
 		role, seeds = RoleControlPlane, append(seeds, addrOf(3), addrOf(4))
 	}
-	n := Member{Name: fmt.Sprintf("node%d", i), Addr: addrOf(i), Zone: fmt.Sprintf("z%d", i%3), Role: role, Incarnation: 1_796_187_000_000 + incarnation}
-	c := New(Defaults(), n, seeds, uint64(i)+incarnation)
+	self := Member{Name: fmt.Sprintf("node%d", i), Addr: addrOf(i), Zone: fmt.Sprintf("z%d", i%3), Role: role,
+		Incarnation: 1_796_187_000_000 + incarnation}
+	c := New(Defaults(), self, seeds, uint64(i)+incarnation)
 	for len(f.nodes) <= i {
 		f.nodes, f.partition = append(f.nodes, nil), append(f.partition, 0)
 	}
@@ -55,6 +57,7 @@
 	return f
 }
 
+// tick calls Tick of the node c until another core, or none, stands at its index.
 func (f *fleet) tick(i int, c *Core) {
 	if f.nodes[i] != c {
 		return
@@ -75,9 +78,9 @@
 		}
 		answer := f.nodes[to].HandleShuffle(now, call.Message)
 		if f.calls++; f.countBytes {
-			a, _ := json.Marshal(call.Message)
-			b, _ := json.Marshal(answer)
-			f.bytes += len(a) + len(b) + headBytes
+			encodedCall, _ := json.Marshal(call.Message)
+			encodedAnswer, _ := json.Marshal(answer)
+			f.bytes += len(encodedCall) + len(encodedAnswer) + headBytes
 		}
 		if f.random.Float64() < f.loss {
 			c.HandleFailure(now, call.ID)
@@ -95,21 +98,22 @@
 	return -1
 }
 
-// shape returns the number of live nodes, the size of the greatest connected part of the union graph, the least and
-// the greatest in-degree, and how many entries of views and directories are of dead nodes.
-func (f *fleet) shape() (live, part, least, most, dead int) {
-	root := make([]int, len(f.nodes))
-	for i := range root {
-		root[i] = i
-	}
-	var top func(i int) int
-	top = func(i int) int {
-		if root[i] != i {
-			root[i] = top(root[i])
-		}
-		return root[i]
-	}
-	degree := make([]int, len(f.nodes))
+// graph describes the union of the views of all live nodes.
+type graph struct {
+	live                 int // live nodes
+	connected            int // nodes of the largest connected component
+	minDegree, maxDegree int // in-degrees
+	deadEntries          int // entries of dead nodes, in views and directories
+}
+
+// isHealthy reports whether all live nodes are connected, with in-degrees that are neither 0 nor large.
+func (g graph) isHealthy() bool {
+	return g.live == g.connected && g.minDegree > 0 && g.maxDegree <= 2*Defaults().ViewSize
+}
+
+func (f *fleet) graph() graph {
+	components, degree := newComponents(len(f.nodes)), make([]int, len(f.nodes))
+	var g graph
 	for i, c := range f.nodes {
 		if c == nil {
 			continue
@@ -117,110 +121,141 @@
 		for k, e := range append(append([]*neighbour{}, c.neighbours...), c.directory...) {
 			to := f.indexOf(e.Addr)
 			if to < 0 {
-				dead++
+				g.deadEntries++
 			} else if k < len(c.neighbours) {
 				degree[to]++
-				root[top(to)] = top(i)
+				components.join(to, i)
 			}
 		}
 	}
-	parts := map[int]int{}
-	least = len(f.nodes)
+	sizes := map[int]int{}
+	g.minDegree = len(f.nodes)
 	for i, c := range f.nodes {
 		if c != nil {
-			live++
-			parts[top(i)]++
-			part = max(part, parts[top(i)])
-			least, most = min(least, degree[i]), max(most, degree[i])
+			g.live++
+			root := components.root(i)
+			sizes[root]++
+			g.connected = max(g.connected, sizes[root])
+			g.minDegree, g.maxDegree = min(g.minDegree, degree[i]), max(g.maxDegree, degree[i])
 		}
 	}
-	return live, part, least, most, dead
+	return g
 }
 
-// rounds advances second by second until done, and returns how many it took; at most bound.
-func (f *fleet) rounds(bound int, done func() bool) int {
-	for r := range bound {
-		if done() {
-			return r
+// components is a union-find structure: the parent of each element, itself at a root.
+type components []int
+
+func newComponents(n int) components {
+	parents := make(components, n)
+	for i := range parents {
+		parents[i] = i
+	}
+	return parents
+}
+
+func (p components) root(i int) int {
+	if p[i] != i {
+		p[i] = p.root(p[i])
+	}
+	return p[i]
+}
+
+func (p components) join(i, j int) { p[p.root(i)] = p.root(j) }
+
+// secondsUntil advances the clock second by second until a condition holds, and returns how many it took; limit if it
+// does not hold by then.
+func (f *fleet) secondsUntil(limit int, holds func() bool) int {
+	for seconds := range limit {
+		if holds() {
+			return seconds
 		}
 		f.clock.Advance(time.Second)
 	}
-	return bound
+	return limit
 }
 
-func (f *fleet) all(is func(c *Core) bool) func() bool {
-	return func() bool {
-		for _, c := range f.nodes {
-			if c != nil && !is(c) {
-				return false
-			}
+// everyNode reports whether a condition holds for every live node.
+func (f *fleet) everyNode(holds func(c *Core) bool) bool {
+	for _, c := range f.nodes {
+		if c != nil && !holds(c) {
+			return false
 		}
-		return true
 	}
+	return true
 }
 
 func TestFleet_growthPartitionsAndDeaths(t *testing.T) {
 	for _, n := range []int{9, 100, 1600} {
-		Convey(fmt.Sprintf("%d nodes, with one answer of 50 lost", n), t, func() {
+		Convey(fmt.Sprintf("A fleet of %d nodes that loses one answer in 50 stays connected", n), t, func() {
 			f := newFleet(n, 7)
 			f.loss = 0.02
 			f.clock.Advance(time.Minute)
-			whole := func() bool {
-				live, part, least, most, _ := f.shape()
-				return live == part && least > 0 && most <= 2*Defaults().ViewSize
-			}
-			So(whole(), ShouldBeTrue)
-			_, _, least, most, _ := f.shape()
-			t.Logf("%d nodes: in-degree %d to %d", n, least, most)
+			g := f.graph()
+			So(g.isHealthy(), ShouldBeTrue)
+			t.Logf("%d nodes: in-degree %d to %d", n, g.minDegree, g.maxDegree)
 
-			// a new control-plane node becomes known to all
-			f.controlPlane = n
-			name := f.join(n, 1).self.Name
-			r := f.rounds(21, f.all(func(c *Core) bool { return c.self.Name == name || findByName(c.directory, name) != nil }))
-			t.Logf("%d nodes: a new control-plane node known by all after %d s", n, r)
-			So(r, ShouldBeLessThanOrEqualTo, 20)
-
-			// partitioned for minutes and healed: one again, also where a partition had no control-plane node
-			cuts, long := []int{5, 2}, 4*time.Minute
+			f.checkNewControlPlane(t, n)
 			if n > 100 {
-				cuts, long = cuts[:1], 80*time.Second // by then all of the other side is forgotten
-			}
-			for _, by := range cuts {
-				for i := range f.partition {
-					f.partition[i] = i / by % 2
-				}
-				f.clock.Advance(long)
-				_, part, _, _, _ := f.shape()
-				So(part, ShouldBeLessThan, n)
-				clear(f.partition)
-				r := f.rounds(41, func() bool {
-					return whole() && f.all(func(c *Core) bool { return len(c.ControlPlanes()) >= 5 })()
-				})
-				t.Logf("%d nodes: one again after %d s", n, r)
-				So(r, ShouldBeLessThanOrEqualTo, 40)
-			}
-
-			// 30 % die: the rest stays one all the time, and forgets them
-			for _, i := range f.random.Perm(n)[:n*3/10] {
-				f.nodes[i] = nil
+				f.checkPartition(t, n, 5, 80*time.Second) // by then each side has forgotten the other
+			} else {
+				f.checkPartition(t, n, 5, 4*time.Minute)
+				f.checkPartition(t, n, 2, 4*time.Minute)
 			}
-			one := true
-			r = f.rounds(62, func() bool {
-				live, part, _, _, dead := f.shape()
-				one = one && part == live
-				return dead == 0
-			})
-			_, _, least, most, _ = f.shape()
-			t.Logf("%d nodes: the dead gone after %d s, in-degree %d to %d", n, r, least, most)
-			So(r, ShouldBeLessThanOrEqualTo, 61)
-			So(one, ShouldBeTrue)
-			So(whole(), ShouldBeTrue)
+			f.checkDeaths(t, n)
 		})
 	}
 }
 
+// checkNewControlPlane adds a control-plane node to n nodes: all learn of it.
+func (f *fleet) checkNewControlPlane(t *testing.T, n int) {
+	t.Helper()
+	f.controlPlane = n
+	name := f.join(n, 1).self.Name
+	took := f.secondsUntil(21, func() bool {
+		return f.everyNode(func(c *Core) bool { return c.self.Name == name || findByName(c.directory, name) != nil })
+	})
+	t.Logf("%d nodes: a new control-plane node known by all after %d s", n, took)
+	So(took, ShouldBeLessThanOrEqualTo, 20)
+}
+
+// checkPartition partitions the fleet into blocks of nodes, alternately of one side and the other, and heals it: it is
+// connected again, also where a side had no control-plane node.
+func (f *fleet) checkPartition(t *testing.T, n, block int, duration time.Duration) {
+	t.Helper()
+	for i := range f.partition {
+		f.partition[i] = i / block % 2
+	}
+	f.clock.Advance(duration)
+	So(f.graph().connected, ShouldBeLessThan, n)
+	clear(f.partition)
+	took := f.secondsUntil(41, func() bool {
+		return f.graph().isHealthy() && f.everyNode(func(c *Core) bool { return len(c.ControlPlanes()) >= 5 })
+	})
+	t.Logf("%d nodes: connected again after %d s", n, took)
+	So(took, ShouldBeLessThanOrEqualTo, 40)
+}
+
+// checkDeaths kills 30 % of the nodes: the others stay connected all the time, and forget them.
+func (f *fleet) checkDeaths(t *testing.T, n int) {
+	t.Helper()
+	for _, i := range f.random.Perm(n)[:n*3/10] {
+		f.nodes[i] = nil
+	}
+	staysConnected := true
+	took := f.secondsUntil(62, func() bool {
+		g := f.graph()
+		staysConnected = staysConnected && g.connected == g.live
+		return g.deadEntries == 0
+	})
+	g := f.graph()
+	t.Logf("%d nodes: the dead gone after %d s, in-degree %d to %d", n, took, g.minDegree, g.maxDegree)
+	So(took, ShouldBeLessThanOrEqualTo, 61)
+	So(staysConnected, ShouldBeTrue)
+	So(g.isHealthy(), ShouldBeTrue)
+}
+
 func TestFleet_partitionsWithoutSeeds(t *testing.T) {
-	Convey("Two partitions that formed while their seeds were down are one soon after their control planes are up", t, func() {
+	Convey("Two partitions that formed while their seeds were down join once their control planes start", t, func() {
 		f := &fleet{random: rand.New(rand.NewPCG(5, 1)), indexes: map[string]int{}}
 		for _, i := range []int{2, 5, 6, 7} {
 			f.join(i, 1)
@@ -229,9 +264,11 @@
 		for _, i := range []int{0, 1, 3, 4} {
 			f.join(i, 1)
 		}
-		r := f.rounds(16, f.all(func(c *Core) bool { return len(c.neighbours) == 7 }))
-		t.Logf("all eight know each other after %d s", r)
-		So(r, ShouldBeLessThanOrEqualTo, 15)
+		took := f.secondsUntil(16, func() bool {
+			return f.everyNode(func(c *Core) bool { return len(c.neighbours) == 7 })
+		})
+		t.Logf("all eight know each other after %d s", took)
+		So(took, ShouldBeLessThanOrEqualTo, 15)
 	})
 }
 
@@ -244,14 +281,15 @@
 		}
 		c := f.nodes[4]
 		f.clock.Advance(time.Minute)
-		sent, failures := c.Counters.Shuffles, c.Counters.Failures
+		before := c.Counters
 		f.clock.Advance(time.Minute)
-		So(c.Counters.Failures-failures, ShouldBeGreaterThan, 0)
-		So(c.Counters.Failures-failures, ShouldBeLessThan, (c.Counters.Shuffles-sent)/5)
+		failures := c.Counters.Failures - before.Failures
+		So(failures, ShouldBeGreaterThan, 0)
+		So(failures, ShouldBeLessThan, (c.Counters.Shuffles-before.Shuffles)/5)
 	})
 }
 
-// BenchmarkBytes measures what a node sends, calls and answers with their heads, in a fleet at rest.
+// BenchmarkBytes measures the bytes that a node sends in a fleet at rest: calls and answers with their heads.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{9, 100, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,8 +6,13 @@
 	"time"
 )
 
-// mergeCall applies the message of a call. sample are the neighbours in the answer to it, whose places may be reused.
-// The sender takes the first place that is free or may be reused.
+// The merge functions apply the parts of a received message in a fixed order: departures first, so that a version that
+// has ended is not stored by the same message. now is the time, at the time from which the ages in the message count
+// back. reusable has the names of neighbours that the other side has just received: in a full view their places may be
+// taken, and a name is removed from it with its place.
+
+// mergeCall applies the message of a call. sample has the names of the neighbours in the answer, whose places may be
+// reused. The sender takes the first place that is free or may be reused.
 func (c *Core) mergeCall(now time.Duration, m Message, sample []string) {
 	c.mergeDeparted(now, now, m)
 	from := m.From
@@ -21,8 +26,9 @@
 	c.mergeDirectory(now, now, m)
 }
 
-// mergeAnswer applies the message of an answer, whose ages count back from sentAt. sample are the neighbours in the
-// call, whose places may be reused, but not for the sender.
+// mergeAnswer applies the message of an answer. Its ages count back from sentAt, when the call was sent, as the time in
+// transit is unknown: a version may seem older than it is, never newer. sample has the names of the neighbours in the
+// call, whose places may be reused for all but the sender.
 func (c *Core) mergeAnswer(now, sentAt time.Duration, m Message, sample []string) {
 	c.mergeDeparted(now, sentAt, m)
 	from := m.From
@@ -55,8 +61,9 @@
 	}
 }
 
-// admit reports whether a member may be stored, and when it was sent; its age counts back from at. A member with this
-// node's own name from another process makes this node raise its incarnation above it.
+// admit reports whether a received member may be stored, and when the node itself sent it. It rejects what is invalid,
+// expired or covered by a tombstone, and this node itself. A version of this node that is newer than its own, as after
+// a restart with a clock set back, makes it raise its incarnation above that version.
 func (c *Core) admit(now, at time.Duration, member Member) (sentAt time.Duration, ok bool) {
 	if !member.isValid() {
 		return 0, false
@@ -78,25 +85,25 @@
 	return sentAt, true
 }
 
-// covers reports whether the tombstone marks a version as ended.
+// covers reports whether the tombstone marks the version of member as ended.
 func (t *tombstone) covers(member Member) bool {
 	return member.Incarnation < t.Incarnation ||
 		member.Incarnation == t.Incarnation && (t.left || member.Heartbeat <= t.Heartbeat)
 }
 
-// update replaces e by the member if that is the newer version, which also ends a suspicion.
+// update replaces e by member if that is the newer version, which also ends a suspicion.
 func (e *neighbour) update(member Member, sentAt time.Duration) {
 	switch order := compareVersions(e.Member, member); {
 	case order < 0:
 		*e = neighbour{Member: member, sentAt: sentAt}
 	case order == 0:
-		// An age leaves out the time in transit: the greater one is closer to the truth.
+		// An age leaves out the time in transit: the greater one is more accurate.
 		e.sentAt = min(e.sentAt, sentAt)
 	}
 }
 
-// addNeighbour stores a member among the neighbours, and in the directory if it is a control-plane node. reusable are
-// the neighbours whose places may be reused; nil: none.
+// addNeighbour stores a member among the neighbours if a place is free or reusable (nil: none is), and in the directory
+// if it is a control-plane node.
 func (c *Core) addNeighbour(now, at time.Duration, member Member, reusable *[]string) {
 	sentAt, ok := c.admit(now, at, member)
 	if !ok {
@@ -124,9 +131,9 @@
 	}
 }
 
-// addControlPlane stores a member of a message's directory. A neighbour of that name is updated only when it is
-// suspected or restarted: the directory is always recent, and a neighbour kept recent by it would never be the oldest
-// one, and would stay a neighbour of most nodes.
+// addControlPlane stores a member of a message's directory. It updates a neighbour of that name only if that one is
+// suspected or has restarted: as the directory is always recent, a neighbour updated from it would never be the oldest,
+// so never be replaced, and control-plane nodes would fill the views of the fleet.
 func (c *Core) addControlPlane(now, at time.Duration, member Member) {
 	sentAt, ok := c.admit(now, at, member)
 	if !ok {
@@ -139,7 +146,8 @@
 	}
 }
 
-// updateDirectory stores a member in the directory if it is a control-plane node, and records the change.
+// updateDirectory stores a member in the directory if it is a control-plane node, and records the change. The directory
+// is never behind the view: where a neighbour of that name is newer, that version is stored.
 func (c *Core) updateDirectory(now time.Duration, member Member, sentAt time.Duration) {
 	if member.Role != RoleControlPlane || now-sentAt >= c.cfg.DirectoryTTL {
 		return
@@ -165,7 +173,9 @@
 	}
 }
 
-// markLeft records that the incarnation of a member has left.
+// markLeft removes a member whose incarnation has announced its departure, and leaves a tombstone. An announcement of
+// an older incarnation than the one known changes nothing. If it is about this node, which runs, the node raises its
+// incarnation above it.
 func (c *Core) markLeft(now, at time.Duration, member Member) {
 	if member.Name == c.self.Name && member.Incarnation >= c.self.Incarnation && !c.leaving {
 		c.self.Incarnation, c.self.Heartbeat = member.Incarnation+1, 0
@@ -186,7 +196,8 @@
 	c.neighbours, c.directory = slices.DeleteFunc(c.neighbours, hasLeft), slices.DeleteFunc(c.directory, hasLeft)
 }
 
-// addTombstone marks a version as ended until all copies of it have expired. Over the bound the oldest is removed.
+// addTombstone marks the version of e as ended, or its incarnation if it has left, until expire removes the tombstone.
+// One that covers more stays. Beyond MaxTombstones the oldest is removed.
 func (c *Core) addTombstone(e *neighbour, left bool) {
 	if t := c.tombstones[e.Name]; t != nil &&
 		(compareVersions(t.Member, e.Member) > 0 || t.left && t.Incarnation == e.Incarnation) {
@@ -205,4 +216,5 @@
 	delete(c.tombstones, oldest)
 }
 
+// sortedNames returns the names in order, so that the steps do not depend on the order of a map.
 func sortedNames(m map[string]*tombstone) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -1,22 +1,71 @@
 package membership
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// memberX is the node x at a version.
+// memberX returns the node x at a version.
 func memberX(incarnation, heartbeat uint64) Member {
-	return Member{Name: "x", Addr: "10.0.0.9:7000", Zone: "a", Role: RoleControlPlane, Incarnation: incarnation, Heartbeat: heartbeat}
+	return Member{Name: "x", Addr: "10.0.0.9:7000", Zone: "a", Role: RoleControlPlane,
+		Incarnation: incarnation, Heartbeat: heartbeat}
+}
+
+// newMe returns a core that knows nobody.
+func newMe() *Core {
+	return New(Defaults(), Member{Name: "me", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, nil, 1)
 }
 
 // peer is a node that knows x.
 var peer = Member{Name: "p", Addr: "10.0.0.8:7000", Zone: "b", Role: RoleDataPlane, Incarnation: 1}
 
+// permutations calls do with every order of 0 to n-1.
+func permutations(n int, do func(order []int)) {
+	var extend func(order []int)
+	extend = func(order []int) {
+		if len(order) == n {
+			do(order)
+			return
+		}
+		for next := range n {
+			if !slices.Contains(order, next) {
+				extend(append(slices.Clone(order), next))
+			}
+		}
+	}
+	extend(nil)
+}
+
+// checkOrder passes the messages about x to a core in an order, and fails the test if the view and the directory
+// differ, an old incarnation comes back, or the newest version is not the one known at the end.
+func checkOrder(t *testing.T, messages []Message, order []int) {
+	t.Helper()
+	c := newMe()
+	incarnation, hasLeft := uint64(0), false
+	for k, i := range order {
+		c.HandleShuffle(time.Duration(k)*time.Second, messages[i])
+		hasLeft = hasLeft || messages[i].Leaving || len(messages[i].Departed) > 0
+		inView, inDirectory := findByName(c.neighbours, "x"), findByName(c.directory, "x")
+		isRight := inView == nil && inDirectory == nil && incarnation != 2
+		if inView != nil && inDirectory != nil {
+			isRight = inView.Incarnation == inDirectory.Incarnation && inView.Incarnation >= incarnation &&
+				(inView.Incarnation != 1 || !hasLeft)
+			incarnation = inView.Incarnation
+		}
+		if !isRight {
+			t.Fatalf("after %v of %v: view %+v, directory %+v", order[:k+1], order, inView, inDirectory)
+		}
+	}
+	if e := c.newest("x"); e == nil || e.Incarnation != 2 || e.Heartbeat != 1 {
+		t.Fatalf("after %v: %+v", order, e)
+	}
+}
+
 func TestMerge_anyOrderOfMessages(t *testing.T) {
-	Convey("In every order of join, shuffles, leave and restart of a node, an old incarnation never comes back", t, func() {
+	Convey("In any order of the messages about a node, no old incarnation of it comes back", t, func() {
 		messages := []Message{
 			{From: memberX(1, 1)}, {From: memberX(1, 2)}, {From: memberX(1, 3), Leaving: true}, {From: memberX(2, 1)},
 			{From: peer, Sample: []Member{memberX(1, 2)}, Directory: []Member{memberX(1, 1)}},
@@ -24,43 +73,19 @@
 			{From: peer, Departed: []Member{memberX(1, 3)}, Directory: []Member{memberX(1, 2)}},
 		}
 		orders := 0
-		var all func(order, rest []int)
-		all = func(order, rest []int) {
-			for i := range rest {
-				left := append(append([]int{}, rest[:i]...), rest[i+1:]...)
-				all(append(order[:len(order):len(order)], rest[i]), left)
-			}
-			if len(rest) > 0 {
-				return
-			}
+		permutations(len(messages), func(order []int) {
 			orders++
-			c := New(Defaults(), Member{Name: "me", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, nil, 1)
-			incarnation, left := uint64(0), false
-			for k, i := range order {
-				c.HandleShuffle(time.Duration(k)*time.Second, messages[i])
-				left = left || messages[i].Leaving || len(messages[i].Departed) > 0
-				v, d := findByName(c.neighbours, "x"), findByName(c.directory, "x")
-				if (v == nil) != (d == nil) || v != nil && (v.Incarnation != d.Incarnation || v.Incarnation < incarnation || v.Incarnation == 1 && left) || incarnation == 2 && v == nil {
-					t.Fatalf("after %v of %v: view %+v, directory %+v", order[:k+1], order, v, d)
-				}
-				if v != nil {
-					incarnation = v.Incarnation
-				}
-			}
-			if e := c.newest("x"); e == nil || e.Incarnation != 2 || e.Heartbeat != 1 {
-				t.Fatalf("after %v: %+v", order, e)
-			}
-		}
-		all(nil, []int{0, 1, 2, 3, 4, 5, 6})
+			checkOrder(t, messages, order)
+		})
 		So(orders, ShouldEqual, 5040)
 	})
 }
 
 func TestMerge_ownNameNewerElsewhere(t *testing.T) {
-	Convey("A restarted node whose clock went back takes a number over its old one", t, func() {
+	Convey("A restarted node whose clock went back raises its incarnation above its old one", t, func() {
 		c := New(Defaults(), memberX(3, 0), nil, 1)
-		out := c.HandleShuffle(0, Message{From: peer, Directory: []Member{memberX(7, 40)}})
-		So(out.From.Incarnation, ShouldEqual, 3)
+		answer := c.HandleShuffle(0, Message{From: peer, Directory: []Member{memberX(7, 40)}})
+		So(answer.From.Incarnation, ShouldEqual, 3)
 		So(c.HandleShuffle(0, Message{From: peer}).From.Incarnation, ShouldEqual, 8)
 		c.HandleShuffle(0, Message{From: peer, Departed: []Member{memberX(8, 1)}})
 		So(c.HandleShuffle(0, Message{From: peer}).From.Incarnation, ShouldEqual, 9)
@@ -68,9 +93,9 @@
 }
 
 func TestSuspect_withoutAnswer(t *testing.T) {
-	Convey("A neighbour without an answer is suspected, asked for, and dropped unless a newer version comes", t, func() {
+	Convey("A neighbour that does not answer is suspected, and removed unless a newer version comes", t, func() {
 		for _, isRefreshed := range []bool{false, true} {
-			c := New(Defaults(), Member{Name: "me", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, nil, 1)
+			c := newMe()
 			c.HandleShuffle(0, Message{From: memberX(1, 1)})
 			c.HandleShuffle(time.Millisecond, Message{From: peer})
 			call := c.Tick(time.Second)[0]
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// collector is the prometheus.Collector of a node, read when it is scraped.
+// collector is the prometheus.Collector of a node: its metrics are read when they are scraped.
 type collector struct{ node *Node }
 
 var (
@@ -14,7 +14,7 @@
 		"Neighbours that were suspected, and of those dropped.", []string{"what"}, nil)
 )
 
-// Describe sends the descriptions.
+// Describe sends the descriptions of the metrics.
 func (*collector) Describe(to chan<- *prometheus.Desc) {
 	to <- descSize
 	to <- descShuffles
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -15,35 +15,36 @@
 	"crosstide/internal/routine"
 )
 
-// SendFunc sends a message to an address and returns the answer; it has its own time-out.
+// SendFunc sends a message to the node at addr and returns its answer. It bounds the call by a time-out of its own, and
+// returns when ctx ends. It is called by several goroutines at a time.
 type SendFunc func(ctx context.Context, addr string, m Message) (Message, error)
 
-// Options are what a node is made of; Self, Send and Clock are needed.
+// Options are the settings of a Node; Self, Send and Clock are required.
 type Options struct {
-	Self       Member // Incarnation 0 takes the time of day in milliseconds
-	Seeds      []string
-	RandomSeed uint64  // of the steps, see New
-	Config     *Config // default Defaults
+	Self       Member   // its Incarnation 0 stands for the time of day in milliseconds
+	Seeds      []string // addresses of nodes to join by; this node's own may be among them
+	RandomSeed uint64   // see New
+	Config     *Config  // default: Defaults()
 	Send       SendFunc
 	Clock      clock.Clock
 	Logger     log.Logger            // default: none
 	Registry   prometheus.Registerer // default: the metrics are not registered
-	// OnControlPlanes is called with the addresses of the control-plane nodes after each change of their directory, one
-	// call at a time. Default: none.
+	// OnControlPlanes is called with Core.ControlPlanes after each change of the directory, one call at a time and
+	// under the node's mutex: it must not call the node. Default: none.
 	OnControlPlanes func(addrs []string)
 }
 
-// Node runs a Core on a clock and the network. It is safe for concurrent use.
+// Node owns a Core and drives it by a clock and the network. It is safe for concurrent use.
 type Node struct {
 	opt   Options
-	group *routine.Group     // from Start on
-	bytes prometheus.Counter // of JSON sent
+	group *routine.Group     // nil before Start
+	bytes prometheus.Counter // JSON sent
 
 	mu   sync.Mutex // guards core, and orders the calls of OnControlPlanes
 	core *Core
 }
 
-// NewNode makes a node; Start runs it. Example:
+// NewNode returns a node, which may serve at once and shuffles from Start on. Example:
 //
 //	n := membership.NewNode(membership.Options{Self: self, Seeds: seeds, Send: send, Clock: clock.Real{}})
 //	rpc.Handle(srv, internalapi.Shuffle, n.Serve)
@@ -69,13 +70,14 @@
 	return n
 }
 
-// Start runs the node until Stop.
+// Start makes the node shuffle until Stop, or until ctx ends. Call it once.
 func (n *Node) Start(ctx context.Context) {
 	n.group = routine.New(ctx)
 	n.group.Go(n.run)
 }
 
-// Stop ends the node and announces its departure to some nodes, until ctx ends at the latest.
+// Stop ends the shuffles, and then announces the departure of the node to some others, until ctx ends at the latest.
+// Call it once, after Start.
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
 	calls := n.core.Leave(n.opt.Clock.Now())
@@ -89,7 +91,7 @@
 	})
 }
 
-// run shuffles until ctx ends, each on a goroutine of its own, so that a slow peer delays nothing.
+// run starts the shuffles that are due until ctx ends. Each has its own goroutine, so that a slow peer delays nothing.
 func (n *Node) run(ctx context.Context) {
 	for {
 		n.mu.Lock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// shuffle makes one call and passes its outcome to the core.
+// shuffle sends one call and passes its outcome to the core.
 func (n *Node) shuffle(ctx context.Context, call Call) {
 	n.countBytes(call.Message)
 	answer, err := n.opt.Send(ctx, call.Addr, call.Message)
@@ -124,7 +126,7 @@
 	n.reportChanges()
 }
 
-// Serve answers a shuffle. Failure: Invalid.
+// Serve answers the shuffle of another node; errs.Invalid if its sender is not valid.
 func (n *Node) Serve(_ context.Context, m Message) (Message, error) {
 	if !m.From.isValid() {
 		return Message{}, errs.Field(errs.Invalid, "from", "must be a node with its name and address")
@@ -140,7 +142,7 @@
 // reportChanges logs the changes of the directory and passes its addresses to Options.OnControlPlanes.
 func (n *Node) reportChanges() {
 	n.mu.Lock()
-	defer n.mu.Unlock() // the order of two changes is kept
+	defer n.mu.Unlock() // after the calls below, so that those of two changes keep their order
 	changes := n.core.Changes()
 	for _, change := range changes {
 		_ = level.Info(n.opt.Logger).Log("msg", "control plane changed", "change", change.Kind,
@@ -151,13 +153,14 @@
 	}
 }
 
+// countBytes adds the length of a message that is sent to the metric.
 func (n *Node) countBytes(m Message) {
-	if raw, err := json.Marshal(m); err == nil {
-		n.bytes.Add(float64(len(raw)))
+	if encoded, err := json.Marshal(m); err == nil {
+		n.bytes.Add(float64(len(encoded)))
 	}
 }
 
-// Nodes returns the nodes known, as Core.Nodes does.
+// Nodes returns the nodes known now, see Core.Nodes.
 func (n *Node) Nodes() []MemberStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/shuffle.go
+++ b/internal/membership/shuffle.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Call is a message to be sent to Addr. Its outcome is passed to HandleAnswer or HandleFailure under ID.
+// Call is a message to be sent to Addr. Its outcome is passed to HandleAnswer or HandleFailure under ID, once.
 type Call struct {
 	ID   uint64
 	Addr string
 	Message
 }
 
-// pendingCall is a call that has no answer yet.
+// pendingCall is a call without an outcome yet.
 type pendingCall struct {
-	name        string // of the neighbour called, "" for a seed that is no neighbour
+	name        string // of the neighbour called; empty for a seed that is no neighbour
 	isSeedVisit bool
-	sample      []string // the neighbours that it carried
+	sample      []string // names of the neighbours in its message
 	sentAt      time.Duration
 }
 
-// newShuffle makes the call of a shuffle to an address; to is the neighbour there, nil if none is known.
+// newShuffle returns the call of a shuffle with the node at addr, and keeps it as pending. to is the neighbour there;
+// nil: none is known.
 func (c *Core) newShuffle(now time.Duration, addr string, to *neighbour) Call {
 	call := &pendingCall{sentAt: now}
 	if to != nil {
@@ -39,7 +40,8 @@
 	return Call{c.lastCallID, addr, m}
 }
 
-// newMessage returns a message for the node named to, and the names of the neighbours in it.
+// newMessage returns a new version of this node in a message for the node named to, and the names of the neighbours in
+// its sample. Each call raises the heartbeat.
 func (c *Core) newMessage(now time.Duration, to string) (m Message, sample []string) {
 	c.self.Heartbeat++
 	m = Message{From: c.self, Leaving: c.leaving}
@@ -62,7 +64,8 @@
 	return m, sample
 }
 
-// HandleShuffle handles an incoming message and returns the answer.
+// HandleShuffle applies the message of another node and returns the answer, which is made before the message is
+// applied. Its From must be valid; every other invalid part of it is ignored.
 func (c *Core) HandleShuffle(now time.Duration, m Message) Message {
 	c.Counters.Received++
 	c.expire(now)
@@ -76,7 +79,7 @@
 	return answer
 }
 
-// HandleAnswer handles the answer to the call id. Ages in it are counted from when the call was sent.
+// HandleAnswer applies the answer m to the call id. An id without a pending call, as after it has expired, is ignored.
 func (c *Core) HandleAnswer(now time.Duration, id uint64, m Message) {
 	call := c.pending[id]
 	if call == nil {
@@ -88,15 +91,16 @@
 	}
 	if e := findByName(c.neighbours, call.name); e != nil {
 		if m.From.Name != call.name {
-			c.addTombstone(e, false) // another node is at its address
+			c.addTombstone(e, false) // another node answers at its address
 		}
-		// Its place is freed for the nodes in its answer: it has just received some of ours.
+		// Its place is freed for the nodes in its answer, as it has just received some of this node's.
 		c.neighbours = slices.DeleteFunc(c.neighbours, func(other *neighbour) bool { return other == e })
 	}
 	c.mergeAnswer(now, call.sentAt, m, call.sample)
 }
 
-// HandleFailure records that the call id failed: the node that was called is suspected.
+// HandleFailure records that the call id failed: the neighbour that was called becomes suspected, and is removed unless
+// a newer version of it comes within SuspectTimeout. An id without a pending call is ignored.
 func (c *Core) HandleFailure(now time.Duration, id uint64) {
 	call := c.pending[id]
 	if call == nil {
@@ -107,15 +111,15 @@
 	if call.isSeedVisit {
 		c.missSeedVisit()
 	}
-	// A version sent since the call clears it.
+	// A version that the neighbour sent since the call proves that it lives.
 	if e := findByName(c.neighbours, call.name); e != nil && !e.suspected && e.sentAt < call.sentAt {
 		e.suspected, e.suspectSince = true, now
 		c.Counters.Suspects++
 	}
 }
 
-// Leave returns the last calls of this node, which announce its departure to some control-plane nodes and neighbours.
-// Their outcomes need not be passed on; Tick returns no calls any more.
+// Leave returns the last calls of this node, which announce its departure to some control-plane nodes and neighbours:
+// at most ShuffleLength. Their outcomes are ignored, and Tick returns no calls any more.
 func (c *Core) Leave(now time.Duration) (calls []Call) {
 	c.leaving = true
 	m, _ := c.newMessage(now, "")
