--- a/internal/raft/config.go
+++ b/internal/raft/config.go
@@ -7,21 +7,26 @@
 	"crosstide/internal/errs"
 )
 
-// Config is fixed for the life of a Core. Zero fields take the defaults.
+// Config is fixed for the life of a Core; ID is required, other zero fields take their defaults. The times must be the
+// same on all members: the lease of one counts on the election time-out of the others.
 type Config struct {
-	ID                 string
-	ElectionTimeout    time.Duration // least silence before a campaign, twice that at most; default 1s
-	HeartbeatInterval  time.Duration // default ElectionTimeout/10
-	LeaseDuration      time.Duration // under ElectionTimeout by more than clocks drift apart; default 7/10 of it
-	MaxAppendBytes     int           // of one append; default 1 MiB; one entry always fits
-	MaxInflightAppends int           // unanswered appends to one follower; default 64
-	Seed               uint64        // of the random part of the election time-out
+	ID string // of this member
+	// ElectionTimeout is the least time without a leader before a node campaigns; the random part adds up to as much
+	// again. Default: 1s.
+	ElectionTimeout   time.Duration
+	HeartbeatInterval time.Duration // default: ElectionTimeout/10
+	// LeaseDuration is shorter than ElectionTimeout by more than two clocks can drift apart in that time. Default:
+	// 7/10 of it.
+	LeaseDuration      time.Duration
+	MaxAppendBytes     int    // bytes of entries in one append, which has one entry at least; default 1 MiB
+	MaxInflightAppends int    // appends to one member that await their reply; default 64
+	Seed               uint64 // of the random part of the election time-out
 }
 
 // defaultMaxInflight is the default of Config.MaxInflightAppends.
 const defaultMaxInflight = 64
 
-// withDefaults fills in the defaults and validates the settings. Failure: Settings.
+// withDefaults returns cfg with its defaults filled in; errs.Settings if it is invalid.
 func (cfg Config) withDefaults() (Config, error) {
 	cfg.ElectionTimeout = cmp.Or(cfg.ElectionTimeout, time.Second)
 	cfg.HeartbeatInterval = cmp.Or(cfg.HeartbeatInterval, cfg.ElectionTimeout/10)
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -7,13 +7,13 @@
 	"crosstide/internal/errs"
 )
 
-// configuration is a member set and the index of the entry (or snapshot) that brought it.
+// configuration is a member set and the index of the entry, or of the snapshot, that it is from.
 type configuration struct {
 	index   uint64
 	members []Member
 }
 
-// configurationOf decodes and validates the set of a Members entry.
+// configurationOf decodes and validates the set of a Members entry. Failures: Damaged, Invalid.
 func configurationOf(e Entry) (configuration, error) {
 	conf := configuration{index: e.Index}
 	if err := json.Unmarshal(e.Data, &conf.members); err != nil {
@@ -22,27 +22,29 @@
 	return conf, errs.Pass(validateMembers(conf.members), "members at index %d", e.Index)
 }
 
-// configurationsOf collects the member sets among entries.
-func configurationsOf(entries []Entry) (out []configuration, err error) {
+// configurationsOf returns the member sets among entries, in order.
+func configurationsOf(entries []Entry) ([]configuration, error) {
+	var configurations []configuration
 	for _, e := range entries {
-		if e.Kind == Members {
-			conf, err := configurationOf(e)
-			if err != nil {
-				return nil, errs.Pass(err, "entries")
-			}
-			out = append(out, conf)
+		if e.Kind != Members {
+			continue
 		}
+		conf, err := configurationOf(e)
+		if err != nil {
+			return nil, errs.Pass(err, "entries")
+		}
+		configurations = append(configurations, conf)
 	}
-	return out, nil
+	return configurations, nil
 }
 
-// DecodeMembers returns the member set that a Members entry brings.
+// DecodeMembers returns the member set of a Members entry. Failures: Damaged if it is no JSON, Invalid.
 func DecodeMembers(e Entry) ([]Member, error) {
 	conf, err := configurationOf(e)
 	return conf.members, errs.Pass(err, "decode")
 }
 
-// validateMembers checks a member set by itself.
+// validateMembers checks a member set by itself: its IDs are unique, and it has a voter. Failure: Invalid.
 func validateMembers(members []Member) error {
 	seen := make(map[string]bool, len(members))
 	voters := 0
@@ -69,15 +71,16 @@
 	return Member{}, false
 }
 
+// isVoter reports whether the member with the ID is a voter.
 func isVoter(members []Member, id string) bool {
 	m, ok := findMember(members, id)
 	return ok && !m.Learner
 }
 
-// latestConfiguration is the set in force. Only a node that has one may call it, as a leader has.
+// latestConfiguration returns the set in force. A node without one, as only a blank follower is, must not call it.
 func (c *Core) latestConfiguration() configuration { return c.configurations[len(c.configurations)-1] }
 
-// members is the set in force; nil if none is known.
+// members returns the set in force; nil if none is known.
 func (c *Core) members() []Member {
 	if len(c.configurations) == 0 {
 		return nil
@@ -85,16 +88,16 @@
 	return c.latestConfiguration().members
 }
 
-// clearBlank ends blankness once a committed set names this node a learner: no vote under its ID can have been
-// forgotten, as learners have none.
+// clearBlank clears HardState.Blank once a committed set names this node a learner: as learners have no vote, none
+// that was cast under its ID can have been forgotten.
 func (c *Core) clearBlank(members []Member) {
 	if m, ok := findMember(members, c.cfg.ID); ok && m.Learner && c.hardState.Blank {
 		c.hardState.Blank, c.hardStateChanged = false, true
 	}
 }
 
-// CommittedMembers returns the newest member set that is known here to be committed, and the index of its entry; none
-// on a node that began empty and has not caught up.
+// CommittedMembers returns the newest member set that this node knows to be committed, and the index of its entry;
+// zero and nil on a node that began empty and has received no snapshot yet.
 func (c *Core) CommittedMembers() (index uint64, members []Member) {
 	if len(c.configurations) == 0 {
 		return 0, nil
@@ -102,7 +105,8 @@
 	return c.configurations[0].index, slices.Clone(c.configurations[0].members)
 }
 
-// MemberSince returns the index of the oldest set known here, committed or not, that has this node; 0 if none has.
+// MemberSince returns the index of the oldest known set, committed or not, that has this node as a member; 0 if none
+// has.
 func (c *Core) MemberSince() uint64 {
 	for _, conf := range c.configurations {
 		if _, ok := findMember(conf.members, c.cfg.ID); ok {
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -8,40 +8,41 @@
 	"crosstide/internal/errs"
 )
 
-// never is before every time.
+// never is a time before every other: no message was acknowledged, no lease held.
 const never = time.Duration(-1 << 62)
 
-// Core is one node's part in the consensus. Its owner is the goroutine of the runtime that calls it; make it with New.
+// Core is one node's part in the consensus. It has no lock: its owner, the runtime, makes one call at a time. The
+// argument now of its methods is a reading of the runtime's clock; an older one than before counts as the newest.
 type Core struct {
 	cfg    Config
-	random *rand.Rand    // draws only election time-outs
+	random *rand.Rand    // draws election time-outs only
 	now    time.Duration // the newest time passed in
 	role   Role
 
-	hardState HardState // changes set hardStateChanged
+	hardState HardState // whoever changes it sets hardStateChanged
 	log       memoryLog
-	// configurations holds the newest committed member set and those after it; the last is in force. Empty on a node
-	// that began with an empty folder and has received no snapshot.
+	// configurations has the newest committed member set and those after it, in order of index; the last is in force.
+	// It is empty on a node that began with an empty folder and has received no snapshot.
 	configurations []configuration
 	snapshot       Meta   // newest durable snapshot, at or before applied
 	commit         uint64 // never decreases
-	applied        uint64 // last index handed out as committed, at most commit
-	firstUnstable  uint64 // first index not handed out for storing
-	// refused counts messages that contradict what is committed here. It must stay 0: anything else is a fault of a
-	// disk or of the code.
+	applied        uint64 // last index that a Ready has handed out as committed; at most commit
+	firstUnstable  uint64 // first index of the log that no Ready has handed out for storing
+	// refused counts messages that contradict what is committed here, and invalid member sets. It must stay 0:
+	// anything else is a defect of a disk or of the code.
 	refused uint64
 
 	leader     string // of the term; empty: unknown
-	leaderAddr string // also known where the members here do not name the leader
+	leaderAddr string // from a snapshot offer or from the member sets; empty: unknown
 	election   electionState
-	leadership leaderState // valid while role is Leader
+	leadership leaderState // valid while role is Leader, zero otherwise
 	fetch      snapshotFetch
 
 	output
 }
 
-// New makes a core from what the disk had. now is the time on the runtime's clock. The node keeps the promise that it
-// may have made to a leader before it was restarted, and campaigns soon after: on a cold start nobody leads.
+// New returns a follower with what the disk had when the process started. It stays sticky to the leader that it may
+// have acknowledged before the restart, and campaigns soon after that: on a cold start there is no leader to wait for.
 // Failures: Settings for an invalid Config, Damaged for an InitialState that no run could have stored.
 func New(cfg Config, initial InitialState, now time.Duration) (*Core, error) {
 	cfg, err := cfg.withDefaults()
@@ -84,8 +85,9 @@
 	return c, nil
 }
 
-// Tick moves the time on: heartbeats, check-quorum and campaigns. Call it four times per heartbeat interval: all it
-// does may be late by one such step, which the lease allows for.
+// Tick does what is due at now: a leader makes heartbeats due, steps down without a majority (check-quorum) and
+// abandons a transfer that took too long; another node campaigns at its ElectionDeadline. It is called four times per
+// heartbeat interval. All that it does may be late by that much, which the lease allows for.
 func (c *Core) Tick(now time.Duration) {
 	c.advanceClock(now)
 	if c.role == Leader {
@@ -102,9 +104,11 @@
 	}
 }
 
+// advanceClock moves the time to now, never back.
 func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// becomeFollower makes the node a follower in the term; the leader may be unknown.
+// becomeFollower makes the node a follower of leader, which is empty if unknown, in a term that is not older than its
+// own.
 func (c *Core) becomeFollower(term uint64, leader string) {
 	if term > c.hardState.Term {
 		c.hardState.Term, c.hardState.Vote, c.hardState.Leader, c.hardStateChanged = term, "", "", true
@@ -121,7 +125,8 @@
 	c.role, c.leader, c.election.votes, c.leadership = Follower, leader, nil, leaderState{}
 }
 
-// commitTo raises the commit index; a member set that is committed by it ends the role of those before it.
+// commitTo raises the commit index to at most the last index of the log. Member sets before one that is committed by
+// it are dropped.
 func (c *Core) commitTo(to uint64) {
 	if to <= c.commit {
 		return
@@ -133,8 +138,9 @@
 	}
 }
 
-// Entries returns committed entries from an index on, about limitBytes of them but one at least; none if from is not
-// committed yet. Failure: Unknown if they are compacted; a snapshot is needed then. Example:
+// Entries returns the committed entries from an index on, up to limitBytes but one at least; none if from is not
+// committed yet. They must not be changed. Failure: Unknown if from is compacted, so that a snapshot is needed.
+// Example:
 //
 //	entries, err := core.Entries(applied+1, 1<<20)
 func (c *Core) Entries(from uint64, limitBytes int) ([]Entry, error) {
@@ -144,14 +150,14 @@
 	return c.log.sliceUpTo(from, c.commit, limitBytes), nil
 }
 
-// Compact removes entries up to index from memory, never beyond the newest durable snapshot. Keep a tail (call it with
-// less than the snapshot's index), so that followers a little behind need no snapshot.
+// Compact removes the entries up to index from memory, as far as a durable snapshot has them and a Ready has handed
+// them out. An index below the snapshot's keeps a tail, so that members a little behind need no snapshot.
 func (c *Core) Compact(index uint64) {
 	c.log.compact(min(index, c.snapshot.Index, c.applied, c.firstUnstable-1))
 }
 
-// replaceEntries stores entries in the log in place of those at and after the first one's index; false if they bring a
-// member set that is invalid.
+// replaceEntries puts entries into the log in place of those at and after the index of the first. It reports false,
+// and leaves the log as it is, if a member set among them is invalid.
 func (c *Core) replaceEntries(entries []Entry) bool {
 	configurations, err := configurationsOf(entries)
 	if err != nil {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -8,44 +8,46 @@
 
 // electionState is what a node that does not lead needs for elections; its owner is Core.
 type electionState struct {
-	// lastLeaderContact is when a live leader was last heard. A start counts as contact, as a promise made before it
-	// may be forgotten.
+	// lastLeaderContact is the time of the last message of a leader. The start of the process counts as one: the node
+	// may have acknowledged a leader just before it.
 	lastLeaderContact time.Duration
-	deadline          time.Duration   // of the next campaign
+	deadline          time.Duration   // when the node campaigns, unless it hears of a leader before
 	votes             map[string]bool // granted to this node by member, its own included; nil unless it campaigns
-	afterTransfer     bool            // the campaign was asked for by the leader
+	afterTransfer     bool            // the leader asked for the campaign (TimeoutNow)
 }
 
-// ElectionDeadline is when a node that does not lead needs its next Tick, unless a message puts that off.
+// ElectionDeadline returns when a node that does not lead campaigns: it needs a Tick then. Any other call may change
+// it.
 func (c *Core) ElectionDeadline() time.Duration { return c.election.deadline }
 
-// jitter draws a time below limit.
+// jitter draws a random time below limit.
 func (c *Core) jitter(limit time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(limit)))
 }
 
-// resetElectionTimer sets the next campaign to one to two election time-outs from now.
+// resetElectionTimer puts the next campaign off to between one and two election time-outs from now.
 func (c *Core) resetElectionTimer() {
 	c.election.deadline = c.now + c.cfg.ElectionTimeout + c.jitter(c.cfg.ElectionTimeout)
 }
 
-// promotable reports whether the node may campaign: a voter of the set in force, or of one before it that may still be
-// the committed one. The latter matters when only this node has the entry that removes it: nobody else can win.
-// It counts by the set in force also then, that is without itself.
+// promotable reports whether the node may campaign: it is a voter of the set in force, or of one before it that may
+// still be the committed one. Without the latter nobody could win when this node alone has the entry that removes it.
+// Votes are counted by the set in force in any case, then without its own.
 func (c *Core) promotable() bool {
 	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
 		return isVoter(conf.members, c.cfg.ID)
 	})
 }
 
-// leaderStickiness is how long after a message of a leader a node votes for nobody else: the leader's lease, and a
+// leaderStickiness returns how long after a message of a leader a node votes for nobody else: the leader's lease and a
 // margin for clocks that drift apart.
 func (c *Core) leaderStickiness() time.Duration {
 	return c.cfg.LeaseDuration + (c.cfg.ElectionTimeout-c.cfg.LeaseDuration)/3
 }
 
-// isStickyToLeader reports whether this node must not vote for a candidate yet, as the leader may count on its lease.
-// The promise is made to the leader of the term: once that one asks for votes itself, it leads no more.
+// isStickyToLeader reports whether this node must not vote for a candidate yet, as the leader of the term may still
+// have its lease. If the candidate is that leader, it has lost its leadership, and the node is not sticky. A leader is
+// sticky to itself.
 func (c *Core) isStickyToLeader(candidate string) bool {
 	if c.role == Leader {
 		return true
@@ -53,9 +55,9 @@
 	return c.now < c.election.lastLeaderContact+c.leaderStickiness() && candidate != c.hardState.Leader
 }
 
-// releaseStickiness handles a request for a pre-vote by the leader of the term, who leads no more: the promise to it is
-// invalid. It was restarted, mostly with everybody else, and cannot win if it had not stored its newest entries yet; a
-// node that has them campaigns soon.
+// releaseStickiness ends the stickiness to the leader of the term if m, a request for a pre-vote, is from it: it was
+// restarted and leads no more. If its newest entries were lost with its power it cannot win, so this node campaigns
+// soon if it has them: on a cold start nobody else would before the election time-out.
 func (c *Core) releaseStickiness(m Message) {
 	if m.Term <= c.hardState.Term || m.From != c.hardState.Leader || c.role == Leader {
 		return
@@ -66,8 +68,8 @@
 	}
 }
 
-// majority returns the highest value that a majority of the voters reaches; zero without voters.
-func majority[T cmp.Ordered](members []Member, valueOf func(id string) T) (out T) {
+// majority returns the highest value that a majority of the voters has reached; the zero value without voters.
+func majority[T cmp.Ordered](members []Member, valueOf func(id string) T) T {
 	var buffer [9]T // no allocation for the usual number of voters
 	values := buffer[:0]
 	for _, m := range members {
@@ -76,13 +78,14 @@
 		}
 	}
 	if len(values) == 0 {
-		return out
+		var zero T
+		return zero
 	}
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
 }
 
-// hasMajority reports whether a majority granted its vote.
+// hasMajority reports whether a majority of the voters has granted its (pre-)vote to this node.
 func (c *Core) hasMajority() bool {
 	return majority(c.members(), func(id string) int {
 		if c.election.votes[id] {
@@ -92,7 +95,8 @@
 	}) == 1
 }
 
-// startPreVote asks the voters whether they would vote for this node. It starts no term, so it is repeated soon.
+// startPreVote asks the voters whether they would vote for this node. As it raises no term, it disturbs nobody and is
+// repeated within a heartbeat interval.
 func (c *Core) startPreVote() {
 	c.role, c.leader, c.leaderAddr = PreCandidate, "", ""
 	c.election.afterTransfer = false
@@ -105,7 +109,7 @@
 	c.requestVotes(PreVote, c.hardState.Term+1)
 }
 
-// startElection starts a campaign in a new term. The requests are sent once the vote for itself is synced.
+// startElection starts a campaign in a new term. The requests are sent once the node's vote for itself is synced.
 func (c *Core) startElection(afterTransfer bool) {
 	c.role, c.leader = Candidate, ""
 	c.election.afterTransfer = afterTransfer
@@ -120,7 +124,7 @@
 	c.requestVotes(Vote, c.hardState.Term)
 }
 
-// requestVotes asks all other voters: for a vote after the sync, for a pre-vote, which promises nothing, at once.
+// requestVotes asks all other voters: for a vote after the sync, for a pre-vote at once, as it promises nothing.
 func (c *Core) requestVotes(kind Kind, term uint64) {
 	for _, m := range c.members() {
 		if m.ID == c.cfg.ID || m.Learner {
@@ -142,7 +146,7 @@
 	return m.PrevTerm > lastTerm || m.PrevTerm == lastTerm && m.PrevIndex >= c.log.last()
 }
 
-// onPreVote answers whether this node would vote for the sender.
+// onPreVote answers whether this node would vote for the sender in m.Term. A blank node does not answer.
 func (c *Core) onPreVote(m Message) {
 	if c.hardState.Blank {
 		return
@@ -155,7 +159,7 @@
 	}
 }
 
-// onPreVoteReply counts a pre-vote, and starts the election with a majority of them.
+// onPreVoteReply counts a granted pre-vote, and starts the election once a majority has granted one.
 func (c *Core) onPreVoteReply(m Message) {
 	if m.Reject && m.Term > c.hardState.Term {
 		c.becomeFollower(m.Term, "")
@@ -166,7 +170,8 @@
 	}
 }
 
-// onVote votes for the sender, unless this node voted otherwise in the term or has the newer log.
+// onVote votes for the sender, unless this node has voted for or followed another one in the term, or has the newer
+// log.
 func (c *Core) onVote(m Message) {
 	canVote := c.hardState.Vote == "" && c.hardState.Leader == "" || c.hardState.Vote == m.From
 	if !canVote || !c.isUpToDate(m) {
@@ -181,7 +186,7 @@
 	c.reply(m, Message{Kind: VoteReply})
 }
 
-// onVoteReply counts a vote, and makes the node leader with a majority of them.
+// onVoteReply counts a granted vote, and makes the node the leader once a majority has granted one.
 func (c *Core) onVoteReply(m Message) {
 	if c.role != Candidate || m.Reject {
 		return
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -1,8 +1,8 @@
 package raft
 
-// onLeaderMessage handles an append or snapshot of the term's leader.
+// onLeaderMessage handles an append or a snapshot offer of the leader of this node's term, and follows it.
 func (c *Core) onLeaderMessage(m Message) {
-	if c.role == Leader { // a term has one leader
+	if c.role == Leader { // two leaders in a term: must never happen
 		c.refused++
 		return
 	}
@@ -16,19 +16,20 @@
 	}
 }
 
-// onAppend stores the entries of an append and answers how far the log now equals the leader's.
+// onAppend stores the entries of an append that are missing or differ, and answers up to which index the log equals
+// the leader's. A malformed append is dropped.
 func (c *Core) onAppend(m Message) {
 	if !m.isWellFormed() {
 		return
 	}
 	match := m.PrevIndex + uint64(len(m.Entries))
-	if m.PrevIndex < c.commit { // what is committed is the same in every leader's log
+	if m.PrevIndex < c.commit { // the committed entries are the same in every leader's log: skip them
 		if match <= c.commit {
 			c.reply(m, Message{Kind: AppendReply, Match: c.commit, PrevIndex: m.PrevIndex})
 			return
 		}
-		known := c.commit - m.PrevIndex
-		m.PrevIndex, m.PrevTerm, m.Entries = c.commit, m.Entries[known-1].Term, m.Entries[known:]
+		committed := c.commit - m.PrevIndex
+		m.PrevIndex, m.PrevTerm, m.Entries = c.commit, m.Entries[committed-1].Term, m.Entries[committed:]
 	}
 	if term, ok := c.log.term(m.PrevIndex); !ok || term != m.PrevTerm {
 		c.rejectAppend(m, ok)
@@ -46,8 +47,8 @@
 	c.reply(m, Message{Kind: AppendReply, Match: match, PrevIndex: m.PrevIndex})
 }
 
-// rejectAppend answers an append whose PrevIndex is missing here or, if it is in the log, of another term. The hint
-// lets the leader go back by a whole term at a time.
+// rejectAppend answers an append whose PrevIndex is missing in the log or, with inLog, has another term there. Its
+// hint lets the leader go back by a whole term at a time.
 func (c *Core) rejectAppend(m Message, inLog bool) {
 	hint := c.log.last()
 	if inLog {
--- a/internal/raft/initialstate.go
+++ b/internal/raft/initialstate.go
@@ -7,26 +7,27 @@
 	"crosstide/internal/errs"
 )
 
-// InitialState is what the disk had when the process started.
+// InitialState is what the disk had when the process started. The zero value is that of an empty data folder.
 type InitialState struct {
 	HardState HardState
-	Snapshot  Meta
-	Entries   []Entry
+	Snapshot  Meta    // newest durable snapshot; zero: none
+	Entries   []Entry // the stored log, without a gap; it may begin before the snapshot
 }
 
 // Bootstrap returns the initial state of every bootstrap member at the first start of a fleet: the snapshot of the
-// empty state at index 1, term 1, with the members in order of ID; the log begins at index 2. All must pass the same
-// set. The runtime stores the snapshot as its first durable one (the body is the empty state), so that a later node can
-// fetch it. Example:
+// empty state at index 1, term 1, with the members in order of ID; the log begins at index 2. All members must be
+// given the same set. The runtime stores the snapshot as its first durable one (the body is the empty state), so that
+// a later node can fetch it. Example:
 //
 //	core, err := raft.New(cfg, raft.Bootstrap(settings.Members), now)
 func Bootstrap(members []Member) InitialState {
-	ms := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-	return InitialState{HardState: HardState{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: ms}}
+	sorted := slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
+	return InitialState{HardState: HardState{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: sorted}}
 }
 
-// loadEntries puts the stored entries after the snapshot into the log. Entries that the snapshot contradicts are
-// invalid: the stored log is to be reset. Failure: Damaged.
+// loadEntries puts the stored entries after the snapshot into the log. If they end before the snapshot or contradict
+// it, the log stays empty and the next Ready resets the stored one. Failure: Damaged if they have a gap, a term that
+// decreases or an invalid member set.
 func (c *Core) loadEntries(entries []Entry) error {
 	snapshot := c.snapshot
 	if i := slices.IndexFunc(entries, func(e Entry) bool { return e.Index >= snapshot.Index }); i < 0 {
@@ -53,7 +54,7 @@
 	c.configurations = append(c.configurations, configurations...)
 	c.log.entries = slices.Clone(entries)
 	c.firstUnstable = c.log.last() + 1
-	if c.hardState.Term < term { // the vote of that term was never synced, so it was never sent
+	if c.hardState.Term < term { // a vote in that term was not synced, so it was not sent: it may be cast again
 		c.hardState = HardState{Term: term, Blank: c.hardState.Blank}
 		c.hardStateChanged = true
 	}
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// leaderState is what only a leader has; its owner is Core, and becomeFollower ends it.
+// leaderState is what only a leader has; its owner is Core. becomeLeader makes it, becomeFollower clears it.
 type leaderState struct {
-	progress      map[string]*progress // of every other member in force, learners included
-	synced        uint64               // own entries of the term that are durable here
-	firstIndex    uint64               // of the term's Noop; nothing is confirmed before it is committed
+	progress      map[string]*progress // of every other member of the set in force, learners included
+	synced        uint64               // newest entry of the own term that is durable here
+	firstIndex    uint64               // of the term's Noop: until it is committed there are no lease reads
 	nextHeartbeat time.Duration
-	// caughtUpIndex is the commit index of two heartbeats ago at least: a member that has it is caught up.
+	// caughtUpIndex is a commit index from at least one heartbeat interval ago: a member that has it is caught up.
 	caughtUpIndex     uint64
 	commitAtHeartbeat uint64 // commit index at the last heartbeat, the next caughtUpIndex
-	// awaitOwnSync: the vote for itself may not be durable yet, so nothing may be sent.
+	// awaitOwnSync is set while the vote for itself may not be durable yet: nothing may be sent.
 	awaitOwnSync bool
 
-	transferee       string        // the voter that leadership is transferred to; empty: none
-	transferDeadline time.Duration // the transfer is abandoned then
-	timeoutNowSent   bool          // the transferee may campaign: no lease any more in this term
+	transferee       string        // the voter to which leadership is transferred; empty: none
+	transferDeadline time.Duration // when the transfer is abandoned; valid with a transferee
+	timeoutNowSent   bool          // the transferee may campaign: this leader has no lease any more in its term
 }
 
-// becomeLeader makes the node the leader of its term. With awaitOwnSync it sends nothing before its own sync: no other
-// node voted, so its term may not be durable yet.
+// becomeLeader makes the node the leader of its term, and appends the term's Noop. With awaitOwnSync it sends nothing
+// before its own sync: it won without the vote of another node, so its term may not be durable anywhere yet.
 func (c *Core) becomeLeader(awaitOwnSync bool) {
 	c.role, c.leader, c.election.votes = Leader, c.cfg.ID, nil
 	c.hardState.Leader, c.hardStateChanged = c.cfg.ID, true
@@ -39,7 +39,7 @@
 	c.updateProgress()
 }
 
-// updateProgress makes the tracked members match the members in force.
+// updateProgress tracks the other members of the set in force, and no one else.
 func (c *Core) updateProgress() {
 	for _, conf := range c.configurations {
 		if m, ok := findMember(conf.members, c.cfg.ID); ok {
@@ -60,13 +60,14 @@
 	}
 }
 
-// appendOwn appends an entry of the own term.
+// appendOwn appends an entry of the own term to the log; the next Ready sends it and hands it out for storing.
 func (c *Core) appendOwn(kind EntryKind, data json.RawMessage) {
 	entry := Entry{Term: c.hardState.Term, Index: c.log.last() + 1, Kind: kind, Data: data}
 	c.log.entries = append(c.log.entries, entry)
 }
 
-// tickLeader steps down without a majority (check-quorum), ends a transfer that took too long, and makes heartbeats
+// tickLeader steps down if no majority answered within an election time-out (check-quorum) or if a transferee that was
+// asked to campaign has not won in time. It abandons a transfer that took too long before that, and makes heartbeats
 // due.
 func (c *Core) tickLeader() {
 	l := &c.leadership
@@ -100,11 +101,11 @@
 	}
 }
 
-// LeaderTerm reports whether this node leads, and in which term.
+// LeaderTerm returns the term of this node, and reports whether it leads in it.
 func (c *Core) LeaderTerm() (term uint64, ok bool) { return c.hardState.Term, c.role == Leader }
 
-// LastContact returns when this leader last received a message of a member; before the first one, when it began to send
-// to it. ok is false on a node that does not lead and for a node that is no member.
+// LastContact returns when this leader last received a reply of a member; before the first one, when it began to track
+// it. ok is false on a node that does not lead, and for an ID that is no member's.
 func (c *Core) LastContact(now time.Duration, id string) (at time.Duration, ok bool) {
 	c.advanceClock(now)
 	if c.role != Leader {
@@ -120,8 +121,9 @@
 	return p.lastContact, true
 }
 
-// Synced reports that the entries up to index, the last one of term, are durable here. Only then does a leader count
-// itself. Entries of an older term need no count: they are committed through one of the leader's own.
+// Synced tells the core that the entries up to index, whose last one is of term, are durable here. Only then does a
+// leader count itself for them. A report of another term than the leader's changes nothing: older entries are
+// committed through one of the leader's own.
 func (c *Core) Synced(now time.Duration, index, term uint64) {
 	c.advanceClock(now)
 	l := &c.leadership
@@ -133,8 +135,8 @@
 	c.advanceCommit()
 }
 
-// advanceCommit commits the entries that a majority has stored, if they are of the leader's own term. A leader that is
-// no voter any more steps down once that is committed.
+// advanceCommit commits the entries that a majority of the voters has stored, once one of the leader's own term is
+// among them. A leader that is no voter any more steps down once the set without it is committed.
 func (c *Core) advanceCommit() {
 	stored := majority(c.members(), func(id string) uint64 {
 		if p := c.leadership.progress[id]; p != nil {
@@ -151,10 +153,10 @@
 	}
 }
 
-// stepDownAfterRemoval ends the leadership of a node whose removal is committed, and lets a voter with the whole log
-// campaign at once.
+// stepDownAfterRemoval ends the leadership of a node whose removal is committed, and asks a voter that has the whole
+// log to campaign at once, so that nobody waits for an election time-out.
 func (c *Core) stepDownAfterRemoval(members []Member) {
-	c.sendAppends() // the others learn of the commit
+	c.sendAppends() // with the commit index that commits the removal
 	for _, m := range members {
 		if p := c.leadership.progress[m.ID]; !m.Learner && p != nil && p.match == c.log.last() {
 			c.leadership.transferee = m.ID
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// leaseUntil is the end of the leader's lease, never if there is none. It counts from the send of the newest message
-// that a majority answered: each of them votes for nobody else for longer than that (see leaderStickiness).
+// leaseUntil returns the end of the leader's lease; never if it has none. The lease counts from the time at which the
+// newest message that a majority has answered was sent: each of them votes for nobody else for longer than
+// LeaseDuration after it received that message (see leaderStickiness).
 func (c *Core) leaseUntil() time.Duration {
 	if c.leadership.timeoutNowSent {
 		return never
@@ -20,9 +21,9 @@
 	return quorumAcked + c.cfg.LeaseDuration
 }
 
-// LeaseReadIndex returns the commit index that is safe to read at: no other leader can have committed more at the time
-// now. ok is false unless this node leads, has its lease at now and has committed an entry of its own term.
-// Example:
+// LeaseReadIndex returns the commit index at which a linearizable read may be answered: no other leader can have
+// committed more at now. ok is false unless this node leads, has its lease at now, and has committed an entry of its
+// own term. Example:
 //
 //	if commit, ok := core.LeaseReadIndex(now); ok && applied >= commit { answer() }
 func (c *Core) LeaseReadIndex(now time.Duration) (commit uint64, ok bool) {
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -8,11 +8,12 @@
 	"crosstide/internal/errs"
 )
 
-// ProposeMembers appends a new member set. It may differ from the present one in one voter: a learner that is caught up
-// is promoted, or a voter is removed or made a learner. A new machine is added as a learner first. Learners come and go
-// freely. Status().Match shows their progress.
-// Failures: NotLeader; Unavailable while another change is not committed, before the first commit of the term, or when
-// the promoted learner is not caught up; Invalid for a set that is rejected.
+// ProposeMembers appends a new member set, which is in force at once, and returns the index and the term of its entry.
+// The set may differ from the one before it in one voter: a caught-up learner is promoted, or a voter is removed or
+// made a learner. A new machine is added as a learner first; any number of learners may be added and removed.
+// Status.Match has their progress. Failures: NotLeader; Unavailable while another change is not committed, before the
+// first commit of the term, while leadership is transferred, or if the promoted learner is not caught up; Invalid for
+// any other set.
 func (c *Core) ProposeMembers(now time.Duration, next []Member) (index, term uint64, err error) {
 	c.advanceClock(now)
 	if err := c.checkProposable(); err != nil {
@@ -35,12 +36,12 @@
 	c.appendOwn(Members, data)
 	c.configurations = append(c.configurations, configuration{c.log.last(), slices.Clone(next)})
 	c.updateProgress()
-	c.advanceCommit() // fewer voters may be a majority already
+	c.advanceCommit() // the voters that are left may be a majority already
 	return c.log.last(), c.hardState.Term, nil
 }
 
-// checkMemberChange checks that next differs from the present set in one voter at most: two majorities of such sets
-// always have a voter in common.
+// checkMemberChange checks that next differs from the set in force in one voter at most: any two majorities of such
+// sets have a voter in common.
 func (c *Core) checkMemberChange(next []Member) error {
 	changed := 0
 	for _, m := range c.members() {
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// checkCaughtUp checks that a node can become a voter: it is a learner that has nearly the whole log. A voter that is
-// far behind would stop commits until it has caught up if another voter failed.
+// checkCaughtUp checks that a node may become a voter: it is a learner that has nearly the whole log. If another voter
+// failed, one that is far behind would stop commits until it has caught up.
 func (c *Core) checkCaughtUp(id string) error {
 	p := c.leadership.progress[id]
 	if p == nil {
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Kind names a message.
+// Kind is the kind of a message.
 type Kind string
 
-// The kinds of messages. Those named Reply answer the kind before them.
+// The kinds of messages. A kind named Reply answers the kind before it.
 const (
 	PreVote       Kind = "prevote"
 	PreVoteReply  Kind = "prevote_reply"
@@ -18,24 +18,28 @@
 	TimeoutNow    Kind = "handover" // leadership transfer: campaign at once, the leader has ended its lease
 )
 
-// Message goes between two cores. It may be lost, duplicated, delayed or reordered.
+// Message goes from one core to another. It may be lost, duplicated, delayed or reordered. The fields after Term
+// belong to the kinds that their comments name.
 type Message struct {
-	Kind      Kind          `json:"k"`
-	From      string        `json:"f"`
-	To        string        `json:"o"`
-	Term      uint64        `json:"t"`           // pre-vote: the term it would campaign in
-	PrevIndex uint64        `json:"i,omitempty"` // (pre-)vote: last of the log; append: before Entries; reply: echoed
-	PrevTerm  uint64        `json:"p,omitempty"` // the term of PrevIndex
-	Entries   []Entry       `json:"e,omitempty"`
-	Commit    uint64        `json:"c,omitempty"`
-	Sent      time.Duration `json:"s,omitempty"` // clock of the leader at the send; echoed
-	Match     uint64        `json:"m,omitempty"` // the log equals the leader's up to here, synced
-	Hint      uint64        `json:"h,omitempty"` // rejected append: the newest index that may be equal
-	Reject    bool          `json:"r,omitempty"`
-	Force     bool          `json:"w,omitempty"` // vote after a transfer: ignore the old leader's lease
-	Blank     bool          `json:"b,omitempty"` // reply: see HardState.Blank
-	Meta      *Meta         `json:"n,omitempty"` // snapshot
-	Addr      string        `json:"a,omitempty"` // snapshot: where to fetch the body
+	Kind Kind   `json:"k"`
+	From string `json:"f"` // ID of the sender
+	To   string `json:"o"` // ID of the receiver
+	Term uint64 `json:"t"` // of the sender; PreVote and a granted PreVoteReply: the term of the campaign to come
+
+	// PrevIndex is the last index of the candidate's log (PreVote, Vote), the one before Entries (Append), or that of
+	// the append that is answered (AppendReply).
+	PrevIndex uint64        `json:"i,omitempty"`
+	PrevTerm  uint64        `json:"p,omitempty"` // term of the entry at PrevIndex
+	Entries   []Entry       `json:"e,omitempty"` // Append
+	Commit    uint64        `json:"c,omitempty"` // Append: commit index of the leader
+	Sent      time.Duration `json:"s,omitempty"` // Append, Snapshot: clock of the leader; a reply echoes it
+	Match     uint64        `json:"m,omitempty"` // AppendReply, SnapshotReply: equal to the leader's log up to it, synced
+	Hint      uint64        `json:"h,omitempty"` // rejecting AppendReply: newest index at which the logs may be equal
+	Reject    bool          `json:"r,omitempty"` // replies
+	Force     bool          `json:"w,omitempty"` // Vote after a transfer: the old leader has ended its lease
+	Blank     bool          `json:"b,omitempty"` // replies: HardState.Blank of the sender
+	Meta      *Meta         `json:"n,omitempty"` // Snapshot: the snapshot on offer
+	Addr      string        `json:"a,omitempty"` // Snapshot: where its body is fetched
 }
 
 // isWellFormed reports whether the entries of an append follow each other without a gap, in terms that never decrease.
--- a/internal/raft/propose.go
+++ b/internal/raft/propose.go
@@ -7,8 +7,9 @@
 	"crosstide/internal/errs"
 )
 
-// Propose appends data as Normal entries first.. of term; they are committed once Ready hands them out with that term.
-// Failures: NotLeader (Hint: the leader's address), Unavailable while leadership is transferred. Example:
+// Propose appends each data as a Normal entry, and returns the index of the first and their term. An entry is
+// committed once a Ready hands it out in CommittedEntries; another term at that index means that it is lost. Failures:
+// NotLeader (its Hint is the leader's address), Unavailable while leadership is transferred. Example:
 //
 //	first, term, err := core.Propose(now, a, b) // a is entry first, b is first+1
 func (c *Core) Propose(now time.Duration, data ...json.RawMessage) (first, term uint64, err error) {
@@ -23,8 +24,8 @@
 	return first, c.hardState.Term, nil
 }
 
-// checkProposable is NotLeader unless this node leads, and Unavailable while it transfers its leadership: entries
-// appended then would keep the transferee from having the whole log.
+// checkProposable returns NotLeader unless this node leads, and Unavailable while it transfers its leadership: with
+// entries appended then, the transferee might never have the whole log.
 func (c *Core) checkProposable() error {
 	if c.role != Leader {
 		return errs.Pass(c.notLeader(), "not the leader")
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// notLeader returns the failure of a call that only the leader takes.
+// notLeader returns the error of a call that only the leader accepts.
 func (c *Core) notLeader() error {
 	err := errs.New(errs.NotLeader, "%s is %s in term %d", c.cfg.ID, c.role, c.hardState.Term)
 	errs.Of(err).Hint = c.leaderAddress()
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -1,31 +1,32 @@
 package raft
 
-// Ready is the output since the last Ready.
+// Ready is what the runtime has to do since the last Ready. Its slices must not be changed.
 type Ready struct {
-	HardState *HardState // to store, if not nil
-	// ResetLog: every stored entry is invalid, as a snapshot took their place. To be done before Entries are stored.
+	HardState *HardState // to be stored; nil: it has not changed
+	// ResetLog is set if every stored entry is invalid, as a snapshot replaces them: they are removed before Entries
+	// are stored.
 	ResetLog bool
-	// Entries are to be stored, in place of the stored entries at and after Entries[0].Index.
+	// Entries are to be stored in place of the stored entries at and after Entries[0].Index.
 	Entries  []Entry
-	Messages []Message // may be sent before the sync
+	Messages []Message // may be sent at once
 	// MessagesAfterSync may be sent only once HardState, ResetLog and Entries are synced.
 	MessagesAfterSync []Message
 	Commit            uint64 // the commit index
-	// CommittedEntries are newly committed, in order, each once; after a start from the snapshot on. They may not be
-	// synced here yet.
+	// CommittedEntries are to be applied: each committed entry once, in order, after a start from the snapshot on.
+	// They may not be synced here yet.
 	CommittedEntries []Entry
-	Fetch            *FetchSnapshot // nil: nothing to fetch
+	Fetch            *FetchSnapshot // nil: nothing is to be fetched
 }
 
-// FetchSnapshot asks the runtime to fetch a snapshot body at the address From, at or after Meta, to sync and apply it
-// and to call SnapshotInstalled with the Meta of what it received. It is repeated from time to time: a fetch that runs
-// already is left to run.
+// FetchSnapshot asks the runtime to fetch the body of a snapshot at or after Meta, to sync and apply it, and to call
+// SnapshotInstalled with the Meta of what it received. The request is repeated from time to time; a fetch that runs
+// already continues.
 type FetchSnapshot struct {
 	Meta Meta
-	From string
+	From string // address of the leader
 }
 
-// output is what the next Ready will hand out, besides entries. Every step adds to it; only Ready empties it.
+// output is what the next Ready hands out, besides entries. Any call may add to it; only Ready empties it.
 type output struct {
 	hardStateChanged  bool
 	logReset          bool
@@ -34,7 +35,8 @@
 	fetchRequest      *FetchSnapshot
 }
 
-// Ready takes all pending output. Call it after each burst of calls.
+// Ready returns the pending output, and the caller must carry out all of it. It is called after each burst of calls:
+// a leader makes its appends here, so that a burst of proposals is one append to each member.
 func (c *Core) Ready() Ready {
 	if c.role == Leader {
 		c.sendAppends()
@@ -59,8 +61,8 @@
 	return r
 }
 
-// recordCommit puts the commit index into the hard state that is stored with entries, as they are synced anyway. It
-// stays below them: were they torn, older ones that were never committed would stand in their place.
+// recordCommit puts the commit index into the hard state whenever entries are stored, as those are synced in any case.
+// It stays below them: if their write is torn, older entries that were never committed may still be in their place.
 func (c *Core) recordCommit(stored []Entry) {
 	if len(stored) == 0 {
 		return
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,6 +1,6 @@
 package raft
 
-// sendAppends makes the appends that are due. Everything proposed since the last one goes together.
+// sendAppends makes the messages that are due to each member. What was proposed since the last call goes together.
 func (c *Core) sendAppends() {
 	if c.leadership.awaitOwnSync {
 		return
@@ -12,9 +12,9 @@
 	}
 }
 
-// sendTo sends a member what is due: pipelined appends, one probe, or the offer of a snapshot.
+// sendTo sends what is due to a member: pipelined appends, one probe, or the offer of a snapshot.
 func (c *Core) sendTo(id string, p *progress) {
-	if p.state == stateReplicate && p.next <= c.log.offset { // compacted meanwhile
+	if p.state == stateReplicate && p.next <= c.log.offset { // the next entry was compacted
 		p.startProbe(p.next)
 	}
 	for p.state == stateReplicate && p.next <= c.log.last() && len(p.inflight) < c.cfg.MaxInflightAppends {
@@ -31,38 +31,39 @@
 		c.offerSnapshot(id)
 		p.state, p.paused = stateSnapshot, true
 	default:
-		bytes := c.cfg.MaxAppendBytes
-		if c.now >= p.lastContact+c.cfg.ElectionTimeout { // away: do not send the same entries at every heartbeat
-			bytes = 0
+		limitBytes := c.cfg.MaxAppendBytes
+		if c.now >= p.lastContact+c.cfg.ElectionTimeout { // unreachable: not the same entries at every heartbeat
+			limitBytes = 0
 		}
 		p.state = stateProbe
-		c.sendAppend(id, p, bytes)
+		c.sendAppend(id, p, limitBytes)
 		p.paused = true
 	}
 	p.heartbeatDue = false
 }
 
-// sendAppend makes one append from p.next on, empty if bytes is 0, and returns the number of entries.
-func (c *Core) sendAppend(id string, p *progress, bytes int) uint64 {
+// sendAppend sends one append from p.next on, of up to limitBytes (0: without entries), and returns the number of its
+// entries.
+func (c *Core) sendAppend(id string, p *progress, limitBytes int) uint64 {
 	m := Message{Kind: Append, From: c.cfg.ID, To: id, Term: c.hardState.Term, PrevIndex: p.next - 1,
 		Commit: c.commit, Sent: c.now}
 	m.PrevTerm, _ = c.log.term(m.PrevIndex)
-	if bytes > 0 {
-		m.Entries = c.log.sliceUpTo(p.next, c.log.last(), bytes)
+	if limitBytes > 0 {
+		m.Entries = c.log.sliceUpTo(p.next, c.log.last(), limitBytes)
 	}
 	p.sentCommit, p.heartbeatDue = c.commit, false
 	c.messages = append(c.messages, m)
 	return uint64(len(m.Entries))
 }
 
-// offerSnapshot tells a member that is behind the log in memory where to fetch the newest snapshot.
+// offerSnapshot offers the newest durable snapshot to a member that needs entries which are compacted.
 func (c *Core) offerSnapshot(id string) {
 	meta := c.snapshot
 	c.messages = append(c.messages, Message{Kind: Snapshot, From: c.cfg.ID, To: id, Term: c.hardState.Term,
 		Sent: c.now, Meta: &meta, Addr: c.leaderAddr})
 }
 
-// onReply handles the answer to an append or snapshot of this term.
+// onReply handles the reply to an append or to a snapshot offer of this leader's term.
 func (c *Core) onReply(m Message) {
 	p := c.leadership.progress[m.From]
 	if p == nil || m.Match > c.log.last() {
@@ -93,8 +94,8 @@
 	}
 }
 
-// onReject goes back to the index that the member hinted at. A rejection that arrived out of order, or of an index that
-// was found equal since, is stale and changes nothing.
+// onReject continues with a probe at the index of the member's hint. A rejection that arrived out of order, or that
+// concerns an index at which the logs were found equal since, is stale and changes nothing.
 func (p *progress) onReject(m Message) {
 	isStale := m.PrevIndex <= p.match
 	switch p.state {
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// snapshotFetch is the fetch that a follower has asked its runtime for; its owner is Core. The zero value: none.
+// snapshotFetch is the fetch that a follower has requested from its runtime; its owner is Core. The zero value is
+// none.
 type snapshotFetch struct {
 	meta Meta
 	from string        // address
-	at   time.Duration // when it was asked for last
+	at   time.Duration // of the last request
 }
 
-// onSnapshot handles the leader's offer of a snapshot. While a fetch of the same one runs, it is only repeated from
-// time to time, as the runtime may have failed at it.
+// onSnapshot handles the leader's offer of a snapshot. The request for the same one is repeated only after an election
+// time-out, as the runtime may have failed to fetch it.
 func (c *Core) onSnapshot(m Message) {
 	if m.Meta == nil || validateMembers(m.Meta.Members) != nil {
 		return
@@ -31,11 +32,12 @@
 		c.fetch = snapshotFetch{meta: meta, from: m.Addr, at: c.now}
 		c.fetchRequest = &FetchSnapshot{Meta: meta, From: m.Addr}
 	}
-	c.reply(m, Message{Kind: SnapshotReply}) // alive, and busy with it
+	c.reply(m, Message{Kind: SnapshotReply}) // counts as contact while the fetch runs
 }
 
-// SnapshotInstalled reports that the snapshot meta is synced and applied here in place of the state before.
-// One at or before the commit index changes nothing: the runtime must then not apply it.
+// SnapshotInstalled tells the core that a fetched snapshot is synced and applied here in place of the state before it.
+// One at or before the commit index changes nothing here, and the runtime must not apply it either. Entries that the
+// snapshot contradicts are dropped; the next Ready resets the stored log.
 func (c *Core) SnapshotInstalled(now time.Duration, meta Meta) {
 	c.advanceClock(now)
 	c.fetch.meta, c.fetch.from, c.fetchRequest = Meta{}, "", nil
@@ -67,7 +69,8 @@
 	}
 }
 
-// SnapshotPersisted sets the newest durable snapshot of this node; it is offered to followers behind the log.
+// SnapshotPersisted tells the core that a snapshot of this node's own state is durable. Members behind the log in
+// memory are offered it. One that is not newer, or that is past what was applied, is ignored.
 func (c *Core) SnapshotPersisted(meta Meta) {
 	if meta.Index > c.snapshot.Index && meta.Index <= c.applied && validateMembers(meta.Members) == nil {
 		c.snapshot = meta
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Status is a view of a core for operators and the runtime.
+// Status is the state of a core for operators and the runtime.
 type Status struct {
 	ID         string            `json:"id"`
 	Role       Role              `json:"role"`
@@ -16,13 +16,13 @@
 	Last       uint64            `json:"last"`  // last entry of the log, committed or not
 	First      uint64            `json:"first"` // first entry in memory
 	Members    []Member          `json:"members"`
-	Match      map[string]uint64 `json:"match,omitempty"` // leader: durable entries by member
-	LeaseUntil time.Duration     `json:"lease_until"`     // leader; 0 without a lease
-	Voter      bool              `json:"voter"`           // counted here, and not blank
-	Refused    uint64            `json:"refused"`         // see Core; must stay 0
+	Match      map[string]uint64 `json:"match,omitempty"` // leader: last durable index by member
+	LeaseUntil time.Duration     `json:"lease_until"`     // leader: on its clock; 0 without a lease
+	Voter      bool              `json:"voter"`           // in the set in force, and not blank
+	Refused    uint64            `json:"refused"`         // messages that contradict what is committed: must stay 0
 }
 
-// Status returns a view of the node; its maps and slices are the caller's own.
+// Status returns the state of the node. Its maps and slices are copies.
 func (c *Core) Status() Status {
 	s := Status{
 		ID:         c.cfg.ID,
@@ -47,7 +47,7 @@
 	return s
 }
 
-// leaderAddress is the address of the leader; empty if unknown.
+// leaderAddress returns the address of the leader; empty if unknown.
 func (c *Core) leaderAddress() string {
 	if m, ok := findMember(c.members(), c.leader); ok && c.leader != "" {
 		return m.Addr
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Step handles a message of another core. What is malformed or not for this node is dropped.
+// Step handles a message of another core. One that is malformed, not for this node or of an unknown kind is dropped.
 func (c *Core) Step(now time.Duration, m Message) {
 	c.advanceClock(now)
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || m.From == "" {
 		return
 	}
-	switch m.Kind { // pre-votes start no term, so they are handled before the terms are compared
+	switch m.Kind { // pre-votes raise no term, so they are handled before the terms are compared
 	case PreVote:
 		c.onPreVote(m)
 		return
@@ -66,13 +66,14 @@
 	}
 }
 
-// reply answers m: once the pending changes are synced, or at once for a pre-vote, which promises nothing.
-func (c *Core) reply(m, r Message) {
-	r.From, r.To, r.Sent, r.Blank = c.cfg.ID, m.From, m.Sent, c.hardState.Blank
-	r.Term = cmp.Or(r.Term, c.hardState.Term)
-	if r.Kind == PreVoteReply {
-		c.messages = append(c.messages, r)
+// reply sends answer to the sender of m: at once for a pre-vote, which promises nothing, otherwise once the pending
+// changes are synced. Its Term is the node's unless it is set.
+func (c *Core) reply(m, answer Message) {
+	answer.From, answer.To, answer.Sent, answer.Blank = c.cfg.ID, m.From, m.Sent, c.hardState.Blank
+	answer.Term = cmp.Or(answer.Term, c.hardState.Term)
+	if answer.Kind == PreVoteReply {
+		c.messages = append(c.messages, answer)
 	} else {
-		c.messagesAfterSync = append(c.messagesAfterSync, r)
+		c.messagesAfterSync = append(c.messagesAfterSync, answer)
 	}
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -6,9 +6,10 @@
 	"crosstide/internal/errs"
 )
 
-// TransferLeadership lets a voter take over, once it has the whole log. Until then proposals are rejected; the leader
-// ends its lease when it asks the other to campaign. The transfer is abandoned after one election time-out.
-// Failures: NotLeader, Unavailable while one runs, Invalid if to is not another voter.
+// TransferLeadership asks the voter with the ID to to campaign once it has the whole log, and rejects proposals until
+// then. The leader ends its lease when it asks. After one election time-out it abandons the transfer, or steps down if
+// it has asked already. Failures: NotLeader, Unavailable while a transfer is pending, Invalid if to is not another
+// voter.
 func (c *Core) TransferLeadership(now time.Duration, to string) error {
 	c.advanceClock(now)
 	if err := c.checkProposable(); err != nil {
@@ -22,7 +23,8 @@
 	return nil
 }
 
-// sendTimeoutNow asks the transferee to campaign if it has the whole log.
+// sendTimeoutNow asks the transferee to campaign if it has the whole log. The lease ends first: from then on the
+// transferee may win at any moment.
 func (c *Core) sendTimeoutNow() {
 	l := &c.leadership
 	if p := l.progress[l.transferee]; p != nil && p.match == c.log.last() && !p.blank {
