--- a/internal/raft/interleaving_test.go
+++ b/internal/raft/interleaving_test.go
@@ -9,12 +9,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// forEveryChoice runs f with each sequence of choices; f asks choose(n) for a number below n.
-func forEveryChoice(f func(choose func(n int) int)) (runs int) {
+// forEveryChoice calls play with each sequence of choices, and returns how many there are. play calls choose(n) for a
+// number below n.
+func forEveryChoice(play func(choose func(n int) int)) (runs int) {
 	var picks, sizes []int
 	for {
 		at := 0
-		f(func(n int) int {
+		play(func(n int) int {
 			if at == len(picks) {
 				picks, sizes = append(picks, 0), append(sizes, n)
 			}
@@ -32,68 +33,94 @@
 	}
 }
 
-// runInterleaving runs two candidates and an append among three nodes; the first choices are delivered or lost as chosen.
-func runInterleaving(choose func(int) int, depth int) (bad string, led bool) {
-	w := newWorld(1, "a", "b", "c")
-	var pool []Message
-	drain := func() {
-		for _, n := range w.nodes {
-			r := n.core.Ready()
-			pool = append(append(pool, r.Messages...), r.MessagesAfterSync...)
-			if a := r.Entries; len(a) > 0 {
-				n.core.Synced(n.zero+3*time.Second, a[len(a)-1].Index, a[len(a)-1].Term)
-			}
-			term, leads := n.core.hardState.Term, n.core.role == Leader
-			if l, ok := w.leaders[term]; leads && !ok {
-				w.leaders[term] = n.id
-				_, _, _ = n.core.Propose(n.zero+3*time.Second, json.RawMessage(`"`+n.id+`"`))
-			} else if leads && l != n.id {
-				bad = "two leaders in a term"
-			}
+// interleaving is three nodes at 3 s, two of which campaign, and the messages that are not delivered yet.
+type interleaving struct {
+	*world
+	messages []Message
+}
+
+// drain takes the output of all nodes, syncs it at once and lets a new leader propose an entry.
+func (w *interleaving) drain() {
+	for _, n := range w.nodes {
+		r := n.core.Ready()
+		w.messages = append(append(w.messages, r.Messages...), r.MessagesAfterSync...)
+		if entries := r.Entries; len(entries) > 0 {
+			last := entries[len(entries)-1]
+			n.core.Synced(w.clockOf(n), last.Index, last.Term)
+		}
+		term, leads := n.core.hardState.Term, n.core.role == Leader
+		if leader, ok := w.leaders[term]; leads && !ok {
+			w.leaders[term] = n.id
+			_, _, _ = n.core.Propose(w.clockOf(n), json.RawMessage(`"`+n.id+`"`))
+		} else if leads && leader != n.id {
+			w.fail("two leaders in a term")
 		}
 	}
-	w.nodes[0].core.Tick(w.nodes[0].zero + 3*time.Second)
-	w.nodes[1].core.Tick(w.nodes[1].zero + 3*time.Second)
-	drain()
-	for step := 0; len(pool) > 0 && step < 200; step++ {
-		i := 0
-		if step < depth {
-			i = choose(min(len(pool), 4) + 1)
+}
+
+// checkLogs checks the log matching property for each pair of nodes: below an entry of the same term, and below the
+// commit index of both, their entries are the same.
+func (w *interleaving) checkLogs() {
+	for _, a := range w.nodes {
+		for _, b := range w.nodes {
+			if !logsMatch(a.core, b.core) {
+				w.fail("logs differ")
+			}
 		}
-		m := pool[i%min(len(pool), 4)]
-		lost := step < depth && i == min(len(pool), 4)
-		pool = slices.Delete(pool, i%min(len(pool), 4), i%min(len(pool), 4)+1)
-		if to := w.node(m.To); !lost {
-			to.core.Step(to.zero+3*time.Second, m)
+	}
+}
+
+func logsMatch(a, b *Core) bool {
+	mustMatch := false
+	for i := min(a.log.last(), b.log.last()); i > 1; i-- {
+		ours, theirs := a.log.entries[i-2], b.log.entries[i-2]
+		mustMatch = mustMatch || ours.Term == theirs.Term || i <= min(a.commit, b.commit)
+		if mustMatch && !isSame(ours, theirs) {
+			return false
 		}
-		drain()
 	}
-	for _, x := range w.nodes {
-		for _, y := range w.nodes {
-			match := false // from an entry of the same term down, all must be equal
-			for i := min(x.core.log.last(), y.core.log.last()); i > 1; i-- {
-				p, q := x.core.log.entries[i-2], y.core.log.entries[i-2]
-				match = match || p.Term == q.Term || i <= min(x.core.commit, y.core.commit)
-				if match && (p.Term != q.Term || string(p.Data) != string(q.Data)) {
-					bad = "logs differ"
-				}
-			}
+	return true
+}
+
+// runInterleaving runs two candidates and an append among three nodes. choose decides which of the next four messages
+// is delivered, or that one is lost, at each of the first depth steps; later ones are delivered in order. It returns
+// the violated invariants, and whether a node became leader.
+func runInterleaving(choose func(int) int, depth int) (failures []string, elected bool) {
+	w := &interleaving{world: newWorld(1, "a", "b", "c")}
+	w.now = 3 * time.Second
+	for _, candidate := range w.nodes[:2] {
+		candidate.core.Tick(w.clockOf(candidate))
+	}
+	w.drain()
+	for step := 0; len(w.messages) > 0 && step < 200; step++ {
+		choices, choice := min(len(w.messages), 4), 0
+		if step < depth {
+			choice = choose(choices + 1)
+		}
+		isLost, i := choice == choices, choice%choices
+		m := w.messages[i]
+		w.messages = slices.Delete(w.messages, i, i+1)
+		if to := w.node(m.To); !isLost {
+			to.core.Step(w.clockOf(to), m)
 		}
+		w.drain()
 	}
-	return bad, len(w.leaders) > 0
+	w.checkLogs()
+	return w.failures, len(w.leaders) > 0
 }
 
 func TestElection_everyInterleaving(t *testing.T) {
 	Convey("Every order and loss of the first messages of two campaigns keeps the invariants of Raft", t, func() {
-		bad, led := "", 0
-		runs := forEveryChoice(func(choose func(int) int) {
-			b, ok := runInterleaving(choose, 6)
-			if bad += b; ok {
-				led++
+		var failures []string
+		elections := 0
+		runs := forEveryChoice(func(choose func(n int) int) {
+			failed, elected := runInterleaving(choose, 6)
+			if failures = append(failures, failed...); elected {
+				elections++
 			}
 		})
-		So(bad, ShouldEqual, "")
+		So(failures, ShouldBeEmpty)
 		So(runs, ShouldBeGreaterThan, 10000)
-		So(led, ShouldBeGreaterThan, runs/4)
+		So(elections, ShouldBeGreaterThan, runs/4)
 	})
 }
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -17,10 +17,11 @@
 		l := w.leader()
 		old := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })]
 		w.crash(old)
-		now := func() time.Duration { return w.now + l.zero }
+		now := func() time.Duration { return w.clockOf(l) }
+		learner := Member{ID: "x", Addr: "x", Learner: true}
 		_, _, err := l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x"}))
 		So(errs.Is(err, errs.Invalid), ShouldBeTrue)
-		_, _, err = l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x", Learner: true}))
+		_, _, err = l.core.ProposeMembers(now(), append(voters("a", "b", "c"), learner))
 		So(err, ShouldBeNil)
 		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c"))
 		So(errs.Is(err, errs.Unavailable), ShouldBeTrue)
@@ -37,18 +38,18 @@
 		So(err, ShouldBeNil)
 		w.run(time.Second, nil)
 		So(l.core.Status().Members, ShouldResemble, rest)
-		w.crash(l) // the new voter and the last one are the majority
+		w.crash(l) // the new voter and the one left are the majority
 		w.run(6*time.Second, nil)
 		So(w.leader(), ShouldNotBeNil)
 		So(w.failures, ShouldBeEmpty)
 	})
-	Convey("A wiped machine under its old ID never votes, also once it has received the members", t, func() {
+	Convey("A wiped machine under its old ID never votes, even once it has received the members", t, func() {
 		w := newWorld(8, "a", "b", "c")
 		w.run(5*time.Second, w.propose)
 		l := w.leader()
-		i := slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })
-		w.nodes[i].disk = InitialState{}
-		w.startNode(w.nodes[i])
+		wiped := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })]
+		wiped.disk = InitialState{}
+		w.startNode(wiped)
 		w.run(time.Second, nil)
 		w.crash(l)
 		w.run(20*time.Second, nil) // a leader would need its vote
@@ -56,7 +57,7 @@
 		w.startNode(l)
 		w.run(5*time.Second, nil)
 		So(w.leader(), ShouldNotBeNil)
-		So(w.nodes[i].core.Status().Voter, ShouldBeFalse)
+		So(wiped.core.Status().Voter, ShouldBeFalse)
 		So(w.failures, ShouldBeEmpty)
 	})
 }
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -33,7 +33,7 @@
 	Entries   []Entry       `json:"e,omitempty"` // Append
 	Commit    uint64        `json:"c,omitempty"` // Append: commit index of the leader
 	Sent      time.Duration `json:"s,omitempty"` // Append, Snapshot: clock of the leader; a reply echoes it
-	Match     uint64        `json:"m,omitempty"` // AppendReply, SnapshotReply: equal to the leader's log up to it, synced
+	Match     uint64        `json:"m,omitempty"` // AppendReply, SnapshotReply: the logs are equal up to it, synced
 	Hint      uint64        `json:"h,omitempty"` // rejecting AppendReply: newest index at which the logs may be equal
 	Reject    bool          `json:"r,omitempty"` // replies
 	Force     bool          `json:"w,omitempty"` // Vote after a transfer: the old leader has ended its lease
--- a/internal/raft/safety_test.go
+++ b/internal/raft/safety_test.go
@@ -18,47 +18,9 @@
 			w.loss = float64(seed%4) * 0.05
 			w.run(16*time.Second, func() {
 				w.propose()
-				n := w.nodes[w.random.IntN(5)]
-				switch w.random.IntN(60) {
-				case 0:
-					if !n.down {
-						w.crash(n)
-					}
-				case 1, 2, 3:
-					if n.down {
-						w.startNode(n)
-					}
-				case 4:
-					for _, n := range w.nodes {
-						w.partition[n.id] = w.random.IntN(2)
-					}
-				case 5, 6:
-					clear(w.partition)
-				case 7:
-					n.slow = time.Duration(w.random.IntN(2)) * 200 * time.Millisecond
-				case 8:
-					if l := w.leader(); l != nil {
-						_ = l.core.TransferLeadership(w.now+l.zero, n.id)
-					}
-				case 9: // remove a voter, or add one again as a learner, or promote it
-					if l := w.leader(); l != nil {
-						next := slices.Clone(l.core.members())
-						if i := slices.IndexFunc(next, func(m Member) bool { return m.ID == n.id }); i < 0 || next[i].Learner {
-							next = append(slices.Delete(next, max(i, 0), max(i, 0)+min(i+1, 1)), Member{ID: n.id, Addr: n.id, Learner: i < 0})
-						} else if len(next) > 3 {
-							next = slices.Delete(next, i, i+1)
-						}
-						_, _, _ = l.core.ProposeMembers(w.now+l.zero, next)
-					}
-				}
+				w.injectFault()
 			})
-			clear(w.partition)
-			w.loss = 0
-			for _, n := range w.nodes {
-				if n.slow = 0; n.down {
-					w.startNode(n)
-				}
-			}
+			w.healAll()
 			w.run(5*time.Second, nil)
 			before := len(w.committed)
 			w.propose()
@@ -77,15 +39,73 @@
 	})
 }
 
+// injectFault causes or ends a random fault, or starts a random operation, in one of six calls.
+func (w *world) injectFault() {
+	n := w.nodes[w.random.IntN(5)]
+	switch w.random.IntN(60) {
+	case 0:
+		if !n.down {
+			w.crash(n)
+		}
+	case 1, 2, 3:
+		if n.down {
+			w.startNode(n)
+		}
+	case 4:
+		for _, n := range w.nodes {
+			w.partition[n.id] = w.random.IntN(2)
+		}
+	case 5, 6:
+		clear(w.partition)
+	case 7:
+		n.slow = time.Duration(w.random.IntN(2)) * 200 * time.Millisecond
+	case 8:
+		if l := w.leader(); l != nil {
+			_ = l.core.TransferLeadership(w.clockOf(l), n.id)
+		}
+	case 9:
+		if l := w.leader(); l != nil {
+			_, _, _ = l.core.ProposeMembers(w.clockOf(l), changedMembers(l.core.members(), n.id))
+		}
+	}
+}
+
+// changedMembers returns the members with the voter id removed, a missing one added as a learner, or a learner promoted.
+// No more than three members are left as they are.
+func changedMembers(members []Member, id string) []Member {
+	next := slices.Clone(members)
+	i := slices.IndexFunc(next, func(m Member) bool { return m.ID == id })
+	switch {
+	case i < 0:
+		return append(next, Member{ID: id, Addr: id, Learner: true})
+	case next[i].Learner:
+		return append(slices.Delete(next, i, i+1), Member{ID: id, Addr: id})
+	case len(next) > 3:
+		return slices.Delete(next, i, i+1)
+	}
+	return next
+}
+
+// healAll ends all faults and starts the nodes that are down.
+func (w *world) healAll() {
+	clear(w.partition)
+	w.loss = 0
+	for _, n := range w.nodes {
+		if n.slow = 0; n.down {
+			w.startNode(n)
+		}
+	}
+}
+
 func TestReplication_stuckLeaderDisk(t *testing.T) {
-	Convey("A leader with a stuck disk commits through the others, 500 proposals in one append", t, func() {
+	Convey("A leader whose disk is stuck commits by the others' votes, 500 proposals in one append", t, func() {
 		w := newWorld(9, "a", "b", "c")
 		w.run(5*time.Second, nil)
 		l := w.leader()
 		l.slow = time.Hour
 		l.core.cfg.MaxAppendBytes = 1 << 20
 		for range 500 {
-			_, _, err := l.core.Propose(w.now+l.zero, json.RawMessage(`1`))
+			_, _, err := l.core.Propose(w.clockOf(l), json.RawMessage(`1`))
 			So(err, ShouldBeNil)
 		}
 		l.core.sendAppends()
@@ -94,7 +114,7 @@
 		w.run(500*time.Millisecond, nil)
 		So(l.core.Status().Commit, ShouldEqual, l.core.Status().Last)
 		So(l.core.Status().Match[l.id], ShouldBeLessThan, l.core.Status().Commit)
-		_, ok := l.core.LeaseReadIndex(w.now + l.zero)
+		_, ok := l.core.LeaseReadIndex(w.clockOf(l))
 		So(ok, ShouldBeTrue)
 		So(w.failures, ShouldBeEmpty)
 	})
