--- a/internal/raft/safety_test.go
+++ b/internal/raft/safety_test.go
@@ -18,7 +18,7 @@
 			w.loss = float64(seed%4) * 0.05
 			w.run(16*time.Second, func() {
 				w.propose()
-				w.injectFault()
+				w.injectFailure()
 			})
 			w.healAll()
 			w.run(5*time.Second, nil)
@@ -39,8 +39,8 @@
 	})
 }
 
-// injectFault causes or ends a random fault, or starts a random operation, in one of six calls.
-func (w *world) injectFault() {
+// injectFailure causes or ends a random failure, or starts a random operation, in one of six calls.
+func (w *world) injectFailure() {
 	n := w.nodes[w.random.IntN(5)]
 	switch w.random.IntN(60) {
 	case 0:
@@ -70,8 +70,8 @@
 	}
 }
 
-// changedMembers returns the members with the voter id removed, a missing one added as a learner, or a learner promoted.
-// No more than three members are left as they are.
+// changedMembers returns the members without the voter id, with id as a learner if it is missing, or with the learner id
+// promoted. No voter is removed from three members.
 func changedMembers(members []Member, id string) []Member {
 	next := slices.Clone(members)
 	i := slices.IndexFunc(next, func(m Member) bool { return m.ID == id })
@@ -86,7 +86,7 @@
 	return next
 }
 
-// healAll ends all faults and starts the nodes that are down.
+// healAll ends all failures and starts the nodes that are down.
 func (w *world) healAll() {
 	clear(w.partition)
 	w.loss = 0
