--- a/internal/raft/safety_test.go
+++ b/internal/raft/safety_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// changedMembers returns the members without the voter id, with id as a learner if it is missing, or with the learner id
-// promoted. No voter is removed from three members.
+// changedMembers returns the members without the voter id, with id as a learner if it is missing, or with the learner
+// id promoted. No voter is removed from three members.
 func changedMembers(members []Member, id string) []Member {
 	next := slices.Clone(members)
 	i := slices.IndexFunc(next, func(m Member) bool { return m.ID == id })
--- a/internal/storage/append.go
+++ b/internal/storage/append.go
@@ -7,13 +7,13 @@
 	"crosstide/internal/errs"
 )
 
-// bufferKept is up to which capacity Append keeps its buffer.
+// bufferKept is the capacity up to which Append keeps its buffer for the next call.
 const bufferKept = maxData / 16
 
-// Append writes records with one write and one sync and returns when they are durable. An entry replaces the one of its
-// index and all after it; it must follow the last entry without a gap and lie past the newest snapshot. Failures:
-// Invalid and TooLarge (nothing was written), Stopped, Disk (a write or sync failed, now or before: end the process, or
-// call Resume if IsFull; what became of the records is unknown). Example:
+// Append writes records with one write and one sync, and returns once they are durable. An entry replaces the one of
+// its index and all after it; it must follow the last entry without a gap and be past the newest snapshot. Failures:
+// Invalid and TooLarge (nothing was written), Stopped, Disk (a write or sync failed, now or before: the records may or
+// may not be there, and the process has to end, or to call Resume if IsFull holds). Example:
 //
 //	err := store.Append([]storage.Record{{Kind: storage.KindHardState, Data: vote}, {Term: 2, Index: 9, Data: order}})
 func (s *Store) Append(records []Record) error {
@@ -32,7 +32,7 @@
 	for _, r := range records {
 		s.buf = appendRecord(s.buf, s.log.active().number, s.log.size, r)
 	}
-	took, err := s.writeLog(s.buf)
+	syncTime, err := s.writeLog(s.buf)
 	if err != nil {
 		return errs.Pass(s.markFailed(err), "append %d records", len(records))
 	}
@@ -45,7 +45,7 @@
 		stats.Syncs++
 		stats.Bytes += uint64(len(s.buf))
 		stats.Records += uint64(len(records))
-		stats.LastSync, stats.LongestSync = took, max(stats.LongestSync, took)
+		stats.LastSync, stats.LongestSync = syncTime, max(stats.LongestSync, syncTime)
 	})
 	if cap(s.buf) > bufferKept {
 		s.buf = nil
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// checkRecords checks that records may be appended: a group that is rejected leaves the log as it was.
+// checkRecords checks a group of records before anything of it is written. The caller holds mu.
 func (s *Store) checkRecords(records []Record) error {
 	last := max(s.log.state.lastIndex(), s.newest.Index)
 	for _, r := range records {
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// writeLog writes to the active segment and syncs it, and returns how long the sync took.
-func (s *Store) writeLog(b []byte) (took time.Duration, err error) {
-	if _, err := s.log.file.Write(b); err != nil {
+// writeLog writes to the active segment and syncs it, and returns how long the sync took. The caller holds mu.
+func (s *Store) writeLog(data []byte) (syncTime time.Duration, err error) {
+	if _, err := s.log.file.Write(data); err != nil {
 		return 0, errs.Wrap(markFull(err), errs.Disk, "write the log")
 	}
-	from := s.clock.Now()
+	start := s.clock.Now()
 	if err := s.log.file.Sync(); err != nil {
 		return 0, errs.Wrap(err, errs.Disk, "sync the log")
 	}
-	return s.clock.Now() - from, nil
+	return s.clock.Now() - start, nil
 }
 
-// kept is what the store keeps of a record in memory: of the hard state a copy, of an entry all but Data.
+// kept returns what the store keeps of a record in memory: a copy of a hard state, an entry without its Data.
 func (r Record) kept() Record {
 	if r.Kind == KindHardState {
 		r.Data = slices.Clone(r.Data)
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -2,20 +2,29 @@
 
 import "io"
 
-// Disk is one folder. Names have no path. A change that is not synced yet may be lost by a crash, or any part of it.
+// Disk is one folder. Names have no path. A crash may lose a change that is not synced yet, or any part of it. Errors
+// are of kind Disk, or those of the operating system, which the store wraps.
 type Disk interface {
-	Create(name string) (File, error) // a new empty file to write; fails when the name is taken
-	Open(name string) (File, error)   // to read from the start
-	List() ([]string, error)          // the names of the files, in any order
+	// Create makes an empty file for writing. It fails if the name is taken.
+	Create(name string) (File, error)
+	// Open opens a file for reading from its start. It fails if there is none.
+	Open(name string) (File, error)
+	// List returns the names of the files, in any order.
+	List() ([]string, error)
+	// Remove removes a file. It fails if there is none.
 	Remove(name string) error
-	Rename(from, to string) error // replaces a file of the new name
-	Sync() error                  // makes creations, removals and renames durable
+	// Rename renames a file, in place of one that has the new name. It is atomic: after a crash either file is there
+	// whole.
+	Rename(from, to string) error
+	// Sync makes the creations, removals and renames before it durable.
+	Sync() error
 }
 
-// File is a file that is either read or written from its start to its end.
+// File is a file that is either read or written, from its start to its end.
 type File interface {
 	io.Reader
 	io.Writer
-	Sync() error // makes the bytes and the length durable
+	// Sync makes the bytes written before it, and the length, durable. What a failed one leaves behind is unknown.
+	Sync() error
 	Close() error
 }
--- a/internal/storage/folder.go
+++ b/internal/storage/folder.go
@@ -8,36 +8,36 @@
 	"crosstide/internal/errs"
 )
 
-// Parts of the names of files.
+// The names of the store's files. They are stored data: they never change.
 const (
-	unfinishedSuffix = ".tmp" // of a file that may not be synced yet
-	segmentPrefix    = "log-" // of a segment, before its number
+	unfinishedSuffix = ".tmp" // ends the name of a file that may not be synced yet
+	segmentPrefix    = "log-" // begins the name of a segment, before its number
 )
 
-// snapshotFileNames are the files of the two snapshots.
+// snapshotFileNames are the names of the files of the two snapshots, which are written in turn.
 var snapshotFileNames = [2]string{"slot-a", "slot-b"}
 
-// folderContents is a folder as it was read.
+// folderContents is a folder as Open reads it.
 type folderContents struct {
-	snapshots     []storedSnapshot // valid ones, newest first
-	snapshotFiles int              // valid or not
+	snapshots     []storedSnapshot // the valid ones, newest first
+	snapshotFiles int              // number of snapshot files, valid or not
 	segments      []storedSegment  // in order of their numbers
-	unfinished    []string         // names of files that a write did not finish
+	unfinished    []string         // names of files whose write did not finish
 }
 
-// storedSnapshot is a valid snapshot and the index of its file in snapshotFileNames.
+// storedSnapshot is a valid snapshot in a file.
 type storedSnapshot struct {
 	Snapshot
-	file int
+	file int // index in snapshotFileNames
 }
 
-// storedSegment is a segment's file, not checked yet.
+// storedSegment is the content of a segment's file, not checked yet.
 type storedSegment struct {
 	number uint64
-	bytes  []byte
+	data   []byte
 }
 
-// scanFolder reads all files of a store in a folder, and ignores others. Failure: Disk.
+// scanFolder reads the files of a store in a folder, and ignores others. Failure: Disk.
 func scanFolder(d Disk) (folder folderContents, err error) {
 	names, err := d.List()
 	if err != nil {
@@ -54,23 +54,24 @@
 		if snapshotFile < 0 && !isSegment {
 			continue
 		}
-		all, err := readFile(d, name)
+		data, err := readFile(d, name)
 		if err != nil {
 			return folder, errs.Pass(err, "look at %s", name)
 		}
 		if isSegment {
-			folder.segments = append(folder.segments, storedSegment{number, all})
+			folder.segments = append(folder.segments, storedSegment{number, data})
 		} else {
-			folder.addSnapshot(all, snapshotFile)
+			folder.addSnapshot(data, snapshotFile)
 		}
 	}
 	return folder, nil
 }
 
-// addSnapshot adds a snapshot's file. One that is not valid is only counted: the other one and the log decide.
-func (f *folderContents) addSnapshot(all []byte, file int) {
+// addSnapshot adds the content of a snapshot's file. An invalid one is only counted: Open may recover from the other
+// one and the log.
+func (f *folderContents) addSnapshot(data []byte, file int) {
 	f.snapshotFiles++
-	snap, err := decodeSnapshot(all)
+	snap, err := decodeSnapshot(data)
 	if err != nil {
 		return
 	}
@@ -81,29 +82,31 @@
 	f.snapshots = slices.Insert(f.snapshots, at, storedSnapshot{snap, file})
 }
 
+// readFile returns the content of a file. Failure: Disk.
 func readFile(d Disk, name string) ([]byte, error) {
 	file, err := d.Open(name)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "open %s", name)
 	}
 	defer file.Close()
-	all, err := io.ReadAll(file)
-	return all, errs.Wrap(err, errs.Disk, "read %s", name)
+	data, err := io.ReadAll(file)
+	return data, errs.Wrap(err, errs.Disk, "read %s", name)
 }
 
-// writeFile writes a file under a temporary name, syncs it, renames it and syncs the folder.
+// writeFile writes a file under a temporary name, syncs it, renames it and syncs the folder: under its own name it is
+// always complete. It returns the file, which is still open for writing.
 func (s *Store) writeFile(name string, parts ...[]byte) (File, error) {
 	file, err := s.disk.Create(name + unfinishedSuffix)
 	if err != nil {
 		return nil, errs.Wrap(markFull(err), errs.Disk, "create %s", name)
 	}
 	bytes := 0
-	for _, p := range parts {
-		if _, err = file.Write(p); err != nil {
+	for _, part := range parts {
+		if _, err = file.Write(part); err != nil {
 			err = markFull(err)
 			break
 		}
-		bytes += len(p)
+		bytes += len(part)
 	}
 	if err == nil {
 		err = file.Sync()
@@ -122,7 +125,7 @@
 	return file, nil
 }
 
-// removeUnfinished removes what a write that found the disk full left of a file under its temporary name, so that it
+// removeUnfinished removes the file under its temporary name that a write left when it found the disk full, so that it
 // takes no space.
 func (s *Store) removeUnfinished(name string) error {
 	names, err := s.disk.List()
@@ -135,7 +138,8 @@
 	return nil
 }
 
-// Clear removes every file of a store from the folder, and only those, and syncs the folder. Failure: Disk.
+// Clear removes the files of a store from a folder, leaves all others, and syncs the folder. No Store may be open on
+// it. Failure: Disk.
 func Clear(d Disk) error {
 	names, err := d.List()
 	if err != nil {
--- a/internal/storage/full.go
+++ b/internal/storage/full.go
@@ -9,18 +9,18 @@
 	"crosstide/internal/errs"
 )
 
-// fullError marks a write that was rejected because the disk or the descriptors are used up. What was synced before is
-// as it was.
+// fullError marks the error of a write that found the disk full or no descriptor left. What was synced before is
+// intact.
 type fullError struct{ error }
 
-// Unwrap returns the write's own error.
+// Unwrap returns the error of the write.
 func (f fullError) Unwrap() error { return f.error }
 
-// fullErrors are the errors of writes that leave all that was synced as it was: no space on the disk, or no descriptor
-// for the file.
+// fullErrors are the errors after which all that was synced is intact: no space on the disk, or no descriptor left.
 var fullErrors = []error{unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE}
 
-// markFull marks the error of a write, not of a sync, for IsFull if it is one of fullErrors.
+// markFull marks an error for IsFull if it is one of fullErrors. It is called with errors of writes, creations and
+// renames, never with that of a sync.
 func markFull(err error) error {
 	if slices.ContainsFunc(fullErrors, func(target error) bool { return errors.Is(err, target) }) {
 		return fullError{err}
@@ -28,9 +28,9 @@
 	return errs.Pass(err, "write")
 }
 
-// IsFull reports whether a failure of Open, Append or WriteSnapshot is a write that was rejected for lack of space on
-// the disk or of descriptors. The process can go on after it: Resume makes the store usable again once there is space.
-// A failed sync is never one: nobody knows what it left behind, so it ends the use of the store for good.
+// IsFull reports whether an error of Open, Append, WriteSnapshot or Resume is that of a write that lacked space on the
+// disk or a descriptor. The process can continue after it: Resume makes the store usable again once there is space. It
+// never holds for a failed sync: what that one left behind is unknown, so the store cannot be used again.
 func IsFull(err error) bool {
 	var full fullError
 	return errors.As(err, &full)
--- a/internal/storage/logstate.go
+++ b/internal/storage/logstate.go
@@ -2,74 +2,77 @@
 
 import "slices"
 
-// logState is the outcome of a sequence of records. Store has the one of its log; reading a folder builds another.
+// logState is what a sequence of records amounts to: the entries and the hard state in force. A Store has that of its
+// log; Open builds it from the records that it reads.
 type logState struct {
-	entries      []Record // those that were not replaced, indexes without a gap
-	hardState    *Record  // the last KindHardState
-	lastSnapshot Record   // the last kindSnapshot
-	compactedTo  uint64   // entries up to here are known only through a snapshot
+	entries      []Record // the entries in force, without a gap in their indexes
+	hardState    *Record  // the last KindHardState; nil: none
+	lastSnapshot Record   // the last kindSnapshot; zero: none
+	compactedTo  uint64   // the entries up to this index are known only through a snapshot
 }
 
-// lastIndex is the index of the newest entry.
-func (t *logState) lastIndex() uint64 {
-	if n := len(t.entries); n > 0 {
-		return max(t.entries[n-1].Index, t.compactedTo)
+// lastIndex returns the index of the newest entry, in the log or in a snapshot.
+func (l *logState) lastIndex() uint64 {
+	if n := len(l.entries); n > 0 {
+		return max(l.entries[n-1].Index, l.compactedTo)
 	}
-	return t.compactedTo
+	return l.compactedTo
 }
 
-// apply applies the next record; false means a gap in the indexes.
-func (t *logState) apply(r Record) bool {
+// apply applies the next record of the log. It reports false, and changes nothing, if an entry leaves a gap in the
+// indexes.
+func (l *logState) apply(r Record) bool {
 	switch r.Kind {
 	case KindHardState:
-		t.hardState = &r
+		l.hardState = &r
 	case kindSnapshot:
-		t.applySnapshot(r)
+		l.applySnapshot(r)
 	default:
-		n := len(t.entries)
-		if n > 0 && r.Index > t.entries[n-1].Index+1 || r.Index == 0 {
+		n := len(l.entries)
+		if n > 0 && r.Index > l.entries[n-1].Index+1 || r.Index == 0 {
 			return false
 		}
-		for n > 0 && t.entries[n-1].Index >= r.Index {
+		for n > 0 && l.entries[n-1].Index >= r.Index {
 			n--
 		}
-		t.entries = append(t.entries[:n], r)
+		l.entries = append(l.entries[:n], r)
 	}
 	return true
 }
 
-// applySnapshot records that a snapshot was written. Entries that include its index with its term stay. Entries that
-// the snapshot contradicts, or that end before it, are removed: it came from another member.
-func (t *logState) applySnapshot(snap Record) {
-	t.lastSnapshot = snap
-	if len(t.entries) > 0 {
-		first := t.entries[0].Index
+// applySnapshot applies the record of a snapshot. Entries stay if one of them has the index and the term of the
+// snapshot, or if all are after it. Otherwise they contradict it or end before it, so it came from another member: they
+// are removed.
+func (l *logState) applySnapshot(snap Record) {
+	l.lastSnapshot = snap
+	if len(l.entries) > 0 {
+		first := l.entries[0].Index
 		if first > snap.Index {
 			return
 		}
-		if at := snap.Index - first; at < uint64(len(t.entries)) && t.entries[at].Term == snap.Term {
+		if at := snap.Index - first; at < uint64(len(l.entries)) && l.entries[at].Term == snap.Term {
 			return
 		}
 	}
-	t.entries, t.compactedTo = nil, max(t.compactedTo, snap.Index)
+	l.entries, l.compactedTo = nil, max(l.compactedTo, snap.Index)
 }
 
 // compact removes the entries up to index. If none is left, the log continues from the snapshot at newest.
-func (t *logState) compact(index, newest uint64) {
-	t.entries = slices.DeleteFunc(t.entries, func(r Record) bool { return r.Index <= index })
-	if len(t.entries) == 0 {
-		t.compactedTo = max(t.compactedTo, newest)
+func (l *logState) compact(index, newest uint64) {
+	l.entries = slices.DeleteFunc(l.entries, func(r Record) bool { return r.Index <= index })
+	if len(l.entries) == 0 {
+		l.compactedTo = max(l.compactedTo, newest)
 	}
 }
 
-// entriesAfter returns the entries after a snapshot at index; false if the log does not follow it without a gap.
-func (t *logState) entriesAfter(index uint64) ([]Record, bool) {
-	if t.compactedTo > index {
+// entriesAfter returns the entries after a snapshot at index; false if there is a gap between it and them.
+func (l *logState) entriesAfter(index uint64) ([]Record, bool) {
+	if l.compactedTo > index {
 		return nil, false
 	}
-	for i, r := range t.entries {
+	for i, r := range l.entries {
 		if r.Index > index {
-			return t.entries[i:], r.Index == index+1
+			return l.entries[i:], r.Index == index+1
 		}
 	}
 	return nil, true
--- a/internal/storage/memdisk.go
+++ b/internal/storage/memdisk.go
@@ -10,23 +10,23 @@
 	"crosstide/internal/errs"
 )
 
-// MemDisk is a Disk in memory that keeps what is synced apart from what is not, for tests and the simulators. It is
-// safe for concurrent use.
+// MemDisk is a Disk in memory for tests and simulators. It keeps what is synced apart from what is not, so that Crash
+// can lose the latter. It is safe for concurrent use.
 type MemDisk struct {
 	mu            sync.Mutex          // guards the fields below, and all inodes and files of the disk
-	live          map[string]*inode   // the files by name, as they are read
-	durable       map[string]*inode   // the files by name, as last synced
-	unsyncedNames []map[string]*inode // the files by name after each change since then
-	incarnation   int                 // counts crashes: files opened before one are invalid
-	failSync      int                 // the n-th sync from now fails; 0: none
-	powerOff      int                 // the n-th change from now and all after it fail; 0: none
+	live          map[string]*inode   // the files by name, as a reader finds them
+	durable       map[string]*inode   // the files by name, as of the last sync of the folder
+	unsyncedNames []map[string]*inode // the files by name after each creation, removal and rename since then
+	incarnation   int                 // counts crashes: files opened before the last one are invalid
+	failSync      int                 // 1: the next sync fails, 2: the one after it, and so on; 0: none
+	powerOff      int                 // 1: the next change and all after it fail, and so on; 0: none
 }
 
-// inode is the contents of a file, which outlive its name.
+// inode is the content of a file, which outlives its name.
 type inode struct {
 	data       []byte
-	durable    int  // bytes that survive a crash
-	syncFailed bool // a sync failed: bytes written before it are never durable, though they can be read
+	durable    int  // how many bytes of data survive a crash
+	syncFailed bool // a sync failed: what was not durable before it never is, though it can be read
 }
 
 // memFile is an open file.
@@ -37,7 +37,7 @@
 	offset      int // of the next read
 }
 
-// NewMemDisk makes an empty folder. Example:
+// NewMemDisk returns an empty folder. Example:
 //
 //	d := storage.NewMemDisk()
 //	store, _, err := storage.Open(d, storage.Options{})
@@ -47,15 +47,16 @@
 	return &MemDisk{live: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// FailSync makes the n-th sync from now fail (1: the next), of a file or of the folder; 0 cancels it.
-// As on Linux, later syncs of that file succeed, yet the bytes it held are not durable.
+// FailSync makes the n-th sync from now (1: the next one), of a file or of the folder, fail; 0 cancels that. As on
+// Linux, later syncs of that file succeed although the bytes are not durable.
 func (d *MemDisk) FailSync(n int) { d.mu.Lock(); defer d.mu.Unlock(); d.failSync = n }
 
-// PowerOff makes the n-th changing call from now and all after it fail until Crash; 0 cancels it.
+// PowerOff makes the n-th change from now (1: the next one) and all after it fail until Crash; 0 cancels that.
 func (d *MemDisk) PowerOff(n int) { d.mu.Lock(); defer d.mu.Unlock(); d.powerOff = n }
 
-// Crash is a power loss: of unsynced bytes a random prefix survives, now and then followed by zeros; of unsynced
-// creations, removals and renames the first few survive. Files open before it fail from now on.
+// Crash is a loss of power: of unsynced bytes a random prefix survives, sometimes followed by zeros; of unsynced
+// creations, removals and renames a random number of the first ones survive. Writes and syncs of files opened before it
+// fail from now on.
 func (d *MemDisk) Crash(r *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +82,7 @@
 	d.durable = maps.Clone(d.live)
 }
 
-// Bytes returns a copy of a file, nil if it is missing.
+// Bytes returns a copy of a file's content; nil if there is no such file.
 func (d *MemDisk) Bytes(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// Put sets a file, synced.
+// Put creates a file, or replaces its content, and makes that durable.
 func (d *MemDisk) Put(name string, data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,26 +103,26 @@
 	}
 }
 
-// Clone copies the folder as it is read now, all synced.
+// Clone returns a copy of the folder as a reader finds it now, with everything durable.
 func (d *MemDisk) Clone() *MemDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := NewMemDisk()
+	clone := NewMemDisk()
 	for name, n := range d.live {
-		out.Put(name, n.data)
+		clone.Put(name, n.data)
 	}
-	return out
+	return clone
 }
 
-// checkWritable counts a changing call; it fails while the power is off and for files opened before a crash. The caller
-// holds mu.
-func (d *MemDisk) checkWritable(recovered int) error {
+// checkWritable counts a change; it fails while the power is off, and for a file of an incarnation before a crash. The
+// caller holds mu.
+func (d *MemDisk) checkWritable(incarnation int) error {
 	if d.powerOff > 1 {
 		d.powerOff--
 	} else if d.powerOff == 1 {
 		return errs.New(errs.Disk, "power is off")
 	}
-	if recovered != d.incarnation {
+	if incarnation != d.incarnation {
 		return errs.New(errs.Disk, "file of an earlier boot")
 	}
 	return nil
@@ -136,13 +137,13 @@
 	return d.failSync == 0
 }
 
-// changeNames runs edit on the live names and records the outcome. The caller holds mu.
+// changeNames lets edit change the names in live, and records them as not synced. The caller holds mu.
 func (d *MemDisk) changeNames(edit func()) {
 	edit()
 	d.unsyncedNames = append(d.unsyncedNames, maps.Clone(d.live))
 }
 
-// Create makes a new file.
+// Create implements Disk.
 func (d *MemDisk) Create(name string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,7 +158,7 @@
 	return &memFile{disk: d, inode: n, incarnation: d.incarnation}, nil
 }
 
-// Open opens a file to read.
+// Open implements Disk.
 func (d *MemDisk) Open(name string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,14 +168,14 @@
 	return &memFile{disk: d, inode: d.live[name], incarnation: d.incarnation}, nil
 }
 
-// List returns the names in order.
+// List implements Disk; the names are sorted.
 func (d *MemDisk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.live)), nil
 }
 
-// Remove removes a name.
+// Remove implements Disk.
 func (d *MemDisk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// Rename renames a file, in place of one that has the new name.
+// Rename implements Disk.
 func (d *MemDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// Sync makes the names durable.
+// Sync implements Disk.
 func (d *MemDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// Read is io.Reader.
+// Read implements io.Reader.
 func (f *memFile) Read(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -229,7 +230,7 @@
 	return n, nil
 }
 
-// Write appends to the file. It is errs.Disk after a crash of the disk and while the power is off.
+// Write appends to the file. It fails after a crash of the disk, and while the power is off.
 func (f *memFile) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -240,8 +241,7 @@
 	return len(p), nil
 }
 
-// Sync makes what was written durable, unless the disk is to fail this sync: then nothing of the file becomes
-// durable any more.
+// Sync implements File, unless FailSync makes it fail.
 func (f *memFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -258,5 +258,5 @@
 	return nil
 }
 
-// Close does nothing.
+// Close implements File; there is nothing to release.
 func (*memFile) Close() error { return nil }
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -7,16 +7,17 @@
 	"crosstide/internal/errs"
 )
 
-// Recovered is what Open read.
+// Recovered is the durable state that Open found.
 type Recovered struct {
-	Snapshot  *Snapshot // the newest snapshot that the log follows; nil if none was ever written
-	Records   []Record  // the last KindHardState if there is one, then the entries after Snapshot, without a gap
+	Snapshot  *Snapshot // the newest snapshot that the log continues; nil if none was ever written
+	Records   []Record  // the hard state if there is one, then the entries after Snapshot, without a gap
 	Fresh     bool      // the folder has no snapshot, no hard state and no entry
-	TornBytes int64     // bytes of a torn tail that were removed
+	TornBytes int64     // length of the torn end of the log that was removed
 }
 
-// Open reads the folder, removes a torn tail and makes the rest durable. Failures: Damaged when data that may have been
-// synced is lost (nothing in the folder was changed; do not use it as a member's disk any more), Disk. Example:
+// Open reads a folder, removes the torn end of its log and makes the rest durable. At most one Store may be open on a
+// folder. Failures: Damaged if data that may have been synced is lost (nothing in the folder was changed, and it must
+// not be used as a member's disk any more), Disk. Example:
 //
 //	store, recovered, err := storage.Open(disk, storage.Options{})
 //	if errs.Is(err, errs.Damaged) {
@@ -34,10 +35,11 @@
 	return s, recovered, nil
 }
 
-// newStore makes a store that is not open yet. Its first snapshot goes to the first file.
+// newStore returns a store that is not open yet. As its newest snapshot counts as in the second file, it writes its
+// first one to the first.
 func newStore(d Disk, clock clock.Clock) *Store { return &Store{disk: d, clock: clock, newestFile: 1} }
 
-// open reads the folder and makes it ready for appends.
+// open is Open without the defaults; Resume opens a second store with it.
 func (s *Store) open() (recovered Recovered, err error) {
 	folder, err := scanFolder(s.disk)
 	if err != nil {
@@ -57,7 +59,8 @@
 	return recovered, errs.Pass(s.rewriteTail(folder, log), "end of the log")
 }
 
-// chooseSnapshot takes the newest snapshot that the log follows, and makes it the store's.
+// chooseSnapshot makes the newest snapshot that the log continues the store's, and brings log to the state with it.
+// Failure: Damaged if there are snapshot files and the log continues none.
 func (s *Store) chooseSnapshot(folder folderContents, log *logState, recovered *Recovered) error {
 	for _, stored := range folder.snapshots {
 		snap, state := stored.Snapshot, *log
@@ -86,8 +89,8 @@
 	return nil
 }
 
-// rewriteTail writes the last segment again, so that what Open returns is durable even if it was read from the page
-// cache after a failed sync or a kill, and removes the files that are not used.
+// rewriteTail writes the last segment again, as what was read of it may come from the page cache, after a failed sync
+// or a kill, and need not be durable. It removes unfinished files and the segments after the torn end.
 func (s *Store) rewriteTail(folder folderContents, log recoveredLog) error {
 	for _, name := range folder.unfinished {
 		if err := s.disk.Remove(name); err != nil {
@@ -104,7 +107,7 @@
 	if err := s.startSegment(last, records); err != nil {
 		return errs.Pass(err, "segment %d", last.number)
 	}
-	for i := range log.droppedSegments { // from the end, so that no gap can stay
+	for i := range log.droppedSegments { // the last one first, so that a crash leaves no gap
 		number := folder.segments[len(folder.segments)-1-i].number
 		if err := s.removeSegment(number); err != nil {
 			return errs.Pass(err, "drop segment %d", number)
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// tailRecords returns the records of the last segment as it is written again: those that were read, with the hard state
-// and the newest snapshot where they lack them.
+// tailRecords returns the records for the last segment when it is written again: those that were read of it, and the
+// hard state and the newest snapshot if they are not among them.
 func (s *Store) tailRecords(tail []Record) []Record {
 	isHardState := func(r Record) bool { return r.Kind == KindHardState }
 	isNewest := func(r Record) bool {
@@ -132,11 +135,11 @@
 	return records
 }
 
-// withoutData returns the entries without their Data, which the store keeps only on the disk.
+// withoutData returns the entries without their Data, which a store has on the disk only.
 func withoutData(entries []Record) []Record {
-	out := slices.Clone(entries)
-	for i := range out {
-		out[i].Data = nil
+	stripped := slices.Clone(entries)
+	for i := range stripped {
+		stripped[i].Data = nil
 	}
-	return out
+	return stripped
 }
--- a/internal/storage/osdisk.go
+++ b/internal/storage/osdisk.go
@@ -14,14 +14,15 @@
 // osDisk is a folder of the operating system.
 type osDisk struct {
 	dir string
-	// folder is dir, opened ahead, so that a process that is out of descriptors can still make a rename durable.
+	// folder is dir, opened in advance, so that a process that is out of descriptors can still make a rename durable.
 	folder *os.File
 }
 
 // osFile is a file of an osDisk.
 type osFile struct{ *os.File }
 
-// OSDisk returns the folder dir, created (and synced in its parent) if it is missing. Failure: Disk. Example:
+// OSDisk returns the folder dir as a Disk. It creates dir, and syncs its parent, if it is missing. Failure: Disk.
+// Example:
 //
 //	disk, err := storage.OSDisk(filepath.Join(data, "store"))
 func OSDisk(dir string) (Disk, error) {
@@ -32,7 +33,7 @@
 	return disk, errs.Pass(err, "folder")
 }
 
-// makeFolder makes the folder, if it is missing, and makes that durable.
+// makeFolder creates the folder if it is missing, and makes that durable. Failure: Disk.
 func makeFolder(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
@@ -50,6 +51,7 @@
 	return errs.Pass(parent.Sync(), "the parent")
 }
 
+// openDisk opens a folder that exists. Failure: Disk.
 func openDisk(dir string) (osDisk, error) {
 	folder, err := os.Open(dir)
 	if err != nil {
@@ -60,7 +62,7 @@
 
 func (d osDisk) path(name string) string { return filepath.Join(d.dir, name) }
 
-// Create makes a new file for writing; a name that is taken is errs.Disk.
+// Create implements Disk.
 func (d osDisk) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -69,7 +71,7 @@
 	return osFile{f}, nil
 }
 
-// Open opens a file for reading.
+// Open implements Disk.
 func (d osDisk) Open(name string) (File, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -78,37 +80,38 @@
 	return osFile{f}, nil
 }
 
-// List returns the names of the regular files, in order.
+// List implements Disk. Its names are sorted, and those of regular files only.
 func (d osDisk) List() ([]string, error) {
 	entries, err := os.ReadDir(d.dir)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "list the folder")
 	}
-	var out []string
+	var names []string
 	for _, e := range entries {
 		if e.Type().IsRegular() {
-			out = append(out, e.Name())
+			names = append(names, e.Name())
 		}
 	}
-	return out, nil
+	return names, nil
 }
 
-// Remove deletes a file.
+// Remove implements Disk.
 func (d osDisk) Remove(name string) error {
 	return errs.Wrap(os.Remove(d.path(name)), errs.Disk, "remove %s", name)
 }
 
-// Rename renames a file, in place of one that has the new name.
+// Rename implements Disk.
 func (d osDisk) Rename(from, to string) error {
 	return errs.Wrap(os.Rename(d.path(from), d.path(to)), errs.Disk, "rename %s to %s", from, to)
 }
 
-// Sync makes the creations, removals and renames in the folder durable.
+// Sync implements Disk.
 func (d osDisk) Sync() error {
 	return errs.Wrap(d.folder.Sync(), errs.Disk, "sync the folder")
 }
 
-// Sync calls fdatasync, which makes the length durable too. After EINTR, which is no failed sync, it is called again.
+// Sync implements File by fdatasync, which makes the length durable too. It repeats the call after EINTR, which does
+// not mean that the sync failed.
 func (f osFile) Sync() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -6,26 +6,26 @@
 	"hash/crc32"
 )
 
-// KindHardState is the kind of a record of the hard state; its Data (term and vote) is the caller's.
+// KindHardState is the kind of a record with the hard state; what its Data means is up to the caller.
 const KindHardState uint8 = 255
 
-// kindSnapshot is the kind of a record that says which snapshot was the newest at that position of the log. Only the
-// store writes it.
+// kindSnapshot is the kind of a record with the index and term of the snapshot that was the newest one when the record
+// was written. Only the store writes it.
 const kindSnapshot uint8 = 254
 
 // maxData bounds the Data of one record, in bytes.
 const maxData = 64 << 20
 
-// Record is one record of the log: an entry (any kind below 254), or KindHardState.
+// Record is one record of the log: an entry, or the hard state.
 type Record struct {
-	Kind        uint8
-	Term, Index uint64 // Index of an entry starts at 1
-	Data        []byte
+	Kind        uint8  // KindHardState, or below 254 for an entry
+	Term, Index uint64 // of an entry; Index starts at 1
+	Data        []byte // the caller's, at most 64 MiB
 }
 
-// The format of a record: magic, checksum, length of Data, kind, term, index, Data.
+// The format of a record on the disk: magic, checksum, length of Data, kind, term, index, Data.
 const (
-	recordMagic      = "\xc7\x1dRc" // starts each record, so that a reader can find one again after damage
+	recordMagic      = "\xc7\x1dRc" // begins each record, so that a reader can find the next one after damage
 	recordHeaderSize = 29           // magic 4, checksum 4, length 4, kind 1, term 8, index 8
 )
 
@@ -34,8 +34,8 @@
 	byteOrder  = binary.LittleEndian
 )
 
-// recordChecksum is the checksum over where the record stands (segment, offset), length, kind, term, index and data. A
-// record that the disk returns from another place is thus invalid.
+// recordChecksum returns the checksum of a record over its position (segment and offset) and rest, which is all after
+// the checksum. So a record that the disk returns from another position is invalid.
 func recordChecksum(segment uint64, offset int, rest []byte) uint32 {
 	var at [16]byte
 	byteOrder.PutUint64(at[:], segment)
@@ -43,7 +43,7 @@
 	return crc32.Update(crc32.Checksum(at[:], castagnoli), castagnoli, rest)
 }
 
-// appendRecord adds r to buf; buf[0] will be written at offset start of the segment.
+// appendRecord appends r in its format to buf, whose first byte is to be at offset start of the segment.
 func appendRecord(buf []byte, segment uint64, start int, r Record) []byte {
 	at := len(buf)
 	buf = append(buf, recordMagic...)
@@ -57,10 +57,10 @@
 	return buf
 }
 
-// recordAt reads the record at offset of a segment; ok is false unless it is complete and its checksum is right. Data
-// is a part of all.
-func recordAt(all []byte, segment uint64, offset int) (r Record, end int, ok bool) {
-	b := all[offset:]
+// recordAt decodes the record at an offset of a segment's content; ok is false unless it is complete and its checksum
+// is right. end is the offset after it. Data is a part of content.
+func recordAt(content []byte, segment uint64, offset int) (r Record, end int, ok bool) {
+	b := content[offset:]
 	if len(b) < recordHeaderSize || string(b[:4]) != recordMagic {
 		return r, offset, false
 	}
@@ -76,26 +76,26 @@
 	return r, offset + len(b), true
 }
 
-// readSegment returns the records up to the first invalid byte, and that offset.
-func readSegment(all []byte, segment uint64) (out []Record, end int) {
-	for end < len(all) {
-		r, next, ok := recordAt(all, segment, end)
+// readSegment returns the records of a segment's content before the first invalid one, and the offset of that.
+func readSegment(content []byte, segment uint64) (records []Record, end int) {
+	for end < len(content) {
+		r, next, ok := recordAt(content, segment, end)
 		if !ok {
 			break
 		}
-		out, end = append(out, r), next
+		records, end = append(records, r), next
 	}
-	return out, end
+	return records, end
 }
 
-// anyRecord reports whether a valid record starts at offset or later.
-func anyRecord(all []byte, segment uint64, offset int) bool {
-	for offset < len(all) {
-		i := bytes.Index(all[offset:], []byte(recordMagic))
+// hasRecord reports whether a valid record begins at an offset of a segment's content or later.
+func hasRecord(content []byte, segment uint64, offset int) bool {
+	for offset < len(content) {
+		i := bytes.Index(content[offset:], []byte(recordMagic))
 		if i < 0 {
 			return false
 		}
-		if _, _, ok := recordAt(all, segment, offset+i); ok {
+		if _, _, ok := recordAt(content, segment, offset+i); ok {
 			return true
 		}
 		offset += i + 1
--- a/internal/storage/recoverlog.go
+++ b/internal/storage/recoverlog.go
@@ -2,38 +2,39 @@
 
 import "crosstide/internal/errs"
 
-// recoveredLog is the log as it was read.
+// recoveredLog is the log as Open reads it, up to its torn end if it has one.
 type recoveredLog struct {
 	state           logState
-	segments        []segment // up to the last valid one
-	tail            []Record  // records of the last valid segment
-	droppedSegments int       // segments after it
-	tornBytes       int64     // bytes after the last valid record
+	segments        []segment // up to the one with the torn end
+	tail            []Record  // the valid records of the last one of segments
+	droppedSegments int       // number of segments in the folder after them
+	tornBytes       int64     // length of the torn end: all bytes after the last valid record
 }
 
-// readLog reads the log up to its first bad byte, which may only be the torn end of the whole log.
+// readLog reads the log up to the first invalid record. Failure: Damaged unless that is a torn write at the end of the
+// log: a gap between segments or entries, a segment without its first records, or valid records after an invalid one.
 func readLog(folder folderContents) (log recoveredLog, err error) {
 	for i, stored := range folder.segments {
 		if i > 0 && stored.number != folder.segments[i-1].number+1 {
 			return log, errs.New(errs.Damaged, "segment %d follows %d", stored.number, folder.segments[i-1].number)
 		}
-		records, end := readSegment(stored.bytes, stored.number)
+		records, end := readSegment(stored.data, stored.number)
 		if err := log.addSegment(stored.number, records); err != nil {
 			return log, errs.Pass(err, "records")
 		}
-		// The first records of a segment were synced before it got its name: no torn write takes them.
-		lost := len(records) == 0 && folder.snapshotFiles > 0 || len(records) == 1 && len(records[0].Data) > 0
-		if i == 0 && lost || len(records) > 0 && records[0].Kind != kindSnapshot {
+		// The first records of a segment were synced before it got its name, so a torn write cannot take them.
+		isHeadLost := len(records) == 0 && folder.snapshotFiles > 0 || len(records) == 1 && len(records[0].Data) > 0
+		if i == 0 && isHeadLost || len(records) > 0 && records[0].Kind != kindSnapshot {
 			return log, errs.New(errs.Damaged, "segment %d lost its start", stored.number)
 		}
-		if end < len(stored.bytes) || len(records) == 0 {
+		if end < len(stored.data) || len(records) == 0 {
 			return log, errs.Pass(log.truncateAt(folder, i, end), "torn end")
 		}
 	}
 	return log, nil
 }
 
-// addSegment applies the records of the next segment. A gap in the indexes is errs.Damaged.
+// addSegment applies the records of the next segment. Failure: Damaged if there is a gap in the indexes.
 func (l *recoveredLog) addSegment(number uint64, records []Record) error {
 	g := segment{number: number}
 	for _, r := range records {
@@ -46,14 +47,15 @@
 	return nil
 }
 
-// truncateAt ends the log at a byte of segment i. A valid record after it is errs.Damaged: a torn write leaves none.
+// truncateAt ends the log at an offset of segment i. Failure: Damaged if a valid record follows, as a torn write leaves
+// none.
 func (l *recoveredLog) truncateAt(folder folderContents, i, end int) error {
 	torn := folder.segments[i]
-	hasLater := anyRecord(torn.bytes, torn.number, end)
-	l.tornBytes = int64(len(torn.bytes) - end)
+	hasLater := hasRecord(torn.data, torn.number, end)
+	l.tornBytes = int64(len(torn.data) - end)
 	for _, later := range folder.segments[i+1:] {
-		hasLater = hasLater || anyRecord(later.bytes, later.number, 0)
-		l.tornBytes += int64(len(later.bytes))
+		hasLater = hasLater || hasRecord(later.data, later.number, 0)
+		l.tornBytes += int64(len(later.data))
 	}
 	if hasLater {
 		return errs.New(errs.Damaged, "segment %d is bad at byte %d, before valid records", torn.number, end)
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/errs"
 )
 
-// WriteSnapshot makes snap the newest snapshot (it sets its Number), starts a new segment and removes the segments
-// whose entries all lie at or before the previous snapshot, and before keepFrom if that is not 0. Appends continue
-// meanwhile, except while the segment changes. A snapshot of the own log must have the Term of its entry; one that came
-// from another member must be written before the entries after it are appended: entries that it contradicts are
-// removed. Failures: Invalid (older than the newest snapshot), Stopped, Disk (as with Append; after IsFull the snapshot
-// may be written again). Example:
+// WriteSnapshot makes snap the newest snapshot and sets its Number. It starts a new segment, and removes those whose
+// entries are all at or before the previous snapshot, and before keepFrom if that is not 0. Appends may run meanwhile,
+// and wait only while the segment changes. A snapshot of the node's own log must have the term of its entry. One from
+// another member removes the entries that it contradicts, and must be written before those after it are appended.
+// Failures: Invalid if snap is older than the newest snapshot, Stopped, Disk (as with Append; if IsFull holds, snap may
+// be written again). Example:
 //
 //	err := store.WriteSnapshot(storage.Snapshot{Index: applied, Term: term, Meta: members, Body: state}, 0)
 func (s *Store) WriteSnapshot(snap Snapshot, keepFrom uint64) error {
@@ -32,11 +32,11 @@
 	written, err := s.writeFile(snapshotFileNames[file], head, snap.Body, tail)
 	if IsFull(err) {
 		if removeErr := s.removeUnfinished(snapshotFileNames[file]); removeErr == nil {
-			return errs.Pass(err, "slot %d", snap.Number) // nothing has changed
+			return errs.Pass(err, "slot %d", snap.Number) // the store is as it was, and still usable
 		}
 	}
 	if err == nil {
-		_ = written.Close() // synced before
+		_ = written.Close() // its content is synced
 		err = s.rotate(snap, file, previous.Index, keepFrom)
 	}
 	if err != nil {
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// rotate starts a segment once the snapshot in file is durable, and removes those that are not needed.
+// rotate starts a new segment once the snapshot in file is durable, and removes the segments that are not needed any
+// more.
 func (s *Store) rotate(snap Snapshot, file int, previous, keepFrom uint64) error {
 	s.mu.Lock()
 	err := s.checkUsable()
@@ -57,13 +58,13 @@
 	}
 	unneeded := s.takeUnneeded(snap.Index, previous, keepFrom)
 	s.mu.Unlock()
-	for i := 0; i < len(unneeded) && err == nil; i++ { // oldest first, each synced, so that no gap can stay
+	for i := 0; i < len(unneeded) && err == nil; i++ { // oldest first and each synced: a crash leaves no gap
 		err = s.removeSegment(unneeded[i].number)
 	}
 	return errs.Pass(err, "change of segment")
 }
 
-// startSegmentAfter makes snap the newest snapshot and begins a segment with it. The caller holds mu.
+// startSegmentAfter makes snap the newest snapshot and starts a segment that begins with it. The caller holds mu.
 func (s *Store) startSegmentAfter(snap Snapshot, file int) error {
 	s.newest, s.newestFile = Snapshot{Number: snap.Number, Index: snap.Index, Term: snap.Term}, file
 	head := s.segmentHead()
@@ -76,8 +77,9 @@
 	return nil
 }
 
-// takeUnneeded takes the segments out of the log whose entries all lie at or before the previous snapshot, and before
-// keepFrom if that is not 0. The previous snapshot stays usable if the newest one is damaged. The caller holds mu.
+// takeUnneeded removes the segments from the log whose entries are all at or before the previous snapshot, and before
+// keepFrom if that is not 0, and returns them. What is left continues the previous snapshot, in case the newest one is
+// damaged. The caller holds mu.
 func (s *Store) takeUnneeded(newest, previous, keepFrom uint64) []segment {
 	segments, n := s.log.segments, 0
 	for n < len(segments)-1 && segments[n].lastEntry <= previous &&
@@ -91,7 +93,7 @@
 	return segments[:n]
 }
 
-// NewestSnapshot reads the newest snapshot back and checks it. Failures: Unknown (none was written), Damaged, Disk.
+// NewestSnapshot reads the newest snapshot from the disk. Failures: Unknown if none was ever written, Damaged, Disk.
 func (s *Store) NewestSnapshot() (Snapshot, error) {
 	s.mu.Lock()
 	name, number := snapshotFileNames[s.newestFile], s.newest.Number
@@ -99,11 +101,11 @@
 	if number == 0 {
 		return Snapshot{}, errs.New(errs.Unknown, "no snapshot was written yet")
 	}
-	all, err := readFile(s.disk, name)
+	content, err := readFile(s.disk, name)
 	if err != nil {
 		return Snapshot{}, errs.Pass(err, "newest snapshot")
 	}
-	snap, err := decodeSnapshot(all)
+	snap, err := decodeSnapshot(content)
 	if err != nil {
 		return Snapshot{}, errs.Pass(err, "read %s", name)
 	}
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -6,27 +6,27 @@
 	"crosstide/internal/errs"
 )
 
-// Snapshot is the whole state as of the entry Index of term Term.
+// Snapshot is the whole state after the entry at Index, of Term.
 type Snapshot struct {
-	Number      uint64 // counts the snapshots written, from 1; set by the store
+	Number      uint64 // counts the snapshots of the folder from 1; set by the store
 	Index, Term uint64
-	Meta        []byte // members and the like
-	Body        []byte // the state
+	Meta        []byte // the caller's description of the snapshot, such as the members
+	Body        []byte // the caller's encoded state
 }
 
-// record is the record of the log that says that the snapshot was the newest one.
+// record returns the record for the log that names the snapshot as the newest one.
 func (snap Snapshot) record() Record {
 	return Record{Kind: kindSnapshot, Index: snap.Index, Term: snap.Term}
 }
 
-// The format of a snapshot's file: magic, number, index, term, length of Meta, length of Body, Meta, Body, checksum.
+// The format of a snapshot's file: magic, number, index, term, lengths of Meta and Body, Meta, Body, checksum.
 const (
 	snapshotMagic        = "ctslot\x00\x01"
 	snapshotHeaderSize   = 48 // magic 8, number 8, index 8, term 8, meta length 8, body length 8
-	snapshotChecksumSize = 8  // xxhash of all before it
+	snapshotChecksumSize = 8  // xxhash of everything before it
 )
 
-// encodeSnapshot returns the bytes before and after the body in a snapshot's file.
+// encodeSnapshot returns what precedes and what follows the body in a snapshot's file: the body is not copied.
 func encodeSnapshot(snap Snapshot) (head, tail []byte) {
 	head = append(head, snapshotMagic...)
 	for _, v := range []uint64{snap.Number, snap.Index, snap.Term, uint64(len(snap.Meta)), uint64(len(snap.Body))} {
@@ -39,22 +39,26 @@
 	return head, byteOrder.AppendUint64(nil, checksum.Sum64())
 }
 
-// decodeSnapshot decodes and checks a snapshot's file; Meta and Body are parts of all. Failure: Damaged.
-func decodeSnapshot(all []byte) (Snapshot, error) {
-	if len(all) < snapshotHeaderSize+snapshotChecksumSize || string(all[:8]) != snapshotMagic {
-		return Snapshot{}, errs.New(errs.Damaged, "no slot in %d bytes", len(all))
+// decodeSnapshot decodes and checks the content of a snapshot's file. Meta and Body are parts of content. Failure:
+// Damaged.
+func decodeSnapshot(content []byte) (Snapshot, error) {
+	if len(content) < snapshotHeaderSize+snapshotChecksumSize || string(content[:8]) != snapshotMagic {
+		return Snapshot{}, errs.New(errs.Damaged, "no slot in %d bytes", len(content))
 	}
-	end := len(all) - snapshotChecksumSize
-	if xxhash.Sum64(all[:end]) != byteOrder.Uint64(all[end:]) {
+	end := len(content) - snapshotChecksumSize
+	if xxhash.Sum64(content[:end]) != byteOrder.Uint64(content[end:]) {
 		return Snapshot{}, errs.New(errs.Damaged, "the slot's sum is wrong")
 	}
-	rest := all[snapshotHeaderSize:end]
-	meta, body := byteOrder.Uint64(all[32:]), byteOrder.Uint64(all[40:])
-	if meta > uint64(len(rest)) || body != uint64(len(rest))-meta {
+	rest := content[snapshotHeaderSize:end]
+	metaSize, bodySize := byteOrder.Uint64(content[32:]), byteOrder.Uint64(content[40:])
+	if metaSize > uint64(len(rest)) || bodySize != uint64(len(rest))-metaSize {
 		return Snapshot{}, errs.New(errs.Damaged, "the slot's lengths are wrong")
 	}
 	return Snapshot{
-		Number: byteOrder.Uint64(all[8:]), Index: byteOrder.Uint64(all[16:]), Term: byteOrder.Uint64(all[24:]),
-		Meta: rest[:meta], Body: rest[meta:],
+		Number: byteOrder.Uint64(content[8:]),
+		Index:  byteOrder.Uint64(content[16:]),
+		Term:   byteOrder.Uint64(content[24:]),
+		Meta:   rest[:metaSize],
+		Body:   rest[metaSize:],
 	}, nil
 }
