--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,8 +1,9 @@
-// Package codec reads JSON that this project's own processes wrote: entries of the log, snapshots and the calls between
-// nodes. A node that restarts reads a thousand entries before it can serve, and a leader reads one call for each of its
-// workers at once when it takes over, so that the time of reading is time without service.
+// Package codec decodes JSON that crosstide's own processes encoded: log entries, snapshots and calls between nodes. Its
+// decoder is chosen for speed, as time to decode is time without service: a node decodes a thousand entries before it
+// can serve, and a new leader a call of each of its workers at once.
 //
-// What clients, operators and workers send is read elsewhere, by readers that name the field at fault.
+// The package is one function, Decode, which validates nothing beyond the types. Bodies of clients, operators and
+// workers are decoded elsewhere, by code that names the field at fault.
 package codec
 
 import (
@@ -11,7 +12,8 @@
 	"crosstide/internal/errs"
 )
 
-// Decode reads data into the value that into points to. It keeps nothing of data. Failure: Malformed. Example:
+// Decode decodes data into the value that into points to, which keeps no reference to data. Failure: Malformed.
+// Example:
 //
 //	var entry Entry
 //	err := codec.Decode(data, &entry)
--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -14,23 +14,23 @@
 	"crosstide/internal/state/command"
 )
 
-// storeSource names the store's changes in a vector of versions; their version is the log index.
+// storeSource is the store's name in a vector of versions; its version is the log index.
 const storeSource = "store"
 
-// Bounds of a pull.
+// The bounds of a pull.
 const (
-	maxChangeBytes  = 4 << 20 // of one answer
-	maxChunkBytes   = 1 << 20
-	maxChunkRetries = 5 // of one snapshot
-	retryInterval   = 100 * time.Millisecond
-	longPollTimeout = time.Second
+	maxChangeBytes  = 4 << 20                // changes in one answer
+	maxChunkBytes   = 1 << 20                // one chunk of a snapshot
+	maxChunkRetries = 5                      // failed requests for chunks of one snapshot
+	retryInterval   = 100 * time.Millisecond // pause after a failed pull
+	longPollTimeout = time.Second            // how long a source may wait for changes
 )
 
-// Source is what a replica asks of the control-plane nodes.
+// Source has the calls of a replica to the control-plane nodes. They bound themselves by a time-out of their own.
 type Source interface {
-	// Follow asks any node; the same one as long as it answers well.
+	// Follow asks a node for changes: the same one until a call to it fails.
 	Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error)
-	// Chunk asks the node that Follow asked last.
+	// Chunk asks for a part of a snapshot, which only the node that answered the last Follow is sure to have.
 	Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
 }
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// Pull asks once for what the replica lacks and applies it; wait is how long the source may wait for changes.
+// Pull asks the source once for what the replica lacks, and applies it. wait is how long the source may wait for
+// changes if there are none. After an error the replica is at the index it was at, or past it, and may pull again.
 func (r *Replica) Pull(ctx context.Context, source Source, node string, wait time.Duration) error {
 	from := r.Index()
 	answer, err := source.Follow(ctx, internalapi.FollowCall{
@@ -70,8 +71,8 @@
 	return errs.Pass(r.applyChanges(missing.Changes), "changes after %d", from)
 }
 
-// applyChanges applies changes in order. The index never decreases: what is at or below it is skipped, as answers may
-// overlap. The caller holds mu.
+// applyChanges applies changes in order, and skips those at or below the index, as answers may overlap. Failure: Stale
+// at a gap. The caller holds mu.
 func (r *Replica) applyChanges(changes []raft.Entry) error {
 	before := r.state.Index
 	for _, e := range changes {
@@ -85,7 +86,7 @@
 		if e.Kind != raft.Normal {
 			data = nil
 		}
-		// A rejection is the command's outcome, the same on every node.
+		// A rejected command has the same outcome on every node: it changes nothing but the index.
 		_, _ = command.Apply(r.state, e.Index, e.Term, data)
 		r.Bytes += uint64(len(data))
 		r.Changes++
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// installSnapshot fetches a snapshot and puts its state in place of the replica's.
+// installSnapshot fetches a snapshot and replaces the replica's state by it. Failures: Stale if the snapshot is not
+// newer than the state, those of fetchBody, and those of decoding.
 func (r *Replica) installSnapshot(ctx context.Context, source Source, snap internalapi.Snapshot) error {
 	body, err := fetchBody(ctx, source, snap)
 	if err != nil {
@@ -123,7 +125,8 @@
 	return nil
 }
 
-// fetchBody fetches a snapshot's body in chunks. A chunk that is lost is requested again alone.
+// fetchBody fetches the body of a snapshot in chunks; a request that fails is repeated for that chunk alone. Failures:
+// Stale if the source has another snapshot by now, Damaged if the checksum is wrong, and those of Source.Chunk.
 func fetchBody(ctx context.Context, source Source, snap internalapi.Snapshot) ([]byte, error) {
 	body := make([]byte, 0, snap.Size)
 	failures := 0
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,11 +1,11 @@
-// Package replica keeps a replica of the control store's state on a node without a disk: it pulls what the node lacks
-// by a vector of versions, with one entry for each source, and takes a snapshot first where the changes are compacted.
+// Package replica keeps a replica of the control store's state on a node without a disk. It pulls the changes that the
+// node lacks, and a snapshot first if those are compacted at their source.
 //
-// A replica only follows: it proposes nothing, stores nothing and decides nothing. What it shows is a state that the
-// store had at its index, at most behind. The owner makes it with New, starts Run on a goroutine, and reads it by View,
-// or by Lock where it needs the state for longer. A caller that must see its own write waits with WaitForIndex.
+// A replica only follows: it proposes nothing, stores nothing and decides nothing. Its state is always one that the
+// store had at its index; it may be behind. The owner calls New, runs Run on a goroutine, and reads by View, or by Lock
+// if it needs the state for longer. A caller that must see its own write calls WaitForIndex first.
 //
-// pull.go has the pulling; this file the replica as its readers see it.
+// Begin to read at Replica; pull.go has the pulling.
 package replica
 
 import (
@@ -16,7 +16,8 @@
 	"crosstide/internal/state"
 )
 
-// Replica is the followed state under its lock. Only Pull changes the state.
+// Replica is the state of the store as of an index, under its lock. Only Pull changes it. It is safe for concurrent
+// use.
 type Replica struct {
 	onChange func(state.Event)  // see New
 	onReset  func(*state.State) // see New; nil: none
@@ -24,27 +25,27 @@
 	mu           sync.RWMutex  // guards the fields below
 	state        *state.State  // at index state.Index, which never decreases
 	indexChanged chan struct{} // closed and made anew at every change of the index
-	hasPulled    bool
+	hasPulled    bool          // a pull has succeeded
 
-	// Counters since the start.
+	// What the pulls have received since New; Bytes counts changes and snapshots.
 	Bytes, Changes, Snapshots uint64
 }
 
-// New makes a replica at version 0. onChange is called with each change and onReset with the new state after a
-// snapshot; both run under the replica's lock.
+// New returns a replica of the empty state, at index 0. onChange (nil: none) is called with each change, onReset (nil:
+// none) with the new state after a snapshot; both run under the replica's lock and must not call it.
 func New(onChange func(state.Event), onReset func(*state.State)) *Replica {
 	r := &Replica{state: state.New(), indexChanged: make(chan struct{}), onChange: onChange, onReset: onReset}
 	r.state.OnEvent = onChange
 	return r
 }
 
-// Lock locks the replica and returns its state, which is valid until Unlock.
+// Lock locks the replica and returns its state, which is valid until Unlock and must not be changed.
 func (r *Replica) Lock() *state.State { r.mu.Lock(); return r.state }
 
-// Unlock ends what Lock began.
+// Unlock releases the lock of Lock.
 func (r *Replica) Unlock() { r.mu.Unlock() }
 
-// View runs do on the state, under a lock that readers share: do changes nothing. Example:
+// View calls do with the state, under a lock that readers share. do must not change or keep the state. Example:
 //
 //	r.View(func(s *state.State) { n = len(s.Jobs) })
 func (r *Replica) View(do func(s *state.State)) {
@@ -53,21 +54,21 @@
 	do(r.state)
 }
 
-// Index is the log index the replica is at.
+// Index returns the index of the newest log entry that the state includes.
 func (r *Replica) Index() uint64 {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.state.Index
 }
 
-// HasPulled reports whether a pull has succeeded since the start.
+// HasPulled reports whether a pull has succeeded since New.
 func (r *Replica) HasPulled() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.hasPulled
 }
 
-// WaitForIndex waits until the replica is at index or past it; errs.Unavailable when ctx ends before.
+// WaitForIndex waits until the state includes the log entry at index. Failure: Unavailable if ctx ends first.
 func (r *Replica) WaitForIndex(ctx context.Context, index uint64) error {
 	for {
 		r.mu.RLock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// signalIndex wakes those that wait for an index. The caller holds mu.
+// signalIndex wakes all calls of WaitForIndex to check the index again. The caller holds mu.
 func (r *Replica) signalIndex() {
 	close(r.indexChanged)
 	r.indexChanged = make(chan struct{})
--- a/internal/rpc/addresslimiter.go
+++ b/internal/rpc/addresslimiter.go
@@ -7,21 +7,21 @@
 	"crosstide/internal/errs"
 )
 
-// addressLimiter bounds the concurrent calls to each address; further calls wait, first come, first served.
+// addressLimiter bounds the calls that run to each address at a time; further ones wait, first come, first served. It
+// is safe for concurrent use.
 type addressLimiter struct {
-	limit int // calls to one address; 0: any number
+	limit int // most calls to one address; 0: any number
 
 	mu      sync.Mutex           // guards the fields below
 	running map[string]int       // by address; no zero entries
-	waiting map[string]waitQueue // by address; a call that is woken may run; no empty queues
+	waiting map[string]waitQueue // by address; a call that is woken runs in place of another; no empty queues
 }
 
 func newAddressLimiter(limit int) *addressLimiter {
 	return &addressLimiter{limit: limit, running: map[string]int{}, waiting: map[string]waitQueue{}}
 }
 
-// acquire waits until a call to addr may run, at most until ctx ends: then it is errs.Timeout. After nil, release is
-// due.
+// acquire waits until a call to addr may run; the caller then calls release once. Failure: Timeout if ctx ends first.
 func (l *addressLimiter) acquire(ctx context.Context, addr string) error {
 	if l.limit <= 0 {
 		return nil
@@ -45,13 +45,13 @@
 	defer l.mu.Unlock()
 	queue = l.waiting[addr]
 	if !queue.leave(acquired) {
-		return nil // acquired at the same moment
+		return nil // it was woken at the same moment
 	}
 	l.setWaiting(addr, queue)
 	return errs.Wrap(ctx.Err(), errs.Timeout, "earlier calls to %s are not over", addr)
 }
 
-// release ends a call to addr: the longest waiting one may run.
+// release ends a call to addr, and lets the one run that has waited for longest.
 func (l *addressLimiter) release(addr string) {
 	if l.limit <= 0 {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// setWaiting keeps no entry for an address without waiting calls. The caller holds mu.
+// setWaiting sets the queue of an address, and removes the entry if the queue is empty. The caller holds mu.
 func (l *addressLimiter) setWaiting(addr string, queue waitQueue) {
 	if len(queue) == 0 {
 		delete(l.waiting, addr)
--- a/internal/rpc/admission.go
+++ b/internal/rpc/admission.go
@@ -8,11 +8,12 @@
 	"crosstide/internal/errs"
 )
 
-// admission is a server's admission control: it counts connections in the server's quota. One that found none free
-// stays open until its first request is rejected: a bare close would look like a node that is down.
+// admission is a server's admission control: it counts connections in the server's quota. A connection beyond it stays
+// open until its first request is rejected, as a client would take a bare close for a node that is down. It is safe for
+// concurrent use.
 type admission struct {
 	quota *ConnQuota // nil: every connection is admitted, none is counted
-	// admitted has for each open connection, by its peer, whether it counts in the quota.
+	// admitted tells for each open connection, by the address of its peer, whether it counts in the quota.
 	admitted *xsync.Map[string, bool]
 }
 
@@ -20,7 +21,7 @@
 	return admission{quota: quota, admitted: xsync.NewMap[string, bool]()}
 }
 
-// onOpen admits a new connection or marks it to be rejected.
+// onOpen admits a new connection, or marks it as one whose requests are rejected.
 func (a admission) onOpen(c net.Conn) {
 	if a.quota == nil {
 		return
@@ -32,8 +33,8 @@
 	a.admitted.Store(c.RemoteAddr().String(), isAdmitted)
 }
 
-// onClose releases what a connection has of the quota. Connections of which onOpen was never called, as the engine's
-// own, are ignored.
+// onClose releases the quota of a connection. One without an onOpen before it, as the server's own local ones, is
+// ignored.
 func (a admission) onClose(c net.Conn) {
 	if a.quota == nil || c.RemoteAddr() == nil {
 		return
@@ -43,7 +44,7 @@
 	}
 }
 
-// check is errs.Unavailable for a request on a connection that was not admitted.
+// check returns errs.Unavailable for a request on a connection that was not admitted.
 func (a admission) check(peer string) error {
 	if a.quota == nil {
 		return nil
--- a/internal/rpc/body.go
+++ b/internal/rpc/body.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/errs"
 )
 
-// ReadBody reads a body of at most limit bytes; the bytes are the caller's own. A declared or real length over limit is
-// errs.TooLarge, a broken body errs.Malformed.
+// ReadBody reads the body of a request into a new slice. Failures: TooLarge if its declared or real length is more than
+// limit bytes, Malformed if it cannot be read whole.
 func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	var buf bytes.Buffer
 	if err := readInto(&buf, r.Body, r.ContentLength, limit); err != nil {
@@ -18,7 +18,8 @@
 	return buf.Bytes(), nil
 }
 
-// readInto appends body to buf, up to limit bytes; length is the declared one, below 0 if there is none.
+// readInto appends body to buf, with the bound and the failures of ReadBody. length is the declared one; negative:
+// none.
 func readInto(buf *bytes.Buffer, body io.Reader, length, limit int64) error {
 	if length > limit {
 		return errs.New(errs.TooLarge, "the body has %d bytes, at most %d are taken", length, limit)
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -11,11 +11,11 @@
 	"crosstide/internal/errs"
 )
 
-// Call sends call to addr (host:port) and returns the answer. It ends at the latest after timeout, on the client's
-// clock, or with ctx: the connection is closed with a reset and the error is errs.Timeout, also while dialing. A
-// refused or broken connection is errs.Unavailable, a closed client errs.Stopped, an answer that is no JSON of A
-// errs.Malformed; a failure answered by the peer comes back with its kind, field, message, hint and After. See IsUnsent
-// for calls of which nothing was sent, IsRemote for failures that the peer returned. Example:
+// Call sends call to addr (host:port) and returns the answer. It ends at the latest after timeout on the client's
+// clock, or with ctx: the connection is then closed with a reset. Failures: Timeout, also while it waits or dials;
+// Unavailable for a refused or broken connection; Stopped for a closed client; Malformed for an answer that is no JSON
+// of A; and those that the peer answers, with their kind, field, message, hint and After. IsUnsent tells which calls
+// were not sent, IsRemote which failures the peer answered. Example:
 //
 //	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
 func Call[C, A any](
@@ -28,17 +28,18 @@
 	return answer, nil
 }
 
-// CallInto is Call for endpoints of several types: answer is a pointer to the answer's type. After an error it may hold
-// a part of the answer.
+// CallInto is Call for a caller that handles endpoints of several types: answer is a pointer to a value of the answer's
+// type. After an error the value may have a part of the answer.
 func (c *Client) CallInto(ctx context.Context, addr, path string, call, answer any, timeout time.Duration) error {
 	t := transfer{addr: addr, path: path, method: http.MethodPost, timeout: timeout}
 	return errs.Pass(c.roundTrip(ctx, c, t, call, answer), "ask %s", path)
 }
 
-// headBytes is what a request's head takes at most, besides its path and address.
+// headBytes is the most that the head of a request takes, its path and address not included.
 const headBytes = 160
 
-// roundTrip encodes call, makes the transfer t over a connection of source and decodes the answer.
+// roundTrip encodes call, sends it as t over a connection of source, and decodes the answer. It fills in t.request and
+// t.response.
 func (c *Client) roundTrip(ctx context.Context, source connectionSource, t transfer, call, answer any) error {
 	c.metrics.calls.WithLabelValues(t.path).Inc()
 	headroom := len(t.path) + len(t.addr) + headBytes
@@ -61,7 +62,7 @@
 	return errs.Pass(err, "call")
 }
 
-// transferCall makes the transfer of a call: an answer other than 200 is returned as the failure in it.
+// transferCall is transfer for a call: it returns an answer other than 200 as the failure that it has.
 func (c *Client) transferCall(ctx context.Context, source connectionSource, t transfer) error {
 	response, err := c.transfer(ctx, source, t)
 	if err != nil {
@@ -73,22 +74,23 @@
 	return errs.Pass(decodeError(response, t.response.Bytes()), "%s at %s", t.path, t.addr)
 }
 
-// prependHead writes the request's head right before the body, into the headroom kept for it, and returns the whole
-// request.
+// prependHead writes the head of a request into the headroom of the frame, right before the body, and returns the whole
+// request: one write sends it.
 func (f *frame) prependHead(headroom int, path, addr string) []byte {
-	request := f.buf.Bytes()
+	buffered := f.buf.Bytes()
 	head := make([]byte, 0, headroom)
 	head = append(append(head, "POST "...), path...)
 	head = append(append(head, " HTTP/1.1\r\nHost: "...), addr...)
 	head = append(head, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-	head = strconv.AppendInt(head, int64(len(request)-headroom), 10)
+	head = strconv.AppendInt(head, int64(len(buffered)-headroom), 10)
 	head = append(head, "\r\n\r\n"...)
 	start := headroom - len(head)
-	copy(request[start:], head)
-	return request[start:]
+	copy(buffered[start:], head)
+	return buffered[start:]
 }
 
-// decodeError makes the failure of an answer other than 200; one with an error body is marked for IsRemote.
+// decodeError returns the failure of an answer other than 200. One with an error body is marked for IsRemote; without,
+// something between the processes answered.
 func decodeError(response *http.Response, body []byte) error {
 	var b errorBody
 	if err := json.Unmarshal(body, &b); err != nil || b.Kind == "" {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -17,28 +17,29 @@
 	"crosstide/internal/errs"
 )
 
-// ClientOptions are the settings of a Client; all have defaults.
+// ClientOptions are the settings of a Client. Zero fields take their defaults.
 type ClientOptions struct {
 	Clock clock.Clock // default clock.Real
-	// UserTimeout is TCP_USER_TIMEOUT: how long the kernel may resend unacknowledged bytes. Default: the kernel's own.
+	// UserTimeout is TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged before the kernel closes the
+	// connection. Default: the kernel's.
 	UserTimeout       time.Duration
 	DialTimeout       time.Duration         // default 2s
-	DialOverrides     map[string]string     // the address to dial for an address, as a network proxy needs
+	DialOverrides     map[string]string     // by address: the one to dial in its place, as that of a network proxy
 	MaxIdlePerAddress int                   // idle connections kept per address, default 16
-	IdleTimeout       time.Duration         // an idle connection is closed after it, default 1m, under a server's 2m
-	MaxBody           int64                 // bound on an answer in bytes, default MaxBody
+	IdleTimeout       time.Duration         // age at which an idle connection is closed, default 1m; servers have 2m
+	MaxBody           int64                 // bound on the body of an answer in bytes, default MaxBody
 	ReadBuffer        int                   // bytes of the read buffer of each connection, default 4096
 	Logger            log.Logger            // default: none
 	Registry          prometheus.Registerer // default: the counters are not registered
-	// Quota bounds the open connections: a call that needs one more waits for it, and IsQuotaExhausted holds for its
-	// error when its time is over. Default: nothing bounds them.
+	// Quota bounds the open connections. A call that needs one more waits for it within its time-out; IsQuotaExhausted
+	// holds for the error of one that got none. Default: no bound.
 	Quota *ConnQuota
-	// MaxCallsPerAddress is how many calls to an address run at a time. Others wait within their time-out; IsUnsent
-	// holds for the error of one that never ran. Default: any number.
+	// MaxCallsPerAddress bounds the calls that run to an address at a time. Others wait within their time-out; IsUnsent
+	// holds for the error of one that never ran. Default: no bound.
 	MaxCallsPerAddress int
 }
 
-// withDefaults fills in the defaults.
+// withDefaults returns the options with their defaults filled in.
 func (opt ClientOptions) withDefaults() ClientOptions {
 	if opt.Clock == nil {
 		opt.Clock = clock.Real{}
@@ -54,8 +55,8 @@
 	return opt
 }
 
-// Client makes calls over connections pooled per address, one call at a time on each. It is safe for concurrent use. A
-// call is never sent twice: a connection that breaks is the caller's errs.Unavailable.
+// Client makes calls over connections pooled by address, one call at a time on each. It is safe for concurrent use. It
+// never sends a call twice: if the connection breaks, the caller gets errs.Unavailable.
 type Client struct {
 	opt            ClientOptions
 	dialer         net.Dialer
@@ -64,7 +65,7 @@
 	addressLimiter *addressLimiter
 }
 
-// NewClient makes a client. Close ends it.
+// NewClient returns a client; Close releases its connections.
 func NewClient(opt ClientOptions) *Client {
 	opt = opt.withDefaults()
 	return &Client{
@@ -76,7 +77,7 @@
 	}
 }
 
-// setUserTimeout returns a dialer's control function that sets TCP_USER_TIMEOUT, in whole milliseconds rounded up.
+// setUserTimeout returns a net.Dialer's Control that sets TCP_USER_TIMEOUT, rounded up to milliseconds; 0 sets none.
 func setUserTimeout(timeout time.Duration) func(network, addr string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		if timeout <= 0 {
@@ -91,10 +92,10 @@
 	}
 }
 
-// Close resets every connection, the dedicated ones too; calls that still run end as errs.Stopped.
+// Close resets every connection, dedicated ones too. Calls that still run, and later ones, fail as errs.Stopped.
 func (c *Client) Close() { c.pool.close() }
 
-// dial opens a connection within the client's quota.
+// dial opens a connection once the client's quota allows one more. It counts in the quota until the pool closes it.
 func (c *Client) dial(ctx context.Context, addr string) (*connection, error) {
 	if err := c.opt.Quota.acquire(ctx); err != nil {
 		return nil, errs.Pass(&marked[quotaExhausted]{err}, "dial")
@@ -112,7 +113,7 @@
 	return conn, nil
 }
 
-// connect opens a TCP connection; the caller of it has acquired the quota.
+// connect opens a TCP connection, for which the caller has acquired the quota.
 func (c *Client) connect(ctx context.Context, addr string) (*connection, error) {
 	dialAddr := addr
 	if override := c.opt.DialOverrides[addr]; override != "" {
@@ -132,8 +133,8 @@
 	return &connection{TCPConn: tcp, raw: raw, reader: bufio.NewReaderSize(tcp, c.opt.ReadBuffer), addr: addr}, nil
 }
 
-// acquire returns a connection to addr, once the call may run there: an idle one, or a new one once the client's quota
-// has one free.
+// acquire implements connectionSource by the pool: it waits for its turn at addr, and returns an idle connection, or a
+// new one if there is none.
 func (c *Client) acquire(ctx context.Context, addr string) (*connection, error) {
 	if err := c.addressLimiter.acquire(ctx, addr); err != nil {
 		return nil, errs.Pass(err, "wait for a turn")
@@ -149,6 +150,7 @@
 	return conn, nil
 }
 
+// release implements connectionSource.
 func (c *Client) release(conn *connection, reusable bool) {
 	defer c.addressLimiter.release(conn.addr)
 	if reusable {
@@ -158,4 +160,5 @@
 	}
 }
 
+// isClosed implements connectionSource.
 func (c *Client) isClosed() bool { return c.pool.isClosed() }
--- a/internal/rpc/connection.go
+++ b/internal/rpc/connection.go
@@ -13,35 +13,36 @@
 	"crosstide/internal/errs"
 )
 
-// connection is a client's TCP connection. Its owner is the call that uses it, or the pool while it is idle.
+// connection is a client's TCP connection. Its owner is the call that uses it; while it is idle, the pool.
 type connection struct {
 	*net.TCPConn
 	raw         syscall.RawConn
 	reader      *bufio.Reader
-	addr        string        // as the caller named it, not a dial override
-	idleSince   time.Duration // on the client's clock; of the last use while in use
+	addr        string        // as the caller named it, before dial overrides
+	idleSince   time.Duration // on the client's clock; valid while idle
 	idleElement *list.Element // of the pool's idleByAge; nil while in use
 }
 
-// reset closes at once: bytes that are not sent or acknowledged are discarded, the peer receives a reset.
+// reset closes the connection at once: bytes that are not acknowledged yet are discarded, and the peer gets a reset. It
+// may be called at any time by any goroutine, and fails the call that uses the connection.
 func (c *connection) reset() {
-	_ = c.SetLinger(0) // without it the close is an ordinary one
-	_ = c.Close()      // nothing on it counts any more
+	_ = c.SetLinger(0) // if it fails, the close is an ordinary one
+	_ = c.Close()      // whatever was on the connection is given up
 }
 
-// write hands b to the kernel directly, calling check immediately before each write(2); sent counts the bytes that the
-// kernel took.
-func (c *connection) write(b []byte, sent *int, check func() error) error {
+// write writes data to the socket without a buffer, and calls check right before each write(2), which its error
+// prevents. It adds the bytes that the kernel took to sent, also if it fails.
+func (c *connection) write(data []byte, sent *int, check func() error) error {
 	var writeErr error
 	err := c.raw.Write(func(fd uintptr) bool {
-		for *sent < len(b) {
+		for *sent < len(data) {
 			if writeErr = check(); writeErr != nil {
 				return true
 			}
-			n, err := unix.Write(int(fd), b[*sent:])
+			n, err := unix.Write(int(fd), data[*sent:])
 			switch {
 			case err == unix.EAGAIN:
-				return false // wait until the socket takes more
+				return false // called again once the socket is writable
 			case err == unix.EINTR:
 			case err != nil:
 				writeErr = err
@@ -58,19 +59,20 @@
 	return errs.Wrap(writeErr, errs.Unavailable, "write")
 }
 
-// alive reports whether an idle connection is still open with nothing to be read.
+// alive reports whether an idle connection is open and has nothing to be read: the peer has neither closed it nor sent
+// anything without a request.
 func (c *connection) alive() bool {
 	open := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buffer [1]byte
+		_, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		open = err == unix.EAGAIN
 		return true
 	})
 	return err == nil && open && c.reader.Buffered() == 0
 }
 
-// readHead reads the head of the final response; interim ones (1xx) are skipped.
+// readHead reads the head of the response, and skips interim ones (1xx). The body is read from the response.
 func (c *connection) readHead(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
--- a/internal/rpc/connlimiter.go
+++ b/internal/rpc/connlimiter.go
@@ -7,19 +7,21 @@
 	"crosstide/internal/errs"
 )
 
-// ConnLimiter bounds the open connections of a process. It is divided into quotas: each has connections reserved to it
-// that nobody else can take, and may have more while the rest of the limit allows it. It is safe for concurrent use.
+// ConnLimiter bounds the open connections of a process. It is divided into quotas: each has a number of connections
+// reserved that no other can take, and may have more as long as all reservations can still be met. It is safe for
+// concurrent use.
 type ConnLimiter struct {
-	mu     sync.Mutex // guards quotas and what is in each of them
-	limit  int        // fixed
-	quotas []*ConnQuota
+	limit int // most connections of all quotas together
+
+	mu     sync.Mutex   // guards quotas, and the fields of each
+	quotas []*ConnQuota // in the order in which they were added
 }
 
-// NewConnLimiter makes a limiter of so many connections.
+// NewConnLimiter returns a limiter without quotas.
 func NewConnLimiter(limit int) *ConnLimiter { return &ConnLimiter{limit: limit} }
 
-// NewQuota adds a quota to which connections are reserved. Quotas that are added first are served first where several
-// have waiters. A reservation beyond what is left of the limit is errs.Settings.
+// NewQuota adds a quota with a number of connections reserved. If several quotas have waiters, those of the one added
+// first come first. Failure: Settings for a reservation that is more than what is left of the limit.
 func (l *ConnLimiter) NewQuota(name string, reserved int) (*ConnQuota, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,29 +37,30 @@
 	return q, nil
 }
 
-// QuotaUsage is the state of a quota.
+// QuotaUsage is the state of a quota, for metrics and operators.
 type QuotaUsage struct {
 	Name     string
 	Used     int    // connections that are open or being opened
-	Reserved int    // reserved to it
+	Reserved int    // connections that no other quota can take
 	Waiting  int    // calls that wait for a connection
-	Rejected uint64 // connections that found none free, since the start
+	Rejected uint64 // connections and calls that got none, since the start
 }
 
-// Usage returns the state of all quotas, in the order in which they were added.
+// Usage returns the state of each quota, in the order in which they were added.
 func (l *ConnLimiter) Usage() []QuotaUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]QuotaUsage, 0, len(l.quotas))
+	usages := make([]QuotaUsage, 0, len(l.quotas))
 	for _, q := range l.quotas {
-		out = append(out, QuotaUsage{
+		usages = append(usages, QuotaUsage{
 			Name: q.name, Used: q.used, Reserved: q.reserved, Waiting: len(q.waiters), Rejected: q.rejected,
 		})
 	}
-	return out
+	return usages
 }
 
-// canAcquire reports whether q may have one more connection. The caller holds mu.
+// canAcquire reports whether q may have one more connection: of those reserved to it, or beyond all reservations. The
+// caller holds mu.
 func (l *ConnLimiter) canAcquire(q *ConnQuota) bool {
 	if q.used < q.reserved {
 		return true
@@ -69,7 +72,7 @@
 	return free > 0
 }
 
-// wakeWaiters lets waiters open a connection, as many as there are free. The caller holds mu.
+// wakeWaiters gives waiters the connections that are free. The caller holds mu.
 func (l *ConnLimiter) wakeWaiters() {
 	for _, q := range l.quotas {
 		for len(q.waiters) > 0 && l.canAcquire(q) {
@@ -86,7 +89,8 @@
 	return slices.ContainsFunc(l.quotas, func(q *ConnQuota) bool { return len(q.waiters) > 0 })
 }
 
-// evictOne closes an idle connection: one of q, or of a quota that uses more than is reserved to it.
+// evictOne closes an idle connection, of q or of a quota that uses more than is reserved to it. It reports false if
+// there is none. The caller does not hold mu.
 func (l *ConnLimiter) evictOne(q *ConnQuota) bool {
 	l.mu.Lock()
 	var evictors []func() bool
@@ -95,6 +99,6 @@
 			evictors = append(evictors, other.evictIdle)
 		}
 	}
-	l.mu.Unlock() // an evictor releases what it closes, which locks mu
+	l.mu.Unlock() // an evictor releases what it closes, and release locks mu
 	return slices.ContainsFunc(evictors, func(evict func() bool) bool { return evict() })
 }
--- a/internal/rpc/connlimitermetrics.go
+++ b/internal/rpc/connlimitermetrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// ConnLimiterMetrics is the prometheus.Collector of a ConnLimiter, read when it is scraped.
+// ConnLimiterMetrics is the prometheus.Collector of a ConnLimiter: its metrics are read when they are scraped.
 type ConnLimiterMetrics struct {
 	limiter                        *ConnLimiter
 	connections, refused, reserved *prometheus.Desc
@@ -10,7 +10,7 @@
 
 var _ prometheus.Collector = (*ConnLimiterMetrics)(nil)
 
-// NewConnLimiterMetrics makes the collector of a limiter.
+// NewConnLimiterMetrics returns the collector of a limiter.
 func NewConnLimiterMetrics(limiter *ConnLimiter) *ConnLimiterMetrics {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("crosstide_connections"+name, help, labels, nil)
--- a/internal/rpc/connquota.go
+++ b/internal/rpc/connquota.go
@@ -7,22 +7,22 @@
 	"crosstide/internal/errs"
 )
 
-// retryAfter is when those that found no free connection are asked to try again.
+// retryAfter is the Retry-After of those that got no connection.
 const retryAfter = time.Second
 
-// ConnQuota is one use's part of a ConnLimiter, a semaphore. A nil ConnQuota bounds nothing. The limiter's mutex guards
-// its fields.
+// ConnQuota is a part of a ConnLimiter: a semaphore for the connections of one server or client. A nil ConnQuota bounds
+// nothing. The limiter's mutex guards its fields from used on.
 type ConnQuota struct {
 	limiter   *ConnLimiter
 	name      string
 	reserved  int         // connections that no other quota can take
 	used      int         // connections that are open or being opened
-	waiters   waitQueue   // of acquire; a call that is woken has its connection
-	evictIdle func() bool // closes an idle connection of this quota; nil: it has none
-	rejected  uint64      // connections that found none free
+	waiters   waitQueue   // calls of acquire; one that is woken has its connection, which counts in used
+	evictIdle func() bool // closes an idle connection of this quota, see onEvict; nil: it never has one
+	rejected  uint64      // connections and calls that got none
 }
 
-// tryAcquire takes one connection of the quota if one is free. Idle connections are closed for it.
+// tryAcquire acquires a connection if one is free, or can be freed by closing idle ones. It does not wait.
 func (q *ConnQuota) tryAcquire() bool {
 	if q == nil {
 		return true
@@ -37,7 +37,7 @@
 	}
 }
 
-// takeFree takes one connection if one is free and no earlier call waits for it.
+// takeFree acquires a connection if one is free and no earlier call waits for it.
 func (q *ConnQuota) takeFree() bool {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
@@ -48,14 +48,14 @@
 	return true
 }
 
-// acquire takes one connection of the quota and waits for it until ctx ends: then it is errs.Overloaded.
+// acquire acquires a connection, and waits for it if none is free. Failure: Overloaded if ctx ends first.
 func (q *ConnQuota) acquire(ctx context.Context) error {
 	if q.tryAcquire() {
 		return nil
 	}
 	q.limiter.mu.Lock()
 	acquired := q.waiters.join()
-	q.limiter.wakeWaiters() // a connection may have been released meanwhile
+	q.limiter.wakeWaiters() // a connection may have been released since tryAcquire
 	q.limiter.mu.Unlock()
 	select {
 	case <-acquired:
@@ -65,7 +65,7 @@
 	return errs.Pass(q.cancelWait(acquired), "no room for a connection")
 }
 
-// cancelWait removes a waiter; nil if it was woken at the same moment, and so has its connection.
+// cancelWait removes a waiter and returns its error; nil if it was woken at the same moment and has its connection.
 func (q *ConnQuota) cancelWait(acquired chan struct{}) error {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
@@ -78,14 +78,14 @@
 	return err
 }
 
-// countRejected counts a connection that found none free.
+// countRejected counts a connection that a server rejects.
 func (q *ConnQuota) countRejected() {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
 	q.rejected++
 }
 
-// release returns one connection to the quota.
+// release returns a connection to the quota, and wakes those that can be served by it.
 func (q *ConnQuota) release() {
 	if q == nil {
 		return
@@ -96,8 +96,8 @@
 	q.limiter.wakeWaiters()
 }
 
-// onEvict sets what closes an idle connection of the quota; it reports whether there was one. It is called without
-// locks.
+// onEvict sets the function that closes an idle connection of the quota and reports whether there was one. It is called
+// without the limiter's mutex.
 func (q *ConnQuota) onEvict(evict func() bool) {
 	if q == nil {
 		return
@@ -107,5 +107,5 @@
 	q.evictIdle = evict
 }
 
-// hasWaiters reports whether a call waits for a connection of any quota of the limiter.
+// hasWaiters reports whether a call waits for a connection, of any quota of the limiter.
 func (q *ConnQuota) hasWaiters() bool { return q != nil && q.limiter.hasWaiters() }
--- a/internal/rpc/dedicated.go
+++ b/internal/rpc/dedicated.go
@@ -14,28 +14,27 @@
 type DedicatedConn struct {
 	client *Client
 	addr   string
-	inUse  chan struct{} // a semaphore of one: whose call has sent to it may use the connection
+	inUse  chan struct{} // a semaphore of one: the call that has sent to it may use the connection
 
 	mu         sync.Mutex  // guards the fields below
 	connection *connection // nil: the next call dials
 	closed     bool
 }
 
-// NewDedicatedConn makes a connection to addr that is not dialed yet. It takes the options and counters of c and is
-// closed with c.
+// NewDedicatedConn returns a connection to addr that is not dialed yet. It has the options, the quota and the metrics
+// of c, and is closed with it.
 func NewDedicatedConn(c *Client, addr string) *DedicatedConn {
 	return &DedicatedConn{client: c, addr: addr, inUse: make(chan struct{}, 1)}
 }
 
-// CallDedicated is Call over d. Calls wait for each other, which counts in timeout. beforeWrite (nil for none) runs
-// after dialing and encoding, immediately before each write(2) of the call: once as a rule, again only when the socket
-// took a part. Its error stops the writing, closes the connection with a reset and comes back wrapped, its kind kept.
-// Nothing ever waits in a user-space buffer. After any error but one answered by the peer the next call dials anew.
-// Example:
+// CallDedicated is Call over d. Calls wait for each other within their timeout. beforeWrite (nil: none) runs after
+// dialing and encoding, right before each write(2) of the call: once, unless the socket took only a part. Its error
+// stops the writing, closes the connection with a reset and is returned wrapped, with its kind. No bytes ever wait in a
+// user-space buffer. After any error but one answered by the peer the next call dials again. Example:
 //
 //	answer, err := rpc.CallDedicated(ctx, conn, RenewLease, orders, time.Second, lease.Check)
 //	if rpc.IsUnsent(err) {
-//		invalidate(orders) // the worker surely has not seen them
+//		invalidate(orders) // the worker cannot have seen them
 //	}
 func CallDedicated[C, A any](
 	ctx context.Context, d *DedicatedConn, e Endpoint[C, A], call C, timeout time.Duration, beforeWrite func() error,
@@ -48,7 +47,7 @@
 	return answer, nil
 }
 
-// Close resets the connection; a call that runs fails, later ones are errs.Stopped.
+// Close resets the connection. A call that runs fails, and so do later ones, as errs.Stopped.
 func (d *DedicatedConn) Close() {
 	d.mu.Lock()
 	current := d.connection
@@ -59,6 +58,7 @@
 	}
 }
 
+// acquire implements connectionSource.
 func (d *DedicatedConn) acquire(ctx context.Context, _ string) (*connection, error) {
 	select {
 	case d.inUse <- struct{}{}:
@@ -73,7 +73,7 @@
 	return conn, nil
 }
 
-// connect returns the connection if it is still usable, or dials. The caller has acquired inUse.
+// connect returns the connection if it is still usable, and dials otherwise. The caller has acquired inUse.
 func (d *DedicatedConn) connect(ctx context.Context) (*connection, error) {
 	d.mu.Lock()
 	current, closed := d.connection, d.closed
@@ -101,6 +101,7 @@
 	return dialed, nil
 }
 
+// release implements connectionSource.
 func (d *DedicatedConn) release(conn *connection, reusable bool) {
 	d.mu.Lock()
 	conn.idleSince = d.client.opt.Clock.Now()
@@ -114,6 +115,7 @@
 	<-d.inUse
 }
 
+// isClosed implements connectionSource.
 func (d *DedicatedConn) isClosed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/rpc/digest.go
+++ b/internal/rpc/digest.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Digest returns the SHA-256 of parts in hexadecimal, each part with its length before it. It tells a call that is sent
-// again from a different one under the same name.
+// Digest returns the SHA-256 of parts in hexadecimal. Each part is preceded by its length, so that other parts of the
+// same concatenation differ. By it a handler tells a repeated call from another one under the same key.
 func Digest(parts ...[]byte) string {
 	sum := sha256.New()
 	for _, part := range parts {
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -2,18 +2,18 @@
 
 import "errors"
 
-// IsUnsent reports whether a call certainly failed before its first byte was handed to the kernel: the peer cannot have
+// IsUnsent reports whether err is of a call that failed before the kernel took its first byte: the peer cannot have
 // seen it, so it may be sent again.
 func IsUnsent(err error) bool { return isMarked[unsent](err) }
 
-// IsQuotaExhausted reports whether a call failed because its own process had no quota for one more connection: it says
-// nothing of the peer. IsUnsent holds for it too.
+// IsQuotaExhausted reports whether err is of a call that got no connection within the client's own quota: it says
+// nothing about the peer. IsUnsent holds for it too.
 func IsQuotaExhausted(err error) bool { return isMarked[quotaExhausted](err) }
 
-// IsRemote reports whether err is a failure that the peer's handler (or its server) returned as the answer.
+// IsRemote reports whether err is a failure that the peer answered, from its handler or its server.
 func IsRemote(err error) bool { return isMarked[remote](err) }
 
-// mark is what a call's error is marked with; its label begins the error's text.
+// mark is a property of a call's error; its label begins the error's text.
 type mark interface{ label() string }
 
 type (
@@ -26,18 +26,19 @@
 func (quotaExhausted) label() string { return "no room" }
 func (remote) label() string         { return "answered" }
 
-// marked is an error with a mark. One error may carry several marks, as unsent and quotaExhausted.
+// marked is an error with a mark. An error may have several, as unsent and quotaExhausted.
 type marked[M mark] struct{ cause error }
 
-// Error is the cause's text after the mark's label.
+// Error returns the label of the mark and the text of the cause.
 func (e *marked[M]) Error() string {
 	var m M
 	return m.label() + ": " + e.cause.Error()
 }
 
-// Unwrap returns the error under the mark.
+// Unwrap returns the error without this mark.
 func (e *marked[M]) Unwrap() error { return e.cause }
 
+// isMarked reports whether err, or an error that it wraps, has the mark.
 func isMarked[M mark](err error) bool {
 	var e *marked[M]
 	return errors.As(err, &e)
--- a/internal/rpc/eventloops.go
+++ b/internal/rpc/eventloops.go
@@ -11,8 +11,9 @@
 	"crosstide/internal/errs"
 )
 
-// waitForLoops waits until every event loop of nbio runs: a stop that comes before is lost on the loop, and the
-// engine's Stop would wait for it forever. Each loop gets one end of a local connection and has to see it close.
+// waitForLoops waits until every event loop of nbio runs: a loop misses a stop that comes before, and the engine's Stop
+// would wait for it forever. Each loop is handed one end of a local connection whose other end is closed, and runs once
+// it has reported that.
 func (s *Server) waitForLoops() error {
 	loops := s.engine.Engine.NPoller
 	if loops == 1 {
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// waitForOnlyLoop is waitForLoops for a single loop, which any connection reaches: one to the server's own address, as
-// not every machine has local socket pairs.
+// waitForOnlyLoop is waitForLoops for a single loop. Any connection reaches that one, so it dials the server's own
+// address: not every machine has local socket pairs.
 func (s *Server) waitForOnlyLoop() error {
 	closed := make(chan struct{}, 1)
 	s.engine.OnClose(func(c net.Conn, _ error) {
@@ -58,9 +59,9 @@
 	return nil
 }
 
-// connectToLoop hands one event loop a connection that is closed at its other end. nbio picks the loop by the
+// connectToLoop hands one event loop a connection whose other end is closed. nbio selects the loop by the number of the
 // descriptor, so duplicates are made until one has a matching number. All others are closed before that one is handed
-// over: epoll reports events of a connection as long as a duplicate is open, by a number that may be another's by then.
+// over: epoll reports events of a connection as long as a duplicate is open, under a number that may have been reused.
 func (s *Server) connectToLoop(loop, loops int) error {
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -82,8 +83,8 @@
 			spare = append(spare, end)
 		}
 	}
-	for _, one := range spare {
-		_ = one.Close() // nothing was sent on it
+	for _, duplicate := range spare {
+		_ = duplicate.Close() // nothing was sent on it
 	}
 	if err == nil {
 		_, err = s.engine.AddConn(matching)
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,12 +8,14 @@
 	"crosstide/internal/errs"
 )
 
-// frame is a pooled buffer with its JSON encoder. Its owner is the call or answer that took it, until free.
+// frame is a pooled buffer with a JSON encoder that writes to it. Its owner is the call or answer that took it, until
+// it calls free.
 type frame struct {
 	buf bytes.Buffer
-	enc *json.Encoder
+	enc *json.Encoder // to buf
 }
 
+// frames is the pool of frames that are not in use.
 var frames = sync.Pool{New: func() any {
 	f := &frame{}
 	f.enc = json.NewEncoder(&f.buf)
@@ -21,7 +23,7 @@
 	return f
 }}
 
-// takeFrame returns a frame that is empty but for so many bytes of headroom, where a head is written later.
+// takeFrame returns a frame with headroom bytes in it, over which a head may be written later (see prependHead).
 func takeFrame(headroom int) *frame {
 	f := frames.Get().(*frame)
 	f.buf.Reset()
@@ -30,15 +32,15 @@
 	return f
 }
 
-// encode appends v as JSON.
+// encode appends v as JSON to the buffer. Failure: Internal.
 func (f *frame) encode(v any) error {
 	return errs.Wrap(f.enc.Encode(v), errs.Internal, "encode %T", v)
 }
 
-// maxPooledBytes is up to which capacity a frame goes back to the pool.
+// maxPooledBytes is the capacity up to which a frame is returned to the pool: a few large bodies must not keep memory.
 const maxPooledBytes = 1 << 20
 
-// free returns the frame to the pool: its bytes are invalid then.
+// free returns the frame to the pool. Neither it nor its bytes may be used afterwards.
 func (f *frame) free() {
 	if f.buf.Cap() <= maxPooledBytes {
 		frames.Put(f)
--- a/internal/rpc/handle.go
+++ b/internal/rpc/handle.go
@@ -10,8 +10,9 @@
 	"crosstide/internal/errs"
 )
 
-// Handle answers calls of e with serve. ctx ends when the grace of Stop is over. An error of serve is answered as its
-// failure, bytes that are no JSON of C as errs.Malformed, a method other than POST with 405.
+// Handle makes the server answer calls of e by serve, whose ctx ends when the grace of Stop is over. An error of serve
+// is answered by WriteError; a body that is no JSON of C is errs.Malformed, a method other than POST is answered with
+// 405. Like Route, it is called before Start.
 func Handle[C, A any](s *Server, e Endpoint[C, A], serve func(ctx context.Context, call C) (A, error)) {
 	s.Route(e.Path, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
@@ -40,7 +41,7 @@
 	})
 }
 
-// logFailure logs failures of this node, with their causes, which are not sent.
+// logFailure logs an error that is this node's own, with its causes, which are not sent to the caller.
 func (s *Server) logFailure(path string, err error) {
 	switch errs.KindOf(err) {
 	case errs.Internal, errs.Disk, errs.Damaged, errs.Torn:
@@ -48,8 +49,9 @@
 	}
 }
 
-// Route answers pattern (as of http.ServeMux) with handle, which may answer failures by WriteError. r and w must not be
-// kept after handle returns. Call it before Start; a pattern used twice panics.
+// Route makes the server answer requests that match pattern, as of http.ServeMux, by handle, which answers errors by
+// WriteError and must not keep w and r after it has returned. If it panics, the request is answered as errs.Internal.
+// Route is called before Start; it panics if the pattern is taken.
 func (s *Server) Route(pattern string, handle func(w http.ResponseWriter, r *http.Request)) {
 	calls := s.metrics.calls.WithLabelValues(pattern)
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -73,7 +75,8 @@
 	})
 }
 
-// serve passes a request to its route, unless the server is stopping or the connection was not admitted.
+// serve passes a request to its route. It rejects it if the server is stopping, the connection was not admitted or
+// there is no route.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	stopping := s.stopping
@@ -87,9 +90,9 @@
 		WriteError(w, err)
 		return
 	}
-	if h, pattern := s.mux.Handler(r); pattern == "" {
+	if handler, pattern := s.mux.Handler(r); pattern == "" {
 		muxAnswer := &headRecorder{head: w.Header()}
-		h.ServeHTTP(muxAnswer, r) // the mux's own answer is not JSON
+		handler.ServeHTTP(muxAnswer, r) // the answer of the mux itself, whose body is not JSON
 		if muxAnswer.status == http.StatusMethodNotAllowed {
 			writeMethodRejected(w, r)
 			return
--- a/internal/rpc/json.go
+++ b/internal/rpc/json.go
@@ -8,9 +8,11 @@
 	"crosstide/internal/errs"
 )
 
-// ParseJSON parses a call's body strictly; the value is valid until the parser's next use. The parser runs first, as it
-// bounds the nesting; the validation after it rejects what the parser accepts (NaN, invalid escapes), in time that
-// grows with the square of the nesting, and stack with it. Failure: errs.Malformed; its cause quotes the body.
+// ParseJSON parses the body of a call strictly. The value is valid until the next use of parser. Failure: Malformed;
+// its cause quotes the body.
+//
+// The parser runs before the validation, as it bounds the nesting: the validation, which rejects what the parser
+// accepts (NaN, invalid escapes), takes time that grows with the square of the nesting, and stack that grows with it.
 func ParseJSON(parser *fastjson.Parser, body []byte) (*fastjson.Value, error) {
 	if !utf8.Valid(body) {
 		return nil, errs.New(errs.Malformed, "the body is not UTF-8")
--- a/internal/rpc/listener.go
+++ b/internal/rpc/listener.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/errs"
 )
 
-// listen opens the server's socket, before the engine starts.
+// listen opens the server's socket. Failure: Settings.
 func (s *Server) listen() error {
 	socket, err := net.Listen("tcp", s.opt.Addr)
 	if err != nil {
@@ -19,10 +19,10 @@
 	return nil
 }
 
-// takeListener hands the open socket to the engine, in place of one that it would open.
+// takeListener returns the open socket to the engine, which would otherwise open one.
 func (s *Server) takeListener(string, string) (net.Listener, error) { return s.listener, nil }
 
-// listener keeps nbhttp from spinning: nbhttp calls Accept again at once after every error, until it is stopped.
+// listener pauses after a failed Accept: nbhttp calls Accept again at once after an error, and would spin.
 type listener struct {
 	net.Listener
 	clock     clock.Clock
@@ -33,8 +33,8 @@
 // acceptInterval is the pause after a failed Accept.
 const acceptInterval = 50 * time.Millisecond
 
-// Accept returns the next connection. After a failure, as for want of descriptors, it pauses and tries again; once the
-// listener is closed it returns errs.Stopped.
+// Accept returns the next connection. After an error, as for lack of descriptors, it pauses and tries again. Failure:
+// Stopped once the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -47,10 +47,10 @@
 	}
 }
 
-// stopAccepting closes the socket; Close also makes a waiting Accept return.
+// stopAccepting closes the socket: new connections are refused. An Accept that pauses goes on until Close.
 func (l *listener) stopAccepting() { _ = l.Listener.Close() } // it may be closed already
 
-// Close closes the socket and ends a waiting Accept.
+// Close closes the socket, and makes Accept return.
 func (l *listener) Close() error {
 	l.stopAccepting()
 	l.closeOnce.Do(func() { close(l.closed) })
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -6,14 +6,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters of one side, "server" or "caller". Several clients and servers may share a registry: they
-// add to the same counters.
+// metrics are the counters of one side of calls, "server" or "caller". Clients and servers that share a registry add to
+// the same counters.
 type metrics struct {
 	calls    *prometheus.CounterVec // by path
 	failures *prometheus.CounterVec // by path and kind
-	in, out  prometheus.Counter     // bytes of bodies
+	in, out  prometheus.Counter     // bytes received and sent
 }
 
+// newMetrics returns the counters of a side, registered unless registry is nil.
 func newMetrics(side string, registry prometheus.Registerer) *metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return registerCounter(registry, name, help, labels).MustCurryWith(prometheus.Labels{"side": side})
@@ -28,7 +29,7 @@
 	}
 }
 
-// registerCounter returns the registry's counter of that name, registered now or before; a new one without a registry.
+// registerCounter returns the counter of a name that is registered, now or before; without a registry a new one.
 func registerCounter(registry prometheus.Registerer, name, help string, labels []string) *prometheus.CounterVec {
 	opts := prometheus.CounterOpts{Name: name, Help: help}
 	counter := prometheus.NewCounterVec(opts, append([]string{"side"}, labels...))
--- a/internal/rpc/nbiolog.go
+++ b/internal/rpc/nbiolog.go
@@ -11,44 +11,45 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// boundDescriptors bounds nbio's tables of connections, which it makes as long as the process may have descriptors.
-func boundDescriptors(n int) {
+// boundDescriptors bounds nbio's tables of connections, whose length is the number of descriptors that the process may
+// have. The lowest bound of a process holds; 0 sets none.
+func boundDescriptors(limit int) {
 	maxOpenFilesMu.Lock()
 	defer maxOpenFilesMu.Unlock()
-	if n > 0 && n < nbio.MaxOpenFiles {
-		nbio.MaxOpenFiles = n
+	if limit > 0 && limit < nbio.MaxOpenFiles {
+		nbio.MaxOpenFiles = limit
 	}
 }
 
 // maxOpenFilesMu guards nbio.MaxOpenFiles.
 var maxOpenFilesMu sync.Mutex
 
-// redirectLogs sends nbio's own log lines, which have one logger per process, to the latest server's logger.
+// redirectLogs sends the log lines of nbio, which has one logger for the process, to the logger of the newest server.
 func redirectLogs(to log.Logger) {
 	logTo.Store(&to)
 	logOnce.Do(func() { logging.SetLogger(nbioLog{}) })
 }
 
 var (
-	logTo   atomic.Pointer[log.Logger]
-	logOnce sync.Once
+	logTo   atomic.Pointer[log.Logger] // of the newest server
+	logOnce sync.Once                  // makes nbioLog nbio's logger
 )
 
-// nbioLog is nbio's logger; its lines are redirected to logTo.
+// nbioLog is nbio's logger, which writes to logTo.
 type nbioLog struct{}
 
 func (nbioLog) log(at func(log.Logger) log.Logger, format string, v []any) {
 	_ = at(*logTo.Load()).Log("part", "nbio", "msg", fmt.Sprintf(format, v...))
 }
 
-// Debug logs a line of nbio at the level debug.
+// Debug implements nbio's logging.Logger.
 func (n nbioLog) Debug(format string, v ...any) { n.log(level.Debug, format, v) }
 
-// Info logs at the level debug, as nbio's lines on its start and stop are of no use to operators.
+// Info logs at level debug, as nbio's lines about its start and stop are of no use to operators.
 func (n nbioLog) Info(format string, v ...any) { n.log(level.Debug, format, v) }
 
-// Warn logs a line of nbio at the level warn.
+// Warn implements nbio's logging.Logger.
 func (n nbioLog) Warn(format string, v ...any) { n.log(level.Warn, format, v) }
 
-// Error logs a line of nbio at the level error.
+// Error implements nbio's logging.Logger.
 func (n nbioLog) Error(format string, v ...any) { n.log(level.Error, format, v) }
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -10,18 +10,18 @@
 )
 
 // pool has the open connections of a client: those in use and, by address, the idle ones. Each counts in the quota from
-// its dial until discard or close.
+// its dial until discard or close. A pool is safe for concurrent use.
 type pool struct {
 	clock       clock.Clock
-	maxIdle     int           // idle connections kept per address
-	idleTimeout time.Duration // an idle connection is closed after it
-	quota       *ConnQuota    // bounds the open connections; nil: nothing does
+	maxIdle     int           // most idle connections per address
+	idleTimeout time.Duration // age at which an idle connection is closed
+	quota       *ConnQuota    // bounds the open connections; nil: no bound
 
 	mu        sync.Mutex               // guards the fields below
-	idle      map[string][]*connection // by address, the last one used comes last; no empty lists
-	idleByAge *list.List               // all idle connections, the longest idle first
+	idle      map[string][]*connection // by address, the one used last at the end; no empty lists
+	idleByAge *list.List               // the same connections, the longest idle first
 	open      map[*connection]struct{} // all open connections, idle or in use
-	closed    bool
+	closed    bool                     // close was called
 }
 
 func newPool(clock clock.Clock, maxIdle int, idleTimeout time.Duration, quota *ConnQuota) *pool {
@@ -38,7 +38,7 @@
 	return p
 }
 
-// add adds a connection that was just opened and is in use; false: the pool is closed.
+// add adds a new connection, which is in use. It reports false if the pool is closed.
 func (p *pool) add(conn *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,8 +49,8 @@
 	return true
 }
 
-// get returns an idle connection to addr, which is in use then; nil if there is none. One that is too old or was closed
-// by the peer is discarded.
+// get returns an idle connection to addr, which then is in use; nil if there is none. It discards those that are too
+// old or that the peer has closed.
 func (p *pool) get(addr string) *connection {
 	for {
 		conn := p.takeNewestIdle(addr)
@@ -61,7 +61,7 @@
 	}
 }
 
-// takeNewestIdle removes the idle connection to addr that was used last from the idle ones; nil if there is none.
+// takeNewestIdle returns the idle connection to addr that was used last, and makes it one in use; nil if there is none.
 func (p *pool) takeNewestIdle(addr string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +74,8 @@
 	return conn
 }
 
-// put makes a connection idle that is not in use any more, and closes those that are too many then.
+// put makes a connection idle whose use has ended. It discards idle ones that are too many or too old, and one more if
+// a call waits for the quota.
 func (p *pool) put(conn *connection) {
 	for _, surplus := range p.addIdle(conn) {
 		p.discard(surplus)
@@ -84,7 +85,7 @@
 	}
 }
 
-// addIdle makes conn idle and returns the connections that are to be discarded.
+// addIdle makes conn idle, and returns the connections that the caller has to discard.
 func (p *pool) addIdle(conn *connection) (surplus []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +107,7 @@
 	return surplus
 }
 
-// oldestIdle returns the connection that is idle for longest; nil if none is. The caller holds mu.
+// oldestIdle returns the connection that has been idle for longest; nil if none is idle. The caller holds mu.
 func (p *pool) oldestIdle() *connection {
 	if front := p.idleByAge.Front(); front != nil {
 		return front.Value.(*connection)
@@ -129,7 +130,7 @@
 	p.idle[conn.addr] = idle
 }
 
-// evictOldestIdle closes the connection that is idle for longest; false if none is idle.
+// evictOldestIdle closes the connection that has been idle for longest. It reports false if none is idle.
 func (p *pool) evictOldestIdle() bool {
 	p.mu.Lock()
 	conn := p.oldestIdle()
@@ -144,7 +145,8 @@
 	return true
 }
 
-// discard closes a connection that is not idle, with a reset.
+// discard resets a connection that is not idle, and releases its quota. It does nothing more for one that close has
+// closed.
 func (p *pool) discard(conn *connection) {
 	p.mu.Lock()
 	_, isOpen := p.open[conn]
@@ -156,7 +158,8 @@
 	}
 }
 
-// close closes all connections, those in use too.
+// close resets all connections, those in use too, and releases their quota. Connections that are put or added later are
+// rejected.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -170,6 +173,7 @@
 	}
 }
 
+// isClosed reports whether close was called.
 func (p *pool) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rpc/recorder.go
+++ b/internal/rpc/recorder.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/errs"
 )
 
-// responseRecorder counts what an answer carries.
+// responseRecorder records what the metrics of a request need while it passes the answer on.
 type responseRecorder struct {
 	http.ResponseWriter
-	bodyBytes   int
-	errorKind   errs.Kind
-	wroteHeader bool
+	bodyBytes   int       // of the body, written so far
+	errorKind   errs.Kind // set by writeFailure; empty: the answer is no error
+	wroteHeader bool      // the answer has begun: its status cannot change any more
 }
 
 // Unwrap lets http.ResponseController reach the connection.
@@ -34,17 +34,17 @@
 	return n, nil
 }
 
-// headRecorder records the head of an answer and discards its body.
+// headRecorder records the head of an answer that is not sent.
 type headRecorder struct {
 	head   http.Header
 	status int
 }
 
-// Header is part of http.ResponseWriter.
+// Header implements http.ResponseWriter.
 func (h *headRecorder) Header() http.Header { return h.head }
 
-// Write discards the body.
+// Write implements http.ResponseWriter; it discards the body.
 func (*headRecorder) Write(b []byte) (int, error) { return len(b), nil }
 
-// WriteHeader records the status.
+// WriteHeader implements http.ResponseWriter.
 func (h *headRecorder) WriteHeader(status int) { h.status = status }
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -13,29 +13,28 @@
 	"crosstide/internal/errs"
 )
 
-// Request is a plain HTTP/1.1 request to a peer that has no Endpoint.
+// Request is a plain HTTP/1.1 request, for a peer whose interface is no Endpoint.
 type Request struct {
 	Method string
-	Path   string // with its query, as it is sent
+	Path   string // as it is sent, with its query
 	Header map[string]string
 	Body   []byte
 }
 
-// Response is the whole response to a Request, of any status.
+// Response is the response to a Request, of any status.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// exchangeLabel replaces the path in the counters: paths of plain requests are not a closed list.
+// exchangeLabel stands for the path in the metrics, as there is no bound on the paths of plain requests.
 const exchangeLabel = "exchange"
 
-// Do sends r once to addr (host:port) over the pooled connections and returns the response; no status is an error. It
-// ends at the latest after timeout, or with ctx: the connection is closed with a reset and the error is errs.Timeout. A
-// refused or broken connection is errs.Unavailable, a closed client errs.Stopped, a request that cannot be sent
-// errs.Invalid, a response over MaxBody errs.TooLarge. See IsUnsent for requests of which no byte was handed to the
-// kernel. Example:
+// Do sends r once to addr (host:port) over a pooled connection and returns the response; no status is an error. It ends
+// at the latest after timeout on the client's clock, or with ctx: the connection is then closed with a reset. Failures:
+// Timeout; Unavailable for a refused or broken connection; Stopped for a closed client; Invalid for a request that
+// cannot be encoded; TooLarge for a response over MaxBody. IsUnsent tells which requests were not sent. Example:
 //
 //	response, err := client.Do(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
 func (c *Client) Do(ctx context.Context, addr string, r Request, timeout time.Duration) (Response, error) {
@@ -51,7 +50,7 @@
 	return Response{Status: response.StatusCode, Header: response.Header, Body: bytes.Clone(in.buf.Bytes())}, nil
 }
 
-// sendRequest encodes r into out and reads the body of its response into in.
+// sendRequest encodes r into out, sends it, and reads the body of the response into in.
 func (c *Client) sendRequest(
 	ctx context.Context, addr string, r Request, timeout time.Duration, out, in *bytes.Buffer,
 ) (*http.Response, error) {
@@ -64,7 +63,7 @@
 	return response, errs.Pass(err, "exchange")
 }
 
-// validate rejects what would break the request's head.
+// validate rejects what cannot be encoded, as line breaks in the head. Failure: Invalid.
 func (r Request) validate() error {
 	if r.Method == "" || strings.ContainsAny(r.Method, " \t\r\n") {
 		return errs.Field(errs.Invalid, "method", "%q is no method", r.Method)
@@ -80,7 +79,8 @@
 	return nil
 }
 
-// encode writes the request, the headers in order of name. It sets Host, unless a header does, and Content-Length.
+// encode writes the request to a buffer, the headers in order of their names. Host is addr unless a header sets it;
+// Content-Length always is that of the body.
 func (r Request) encode(to *bytes.Buffer, addr string) {
 	host := addr
 	to.WriteString(r.Method + " " + r.Path + " HTTP/1.1\r\n")
--- a/internal/rpc/respond.go
+++ b/internal/rpc/respond.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/errs"
 )
 
-// WriteError answers err: the status of its kind in the table of errs, Retry-After in whole seconds (rounded up, at
-// least 1) where there is one, and the body {"kind","field","message"}, plus "hint" if set. Causes are not sent.
+// WriteError answers an error: with the status of its kind (errs.ReplyOf), Retry-After in whole seconds, rounded up, if
+// it has a time to retry, and the JSON of its kind, field, message and hint. Causes are not sent.
 func WriteError(w http.ResponseWriter, err error) {
 	failure := errs.Of(err)
 	if failure == nil {
@@ -18,7 +18,7 @@
 	writeFailure(w, failure, errs.ReplyOf(failure.Kind).Status)
 }
 
-// writeFailure answers a failure with a status, which may differ from its kind's.
+// writeFailure is WriteError with a status that may differ from that of the kind.
 func writeFailure(w http.ResponseWriter, failure *errs.Error, status int) {
 	kind := knownKind(failure.Kind)
 	if after := firstPositive(failure.After, errs.ReplyOf(kind).After); after > 0 {
@@ -30,27 +30,28 @@
 	WriteJSON(w, status, errorBody{Kind: kind, Field: failure.Field, Message: failure.Message, Hint: failure.Hint})
 }
 
-// writeMethodRejected answers a request whose method the path does not take.
+// writeMethodRejected answers a request with a method that is not allowed at its path.
 func writeMethodRejected(w http.ResponseWriter, r *http.Request) {
 	failure := &errs.Error{Kind: errs.Invalid, Field: "method", Message: r.Method + " is not taken here"}
 	writeFailure(w, failure, http.StatusMethodNotAllowed)
 }
 
-// WriteJSON answers v as JSON with the given status. A v that cannot be encoded is answered as an internal failure.
+// WriteJSON answers with a status and v as JSON; with errs.Internal if v cannot be encoded.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	f := takeFrame(0)
 	defer f.free()
 	if err := f.encode(v); err != nil {
-		WriteError(w, err) // an error body always encodes: this does not come back here
+		WriteError(w, err) // no endless recursion: an error body can always be encoded
 		return
 	}
 	writeBytes(w, status, f.buf.Bytes())
 }
 
+// writeBytes answers with a status and a body of JSON.
 func writeBytes(w http.ResponseWriter, status int, body []byte) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a client that is gone runs into its own time-out
+	_, _ = w.Write(body) // if the client is gone, nobody is left to be told
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -18,24 +18,24 @@
 	"crosstide/internal/routine"
 )
 
-// ServerOptions are the settings of a Server; only Addr is needed.
+// ServerOptions are the settings of a Server; only Addr is required.
 type ServerOptions struct {
-	Addr     string                // host:port to listen at; port 0 takes a free one
+	Addr     string                // host:port to listen at; port 0 stands for a free one
 	Logger   log.Logger            // default: none
-	MaxBody  int64                 // bound on bodies of endpoints in bytes, default MaxBody
+	MaxBody  int64                 // bound on the body of a call in bytes, default MaxBody
 	Clock    clock.Clock           // default clock.Real
 	Registry prometheus.Registerer // default: the counters are not registered
-	// Descriptors bounds the file descriptors that the process has, if the system has no lower bound: a table of that
-	// length is kept for each server. The lowest one passed holds for the whole process; 0 leaves it as it is.
+	// Descriptors is an upper bound on the file descriptors of the process: each server has a table of that length. The
+	// lowest one of a process holds for all its servers. Default: the limit of the system.
 	Descriptors int
-	// Loops is the number of event loops; 0: nbio's default.
+	// Loops is the number of event loops. Default: nbio's.
 	Loops int
-	// Quota bounds the connections: a request on one that was not admitted is answered errs.Unavailable, with the time
-	// to try again, and the connection is closed. Default: nothing bounds them.
+	// Quota bounds the connections. A request on a connection beyond it is answered errs.Unavailable, with the time to
+	// try again, and the connection is closed. Default: no bound.
 	Quota *ConnQuota
 }
 
-// withDefaults fills in the defaults.
+// withDefaults returns the options with their defaults filled in.
 func (opt ServerOptions) withDefaults() ServerOptions {
 	if opt.Logger == nil {
 		opt.Logger = log.NewNopLogger()
@@ -47,28 +47,28 @@
 	return opt
 }
 
-// Server answers endpoints and other routes. Every request runs on a goroutine of its own, so any number of them may
-// block (long polls) without delaying others. A connection takes one request at a time.
+// Server answers calls of endpoints and other requests. Each request has its own goroutine, so any number of them may
+// block (long polls) without delaying others. A connection has one request at a time.
 type Server struct {
 	opt      ServerOptions
-	mux      *http.ServeMux // complete before Start
+	mux      *http.ServeMux // not changed from Start on
 	engine   *nbhttp.Engine
-	requests *routine.Group // the goroutines of requests; its context is theirs
+	requests *routine.Group // the goroutines of requests; their context is its context
 	metrics  *metrics
 	listener *listener // nil before Start
-	// accepted orders the making of a connection before its first read: nbio hands it from the accepting goroutine to
-	// the event loop by epoll alone, which is no order in Go's memory model.
+	// accepted synchronizes the opening of a connection with its first read: nbio hands a connection from the accepting
+	// goroutine to an event loop by epoll alone, which is no synchronization in Go's memory model.
 	accepted  atomic.Int64
 	admission admission
 
 	mu             sync.Mutex    // guards the fields below
-	activeRequests int           // requests from their last byte read until their answer is written
+	activeRequests int           // requests that are read whole and whose answer is not written yet
 	stopping       bool          // Stop was called: new requests are rejected
-	drained        chan struct{} // closed when stopping and nothing runs
+	drained        chan struct{} // closed once the server is stopping and no request is active
 	drainedClosed  bool
 }
 
-// NewServer makes a server that does not listen yet. Example:
+// NewServer returns a server that does not listen yet. Example:
 //
 //	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 //	rpc.Handle(s, Vote, func(ctx context.Context, b Ballot) (Verdict, error) { return store.Vote(ctx, b) })
@@ -92,9 +92,9 @@
 	return s
 }
 
-// newEngine makes nbio's engine, whose callbacks are the server's.
+// newEngine returns nbio's engine with the server's callbacks.
 func (s *Server) newEngine() *nbhttp.Engine {
-	maxBody := int(max(2*s.opt.MaxBody, MaxBody)) // over it nbhttp closes the connection without an answer
+	maxBody := int(max(2*s.opt.MaxBody, MaxBody)) // beyond it nbhttp closes the connection without an answer
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Name:              "rpc",
 		Network:           "tcp",
@@ -122,7 +122,7 @@
 	return engine
 }
 
-// execute runs the handling of a request, with the writing of its answer, on a goroutine.
+// execute runs handle, which handles a request and writes its answer, on a goroutine.
 func (s *Server) execute(handle func()) {
 	s.mu.Lock()
 	s.activeRequests++
@@ -133,6 +133,7 @@
 	})
 }
 
+// requestDone ends a request that execute has counted.
 func (s *Server) requestDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +141,7 @@
 	s.signalDrained()
 }
 
-// signalDrained closes drained once, when the server stops and nothing runs. The caller holds mu.
+// signalDrained closes drained if the server is stopping and no request is active, once. The caller holds mu.
 func (s *Server) signalDrained() {
 	if s.activeRequests > 0 || !s.stopping || s.drainedClosed {
 		return
@@ -149,9 +150,9 @@
 	close(s.drained)
 }
 
-// Start listens and answers. An address that cannot be listened at is errs.Settings. The socket is opened before the
-// engine starts: an engine whose listener fails stops its event loops at once, and waits forever for one that does not
-// run yet.
+// Start listens at the address and returns once the server answers. Failure: Settings if it cannot listen there. The
+// socket is opened before the engine starts: an engine that cannot listen stops its event loops at once, and waits
+// forever for one that does not run yet.
 func (s *Server) Start() error {
 	if err := s.listen(); err != nil {
 		return errs.Pass(err, "listen at %s", s.opt.Addr)
@@ -162,12 +163,12 @@
 	return errs.Wrap(s.waitForLoops(), errs.Internal, "start the event loops")
 }
 
-// Addr is the real host:port after Start.
+// Addr returns the host:port at which the server listens, once Start has returned.
 func (s *Server) Addr() string { return s.engine.Addrs[0] }
 
-// Stop closes the listener, rejects new requests as errs.Stopped, lets running handlers finish for up to grace, then
-// ends their context and closes all connections. Handlers that still run then are errs.Timeout. Call it once; without a
-// Start it does nothing.
+// Stop closes the listener, rejects new requests as errs.Stopped, and waits for the active ones for up to grace. Then
+// it ends the context of those that are left and closes all connections. Failure: Timeout if there were any. It is
+// called once; without a Start it does nothing.
 func (s *Server) Stop(grace time.Duration) error {
 	if s.listener == nil {
 		return nil
--- a/internal/rpc/transfer.go
+++ b/internal/rpc/transfer.go
@@ -10,27 +10,30 @@
 	"crosstide/internal/errs"
 )
 
-// connectionSource lends connections to calls: the pool of a Client, or a DedicatedConn.
+// connectionSource provides calls with connections: a Client from its pool, or a DedicatedConn.
 type connectionSource interface {
-	// acquire returns a connection to addr that is the caller's alone until release.
+	// acquire returns a connection to addr, which nobody else uses until release. It waits for one until ctx ends.
 	acquire(ctx context.Context, addr string) (*connection, error)
-	// release ends the use of a connection. It is reusable if the call succeeded up to its last byte.
+	// release ends the use of a connection. It is reusable if the answer was read to its last byte; otherwise the
+	// source closes it.
 	release(conn *connection, reusable bool)
+	// isClosed reports whether the source was closed: it explains why a connection broke.
 	isClosed() bool
 }
 
+// errTimeout is the cause of a context that ended with the time-out of a call.
 var errTimeout = errors.New("no answer in time")
 
-// transfer is one request as it goes out, and the buffer that takes the body of its response.
+// transfer is one request in its encoded form, and the buffer for the body of its response.
 type transfer struct {
 	addr, path, method string
 	request            []byte // head and body
 	response           *bytes.Buffer
 	timeout            time.Duration
-	beforeWrite        func() error // called before each write(2), which its error prevents; nil: none
+	beforeWrite        func() error // called right before each write(2), which its error prevents; nil: none
 }
 
-// transfer sends a request once and reads the whole response, of any status, over a connection of source.
+// transfer sends a request once over a connection of source, and reads the whole response, of any status.
 func (c *Client) transfer(ctx context.Context, source connectionSource, t transfer) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -71,8 +74,8 @@
 	return response, nil
 }
 
-// write writes the request and returns the number of bytes that the kernel took. prevented is the error by which
-// t.beforeWrite stopped the writing, nil if it did not.
+// write writes the request, and returns the number of bytes that the kernel took. prevented is the error of
+// t.beforeWrite that stopped the writing; nil if it did not.
 func (t transfer) write(ctx context.Context, conn *connection) (sent int, prevented, err error) {
 	err = conn.write(t.request, &sent, func() error {
 		if context.Cause(ctx) != nil {
@@ -89,7 +92,7 @@
 	return sent, prevented, errs.Pass(err, "request")
 }
 
-// classifyError wraps an error of the connection in its kind: Timeout, Stopped or Unavailable.
+// classifyError wraps an error of the connection in its kind by what ended it: Timeout, Stopped or Unavailable.
 func (t transfer) classifyError(ctx context.Context, source connectionSource, err error) error {
 	switch {
 	case context.Cause(ctx) != nil:
@@ -101,7 +104,7 @@
 	return errs.Wrap(err, errs.Unavailable, "%s at %s", t.path, t.addr)
 }
 
-// markUnsent marks err for IsUnsent if not one byte was sent.
+// markUnsent marks err for IsUnsent if no byte was sent.
 func markUnsent(err error, sent int) error {
 	if sent == 0 {
 		return &marked[unsent]{err}
--- a/internal/rpc/waitqueue.go
+++ b/internal/rpc/waitqueue.go
@@ -2,23 +2,24 @@
 
 import "slices"
 
-// waitQueue is a first-in, first-out queue of calls that wait. Its owner's mutex guards it.
+// waitQueue is a queue of waiting calls, first in, first out. Each is the channel that wakes it. The owner's mutex
+// guards the queue.
 type waitQueue []chan struct{}
 
-// join adds a call at the end; the channel is closed when it is woken.
+// join adds a call at the end, and returns the channel that is closed when the call is woken.
 func (w *waitQueue) join() (woken chan struct{}) {
 	woken = make(chan struct{})
 	*w = append(*w, woken)
 	return woken
 }
 
-// wakeFirst wakes the call that waits for longest. The queue must not be empty.
+// wakeFirst wakes and removes the call that has waited for longest. The queue must not be empty.
 func (w *waitQueue) wakeFirst() {
 	close((*w)[0])
 	*w = (*w)[1:]
 }
 
-// leave removes a call that waits no more; false: it was woken already.
+// leave removes a call that gives up. It reports false if the call was woken already.
 func (w *waitQueue) leave(woken chan struct{}) bool {
 	at := slices.Index(*w, woken)
 	if at < 0 {
