--- a/internal/storage/crashpoints_test.go
+++ b/internal/storage/crashpoints_test.go
@@ -13,13 +13,13 @@
 	"crosstide/internal/errs"
 )
 
-// crashDisk is a folder that keeps, after each changing call, what a loss of power at that moment may leave.
+// crashDisk is a folder that records, after each change, what a loss of power at that moment may leave.
 type crashDisk struct {
 	live    map[string]*crashFile
-	kept    map[string]*crashFile   // the names as last synced
-	pending []map[string]*crashFile // the names after each change since then
+	kept    map[string]*crashFile   // the files by name as of the last sync of the folder
+	pending []map[string]*crashFile // the files by name after each change since then
 	points  []crashPoint
-	// What the test of the test takes out: a sync that does nothing.
+	// Syncs that do nothing, by which the test is tested.
 	noFileSync, noFolderSync bool
 }
 
@@ -28,17 +28,18 @@
 	kept int // bytes that are synced
 }
 
-// crashPoint is what may be left: one of some states of the names, and any part of what is not synced of each file.
+// crashPoint is what a loss of power may leave: one of several states of the names, and of each file any part of what
+// is not synced.
 type crashPoint struct {
 	names []map[string]crashFile
-	step  int // the step of the script that was under way
+	step  int // the step of the script that was running
 }
 
 func newCrashDisk() *crashDisk {
 	return &crashDisk{live: map[string]*crashFile{}, kept: map[string]*crashFile{}}
 }
 
-// recordPoint keeps what a loss of power now may leave.
+// recordPoint records what a loss of power may leave now.
 func (d *crashDisk) recordPoint() {
 	point := crashPoint{}
 	for _, names := range append([]map[string]*crashFile{d.kept}, d.pending...) {
@@ -51,7 +52,8 @@
 	d.points = append(d.points, point)
 }
 
-func (d *crashDisk) rename(edit func()) {
+// changeNames lets edit change the names in live.
+func (d *crashDisk) changeNames(edit func()) {
 	edit()
 	d.pending = append(d.pending, maps.Clone(d.live))
 	d.recordPoint()
@@ -62,27 +64,27 @@
 		return nil, errs.New(errs.Disk, "%s is there already", name)
 	}
 	f := &crashFile{}
-	d.rename(func() { d.live[name] = f })
-	return &crashHandle{d: d, f: f}, nil
+	d.changeNames(func() { d.live[name] = f })
+	return &crashHandle{disk: d, file: f}, nil
 }
 
 func (d *crashDisk) Open(name string) (File, error) {
 	if d.live[name] == nil {
 		return nil, errs.New(errs.Disk, "%s is missing", name)
 	}
-	return &crashHandle{d: d, f: d.live[name]}, nil
+	return &crashHandle{disk: d, file: d.live[name]}, nil
 }
 
 func (d *crashDisk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.live)), nil }
 
 func (d *crashDisk) Remove(name string) error {
-	d.rename(func() { delete(d.live, name) })
+	d.changeNames(func() { delete(d.live, name) })
 	return nil
 }
 
 func (d *crashDisk) Rename(old, name string) error {
 	f := d.live[old]
-	d.rename(func() { delete(d.live, old); d.live[name] = f })
+	d.changeNames(func() { delete(d.live, old); d.live[name] = f })
 	return nil
 }
 
@@ -94,39 +96,40 @@
 	return nil
 }
 
+// crashHandle is an open file of a crashDisk.
 type crashHandle struct {
-	d  *crashDisk
-	f  *crashFile
-	at int
+	disk   *crashDisk
+	file   *crashFile
+	offset int // of the next read
 }
 
 func (h *crashHandle) Read(p []byte) (int, error) {
-	if h.at >= len(h.f.data) {
+	if h.offset >= len(h.file.data) {
 		return 0, io.EOF
 	}
-	n := copy(p, h.f.data[h.at:])
-	h.at += n
+	n := copy(p, h.file.data[h.offset:])
+	h.offset += n
 	return n, nil
 }
 
 func (h *crashHandle) Write(p []byte) (int, error) {
-	h.f.data = append(h.f.data, p...)
-	h.d.recordPoint()
+	h.file.data = append(h.file.data, p...)
+	h.disk.recordPoint()
 	return len(p), nil
 }
 
 func (h *crashHandle) Sync() error {
-	if !h.d.noFileSync {
-		h.f.kept = len(h.f.data)
-		h.d.recordPoint()
+	if !h.disk.noFileSync {
+		h.file.kept = len(h.file.data)
+		h.disk.recordPoint()
 	}
 	return nil
 }
 
 func (*crashHandle) Close() error { return nil }
 
-// folders calls do with every folder that the point may leave: each state of the names, every length of what was not
-// synced, with and without zeros in the place of the rest.
+// folders calls do with every folder that may be left: each state of the names, with every length of what was not
+// synced, with and without zeros in place of the rest.
 func (p crashPoint) folders(do func(*MemDisk)) {
 	for _, names := range p.names {
 		longest := 0
@@ -136,7 +139,7 @@
 		for kept := 0; kept <= longest; kept++ {
 			for _, zeros := range []bool{false, true} {
 				if zeros && kept == longest {
-					continue // nothing is left to be zeros
+					continue // there is no rest
 				}
 				do(folderOf(names, kept, zeros))
 			}
@@ -144,7 +147,7 @@
 	}
 }
 
-// folderOf makes the folder in which so many bytes beyond the synced ones are kept of each file.
+// folderOf returns the folder in which each file has up to kept bytes beyond the synced ones.
 func folderOf(names map[string]crashFile, kept int, zeros bool) *MemDisk {
 	d := NewMemDisk()
 	for name, f := range names {
@@ -157,30 +160,32 @@
 	return d
 }
 
-// crashStep is a step of the script: a change, the records that it tries, and what holds once it has succeeded.
+// crashStep is a step of the script.
 type crashStep struct {
 	do    func(s *Store) error
 	tries []Record // of an Append: any first few of them may be there after a crash
-	after model
+	after model    // once the step has succeeded
 }
 
-// crashScript has appends, appends that replace entries, own snapshots, one that keeps segments, and one that came
+// crashScript returns appends, appends that replace entries, own snapshots, one that keeps segments, and one that came
 // from another member and contradicts the log.
 func crashScript() []crashStep {
 	var steps []crashStep
 	m := model{}
-	add := func(recs ...Record) {
-		m = m.with(recs...)
-		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.Append(recs), "append") }, recs, m})
+	add := func(records ...Record) {
+		m = m.with(records...)
+		do := func(s *Store) error { return errs.Pass(s.Append(records), "append") }
+		steps = append(steps, crashStep{do: do, tries: records, after: m})
 	}
 	snapshot := func(index, keepFrom uint64) {
-		snap := m.image(index)
-		steps = append(steps, crashStep{func(s *Store) error { return errs.Pass(s.WriteSnapshot(snap, keepFrom), "slot") }, nil, m})
+		snap := m.snapshot(index)
+		do := func(s *Store) error { return errs.Pass(s.WriteSnapshot(snap, keepFrom), "snapshot") }
+		steps = append(steps, crashStep{do: do, after: m})
 	}
 	add(hard(1), entry(1, 1), entry(1, 2), entry(1, 3))
 	add(entry(1, 4))
 	snapshot(2, 0)
-	add(hard(2), entry(2, 4), entry(2, 5)) // takes the place of an entry
+	add(hard(2), entry(2, 4), entry(2, 5)) // replaces an entry
 	snapshot(4, 1)
 	add(entry(2, 6), entry(2, 7))
 	snapshot(6, 0)
@@ -193,8 +198,9 @@
 	return steps
 }
 
-// playCrashes plays the script and opens every folder that a loss of power may leave at any point of it. It returns
-// how many folders there were, and how many of them lacked what was synced or held what was never written.
+// playCrashes plays the script and opens every folder that a loss of power may leave at any point of it, up to the
+// first wrong one. It returns how many folders it opened, and how many of them lacked what was synced or had what was
+// never written.
 func playCrashes(d *crashDisk) (folders, wrong int) {
 	s := must(Open(d, virtual))
 	steps := crashScript()
@@ -222,8 +228,8 @@
 	return folders, wrong
 }
 
-// opensWell reports whether a folder holds what it must after a loss of power during a step, also when the power is lost
-// again at each call of the start, and whether a store on it can go on.
+// opensWell reports whether a folder has what it must after a loss of power during a step, and whether a store on it
+// can be appended to; both also if the power is lost again at any change that Open makes.
 func opensWell(d *MemDisk, steps []crashStep, step int) bool {
 	before := model{}
 	if step > 0 {
@@ -235,7 +241,7 @@
 			c.PowerOff(again)
 			_, _, err := Open(c, virtual)
 			if err == nil {
-				return true // the start had no more calls
+				return true // Open made fewer changes than that
 			}
 			c.Crash(rand.New(rand.NewSource(int64(again))))
 		}
@@ -249,7 +255,7 @@
 	}
 }
 
-// allowedAfter reports whether what a start found may be there after a loss of power during a step.
+// allowedAfter reports whether what Open recovered may be there after a loss of power during a step.
 func allowedAfter(recovered Recovered, before model, steps []crashStep, step int) bool {
 	if before.fits(recovered) {
 		return true
@@ -266,7 +272,7 @@
 }
 
 func TestEveryCrashPoint(t *testing.T) {
-	Convey("A loss of power after any call, with any part of what was not synced, leaves all that was synced", t, func() {
+	Convey("After any change, with any part of what is not synced, a loss of power leaves all that is synced", t, func() {
 		folders, wrong := playCrashes(newCrashDisk())
 		t.Logf("%d folders", folders)
 		So(folders, ShouldBeGreaterThan, 2000)
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -7,39 +7,23 @@
 	"crosstide/internal/errs"
 )
 
-// FuzzOpen reads any bytes as files of the folder: no panic, only records whose checksum is right, and what was
-// opened opens again to the same.
+// FuzzOpen opens a folder with any bytes as its files: Open does not panic, returns only records with a right checksum,
+// and returns the same ones again.
 func FuzzOpen(f *testing.F) {
-	f.Fuzz(func(t *testing.T, log1, log2, snapshotA, snapshotB []byte) {
-		d := NewMemDisk()
-		files := [][]byte{log1, log2}
-		for i, all := range [][]byte{log1, log2, snapshotA, snapshotB} {
-			name := segment{number: uint64(i + 1)}.name()
-			if i > 1 {
-				name = snapshotFileNames[i-2]
-			}
-			if len(all) > 0 {
-				d.Put(name, all)
-			}
-		}
+	f.Fuzz(func(t *testing.T, segment1, segment2, snapshotA, snapshotB []byte) {
+		segments := [][]byte{segment1, segment2}
+		d := fuzzedFolder(segments, [][]byte{snapshotA, snapshotB})
 		_, recovered, err := Open(d, virtual)
-		if err != nil {
-			if !errs.Is(err, errs.Damaged) {
-				t.Fatalf("not damage: %v", err)
-			}
+		if errs.Is(err, errs.Damaged) {
 			return
 		}
-		valid := map[string]bool{}
-		for i, all := range files {
-			for at := range all {
-				if r, _, ok := recordAt(all, uint64(i+1), at); ok {
-					valid[fmt.Sprintf("%v", r)] = true
-				}
-			}
+		if err != nil {
+			t.Fatalf("not damage: %v", err)
 		}
+		valid := validRecords(segments)
 		for _, r := range recovered.Records {
-			if !valid[fmt.Sprintf("%v", r)] {
-				t.Fatalf("a record that no file holds: %v", r)
+			if !valid[fmt.Sprint(r)] {
+				t.Fatalf("a record that no file has: %v", r)
 			}
 		}
 		_, again, err := Open(d, virtual)
@@ -49,31 +33,63 @@
 	})
 }
 
+// fuzzedFolder returns a folder with the files; empty ones are left out.
+func fuzzedFolder(segments, snapshots [][]byte) *MemDisk {
+	d := NewMemDisk()
+	put := func(name string, content []byte) {
+		if len(content) > 0 {
+			d.Put(name, content)
+		}
+	}
+	for i, content := range segments {
+		put(segment{number: uint64(i + 1)}.name(), content)
+	}
+	for i, content := range snapshots {
+		put(snapshotFileNames[i], content)
+	}
+	return d
+}
+
+// validRecords returns the records, as text, that begin anywhere in the segments.
+func validRecords(segments [][]byte) map[string]bool {
+	valid := map[string]bool{}
+	for i, content := range segments {
+		for offset := range content {
+			if r, _, ok := recordAt(content, uint64(i+1), offset); ok {
+				valid[fmt.Sprint(r)] = true
+			}
+		}
+	}
+	return valid
+}
+
 func BenchmarkAppend(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d, err := OSDisk(b.TempDir())
-			if err != nil {
-				b.Fatal(err)
-			}
-			s, _, err := Open(d, Options{})
-			if err != nil {
-				b.Fatal(err)
-			}
-			recs, next := make([]Record, n), uint64(1)
-			for b.Loop() {
-				for i := range recs {
-					recs[i] = Record{Term: 1, Index: next, Data: make([]byte, 200)}
-					next++
-				}
-				if err := s.Append(recs); err != nil {
-					b.Fatal(err)
-				}
-			}
-			b.ReportMetric(float64(n)*float64(b.N)/b.Elapsed().Seconds(), "records/s")
-			if err := s.Close(); err != nil {
-				b.Fatal(err)
-			}
-		})
+		b.Run(fmt.Sprint(n), func(b *testing.B) { appendGroups(b, n) })
+	}
+}
+
+// appendGroups appends groups of n records of 200 bytes to a folder of the system.
+func appendGroups(b *testing.B, n int) {
+	b.Helper()
+	check := func(err error) {
+		b.Helper()
+		if err != nil {
+			b.Fatal(err)
+		}
+	}
+	d, err := OSDisk(b.TempDir())
+	check(err)
+	s, _, err := Open(d, Options{})
+	check(err)
+	records, next := make([]Record, n), uint64(1)
+	for b.Loop() {
+		for i := range records {
+			records[i] = Record{Term: 1, Index: next, Data: make([]byte, 200)}
+			next++
+		}
+		check(s.Append(records))
 	}
+	b.ReportMetric(float64(n)*float64(b.N)/b.Elapsed().Seconds(), "records/s")
+	check(s.Close())
 }
--- a/internal/storage/resume_test.go
+++ b/internal/storage/resume_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/errs"
 )
 
-// limited is a disk with space for so many more bytes and names; a write beyond it keeps what fits and is rejected.
+// limited is a disk with space for free more bytes and names. A write beyond it keeps what fits, and fails.
 type limited struct {
 	Disk
 	free *int
@@ -21,7 +21,7 @@
 	free *int
 }
 
-// nameCost is what a new name takes.
+// nameCost is the space that a new name takes.
 const nameCost = 8
 
 func (d limited) Create(name string) (File, error) {
@@ -47,37 +47,47 @@
 	return n, errs.Pass(err, "write")
 }
 
+// plenty is more space than any test needs.
 const plenty = 1 << 20
 
+// fullDiskStep is a step on a disk that may be full.
+type fullDiskStep struct {
+	name  string
+	do    func(s *Store, m model) error
+	after func(m model) model // what the store must have once the step has succeeded
+}
+
 func TestFullDisk(t *testing.T) {
-	// step does one thing with a store whose disk may be full; then returns what it must have when that succeeded.
-	type step struct {
-		name string
-		do   func(s *Store, m model) error
-		then func(m model) model
-	}
-	steps := []step{
-		{"append", func(s *Store, _ model) error { return s.Append([]Record{hard(12), entry(12, 12)}) },
-			func(m model) model { return m.with(hard(12), entry(12, 12)) }},
-		{"append that replaces", func(s *Store, _ model) error { return s.Append([]Record{entry(12, 10)}) },
-			func(m model) model { m = m.with(entry(12, 10)); m.entries = m.entries[:10]; return m }},
-		{"snapshot", func(s *Store, m model) error { return s.WriteSnapshot(m.image(11), 0) },
-			func(m model) model { return m }},
-	}
-	for _, step := range steps {
-		Convey("However little space is left, nothing synced is lost and the store goes on once there is space: "+step.name, t, func() {
+	for _, step := range []fullDiskStep{
+		{
+			name:  "append",
+			do:    func(s *Store, _ model) error { return s.Append([]Record{hard(12), entry(12, 12)}) },
+			after: func(m model) model { return m.with(hard(12), entry(12, 12)) },
+		},
+		{
+			name: "append that replaces",
+			do:   func(s *Store, _ model) error { return s.Append([]Record{entry(12, 10)}) },
+			after: func(m model) model {
+				m = m.with(entry(12, 10))
+				m.entries = m.entries[:10]
+				return m
+			},
+		},
+		{
+			name:  "snapshot",
+			do:    func(s *Store, m model) error { return s.WriteSnapshot(m.snapshot(11), 0) },
+			after: func(m model) model { return m },
+		},
+	} {
+		Convey("However little space is left, nothing is lost, and Resume works with space: "+step.name, t, func() {
 			fullErrors := 0
-			for free := 0; free < 2000; free++ {
-				full, done := playOnFullDisk(free, step.do, step.then)
-				if done {
-					break
-				}
-				fullErrors += full
+			for free := 0; free < 2000 && checkOnFullDisk(t, free, step); free++ {
+				fullErrors++
 			}
 			So(fullErrors, ShouldBeGreaterThan, 20)
 		})
 	}
-	Convey("A failed sync stays fatal: Resume refuses", t, func() {
+	Convey("After a failed sync Resume fails, and the store stays unusable", t, func() {
 		d, _ := filled()
 		s := must(Open(d, virtual))
 		d.FailSync(1)
@@ -87,7 +97,7 @@
 		So(s.Resume(), shouldBe, errs.Disk)
 		So(s.Append([]Record{entry(12, 12)}), shouldBe, errs.Disk)
 	})
-	Convey("A start on a full disk is rejected, changes nothing that counts, and can be tried again", t, func() {
+	Convey("Open on a full disk fails, loses nothing, and succeeds once there is space", t, func() {
 		for free := 0; free < 400; free++ {
 			d, m := filled()
 			left := free
@@ -103,44 +113,45 @@
 			So(err, ShouldBeNil)
 			So(m.fits(recovered), ShouldBeTrue)
 		}
-		So("a start that fits", ShouldEqual, "")
+		So("Open never had enough space", ShouldBeEmpty)
 	})
 }
 
-// playOnFullDisk does a step on a disk with so much space, checks what survives a loss of power, and then does it again
-// with space. It returns 1 if the first attempt found the disk full, and whether it succeeded.
-func playOnFullDisk(free int, do func(*Store, model) error, then func(model) model) (full int, done bool) {
+// checkOnFullDisk does a step on a disk with free bytes left, and reports whether it found the disk full. In that case
+// it checks what survives a loss of power, and does the step again with space.
+func checkOnFullDisk(t *testing.T, free int, step fullDiskStep) (isFull bool) {
+	t.Helper()
 	d, m := filled()
 	left := plenty
 	s := must(Open(limited{d, &left}, virtual))
 	left = free
-	err := do(s, m)
+	err := step.do(s, m)
 	if err == nil {
-		return 0, true
+		return false
 	}
 	So(IsFull(err), ShouldBeTrue)
 	survivor := d.Clone()
 	survivor.Crash(rand.New(rand.NewSource(int64(free))))
 	_, recovered, err := Open(survivor, virtual)
 	So(err, ShouldBeNil)
-	So(m.fits(recovered) || then(m).fits(recovered) || m.with(hard(12)).fits(recovered), ShouldBeTrue)
+	So(m.fits(recovered) || step.after(m).fits(recovered) || m.with(hard(12)).fits(recovered), ShouldBeTrue)
 
 	left = 0
-	if err := s.Resume(); err != nil { // a snapshot that found no space has broken nothing
+	if err := s.Resume(); err != nil { // nil after a snapshot that found no space: the store stayed usable
 		So(IsFull(err), ShouldBeTrue)
 		So(IsFull(s.Append([]Record{hard(13)})), ShouldBeTrue)
 	}
 	left = plenty
 	So(s.Resume(), ShouldBeNil)
-	So(do(s, m), ShouldBeNil)
+	So(step.do(s, m), ShouldBeNil)
 	d.Crash(rand.New(rand.NewSource(int64(free))))
 	_, recovered, err = Open(d, virtual)
 	So(err, ShouldBeNil)
-	So(then(m).fits(recovered), ShouldBeTrue)
-	return 1, false
+	So(step.after(m).fits(recovered), ShouldBeTrue)
+	return true
 }
 
-// descriptorLimited is a disk whose process is out of descriptors while none is left.
+// descriptorLimited is a disk whose process is out of descriptors while left is 0.
 type descriptorLimited struct {
 	Disk
 	left *int
@@ -155,34 +166,34 @@
 }
 
 func TestOutOfDescriptors(t *testing.T) {
-	Convey("A snapshot that finds no descriptor is rejected as on a full disk, and written once there is one", t, func() {
+	Convey("A snapshot that finds no descriptor fails as on a full disk, and is written once there is one", t, func() {
 		left := 10
 		disk := NewMemDisk()
 		store, _, err := Open(descriptorLimited{disk, &left}, Options{})
 		So(err, ShouldBeNil)
 		So(store.Append([]Record{hard(1), entry(1, 1)}), ShouldBeNil)
 		left = 0
-		image := Snapshot{Index: 1, Term: 1, Body: []byte("state")}
-		err = store.WriteSnapshot(image, 0)
+		snap := Snapshot{Index: 1, Term: 1, Body: []byte("state")}
+		err = store.WriteSnapshot(snap, 0)
 		So([]any{IsFull(err), errs.KindOf(err)}, ShouldResemble, []any{true, errs.Disk})
-		So(IsFull(store.WriteSnapshot(image, 0)), ShouldBeTrue)
+		So(IsFull(store.WriteSnapshot(snap, 0)), ShouldBeTrue)
 		left = 10
 		So(store.Resume(), ShouldBeNil)
-		So(store.WriteSnapshot(image, 0), ShouldBeNil)
+		So(store.WriteSnapshot(snap, 0), ShouldBeNil)
 		So(store.Append([]Record{entry(1, 2)}), ShouldBeNil)
 		So(store.Close(), ShouldBeNil)
 	})
-	Convey("The folder is opened ahead: making a rename durable needs no descriptor", t, func() {
+	Convey("A rename is made durable without a descriptor, as the folder was opened in advance", t, func() {
 		disk, err := OSDisk(t.TempDir())
 		So(err, ShouldBeNil)
 		var limit unix.Rlimit
 		So(unix.Getrlimit(unix.RLIMIT_NOFILE, &limit), ShouldBeNil)
 		none := unix.Rlimit{Cur: 0, Max: limit.Max}
 		So(unix.Setrlimit(unix.RLIMIT_NOFILE, &none), ShouldBeNil)
-		failed := disk.Sync()
-		_, fullErr := disk.Create("a")
+		syncErr := disk.Sync()
+		_, createErr := disk.Create("a")
 		So(unix.Setrlimit(unix.RLIMIT_NOFILE, &limit), ShouldBeNil)
-		So(failed, ShouldBeNil)
-		So(IsFull(markFull(fullErr)), ShouldBeTrue)
+		So(syncErr, ShouldBeNil)
+		So(IsFull(markFull(createErr)), ShouldBeTrue)
 	})
 }
