--- a/internal/rpc/addresslimiter_test.go
+++ b/internal/rpc/addresslimiter_test.go
@@ -12,40 +12,41 @@
 )
 
 func TestAddressLimiter(t *testing.T) {
-	Convey("Calls to one address run in order, others do not wait, and one that times out before it ran is unsent", t, func() {
-		addresses, end := quietPeers(2)
+	Convey("Calls to an address run in order, others do not wait; one that never ran is unsent", t, func() {
+		addresses, end := quietPeers(t, 2)
 		defer end()
 		virtual := &clock.Virtual{}
-		k := NewClient(ClientOptions{Clock: virtual, MaxCallsPerAddress: 1})
-		defer k.Close()
-		first, err := k.acquire(ctx, addresses[0])
+		client := NewClient(ClientOptions{Clock: virtual, MaxCallsPerAddress: 1})
+		defer client.Close()
+		limiter := client.addressLimiter
+		first, err := client.acquire(ctx, addresses[0])
 		So(err, ShouldBeNil)
-		other, err := k.acquire(ctx, addresses[1])
+		other, err := client.acquire(ctx, addresses[1])
 		So(err, ShouldBeNil)
 		waiting := func() int {
-			k.addressLimiter.mu.Lock()
-			defer k.addressLimiter.mu.Unlock()
-			return len(k.addressLimiter.waiting[addresses[0]])
+			limiter.mu.Lock()
+			defer limiter.mu.Unlock()
+			return len(limiter.waiting[addresses[0]])
 		}
-		work, failed, taken := routine.New(ctx), make(chan error, 1), make(chan *connection, 1)
+		work, failed, acquired := routine.New(ctx), make(chan error, 1), make(chan *connection, 1)
 		work.Go(func(context.Context) {
-			_, err := k.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
+			_, err := client.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
 			failed <- err
 		})
 		waitUntil(func() bool { return waiting() == 1 })
 		work.Go(func(context.Context) {
-			l, _ := k.acquire(ctx, addresses[0])
-			taken <- l
+			conn, _ := client.acquire(ctx, addresses[0])
+			acquired <- conn
 		})
 		waitUntil(func() bool { return waiting() == 2 })
 		virtual.Advance(time.Second)
 		err = <-failed
 		So([]bool{IsUnsent(err), IsQuotaExhausted(err)}, ShouldResemble, []bool{true, false})
-		k.release(first, true)
-		So(<-taken == first, ShouldBeTrue) // the idle connection goes to the next call
-		k.release(first, true)
-		k.release(other, true)
-		So([]int{len(k.addressLimiter.running), len(k.addressLimiter.waiting)}, ShouldResemble, []int{0, 0})
+		client.release(first, true)
+		So(<-acquired == first, ShouldBeTrue) // the next call gets the idle connection
+		client.release(first, true)
+		client.release(other, true)
+		So([]int{len(limiter.running), len(limiter.waiting)}, ShouldResemble, []int{0, 0})
 		work.Wait()
 	})
 }
--- a/internal/rpc/connlimiter_test.go
+++ b/internal/rpc/connlimiter_test.go
@@ -16,40 +16,50 @@
 func TestConnLimiter_reservations(t *testing.T) {
 	Convey("Quotas never exceed the limit together, and each can acquire what is reserved to it", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
-			total := rapid.IntRange(1, 30).Draw(t, "total")
-			limiter, left := NewConnLimiter(total), total
-			var quotas []*ConnQuota
-			for i := range rapid.IntRange(1, 4).Draw(t, "quotas") {
-				reserved := rapid.IntRange(0, left).Draw(t, "reserved")
-				left -= reserved
-				quota, err := limiter.NewQuota(string(rune('a'+i)), reserved)
-				if err != nil {
-					t.Fatal(err)
-				}
-				quotas = append(quotas, quota)
-			}
+			limit := rapid.IntRange(1, 30).Draw(t, "limit")
+			limiter := NewConnLimiter(limit)
+			quotas := drawQuotas(t, limiter, limit)
 			for range rapid.IntRange(0, 100).Draw(t, "steps") {
-				s := rapid.SampledFrom(quotas).Draw(t, "quota")
-				if rapid.Bool().Draw(t, "acquire") {
-					isReserved := s.used < s.reserved
-					if took := s.tryAcquire(); isReserved && !took {
-						t.Fatalf("quota %s has %d of %d and gets no more", s.name, s.used, s.reserved)
-					}
-				} else if s.used > 0 {
-					s.release()
-				}
-				sum := 0
-				for _, use := range limiter.Usage() {
-					sum += use.Used
+				useQuota(t, rapid.SampledFrom(quotas).Draw(t, "quota"))
+				used := 0
+				for _, usage := range limiter.Usage() {
+					used += usage.Used
 				}
-				if sum > total {
-					t.Fatalf("%d of %d are taken", sum, total)
+				if used > limit {
+					t.Fatalf("%d of %d are used", used, limit)
 				}
 			}
 		})
 	})
 }
 
+// drawQuotas adds one to four quotas, whose reservations are within the limit.
+func drawQuotas(t *rapid.T, limiter *ConnLimiter, limit int) (quotas []*ConnQuota) {
+	left := limit
+	for i := range rapid.IntRange(1, 4).Draw(t, "quotas") {
+		reserved := rapid.IntRange(0, left).Draw(t, "reserved")
+		left -= reserved
+		quota, err := limiter.NewQuota(string(rune('a'+i)), reserved)
+		if err != nil {
+			t.Fatal(err)
+		}
+		quotas = append(quotas, quota)
+	}
+	return quotas
+}
+
+// useQuota acquires a connection, which must succeed within the reservation, or releases one.
+func useQuota(t *rapid.T, quota *ConnQuota) {
+	if rapid.Bool().Draw(t, "acquire") {
+		isReserved := quota.used < quota.reserved
+		if acquired := quota.tryAcquire(); isReserved && !acquired {
+			t.Fatalf("quota %s has %d of %d and gets no more", quota.name, quota.used, quota.reserved)
+		}
+	} else if quota.used > 0 {
+		quota.release()
+	}
+}
+
 func TestConnLimiter_reservationTooLarge(t *testing.T) {
 	Convey("More than the limit cannot be reserved", t, func() {
 		limiter := NewConnLimiter(10)
@@ -62,7 +72,7 @@
 }
 
 func TestConnLimiter_orderOfWaiters(t *testing.T) {
-	Convey("A released connection goes to a waiter, of the first quota first; one that gives up is asked to try again later", t, func() {
+	Convey("A released connection goes to a waiter, of the first quota first; one that gives up fails", t, func() {
 		limiter := NewConnLimiter(2)
 		first, err := limiter.NewQuota("first", 0)
 		So(err, ShouldBeNil)
@@ -73,17 +83,17 @@
 		}
 		work := routine.New(ctx)
 		order := make(chan string, 2)
-		for i, s := range []*ConnQuota{second, first} {
+		for i, quota := range []*ConnQuota{second, first} {
 			work.Go(func(context.Context) {
-				if s.acquire(ctx) == nil {
-					order <- s.name
+				if quota.acquire(ctx) == nil {
+					order <- quota.name
 				}
 			})
 			waitUntil(func() bool { return limiter.Usage()[1].Waiting+limiter.Usage()[0].Waiting == i+1 })
 		}
-		bounded, cancel := context.WithCancel(ctx)
+		ended, cancel := context.WithCancel(ctx)
 		cancel()
-		err = second.acquire(bounded)
+		err = second.acquire(ended)
 		So([]any{errs.KindOf(err), errs.Of(err).After}, ShouldResemble, []any{errs.Overloaded, time.Second})
 		So(limiter.Usage()[1].Rejected, ShouldEqual, 1)
 		second.release()
@@ -94,19 +104,19 @@
 	})
 }
 
-func TestQuotaExhausted(t *testing.T) {
-	Convey("A call without quota for a connection is unsent and quota-exhausted; one to a dead peer is only unsent", t, func() {
-		addresses, end := quietPeers(1)
+func TestDo_quotaExhausted(t *testing.T) {
+	Convey("A call that gets no quota is unsent and quota-exhausted; one to a dead peer is only unsent", t, func() {
+		addresses, end := quietPeers(t, 1)
 		limiter, virtual := NewConnLimiter(1), &clock.Virtual{}
 		quota, err := limiter.NewQuota("calls", 0)
 		So(err, ShouldBeNil)
-		k := NewClient(ClientOptions{Clock: virtual, Quota: quota})
-		defer k.Close()
-		current, err := k.acquire(ctx, addresses[0])
+		client := NewClient(ClientOptions{Clock: virtual, Quota: quota})
+		defer client.Close()
+		current, err := client.acquire(ctx, addresses[0])
 		So(err, ShouldBeNil)
 		work, failed := routine.New(ctx), make(chan error, 1)
 		work.Go(func(context.Context) {
-			_, err := k.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
+			_, err := client.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
 			failed <- err
 		})
 		waitUntil(func() bool { return limiter.Usage()[0].Waiting == 1 })
@@ -114,9 +124,9 @@
 		err = <-failed
 		So([]bool{IsUnsent(err), IsQuotaExhausted(err)}, ShouldResemble, []bool{true, true})
 		work.Wait()
-		k.release(current, false)
+		client.release(current, false)
 		end()
-		_, err = k.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
+		_, err = client.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
 		So([]bool{IsUnsent(err), IsQuotaExhausted(err)}, ShouldResemble, []bool{true, false})
 		So(limiter.Usage()[0].Used, ShouldEqual, 0)
 	})
--- a/internal/rpc/harness_test.go
+++ b/internal/rpc/harness_test.go
@@ -6,7 +6,9 @@
 	"io"
 	"net"
 	"runtime"
+	"slices"
 	"strings"
+	"testing"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -28,70 +30,84 @@
 	ctx   = context.Background()
 )
 
-// harness is a server and a client on one registry; block waits for gate, or for the end of its context.
+// harness is a server and a client with one registry and one clock.
 type harness struct {
 	*Server
 	*Client
-	clock   *clock.Virtual
-	entered chan struct{}
-	gate    chan struct{}
-	reg     *prometheus.Registry
+	clock    *clock.Virtual
+	registry *prometheus.Registry
+	entered  chan struct{} // has an element for each call of block that has begun
+	gate     chan struct{} // calls of block wait until it is closed, or their context ends
 }
 
-func newHarness() *harness {
-	h := &harness{clock: &clock.Virtual{}, entered: make(chan struct{}, 1000), gate: make(chan struct{}), reg: prometheus.NewRegistry()}
-	h.Server = NewServer(ServerOptions{Addr: "127.0.0.1:0", MaxBody: 1 << 20, Registry: h.reg, Clock: h.clock})
-	Handle(h.Server, echo, func(_ context.Context, n message) (message, error) { return n, nil })
-	Handle(h.Server, fail, func(_ context.Context, n message) (message, error) {
-		if n.Text == "panic" {
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	h := &harness{
+		clock:    &clock.Virtual{},
+		registry: prometheus.NewRegistry(),
+		entered:  make(chan struct{}, 1000),
+		gate:     make(chan struct{}),
+	}
+	h.Server = NewServer(ServerOptions{Addr: "127.0.0.1:0", MaxBody: 1 << 20, Registry: h.registry, Clock: h.clock})
+	Handle(h.Server, echo, func(_ context.Context, m message) (message, error) { return m, nil })
+	Handle(h.Server, fail, func(_ context.Context, m message) (message, error) {
+		if m.Text == "panic" {
 			panic("on purpose")
 		}
-		return n, errs.Pass(&errs.Error{Kind: errs.NotLeader, Field: "f", Message: "m", Hint: "h", After: 1500 * time.Millisecond}, "more")
+		failure := &errs.Error{
+			Kind: errs.NotLeader, Field: "f", Message: "m", Hint: "h", After: 1500 * time.Millisecond,
+		}
+		return m, errs.Pass(failure, "more")
 	})
-	Handle(h.Server, block, func(ctx context.Context, n message) (message, error) {
+	Handle(h.Server, block, func(ctx context.Context, m message) (message, error) {
 		h.entered <- struct{}{}
 		select {
 		case <-h.gate:
 		case <-ctx.Done():
 		}
-		return n, nil
+		return m, nil
 	})
 	So(h.Start(), ShouldBeNil)
-	h.Client = NewClient(ClientOptions{Clock: h.clock, UserTimeout: 1500 * time.Millisecond, Registry: h.reg})
+	h.Client = NewClient(ClientOptions{Clock: h.clock, UserTimeout: 1500 * time.Millisecond, Registry: h.registry})
 	return h
 }
 
-func (h *harness) end() {
+// end closes the client and stops the server.
+func (h *harness) end(t *testing.T) {
+	t.Helper()
 	h.Client.Close()
 	So(h.Stop(time.Hour), ShouldBeNil)
 }
 
-func (h *harness) count(name string, labels ...string) (sum float64) {
-	families, err := h.reg.Gather()
+// count returns the sum of the counters of a name that have all the label values.
+func (h *harness) count(t *testing.T, name string, labels ...string) (sum float64) {
+	t.Helper()
+	families, err := h.registry.Gather()
 	So(err, ShouldBeNil)
-	for _, f := range families {
-		for _, m := range f.GetMetric() {
-			all := f.GetName() == name
-			for _, l := range labels {
-				all = all && strings.Contains(m.String(), `"`+l+`"`)
-			}
-			if all {
-				sum += m.GetCounter().GetValue()
+	for _, family := range families {
+		if family.GetName() != name {
+			continue
+		}
+		for _, metric := range family.GetMetric() {
+			isMissing := func(label string) bool { return !strings.Contains(metric.String(), `"`+label+`"`) }
+			if !slices.ContainsFunc(labels, isMissing) {
+				sum += metric.GetCounter().GetValue()
 			}
 		}
 	}
 	return sum
 }
 
-// waitUntil yields until a condition holds that other goroutines bring about.
+// waitUntil yields until a condition holds that other goroutines make true.
 func waitUntil(condition func() bool) {
 	for !condition() {
 		runtime.Gosched()
 	}
 }
 
-// plainPeer listens and hands each connection to serve, with its number from 1.
-func plainPeer(serve func(n int, c net.Conn, in *bufio.Reader)) (addr string, end func()) {
+// plainPeer listens and calls serve for each connection, with its number from 1. end stops it.
+func plainPeer(t *testing.T, serve func(n int, c net.Conn, in *bufio.Reader)) (addr string, end func()) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
 	work := routine.New(ctx)
@@ -113,16 +129,17 @@
 	}
 }
 
-// quietPeers listens at so many addresses and accepts connections without an answer.
-func quietPeers(count int) (addresses []string, end func()) {
+// quietPeers starts peers that accept connections and never answer. end stops them.
+func quietPeers(t *testing.T, count int) (addresses []string, end func()) {
+	t.Helper()
 	var ends []func()
 	for range count {
-		addr, over := plainPeer(func(_ int, c net.Conn, _ *bufio.Reader) { _, _ = io.Copy(io.Discard, c) })
-		addresses, ends = append(addresses, addr), append(ends, over)
+		addr, endPeer := plainPeer(t, func(_ int, c net.Conn, _ *bufio.Reader) { _, _ = io.Copy(io.Discard, c) })
+		addresses, ends = append(addresses, addr), append(ends, endPeer)
 	}
 	return addresses, func() {
-		for _, over := range ends {
-			over()
+		for _, endPeer := range ends {
+			endPeer()
 		}
 	}
 }
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -5,8 +5,7 @@
 	"context"
 	"io"
 	"net/http"
-	"runtime"
-	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -17,18 +16,15 @@
 )
 
 func TestServer_blockedHandlers(t *testing.T) {
-	Convey("500 blocked handlers do not hold up another call, and Stop lets them finish", t, func() {
-		h := newHarness()
+	Convey("500 blocked handlers do not delay another call, and Stop waits until they return", t, func() {
+		h := newHarness(t)
 		defer h.Client.Close()
 		work := routine.New(ctx)
-		var mu sync.Mutex
-		well := 0
+		var answered atomic.Int32
 		for range 500 {
 			work.Go(func(ctx context.Context) {
 				if _, err := Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour); err == nil {
-					mu.Lock()
-					well++
-					mu.Unlock()
+					answered.Add(1)
 				}
 			})
 		}
@@ -39,7 +35,7 @@
 		So(err, ShouldBeNil)
 		close(h.gate)
 		work.Wait()
-		So(well, ShouldEqual, 500)
+		So(answered.Load(), ShouldEqual, 500)
 		So(len(h.Client.pool.idle[h.Addr()]), ShouldEqual, h.Client.opt.MaxIdlePerAddress)
 		So(h.Stop(time.Hour), ShouldBeNil)
 	})
@@ -48,46 +44,50 @@
 func TestServer_stopAfterAnswers(t *testing.T) {
 	Convey("Stop closes no connection before the answers of the handlers that it waited for are written", t, func() {
 		for range 20 {
-			h := newHarness()
-			work := routine.New(ctx)
-			failed := make(chan error, 100)
-			for range 100 {
-				work.Go(func(ctx context.Context) {
-					if _, err := Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour); err != nil {
-						failed <- err
-					}
-				})
-			}
-			for range 100 {
-				<-h.entered
-			}
-			stopped := routine.New(ctx)
-			stopped.Go(func(context.Context) { _ = h.Stop(time.Hour) })
-			for stopping := false; !stopping; runtime.Gosched() {
-				h.Server.mu.Lock()
-				stopping = h.stopping
-				h.Server.mu.Unlock()
-			}
-			close(h.gate)
-			work.Wait()
-			stopped.Wait()
-			So(failed, ShouldBeEmpty)
+			h := newHarness(t)
+			So(h.stopDuringCalls(100), ShouldBeEmpty)
 			h.Client.Close()
 		}
 	})
 }
 
+// stopDuringCalls stops the server while calls of block run, then lets them return, and returns their errors.
+func (h *harness) stopDuringCalls(count int) (failed chan error) {
+	calls, stop := routine.New(ctx), routine.New(ctx)
+	failed = make(chan error, count)
+	for range count {
+		calls.Go(func(ctx context.Context) {
+			if _, err := Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour); err != nil {
+				failed <- err
+			}
+		})
+	}
+	for range count {
+		<-h.entered
+	}
+	stop.Go(func(context.Context) { _ = h.Stop(time.Hour) })
+	waitUntil(func() bool {
+		h.Server.mu.Lock()
+		defer h.Server.mu.Unlock()
+		return h.stopping
+	})
+	close(h.gate)
+	calls.Wait()
+	stop.Wait()
+	return failed
+}
+
 func TestServer_stopAfterStart(t *testing.T) {
-	Convey("A server that is stopped right after its start stops", t, func() {
+	Convey("Stop returns right after Start", t, func() {
 		for range 50 {
-			newHarness().end()
+			newHarness(t).end(t)
 		}
 	})
 }
 
 func TestServer_stopAfterGrace(t *testing.T) {
-	Convey("Stop rejects new requests, and ends handlers that outlast grace", t, func() {
-		h := newHarness()
+	Convey("Stop rejects new requests, and ends the context of handlers that run longer than grace", t, func() {
+		h := newHarness(t)
 		defer h.Client.Close()
 		work := routine.New(ctx)
 		work.Go(func(ctx context.Context) { _, _ = Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour) })
@@ -100,7 +100,7 @@
 			_, err = Call(ctx, h.Client, h.Addr(), echo, message{}, time.Hour)
 		}
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
-		for h.requests.Context().Err() == nil { // the timer of grace may not be set yet at first
+		for h.requests.Context().Err() == nil { // Stop may not have set its timer yet
 			h.clock.Advance(time.Second)
 		}
 		So(errs.KindOf(<-stopped), ShouldEqual, errs.Timeout)
@@ -109,21 +109,22 @@
 }
 
 func TestServer_wrongMethod(t *testing.T) {
-	Convey("A rejected method is answered in JSON with the head of the table of kinds", t, func() {
-		h := newHarness()
-		defer h.end()
-		res, err := http.Get("http://" + h.Addr() + "/echo")
+	Convey("A method that is not allowed is answered 405, with Allow and an error body", t, func() {
+		h := newHarness(t)
+		defer h.end(t)
+		response, err := http.Get("http://" + h.Addr() + "/echo")
 		So(err, ShouldBeNil)
-		body, _ := io.ReadAll(res.Body)
-		_ = res.Body.Close()
+		body, _ := io.ReadAll(response.Body)
+		_ = response.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
-		So([]any{res.StatusCode, res.Header.Get("Allow")}, ShouldResemble, []any{405, "POST"})
-		So(string(bytes.TrimSpace(body)), ShouldEqual, `{"kind":"invalid","field":"method","message":"GET is not taken here"}`)
+		So([]any{response.StatusCode, response.Header.Get("Allow")}, ShouldResemble, []any{405, "POST"})
+		So(string(bytes.TrimSpace(body)), ShouldEqual,
+			`{"kind":"invalid","field":"method","message":"GET is not taken here"}`)
 	})
 }
 
 func TestServer_startAtTakenAddress(t *testing.T) {
-	Convey("The start at an address in use fails at once, however often it is tried", t, func() {
+	Convey("Start at an address in use fails at once, every time", t, func() {
 		first := NewServer(ServerOptions{Addr: "127.0.0.1:0"})
 		So(first.Start(), ShouldBeNil)
 		defer func() { So(first.Stop(0), ShouldBeNil) }()
--- a/internal/storage/crashpoints_test.go
+++ b/internal/storage/crashpoints_test.go
@@ -272,7 +272,7 @@
 }
 
 func TestEveryCrashPoint(t *testing.T) {
-	Convey("After any change, with any part of what is not synced, a loss of power leaves all that is synced", t, func() {
+	Convey("After any change, with any part of the unsynced data, a loss of power leaves all synced data", t, func() {
 		folders, wrong := playCrashes(newCrashDisk())
 		t.Logf("%d folders", folders)
 		So(folders, ShouldBeGreaterThan, 2000)
