--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/errs"
 )
 
-// record has the kinds of fields that entries, snapshots and calls are made of.
+// record has fields of all types that entries, snapshots and calls have.
 type record struct {
 	Name   string            `json:"n"`
 	Count  uint64            `json:"c,omitempty"`
@@ -25,15 +25,18 @@
 	Parent *record           `json:"p,omitempty"`
 }
 
+// drawRecord draws a record in which others are nested up to depth.
 func drawRecord(t *rapid.T, depth int) record {
 	r := record{
 		Name:  rapid.String().Draw(t, "name"),
 		Count: rapid.Uint64().Draw(t, "count"),
 		Ratio: rapid.Float64Range(-1e12, 1e12).Draw(t, "ratio"),
 		Took:  time.Duration(rapid.Int64().Draw(t, "took")),
-		At:    time.Unix(rapid.Int64Range(0, 1<<33).Draw(t, "seconds"), rapid.Int64Range(0, 999999999).Draw(t, "nanoseconds")).UTC(),
-		Bytes: rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "bytes"),
 	}
+	seconds := rapid.Int64Range(0, 1<<33).Draw(t, "seconds")
+	nanoseconds := rapid.Int64Range(0, 999999999).Draw(t, "nanoseconds")
+	r.At = time.Unix(seconds, nanoseconds).UTC()
+	r.Bytes = rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "bytes")
 	if depth == 0 {
 		return r
 	}
@@ -49,29 +52,30 @@
 	return r
 }
 
-func TestDecodeReadsWhatTheStandardLibraryReads(t *testing.T) {
+// TestDecode_asStandardLibrary checks that Decode decodes any record as encoding/json does.
+func TestDecode_asStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data, err := json.Marshal(drawRecord(t, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var standard, ours record
-		if err := json.Unmarshal(data, &standard); err != nil {
+		var want, got record
+		if err := json.Unmarshal(data, &want); err != nil {
 			t.Fatal(err)
 		}
-		if err := Decode(data, &ours); err != nil {
+		if err := Decode(data, &got); err != nil {
 			t.Fatal(err)
 		}
-		again, _ := json.Marshal(ours)
-		expected, _ := json.Marshal(standard)
-		if string(again) != string(expected) {
-			t.Fatalf("%s is read as %s, not %s", data, again, expected)
+		wantText, _ := json.Marshal(want)
+		gotText, _ := json.Marshal(got)
+		if string(gotText) != string(wantText) {
+			t.Fatalf("%s is decoded to %s, not %s", data, gotText, wantText)
 		}
 	})
 }
 
-func TestDecode(t *testing.T) {
-	Convey("What is read stays as it is when the buffer is used again", t, func() {
+func TestDecode_keepsNoData(t *testing.T) {
+	Convey("A decoded value does not change when the buffer is reused", t, func() {
 		data := []byte(`{"n":"a name","raw":{"k":1},"b":"AQID"}`)
 		var r record
 		So(Decode(data, &r), ShouldBeNil)
@@ -82,8 +86,13 @@
 		So(string(r.Raw), ShouldEqual, `{"k":1}`)
 		So(r.Bytes, ShouldResemble, []byte{1, 2, 3})
 	})
-	Convey("What cannot be read whole is malformed", t, func() {
-		for _, text := range []string{``, `{`, `{"n":"a"`, `{"n":1}`, `{"n":"a"} more`, `{"c":-1}`, `{"at":"noon"}`, `[]`, `{"l":[{"n":"a"},]}`} {
+}
+
+func TestDecode_malformed(t *testing.T) {
+	Convey("Data that is no JSON of the type, as a whole, is malformed", t, func() {
+		for _, text := range []string{
+			``, `{`, `{"n":"a"`, `{"n":1}`, `{"n":"a"} more`, `{"c":-1}`, `{"at":"noon"}`, `[]`, `{"l":[{"n":"a"},]}`,
+		} {
 			var r record
 			So(errs.Is(Decode([]byte(text), &r), errs.Malformed), ShouldBeTrue)
 		}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -1,11 +1,12 @@
 package membership
 
 import (
-	"slices"
 	"testing"
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/testbed/exhaustive"
 )
 
 // memberX returns the node x at a version.
@@ -22,23 +23,6 @@
 // peer is a node that knows x.
 var peer = Member{Name: "p", Addr: "10.0.0.8:7000", Zone: "b", Role: RoleDataPlane, Incarnation: 1}
 
-// permutations calls do with every order of 0 to n-1.
-func permutations(n int, do func(order []int)) {
-	var extend func(order []int)
-	extend = func(order []int) {
-		if len(order) == n {
-			do(order)
-			return
-		}
-		for next := range n {
-			if !slices.Contains(order, next) {
-				extend(append(slices.Clone(order), next))
-			}
-		}
-	}
-	extend(nil)
-}
-
 // checkOrder passes the messages about x to a core in an order, and fails the test if the view and the directory
 // differ, an old incarnation comes back, or the newest version is not the one known at the end.
 func checkOrder(t *testing.T, messages []Message, order []int) {
@@ -73,7 +57,7 @@
 			{From: peer, Departed: []Member{memberX(1, 3)}, Directory: []Member{memberX(1, 2)}},
 		}
 		orders := 0
-		permutations(len(messages), func(order []int) {
+		exhaustive.Permutations(len(messages), func(order []int) {
 			orders++
 			checkOrder(t, messages, order)
 		})
--- a/internal/raft/interleaving_test.go
+++ b/internal/raft/interleaving_test.go
@@ -7,31 +7,9 @@
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
-)
 
-// forEveryChoice calls play with each sequence of choices, and returns how many there are. play calls choose(n) for a
-// number below n.
-func forEveryChoice(play func(choose func(n int) int)) (runs int) {
-	var picks, sizes []int
-	for {
-		at := 0
-		play(func(n int) int {
-			if at == len(picks) {
-				picks, sizes = append(picks, 0), append(sizes, n)
-			}
-			at++
-			return picks[at-1]
-		})
-		runs++
-		for len(picks) > 0 && picks[len(picks)-1] == sizes[len(sizes)-1]-1 {
-			picks, sizes = picks[:len(picks)-1], sizes[:len(sizes)-1]
-		}
-		if len(picks) == 0 {
-			return runs
-		}
-		picks[len(picks)-1]++
-	}
-}
+	"crosstide/internal/testbed/exhaustive"
+)
 
 // interleaving is three nodes at 3 s, two of which campaign, and the messages that are not delivered yet.
 type interleaving struct {
@@ -113,7 +91,7 @@
 	Convey("Every order and loss of the first messages of two campaigns keeps the invariants of Raft", t, func() {
 		var failures []string
 		elections := 0
-		runs := forEveryChoice(func(choose func(n int) int) {
+		runs := exhaustive.Choices(func(choose func(n int) int) {
 			failed, elected := runInterleaving(choose, 6)
 			if failures = append(failures, failed...); elected {
 				elections++
