--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -22,32 +22,38 @@
 	return timer
 }
 
-func TestSleep_returnsOnceTimeHasPassed(t *testing.T) {
-	Convey("Sleep returns true when its duration has passed on the clock, and not before", t, func() {
-		clk := notifyingClock{&Virtual{}, make(chan Stopper, 1)}
-		slept := make(chan bool, 1)
-		group := routine.New(context.Background())
-		group.Go(func(ctx context.Context) { slept <- Sleep(ctx.Done(), clk, time.Second) })
-		timer := <-clk.timers
-		clk.Advance(time.Second - 1)
-		So(slept, ShouldBeEmpty)
-		clk.Advance(1)
-		So(<-slept, ShouldBeTrue)
-		So(timer.Stop(), ShouldBeFalse)
-		group.Stop()
-	})
+// sleeper is a goroutine that sleeps for a second.
+type sleeper struct {
+	clock Virtual
+	group *routine.Group // its context ends the sleep
+	timer Stopper        // that of the sleep
+	slept chan bool      // the result of Sleep
+}
+
+// startSleep returns once the goroutine has set its timer.
+func startSleep() *sleeper {
+	s := &sleeper{group: routine.New(context.Background()), slept: make(chan bool, 1)}
+	clk := notifyingClock{&s.clock, make(chan Stopper, 1)}
+	s.group.Go(func(ctx context.Context) { s.slept <- Sleep(ctx.Done(), clk, time.Second) })
+	s.timer = <-clk.timers
+	return s
 }
 
-func TestSleep_endsEarly(t *testing.T) {
+func TestSleep(t *testing.T) {
+	Convey("Sleep returns true when its duration has passed on the clock, and not before", t, func() {
+		s := startSleep()
+		s.clock.Advance(time.Second - 1)
+		So(s.slept, ShouldBeEmpty)
+		s.clock.Advance(1)
+		So(<-s.slept, ShouldBeTrue)
+		So(s.timer.Stop(), ShouldBeFalse)
+		s.group.Stop()
+	})
 	Convey("Sleep returns false as soon as done is closed, and leaves no timer behind", t, func() {
-		clk := notifyingClock{&Virtual{}, make(chan Stopper, 1)}
-		slept := make(chan bool, 1)
-		group := routine.New(context.Background())
-		group.Go(func(ctx context.Context) { slept <- Sleep(ctx.Done(), clk, time.Second) })
-		timer := <-clk.timers
-		So(slept, ShouldBeEmpty)
-		group.Stop()
-		So(<-slept, ShouldBeFalse)
-		So(timer.Stop(), ShouldBeFalse)
+		s := startSleep()
+		So(s.slept, ShouldBeEmpty)
+		s.group.Stop()
+		So(<-s.slept, ShouldBeFalse)
+		So(s.timer.Stop(), ShouldBeFalse)
 	})
 }
