--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -57,7 +57,7 @@
 	return f
 }
 
-// tick calls Tick of the node c until another core, or none, stands at its index.
+// tick calls Tick of c when it is due, until c is dead or replaced by a later incarnation.
 func (f *fleet) tick(i int, c *Core) {
 	if f.nodes[i] != c {
 		return
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -21,7 +21,7 @@
 
 // Options are the settings of a Node; Self, Send and Clock are required.
 type Options struct {
-	Self       Member   // its Incarnation 0 stands for the time of day in milliseconds
+	Self       Member   // its Incarnation 0: the time of day in milliseconds
 	Seeds      []string // addresses of nodes to join by; this node's own may be among them
 	RandomSeed uint64   // see New
 	Config     *Config  // default: Defaults()
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -10,7 +10,7 @@
 // bootstrap is the initial state of a, b and c.
 var bootstrap = Bootstrap(voters("a", "b", "c"))
 
-// startCore starts the core of a at 0 and takes its first output.
+// startCore starts the core of a at 0 and discards its first output.
 func startCore(t *testing.T, initial InitialState) *Core {
 	t.Helper()
 	c, err := New(Config{ID: "a"}, initial, 0)
--- a/internal/raft/initialstate.go
+++ b/internal/raft/initialstate.go
@@ -25,7 +25,7 @@
 	return InitialState{HardState: HardState{Term: 1}, Snapshot: Meta{Index: 1, Term: 1, Members: sorted}}
 }
 
-// loadEntries puts the stored entries after the snapshot into the log. If they end before the snapshot or contradict
+// loadEntries loads the stored entries after the snapshot into the log. If they end before the snapshot or contradict
 // it, the log stays empty and the next Ready resets the stored one. Failure: Damaged if they have a gap, a term that
 // decreases or an invalid member set.
 func (c *Core) loadEntries(entries []Entry) error {
--- a/internal/raft/interleaving_test.go
+++ b/internal/raft/interleaving_test.go
@@ -17,7 +17,7 @@
 	messages []Message
 }
 
-// drain takes the output of all nodes, syncs it at once and lets a new leader propose an entry.
+// drain collects the output of all nodes, syncs it at once and lets a new leader propose an entry.
 func (w *interleaving) drain() {
 	for _, n := range w.nodes {
 		r := n.core.Ready()
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -50,7 +50,8 @@
 	return entries
 }
 
-// truncate removes the entries at and after from. It cuts the capacity too, so that the next append takes a new array.
+// truncate removes the entries at and after from. It cuts the capacity too, so that the next append allocates a new
+// array.
 func (l *memoryLog) truncate(from uint64) {
 	n := from - l.offset - 1
 	l.entries = l.entries[:n:n]
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -24,7 +24,7 @@
 
 	mu           sync.RWMutex  // guards the fields below
 	state        *state.State  // at index state.Index, which never decreases
-	indexChanged chan struct{} // closed and made anew at every change of the index
+	indexChanged chan struct{} // closed and replaced at every change of the index
 	hasPulled    bool          // a pull has succeeded
 
 	// What the pulls have received since New; Bytes counts changes and snapshots.
--- a/internal/rpc/admission.go
+++ b/internal/rpc/admission.go
@@ -13,7 +13,7 @@
 // concurrent use.
 type admission struct {
 	quota *ConnQuota // nil: every connection is admitted, none is counted
-	// admitted tells for each open connection, by the address of its peer, whether it counts in the quota.
+	// admitted has an entry for each open connection, by the address of its peer: whether it counts in the quota.
 	admitted *xsync.Map[string, bool]
 }
 
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -14,7 +14,7 @@
 // Call sends call to addr (host:port) and returns the answer. It ends at the latest after timeout on the client's
 // clock, or with ctx: the connection is then closed with a reset. Failures: Timeout, also while it waits or dials;
 // Unavailable for a refused or broken connection; Stopped for a closed client; Malformed for an answer that is no JSON
-// of A; and those that the peer answers, with their kind, field, message, hint and After. IsUnsent tells which calls
+// of A; and those that the peer answers, with their kind, field, message, hint and After. IsUnsent reports which calls
 // were not sent, IsRemote which failures the peer answered. Example:
 //
 //	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
--- a/internal/rpc/connlimiter.go
+++ b/internal/rpc/connlimiter.go
@@ -72,7 +72,7 @@
 	return free > 0
 }
 
-// wakeWaiters gives waiters the connections that are free. The caller holds mu.
+// wakeWaiters wakes as many waiters as there are free connections, and counts one as used by each. The caller holds mu.
 func (l *ConnLimiter) wakeWaiters() {
 	for _, q := range l.quotas {
 		for len(q.waiters) > 0 && l.canAcquire(q) {
--- a/internal/rpc/listener.go
+++ b/internal/rpc/listener.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// stopAccepting closes the socket: new connections are refused. An Accept that pauses goes on until Close.
+// stopAccepting closes the socket: new connections are refused. An Accept that is pausing continues until Close.
 func (l *listener) stopAccepting() { _ = l.Listener.Close() } // it may be closed already
 
 // Close closes the socket, and makes Accept return.
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -28,13 +28,13 @@
 	Body   []byte
 }
 
-// exchangeLabel stands for the path in the metrics, as there is no bound on the paths of plain requests.
+// exchangeLabel replaces the path in the metrics, as there is no bound on the paths of plain requests.
 const exchangeLabel = "exchange"
 
 // Do sends r once to addr (host:port) over a pooled connection and returns the response; no status is an error. It ends
 // at the latest after timeout on the client's clock, or with ctx: the connection is then closed with a reset. Failures:
 // Timeout; Unavailable for a refused or broken connection; Stopped for a closed client; Invalid for a request that
-// cannot be encoded; TooLarge for a response over MaxBody. IsUnsent tells which requests were not sent. Example:
+// cannot be encoded; TooLarge for a response over MaxBody. IsUnsent reports which requests were not sent. Example:
 //
 //	response, err := client.Do(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
 func (c *Client) Do(ctx context.Context, addr string, r Request, timeout time.Duration) (Response, error) {
--- a/internal/rpc/respond.go
+++ b/internal/rpc/respond.go
@@ -53,5 +53,5 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // if the client is gone, nobody is left to be told
+	_, _ = w.Write(body) // an error means that the client is gone
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
 // Package rpc makes and serves calls between processes: HTTP/1.1 with JSON bodies. An Endpoint fixes the types of a
 // call and its answer. The package defines no endpoint and retries nothing: a call is sent once or not at all, and its
-// error tells whether the peer may have seen it (IsUnsent) and who returned it (IsRemote).
+// error shows whether the peer may have seen it (IsUnsent) and who returned it (IsRemote).
 //
 // A Server gets its endpoints by Handle and other routes by Route, and then runs from Start to Stop; each request has
 // its own goroutine. A Client makes calls with Call over pooled connections; CallDedicated makes them over a connection
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -20,7 +20,7 @@
 
 // ServerOptions are the settings of a Server; only Addr is required.
 type ServerOptions struct {
-	Addr     string                // host:port to listen at; port 0 stands for a free one
+	Addr     string                // host:port to listen at; port 0: a free one
 	Logger   log.Logger            // default: none
 	MaxBody  int64                 // bound on the body of a call in bytes, default MaxBody
 	Clock    clock.Clock           // default clock.Real
