--- a/internal/raft/coldstart_test.go
+++ b/internal/raft/coldstart_test.go
@@ -42,7 +42,7 @@
 			w.random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 			took := w.coldStart(order, 100*time.Millisecond)
 			So(w.failures, ShouldBeEmpty)
-			if slices.Index(order, formerLeader) < 3 { // it asks for votes at once, and no node is sticky to another one
+			if slices.Index(order, formerLeader) < 3 { // it asks for votes at once, no node is sticky to another
 				So(took, ShouldBeLessThan, 600*time.Millisecond)
 			}
 			So(took, ShouldBeLessThan, 1500*time.Millisecond)
