--- a/internal/dataplane/scheduler/interleaving_test.go
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -77,8 +77,8 @@
 		{"lost", func(h *harness, w *workerModel) { h.core.CallFailed(h.now, w.order, true) }},
 		{"listing", func(h *harness, w *workerModel) { w.poll(h) }},
 		{"listing", func(h *harness, w *workerModel) { w.poll(h) }},
-		{"leader", func(h *harness, w *workerModel) { h.lead() }},
-		{"time", func(h *harness, w *workerModel) { h.now += 3 * time.Second }},
+		{"leader", func(h *harness, _ *workerModel) { h.lead() }},
+		{"time", func(h *harness, _ *workerModel) { h.now += 3 * time.Second }},
 	}
 	for _, kind := range []string{"check", "obey"} {
 		Convey("every order of a start, its lost answer, listings, a new leader and time: "+kind, t, func() {
--- a/internal/lint/lint.go
+++ b/internal/lint/lint.go
@@ -93,7 +93,8 @@
 // scanFile checks one file: src, or what stands at name if src is nil. It notes in docs whether the file has a
 // package comment.
 func scanFile(rel, name string, src any, docs packageDocs) []Finding {
-	f := &file{set: token.NewFileSet(), rel: rel, test: strings.HasSuffix(rel, "_test.go"), imports: map[string]string{}}
+	isTest := strings.HasSuffix(rel, "_test.go")
+	f := &file{set: token.NewFileSet(), rel: rel, test: isTest, imports: map[string]string{}}
 	tree, err := parser.ParseFile(f.set, name, src, parser.ParseComments)
 	if err != nil {
 		return []Finding{{File: rel, Rule: RuleParse, Text: "cannot be parsed"}}
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -31,8 +31,8 @@
 	s.events = append(s.events, e)
 }
 
-// run names run number of a task of job j.
-func run(step, index, number int) workerapi.Run {
+// runKey names run number of a task of job j.
+func runKey(step, index, number int) workerapi.Run {
 	return workerapi.Run{Job: "j", Step: step, Index: index, Number: number}
 }
 
@@ -76,82 +76,82 @@
 		wrong       string // part of the one thing that is wrong; empty: nothing is
 		evacuations []Evacuation
 	}{
-		{"all is well", single, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "", nil},
-		{"a task is lost", two, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "1 of 2 tasks", nil},
-		{"a task was stopped and not tried again", single, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.end("a", run(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
-		{"a task is done twice", single, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "was done", nil},
-		{"a task runs twice at once", single, func(s *eventLog) { s.start("a", run(0, 0, 1)); s.good("b", run(0, 0, 2)) }, "goes on at a", nil},
+		{"all is well", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "", nil},
+		{"a task is lost", two, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "1 of 2 tasks", nil},
+		{"a task was stopped and not tried again", single, func(s *eventLog) { s.start("a", runKey(0, 0, 1)); s.end("a", runKey(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
+		{"a task is done twice", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.good("b", runKey(0, 0, 2)) }, "was done", nil},
+		{"a task runs twice at once", single, func(s *eventLog) { s.start("a", runKey(0, 0, 1)); s.good("b", runKey(0, 0, 2)) }, "goes on at a", nil},
 		{"a run number comes again", single, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.end("a", run(0, 0, 1), jobs.EndStopped)
-			s.good("b", run(0, 0, 1))
+			s.start("a", runKey(0, 0, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
+			s.good("b", runKey(0, 0, 1))
 		}, "after run 1", nil},
 		{"a task is tried again", single, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.end("a", run(0, 0, 1), jobs.EndStopped)
-			s.good("b", run(0, 0, 2))
+			s.start("a", runKey(0, 0, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
+			s.good("b", runKey(0, 0, 2))
 		}, "", nil},
-		{"a job that nobody handed in", single, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
-		{"an end without a run", single, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.end("b", run(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
+		{"a job that nobody handed in", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
+		{"an end without a run", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.end("b", runKey(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
 		{"a lower token", two, func(s *eventLog) {
-			s.start("a", run(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
-			s.end("a", run(0, 0, 1), jobs.EndDone)
-			s.good("a", run(0, 1, 1))
+			s.start("a", runKey(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
+			s.end("a", runKey(0, 0, 1), jobs.EndDone)
+			s.good("a", runKey(0, 1, 1))
 		}, "under token 1 after 2", nil},
-		{"steps in order", chain, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("b", run(1, 0, 1)) }, "", nil},
+		{"steps in order", chain, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.good("b", runKey(1, 0, 1)) }, "", nil},
 		{"a step comes too early", chain, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.good("b", run(1, 0, 1))
-			s.end("a", run(0, 0, 1), jobs.EndDone)
+			s.start("a", runKey(0, 0, 1))
+			s.good("b", runKey(1, 0, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 		}, "0 of 1 tasks of step 0 done", nil},
-		{"a round comes too early", timed, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "before its time", nil},
-		{"a round comes at its time", timed, func(s *eventLog) { s.at = time.Unix(1001, 0); s.good("a", run(0, 0, 1)) }, "", nil},
-		{"a label is not there", labelled, func(s *eventLog) { s.good("b", run(0, 0, 1)) }, "no label ssd", nil},
-		{"a label is there", labelled, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "", nil},
+		{"a round comes too early", timed, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "before its time", nil},
+		{"a round comes at its time", timed, func(s *eventLog) { s.at = time.Unix(1001, 0); s.good("a", runKey(0, 0, 1)) }, "", nil},
+		{"a label is not there", labelled, func(s *eventLog) { s.good("b", runKey(0, 0, 1)) }, "no label ssd", nil},
+		{"a label is there", labelled, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "", nil},
 		{"no room", two, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.start("a", run(0, 1, 1), func(e *jobsworker.Event) { e.Needs.MilliCPU = 201 })
-			s.end("a", run(0, 0, 1), jobs.EndDone)
-			s.end("a", run(0, 1, 1), jobs.EndDone)
+			s.start("a", runKey(0, 0, 1))
+			s.start("a", runKey(0, 1, 1), func(e *jobsworker.Event) { e.Needs.MilliCPU = 201 })
+			s.end("a", runKey(0, 0, 1), jobs.EndDone)
+			s.end("a", runKey(0, 1, 1), jobs.EndDone)
 		}, "MilliCPU:401", nil},
 		{"two on one worker", apart, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.start("a", run(0, 1, 1))
-			s.end("a", run(0, 0, 1), jobs.EndDone)
-			s.end("a", run(0, 1, 1), jobs.EndDone)
+			s.start("a", runKey(0, 0, 1))
+			s.start("a", runKey(0, 1, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndDone)
+			s.end("a", runKey(0, 1, 1), jobs.EndDone)
 		}, "2 tasks of the step run on a", nil},
-		{"one after the other on one worker", apart, func(s *eventLog) { s.good("a", run(0, 0, 1)); s.good("a", run(0, 1, 1)) }, "", nil},
+		{"one after the other on one worker", apart, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.good("a", runKey(0, 1, 1)) }, "", nil},
 		{"a whole gang", gang, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.start("b", run(0, 1, 1))
-			s.end("a", run(0, 0, 1), jobs.EndDone)
-			s.end("b", run(0, 1, 1), jobs.EndStopped)
+			s.start("a", runKey(0, 0, 1))
+			s.start("b", runKey(0, 1, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndDone)
+			s.end("b", runKey(0, 1, 1), jobs.EndStopped)
 		}, "", nil},
-		{"half a gang", gang, func(s *eventLog) { s.good("a", run(0, 0, 1)) }, "1 of 2 members", nil},
-		{"a start in a closed zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("a", run(0, 0, 1)) }, "after zone z was evacuated",
+		{"half a gang", gang, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "1 of 2 members", nil},
+		{"a start in a closed zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("a", runKey(0, 0, 1)) }, "after zone z was evacuated",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"starts before and after", two, func(s *eventLog) {
 			s.at = time.Unix(1002, 0)
-			s.good("a", run(0, 0, 1))
+			s.good("a", runKey(0, 0, 1))
 			s.at = time.Unix(1004, 0)
-			s.good("a", run(0, 1, 1))
+			s.good("a", runKey(0, 1, 1))
 		}, "", []Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"a start in another zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("b", run(0, 0, 1)) }, "",
+		{"a start in another zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("b", runKey(0, 0, 1)) }, "",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"progress is kept", saving, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.ends("a", run(0, 0, 1), jobs.EndStopped, "300")
-			s.start("b", run(0, 0, 2), func(e *jobsworker.Event) { e.Checkpoint = "300" })
-			s.end("b", run(0, 0, 2), jobs.EndDone)
+			s.start("a", runKey(0, 0, 1))
+			s.ends("a", runKey(0, 0, 1), jobs.EndStopped, "300")
+			s.start("b", runKey(0, 0, 2), func(e *jobsworker.Event) { e.Checkpoint = "300" })
+			s.end("b", runKey(0, 0, 2), jobs.EndDone)
 		}, "", nil},
 		{"progress is lost", saving, func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.ends("a", run(0, 0, 1), jobs.EndStopped, "300")
-			s.good("b", run(0, 0, 2))
+			s.start("a", runKey(0, 0, 1))
+			s.ends("a", runKey(0, 0, 1), jobs.EndStopped, "300")
+			s.good("b", runKey(0, 0, 2))
 		}, `goes on from ""`, nil},
 		{"too few attempts", job(jobs.Failed, smallStep(1)), func(s *eventLog) {
-			s.start("a", run(0, 0, 1))
-			s.end("a", run(0, 0, 1), jobs.EndFailed)
+			s.start("a", runKey(0, 0, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndFailed)
 		}, "after 1 failed runs", nil},
 	}
 	Convey("Each broken promise is found, and nothing else", t, func() {
@@ -171,8 +171,8 @@
 	})
 	Convey("Runs, ends and refusals are counted", t, func() {
 		s := newEventLog()
-		s.good("a", run(0, 0, 1))
-		s.add(jobsworker.Event{Event: jobsworker.EventRunRefuse, Worker: "a", Run: run(0, 0, 2), Reason: "room"})
+		s.good("a", runKey(0, 0, 1))
+		s.add(jobsworker.Event{Event: jobsworker.EventRunRefuse, Worker: "a", Run: runKey(0, 0, 2), Reason: "room"})
 		report, err := Audit([]Job{single}, nil, s.events)
 		So(err, ShouldBeNil)
 		So([]any{report.Runs, report.Ends[jobs.EndDone], report.Refused["room"]}, ShouldResemble, []any{1, 1, 1})
--- a/internal/testbed/golden/commands.go
+++ b/internal/testbed/golden/commands.go
@@ -60,7 +60,8 @@
 	for i, group := range c.MutuallyExclusiveFlags {
 		for _, option := range group.Flags {
 			for _, f := range option {
-				flags = append(flags, fmt.Sprintf("exclusive group %d, required %v: %s", i, group.Required, flagLine(f)))
+				line := fmt.Sprintf("exclusive group %d, required %v: %s", i, group.Required, flagLine(f))
+				flags = append(flags, line)
 			}
 		}
 	}
@@ -70,7 +71,8 @@
 func flagLine(f cli.Flag) string {
 	line := "flag " + strings.Join(f.Names(), " ") + ": " + strconv.Quote(f.String())
 	if doc, ok := f.(cli.DocGenerationFlag); ok {
-		line += fmt.Sprintf(" value=%t default=%q text=%q env=%v", doc.TakesValue(), doc.GetValue(), doc.GetDefaultText(), doc.GetEnvVars())
+		line += fmt.Sprintf(" value=%t default=%q text=%q env=%v",
+			doc.TakesValue(), doc.GetValue(), doc.GetDefaultText(), doc.GetEnvVars())
 	}
 	if need, ok := f.(cli.RequiredFlag); ok && need.IsRequired() {
 		line += " required"
--- a/internal/testbed/jobssim/histories_test.go
+++ b/internal/testbed/jobssim/histories_test.go
@@ -2,34 +2,25 @@
 
 import (
 	"crypto/sha256"
-	"flag"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
-)
 
-var updateHistories = flag.Bool("update-histories", false, "write testdata/histories.golden anew")
+	"crosstide/internal/testbed/golden"
+)
 
 // A history is what happened in a run, line by line. A change that keeps behavior keeps each of them to the byte; a change
 // of the scheduler's decisions writes the file anew and says so in its commit.
 func TestHistories(t *testing.T) {
 	Convey("Fixed seeds have the histories that are kept", t, func() {
-		const file = "testdata/histories.golden"
 		var lines strings.Builder
 		for seed := uint64(101); seed <= 112; seed++ {
 			digest := sha256.New()
 			report := Run(Options{Seed: seed, Trace: digest})
 			fmt.Fprintf(&lines, "seed %d: %d events, %d jobs, %d starts, %x\n", seed, report.Events, report.Jobs, report.Starts, digest.Sum(nil))
 		}
-		if *updateHistories {
-			So(os.MkdirAll("testdata", 0o755), ShouldBeNil)
-			So(os.WriteFile(file, []byte(lines.String()), 0o644), ShouldBeNil)
-		}
-		kept, err := os.ReadFile(file)
-		So(err, ShouldBeNil)
-		So(lines.String(), ShouldEqual, string(kept))
+		golden.Compare(t, "histories", lines.String())
 	})
 }
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -220,7 +220,7 @@
 		},
 		"floor": func(_ *harness, c *internalapi.LeaseCall, _ *internalapi.StartOrder) { c.Floor = 10 },
 		"late":  func(_ *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.StartBy = 9 * ms },
-		"room":  func(b *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.GPUs = 2 },
+		"room":  func(_ *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) { o.GPUs = 2 },
 		"label": func(_ *harness, _ *internalapi.LeaseCall, o *internalapi.StartOrder) {
 			o.Labels = map[string]string{"disk": "hdd"}
 		},
