--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -37,7 +37,7 @@
 }
 
 func (d *fakeStore) Read(_ context.Context, read func(*state.State)) error { read(d.st); return nil }
-func (*fakeStore) Status() internalapi.StatusAnswer                      { return internalapi.StatusAnswer{} }
+func (*fakeStore) Status() internalapi.StatusAnswer                        { return internalapi.StatusAnswer{} }
 func (*fakeStore) Rollout(context.Context) ([]internalapi.NodeBundle, []string) {
 	return []internalapi.NodeBundle{{Node: "c1", Version: 2, Since: time.Unix(60, 0)}, {Node: "d1", Version: 1}}, []string{"c2"}
 }
