--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -19,7 +19,7 @@
 	descWarning = describe("account_warning", "1 for an account that is dry or soon will be.", "account")
 )
 
-// collectAccounts sends the gauges of accounts.
+// collectAccounts sends the gauges of each account.
 func collectAccounts(accounts []internalapi.AccountView, to chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
@@ -42,11 +42,11 @@
 	}
 }
 
-// accountWarnings has the accounts that the leader has warned of. The goroutine runGC owns it.
+// accountWarnings is the set of accounts for which this leader has logged a warning. The goroutine runGC owns it.
 type accountWarnings map[string]bool
 
-// logNew logs a line for each account that is exhausted, or soon will be, once until it no longer is. Only the leader
-// does.
+// logNew logs a warning for each account that is exhausted or soon will be: one until the account recovers. On a node
+// that does not lead it logs nothing.
 func (w accountWarnings) logNew(s *Store) {
 	s.mu.Lock()
 	leads, accounts := s.leadership.term != 0, []internalapi.AccountView(nil)
--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -9,18 +9,18 @@
 	"crosstide/internal/state/command"
 )
 
-// What one pass applies at most: a node that comes back has a thousand entries to apply, and a leader that applied them
-// all at once would send no heartbeat meanwhile.
+// Bounds of what one pass applies: a restarted node may have thousands of entries to apply, and a leader that applied
+// them in one pass would send no heartbeat meanwhile.
 const (
 	applyEntries = 64
 	applyBytes   = 256 << 10
-	// applyPause is left to everything else between two such passes: on one processor, messages would wait for all of
-	// them.
+	// applyPause separates passes that catch up: on a machine with one processor they would starve the goroutines that
+	// handle messages.
 	applyPause = time.Millisecond
 )
 
-// apply applies committed entries to the live state, as many as one pass may, and wakes who waits for them. Called
-// under the lock.
+// apply queues committed entries, applies as many to the live state as one pass may, and ends the proposals among them.
+// s.mu must be held.
 func (s *Store) apply(entries []raft.Entry) {
 	s.unapplied = append(s.unapplied, entries...)
 	batch := s.nextApplied()
@@ -37,7 +37,8 @@
 	s.onLiveChange()
 }
 
-// nextApplied takes the committed entries that this pass applies. A store with a manual driver applies all.
+// nextApplied removes the entries that this pass applies from s.unapplied, and requests another pass if any are left. A
+// store with a manual driver applies all at once. s.mu must be held.
 func (s *Store) nextApplied() []raft.Entry {
 	n, bytes := 0, 0
 	for n < len(s.unapplied) && (s.manual != nil || n < applyEntries && bytes < applyBytes) {
@@ -53,14 +54,15 @@
 	return batch
 }
 
-// isCatchingUp tells whether committed entries wait to be applied.
+// isCatchingUp reports whether committed entries are not applied yet.
 func (s *Store) isCatchingUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.unapplied) > 0
 }
 
-// applyTo applies one entry; members and the first entry of a leader move the index only.
+// applyTo applies one entry to a state. Entries with members, and the empty one that begins a leader's term, only
+// advance its index. The error is the command's own: an outcome, the same on every node.
 func applyTo(to *state.State, e raft.Entry) (any, error) {
 	data := e.Data
 	if e.Kind != raft.Normal {
@@ -70,7 +72,7 @@
 	return answer, errs.Pass(err, "entry %d", e.Index)
 }
 
-// replaceState makes next the live state. Called under the lock.
+// replaceState makes next the live state. s.mu must be held.
 func (s *Store) replaceState(next *state.State) {
 	s.live = next
 	s.live.OnEvent = func(e state.Event) {
@@ -81,7 +83,8 @@
 	s.onLiveChange()
 }
 
-// onLiveChange wakes all that wait for the live state to move on. Called under the lock.
+// onLiveChange records the live state's bundle version and wakes all goroutines that wait for a change. s.mu must be
+// held.
 func (s *Store) onLiveChange() {
 	s.rollout.observeOwn(s.settings.Name, s.live.Bundle.Version, s.clock)
 	close(s.changed)
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	retryInterval      = 200 * time.Millisecond // of calls to members that are named in the settings
-	openSurveyInterval = 100 * time.Millisecond // of asking what an empty folder means, in an open fleet
+	retryInterval      = 200 * time.Millisecond // of calls to members in the settings
+	openSurveyInterval = 100 * time.Millisecond // of rounds of resolveEmptyFolder in an open fleet
 	surveyLogInterval  = 5 * time.Second
 )
 
-// bootstrapDecision is what an empty folder means by the answers of other nodes.
+// bootstrapDecision is what to do with an empty folder, decided from the answers of other nodes.
 type bootstrapDecision uint8
 
 const (
 	undecided bootstrapDecision = iota // ask again
 	mayBootstrap
 	fleetExists
-	settingsDiffer // the bootstrap members are not the same everywhere
+	settingsDiffer // nodes disagree on the bootstrap members
 )
 
-// resolveEmptyFolder finds out what an empty folder means: the first start of a fleet, or a disk that was lost. It
-// returns true once the core is started, false if the store ends before.
+// resolveEmptyFolder finds out why the folder is empty: the fleet starts for the first time, or this node lost its
+// disk. It returns true once the core is started, false if the store is stopped before.
 //
-// An empty folder never votes under an old name: its earlier incarnation may have given votes and acknowledged entries
-// that are forgotten. So the fleet is bootstrapped only when every other member says that it is fresh too, or when a
-// bootstrap member says that it began after having heard that this very process is fresh. Where a fleet exists, the
-// node joins under a new ID. While neither is sure it asks on and takes no part.
+// A node with an empty folder must never vote under an ID that was used before: votes and acknowledged entries of the
+// earlier incarnation would be forgotten. So it bootstraps the fleet only if every other member is fresh too, or if a
+// member that bootstrapped lists this very process among those that were fresh. Where a fleet exists, it joins under a
+// new ID. While neither is certain it asks again, and does not vote.
 func (s *Store) resolveEmptyFolder(ctx context.Context) bool {
 	survey, interval := s.surveyFixed, retryInterval
 	pause := func() time.Duration { return retryInterval }
@@ -71,14 +71,14 @@
 	}
 }
 
-// surveyResult is the outcome of one round of questions.
+// surveyResult is the result of one round of calls to other nodes.
 type surveyResult struct {
 	decision     bootstrapDecision
-	incarnations map[string]string // of the others, by ID, if all are fresh; for the next round and for bootstrap
+	incarnations map[string]string // of the other members, by ID, if all are fresh; for the next round and bootstrap
 	answers      int
 }
 
-// takePart does what a decision asks for.
+// takePart carries out a decision: it bootstraps, starts as a new incarnation, or only logs.
 func (s *Store) takePart(result surveyResult) error {
 	switch result.decision {
 	case mayBootstrap:
@@ -99,27 +99,27 @@
 	return nil
 }
 
-// isBootstrapMember tells whether the settings name this node among those that may bootstrap the fleet.
+// isBootstrapMember reports whether the settings list this node among those that may bootstrap the fleet.
 func (s *Store) isBootstrapMember() bool {
 	return slices.ContainsFunc(s.settings.Members, func(m config.Member) bool { return m.ID == s.settings.Name })
 }
 
-// surveyFixed asks the members in the settings, which are all members.
+// surveyFixed asks the members of a fixed fleet: those in the settings.
 func (s *Store) surveyFixed(ctx context.Context, before map[string]string) surveyResult {
 	answers := s.askMembers(ctx)
 	decision, incarnations := decideBootstrap(s.settings.Name, s.incarnation, s.digest(), len(s.settings.Members),
 		answers, before)
 	if !s.isBootstrapMember() && decision != fleetExists {
-		decision = undecided // only an existing fleet can take in one that is no bootstrap member
+		decision = undecided // it can only join a fleet that exists
 	}
 	return surveyResult{decision, incarnations, len(answers)}
 }
 
-// surveyOpen asks all nodes that are known, where the members in the settings are only seeds: a seed may bootstrap the
-// fleet with the others, all other nodes wait until somebody tells them that it exists.
+// surveyOpen asks all known nodes of an open fleet, where the members in the settings are only seeds. A seed may
+// bootstrap the fleet with the other seeds; any other node waits until it learns that the fleet exists.
 func (s *Store) surveyOpen(ctx context.Context, before map[string]string) surveyResult {
 	isSeed := s.isBootstrapMember()
-	// A seed waits for all answers: one that names it among the bootstrap members weighs most.
+	// A seed waits for all answers: one that lists it among the bootstrap members overrides the others.
 	answers := s.askKnownNodes(ctx, func(a internalapi.DiscoverAnswer) bool { return !isSeed && a.Commit > 1 })
 	decision, incarnations := s.decideOpenBootstrap(answers, before)
 	if !isSeed && decision == mayBootstrap {
@@ -128,10 +128,10 @@
 	return surveyResult{decision, incarnations, len(answers)}
 }
 
-// decideBootstrap weighs what the other members said, by ID. It also returns their incarnations if all of them are
-// fresh; before is what it returned in the last round. Two such rounds in a row are needed: the first shows that these
-// very processes run, the second that none of them had campaigned by then. So no earlier incarnation of any of them
-// gave a vote, and each may be told that it was a bootstrap member.
+// decideBootstrap decides from the answers of the other members, by ID. If all of them are fresh it also returns their
+// incarnations; before are those of the last round. Two such rounds in a row are needed: the first shows which
+// processes run, the second that none of them had campaigned by then. So no earlier incarnation of any of them has
+// voted, and each may be listed as a bootstrap member.
 func decideBootstrap(name, incarnation, digest string, members int, answers map[string]internalapi.DiscoverAnswer,
 	before map[string]string,
 ) (bootstrapDecision, map[string]string) {
@@ -145,7 +145,7 @@
 		all = all && a.Fresh
 	}
 	if named {
-		return mayBootstrap, nil // nobody else is vouched for
+		return mayBootstrap, nil // the others' incarnations were not checked here
 	}
 	for _, a := range answers {
 		if a.Commit > 1 {
@@ -161,8 +161,8 @@
 	return mayBootstrap, incarnations
 }
 
-// decideOpenBootstrap is decideBootstrap where settings may differ between nodes: only those that may bootstrap
-// together must have the same seeds. answers are by address.
+// decideOpenBootstrap is decideBootstrap for an open fleet, where settings may differ between nodes: only seeds that
+// bootstrap together must have the same seeds. answers are by address.
 func (s *Store) decideOpenBootstrap(answers map[string]internalapi.DiscoverAnswer, before map[string]string) (
 	bootstrapDecision, map[string]string,
 ) {
@@ -174,7 +174,7 @@
 			continue
 		}
 		if a.Digest == digest && a.BootstrapIncarnations[s.settings.Name] == s.incarnation {
-			return mayBootstrap, nil // nobody else is vouched for
+			return mayBootstrap, nil // the others' incarnations were not checked here
 		}
 		ofSeeds[m.ID] = a
 	}
@@ -185,15 +185,15 @@
 	}
 	for id, a := range ofSeeds {
 		if !a.Fresh {
-			a.Digest = digest // it only keeps the others from bootstrapping
+			a.Digest = digest // one that is not fresh only prevents a bootstrap; its seeds do not matter
 			ofSeeds[id] = a
 		}
 	}
 	return decideBootstrap(s.settings.Name, s.incarnation, digest, len(s.settings.Members), ofSeeds, before)
 }
 
-// bootstrap begins a fleet: the empty state at index 1 is the first snapshot. incarnations are those of the members
-// that are vouched for, see membership.
+// bootstrap starts a new fleet: its first snapshot is the empty state at index 1. incarnations are those of the other
+// members that were found fresh, see membership.bootstrapped.
 func (s *Store) bootstrap(incarnations map[string]string) error {
 	members := make([]raft.Member, len(s.settings.Members))
 	for i, m := range s.settings.Members {
@@ -226,7 +226,7 @@
 	return errs.Pass(s.startCore(storage.Recovered{Snapshot: &image, Records: records}), "found")
 }
 
-// BootstrapStatus answers a node that has an empty folder.
+// BootstrapStatus answers internalapi.Discover: what this node knows of the fleet, and whether its own folder is fresh.
 func (s *Store) BootstrapStatus(internalapi.DiscoverCall) internalapi.DiscoverAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +236,8 @@
 	if s.core != nil {
 		st := s.core.Status()
 		out.Term, out.Leader = st.Term, st.LeaderAddr
-		// A process that bootstrapped the fleet goes by its settings; after that, only what is on the disk counts.
+		// The process that bootstrapped the fleet answers with the seeds in its settings, any later one with the
+		// committed members.
 		if out.MembersAt, out.Members = s.core.CommittedMembers(); s.settings.OpenMembership &&
 			s.membership.bootstrapped == nil {
 			out.Digest = digestOf(seedsOf(out.Members))
@@ -247,10 +248,10 @@
 	return out
 }
 
-// digest is of the bootstrap members in the settings; they must be the same everywhere.
+// digest returns the digest of the bootstrap members in the settings, which must be the same on all of them.
 func (s *Store) digest() string { return digestOf(s.settings.Members) }
 
-// digestOf is the same for the same members in any order.
+// digestOf returns a digest of members that does not depend on their order.
 func digestOf(members []config.Member) string {
 	lines := make([]string, len(members))
 	for i, m := range members {
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// discardFile marks a folder whose contents are no member's any more. It is removed last, after the folder got a
-	// new ID, so that a crash on the way never leaves an empty folder that could bootstrap a fleet. It holds the
-	// addresses of other nodes that were known.
+	// discardFile marks a folder whose contents must not be used any more. It is removed last, after the folder got a
+	// new ID, so that a crash in between never leaves an empty folder that could bootstrap a fleet. It holds the
+	// addresses of other nodes, one per line.
 	discardFile = "discard"
-	// peersFile holds the addresses that discardFile had, for the new incarnation to ask.
+	// peersFile keeps the addresses from discardFile, for the new incarnation to ask.
 	peersFile = "peers"
 )
 
-// Discard marks the contents of a folder as void, durably: the next Open removes them and begins as a new incarnation,
-// which asks the nodes at the addresses to be taken in, besides its seeds. Use it on a folder that is damaged, or of a
-// member that was removed. Failure: Disk.
+// Discard durably marks the contents of a folder as invalid, because it is damaged or its member was removed. The next
+// Open deletes them and starts as a new incarnation, which asks the nodes at the given addresses, besides its seeds, to
+// join. Failure: Disk.
 func Discard(d storage.Disk, addresses ...string) error {
 	names, err := d.List()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return errs.Pass(writeFile(d, discardFile, strings.Join(addresses, "\n")), "discard")
 }
 
-// finishDiscard removes the contents of a folder that Discard marked; an empty folder with a new ID is left.
+// finishDiscard deletes the contents of a folder that Discard marked, and gives it a new ID. Otherwise it does nothing.
 func (s *Store) finishDiscard() error {
 	disk := s.opt.Disk
 	peers, marked, err := readFile(disk, discardFile)
@@ -57,7 +57,7 @@
 	return errs.Pass(disk.Sync(), "sync")
 }
 
-// loadPeerAddresses learns the addresses that were known before the folder's contents were discarded.
+// loadPeerAddresses loads the addresses that were known before the folder's contents were discarded.
 func (s *Store) loadPeerAddresses() error {
 	peers, _, err := readFile(s.opt.Disk, peersFile)
 	s.rememberAddresses(strings.Fields(peers)...)
--- a/internal/store/discovery.go
+++ b/internal/store/discovery.go
@@ -12,21 +12,22 @@
 	"crosstide/internal/routine"
 )
 
-const maxKnownAddresses = 64 // of nodes that other nodes named
+const maxKnownAddresses = 64 // learned from other nodes
 
-// jitter returns d, longer or shorter by up to a quarter: nodes of an open fleet that were started together must not
-// ask in step.
+// jitter returns d, longer or shorter by up to a quarter, so that nodes of an open fleet that were started together do
+// not send their calls at the same moments.
 func jitter(d time.Duration) time.Duration { return d - d/4 + rand.N(d/2) }
 
-// LearnAddresses adds nodes that an open fleet's node may ask for the fleet, such as new seeds. It never changes with
-// whom the node bootstraps.
+// LearnAddresses adds addresses, such as new seeds, at which a node of an open fleet may ask for the fleet. They never
+// change which members it bootstraps with.
 func (s *Store) LearnAddresses(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rememberAddresses(addresses...)
 }
 
-// rememberAddresses adds addresses of other nodes of an open fleet, within a bound. Called under the lock.
+// rememberAddresses adds addresses of other nodes, up to maxKnownAddresses; in a fixed fleet it does nothing. s.mu must
+// be held.
 func (s *Store) rememberAddresses(addresses ...string) {
 	if !s.settings.OpenMembership {
 		return
@@ -38,7 +39,7 @@
 	}
 }
 
-// addresses are those of all nodes that may know the fleet: seeds, members, and those that other nodes named.
+// addresses returns the addresses of all other nodes that may know the fleet, sorted: seeds, members and learned ones.
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,12 +54,12 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// discoverCall is this node's question to others about the fleet.
+// discoverCall returns the call by which this node asks others about the fleet.
 func (s *Store) discoverCall() internalapi.DiscoverCall {
 	return internalapi.DiscoverCall{Name: s.settings.Name, Incarnation: s.incarnation}
 }
 
-// askMembers asks all other members in the settings, at once, and returns the answers by ID.
+// askMembers calls all other members in the settings concurrently and returns the answers by ID.
 func (s *Store) askMembers(ctx context.Context) map[string]internalapi.DiscoverAnswer {
 	members := s.settings.Members
 	got := make([]*internalapi.DiscoverAnswer, len(members))
@@ -78,8 +79,9 @@
 	return answers
 }
 
-// askKnownNodes asks all nodes whose address is known, at once, until one answer is enough or all have answered or
-// failed. It returns the answers by address, and learns the addresses in them.
+// askKnownNodes calls all nodes with a known address concurrently, until isEnough accepts one answer or all calls have
+// ended. It returns the answers by address, and remembers the addresses in them. isEnough must be safe for concurrent
+// use.
 func (s *Store) askKnownNodes(ctx context.Context, isEnough func(internalapi.DiscoverAnswer) bool) (
 	answers map[string]internalapi.DiscoverAnswer,
 ) {
@@ -109,7 +111,7 @@
 	return answers
 }
 
-// findLeader asks other nodes for the leader's address; "" if nobody knows one. Of two the newer term counts.
+// findLeader asks other nodes for the leader's address and returns the one of the newest term, "" if none is known.
 func (s *Store) findLeader(ctx context.Context) (leader string) {
 	newest := uint64(0)
 	knows := func(a internalapi.DiscoverAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
--- a/internal/store/diskfull.go
+++ b/internal/store/diskfull.go
@@ -10,14 +10,15 @@
 	"crosstide/internal/storage"
 )
 
-// Pauses between tries on a full disk; they double.
+// Backoff between attempts on a full disk; it doubles.
 const (
 	diskFullMinBackoff = 100 * time.Millisecond
 	diskFullMaxBackoff = 2 * time.Second
 )
 
-// retryWhileDiskFull calls write until the disk has space for it. Meanwhile nothing that waits for the write leaves
-// this node: it stays a member that acknowledges nothing. Any other failure is returned; Stopped when ctx ends.
+// retryWhileDiskFull repeats write until the disk has space for it. Meanwhile this node stays a member that
+// acknowledges nothing, as no message that depends on the write is sent. Any other failure is returned, and Stopped
+// when ctx ends. The parameter what names the write in logs.
 func (s *Store) retryWhileDiskFull(ctx context.Context, what string, write func() error) error {
 	for backoff := diskFullMinBackoff; ; backoff = min(2*backoff, diskFullMaxBackoff) {
 		err := write()
@@ -35,7 +36,7 @@
 	}
 }
 
-// OpenWhenDiskHasSpace is Open, tried again while the disk is full. Failures: those of Open; Stopped when ctx ends.
+// OpenWhenDiskHasSpace is Open, repeated while the disk is full. Failures: those of Open; Stopped when ctx ends.
 func OpenWhenDiskHasSpace(ctx context.Context, opt Options) (*Store, error) {
 	opt = opt.withDefaults()
 	for backoff := diskFullMinBackoff; ; backoff = min(2*backoff, diskFullMaxBackoff) {
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -10,28 +10,28 @@
 	"crosstide/internal/storage"
 )
 
-// entryOverhead is what an entry takes beside its data, in the counts of bytes kept here.
+// entryOverhead is the assumed size of an entry without its data, wherever this package counts bytes.
 const entryOverhead = 64
 
-// diskWrite is what one Ready of the core wants on the disk. Ready.ResetLog needs nothing here: writing the snapshot
-// that caused it made the storage drop the same entries.
+// diskWrite is what one raft.Ready asks to be stored. Ready.ResetLog needs no write: the storage dropped the same
+// entries when the snapshot that caused it was written.
 type diskWrite struct {
 	hard          *raft.HardState
 	entries       []raft.Entry
-	sendAfterSync []raft.Message // must not leave before all of the write is synced
+	sendAfterSync []raft.Message // must not be sent before the write is synced
 }
 
-// diskQueue is what waits for the disk writer and how far it has come. A Store owns it; all but wake is guarded by
+// diskQueue is the queue of writes for the disk writer, and its progress. A Store owns it; all but wake is guarded by
 // Store.mu.
 type diskQueue struct {
-	wake chan struct{} // capacity 1: the disk writer has something to do
+	wake chan struct{} // capacity 1; a signal asks the disk writer to empty the queue
 
 	writes    []diskWrite   // in the order of the Readys
-	busySince time.Duration // since when the disk writer works on one batch; 0 while it is idle
-	durable   uint64        // the stored log equals the core's up to this index
+	busySince time.Duration // when the disk writer took its batch; 0 while it has none
+	durable   uint64        // up to this index the log on disk equals the core's
 }
 
-// add queues what a Ready wants on the disk, if anything. Entries that replace stored ones are not durable any more.
+// add queues what a Ready asks to be stored, if anything. Stored entries that it replaces no longer count as durable.
 func (q *diskQueue) add(r raft.Ready) {
 	if r.HardState == nil && len(r.Entries) == 0 && len(r.MessagesAfterSync) == 0 {
 		return
@@ -43,7 +43,7 @@
 	signal(q.wake)
 }
 
-// take removes all that waits, for one sync.
+// take removes all queued writes, to be stored with one sync.
 func (q *diskQueue) take(now time.Duration) []diskWrite {
 	batch := q.writes
 	q.writes = nil
@@ -53,7 +53,7 @@
 	return batch
 }
 
-// synced records that the log is stored up to index, less what queued writes will replace.
+// synced records that the log is stored up to index, except for entries that queued writes will replace.
 func (q *diskQueue) synced(index uint64) {
 	q.durable = index
 	for _, w := range q.writes {
@@ -63,14 +63,15 @@
 	}
 }
 
+// isIdle reports whether no write is queued or under way.
 func (q *diskQueue) isIdle() bool { return len(q.writes) == 0 && q.busySince == 0 }
 
-// isHung tells whether the disk writer has worked on one batch for longer than limit.
+// isHung reports whether the disk writer has had its batch for longer than limit.
 func (q *diskQueue) isHung(now, limit time.Duration) bool {
 	return q.busySince != 0 && now-q.busySince > limit
 }
 
-// runDiskWriter is the goroutine of the disk: it stores all that is queued with one sync, again and again.
+// runDiskWriter is the goroutine that stores queued writes: all that are queued at a time with one sync (group commit).
 func (s *Store) runDiskWriter(ctx context.Context) {
 	for {
 		select {
@@ -96,13 +97,14 @@
 	}
 }
 
+// takeDiskWrites is diskQueue.take for callers without s.mu.
 func (s *Store) takeDiskWrites() []diskWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.disk.take(s.clock.Now())
 }
 
-// writeBatch writes a batch with one sync. It runs without the lock: the disk may be slow.
+// writeBatch stores a batch with one sync. s.mu must not be held: the disk may be slow.
 func (s *Store) writeBatch(batch []diskWrite) error {
 	records, err := recordsOf(batch)
 	if err == nil && len(records) > 0 {
@@ -113,7 +115,7 @@
 	return errs.Pass(err, "append")
 }
 
-// recordsOf is the stored form of a batch.
+// recordsOf returns the log records of a batch.
 func recordsOf(batch []diskWrite) (out []storage.Record, err error) {
 	for _, w := range batch {
 		if w.hard != nil {
@@ -130,7 +132,8 @@
 	return out, nil
 }
 
-// onStored sends what waited for the sync of a batch and reports the sync to the core, the snapshotter and the loop.
+// onStored enqueues the messages that depended on a stored batch, and reports the sync to the core, the snapshotter and
+// the loop.
 func (s *Store) onStored(batch []diskWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +156,7 @@
 	}
 }
 
-// isDiskIdle tells whether the disk writer has nothing to do.
+// isDiskIdle is diskQueue.isIdle for callers without s.mu.
 func (s *Store) isDiskIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/downloadsnapshot.go
+++ b/internal/store/downloadsnapshot.go
@@ -13,26 +13,28 @@
 )
 
 const (
-	downloadTries = 8       // in a row without progress
+	downloadTries = 8       // attempts in a row without progress
 	downloadChunk = 1 << 20 // bytes asked for in one call
 )
 
-// download is a snapshot of another member as far as it has come.
+// download is a partly downloaded snapshot of another member. The goroutine fetch owns it.
 type download struct {
-	head internalapi.ChunkAnswer // the first chunk's description; Number is 0 before there is one
-	body []byte
-	left int // tries until it fails
+	head internalapi.ChunkAnswer // the newest chunk's answer; Number is 0 before the first
+	body []byte                  // the bytes so far, from the first on
+	left int                     // attempts left without progress
 }
 
-// restart begins at the first byte of the newest snapshot, at the cost of a try.
+// restart begins again at the first byte of the newest snapshot; it counts as an attempt.
 func (d *download) restart() { *d = download{left: d.left - 1} }
 
+// isComplete reports whether all bytes of the snapshot are there.
 func (d *download) isComplete() bool { return d.head.Number != 0 && int64(len(d.body)) >= d.head.Size }
 
-// add takes in the answer to the call for the next chunk. An error ends the download; a failed call does not.
+// add adds the outcome of the call for the next chunk. It returns an error only if the download cannot go on; a failed
+// call costs an attempt.
 func (d *download) add(a internalapi.ChunkAnswer, err error) error {
 	switch {
-	case errs.Is(err, errs.Unknown) && d.head.Number != 0: // a newer snapshot took its place
+	case errs.Is(err, errs.Unknown) && d.head.Number != 0: // replaced by a newer snapshot
 		d.restart()
 	case err != nil:
 		d.left--
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// verified checks what was downloaded against its sum and against what was asked for.
+// verified checks the downloaded bytes against their checksum and against the requested snapshot, and returns them.
 func (d *download) verified(wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
 	meta, err := decodeSnapshotMeta(d.head.Meta)
 	if err != nil {
@@ -64,8 +66,8 @@
 	return &fetchedSnapshot{image: image, meta: meta}, nil
 }
 
-// download gets the chunks of a snapshot in order. After a failed call it goes on at the byte it reached; it fails
-// after a few tries without progress.
+// download downloads the chunks of a snapshot in order. After a failed call it resumes at the byte it reached; it fails
+// after downloadTries attempts without progress.
 func (s *Store) download(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
 	d := download{left: downloadTries}
 	for {
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	vectorSource   = "store" // the key of this store's changes in the vector of a follower
+	vectorSource   = "store" // names this store in the version vector of a call
 	maxFollowBytes = 8 << 20
 	maxFollowWait  = 30 * time.Second
 )
 
-// Follow returns what a data plane that follows the store lacks, and waits up to call.Wait while that is nothing. It
-// is answered by any node, from what that one has applied.
+// Follow returns the changes after the version that a data-plane node has, or a snapshot where the log no longer has
+// them all. While there are none it waits, up to call.Wait. Any member answers, from the entries that it has applied.
+// Failures: Unavailable, Stopped.
 func (s *Store) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	s.recordFollowerBundle(call)
 	version, ok := call.Vector[vectorSource]
@@ -46,8 +47,8 @@
 	}
 }
 
-// changesAfter returns the entries after version that are applied here, or the newest snapshot where the log does not
-// reach back to version. Where there is nothing it returns the channel that is closed at the next change.
+// changesAfter returns the applied entries after version, or the newest snapshot where the log no longer reaches back
+// to version. If there are none it returns a channel that is closed at the next change.
 func (s *Store) changesAfter(version uint64, limit int) (*internalapi.SourceUpdate, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/gc.go
+++ b/internal/store/gc.go
@@ -9,9 +9,10 @@
 	"crosstide/internal/state/command"
 )
 
+// gcInterval is the time between two purges, and between two checks of accounts.
 const gcInterval = 10 * time.Second
 
-// runGC is the goroutine by which the leader proposes to purge what is past its retention, and warns of accounts.
+// runGC is the goroutine that, on the leader, proposes to purge what is past its retention and warns of accounts.
 func (s *Store) runGC(ctx context.Context) {
 	warned := accountWarnings{}
 	for s.sleep(ctx, gcInterval) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// gcCommand returns the command that purges what is past its retention; nil on a node that does not lead, or where
-// there is nothing that could be.
+// gcCommand returns the command that purges what is past its retention. It returns nil on a node that does not lead, or
+// if the state has nothing that could be purged.
 func (s *Store) gcCommand() command.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/installsnapshot.go
+++ b/internal/store/installsnapshot.go
@@ -11,16 +11,16 @@
 	"crosstide/internal/storage"
 )
 
-// fetchedSnapshot is a snapshot of another member that is to take the place of this node's state. The fetch makes it,
-// the snapshotter installs it.
+// fetchedSnapshot is a snapshot of another member that is to replace this node's state. The goroutine fetch downloads
+// it, runSnapshotter installs it.
 type fetchedSnapshot struct {
 	image storage.Snapshot
 	meta  raft.Meta
 	live  *state.State  // decoded from the image, to become the live state
-	done  chan struct{} // closed once it is installed or dropped
+	done  chan struct{} // closed once it is installed or rejected
 }
 
-// startFetch fetches the snapshot that the core asked for, unless one is being fetched. Called under the lock.
+// startFetch starts to fetch the snapshot that the core asked for, unless a fetch is under way. s.mu must be held.
 func (s *Store) startFetch(wanted *raft.FetchSnapshot) {
 	if wanted == nil || s.snapshots.fetching {
 		return
@@ -34,7 +34,8 @@
 	s.group.Go(func(ctx context.Context) { s.fetch(ctx, request) })
 }
 
-// fetch gets a snapshot from another member and has it installed. When it fails, the core asks for it again.
+// fetch is the goroutine that downloads a snapshot and waits until it is installed. After a failure the core asks
+// again.
 func (s *Store) fetch(ctx context.Context, wanted raft.FetchSnapshot) {
 	err := s.fetchAndInstall(ctx, wanted)
 	if err != nil {
@@ -45,6 +46,7 @@
 	s.mu.Unlock()
 }
 
+// fetchAndInstall downloads a snapshot and passes it to runSnapshotter.
 func (s *Store) fetchAndInstall(ctx context.Context, wanted raft.FetchSnapshot) error {
 	fetched, err := s.fetchDecoded(ctx, wanted)
 	if err != nil {
@@ -74,15 +76,14 @@
 	return fetched, nil
 }
 
-// installFetched puts the snapshot of another member in the place of the own state. The core is frozen meanwhile: no
-// message enters it and no output leaves it, so that the log on the disk cannot move between the image and
-// SnapshotInstalled.
+// installFetched replaces this node's state with a fetched snapshot. The core is frozen meanwhile, so that the log on
+// disk cannot change between the write of the image and SnapshotInstalled.
 func (s *Store) installFetched(ctx context.Context, fetched *fetchedSnapshot) error {
 	if !s.freeze(fetched) {
 		return nil
 	}
 	defer s.unfreeze()
-	for !s.isDiskIdle() { // what was handed out before must be on the disk before the image
+	for !s.isDiskIdle() { // earlier writes must be stored before the image
 		signal(s.disk.wake)
 		if !s.sleep(ctx, pollInterval) {
 			return nil
@@ -91,7 +92,7 @@
 	return errs.Pass(s.replaceWithFetched(ctx, fetched), "adopt")
 }
 
-// freeze stops the core if the snapshot is newer than what is committed here; false: it is of no use.
+// freeze stops the core if the snapshot is newer than what is committed here, and reports whether it is.
 func (s *Store) freeze(fetched *fetchedSnapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,6 +100,7 @@
 	return s.frozen
 }
 
+// unfreeze resumes the core after freeze.
 func (s *Store) unfreeze() {
 	s.mu.Lock()
 	s.frozen = false
@@ -106,8 +108,8 @@
 	signal(s.wakeLoop)
 }
 
-// replaceWithFetched stores the snapshot and makes it the state of the core, the snapshotter and the readers. The core
-// is frozen and the disk idle.
+// replaceWithFetched stores a fetched snapshot and makes it the state of the core, the snapshotter and the readers. The
+// core must be frozen and the disk writer idle.
 func (s *Store) replaceWithFetched(ctx context.Context, fetched *fetchedSnapshot) error {
 	err := s.retryWhileDiskFull(ctx, "write a fetched snapshot", func() error {
 		return errs.Pass(s.storage.WriteSnapshot(fetched.image, 0), "image")
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	joinInterval  = 50 * time.Millisecond // of asking to be taken in, in an open fleet
+	joinInterval  = 50 * time.Millisecond // between calls to join an open fleet
 	maxLearnerLag = 1000                  // entries; a learner within it of the leader's last entry has caught up
 )
 
-// joinCall is this node's request to be taken in.
+// joinCall returns this node's request to join the fleet.
 func (s *Store) joinCall() internalapi.JoinCall {
 	return internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}
 }
 
-// joinFleet is the goroutine that asks the leader, through any member, until this node is a voter.
+// joinFleet is the goroutine that asks the leader to join a fixed fleet, until this node is a voter. The leader is
+// found through any member.
 func (s *Store) joinFleet(ctx context.Context) {
 	call := s.joinCall()
 	for i := 0; ; i++ {
@@ -56,7 +57,7 @@
 	}
 }
 
-// joinOpenFleet is joinFleet in an open fleet, where the leader is found by asking all nodes that are known.
+// joinOpenFleet is joinFleet for an open fleet, where the leader is found by asking all known nodes.
 func (s *Store) joinOpenFleet(ctx context.Context) {
 	call := s.joinCall()
 	leader := ""
@@ -89,15 +90,15 @@
 	}
 }
 
-// isCommittedVoter tells whether a committed set has this node as a voter; what its log says beyond that may be undone.
-// Called under the lock.
+// isCommittedVoter reports whether this node is a voter in the committed member set; a newer set in its log may be
+// undone. s.mu must be held.
 func (s *Store) isCommittedVoter() bool {
 	_, members := s.core.CommittedMembers()
 	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == s.id && !m.Learner })
 }
 
-// askToJoin moves this node one step towards being a voter. Failure Stale: it was removed, its folder must be
-// discarded.
+// askToJoin asks the leader to bring this node one step closer to being a voter. Failures: those of the call; Stale if
+// this node was removed: its folder must be discarded.
 func (s *Store) askToJoin(ctx context.Context, leader string, call internalapi.JoinCall) error {
 	a, err := s.opt.Net.Join(ctx, leader, call)
 	if err != nil {
@@ -109,11 +110,16 @@
 	return nil
 }
 
-// Join moves a node with an empty folder one step towards being a voter: learner; then its older self out; then
-// voter. The older self goes first, although promoting first would be allowed too: it is surely gone, so taking
-// it out of 5 leaves 4 that are all there and need 3, while promoting first makes 6 of which one is dead and 4
-// are needed. Both bear the loss of one more; the smaller set commits with fewer disks, and a newcomer that
-// fails again in between leaves no second dead voter behind. The order of the checks is the protocol.
+// Join brings a node that lost its folder, or a new one, one step closer to being a voter. The steps are: it becomes a
+// learner; its earlier incarnation is removed; it becomes a voter.
+//
+// The removal goes first, although promoting first would be allowed too. The earlier incarnation is certainly dead:
+// removing it from 5 voters leaves 4 live ones with a majority of 3, while promoting first makes 6 voters, one of them
+// dead, with a majority of 4. Both tolerate one more loss; but the smaller set commits with fewer disks, and a learner
+// that fails again in between leaves no second dead voter. The order of the checks below is the protocol: do not change
+// it.
+//
+// Failures: NotLeader (Hint), Invalid, Forbidden, Conflict, Unavailable, Stale.
 func (s *Store) Join(ctx context.Context, call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	name, incarnation, ok := strings.Cut(call.ID, "~")
 	if !ok || name != call.Name || name == "" || incarnation == "" || call.Addr == "" {
@@ -156,7 +162,8 @@
 	return out, errs.Pass(s.promoteLearner(ctx, plan), "promote")
 }
 
-// checkNameKnown refuses a node of a fixed fleet that no member set, no settings and no operator's order knows by name.
+// checkNameKnown rejects a node whose name neither the members nor the settings of a fixed fleet have. Failure:
+// Forbidden.
 func (s *Store) checkNameKnown(name string, members []raft.Member) error {
 	if s.settings.OpenMembership {
 		return nil
@@ -171,15 +178,16 @@
 		name, name)
 }
 
-// joinPlan is the member set as it concerns a node that joins.
+// joinPlan is what planJoin derives from the member set for a node that joins.
 type joinPlan struct {
-	from []raft.Member // the set in force
-	next []raft.Member // the same without earlier folders of the node that never became a voter
-	at   int           // the place of the node in next; -1: it is not in there
-	old  *raft.Member  // the voter that it is to take the place of; nil: none
+	from []raft.Member // the member set in force
+	next []raft.Member // from, without earlier incarnations of the node that are still learners
+	at   int           // the node's position in next; -1: it is not a member
+	old  *raft.Member  // the voter that it replaces; nil: none
 }
 
-// planJoin sorts out the members for a node; predecessor is the name of the one it replaces, its own if no other.
+// planJoin derives the joinPlan of the node id. predecessor is the name of the node that it replaces: another's if an
+// operator said so, else its own.
 func planJoin(members []raft.Member, id, predecessor string) joinPlan {
 	name := NameOf(id)
 	plan := joinPlan{from: members, next: make([]raft.Member, 0, len(members)+1), at: -1}
@@ -197,8 +205,9 @@
 	return plan
 }
 
-// promoteLearner makes a learner that has caught up a voter, or takes out first whom it replaces: its older self or
-// predecessor, unless that one is alive, or, in an open fleet, a voter that is silent.
+// promoteLearner makes a learner that has caught up a voter. If there is one to remove first it only does that: the
+// voter that the learner replaces, which must not be alive, or a silent voter of an open fleet. Failures: Conflict, and
+// those of changeMembers.
 func (s *Store) promoteLearner(ctx context.Context, plan joinPlan) error {
 	if old := plan.old; old != nil {
 		if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, s.discoverCall()); err == nil && a.ID == old.ID {
@@ -214,8 +223,8 @@
 	return errs.Pass(s.changeMembers(plan.from, plan.next), "join as a voter")
 }
 
-// checkNotRemoved refuses one that is no member although its folder says that it is one: it was removed since, and
-// must come back as a new incarnation. Failure: Stale; Unavailable while that is not committed.
+// checkNotRemoved rejects a node that is not a member although its folder says so: it was removed and must come back as
+// a new incarnation. Failures: Stale; Unavailable while the removal is not committed.
 func (s *Store) checkNotRemoved(call internalapi.JoinCall) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,5 +237,5 @@
 	case at > call.Since:
 		return errs.New(errs.Stale, "%s was a member at %d and is none at %d", call.ID, call.Since, at)
 	}
-	return nil // the set that had it was never committed
+	return nil // the set that had the node was never committed
 }
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -10,19 +10,20 @@
 	"crosstide/internal/raft"
 )
 
-// takeoverPeriod is how long a new leader writes no snapshot.
+// takeoverPeriod is how long a new leader postpones snapshots.
 const takeoverPeriod = 2 * time.Second
 
-// leadership is what this node keeps as the leader, and only while it leads. A Store owns it; guarded by Store.mu.
+// leadership is this node's state as the leader, reset when it gains or loses the leadership. A Store owns it; guarded
+// by Store.mu.
 type leadership struct {
-	term   uint64 // in which this node leads; 0: it does not
-	since  time.Duration
-	leases *roleLeases // active once the leader's lease was confirmed in this term
+	term   uint64        // in which this node leads; 0: it does not lead
+	since  time.Duration // when this node began or ceased to lead
+	leases *roleLeases   // active from when the leader's lease is first confirmed in this term
 }
 
-// onStatusChange follows the status of the core after each pass: it ends what a change of leader invalidates, starts
-// the count of role leases once the lead is confirmed, and makes the peers those of the member set. Called under the
-// lock.
+// onStatusChange acts on the status of the core after each pass: when this node gains or loses the leadership it fails
+// the proposals and drops the role leases; once the leader's lease is confirmed it starts to count role leases; and it
+// makes the peers match the member set. s.mu must be held.
 func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
 	st := &s.status
 	if before.Role != st.Role || before.Leader != st.Leader || before.Term != st.Term {
@@ -48,9 +49,9 @@
 	s.updatePeers()
 }
 
-// LeaderTerm returns the term in which this node leads, 0 if it does not. hasLease tells that at now, a time of the
-// store's clock, no other node can lead: the leader's lease is valid, and all that earlier leaders committed is in the
-// live state. Example:
+// LeaderTerm returns the term in which this node leads, 0 if it does not lead. hasLease reports whether, at now on the
+// store's clock, no other node can lead: the leader's lease is valid, and the live state has all that earlier leaders
+// committed. Example:
 //
 //	if term, hasLease := s.LeaderTerm(clock.Now()); hasLease {
 //		_, _, err = s.ProposeIn(ctx, term, decide())
@@ -65,14 +66,15 @@
 	return s.leadership.term, hasLease && s.live.Index >= commit
 }
 
-// inTakeover tells whether this node has led for a short time only.
+// inTakeover reports whether this node has led for less than takeoverPeriod.
 func (s *Store) inTakeover() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leadership.term != 0 && s.clock.Now()-s.leadership.since < takeoverPeriod
 }
 
-// TransferLeadership makes another node the leader if this one leads, and waits for it, one Election at most.
+// TransferLeadership asks another voter to take over if this node leads, and waits until it no longer does, for one
+// Election at most. A failure is logged: an ordinary election follows once this node stops.
 func (s *Store) TransferLeadership(ctx context.Context) {
 	s.mu.Lock()
 	if s.core == nil || s.status.Role != raft.Leader {
@@ -98,8 +100,8 @@
 	}
 }
 
-// stepDownIfDiskHangs transfers the leadership when the own disk hangs: the others commit without it, but a node that
-// cannot store must not go on deciding for them. Called under the lock, at each tick.
+// stepDownIfDiskHangs transfers the leadership when this node's disk hangs. The other members can commit without it,
+// but a node that cannot store entries must not go on leading them. It is called at each tick. s.mu must be held.
 func (s *Store) stepDownIfDiskHangs(now time.Duration) {
 	if s.status.Role != raft.Leader || !s.disk.isHung(now, 2*s.settings.Election) {
 		return
@@ -109,8 +111,8 @@
 	}
 }
 
-// successor is the voter, other than this node, that has most of the log, of those heard of within an Election; of two
-// alike the one heard of last. "": there is none. Called under the lock.
+// successor returns the best voter to lead after this node: among those heard from within an Election the one with most
+// of the log, and among equals the one heard from last. It returns "" if there is none. s.mu must be held.
 func (s *Store) successor() (to string) {
 	now := s.clock.Now()
 	var newest time.Duration
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	pollInterval      = 10 * time.Millisecond // of what is waited for and sends no signal
-	ticksPerHeartbeat = 4                     // of the core
+	pollInterval      = 10 * time.Millisecond // of conditions that signal no channel
+	ticksPerHeartbeat = 4                     // ticks of the core in one Settings.Heartbeat
 )
 
-// loop is the goroutine that drives the core: a pass whenever it is woken or a tick is due.
+// loop is the goroutine that drives the core: it makes a pass whenever it is woken or a tick is due.
 func (s *Store) loop(ctx context.Context) {
 	var timer clock.Stopper
 	wake := func() { signal(s.wakeLoop) }
@@ -41,8 +41,9 @@
 	}
 }
 
-// pass is one turn of the loop: it ticks the core if that is due, proposes what is pending, and hands out what the
-// core has ready, to the peers, the disk, the live state and the fetch. It returns the time until the next pass is due.
+// pass is one turn of the loop: it ticks the core if that is due, proposes what is pending, and distributes the core's
+// Ready to the peers' queues, the disk queue, the live state and the snapshot fetch. It returns the time until the next
+// pass is due.
 func (s *Store) pass() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +70,8 @@
 	return s.untilNextPass(now)
 }
 
-// untilNextPass is the time until the core needs a tick; a follower waits for messages until it may campaign.
+// untilNextPass returns the time until the core needs a tick; a node that does not lead needs none before it may
+// campaign. s.mu must be held.
 func (s *Store) untilNextPass(now time.Duration) time.Duration {
 	next := s.lastTick + s.tickInterval()
 	if s.status.Role != raft.Leader {
@@ -78,11 +80,11 @@
 	return max(0, next-now)
 }
 
-// tickInterval is the time between two ticks of the core; in between the loop runs only when it is woken.
+// tickInterval returns the time between two ticks of the core; between them the loop runs only when it is woken.
 func (s *Store) tickInterval() time.Duration { return s.settings.Heartbeat / ticksPerHeartbeat }
 
-// Step passes messages of another member to the core; they may be lost. From of the call is the sender's address, by
-// which a node that has no members yet can answer.
+// Step passes raft messages of another member to the core, or drops them. call.From is the sender's address: a node
+// that has no member set yet can answer there.
 func (s *Store) Step(call internalapi.RaftCall) {
 	s.mu.Lock()
 	s.rememberAddresses(call.From)
@@ -110,9 +112,10 @@
 	}
 }
 
-// sleep waits for d; false if ctx ended first.
+// sleep waits for d and reports whether that passed before ctx ended.
 func (s *Store) sleep(ctx context.Context, d time.Duration) bool { return sleep(ctx, s.clock, d) }
 
+// sleep waits for d on a clock and reports whether that passed before ctx ended.
 func sleep(ctx context.Context, by clock.Clock, d time.Duration) bool {
 	expired := make(chan struct{})
 	defer by.Set(d, func() { close(expired) }).Stop()
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -12,38 +12,38 @@
 	"crosstide/internal/state/command"
 )
 
-// ManualDriver drives a store that was not started, step by step on one goroutine: the deterministic simulator runs the
-// daemon's own code with it. Each step is one that a goroutine of a started store makes when it is woken; the caller
-// decides when a sync is done or a message arrives. Nothing waits: Net must answer at once. Example:
+// ManualDriver drives a store that was not started, step by step on one goroutine, so that the deterministic simulator
+// runs the daemon's own code. Each step is one that a goroutine of a started store makes when it is woken; the caller
+// decides when a sync ends or a message arrives. No step waits: Net must answer at once. Example:
 //
 //	s, err := store.Open(options)
 //	d := s.Manual()
-//	d.Pass()                   // a turn of the loop
-//	b := d.TakeDiskBatch()     // what waits for the disk, nil if nothing
-//	err = b.Write()            // later: it is synced,
-//	b.MarkStored()             // and the store knows
-//	err = d.RunSnapshotter()   // the replica follows, snapshots are written
+//	d.Pass()                   // one turn of the loop
+//	b := d.TakeDiskBatch()     // the queued writes, nil if there are none
+//	err = b.Write()            // writes and syncs them
+//	b.MarkStored()             // now, or at a later time of the simulation
+//	err = d.RunSnapshotter()   // writes snapshots that are due
 //	for _, m := range d.TakeMessages() { send(m.Addr, m.Call) }
 type ManualDriver struct {
 	store   *Store
-	wanted  *raft.FetchSnapshot // asked for by the core; nil: nothing
-	fetched *fetchedSnapshot    // waits for the disk to be idle; the store is frozen meanwhile
+	wanted  *raft.FetchSnapshot // the core's request for a snapshot; nil: none
+	fetched *fetchedSnapshot    // to be installed once the disk is idle; the store is frozen meanwhile
 }
 
-// Manual returns a driver; the store must not be started then.
+// Manual returns a driver of the store, which must not be started.
 func (s *Store) Manual() *ManualDriver {
 	s.manual = &ManualDriver{store: s}
 	return s.manual
 }
 
-// IsMember tells whether the folder tells who this node is, or that was resolved: the core runs.
+// IsMember reports whether the core exists: the folder was not empty, or Bootstrap or ResolveEmptyFolder resolved it.
 func (d *ManualDriver) IsMember() bool { return d.store.core != nil }
 
-// Bootstrap begins a fleet, as resolveEmptyFolder does once all members were found fresh.
+// Bootstrap starts a new fleet, as resolveEmptyFolder does once all members were found fresh.
 func (d *ManualDriver) Bootstrap() error { return errs.Pass(d.store.bootstrap(nil), "found") }
 
-// ResolveEmptyFolder is one round of asking the other members what the empty folder means. It joins an existing fleet,
-// and never bootstraps one.
+// ResolveEmptyFolder is one round of resolveEmptyFolder that starts a new incarnation if a fleet exists, and never
+// bootstraps one.
 func (d *ManualDriver) ResolveEmptyFolder() error {
 	s := d.store
 	answers := map[string]internalapi.DiscoverAnswer{}
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// JoinCall returns the call that takes this node in, and the leader's address; false if it is a voter, or a bootstrap
-// member under its own name.
+// JoinCall returns this node's request to join and the leader's address. ok is false if the node need not join: it is a
+// voter, or a bootstrap member under its own name.
 func (d *ManualDriver) JoinCall() (call internalapi.JoinCall, addr string, ok bool) {
 	s := d.store
 	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
@@ -72,20 +72,20 @@
 	return s.joinCall(), s.status.LeaderAddr, true
 }
 
-// Pass is a turn of the loop.
+// Pass is one turn of the loop.
 func (d *ManualDriver) Pass() {
 	if d.store.core != nil {
 		d.store.pass()
 	}
 }
 
-// OutboundCall is a call with replication messages.
+// OutboundCall is a call with raft messages and the address that it is for.
 type OutboundCall struct {
 	Addr string
 	Call internalapi.RaftCall
 }
 
-// TakeMessages takes the messages to other members, in the order of their IDs.
+// TakeMessages removes all queued messages and returns them as calls, ordered by the receiver's ID.
 func (d *ManualDriver) TakeMessages() (out []OutboundCall) {
 	if d.store.halted {
 		return nil
@@ -100,13 +100,13 @@
 	return out
 }
 
-// DiskBatch is what waits for one sync.
+// DiskBatch is the writes that one sync stores.
 type DiskBatch struct {
 	store  *Store
 	writes []diskWrite
 }
 
-// TakeDiskBatch takes what waits for the disk; nil if it is busy or there is nothing.
+// TakeDiskBatch removes all queued writes and returns them; nil if there are none, or while another batch is under way.
 func (d *ManualDriver) TakeDiskBatch() *DiskBatch {
 	if d.store.disk.busySince != 0 || d.store.halted {
 		return nil
@@ -123,7 +123,7 @@
 // MarkStored reports to the store that the batch is synced.
 func (b *DiskBatch) MarkStored() { b.store.onStored(b.writes) }
 
-// Entries returns those in the batch, in the order of writing.
+// Entries returns the log entries in the batch, in the order of writing.
 func (b *DiskBatch) Entries() (out []raft.Entry) {
 	for _, w := range b.writes {
 		out = append(out, w.entries...)
@@ -131,8 +131,8 @@
 	return out
 }
 
-// RunSnapshotter applies what is stored to the replica, writes the snapshots that are due, and installs a fetched one
-// once the disk is idle.
+// RunSnapshotter applies durable entries to the snapshotter's state, writes the snapshots that are due, and installs a
+// fetched one once the disk is idle.
 func (d *ManualDriver) RunSnapshotter() error {
 	fetched, err := d.store.applyStored(context.Background())
 	if err != nil {
@@ -149,7 +149,7 @@
 	return errs.Pass(d.store.replaceWithFetched(context.Background(), fetched), "shade")
 }
 
-// FetchSnapshot downloads the snapshot that the core asked for, at once; nothing if it asked for none.
+// FetchSnapshot downloads the snapshot that the core asked for, if any.
 func (d *ManualDriver) FetchSnapshot() error {
 	if d.wanted == nil || d.fetched != nil {
 		return nil
@@ -165,7 +165,7 @@
 	return errs.Pass(err, "fetch")
 }
 
-// Proposal is a command without an outcome yet.
+// Proposal is a command that was proposed by ManualDriver.Propose.
 type Proposal struct {
 	store  *Store
 	waiter *waiter
@@ -184,7 +184,7 @@
 	return &Proposal{d.store, w}, nil
 }
 
-// Done returns the outcome; false while there is none.
+// Done returns the outcome, once; ok is false while there is none.
 func (p *Proposal) Done() (index uint64, answer any, err error, ok bool) {
 	select {
 	case o := <-p.waiter.done:
@@ -194,13 +194,13 @@
 	}
 }
 
-// Abandon ends the wait, as Store.Propose does after 2 s.
+// Abandon ends the wait and returns the error of the outcome, as Store.Propose does after proposeTimeout.
 func (p *Proposal) Abandon() error {
 	return errs.Pass(p.store.abandonProposal(p.waiter).err, "propose")
 }
 
-// ClaimRole is Store.ClaimRole up to its proposal: the answer, or a command to propose, after whose outcome
-// FinishRoleCall must be called.
+// ClaimRole is Store.ClaimRole up to its proposal. It returns the answer, or a command to propose; FinishRoleCall must
+// be called with its outcome and with current.
 func (d *ManualDriver) ClaimRole(call internalapi.ClaimRoleCall) (
 	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
 ) {
@@ -208,7 +208,7 @@
 	return answer, current, c, errs.Pass(err, "duty")
 }
 
-// FinishRoleCall answers a call by the outcome of the command that ClaimRole returned.
+// FinishRoleCall answers a call from the outcome of the command that ClaimRole returned.
 func (d *ManualDriver) FinishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
 	internalapi.RoleLease, error,
 ) {
@@ -216,7 +216,7 @@
 	return answer, errs.Pass(err, "duty")
 }
 
-// ChangesAfter is Store.Follow without the wait: nil if the caller lacks nothing.
+// ChangesAfter is Store.Follow without the wait; nil if there are no changes after version.
 func (d *ManualDriver) ChangesAfter(version uint64) (*internalapi.SourceUpdate, error) {
 	update, _, err := d.store.changesAfter(version, maxFollowBytes)
 	return update, errs.Pass(err, "lack")
@@ -229,13 +229,13 @@
 	}
 }
 
-// State returns the live state.
+// State returns the live state; the caller must not change it.
 func (d *ManualDriver) State() *state.State { return d.store.live }
 
 // SnapshotIndex returns the index of the newest snapshot.
 func (d *ManualDriver) SnapshotIndex() uint64 { return d.store.snapshots.newest.Index }
 
-// WantsSnapshot tells whether the core asked for a snapshot that FetchSnapshot has not fetched yet.
+// WantsSnapshot reports whether FetchSnapshot has a snapshot to download.
 func (d *ManualDriver) WantsSnapshot() bool { return d.wanted != nil && d.fetched == nil }
 
 // Core returns the replication core; nil before IsMember.
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -11,13 +11,14 @@
 	"crosstide/internal/raft"
 )
 
-// membership is what this node knows of the fleet besides the member set, which the core has. A Store owns it; guarded
+// membership is what this node knows of the fleet beside the member set, which the core owns. A Store owns it; guarded
 // by Store.mu.
 type membership struct {
-	// bootstrapped has the incarnations, by ID, of the other members that were found fresh when this very process
-	// bootstrapped the fleet: each that asks may know that it is a bootstrap member. nil: none may.
+	// bootstrapped has the incarnations, by ID, of the other members that were fresh when this process bootstrapped the
+	// fleet. A member that asks under its incarnation here may bootstrap too. nil if this process did not bootstrap, or
+	// did so only because another member listed it.
 	bootstrapped map[string]string
-	// known has the addresses of nodes that other nodes named; in an open fleet only.
+	// known has the addresses of nodes that were learned from other nodes; empty in a fixed fleet.
 	known map[string]bool
 }
 
@@ -28,8 +29,8 @@
 	return s.status.LeaderAddr, addressesOf(s.status.Members)
 }
 
-// ReachableVoters returns the addresses of the voters that this leader has heard of within an Election, its own among
-// them; none on a node that does not lead.
+// ReachableVoters returns the addresses of the voters that this leader has heard from within an Election, its own among
+// them. It returns none on a node that does not lead.
 func (s *Store) ReachableVoters() (addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +46,8 @@
 	return addresses
 }
 
-// changeMembers proposes the member set next, which was made from the set from; that it is committed shows in a later
-// call.
+// changeMembers proposes the member set next, which was derived from the set from, and does not wait for its commit.
+// Failures: those of checkLeader; Unavailable if from is no longer in force.
 func (s *Store) changeMembers(from, next []raft.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// proposeMembers puts a member set into the log unless the set it was made from is not in force any more: it would
-// undo what another change did. Called under the lock.
+// proposeMembers proposes the member set next to the core, unless the set from is no longer in force: next would undo
+// another change. s.mu must be held.
 func (s *Store) proposeMembers(now time.Duration, from, next []raft.Member) error {
 	if !slices.Equal(from, s.core.Status().Members) {
 		return errs.New(errs.Unavailable, "the members changed meanwhile")
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// addressesOf returns the addresses of members, voters first.
+// addressesOf returns the addresses of members: voters, then learners.
 func addressesOf(members []raft.Member) (out []string) {
 	for _, learner := range []bool{false, true} {
 		for _, m := range members {
@@ -85,7 +86,7 @@
 	return out
 }
 
-// seedsOf returns members in the form of the settings.
+// seedsOf converts members to the type used in settings.
 func seedsOf(members []raft.Member) []config.Member {
 	out := make([]config.Member, len(members))
 	for i, m := range members {
@@ -94,11 +95,12 @@
 	return out
 }
 
-// without returns a copy of members without the one with the ID.
+// without returns a copy of members without the member id.
 func without(members []raft.Member, id string) []raft.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m raft.Member) bool { return m.ID == id })
 }
 
+// voterCount returns the number of voters among members.
 func voterCount(members []raft.Member) (n int) {
 	for _, m := range members {
 		if !m.Learner {
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -31,16 +31,17 @@
 	}
 }
 
-// register adds these and the collector of the store to a registry; nil does nothing.
+// register registers m and a collector of s; with a nil registry it does nothing.
 func (m *metrics) register(s *Store, to prometheus.Registerer) {
 	if to != nil {
 		to.MustRegister(m.proposals, m.dropped, m.syncs, m.commits, m.snapshots, &collector{store: s})
 	}
 }
 
-// collector reads what the store has at the time of a scrape.
+// collector collects the gauges of a store from its fields at each scrape.
 type collector struct{ store *Store }
 
+// describe returns the description of a metric that collector computes.
 func describe(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("crosstide_store_"+name, help, labels, nil)
 }
@@ -58,10 +59,10 @@
 	descType    = describe("running", "Handles out, by type of job.", "type")
 )
 
-// Describe describes nothing: the labels come with the state.
+// Describe sends nothing, which makes the collector an unchecked one: its labels depend on the state.
 func (*collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the values of now.
+// Collect sends the current values.
 func (c *collector) Collect(to chan<- prometheus.Metric) {
 	s := c.store
 	s.mu.Lock()
--- a/internal/store/network.go
+++ b/internal/store/network.go
@@ -10,7 +10,8 @@
 	"crosstide/internal/rpc"
 )
 
-// Serve answers the calls of other control-plane nodes and of data planes at srv; call it before srv starts.
+// Serve registers the handlers of calls from other control-plane nodes and from data-plane nodes at srv. It must be
+// called before srv starts.
 func (s *Store) Serve(srv *rpc.Server) {
 	rpc.Handle(srv, internalapi.Propose, s.handlePropose)
 	rpc.Handle(srv, internalapi.Follow, s.Follow)
@@ -31,16 +32,18 @@
 	}))
 }
 
+// handleReadIndex answers internalapi.ReadIndex.
 func (s *Store) handleReadIndex(internalapi.ReadIndexCall) (internalapi.ReadIndexAnswer, error) {
 	index, err := s.ReadIndex()
 	return internalapi.ReadIndexAnswer{Index: index}, errs.Pass(err, "read index")
 }
 
+// handleDiscover answers internalapi.Discover.
 func (s *Store) handleDiscover(call internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error) {
 	return s.BootstrapStatus(call), nil
 }
 
-// immediate makes a handler of a function that needs no context: it waits for nothing, or within bounds of its own.
+// immediate adapts a function without a context to a handler; it must return at once or bound its own wait.
 func immediate[C, A any](serve func(C) (A, error)) func(context.Context, C) (A, error) {
 	return func(_ context.Context, call C) (A, error) {
 		answer, err := serve(call)
@@ -48,7 +51,8 @@
 	}
 }
 
-// Net carries the calls to other control-plane nodes at an address; each ends by its own time-out.
+// Net makes calls to the control-plane node at an address. Each call ends within a timeout of its own, earlier if ctx
+// ends; it is called without Store.mu held. An error says nothing about whether the call was carried out.
 type Net interface {
 	SendMessages(ctx context.Context, addr string, call internalapi.RaftCall) error
 	FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
@@ -59,12 +63,12 @@
 	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
 }
 
-// NetworkOf returns the Net of a daemon, over its client.
+// NetworkOf returns a Net that calls by client.
 func NetworkOf(client *rpc.Client, settings config.ControlPlane) Net {
 	return networkCalls{client, settings.Election}
 }
 
-// networkCalls is Net over RPC. Calls on which an election depends end within half an election time-out.
+// networkCalls is Net over RPC. Calls on which an election depends end within half an election timeout.
 type networkCalls struct {
 	client   *rpc.Client
 	election time.Duration
@@ -76,7 +80,7 @@
 	return errs.Pass(err, "quorum")
 }
 
-// FetchChunk gets a part of a peer's snapshot.
+// FetchChunk returns a chunk of a peer's snapshot.
 func (n networkCalls) FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (
 	internalapi.ChunkAnswer, error,
 ) {
@@ -84,7 +88,7 @@
 	return a, errs.Pass(err, "chunk")
 }
 
-// BootstrapStatus asks a peer whether it is fresh, and what it knows of the fleet.
+// BootstrapStatus asks a node whether its folder is fresh, and what it knows of the fleet.
 func (n networkCalls) BootstrapStatus(ctx context.Context, addr string, call internalapi.DiscoverCall) (
 	internalapi.DiscoverAnswer, error,
 ) {
@@ -92,7 +96,7 @@
 	return a, errs.Pass(err, "found")
 }
 
-// Join asks a member to add this node.
+// Join asks the leader to bring this node one step closer to being a voter.
 func (n networkCalls) Join(ctx context.Context, addr string, call internalapi.JoinCall) (
 	internalapi.JoinAnswer, error,
 ) {
@@ -100,7 +104,7 @@
 	return a, errs.Pass(err, "join")
 }
 
-// Propose passes a command to the leader and waits for its result.
+// Propose forwards a command to the leader and waits for its outcome.
 func (n networkCalls) Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (
 	internalapi.ProposeAnswer, error,
 ) {
@@ -108,7 +112,7 @@
 	return a, errs.Pass(err, "propose")
 }
 
-// ReadIndex asks the leader for an index that a linearizable read must wait for.
+// ReadIndex asks the leader for the index that a linearizable read must wait for.
 func (n networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error) {
 	a, err := rpc.Call(ctx, n.client, addr, internalapi.ReadIndex, internalapi.ReadIndexCall{}, n.election)
 	return a, errs.Pass(err, "confirm")
--- a/internal/store/operatorkeys.go
+++ b/internal/store/operatorkeys.go
@@ -10,10 +10,11 @@
 	"crosstide/internal/state/command"
 )
 
+// operatorKeysInterval is the time between two attempts of installOperatorKeys.
 const operatorKeysInterval = 200 * time.Millisecond
 
-// installOperatorKeys is the goroutine by which the leader commits the operators' keys of its settings into a state
-// that has none yet. The first leader decides them for all: every replica checks signatures by what stands in the log.
+// installOperatorKeys is the goroutine that, on the leader, commits the operators' keys from its settings if the state
+// has none yet. The first leader decides for the fleet: every replica checks signatures by the committed keys.
 func (s *Store) installOperatorKeys(ctx context.Context) {
 	if len(s.settings.OperatorKeys) == 0 {
 		return
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -8,40 +8,42 @@
 )
 
 const (
-	maxPeerMessages  = 4096     // in a peer's queue; the oldest are dropped
+	maxPeerMessages  = 4096     // in a peer's queue; beyond, the oldest are dropped
 	maxPeerBytes     = 32 << 20 // likewise
-	maxCallBytes     = 8 << 20  // of one call, about
-	maxInFlightCalls = 8        // to one peer at once, over a slow network
+	maxCallBytes     = 8 << 20  // of one call, approximately
+	maxInFlightCalls = 8        // to one peer at once
 	maxLearnedAddrs  = 64
 )
 
-// peers are the other members that messages go to. A Store owns them; guarded by Store.mu.
+// peers are the other members and the queues of messages to them. A Store owns them; guarded by Store.mu.
 type peers struct {
 	byID map[string]*peer
-	// learned has the addresses of senders that are in no member set here yet, by ID: a node that has no members could
-	// not answer without.
+	// learned has the addresses of senders that are not in this node's member set, by ID. Without them a node that has
+	// no member set yet could not answer its leader.
 	learned map[string]string
 }
 
 func newPeers() peers { return peers{byID: map[string]*peer{}, learned: map[string]string{}} }
 
-// learn keeps the address of a sender that is no peer.
+// learn keeps the address of a sender that is not a peer, if there is space.
 func (p *peers) learn(id, addr string) {
 	if p.byID[id] == nil && addr != "" && len(p.learned) < maxLearnedAddrs {
 		p.learned[id] = addr
 	}
 }
 
-// peer is the queue of messages to one member. Its sender takes them from there, many in one call.
+// peer is the queue of messages to one member. Its goroutine runSender sends them, many in one call. Guarded by
+// Store.mu; addr, wake and stop do not change.
 type peer struct {
 	addr  string
 	queue []raft.Message
-	bytes int           // of queue, about
-	wake  chan struct{} // capacity 1: the sender has something to do
+	bytes int           // of queue, approximately
+	wake  chan struct{} // capacity 1; a signal asks runSender to empty the queue
 	stop  context.CancelFunc
 }
 
-// enqueue appends a message and drops the oldest beyond the bounds; the core bears the loss. It returns their number.
+// enqueue appends a message and drops the oldest beyond the bounds, which raft tolerates. It returns how many were
+// dropped.
 func (p *peer) enqueue(m raft.Message) (dropped int) {
 	p.queue = append(p.queue, m)
 	p.bytes += messageSize(m)
@@ -54,7 +56,7 @@
 	return dropped
 }
 
-// takeBatch removes the messages of the next call from the queue.
+// takeBatch removes the messages of the next call from the queue and returns them.
 func (p *peer) takeBatch() []raft.Message {
 	n, bytes := 0, 0
 	for n < len(p.queue) && (n == 0 || bytes+messageSize(p.queue[n]) <= maxCallBytes) {
@@ -66,7 +68,7 @@
 	return batch
 }
 
-// messageSize is about what a message takes in a call.
+// messageSize returns approximately what a message takes in a call.
 func messageSize(m raft.Message) int {
 	n := 256
 	for _, e := range m.Entries {
@@ -75,7 +77,8 @@
 	return n
 }
 
-// enqueueMessages queues messages for those they are for; without an address they are lost. Called under the lock.
+// enqueueMessages queues messages for their receivers. Those to a receiver without a known address are dropped. s.mu
+// must be held.
 func (s *Store) enqueueMessages(messages []raft.Message) {
 	if s.halted {
 		return
@@ -91,8 +94,8 @@
 	}
 }
 
-// updatePeers makes the peers those of the member set. One that is in no set stays while its address was learned and it
-// may be the leader of this node, which knows no members yet. Called under the lock.
+// updatePeers starts and stops senders so that the peers are the other members. A peer outside the member set stays if
+// its address was learned and it is the leader, or if this node has no member set yet. s.mu must be held.
 func (s *Store) updatePeers() {
 	members := make(map[string]bool, len(s.status.Members))
 	for _, m := range s.status.Members {
@@ -113,8 +116,8 @@
 	}
 }
 
-// startPeer starts the sender to a member, in the place of one to an older address; nil if there is no address. Called
-// under the lock.
+// startPeer starts the sender to a member, replacing one to an older address. It returns nil without an address, or
+// while the store is stopping. s.mu must be held.
 func (s *Store) startPeer(id, addr string) *peer {
 	if addr == "" || s.group.Context().Err() != nil {
 		return nil
@@ -131,7 +134,7 @@
 	return p
 }
 
-// runSender is the goroutine of one peer: it sends what is queued until ctx ends.
+// runSender is the goroutine of one peer: it sends the queued messages until ctx ends.
 func (s *Store) runSender(ctx context.Context, p *peer) {
 	inFlight := make(chan struct{}, maxInFlightCalls)
 	for {
@@ -157,9 +160,9 @@
 	}
 }
 
-// sendBatch makes one call and waits until it is answered, or a heartbeat long: over a network that takes longer than
-// that, calls follow one another without waiting, as many as inFlight has capacity for, so that the leader's lease does
-// not depend on a whole round trip for each. The core bears messages that overtake one another. false: ctx has ended.
+// sendBatch makes one call and waits until it is answered, but no longer than a heartbeat interval. Over a network
+// slower than that, calls overlap, up to the capacity of inFlight: otherwise the leader's lease would wait for a whole
+// round trip per batch. Raft tolerates the reordering. It returns false once ctx has ended.
 func (s *Store) sendBatch(ctx context.Context, p *peer, batch []raft.Message, inFlight chan struct{}) bool {
 	select {
 	case inFlight <- struct{}{}:
@@ -169,7 +172,7 @@
 	done, timedOut := make(chan struct{}), make(chan struct{})
 	s.group.Go(func(context.Context) {
 		defer func() { <-inFlight; close(done) }()
-		// A failure costs these messages only; the core makes up for what is lost.
+		// Only these messages are lost by a failure; the core resends what is still needed.
 		call := internalapi.RaftCall{From: s.settings.Addr, Messages: batch}
 		if err := s.opt.Net.SendMessages(ctx, p.addr, call); err != nil {
 			s.metrics.dropped.Add(float64(len(batch)))
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -17,26 +17,27 @@
 	maxProposalBytes = 64 << 20 // their bytes
 )
 
-// outcome of a proposal.
+// outcome is the result of a proposal: the index and the answer of its entry, or an error.
 type outcome struct {
 	index  uint64
 	answer any
 	err    error
 }
 
-// waiter is a proposal without an outcome, and who waits for it. The proposals own it.
+// waiter is one proposal and the channel on which its caller waits. The proposals own it; all but done is guarded by
+// Store.mu.
 type waiter struct {
 	data     json.RawMessage
-	onlyTerm uint64 // the leader's term it may be proposed in; 0: any
-	term     uint64 // of its entry; 0 while it is pending
-	index    uint64 // of its entry
-	since    time.Duration
-	done     chan outcome // buffered for the one outcome, so that finish never blocks
-	finished bool         // done has had its outcome
+	onlyTerm uint64        // the only term in which it may be proposed; 0: any
+	term     uint64        // of its log entry; 0 while it is pending
+	index    uint64        // of its log entry, likewise
+	since    time.Duration // when it was added, on the store's clock
+	done     chan outcome  // capacity 1, for the only outcome: finish never blocks
+	finished bool          // the outcome was sent to done
 }
 
-// proposals are the commands of callers at this node from their arrival to their outcome. A Store owns them; all is
-// guarded by Store.mu.
+// proposals are the commands proposed by callers at this node that have no outcome yet. A Store owns them; guarded by
+// Store.mu.
 type proposals struct {
 	clock         clock.Clock
 	commitSeconds prometheus.Observer
@@ -51,12 +52,12 @@
 	return proposals{clock: by, commitSeconds: commitSeconds, inLog: map[uint64]*waiter{}}
 }
 
-// isFull tells whether a command of n bytes more would exceed the bounds.
+// isFull reports whether another command of n bytes would exceed the bounds.
 func (p *proposals) isFull(n int) bool {
 	return p.count >= maxProposals || p.bytes+n > maxProposalBytes
 }
 
-// add appends w to what waits for the log.
+// add appends w to the pending proposals.
 func (p *proposals) add(w *waiter) {
 	p.count++
 	p.bytes += len(w.data)
@@ -78,7 +79,8 @@
 	w.done <- o
 }
 
-// abandon ends the wait for w; a proposal that is in the log may still be committed.
+// abandon ends the wait for w and returns its outcome, a Timeout or Unavailable if it had none. A proposal that is in
+// the log may still be committed.
 func (p *proposals) abandon(w *waiter) outcome {
 	if w.finished {
 		return <-w.done
@@ -93,8 +95,8 @@
 	return <-w.done
 }
 
-// takePending removes all that waits for the log and returns what may enter it in the leader's term. Proposals for
-// another term end as Stale; those that were abandoned are dropped.
+// takePending removes all pending proposals and returns those that may enter the log in the leader's term. Proposals
+// for another term end as Stale; abandoned ones are dropped.
 func (p *proposals) takePending(leaderTerm uint64) []*waiter {
 	batch := p.pending[:0]
 	for _, w := range p.pending {
@@ -109,7 +111,7 @@
 	return batch
 }
 
-// entered records that a batch stands in the log from the index first on, or, with an error, that it does not.
+// entered records that a batch is in the log, from the index first on, or, with an error, that it is not.
 func (p *proposals) entered(batch []*waiter, first, term uint64, err error) {
 	for i, w := range batch {
 		if err != nil {
@@ -122,7 +124,7 @@
 }
 
 // applied ends the proposal whose entry was applied, if it was made here. An entry of another term at its index means
-// that the proposal was overwritten.
+// that another leader overwrote the proposal.
 func (p *proposals) applied(e raft.Entry, answer any, err error) {
 	w := p.inLog[e.Index]
 	if w == nil {
@@ -136,8 +138,8 @@
 	p.finish(w, outcome{index: e.Index, answer: answer, err: err})
 }
 
-// failAll ends all proposals: those in the log with cause, as this node can no longer learn their outcome, the
-// pending ones with Unavailable, as they surely were not proposed.
+// failAll ends all proposals: those in the log with cause, as this node can no longer learn their outcome, and the
+// pending ones with Unavailable, as they never entered the log.
 func (p *proposals) failAll(cause error) {
 	for index, w := range p.inLog {
 		delete(p.inLog, index)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -14,10 +14,14 @@
 // proposeTimeout bounds the wait for the outcome of a proposal.
 const proposeTimeout = 2 * time.Second
 
-// Propose commits c and applies it here; index is its entry's. The error is the command's own, or: NotLeader
-// (Hint: the leader's address), Overloaded (too many wait), Unavailable and Stopped (surely nothing happened but for
-// a Stopped that says otherwise), Timeout (it may or may not be committed; ask again with the same content).
-// It waits 2 s at most. Example:
+// Propose commits c and applies it here; index is the index of its entry. It waits at most proposeTimeout. The error is
+// the command's own, or one of:
+//
+//   - NotLeader (its Hint is the leader's address), Overloaded, TooLarge, Unavailable: c will not be committed
+//   - Stopped: c will not be committed, unless the message says otherwise
+//   - Timeout: c may or may not be committed; propose the same content again
+//
+// Example:
 //
 //	index, answer, err := s.Propose(ctx, &command.Cancel{Key: "k-1"})
 func (s *Store) Propose(ctx context.Context, c command.Command) (index uint64, answer any, err error) {
@@ -25,9 +29,9 @@
 	return index, answer, errs.Pass(err, "any term")
 }
 
-// ProposeIn is Propose for what was decided in one term of this node as the leader, such as LeaderTerm returned: the
-// command enters the log in that term or not at all. Failure, besides those of Propose: Stale if this node leads in
-// another term by then; nothing happened.
+// ProposeIn is Propose for a command that was decided in one term of this node as the leader (see LeaderTerm): it
+// enters the log in that term or not at all. Failures: those of Propose; Stale if this node leads in another term by
+// then, and c was not committed.
 func (s *Store) ProposeIn(ctx context.Context, term uint64, c command.Command) (index uint64, answer any, err error) {
 	if term == 0 {
 		return 0, nil, errs.Field(errs.Stale, "term", "no leader has term 0")
@@ -36,8 +40,8 @@
 	return index, answer, errs.Pass(err, "term %d", term)
 }
 
-// ProposeOrForward is Propose at any node, one hop away at most; the answer is JSON. Failures as Propose, but for
-// NotLeader, which is Unavailable here. A command that ended in Timeout may have been applied: send the same again.
+// ProposeOrForward is Propose at any node: a follower forwards the command to the leader, one hop at most. The answer
+// is JSON. Failures: those of Propose, with Unavailable in place of NotLeader.
 func (s *Store) ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	_, answer, err := s.Propose(ctx, c)
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
@@ -55,7 +59,7 @@
 	return raw, errs.Wrap(err, errs.Internal, "encode the answer to %s", c.Op())
 }
 
-// hideNotLeader makes NotLeader Unavailable: a caller from outside has no use for a leader's address.
+// hideNotLeader turns NotLeader into Unavailable: callers outside the store have no use for the leader's address.
 func hideNotLeader(err error) error {
 	if errs.Is(err, errs.NotLeader) {
 		return errs.Wrap(err, errs.Unavailable, "no leader is known here at the moment")
@@ -91,7 +95,7 @@
 	return out, nil
 }
 
-// proposeAndWait proposes c, in the term only if that is not 0, and waits for the outcome.
+// proposeAndWait proposes c, only in the given term unless that is 0, and waits for the outcome.
 func (s *Store) proposeAndWait(ctx context.Context, c command.Command, term uint64) (
 	index uint64, answer any, err error,
 ) {
@@ -120,8 +124,8 @@
 	return o.index, o.answer, errs.Pass(o.err, "propose %s", c.Op())
 }
 
-// enqueueProposal adds w to what the loop proposes in its next pass. It refuses when too much waits for an outcome, or
-// when the snapshotter is so far behind that the log would grow without bound.
+// enqueueProposal adds w to the proposals of the loop's next pass. It rejects w as Overloaded when too many proposals
+// have no outcome, or when the snapshotter is so far behind that the log would grow without bound.
 func (s *Store) enqueueProposal(w *waiter) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,13 +140,14 @@
 	return nil
 }
 
+// abandonProposal is proposals.abandon for callers without s.mu.
 func (s *Store) abandonProposal(w *waiter) outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.proposals.abandon(w)
 }
 
-// proposePending proposes all that is pending to the core, as one batch. Called under the lock.
+// proposePending proposes all pending proposals to the core, as one batch. s.mu must be held.
 func (s *Store) proposePending(now time.Duration) {
 	if len(s.proposals.pending) == 0 {
 		return
@@ -161,7 +166,8 @@
 	s.proposals.entered(batch, first, term, err)
 }
 
-// checkLeader is nil if this node is the leader, as far as it knows. Called under the lock.
+// checkLeader returns nil if this node leads as far as it knows; its lease may have expired. Failures: NotLeader
+// (Hint), Unavailable, Stopped. s.mu must be held.
 func (s *Store) checkLeader() error {
 	switch {
 	case s.core == nil:
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -10,19 +10,19 @@
 )
 
 // readIndexTimeout bounds the wait for the leader's lease: over a slow network the lease is valid only for a moment
-// after each answer of the others.
+// after each answer of a majority.
 const readIndexTimeout = 600 * time.Millisecond
 
-// View calls read with the live state as it is here, which may be behind the leader's. It runs under the store's lock:
-// be short, keep nothing of the state.
+// View calls read with this node's live state, which may be behind the leader's. read runs with the store locked: it
+// must be short, must not call the store, and must not keep references into the state.
 func (s *Store) View(read func(*state.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	read(s.live)
 }
 
-// Read is a linearizable View at any node: the state has all that was committed before the call. The leader, one hop
-// away at most, confirms the index to wait for. Failures: Unavailable, Timeout.
+// Read is a linearizable View at any member: the state has all that was committed before the call. A follower asks the
+// leader for the read index, one hop at most. Failures: Unavailable, Timeout.
 func (s *Store) Read(ctx context.Context, read func(*state.State)) error {
 	index, err := s.ReadIndex()
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// ReadIndex returns an index that every earlier commit is at or below. Failures: NotLeader (Hint), Unavailable.
+// ReadIndex returns an index at or above that of every entry committed before the call. Failures: NotLeader (Hint),
+// Unavailable, Stopped.
 func (s *Store) ReadIndex() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +49,7 @@
 	return index, errs.Pass(err, "index")
 }
 
-// readIndexLocked is ReadIndex under the lock, which it releases while it waits for the lease: what the caller read
+// readIndexLocked is ReadIndex with s.mu held. It releases s.mu while it waits for the lease: what the caller read
 // before may have changed.
 func (s *Store) readIndexLocked() (uint64, error) {
 	deadline := s.clock.Now() + readIndexTimeout
@@ -70,7 +71,7 @@
 	}
 }
 
-// WaitApplied waits until the live state is at index or past it. Failure: Timeout.
+// WaitApplied waits until the live state has the entry at index, proposeTimeout at most. Failure: Timeout.
 func (s *Store) WaitApplied(ctx context.Context, index uint64) error {
 	expired := make(chan struct{})
 	defer s.clock.Set(proposeTimeout, func() { close(expired) }).Stop()
@@ -91,7 +92,7 @@
 	}
 }
 
-// Changed returns a channel that is closed when the live state moves on. Take it before you read the state, or a
+// Changed returns a channel that is closed at the next change of the live state. Get it before reading the state, or a
 // change in between is missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -13,10 +13,12 @@
 	"crosstide/internal/storage"
 )
 
-// idFile holds the raft ID of a folder that began empty in a fleet that existed.
+// idFile holds the raft ID of a folder that was empty when the fleet existed already. A folder without it is that of a
+// bootstrap member, whose ID is the node's name.
 const idFile = "id"
 
-// recoverFolder reads the folder. If it tells who this node is, the core is made; else resolveEmptyFolder must follow.
+// recoverFolder reads the folder and starts the core. It leaves the core nil if the folder is empty and the node may
+// have to bootstrap: resolveEmptyFolder must follow.
 func (s *Store) recoverFolder() error {
 	if err := s.finishDiscard(); err != nil {
 		return errs.Pass(err, "discard")
@@ -46,8 +48,8 @@
 	return errs.Pass(s.startCore(recovered), "begin")
 }
 
-// startCore makes the core and the live state of what the disk had. No other goroutine uses the store yet but for
-// calls of other nodes, which need the lock.
+// startCore makes the core and the live state from what the disk had. No goroutine of the store runs yet except its
+// caller's, but handlers of calls may.
 func (s *Store) startCore(recovered storage.Recovered) error {
 	initial, live, err := decodeRecovered(recovered)
 	if err != nil {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// decodeRecovered decodes what the disk had: the snapshot, if any, the newest hard state and the entries.
+// decodeRecovered decodes what the disk had: the snapshot, if any, the newest hard state and the log entries.
 func decodeRecovered(recovered storage.Recovered) (initial raft.InitialState, live *state.State, err error) {
 	live = state.New()
 	if image := recovered.Snapshot; image != nil {
@@ -106,8 +108,7 @@
 	return initial, live, nil
 }
 
-// startNewIncarnation sets an empty folder to an ID of its own, synced before anything is done under it, and starts
-// the core empty.
+// startNewIncarnation writes a new ID to an empty folder and starts the core empty. The ID is synced before it is used.
 func (s *Store) startNewIncarnation() error {
 	id := s.newID()
 	if err := writeFile(s.opt.Disk, idFile, id); err != nil {
@@ -122,7 +123,7 @@
 // newID returns a raft ID for a new incarnation of this node's folder.
 func (s *Store) newID() string { return s.settings.Name + "~" + strings.ToLower(s.opt.RandomID()[:10]) }
 
-// readID returns the folder's own raft ID, "" if it has none.
+// readID returns the raft ID in the folder's idFile, "" if there is no such file.
 func readID(d storage.Disk) (string, error) {
 	id, ok, err := readFile(d, idFile)
 	if err == nil && ok && id == "" {
--- a/internal/store/removal.go
+++ b/internal/store/removal.go
@@ -13,10 +13,10 @@
 	"crosstide/internal/raft"
 )
 
-const removalCheckInterval = 500 * time.Millisecond // of asking, without a leader, whether this node was removed
+const removalCheckInterval = 500 * time.Millisecond // between checks of a node without a leader
 
-// watchRemoval is the goroutine that finds out whether this node of an open fleet was removed while it was down or cut
-// off. Its folder is discarded then: it begins anew as another incarnation.
+// watchRemoval is the goroutine that finds out whether this node of an open fleet was removed while it was down or
+// partitioned. If so it discards the folder, and the node rejoins as a new incarnation.
 func (s *Store) watchRemoval(ctx context.Context) {
 	for s.sleep(ctx, jitter(removalCheckInterval)) {
 		if !s.isLeaderless() {
@@ -32,16 +32,16 @@
 	}
 }
 
-// isLeaderless tells whether this node neither leads nor heard of a leader for two Elections.
+// isLeaderless reports whether this node does not lead and has not heard from a leader for two Elections.
 func (s *Store) isLeaderless() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status.Role != raft.Leader && s.clock.Now()-s.progress.leaderHeardAt > 2*s.settings.Election
 }
 
-// provesRemoval tells whether an answer proves that this node is no member any more: a set that was committed after the
-// oldest one here with this node in it is without it. That oldest one need not be committed: if it never was, the
-// node did not become a member by it. Who was removed does not come back under its ID, see checkNotRemoved.
+// provesRemoval reports whether an answer proves that this node is no longer a member: a member set without it was
+// committed after the oldest set here that has it. That oldest set need not be committed: if it never was, the node did
+// not become a member by it. A removed ID never returns, see checkNotRemoved.
 func (s *Store) provesRemoval(a internalapi.DiscoverAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,8 +50,8 @@
 	return since > 0 && a.MembersAt > since && !slices.ContainsFunc(a.Members, isThis)
 }
 
-// discardAndRejoin discards the folder and halts the store, after the node at the address said that this one was
-// removed. Options.Removed opens the folder anew.
+// discardAndRejoin marks the folder as discarded, halts the store and calls Options.Removed, after the node at address
+// reported that this one was removed.
 func (s *Store) discardAndRejoin(address string) {
 	_ = level.Warn(s.logger).Log("msg", "removed from the members while away: joining anew", "id", s.id,
 		"reported_by", address)
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -11,8 +11,8 @@
 	"crosstide/internal/state/command"
 )
 
-// ClaimRole claims, renews or releases a singleton role; only the leader, with its lease confirmed, answers. See
-// roleLeases for why a role never has two holders. Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
+// ClaimRole claims, renews or releases a singleton role. Only the leader answers, while its own lease is confirmed.
+// roleLeases says why a role never has two holders. Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
 func (s *Store) ClaimRole(ctx context.Context, call internalapi.ClaimRoleCall) (internalapi.RoleLease, error) {
 	if call.Role == "" || call.Holder == "" || call.Incarnation == "" {
 		return internalapi.RoleLease{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
@@ -26,8 +26,8 @@
 	return answer, errs.Pass(err, "call")
 }
 
-// evaluateRoleCall decides a call: the answer, or the command on the role that is to be committed first; then
-// finishRoleCall must follow, with the role as it was.
+// evaluateRoleCall decides a call. It returns the answer, or the command to commit before the call can be answered;
+// finishRoleCall must then be called with the outcome and current, the role before the command.
 func (s *Store) evaluateRoleCall(call internalapi.ClaimRoleCall) (
 	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
 ) {
@@ -46,8 +46,8 @@
 		Incarnation: call.Incarnation, After: current.Epoch}, nil
 }
 
-// checkRoleCall asks the leases. On claimGrantable the role is reserved until finishRoleCall. Called under the lock,
-// which it releases while the leader's lease is confirmed.
+// checkRoleCall checks a call against the role leases. On claimGrantable the role is reserved until finishRoleCall.
+// s.mu must be held; it is released while the leader's lease is confirmed.
 func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, result claimResult, err error) {
 	if _, err := s.readIndexLocked(); err != nil {
 		return current, result, errs.Pass(err, "judge")
@@ -68,7 +68,7 @@
 	return current, claimDenied, nil
 }
 
-// finishRoleCall answers a call by the outcome of the command of evaluateRoleCall.
+// finishRoleCall ends the reservation made by evaluateRoleCall and answers the call by the outcome of its command.
 func (s *Store) finishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
 	internalapi.RoleLease, error,
 ) {
@@ -89,6 +89,7 @@
 	return s.roleAnswer(*current, granted), nil
 }
 
+// roleAnswer returns the answer to a call on role r; isCallers reports whether the caller has its lease.
 func (s *Store) roleAnswer(r state.Role, isCallers bool) internalapi.RoleLease {
 	answer := internalapi.RoleLease{Mine: isCallers, Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
 	if isCallers {
--- a/internal/store/rolelease.go
+++ b/internal/store/rolelease.go
@@ -7,26 +7,27 @@
 	"crosstide/internal/state"
 )
 
-// claimResult is the answer of roleLeases to a call on a role.
+// claimResult is the result of a claim on a role.
 type claimResult uint8
 
 const (
-	claimDenied    claimResult = iota // another holds it, or a change of it is under way
+	claimDenied    claimResult = iota // another node has the lease, or a change of the role is in flight
 	claimRenewed                      // the caller's lease is renewed
-	claimGrantable                    // the caller may have it: propose command.GrantRole, then call ProposalDone
+	claimGrantable                    // reserved for the caller: propose command.GrantRole, then call ProposalDone
 )
 
-// roleLeases counts the leases of singleton roles. The leadership owns it; guarded by Store.mu. It is active only while
-// this node is the confirmed leader, between BecomeLeader and StepDown. It lives in memory only and has no clock.
+// roleLeases keeps the leases of singleton roles, in memory only. It is active from BecomeLeader to StepDown: while
+// this node is the confirmed leader. It has no clock: callers pass the time. The leadership owns it; guarded by
+// Store.mu.
 //
-// Why a role never has two holders: the holder counts its lease from before it sent its call, the leader from when it
-// answered the call, plus a margin for clocks that do not run equally fast. A new leader does not know when its
-// predecessor answered last, but surely that was before it became the confirmed leader itself: it counts every lease
-// as granted at that moment. Once a grant or a release of an epoch was proposed, its outcome may stay unknown: this
-// leader never renews that epoch again.
+// A role never has two holders, because a holder counts its lease from before it sent its call, and the leader from
+// when it answered, plus a margin for clocks of different speed. A new leader does not know when its predecessor last
+// answered, but that was before it became the confirmed leader itself, so it counts every lease as granted at that
+// moment. Once a grant or a release of an epoch was proposed, its outcome may stay unknown, so this leader never renews
+// that epoch again.
 type roleLeases struct {
-	duration time.Duration // as holders count it
-	margin   time.Duration // what is waited beyond that before another is granted the role
+	duration time.Duration // of a lease, as its holder counts it
+	margin   time.Duration // added by the leader, for clocks of different speed
 	active   bool
 	leases   map[string]*roleLease // by role; only while active
 }
@@ -35,7 +36,7 @@
 type roleLease struct {
 	epoch            uint64
 	expiresAt        time.Duration
-	invalidated      bool // a change of the epoch was proposed: no renewal
+	invalidated      bool // a grant or release that ends the epoch was proposed: it is never renewed
 	proposalInFlight bool // that proposal has no outcome yet
 }
 
@@ -43,8 +44,8 @@
 	return &roleLeases{duration: duration, margin: margin}
 }
 
-// BecomeLeader begins the count, at the moment this node became the confirmed leader and its state has all that earlier
-// leaders committed: all leases count as just granted.
+// BecomeLeader activates the leases, each as granted now. It must be called once this node is the confirmed leader and
+// its state has all that earlier leaders committed.
 func (l *roleLeases) BecomeLeader(now time.Duration, roles map[string]*state.Role) {
 	l.active, l.leases = true, map[string]*roleLease{}
 	for name, r := range roles {
@@ -52,21 +53,21 @@
 	}
 }
 
-// StepDown ends the count.
+// StepDown drops all leases until the next BecomeLeader.
 func (l *roleLeases) StepDown() { l.active, l.leases = false, nil }
 
-// Active tells whether this node counts leases.
+// Active reports whether this node counts leases.
 func (l *roleLeases) Active() bool { return l.active }
 
-// ObserveEpoch records that the state shows a role at an epoch, now. It is called for each grant as that is applied; a
-// grant that is observed late is counted late, which is safe.
+// ObserveEpoch starts the lease on a role's epoch now, if it is new. It is called for each grant as it is applied; a
+// grant observed late expires late, which is safe.
 func (l *roleLeases) ObserveEpoch(now time.Duration, role string, epoch uint64) {
 	if l.active {
 		l.leaseOf(now, role, epoch)
 	}
 }
 
-// leaseOf returns the lease on a role, begun now if its epoch is new here.
+// leaseOf returns the lease on a role, and starts it now if its epoch is new here.
 func (l *roleLeases) leaseOf(now time.Duration, role string, epoch uint64) *roleLease {
 	lease := l.leases[role]
 	if lease == nil || lease.epoch < epoch {
@@ -76,9 +77,9 @@
 	return lease
 }
 
-// Claim decides a call that is answered at now, on the role as the state shows it. The caller has made sure that this
-// node is the confirmed leader at now and that the state is as new as that. On claimGrantable the role is reserved
-// until ProposalDone. Example:
+// Claim decides a call that is answered at now; current is the role in the live state. The caller must have confirmed
+// that this node leads at now and that the live state has all that was committed before. On claimGrantable the role is
+// reserved until ProposalDone. Example:
 //
 //	if leases.Claim(now, current, call) == claimRenewed {
 //		return internalapi.RoleLease{Mine: true, Epoch: current.Epoch, TTL: duration}
@@ -92,7 +93,7 @@
 	case lease.epoch != current.Epoch || lease.proposalInFlight:
 		return claimDenied
 	case current.Holder == "": // released or never granted: nothing runs under it
-	case now >= lease.expiresAt: // also for its holder, who has stopped by itself and begins a new epoch
+	case now >= lease.expiresAt: // expired for its holder too, which has stopped and needs a new epoch
 	case !lease.invalidated && isHolder(current, call):
 		lease.expiresAt = now + l.duration + l.margin
 		return claimRenewed
@@ -103,7 +104,8 @@
 	return claimGrantable
 }
 
-// Release invalidates an epoch that its holder gives up; false if it is not the caller's or a change is under way.
+// Release invalidates an epoch that its holder releases, and reserves the role until ProposalDone. It returns false if
+// the epoch is not the caller's or a proposal about it is in flight.
 func (l *roleLeases) Release(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) bool {
 	if !l.active || !isHolder(current, call) || call.Epoch == 0 {
 		return false
@@ -116,15 +118,15 @@
 	return true
 }
 
-// ProposalDone records that the proposal about an epoch came back, well or not: others may claim the role again. The
-// epoch stays invalidated, as its proposal may still be committed.
+// ProposalDone ends the reservation of a role, whatever the outcome of the proposal. The epoch stays invalidated, as
+// its proposal may still be committed.
 func (l *roleLeases) ProposalDone(role string, epoch uint64) {
 	if lease := l.leases[role]; l.active && lease != nil && lease.epoch == epoch {
 		lease.proposalInFlight = false
 	}
 }
 
-// isHolder tells whether the caller holds the role, in this epoch and incarnation.
+// isHolder reports whether the caller holds the role, in this epoch and incarnation.
 func isHolder(current state.Role, call internalapi.ClaimRoleCall) bool {
 	return call.Epoch == current.Epoch && call.Incarnation == current.Incarnation && call.Holder == current.Holder
 }
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -12,27 +12,29 @@
 	"crosstide/internal/routine"
 )
 
-// followerRetention is how long a data plane that does not call any more is reported.
+// followerRetention is how long a data-plane node is reported after its last call.
 const followerRetention = 10 * time.Minute
 
-// rolloutReport is which version of the bundle this node and its followers have. A Store owns it; guarded by Store.mu.
+// rolloutReport has the bundle versions of this node and of the data-plane nodes that pull from it (its followers). A
+// Store owns it; guarded by Store.mu.
 type rolloutReport struct {
 	own       internalapi.NodeBundle
-	followers map[string]internalapi.NodeBundle // by the follower's name, as its newest call said
+	followers map[string]internalapi.NodeBundle // by the follower's name, from its newest call
 }
 
 func newRolloutReport() rolloutReport {
 	return rolloutReport{followers: map[string]internalapi.NodeBundle{}}
 }
 
-// observeOwn records since when the live state has the version that it has.
+// observeOwn records the bundle version of the live state, and the time if it is a new one.
 func (r *rolloutReport) observeOwn(node string, version uint64, by clock.Clock) {
 	if r.own.Version != version {
 		r.own = internalapi.NodeBundle{Node: node, Kind: "cplane", Version: version, Since: by.Wall()}
 	}
 }
 
-// observeFollower records what a follower's call says, and drops followers that have not called for long.
+// observeFollower records the version in a follower's call, and drops followers that have not called for
+// followerRetention.
 func (r *rolloutReport) observeFollower(call internalapi.FollowCall, now time.Time) {
 	maps.DeleteFunc(r.followers, func(_ string, n internalapi.NodeBundle) bool {
 		return now.Sub(n.Heard) > followerRetention
@@ -41,7 +43,7 @@
 		Since: now.Add(-call.Age), Heard: now}
 }
 
-// nodes returns what is known now, the own node first, the followers by name.
+// nodes returns the report: this node first, then the followers by name.
 func (r *rolloutReport) nodes(now time.Time) []internalapi.NodeBundle {
 	own := r.own
 	own.Heard = now
@@ -52,6 +54,7 @@
 	return out
 }
 
+// recordFollowerBundle records the bundle version in a call to Follow, if the call names its node.
 func (s *Store) recordFollowerBundle(call internalapi.FollowCall) {
 	if call.Node == "" {
 		return
@@ -69,8 +72,8 @@
 	return internalapi.RolloutAnswer{Nodes: s.rollout.nodes(s.clock.Wall())}
 }
 
-// Rollout asks every member which bundle version it has and which its followers have, and returns the newest report of
-// each node, by kind and name; silent names the members that did not answer.
+// Rollout asks every member for its rollout report and returns the newest record of each node, sorted by kind and name.
+// silent has the names of the members that did not answer.
 func (s *Store) Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string) {
 	members := s.Status().Raft.Members
 	answers := make([]*internalapi.RolloutAnswer, len(members))
--- a/internal/store/servesnapshot.go
+++ b/internal/store/servesnapshot.go
@@ -13,15 +13,15 @@
 
 const (
 	maxChunkBytes     = 4 << 20
-	snapshotCacheIdle = 30 * time.Second // a cached snapshot that nobody asked for this long is dropped
+	snapshotCacheIdle = 30 * time.Second // a cached snapshot that is not used for this long is dropped
 	snapshotCacheSize = 2
 )
 
-// snapshotCache keeps the snapshots that others are fetching, so that a newer one does not end their fetch and each
-// chunk needs no read of the disk. A Store owns it; guarded by Store.mu.
+// snapshotCache keeps the snapshots that other members are fetching, oldest first, so that a newer one does not abort
+// their fetch and a chunk needs no disk read. A Store owns it; guarded by Store.mu.
 type snapshotCache struct{ images []*cachedSnapshot }
 
-// cachedSnapshot is fixed but for lastUsed.
+// cachedSnapshot is a snapshot in the cache. Only lastUsed changes.
 type cachedSnapshot struct {
 	image          storage.Snapshot
 	sum            uint64 // of image.Body
@@ -29,7 +29,7 @@
 	compactedBytes int // snapshots.compactedBytes when it was loaded
 }
 
-// get returns the cached snapshot of a number, nil if there is none, and records the use.
+// get returns the cached snapshot with a number, nil if there is none, and records the use.
 func (c *snapshotCache) get(number uint64, now time.Duration) *cachedSnapshot {
 	for _, cached := range c.images {
 		if cached.image.Number == number {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// add adds a snapshot in the place of the oldest, if there is no space.
+// add adds a snapshot and drops the oldest if the cache is full.
 func (c *snapshotCache) add(cached *cachedSnapshot) {
 	c.images = append(c.images, cached)
 	if len(c.images) > snapshotCacheSize {
@@ -48,7 +48,7 @@
 	}
 }
 
-// dropIdle drops what was not used for snapshotCacheIdle.
+// dropIdle drops the snapshots that were not used for snapshotCacheIdle.
 func (c *snapshotCache) dropIdle(now time.Duration) {
 	list := c.images[:0:0]
 	for _, cached := range c.images {
@@ -59,8 +59,8 @@
 	c.images = list
 }
 
-// Chunk returns a part of a snapshot. Failure: Unknown when there is no such snapshot any more; begin anew with
-// Number 0, which stands for the newest.
+// Chunk returns a chunk of the snapshot call.Number, or of the newest if that is 0. Failures: Unknown if that snapshot
+// is no longer there: the caller must start again at Number 0; Invalid; Disk and Damaged.
 func (s *Store) Chunk(call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	cached, err := s.snapshotFor(call.Number)
 	if err != nil {
@@ -82,8 +82,8 @@
 	}, nil
 }
 
-// snapshotFor returns the snapshot of a number, 0 for the newest, from the cache or the disk, which it reads without
-// the lock.
+// snapshotFor returns the snapshot with a number, 0 for the newest, from the cache or the disk. It reads the disk
+// without holding s.mu.
 func (s *Store) snapshotFor(number uint64) (*cachedSnapshot, error) {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -115,7 +115,7 @@
 	return loaded, nil
 }
 
-// evictIdleSnapshots is called by the clock for as long as a snapshot is cached.
+// evictIdleSnapshots drops idle snapshots from the cache. The clock calls it for as long as a snapshot is cached.
 func (s *Store) evictIdleSnapshots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/silentmembers.go
+++ b/internal/store/silentmembers.go
@@ -8,14 +8,14 @@
 	"crosstide/internal/raft"
 )
 
-// Bounds of the leader of an open fleet when it removes silent members.
+// Bounds on the removal of silent members by the leader of an open fleet.
 const (
-	minVoters            = 3                // no removal leaves fewer
+	minVoters            = 3                // no removal leaves fewer voters
 	silentLearnerTimeout = 10 * time.Second // a learner that is silent this long is removed
 )
 
-// removeSilent proposes, on the leader of an open fleet, to remove a silent voter of an even set, which bears no more
-// losses than the odd set below it, or a silent learner. One change at a time. Called under the lock, at each tick.
+// removeSilent proposes, on the leader of an open fleet, to remove one silent member: a voter if their number is even,
+// as one less tolerates as many losses, else a learner. It is called at each tick. s.mu must be held.
 func (s *Store) removeSilent(now time.Duration) {
 	if !s.settings.OpenMembership || s.status.Role != raft.Leader {
 		return
@@ -41,7 +41,7 @@
 	_ = level.Warn(s.logger).Log("msg", "removing a silent member", "id", gone, "silent", silent)
 }
 
-// silentVoter is longestSilentVoter now, in an open fleet only.
+// silentVoter is longestSilentVoter for callers without s.mu; "" in a fixed fleet.
 func (s *Store) silentVoter(members []raft.Member) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +51,8 @@
 	return s.longestSilentVoter(s.clock.Now(), members)
 }
 
-// longestSilentVoter returns the voter that has been silent for longest, RemoveAfter at least, if the others have a
-// live majority without it; else "". Called under the lock.
+// longestSilentVoter returns the voter that has been silent for longest, and for RemoveAfter at least, if the voters
+// without it have a live majority; else "". s.mu must be held.
 func (s *Store) longestSilentVoter(now time.Duration, members []raft.Member) (id string) {
 	longest := s.settings.RemoveAfter
 	for _, m := range members {
@@ -66,7 +66,7 @@
 	return id
 }
 
-// silentFor is how long this leader has not heard of a member; 0 if it does not lead.
+// silentFor returns how long this leader has not heard from a member; 0 if it does not lead. s.mu must be held.
 func (s *Store) silentFor(now time.Duration, id string) time.Duration {
 	heard, ok := s.core.LastContact(now, id)
 	if !ok {
@@ -75,7 +75,8 @@
 	return now - heard
 }
 
-// hasLiveMajority tells whether a member set has voters enough and a majority of them was heard of within an Election.
+// hasLiveMajority reports whether a member set has minVoters and this leader heard from a majority of its voters within
+// an Election. s.mu must be held.
 func (s *Store) hasLiveMajority(now time.Duration, members []raft.Member) bool {
 	heard := 0
 	for _, m := range members {
--- a/internal/store/smallfile.go
+++ b/internal/store/smallfile.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/storage"
 )
 
-// readFile reads a small file of the folder; ok is false if it is missing. Failure: Disk.
+// readFile returns the content of a small file; ok reports whether it exists. Failure: Disk.
 func readFile(d storage.Disk, name string) (content string, ok bool, err error) {
 	names, err := d.List()
 	if err != nil || !slices.Contains(names, name) {
@@ -23,7 +23,8 @@
 	return string(raw), true, errs.Wrap(err, errs.Disk, "read %s", name)
 }
 
-// writeFile writes a small file in the place of the one of its name, synced: after a crash either is there, whole.
+// writeFile creates or replaces a small file atomically and syncs it: after a crash the folder has the old file or the
+// new one, complete. Failure: Disk.
 func writeFile(d storage.Disk, name, content string) error {
 	temporary := name + ".tmp"
 	if _, left, err := readFile(d, temporary); err != nil {
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	maxSnapshotLogBytes   = 64 << 20  // of log between two snapshots, whatever Settings.SnapshotEvery says
-	maxUnsnapshottedBytes = 256 << 20 // of log that no snapshot covers; beyond, proposals are refused
+	maxSnapshotLogBytes   = 64 << 20  // of log between two snapshots, whatever Settings.SnapshotEvery is
+	maxUnsnapshottedBytes = 256 << 20 // of log in no snapshot; beyond, proposals are rejected
 )
 
-// snapshots is what the loop hands to the snapshotter, and what the others may know of its work. A Store owns it; all
-// but wake is guarded by Store.mu.
+// snapshots is the queue of the snapshotter, and its progress. A Store owns it; all but wake is guarded by Store.mu.
 type snapshots struct {
-	wake chan struct{} // capacity 1: the snapshotter has something to do
-
-	committed          []raft.Entry         // applied to the live state, not taken by the snapshotter yet
-	unsnapshottedBytes int                  // of the log: applied to the live state and in no snapshot
-	newest             internalapi.Snapshot // the newest one on the disk; the zero value: none
-	compactedBytes     int                  // of the log that snapshots took the place of, since the start
-	fetching           bool                 // a fetch that the core asked for is under way
-	toInstall          *fetchedSnapshot     // waits for the snapshotter; nil: none
+	wake chan struct{} // capacity 1; a signal asks the snapshotter to empty the queue
+
+	committed          []raft.Entry         // applied to the live state and not taken by the snapshotter yet
+	unsnapshottedBytes int                  // of log entries that are applied to the live state and in no snapshot
+	newest             internalapi.Snapshot // the newest snapshot on disk; the zero value: none
+	compactedBytes     int                  // of log entries that snapshots have replaced since Open
+	fetching           bool                 // a fetch is under way; at most one is
+	toInstall          *fetchedSnapshot     // fetched and not taken by the snapshotter yet; nil: none
 }
 
 // written records the newest snapshot on the disk.
@@ -49,18 +48,18 @@
 	return batch
 }
 
-// snapshotter holds a second replica of the state, from which snapshots are written so that the live one is not locked
-// for their length. Its goroutine alone owns it, after startCore has set where it begins; no lock guards it.
+// snapshotter has a second copy of the state, from which snapshots are encoded, so that the live state is not locked
+// meanwhile. The goroutine runSnapshotter owns it, once startCore has set its start; no lock guards it.
 type snapshotter struct {
-	state        *state.State  // nil before there is something to apply
-	initialImage []byte        // the snapshot on the disk at the start, to decode into state; nil: none, or decoded
+	state        *state.State  // nil before the first entry is applied
+	initialImage []byte        // body of the snapshot found on disk, to be decoded into state; nil: none, or decoded
 	members      []raft.Member // in force at state.Index
 	entries      int           // applied since the newest snapshot
-	bytes        int           // of their log
+	bytes        int           // of their log entries
 }
 
-// loadInitial decodes the snapshot of the start, at the first entry to apply and not before: a node that came back
-// serves sooner that way.
+// loadInitial decodes the snapshot that was found on disk. It is called before the first entry is applied and not at
+// the start, so that a restarted node serves sooner.
 func (p *snapshotter) loadInitial() error {
 	if p.state != nil {
 		return nil
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// apply applies an entry, unless an installed snapshot has it; it tells whether it did.
+// apply applies an entry and reports whether it did: an installed snapshot may have the entry already.
 func (p *snapshotter) apply(e raft.Entry) (applied bool, err error) {
 	if e.Index <= p.state.Index {
 		return false, nil
@@ -88,13 +87,13 @@
 			return false, errs.Wrap(err, errs.Damaged, "members at %d", e.Index)
 		}
 	}
-	_, _ = applyTo(p.state, e) // a command's own failure is an outcome
+	_, _ = applyTo(p.state, e) // a command's own error is an outcome, and the same on every node
 	p.entries++
 	p.bytes += len(e.Data) + entryOverhead
 	return true, nil
 }
 
-// encode returns the snapshot of the replica, to be written.
+// encode returns a snapshot of the state, to be written.
 func (p *snapshotter) encode() (storage.Snapshot, raft.Meta, error) {
 	body, err := p.state.Encode()
 	if err != nil {
@@ -108,8 +107,8 @@
 	return storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: raw, Body: body}, meta, nil
 }
 
-// runSnapshotter is the goroutine of the snapshotter, the only writer of snapshots once the store runs. It takes
-// entries only once they are stored here: a snapshot must not be ahead of the log on its own disk.
+// runSnapshotter is the goroutine of the snapshotter, the only writer of snapshot files once the store runs. It applies
+// an entry only once that is durable here: a snapshot must never be ahead of the log on its own disk.
 func (s *Store) runSnapshotter(ctx context.Context) {
 	for {
 		select {
@@ -132,8 +131,8 @@
 	}
 }
 
-// applyStored applies to the replica what is stored here, writes the snapshots that fall due on the way, and returns
-// the fetched snapshot that waits to be installed, if any.
+// applyStored applies the durable entries to the snapshotter's state, writes the snapshots that fall due in between,
+// and returns the fetched snapshot that is to be installed, if any.
 func (s *Store) applyStored(ctx context.Context) (*fetchedSnapshot, error) {
 	fetched, batch := s.takeStored()
 	if len(batch) > 0 {
@@ -150,9 +149,8 @@
 	return fetched, nil
 }
 
-// takeStored takes the fetched snapshot that waits to be installed, if any, and the entries that the replica may apply.
-// While the live state has entries to catch up on it takes none: a node that came back serves sooner that way, and
-// each later pass asks again.
+// takeStored takes the fetched snapshot that is to be installed, if any, and the durable entries. While the live state
+// is catching up it takes no entries, so that a restarted node serves sooner; each later pass signals again.
 func (s *Store) takeStored() (*fetchedSnapshot, []raft.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,6 +162,7 @@
 	return fetched, s.snapshots.takeDurable(s.disk.durable)
 }
 
+// applyToReplica applies one entry to the snapshotter's state, and writes a snapshot if one is due.
 func (s *Store) applyToReplica(ctx context.Context, e raft.Entry) error {
 	applied, err := s.snapshotter.apply(e)
 	if err != nil {
@@ -175,8 +174,8 @@
 	return errs.Pass(s.writeSnapshot(ctx), "slot at %d", e.Index)
 }
 
-// isSnapshotDue tells whether the replica has applied enough since the newest snapshot. One that falls due just after
-// this node began to lead waits: encoding would compete with taking over.
+// isSnapshotDue reports whether the snapshotter has applied enough since the newest snapshot. A new leader postpones it
+// by takeoverPeriod: encoding would compete with the takeover.
 func (s *Store) isSnapshotDue() bool {
 	if s.snapshotter.bytes >= maxSnapshotLogBytes {
 		return true
@@ -184,7 +183,7 @@
 	return s.snapshotter.entries >= s.settings.SnapshotEvery && !s.inTakeover()
 }
 
-// writeSnapshot writes the replica to the disk and lets the core compact its log.
+// writeSnapshot writes a snapshot of the snapshotter's state and compacts the core's log.
 func (s *Store) writeSnapshot(ctx context.Context) error {
 	from := s.clock.Now()
 	image, meta, err := s.snapshotter.encode()
@@ -212,10 +211,10 @@
 	return nil
 }
 
-// compactionIndex is the index up to which the log may go from memory: that of the snapshot before the newest, for
-// followers a little behind, and not past a snapshot that is being fetched. Else a fetch that takes longer than the
-// writing of two snapshots would find the log after it gone, each time it is done. What a fetch keeps in memory is
-// bounded. Called under the lock.
+// compactionIndex returns the index up to which the log may be dropped from memory. It is that of the snapshot before
+// the newest, so that followers a little behind need no snapshot, and not past a snapshot that another member is
+// fetching: a fetch that takes longer than two snapshots would otherwise find the log after it gone, every time. A
+// fetch that has fallen maxUnsnapshottedBytes behind no longer counts, which bounds the memory. s.mu must be held.
 func (s *Store) compactionIndex(before uint64) uint64 {
 	for _, c := range s.served.images {
 		if s.snapshots.compactedBytes-c.compactedBytes < maxUnsnapshottedBytes {
@@ -225,7 +224,7 @@
 	return before
 }
 
-// decodeSnapshotMeta decodes what stands beside the body of a snapshot.
+// decodeSnapshotMeta decodes the raft metadata of a snapshot.
 func decodeSnapshotMeta(raw []byte) (m raft.Meta, err error) {
 	return m, errs.Wrap(json.Unmarshal(raw, &m), errs.Damaged, "meta of a slot")
 }
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -8,40 +8,41 @@
 	"crosstide/internal/raft"
 )
 
-// maxReadyLag is how long ago a ready follower had all that its leader had committed, at most.
+// maxReadyLag is how long a follower stays ready after it last had all that its leader had committed.
 const maxReadyLag = 2 * time.Second
 
-// followerProgress is how far this node is behind its leader, by the leader's appends. A Store owns it; guarded by
-// Store.mu.
+// followerProgress tracks how far this node is behind its leader, by the commit index in the leader's appends. A Store
+// owns it; guarded by Store.mu.
 type followerProgress struct {
-	leaderCommit  uint64        // the commit index in the newest append
-	leaderHeardAt time.Duration // when that append came
-	caughtUpAt    time.Duration // when the newest append came whose commit index is applied here
+	leaderCommit  uint64        // commit index in the newest append
+	leaderHeardAt time.Duration // when that append arrived
+	caughtUpAt    time.Duration // arrival of the newest append whose commit index is applied here
 }
 
-func newFollowerProgress() followerProgress { return followerProgress{caughtUpAt: -maxReadyLag * 2} } // not ready
+// newFollowerProgress returns the progress of a node that has not heard from a leader: not ready.
+func newFollowerProgress() followerProgress { return followerProgress{caughtUpAt: -maxReadyLag * 2} }
 
-// onAppend records a leader's append.
+// onAppend records an append of the leader, received at now.
 func (p *followerProgress) onAppend(commit uint64, now time.Duration) {
 	p.leaderCommit, p.leaderHeardAt = commit, now
 }
 
-// onApplied records what is applied here.
+// onApplied records that the live state is at index.
 func (p *followerProgress) onApplied(index uint64) {
 	if p.leaderHeardAt > p.caughtUpAt && index >= p.leaderCommit {
 		p.caughtUpAt = p.leaderHeardAt
 	}
 }
 
-// Ready is nil when the node leads with a valid lease, or knows a leader and had all of its commits within the last
-// 2 s. Failure: Unavailable.
+// Ready returns nil if this node leads with a valid lease, or knows the leader and had all of its commits within
+// maxReadyLag. Failure: Unavailable.
 func (s *Store) Ready() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return errs.Pass(s.checkReady(s.clock.Now()), "ready")
 }
 
-// checkReady is Ready under the lock.
+// checkReady is Ready with s.mu held.
 func (s *Store) checkReady(now time.Duration) error {
 	switch {
 	case s.core == nil:
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// Status is this node's view of itself, the member set and the holders of roles.
+// Status returns this node's view of itself, the member set and the holders of roles.
 func (s *Store) Status() internalapi.StatusAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,22 +1,43 @@
-// Package store is the runtime of a control-plane node: it connects the replication core (internal/raft) to a clock, a
-// disk and the other nodes, applies what is committed to the live state (internal/state), and serves that state. It
-// decides nothing about jobs: what a command does stands in internal/state/command, what is replicated when in
-// internal/raft.
+// Package store is the runtime of a control-plane node, a member of the replicated store. It connects consensus
+// (internal/raft, a step function) to a clock, a disk and the other members, applies committed entries to the live
+// state (internal/state), and serves that state to the process and to other nodes.
 //
-// How it is driven. Store.mu guards the core, the live state and all that stands below it in Store. The goroutines are:
+// It never decides who leads or what is committed (internal/raft does), what a command does (internal/state/command) or
+// which task runs where (the schedulers, which propose commands here). It acknowledges nothing before it is committed,
+// and sends no raft message before what the message promises is synced.
 //
-//	loop            ticks the core, proposes, applies, hands out what the core has ready (loop.go: begin here)
-//	runDiskWriter   stores what the core wants stored, one sync for all that is queued (diskwriter.go)
-//	runSnapshotter  keeps a second replica of the state and writes snapshots from it (snapshotter.go)
-//	runSender       one for each peer: sends its queue (peer.go)
-//	fetch           at need: downloads a snapshot of another node (installsnapshot.go)
-//	runGC, installOperatorKeys, joinFleet or joinOpenFleet, watchRemoval
+// # Goroutines
 //
-// No goroutine waits for a disk or a network under the lock. A simulator drives the same steps on one goroutine, by
-// ManualDriver (manual.go).
+// Open reads the folder and Start starts the goroutines. Store.mu guards the raft core, the live state and the other
+// fields below it in Store; no goroutine waits for the disk or the network while it holds it. Each goroutine owns:
 //
-// The way of a command: Propose (propose.go), the pending proposals (proposals.go), a pass of the loop, the core, the
-// disk writers of a majority, apply (apply.go), the waiter of Propose.
+//	loop                 the passes: ticks the core, proposes, applies, distributes each raft.Ready (loop.go)
+//	runDiskWriter        writes to the log: one sync for all that is queued (diskwriter.go)
+//	runSnapshotter       the second copy of the state, and all writing of snapshot files (snapshotter.go)
+//	runSender            one per peer: the calls that carry its queue of raft messages (peer.go)
+//	fetch                one download of a member's snapshot, when the core asks for it (installsnapshot.go)
+//	runGC                on the leader: purges of what is past its retention, warnings of accounts (gc.go)
+//	installOperatorKeys  on the leader: the first commit of the operators' keys (operatorkeys.go)
+//	joinFleet            after an empty folder: calls to the leader until this node is a voter (join.go);
+//	                     joinOpenFleet in an open fleet
+//	watchRemoval         in an open fleet: the check whether this node was removed while it was away (removal.go)
+//
+// In the deterministic simulator a ManualDriver (manual.go) makes the steps of all of them on one goroutine.
+//
+// # Where to begin
+//
+// Read Store, then Store.pass in loop.go, one turn of the loop. From there:
+//
+//	a command        Propose (propose.go), proposals (proposals.go), pass, the core, the disk writers of a majority
+//	                 (diskwriter.go), Store.apply (apply.go), back to Propose
+//	a snapshot       written in snapshotter.go, served in servesnapshot.go, downloaded in downloadsnapshot.go,
+//	                 installed in installsnapshot.go
+//	a replica        a data-plane node pulls changes by Follow (follow.go)
+//	a lost disk      recoverFolder (recovery.go), resolveEmptyFolder (bootstrap.go), Join (join.go)
+//	a role lease     ClaimRole (role.go), roleLeases (rolelease.go)
+//	leadership       onStatusChange, TransferLeadership (leader.go)
+//	a full disk      retryWhileDiskFull (diskfull.go)
+//	a hung disk      stepDownIfDiskHangs (leader.go)
 package store
 
 import (
@@ -40,27 +61,27 @@
 	"crosstide/internal/storage"
 )
 
-// Options of a store; Settings, Disk, Net and Fatal are needed, with an open membership Removed too.
+// Options configure a store. Settings, Disk, Net and Fatal are required, and Removed in an open fleet.
 type Options struct {
 	Settings config.ControlPlane
 	Disk     storage.Disk
 	Net      Net
-	// Fatal is called, once, after a failed write or sync, or when the state cannot be trusted. It must end the
-	// process.
+	// Fatal is called once, after a failed write or sync or when the state cannot be trusted. It must end the process:
+	// what the disk holds is unknown until the folder is opened anew.
 	Fatal func(error)
-	// Removed is called, once, when this node was removed from the members while it was away: its folder is discarded.
-	// It must see to it that the store is stopped and its folder opened anew; the node joins as a new incarnation then.
-	// Needed with an open membership.
+	// Removed is called once, when this node was removed from the members while it was away and its folder has been
+	// marked as discarded. It must cause the store to be stopped and the folder to be opened again; the node then joins
+	// as a new incarnation.
 	Removed  func()
-	Damaged  bool                  // an earlier folder was set aside as damaged: never bootstrap a fleet
-	Seed     uint64                // of the election time-outs; 0: a random one
+	Damaged  bool                  // an earlier folder was set aside as damaged: the node never bootstraps a fleet
+	Seed     uint64                // of the random election timeouts; 0: a random one
 	RandomID func() string         // returns names that no other process has; default crypto/rand.Text
 	Clock    clock.Clock           // default clock.Real
 	Logger   log.Logger            // default: none
 	Registry prometheus.Registerer // default: no metrics
 }
 
-// withDefaults fills in what the caller left out.
+// withDefaults returns opt with defaults for the fields that are not set.
 func (opt Options) withDefaults() Options {
 	if opt.Clock == nil {
 		opt.Clock = clock.Real{}
@@ -77,36 +98,37 @@
 	return opt
 }
 
-// Store is one node of the replicated control store.
+// Store is one member of the replicated store. Its exported methods may be called from any goroutine.
 type Store struct {
-	// Fixed from Open on.
+	// Set by Open (manual by Manual), and not changed after.
 	opt         Options
 	settings    config.ControlPlane // opt.Settings
 	clock       clock.Clock
 	logger      log.Logger
 	group       *routine.Group // of all goroutines
 	metrics     *metrics
-	storage     *storage.Store // has a lock of its own
+	storage     *storage.Store // locks itself
 	incarnation string         // of this process
-	manual      *ManualDriver  // drives the store in the place of its goroutines; nil in a daemon
-	wakeLoop    chan struct{}  // capacity 1: the loop has something to do
+	manual      *ManualDriver  // drives the store instead of its goroutines; nil in a daemon
+	wakeLoop    chan struct{}  // capacity 1; a signal asks the loop for a pass
 
-	// snapshotter is owned by the snapshotter goroutine; no lock guards it.
+	// snapshotter is owned by the goroutine runSnapshotter and needs no lock, except that startCore sets it before that
+	// goroutine runs.
 	snapshotter snapshotter
 
 	mu sync.Mutex // guards all below
 
-	id     string      // in raft: the node's name, or name~incarnation; fixed before core is set
-	core   *raft.Core  // nil until the node knows whether it bootstraps or joins
-	status raft.Status // of the core, as of the last pass
-	frozen bool        // a snapshot is being installed: no message enters the core, no output leaves it
-	halted bool        // a write failed or the node was removed: nothing leaves it any more; never reset
+	id     string      // raft ID: the node's name, or name~incarnation; set before core and not changed after
+	core   *raft.Core  // nil until it is known whether this node bootstraps or joins
+	status raft.Status // of core, as of the last pass
+	frozen bool        // a snapshot is being installed: no message enters core and no Ready leaves it
+	halted bool        // a write failed or the node was removed: it sends nothing more; never reset
 
-	live      *state.State
-	changed   chan struct{} // closed, and made anew, when the live state moves on
-	unapplied []raft.Entry  // committed, not in the live state yet
+	live      *state.State  // replicated state with all entries up to live.Index applied
+	changed   chan struct{} // closed and replaced when the live state changes
+	unapplied []raft.Entry  // committed and not applied to live yet, in the order of the log
 
-	lastTick   time.Duration
+	lastTick   time.Duration // of core, on clock
 	proposals  proposals
 	disk       diskQueue
 	snapshots  snapshots
@@ -118,8 +140,8 @@
 	rollout    rolloutReport
 }
 
-// Open reads the folder and makes a store that takes part in nothing yet. Failures: Disk, Damaged (see Options).
-// Example:
+// Open reads the folder and returns a store that neither sends nor votes before Start. Failures: Settings, Disk,
+// Damaged. Example:
 //
 //	s, err := store.Open(store.Options{Settings: settings, Disk: disk, Net: store.NetworkOf(client, settings),
 //		Fatal: die})
@@ -155,14 +177,14 @@
 	if err := s.recoverFolder(); err != nil {
 		return nil, errs.Pass(err, "open the store")
 	}
-	s.metrics.register(s, opt.Registry) // only now: after a failure Open is called again
+	s.metrics.register(s, opt.Registry) // last: a caller may retry a failed Open, and must not register twice
 	return s, nil
 }
 
-// Start lets the store take part. It returns at once.
+// Start starts the goroutines of the store and returns at once.
 func (s *Store) Start() { s.group.Go(s.run) }
 
-// Stop ends all of the store's goroutines and closes its folder. Nothing that was acknowledged is lost by it.
+// Stop ends all goroutines of the store and closes its folder. Nothing that was acknowledged is lost.
 func (s *Store) Stop() {
 	s.group.Stop()
 	if err := s.storage.Close(); err != nil {
@@ -170,7 +192,7 @@
 	}
 }
 
-// run starts the goroutines once the node knows who it is, and becomes the loop.
+// run resolves an empty folder, starts the other goroutines and runs the loop.
 func (s *Store) run(ctx context.Context) {
 	if s.core == nil && !s.resolveEmptyFolder(ctx) {
 		return
@@ -191,7 +213,7 @@
 	s.loop(ctx)
 }
 
-// fatal halts the store and has the process ended.
+// fatal halts the store and calls Options.Fatal, unless the store was halted before.
 func (s *Store) fatal(err error) {
 	if s.halt() {
 		_ = level.Error(s.logger).Log("msg", "store halted", "err", err)
@@ -199,7 +221,7 @@
 	}
 }
 
-// halt ends the use of the store for good: nothing leaves it any more. It tells whether the store was in use until now.
+// halt stops the store from sending or acknowledging anything, for good. It reports whether this call did so.
 func (s *Store) halt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +230,7 @@
 	return !wasHalted
 }
 
-// NameOf returns the name of the control-plane node that has a raft ID: what stands before the incarnation.
+// NameOf returns the node's name in a raft ID: the part before the incarnation.
 func NameOf(id string) string {
 	name, _, _ := strings.Cut(id, "~")
 	return name
