--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -55,7 +55,7 @@
 		result := survey(ctx, incarnations)
 		incarnations = result.incarnations
 		if err := s.takePart(result); err != nil {
-			s.fatal(errs.Pass(err, "settle"))
+			s.fatal(errs.Pass(err, "resolve an empty folder"))
 			return false
 		}
 		if s.core != nil {
@@ -204,15 +204,15 @@
 	first.Index, first.Term = initial.Snapshot.Index, initial.Snapshot.Term
 	body, err := first.Encode()
 	if err != nil {
-		return errs.Pass(err, "found")
+		return errs.Pass(err, "encode the empty state")
 	}
 	meta, err := json.Marshal(initial.Snapshot)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "found")
+		return errs.Wrap(err, errs.Internal, "encode the meta of the first snapshot")
 	}
 	image := storage.Snapshot{Number: 1, Index: first.Index, Term: first.Term, Meta: meta, Body: body}
 	if err := s.storage.WriteSnapshot(image, 0); err != nil {
-		return errs.Pass(err, "found")
+		return errs.Pass(err, "write the first snapshot")
 	}
 	s.mu.Lock()
 	s.id, s.membership.bootstrapped = s.settings.Name, incarnations
@@ -220,10 +220,10 @@
 	_ = level.Info(s.logger).Log("msg", "fleet bootstrapped", "members", len(members))
 	hard, err := json.Marshal(initial.HardState)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "found")
+		return errs.Wrap(err, errs.Internal, "encode the hard state")
 	}
 	records := []storage.Record{{Kind: storage.KindHardState, Data: hard}}
-	return errs.Pass(s.startCore(storage.Recovered{Snapshot: &image, Records: records}), "found")
+	return errs.Pass(s.startCore(storage.Recovered{Snapshot: &image, Records: records}), "start the core")
 }
 
 // BootstrapStatus answers internalapi.Discover: what this node knows of the fleet, and whether its own folder is fresh.
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -25,12 +25,12 @@
 func Discard(d storage.Disk, addresses ...string) error {
 	names, err := d.List()
 	if err != nil {
-		return errs.Pass(err, "discard")
+		return errs.Pass(err, "list")
 	}
 	if slices.Contains(names, discardFile) {
-		return errs.Pass(d.Sync(), "discard") // an earlier Discard may have crashed before its sync
+		return errs.Pass(d.Sync(), "sync") // an earlier Discard may have crashed before its sync
 	}
-	return errs.Pass(writeFile(d, discardFile, strings.Join(addresses, "\n")), "discard")
+	return errs.Pass(writeFile(d, discardFile, strings.Join(addresses, "\n")), "mark the folder")
 }
 
 // finishDiscard deletes the contents of a folder that Discard marked, and gives it a new ID. Otherwise it does nothing.
@@ -44,11 +44,11 @@
 		return errs.Pass(err, "clear")
 	}
 	if err := writeFile(disk, peersFile, peers); err != nil {
-		return errs.Pass(err, "keep the addresses")
+		return errs.Pass(err, "write the addresses of other nodes")
 	}
 	id := s.newID()
 	if err := writeFile(disk, idFile, id); err != nil {
-		return errs.Pass(err, "take a new id")
+		return errs.Pass(err, "write the new id")
 	}
 	if err := disk.Remove(discardFile); err != nil {
 		return errs.Pass(err, "remove the mark")
@@ -61,5 +61,5 @@
 func (s *Store) loadPeerAddresses() error {
 	peers, _, err := readFile(s.opt.Disk, peersFile)
 	s.rememberAddresses(strings.Fields(peers)...)
-	return errs.Pass(err, "addresses of other nodes")
+	return errs.Pass(err, "read the addresses of other nodes")
 }
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		err := s.retryWhileDiskFull(ctx, "store the log", func() error {
-			return errs.Pass(s.writeBatch(batch), "batch")
+			return errs.Pass(s.writeBatch(batch), "write a batch")
 		})
 		if errs.Is(err, errs.Stopped) {
 			return
--- a/internal/store/downloadsnapshot.go
+++ b/internal/store/downloadsnapshot.go
@@ -52,7 +52,7 @@
 func (d *download) verified(wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
 	meta, err := decodeSnapshotMeta(d.head.Meta)
 	if err != nil {
-		return nil, errs.Pass(err, "slot of %s", wanted.From)
+		return nil, errs.Pass(err, "snapshot of %s", wanted.From)
 	}
 	if int64(len(d.body)) != d.head.Size || xxhash.Sum64(d.body) != d.head.Sum ||
 		meta.Index != d.head.Index || meta.Term != d.head.Term {
@@ -80,7 +80,7 @@
 			break
 		}
 		if d.left == 0 || err != nil && !s.sleep(ctx, retryInterval) {
-			return nil, errs.Pass(err, "no part after byte %d", len(d.body))
+			return nil, errs.Pass(err, "no chunk after byte %d", len(d.body))
 		}
 	}
 	fetched, err := d.verified(wanted)
--- a/internal/store/installsnapshot.go
+++ b/internal/store/installsnapshot.go
@@ -89,7 +89,7 @@
 			return nil
 		}
 	}
-	return errs.Pass(s.replaceWithFetched(ctx, fetched), "adopt")
+	return errs.Pass(s.replaceWithFetched(ctx, fetched), "install")
 }
 
 // freeze stops the core if the snapshot is newer than what is committed here, and reports whether it is.
@@ -112,14 +112,14 @@
 // core must be frozen and the disk writer idle.
 func (s *Store) replaceWithFetched(ctx context.Context, fetched *fetchedSnapshot) error {
 	err := s.retryWhileDiskFull(ctx, "write a fetched snapshot", func() error {
-		return errs.Pass(s.storage.WriteSnapshot(fetched.image, 0), "image")
+		return errs.Pass(s.storage.WriteSnapshot(fetched.image, 0), "write")
 	})
 	if err != nil {
-		return errs.Pass(err, "put")
+		return errs.Pass(err, "store")
 	}
 	replica, err := state.Decode(fetched.image.Body)
 	if err != nil {
-		return errs.Pass(err, "a fetched snapshot")
+		return errs.Pass(err, "decode a fetched snapshot")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -213,10 +213,10 @@
 		if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, s.discoverCall()); err == nil && a.ID == old.ID {
 			return errs.Field(errs.Conflict, "name", "%s is alive at %s", old.ID, old.Addr)
 		}
-		return errs.Pass(s.changeMembers(plan.from, without(plan.next, old.ID)), "take %s out", old.ID)
+		return errs.Pass(s.changeMembers(plan.from, without(plan.next, old.ID)), "remove %s", old.ID)
 	}
 	if silent := s.silentVoter(plan.from); silent != "" {
-		return errs.Pass(s.changeMembers(plan.from, without(plan.next, silent)), "take %s out before a new voter",
+		return errs.Pass(s.changeMembers(plan.from, without(plan.next, silent)), "remove %s before a new voter",
 			silent)
 	}
 	plan.next[plan.at].Learner = false
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -40,7 +40,7 @@
 func (d *ManualDriver) IsMember() bool { return d.store.core != nil }
 
 // Bootstrap starts a new fleet, as resolveEmptyFolder does once all members were found fresh.
-func (d *ManualDriver) Bootstrap() error { return errs.Pass(d.store.bootstrap(nil), "found") }
+func (d *ManualDriver) Bootstrap() error { return errs.Pass(d.store.bootstrap(nil), "bootstrap") }
 
 // ResolveEmptyFolder is one round of resolveEmptyFolder that starts a new incarnation if a fleet exists, and never
 // bootstraps one.
@@ -57,7 +57,7 @@
 	}
 	decision, _ := decideBootstrap(s.settings.Name, s.incarnation, s.digest(), len(s.settings.Members), answers, nil)
 	if decision == fleetExists {
-		return errs.Pass(s.startNewIncarnation(), "settle")
+		return errs.Pass(s.startNewIncarnation(), "start as a new incarnation")
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 func (d *ManualDriver) RunSnapshotter() error {
 	fetched, err := d.store.applyStored(context.Background())
 	if err != nil {
-		return errs.Pass(err, "shade")
+		return errs.Pass(err, "apply durable entries")
 	}
 	if fetched != nil && d.store.freeze(fetched) {
 		d.fetched = fetched
@@ -146,7 +146,7 @@
 	}
 	fetched, d.fetched = d.fetched, nil
 	defer d.store.unfreeze()
-	return errs.Pass(d.store.replaceWithFetched(context.Background(), fetched), "shade")
+	return errs.Pass(d.store.replaceWithFetched(context.Background(), fetched), "install")
 }
 
 // FetchSnapshot downloads the snapshot that the core asked for, if any.
@@ -205,7 +205,7 @@
 	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
 ) {
 	answer, current, c, err = d.store.evaluateRoleCall(call)
-	return answer, current, c, errs.Pass(err, "duty")
+	return answer, current, c, errs.Pass(err, "role %s", call.Role)
 }
 
 // FinishRoleCall answers a call from the outcome of the command that ClaimRole returned.
@@ -213,13 +213,13 @@
 	internalapi.RoleLease, error,
 ) {
 	answer, err := d.store.finishRoleCall(call, before, index, err)
-	return answer, errs.Pass(err, "duty")
+	return answer, errs.Pass(err, "role %s", call.Role)
 }
 
 // ChangesAfter is Store.Follow without the wait; nil if there are no changes after version.
 func (d *ManualDriver) ChangesAfter(version uint64) (*internalapi.SourceUpdate, error) {
 	update, _, err := d.store.changesAfter(version, maxFollowBytes)
-	return update, errs.Pass(err, "lack")
+	return update, errs.Pass(err, "changes after %d", version)
 }
 
 // ProposeGC proposes to purge what is past its retention, if this node leads.
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -52,10 +52,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.checkLeader(); err != nil {
-		return errs.Pass(err, "members")
+		return errs.Pass(err, "change members")
 	}
 	if err := s.proposeMembers(s.clock.Now(), from, next); err != nil {
-		return errs.Pass(err, "members")
+		return errs.Pass(err, "change members")
 	}
 	signal(s.wakeLoop)
 	return nil
--- a/internal/store/network.go
+++ b/internal/store/network.go
@@ -47,7 +47,7 @@
 func immediate[C, A any](serve func(C) (A, error)) func(context.Context, C) (A, error) {
 	return func(_ context.Context, call C) (A, error) {
 		answer, err := serve(call)
-		return answer, errs.Pass(err, "call")
+		return answer, errs.Pass(err, "handle a call")
 	}
 }
 
@@ -77,7 +77,7 @@
 // SendMessages sends messages of the replication core to a peer.
 func (n networkCalls) SendMessages(ctx context.Context, addr string, call internalapi.RaftCall) error {
 	_, err := rpc.Call(ctx, n.client, addr, internalapi.Raft, call, n.election/2)
-	return errs.Pass(err, "quorum")
+	return errs.Pass(err, "send raft messages")
 }
 
 // FetchChunk returns a chunk of a peer's snapshot.
@@ -85,7 +85,7 @@
 	internalapi.ChunkAnswer, error,
 ) {
 	a, err := rpc.Call(ctx, n.client, addr, internalapi.Chunk, call, 2*time.Second)
-	return a, errs.Pass(err, "chunk")
+	return a, errs.Pass(err, "fetch a chunk")
 }
 
 // BootstrapStatus asks a node whether its folder is fresh, and what it knows of the fleet.
@@ -93,7 +93,7 @@
 	internalapi.DiscoverAnswer, error,
 ) {
 	a, err := rpc.Call(ctx, n.client, addr, internalapi.Discover, call, n.election/2)
-	return a, errs.Pass(err, "found")
+	return a, errs.Pass(err, "bootstrap status")
 }
 
 // Join asks the leader to bring this node one step closer to being a voter.
@@ -115,7 +115,7 @@
 // ReadIndex asks the leader for the index that a linearizable read must wait for.
 func (n networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error) {
 	a, err := rpc.Call(ctx, n.client, addr, internalapi.ReadIndex, internalapi.ReadIndexCall{}, n.election)
-	return a, errs.Pass(err, "confirm")
+	return a, errs.Pass(err, "read index")
 }
 
 // Rollout asks a peer which versions of the bundle it and its followers have.
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -26,7 +26,7 @@
 //	index, answer, err := s.Propose(ctx, &command.Cancel{Key: "k-1"})
 func (s *Store) Propose(ctx context.Context, c command.Command) (index uint64, answer any, err error) {
 	index, answer, err = s.proposeAndWait(ctx, c, 0)
-	return index, answer, errs.Pass(err, "any term")
+	return index, answer, errs.Pass(err, "propose")
 }
 
 // ProposeIn is Propose for a command that was decided in one term of this node as the leader (see LeaderTerm): it
@@ -37,7 +37,7 @@
 		return 0, nil, errs.Field(errs.Stale, "term", "no leader has term 0")
 	}
 	index, answer, err = s.proposeAndWait(ctx, c, term)
-	return index, answer, errs.Pass(err, "term %d", term)
+	return index, answer, errs.Pass(err, "propose in term %d", term)
 }
 
 // ProposeOrForward is Propose at any node: a follower forwards the command to the leader, one hop at most. The answer
@@ -50,10 +50,10 @@
 			return nil, errs.Wrap(bad, errs.Malformed, "encode %s", c.Op())
 		}
 		a, err := s.opt.Net.Propose(ctx, errs.Of(err).Hint, internalapi.ProposeCall{Op: c.Op(), Body: body})
-		return a.Answer, errs.Pass(hideNotLeader(err), "order")
+		return a.Answer, errs.Pass(hideNotLeader(err), "propose %s", c.Op())
 	}
 	if err != nil {
-		return nil, errs.Pass(hideNotLeader(err), "order")
+		return nil, errs.Pass(hideNotLeader(err), "propose %s", c.Op())
 	}
 	raw, err := json.Marshal(answer)
 	return raw, errs.Wrap(err, errs.Internal, "encode the answer to %s", c.Op())
@@ -84,7 +84,7 @@
 	}
 	index, answer, err := s.Propose(ctx, c)
 	if err != nil {
-		return internalapi.ProposeAnswer{}, errs.Pass(err, "call")
+		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose %s", call.Op)
 	}
 	out := internalapi.ProposeAnswer{Index: index}
 	if answer != nil {
@@ -101,7 +101,7 @@
 ) {
 	data, err := command.Encode(s.clock.Wall(), c)
 	if err != nil {
-		return 0, nil, errs.Pass(err, "propose")
+		return 0, nil, errs.Pass(err, "encode %s", c.Op())
 	}
 	if len(data) > maxCommand {
 		return 0, nil, errs.New(errs.TooLarge, "the command has %d bytes, at most %d", len(data), maxCommand)
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.checkLeader(); err != nil {
-		return errs.Pass(err, "enter")
+		return errs.Pass(err, "enqueue")
 	}
 	if s.proposals.isFull(len(w.data)) || s.snapshots.unsnapshottedBytes > maxUnsnapshottedBytes {
 		return errs.New(errs.Overloaded, "%d proposals wait, %d bytes; %d bytes of log since the last slot",
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -46,7 +46,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	index, err := s.readIndexLocked()
-	return index, errs.Pass(err, "index")
+	return index, errs.Pass(err, "read index")
 }
 
 // readIndexLocked is ReadIndex with s.mu held. It releases s.mu while it waits for the lease: what the caller read
@@ -55,7 +55,7 @@
 	deadline := s.clock.Now() + readIndexTimeout
 	for {
 		if err := s.checkLeader(); err != nil {
-			return 0, errs.Pass(err, "confirm")
+			return 0, errs.Pass(err, "check the leader")
 		}
 		now := s.clock.Now()
 		commit, ok := s.core.LeaseReadIndex(now)
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -39,13 +39,13 @@
 	case id != "":
 		s.id = id
 	case recovered.Fresh && (s.opt.Damaged || !s.settings.Bootstrap):
-		return errs.Pass(s.startNewIncarnation(), "begin anew")
+		return errs.Pass(s.startNewIncarnation(), "start as a new incarnation")
 	case recovered.Fresh:
 		return nil
 	default:
 		s.id = s.settings.Name
 	}
-	return errs.Pass(s.startCore(recovered), "begin")
+	return errs.Pass(s.startCore(recovered), "start the core")
 }
 
 // startCore makes the core and the live state from what the disk had. No goroutine of the store runs yet except its
@@ -89,10 +89,10 @@
 	live = state.New()
 	if image := recovered.Snapshot; image != nil {
 		if initial.Snapshot, err = decodeSnapshotMeta(image.Meta); err != nil {
-			return initial, nil, errs.Pass(err, "slot %d", image.Number)
+			return initial, nil, errs.Pass(err, "meta of snapshot %d", image.Number)
 		}
 		if live, err = state.Decode(image.Body); err != nil {
-			return initial, nil, errs.Pass(err, "slot %d", image.Number)
+			return initial, nil, errs.Pass(err, "snapshot %d", image.Number)
 		}
 	}
 	for _, r := range recovered.Records {
@@ -112,12 +112,12 @@
 func (s *Store) startNewIncarnation() error {
 	id := s.newID()
 	if err := writeFile(s.opt.Disk, idFile, id); err != nil {
-		return errs.Pass(err, "take a new id")
+		return errs.Pass(err, "write the new id")
 	}
 	s.mu.Lock()
 	s.id = id
 	s.mu.Unlock()
-	return errs.Pass(s.startCore(storage.Recovered{}), "begin empty")
+	return errs.Pass(s.startCore(storage.Recovered{}), "start the core")
 }
 
 // newID returns a raft ID for a new incarnation of this node's folder.
@@ -129,5 +129,5 @@
 	if err == nil && ok && id == "" {
 		return "", errs.New(errs.Damaged, "the id file is empty")
 	}
-	return id, errs.Pass(err, "id file")
+	return id, errs.Pass(err, "read the id file")
 }
--- a/internal/store/removal.go
+++ b/internal/store/removal.go
@@ -56,7 +56,7 @@
 	_ = level.Warn(s.logger).Log("msg", "removed from the members while away: joining anew", "id", s.id,
 		"reported_by", address)
 	if err := Discard(s.opt.Disk, s.addresses()...); err != nil {
-		s.fatal(errs.Pass(err, "removed"))
+		s.fatal(errs.Pass(err, "discard the folder of a removed member"))
 		return
 	}
 	if s.halt() {
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -19,11 +19,11 @@
 	}
 	answer, current, c, err := s.evaluateRoleCall(call)
 	if err != nil || c == nil {
-		return answer, errs.Pass(err, "duty %s", call.Role)
+		return answer, errs.Pass(err, "role %s", call.Role)
 	}
 	index, _, err := s.Propose(ctx, c)
 	answer, err = s.finishRoleCall(call, current, index, err)
-	return answer, errs.Pass(err, "call")
+	return answer, errs.Pass(err, "role %s", call.Role)
 }
 
 // evaluateRoleCall decides a call. It returns the answer, or the command to commit before the call can be answered;
@@ -36,7 +36,7 @@
 	current, result, err := s.checkRoleCall(call)
 	switch {
 	case err != nil:
-		return answer, current, nil, errs.Pass(err, "ask")
+		return answer, current, nil, errs.Pass(err, "check the call")
 	case result == claimRenewed || result == claimDenied:
 		return s.roleAnswer(current, result == claimRenewed), current, nil, nil
 	case call.Release:
@@ -50,7 +50,7 @@
 // s.mu must be held; it is released while the leader's lease is confirmed.
 func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, result claimResult, err error) {
 	if _, err := s.readIndexLocked(); err != nil {
-		return current, result, errs.Pass(err, "judge")
+		return current, result, errs.Pass(err, "confirm the lease")
 	}
 	now, leases := s.clock.Now(), s.leadership.leases
 	if !leases.Active() {
@@ -78,7 +78,7 @@
 	current := s.live.Roles[call.Role]
 	switch {
 	case err != nil && !errs.Is(err, errs.Stale):
-		return internalapi.RoleLease{}, errs.Pass(err, "duty %s", call.Role)
+		return internalapi.RoleLease{}, errs.Pass(err, "role %s", call.Role)
 	case current == nil:
 		return internalapi.RoleLease{}, nil
 	}
--- a/internal/store/servesnapshot.go
+++ b/internal/store/servesnapshot.go
@@ -101,7 +101,7 @@
 	}
 	image, err := s.storage.NewestSnapshot()
 	if err != nil {
-		return nil, errs.Pass(err, "slot %d", number)
+		return nil, errs.Pass(err, "read snapshot %d", number)
 	}
 	loaded := &cachedSnapshot{image: image, sum: xxhash.Sum64(image.Body), lastUsed: now}
 	s.mu.Lock()
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -70,7 +70,7 @@
 	}
 	decoded, err := state.Decode(p.initialImage)
 	if err != nil {
-		return errs.Pass(err, "the snapshot of the start")
+		return errs.Pass(err, "decode the recovered snapshot")
 	}
 	p.state, p.initialImage = decoded, nil
 	return nil
@@ -97,12 +97,12 @@
 func (p *snapshotter) encode() (storage.Snapshot, raft.Meta, error) {
 	body, err := p.state.Encode()
 	if err != nil {
-		return storage.Snapshot{}, raft.Meta{}, errs.Pass(err, "write a slot")
+		return storage.Snapshot{}, raft.Meta{}, errs.Pass(err, "encode the state")
 	}
 	meta := raft.Meta{Index: p.state.Index, Term: p.state.Term, Members: p.members}
 	raw, err := json.Marshal(meta)
 	if err != nil {
-		return storage.Snapshot{}, raft.Meta{}, errs.Wrap(err, errs.Internal, "encode the meta of a slot")
+		return storage.Snapshot{}, raft.Meta{}, errs.Wrap(err, errs.Internal, "encode the meta of a snapshot")
 	}
 	return storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: raw, Body: body}, meta, nil
 }
@@ -137,12 +137,12 @@
 	fetched, batch := s.takeStored()
 	if len(batch) > 0 {
 		if err := s.snapshotter.loadInitial(); err != nil {
-			return fetched, errs.Pass(err, "trail")
+			return fetched, errs.Pass(err, "load the recovered snapshot")
 		}
 	}
 	for i := range batch {
 		if err := s.applyToReplica(ctx, batch[i]); err != nil {
-			return fetched, errs.Pass(err, "trail")
+			return fetched, errs.Pass(err, "apply to the snapshotter's state")
 		}
 		batch[i].Data = nil
 	}
@@ -166,12 +166,12 @@
 func (s *Store) applyToReplica(ctx context.Context, e raft.Entry) error {
 	applied, err := s.snapshotter.apply(e)
 	if err != nil {
-		return errs.Pass(err, "trail")
+		return errs.Pass(err, "apply to the snapshotter's state")
 	}
 	if !applied || !s.isSnapshotDue() {
 		return nil
 	}
-	return errs.Pass(s.writeSnapshot(ctx), "slot at %d", e.Index)
+	return errs.Pass(s.writeSnapshot(ctx), "snapshot at %d", e.Index)
 }
 
 // isSnapshotDue reports whether the snapshotter has applied enough since the newest snapshot. A new leader postpones it
@@ -188,13 +188,13 @@
 	from := s.clock.Now()
 	image, meta, err := s.snapshotter.encode()
 	if err != nil {
-		return errs.Pass(err, "slot")
+		return errs.Pass(err, "encode a snapshot")
 	}
 	err = s.retryWhileDiskFull(ctx, "write a snapshot", func() error {
-		return errs.Pass(s.storage.WriteSnapshot(image, 0), "own state")
+		return errs.Pass(s.storage.WriteSnapshot(image, 0), "store")
 	})
 	if err != nil {
-		return errs.Pass(err, "slot")
+		return errs.Pass(err, "persist")
 	}
 	took := s.clock.Now() - from
 	s.metrics.snapshots.Observe(took.Seconds())
