--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -49,24 +49,24 @@
 // that does not lead it logs nothing.
 func (w accountWarnings) logNew(s *Store) {
 	s.mu.Lock()
-	leads, accounts := s.leadership.term != 0, []internalapi.AccountView(nil)
-	if leads {
+	isLeader, accounts := s.leadership.term != 0, []internalapi.AccountView(nil)
+	if isLeader {
 		accounts = query.Accounts(s.live)
 	}
 	s.mu.Unlock()
-	if !leads {
+	if !isLeader {
 		clear(w)
 		return
 	}
-	for _, v := range accounts {
-		if v.Warning == "" {
-			delete(w, v.Name)
+	for _, account := range accounts {
+		if account.Warning == "" {
+			delete(w, account.Name)
 			continue
 		}
-		if !w[v.Name] {
-			w[v.Name] = true
-			_ = level.Warn(s.logger).Log("msg", "account runs dry", "account", v.Name, "balance", v.Balance,
-				"why", v.Warning)
+		if !w[account.Name] {
+			w[account.Name] = true
+			_ = level.Warn(s.logger).Log("msg", "account runs dry", "account", account.Name, "balance", account.Balance,
+				"why", account.Warning)
 		}
 	}
 }
--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -30,7 +30,7 @@
 	for _, e := range batch {
 		answer, err := applyTo(s.live, e)
 		s.snapshots.unsnapshottedBytes += len(e.Data) + entryOverhead
-		s.proposals.applied(e, answer, err)
+		s.proposals.onApplied(e, answer, err)
 	}
 	s.snapshots.committed = append(s.snapshots.committed, batch...)
 	signal(s.snapshots.wake)
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -54,7 +54,7 @@
 	for round := 0; ; round++ {
 		result := survey(ctx, incarnations)
 		incarnations = result.incarnations
-		if err := s.takePart(result); err != nil {
+		if err := s.actOnSurvey(result); err != nil {
 			s.fatal(errs.Pass(err, "resolve an empty folder"))
 			return false
 		}
@@ -78,8 +78,8 @@
 	answers      int
 }
 
-// takePart carries out a decision: it bootstraps, starts as a new incarnation, or only logs.
-func (s *Store) takePart(result surveyResult) error {
+// actOnSurvey carries out a decision: it bootstraps, starts as a new incarnation, or only logs.
+func (s *Store) actOnSurvey(result surveyResult) error {
 	switch result.decision {
 	case mayBootstrap:
 		return errs.Pass(s.bootstrap(result.incarnations), "bootstrap")
@@ -135,16 +135,16 @@
 func decideBootstrap(name, incarnation, digest string, members int, answers map[string]internalapi.DiscoverAnswer,
 	before map[string]string,
 ) (bootstrapDecision, map[string]string) {
-	incarnations, named, all := map[string]string{}, false, true
+	incarnations, isListed, allFresh := map[string]string{}, false, true
 	for id, a := range answers {
 		if a.Digest != digest {
 			return settingsDiffer, nil
 		}
 		incarnations[id] = a.Incarnation
-		named = named || a.BootstrapIncarnations[name] == incarnation
-		all = all && a.Fresh
+		isListed = isListed || a.BootstrapIncarnations[name] == incarnation
+		allFresh = allFresh && a.Fresh
 	}
-	if named {
+	if isListed {
 		return mayBootstrap, nil // the others' incarnations were not checked here
 	}
 	for _, a := range answers {
@@ -152,7 +152,7 @@
 			return fleetExists, nil
 		}
 	}
-	if !all || len(answers) < members-1 {
+	if !allFresh || len(answers) < members-1 {
 		return undecided, nil
 	}
 	if !maps.Equal(before, incarnations) {
@@ -167,7 +167,7 @@
 	bootstrapDecision, map[string]string,
 ) {
 	digest := s.digest()
-	ofSeeds := map[string]internalapi.DiscoverAnswer{}
+	seedAnswers := map[string]internalapi.DiscoverAnswer{}
 	for _, m := range s.settings.Members {
 		a, ok := answers[m.Addr]
 		if !ok {
@@ -176,20 +176,20 @@
 		if a.Digest == digest && a.BootstrapIncarnations[s.settings.Name] == s.incarnation {
 			return mayBootstrap, nil // the others' incarnations were not checked here
 		}
-		ofSeeds[m.ID] = a
+		seedAnswers[m.ID] = a
 	}
 	for _, a := range answers {
 		if a.Commit > 1 {
 			return fleetExists, nil
 		}
 	}
-	for id, a := range ofSeeds {
+	for id, a := range seedAnswers {
 		if !a.Fresh {
 			a.Digest = digest // one that is not fresh only prevents a bootstrap; its seeds do not matter
-			ofSeeds[id] = a
+			seedAnswers[id] = a
 		}
 	}
-	return decideBootstrap(s.settings.Name, s.incarnation, digest, len(s.settings.Members), ofSeeds, before)
+	return decideBootstrap(s.settings.Name, s.incarnation, digest, len(s.settings.Members), seedAnswers, before)
 }
 
 // bootstrap starts a new fleet: its first snapshot is the empty state at index 1. incarnations are those of the other
@@ -200,9 +200,9 @@
 		members[i] = raft.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
 	}
 	initial := raft.Bootstrap(members)
-	first := state.New()
-	first.Index, first.Term = initial.Snapshot.Index, initial.Snapshot.Term
-	body, err := first.Encode()
+	empty := state.New()
+	empty.Index, empty.Term = initial.Snapshot.Index, initial.Snapshot.Term
+	body, err := empty.Encode()
 	if err != nil {
 		return errs.Pass(err, "encode the empty state")
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the meta of the first snapshot")
 	}
-	image := storage.Snapshot{Number: 1, Index: first.Index, Term: first.Term, Meta: meta, Body: body}
+	image := storage.Snapshot{Number: 1, Index: empty.Index, Term: empty.Term, Meta: meta, Body: body}
 	if err := s.storage.WriteSnapshot(image, 0); err != nil {
 		return errs.Pass(err, "write the first snapshot")
 	}
@@ -230,22 +230,22 @@
 func (s *Store) BootstrapStatus(internalapi.DiscoverCall) internalapi.DiscoverAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.DiscoverAnswer{ID: s.id, Incarnation: s.incarnation,
+	answer := internalapi.DiscoverAnswer{ID: s.id, Incarnation: s.incarnation,
 		BootstrapIncarnations: s.membership.bootstrapped, Digest: s.digest(),
 		Fresh: s.core == nil && s.id == "" && s.settings.Bootstrap}
 	if s.core != nil {
-		st := s.core.Status()
-		out.Term, out.Leader = st.Term, st.LeaderAddr
+		status := s.core.Status()
+		answer.Term, answer.Leader = status.Term, status.LeaderAddr
 		// The process that bootstrapped the fleet answers with the seeds in its settings, any later one with the
 		// committed members.
-		if out.MembersAt, out.Members = s.core.CommittedMembers(); s.settings.OpenMembership &&
+		if answer.MembersAt, answer.Members = s.core.CommittedMembers(); s.settings.OpenMembership &&
 			s.membership.bootstrapped == nil {
-			out.Digest = digestOf(seedsOf(out.Members))
+			answer.Digest = digestOf(seedsOf(answer.Members))
 		}
-		out.Commit = st.Commit
-		out.Fresh = st.Term <= 1 && st.Last <= 1 && NameOf(s.id) == s.id
+		answer.Commit = status.Commit
+		answer.Fresh = status.Term <= 1 && status.Last <= 1 && NameOf(s.id) == s.id
 	}
-	return out
+	return answer
 }
 
 // digest returns the digest of the bootstrap members in the settings, which must be the same on all of them.
--- a/internal/store/discovery.go
+++ b/internal/store/discovery.go
@@ -43,15 +43,15 @@
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := maps.Clone(s.membership.known)
+	known := maps.Clone(s.membership.known)
 	for _, m := range s.settings.Members {
-		all[m.Addr] = true
+		known[m.Addr] = true
 	}
 	for _, m := range s.status.Members {
-		all[m.Addr] = true
+		known[m.Addr] = true
 	}
-	delete(all, s.settings.Addr)
-	return slices.Sorted(maps.Keys(all))
+	delete(known, s.settings.Addr)
+	return slices.Sorted(maps.Keys(known))
 }
 
 // discoverCall returns the call by which this node asks others about the fleet.
@@ -62,16 +62,16 @@
 // askMembers calls all other members in the settings concurrently and returns the answers by ID.
 func (s *Store) askMembers(ctx context.Context) map[string]internalapi.DiscoverAnswer {
 	members := s.settings.Members
-	got := make([]*internalapi.DiscoverAnswer, len(members))
-	routine.Each(len(got), len(got), func(i int) {
+	results := make([]*internalapi.DiscoverAnswer, len(members))
+	routine.Each(len(results), len(results), func(i int) {
 		if m := members[i]; m.ID != s.settings.Name {
 			if a, err := s.opt.Net.BootstrapStatus(ctx, m.Addr, s.discoverCall()); err == nil {
-				got[i] = &a
+				results[i] = &a
 			}
 		}
 	})
 	answers := map[string]internalapi.DiscoverAnswer{}
-	for i, a := range got {
+	for i, a := range results {
 		if a != nil {
 			answers[members[i].ID] = *a
 		}
@@ -113,11 +113,11 @@
 
 // findLeader asks other nodes for the leader's address and returns the one of the newest term, "" if none is known.
 func (s *Store) findLeader(ctx context.Context) (leader string) {
-	newest := uint64(0)
+	newestTerm := uint64(0)
 	knows := func(a internalapi.DiscoverAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
 	for _, a := range s.askKnownNodes(ctx, knows) {
-		if knows(a) && (leader == "" || a.Term > newest) {
-			leader, newest = a.Leader, a.Term
+		if knows(a) && (leader == "" || a.Term > newestTerm) {
+			leader, newestTerm = a.Leader, a.Term
 		}
 	}
 	return leader
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -16,7 +16,7 @@
 // diskWrite is what one raft.Ready asks to be stored. Ready.ResetLog needs no write: the storage dropped the same
 // entries when the snapshot that caused it was written.
 type diskWrite struct {
-	hard          *raft.HardState
+	hardState     *raft.HardState
 	entries       []raft.Entry
 	sendAfterSync []raft.Message // must not be sent before the write is synced
 }
@@ -53,8 +53,8 @@
 	return batch
 }
 
-// synced records that the log is stored up to index, except for entries that queued writes will replace.
-func (q *diskQueue) synced(index uint64) {
+// onSynced records that the log is stored up to index, except for entries that queued writes will replace.
+func (q *diskQueue) onSynced(index uint64) {
 	q.durable = index
 	for _, w := range q.writes {
 		if len(w.entries) > 0 {
@@ -116,20 +116,20 @@
 }
 
 // recordsOf returns the log records of a batch.
-func recordsOf(batch []diskWrite) (out []storage.Record, err error) {
+func recordsOf(batch []diskWrite) (records []storage.Record, err error) {
 	for _, w := range batch {
-		if w.hard != nil {
-			data, err := json.Marshal(w.hard)
+		if w.hardState != nil {
+			data, err := json.Marshal(w.hardState)
 			if err != nil {
 				return nil, errs.Wrap(err, errs.Internal, "encode the hard state")
 			}
-			out = append(out, storage.Record{Kind: storage.KindHardState, Data: data})
+			records = append(records, storage.Record{Kind: storage.KindHardState, Data: data})
 		}
 		for _, e := range w.entries {
-			out = append(out, storage.Record{Kind: uint8(e.Kind), Term: e.Term, Index: e.Index, Data: e.Data})
+			records = append(records, storage.Record{Kind: uint8(e.Kind), Term: e.Term, Index: e.Index, Data: e.Data})
 		}
 	}
-	return out, nil
+	return records, nil
 }
 
 // onStored enqueues the messages that depended on a stored batch, and reports the sync to the core, the snapshotter and
@@ -147,7 +147,7 @@
 	}
 	if last.Index > 0 {
 		s.core.Synced(s.clock.Now(), last.Index, last.Term)
-		s.disk.synced(last.Index)
+		s.disk.onSynced(last.Index)
 		signal(s.snapshots.wake)
 	}
 	signal(s.wakeLoop)
--- a/internal/store/downloadsnapshot.go
+++ b/internal/store/downloadsnapshot.go
@@ -19,13 +19,13 @@
 
 // download is a partly downloaded snapshot of another member. The goroutine fetch owns it.
 type download struct {
-	head internalapi.ChunkAnswer // the newest chunk's answer; Number is 0 before the first
-	body []byte                  // the bytes so far, from the first on
-	left int                     // attempts left without progress
+	head         internalapi.ChunkAnswer // the newest chunk's answer; Number is 0 before the first
+	body         []byte                  // the bytes so far, from the first on
+	attemptsLeft int                     // attempts left without progress
 }
 
 // restart begins again at the first byte of the newest snapshot; it counts as an attempt.
-func (d *download) restart() { *d = download{left: d.left - 1} }
+func (d *download) restart() { *d = download{attemptsLeft: d.attemptsLeft - 1} }
 
 // isComplete reports whether all bytes of the snapshot are there.
 func (d *download) isComplete() bool { return d.head.Number != 0 && int64(len(d.body)) >= d.head.Size }
@@ -37,19 +37,19 @@
 	case errs.Is(err, errs.Unknown) && d.head.Number != 0: // replaced by a newer snapshot
 		d.restart()
 	case err != nil:
-		d.left--
+		d.attemptsLeft--
 	case d.head.Number != 0 && (a.Number != d.head.Number || a.Sum != d.head.Sum || a.Size != d.head.Size):
 		d.restart()
 	case len(a.Data) == 0 && int64(len(d.body)) < a.Size || a.Size > math.MaxInt32*16:
 		return errs.New(errs.Malformed, "an empty part at %d of %d bytes", len(d.body), a.Size)
 	default:
-		d.head, d.body, d.left = a, append(d.body, a.Data...), downloadTries
+		d.head, d.body, d.attemptsLeft = a, append(d.body, a.Data...), downloadTries
 	}
 	return nil
 }
 
-// verified checks the downloaded bytes against their checksum and against the requested snapshot, and returns them.
-func (d *download) verified(wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
+// verify checks the downloaded bytes against their checksum and against the requested snapshot, and returns them.
+func (d *download) verify(wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
 	meta, err := decodeSnapshotMeta(d.head.Meta)
 	if err != nil {
 		return nil, errs.Pass(err, "snapshot of %s", wanted.From)
@@ -69,7 +69,7 @@
 // download downloads the chunks of a snapshot in order. After a failed call it resumes at the byte it reached; it fails
 // after downloadTries attempts without progress.
 func (s *Store) download(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
-	d := download{left: downloadTries}
+	d := download{attemptsLeft: downloadTries}
 	for {
 		call := internalapi.ChunkCall{Number: d.head.Number, From: int64(len(d.body)), Max: downloadChunk}
 		a, err := s.opt.Net.FetchChunk(ctx, wanted.From, call)
@@ -79,10 +79,10 @@
 		if d.isComplete() {
 			break
 		}
-		if d.left == 0 || err != nil && !s.sleep(ctx, retryInterval) {
+		if d.attemptsLeft == 0 || err != nil && !s.sleep(ctx, retryInterval) {
 			return nil, errs.Pass(err, "no chunk after byte %d", len(d.body))
 		}
 	}
-	fetched, err := d.verified(wanted)
+	fetched, err := d.verify(wanted)
 	return fetched, errs.Pass(err, "verify")
 }
--- a/internal/store/gc.go
+++ b/internal/store/gc.go
@@ -33,14 +33,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	live := s.live
-	nothing := len(live.EndedJobs)+len(live.TombstoneOrder)+len(live.OrderKeys) == 0 && !live.Accounts.HasReservations()
-	if s.leadership.term == 0 || nothing {
+	records := len(live.EndedJobs) + len(live.TombstoneOrder) + len(live.OrderKeys)
+	if s.leadership.term == 0 || records == 0 && !live.Accounts.HasReservations() {
 		return nil
 	}
-	at := s.clock.Wall()
+	wall := s.clock.Wall()
 	return &command.Purge{
-		JobsBefore: at.Add(-s.settings.KeepEndedFor), JobsKeep: s.settings.KeepEnded,
-		TombstonesBefore: at.Add(-s.settings.KeepTombstonesFor), TombstonesKeep: s.settings.KeepTombstones,
-		OrdersBefore: at.Add(-s.settings.KeepTombstonesFor),
+		JobsBefore: wall.Add(-s.settings.KeepEndedFor), JobsKeep: s.settings.KeepEnded,
+		TombstonesBefore: wall.Add(-s.settings.KeepTombstonesFor), TombstonesKeep: s.settings.KeepTombstones,
+		OrdersBefore: wall.Add(-s.settings.KeepTombstonesFor),
 	}
 }
--- a/internal/store/installsnapshot.go
+++ b/internal/store/installsnapshot.go
@@ -48,7 +48,7 @@
 
 // fetchAndInstall downloads a snapshot and passes it to runSnapshotter.
 func (s *Store) fetchAndInstall(ctx context.Context, wanted raft.FetchSnapshot) error {
-	fetched, err := s.fetchDecoded(ctx, wanted)
+	fetched, err := s.downloadAndDecode(ctx, wanted)
 	if err != nil {
 		return errs.Pass(err, "fetch")
 	}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// fetchDecoded downloads a snapshot and decodes it, ready to be installed.
-func (s *Store) fetchDecoded(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
+// downloadAndDecode downloads a snapshot and decodes it, ready to be installed.
+func (s *Store) downloadAndDecode(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
 	fetched, err := s.download(ctx, wanted)
 	if err != nil {
 		return nil, errs.Pass(err, "download")
@@ -117,15 +117,15 @@
 	if err != nil {
 		return errs.Pass(err, "store")
 	}
-	replica, err := state.Decode(fetched.image.Body)
+	snapshotterState, err := state.Decode(fetched.image.Body)
 	if err != nil {
 		return errs.Pass(err, "decode a fetched snapshot")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.snapshots.written(fetched.meta, len(fetched.image.Body))
+	s.snapshots.onWritten(fetched.meta, len(fetched.image.Body))
 	s.core.SnapshotInstalled(s.clock.Now(), fetched.meta)
-	s.snapshotter = snapshotter{state: replica, members: fetched.meta.Members}
+	s.snapshotter = snapshotter{state: snapshotterState, members: fetched.meta.Members}
 	s.snapshots.committed, s.snapshots.unsnapshottedBytes, s.unapplied = nil, 0, nil
 	s.disk.durable = max(s.disk.durable, fetched.meta.Index)
 	s.replaceState(fetched.live)
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -30,9 +30,9 @@
 	call := s.joinCall()
 	for i := 0; ; i++ {
 		s.mu.Lock()
-		addr, voter := s.status.LeaderAddr, s.status.Voter
+		addr, isVoter := s.status.LeaderAddr, s.status.Voter
 		s.mu.Unlock()
-		if voter {
+		if isVoter {
 			_ = level.Info(s.logger).Log("msg", "joined as a voter", "id", s.id)
 			return
 		}
@@ -63,17 +63,17 @@
 	leader := ""
 	for {
 		s.mu.Lock()
-		voter, uncommitted := s.isCommittedVoter(), s.status.Voter
+		isVoter, isVoterInLog := s.isCommittedVoter(), s.status.Voter
 		call.Since = s.core.MemberSince()
 		s.mu.Unlock()
-		if voter {
+		if isVoter {
 			_ = level.Info(s.logger).Log("msg", "joined as a voter", "id", s.id)
 			return
 		}
-		if leader == "" && !uncommitted {
+		if leader == "" && !isVoterInLog {
 			leader = s.findLeader(ctx)
 		}
-		if leader != "" && !uncommitted {
+		if leader != "" && !isVoterInLog {
 			err := s.askToJoin(ctx, leader, call)
 			if errs.Is(err, errs.Stale) {
 				s.discardAndRejoin(leader)
@@ -128,7 +128,7 @@
 	}
 	s.mu.Lock()
 	err := s.checkLeader()
-	st := s.status
+	status := s.status
 	predecessor, isSuccessor := s.live.Successors[name]
 	s.mu.Unlock()
 	if err != nil {
@@ -136,30 +136,30 @@
 	}
 	if !isSuccessor {
 		predecessor = name
-		if err := s.checkNameKnown(name, st.Members); err != nil {
+		if err := s.checkNameKnown(name, status.Members); err != nil {
 			return internalapi.JoinAnswer{}, errs.Pass(err, "join")
 		}
 	}
-	out := internalapi.JoinAnswer{RetryAfter: retryInterval, Members: addressesOf(st.Members)}
+	answer := internalapi.JoinAnswer{RetryAfter: retryInterval, Members: addressesOf(status.Members)}
 	if s.settings.OpenMembership {
-		out.RetryAfter = joinInterval
+		answer.RetryAfter = joinInterval
 	}
-	plan := planJoin(st.Members, call.ID, predecessor)
-	if plan.at >= 0 && !plan.next[plan.at].Learner {
+	plan := planJoin(status.Members, call.ID, predecessor)
+	if plan.position >= 0 && !plan.next[plan.position].Learner {
 		return internalapi.JoinAnswer{Voter: true}, nil
 	}
-	if plan.at < 0 {
+	if plan.position < 0 {
 		if err := s.checkNotRemoved(call); err != nil {
 			return internalapi.JoinAnswer{}, errs.Pass(err, "join")
 		}
 		learner := raft.Member{ID: call.ID, Addr: call.Addr, Zone: call.Zone, Incarnation: incarnation, Learner: true}
-		return out, errs.Pass(s.changeMembers(st.Members, append(plan.next, learner)), "join as a learner")
+		return answer, errs.Pass(s.changeMembers(status.Members, append(plan.next, learner)), "join as a learner")
 	}
-	out.Learner = true
-	if match := st.Match[call.ID]; match == 0 || match+maxLearnerLag < st.Last {
-		return out, nil
+	answer.Learner = true
+	if match := status.Match[call.ID]; match == 0 || match+maxLearnerLag < status.Last {
+		return answer, nil
 	}
-	return out, errs.Pass(s.promoteLearner(ctx, plan), "promote")
+	return answer, errs.Pass(s.promoteLearner(ctx, plan), "promote")
 }
 
 // checkNameKnown rejects a node whose name neither the members nor the settings of a fixed fleet have. Failure:
@@ -180,25 +180,25 @@
 
 // joinPlan is what planJoin derives from the member set for a node that joins.
 type joinPlan struct {
-	from []raft.Member // the member set in force
-	next []raft.Member // from, without earlier incarnations of the node that are still learners
-	at   int           // the node's position in next; -1: it is not a member
-	old  *raft.Member  // the voter that it replaces; nil: none
+	from     []raft.Member // the member set in force
+	next     []raft.Member // from, without earlier incarnations of the node that are still learners
+	position int           // the node's position in next; -1: it is not a member
+	replaced *raft.Member  // the voter that it replaces; nil: none
 }
 
 // planJoin derives the joinPlan of the node id. predecessor is the name of the node that it replaces: another's if an
 // operator said so, else its own.
 func planJoin(members []raft.Member, id, predecessor string) joinPlan {
 	name := NameOf(id)
-	plan := joinPlan{from: members, next: make([]raft.Member, 0, len(members)+1), at: -1}
+	plan := joinPlan{from: members, next: make([]raft.Member, 0, len(members)+1), position: -1}
 	for _, m := range members {
 		switch {
 		case m.ID == id:
-			plan.at = len(plan.next)
+			plan.position = len(plan.next)
 		case NameOf(m.ID) == name && m.Learner:
 			continue
 		case NameOf(m.ID) == name || NameOf(m.ID) == predecessor:
-			plan.old = &m
+			plan.replaced = &m
 		}
 		plan.next = append(plan.next, m)
 	}
@@ -209,17 +209,17 @@
 // voter that the learner replaces, which must not be alive, or a silent voter of an open fleet. Failures: Conflict, and
 // those of changeMembers.
 func (s *Store) promoteLearner(ctx context.Context, plan joinPlan) error {
-	if old := plan.old; old != nil {
+	if old := plan.replaced; old != nil {
 		if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, s.discoverCall()); err == nil && a.ID == old.ID {
 			return errs.Field(errs.Conflict, "name", "%s is alive at %s", old.ID, old.Addr)
 		}
-		return errs.Pass(s.changeMembers(plan.from, without(plan.next, old.ID)), "remove %s", old.ID)
+		return errs.Pass(s.changeMembers(plan.from, withoutMember(plan.next, old.ID)), "remove %s", old.ID)
 	}
 	if silent := s.silentVoter(plan.from); silent != "" {
-		return errs.Pass(s.changeMembers(plan.from, without(plan.next, silent)), "remove %s before a new voter",
+		return errs.Pass(s.changeMembers(plan.from, withoutMember(plan.next, silent)), "remove %s before a new voter",
 			silent)
 	}
-	plan.next[plan.at].Learner = false
+	plan.next[plan.position].Learner = false
 	return errs.Pass(s.changeMembers(plan.from, plan.next), "join as a voter")
 }
 
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -16,33 +16,33 @@
 // leadership is this node's state as the leader, reset when it gains or loses the leadership. A Store owns it; guarded
 // by Store.mu.
 type leadership struct {
-	term   uint64        // in which this node leads; 0: it does not lead
-	since  time.Duration // when this node began or ceased to lead
-	leases *roleLeases   // active from when the leader's lease is first confirmed in this term
+	term      uint64        // in which this node leads; 0: it does not lead
+	changedAt time.Duration // when this node began or ceased to lead
+	leases    *roleLeases   // active from when the leader's lease is first confirmed in this term
 }
 
 // onStatusChange acts on the status of the core after each pass: when this node gains or loses the leadership it fails
 // the proposals and drops the role leases; once the leader's lease is confirmed it starts to count role leases; and it
 // makes the peers match the member set. s.mu must be held.
 func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
-	st := &s.status
-	if before.Role != st.Role || before.Leader != st.Leader || before.Term != st.Term {
-		_ = level.Info(s.logger).Log("msg", "raft role changed", "role", st.Role, "term", st.Term, "leader", st.Leader,
-			"commit", st.Commit)
+	status := &s.status
+	if before.Role != status.Role || before.Leader != status.Leader || before.Term != status.Term {
+		_ = level.Info(s.logger).Log("msg", "raft role changed", "role", status.Role, "term", status.Term,
+			"leader", status.Leader, "commit", status.Commit)
 	}
 	term := uint64(0)
-	if st.Role == raft.Leader {
-		term = st.Term
+	if status.Role == raft.Leader {
+		term = status.Term
 	}
-	lead := &s.leadership
-	if term != lead.term {
+	leadership := &s.leadership
+	if term != leadership.term {
 		s.proposals.failAll(errs.New(errs.Timeout, "the leader changed; the proposal may or may not be committed"))
-		lead.leases.StepDown()
-		lead.term, lead.since = term, now
+		leadership.leases.StepDown()
+		leadership.term, leadership.changedAt = term, now
 	}
-	if term != 0 && !lead.leases.Active() {
+	if term != 0 && !leadership.leases.Active() {
 		if commit, ok := s.core.LeaseReadIndex(now); ok && s.live.Index >= commit {
-			lead.leases.BecomeLeader(now, s.live.Roles)
+			leadership.leases.BecomeLeader(now, s.live.Roles)
 		}
 	}
 	s.progress.onApplied(s.live.Index)
@@ -66,11 +66,11 @@
 	return s.leadership.term, hasLease && s.live.Index >= commit
 }
 
-// inTakeover reports whether this node has led for less than takeoverPeriod.
-func (s *Store) inTakeover() bool {
+// isInTakeover reports whether this node has led for less than takeoverPeriod.
+func (s *Store) isInTakeover() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leadership.term != 0 && s.clock.Now()-s.leadership.since < takeoverPeriod
+	return s.leadership.term != 0 && s.clock.Now()-s.leadership.changedAt < takeoverPeriod
 }
 
 // TransferLeadership asks another voter to take over if this node leads, and waits until it no longer does, for one
@@ -89,11 +89,11 @@
 		_ = level.Warn(s.logger).Log("msg", "leadership transfer failed", "err", err)
 		return
 	}
-	for end := s.clock.Now() + s.settings.Election; s.clock.Now() < end && s.sleep(ctx, pollInterval); {
+	for deadline := s.clock.Now() + s.settings.Election; s.clock.Now() < deadline && s.sleep(ctx, pollInterval); {
 		s.mu.Lock()
-		leads := s.status.Role == raft.Leader
+		isLeader := s.status.Role == raft.Leader
 		s.mu.Unlock()
-		if !leads {
+		if !isLeader {
 			_ = level.Info(s.logger).Log("msg", "leadership transferred", "to", to)
 			return
 		}
@@ -115,15 +115,15 @@
 // of the log, and among equals the one heard from last. It returns "" if there is none. s.mu must be held.
 func (s *Store) successor() (to string) {
 	now := s.clock.Now()
-	var newest time.Duration
+	var newestContact time.Duration
 	for _, m := range s.status.Members {
 		heard, ok := s.core.LastContact(now, m.ID)
 		if m.ID == s.id || m.Learner || !ok || now-heard >= s.settings.Election {
 			continue
 		}
-		more := s.status.Match[m.ID] > s.status.Match[to]
-		if to == "" || more || s.status.Match[m.ID] == s.status.Match[to] && heard > newest {
-			to, newest = m.ID, heard
+		hasMore := s.status.Match[m.ID] > s.status.Match[to]
+		if to == "" || hasMore || s.status.Match[m.ID] == s.status.Match[to] && heard > newestContact {
+			to, newestContact = m.ID, heard
 		}
 	}
 	return to
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -116,9 +116,9 @@
 func (s *Store) sleep(ctx context.Context, d time.Duration) bool { return sleep(ctx, s.clock, d) }
 
 // sleep waits for d on a clock and reports whether that passed before ctx ended.
-func sleep(ctx context.Context, by clock.Clock, d time.Duration) bool {
+func sleep(ctx context.Context, clk clock.Clock, d time.Duration) bool {
 	expired := make(chan struct{})
-	defer by.Set(d, func() { close(expired) }).Stop()
+	defer clk.Set(d, func() { close(expired) }).Stop()
 	select {
 	case <-expired:
 		return true
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -86,18 +86,18 @@
 }
 
 // TakeMessages removes all queued messages and returns them as calls, ordered by the receiver's ID.
-func (d *ManualDriver) TakeMessages() (out []OutboundCall) {
+func (d *ManualDriver) TakeMessages() (calls []OutboundCall) {
 	if d.store.halted {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.store.peers.byID)) {
-		p := d.store.peers.byID[id]
-		for len(p.queue) > 0 {
-			call := internalapi.RaftCall{From: d.store.settings.Addr, Messages: p.takeBatch()}
-			out = append(out, OutboundCall{p.addr, call})
+		peer := d.store.peers.byID[id]
+		for len(peer.queue) > 0 {
+			call := internalapi.RaftCall{From: d.store.settings.Addr, Messages: peer.takeBatch()}
+			calls = append(calls, OutboundCall{peer.addr, call})
 		}
 	}
-	return out
+	return calls
 }
 
 // DiskBatch is the writes that one sync stores.
@@ -111,8 +111,8 @@
 	if d.store.disk.busySince != 0 || d.store.halted {
 		return nil
 	}
-	if w := d.store.takeDiskWrites(); len(w) > 0 {
-		return &DiskBatch{d.store, w}
+	if writes := d.store.takeDiskWrites(); len(writes) > 0 {
+		return &DiskBatch{d.store, writes}
 	}
 	return nil
 }
@@ -124,17 +124,17 @@
 func (b *DiskBatch) MarkStored() { b.store.onStored(b.writes) }
 
 // Entries returns the log entries in the batch, in the order of writing.
-func (b *DiskBatch) Entries() (out []raft.Entry) {
+func (b *DiskBatch) Entries() (entries []raft.Entry) {
 	for _, w := range b.writes {
-		out = append(out, w.entries...)
+		entries = append(entries, w.entries...)
 	}
-	return out
+	return entries
 }
 
 // RunSnapshotter applies durable entries to the snapshotter's state, writes the snapshots that are due, and installs a
 // fetched one once the disk is idle.
 func (d *ManualDriver) RunSnapshotter() error {
-	fetched, err := d.store.applyStored(context.Background())
+	fetched, err := d.store.applyDurableEntries(context.Background())
 	if err != nil {
 		return errs.Pass(err, "apply durable entries")
 	}
@@ -158,7 +158,7 @@
 	d.wanted, d.store.snapshots.fetching = nil, false
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // no pauses between tries
-	fetched, err := d.store.fetchDecoded(ctx, wanted)
+	fetched, err := d.store.downloadAndDecode(ctx, wanted)
 	if err == nil {
 		d.store.snapshots.toInstall = fetched
 	}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -75,37 +75,37 @@
 }
 
 // addressesOf returns the addresses of members: voters, then learners.
-func addressesOf(members []raft.Member) (out []string) {
+func addressesOf(members []raft.Member) (addresses []string) {
 	for _, learner := range []bool{false, true} {
 		for _, m := range members {
 			if m.Learner == learner {
-				out = append(out, m.Addr)
+				addresses = append(addresses, m.Addr)
 			}
 		}
 	}
-	return out
+	return addresses
 }
 
 // seedsOf converts members to the type used in settings.
 func seedsOf(members []raft.Member) []config.Member {
-	out := make([]config.Member, len(members))
+	seeds := make([]config.Member, len(members))
 	for i, m := range members {
-		out[i] = config.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
+		seeds[i] = config.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
 	}
-	return out
+	return seeds
 }
 
-// without returns a copy of members without the member id.
-func without(members []raft.Member, id string) []raft.Member {
+// withoutMember returns a copy of members without the member id.
+func withoutMember(members []raft.Member, id string) []raft.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m raft.Member) bool { return m.ID == id })
 }
 
 // voterCount returns the number of voters among members.
-func voterCount(members []raft.Member) (n int) {
+func voterCount(members []raft.Member) (voters int) {
 	for _, m := range members {
 		if !m.Learner {
-			n++
+			voters++
 		}
 	}
-	return n
+	return voters
 }
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -66,28 +66,28 @@
 func (c *collector) Collect(to chan<- prometheus.Metric) {
 	s := c.store
 	s.mu.Lock()
-	st, applied, waiting := s.status, s.live.Index, s.proposals.count
+	status, applied, waiting := s.status, s.live.Index, s.proposals.count
 	figures, accounts := query.Count(s.live), query.Accounts(s.live)
 	s.mu.Unlock()
 	var disk storage.Stats
 	if s.storage != nil {
 		disk = s.storage.Stats()
 	}
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
+		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 	}
 	for _, role := range []raft.Role{raft.Follower, raft.PreCandidate, raft.Candidate, raft.Leader} {
-		v := 0.0
-		if st.Role == role {
-			v = 1
+		value := 0.0
+		if status.Role == role {
+			value = 1
 		}
-		gauge(descRole, v, string(role))
+		gauge(descRole, value, string(role))
 	}
-	gauge(descTerm, float64(st.Term))
-	gauge(descCommit, float64(st.Commit))
+	gauge(descTerm, float64(status.Term))
+	gauge(descCommit, float64(status.Commit))
 	gauge(descApplied, float64(applied))
 	gauge(descWaiting, float64(waiting))
-	to <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(st.Refused))
+	to <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(status.Refused))
 	to <- prometheus.MustNewConstMetric(descLog, prometheus.CounterValue, float64(disk.Bytes))
 	to <- prometheus.MustNewConstMetric(descWrites, prometheus.CounterValue, float64(disk.Snapshots))
 	gauge(descState, float64(figures.Jobs), "jobs")
--- a/internal/store/operatorkeys.go
+++ b/internal/store/operatorkeys.go
@@ -25,16 +25,16 @@
 	}
 	for s.sleep(ctx, operatorKeysInterval) {
 		s.mu.Lock()
-		leads := s.leadership.term != 0 && s.leadership.leases.Active()
-		installed, same := len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
+		isLeader := s.leadership.term != 0 && s.leadership.leases.Active()
+		areInstalled, areSame := len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
 		s.mu.Unlock()
-		if installed {
-			if !same {
+		if areInstalled {
+			if !areSame {
 				_ = level.Warn(s.logger).Log("msg", "operator_keys differ from the stored ones, which apply")
 			}
 			return
 		}
-		if !leads {
+		if !isLeader {
 			continue
 		}
 		if _, _, err := s.Propose(ctx, &command.SetOperators{Operators: operators}); err != nil {
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -145,16 +145,16 @@
 		}
 		s.mu.Lock()
 		batch := p.takeBatch()
-		more := len(p.queue) > 0
-		halted := s.halted
+		hasMore := len(p.queue) > 0
+		isHalted := s.halted
 		s.mu.Unlock()
-		if len(batch) == 0 || halted {
+		if len(batch) == 0 || isHalted {
 			continue
 		}
 		if !s.sendBatch(ctx, p, batch, inFlight) {
 			return
 		}
-		if more {
+		if hasMore {
 			signal(p.wake)
 		}
 	}
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -31,7 +31,7 @@
 	onlyTerm uint64        // the only term in which it may be proposed; 0: any
 	term     uint64        // of its log entry; 0 while it is pending
 	index    uint64        // of its log entry, likewise
-	since    time.Duration // when it was added, on the store's clock
+	addedAt  time.Duration // when it was added, on the store's clock
 	done     chan outcome  // capacity 1, for the only outcome: finish never blocks
 	finished bool          // the outcome was sent to done
 }
@@ -48,8 +48,8 @@
 	bytes   int                // of data in pending and inLog
 }
 
-func newProposals(by clock.Clock, commitSeconds prometheus.Observer) proposals {
-	return proposals{clock: by, commitSeconds: commitSeconds, inLog: map[uint64]*waiter{}}
+func newProposals(clk clock.Clock, commitSeconds prometheus.Observer) proposals {
+	return proposals{clock: clk, commitSeconds: commitSeconds, inLog: map[uint64]*waiter{}}
 }
 
 // isFull reports whether another command of n bytes would exceed the bounds.
@@ -61,7 +61,7 @@
 func (p *proposals) add(w *waiter) {
 	p.count++
 	p.bytes += len(w.data)
-	w.since = p.clock.Now()
+	w.addedAt = p.clock.Now()
 	p.pending = append(p.pending, w)
 }
 
@@ -74,7 +74,7 @@
 	p.count--
 	p.bytes -= len(w.data)
 	if o.err == nil {
-		p.commitSeconds.Observe((p.clock.Now() - w.since).Seconds())
+		p.commitSeconds.Observe((p.clock.Now() - w.addedAt).Seconds())
 	}
 	w.done <- o
 }
@@ -111,8 +111,8 @@
 	return batch
 }
 
-// entered records that a batch is in the log, from the index first on, or, with an error, that it is not.
-func (p *proposals) entered(batch []*waiter, first, term uint64, err error) {
+// onProposed records that a batch is in the log, from the index first on, or, with an error, that it is not.
+func (p *proposals) onProposed(batch []*waiter, first, term uint64, err error) {
 	for i, w := range batch {
 		if err != nil {
 			p.finish(w, outcome{err: err})
@@ -123,9 +123,9 @@
 	}
 }
 
-// applied ends the proposal whose entry was applied, if it was made here. An entry of another term at its index means
+// onApplied ends the proposal whose entry was applied, if it was made here. An entry of another term at its index means
 // that another leader overwrote the proposal.
-func (p *proposals) applied(e raft.Entry, answer any, err error) {
+func (p *proposals) onApplied(e raft.Entry, answer any, err error) {
 	w := p.inLog[e.Index]
 	if w == nil {
 		return
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -45,9 +45,9 @@
 func (s *Store) ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	_, answer, err := s.Propose(ctx, c)
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
-		body, bad := json.Marshal(c)
-		if bad != nil {
-			return nil, errs.Wrap(bad, errs.Malformed, "encode %s", c.Op())
+		body, encodeErr := json.Marshal(c)
+		if encodeErr != nil {
+			return nil, errs.Wrap(encodeErr, errs.Malformed, "encode %s", c.Op())
 		}
 		a, err := s.opt.Net.Propose(ctx, errs.Of(err).Hint, internalapi.ProposeCall{Op: c.Op(), Body: body})
 		return a.Answer, errs.Pass(hideNotLeader(err), "propose %s", c.Op())
@@ -86,13 +86,13 @@
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose %s", call.Op)
 	}
-	out := internalapi.ProposeAnswer{Index: index}
+	reply := internalapi.ProposeAnswer{Index: index}
 	if answer != nil {
-		if out.Answer, err = json.Marshal(answer); err != nil {
-			return out, errs.Wrap(err, errs.Internal, "encode the answer to %s", call.Op)
+		if reply.Answer, err = json.Marshal(answer); err != nil {
+			return reply, errs.Wrap(err, errs.Internal, "encode the answer to %s", call.Op)
 		}
 	}
-	return out, nil
+	return reply, nil
 }
 
 // proposeAndWait proposes c, only in the given term unless that is 0, and waits for the outcome.
@@ -163,7 +163,7 @@
 	}
 	first, term, err := s.core.Propose(now, data...)
 	s.metrics.proposals.Add(float64(len(batch)))
-	s.proposals.entered(batch, first, term, err)
+	s.proposals.onProposed(batch, first, term, err)
 }
 
 // checkLeader returns nil if this node leads as far as it knows; its lease may have expired. Failures: NotLeader
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -27,9 +27,9 @@
 }
 
 // observeOwn records the bundle version of the live state, and the time if it is a new one.
-func (r *rolloutReport) observeOwn(node string, version uint64, by clock.Clock) {
+func (r *rolloutReport) observeOwn(node string, version uint64, clk clock.Clock) {
 	if r.own.Version != version {
-		r.own = internalapi.NodeBundle{Node: node, Kind: "cplane", Version: version, Since: by.Wall()}
+		r.own = internalapi.NodeBundle{Node: node, Kind: "cplane", Version: version, Since: clk.Wall()}
 	}
 }
 
@@ -47,11 +47,11 @@
 func (r *rolloutReport) nodes(now time.Time) []internalapi.NodeBundle {
 	own := r.own
 	own.Heard = now
-	out := []internalapi.NodeBundle{own}
+	nodes := []internalapi.NodeBundle{own}
 	for _, name := range slices.Sorted(maps.Keys(r.followers)) {
-		out = append(out, r.followers[name])
+		nodes = append(nodes, r.followers[name])
 	}
-	return out
+	return nodes
 }
 
 // recordFollowerBundle records the bundle version in a call to Follow, if the call names its node.
@@ -92,7 +92,7 @@
 			continue
 		}
 		for _, n := range a.Nodes {
-			if have, ok := newest[n.Kind+n.Node]; !ok || n.Heard.After(have.Heard) {
+			if known, ok := newest[n.Kind+n.Node]; !ok || n.Heard.After(known.Heard) {
 				newest[n.Kind+n.Node] = n
 			}
 		}
--- a/internal/store/servesnapshot.go
+++ b/internal/store/servesnapshot.go
@@ -50,13 +50,13 @@
 
 // dropIdle drops the snapshots that were not used for snapshotCacheIdle.
 func (c *snapshotCache) dropIdle(now time.Duration) {
-	list := c.images[:0:0]
+	used := c.images[:0:0]
 	for _, cached := range c.images {
 		if now-cached.lastUsed < snapshotCacheIdle {
-			list = append(list, cached)
+			used = append(used, cached)
 		}
 	}
-	c.images = list
+	c.images = used
 }
 
 // Chunk returns a chunk of the snapshot call.Number, or of the newest if that is 0. Failures: Unknown if that snapshot
--- a/internal/store/silentmembers.go
+++ b/internal/store/silentmembers.go
@@ -21,24 +21,24 @@
 		return
 	}
 	members := s.status.Members
-	gone := ""
+	candidate := ""
 	if voterCount(members)%2 == 0 {
-		gone = s.longestSilentVoter(now, members)
+		candidate = s.longestSilentVoter(now, members)
 	}
 	for _, m := range members {
-		if gone == "" && m.Learner && s.silentFor(now, m.ID) >= silentLearnerTimeout {
-			gone = m.ID
+		if candidate == "" && m.Learner && s.silentFor(now, m.ID) >= silentLearnerTimeout {
+			candidate = m.ID
 		}
 	}
-	if gone == "" {
+	if candidate == "" {
 		return
 	}
-	silent := s.silentFor(now, gone)
-	if err := s.proposeMembers(now, members, without(members, gone)); err != nil {
-		_ = level.Debug(s.logger).Log("msg", "silent member not removed", "id", gone, "err", err)
+	silent := s.silentFor(now, candidate)
+	if err := s.proposeMembers(now, members, withoutMember(members, candidate)); err != nil {
+		_ = level.Debug(s.logger).Log("msg", "silent member not removed", "id", candidate, "err", err)
 		return
 	}
-	_ = level.Warn(s.logger).Log("msg", "removing a silent member", "id", gone, "silent", silent)
+	_ = level.Warn(s.logger).Log("msg", "removing a silent member", "id", candidate, "silent", silent)
 }
 
 // silentVoter is longestSilentVoter for callers without s.mu; "" in a fixed fleet.
@@ -60,7 +60,7 @@
 			id, longest = m.ID, d
 		}
 	}
-	if id == "" || !s.hasLiveMajority(now, without(members, id)) {
+	if id == "" || !s.hasLiveMajority(now, withoutMember(members, id)) {
 		return ""
 	}
 	return id
--- a/internal/store/smallfile.go
+++ b/internal/store/smallfile.go
@@ -27,9 +27,9 @@
 // new one, complete. Failure: Disk.
 func writeFile(d storage.Disk, name, content string) error {
 	temporary := name + ".tmp"
-	if _, left, err := readFile(d, temporary); err != nil {
+	if _, exists, err := readFile(d, temporary); err != nil {
 		return errs.Pass(err, "look for %s", temporary)
-	} else if left { // of a write that crashed
+	} else if exists { // of a write that crashed
 		if err := d.Remove(temporary); err != nil {
 			return errs.Pass(err, "remove %s", temporary)
 		}
@@ -42,8 +42,8 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if bad := f.Close(); err == nil {
-		err = bad
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = d.Rename(temporary, name)
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -30,8 +30,8 @@
 	toInstall          *fetchedSnapshot     // fetched and not taken by the snapshotter yet; nil: none
 }
 
-// written records the newest snapshot on the disk.
-func (q *snapshots) written(meta raft.Meta, bytes int) {
+// onWritten records the newest snapshot on the disk.
+func (q *snapshots) onWritten(meta raft.Meta, bytes int) {
 	q.newest = internalapi.Snapshot{Number: q.newest.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(bytes)}
 }
 
@@ -116,7 +116,7 @@
 			return
 		case <-s.snapshots.wake:
 		}
-		fetched, err := s.applyStored(ctx)
+		fetched, err := s.applyDurableEntries(ctx)
 		if err == nil && fetched != nil {
 			err = s.installFetched(ctx, fetched)
 			close(fetched.done)
@@ -131,17 +131,17 @@
 	}
 }
 
-// applyStored applies the durable entries to the snapshotter's state, writes the snapshots that fall due in between,
-// and returns the fetched snapshot that is to be installed, if any.
-func (s *Store) applyStored(ctx context.Context) (*fetchedSnapshot, error) {
-	fetched, batch := s.takeStored()
+// applyDurableEntries applies the durable entries to the snapshotter's state, writes the snapshots that fall due in
+// between, and returns the fetched snapshot that is to be installed, if any.
+func (s *Store) applyDurableEntries(ctx context.Context) (*fetchedSnapshot, error) {
+	fetched, batch := s.takeDurableEntries()
 	if len(batch) > 0 {
 		if err := s.snapshotter.loadInitial(); err != nil {
 			return fetched, errs.Pass(err, "load the recovered snapshot")
 		}
 	}
 	for i := range batch {
-		if err := s.applyToReplica(ctx, batch[i]); err != nil {
+		if err := s.applyToSnapshotter(ctx, batch[i]); err != nil {
 			return fetched, errs.Pass(err, "apply to the snapshotter's state")
 		}
 		batch[i].Data = nil
@@ -149,9 +149,9 @@
 	return fetched, nil
 }
 
-// takeStored takes the fetched snapshot that is to be installed, if any, and the durable entries. While the live state
-// is catching up it takes no entries, so that a restarted node serves sooner; each later pass signals again.
-func (s *Store) takeStored() (*fetchedSnapshot, []raft.Entry) {
+// takeDurableEntries takes the fetched snapshot that is to be installed, if any, and the durable entries. While the
+// live state is catching up it takes no entries, so that a restarted node serves sooner; each later pass signals again.
+func (s *Store) takeDurableEntries() (*fetchedSnapshot, []raft.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fetched := s.snapshots.toInstall
@@ -162,8 +162,8 @@
 	return fetched, s.snapshots.takeDurable(s.disk.durable)
 }
 
-// applyToReplica applies one entry to the snapshotter's state, and writes a snapshot if one is due.
-func (s *Store) applyToReplica(ctx context.Context, e raft.Entry) error {
+// applyToSnapshotter applies one entry to the snapshotter's state, and writes a snapshot if one is due.
+func (s *Store) applyToSnapshotter(ctx context.Context, e raft.Entry) error {
 	applied, err := s.snapshotter.apply(e)
 	if err != nil {
 		return errs.Pass(err, "apply to the snapshotter's state")
@@ -180,7 +180,7 @@
 	if s.snapshotter.bytes >= maxSnapshotLogBytes {
 		return true
 	}
-	return s.snapshotter.entries >= s.settings.SnapshotEvery && !s.inTakeover()
+	return s.snapshotter.entries >= s.settings.SnapshotEvery && !s.isInTakeover()
 }
 
 // writeSnapshot writes a snapshot of the snapshotter's state and compacts the core's log.
@@ -201,7 +201,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.snapshots.newest.Index
-	s.snapshots.written(meta, len(image.Body))
+	s.snapshots.onWritten(meta, len(image.Body))
 	s.core.SnapshotPersisted(meta)
 	s.snapshots.compactedBytes += s.snapshotter.bytes
 	s.core.Compact(s.compactionIndex(before))
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -11,16 +11,16 @@
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
 	Convey("The snapshotter takes no entries while the live state has some to catch up on", t, func() {
 		s := &Store{disk: diskQueue{durable: 9}, snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}}, unapplied: []raft.Entry{{Index: 11}}}
-		_, batch := s.takeStored()
+		_, batch := s.takeDurableEntries()
 		So(batch, ShouldBeEmpty)
 		s.unapplied = nil
-		_, batch = s.takeStored()
+		_, batch = s.takeDurableEntries()
 		So(batch, ShouldHaveLength, 2) // entry 10 is not stored here yet
 		So(s.snapshots.committed, ShouldHaveLength, 1)
 	})
 	Convey("A fetched snapshot does not wait for that", t, func() {
 		s := &Store{unapplied: []raft.Entry{{Index: 11}}, snapshots: snapshots{toInstall: &fetchedSnapshot{}}}
-		fetched, _ := s.takeStored()
+		fetched, _ := s.takeDurableEntries()
 		So(fetched, ShouldNotBeNil)
 	})
 }
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -63,13 +63,13 @@
 func (s *Store) Status() internalapi.StatusAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.checkReady(s.clock.Now()) == nil,
+	answer := internalapi.StatusAnswer{Applied: s.live.Index, Ready: s.checkReady(s.clock.Now()) == nil,
 		Roles: map[string]internalapi.RoleLease{}}
 	if s.core != nil {
-		out.Raft = s.core.Status()
+		answer.Raft = s.core.Status()
 	}
 	for name, r := range s.live.Roles {
-		out.Roles[name] = internalapi.RoleLease{Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
+		answer.Roles[name] = internalapi.RoleLease{Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
 	}
-	return out
+	return answer
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -153,24 +153,24 @@
 	if strings.Contains(opt.Settings.Name, "~") {
 		return nil, errs.Field(errs.Settings, "name", "must not hold ~, which sets the incarnation of a folder apart")
 	}
-	stats, set := newMetrics(), opt.Settings
+	metrics, settings := newMetrics(), opt.Settings
 	s := &Store{
 		opt:         opt,
-		settings:    set,
+		settings:    settings,
 		clock:       opt.Clock,
 		logger:      opt.Logger,
 		group:       routine.New(context.Background()),
-		metrics:     stats,
+		metrics:     metrics,
 		incarnation: opt.RandomID()[:12],
 		wakeLoop:    make(chan struct{}, 1),
 		live:        state.New(),
 		changed:     make(chan struct{}),
-		proposals:   newProposals(opt.Clock, stats.commits),
+		proposals:   newProposals(opt.Clock, metrics.commits),
 		disk:        diskQueue{wake: make(chan struct{}, 1)},
 		snapshots:   snapshots{wake: make(chan struct{}, 1)},
 		peers:       newPeers(),
 		progress:    newFollowerProgress(),
-		leadership:  leadership{leases: newRoleLeases(set.RoleLease, set.RoleLease/10)},
+		leadership:  leadership{leases: newRoleLeases(settings.RoleLease, settings.RoleLease/10)},
 		membership:  membership{known: map[string]bool{}},
 		rollout:     newRolloutReport(),
 	}
