--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -15,8 +15,8 @@
 	"crosstide/internal/state"
 )
 
-func TestAccountWarnings_onceUntilWell(t *testing.T) {
-	Convey("The leader warns of an account once, until it is well again", t, func() {
+func TestAccountWarnings_loggedOncePerWarning(t *testing.T) {
+	Convey("The leader warns of an account once, until it has recovered", t, func() {
 		var lines bytes.Buffer
 		s := &Store{live: state.New(), logger: log.NewLogfmtLogger(&lines)}
 		at := time.Unix(1_700_000_000, 0).UTC()
@@ -27,22 +27,25 @@
 		So(table.Reserve(account.Charge{Run: "r", Account: "acme", Rate: 1000, Window: 100 * time.Second}, at), ShouldBeNil)
 		s.live.UseAccounts(table)
 		warned := accountWarnings{}
-		look := func() int {
+		warnings := func() int {
 			warned.logNew(s)
 			return strings.Count(lines.String(), "account runs dry")
 		}
-		So(look(), ShouldEqual, 0) // it does not lead
+		So(warnings(), ShouldEqual, 0) // this node does not lead
 		s.leadership.term = 1
-		So(look(), ShouldEqual, 1)
-		So(look(), ShouldEqual, 1)
+		So(warnings(), ShouldEqual, 1)
+		So(warnings(), ShouldEqual, 1)
 		_, err = table.TopUp("acme", "k2", 10_000, at)
 		So(err, ShouldBeNil)
-		So(look(), ShouldEqual, 1)
+		So(warnings(), ShouldEqual, 1)
 		table.Renew(at.Add(9_900 * time.Second))
-		So(look(), ShouldEqual, 2)
+		So(warnings(), ShouldEqual, 2)
 	})
-	Convey("Each account has its gauges; a forecast only while something draws", t, func() {
-		views := []internalapi.AccountView{{Name: "a", Balance: 1, Draws: true, ExhaustedIn: time.Second, Warning: "dry"}, {Name: "b"}}
+	Convey("Each account has its gauges, a forecast only while its balance is drawn down", t, func() {
+		views := []internalapi.AccountView{
+			{Name: "a", Balance: 1, Draws: true, ExhaustedIn: time.Second, Warning: "dry"},
+			{Name: "b"},
+		}
 		to := make(chan prometheus.Metric, 100)
 		collectAccounts(views, to)
 		So(len(to), ShouldEqual, 8+7)
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 
@@ -12,41 +11,58 @@
 	"crosstide/internal/internalapi"
 )
 
-func TestDecideBootstrap(t *testing.T) {
-	Convey("An empty folder bootstraps only when it surely had no earlier incarnation", t, func() {
-		say := func(a ...internalapi.DiscoverAnswer) bootstrapDecision {
-			all := map[string]internalapi.DiscoverAnswer{}
-			for i, one := range a {
-				one.Digest = "d"
-				all[fmt.Sprint("c", i+2)] = one
+func TestDecideBootstrap_onlyWithoutEarlierIncarnations(t *testing.T) {
+	fresh := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p"}
+	listing := func(incarnation string) internalapi.DiscoverAnswer {
+		return internalapi.DiscoverAnswer{Commit: 9, BootstrapIncarnations: map[string]string{"c1": incarnation}}
+	}
+	for _, c := range []struct {
+		when    string
+		answers []internalapi.DiscoverAnswer // of c2 and c3
+		want    bootstrapDecision
+	}{
+		{"no other member answers", nil, undecided},
+		{"one of two is fresh", []internalapi.DiscoverAnswer{fresh}, undecided},
+		{"both are fresh", []internalapi.DiscoverAnswer{fresh, fresh}, mayBootstrap},
+		{"one has a commit", []internalapi.DiscoverAnswer{fresh, {Commit: 2}}, fleetExists},
+		{"the only one has commits", []internalapi.DiscoverAnswer{{Commit: 900}}, fleetExists},
+		{"one has voted, perhaps for this node", []internalapi.DiscoverAnswer{fresh, {Commit: 1}}, undecided},
+		{"one lists this process as a bootstrap member", []internalapi.DiscoverAnswer{listing("boot")}, mayBootstrap},
+		{"one lists an earlier incarnation", []internalapi.DiscoverAnswer{listing("earlier")}, fleetExists},
+	} {
+		Convey("When "+c.when+", an empty folder is decided on accordingly", t, func() {
+			answers := map[string]internalapi.DiscoverAnswer{}
+			isListed := false
+			for i, a := range c.answers {
+				a.Digest = "d"
+				answers[fmt.Sprint("c", i+2)] = a
+				isListed = isListed || a.BootstrapIncarnations != nil
 			}
-			v, vouched := decideBootstrap("c1", "boot", "d", 3, all, map[string]string{"c2": "p", "c3": "p"})
-			named := slices.ContainsFunc(a, func(one internalapi.DiscoverAnswer) bool { return one.BootstrapIncarnations != nil })
-			So(v == mayBootstrap && !named, ShouldEqual, vouched != nil)
-			return v
-		}
-		empty := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p"}
-		So(say(), ShouldEqual, undecided)
-		So(say(empty), ShouldEqual, undecided)
-		So(say(empty, empty), ShouldEqual, mayBootstrap)
-		So(say(empty, internalapi.DiscoverAnswer{Commit: 2}), ShouldEqual, fleetExists)
-		So(say(internalapi.DiscoverAnswer{Commit: 900}), ShouldEqual, fleetExists)
-		So(say(empty, internalapi.DiscoverAnswer{Commit: 1}), ShouldEqual, undecided) // has voted, perhaps for us
-		So(say(internalapi.DiscoverAnswer{Commit: 9, BootstrapIncarnations: map[string]string{"c1": "boot"}}), ShouldEqual, mayBootstrap)
-		So(say(internalapi.DiscoverAnswer{Commit: 9, BootstrapIncarnations: map[string]string{"c1": "earlier"}}), ShouldEqual, fleetExists)
-		one := map[string]internalapi.DiscoverAnswer{"c2": {Fresh: true, Digest: "d", Incarnation: "p"}}
-		v, _ := decideBootstrap("c1", "boot", "other", 3, one, nil)
-		So(v, ShouldEqual, settingsDiffer)
-		v, incarnations := decideBootstrap("c1", "boot", "d", 2, one, nil) // the first such round
-		So(v, ShouldEqual, undecided)
-		v, _ = decideBootstrap("c1", "boot", "d", 2, one, map[string]string{"c2": "an earlier process"})
-		So(v, ShouldEqual, undecided)
-		v, _ = decideBootstrap("c1", "boot", "d", 2, one, incarnations)
-		So(v, ShouldEqual, mayBootstrap)
+			before := map[string]string{"c2": "p", "c3": "p"}
+			decision, incarnations := decideBootstrap("c1", "boot", "d", 3, answers, before)
+			So(decision, ShouldEqual, c.want)
+			So(decision == mayBootstrap && !isListed, ShouldEqual, incarnations != nil)
+		})
+	}
+}
+
+func TestDecideBootstrap_needsTwoRounds(t *testing.T) {
+	answers := map[string]internalapi.DiscoverAnswer{"c2": {Fresh: true, Digest: "d", Incarnation: "p"}}
+	Convey("Members whose settings differ never bootstrap", t, func() {
+		decision, _ := decideBootstrap("c1", "boot", "other", 3, answers, nil)
+		So(decision, ShouldEqual, settingsDiffer)
+	})
+	Convey("All members must be fresh in two rounds in a row, with the same incarnations", t, func() {
+		decision, incarnations := decideBootstrap("c1", "boot", "d", 2, answers, nil) // the first such round
+		So(decision, ShouldEqual, undecided)
+		decision, _ = decideBootstrap("c1", "boot", "d", 2, answers, map[string]string{"c2": "an earlier process"})
+		So(decision, ShouldEqual, undecided)
+		decision, _ = decideBootstrap("c1", "boot", "d", 2, answers, incarnations)
+		So(decision, ShouldEqual, mayBootstrap)
 	})
 }
 
-func TestOpenBootstrap(t *testing.T) {
+func TestOpenBootstrap_formsFleet(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		took := fleet.elapsed(func() {
 			fleet.startAll()
@@ -55,7 +71,7 @@
 		Printf("\nfive voters after %s", took)
 		So(took, ShouldBeLessThan, 4*time.Second)
 		for _, n := range []string{"c1", "c2", "c3"} {
-			So(fleet.nodes[n].Status().Raft.ID, ShouldEqual, n) // founded, not joined
+			So(fleet.nodes[n].Status().Raft.ID, ShouldEqual, n) // bootstrapped, not joined
 		}
 		So(fleet.submitJobs("a", 100), ShouldBeEmpty)
 		fleet.waitLevel()
@@ -76,7 +92,7 @@
 
 func TestOpenBootstrap_waitsForAllSeeds(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
-		for _, n := range []string{"c1", "c2", "c4", "c5"} { // c3 is late
+		for _, n := range []string{"c1", "c2", "c4", "c5"} { // c3 starts later
 			fleet.start(n)
 		}
 		fleet.advance(10 * time.Second)
@@ -101,7 +117,8 @@
 			So(s.Ready(), ShouldNotBeNil)
 		}
 	})
-	withOpenFleet(t, 3, func(fleet *testFleet) { // one seed has lost its folder: the others must not found without its word
+	// One seed has lost its folder: the others must not bootstrap without it.
+	withOpenFleet(t, 3, func(fleet *testFleet) {
 		fleet.start("c1")
 		fleet.start("c2")
 		fleet.settings.Bootstrap = false
@@ -113,34 +130,46 @@
 	})
 }
 
-func TestDecideOpenBootstrap(t *testing.T) {
-	Convey("Only seeds with the same seeds bootstrap together, and only where nobody knows a fleet", t, func() {
-		s := &Store{incarnation: "boot"}
-		s.settings.Name, s.settings.Addr = "c1", "c1"
-		s.settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
-		empty := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p", Digest: s.digest()}
-		other := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p", Digest: "other"}
-		before := map[string]string{"c2": "p", "c3": "p"}
-		say := func(c2, c3 internalapi.DiscoverAnswer, more ...internalapi.DiscoverAnswer) bootstrapDecision {
-			answers := map[string]internalapi.DiscoverAnswer{"c2": c2, "c3": c3}
-			for i, a := range more {
-				answers[fmt.Sprint("c", i+4)] = a
+func TestDecideOpenBootstrap_onlyWithSameSeeds(t *testing.T) {
+	s := &Store{incarnation: "boot"}
+	s.settings.Name, s.settings.Addr = "c1", "c1"
+	s.settings.Members = []config.Member{{ID: "c1", Addr: "c1"}, {ID: "c2", Addr: "c2"}, {ID: "c3", Addr: "c3"}}
+	fresh := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p", Digest: s.digest()}
+	otherSeeds := internalapi.DiscoverAnswer{Fresh: true, Incarnation: "p", Digest: "other"}
+	committed := internalapi.DiscoverAnswer{Commit: 9}
+	listing := func(digest string) internalapi.DiscoverAnswer {
+		listed := map[string]string{"c1": "boot"}
+		return internalapi.DiscoverAnswer{Commit: 9, Digest: digest, BootstrapIncarnations: listed}
+	}
+	mayNotBootstrap := internalapi.DiscoverAnswer{Digest: "other"} // its folder is empty
+	hasVoted := internalapi.DiscoverAnswer{Commit: 1, Digest: s.digest()}
+	for _, c := range []struct {
+		when    string
+		answers []internalapi.DiscoverAnswer // of the seeds c2 and c3, and of c4, which is no seed
+		want    bootstrapDecision
+	}{
+		{"all seeds are fresh", []internalapi.DiscoverAnswer{fresh, fresh}, mayBootstrap},
+		{"the seeds differ", []internalapi.DiscoverAnswer{fresh, otherSeeds}, settingsDiffer},
+		{"a seed has commits", []internalapi.DiscoverAnswer{fresh, committed}, fleetExists}, // its seeds do not matter
+		{"a seed has commits and the seeds differ", []internalapi.DiscoverAnswer{otherSeeds, committed}, fleetExists},
+		{"a node that is no seed has commits", []internalapi.DiscoverAnswer{fresh, fresh, committed}, fleetExists},
+		{"a seed may not bootstrap", []internalapi.DiscoverAnswer{fresh, mayNotBootstrap}, undecided},
+		{"a seed has voted", []internalapi.DiscoverAnswer{fresh, hasVoted}, undecided},
+		{"a seed lists this process", []internalapi.DiscoverAnswer{fresh, listing(s.digest())}, mayBootstrap},
+		{"a seed with other seeds lists it", []internalapi.DiscoverAnswer{fresh, listing("other")}, fleetExists},
+	} {
+		Convey("When "+c.when+", an empty folder of an open fleet is decided on accordingly", t, func() {
+			answers := map[string]internalapi.DiscoverAnswer{}
+			for i, a := range c.answers {
+				answers[fmt.Sprint("c", i+2)] = a
 			}
-			v, _ := s.decideOpenBootstrap(answers, before)
-			return v
-		}
-		So(say(empty, empty), ShouldEqual, mayBootstrap)
-		So(say(empty, other), ShouldEqual, settingsDiffer)
-		So(say(empty, internalapi.DiscoverAnswer{Commit: 9}), ShouldEqual, fleetExists) // its seeds are not compared
-		So(say(other, internalapi.DiscoverAnswer{Commit: 9}), ShouldEqual, fleetExists)
-		So(say(empty, empty, internalapi.DiscoverAnswer{Commit: 9}), ShouldEqual, fleetExists) // one that is no seed
-		So(say(empty, internalapi.DiscoverAnswer{Digest: "other"}), ShouldEqual, undecided)    // empty, and must not found
-		So(say(empty, internalapi.DiscoverAnswer{Commit: 1, Digest: s.digest()}), ShouldEqual, undecided)
-		named := internalapi.DiscoverAnswer{Commit: 9, Digest: s.digest(), BootstrapIncarnations: map[string]string{"c1": "boot"}}
-		So(say(empty, named), ShouldEqual, mayBootstrap)
-		named.Digest = "other"
-		So(say(empty, named), ShouldEqual, fleetExists)
-		v, _ := s.decideOpenBootstrap(map[string]internalapi.DiscoverAnswer{"c2": empty, "c3": empty}, nil)
-		So(v, ShouldEqual, undecided) // the first such round
+			decision, _ := s.decideOpenBootstrap(answers, map[string]string{"c2": "p", "c3": "p"})
+			So(decision, ShouldEqual, c.want)
+		})
+	}
+	Convey("The first round in which all seeds are fresh decides nothing", t, func() {
+		answers := map[string]internalapi.DiscoverAnswer{"c2": fresh, "c3": fresh}
+		decision, _ := s.decideOpenBootstrap(answers, nil)
+		So(decision, ShouldEqual, undecided)
 	})
 }
--- a/internal/store/downloadsnapshot.go
+++ b/internal/store/downloadsnapshot.go
@@ -21,7 +21,7 @@
 type download struct {
 	head         internalapi.ChunkAnswer // the newest chunk's answer; Number is 0 before the first
 	body         []byte                  // the bytes so far, from the first on
-	attemptsLeft int                     // attempts left without progress
+	attemptsLeft int                     // downloadTries again after each chunk
 }
 
 // restart begins again at the first byte of the newest snapshot; it counts as an attempt.
--- a/internal/store/fleet_test.go
+++ b/internal/store/fleet_test.go
@@ -24,23 +24,23 @@
 )
 
 // testFleet is a fleet of stores in one process, over memory disks and a virtual clock. It lives in a synctest bubble:
-// the clock moves only when every goroutine waits.
+// the clock advances only when every goroutine waits.
 type testFleet struct {
 	clock    clock.Virtual
 	settings config.ControlPlane // of the nodes that start from now on, but for name, address and zone
 	seed     uint64              // likewise, besides their names
 	slow     atomic.Int64        // nanoseconds that a sync takes on the virtual clock
-	work     *routine.Group      // of calls that wait on the stores while the clock moves
+	work     *routine.Group      // of calls that wait on the stores while the clock advances
 	acked    map[string]uint64   // the index of each acknowledged job, by key: what must not be lost
 	disks    map[string]*storage.MemDisk
 
 	mu      sync.Mutex // guards all below against the goroutines of the stores
 	nodes   map[string]*Store
-	died    map[string]error // why nodes ended their process
-	removed map[string]bool  // nodes that ended the use of their store, as they are no members any more
-	cut     map[string]bool  // nodes that are cut off from all others: calls to and from them time out
-	full    map[string]error // what disks refuse writes with
-	hangs   map[string]bool  // nodes whose disks end no sync
+	died    map[string]error // with what error nodes called Options.Fatal
+	removed map[string]bool  // nodes that called Options.Removed
+	cut     map[string]bool  // partitioned nodes: calls to and from them time out
+	full    map[string]error // the error that a disk returns for writes
+	hangs   map[string]bool  // nodes whose disks hang: no sync ends
 }
 
 // sleep waits on the fleet's clock.
@@ -65,7 +65,8 @@
 	}
 	fleet.settings.SnapshotEvery = snapshotEvery
 	for _, key := range operators {
-		fleet.settings.OperatorKeys = append(fleet.settings.OperatorKeys, config.OperatorKey{Name: key.Name, Key: key.Public()})
+		operator := config.OperatorKey{Name: key.Name, Key: key.Public()}
+		fleet.settings.OperatorKeys = append(fleet.settings.OperatorKeys, operator)
 	}
 	for i := range n {
 		name := fmt.Sprintf("c%d", i+1)
@@ -78,13 +79,19 @@
 	return fleet
 }
 
-// options returns those that a node starts with.
+// options returns the options that a node starts with.
 func (fleet *testFleet) options(name string) Options {
 	settings := fleet.settings
 	settings.Name, settings.Addr, settings.Zone = name, name, "z"
-	return Options{Settings: settings, Disk: testDisk{fleet.disks[name], fleet, name}, Net: testNet{fleet, name}, Clock: &fleet.clock, Seed: uint64(name[1]) + fleet.seed,
-		Fatal:   func(err error) { fleet.mu.Lock(); fleet.died[name] = err; fleet.mu.Unlock() },
-		Removed: func() { fleet.mu.Lock(); fleet.removed[name] = true; fleet.mu.Unlock() }}
+	return Options{
+		Settings: settings,
+		Disk:     testDisk{fleet.disks[name], fleet, name},
+		Net:      testNet{fleet, name},
+		Clock:    &fleet.clock,
+		Seed:     uint64(name[1]) + fleet.seed,
+		Fatal:    func(err error) { fleet.mu.Lock(); fleet.died[name] = err; fleet.mu.Unlock() },
+		Removed:  func() { fleet.mu.Lock(); fleet.removed[name] = true; fleet.mu.Unlock() },
+	}
 }
 
 func (fleet *testFleet) start(name string) {
@@ -98,7 +105,7 @@
 	s.Start()
 }
 
-// kill ends a node; what its disk had not synced may be gone.
+// kill stops a node; what its disk had not synced may be lost.
 func (fleet *testFleet) kill(name string) {
 	s := fleet.nodes[name]
 	fleet.mu.Lock()
@@ -116,7 +123,7 @@
 	fleet.work.Stop()
 }
 
-// until moves the clock on, a little at a time, until cond holds.
+// until advances the clock in small steps until cond holds.
 func (fleet *testFleet) until(what string, cond func() bool) {
 	for range 20000 {
 		synctest.Wait()
@@ -128,6 +135,7 @@
 	So("not reached", ShouldEqual, what)
 }
 
+// leader waits until a node leads and is ready, and returns it.
 func (fleet *testFleet) leader() *Store {
 	var found *Store
 	fleet.until("a ready leader", func() bool {
@@ -142,19 +150,20 @@
 	return found
 }
 
-// call runs what waits on the stores while the clock moves.
+// call runs do, which waits on the stores, while the clock advances.
 func (fleet *testFleet) call(do func(ctx context.Context)) {
 	done := false
 	fleet.work.Go(func(ctx context.Context) { do(ctx); done = true })
 	fleet.until("the end of a call", func() bool { return done })
 }
 
+// job returns the command that submits a job of one task.
 func job(key string) command.Command {
 	return &command.Submit{Digest: key, Bound: 1 << 20, Spec: state.Spec{Key: key, Queue: "default",
 		Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}}
 }
 
-// submitJobs submits n jobs at once at the leader and notes what was acknowledged.
+// submitJobs submits n jobs concurrently at the leader, records what was acknowledged and returns the other outcomes.
 func (fleet *testFleet) submitJobs(label string, n int) (failures []errs.Kind) {
 	s := fleet.leader()
 	keys, got, outcomes := make([]string, n), make([]uint64, n), make([]error, n)
@@ -174,7 +183,7 @@
 	return failures
 }
 
-// waitLevel waits until every node has applied the same, and checks that all that was acknowledged is there.
+// waitLevel waits until all nodes have applied the same entries, and checks that every acknowledged job is there.
 func (fleet *testFleet) waitLevel() {
 	lead := fleet.leader()
 	fleet.until("all nodes level", func() bool {
@@ -206,10 +215,11 @@
 	}
 }
 
-// withFleet runs a test in a bubble, with a fleet of 3 nodes.
+// withFleet runs do in a synctest bubble, with a fixed fleet of 3 running nodes.
 func withFleet(t *testing.T, snapshotEvery int, do func(fleet *testFleet), operators ...signature.Key) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Given a fleet", t, func() {
+		Convey("Given a fleet of three nodes", t, func() {
 			fleet := newTestFleet(3, snapshotEvery, operators...)
 			defer fleet.close()
 			do(fleet)
@@ -217,6 +227,7 @@
 	})
 }
 
+// follower returns a running node other than of.
 func (fleet *testFleet) follower(of *Store) *Store {
 	for _, m := range fleet.settings.Members {
 		if s := fleet.nodes[m.ID]; s != nil && s != of {
@@ -226,13 +237,13 @@
 	return nil
 }
 
-// advance moves the clock on by d, a little at a time.
+// advance advances the clock by d in small steps.
 func (fleet *testFleet) advance(d time.Duration) {
 	end := fleet.clock.Now() + d
 	fleet.until("the end of a time", func() bool { return fleet.clock.Now() >= end })
 }
 
-// elapsed tells how long do took on the clock.
+// elapsed returns how long do took on the clock.
 func (fleet *testFleet) elapsed(do func()) time.Duration {
 	from := fleet.clock.Now()
 	do()
--- a/internal/store/leader_test.go
+++ b/internal/store/leader_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/state"
 )
 
-// moveLeaderFrom lets another lead if the one named does.
+// moveLeaderFrom transfers the leadership to another node if the one named leads.
 func (fleet *testFleet) moveLeaderFrom(name string) {
 	for fleet.leader().settings.Name == name {
 		fleet.call(func(ctx context.Context) { fleet.nodes[name].TransferLeadership(ctx) })
@@ -20,8 +20,8 @@
 }
 
 // An election whose votes split takes another round. The order in which the runtime's scheduler runs goroutines decides
-// whether one does: 19 of 360 plays beside load had one such election among their 40. So the bound holds for each round,
-// and how seldom votes split is held on fixed seeds by the raft package's TestElection_failoverDuration.
+// whether one does: 19 of 360 plays beside load had one such election among their 40. So the bound holds for each
+// round, and how seldom votes split is held on fixed seeds by the raft package's TestElection_failoverDuration.
 func TestFailover_duration(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.slowSyncs()
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestLeaderTerm(t *testing.T) {
+func TestLeaderTerm_endsWithLease(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3")
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -16,15 +16,18 @@
 	"crosstide/internal/storage"
 )
 
-// withOpenFleet runs a test in a bubble, with the machines of an open fleet of n nodes, c1 to c3 its seeds, at the
-// platform's settings. None is started; there are snapshots, and so syncs must take no time (see slowSyncs).
+// withOpenFleet runs do in a synctest bubble, with the disks of an open fleet of n nodes, with the seeds c1 to c3 and the
+// platform's settings. No node is started. Snapshots are written, so syncs must take no time (see slowSyncs).
 func withOpenFleet(t *testing.T, n int, do func(fleet *testFleet)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Given machines of an open fleet", t, func() {
+		Convey("Given the machines of an open fleet", t, func() {
 			fleet := newTestFleet(0, 40)
 			defer fleet.close()
 			fleet.settings.OpenMembership = true
-			fleet.settings.Election, fleet.settings.Heartbeat, fleet.settings.Lease = 600*time.Millisecond, 120*time.Millisecond, 400*time.Millisecond
+			fleet.settings.Election = 600 * time.Millisecond
+			fleet.settings.Heartbeat = 120 * time.Millisecond
+			fleet.settings.Lease = 400 * time.Millisecond
 			fleet.setSeeds([]string{"c1", "c2", "c3"})
 			for i := range n {
 				fleet.disks[nodeName(i)] = storage.NewMemDisk()
@@ -34,13 +37,14 @@
 	})
 }
 
-// slowSyncs makes syncs take time, and does without snapshots: a snapshot and the log take turns under a mutex, which
-// a bubble cannot wait for.
+// slowSyncs makes syncs take time and turns snapshots off: a snapshot and the log are written under one mutex, on which a
+// synctest bubble cannot wait.
 func (fleet *testFleet) slowSyncs() {
 	fleet.settings.SnapshotEvery = 1 << 20
 	fleet.slow.Store(int64(3 * time.Millisecond))
 }
 
+// nodeName returns the name of the node with an index.
 func nodeName(i int) string { return fmt.Sprintf("c%d", i+1) }
 
 // startAll starts the nodes that have a disk and do not run.
@@ -56,14 +60,14 @@
 	}
 }
 
-// startFresh gives a node an empty disk, the settings that a replaced machine has, and starts it.
+// startFresh starts a node with an empty disk and the settings of a replaced machine, which may not bootstrap.
 func (fleet *testFleet) startFresh(name string) {
 	fleet.disks[name] = storage.NewMemDisk()
 	fleet.settings.Bootstrap = false
 	fleet.start(name)
 }
 
-// waitVoters waits until the members are just these, each by the newest ID of its folder, all of them voters.
+// waitVoters waits until the members are exactly the named nodes under their current IDs, all of them voters.
 func (fleet *testFleet) waitVoters(names ...string) {
 	fleet.until("voters "+strings.Join(names, " "), func() bool {
 		for _, n := range names {
@@ -76,26 +80,28 @@
 	})
 }
 
-func (fleet *testFleet) idsOf(names []string) (out []string) {
+// idsOf returns the raft IDs of running nodes, sorted.
+func (fleet *testFleet) idsOf(names []string) (ids []string) {
 	for _, n := range names {
-		out = append(out, fleet.nodes[n].Status().Raft.ID)
+		ids = append(ids, fleet.nodes[n].Status().Raft.ID)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
-func memberIDs(s *Store) (out []string) {
+// memberIDs returns the IDs of the members of s, sorted; nil while one of them is a learner.
+func memberIDs(s *Store) (ids []string) {
 	for _, m := range s.Status().Raft.Members {
 		if m.Learner {
 			return nil
 		}
-		out = append(out, m.ID)
+		ids = append(ids, m.ID)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
-// setCut cuts nodes off, or heals that.
+// setCut partitions nodes from all others, or ends that.
 func (fleet *testFleet) setCut(cut bool, names ...string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -104,25 +110,25 @@
 	}
 }
 
-// others are the running nodes but those named.
-func (fleet *testFleet) others(but ...string) (out []string) {
+// others returns the names of the running nodes except those given, sorted.
+func (fleet *testFleet) others(but ...string) (names []string) {
 	for n := range fleet.nodes {
 		if !slices.Contains(but, n) {
-			out = append(out, n)
+			names = append(names, n)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// wasRemoved tells whether a node ended the use of its store because it was removed.
+// wasRemoved reports whether a node called Options.Removed.
 func (fleet *testFleet) wasRemoved(name string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.removed[name]
 }
 
-// reopen opens the folder of a node that was removed anew, in the same process.
+// reopen opens the folder of a removed node again, as Options.Removed asks for.
 func (fleet *testFleet) reopen(name string) {
 	fleet.kill(name)
 	fleet.mu.Lock()
@@ -131,7 +137,7 @@
 	fleet.start(name)
 }
 
-// leaderOf waits until one of the nodes leads, and gives it.
+// leaderOf waits until one of the named nodes leads and is ready, and returns it.
 func (fleet *testFleet) leaderOf(names ...string) (lead *Store) {
 	fleet.until("a leader of some", func() bool {
 		for _, n := range names {
@@ -147,8 +153,8 @@
 	return lead
 }
 
-// TestOpenFleet_survivesChurn kills, cuts off, wipes and replaces machines in any order, and checks that nothing that was
-// acknowledged is lost. A disk is wiped only while all others are there: more losses at once lose data.
+// TestOpenFleet_survivesChurn kills, partitions, wipes and replaces machines in any order, and checks that nothing that
+// was acknowledged is lost. A disk is wiped only while all others are there: more losses at once lose data.
 func TestOpenFleet_survivesChurn(t *testing.T) {
 	for seed := range int64(6) {
 		withOpenFleet(t, 5, func(fleet *testFleet) {
@@ -159,29 +165,29 @@
 			names := fleet.others()
 			next := 6
 			for step := range 25 {
-				one := names[rnd.Intn(len(names))]
+				name := names[rnd.Intn(len(names))]
 				switch rnd.Intn(5) {
 				case 0:
-					if fleet.nodes[one] != nil {
-						fleet.kill(one)
+					if fleet.nodes[name] != nil {
+						fleet.kill(name)
 					}
 				case 1:
-					fleet.setCut(!fleet.cut[one], one)
+					fleet.setCut(!fleet.cut[name], name)
 				case 2: // a disk is lost
 					fleet.heal(names)
-					fleet.kill(one)
-					fleet.startFresh(one)
+					fleet.kill(name)
+					fleet.startFresh(name)
 					fleet.heal(names)
 				case 3: // another machine takes the place
 					fleet.heal(names)
-					fleet.kill(one)
-					delete(fleet.disks, one)
-					names = slices.DeleteFunc(names, func(n string) bool { return n == one })
+					fleet.kill(name)
+					delete(fleet.disks, name)
+					names = slices.DeleteFunc(names, func(n string) bool { return n == name })
 					if next < 10 {
 						names = append(names, fmt.Sprint("c", next))
 						next++
 					} else {
-						names = append(names, one)
+						names = append(names, name)
 					}
 					fleet.setSeeds(fleet.others()[:3])
 					fleet.startFresh(names[len(names)-1])
@@ -190,7 +196,7 @@
 					fleet.advance(time.Duration(rnd.Intn(5000)) * time.Millisecond)
 				}
 				fleet.revive()
-				if fleet.majority() {
+				if fleet.hasMajority() {
 					fleet.submitJobs(fmt.Sprint("s", step), 10)
 				}
 			}
@@ -209,7 +215,7 @@
 	}
 }
 
-// revive restarts the nodes that ended themselves.
+// revive reopens the nodes that were removed.
 func (fleet *testFleet) revive() {
 	for n := range fleet.nodes {
 		if fleet.wasRemoved(n) {
@@ -218,7 +224,7 @@
 	}
 }
 
-// heal ends all cuts, starts what is down and waits until all are voters, and the only ones.
+// heal ends all partitions, starts what is down and waits until the named nodes are the voters.
 func (fleet *testFleet) heal(names []string) {
 	fleet.setCut(false, names...)
 	fleet.startAll()
@@ -234,8 +240,8 @@
 	So(fleet.died, ShouldBeEmpty)
 }
 
-// majority tells whether some node leads, or will, with those that run and are not cut off.
-func (fleet *testFleet) majority() bool {
+// hasMajority reports whether a leader can reach a majority of its members.
+func (fleet *testFleet) hasMajority() bool {
 	for _, s := range fleet.nodes {
 		members, there := memberIDs(s), 0
 		for _, id := range members {
@@ -243,7 +249,9 @@
 				there++
 			}
 		}
-		if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader && !fleet.cut[s.settings.Name] && there > len(members)/2 {
+		st := s.Status()
+		leads := st.Ready && st.Raft.Role == raft.Leader && !fleet.cut[s.settings.Name]
+		if leads && there > len(members)/2 {
 			return true
 		}
 	}
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -14,89 +14,110 @@
 	"crosstide/internal/state/command"
 )
 
-func TestRollout_reportsBundleVersions(t *testing.T) {
-	keys := make([]signature.Key, 2)
-	for i, name := range []string{"ada", "ben"} {
+// newOperators returns a key for each name.
+func newOperators(t *testing.T, names ...string) []signature.Key {
+	t.Helper()
+	keys := make([]signature.Key, len(names))
+	for i, name := range names {
 		var err error
 		if keys[i], err = signature.New(name); err != nil {
 			t.Fatal(err)
 		}
 	}
+	return keys
+}
+
+// putBundle puts a bundle in force as the successor of version base, signed by ada and ben.
+func (fleet *testFleet) putBundle(at *Store, keys []signature.Key, base uint64, text string) {
+	order := func(c command.Command) {
+		var err error
+		fleet.call(func(ctx context.Context) { _, err = at.ProposeOrForward(ctx, c) })
+		So(err, ShouldBeNil)
+	}
+	id, digest := fmt.Sprint("o", base), signature.Digest([]byte(text))
+	order(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
+		Sig: keys[0].Sign(signature.Put(id, base, digest))})
+	for i, by := range []string{"ada", "ben"} {
+		order(&command.SignBundle{Order: id + by, Version: base + 1, Digest: digest, By: by,
+			Sig: keys[i].Sign(signature.Bundle(base+1, digest))})
+	}
+}
+
+// bundles returns the version of the bundle and the text of one version, as c1, c2 and c3 have them.
+func (fleet *testFleet) bundles(version uint64) (bundles []string) {
+	for _, name := range []string{"c1", "c2", "c3"} {
+		fleet.nodes[name].View(func(s *state.State) {
+			bundles = append(bundles, fmt.Sprint(s.Bundle.Version, string(s.Revision(version).Body)))
+		})
+	}
+	return bundles
+}
+
+// areAllAtBundle reports whether all members run and have a version of the bundle.
+func (fleet *testFleet) areAllAtBundle(version uint64) bool {
+	nodes := 0
+	for _, s := range fleet.nodes {
+		s.View(func(st *state.State) {
+			if st.Bundle.Version == version {
+				nodes++
+			}
+		})
+	}
+	return nodes == len(fleet.settings.Members)
+}
+
+// followOnce makes a call to Follow at a node, by which data-plane node d1 reports its bundle version.
+func (fleet *testFleet) followOnce(name string, version uint64) {
+	call := internalapi.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: version}
+	fleet.call(func(ctx context.Context) { _, _ = fleet.nodes[name].Follow(ctx, call) })
+}
+
+func TestRollout_reportsBundleVersions(t *testing.T) {
+	keys := newOperators(t, "ada", "ben")
 	withFleet(t, 30, func(fleet *testFleet) {
 		lead := fleet.leader()
 		fleet.until("the operators' keys", func() bool {
-			n := 0
-			lead.View(func(s *state.State) { n = len(s.Operators) })
-			return n == 2
+			installed := 0
+			lead.View(func(s *state.State) { installed = len(s.Operators) })
+			return installed == 2
 		})
-		order := func(c command.Command) {
-			var err error
-			fleet.call(func(ctx context.Context) { _, err = lead.ProposeOrForward(ctx, c) })
-			So(err, ShouldBeNil)
-		}
 		text := ""
-		for v := uint64(1); v < 40; v++ { // over several snapshots
-			text = fmt.Sprintf("{\"queues\": {\"q%d\":{}} }\t\n", v)
-			id, digest := fmt.Sprint("o", v), signature.Digest([]byte(text))
-			order(&command.PutBundle{Order: id, Base: v, By: "ada", Body: []byte(text), Sig: keys[0].Sign(signature.Put(id, v, digest))})
-			for i, by := range []string{"ada", "ben"} {
-				order(&command.SignBundle{Order: id + by, Version: v + 1, Digest: digest, By: by, Sig: keys[i].Sign(signature.Bundle(v+1, digest))})
-			}
+		for base := uint64(1); base < 40; base++ { // over several snapshots
+			text = fmt.Sprintf("{\"queues\": {\"q%d\":{}} }\t\n", base)
+			fleet.putBundle(lead, keys, base, text)
 		}
 
-		// Every node has it, and so have they after the loss of power at all of them: byte for byte.
-		shown := func() []string {
-			var out []string
-			for _, name := range []string{"c1", "c2", "c3"} {
-				fleet.nodes[name].View(func(s *state.State) { out = append(out, fmt.Sprint(s.Bundle.Version, string(s.Revision(40).Body))) })
-			}
-			return out
-		}
-		level := func() bool {
-			n := 0
-			for _, s := range fleet.nodes {
-				s.View(func(st *state.State) {
-					if st.Bundle.Version == 40 {
-						n++
-					}
-				})
-			}
-			return n == len(fleet.settings.Members)
-		}
-		fleet.until("all at 40", level)
+		// Every node has it, also after a power loss of all of them: byte for byte.
+		allAt40 := func() bool { return fleet.areAllAtBundle(40) }
+		fleet.until("all at 40", allAt40)
 		wanted := fmt.Sprint(40, text)
-		So(shown(), ShouldResemble, []string{wanted, wanted, wanted})
+		So(fleet.bundles(40), ShouldResemble, []string{wanted, wanted, wanted})
 		for _, m := range fleet.settings.Members {
 			fleet.kill(m.ID)
 		}
 		for _, m := range fleet.settings.Members {
 			fleet.start(m.ID)
 		}
-		fleet.until("all at 40 again", level)
-		So(shown(), ShouldResemble, []string{wanted, wanted, wanted})
+		fleet.until("all at 40 again", allAt40)
+		So(fleet.bundles(40), ShouldResemble, []string{wanted, wanted, wanted})
 
-		// What followers say of their bundle is known at every member, the newest word first.
-		for i, name := range []string{"c1", "c2"} {
-			fleet.call(func(ctx context.Context) {
-				_, _ = fleet.nodes[name].Follow(ctx, internalapi.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: uint64(39 + i)})
-			})
-		}
+		// Every member reports the bundles of all followers, each by its newest call.
+		fleet.followOnce("c1", 39)
+		fleet.followOnce("c2", 40)
 		var nodes []internalapi.NodeBundle
 		var silent []string
 		fleet.kill("c2")
 		fleet.call(func(ctx context.Context) { nodes, silent = fleet.nodes["c3"].Rollout(ctx) })
-		got := map[string]uint64{}
+		versions := map[string]uint64{}
 		for _, n := range nodes {
-			got[n.Kind+" "+n.Node] = n.Version
+			versions[n.Kind+" "+n.Node] = n.Version
 		}
-		So(got, ShouldResemble, map[string]uint64{"cplane c1": 40, "cplane c3": 40, "dplane d1": 39})
+		So(versions, ShouldResemble, map[string]uint64{"cplane c1": 40, "cplane c3": 40, "dplane d1": 39})
 		So(silent, ShouldResemble, []string{"c2"})
 		fleet.start("c2")
-		fleet.until("c2 again", level)
-		fleet.clock.Advance(time.Second) // a newer word is one at a later time
-		fleet.call(func(ctx context.Context) {
-			_, _ = fleet.nodes["c2"].Follow(ctx, internalapi.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: 40})
-		})
+		fleet.until("c2 again", allAt40)
+		fleet.clock.Advance(time.Second) // the newest report is the one of the latest time
+		fleet.followOnce("c2", 40)
 		fleet.call(func(ctx context.Context) { nodes, silent = fleet.nodes["c1"].Rollout(ctx) })
 		So([]any{nodes[3].Node, nodes[3].Version, len(silent)}, ShouldResemble, []any{"d1", uint64(40), 0})
 	}, keys...)
