--- a/internal/store/discard_test.go
+++ b/internal/store/discard_test.go
@@ -46,7 +46,7 @@
 				break
 			}
 		}
-		for at := 1; at < 20; at++ { // the mark itself
+		for at := 1; at < 20; at++ { // while the mark is written
 			d := full()
 			d.PowerOff(at)
 			if Discard(d) == nil {
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/raft"
 )
 
-// submitAll submits until n jobs are acknowledged; what a change of leader leaves open is submitted again.
+// submitAll submits n jobs until all are acknowledged: after a change of leader it submits them again.
 func (fleet *testFleet) submitAll(label string, n int) {
 	for try := 0; ; try++ {
 		if failures := fleet.submitJobs(label, n); len(failures) == 0 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// durableIndex is the newest entry that is durable at a node.
+// durableIndex returns the index of the newest entry that is durable at a node.
 func (s *Store) durableIndex() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 		fleet.setFull(name, false)
 		fleet.waitLevel()
 		So(fleet.died, ShouldBeEmpty)
-		// What it acknowledges now counts: with one other node gone, it makes the majority.
+		// Its acknowledgements count again: with one other node dead it is needed for a majority.
 		gone := fleet.others(name)[0]
 		fleet.kill(gone)
 		fleet.submitAll("with it", 50)
@@ -63,7 +63,7 @@
 	})
 }
 
-// A refused write that does not say that the disk is full ends the process, as a failed sync does.
+// TestRefusedWrite_isFatal refuses a write for another reason than a full disk, which is as fatal as a failed sync.
 func TestRefusedWrite_isFatal(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 20)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -13,8 +13,9 @@
 	newMetrics().register(nil, &kept)
 	golden.Compare(t, "metrics",
 		golden.Metrics("store", kept.Collectors...),
-		golden.Metrics("store, told when asked", golden.Descs{descRole, descTerm, descCommit, descApplied, descWaiting, descRefused,
-			descLog, descWrites, descState, descType, descAccount, descRate, descExhaustedIn, descUnpaid, descWarning}),
+		golden.Metrics("store, told when asked", golden.Descs{descRole, descTerm, descCommit, descApplied, descWaiting,
+			descRefused, descLog, descWrites, descState, descType, descAccount, descRate, descExhaustedIn, descUnpaid,
+			descWarning}),
 	)
 }
 
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -32,7 +32,7 @@
 		So(len(lead.Status().Raft.Members), ShouldEqual, 3)
 		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
-		// The newcomer carries a majority, and keeps its new ID over a restart.
+		// The newcomer counts for a majority, and keeps its new ID over a restart.
 		fleet.kill(gone)
 		fleet.start(gone)
 		fleet.waitLevel()
@@ -53,7 +53,7 @@
 		fleet.start("c9")
 		fresh := fleet.nodes["c9"]
 		var err error
-		fleet.until("the leader turns a stranger away", func() bool {
+		fleet.until("the leader rejects an unknown node", func() bool {
 			_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: fresh.id, Name: "c9", Addr: "c9"})
 			return errs.Is(err, errs.Forbidden)
 		})
@@ -66,7 +66,7 @@
 		fleet.until("the old member is out", func() bool { return len(lead.Status().Raft.Members) == 3 })
 		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
-		// It carries a majority with the one other that is left.
+		// It is a majority with the only other node that is left.
 		fleet.kill(lead.settings.Name)
 		So(fleet.submitJobs("b", 50), ShouldBeEmpty)
 	})
@@ -77,19 +77,19 @@
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
 		fleet.submitJobs("a", 200)
-		for _, founding := range []bool{true, false} {
+		for _, mayBootstrap := range []bool{true, false} {
 			for _, gone := range []string{"c1", "c5", fleet.leader().settings.Name} {
 				fleet.kill(gone)
 				before := fleet.others()
 				fleet.disks[gone] = storage.NewMemDisk()
 				took := fleet.elapsed(func() {
-					fleet.settings.Bootstrap = founding
+					fleet.settings.Bootstrap = mayBootstrap
 					fleet.start(gone)
 					fleet.waitVoters(append(before, gone)...)
 				})
 				Printf("\nwiped %s is a voter after %s", gone, took)
 				So(took, ShouldBeLessThan, 2500*time.Millisecond) // an election may be in it
-				So(fleet.submitJobs(fmt.Sprint(gone, founding), 20), ShouldBeEmpty)
+				So(fleet.submitJobs(fmt.Sprint(gone, mayBootstrap), 20), ShouldBeEmpty)
 				fleet.waitLevel()
 			}
 		}
@@ -101,7 +101,8 @@
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
 		fleet.submitJobs("a", 100)
-		// The new machine comes at once: it joins as the sixth, then the dead one goes.
+		// The new machine comes before the dead one is known to be dead: it joins as the sixth voter, then that one is
+		// removed.
 		gone := fleet.follower(fleet.leader()).settings.Name
 		fleet.kill(gone)
 		took := fleet.elapsed(func() {
@@ -114,7 +115,7 @@
 		So(fleet.others(), ShouldHaveLength, 5)
 		So(fleet.submitJobs("b", 50), ShouldBeEmpty)
 
-		// It comes when the dead one is known to be dead: that one goes first, there never are six.
+		// It comes when the dead one is known to be dead: that one is removed first, there never are six voters.
 		gone = fleet.follower(fleet.leader()).settings.Name
 		fleet.kill(gone)
 		fleet.advance(fleet.settings.RemoveAfter + time.Second)
@@ -136,7 +137,7 @@
 		all := []string{"c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8"}
 		fleet.waitVoters(all...)
 		fleet.submitJobs("a", 50)
-		// One is removed while it is down, and every seed is behind a cut when it comes back with its disk.
+		// A node is removed while it is down, and every seed is partitioned when it restarts with its disk.
 		fleet.kill("c8")
 		fleet.waitVoters(all[:7]...)
 		fleet.setCut(true, "c1", "c2", "c3")
@@ -146,8 +147,8 @@
 		fleet.until("it is a voter", func() bool { return fleet.nodes["c8"].Status().Raft.Voter })
 		So(fleet.submitJobs("b", 20), ShouldBeEmpty)
 
-		// A wiped one that knows only two seeds, both behind the cut, learns from its leader's calls to its old self
-		// whom to ask.
+		// A wiped node that knows only two seeds, both partitioned, learns whom to ask from the leader's calls to its
+		// earlier incarnation.
 		fleet.setCut(false, "c1", "c2", "c3")
 		fleet.until("all are there", func() bool { return slices.Equal(memberIDs(fleet.leader()), fleet.idsOf(all)) })
 		fleet.settings.Members = fleet.settings.Members[:2]
@@ -162,7 +163,7 @@
 		fleet.until("the wiped one is a voter", func() bool { return fleet.nodes[gone].Status().Raft.Voter })
 		So(fleet.submitJobs("c", 20), ShouldBeEmpty)
 
-		// One that knows no seed that answers, and that nobody calls, waits until it is told of another node.
+		// A node whose seeds do not answer, and that nobody calls, waits until it learns of another node.
 		fleet.startFresh("c9")
 		fleet.advance(3 * time.Second)
 		So(fleet.nodes["c9"].Status().Raft.Members, ShouldBeEmpty)
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -16,8 +16,8 @@
 	"crosstide/internal/storage"
 )
 
-// withOpenFleet runs do in a synctest bubble, with the disks of an open fleet of n nodes, with the seeds c1 to c3 and the
-// platform's settings. No node is started. Snapshots are written, so syncs must take no time (see slowSyncs).
+// withOpenFleet runs do in a synctest bubble, with the disks of an open fleet of n nodes, with the seeds c1 to c3 and
+// the platform's settings. No node is started. Snapshots are written, so syncs must take no time (see slowSyncs).
 func withOpenFleet(t *testing.T, n int, do func(fleet *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,8 +37,8 @@
 	})
 }
 
-// slowSyncs makes syncs take time and turns snapshots off: a snapshot and the log are written under one mutex, on which a
-// synctest bubble cannot wait.
+// slowSyncs makes syncs take time and turns snapshots off: a snapshot and the log are written under one mutex, on which
+// a synctest bubble cannot wait.
 func (fleet *testFleet) slowSyncs() {
 	fleet.settings.SnapshotEvery = 1 << 20
 	fleet.slow.Store(int64(3 * time.Millisecond))
--- a/internal/store/propose_test.go
+++ b/internal/store/propose_test.go
@@ -24,7 +24,7 @@
 		So(errs.KindOf(err), ShouldEqual, errs.NotLeader)
 		So(errs.Of(err).Hint, ShouldEqual, lead.settings.Addr)
 
-		// Orders and reads work at any node.
+		// Commands and linearizable reads work at any node.
 		var raw []byte
 		seen := false
 		fleet.call(func(ctx context.Context) {
@@ -38,14 +38,15 @@
 		fleet.call(func(ctx context.Context) { _, err = other.ProposeOrForward(ctx, &command.Cancel{Key: "nobody"}) })
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 
-		// Followers get changes, a snapshot where those are gone, and wait for what comes.
+		// A follower gets changes, or a snapshot where the log no longer has them; without changes it waits.
 		at := other.Status().Applied
 		follow := func(from uint64, wait time.Duration, during func(ctx context.Context)) internalapi.SourceUpdate {
 			var a internalapi.FollowAnswer
 			fleet.call(func(ctx context.Context) {
 				waiting := routine.New(ctx)
 				waiting.Go(func(ctx context.Context) {
-					a, err = other.Follow(ctx, internalapi.FollowCall{Vector: map[string]uint64{vectorSource: from}, Wait: wait, Max: 1 << 20})
+					vector := map[string]uint64{vectorSource: from}
+					a, err = other.Follow(ctx, internalapi.FollowCall{Vector: vector, Wait: wait, Max: 1 << 20})
 				})
 				during(ctx)
 				waiting.Wait()
@@ -57,7 +58,9 @@
 		So(len(follow(at-3, 0, idle).Changes), ShouldEqual, 3)
 		So(follow(0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1)
 		So(follow(at, time.Second, idle), ShouldResemble, internalapi.SourceUpdate{})
-		updates := follow(at, 20*time.Second, func(ctx context.Context) { _, _ = other.ProposeOrForward(ctx, job("news")) }) // shows in what follows
+		updates := follow(at, 20*time.Second, func(ctx context.Context) {
+			_, _ = other.ProposeOrForward(ctx, job("news")) // a failure shows in the updates
+		})
 		So(len(updates.Changes), ShouldEqual, 1)
 	})
 }
--- a/internal/store/removal_test.go
+++ b/internal/store/removal_test.go
@@ -10,15 +10,15 @@
 
 func TestRemovedMember_rejoins(t *testing.T) {
 	withOpenFleet(t, 6, func(fleet *testFleet) {
-		fleet.settings.SnapshotEvery = 1 << 20 // a snapshot would tell a restarted node that its membership was committed
+		fleet.settings.SnapshotEvery = 1 << 20 // from a snapshot a restarted node would know a committed membership
 		fleet.startAll()
 		all := []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 		fleet.waitVoters(all...)
 		fleet.submitJobs("a", 50)
-		// Cut off while it runs.
-		for _, mode := range []string{"cut", "down", "cut c6", "down c6"} { // c6 is no bootstrap member: its folder has it in the log only
+		// c6 is no bootstrap member: its folder has its membership in the log only.
+		for _, mode := range []string{"cut", "down", "cut c6", "down c6"} {
 			gone := fleet.follower(fleet.leader()).settings.Name
-			if name, is := strings.CutSuffix(mode, " c6"); is {
+			if name, isC6 := strings.CutSuffix(mode, " c6"); isC6 {
 				mode, gone = name, "c6"
 				fleet.moveLeaderFrom("c6")
 			}
--- a/internal/store/role_test.go
+++ b/internal/store/role_test.go
@@ -10,35 +10,35 @@
 	"crosstide/internal/internalapi"
 )
 
-func TestClaimRole(t *testing.T) {
+func TestClaimRole_overChangeOfLeader(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
-		ask := func(holder string, epoch uint64, giveUp bool) (a internalapi.RoleLease) {
+		claim := func(holder string, epoch uint64, release bool) (lease internalapi.RoleLease) {
 			s := fleet.leader()
+			call := internalapi.ClaimRoleCall{Role: "sched", Holder: holder, Addr: holder, Incarnation: "1",
+				Epoch: epoch, Release: release}
 			var err error
-			fleet.call(func(ctx context.Context) {
-				a, err = s.ClaimRole(ctx, internalapi.ClaimRoleCall{Role: "sched", Holder: holder, Addr: holder, Incarnation: "1", Epoch: epoch, Release: giveUp})
-			})
+			fleet.call(func(ctx context.Context) { lease, err = s.ClaimRole(ctx, call) })
 			So(err, ShouldBeNil)
-			return a
+			return lease
 		}
-		first := ask("a", 0, false)
+		first := claim("a", 0, false)
 		So(first.Mine, ShouldBeTrue)
-		So(ask("b", 0, false).Mine, ShouldBeFalse)
-		// The leader falls: the next one counts the lease anew, and still knows the epoch.
+		So(claim("b", 0, false).Mine, ShouldBeFalse)
+		// The leader dies: the next one counts the lease from its own election, and still knows the epoch.
 		lead := fleet.leader()
 		fleet.kill(lead.settings.Name)
-		So(ask("b", 0, false).Mine, ShouldBeFalse)
-		So(ask("a", first.Epoch, false).Mine, ShouldBeTrue)
+		So(claim("b", 0, false).Mine, ShouldBeFalse)
+		So(claim("a", first.Epoch, false).Mine, ShouldBeTrue)
 		var second internalapi.RoleLease
-		began, tries := fleet.clock.Now(), 0
-		for ; !second.Mine; tries++ {
-			second = ask("b", 0, false)
+		began := fleet.clock.Now()
+		for !second.Mine {
+			second = claim("b", 0, false)
 			fleet.clock.Advance(50 * time.Millisecond)
 		}
 		So(fleet.clock.Now()-began, ShouldBeGreaterThan, fleet.settings.RoleLease)
 		So(second.Epoch, ShouldBeGreaterThan, first.Epoch)
-		So(ask("a", first.Epoch, false).Mine, ShouldBeFalse)
-		So(ask("b", second.Epoch, true).Mine, ShouldBeFalse)
-		So(ask("a", 0, false).Mine, ShouldBeTrue)
+		So(claim("a", first.Epoch, false).Mine, ShouldBeFalse)
+		So(claim("b", second.Epoch, true).Mine, ShouldBeFalse)
+		So(claim("a", 0, false).Mine, ShouldBeTrue)
 	})
 }
--- a/internal/store/rolelease_test.go
+++ b/internal/store/rolelease_test.go
@@ -17,7 +17,7 @@
 	testMargin = 300 * time.Millisecond
 )
 
-func TestRoleLeases(t *testing.T) {
+func TestRoleLeases_grantAndRenew(t *testing.T) {
 	Convey("Given active leases and a role that a holds", t, func() {
 		var clock clock.Virtual
 		leases := newRoleLeases(testLease, testMargin)
@@ -25,57 +25,57 @@
 		roles := map[string]*state.Role{"sched": &current}
 		a := internalapi.ClaimRoleCall{Role: "sched", Holder: "a", Incarnation: "1", Epoch: 7}
 		b := internalapi.ClaimRoleCall{Role: "sched", Holder: "b", Incarnation: "1"}
-		ask := func(c internalapi.ClaimRoleCall) claimResult { return leases.Claim(clock.Now(), current, c) }
-		So(ask(a), ShouldEqual, claimDenied)
+		claim := func(c internalapi.ClaimRoleCall) claimResult { return leases.Claim(clock.Now(), current, c) }
+		So(claim(a), ShouldEqual, claimDenied)
 		leases.BecomeLeader(clock.Now(), roles)
 
-		Convey("the holder renews and no other is granted before lease and margin are over", func() {
+		Convey("The holder renews, and no other node is granted the role before lease and margin have expired", func() {
 			clock.Advance(testLease)
-			So(ask(b), ShouldEqual, claimDenied)
-			So(ask(a), ShouldEqual, claimRenewed)
+			So(claim(b), ShouldEqual, claimDenied)
+			So(claim(a), ShouldEqual, claimRenewed)
 			clock.Advance(testLease + testMargin - 1)
-			So(ask(b), ShouldEqual, claimDenied)
+			So(claim(b), ShouldEqual, claimDenied)
 			clock.Advance(1)
-			So(ask(b), ShouldEqual, claimGrantable)
-			Convey("and then the old epoch is never renewed again, whatever the grant's outcome", func() {
-				So(ask(a), ShouldEqual, claimDenied)
-				So(ask(b), ShouldEqual, claimDenied) // one proposal at a time
+			So(claim(b), ShouldEqual, claimGrantable)
+			Convey("After that the old epoch is never renewed again, whatever the outcome of the grant", func() {
+				So(claim(a), ShouldEqual, claimDenied)
+				So(claim(b), ShouldEqual, claimDenied) // one proposal at a time
 				leases.ProposalDone("sched", 7)
 				So(leases.Release(clock.Now(), current, a), ShouldBeTrue)
 				leases.ProposalDone("sched", 7)
-				So(ask(a), ShouldEqual, claimGrantable) // as a candidate for a new epoch
+				So(claim(a), ShouldEqual, claimGrantable) // as a candidate for a new epoch
 			})
 		})
-		Convey("a new incarnation of the holder waits like any other", func() {
-			again := a
-			again.Incarnation = "2"
-			So(ask(again), ShouldEqual, claimDenied)
-			So(leases.Release(clock.Now(), current, again), ShouldBeFalse)
+		Convey("A new incarnation of the holder waits like any other node", func() {
+			restarted := a
+			restarted.Incarnation = "2"
+			So(claim(restarted), ShouldEqual, claimDenied)
+			So(leases.Release(clock.Now(), current, restarted), ShouldBeFalse)
 			clock.Advance(testLease + testMargin)
-			So(ask(again), ShouldEqual, claimGrantable)
+			So(claim(restarted), ShouldEqual, claimGrantable)
 		})
-		Convey("a new leader counts it as just granted", func() {
+		Convey("A new leader counts the lease as just granted", func() {
 			clock.Advance(testLease)
 			leases.StepDown()
-			So(ask(a), ShouldEqual, claimDenied)
+			So(claim(a), ShouldEqual, claimDenied)
 			clock.Advance(testLease)
 			leases.BecomeLeader(clock.Now(), roles)
-			So(ask(b), ShouldEqual, claimDenied)
-			So(ask(a), ShouldEqual, claimRenewed)
+			So(claim(b), ShouldEqual, claimDenied)
+			So(claim(a), ShouldEqual, claimRenewed)
 		})
-		Convey("a released role is free at once, and its epoch over", func() {
+		Convey("A released role can be granted at once, and its epoch is never renewed", func() {
 			So(leases.Release(clock.Now(), current, a), ShouldBeTrue)
-			So(ask(a), ShouldEqual, claimDenied)
+			So(claim(a), ShouldEqual, claimDenied)
 			leases.ProposalDone("sched", 7)
-			So(ask(a), ShouldEqual, claimDenied) // the end may still be committed
+			So(claim(a), ShouldEqual, claimDenied) // the release may still be committed
 			current = state.Role{Epoch: 9}
-			So(ask(b), ShouldEqual, claimGrantable)
+			So(claim(b), ShouldEqual, claimGrantable)
 		})
 	})
 }
 
-// Every order of renewals, expiries, grants whose answers are lost and changes of leader, by seeds: no two
-// holders believe that they have the role at once, each counting its own lease from before it sent its call.
+// TestRoleLeases_neverTwoHolders tries random orders of renewals, expiries, grants whose answers are lost and changes
+// of leader: no two nodes count a valid lease at once, each from before it sent its call.
 func TestRoleLeases_neverTwoHolders(t *testing.T) {
 	Convey("Over many seeds no two nodes hold the role at once", t, func() {
 		worst, grants := 0, 0
@@ -95,10 +95,11 @@
 				i := rnd.IntN(len(nodes))
 				sent := clock.Now()
 				clock.Advance(time.Duration(rnd.Int64N(int64(2 * testLease / 3))))
-				call := internalapi.ClaimRoleCall{Role: "sched", Holder: string(rune('a' + i)), Incarnation: "1", Epoch: nodes[i].epoch}
+				call := internalapi.ClaimRoleCall{Role: "sched", Holder: string(rune('a' + i)), Incarnation: "1",
+					Epoch: nodes[i].epoch}
 				lost := rnd.IntN(4) == 0
 				switch rnd.IntN(12) {
-				case 0: // the leader falls; the next one knows only the state
+				case 0: // the leader dies; the next one has only the replicated state
 					leases.StepDown()
 					clock.Advance(time.Duration(rnd.Int64N(int64(testLease))))
 					leases.BecomeLeader(clock.Now(), map[string]*state.Role{"sched": &current})
@@ -126,13 +127,13 @@
 				if decision != claimDenied && !lost {
 					nodes[i] = node{current.Epoch, sent + testLease}
 				}
-				n := 0
-				for _, x := range nodes {
-					if x.until > clock.Now() {
-						n++
+				holders := 0
+				for _, n := range nodes {
+					if n.until > clock.Now() {
+						holders++
 					}
 				}
-				worst = max(worst, n)
+				worst = max(worst, holders)
 			}
 		}
 		So(worst, ShouldEqual, 1)
--- a/internal/store/silentmembers_test.go
+++ b/internal/store/silentmembers_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/internalapi"
 )
 
-func TestRemoveSilent_bounds(t *testing.T) {
+func TestRemoveSilent_withinBounds(t *testing.T) {
 	withOpenFleet(t, 4, func(fleet *testFleet) {
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4")
@@ -28,7 +28,7 @@
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
 		So(fleet.submitJobs("a", 20), ShouldBeEmpty)
 
-		// A newcomer is the fourth, and the dead one goes after that.
+		// A newcomer becomes the fourth, then the dead one is removed.
 		fleet.startFresh("c9")
 		fleet.waitVoters(fleet.others()...)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
@@ -55,12 +55,14 @@
 		So(lead.Status().Raft.Members, ShouldHaveLength, 4)
 		since := lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt
 		fleet.waitVoters("c1", "c2", "c3")
-		fleet.until("the removal is committed", func() bool { return lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt > since })
+		fleet.until("the removal is committed", func() bool {
+			return lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt > since
+		})
 
-		// It does not come back under its ID, as its folder says that it was a member.
+		// It is rejected under its old ID: its folder has it as a member.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
-		// A folder whose membership was never committed is no such one.
+		// A folder whose membership was never committed is not rejected.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since + 100})
 		So(err, ShouldBeNil)
 	})
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -9,16 +9,20 @@
 )
 
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
-	Convey("The snapshotter takes no entries while the live state has some to catch up on", t, func() {
-		s := &Store{disk: diskQueue{durable: 9}, snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}}, unapplied: []raft.Entry{{Index: 11}}}
+	Convey("The snapshotter takes no entries while the live state is catching up", t, func() {
+		s := &Store{
+			disk:      diskQueue{durable: 9},
+			snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}},
+			unapplied: []raft.Entry{{Index: 11}},
+		}
 		_, batch := s.takeDurableEntries()
 		So(batch, ShouldBeEmpty)
 		s.unapplied = nil
 		_, batch = s.takeDurableEntries()
-		So(batch, ShouldHaveLength, 2) // entry 10 is not stored here yet
+		So(batch, ShouldHaveLength, 2) // entry 10 is not durable yet
 		So(s.snapshots.committed, ShouldHaveLength, 1)
 	})
-	Convey("A fetched snapshot does not wait for that", t, func() {
+	Convey("A fetched snapshot is taken even then", t, func() {
 		s := &Store{unapplied: []raft.Entry{{Index: 11}}, snapshots: snapshots{toInstall: &fetchedSnapshot{}}}
 		fetched, _ := s.takeDurableEntries()
 		So(fetched, ShouldNotBeNil)
@@ -40,6 +44,7 @@
 	})
 }
 
+// newestSnapshot returns the index of the newest snapshot on disk.
 func newestSnapshot(s *Store) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,7 +18,7 @@
 		fleet.submitJobs("a", 100)
 		lead := fleet.leader()
 		fleet.kill(lead.settings.Name)
-		fleet.submitJobs("b", 100) // the one that is down needs a snapshot now
+		fleet.submitJobs("b", 100) // from now on the dead node needs a snapshot
 		fleet.start(lead.settings.Name)
 		fleet.waitLevel()
 		for round := range 3 {
@@ -33,7 +33,7 @@
 		fleet.waitLevel()
 		So(len(fleet.acked), ShouldEqual, 410)
 
-		// Without a majority no proposal is acknowledged; the waiters hear in time that nobody knows.
+		// Without a majority no proposal is acknowledged: it times out with an unknown outcome.
 		lead = fleet.leader()
 		for _, m := range fleet.settings.Members {
 			if m.ID != lead.settings.Name {
@@ -46,7 +46,7 @@
 	})
 }
 
-// countingClock counts the timers that a node sets.
+// countingClock counts the timers that a node timers.
 type countingClock struct {
 	clock.Clock
 	timersSet *atomic.Int64
@@ -59,14 +59,20 @@
 
 func TestIdle_timersPerSecond(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
-		sets := map[string]*atomic.Int64{}
+		timers := map[string]*atomic.Int64{}
 		for i := range 3 {
 			n := nodeName(i)
 			settings := fleet.settings
 			settings.Name, settings.Addr, settings.Zone = n, n, "z"
-			sets[n] = &atomic.Int64{}
-			s, err := Open(Options{Settings: settings, Disk: fleet.disks[n], Net: testNet{fleet, n}, Clock: countingClock{&fleet.clock, sets[n]},
-				Seed: uint64(i + 1), Fatal: func(error) {}})
+			timers[n] = &atomic.Int64{}
+			s, err := Open(Options{
+				Settings: settings,
+				Disk:     fleet.disks[n],
+				Net:      testNet{fleet, n},
+				Clock:    countingClock{&fleet.clock, timers[n]},
+				Seed:     uint64(i + 1),
+				Fatal:    func(error) {},
+			})
 			So(err, ShouldBeNil)
 			fleet.nodes[n] = s
 		}
@@ -76,13 +82,13 @@
 		fleet.waitVoters("c1", "c2", "c3")
 		lead := fleet.leader()
 		before := map[string]int64{}
-		for n, c := range sets {
+		for n, c := range timers {
 			before[n] = c.Load()
 		}
 		fleet.advance(10 * time.Second)
-		for n, c := range sets {
+		for n, c := range timers {
 			perSecond := (c.Load() - before[n]) / 10
-			Printf("\n%s leads %v: %d alarms a second", n, n == lead.settings.Name, perSecond)
+			Printf("\n%s leads %v: %d timers a second", n, n == lead.settings.Name, perSecond)
 			if n == lead.settings.Name {
 				So(perSecond, ShouldBeLessThan, 90)
 			} else {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -24,29 +24,29 @@
 )
 
 // The folders under testdata/stored were written by the code of commit df84be1, one for each deployment: `cplane run` and
-// `cplane jobs run`. Later code must read the same out of them. Commands and the expected contents stand here and in
-// expected.json under the names that are on the disk, not under those of Go.
+// `cplane jobs run`. Later code must read the same contents from them. Commands and the expected contents stand here and
+// in expected.json under the names on disk, not those of Go.
 //
-// Do not write them anew after a change of the stored form: that is what they are to find. A folder in a newer form goes
-// beside them, under its own name: add it to storedFolders and run
+// Never rewrite a folder after a change of the stored format: it is there to detect that. A folder in a newer format is
+// added beside them, under a name of its own: add it to storedFolders and run
 //
 //	go test ./internal/store -run TestStoredFolders -write-stored
 //
-// which writes those that are missing, with the code as it is.
+// which writes the missing ones with the current code.
 var writeStored = flag.Bool("write-stored", false, "write the folders of testdata/stored that are missing")
 
 var storedFolders = []struct {
 	name  string
-	id    string            // the ID that the node took when it was taken in anew; "": its name
-	write func(*storedNode) // the commands before the newest snapshot; it is given the node without any
-	after func(*storedNode) // and those after it
-	goOn  func(*storedNode) // works on with what was read out
+	id    string            // the ID that the node took when it joined anew; "": its name
+	write func(*storedNode) // commits the commands before the newest snapshot
+	after func(*storedNode) // commits those after it
+	goOn  func(*storedNode) // continues on what was read
 }{
 	{"cplane", "", writePolicy, writePolicyTail, goOnPolicy},
 	{"jobs", "c1~abcdefghij", writeJobs, writeJobsTail, goOnJobs},
 }
 
-// storedContents is expected.json.
+// storedContents is the content of expected.json.
 type storedContents struct {
 	State   map[string]any `json:"state"`
 	Members any            `json:"members"`
@@ -56,7 +56,7 @@
 	ID      string         `json:"id"`
 }
 
-// storedNode is a cplane of one voter on a folder, driven by hand.
+// storedNode is a control-plane node on a folder, the only voter of its fleet, with a manual driver.
 type storedNode struct {
 	*ManualDriver
 	clock *clock.Virtual
@@ -64,22 +64,23 @@
 	disk  storage.Disk
 }
 
-// openStored opens a folder; founder is the ID of the one member, if the folder is empty.
-func openStored(dir, founder string) *storedNode {
+// openStored opens a folder; bootstrapID is the ID of the only bootstrap member.
+func openStored(dir, bootstrapID string) *storedNode {
 	disk, err := storage.OSDisk(dir)
 	So(err, ShouldBeNil)
 	n := &storedNode{clock: &clock.Virtual{}, disk: disk}
-	set := config.DefaultControlPlane()
-	set.Name, set.Addr, set.Zone = "c1", "c1:1", "z1"
-	set.Members = []config.Member{{ID: founder, Addr: "c1:1", Zone: "z1"}}
-	set.SnapshotEvery = 1 << 30
-	n.store, err = Open(Options{Settings: set, Disk: disk, Net: testNet{}, Clock: n.clock, Seed: 1, Fatal: func(err error) { So(err, ShouldBeNil) }})
+	settings := config.DefaultControlPlane()
+	settings.Name, settings.Addr, settings.Zone = "c1", "c1:1", "z1"
+	settings.Members = []config.Member{{ID: bootstrapID, Addr: "c1:1", Zone: "z1"}}
+	settings.SnapshotEvery = 1 << 30
+	n.store, err = Open(Options{Settings: settings, Disk: disk, Net: testNet{}, Clock: n.clock, Seed: 1,
+		Fatal: func(err error) { So(err, ShouldBeNil) }})
 	So(err, ShouldBeNil)
 	n.ManualDriver = n.store.Manual()
 	return n
 }
 
-// turn lets the store do all that it has to do, and moves the clock on.
+// turn makes all steps that the store has pending, and advances the clock.
 func (n *storedNode) turn() {
 	for range 4 {
 		n.Pass()
@@ -104,12 +105,13 @@
 	So("leads", ShouldEqual, "within 1000 turns")
 }
 
+// leading reports whether the node leads with a valid lease.
 func (n *storedNode) leading() bool {
 	_, confirmed := n.Core().LeaseReadIndex(n.clock.Now())
 	return confirmed
 }
 
-// do commits a command given as it stands in the log, and gives its answer. A second passes.
+// do commits a command, given in its stored form, and returns its answer. The clock advances by a second.
 func (n *storedNode) do(op, body string) map[string]any {
 	n.clock.Advance(time.Second)
 	n.lead()
@@ -125,7 +127,7 @@
 	return out
 }
 
-// members commits a member set given as it stands in the log.
+// members commits a member set, given in its stored form.
 func (n *storedNode) members(set string) {
 	n.lead()
 	var next []raft.Member
@@ -134,6 +136,7 @@
 	n.turn()
 }
 
+// state returns the encoded live state as plain JSON.
 func (n *storedNode) state() map[string]any {
 	data, err := n.State().Encode()
 	So(err, ShouldBeNil)
@@ -146,63 +149,68 @@
 	So(n.store.writeSnapshot(n.store.group.Context()), ShouldBeNil)
 }
 
-func parseJSON(data []byte) (out any) {
+// parseJSON decodes JSON and keeps numbers as they are written.
+func parseJSON(data []byte) (value any) {
 	d := json.NewDecoder(strings.NewReader(string(data)))
 	d.UseNumber()
-	So(d.Decode(&out), ShouldBeNil)
-	return out
+	So(d.Decode(&value), ShouldBeNil)
+	return value
 }
 
+// encoded returns v as JSON.
 func encoded(v any) []byte {
 	data, err := json.Marshal(v)
 	So(err, ShouldBeNil)
 	return data
 }
 
+// plainJSON returns v as the maps, slices and numbers of its JSON.
 func plainJSON(v any) any { return parseJSON(encoded(v)) }
 
-// reread gives a stored JSON object as the type that reads it writes it again.
+// reread decodes a stored JSON object into a value of its type and returns that encoded again, as plain JSON.
 func reread(data []byte, into any) any {
 	So(json.Unmarshal(data, into), ShouldBeNil)
 	return plainJSON(into)
 }
 
-// contents reads all of a folder but the state; as stored, or as the types that read it write it again.
-func contents(t *testing.T, dir string, asStored bool) (out storedContents) {
+// contents reads a folder, except for the state: as stored, or as the types that decode it encode it again.
+func contents(t *testing.T, dir string, asStored bool) (read storedContents) {
+	t.Helper()
 	disk, err := storage.OSDisk(dir)
 	So(err, ShouldBeNil)
-	out.Metas = []any{}
-	for _, other := range []string{"slot-b", "slot-a"} { // the one that is left is read
-		one := copyFolder(t, dir, other)
-		d, err := storage.OSDisk(one)
+	read.Metas = []any{}
+	for _, removed := range []string{"slot-b", "slot-a"} { // removed, so that the other one is read
+		folder := copyFolder(t, dir, removed)
+		d, err := storage.OSDisk(folder)
 		So(err, ShouldBeNil)
-		s, boot, err := storage.Open(d, storage.Options{})
+		s, recovered, err := storage.Open(d, storage.Options{})
 		So(err, ShouldBeNil)
 		So(s.Close(), ShouldBeNil)
-		So(boot.Records[0].Kind, ShouldEqual, storage.KindHardState)
+		So(recovered.Records[0].Kind, ShouldEqual, storage.KindHardState)
 		if asStored {
-			out.Metas = append(out.Metas, parseJSON(boot.Snapshot.Meta))
-			out.Hard = parseJSON(boot.Records[0].Data).(map[string]any)
+			read.Metas = append(read.Metas, parseJSON(recovered.Snapshot.Meta))
+			read.Hard = parseJSON(recovered.Records[0].Data).(map[string]any)
 		} else {
-			out.Metas = append(out.Metas, reread(boot.Snapshot.Meta, &raft.Meta{}))
-			out.Hard = reread(boot.Records[0].Data, &raft.HardState{}).(map[string]any)
+			read.Metas = append(read.Metas, reread(recovered.Snapshot.Meta, &raft.Meta{}))
+			read.Hard = reread(recovered.Records[0].Data, &raft.HardState{}).(map[string]any)
 		}
 	}
-	out.ID, err = readID(disk)
+	read.ID, err = readID(disk)
 	So(err, ShouldBeNil)
 	peers, _, err := readFile(disk, peersFile)
 	So(err, ShouldBeNil)
-	out.Peers = append([]string{}, strings.Fields(peers)...)
-	return out
+	read.Peers = append([]string{}, strings.Fields(peers)...)
+	return read
 }
 
-// copyFolder copies the files of a folder, but for those named, to a new one.
-func copyFolder(t *testing.T, from string, but ...string) string {
+// copyFolder copies a folder without the files in except to a new one, and returns its path.
+func copyFolder(t *testing.T, from string, except ...string) string {
+	t.Helper()
 	to := t.TempDir()
 	files, err := os.ReadDir(from)
 	So(err, ShouldBeNil)
 	for _, f := range files {
-		if slices.Contains(but, f.Name()) {
+		if slices.Contains(except, f.Name()) {
 			continue
 		}
 		data, err := os.ReadFile(filepath.Join(from, f.Name()))
@@ -212,8 +220,8 @@
 	return to
 }
 
-// sameState compares two states part by part, but for index and term, which a new term moves on.
-func sameState(got, want map[string]any) {
+// assertSameState compares two states part by part, except for index and term, which a new term advances.
+func assertSameState(got, want map[string]any) {
 	for _, part := range slices.Sorted(maps.Keys(want)) {
 		if part != "index" && part != "term" {
 			So(part+" "+string(encoded(got[part])), ShouldEqual, part+" "+string(encoded(want[part])))
@@ -222,6 +230,7 @@
 	So(slices.Sorted(maps.Keys(got)), ShouldResemble, slices.Sorted(maps.Keys(want)))
 }
 
+// number returns a number in plain JSON.
 func number(v any) uint64 {
 	n, err := v.(json.Number).Int64()
 	So(err, ShouldBeNil)
@@ -237,7 +246,7 @@
 		}
 		for _, newest := range []bool{true, false} {
 			how := map[bool]string{true: "its newest snapshot and the log after it", false: "its first snapshot and the whole log"}[newest]
-			Convey("The folder of "+f.name+" gives by "+how+" what was stored", t, func() {
+			Convey("The folder "+f.name+" is recovered unchanged from "+how, t, func() {
 				raw, err := os.ReadFile(filepath.Join(from, "expected.json"))
 				So(err, ShouldBeNil)
 				expected := parseJSON(raw).(map[string]any)
@@ -247,15 +256,15 @@
 					So(rest[part], ShouldResemble, expected[part])
 				}
 
-				but := []string{}
+				except := []string{}
 				if !newest {
-					but = append(but, "slot-b")
+					except = append(except, "slot-b")
 				}
-				dir := copyFolder(t, data, but...)
+				dir := copyFolder(t, data, except...)
 				n := openStored(dir, "c1")
 				n.lead()
 				got := n.state()
-				sameState(got, want)
+				assertSameState(got, want)
 				So(number(got["index"]), ShouldEqual, number(want["index"])+1) // the first entry of the new term
 				So(number(got["term"]), ShouldEqual, number(want["term"])+1)
 				So(plainJSON(n.store.Status().Raft.Members), ShouldResemble, expected["members"])
@@ -265,7 +274,7 @@
 				n.store.Stop()
 				n = openStored(dir, "c1")
 				n.lead()
-				sameState(n.state(), got)
+				assertSameState(n.state(), got)
 				So(plainJSON(n.store.Status().Raft.Members), ShouldResemble, expected["members"])
 				n.store.Stop()
 			})
@@ -273,8 +282,9 @@
 	}
 }
 
-// writeFolder writes a folder: the founding snapshot is slot-a, the newest is slot-b, and the log holds all entries.
+// writeFolder writes a folder: slot-a is the snapshot of the bootstrap, slot-b the newest one, and the log has all entries.
 func writeFolder(t *testing.T, from, id string, write, after func(*storedNode)) {
+	t.Helper()
 	data := filepath.Join(from, "data")
 	So(os.MkdirAll(data, 0o750), ShouldBeNil)
 	n := openStored(data, cmp.Or(id, "c1"))
@@ -290,11 +300,11 @@
 	n.snapshot()
 	after(n)
 	n.turn()
-	out := storedContents{State: n.state(), Members: plainJSON(n.store.Status().Raft.Members)}
+	written := storedContents{State: n.state(), Members: plainJSON(n.store.Status().Raft.Members)}
 	n.store.Stop()
 	files := contents(t, data, true)
-	out.Hard, out.Metas, out.Peers, out.ID = files.Hard, files.Metas, files.Peers, files.ID
-	raw, err := json.MarshalIndent(out, "", " ")
+	written.Hard, written.Metas, written.Peers, written.ID = files.Hard, files.Metas, files.Peers, files.ID
+	raw, err := json.MarshalIndent(written, "", " ")
 	So(err, ShouldBeNil)
 	So(os.WriteFile(filepath.Join(from, "expected.json"), append(raw, '\n'), 0o600), ShouldBeNil)
 }
--- a/internal/store/testdisk_test.go
+++ b/internal/store/testdisk_test.go
@@ -9,13 +9,14 @@
 	"crosstide/internal/storage"
 )
 
-// testDisk is a disk whose syncs take the fleet's time, and that is full when the fleet says so.
+// testDisk is the disk of one node of a fleet, which makes it slow, hang, or refuse writes.
 type testDisk struct {
 	storage.Disk
 	fleet *testFleet
 	name  string
 }
 
+// testDiskFile is a file of a testDisk.
 type testDiskFile struct {
 	storage.File
 	fleet *testFleet
@@ -49,20 +50,21 @@
 	return f.File.Sync()
 }
 
+// refusal returns the error with which a node's disk refuses writes, nil if it does not.
 func (fleet *testFleet) refusal(name string) error {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.full[name]
 }
 
-// setRefusal makes a node's disk refuse writes with an error, or take them again.
+// setRefusal makes a node's disk refuse writes with an error; nil: it accepts them again.
 func (fleet *testFleet) setRefusal(name string, with error) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.full[name] = with
 }
 
-// setFull makes a node's disk full, or ends that.
+// setFull fills a node's disk, or makes space on it again.
 func (fleet *testFleet) setFull(name string, full bool) {
 	if full {
 		fleet.setRefusal(name, unix.ENOSPC)
@@ -71,13 +73,14 @@
 	}
 }
 
+// doesHang reports whether a node's disk hangs.
 func (fleet *testFleet) doesHang(name string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.hangs[name]
 }
 
-// setHang makes syncs of a node's disk wait, or end again.
+// setHang makes a node's disk hang in syncs, or ends that.
 func (fleet *testFleet) setHang(name string, hangs bool) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
--- a/internal/store/testnet_test.go
+++ b/internal/store/testnet_test.go
@@ -7,12 +7,14 @@
 	"crosstide/internal/internalapi"
 )
 
-// testNet carries the calls of one node straight to the other store.
+// testNet is the Net of one node of a fleet: it calls the other store directly.
 type testNet struct {
 	fleet *testFleet
 	from  string
 }
 
+// callNode calls do with the store at an address. Over a partition the call times out; a node that is down is
+// Unavailable.
 func callNode[A any](ctx context.Context, n testNet, addr string, do func(s *Store) (A, error)) (A, error) {
 	n.fleet.mu.Lock()
 	s, cut := n.fleet.nodes[addr], n.fleet.cut[addr] || n.fleet.cut[n.from]
@@ -38,12 +40,16 @@
 	return err
 }
 
-func (n testNet) FetchChunk(ctx context.Context, addr string, c internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
-	c.Max = 1000 // many parts
+func (n testNet) FetchChunk(ctx context.Context, addr string, c internalapi.ChunkCall) (
+	internalapi.ChunkAnswer, error,
+) {
+	c.Max = 1000 // many chunks
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.ChunkAnswer, error) { return s.Chunk(c) })
 }
 
-func (n testNet) BootstrapStatus(ctx context.Context, addr string, c internalapi.DiscoverCall) (internalapi.DiscoverAnswer, error) {
+func (n testNet) BootstrapStatus(ctx context.Context, addr string, c internalapi.DiscoverCall) (
+	internalapi.DiscoverAnswer, error,
+) {
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.DiscoverAnswer, error) { return s.BootstrapStatus(c), nil })
 }
 
@@ -51,7 +57,9 @@
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.JoinAnswer, error) { return s.Join(ctx, c) })
 }
 
-func (n testNet) Propose(ctx context.Context, addr string, c internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
+func (n testNet) Propose(ctx context.Context, addr string, c internalapi.ProposeCall) (
+	internalapi.ProposeAnswer, error,
+) {
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.ProposeAnswer, error) { return s.handlePropose(ctx, c) })
 }
 
