--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -33,7 +33,7 @@
 //	a snapshot       written in snapshotter.go, served in servesnapshot.go, downloaded in downloadsnapshot.go,
 //	                 installed in installsnapshot.go
 //	a replica        a data-plane node pulls changes by Follow (follow.go)
-//	a lost disk      recoverFolder (recovery.go), resolveEmptyFolder (bootstrap.go), Join (join.go)
+//	a lost disk      recoverFolder (recovery.go), resolveEmptyFolder (emptyfolder.go), Join (join.go)
 //	a role lease     ClaimRole (role.go), roleLeases (rolelease.go)
 //	leadership       onStatusChange, TransferLeadership (leader.go)
 //	a full disk      retryWhileDiskFull (diskfull.go)
