--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -18,7 +18,7 @@
 //	fetch                one download of a member's snapshot, when the core asks for it (installsnapshot.go)
 //	runGC                on the leader: purges of what is past its retention, warnings of accounts (gc.go)
 //	installOperatorKeys  on the leader: the first commit of the operators' keys (operatorkeys.go)
-//	joinFleet            after an empty folder: calls to the leader until this node is a voter (join.go);
+//	joinFleet            of a folder with a new ID: calls to the leader until this node is a voter (join.go);
 //	                     joinOpenFleet in an open fleet
 //	watchRemoval         in an open fleet: the check whether this node was removed while it was away (removal.go)
 //
