--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -12,11 +12,11 @@
 // Bounds of what one pass applies: a restarted node may have thousands of entries to apply, and a leader that applied
 // them in one pass would send no heartbeat meanwhile.
 const (
-	applyEntries = 64
-	applyBytes   = 256 << 10
-	// applyPause separates passes that catch up: on a machine with one processor they would starve the goroutines that
-	// handle messages.
-	applyPause = time.Millisecond
+	maxApplyEntries = 64
+	maxApplyBytes   = 256 << 10
+	// catchUpPause separates passes that catch up: on a machine with one processor they would starve the goroutines
+	// that handle messages.
+	catchUpPause = time.Millisecond
 )
 
 // apply queues committed entries, applies as many to the live state as one pass may, and ends the proposals among them.
@@ -41,7 +41,7 @@
 // store with a manual driver applies all at once. s.mu must be held.
 func (s *Store) nextApplied() []raft.Entry {
 	n, bytes := 0, 0
-	for n < len(s.unapplied) && (s.manual != nil || n < applyEntries && bytes < applyBytes) {
+	for n < len(s.unapplied) && (s.manual != nil || n < maxApplyEntries && bytes < maxApplyBytes) {
 		bytes += len(s.unapplied[n].Data)
 		n++
 	}
--- a/internal/store/apply_test.go
+++ b/internal/store/apply_test.go
@@ -11,7 +11,7 @@
 func TestPass_appliesBoundedBatch(t *testing.T) {
 	Convey("Given a store with more committed entries than one pass applies", t, func() {
 		s := &Store{wakeLoop: make(chan struct{}, 1)}
-		for i := range 2*applyEntries + 8 {
+		for i := range 2*maxApplyEntries + 8 {
 			s.unapplied = append(s.unapplied, raft.Entry{Index: uint64(i + 1)})
 		}
 		Convey("Then passes take them batch by batch, in order, and each asks for the next", func() {
@@ -30,16 +30,16 @@
 				default:
 				}
 			}
-			So(sizes, ShouldResemble, []int{applyEntries, applyEntries, 8})
+			So(sizes, ShouldResemble, []int{maxApplyEntries, maxApplyEntries, 8})
 			So(s.nextApplied(), ShouldBeEmpty)
 		})
 		Convey("Then long entries make a shorter batch, of one at least", func() {
-			s.unapplied[0].Data = make([]byte, applyBytes)
+			s.unapplied[0].Data = make([]byte, maxApplyBytes)
 			So(len(s.nextApplied()), ShouldEqual, 1)
 		})
 		Convey("Then a store with a manual driver applies all at once", func() {
 			s.manual = &ManualDriver{}
-			So(len(s.nextApplied()), ShouldEqual, 2*applyEntries+8)
+			So(len(s.nextApplied()), ShouldEqual, 2*maxApplyEntries+8)
 		})
 	})
 }
--- a/internal/store/discovery.go
+++ b/internal/store/discovery.go
@@ -33,8 +33,8 @@
 		return
 	}
 	for _, a := range addresses {
-		if a != "" && a != s.settings.Addr && len(s.membership.known) < maxKnownAddresses {
-			s.membership.known[a] = true
+		if a != "" && a != s.settings.Addr && len(s.membership.knownAddresses) < maxKnownAddresses {
+			s.membership.knownAddresses[a] = true
 		}
 	}
 }
@@ -43,7 +43,7 @@
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := maps.Clone(s.membership.known)
+	known := maps.Clone(s.membership.knownAddresses)
 	for _, m := range s.settings.Members {
 		known[m.Addr] = true
 	}
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -28,7 +28,7 @@
 func (s *Store) durableIndex() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.disk.durable
+	return s.diskQueue.durable
 }
 
 func TestDiskFull_leaderStepsDown(t *testing.T) {
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -77,7 +77,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.disk.wake:
+		case <-s.diskQueue.wake:
 		}
 		batch := s.takeDiskWrites()
 		if len(batch) == 0 {
@@ -101,7 +101,7 @@
 func (s *Store) takeDiskWrites() []diskWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.disk.take(s.clock.Now())
+	return s.diskQueue.take(s.clock.Now())
 }
 
 // writeBatch stores a batch with one sync. s.mu must not be held: the disk may be slow.
@@ -137,7 +137,7 @@
 func (s *Store) onStored(batch []diskWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.disk.busySince = 0
+	s.diskQueue.busySince = 0
 	var last raft.Entry
 	for _, w := range batch {
 		s.enqueueMessages(w.sendAfterSync)
@@ -147,12 +147,12 @@
 	}
 	if last.Index > 0 {
 		s.core.Synced(s.clock.Now(), last.Index, last.Term)
-		s.disk.onSynced(last.Index)
+		s.diskQueue.onSynced(last.Index)
 		signal(s.snapshots.wake)
 	}
 	signal(s.wakeLoop)
-	if len(s.disk.writes) > 0 {
-		signal(s.disk.wake)
+	if len(s.diskQueue.writes) > 0 {
+		signal(s.diskQueue.wake)
 	}
 }
 
@@ -160,5 +160,5 @@
 func (s *Store) isDiskIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.disk.isIdle()
+	return s.diskQueue.isIdle()
 }
--- a/internal/store/downloadsnapshot.go
+++ b/internal/store/downloadsnapshot.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	downloadTries = 8       // attempts in a row without progress
-	downloadChunk = 1 << 20 // bytes asked for in one call
+	maxDownloadAttempts = 8       // attempts in a row without progress
+	downloadChunkBytes  = 1 << 20 // bytes asked for in one call
 )
 
 // download is a partly downloaded snapshot of another member. The goroutine fetch owns it.
 type download struct {
 	head         internalapi.ChunkAnswer // the newest chunk's answer; Number is 0 before the first
 	body         []byte                  // the bytes so far, from the first on
-	attemptsLeft int                     // downloadTries again after each chunk
+	attemptsLeft int                     // maxDownloadAttempts again after each chunk
 }
 
 // restart begins again at the first byte of the newest snapshot; it counts as an attempt.
@@ -43,7 +43,7 @@
 	case len(a.Data) == 0 && int64(len(d.body)) < a.Size || a.Size > math.MaxInt32*16:
 		return errs.New(errs.Malformed, "an empty part at %d of %d bytes", len(d.body), a.Size)
 	default:
-		d.head, d.body, d.attemptsLeft = a, append(d.body, a.Data...), downloadTries
+		d.head, d.body, d.attemptsLeft = a, append(d.body, a.Data...), maxDownloadAttempts
 	}
 	return nil
 }
@@ -67,11 +67,11 @@
 }
 
 // download downloads the chunks of a snapshot in order. After a failed call it resumes at the byte it reached; it fails
-// after downloadTries attempts without progress.
+// after maxDownloadAttempts attempts without progress.
 func (s *Store) download(ctx context.Context, wanted raft.FetchSnapshot) (*fetchedSnapshot, error) {
-	d := download{attemptsLeft: downloadTries}
+	d := download{attemptsLeft: maxDownloadAttempts}
 	for {
-		call := internalapi.ChunkCall{Number: d.head.Number, From: int64(len(d.body)), Max: downloadChunk}
+		call := internalapi.ChunkCall{Number: d.head.Number, From: int64(len(d.body)), Max: downloadChunkBytes}
 		a, err := s.opt.Net.FetchChunk(ctx, wanted.From, call)
 		if err := d.add(a, err); err != nil {
 			return nil, errs.Pass(err, "chunk")
--- a/internal/store/installsnapshot.go
+++ b/internal/store/installsnapshot.go
@@ -84,7 +84,7 @@
 	}
 	defer s.unfreeze()
 	for !s.isDiskIdle() { // earlier writes must be stored before the image
-		signal(s.disk.wake)
+		signal(s.diskQueue.wake)
 		if !s.sleep(ctx, pollInterval) {
 			return nil
 		}
@@ -127,7 +127,7 @@
 	s.core.SnapshotInstalled(s.clock.Now(), fetched.meta)
 	s.snapshotter = snapshotter{state: snapshotterState, members: fetched.meta.Members}
 	s.snapshots.committed, s.snapshots.unsnapshottedBytes, s.unapplied = nil, 0, nil
-	s.disk.durable = max(s.disk.durable, fetched.meta.Index)
+	s.diskQueue.durable = max(s.diskQueue.durable, fetched.meta.Index)
 	s.replaceState(fetched.live)
 	_ = level.Info(s.logger).Log("msg", "snapshot installed", "index", fetched.meta.Index,
 		"bytes", len(fetched.image.Body))
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -45,7 +45,7 @@
 			leadership.leases.BecomeLeader(now, s.live.Roles)
 		}
 	}
-	s.progress.onApplied(s.live.Index)
+	s.followerProgress.onApplied(s.live.Index)
 	s.updatePeers()
 }
 
@@ -103,11 +103,12 @@
 // stepDownIfDiskHangs transfers the leadership when this node's disk hangs. The other members can commit without it,
 // but a node that cannot store entries must not go on leading them. It is called at each tick. s.mu must be held.
 func (s *Store) stepDownIfDiskHangs(now time.Duration) {
-	if s.status.Role != raft.Leader || !s.disk.isHung(now, 2*s.settings.Election) {
+	if s.status.Role != raft.Leader || !s.diskQueue.isHung(now, 2*s.settings.Election) {
 		return
 	}
 	if to := s.successor(); to != "" && s.core.TransferLeadership(now, to) == nil {
-		_ = level.Warn(s.logger).Log("msg", "disk hung, leadership transferring", "to", to, "for", now-s.disk.busySince)
+		_ = level.Warn(s.logger).Log("msg", "disk hung, leadership transferring", "to", to,
+			"for", now-s.diskQueue.busySince)
 	}
 }
 
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -22,7 +22,7 @@
 	for {
 		due := s.pass()
 		if s.isCatchingUp() {
-			s.sleep(ctx, applyPause)
+			s.sleep(ctx, catchUpPause)
 		}
 		if timer != nil {
 			timer.Stop()
@@ -63,7 +63,7 @@
 	before := s.status
 	s.status = s.core.Status()
 	s.enqueueMessages(ready.Messages)
-	s.disk.add(ready)
+	s.diskQueue.add(ready)
 	s.apply(ready.CommittedEntries)
 	s.onStatusChange(before, now)
 	s.startFetch(ready.Fetch)
@@ -97,7 +97,7 @@
 		s.peers.learn(m.From, call.From)
 		s.core.Step(now, m)
 		if m.Kind == raft.Append && m.To == s.id && m.Term >= s.status.Term {
-			s.progress.onAppend(m.Commit, now)
+			s.followerProgress.onAppend(m.Commit, now)
 		}
 	}
 	s.mu.Unlock()
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -108,7 +108,7 @@
 
 // TakeDiskBatch removes all queued writes and returns them; nil if there are none, or while another batch is under way.
 func (d *ManualDriver) TakeDiskBatch() *DiskBatch {
-	if d.store.disk.busySince != 0 || d.store.halted {
+	if d.store.diskQueue.busySince != 0 || d.store.halted {
 		return nil
 	}
 	if writes := d.store.takeDiskWrites(); len(writes) > 0 {
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -18,8 +18,8 @@
 	// fleet. A member that asks under its incarnation here may bootstrap too. nil if this process did not bootstrap, or
 	// did so only because another member listed it.
 	bootstrapped map[string]string
-	// known has the addresses of nodes that were learned from other nodes; empty in a fixed fleet.
-	known map[string]bool
+	// knownAddresses has the addresses of nodes that were learned from other nodes; empty in a fixed fleet.
+	knownAddresses map[string]bool
 }
 
 // Members returns the address of the leader, "" if none is known, and the addresses of all members, voters first.
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxCommand       = 8 << 20  // bytes of one encoded command
+	maxCommandBytes  = 8 << 20  // bytes of one encoded command
 	maxProposals     = 16384    // proposals without an outcome
 	maxProposalBytes = 64 << 20 // their bytes
 )
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -103,8 +103,8 @@
 	if err != nil {
 		return 0, nil, errs.Pass(err, "encode %s", c.Op())
 	}
-	if len(data) > maxCommand {
-		return 0, nil, errs.New(errs.TooLarge, "the command has %d bytes, at most %d", len(data), maxCommand)
+	if len(data) > maxCommandBytes {
+		return 0, nil, errs.New(errs.TooLarge, "the command has %d bytes, at most %d", len(data), maxCommandBytes)
 	}
 	w := &waiter{data: data, onlyTerm: term, done: make(chan outcome, 1)}
 	if err := s.enqueueProposal(w); err != nil {
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -72,10 +72,10 @@
 		s.snapshotter.initialImage = image.Body
 		s.snapshots.newest = internalapi.Snapshot{Number: image.Number, Index: image.Index, Term: image.Term,
 			Size: int64(len(image.Body))}
-		s.disk.durable = image.Index
+		s.diskQueue.durable = image.Index
 	}
 	if n := len(initial.Entries); n > 0 {
-		s.disk.durable = initial.Entries[n-1].Index
+		s.diskQueue.durable = initial.Entries[n-1].Index
 	}
 	s.replaceState(live)
 	s.core, s.status = core, core.Status()
--- a/internal/store/servesnapshot.go
+++ b/internal/store/servesnapshot.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxChunkBytes     = 4 << 20
-	snapshotCacheIdle = 30 * time.Second // a cached snapshot that is not used for this long is dropped
-	snapshotCacheSize = 2
+	maxChunkBytes        = 4 << 20
+	snapshotCacheTimeout = 30 * time.Second // a cached snapshot that is not used for this long is dropped
+	snapshotCacheSize    = 2
 )
 
 // snapshotCache keeps the snapshots that other members are fetching, oldest first, so that a newer one does not abort
@@ -48,11 +48,11 @@
 	}
 }
 
-// dropIdle drops the snapshots that were not used for snapshotCacheIdle.
+// dropIdle drops the snapshots that were not used for snapshotCacheTimeout.
 func (c *snapshotCache) dropIdle(now time.Duration) {
 	used := c.images[:0:0]
 	for _, cached := range c.images {
-		if now-cached.lastUsed < snapshotCacheIdle {
+		if now-cached.lastUsed < snapshotCacheTimeout {
 			used = append(used, cached)
 		}
 	}
@@ -91,7 +91,7 @@
 	if number == 0 {
 		number = newest
 	}
-	cached := s.served.get(number, now)
+	cached := s.snapshotCache.get(number, now)
 	s.mu.Unlock()
 	if cached != nil {
 		return cached, nil
@@ -106,12 +106,12 @@
 	loaded := &cachedSnapshot{image: image, sum: xxhash.Sum64(image.Body), lastUsed: now}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cached := s.served.get(image.Number, now); cached != nil { // another call loaded it meanwhile
+	if cached := s.snapshotCache.get(image.Number, now); cached != nil { // another call loaded it meanwhile
 		return cached, nil
 	}
 	loaded.compactedBytes = s.snapshots.compactedBytes
-	s.served.add(loaded)
-	s.clock.Set(snapshotCacheIdle, s.evictIdleSnapshots)
+	s.snapshotCache.add(loaded)
+	s.clock.Set(snapshotCacheTimeout, s.evictIdleSnapshots)
 	return loaded, nil
 }
 
@@ -119,8 +119,8 @@
 func (s *Store) evictIdleSnapshots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.served.dropIdle(s.clock.Now())
-	if len(s.served.images) > 0 && s.group.Context().Err() == nil {
-		s.clock.Set(snapshotCacheIdle, s.evictIdleSnapshots)
+	s.snapshotCache.dropIdle(s.clock.Now())
+	if len(s.snapshotCache.images) > 0 && s.group.Context().Err() == nil {
+		s.clock.Set(snapshotCacheTimeout, s.evictIdleSnapshots)
 	}
 }
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -159,7 +159,7 @@
 	if len(s.unapplied) > 0 && fetched == nil {
 		return nil, nil
 	}
-	return fetched, s.snapshots.takeDurable(s.disk.durable)
+	return fetched, s.snapshots.takeDurable(s.diskQueue.durable)
 }
 
 // applyToSnapshotter applies one entry to the snapshotter's state, and writes a snapshot if one is due.
@@ -216,7 +216,7 @@
 // fetching: a fetch that takes longer than two snapshots would otherwise find the log after it gone, every time. A
 // fetch that has fallen maxUnsnapshottedBytes behind no longer counts, which bounds the memory. s.mu must be held.
 func (s *Store) compactionIndex(before uint64) uint64 {
-	for _, c := range s.served.images {
+	for _, c := range s.snapshotCache.images {
 		if s.snapshots.compactedBytes-c.compactedBytes < maxUnsnapshottedBytes {
 			before = min(before, c.image.Index)
 		}
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -11,7 +11,7 @@
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
 	Convey("The snapshotter takes no entries while the live state is catching up", t, func() {
 		s := &Store{
-			disk:      diskQueue{durable: 9},
+			diskQueue: diskQueue{durable: 9},
 			snapshots: snapshots{committed: []raft.Entry{{Index: 8}, {Index: 9}, {Index: 10}}},
 			unapplied: []raft.Entry{{Index: 11}},
 		}
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -53,8 +53,9 @@
 		if commit, ok := s.core.LeaseReadIndex(now); !ok || s.live.Index < commit {
 			return errs.New(errs.Unavailable, "the lead is not confirmed")
 		}
-	case now-s.progress.caughtUpAt > maxReadyLag:
-		return errs.New(errs.Unavailable, "behind the leader: at %d of %d", s.live.Index, s.progress.leaderCommit)
+	case now-s.followerProgress.caughtUpAt > maxReadyLag:
+		return errs.New(errs.Unavailable, "behind the leader: at %d of %d", s.live.Index,
+				s.followerProgress.leaderCommit)
 	}
 	return nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -128,16 +128,16 @@
 	changed   chan struct{} // closed and replaced when the live state changes
 	unapplied []raft.Entry  // committed and not applied to live yet, in the order of the log
 
-	lastTick   time.Duration // of core, on clock
-	proposals  proposals
-	disk       diskQueue
-	snapshots  snapshots
-	served     snapshotCache
-	peers      peers
-	progress   followerProgress
-	leadership leadership
-	membership membership
-	rollout    rolloutReport
+	lastTick         time.Duration // of core, on clock
+	proposals        proposals
+	diskQueue        diskQueue
+	snapshots        snapshots
+	snapshotCache    snapshotCache
+	peers            peers
+	followerProgress followerProgress
+	leadership       leadership
+	membership       membership
+	rollout          rolloutReport
 }
 
 // Open reads the folder and returns a store that neither sends nor votes before Start. Failures: Settings, Disk,
@@ -155,24 +155,24 @@
 	}
 	metrics, settings := newMetrics(), opt.Settings
 	s := &Store{
-		opt:         opt,
-		settings:    settings,
-		clock:       opt.Clock,
-		logger:      opt.Logger,
-		group:       routine.New(context.Background()),
-		metrics:     metrics,
-		incarnation: opt.RandomID()[:12],
-		wakeLoop:    make(chan struct{}, 1),
-		live:        state.New(),
-		changed:     make(chan struct{}),
-		proposals:   newProposals(opt.Clock, metrics.commits),
-		disk:        diskQueue{wake: make(chan struct{}, 1)},
-		snapshots:   snapshots{wake: make(chan struct{}, 1)},
-		peers:       newPeers(),
-		progress:    newFollowerProgress(),
-		leadership:  leadership{leases: newRoleLeases(settings.RoleLease, settings.RoleLease/10)},
-		membership:  membership{known: map[string]bool{}},
-		rollout:     newRolloutReport(),
+		opt:              opt,
+		settings:         settings,
+		clock:            opt.Clock,
+		logger:           opt.Logger,
+		group:            routine.New(context.Background()),
+		metrics:          metrics,
+		incarnation:      opt.RandomID()[:12],
+		wakeLoop:         make(chan struct{}, 1),
+		live:             state.New(),
+		changed:          make(chan struct{}),
+		proposals:        newProposals(opt.Clock, metrics.commits),
+		diskQueue:        diskQueue{wake: make(chan struct{}, 1)},
+		snapshots:        snapshots{wake: make(chan struct{}, 1)},
+		peers:            newPeers(),
+		followerProgress: newFollowerProgress(),
+		leadership:       leadership{leases: newRoleLeases(settings.RoleLease, settings.RoleLease/10)},
+		membership:       membership{knownAddresses: map[string]bool{}},
+		rollout:          newRolloutReport(),
 	}
 	if err := s.recoverFolder(); err != nil {
 		return nil, errs.Pass(err, "open the store")
