--- /dev/null
+++ b/internal/store/follow_test.go
@@ -0,0 +1,46 @@
+package store
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/internalapi"
+	"crosstide/internal/routine"
+)
+
+// follow calls Follow at s while during runs, and returns the update.
+func (fleet *testFleet) follow(s *Store, from uint64, wait time.Duration, during func(context.Context)) (
+	update internalapi.SourceUpdate,
+) {
+	call := internalapi.FollowCall{Vector: map[string]uint64{vectorSource: from}, Wait: wait, Max: 1 << 20}
+	var answer internalapi.FollowAnswer
+	var err error
+	fleet.call(func(ctx context.Context) {
+		waiting := routine.New(ctx)
+		waiting.Go(func(ctx context.Context) { answer, err = s.Follow(ctx, call) })
+		during(ctx)
+		waiting.Wait()
+	})
+	So(err, ShouldBeNil)
+	return answer.Updates[vectorSource]
+}
+
+func TestFollow_returnsChangesOrSnapshot(t *testing.T) {
+	withFleet(t, 40, func(fleet *testFleet) {
+		other := fleet.follower(fleet.leader())
+		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
+		fleet.waitLevel()
+		at := other.Status().Applied
+		idle := func(context.Context) {}
+		So(len(fleet.follow(other, at-3, 0, idle).Changes), ShouldEqual, 3)
+		So(fleet.follow(other, 0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1) // the log no longer has the changes
+		So(fleet.follow(other, at, time.Second, idle), ShouldResemble, internalapi.SourceUpdate{})
+		update := fleet.follow(other, at, 20*time.Second, func(ctx context.Context) {
+			_, _ = other.ProposeOrForward(ctx, job("news")) // a failure shows in the update
+		})
+		So(len(update.Changes), ShouldEqual, 1)
+	})
+}
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -55,7 +55,7 @@
 		}
 	case now-s.followerProgress.caughtUpAt > maxReadyLag:
 		return errs.New(errs.Unavailable, "behind the leader: at %d of %d", s.live.Index,
-				s.followerProgress.leaderCommit)
+			s.followerProgress.leaderCommit)
 	}
 	return nil
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -520,7 +520,7 @@
 	}
 }
 
-// followerProgress commits what the scheduler of the current term decided.
+// progress commits what the scheduler of the current term decided.
 func (n *storedNode) progress(body string) map[string]any {
 	n.lead()
 	return n.do("job-progress", fmt.Sprintf(`{"term": %d, "at": "1970-01-01T00:02:00Z", %s}`, number(n.state()["term"]), body))
