--- a/internal/store/discard_test.go
+++ b/internal/store/discard_test.go
@@ -13,7 +13,7 @@
 
 func TestDiscard_survivesPowerLoss(t *testing.T) {
 	Convey("A discarded folder never bootstraps and never keeps its ID, wherever the power fails on the way", t, func() {
-		full := func() *storage.MemDisk {
+		newFolder := func() *storage.MemDisk {
 			d := storage.NewMemDisk()
 			So(writeFile(d, idFile, "c1~old"), ShouldBeNil)
 			s, _, err := storage.Open(d, storage.Options{})
@@ -29,13 +29,13 @@
 			return Open(Options{Settings: settings, Disk: d, Net: testNet{}, Fatal: func(error) {}})
 		}
 		for at := 1; ; at++ {
-			d := full()
+			d := newFolder()
 			So(Discard(d, "c7", "c8"), ShouldBeNil)
 			d.PowerOff(at)
 			_, err := open(d)
 			d.Crash(rand.New(rand.NewSource(int64(at))))
-			s, again := open(d)
-			So(again, ShouldBeNil)
+			s, reopenErr := open(d)
+			So(reopenErr, ShouldBeNil)
 			So(s.id, ShouldStartWith, "c1~")
 			So(s.id, ShouldNotEqual, "c1~old")
 			So(s.status.Term, ShouldEqual, 0)
@@ -47,7 +47,7 @@
 			}
 		}
 		for at := 1; at < 20; at++ { // while the mark is written
-			d := full()
+			d := newFolder()
 			d.PowerOff(at)
 			if Discard(d) == nil {
 				break
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -13,8 +13,8 @@
 	"crosstide/internal/storage"
 )
 
-// idFile holds the raft ID of a folder that was empty when the fleet existed already. A folder without it is that of a
-// bootstrap member, whose ID is the node's name.
+// idFile holds the raft ID of a folder that began as a new incarnation of its node. The ID of a folder without it is the
+// node's name.
 const idFile = "id"
 
 // recoverFolder reads the folder and starts the core. It leaves the core nil if the folder is empty and the node may
@@ -24,7 +24,7 @@
 		return errs.Pass(err, "discard")
 	}
 	if err := s.loadPeerAddresses(); err != nil {
-		return errs.Pass(err, "load")
+		return errs.Pass(err, "load peer addresses")
 	}
 	id, err := readID(s.opt.Disk)
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -100,7 +100,7 @@
 
 // Store is one member of the replicated store. Its exported methods may be called from any goroutine.
 type Store struct {
-	// Set by Open (manual by Manual), and not changed after.
+	// Set by Open, manual by Manual, and not changed after.
 	opt         Options
 	settings    config.ControlPlane // opt.Settings
 	clock       clock.Clock
