--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// updatePeers starts and stops senders so that the peers are the other members. A peer outside the member set stays if
-// its address was learned and it is the leader, or if this node has no member set yet. s.mu must be held.
+// updatePeers starts and stops senders so that the peers are the other members. A peer outside the member set is kept
+// only if its address was learned, and it is the leader or this node has no member set yet. s.mu must be held.
 func (s *Store) updatePeers() {
 	members := make(map[string]bool, len(s.status.Members))
 	for _, m := range s.status.Members {
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -13,8 +13,7 @@
 	"crosstide/internal/storage"
 )
 
-// idFile holds the raft ID of a folder that began as a new incarnation of its node. The ID of a folder without it is the
-// node's name.
+// idFile holds the raft ID of a folder that began as a new incarnation. Without it the node's name is the ID.
 const idFile = "id"
 
 // recoverFolder reads the folder and starts the core. It leaves the core nil if the folder is empty and the node may
