--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -11,14 +11,15 @@
 	"crosstide/internal/raft"
 )
 
-// membership is what this node knows of the fleet besides the member set, which the core has. A Store owns it; guarded
+// membership is what this node knows of the fleet beside the member set, which the core owns. A Store owns it; guarded
 // by Store.mu.
 type membership struct {
-	// bootstrapped has the incarnations, by ID, of the other members that were found fresh when this very process
-	// bootstrapped the fleet: each that asks may know that it is a bootstrap member. nil: none may.
+	// bootstrapped has the incarnations, by ID, of the other members that were fresh when this process bootstrapped the
+	// fleet. A member that asks under its incarnation here may bootstrap too. nil if this process did not bootstrap, or
+	// did so only because another member listed it.
 	bootstrapped map[string]string
-	// known has the addresses of nodes that other nodes named; in an open fleet only.
-	known map[string]bool
+	// knownAddresses has the addresses of nodes that were learned from other nodes; empty in a fixed fleet.
+	knownAddresses map[string]bool
 }
 
 // Members returns the address of the leader, "" if none is known, and the addresses of all members, voters first.
@@ -28,8 +29,8 @@
 	return s.status.LeaderAddr, addressesOf(s.status.Members)
 }
 
-// ReachableVoters returns the addresses of the voters that this leader has heard of within an Election, its own among
-// them; none on a node that does not lead.
+// ReachableVoters returns the addresses of the voters that this leader has heard from within an Election, its own among
+// them. It returns none on a node that does not lead.
 func (s *Store) ReachableVoters() (addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,23 +46,23 @@
 	return addresses
 }
 
-// changeMembers proposes the member set next, which was made from the set from; that it is committed shows in a later
-// call.
+// changeMembers proposes the member set next, which was derived from the set from, and does not wait for its commit.
+// Failures: those of checkLeader; Unavailable if from is no longer in force.
 func (s *Store) changeMembers(from, next []raft.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.checkLeader(); err != nil {
-		return errs.Pass(err, "members")
+		return errs.Pass(err, "change members")
 	}
 	if err := s.proposeMembers(s.clock.Now(), from, next); err != nil {
-		return errs.Pass(err, "members")
+		return errs.Pass(err, "change members")
 	}
 	signal(s.wakeLoop)
 	return nil
 }
 
-// proposeMembers puts a member set into the log unless the set it was made from is not in force any more: it would
-// undo what another change did. Called under the lock.
+// proposeMembers proposes the member set next to the core, unless the set from is no longer in force: next would undo
+// another change. s.mu must be held.
 func (s *Store) proposeMembers(now time.Duration, from, next []raft.Member) error {
 	if !slices.Equal(from, s.core.Status().Members) {
 		return errs.New(errs.Unavailable, "the members changed meanwhile")
@@ -73,37 +74,38 @@
 	return nil
 }
 
-// addressesOf returns the addresses of members, voters first.
-func addressesOf(members []raft.Member) (out []string) {
+// addressesOf returns the addresses of members: voters, then learners.
+func addressesOf(members []raft.Member) (addresses []string) {
 	for _, learner := range []bool{false, true} {
 		for _, m := range members {
 			if m.Learner == learner {
-				out = append(out, m.Addr)
+				addresses = append(addresses, m.Addr)
 			}
 		}
 	}
-	return out
+	return addresses
 }
 
-// seedsOf returns members in the form of the settings.
+// seedsOf converts members to the type used in settings.
 func seedsOf(members []raft.Member) []config.Member {
-	out := make([]config.Member, len(members))
+	seeds := make([]config.Member, len(members))
 	for i, m := range members {
-		out[i] = config.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
+		seeds[i] = config.Member{ID: m.ID, Addr: m.Addr, Zone: m.Zone}
 	}
-	return out
+	return seeds
 }
 
-// without returns a copy of members without the one with the ID.
-func without(members []raft.Member, id string) []raft.Member {
+// withoutMember returns a copy of members without the member id.
+func withoutMember(members []raft.Member, id string) []raft.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m raft.Member) bool { return m.ID == id })
 }
 
-func voterCount(members []raft.Member) (n int) {
+// voterCount returns the number of voters among members.
+func voterCount(members []raft.Member) (voters int) {
 	for _, m := range members {
 		if !m.Learner {
-			n++
+			voters++
 		}
 	}
-	return n
+	return voters
 }
--- a/internal/store/operatorkeys.go
+++ b/internal/store/operatorkeys.go
@@ -10,10 +10,11 @@
 	"crosstide/internal/state/command"
 )
 
+// operatorKeysInterval is the time between two attempts of installOperatorKeys.
 const operatorKeysInterval = 200 * time.Millisecond
 
-// installOperatorKeys is the goroutine by which the leader commits the operators' keys of its settings into a state
-// that has none yet. The first leader decides them for all: every replica checks signatures by what stands in the log.
+// installOperatorKeys is the goroutine that, on the leader, commits the operators' keys from its settings if the state
+// has none yet. The first leader decides for the fleet: every replica checks signatures by the committed keys.
 func (s *Store) installOperatorKeys(ctx context.Context) {
 	if len(s.settings.OperatorKeys) == 0 {
 		return
@@ -24,16 +25,16 @@
 	}
 	for s.sleep(ctx, operatorKeysInterval) {
 		s.mu.Lock()
-		leads := s.leadership.term != 0 && s.leadership.leases.Active()
-		installed, same := len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
+		isLeader := s.leadership.term != 0 && s.leadership.leases.Active()
+		areInstalled, areSame := len(s.live.Operators) > 0, maps.Equal(s.live.Operators, operators)
 		s.mu.Unlock()
-		if installed {
-			if !same {
+		if areInstalled {
+			if !areSame {
 				_ = level.Warn(s.logger).Log("msg", "operator_keys differ from the stored ones, which apply")
 			}
 			return
 		}
-		if !leads {
+		if !isLeader {
 			continue
 		}
 		if _, _, err := s.Propose(ctx, &command.SetOperators{Operators: operators}); err != nil {
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -13,16 +13,17 @@
 	"crosstide/internal/storage"
 )
 
-// idFile holds the raft ID of a folder that began empty in a fleet that existed.
+// idFile holds the raft ID of a folder that began as a new incarnation. Without it the node's name is the ID.
 const idFile = "id"
 
-// recoverFolder reads the folder. If it tells who this node is, the core is made; else resolveEmptyFolder must follow.
+// recoverFolder reads the folder and starts the core. It leaves the core nil if the folder is empty and the node may
+// have to bootstrap: resolveEmptyFolder must follow.
 func (s *Store) recoverFolder() error {
 	if err := s.finishDiscard(); err != nil {
 		return errs.Pass(err, "discard")
 	}
 	if err := s.loadPeerAddresses(); err != nil {
-		return errs.Pass(err, "load")
+		return errs.Pass(err, "load peer addresses")
 	}
 	id, err := readID(s.opt.Disk)
 	if err != nil {
@@ -37,17 +38,17 @@
 	case id != "":
 		s.id = id
 	case recovered.Fresh && (s.opt.Damaged || !s.settings.Bootstrap):
-		return errs.Pass(s.startNewIncarnation(), "begin anew")
+		return errs.Pass(s.startNewIncarnation(), "start as a new incarnation")
 	case recovered.Fresh:
 		return nil
 	default:
 		s.id = s.settings.Name
 	}
-	return errs.Pass(s.startCore(recovered), "begin")
+	return errs.Pass(s.startCore(recovered), "start the core")
 }
 
-// startCore makes the core and the live state of what the disk had. No other goroutine uses the store yet but for
-// calls of other nodes, which need the lock.
+// startCore makes the core and the live state from what the disk had. No goroutine of the store runs yet except its
+// caller's, but handlers of calls may.
 func (s *Store) startCore(recovered storage.Recovered) error {
 	initial, live, err := decodeRecovered(recovered)
 	if err != nil {
@@ -70,10 +71,10 @@
 		s.snapshotter.initialImage = image.Body
 		s.snapshots.newest = internalapi.Snapshot{Number: image.Number, Index: image.Index, Term: image.Term,
 			Size: int64(len(image.Body))}
-		s.disk.durable = image.Index
+		s.diskQueue.durable = image.Index
 	}
 	if n := len(initial.Entries); n > 0 {
-		s.disk.durable = initial.Entries[n-1].Index
+		s.diskQueue.durable = initial.Entries[n-1].Index
 	}
 	s.replaceState(live)
 	s.core, s.status = core, core.Status()
@@ -82,15 +83,15 @@
 	return nil
 }
 
-// decodeRecovered decodes what the disk had: the snapshot, if any, the newest hard state and the entries.
+// decodeRecovered decodes what the disk had: the snapshot, if any, the newest hard state and the log entries.
 func decodeRecovered(recovered storage.Recovered) (initial raft.InitialState, live *state.State, err error) {
 	live = state.New()
 	if image := recovered.Snapshot; image != nil {
 		if initial.Snapshot, err = decodeSnapshotMeta(image.Meta); err != nil {
-			return initial, nil, errs.Pass(err, "slot %d", image.Number)
+			return initial, nil, errs.Pass(err, "meta of snapshot %d", image.Number)
 		}
 		if live, err = state.Decode(image.Body); err != nil {
-			return initial, nil, errs.Pass(err, "slot %d", image.Number)
+			return initial, nil, errs.Pass(err, "snapshot %d", image.Number)
 		}
 	}
 	for _, r := range recovered.Records {
@@ -106,27 +107,26 @@
 	return initial, live, nil
 }
 
-// startNewIncarnation sets an empty folder to an ID of its own, synced before anything is done under it, and starts
-// the core empty.
+// startNewIncarnation writes a new ID to an empty folder and starts the core empty. The ID is synced before it is used.
 func (s *Store) startNewIncarnation() error {
 	id := s.newID()
 	if err := writeFile(s.opt.Disk, idFile, id); err != nil {
-		return errs.Pass(err, "take a new id")
+		return errs.Pass(err, "write the new id")
 	}
 	s.mu.Lock()
 	s.id = id
 	s.mu.Unlock()
-	return errs.Pass(s.startCore(storage.Recovered{}), "begin empty")
+	return errs.Pass(s.startCore(storage.Recovered{}), "start the core")
 }
 
 // newID returns a raft ID for a new incarnation of this node's folder.
 func (s *Store) newID() string { return s.settings.Name + "~" + strings.ToLower(s.opt.RandomID()[:10]) }
 
-// readID returns the folder's own raft ID, "" if it has none.
+// readID returns the raft ID in the folder's idFile, "" if there is no such file.
 func readID(d storage.Disk) (string, error) {
 	id, ok, err := readFile(d, idFile)
 	if err == nil && ok && id == "" {
 		return "", errs.New(errs.Damaged, "the id file is empty")
 	}
-	return id, errs.Pass(err, "id file")
+	return id, errs.Pass(err, "read the id file")
 }
