--- a/internal/controller/wait.go
+++ b/internal/controller/wait.go
@@ -8,15 +8,7 @@
 )
 
 // sleep waits for d on the clock, or until ctx ends.
-func sleep(ctx context.Context, clk clock.Clock, d time.Duration) {
-	expired := make(chan struct{})
-	timer := clk.Set(d, func() { close(expired) })
-	defer timer.Stop()
-	select {
-	case <-expired:
-	case <-ctx.Done():
-	}
-}
+func sleep(ctx context.Context, clk clock.Clock, d time.Duration) { clock.Sleep(ctx.Done(), clk, d) }
 
 // withTimeout returns a context that ends after timeout on the clock. The caller must call the CancelFunc.
 func withTimeout(ctx context.Context, clk clock.Clock, timeout time.Duration) (context.Context, context.CancelFunc) {
--- a/internal/dataplane/controlplane.go
+++ b/internal/dataplane/controlplane.go
@@ -113,7 +113,7 @@
 		if attempt == 0 {
 			continue
 		}
-		if pause(ctx, c.clock, min(maxRetryPause, time.Duration(attempt)*retryStep)) != nil {
+		if !clock.Sleep(ctx.Done(), c.clock, min(maxRetryPause, time.Duration(attempt)*retryStep)) {
 			return answer, errs.Wrap(err, errs.Unavailable, "no leader of the store found in time")
 		}
 	}
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -122,16 +122,3 @@
 	}
 	return nil
 }
-
-// pause waits for d or for the end of ctx (errs.Timeout).
-func pause(ctx context.Context, c clock.Clock, d time.Duration) error {
-	over := make(chan struct{})
-	timer := c.Set(d, func() { close(over) })
-	select {
-	case <-over:
-		return nil
-	case <-ctx.Done():
-		timer.Stop()
-		return errs.Wrap(ctx.Err(), errs.Timeout, "over while pausing")
-	}
-}
--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -7,6 +7,7 @@
 
 	"github.com/go-kit/log/level"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/internalapi"
@@ -65,7 +66,7 @@
 	planned, err := n.proposePlan(ctx, plan)
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "plan failed", "epoch", plan.Epoch, "err", err)
-		_ = pause(ctx, n.opt.Clock, planRetryInterval) // if ctx is over, so is the loop that the pause is for
+		_ = clock.Sleep(ctx.Done(), n.opt.Clock, planRetryInterval) // if ctx has ended, so has passLoop
 	}
 	n.replica.Lock()
 	n.scheduler.PlanAnswered(n.opt.Clock.Now(), plan.Epoch, planned, err)
--- a/internal/dataplane/role.go
+++ b/internal/dataplane/role.go
@@ -6,14 +6,14 @@
 
 	"github.com/go-kit/log/level"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
+	"crosstide/internal/state"
 )
 
 const (
-	// schedulerRole is the name of the role in the store and on the wire.
-	schedulerRole = "sched"
 	// claimInterval is the pause between two claims.
 	claimInterval = 300 * time.Millisecond
 	// claimAttempts bounds how often one claim follows a hint to another node.
@@ -41,7 +41,7 @@
 			})
 		default:
 		}
-		if pause(ctx, n.opt.Clock, claimInterval) != nil {
+		if !clock.Sleep(ctx.Done(), n.opt.Clock, claimInterval) {
 			return
 		}
 	}
@@ -49,7 +49,7 @@
 
 // roleClaim is the call that claims the role, or renews the grant of epoch.
 func (n *Node) roleClaim(epoch uint64) internalapi.ClaimRoleCall {
-	return internalapi.ClaimRoleCall{Role: schedulerRole, Holder: n.opt.Name, Addr: n.opt.Addr,
+	return internalapi.ClaimRoleCall{Role: state.SchedulerRole, Holder: n.opt.Name, Addr: n.opt.Addr,
 		Incarnation: n.opt.Incarnation, Epoch: epoch}
 }
 
@@ -65,7 +65,7 @@
 		switch {
 		case err == nil && lease.Mine:
 			if err := n.acceptGrant(ctx, lease, sentAt); err != nil {
-				_ = level.Warn(n.opt.Logger).Log("msg", "grant of the role not usable yet", "role", schedulerRole,
+				_ = level.Warn(n.opt.Logger).Log("msg", "grant of the role not usable yet", "role", state.SchedulerRole,
 					"epoch", lease.Epoch, "err", err)
 			}
 			return
@@ -73,7 +73,7 @@
 			n.roleLost(lease)
 			return
 		case !errs.Is(err, errs.NotLeader) && !rpc.IsUnsent(err):
-			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", schedulerRole, "err", err)
+			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", state.SchedulerRole, "err", err)
 			return
 		}
 	}
@@ -96,13 +96,13 @@
 	}
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
-	role := st.Roles[schedulerRole]
+	role := st.Roles[state.SchedulerRole]
 	if role == nil || role.Epoch != lease.Epoch || role.Incarnation != n.opt.Incarnation {
 		return errs.New(errs.Stale, "grant %d is over", lease.Epoch)
 	}
 	if n.scheduler.Epoch() != lease.Epoch {
 		n.scheduler.BecomeLeader(n.opt.Clock.Now(), lease.Epoch)
-		_ = level.Info(n.opt.Logger).Log("msg", "role acquired", "role", schedulerRole, "epoch", lease.Epoch,
+		_ = level.Info(n.opt.Logger).Log("msg", "role acquired", "role", state.SchedulerRole, "epoch", lease.Epoch,
 			"handles", len(st.Handles), "queue", n.scheduler.QueueLength())
 	}
 	if until := sentAt + lease.TTL; lease.Epoch > n.leaseEpoch || until > n.leaseUntil {
@@ -125,7 +125,7 @@
 	n.grantedEpoch = 0
 	n.mu.Unlock()
 	n.stopScheduler()
-	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", schedulerRole, "epoch", had, "holder", lease.Holder,
+	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", state.SchedulerRole, "epoch", had, "holder", lease.Holder,
 		"now", lease.Epoch)
 }
 
@@ -146,7 +146,7 @@
 	_, err := askLeader(ctx, n.controlPlane, internalapi.ClaimRole, release, n.opt.CallTimeout, true)
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "release of the role failed, its lease will expire",
-			"role", schedulerRole, "epoch", epoch, "err", err)
+			"role", state.SchedulerRole, "epoch", epoch, "err", err)
 	}
 }
 
--- a/internal/httpapi/operatorapi/status.go
+++ b/internal/httpapi/operatorapi/status.go
@@ -49,7 +49,7 @@
 func who(ctx context.Context, s Store) (Who, error) {
 	var out Who
 	err := s.Read(ctx, func(st *state.State) {
-		if role := st.Roles["sched"]; role != nil {
+		if role := st.Roles[state.SchedulerRole]; role != nil {
 			out.Scheduler = role.Holder
 		}
 		for zone := range st.Evacuated {
--- a/internal/state/command/policy_plan.go
+++ b/internal/state/command/policy_plan.go
@@ -7,9 +7,6 @@
 	"crosstide/internal/state"
 )
 
-// schedulerRole is the role whose holder writes plans.
-const schedulerRole = "sched"
-
 // Plan is all that the scheduler changes, in one commit: the jobs it admits, what workers reported, what was proved,
 // and the starts it wants. Every part is checked again when the plan is applied, so parts that were decided on an older
 // state and are overtaken change nothing.
@@ -58,7 +55,7 @@
 
 // check refuses the plan of a scheduler that has lost or released its role since.
 func (c *Plan) check(s *state.State) error {
-	if role := s.Roles[schedulerRole]; role == nil || role.Epoch != c.Epoch || role.Holder == "" {
+	if role := s.Roles[state.SchedulerRole]; role == nil || role.Epoch != c.Epoch || role.Holder == "" {
 		return errs.New(errs.Stale, "plan of epoch %d, the duty sched has moved on", c.Epoch)
 	}
 	return nil
--- a/internal/state/role.go
+++ b/internal/state/role.go
@@ -1,5 +1,8 @@
 package state
 
+// SchedulerRole is the name of the scheduler's role: whoever has it writes plans. It is stored and sent under it.
+const SchedulerRole = "sched"
+
 // Role is a singleton role, such as the scheduler's, and the node that holds it.
 type Role struct {
 	Holder      string `json:"holder,omitempty"` // node name; "" after it was released
--- a/internal/store/diskfull.go
+++ b/internal/store/diskfull.go
@@ -6,6 +6,7 @@
 
 	"github.com/go-kit/log/level"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/storage"
 )
@@ -45,7 +46,7 @@
 			return s, errs.Pass(err, "open")
 		}
 		_ = level.Error(opt.Logger).Log("msg", "no room for a write: not started yet", "again", backoff, "err", err)
-		if !sleep(ctx, opt.Clock, backoff) {
+		if !clock.Sleep(ctx.Done(), opt.Clock, backoff) {
 			return nil, errs.Wrap(err, errs.Stopped, "the start was called off")
 		}
 	}
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -113,16 +113,6 @@
 }
 
 // sleep waits for d and reports whether that passed before ctx ended.
-func (s *Store) sleep(ctx context.Context, d time.Duration) bool { return sleep(ctx, s.clock, d) }
-
-// sleep waits for d on a clock and reports whether that passed before ctx ended.
-func sleep(ctx context.Context, clk clock.Clock, d time.Duration) bool {
-	expired := make(chan struct{})
-	defer clk.Set(d, func() { close(expired) }).Stop()
-	select {
-	case <-expired:
-		return true
-	case <-ctx.Done():
-		return false
-	}
+func (s *Store) sleep(ctx context.Context, d time.Duration) bool {
+	return clock.Sleep(ctx.Done(), s.clock, d)
 }
