--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -59,9 +59,7 @@
 		rpc.WriteError(w, errs.Wrap(err, errs.Conflict, "a profile is being taken"))
 		return
 	}
-	over := make(chan struct{})
-	clock.Real{}.Set(time.Duration(seconds)*time.Second, func() { close(over) })
-	<-over
+	clock.Sleep(nil, clock.Real{}, time.Duration(seconds)*time.Second) // in full, also if the client leaves
 	pprof.StopCPUProfile()
 	_, _ = w.Write(out.Bytes()) // fails only if the client is gone
 }
--- a/internal/dataplane/controlplane.go
+++ b/internal/dataplane/controlplane.go
@@ -22,7 +22,7 @@
 )
 
 // controlPlaneClient calls the control plane. It remembers the addresses, the leader, and the node that the replica
-// follows. Safe for use by several goroutines.
+// follows. It is safe for concurrent use.
 type controlPlaneClient struct {
 	caller  *rpc.Client
 	clock   clock.Clock
@@ -44,7 +44,7 @@
 	}
 }
 
-// leaderAddr is the address of the leader, of the next node in turn if it is unknown.
+// leaderAddr returns the address of the leader, or of the next node in turn while the leader is unknown.
 func (c *controlPlaneClient) leaderAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,8 +59,9 @@
 	return c.addrs[c.next%len(c.addrs)]
 }
 
-// learnLeader learns from the outcome of a call to asked: that it is the leader, that another node is, or that it is
-// not any more.
+// learnLeader updates the known leader from the outcome of a call to the node asked. After a success it
+// is the leader. NotLeader may name another node; without a name, and after a call without an answer, the leader is
+// unknown again if asked was taken for it. Other failures say nothing about who leads.
 func (c *controlPlaneClient) learnLeader(asked string, err error) {
 	failure := errs.Of(err)
 	c.mu.Lock()
@@ -84,30 +85,39 @@
 	}
 }
 
-// mayRetryElsewhere reports whether a call that ended in err may be made again at another node: it surely did nothing,
-// or it is idempotent.
-func mayRetryElsewhere(err error, idempotent bool) bool {
+// retryRule says after which failures a call to the leader may be made again.
+type retryRule int
+
+const (
+	// retryUndone is for calls that are not idempotent: only one that surely did nothing is made again.
+	retryUndone retryRule = iota
+	// retryIdempotent is for calls that may be carried out twice: one without an answer is made again too.
+	retryIdempotent
+)
+
+// allows reports whether a call that ended in err may be made again, at the same node or at another.
+func (r retryRule) allows(err error) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
 		return true
 	case errs.Unavailable, errs.Stopped, errs.Timeout:
-		return idempotent || rpc.IsUnsent(err)
+		return r == retryIdempotent || rpc.IsUnsent(err)
 	}
 	return false
 }
 
-// askLeader calls the leader, wherever it is, and retries until ctx ends. A call that is not idempotent is not made
-// again once it may have been carried out.
-func askLeader[C, A any](ctx context.Context, c *controlPlaneClient, p rpc.Endpoint[C, A], call C,
-	timeout time.Duration, idempotent bool) (A, error) {
+// callLeader calls the leader, wherever it is. It retries by the rule until ctx ends: at once the first time, so that a
+// hint to the leader costs no pause, then with growing pauses. timeout is that of one attempt.
+func callLeader[C, A any](ctx context.Context, c *controlPlaneClient, endpoint rpc.Endpoint[C, A], call C,
+	timeout time.Duration, retry retryRule) (A, error) {
 	for attempt := 0; ; attempt++ {
 		addr := c.leaderAddr()
-		answer, err := rpc.Call(ctx, c.caller, addr, p, call, timeout)
+		answer, err := rpc.Call(ctx, c.caller, addr, endpoint, call, timeout)
 		c.learnLeader(addr, err)
 		if err == nil {
 			return answer, nil
 		}
-		if ctx.Err() != nil || !mayRetryElsewhere(err, idempotent) {
+		if ctx.Err() != nil || !retry.allows(err) {
 			return answer, errs.Pass(err, "ask the leader")
 		}
 		if attempt == 0 {
@@ -121,17 +131,18 @@
 
 // propose commits a command at the leader.
 func (c *controlPlaneClient) propose(ctx context.Context, cmd command.Command,
-	idempotent bool) (internalapi.ProposeAnswer, error) {
+	retry retryRule) (internalapi.ProposeAnswer, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "encode %s", cmd.Op())
 	}
 	call := internalapi.ProposeCall{Op: cmd.Op(), Body: body}
-	answer, err := askLeader(ctx, c, internalapi.Propose, call, c.timeout, idempotent)
+	answer, err := callLeader(ctx, c, internalapi.Propose, call, c.timeout, retry)
 	return answer, errs.Pass(err, "propose %s", cmd.Op())
 }
 
-// Follow asks the node that it asked last, and another one after a failure. It is part of replica.Source.
+// Follow calls the same node as long as that answers, and the next one in turn after a failure. It is part of
+// replica.Source.
 func (c *controlPlaneClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer,
 	error) {
 	c.mu.Lock()
@@ -149,7 +160,7 @@
 	return answer, errs.Pass(err, "follow %s", addr)
 }
 
-// Chunk asks the node that is followed. It is part of replica.Source.
+// Chunk calls the node that Follow called last: only that one surely has the snapshot. It is part of replica.Source.
 func (c *controlPlaneClient) Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.mu.Lock()
 	addr := c.followedAddr
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/dataplane/scheduler"
 )
 
-// figures are what the node shows of itself at one moment.
+// figures are the values of a node's metrics, all read under one lock.
 type figures struct {
 	// Of the replica.
 	Index, Changes, Bytes, Snapshots uint64
@@ -24,7 +24,7 @@
 	TasksAwaitingTopUp map[string]int // due tasks that their party's balance does not cover, by party
 }
 
-// figures returns the node's figures of now.
+// figures reads the present values.
 func (n *Node) figures() figures {
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
@@ -37,11 +37,11 @@
 		Counts: n.scheduler.Counts, UnhealthyWorkers: n.scheduler.UnhealthyWorkers(),
 		TasksAwaitingTopUp: n.scheduler.TasksAwaitingTopUp(),
 	}
-	f.Counts.ProvedDead = maps.Clone(n.scheduler.Counts.ProvedDead) // the scheduler goes on counting in its own
+	f.Counts.ProvedDead = maps.Clone(n.scheduler.Counts.ProvedDead) // the scheduler keeps writing to its own map
 	return f
 }
 
-// metric is one figure without labels.
+// metric is a metric without labels.
 type metric struct {
 	name, help string // name without "crosstide_"
 	kind       prometheus.ValueType
@@ -94,7 +94,7 @@
 	gauge("state_inbox", "Jobs in the inbox.", func(f figures) int { return f.Inbox }),
 }
 
-// Collector shows a node's figures to Prometheus.
+// Collector collects a node's metrics. It implements prometheus.Collector.
 type Collector struct {
 	node  *Node
 	plain []*prometheus.Desc // of metrics, in their order
@@ -102,7 +102,7 @@
 	unhealthy, awaitingTopUp, provedDead, running *prometheus.Desc
 }
 
-// NewCollector makes the collector of a node's figures.
+// NewCollector returns the collector of n's metrics.
 func NewCollector(n *Node) *Collector {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(name, help, labels, nil)
@@ -121,31 +121,31 @@
 }
 
 // Describe sends the descriptions. It is part of prometheus.Collector.
-func (c *Collector) Describe(to chan<- *prometheus.Desc) {
+func (c *Collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range c.plain {
-		to <- d
+		ch <- d
 	}
 	for _, d := range []*prometheus.Desc{c.unhealthy, c.awaitingTopUp, c.provedDead, c.running} {
-		to <- d
+		ch <- d
 	}
 }
 
-// Collect sends the figures of now. It is part of prometheus.Collector.
-func (c *Collector) Collect(to chan<- prometheus.Metric) {
+// Collect sends the present values. It is part of prometheus.Collector.
+func (c *Collector) Collect(ch chan<- prometheus.Metric) {
 	f := c.node.figures()
 	for i, m := range metrics {
-		to <- prometheus.MustNewConstMetric(c.plain[i], m.kind, m.value(f))
+		ch <- prometheus.MustNewConstMetric(c.plain[i], m.kind, m.value(f))
 	}
 	for _, worker := range f.UnhealthyWorkers {
-		to <- prometheus.MustNewConstMetric(c.unhealthy, prometheus.GaugeValue, 1, worker)
+		ch <- prometheus.MustNewConstMetric(c.unhealthy, prometheus.GaugeValue, 1, worker)
 	}
 	for party, tasks := range f.TasksAwaitingTopUp {
-		to <- prometheus.MustNewConstMetric(c.awaitingTopUp, prometheus.GaugeValue, float64(tasks), party)
+		ch <- prometheus.MustNewConstMetric(c.awaitingTopUp, prometheus.GaugeValue, float64(tasks), party)
 	}
 	for proof, runs := range f.Counts.ProvedDead {
-		to <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), proof)
+		ch <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), proof)
 	}
 	for taskType, runs := range f.RunningCounts {
-		to <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
+		ch <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
 	}
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -1,11 +1,12 @@
 // Package dataplane is the runtime of a data plane node of the policy deployment. It keeps a replica of the store,
 // competes for the role `sched` and runs the scheduler while it has it, and serves the reads and commits of the
-// clients' API. It decides nothing: where a run goes is the scheduler's decision (package scheduler), what is true is
-// the store's.
+// clients' API. It never decides anything: where a run goes is the scheduler's decision (package scheduler), what is
+// true is the store's.
 //
 // Three loops drive a node, all started by Start: claimRoleLoop claims the role and renews its lease, passLoop runs the
 // scheduler's passes and carries out what they want done, and readIndexer.run confirms for reads how new the replica
-// is. The replica follows a control plane node beside them. Begin with Start; then role.go, passes.go, requests.go.
+// is. The replica follows a control plane node beside them. Begin with Node.Start, then read role.go, passes.go and
+// requests.go.
 //
 // The scheduler is guarded by the replica's lock: a change of the replica reaches it in the same critical section.
 // Node.mu is never held together with it.
@@ -31,7 +32,7 @@
 // maxConfirmationAge is how old the newest confirmation of the replica may be on a node that is ready.
 const maxConfirmationAge = 3 * time.Second
 
-// Options are what a node is made of; all are needed.
+// Options configure a Node; all of them are required.
 type Options struct {
 	Name          string
 	Addr          string
@@ -48,13 +49,13 @@
 	WorkerCaller *rpc.Client
 }
 
-// Node is one data plane node.
+// Node is a data plane node of the policy deployment. Its methods are safe for concurrent use, but for Start and Stop.
 type Node struct {
 	opt          Options
 	controlPlane *controlPlaneClient
 	readIndexer  readIndexer
 	group        *routine.Group // of all loops; set by Start
-	wakeups      chan struct{}  // asks passLoop for a pass; holds one at most
+	wakeups      chan struct{}  // capacity 1; filled when passLoop is to run a pass
 
 	// The replica's lock guards these.
 	replica    *replica.Replica
@@ -69,7 +70,7 @@
 	stopping     bool
 }
 
-// New makes a node; Start runs it.
+// New returns a node that does nothing until Start.
 func New(opt Options) *Node {
 	n := &Node{opt: opt, wakeups: make(chan struct{}, 1), workerConns: map[string]*workerConns{}}
 	n.controlPlane = &controlPlaneClient{caller: opt.Caller, clock: opt.Clock, timeout: opt.CallTimeout,
@@ -91,7 +92,7 @@
 // SetControlPlanes replaces the addresses of the control plane; an empty list leaves them as they are.
 func (n *Node) SetControlPlanes(addrs []string) { n.controlPlane.setAddresses(addrs) }
 
-// Start starts the node's loops; Stop ends them.
+// Start starts the node's loops. They end with ctx, or at Stop.
 func (n *Node) Start(ctx context.Context) {
 	n.group = routine.New(ctx)
 	n.group.Go(func(ctx context.Context) {
@@ -108,7 +109,8 @@
 // Stop ends the loops and waits for them.
 func (n *Node) Stop() { n.group.Stop() }
 
-// Ready says why the node could not serve now; nil if it could.
+// Ready returns nil if the node can serve now. Otherwise the error says why not: errs.Stopped from StepDown on,
+// errs.Unavailable while the replica was not confirmed for maxConfirmationAge.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -29,7 +29,7 @@
 	pollConn, orderConn *rpc.DedicatedConn
 }
 
-// wake asks for a pass soon; it never blocks.
+// wake makes passLoop run a pass soon. It never blocks.
 func (n *Node) wake() {
 	select {
 	case n.wakeups <- struct{}{}:
@@ -60,8 +60,8 @@
 	}
 }
 
-// commitPlan proposes a plan once, and hands its answer to the scheduler when the replica has reached it. A plan is not
-// idempotent: the scheduler makes another one if it failed.
+// commitPlan proposes a plan, and hands the answer to the scheduler once the replica has the plan's changes. A plan is
+// not idempotent: after a failure the scheduler makes another one.
 func (n *Node) commitPlan(ctx context.Context, plan *command.Plan) {
 	planned, err := n.proposePlan(ctx, plan)
 	if err != nil {
@@ -75,7 +75,7 @@
 }
 
 func (n *Node) proposePlan(ctx context.Context, plan *command.Plan) (planned command.Planned, err error) {
-	answer, err := n.controlPlane.propose(ctx, plan, false)
+	answer, err := n.controlPlane.propose(ctx, plan, retryUndone)
 	if err != nil {
 		return planned, errs.Pass(err, "plan")
 	}
@@ -107,8 +107,8 @@
 	n.wake()
 }
 
-// sendCheck returns the check that runs immediately before a call's bytes are written: it refuses a call whose role
-// lease is over, or whose window for starts has passed. After a refusal nothing is written.
+// sendCheck returns the check that rpc runs immediately before it writes a call's bytes. It fails if the role's lease
+// is over or the window for the call's starts has passed; then nothing is written, and the call counts as unsent.
 func (n *Node) sendCheck(c scheduler.OutgoingCall) func() error {
 	return func() error {
 		now := n.opt.Clock.Now()
--- a/internal/dataplane/readindex.go
+++ b/internal/dataplane/readindex.go
@@ -18,7 +18,7 @@
 // next call that begins after it, so that what was committed before the read is below the index.
 type readIndexer struct {
 	node    *Node
-	wakeups chan struct{} // holds one at most: a call is wanted
+	wakeups chan struct{} // capacity 1; filled when a read waits for a call
 
 	mu   sync.Mutex
 	next *readIndexCall // the call that reads join; nil until one wants it
@@ -31,7 +31,7 @@
 	err   error
 }
 
-// join returns the next call, and asks for it.
+// join returns the next call, and wakes run to make it.
 func (x *readIndexer) join() *readIndexCall {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -45,7 +45,8 @@
 	return x.next
 }
 
-// readIndex returns an index that every commit answered before the call is at or below.
+// readIndex returns an index such that every commit acknowledged before the call is at or below it. It fails with
+// errs.Timeout when ctx ends first.
 func (x *readIndexer) readIndex(ctx context.Context) (uint64, error) {
 	call := x.join()
 	select {
@@ -56,7 +57,7 @@
 	}
 }
 
-// run makes the calls, and one every idleReadInterval without reads.
+// run makes the calls that reads join, and one every idleReadInterval while there are no reads, until ctx ends.
 func (x *readIndexer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		idle := x.node.opt.Clock.Set(idleReadInterval, func() { x.join() })
@@ -75,13 +76,14 @@
 	}
 }
 
-// do makes a call. Reads go on as soon as the index is known; readiness needs the replica to reach it too.
+// do makes a call and completes it for the reads that joined it. They wait for the replica themselves; readiness
+// (Node.confirmedAt) counts from when the replica has reached the index.
 func (x *readIndexer) do(ctx context.Context, call *readIndexCall) {
 	n := x.node
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	answer, err := askLeader(ctx, n.controlPlane, internalapi.ReadIndex, internalapi.ReadIndexCall{},
-		n.opt.CallTimeout/2, true)
+	answer, err := callLeader(ctx, n.controlPlane, internalapi.ReadIndex, internalapi.ReadIndexCall{},
+		n.opt.CallTimeout/2, retryIdempotent)
 	call.index, call.err = answer.Index, err
 	close(call.done)
 	if err == nil {
--- a/internal/dataplane/requests.go
+++ b/internal/dataplane/requests.go
@@ -18,15 +18,15 @@
 func (n *Node) Propose(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
-	answer, err := n.controlPlane.propose(ctx, c, true)
+	answer, err := n.controlPlane.propose(ctx, c, retryIdempotent)
 	if err != nil {
 		return nil, errs.Pass(err, "commit")
 	}
 	return answer.Answer, nil
 }
 
-// Read runs do on a state that is at least as new as the call; errs.Unavailable when that cannot be confirmed, and do
-// has not run then.
+// Read runs do on a state that is at least as new as the call. It fails with errs.Unavailable, without having run do,
+// if no leader confirms how new the replica is.
 func (n *Node) Read(ctx context.Context, do func(s *state.State) error) error {
 	index, err := n.readIndexer.readIndex(ctx)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return errs.Pass(err, "read")
 }
 
-// QueueLimit is the most jobs that may be open.
+// QueueLimit returns how many jobs may be open at most.
 func (n *Node) QueueLimit() int { return n.opt.QueueLimit }
 
 // Announce makes a worker known to the store, unless the replica knows it at the same address.
--- a/internal/dataplane/role.go
+++ b/internal/dataplane/role.go
@@ -23,7 +23,8 @@
 	maxClaims = 4
 )
 
-// claimRoleLoop claims the role, or renews its lease, again and again.
+// claimRoleLoop claims the role, or renews its lease, every claimInterval until ctx ends or the node steps down. Claims
+// overlap when answers are slow, up to maxClaims.
 func (n *Node) claimRoleLoop(ctx context.Context) {
 	inFlight := make(chan struct{}, maxClaims)
 	for ctx.Err() == nil {
@@ -47,13 +48,14 @@
 	}
 }
 
-// roleClaim is the call that claims the role, or renews the grant of epoch.
+// roleClaim returns the call that renews the grant of epoch, or claims the role anew if epoch is 0.
 func (n *Node) roleClaim(epoch uint64) internalapi.ClaimRoleCall {
 	return internalapi.ClaimRoleCall{Role: state.SchedulerRole, Holder: n.opt.Name, Addr: n.opt.Addr,
 		Incarnation: n.opt.Incarnation, Epoch: epoch}
 }
 
-// claimRole makes one claim at the leader of the store. The lease counts from before the call was sent.
+// claimRole makes one claim at the leader of the store. The lease counts from before the call was sent, so that it ends
+// here before it ends at the leader.
 func (n *Node) claimRole(ctx context.Context) {
 	n.mu.Lock()
 	epoch := n.grantedEpoch
@@ -79,8 +81,9 @@
 	}
 }
 
-// acceptGrant makes the scheduler act under a grant. The replica must reach the grant's index first: only then does it
-// have all handles of earlier epochs.
+// acceptGrant makes the scheduler act under a grant, or under its renewed lease. The replica must reach the grant's
+// index first: only then does it have all handles of earlier epochs. It fails with errs.Stale if another grant has
+// followed already, and with the error of WaitForIndex if the replica is behind.
 func (n *Node) acceptGrant(ctx context.Context, lease internalapi.RoleLease, sentAt time.Duration) error {
 	n.mu.Lock()
 	stale := lease.Epoch < n.grantedEpoch // the answers to claims in flight at once may arrive in any order
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// roleLost makes the scheduler idle if another node has the role. An answer with no newer epoch than this node's grant
-// was made before it, or says that the epoch ends: then the lease runs out by itself.
+// roleLost stops the scheduler if another node has the role. An answer whose epoch is not newer than this node's grant
+// was made before the grant, or announces that the epoch ends: then the lease runs out without further action.
 func (n *Node) roleLost(lease internalapi.RoleLease) {
 	n.mu.Lock()
 	had := n.grantedEpoch
@@ -143,7 +146,7 @@
 	defer cancel()
 	release := n.roleClaim(epoch)
 	release.Release = true
-	_, err := askLeader(ctx, n.controlPlane, internalapi.ClaimRole, release, n.opt.CallTimeout, true)
+	_, err := callLeader(ctx, n.controlPlane, internalapi.ClaimRole, release, n.opt.CallTimeout, retryIdempotent)
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "release of the role failed, its lease will expire",
 			"role", state.SchedulerRole, "epoch", epoch, "err", err)
--- a/internal/dataplane/rollout.go
+++ b/internal/dataplane/rollout.go
@@ -23,7 +23,7 @@
 	versionSince time.Duration // when the node was first seen to have it
 }
 
-// Follow is that of the client, with the node's bundle.
+// Follow adds the node's bundle version to the client's Follow.
 func (p *puller) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	now := p.node.opt.Clock.Now()
 	if v := p.node.bundleVersion(); v != p.version {
@@ -34,7 +34,7 @@
 	return answer, errs.Pass(err, "pull")
 }
 
-// bundleVersion is the version of the bundle that the node has, 0 before its first pull.
+// bundleVersion returns the version of the bundle that the node has, 0 before its first pull.
 func (n *Node) bundleVersion() (version uint64) {
 	if n.replica.HasPulled() {
 		n.replica.View(func(s *state.State) { version = s.Bundle.Version })
@@ -55,18 +55,19 @@
 	Index   uint64 `json:"index"` // of the newest change this node has
 }
 
-// Routes adds GET /v1/bundle. A node that is partitioned, behind or just resumed does not present an old version as the
-// one in force. Failure: Unavailable when it cannot confirm in a second.
+// Routes adds GET /v1/bundle, which answers errs.Unavailable if the node cannot confirm its bundle within
+// confirmTimeout: a node that is partitioned, behind or just resumed must not present an old version as the one in
+// force.
 func (n *Node) Routes(srv Router) { srv.Route("GET /v1/bundle", n.serveBundle) }
 
 func (n *Node) serveBundle(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), confirmTimeout)
 	defer cancel()
-	out := Bundle{Node: n.opt.Name}
+	answer := Bundle{Node: n.opt.Name}
 	err := n.Read(ctx, func(s *state.State) error {
-		out.Version, out.Index = s.Bundle.Version, s.Index
+		answer.Version, answer.Index = s.Bundle.Version, s.Index
 		if revision := s.Revision(s.Bundle.Version); revision != nil {
-			out.Digest = revision.Digest
+			answer.Digest = revision.Digest
 		}
 		return nil
 	})
@@ -74,5 +75,5 @@
 		rpc.WriteError(w, errs.Wrap(err, errs.Unavailable, "this node cannot confirm its bundle now"))
 		return
 	}
-	rpc.WriteJSON(w, http.StatusOK, out)
+	rpc.WriteJSON(w, http.StatusOK, answer)
 }
