--- a/internal/dataplane/readindex_test.go
+++ b/internal/dataplane/readindex_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestReadIndex_sharesCalls(t *testing.T) {
-	Convey("Many concurrent reads are all confirmed, by fewer calls than reads, and none of them waits for ever", t, func() {
+	Convey("Many concurrent reads are all confirmed, by fewer calls, and none waits for ever", t, func() {
 		var calls atomic.Int64
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		answerIndex := func(context.Context, internalapi.ReadIndexCall) (internalapi.ReadIndexAnswer, error) {
@@ -28,8 +28,9 @@
 		rpc.Handle(srv, internalapi.ReadIndex, answerIndex)
 		So(srv.Start(), ShouldBeNil)
 		caller := rpc.NewClient(rpc.ClientOptions{})
-		n := New(Options{Name: "d", ControlPlanes: []string{srv.Addr()}, Scheduler: scheduler.DefaultConfig(),
-			CallTimeout: 20 * time.Second, Clock: clock.Real{}, Logger: log.NewNopLogger(), Caller: caller, WorkerCaller: caller})
+		n := New(Options{Name: "d", ControlPlanes: []string{srv.Addr()},
+			Scheduler: scheduler.DefaultConfig(), CallTimeout: 20 * time.Second, Clock: clock.Real{},
+			Logger: log.NewNopLogger(), Caller: caller, WorkerCaller: caller})
 		loop := routine.New(context.Background())
 		loop.Go(n.readIndexer.run)
 		var confirmed atomic.Int64
--- a/internal/dataplane/role.go
+++ b/internal/dataplane/role.go
@@ -75,7 +75,8 @@
 			n.roleLost(lease)
 			return
 		case !errs.Is(err, errs.NotLeader) && !rpc.IsUnsent(err):
-			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", state.SchedulerRole, "err", err)
+			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", state.SchedulerRole,
+				"err", err)
 			return
 		}
 	}
@@ -128,8 +129,8 @@
 	n.grantedEpoch = 0
 	n.mu.Unlock()
 	n.stopScheduler()
-	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", state.SchedulerRole, "epoch", had, "holder", lease.Holder,
-		"now", lease.Epoch)
+	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", state.SchedulerRole, "epoch", had,
+		"holder", lease.Holder, "now", lease.Epoch)
 }
 
 // StepDown makes the node unready and releases the role, so that another node can take it at once.
--- a/internal/dataplane/scheduler/admit.go
+++ b/internal/dataplane/scheduler/admit.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/state"
 )
 
-// queue holds the due tasks: those in back-off by time, the others by class. An entry may be out of date; it is checked
-// against the replica when it is taken. Owner: Core.
+// queue has the due tasks: those in back-off by time, the others by class. An entry may be out of date, and is checked
+// against the replica when it is used. Owner: Core.
 type queue struct {
 	classes map[string]*class // by key
 	backoff backoffHeap
@@ -29,7 +29,7 @@
 // isIdle reports whether no task is ready to be placed.
 func (q *queue) isIdle() bool { return len(q.queued) == len(q.backoff) }
 
-// class is the due tasks that the same workers may run.
+// class is a set of due tasks that may run on the same workers, with what placement has found out about them.
 type class struct {
 	key      string
 	taskType string
@@ -40,10 +40,10 @@
 	refs []queuedTask // by age of their jobs, from head on
 	head int
 
-	unschedulable bool // fitted on no worker when all were tried last
-	// passedOverSince is since when younger tasks have been started while none of it fitted; 0: they were not.
+	unschedulable bool // its oldest task fitted on none of the workers when they were last all tried
+	// passedOverSince is when a younger task first started while none of the class fitted; 0: none did.
 	passedOverSince   time.Duration
-	nextReservationAt time.Duration // no reservation for it before
+	nextReservationAt time.Duration // the class gets no reservation earlier
 }
 
 // queuedTask is a due task in its class.
@@ -52,8 +52,8 @@
 	seq uint64 // of its job
 }
 
-// insert puts a task behind those of its job and of older ones, so that one that falls due again keeps its place.
-// Most tasks come last, and those that come again belong near the head: the shorter side is moved.
+// insert puts a task behind those of its own job and of older jobs, so that a task that falls due again does not wait
+// behind younger jobs. A new task belongs at the end and a returning one near the head: the shorter side is moved.
 func (cls *class) insert(q queuedTask) {
 	at, _ := slices.BinarySearchFunc(cls.refs[cls.head:], q.seq+1,
 		func(e queuedTask, seq uint64) int { return cmp.Compare(e.seq, seq) })
@@ -66,7 +66,7 @@
 	cls.refs = slices.Insert(cls.refs, cls.head+at, q)
 }
 
-// groupSize is how many of its tasks are placed together.
+// groupSize returns how many of the class's tasks are placed together.
 func (cls *class) groupSize() int {
 	if cls.gang {
 		return len(cls.refs) - cls.head
@@ -103,7 +103,7 @@
 	return last
 }
 
-// enqueueDueTasks enqueues what is due of a job.
+// enqueueDueTasks enqueues the due tasks of a job.
 func (c *Core) enqueueDueTasks(job *state.Job) {
 	for step := range job.Tasks {
 		for task := range job.Tasks[step] {
@@ -114,7 +114,7 @@
 	}
 }
 
-// enqueue admits a task that fell due; one that is queued already, or not due any more, is passed over.
+// enqueue adds a due task to the queue. It ignores one that is queued already or not due any more.
 func (c *Core) enqueue(ref state.TaskRef) {
 	_, task := c.st.TaskOf(ref)
 	if task == nil || task.Phase != state.TaskDue {
@@ -141,7 +141,7 @@
 	}
 }
 
-// addToClass puts a task into its class, a new one if there is none.
+// addToClass puts a task into its class, which it creates if needed.
 func (c *Core) addToClass(ref state.TaskRef) {
 	job, _ := c.st.TaskOf(ref)
 	if job == nil {
@@ -158,7 +158,8 @@
 	cls.insert(queuedTask{ref, job.Seq})
 }
 
-// classKey names all that decides which workers may run a task. Ties between classes go by it.
+// classKey returns the key of a task's class: all that decides which workers may run it. Ties between classes are
+// broken by their keys.
 func (c *Core) classKey(job *state.Job, step *state.StepSpec, ref state.TaskRef) string {
 	var key strings.Builder
 	fmt.Fprintf(&key, "%s|%s|%s|%d|%d", job.Spec.Queue, job.Spec.Team, step.Type, step.Cores, step.GPUs)
--- a/internal/dataplane/scheduler/budget.go
+++ b/internal/dataplane/scheduler/budget.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/state"
 )
 
-// budget is what placement knows of the parties' balances while it makes a plan. The store checks each start again in
-// the step that commits it; a plan within the balances saves it from refusing the same starts in every plan.
+// budget is the state of the parties' balances while placement makes a plan. The store checks each start again when the
+// plan is applied; the budget keeps the scheduler from proposing the same uncovered starts in every plan.
 type budget struct {
 	reserved map[string]int64 // what the starts of the plan need, by party
 	// firstUncovered is the first of a party's due tasks that its balance does not cover; later ones wait behind it.
@@ -28,8 +28,8 @@
 	return cmp.Or(cmp.Compare(o.rank, other.rank), cmp.Compare(o.seq, other.seq)) < 0
 }
 
-// resetBudget begins the accounts of a new plan, and finds each party's first uncovered task before any is placed. It
-// does nothing where nobody pays.
+// resetBudget clears the budget for a new plan, and finds each party's first uncovered task before any task is placed.
+// It finds none if the bundle has no parties.
 func (c *Core) resetBudget() {
 	clear(c.placement.budget.reserved)
 	clear(c.placement.budget.firstUncovered)
@@ -43,7 +43,7 @@
 	}
 }
 
-// nextFee is what the next tasks of a class need, all that are placed together.
+// nextFee returns the fee of the tasks of a class that are placed together next.
 func (c *Core) nextFee(cls *class, job *state.Job) state.Fee {
 	var sum state.Fee
 	for _, task := range cls.refs[cls.head : cls.head+cls.groupSize()] {
@@ -55,8 +55,9 @@
 	return sum
 }
 
-// isCovered reports whether a balance covers the fee of a class beside what the plan needs already. If not, the balance
-// is kept for it: tasks of the same party that come later wait too.
+// isCovered reports whether a party's balance covers the next fee of a class, in addition to what the plan has
+// reserved. If it does not, the class is recorded as the party's first uncovered one, and tasks that come later wait
+// behind it.
 func (c *Core) isCovered(cls *class, job *state.Job) bool {
 	fee := c.nextFee(cls, job)
 	if fee.Party == "" {
@@ -75,7 +76,7 @@
 	return false
 }
 
-// reserveFee adds the fee of a class's next tasks to the plan; they must still be queued.
+// reserveFee reserves the fee of a class's next tasks in the plan. It must be called before they are popped.
 func (c *Core) reserveFee(cls *class, job *state.Job) {
 	if fee := c.nextFee(cls, job); fee.Party != "" {
 		c.placement.budget.reserved[fee.Party] += fee.Cost
@@ -92,17 +93,17 @@
 	return job != nil && !c.isCovered(cls, job)
 }
 
-// TasksAwaitingTopUp is how many due tasks wait for a top-up, by party.
+// TasksAwaitingTopUp returns how many due tasks wait for a top-up, by party; nil if none does.
 func (c *Core) TasksAwaitingTopUp() map[string]int {
-	var out map[string]int
+	var waiting map[string]int
 	for _, cls := range c.queue.classes {
 		if !c.awaitsTopUp(cls) {
 			continue
 		}
-		if out == nil {
-			out = map[string]int{}
+		if waiting == nil {
+			waiting = map[string]int{}
 		}
-		out[c.st.Bundle.PartyOf(cls.queue, cls.team)] += len(cls.refs) - cls.head
+		waiting[c.st.Bundle.PartyOf(cls.queue, cls.team)] += len(cls.refs) - cls.head
 	}
-	return out
+	return waiting
 }
--- a/internal/dataplane/scheduler/expire.go
+++ b/internal/dataplane/scheduler/expire.go
@@ -15,8 +15,8 @@
 	expiryMargin = 200 * time.Millisecond
 )
 
-// sweep is the pass over all records, for what time alone changes: it expires leases, proves runs dead whose orders
-// were never sent, has each worker called, and lets the next placement try all classes on all workers.
+// sweep walks all records for what only the passing of time changes: it expires leases, proves runs dead whose orders
+// were never sent, marks every worker as due for a call, and makes the next placement try all classes on all workers.
 func (c *Core) sweep(now time.Duration) {
 	proofs := len(c.facts.proofs)
 	for _, w := range c.workers {
@@ -42,7 +42,7 @@
 	}
 }
 
-// collectGarbage drops records about runs and jobs that are over.
+// collectGarbage drops records of released runs and of jobs that are finished.
 func (c *Core) collectGarbage() {
 	for runID := range c.released {
 		c.findReleased(runID) // drops the record if no end of the run can count any more
@@ -53,8 +53,8 @@
 	})
 }
 
-// sortFacts sorts the facts that a walk over a table has added from these places on, so that the same inputs make the
-// same plan.
+// sortFacts sorts the facts from the given offsets on. A walk over a map adds facts in random order; equal inputs must
+// make equal plans.
 func (c *Core) sortFacts(proofs, unconfirmed int) {
 	slices.SortFunc(c.facts.proofs[proofs:], func(a, b command.Proof) int { return cmp.Compare(a.RunID, b.RunID) })
 	slices.Sort(c.facts.unconfirmed[unconfirmed:])
@@ -74,8 +74,8 @@
 	if r.leaseUntil > 0 && r.leaseIncarnation == w.incarnation && w.heardAt > 0 {
 		expired = w.clock+minElapsed(now-w.heardAt) > r.leaseUntil+margin
 	} else {
-		// Its lease is not known here. It was renewed at latest when this node took the role, or when the worker was
-		// heard.
+		// Its lease is not known here. The latest renewal was sent before this node took the role, or before the worker
+		// was last heard.
 		atMost := max(r.handle.LeaseTTL, c.cfg.RunLease) + margin
 		expired = minElapsed(now-c.role.since) > atMost && minElapsed(now-w.heardAt) > atMost
 	}
@@ -84,5 +84,8 @@
 	}
 }
 
-// minElapsed is the least that a worker's clock has moved on while ours moved on by d: it may run a little slow.
-func minElapsed(h time.Duration) time.Duration { return h - h/500 }
+// maxClockDrift: a worker's clock runs slower than this node's by at most one part in so many.
+const maxClockDrift = 500
+
+// minElapsed returns the least by which a worker's clock has advanced while this node's advanced by d.
+func minElapsed(d time.Duration) time.Duration { return d - d/maxClockDrift }
--- a/internal/dataplane/scheduler/health.go
+++ b/internal/dataplane/scheduler/health.go
@@ -7,18 +7,18 @@
 	"crosstide/internal/state"
 )
 
-// HealthConfig says when a worker is ejected as unhealthy: it fails tasks of a type that its peers complete.
+// HealthConfig configures the ejection of unhealthy workers: of those that fail tasks of a type that peers complete.
 type HealthConfig struct {
-	MinFailures      float64       // decayed failures of a type, before a worker is judged
+	MinFailures      float64       // failures of a type, decayed, below which a worker is not judged
 	MinExcessRate    float64       // its failure rate must exceed its peers' by this much
-	HalfLife         time.Duration // an end counts half after it
-	MaxShare         float64       // of a zone's workers that may be ejected at once, one at least; 0: none is
+	HalfLife         time.Duration // after which an end counts half
+	MaxShare         float64       // of a zone's workers that may be ejected at once, at least one; 0: no ejections
 	ProbeInterval    time.Duration // between two probes of an ejected worker, doubled after each that fails
 	MaxProbeInterval time.Duration
 	RecoverAfter     int // probes that must succeed in a row
 }
 
-// defaultHealthConfig has the values that a node starts with where its settings do not say.
+// defaultHealthConfig returns the values that apply where the settings have none.
 func defaultHealthConfig() HealthConfig {
 	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxShare: 0.3,
 		ProbeInterval: 4 * time.Second, MaxProbeInterval: 15 * time.Second, RecoverAfter: 3}
@@ -28,7 +28,7 @@
 // another cannot succeed, and its failures say nothing about the workers.
 const maxBlamedWorkers = 2
 
-// score counts ends of runs, halved every half-life.
+// score counts ends of runs, halved with every half-life that passes.
 type score struct {
 	succeeded, failed float64
 	at                time.Duration // of the newest halving
@@ -51,7 +51,7 @@
 	return s.failed / (s.succeeded + s.failed)
 }
 
-// ejection is the record of an ejected worker, which gets single starts as probes until enough of them succeed.
+// ejection is the record of an ejected worker: it gets single starts, as probes, until enough of them have succeeded.
 type ejection struct {
 	nextProbeAt   time.Duration
 	probeInterval time.Duration
@@ -59,8 +59,8 @@
 	probes        map[uint64]bool // run IDs in flight
 }
 
-// health judges workers by the ends of their runs. It is this leader's own memory; a new leader begins without. Owner:
-// Core.
+// health judges workers by the ends of their runs. It is not replicated: a new leader starts with no scores and no
+// ejections. Owner: Core.
 type health struct {
 	cfg          HealthConfig
 	scores       map[string]map[string]*score // by worker, by task type
@@ -98,23 +98,23 @@
 	return h.totals[taskType]
 }
 
-// recordEnd counts an end of a run, and of a probe if it was one.
+// recordEnd counts the end of a run for its worker and for all workers, and as a probe's if it was one.
 func (h *health) recordEnd(now time.Duration, handle *state.Handle, ok bool) {
-	one, all := h.score(handle.Worker, handle.Type), h.total(handle.Type)
-	one.decay(now, h.cfg.HalfLife)
-	all.decay(now, h.cfg.HalfLife)
+	own, total := h.score(handle.Worker, handle.Type), h.total(handle.Type)
+	own.decay(now, h.cfg.HalfLife)
+	total.decay(now, h.cfg.HalfLife)
 	if ok {
-		one.succeeded++
-		all.succeeded++
+		own.succeeded++
+		total.succeeded++
 		delete(h.failedByTask, handle.Ref)
 	} else if h.recordFailure(handle.Worker, handle.Ref) {
-		one.failed++
-		all.failed++
+		own.failed++
+		total.failed++
 	}
 	h.recordProbeEnd(now, handle, ok)
 }
 
-// recordFailure remembers on which worker a task failed, and reports whether the worker is to blame.
+// recordFailure records on which worker a task failed, and reports whether the failure counts against the worker.
 func (h *health) recordFailure(worker string, ref state.TaskRef) bool {
 	if failed := h.failedByTask[ref]; !slices.Contains(failed, worker) {
 		h.failedByTask[ref] = append(failed, worker)
@@ -125,7 +125,7 @@
 	return len(h.failedByJob[ref.Job]) <= maxBlamedWorkers
 }
 
-// recordProbeEnd ends an ejection after enough good probes, and puts the next probe off after a failed one.
+// recordProbeEnd ends an ejection once enough probes in a row have succeeded, and delays the next one after a failure.
 func (h *health) recordProbeEnd(now time.Duration, handle *state.Handle, ok bool) {
 	e := h.unhealthy[handle.Worker]
 	if e == nil || !e.probes[handle.RunID] {
@@ -144,7 +144,7 @@
 	}
 }
 
-// recordLost forgets a probe that is over without an end.
+// recordLost drops a probe whose run is gone without an end: it counts neither way.
 func (h *health) recordLost(worker string, runID uint64) {
 	if e := h.unhealthy[worker]; e != nil {
 		delete(e.probes, runID)
@@ -158,8 +158,8 @@
 	}
 }
 
-// ejectIfUnhealthy ejects a worker, and reports it, if it fails clearly more tasks of a type than its peers do. inZone
-// counts the workers of its zone, ejected those of them that are ejected.
+// ejectIfUnhealthy ejects a worker if it fails clearly more tasks of a type than its peers do, and reports whether it
+// did. inZone is the number of workers in its zone, ejected how many of them are ejected already.
 func (h *health) ejectIfUnhealthy(now time.Duration, worker, taskType string, inZone, ejected int) bool {
 	if h.cfg.MaxShare == 0 || h.unhealthy[worker] != nil {
 		return false
@@ -167,17 +167,17 @@
 	if float64(ejected+1) > max(1, h.cfg.MaxShare*float64(inZone)) {
 		return false
 	}
-	one, all := *h.score(worker, taskType), *h.total(taskType)
-	one.decay(now, h.cfg.HalfLife)
-	all.decay(now, h.cfg.HalfLife)
-	if one.failed < h.cfg.MinFailures {
+	own, total := *h.score(worker, taskType), *h.total(taskType)
+	own.decay(now, h.cfg.HalfLife)
+	total.decay(now, h.cfg.HalfLife)
+	if own.failed < h.cfg.MinFailures {
 		return false
 	}
-	peers := score{succeeded: max(all.succeeded-one.succeeded, 0), failed: max(all.failed-one.failed, 0)}
+	peers := score{succeeded: max(total.succeeded-own.succeeded, 0), failed: max(total.failed-own.failed, 0)}
 	if peers.succeeded < 1 { // nobody completes the type: the cause is not the worker
 		return false
 	}
-	if one.failureRate() < peers.failureRate()+h.cfg.MinExcessRate {
+	if own.failureRate() < peers.failureRate()+h.cfg.MinExcessRate {
 		return false
 	}
 	h.unhealthy[worker] = &ejection{probeInterval: h.cfg.ProbeInterval, nextProbeAt: now + h.cfg.ProbeInterval,
@@ -191,12 +191,12 @@
 	return e == nil || len(e.probes) == 0 && now >= e.nextProbeAt
 }
 
-// hasFailedOn reports whether a task has failed on a worker, and had better run on another.
+// hasFailedOn reports whether a task has failed on a worker: then placement prefers another one.
 func (h *health) hasFailedOn(ref state.TaskRef, worker string) bool {
 	return slices.Contains(h.failedByTask[ref], worker)
 }
 
-// dropFinishedJobs forgets the failures of jobs that are over.
+// dropFinishedJobs drops the failures of jobs that are not open.
 func (h *health) dropFinishedJobs(isOpen func(job string) bool) {
 	for ref := range h.failedByTask {
 		if !isOpen(ref.Job) {
@@ -210,7 +210,7 @@
 	}
 }
 
-// checkHealth ejects a worker that fails what its peers complete, as far as its zone can spare it.
+// checkHealth ejects a worker that fails what its peers complete, unless too many of its zone are ejected already.
 func (c *Core) checkHealth(now time.Duration, w *worker, taskType string) {
 	rec := c.st.Workers[w.name]
 	if rec == nil || c.health.score(w.name, taskType).failed < c.cfg.Health.MinFailures {
--- a/internal/dataplane/scheduler/place.go
+++ b/internal/dataplane/scheduler/place.go
@@ -8,11 +8,11 @@
 	"crosstide/internal/state/command"
 )
 
-// placement is what placement remembers from one plan to the next. Owner: Core.
+// placement is the state that placement keeps from one plan to the next. Owner: Core.
 type placement struct {
 	ring         []string        // names of workers, in the order in which they were first seen
-	ringOffset   int             // where in the ring the next plan begins, so that starts spread over the workers
-	freedWorkers map[string]bool // workers that may take what they could not when placement ran last
+	ringOffset   int             // where in the ring the next plan begins, so that starts are spread over the workers
+	freedWorkers map[string]bool // workers that may have gained free capacity since placement ran last
 	fullScan     bool            // the next placement tries every class on all workers
 	current      bool            // nothing that placement depends on has changed since it ran last
 
@@ -26,7 +26,7 @@
 	p.reservation, p.nextReservationAt = nil, 0
 }
 
-// candidate is what is free on a worker while a plan is made.
+// candidate is a worker that may get starts, with what the plan has left free on it so far.
 type candidate struct {
 	rec         *state.Worker
 	cores, gpus int
@@ -36,21 +36,21 @@
 // placementRound is one run of placement.
 type placementRound struct {
 	plan *command.Plan
-	// The workers that may get a start, and those among them that freedWorkers names. The first is empty if no class
-	// is to be tried on all. The search for a worker goes on where the one before ended.
-	all, freed           []*candidate
-	nextInAll, nextFreed int
+	// The workers that may get a start, and those of them that are in freedWorkers. candidates is empty if no class
+	// is to be tried on all workers. Each search for a worker starts where the one before ended.
+	candidates, freed        []*candidate
+	nextCandidate, nextFreed int
 
 	unschedulable map[string]bool // classes that fit on none of the workers that they are tried on, by key
 	startsByType  map[string]int
 	startsByTeam  map[string]int
 }
 
-// place puts starts for due tasks into a plan. Urgent queues go first, then types under their limit, then those over
-// it; in each the team first that has fewest runs for its weight, if the policy has weights, then the oldest job.
+// place adds starts for due tasks to a plan. Urgent queues go first, then types under their limit, then those over
+// it; among equals the team with the fewest runs for its weight, if the policy has weights, then the oldest job.
 //
-// A class that fits nowhere delays no other one but by short reservations (see reserve.go): no limit and no large task
-// leaves capacity idle for long that another due task may use.
+// A class that fits nowhere delays others only by short reservations (see reserve.go): neither a limit nor a large task
+// keeps capacity idle for long that another due task may use.
 func (c *Core) place(now time.Duration, p *command.Plan) {
 	c.endBackoffs(now)
 	if c.queue.isIdle() || len(c.placement.ring) == 0 {
@@ -61,7 +61,7 @@
 		c.updateReservation(now)
 	}
 	round := c.newRound(now, p)
-	if len(round.all)+len(round.freed) == 0 {
+	if len(round.candidates)+len(round.freed) == 0 {
 		clear(c.placement.freedWorkers)
 		return
 	}
@@ -76,7 +76,7 @@
 	}
 	c.recordPassedOver(now, round)
 	clear(c.placement.budget.reserved)
-	c.placement.ringOffset = (c.placement.ringOffset + round.nextInAll) % len(c.placement.ring)
+	c.placement.ringOffset = (c.placement.ringOffset + round.nextCandidate) % len(c.placement.ring)
 	if len(p.Starts) < c.cfg.MaxStarts {
 		clear(c.placement.freedWorkers)
 	}
@@ -84,8 +84,8 @@
 
 // newRound selects the workers that may get a start now, and the classes that fit on none of them.
 //
-// A class that fitted nowhere is tried on freed workers only, until a sweep or a change of placement: on a full cluster
-// every answer would else cost the number of classes times that of workers.
+// A class that fitted nowhere is tried on freed workers only, until a sweep or a change of placement: otherwise, on a
+// full cluster, every answer would cost the number of classes times the number of workers.
 func (c *Core) newRound(now time.Duration, p *command.Plan) *placementRound {
 	round := &placementRound{plan: p, unschedulable: map[string]bool{},
 		startsByType: map[string]int{}, startsByTeam: map[string]int{}}
@@ -94,8 +94,8 @@
 		tryAll = tryAll || !cls.unschedulable
 	}
 	if tryAll {
-		round.all = c.candidates(now, c.rotatedRing())
-		for _, w := range round.all {
+		round.candidates = c.candidates(now, c.rotatedRing())
+		for _, w := range round.candidates {
 			if c.placement.freedWorkers[w.rec.Name] {
 				round.freed = append(round.freed, w)
 			}
@@ -105,7 +105,7 @@
 	}
 	for key, cls := range c.queue.classes {
 		if c.placement.fullScan || !cls.unschedulable {
-			cls.unschedulable = !c.fitsAny(cls, round.all)
+			cls.unschedulable = !c.fitsAny(cls, round.candidates)
 			round.unschedulable[key] = cls.unschedulable
 		} else {
 			round.unschedulable[key] = !c.fitsAny(cls, round.freed)
@@ -115,7 +115,7 @@
 	return round
 }
 
-// rotatedRing is the ring from its offset on.
+// rotatedRing returns the ring, beginning at its offset.
 func (c *Core) rotatedRing() []string {
 	ring := make([]string, len(c.placement.ring))
 	for i := range ring {
@@ -124,29 +124,29 @@
 	return ring
 }
 
-// candidates returns those of the named workers that may get a start now.
+// candidates returns those of the named workers that may get a start now, in the order of names.
 func (c *Core) candidates(now time.Duration, names []string) []*candidate {
-	out := make([]*candidate, 0, len(names))
+	selected := make([]*candidate, 0, len(names))
 	for _, name := range names {
 		w, rec := c.workers[name], c.st.Workers[name]
 		if w == nil || rec == nil || !c.acceptsStarts(now, w, rec) {
 			continue
 		}
 		used := c.st.UsageOf(name)
-		free := &candidate{rec, rec.Cores - used.Cores, rec.GPUs - used.GPUs, c.health.unhealthy[name] != nil}
-		if free.cores > 0 {
-			out = append(out, free)
+		cand := &candidate{rec, rec.Cores - used.Cores, rec.GPUs - used.GPUs, c.health.unhealthy[name] != nil}
+		if cand.cores > 0 {
+			selected = append(selected, cand)
 		}
 	}
-	return out
+	return selected
 }
 
-// acceptsStarts reports whether a worker may get starts now. One with an order on its way gets none: orders go out one
+// acceptsStarts reports whether a worker may get starts now. One with an order in flight gets none: orders are sent one
 // at a time, in the order of run IDs.
 func (c *Core) acceptsStarts(now time.Duration, w *worker, rec *state.Worker) bool {
 	answers := w.heardAt > 0 && w.failures == 0 && now-w.heardAt <= c.cfg.PlacementTimeout
-	known := w.report == nil && rec.Incarnation == w.incarnation // by the store
-	return answers && known && !w.draining && w.orderCall == 0 && len(w.outbox) == 0 &&
+	recorded := w.report == nil && rec.Incarnation == w.incarnation // the store has its latest report
+	return answers && recorded && !w.draining && w.orderCall == 0 && len(w.outbox) == 0 &&
 		c.health.admitsStart(now, w.name)
 }
 
@@ -213,8 +213,8 @@
 	return next, nextJob
 }
 
-// teamShare is the number of a team's runs for its weight, with its starts of this round; 0 for all while the policy
-// has no weights.
+// teamShare returns a team's runs, its starts of this round included, divided by its weight; 0 if the policy has no
+// weights.
 func (c *Core) teamShare(team string, starts int) float64 {
 	if len(c.st.Bundle.Weights) == 0 {
 		return 0
@@ -222,12 +222,12 @@
 	return float64(c.runningByTeam[team]+starts) / float64(max(1, c.st.Bundle.Weights[team]))
 }
 
-// placeGroup puts starts for the next tasks of a class that go together into the plan. It reports false, and changes
-// nothing, if not all of them fit or their party's balance does not cover them.
+// placeGroup adds starts for those next tasks of a class that must start together. It reports whether it did; if not
+// all of them fit, or their party's balance does not cover them, the plan stays as it is.
 func (c *Core) placeGroup(now time.Duration, round *placementRound, cls *class, job *state.Job) bool {
 	size := cls.groupSize()
-	candidates, next := round.all, &round.nextInAll
-	if cls.unschedulable && !cls.gang || len(round.all) == 0 {
+	candidates, next := round.candidates, &round.nextCandidate
+	if cls.unschedulable && !cls.gang || len(round.candidates) == 0 {
 		candidates, next = round.freed, &round.nextFreed
 	}
 	if !c.isCovered(cls, job) {
@@ -256,8 +256,8 @@
 	return true
 }
 
-// fitGroup finds workers for the next size tasks of a class and takes their capacity, for all or none: nil if they do
-// not all fit.
+// fitGroup finds workers for the next size tasks of a class and subtracts what they need from the candidates. If not
+// all of them fit it returns nil, and the candidates are as before.
 func (c *Core) fitGroup(candidates []*candidate, next *int, cls *class, job *state.Job, size int) []command.Start {
 	var starts []command.Start
 	var taken []*candidate
@@ -284,8 +284,9 @@
 	return starts
 }
 
-// findWorker returns the next candidate that takes a task, nil if none does. One on which the task has failed before
-// is taken only if no other one takes it, and not as a probe. A probe must not delay a gang.
+// findWorker returns the next candidate that a task fits on, nil if there is none. One on which the task has failed
+// before is chosen only if it fits on no other, and never as a probe. A gang gets no probes: a failed one would delay
+// it.
 func (c *Core) findWorker(candidates []*candidate, next *int, cls *class, job *state.Job, ref state.TaskRef,
 	inGang bool) *candidate {
 	step := &job.Spec.Steps[ref.Step]
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/state/command"
 )
 
-// facts are what was found out about runs and workers and is not in a plan yet. Owner: Core; nextPlan empties them.
+// facts are findings about runs and workers that no plan contains yet. Owner: Core; nextPlan empties them.
 type facts struct {
 	newlyRunning []uint64
 	unconfirmed  []uint64
@@ -17,47 +17,49 @@
 	reported     map[string]bool // workers whose record has a report
 }
 
-// inFlightPlan is a plan that was proposed and not answered.
+// inFlightPlan is a plan that was proposed and has not been answered.
 type inFlightPlan struct {
 	plan        *command.Plan
 	sentAt      time.Duration
 	invalidated bool // the records were rebuilt since: its answer is dropped
 }
 
-// nextPlan collects the facts, places due tasks, and returns all that is to be committed as one plan; nil if nothing
-// is, or while another plan is in flight.
+// nextPlan collects the facts, places due tasks, and returns both as one plan; nil if there is nothing to commit, or
+// while another plan is in flight.
 func (c *Core) nextPlan(now time.Duration) *command.Plan {
 	if c.planInFlight != nil {
 		return nil
 	}
-	p := &command.Plan{Epoch: c.role.epoch, BundleVersion: c.st.Bundle.Version, LeaseTTL: c.cfg.RunLease,
+	plan := &command.Plan{Epoch: c.role.epoch, BundleVersion: c.st.Bundle.Version, LeaseTTL: c.cfg.RunLease,
 		Running: c.facts.newlyRunning, Unconfirmed: c.facts.unconfirmed, Ends: c.facts.ends, Dead: c.facts.proofs}
 	if len(c.st.Inbox) > 0 {
-		p.Seq = c.st.Seq
+		plan.Seq = c.st.Seq
 	}
 	for _, name := range sortedKeys(c.facts.reported) {
 		if w := c.workers[name]; w != nil && w.report != nil {
-			p.Workers = append(p.Workers, *w.report)
+			plan.Workers = append(plan.Workers, *w.report)
 			w.report = nil
 		}
 	}
 	clear(c.facts.reported)
 	if !c.placement.current {
-		c.place(now, p)
+		c.place(now, plan)
 		c.placement.current = true
 	}
-	if p.Seq == 0 && len(p.Workers)+len(p.Running)+len(p.Unconfirmed)+len(p.Ends)+len(p.Dead)+len(p.Starts) == 0 {
+	changes := len(plan.Workers) + len(plan.Running) + len(plan.Unconfirmed) + len(plan.Ends) + len(plan.Dead) +
+		len(plan.Starts)
+	if plan.Seq == 0 && changes == 0 {
 		return nil
 	}
 	c.facts = facts{reported: c.facts.reported}
-	c.planInFlight = &inFlightPlan{plan: p, sentAt: now}
+	c.planInFlight = &inFlightPlan{plan: plan, sentAt: now}
 	c.Counts.Plans++
-	return p
+	return plan
 }
 
 // PlanAnswered handles the answer to the plan in flight. The replica must have reached the plan's index, so that it has
-// the handles of the plan's run IDs. A plan that failed may have been committed all the same: what it said is said
-// again in the next one, and the run IDs that it got are never sent.
+// the handles of the plan's run IDs. A plan that failed may have been committed all the same: its contents are proposed
+// again with the next one, and no order is sent for the run IDs that it was given.
 func (c *Core) PlanAnswered(now time.Duration, epoch uint64, planned command.Planned, err error) {
 	c.now = now
 	sent := c.planInFlight
@@ -89,8 +91,8 @@
 	}
 }
 
-// planFailed puts the ends, proofs and starts of a failed plan back; its other facts come again with the next answers
-// of workers. A stale epoch means that another node has the role.
+// planFailed restores the ends, proofs and starts of a failed plan; its other facts recur in the next answers of
+// workers. A stale epoch means that another node has the role.
 func (c *Core) planFailed(plan *command.Plan, err error) {
 	c.Counts.PlanFailures++
 	c.facts.ends = append(plan.Ends, c.facts.ends...)
@@ -127,7 +129,7 @@
 	c.Counts.ProvedDead[kind]++
 }
 
-// markUnconfirmed puts into the next plan that nobody knows whether a run started.
+// markUnconfirmed records for the next plan that it is unknown whether a run has started.
 func (c *Core) markUnconfirmed(r *run) {
 	if !r.closing && !r.listed && r.handle.Phase == state.TaskAssigned {
 		c.facts.unconfirmed = append(c.facts.unconfirmed, r.handle.RunID)
--- a/internal/dataplane/scheduler/reconcile.go
+++ b/internal/dataplane/scheduler/reconcile.go
@@ -9,11 +9,12 @@
 	"crosstide/internal/state/command"
 )
 
-// CallFailed handles a call without an answer; sent reports whether any byte of it may have left this node.
-func (c *Core) CallFailed(now time.Duration, out OutgoingCall, sent bool) {
+// CallFailed handles a call that got no answer. sent reports whether any byte of it may have left this node: if none
+// did, the call's starts are proved dead; otherwise the worker may still carry them out.
+func (c *Core) CallFailed(now time.Duration, outgoing OutgoingCall, sent bool) {
 	c.now = now
-	call := out.Call
-	w := c.finishCall(out)
+	call := outgoing.Call
+	w := c.finishCall(outgoing)
 	if w == nil {
 		return
 	}
@@ -38,18 +39,18 @@
 	}
 }
 
-// finishCall returns the worker of a call that came back, and makes its connection free; nil if the call is not of this
-// epoch or not the one in flight.
-func (c *Core) finishCall(out OutgoingCall) *worker {
-	w := c.workers[out.Worker]
-	if w == nil || c.role.phase != Ready || out.Call.Epoch != c.role.epoch {
+// finishCall marks the connection of a finished call as free, and returns its worker; nil if the call is of another
+// epoch or is not the one in flight.
+func (c *Core) finishCall(outgoing OutgoingCall) *worker {
+	w := c.workers[outgoing.Worker]
+	if w == nil || c.role.phase != Ready || outgoing.Call.Epoch != c.role.epoch {
 		return nil
 	}
 	inFlight := &w.pollCall
-	if out.IsOrder {
+	if outgoing.IsOrder {
 		inFlight = &w.orderCall
 	}
-	if *inFlight != out.Call.Call {
+	if *inFlight != outgoing.Call.Call {
 		return nil
 	}
 	*inFlight = 0
@@ -58,17 +59,17 @@
 	return w
 }
 
-// CallAnswered handles the answer to a call. Of an answer that is older than one handled before only the ends and the
-// refusals count; one that names another call counts as none.
-func (c *Core) CallAnswered(now time.Duration, out OutgoingCall, answer internalapi.LeaseAnswer) {
+// CallAnswered handles the answer to a call. If it is older than one handled before, only its ends and refusals count.
+// If it names another call, the call counts as failed.
+func (c *Core) CallAnswered(now time.Duration, outgoing OutgoingCall, answer internalapi.LeaseAnswer) {
 	c.now = now
-	call := out.Call
+	call := outgoing.Call
 	if answer.Call != call.Call {
 		c.Counts.StaleAnswers++
-		c.CallFailed(now, out, true)
+		c.CallFailed(now, outgoing, true)
 		return
 	}
-	w := c.finishCall(out)
+	w := c.finishCall(outgoing)
 	if w == nil {
 		return
 	}
@@ -96,7 +97,7 @@
 	c.reconcile(now, w, call, answer)
 }
 
-// recordStarts takes the starts of an answered call out of flight, and records the refused ones as dead.
+// recordStarts marks the starts of an answered call as no longer in flight, and proves the refused ones dead.
 func (c *Core) recordStarts(w *worker, call internalapi.LeaseCall, refused []internalapi.StartRefusal) {
 	for _, start := range call.Starts {
 		if r := w.runs[start.RunID]; r != nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// raiseFloor raises the floor to starts that no answer has listed. A newer answer than that to their call says what
-// became of them; with this floor it can prove them dead.
+// raiseFloor raises the floor to starts that no answer has listed. Once the worker has received that floor, an answer
+// that does not list them proves them dead.
 func (w *worker) raiseFloor(starts []internalapi.StartOrder) {
 	for _, start := range starts {
 		if r := w.runs[start.RunID]; r != nil && !r.listed {
@@ -121,7 +122,7 @@
 	}
 }
 
-// updateReport compares what a worker says of itself with the store's record, for the next plan.
+// updateReport queues a worker's report of itself for the next plan if it differs from the store's record.
 func (c *Core) updateReport(w *worker, answer internalapi.LeaseAnswer) {
 	rec := c.st.Workers[w.name]
 	if rec == nil {
@@ -137,7 +138,7 @@
 	}
 }
 
-// sameWorker reports whether two records agree in what a worker says of itself.
+// sameWorker reports whether two records agree in the fields that a worker reports.
 func sameWorker(a, b *state.Worker) bool {
 	return a.Incarnation == b.Incarnation && a.Kind == b.Kind && a.Zone == b.Zone && a.Rack == b.Rack &&
 		a.Cores == b.Cores && a.GPUs == b.GPUs && a.Draining == b.Draining && maps.Equal(a.Labels, b.Labels)
--- a/internal/dataplane/scheduler/records.go
+++ b/internal/dataplane/scheduler/records.go
@@ -18,7 +18,7 @@
 	inOutbox    bool   // waits in its worker's outbox
 	orderedIn   uint64 // the call that carried its order; 0: not sent by this leader
 	inFlight    bool   // that call is unanswered
-	listed      bool   // the newest answer that says anything about it lists it as running
+	listed      bool   // the newest answer that proves anything about it lists it as running
 
 	// The latest lease that the worker may know, by its clock in leaseIncarnation; 0: unknown.
 	leaseUntil       time.Duration
@@ -31,7 +31,7 @@
 
 	stopReason string // why it is to be stopped; "" if it is not
 	closing    bool   // its end, or the proof that it is dead, waits in the next plan
-	endPending bool   // its end does
+	endPending bool   // its end waits in the next plan; implies closing
 }
 
 // releasedRun is a run whose handle was released without a good end while its task is due again. A good end of it may
@@ -67,7 +67,7 @@
 	retryAt             time.Duration
 
 	// What the next call carries.
-	floor          uint64   // run IDs at or below it that the worker has not started are void
+	floor          uint64   // run IDs at or below it that the worker has not started are invalid
 	outbox         []uint64 // committed run IDs whose orders are to be sent, ascending
 	outboxDeadline time.Duration
 	acks           []uint64          // ends that the worker may forget
@@ -75,14 +75,15 @@
 	urgent         bool              // something must be sent before the poll call comes back
 }
 
-// clockAt is the least that the worker's clock shows at now.
+// clockAt returns the least that the worker's clock shows at now.
 func (w *worker) clockAt(now time.Duration) time.Duration { return w.clock + (now - w.heardAt) }
 
 // obeys reports whether the worker is of the kind that carries out a start order whenever it arrives, without a check
 // of its StartBy, run ID and incarnation. How late that may be is bounded by Config.Lateness instead.
 func (w *worker) obeys() bool { return w.kind == "obey" }
 
-// StateChanged takes a change of the replica into the records.
+// StateChanged updates the records after a change of the replica. The owner calls it before it releases the lock under
+// which the change was applied.
 func (c *Core) StateChanged(e state.Event) {
 	if c.role.phase != Ready {
 		return
@@ -116,7 +117,7 @@
 	c.placement.current = false
 }
 
-// trackWorker returns the record of a worker, a new one if there is none.
+// trackWorker returns the record of a worker, which it creates if needed.
 func (c *Core) trackWorker(name string) *worker {
 	w := c.workers[name]
 	if w == nil {
@@ -129,7 +130,7 @@
 	return w
 }
 
-// addRun makes the record of a handle.
+// addRun creates the record of a handle.
 func (c *Core) addRun(h *state.Handle) {
 	r := &run{handle: h, ofThisEpoch: h.Epoch == c.role.epoch && h.RunID > c.role.lastInheritedRunID}
 	c.runs[h.RunID] = r
@@ -177,7 +178,8 @@
 	}
 }
 
-// reviewRun decides whether a run is to be stopped: its job stops, or policy, zone or drain do not allow it any more.
+// reviewRun decides whether a run is to be stopped: because its job stops, or because policy, zone or drain no
+// longer allow it.
 func (c *Core) reviewRun(r *run) {
 	job, _ := c.st.TaskOf(r.handle.Ref)
 	reason := ""
@@ -201,7 +203,8 @@
 	}
 }
 
-// findReleased returns the due task whose newest run ID this is; nil if there is none, and then the record is dropped.
+// findReleased returns the record of a released run while its task is due and has no newer run ID. Otherwise it drops
+// the record and returns nil.
 func (c *Core) findReleased(runID uint64) *releasedRun {
 	r := c.released[runID]
 	if r == nil {
--- a/internal/dataplane/scheduler/renew.go
+++ b/internal/dataplane/scheduler/renew.go
@@ -14,24 +14,24 @@
 // renewAfter is the part of a lease after which it is renewed.
 const renewAfter = 0.25
 
-// appendCalls appends the calls that a worker is to get now: start orders and urgent stops on its order connection, and
-// the next poll if none is in flight. w may be nil.
-func (c *Core) appendCalls(now time.Duration, w *worker, out []OutgoingCall) []OutgoingCall {
+// appendCalls appends the calls to be sent to a worker now: start orders and urgent stops on its order connection, and
+// the next poll if none is in flight. w may be nil: the worker was retired.
+func (c *Core) appendCalls(now time.Duration, w *worker, calls []OutgoingCall) []OutgoingCall {
 	if w == nil {
-		return out
+		return calls
 	}
 	rec := c.st.Workers[w.name]
 	if rec == nil {
-		return out
+		return calls
 	}
 	if len(w.outbox) > 0 && (now > w.outboxDeadline || w.draining || now-w.heardAt > c.cfg.OrderTimeout) {
 		c.dropUnsentOrders(w)
 	}
 	if w.failures > 0 && now < w.retryAt {
-		return out
+		return calls
 	}
 	if w.orderCall == 0 && w.heardAt > 0 && (len(w.outbox) > 0 || w.urgent && w.pollCall != 0) {
-		out = append(out, c.newOrderCall(now, w, rec))
+		calls = append(calls, c.newOrderCall(now, w, rec))
 	}
 	if w.pollCall == 0 {
 		call := c.newLeaseCall(now, w)
@@ -40,12 +40,12 @@
 			call.Wait = 0
 		}
 		w.pollCall = call.Call
-		out = append(out, OutgoingCall{Worker: w.name, Addr: rec.Addr, Call: call})
+		calls = append(calls, OutgoingCall{Worker: w.name, Addr: rec.Addr, Call: call})
 	}
-	return out
+	return calls
 }
 
-// newLeaseCall makes a call with all but starts.
+// newLeaseCall returns a call with stops, renewals and acknowledgements, but without starts.
 func (c *Core) newLeaseCall(now time.Duration, w *worker) internalapi.LeaseCall {
 	w.lastCall++
 	c.role.highestCall = max(c.role.highestCall, w.lastCall)
@@ -72,9 +72,9 @@
 	return call
 }
 
-// addRenewals renews leases in a call. A lease is renewed once a quarter of it is used up, and only while the worker
-// answers: a call that may not have arrived must not put its expiry off for ever. A call has one RenewUntil: of leases
-// that differ in length, those go first that have used up most.
+// addRenewals adds renewals to a call. A lease is renewed once a quarter of it has passed, and only while the worker
+// answers: calls that may not have arrived must not postpone its expiry for ever. A call has one RenewUntil, so it
+// renews leases of one length: that of the lease of which the largest part has passed.
 func (c *Core) addRenewals(now time.Duration, w *worker, runs []*run, call *internalapi.LeaseCall) {
 	usedPart := func(r *run) float64 {
 		if r.leaseIncarnation != w.incarnation {
@@ -101,10 +101,10 @@
 	}
 }
 
-// leaseOf is the length of a run's lease: what its placement policy said when its run ID was given.
+// leaseOf returns the length of a run's lease, as its placement policy had it when its run ID was given.
 func (c *Core) leaseOf(r *run) time.Duration { return cmp.Or(r.handle.LeaseTTL, c.cfg.RunLease) }
 
-// firstLease is the length of the lease in a start order. A worker that obeys checks nothing of an order but its
+// firstLease returns the length of the lease in a start order. A worker that obeys checks nothing of an order but its
 // lease. One that was suspended with the order unread must not carry it out long after the job was cancelled or the
 // zone evacuated: its first lease is no longer than the bound on its lateness, and the first answer that lists the run
 // renews it in full. Other workers check StartBy.
@@ -115,8 +115,8 @@
 	return c.leaseOf(r)
 }
 
-// newOrderCall makes a call with the start orders of the outbox, in the order of run IDs. What is not to run any more
-// is left out, which proves it dead.
+// newOrderCall returns a call with the start orders of the outbox, in the order of run IDs. A run that is not to start
+// any more is left out, and proved dead as unsent.
 func (c *Core) newOrderCall(now time.Duration, w *worker, rec *state.Worker) OutgoingCall {
 	call := c.newLeaseCall(now, w)
 	startBy := w.clockAt(now) + c.cfg.StartWindow
@@ -138,14 +138,14 @@
 	}
 	w.outbox = nil
 	w.orderCall = call.Call
-	out := OutgoingCall{Worker: w.name, Addr: rec.Addr, IsOrder: true, Call: call}
+	outgoing := OutgoingCall{Worker: w.name, Addr: rec.Addr, IsOrder: true, Call: call}
 	if len(call.Starts) > 0 {
-		out.WriteBy = w.outboxDeadline
+		outgoing.WriteBy = w.outboxDeadline
 	}
-	return out
+	return outgoing
 }
 
-// startOrder is the order to start a run.
+// startOrder returns the order to start a run.
 func startOrder(r *run, job *state.Job, startBy time.Duration) internalapi.StartOrder {
 	ref := r.handle.Ref
 	step := &job.Spec.Steps[ref.Step]
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -9,18 +9,18 @@
 	"crosstide/internal/state"
 )
 
-// reservation keeps what comes free on some workers for one class for a short while. A class whose tasks need more than
-// what one run leaves when it ends would else be passed over for ever while narrower ones are due.
+// reservation keeps the capacity that becomes free on some workers for one class, for a short time. Without it a class
+// whose tasks need more than one ending run frees would be passed over for ever while smaller tasks are due.
 //
-// It is short, and there is one at a time with a rest after it, because a due task must not wait long beside free
-// capacity.
+// Reservations are short, one at a time, with a pause after each, because a due task must not wait long while capacity
+// for it is free.
 type reservation struct {
 	class   string // key
 	workers map[string]bool
 	until   time.Duration
 }
 
-// reserveFactor is how many times the capacity that it needs is reserved for a class, so that enough of it comes free
+// reserveFactor is how many times the capacity that a class needs is reserved for it, so that enough of it becomes free
 // in time.
 const reserveFactor = 3
 
@@ -34,7 +34,7 @@
 	ranks
 )
 
-// rankOf is the rank of a class; starts counts those of its type in the plan that is being made.
+// rankOf returns the rank of a class; starts is the number of starts of its type in the plan that is being made.
 func (c *Core) rankOf(cls *class, starts int) rank {
 	if c.st.Bundle.Queues[cls.queue].Urgent {
 		return rankUrgent
@@ -77,12 +77,12 @@
 	c.placement.fullScan = true
 }
 
-// isOverdue reports whether short reservations did not help a class for too long.
+// isOverdue reports whether a class has been passed over for so long that its reservations are to be long ones.
 func (c *Core) isOverdue(now time.Duration, cls *class) bool {
 	return cls.passedOverSince > 0 && now-cls.passedOverSince >= c.cfg.ReserveLongAfter
 }
 
-// reservationLength is how long a reservation of a class lasts.
+// reservationLength returns how long a reservation of a class lasts.
 func (c *Core) reservationLength(now time.Duration, cls *class) time.Duration {
 	if c.isOverdue(now, cls) {
 		return c.cfg.ReserveLong
@@ -90,8 +90,8 @@
 	return c.cfg.ReserveFor
 }
 
-// retryReservationAt is when a class may get its next reservation: an overdue one after the rest, or after the
-// reservation of another class if one waits.
+// retryReservationAt returns when a class may get its next reservation. For an overdue one that is right after the
+// pause, or after the reservation of another class that waits.
 func (c *Core) retryReservationAt(now time.Duration, cls *class) time.Duration {
 	if c.isOverdue(now, cls) {
 		return c.placement.nextReservationAt + 1
@@ -161,7 +161,7 @@
 	return picked
 }
 
-// tasksPerWorker is how many tasks of a step a worker can run at once.
+// tasksPerWorker returns how many tasks of a step fit on an empty worker.
 func tasksPerWorker(rec *state.Worker, step *state.StepSpec) int {
 	n := rec.Cores / max(step.Cores, 1)
 	if step.GPUs > 0 {
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -3,7 +3,7 @@
 // what became of each run. It is the singleton role named `sched`; at most one node acts in it at a time.
 //
 // Core is a step function: it has no clock, socket or goroutine, never blocks, and never changes the replicated state
-// that it reads. Its owner (package dataplane) drives it under one lock:
+// that it reads: all changes are proposed as plans. Its owner (package dataplane) drives it under one lock:
 //
 //	core := scheduler.New(cfg, replica)   // replica changes go to core.StateChanged
 //	core.BecomeLeader(now, epoch)         // once the replica has reached the grant of the role
@@ -34,14 +34,14 @@
 	"crosstide/internal/state/command"
 )
 
-// Config are the times and limits that the passes keep.
+// Config has the times and limits of the passes.
 type Config struct {
 	RunLease         time.Duration // how long a run goes on without renewal, where its policy does not say
 	PollWait         time.Duration // how long a worker may delay the answer to a call without starts
 	StartWindow      time.Duration // from the answer to a run ID's commit until its start order is written
 	PlanWindow       time.Duration // from the proposal of a plan until its start orders are written
 	Lateness         time.Duration // bound on how late a worker of kind obey carries out an order
-	RoleLeaseMargin  time.Duration // the node stops to act this long before its role lease ends
+	RoleLeaseMargin  time.Duration // the node stops acting this long before its role lease ends
 	RetryInterval    time.Duration // between calls to a worker that does not answer
 	PlacementTimeout time.Duration // no new starts on a worker unheard for this long
 	// OrderTimeout bounds how long a worker may have been unheard when an order is sent: it may have begun to drain,
@@ -58,7 +58,7 @@
 	Health HealthConfig
 }
 
-// DefaultConfig has the values that a node starts with where its settings do not say.
+// DefaultConfig returns the values that apply where the settings have none.
 func DefaultConfig() Config {
 	return Config{
 		RunLease:         20 * time.Second,
@@ -82,7 +82,7 @@
 	}
 }
 
-// Phase is where the role stands on this node.
+// Phase is the state of the role on this node.
 type Phase string
 
 // Phases of the role.
@@ -91,7 +91,7 @@
 	Ready Phase = "ready" // granted to this node, records rebuilt
 )
 
-// Actions is what a pass wants done.
+// Actions are what the owner is to do after a pass.
 type Actions struct {
 	Plan  *command.Plan  // to be committed; answered by PlanAnswered
 	Calls []OutgoingCall // to be sent; each answered by CallAnswered or CallFailed
@@ -107,7 +107,7 @@
 	WriteBy time.Duration
 }
 
-// Counts are what a Core counted since it was made.
+// Counts are totals since the Core was created.
 type Counts struct {
 	Plans        uint64
 	PlanFailures uint64
@@ -123,8 +123,9 @@
 	ProvedDead   map[string]uint64 // runs, by kind of proof
 }
 
-// Core is the role's records and the passes over them. One caller at a time. The records are rebuilt from the replica
-// when the node takes the role; what workers answered under an earlier epoch is not carried over.
+// Core has the records of the role and the passes over them. It is not safe for concurrent use: its owner calls it
+// under the replica's lock. The records are rebuilt from the replica when the node takes the role; answers of workers
+// under an earlier epoch are not carried over.
 type Core struct {
 	Counts Counts
 
@@ -163,8 +164,7 @@
 	highestCall        uint64
 }
 
-// New makes a core without the role that reads st, the node's replica. The owner hands each change of st to
-// StateChanged.
+// New returns a Core that is idle and reads st, the node's replica. The owner passes each change of st to StateChanged.
 func New(cfg Config, st *state.State) *Core {
 	c := &Core{cfg: cfg, st: st, Counts: Counts{ProvedDead: map[string]uint64{}}}
 	c.role.phase = Idle
@@ -173,8 +173,8 @@
 	return c
 }
 
-// clearRecords forgets all but the role, the plan in flight and the ends not committed yet: ends are facts, and the
-// workers that reported them may not report them again.
+// clearRecords drops all records but the role, the plan in flight and the ends not committed yet: ends are facts, and
+// the workers that reported them may not report them again.
 func (c *Core) clearRecords() {
 	c.runs = map[uint64]*run{}
 	c.released = map[uint64]*releasedRun{}
@@ -192,7 +192,7 @@
 	c.health = newHealth(c.cfg.Health)
 }
 
-// Reset puts another replica in place, after a snapshot. If this node has the role, its records are rebuilt.
+// Reset replaces the replica after a snapshot was installed. If this node has the role, the records are rebuilt.
 func (c *Core) Reset(now time.Duration, st *state.State) {
 	c.st = st
 	if c.role.phase == Ready {
@@ -240,7 +240,8 @@
 	return true
 }
 
-// StepDown gives the role up.
+// StepDown makes the core idle and drops its records, but for ends not committed yet. It ignores answers that arrive
+// later.
 func (c *Core) StepDown() {
 	c.role.phase = Idle
 	c.clearRecords()
@@ -254,10 +255,10 @@
 	return c.role.phase == Ready && now < c.role.leaseUntil-c.cfg.RoleLeaseMargin
 }
 
-// Phase is where the role stands on this node.
+// Phase returns the state of the role on this node.
 func (c *Core) Phase() Phase { return c.role.phase }
 
-// Epoch is the epoch of this node's grant, 0 when idle.
+// Epoch returns the epoch of this node's grant, 0 when idle.
 func (c *Core) Epoch() uint64 {
 	if c.role.phase == Idle {
 		return 0
@@ -265,16 +266,16 @@
 	return c.role.epoch
 }
 
-// RunningCount is the number of handles of a task type, as rebuilt and kept by this node.
+// RunningCount returns the number of handles of a task type, by this node's own records.
 func (c *Core) RunningCount(taskType string) int { return c.runningCounts[taskType] }
 
-// UnhealthyWorkers are the ejected workers, by name.
+// UnhealthyWorkers returns the names of the ejected workers, sorted.
 func (c *Core) UnhealthyWorkers() []string { return slices.Sorted(maps.Keys(c.health.unhealthy)) }
 
-// QueueLength is how many due tasks wait for a run ID, those in back-off included.
+// QueueLength returns how many due tasks wait for a run ID, those in back-off included.
 func (c *Core) QueueLength() int { return c.queue.len() }
 
-// Pass runs the passes and returns what is to be done at now.
+// Pass runs the passes at time now. It does nothing while the role's lease does not allow this node to act.
 func (c *Core) Pass(now time.Duration) Actions {
 	c.now = now
 	if !c.MayAct(now) {
@@ -296,8 +297,8 @@
 	return actions
 }
 
-// resume begins anew to count unanswered calls: while the lease did not allow this node to act it called nobody, so
-// silence in that time says nothing about a worker.
+// resume restarts the count of unanswered calls: while the lease did not allow this node to act it called no worker, so
+// silence in that time proves nothing about one.
 func (c *Core) resume() {
 	c.role.paused = false
 	for _, w := range c.workers {
