--- a/internal/dataplane/scheduler/admit_test.go
+++ b/internal/dataplane/scheduler/admit_test.go
@@ -13,21 +13,22 @@
 	"crosstide/internal/state"
 )
 
-func TestOldestJobFirst(t *testing.T) {
-	Convey("A task of an older job that falls due again goes before the queue of its kind", t, func() {
+func TestPlacement_oldestJobFirst(t *testing.T) {
+	Convey("A task of an older job that falls due again is placed before younger jobs of its class", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		for n := range 5 {
 			h.submit(fmt.Sprintf("j%d", n), state.StepSpec{Cores: 4, Retries: 3})
 		}
 		var began []string
-		end := internalapi.OutcomeFailed // of the first run; all others end well
+		outcome := internalapi.OutcomeFailed // of the first run; all others succeed
 		for calls := h.commitPlans(); len(began) < 6; calls = h.commitPlans() {
-			if o := findOrder(calls); o != nil {
-				s := o.Call.Starts[0]
+			if order := findOrder(calls); order != nil {
+				s := order.Call.Starts[0]
 				began = append(began, s.Job)
-				h.answer(*o, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: s.RunID, Outcome: end}}})
-				end = internalapi.OutcomeOK
+				end := internalapi.RunEnd{RunID: s.RunID, Outcome: outcome}
+				h.answer(*order, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{end}})
+				outcome = internalapi.OutcomeOK
 			}
 			h.now += time.Second
 			h.reply("check", "", internalapi.LeaseAnswer{})
@@ -36,10 +37,10 @@
 	})
 }
 
-func TestClassQueue(t *testing.T) {
-	Convey("Tasks of a class stand by the age of their jobs, those of one job in the order they came, at any mix of putting and taking", t, func() {
+func TestClass_insertKeepsJobOrder(t *testing.T) {
+	Convey("A class keeps its tasks by age of their jobs, and those of one job in order of arrival", t, func() {
 		rnd := rand.New(rand.NewPCG(14, 1))
-		k, want := &class{}, []queuedTask(nil)
+		cls, want := &class{}, []queuedTask(nil)
 		for n := range 5000 {
 			if rnd.IntN(9) < 5 {
 				q := queuedTask{state.TaskRef{Task: n}, uint64(rnd.IntN(40))}
@@ -48,13 +49,13 @@
 					at = len(want)
 				}
 				want = slices.Insert(want, at, q)
-				k.insert(q)
+				cls.insert(q)
 			} else if len(want) > 0 {
 				want = want[1:]
-				k.head++
+				cls.head++
 			}
-			if !slices.Equal(k.refs[k.head:], want) {
-				t.Fatalf("after %d steps the queue is %v, not %v", n, k.refs[k.head:], want)
+			if !slices.Equal(cls.refs[cls.head:], want) {
+				t.Fatalf("after %d steps the queue is %v, not %v", n, cls.refs[cls.head:], want)
 			}
 		}
 		So(len(want), ShouldBeGreaterThan, 100)
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/state/command"
 )
 
-// newFullCluster is a scheduler of a cluster on which runs are running: every worker was heard once, and one core of each
-// is free. Tasks of classes wait that need two.
+// newFullCluster returns a scheduler of a cluster with runs running: every worker has answered once, and each has one
+// free core. Each of the classes has due tasks that need two cores.
 func newFullCluster(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
 	b.Helper()
 	st := state.New()
@@ -28,7 +28,8 @@
 	}
 	cores := runs/workers + 1 // one core is left free on each
 	for i := range workers {
-		apply(&command.Announce{Worker: state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "h:1", Kind: "check", Zone: "z1", Cores: cores}})
+		apply(&command.Announce{Worker: state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "h:1", Kind: "check",
+			Zone: "z1", Cores: cores}})
 	}
 	for i := range classes {
 		apply(&command.Submit{Bound: 1 << 20, Spec: state.Spec{Key: fmt.Sprintf("big-%d", i), Queue: "default", Team: "t",
@@ -47,46 +48,48 @@
 	}
 	apply(plan)
 	epoch := plan.Epoch
-	give := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
+	starts := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
 	for i := range runs {
-		give.Starts = append(give.Starts, command.Start{Ref: state.TaskRef{Job: "fill", Task: i}, Worker: fmt.Sprintf("m%04d", i%workers), Incarnation: "b"})
+		starts.Starts = append(starts.Starts, command.Start{Ref: state.TaskRef{Job: "fill", Task: i},
+			Worker: fmt.Sprintf("m%04d", i%workers), Incarnation: "b"})
 	}
-	apply(give)
-	ran := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
+	apply(starts)
+	running := &command.Plan{Epoch: epoch, BundleVersion: st.Bundle.Version}
 	for i := range runs {
-		ran.Running = append(ran.Running, uint64(i+1))
+		running.Running = append(running.Running, uint64(i+1))
 	}
-	apply(ran)
+	apply(running)
 	c := New(DefaultConfig(), st)
 	st.OnEvent = c.StateChanged
 	now := time.Second
 	c.BecomeLeader(now, epoch)
 	c.SetRoleLease(time.Hour)
-	out := c.Pass(now)
-	refusePlan(c, now, out.Plan)
-	for _, o := range out.Calls {
-		answer(c, st, now, o)
+	actions := c.Pass(now)
+	refusePlan(c, now, actions.Plan)
+	for _, call := range actions.Calls {
+		answer(c, st, now, call)
 	}
 	return c, st, now
 }
 
-// commitPlans answers a plan as refused whole.
+// refusePlan answers a plan with none of its starts accepted.
 func refusePlan(c *Core, now time.Duration, p *command.Plan) {
 	if p != nil {
 		c.PlanAnswered(now, p.Epoch, command.Planned{RunIDs: make([]uint64, len(p.Starts))}, nil)
 	}
 }
 
-func answer(c *Core, st *state.State, now time.Duration, o OutgoingCall) {
-	m := st.Workers[o.Worker]
-	a := internalapi.LeaseAnswer{Call: o.Call.Call, Epoch: o.Call.Epoch, Incarnation: "b", Kind: m.Kind, Zone: m.Zone, Cores: m.Cores, Clock: now, Floor: o.Call.Floor}
-	a.Running = st.RunIDsOn(m.Name)
-	c.CallAnswered(now, o, a)
+// answer answers a call as a worker on which all is as the store has it.
+func answer(c *Core, st *state.State, now time.Duration, call OutgoingCall) {
+	worker := st.Workers[call.Worker]
+	c.CallAnswered(now, call, internalapi.LeaseAnswer{Call: call.Call.Call, Epoch: call.Call.Epoch, Incarnation: "b",
+		Kind: worker.Kind, Zone: worker.Zone, Cores: worker.Cores, Clock: now, Floor: call.Call.Floor,
+		Running: st.RunIDsOn(worker.Name)})
 }
 
-// BenchmarkPass is one answer and the pass after it, at 1,600 workers with 28,800 runs: what the scheduler does
-// some two thousand times a second. With classes it has that many kinds of due tasks which fit nowhere, while a core
-// is free on every worker.
+// BenchmarkPass measures one answer and the pass after it, with 1,600 workers and 28,800 runs: what the scheduler does
+// some two thousand times a second. With stuck=N it has N classes of due tasks that fit nowhere, although a core is
+// free on every worker.
 func BenchmarkPass(b *testing.B) {
 	for _, classes := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("stuck=%d", classes), func(b *testing.B) {
@@ -99,12 +102,12 @@
 				if len(calls) == 0 {
 					b.Fatal("no calls left")
 				}
-				o := calls[0]
-				answer(c, st, now, o)
+				call := calls[0]
+				answer(c, st, now, call)
 				now += 600 * time.Microsecond
-				out := c.Pass(now)
-				calls = append(calls[1:], out.Calls...)
-				refusePlan(c, now, out.Plan)
+				actions := c.Pass(now)
+				calls = append(calls[1:], actions.Calls...)
+				refusePlan(c, now, actions.Plan)
 			}
 		})
 	}
--- a/internal/dataplane/scheduler/budget_test.go
+++ b/internal/dataplane/scheduler/budget_test.go
@@ -13,7 +13,8 @@
 	"crosstide/internal/state/command"
 )
 
-// paid is a harness with a party that pays for team "a": a core costs 10 a second, a start of one core 100.
+// paid is a harness with a party that pays for team "a": a core costs 10 units a second, and a start of one core
+// reserves 100.
 type paid struct {
 	*harness
 	topUps int
@@ -21,7 +22,8 @@
 
 func newPaid(units int64, workers ...string) *paid {
 	p := &paid{harness: newHarness("check", workers...)}
-	p.st.Bundle.SetParties(map[string]state.Party{"acme": {Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: 10 * time.Second}})
+	acme := state.Party{Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: 10 * time.Second}
+	p.st.Bundle.SetParties(map[string]state.Party{"acme": acme})
 	p.do(&command.AccountCreate{Order: "open", Account: "acme"})
 	if units > 0 {
 		p.topUp(units)
@@ -35,13 +37,13 @@
 	p.do(&command.AccountTopUp{Account: "acme", Key: fmt.Sprint("k", p.topUps), Amount: units})
 }
 
-// free hands in a job of a team that nobody pays for.
+// free submits a job of a team that no party pays for.
 func (p *paid) free(key string) {
 	p.do(&command.Submit{Spec: state.Spec{Key: key, Team: "free", Queue: "default",
 		Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}, Digest: key, Bound: 100})
 }
 
-// serve passes time in steps; workers carry out their orders and answer.
+// serve lets time pass in steps, in which workers carry out orders and answer calls.
 func (p *paid) serve(length time.Duration) {
 	for end := p.now + length; p.now < end; {
 		p.now += 50 * time.Millisecond
@@ -57,25 +59,25 @@
 	}
 }
 
-// list is the answer of a worker: what runs on it.
+// list returns the answer of a worker, with all runs that the store has on it.
 func (p *paid) list(name string) (a internalapi.LeaseAnswer) {
 	a.Running = p.st.RunIDsOn(name)
 	a.Floor = p.st.LastRunID
 	return a
 }
 
-// started are those of the keys whose first task has a run ID.
-func (p *paid) started(keys ...string) (out []string) {
+// started returns those of the keys whose first task has a run ID.
+func (p *paid) started(keys ...string) (withRunID []string) {
 	for _, key := range keys {
 		if taskOf(p.harness, key).RunID > 0 {
-			out = append(out, key)
+			withRunID = append(withRunID, key)
 		}
 	}
-	return out
+	return withRunID
 }
 
-func TestPartyAwaitingTopUp(t *testing.T) {
-	Convey("An exhausted party waits without commits, others go on, and a top-up is used at once and in order", t, func() {
+func TestBudget_partyAwaitingTopUp(t *testing.T) {
+	Convey("An exhausted party waits without commits, others go on, and a top-up is used in order", t, func() {
 		p := newPaid(200, "m1", "m2")
 		for i := range 6 {
 			p.submit(fmt.Sprint("j", i), state.StepSpec{})
@@ -101,7 +103,7 @@
 		So(p.core.Counts.Refused, ShouldEqual, 0)
 		So(p.st.Accounts.Check(), ShouldBeNil)
 	})
-	Convey("A new leader knows as much: it starts nothing before the top-up, all after it", t, func() {
+	Convey("A new leader starts nothing before the top-up, and all after it", t, func() {
 		p := newPaid(0, "m1")
 		p.submit("j0", state.StepSpec{})
 		p.serve(time.Second)
@@ -113,7 +115,7 @@
 		p.serve(time.Second)
 		So(p.started("j0"), ShouldResemble, []string{"j0"})
 	})
-	Convey("The balance is kept for the oldest job: a cheaper one that came later waits behind it", t, func() {
+	Convey("The balance is kept for the oldest job: a cheaper, younger one waits behind it", t, func() {
 		p := newPaid(150, "m1")
 		p.submit("wide", state.StepSpec{Cores: 3})
 		p.submit("narrow", state.StepSpec{})
@@ -126,7 +128,10 @@
 		p.serve(100 * time.Millisecond)
 		So(p.started("wide", "narrow"), ShouldResemble, []string{"wide", "narrow"})
 	})
-	Convey("A long-running task that ran before starts again though the party is exhausted and an older one waits", t, func() {
+}
+
+func TestBudget_longRunningTask(t *testing.T) {
+	Convey("A long-running task that ran before restarts, though its party is exhausted and an older waits", t, func() {
 		p := newPaid(100, "m1")
 		p.submit("listener", state.StepSpec{LongRunning: true})
 		p.serve(200 * time.Millisecond)
@@ -138,12 +143,13 @@
 		p.do(&command.Plan{Epoch: p.core.Epoch(), Dead: []command.Proof{{RunID: first, Why: command.ProofLeaseExpired}}})
 		p.serve(200 * time.Millisecond)
 		So(taskOf(p.harness, "listener").RunID, ShouldBeGreaterThan, first)
-		p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: taskOf(p.harness, "listener").RunID, Reason: "x"}}})
+		end := command.End{RunID: taskOf(p.harness, "listener").RunID, Reason: "x"}
+		p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{end}})
 		p.serve(time.Second)
 		So(taskOf(p.harness, "listener").RunID, ShouldBeGreaterThan, first+1)
 		So(p.started("older", "j0"), ShouldBeEmpty)
 	})
-	Convey("A lasting gang of which one member ran before stays one gang, and waits without commits", t, func() {
+	Convey("A long-running gang of which one member ran before stays one gang, and waits without commits", t, func() {
 		p := newPaid(150, "m1")
 		p.submit("gang", state.StepSpec{Tasks: 2, Gang: true, LongRunning: true})
 		_, first := p.st.TaskOf(state.TaskRef{Job: "gang"})
@@ -159,7 +165,10 @@
 		p.serve(time.Second)
 		So(len(p.st.Handles), ShouldEqual, 2)
 	})
-	Convey("Tasks that await a top-up are counted also where there is no worker", t, func() {
+}
+
+func TestBudget_tasksAwaitingTopUp(t *testing.T) {
+	Convey("Tasks that await a top-up are counted also if there is no worker", t, func() {
 		p := newPaid(0)
 		p.submit("j0", state.StepSpec{Tasks: 2})
 		p.commitPlans()
--- a/internal/dataplane/scheduler/determinism_test.go
+++ b/internal/dataplane/scheduler/determinism_test.go
@@ -11,8 +11,8 @@
 	"crosstide/internal/state"
 )
 
-// The tables are maps; what a core does must not hang on the order in which they are walked.
-func TestSameInputsSamePlans(t *testing.T) {
+// The records are maps: a core's decisions must not depend on the order in which they are walked.
+func TestPlan_sameInputsSamePlan(t *testing.T) {
 	Convey("A new leader places the oldest due task first, every time the same way", t, func() {
 		var plans [8]string
 		for i := range plans {
@@ -33,17 +33,17 @@
 				h.answer(c, "check", internalapi.LeaseAnswer{Zone: "z1"})
 			}
 			for {
-				out := h.core.Pass(h.now)
-				if out.Plan == nil {
+				actions := h.core.Pass(h.now)
+				if actions.Plan == nil {
 					break
 				}
-				raw, err := json.Marshal(out.Plan)
+				raw, err := json.Marshal(actions.Plan)
 				So(err, ShouldBeNil)
 				plans[i] += string(raw)
-				for k, s := range out.Plan.Starts {
+				for k, s := range actions.Plan.Starts {
 					So(s.Ref.Job, ShouldEqual, fmt.Sprintf("j%d", (k*7)%20))
 				}
-				h.commit(out.Plan)
+				h.commit(actions.Plan)
 			}
 			So(plans[i], ShouldNotBeEmpty)
 			So(plans[i], ShouldEqual, plans[0])
--- a/internal/dataplane/scheduler/expire_test.go
+++ b/internal/dataplane/scheduler/expire_test.go
@@ -12,39 +12,39 @@
 	"crosstide/internal/state/command"
 )
 
-func TestLeaseExpiryAndNewIncarnation(t *testing.T) {
-	Convey("given a running task on a worker that falls silent", t, func() {
+func TestSilentWorker_runIsProvedDead(t *testing.T) {
+	Convey("Given a running task on a worker that falls silent", t, func() {
 		h := newHarness("check", "m1", "m2")
 		h.greetWorkers("check")
 		h.submit("j", state.StepSpec{Run: json.RawMessage(`{}`)})
-		o := findOrder(h.commitPlans())
-		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		order := findOrder(h.commitPlans())
+		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
-		Convey("its task is due again only when the lease renewed last has expired by its clock", func() {
-			end := o.Call.Starts[0].LeaseUntil
+		Convey("its task is due again only when the newest lease has expired by the worker's clock", func() {
+			end := order.Call.Starts[0].LeaseUntil
 			tick := func() {
 				for _, c := range h.commitPlans() {
 					So(c.Call.Starts, ShouldBeEmpty)
 				}
-				if c, ok := h.wait[o.Worker]; ok { // no renewal may go to a worker that does not answer
+				if c, ok := h.wait[order.Worker]; ok { // no renewal may go to a worker that does not answer
 					end = max(end, c.Call.RenewUntil)
-					delete(h.wait, o.Worker)
+					delete(h.wait, order.Worker)
 					h.core.CallFailed(h.now, c, true)
 				}
-				h.reply("check", o.Worker, internalapi.LeaseAnswer{})
+				h.reply("check", order.Worker, internalapi.LeaseAnswer{})
 			}
 			for tick(); h.now+500*time.Millisecond < end+200*time.Millisecond; tick() {
 				h.now += 500 * time.Millisecond
 			}
 			So(taskOf(h, "j").RunID, ShouldEqual, 1)
-			So(end, ShouldBeLessThanOrEqualTo, o.Call.Starts[0].LeaseUntil+DefaultConfig().RunLease)
+			So(end, ShouldBeLessThanOrEqualTo, order.Call.Starts[0].LeaseUntil+DefaultConfig().RunLease)
 			h.now += time.Second
 			h.commitPlans()
 			h.commitPlans()
 			So(taskOf(h, "j").RunID, ShouldEqual, 2)
 			So(h.core.Counts.ProvedDead[command.ProofLeaseExpired], ShouldEqual, 1)
 		})
-		Convey("a new incarnation proves it dead at once", func() {
+		Convey("a new incarnation of the worker proves the run dead at once", func() {
 			for range 2 { // the first answer is older than that to the order, and proves nothing
 				h.reply("check", "", internalapi.LeaseAnswer{Incarnation: "b2"})
 				h.commitPlans()
@@ -72,13 +72,12 @@
 	return h
 }
 
-func TestWorkerAskedBeforeLeaseExpires(t *testing.T) {
-	ended := internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}}
-	Convey("A leader without a role lease for longer than a run's lease asks the worker before it proves its runs dead", t, func() {
+func TestLeaseExpiry_workerIsCalledFirst(t *testing.T) {
+	Convey("After a time without role lease the leader calls a worker before it proves its runs dead", t, func() {
 		h := newExpiredRun()
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldNotBeNil)
-		h.answer(h.wait["m1"], "check", ended)
+		h.answer(h.wait["m1"], "check", succeeded(1))
 		h.commitPlans()
 		So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 		So(h.st.LastRunID, ShouldEqual, 1)
--- a/internal/dataplane/scheduler/gang_test.go
+++ b/internal/dataplane/scheduler/gang_test.go
@@ -12,12 +12,12 @@
 
 const (
 	gangSeeds   = 30               // before long reservations, three of them took more than gangTimeout
-	gangTimeout = 45 * time.Second // as the oracle of internal/testbed/policysim has it
-	gangWarmUp  = 30 * time.Second // until as many long runs are out as there are going to be
+	gangTimeout = 45 * time.Second // as the invariant checker of internal/testbed/policysim has it
+	gangWarmUp  = 30 * time.Second // until the number of long runs no longer grows
 )
 
-// mixed returns lengths of which most are short and one in twenty is long, so that about half of the cores are in long
-// runs at any moment.
+// mixed returns random run lengths: most are short and one in twenty is long, so that about half of the cores have long
+// runs at any time.
 func mixed(seed uint64) func(runID uint64) time.Duration {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	return func(uint64) time.Duration {
@@ -41,7 +41,7 @@
 	return c
 }
 
-func TestGangBesideLongRuns(t *testing.T) {
+func TestGang_besideLongRuns(t *testing.T) {
 	Convey("A gang that needs three of four workers almost empty gets run IDs, though some runs take 15 s", t, func() {
 		for seed := range uint64(gangSeeds) {
 			c := newMixedCluster(seed)
--- a/internal/dataplane/scheduler/harness_test.go
+++ b/internal/dataplane/scheduler/harness_test.go
@@ -10,13 +10,13 @@
 	"crosstide/internal/state/command"
 )
 
-// harness is a store of one, with a core on its state: what the core plans is committed when the test says so.
+// harness is a store of one node with a core on its state. The core's plans are committed when the test calls commit.
 type harness struct {
 	st   *state.State
 	core *Core
 	now  time.Duration
 	wait map[string]OutgoingCall // polls in flight, by worker
-	// coresByWorker is how many cores a worker reports; 4 if it is not in it.
+	// coresByWorker has how many cores a worker reports; 4 if it is not in the map.
 	coresByWorker map[string]int
 }
 
@@ -32,16 +32,17 @@
 	return h
 }
 
+// do applies a command to the state and returns its answer. A command that fails is an error of the test: it panics.
 func (h *harness) do(c command.Command) any {
 	data, err := command.Encode(time.Unix(0, 0).Add(h.now), c)
 	if err != nil {
 		panic(err)
 	}
-	a, err := command.Apply(h.st, h.st.Index+1, 1, data)
+	answer, err := command.Apply(h.st, h.st.Index+1, 1, data)
 	if err != nil {
 		panic(err)
 	}
-	return a
+	return answer
 }
 
 // lead grants the role to a leader after the present one.
@@ -54,10 +55,16 @@
 	clear(h.wait)
 }
 
+// submit submits a job of one step for team "a"; tasks and cores are 1 if step has none.
 func (h *harness) submit(key string, step state.StepSpec) {
 	step.Name, step.Type = "s", "t"
 	step.Tasks, step.Cores = max(step.Tasks, 1), max(step.Cores, 1)
-	h.do(&command.Submit{Spec: state.Spec{Key: key, Team: "a", Queue: "default", Steps: []state.StepSpec{step}}, Digest: key, Bound: 100})
+	h.submitTo("default", "a", key, step)
+}
+
+func (h *harness) submitTo(queue, team, key string, step state.StepSpec) {
+	spec := state.Spec{Key: key, Team: team, Queue: queue, Steps: []state.StepSpec{step}}
+	h.do(&command.Submit{Spec: spec, Digest: key, Bound: 100})
 }
 
 // commit applies a plan and answers it.
@@ -67,24 +74,25 @@
 	}
 }
 
-// commitPlans passes and commits until no plan comes, and returns the calls of all passes.
+// commitPlans runs passes and commits their plans until a pass has none, and returns the calls of all passes.
 func (h *harness) commitPlans() []OutgoingCall {
 	var calls []OutgoingCall
 	for {
-		out := h.core.Pass(h.now)
-		calls = append(calls, out.Calls...)
-		for _, c := range out.Calls {
+		actions := h.core.Pass(h.now)
+		calls = append(calls, actions.Calls...)
+		for _, c := range actions.Calls {
 			if !c.IsOrder {
 				h.wait[c.Worker] = c
 			}
 		}
-		if out.Plan == nil {
+		if actions.Plan == nil {
 			return calls
 		}
-		h.commit(out.Plan)
+		h.commit(actions.Plan)
 	}
 }
 
+// answer answers a call as a worker of the kind, with what a has in addition.
 func (h *harness) answer(c OutgoingCall, kind string, a internalapi.LeaseAnswer) {
 	a.Call, a.Epoch, a.Kind, a.Clock, a.Floor = c.Call.Call, c.Call.Epoch, kind, h.now, max(a.Floor, c.Call.Floor)
 	a.Cores, a.Zone = 4, "z1"
@@ -97,7 +105,7 @@
 	h.core.CallAnswered(h.now, c, a)
 }
 
-// greetWorkers answers the polls, so that every worker is known.
+// greetWorkers answers polls until the store has the report of every worker.
 func (h *harness) greetWorkers(kind string) {
 	for range 2 {
 		h.commitPlans()
@@ -106,10 +114,10 @@
 	h.commitPlans()
 }
 
-// reply answers the polls in flight, but for that of the worker named.
-func (h *harness) reply(kind, but string, a internalapi.LeaseAnswer) {
+// reply answers the polls in flight, except that of the worker named.
+func (h *harness) reply(kind, except string, a internalapi.LeaseAnswer) {
 	for _, name := range slices.Sorted(maps.Keys(h.wait)) {
-		if c := h.wait[name]; name != but {
+		if c := h.wait[name]; name != except {
 			delete(h.wait, name)
 			h.answer(c, kind, a)
 		}
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -11,10 +11,11 @@
 	"crosstide/internal/state"
 )
 
-// work runs the workers for some rounds: every start ends at once, as ends says. It returns the starts by worker.
+// work lets the workers run for some rounds: every run ends at once, and succeeds if ends returns true. It returns the
+// number of starts by worker.
 func (h *harness) work(rounds int, ends func(worker string, s internalapi.StartOrder) bool) map[string]int {
 	starts := map[string]int{}
-	left := map[string][]internalapi.RunEnd{}
+	unacked := map[string][]internalapi.RunEnd{}
 	for range rounds {
 		h.now += 100 * time.Millisecond
 		for _, c := range h.commitPlans() {
@@ -27,29 +28,30 @@
 				if ends(c.Worker, s) {
 					outcome = internalapi.OutcomeOK
 				}
-				left[c.Worker] = append(left[c.Worker], internalapi.RunEnd{RunID: s.RunID, Outcome: outcome, Reason: "x"})
+				end := internalapi.RunEnd{RunID: s.RunID, Outcome: outcome, Reason: "x"}
+				unacked[c.Worker] = append(unacked[c.Worker], end)
 			}
-			h.answer(c, "check", internalapi.LeaseAnswer{Ended: left[c.Worker]})
+			h.answer(c, "check", internalapi.LeaseAnswer{Ended: unacked[c.Worker]})
 		}
 		for name, c := range h.wait {
 			delete(h.wait, name)
-			h.answer(c, "check", internalapi.LeaseAnswer{Ended: left[name]})
+			h.answer(c, "check", internalapi.LeaseAnswer{Ended: unacked[name]})
 		}
-		for name, notes := range left {
-			kept := notes[:0:0]
-			for _, n := range notes {
-				if h.st.Handles[n.RunID] != nil {
-					kept = append(kept, n)
+		for name, ended := range unacked {
+			kept := ended[:0:0]
+			for _, end := range ended {
+				if h.st.Handles[end.RunID] != nil {
+					kept = append(kept, end)
 				}
 			}
-			left[name] = kept
+			unacked[name] = kept
 		}
 	}
 	return starts
 }
 
-func TestUnhealthyWorker(t *testing.T) {
-	Convey("given ten workers, one of which fails all of its tasks and answers like a healthy one", t, func() {
+func TestHealth_unhealthyWorkerIsEjected(t *testing.T) {
+	Convey("Given ten workers, one of which fails all of its tasks and answers like a healthy one", t, func() {
 		var names []string
 		for i := range 10 {
 			names = append(names, fmt.Sprintf("m%d", i))
@@ -62,13 +64,13 @@
 			h.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 10, Retries: 3})
 		}
 		starts := h.work(60, ends)
-		Convey("it is ejected soon, its tasks run elsewhere, and no job fails for it", func() {
+		Convey("it is ejected soon, its tasks run elsewhere, and no job fails because of it", func() {
 			So(h.core.UnhealthyWorkers(), ShouldResemble, []string{"m3"})
 			So(starts["m3"], ShouldBeLessThan, starts["m4"]/2)
 			for key, j := range h.st.Jobs {
 				So(key+string(j.Phase), ShouldEqual, key+string(state.JobDone))
 			}
-			Convey("and it is taken back after probes that end well", func() {
+			Convey("and it is readmitted after probes that succeed", func() {
 				bad = false
 				for i := range 200 {
 					h.submit(fmt.Sprintf("b%d", i), state.StepSpec{})
@@ -76,7 +78,7 @@
 				}
 				So(h.core.UnhealthyWorkers(), ShouldBeEmpty)
 			})
-			Convey("and a probe that fails puts the next one off", func() {
+			Convey("and a probe that fails delays the next one", func() {
 				before := h.core.Counts.RunIDs
 				again := map[string]int{}
 				for i := range 100 { // 20 s
@@ -90,7 +92,10 @@
 			})
 		})
 	})
-	Convey("a job that can never succeed fails, and no worker is ejected for it", t, func() {
+}
+
+func TestHealth_workerNotToBlame(t *testing.T) {
+	Convey("A job that can never succeed fails, and no worker is ejected for it", t, func() {
 		h := newHarness("check", "m1", "m2", "m3", "m4")
 		h.greetWorkers("check")
 		ends := func(_ string, s internalapi.StartOrder) bool { return s.Job != "never" }
@@ -104,10 +109,10 @@
 		So(h.st.Jobs["never"].Reason, ShouldContainSubstring, "gave up")
 		So(h.st.Jobs["a0"].Phase, ShouldEqual, state.JobDone)
 	})
-	Convey("a type that nobody completes ejects no worker, and at most a share of a zone is ejected", t, func() {
+	Convey("A type that no worker completes ejects no worker, and at most a share of a zone is ejected", t, func() {
 		h := newHealth(defaultHealthConfig())
-		end := func(name, kind, job string, well bool) {
-			h.recordEnd(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, well)
+		end := func(name, kind, job string, ok bool) {
+			h.recordEnd(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, ok)
 		}
 		for i := range 20 {
 			end("m1", "k", fmt.Sprint(i), false)
--- a/internal/dataplane/scheduler/interleaving_test.go
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -11,13 +11,13 @@
 	"crosstide/internal/state"
 )
 
-// event is one thing that may happen after an order went out.
+// event is something that may happen after an order was sent.
 type event struct {
 	name string
 	do   func(h *harness, w *workerModel)
 }
 
-// workerModel is what is true on the worker: whether the order arrived, ran, ended.
+// workerModel is the state of the worker: whether the order has arrived, and which runs were started and run now.
 type workerModel struct {
 	kind    string
 	order   OutgoingCall
@@ -68,10 +68,10 @@
 	rec(0, 0)
 }
 
-// TestEveryEventOrder tries, one by one, every order of: the order's arrival, the loss of its answer, a waiting call
-// answered, a new leader, the passing of time. Whatever the order, the task is never running twice, and a second
+// TestStart_everyEventOrder tries, one by one, every order of: the order's arrival, the loss of its answer, a waiting
+// call answered, a new leader, the passing of time. Whatever the order, the task is never running twice, and a second
 // run ID is given only when the first can never run any more.
-func TestEveryEventOrder(t *testing.T) {
+func TestStart_everyEventOrder(t *testing.T) {
 	events := []event{
 		{"arrive", func(h *harness, w *workerModel) { w.arrive(h) }},
 		{"lost", func(h *harness, w *workerModel) { h.core.CallFailed(h.now, w.order, true) }},
@@ -81,15 +81,15 @@
 		{"time", func(h *harness, _ *workerModel) { h.now += 3 * time.Second }},
 	}
 	for _, kind := range []string{"check", "obey"} {
-		Convey("every order of a start, its lost answer, listings, a new leader and time: "+kind, t, func() {
+		Convey("In every order of the events no task runs twice, on a worker of kind "+kind, t, func() {
 			cases, seconds := 0, 0
 			permute(len(events), func(seq []int) {
 				h := newHarness(kind, "m1")
 				h.greetWorkers(kind)
 				h.submit("j", state.StepSpec{})
 				calls := h.commitPlans()
-				o := findOrder(calls)
-				w := &workerModel{kind: kind, order: *o, started: map[uint64]int{}, running: map[uint64]bool{}}
+				order := findOrder(calls)
+				w := &workerModel{kind: kind, order: *order, started: map[uint64]int{}, running: map[uint64]bool{}}
 				names := ""
 				sent := h.now
 				for _, i := range seq {
--- a/internal/dataplane/scheduler/place_test.go
+++ b/internal/dataplane/scheduler/place_test.go
@@ -10,18 +10,18 @@
 	"crosstide/internal/state/command"
 )
 
-func TestLimitLowersRankOnly(t *testing.T) {
-	Convey("a type over its limit runs where capacity is free, after types under theirs", t, func() {
+func TestLimit_lowersRankOnly(t *testing.T) {
+	Convey("A type over its limit runs where capacity is free, after types under theirs", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.st.Bundle.Limits = map[string]int{"t": 1}
 		h.submit("j", state.StepSpec{Tasks: 6})
 		h.submit("k", state.StepSpec{})
 		h.st.Jobs["k"].Spec.Steps[0].Type = "u"
-		o := findOrder(h.commitPlans())
-		So(o, ShouldNotBeNil)
-		So(o.Call.Starts, ShouldHaveLength, 4) // all cores, though the limit of t is 1
-		So(o.Call.Starts[1].Type, ShouldEqual, "u")
+		order := findOrder(h.commitPlans())
+		So(order, ShouldNotBeNil)
+		So(order.Call.Starts, ShouldHaveLength, 4) // all cores, though the limit of t is 1
+		So(order.Call.Starts[1].Type, ShouldEqual, "u")
 		So(h.core.RunningCount("t"), ShouldEqual, 3)
 		So(h.st.RunningCount("t"), ShouldEqual, 3)
 		Convey("and a new leader rebuilds the same counts before it places anything", func() {
@@ -33,8 +33,8 @@
 	})
 }
 
-func TestUnschedulableClass(t *testing.T) {
-	Convey("A class that fits nowhere is placed by the first pass after capacity came free, without a sweep", t, func() {
+func TestUnschedulableClass_placedWhenCapacityIsFreed(t *testing.T) {
+	Convey("A class that fits nowhere is placed by the first pass after capacity was freed, without a sweep", t, func() {
 		c, st, now := newFullCluster(t, 4, 4, 1)
 		index := st.Index
 		apply := func(cmd command.Command) {
@@ -55,7 +55,7 @@
 			refusePlan(c, now, p)
 			again := c.Pass(now).Plan
 			So(again, ShouldNotBeNil)
-			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its kind
+			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its class
 			So(again.Starts[0].Worker, ShouldEqual, p.Starts[0].Worker)
 		})
 	})
--- a/internal/dataplane/scheduler/plan_test.go
+++ b/internal/dataplane/scheduler/plan_test.go
@@ -10,25 +10,25 @@
 	"crosstide/internal/state/command"
 )
 
-func TestRunIDBeforeOrder(t *testing.T) {
-	Convey("an order leaves only after the commit of its run ID was answered", t, func() {
+func TestOrder_onlyAfterRunIDIsCommitted(t *testing.T) {
+	Convey("An order is sent only after the commit of its run ID was answered", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.submit("j", state.StepSpec{})
-		out := h.core.Pass(h.now)
-		So(out.Plan, ShouldNotBeNil)
-		So(out.Plan.Seq, ShouldEqual, 1) // the inbox number is written ahead, in the same commit
-		h.commit(out.Plan)
-		out = h.core.Pass(h.now)
-		So(out.Plan, ShouldNotBeNil)
-		So(out.Plan.Starts, ShouldHaveLength, 1)
-		So(findOrder(out.Calls), ShouldBeNil)
+		actions := h.core.Pass(h.now)
+		So(actions.Plan, ShouldNotBeNil)
+		So(actions.Plan.Seq, ShouldEqual, 1) // the plan admits the job
+		h.commit(actions.Plan)
+		actions = h.core.Pass(h.now)
+		So(actions.Plan, ShouldNotBeNil)
+		So(actions.Plan.Starts, ShouldHaveLength, 1)
+		So(findOrder(actions.Calls), ShouldBeNil)
 		So(findOrder(h.core.Pass(h.now).Calls), ShouldBeNil)
-		h.commit(out.Plan)
+		h.commit(actions.Plan)
 		So(h.st.Handles, ShouldHaveLength, 1)
-		o := findOrder(h.core.Pass(h.now).Calls)
-		So(o, ShouldNotBeNil)
-		So(o.Call.Starts[0].RunID, ShouldEqual, 1)
+		order := findOrder(h.core.Pass(h.now).Calls)
+		So(order, ShouldNotBeNil)
+		So(order.Call.Starts[0].RunID, ShouldEqual, 1)
 
 		Convey("and only inside its window", func() {
 			h = newHarness("check", "m1")
@@ -37,7 +37,7 @@
 			h.commit(h.core.Pass(h.now).Plan)
 			h.commit(h.core.Pass(h.now).Plan)
 			h.now += DefaultConfig().StartWindow + time.Millisecond
-			So(findOrder(h.core.Pass(h.now).Calls), ShouldBeNil) // voided
+			So(findOrder(h.core.Pass(h.now).Calls), ShouldBeNil) // the window has passed
 			h.commit(h.core.Pass(h.now).Plan)
 			So(taskOf(h, "j").Phase, ShouldEqual, state.TaskDue)
 			So(h.core.Counts.ProvedDead[command.ProofUnsent], ShouldEqual, 1)
--- a/internal/dataplane/scheduler/policy_test.go
+++ b/internal/dataplane/scheduler/policy_test.go
@@ -14,7 +14,7 @@
 	"crosstide/internal/state/query"
 )
 
-// enact puts a text in force, signed by two.
+// enact puts a bundle in force, signed by two operators.
 func (h *harness) enact(text string) {
 	ada, err := signature.New("ada")
 	So(err, ShouldBeNil)
@@ -23,14 +23,16 @@
 	h.st.Operators = map[string]string{"ada": ada.Public(), "ben": ben.Public()}
 	base, digest := h.st.Head().Version, signature.Digest([]byte(text))
 	id := fmt.Sprint("o", base)
-	h.do(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text), Sig: ada.Sign(signature.Put(id, base, digest))})
+	h.do(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
+		Sig: ada.Sign(signature.Put(id, base, digest))})
 	for _, key := range []signature.Key{ada, ben} {
-		h.do(&command.SignBundle{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name, Sig: key.Sign(signature.Bundle(base+1, digest))})
+		h.do(&command.SignBundle{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name,
+			Sig: key.Sign(signature.Bundle(base+1, digest))})
 	}
 }
 
-func TestPlacementPolicyChange(t *testing.T) {
-	Convey("A plan made under the bundle before gets no run ID", t, func() {
+func TestPlacementPolicy_change(t *testing.T) {
+	Convey("A plan made under the previous bundle gets no run ID", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.submit("j", state.StepSpec{})
@@ -43,12 +45,12 @@
 		So(findOrder(h.commitPlans()), ShouldNotBeNil) // made again under the new one
 	})
 
-	Convey("What a new bundle does not allow is stopped, falls due again, and reports why it waits", t, func() {
+	Convey("A run that a new bundle does not allow is stopped; its task is due again and says why it waits", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.submit("j", state.StepSpec{})
-		o := findOrder(h.commitPlans())
-		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		order := findOrder(h.commitPlans())
+		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
 		h.enact(`{"queues":{"other":{}}}`)
 		h.now += time.Second
@@ -60,7 +62,8 @@
 		}
 		So(stop, ShouldNotBeNil)
 		So(stop.Call.Stops, ShouldResemble, []internalapi.StopOrder{{RunID: 1, Why: "queue"}})
-		h.answer(*stop, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeStopped}}})
+		end := internalapi.RunEnd{RunID: 1, Outcome: internalapi.OutcomeStopped}
+		h.answer(*stop, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{end}})
 		So(findOrder(h.commitPlans()), ShouldBeNil)
 		So(taskOf(h, "j").Phase, ShouldEqual, state.TaskDue)
 		view, err := query.Job(h.st, "j")
@@ -70,22 +73,24 @@
 		h.reply("check", "", internalapi.LeaseAnswer{})
 		So(findOrder(h.commitPlans()), ShouldNotBeNil)
 	})
+}
 
-	Convey("A queue's lease goes into the order, and leases of each length are renewed by their own", t, func() {
+func TestPlacementPolicy_leaseLength(t *testing.T) {
+	Convey("A queue's lease length is in its start orders, and its leases are renewed at that length", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.enact(`{"queues":{"default":{"hold":"8s"},"slow":{}}}`)
 		h.submit("j", state.StepSpec{})
-		h.do(&command.Submit{Spec: state.Spec{Key: "k", Team: "a", Queue: "slow", Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}, Digest: "k", Bound: 100})
+		h.submitTo("slow", "a", "k", state.StepSpec{Name: "s", Type: "t", Tasks: 1, Cores: 1})
 		until := map[string]time.Duration{}
-		o := findOrder(h.commitPlans())
-		for _, s := range o.Call.Starts {
+		order := findOrder(h.commitPlans())
+		for _, s := range order.Call.Starts {
 			until[s.Job] = s.LeaseUntil - h.now
 		}
 		So(until, ShouldResemble, map[string]time.Duration{"j": 8 * time.Second, "k": DefaultConfig().RunLease})
 		runID := map[string]uint64{"j": taskOf(h, "j").RunID, "k": taskOf(h, "k").RunID}
 		runs := internalapi.LeaseAnswer{Running: []uint64{1, 2}}
-		h.answer(*o, "check", runs)
+		h.answer(*order, "check", runs)
 		renewed := map[uint64]int{}
 		for range 30 { // seconds
 			h.now += time.Second
@@ -104,16 +109,18 @@
 		So(renewed[runID["j"]], ShouldBeGreaterThanOrEqualTo, 9) // each 3 s
 		So(renewed[runID["k"]], ShouldBeGreaterThanOrEqualTo, 4) // each 6 s
 	})
+}
 
+func TestPlacementPolicy_teamWeights(t *testing.T) {
 	Convey("Under contention teams share by their weights; without contention all capacity is used", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.enact(`{"queues":{"default":{}},"weights":{"a":3}}`)
 		h.submit("old", state.StepSpec{Tasks: 9}) // of team a
-		h.do(&command.Submit{Spec: state.Spec{Key: "new", Team: "b", Queue: "default", Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 9, Cores: 1}}}, Digest: "n", Bound: 100})
-		o := findOrder(h.commitPlans())
+		h.submitTo("default", "b", "new", state.StepSpec{Name: "s", Type: "t", Tasks: 9, Cores: 1})
+		order := findOrder(h.commitPlans())
 		got := map[string]int{}
-		for _, s := range o.Call.Starts {
+		for _, s := range order.Call.Starts {
 			got[s.Job]++
 		}
 		So(got, ShouldResemble, map[string]int{"old": 3, "new": 1})
--- a/internal/dataplane/scheduler/renew_test.go
+++ b/internal/dataplane/scheduler/renew_test.go
@@ -10,16 +10,16 @@
 	"crosstide/internal/state"
 )
 
-func TestFirstLease(t *testing.T) {
-	Convey("the first lease of a run on a worker that obeys is short, and is renewed in full when the run is listed", t, func() {
+func TestFirstLease_shortForObeyingWorker(t *testing.T) {
+	Convey("The first lease on a worker of kind obey is short, and is renewed in full once the run is listed", t, func() {
 		cfg := DefaultConfig()
 		for kind, first := range map[string]time.Duration{"check": cfg.RunLease, "obey": cfg.Lateness} {
 			h := newHarness(kind, "m1")
 			h.greetWorkers(kind)
 			h.submit("j", state.StepSpec{})
-			o := findOrder(h.commitPlans())
-			So(o.Call.Starts[0].LeaseUntil-h.now, ShouldEqual, first)
-			h.answer(*o, kind, internalapi.LeaseAnswer{Running: []uint64{1}})
+			order := findOrder(h.commitPlans())
+			So(order.Call.Starts[0].LeaseUntil-h.now, ShouldEqual, first)
+			h.answer(*order, kind, internalapi.LeaseAnswer{Running: []uint64{1}})
 			h.commitPlans()
 			h.reply(kind, "", internalapi.LeaseAnswer{Running: []uint64{1}})
 			h.commitPlans()
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -35,7 +35,8 @@
 }
 
 func newLoadedClusterOf(h *harness, workers []string) *loadedCluster {
-	c := &loadedCluster{harness: h, workers: workers, runs: map[uint64]time.Duration{}, began: map[string]time.Duration{}, length: alike}
+	c := &loadedCluster{harness: h, workers: workers, runs: map[uint64]time.Duration{},
+		began: map[string]time.Duration{}, length: similarLength}
 	c.greetWorkers("check")
 	for range 4 * len(workers) {
 		c.narrow()
@@ -43,15 +44,18 @@
 	return c
 }
 
-// alike returns lengths that are nearly the same.
-func alike(runID uint64) time.Duration { return shortestRun + time.Duration(runID*7%10)*runLengthStep }
+// similarLength returns run lengths that are nearly the same.
+func similarLength(runID uint64) time.Duration {
+	return shortestRun + time.Duration(runID*7%10)*runLengthStep
+}
 
 func (c *loadedCluster) narrow() {
 	c.serial++
 	c.submit(fmt.Sprintf("n%04d", c.serial), state.StepSpec{})
 }
 
-// step passes time: new tasks come, runs end, each worker answers its calls, run IDs are committed and ordered.
+// step lets time pass: new tasks are submitted, runs end, workers answer their calls, plans are committed and starts
+// ordered.
 func (c *loadedCluster) step() {
 	c.now += runLengthStep
 	for range tasksDue - c.core.QueueLength() {
@@ -83,7 +87,7 @@
 	c.answer(call, "check", c.list(call.Worker))
 }
 
-// list is the answer of a worker: what runs and what has ended on it. Its runs end one by one.
+// list returns the answer of a worker: what runs on it, and the first run that has ended.
 func (c *loadedCluster) list(name string) (a internalapi.LeaseAnswer) {
 	for _, t := range slices.Sorted(maps.Keys(c.runs)) {
 		switch h := c.st.Handles[t]; {
@@ -99,7 +103,8 @@
 	return a
 }
 
-// serve passes time, with narrow tasks always due, until a job has its first run ID or the timeout is over.
+// serve lets time pass, with narrow tasks always due, until a job has its first run ID, and reports whether it got it
+// before the timeout.
 func (c *loadedCluster) serve(job string, timeout time.Duration) bool {
 	for end := c.now + timeout; c.now < end && c.began[job] == 0; {
 		c.step()
@@ -107,7 +112,7 @@
 	return c.began[job] > 0
 }
 
-func TestNotPassedOverForEver(t *testing.T) {
+func TestReservation_largeTaskIsNotPassedOverForEver(t *testing.T) {
 	Convey("A cluster is full of narrow tasks, and more of them are due all the time", t, func() {
 		c := newLoadedCluster("m1", "m2", "m3")
 		for range 40 {
@@ -134,7 +139,7 @@
 	})
 }
 
-func TestReservationIsShort(t *testing.T) {
+func TestReservation_isShort(t *testing.T) {
 	Convey("A task that fits nowhere waits, and nothing else ends but one run", t, func() {
 		c := newLoadedCluster("m1")
 		for range 20 {
@@ -160,7 +165,8 @@
 	})
 }
 
-// longestFree passes time and returns the longest time for which a core of a worker was free without a break.
+// longestFree lets time pass until then, and returns the longest time for which a core of a worker was free without a
+// break.
 func (c *loadedCluster) longestFree(worker string, until time.Duration) (longest time.Duration) {
 	var free time.Duration
 	for c.now < until {
--- a/internal/dataplane/scheduler/reset_test.go
+++ b/internal/dataplane/scheduler/reset_test.go
@@ -12,9 +12,9 @@
 	"crosstide/internal/state/command"
 )
 
-// A leader whose replica falls behind takes a snapshot, and takes its role again under the same epoch.
-func TestSnapshotWhilePlanInFlight(t *testing.T) {
-	Convey("With a run out and a plan in flight, a leader takes a snapshot", t, func() {
+// A leader whose replica falls behind installs a snapshot, and takes its role again under the same epoch.
+func TestReset_whilePlanInFlight(t *testing.T) {
+	Convey("With a run in flight and a plan in flight, a leader installs a snapshot", t, func() {
 		h := newHarness("check", "m1", "m2")
 		h.greetWorkers("check")
 		h.submit("j1", state.StepSpec{Cores: 3})
@@ -43,11 +43,15 @@
 		Convey("The run does not count as unsent, and the numbers of calls go on", func() {
 			for range 5 {
 				h.now += 200 * time.Millisecond
-				out := h.core.Pass(h.now)
-				So(out.Plan, ShouldBeNil) // the old one is still in flight
-				for _, c := range out.Calls {
+				actions := h.core.Pass(h.now)
+				So(actions.Plan, ShouldBeNil) // the old one is still in flight
+				for _, c := range actions.Calls {
 					So(c.Call.Call, ShouldBeGreaterThan, order.Call.Call)
-					h.answer(c, "check", internalapi.LeaseAnswer{Running: map[bool][]uint64{true: {runID}}[c.Worker == order.Worker]})
+					var answer internalapi.LeaseAnswer
+					if c.Worker == order.Worker {
+						answer.Running = []uint64{runID}
+					}
+					h.answer(c, "check", answer)
 				}
 			}
 			So(h.st.Handles[runID], ShouldNotBeNil)
@@ -68,18 +72,21 @@
 	})
 }
 
-func TestEndSurvivesNewEpoch(t *testing.T) {
-	Convey("An end that was heard is not forgotten when the node takes its role again, whatever became of its plan", t, func() {
+func TestBecomeLeader_keepsUncommittedEnds(t *testing.T) {
+	Convey("A reported end is kept when the node takes its role again, whatever became of its plan", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.submit("j1", state.StepSpec{})
-		o := findOrder(h.commitPlans())
-		h.answer(*o, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}})
+		order := findOrder(h.commitPlans())
+		h.answer(*order, "check", succeeded(1))
 		plan := h.core.Pass(h.now).Plan
 		So(plan.Ends, ShouldHaveLength, 1)
 		again := map[string]func(){
-			"a snapshot":  func() { h.core.Reset(h.now, h.st) },
-			"a new epoch": func() { h.core.StepDown(); h.do(&command.GrantRole{Role: "sched", Holder: "d", After: plan.Epoch}) },
+			"a snapshot": func() { h.core.Reset(h.now, h.st) },
+			"a new epoch": func() {
+				h.core.StepDown()
+				h.do(&command.GrantRole{Role: "sched", Holder: "d", After: plan.Epoch})
+			},
 		}
 		for name, do := range again {
 			Convey("After "+name, func() {
--- a/internal/dataplane/scheduler/silentworker_test.go
+++ b/internal/dataplane/scheduler/silentworker_test.go
@@ -9,25 +9,25 @@
 	"crosstide/internal/state"
 )
 
-func TestNoOrderToSilentWorker(t *testing.T) {
-	// ordered reports whether an order leaves for a worker that is unheard for so long when its plan is committed.
+func TestOrder_notToSilentWorker(t *testing.T) {
+	// ordered reports whether an order is sent to a worker that has been unheard for so long when its plan is committed.
 	ordered := func(unheard time.Duration) bool {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		heard := h.now
 		h.now = heard + unheard - 100*time.Millisecond
 		h.submit("j1", state.StepSpec{})
-		out := h.core.Pass(h.now)
-		for out.Plan != nil && len(out.Plan.Starts) == 0 { // the job is taken in first
-			h.commit(out.Plan)
-			out = h.core.Pass(h.now)
+		actions := h.core.Pass(h.now)
+		for actions.Plan != nil && len(actions.Plan.Starts) == 0 { // the first plan admits the job
+			h.commit(actions.Plan)
+			actions = h.core.Pass(h.now)
 		}
-		So(out.Plan, ShouldNotBeNil)
+		So(actions.Plan, ShouldNotBeNil)
 		h.now = heard + unheard
-		h.commit(out.Plan)
+		h.commit(actions.Plan)
 		return findOrder(h.commitPlans()) != nil
 	}
-	Convey("An order leaves for a worker that was heard a moment ago, and none for one that may drain for 1.5 s already", t, func() {
+	Convey("An order is sent to a worker heard a moment ago, and none to one that may have drained for 1.5 s", t, func() {
 		So(ordered(time.Second), ShouldBeTrue)
 		So(ordered(DefaultConfig().OrderTimeout), ShouldBeTrue)
 		So(ordered(DefaultConfig().OrderTimeout+time.Millisecond), ShouldBeFalse)
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -10,19 +10,20 @@
 	"crosstide/internal/state"
 )
 
-// answerAt answers a call at clock, under an incarnation, as it arrives now.
+// answerAt answers a call as a worker of an incarnation whose clock showed clock; the answer arrives now.
 func (h *harness) answerAt(c OutgoingCall, kind, incarnation string, clock time.Duration, a internalapi.LeaseAnswer) {
-	a.Call, a.Kind, a.Incarnation, a.Clock, a.Floor, a.Cores, a.Zone = c.Call.Call, kind, incarnation, clock, c.Call.Floor, 4, "z1"
+	a.Call, a.Floor, a.Clock = c.Call.Call, c.Call.Floor, clock
+	a.Kind, a.Incarnation, a.Cores, a.Zone = kind, incarnation, 4, "z1"
 	h.core.CallAnswered(h.now, c, a)
 }
 
-func TestLateAnswer(t *testing.T) {
-	Convey("What was missing in an answer long under way is not missing since then", t, func() {
+func TestLeaseAnswer_late(t *testing.T) {
+	Convey("The time for which a run is missing counts by the clock in the answers, not by their arrival", t, func() {
 		h := newHarness("obey", "m1")
 		h.greetWorkers("obey")
 		h.submit("j1", state.StepSpec{})
-		o := findOrder(h.commitPlans())
-		h.core.CallFailed(h.now, *o, true)
+		order := findOrder(h.commitPlans())
+		h.core.CallFailed(h.now, *order, true)
 		h.reply("obey", "", internalapi.LeaseAnswer{}) // raises the floor
 		h.now += time.Second
 		h.commitPlans()
@@ -45,18 +46,19 @@
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		h.submit("j1", state.StepSpec{})
-		o := findOrder(h.commitPlans())
+		order := findOrder(h.commitPlans())
 		late := h.wait["m1"]
-		h.answerAt(*o, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.answerAt(*order, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.submit("j2", state.StepSpec{})
-		o = findOrder(h.commitPlans())
-		if o.Call.Call > late.Call.Call { // the poll that comes back late must be the newer call
+		order = findOrder(h.commitPlans())
+		if order.Call.Call > late.Call.Call { // the poll that comes back late must be the newer call
 			h.answerAt(late, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
 			h.commitPlans()
 			late = h.wait["m1"]
 		}
-		So(late.Call.Call, ShouldBeGreaterThan, o.Call.Call)
-		h.answerAt(*o, "check", "b2", time.Second, internalapi.LeaseAnswer{Refused: []internalapi.StartRefusal{{RunID: 2, Why: "boot"}}})
+		So(late.Call.Call, ShouldBeGreaterThan, order.Call.Call)
+		refusal := internalapi.StartRefusal{RunID: 2, Why: "boot"}
+		h.answerAt(*order, "check", "b2", time.Second, internalapi.LeaseAnswer{Refused: []internalapi.StartRefusal{refusal}})
 		h.commitPlans()
 		So(h.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
 		h.answerAt(late, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
@@ -65,15 +67,15 @@
 	})
 }
 
-func TestStaleAnswer(t *testing.T) {
-	Convey("an answer that is older than one taken in, or names another call, proves nothing", t, func() {
+func TestLeaseAnswer_stale(t *testing.T) {
+	Convey("An answer that is older than one handled before proves nothing", t, func() {
 		h := newHarness("check", "m1")
 		h.greetWorkers("check")
 		wait := h.wait["m1"]
 		h.submit("j", state.StepSpec{})
-		o := findOrder(h.commitPlans())
-		So(o, ShouldNotBeNil)
-		h.answer(*o, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
+		order := findOrder(h.commitPlans())
+		So(order, ShouldNotBeNil)
+		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.answer(wait, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldNotBeNil)
