--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -20,8 +20,8 @@
 // ControlPlane are the settings of a control plane node. Each comment begins with the setting's name.
 type ControlPlane struct {
 	Common
-	Data    string   // data: the folder of the store, needed
-	Members []Member // members: the first members of the store, needed
+	Data    string   // data: the folder of the store, required
+	Members []Member // members: the first members of the store, required
 
 	Election  time.Duration // election: silence after which a node campaigns to lead; default 1s
 	Heartbeat time.Duration // heartbeat: of the leader; default 100ms, under half of lease
@@ -47,7 +47,7 @@
 	RemoveAfter time.Duration
 }
 
-// DefaultControlPlane has every default, and nothing that is needed.
+// DefaultControlPlane returns the defaults; required settings are empty.
 func DefaultControlPlane() ControlPlane {
 	return ControlPlane{
 		Common:            defaultCommon(),
@@ -66,8 +66,8 @@
 	}
 }
 
-// LoadControlPlane reads and checks a settings file. A file that cannot be read is errs.Settings, as are its
-// ValidationErrors (see Parse).
+// LoadControlPlane reads and checks a settings file. All its errors are errs.Settings: for a file that cannot be read,
+// and for one with ValidationErrors, see Parse.
 func LoadControlPlane(path string) (ControlPlane, error) {
 	c := DefaultControlPlane()
 	err := load(path, c.read)
@@ -139,7 +139,8 @@
 	}
 }
 
-// checkOpenMembership checks what an open membership requires: nodes are named by the IP of their address.
+// checkOpenMembership checks what an open membership requires, above all that nodes are named by the IP of their
+// address.
 func (c *ControlPlane) checkOpenMembership(r *Reader) {
 	if len(c.Members) > maxSeedMembers {
 		r.Reject("members", "must be at most %d with open_membership, are %d", maxSeedMembers, len(c.Members))
@@ -158,7 +159,7 @@
 	}
 }
 
-// hostOf returns the IP of an address, "" if it is none.
+// hostOf returns the IP of an address; "" if addr is no address.
 func hostOf(addr string) string {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/config/dataplane.go
+++ b/internal/config/dataplane.go
@@ -10,7 +10,7 @@
 // name.
 type DataPlane struct {
 	Common
-	ControlPlanes []string      // core: addresses of control plane nodes; this or seeds is needed
+	ControlPlanes []string      // core: addresses of control plane nodes; required without seeds
 	RunLease      time.Duration // hold: how long a worker keeps its runs without renewal; default 20s
 	PollWait      time.Duration // hold_wait: how long a worker may delay its answer; default 1s
 	StartWindow   time.Duration // start_window: from the commit of a run ID to its start order; default 500ms
@@ -23,7 +23,7 @@
 	QueueLimit        int // queue_limit: jobs that may be open at most; default 60000
 }
 
-// DefaultDataPlane has every default, and nothing that is needed.
+// DefaultDataPlane returns the defaults; required settings are empty.
 func DefaultDataPlane() DataPlane {
 	return DataPlane{
 		Common:            defaultCommon(),
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// ValidationError is one thing that is wrong in a settings file. Field is its path, such as members[2].addr.
+// ValidationError is an invalid value in a settings file. Field is its path, such as members[2].addr; "" is the file.
 type ValidationError struct{ Field, Message string }
 
-// ValidationErrors is all that is wrong in one file, in the order in which it was found.
+// ValidationErrors are all invalid values of a file, in the order in which they were found.
 type ValidationErrors []ValidationError
 
-// Error returns one line for each, "field: message".
+// Error returns a line "field: message" for each.
 func (v ValidationErrors) Error() string {
 	lines := make([]string, len(v))
-	for i, one := range v {
-		lines[i] = strings.TrimPrefix(one.Field+": "+one.Message, ": ")
+	for i, invalid := range v {
+		lines[i] = strings.TrimPrefix(invalid.Field+": "+invalid.Message, ": ")
 	}
 	return strings.Join(lines, "\n")
 }
 
-// orNil is v as an error, nil if there are none.
+// orNil returns v as an error, or nil if it is empty: a nil slice in an error is not a nil error.
 func (v ValidationErrors) orNil() error {
 	if len(v) == 0 {
 		return nil
--- a/internal/config/jobs.go
+++ b/internal/config/jobs.go
@@ -10,9 +10,9 @@
 // section jobs. Each comment begins with the setting's name.
 type JobsControlPlane struct {
 	ControlPlane
-	Control     string        // jobs.control: IP:PORT where workers and operators reach the node, needed
+	Control     string        // jobs.control: IP:PORT where workers and operators reach the node, required
 	CallTimeout time.Duration // jobs.call_timeout: of an operator's call; default 3s
-	// KeepFinished, jobs.keep_over, is how long a job that is over can be asked for; default 10m.
+	// KeepFinished, jobs.keep_over, is how long a finished job can be read; default 10m.
 	KeepFinished time.Duration
 	Scheduler    JobsScheduler
 }
@@ -31,14 +31,14 @@
 // JobsDataPlane are the settings of a data plane node of the jobs deployment.
 type JobsDataPlane struct {
 	Common
-	ControlPlanes []string      // core: addresses of control plane nodes; this or seeds is needed
+	ControlPlanes []string      // core: addresses of control plane nodes; required without seeds
 	CallTimeout   time.Duration // call_timeout: of a client's call; default 3s
 }
 
 // renewalsPerLease is how often at least a lease is renewed while it runs.
 const renewalsPerLease = 3
 
-// DefaultJobsControlPlane has every default, and nothing that is needed.
+// DefaultJobsControlPlane returns the defaults; required settings are empty.
 func DefaultJobsControlPlane() JobsControlPlane {
 	return JobsControlPlane{
 		ControlPlane: DefaultControlPlane(),
@@ -55,7 +55,7 @@
 	}
 }
 
-// DefaultJobsDataPlane has every default, and nothing that is needed.
+// DefaultJobsDataPlane returns the defaults; required settings are empty.
 func DefaultJobsDataPlane() JobsDataPlane {
 	return JobsDataPlane{Common: defaultCommon(), CallTimeout: 3 * time.Second}
 }
@@ -125,7 +125,7 @@
 	r.Duration("call_timeout", &f.CallTimeout, minDuration, maxDuration)
 }
 
-// ControlPlaneAddresses are the addresses to ask first: those of core, else the seeds.
+// ControlPlaneAddresses returns the addresses to try first: those of core, or the seeds if core is empty.
 func (f JobsDataPlane) ControlPlaneAddresses() []string {
 	if len(f.ControlPlanes) > 0 {
 		return f.ControlPlanes
--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -26,8 +26,8 @@
 		return ""
 	}
 	var fields []string
-	for _, one := range invalid {
-		fields = append(fields, one.Field)
+	for _, validationError := range invalid {
+		fields = append(fields, validationError.Field)
 	}
 	return strings.Join(fields, " ")
 }
@@ -37,41 +37,47 @@
 		"members":[{"id":"c1","addr":"127.0.0.1:7101","zone":"z"}]` + section + `}`
 }
 
-func TestJobsControlPlane(t *testing.T) {
+func TestJobsControlPlane_load(t *testing.T) {
 	Convey("A control plane node's settings are those of the policy deployment and the section jobs", t, func() {
-		set, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(`,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`)))
+		section := `,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`
+		set, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(section)))
 		So(err, ShouldBeNil)
-		So([]any{set.Name, set.Election, set.Control, set.Scheduler.Lease, set.Scheduler.PollWait, set.Scheduler.RemoteFactor, set.KeepFinished}, ShouldResemble,
-			[]any{"c1", 2 * time.Second, "127.0.0.1:7201", 6 * time.Second, time.Second, 2.0, 10 * time.Minute})
+		got := []any{set.Name, set.Election, set.Control, set.Scheduler.Lease, set.Scheduler.PollWait,
+			set.Scheduler.RemoteFactor, set.KeepFinished}
+		So(got, ShouldResemble, []any{"c1", 2 * time.Second, "127.0.0.1:7201", 6 * time.Second, time.Second,
+			2.0, 10 * time.Minute})
 		So(CheckJobsControlPlane(set), ShouldBeNil)
 		set.Control = set.Addr
 		So(invalidFields(CheckJobsControlPlane(set)), ShouldEqual, "jobs.control")
 	})
 	Convey("Every error is reported with its field, all at once", t, func() {
-		for section, fields := range map[string]string{
-			``:                                     "jobs",
-			`,"jobs":7`:                            "jobs",
-			`,"jobs":{}`:                           "jobs.control",
-			`,"jobs":{"control":"here"}`:           "jobs.control",
-			`,"jobs":{"control":"127.0.0.1:7101"}`: "jobs.control",
-			`,"jobs":{"control":"127.0.0.1:7201","lease":"2s"}`:                                            "jobs.hold_wait",
-			`,"jobs":{"control":"127.0.0.1:7201","forget_after":"5s"}`:                                     "jobs.forget_after",
-			`,"jobs":{"control":"127.0.0.1:7201","color":1,"silence":4,"remote_factor":0.5}`:               "jobs.silence jobs.remote_factor jobs.color",
-			`,"jobs":{"control":"127.0.0.1:7201","keep_over":"-1s","call_timeout":"0s","early_start":"x"}`: "jobs.call_timeout jobs.keep_over jobs.early_start",
-			`,"lease":"9s","jobs":{"control":"127.0.0.1:7201","lapse_margin":"2h"}`:                        "lease jobs.lapse_margin",
+		for _, c := range []struct{ section, fields string }{
+			{``, "jobs"},
+			{`,"jobs":7`, "jobs"},
+			{`,"jobs":{}`, "jobs.control"},
+			{`,"jobs":{"control":"here"}`, "jobs.control"},
+			{`,"jobs":{"control":"127.0.0.1:7101"}`, "jobs.control"},
+			{`,"jobs":{"control":"127.0.0.1:7201","lease":"2s"}`, "jobs.hold_wait"},
+			{`,"jobs":{"control":"127.0.0.1:7201","forget_after":"5s"}`, "jobs.forget_after"},
+			{`,"jobs":{"control":"127.0.0.1:7201","color":1,"silence":4,"remote_factor":0.5}`,
+				"jobs.silence jobs.remote_factor jobs.color"},
+			{`,"jobs":{"control":"127.0.0.1:7201","keep_over":"-1s","call_timeout":"0s","early_start":"x"}`,
+				"jobs.call_timeout jobs.keep_over jobs.early_start"},
+			{`,"lease":"9s","jobs":{"control":"127.0.0.1:7201","lapse_margin":"2h"}`, "lease jobs.lapse_margin"},
 		} {
-			_, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(section)))
-			So(section+" "+invalidFields(err), ShouldEqual, section+" "+fields)
+			_, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(c.section)))
+			So(c.section+" "+invalidFields(err), ShouldEqual, c.section+" "+c.fields)
 		}
 	})
 }
 
-func TestJobsDataPlane(t *testing.T) {
-	Convey("A front node's settings", t, func() {
+func TestJobsDataPlane_load(t *testing.T) {
+	Convey("A data plane node's settings load, and errors are reported with their fields", t, func() {
 		const needed = `"name":"d1","zone":"z","region":"r","addr":"127.0.0.1:7001"`
 		set, err := LoadJobsDataPlane(writeSettings(t, `{`+needed+`,"core":["127.0.0.1:7101"],"call_timeout":"5s"}`))
 		So(err, ShouldBeNil)
-		So([]any{set.ControlPlaneAddresses(), set.CallTimeout}, ShouldResemble, []any{[]string{"127.0.0.1:7101"}, 5 * time.Second})
+		So([]any{set.ControlPlaneAddresses(), set.CallTimeout}, ShouldResemble,
+			[]any{[]string{"127.0.0.1:7101"}, 5 * time.Second})
 		So(CheckJobsDataPlane(set), ShouldBeNil)
 		set, err = LoadJobsDataPlane(writeSettings(t, `{`+needed+`,"seeds":["127.0.0.1:7102"]}`))
 		So([]any{set.ControlPlaneAddresses(), err}, ShouldResemble, []any{[]string{"127.0.0.1:7102"}, nil})
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -19,21 +19,21 @@
 	"crosstide/internal/errs"
 )
 
-// Reader reads the fields of one JSON object. A field that is missing leaves its target, and so the default in it, as
-// it is. What is wrong is collected, and a wrong field leaves its target as it is, too.
+// Reader reads the fields of one JSON object. A field that is missing or invalid leaves its target unchanged, and so
+// the default in it. Invalid fields are collected, and reported together by Parse.
 //
-// A reader without an object checks the values in the targets by the same rules; see checkSettings.
+// A Reader without an object checks the values that the targets have by the same rules; see checkSettings.
 type Reader struct {
 	path    string            // of the object; "" for the file
 	obj     *fastjson.Object  // nil: check the targets
-	seen    map[string]bool   // fields that were asked for
+	seen    map[string]bool   // fields that were read or required
 	invalid *ValidationErrors // shared by the readers of one file
 }
 
 func (r *Reader) checking() bool { return r.obj == nil }
 
-// Parse reads data by into. Fields that into did not ask for and fields given twice are errors too. The result is nil
-// or an errs.Settings whose text lists all; errors.As finds the ValidationErrors in it. Example:
+// Parse reads data, a JSON object, with into. Fields that into does not read and fields given twice are errors too. The
+// result is nil or an errs.Settings whose text lists all; errors.As finds the ValidationErrors in it. Example:
 //
 //	lease := 3 * time.Second
 //	err := config.Parse(data, func(r *config.Reader) {
@@ -51,13 +51,13 @@
 	return errs.Wrap(invalid.orNil(), errs.Settings, "%s in the settings", invalid.count())
 }
 
-func readObject(path string, v *fastjson.Value, out *ValidationErrors, into func(r *Reader)) {
+func readObject(path string, v *fastjson.Value, invalid *ValidationErrors, into func(r *Reader)) {
 	obj, err := v.Object()
 	if err != nil {
-		*out = append(*out, ValidationError{path, "must be an object, is " + text(v)})
+		*invalid = append(*invalid, ValidationError{path, "must be an object, is " + excerpt(v)})
 		return
 	}
-	r := &Reader{path: path, obj: obj, seen: map[string]bool{}, invalid: out}
+	r := &Reader{path: path, obj: obj, seen: map[string]bool{}, invalid: invalid}
 	into(r)
 	times := map[string]int{}
 	obj.Visit(func(key []byte, _ *fastjson.Value) {
@@ -72,17 +72,20 @@
 	})
 }
 
-// text shows a value in a message, cut to a bounded length.
-func text(v *fastjson.Value) string {
+// maxExcerpt bounds a value in a message, in characters.
+const maxExcerpt = 60
+
+// excerpt returns a value as it is shown in a message.
+func excerpt(v *fastjson.Value) string {
 	s := v.String()
-	if r := []rune(s); len(r) > 60 {
-		s = string(r[:60]) + "…"
+	if r := []rune(s); len(r) > maxExcerpt {
+		s = string(r[:maxExcerpt]) + "…"
 	}
 	return s
 }
 
-// Reject collects a validation error at field of this object; field "" is the object itself. Only the first one of a
-// field is reported.
+// Reject records a validation error at a field of this object; "" is the object itself. Only the first error at a field
+// is kept.
 func (r *Reader) Reject(field, format string, args ...any) {
 	path := r.join(field)
 	if slices.ContainsFunc(*r.invalid, func(m ValidationError) bool { return m.Field == path }) {
@@ -106,27 +109,27 @@
 	return r.obj.Get(field)
 }
 
-// Has reports whether a field is given; a reader without an object has none.
+// Has reports whether a field is given. It does not count as read. A Reader without an object has no fields.
 func (r *Reader) Has(field string) bool { return !r.checking() && r.obj.Get(field) != nil }
 
-// Names returns the names of this object's fields in the order of the text, for objects whose names the
-// operator chooses. A name given twice is there twice, and an error.
+// Names returns the names of this object's fields in the order of the text, for objects whose field names the operator
+// chooses. A name given twice is listed twice, and is an error.
 func (r *Reader) Names() []string {
-	var out []string
+	var names []string
 	if !r.checking() {
-		r.obj.Visit(func(key []byte, _ *fastjson.Value) { out = append(out, string(key)) })
+		r.obj.Visit(func(key []byte, _ *fastjson.Value) { names = append(names, string(key)) })
 	}
-	return out
+	return names
 }
 
-// Renamed rejects a field under its former name, with the name that it has now.
+// Renamed rejects a field that is given under its former name, and reports the present one.
 func (r *Reader) Renamed(old, now string) {
 	if r.Has(old) {
 		r.Reject(old, "is now named %s", now)
 	}
 }
 
-// Require rejects the absence of fields.
+// Require rejects each of the fields that is not given.
 func (r *Reader) Require(fields ...string) {
 	for _, field := range fields {
 		if r.get(field) == nil && !r.checking() {
@@ -135,7 +138,7 @@
 	}
 }
 
-// Object reads a nested object.
+// Object reads a nested object with into.
 func (r *Reader) Object(field string, into func(r *Reader)) {
 	if v := r.get(field); v != nil {
 		readObject(r.join(field), v, r.invalid, into)
@@ -145,7 +148,7 @@
 }
 
 // List reads an array of objects into a slice of T.
-func List[T any](r *Reader, field string, to *[]T, into func(r *Reader, one *T)) {
+func List[T any](r *Reader, field string, to *[]T, into func(r *Reader, item *T)) {
 	if r.checking() {
 		for i := range *to {
 			into(&Reader{path: r.join(itemPath(field, i)), invalid: r.invalid, seen: map[string]bool{}}, &(*to)[i])
@@ -154,16 +157,16 @@
 	}
 	var list []T
 	r.Each(field, func(_ int, r *Reader) {
-		var one T
-		into(r, &one)
-		list = append(list, one)
+		var item T
+		into(r, &item)
+		list = append(list, item)
 	})
 	if r.get(field) != nil {
 		*to = list
 	}
 }
 
-// Each reads an array of objects, into(0..) for each.
+// Each reads an array of objects: it calls into with the index of each and its Reader.
 func (r *Reader) Each(field string, into func(i int, r *Reader)) {
 	i := 0
 	r.readItems(field, func(at string, v *fastjson.Value) {
@@ -172,6 +175,7 @@
 	})
 }
 
+// readItems calls each with the path and the value of every item of an array, and reports whether there is an array.
 func (r *Reader) readItems(field string, each func(at string, v *fastjson.Value)) bool {
 	v := r.get(field)
 	if v == nil {
@@ -179,11 +183,11 @@
 	}
 	list, err := v.Array()
 	if err != nil {
-		r.Reject(field, "must be an array, is %s", text(v))
+		r.Reject(field, "must be an array, is %s", excerpt(v))
 		return false
 	}
-	for i, one := range list {
-		each(itemPath(field, i), one)
+	for i, item := range list {
+		each(itemPath(field, i), item)
 	}
 	return true
 }
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -11,6 +11,7 @@
 	"crosstide/internal/errs"
 )
 
+// lines returns the lines of the ValidationErrors in err, which must be errs.Settings.
 func lines(err error) []string {
 	var m ValidationErrors
 	So(errs.KindOf(err), ShouldEqual, errs.Settings)
@@ -19,11 +20,12 @@
 	return strings.Split(m.Error(), "\n")
 }
 
-func TestReader(t *testing.T) {
-	Convey("Three errors in one file are reported at once, each with its field, and leave their targets", t, func() {
+func TestReader_errors(t *testing.T) {
+	Convey("All errors of a file are reported at once, each with its field, and leave their targets unchanged", t, func() {
 		lease, n, on, names := 3*time.Second, 5, true, []string{"x"}
 		var of []int
-		err := Parse([]byte(`{"sched":{"lease":"3 monkeys","n":99},"names":["a",4],"each":[{"k":1},{"k":"2"}],"od":0}`), func(r *Reader) {
+		text := `{"sched":{"lease":"3 monkeys","n":99},"names":["a",4],"each":[{"k":1},{"k":"2"}],"od":0}`
+		err := Parse([]byte(text), func(r *Reader) {
 			r.Require("sched")
 			r.Object("sched", func(r *Reader) {
 				r.Duration("lease", &lease, time.Second, time.Minute)
@@ -42,7 +44,7 @@
 		})
 		So([]any{lease, on, names, of}, ShouldResemble, []any{3 * time.Second, true, []string{"x"}, []int{0, 1}})
 	})
-	Convey("A map of addresses is read whole or not at all", t, func() {
+	Convey("A map of addresses is read completely or not at all", t, func() {
 		const a, b = "10.0.0.1:1", "10.0.0.2:2"
 		via := map[string]string{}
 		into := func(r *Reader) { r.Map("via", &via, Address) }
@@ -52,7 +54,7 @@
 			"via." + a + ": must be a string, is 7", `via: must be an address like "10.0.0.7:7000", is "x"`})
 		So(via, ShouldResemble, map[string]string{a: b})
 	})
-	Convey("Broken JSON, wrong shapes, doubles and missing fields are errors", t, func() {
+	Convey("Broken JSON, wrong types, repeated and missing fields are errors", t, func() {
 		into := func(r *Reader) {
 			var s string
 			r.Require("a")
@@ -61,8 +63,11 @@
 		}
 		So(lines(Parse([]byte(`{"a":`), into))[0], ShouldStartWith, "must be JSON: ")
 		So(lines(Parse([]byte(`[]`), into)), ShouldResemble, []string{"must be an object, is []"})
-		So(lines(Parse([]byte(`{"o":1}`), into)), ShouldResemble, []string{"a: must be given", "o: must be an object, is 1"})
-		So(lines(Parse([]byte(`{"a":"1.2.3.4:5","a":"1.2.3.4:5"}`), into)), ShouldResemble, []string{"a: is given more than once"})
-		So(lines(Parse([]byte(`{"a":"host:5"}`), into)), ShouldResemble, []string{`a: must be an address like "10.0.0.7:7000", is "host:5"`})
+		So(lines(Parse([]byte(`{"o":1}`), into)), ShouldResemble,
+			[]string{"a: must be given", "o: must be an object, is 1"})
+		So(lines(Parse([]byte(`{"a":"1.2.3.4:5","a":"1.2.3.4:5"}`), into)), ShouldResemble,
+			[]string{"a: is given more than once"})
+		So(lines(Parse([]byte(`{"a":"host:5"}`), into)), ShouldResemble,
+			[]string{`a: must be an address like "10.0.0.7:7000", is "host:5"`})
 	})
 }
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Rule checks a value and returns what it must be, or "" when it is valid.
+// Rule checks a value. It returns the message of its rejection, or "" if the value is valid.
 type Rule func(value string) string
 
-// NotEmpty refuses the empty string.
+// NotEmpty rejects the empty string.
 func NotEmpty(value string) string {
 	if value == "" {
 		return "must not be empty"
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,15 +17,15 @@
 	maxSeeds = 3
 )
 
-// Common are the settings that all daemons have. Each comment begins with the setting's name.
+// Common has the settings of all daemons. Each comment begins with the setting's name.
 type Common struct {
-	Name     string        // name: of this node, needed
-	Zone     string        // zone, needed
-	Region   string        // region, needed
-	Addr     string        // addr: IP:port to listen at, needed
+	Name     string        // name: of this node, required
+	Zone     string        // zone, required
+	Region   string        // region, required
+	Addr     string        // addr: IP:port to listen at, required
 	Seeds    []string      // seeds: 1 to 3 addresses of nodes to ask for the others; none are needed beside core
 	LogLevel string        // log_level: debug, info, warn or error; default info
-	Grace    time.Duration // grace: for running calls at the end; default 5s
+	Grace    time.Duration // grace: time for running calls at shutdown; default 5s
 
 	Via map[string]string // via: an address in it is dialed at the other one; for tests with faulty links
 }
@@ -47,7 +47,7 @@
 	r.Map("via", &c.Via, Address)
 }
 
-// load reads a settings file by into.
+// load reads a settings file with into, see Parse.
 func load(path string, into func(r *Reader)) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -56,18 +56,18 @@
 	return errs.Pass(Parse(data, into), "%s", path)
 }
 
-// checkSettings checks by into the values that its targets have.
+// checkSettings runs into with a Reader that checks the present values of its targets, see Reader.
 func checkSettings(into func(r *Reader)) error {
 	var invalid ValidationErrors
 	into(&Reader{invalid: &invalid, seen: map[string]bool{}})
 	return errs.Wrap(invalid.orNil(), errs.Settings, "%s in the settings", invalid.count())
 }
 
-// checkUnique rejects items that have the same key.
+// checkUnique rejects each item with the key of an earlier one; "" is no key.
 func checkUnique[T any](r *Reader, list, field string, items []T, key func(T) string) {
 	first := map[string]int{}
-	for i, one := range items {
-		k := key(one)
+	for i, item := range items {
+		k := key(item)
 		if j, twice := first[k]; twice && k != "" {
 			r.Reject(itemPath(list, i)+"."+field, "must differ from %s, both are %q", itemPath(list, j), k)
 			continue
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -12,27 +12,31 @@
 	"crosstide/internal/errs"
 )
 
+// Public keys of two operators, as JSON.
 const key = `"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="`
 
 const other = `"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="`
 
-const controlPlaneJSON = `{"name":"c1","zone":"a","region":"r","addr":"10.0.0.1:7000","seeds":["10.0.0.2:7000"],"data":"d",
-"members":[{"id":"c1","addr":"10.0.0.1:7000","zone":"a"},{"id":"c2","addr":"10.0.0.2:7000","zone":"b"}],
+const controlPlaneJSON = `{"name":"c1","zone":"a","region":"r","addr":"10.0.0.1:7000","seeds":["10.0.0.2:7000"],
+"data":"d","members":[{"id":"c1","addr":"10.0.0.1:7000","zone":"a"},{"id":"c2","addr":"10.0.0.2:7000","zone":"b"}],
 "lease":"800ms","queue_limit":7,"operator_keys":[{"name":"o","key":` + key + `},{"name":"p","key":` + other + `}]}`
 
-const dataPlaneJSON = `{"name":"d1","zone":"a","region":"r","addr":"10.0.1.1:7000","core":["10.0.0.1:7000"],"sick_share":9}`
+const dataPlaneJSON = `{"name":"d1","zone":"a","region":"r","addr":"10.0.1.1:7000","core":["10.0.0.1:7000"],
+"sick_share":9}`
 
-func TestPolicyDeployment(t *testing.T) {
-	Convey("Sound files load, what is not set keeps its default, and a changed value is judged again", t, func() {
+func TestPolicyDeployment_load(t *testing.T) {
+	Convey("Valid files load, missing settings have their defaults, and changed values are checked again", t, func() {
 		c, err := LoadControlPlane(writeSettings(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
-		So([]any{c.Lease, c.Election, c.QueueLimit, c.KeepTombstonesFor, c.Grace, c.Members[1].Zone, len(c.OperatorKeys)}, ShouldResemble,
-			[]any{800 * time.Millisecond, time.Second, 7, 168 * time.Hour, 5 * time.Second, "b", 2})
+		got := []any{c.Lease, c.Election, c.QueueLimit, c.KeepTombstonesFor, c.Grace, c.Members[1].Zone,
+			len(c.OperatorKeys)}
+		So(got, ShouldResemble, []any{800 * time.Millisecond, time.Second, 7, 168 * time.Hour, 5 * time.Second, "b", 2})
 		So(CheckControlPlane(c), ShouldBeNil)
 		c.OperatorKeys = append(c.OperatorKeys, OperatorKey{"q", c.OperatorKeys[0].Key})
 		So(lines(CheckControlPlane(c)), ShouldHaveLength, 1) // one key under two names
 		c.OperatorKeys = c.OperatorKeys[:1]
-		So(lines(CheckControlPlane(c)), ShouldResemble, []string{"operator_keys: must be none, or two at least: two operators sign each bundle"})
+		So(lines(CheckControlPlane(c)), ShouldResemble,
+			[]string{"operator_keys: must be none, or two at least: two operators sign each bundle"})
 		c.OperatorKeys = nil
 		c.Lease, c.Addr, c.Members[1].Addr, c.LogLevel = time.Second, "", c.Members[0].Addr, "loud"
 		So(lines(CheckControlPlane(c)), ShouldResemble, []string{
@@ -43,16 +47,18 @@
 		})
 		d, err := LoadDataPlane(writeSettings(t, dataPlaneJSON))
 		So(err, ShouldBeNil)
-		So([]any{d.MaxUnhealthyShare, d.RunLease, d.Lateness}, ShouldResemble, []any{9, 20 * time.Second, 2 * time.Second})
+		So([]any{d.MaxUnhealthyShare, d.RunLease, d.Lateness}, ShouldResemble,
+			[]any{9, 20 * time.Second, 2 * time.Second})
 		d.ControlPlanes, d.LeaseMargin = nil, 3*time.Second
 		So(lines(CheckDataPlane(d)), ShouldResemble, []string{
 			"core: must be given when there are no seeds", "lease_margin: must be under duty_lease (3s), is 3s"})
 	})
-	Convey("An open membership is off by default, and asks for names that are IPs", t, func() {
+	Convey("An open membership is off by default, and requires names that are IPs", t, func() {
 		c, err := LoadControlPlane(writeSettings(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
 		So([]any{c.OpenMembership, c.Bootstrap, c.RemoveAfter}, ShouldResemble, []any{false, true, 3 * time.Second})
-		text := strings.NewReplacer(`"name":"c1"`, `"open_membership":true,"founding":false,"remove_after":"4s","name":"10.0.0.1"`,
+		text := strings.NewReplacer(
+			`"name":"c1"`, `"open_membership":true,"founding":false,"remove_after":"4s","name":"10.0.0.1"`,
 			`"id":"c1"`, `"id":"10.0.0.1"`, `"id":"c2"`, `"id":"10.0.0.2"`).Replace(controlPlaneJSON)
 		c, err = LoadControlPlane(writeSettings(t, text))
 		So(err, ShouldBeNil)
@@ -70,7 +76,8 @@
 		So(lines(CheckControlPlane(c))[0], ShouldEqual, "members: must be at most 3 with open_membership, are 4")
 	})
 	Convey("The errors of a control plane's file are reported together", t, func() {
-		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, key, `"QQ=="`, `"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(controlPlaneJSON)
+		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, key, `"QQ=="`,
+			`"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(controlPlaneJSON)
 		_, err := LoadControlPlane(writeSettings(t, text))
 		So(lines(err), ShouldResemble, []string{
 			"seeds: must be 1 to 3 addresses, are 0",
@@ -78,8 +85,10 @@
 			`operator_keys[0].key: must be the base64 of 32 bytes, is "QQ=="`,
 			"heartbeat: must be under half of lease (150ms), is 100ms",
 		})
-		_, err = LoadControlPlane(writeSettings(t, strings.Replace(controlPlaneJSON, `"queue_limit":7`, `"backlog":7,"slot_every":9`, 1)))
-		So(lines(err), ShouldResemble, []string{"slot_every: is now named snapshot_every", "backlog: is now named queue_limit"})
+		text = strings.Replace(controlPlaneJSON, `"queue_limit":7`, `"backlog":7,"slot_every":9`, 1)
+		_, err = LoadControlPlane(writeSettings(t, text))
+		So(lines(err), ShouldResemble,
+			[]string{"slot_every: is now named snapshot_every", "backlog: is now named queue_limit"})
 		_, err = LoadControlPlane(filepath.Join(t.TempDir(), "none"))
 		So(errs.Is(err, errs.Settings), ShouldBeTrue)
 	})
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"fmt"
 	"maps"
 	"math"
 	"slices"
@@ -22,7 +21,7 @@
 func (r *Reader) readString(field string, v *fastjson.Value, to *string, rules []Rule) {
 	b, err := v.StringBytes()
 	if err != nil {
-		r.Reject(field, "must be a string, is %s", text(v))
+		r.Reject(field, "must be a string, is %s", excerpt(v))
 		return
 	}
 	if r.checkRules(field, string(b), rules) {
@@ -52,7 +51,7 @@
 			d, err = time.ParseDuration(string(b))
 		}
 		if err != nil {
-			r.Reject(field, "must be a duration like \"3s\", is %s", text(v))
+			r.Reject(field, "must be a duration like \"3s\", is %s", excerpt(v))
 			return
 		}
 	} else if !r.checking() {
@@ -71,7 +70,7 @@
 	if v := r.get(field); v != nil {
 		var err error
 		if n, err = v.Int(); err != nil {
-			r.Reject(field, "must be a whole number, is %s", text(v))
+			r.Reject(field, "must be a whole number, is %s", excerpt(v))
 			return
 		}
 	} else if !r.checking() {
@@ -92,53 +91,54 @@
 	}
 	b, err := v.Bool()
 	if err != nil {
-		r.Reject(field, "must be true or false, is %s", text(v))
+		r.Reject(field, "must be true or false, is %s", excerpt(v))
 		return
 	}
 	*to = b
 }
 
-// Strings reads an array of strings that every rule allows; if one is wrong, the target stays as it is.
+// Strings reads an array of strings that every rule allows. If one is invalid, the target is unchanged.
 func (r *Reader) Strings(field string, to *[]string, rules ...Rule) {
 	if r.checking() {
-		for i, one := range *to {
-			r.checkRules(itemPath(field, i), one, rules)
+		for i, item := range *to {
+			r.checkRules(itemPath(field, i), item, rules)
 		}
 		return
 	}
-	had := len(*r.invalid)
+	errorsBefore := len(*r.invalid)
 	var list []string
-	there := r.readItems(field, func(at string, v *fastjson.Value) {
-		var one string
-		r.readString(at, v, &one, rules)
-		list = append(list, one)
+	given := r.readItems(field, func(at string, v *fastjson.Value) {
+		var item string
+		r.readString(at, v, &item, rules)
+		list = append(list, item)
 	})
-	if there && len(*r.invalid) == had {
+	if given && len(*r.invalid) == errorsBefore {
 		*to = list
 	}
 }
 
-// Map reads an object of strings; every rule must allow its keys and values.
+// Map reads an object of strings; every rule must allow its keys and its values. If one is invalid, the target is
+// unchanged.
 func (r *Reader) Map(field string, to *map[string]string, rules ...Rule) {
-	out, had := *to, len(*r.invalid)
+	values, errorsBefore := *to, len(*r.invalid)
 	if v := r.get(field); v != nil {
-		out = map[string]string{}
+		values = map[string]string{}
 		readObject(r.join(field), v, r.invalid, func(r *Reader) {
 			r.obj.Visit(func(key []byte, v *fastjson.Value) {
-				var one string
+				var value string
 				r.seen[string(key)] = true
-				r.readString(string(key), v, &one, rules)
-				out[string(key)] = one
+				r.readString(string(key), v, &value, rules)
+				values[string(key)] = value
 			})
 		})
 	}
-	for _, key := range slices.Sorted(maps.Keys(out)) {
+	for _, key := range slices.Sorted(maps.Keys(values)) {
 		if r.checkRules(field, key, rules) && r.checking() {
-			r.checkRules(field+"."+key, out[key], rules)
+			r.checkRules(field+"."+key, values[key], rules)
 		}
 	}
-	if len(*r.invalid) == had {
-		*to = out
+	if len(*r.invalid) == errorsBefore {
+		*to = values
 	}
 }
 
@@ -148,7 +148,7 @@
 	if v := r.get(field); v != nil {
 		var err error
 		if x, err = v.Float64(); err != nil {
-			r.Reject(field, "must be a number, is %s", text(v))
+			r.Reject(field, "must be a number, is %s", excerpt(v))
 			return
 		}
 	} else if !r.checking() {
@@ -161,7 +161,7 @@
 	*to = x
 }
 
-// Time reads a time of day such as "2026-12-02T08:00:00Z", as RFC 3339 has it.
+// Time reads a point in time in the form of RFC 3339, such as "2026-12-02T08:00:00Z".
 func (r *Reader) Time(field string, to *time.Time) {
 	v := r.get(field)
 	if v == nil {
@@ -175,10 +175,10 @@
 			return
 		}
 	}
-	r.Reject(field, "must be a time like \"2026-12-02T08:00:00Z\", is %s", text(v))
+	r.Reject(field, "must be a time like \"2026-12-02T08:00:00Z\", is %s", excerpt(v))
 }
 
-// Ints reads an array of whole numbers from least to most; if one is wrong, the target stays as it is.
+// Ints reads an array of whole numbers from least to most. If one is invalid, the target is unchanged.
 func (r *Reader) Ints(field string, to *[]int, least, most int) {
 	v := r.get(field)
 	if v == nil {
@@ -186,21 +186,21 @@
 	}
 	list, err := v.Array()
 	if err != nil {
-		r.Reject(field, "must be an array, is %s", text(v))
+		r.Reject(field, "must be an array, is %s", excerpt(v))
 		return
 	}
-	out, well := make([]int, 0, len(list)), true
-	for i, one := range list {
-		n, err := one.Int()
+	numbers, valid := make([]int, 0, len(list)), true
+	for i, item := range list {
+		n, err := item.Int()
 		if err != nil {
-			r.Reject(fmt.Sprintf("%s[%d]", field, i), "must be a whole number, is %s", text(one))
+			r.Reject(itemPath(field, i), "must be a whole number, is %s", excerpt(item))
 		} else if n < least || n > most {
-			r.Reject(fmt.Sprintf("%s[%d]", field, i), "must be from %d to %d, is %d", least, most, n)
+			r.Reject(itemPath(field, i), "must be from %d to %d, is %d", least, most, n)
 		}
-		well = well && err == nil && n >= least && n <= most
-		out = append(out, n)
+		valid = valid && err == nil && n >= least && n <= most
+		numbers = append(numbers, n)
 	}
-	if well {
-		*to = out
+	if valid {
+		*to = numbers
 	}
 }
