--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -2,8 +2,8 @@
 // starts, serves and drains (Lifecycle), the logger, the signals, and the routes that every one of them has. It knows
 // nothing of what a daemon serves.
 //
-// A main function makes a Program or a Service of its settings; its Serve builds the daemon's parts and hands them to
-// Lifecycle.Run.
+// A main function makes a Program or a Service of its settings type; its Serve builds the daemon's parts and passes
+// them to Lifecycle.Run. Begin to read there.
 package daemon
 
 import (
@@ -19,7 +19,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Logger writes logfmt lines of at least a level (debug, info, warn, error; else info) to w. Example:
+// Logger returns a logger that writes logfmt lines of at least a level to w: debug, info, warn or error, and info for
+// any other name. Example:
 //
 //	l := daemon.Part(daemon.Logger("info", os.Stderr), "store")
 //	_ = level.Info(l).Log("msg", "begin")
@@ -29,17 +30,17 @@
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
-// Part names the part of the program that a logger is for.
+// Part returns a logger whose lines name the part of the program.
 func Part(logger log.Logger, name string) log.Logger { return log.With(logger, "part", name) }
 
-// Registry is a new registry with the metrics of the process and of the Go runtime.
+// Registry returns a new registry with the metrics of the process and of the Go runtime.
 func Registry() *prometheus.Registry {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return reg
 }
 
-// Signals returns a context that ends with SIGTERM or SIGINT; a second one ends the process.
+// Signals returns a context that ends at the first SIGTERM or SIGINT; a second one ends the process.
 func Signals(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	context.AfterFunc(ctx, stop)
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -12,30 +12,32 @@
 	"crosstide/internal/rpc"
 )
 
-// RunUntilDone runs all of background until ctx ends, and returns when they have returned.
+// RunUntilDone runs the functions in goroutines. Their context ends after ctx; RunUntilDone returns once all of them
+// have returned.
 func RunUntilDone(ctx context.Context, background ...func(ctx context.Context)) {
 	group := routine.New(context.Background())
-	for _, one := range background {
-		group.Go(one)
+	for _, run := range background {
+		group.Go(run)
 	}
 	<-ctx.Done()
 	group.Stop()
 }
 
-// Lifecycle is the order in which a daemon starts, serves and ends.
+// Lifecycle is a daemon's start, service and shutdown. All its functions are required.
 type Lifecycle struct {
 	Server  *rpc.Server
 	Logger  log.Logger
 	Zone    string
 	Version string
-	Grace   time.Duration // for running calls at the end
+	Grace   time.Duration // bounds Drain, and then the wait for running calls
 
 	Start func()                    // starts the daemon's parts once the server listens
-	Drain func(ctx context.Context) // announces the end to other nodes; ctx ends after Grace
+	Drain func(ctx context.Context) // announces the shutdown to other nodes; ctx ends after Grace
 	Stop  func()                    // stops the daemon's parts after the server
 }
 
-// Run serves until ctx ends, then drains. Its only failure is a server that cannot listen; then Start was not called.
+// Run serves until ctx ends, then drains and stops. It fails only if the server cannot listen; Start was not called
+// then.
 func (l Lifecycle) Run(ctx context.Context) error {
 	if err := l.Server.Start(); err != nil {
 		return errs.Pass(err, "serve")
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/rpc"
 )
 
-func TestLifecycle(t *testing.T) {
-	Convey("A daemon starts its parts once its server listens, and ends them after the server", t, func() {
+func TestLifecycle_order(t *testing.T) {
+	Convey("A daemon starts its parts once its server listens, and stops them after the server", t, func() {
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		ctx, cancel := context.WithCancel(context.Background())
 		var steps []string
@@ -22,16 +22,16 @@
 				steps = append(steps, "start at "+server.Addr())
 				cancel()
 			},
-			Drain: func(leave context.Context) {
-				_, bounded := leave.Deadline()
+			Drain: func(ctx context.Context) {
+				_, bounded := ctx.Deadline()
 				So(bounded, ShouldBeTrue)
-				So(leave.Err(), ShouldBeNil)
-				steps = append(steps, "leave")
+				So(ctx.Err(), ShouldBeNil)
+				steps = append(steps, "drain")
 			},
 			Stop: func() { steps = append(steps, "stop") },
 		}
 		So(lifecycle.Run(ctx), ShouldBeNil)
-		So(steps, ShouldResemble, []string{"start at " + server.Addr(), "leave", "stop"})
+		So(steps, ShouldResemble, []string{"start at " + server.Addr(), "drain", "stop"})
 	})
 	Convey("A server that cannot listen is a failure, and no part is started", t, func() {
 		taken := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
@@ -44,8 +44,8 @@
 	})
 }
 
-func TestRunUntilDone(t *testing.T) {
-	Convey("The background function ends with the context, before the return", t, func() {
+func TestRunUntilDone_waits(t *testing.T) {
+	Convey("The background function ends after the context and before RunUntilDone returns", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := false
 		RunUntilDone(ctx, func(background context.Context) {
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -16,10 +16,10 @@
 	"crosstide/internal/rpc"
 )
 
-// shuffleTimeout bounds one shuffle, and the announcement that a daemon leaves.
+// shuffleTimeout bounds a call of Send: a shuffle, or the announcement that the daemon leaves.
 const shuffleTimeout = time.Second
 
-// NewMembership makes a daemon's membership node; the caller starts it, serves its shuffles and stops it.
+// NewMembership returns a daemon's membership node, which the caller starts, routes shuffles to and stops.
 // onControlPlanes may be nil, see membership.Options.
 func NewMembership(settings config.Common, role string, seeds []string, caller *rpc.Client, logger log.Logger,
 	registry prometheus.Registerer, onControlPlanes func([]string)) *membership.Node {
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -3,12 +3,12 @@
 import "runtime/debug"
 
 const (
-	heapPercent  = 60 // of the process's memory; the rest is for stacks, kernel buffers and the C library
-	gcPercent    = 50 // by which the heap grows between collections
-	minHeapBytes = 16 << 20
+	heapPercent  = 60       // of the process's memory; the rest is for stacks, kernel buffers and the C library
+	gcPercent    = 50       // by which the heap grows between collections
+	minHeapBytes = 16 << 20 // below it the collector would take most of the processor
 )
 
-// LimitMemory keeps the heap well inside the memory that the process may use, in bytes; 0 changes nothing.
+// LimitMemory keeps the heap well below bytes, the memory that the process may use. 0 means no limit.
 func LimitMemory(bytes int64) {
 	if bytes <= 0 {
 		return
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -18,7 +18,7 @@
 	Version string
 	Load    func(path string) (S, error) // reads and checks a file
 	Check   func(S) error                // checks settings that flags have changed
-	Common  func(*S) *config.Common
+	Common  func(*S) *config.Common      // the common settings in S
 	// StringFlags are the flags of run, beside the common ones, that replace a setting, by name.
 	StringFlags map[string]func(*S) *string
 	Flags       []cli.Flag // the flags of StringFlags
@@ -26,7 +26,7 @@
 	Serve func(ctx context.Context, settings S, profiles bool, logger log.Logger) error
 }
 
-// Commands returns the subcommands. Example:
+// Commands returns the subcommands run, check and version. Example:
 //
 //	app.Commands = program.Commands()
 func (p Program[S]) Commands() []*cli.Command {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// loadWithFlags reads the settings and replaces those that flags are given for.
+// loadWithFlags reads the settings, replaces those that are given as flags, and checks the result.
 func (p Program[S]) loadWithFlags(cmd *cli.Command) (S, error) {
 	settings, err := p.Load(cmd.String("settings"))
 	if err != nil {
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -15,19 +15,19 @@
 	"crosstide/internal/rpc"
 )
 
-// Of a CPU profile, in seconds.
+// Lengths of a CPU profile, in seconds.
 const (
 	defaultProfileSeconds = 5
 	maxProfileSeconds     = 60
 )
 
-// probeAnswer is the answer of a probe that succeeds.
+// probeAnswer is the answer of a probe that succeeds. One that fails has a body of package errs.
 type probeAnswer struct {
 	OK bool `json:"ok"`
 }
 
-// Routes adds GET /livez (200 while the process answers), GET /readyz (200, or the failure that ready returns) and
-// GET /metrics.
+// Routes adds GET /livez (200 while the process answers), GET /readyz (200, or the error that ready returns) and GET
+// /metrics.
 func Routes(srv *rpc.Server, registry prometheus.Gatherer, ready func() error) {
 	srv.Route("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
 		rpc.WriteJSON(w, http.StatusOK, probeAnswer{true})
@@ -54,14 +54,14 @@
 	if err != nil || seconds < 1 || seconds > maxProfileSeconds {
 		seconds = defaultProfileSeconds
 	}
-	var out bytes.Buffer
-	if err := pprof.StartCPUProfile(&out); err != nil {
+	var body bytes.Buffer
+	if err := pprof.StartCPUProfile(&body); err != nil {
 		rpc.WriteError(w, errs.Wrap(err, errs.Conflict, "a profile is being taken"))
 		return
 	}
 	clock.Sleep(nil, clock.Real{}, time.Duration(seconds)*time.Second) // in full, also if the client leaves
 	pprof.StopCPUProfile()
-	_, _ = w.Write(out.Bytes()) // fails only if the client is gone
+	_, _ = w.Write(body.Bytes()) // fails only if the client is gone
 }
 
 func serveProfile(w http.ResponseWriter, r *http.Request) {
@@ -71,10 +71,10 @@
 		rpc.WriteError(w, errs.Field(errs.Unknown, "name", "no profile %q", name))
 		return
 	}
-	var out bytes.Buffer
-	if err := profile.WriteTo(&out, 0); err != nil {
+	var body bytes.Buffer
+	if err := profile.WriteTo(&body, 0); err != nil {
 		rpc.WriteError(w, errs.Wrap(err, errs.Internal, "profile"))
 		return
 	}
-	_, _ = w.Write(out.Bytes()) // fails only if the client is gone
+	_, _ = w.Write(body.Bytes()) // fails only if the client is gone
 }
--- a/internal/internalapi/account.go
+++ b/internal/internalapi/account.go
@@ -32,12 +32,12 @@
 	Spent       int64         `json:"spent"`
 	ToppedUp    int64         `json:"topped_up"`
 	Credit      int64         `json:"credit,omitempty"`
-	Runs        int           `json:"runs"`             // that it pays for now
+	Runs        int           `json:"runs"`             // that the account pays for now
 	Rate        account.Rate  `json:"rate"`             // thousandths of a unit per second, of those runs
 	ExhaustedIn time.Duration `json:"dry_in,omitempty"` // forecast at that rate; 0 with Draws: it is exhausted
 	Draws       bool          `json:"draws"`            // whether ExhaustedIn means anything
 	Warning     string        `json:"warning,omitempty"`
-	Teams       []string      `json:"teams,omitempty"`  // that it pays for, by the bundle in force
+	Teams       []string      `json:"teams,omitempty"`  // that it pays for under the bundle in force
 	Queues      []string      `json:"queues,omitempty"` // the same
 	Waiting     int           `json:"waiting_jobs"`     // jobs that wait for a top-up
 }
--- a/internal/internalapi/controlplane.go
+++ b/internal/internalapi/controlplane.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/rpc"
 )
 
-// Raft carries consensus messages between control plane nodes. The answer says only that they arrived.
+// Raft carries consensus messages between control plane nodes. The answer confirms only that they arrived.
 var Raft = rpc.Endpoint[RaftCall, RaftAnswer]{Path: "/x/quorum"}
 
 // RaftCall is a batch of messages in order.
@@ -36,20 +36,20 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// ReadIndex asks the leader for an index that any earlier commit is at or below: a state that has reached it is at
-// least as new as the call.
+// ReadIndex asks the leader for its read index: every commit acknowledged before the call is at or below it, so a state
+// that has reached it is at least as new as the call.
 var ReadIndex = rpc.Endpoint[ReadIndexCall, ReadIndexAnswer]{Path: "/x/confirm"}
 
 // ReadIndexCall is empty.
 type ReadIndexCall struct{}
 
-// ReadIndexAnswer is the index.
+// ReadIndexAnswer has the read index.
 type ReadIndexAnswer struct {
 	Index uint64 `json:"index"`
 }
 
 // Follow returns committed changes that the caller lacks, from any control plane node. It waits up to Wait for the
-// first.
+// first change.
 var Follow = rpc.Endpoint[FollowCall, FollowAnswer]{Path: "/x/follow"}
 
 // FollowCall names, for each source, the version that the caller has. The only source is "store"; its version is the
@@ -87,7 +87,7 @@
 // Chunk fetches a part of a snapshot, so that a lost connection costs no more than the part.
 var Chunk = rpc.Endpoint[ChunkCall, ChunkAnswer]{Path: "/x/chunk"}
 
-// ChunkCall wants Max bytes from From on of snapshot Number (0: the newest).
+// ChunkCall asks for up to Max bytes of snapshot Number (0: the newest), beginning at offset From.
 type ChunkCall struct {
 	Number uint64 `json:"number"`
 	From   int64  `json:"from"`
@@ -105,7 +105,7 @@
 // ClaimRole claims a singleton role, renews its lease, or releases it. Only the leader answers.
 var ClaimRole = rpc.Endpoint[ClaimRoleCall, RoleLease]{Path: "/x/duty"}
 
-// ClaimRoleCall is sent by every candidate again and again. Epoch is that of the caller's own grant, 0 if it has none.
+// ClaimRoleCall is sent repeatedly by every candidate. Epoch is that of the caller's own grant, 0 if it has none.
 type ClaimRoleCall struct {
 	Role        string `json:"duty"`
 	Holder      string `json:"holder"`
@@ -115,7 +115,7 @@
 	Release     bool   `json:"give_up,omitempty"`
 }
 
-// RoleLease says who has the role. If Mine, it is the caller, for TTL from the moment at which the call was sent.
+// RoleLease names the node that has the role. If Mine is set, it is the caller, for TTL from when the call was sent.
 type RoleLease struct {
 	Mine   bool          `json:"mine"`
 	Epoch  uint64        `json:"epoch"`
@@ -130,7 +130,7 @@
 // StatusCall is empty.
 type StatusCall struct{}
 
-// StatusAnswer is what `who` prints and what the testbed waits for.
+// StatusAnswer is the node's state: `who` prints it, and the testbed waits for conditions on it.
 type StatusAnswer struct {
 	Raft    raft.Status          `json:"quorum"`
 	Applied uint64               `json:"applied"`
--- a/internal/internalapi/golden_test.go
+++ b/internal/internalapi/golden_test.go
@@ -38,7 +38,7 @@
 	)
 }
 
-// pair is the shapes of a call and of its answer, under the call's path.
+// pair returns the shapes of a call and of its answer, under the call's path.
 func pair[C, A any](p rpc.Endpoint[C, A]) string {
 	var call C
 	var answer A
--- a/internal/internalapi/join.go
+++ b/internal/internalapi/join.go
@@ -7,17 +7,17 @@
 	"crosstide/internal/rpc"
 )
 
-// Discover is asked by a control plane node with an empty folder before it takes part in anything: is there a cluster
-// already?
+// Discover asks a control plane node for the cluster it knows. A node with an empty folder makes the call before
+// anything else, to find out whether there is a cluster already.
 var Discover = rpc.Endpoint[DiscoverCall, DiscoverAnswer]{Path: "/x/found"}
 
-// DiscoverCall names the asker. Incarnation is drawn anew by each process.
+// DiscoverCall names the caller. Incarnation is a random value of its process.
 type DiscoverCall struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"boot"`
 }
 
-// DiscoverAnswer is the state of the node that was asked.
+// DiscoverAnswer is the state of the node that answers.
 type DiscoverAnswer struct {
 	ID          string `json:"id"` // as a member; "" while it has none
 	Incarnation string `json:"boot"`
@@ -41,7 +41,7 @@
 // answer says Voter.
 var Join = rpc.Endpoint[JoinCall, JoinAnswer]{Path: "/x/join"}
 
-// JoinCall names the node. ID is Name, "~" and the incarnation of its folder.
+// JoinCall names the node that joins. ID is Name, "~" and the incarnation of its folder.
 type JoinCall struct {
 	ID   string `json:"id"`
 	Name string `json:"name"`
@@ -51,7 +51,7 @@
 	Since uint64 `json:"since,omitempty"`
 }
 
-// JoinAnswer reports how far the node is.
+// JoinAnswer reports the progress of the join.
 type JoinAnswer struct {
 	Learner    bool          `json:"learner"`
 	Voter      bool          `json:"voter"`
--- a/internal/internalapi/lease.go
+++ b/internal/internalapi/lease.go
@@ -16,12 +16,12 @@
 // drops an answer that is older than one it has already handled.
 var RenewLease = rpc.Endpoint[LeaseCall, LeaseAnswer]{Path: "/v1/hold"}
 
-// LeaseCall tells a worker what to start, stop and forget, and renews leases. All clock values are readings of the
+// LeaseCall orders starts and stops, acknowledges ends, and renews leases. All clock values are readings of the
 // worker's own clock (LeaseAnswer.Clock), in nanoseconds.
 type LeaseCall struct {
-	Call        uint64        `json:"call"`            // goes up with every call to this worker under Epoch
+	Call        uint64        `json:"call"`            // increases with every call to this worker under Epoch
 	Epoch       uint64        `json:"epoch"`           // fencing token: a worker refuses all older ones
-	Worker      string        `json:"minion"`          // that the scheduler means to call
+	Worker      string        `json:"minion"`          // the worker that the scheduler means to call
 	Incarnation string        `json:"boot,omitempty"`  // as the scheduler knows it; starts are invalid under another
 	RenewUntil  time.Duration `json:"until,omitempty"` // runs of Renew may go on until the worker's clock shows this
 	Renew       []uint64      `json:"renew,omitempty"` // run IDs whose leases are renewed up to RenewUntil
@@ -48,7 +48,7 @@
 	LeaseUntil time.Duration     `json:"until"` // the first lease: not to run past it unless renewed
 }
 
-// StopOrder stops a run. It may be sent again.
+// StopOrder stops a run. It may be sent repeatedly.
 type StopOrder struct {
 	RunID uint64 `json:"ticket"`
 	Why   string `json:"why"`
@@ -79,7 +79,7 @@
 	OutcomeOK           = "ok"
 	OutcomeFailed       = "fault"
 	OutcomeStopped      = "stop"  // by a StopOrder
-	OutcomeLeaseExpired = "lapse" // nobody renewed it
+	OutcomeLeaseExpired = "lapse" // its lease was not renewed in time
 )
 
 // RunEnd is the end of a run; it is listed until it is acknowledged.
@@ -89,7 +89,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-// StartRefusal says why a start of this call was refused. A refused run ID will never run.
+// StartRefusal is a start of the answered call that the worker refused. The worker must never run it later.
 type StartRefusal struct {
 	RunID uint64 `json:"ticket"`
 	Why   string `json:"why"` // epoch, boot, run ID, floor, late, room, label, drain
@@ -98,7 +98,7 @@
 // AnnounceWorker is a worker's announcement to any data plane node, repeated every few seconds: POST /v1/minions.
 var AnnounceWorker = rpc.Endpoint[AnnounceWorkerCall, AnnounceWorkerAnswer]{Path: "/v1/minions"}
 
-// AnnounceWorkerCall says where a worker is and what it offers.
+// AnnounceWorkerCall has the address of a worker and what it offers.
 type AnnounceWorkerCall struct {
 	Name        string            `json:"name"`
 	Addr        string            `json:"addr"`
@@ -111,7 +111,7 @@
 	GPUs        int               `json:"gpus,omitempty"`
 }
 
-// AnnounceWorkerAnswer says when to announce again.
+// AnnounceWorkerAnswer has the interval after which to announce again.
 type AnnounceWorkerAnswer struct {
 	Interval time.Duration `json:"again"`
 }
--- a/internal/internalapi/rollout.go
+++ b/internal/internalapi/rollout.go
@@ -13,13 +13,13 @@
 // RolloutCall is empty.
 type RolloutCall struct{}
 
-// RolloutAnswer lists the asked node itself and the data plane nodes that it heard from in the last minutes.
+// RolloutAnswer lists the node that answers, and the data plane nodes that it heard from in the last minutes.
 type RolloutAnswer struct {
 	Nodes []NodeBundle `json:"nodes"`
 }
 
 // NodeBundle is the bundle version that a node has. Since is by the clock of the control plane node that reports it: a
-// data plane node says how long it has had the version, not when it got it.
+// data plane node reports how long it has had the version, not since when.
 type NodeBundle struct {
 	Node    string    `json:"node"`
 	Kind    string    `json:"kind"` // cplane or dplane
