--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -1,8 +1,8 @@
 // Package clientapi is the clients' API of the policy deployment, served by every data plane node: submit a job, read
-// one, list jobs, cancel jobs. What a node cannot confirm it answers with 503, never with 404.
+// one, list jobs, cancel jobs. A node that cannot confirm how new its state is answers 503, never 404.
 //
-// Register adds the routes; jobs.go and list.go have their handlers. parse.go reads a job's text into a checked
-// state.Spec. The package keeps no state of jobs: it reads and commits through Store.
+// Begin with Register, which adds the routes; jobs.go and list.go have their handlers. parse.go reads a job's text into
+// a checked state.Spec. The package never keeps state of jobs: it reads and commits through Store.
 package clientapi
 
 import (
@@ -34,13 +34,13 @@
 // Store is what the API needs of its node: confirmed reads and commits. Propose and Read must return at once when ctx
 // ends.
 type Store interface {
-	// Propose commits c at the leader and returns the command's answer. A command sent again after an error must
-	// do no harm: it may have been committed.
+	// Propose commits c at the leader and returns the command's answer. After an error c may have been committed all
+	// the same, so every command that is proposed must be idempotent.
 	Propose(ctx context.Context, c command.Command) (json.RawMessage, error)
-	// Read runs do, before it returns, on a state at least as new as the call began. do must not keep the state.
-	// errs.Unavailable when that cannot be confirmed; do has not run then.
+	// Read runs do, before it returns, on a state at least as new as the beginning of the call. do must not keep the
+	// state. Read fails with errs.Unavailable, without having run do, if it cannot confirm how new its state is.
 	Read(ctx context.Context, do func(s *state.State) error) error
-	// QueueLimit is the most jobs that may be open.
+	// QueueLimit returns how many jobs may be open at most.
 	QueueLimit() int
 }
 
@@ -49,7 +49,7 @@
 	Route(pattern string, h func(w http.ResponseWriter, r *http.Request))
 }
 
-// Options are the settings of the API; the zero value takes the defaults.
+// Options are the settings of the API. The zero value has the defaults.
 type Options struct {
 	Timeout    time.Duration // of a call; default 2s
 	MaxSubmits int           // in flight at once, default 2000; one more is errs.Overloaded
@@ -57,15 +57,16 @@
 	Clock      clock.Clock   // default clock.Real
 }
 
-// handler answers a call with a status and a body, or with a failure.
+// handler handles a request. It returns the status and the body of the answer, or an error.
 type handler func(ctx context.Context, r *http.Request) (status int, answer any, err error)
 
+// api has the handlers. It is safe for concurrent use.
 type api struct {
 	store   Store
 	opt     Options
 	submits atomic.Int64 // in flight
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards retryJitter
 	retryJitter *rand.Rand
 }
 
@@ -77,7 +78,7 @@
 //	POST   /v1/jobs/cancel 202 command.CancelledAll; body {"keys":[…]}, or {"team":…,"queue":…} with one or both
 //	GET    /v1/jobs        200 Listing; ?team= &state= &after= &limit= (1..1000, 200 if not given)
 //
-// Failures are answered by the table of package errs; 429 and 503 carry a Retry-After of 1 to 3 seconds. Example:
+// Errors are answered as package errs maps their kinds; 429 and 503 carry a Retry-After of 1 to 3 seconds. Example:
 //
 //	clientapi.Register(server, node, clientapi.Options{Seed: seed})
 func Register(srv Router, store Store, opt Options) {
@@ -98,7 +99,7 @@
 	a.route(srv, "POST /v1/jobs/cancel", a.cancelJobs)
 }
 
-// route adds a route whose calls end after the timeout.
+// route adds a route whose handler's context ends after the timeout.
 func (a *api) route(srv Router, pattern string, handle handler) {
 	srv.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
@@ -122,8 +123,8 @@
 	return errs.Wrap(json.Unmarshal(raw, answer), errs.Internal, "answer of %s", c.Op())
 }
 
-// read runs do on a confirmed state. A store that reports Unknown, or that ran nothing, has confirmed nothing: that
-// must not reach a client as 404.
+// read runs do on a confirmed state. errs.Unknown from the store, or a Read that did not run do, becomes
+// errs.Unavailable: neither confirms that something does not exist, and a client must not get 404 for it.
 func (a *api) read(ctx context.Context, do func(s *state.State)) error {
 	ran := false
 	err := a.store.Read(ctx, func(s *state.State) error {
@@ -140,8 +141,9 @@
 	return nil
 }
 
-// clientError turns kinds that concern the node alone, and mean that something is not confirmed, into Unavailable. The
-// Retry-After of Unavailable and Overloaded is random, so that clients do not come back all at once.
+// clientError maps an error to the one that the client gets: kinds that concern only the node and leave the outcome
+// unconfirmed become Unavailable. The Retry-After of Unavailable and Overloaded is random, so that clients do not retry
+// all at once.
 func (a *api) clientError(err error) error {
 	failure := *errs.Of(err)
 	ended := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
--- a/internal/httpapi/clientapi/fields.go
+++ b/internal/httpapi/clientapi/fields.go
@@ -11,11 +11,12 @@
 	"crosstide/internal/errs"
 )
 
-// fieldReader reads the value of a field; field is its path.
+// fieldReader reads the value v of a field; field is its path, such as steps[0].name.
 type fieldReader func(field string, v *fastjson.Value)
 
-// object passes each field of v to its reader; unknown, double and missing ones are rejected.
-func (r *reader) object(path string, v *fastjson.Value, fields map[string]fieldReader, need ...string) {
+// object passes each field of v to its reader. It rejects unknown and repeated fields, and those of required that are
+// missing.
+func (r *reader) object(path string, v *fastjson.Value, fields map[string]fieldReader, required ...string) {
 	o, err := v.Object()
 	if err != nil {
 		r.reject(errs.Malformed, path, "must be an object, is %s", v.Type())
@@ -35,17 +36,20 @@
 			read(field, v)
 		}
 	})
-	for _, name := range need {
+	for _, name := range required {
 		if !seen[name] {
 			r.reject(errs.Invalid, join(path, name), "is missing")
 		}
 	}
 }
 
-// join makes a field's path; a name that is none by our rule is quoted and cut.
+// maxQuotedName bounds an invalid name in a field's path, in bytes.
+const maxQuotedName = 64
+
+// join returns the path of a field. A name that is not of nameForm is quoted and truncated.
 func join(path, name string) string {
 	if !nameForm.MatchString(name) {
-		name = strconv.QuoteToASCII(name[:min(len(name), 64)])
+		name = strconv.QuoteToASCII(name[:min(len(name), maxQuotedName)])
 	}
 	if path == "" {
 		return name
@@ -80,7 +84,7 @@
 }
 
 func (r *reader) names(field string, v *fastjson.Value) []string {
-	var out []string
+	var names []string
 	seen := map[string]bool{}
 	for i, v := range r.array(field, v, 0, MaxSteps) {
 		at := fmt.Sprintf("%s[%d]", field, i)
@@ -89,9 +93,9 @@
 			r.reject(errs.Invalid, at, "names %q twice", name)
 		}
 		seen[name] = true
-		out = append(out, name)
+		names = append(names, name)
 	}
-	return out
+	return names
 }
 
 func (r *reader) number(field string, v *fastjson.Value, least, most int) int {
@@ -129,24 +133,24 @@
 		r.reject(errs.Invalid, field, "must have at most %d entries, has %d", MaxLabels, o.Len())
 		return nil
 	}
-	out := map[string]string{}
+	labels := map[string]string{}
 	o.Visit(func(raw []byte, v *fastjson.Value) {
 		name := string(raw)
 		at := join(field, name)
-		_, twice := out[name]
+		_, twice := labels[name]
 		switch {
 		case !nameForm.MatchString(name):
 			r.reject(errs.Invalid, at, "the label's name "+nameRule)
 		case twice:
 			r.reject(errs.Invalid, at, "is given twice")
 		default:
-			out[name] = r.name(at, v)
+			labels[name] = r.name(at, v)
 		}
 	})
-	return out
+	return labels
 }
 
-// run keeps any JSON in one form: no white space, fields in order of names, numbers as they were written.
+// run returns any JSON in canonical form, for the digest: no white space, fields sorted, numbers as they were written.
 func (r *reader) run(field string, v *fastjson.Value) json.RawMessage {
 	r.rejectDuplicates(field, v)
 	decoder := json.NewDecoder(bytes.NewReader(v.MarshalTo(nil)))
@@ -168,7 +172,7 @@
 	return raw
 }
 
-// rejectDuplicates refuses a field given twice at any depth.
+// rejectDuplicates rejects fields that are given twice, at any depth.
 func (r *reader) rejectDuplicates(path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeArray:
--- a/internal/httpapi/clientapi/jobs.go
+++ b/internal/httpapi/clientapi/jobs.go
@@ -23,9 +23,10 @@
 	Reason string         `json:"reason,omitempty"`
 }
 
+// submit handles POST /v1/jobs.
 func (a *api) submit(ctx context.Context, r *http.Request) (int, any, error) {
 	defer a.submits.Add(-1)
-	if n := a.submits.Add(1); n > int64(a.opt.MaxSubmits) {
+	if inFlight := a.submits.Add(1); inFlight > int64(a.opt.MaxSubmits) {
 		return 0, nil, errs.New(errs.Overloaded, "%d jobs are being handed in here, the bound", a.opt.MaxSubmits)
 	}
 	data, err := rpc.ReadBody(r, MaxBody)
@@ -36,35 +37,36 @@
 	if err != nil {
 		return 0, nil, errs.Pass(err, "submit")
 	}
-	var got command.Submitted
+	var answer command.Submitted
 	submit := &command.Submit{Spec: spec, Digest: digest, Bound: a.store.QueueLimit()}
-	if err := a.propose(ctx, submit, &got); err != nil {
+	if err := a.propose(ctx, submit, &answer); err != nil {
 		return 0, nil, errs.Pass(err, "submit %s", spec.Key)
 	}
 	status := http.StatusOK
-	if got.Fresh {
+	if answer.Fresh {
 		status = http.StatusAccepted
 	}
-	return status, Accepted{got.Key, got.Phase, got.Reason}, nil
+	return status, Accepted{answer.Key, answer.Phase, answer.Reason}, nil
 }
 
+// cancelJob handles DELETE /v1/jobs/{key}.
 func (a *api) cancelJob(ctx context.Context, r *http.Request) (int, any, error) {
 	key, err := jobKey(r)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "cancel")
 	}
-	var got command.Cancelled
-	if err := a.propose(ctx, &command.Cancel{Key: key}, &got); err != nil {
+	var answer command.Cancelled
+	if err := a.propose(ctx, &command.Cancel{Key: key}, &answer); err != nil {
 		return 0, nil, errs.Pass(err, "cancel %s", key)
 	}
 	status := http.StatusAccepted
-	if got.Phase.IsTerminal() {
+	if answer.Phase.IsTerminal() {
 		status = http.StatusOK
 	}
-	return status, Accepted{Key: got.Key, State: got.Phase}, nil
+	return status, Accepted{Key: answer.Key, State: answer.Phase}, nil
 }
 
-// cancelJobs cancels the listed jobs, or all of a team, of a queue or of both.
+// cancelJobs handles POST /v1/jobs/cancel: it cancels the listed jobs, or all of a team, of a queue or of both.
 func (a *api) cancelJobs(ctx context.Context, r *http.Request) (int, any, error) {
 	data, err := rpc.ReadBody(r, MaxBody)
 	if err != nil {
@@ -76,30 +78,31 @@
 	if err := decoder.Decode(&cancel); err != nil {
 		return 0, nil, errs.Wrap(err, errs.Malformed, "the body is not {keys} or {team, queue}: %s", err)
 	}
-	var got command.CancelledMany
-	if err := a.propose(ctx, &cancel, &got); err != nil {
+	var answer command.CancelledMany
+	if err := a.propose(ctx, &cancel, &answer); err != nil {
 		return 0, nil, errs.Pass(err, "cancels")
 	}
-	return http.StatusAccepted, got, nil
+	return http.StatusAccepted, answer, nil
 }
 
+// getJob handles GET /v1/jobs/{key}.
 func (a *api) getJob(ctx context.Context, r *http.Request) (int, any, error) {
 	key, err := jobKey(r)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "job")
 	}
 	var view query.JobView
-	var miss error // kept apart: only a confirmed state may say that a job is not there
-	if err := a.read(ctx, func(s *state.State) { view, miss = query.Job(s, key) }); err != nil {
+	var missing error // not returned through read: this is from a confirmed state, and may become 404
+	if err := a.read(ctx, func(s *state.State) { view, missing = query.Job(s, key) }); err != nil {
 		return 0, nil, errs.Pass(err, "job %s", key)
 	}
-	if miss != nil {
-		return 0, nil, errs.Pass(miss, "job %s", key)
+	if missing != nil {
+		return 0, nil, errs.Pass(missing, "job %s", key)
 	}
 	return http.StatusOK, view, nil
 }
 
-// jobKey reads the key of a job in the path.
+// jobKey returns the key of a job in the path, or errs.Invalid.
 func jobKey(r *http.Request) (string, error) {
 	key := r.PathValue("key")
 	if !nameForm.MatchString(key) {
--- a/internal/httpapi/clientapi/list.go
+++ b/internal/httpapi/clientapi/list.go
@@ -17,72 +17,73 @@
 	MaxList     = 1000
 )
 
-// Listing answers GET /v1/jobs. Next, if there is one, is the `after` of the next page.
+// Listing is the answer of GET /v1/jobs. Next is the `after` of the next page, "" on the last one.
 type Listing struct {
 	Jobs []query.JobView `json:"jobs"`
 	Next string          `json:"next,omitempty"`
 }
 
+// listJobs handles GET /v1/jobs.
 func (a *api) listJobs(ctx context.Context, r *http.Request) (int, any, error) {
-	q, err := parseFilter(r)
+	f, err := parseFilter(r)
 	if err != nil {
 		return 0, nil, errs.Pass(err, "list")
 	}
-	out := Listing{Jobs: []query.JobView{}}
+	listing := Listing{Jobs: []query.JobView{}}
 	err = a.read(ctx, func(s *state.State) {
-		jobs, more := query.Jobs(s, q.team, q.phase, q.after, q.limit)
-		out.Jobs = append(out.Jobs, jobs...)
+		jobs, more := query.Jobs(s, f.team, f.phase, f.after, f.limit)
+		listing.Jobs = append(listing.Jobs, jobs...)
 		if more {
-			out.Next = jobs[len(jobs)-1].Key
+			listing.Next = jobs[len(jobs)-1].Key
 		}
 	})
 	if err != nil {
 		return 0, nil, errs.Pass(err, "list")
 	}
-	return http.StatusOK, out, nil
+	return http.StatusOK, listing, nil
 }
 
-// filter is the query of GET /v1/jobs.
+// filter is the parsed query of GET /v1/jobs. Empty fields match all jobs.
 type filter struct {
 	team, after string
 	phase       state.JobPhase
 	limit       int
 }
 
-// phases are the states that a job can be listed by.
+// phases are the states that jobs can be filtered by.
 var phases = map[state.JobPhase]bool{
 	state.JobAccepted: true, state.JobRunning: true, state.JobStopping: true,
 	state.JobDone: true, state.JobFailed: true, state.JobCancelled: true,
 }
 
 func parseFilter(r *http.Request) (filter, error) {
-	out := filter{limit: DefaultList}
+	f := filter{limit: DefaultList}
 	values, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
-		return out, errs.Wrap(err, errs.Malformed, "the query")
+		return f, errs.Wrap(err, errs.Malformed, "the query")
 	}
 	for name, list := range values {
 		value := list[0]
 		switch {
 		case len(list) > 1:
-			return out, errs.Field(errs.Invalid, name, "is given twice")
+			return f, errs.Field(errs.Invalid, name, "is given twice")
 		case name == "team" && nameForm.MatchString(value):
-			out.team = value
+			f.team = value
 		case name == "after" && nameForm.MatchString(value):
-			out.after = value
+			f.after = value
 		case name == "team", name == "after":
-			return out, errs.Field(errs.Invalid, name, nameRule)
+			return f, errs.Field(errs.Invalid, name, nameRule)
 		case name == "state":
-			if out.phase = state.JobPhase(value); !phases[out.phase] {
-				return out, errs.Field(errs.Invalid, name, "is no state of a job")
+			if f.phase = state.JobPhase(value); !phases[f.phase] {
+				return f, errs.Field(errs.Invalid, name, "is no state of a job")
 			}
 		case name == "limit":
-			if out.limit, err = strconv.Atoi(value); err != nil || out.limit < 1 || out.limit > MaxList {
-				return out, errs.Field(errs.Invalid, name, "must be a whole number of 1 to %d", MaxList)
+			if f.limit, err = strconv.Atoi(value); err != nil || f.limit < 1 || f.limit > MaxList {
+				return f, errs.Field(errs.Invalid, name, "must be a whole number of 1 to %d", MaxList)
 			}
 		default:
-			return out, errs.Field(errs.Invalid, join("", name), "there is no such parameter")
+			return f, errs.Field(errs.Invalid, join("", name), "there is no such parameter")
 		}
 	}
-	return out, nil
+	return f, nil
 }
--- a/internal/httpapi/clientapi/parse.go
+++ b/internal/httpapi/clientapi/parse.go
@@ -39,6 +39,7 @@
 	DefaultRetries = 3
 )
 
+// nameForm is the form of keys, teams, queues, names, types and labels.
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 const nameRule = "must be 1 to 128 of A-Z a-z 0-9 . _ : -"
@@ -67,15 +68,15 @@
 	if err := r.failure(); err != nil {
 		return state.Spec{}, "", errs.Pass(err, "job")
 	}
-	canon, err := json.Marshal(spec)
+	canonical, err := json.Marshal(spec)
 	if err != nil {
 		return state.Spec{}, "", errs.Wrap(err, errs.Internal, "encode job %s", spec.Key)
 	}
-	sum := sha256.Sum256(canon)
+	sum := sha256.Sum256(canonical)
 	return spec, hex.EncodeToString(sum[:]), nil
 }
 
-// syntaxErrorAt reports where data stops being JSON.
+// syntaxErrorAt returns a message with the place at which data is not valid JSON.
 func syntaxErrorAt(data []byte, cause error) string {
 	var raw json.RawMessage
 	var syntax *json.SyntaxError
@@ -88,7 +89,7 @@
 	return fmt.Sprintf("no JSON at line %d, column %d: %s", line, column, syntax.Error())
 }
 
-// reader reads a job and collects what is wrong. The failure that it makes names the first error's field.
+// reader reads a job and collects its validation errors, see failure.
 type reader struct {
 	kind             errs.Kind // of the first error
 	field            string    // of the first error
@@ -96,7 +97,7 @@
 	skipped          int
 }
 
-// reject records that a field is wrong.
+// reject records a validation error at a field.
 func (r *reader) reject(kind errs.Kind, field, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
 	switch {
@@ -110,7 +111,7 @@
 	}
 }
 
-// failure is the error that all rejections make, nil if there are none.
+// failure returns one error for all rejections, with the kind and field of the first; nil if there are none.
 func (r *reader) failure() error {
 	if len(r.validationErrors) == 0 {
 		return nil
--- a/internal/httpapi/clientapi/steps.go
+++ b/internal/httpapi/clientapi/steps.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/state"
 )
 
-// checkSteps checks how steps name each other: once each, only steps that exist, no cycle.
+// checkSteps checks the names of the steps: each is unique, After refers to existing steps, and there is no cycle.
 func (r *reader) checkSteps(steps []state.StepSpec) {
 	index := map[string]int{}
 	for i, s := range steps {
@@ -32,9 +32,10 @@
 	r.checkCycles(steps, index)
 }
 
-// checkCycles refuses steps that wait for each other. index has the places of the steps by name.
+// checkCycles rejects steps that wait for each other, by a depth-first search that stops at the first cycle. index has
+// the indexes of the steps by name.
 func (r *reader) checkCycles(steps []state.StepSpec, index map[string]int) {
-	const onPath, cleared = 1, 2
+	const unvisited, onPath, cleared = 0, 1, 2
 	mark := make([]int, len(steps))
 	var path []string
 	var visit func(i int) bool
@@ -60,7 +61,7 @@
 		return true
 	}
 	for i := range steps {
-		if mark[i] == 0 && !visit(i) {
+		if mark[i] == unvisited && !visit(i) {
 			return
 		}
 	}
--- a/internal/httpapi/operatorapi/account.go
+++ b/internal/httpapi/operatorapi/account.go
@@ -24,7 +24,7 @@
 //	GET  /v1/accounts/{name}/ledger?after=N&limit=M
 //	GET  /v1/accounts/{name}/export   CSV
 //
-// Failures: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Unavailable, Timeout (send the same again).
+// Errors: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Unavailable, Timeout (send the same again).
 func serveAccounts(srv *rpc.Server, s Store) {
 	a := accounts{s}
 	route(srv, "POST /v1/accounts/{name}/create", a.create)
@@ -35,7 +35,7 @@
 	srv.Route("GET /v1/accounts/{name}/export", a.export)
 }
 
-// accounts are the handlers of accounts.
+// accounts has the handlers of the accounts' routes.
 type accounts struct{ store Store }
 
 func decodeAccountOrder(r *http.Request, into any) error {
@@ -43,40 +43,40 @@
 }
 
 func (a accounts) create(r *http.Request) (any, error) {
-	var in internalapi.AccountCreateCall
-	if err := decodeAccountOrder(r, &in); err != nil {
+	var call internalapi.AccountCreateCall
+	if err := decodeAccountOrder(r, &call); err != nil {
 		return nil, errs.Pass(err, "create")
 	}
-	if err := checkID("order", in.Order); err != nil {
+	if err := checkID("order", call.Order); err != nil {
 		return nil, errs.Pass(err, "create")
 	}
-	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountCreate{Order: in.Order,
-		Account: r.PathValue("name"), Credit: in.Credit, By: in.By, Sig: in.Sig})
+	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountCreate{Order: call.Order,
+		Account: r.PathValue("name"), Credit: call.Credit, By: call.By, Sig: call.Sig})
 	return answer, errs.Pass(err, "create")
 }
 
 func (a accounts) topUp(r *http.Request) (any, error) {
-	var in internalapi.TopUpCall
-	if err := decodeAccountOrder(r, &in); err != nil {
+	var call internalapi.TopUpCall
+	if err := decodeAccountOrder(r, &call); err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
-	if err := checkID("key", in.Key); err != nil {
+	if err := checkID("key", call.Key); err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
 	answer, err := a.store.ProposeOrForward(r.Context(), &command.AccountTopUp{Account: r.PathValue("name"),
-		Key: in.Key, Amount: in.Amount, By: in.By, Sig: in.Sig})
+		Key: call.Key, Amount: call.Amount, By: call.By, Sig: call.Sig})
 	return answer, errs.Pass(err, "top-up")
 }
 
 func (a accounts) list(r *http.Request) (any, error) {
-	var out internalapi.AccountsAnswer
-	err := a.store.Read(r.Context(), func(s *state.State) { out.Accounts = query.Accounts(s) })
-	return out, errs.Pass(err, "accounts")
+	var answer internalapi.AccountsAnswer
+	err := a.store.Read(r.Context(), func(s *state.State) { answer.Accounts = query.Accounts(s) })
+	return answer, errs.Pass(err, "accounts")
 }
 
-// read runs do on an account; the failure is that of the store or of do.
+// read runs do with the name of the account in the path. It returns the error of the store, or that of do.
 func (a accounts) read(r *http.Request, do func(s *state.State, name string) error) error {
-	var failure error // kept apart: only a confirmed state may say that an account is not there
+	var failure error // kept apart: only a confirmed state may report that an account does not exist
 	err := a.store.Read(r.Context(), func(s *state.State) { failure = do(s, r.PathValue("name")) })
 	if err != nil {
 		return errs.Pass(err, "account")
@@ -85,12 +85,12 @@
 }
 
 func (a accounts) show(r *http.Request) (any, error) {
-	var out internalapi.AccountView
+	var view internalapi.AccountView
 	err := a.read(r, func(s *state.State, name string) (err error) {
-		out, err = query.Account(s, name)
+		view, err = query.Account(s, name)
 		return errs.Pass(err, "show")
 	})
-	return out, errs.Pass(err, "show")
+	return view, errs.Pass(err, "show")
 }
 
 func (a accounts) ledger(r *http.Request) (any, error) {
@@ -98,15 +98,15 @@
 	if err != nil {
 		return nil, errs.Pass(err, "ledger")
 	}
-	var out internalapi.LedgerAnswer
+	var answer internalapi.LedgerAnswer
 	err = a.read(r, func(s *state.State, name string) (err error) {
-		out, err = query.Ledger(s, name, after, limit)
+		answer, err = query.Ledger(s, name, after, limit)
 		return errs.Pass(err, "ledger")
 	})
-	return out, errs.Pass(err, "ledger")
+	return answer, errs.Pass(err, "ledger")
 }
 
-// page reads after and limit; 0 and maxEntries if they are not given.
+// page returns the parameters after and limit of the query; their defaults are 0 and maxEntries.
 func page(r *http.Request) (after uint64, limit int, err error) {
 	limit = maxEntries
 	if text := r.URL.Query().Get("after"); text != "" {
@@ -123,14 +123,14 @@
 }
 
 func (a accounts) export(w http.ResponseWriter, r *http.Request) {
-	var out []byte
+	var csv []byte
 	err := a.read(r, func(s *state.State, name string) (err error) {
-		out, err = query.ExportLedger(s, name)
+		csv, err = query.ExportLedger(s, name)
 		return errs.Pass(err, "export")
 	})
 	if err != nil {
 		rpc.WriteError(w, err)
 		return
 	}
-	writeBytes(w, "text/csv", out)
+	writeBytes(w, "text/csv", csv)
 }
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -53,7 +53,7 @@
 	route(srv, "GET /v1/bundles/{version}/diff/{other}", b.diff)
 }
 
-// bundleRoutes are the handlers of the bundle.
+// bundleRoutes has the handlers of the bundles' routes.
 type bundleRoutes struct{ store Store }
 
 // writtenOrder is an order whose text is the request's body; the rest is in its query.
@@ -65,7 +65,7 @@
 	text []byte
 }
 
-// readWritten reads a written order. Failures: Invalid, TooLarge, Malformed.
+// readWritten reads a written order. Errors: Invalid, TooLarge, Malformed.
 func readWritten(r *http.Request) (writtenOrder, error) {
 	q := r.URL.Query()
 	order := writtenOrder{id: q.Get("order"), by: q.Get("by"), sig: q.Get("sig")}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "put")
 	}
-	if _, err := bundle.Parse(order.text); err != nil { // the store would refuse it too, but later
+	if _, err := bundle.Parse(order.text); err != nil { // the store would reject it too, but later
 		return nil, errs.Pass(err, "put")
 	}
 	answer, err := b.store.ProposeOrForward(r.Context(), &command.PutBundle{Order: order.id, Base: order.base,
@@ -121,6 +121,7 @@
 	return answer, errs.Pass(err, "sign")
 }
 
+// log handles GET /v1/bundles.
 func (b bundleRoutes) log(r *http.Request) (any, error) {
 	limit := state.KeepRevisions
 	if text := r.URL.Query().Get("limit"); text != "" {
@@ -130,14 +131,14 @@
 		}
 		limit = n
 	}
-	var out Log
+	var answer Log
 	err := b.store.Read(r.Context(), func(s *state.State) {
-		out = Log{s.Bundle.Version, s.Head().Version, query.Revisions(s, limit)}
+		answer = Log{s.Bundle.Version, s.Head().Version, query.Revisions(s, limit)}
 	})
-	return out, errs.Pass(err, "log")
+	return answer, errs.Pass(err, "log")
 }
 
-// revision reads the version that a wildcard of the path names; body is nil if its bytes are not kept any more.
+// revision returns the version that a wildcard of the path names. body is nil if the store has dropped its bytes.
 func (b bundleRoutes) revision(r *http.Request, wildcard string) (meta state.Revision, body []byte, err error) {
 	name := r.PathValue(wildcard)
 	version, invalid := strconv.ParseUint(name, 10, 64)
@@ -145,7 +146,7 @@
 		return meta, nil, errs.Field(errs.Invalid, wildcard,
 			"must be a number, %s or %s, is %q", query.Current, query.Newest, name)
 	}
-	var missing error // kept apart: only a confirmed state may say that a version is not there
+	var missing error // kept apart: only a confirmed state may report that a version does not exist
 	err = b.store.Read(r.Context(), func(s *state.State) {
 		switch name {
 		case query.Current:
@@ -161,7 +162,7 @@
 	return meta, body, errs.Pass(err, "version %s", name)
 }
 
-// body is revision, and fails if the bytes are not kept any more.
+// body is revision, but fails with errs.Unknown if the store has dropped the bytes.
 func (b bundleRoutes) body(r *http.Request, wildcard string) (state.Revision, []byte, error) {
 	meta, body, err := b.revision(r, wildcard)
 	if err == nil && body == nil {
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -1,9 +1,9 @@
 // Package operatorapi is the operators' API of the policy deployment, served by every control plane node: policy
 // bundles, zones, workers, members and accounts. Orders are committed by the leader, wherever that is; reads are as
-// new as the call. The package keeps no state: it reads and commits through Store.
+// new as the call. The package never keeps state: it reads and commits through Store.
 //
-// Serve adds all routes. Their handlers: orders.go (what names its object in the path), bundle.go, rollout.go,
-// account.go, status.go.
+// Begin with Serve, which adds all routes. Their handlers are in orders.go (orders that name their object in the path),
+// bundle.go, rollout.go, account.go and status.go.
 package operatorapi
 
 import (
@@ -21,11 +21,13 @@
 
 // Store is what the API needs of the replicated store.
 type Store interface {
-	// ProposeOrForward commits a command at the leader, wherever that is, and returns its answer.
+	// ProposeOrForward commits a command at the leader, wherever that is, and returns its answer. After errs.Timeout
+	// the command may have been committed; it may be sent again.
 	ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error)
-	// Read runs read on a state that has all that was committed before the call. read must not keep the state.
+	// Read runs read on a state that has all that was committed before the call. read must not keep the state, and
+	// does not run if Read fails.
 	Read(ctx context.Context, read func(*state.State)) error
-	// Status is the state of the node that answers.
+	// Status returns the state of the node that answers.
 	Status() internalapi.StatusAnswer
 	// Rollout returns which bundle every node has, and the members of the store that did not answer.
 	Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string)
@@ -65,10 +67,10 @@
 	serveStatus(srv, s, name, nodes)
 }
 
-// exactBytes is an answer of JSON that is sent byte for byte.
+// exactBytes is an answer that is JSON already and is sent byte for byte: digests are over these bytes.
 type exactBytes []byte
 
-// route adds a route that answers with what do returns.
+// route adds a route whose answer is what do returns, as JSON.
 func route(srv *rpc.Server, pattern string, do func(r *http.Request) (any, error)) {
 	srv.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
 		answer, err := do(r)
--- a/internal/httpapi/operatorapi/orders.go
+++ b/internal/httpapi/operatorapi/orders.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// decode reads a JSON body; wrong is the failure's message if it is none.
+// decode reads a JSON body into into. A body that is no such JSON is errs.Malformed with the message wrong.
 func decode(r *http.Request, into any, wrong string) error {
 	raw, err := rpc.ReadBody(r, maxBody)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// checkID rejects an order's id or a top-up's key that the store would not keep.
+// checkID rejects an order's id or a top-up's key that is empty or too long for the store to keep.
 func checkID(field, id string) error {
 	if id == "" || len(id) > maxID {
 		return errs.Field(errs.Invalid, field, "must be 1 to %d bytes, is %d", maxID, len(id))
--- a/internal/httpapi/operatorapi/rollout.go
+++ b/internal/httpapi/operatorapi/rollout.go
@@ -25,47 +25,47 @@
 	Silent       []string      `json:"silent,omitempty"`
 }
 
-// NodeRollout is one node. Took is from when the version came in force until the node had it, by the clocks of two
-// control plane nodes; 0 while the node has another one.
+// NodeRollout is one node. Took is the time from when the version came into force until the node had it, by the clocks
+// of two control plane nodes; 0 while the node has another one.
 type NodeRollout struct {
 	internalapi.NodeBundle
 	Current bool          `json:"current"`
 	Took    time.Duration `json:"took,omitempty"`
 }
 
-// serveRollout adds the routes that say how far a bundle has come, and which zones are evacuated.
+// serveRollout adds the routes for the rollout of a bundle and for the evacuated zones.
 func serveRollout(srv *rpc.Server, s Store) {
 	route(srv, "GET /v1/zones", func(r *http.Request) (any, error) {
-		var out Zones
-		err := s.Read(r.Context(), func(st *state.State) { out.Zones = query.Zones(st) })
-		return out, errs.Pass(err, "zones")
+		var answer Zones
+		err := s.Read(r.Context(), func(st *state.State) { answer.Zones = query.Zones(st) })
+		return answer, errs.Pass(err, "zones")
 	})
 	route(srv, "GET /v1/rollout", func(r *http.Request) (any, error) {
-		out, err := rollout(r, s)
-		return out, errs.Pass(err, "rollout")
+		answer, err := rollout(r, s)
+		return answer, errs.Pass(err, "rollout")
 	})
 }
 
-// rollout is the answer of GET /v1/rollout.
+// rollout returns the answer of GET /v1/rollout.
 func rollout(r *http.Request, s Store) (Rollout, error) {
-	var out Rollout
+	var answer Rollout
 	err := s.Read(r.Context(), func(st *state.State) {
-		out.Version = st.Bundle.Version
-		if revision := st.Revision(out.Version); revision != nil {
-			out.InForceSince = revision.InForceSince
+		answer.Version = st.Bundle.Version
+		if revision := st.Revision(answer.Version); revision != nil {
+			answer.InForceSince = revision.InForceSince
 		}
 	})
 	if err != nil {
-		return out, errs.Pass(err, "rollout")
+		return answer, errs.Pass(err, "rollout")
 	}
 	nodes, silent := s.Rollout(r.Context())
-	out.Silent = silent
+	answer.Silent = silent
 	for _, node := range nodes {
-		one := NodeRollout{NodeBundle: node, Current: node.Version >= out.Version}
-		if node.Version == out.Version {
-			one.Took = max(0, node.Since.Sub(out.InForceSince))
+		entry := NodeRollout{NodeBundle: node, Current: node.Version >= answer.Version}
+		if node.Version == answer.Version {
+			entry.Took = max(0, node.Since.Sub(answer.InForceSince))
 		}
-		out.Nodes = append(out.Nodes, one)
+		answer.Nodes = append(answer.Nodes, entry)
 	}
-	return out, nil
+	return answer, nil
 }
--- a/internal/httpapi/operatorapi/status.go
+++ b/internal/httpapi/operatorapi/status.go
@@ -31,33 +31,33 @@
 	Nodes []membership.MemberStatus `json:"nodes,omitempty"`
 }
 
-// serveStatus adds the routes that list workers and say who leads.
+// serveStatus adds the routes that list the workers and name the leader and the scheduler.
 func serveStatus(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
 	route(srv, "GET /v1/minions", func(r *http.Request) (any, error) {
-		var out Workers
-		err := s.Read(r.Context(), func(st *state.State) { out.Workers = query.Workers(st) })
-		return out, errs.Pass(err, "workers")
+		var answer Workers
+		err := s.Read(r.Context(), func(st *state.State) { answer.Workers = query.Workers(st) })
+		return answer, errs.Pass(err, "workers")
 	})
 	route(srv, "GET /v1/who", func(r *http.Request) (any, error) {
-		out, err := who(r.Context(), s)
-		out.Store, out.Nodes = name(out.Status.Raft.Leader), nodes()
-		return out, errs.Pass(err, "who")
+		answer, err := who(r.Context(), s)
+		answer.Store, answer.Nodes = name(answer.Status.Raft.Leader), nodes()
+		return answer, errs.Pass(err, "who")
 	})
 }
 
-// who is the answer of GET /v1/who, but for Store and Nodes.
+// who returns the answer of GET /v1/who without Store and Nodes. Members and Status are set even if it fails.
 func who(ctx context.Context, s Store) (Who, error) {
-	var out Who
+	var answer Who
 	err := s.Read(ctx, func(st *state.State) {
 		if role := st.Roles[state.SchedulerRole]; role != nil {
-			out.Scheduler = role.Holder
+			answer.Scheduler = role.Holder
 		}
 		for zone := range st.Evacuated {
-			out.Evacuated = append(out.Evacuated, zone)
+			answer.Evacuated = append(answer.Evacuated, zone)
 		}
-		slices.Sort(out.Evacuated)
+		slices.Sort(answer.Evacuated)
 	})
 	status := s.Status()
-	out.Members, out.Status = status.Raft.Members, &status
-	return out, errs.Pass(err, "who")
+	answer.Members, answer.Status = status.Raft.Members, &status
+	return answer, errs.Pass(err, "who")
 }
