--- a/internal/httpapi/clientapi/golden_test.go
+++ b/internal/httpapi/clientapi/golden_test.go
@@ -18,7 +18,8 @@
 
 // TestGoldenDigests pins what is hashed, by the hash of a fixed value.
 func TestGoldenDigests(t *testing.T) {
-	spec, digest, err := Parse([]byte(`{"key":"k-1","team":"depot","steps":[{"name":"scan","type":"scan","labels":{"b":"1","a":"2"},"run":{"x":1}}]}`))
+	spec, digest, err := Parse([]byte(`{"key":"k-1","team":"depot",
+		"steps":[{"name":"scan","type":"scan","labels":{"b":"1","a":"2"},"run":{"x":1}}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpapi/clientapi/parse_test.go
+++ b/internal/httpapi/clientapi/parse_test.go
@@ -12,22 +12,23 @@
 
 const head = `{"key":"k","team":"depot","steps":`
 
+// step returns a job of one step, with more fields of the step.
 func step(more string) string { return head + `[{"name":"a","type":"scan"` + more + `}]}` }
 
 func TestParse(t *testing.T) {
-	Convey("A job with nothing but the needed gets the defaults", t, func() {
+	Convey("A job with only the required fields has the defaults", t, func() {
 		spec, _, err := Parse([]byte(step("")))
 		So(err, ShouldBeNil)
 		So(spec, ShouldResemble, state.Spec{Key: "k", Team: "depot", Queue: "default",
 			Steps: []state.StepSpec{{Name: "a", Type: "scan", Tasks: 1, Cores: 1, Retries: 3}}})
 	})
-	Convey("A body with an error names its field", t, func() {
-		many := func(n int, one string) string { return strings.TrimSuffix(strings.Repeat(one+",", n), ",") }
+	Convey("An invalid body is an error that names the first invalid field", t, func() {
+		many := func(n int, item string) string { return strings.TrimSuffix(strings.Repeat(item+",", n), ",") }
 		for _, c := range []struct {
 			body  string
 			kind  errs.Kind
 			field string
-			says  string
+			text  string // part of the message
 		}{
 			{``, errs.Malformed, "", "JSON"},
 			{"{\n \"key\": nope}", errs.Malformed, "", "line 2, column 10"},
@@ -60,7 +61,8 @@
 			{step(`,"run":"` + strings.Repeat("x", MaxRun) + `"`), errs.Invalid, "steps[0].run", "65536"},
 			{step(`,"after":["b"]`), errs.Invalid, "steps[0].after[0]", `no step is named "b"`},
 			{step(`,"after":["a"]`), errs.Invalid, "steps[0].after[0]", "a after a"},
-			{head + `[{"name":"z","type":"s","after":["a"]},{"name":"a","type":"s","after":["b"]},{"name":"b","type":"s","after":["a"]}]}`,
+			{head + `[{"name":"z","type":"s","after":["a"]},{"name":"a","type":"s","after":["b"]},
+				{"name":"b","type":"s","after":["a"]}]}`,
 				errs.Invalid, "steps[2].after[0]", "a after b after a"},
 			{head + `[{"name":"a","type":"s"},{"name":"a","type":"s"}]}`, errs.Invalid, "steps[1].name", "steps[0] too"},
 			{head + `[{"name":"a","type":"s","tasks":10000},{"name":"b","type":"s","tasks":10000},{"name":"c","type":"s"}]}`,
@@ -71,20 +73,20 @@
 			f := errs.Of(err)
 			So(f, ShouldNotBeNil)
 			So([]string{string(f.Kind), f.Field}, ShouldResemble, []string{string(c.kind), c.field})
-			So(f.Message, ShouldContainSubstring, c.says)
+			So(f.Message, ShouldContainSubstring, c.text)
 		}
 	})
-	Convey("The digest differs between jobs, and for nothing else", t, func() {
-		of := func(body string) string {
+	Convey("The digest differs between jobs, and does not depend on how one is written", t, func() {
+		digestOf := func(body string) string {
 			_, digest, err := Parse([]byte(body))
 			So(err, ShouldBeNil)
 			return digest
 		}
-		one := of(step(`,"run":{"ms":100,"ok":true,"n":1.50},"labels":{"x":"1","y":"2"}`))
-		So(len(one), ShouldEqual, 64)
-		So(of(` {"steps":[{"run": {"ok":true,"n":1.50, "ms":100}, "labels":{"y":"2","x":"1"}, "tasks":1,
-			"type":"scan","name":"\u0061"}],"queue":"default","team":"depot","key":"k"}`), ShouldEqual, one)
-		So(of(step(`,"run":{"ms":101,"ok":true,"n":1.50},"labels":{"x":"1","y":"2"}`)), ShouldNotEqual, one)
-		So(of(step(`,"retries":0`)), ShouldNotEqual, of(step("")))
+		digest := digestOf(step(`,"run":{"ms":100,"ok":true,"n":1.50},"labels":{"x":"1","y":"2"}`))
+		So(len(digest), ShouldEqual, 64)
+		So(digestOf(` {"steps":[{"run": {"ok":true,"n":1.50, "ms":100}, "labels":{"y":"2","x":"1"}, "tasks":1,
+			"type":"scan","name":"\u0061"}],"queue":"default","team":"depot","key":"k"}`), ShouldEqual, digest)
+		So(digestOf(step(`,"run":{"ms":101,"ok":true,"n":1.50},"labels":{"x":"1","y":"2"}`)), ShouldNotEqual, digest)
+		So(digestOf(step(`,"retries":0`)), ShouldNotEqual, digestOf(step("")))
 	})
 }
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -21,7 +21,7 @@
 	"crosstide/internal/state/command"
 )
 
-// fakeStore is a store of one.
+// fakeStore is a store of one node.
 type fakeStore struct{ st *state.State }
 
 func (d *fakeStore) ProposeOrForward(_ context.Context, c command.Command) (json.RawMessage, error) {
@@ -39,11 +39,12 @@
 func (d *fakeStore) Read(_ context.Context, read func(*state.State)) error { read(d.st); return nil }
 func (*fakeStore) Status() internalapi.StatusAnswer                        { return internalapi.StatusAnswer{} }
 func (*fakeStore) Rollout(context.Context) ([]internalapi.NodeBundle, []string) {
-	return []internalapi.NodeBundle{{Node: "c1", Version: 2, Since: time.Unix(60, 0)}, {Node: "d1", Version: 1}}, []string{"c2"}
+	nodes := []internalapi.NodeBundle{{Node: "c1", Version: 2, Since: time.Unix(60, 0)}, {Node: "d1", Version: 1}}
+	return nodes, []string{"c2"}
 }
 
-func TestAPI(t *testing.T) {
-	Convey("A bundle is written, signed twice and read back byte for byte; what is not signed is 403", t, func() {
+func TestServe_bundle(t *testing.T) {
+	Convey("A bundle is put, signed twice and read byte for byte; orders without a signature are 403", t, func() {
 		d := &fakeStore{state.New()}
 		keys := map[string]signature.Key{}
 		public := map[string]string{}
@@ -86,7 +87,8 @@
 		So(fmt.Sprint(status, raw), ShouldContainSubstring, "someone else was first")
 		So(status, ShouldEqual, 409)
 		for _, by := range []string{"ada", "ben"} {
-			sig := Signing{Order: "s" + by, Digest: signature.Digest([]byte(text)), By: by, Sig: keys[by].Sign(signature.Bundle(2, signature.Digest([]byte(text))))}
+			digest := signature.Digest([]byte(text))
+			sig := Signing{Order: "s" + by, Digest: digest, By: by, Sig: keys[by].Sign(signature.Bundle(2, digest))}
 			body, err := json.Marshal(sig)
 			So(err, ShouldBeNil)
 			status, raw = call("POST", "/v1/bundles/2/sign", body)
@@ -100,16 +102,22 @@
 		status, raw = call("GET", "/v1/bundles/1/diff/2", nil)
 		So([]any{status, raw}, ShouldResemble, []any{200,
 			`{"from":1,"to":2,"changes":[{"path":"backoff","from":"{\"min\":\"200ms\",\"max\":\"30s\"}"}]}` + "\n"})
-		for path, want := range map[string]int{"/v1/bundles/9": 404, "/v1/bundles/x": 422, "/v1/bundles?limit=0": 422, "/v1/zones": 200, "/v1/bundles": 200} {
+		for path, want := range map[string]int{
+			"/v1/bundles/9":       404,
+			"/v1/bundles/x":       422,
+			"/v1/bundles?limit=0": 422,
+			"/v1/zones":           200,
+			"/v1/bundles":         200,
+		} {
 			status, _ = call("GET", path, nil)
 			So(fmt.Sprint(path, status), ShouldEqual, fmt.Sprint(path, want))
 		}
 		status, _ = call("POST", "/v1/zones/z1/evacuate", []byte(`{"order":"z"}`))
 		So(status, ShouldEqual, 403)
 		status, raw = call("GET", "/v1/rollout", nil)
-		var out Rollout
-		So(json.Unmarshal([]byte(raw), &out), ShouldBeNil)
-		So([]any{status, out.Version, out.Nodes[0].Current, out.Nodes[1].Current, out.Silent}, ShouldResemble,
+		var rollout Rollout
+		So(json.Unmarshal([]byte(raw), &rollout), ShouldBeNil)
+		So([]any{status, rollout.Version, rollout.Nodes[0].Current, rollout.Nodes[1].Current, rollout.Silent}, ShouldResemble,
 			[]any{200, uint64(2), true, false, []string{"c2"}})
 	})
 }
