--- a/internal/httpapi/clientapi/routes_test.go
+++ b/internal/httpapi/clientapi/routes_test.go
@@ -68,102 +68,138 @@
 	m.HandleFunc(pattern, h)
 }
 
-func TestRoutes(t *testing.T) {
-	Convey("Given the API before a node", t, func() {
-		b := &fakeStore{s: state.New(), bound: 10}
-		clock := &clock.Virtual{}
-		m := mux{http.NewServeMux()}
-		Register(m, b, Options{MaxSubmits: 1, Clock: clock, Seed: 7})
-		call := func(method, path, body string) (int, string, *httptest.ResponseRecorder) {
-			w := httptest.NewRecorder()
-			m.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
-			return w.Code, strings.TrimSpace(w.Body.String()), w
+// testAPI is the API before a fake node, without a network.
+type testAPI struct {
+	mux
+	store *fakeStore
+	clock clock.Virtual
+}
+
+func newTestAPI() *testAPI {
+	a := &testAPI{mux: mux{http.NewServeMux()}, store: &fakeStore{s: state.New(), bound: 10}}
+	Register(a.mux, a.store, Options{MaxSubmits: 1, Clock: &a.clock, Seed: 7})
+	return a
+}
+
+// call makes a request and returns the status, the body and the whole response.
+func (a *testAPI) call(method, path, body string) (int, string, *httptest.ResponseRecorder) {
+	w := httptest.NewRecorder()
+	a.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return w.Code, strings.TrimSpace(w.Body.String()), w
+}
+
+func (a *testAPI) status(method, path, body string) int {
+	code, _, _ := a.call(method, path, body)
+	return code
+}
+
+func TestRoutes_submit(t *testing.T) {
+	Convey("The same job three times is one job, and another one under its key is a conflict", t, func() {
+		a := newTestAPI()
+		for i, want := range []int{202, 200, 200} {
+			code, body, _ := a.call("POST", "/v1/jobs", step("")+strings.Repeat(" ", i))
+			So(code, ShouldEqual, want)
+			So(body, ShouldEqual, `{"key":"k","state":"accepted"}`)
 		}
-		status := func(method, path, body string) int { code, _, _ := call(method, path, body); return code }
+		So(len(a.store.s.Inbox), ShouldEqual, 1)
+		So(a.status("POST", "/v1/jobs", step(`,"tasks":2`)), ShouldEqual, 409)
+		_, body, _ := a.call("GET", "/v1/jobs/k", "")
+		So(body, ShouldContainSubstring, `"state":"accepted"`)
+		So(a.status("DELETE", "/v1/jobs/k", ""), ShouldEqual, 200)
+		So(a.store.s.Jobs["k"].Phase, ShouldEqual, state.JobCancelled)
+	})
+}
 
-		Convey("the same job three times stays one, another one under its key is a conflict", func() {
-			for i, want := range []int{202, 200, 200} {
-				code, body, _ := call("POST", "/v1/jobs", step("")+strings.Repeat(" ", i))
-				So(code, ShouldEqual, want)
-				So(body, ShouldEqual, `{"key":"k","state":"accepted"}`)
-			}
-			So(len(b.s.Inbox), ShouldEqual, 1)
-			So(status("POST", "/v1/jobs", step(`,"tasks":2`)), ShouldEqual, 409)
-			_, body, _ := call("GET", "/v1/jobs/k", "")
-			So(body, ShouldContainSubstring, `"state":"accepted"`)
-			So(status("DELETE", "/v1/jobs/k", ""), ShouldEqual, 200)
-			So(b.s.Jobs["k"].Phase, ShouldEqual, state.JobCancelled)
-		})
-		Convey("a cancel in masses takes a list or a team's queue, and says what is wrong with anything else", func() {
-			for i := range 3 {
-				call("POST", "/v1/jobs", strings.Replace(step(""), `"k"`, fmt.Sprintf(`"k%d"`, i), 1))
-			}
-			code, body, _ := call("POST", "/v1/jobs/cancel", `{"keys":["k0","none"]}`)
-			So(code, ShouldEqual, 202)
-			So(body, ShouldEqual, `{"cancelled":1,"unknown":["none"]}`)
-			_, body, _ = call("POST", "/v1/jobs/cancel", `{"team":"depot","queue":"default"}`)
-			So(body, ShouldEqual, `{"cancelled":2}`)
-			So(b.s.Jobs["k2"].Phase, ShouldEqual, state.JobCancelled)
-			So(status("POST", "/v1/jobs/cancel", `{"keys":["k0"],"oops":true}`), ShouldEqual, 400)
-			So(status("POST", "/v1/jobs/cancel", `{"keys":`), ShouldEqual, 400)
-			So(status("POST", "/v1/jobs/cancel", `{}`), ShouldEqual, 422)
-		})
-		Convey("lists come in pages", func() {
-			for i := range 3 {
-				So(status("POST", "/v1/jobs", strings.Replace(step(""), `"k"`, fmt.Sprintf(`"k%d"`, i), 1)), ShouldEqual, 202)
-			}
-			_, body, _ := call("GET", "/v1/jobs?team=depot&state=accepted&limit=2", "")
-			So(body, ShouldEndWith, `"next":"k1"}`)
-			_, body, _ = call("GET", "/v1/jobs?after=k1", "")
-			So(body, ShouldContainSubstring, `"key":"k2"`)
-			So(body, ShouldNotContainSubstring, "next")
-			_, body, _ = call("GET", "/v1/jobs?team=none", "")
-			So(body, ShouldEqual, `{"jobs":[]}`)
-			for _, q := range []string{"limit=0", "limit=1001", "limit=x", "state=odd", "team=", "colour=1", "limit=1&limit=2"} {
-				So(status("GET", "/v1/jobs?"+q, ""), ShouldEqual, 422)
-			}
-		})
-		Convey("what is surely not there is 404, what cannot be confirmed is 503 with Retry-After", func() {
-			So(status("GET", "/v1/jobs/none", ""), ShouldEqual, 404)
-			So(status("DELETE", "/v1/jobs/none", ""), ShouldEqual, 404)
-			So(status("GET", "/v1/jobs/a%20b", ""), ShouldEqual, 422)
-			for _, kind := range []errs.Kind{errs.Unavailable, errs.Timeout, errs.NotLeader, errs.Stopped} {
-				b.fail = errs.New(kind, "no")
-				for _, c := range [][3]string{{"POST", "/v1/jobs", step("")}, {"GET", "/v1/jobs/k", ""},
-					{"GET", "/v1/jobs", ""}, {"DELETE", "/v1/jobs/k", ""}} {
-					code, _, w := call(c[0], c[1], c[2])
-					So(code, ShouldEqual, 503)
-					So(w.Header().Get("Retry-After"), ShouldBeIn, []string{"1", "2", "3"})
-				}
-			}
-			b.fail = errs.New(errs.Unknown, "a node that does not know")
-			So(status("GET", "/v1/jobs/k", ""), ShouldEqual, 503)
-			b.fail = errors.New("odd")
-			So(status("GET", "/v1/jobs/k", ""), ShouldEqual, 500)
-		})
-		Convey("a full inbox is 429, spread over 1 to 3 seconds", func() {
-			b.bound = 0
-			seen := map[string]bool{}
-			for range 32 {
-				code, _, w := call("POST", "/v1/jobs", step(""))
-				So(code, ShouldEqual, 429)
-				seen[w.Header().Get("Retry-After")] = true
+func TestRoutes_cancelMany(t *testing.T) {
+	Convey("A cancellation of many jobs takes a list or a team and a queue, and rejects all else", t, func() {
+		a := newTestAPI()
+		for i := range 3 {
+			a.call("POST", "/v1/jobs", strings.Replace(step(""), `"k"`, fmt.Sprintf(`"k%d"`, i), 1))
+		}
+		code, body, _ := a.call("POST", "/v1/jobs/cancel", `{"keys":["k0","none"]}`)
+		So(code, ShouldEqual, 202)
+		So(body, ShouldEqual, `{"cancelled":1,"unknown":["none"]}`)
+		_, body, _ = a.call("POST", "/v1/jobs/cancel", `{"team":"depot","queue":"default"}`)
+		So(body, ShouldEqual, `{"cancelled":2}`)
+		So(a.store.s.Jobs["k2"].Phase, ShouldEqual, state.JobCancelled)
+		So(a.status("POST", "/v1/jobs/cancel", `{"keys":["k0"],"oops":true}`), ShouldEqual, 400)
+		So(a.status("POST", "/v1/jobs/cancel", `{"keys":`), ShouldEqual, 400)
+		So(a.status("POST", "/v1/jobs/cancel", `{}`), ShouldEqual, 422)
+	})
+}
+
+func TestRoutes_list(t *testing.T) {
+	Convey("Lists are paged, and an invalid query is rejected", t, func() {
+		a := newTestAPI()
+		for i := range 3 {
+			So(a.status("POST", "/v1/jobs", strings.Replace(step(""), `"k"`, fmt.Sprintf(`"k%d"`, i), 1)), ShouldEqual, 202)
+		}
+		_, body, _ := a.call("GET", "/v1/jobs?team=depot&state=accepted&limit=2", "")
+		So(body, ShouldEndWith, `"next":"k1"}`)
+		_, body, _ = a.call("GET", "/v1/jobs?after=k1", "")
+		So(body, ShouldContainSubstring, `"key":"k2"`)
+		So(body, ShouldNotContainSubstring, "next")
+		_, body, _ = a.call("GET", "/v1/jobs?team=none", "")
+		So(body, ShouldEqual, `{"jobs":[]}`)
+		for _, q := range []string{"limit=0", "limit=1001", "limit=x", "state=odd", "team=", "colour=1", "limit=1&limit=2"} {
+			So(a.status("GET", "/v1/jobs?"+q, ""), ShouldEqual, 422)
+		}
+	})
+}
+
+func TestRoutes_unconfirmed(t *testing.T) {
+	Convey("What certainly does not exist is 404, what cannot be confirmed is 503 with Retry-After", t, func() {
+		a := newTestAPI()
+		So(a.status("GET", "/v1/jobs/none", ""), ShouldEqual, 404)
+		So(a.status("DELETE", "/v1/jobs/none", ""), ShouldEqual, 404)
+		So(a.status("GET", "/v1/jobs/a%20b", ""), ShouldEqual, 422)
+		for _, kind := range []errs.Kind{errs.Unavailable, errs.Timeout, errs.NotLeader, errs.Stopped} {
+			a.store.fail = errs.New(kind, "no")
+			for _, c := range [][3]string{{"POST", "/v1/jobs", step("")}, {"GET", "/v1/jobs/k", ""},
+				{"GET", "/v1/jobs", ""}, {"DELETE", "/v1/jobs/k", ""}} {
+				code, _, w := a.call(c[0], c[1], c[2])
+				So(code, ShouldEqual, 503)
+				So(w.Header().Get("Retry-After"), ShouldBeIn, []string{"1", "2", "3"})
 			}
-			So(seen, ShouldResemble, map[string]bool{"1": true, "2": true, "3": true})
-		})
-		Convey("a call over its time is given up, one over the bound at the door is 429", func() {
-			b.entered, b.leave = make(chan struct{}), make(chan struct{})
-			g := routine.New(context.Background())
-			late := 0
-			g.Go(func(context.Context) { late = status("POST", "/v1/jobs", step("")) })
-			<-b.entered
-			So(status("POST", "/v1/jobs", step("")), ShouldEqual, 429)
-			clock.Advance(2 * time.Second)
-			g.Wait()
-			So(late, ShouldEqual, 503)
-		})
+		}
+		a.store.fail = errs.New(errs.Unknown, "a node that does not know")
+		So(a.status("GET", "/v1/jobs/k", ""), ShouldEqual, 503)
+		a.store.fail = errors.New("odd")
+		So(a.status("GET", "/v1/jobs/k", ""), ShouldEqual, 500)
 	})
-	Convey("Over the wire a body over its bound is 413 and bytes that are no JSON are 400", t, func() {
+}
+
+func TestRoutes_fullInbox(t *testing.T) {
+	Convey("A full inbox is 429, with Retry-After spread over 1 to 3 seconds", t, func() {
+		a := newTestAPI()
+		a.store.bound = 0
+		seen := map[string]bool{}
+		for range 32 {
+			code, _, w := a.call("POST", "/v1/jobs", step(""))
+			So(code, ShouldEqual, 429)
+			seen[w.Header().Get("Retry-After")] = true
+		}
+		So(seen, ShouldResemble, map[string]bool{"1": true, "2": true, "3": true})
+	})
+}
+
+func TestRoutes_overload(t *testing.T) {
+	Convey("A call over its timeout is 503, and a submit over the limit in flight is 429", t, func() {
+		a := newTestAPI()
+		a.store.entered, a.store.leave = make(chan struct{}), make(chan struct{})
+		g := routine.New(context.Background())
+		late := 0
+		g.Go(func(context.Context) { late = a.status("POST", "/v1/jobs", step("")) })
+		<-a.store.entered
+		So(a.status("POST", "/v1/jobs", step("")), ShouldEqual, 429)
+		a.clock.Advance(2 * time.Second)
+		g.Wait()
+		So(late, ShouldEqual, 503)
+	})
+}
+
+func TestRoutes_overTheWire(t *testing.T) {
+	Convey("A body over its bound is 413, and one that is not JSON is 400", t, func() {
 		s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		Register(s, &fakeStore{s: state.New(), bound: 10}, Options{})
 		So(s.Start(), ShouldBeNil)
