--- a/internal/dataplane/scheduler/ends_test.go
+++ b/internal/dataplane/scheduler/ends_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/state/command"
 )
 
-// succeeded is the answer of a worker that lists the end of a run and nothing else.
+// succeeded returns the answer of a worker that lists the end of a run and nothing else.
 func succeeded(runID uint64) internalapi.LeaseAnswer {
 	return internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: runID, Outcome: internalapi.OutcomeOK}}}
 }
--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -9,7 +9,7 @@
 // daySeeds is how many runs of each kind of bad day are made with all guards.
 const daySeeds = 6
 
-// mostGuardSeeds is how many runs it may take until the lack of a guard is found.
+// mostGuardSeeds is how many runs it may take until the absence of a guard is detected.
 const mostGuardSeeds = 60
 
 func TestBadDays(t *testing.T) {
@@ -30,8 +30,8 @@
 			}
 		})
 		for _, guard := range day.Guards {
-			Convey("The checker finds the lack of a guard: "+string(guard), t, func() {
-				seed, found := findLack(day, guard)
+			Convey("The checker detects the absence of a guard: "+string(guard), t, func() {
+				seed, found := findBreachWithout(day, guard)
 				So(found, ShouldNotBeEmpty)
 				t.Logf("%s: seed %d: %s %s", guard, seed, found[0].Rule, found[0].What)
 			})
@@ -39,11 +39,11 @@
 	}
 }
 
-// firstSeeds are where the search begins for guards whose lack takes many runs to show.
+// firstSeeds are the seeds before those that are tried, for guards whose absence takes many runs to show.
 var firstSeeds = map[Guard]uint64{StaleHeartbeatsCount: 18, NoLeaseCheck: 5}
 
-// findLack runs seeds without a guard until a rule breaks.
-func findLack(day BadDay, guard Guard) (seed uint64, found []Breach) {
+// findBreachWithout runs seeds without a guard until a rule breaks, at most mostGuardSeeds.
+func findBreachWithout(day BadDay, guard Guard) (seed uint64, found []Breach) {
 	seed = firstSeeds[guard]
 	for len(found) == 0 && seed < mostGuardSeeds {
 		seed++
@@ -52,7 +52,7 @@
 	return seed, found
 }
 
-func TestBadDaysHaveAll(t *testing.T) {
+func TestBadDays_coverAll(t *testing.T) {
 	Convey("Every disruption and every guard is in one kind of bad day", t, func() {
 		disruptions, guards := map[Disruption]int{}, map[Guard]int{}
 		for _, day := range BadDays() {
--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -66,7 +66,7 @@
 	return []Disruption{Reconfigure, ConfigRace, BadConfig, AckLost, Evacuation}
 }
 
-// Disruptions are all kinds.
+// Disruptions returns all kinds.
 func Disruptions() []Disruption {
 	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(),
 		connectionShortages())
--- a/internal/testbed/jobssim/failover.go
+++ b/internal/testbed/jobssim/failover.go
@@ -1,6 +1,7 @@
 package jobssim
 
-// elected and measureFailover measure the time from the last start of a leader to the first of the next one.
+// elected records the election of a leader. With measureFailover it measures the time from the last start of a leader
+// to the first one of the next leader.
 func (ic *invariantChecker) elected(term uint64) {
 	ic.lastStartBeforeLoss = ic.lastStartAt
 	if ic.awaitsFirstStart {
@@ -8,12 +9,14 @@
 	}
 	ic.newestTerm, ic.electedAt, ic.awaitsFirstStart = term, ic.sim.now, true
 	for _, j := range ic.histories {
-		if j.excusedUntil > ic.sim.now-2*contactTimeout { // it begins anew for a leader that did not see its cause
+		// The leader before was lost before it started anything: two losses in one.
+		if j.excusedUntil > ic.sim.now-2*contactTimeout {
 			ic.expectUnconfirmed(j)
 		}
 	}
 }
 
+// measureFailover records a start under a term, and the failover that ends with it.
 func (ic *invariantChecker) measureFailover(r *liveRun, token uint64) {
 	if r.order.isLate {
 		return
--- a/internal/testbed/jobssim/failover_test.go
+++ b/internal/testbed/jobssim/failover_test.go
@@ -17,18 +17,20 @@
 		if more, err := strconv.Atoi(os.Getenv("FLEETSIM_LOSSES")); err == nil {
 			losses = more
 		}
-		var whole, own []time.Duration
-		for seed := uint64(1); len(whole) < losses; seed++ {
-			report := Run(Options{Seed: seed, Load: Short, DisruptionRate: 3, Disruptions: []Disruption{LeaderFreeze, LeaderCut, LeaderKill}})
+		var failovers, takeovers []time.Duration
+		for seed := uint64(1); len(failovers) < losses; seed++ {
+			report := Run(Options{Seed: seed, Load: Short, DisruptionRate: 3,
+				Disruptions: []Disruption{LeaderFreeze, LeaderCut, LeaderKill}})
 			So(report.Breaches, ShouldBeEmpty)
-			whole, own = append(whole, report.Failovers...), append(own, report.Takeovers...)
+			failovers, takeovers = append(failovers, report.Failovers...), append(takeovers, report.Takeovers...)
 		}
-		slices.Sort(whole)
-		slices.Sort(own)
-		middle, last := len(whole)/2, len(whole)-1
-		t.Logf("%d losses: last start of the old leader to first of the new one p50 %s, max %s; from the election p50 %s, max %s",
-			len(whole), whole[middle], whole[last], own[middle], own[last])
-		So(whole[last], ShouldBeLessThan, maxElectionTime+time.Second)
-		So(own[middle], ShouldBeLessThan, 100*time.Millisecond)
+		slices.Sort(failovers)
+		slices.Sort(takeovers)
+		middle, last := len(failovers)/2, len(failovers)-1
+		t.Logf("%d losses: last start of the old leader to first of the new one p50 %s, max %s; "+
+			"from the election p50 %s, max %s",
+			len(failovers), failovers[middle], failovers[last], takeovers[middle], takeovers[last])
+		So(failovers[last], ShouldBeLessThan, maxElectionTime+time.Second)
+		So(takeovers[middle], ShouldBeLessThan, 100*time.Millisecond)
 	})
 }
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/jobs"
 )
 
-// Guard is a safety measure that a run can do without, to show that the checker finds its lack.
+// Guard is a safety measure that a run can be without, to show that the invariant checker detects its absence.
 type Guard string
 
 // The guards that can be removed.
@@ -24,22 +24,22 @@
 	StaleHeartbeatsCount       Guard = "late heartbeats count" // a heartbeat replaces what a newer one reported
 
 	EarlyAcknowledgement Guard = "early acknowledgement" // ends are acknowledged before their commit
-	StartBeforeCommit    Guard = "start before commit"   // starts leave before their handles are committed
+	StartBeforeCommit    Guard = "start before commit"   // starts are sent before their handles are committed
 	EarlyAnswers         Guard = "early answers"         // clients and operators are answered before the commit
 
-	NoLeaseCheck     Guard = "no lease check"     // a leader goes on after its lease
-	NoFencingWait    Guard = "no fencing wait"    // a new leader takes all runs of earlier terms for dead
+	NoLeaseCheck     Guard = "no lease check"     // a leader acts after its lease has expired
+	NoFencingWait    Guard = "no fencing wait"    // a new leader treats all runs of earlier terms as dead
 	OldLeadersAnswer Guard = "old leaders answer" // a leader answers for its table after its lease
 
-	NoBaseCheck      Guard = "no base check"      // a change is taken on top of whatever version is in force
-	NoOrderMemory    Guard = "no order memory"    // orders that were taken are not remembered
-	NoConfigCheck    Guard = "no config check"    // a configuration is put right where it is invalid, and taken
+	NoBaseCheck      Guard = "no base check"      // a change is accepted whatever version is in force
+	NoOrderMemory    Guard = "no order memory"    // accepted orders are not remembered
+	NoConfigCheck    Guard = "no config check"    // an invalid configuration is repaired and accepted
 	NoEvacuationMark Guard = "no evacuation mark" // an evacuation is acknowledged and not recorded
 
-	UnsentStopsCount Guard = "unsent stops count" // a stop that found no connection is taken for answered
+	UnsentStopsCount Guard = "unsent stops count" // a stop that found no connection counts as answered
 )
 
-// Guards are all guards that can be removed.
+// Guards returns all guards that can be removed.
 func Guards() []Guard {
 	return []Guard{NoAttemptBound, NoCapacityCheck, NoIdentity,
 		UnconfirmedIsDead, UnconfirmedReservesNothing, NoDrainMark, NoLeaveMark, StaleHeartbeatsCount,
@@ -48,7 +48,7 @@
 		NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark, UnsentStopsCount}
 }
 
-// startOutcome is what the scheduler learns of a start without an answer.
+// startOutcome returns what the scheduler learns of a start without an answer.
 func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartError {
 	switch n.sim.options.WithoutGuard {
 	case UnconfirmedIsDead:
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -162,7 +162,7 @@
 	w.host.sim.after(maxDrainTime, w.leave) // also without an acknowledgement
 }
 
-// record is what the worker reports of itself.
+// record returns what the worker reports of itself.
 func (w *workerIncarnation) record() jobs.Worker {
 	host := w.host
 	return jobs.Worker{ID: w.id, Address: host.address, Service: host.service, Zone: host.zone, Rack: host.rack,
--- a/internal/testbed/jobssim/hunt_test.go
+++ b/internal/testbed/jobssim/hunt_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestHunt plays as many seeds as FLEETSIM_SEEDS says, from FLEETSIM_FROM on; without it, none. FLEETSIM_KINDS are the
-// disruptions (separated by commas), or FLEETSIM_DAY is the number of a kind of bad day, from 1; FLEETSIM_BREAK takes a
-// guard out, FLEETSIM_PACE says how often they come, FLEETSIM_FOR for how long, FLEETSIM_TRACE is a file for the trace.
+// TestHunt runs FLEETSIM_SEEDS seeds (none if it is not set), from FLEETSIM_FROM on. FLEETSIM_KINDS lists the
+// disruptions, separated by commas, or FLEETSIM_DAY is the number of a scenario of BadDays, from 1. FLEETSIM_BREAK is a
+// guard to remove, FLEETSIM_PACE the DisruptionRate, FLEETSIM_FOR the DisruptionPeriod, FLEETSIM_LOAD the Load,
+// FLEETSIM_TRACE a file for the trace.
 func TestHunt(t *testing.T) {
 	count, _ := strconv.ParseUint(os.Getenv("FLEETSIM_SEEDS"), 10, 64)
 	from, _ := strconv.ParseUint(os.Getenv("FLEETSIM_FROM"), 10, 64)
--- a/internal/testbed/jobssim/invariants.go
+++ b/internal/testbed/jobssim/invariants.go
@@ -33,7 +33,7 @@
 	EndRule         Rule = "END"     // every job ends within a bound once disruptions are over
 )
 
-// Rules are all invariants.
+// Rules returns all invariants.
 func Rules() []Rule {
 	return []Rule{LimitRule, TwiceRule, OrderRule, RouteRule, BudgetRule, GangRule, UnaskedRule, RefusedRule, DrainRule,
 		EvacRule, MixedRule, LostRule, ConfigRule, AckRule, RecoverRule, LongRunningRule, NotedRule, ReplicaRule,
@@ -51,7 +51,8 @@
 	earlyTime      = 250 * time.Millisecond
 )
 
-// invariantChecker judges what workers and clients saw. It asks neither the scheduler nor the table, but at the end.
+// invariantChecker judges what workers and clients saw. Until the end of a run it never reads the scheduler or the
+// table: they may be what is wrong.
 type invariantChecker struct {
 	sim                 *simulator
 	histories           map[string]*jobHistory
@@ -59,10 +60,10 @@
 	gangHosts           map[gangKey][]*workerHost // where the members of a run of a gang were sent
 	longRunning         map[jobs.TaskRef]*longRunningTask
 	lastStartAt         time.Duration // of the last start on a worker
-	lastStartBeforeLoss time.Duration // last start before the lead was lost; 0: none
+	lastStartBeforeLoss time.Duration // last start before the leader was lost; 0: none
 	newestTerm          uint64        // term that was elected last
-	electedAt           time.Duration // when
-	awaitsFirstStart    bool          // its first start has not come yet
+	electedAt           time.Duration // when newestTerm was elected
+	awaitsFirstStart    bool          // the leader of newestTerm has started nothing yet
 }
 
 func newInvariantChecker(s *simulator) *invariantChecker {
--- a/internal/testbed/jobssim/invariants_jobs.go
+++ b/internal/testbed/jobssim/invariants_jobs.go
@@ -166,8 +166,8 @@
 	return false
 }
 
-// serviceOf is the service to which the newest configuration directs a job; empty if none, or if that configuration
-// need not be in force yet.
+// serviceOf returns the service to which the newest configuration directs a job; empty if none, or if that
+// configuration need not be in force yet.
 func (ic *invariantChecker) serviceOf(j *jobHistory) string {
 	configs := ic.sim.operator.configs
 	newest := configs[len(configs)-1]
@@ -255,17 +255,18 @@
 
 // recovered judges the jobs that were submitted after the final fault, when the machines had been back for long enough.
 func (ic *invariantChecker) recovered() {
-	served, all := 0, 0
+	accepted, submitted := 0, 0
 	for _, c := range ic.sim.clients.jobs {
 		if c.afterFault {
-			all++
+			submitted++
 			if c.isAccepted {
-				served++
+				accepted++
 			}
 		}
 	}
-	if all > 0 {
-		ic.require(RecoverRule, 4*served >= all, "%d of %d jobs were accepted after the final fault", served, all)
+	if submitted > 0 {
+		ic.require(RecoverRule, 4*accepted >= submitted, "%d of %d jobs were accepted after the final fault",
+			accepted, submitted)
 	}
 }
 
--- a/internal/testbed/jobssim/job_history.go
+++ b/internal/testbed/jobssim/job_history.go
@@ -44,7 +44,7 @@
 	return t
 }
 
-// ending is the history that counts for the end of a task: its own, or that of its gang's first member.
+// ending returns the history that counts for the end of a task: its own, or that of its gang's first member.
 func (j *jobHistory) ending(ref jobs.TaskRef) *taskHistory {
 	if j.job.spec.Steps[ref.Step].Gang {
 		ref.Index = 0
@@ -73,7 +73,7 @@
 	return count
 }
 
-// rounds is how many times the steps of a job are run.
+// rounds returns how many times the steps of a job are run.
 func rounds(spec *jobs.Spec) int { return max(1, spec.Rounds) }
 
 // allDone reports whether every task has ended done.
--- a/internal/testbed/jobssim/network.go
+++ b/internal/testbed/jobssim/network.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/jobs"
 )
 
-// failure is how a call to a worker went.
+// failure is the outcome of a call to a worker, as the node knows it.
 type failure int
 
 const (
 	answered         failure = iota
-	unsent                   // no byte of it left
+	unsent                   // no byte of it was sent
 	unknown                  // it may be carried out, now or later
 	otherIncarnation         // another incarnation has the address
 )
@@ -23,7 +23,7 @@
 	maxLateDelay = 12 * time.Second
 )
 
-// linkDelay draws how long a message is under way.
+// linkDelay draws how long a message takes.
 func (s *simulator) linkDelay() time.Duration {
 	if s.chance(0.01) {
 		return s.between(20*time.Millisecond, 400*time.Millisecond)
@@ -31,7 +31,7 @@
 	return s.between(minLinkDelay, maxLinkDelay)
 }
 
-// handler is what a worker does with a call; isLate: long after it was sent.
+// handler handles a call on a worker. isLate is set if the call arrives long after it was sent.
 type handler func(w *workerIncarnation, isLate bool, reply func(any))
 
 // exchange is a call to a worker. done is called once on the node, with the answer or with what is known of it.
@@ -78,7 +78,7 @@
 	}
 }
 
-// deliver has the worker carry the call out, if it is the one that is meant and in touch.
+// deliver lets the worker handle the call, if it is the incarnation that was called and is reachable.
 func (e *exchange) deliver(isLate bool, answer func(any, failure)) {
 	w := e.host.current
 	switch {
@@ -90,7 +90,7 @@
 	}
 }
 
-// deliverLate delivers a call whose answer nobody waits for any more.
+// deliverLate delivers a call that the caller no longer waits for.
 func (e *exchange) deliverLate() { e.deliver(true, func(any, failure) {}) }
 
 // sendBack sends an answer back, unless it is lost.
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -10,13 +10,13 @@
 	"crosstide/internal/jobs"
 )
 
-// node is a machine of the core: a replica of the table, and the loop of controller.Leader around a scheduler.Core.
+// node is a control plane node: a replica of the table, and the loop of controller.Leader around a scheduler.Core.
 type node struct {
 	sim         *simulator
 	name        string
 	table       *jobs.Table
 	applied     int // entries of the log that table has
-	incarnation int // rises with each start and kill of the process: what an older one scheduled is dropped
+	incarnation int // increases with each start and kill of the process: calls that an older one scheduled are dropped
 
 	term        uint64        // in which it leads, as far as it knows; 0: it does not
 	leaseUntil  time.Duration // of a leader that lost the majority: until then it may still answer
@@ -29,10 +29,10 @@
 	inputs          []func(*scheduler.Core, time.Duration) // of the next pass
 	tableEvents     []jobs.Event                           // of the next pass, which takes them before inputs
 	passNumber      int                                    // of the newest scheduled pass: older ones are dropped
-	passAt          time.Duration                          // when that is due
-	isPassPlanned   bool                                   // it is still to come
+	passAt          time.Duration                          // when the newest scheduled pass is due
+	isPassPlanned   bool                                   // it has not run yet
 	newestHeartbeat map[string]uint64                      // sequence, by worker
-	newestEnd       map[string]uint64                      // seen of each worker, for EarlyAcknowledgement
+	newestEnd       map[string]uint64                      // sequence, by worker; for EarlyAcknowledgement
 }
 
 // coreSize is how many machines the core has.
@@ -63,7 +63,7 @@
 	s.after(followInterval, s.follow)
 }
 
-// schedulerConfig is the configuration of the schedulers, cut to the lease of the platform.
+// schedulerConfig returns the configuration of the schedulers, cut to the lease of the platform.
 func (*simulator) schedulerConfig() scheduler.Config {
 	cfg := scheduler.Defaults()
 	cfg.Lease = min(cfg.Lease, maxLease)
@@ -103,15 +103,16 @@
 // wipe empties the disk of a node that is down.
 func (n *node) wipe() { n.table, n.applied = jobs.NewTable(), 0 }
 
+// kill ends the process; startProcess starts the next one.
 func (n *node) kill() {
 	n.incarnation++
 	n.isDown, n.term = true, 0
 }
 
-// isRunning reports whether it can be a member of a majority now.
+// isRunning reports whether the node can be a member of a majority now.
 func (n *node) isRunning() bool { return !n.isDown && !n.isCutOff && n.sim.now >= n.frozenUntil }
 
-// after schedules a call on this incarnation of the node; a frozen node makes it after it wakes.
+// after schedules a call on this incarnation of the node. A node that is frozen then makes it once it is not any more.
 func (n *node) after(d time.Duration, call func()) {
 	incarnation := n.incarnation
 	var fire func()
@@ -138,7 +139,7 @@
 
 func (n *node) catchUp() { _, _ = n.applyAll() } // a refused entry is an outcome
 
-// stepDown ends the node's lead, which it may still believe in.
+// stepDown ends the node's term as leader. Its scheduler learns of it in the next pass.
 func (n *node) stepDown() {
 	if n.term != 0 {
 		n.term = 0
@@ -146,7 +147,7 @@
 	}
 }
 
-// leadTerm is the store's LeadTerm.
+// leadTerm stands for the store's LeadTerm: the term in which the node believes to lead, and whether its lease lasts.
 func (n *node) leadTerm() (term uint64, isLeader bool) {
 	return n.term, n.term != 0 && (n.sim.log.leader == n && !n.isCutOff || n.sim.now < n.leaseUntil)
 }
@@ -161,13 +162,14 @@
 }
 
 // deliver queues an input of the scheduler.
-func (n *node) deliver(e func(*scheduler.Core, time.Duration)) {
-	n.inputs = append(n.inputs, e)
+func (n *node) deliver(input func(*scheduler.Core, time.Duration)) {
+	n.inputs = append(n.inputs, input)
 	n.wakeScheduler()
 }
 
-func (n *node) onTableChange(note jobs.Event) {
-	n.tableEvents = append(n.tableEvents, note)
+// onTableChange queues an event of the table for the next pass.
+func (n *node) onTableChange(event jobs.Event) {
+	n.tableEvents = append(n.tableEvents, event)
 	n.wakeScheduler()
 }
 
@@ -194,7 +196,7 @@
 	leaseInterval = 20 * time.Millisecond
 )
 
-// pass is one turn of the loop, as controller.Leader.pass.
+// pass is one iteration of the loop; it mirrors controller.Leader.pass.
 func (n *node) pass() {
 	now := n.sim.now
 	term, isLeader := n.leadTerm()
@@ -217,19 +219,20 @@
 	}
 	inputs, tableEvents := n.inputs, n.tableEvents
 	n.inputs, n.tableEvents = nil, nil
-	for _, note := range tableEvents {
-		n.core.TableChanged(note)
+	for _, event := range tableEvents {
+		n.core.TableChanged(event)
 	}
-	for _, e := range inputs {
-		e(n.core, now)
+	for _, input := range inputs {
+		input(n.core, now)
 	}
-	out := n.core.Pass(now, n.wall())
-	n.dispatchActions(term, out)
-	n.passIn(max(time.Millisecond, out.Next-now))
+	actions := n.core.Pass(now, n.wall())
+	n.dispatchActions(term, actions)
+	n.passIn(max(time.Millisecond, actions.Next-now))
 }
 
 func (n *node) wall() time.Time { return n.sim.wall().Add(n.skew) }
 
+// becomeLeader makes the scheduler act under a term. Inputs for an earlier one are dropped.
 func (n *node) becomeLeader(term uint64) {
 	n.inputs, n.tableEvents = nil, nil
 	if n.sim.options.WithoutGuard == NoFencingWait {
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -68,7 +68,7 @@
 	o.send(c)
 }
 
-// base is the version that the next change is built on.
+// base returns the version that the next change is built on.
 func (o *operator) base() uint64 {
 	if len(o.configs) == 0 {
 		return 0
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -10,23 +10,23 @@
 // callTimeout bounds start and stop orders, and a lease renewal beyond its wait, as the controller's does.
 const callTimeout = 700 * time.Millisecond
 
-// dispatchActions carries out the actions of a pass, as controller.Leader.dispatch.
-func (n *node) dispatchActions(term uint64, out scheduler.Actions) {
-	if out.Progress != nil {
-		n.commit(term, out.Progress)
+// dispatchActions carries out the actions of a pass; it mirrors controller.Leader.dispatch.
+func (n *node) dispatchActions(term uint64, actions scheduler.Actions) {
+	if actions.Progress != nil {
+		n.commit(term, actions.Progress)
 	}
-	for _, start := range out.Starts {
+	for _, start := range actions.Starts {
 		n.after(n.dispatchDelay(), func() { n.start(term, start) })
 	}
-	for _, stop := range out.Stops {
+	for _, stop := range actions.Stops {
 		n.after(n.dispatchDelay(), func() { n.stop(term, stop) })
 	}
-	for _, renewal := range out.Renewals {
+	for _, renewal := range actions.Renewals {
 		n.after(n.dispatchDelay(), func() { n.renewLease(term, renewal) })
 	}
 }
 
-// dispatchDelay is how long an order waits for its goroutine: orders of a pass leave in any order.
+// dispatchDelay returns how long an order waits for its goroutine: orders of a pass are sent in any order.
 func (n *node) dispatchDelay() time.Duration {
 	if n.sim.chance(0.01) {
 		return n.sim.between(0, 30*time.Millisecond)
@@ -34,6 +34,7 @@
 	return n.sim.between(0, 500*time.Microsecond)
 }
 
+// commit proposes the changes of a pass and passes the answer to the scheduler.
 func (n *node) commit(term uint64, progress *jobs.Progress) {
 	if n.sim.options.WithoutGuard == StartBeforeCommit {
 		n.startBeforeCommit(term, progress)
@@ -47,6 +48,7 @@
 	})
 }
 
+// start sends a start order, unless the node no longer leads, and passes the outcome to the scheduler.
 func (n *node) start(term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
 	answered := func(answer scheduler.StartAnswer, failure scheduler.StartError) {
@@ -74,6 +76,7 @@
 	})
 }
 
+// startError returns what the scheduler learns of a start that ended with f.
 func startError(f failure) scheduler.StartError {
 	switch f {
 	case answered:
@@ -86,6 +89,7 @@
 	return scheduler.StartUnknown
 }
 
+// stop is start for a stop order.
 func (n *node) stop(term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
 	done := func(failure scheduler.StopError) {
@@ -102,7 +106,7 @@
 	n.sim.exchange(n, stop.Worker, callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
 		reply(w.stop(stop.Order))
 	}, func(answer any, f failure) {
-		if taken, _ := answer.(bool); f != answered || !taken {
+		if isAccepted, _ := answer.(bool); f != answered || !isAccepted {
 			done(scheduler.StopFailed)
 			return
 		}
@@ -116,6 +120,7 @@
 	fenced bool
 }
 
+// renewLease is start for a lease renewal.
 func (n *node) renewLease(term uint64, renewal scheduler.RenewalAction) {
 	id, number, call := renewal.Worker.ID, renewal.Number, renewal.Call
 	n.sim.trace("hold %d to %s wait %s", number, id, call.Wait)
--- a/internal/testbed/jobssim/run.go
+++ b/internal/testbed/jobssim/run.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// progress is the work that is done, with what was saved before.
+// progress returns the work that is done, with what was saved before.
 func (r *liveRun) progress() time.Duration {
 	if r.workedAt < 0 {
 		return r.saved
@@ -143,7 +143,7 @@
 	return r.saved + time.Duration(float64(r.worker.workedTime()-r.workedAt)/r.factor)
 }
 
-// percent is the share of the work that is done, as the worker lists it.
+// percent returns the share of the work that is done, as the worker lists it.
 func (r *liveRun) percent() int {
 	whole := workOf(r.spec, r.key.Task)
 	if whole <= 0 {
@@ -152,7 +152,7 @@
 	return int(min(99, 100*r.progress()/whole))
 }
 
-// checkpoint is the newest saved progress, as the worker lists it.
+// checkpoint returns the newest saved progress, as the worker lists it.
 func (r *liveRun) checkpoint() string {
 	if !r.step.Checkpoints {
 		return ""
@@ -181,7 +181,7 @@
 	return fmt.Sprintf("%s.%d.%d.%d", ref.Job, ref.Round, ref.Step, ref.Index)
 }
 
-// checkpointWork is the work that a checkpoint stands for.
+// checkpointWork returns the work that a checkpoint stands for.
 func checkpointWork(checkpoint string) time.Duration {
 	text, _, _ := strings.Cut(checkpoint, "-")
 	ms, err := strconv.ParseInt(text, 16, 64)
@@ -198,7 +198,7 @@
 	return float64(h.Sum64()%100003) / 100003
 }
 
-// workOf is how long a task takes on a healthy worker.
+// workOf returns how long a task takes on a healthy worker.
 func workOf(spec *jobs.Spec, ref jobs.TaskRef) time.Duration {
 	step := &spec.Steps[ref.Step]
 	if step.Gang {
--- a/internal/testbed/jobssim/scenarios.go
+++ b/internal/testbed/jobssim/scenarios.go
@@ -1,14 +1,14 @@
 package jobssim
 
-// BadDay is a kind of bad day: the disruptions that make it, and the guards that it needs. docs/design/bad-days.md
-// explains each.
+// BadDay is a scenario of failures: its disruptions, and the guards without which a rule breaks in it.
+// docs/design/failure-scenarios.md explains each.
 type BadDay struct {
 	Name        string
 	Disruptions []Disruption
 	Guards      []Guard
 }
 
-// BadDays lists the six kinds. Every disruption and every guard is in one of them.
+// BadDays returns the six scenarios. Every disruption and every guard is in one of them.
 func BadDays() []BadDay {
 	return []BadDay{
 		{"crowds and hopeless work", overloads(), []Guard{NoAttemptBound, NoCapacityCheck, NoIdentity}},
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -29,14 +29,14 @@
 	return true
 }
 
-// connectionWait is how long a call waits for a connection before it is given up.
+// connectionWait is how long a call waits for a connection before it fails.
 const connectionWait = 300 * time.Millisecond
 
-// urgentShare is how much more seldom a lease renewal or a stop finds no connection than a start, which has a lower
-// priority.
+// urgentShare is the probability that a lease renewal or a stop finds no connection, as a fraction of that of a start,
+// which has a lower priority.
 const urgentShare = 0.1
 
-// startFindsNoConnection reports whether a start finds no connection; it is given up after connectionWait.
+// startFindsNoConnection reports whether a start finds no connection; it fails after connectionWait.
 func (s *simulator) startFindsNoConnection() bool {
 	return s.now < s.shortage.until && s.chance(s.shortage.share)
 }
@@ -46,13 +46,13 @@
 	return s.now < s.shortage.until && s.chance(s.shortage.share*urgentShare)
 }
 
-// failStart gives up a start for want of a connection.
+// failStart fails a start that found no connection.
 func (n *node) failStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
 	n.sim.report.Seen["short: start"]++
 	n.after(connectionWait, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
 }
 
-// failStop gives up a stop for want of a connection.
+// failStop fails a stop that found no connection.
 func (n *node) failStop(done func(scheduler.StopError)) {
 	n.sim.report.Seen["short: stop"]++
 	failure := scheduler.StopNoConnection
@@ -62,7 +62,7 @@
 	n.after(connectionWait, func() { done(failure) })
 }
 
-// failLeaseRenewal gives up a lease renewal for want of a connection.
+// failLeaseRenewal fails a lease renewal that found no connection.
 func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
 	n.sim.report.Seen["short: hold"]++
 	n.after(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
--- a/internal/testbed/jobssim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -27,10 +27,10 @@
 	Load             Load          // which jobs come; default Mixed
 	Disruptions      []Disruption  // which disruptions come; nil: all
 	DisruptionRate   float64       // how many times as many disruptions come as usual; default 1
-	Trace            io.Writer     // a line for each event of note; nil: none
+	Trace            io.Writer     // gets a line for each event worth a line; nil: none
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed        uint64
 	Breaches    []Breach
@@ -54,13 +54,13 @@
 	What string
 }
 
-// maxBreaches is after how many breaches a run ends.
+// maxBreaches is the number of breaches after which a run ends.
 const maxBreaches = 5
 
 // event is a call that is due at a time.
 type event struct {
 	at     time.Duration
-	number uint64 // in the order of planning
+	number uint64 // in the order in which events were scheduled
 	call   func()
 }
 
@@ -90,7 +90,7 @@
 	return e
 }
 
-// simulator is one run.
+// simulator is one run. Everything in it runs on the goroutine of Run.
 type simulator struct {
 	options Options
 	rng     *rand.Rand // one for all draws: their order is part of the run
@@ -114,7 +114,7 @@
 // epoch is the time of day at which each run begins.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Run plays one seed.
+// Run simulates one seed until all jobs have ended, time is up, or maxBreaches rules were broken.
 func Run(opt Options) Report {
 	if opt.DisruptionPeriod == 0 {
 		opt.DisruptionPeriod = 32 * time.Second
@@ -139,7 +139,7 @@
 	return s.report
 }
 
-// loop plays events until all jobs have ended or time is up.
+// loop runs the events in order until all jobs have ended or time is up.
 func (s *simulator) loop() {
 	end := s.options.DisruptionPeriod + s.options.DrainTime
 	for len(s.queue) > 0 && len(s.report.Breaches) < maxBreaches {
@@ -170,7 +170,7 @@
 // chance draws true with a probability.
 func (s *simulator) chance(p float64) bool { return s.rng.Float64() < p }
 
-// wall is the true time of day.
+// wall returns the true time of day.
 func (s *simulator) wall() time.Time { return epoch.Add(s.now) }
 
 func (s *simulator) trace(format string, args ...any) {
--- a/internal/testbed/jobssim/sim_test.go
+++ b/internal/testbed/jobssim/sim_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-func TestQuiet(t *testing.T) {
-	Convey("Without disruptions no lease expires, no gang waits in vain, no start is refused and no job is idle", t, func() {
+func TestRun_withoutDisruptions(t *testing.T) {
+	Convey("Without disruptions no lease expires, no gang times out, no start is refused and no job is idle", t, func() {
 		for seed := uint64(1); seed <= 4; seed++ {
 			report := Run(Options{Seed: seed, Disruptions: []Disruption{}})
 			So(report.Breaches, ShouldBeEmpty)
@@ -47,8 +47,8 @@
 	})
 }
 
-func TestTrace(t *testing.T) {
-	Convey("The same seed gives the same run", t, func() {
+func TestRun_sameSeedSameTrace(t *testing.T) {
+	Convey("Two runs of a seed have the same trace", t, func() {
 		var first, again bytes.Buffer
 		Run(Options{Seed: 3, Trace: &first})
 		Run(Options{Seed: 3, Trace: &again})
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -49,7 +49,7 @@
 // cutOff reports whether nothing passes between the host and a node.
 func (host *workerHost) cutOff(n *node) bool { return host.isCutOff || host.cutFrom[n] }
 
-// workerIncarnation is one incarnation of a worker, under an ID of its own.
+// workerIncarnation is one incarnation of a worker; each has another ID.
 type workerIncarnation struct {
 	host            *workerHost
 	id              string
@@ -109,7 +109,7 @@
 	host.sim.report.Seen["life of another kind"]++
 }
 
-// clock is what the worker's own clock shows.
+// clock returns what the worker's own clock shows.
 func (w *workerIncarnation) clock() time.Duration {
 	return w.clockBase + time.Duration(float64(w.host.sim.now-w.startedAt)*w.clockRate)
 }
@@ -117,7 +117,7 @@
 // isUp reports whether this incarnation still runs.
 func (w *workerIncarnation) isUp() bool { return w.host.current == w }
 
-// workedTime is the time in which its tasks made progress since it began.
+// workedTime returns the time in which its tasks made progress since it began.
 func (w *workerIncarnation) workedTime() time.Duration {
 	t := w.host.sim.now - w.startedAt - w.stalledFor
 	if w.stalledSince > 0 {
@@ -246,7 +246,7 @@
 // maxEndsPerAnswer is how many ends an answer lists.
 const maxEndsPerAnswer = 12
 
-// status is the answer to a lease renewal.
+// status returns the answer to a lease renewal.
 func (w *workerIncarnation) status() leaseReply {
 	a := scheduler.RenewalAnswer{Clock: w.clock()}
 	for _, r := range w.runs {
@@ -260,7 +260,7 @@
 	return leaseReply{answer: a}
 }
 
-// used is what all runs take, with those that are being stopped.
+// used returns what all runs take, with those that are being stopped.
 func (w *workerIncarnation) used() jobs.Resources {
 	var sum jobs.Resources
 	for _, r := range w.runs {
