--- a/internal/testbed/jobssim/failover.go
+++ b/internal/testbed/jobssim/failover.go
@@ -9,7 +9,7 @@
 	}
 	ic.newestTerm, ic.electedAt, ic.awaitsFirstStart = term, ic.sim.now, true
 	for _, j := range ic.histories {
-		// The leader before was lost before it started anything: two losses in one.
+		// The excuse begins anew for a leader that did not see its cause.
 		if j.excusedUntil > ic.sim.now-2*contactTimeout {
 			ic.expectUnconfirmed(j)
 		}
