--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -5,7 +5,7 @@
 const (
 	heapPercent  = 60       // of the process's memory; the rest is for stacks, kernel buffers and the C library
 	gcPercent    = 50       // by which the heap grows between collections
-	minHeapBytes = 16 << 20 // below it the collector would take most of the processor
+	minHeapBytes = 16 << 20 // a lower limit would make the collector run all the time
 )
 
 // LimitMemory keeps the heap well below bytes, the memory that the process may use. 0 means no limit.
--- a/internal/dataplane/controlplane.go
+++ b/internal/dataplane/controlplane.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// retryRule says after which failures a call to the leader may be made again.
+// retryRule is after which failures a call to the leader may be made again.
 type retryRule int
 
 const (
