--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -107,9 +107,9 @@
 	n.wake()
 }
 
-// sendCheck returns the check that rpc runs immediately before each write of a call's bytes. It fails if the role's lease
-// is over or the window for the call's starts has passed. Then nothing more is written, and the call counts as unsent if
-// no byte of it was written before.
+// sendCheck returns the check that rpc runs immediately before each write of a call's bytes. It fails if the role's
+// lease is over or the window for the call's starts has passed. Then nothing more is written, and the call counts as
+// unsent if no byte of it was written before.
 func (n *Node) sendCheck(c scheduler.OutgoingCall) func() error {
 	return func() error {
 		now := n.opt.Clock.Now()
