--- a/internal/testbed/policysim/checklinearizability_test.go
+++ b/internal/testbed/policysim/checklinearizability_test.go
@@ -10,11 +10,13 @@
 )
 
 func TestLinearizability(t *testing.T) {
-	at := func(from, to int, a operationKind, digest string, ans answerKind, p state.JobPhase) *operation {
-		return &operation{"k", a, digest, time.Duration(from), time.Duration(to), ans, p}
+	at := func(from, to int, kind operationKind, digest string, answer answerKind, phase state.JobPhase) *operation {
+		return &operation{"k", kind, digest, time.Duration(from), time.Duration(to), answer, phase}
 	}
 	fresh := at(1, 2, opSubmit, "a", answerFresh, state.JobAccepted)
-	poll := func(from int, p state.JobPhase) *operation { return at(from, from+1, opPoll, "", answerPhase, p) }
+	poll := func(from int, phase state.JobPhase) *operation {
+		return at(from, from+1, opPoll, "", answerPhase, phase)
+	}
 	lost := at(3, 0, opCancel, "", "", "")
 	for _, c := range []struct {
 		name         string
--- a/internal/testbed/policysim/checkprogress_test.go
+++ b/internal/testbed/policysim/checkprogress_test.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/state"
 )
 
-// checkPassedOverFor runs the check alone, every quarter of a second.
+// checkPassedOverFor advances the virtual time by d and runs only checkPassedOver, every 250 ms.
 func (ic *invariantChecker) checkPassedOverFor(d time.Duration) {
 	for end := ic.sim.now + d; ic.sim.now < end; ic.sim.now += 250 * time.Millisecond {
 		ic.checkPassedOver()
--- a/internal/testbed/policysim/clients_test.go
+++ b/internal/testbed/policysim/clients_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestOpenJobsAreBounded(t *testing.T) {
-	Convey("Clients hand in no more jobs than the fleet works off in the quiet tail", t, func() {
+	Convey("Clients have no more jobs open than the fleet can finish in the quiet tail", t, func() {
 		s := newSim(Options{Seed: 9, Faults: []string{}})
 		most := s.clients.maxOpen()
 		So(most, ShouldEqual, 15*jobsPerCore) // the workers of this seed have 15 cores
-		Convey("also counting those that they gave up and that the store has still", func() {
+		Convey("counting jobs that they abandoned and that are still open in the store", func() {
 			for range most {
 				j := &clientJob{spec: s.clients.randomSpec(), abandoned: true}
 				s.clients.jobs = append(s.clients.jobs, j)
@@ -21,7 +21,7 @@
 			}
 			s.clients.submitJobs()
 			So(s.clients.jobs, ShouldHaveLength, most)
-			Convey("until the store has worked one off", func() {
+			Convey("until one of these ends", func() {
 				s.checker.reference.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
 				s.clients.submitJobs()
 				So(s.clients.jobs, ShouldHaveLength, most+1)
--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -9,10 +9,10 @@
 
 const guardSeeds = 4
 
-// Each guard that Options.WithoutGuard takes out is missed within a few seeds, under the faults that it is there for; with the
-// guard the same seeds hold.
+// TestGuards shows that each guard is needed: without it an invariant breaks within a few seeds, under the faults that
+// it protects against. With the guard no invariant breaks in the same seeds.
 func TestGuards(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		guard, promise string
 		faults         []string
 		length         time.Duration
@@ -24,16 +24,16 @@
 		{"learner", "same log", []string{"rejoin"}, 12 * time.Second},
 		{"epoch", "decided in office", []string{"staleplan"}, 14 * time.Second},
 	} {
-		Convey("Without its guard "+c.guard+" the invariant "+c.promise+" breaks", t, func() {
-			opt := Options{FaultPeriod: c.length, Faults: c.faults}
-			So(Summarize(RunSeeds(opt, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
-			opt.WithoutGuard = c.guard
-			sum := Summarize(RunSeeds(opt, 1, guardSeeds, 2, 0), nil)
+		Convey("Without the guard "+test.guard+", the invariant "+test.promise+" breaks", t, func() {
+			options := Options{FaultPeriod: test.length, Faults: test.faults}
+			So(Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
+			options.WithoutGuard = test.guard
+			sum := Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil)
 			var broken []string
 			for _, r := range sum.Breaches {
 				broken = append(broken, r.Breach.Promise)
 			}
-			So(broken, ShouldContain, c.promise)
+			So(broken, ShouldContain, test.promise)
 		})
 	}
 }
--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -12,15 +12,17 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// A history is what happened in a run, line by line. A change that keeps behavior keeps each of them to the byte; a change
-// of the scheduler's decisions writes the file anew and says so in its commit.
+// A history is what happened in a run, line by line. A change that keeps behavior keeps each of them to the byte; a
+// change of the scheduler's decisions writes the file anew and says so in its commit.
 func TestHistories(t *testing.T) {
 	Convey("Fixed seeds have the histories that are kept", t, func() {
 		var lines strings.Builder
 		for seed := uint64(101); seed <= 108; seed++ {
 			digest := sha256.New()
 			report := Run(Options{Seed: seed, FaultPeriod: 20 * time.Second, Parties: seed%2 == 0, Trace: digest})
-			fmt.Fprintf(&lines, "seed %d: %d events, %d cases of once at a time, %d starts under faults, %x\n", seed, report.Events, report.Promise["once at a time"], report.Counts["starts under faults"], digest.Sum(nil))
+			fmt.Fprintf(&lines, "seed %d: %d events, %d cases of once at a time, %d starts under faults, %x\n",
+				seed, report.Events, report.Promise["once at a time"], report.Counts["starts under faults"],
+				digest.Sum(nil))
 		}
 		golden.Compare(t, "histories", lines.String())
 	})
--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// runUnbroken runs seeds two at a time, wants no invariant broken in any, and returns what they showed together.
-func runUnbroken(t *testing.T, opt Options, first, last uint64) Summary {
+// runUnbroken runs seeds two at a time, checks that no invariant breaks in any, and returns their summary.
+func runUnbroken(t *testing.T, options Options, first, last uint64) Summary {
 	t.Helper()
-	sum := Summarize(RunSeeds(opt, first, last, 2, 0), nil)
+	sum := Summarize(RunSeeds(options, first, last, 2, 0), nil)
 	for _, r := range sum.Breaches {
 		t.Errorf("seed %d breaks %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
 	}
@@ -29,17 +29,18 @@
 
 func TestTraceIsDeterministic(t *testing.T) {
 	Convey("The same seed has the same trace, byte for byte", t, func() {
-		var a, b bytes.Buffer
-		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &a})
-		again := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &b})
-		So(a.Len(), ShouldBeGreaterThan, 10000)
-		So(bytes.Equal(a.Bytes(), b.Bytes()), ShouldBeTrue)
+		var firstTrace, secondTrace bytes.Buffer
+		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &firstTrace})
+		again := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &secondTrace})
+		So(firstTrace.Len(), ShouldBeGreaterThan, 10000)
+		So(bytes.Equal(firstTrace.Bytes(), secondTrace.Bytes()), ShouldBeTrue)
 		So(again.TraceHash, ShouldEqual, first.TraceHash)
 		So(Run(Options{Seed: 5, FaultPeriod: 10 * time.Second}).TraceHash, ShouldNotEqual, first.TraceHash)
 	})
 }
 
-// Minutes reach what seconds do not: leases that are lost for longer than they last, long queues, jobs of many attempts.
+// Minutes reach what seconds do not: leases that are lost for longer than they last, long queues, jobs of many
+// attempts.
 func TestMinutes(t *testing.T) {
 	Convey("No invariant breaks in a few seeds of five minutes with all faults", t, func() {
 		sum := runUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
