--- a/internal/testbed/policysim/billingscenario.go
+++ b/internal/testbed/policysim/billingscenario.go
@@ -23,10 +23,10 @@
 	freeTeam       = "t"
 )
 
-// partyOf is who pays for a team.
+// partyOf maps a team to the party that pays for it.
 var partyOf = map[string]string{limitedTeam: limitedParty, unlimitedTeam: unlimitedParty}
 
-// What the parties pay, in units.
+// The prices of partiesBundle, in units.
 const (
 	corePrice    = 10 // a second of a core
 	paidWindow   = 5 * time.Second
@@ -41,17 +41,18 @@
 // maxLongRunning is how many long-running jobs of limitedTeam are open at most.
 const maxLongRunning = 2
 
-// lastTopUpAfter is from the begin of the quiet tail to the top-up after which the account is not exhausted any more.
+// lastTopUpAfter is the time from the start of the quiet tail to the top-up after which limitedParty's account is not
+// exhausted any more.
 const lastTopUpAfter = 22 * time.Second
 
-// billingScenario is what clients and operators do in a run with Options.Parties. billingChecker checks it. The methods
-// that a run calls in any case take a nil scenario.
+// billingScenario drives what clients and operators do about accounts in a run with Options.Parties; billingChecker
+// checks the outcome. Without Options.Parties it is nil: start, paidUpDelay, signedEvacuation and drawTeam accept that.
 type billingScenario struct {
 	sim             *sim
 	keys            map[string]signature.Key // of the operators, by name
 	ready           bool                     // parties are in force and their accounts open
-	lastNumber      int                      // in the keys of top-ups and long-running jobs
-	longRunningJobs []*clientJob
+	lastNumber      int                      // newest number used in a key of a top-up or long-running job
+	longRunningJobs []*clientJob             // those that may still be open
 }
 
 func newBillingScenario(s *sim) *billingScenario {
@@ -64,8 +65,8 @@
 	return b
 }
 
-// paidUpDelay is how long after the faults limitedParty is topped up for good: what waits for payment has its time from
-// there.
+// paidUpDelay is the time from the end of the faults to the last top-up of limitedParty. Jobs that wait for payment may
+// end that much later.
 func (b *billingScenario) paidUpDelay() time.Duration {
 	if b == nil {
 		return 0
@@ -117,7 +118,8 @@
 	}
 }
 
-// registerOperators makes the operators known to the store; a second time it is a conflict.
+// registerOperators proposes the operators' keys until the store has them. A conflict means that an attempt whose
+// answer was lost has succeeded.
 func (b *billingScenario) registerOperators(keys command.Command, done func()) {
 	c := b.sim.clients
 	c.operator.propose(keys, c.Now()+orderTimeout, func(_ json.RawMessage, err error) {
@@ -142,8 +144,8 @@
 		Sig: b.keys["ben"].Sign(signature.AccountTopUp(key, name, amount))}
 }
 
-// signedEvacuation is the commands that evacuate a zone or lift that: once there are operators they sign, and two are
-// needed to lift.
+// signedEvacuation returns the commands that evacuate a zone or lift its evacuation. Once the store has operators, one
+// of them signs an evacuation, and two sign its lifting.
 func (b *billingScenario) signedEvacuation(z command.EvacuateZone) []command.Command {
 	if b == nil {
 		return []command.Command{&z}
@@ -160,7 +162,7 @@
 	return []command.Command{&first, &second}
 }
 
-// drawTeam draws whose the next job is.
+// drawTeam draws the team of the next job.
 func (b *billingScenario) drawTeam() string {
 	if b == nil || !b.ready {
 		return freeTeam
@@ -174,8 +176,8 @@
 	return freeTeam
 }
 
-// topUpPeriodically tops limitedParty up now and then with about what it needs, so that its account is exhausted for a
-// good part of the time.
+// topUpPeriodically tops limitedParty up at random intervals with about what it needs, so that its account is exhausted
+// for much of the time.
 func (b *billingScenario) topUpPeriodically() {
 	s := b.sim
 	if s.faultsOver {
@@ -185,7 +187,7 @@
 	s.clients.after(s.between(time.Second, 9*time.Second), b.topUpPeriodically)
 }
 
-// topUpLimited tops limitedParty up; now and then the leader of the store is killed meanwhile.
+// topUpLimited tops limitedParty up. In a quarter of the cases the leader of the store is killed meanwhile.
 func (b *billingScenario) topUpLimited(amount int64) {
 	s := b.sim
 	if s.chance(0.25) {
@@ -195,14 +197,15 @@
 	s.clients.sendOrder(topUp, nil, func() { s.billingChecker.observeTopUpAnswer(topUp) })
 }
 
-// topUpLimitedTo tops limitedParty up to about so much above zero.
+// topUpLimitedTo tops limitedParty up to a balance of about amount.
 func (b *billingScenario) topUpLimitedTo(amount int64) {
 	if account := b.sim.billingChecker.account(limitedParty); account != nil {
 		b.topUpLimited(max(0, -account.Balance) + amount)
 	}
 }
 
-// killLeader ends the leader of the store after a while, and starts it again. name is that of the fault.
+// killLeader crashes the leader of the store after the delay in, and restarts it later. name is the counter in
+// Report.Faults.
 func (b *billingScenario) killLeader(name string, in time.Duration) {
 	s := b.sim
 	if s.faultsOver || !s.faults.enabled["kill"] {
@@ -223,7 +226,8 @@
 	})
 }
 
-// submitLongRunning submits long-running jobs, and cancels some after a while.
+// submitLongRunning keeps up to maxLongRunning long-running jobs open until the faults are over, and cancels half of
+// them later.
 func (b *billingScenario) submitLongRunning() {
 	s := b.sim
 	if s.faultsOver {
@@ -262,8 +266,8 @@
 	}
 }
 
-// scheduleQuietTail schedules the end, when nothing else goes wrong any more: the account of limitedParty is exhausted
-// and a long-running task loses its worker, two top-ups come that are used up, then one that is not; at last the
+// scheduleQuietTail schedules the last part of a run, without faults: the account of limitedParty is exhausted, a
+// long-running task loses its worker, two top-ups follow that are used up, then one that is not, and finally the
 // long-running jobs are cancelled.
 func (b *billingScenario) scheduleQuietTail() {
 	for _, step := range []struct {
@@ -284,7 +288,7 @@
 	}
 }
 
-// killLongRunningWorker ends the worker of a long-running task; it comes back soon.
+// killLongRunningWorker kills the worker of a long-running task, and restarts it soon after.
 func (b *billingScenario) killLongRunningWorker() {
 	s := b.sim
 	for _, r := range s.checker.running {
--- a/internal/testbed/policysim/checkbilling.go
+++ b/internal/testbed/policysim/checkbilling.go
@@ -15,42 +15,42 @@
 // BillingPromises are the invariants that a run with Options.Parties checks too.
 var BillingPromises = []string{"conserved", "paid for", "bounded below zero", "resumes in time", "attached"}
 
-// billingChecker checks the invariants of billing. It keeps accounts of its own, from the commands in the log and from
-// when handles are created and released, and compares the replicated ones with them after every entry. Whether work
-// goes on after a top-up, and long-running tasks run again, is in checkbillingprogress.go. It acts in one place: when
-// an account becomes exhausted it may let the leader be killed.
+// billingChecker checks the invariants of billing. It computes its own accounts from the commands in the log and from
+// the times at which handles are created and released, and compares the replicated accounts with them after every
+// entry. The checks that work resumes after a top-up and that long-running tasks run again are in
+// checkbillingprogress.go. It only observes, with one exception: when an account becomes exhausted it may have the
+// leader of the store killed.
 type billingChecker struct {
 	sim      *sim
 	accounts map[string]*accountModel
-	runs     map[uint64]*paidRun // that are out, by run ID
-	everRan  map[state.TaskRef]bool
-	checks   uint64 // of the accounts
+	runs     map[uint64]*paidRun    // with a handle, by run ID
+	everRan  map[state.TaskRef]bool // long-running tasks that had a run
+	checks   uint64                 // number of calls of checkAccounts
 
-	// Of the entry that is being applied, if it is a plan.
-	plan         *command.Plan
-	incarnations map[string]string // of the workers, before it
+	plan         *command.Plan     // the plan that is being applied; nil while another entry is
+	incarnations map[string]string // of the workers, before plan
 
 	pendingResume      *resumption // nil: none
 	pendingAttachments []attachment
 }
 
-// accountModel is what the checker knows of an account.
+// accountModel is an account as the checker computes it.
 type accountModel struct {
 	topUps           map[string]int64 // by key
-	spent            int64            // by runs that are over
+	spent            int64            // by runs whose handle was released
 	exhausted        bool
 	nonNegativeSince time.Time // the newest time at which the balance was not below zero
-	endedSinceBound  int64     // bound on what runs that ended since then drew
+	endedSinceBound  int64     // upper bound on the draws of runs that ended since nonNegativeSince
 }
 
-// paidRun is a run ID that is out and paid for.
+// paidRun is a run with a handle that a party pays for.
 type paidRun struct {
 	party string
 	rate  int64 // units a second
 	start time.Time
 }
 
-// newBillingChecker makes the checker, which observes the reference after the invariant checker.
+// newBillingChecker returns a checker that observes each event of the reference after the invariant checker.
 func newBillingChecker(s *sim) *billingChecker {
 	bc := &billingChecker{sim: s, accounts: map[string]*accountModel{}, runs: map[uint64]*paidRun{},
 		everRan: map[state.TaskRef]bool{}}
@@ -67,7 +67,7 @@
 	return bc
 }
 
-// account is the replicated account; nil if there is none.
+// account returns the replicated account; nil if there is none.
 func (bc *billingChecker) account(name string) *account.Account {
 	if bc.sim.checker.reference.Accounts == nil {
 		return nil
@@ -75,20 +75,20 @@
 	return bc.sim.checker.reference.Accounts.Accounts[name]
 }
 
-// storeTime is the time of the newest entry.
+// storeTime returns the time of the newest committed entry.
 func (bc *billingChecker) storeTime() time.Time { return bc.sim.checker.reference.At }
 
-// price is what a rate costs for a time, rounded up.
+// price returns the cost of a length of time at a rate in units per second, rounded up.
 func price(rate int64, length time.Duration) int64 {
 	return (rate*int64(length) + int64(time.Second) - 1) / int64(time.Second)
 }
 
-// closedWindows is the length of all windows of a run that are over at a time.
+// closedWindows returns the total length of a run's windows that are over at the time at.
 func (r *paidRun) closedWindows(at time.Time) time.Duration {
 	return at.Sub(r.start) / paidWindow * paidWindow
 }
 
-// boundSince bounds what a run drew, or has reserved, since a time.
+// boundSince returns an upper bound on what a run has drawn and reserved between since and at.
 func (r *paidRun) boundSince(since, at time.Time) int64 {
 	if since.Before(r.start) {
 		since = r.start
@@ -96,32 +96,32 @@
 	return price(r.rate, at.Sub(since)+paidWindow)
 }
 
-// sums are the sums of an account.
+// sums are the amounts of an account that must agree.
 type sums struct{ toppedUp, balance, reserved, spent int64 }
 
-// expectedSums are the sums of a party's account at a time, by the checker.
-func (bc *billingChecker) expectedSums(party string, at time.Time) (out sums) {
+// expectedSums computes the sums of a party's account at a time.
+func (bc *billingChecker) expectedSums(party string, at time.Time) (want sums) {
 	model := bc.accounts[party]
 	if model == nil {
 		return sums{}
 	}
 	for _, amount := range model.topUps {
-		out.toppedUp += amount
+		want.toppedUp += amount
 	}
-	out.spent = model.spent
+	want.spent = model.spent
 	for _, r := range bc.runs {
 		if r.party == party {
 			closed := r.closedWindows(at)
-			out.spent += price(r.rate, closed)
-			out.reserved += price(r.rate, closed+paidWindow) - price(r.rate, closed)
+			want.spent += price(r.rate, closed)
+			want.reserved += price(r.rate, closed+paidWindow) - price(r.rate, closed)
 		}
 	}
-	out.balance = out.toppedUp - out.reserved - out.spent
-	return out
+	want.balance = want.toppedUp - want.reserved - want.spent
+	return want
 }
 
-// apply applies an entry to the reference by calling apply, and checks the accounts after it. On a nil checker it only
-// applies.
+// apply applies an entry to the reference by calling apply, and checks the accounts after it. A nil checker only calls
+// apply.
 func (bc *billingChecker) apply(data []byte, apply func()) {
 	if bc == nil {
 		apply()
@@ -147,7 +147,7 @@
 	bc.checkAccounts()
 }
 
-// observePlan keeps a plan, and what it changes, while it is being applied.
+// observePlan records a plan, and the workers' incarnations before it, for the checks while it is applied.
 func (bc *billingChecker) observePlan(body []byte) {
 	bc.plan = &command.Plan{}
 	must(json.Unmarshal(body, bc.plan))
@@ -179,8 +179,8 @@
 	s.trace("account %s is topped up with %d by %s", topUp.Account, topUp.Amount, topUp.Key)
 }
 
-// checkCreated checks that the balance covers a run ID that was given (invariant: paid for). That of a long-running
-// task that ran before need not be covered.
+// checkCreated checks that the balance covers the run of a new handle (invariant: paid for). The restart of a
+// long-running task need not be covered.
 func (bc *billingChecker) checkCreated(h *state.Handle) {
 	s := bc.sim
 	j, _ := s.checker.reference.TaskOf(h.Ref)
@@ -204,7 +204,7 @@
 	bc.runs[h.RunID] = &paidRun{party, rate, bc.storeTime()}
 }
 
-// observeReleased takes in that a handle is released: its time is spent, or only its closed windows if it was lost.
+// observeReleased adds the time of a released run to what is spent, or only its closed windows if the run was lost.
 func (bc *billingChecker) observeReleased(h *state.Handle) {
 	r := bc.runs[h.RunID]
 	if r == nil {
@@ -220,8 +220,8 @@
 	model.endedSinceBound += r.boundSince(model.nonNegativeSince, bc.storeTime())
 }
 
-// isLost tells whether the plan being applied releases a handle without an end, and not because the scheduler stopped
-// it.
+// isLost reports whether the plan being applied releases a handle without a reported end, other than that of a run that
+// was stopped as ordered.
 func (bc *billingChecker) isLost(h *state.Handle) bool {
 	if slices.ContainsFunc(bc.plan.Ends, func(e command.End) bool { return e.RunID == h.RunID }) {
 		return false
@@ -261,7 +261,8 @@
 	}
 }
 
-// checkBound compares a balance below zero with what was out since it was not (invariant: bounded below zero).
+// checkBound checks that a balance is no further below zero than the runs could have drawn since it was last at zero or
+// above (invariant: bounded below zero).
 func (bc *billingChecker) checkBound(name string, balance int64) {
 	model := bc.accounts[name]
 	if balance >= 0 {
@@ -281,8 +282,8 @@
 	}
 }
 
-// observeExhaustion counts the periods in which an account is exhausted; at the draw that begins one the leader of the
-// store may be killed.
+// observeExhaustion counts the periods in which an account is exhausted. At the start of one of limitedParty's the
+// leader of the store may be killed.
 func (bc *billingChecker) observeExhaustion(name string, balance int64) {
 	s, model := bc.sim, bc.accounts[name]
 	exhausted := balance < price(corePrice, paidWindow)
--- a/internal/testbed/policysim/checkbillingprogress.go
+++ b/internal/testbed/policysim/checkbillingprogress.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// resumeTimeout is from the acknowledgement of a top-up until work goes on, once the faults are over.
+	// resumeTimeout bounds the time from the acknowledgement of a top-up to the next start, once the faults are over.
 	resumeTimeout = time.Second
-	// reattachTimeout is from the loss of a long-running task's worker until it runs again, once the faults are over.
+	// reattachTimeout bounds the time from the loss of a long-running task's worker to its next start, once the faults
+	// are over.
 	reattachTimeout = 10 * time.Second
 )
 
-// resumption is a top-up after which work must go on that waited for it.
+// resumption is a top-up for which tasks waited: one of them must start soon after it.
 type resumption struct {
 	key            string // of the top-up
 	team           string
-	runID          uint64        // the newest before the top-up
-	acknowledgedAt time.Duration // to the operator; 0: not yet
-	startedAt      time.Duration // of the first run after it; 0: not yet
+	runID          uint64        // the newest run ID before the top-up
+	acknowledgedAt time.Duration // when the operator had the answer; 0: not yet
+	startedAt      time.Duration // when the first run after it started; 0: not yet
 }
 
 // attachment is a long-running task that lost its worker and must run again.
 type attachment struct {
 	ref       state.TaskRef
-	runID     uint64 // that was lost
-	since     time.Duration
-	exhausted bool // the account could not pay for it then
+	runID     uint64        // of the lost run
+	since     time.Duration // when its worker was killed
+	exhausted bool          // the balance did not cover a start at that time
 }
 
-// checkDeadlines checks what must happen in time, every 100 ms.
+// checkDeadlines checks the pending resumption and attachments, every 100 ms.
 func (bc *billingChecker) checkDeadlines() {
 	bc.sim.schedule(100*time.Millisecond, bc.checkDeadlines)
 	bc.checkResume()
 	bc.checkAttached()
 }
 
-// applyTopUp applies a top-up by calling apply. If work waited for just that, it must go on.
+// applyTopUp applies a top-up by calling apply, and expects a start if a task waited for it.
 func (bc *billingChecker) applyTopUp(body []byte, apply func()) {
 	var topUp command.AccountTopUp
 	must(json.Unmarshal(body, &topUp))
@@ -52,7 +53,7 @@
 	}
 }
 
-// observeTopUpAnswer takes in that the operator has the acknowledgement of a top-up.
+// observeTopUpAnswer records when the operator got the acknowledgement of a top-up.
 func (bc *billingChecker) observeTopUpAnswer(topUp *command.AccountTopUp) {
 	if r := bc.pendingResume; r != nil && r.key == topUp.Key {
 		r.acknowledgedAt = bc.sim.now
@@ -60,7 +61,7 @@
 	}
 }
 
-// observeStart takes in that a worker starts a run (invariant: attached). A nil checker does nothing.
+// observeStart records that a worker starts a run (invariant: attached). A nil checker does nothing.
 func (bc *billingChecker) observeStart(ref state.TaskRef, runID uint64) {
 	if bc == nil {
 		return
@@ -85,13 +86,13 @@
 	})
 }
 
-// isCalm tells whether a moment is so long after the faults that work must go on in time.
+// isCalm reports whether a moment is so long after the faults that the timeouts apply.
 func (bc *billingChecker) isCalm(at time.Duration) bool {
 	return at > bc.sim.options.FaultPeriod+recoveryTime
 }
 
 // finishResume checks the time of a resumption (invariant: resumes in time), once both the acknowledgement and the
-// start are known. They come in any order.
+// start are known. They arrive in any order.
 func (bc *billingChecker) finishResume() {
 	s, r := bc.sim, bc.pendingResume
 	if r.acknowledgedAt == 0 || r.startedAt == 0 {
@@ -110,13 +111,13 @@
 	bc.pendingResume = nil
 }
 
-// checkResume checks for work that does not go on after a top-up (invariant: resumes in time).
+// checkResume checks that a start follows a top-up for which tasks waited (invariant: resumes in time).
 func (bc *billingChecker) checkResume() {
 	s, r := bc.sim, bc.pendingResume
 	if r == nil || r.acknowledgedAt == 0 || s.now-r.acknowledgedAt <= resumeTimeout {
 		return
 	}
-	if !bc.hasWaitingTask(r.team, true) { // it was cancelled, or others took the capacity
+	if !bc.hasWaitingTask(r.team, true) { // the task was cancelled, or others took the capacity
 		bc.pendingResume = nil
 		return
 	}
@@ -126,7 +127,7 @@
 	}
 }
 
-// expectAttachment lets a long-running task, whose worker is lost now, be one that must run again.
+// expectAttachment records a long-running task that loses its worker now and must run again.
 func (bc *billingChecker) expectAttachment(lost *workerRun) {
 	cost := int64(corePrice * 5)
 	bc.pendingAttachments = append(bc.pendingAttachments,
@@ -134,7 +135,7 @@
 			exhausted: !bc.sim.checker.reference.Accounts.Covers(limitedParty, cost)})
 }
 
-// checkAttached checks for long-running tasks that were lost and do not run again (invariant: attached).
+// checkAttached checks that long-running tasks which lost their worker run again in time (invariant: attached).
 func (bc *billingChecker) checkAttached() {
 	s := bc.sim
 	bc.pendingAttachments = slices.DeleteFunc(bc.pendingAttachments, func(a attachment) bool {
@@ -149,8 +150,8 @@
 	})
 }
 
-// hasWaitingTask tells whether a due task of a team that a party pays for has capacity on a worker, and is payable or
-// not.
+// hasWaitingTask reports whether some worker has capacity for a due task of the team that a party pays for and whose
+// isPayable is payable.
 func (bc *billingChecker) hasWaitingTask(team string, payable bool) bool {
 	ic := bc.sim.checker
 	for _, key := range ic.runningJobs() {
@@ -167,8 +168,8 @@
 	return false
 }
 
-// isPayable tells whether a due task needs no top-up: nobody pays for it, or the balance covers it and no older task of
-// the party waits for that balance. For a nil checker every task is payable.
+// isPayable reports whether a due task needs no top-up: nobody pays for it, or the balance covers it and no older task
+// of the party waits for that balance. For a nil checker every task is payable.
 func (bc *billingChecker) isPayable(j *state.Job, ref state.TaskRef) bool {
 	if bc == nil {
 		return true
@@ -190,7 +191,7 @@
 	return true
 }
 
-// dueTogether is how many due tasks of a step start together.
+// dueTogether returns how many due tasks of a step start together: of a gang all, else one.
 func dueTogether(j *state.Job, step int) int64 {
 	if !j.Spec.Steps[step].Gang {
 		return 1
@@ -204,7 +205,7 @@
 	return due
 }
 
-// hasUncoveredTask tells whether a job of the party has a due task that the balance does not cover.
+// hasUncoveredTask reports whether a job of the party has a due task that the balance does not cover.
 func (bc *billingChecker) hasUncoveredTask(j *state.Job, party string) bool {
 	ic := bc.sim.checker
 	if ic.reference.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) != party {
--- a/internal/testbed/policysim/checklinearizability.go
+++ b/internal/testbed/policysim/checklinearizability.go
@@ -22,7 +22,8 @@
 	opCancel operationKind = "cancel"
 )
 
-// answerKind is what a client was answered; "" is no certain answer. The words are part of the keys of Report.Counts.
+// answerKind classifies the answer that a client got; "": no certain answer. The strings are part of the keys of
+// Report.Counts.
 type answerKind string
 
 const (
@@ -45,12 +46,12 @@
 	phase      state.JobPhase // in the answers fresh, same and phase
 }
 
-// String describes the call and its answer for a report.
+// String returns the call and its answer, for a report.
 func (op *operation) String() string {
 	return fmt.Sprintf("%v..%v %s %s: %s %s", op.calledAt, op.answeredAt, op.kind, op.digest, op.answer, op.phase)
 }
 
-// complete records the answer to a submit or a cancel. A failure that leaves open what the store decided is no certain
+// complete records the answer to a submit or a cancel. A failure after which the outcome is unknown is no certain
 // answer.
 func (op *operation) complete(at time.Duration, answer any, err error) {
 	raw, _ := answer.(json.RawMessage)
@@ -81,8 +82,8 @@
 	op.answeredAt, op.answer, op.phase = at, answer, phase
 }
 
-// clientHistory is what clients asked and were answered, in the order of the calls. It draws no random number and makes
-// no event.
+// clientHistory records the clients' calls and their answers, in the order of the calls. It draws no random number and
+// schedules no event.
 type clientHistory struct{ operations []*operation }
 
 // called records a call; it has no certain answer until complete or observe is called.
@@ -92,7 +93,7 @@
 	return op
 }
 
-// check checks at the end of a run whether the answers are linearizable by the model (invariant: linear).
+// check checks, at the end of a run, that the answers are linearizable by model (invariant: linear).
 func (h *clientHistory) check(s *sim) {
 	for _, op := range h.operations {
 		if op.answer == "" {
@@ -108,7 +109,7 @@
 	}
 }
 
-// firstNonlinearizable is the first key whose operations no order of single steps explains; "" if there is none.
+// firstNonlinearizable returns the first key whose operations are not linearizable; "" if there is none.
 // Example:
 //
 //	key := firstNonlinearizable(operations, time.Minute) // in the order of their calls, all before the minute
@@ -117,7 +118,7 @@
 	if porcupine.CheckOperations(model, history) {
 		return ""
 	}
-	for _, part := range model.Partition(history) { // one by one, so that the same key is named every time
+	for _, part := range model.Partition(history) { // in order, so that the same key is reported every time
 		if !porcupine.CheckOperations(model, part) {
 			return part[0].Input.(*operation).key
 		}
@@ -125,15 +126,15 @@
 	return ""
 }
 
-// porcupineHistory makes the checker's operations, which end at end at the latest. A call may reach the store more than
-// once (data-plane nodes retry, the network duplicates) and late, so each submit and cancel also counts as one without
-// an answer, from its call to the end. Of those that are equal the earliest is enough, as a second one changes nothing.
+// porcupineHistory converts operations for the checker; all of them end at end at the latest. A call may reach the
+// store more than once (data-plane nodes retry, the network duplicates) and late, so for each submit and cancel it adds
+// one without an answer, from the call to the end. Of equal ones the earliest is enough, as they are idempotent.
 func porcupineHistory(operations []*operation, end time.Duration) (history []porcupine.Operation) {
 	type effect struct {
 		key, digest string
 		kind        operationKind
 	}
-	repeatable := map[effect]bool{}
+	added := map[effect]bool{}
 	add := func(op *operation, answeredAt time.Duration) {
 		history = append(history, porcupine.Operation{Input: op, Call: int64(op.calledAt),
 			Output: op, Return: int64(answeredAt)})
@@ -143,8 +144,8 @@
 			add(op, op.answeredAt)
 		}
 		e := effect{op.key, op.digest, op.kind}
-		if op.kind != opPoll && !repeatable[e] {
-			repeatable[e] = true
+		if op.kind != opPoll && !added[e] {
+			added[e] = true
 			add(&operation{key: op.key, kind: op.kind, digest: op.digest, calledAt: op.calledAt}, end)
 		}
 	}
--- a/internal/testbed/policysim/checklog.go
+++ b/internal/testbed/policysim/checklog.go
@@ -12,21 +12,21 @@
 	"crosstide/internal/state/command"
 )
 
-// committedLog is the log of the store as the control-plane nodes show it. An entry belongs to it from the first node
-// on that shows it as committed.
+// committedLog is the log of the store. An entry belongs to it once any control-plane node shows it as committed.
 type committedLog struct {
 	entries  []entryDigest            // from index 2 on: the first one is the bootstrap's
 	observed map[*controlPlane]uint64 // index up to which a node's committed entries were compared
-	members  []raft.Member            // by the newest entry that changes them
+	members  []raft.Member            // of the newest entry that changes them
 }
 
+// entryDigest identifies an entry: two nodes have the same one at an index if the digests are equal.
 type entryDigest struct {
 	term uint64
-	sum  uint64
+	sum  uint64 // xxhash64 of its data
 }
 
-// observeCommits compares what a control-plane node shows as committed with what all others showed. It must run before
-// the node compacts its log.
+// observeCommits compares the newly committed entries of a control-plane node with those of all others. It must run
+// before the node compacts its log.
 func (ic *invariantChecker) observeCommits(c *controlPlane) {
 	core := c.driver.Core()
 	if core == nil {
@@ -39,11 +39,11 @@
 			ic.observed[c] = commit
 			return
 		}
-		es, err := core.Entries(from, 1<<20)
-		if err != nil || len(es) == 0 {
+		entries, err := core.Entries(from, 1<<20)
+		if err != nil || len(entries) == 0 {
 			return
 		}
-		for _, e := range es {
+		for _, e := range entries {
 			ic.observeEntry(c, e)
 			ic.observed[c] = e.Index
 		}
@@ -53,10 +53,10 @@
 // observeEntry checks one committed entry (invariants: same log, durable) and applies a new one to the reference.
 func (ic *invariantChecker) observeEntry(c *controlPlane, e raft.Entry) {
 	s := ic.sim
-	r := entryDigest{e.Term, xxhash.Sum64(e.Data)}
+	digest := entryDigest{e.Term, xxhash.Sum64(e.Data)}
 	if at := int(e.Index) - 2; at < len(ic.entries) {
 		s.countCase("same log")
-		if ic.entries[at] != r {
+		if ic.entries[at] != digest {
 			s.reportBreach("same log", "entry %d at %s is of term %d, elsewhere of %d", e.Index, c.addr, e.Term,
 				ic.entries[at].term)
 		}
@@ -65,40 +65,40 @@
 		s.reportBreach("same log", "%s shows entry %d as committed, %d is unknown", c.addr, e.Index, len(ic.entries)+2)
 		return
 	}
-	ic.entries = append(ic.entries, r)
+	ic.entries = append(ic.entries, digest)
 	s.countCase("durable")
 	if !ic.isDurable(e.Index, e.Term) {
 		s.reportBreach("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks",
 			c.addr, e.Index, e.Term)
 	}
 	if e.Kind == raft.Members {
-		ms, err := raft.DecodeMembers(e)
+		members, err := raft.DecodeMembers(e)
 		must(err)
-		ic.members = ms
+		ic.members = members
 		s.report.Counts["member changes"]++
-		s.trace("members: %v", memberIDs(ms))
+		s.trace("members: %v", memberIDs(members))
 	}
 	data := e.Data
 	if e.Kind != raft.Normal {
 		data = nil
 	}
 	s.billingChecker.apply(data, func() {
-		_, _ = command.Apply(ic.reference, e.Index, e.Term, data) // its fault is an outcome
+		_, _ = command.Apply(ic.reference, e.Index, e.Term, data) // an error is an outcome, equal on every node
 	})
 }
 
-func memberIDs(ms []raft.Member) (out []string) {
-	for _, m := range ms {
+func memberIDs(members []raft.Member) (ids []string) {
+	for _, m := range members {
 		id := m.ID
 		if m.Learner {
 			id += "(learner)"
 		}
-		out = append(out, id)
+		ids = append(ids, id)
 	}
-	return out
+	return ids
 }
 
-// isVoter tells whether a wiped control-plane node is a voter again.
+// isVoter reports whether a wiped control-plane node is a voter again.
 func (ic *invariantChecker) isVoter(c *controlPlane) bool {
 	if !c.alive || c.driver == nil || c.driver.Core() == nil {
 		return false
@@ -107,8 +107,8 @@
 	return slices.ContainsFunc(ic.members, func(m raft.Member) bool { return m.ID == id && !m.Learner })
 }
 
-// isDurable tells whether a majority of some member set in force has an entry on its disks. A wiped disk counts as it
-// was: the entry may have been acknowledged before.
+// isDurable reports whether an entry is on the disks of a majority of a member set that some node has in force. A wiped
+// disk counts with what it had: the entry may have been acknowledged before the wipe.
 func (ic *invariantChecker) isDurable(index, term uint64) bool {
 	have := map[string]bool{}
 	sets := [][]raft.Member{ic.members}
@@ -126,7 +126,7 @@
 	return slices.ContainsFunc(sets, func(members []raft.Member) bool { return isMajority(members, have) })
 }
 
-// isMajority tells whether a majority of the voters among members is in a set.
+// isMajority reports whether a majority of the voters among members is in the set in.
 func isMajority(members []raft.Member, in map[string]bool) bool {
 	voters, count := 0, 0
 	for _, member := range members {
--- a/internal/testbed/policysim/checkprogress.go
+++ b/internal/testbed/policysim/checkprogress.go
@@ -8,25 +8,26 @@
 	"crosstide/internal/state"
 )
 
-// endTimeout is how long after the faults everything must have ended: the longest lease, then retries and long runs.
+// endTimeout bounds the time from the end of the faults until every job has ended: the longest lease, then retries and
+// long runs.
 const endTimeout = 150 * time.Second
 
 const (
-	idleTimeout      = 3 * time.Second
+	idleTimeout      = 3 * time.Second  // for which a due task may wait beside free capacity
 	recoveryTime     = 30 * time.Second // from the end of faults until a due task must not be idle any more
 	startTimeout     = 20 * time.Second // the longest run, and then the oldest due task must have got its run ID
 	gangStartTimeout = 45 * time.Second // the same for a gang, which needs capacity on several workers at one moment
 )
 
-// dueTasks is since when tasks wait, by the log of the store.
+// dueTasks records since when tasks wait, by the committed entries.
 type dueTasks struct {
-	dueAt       map[state.TaskRef]time.Duration // when a task may start, be it in the future
-	idleSince   map[state.TaskRef]time.Duration // since when a task that is due could run at once on some worker
-	oldestTask  state.TaskRef                   // the oldest due task that the workers could run, were they empty
-	oldestSince time.Duration                   // since when it is the oldest; 0: there is none, or the fleet is down
+	dueAt       map[state.TaskRef]time.Duration // when a task may start, also in the future
+	idleSince   map[state.TaskRef]time.Duration // since when a due task could start at once on some worker
+	oldestTask  state.TaskRef                   // the oldest due task that would fit if the workers were empty
+	oldestSince time.Duration                   // since when it is the oldest; 0: there is none, or !isServing
 }
 
-// checkWaiting checks the tasks that wait, once the faults are over, every 250 ms.
+// checkWaiting checks the waiting tasks every 250 ms, once the faults are over.
 func (ic *invariantChecker) checkWaiting() {
 	s := ic.sim
 	s.schedule(250*time.Millisecond, ic.checkWaiting)
@@ -65,10 +66,9 @@
 	}
 }
 
-// checkPassedOver checks that the oldest due task that the workers could run, were they empty, starts in time
-// (invariant: not passed over): younger ones that need less may go before it only for a while. The time counts while
-// the fleet can start anything at all: a process that a fault ended may be down for up to recoveryTime after the
-// faults.
+// checkPassedOver checks that the oldest due task that would fit if the workers were empty starts in time (invariant:
+// not passed over): younger ones that need less may start before it only for a while. The time counts only while the
+// fleet can start anything at all, as a process that a fault ended may be down for up to recoveryTime after the faults.
 func (ic *invariantChecker) checkPassedOver() {
 	s := ic.sim
 	ref, found := ic.oldestPlaceable()
@@ -89,7 +89,7 @@
 	}
 }
 
-// isServing tells whether a majority of the store's voters and a data-plane node are up.
+// isServing reports whether a majority of the store's voters and a data-plane node are up.
 func (ic *invariantChecker) isServing() bool {
 	up := map[string]bool{}
 	for _, c := range ic.sim.controlPlanes {
@@ -101,7 +101,7 @@
 		slices.ContainsFunc(ic.sim.dataPlanes, func(d *dataPlane) bool { return d.alive && !d.frozen })
 }
 
-// oldestPlaceable is the oldest due task that the workers could run, were they empty.
+// oldestPlaceable returns the oldest due task that would fit if the workers were empty.
 func (ic *invariantChecker) oldestPlaceable() (first state.TaskRef, found bool) {
 	var seq uint64
 	for _, key := range ic.runningJobs() {
@@ -116,7 +116,7 @@
 	return first, found
 }
 
-// firstPlaceable is the first due task of a job that the workers could run, were they empty.
+// firstPlaceable returns the first due task of a job that would fit if the workers were empty.
 func (ic *invariantChecker) firstPlaceable(j *state.Job) (state.TaskRef, bool) {
 	for ref := range tasksOf(j) {
 		isDue := j.Tasks[ref.Step][ref.Task].Phase == state.TaskDue && ic.sim.now >= ic.dueAt[ref]
@@ -127,7 +127,8 @@
 	return state.TaskRef{}, false
 }
 
-// fitsEmptyFleet tells whether the workers could run what of a step starts together, were they empty.
+// fitsEmptyFleet reports whether the tasks of a step that start together, all of a gang or else one, would fit if the
+// workers were empty.
 func (ic *invariantChecker) fitsEmptyFleet(j *state.Job, at int) bool {
 	step := &j.Spec.Steps[at]
 	need, have := 1, 0
@@ -142,7 +143,7 @@
 	return have >= need
 }
 
-// tasksOf are the tasks of a job, in order.
+// tasksOf returns the tasks of a job, in order.
 func tasksOf(j *state.Job) iter.Seq[state.TaskRef] {
 	return func(yield func(state.TaskRef) bool) {
 		for step := range j.Tasks {
@@ -155,24 +156,25 @@
 	}
 }
 
-// runningJobs are the keys of the running jobs, in order.
+// runningJobs returns the keys of the running jobs, in order.
 func (ic *invariantChecker) runningJobs() []string {
-	var out []string
+	var keys []string
 	for key, j := range ic.reference.Jobs {
 		if j.Phase == state.JobRunning {
-			out = append(out, key)
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-// isStartable tells whether a task is due, paid for, and a worker has capacity for it now.
+// isStartable reports whether a task is due and payable, and a worker has capacity for it now.
 func (ic *invariantChecker) isStartable(j *state.Job, ref state.TaskRef) bool {
 	return ic.fitsNow(j, ref) && ic.sim.billingChecker.isPayable(j, ref)
 }
 
-// fitsNow tells whether a task is due and a worker has capacity for it now. A gang's never does: it needs several.
+// fitsNow reports whether a task is due and a worker has capacity for it now. It is false for a gang's task, which
+// needs the other members placed too.
 func (ic *invariantChecker) fitsNow(j *state.Job, ref state.TaskRef) bool {
 	step := &j.Spec.Steps[ref.Step]
 	if j.Tasks[ref.Step][ref.Task].Phase != state.TaskDue || step.Gang || ic.sim.now < ic.dueAt[ref] {
@@ -184,7 +186,8 @@
 	})
 }
 
-// usableWorkers are the workers that are up and get starts: unhealthy ones, which fail what they run, do not.
+// usableWorkers returns the workers that must be used for starts: those that are up, not draining and not ejected as
+// unhealthy by the scheduler.
 func (ic *invariantChecker) usableWorkers() []*worker {
 	var unhealthy []string
 	for _, d := range ic.sim.dataPlanes {
@@ -192,25 +195,25 @@
 			unhealthy = d.scheduler.UnhealthyWorkers()
 		}
 	}
-	var out []*worker
+	var usable []*worker
 	for _, w := range ic.sim.workers {
 		if ic.reference.Workers[w.addr] != nil && w.alive && !w.frozen && !w.draining &&
 			!slices.Contains(unhealthy, w.addr) {
-			out = append(out, w)
+			usable = append(usable, w)
 		}
 	}
-	return out
+	return usable
 }
 
-// checkEnd checks what must hold at the end of a run (invariant: all ends).
+// checkEnd checks, at the end of a run, that every job has ended (invariant: all ends) and all states are the same.
 func (ic *invariantChecker) checkEnd() {
 	s := ic.sim
 	s.countCase("all ends")
 	for _, j := range s.clients.jobs {
 		if !j.abandoned && j.outcome == "" {
 			phase := state.JobPhase("unknown")
-			if k := ic.reference.Jobs[j.spec.Key]; k != nil {
-				phase = k.Phase
+			if known := ic.reference.Jobs[j.spec.Key]; known != nil {
+				phase = known.Phase
 			}
 			s.reportBreach("all ends", "%s, sent at %v, accepted at %v, has not ended; the log has it as %q",
 				j.spec.Key, j.sentAt, j.acceptedAt, phase)
--- a/internal/testbed/policysim/checkrole.go
+++ b/internal/testbed/policysim/checkrole.go
@@ -5,11 +5,12 @@
 	"crosstide/internal/state/command"
 )
 
-// newestEpoch is the last epoch of the scheduler role that was granted at or before an index of the log.
+// newestEpoch returns the newest epoch of the scheduler role granted at or before an index of the log; 0 before the
+// first.
 func (ic *invariantChecker) newestEpoch(index uint64) (epoch uint64) {
-	for _, g := range ic.grants {
-		if g <= index {
-			epoch = g
+	for _, granted := range ic.grants {
+		if granted <= index {
+			epoch = granted
 		}
 	}
 	return epoch
@@ -24,9 +25,9 @@
 	}
 }
 
-// observePlanMade checks the replica of a role holder that makes a plan (invariant: rebuilt). Ends and proofs of death
-// are judged by the handles too, so no plan may come from a replica that has not reached the grant; only plans with
-// starts are counted.
+// observePlanMade checks the replica of a role holder that makes a plan (invariant: rebuilt). No plan may come from a
+// replica that has not reached the grant, as ends and proofs are decided by its handles too; only plans with starts are
+// counted as cases.
 func (ic *invariantChecker) observePlanMade(d *dataPlane, p *command.Plan) {
 	if d.state().Index < p.Epoch {
 		ic.sim.reportBreach("rebuilt", "%s makes a plan of %d starts under epoch %d with its replica at %d", d.addr,
@@ -36,17 +37,17 @@
 		return
 	}
 	ic.sim.countCase("rebuilt")
-	if h := len(d.state().Handles); h > 0 && d.scheduler.Epoch() == p.Epoch {
+	if len(d.state().Handles) > 0 && d.scheduler.Epoch() == p.Epoch {
 		ic.checkRebuilt(d)
 	}
 }
 
-// checkRebuilt compares the counts of runs of a new role holder with the handles of the log up to its grant.
+// checkRebuilt compares the running counts of a role holder with the handles of its replica (invariant: rebuilt).
 func (ic *invariantChecker) checkRebuilt(d *dataPlane) {
 	want := d.state().RunningCounts()
-	for kind, n := range want {
-		if got := d.scheduler.RunningCount(kind); got != n {
-			ic.sim.reportBreach("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, kind, n)
+	for taskType, n := range want {
+		if got := d.scheduler.RunningCount(taskType); got != n {
+			ic.sim.reportBreach("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, taskType, n)
 		}
 	}
 }
--- a/internal/testbed/policysim/checkruns.go
+++ b/internal/testbed/policysim/checkruns.go
@@ -11,19 +11,19 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// runRecords are all run IDs, and the runs as the workers show them.
+// runRecords are all run IDs by the committed entries, and the runs by the workers' journals.
 type runRecords struct {
 	runIDs      map[uint64]*runIDHistory
-	ended       map[state.TaskRef][]*completion
-	running     []*workerRun
-	newestOrder map[*worker]uint64 // newest run ID whose start order arrived at a worker
+	ended       map[state.TaskRef][]*completion // never removed
+	running     []*workerRun                    // in the order of their starts
+	newestOrder map[*worker]uint64              // newest run ID whose start order arrived at a worker
 }
 
-// runIDHistory is what became of a run ID.
+// runIDHistory records what happened under a run ID.
 type runIDHistory struct {
 	handle     state.Handle
-	orderedAt  time.Duration // when its start order left the role holder; 0 before
-	closedAt   time.Duration // when its handle was released
+	orderedAt  time.Duration // when its start order left the role holder; 0: not yet
+	closedAt   time.Duration // when its handle was released; 0: not yet
 	leaseUntil time.Duration // end of the first lease, as the start order has it, in virtual time
 }
 
@@ -32,11 +32,11 @@
 	runID        uint64
 	worker       *worker
 	generation   int                      // of the worker
-	acknowledged map[uint64]time.Duration // when a role holder first had the end in an answer, by epoch
+	acknowledged map[uint64]time.Duration // when a role holder first got the end in an answer, by epoch
 }
 
-// workerRun is a run at a worker. It is known to be over when the worker says so, when its lease has expired, or with
-// the worker's next incarnation.
+// workerRun is a run on a worker. It is over when the worker's journal has its end, when its lease has expired, or when
+// the worker's next incarnation starts.
 type workerRun struct {
 	ref        state.TaskRef
 	runID      uint64
@@ -66,7 +66,7 @@
 	}
 }
 
-// observeOrderArrived checks the start orders of a call that is at a worker (invariant: newer ticket).
+// observeOrderArrived checks the start orders of a call that has arrived at a worker (invariant: newer ticket).
 func (ic *invariantChecker) observeOrderArrived(w *worker, call internalapi.LeaseCall) {
 	for _, order := range call.Starts {
 		if ordered := ic.runIDs[order.RunID]; ordered != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// observeRenewal extends the leases that a call renews; the worker has carried it out.
+// observeRenewal extends the leases that a call renews, after the worker has carried it out.
 func (ic *invariantChecker) observeRenewal(w *worker, call internalapi.LeaseCall) {
 	if call.Incarnation != w.traits.Incarnation && call.Incarnation != "" {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// observeAnswer records which ends a role holder learns from an answer.
+// observeAnswer records which ends a role holder learns of from an answer.
 func (ic *invariantChecker) observeAnswer(d *dataPlane, c scheduler.OutgoingCall, a internalapi.LeaseAnswer) {
 	if a.Call != c.Call.Call || c.Call.Epoch != d.scheduler.Epoch() {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-// observeWorkerStart forgets the runs of a worker's former incarnation: they ended with it.
+// observeWorkerStart removes the runs of a worker's former incarnation: the new one has killed them.
 func (ic *invariantChecker) observeWorkerStart(w *worker) {
 	ic.running = slices.DeleteFunc(ic.running, func(r *workerRun) bool { return r.worker == w })
 	ic.sim.trace("%s boots as %s", w.addr, w.traits.Incarnation)
@@ -120,7 +120,7 @@
 
 func (ic *invariantChecker) observeWorkerKill(w *worker) { ic.sim.trace("%s is killed", w.addr) }
 
-// observeJournal takes in what a worker did, as its journal has it.
+// observeJournal records and checks an entry of a worker's journal.
 func (ic *invariantChecker) observeJournal(w *worker, e journal.Entry) {
 	s := ic.sim
 	if e.Event == journal.NewIncarnation {
@@ -143,7 +143,7 @@
 	}
 }
 
-// observeEnd takes in that a run is over at its worker.
+// observeEnd records the end of a run on its worker.
 func (ic *invariantChecker) observeEnd(w *worker, e journal.Entry) {
 	before := len(ic.running)
 	ic.running = slices.DeleteFunc(ic.running, func(r *workerRun) bool { return r.worker == w && r.runID == e.RunID })
@@ -155,7 +155,7 @@
 	}
 }
 
-// checkDone checks a job that its client sees as done (invariant: done): each of its tasks ended well at a worker.
+// checkDone checks that each task of a job that its client sees as done ended well on a worker (invariant: done).
 func (ic *invariantChecker) checkDone(j *clientJob) {
 	if j.outcome != state.JobDone {
 		return
--- a/internal/testbed/policysim/checkstart.go
+++ b/internal/testbed/policysim/checkstart.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	cancelTimeout     = 3 * time.Second // from an acknowledged cancel until nothing of the job starts any more
-	drainTimeout      = 2 * time.Second // from the begin of a drain until no start is ordered at the worker any more
-	evacuationTimeout = 5 * time.Second // from an acknowledged evacuation until nothing starts in the zone any more
+	cancelTimeout     = 3 * time.Second // from an acknowledged cancel until no task of the job starts any more
+	drainTimeout      = 2 * time.Second // from the start of a drain until the worker gets no start order any more
+	evacuationTimeout = 5 * time.Second // from an acknowledged evacuation until no task starts in the zone any more
 )
 
-// checkStart checks a start, the one event that must never be wrong.
+// checkStart checks a start against all invariants that limit starts: a wrong one cannot be undone.
 func (ic *invariantChecker) checkStart(w *worker, e journal.Entry) {
 	s := ic.sim
 	started := ic.runIDs[e.RunID]
@@ -48,10 +48,10 @@
 	}
 }
 
-// checkRepeat checks the start of a task of which a run ended well before. The scheduler knows of the end once a role
-// holder had it in an answer; until then nobody can know it, and a task must not wait for ever for a worker that is
-// gone. So it is a breach if the store has the task as done, or if the holder that decided the start knew of the end a
-// second before the old handle was released. Else it is counted apart.
+// checkRepeat checks the start of a task of which an earlier run ended well (invariant: not after it ended well). The
+// scheduler knows of that end once a role holder got it in an answer. Before, it cannot know it, and a task must not
+// wait forever for a worker that is gone. So the start is a breach if the store has the task as done, or if the holder
+// that decided it knew of the end a second before the old handle was released. Otherwise it is only counted.
 func (ic *invariantChecker) checkRepeat(started *runIDHistory, end *completion) {
 	s := ic.sim
 	old := ic.runIDs[end.runID]
@@ -83,16 +83,16 @@
 	}
 }
 
-// checkNotLate checks that a start order was carried out in time after it left the role holder. What lay in the kernel
-// of a frozen machine is carried out when it wakes, and counts from there.
+// checkNotLate checks that a start order was carried out in time after it left the role holder (invariant: not late).
+// An order that arrived at a frozen machine is carried out when that wakes, and its time counts from there.
 func (ic *invariantChecker) checkNotLate(w *worker, started *runIDHistory) {
 	s := ic.sim
 	s.countCase("not late")
-	// The time after which the order is invalid, by the worker's clock, and the time that the worker's report of its
-	// clock was in flight.
+	// The time after which the order is invalid by the worker's clock, plus the time for which the worker's report of
+	// its clock was in flight.
 	late := 700 * time.Millisecond
 	if w.kind == policyworker.KindObey {
-		// The order was in flight until its connection was closed at most.
+		// At worst the order was in flight until its connection was closed.
 		late = callTimeout/2 + lateness + 100*time.Millisecond
 	}
 	if s.now-max(started.orderedAt, w.wokeAt) > late {
@@ -101,7 +101,7 @@
 	}
 }
 
-// checkWorkerOpen checks that a start isn't in an evacuated zone or at a draining worker (invariants: evacuated,
+// checkWorkerOpen checks that a start is neither in an evacuated zone nor on a draining worker (invariants: evacuated,
 // draining).
 func (ic *invariantChecker) checkWorkerOpen(w *worker, started *runIDHistory) {
 	s := ic.sim
@@ -119,7 +119,7 @@
 	}
 }
 
-// checkFits checks the labels and the cores of a worker with a start, which is among its runs from here on.
+// checkFits checks the labels and the cores of the worker of a start (invariant: fits), and adds the run to its runs.
 func (ic *invariantChecker) checkFits(w *worker, started *runIDHistory) {
 	s, ref := ic.sim, started.handle.Ref
 	s.countCase("fits")
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -11,37 +11,37 @@
 	"crosstide/internal/state/query"
 )
 
-// clientTimeout is how long a client waits for an answer.
+// clientTimeout bounds the time for which a client waits for an answer.
 const clientTimeout = 3 * time.Second
 
-// jobsPerCore is how many jobs may be open for each core of the fleet. Under faults the fleet does far less than its
-// clients would ask for: without a bound the queue of some minutes takes longer to work off than the quiet tail of a
-// run lasts. A job is about 10 core-seconds of work, so what may be open is worked off in about 40 s.
+// jobsPerCore bounds the open jobs for each core of the fleet. Under faults the fleet runs far fewer jobs than clients
+// would submit: without a bound, jobs queued for some minutes take longer than the quiet tail of a run lasts. A job is
+// about 10 core-seconds of work, so the open jobs take about 40 s.
 const jobsPerCore = 4
 
 // clients are the clients and the operators (operators.go), as one process outside of all partitions. Clients submit
-// jobs, poll each until it has ended, and cancel some. What they are answered is checked as it comes, and at the end of
-// a run as a history.
+// jobs, poll each until it has ended, and cancel some. Each answer is checked when it arrives, and all of them at the
+// end of a run as a history.
 type clients struct {
 	*process
 	jobs    []*clientJob
-	lastJob int // number in the newest key
+	lastJob int // number in the newest job key
 	history clientHistory
 
-	operator       *dataPlane      // only its way to the leader is used
-	evacuatedZones map[string]bool // from the order on until the lifting of it is acknowledged
-	orderCount     int
+	operator       *dataPlane      // never opened: only callLeader and what it calls are used
+	evacuatedZones map[string]bool // from the first order until the lifting is acknowledged; one at most
+	orderCount     int             // number in the newest order ID
 }
 
 // clientJob is a job as its client knows it.
 type clientJob struct {
 	spec            state.Spec
 	sentAt          time.Duration
-	acceptedAt      time.Duration // 0: not yet
-	cancelRequested bool
+	acceptedAt      time.Duration  // 0: not yet
+	cancelRequested bool           // a cancel was sent
 	cancelledAt     time.Duration  // when a cancel was acknowledged; 0: not yet
-	outcome         state.JobPhase // "": not over
-	abandoned       bool           // given up before it was accepted
+	outcome         state.JobPhase // terminal phase that a poll showed; "": none yet
+	abandoned       bool           // the client gave up before the job was accepted; terminal
 }
 
 func (c *clients) start() {
@@ -52,7 +52,7 @@
 	c.after(4*time.Second, c.resubmit)
 }
 
-// submitJobs submits a job now and then, sometimes many at once, until the faults are over.
+// submitJobs submits a job at random intervals, sometimes several at once, until the faults are over.
 func (c *clients) submitJobs() {
 	s := c.sim
 	if s.faultsOver {
@@ -86,7 +86,7 @@
 	return spec
 }
 
-// randomStep draws the step of a place in a job. The order of the draws is part of every history.
+// randomStep draws the step at a position in a job. The order of the draws is part of every history.
 func (s *sim) randomStep(place int) state.StepSpec {
 	step := state.StepSpec{Name: fmt.Sprintf("s%d", place), Type: fmt.Sprintf("k%d", s.rng.IntN(3)),
 		Tasks: 1 + s.rng.IntN(3), Cores: 1 + s.rng.IntN(2), Retries: 4}
@@ -105,7 +105,7 @@
 	return step
 }
 
-// call calls any data-plane node.
+// call sends a call to a random data-plane node.
 func (c *clients) call(serve func(d *dataPlane, reply func(any, error)),
 	onAnswer func(d *dataPlane, answer any, err error)) {
 	d := pick(c.sim, c.sim.dataPlanes)
@@ -115,14 +115,14 @@
 		onAnswer:  func(a any, err error, _ bool) { onAnswer(d, a, err) }})
 }
 
-// propose calls any data-plane node that is to propose a command.
+// propose has a random data-plane node propose a command.
 func (c *clients) propose(cmd command.Command, onAnswer func(answer any, err error)) {
 	c.call(func(d *dataPlane, reply func(any, error)) {
 		d.propose(cmd, d.Now()+clientTimeout, func(answer json.RawMessage, err error) { reply(answer, err) })
 	}, func(_ *dataPlane, answer any, err error) { onAnswer(answer, err) })
 }
 
-// submit submits a job, again and again until it is accepted or its client abandons it.
+// submit submits a job, and retries until it is accepted or its client abandons it.
 func (c *clients) submit(j *clientJob, attempt int) {
 	cmd := &command.Submit{Spec: j.spec, Digest: "d-" + j.spec.Key, Bound: 10000}
 	op := c.history.called(c.sim.now, j.spec.Key, opSubmit, cmd.Digest)
@@ -152,7 +152,7 @@
 	j.acceptedAt = s.now
 	s.trace("%s accepted", j.spec.Key)
 	c.after(s.between(100*time.Millisecond, time.Second), func() { c.poll(j) })
-	if s.chance(0.05) { // its answer was lost on the way to the client: the same again
+	if s.chance(0.05) { // as if the answer was lost: the client submits the job again
 		c.submit(j, 0)
 	}
 	if s.faults.enabled["cancel"] && s.chance(0.12) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// resubmit submits a job again that was accepted long ago: it stays one job.
+// resubmit submits a random accepted job again, which must stay one job.
 func (c *clients) resubmit() {
 	s := c.sim
 	if len(c.jobs) > 0 {
@@ -173,7 +173,7 @@
 	}
 }
 
-// cancel cancels an accepted job, again and again until that is acknowledged.
+// cancel cancels an accepted job, and retries until the cancel is acknowledged.
 func (c *clients) cancel(j *clientJob) {
 	s := c.sim
 	j.cancelRequested = true
@@ -204,7 +204,7 @@
 	s.trace("%s cancelled: %s", j.spec.Key, answer)
 }
 
-// poll reads a job until it is over, and now and then once more (invariants: known, done).
+// poll reads a job repeatedly until it has ended, and sometimes once more (invariants: known, done).
 func (c *clients) poll(j *clientJob) {
 	s := c.sim
 	op := c.history.called(s.now, j.spec.Key, opPoll, "")
@@ -237,7 +237,7 @@
 	}
 }
 
-// maxOpen is how many jobs the clients have open at most.
+// maxOpen returns the most jobs that the clients have open.
 func (c *clients) maxOpen() int {
 	cores := 0
 	for _, w := range c.sim.workers {
@@ -246,7 +246,7 @@
 	return jobsPerCore * cores
 }
 
-// jobsOpen is how many jobs have not ended in their clients' eyes.
+// jobsOpen returns the number of jobs that have not ended as far as their clients know.
 func (c *clients) jobsOpen() int {
 	n := 0
 	for _, j := range c.jobs {
@@ -257,7 +257,8 @@
 	return n
 }
 
-// abandonedOpen is how many jobs the store works on though their clients have abandoned them: no yes ever reached them.
+// abandonedOpen returns the number of jobs that are open in the store although their clients have abandoned them: no
+// acknowledgement ever arrived.
 func (c *clients) abandonedOpen() int {
 	n := 0
 	for _, j := range c.jobs {
@@ -269,5 +270,5 @@
 	return n
 }
 
-// allEnded tells whether every accepted job has ended in its client's eyes.
+// allEnded reports whether every job has ended as far as its client knows.
 func (c *clients) allEnded() bool { return c.jobsOpen() == 0 }
--- a/internal/testbed/policysim/controlplane.go
+++ b/internal/testbed/policysim/controlplane.go
@@ -11,39 +11,39 @@
 	"crosstide/internal/store"
 )
 
-// controlPlane is a machine with a disk, on which the store runs. Its steps are taken by store.ManualDriver as events,
-// where the daemon has goroutines: controlplaneloop.go. controlplanecalls.go answers the calls of other nodes.
+// controlPlane is a machine with a disk that runs the store. Where the daemon has goroutines, events take the steps of
+// store.ManualDriver (controlplaneloop.go). controlplanecalls.go answers the calls of other nodes.
 type controlPlane struct {
 	*process
 	disk      *storage.MemDisk
 	store     *store.Store
 	driver    *store.ManualDriver
-	batch     *store.DiskBatch // being written to the disk
+	batch     *store.DiskBatch // being written to the disk; nil: none
 	proposals []*proposal      // whose outcome is awaited
-	followers []*follower      // whose replicas lack nothing yet
-	role      string           // with its term, as the trace has it
+	followers []*follower      // whose replicas are up to date
+	role      string           // in raft, with its term, as last traced
 
-	durable durableLog // of the folder, by what the disk has reported as synced
-	wipedID string     // under which the node was a member before its disk was wiped; "": it was not
-	wiped   durableLog // of the folder that was wiped
+	durable durableLog // of the data folder, by the syncs that have succeeded
+	wipedID string     // member ID that the node had before its disk was wiped; "": it never was wiped
+	wiped   durableLog // of the wiped data folder
 
-	syncDelay    time.Duration // for the fault slow
-	failNextSync bool          // for the fault sync
+	syncDelay    time.Duration // set by the fault slow
+	failNextSync bool          // set by the fault sync
 }
 
-// durableLog is what of the log a folder surely has.
+// durableLog is the part of the log that is surely durable in a data folder.
 type durableLog struct {
-	snapshot uint64            // index of the newest snapshot: all entries up to it are had
+	snapshot uint64            // index of the newest snapshot, which covers all entries up to it
 	terms    map[uint64]uint64 // of the entries, by index
 	last     uint64            // index of the last entry
 }
 
-// has tells whether the folder surely has an entry.
+// has reports whether an entry is durable.
 func (l *durableLog) has(index, term uint64) bool {
 	return index <= l.snapshot || l.terms[index] == term
 }
 
-// add adds an entry, which replaces what stood at its index and after it.
+// add adds an entry, which replaces all entries from its index on.
 func (l *durableLog) add(index, term uint64) {
 	for i := index; i <= l.last; i++ {
 		delete(l.terms, i)
@@ -51,12 +51,12 @@
 	l.terms[index], l.last = term, index
 }
 
-// open starts an incarnation on what the disk has. bootstrap: the node is one of the store's first members.
+// open starts an incarnation from what is on the disk. bootstrap reports that the node is one of the first members.
 func (c *controlPlane) open(bootstrap bool) {
 	s := c.sim
 	c.startIncarnation()
 	opened, err := c.openStore()
-	if errs.Is(err, errs.Disk) { // the process ends, as after any sync that fails
+	if errs.Is(err, errs.Disk) { // the process ends, as after any failed sync
 		s.trace("%s cannot open its folder: %v", c.addr, errs.Of(err))
 		c.endIncarnation()
 		s.schedule(500*time.Millisecond, c.restart)
@@ -93,7 +93,7 @@
 	return opened, errs.Pass(err, "store")
 }
 
-// readDurable reads on a copy of the disk what the folder has.
+// readDurable reads the data folder from a copy of the disk.
 func readDurable(disk *storage.MemDisk) durableLog {
 	log := durableLog{terms: map[uint64]uint64{}}
 	_, contents, err := storage.Open(disk.Clone(), storage.Options{})
@@ -110,14 +110,14 @@
 	return log
 }
 
-// restart starts another incarnation, unless one runs.
+// restart starts another incarnation, unless one is running.
 func (c *controlPlane) restart() {
 	if !c.alive {
 		c.open(false)
 	}
 }
 
-// onDiskFault ends an incarnation whose disk has failed; another one starts soon.
+// onDiskFault crashes an incarnation whose disk has failed, and restarts the node later.
 func (c *controlPlane) onDiskFault(generation int, err error) {
 	if c.generation != generation || !c.alive {
 		return
@@ -127,7 +127,7 @@
 	c.sim.schedule(c.sim.between(100*time.Millisecond, 5*time.Second), c.restart)
 }
 
-// crash ends the incarnation. A loss of power also takes what is not synced, now and then in the middle of a write.
+// crash ends the incarnation. A loss of power also loses what is not synced, sometimes in the middle of a write.
 func (c *controlPlane) crash(losesPower bool) {
 	if !c.alive {
 		return
@@ -144,13 +144,13 @@
 	}
 }
 
-// isJoining tells whether the node is a member that is not a voter yet.
+// isJoining reports whether the node is a member that is not a voter yet.
 func (c *controlPlane) isJoining() bool {
 	_, _, ok := c.driver.JoinCall()
 	return ok
 }
 
-// joinMembers finds out what an empty folder means, and then asks to join, until this node is a voter.
+// joinMembers resolves an empty data folder, and then asks to join until this node is a voter.
 func (c *controlPlane) joinMembers() {
 	if !c.driver.IsMember() {
 		if c.sim.options.WithoutGuard == "learner" {
@@ -169,7 +169,7 @@
 	c.after(200*time.Millisecond, c.joinMembers)
 }
 
-// sendJoinCall asks the leader, or any node, to take this one in; false if it is a voter.
+// sendJoinCall asks the leader, or a random node, to add this node to the members; false if it is a voter already.
 func (c *controlPlane) sendJoinCall() bool {
 	s := c.sim
 	call, addr, ok := c.driver.JoinCall()
--- a/internal/testbed/policysim/controlplanecalls.go
+++ b/internal/testbed/policysim/controlplanecalls.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/store"
 )
 
-// propose answers internalapi.Propose: done is called with the outcome of the command.
+// propose serves internalapi.Propose; done is called once, with the outcome of the command.
 func (c *controlPlane) propose(cmd command.Command, done func(index uint64, answer any, err error)) {
 	if plan, ok := cmd.(*command.Plan); ok {
 		cmd, done = c.proposedPlan(plan), c.observed(plan.Epoch, done)
@@ -25,7 +25,7 @@
 	c.advance()
 }
 
-// proposedPlan is the plan as it is proposed: without the guard epoch, under the epoch in force.
+// proposedPlan returns the plan to propose: without the guard epoch, the plan under the epoch in force.
 func (c *controlPlane) proposedPlan(plan *command.Plan) *command.Plan {
 	role := c.driver.State().Roles["sched"]
 	if c.sim.options.WithoutGuard != "epoch" || role == nil {
@@ -36,7 +36,7 @@
 	return &passed
 }
 
-// observed lets the checker have the outcome of a plan that was decided under an epoch.
+// observed wraps done to report the commit of a plan that was decided under an epoch to the checker.
 func (c *controlPlane) observed(epoch uint64, done func(index uint64, answer any, err error),
 ) func(index uint64, answer any, err error) {
 	return func(index uint64, answer any, err error) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// grantRole answers internalapi.ClaimRole.
+// grantRole serves internalapi.ClaimRole.
 func (c *controlPlane) grantRole(call internalapi.ClaimRoleCall, reply func(any, error)) {
 	lease, granted, cmd, err := c.driver.ClaimRole(call)
 	if err != nil || cmd == nil {
@@ -60,7 +60,7 @@
 	})
 }
 
-// sentLease is a lease as the claimant has it: without the guard lease, longer than the granter waits.
+// sentLease returns the lease to send to the claimant: without the guard lease, a longer one than the granter keeps.
 func (c *controlPlane) sentLease(lease internalapi.RoleLease) internalapi.RoleLease {
 	if c.sim.options.WithoutGuard == "lease" {
 		lease.TTL *= 8
@@ -68,27 +68,27 @@
 	return lease
 }
 
-// follow answers internalapi.Follow: once there is a change after the version, or with nothing after the wait.
+// follow serves internalapi.Follow: it replies once there is a change after the version, or with none after the wait.
 func (c *controlPlane) follow(version uint64, wait time.Duration, reply func(any, error)) {
 	c.followers = append(c.followers, &follower{version, c.Now() + wait, reply})
 	c.answerWaiting()
 }
 
-// join answers internalapi.Join.
+// join serves internalapi.Join.
 func (c *controlPlane) join(call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	answer, err := c.store.Join(context.Background(), call)
 	return answer, errs.Pass(err, "join")
 }
 
-// encodeJSON is what an answer is on the wire.
+// encodeJSON returns an answer as it is on the wire.
 func encodeJSON(answer any) json.RawMessage {
 	raw, err := json.Marshal(answer)
 	must(err)
 	return raw
 }
 
-// directNetwork is the store's network for the calls that are made within one event. They fail as others do, but take
-// no time. The embedded interface is nil: the store makes no other call here.
+// directNetwork is the store's network for the calls that it makes and gets answered within one event. They fail like
+// others, but take no time. The embedded interface is nil: the store makes no other call in the simulator.
 type directNetwork struct {
 	store.Net
 	controlPlane *controlPlane
@@ -105,7 +105,7 @@
 	return s.controlPlaneAt(to), nil
 }
 
-// FetchChunk reads a part of a peer's snapshot.
+// FetchChunk returns a chunk of a peer's snapshot.
 func (d directNetwork) FetchChunk(_ context.Context, addr string, call internalapi.ChunkCall,
 ) (internalapi.ChunkAnswer, error) {
 	peer, err := d.reachable(addr)
@@ -116,7 +116,7 @@
 	return answer, errs.Pass(err, "chunk")
 }
 
-// BootstrapStatus asks a peer whether it is fresh too, or a member of a store that exists.
+// BootstrapStatus returns whether a peer has an empty data folder too, or is a member of an existing store.
 func (d directNetwork) BootstrapStatus(_ context.Context, addr string, call internalapi.DiscoverCall,
 ) (internalapi.DiscoverAnswer, error) {
 	peer, err := d.reachable(addr)
--- a/internal/testbed/policysim/controlplaneloop.go
+++ b/internal/testbed/policysim/controlplaneloop.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/store"
 )
 
-// tick is the loop of the store.
+// tick advances the store every 10 ms.
 func (c *controlPlane) tick() {
 	c.advance()
 	c.after(10*time.Millisecond, c.tick)
@@ -20,14 +20,14 @@
 	c.after(10*time.Second, c.collectGarbage)
 }
 
-// advance runs one pass of the store and takes all that comes out of it to where it goes: messages, a batch for the
-// disk, snapshots, answers. Its steps are those of the daemon's goroutines, in a fixed order.
+// advance runs one pass of the store and carries out its actions: it sends messages, writes a batch to the disk, writes
+// snapshots and answers calls. Its steps are those of the daemon's goroutines, in a fixed order.
 func (c *controlPlane) advance() {
 	if !c.alive || c.driver == nil {
 		return
 	}
 	c.driver.Pass()
-	c.sim.checker.observeCommits(c) // before a snapshot lets the log be compacted
+	c.sim.checker.observeCommits(c) // before a snapshot allows the log to be compacted
 	for _, message := range c.driver.TakeMessages() {
 		c.sendMessage(message)
 	}
@@ -58,8 +58,8 @@
 	})
 }
 
-// startSync lets a batch be on the disk after a while. Without the guard sync it is taken as stored at once, now and
-// then.
+// startSync writes a batch to the disk after a delay. Without the guard sync, half of the batches are marked as stored
+// at once.
 func (c *controlPlane) startSync(batch *store.DiskBatch) {
 	s := c.sim
 	c.batch = batch
@@ -72,7 +72,7 @@
 		func() { c.finishSync(batch, batch.MarkStored) })
 }
 
-// finishSync writes a batch and then calls stored, unless the incarnation that began it has ended.
+// finishSync writes a batch and then calls stored, unless the incarnation that started the batch has ended.
 func (c *controlPlane) finishSync(batch *store.DiskBatch, stored func()) {
 	if c.batch != batch {
 		return
@@ -95,7 +95,8 @@
 	c.advance()
 }
 
-// runSnapshotter writes snapshots, and fetches one soon if the store asks for it; false if the disk failed.
+// runSnapshotter writes a snapshot if one is due, and schedules a fetch if the store wants a peer's; false if the disk
+// failed.
 func (c *controlPlane) runSnapshotter() bool {
 	s := c.sim
 	before := c.driver.SnapshotIndex()
@@ -118,7 +119,7 @@
 	return true
 }
 
-// traceRole makes a line of the trace when the node's role in the store has changed.
+// traceRole traces a change of the node's raft role or term.
 func (c *controlPlane) traceRole() {
 	s, core := c.sim, c.driver.Core()
 	if core == nil {
@@ -151,8 +152,8 @@
 	reply    func(any, error)
 }
 
-// answerWaiting answers all whose outcome is known or whose deadline is over. Both lists are complete again before the
-// first answer, which may add to them.
+// answerWaiting answers the proposals and followers whose outcome is known or whose deadline has passed. Both lists are
+// updated before the first answer, which may add to them.
 func (c *controlPlane) answerWaiting() {
 	answers := append(c.takeDecided(), c.takeServed()...)
 	for _, answer := range answers {
@@ -160,7 +161,7 @@
 	}
 }
 
-// takeDecided takes out the proposals that can be answered, and returns their answers.
+// takeDecided removes the proposals that can be answered, and returns functions that answer them.
 func (c *controlPlane) takeDecided() (answers []func()) {
 	waiting := c.proposals[:0:0]
 	for _, p := range c.proposals {
@@ -179,7 +180,7 @@
 	return answers
 }
 
-// takeServed takes out the followers that can be answered, and returns their answers.
+// takeServed removes the followers that can be answered, and returns functions that answer them.
 func (c *controlPlane) takeServed() (answers []func()) {
 	waiting := c.followers[:0:0]
 	for _, f := range c.followers {
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -17,24 +17,24 @@
 // callTimeout is the setting of the same name of data-plane nodes.
 const callTimeout = 2 * time.Second
 
-// dataPlane is dataplane.Node without goroutines: the same steps, as events. What is decided is replica.Replica's and
-// scheduler.Core's. dataplanereplica.go follows the store, dataplanerole.go claims the scheduler role,
+// dataPlane is dataplane.Node without goroutines: it takes the same steps as events, and replica.Replica and
+// scheduler.Core decide. dataplanereplica.go follows the store, dataplanerole.go claims the scheduler role, and
 // dataplanecalls.go finds the leader of the store.
 type dataPlane struct {
 	*process
 	incarnationID string
 	replica       *replica.Replica
 	scheduler     *scheduler.Core
-	passScheduled bool
+	passScheduled bool // schedulePass has an event pending
 	planning      bool // a plan is in flight to the store
 	leaving       bool // the node is shutting down
 
-	grantedEpoch uint64 // of the role's lease that this node has by the last answer; 0: none
-	leaderHint   string // where the leader of the store answered last; "": unknown
+	grantedEpoch uint64 // of the role's lease that this node has by the newest answer; 0: none
+	leaderHint   string // address at which the leader of the store answered last; "": unknown
 
-	source       string // the control-plane node that the replica follows; "": to be drawn
-	indexWaiters []*indexWaiter
-	lagUntil     time.Duration // virtual time before which the replica does not follow the store, for the fault lag
+	source       string         // the control-plane node that the replica follows; "": to be drawn
+	indexWaiters []*indexWaiter // see waitForIndex
+	lagUntil     time.Duration  // virtual time before which the replica does not follow the store, for the fault lag
 }
 
 // open starts an incarnation with an empty replica.
@@ -66,21 +66,21 @@
 	d.passPeriodically()
 }
 
-// restart starts another incarnation, unless one runs.
+// restart starts another incarnation, unless one is running.
 func (d *dataPlane) restart() {
 	if !d.alive {
 		d.open()
 	}
 }
 
-// state is the replica's state. There is one thread: it need not stay locked.
+// state returns the replica's state. It need not stay locked, as there is one thread.
 func (d *dataPlane) state() *state.State {
 	st := d.replica.Lock()
 	d.replica.Unlock()
 	return st
 }
 
-// schedulePass lets a pass of the scheduler run soon.
+// schedulePass schedules a pass of the scheduler, unless one is scheduled.
 func (d *dataPlane) schedulePass() {
 	if d.passScheduled {
 		return
@@ -99,16 +99,16 @@
 
 // runPass runs one pass of the scheduler and carries out what it decides.
 func (d *dataPlane) runPass() {
-	out := d.scheduler.Pass(d.Now())
-	if out.Plan != nil {
-		d.proposePlan(out.Plan)
+	decision := d.scheduler.Pass(d.Now())
+	if decision.Plan != nil {
+		d.proposePlan(decision.Plan)
 	}
-	for _, c := range out.Calls {
+	for _, c := range decision.Calls {
 		d.after(d.sim.between(0, 300*time.Microsecond), func() { d.sendLeaseCall(c) })
 	}
 }
 
-// proposePlan proposes a plan to the store, once. The scheduler has the answer when the replica has applied the plan.
+// proposePlan proposes a plan to the store, once. The scheduler gets the answer when the replica has applied the plan.
 func (d *dataPlane) proposePlan(plan *command.Plan) {
 	answered := func(done command.Planned, err error) {
 		d.scheduler.PlanAnswered(d.Now(), plan.Epoch, done, err)
@@ -143,8 +143,7 @@
 	})
 }
 
-// sendLeaseCall makes one call to a worker. Whether the role's lease still allows it is checked immediately before the
-// write.
+// sendLeaseCall makes one call to a worker, if the role's lease still allows it immediately before the write.
 func (d *dataPlane) sendLeaseCall(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	failed := func(sent bool) {
--- a/internal/testbed/policysim/dataplanecalls.go
+++ b/internal/testbed/policysim/dataplanecalls.go
@@ -11,19 +11,19 @@
 	"crosstide/internal/state/query"
 )
 
-// leaderCall is a call to the leader of the store, wherever it is.
+// leaderCall is a call to the leader of the store, which is to be found.
 type leaderCall struct {
 	timeout    time.Duration // of an attempt
-	idempotent bool          // it may be repeated when the outcome of an attempt is unknown
-	deadline   time.Duration // no attempt after a failure at or after it, by the process's clock; 0: none
+	idempotent bool          // it may be retried when the outcome of an attempt is unknown
+	deadline   time.Duration // by the process's clock: a failure at or after it is not retried; 0: none
 	serve      func(c *controlPlane, reply func(any, error))
 	done       func(answer any, err error) // called once
 }
 
-// callLeader makes attempts at one node after another until one has an answer that counts.
+// callLeader tries one node after another until one answers or mayRetry forbids another attempt.
 func (d *dataPlane) callLeader(call leaderCall) { d.attempt(call, 0) }
 
-// attempt makes attempt n, counted from 0.
+// attempt makes attempt number n, from 0 on.
 func (d *dataPlane) attempt(call leaderCall, n int) {
 	addr := d.leaderHint
 	if addr == "" {
@@ -53,7 +53,7 @@
 		}})
 }
 
-// updateLeaderHint takes the hint of a failure, or forgets the node that failed.
+// updateLeaderHint sets leaderHint to the hint of a failure, or clears it if the node there has failed.
 func (d *dataPlane) updateLeaderHint(addr string, failure *errs.Error) {
 	switch {
 	case failure.Kind == errs.NotLeader && failure.Hint != "" && failure.Hint != addr:
@@ -63,13 +63,13 @@
 	}
 }
 
-// isUnanswered tells whether a node gave no answer that counts.
+// isUnanswered reports whether a failure of the kind means that the node has not answered.
 func isUnanswered(kind errs.Kind) bool {
 	return kind == errs.Unavailable || kind == errs.Timeout || kind == errs.Stopped
 }
 
-// mayRetry tells whether another attempt may be made. harmless: the failed one surely had no effect, or a second effect
-// is none.
+// mayRetry reports whether another attempt may be made. harmless: the failed one surely had no effect, or a second
+// effect is none.
 func mayRetry(kind errs.Kind, harmless bool) bool {
 	return kind == errs.NotLeader || isUnanswered(kind) && harmless
 }
@@ -80,7 +80,7 @@
 		func(_ uint64, answer json.RawMessage, err error) { done(answer, err) })
 }
 
-// proposeOnce proposes a command that must not be repeated. index is that of its entry.
+// proposeOnce proposes a command that must not be retried. index is that of its entry.
 func (d *dataPlane) proposeOnce(cmd command.Command, done func(index uint64, answer json.RawMessage, err error)) {
 	d.sendProposal(cmd, leaderCall{}, done)
 }
@@ -108,7 +108,7 @@
 	d.callLeader(call)
 }
 
-// readJob is Node.Read of one job: it reads the replica once that has reached the leader's read index.
+// readJob is Node.Read of one job: it reads the replica when that has reached the leader's read index.
 func (d *dataPlane) readJob(key string, done func(view query.JobView, err error)) {
 	d.callLeader(leaderCall{timeout: callTimeout / 2, idempotent: true, deadline: d.Now() + callTimeout,
 		serve: func(c *controlPlane, reply func(any, error)) {
@@ -130,7 +130,7 @@
 		}})
 }
 
-// announceWorker makes a worker known to the store, unless it is.
+// announceWorker announces a worker to the store, unless the replica has it at this address.
 func (d *dataPlane) announceWorker(w *worker, reply func(any, error)) {
 	if known := d.state().Workers[w.addr]; known != nil && known.Addr == w.addr {
 		reply(internalapi.AnnounceWorkerAnswer{}, nil)
--- a/internal/testbed/policysim/dataplanereplica.go
+++ b/internal/testbed/policysim/dataplanereplica.go
@@ -8,19 +8,19 @@
 	"crosstide/internal/internalapi"
 )
 
-// receivedAnswer is a source of replica.Replica: the one answer that has arrived, and the node that sent it.
+// receivedAnswer is a source for replica.Replica.Pull: an answer that has arrived, and the node that sent it.
 type receivedAnswer struct {
 	dataPlane *dataPlane
 	answer    internalapi.FollowAnswer
 	from      *controlPlane
 }
 
-// Follow returns the answer that has arrived.
+// Follow returns the answer.
 func (r receivedAnswer) Follow(context.Context, internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	return r.answer, nil
 }
 
-// Chunk reads a part of the snapshot from the control-plane node that answered.
+// Chunk returns a chunk of the snapshot of the control-plane node that answered.
 func (r receivedAnswer) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	if r.from.driver == nil || !r.from.alive || r.dataPlane.sim.blocked(r.dataPlane.process, r.from.process) {
 		return internalapi.ChunkAnswer{}, errs.New(errs.Unknown, "gone")
@@ -29,7 +29,8 @@
 	return answer, errs.Pass(err, "chunk")
 }
 
-// pull is a turn of Replica.Run: it asks the source for what the replica lacks, applies it and asks again.
+// pull is one iteration of Replica.Run: it asks the source for the changes after the replica's index, applies them and
+// schedules the next pull.
 func (d *dataPlane) pull() {
 	s := d.sim
 	if s.now < d.lagUntil {
@@ -71,15 +72,15 @@
 	done     func(error)
 }
 
-// waitForIndex calls done once the replica is at index, or with a failure after the timeout.
+// waitForIndex calls done when the replica is at index, or with a failure after the timeout.
 func (d *dataPlane) waitForIndex(index uint64, timeout time.Duration, done func(error)) {
 	d.indexWaiters = append(d.indexWaiters, &indexWaiter{index, d.Now() + timeout, done})
 	d.after(timeout, d.releaseIndexWaiters)
 	d.releaseIndexWaiters()
 }
 
-// releaseIndexWaiters calls all whose index is reached or whose deadline is over. The list is complete again before the
-// first call, which may add to it.
+// releaseIndexWaiters calls the waiters whose index is reached or whose deadline has passed. The list is updated before
+// the first call, which may add to it.
 func (d *dataPlane) releaseIndexWaiters() {
 	var released []func()
 	waiting := d.indexWaiters[:0:0]
--- a/internal/testbed/policysim/dataplanerole.go
+++ b/internal/testbed/policysim/dataplanerole.go
@@ -6,16 +6,15 @@
 	"crosstide/internal/internalapi"
 )
 
-// claimInterval is between two claims of the scheduler role, which renew its lease too.
+// claimInterval is the time between two claims of the scheduler role. A claim by the holder renews the lease.
 const claimInterval = 300 * time.Millisecond
 
 func (d *dataPlane) roleCall(epoch uint64, release bool) internalapi.ClaimRoleCall {
 	return internalapi.ClaimRoleCall{Role: "sched", Holder: d.addr, Addr: d.addr, Incarnation: d.incarnationID,
-		Epoch:   epoch,
-		Release: release}
+		Epoch: epoch, Release: release}
 }
 
-// claimRole claims the scheduler role, or renews its lease, again and again until the node shuts down.
+// claimRole claims the scheduler role, or renews its lease, every claimInterval until the node shuts down.
 func (d *dataPlane) claimRole() {
 	if d.leaving {
 		return
@@ -42,8 +41,8 @@
 		}})
 }
 
-// acceptRole takes a lease of the role. A new epoch takes effect once the replica has reached its grant: before that
-// the node does not know all that its predecessors did. The lease counts from when the claim was sent.
+// acceptRole accepts a lease of the role. A new epoch takes effect when the replica has reached its grant: before, the
+// node does not know everything that its predecessors committed. The lease counts from when the claim was sent.
 func (d *dataPlane) acceptRole(lease internalapi.RoleLease, sent time.Duration, again func()) {
 	d.grantedEpoch = lease.Epoch
 	guarded := d.sim.options.WithoutGuard != "rebuild"
@@ -65,7 +64,7 @@
 	d.waitForIndex(lease.Epoch, callTimeout, lead)
 }
 
-// hasGrant tells whether the replica has the role as granted to this incarnation under the epoch.
+// hasGrant reports whether the role is granted to this incarnation under the epoch, by the replica.
 func (d *dataPlane) hasGrant(epoch uint64) bool {
 	role := d.state().Roles["sched"]
 	return role != nil && role.Epoch == epoch && role.Incarnation == d.incarnationID
@@ -83,7 +82,7 @@
 	s.checker.checkRebuilt(d)
 }
 
-// releaseRole steps down and releases the role, as a daemon does that shuts down.
+// releaseRole steps down and releases the role, as a daemon does when it shuts down.
 func (d *dataPlane) releaseRole() {
 	d.leaving = true
 	epoch := d.grantedEpoch
--- a/internal/testbed/policysim/directedfaults.go
+++ b/internal/testbed/policysim/directedfaults.go
@@ -6,22 +6,22 @@
 	"crosstide/internal/storage"
 )
 
-// Directed faults are several faults in an order that chance hardly ever draws. Each makes the moment for which one
-// guard of the product is there; see docs/design/simulator.md.
+// A directed fault is a sequence of faults that random draws hardly ever produce. Each creates the situation that one
+// of Guards protects against; see docs/design/simulator.md.
 
 const (
-	lagLead          = 2 * time.Second  // for which replicas lag before the role holder ends
+	lagLead          = 2 * time.Second  // for which replicas lag before the role holder is killed
 	lagFor           = 10 * time.Second // longer than the role's lease and its margin
 	majorityAloneFor = 2 * time.Second  // for which the majority commits without the rest
-	wipedAloneFor    = 10 * time.Second // for which the rest is alone with the wiped member
-	// until a role holder has a plan in flight; shorter than the role's lease
-	planTimeout        = 2 * time.Second
+	wipedAloneFor    = 10 * time.Second // for which the lagging members are alone with the wiped one
+
+	planTimeout        = 2 * time.Second        // until a role holder has a plan in flight; below the role's lease
 	replacementTimeout = 30 * time.Second       // until another node has been granted the role
-	pollInterval       = 20 * time.Millisecond  // between two checks whether the moment has come
-	shortDelay         = 100 * time.Millisecond // as good as at once
+	pollInterval       = 20 * time.Millisecond  // between two checks of a condition
+	shortDelay         = 100 * time.Millisecond // too short for any timeout to matter
 )
 
-// lagReplicas stops the replicas of all data-plane nodes but the role holder's, and ends the holder: its successor is
+// lagReplicas stops the replicas of all data-plane nodes but the role holder's, and kills the holder: its successor is
 // granted the role before its replica has the grant.
 func (f *faultInjector) lagReplicas(targets) {
 	s := f.sim
@@ -65,13 +65,13 @@
 	})
 }
 
-// wipedIsAway tells whether the member whose disk was wiped last does not vote yet. No other disk is wiped before that:
-// the store need not survive the loss of more disks at once.
+// wipedIsAway reports whether the member whose disk was wiped last does not vote yet. No other disk is wiped before
+// that: the store need not survive the loss of more disks at once.
 func (f *faultInjector) wipedIsAway() bool {
 	return f.wiped != nil && !f.sim.checker.isVoter(f.wiped)
 }
 
-// wipe ends a control-plane node and its disk; it comes back empty after a while.
+// wipe crashes a control-plane node and replaces its disk by an empty one; the node restarts after the delay back.
 func (f *faultInjector) wipe(c *controlPlane, back time.Duration) {
 	f.wiped = c
 	c.crash(false)
@@ -83,8 +83,8 @@
 	f.sim.schedule(back, c.restart)
 }
 
-// freezeWithPlanOut ends the leader of the store, freezes the role holder while a plan of it is in flight, and wakes it
-// once another node was granted the role: it then sends the plan again, to the new leader.
+// freezeWithPlanOut crashes the leader of the store, freezes the role holder while its plan is in flight, and wakes it
+// when another node has been granted the role: it then sends the plan again, to the new leader.
 func (f *faultInjector) freezeWithPlanOut(targets) {
 	s := f.sim
 	holder, leader := s.roleHolder(), s.storeLeader()
@@ -119,7 +119,7 @@
 	})
 }
 
-// waitUntil calls do once the condition holds, or at the deadline.
+// waitUntil calls do when the condition holds, or at the deadline.
 func (s *sim) waitUntil(deadline time.Duration, condition func() bool, do func()) {
 	if condition() || s.now >= deadline {
 		do()
@@ -128,7 +128,7 @@
 	s.schedule(pollInterval, func() { s.waitUntil(deadline, condition, do) })
 }
 
-// roleHolder is the data-plane node that acts under the scheduler role now; nil if there is none.
+// roleHolder returns the data-plane node that acts under the scheduler role now; nil if there is none.
 func (s *sim) roleHolder() *dataPlane {
 	for _, d := range s.dataPlanes {
 		if d.alive && !d.frozen && d.scheduler.MayAct(d.Now()) {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// storeLeader is a control-plane node that takes itself for the leader of the store; nil if there is none.
+// storeLeader returns a control-plane node whose own role is leader; nil if there is none.
 func (s *sim) storeLeader() *controlPlane {
 	for _, c := range s.controlPlanes {
 		if c.alive && !c.frozen && c.driver.Core() != nil && c.driver.Core().Status().Role == "leader" {
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// fault is a way in which a run may go wrong. Most faults are injected at random moments into processes that are drawn;
-// the others are rates, which faultInjector.start sets, or something that the clients do.
+// fault is a kind of disruption. Most faults are injected at random times into random processes; the others, without
+// inject, are rates that faultInjector.start sets, or actions of the clients.
 type fault struct {
 	name    string
 	counter string // the key of Report.Faults that counts its cases
 	inject  func(f *faultInjector, at targets)
 }
 
-// targets are the processes that are drawn for a fault, one of each kind. A fault takes those that it needs.
+// targets are the processes drawn for a fault, one of each kind. A fault uses those that it needs.
 type targets struct {
 	controlPlane *controlPlane
 	dataPlane    *dataPlane
@@ -49,7 +49,7 @@
 	{"staleplan", "staleplan", (*faultInjector).freezeWithPlanOut}, // the role holder wakes when it is replaced
 }
 
-// Faults are the names that Options.Faults takes.
+// Faults are the names for Options.Faults, in the order of the table.
 var Faults = faultNames()
 
 func faultNames() (names []string) {
@@ -59,7 +59,7 @@
 	return names
 }
 
-// faultCounter is the key of Report.Faults that counts a fault; "" for a name that is no fault's.
+// faultCounter returns the key of Report.Faults that counts a fault; "" if there is no fault of the name.
 func faultCounter(name string) string {
 	if i := faultIndex(name); i >= 0 {
 		return faults[i].counter
@@ -67,21 +67,22 @@
 	return ""
 }
 
-// faultIndex is the place of a fault in the table; negative for a name that is no fault's.
+// faultIndex returns the index of a fault in the table; negative if there is no fault of the name.
 func faultIndex(name string) int {
 	return slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 }
 
-// Guards are the guards that Options.WithoutGuard takes out.
+// Guards are the names for Options.WithoutGuard: safeguards of the daemons that a run can disable, to show that the
+// checker detects their absence.
 var Guards = []string{
 	"epoch",   // the store does not check a plan's epoch
 	"rebuild", // a role holder decides before its replica has reached its grant
-	"floor",   // workers keep neither the floor of call numbers nor the time after which an order is invalid
+	"floor",   // workers ignore the floor of call numbers and the time after which an order is invalid
 	"sync",    // a control-plane node answers before its log is synced
 	"learner", // a wiped control-plane node votes under its old name
-	"reserve", // the scheduler reserves no capacity for what fits nowhere
-	"balance", // accounts have a credit that no draw reaches, so that the check in the commit of a start passes all
-	"lease",   // role holders take leases to be longer than the granter does
+	"reserve", // the scheduler reserves no capacity for tasks that fit nowhere now
+	"balance", // accounts have a credit that is never exhausted, so the store's check of a start always passes
+	"lease",   // role holders get longer leases than the granter keeps
 }
 
 // faultInjector injects faults until Options.FaultPeriod is over, and then ends them all.
@@ -89,10 +90,10 @@
 	sim     *sim
 	enabled map[string]bool // by the names in Options.Faults
 	pace    time.Duration   // mean time between two faults
-	wiped   *controlPlane   // the last whose disk was wiped: the next is wiped when this one votes again
+	wiped   *controlPlane   // the node wiped last; nil: none. No other is wiped before it votes again
 }
 
-// start sets the rates of the faults that have one, and injects the first of the others soon.
+// start sets the rates of the faults that have one, and schedules the first of the others.
 func (f *faultInjector) start() {
 	s := f.sim
 	f.pace = s.between(200*time.Millisecond, 2500*time.Millisecond)
@@ -153,8 +154,8 @@
 	s.schedule(s.between(0, 2*f.pace), f.injectNext)
 }
 
-// inject draws targets for any fault, also for those that take none: the draws that follow must not depend on which
-// faults do.
+// inject draws targets for every fault, also if it uses none, so that later draws do not depend on which faults use
+// them.
 func (f *faultInjector) inject(name string) {
 	s := f.sim
 	at := targets{pick(s, s.controlPlanes), pick(s, s.dataPlanes), pick(s, s.workers)}
@@ -163,13 +164,13 @@
 	}
 }
 
-// count counts a case of a fault at a process. what is the trace's word for it.
+// count counts a case of a fault at a process. what names the fault in the trace.
 func (f *faultInjector) count(name string, at *process, what string) {
 	f.sim.report.Faults[name]++
 	f.sim.trace("fault %s %s", what, at.addr)
 }
 
-// drawDuration draws how long a fault lasts: mostly short, now and then longer than every lease.
+// drawDuration draws the duration of a fault: mostly a short one, in a quarter of the cases longer than every lease.
 func (f *faultInjector) drawDuration() time.Duration {
 	s := f.sim
 	switch s.rng.IntN(4) {
--- a/internal/testbed/policysim/fleet.go
+++ b/internal/testbed/policysim/fleet.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// build makes the fleet: 5 control-plane nodes, 3 data-plane nodes and 6 workers in 3 zones, and the clients. The order
-// of the steps, and of their draws, is part of every history.
+// build creates and starts the fleet: 5 control-plane nodes, 3 data-plane nodes and 6 workers in 3 zones, and the
+// clients. The order of the steps, and of their draws, is part of every history.
 func (s *sim) build() {
 	s.clients = &clients{process: s.newProcess("people", "")}
 	for i, m := range initialMembers() {
@@ -41,7 +41,8 @@
 	s.billing.start()
 }
 
-// newWorker makes a worker: every other one obeys start orders without a check of its own, two thirds have an ssd.
+// newWorker returns a worker that is not running yet. Every second one obeys start orders without checking them, and
+// the first four have the label disk=ssd.
 func (s *sim) newWorker(number int) *worker {
 	w := &worker{process: s.newProcess(fmt.Sprintf("m%d", number), zone(number)), kind: policyworker.KindCheck,
 		cores: 2 + s.rng.IntN(4), labels: map[string]string{}}
@@ -54,19 +55,19 @@
 	return w
 }
 
-// initialMembers are the store's first members, one at each control-plane node.
-func initialMembers() (out []config.Member) {
+// initialMembers returns the store's first members, one for each control-plane node.
+func initialMembers() (members []config.Member) {
 	for i := range 5 {
 		name := fmt.Sprintf("c%d", i)
-		out = append(out, config.Member{ID: name, Addr: name, Zone: zone(i)})
+		members = append(members, config.Member{ID: name, Addr: name, Zone: zone(i)})
 	}
-	return out
+	return members
 }
 
-// zone is the zone of the node of a number.
+// zone returns the zone of node number i.
 func zone(i int) string { return fmt.Sprintf("z%d", i%3) }
 
-// controlPlaneAt is the control-plane node that runs as a process; nil for another process.
+// controlPlaneAt returns the control-plane node of a process; nil if it is another kind of process.
 func (s *sim) controlPlaneAt(p *process) *controlPlane {
 	for _, c := range s.controlPlanes {
 		if c.process == p {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// dataPlaneAt is the data-plane node that runs as a process; nil for another process.
+// dataPlaneAt returns the data-plane node of a process; nil if it is another kind of process.
 func (s *sim) dataPlaneAt(p *process) *dataPlane {
 	for _, d := range s.dataPlanes {
 		if d.process == p {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// workerAt is the worker that runs as a process; nil for another process.
+// workerAt returns the worker of a process; nil if it is another kind of process.
 func (s *sim) workerAt(p *process) *worker {
 	for _, w := range s.workers {
 		if w.process == p {
--- a/internal/testbed/policysim/injections.go
+++ b/internal/testbed/policysim/injections.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What the table of faults injects. Each function draws, counts its case under the fault's name and makes a line of the
-// trace, or does nothing if its target is not in a state for it.
+// The inject functions of the table faults. Each draws what it needs, counts a case under the fault's name and writes a
+// line of the trace, or does nothing if its target is down or has the fault already.
 
 func (f *faultInjector) killControlPlane(at targets) { f.crash("kill", at.controlPlane, false) }
 
@@ -38,7 +38,7 @@
 	f.wipe(at.controlPlane, f.sim.between(10*time.Millisecond, 3*time.Second))
 }
 
-// failSync is counted when the sync fails, see controlPlane.finishSync.
+// failSync lets the next sync fail. The case is counted when that happens, in controlPlane.finishSync.
 func (*faultInjector) failSync(at targets) {
 	if at.controlPlane.alive {
 		at.controlPlane.failNextSync = true
@@ -58,7 +58,7 @@
 
 func (f *faultInjector) freezeWorker(at targets) { f.freeze("stall", at.worker.process) }
 
-// freeze freezes a process and wakes it after a while, unless it ends meanwhile.
+// freeze freezes a process and wakes it later, unless it has ended by then.
 func (f *faultInjector) freeze(name string, p *process) {
 	if !p.alive || p.frozen {
 		return
@@ -74,8 +74,8 @@
 	})
 }
 
-// disturbRoleHolder kills, freezes or cuts off the first data-plane node that may act as the role's holder, be it
-// frozen.
+// disturbRoleHolder kills, freezes or cuts off the first data-plane node whose role lease allows it to act. It may be
+// frozen already.
 func (f *faultInjector) disturbRoleHolder(targets) {
 	for _, d := range f.sim.dataPlanes {
 		if !d.alive || !d.scheduler.MayAct(d.Now()) {
@@ -96,7 +96,7 @@
 
 func (f *faultInjector) killDataPlane(at targets) { f.kill("dkill", at.dataPlane) }
 
-// kill ends a data-plane node, which comes back with nothing.
+// kill ends a data-plane node, which restarts later without any state.
 func (f *faultInjector) kill(name string, d *dataPlane) {
 	if d.alive {
 		f.count(name, d.process, "kill")
@@ -105,7 +105,7 @@
 	}
 }
 
-// shutDownDataPlane lets a data-plane node release the role before it ends.
+// shutDownDataPlane has a data-plane node release the role, ends it and restarts it later.
 func (f *faultInjector) shutDownDataPlane(at targets) {
 	s, d := f.sim, at.dataPlane
 	if !d.alive || d.frozen || d.leaving {
@@ -126,7 +126,7 @@
 
 func (f *faultInjector) splitNetworkOneWay(targets) { f.split("oneway", false) }
 
-// split puts about half of the machines into a partition of their own.
+// split separates about half of the processes from the others for a while.
 func (f *faultInjector) split(name string, bothWays bool) {
 	s := f.sim
 	var side []*process
@@ -155,7 +155,8 @@
 	f.cutOff(side, true)
 }
 
-// joinsScheduler tells whether a process is cut off together with the role holder: that itself, and workers by chance.
+// joinsScheduler reports whether a process is cut off together with the role holder: that itself, and workers by
+// chance.
 func (f *faultInjector) joinsScheduler(p *process) bool {
 	d, w := f.sim.dataPlaneAt(p), f.sim.workerAt(p)
 	return d != nil && d.alive && d.scheduler.MayAct(d.Now()) || w != nil && f.sim.chance(0.5)
@@ -170,12 +171,13 @@
 	}
 }
 
-// cutOff puts a set of processes into a partition of its own for a while.
+// cutOff separates a set of processes from the others for a while.
 func (f *faultInjector) cutOff(side []*process, bothWays bool) {
 	f.sim.schedule(f.drawDuration(), f.partition(side, bothWays))
 }
 
-// partition puts a set of processes into a partition of its own until heal is called.
+// partition separates a set of processes from the others, but not from the clients, until heal is called. Unless
+// bothWays, only messages from the set are dropped.
 func (f *faultInjector) partition(side []*process, bothWays bool) (heal func()) {
 	s := f.sim
 	c := &cut{from: map[*process]bool{}, to: map[*process]bool{}, bothWays: bothWays}
@@ -189,7 +191,7 @@
 	s.network.cuts = append(s.network.cuts, c)
 	return func() {
 		s.trace("a cut heals")
-		s.network.cuts = slices.DeleteFunc(s.network.cuts, func(x *cut) bool { return x == c })
+		s.network.cuts = slices.DeleteFunc(s.network.cuts, func(other *cut) bool { return other == c })
 	}
 }
 
@@ -219,9 +221,9 @@
 	}
 }
 
-func addresses(list []*process) (out []string) {
-	for _, p := range list {
-		out = append(out, p.addr)
+func addresses(processes []*process) (addrs []string) {
+	for _, p := range processes {
+		addrs = append(addrs, p.addr)
 	}
-	return out
+	return addrs
 }
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -7,27 +7,27 @@
 	"crosstide/internal/state"
 )
 
-// promises are the invariants that a run checks, by the names under which Report.Promise counts their cases.
+// promises are the names of the invariants that every run checks, under which Report.Promise counts their cases.
 var promises = []string{
 	"once at a time", "not after it ended well", "newer ticket", "fence", "decided in office", "rebuilt", "durable",
 	"ordered once", "not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over",
 	"draining", "evacuated", "fits", "order once", "same log", "same state", "all ends", "linear",
 }
 
-// invariantChecker checks the invariants against what really happened: what was written to workers, what workers
-// started and ended, what clients and operators were answered, and what disks have. Of the daemons it believes only the
-// log, of which it keeps a copy from the first control-plane node that shows an entry as committed. It draws no random
-// number and acts on nothing; faults and clients read what it knows.
+// invariantChecker checks the invariants against what really happened: the calls sent to workers, the starts and ends
+// in workers' journals, the answers to clients and operators, and the content of disks. Of the daemons' own records it
+// trusts only the log, of which it keeps a copy of each entry from the first control-plane node that shows it as
+// committed. It draws no random number and changes nothing; faults and clients read its records.
 //
-// Every event of the simulation that matters to an invariant calls an observe method; the check methods judge. They
-// stand by what they check: checklog.go, checkrole.go, checkruns.go, checkstart.go, checkprogress.go, and with
-// Options.Parties checkbilling.go and checkbillingprogress.go.
+// Every event of the simulation that matters to an invariant calls an observe method; the check methods report
+// breaches. A file has the checks of one subject: checklog.go, checkrole.go, checkruns.go, checkstart.go,
+// checkprogress.go, and with Options.Parties checkbilling.go and checkbillingprogress.go.
 type invariantChecker struct {
 	sim       *sim
-	reference *state.State             // the committed entries, applied
-	grants    []uint64                 // epochs of the scheduler role, in order
-	jobs      map[string]*clientJob    // by key; the clients add theirs and keep them
-	evacuated map[string]time.Duration // since when a zone is, by the operators, who set and delete it
+	reference *state.State             // the state after all committed entries
+	grants    []uint64                 // epochs of the grants of the scheduler role, ascending
+	jobs      map[string]*clientJob    // by key; added and updated by the clients
+	evacuated map[string]time.Duration // when a zone's evacuation was acknowledged; set and deleted by operators.go
 	committedLog
 	runRecords
 	dueTasks
@@ -51,7 +51,7 @@
 	return ic
 }
 
-// observeState takes in a change of the reference, made by the entry that is being applied.
+// observeState records a change of the reference by the entry that is being applied.
 func (ic *invariantChecker) observeState(event state.Event) {
 	s := ic.sim
 	switch event.Kind {
--- a/internal/testbed/policysim/jobmodel.go
+++ b/internal/testbed/policysim/jobmodel.go
@@ -6,19 +6,19 @@
 	"crosstide/internal/state"
 )
 
-// jobModel is what the answers up to a point tell of a job: its digest ("" while absent), the phase that it has reached
-// at least, and whether a cancel took effect. Between answers a job may move on by itself, never back.
+// jobModel is what is known of a job from the operations that took effect so far. Between operations a job may advance
+// to a later phase by itself, but never go back.
 type jobModel struct {
-	digest        string
-	phase         state.JobPhase // "" after a cancel without an answer: stopping or over
-	cancelApplied bool
+	digest        string         // "": there is no job
+	phase         state.JobPhase // the earliest phase that it may be in; "": stopping or terminal
+	cancelApplied bool           // a cancel took effect
 }
 
 // phaseRank orders the phases: a job never goes to a lower one.
 var phaseRank = map[state.JobPhase]int{state.JobAccepted: 0, state.JobRunning: 1, state.JobStopping: 2, "": 2,
 	state.JobDone: 3, state.JobFailed: 3, state.JobCancelled: 3}
 
-// observe tells whether a job may be shown in a phase now, and returns what is known then.
+// observe reports whether an answer may show the job in a phase now, and returns what is known after that answer.
 func (j jobModel) observe(phase state.JobPhase) (possible bool, then jobModel) {
 	rank, ok := phaseRank[phase]
 	switch {
@@ -35,7 +35,7 @@
 	return true, j
 }
 
-// afterCancel is what is known after a cancel took effect.
+// afterCancel returns what is known after a cancel took effect.
 func (j jobModel) afterCancel() jobModel {
 	if j.digest == "" {
 		return j
@@ -47,7 +47,8 @@
 	return j
 }
 
-// step tells whether an operation may take effect now with the answer that it had, and returns what is known then.
+// step reports whether an operation may take effect now with the answer that it had, and returns what is known after
+// it.
 func (j jobModel) step(op *operation) (possible bool, then jobModel) {
 	switch op.kind {
 	case opSubmit:
@@ -101,7 +102,7 @@
 	return false, j
 }
 
-// model is the checker's view of jobModel: a history falls into those of the keys, which are independent.
+// model is jobModel for porcupine. The histories of different keys are independent.
 var model = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return jobModel{} },
--- a/internal/testbed/policysim/network.go
+++ b/internal/testbed/policysim/network.go
@@ -6,24 +6,24 @@
 	"crosstide/internal/errs"
 )
 
-// resendInterval is between two attempts of a kernel to send what meets a partition.
+// resendInterval is the time between two attempts of a kernel to send a message that a cut drops.
 const resendInterval = 20 * time.Millisecond
 
-// network is what lies between the processes. Its zero value is a good one.
+// network has the disruptions of the network between the processes. Its zero value has none.
 type network struct {
-	lossRate, duplicateRate, delayRate float64       // per message
+	lossRate, duplicateRate, delayRate float64       // probabilities for each message
 	maxDelay                           time.Duration // of a message that is delayed
-	crossedAnswerRate                  float64       // of lease calls: the answer is that of another call
+	crossedAnswerRate                  float64       // probability that a lease call gets the answer to another call
 	cuts                               []*cut
 }
 
-// cut drops what goes from one set of processes to another, and back if it is bothWays.
+// cut drops the messages from one set of processes to another, and those back if bothWays is set.
 type cut struct {
 	from, to map[*process]bool
 	bothWays bool
 }
 
-// blocked tells whether a message from one process to another meets a cut.
+// blocked reports whether a cut drops messages from one process to another.
 func (s *sim) blocked(from, to *process) bool {
 	for _, c := range s.network.cuts {
 		if c.from[from] && c.to[to] || c.bothWays && c.from[to] && c.to[from] {
@@ -33,7 +33,7 @@
 	return false
 }
 
-// latency draws how long a message is in flight.
+// latency draws the time for which a message is in flight.
 func (s *sim) latency() time.Duration {
 	d := s.between(100*time.Microsecond, 2*time.Millisecond)
 	if s.chance(s.network.delayRate) {
@@ -43,8 +43,8 @@
 	return d
 }
 
-// transmit runs do at the other side once, never, or, if it may be repeated, now and then twice. What meets a cut stays
-// in the kernel, which resends it until resendFor is over or the connection is closed.
+// transmit sends a message, whose arrival runs do: once, never, or sometimes twice if mayRepeat is set. The kernel
+// resends a message that a cut drops until resendFor has passed or the connection is closed.
 func (s *sim) transmit(from, to *process, resendFor time.Duration, mayRepeat bool, isOpen func() bool, do func()) {
 	if s.chance(s.network.lossRate) {
 		s.report.Faults["lose"]++
@@ -60,7 +60,7 @@
 	}
 }
 
-// deliver sends a message, and sends it again until the deadline if it meets a cut.
+// deliver sends a message, and resends it until the deadline while a cut drops it.
 func (s *sim) deliver(from, to *process, deadline time.Duration, isOpen func() bool, do func()) {
 	if !s.blocked(from, to) {
 		s.schedule(s.latency(), func() {
@@ -80,7 +80,7 @@
 	}
 }
 
-// request is a call over a connection of its own.
+// request is a call over a new connection.
 type request struct {
 	from      *process
 	addr      string
@@ -88,19 +88,19 @@
 	resendFor time.Duration // how long the kernels resend
 	mayRepeat bool          // the call may arrive twice
 	serve     func(to *process, reply func(any, error))
-	// onAnswer is called once, if the caller lives so long: with the answer or a failure. sent: a byte of the call may
-	// have left.
+	// onAnswer is called once, unless the caller's incarnation ends before: with the answer or a failure. sent reports
+	// that a byte of the call may have left the caller.
 	onAnswer func(answer any, err error, sent bool)
 }
 
-// connection is what request keeps of a call that is in flight.
+// connection is a call in flight.
 type connection struct {
 	request
 	sim         *sim
 	generation  int // of the caller
 	peer        *process
-	incarnation int // generation of the peer that the connection leads to
-	closed      bool
+	incarnation int  // generation of the peer that accepted the connection
+	closed      bool // at the caller's side
 }
 
 // request makes a call.
@@ -123,7 +123,7 @@
 
 func (c *connection) isOpen() bool { return !c.closed }
 
-// finish closes the connection, at the caller's side, with an answer or a failure. Only the first one counts.
+// finish closes the connection at the caller's side with an answer or a failure. Only the first call has an effect.
 func (c *connection) finish(answer any, err error, sent bool) {
 	c.from.execute(c.generation, func() {
 		if !c.closed {
@@ -133,9 +133,9 @@
 	})
 }
 
-// arrive serves the call at the peer, or resets the connection if it leads to another incarnation.
+// arrive serves the call at the peer, or resets the connection if its incarnation has ended.
 func (c *connection) arrive() {
-	if c.closed && !c.mayRepeat { // closed with a reset, which went the same way
+	if c.closed && !c.mayRepeat { // the caller's reset arrived too
 		return
 	}
 	if !c.peer.alive || c.peer.generation != c.incarnation {
--- a/internal/testbed/policysim/operators.go
+++ b/internal/testbed/policysim/operators.go
@@ -9,11 +9,11 @@
 	"crosstide/internal/state/command"
 )
 
-// orderTimeout is how long an operator waits for an answer.
+// orderTimeout bounds the time for which an operator waits for an answer.
 const orderTimeout = 5 * time.Second
 
-// sendOrder sends an operator's order until it is acknowledged, and then now and then once more (invariant: order
-// once). first is the answer that acknowledged it; nil before.
+// sendOrder sends an operator's order until it is acknowledged, then calls done, and sometimes sends the order once
+// more (invariant: order once). first is the answer that acknowledged it; nil before.
 func (c *clients) sendOrder(cmd command.Command, first json.RawMessage, done func()) {
 	c.operator.propose(cmd, c.Now()+orderTimeout, func(answer json.RawMessage, err error) {
 		s := c.sim
@@ -34,7 +34,7 @@
 	})
 }
 
-// sendInOrder sends orders one after another, each when the one before is acknowledged.
+// sendInOrder sends each order when the previous one is acknowledged, and calls done after the last.
 func (c *clients) sendInOrder(orders []command.Command, done func()) {
 	if len(orders) == 0 {
 		done()
@@ -43,7 +43,7 @@
 	c.sendOrder(orders[0], nil, func() { c.sendInOrder(orders[1:], done) })
 }
 
-// evacuateZone evacuates a zone for a while, unless one is evacuated already.
+// evacuateZone evacuates a zone for a while; false if one is evacuated already.
 func (c *clients) evacuateZone(zone string) (ordered bool) {
 	if len(c.evacuatedZones) > 0 {
 		return false
@@ -59,7 +59,8 @@
 	return true
 }
 
-// liftEvacuation lifts the evacuation of a zone, which may be in use again as soon as the order is sent.
+// liftEvacuation lifts the evacuation of a zone. Starts in the zone are allowed from when the order is sent, as it may
+// be committed long before it is acknowledged.
 func (c *clients) liftEvacuation(zone string) {
 	s := c.sim
 	delete(s.checker.evacuated, zone)
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -1,13 +1,13 @@
 // Package policysim simulates the policy deployment: a whole fleet on one thread under a virtual clock, from one seed.
 // There are control-plane nodes on disks that lose what is not synced, data-plane nodes, workers of both kinds, clients
-// and an operator, with faults on every side. After every event a checker compares with the invariants what was really
-// started, written and answered. The same seed has the same trace, byte for byte; simulations of several seeds may run
-// beside each other.
+// and an operator, with faults injected into all of them. A checker tests every start, write and answer against the
+// invariants as it happens. The same seed has the same trace, byte for byte; several seeds may run concurrently.
 //
 // All decisions are made by the daemons' own code: raft.Core, store.Store (its steps taken by store.ManualDriver) on a
-// storage.MemDisk, state and command, replica.Replica, scheduler.Core, policyworker.Core. The glue of dataplane.Node
-// and of the worker's host is written anew here, as events instead of goroutines: a step that a daemon takes must be
-// taken here too. Nothing is measured here but time to recover; for load and real processes see the other testbeds.
+// storage.MemDisk, state and command, replica.Replica, scheduler.Core, policyworker.Core. The wiring of dataplane.Node
+// and of the worker's host is reimplemented here, as events instead of goroutines: a step that a daemon takes must be
+// taken here too. The package measures nothing but times to recover; for load and real processes see the other
+// testbeds.
 //
 // Run loops over the events in order of time:
 //
@@ -18,8 +18,8 @@
 //		e.do()                              // a timer of a process (process.go), an arrival (network.go), a fault
 //	}
 //
-// Begin with simulation.go and invariants.go. The nodes are controlplane*.go, dataplane*.go and worker.go, what goes
-// wrong is faults.go, injections.go and directedfaults.go, what is checked is invariants.go and check*.go.
+// Begin with simulation.go and invariants.go. The nodes are in controlplane*.go, dataplane*.go and worker.go, the
+// faults in faults.go, injections.go and directedfaults.go, and the checks in invariants.go and check*.go.
 package policysim
 
 import (
@@ -34,27 +34,27 @@
 // Options of a run.
 type Options struct {
 	Seed              uint64
-	FaultPeriod       time.Duration // for which faults are injected and new jobs come; default 40s
-	Faults            []string      // default: all of Faults
-	WithoutGuard      string        // a guard to be taken out, of Guards; "": none
+	FaultPeriod       time.Duration // for which faults are injected and jobs are submitted; default 40s
+	Faults            []string      // names of the faults to inject; default: all of Faults
+	WithoutGuard      string        // name of a guard to disable, of Guards; "": none
 	MeanFaultInterval time.Duration // default: drawn, 200 ms to 2.5 s
-	Trace             io.Writer     // every line of the trace is written to it; nil: none
-	// Parties lets two parties pay for some of the jobs. The account of one is exhausted again and again.
+	Trace             io.Writer     // gets every line of the trace; nil: none
+	// Parties has two parties pay for some of the jobs. The account of one is exhausted repeatedly.
 	Parties bool
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Seed        uint64
 	Breach      *Breach           // nil: every invariant held
-	Promise     map[string]uint64 // cases seen, by invariant
-	Faults      map[string]uint64 // cases made, by fault
-	Counts      map[string]uint64 // what is neither, by what it is
+	Promise     map[string]uint64 // cases checked, by invariant
+	Faults      map[string]uint64 // cases injected, by fault
+	Counts      map[string]uint64 // of other events, by description
 	Events      uint64            // 0: the seed was not run, see RunSeeds
 	VirtualTime time.Duration
 	TraceHash   uint64 // xxhash64 of all lines of the trace
-	// With Parties: from the acknowledgement of a top-up until work went on, under faults and after them, and from the
-	// loss of a long-running task's worker until it ran again.
+	// With Parties: the times from the acknowledgement of a top-up to the next start, under faults and after them, and
+	// from the loss of a long-running task's worker to its next start.
 	Resumes, CalmResumes, Attached []time.Duration
 }
 
--- a/internal/testbed/policysim/process.go
+++ b/internal/testbed/policysim/process.go
@@ -6,22 +6,22 @@
 	"crosstide/internal/clock"
 )
 
-// process is a process on a machine of its own. It is the clock.Clock of the daemon that runs as it: its clock has its
-// own zero, and goes on while the process is frozen.
+// process is a daemon's process on its own machine. It implements clock.Clock for the daemon; the clock starts at a
+// random value with each incarnation, and advances while the process is frozen.
 type process struct {
 	sim        *sim
 	addr       string
 	zone       string
-	generation int // goes up with every start and end: what was scheduled for another one is dropped
+	generation int // increased by every start and end; events scheduled under an older one are dropped
 	alive      bool
 	frozen     bool
-	delayed    []func()      // what fell due while it was frozen
-	wokeAt     time.Duration // virtual time of the last waking
+	delayed    []func()      // events that became due while it was frozen
+	wokeAt     time.Duration // virtual time at which it last woke
 	clockZero  time.Duration // virtual time at which its clock was 0
-	wallSkew   time.Duration // by which its time of day is ahead
+	wallSkew   time.Duration // of its time of day from virtual time
 }
 
-// newProcess makes a process that is not alive yet.
+// newProcess returns a process that is not alive yet.
 func (s *sim) newProcess(addr, zone string) *process {
 	p := &process{sim: s, addr: addr, zone: zone, wallSkew: s.between(-2*time.Second, 2*time.Second)}
 	s.processes = append(s.processes, p)
@@ -29,20 +29,20 @@
 	return p
 }
 
-// startIncarnation starts an incarnation of the process, with a clock of its own.
+// startIncarnation starts an incarnation of the process, with a new clock.
 func (p *process) startIncarnation() {
 	p.generation++
 	p.alive, p.frozen, p.delayed = true, false, nil
 	p.clockZero = p.sim.now - p.sim.between(time.Second, time.Hour)
 }
 
-// endIncarnation ends the incarnation; nothing that was scheduled for it is run.
+// endIncarnation ends the incarnation; its scheduled events are dropped.
 func (p *process) endIncarnation() {
 	p.generation++
 	p.alive, p.frozen, p.delayed = false, false, nil
 }
 
-// execute runs what reaches a generation of the process; a frozen process runs it when it wakes.
+// execute runs do if the process is of the generation, when it wakes if it is frozen.
 func (p *process) execute(generation int, do func()) {
 	switch {
 	case !p.alive || p.generation != generation:
@@ -53,7 +53,7 @@
 	}
 }
 
-// after is a timer of this incarnation.
+// after runs do after d, unless the incarnation has ended by then.
 func (p *process) after(d time.Duration, do func()) {
 	generation := p.generation
 	p.sim.schedule(d, func() { p.execute(generation, do) })
@@ -61,7 +61,7 @@
 
 func (p *process) freeze() { p.frozen = p.alive }
 
-// wake runs all that fell due meanwhile, in any order.
+// wake ends the freeze and runs the events that became due meanwhile, half the time in random order.
 func (p *process) wake() {
 	if !p.alive || !p.frozen {
 		return
@@ -76,23 +76,23 @@
 	}
 }
 
-// Now is the process's clock.
+// Now returns the time of the process's clock.
 func (p *process) Now() time.Duration { return p.sim.now - p.clockZero }
 
-// Wall is the time of day as this machine has it.
+// Wall returns the machine's time of day.
 func (p *process) Wall() time.Time { return time.Unix(1_700_000_000, 0).Add(p.sim.now + p.wallSkew) }
 
-// timer is a clock.Stopper.
-type timer struct{ off bool }
+// timer implements clock.Stopper.
+type timer struct{ off bool } // off: it has fired or was stopped
 
-// Stop keeps the timer from firing and tells whether it was still to fire.
+// Stop prevents the timer from firing, and reports whether it was pending.
 func (t *timer) Stop() bool {
 	pending := !t.off
 	t.off = true
 	return pending
 }
 
-// Set starts a timer of the process.
+// Set starts a timer of the incarnation.
 func (p *process) Set(d time.Duration, call func()) clock.Stopper {
 	t := &timer{}
 	p.after(d, func() {
--- a/internal/testbed/policysim/simulation.go
+++ b/internal/testbed/policysim/simulation.go
@@ -12,19 +12,20 @@
 	"crosstide/internal/errs"
 )
 
-// event is something that happens at a moment of virtual time.
+// event is a function to run at a point of virtual time.
 type event struct {
 	at  time.Duration
-	seq uint64 // the order of events of the same moment
+	seq uint64 // order among the events of the same time
 	do  func()
 }
 
+// eventHeap is a heap of events by time, then by seq.
 type eventHeap []event
 
 // Len is part of heap.Interface.
 func (h eventHeap) Len() int { return len(h) }
 
-// Less orders events by time, then by number; part of heap.Interface.
+// Less orders events by time, then by seq; it is part of heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
@@ -44,17 +45,17 @@
 	return last
 }
 
-// traceTail is how many lines of the trace are shown with a breach.
+// traceTail is the number of lines of the trace that are kept for a breach.
 const traceTail = 120
 
-// sim is a run: the virtual clock with its events, the one source of random numbers, the fleet, and what is reported.
+// sim is a run: the virtual clock with its events, the only source of random numbers, the fleet, and the report.
 // Everything runs on the goroutine of Run. Each draw and each event is part of the history: a change of their order
-// changes all that follows.
+// changes everything after it.
 type sim struct {
 	options Options
 	rng     *rand.Rand
 	now     time.Duration // virtual time
-	seq     uint64
+	seq     uint64        // of the newest event
 	queue   eventHeap
 
 	network       network
@@ -70,14 +71,14 @@
 	billing        *billingScenario // nil without Options.Parties, as billingChecker is
 	billingChecker *billingChecker
 
-	faultsOver bool
+	faultsOver bool // FaultPeriod has passed, all faults have ended
 	report     Report
 	hash       *xxhash.Digest // of the trace
 	recent     []string       // ring of the newest lines of the trace
-	recentNext int            // place of the next line in recent
+	recentNext int            // index of the next line in recent
 }
 
-// schedule puts an event d from now.
+// schedule runs do after d.
 func (s *sim) schedule(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, do})
@@ -88,7 +89,7 @@
 	line := fmt.Sprintf("%12.6f ", s.now.Seconds()) + fmt.Sprintf(format, args...)
 	_, _ = s.hash.WriteString(line) // never fails
 	if s.options.Trace != nil {
-		_, _ = io.WriteString(s.options.Trace, line+"\n") // a trace that nobody reads changes no run
+		_, _ = io.WriteString(s.options.Trace, line+"\n") // a failure does not affect the run
 	}
 	if len(s.recent) < traceTail {
 		s.recent = append(s.recent, line)
@@ -118,7 +119,7 @@
 // chance is true with probability p.
 func (s *sim) chance(p float64) bool { return s.rng.Float64() < p }
 
-// between draws a duration from low on to below high; low if there is none.
+// between draws a duration from low inclusive to high exclusive; low if high is not above it.
 func (s *sim) between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -126,10 +127,10 @@
 	return low + time.Duration(s.rng.Int64N(int64(high-low)))
 }
 
-// pick draws one of a list.
+// pick draws an element of a list.
 func pick[T any](s *sim, list []T) T { return list[s.rng.IntN(len(list))] }
 
-// must is for what cannot fail in the simulator.
+// must panics on an error that cannot occur in the simulator.
 func must(err error) {
 	if err != nil {
 		panic(errs.Of(err))
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -12,8 +12,9 @@
 	"crosstide/internal/routine"
 )
 
-// RunSeeds runs the seeds from..to, width at once, each on one goroutine, and returns their reports in the order of the
-// seeds. After maxBreaches no further seed is begun (0: all are run); the reports of those have no events.
+// RunSeeds runs the seeds from..to, width at a time and each on one goroutine, and returns their reports in the order
+// of the seeds. After maxBreaches breaches it starts no further seed (0: it runs all); the reports of the others have
+// no events.
 func RunSeeds(options Options, from, to uint64, width, maxBreaches int) []Report {
 	reports := make([]Report, to-from+1)
 	var breaches atomic.Int64
@@ -31,17 +32,17 @@
 	return reports
 }
 
-// Summary is what a set of runs showed together.
+// Summary is the sum of the reports of a set of runs.
 type Summary struct {
 	Seeds, Broken                          int
 	Events                                 uint64
 	Promise, Faults, Counts                map[string]uint64 // see Report
 	Breaches                               []Report          // those of the broken seeds
-	UnexercisedPromises, UnexercisedFaults []string          // that were wanted and of which there was no case
+	UnexercisedPromises, UnexercisedFaults []string          // required ones without a case
 	Resumes, CalmResumes, Attached         []time.Duration   // see Report
 }
 
-// Summarize adds up reports. wanted are the faults of which there must be cases.
+// Summarize adds up reports. wanted are the names of faults that must have cases, as all of promises must.
 func Summarize(reports []Report, wanted []string) Summary {
 	s := Summary{Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
 	for _, r := range reports {
@@ -79,7 +80,7 @@
 	}
 }
 
-// Require adds invariants of which there must be cases.
+// Require adds those of the invariants that have no case to UnexercisedPromises.
 func (s *Summary) Require(promises []string) {
 	for _, promise := range promises {
 		if s.Promise[promise] == 0 {
@@ -88,7 +89,8 @@
 	}
 }
 
-// Print prints a line for each invariant, fault and count, with how many cases there were, and for what took time.
+// Print prints a line with the number of cases for each invariant, fault and count, one for each kind of duration, and
+// one for each that was required and has no case.
 func (s Summary) Print(w io.Writer) error {
 	var err error
 	line := func(format string, args ...any) {
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -9,11 +9,11 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// lateness is how late an obeying worker carries out an order at most, counted from its arrival. It is below the bound
-// in the scheduler's settings by as much as an order may be in flight.
+// lateness bounds the time from the arrival of an order until an obeying worker carries it out. It is below the bound
+// in the scheduler's settings by the time for which an order may be in flight.
 const lateness = 1700 * time.Millisecond
 
-// worker is the host of a policyworker.Core: it passes calls and time to it, and carries out its actions.
+// worker hosts a policyworker.Core: it passes calls and the time to it, and carries out its actions.
 type worker struct {
 	*process
 	kind   string
@@ -21,20 +21,20 @@
 	gpus   int
 	labels map[string]string
 
-	// Of the incarnation.
+	// The fields up to floor are set anew by each incarnation.
 	core           *policyworker.Core
 	traits         policyworker.Traits
-	pendingReplies map[uint64]func(any, error) // to calls, by their tags
+	pendingReplies map[uint64]func(any, error) // to calls in flight, by tag
 	draining       bool
 	drainingSince  time.Duration // virtual time
-	floor          uint64        // highest that a call carried, without the guard floor
+	floor          uint64        // highest floor of any call; used without the guard floor only
 
-	lastTag        uint64
-	answerLossRate float64 // for the fault lost
-	lateOrderRate  float64 // for the fault late
+	lastTag        uint64  // of the newest call
+	answerLossRate float64 // set by the fault lost
+	lateOrderRate  float64 // set by the fault late
 }
 
-// open starts an incarnation, on which nothing runs. Its clock starts with it.
+// open starts an incarnation without runs. Its clock starts at 0.
 func (w *worker) open() {
 	s := w.sim
 	w.startIncarnation()
@@ -49,14 +49,14 @@
 	w.announce()
 }
 
-// restart starts another incarnation, unless one runs.
+// restart starts another incarnation, unless one is running.
 func (w *worker) restart() {
 	if !w.alive {
 		w.open()
 	}
 }
 
-// kill ends the process. What it ran goes on until its lease expires or the next incarnation starts.
+// kill ends the process. Its runs continue until their leases expire or the next incarnation starts.
 func (w *worker) kill() {
 	if w.alive {
 		w.endIncarnation()
@@ -64,7 +64,7 @@
 	}
 }
 
-// announce announces the worker to any data-plane node, again and again.
+// announce announces the worker to a random data-plane node, periodically.
 func (w *worker) announce() {
 	s := w.sim
 	d := pick(s, s.dataPlanes)
@@ -80,7 +80,7 @@
 		}})
 }
 
-// perform carries out what the core decided: the checker has what the worker did before anybody has an answer.
+// perform carries out the core's actions. The checker gets the journal entries before any answer is sent.
 func (w *worker) perform(actions policyworker.Actions) {
 	for _, entry := range actions.Journal {
 		w.sim.checker.observeJournal(w, entry)
@@ -101,7 +101,7 @@
 	}
 }
 
-// renewLease answers a lease call, perhaps late, perhaps never.
+// renewLease serves a lease call, with the faults late and lost.
 func (w *worker) renewLease(call internalapi.LeaseCall, reply func(any, error)) {
 	s := w.sim
 	isLost, late := s.chance(w.answerLossRate), time.Duration(0)
@@ -122,7 +122,7 @@
 	})
 }
 
-// handle passes a call to the core. If its connection is lost, the core learns that after it has carried the call out.
+// handle passes a call to the core. If the answer is lost, the core is notified after it has carried the call out.
 func (w *worker) handle(call internalapi.LeaseCall, reply func(any, error), isLost bool) {
 	w.lastTag++
 	tag := w.lastTag
@@ -139,7 +139,7 @@
 	}
 }
 
-// withoutFloor takes the floor, and the times after which its orders are invalid, out of a call.
+// withoutFloor returns a call without its floor and without the times after which its orders are invalid.
 func (w *worker) withoutFloor(call internalapi.LeaseCall) internalapi.LeaseCall {
 	w.floor = max(w.floor, call.Floor)
 	call.Floor = 0
@@ -150,7 +150,7 @@
 	return call
 }
 
-// drain switches draining.
+// drain starts or ends draining.
 func (w *worker) drain(on bool) {
 	if w.alive && !w.frozen && w.draining != on {
 		w.draining = on
