--- a/internal/jobs/evacuate.go
+++ b/internal/jobs/evacuate.go
@@ -1,9 +1,9 @@
 package jobs
 
 // Evacuate starts or withdraws the evacuation of a zone; repeated it changes nothing.
-func (t *Table) Evacuate(c Evacuate) error {
+func (t *Table) Evacuate(c Evacuate) {
 	if t.Evacuated[c.Zone] == c.Start {
-		return nil
+		return
 	}
 	if c.Start {
 		t.Evacuated[c.Zone] = true
@@ -11,5 +11,4 @@
 		delete(t.Evacuated, c.Zone)
 	}
 	t.notify(ZonesChanged, c.Zone)
-	return nil
 }
--- a/internal/jobs/evacuate_test.go
+++ b/internal/jobs/evacuate_test.go
@@ -10,12 +10,12 @@
 	Convey("An evacuation is started and withdrawn, each any number of times", t, func() {
 		table := testTable()
 		before := table.bytes()
-		must(table.Evacuate(Evacuate{Zone: "zone-1"}))
+		table.Evacuate(Evacuate{Zone: "zone-1"})
 		So(table.bytes(), ShouldEqual, before)
-		must(table.Evacuate(Evacuate{Zone: "zone-1", Start: true}))
-		must(table.Evacuate(Evacuate{Zone: "zone-1", Start: true}))
+		table.Evacuate(Evacuate{Zone: "zone-1", Start: true})
+		table.Evacuate(Evacuate{Zone: "zone-1", Start: true})
 		So(table.Evacuated, ShouldResemble, map[string]bool{"zone-1": true})
-		must(table.Evacuate(Evacuate{Zone: "zone-1"}))
+		table.Evacuate(Evacuate{Zone: "zone-1"})
 		So(table.bytes(), ShouldEqual, before)
 	})
 }
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -53,7 +53,7 @@
 		must(m.Configure(order))
 	}
 	for _, start := range []bool{true, false} {
-		must(m.Evacuate(Evacuate{Zone: "zone-9", Start: start}))
+		m.Evacuate(Evacuate{Zone: "zone-9", Start: start})
 	}
 	m.at = m.at.Add(time.Hour)
 	if !m.noForget {
--- a/internal/jobs/progress_start_test.go
+++ b/internal/jobs/progress_start_test.go
@@ -34,7 +34,7 @@
 				w.Left = true
 				must(x.Register(Register{Workers: []Worker{w}}))
 			},
-			func(x *Table) { must(x.Evacuate(Evacuate{Zone: "zone-1", Start: true})) },
+			func(x *Table) { x.Evacuate(Evacuate{Zone: "zone-1", Start: true}) },
 			func(x *Table) {
 				queue := testConfig().Queues[0]
 				queue.Service = "guard"
@@ -70,7 +70,7 @@
 		changes := []func(*Table){
 			func(x *Table) { x.start(startOf(taskOf("j", 0, 0), 1, "w1")) },
 			func(x *Table) { _, err := x.Cancel(Cancel{ID: "j", At: noon}); must(err) },
-			func(x *Table) { must(x.Evacuate(Evacuate{Zone: "zone-1", Start: true})) },
+			func(x *Table) { x.Evacuate(Evacuate{Zone: "zone-1", Start: true}) },
 			func(x *Table) { must(x.Configure(Configure{Base: 5, Version: 6, RemoveQueues: []string{"plain"}})) },
 		}
 		permutations(len(changes), func(order []int) {
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -81,7 +81,7 @@
 	case Configure:
 		err = t.Configure(c)
 	case Evacuate:
-		err = t.Evacuate(c)
+		t.Evacuate(c)
 	case Register:
 		err = t.Register(c)
 	case time.Time:
--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -52,7 +52,8 @@
 func (*JobEvacuate) Op() string { return "job-evacuate" }
 
 func (c *JobEvacuate) apply(s *state.State, _ uint64) (any, error) {
-	return nil, errs.Pass(s.JobTable.Evacuate(c.Evacuate), "evacuate")
+	s.JobTable.Evacuate(c.Evacuate)
+	return nil, nil
 }
 
 // JobRegister records workers that are new or have changed.
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -154,7 +154,7 @@
 	case jobs.Configure:
 		err = t.Configure(c)
 	case jobs.Evacuate:
-		err = t.Evacuate(c)
+		t.Evacuate(c)
 	case jobs.Register:
 		err = t.Register(c)
 	case jobs.Progress:
