--- a/internal/state/command/golden_test.go
+++ b/internal/state/command/golden_test.go
@@ -28,12 +28,12 @@
 	)
 }
 
-// ops is the shape of every command, under its name in the log.
+// ops returns the shape of every command, under its name in the log.
 func ops() string {
-	var out []string
-	for op, make := range constructors {
-		out = append(out, golden.Shape("op "+op, make())+"\n"+golden.Filled("op "+op, make()))
+	var shapes []string
+	for op, construct := range constructors {
+		shapes = append(shapes, golden.Shape("op "+op, construct())+"\n"+golden.Filled("op "+op, construct()))
 	}
-	slices.Sort(out)
-	return strings.Join(out, "\n")
+	slices.Sort(shapes)
+	return strings.Join(shapes, "\n")
 }
--- a/internal/state/command/helpers_test.go
+++ b/internal/state/command/helpers_test.go
@@ -8,66 +8,86 @@
 	"crosstide/internal/state"
 )
 
-// testState is a state to which commands are applied in order, as the log does. The entries are of term 1, a second
-// apart.
+// testState is a state to which a test applies commands as log entries, in order. All entries are of term 1, and the
+// store time advances by a second with each.
 type testState struct{ *state.State }
 
-// newTestState has a scheduler of epoch 1 and the workers m1 and m2 with two cores each.
+// newTestState returns a state with a scheduler role of epoch 1 and the workers m1 and m2 with two cores each.
 func newTestState() testState {
-	b := testState{state.New()}
-	b.do(&GrantRole{Role: "sched", Holder: "d1"})
+	s := testState{state.New()}
+	s.do(&GrantRole{Role: "sched", Holder: "d1"})
 	for _, name := range []string{"m1", "m2"} {
-		b.do(&Announce{Worker: state.Worker{Name: name, Addr: name}})
-		b.do(&Plan{Epoch: 1, Workers: []state.Worker{testWorker(name)}})
+		s.do(&Announce{Worker: state.Worker{Name: name, Addr: name}})
+		s.do(&Plan{Epoch: 1, Workers: []state.Worker{testWorker(name)}})
 	}
-	return b
+	return s
 }
 
-// testWorker is a worker as it reports itself, in the zone of its number.
+// testWorker returns a worker as it reports itself; the zone of m1 is z1.
 func testWorker(name string) state.Worker {
 	return state.Worker{Name: name, Incarnation: "b", Kind: "check", Zone: "z" + name[1:], Cores: 2}
 }
 
-// startOn wants a run of a task of the first step.
+// startOn returns a start of a task of the first step.
 func startOn(worker, key string, task int) Start {
 	return Start{Ref: state.TaskRef{Job: key, Task: task}, Worker: worker, Incarnation: "b"}
 }
 
 // do applies a command through its log entry.
-func (b testState) do(c Command) (any, error) {
-	data, err := Encode(time.Unix(int64(b.Index), 0), c)
+func (s testState) do(c Command) (any, error) {
+	data, err := Encode(time.Unix(int64(s.Index), 0), c)
 	if err != nil {
 		panic(err)
 	}
-	return Apply(b.State, b.Index+1, 1, data)
+	return Apply(s.State, s.Index+1, 1, data)
 }
 
-// submit submits a job of team a; its steps have one task at least, of one core.
-func (b testState) submit(key string, steps ...state.StepSpec) (any, error) {
+// submit submits a job of team a. Steps without tasks get one; each task needs one core.
+func (s testState) submit(key string, steps ...state.StepSpec) (any, error) {
 	for i := range steps {
 		steps[i].Tasks, steps[i].Cores = max(steps[i].Tasks, 1), 1
 	}
-	return b.do(&Submit{Spec: state.Spec{Key: key, Team: "a", Queue: "default", Steps: steps}, Digest: key, Bound: 3})
+	return s.do(&Submit{Spec: state.Spec{Key: key, Team: "a", Queue: "default", Steps: steps}, Digest: key, Bound: 3})
 }
 
-// start admits all jobs and asks for starts. Under another epoch none is assigned, and the reason is "epoch".
-func (b testState) start(epoch uint64, starts ...Start) Planned {
-	a, err := b.do(&Plan{Epoch: epoch, BundleVersion: b.Bundle.Version, Seq: b.Seq, Starts: starts, LeaseTTL: time.Second})
+// start applies a plan that admits all jobs and has the starts. A plan of another epoch is answered with the reason
+// "epoch".
+func (s testState) start(epoch uint64, starts ...Start) Planned {
+	answer, err := s.do(&Plan{
+		Epoch: epoch, BundleVersion: s.Bundle.Version, Seq: s.Seq, Starts: starts, LeaseTTL: time.Second,
+	})
 	if err != nil {
 		return Planned{Refused: []string{"epoch"}, RunIDs: make([]uint64, len(starts))}
 	}
-	return a.(Planned)
+	return answer.(Planned)
 }
 
-// must applies a command that is not refused.
-func (b testState) must(c Command) any {
-	a, err := b.do(c)
+// must applies a command that must not be refused, and returns its answer.
+func (s testState) must(c Command) any {
+	answer, err := s.do(c)
 	So(err, ShouldBeNil)
-	return a
+	return answer
 }
 
-// plan applies a plan that is not refused.
-func (b testState) plan(p Plan) Planned {
-	p.Epoch, p.BundleVersion = 1, b.Bundle.Version
-	return b.must(&p).(Planned)
+// eachOrderedChoice calls do with every ordered choice of any number of the numbers below n, and returns the number of
+// calls.
+func eachOrderedChoice(n int, do func(chosen []int)) (calls int) {
+	var walk func(chosen []int, used int)
+	walk = func(chosen []int, used int) {
+		do(chosen)
+		calls++
+		for i := range n {
+			if used&(1<<i) == 0 {
+				walk(append(chosen[:len(chosen):len(chosen)], i), used|1<<i)
+			}
+		}
+	}
+	walk(nil, 0)
+	return calls
+}
+
+// plan applies a plan of epoch 1 that must not be refused.
+func (s testState) plan(p Plan) Planned {
+	p.Epoch, p.BundleVersion = 1, s.Bundle.Version
+	return s.must(&p).(Planned)
 }
--- a/internal/state/command/operators_test.go
+++ b/internal/state/command/operators_test.go
@@ -11,7 +11,8 @@
 	"crosstide/internal/state"
 )
 
-// operatorsFixture is a store of one with two operators, and a third who is none.
+// operatorsFixture is a state that knows the operators ada and ben, with their keys and that of eve, who is no
+// operator.
 type operatorsFixture struct {
 	st   *state.State
 	keys map[string]signature.Key
@@ -39,11 +40,13 @@
 }
 
 func (o *operatorsFixture) put(order, by string, base uint64, body string) *PutBundle {
-	return &PutBundle{Order: order, Base: base, By: by, Body: []byte(body), Sig: o.keys[by].Sign(signature.Put(order, base, bundle.Digest([]byte(body))))}
+	text := signature.Put(order, base, bundle.Digest([]byte(body)))
+	return &PutBundle{Order: order, Base: base, By: by, Body: []byte(body), Sig: o.keys[by].Sign(text)}
 }
 
 func (o *operatorsFixture) patch(order, by string, base uint64, patch string) *PatchBundle {
-	return &PatchBundle{Order: order, Base: base, By: by, Patch: []byte(patch), Sig: o.keys[by].Sign(signature.Patch(order, base, bundle.Digest([]byte(patch))))}
+	text := signature.Patch(order, base, bundle.Digest([]byte(patch)))
+	return &PatchBundle{Order: order, Base: base, By: by, Patch: []byte(patch), Sig: o.keys[by].Sign(text)}
 }
 
 func (o *operatorsFixture) sign(order, by string, version uint64) *SignBundle {
@@ -51,7 +54,8 @@
 	if r := o.st.Revision(version); r != nil {
 		digest = r.Digest
 	}
-	return &SignBundle{Order: order, Version: version, Digest: digest, By: by, Sig: o.keys[by].Sign(signature.Bundle(version, digest))}
+	text := signature.Bundle(version, digest)
+	return &SignBundle{Order: order, Version: version, Digest: digest, By: by, Sig: o.keys[by].Sign(text)}
 }
 
 func (o *operatorsFixture) zone(order, by, zone string, out bool) *EvacuateZone {
@@ -62,19 +66,20 @@
 	return &EvacuateZone{Order: order, Zone: zone, Out: out, By: by, Sig: o.keys[by].Sign(text)}
 }
 
-// force puts a text in force and returns its version.
+// force writes a version with the text body, has both operators sign it, and returns its number.
 func (o *operatorsFixture) force(body string) uint64 {
 	base := o.st.Head().Version
-	for i, c := range []func() Command{
+	for i, order := range []func() Command{
 		func() Command { return o.put(fmt.Sprintf("p%d", base), "ada", base, body) },
 		func() Command { return o.sign(fmt.Sprintf("a%d", base), "ada", base+1) },
 		func() Command { return o.sign(fmt.Sprintf("b%d", base), "ben", base+1) },
 	} {
-		_, err := o.do(c())
+		_, err := o.do(order())
 		So(fmt.Sprint(i, err), ShouldEqual, fmt.Sprint(i, nil))
 	}
 	So(o.st.Bundle.Version, ShouldEqual, base+1)
 	return base + 1
 }
 
+// zonedBundle is the format of a bundle that allows one zone, with spacing that a stored version must keep.
 const zonedBundle = ` {"queues": {"default":{"placement":{"zones":["%s"]}}} }` + "\n\n"
--- a/internal/state/command/order_test.go
+++ b/internal/state/command/order_test.go
@@ -11,16 +11,16 @@
 )
 
 func TestOrders_repeated(t *testing.T) {
-	Convey("An operator's order is applied once and answered the same when repeated; its ID is no other order's", t, func() {
-		b := newTestState()
-		first, err := b.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
+	Convey("A repeated order is answered the same and not applied; another order of its ID conflicts", t, func() {
+		s := newTestState()
+		first, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
 		So(err, ShouldBeNil)
-		b.do(&EvacuateZone{Order: "p", Zone: "z1"})
-		again, err := b.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
+		s.do(&EvacuateZone{Order: "p", Zone: "z1"})
+		again, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
 		So(err, ShouldBeNil)
 		So(fmt.Sprint(again), ShouldEqual, fmt.Sprint(first))
-		So(b.Evacuated, ShouldBeEmpty) // not applied a second time
-		_, err = b.do(&EvacuateZone{Order: "o", Zone: "z2", Out: true})
+		So(s.Evacuated, ShouldBeEmpty) // not applied a second time
+		_, err = s.do(&EvacuateZone{Order: "o", Zone: "z2", Out: true})
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 	})
 }
@@ -28,9 +28,9 @@
 // TestOrders_storedAnswers pins the stored answers to the byte: they are part of snapshots, which must be the same on
 // nodes of all versions of the program.
 func TestOrders_storedAnswers(t *testing.T) {
-	Convey("The answers of orders that change workers and members are stored as they always were", t, func() {
-		b := newTestState()
-		for _, c := range []struct {
+	Convey("The stored answers of orders that change workers, members and zones have fixed bytes", t, func() {
+		s := newTestState()
+		for _, test := range []struct {
 			order  Command
 			answer string
 		}{
@@ -41,17 +41,17 @@
 			{&ReplaceMember{Order: "o5", Old: "c&3", New: "c5"}, `{"new":"c5","old":"c\u00263"}`},
 			{&EvacuateZone{Order: "o6", Zone: "z1", Out: true}, `{"zone":"z1","evacuated":true}`},
 		} {
-			answer, err := b.do(c.order)
-			if c.answer == "" {
+			answer, err := s.do(test.order)
+			if test.answer == "" {
 				So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 				continue
 			}
 			So(err, ShouldBeNil)
-			So(string(answer.(json.RawMessage)), ShouldEqual, c.answer)
+			So(string(answer.(json.RawMessage)), ShouldEqual, test.answer)
 		}
-		So(b.OrderKeys, ShouldResemble, []string{"o1", "o3", "o4", "o5", "o6"})
-		So(string(b.Orders["o1"].Answer), ShouldEqual, `{"closed":true,"minion":"m1"}`)
-		So(b.Orders["o1"].Digest, ShouldEqual,
+		So(s.OrderKeys, ShouldResemble, []string{"o1", "o3", "o4", "o5", "o6"})
+		So(string(s.Orders["o1"].Answer), ShouldEqual, `{"closed":true,"minion":"m1"}`)
+		So(s.Orders["o1"].Digest, ShouldEqual,
 			"close:31b187e9316ee7a7025ac60019d0582d0449b8bbce89ffd591005cef9a30a458")
 	})
 }
--- a/internal/state/command/policy_bundle_test.go
+++ b/internal/state/command/policy_bundle_test.go
@@ -18,8 +18,8 @@
 	Convey("A version goes from draft over one signature into force, and its exact bytes stay", t, func() {
 		o := newOperatorsFixture()
 		notified := 0
-		o.st.OnEvent = func(n state.Event) {
-			if n.Kind == state.EventPlacementChanged {
+		o.st.OnEvent = func(event state.Event) {
+			if event.Kind == state.EventPlacementChanged {
 				notified++
 			}
 		}
@@ -28,7 +28,8 @@
 		So(err, ShouldBeNil)
 		_, err = o.do(o.sign("o2", "ben", 2))
 		So(err, ShouldBeNil)
-		So([]any{o.st.Bundle.Version, o.st.Head().Phase, notified}, ShouldResemble, []any{uint64(1), state.RevisionSigned, 0})
+		So([]any{o.st.Bundle.Version, o.st.Head().Phase, notified}, ShouldResemble,
+			[]any{uint64(1), state.RevisionSigned, 0})
 		_, err = o.do(o.sign("o3", "ada", 2))
 		So(err, ShouldBeNil)
 		So([]any{o.st.Bundle.Version, o.st.Head().Phase, o.st.Revision(1).Phase, notified}, ShouldResemble,
@@ -45,7 +46,7 @@
 		So(err, ShouldBeNil)
 		So(string(again), ShouldEqual, string(data))
 
-		// The same order again, after all that, and on the state that came from disk: the first answer.
+		// The same order, repeated on the decoded state, gets the first answer.
 		o.st = back
 		same, err := o.do(o.put("o1", "ada", 1, text))
 		So(err, ShouldBeNil)
@@ -57,7 +58,7 @@
 }
 
 func TestBundle_badSignatures(t *testing.T) {
-	Convey("What is not signed as it should be is refused, and changes nothing", t, func() {
+	Convey("An order without the signature that it needs is refused, and changes nothing", t, func() {
 		o := newOperatorsFixture()
 		_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zonedBundle, "z1")))
 		So(err, ShouldBeNil)
@@ -72,25 +73,27 @@
 		wrong.Sig = o.keys["ben"].Sign(signature.Bundle(2, wrong.Digest))
 		stolen := o.put("o9", "ben", 2, fmt.Sprintf(zonedBundle, "z2"))
 		stolen.Body = []byte(fmt.Sprintf(zonedBundle, "z3"))
-		for i, c := range []struct {
+		patchOfNoZones := o.patch("o9", "ben", 2, `{"queues":{"default":{"placement":{"zones":[]}}}}`)
+		operators := map[string]string{"eve": o.keys["eve"].Public(), "ada": o.keys["ada"].Public()}
+		for i, test := range []struct {
 			order Command
 			kind  errs.Kind
 		}{
-			{o.sign("o9", "ada", 2), errs.Forbidden}, // twice the same operator
+			{o.sign("o9", "ada", 2), errs.Forbidden}, // ada has signed it already
 			{o.sign("o9", "eve", 2), errs.Forbidden},
 			{other, errs.Forbidden},
 			{wrong, errs.Invalid},
 			{stolen, errs.Forbidden},
 			{o.put("o9", "eve", 2, fmt.Sprintf(zonedBundle, "z2")), errs.Forbidden},
 			{o.put("o9", "ben", 2, `{"queues":{"q":{"zone":1}}}`), errs.Invalid},
-			{o.patch("o9", "ben", 2, `{"queues":{"default":{"placement":{"zones":[]}}}}`), errs.Invalid}, // fine alone, wrong as a whole
+			{patchOfNoZones, errs.Invalid}, // a valid patch, but its result is no valid bundle
 			{o.put("o9", "ben", 3, fmt.Sprintf(zonedBundle, "z2")), errs.Conflict},
 			{o.sign("o9", "ben", 3), errs.Unknown},
 			{o.sign("o9", "ben", 1), errs.Conflict},
-			{&SetOperators{Operators: map[string]string{"eve": o.keys["eve"].Public(), "ada": o.keys["ada"].Public()}}, errs.Conflict},
+			{&SetOperators{Operators: operators}, errs.Conflict},
 		} {
-			_, err := o.do(c.order)
-			So(fmt.Sprint(i, errs.KindOf(err)), ShouldEqual, fmt.Sprint(i, c.kind))
+			_, err := o.do(test.order)
+			So(fmt.Sprint(i, errs.KindOf(err)), ShouldEqual, fmt.Sprint(i, test.kind))
 		}
 		o.st.Index = index
 		o.st.At = time.Unix(int64(index-1), 0).UTC()
@@ -112,29 +115,32 @@
 			So(err, ShouldBeNil)
 		}
 		So(o.st.Bundle.Queues["default"].Zones, ShouldResemble, []string{"z1"})
-		So([]any{o.st.Bundle.Version, o.st.Bundle.Queues["scan"].Urgent, o.st.Bundle.Limits["scan"]}, ShouldResemble, []any{uint64(3), true, 4})
+		So([]any{o.st.Bundle.Version, o.st.Bundle.Queues["scan"].Urgent, o.st.Bundle.Limits["scan"]}, ShouldResemble,
+			[]any{uint64(3), true, 4})
 	})
 }
 
 func TestBundle_races(t *testing.T) {
-	Convey("Of orders that race on one version, in every order, one gets a yes and the others a clear conflict", t, func() {
+	Convey("Of orders on one base the first is accepted and the others are conflicts, in every order", t, func() {
 		for _, turn := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 			o := newOperatorsFixture()
-			orders := []Command{o.put("oa", "ada", 1, fmt.Sprintf(zonedBundle, "z1")), o.put("ob", "ben", 1, fmt.Sprintf(zonedBundle, "z1")),
-				o.patch("oc", "ben", 1, `{"limits":{"scan":1}}`)}
-			var yes []int
+			orders := []Command{
+				o.put("oa", "ada", 1, fmt.Sprintf(zonedBundle, "z1")),
+				o.put("ob", "ben", 1, fmt.Sprintf(zonedBundle, "z1")),
+				o.patch("oc", "ben", 1, `{"limits":{"scan":1}}`),
+			}
+			var accepted []int
 			for round := range 2 { // each is sent twice
 				for _, i := range turn {
 					_, err := o.do(orders[i])
-					switch {
-					case err == nil:
-						yes = append(yes, i)
-					default:
-						So(errs.KindOf(err), ShouldEqual, errs.Conflict)
-						So(err.Error(), ShouldContainSubstring, "someone else was first")
+					if err == nil {
+						accepted = append(accepted, i)
+						continue
 					}
+					So(errs.KindOf(err), ShouldEqual, errs.Conflict)
+					So(err.Error(), ShouldContainSubstring, "someone else was first")
 				}
-				So(yes, ShouldResemble, slices.Repeat([]int{turn[0]}, round+1))
+				So(accepted, ShouldResemble, slices.Repeat([]int{turn[0]}, round+1))
 			}
 			So(o.st.Head().Version, ShouldEqual, 2)
 		}
@@ -142,7 +148,7 @@
 }
 
 func TestBundle_draftReplaced(t *testing.T) {
-	Convey("A draft written over by a newer one cannot be signed any more", t, func() {
+	Convey("A draft that a newer one has replaced cannot be signed", t, func() {
 		for _, signed := range []bool{false, true} {
 			o := newOperatorsFixture()
 			_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zonedBundle, "z1")))
@@ -155,18 +161,19 @@
 			So(err, ShouldBeNil)
 			_, err = o.do(o.sign("o4", "ben", 2))
 			So(errs.KindOf(err), ShouldEqual, errs.Conflict)
-			So([]any{o.st.Bundle.Version, o.st.Revision(2).Phase}, ShouldResemble, []any{uint64(1), state.RevisionReplaced})
+			So([]any{o.st.Bundle.Version, o.st.Revision(2).Phase}, ShouldResemble,
+				[]any{uint64(1), state.RevisionReplaced})
 		}
 	})
 }
 
 func TestBundle_bounds(t *testing.T) {
-	Convey("The history is bounded, but never by the version in force or the newest", t, func() {
+	Convey("Old bodies are dropped, but never those of the version in force and the newest", t, func() {
 		o := newOperatorsFixture()
 		for i := range state.KeepBodies + 6 {
 			o.force(fmt.Sprintf(zonedBundle, fmt.Sprintf("z%d", i)))
 		}
-		force := o.st.Bundle.Version
+		inForce := o.st.Bundle.Version
 		for i := range state.KeepDrafts + 6 {
 			_, err := o.do(o.put(fmt.Sprintf("d%d", i), "ben", o.st.Head().Version, fmt.Sprintf(zonedBundle, "d")))
 			So(err, ShouldBeNil)
@@ -178,12 +185,14 @@
 			}
 		}
 		So(bodies, ShouldEqual, state.KeepBodies+state.KeepDrafts+2)
-		So([]any{o.st.Revision(2).Body == nil, o.st.Revision(force).Body == nil, o.st.Head().Body == nil}, ShouldResemble, []any{true, false, false})
+		So(o.st.Revision(2).Body, ShouldBeNil)
+		So(o.st.Revision(inForce).Body, ShouldNotBeNil)
+		So(o.st.Head().Body, ShouldNotBeNil)
 	})
 }
 
 func TestBundle_operators(t *testing.T) {
-	Convey("A bundle in force may name other operators, and those sign from then on", t, func() {
+	Convey("The operators of a bundle in force replace the former ones", t, func() {
 		o := newOperatorsFixture()
 		o.force(fmt.Sprintf(`{"queues":{"default":{}},"operators":[{"name":"eve","key":%q},{"name":"ada","key":%q}]}`,
 			o.keys["eve"].Public(), o.keys["ada"].Public()))
--- a/internal/state/command/policy_starts_test.go
+++ b/internal/state/command/policy_starts_test.go
@@ -9,70 +9,60 @@
 	"crosstide/internal/state"
 )
 
-// TestStarts_races tries every order of a run ID's commit and the things that forbid it: a run ID is issued exactly
-// when none of those came before it, and never twice.
+// TestStarts_races tries every order of events that forbid a start, with the start after each prefix: a run ID is
+// issued exactly when none of them came before, and never twice.
 func TestStarts_races(t *testing.T) {
-	bars := []struct {
+	events := []struct {
 		name string
-		do   func(b testState)
+		do   func(s testState)
 	}{
-		{"cancel", func(b testState) { b.do(&Cancel{Key: "j"}) }},
-		{"evacuate", func(b testState) { b.do(&EvacuateZone{Order: "o1", Zone: "z1", Out: true}) }},
-		{"drain report", func(b testState) {
-			m := testWorker("m1")
-			m.Draining = true
-			b.do(&Plan{Epoch: b.Roles["sched"].Epoch, Workers: []state.Worker{m}})
+		{"cancel", func(s testState) { s.do(&Cancel{Key: "j"}) }},
+		{"evacuate", func(s testState) { s.do(&EvacuateZone{Order: "o1", Zone: "z1", Out: true}) }},
+		{"drain report", func(s testState) {
+			draining := testWorker("m1")
+			draining.Draining = true
+			s.do(&Plan{Epoch: s.Roles["sched"].Epoch, Workers: []state.Worker{draining}})
 		}},
-		{"drain order", func(b testState) { b.do(&CloseWorker{Order: "o2", Worker: "m1", Closed: true}) }},
-		{"new incarnation", func(b testState) {
-			m := testWorker("m1")
-			m.Incarnation = "b2"
-			b.do(&Plan{Epoch: b.Roles["sched"].Epoch, Workers: []state.Worker{m}})
+		{"drain order", func(s testState) { s.do(&CloseWorker{Order: "o2", Worker: "m1", Closed: true}) }},
+		{"new incarnation", func(s testState) {
+			restarted := testWorker("m1")
+			restarted.Incarnation = "b2"
+			s.do(&Plan{Epoch: s.Roles["sched"].Epoch, Workers: []state.Worker{restarted}})
 		}},
-		{"new holder", func(b testState) { b.do(&GrantRole{Role: "sched", Holder: "d2", After: 1}) }},
+		{"new holder", func(s testState) { s.do(&GrantRole{Role: "sched", Holder: "d2", After: 1}) }},
 	}
-	Convey("a run ID is issued exactly when nothing that forbids it was committed before", t, func() {
-		orders := 0
-		var walk func(b []int, used int)
-		walk = func(seq []int, used int) {
-			// The run ID's commit stands after every prefix of every order of the bars.
-			bk := newTestState()
-			_, err := bk.submit("j", state.StepSpec{Name: "s", Type: "t"})
+	Convey("A run ID is issued exactly when nothing that forbids it was committed before", t, func() {
+		orders := eachOrderedChoice(len(events), func(chosen []int) {
+			s := newTestState()
+			_, err := s.submit("j", state.StepSpec{Name: "s", Type: "t"})
 			So(err, ShouldBeNil)
 			names := ""
-			for _, i := range seq {
-				bars[i].do(bk)
-				names += bars[i].name + ", "
+			for _, i := range chosen {
+				events[i].do(s)
+				names += events[i].name + ", "
 			}
-			got := bk.start(1, startOn("m1", "j", 0))
-			if given := got.RunIDs[0] > 0; given != (len(seq) == 0) {
-				panic(fmt.Sprintf("after %sa run ID was issued: %v", names, given))
+			got := s.start(1, startOn("m1", "j", 0))
+			if issued := got.RunIDs[0] > 0; issued != (len(chosen) == 0) {
+				panic(fmt.Sprintf("after %sa run ID was issued: %v", names, issued))
 			}
-			if len(bk.Handles) != int(bk.LastRunID) {
+			if len(s.Handles) != int(s.LastRunID) {
 				panic("a refused start left a handle")
 			}
-			orders++
-			for i := range bars {
-				if used&(1<<i) == 0 {
-					walk(append(seq[:len(seq):len(seq)], i), used|1<<i)
-				}
-			}
-		}
-		walk(nil, 0)
+		})
 		So(orders, ShouldEqual, 1957) // all ordered choices of six
 	})
 }
 
 func TestStarts_thenCancel(t *testing.T) {
-	Convey("a cancel after the run ID was issued fixes the outcome, and the task is not due again", t, func() {
-		b := newTestState()
-		b.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2})
-		So(b.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
-		b.do(&Cancel{Key: "j"})
-		So(b.Jobs["j"].Phase, ShouldEqual, state.JobStopping)
-		b.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofStop}}})
-		So(b.Jobs["j"].Phase, ShouldEqual, state.JobCancelled)
-		So(b.Handles, ShouldBeEmpty)
-		So(b.RunningCounts(), ShouldBeEmpty)
+	Convey("A cancel after the run ID was issued fixes the outcome, and the task is not due again", t, func() {
+		s := newTestState()
+		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2})
+		So(s.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
+		s.do(&Cancel{Key: "j"})
+		So(s.Jobs["j"].Phase, ShouldEqual, state.JobStopping)
+		s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofStop}}})
+		So(s.Jobs["j"].Phase, ShouldEqual, state.JobCancelled)
+		So(s.Handles, ShouldBeEmpty)
+		So(s.RunningCounts(), ShouldBeEmpty)
 	})
 }
--- a/internal/state/command/policy_zone_test.go
+++ b/internal/state/command/policy_zone_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestZones(t *testing.T) {
-	Convey("One operator evacuates, two lift; without operators anyone does", t, func() {
+	Convey("One operator evacuates a zone, two lift the evacuation; without operators none signs", t, func() {
 		o := newOperatorsFixture()
 		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Out: true}
 		_, err := o.do(unsigned)
@@ -18,22 +18,28 @@
 		_, err = o.do(o.zone("o1", "ada", "z1", true))
 		So(err, ShouldBeNil)
 		old := o.zone("o6", "ben", "z1", false)
-		for _, c := range []struct {
-			order Command
-			kind  errs.Kind
-			out   bool
-		}{{o.zone("o2", "ada", "z1", false), "", true}, {o.zone("o3", "ada", "z1", false), errs.Forbidden, true},
-			{o.zone("o2", "ada", "z1", false), "", true}, {o.zone("o4", "eve", "z1", false), errs.Forbidden, true},
-			{o.zone("o5", "ben", "z1", false), "", false}, {o.zone("o7", "ben", "z1", false), errs.Unknown, false},
-			{o.zone("o8", "ben", "z1", true), "", true}, {old, errs.Forbidden, true}} { // old was for the first evacuation
-			_, err := o.do(c.order)
-			So(errs.KindOf(err), ShouldEqual, c.kind)
-			_, out := o.st.Evacuated["z1"]
-			So(out, ShouldEqual, c.out)
+		for _, test := range []struct {
+			order     Command
+			kind      errs.Kind
+			evacuated bool // after the order
+		}{
+			{o.zone("o2", "ada", "z1", false), "", true},
+			{o.zone("o3", "ada", "z1", false), errs.Forbidden, true},
+			{o.zone("o2", "ada", "z1", false), "", true},
+			{o.zone("o4", "eve", "z1", false), errs.Forbidden, true},
+			{o.zone("o5", "ben", "z1", false), "", false},
+			{o.zone("o7", "ben", "z1", false), errs.Unknown, false},
+			{o.zone("o8", "ben", "z1", true), "", true},
+			{old, errs.Forbidden, true}, // a signature for lifting the first evacuation
+		} {
+			_, err := o.do(test.order)
+			So(errs.KindOf(err), ShouldEqual, test.kind)
+			_, isEvacuated := o.st.Evacuated["z1"]
+			So(isEvacuated, ShouldEqual, test.evacuated)
 		}
 		free := &operatorsFixture{st: state.New()}
-		for _, c := range []Command{unsigned, &EvacuateZone{Order: "o1", Zone: "z1"}} {
-			_, err := free.do(c)
+		for _, order := range []Command{unsigned, &EvacuateZone{Order: "o1", Zone: "z1"}} {
+			_, err := free.do(order)
 			So(err, ShouldBeNil)
 		}
 		So(free.st.Evacuated, ShouldBeEmpty)
