--- a/internal/jobs/attempts_test.go
+++ b/internal/jobs/attempts_test.go
@@ -7,11 +7,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// attemptsTable is a table with one worker and one queue of so many attempts.
+// attemptsTable returns a table with a job of one task, one worker, and a queue with that bound on attempts.
 func attemptsTable(attempts int) *Table {
 	t := NewTable()
 	So(t.Configure(attemptsConfig(1, attempts)), ShouldBeNil)
-	So(t.Register(Register{Workers: []Worker{{ID: "w", Service: "s", Capacity: Resources{MilliCPU: 1000}}}}), ShouldBeNil)
+	worker := Worker{ID: "w", Service: "s", Capacity: Resources{MilliCPU: 1000}}
+	So(t.Register(Register{Workers: []Worker{worker}}), ShouldBeNil)
 	_, err := t.Submit(Submit{Spec: Spec{ID: "j", Queue: "q", Steps: []Step{{Count: 1}}}})
 	So(err, ShouldBeNil)
 	return t
@@ -22,19 +23,21 @@
 		Queues: []Queue{{Name: "q", Service: "s", MaxAttempts: attempts, Timeout: time.Second}}}
 }
 
-// attemptsRun records run number n of the task and its failure in between the given changes.
+// attemptsRun starts run number n of the task, calls between, and records that the run failed. It reports whether the
+// start was recorded.
 func attemptsRun(t *Table, n int, between func()) (recorded bool) {
 	ref := TaskRef{Job: "j"}
 	started, err := t.Progress(1, Progress{Term: 1, Starts: []Start{{Task: ref, Number: n, Worker: "w"}}})
 	So(err, ShouldBeNil)
 	between()
-	_, err = t.Progress(1, Progress{Term: 1, Ends: []End{{Key: RunKey{Task: ref, Number: n}, Worker: "w", Reason: EndFailed}}})
+	end := End{Key: RunKey{Task: ref, Number: n}, Worker: "w", Reason: EndFailed}
+	_, err = t.Progress(1, Progress{Term: 1, Ends: []End{end}})
 	So(err, ShouldBeNil)
 	return started.Recorded[0]
 }
 
 func TestAttempts_withoutQueue(t *testing.T) {
-	Convey("The last failure while no configuration has the queue", t, func() {
+	Convey("After the last failure while no configuration had the queue", t, func() {
 		table := attemptsTable(1)
 		recorded := attemptsRun(table, 1, func() {
 			So(table.Configure(Configure{Base: 1, Version: 2, RemoveQueues: []string{"q"}}), ShouldBeNil)
@@ -42,7 +45,7 @@
 		So(recorded, ShouldBeTrue)
 		So(table.Jobs["j"].State, ShouldEqual, Running)
 		So(table.Configure(attemptsConfig(3, 1)), ShouldBeNil)
-		Convey("is the last run also when the queue is back", func() {
+		Convey("no other run starts when the queue is back, and the job fails", func() {
 			So(attemptsRun(table, 2, func() {}), ShouldBeFalse)
 			So(table.Jobs["j"].State, ShouldEqual, Failed)
 		})
@@ -50,7 +53,7 @@
 }
 
 func TestAttempts_lowered(t *testing.T) {
-	Convey("A configuration that allows no more attempts than have failed", t, func() {
+	Convey("When a configuration allows no more attempts than have failed, no other run starts", t, func() {
 		table := attemptsTable(3)
 		So(attemptsRun(table, 1, func() {}), ShouldBeTrue)
 		So(attemptsRun(table, 2, func() {}), ShouldBeTrue)
--- a/internal/jobs/configure_test.go
+++ b/internal/jobs/configure_test.go
@@ -14,12 +14,15 @@
 	Convey("A refused configuration names its field and changes nothing", t, func() {
 		table := testTable()
 		before := table.bytes()
-		queue := func(change func(*Queue)) Configure {
-			q := testConfig().Queues[0]
-			change(&q)
-			return Configure{Base: 5, Version: 6, Digest: "second", Queues: []Queue{q}}
+		withQueue := func(change func(*Queue)) Configure {
+			queue := testConfig().Queues[0]
+			change(&queue)
+			return Configure{Base: 5, Version: 6, Digest: "second", Queues: []Queue{queue}}
 		}
-		cases := []struct {
+		sameName := testConfig()
+		sameName.Base, sameName.Version, sameName.Digest, sameName.Replace = 5, 6, "second", true
+		sameName.Queues[1].Name = "plain"
+		for _, test := range []struct {
 			order Configure
 			kind  errs.Kind
 			field string
@@ -28,25 +31,18 @@
 			{Configure{Base: 6, Version: 7}, errs.Stale, "base"},
 			{Configure{Base: 4, Version: 4}, errs.Stale, "base"}, // stale goes before invalid
 			{Configure{Base: 5, Version: 5}, errs.Invalid, "version"},
-			{queue(func(q *Queue) { q.Service = "none" }), errs.Invalid, "queues[0].service"},
-			{queue(func(q *Queue) { q.Timeout = 0 }), errs.Invalid, "queues[0].timeout"},
-			{queue(func(q *Queue) { q.Name = "other" }), errs.Invalid, "queues[2].prefix"},
-			{queue(func(q *Queue) { q.Name, q.Host = "other", "A.example" }), errs.Invalid, "queues[2].prefix"},
+			{withQueue(func(q *Queue) { q.Service = "none" }), errs.Invalid, "queues[0].service"},
+			{withQueue(func(q *Queue) { q.Timeout = 0 }), errs.Invalid, "queues[0].timeout"},
+			{withQueue(func(q *Queue) { q.Name = "other" }), errs.Invalid, "queues[2].prefix"},
+			{withQueue(func(q *Queue) { q.Name, q.Host = "other", "A.example" }), errs.Invalid, "queues[2].prefix"},
 			{Configure{Base: 5, Version: 6, RemoveServices: []string{"guard"}}, errs.Invalid, "queues[1].service"},
-			{Configure{Base: 5, Version: 6, Replace: true, Queues: testConfig().Queues}, errs.Invalid, "queues[0].service"},
-		}
-		twice := testConfig()
-		twice.Base, twice.Version, twice.Digest, twice.Replace = 5, 6, "second", true
-		twice.Queues[1].Name = "plain"
-		cases = append(cases, struct {
-			order Configure
-			kind  errs.Kind
-			field string
-		}{twice, errs.Invalid, "queues[1].name"})
-		for _, c := range cases {
-			err := table.Configure(c.order)
-			So(err, shouldBeKind, c.kind)
-			So(err, shouldNameField, c.field)
+			{Configure{Base: 5, Version: 6, Replace: true, Queues: testConfig().Queues}, errs.Invalid,
+				"queues[0].service"},
+			{sameName, errs.Invalid, "queues[1].name"},
+		} {
+			err := table.Configure(test.order)
+			So(err, shouldBeKind, test.kind)
+			So(err, shouldNameField, test.field)
 			So(table.bytes(), ShouldEqual, before)
 		}
 	})
@@ -61,7 +57,8 @@
 		old := table.Config
 		So(table.Configure(Configure{
 			Base: 5, Version: 8, Digest: "second", Queues: []Queue{added, changed}, Services: []Service{{Name: "new"}},
-			Limits: []byte(`{"a":1}`), RemoveQueues: []string{"guarded", "none"}, RemoveServices: []string{"guard", "none"},
+			Limits:       []byte(`{"a":1}`),
+			RemoveQueues: []string{"guarded", "none"}, RemoveServices: []string{"guard", "none"},
 		}), ShouldBeNil)
 		So(table.Config.Version, ShouldEqual, 8)
 		So(table.Config.Queues, ShouldResemble, []Queue{changed, added})
@@ -69,19 +66,24 @@
 		So(old.Queues, ShouldResemble, testConfig().Queues)
 		So(table.Configure(Configure{Base: 8, Version: 9}), ShouldBeNil)
 		So(string(table.Config.Limits), ShouldEqual, `{"a":1}`)
-		So(table.Configure(Configure{Base: 9, Version: 12, Replace: true, Queues: []Queue{added}, Services: []Service{{Name: "new"}}}), ShouldBeNil)
-		So(table.Config, ShouldResemble, Config{Version: 12, Queues: []Queue{added}, Services: []Service{{Name: "new"}}})
-		Convey("a removed item may be put again in the same order: it goes to the end", func() {
-			one := Queue{Name: "one", Host: "c", Prefix: "/", Service: "new", Timeout: 1}
-			So(table.Configure(Configure{Base: 12, Version: 13, Queues: []Queue{one}}), ShouldBeNil)
-			So(table.Configure(Configure{Base: 13, Version: 14, RemoveQueues: []string{"added"}, Queues: []Queue{added}}), ShouldBeNil)
-			So(table.Config.Queues, ShouldResemble, []Queue{one, added})
+		So(table.Configure(Configure{
+			Base: 9, Version: 12, Replace: true, Queues: []Queue{added}, Services: []Service{{Name: "new"}},
+		}), ShouldBeNil)
+		So(table.Config, ShouldResemble,
+			Config{Version: 12, Queues: []Queue{added}, Services: []Service{{Name: "new"}}})
+		Convey("an item that an order removes and adds moves to the end", func() {
+			another := Queue{Name: "one", Host: "c", Prefix: "/", Service: "new", Timeout: 1}
+			So(table.Configure(Configure{Base: 12, Version: 13, Queues: []Queue{another}}), ShouldBeNil)
+			So(table.Configure(Configure{
+				Base: 13, Version: 14, RemoveQueues: []string{"added"}, Queues: []Queue{added},
+			}), ShouldBeNil)
+			So(table.Config.Queues, ShouldResemble, []Queue{another, added})
 		})
 	})
 }
 
 func TestConfigure_sameBase(t *testing.T) {
-	Convey("Of orders on one base the first wins, in whatever order they and their repeats come", t, func() {
+	Convey("Of orders on one base the first is accepted, in whatever order they and their repeats come", t, func() {
 		orders := make([]Configure, 6) // three orders, each sent twice
 		for i := range orders {
 			orders[i] = Configure{Base: 5, Version: uint64(6 + i%3), Digest: fmt.Sprint("order ", i%3)}
@@ -92,7 +94,8 @@
 			winner := orders[order[0]]
 			for _, i := range order {
 				err := table.Configure(orders[i])
-				if taken := orders[i].Digest == winner.Digest; taken != (err == nil) || !taken && !errs.Is(err, errs.Stale) {
+				isWinner := orders[i].Digest == winner.Digest
+				if isWinner != (err == nil) || !isWinner && !errs.Is(err, errs.Stale) {
 					panic(fmt.Sprint("order ", order, " at ", i, ": ", err))
 				}
 			}
@@ -106,7 +109,7 @@
 }
 
 func TestConfigure_repeated(t *testing.T) {
-	Convey("An accepted order is answered alike after later ones, among the newest, also after a decode", t, func() {
+	Convey("An order among the newest accepted ones succeeds when repeated, also on a decoded table", t, func() {
 		table := testTable()
 		for i := range uint64(maxOrders) {
 			So(table.Configure(Configure{Base: 5 + i, Version: 6 + i, Digest: fmt.Sprint(i)}), ShouldBeNil)
--- a/internal/jobs/evacuate_test.go
+++ b/internal/jobs/evacuate_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestEvacuate(t *testing.T) {
-	Convey("An evacuation is started and withdrawn, each any number of times", t, func() {
+	Convey("Starting or withdrawing an evacuation a second time changes nothing", t, func() {
 		table := testTable()
 		before := table.bytes()
 		table.Evacuate(Evacuate{Zone: "zone-1"})
--- a/internal/jobs/gang_test.go
+++ b/internal/jobs/gang_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// gangOf returns the starts of one run of a gang, its members on the workers in turn.
+// gangOf returns the starts of one run of a gang, one member on each of the workers.
 func gangOf(job string, number int, workers ...string) []Start {
 	starts := make([]Start, len(workers))
 	for i, worker := range workers {
@@ -34,15 +34,16 @@
 				each.mustSubmit(testJob("k", oneCore(1)))
 				gang := gangOf("j", 1, "w1", "w1", "w2")
 				got := each.start(gang[order[0]], startOf(taskOf("k", 0, 0), 1, "w2"), gang[order[1]], gang[order[2]])
-				if fmt.Sprint(got) != "[true true true true]" || len(each.RunsOn("w1")) != 2 || len(each.RunsOn("w2")) != 2 {
+				allRecorded := fmt.Sprint(got) == "[true true true true]"
+				if !allRecorded || len(each.RunsOn("w1")) != 2 || len(each.RunsOn("w2")) != 2 {
 					panic(fmt.Sprint(order, got))
 				}
 			})
 		})
-		Convey("none is if one is missing, listed twice, under another number, or does not fit", func() {
+		Convey("none is recorded if one is missing, listed twice, under another number, or does not fit", func() {
 			gang := gangOf("j", 1, "w1", "w1", "w2")
 			So(table.start(gang[:2]...), ShouldResemble, none[:2])
-			twice := startOf(taskOf("j", 0, 0), 1, "w2") // there is room for it
+			twice := startOf(taskOf("j", 0, 0), 1, "w2") // w2 has capacity for it
 			So(table.start(gang[0], twice, gang[2]), ShouldResemble, none)
 			So(table.start(gang[0], gang[1], gang[2], gang[2]), ShouldResemble, append(none, false))
 			So(table.start(gang[0], gang[1], startOf(taskOf("j", 0, 2), 2, "w2")), ShouldResemble, none)
@@ -50,9 +51,10 @@
 			So(table.start(gangOf("j", 1, "w1", "w2", "g1")...), ShouldResemble, none)
 			So(job.State, ShouldEqual, Queued)
 			So(table.Used("w1"), ShouldResemble, Resources{})
-			So(table.start(append(gang, gangOf("j", 2, "w2", "w1", "w1")...)...), ShouldResemble, []bool{true, true, true, false, false, false})
+			So(table.start(append(gang, gangOf("j", 2, "w2", "w1", "w1")...)...), ShouldResemble,
+				[]bool{true, true, true, false, false, false})
 		})
-		Convey("a step's most per worker counts the members placed before", func() {
+		Convey("MaxPerWorker counts the members placed before", func() {
 			step := gangStep(3)
 			step.MaxPerWorker = 1
 			table.mustSubmit(testJob("k", step))
@@ -76,7 +78,7 @@
 }
 
 func TestGangEnds_done(t *testing.T) {
-	Convey("One end done is for all members; their handles stay until their own ends, in any order", t, func() {
+	Convey("The first member done makes all members done; their handles stay until their own ends", t, func() {
 		permutations(3, func(order []int) {
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
@@ -97,7 +99,7 @@
 }
 
 func TestGangEnds_failedAfterDone(t *testing.T) {
-	Convey("A member that fails after its gang is done counts for nothing while other steps go on", t, func() {
+	Convey("A member that fails after its gang is done does not count, while another step is not done", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(2), oneCore(1)))
 		gang := gangOf("j", 1, "w1", "w2")
@@ -114,17 +116,19 @@
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
 			reasons := []EndReason{EndFailed, EndFailed, EndGangBroken}
-			for number := 1; number <= 2; number++ {
+			failRun := func(number int) {
 				gang := gangOf("j", number, "w1", "w1", "w2")
 				table.start(gang...)
 				for _, member := range order {
 					table.end(endOf(gang[member], reasons[member]))
 				}
-				first := Task{LastRun: 1, Failures: 1, FailedRun: 1}
-				if number == 1 && (job.State != Running || fmt.Sprint(job.Rounds[0][0][0]) != fmt.Sprint(first) || job.Rounds[0][0][1].Failures != 0) {
-					panic(fmt.Sprint(order, job.Rounds))
-				}
 			}
+			failRun(1)
+			first, members := Task{LastRun: 1, Failures: 1, FailedRun: 1}, job.Rounds[0][0]
+			if job.State != Running || fmt.Sprint(members[0]) != fmt.Sprint(first) || members[1].Failures != 0 {
+				panic(fmt.Sprint(order, job.Rounds))
+			}
+			failRun(2)
 			if job.State != Failed || job.Rounds != nil {
 				panic(fmt.Sprint(order, job.State))
 			}
@@ -133,7 +137,7 @@
 }
 
 func TestGangEnds_checkpoint(t *testing.T) {
-	Convey("A checkpoint is that of every member", t, func() {
+	Convey("The checkpoint of one member is that of all", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(2), oneCore(1)))
 		gang := gangOf("j", 1, "w1", "w2")
@@ -141,7 +145,8 @@
 		end := endOf(gang[1], EndStopped)
 		end.Checkpoint = "half"
 		table.end(end, endOf(gang[0], EndGangBroken))
-		So(job.Rounds[0][0], ShouldResemble, []Task{{LastRun: 1, Checkpoint: "half"}, {LastRun: 1, Checkpoint: "half"}})
+		So(job.Rounds[0][0], ShouldResemble,
+			[]Task{{LastRun: 1, Checkpoint: "half"}, {LastRun: 1, Checkpoint: "half"}})
 		So(job.Rounds[0][1], ShouldResemble, []Task{{}})
 	})
 }
--- a/internal/jobs/generator_test.go
+++ b/internal/jobs/generator_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// generator draws changes that often fit the records of a table.
+// generator draws changes, most of which fit the records of its table.
 type generator struct {
 	*rapid.T
 	table *Table
@@ -59,7 +59,8 @@
 		}
 	}
 	c := testJob(pick(d, "id", "a", "b", "c", "d"), steps...)
-	c.Spec.Queue, c.Spec.Rounds = pick(d, "queue", "plain", "plain", "guarded", "plain", "guarded", "none"), d.number("rounds", 0, 2)
+	c.Spec.Queue = pick(d, "queue", "plain", "plain", "guarded", "plain", "guarded", "none")
+	c.Spec.Rounds = d.number("rounds", 0, 2)
 	return c
 }
 
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -9,23 +9,24 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// monthTable is a table in a simulated month of jobs that end in every way, of workers that come and go, of
-// configurations and of evacuations.
+// monthTable is a table in a simulated month, with jobs that end in every way, workers that register and leave, new
+// configurations, and evacuations.
 type monthTable struct {
 	*Table
 	at           time.Time
-	jobs         int
-	incarnations int
-	// Guards that can be switched off: terminal jobs are purged, and workers that are gone are forgotten.
-	noPurge, noForget bool
+	jobs         int // submitted so far
+	incarnations int // of workers, registered so far
+
+	noPurge  bool // terminal jobs are not purged
+	noForget bool // workers that are gone are not forgotten
 }
 
 const (
-	monthHourJobs         = 20
-	monthKeepTerminal     = 4 * time.Minute // twice as long as a client may ask for
-	monthHourIncarnations = 2
-	monthConfigs          = 3 // an hour: more in a month than orders are remembered
-	monthPayload          = 4000
+	monthHourJobs         = 20              // submitted in an hour
+	monthKeepTerminal     = 4 * time.Minute // twice the longest time that a client may ask for
+	monthHourIncarnations = 2               // of workers, registered in an hour
+	monthConfigs          = 3               // in an hour: more in a month than maxOrders
+	monthPayload          = 4000            // bytes
 )
 
 func newMonthTable() *monthTable {
@@ -64,7 +65,7 @@
 	}
 }
 
-// work runs jobs on a worker; each kind ends in its own way.
+// work submits and runs jobs on a worker. A third of them ends done, a third failed, a third lost.
 func (m *monthTable) work(worker string) {
 	for i := range monthHourJobs / monthHourIncarnations {
 		m.jobs++
@@ -82,7 +83,7 @@
 			again := startOf(taskOf(id, 0, 0), 2, worker)
 			m.progress(Progress{Starts: []Start{again}})
 			m.progress(Progress{Ends: []End{endOf(again, reason)}})
-			m.cancel(id) // a gang's one try of two is left
+			m.cancel(id) // a gang has one of two attempts left
 		default:
 			m.cancel(id)
 			m.progress(Progress{Ends: []End{endOf(starts[0], reason), endOf(starts[1], reason)}})
@@ -101,15 +102,15 @@
 	must(err)
 }
 
-// size is the length of the table in a snapshot.
+// size returns the length of the encoded table.
 func (m *monthTable) size() int {
 	data, err := m.Encode()
 	must(err)
 	return len(data)
 }
 
-// month simulates days, and returns the size at the end of each.
-func (m *monthTable) month(days int) (sizes []int) {
+// simulate simulates days, and returns the size at the end of each.
+func (m *monthTable) simulate(days int) (sizes []int) {
 	for range days {
 		for range 24 {
 			m.hour()
@@ -121,9 +122,9 @@
 
 func TestGrowth_overAMonth(t *testing.T) {
 	const days = 30
-	Convey("The table is no larger at the end of a month than when the remembered orders were first full", t, func() {
+	Convey("The table does not grow any more once Orders is full", t, func() {
 		m := newMonthTable()
-		sizes := m.month(days)
+		sizes := m.simulate(days)
 		full := maxOrders/(24*monthConfigs) + 1 // the day from which on the oldest orders are forgotten
 		t.Log(m.jobs, "jobs,", m.incarnations, "workers; bytes by day", sizes)
 		So(sizes[days-1], ShouldBeLessThan, sizes[full]*101/100)
@@ -140,11 +141,11 @@
 }
 
 func TestGrowth_withoutPurging(t *testing.T) {
-	Convey("Without purging, or without forgetting workers that are gone, it grows day by day", t, func() {
+	Convey("Without purging, or without forgetting workers that are gone, the table grows every day", t, func() {
 		for _, m := range []*monthTable{{noPurge: true}, {noForget: true}} {
 			m.Table, m.at = NewTable(), noon
 			must(m.Configure(testConfig()))
-			sizes := m.month(6)
+			sizes := m.simulate(6)
 			t.Log(sizes)
 			So(sizes[5], ShouldBeGreaterThan, sizes[2]*3/2)
 		}
@@ -152,14 +153,16 @@
 }
 
 func TestGrowth_ofATerminalJob(t *testing.T) {
-	Convey("A terminal job keeps nothing of what its client submitted but its ID and queue", t, func() {
+	Convey("A terminal job keeps neither payload nor steps nor tasks", t, func() {
 		m := newMonthTable()
 		m.noPurge = true
 		m.hour()
 		So(m.Jobs, ShouldHaveLength, monthHourJobs)
 		for _, job := range m.Jobs {
 			So(job.State.IsTerminal(), ShouldBeTrue)
-			So([]any{job.Spec.Payload, job.Spec.Steps, job.Rounds}, ShouldResemble, []any{"", []Step(nil), [][][]Task(nil)})
+			So(job.Spec.Payload, ShouldEqual, "")
+			So(job.Spec.Steps, ShouldResemble, []Step(nil))
+			So(job.Rounds, ShouldResemble, [][][]Task(nil))
 		}
 	})
 }
--- a/internal/jobs/helpers_test.go
+++ b/internal/jobs/helpers_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/errs"
 )
 
-// The property tests draw the same cases in each run; -rapid.seed on the command line draws others.
+// init makes the property tests draw the same cases in each run; -rapid.seed on the command line draws others.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -28,14 +28,16 @@
 	return Configure{
 		Version: 5, Digest: "first",
 		Queues: []Queue{
-			{Name: "plain", Host: "a.example", Prefix: "/plain/", Service: "open", MaxAttempts: 2, Timeout: time.Second},
-			{Name: "guarded", Host: "a.example", Prefix: "/guarded/", Service: "guard", MaxAttempts: 3, Timeout: time.Second},
+			{Name: "plain", Host: "a.example", Prefix: "/plain/", Service: "open",
+				MaxAttempts: 2, Timeout: time.Second},
+			{Name: "guarded", Host: "a.example", Prefix: "/guarded/", Service: "guard",
+				MaxAttempts: 3, Timeout: time.Second},
 		},
 		Services: []Service{{Name: "open"}, {Name: "guard", ChecksCapacity: true}},
 	}
 }
 
-// testWorker is a worker with two cores in the zone of its second letter.
+// testWorker returns a worker with two cores; the zone of w1 is zone-1.
 func testWorker(id, service string) Worker {
 	return Worker{
 		ID: id, Address: id + ":1", Service: service, Zone: "zone-" + id[1:2], Labels: []string{"ssd"},
@@ -43,11 +45,13 @@
 	}
 }
 
-// testTable has two queues and the workers w1 and w2 of plain and g1 of guarded.
+// testTable returns a table with testConfig, the workers w1 and w2 for the queue plain, and g1 for guarded.
 func testTable() *Table {
 	t := NewTable()
 	must(t.Configure(testConfig()))
-	must(t.Register(Register{Workers: []Worker{testWorker("w1", "open"), testWorker("w2", "open"), testWorker("g1", "guard")}}))
+	must(t.Register(Register{Workers: []Worker{
+		testWorker("w1", "open"), testWorker("w2", "open"), testWorker("g1", "guard"),
+	}}))
 	return t
 }
 
@@ -57,11 +61,12 @@
 	}
 }
 
-// oneCore is a step of tasks that take a core each.
+// oneCore returns a step of count tasks that need one core each.
 func oneCore(count int) Step { return Step{Count: count, Needs: Resources{MilliCPU: 1000}} }
 
 func testJob(id string, steps ...Step) Submit {
-	return Submit{Spec: Spec{ID: id, Queue: "plain", Payload: "text", Steps: steps}, Digest: "digest of " + id, At: noon}
+	spec := Spec{ID: id, Queue: "plain", Payload: "text", Steps: steps}
+	return Submit{Spec: spec, Digest: "digest of " + id, At: noon}
 }
 
 func (t *Table) mustSubmit(c Submit) *Job {
@@ -99,9 +104,9 @@
 }
 
 func (t *Table) decodedCopy() *Table {
-	back := NewTable()
-	must(json.Unmarshal([]byte(t.bytes()), back))
-	return back
+	decoded := NewTable()
+	must(json.Unmarshal([]byte(t.bytes()), decoded))
+	return decoded
 }
 
 func shouldBeKind(actual any, expected ...any) string {
@@ -120,7 +125,7 @@
 	return ShouldEqual(errs.Of(err).Field, expected[0])
 }
 
-// permutations calls do with every order of the numbers below n.
+// permutations calls do with every permutation of the numbers below n.
 func permutations(n int, do func(order []int)) {
 	var walk func(order []int, used int)
 	walk = func(order []int, used int) {
--- a/internal/jobs/lifecycle_test.go
+++ b/internal/jobs/lifecycle_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestCancel_terminalOrQueued(t *testing.T) {
-	Convey("A job that succeeded stays so, and a queued one is no longer counted", t, func() {
+	Convey("Cancelling leaves a job that succeeded as it is, and a queued one is no longer counted", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		table.mustSubmit(testJob("k", oneCore(1)))
@@ -90,7 +90,7 @@
 			}
 			for _, each := range []*Table{table.decodedCopy(), table} {
 				var dropped string
-				each.OnEvent = func(n Event) { dropped += n.Name }
+				each.OnEvent = func(event Event) { dropped += event.Name }
 				each.Purge(noon.Add(3 * time.Second))
 				if dropped != "012" || len(each.Jobs) != 1 {
 					panic(fmt.Sprint(order, dropped))
@@ -107,10 +107,10 @@
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		table.start(start)
 		table.end(endOf(start, EndDone))
-		var notes []Event
-		table.OnEvent = func(n Event) { notes = append(notes, n) }
+		var events []Event
+		table.OnEvent = func(event Event) { events = append(events, event) }
 		table.Purge(noon.Add(time.Hour))
-		So(notes, ShouldResemble, []Event{{JobChanged, "j"}})
+		So(events, ShouldResemble, []Event{{JobChanged, "j"}})
 		Convey("and its ID may be used again", func() {
 			So(table.mustSubmit(testJob("j", oneCore(1))).Sequence, ShouldEqual, 2)
 			table.Purge(noon.Add(time.Hour))
--- a/internal/jobs/model_test.go
+++ b/internal/jobs/model_test.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// expectedStarts is the model of recordStarts: it makes the ends, then places one start or gang after the other on a
-// copy, scanning all tasks of the table each time.
+// expectedStarts is a simple model of recordStarts: on a copy of the table it records the ends, then places the starts
+// and gangs one after another, with a scan of all tasks for each. It returns which starts are recorded.
 func expectedStarts(t *Table, p Progress) []bool {
 	if len(p.Starts) == 0 {
 		return nil
 	}
-	c := t.decodedCopy()
-	_, err := c.Progress(testTerm, Progress{Term: p.Term, At: p.At, Ends: p.Ends})
+	state := t.decodedCopy()
+	_, err := state.Progress(testTerm, Progress{Term: p.Term, At: p.At, Ends: p.Ends})
 	must(err)
 	recorded := make([]bool, len(p.Starts))
 	tried := make([]bool, len(p.Starts))
 	for i, start := range p.Starts {
-		group := expectedGroup(c, p.Starts, i)
+		group := expectedGroup(state, p.Starts, i)
 		if tried[i] || len(group) == 0 {
 			continue
 		}
 		for _, member := range group {
 			tried[member] = true
 		}
-		next, all := c.decodedCopy(), true
+		next, isPlaced := state.decodedCopy(), true
 		for _, member := range group {
-			all = all && expectPlacement(next, p.Starts[member])
+			isPlaced = isPlaced && expectPlacement(next, p.Starts[member])
 		}
-		if job := c.Jobs[start.Task.Job]; all && job.Spec.Steps[start.Task.Step].Gang {
-			all = len(group) == job.Spec.Steps[start.Task.Step].Count
+		if job := state.Jobs[start.Task.Job]; isPlaced && job.Spec.Steps[start.Task.Step].Gang {
+			isPlaced = len(group) == job.Spec.Steps[start.Task.Step].Count
 		}
-		if all {
-			c = next
+		if isPlaced {
+			state = next
 			for _, member := range group {
 				recorded[member] = true
 			}
@@ -38,7 +38,8 @@
 	return recorded
 }
 
-// expectedGroup returns the positions of the starts that are recorded together with one.
+// expectedGroup returns the positions of the starts that are recorded together with start i; nil if there is no such
+// task.
 func expectedGroup(t *Table, starts []Start, i int) []int {
 	job := t.Jobs[starts[i].Task.Job]
 	if job == nil || job.Rounds == nil {
@@ -58,7 +59,7 @@
 	return group
 }
 
-// expectPlacement records one handle if its preconditions hold, and does not update the indexes.
+// expectPlacement records the handle of a start if its preconditions hold, without updating the indexes.
 func expectPlacement(t *Table, start Start) bool {
 	job := t.Jobs[start.Task.Job]
 	step := job.Spec.Steps[start.Task.Step]
@@ -100,6 +101,7 @@
 	return true
 }
 
+// eachHandle calls do with every handle of the table and the needs of its task.
 func eachHandle(t *Table, do func(TaskRef, Run, Resources)) {
 	for id, job := range t.Jobs {
 		for round, steps := range job.Rounds {
--- a/internal/jobs/progress_end_test.go
+++ b/internal/jobs/progress_end_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEnds(t *testing.T) {
-	Convey("Given a task that runs", t, func() {
+	Convey("Given a running task", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", oneCore(2)))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
@@ -19,8 +19,11 @@
 		Convey("only an end of its own handle counts", func() {
 			before := table.bytes()
 			other := startOf(taskOf("j", 0, 0), 1, "w2")
-			for _, s := range []Start{other, startOf(start.Task, 2, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"), startOf(taskOf("k", 0, 0), 1, "w1"), startOf(taskOf("j", 7, -1), 1, "w1")} {
-				table.end(endOf(s, EndDone))
+			for _, unknown := range []Start{
+				other, startOf(start.Task, 2, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"),
+				startOf(taskOf("k", 0, 0), 1, "w1"), startOf(taskOf("j", 7, -1), 1, "w1"),
+			} {
+				table.end(endOf(unknown, EndDone))
 				So(table.bytes(), ShouldEqual, before)
 			}
 		})
@@ -37,8 +40,10 @@
 			So(job.Rounds, ShouldBeNil)
 			So(table.RunsOn("w1"), ShouldBeEmpty)
 		})
-		Convey("any other end makes it due again without a failure, from its newest progress", func() {
-			for number, reason := range []EndReason{EndStopped, EndLeaseExpired, EndGangBroken, EndGangTimeout, EndLost} {
+		Convey("any other end makes it due again from its newest checkpoint, without a failure", func() {
+			for number, reason := range []EndReason{
+				EndStopped, EndLeaseExpired, EndGangBroken, EndGangTimeout, EndLost,
+			} {
 				run := startOf(start.Task, number+1, "w1")
 				if number > 0 {
 					So(table.start(startOf(start.Task, number, "w1")), ShouldResemble, []bool{false})
@@ -68,7 +73,7 @@
 				So(job.State, ShouldEqual, Failed)
 				So(job.Rounds, ShouldBeNil)
 			})
-			Convey("never if the queue is gone, and no start either, also not when it is back", func() {
+			Convey("a job whose queue is gone fails at its next start when the queue is back", func() {
 				must(table.Configure(Configure{Base: 5, Version: 6, RemoveQueues: []string{"plain"}}))
 				table.end(endOf(again, EndFailed))
 				So(task.Failures, ShouldEqual, 2)
--- a/internal/jobs/progress_start_test.go
+++ b/internal/jobs/progress_start_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestStarts(t *testing.T) {
-	Convey("A start is recorded only while everything it needs holds", t, func() {
+	Convey("A start is recorded only while all its preconditions hold", t, func() {
 		table := testTable()
 		labelled := oneCore(1)
 		labelled.Label = "fast"
@@ -16,23 +16,24 @@
 		table.mustSubmit(testJob("j", oneCore(1), labelled, after))
 		good := startOf(taskOf("j", 0, 0), 1, "w1")
 		for _, bad := range []Start{
-			startOf(taskOf("k", 0, 0), 1, "w1"), startOf(taskOf("j", 3, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"),
+			startOf(taskOf("k", 0, 0), 1, "w1"), startOf(taskOf("j", 3, 0), 1, "w1"),
+			startOf(taskOf("j", 0, 1), 1, "w1"),
 			startOf(TaskRef{Job: "j", Round: 1}, 1, "w1"), startOf(TaskRef{Job: "j", Index: -1}, 1, "w1"),
 			startOf(good.Task, 0, "w1"), startOf(good.Task, 1, "w9"), startOf(good.Task, 1, "g1"),
 			startOf(taskOf("j", 1, 0), 1, "w1"), startOf(taskOf("j", 2, 0), 1, "w1"),
 		} {
 			So(table.start(bad), ShouldResemble, []bool{false})
 		}
-		bars := []func(*Table){
+		for _, forbid := range []func(*Table){
 			func(x *Table) {
-				w := testWorker("w1", "open")
-				w.Draining = true
-				must(x.Register(Register{Workers: []Worker{w}}))
+				draining := testWorker("w1", "open")
+				draining.Draining = true
+				must(x.Register(Register{Workers: []Worker{draining}}))
 			},
 			func(x *Table) {
-				w := testWorker("w1", "open")
-				w.Left = true
-				must(x.Register(Register{Workers: []Worker{w}}))
+				left := testWorker("w1", "open")
+				left.Left = true
+				must(x.Register(Register{Workers: []Worker{left}}))
 			},
 			func(x *Table) { x.Evacuate(Evacuate{Zone: "zone-1", Start: true}) },
 			func(x *Table) {
@@ -46,11 +47,10 @@
 				x.start(startOf(good.Task, 4, "w2"))
 				x.end(endOf(startOf(good.Task, 4, "w2"), EndLost))
 			},
-		}
-		for _, bar := range bars {
-			barred := table.decodedCopy()
-			bar(barred)
-			So(barred.start(good), ShouldResemble, []bool{false})
+		} {
+			changed := table.decodedCopy()
+			forbid(changed)
+			So(changed.start(good), ShouldResemble, []bool{false})
 		}
 		So(table.start(good, good), ShouldResemble, []bool{true, false})
 		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeFalse)
@@ -61,7 +61,8 @@
 		fast := testWorker("w2", "open")
 		fast.Labels = []string{"ssd", "fast"}
 		must(table.Register(Register{Workers: []Worker{fast}}))
-		So(table.start(startOf(taskOf("j", 1, 0), 1, "w2"), startOf(taskOf("j", 2, 0), 1, "w1")), ShouldResemble, []bool{true, true})
+		So(table.start(startOf(taskOf("j", 1, 0), 1, "w2"), startOf(taskOf("j", 2, 0), 1, "w1")), ShouldResemble,
+			[]bool{true, true})
 	})
 }
 
@@ -107,15 +108,21 @@
 		guarded := testJob("k", oneCore(3))
 		guarded.Spec.Queue = "guarded"
 		table.mustSubmit(guarded)
-		all := func(job, worker string) []Start {
-			return []Start{startOf(taskOf(job, 0, 0), 1, worker), startOf(taskOf(job, 0, 1), 1, worker), startOf(taskOf(job, 0, 2), 1, worker)}
+		startsOn := func(worker, job string) (starts []Start) {
+			for index := range 3 {
+				starts = append(starts, startOf(taskOf(job, 0, index), 1, worker))
+			}
+			return starts
 		}
-		So(table.start(all("j", "w1")...), ShouldResemble, []bool{true, true, false})
+		So(table.start(startsOn("w1", "j")...), ShouldResemble, []bool{true, true, false})
 		So(table.Used("w1"), ShouldResemble, Resources{MilliCPU: 2000})
-		So(table.start(all("k", "g1")...), ShouldResemble, []bool{true, true, true})
+		So(table.start(startsOn("g1", "k")...), ShouldResemble, []bool{true, true, true})
 		So(table.Used("g1"), ShouldResemble, Resources{MilliCPU: 3000})
 		Convey("an end in the same change frees its capacity first", func() {
-			started, err := table.Progress(testTerm, Progress{Term: testTerm, Ends: []End{endOf(all("j", "w1")[0], EndDone)}, Starts: all("j", "w1")[2:]})
+			starts := startsOn("w1", "j")
+			started, err := table.Progress(testTerm, Progress{
+				Term: testTerm, Ends: []End{endOf(starts[0], EndDone)}, Starts: starts[2:],
+			})
 			So(err, ShouldBeNil)
 			So(started.Recorded, ShouldResemble, []bool{true})
 			So(table.RunsOn("w1"), ShouldResemble, []RunKey{{taskOf("j", 0, 1), 1}, {taskOf("j", 0, 2), 1}})
@@ -135,8 +142,10 @@
 		spec.Spec.Rounds = 2
 		table.mustSubmit(spec)
 		other := startOf(TaskRef{Job: "j", Round: 1}, 1, "w1")
-		So(table.start(startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"), startOf(taskOf("j", 0, 2), 1, "w2"), other),
-			ShouldResemble, []bool{true, false, true, true})
+		So(table.start(
+			startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1"),
+			startOf(taskOf("j", 0, 2), 1, "w2"), other,
+		), ShouldResemble, []bool{true, false, true, true})
 		table.end(endOf(startOf(taskOf("j", 0, 0), 1, "w1"), EndLost))
 		So(table.start(startOf(taskOf("j", 0, 1), 1, "w1")), ShouldResemble, []bool{true})
 	})
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -15,8 +15,11 @@
 		table.start()
 		before := table.bytes()
 		starts := []Start{startOf(taskOf("j", 0, 0), 1, "w1")}
-		for _, terms := range [][2]uint64{{testTerm, testTerm + 1}, {testTerm + 1, testTerm}, {testTerm - 1, testTerm - 1}} {
-			started, err := table.Progress(terms[0], Progress{Term: terms[1], Starts: starts, Forget: []string{"w2"}})
+		for _, terms := range []struct{ entry, progress uint64 }{
+			{testTerm, testTerm + 1}, {testTerm + 1, testTerm}, {testTerm - 1, testTerm - 1},
+		} {
+			progress := Progress{Term: terms.progress, Starts: starts, Forget: []string{"w2"}}
+			started, err := table.Progress(terms.entry, progress)
 			So(err, shouldBeKind, errs.Stale)
 			So(started.Recorded, ShouldBeEmpty)
 			So(table.bytes(), ShouldEqual, before)
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRandomChanges draws changes and makes them on a table and on one that is now and then encoded and decoded. Both
-// must stay equal to the byte, answer alike and keep the indexes equal to what a scan of all records counts; each start
-// must be recorded exactly when a model that checks all its preconditions says so.
+// TestRandomChanges draws changes and makes them on a table and on a copy that is sometimes encoded and decoded. Both
+// must encode to the same bytes and answer alike, and their indexes must equal a scan of all records; each start must
+// be recorded exactly when the model expectedStarts records it.
 func TestRandomChanges(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -44,16 +44,19 @@
 		}
 	})
 	t.Logf("cases: %v", seen)
-	for _, name := range []string{"start", "no start", "gang", string(Succeeded), string(Failed), string(Cancelled), "retired"} {
+	for _, name := range []string{
+		"start", "no start", "gang", string(Succeeded), string(Failed), string(Cancelled), "retired",
+	} {
 		if seen[name] == 0 {
 			t.Errorf("no case of %q was drawn: %v", name, seen)
 		}
 	}
 }
 
+// countCases counts the recorded and refused starts, and the jobs of the table by state.
 func countCases(seen map[string]int, t *Table, recorded []bool) {
-	for _, yes := range recorded {
-		seen[map[bool]string{true: "start", false: "no start"}[yes]]++
+	for _, isRecorded := range recorded {
+		seen[map[bool]string{true: "start", false: "no start"}[isRecorded]]++
 	}
 	for _, job := range t.Jobs {
 		seen[string(job.State)]++
@@ -95,7 +98,7 @@
 	return fmt.Sprint(answer, err)
 }
 
-// checkIndexes compares the indexes with what a scan of all records counts.
+// checkIndexes compares the indexes with a scan of all records.
 func checkIndexes(rt *rapid.T, t *Table) {
 	used, runs, waiting := map[string]Resources{}, map[string][]RunKey{}, map[string]int{}
 	eachHandle(t, func(ref TaskRef, run Run, needs Resources) {
@@ -124,8 +127,8 @@
 	}
 }
 
-func checkJob(rt *rapid.T, t *Table, job *Job) {
-	handles, undone := 0, 0
+// countTasks counts the handles of a job's tasks, one at most for each, and the tasks that are not done.
+func countTasks(rt *rapid.T, job *Job) (handles, undone int) {
 	for _, steps := range job.Rounds {
 		for _, tasks := range steps {
 			for _, task := range tasks {
@@ -138,6 +141,12 @@
 			}
 		}
 	}
+	return handles, undone
+}
+
+// checkJob compares the index of a job with a scan of its tasks, and checks that its state agrees with them.
+func checkJob(rt *rapid.T, t *Table, job *Job) {
+	handles, undone := countTasks(rt, job)
 	if job.State.IsTerminal() && (job.Rounds == nil) != (handles == 0) || job.Rounds == nil && len(job.Spec.Steps) > 0 {
 		rt.Fatalf("job %s is %s with %d handles, rounds %v", job.Spec.ID, job.State, handles, job.Rounds)
 	}
@@ -147,6 +156,11 @@
 	if job.index.handles != handles || job.index.undone != undone {
 		rt.Fatalf("job %s: index %+v, scanned %d handles, %d undone", job.Spec.ID, job.index, handles, undone)
 	}
+	checkReady(rt, t, job)
+}
+
+// checkReady compares IsStepReady with a scan of the tasks of the steps before.
+func checkReady(rt *rapid.T, t *Table, job *Job) {
 	for round, steps := range job.Rounds {
 		for step := range steps {
 			ready := true
--- a/internal/jobs/query_test.go
+++ b/internal/jobs/query_test.go
@@ -15,15 +15,20 @@
 		must(table.Configure(Configure{Version: 1, Services: []Service{{Name: "s"}}, Queues: []Queue{
 			at("long", "a.example", "/x/y/"), at("short", "a.example", "/x/"), at("other", "b.example", "/x/y/z/"),
 		}}))
-		for _, c := range [][3]string{
-			{"a.example", "/x/y/1", "long"}, {"a.example:80", "/x/y/z/1", "long"}, {"A.Example", "/x/1", "short"},
-			{"b.example:1", "/x/y/z/", "other"}, {"b.example", "/x/y/1", ""}, {"c.example", "/x/", ""}, {"a.example", "/", ""},
+		for _, test := range []struct{ host, path, queue string }{
+			{"a.example", "/x/y/1", "long"},
+			{"a.example:80", "/x/y/z/1", "long"},
+			{"A.Example", "/x/1", "short"},
+			{"b.example:1", "/x/y/z/", "other"},
+			{"b.example", "/x/y/1", ""},
+			{"c.example", "/x/", ""},
+			{"a.example", "/", ""},
 		} {
 			name := ""
-			if queue := table.QueueFor(c[0], c[1]); queue != nil {
+			if queue := table.QueueFor(test.host, test.path); queue != nil {
 				name = queue.Name
 			}
-			So(name, ShouldEqual, c[2])
+			So(name, ShouldEqual, test.queue)
 		}
 	})
 }
--- a/internal/jobs/submit_test.go
+++ b/internal/jobs/submit_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSubmit_repeated(t *testing.T) {
-	Convey("A job is accepted once and found again", t, func() {
+	Convey("Given an accepted job", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", oneCore(2), oneCore(3)))
 		So(job.State, ShouldEqual, Queued)
@@ -18,13 +18,13 @@
 		So(job.Rounds, ShouldResemble, [][][]Task{{make([]Task, 2), make([]Task, 3)}})
 		So(table.QueuedCount("plain"), ShouldEqual, 1)
 		before := table.bytes()
-		Convey("the same bytes are the same job", func() {
+		Convey("the same ID and digest are the same job", func() {
 			state, err := table.Submit(testJob("j"))
 			So(err, ShouldBeNil)
 			So(state, ShouldEqual, Queued)
 			So(table.bytes(), ShouldEqual, before)
 		})
-		Convey("other bytes are a conflict, also once it is terminal", func() {
+		Convey("another digest is a conflict, also once it is terminal", func() {
 			other := testJob("j")
 			other.Digest = "other"
 			_, err := table.Submit(other)
@@ -49,10 +49,14 @@
 }
 
 func TestSubmit_invalid(t *testing.T) {
-	Convey("What cannot be built is refused and takes no number", t, func() {
+	Convey("A job with invalid steps or an unknown queue is refused, and changes nothing", t, func() {
 		table := testTable()
 		before := table.bytes()
-		for _, steps := range [][]Step{{{Count: -1}}, {{Count: 1, After: []int{0}}}, {oneCore(1), {Count: 1, After: []int{-1}}}} {
+		for _, steps := range [][]Step{
+			{{Count: -1}},
+			{{Count: 1, After: []int{0}}},
+			{oneCore(1), {Count: 1, After: []int{-1}}},
+		} {
 			_, err := table.Submit(testJob("j", steps...))
 			So(err, shouldBeKind, errs.Invalid)
 		}
@@ -65,7 +69,7 @@
 }
 
 func TestSubmit_rounds(t *testing.T) {
-	Convey("Rounds are built as often as asked, and a job without tasks has succeeded", t, func() {
+	Convey("A job has the rounds that it asks for, and one without tasks has succeeded", t, func() {
 		table := testTable()
 		many := testJob("j", oneCore(1))
 		many.Spec.Rounds = 3
--- a/internal/jobs/worker_test.go
+++ b/internal/jobs/worker_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestRegister_leavingWorker(t *testing.T) {
-	Convey("A worker that drains or left does not come back under its ID, in whatever order its reports come", t, func() {
+	Convey("A worker that drains or has left stays so under its ID, in whatever order its reports come", t, func() {
 		plain, draining, left := testWorker("w1", "open"), testWorker("w1", "open"), testWorker("w1", "open")
 		draining.Draining, left.Left = true, true
-		notified := []Worker{plain, draining, left}
+		reports := []Worker{plain, draining, left}
 		permutations(3, func(order []int) {
 			table := testTable()
 			for _, i := range order {
-				must(table.Register(Register{Workers: notified[i : i+1]}))
+				must(table.Register(Register{Workers: reports[i : i+1]}))
 			}
 			if w := table.Workers["w1"]; !w.Draining || !w.Left {
 				panic(fmt.Sprint(order))
