--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -14,150 +14,154 @@
 	"crosstide/internal/errs"
 )
 
-// start is when the tests' clocks begin.
+// start is the time at which the tests begin.
 var start = time.Unix(1_700_000_000, 0).UTC()
 
-// after is the time so many milliseconds after the start.
+// after returns the time ms milliseconds after start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// funded returns a table with one account, "acme", of so many units.
+// funded returns a table with one account, acme, that was topped up with amount.
 func funded(amount int64) *Table {
-	b := NewTable()
-	So(b.Create("acme", 0), ShouldBeNil)
-	_, err := b.TopUp("acme", "first", amount, start)
+	table := NewTable()
+	So(table.Create("acme", 0), ShouldBeNil)
+	_, err := table.TopUp("acme", "first", amount, start)
 	So(err, ShouldBeNil)
-	return b
+	return table
 }
 
-// charge asks for a run of 10 units per second with a window of 10 s: 100 units.
+// charge returns the charge of a run that costs 10 units a second, with a window of 10 s: 100 units.
 func charge(run string) Charge {
 	return Charge{Run: run, Account: "acme", Rate: 10_000, Window: 10 * time.Second}
 }
 
-// sums are balance, reserved and spent.
-func sums(b *Table) [3]int64 {
-	a := b.Accounts["acme"]
+// sums returns the balance, the reserved and the spent units of acme.
+func sums(table *Table) [3]int64 {
+	a := table.Accounts["acme"]
 	return [3]int64{a.Balance, a.Reserved, a.Spent}
 }
 
 func TestReservations(t *testing.T) {
 	Convey("A run reserves its window and pays its time, rounded up once", t, func() {
-		b := funded(250)
-		So(b.Reserve(charge("1"), start), ShouldBeNil)
-		So(sums(b), ShouldEqual, [3]int64{150, 100, 0})
-		So(errs.KindOf(b.Reserve(charge("1"), start)), ShouldEqual, errs.Conflict)
-		So(b.Reserve(charge("2"), start), ShouldBeNil)
-		err := b.Reserve(charge("3"), start)
+		table := funded(250)
+		So(table.Reserve(charge("1"), start), ShouldBeNil)
+		So(sums(table), ShouldEqual, [3]int64{150, 100, 0})
+		So(errs.KindOf(table.Reserve(charge("1"), start)), ShouldEqual, errs.Conflict)
+		So(table.Reserve(charge("2"), start), ShouldBeNil)
+		err := table.Reserve(charge("3"), start)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		So(err.Error(), ShouldContainSubstring, "has 50, a start reserves 100")
-		b.Debit("1", after(1201)) // 12.01 units
-		So(sums(b), ShouldEqual, [3]int64{137, 100, 13})
-		So(b.Reserve(charge("3"), after(1300)), ShouldBeNil)
-		b.Refund("2")
-		b.Debit("2", after(9000)) // it is gone: nothing
-		b.Refund("nobody")
-		So(sums(b), ShouldEqual, [3]int64{137, 100, 13})
-		So(b.Check(), ShouldBeNil)
+		table.Debit("1", after(1201)) // 12.01 units
+		So(sums(table), ShouldEqual, [3]int64{137, 100, 13})
+		So(table.Reserve(charge("3"), after(1300)), ShouldBeNil)
+		table.Refund("2")
+		table.Debit("2", after(9000)) // it has no reservation any more
+		table.Refund("nobody")
+		So(sums(table), ShouldEqual, [3]int64{137, 100, 13})
+		So(table.Check(), ShouldBeNil)
 	})
 	Convey("A run that outlives its window has it drawn and the next one reserved, also below zero", t, func() {
-		b := funded(150)
-		So(b.Reserve(charge("1"), start), ShouldBeNil)
-		b.Renew(after(9_999))
-		So(sums(b), ShouldEqual, [3]int64{50, 100, 0})
-		b.Renew(after(10_000))
-		So(sums(b), ShouldEqual, [3]int64{-50, 100, 100})
-		b.Renew(after(35_000)) // two windows at once
-		So(sums(b), ShouldEqual, [3]int64{-250, 100, 300})
-		So(b.Accounts["acme"].Ledger.Head.Number, ShouldEqual, 3)
-		b.Refund("1") // lost: what was drawn stays drawn
-		So(sums(b), ShouldEqual, [3]int64{-150, 0, 300})
-		So(b.Covers("acme", 0), ShouldBeFalse)
-		_, err := b.TopUp("acme", "second", 250, after(40_000))
+		table := funded(150)
+		So(table.Reserve(charge("1"), start), ShouldBeNil)
+		table.Renew(after(9_999))
+		So(sums(table), ShouldEqual, [3]int64{50, 100, 0})
+		table.Renew(after(10_000))
+		So(sums(table), ShouldEqual, [3]int64{-50, 100, 100})
+		table.Renew(after(35_000)) // two windows at once
+		So(sums(table), ShouldEqual, [3]int64{-250, 100, 300})
+		So(table.Accounts["acme"].Ledger.Head.Number, ShouldEqual, 3)
+		table.Refund("1") // lost: what was drawn stays drawn
+		So(sums(table), ShouldEqual, [3]int64{-150, 0, 300})
+		So(table.Covers("acme", 0), ShouldBeFalse)
+		_, err := table.TopUp("acme", "second", 250, after(40_000))
 		So(err, ShouldBeNil)
-		So(b.Covers("acme", 100), ShouldBeTrue)
-		So(b.Covers("acme", 101), ShouldBeFalse)
-		So(b.Check(), ShouldBeNil)
+		So(table.Covers("acme", 100), ShouldBeTrue)
+		So(table.Covers("acme", 101), ShouldBeFalse)
+		So(table.Check(), ShouldBeNil)
 	})
-	Convey("The restart of a long-running task is reserved whatever the balance is; without an account nothing is", t, func() {
-		b := funded(50)
+	Convey("A granted charge is reserved whatever the balance is; without an account nothing is", t, func() {
+		table := funded(50)
 		again := charge("1")
 		again.Granted = true
-		So(b.Reserve(again, start), ShouldBeNil)
-		So(sums(b), ShouldEqual, [3]int64{-50, 100, 0})
+		So(table.Reserve(again, start), ShouldBeNil)
+		So(sums(table), ShouldEqual, [3]int64{-50, 100, 0})
 		again.Account = "other"
-		So(errs.KindOf(b.Reserve(again, start)), ShouldEqual, errs.Unknown)
+		So(errs.KindOf(table.Reserve(again, start)), ShouldEqual, errs.Unknown)
 		var none *Table
 		So(none.Covers("acme", 0), ShouldBeFalse)
 		So(none.Check(), ShouldBeNil)
 		none.Debit("1", start)
 		none.Renew(start)
 	})
-	Convey("A credit lets starts reserve so far below zero", t, func() {
-		b := NewTable()
-		So(b.Create("acme", 100), ShouldBeNil)
-		So(b.Reserve(charge("1"), start), ShouldBeNil)
-		So(errs.KindOf(b.Reserve(charge("2"), start)), ShouldEqual, errs.Conflict)
-		So(errs.KindOf(b.Create("acme", 0)), ShouldEqual, errs.Conflict)
-		So(errs.KindOf(b.Create("", 0)), ShouldEqual, errs.Invalid)
-		So(errs.KindOf(b.Create(strings.Repeat("x", maxNameBytes+1), 0)), ShouldEqual, errs.Invalid)
-		So(errs.KindOf(b.Create("x", -1)), ShouldEqual, errs.Invalid)
+	Convey("With a credit, starts reserve that far below zero", t, func() {
+		table := NewTable()
+		So(table.Create("acme", 100), ShouldBeNil)
+		So(table.Reserve(charge("1"), start), ShouldBeNil)
+		So(errs.KindOf(table.Reserve(charge("2"), start)), ShouldEqual, errs.Conflict)
+		So(errs.KindOf(table.Create("acme", 0)), ShouldEqual, errs.Conflict)
+		So(errs.KindOf(table.Create("", 0)), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(table.Create(strings.Repeat("x", maxNameBytes+1), 0)), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(table.Create("x", -1)), ShouldEqual, errs.Invalid)
 	})
-	Convey("The forecast goes by what runs now", t, func() {
-		b := funded(300)
-		_, draws := b.Accounts["acme"].ExhaustedIn()
+	Convey("The forecast assumes the present rate", t, func() {
+		table := funded(300)
+		_, draws := table.Accounts["acme"].ExhaustedIn()
 		So(draws, ShouldBeFalse)
-		So(b.Reserve(charge("1"), start), ShouldBeNil)
-		in, draws := b.Accounts["acme"].ExhaustedIn()
+		So(table.Reserve(charge("1"), start), ShouldBeNil)
+		in, draws := table.Accounts["acme"].ExhaustedIn()
 		So([]any{in, draws}, ShouldResemble, []any{20 * time.Second, true})
 	})
 }
 
 func TestTopUp(t *testing.T) {
 	Convey("A top-up counts once for each key, and its answer stays the same", t, func() {
-		b := funded(100)
-		first, err := b.TopUp("acme", "k", 7, after(1))
+		table := funded(100)
+		first, err := table.TopUp("acme", "k", 7, after(1))
 		So(err, ShouldBeNil)
 		So(first.Balance, ShouldEqual, 107)
-		So(b.Reserve(charge("1"), after(2)), ShouldBeNil)
-		again, err := b.TopUp("acme", "k", 7, after(3))
+		So(table.Reserve(charge("1"), after(2)), ShouldBeNil)
+		again, err := table.TopUp("acme", "k", 7, after(3))
 		So(err, ShouldBeNil)
 		So(again, ShouldResemble, first)
-		So(b.Accounts["acme"].ToppedUp, ShouldEqual, 107)
+		So(table.Accounts["acme"].ToppedUp, ShouldEqual, 107)
 		for _, bad := range []struct {
 			name, key string
 			amount    int64
 			kind      errs.Kind
 		}{
-			{"acme", "k", 8, errs.Conflict}, {"other", "k", 7, errs.Unknown}, {"acme", "", 7, errs.Invalid},
-			{"acme", "l", 0, errs.Invalid}, {"acme", "l", -1, errs.Invalid}, {"acme", "l", MaxAmount - 106, errs.Invalid},
+			{"acme", "k", 8, errs.Conflict},
+			{"other", "k", 7, errs.Unknown},
+			{"acme", "", 7, errs.Invalid},
+			{"acme", "l", 0, errs.Invalid},
+			{"acme", "l", -1, errs.Invalid},
+			{"acme", "l", MaxAmount - 106, errs.Invalid},
 		} {
-			_, err := b.TopUp(bad.name, bad.key, bad.amount, after(4))
+			_, err := table.TopUp(bad.name, bad.key, bad.amount, after(4))
 			So(errs.KindOf(err), ShouldEqual, bad.kind)
 		}
-		So(b.Accounts["acme"].ToppedUp, ShouldEqual, 107)
+		So(table.Accounts["acme"].ToppedUp, ShouldEqual, 107)
 	})
-	Convey("So many keys are remembered, no more", t, func() {
-		b := funded(1)
+	Convey("The newest maxTopUpKeys keys are remembered", t, func() {
+		table := funded(1)
 		for i := range maxTopUpKeys {
-			_, err := b.TopUp("acme", fmt.Sprint(i), 1, start)
+			_, err := table.TopUp("acme", fmt.Sprint(i), 1, start)
 			So(err, ShouldBeNil)
 		}
-		So(len(b.Accounts["acme"].TopUps), ShouldEqual, maxTopUpKeys)
-		_, known := b.Accounts["acme"].TopUps["first"]
+		So(len(table.Accounts["acme"].TopUps), ShouldEqual, maxTopUpKeys)
+		_, known := table.Accounts["acme"].TopUps["first"]
 		So(known, ShouldBeFalse)
-		So(b.Check(), ShouldBeNil)
+		So(table.Check(), ShouldBeNil)
 	})
 }
 
 func TestLedger(t *testing.T) {
-	Convey("given an account of many entries", t, func() {
-		b := funded(1)
+	Convey("Given an account of many entries", t, func() {
+		table := funded(1)
 		for i := range 3 * keepEntries {
-			_, err := b.TopUp("acme", fmt.Sprint(i), 2, after(i))
+			_, err := table.TopUp("acme", fmt.Sprint(i), 2, after(i))
 			So(err, ShouldBeNil)
 		}
-		l := &b.Accounts["acme"].Ledger
-		Convey("the oldest are folded into the base, and the sum still holds", func() {
+		l := &table.Accounts["acme"].Ledger
+		Convey("the oldest are folded into the base, and the ledger still adds up", func() {
 			So(len(l.Entries), ShouldBeBetween, keepEntries-1, 2*keepEntries)
 			So(l.Head.Number, ShouldEqual, 3*keepEntries+1)
 			So(l.Base.Number+uint64(len(l.Entries)), ShouldEqual, l.Head.Number)
@@ -196,7 +200,7 @@
 			head := strings.Split(rows[len(rows)-1], ",")
 			So(head[len(head)-3:], ShouldResemble, last[len(last)-3:])
 		})
-		Convey("a part of it is read by numbers", func() {
+		Convey("entries are read by their numbers", func() {
 			part := l.Since(l.Head.Number-3, 2)
 			So([]uint64{part[0].Number, part[1].Number}, ShouldResemble, []uint64{l.Head.Number - 2, l.Head.Number - 1})
 			So(l.Since(l.Head.Number, 5), ShouldBeEmpty)
@@ -206,8 +210,9 @@
 }
 
 func TestCost(t *testing.T) {
-	Convey("A price is what exact arithmetic gives, rounded up", t, func() {
-		So(Price{Core: 3, GPU: 50, Memory: 2}.Rate(Needs{MilliCPU: 1500, MemoryMB: 500, GPUs: 1}), ShouldEqual, 4500+50_000+1000)
+	Convey("A cost equals that of exact arithmetic, rounded up", t, func() {
+		So(Price{Core: 3, GPU: 50, Memory: 2}.Rate(Needs{MilliCPU: 1500, MemoryMB: 500, GPUs: 1}), ShouldEqual,
+			4500+50_000+1000)
 		So(Rate(MaxAmount).Cost(1<<62), ShouldEqual, MaxAmount)
 		So(Rate(5).Cost(-time.Second), ShouldEqual, 0)
 		rapid.Check(t, func(t *rapid.T) {
--- a/internal/account/history_test.go
+++ b/internal/account/history_test.go
@@ -13,17 +13,18 @@
 	"crosstide/internal/errs"
 )
 
-// history drives a table by random events and keeps its own sums.
+// history applies random events to a table, and keeps its own records to compare with.
 type history struct {
 	*rapid.T
 	table  *Table
 	now    time.Time
-	topUps map[string]int64 // by account and key
-	runs   map[string]Charge
-	began  map[string]time.Time
-	next   int
+	topUps map[string]int64     // by account and key
+	runs   map[string]Charge    // with a reservation
+	began  map[string]time.Time // when each of runs started
+	next   int                  // number in the newest run's name
 }
 
+// event renews the reservations at a later time, and makes a random change.
 func (h *history) event() {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(h.T, "ms")) * time.Millisecond)
 	h.table.Renew(h.now)
@@ -87,7 +88,7 @@
 	}
 }
 
-// debit checks that a run pays exactly its time.
+// debit ends a run, and checks that it pays for exactly its time.
 func (h *history) debit(run string) {
 	c := h.runs[run]
 	a := h.table.Accounts[c.Account]
@@ -129,7 +130,7 @@
 		}
 	}
 	for run, r := range h.table.Reservations {
-		if _, out := h.runs[run]; !out || !r.Until.After(h.now) || r.Until.Sub(h.now) > r.Window {
+		if _, isOpen := h.runs[run]; !isOpen || !r.Until.After(h.now) || r.Until.Sub(h.now) > r.Window {
 			h.Fatalf("reservation of %s until %s at %s", run, r.Until, h.now)
 		}
 	}
@@ -139,7 +140,7 @@
 }
 
 func TestRandomHistories(t *testing.T) {
-	Convey("Whatever happens in whatever order, nothing is lost or doubled, and a copy goes on the same", t, func() {
+	Convey("In any order of events nothing is lost or counted twice, and a decoded copy continues alike", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			h := &history{
 				T: t, table: NewTable(), now: start,
@@ -150,24 +151,24 @@
 			for range rapid.IntRange(1, 80).Draw(t, "events") {
 				h.event()
 				h.checkInvariants()
-				h.table = decodedCopy(t, h.table) // the next event is applied to what came from its bytes
+				h.table = decodedCopy(t, h.table) // for the next event
 			}
 		})
 	})
 }
 
-// decodedCopy returns the table decoded from a table's bytes; its own bytes must be the same.
+// decodedCopy encodes and decodes a table, and checks that the copy encodes to the same bytes.
 func decodedCopy(t *rapid.T, table *Table) *Table {
 	t.Helper()
 	data, err := json.Marshal(table)
 	must(err)
-	back := &Table{}
-	must(json.Unmarshal(data, back))
-	back.Rebuild()
-	again, err := json.Marshal(back)
+	decoded := &Table{}
+	must(json.Unmarshal(data, decoded))
+	decoded.Rebuild()
+	again, err := json.Marshal(decoded)
 	must(err)
 	if !bytes.Equal(data, again) {
 		t.Fatalf("%s\n%s", data, again)
 	}
-	return back
+	return decoded
 }
