--- a/cmd/crosstide-testbed/golden_test.go
+++ b/cmd/crosstide-testbed/golden_test.go
@@ -1,54 +1,18 @@
 package main
 
 import (
-	"errors"
-	"fmt"
-	"io"
-	"os"
-	"os/exec"
-	"strings"
 	"testing"
 
-	"github.com/urfave/cli/v3"
-
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenCommands pins the commands of the program. main asks cli for help; what it would print the help of is taken
-// in its stead, so that the tree is main's own.
+// TestGoldenCommands pins the commands of the program.
 func TestGoldenCommands(t *testing.T) {
-	args, printer := os.Args, cli.HelpPrinter
-	defer func() { os.Args, cli.HelpPrinter = args, printer }()
-	var root *cli.Command
-	cli.HelpPrinter = func(_ io.Writer, _ string, data any) { root, _ = data.(*cli.Command) }
-	os.Args = []string{"program", "--help"}
-	main()
-	if root == nil {
-		t.Fatal("main printed no help")
-	}
-	golden.Compare(t, "commands", golden.Commands(root))
+	golden.Compare(t, "commands", golden.MainCommands(t, main))
 }
 
-// TestGoldenProcess pins the exit codes of the program itself, which this test starts as a process of its own.
+// TestGoldenProcess pins the exit codes of the program itself, which runs in processes of its own.
 func TestGoldenProcess(t *testing.T) {
-	const given = "CROSSTIDE_GOLDEN_ARGS"
-	if args, ok := os.LookupEnv(given); ok {
-		os.Args = append([]string{"program"}, strings.Fields(args)...)
-		main()
-		os.Exit(0)
-	}
-	var lines []string
-	for _, args := range []string{"", "--help", "--no-such-flag", "no-such-command", "audit --no-such-flag", "no-such-command --help"} {
-		c := exec.Command(os.Args[0], "-test.run=^TestGoldenProcess$")
-		c.Env = append(os.Environ(), given+"="+args)
-		code := 0
-		var exit *exec.ExitError
-		if err := c.Run(); errors.As(err, &exit) {
-			code = exit.ExitCode()
-		} else if err != nil {
-			t.Fatal(err)
-		}
-		lines = append(lines, fmt.Sprintf("%q %d", args, code))
-	}
-	golden.Compare(t, "processes", golden.Lines("arguments and exit code", lines...))
+	golden.Compare(t, "processes", golden.ExitCodes(t, main,
+		"", "--help", "--no-such-flag", "no-such-command", "audit --no-such-flag", "no-such-command --help"))
 }
