--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -12,7 +12,7 @@
 // maxNameBytes bounds the name of an account.
 const maxNameBytes = 128
 
-// Account is the money of one party. Balance + Reserved + Spent is ToppedUp after every change.
+// Account is the prepaid account of one party. Balance + Reserved + Spent equals ToppedUp after every change.
 type Account struct {
 	Name     string `json:"name"`
 	Credit   int64  `json:"credit,omitempty"` // how far below zero starts may reserve
@@ -38,10 +38,11 @@
 	At      time.Time `json:"at"`
 }
 
-// Rate is what all runs of the account with a reservation cost together.
+// Rate returns the total rate of the runs that have a reservation on the account.
 func (a *Account) Rate() Rate { return a.rate }
 
-// ExhaustedIn forecasts when the balance is exhausted if as much runs as now: 0 when it is, false if nothing draws.
+// ExhaustedIn forecasts the time until the balance is exhausted at the present rate: 0 if it is already. It reports
+// false if nothing draws on the account, or the time is too long for a Duration.
 func (a *Account) ExhaustedIn() (time.Duration, bool) {
 	switch {
 	case a.Balance <= 0:
@@ -81,14 +82,14 @@
 // covers reports whether the balance, with the credit, covers a cost.
 func (a *Account) covers(cost int64) bool { return a.Balance+a.Credit >= cost }
 
-// reserve moves an amount from the balance to what is reserved, back if it is below 0.
+// reserve moves an amount from the balance to Reserved; a negative one moves it back.
 func (a *Account) reserve(amount int64) {
 	a.Balance -= amount
 	a.Reserved += amount
 	a.mustBeConserved()
 }
 
-// draw moves an amount from the balance to what is spent, on account of a run. It writes no entry for nothing.
+// draw moves an amount from the balance to Spent for a run, with a ledger entry. An amount of 0 or less does nothing.
 func (a *Account) draw(run string, r *Reservation, amount int64, at time.Time) {
 	if amount <= 0 {
 		return
@@ -101,9 +102,10 @@
 	a.mustBeConserved()
 }
 
-// mustBeConserved panics if the account is not conserved: going on would hide lost money.
+// mustBeConserved panics if the account is not conserved: to continue would hide lost money.
 func (a *Account) mustBeConserved() { must(a.checkConserved()) }
 
+// checkConserved checks that Balance + Reserved + Spent is ToppedUp, and that the ledger agrees. Failure: Internal.
 func (a *Account) checkConserved() error {
 	sum, head := a.Balance+a.Reserved+a.Spent, a.Ledger.Head
 	if sum != a.ToppedUp || a.Reserved < 0 || a.Spent < 0 || head.ToppedUp != a.ToppedUp || head.Spent != a.Spent {
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// must panics on an error that the caller has ruled out: going on would let the nodes diverge.
+// must panics on an error that the caller has ruled out: to continue would let the nodes diverge.
 func must(err error) {
 	if err != nil {
 		panic(err)
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/errs"
 )
 
-// keepEntries is how many of the newest entries a compaction leaves. The ledger is compacted at twice as many.
+// keepEntries is the number of newest entries that a compaction leaves. A ledger is compacted at twice as many.
 const keepEntries = 256
 
 // EntryKind is the kind of a ledger's entry.
@@ -32,7 +32,7 @@
 	Amount    int64     `json:"u"`
 }
 
-// hash is the hash of the chain up to this entry, in hex; before is the hash up to the previous entry.
+// hash returns the hash of the chain up to this entry, in hex; before is the hash up to the previous entry.
 func (e *Entry) hash(before string) string {
 	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n",
 		before, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
@@ -48,7 +48,7 @@
 	Hash     string `json:"hash,omitempty"` // of the chain, in hex; "" before the first entry
 }
 
-// add returns the sum with one more entry. Failure: Damaged (it does not follow, or is of no known kind).
+// add returns the sum with the next entry. Failure: Damaged (the entry is not the next one, or of an unknown kind).
 func (c Checkpoint) add(e *Entry) (Checkpoint, error) {
 	if e.Number != c.Number+1 {
 		return c, errs.New(errs.Damaged, "entry %d follows entry %d", e.Number, c.Number)
@@ -65,14 +65,14 @@
 	return c, nil
 }
 
-// Ledger is an account's entries: Base is the sum of those that were compacted, Head the sum of all.
+// Ledger is the hash chain of an account's entries.
 type Ledger struct {
-	Base    Checkpoint `json:"base"`
-	Entries []Entry    `json:"entries,omitempty"` // oldest first
-	Head    Checkpoint `json:"head"`
+	Base    Checkpoint `json:"base"`              // the sum of the compacted entries
+	Entries []Entry    `json:"entries,omitempty"` // those after Base, oldest first
+	Head    Checkpoint `json:"head"`              // the sum of Base and Entries
 }
 
-// append writes an entry under the next number.
+// append appends an entry under the next number, and compacts the ledger if it is full.
 func (l *Ledger) append(e Entry) {
 	e.Number = l.Head.Number + 1
 	head, err := l.Head.add(&e)
@@ -94,7 +94,7 @@
 	l.Entries = slices.Clone(l.Entries[n:])
 }
 
-// Verify reports whether the entries add up from the base to the head. Failure: Damaged.
+// Verify checks that the entries add up from the base to the head. Failure: Damaged.
 func (l *Ledger) Verify() error {
 	sum := l.Base
 	for i := range l.Entries {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Since returns the entries after a number, oldest first, at most limit; compacted ones are missing.
+// Since returns the entries above a number, oldest first, at most limit. Compacted entries are not included.
 func (l *Ledger) Since(number uint64, limit int) []Entry {
 	from := len(l.Entries)
 	for i := range l.Entries {
--- a/internal/account/renewal.go
+++ b/internal/account/renewal.go
@@ -6,7 +6,7 @@
 )
 
 // Renew draws the windows that are over at now, and reserves the next ones, also below zero. It must be called before
-// every other change of a later time, so that no run outlives its window unpaid.
+// every other change of a later time, so that no run continues beyond a paid window.
 func (t *Table) Renew(now time.Time) {
 	if t == nil {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// renewReservation draws all whole windows of a run up to now in one entry, and reserves the one after.
+// renewReservation draws all windows of a run that are over at now with one entry, and reserves the open one.
 func (t *Table) renewReservation(run string, r *Reservation, now time.Time) {
 	a := t.Accounts[r.Account]
 	a.reserve(-r.openCost())
@@ -33,7 +33,7 @@
 	heap.Push(&t.renewals, renewal{r.Until, run})
 }
 
-// renewal says that a run's window ends at until.
+// renewal is the end of a run's window.
 type renewal struct {
 	until time.Time
 	run   string
--- a/internal/account/reservation.go
+++ b/internal/account/reservation.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// Reservation is what is reserved for a run: the price of its open window, which ends at Until.
+// Reservation is the reservation of the price of a run's open window, which ends at Until.
 type Reservation struct {
 	Account string        `json:"a"`
 	Rate    Rate          `json:"r"`
@@ -18,8 +18,8 @@
 	Draws   int           `json:"p,omitempty"` // number of draws so far
 }
 
-// openCost is the price of the open window. It is the difference of two costs since Start, so that rounding up does not
-// add up over the windows.
+// openCost returns the price of the open window. It is the difference of two costs since Start, so that rounding up
+// does not add up over the windows.
 func (r *Reservation) openCost() int64 { return r.Rate.Cost(r.Until.Sub(r.Start)) - r.Drawn }
 
 // Charge asks for the reservation of a run's first window.
@@ -28,12 +28,12 @@
 	Account string
 	Rate    Rate
 	Window  time.Duration // at least 1 ms
-	// Granted reserves also when the balance does not cover it: the caller has found the starts of a group covered
-	// together, or it is the restart of a long-running task.
+	// Granted reserves even if the balance does not cover it: the caller has found the starts of a group covered
+	// together, or the run is a restart of a long-running task.
 	Granted bool
 }
 
-// cost is the price of the first window.
+// cost returns the price of the first window.
 func (c *Charge) cost() int64 { return c.Rate.Cost(c.Window) }
 
 // Reserve reserves the first window of a run. Failures: Unknown (no such account), Conflict (the run has a reservation,
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Debit ends a run: its time up to at is drawn, and the rest of its reservation released. Without a reservation it does
-// nothing.
+// Debit ends a run: it draws the cost of its time up to at, and releases the rest of its reservation. Without a
+// reservation it does nothing.
 func (t *Table) Debit(run string, at time.Time) {
 	r := t.remove(run)
 	if r == nil {
@@ -70,14 +70,16 @@
 	a.draw(run, r, r.Rate.Cost(at.Sub(r.Start))-r.Drawn, at)
 }
 
-// Refund ends a run that was lost: its open window is released whole. Without a reservation it does nothing.
+// Refund ends a run that was lost: it releases the reservation of its open window. Without a reservation it does
+// nothing.
 func (t *Table) Refund(run string) {
 	if r := t.remove(run); r != nil {
 		t.Accounts[r.Account].reserve(-r.openCost())
 	}
 }
 
-// remove removes a run's reservation; nil if it has none. What it reserves on the account is for the caller to release.
+// remove removes and returns a run's reservation; nil if it has none. The caller must release the amount on the
+// account.
 func (t *Table) remove(run string) *Reservation {
 	if t == nil {
 		return nil
@@ -91,6 +93,6 @@
 	return r
 }
 
-// HasReservations reports whether any run has a reservation: then the log needs entries, by whose times its windows are
-// renewed.
+// HasReservations reports whether any run has a reservation. Then the log needs regular entries, because windows are
+// renewed at the times of entries.
 func (t *Table) HasReservations() bool { return t != nil && len(t.Reservations) > 0 }
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -13,7 +13,7 @@
 	Accounts     map[string]*Account     `json:"accounts"`     // by the party's name; never removed
 	Reservations map[string]*Reservation `json:"reservations"` // by run; each of an account in Accounts
 
-	renewals renewals // one entry at least for each reservation, at its Until
+	renewals renewals // at least one for each reservation, at its Until; derived by Rebuild
 }
 
 // NewTable returns an empty table.
@@ -80,14 +80,14 @@
 	return a.topUp(key, amount, at), nil
 }
 
-// Covers reports whether a balance covers starts that reserve so much in all. Without the account it does not.
+// Covers reports whether the account's balance and credit cover a cost; false if there is no such account.
 func (t *Table) Covers(name string, cost int64) bool {
 	a := t.find(name)
 	return a != nil && a.covers(cost)
 }
 
-// Check holds the table against itself: every account conserved, its reserved amount the sum of its reservations, every
-// ledger verified. Failures: Internal, Damaged.
+// Check checks the consistency of the table: every account is conserved, its reserved amount is the sum of its
+// reservations, and its ledger is verified. Failures: Internal, Damaged.
 func (t *Table) Check() error {
 	if t == nil {
 		return nil
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// find finds an account, also in a nil table.
+// find returns an account; nil if there is none, or the table is nil.
 func (t *Table) find(name string) *Account {
 	if t == nil {
 		return nil
--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -23,15 +23,15 @@
 // MaxBytes bounds the text of a bundle and of a merge patch.
 const MaxBytes = 256 << 10
 
-// Bounds of what may be set; they catch slips of the unit, not odd choices.
+// Bounds of durations. They catch wrong units, not unusual choices.
 const (
 	minLeaseTTL = 5 * time.Second
 	maxLeaseTTL = 24 * time.Hour
 	maxBackoff  = 24 * time.Hour
 )
 
-// Parse reads a bundle. The Version of its result is 0. All validation errors are reported at once, one a line with its
-// path, in the message of one errs.Invalid (Field: the first path); a text over MaxBytes is errs.TooLarge. Example:
+// Parse reads a bundle. The Version of its result is 0. Failures: TooLarge (over MaxBytes), Invalid, whose message
+// lists all validation errors with their paths, one a line, and whose field is the first path. Example:
 //
 //	b, err := bundle.Parse([]byte(`{"queues":{"scan":{"placement":{"zones":["z1"]}}}}`))
 func Parse(data []byte) (state.Bundle, error) {
@@ -58,7 +58,7 @@
 	return b, errs.Pass(err, "bundle")
 }
 
-// Digest is the SHA-256 of a bundle's exact bytes, in hex.
+// Digest returns the SHA-256 of a bundle's exact bytes, in hex.
 func Digest(data []byte) string { return signature.Digest(data) }
 
 func readBundle(r *config.Reader, b *state.Bundle) {
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -10,15 +10,15 @@
 	"crosstide/internal/errs"
 )
 
-// Change is one difference of two bundles: From or To is "" where there is nothing, else JSON.
+// Change is one difference between two bundles. From and To are JSON, or "" where the path does not exist.
 type Change struct {
 	Path string `json:"path"`
 	From string `json:"from,omitempty"`
 	To   string `json:"to,omitempty"`
 }
 
-// Diff returns what differs between two texts, by what they say and not by their spelling, in order of paths.
-// Failure: Invalid.
+// Diff returns the differences between the values of two texts, in order of paths; formatting does not count. Failure:
+// Invalid.
 func Diff(from, to []byte) ([]Change, error) {
 	var left, right fastjson.Parser
 	a, err := left.ParseBytes(from)
@@ -29,27 +29,27 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "the second must be JSON")
 	}
-	var out []Change
-	appendChanges("", a, b, &out)
-	slices.SortStableFunc(out, func(a, b Change) int { return bytes.Compare([]byte(a.Path), []byte(b.Path)) })
-	return out, nil
+	var changes []Change
+	appendChanges("", a, b, &changes)
+	slices.SortStableFunc(changes, func(a, b Change) int { return bytes.Compare([]byte(a.Path), []byte(b.Path)) })
+	return changes, nil
 }
 
-// appendChanges adds to out what differs below path. a or b is nil where there is nothing.
-func appendChanges(path string, a, b *fastjson.Value, out *[]Change) {
+// appendChanges appends the differences between two values at path, one of which may be nil: the path does not exist.
+func appendChanges(path string, a, b *fastjson.Value, changes *[]Change) {
 	if a != nil && b != nil && a.Type() == fastjson.TypeObject && b.Type() == fastjson.TypeObject {
 		a.GetObject().Visit(func(key []byte, v *fastjson.Value) {
-			appendChanges(joinPath(path, string(key)), v, b.GetObject().Get(string(key)), out)
+			appendChanges(joinPath(path, string(key)), v, b.GetObject().Get(string(key)), changes)
 		})
 		b.GetObject().Visit(func(key []byte, v *fastjson.Value) {
 			if a.GetObject().Get(string(key)) == nil {
-				appendChanges(joinPath(path, string(key)), nil, v, out)
+				appendChanges(joinPath(path, string(key)), nil, v, changes)
 			}
 		})
 		return
 	}
 	if from, to := jsonText(a), jsonText(b); from != to {
-		*out = append(*out, Change{path, from, to})
+		*changes = append(*changes, Change{path, from, to})
 	}
 }
 
@@ -60,7 +60,7 @@
 	return string(v.MarshalTo(nil))
 }
 
-// joinPath appends a name to a path, quoted if it is no plain name.
+// joinPath appends a name to a path; a name that validateName would refuse is quoted.
 func joinPath(path, name string) string {
 	if !namePattern.MatchString(name) {
 		name = strconv.Quote(name)
--- a/internal/bundle/fields.go
+++ b/internal/bundle/fields.go
@@ -8,12 +8,12 @@
 	"crosstide/internal/state"
 )
 
-// maxCount bounds counts; it catches slips, not odd choices.
+// maxCount bounds counts. It catches typing errors, not unusual choices.
 const maxCount = 1 << 30
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$`)
 
-// validateName is the rule for a name: what is wrong with it, "" if nothing is.
+// validateName returns what is wrong with a name; "" if it is valid.
 func validateName(value string) string {
 	if namePattern.MatchString(value) {
 		return ""
@@ -21,7 +21,7 @@
 	return "must be a name of 1 to 128 of A-Z a-z 0-9 . _ : -, is " + quoteShort(value)
 }
 
-// validateLabelValue is the rule for a label's value, like validateName.
+// validateLabelValue returns what is wrong with the value of a label; "" if it is valid.
 func validateLabelValue(value string) string {
 	if value == "" || len(value) > 256 {
 		return "must be 1 to 256 bytes, is " + quoteShort(value)
@@ -44,8 +44,8 @@
 	}
 }
 
-// readNames reads a list of names, sorted and without repetitions. An empty list is rejected: it would allow any, and
-// may be meant to allow none.
+// readNames reads a list of names, sorted and without repetitions. An empty list is rejected: it would allow every
+// name, but may be meant to allow none.
 func readNames(r *config.Reader, field string, to *[]string) {
 	got := []string{""} // stays when the field is missing or rejected
 	switch r.Strings(field, &got, validateName); {
@@ -59,18 +59,18 @@
 
 // readByName reads an object with a value for each name; nil if it has none.
 func readByName[T any](r *config.Reader, field string, read func(r *config.Reader, name string) T) map[string]T {
-	var out map[string]T
+	var values map[string]T
 	r.Object(field, func(r *config.Reader) {
 		for _, name := range r.Names() {
 			checkName(r, name)
 			value := read(r, name)
-			if out == nil {
-				out = map[string]T{}
+			if values == nil {
+				values = map[string]T{}
 			}
-			out[name] = value
+			values[name] = value
 		}
 	})
-	return out
+	return values
 }
 
 func readLabels(r *config.Reader, field string) state.Labels {
--- a/internal/bundle/merge.go
+++ b/internal/bundle/merge.go
@@ -10,8 +10,8 @@
 )
 
 // Merge changes a bundle's text by a JSON merge patch (RFC 7396): objects are merged, null removes, all else replaces.
-// The result is indented by two spaces; the order of the names stays, new ones come last. It is not yet checked as a
-// bundle. Failures: Invalid, TooLarge. Example:
+// The result is indented by two spaces; names keep their order, and new ones come last. It is not checked as a bundle:
+// that is Parse's. Failures: Invalid, TooLarge. Example:
 //
 //	next, err := bundle.Merge(body, []byte(`{"limits":{"scan":40}}`))
 func Merge(base, patch []byte) ([]byte, error) {
@@ -33,15 +33,15 @@
 	if path := duplicatePath("", from); path != "" {
 		return nil, errs.Field(errs.Invalid, path, "1 mistake in the patch:\n%s: is given more than once", path)
 	}
-	var out bytes.Buffer
-	if err := json.Indent(&out, mergeValues(to, from).MarshalTo(nil), "", "  "); err != nil {
+	var text bytes.Buffer
+	if err := json.Indent(&text, mergeValues(to, from).MarshalTo(nil), "", "  "); err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "the result")
 	}
-	out.WriteByte('\n')
-	return out.Bytes(), nil
+	text.WriteByte('\n')
+	return text.Bytes(), nil
 }
 
-// mergeValues returns to, changed by a merge patch; to may be nil.
+// mergeValues applies the merge patch from to a value, which may be nil, and returns the result.
 func mergeValues(to, from *fastjson.Value) *fastjson.Value {
 	if from.Type() != fastjson.TypeObject {
 		return from
--- a/internal/bundle/operators.go
+++ b/internal/bundle/operators.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/state"
 )
 
-// readOperators reads who may sign from this version on. Without the field they stay as they are.
+// readOperators reads the operators who may sign from this version on. Without the field they do not change.
 func readOperators(r *config.Reader, b *state.Bundle) {
 	type operator struct{ name, key string }
 	var list []operator
@@ -25,13 +25,13 @@
 	for _, o := range list {
 		b.Operators[o.name] = o.key
 	}
-	if why := OperatorsError(b.Operators, len(list)); why != "" {
-		r.Reject("operators", "%s", why)
+	if wrong := OperatorsError(b.Operators, len(list)); wrong != "" {
+		r.Reject("operators", "%s", wrong)
 	}
 }
 
-// OperatorsError is what is wrong with a set of operators that was listed in so many lines: two of them must be able to
-// sign, and none may sign under two names. "" if nothing is.
+// OperatorsError returns what is wrong with a set of operators that was listed in that many lines; "" if nothing is.
+// Two of them must be able to sign, and none may sign under two names.
 func OperatorsError(operators state.Operators, listed int) string {
 	keys := slices.Sorted(maps.Values(operators))
 	switch {
--- a/internal/bundle/parties.go
+++ b/internal/bundle/parties.go
@@ -15,7 +15,7 @@
 	maxReserve = 24 * time.Hour
 )
 
-// readParties reads who pays what for which teams and queues. A team or queue has one party at most.
+// readParties reads the parties with their prices, teams and queues. A team or queue has one party at most.
 func readParties(r *config.Reader, b *state.Bundle) {
 	found := map[string]state.Party{}
 	r.Object("parties", func(r *config.Reader) {
@@ -62,7 +62,7 @@
 	return int64(n)
 }
 
-// claim rejects field if what it names is paid for by another party already.
+// claim records in taken that a party pays for a team or queue, or rejects the field if another party does.
 func claim(r *config.Reader, field, what, party string, taken map[string]string) {
 	if other, ok := taken[what]; ok {
 		r.Reject(field, "%q is paid for by %q already", what, other)
--- a/internal/jobs/changes.go
+++ b/internal/jobs/changes.go
@@ -34,7 +34,7 @@
 	RemoveServices []string        `json:"rs,omitempty"`
 }
 
-// Evacuate starts or withdraws the evacuation of a zone: no task is started in it meanwhile.
+// Evacuate starts or withdraws the evacuation of a zone, in which no task is started until it is withdrawn.
 type Evacuate struct {
 	Zone  string `json:"zone"`
 	Start bool   `json:"start"`
@@ -45,9 +45,9 @@
 	Workers []Worker `json:"workers"`
 }
 
-// Progress is what the scheduler of a term has decided and what workers have reported: ends first, then starts. It is
-// refused whole when the leader of another term wrote it; a start whose preconditions no longer hold is left out alone
-// (with the other members of its gang).
+// Progress has the decisions of the scheduler of a term and the reports of workers: ends first, then starts. It is
+// refused if the leader of another term wrote it. A start whose preconditions no longer hold is left out, with the
+// other members of its gang.
 type Progress struct {
 	Term   uint64    `json:"term"`
 	At     time.Time `json:"at"`
@@ -56,10 +56,10 @@
 	Forget []string  `json:"forget,omitempty"` // IDs of workers that are gone; only those without handles are deleted
 }
 
-// EndReason is how a run ended or was proved dead. The strings are stored.
+// EndReason is the way in which a run ended or was proved dead. The strings are stored.
 type EndReason string
 
-// The reasons of an end. Only EndDone and EndFailed are the task's own; after the others it is due again.
+// The reasons of an end. EndDone and EndFailed are outcomes of the task itself; after all others it is due again.
 const (
 	EndDone         EndReason = "done"
 	EndFailed       EndReason = "failed"
@@ -85,7 +85,7 @@
 	Worker string  `json:"w"`
 }
 
-// Started answers Progress: Recorded says of each start, in order, whether it was recorded.
+// Started answers Progress: Recorded reports for each start, in order, whether it was recorded.
 type Started struct {
 	Recorded []bool `json:"recorded,omitempty"`
 }
--- a/internal/jobs/config.go
+++ b/internal/jobs/config.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// Queue finds a queue by name; nil if there is none.
+// Queue returns a queue by name; nil if there is none.
 func (c *Config) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// Service finds a service by name; nil if there is none.
+// Service returns a service by name; nil if there is none.
 func (c *Config) Service(name string) *Service {
 	for i := range c.Services {
 		if c.Services[i].Name == name {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// queueAddress is where clients find a queue.
+// queueAddress identifies a queue to clients.
 type queueAddress struct{ host, prefix string }
 
 // validate refuses a configuration that cannot be in force. Failure: Invalid; the field names the queue by its position
--- a/internal/jobs/configure.go
+++ b/internal/jobs/configure.go
@@ -9,8 +9,8 @@
 // maxOrders is how many digests of configuration orders are remembered, the newest.
 const maxOrders = 1024
 
-// Configure puts another configuration in force. A repeated order succeeds and changes nothing, whatever is in force by
-// now. Failures: Stale (another version than Base is in force), Invalid with the field. A refused order changes
+// Configure puts another configuration in force. A repeated order succeeds and changes nothing, also when a later one
+// is in force. Failures: Stale (another version than Base is in force), Invalid with the field. A refused order changes
 // nothing.
 func (t *Table) Configure(c Configure) error {
 	if _, repeated := t.indexes.orders[c.Digest]; repeated {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// rememberOrder keeps the digest of an accepted order. An order without one is not recognized when it is repeated.
+// rememberOrder records the digest of an accepted order. An order without a digest is not recognized when repeated.
 func (t *Table) rememberOrder(digest string) {
 	if digest == "" {
 		return
@@ -64,8 +64,8 @@
 	return next
 }
 
-// merged returns a new list: old without those removed, and with each item of put in the place of the one of its name
-// or at the end.
+// merged returns a new list: old without the removed items, in which each item of put replaces the one of its name or
+// is appended.
 func merged[T any](old []T, remove []string, put []T, name func(T) string) []T {
 	next := make([]T, 0, len(old)+len(put))
 	for _, item := range old {
--- a/internal/jobs/event.go
+++ b/internal/jobs/event.go
@@ -6,7 +6,7 @@
 	Name string // see EventKind
 }
 
-// EventKind says which change an Event is, and what its Name is.
+// EventKind is the kind of an event. It determines the meaning of Event.Name.
 type EventKind uint8
 
 // The kinds of events. A deleted job is reported as changed too.
--- a/internal/jobs/indexes.go
+++ b/internal/jobs/indexes.go
@@ -20,7 +20,7 @@
 
 func (r TaskRef) stepRef() stepRef { return stepRef{job: r.Job, round: r.Round, step: r.Step} }
 
-// occupancy is what the handles on one worker take.
+// occupancy is the use of a worker by its handles.
 type occupancy struct {
 	used  Resources
 	runs  map[RunKey]struct{}
@@ -95,7 +95,7 @@
 	}
 }
 
-// countQueued counts a job of a queue in (1) or out (-1).
+// countQueued adds by, 1 or -1, to the count of queued jobs of a queue.
 func (x *indexes) countQueued(queue string, by int) {
 	if x.queued[queue] += by; x.queued[queue] == 0 {
 		delete(x.queued, queue)
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// This file declares the records of the table, changes.go its changes; nothing that decides is declared in them.
-// Package platform may use these types and nothing else of this package: its test of boundaries reads the two files.
+// This file declares the records of the table, changes.go its changes. Neither has anything that decides: package
+// platform may use the types of these two files, and nothing else of this package, as its test of boundaries checks.
 
-// Resources are what a task takes on a worker, or what a worker has.
+// Resources are the needs of a task, or the capacity of a worker.
 type Resources struct {
 	MilliCPU int `json:"c,omitempty"` // thousandths of a core
 	MemoryMB int `json:"m,omitempty"`
@@ -19,7 +19,7 @@
 type Spec struct {
 	ID       string        `json:"id"`
 	Queue    string        `json:"q"`
-	Payload  string        `json:"p,omitempty"` // handed to the worker with each start
+	Payload  string        `json:"p,omitempty"` // sent to the worker with each start
 	Steps    []Step        `json:"s"`
 	Rounds   int           `json:"k,omitempty"` // 0: once, at once; else the number of times the steps are run
 	FirstRun time.Time     `json:"f,omitzero"`  // when round 0 is due
@@ -32,8 +32,8 @@
 	Needs         Resources     `json:"r"`            // of each task
 	Estimate      time.Duration `json:"e,omitempty"`  // rough guess of how long a task takes
 	After         []int         `json:"a,omitempty"`  // earlier steps, counted from 0, that must be done first
-	Label         string        `json:"l,omitempty"`  // that the worker must have
-	PreferredRack string        `json:"d,omitempty"`  // that has the data; elsewhere tasks take longer
+	Label         string        `json:"l,omitempty"`  // the worker must have it
+	PreferredRack string        `json:"d,omitempty"`  // the rack with the data; elsewhere tasks take longer
 	MaxPerWorker  int           `json:"x,omitempty"`  // most tasks of the step (of one round) on a worker; 0: no bound
 	Checkpoints   bool          `json:"k,omitempty"`  // tasks save their progress
 	Gang          bool          `json:"gg,omitempty"` // all tasks of a run start together and end together
@@ -104,8 +104,8 @@
 	index jobIndex
 }
 
-// Worker is what is durable of a worker: one incarnation of it, under an ID that is never reused. A stored Worker is
-// never changed, only replaced (Register).
+// Worker is the record of one incarnation of a worker, under an ID that is never reused. A stored Worker is never
+// changed, only replaced (Register).
 type Worker struct {
 	ID       string    `json:"id"`
 	Address  string    `json:"addr"`
--- a/internal/jobs/lifecycle.go
+++ b/internal/jobs/lifecycle.go
@@ -44,8 +44,8 @@
 	t.retire(job)
 }
 
-// retire drops what nobody needs any more of a job that is terminal and has no handle. Only its outcome stays, to
-// answer a repeated submission, until Purge.
+// retire drops the parts of a job that are not needed when it is terminal and has no handle. Its outcome stays until
+// Purge, to answer a repeated submission.
 func (t *Table) retire(job *Job) {
 	if !job.State.IsTerminal() || job.index.handles > 0 {
 		return
@@ -56,7 +56,7 @@
 	heap.Push(&t.indexes.retired, job)
 }
 
-// setState is the one function that changes a job's state.
+// setState changes a job's state; nothing else may.
 func (t *Table) setState(job *Job, to JobState) {
 	if job.State == Queued {
 		t.indexes.countQueued(job.Spec.Queue, -1)
--- a/internal/jobs/model_test.go
+++ b/internal/jobs/model_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// expectedStarts is a simple model of recordStarts: on a copy of the table it records the ends, then places the starts
-// and gangs one after another, with a scan of all tasks for each. It returns which starts are recorded.
+// expectedStarts is a simple model of recordStarts: on a copy of the table it records the ends, then places the
+// starts and gangs one after another, with a scan of all tasks for each. It returns which starts are recorded.
 func expectedStarts(t *Table, p Progress) []bool {
 	if len(p.Starts) == 0 {
 		return nil
--- a/internal/jobs/payment.go
+++ b/internal/jobs/payment.go
@@ -16,8 +16,8 @@
 	Window time.Duration `json:"window"` // that each start pays in advance
 }
 
-// Payments are the accounts that runs are paid from. The table calls them while it makes a change, and each call is as
-// of the time of that change.
+// Payments are the accounts that runs are paid from. The table calls the methods while it makes a change, and they act
+// at the time of that change.
 type Payments interface {
 	// Covers reports whether a party's balance covers a cost.
 	Covers(party string, cost int64) bool
@@ -29,12 +29,12 @@
 	Refund(run string)
 }
 
-// SetParties sets who pays for which queues from now on. Nobody pays until it is applied.
+// SetParties sets the parties and the queues that they pay for. Until the first one is applied nobody pays.
 type SetParties struct {
 	Parties []Party `json:"parties"`
 }
 
-// SetParties puts other parties in force; runs that have a handle go on as they were reserved. Failure: Invalid.
+// SetParties replaces the parties. Runs that have a handle keep their reservations. Failure: Invalid.
 func (t *Table) SetParties(c SetParties) error {
 	if err := validateParties(c.Parties); err != nil {
 		return errs.Pass(err, "set")
@@ -80,8 +80,9 @@
 	return t.indexes.partyByQueue[job.Spec.Queue]
 }
 
-// Fee is what the start of a task reserves on its party's balance: the price of a window; nothing if nobody pays, or
-// for a restart of a long-running task, which goes on even when its party's balance is exhausted.
+// Fee returns the amount that the start of a task reserves on its party's balance: the price of a window. It is 0 if
+// nobody pays for the job, and for a restart of a long-running task, which continues even when the balance is
+// exhausted.
 func (t *Table) Fee(job *Job, ref TaskRef) int64 {
 	party := t.PartyOf(job)
 	if party == nil || job.isRestart(ref) {
@@ -90,7 +91,7 @@
 	return party.rate(&job.Spec.Steps[ref.Step]).Cost(party.Window)
 }
 
-// rate is what a run of a step costs the party.
+// rate returns the cost rate of a run of a step.
 func (p *Party) rate(step *Step) account.Rate {
 	return p.Price.Rate(account.Needs{
 		MilliCPU: step.Needs.MilliCPU, MemoryMB: step.Needs.MemoryMB, GPUs: step.Needs.GPUs,
@@ -115,13 +116,13 @@
 	return t.Covers(party, cost)
 }
 
-// RunName is the name of a run in the accounts.
+// RunName returns the name of a run in the accounts.
 func (k RunKey) RunName() string {
 	return fmt.Sprintf("j%q/%d/%d/%d#%d", k.Task.Job, k.Task.Round, k.Task.Step, k.Task.Index, k.Number)
 }
 
-// reserve reserves the first window of a run that was just found covered with the others of its group. The restart of a
-// long-running task whose party has no account is not paid for.
+// reserve reserves the first window of a run whose group was just found covered. A restart of a long-running task whose
+// party has no account is not paid for.
 func (t *Table) reserve(job *Job, key RunKey) {
 	party := t.PartyOf(job)
 	if party == nil || t.Payments == nil {
--- a/internal/jobs/progress_end.go
+++ b/internal/jobs/progress_end.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// recordEnd removes the handle of a run that ended, with all that follows for its task and job; false if there is no
-// such handle.
+// recordEnd removes the handle of a run that ended, and updates its task and job; false if there is no such handle.
 func (t *Table) recordEnd(end End, at time.Time) bool {
 	ref := end.Key.Task
 	job, task := t.findTask(ref)
--- a/internal/jobs/progress_start.go
+++ b/internal/jobs/progress_start.go
@@ -11,8 +11,8 @@
 	number int
 }
 
-// recordStarts records the starts whose preconditions hold, those of a gang together or not at all, and returns which
-// were recorded. A job that is found out of attempts fails.
+// recordStarts records the starts whose preconditions hold, those of a gang together or not at all, and reports which
+// it recorded. It fails jobs that have no attempts left.
 func (t *Table) recordStarts(term uint64, at time.Time, starts []Start) []bool {
 	if len(starts) == 0 {
 		return nil
@@ -38,8 +38,8 @@
 	return recorded
 }
 
-// failIfOutOfAttempts fails a job of which a task, or a gang, has failed as often as its queue allows. That is noticed
-// when the last run fails, except while no configuration had the queue, or when a later one allows fewer attempts.
+// failIfOutOfAttempts fails a job if a task, or a gang, has failed as often as its queue allows. recordEnd does that
+// too, except while no configuration has the queue, or when a later one allows fewer attempts.
 func (t *Table) failIfOutOfAttempts(job *Job, ref TaskRef, at time.Time) bool {
 	queue := t.Config.Queue(job.Spec.Queue)
 	failures := job.members(ref)[0].Failures
@@ -93,7 +93,7 @@
 	return true
 }
 
-// canAccept reports whether so many more runs of a step may be placed on a worker.
+// canAccept reports whether a worker can accept the given number of additional runs of a step.
 func (t *Table) canAccept(id string, job *Job, ref stepRef, runs int) bool {
 	worker := t.Workers[id]
 	queue := t.Config.Queue(job.Spec.Queue)
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// IsStepReady reports whether the steps that a step of a round waits for are done. It says nothing of when the round is
-// due. It is false for a retired job.
+// IsStepReady reports whether the steps that a step of a round waits for are done. It does not check whether the round
+// is due. It is false for a retired job.
 func (*Table) IsStepReady(job *Job, round, step int) bool {
 	remaining := job.index.remaining
 	if round < 0 || round >= len(remaining) || step < 0 || step >= len(job.Spec.Steps) {
@@ -21,8 +21,8 @@
 	return true
 }
 
-// QueueFor finds the queue of a call: of those of the host, given with or without a port, the one with the longest
-// prefix of the path. Nil if there is none.
+// QueueFor returns the queue for a call: of the queues of the host, which may have a port, the one with the longest
+// prefix of the path; nil if there is none.
 func (t *Table) QueueFor(host, path string) *Queue {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -40,10 +40,10 @@
 	return found
 }
 
-// QueuedCount is the number of jobs of a queue in Queued.
+// QueuedCount returns the number of jobs of a queue that are Queued.
 func (t *Table) QueuedCount(queue string) int { return t.indexes.queued[queue] }
 
-// Used is what the handles on a worker take.
+// Used returns the resources that the handles on a worker use.
 func (t *Table) Used(worker string) Resources {
 	if o := t.indexes.occupancy[worker]; o != nil {
 		return o.used
@@ -51,7 +51,7 @@
 	return Resources{}
 }
 
-// RunCount is the number of runs with a handle on a worker.
+// RunCount returns the number of runs with a handle on a worker.
 func (t *Table) RunCount(worker string) int {
 	if o := t.indexes.occupancy[worker]; o != nil {
 		return len(o.runs)
@@ -73,7 +73,7 @@
 	return runs
 }
 
-// runsOfStep is the number of handles of a step of a round on a worker.
+// runsOfStep returns the number of handles of a step of a round on a worker.
 func (t *Table) runsOfStep(worker string, step stepRef) int {
 	if o := t.indexes.occupancy[worker]; o != nil {
 		return o.steps[step]
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -1,6 +1,6 @@
 package jobs
 
-// plus returns r and times as much as needs.
+// plus returns r with needs added the given number of times.
 func (r Resources) plus(needs Resources, times int) Resources {
 	return Resources{
 		MilliCPU: r.MilliCPU + times*needs.MilliCPU,
@@ -9,7 +9,7 @@
 	}
 }
 
-// fitsIn reports whether r is no more than capacity in any kind.
+// fitsIn reports whether no resource of r exceeds that of capacity.
 func (r Resources) fitsIn(capacity Resources) bool {
 	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB && r.GPUs <= capacity.GPUs
 }
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/errs"
 )
 
-// Submit accepts a job, or finds it if it was accepted before. Failures: Conflict (the ID is another job's), Unknown
-// (no such queue), Invalid (a step cannot be built).
+// Submit accepts a job, or returns the state of the same job accepted before. Failures: Conflict (the ID is that of
+// another job), Unknown (no such queue), Invalid (steps that the table cannot hold).
 func (t *Table) Submit(c Submit) (JobState, error) {
 	if job := t.Jobs[c.Spec.ID]; job != nil {
 		if job.Digest != c.Digest {
@@ -33,7 +33,7 @@
 	return job.State, nil
 }
 
-// validateSteps refuses steps that the table could not hold. Failure: Invalid.
+// validateSteps checks that the table can hold the steps. Failure: Invalid.
 func validateSteps(steps []Step) error {
 	for i, step := range steps {
 		if step.Count < 0 {
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -20,10 +20,10 @@
 	Parties   []Party            `json:"parties,omitempty"`   // who pays for which queues; none: nobody pays
 
 	// OnEvent is called after each change, on the goroutine that applies the entry; it must not change the table. Nil:
-	// no one is notified.
+	// events are dropped.
 	OnEvent func(Event) `json:"-"`
 
-	// Payments are the accounts that Parties pay from; nil until there is one. The table's owner sets them.
+	// Payments are the accounts of Parties; nil until the first account is opened. Set by the table's owner.
 	Payments Payments `json:"-"`
 
 	indexes indexes
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -13,7 +13,7 @@
 	)
 }
 
-// findTask finds a task and its job; nil if there is none (any more).
+// findTask returns a task and its job; nil if there is no such task, or none any more.
 func (t *Table) findTask(ref TaskRef) (*Job, *Task) {
 	job := t.Jobs[ref.Job]
 	if job == nil || ref.Round < 0 || ref.Round >= len(job.Rounds) {
--- a/internal/signature/signature.go
+++ b/internal/signature/signature.go
@@ -1,9 +1,9 @@
-// Package signature is the operators' signatures: their Ed25519 keys and key files, the texts that are signed, and the
-// verification. A text names everything that its order does, so that a signature holds for nothing else. The
-// texts and the format of key files never change: signatures stay in the replicated state, key files with the
-// operators.
+// Package signature implements the operators' signatures: Ed25519 keys and key files, the texts that are signed, and
+// the verification. A text has everything that its order does, so that a signature is valid for nothing else. The texts
+// and the format of key files never change: signatures stay in the replicated state, key files with the operators. The
+// package does not know who is an operator; package command does.
 //
-// Who signs calls Load, then Key.Sign with a text of texts.go; package command calls Verify with the same text.
+// A signer calls Load, then Key.Sign with a text of texts.go; package command calls Verify with the same text.
 package signature
 
 import (
@@ -61,25 +61,25 @@
 	return Key{f.Name, ed25519.NewKeyFromSeed(seed)}, nil
 }
 
-// Save writes the key to a new file that only its owner may read. Failure: Disk, also when the file is there.
+// Save writes the key to a new file that only its owner may read. Failure: Disk, also if the file exists.
 func (k Key) Save(path string) error {
 	seed := base64.StdEncoding.EncodeToString(k.private.Seed())
 	data, err := json.MarshalIndent(keyFile{Name: k.Name, Public: k.Public(), Private: seed}, "", "  ")
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the key")
 	}
-	out, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errs.Wrap(err, errs.Disk, "key file")
 	}
-	if _, err := out.Write(append(data, '\n')); err != nil {
-		_ = out.Close()
+	if _, err := file.Write(append(data, '\n')); err != nil {
+		_ = file.Close()
 		return errs.Wrap(err, errs.Disk, "write %s", path)
 	}
-	return errs.Wrap(out.Close(), errs.Disk, "close %s", path)
+	return errs.Wrap(file.Close(), errs.Disk, "close %s", path)
 }
 
-// Public is the public key in base64, as settings and bundles hold it.
+// Public returns the public key in base64, as settings and bundles hold it.
 func (k Key) Public() string {
 	return base64.StdEncoding.EncodeToString(k.private.Public().(ed25519.PublicKey))
 }
@@ -101,7 +101,7 @@
 	return err == nil && ed25519.Verify(key, []byte(text), raw)
 }
 
-// Digest is the SHA-256 of data in hex.
+// Digest returns the SHA-256 of data in hex.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
--- a/internal/signature/texts.go
+++ b/internal/signature/texts.go
@@ -5,43 +5,42 @@
 	"time"
 )
 
-// Bundle is the text that two operators sign to put a version in force: version and digest of its exact bytes.
+// Bundle returns the text that two operators sign to put a version in force: version and digest of its exact bytes.
 func Bundle(version uint64, digest string) string {
 	return fmt.Sprintf("crosstide bundle\nversion %d\nsha256 %s\n", version, digest)
 }
 
-// Put is the text of an order that writes a draft against a base.
+// Put returns the text of an order that writes a draft against a base.
 func Put(order string, base uint64, digest string) string {
 	return fmt.Sprintf("crosstide put\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
 }
 
-// Patch is the text of an order that changes a base by a merge patch; digest is the patch's.
+// Patch returns the text of an order that changes a base by a merge patch; digest is the patch's.
 func Patch(order string, base uint64, digest string) string {
 	return fmt.Sprintf("crosstide patch\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
 }
 
-// Evacuate is the text of an order that evacuates a zone.
+// Evacuate returns the text of an order that evacuates a zone.
 func Evacuate(order, zone string) string {
 	return fmt.Sprintf("crosstide evacuate\norder %q\nzone %q\n", order, zone)
 }
 
-// Lift is the text that two operators sign to lift the evacuation of a zone that began at since.
+// Lift returns the text that two operators sign to lift the evacuation of a zone that began at since.
 func Lift(zone string, since time.Time) string {
 	return fmt.Sprintf("crosstide lift\nzone %q\nsince %d\n", zone, since.UnixNano())
 }
 
-// AccountCreate is the text of an order that opens a party's account.
+// AccountCreate returns the text of an order that opens a party's account.
 func AccountCreate(order, account string, credit int64) string {
 	return fmt.Sprintf("crosstide account create\norder %q\naccount %q\ncredit %d\n", order, account, credit)
 }
 
-// AccountTopUp is the text of a top-up of an account.
+// AccountTopUp returns the text of a top-up of an account.
 func AccountTopUp(key, account string, amount int64) string {
 	return fmt.Sprintf("crosstide account top-up\nkey %q\naccount %q\namount %d\n", key, account, amount)
 }
 
-// JobParties is the text of an order that says who pays for which queues of the job table; digest is that of the
-// parties.
+// JobParties returns the text of an order that sets the parties of the job table; digest is that of the parties.
 func JobParties(order, digest string) string {
 	return fmt.Sprintf("crosstide job parties\norder %q\nsha256 %s\n", order, digest)
 }
--- a/internal/state/admission.go
+++ b/internal/state/admission.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// OverloadReason is why a new job of a team is rejected as overload, "" if it is admitted. bound is the most jobs that
-// may be open. Up to half of it every team's jobs are admitted; from there on a team may have its share by weight among
-// the teams with open jobs; the last twentieth is reserved for urgent queues.
+// OverloadReason returns why a new job of a team is rejected as overload; "" if it is admitted. bound is the most jobs
+// that may be open. Below half of it every team's jobs are admitted; above, a team may have its share of bound by
+// weight among the teams with open jobs. The last twentieth is reserved for urgent queues.
 func (s *State) OverloadReason(team string, urgent bool, bound int) string {
 	open, byTeam := s.indexes.openJobs, s.indexes.openJobsByTeam
 	switch {
@@ -22,15 +22,15 @@
 	return ""
 }
 
-// shareOf is a team's share of bound by weight, among the teams with open jobs and itself.
+// shareOf returns a team's share of bound by weight, among the teams with open jobs and itself.
 func (s *State) shareOf(team string, bound int) int {
 	weight := func(team string) int { return max(1, s.Bundle.Weights[team]) }
-	all := 0
+	total := 0
 	for name := range s.indexes.openJobsByTeam {
-		all += weight(name)
+		total += weight(name)
 	}
 	if s.indexes.openJobsByTeam[team] == 0 {
-		all += weight(team)
+		total += weight(team)
 	}
-	return bound * weight(team) / all
+	return bound * weight(team) / total
 }
--- a/internal/state/bundle.go
+++ b/internal/state/bundle.go
@@ -12,15 +12,15 @@
 	Queues  map[string]Queue `json:"queues"`
 	Limits  map[string]int   `json:"limits,omitempty"` // by task type: running tasks; they only order the queue
 	Backoff Backoff          `json:"backoff"`
-	// Retries bounds what steps may ask for; nil: no bound.
+	// Retries bounds the retries that steps may ask for; nil: no bound.
 	Retries *int `json:"retries,omitempty"`
-	// LeaseTTL is how long a run goes on without a renewal; 0: the scheduler's setting.
+	// LeaseTTL is the time for which a run continues without a renewal; 0: the scheduler's setting.
 	LeaseTTL time.Duration `json:"hold,omitempty"`
 	// Weights are the teams' shares under contention; a team that is not listed has 1.
 	Weights map[string]int `json:"weights,omitempty"`
-	// Operators, if any are listed, are the operators from this version on.
+	// Operators replace State.Operators when this version is put in force; empty: they stay.
 	Operators Operators `json:"operators,omitempty"`
-	// Parties pay for runs, by name. The other two are derived by SetParties: queue and team to the party's name.
+	// Parties pay for runs, by name. SetParties derives the other two: queue and team to the party's name.
 	Parties      map[string]Party  `json:"parties,omitempty"`
 	PartyByQueue map[string]string `json:"paying_queues,omitempty"`
 	PartyByTeam  map[string]string `json:"paying_teams,omitempty"`
@@ -34,13 +34,13 @@
 	Workers  []string      `json:"minions,omitempty"`
 	Zones    []string      `json:"zones,omitempty"`
 	Racks    []string      `json:"racks,omitempty"`
-	Urgent   bool          `json:"urgent,omitempty"`
+	Urgent   bool          `json:"urgent,omitempty"`  // its tasks go first; see OverloadReason too
 	Near     []Near        `json:"near,omitempty"`    // all must be satisfied
-	LeaseTTL time.Duration `json:"hold,omitempty"`    // over Bundle.LeaseTTL; 0: as it says
-	Retries  *int          `json:"retries,omitempty"` // over Bundle.Retries; nil: as it says
+	LeaseTTL time.Duration `json:"hold,omitempty"`    // overrides Bundle.LeaseTTL unless 0
+	Retries  *int          `json:"retries,omitempty"` // overrides Bundle.Retries unless nil
 }
 
-// Near wants a data set nearby: some worker in the same zone or rack has Label with Value.
+// Near requires that some worker in the same zone or rack has Label with Value, for example one with a data set.
 type Near struct {
 	Label string `json:"label"`
 	Value string `json:"value"`
@@ -53,9 +53,10 @@
 	Max time.Duration `json:"max"`
 }
 
-// After is the pause after so many failures in all, at least 1: Min, doubled with each further one, at most Max.
+// After returns the pause after a number of failures, at least 1: Min, doubled with each failure after the first, at
+// most Max.
 func (b Backoff) After(failures int) time.Duration {
-	// Up to here doubling overflows for no Min within the bounds of a bundle; beyond it the pause is Max.
+	// Doubling so often overflows for no Min within the bounds of a bundle. After more failures the pause is Max.
 	const maxDoubled = 15
 	if failures > maxDoubled {
 		return b.Max
@@ -68,7 +69,7 @@
 	return cmp.Or(b.Queues[queue].LeaseTTL, b.LeaseTTL, fallback)
 }
 
-// RetriesFor returns how often a task in a queue is retried whose step asks for so many retries.
+// RetriesFor returns the number of retries of a task in a queue: asked, which its step has, within the bundle's bounds.
 func (b *Bundle) RetriesFor(queue string, asked int) int {
 	for _, bound := range []*int{b.Queues[queue].Retries, b.Retries} {
 		if bound != nil {
--- a/internal/state/command/accounts.go
+++ b/internal/state/command/accounts.go
@@ -26,7 +26,7 @@
 	At      time.Time `json:"at"`
 }
 
-// Op is "account-create".
+// Op returns "account-create".
 func (*AccountCreate) Op() string { return "account-create" }
 
 func (c *AccountCreate) apply(s *state.State, _ uint64) (any, error) {
@@ -52,8 +52,8 @@
 	return AccountCreated{Account: c.Account, Credit: c.Credit, At: s.At}, nil
 }
 
-// AccountTopUp adds to the balance of an account, once for each idempotency key: repeated, it is answered as the first
-// time. Once the store knows operators, one of them signs signature.AccountTopUp. The answer is an account.TopUp.
+// AccountTopUp adds to the balance of an account, once for each idempotency key: repeated, it gets the first answer
+// again. Once the store knows operators, one of them signs signature.AccountTopUp. The answer is an account.TopUp.
 type AccountTopUp struct {
 	Account string `json:"account"`
 	Key     string `json:"key"`
@@ -62,7 +62,7 @@
 	Sig     string `json:"sig,omitempty"`
 }
 
-// Op is "account-top-up".
+// Op returns "account-top-up".
 func (*AccountTopUp) Op() string { return "account-top-up" }
 
 func (c *AccountTopUp) apply(s *state.State, _ uint64) (any, error) {
--- a/internal/state/command/entry.go
+++ b/internal/state/command/entry.go
@@ -25,7 +25,7 @@
 	apply(s *state.State, index uint64) (any, error)
 }
 
-// constructors make an empty command for each op.
+// constructors have a function for each op that returns an empty command.
 var constructors = map[string]func() Command{
 	// Of both deployments.
 	"succeed":        func() Command { return &ReplaceMember{} },
@@ -83,9 +83,9 @@
 	return data, nil
 }
 
-// Apply decodes the data of the log entry at index and term, and applies it. The answer and the error are the command's
-// own: the error is an outcome, equal on every node. The state's index and term move on in any case. An entry without
-// data, as a new leader appends, moves only these.
+// Apply decodes the data of the log entry at index and term, and applies it. The answer and the error are the
+// command's: the error is an outcome, equal on every node. The state's index and term advance in any case. An entry
+// without data, which a new leader appends, advances only these.
 func Apply(s *state.State, index, term uint64, data []byte) (any, error) {
 	s.Index, s.Term = index, term
 	if len(data) == 0 {
@@ -113,7 +113,7 @@
 	return answer, nil
 }
 
-// must panics on a refusal of a change that the caller has just checked: such a refusal is a bug, and going on would
+// must panics on a refusal of a change that the caller has just checked. Such a refusal is a bug, and to continue would
 // let the nodes diverge.
 func must(err error) {
 	if err != nil {
--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -10,13 +10,13 @@
 	"crosstide/internal/state"
 )
 
-// The commands on the job table carry the changes of package jobs, which checks and makes them: here they only get
-// their op, their JSON in the log and, for orders of operators, the signature.
+// The commands on the job table have the changes of package jobs, which checks and makes them. Here they get their op,
+// their JSON in the log and, for orders of operators, the signature.
 
 // JobSubmit accepts a job into the job table; the answer is its jobs.JobState.
 type JobSubmit struct{ jobs.Submit }
 
-// Op is "job-submit".
+// Op returns "job-submit".
 func (*JobSubmit) Op() string { return "job-submit" }
 
 func (c *JobSubmit) apply(s *state.State, _ uint64) (any, error) {
@@ -27,7 +27,7 @@
 // JobCancel cancels a job of the job table; the answer is its jobs.JobState.
 type JobCancel struct{ jobs.Cancel }
 
-// Op is "job-cancel".
+// Op returns "job-cancel".
 func (*JobCancel) Op() string { return "job-cancel" }
 
 func (c *JobCancel) apply(s *state.State, _ uint64) (any, error) {
@@ -38,7 +38,7 @@
 // JobConfigure changes the configuration of the job table.
 type JobConfigure struct{ jobs.Configure }
 
-// Op is "job-configure".
+// Op returns "job-configure".
 func (*JobConfigure) Op() string { return "job-configure" }
 
 func (c *JobConfigure) apply(s *state.State, _ uint64) (any, error) {
@@ -48,7 +48,7 @@
 // JobEvacuate starts or withdraws the evacuation of a zone.
 type JobEvacuate struct{ jobs.Evacuate }
 
-// Op is "job-evacuate".
+// Op returns "job-evacuate".
 func (*JobEvacuate) Op() string { return "job-evacuate" }
 
 func (c *JobEvacuate) apply(s *state.State, _ uint64) (any, error) {
@@ -59,7 +59,7 @@
 // JobRegister records workers that are new or have changed.
 type JobRegister struct{ jobs.Register }
 
-// Op is "job-register".
+// Op returns "job-register".
 func (*JobRegister) Op() string { return "job-register" }
 
 func (c *JobRegister) apply(s *state.State, _ uint64) (any, error) {
@@ -70,7 +70,7 @@
 // refused unless its log entry is of the term that it was decided in.
 type JobProgress struct{ jobs.Progress }
 
-// Op is "job-progress".
+// Op returns "job-progress".
 func (*JobProgress) Op() string { return "job-progress" }
 
 func (c *JobProgress) apply(s *state.State, _ uint64) (any, error) {
@@ -83,7 +83,7 @@
 	Before time.Time `json:"before"`
 }
 
-// Op is "job-tidy".
+// Op returns "job-tidy".
 func (*JobPurge) Op() string { return "job-tidy" }
 
 func (c *JobPurge) apply(s *state.State, _ uint64) (any, error) {
@@ -100,7 +100,7 @@
 	Sig string `json:"sig,omitempty"`
 }
 
-// Op is "job-parties".
+// Op returns "job-parties".
 func (*JobParties) Op() string { return "job-parties" }
 
 func (c *JobParties) apply(s *state.State, _ uint64) (any, error) {
@@ -120,7 +120,7 @@
 	return struct{}{}, errs.Pass(s.JobTable.SetParties(c.SetParties), "parties")
 }
 
-// Digest is the SHA-256 of the parties' JSON, in hex.
+// Digest returns the SHA-256 of the parties' JSON, in hex.
 func (c *JobParties) Digest() (string, error) {
 	data, err := json.Marshal(c.SetParties)
 	return signature.Digest(data), errs.Wrap(err, errs.Internal, "encode parties")
--- a/internal/state/command/members.go
+++ b/internal/state/command/members.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/state"
 )
 
-// ReplaceMember lets the control plane node New join in the place of Old, whose machine is gone. The store removes Old
-// from the membership when New has caught up.
+// ReplaceMember allows the control-plane node New to join in the place of Old, whose machine is gone. The store removes
+// Old from the members when New has caught up.
 type ReplaceMember struct {
 	Order string `json:"order"`
 	Old   string `json:"old"`
@@ -21,7 +21,7 @@
 	Old string `json:"old"`
 }
 
-// Op is "succeed".
+// Op returns "succeed".
 func (*ReplaceMember) Op() string { return "succeed" }
 
 func (c *ReplaceMember) apply(s *state.State, _ uint64) (any, error) {
--- a/internal/state/command/operators.go
+++ b/internal/state/command/operators.go
@@ -7,27 +7,27 @@
 	"crosstide/internal/state"
 )
 
-// SetOperators makes the operators known, once: the first leader whose settings list them proposes it. From then on
-// only a bundle that two of them signed changes them.
+// SetOperators sets the operators, once: the first leader whose settings list them proposes it. From then on they
+// change only with a bundle that two of them signed.
 type SetOperators struct {
 	Operators state.Operators `json:"operators"`
 }
 
-// Op is "keys".
+// Op returns "keys".
 func (*SetOperators) Op() string { return "keys" }
 
 func (c *SetOperators) apply(s *state.State, _ uint64) (any, error) {
 	if len(s.Operators) > 0 {
 		return nil, errs.New(errs.Conflict, "the store knows its operators already")
 	}
-	if why := bundle.OperatorsError(c.Operators, len(c.Operators)); why != "" {
-		return nil, errs.Field(errs.Invalid, "operators", "%s", why)
+	if wrong := bundle.OperatorsError(c.Operators, len(c.Operators)); wrong != "" {
+		return nil, errs.Field(errs.Invalid, "operators", "%s", wrong)
 	}
 	s.Operators = c.Operators
 	return nil, nil
 }
 
-// verifySignature is nil if sig is the signature of text by the operator named by. Failure: Forbidden.
+// verifySignature returns nil if sig is the signature of text by the operator by. Failure: Forbidden.
 func verifySignature(s *state.State, by, sig, text string) error {
 	key, ok := s.Operators[by]
 	switch {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// verifyIfOperatorsKnown is verifySignature from the time on when there are operators who could sign.
+// verifyIfOperatorsKnown is like verifySignature, but returns nil as long as the state has no operators.
 func verifyIfOperatorsKnown(s *state.State, by, sig, text string) error {
 	if len(s.Operators) == 0 {
 		return nil
--- a/internal/state/command/order.go
+++ b/internal/state/command/order.go
@@ -49,7 +49,7 @@
 	return json.RawMessage(raw), nil
 }
 
-// orderDigest is the op and the SHA-256 of the order's JSON. It is stored with the answer.
+// orderDigest returns the op and the SHA-256 of the order's JSON. It is stored with the answer.
 func orderDigest(c order) (string, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
--- a/internal/state/command/policy_bundle.go
+++ b/internal/state/command/policy_bundle.go
@@ -10,7 +10,8 @@
 	"crosstide/internal/state"
 )
 
-// PutBundle writes a version of the bundle as a draft against Base, which must be the newest. By signs signature.Put.
+// PutBundle writes a version of the bundle as a draft against Base, which must be the newest. Sig is over
+// signature.Put.
 type PutBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
@@ -19,7 +20,7 @@
 	Body  []byte `json:"body"`
 }
 
-// BundleDrafted answers PutBundle and PatchBundle: the new version, what is to be signed, and its phase.
+// BundleDrafted answers PutBundle and PatchBundle: the new version, the digest to be signed, and its phase.
 type BundleDrafted struct {
 	Version uint64              `json:"version"`
 	Base    uint64              `json:"base"`
@@ -27,7 +28,7 @@
 	Phase   state.RevisionPhase `json:"state"`
 }
 
-// Op is "put".
+// Op returns "put".
 func (*PutBundle) Op() string { return "put" }
 
 func (c *PutBundle) apply(s *state.State, _ uint64) (any, error) {
@@ -48,8 +49,8 @@
 	return drafted, errs.Pass(err, "put")
 }
 
-// PatchBundle writes a version as a draft: Base, which must be the newest, changed by a JSON merge patch. The result is
-// checked as a whole. By signs signature.Patch.
+// PatchBundle writes a version as a draft: Base, which must be the newest, changed by a JSON merge patch. The result
+// must be a valid bundle. Sig is over signature.Patch.
 type PatchBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
@@ -58,7 +59,7 @@
 	Patch []byte `json:"patch"`
 }
 
-// Op is "patch".
+// Op returns "patch".
 func (*PatchBundle) Op() string { return "patch" }
 
 func (c *PatchBundle) apply(s *state.State, _ uint64) (any, error) {
@@ -83,7 +84,7 @@
 	return drafted, errs.Pass(err, "patch")
 }
 
-// checkBase is nil if base is the newest version, in force or not. Failure: Conflict.
+// checkBase returns nil if base is the newest version, in force or not. Failure: Conflict.
 func checkBase(s *state.State, base uint64) error {
 	head := s.Head()
 	switch {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// appendDraft makes a text the newest version. Failures: Invalid, TooLarge; they change nothing.
+// appendDraft appends a text as the newest version. Failures: Invalid, TooLarge; they change nothing.
 func appendDraft(s *state.State, order, author string, body []byte) (any, error) {
 	if _, err := bundle.Parse(body); err != nil {
 		return nil, errs.Pass(err, "draft")
@@ -133,7 +134,7 @@
 	Signed  []string            `json:"signed"`
 }
 
-// Op is "sign".
+// Op returns "sign".
 func (*SignBundle) Op() string { return "sign" }
 
 func (c *SignBundle) apply(s *state.State, _ uint64) (any, error) {
--- a/internal/state/command/policy_cancel.go
+++ b/internal/state/command/policy_cancel.go
@@ -15,13 +15,13 @@
 	Key string `json:"key"`
 }
 
-// Cancelled answers Cancel with the phase after it; a terminal job stays what it was.
+// Cancelled answers Cancel with the phase after it; a terminal job keeps its phase.
 type Cancelled struct {
 	Key   string         `json:"key"`
 	Phase state.JobPhase `json:"state"`
 }
 
-// Op is "cancel".
+// Op returns "cancel".
 func (*Cancel) Op() string { return "cancel" }
 
 func (c *Cancel) apply(s *state.State, _ uint64) (any, error) {
@@ -52,7 +52,7 @@
 	Unknown   []string `json:"unknown,omitempty"` // keys that no job has
 }
 
-// Op is "cancels".
+// Op returns "cancels".
 func (*CancelMany) Op() string { return "cancels" }
 
 func (c *CancelMany) apply(s *state.State, _ uint64) (any, error) {
--- a/internal/state/command/policy_plan.go
+++ b/internal/state/command/policy_plan.go
@@ -10,9 +10,9 @@
 // schedulerRole is the role whose holder writes plans.
 const schedulerRole = "sched"
 
-// Plan is all that the scheduler changes, in one commit: the jobs it admits, what workers reported, what was proved,
-// and the starts it wants. Every part is checked again when the plan is applied, so parts that were decided on an older
-// state and are overtaken change nothing.
+// Plan has all changes by the scheduler, in one commit: the jobs that it admits, what workers reported, what was
+// proved, and the starts that it wants. Every part is checked again when the plan is applied, so parts that were
+// decided on an older state and are overtaken change nothing.
 type Plan struct {
 	Epoch         uint64         `json:"e"`           // of the scheduler role; a plan of another epoch is refused
 	BundleVersion uint64         `json:"v"`           // decided on; starts are refused under another
@@ -23,17 +23,17 @@
 	Ends          []End          `json:"x,omitempty"` // reported ends
 	Dead          []Proof        `json:"k,omitempty"` // handles proved dead without a reported end
 	Starts        []Start        `json:"s,omitempty"`
-	// LeaseTTL is the scheduler's setting, put into every handle of Starts unless the bundle has another.
+	// LeaseTTL is the scheduler's setting, recorded in every handle of Starts unless the bundle has another.
 	LeaseTTL time.Duration `json:"h,omitempty"`
 }
 
-// Planned answers Plan: for each of Starts its run ID, or 0 and the reason of the refusal.
+// Planned answers Plan: for each of Starts its run ID, or 0 and the reason for the refusal.
 type Planned struct {
 	RunIDs  []uint64 `json:"tickets,omitempty"`
 	Refused []string `json:"refused,omitempty"`
 }
 
-// Op is "plan".
+// Op returns "plan".
 func (*Plan) Op() string { return "plan" }
 
 func (c *Plan) apply(s *state.State, _ uint64) (any, error) {
@@ -72,10 +72,10 @@
 	planned := Planned{RunIDs: make([]uint64, len(c.Starts)), Refused: make([]string, len(c.Starts))}
 	for first := 0; first < len(c.Starts); {
 		end := c.groupEnd(first)
-		why := c.groupRefusal(s, c.Starts[first:end])
+		refusal := c.groupRefusal(s, c.Starts[first:end])
 		for i := first; i < end; i++ {
-			if why != "" {
-				planned.Refused[i] = why
+			if refusal != "" {
+				planned.Refused[i] = refusal
 			} else {
 				planned.RunIDs[i] = c.assign(s, c.Starts[i])
 			}
--- a/internal/state/command/policy_purge.go
+++ b/internal/state/command/policy_purge.go
@@ -7,7 +7,7 @@
 )
 
 // Purge replaces terminal jobs by tombstones, and drops tombstones and answered orders: jobs and tombstones by age and
-// by count, orders by age.
+// number, orders by age.
 type Purge struct {
 	JobsBefore       time.Time `json:"jobs_before"`
 	JobsKeep         int       `json:"jobs_keep"`
@@ -16,7 +16,7 @@
 	OrdersBefore     time.Time `json:"orders_before"`
 }
 
-// Op is "tidy".
+// Op returns "tidy".
 func (*Purge) Op() string { return "tidy" }
 
 func (c *Purge) apply(s *state.State, _ uint64) (any, error) {
--- a/internal/state/command/policy_roles.go
+++ b/internal/state/command/policy_roles.go
@@ -15,7 +15,7 @@
 	After       uint64 `json:"after"` // the epoch that the claimant knows; 0 before the first grant
 }
 
-// Op is "grant".
+// Op returns "grant".
 func (*GrantRole) Op() string { return "grant" }
 
 func (c *GrantRole) apply(s *state.State, index uint64) (any, error) {
@@ -28,13 +28,13 @@
 	return *role, nil
 }
 
-// ReleaseRole ends a role before its lease does: the holder does nothing under Epoch from here on.
+// ReleaseRole ends a role before its lease does: from this entry on, the holder does nothing under Epoch.
 type ReleaseRole struct {
 	Role  string `json:"duty"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// Op is "giveup".
+// Op returns "giveup".
 func (*ReleaseRole) Op() string { return "giveup" }
 
 func (c *ReleaseRole) apply(s *state.State, index uint64) (any, error) {
@@ -46,7 +46,7 @@
 	return nil, nil
 }
 
-// epochOf is the epoch of a role, 0 before its first grant.
+// epochOf returns the epoch of a role; 0 before its first grant.
 func epochOf(s *state.State, name string) uint64 {
 	if role := s.Roles[name]; role != nil {
 		return role.Epoch
--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -6,7 +6,8 @@
 	"crosstide/internal/state"
 )
 
-// End is the reported end of a run. By Ref, its task, the end is known of a run whose handle was released meanwhile.
+// End is the reported end of a run. Ref names its task, so that the end of a run counts whose handle was released
+// meanwhile.
 type End struct {
 	RunID  uint64        `json:"t"`
 	Ref    state.TaskRef `json:"f,omitzero"`
@@ -14,7 +15,7 @@
 	Reason string        `json:"w,omitempty"` // of a failure
 }
 
-// Proof says that a handle is dead without a reported end, and why.
+// Proof states that the run of a handle is dead without a reported end, and why.
 type Proof struct {
 	RunID  uint64 `json:"t"`
 	Why    string `json:"w"`           // one of the kinds of proof
@@ -74,9 +75,9 @@
 	}
 }
 
-// recordReport records what a worker reported of itself. Under a new incarnation its older runs are dead, as a worker
-// kills what an older incarnation left before it reports. But a start order that is still in flight may reach a worker
-// that starts anything: the handle of such a run stays until the scheduler proves it dead.
+// recordReport records a worker's report of itself. Under a new incarnation its older runs are dead, as a worker kills
+// the runs of an older incarnation before it reports. But a start order that is still in flight may reach a worker that
+// starts anything: the handle of such a run stays until the scheduler proves it dead.
 func recordReport(s *state.State, w state.Worker) {
 	old := s.Workers[w.Name]
 	if old == nil {
@@ -97,7 +98,8 @@
 	}
 }
 
-// recordPhase records runs as running or unconfirmed. Run IDs without a handle are overtaken by an end or a proof.
+// recordPhase records runs as running or unconfirmed. Run IDs without a handle are ignored: an end or a proof came
+// first.
 func recordPhase(s *state.State, runIDs []uint64, to state.TaskPhase) {
 	for _, id := range runIDs {
 		if h := s.Handles[id]; h != nil && h.Phase != to {
@@ -106,7 +108,7 @@
 	}
 }
 
-// recordProof releases a handle that was proved dead. Only a run that was stopped as ordered is paid for.
+// recordProof releases a handle that was proved dead. The run is refunded unless it was stopped as ordered.
 func recordProof(s *state.State, p Proof) {
 	h := s.Handles[p.RunID]
 	if h == nil {
@@ -118,7 +120,7 @@
 	requeueLost(s, h, p.Reason)
 }
 
-// requeueLost releases a handle whose run has no end: its task may start again at once.
+// requeueLost releases a handle whose run has no reported end: its task may start again at once.
 func requeueLost(s *state.State, h *state.Handle, reason string) {
 	_, t := s.TaskOf(h.Ref)
 	t.DueAt = time.Time{}
@@ -129,8 +131,8 @@
 	requeueTask(s, h)
 }
 
-// requeueTask releases a handle and makes its task due again, from the DueAt that the caller has set, or skips it if
-// its job stops.
+// requeueTask releases a handle and makes its task due again at the DueAt that the caller has set; of a job that stops,
+// the task is skipped instead.
 func requeueTask(s *state.State, h *state.Handle) {
 	to := state.TaskDue
 	if s.Jobs[h.Ref.Job].Phase != state.JobRunning {
--- a/internal/state/command/policy_starts.go
+++ b/internal/state/command/policy_starts.go
@@ -2,8 +2,8 @@
 
 import "crosstide/internal/state"
 
-// Start wants a run ID for a due task on a worker. Adjacent starts with the same Group above 0 get theirs together or
-// not at all.
+// Start asks for a run ID for a due task on a worker. Adjacent starts with the same Group above 0 get theirs together
+// or not at all.
 type Start struct {
 	Ref         state.TaskRef `json:"r"`
 	Worker      string        `json:"m"`
@@ -11,7 +11,8 @@
 	Group       int           `json:"g,omitempty"`
 }
 
-// Why a start is refused, beside the reasons of State.PlacementRefusal. The strings are sent to the scheduler.
+// The reasons for which a start is refused, in addition to those of State.PlacementRefusal. The strings are sent to the
+// scheduler.
 const (
 	RefusedBundle   = "charter version" // another bundle is in force than the plan was decided on
 	RefusedJob      = "job"             // the job is not running, or has no such task
@@ -20,7 +21,7 @@
 	RefusedBalance  = "balance"         // the party's balance does not cover the start
 )
 
-// groupEnd is the position after the last start of the group that begins at first.
+// groupEnd returns the position after the last start of the group whose first start is at first.
 func (c *Plan) groupEnd(first int) int {
 	end := first + 1
 	if group := c.Starts[first].Group; group > 0 {
@@ -31,17 +32,17 @@
 	return end
 }
 
-// groupRefusal is why the starts of a group may not be assigned together, "" if they may. Capacity and balance must
-// suffice for all of them.
+// groupRefusal returns why the starts of a group may not be assigned together; "" if they may. Capacity and balance
+// must suffice for all of them.
 func (c *Plan) groupRefusal(s *state.State, group []Start) string {
 	if c.BundleVersion != s.Bundle.Version {
 		return RefusedBundle
 	}
-	taken := map[string]capacity{} // by worker, by the starts before in the group
+	taken := map[string]capacity{} // by worker: of the starts so far in the group
 	var fees groupFees
 	for _, start := range group {
-		if why := startRefusal(s, start); why != "" {
-			return why
+		if refusal := startRefusal(s, start); refusal != "" {
+			return refusal
 		}
 		taken[start.Worker] = taken[start.Worker].plus(stepOf(s, start.Ref))
 		if !taken[start.Worker].fits(s.Workers[start.Worker], s.UsageOf(start.Worker)) {
@@ -54,7 +55,7 @@
 	return ""
 }
 
-// startRefusal is why one start may not be assigned, whatever else its group takes; "" if it may.
+// startRefusal returns why one start may not be assigned, not counting the rest of its group; "" if it may.
 func startRefusal(s *state.State, start Start) string {
 	j, t := s.TaskOf(start.Ref)
 	w := s.Workers[start.Worker]
@@ -86,14 +87,14 @@
 	return &s.Jobs[ref.Job].Spec.Steps[ref.Step]
 }
 
-// capacity is what starts take on a worker.
+// capacity is the sum of the needs of starts on a worker.
 type capacity struct{ cores, gpus int }
 
 func (c capacity) plus(step *state.StepSpec) capacity {
 	return capacity{c.cores + step.Cores, c.gpus + step.GPUs}
 }
 
-// fits reports whether a worker has so much free beside its handles.
+// fits reports whether a worker has that much free beside its handles.
 func (c capacity) fits(w *state.Worker, used *state.Usage) bool {
 	return used.Cores+c.cores <= w.Cores && used.GPUs+c.gpus <= w.GPUs
 }
--- a/internal/state/command/policy_submit.go
+++ b/internal/state/command/policy_submit.go
@@ -9,14 +9,14 @@
 )
 
 // Submit puts a job into the inbox. Repeated with the same digest it is the same job; with another one it is a
-// conflict. Bound is the most jobs that may be open; State.OverloadReason says who is rejected before.
+// conflict. Bound is the most jobs that may be open, see State.OverloadReason.
 type Submit struct {
 	Spec   state.Spec `json:"spec"`
 	Digest string     `json:"digest"`
 	Bound  int        `json:"bound"`
 }
 
-// Submitted answers Submit: the job's phase now, and whether this call brought it in.
+// Submitted answers Submit: the job's phase, and whether this entry accepted it.
 type Submitted struct {
 	Key    string         `json:"key"`
 	Phase  state.JobPhase `json:"state"`
@@ -24,7 +24,7 @@
 	Fresh  bool           `json:"fresh"`
 }
 
-// Op is "submit".
+// Op returns "submit".
 func (*Submit) Op() string { return "submit" }
 
 func (c *Submit) apply(s *state.State, _ uint64) (any, error) {
@@ -47,7 +47,8 @@
 	return c.change(s), nil
 }
 
-// check returns why a new job is refused: by the placement policy of its queue, or as overload.
+// check returns why a new job is refused: by the placement policy of its queue, or as overload. Failures: Invalid,
+// Forbidden, Overloaded.
 func (c *Submit) check(s *state.State) error {
 	q, ok := s.Bundle.Queues[c.Spec.Queue]
 	if !ok {
@@ -62,8 +63,8 @@
 				"%q may not use queue %q", step.Type, c.Spec.Queue)
 		}
 	}
-	if why := s.OverloadReason(c.Spec.Team, q.Urgent, c.Bound); why != "" {
-		return errs.New(errs.Overloaded, "%s", why)
+	if reason := s.OverloadReason(c.Spec.Team, q.Urgent, c.Bound); reason != "" {
+		return errs.New(errs.Overloaded, "%s", reason)
 	}
 	return nil
 }
--- a/internal/state/command/policy_workers.go
+++ b/internal/state/command/policy_workers.go
@@ -5,13 +5,13 @@
 	"crosstide/internal/state"
 )
 
-// Announce makes a worker known. Of a known worker it changes the address only: what a worker is and which incarnation
-// runs is taken only from its answers to the scheduler (Plan.Workers).
+// Announce adds a worker. Of a known worker it changes only the address: its other properties and its incarnation are
+// taken only from its answers to the scheduler (Plan.Workers).
 type Announce struct {
 	Worker state.Worker `json:"minion"`
 }
 
-// Op is "announce".
+// Op returns "announce".
 func (*Announce) Op() string { return "announce" }
 
 func (c *Announce) apply(s *state.State, _ uint64) (any, error) {
@@ -49,7 +49,7 @@
 	}
 )
 
-// Op is "close".
+// Op returns "close".
 func (*CloseWorker) Op() string { return "close" }
 
 func (c *CloseWorker) apply(s *state.State, _ uint64) (any, error) {
--- a/internal/state/command/policy_zone.go
+++ b/internal/state/command/policy_zone.go
@@ -9,7 +9,7 @@
 )
 
 // EvacuateZone evacuates a zone (Out) or lifts the evacuation. Once the store knows operators, one of them must sign an
-// evacuation (signature.Evacuate), and two its lifting (signature.Lift), each with an order of its own.
+// evacuation (signature.Evacuate), and two its lifting (signature.Lift), each with a separate order.
 type EvacuateZone struct {
 	Order string `json:"order"`
 	Zone  string `json:"zone"`
@@ -25,7 +25,7 @@
 	Signed    []string `json:"signed,omitempty"`
 }
 
-// Op is "zone".
+// Op returns "zone".
 func (*EvacuateZone) Op() string { return "zone" }
 
 func (c *EvacuateZone) apply(s *state.State, _ uint64) (any, error) {
@@ -66,7 +66,7 @@
 	return ZoneEvacuation{Zone: c.Zone, Evacuated: true}
 }
 
-// lift adds a signature, and lifts the evacuation with the second one. Without operators it needs none.
+// lift adds a signature, and lifts the evacuation with the second one; without operators it does so at once.
 func (c *EvacuateZone) lift(s *state.State) ZoneEvacuation {
 	var signed []string
 	if len(s.Operators) > 0 {
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -8,7 +8,7 @@
 	Name   string // job key, or name of the worker, role, zone or account
 }
 
-// EventKind says which change an Event is, and which of its fields are set.
+// EventKind is the kind of an event. It determines which fields of the event are set.
 type EventKind uint8
 
 // The kinds of events, with the fields they set.
@@ -25,7 +25,7 @@
 	EventAccountChanged                    // an account was opened or topped up (Name)
 )
 
-// NotifyWatcher reports a change that package command made in a record itself.
+// NotifyWatcher calls OnEvent for a change that package command made in a record itself.
 func (s *State) NotifyWatcher(kind EventKind, name string) { s.notify(Event{Kind: kind, Name: name}) }
 
 func (s *State) notify(event Event) {
--- a/internal/state/indexes.go
+++ b/internal/state/indexes.go
@@ -15,7 +15,7 @@
 	labelSites     map[labelSite]int // workers by labelSite; no zeros
 }
 
-// Usage is what the handles on a worker take. It is State's: read only.
+// Usage is the use of a worker's capacity by its handles. It is owned by State: callers must not change it.
 type Usage struct {
 	Cores, GPUs int
 	Handles     map[uint64]*Handle // by run ID
@@ -72,7 +72,7 @@
 	return u
 }
 
-// addOpenJob counts a team's job in (1) or out (-1).
+// addOpenJob adds by, 1 or -1, to the counts of open jobs, in all and of a team.
 func (x *indexes) addOpenJob(team string, by int) {
 	x.openJobs += by
 	if x.openJobsByTeam[team] += by; x.openJobsByTeam[team] == 0 {
@@ -80,7 +80,8 @@
 	}
 }
 
-// addLabels counts a worker's labels in (1) or out (-1). It reports whether some labelSite appeared or disappeared.
+// addLabels adds by, 1 or -1, to the counts of a worker's label sites. It reports whether some site appeared or
+// disappeared.
 func (x *indexes) addLabels(w *Worker, by int) bool {
 	changed := false
 	for label, value := range w.Labels {
@@ -96,7 +97,7 @@
 	return changed
 }
 
-// UsageOf returns what the handles on a worker take; never nil.
+// UsageOf returns the usage of a worker; never nil.
 func (s *State) UsageOf(worker string) *Usage { return s.indexes.usageOf(worker) }
 
 // RunIDsOn returns the IDs of the runs with a handle on a worker, oldest first.
@@ -116,8 +117,8 @@
 // RunningCounts returns the number of handles by task type, as a copy.
 func (s *State) RunningCounts() map[string]int { return maps.Clone(s.indexes.runningByType) }
 
-// OpenJobs is the number of jobs that are not terminal.
+// OpenJobs returns the number of jobs that are not terminal.
 func (s *State) OpenJobs() int { return s.indexes.openJobs }
 
-// OpenJobsOf is OpenJobs for one team.
+// OpenJobsOf returns the number of a team's jobs that are not terminal.
 func (s *State) OpenJobsOf(team string) int { return s.indexes.openJobsByTeam[team] }
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -37,11 +37,11 @@
 	Tasks       int             `json:"tasks"`
 	Cores       int             `json:"cores"` // of each task
 	GPUs        int             `json:"gpus,omitempty"`
-	Labels      Labels          `json:"labels,omitempty"` // a worker must have them
-	Retries     int             `json:"retries"`          // bounded by Bundle.RetriesFor
-	Run         json.RawMessage `json:"run,omitempty"`    // handed to the worker with each start
-	LongRunning bool            `json:"standing,omitempty"`
-	Gang        bool            `json:"gang,omitempty"` // all tasks start together
+	Labels      Labels          `json:"labels,omitempty"`   // a worker must have them
+	Retries     int             `json:"retries"`            // bounded by Bundle.RetriesFor
+	Run         json.RawMessage `json:"run,omitempty"`      // sent to the worker with each start
+	LongRunning bool            `json:"standing,omitempty"` // tasks run until the job is cancelled
+	Gang        bool            `json:"gang,omitempty"`     // all tasks start together
 }
 
 // Job is the record of a job of the policy deployment.
@@ -59,7 +59,7 @@
 	index jobIndex
 }
 
-// HandleCount is the number of tasks of the job that have a handle.
+// HandleCount returns the number of tasks of the job that have a handle.
 func (j *Job) HandleCount() int { return j.index.handles }
 
 // jobIndex is derived from a job's spec and tasks, so that no transition has to scan all tasks.
--- a/internal/state/party.go
+++ b/internal/state/party.go
@@ -22,10 +22,10 @@
 	Warn    time.Duration `json:"warn,omitempty"`    // 0: DefaultWarn
 }
 
-// Window is the time that a start pays in advance.
+// Window returns the time that a start pays in advance.
 func (p Party) Window() time.Duration { return cmp.Or(p.Reserve, DefaultReserve) }
 
-// WarnBefore is how long before the forecast exhaustion of its account the party is warned.
+// WarnBefore returns the time before the forecast exhaustion of its account at which the party is warned.
 func (p Party) WarnBefore() time.Duration { return cmp.Or(p.Warn, DefaultWarn) }
 
 // PartyOf returns the party that pays for a queue and team, "" if none does. A party of the queue goes before one of
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/errs"
 )
 
-// Fee is what a start reserves on a party's balance. Party is "" if nobody pays.
+// Fee is the amount that a start reserves on a party's balance. Party is "" if nobody pays.
 type Fee struct {
 	Party string
 	Cost  int64
@@ -17,8 +17,8 @@
 // PartyOf returns the party that pays for a job's runs, "" if none does.
 func (s *State) PartyOf(j *Job) string { return s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) }
 
-// Fee returns what the start of a task reserves: the price of a window; nothing if nobody pays for it, or for a restart
-// of a long-running task, which goes on even when its party's balance is exhausted.
+// Fee returns the fee of a task's start: the price of a window. It is zero if nobody pays for the job, and for a
+// restart of a long-running task, which continues even when the balance is exhausted.
 func (s *State) Fee(j *Job, ref TaskRef) Fee {
 	party := s.PartyOf(j)
 	if party == "" || j.isRestart(ref) {
@@ -31,7 +31,7 @@
 // Covers reports whether the party's balance covers a fee, which may be the sum of several starts.
 func (s *State) Covers(f Fee) bool { return f.Party == "" || s.Accounts.Covers(f.Party, f.Cost) }
 
-// UnpaidReason is why a job's due tasks wait for a top-up; "" if none does.
+// UnpaidReason returns why due tasks of a job wait for a top-up; "" if none does.
 func (s *State) UnpaidReason(j *Job) string {
 	if s.PartyOf(j) == "" {
 		return ""
@@ -67,12 +67,12 @@
 	return j.Spec.Steps[ref.Step].LongRunning && j.Tasks[ref.Step][ref.Task].RunID > 0
 }
 
-// rate is what a run of a step costs the party.
+// rate returns the cost rate of a run of a step.
 func (p Party) rate(step *StepSpec) account.Rate {
 	return p.Price.Rate(account.Needs{MilliCPU: 1000 * step.Cores, GPUs: step.GPUs})
 }
 
-// RunName is the name of a run in the accounts.
+// RunName returns the name of a run in the accounts.
 func RunName(runID uint64) string { return "r" + strconv.FormatUint(runID, 10) }
 
 // reserve reserves the first window of a run, if somebody pays for it, in the step that records its handle. The restart
@@ -101,21 +101,21 @@
 	}
 }
 
-// RefundRun refunds the open window of a run that was lost: nobody pays for it. It must be called before the run's
-// handle is released, which else would debit it.
+// RefundRun refunds the open window of a run that was lost. It must be called before the run's handle is released,
+// which would debit the run's time.
 func (s *State) RefundRun(runID uint64) {
 	if s.Accounts != nil {
 		s.Accounts.Refund(RunName(runID))
 	}
 }
 
-// UseAccounts makes accounts the state's, and has the job table pay from them too.
+// UseAccounts sets the accounts of the state and of its job table.
 func (s *State) UseAccounts(accounts *account.Table) {
 	s.Accounts = accounts
 	s.JobTable.Payments = tablePayments{s}
 }
 
-// tablePayments is the jobs.Payments of the job table: the same accounts, at the store time.
+// tablePayments implements jobs.Payments for the job table with the state's accounts, at the store time.
 type tablePayments struct{ s *State }
 
 // Covers implements jobs.Payments.
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Why a task may not be assigned to a worker; see State.PlacementRefusal. The strings are sent to the scheduler.
+// The reasons for which a task may not be assigned to a worker; see State.PlacementRefusal. The strings are sent to the
+// scheduler.
 const (
 	RefusedQueue       = "queue"   // the bundle has no such queue
 	RefusedIncarnation = "boot"    // the worker's incarnation is not known yet, or is another one
@@ -18,8 +19,9 @@
 	RefusedNear        = "near"    // nothing near the worker has a label that the placement policy wants
 )
 
-// PlacementRefusal is why a task of step may not be assigned to a worker by bundle, labels, evacuation or drain; "" if
-// it may. Capacity is not checked. The scheduler asks when it plans, package command again when the plan is applied.
+// PlacementRefusal returns why a task of a step may not be assigned to a worker, by the bundle, labels, evacuations and
+// drains; "" if it may. It does not check capacity. The scheduler calls it when it plans, package command again when
+// the plan is applied.
 func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) string {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	switch {
@@ -48,7 +50,7 @@
 	return ""
 }
 
-// WaitReason is why the bundle in force lets a job's due tasks start on no worker at all; "" if it does not.
+// WaitReason returns why the bundle in force lets tasks of a job start on no worker; "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
@@ -74,7 +76,7 @@
 // labelSite is a label with its value that some worker has, in a zone or in one rack of it.
 type labelSite struct{ zone, rack, label, value string }
 
-// labelSiteOf is the site where near is satisfied for a worker.
+// labelSiteOf returns the site that must exist for a worker to satisfy near.
 func labelSiteOf(near Near, w *Worker) labelSite {
 	at := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
 	if near.Scope == ScopeRack {
--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -19,11 +19,11 @@
 		return []internalapi.AccountView{}
 	}
 	runs, waiting := runsByAccount(s), waitingByParty(s)
-	out := make([]internalapi.AccountView, 0, len(s.Accounts.Accounts))
+	accounts := make([]internalapi.AccountView, 0, len(s.Accounts.Accounts))
 	for _, name := range slices.Sorted(maps.Keys(s.Accounts.Accounts)) {
-		out = append(out, accountView(s, name, runs[name], waiting[name]))
+		accounts = append(accounts, accountView(s, name, runs[name], waiting[name]))
 	}
-	return out
+	return accounts
 }
 
 // Account returns one account. Failure: Unknown.
@@ -51,9 +51,9 @@
 	if err != nil {
 		return nil, errs.Pass(err, "export")
 	}
-	var out bytes.Buffer
-	err = a.Ledger.WriteCSV(&out)
-	return out.Bytes(), errs.Pass(err, "export")
+	var text bytes.Buffer
+	err = a.Ledger.WriteCSV(&text)
+	return text.Bytes(), errs.Pass(err, "export")
 }
 
 func findAccount(s *state.State, name string) (*account.Account, error) {
@@ -74,7 +74,7 @@
 	return v
 }
 
-// balanceWarning says that an account is exhausted, or soon will be; "" if neither.
+// balanceWarning returns a warning if an account is exhausted or will be soon; "" if neither.
 func balanceWarning(v *internalapi.AccountView, p state.Party) string {
 	switch {
 	case v.Waiting > 0:
@@ -87,29 +87,29 @@
 
 // runsByAccount counts the runs with a reservation.
 func runsByAccount(s *state.State) map[string]int {
-	out := map[string]int{}
+	runs := map[string]int{}
 	for _, r := range s.Accounts.Reservations {
-		out[r.Account]++
+		runs[r.Account]++
 	}
-	return out
+	return runs
 }
 
 // waitingByParty counts the jobs that wait for a top-up.
 func waitingByParty(s *state.State) map[string]int {
-	out := map[string]int{}
+	waiting := map[string]int{}
 	if len(s.Bundle.Parties) == 0 {
-		return out
+		return waiting
 	}
 	for _, j := range s.Jobs {
 		if j.Phase == state.JobRunning && s.UnpaidReason(j) != "" {
-			out[s.PartyOf(j)]++
+			waiting[s.PartyOf(j)]++
 		}
 	}
-	return out
+	return waiting
 }
 
-// waitsBehindReason says that a job's due tasks wait because their party's balance is kept for a job that is paid for
-// before it; "" if they do not. It takes time in the number of all jobs.
+// waitsBehindReason returns why due tasks of a job wait although the balance may cover them: it is kept for a job that
+// is paid for first. "" if they do not. The cost is proportional to the number of jobs.
 func waitsBehindReason(s *state.State, j *state.Job) string {
 	party := s.PartyOf(j)
 	if party == "" || j.Phase != state.JobRunning || !hasDueTask(j) {
@@ -125,13 +125,13 @@
 	return ""
 }
 
-// goesBefore reports whether the tasks of one job are paid for before those of another.
-func goesBefore(s *state.State, one, other *state.Job) bool {
-	first, second := s.Bundle.Queues[one.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
-	if first != second {
-		return first
+// goesBefore reports whether the tasks of a job are paid for before those of another.
+func goesBefore(s *state.State, j, other *state.Job) bool {
+	isUrgent, isOtherUrgent := s.Bundle.Queues[j.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
+	if isUrgent != isOtherUrgent {
+		return isUrgent
 	}
-	return one.Seq < other.Seq
+	return j.Seq < other.Seq
 }
 
 func hasDueTask(j *state.Job) bool {
--- a/internal/state/query/jobs.go
+++ b/internal/state/query/jobs.go
@@ -39,7 +39,7 @@
 	Reason      string `json:"reason,omitempty"` // of the newest failure of a task that is not done
 }
 
-// Job returns a job, or what its tombstone says of it. Failure: Unknown (the store has neither).
+// Job returns a job, or the view of its tombstone. Failure: Unknown (the store has neither).
 func Job(s *state.State, key string) (JobView, error) {
 	if j := s.Jobs[key]; j != nil {
 		v := jobView(s, j)
@@ -54,8 +54,8 @@
 	return JobView{}, errs.Field(errs.Unknown, "key", "no job %q", key)
 }
 
-// Jobs lists the jobs of a team ("" any) in a phase ("" any) with keys above after, in order of keys, at most limit and
-// without their steps. more reports whether there are others.
+// Jobs returns the jobs of a team ("": any) in a phase ("": any) with keys above after, in order of keys, at most limit
+// and without their steps. more reports whether there are others.
 func Jobs(
 	s *state.State, team string, phase state.JobPhase, after string, limit int,
 ) (jobs []JobView, more bool) {
--- a/internal/state/query/revisions.go
+++ b/internal/state/query/revisions.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/state"
 )
 
-// Words of the API that stand for a version number.
+// The names that the API accepts in place of a version number.
 const (
 	Current = "current" // the version in force
 	Newest  = "newest"  // the newest, in force or not
@@ -15,14 +15,14 @@
 
 // Revisions returns the versions of the bundle without bodies, newest first, at most limit.
 func Revisions(s *state.State, limit int) []state.Revision {
-	var out []state.Revision
+	var revisions []state.Revision
 	for _, r := range slices.Backward(s.Revisions) {
-		if len(out) == limit {
+		if len(revisions) == limit {
 			break
 		}
-		out = append(out, withoutBody(r))
+		revisions = append(revisions, withoutBody(r))
 	}
-	return out
+	return revisions
 }
 
 // Revision returns a version without its body, and its exact text, nil if that was trimmed. Failure: Unknown.
@@ -34,8 +34,9 @@
 	return withoutBody(r), r.Body, nil
 }
 
+// withoutBody returns a copy of a revision without its body, which shares nothing with the state.
 func withoutBody(r *state.Revision) state.Revision {
-	out := *r
-	out.Body, out.Signed = nil, slices.Clone(r.Signed)
-	return out
+	revision := *r
+	revision.Body, revision.Signed = nil, slices.Clone(r.Signed)
+	return revision
 }
--- a/internal/state/query/workers.go
+++ b/internal/state/query/workers.go
@@ -2,7 +2,7 @@
 
 import "crosstide/internal/state"
 
-// WorkerView is a worker with what its handles take.
+// WorkerView is a worker with the use of its capacity.
 type WorkerView struct {
 	state.Worker
 	RunCount  int `json:"tickets"`
@@ -12,12 +12,12 @@
 
 // Workers returns every worker in order of names.
 func Workers(s *state.State) []WorkerView {
-	out := make([]WorkerView, 0, len(s.Workers))
+	workers := make([]WorkerView, 0, len(s.Workers))
 	for _, name := range s.WorkerNames() {
 		used := s.UsageOf(name)
-		out = append(out, WorkerView{
+		workers = append(workers, WorkerView{
 			Worker: *s.Workers[name], RunCount: len(used.Handles), UsedCores: used.Cores, UsedGPUs: used.GPUs,
 		})
 	}
-	return out
+	return workers
 }
--- a/internal/state/query/zones.go
+++ b/internal/state/query/zones.go
@@ -17,10 +17,10 @@
 
 // Zones returns the evacuated zones in order of names.
 func Zones(s *state.State) []ZoneView {
-	out := []ZoneView{}
+	zones := []ZoneView{}
 	for zone, since := range s.Evacuated {
-		out = append(out, ZoneView{Zone: zone, Since: since, Signed: slices.Clone(s.LiftSignatures[zone])})
+		zones = append(zones, ZoneView{Zone: zone, Since: since, Signed: slices.Clone(s.LiftSignatures[zone])})
 	}
-	slices.SortFunc(out, func(a, b ZoneView) int { return cmp.Compare(a.Zone, b.Zone) })
-	return out
+	slices.SortFunc(zones, func(a, b ZoneView) int { return cmp.Compare(a.Zone, b.Zone) })
+	return zones
 }
--- a/internal/state/revision.go
+++ b/internal/state/revision.go
@@ -78,7 +78,8 @@
 	KeepUnfinished = 200     // versions that never were in force
 )
 
-// SetRevisionPhase is the one function that changes a revision's phase. Failure: Stale.
+// SetRevisionPhase changes a revision's phase; nothing else may. Failure: Stale (revisionTransitions has no such
+// change).
 func (s *State) SetRevisionPhase(r *Revision, to RevisionPhase) error {
 	if !slices.Contains(revisionTransitions[r.Phase], to) {
 		return errs.New(errs.Stale, "version %d is %s, cannot become %s", r.Version, r.Phase, to)
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// Head is the newest version, in force or not: the one that the next must be written against.
+// Head returns the newest version, in force or not. The next version must be written against it.
 func (s *State) Head() *Revision { return s.Revisions[len(s.Revisions)-1] }
 
 // Revision finds a version; nil if there is none or it was trimmed.
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// PutInForce makes a version with all its signatures the one in force; b is what its text says.
+// PutInForce puts a version that has all its signatures in force; b is its parsed text.
 func (s *State) PutInForce(r *Revision, b Bundle) error {
 	if old := s.Revision(s.Bundle.Version); old != nil {
 		if err := s.SetRevisionPhase(old, RevisionReplaced); err != nil {
--- a/internal/state/role.go
+++ b/internal/state/role.go
@@ -1,6 +1,6 @@
 package state
 
-// Role is a singleton role, such as the scheduler's, and the node that holds it.
+// Role is a singleton role, such as the scheduler's, with the node that holds it.
 type Role struct {
 	Holder      string `json:"holder,omitempty"` // node name; "" after it was released
 	Addr        string `json:"addr,omitempty"`
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -65,7 +65,7 @@
 	Accounts *account.Table `json:"accounts,omitempty"`
 
 	// OnEvent is called after each change that Event names, on the goroutine that applies the entry; it must not change
-	// the state. Nil: no one is notified.
+	// the state. Nil: events are dropped.
 	OnEvent func(Event) `json:"-"`
 
 	indexes indexes
@@ -115,7 +115,7 @@
 	return s, nil
 }
 
-// fillDefaults adds what a state must have and encodings of older versions lack.
+// fillDefaults sets the fields that every state must have and that encodings of older versions lack.
 func (s *State) fillDefaults() {
 	if s.JobTable == nil {
 		s.JobTable = jobs.NewTable()
@@ -125,7 +125,7 @@
 	}
 }
 
-// must panics on a refusal of a change that the caller has just checked: such a refusal is a bug, and going on would
+// must panics on a refusal of a change that the caller has just checked. Such a refusal is a bug, and to continue would
 // let the nodes diverge.
 func must(err error) {
 	if err != nil {
--- a/internal/state/transition.go
+++ b/internal/state/transition.go
@@ -19,8 +19,8 @@
 	s.notify(Event{Kind: EventJobSubmitted, Name: j.Spec.Key})
 }
 
-// AdmitJobs moves the jobs with numbers up to seq from the inbox to JobRunning, and makes the tasks due of their first
-// steps.
+// AdmitJobs moves the jobs with numbers up to seq from the inbox to JobRunning, and makes the tasks of their first
+// steps due.
 func (s *State) AdmitJobs(seq uint64) {
 	if seq <= s.AdmittedSeq {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// StopJob fixes a job's outcome, a terminal phase: no task of it starts any more, and its runs are to be stopped. A job
-// that is stopping or terminal stays as it is.
+// StopJob fixes a job's outcome, a terminal phase: none of its tasks starts any more, and its runs are to be stopped.
+// It does nothing for a job that is stopping or terminal.
 func (s *State) StopJob(j *Job, outcome JobPhase, reason string) {
 	if j.Phase.IsTerminal() || j.Phase == JobStopping {
 		return
@@ -130,7 +130,7 @@
 	s.notify(Event{Kind: EventHandleReleased, Handle: h, Ref: h.Ref})
 }
 
-// makeReadyTasksDue makes the waiting tasks due of all steps that wait for no other step any more.
+// makeReadyTasksDue makes the waiting tasks of all steps due whose preceding steps are done.
 func (s *State) makeReadyTasksDue(j *Job) {
 	for i := range j.Spec.Steps {
 		if !j.isReady(&j.Spec.Steps[i]) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// finishIfComplete moves a job to its terminal phase when nothing of it is left to do: a running one with all tasks
-// done, a stopping one without handles.
+// finishIfComplete moves a job to its terminal phase when it is complete: a running one when all its tasks are done, a
+// stopping one when none has a handle.
 func (s *State) finishIfComplete(j *Job) {
 	switch {
 	case j.Phase == JobStopping && j.index.handles == 0:
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -36,7 +36,7 @@
 	s.notifyIfNearChanged(sitesChanged)
 }
 
-// DropWorker removes a worker's record. The caller has made sure that no handle is on it.
+// DropWorker removes a worker's record. The caller ensures that no handle is on it.
 func (s *State) DropWorker(name string) {
 	w := s.Workers[name]
 	if w == nil {
--- a/internal/testbed/policysim/billingscenario.go
+++ b/internal/testbed/policysim/billingscenario.go
@@ -65,8 +65,8 @@
 	return b
 }
 
-// paidUpDelay is the time from the end of the faults to the last top-up of limitedParty. Jobs that wait for payment may
-// end that much later.
+// paidUpDelay returns the time from the end of the faults to the last top-up of limitedParty. Jobs that wait for
+// payment may end that much later.
 func (b *billingScenario) paidUpDelay() time.Duration {
 	if b == nil {
 		return 0
--- a/internal/testbed/policysim/dataplanecalls.go
+++ b/internal/testbed/policysim/dataplanecalls.go
@@ -108,7 +108,7 @@
 	d.callLeader(call)
 }
 
-// readJob is Node.Read of one job: it reads the replica when that has reached the leader's read index.
+// readJob reads one job as Node.Read does: from the replica, when that has reached the leader's read index.
 func (d *dataPlane) readJob(key string, done func(view query.JobView, err error)) {
 	d.callLeader(leaderCall{timeout: callTimeout / 2, idempotent: true, deadline: d.Now() + callTimeout,
 		serve: func(c *controlPlane, reply func(any, error)) {
--- a/internal/testbed/policysim/simulation.go
+++ b/internal/testbed/policysim/simulation.go
@@ -116,7 +116,7 @@
 	s.report.Breach = &Breach{Promise: promise, At: s.now, Detail: detail, TraceTail: tail}
 }
 
-// chance is true with probability p.
+// chance reports true with probability p.
 func (s *sim) chance(p float64) bool { return s.rng.Float64() < p }
 
 // between draws a duration from low inclusive to high exclusive; low if high is not above it.
