--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/state/command"
 )
 
-// accountCommand is for the parties' prepaid accounts.
+// accountCommand returns the command for the parties' prepaid accounts.
 func accountCommand() *cli.Command {
 	credit := &cli.Int64Flag{Name: "credit", Usage: "how many `UNITS` below zero starts may reserve"}
 	after := &cli.Uint64Flag{Name: "after", Usage: "only those after this `NUMBER`"}
@@ -120,10 +120,10 @@
 	}
 }
 
-// unitsPerSecond shows a rate, which is in thousandths of a unit per second.
+// unitsPerSecond formats a rate, which is in thousandths of a unit per second.
 func unitsPerSecond(rate account.Rate) string { return fmt.Sprintf("%d.%03d", rate/1000, rate%1000) }
 
-// exhaustedIn shows in what time an account is exhausted at its present rate.
+// exhaustedIn formats the time until an account is exhausted at its present rate.
 func exhaustedIn(v internalapi.AccountView) string {
 	if !v.Draws {
 		return "-"
--- a/cmd/crosstide-controlplane/bundle.go
+++ b/cmd/crosstide-controlplane/bundle.go
@@ -19,7 +19,7 @@
 	"crosstide/internal/state/command"
 )
 
-// bundleCommand is for the versions of the bundle, the policy deployment's configuration.
+// bundleCommand returns the command for the versions of the bundle, the policy deployment's configuration.
 func bundleCommand() *cli.Command {
 	base := &cli.Uint64Flag{Name: "base", Usage: "the `VERSION` that this is written against, the newest",
 		Required: true}
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// draftAction is the action of put and patch. The operator signs the order, the base and the digest of the file.
+// draftAction returns the action of put and patch: it posts the file as an order, and signs the order ID, the base and
+// the file's digest.
 func draftAction(path string, signedText func(order string, base uint64, digest string) string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		data, err := readFileArg(cmd)
@@ -81,7 +82,7 @@
 	}
 }
 
-// signBundle reads the version, takes the digest of the very bytes that it read, and signs that.
+// signBundle reads the version from the node, and signs the digest of exactly the bytes that it read.
 func signBundle(ctx context.Context, cmd *cli.Command) error {
 	args, err := exactArgs(cmd, "VERSION")
 	if err != nil {
--- a/cmd/crosstide-controlplane/exitcodes.go
+++ b/cmd/crosstide-controlplane/exitcodes.go
@@ -13,12 +13,12 @@
 const (
 	exitOther       = 1 // any other failure, of the daemons too
 	exitUsage       = 2 // arguments, files or settings that cannot be used
-	exitConflict    = 3 // someone else was first, or the order id is another order's
-	exitRefused     = 4 // invalid, unknown, not signed as it must be
-	exitUnavailable = 5 // send the same again
+	exitConflict    = 3 // another change came first, or the order ID is that of another order
+	exitRefused     = 4 // invalid, unknown, or without the signature that it needs
+	exitUnavailable = 5 // the same command may be retried
 )
 
-// exitCodes is the table from kind to code; what is not in it is exitOther.
+// exitCodes maps kinds of errors to exit codes; exitOther is that of all other kinds.
 var exitCodes = map[errs.Kind]int{
 	errs.Conflict: exitConflict, errs.Stale: exitConflict,
 	errs.Malformed: exitRefused, errs.Invalid: exitRefused, errs.TooLarge: exitRefused, errs.Unknown: exitRefused,
@@ -28,7 +28,7 @@
 	errs.Settings: exitUsage, errs.Disk: exitUsage,
 }
 
-// exitError is an error with the program's exit code.
+// exitError is the failure of a command with the exit code for it.
 type exitError struct {
 	error
 	code int
@@ -37,7 +37,7 @@
 // Unwrap returns the failure.
 func (e exitError) Unwrap() error { return e.error }
 
-// Error is the kind, the field and the message: an operator needs no trace of where the failure came from.
+// Error returns kind, field and message, without the trace of where the failure came from.
 func (e exitError) Error() string {
 	failure := errs.Of(e.error)
 	if failure.Field != "" {
@@ -46,7 +46,7 @@
 	return string(failure.Kind) + ": " + failure.Message
 }
 
-// withExitCodes makes every command of the trees fail with an exit code of the table.
+// withExitCodes makes all actions of the command trees return an exitError on failure, and returns the commands.
 func withExitCodes(commands ...*cli.Command) []*cli.Command {
 	for _, command := range commands {
 		withExitCodes(command.Commands...)
@@ -71,7 +71,7 @@
 	}
 }
 
-// exitCode returns the exit code of an error: an error without a kind is cli's message on wrong usage.
+// exitCode returns the exit code for an error of the program. An error without a kind is from cli, on wrong usage.
 func exitCode(err error) int {
 	var coded exitError
 	var failure *errs.Error
--- a/cmd/crosstide-controlplane/flags.go
+++ b/cmd/crosstide-controlplane/flags.go
@@ -13,11 +13,13 @@
 	"crosstide/internal/signature"
 )
 
+// addrFlag returns the flag for the address of a node of the policy deployment.
 func addrFlag() cli.Flag {
 	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}
 }
 
-// jobsAddrFlag is addrFlag for the jobs deployment, where operators are served at another address than the other nodes.
+// jobsAddrFlag returns the flag for the address of a core node of the jobs deployment, which serves operators at
+// another address than other nodes.
 func jobsAddrFlag() cli.Flag {
 	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` where any core node takes workers and operators",
 		Required: true}
@@ -36,17 +38,17 @@
 		Usage: "`ID` of the order; drawn if it is not given. Sent again it is carried out once"}
 }
 
-// queryFlags are the flags of a command that asks a node, and more.
+// queryFlags returns the flags of a command that queries a node, followed by more.
 func queryFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{addrFlag(), jsonFlag()}, more...)
 }
 
-// signedOrderFlags are the flags of a command that sends a signed order, and more.
+// signedOrderFlags returns the flags of a command that sends a signed order, followed by more.
 func signedOrderFlags(more ...cli.Flag) []cli.Flag {
 	return queryFlags(append([]cli.Flag{keyFlag(), orderFlag()}, more...)...)
 }
 
-// exactArgs returns the arguments; there must be one for each name.
+// exactArgs returns the arguments. Failure: Settings (there is not exactly one for each name).
 func exactArgs(cmd *cli.Command, names ...string) ([]string, error) {
 	if cmd.NArg() != len(names) {
 		return nil, errs.Field(errs.Settings, strings.Join(names, " "), "%d arguments are needed, are %d", len(names),
@@ -55,7 +57,7 @@
 	return cmd.Args().Slice(), nil
 }
 
-// readFileArg reads the file that the one argument names; - is standard input.
+// readFileArg reads the file named by the only argument; - is standard input.
 func readFileArg(cmd *cli.Command) ([]byte, error) {
 	args, err := exactArgs(cmd, "FILE")
 	if err != nil {
@@ -69,8 +71,8 @@
 	return data, errs.Wrap(err, errs.Disk, "file")
 }
 
-// orderID returns the order's ID: the flag's, or a random one that is printed on standard error, so that the order
-// can be sent again.
+// orderID returns the ID of the flag --order, or a random one, which it prints on standard error so that the order can
+// be sent again.
 func orderID(cmd *cli.Command) string {
 	id := cmd.String("order")
 	if id == "" {
@@ -80,10 +82,10 @@
 	return id
 }
 
-// operator signs orders. The zero value signs nothing: the store may know no operators yet.
+// operator signs orders. The zero value has no key and signs nothing, as the store may know no operators yet.
 type operator struct{ key *signature.Key }
 
-// loadOperator reads the key that --key names, if it is given.
+// loadOperator reads the key file named by --key; without the flag it returns the zero operator.
 func loadOperator(cmd *cli.Command) (operator, error) {
 	if !cmd.IsSet("key") {
 		return operator{}, nil
@@ -92,7 +94,7 @@
 	return operator{&key}, errs.Pass(err, "key")
 }
 
-// sign returns the operator's name and signature of the text, or two empty words without a key.
+// sign returns the operator's name and signature of the text, or two empty strings without a key.
 func (o operator) sign(text string) (by, sig string) {
 	if o.key == nil {
 		return "", ""
--- a/cmd/crosstide-controlplane/jobs.go
+++ b/cmd/crosstide-controlplane/jobs.go
@@ -20,13 +20,13 @@
 	"crosstide/internal/store"
 )
 
-// jobsCommand is for the jobs deployment: the daemon of a core node, and the operators' commands for such nodes.
+// jobsCommand returns the command for the jobs deployment: the daemon of a core node, and operators' commands.
 func jobsCommand() *cli.Command {
 	return &cli.Command{Name: "jobs", Usage: "serve jobs as a core node; operators' commands for such nodes",
 		Commands: append(jobsProgram().Commands(), withExitCodes(jobsCommands()...)...)}
 }
 
-// jobsProgram is the daemon's commands in the jobs deployment.
+// jobsProgram returns the daemon's commands in the jobs deployment.
 func jobsProgram() daemon.Program[config.JobsControlPlane] {
 	return daemon.Program[config.JobsControlPlane]{
 		Version: version, Load: config.LoadJobsControlPlane, Check: config.CheckJobsControlPlane, Serve: serveJobs,
@@ -76,8 +76,8 @@
 	}
 }
 
-// serveOperators adds the operators' calls about the members of the store. A core node keeps no membership, so the
-// calls know of no other nodes.
+// serveOperators adds the operators' calls about the members of the store. A core node keeps no membership list, so the
+// calls list no other nodes.
 func serveOperators(inner *rpc.Server, members *store.Store) {
 	operatorapi.Serve(inner, members, store.NameOf, func() []membership.MemberStatus { return nil })
 }
--- a/cmd/crosstide-controlplane/jobscommands.go
+++ b/cmd/crosstide-controlplane/jobscommands.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/httpapi/jobsapi"
 )
 
-// jobsCommands are the operators' commands of the jobs deployment.
+// jobsCommands returns the operators' commands of the jobs deployment.
 func jobsCommands() []*cli.Command {
 	flags := func(more ...cli.Flag) []cli.Flag { return append([]cli.Flag{jobsAddrFlag()}, more...) }
 	return []*cli.Command{
@@ -39,7 +39,8 @@
 	return errs.Pass(printResponse(ctx, cmd, http.MethodGet, "/v2/config", nil), "config get")
 }
 
-// jobsConfigAction sends the file that the argument names as the configuration, or as a change of it.
+// jobsConfigAction returns the action that sends the file named by the argument: with PUT as the whole configuration,
+// with PATCH as a change of it.
 func jobsConfigAction(method string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		body, err := readFileArg(cmd)
@@ -50,6 +51,7 @@
 	}
 }
 
+// jobsZoneAction returns the action that posts an order for the zone named by the argument.
 func jobsZoneAction(verb string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		args, err := exactArgs(cmd, "ZONE")
--- a/cmd/crosstide-controlplane/key.go
+++ b/cmd/crosstide-controlplane/key.go
@@ -9,6 +9,7 @@
 	"crosstide/internal/signature"
 )
 
+// keyCommand returns the command for operators' key files, which calls no node.
 func keyCommand() *cli.Command {
 	return &cli.Command{Name: "key", Usage: "an operator's key", Commands: []*cli.Command{
 		{Name: "new", Usage: "draw a key for the operator NAME and write it to FILE", ArgsUsage: "NAME FILE",
--- a/cmd/crosstide-controlplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -36,6 +36,6 @@
 	}
 	app.Commands = append(app.Commands, withExitCodes(keyCommand(), bundleCommand(), rolloutCommand(), zoneCommand(),
 		whoCommand(), memberCommand(), workerCommand(), accountCommand())...)
-	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the codes are ours, see exitcodes.go
+	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the exit codes are those of exitcodes.go
 	return app
 }
--- a/cmd/crosstide-controlplane/member.go
+++ b/cmd/crosstide-controlplane/member.go
@@ -10,6 +10,7 @@
 	"crosstide/internal/raft"
 )
 
+// memberCommand returns the command for the members of the store.
 func memberCommand() *cli.Command {
 	return &cli.Command{Name: "member", Usage: "list the members of the store, replace one", Commands: []*cli.Command{
 		{Name: "list", Usage: "print every member", Flags: queryFlags(), Action: queryAction("/v1/who", renderMembers)},
@@ -18,12 +19,12 @@
 	}}
 }
 
-// renderMembers prints the members of the store, with how far the log of each matches the leader's.
+// renderMembers prints the members of the store, with the index up to which the log of each matches the leader's.
 func renderMembers(t table, who operatorapi.Who) {
 	t.row("ID", "ADDR", "ZONE", "STANDS", "MATCH")
 	for _, member := range who.Members {
 		rights, match := votingRight(member), "-"
-		if who.Status != nil && who.Status.Raft.Match[member.ID] > 0 { // only the leader knows
+		if who.Status != nil && who.Status.Raft.Match[member.ID] > 0 { // set in the leader's answer only
 			match = fmt.Sprint(who.Status.Raft.Match[member.ID])
 		}
 		if who.Store == member.ID || strings.HasPrefix(member.ID, who.Store+"~") {
--- a/cmd/crosstide-controlplane/platformsettings.go
+++ b/cmd/crosstide-controlplane/platformsettings.go
@@ -15,11 +15,11 @@
 	platformHeartbeat = 70 * time.Millisecond
 	platformLease     = 235 * time.Millisecond
 
-	// platformSnapshotEvery is the number of log entries between two snapshots: a restart replays at most about twice
-	// as many.
+	// platformSnapshotEvery is the number of log entries between two snapshots: a restart replays about twice as many
+	// at most.
 	platformSnapshotEvery = 1000
 
-	exitMargin = 500 * time.Millisecond // left of the grace for the process's own end
+	exitMargin = 500 * time.Millisecond // the part of the platform's grace that is left for the process to exit
 )
 
 // storeSettings maps the platform's settings of a core node to the store's. The bootstrap members are the seeds.
@@ -44,15 +44,15 @@
 	return settings
 }
 
-// minLease is the shortest lease, unless the longest one is shorter. After a loss of power at all core nodes nothing is
-// renewed for a second and a half, and a worker's last renewal may be as old as a lease renewal call takes: with
-// shorter leases all work would end then.
+// minLease is the shortest lease, unless the longest one is shorter. After a loss of power at all core nodes no lease
+// is renewed for a second and a half, and a worker's last renewal may be as old as a lease renewal call takes: with
+// shorter leases all runs would end then.
 const minLease = 3 * time.Second
 
-// workerLease is the lease of workers. It outlasts a loss of contact of contactTimeout, after which operators count a
-// machine as unreachable, plus the lease renewal that may have been in flight when contact was lost and the backoff
-// before the next one: runs of a worker that is back within that time continue. A longer lease would only delay the
-// retry of tasks whose worker is gone for good.
+// workerLease returns the lease of workers. It outlasts a loss of contact of contactTimeout, after which operators
+// count a machine as unreachable, plus the lease renewal that may have been in flight when contact was lost and the
+// backoff before the next one: runs of a worker that is back within that time continue. A longer lease would only delay
+// the retry of tasks whose worker is gone for good.
 func workerLease(contactTimeout, longest time.Duration, config scheduler.Config) time.Duration {
 	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, minLease), longest)
 }
--- a/cmd/crosstide-controlplane/policy.go
+++ b/cmd/crosstide-controlplane/policy.go
@@ -19,11 +19,12 @@
 	"crosstide/internal/store"
 )
 
+// dataFlag returns the flag for the data folder of the store.
 func dataFlag() cli.Flag {
 	return &cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}
 }
 
-// policyProgram is the daemon's commands in the policy deployment.
+// policyProgram returns the daemon's commands in the policy deployment.
 func policyProgram() daemon.Program[config.ControlPlane] {
 	return daemon.Program[config.ControlPlane]{
 		Version: version, Load: config.LoadControlPlane, Check: config.CheckControlPlane, Serve: servePolicy,
@@ -44,7 +45,7 @@
 }
 
 // servePolicyIncarnation runs one incarnation of a control-plane node until ctx ends, then transfers leadership and
-// drains. Every incarnation has a store, a server and a registry of metrics of its own.
+// drains. Every incarnation has its own store, server and metrics registry.
 func servePolicyIncarnation(ctx context.Context, settings config.ControlPlane, profiles bool, removed func(),
 	logger log.Logger) error {
 	registry := daemon.Registry()
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// memberSeeds are the addresses at which the membership begins: the seeds of the settings and the store's first
+// memberSeeds returns the addresses that the membership contacts first: the seeds of the settings and the store's first
 // members.
 func memberSeeds(settings config.ControlPlane) []string {
 	seeds := slices.Clone(settings.Seeds)
--- a/cmd/crosstide-controlplane/print.go
+++ b/cmd/crosstide-controlplane/print.go
@@ -16,10 +16,10 @@
 
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// table prints an answer in columns.
+// table prints an answer in columns, aligned by the tabwriter behind out.
 type table struct{ out io.Writer }
 
-// row prints a line; each of its cells stands in a column.
+// row prints a line with one cell for each column.
 func (t table) row(cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -30,10 +30,10 @@
 	fmt.Fprintln(t.out)
 }
 
-// line prints words side by side, outside of the columns.
+// line prints words separated by spaces, outside of the columns.
 func (t table) line(words ...any) { fmt.Fprintln(t.out, words...) }
 
-// printAnswer prints an answer: with --json as it came, else as render shows it.
+// printAnswer prints an answer: with --json unchanged, else by render.
 func printAnswer[T any](cmd *cli.Command, raw []byte, render func(t table, answer T)) error {
 	if cmd.Bool("json") {
 		_, err := os.Stdout.Write(append([]byte(strings.TrimSpace(string(raw))), '\n'))
@@ -57,6 +57,7 @@
 	return errs.Wrap(err, errs.Internal, "print")
 }
 
+// formatTime returns a time in UTC; a dash for the zero time.
 func formatTime(at time.Time) string {
 	if at.IsZero() {
 		return "-"
@@ -64,7 +65,7 @@
 	return at.UTC().Format(timeLayout)
 }
 
-// orDash shows an empty cell as a dash.
+// orDash returns the text, or a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
@@ -72,8 +73,8 @@
 	return text
 }
 
-// joined shows words in one cell.
+// joined returns words as the text of one cell.
 func joined(words []string) string { return strings.Join(words, " ") }
 
-// usedOf shows how much of a resource is used.
+// usedOf formats the used part of a resource.
 func usedOf[N int | int64](used, capacity N) string { return fmt.Sprintf("%d/%d", used, capacity) }
--- a/cmd/crosstide-controlplane/request.go
+++ b/cmd/crosstide-controlplane/request.go
@@ -18,11 +18,11 @@
 	"crosstide/internal/httpapi/operatorapi"
 )
 
-// requestTimeout is how long an operator's command waits for an answer.
+// requestTimeout bounds the time for which a command waits for an answer.
 const requestTimeout = 10 * time.Second
 
-// doRequest sends one request to the node at --addr and returns the body of its answer. An answer that is not 200 is
-// the error in its body, or Unavailable if there is none.
+// doRequest sends one request to the node at --addr and returns the body of its answer. An answer with a status other
+// than 200 is returned as the error in its body, or as Unavailable if it has none.
 func doRequest(ctx context.Context, cmd *cli.Command, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -33,13 +33,13 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		var failed *url.Error // its text is the whole URL, whose query may hold a signature
+		var failed *url.Error // its text has the URL, whose query may contain a signature
 		if errors.As(err, &failed) {
 			err = failed.Err
 		}
 		return nil, errs.Wrap(err, errs.Unavailable, "ask %s", addr)
 	}
-	defer func() { _ = response.Body.Close() }() // all of it was read
+	defer func() { _ = response.Body.Close() }() // read to its end, so a failure to close loses nothing
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
@@ -52,7 +52,7 @@
 	return raw, nil
 }
 
-// printResponse sends one request and prints the answer as it came.
+// printResponse sends one request and prints the answer unchanged.
 func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body []byte) error {
 	raw, err := doRequest(ctx, cmd, method, path, body)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// printQuery gets path and prints the answer: with --json as it came, else as render shows it.
+// printQuery gets path and prints the answer: with --json unchanged, else by render.
 func printQuery[T any](ctx context.Context, cmd *cli.Command, path string, render func(t table, answer T)) error {
 	raw, err := doRequest(ctx, cmd, http.MethodGet, path, nil)
 	if err != nil {
@@ -71,14 +71,14 @@
 	return errs.Pass(printAnswer(cmd, raw, render), "%s", path)
 }
 
-// queryAction is the action of a command without arguments that prints the answer at path.
+// queryAction returns the action of a command without arguments: printQuery of path.
 func queryAction[T any](path string, render func(t table, answer T)) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		return errs.Pass(printQuery(ctx, cmd, path, render), "query")
 	}
 }
 
-// printOrder posts an order and prints its outcome. A failure names the order's ID: it may be sent again.
+// printOrder posts an order and prints its outcome. A failure has the order's ID, under which it may be sent again.
 func printOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, body []byte,
 	render func(t table, outcome T)) error {
 	raw, err := doRequest(ctx, cmd, http.MethodPost, path, body)
@@ -88,7 +88,7 @@
 	return errs.Pass(printAnswer(cmd, raw, render), "order %s", id)
 }
 
-// printJSONOrder is printOrder with the JSON of order as its body.
+// printJSONOrder is like printOrder, with the JSON of order as the body.
 func printJSONOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, order any,
 	render func(t table, outcome T)) error {
 	body, err := json.Marshal(order)
@@ -98,8 +98,8 @@
 	return errs.Pass(printOrder(ctx, cmd, id, path, body, render), "order")
 }
 
-// unsignedOrderCommand posts an order that needs no signature and prints the answer as it came. format is the path,
-// with a verb for each of the arguments, whose names args holds.
+// unsignedOrderCommand returns a command that posts an order without a signature and prints the answer unchanged. args
+// has the names of the arguments, and format is the path, with a verb for each of them.
 func unsignedOrderCommand(name, usage, args, format string) *cli.Command {
 	action := func(ctx context.Context, cmd *cli.Command) error {
 		words, err := exactArgs(cmd, strings.Fields(args)...)
@@ -118,11 +118,11 @@
 		Action: action}
 }
 
-// escapePaths makes words fit to be parts of a path.
+// escapePaths escapes words for use as segments of a path, as arguments for Sprintf.
 func escapePaths(words []string) []any {
-	out := make([]any, len(words))
+	escaped := make([]any, len(words))
 	for i, word := range words {
-		out[i] = url.PathEscape(word)
+		escaped[i] = url.PathEscape(word)
 	}
-	return out
+	return escaped
 }
--- a/cmd/crosstide-controlplane/rollout.go
+++ b/cmd/crosstide-controlplane/rollout.go
@@ -9,6 +9,7 @@
 	"crosstide/internal/httpapi/operatorapi"
 )
 
+// rolloutCommand returns the command that prints the bundle version of every node.
 func rolloutCommand() *cli.Command {
 	return &cli.Command{Name: "rollout", Usage: "print which bundle every node has, and how long it took",
 		Flags: queryFlags(), Action: queryAction("/v1/rollout", renderRollout)}
--- a/cmd/crosstide-controlplane/who.go
+++ b/cmd/crosstide-controlplane/who.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/httpapi/operatorapi"
 )
 
-// whoCommand prints the leader of the store, the scheduler role's holder and the nodes.
+// whoCommand returns the command that prints the leader of the store, the holder of the scheduler role and the nodes.
 func whoCommand() *cli.Command {
 	return &cli.Command{Name: "who", Usage: "print who holds what", Flags: queryFlags(),
 		Action: queryAction("/v1/who", renderWho)}
--- a/cmd/crosstide-controlplane/worker.go
+++ b/cmd/crosstide-controlplane/worker.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/httpapi/operatorapi"
 )
 
-// workerCommand is for the workers of the policy deployment, which its command line calls minions.
+// workerCommand returns the command for the workers of the policy deployment, which the command line calls minions.
 func workerCommand() *cli.Command {
 	return &cli.Command{Name: "minion", Usage: "list, drain, open and retire minions", Commands: []*cli.Command{
 		{Name: "list", Usage: "print every minion", Flags: queryFlags(),
--- a/cmd/crosstide-controlplane/zone.go
+++ b/cmd/crosstide-controlplane/zone.go
@@ -15,6 +15,7 @@
 	"crosstide/internal/state/command"
 )
 
+// zoneCommand returns the command for the evacuation of zones.
 func zoneCommand() *cli.Command {
 	return &cli.Command{Name: "zone", Usage: "evacuate a zone, or lift that", Commands: []*cli.Command{
 		{Name: "evacuate", Usage: "no new starts in ZONE, what runs there is stopped", ArgsUsage: "ZONE",
@@ -33,7 +34,7 @@
 	return errs.Pass(err, "evacuate")
 }
 
-// liftEvacuation signs since when the zone is evacuated: a signature lifts that evacuation and no later one.
+// liftEvacuation signs the start time of the zone's evacuation, so that the signature cannot lift a later one.
 func liftEvacuation(ctx context.Context, cmd *cli.Command) error {
 	err := orderZone(ctx, cmd, "lift", func(zone, _ string) (string, error) {
 		since, err := evacuatedSince(ctx, cmd, zone)
@@ -42,7 +43,7 @@
 	return errs.Pass(err, "lift")
 }
 
-// orderZone posts a signed order for the zone that the argument names. signedText returns what the operator signs.
+// orderZone posts a signed order for the zone named by the argument. signedText returns the text that is signed.
 func orderZone(ctx context.Context, cmd *cli.Command, verb string,
 	signedText func(zone, order string) (string, error)) error {
 	args, err := exactArgs(cmd, "ZONE")
@@ -68,7 +69,7 @@
 	return errs.Pass(err, "zone")
 }
 
-// evacuatedSince returns since when a zone is evacuated; the zero time if it is not.
+// evacuatedSince returns the start time of a zone's evacuation; the zero time if it is not evacuated.
 func evacuatedSince(ctx context.Context, cmd *cli.Command, name string) (since time.Time, err error) {
 	raw, err := doRequest(ctx, cmd, http.MethodGet, "/v1/zones", nil)
 	if err != nil {
--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -15,13 +15,13 @@
 	"crosstide/internal/rpc"
 )
 
-// jobsCommand is for the jobs deployment: the daemon of a front node, and the clients' commands for such nodes.
+// jobsCommand returns the command for the jobs deployment: the daemon of a front node, and clients' commands.
 func jobsCommand() *cli.Command {
 	return &cli.Command{Name: "jobs", Usage: "serve jobs as a front node; clients' commands for such nodes",
 		Commands: append(jobsProgram().Commands(), jobsCommands()...)}
 }
 
-// jobsProgram is the daemon's commands in the jobs deployment.
+// jobsProgram returns the daemon's commands in the jobs deployment.
 func jobsProgram() daemon.Program[config.JobsDataPlane] {
 	return daemon.Program[config.JobsDataPlane]{
 		Version: version, Load: config.LoadJobsDataPlane, Check: config.CheckJobsDataPlane, Serve: serveJobs,
--- a/cmd/crosstide-dataplane/jobscommands.go
+++ b/cmd/crosstide-dataplane/jobscommands.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/errs"
 )
 
-// jobsCommands are the clients' commands of the jobs deployment.
+// jobsCommands returns the clients' commands of the jobs deployment.
 func jobsCommands() []*cli.Command {
 	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any front node", Required: true}
 	queue, state := &cli.StringFlag{Name: "queue"}, &cli.StringFlag{Name: "state"}
@@ -31,7 +31,7 @@
 	}
 }
 
-// jobAction sends a request about the job that the argument names.
+// jobAction returns the action that sends a request about the job named by the argument.
 func jobAction(method string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		id := cmd.Args().First()
--- a/cmd/crosstide-dataplane/policy.go
+++ b/cmd/crosstide-dataplane/policy.go
@@ -20,7 +20,7 @@
 	"crosstide/internal/rpc"
 )
 
-// policyProgram is the daemon's commands in the policy deployment.
+// policyProgram returns the daemon's commands in the policy deployment.
 func policyProgram() daemon.Program[config.DataPlane] {
 	return daemon.Program[config.DataPlane]{
 		Version: version, Load: config.LoadDataPlane, Check: config.CheckDataPlane, Serve: servePolicy,
@@ -66,7 +66,7 @@
 	return errs.Pass(nodeLifecycle(settings, server, node, members, logger).Run(ctx), "run")
 }
 
-// nodeOptions maps settings to a node's options, without what the process makes for it: incarnation and callers.
+// nodeOptions maps settings to a node's options, but for the incarnation ID and the callers.
 func nodeOptions(settings config.DataPlane, logger log.Logger) dataplane.Options {
 	controlPlanes := settings.ControlPlanes
 	if len(controlPlanes) == 0 {
@@ -86,8 +86,8 @@
 	return config
 }
 
-// nodeLifecycle is the order in which a node starts and ends: it steps down from the scheduler role before it leaves
-// the membership.
+// nodeLifecycle returns the steps in which a node starts and ends: it steps down from the scheduler role before it
+// leaves the membership.
 func nodeLifecycle(settings config.DataPlane, server *rpc.Server, node *dataplane.Node, members *membership.Node,
 	logger log.Logger) daemon.Lifecycle {
 	return daemon.Lifecycle{Server: server, Logger: logger,
--- a/cmd/crosstide-dataplane/policycommands.go
+++ b/cmd/crosstide-dataplane/policycommands.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state/command"
 )
 
-// policyJobCommand is for the clients of the policy deployment.
+// policyJobCommand returns the command for clients of the policy deployment.
 func policyJobCommand() *cli.Command {
 	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any data-plane node", Required: true}
 	team, queue := &cli.StringFlag{Name: "team"}, &cli.StringFlag{Name: "queue"}
@@ -36,7 +36,7 @@
 	return errs.Pass(printResponse(ctx, cmd, http.MethodGet, policyJobPath(key), nil), "show job %q", key)
 }
 
-// cancelPolicyJobs cancels one job by its key, or else all that the keys, the team and the queue choose.
+// cancelPolicyJobs cancels one job by its key, or with one order all jobs selected by keys, or by team and queue.
 func cancelPolicyJobs(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 1 && !cmd.IsSet("team") && !cmd.IsSet("queue") {
 		key := cmd.Args().First()
--- a/cmd/crosstide-dataplane/request.go
+++ b/cmd/crosstide-dataplane/request.go
@@ -15,11 +15,11 @@
 	"crosstide/internal/errs"
 )
 
-// requestTimeout is how long a client's command waits for an answer.
+// requestTimeout bounds the time for which a command waits for an answer.
 const requestTimeout = 10 * time.Second
 
-// printResponse sends one request to the node at --addr and prints the answer as it came; an answer that is no success
-// is an error.
+// printResponse sends one request to the node at --addr and prints the answer unchanged. An answer with a status of 300
+// or above is an error.
 func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -32,7 +32,7 @@
 	if err != nil {
 		return errs.Wrap(err, errs.Unavailable, "%s", addr)
 	}
-	defer func() { _ = response.Body.Close() }() // all of it was read
+	defer func() { _ = response.Body.Close() }() // read to its end, so a failure to close loses nothing
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
@@ -44,23 +44,23 @@
 	return nil
 }
 
-// submitAction posts the job in the file that the argument names; - is standard input.
+// submitAction returns the action that posts the job in the file named by the argument; - is standard input.
 func submitAction(path string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		in := io.Reader(os.Stdin)
+		body := io.Reader(os.Stdin)
 		if name := cmd.Args().First(); name != "-" {
 			file, err := os.Open(name)
 			if err != nil {
 				return errs.Wrap(err, errs.Invalid, "job file")
 			}
 			defer func() { _ = file.Close() }() // it was only read
-			in = file
+			body = file
 		}
-		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, in), "hand in a job")
+		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, body), "hand in a job")
 	}
 }
 
-// setFlags are the flags of these names that are set, as a query.
+// setFlags returns a query with the named flags that are set.
 func setFlags(cmd *cli.Command, names ...string) url.Values {
 	query := url.Values{}
 	for _, name := range names {
