--- a/internal/jobs/configure_test.go
+++ b/internal/jobs/configure_test.go
@@ -8,6 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/errs"
+	"crosstide/internal/testbed/exhaustive"
 )
 
 func TestConfigure_invalid(t *testing.T) {
@@ -89,7 +90,7 @@
 			orders[i] = Configure{Base: 5, Version: uint64(6 + i%3), Digest: fmt.Sprint("order ", i%3)}
 		}
 		cases := 0
-		permutations(len(orders), func(order []int) {
+		exhaustive.Permutations(len(orders), func(order []int) {
 			table := testTable()
 			winner := orders[order[0]]
 			for _, i := range order {
--- a/internal/jobs/gang_test.go
+++ b/internal/jobs/gang_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/testbed/exhaustive"
 )
 
 // gangOf returns the starts of one run of a gang, one member on each of the workers.
@@ -28,7 +30,7 @@
 		job := table.mustSubmit(testJob("j", gangStep(3)))
 		none := []bool{false, false, false}
 		Convey("its members are recorded together, in whatever order and between other starts", func() {
-			permutations(3, func(order []int) {
+			exhaustive.Permutations(3, func(order []int) {
 				each := testTable()
 				each.mustSubmit(testJob("j", gangStep(3)))
 				each.mustSubmit(testJob("k", oneCore(1)))
@@ -79,7 +81,7 @@
 
 func TestGangEnds_done(t *testing.T) {
 	Convey("The first member done makes all members done; their handles stay until their own ends", t, func() {
-		permutations(3, func(order []int) {
+		exhaustive.Permutations(3, func(order []int) {
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
 			gang := gangOf("j", 1, "w1", "w1", "w2")
@@ -112,7 +114,7 @@
 
 func TestGangEnds_failureCountsOnce(t *testing.T) {
 	Convey("A run of a gang counts one failure at the first member, in any order of the ends", t, func() {
-		permutations(3, func(order []int) {
+		exhaustive.Permutations(3, func(order []int) {
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
 			reasons := []EndReason{EndFailed, EndFailed, EndGangBroken}
--- a/internal/jobs/helpers_test.go
+++ b/internal/jobs/helpers_test.go
@@ -124,20 +124,3 @@
 	}
 	return ShouldEqual(errs.Of(err).Field, expected[0])
 }
-
-// permutations calls do with every permutation of the numbers below n.
-func permutations(n int, do func(order []int)) {
-	var walk func(order []int, used int)
-	walk = func(order []int, used int) {
-		if len(order) == n {
-			do(order)
-			return
-		}
-		for i := range n {
-			if used&(1<<i) == 0 {
-				walk(append(order[:len(order):len(order)], i), used|1<<i)
-			}
-		}
-	}
-	walk(nil, 0)
-}
--- a/internal/jobs/lifecycle_test.go
+++ b/internal/jobs/lifecycle_test.go
@@ -8,6 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/errs"
+	"crosstide/internal/testbed/exhaustive"
 )
 
 func TestCancel_handles(t *testing.T) {
@@ -79,7 +80,7 @@
 
 func TestPurge_order(t *testing.T) {
 	Convey("Jobs that ended before a time are deleted, the oldest end first, in whatever order they ended", t, func() {
-		permutations(4, func(order []int) {
+		exhaustive.Permutations(4, func(order []int) {
 			table := testTable()
 			for i := range 4 {
 				table.mustSubmit(testJob(fmt.Sprint(i), oneCore(1)))
--- a/internal/jobs/progress_start_test.go
+++ b/internal/jobs/progress_start_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/testbed/exhaustive"
 )
 
 func TestStarts(t *testing.T) {
@@ -74,7 +76,7 @@
 			func(x *Table) { x.Evacuate(Evacuate{Zone: "zone-1", Start: true}) },
 			func(x *Table) { must(x.Configure(Configure{Base: 5, Version: 6, RemoveQueues: []string{"plain"}})) },
 		}
-		permutations(len(changes), func(order []int) {
+		exhaustive.Permutations(len(changes), func(order []int) {
 			table := testTable()
 			table.mustSubmit(testJob("j", oneCore(1)))
 			for _, i := range order {
--- a/internal/jobs/worker_test.go
+++ b/internal/jobs/worker_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/testbed/exhaustive"
 )
 
 func TestRegister_leavingWorker(t *testing.T) {
@@ -12,7 +14,7 @@
 		plain, draining, left := testWorker("w1", "open"), testWorker("w1", "open"), testWorker("w1", "open")
 		draining.Draining, left.Left = true, true
 		reports := []Worker{plain, draining, left}
-		permutations(3, func(order []int) {
+		exhaustive.Permutations(3, func(order []int) {
 			table := testTable()
 			for _, i := range order {
 				must(table.Register(Register{Workers: reports[i : i+1]}))
--- a/internal/state/command/helpers_test.go
+++ b/internal/state/command/helpers_test.go
@@ -69,23 +69,6 @@
 	return answer
 }
 
-// eachOrderedChoice calls do with every ordered choice of any number of the numbers below n, and returns the number of
-// calls.
-func eachOrderedChoice(n int, do func(chosen []int)) (calls int) {
-	var walk func(chosen []int, used int)
-	walk = func(chosen []int, used int) {
-		do(chosen)
-		calls++
-		for i := range n {
-			if used&(1<<i) == 0 {
-				walk(append(chosen[:len(chosen):len(chosen)], i), used|1<<i)
-			}
-		}
-	}
-	walk(nil, 0)
-	return calls
-}
-
 // plan applies a plan of epoch 1 that must not be refused.
 func (s testState) plan(p Plan) Planned {
 	p.Epoch, p.BundleVersion = 1, s.Bundle.Version
--- a/internal/state/command/policy_payment_test.go
+++ b/internal/state/command/policy_payment_test.go
@@ -11,6 +11,7 @@
 	"crosstide/internal/account"
 	"crosstide/internal/errs"
 	"crosstide/internal/state"
+	"crosstide/internal/testbed/exhaustive"
 )
 
 // window is the time that a start pays in advance in these tests.
@@ -187,7 +188,7 @@
 		{"a long time", func(s testState) { s.do(&Purge{JobsKeep: 9}); s.Accounts.Renew(s.At.Add(window)) }},
 	}
 	Convey("A start is assigned exactly when the balance covers it at its own entry", t, func() {
-		orders := eachOrderedChoice(len(events), func(chosen []int) {
+		orders := exhaustive.Arrangements(len(events), func(chosen []int) {
 			s := newPaid(300)
 			s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 4, Retries: 9})
 			s.start(1, startOn("m2", "j", 1), startOn("m2", "j", 2))
--- a/internal/state/command/policy_starts_test.go
+++ b/internal/state/command/policy_starts_test.go
@@ -7,6 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"crosstide/internal/state"
+	"crosstide/internal/testbed/exhaustive"
 )
 
 // TestStarts_races tries every order of events that forbid a start, with the start after each prefix: a run ID is
@@ -32,7 +33,7 @@
 		{"new holder", func(s testState) { s.do(&GrantRole{Role: "sched", Holder: "d2", After: 1}) }},
 	}
 	Convey("A run ID is issued exactly when nothing that forbids it was committed before", t, func() {
-		orders := eachOrderedChoice(len(events), func(chosen []int) {
+		orders := exhaustive.Arrangements(len(events), func(chosen []int) {
 			s := newTestState()
 			_, err := s.submit("j", state.StepSpec{Name: "s", Type: "t"})
 			So(err, ShouldBeNil)
--- a/internal/testbed/exhaustive/exhaustive.go
+++ b/internal/testbed/exhaustive/exhaustive.go
@@ -7,19 +7,28 @@
 
 // Permutations calls do with every order of the numbers 0 to n-1, in lexicographic order. do may keep its slice.
 func Permutations(n int, do func(order []int)) {
-	var extend func(order []int)
-	extend = func(order []int) {
-		if len(order) == n {
-			do(order)
-			return
+	Arrangements(n, func(chosen []int) {
+		if len(chosen) == n {
+			do(chosen)
 		}
+	})
+}
+
+// Arrangements calls do with every order of every subset of the numbers 0 to n-1, in lexicographic order, and returns
+// how many there are. do may keep its slice.
+func Arrangements(n int, do func(chosen []int)) (count int) {
+	var extend func(chosen []int)
+	extend = func(chosen []int) {
+		do(chosen)
+		count++
 		for next := range n {
-			if !slices.Contains(order, next) {
-				extend(append(slices.Clone(order), next))
+			if !slices.Contains(chosen, next) {
+				extend(append(slices.Clone(chosen), next))
 			}
 		}
 	}
 	extend(nil)
+	return count
 }
 
 // Choices calls play with every sequence of choices, in lexicographic order, and returns how many there are. play calls
--- a/internal/testbed/exhaustive/exhaustive_test.go
+++ b/internal/testbed/exhaustive/exhaustive_test.go
@@ -17,6 +17,15 @@
 	})
 }
 
+func TestArrangements_everySubset(t *testing.T) {
+	Convey("Every order of every subset comes once, in lexicographic order", t, func() {
+		var arrangements [][]int
+		So(Arrangements(2, func(chosen []int) { arrangements = append(arrangements, chosen) }), ShouldEqual, 5)
+		So(arrangements, ShouldResemble, [][]int{nil, {0}, {0, 1}, {1}, {1, 0}})
+		So(Arrangements(6, func([]int) {}), ShouldEqual, 1957)
+	})
+}
+
 func TestChoices_dependOnEarlierOnes(t *testing.T) {
 	Convey("Every sequence of choices comes once, also where an earlier choice decides about later ones", t, func() {
 		var sequences [][]int
