--- a/internal/controller/scheduler/cluster_test.go
+++ b/internal/controller/scheduler/cluster_test.go
@@ -29,7 +29,7 @@
 	c := &cluster{core: New(Defaults()), table: jobs.NewTable(), now: time.Minute}
 	must(c.table.Configure(testConfig(1, attempts)))
 	for _, id := range workers {
-		must(c.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}}))
+		c.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}})
 	}
 	c.table.OnEvent = c.core.TableChanged
 	c.core.BecomeLeader(c.now, testTerm, c.table)
@@ -76,7 +76,7 @@
 
 // register puts a worker into the table.
 func (c *cluster) register(worker jobs.Worker) {
-	So(c.table.Register(jobs.Register{Workers: []jobs.Worker{worker}}), ShouldBeNil)
+	c.table.Register(jobs.Register{Workers: []jobs.Worker{worker}})
 }
 
 // addWorkers registers more workers, which answer their first probe.
--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -45,7 +45,7 @@
 		rack := fmt.Sprintf("r%d", i/12)
 		worker := jobs.Worker{ID: id, Address: id + ":1", Service: "s", Zone: "z", Rack: rack,
 			Labels: []string{"a", rack}, Capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536}}
-		must(w.table.Register(jobs.Register{Workers: []jobs.Worker{worker}}))
+		w.table.Register(jobs.Register{Workers: []jobs.Worker{worker}})
 		w.running[id] = map[jobs.RunKey]span{}
 	}
 	return w
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -62,8 +62,8 @@
 		c.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		start := c.firstStart()
 		c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.workerClock()}, StartOK)
-		must(c.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
-			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}}))
+		c.table.Register(jobs.Register{Workers: []jobs.Worker{{ID: "w2", Address: "w2:1", Service: "s", Zone: "z",
+			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 4000}}}})
 		Convey("its lease expires all the same, and the task starts elsewhere under a new number", func() {
 			var again *StartAction
 			for range 200 {
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -46,7 +46,7 @@
 	m.incarnations++
 	id := fmt.Sprintf("w%d", m.incarnations)
 	m.workers = append(m.workers, id)
-	must(m.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}}))
+	m.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}})
 }
 
 // crash ends the oldest worker, which announces nothing.
--- a/internal/jobs/attempts_test.go
+++ b/internal/jobs/attempts_test.go
@@ -12,7 +12,7 @@
 	t := NewTable()
 	So(t.Configure(attemptsConfig(1, attempts)), ShouldBeNil)
 	worker := Worker{ID: "w", Service: "s", Capacity: Resources{MilliCPU: 1000}}
-	So(t.Register(Register{Workers: []Worker{worker}}), ShouldBeNil)
+	t.Register(Register{Workers: []Worker{worker}})
 	_, err := t.Submit(Submit{Spec: Spec{ID: "j", Queue: "q", Steps: []Step{{Count: 1}}}})
 	So(err, ShouldBeNil)
 	return t
--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -11,7 +11,7 @@
 	const jobs, workers, batch = 20_000, 200, 50
 	table := testTable()
 	for i := range workers {
-		must(table.Register(Register{Workers: []Worker{testWorker(fmt.Sprintf("w%d", i), "open")}}))
+		table.Register(Register{Workers: []Worker{testWorker(fmt.Sprintf("w%d", i), "open")}})
 	}
 	for i := range jobs {
 		table.mustSubmit(testJob(fmt.Sprint(i), Step{Count: 4, Needs: Resources{MilliCPU: 100}}))
--- a/internal/jobs/event_test.go
+++ b/internal/jobs/event_test.go
@@ -27,7 +27,7 @@
 		table.start(first)
 		table.end(endOf(startOf(taskOf("j", 0, 0), 9, "w1"), EndDone))
 		So(takeEvents(), ShouldBeEmpty)
-		must(table.Register(Register{Workers: []Worker{testWorker("w1", "open"), testWorker("w3", "open")}}))
+		table.Register(Register{Workers: []Worker{testWorker("w1", "open"), testWorker("w3", "open")}})
 		So(takeEvents(), ShouldResemble, []Event{{WorkerChanged, "w3"}})
 		_, err := table.Progress(testTerm, Progress{Term: testTerm, Forget: []string{"w1", "w3", "w9"}})
 		So(err, ShouldBeNil)
--- a/internal/jobs/gang_test.go
+++ b/internal/jobs/gang_test.go
@@ -60,7 +60,7 @@
 			step := gangStep(3)
 			step.MaxPerWorker = 1
 			table.mustSubmit(testJob("k", step))
-			must(table.Register(Register{Workers: []Worker{testWorker("w3", "open")}}))
+			table.Register(Register{Workers: []Worker{testWorker("w3", "open")}})
 			So(table.start(gangOf("k", 1, "w1", "w1", "w2")...), ShouldResemble, none)
 			So(table.start(gangOf("k", 1, "w1", "w2", "w3")...), ShouldResemble, []bool{true, true, true})
 		})
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -41,10 +41,10 @@
 	for range monthHourIncarnations {
 		m.incarnations++
 		worker := testWorker(fmt.Sprintf("w%d", m.incarnations), "open")
-		must(m.Register(Register{Workers: []Worker{worker}}))
+		m.Register(Register{Workers: []Worker{worker}})
 		m.work(worker.ID)
 		worker.Left = true
-		must(m.Register(Register{Workers: []Worker{worker}}))
+		m.Register(Register{Workers: []Worker{worker}})
 		gone = append(gone, worker.ID)
 	}
 	for range monthConfigs {
--- a/internal/jobs/helpers_test.go
+++ b/internal/jobs/helpers_test.go
@@ -49,9 +49,9 @@
 func testTable() *Table {
 	t := NewTable()
 	must(t.Configure(testConfig()))
-	must(t.Register(Register{Workers: []Worker{
+	t.Register(Register{Workers: []Worker{
 		testWorker("w1", "open"), testWorker("w2", "open"), testWorker("g1", "guard"),
-	}}))
+	}})
 	return t
 }
 
--- a/internal/jobs/progress_start_test.go
+++ b/internal/jobs/progress_start_test.go
@@ -30,12 +30,12 @@
 			func(x *Table) {
 				draining := testWorker("w1", "open")
 				draining.Draining = true
-				must(x.Register(Register{Workers: []Worker{draining}}))
+				x.Register(Register{Workers: []Worker{draining}})
 			},
 			func(x *Table) {
 				left := testWorker("w1", "open")
 				left.Left = true
-				must(x.Register(Register{Workers: []Worker{left}}))
+				x.Register(Register{Workers: []Worker{left}})
 			},
 			func(x *Table) { x.Evacuate(Evacuate{Zone: "zone-1", Start: true}) },
 			func(x *Table) {
@@ -62,7 +62,7 @@
 		So(table.IsStepReady(table.Jobs["j"], 0, 3), ShouldBeFalse)
 		fast := testWorker("w2", "open")
 		fast.Labels = []string{"ssd", "fast"}
-		must(table.Register(Register{Workers: []Worker{fast}}))
+		table.Register(Register{Workers: []Worker{fast}})
 		So(table.start(startOf(taskOf("j", 1, 0), 1, "w2"), startOf(taskOf("j", 2, 0), 1, "w1")), ShouldResemble,
 			[]bool{true, true})
 	})
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -86,7 +86,7 @@
 	case Evacuate:
 		t.Evacuate(c)
 	case Register:
-		err = t.Register(c)
+		t.Register(c)
 	case time.Time:
 		t.Purge(c)
 	case Progress:
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Register records workers that are new or have changed. A worker that drains or has left stays so under its ID.
-func (t *Table) Register(c Register) error {
+func (t *Table) Register(c Register) {
 	for _, worker := range c.Workers {
 		old := t.Workers[worker.ID]
 		if old != nil {
@@ -16,7 +16,6 @@
 		t.Workers[worker.ID] = &worker
 		t.notify(WorkerChanged, worker.ID)
 	}
-	return nil
 }
 
 func (w *Worker) equal(other *Worker) bool {
--- a/internal/jobs/worker_test.go
+++ b/internal/jobs/worker_test.go
@@ -17,7 +17,7 @@
 		exhaustive.Permutations(3, func(order []int) {
 			table := testTable()
 			for _, i := range order {
-				must(table.Register(Register{Workers: reports[i : i+1]}))
+				table.Register(Register{Workers: reports[i : i+1]})
 			}
 			if w := table.Workers["w1"]; !w.Draining || !w.Left {
 				panic(fmt.Sprint(order))
@@ -25,7 +25,7 @@
 		})
 		table := testTable()
 		plain.Zone, plain.Labels = "elsewhere", nil
-		must(table.Register(Register{Workers: []Worker{plain}}))
+		table.Register(Register{Workers: []Worker{plain}})
 		So(*table.Workers["w1"], ShouldResemble, plain)
 	})
 }
--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -63,7 +63,8 @@
 func (*JobRegister) Op() string { return "job-register" }
 
 func (c *JobRegister) apply(s *state.State, _ uint64) (any, error) {
-	return nil, errs.Pass(s.JobTable.Register(c.Register), "register")
+	s.JobTable.Register(c.Register)
+	return nil, nil
 }
 
 // JobProgress records what the scheduler has decided and what workers have reported; the answer is jobs.Started. It is
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -156,7 +156,7 @@
 	case jobs.Evacuate:
 		t.Evacuate(c)
 	case jobs.Register:
-		err = t.Register(c)
+		t.Register(c)
 	case jobs.Progress:
 		answer, err = t.Progress(e.term, c)
 	default:
