--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -142,8 +142,8 @@
 	for party, tasks := range f.TasksAwaitingTopUp {
 		to <- prometheus.MustNewConstMetric(c.awaitingTopUp, prometheus.GaugeValue, float64(tasks), party)
 	}
-	for proof, runs := range f.Counts.ProvedDead {
-		to <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), proof)
+	for kind, runs := range f.Counts.ProvedDead {
+		to <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), string(kind))
 	}
 	for taskType, runs := range f.RunningCounts {
 		to <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
--- a/internal/dataplane/scheduler/budget_test.go
+++ b/internal/dataplane/scheduler/budget_test.go
@@ -135,7 +135,7 @@
 		p.serve(200 * time.Millisecond)
 		So(p.started("listener", "older", "j0"), ShouldResemble, []string{"listener"})
 		first := taskOf(p.harness, "listener").RunID
-		p.do(&command.Plan{Epoch: p.core.Epoch(), Dead: []command.Proof{{RunID: first, Why: command.ProofLeaseExpired}}})
+		p.do(&command.Plan{Epoch: p.core.Epoch(), Dead: []command.Proof{{RunID: first, Kind: command.ProofLeaseExpired}}})
 		p.serve(200 * time.Millisecond)
 		So(taskOf(p.harness, "listener").RunID, ShouldBeGreaterThan, first)
 		p.do(&command.Plan{Epoch: p.core.Epoch(), Ends: []command.End{{RunID: taskOf(p.harness, "listener").RunID, Reason: "x"}}})
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -118,12 +118,12 @@
 }
 
 // proveDead puts the proof that a run can never run any more into the next plan.
-func (c *Core) proveDead(r *run, kind, reason string) {
+func (c *Core) proveDead(r *run, kind command.ProofKind, reason string) {
 	if r.closing {
 		return
 	}
 	r.closing = true
-	c.facts.proofs = append(c.facts.proofs, command.Proof{RunID: r.handle.RunID, Why: kind, Reason: reason})
+	c.facts.proofs = append(c.facts.proofs, command.Proof{RunID: r.handle.RunID, Kind: kind, Reason: reason})
 	c.Counts.ProvedDead[kind]++
 }
 
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -119,8 +119,8 @@
 	FailedEnds   uint64
 	Unconfirmed  uint64
 	CallFailures uint64
-	StaleAnswers uint64            // answers dropped because a newer one was handled before
-	ProvedDead   map[string]uint64 // runs, by kind of proof
+	StaleAnswers uint64                       // answers dropped because a newer one was handled before
+	ProvedDead   map[command.ProofKind]uint64 // runs
 }
 
 // Core is the role's records and the passes over them. One caller at a time. The records are rebuilt from the replica
@@ -166,7 +166,7 @@
 // New makes a core without the role that reads st, the node's replica. The owner hands each change of st to
 // StateChanged.
 func New(cfg Config, st *state.State) *Core {
-	c := &Core{cfg: cfg, st: st, Counts: Counts{ProvedDead: map[string]uint64{}}}
+	c := &Core{cfg: cfg, st: st, Counts: Counts{ProvedDead: map[command.ProofKind]uint64{}}}
 	c.role.phase = Idle
 	c.placement.budget = newBudget()
 	c.clearRecords()
--- a/internal/state/command/policy_payment_test.go
+++ b/internal/state/command/policy_payment_test.go
@@ -63,7 +63,7 @@
 		})
 		Convey("a run that the cluster lost is not paid for; one that was stopped as ordered is", func() {
 			s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
-			s.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}, {RunID: 2, Why: ProofStop}}})
+			s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}, {RunID: 2, Kind: ProofStop}}})
 			So(s.sums(), ShouldEqual, [3]int64{240, 0, 10})
 			s.start(1, startOn("m1", "j", 0))
 			restarted := testWorker("m1")
@@ -117,7 +117,7 @@
 		So(s.start(1, startOn("m1", "j", 0)).Refused, ShouldResemble, []string{"balance"})
 		s.topUp("one more", 1)
 		So(s.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
-		s.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
+		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		s.submit("k", state.StepSpec{Name: "s", Type: "t"})
 		s.start(1, startOn("m1", "k", 0))
 		So(s.sums(), ShouldEqual, [3]int64{0, 100, 0})
@@ -137,7 +137,7 @@
 		s.submit("k", state.StepSpec{Name: "s", Type: "t"})
 		So(s.start(1, startOn("m2", "k", 0)).Refused, ShouldResemble, []string{"balance"})
 		So(s.UnpaidReason(s.Jobs["k"]), ShouldEqual, "party acme has no account")
-		s.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
+		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		So(s.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
 	})
 }
@@ -160,9 +160,9 @@
 		s := newPaid(200)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, LongRunning: true})
 		s.start(1, startOn("m1", "j", 0))
-		s.plan(Plan{Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
+		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		s.start(1, startOn("m1", "j", 0))
-		s.plan(Plan{Dead: []Proof{{RunID: 2, Why: ProofLeaseExpired}}})
+		s.plan(Plan{Dead: []Proof{{RunID: 2, Kind: ProofLeaseExpired}}})
 		s.Accounts.Accounts["acme"].Balance -= 100 // as if something else ran
 		s.Accounts.Accounts["acme"].ToppedUp -= 100
 		s.Accounts.Accounts["acme"].Ledger.Head.ToppedUp -= 100
@@ -184,7 +184,7 @@
 		{"top-up", func(s testState) { s.topUp("more", 120) }},
 		{"the same top-up", func(s testState) { s.topUp("more", 120) }},
 		{"an end", func(s testState) { s.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, OK: true}}}) }},
-		{"a loss", func(s testState) { s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Why: ProofFloor}}}) }},
+		{"a loss", func(s testState) { s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Kind: ProofFloor}}}) }},
 		{"a long time", func(s testState) { s.do(&Purge{JobsKeep: 9}); s.Accounts.Renew(s.At.Add(window)) }},
 	}
 	Convey("A start is assigned exactly when the balance covers it at its own entry", t, func() {
--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -17,19 +17,22 @@
 
 // Proof states that the run of a handle is dead without a reported end, and why.
 type Proof struct {
-	RunID  uint64 `json:"t"`
-	Why    string `json:"w"`           // one of the kinds of proof
-	Reason string `json:"r,omitempty"` // kept in the task, if any
+	RunID  uint64    `json:"t"`
+	Kind   ProofKind `json:"w"`
+	Reason string    `json:"r,omitempty"` // recorded as Task.Reason unless empty
 }
 
+// ProofKind is the kind of a proof. The strings are stored.
+type ProofKind string
+
 // The kinds of proof.
 const (
-	ProofFloor          = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
-	ProofNewIncarnation = "boot"   // the worker runs under another incarnation; not written: see recordReport
-	ProofLeaseExpired   = "lapse"  // its lease has expired on any clock
-	ProofUnsent         = "unsent" // its start order never left this scheduler
-	ProofRefuse         = "refuse" // the worker refused it
-	ProofStop           = "stop"   // the worker stopped it as ordered
+	ProofFloor          ProofKind = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
+	ProofNewIncarnation ProofKind = "boot"   // the worker runs under another incarnation; not written: see recordReport
+	ProofLeaseExpired   ProofKind = "lapse"  // its lease has expired on any clock
+	ProofUnsent         ProofKind = "unsent" // its start order never left this scheduler
+	ProofRefuse         ProofKind = "refuse" // the worker refused it
+	ProofStop           ProofKind = "stop"   // the worker stopped it as ordered
 )
 
 // startsAnything is the state.Worker.Kind of a worker that starts whatever it is ordered to, unlike one that checks the
@@ -114,7 +117,7 @@
 	if h == nil {
 		return
 	}
-	if p.Why != ProofStop {
+	if p.Kind != ProofStop {
 		s.RefundRun(h.RunID)
 	}
 	requeueLost(s, h, p.Reason)
--- a/internal/state/command/policy_runs_test.go
+++ b/internal/state/command/policy_runs_test.go
@@ -98,7 +98,7 @@
 		s.submit("j", state.StepSpec{Name: "s", Type: "t"},
 			state.StepSpec{Name: "u", Type: "t", After: []string{"s"}})
 		So(s.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
-		s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofLeaseExpired}}})
+		s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		_, task := s.TaskOf(ref)
 		So(task.Phase, ShouldEqual, state.TaskDue)
 
@@ -117,7 +117,7 @@
 			So(s.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
 			s.do(&Plan{Epoch: 1, Ends: []End{late}})
 			So(task.Phase, ShouldEqual, state.TaskAssigned)
-			s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Why: ProofUnsent}}})
+			s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Kind: ProofUnsent}}})
 			s.do(&Plan{Epoch: 1, Ends: []End{late}})
 			So(task.Phase, ShouldEqual, state.TaskDue)
 		})
--- a/internal/state/command/policy_starts_test.go
+++ b/internal/state/command/policy_starts_test.go
@@ -61,7 +61,7 @@
 		So(s.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
 		s.do(&Cancel{Key: "j"})
 		So(s.Jobs["j"].Phase, ShouldEqual, state.JobStopping)
-		s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Why: ProofStop}}})
+		s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Kind: ProofStop}}})
 		So(s.Jobs["j"].Phase, ShouldEqual, state.JobCancelled)
 		So(s.Handles, ShouldBeEmpty)
 		So(s.RunningCounts(), ShouldBeEmpty)
--- a/internal/testbed/policysim/checkbilling.go
+++ b/internal/testbed/policysim/checkbilling.go
@@ -233,7 +233,7 @@
 		}
 	}
 	return !slices.ContainsFunc(bc.plan.Dead, func(proof command.Proof) bool {
-		return proof.RunID == h.RunID && proof.Why == command.ProofStop
+		return proof.RunID == h.RunID && proof.Kind == command.ProofStop
 	})
 }
 
