--- a/internal/dataplane/scheduler/records.go
+++ b/internal/dataplane/scheduler/records.go
@@ -187,8 +187,8 @@
 	case job.Phase != state.JobRunning:
 		reason = string(job.Outcome)
 	case w != nil:
-		reason = c.st.PlacementRefusal(&job.Spec, &job.Spec.Steps[r.handle.Ref.Step], w)
-		if reason == "boot" { // the store has not heard of the worker's incarnation yet
+		reason = string(c.st.PlacementRefusal(&job.Spec, &job.Spec.Steps[r.handle.Ref.Step], w))
+		if reason == string(state.RefusedIncarnation) { // the store has not heard of the worker's incarnation yet
 			reason = ""
 		}
 	}
--- a/internal/state/command/helpers_test.go
+++ b/internal/state/command/helpers_test.go
@@ -57,7 +57,7 @@
 		Epoch: epoch, BundleVersion: s.Bundle.Version, Seq: s.Seq, Starts: starts, LeaseTTL: time.Second,
 	})
 	if err != nil {
-		return Planned{Refused: []string{"epoch"}, RunIDs: make([]uint64, len(starts))}
+		return Planned{Refused: []state.Refusal{"epoch"}, RunIDs: make([]uint64, len(starts))}
 	}
 	return answer.(Planned)
 }
--- a/internal/state/command/policy_payment_test.go
+++ b/internal/state/command/policy_payment_test.go
@@ -46,7 +46,7 @@
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 4, Retries: 9})
 		Convey("a start reserves in its commit, and is refused when the balance is exhausted; an end debits", func() {
 			So(s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1), startOn("m2", "j", 2)), ShouldResemble,
-				Planned{RunIDs: []uint64{1, 2, 0}, Refused: []string{"", "", "balance"}})
+				Planned{RunIDs: []uint64{1, 2, 0}, Refused: []state.Refusal{"", "", "balance"}})
 			So(s.sums(), ShouldEqual, [3]int64{50, 200, 0})
 			s.plan(Plan{Ends: []End{{RunID: 1, OK: true}}})
 			So(s.sums(), ShouldEqual, [3]int64{140, 100, 10})
@@ -79,7 +79,7 @@
 			So(s.sums(), ShouldEqual, [3]int64{50, 200, 0})
 			s.must(&Purge{JobsKeep: 9})
 			So(s.sums(), ShouldEqual, [3]int64{-150, 200, 200})
-			So(s.start(1, startOn("m2", "j", 2)).Refused, ShouldResemble, []string{"balance"})
+			So(s.start(1, startOn("m2", "j", 2)).Refused, ShouldResemble, []state.Refusal{"balance"})
 			s.plan(Plan{Ends: []End{{RunID: 1, OK: true}, {RunID: 2}}})
 			So(s.sums(), ShouldEqual, [3]int64{10, 0, 240})
 		})
@@ -90,7 +90,7 @@
 			s.must(&Submit{Spec: spec, Digest: "k", Bound: 9})
 			s.start(1)
 			So(s.start(1, startOn("m2", "j", 2), startOn("m2", "k", 0)).Refused, ShouldResemble,
-				[]string{"balance", ""})
+				[]state.Refusal{"balance", ""})
 			So(s.sums()[1], ShouldEqual, 200)
 		})
 	})
@@ -102,7 +102,7 @@
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, Gang: true})
 		first, other := startOn("m1", "j", 0), startOn("m2", "j", 1)
 		first.Group, other.Group = 7, 7
-		So(s.start(1, first, other).Refused, ShouldResemble, []string{"balance", "balance"})
+		So(s.start(1, first, other).Refused, ShouldResemble, []state.Refusal{"balance", "balance"})
 		So(s.sums(), ShouldEqual, [3]int64{199, 0, 0})
 		s.topUp("one more", 1)
 		So(s.start(1, first, other).RunIDs, ShouldResemble, []uint64{1, 2})
@@ -114,7 +114,7 @@
 	Convey("A long-running task starts only when paid for, and restarts also when the balance is exhausted", t, func() {
 		s := newPaid(99)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", LongRunning: true})
-		So(s.start(1, startOn("m1", "j", 0)).Refused, ShouldResemble, []string{"balance"})
+		So(s.start(1, startOn("m1", "j", 0)).Refused, ShouldResemble, []state.Refusal{"balance"})
 		s.topUp("one more", 1)
 		So(s.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
 		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
@@ -135,7 +135,7 @@
 			"acme": {Queues: []string{"default"}, Price: account.Price{Core: 10}},
 		})
 		s.submit("k", state.StepSpec{Name: "s", Type: "t"})
-		So(s.start(1, startOn("m2", "k", 0)).Refused, ShouldResemble, []string{"balance"})
+		So(s.start(1, startOn("m2", "k", 0)).Refused, ShouldResemble, []state.Refusal{"balance"})
 		So(s.UnpaidReason(s.Jobs["k"]), ShouldEqual, "party acme has no account")
 		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		So(s.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
--- a/internal/state/command/policy_placement_test.go
+++ b/internal/state/command/policy_placement_test.go
@@ -25,20 +25,21 @@
 			o.st.Workers[worker.Name].Incarnation = "b"
 		}
 		spec := &state.Spec{Queue: "default", Steps: []state.StepSpec{{Type: "t"}}}
-		refusal := func(name string) string {
+		refusal := func(name string) state.Refusal {
 			return o.st.PlacementRefusal(spec, &spec.Steps[0], o.st.Workers[name])
 		}
-		So([]string{refusal("m1"), refusal("m2"), refusal("m3")}, ShouldResemble, []string{"", "", "near"})
+		So([]state.Refusal{refusal("m1"), refusal("m2"), refusal("m3")}, ShouldResemble,
+			[]state.Refusal{"", "", "near"})
 		So(o.st.Bundle.LeaseTTLFor("default", 20*time.Second), ShouldEqual, 9*time.Second)
 		So(o.st.Bundle.LeaseTTLFor("x", 20*time.Second), ShouldEqual, 20*time.Second)
 		So(o.st.Bundle.RetriesFor("default", 5), ShouldEqual, 1)
 		So(o.st.Bundle.RetriesFor("x", 9), ShouldEqual, 7)
 		_, err := o.do(&CloseWorker{Order: "c1", Worker: "m2", Retire: true})
 		So(err, ShouldBeNil)
-		So(refusal("m1"), ShouldEqual, "near")
+		So(refusal("m1"), ShouldEqual, state.Refusal("near"))
 		So(o.st.WaitReason(spec), ShouldEqual, "")
 		version := o.force(`{"queues":{"other":{}}}`)
-		So(refusal("m1"), ShouldEqual, "queue")
+		So(refusal("m1"), ShouldEqual, state.Refusal("queue"))
 		So(o.st.WaitReason(spec), ShouldEqual, fmt.Sprintf("no queue default in bundle %d", version))
 	})
 }
--- a/internal/state/command/policy_plan.go
+++ b/internal/state/command/policy_plan.go
@@ -29,8 +29,8 @@
 
 // Planned answers Plan: for each of Starts its run ID, or 0 and the reason for the refusal.
 type Planned struct {
-	RunIDs  []uint64 `json:"tickets,omitempty"`
-	Refused []string `json:"refused,omitempty"`
+	RunIDs  []uint64        `json:"tickets,omitempty"`
+	Refused []state.Refusal `json:"refused,omitempty"`
 }
 
 // Op returns "plan".
@@ -69,7 +69,7 @@
 	if len(c.Starts) == 0 {
 		return Planned{}
 	}
-	planned := Planned{RunIDs: make([]uint64, len(c.Starts)), Refused: make([]string, len(c.Starts))}
+	planned := Planned{RunIDs: make([]uint64, len(c.Starts)), Refused: make([]state.Refusal, len(c.Starts))}
 	for first := 0; first < len(c.Starts); {
 		end := c.groupEnd(first)
 		refusal := c.groupRefusal(s, c.Starts[first:end])
--- a/internal/state/command/policy_runs_test.go
+++ b/internal/state/command/policy_runs_test.go
@@ -16,7 +16,7 @@
 		second := Start{Ref: state.TaskRef{Job: "j", Step: 1}, Worker: "m2", Incarnation: "b"}
 		Convey("a task has one handle at most", func() {
 			So(s.start(1, startOn("m1", "j", 0), startOn("m2", "j", 0)), ShouldResemble,
-				Planned{RunIDs: []uint64{1, 0}, Refused: []string{"", "task"}})
+				Planned{RunIDs: []uint64{1, 0}, Refused: []state.Refusal{"", "task"}})
 		})
 		Convey("a step waits for the one before, and the job is done when all its tasks are", func() {
 			So(s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1), second).RunIDs, ShouldResemble,
@@ -49,7 +49,7 @@
 			first.Group, other.Group = 7, 7
 			s.submit("k", state.StepSpec{Name: "a", Type: "t"})
 			s.start(1, startOn("m1", "k", 0)) // m1 has capacity left for one of the two
-			So(s.start(1, first, other).Refused, ShouldResemble, []string{"room", "room"})
+			So(s.start(1, first, other).Refused, ShouldResemble, []state.Refusal{"room", "room"})
 			other.Worker = "m2"
 			So(s.start(1, first, other).RunIDs, ShouldResemble, []uint64{2, 3})
 		})
@@ -107,7 +107,7 @@
 				Epoch: 1, BundleVersion: s.Bundle.Version, Ends: []End{late}, Starts: []Start{startOn("m2", "j", 0)},
 			})
 			So(err, ShouldBeNil)
-			So(answer.(Planned).Refused, ShouldResemble, []string{"task"})
+			So(answer.(Planned).Refused, ShouldResemble, []state.Refusal{"task"})
 			So(task.Phase, ShouldEqual, state.TaskDone)
 			_, next := s.TaskOf(state.TaskRef{Job: "j", Step: 1})
 			So(next.Phase, ShouldEqual, state.TaskDue)
--- a/internal/state/command/policy_starts.go
+++ b/internal/state/command/policy_starts.go
@@ -11,14 +11,13 @@
 	Group       int           `json:"g,omitempty"`
 }
 
-// The reasons for which a start is refused, in addition to those of State.PlacementRefusal. The strings are sent to the
-// scheduler.
+// The refusals in addition to those of State.PlacementRefusal.
 const (
-	RefusedBundle   = "charter version" // another bundle is in force than the plan was decided on
-	RefusedJob      = "job"             // the job is not running, or has no such task
-	RefusedTask     = "task"            // the task is not due
-	RefusedCapacity = "room"            // the worker's free capacity is too small
-	RefusedBalance  = "balance"         // the party's balance does not cover the start
+	RefusedBundle   state.Refusal = "charter version" // another bundle is in force than the plan was decided on
+	RefusedJob      state.Refusal = "job"             // the job is not running, or has no such task
+	RefusedTask     state.Refusal = "task"            // the task is not due
+	RefusedCapacity state.Refusal = "room"            // the worker's free capacity is too small
+	RefusedBalance  state.Refusal = "balance"         // the party's balance does not cover the start
 )
 
 // groupEnd returns the position after the last start of the group whose first start is at first.
@@ -34,7 +33,7 @@
 
 // groupRefusal returns why the starts of a group may not be assigned together; "" if they may. Capacity and balance
 // must suffice for all of them.
-func (c *Plan) groupRefusal(s *state.State, group []Start) string {
+func (c *Plan) groupRefusal(s *state.State, group []Start) state.Refusal {
 	if c.BundleVersion != s.Bundle.Version {
 		return RefusedBundle
 	}
@@ -56,7 +55,7 @@
 }
 
 // startRefusal returns why one start may not be assigned, not counting the rest of its group; "" if it may.
-func startRefusal(s *state.State, start Start) string {
+func startRefusal(s *state.State, start Start) state.Refusal {
 	j, t := s.TaskOf(start.Ref)
 	w := s.Workers[start.Worker]
 	switch {
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -5,24 +5,26 @@
 	"slices"
 )
 
-// The reasons for which a task may not be assigned to a worker; see State.PlacementRefusal. The strings are sent to the
-// scheduler.
+// Refusal is the reason for which a start is refused; "" if it is not. The strings are sent to the scheduler.
+type Refusal string
+
+// The refusals of State.PlacementRefusal.
 const (
-	RefusedQueue       = "queue"   // the bundle has no such queue
-	RefusedIncarnation = "boot"    // the worker's incarnation is not known yet, or is another one
-	RefusedDrain       = "drain"   // the worker drains
-	RefusedZone        = "zone"    // its zone is evacuated
-	RefusedType        = "type"    // the queue does not take the task's type
-	RefusedTeam        = "team"    // the queue does not take the job's team
-	RefusedPolicy      = "charter" // the placement policy does not list the worker, its zone or its rack
-	RefusedLabel       = "label"   // the worker lacks a label
-	RefusedNear        = "near"    // nothing near the worker has a label that the placement policy wants
+	RefusedQueue       Refusal = "queue"   // the bundle has no such queue
+	RefusedIncarnation Refusal = "boot"    // the worker's incarnation is not known yet, or is another one
+	RefusedDrain       Refusal = "drain"   // the worker drains
+	RefusedZone        Refusal = "zone"    // its zone is evacuated
+	RefusedType        Refusal = "type"    // the queue does not take the task's type
+	RefusedTeam        Refusal = "team"    // the queue does not take the job's team
+	RefusedPolicy      Refusal = "charter" // the placement policy does not list the worker, its zone or its rack
+	RefusedLabel       Refusal = "label"   // the worker lacks a label
+	RefusedNear        Refusal = "near"    // nothing near the worker has a label that the placement policy wants
 )
 
 // PlacementRefusal returns why a task of a step may not be assigned to a worker, by the bundle, labels, evacuations and
 // drains; "" if it may. It does not check capacity. The scheduler calls it when it plans, package command again when
 // the plan is applied.
-func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) string {
+func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) Refusal {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	switch {
 	case !ok:
