--- a/cmd/crosstide-controlplane/exitcodes_test.go
+++ b/cmd/crosstide-controlplane/exitcodes_test.go
@@ -12,13 +12,16 @@
 )
 
 func TestExitCodes(t *testing.T) {
-	Convey("A command's error sets the exit code, and its message without a trace; usage is 2, all else 1", t, func() {
-		for kind, code := range map[errs.Kind]int{errs.Conflict: 3, errs.Invalid: 4, errs.Forbidden: 4, errs.Unknown: 4,
-			errs.Unavailable: 5, errs.Timeout: 5, errs.Settings: 2, errs.Internal: 1} {
-			c := withExitCodes(&cli.Command{Name: "x", Commands: []*cli.Command{{Name: "y", Action: func(context.Context, *cli.Command) error {
+	Convey("The kind of a command's error sets the exit code; its message has no trace", t, func() {
+		for kind, code := range map[errs.Kind]int{
+			errs.Conflict: 3, errs.Invalid: 4, errs.Forbidden: 4, errs.Unknown: 4,
+			errs.Unavailable: 5, errs.Timeout: 5, errs.Settings: 2, errs.Internal: 1,
+		} {
+			fail := func(context.Context, *cli.Command) error {
 				return errs.Pass(errs.Field(kind, "base", "no"), "deep")
-			}}}})[0]
-			err := c.Commands[0].Action(t.Context(), nil)
+			}
+			tree := &cli.Command{Name: "x", Commands: []*cli.Command{{Name: "y", Action: fail}}}
+			err := withExitCodes(tree)[0].Commands[0].Action(t.Context(), nil)
 			So(exitCode(errs.Pass(err, "run")), ShouldEqual, code)
 			So(err.Error(), ShouldEqual, string(kind)+": base: no")
 		}
--- a/cmd/crosstide-controlplane/incarnations_test.go
+++ b/cmd/crosstide-controlplane/incarnations_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestRunIncarnations(t *testing.T) {
-	Convey("A node that was removed begins anew in the same process, again and again, until the process is to end", t, func() {
-		ctx, end := context.WithCancel(context.Background())
+	Convey("A node that was removed starts another incarnation in the same process until ctx ends", t, func() {
+		ctx, cancel := context.WithCancel(context.Background())
 		incarnations := 0
 		err := runIncarnations(ctx, func(incarnation context.Context, removed func()) error {
 			if incarnations++; incarnations < 4 {
 				removed()
 			} else {
-				end()
+				cancel()
 			}
 			<-incarnation.Done()
 			return nil
--- a/cmd/crosstide-controlplane/openstore_test.go
+++ b/cmd/crosstide-controlplane/openstore_test.go
@@ -17,55 +17,60 @@
 	"crosstide/internal/store"
 )
 
-// damaged makes a folder whose snapshots are there and whose log is gone.
+// damaged returns a data folder with snapshots but without its log. It also has a file, other, that is not the store's.
 func damaged(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
 	disk, err := storage.OSDisk(dir)
 	So(err, ShouldBeNil)
-	s, _, err := storage.Open(disk, storage.Options{})
+	opened, _, err := storage.Open(disk, storage.Options{})
 	So(err, ShouldBeNil)
-	So(s.WriteSnapshot(storage.Snapshot{Index: 1, Term: 1, Meta: []byte("{}"), Body: []byte("{}")}, 0), ShouldBeNil)
-	So(s.Close(), ShouldBeNil)
+	snapshot := storage.Snapshot{Index: 1, Term: 1, Meta: []byte("{}"), Body: []byte("{}")}
+	So(opened.WriteSnapshot(snapshot, 0), ShouldBeNil)
+	So(opened.Close(), ShouldBeNil)
 	logs, err := filepath.Glob(filepath.Join(dir, "log-*"))
 	So(err, ShouldBeNil)
-	for _, one := range logs {
-		So(os.Remove(one), ShouldBeNil)
+	for _, path := range logs {
+		So(os.Remove(path), ShouldBeNil)
 	}
 	So(os.WriteFile(filepath.Join(dir, "other"), nil, 0o600), ShouldBeNil)
 	return dir
 }
 
-func TestDamagedFolder(t *testing.T) {
-	for _, open := range []bool{false, true} {
-		Convey("A node with a damaged folder joins anew and never bootstraps", t, func() {
+func TestOpenStore_damagedFolder(t *testing.T) {
+	for _, openMembership := range []bool{false, true} {
+		Convey("A node with a damaged folder joins again and never bootstraps", t, func() {
 			dir := damaged(t)
 			settings := config.DefaultControlPlane()
-			settings.Name, settings.Addr, settings.Data, settings.OpenMembership = "10.0.0.1", "10.0.0.1:7000", dir, open
+			settings.Name, settings.Addr, settings.Data = "10.0.0.1", "10.0.0.1:7000", dir
+			settings.OpenMembership = openMembership
 			settings.Members = []config.Member{{ID: "10.0.0.1", Addr: "10.0.0.1:7000", Zone: "a"}}
-			s, err := openTestStore(store.Options{Settings: settings, Fatal: func(error) {}, Registry: prometheus.NewRegistry()})
+			options := store.Options{Settings: settings, Fatal: func(error) {}}
+			firstOptions := options
+			firstOptions.Registry = prometheus.NewRegistry()
+			first, err := openTestStore(firstOptions)
 			So(err, ShouldBeNil)
-			a := s.BootstrapStatus(internalapi.DiscoverCall{})
-			So(a.Fresh, ShouldBeFalse)
-			So(a.ID, ShouldStartWith, "10.0.0.1~")
-			s.Stop()
-			beside, err := os.ReadDir(filepath.Dir(dir))
+			status := first.BootstrapStatus(internalapi.DiscoverCall{})
+			So(status.Fresh, ShouldBeFalse)
+			So(status.ID, ShouldStartWith, "10.0.0.1~")
+			first.Stop()
+			folders, err := os.ReadDir(filepath.Dir(dir))
 			So(err, ShouldBeNil)
-			_, gone := os.Stat(filepath.Join(dir, "other"))
-			if open { // only the store's own files are touched, and nothing outside of the folder
-				So(beside, ShouldHaveLength, 1)
-				So(gone, ShouldBeNil)
-			} else {
-				So(beside, ShouldHaveLength, 2)
-				So(gone, ShouldNotBeNil)
+			_, statErr := os.Stat(filepath.Join(dir, "other"))
+			if openMembership { // only the store's own files are removed, and nothing outside of the folder is changed
+				So(folders, ShouldHaveLength, 1)
+				So(statErr, ShouldBeNil)
+			} else { // the folder is set aside
+				So(folders, ShouldHaveLength, 2)
+				So(statErr, ShouldNotBeNil)
 			}
-			s, err = openTestStore(store.Options{Settings: settings, Fatal: func(error) {}})
+			second, err := openTestStore(options)
 			So(err, ShouldBeNil)
-			So(s.BootstrapStatus(internalapi.DiscoverCall{}).ID, ShouldEqual, a.ID)
-			s.Stop()
+			So(second.BootstrapStatus(internalapi.DiscoverCall{}).ID, ShouldEqual, status.ID)
+			second.Stop()
 		})
 	}
-	Convey("A folder that cannot be made is not a damaged one", t, func() {
+	Convey("A folder that cannot be created is not treated as damaged", t, func() {
 		settings := config.DefaultControlPlane()
 		settings.Data = filepath.Join(damaged(t), "other", "data")
 		_, err := openTestStore(store.Options{Settings: settings})
@@ -73,6 +78,6 @@
 	})
 }
 
-func openTestStore(opt store.Options) (*store.Store, error) {
-	return openStore(context.Background(), opt, log.NewNopLogger())
+func openTestStore(options store.Options) (*store.Store, error) {
+	return openStore(context.Background(), options, log.NewNopLogger())
 }
--- a/cmd/crosstide-controlplane/platformsettings_test.go
+++ b/cmd/crosstide-controlplane/platformsettings_test.go
@@ -12,18 +12,17 @@
 )
 
 func TestWorkerLease(t *testing.T) {
-	Convey("The lease outlasts a loss of contact, a lease renewal and a pause between calls, within its bounds", t, func() {
-		cases := []struct{ contact, longest, lease time.Duration }{
+	Convey("The lease outlasts a loss of contact, a renewal and a backoff, within its bounds", t, func() {
+		for _, test := range []struct{ contactTimeout, longest, lease time.Duration }{
 			{3 * time.Second, 10 * time.Second, 4500 * time.Millisecond},
 			{4 * time.Second, 6 * time.Second, 5500 * time.Millisecond},
 			{5 * time.Second, 6 * time.Second, 6 * time.Second},
 			{5 * time.Second, 4 * time.Second, 4 * time.Second},
 			{0, 20 * time.Second, minLease},
 			{time.Second, 2 * time.Second, 2 * time.Second},
-		}
-		for _, c := range cases {
-			config := schedulerSettings(platform.SchedulerSettings{MaxLease: c.longest}, c.contact)
-			So(config.Lease, ShouldEqual, c.lease)
+		} {
+			config := schedulerSettings(platform.SchedulerSettings{MaxLease: test.longest}, test.contactTimeout)
+			So(config.Lease, ShouldEqual, test.lease)
 			So(config.RenewalWait, ShouldBeLessThanOrEqualTo, config.Lease/3)
 		}
 	})
@@ -33,14 +32,25 @@
 }
 
 func TestStoreSettings(t *testing.T) {
-	Convey("A core node's settings are the store's, with the seeds as bootstrap members", t, func() {
-		settings := storeSettings(platform.CoreSettings{Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r",
-			DataFolder: "data", Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, Grace: 6 * time.Second})
-		So(settings.Members, ShouldResemble, []config.Member{{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"}})
-		So([]any{settings.Name, settings.Addr, settings.Zone, settings.Region, settings.Data, settings.Grace}, ShouldResemble,
-			[]any{"10.1.0.10", "10.1.0.10:7720", "a", "r", "data", 5500 * time.Millisecond})
-		So([]any{settings.Lease, settings.Election, settings.Heartbeat, settings.OpenMembership, settings.Bootstrap}, ShouldResemble,
-			[]any{platformLease, platformElection, platformHeartbeat, true, false})
+	Convey("A core node's settings are mapped to the store's, with the seeds as bootstrap members", t, func() {
+		settings := storeSettings(platform.CoreSettings{
+			Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r", DataFolder: "data",
+			Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, Grace: 6 * time.Second,
+		})
+		So(settings.Members, ShouldResemble, []config.Member{
+			{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"},
+		})
+		So(settings.Name, ShouldEqual, "10.1.0.10")
+		So(settings.Addr, ShouldEqual, "10.1.0.10:7720")
+		So(settings.Zone, ShouldEqual, "a")
+		So(settings.Region, ShouldEqual, "r")
+		So(settings.Data, ShouldEqual, "data")
+		So(settings.Grace, ShouldEqual, 5500*time.Millisecond)
+		So(settings.Lease, ShouldEqual, platformLease)
+		So(settings.Election, ShouldEqual, platformElection)
+		So(settings.Heartbeat, ShouldEqual, platformHeartbeat)
+		So(settings.OpenMembership, ShouldBeTrue)
+		So(settings.Bootstrap, ShouldBeFalse)
 		So(storeSettings(platform.CoreSettings{Bootstrap: true}).Bootstrap, ShouldBeTrue)
 	})
 }
--- a/cmd/crosstide-controlplane/request.go
+++ b/cmd/crosstide-controlplane/request.go
@@ -46,7 +46,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		failure := &errs.Error{Kind: errs.Unavailable, Message: response.Status}
-		_ = json.Unmarshal(raw, failure) // without an error body the status says enough
+		_ = json.Unmarshal(raw, failure) // without an error in the body the message is the status
 		return nil, errs.Field(failure.Kind, failure.Field, "%s", failure.Message)
 	}
 	return raw, nil
--- a/cmd/crosstide-dataplane/jobs_test.go
+++ b/cmd/crosstide-dataplane/jobs_test.go
@@ -15,21 +15,26 @@
 )
 
 func TestJobsOptions(t *testing.T) {
-	Convey("The settings of a front node make its options; calls and readiness are at one address", t, func() {
+	Convey("The settings of a front node are mapped to its options, with calls and readiness at one address", t, func() {
 		settings := config.DefaultJobsDataPlane()
-		settings.Addr, settings.Zone, settings.Grace, settings.Seeds = "10.0.0.1:7000", "z", 7*time.Second, []string{"10.0.1.1:7100"}
+		settings.Addr, settings.Zone, settings.Grace = "10.0.0.1:7000", "z", 7*time.Second
+		settings.Seeds = []string{"10.0.1.1:7100"}
 		options := jobsOptions(settings, true, log.NewNopLogger())
-		So([]any{options.CoreAddresses, options.Address, options.ReadyAddress, options.Grace, options.Zone}, ShouldResemble,
-			[]any{settings.Seeds, settings.Addr, "", settings.Grace, "z"})
+		So(options.CoreAddresses, ShouldResemble, settings.Seeds)
+		So(options.Address, ShouldEqual, settings.Addr)
+		So(options.ReadyAddress, ShouldEqual, "")
+		So(options.Grace, ShouldEqual, settings.Grace)
+		So(options.Zone, ShouldEqual, "z")
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		caller := rpc.NewClient(rpc.ClientOptions{})
 		options.ServeClients(server, controller.NewClient(controller.ClientOptions{Caller: caller}))
 		options.ServeReady(server, func() error { return errs.New(errs.Unavailable, "not yet") })
 		So(server.Start(), ShouldBeNil)
-		So(send(http.MethodGet, "http://"+server.Addr()+"/v2/queues"), ShouldEqual, http.StatusServiceUnavailable) // no core is known
-		So(send(http.MethodGet, "http://"+server.Addr()+"/v2/jobs/a%20b"), ShouldEqual, http.StatusUnprocessableEntity)
-		So(send(http.MethodGet, "http://"+server.Addr()+"/readyz"), ShouldEqual, http.StatusServiceUnavailable)
-		So(send(http.MethodGet, "http://"+server.Addr()+"/metrics"), ShouldEqual, http.StatusOK)
+		get := func(path string) int { return send(http.MethodGet, "http://"+server.Addr()+path) }
+		So(get("/v2/queues"), ShouldEqual, http.StatusServiceUnavailable) // no core node is known
+		So(get("/v2/jobs/a%20b"), ShouldEqual, http.StatusUnprocessableEntity)
+		So(get("/readyz"), ShouldEqual, http.StatusServiceUnavailable)
+		So(get("/metrics"), ShouldEqual, http.StatusOK)
 		caller.Close()
 		So(server.Stop(time.Minute), ShouldBeNil)
 	})
--- a/cmd/crosstide-dataplane/policy_test.go
+++ b/cmd/crosstide-dataplane/policy_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestNodeOptions(t *testing.T) {
-	Convey("The settings of a data-plane node make its options, and the scheduler's settings", t, func() {
+	Convey("The settings of a data-plane node are mapped to its options and the scheduler's settings", t, func() {
 		settings := config.DefaultDataPlane()
 		settings.Name, settings.Addr, settings.QueueLimit = "d1", "10.0.0.1:7000", 17
 		settings.CallTimeout, settings.RunLease, settings.PollWait = time.Second, 2*time.Second, 3*time.Second
@@ -25,7 +25,7 @@
 			[]time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second})
 		So(got.Health.MaxShare, ShouldEqual, 0.25)
 	})
-	Convey("The control-plane nodes are those of the settings, else the seeds until the membership has found them", t, func() {
+	Convey("The control-plane nodes are those of the settings, or else the seeds", t, func() {
 		settings := config.DefaultDataPlane()
 		settings.Seeds = []string{"10.0.1.1:7000"}
 		So(nodeOptions(settings, log.NewNopLogger()).ControlPlanes, ShouldResemble, settings.Seeds)
