--- a/internal/account/golden_test.go
+++ b/internal/account/golden_test.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON that is sent to other processes, clients and operators, or stored.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("account", Account{}),
@@ -27,7 +27,7 @@
 	)
 }
 
-// TestGoldenEnums pins what stands for each value on the wire and on disk.
+// TestGoldenEnums pins the string of each value on the wire and on disk.
 func TestGoldenEnums(t *testing.T) {
 	golden.Compare(t, "enums",
 		golden.Lines("ledger entries",
--- a/internal/jobs/changes.go
+++ b/internal/jobs/changes.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// See jobs.go for what may stand in this file.
+// The rule for the declarations of this file is in jobs.go.
 
 // Submit accepts a job. The same ID with the same digest is the same job.
 type Submit struct {
--- a/internal/state/command/golden_test.go
+++ b/internal/state/command/golden_test.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON that is sent to other processes, clients and operators, or stored.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		ops(),
--- a/internal/testbed/policysim/billing_test.go
+++ b/internal/testbed/policysim/billing_test.go
@@ -29,7 +29,8 @@
 	})
 }
 
-// Without the check of the balance in the commit of a start, the checker must find a start that was not paid for.
+// TestGuards_balance runs without the check of the balance in the commit of a start: the checker must find a start that
+// is not paid for.
 func TestGuards_balance(t *testing.T) {
 	Convey("Without the guard balance, the invariant paid for breaks", t, func() {
 		sum := Summarize(RunSeeds(Options{FaultPeriod: 20 * time.Second, WithoutGuard: "balance"}, 1, 6, 2, 0), nil)
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -246,7 +246,7 @@
 	return jobsPerCore * cores
 }
 
-// jobsOpen returns the number of jobs that have not ended as far as their clients know.
+// jobsOpen returns the number of jobs that have not ended as far as their clients know, without abandoned ones.
 func (c *clients) jobsOpen() int {
 	n := 0
 	for _, j := range c.jobs {
@@ -270,5 +270,5 @@
 	return n
 }
 
-// allEnded reports whether every job has ended as far as its client knows.
+// allEnded reports whether every job that its client has not abandoned has ended as far as the client knows.
 func (c *clients) allEnded() bool { return c.jobsOpen() == 0 }
--- a/internal/testbed/policysim/controlplane.go
+++ b/internal/testbed/policysim/controlplane.go
@@ -24,7 +24,7 @@
 	role      string           // in raft, with its term, as last traced
 
 	durable durableLog // of the data folder, by the syncs that have succeeded
-	wipedID string     // member ID that the node had before its disk was wiped; "": it never was wiped
+	wipedID string     // member ID that the node had before its disk was wiped; "": none
 	wiped   durableLog // of the wiped data folder
 
 	syncDelay    time.Duration // set by the fault slow
--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// A history is what happened in a run, line by line. A change that keeps behavior keeps each of them to the byte; a
-// change of the scheduler's decisions writes the file anew and says so in its commit.
+// TestHistories compares digests of the traces of fixed seeds. A change that keeps the behaviour keeps every trace to
+// the byte. A change of decisions updates the file with -update-histories, and its commit states that.
 func TestHistories(t *testing.T) {
 	Convey("Fixed seeds have the histories that are kept", t, func() {
 		var lines strings.Builder
--- a/internal/testbed/policysim/injections.go
+++ b/internal/testbed/policysim/injections.go
@@ -38,7 +38,7 @@
 	f.wipe(at.controlPlane, f.sim.between(10*time.Millisecond, 3*time.Second))
 }
 
-// failSync lets the next sync fail. The case is counted when that happens, in controlPlane.finishSync.
+// failSync makes the next sync fail. The case is counted when that happens, in controlPlane.finishSync.
 func (*faultInjector) failSync(at targets) {
 	if at.controlPlane.alive {
 		at.controlPlane.failNextSync = true
--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestTraceIsDeterministic(t *testing.T) {
+func TestTrace_isDeterministic(t *testing.T) {
 	Convey("The same seed has the same trace, byte for byte", t, func() {
 		var firstTrace, secondTrace bytes.Buffer
 		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &firstTrace})
@@ -39,8 +39,8 @@
 	})
 }
 
-// Minutes reach what seconds do not: leases that are lost for longer than they last, long queues, jobs of many
-// attempts.
+// TestMinutes runs longer than TestSeeds and so reaches other situations: leases that are not renewed for longer than
+// they last, long queues, jobs of many attempts.
 func TestMinutes(t *testing.T) {
 	Convey("No invariant breaks in a few seeds of five minutes with all faults", t, func() {
 		sum := runUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
@@ -49,7 +49,8 @@
 	})
 }
 
-// Where faults come every few hundred milliseconds little starts until they end; with pauses between them most does.
+// TestMinutesWithPauses has pauses between faults. With a fault every few hundred milliseconds, few tasks start before
+// the faults end; with pauses most do.
 func TestMinutesWithPauses(t *testing.T) {
 	Convey("No invariant breaks in two seeds of two minutes with a fault every 5 s", t, func() {
 		sum := runUnbroken(t, Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
--- a/internal/testbed/policysim/process.go
+++ b/internal/testbed/policysim/process.go
@@ -61,7 +61,7 @@
 
 func (p *process) freeze() { p.frozen = p.alive }
 
-// wake ends the freeze and runs the events that became due meanwhile, half the time in random order.
+// wake ends the freeze and runs the events that became due meanwhile, in random order.
 func (p *process) wake() {
 	if !p.alive || !p.frozen {
 		return
