--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestHistories compares digests of the traces of fixed seeds. A change that keeps the behaviour keeps every trace to
-// the byte. A change of decisions updates the file with -update-histories, and its commit states that.
+// the byte. A change of decisions updates the file with -update, and its commit states that.
 func TestHistories(t *testing.T) {
 	Convey("Fixed seeds have the histories that are kept", t, func() {
 		var lines strings.Builder
