--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// runUnbroken runs seeds two at a time, wants no invariant broken in any, and returns what they showed together.
-func runUnbroken(t *testing.T, opt Options, first, last uint64) Summary {
+// runUnbroken runs seeds two at a time, checks that no invariant breaks in any, and returns their summary.
+func runUnbroken(t *testing.T, options Options, first, last uint64) Summary {
 	t.Helper()
-	sum := Summarize(RunSeeds(opt, first, last, 2, 0), nil)
+	sum := Summarize(RunSeeds(options, first, last, 2, 0), nil)
 	for _, r := range sum.Breaches {
 		t.Errorf("seed %d breaks %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
 	}
@@ -27,19 +27,20 @@
 	})
 }
 
-func TestTraceIsDeterministic(t *testing.T) {
+func TestTrace_isDeterministic(t *testing.T) {
 	Convey("The same seed has the same trace, byte for byte", t, func() {
-		var a, b bytes.Buffer
-		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &a})
-		again := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &b})
-		So(a.Len(), ShouldBeGreaterThan, 10000)
-		So(bytes.Equal(a.Bytes(), b.Bytes()), ShouldBeTrue)
+		var firstTrace, secondTrace bytes.Buffer
+		first := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &firstTrace})
+		again := Run(Options{Seed: 4, FaultPeriod: 10 * time.Second, Trace: &secondTrace})
+		So(firstTrace.Len(), ShouldBeGreaterThan, 10000)
+		So(bytes.Equal(firstTrace.Bytes(), secondTrace.Bytes()), ShouldBeTrue)
 		So(again.TraceHash, ShouldEqual, first.TraceHash)
 		So(Run(Options{Seed: 5, FaultPeriod: 10 * time.Second}).TraceHash, ShouldNotEqual, first.TraceHash)
 	})
 }
 
-// Minutes reach what seconds do not: leases that are lost for longer than they last, long queues, jobs of many attempts.
+// TestMinutes runs longer than TestSeeds and so reaches other situations: leases that are not renewed for longer than
+// they last, long queues, jobs of many attempts.
 func TestMinutes(t *testing.T) {
 	Convey("No invariant breaks in a few seeds of five minutes with all faults", t, func() {
 		sum := runUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
@@ -48,7 +49,8 @@
 	})
 }
 
-// Where faults come every few hundred milliseconds little starts until they end; with pauses between them most does.
+// TestMinutesWithPauses has pauses between faults. With a fault every few hundred milliseconds, few tasks start before
+// the faults end; with pauses most do.
 func TestMinutesWithPauses(t *testing.T) {
 	Convey("No invariant breaks in two seeds of two minutes with a fault every 5 s", t, func() {
 		sum := runUnbroken(t, Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
