--- a/cmd/crosstide-controlplane/flags.go
+++ b/cmd/crosstide-controlplane/flags.go
@@ -18,8 +18,8 @@
 	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}
 }
 
-// jobsAddrFlag returns the flag for the address of a core node of the jobs deployment, which serves operators at
-// another address than other nodes.
+// jobsAddrFlag returns the flag for the address of a control-plane node of the jobs deployment, which serves
+// operators at another address than other nodes.
 func jobsAddrFlag() cli.Flag {
 	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` where any core node takes workers and operators",
 		Required: true}
--- a/cmd/crosstide-controlplane/jobs.go
+++ b/cmd/crosstide-controlplane/jobs.go
@@ -20,7 +20,7 @@
 	"crosstide/internal/store"
 )
 
-// jobsCommand returns the command for the jobs deployment: the daemon of a core node, and operators' commands.
+// jobsCommand returns the command for the jobs deployment: the daemon of a control-plane node, and operators' commands.
 func jobsCommand() *cli.Command {
 	return &cli.Command{Name: "jobs", Usage: "serve jobs as a core node; operators' commands for such nodes",
 		Commands: append(jobsProgram().Commands(), withExitCodes(jobsCommands()...)...)}
@@ -38,12 +38,12 @@
 	}
 }
 
-// serveJobs runs a core node until ctx ends.
+// serveJobs runs a control-plane node until ctx ends.
 func serveJobs(ctx context.Context, settings config.JobsControlPlane, profiles bool, logger log.Logger) error {
 	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
 		options := jobsOptions(settings, profiles, logger)
 		options.OnRemoved = removed
-		core, err := jobsnode.NewCore(ctx, options)
+		core, err := jobsnode.NewControlPlaneNode(ctx, options)
 		if err != nil {
 			return errs.Pass(err, "make the node")
 		}
@@ -52,10 +52,10 @@
 	return errs.Pass(err, "serve")
 }
 
-// jobsOptions maps settings to a core node's options.
-func jobsOptions(settings config.JobsControlPlane, profiles bool, logger log.Logger) jobsnode.CoreOptions {
+// jobsOptions maps settings to a control-plane node's options.
+func jobsOptions(settings config.JobsControlPlane, profiles bool, logger log.Logger) jobsnode.ControlPlaneOptions {
 	registry := daemon.Registry()
-	return jobsnode.CoreOptions{
+	return jobsnode.ControlPlaneOptions{
 		Store: settings.ControlPlane, OpenStore: openStore,
 		Scheduler: jobsScheduler(settings.Scheduler), JobRetention: settings.KeepFinished,
 		Workers: func(renewals, starts *rpc.Client) scheduler.Workers {
@@ -76,8 +76,8 @@
 	}
 }
 
-// serveOperators adds the operators' calls about the members of the store. A core node keeps no membership list, so the
-// calls list no other nodes.
+// serveOperators adds the operators' calls about the members of the store. A control-plane node keeps no membership
+// list, so the calls list no other nodes.
 func serveOperators(inner *rpc.Server, members *store.Store) {
 	operatorapi.Serve(inner, members, store.NameOf, func() []membership.MemberStatus { return nil })
 }
--- a/cmd/crosstide-controlplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -2,7 +2,7 @@
 //
 // It runs in two deployments. In the policy deployment (`run`) it is the store and the operators' API alone; the
 // schedulers are crosstide-dataplane. In the jobs deployment (`jobs run`, and `platform` on the users' platform) it is
-// a core node, in which the leader of the store runs the controller and its scheduler too.
+// a control-plane node, in which the leader of the store runs the controller and its scheduler too.
 //
 // The program parses, checks, wires and runs; it decides nothing. Begin with policy.go, jobs.go or platform.go for a
 // deployment's daemon; every other command has a file of its name, on request.go (one call to a node) and print.go
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -18,15 +18,15 @@
 	"crosstide/platform"
 )
 
-// platformCommand runs a core node on the users' platform.
+// platformCommand runs a control-plane node on the users' platform.
 func platformCommand() *cli.Command {
 	return daemon.Service[platform.Settings]{Name: "platform", Usage: "serve as a core node of the users' platform",
 		Load: platform.LoadSettings, Serve: servePlatform,
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// servePlatform runs a core node until ctx ends. changed has a value whenever the settings have changed; the seeds are
-// then read again. All other settings are read again only by a new incarnation.
+// servePlatform runs a control-plane node until ctx ends. changed has a value whenever the settings have changed; the
+// seeds are then read again. All other settings are read again only by a new incarnation.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core, first := settings.Core(), true
 	daemon.LimitMemory(core.MemoryBytes)
@@ -37,7 +37,7 @@
 		first = false
 		options := coreOptions(core, logger)
 		options.OnRemoved = removed
-		served, err := jobsnode.NewCore(ctx, options)
+		served, err := jobsnode.NewControlPlaneNode(ctx, options)
 		if err != nil {
 			return errs.Pass(err, "make the node")
 		}
@@ -59,9 +59,9 @@
 	return core
 }
 
-// coreOptions maps the platform's settings to a core node's options.
-func coreOptions(core platform.CoreSettings, logger log.Logger) jobsnode.CoreOptions {
-	return jobsnode.CoreOptions{
+// coreOptions maps the platform's settings to a control-plane node's options.
+func coreOptions(core platform.CoreSettings, logger log.Logger) jobsnode.ControlPlaneOptions {
+	return jobsnode.ControlPlaneOptions{
 		Store: storeSettings(core), OpenStore: openStore,
 		Scheduler:    schedulerSettings(core.Scheduler, core.ContactTimeout),
 		JobRetention: 2 * core.Scheduler.JobRetention,
@@ -78,7 +78,7 @@
 }
 
 // followSettings sets the node's seeds anew whenever the settings have changed, until ctx ends.
-func followSettings(ctx context.Context, core *jobsnode.Core, changed <-chan os.Signal, logger log.Logger) {
+func followSettings(ctx context.Context, core *jobsnode.ControlPlaneNode, changed <-chan os.Signal, logger log.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/cmd/crosstide-controlplane/platformsettings.go
+++ b/cmd/crosstide-controlplane/platformsettings.go
@@ -22,7 +22,8 @@
 	exitMargin = 500 * time.Millisecond // the part of the platform's grace that is left for the process to exit
 )
 
-// storeSettings maps the platform's settings of a core node to the store's. The bootstrap members are the seeds.
+// storeSettings maps the platform's settings of a control-plane node to the store's. The bootstrap members are the
+// seeds.
 func storeSettings(core platform.CoreSettings) config.ControlPlane {
 	settings := config.DefaultControlPlane()
 	settings.Name, settings.Zone, settings.Region = core.Name, core.Zone, core.Region
@@ -44,9 +45,9 @@
 	return settings
 }
 
-// minLease is the shortest lease, unless the longest one is shorter. After a loss of power at all core nodes no lease
-// is renewed for a second and a half, and a worker's last renewal may be as old as a lease renewal call takes: with
-// shorter leases all runs would end then.
+// minLease is the shortest lease, unless the longest one is shorter. After a loss of power at all control-plane nodes
+// no lease is renewed for a second and a half, and a worker's last renewal may be as old as a lease renewal call
+// takes: with shorter leases all runs would end then.
 const minLease = 3 * time.Second
 
 // workerLease returns the lease of workers. It outlasts a loss of contact of contactTimeout, after which operators
--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/rpc"
 )
 
-// jobsCommand returns the command for the jobs deployment: the daemon of a front node, and clients' commands.
+// jobsCommand returns the command for the jobs deployment: the daemon of a data-plane node, and clients' commands.
 func jobsCommand() *cli.Command {
 	return &cli.Command{Name: "jobs", Usage: "serve jobs as a front node; clients' commands for such nodes",
 		Commands: append(jobsProgram().Commands(), jobsCommands()...)}
@@ -29,19 +29,19 @@
 	}
 }
 
-// serveJobs runs a front node until ctx ends.
+// serveJobs runs a data-plane node until ctx ends.
 func serveJobs(ctx context.Context, settings config.JobsDataPlane, profiles bool, logger log.Logger) error {
-	front, err := jobsnode.NewFront(jobsOptions(settings, profiles, logger))
+	front, err := jobsnode.NewDataPlaneNode(jobsOptions(settings, profiles, logger))
 	if err != nil {
 		return errs.Pass(err, "make the node")
 	}
 	return errs.Pass(front.Run(ctx, nil), "serve")
 }
 
-// jobsOptions maps settings to a front node's options.
-func jobsOptions(settings config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.FrontOptions {
+// jobsOptions maps settings to a data-plane node's options.
+func jobsOptions(settings config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.DataPlaneOptions {
 	registry := daemon.Registry()
-	return jobsnode.FrontOptions{
+	return jobsnode.DataPlaneOptions{
 		CoreAddresses: settings.ControlPlaneAddresses(), Via: settings.Via, Address: settings.Addr,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) {
 			jobsapi.ServeClients(clients, client, settings.CallTimeout)
--- a/cmd/crosstide-dataplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -2,8 +2,8 @@
 //
 // It runs in two deployments. In the policy deployment (`run`) each node follows the replicated store and is a
 // candidate for the scheduler role; the one that holds the role places runs and starts them on workers. In the jobs
-// deployment (`jobs run`, and `platform` on the users' platform) it is a front node, which only forwards clients' calls
-// to the leader among the core nodes.
+// deployment (`jobs run`, and `platform` on the users' platform) it is a data-plane node, which only forwards
+// clients' calls to the leader among the control-plane nodes.
 //
 // The program parses, checks, wires and runs; it decides nothing. Begin with policy.go, jobs.go or platform.go for a
 // deployment's daemon, and with request.go for what a client's command does.
--- a/cmd/crosstide-dataplane/platform.go
+++ b/cmd/crosstide-dataplane/platform.go
@@ -15,28 +15,28 @@
 	"crosstide/platform"
 )
 
-// platformCommand runs a front node on the users' platform.
+// platformCommand runs a data-plane node on the users' platform.
 func platformCommand() *cli.Command {
 	return daemon.Service[platform.Settings]{Name: "platform", Usage: "serve as a front node of the users' platform",
 		Load: platform.LoadSettings, Serve: servePlatform,
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// servePlatform runs a front node until ctx ends, then drains it. changed has a value whenever the settings have
+// servePlatform runs a data-plane node until ctx ends, then drains it. changed has a value whenever the settings have
 // changed; the node then reads its seeds again.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core := settings.Core()
 	daemon.LimitMemory(core.MemoryBytes)
-	front, err := jobsnode.NewFront(frontOptions(core, logger))
+	front, err := jobsnode.NewDataPlaneNode(frontOptions(core, logger))
 	if err != nil {
 		return errs.Pass(err, "make the node")
 	}
 	return errs.Pass(front.Run(ctx, changed), "serve")
 }
 
-// frontOptions maps the platform's settings to a front node's options.
-func frontOptions(core platform.CoreSettings, logger log.Logger) jobsnode.FrontOptions {
-	return jobsnode.FrontOptions{
+// frontOptions maps the platform's settings to a data-plane node's options.
+func frontOptions(core platform.CoreSettings, logger log.Logger) jobsnode.DataPlaneOptions {
+	return jobsnode.DataPlaneOptions{
 		CoreAddresses: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
 		ServeClients: func(clients *rpc.Server, client *controller.Client) {
 			platform.NewIngress(client).Routes(clients)
--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -16,7 +16,7 @@
 	"crosstide/platform"
 )
 
-// startLeader starts a stand-in for a core node that answers every call about a job with the state cancelled.
+// startLeader starts a stand-in for a control-plane node that answers every call about a job with the state cancelled.
 func startLeader() *rpc.Server {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	rpc.Handle(server, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -80,7 +80,7 @@
 // ConfigCall asks for the configuration in force.
 type ConfigCall struct{}
 
-// TopologyCall asks for the members of the core and the leader.
+// TopologyCall asks for the members of the store and the leader.
 type TopologyCall struct{}
 
 // TopologyAnswer lists internal addresses.
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -23,14 +23,14 @@
 // ClientOptions are the settings of a Client. Caller and Seeds are required.
 type ClientOptions struct {
 	Caller  *rpc.Client
-	Seeds   []string      // internal addresses of core nodes that are asked beside the known members
-	Self    string        // own internal address if the client runs on a core node: asked only after a hint
+	Seeds   []string      // internal addresses of control-plane nodes that are asked beside the known members
+	Self    string        // own internal address if the client runs on a control-plane node: asked only after a hint
 	Clock   clock.Clock   // default clock.Real
 	Logger  log.Logger    // default: no logging
 	Attempt time.Duration // timeout of one attempt of a call, default 700ms
 }
 
-// Client calls the core's leader. It remembers the leader and the members, follows a node's hint to the leader and
+// Client calls the store's leader. It remembers the leader and the members, follows a node's hint to the leader and
 // tries the others in rotation when a node fails, until the deadline of the call's ctx nears. Its errors are
 //
 //   - the leader's refusal, of kind errs.Unknown, Invalid, Malformed, TooLarge, Conflict, Stale, Forbidden or
--- a/internal/controller/client_directory.go
+++ b/internal/controller/client_directory.go
@@ -14,8 +14,8 @@
 	maxMembers = 64
 )
 
-// directory is what a client knows of the core: the presumed leader, the members, and which of them failed lately. It
-// is safe for concurrent use.
+// directory is what a client knows of the control plane: the presumed leader, the members, and which of them failed
+// lately. It is safe for concurrent use.
 type directory struct {
 	self string // the own address, never in the rotation
 
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -109,7 +109,7 @@
 func TestCancelDuringLeaderLoss(t *testing.T) {
 	const (
 		ackTime      = 4 * time.Second         // in which the platform requires the acknowledgement of a cancellation
-		electionTime = 1500 * time.Millisecond // the longest time until the core has another leader
+		electionTime = 1500 * time.Millisecond // the longest time until the store has another leader
 	)
 	Convey("A cancellation is acknowledged in time if the leader is lost before, while or after it commits it", t, func() {
 		for name, lose := range map[string]func(f *fakeCore) node{
@@ -128,7 +128,7 @@
 			}
 			f.nodes = map[string]node{"a": lose(f), "b": newLeader, "c": redirectsTo("b")}
 			f.directory.recordLeader("a")
-			// A client of the front node repeats the call, each with a deadline of a second.
+			// A client of the data-plane node repeats the call, each with a deadline of a second.
 			for f.clock.Now() < ackTime {
 				if _, err := f.Job(f.until(time.Second), JobCall{Cancel: true}); err == nil {
 					break
--- a/internal/controller/gc.go
+++ b/internal/controller/gc.go
@@ -13,16 +13,16 @@
 // DefaultJobRetention is how long a job that is over stays in the table by default.
 const DefaultJobRetention = 10 * time.Minute
 
-// expiryInterval is how often the leader deletes expired jobs.
-const expiryInterval = 20 * time.Second
+// purgeInterval is how often the leader deletes expired jobs.
+const purgeInterval = 20 * time.Second
 
-// deleteExpiredJobs deletes the jobs that have been over for JobRetention, every expiryInterval. A proposal that fails
+// purgeEndedJobs deletes the jobs that have been over for JobRetention, every purgeInterval. A proposal that fails
 // is not repeated: the next one covers it.
-func (l *Leader) deleteExpiredJobs(now time.Duration, term uint64) {
-	if now < l.nextExpiryAt {
+func (l *Leader) purgeEndedJobs(now time.Duration, term uint64) {
+	if now < l.nextPurgeAt {
 		return
 	}
-	l.nextExpiryAt = now + expiryInterval
+	l.nextPurgeAt = now + purgeInterval
 	before := l.clock.Wall().Add(-l.opt.JobRetention)
 	l.group.Go(func(ctx context.Context) {
 		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &command.JobPurge{Before: before}); err != nil {
--- a/internal/controller/gc_test.go
+++ b/internal/controller/gc_test.go
@@ -26,7 +26,7 @@
 		}
 		pass(DefaultJobRetention)
 		So(store.state.JobTable.Jobs, ShouldContainKey, "j")
-		pass(expiryInterval - 1)
+		pass(purgeInterval - 1)
 		So(store.state.JobTable.Jobs, ShouldContainKey, "j")
 		pass(1)
 		So(store.state.JobTable.Jobs, ShouldNotContainKey, "j")
--- a/internal/controller/heartbeat_assigner.go
+++ b/internal/controller/heartbeat_assigner.go
@@ -12,7 +12,7 @@
 // memberRefreshInterval is how long a list of the reachable members is used before it is read again.
 const memberRefreshInterval = 250 * time.Millisecond
 
-// heartbeatAssigner spreads the workers' heartbeats over the nodes of the core, by rendezvous hashing: each worker
+// heartbeatAssigner spreads the workers' heartbeats over the control-plane nodes, by rendezvous hashing: each worker
 // sends its own to one node, which forwards them to the leader. So no node needs a connection to every worker, a
 // change of leader moves no worker, and the loss of a node moves that node's workers only.
 type heartbeatAssigner struct {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -75,9 +75,9 @@
 	latestHealth atomic.Pointer[scheduler.Health] // as of the last report; nil before the first one
 
 	// Owned by the loop.
-	core         *scheduler.Core
-	health       healthLog
-	nextExpiryAt time.Duration
+	core        *scheduler.Core
+	health      healthLog
+	nextPurgeAt time.Duration
 }
 
 // NewLeader makes a controller that does nothing before Start.
@@ -164,11 +164,11 @@
 		l.updateHealth(now)
 	})
 	l.dispatch(term, actions)
-	l.deleteExpiredJobs(now, term)
+	l.purgeEndedJobs(now, term)
 	return actions.Next
 }
 
-// takeInputs passes the inputs since the last pass to the core: changes of the table first, as the event of the
+// takeInputs passes the inputs since the last pass to the scheduler: changes of the table first, as the event of the
 // heartbeat that registered a worker was enqueued after the change.
 func (l *Leader) takeInputs(now time.Duration) {
 	events, changes := l.inbox.drain()
@@ -193,14 +193,14 @@
 	l.latestHealth.Store(&health)
 }
 
-// becomeLeader begins to schedule under a term. Events of an earlier term are dropped: the core has dropped the calls
-// that they answer. The store's lock is held.
+// becomeLeader begins to schedule under a term. Events of an earlier term are dropped: the scheduler has dropped the
+// calls that they answer. The store's lock is held.
 func (l *Leader) becomeLeader(now time.Duration, term uint64, table *jobs.Table) {
 	l.inbox.drain()
 	l.dropForgottenWorkers(table.Workers)
 	table.OnEvent = l.inbox.onTableChange
 	l.core.BecomeLeader(now, term, table)
-	l.nextExpiryAt = now + expiryInterval
+	l.nextPurgeAt = now + purgeInterval
 	_ = level.Info(l.log).Log("msg", "scheduling started", "term", term,
 		"jobs", len(table.Jobs), "workers", len(table.Workers))
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -17,8 +17,8 @@
 // heartbeatOrderTimeout bounds an order that waits for the worker's heartbeat.
 const heartbeatOrderTimeout = 3 * time.Second
 
-// dispatch carries out a pass's actions, each on its own goroutine. Every action reports its outcome to the core by one
-// event, even if it was not carried out.
+// dispatch carries out a pass's actions, each on its own goroutine. Every action reports its outcome to the scheduler
+// by one event, even if it was not carried out.
 func (l *Leader) dispatch(term uint64, actions scheduler.Actions) {
 	if actions.Progress != nil {
 		l.group.Go(func(ctx context.Context) { l.commitProgress(ctx, term, actions.Progress) })
@@ -43,8 +43,9 @@
 	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.Committed(now, progress, started, err) })
 }
 
-// sendStart sends a start to its worker. An order that surely did not reach it is reported as unsent, so that the core
-// may place the run elsewhere at once; one whose outcome is unknown must be confirmed by the worker's lists first.
+// sendStart sends a start to its worker. An order that surely did not reach it is reported as unsent, so that the
+// scheduler may place the run elsewhere at once; one whose outcome is unknown must be confirmed by the worker's lists
+// first.
 func (l *Leader) sendStart(ctx context.Context, term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
 	failure := scheduler.StartUnsent
@@ -96,7 +97,7 @@
 	return scheduler.StopFailed
 }
 
-// renewLease renews a worker's lease and reports the worker's lists to the core.
+// renewLease renews a worker's lease and reports the worker's lists to the scheduler.
 func (l *Leader) renewLease(ctx context.Context, term uint64, renewal scheduler.RenewalAction) {
 	id, number := renewal.Worker.ID, renewal.Number
 	failure := scheduler.RenewalFailed
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -103,7 +103,7 @@
 	if task.Done {
 		v.Done++
 	}
-	if len(task.Runs) > 0 {
+	if len(task.Handles) > 0 {
 		v.Running++
 	}
 }
@@ -166,7 +166,7 @@
 	return answer, errs.Pass(err, "workers")
 }
 
-// Topology returns the leader and the members of the core, as this node knows them.
+// Topology returns the leader and the members of the store, as this node knows them.
 func (l *Leader) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
 	leader, members := l.opt.Store.Members()
 	if term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now()); term != 0 && !hasLease {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/jobs"
 )
 
-// Relay answers calls on any node of the core: the node itself answers them while it leads, else they are forwarded to
-// the leader.
+// Relay answers calls on any control-plane node: the node itself answers them while it leads, else they are forwarded
+// to the leader.
 type Relay struct {
 	local  Local
 	remote *Client
@@ -68,7 +68,7 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Topology returns the leader and the members of the core, as this node knows them.
+// Topology returns the leader and the members of the store, as this node knows them.
 func (r *Relay) Topology(ctx context.Context, call TopologyCall) (TopologyAnswer, error) {
 	answer, err := r.local.Topology(ctx, call)
 	return answer, errs.Pass(err, "relay")
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -150,7 +150,7 @@
 	if counts == nil {
 		counts = map[string]int{}
 		for _, task := range u.tasks() {
-			for _, handle := range task.Runs {
+			for _, handle := range task.Handles {
 				counts[handle.Worker]++
 			}
 		}
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -106,7 +106,7 @@
 func dueTasks(tasks []jobs.Task, gang bool) []int {
 	var due []int
 	for index := range tasks {
-		if !tasks[index].Done && len(tasks[index].Runs) == 0 {
+		if !tasks[index].Done && len(tasks[index].Handles) == 0 {
 			due = append(due, index)
 		}
 	}
--- a/internal/controller/scheduler/reconcile.go
+++ b/internal/controller/scheduler/reconcile.go
@@ -133,7 +133,7 @@
 
 // syncTask tracks the handles of a task, adds them to present, and stops the runs of a task or job that is over.
 func (c *Core) syncTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
-	for _, handle := range task.Runs {
+	for _, handle := range task.Handles {
 		key := jobs.RunKey{Task: ref, Number: handle.Number}
 		present[key] = true
 		r := c.runs[key]
--- a/internal/controller/scheduler/start_test.go
+++ b/internal/controller/scheduler/start_test.go
@@ -31,7 +31,7 @@
 			So(c.table.RunsOn("w"), ShouldResemble, []jobs.RunKey{first}) // unconfirmed
 			for _, task := range c.table.Jobs["j"].Rounds[0][0][1:] {
 				So(task.LastRun, ShouldEqual, 1)
-				So(task.Runs, ShouldBeEmpty)
+				So(task.Handles, ShouldBeEmpty)
 			}
 		})
 	})
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -9,8 +9,8 @@
 	"crosstide/internal/rpc"
 )
 
-// Local answers the calls on a node of the core, with the errors that are listed at the endpoints. On a node that does
-// not lead each call but Topology does nothing and fails with errs.NotLeader; the hint is the leader's internal
+// Local answers the calls on a control-plane node, with the errors that are listed at the endpoints. On a node that
+// does not lead each call but Topology does nothing and fails with errs.NotLeader; the hint is the leader's internal
 // address. Any node answers Topology; it names itself as the leader only while its lease is in force. Calls may be
 // concurrent and return when their ctx ends.
 type Local interface {
--- a/internal/httpapi/doc.go
+++ b/internal/httpapi/doc.go
@@ -7,10 +7,10 @@
 //	jobsapi      clients              jobs           crosstide-dataplane jobs run     /v2/jobs, /v2/queues
 //	             operators            jobs           crosstide-controlplane jobs run  /v2/config, /v2/zones, ...
 //	             workers' heartbeats  jobs           crosstide-controlplane jobs run  /v2/workers
-//	workerapi    leading core node    jobs           the users' workers               /v2/start, /v2/stop, /v2/hold
+//	workerapi    the store's leader   jobs           the users' workers               /v2/start, /v2/stop, /v2/hold
 //
-// *: a core node of the jobs deployment serves operatorapi too, at its address for other nodes, for the members of its
-// store.
+// *: a control-plane node of the jobs deployment serves operatorapi too, at its address for other nodes, for the
+// members of its store.
 //
 // On the users' platform the interfaces are the platform's: package platform takes the place of jobsapi and workerapi.
 // Calls between nodes of crosstide, and lease renewals to workers of the policy deployment, are package internalapi.
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -1,4 +1,4 @@
-// Package workerapi is the contract between the leader of the core and a worker, in the product's own wire format:
+// Package workerapi is the contract between the leader of the store and a worker, in the product's own wire format:
 // three calls, to start a run, to stop one, and to renew the worker's lease, as JSON over HTTP/1.1. The leader calls by
 // a Client; a worker answers the endpoints. The package decides nothing and retries nothing.
 //
--- a/internal/jobs/generator_test.go
+++ b/internal/jobs/generator_test.go
@@ -96,7 +96,7 @@
 		}
 		key := pick(d, "key", keys...)
 		_, task := d.table.findTask(key.Task)
-		end := End{Key: key, Worker: task.Runs[0].Worker, Reason: pick(d, "how", EndDone, EndDone, EndFailed, EndLost)}
+		end := End{Key: key, Worker: task.Handles[0].Worker, Reason: pick(d, "how", EndDone, EndDone, EndFailed, EndLost)}
 		end.Checkpoint = pick(d, "checkpoint", "", "", "half")
 		p.Ends = append(p.Ends, end)
 	}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -15,7 +15,7 @@
 		golden.Shape("spec", Spec{}),
 		golden.Shape("task ref", TaskRef{}),
 		golden.Shape("run key", RunKey{}),
-		golden.Shape("run", Run{}),
+		golden.Shape("run", Handle{}),
 		golden.Shape("task", Task{}),
 		golden.Shape("job", Job{}),
 		golden.Shape("worker", Worker{}),
--- a/internal/jobs/indexes.go
+++ b/internal/jobs/indexes.go
@@ -89,7 +89,7 @@
 		job.index.remaining[ref.Round][ref.Step]++
 		job.index.undone++
 	}
-	for _, run := range task.Runs {
+	for _, run := range task.Handles {
 		job.index.handles++
 		t.indexes.occupy(run.Worker, RunKey{Task: ref, Number: run.Number}, job.Spec.Steps[ref.Step].Needs)
 	}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -71,9 +71,9 @@
 	Number int     `json:"n"`
 }
 
-// Run is the durable handle of a run: recorded before its start order is sent, and kept until its end is reported or it
-// is proved dead. Until then its task is not started again.
-type Run struct {
+// Handle is the durable handle of a run: recorded before its start order is sent, and kept until its end is reported
+// or it is proved dead. Until then its task is not started again.
+type Handle struct {
 	Number int    `json:"n"`
 	Worker string `json:"w"` // worker ID
 	Term   uint64 `json:"t"` // leadership term in which it was recorded: the fencing token of its start order
@@ -81,12 +81,12 @@
 
 // Task is one task of a round.
 type Task struct {
-	Done       bool   `json:"d,omitempty"`
-	LastRun    int    `json:"r,omitempty"`  // newest run number issued; numbers ascend and are never reused
-	Failures   int    `json:"f,omitempty"`  // runs that ended failed; of a gang: counted at its first member
-	FailedRun  int    `json:"fr,omitempty"` // of a gang's first member: the newest run number that counted as failed
-	Checkpoint string `json:"k,omitempty"`  // newest saved progress
-	Runs       []Run  `json:"h,omitempty"`  // handles; at most one
+	Done       bool     `json:"d,omitempty"`
+	LastRun    int      `json:"r,omitempty"`  // newest run number issued; numbers ascend and are never reused
+	Failures   int      `json:"f,omitempty"`  // runs that ended failed; of a gang: counted at its first member
+	FailedRun  int      `json:"fr,omitempty"` // of a gang's first member: the newest run number that counted as failed
+	Checkpoint string   `json:"k,omitempty"`  // newest saved progress
+	Handles    []Handle `json:"h,omitempty"`  // handles; at most one
 }
 
 // Job is the record of a job.
--- a/internal/jobs/model_test.go
+++ b/internal/jobs/model_test.go
@@ -67,7 +67,7 @@
 	task := &tasks[start.Task.Step][start.Task.Index]
 	worker, queue := t.Workers[start.Worker], t.Config.Queue(job.Spec.Queue)
 	switch {
-	case job.State.IsTerminal(), task.Done, start.Number <= task.LastRun, len(task.Runs) > 0,
+	case job.State.IsTerminal(), task.Done, start.Number <= task.LastRun, len(task.Handles) > 0,
 		worker == nil, queue == nil:
 		return false
 	case worker.Draining, worker.Left, t.Evacuated[worker.Zone], worker.Service != queue.Service,
@@ -82,7 +82,7 @@
 		}
 	}
 	used, ofStep := step.Needs, 1
-	eachHandle(t, func(ref TaskRef, run Run, needs Resources) {
+	eachHandle(t, func(ref TaskRef, run Handle, needs Resources) {
 		if run.Worker != start.Worker {
 			return
 		}
@@ -97,17 +97,17 @@
 	if !t.Config.Service(worker.Service).ChecksCapacity && !used.fitsIn(worker.Capacity) {
 		return false
 	}
-	task.LastRun, task.Runs = start.Number, []Run{{Number: start.Number, Worker: start.Worker, Term: testTerm}}
+	task.LastRun, task.Handles = start.Number, []Handle{{Number: start.Number, Worker: start.Worker, Term: testTerm}}
 	return true
 }
 
 // eachHandle calls do with every handle of the table and the needs of its task.
-func eachHandle(t *Table, do func(TaskRef, Run, Resources)) {
+func eachHandle(t *Table, do func(TaskRef, Handle, Resources)) {
 	for id, job := range t.Jobs {
 		for round, steps := range job.Rounds {
 			for step, tasks := range steps {
 				for index, task := range tasks {
-					for _, run := range task.Runs {
+					for _, run := range task.Handles {
 						do(TaskRef{id, round, step, index}, run, job.Spec.Steps[step].Needs)
 					}
 				}
--- a/internal/jobs/progress_end.go
+++ b/internal/jobs/progress_end.go
@@ -29,12 +29,12 @@
 
 // releaseHandle removes the handle that an end names; false if there is none.
 func (t *Table) releaseHandle(job *Job, task *Task, end End) bool {
-	for i, run := range task.Runs {
+	for i, run := range task.Handles {
 		if run.Number != end.Key.Number || run.Worker != end.Worker {
 			continue
 		}
-		if task.Runs = append(task.Runs[:i:i], task.Runs[i+1:]...); len(task.Runs) == 0 {
-			task.Runs = nil
+		if task.Handles = append(task.Handles[:i:i], task.Handles[i+1:]...); len(task.Handles) == 0 {
+			task.Handles = nil
 		}
 		job.index.handles--
 		t.closeReservation(end.Key, end.Reason)
--- a/internal/jobs/progress_end_test.go
+++ b/internal/jobs/progress_end_test.go
@@ -84,7 +84,7 @@
 				So(job.State, ShouldEqual, Running)
 				So(table.start(third), ShouldResemble, []bool{false})
 				So(job.State, ShouldEqual, Failed)
-				So(task.Runs, ShouldBeEmpty)
+				So(task.Handles, ShouldBeEmpty)
 			})
 		})
 	})
--- a/internal/jobs/progress_start.go
+++ b/internal/jobs/progress_start.go
@@ -81,7 +81,7 @@
 	for _, i := range group {
 		start := starts[i]
 		task := &job.Rounds[first.Round][first.Step][start.Task.Index]
-		if members[start.Task.Index] || task.Done || len(task.Runs) > 0 || start.Number <= task.LastRun {
+		if members[start.Task.Index] || task.Done || len(task.Handles) > 0 || start.Number <= task.LastRun {
 			return false
 		}
 		members[start.Task.Index] = true
@@ -123,7 +123,7 @@
 	task := &job.Rounds[ref.Round][ref.Step][ref.Index]
 	t.reserve(job, key)
 	task.LastRun = start.Number
-	task.Runs = []Run{{Number: start.Number, Worker: start.Worker, Term: term}}
+	task.Handles = []Handle{{Number: start.Number, Worker: start.Worker, Term: term}}
 	job.index.handles++
 	t.indexes.occupy(start.Worker, key, job.Spec.Steps[ref.Step].Needs)
 	if job.State == Queued {
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -27,6 +27,6 @@
 		_, err := table.Progress(testTerm+2, Progress{Term: testTerm + 2, Starts: starts})
 		So(err, ShouldBeNil)
 		So(table.Term, ShouldEqual, testTerm+2)
-		So(table.Jobs["j"].Rounds[0][0][0].Runs, ShouldResemble, []Run{{Number: 1, Worker: "w1", Term: testTerm + 2}})
+		So(table.Jobs["j"].Rounds[0][0][0].Handles, ShouldResemble, []Handle{{Number: 1, Worker: "w1", Term: testTerm + 2}})
 	})
 }
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		for i, step := range job.Spec.Steps {
-			if step.Gang && len(job.Rounds[0][i][0].Runs) > 0 {
+			if step.Gang && len(job.Rounds[0][i][0].Handles) > 0 {
 				seen["gang"]++
 			}
 		}
@@ -101,7 +101,7 @@
 // checkIndexes compares the indexes with a scan of all records.
 func checkIndexes(rt *rapid.T, t *Table) {
 	used, runs, waiting := map[string]Resources{}, map[string][]RunKey{}, map[string]int{}
-	eachHandle(t, func(ref TaskRef, run Run, needs Resources) {
+	eachHandle(t, func(ref TaskRef, run Handle, needs Resources) {
 		used[run.Worker] = used[run.Worker].plus(needs, 1)
 		runs[run.Worker] = append(runs[run.Worker], RunKey{ref, run.Number})
 	})
@@ -132,7 +132,7 @@
 	for _, steps := range job.Rounds {
 		for _, tasks := range steps {
 			for _, task := range tasks {
-				if handles += len(task.Runs); len(task.Runs) > 1 {
+				if handles += len(task.Handles); len(task.Handles) > 1 {
 					rt.Fatalf("job %s: two handles of a task", job.Spec.ID)
 				}
 				if !task.Done {
--- a/internal/jobsnode/core.go
+++ b/internal/jobsnode/controlplane.go
@@ -23,7 +23,7 @@
 	dialTimeout = 700 * time.Millisecond  // connecting to a machine that is gone hangs
 	userTimeout = 1500 * time.Millisecond // how long the kernel resends bytes that are not acknowledged
 
-	peerIdleConns = 5 // idle connections that a core node keeps to each other node
+	peerIdleConns = 5 // idle connections that a control-plane node keeps to each other node
 
 	// Connections to workers, which are many and whose answers are short.
 	renewalIdleConns   = 2               // to each worker: one for a long poll, one for calls that are answered at once
@@ -35,8 +35,8 @@
 	drainTimeout = time.Second // for calls in flight when the node stops
 )
 
-// CoreOptions are the parts and settings of a core node.
-type CoreOptions struct {
+// ControlPlaneOptions are the parts and settings of a control-plane node.
+type ControlPlaneOptions struct {
 	Store config.ControlPlane // settings of the store; its seeds are nodes that are asked beside the known members
 	// OpenStore opens the store; it may wait until ctx ends.
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
@@ -62,9 +62,9 @@
 	Version     string
 }
 
-// Core is a core node. It owns its clients, servers and store, and closes them when Run returns.
-type Core struct {
-	opt           CoreOptions
+// ControlPlaneNode is a control-plane node. It owns its clients, servers and store, and closes them when Run returns.
+type ControlPlaneNode struct {
+	opt           ControlPlaneOptions
 	quotas        coreQuotas
 	peers         *rpc.Client // calls other nodes
 	renewals      *rpc.Client // carries lease renewals and stops to workers
@@ -76,15 +76,15 @@
 	controlServer *rpc.Server        // for workers and operators
 }
 
-// NewCore makes a core node and opens its store, which may wait until ctx ends. Example:
+// NewControlPlaneNode makes a control-plane node and opens its store, which may wait until ctx ends. Example:
 //
-//	core, err := jobsnode.NewCore(ctx, options)
+//	core, err := jobsnode.NewControlPlaneNode(ctx, options)
 //	if err != nil {
-//		return errs.Pass(err, "core node")
+//		return errs.Pass(err, "control-plane node")
 //	}
 //	return core.Run(ctx)
-func NewCore(ctx context.Context, opt CoreOptions) (*Core, error) {
-	n := &Core{opt: opt}
+func NewControlPlaneNode(ctx context.Context, opt ControlPlaneOptions) (*ControlPlaneNode, error) {
+	n := &ControlPlaneNode{opt: opt}
 	var err error
 	if n.quotas, err = newCoreQuotas(opt.Descriptors); err != nil {
 		return nil, errs.Pass(err, "connections")
@@ -109,11 +109,11 @@
 	return n, nil
 }
 
-func (n *Core) logger(part string) log.Logger { return daemon.Part(n.opt.Logger, part) }
+func (n *ControlPlaneNode) logger(part string) log.Logger { return daemon.Part(n.opt.Logger, part) }
 
 // makeClients makes the clients. Starts have one of their own, so that renewals and stops, which keep work alive or end
 // it, wait for no start's connection.
-func (n *Core) makeClients() {
+func (n *ControlPlaneNode) makeClients() {
 	n.peers = n.newClient("caller", n.quotas.peers, rpc.ClientOptions{MaxIdlePerAddress: peerIdleConns})
 	n.renewals = n.newClient("holds", n.quotas.renewals, rpc.ClientOptions{
 		MaxIdlePerAddress: renewalIdleConns, IdleTimeout: renewalIdleTimeout, ReadBuffer: workerReadBuffer,
@@ -124,20 +124,20 @@
 }
 
 // newClient completes the options of a client that takes its connections from a quota.
-func (n *Core) newClient(part string, quota *rpc.ConnQuota, options rpc.ClientOptions) *rpc.Client {
+func (n *ControlPlaneNode) newClient(part string, quota *rpc.ConnQuota, options rpc.ClientOptions) *rpc.Client {
 	options.DialTimeout, options.UserTimeout, options.DialOverrides = dialTimeout, userTimeout, n.opt.Store.Via
 	options.Registry, options.Logger, options.Quota = n.opt.Registry, n.logger(part), quota
 	return rpc.NewClient(options)
 }
 
-func (n *Core) closeClients() {
+func (n *ControlPlaneNode) closeClients() {
 	for _, client := range []*rpc.Client{n.peers, n.renewals, n.starts} {
 		client.Close()
 	}
 }
 
 // makeServers makes the servers and adds their calls.
-func (n *Core) makeServers() {
+func (n *ControlPlaneNode) makeServers() {
 	n.peerServer = n.newServer(n.opt.Store.Addr, "wire", n.quotas.nodes)
 	n.store.Serve(n.peerServer)
 	controller.Serve(n.peerServer, n.leader)
@@ -148,14 +148,14 @@
 	n.opt.ServeControl(n.controlServer, controller.NewRelay(n.leader, n.client, n.opt.Store.Addr))
 }
 
-func (n *Core) newServer(addr, part string, quota *rpc.ConnQuota) *rpc.Server {
+func (n *ControlPlaneNode) newServer(addr, part string, quota *rpc.ConnQuota) *rpc.Server {
 	return rpc.NewServer(rpc.ServerOptions{
 		Addr: addr, Loops: 1, Descriptors: n.opt.Descriptors, Registry: n.opt.Registry, Logger: n.logger(part),
 		Quota: quota,
 	})
 }
 
-func (n *Core) storeOptions() store.Options {
+func (n *ControlPlaneNode) storeOptions() store.Options {
 	return store.Options{
 		Settings: n.opt.Store,
 		Net:      store.NetworkOf(n.peers, n.opt.Store),
@@ -166,7 +166,7 @@
 	}
 }
 
-func (n *Core) leaderOptions() controller.LeaderOptions {
+func (n *ControlPlaneNode) leaderOptions() controller.LeaderOptions {
 	options := controller.LeaderOptions{
 		Store:            n.store,
 		Config:           n.opt.Scheduler,
@@ -186,13 +186,13 @@
 }
 
 // fatal ends the process at once: a store that cannot write must acknowledge nothing more.
-func (n *Core) fatal(err error) {
+func (n *ControlPlaneNode) fatal(err error) {
 	_ = level.Error(n.opt.Logger).Log("msg", "the process ends", "err", err)
 	os.Exit(1)
 }
 
 // Run serves until ctx ends, then transfers the lead and drains. background runs meanwhile.
-func (n *Core) Run(ctx context.Context, background ...func(ctx context.Context)) error {
+func (n *ControlPlaneNode) Run(ctx context.Context, background ...func(ctx context.Context)) error {
 	defer n.closeClients()
 	if err := n.start(); err != nil {
 		n.store.Stop()
@@ -204,12 +204,12 @@
 }
 
 // SetSeeds replaces the seeds: nodes that are asked beside the known members.
-func (n *Core) SetSeeds(seeds []string) {
+func (n *ControlPlaneNode) SetSeeds(seeds []string) {
 	n.client.SetSeeds(seeds)
 	n.store.LearnAddresses(seeds...)
 }
 
-func (n *Core) start() error {
+func (n *ControlPlaneNode) start() error {
 	if err := n.peerServer.Start(); err != nil {
 		return errs.Pass(err, "serve other nodes")
 	}
@@ -227,7 +227,7 @@
 
 // stop transfers the lead first, so that the next leader begins while this node still answers. The store is last, as
 // all others use it.
-func (n *Core) stop() {
+func (n *ControlPlaneNode) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), max(n.opt.Grace, minGrace))
 	defer cancel()
 	n.store.TransferLeadership(ctx)
--- a/internal/jobsnode/front.go
+++ b/internal/jobsnode/dataplane.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	coreIdleConns = 64                      // idle connections that a front node keeps to each core node
+	coreIdleConns = 64                      // idle connections that a data-plane node keeps to each control-plane node
 	drainDelay    = 2500 * time.Millisecond // from not ready to the refusal of calls: new clients still come meanwhile
 	exitMargin    = 500 * time.Millisecond  // part of the grace that is left for the process to exit
 	defaultGrace  = 5 * time.Second
 	seedsInterval = 10 * time.Second // between readings of the seeds while no leader is found
 )
 
-// FrontOptions are the parts and settings of a front node.
-type FrontOptions struct {
-	CoreAddresses []string          // seeds: core nodes that are asked beside the known members
+// DataPlaneOptions are the parts and settings of a data-plane node.
+type DataPlaneOptions struct {
+	CoreAddresses []string          // seeds: control-plane nodes that are asked beside the known members
 	Via           map[string]string // by address: the address that is dialed in its place
 	Address       string            // for clients
 	// ServeClients adds the clients' calls to clients, which client answers.
@@ -44,10 +44,10 @@
 	Version     string
 }
 
-// Front is a front node: it receives clients' calls and forwards them to the core's leader. It owns its client and
-// servers, and closes them when Run returns.
-type Front struct {
-	opt          FrontOptions
+// DataPlaneNode is a data-plane node: it receives clients' calls and forwards them to the store's leader. It owns its
+// client and servers, and closes them when Run returns.
+type DataPlaneNode struct {
+	opt          DataPlaneOptions
 	quotas       frontQuotas
 	caller       *rpc.Client
 	client       *controller.Client
@@ -56,15 +56,15 @@
 	readiness    readiness
 }
 
-// NewFront makes a front node. The error is errs.Settings if it may have too few descriptors. Example:
+// NewDataPlaneNode makes a data-plane node. The error is errs.Settings if it may have too few descriptors. Example:
 //
-//	front, err := jobsnode.NewFront(options)
+//	front, err := jobsnode.NewDataPlaneNode(options)
 //	if err != nil {
-//		return errs.Pass(err, "front node")
+//		return errs.Pass(err, "data-plane node")
 //	}
 //	return front.Run(ctx, changed)
-func NewFront(opt FrontOptions) (*Front, error) {
-	f := &Front{opt: opt}
+func NewDataPlaneNode(opt DataPlaneOptions) (*DataPlaneNode, error) {
+	f := &DataPlaneNode{opt: opt}
 	var err error
 	if f.quotas, err = newFrontQuotas(opt.Descriptors); err != nil {
 		return nil, errs.Pass(err, "connections")
@@ -90,9 +90,9 @@
 	return f, nil
 }
 
-func (f *Front) logger(part string) log.Logger { return daemon.Part(f.opt.Logger, part) }
+func (f *DataPlaneNode) logger(part string) log.Logger { return daemon.Part(f.opt.Logger, part) }
 
-func (f *Front) newServer(addr string, quota *rpc.ConnQuota) *rpc.Server {
+func (f *DataPlaneNode) newServer(addr string, quota *rpc.ConnQuota) *rpc.Server {
 	return rpc.NewServer(rpc.ServerOptions{
 		Addr: addr, Loops: 1, Descriptors: f.opt.Descriptors, Registry: f.opt.Registry, Logger: f.logger("wire"),
 		Quota: quota,
@@ -100,7 +100,7 @@
 }
 
 // Run serves until ctx ends, then drains the node. changed, which may be nil, signals that the seeds may have changed.
-func (f *Front) Run(ctx context.Context, changed <-chan os.Signal) error {
+func (f *DataPlaneNode) Run(ctx context.Context, changed <-chan os.Signal) error {
 	defer f.caller.Close()
 	if err := f.start(); err != nil {
 		return errs.Pass(err, "start")
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (f *Front) start() error {
+func (f *DataPlaneNode) start() error {
 	if err := f.clientServer.Start(); err != nil {
 		return errs.Pass(err, "serve clients")
 	}
@@ -132,7 +132,7 @@
 
 // refreshSeeds reads the seeds again when changed signals, and every seedsInterval while no leader is found: the
 // settings may change without a signal.
-func (f *Front) refreshSeeds(ctx context.Context, changed <-chan os.Signal) {
+func (f *DataPlaneNode) refreshSeeds(ctx context.Context, changed <-chan os.Signal) {
 	for {
 		due := make(chan struct{})
 		timer := clock.Real{}.Set(seedsInterval, func() { close(due) })
@@ -151,7 +151,7 @@
 	}
 }
 
-func (f *Front) readSeeds() {
+func (f *DataPlaneNode) readSeeds() {
 	seeds, err := f.opt.ReadSeeds()
 	if err != nil {
 		_ = level.Warn(f.opt.Logger).Log("msg", "seeds not read, the old ones stay", "err", err)
@@ -162,7 +162,7 @@
 
 // stop drains the node: it reports not ready, serves on while new clients may still come, then refuses new calls and
 // answers those in flight.
-func (f *Front) stop() {
+func (f *DataPlaneNode) stop() {
 	clk := clock.Real{}
 	begin := clk.Now()
 	grace := f.opt.Grace
--- a/internal/jobsnode/front_test.go
+++ b/internal/jobsnode/dataplane_test.go
@@ -59,16 +59,16 @@
 	})
 }
 
-// frontOf returns the options of a front node of a core.
-func frontOf(core ...string) FrontOptions {
-	return FrontOptions{
+// frontOf returns the options of a data-plane node of a core.
+func frontOf(core ...string) DataPlaneOptions {
+	return DataPlaneOptions{
 		CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
 		ServeClients: serveCancel, ServeReady: serveReady,
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger(),
 	}
 }
 
-// cancelJob cancels a job at a front node and returns the answer's status, 0 for none.
+// cancelJob cancels a job at a data-plane node and returns the answer's status, 0 for none.
 func cancelJob(addr string) int {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+addr+"/job", nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
 		leader, end := startLeader(gate, entered)
 		defer end()
-		f, err := NewFront(frontOf(leader))
+		f, err := NewDataPlaneNode(frontOf(leader))
 		So(err, ShouldBeNil)
 		defer f.caller.Close()
 		So(f.start(), ShouldBeNil)
@@ -118,7 +118,7 @@
 		defer end()
 		options := frontOf()
 		options.ReadSeeds = func() ([]string, error) { return []string{leader}, nil }
-		f, err := NewFront(options)
+		f, err := NewDataPlaneNode(options)
 		So(err, ShouldBeNil)
 		defer f.caller.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/jobsnode/quotas.go
+++ b/internal/jobsnode/quotas.go
@@ -10,7 +10,7 @@
 // reservedDescriptors are for the store's files, the listeners and the runtime: no connection takes them.
 const reservedDescriptors = 64
 
-// Each use of a core node's connections has one part in its divisor reserved. Any use may take from the rest.
+// Each use of a control-plane node's connections has one part in its divisor reserved. Any use may take from the rest.
 const (
 	peersDivisor    = 16 // calls to other nodes
 	nodesDivisor    = 8  // calls of other nodes
@@ -19,9 +19,9 @@
 	startsDivisor   = 8  // starts to workers
 )
 
-// Each use of a front node's connections has one part in its divisor reserved. Clients may take all of the rest.
+// Each use of a data-plane node's connections has one part in its divisor reserved. Clients may take all of the rest.
 const (
-	coreDivisor    = 8 // calls to the core
+	coreDivisor    = 8 // calls to control-plane nodes
 	readyDivisor   = 8 // readiness checks
 	clientsDivisor = 2 // clients' calls
 )
@@ -49,9 +49,9 @@
 	return limiter, nil
 }
 
-// coreQuotas are the uses of a core node's connections. A connection that becomes free goes to renewals and stops
-// before starts: a lease that is not renewed ends running work, and a gang that cannot be stopped waits for members
-// that never come.
+// coreQuotas are the uses of a control-plane node's connections. A connection that becomes free goes to renewals and
+// stops before starts: a lease that is not renewed ends running work, and a gang that cannot be stopped waits for
+// members that never come.
 type coreQuotas struct {
 	limiter                                 *rpc.ConnLimiter
 	peers, nodes, control, renewals, starts *rpc.ConnQuota
@@ -67,7 +67,7 @@
 	return q, errs.Pass(err, "core node")
 }
 
-// frontQuotas are the uses of a front node's connections.
+// frontQuotas are the uses of a data-plane node's connections.
 type frontQuotas struct {
 	limiter              *rpc.ConnLimiter
 	core, ready, clients *rpc.ConnQuota
--- a/internal/jobsnode/quotas_test.go
+++ b/internal/jobsnode/quotas_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 		So(reserved, ShouldBeLessThan, 300)
-		_, err = NewFront(FrontOptions{Descriptors: 1})
+		_, err = NewDataPlaneNode(DataPlaneOptions{Descriptors: 1})
 		So(errs.KindOf(err), ShouldEqual, errs.Settings)
 	})
 }
--- a/internal/jobsnode/readiness.go
+++ b/internal/jobsnode/readiness.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/errs"
 )
 
-// leaderlessGrace is how long a node that was ready stays so without an answer of the core's leader: a change of leader
-// must not take all front nodes out at once.
+// leaderlessGrace is how long a node that was ready stays so without an answer of the store's leader: a change of
+// leader must not take all data-plane nodes out at once.
 const leaderlessGrace = 4 * time.Second
 
 // readiness decides when the node is ready for new clients. It is safe for concurrent use.
--- a/internal/lint/names.go
+++ b/internal/lint/names.go
@@ -23,7 +23,7 @@
 	"fault":    "error or failure",
 }
 
-// faultDirs are the folders in which "fault" is the field's own term: a failure that a test injects.
+// injectionDirs are the folders in which "fault" is the field's own term: a failure that a test injects.
 var injectionDirs = []string{"internal/testbed", "cmd/crosstide-testbed"}
 
 // checkNames reports each withdrawn word in a name that the file declares, in the package's name and in the
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -50,7 +50,7 @@
 	set.Seeds, set.Members = []string{inner}, []config.Member{{ID: "c1", Addr: inner, Zone: "z1"}}
 	logger := log.NewNopLogger()
 	ctx, end := context.WithCancel(context.Background())
-	core, err := jobsnode.NewCore(ctx, jobsnode.CoreOptions{
+	core, err := jobsnode.NewControlPlaneNode(ctx, jobsnode.ControlPlaneOptions{
 		Store: set, Scheduler: scheduler.Defaults(), ControlAddress: control, Logger: logger,
 		OpenStore: func(ctx context.Context, opt store.Options, _ log.Logger) (*store.Store, error) {
 			disk, err := storage.OSDisk(filepath.Join(dir, "store"))
@@ -65,7 +65,7 @@
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
-	fronts, err := jobsnode.NewFront(jobsnode.FrontOptions{CoreAddresses: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
+	fronts, err := jobsnode.NewDataPlaneNode(jobsnode.DataPlaneOptions{CoreAddresses: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
 		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
@@ -203,8 +203,9 @@
 
 		report := s.close(append(accepted, labelled, free), evacuation)
 		So(report.Violations, ShouldBeEmpty)
-		// A job is given up at its last attempt, exactly. A run that was to fail may be stopped before it does, when its
-		// start gets no answer in time; what runs on in its place then has a higher number. No run fails that was not to.
+		// A job is given up at its last attempt, exactly. A run that was to fail may be stopped before it does, when
+		// its start gets no answer in time; what runs on in its place then has a higher number. No run fails that was
+		// not to.
 		So(report.Failed["hopeless"], ShouldEqual, Attempts)
 		So(report.Failed["retried"], ShouldBeLessThan, Attempts)
 		So(report.Failed["gang-retried"], ShouldBeLessThanOrEqualTo, 3)
