--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -5,22 +5,26 @@
 	"slices"
 )
 
-// Why a task may not be assigned to a worker; see State.PlacementRefusal. The strings are sent to the scheduler.
+// Refusal is the reason for which a start is refused; "" if it is not. The strings are sent to the scheduler.
+type Refusal string
+
+// The refusals of State.PlacementRefusal.
 const (
-	RefusedQueue       = "queue"   // the bundle has no such queue
-	RefusedIncarnation = "boot"    // the worker's incarnation is not known yet, or is another one
-	RefusedDrain       = "drain"   // the worker drains
-	RefusedZone        = "zone"    // its zone is evacuated
-	RefusedType        = "type"    // the queue does not take the task's type
-	RefusedTeam        = "team"    // the queue does not take the job's team
-	RefusedPolicy      = "charter" // the placement policy does not list the worker, its zone or its rack
-	RefusedLabel       = "label"   // the worker lacks a label
-	RefusedNear        = "near"    // nothing near the worker has a label that the placement policy wants
+	RefusedQueue       Refusal = "queue"   // the bundle has no such queue
+	RefusedIncarnation Refusal = "boot"    // the worker's incarnation is not known yet, or is another one
+	RefusedDrain       Refusal = "drain"   // the worker drains
+	RefusedZone        Refusal = "zone"    // its zone is evacuated
+	RefusedType        Refusal = "type"    // the queue does not take the task's type
+	RefusedTeam        Refusal = "team"    // the queue does not take the job's team
+	RefusedPolicy      Refusal = "charter" // the placement policy does not list the worker, its zone or its rack
+	RefusedLabel       Refusal = "label"   // the worker lacks a label
+	RefusedNear        Refusal = "near"    // nothing near the worker has a label that the placement policy wants
 )
 
-// PlacementRefusal is why a task of step may not be assigned to a worker by bundle, labels, evacuation or drain; "" if
-// it may. Capacity is not checked. The scheduler asks when it plans, package command again when the plan is applied.
-func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) string {
+// PlacementRefusal returns why a task of a step may not be assigned to a worker, by the bundle, labels, evacuations and
+// drains; "" if it may. It does not check capacity. The scheduler calls it when it plans, package command again when
+// the plan is applied.
+func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) Refusal {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	switch {
 	case !ok:
@@ -48,7 +52,7 @@
 	return ""
 }
 
-// WaitReason is why the bundle in force lets a job's due tasks start on no worker at all; "" if it does not.
+// WaitReason returns why the bundle in force lets tasks of a job start on no worker; "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
@@ -74,7 +78,7 @@
 // labelSite is a label with its value that some worker has, in a zone or in one rack of it.
 type labelSite struct{ zone, rack, label, value string }
 
-// labelSiteOf is the site where near is satisfied for a worker.
+// labelSiteOf returns the site that must exist for a worker to satisfy near.
 func labelSiteOf(near Near, w *Worker) labelSite {
 	at := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
 	if near.Scope == ScopeRack {
