--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -7,6 +7,7 @@
 
 	"github.com/go-kit/log/level"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/dataplane/scheduler"
 	"crosstide/internal/errs"
 	"crosstide/internal/internalapi"
@@ -28,7 +29,7 @@
 	pollConn, orderConn *rpc.DedicatedConn
 }
 
-// wake asks for a pass soon; it never blocks.
+// wake makes passLoop run a pass soon. It never blocks.
 func (n *Node) wake() {
 	select {
 	case n.wakeups <- struct{}{}:
@@ -59,13 +60,13 @@
 	}
 }
 
-// commitPlan proposes a plan once, and hands its answer to the scheduler when the replica has reached it. A plan is not
-// idempotent: the scheduler makes another one if it failed.
+// commitPlan proposes a plan, and hands the answer to the scheduler once the replica has the plan's changes. A plan is
+// not idempotent: after a failure the scheduler makes another one.
 func (n *Node) commitPlan(ctx context.Context, plan *command.Plan) {
 	planned, err := n.proposePlan(ctx, plan)
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "plan failed", "epoch", plan.Epoch, "err", err)
-		_ = pause(ctx, n.opt.Clock, planRetryInterval) // if ctx is over, so is the loop that the pause is for
+		_ = clock.Sleep(ctx.Done(), n.opt.Clock, planRetryInterval) // if ctx has ended, so has passLoop
 	}
 	n.replica.Lock()
 	n.scheduler.PlanAnswered(n.opt.Clock.Now(), plan.Epoch, planned, err)
@@ -74,7 +75,7 @@
 }
 
 func (n *Node) proposePlan(ctx context.Context, plan *command.Plan) (planned command.Planned, err error) {
-	answer, err := n.controlPlane.propose(ctx, plan, false)
+	answer, err := n.controlPlane.propose(ctx, plan, retryUndone)
 	if err != nil {
 		return planned, errs.Pass(err, "plan")
 	}
@@ -106,8 +107,9 @@
 	n.wake()
 }
 
-// sendCheck returns the check that runs immediately before a call's bytes are written: it refuses a call whose role
-// lease is over, or whose window for starts has passed. After a refusal nothing is written.
+// sendCheck returns the check that rpc runs immediately before each write of a call's bytes. It fails if the role's
+// lease is over or the window for the call's starts has passed. Then nothing more is written, and the call counts as
+// unsent if no byte of it was written before.
 func (n *Node) sendCheck(c scheduler.OutgoingCall) func() error {
 	return func() error {
 		now := n.opt.Clock.Now()
--- a/internal/dataplane/role.go
+++ b/internal/dataplane/role.go
@@ -6,14 +6,14 @@
 
 	"github.com/go-kit/log/level"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
+	"crosstide/internal/state"
 )
 
 const (
-	// schedulerRole is the name of the role in the store and on the wire.
-	schedulerRole = "sched"
 	// claimInterval is the pause between two claims.
 	claimInterval = 300 * time.Millisecond
 	// claimAttempts bounds how often one claim follows a hint to another node.
@@ -23,7 +23,8 @@
 	maxClaims = 4
 )
 
-// claimRoleLoop claims the role, or renews its lease, again and again.
+// claimRoleLoop claims the role, or renews its lease, every claimInterval until ctx ends or the node steps down. Claims
+// overlap when answers are slow, up to maxClaims.
 func (n *Node) claimRoleLoop(ctx context.Context) {
 	inFlight := make(chan struct{}, maxClaims)
 	for ctx.Err() == nil {
@@ -41,19 +42,20 @@
 			})
 		default:
 		}
-		if pause(ctx, n.opt.Clock, claimInterval) != nil {
+		if !clock.Sleep(ctx.Done(), n.opt.Clock, claimInterval) {
 			return
 		}
 	}
 }
 
-// roleClaim is the call that claims the role, or renews the grant of epoch.
+// roleClaim returns the call that renews the grant of epoch, or claims the role anew if epoch is 0.
 func (n *Node) roleClaim(epoch uint64) internalapi.ClaimRoleCall {
-	return internalapi.ClaimRoleCall{Role: schedulerRole, Holder: n.opt.Name, Addr: n.opt.Addr,
+	return internalapi.ClaimRoleCall{Role: state.SchedulerRole, Holder: n.opt.Name, Addr: n.opt.Addr,
 		Incarnation: n.opt.Incarnation, Epoch: epoch}
 }
 
-// claimRole makes one claim at the leader of the store. The lease counts from before the call was sent.
+// claimRole makes one claim at the leader of the store. The lease counts from before the call was sent, so that it ends
+// here before it ends at the leader.
 func (n *Node) claimRole(ctx context.Context) {
 	n.mu.Lock()
 	epoch := n.grantedEpoch
@@ -65,7 +67,7 @@
 		switch {
 		case err == nil && lease.Mine:
 			if err := n.acceptGrant(ctx, lease, sentAt); err != nil {
-				_ = level.Warn(n.opt.Logger).Log("msg", "grant of the role not usable yet", "role", schedulerRole,
+				_ = level.Warn(n.opt.Logger).Log("msg", "grant of the role not usable yet", "role", state.SchedulerRole,
 					"epoch", lease.Epoch, "err", err)
 			}
 			return
@@ -73,14 +75,16 @@
 			n.roleLost(lease)
 			return
 		case !errs.Is(err, errs.NotLeader) && !rpc.IsUnsent(err):
-			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", schedulerRole, "err", err)
+			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", state.SchedulerRole,
+				"err", err)
 			return
 		}
 	}
 }
 
-// acceptGrant makes the scheduler act under a grant. The replica must reach the grant's index first: only then does it
-// have all handles of earlier epochs.
+// acceptGrant makes the scheduler act under a grant, or under its renewed lease. The replica must reach the grant's
+// index first: only then does it have all handles of earlier epochs. It fails with errs.Stale if another grant has
+// followed already, and with the error of WaitForIndex if the replica is behind.
 func (n *Node) acceptGrant(ctx context.Context, lease internalapi.RoleLease, sentAt time.Duration) error {
 	n.mu.Lock()
 	stale := lease.Epoch < n.grantedEpoch // the answers to claims in flight at once may arrive in any order
@@ -96,13 +100,13 @@
 	}
 	st := n.replica.Lock()
 	defer n.replica.Unlock()
-	role := st.Roles[schedulerRole]
+	role := st.Roles[state.SchedulerRole]
 	if role == nil || role.Epoch != lease.Epoch || role.Incarnation != n.opt.Incarnation {
 		return errs.New(errs.Stale, "grant %d is over", lease.Epoch)
 	}
 	if n.scheduler.Epoch() != lease.Epoch {
 		n.scheduler.BecomeLeader(n.opt.Clock.Now(), lease.Epoch)
-		_ = level.Info(n.opt.Logger).Log("msg", "role acquired", "role", schedulerRole, "epoch", lease.Epoch,
+		_ = level.Info(n.opt.Logger).Log("msg", "role acquired", "role", state.SchedulerRole, "epoch", lease.Epoch,
 			"handles", len(st.Handles), "queue", n.scheduler.QueueLength())
 	}
 	if until := sentAt + lease.TTL; lease.Epoch > n.leaseEpoch || until > n.leaseUntil {
@@ -113,8 +117,8 @@
 	return nil
 }
 
-// roleLost makes the scheduler idle if another node has the role. An answer with no newer epoch than this node's grant
-// was made before it, or says that the epoch ends: then the lease runs out by itself.
+// roleLost stops the scheduler if another node has the role. An answer whose epoch is not newer than this node's grant
+// was made before the grant, or announces that the epoch ends: then the lease runs out without further action.
 func (n *Node) roleLost(lease internalapi.RoleLease) {
 	n.mu.Lock()
 	had := n.grantedEpoch
@@ -125,8 +129,8 @@
 	n.grantedEpoch = 0
 	n.mu.Unlock()
 	n.stopScheduler()
-	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", schedulerRole, "epoch", had, "holder", lease.Holder,
-		"now", lease.Epoch)
+	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", state.SchedulerRole, "epoch", had,
+		"holder", lease.Holder, "now", lease.Epoch)
 }
 
 // StepDown makes the node unready and releases the role, so that another node can take it at once.
@@ -143,10 +147,10 @@
 	defer cancel()
 	release := n.roleClaim(epoch)
 	release.Release = true
-	_, err := askLeader(ctx, n.controlPlane, internalapi.ClaimRole, release, n.opt.CallTimeout, true)
+	_, err := callLeader(ctx, n.controlPlane, internalapi.ClaimRole, release, n.opt.CallTimeout, retryIdempotent)
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "release of the role failed, its lease will expire",
-			"role", schedulerRole, "epoch", epoch, "err", err)
+			"role", state.SchedulerRole, "epoch", epoch, "err", err)
 	}
 }
 
