--- a/cmd/crosstide-testbed/ready.go
+++ b/cmd/crosstide-testbed/ready.go
@@ -10,7 +10,6 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/testbed/fleet"
-	"crosstide/internal/testbed/pause"
 )
 
 func readyCommand() *cli.Command {
@@ -29,16 +28,16 @@
 	if err != nil {
 		return errs.Pass(err, "ready")
 	}
-	caller, clock := fleet.NewCaller(2), clock.Real{}
-	for deadline := clock.Now() + cmd.Duration("for"); ; {
+	caller, clk := fleet.NewCaller(2), clock.Real{}
+	for deadline := clk.Now() + cmd.Duration("for"); ; {
 		notReady := fleet.NotReady(ctx, caller, nodes)
 		if len(notReady) == 0 {
 			return nil
 		}
-		if clock.Now() >= deadline {
+		if clk.Now() >= deadline {
 			return errs.New(errs.Unavailable, "not ready: %s", strings.Join(notReady, " "))
 		}
-		if !pause.For(ctx, clock, readyPollInterval) {
+		if !clock.Sleep(ctx.Done(), clk, readyPollInterval) {
 			return errs.Wrap(ctx.Err(), errs.Stopped, "ready")
 		}
 	}
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -56,4 +56,9 @@
 		So(<-s.slept, ShouldBeFalse)
 		So(s.timer.Stop(), ShouldBeFalse)
 	})
+	Convey("Sleep returns false at once when done was closed before", t, func() {
+		done := make(chan struct{})
+		close(done)
+		So(Sleep(done, &Virtual{}, time.Hour), ShouldBeFalse)
+	})
 }
--- a/internal/testbed/billingload/operator.go
+++ b/internal/testbed/billingload/operator.go
@@ -20,7 +20,6 @@
 	"crosstide/internal/signature"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/fleet"
-	"crosstide/internal/testbed/pause"
 )
 
 // Price and reservation window of the party.
@@ -81,7 +80,7 @@
 			return nil, errs.New(errs.Kind(reply.ErrorKind()), "%s %s: %s", method, route, reply.Body)
 		case ctx.Err() == nil && o.clock.Now() <= deadline:
 			o.node++
-			pause.For(ctx, o.clock, retryBackoff)
+			clock.Sleep(ctx.Done(), o.clock, retryBackoff)
 		case err != nil:
 			return nil, errs.Wrap(err, errs.Timeout, "%s %s: no good answer within %s", method, route, orderTimeout)
 		default:
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -13,7 +13,6 @@
 	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/jobs"
 	"crosstide/internal/rpc"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -142,4 +141,6 @@
 }
 
 // sleep waits before another attempt; false when ctx has ended.
-func (c *client) sleep(ctx context.Context) bool { return pause.For(ctx, c.clock, retryInterval) }
+func (c *client) sleep(ctx context.Context) bool {
+	return clock.Sleep(ctx.Done(), c.clock, retryInterval)
+}
--- a/internal/testbed/faults/target.go
+++ b/internal/testbed/faults/target.go
@@ -14,7 +14,6 @@
 	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/testbed/fleet"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -92,4 +91,6 @@
 }
 
 // Sleep waits for d; false if ctx ends first.
-func (t *Target) Sleep(ctx context.Context, d time.Duration) bool { return pause.For(ctx, t.clock, d) }
+func (t *Target) Sleep(ctx context.Context, d time.Duration) bool {
+	return clock.Sleep(ctx.Done(), t.clock, d)
+}
--- a/internal/testbed/jobsworker/heartbeat.go
+++ b/internal/testbed/jobsworker/heartbeat.go
@@ -9,6 +9,7 @@
 
 	"github.com/go-kit/log/level"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/httpapi/jobsapi"
 	"crosstide/internal/rpc"
@@ -35,7 +36,7 @@
 func (h *Host) heartbeatLoop(ctx context.Context) {
 	for {
 		h.sendHeartbeat(ctx, jobsapi.StateReady)
-		if !h.sleep(ctx, h.settings.HeartbeatInterval, nil) {
+		if !clock.Sleep(ctx.Done(), h.clock, h.settings.HeartbeatInterval) {
 			return
 		}
 	}
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -23,7 +23,6 @@
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -85,7 +84,7 @@
 	return h, nil
 }
 
-// randomSuffix tells the incarnations of a machine's worker apart.
+// randomSuffix returns the part of a worker's ID that distinguishes its incarnations.
 func randomSuffix() string {
 	var suffix [6]byte
 	_, _ = rand.Read(suffix[:]) // never fails
@@ -179,23 +178,14 @@
 	return h.core.Status(h.now()), nil
 }
 
-// awaitEnd waits until an end is not acknowledged, or for a deadline.
+// awaitEnd waits until an end is not acknowledged, until deadline on the worker's clock or until ctx ends.
 func (h *Host) awaitEnd(ctx context.Context, deadline time.Duration) {
-	elapsed := make(chan struct{})
-	timer := h.clock.Set(deadline-h.now(), func() { close(elapsed) })
-	defer timer.Stop()
 	for {
 		h.mu.Lock()
 		hasEnd, changed := h.core.hasUnacknowledged(), h.changed
 		h.mu.Unlock()
-		if hasEnd || h.now() >= deadline {
-			return
-		}
-		select {
-		case <-changed:
-		case <-elapsed:
-			return
-		case <-ctx.Done():
+		remaining := deadline - h.now()
+		if hasEnd || remaining <= 0 || !h.waitForChange(ctx, remaining, changed) {
 			return
 		}
 	}
@@ -215,15 +205,23 @@
 		if hasDeadline {
 			interval = max(deadline-h.now(), time.Millisecond)
 		}
-		if !h.sleep(ctx, interval, changed) {
+		if !h.waitForChange(ctx, interval, changed) {
 			return
 		}
 	}
 }
 
-// sleep waits for a time or until changed is closed; false when ctx has ended.
-func (h *Host) sleep(ctx context.Context, d time.Duration, changed <-chan struct{}) bool {
-	return pause.Until(ctx, h.clock, d, changed)
+// waitForChange waits until changed is closed, at most for timeout. It returns false if ctx ends first.
+func (h *Host) waitForChange(ctx context.Context, timeout time.Duration, changed <-chan struct{}) bool {
+	elapsed := make(chan struct{})
+	defer h.clock.Set(timeout, func() { close(elapsed) }).Stop()
+	select {
+	case <-changed:
+	case <-elapsed:
+	case <-ctx.Done():
+		return false
+	}
+	return true
 }
 
 // drain makes the worker refuse all starts from here on, and reports that.
@@ -255,7 +253,7 @@
 		h.mu.Lock()
 		isIdle := h.core.IsIdle()
 		h.mu.Unlock()
-		if isIdle || !h.sleep(ctx, idlePollInterval, nil) {
+		if isIdle || !clock.Sleep(ctx.Done(), h.clock, idlePollInterval) {
 			return
 		}
 	}
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -23,7 +23,6 @@
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
 	"crosstide/internal/testbed/latency"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -129,5 +128,5 @@
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	return pause.For(ctx, g.clock, d)
+	return clock.Sleep(ctx.Done(), g.clock, d)
 }
--- a/internal/testbed/netproxy/connection.go
+++ b/internal/testbed/netproxy/connection.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/routine"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -86,7 +86,7 @@
 // wait waits until due; false if the connection ends before.
 func (c *connection) wait(due time.Duration) bool {
 	d := due - c.clock.Now()
-	return d <= 0 || pause.For(c.group.Context(), c.clock, d)
+	return d <= 0 || clock.Sleep(c.group.Context().Done(), c.clock, d)
 }
 
 // read queues a direction's bytes until its end, or until something of it is lost; then it discards the rest.
--- a/internal/testbed/operator/operator.go
+++ b/internal/testbed/operator/operator.go
@@ -22,7 +22,6 @@
 	"crosstide/internal/testbed/fleet"
 	"crosstide/internal/testbed/journal"
 	"crosstide/internal/testbed/latency"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -142,4 +141,6 @@
 }
 
 // sleep waits for d; false if ctx ends first.
-func (o *session) sleep(ctx context.Context, d time.Duration) bool { return pause.For(ctx, o.clock, d) }
+func (o *session) sleep(ctx context.Context, d time.Duration) bool {
+	return clock.Sleep(ctx.Done(), o.clock, d)
+}
--- a/internal/testbed/policyworker/driver.go
+++ b/internal/testbed/policyworker/driver.go
@@ -14,7 +14,6 @@
 	"crosstide/internal/internalapi"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -111,7 +110,7 @@
 	isLost bool, err error) {
 	delay, isLost := d.drawFaults(len(call.Starts) > 0)
 	if delay > 0 { // not of ctx: the call is carried out even if nobody waits for the answer any more
-		pause.For(d.host.group.Context(), d.host.clock, delay)
+		clock.Sleep(d.host.group.Context().Done(), d.host.clock, delay)
 	}
 	wait := make(chan Reply, 1)
 	var tag uint64
@@ -174,6 +173,6 @@
 		case answer.Interval > 0:
 			interval = answer.Interval
 		}
-		pause.For(ctx, h.clock, interval)
+		clock.Sleep(ctx.Done(), h.clock, interval)
 	}
 }
--- a/internal/testbed/rehearsal/zone.go
+++ b/internal/testbed/rehearsal/zone.go
@@ -10,7 +10,6 @@
 	"crosstide/internal/testbed/audit"
 	"crosstide/internal/testbed/faults"
 	"crosstide/internal/testbed/load"
-	"crosstide/internal/testbed/pause"
 )
 
 // ZoneOptions are what a zone is taken out with.
@@ -62,7 +61,7 @@
 	var faultErr, loadErr error
 	group := routine.New(ctx)
 	group.Go(func(ctx context.Context) {
-		if !pause.For(ctx, clock.Real{}, options.After) {
+		if !clock.Sleep(ctx.Done(), clock.Real{}, options.After) {
 			return
 		}
 		outAt = clock.Real{}.Wall()
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"time"
 
+	"crosstide/internal/clock"
 	"crosstide/internal/errs"
 	"crosstide/internal/routine"
 	"crosstide/internal/state"
 	"crosstide/internal/testbed/load"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -166,7 +166,7 @@
 
 // sleep waits for d. Failure: Stopped, if ctx ends first.
 func (p *Probe) sleep(ctx context.Context, d time.Duration) error {
-	if !pause.For(ctx, p.clock, d) {
+	if !clock.Sleep(ctx.Done(), p.clock, d) {
 		return errs.Wrap(ctx.Err(), errs.Stopped, "stopped")
 	}
 	return nil
--- a/internal/testbed/testclock/testclock_test.go
+++ b/internal/testbed/testclock/testclock_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"crosstide/internal/clock"
 )
 
 func TestElapsing(t *testing.T) {
@@ -14,4 +16,7 @@
 		c.Set(-time.Second, func() { calls++ })
 		So([]any{calls, c.Now(), c.Wall()}, ShouldResemble, []any{2, time.Second, time.Unix(1, 0)})
 	})
+	Convey("A sleep on it takes no time", t, func() {
+		So(clock.Sleep(nil, &Elapsing{}, time.Hour), ShouldBeTrue)
+	})
 }
