--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -20,7 +20,7 @@
 	Violations []string               // of the invariants; none: all held
 }
 
-// Evacuation is a time in which a zone was evacuated, by the answers to its order and its withdrawal.
+// Evacuation is a period in which a zone was evacuated: from the answer to the order until just before the restore.
 type Evacuation struct {
 	Zone     string
 	From, To time.Time
@@ -97,7 +97,7 @@
 	a.report.Violations = append(a.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// observe follows an event; the checks of runs are made at their start.
+// observe applies an event to the auditor's state. A run is checked when it starts.
 func (a *auditor) observe(e jobsworker.Event) {
 	switch e.Event {
 	case jobsworker.EventWorkerStart:
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -20,8 +20,8 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// client makes clients' and operators' calls. A call that may be repeated is sent again, to the next node, until its
-// ctx ends.
+// client makes the calls of a scenario's clients and operators. A call that failed and may be repeated is sent again,
+// to the next node, until its ctx ends.
 type client struct {
 	caller       *rpc.Client
 	clock        clock.Clock
@@ -29,7 +29,7 @@
 	controlAddrs []string // of the control planes
 }
 
-// newClient makes a client.
+// newClient returns a client of the data planes at fronts and the control planes at control.
 func newClient(caller *rpc.Client, clock clock.Clock, fronts, control []string) *client {
 	return &client{caller: caller, clock: clock, frontAddrs: fronts, controlAddrs: control}
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-// attempt sends a call once; isRetryable: it may be sent again.
+// attempt sends a call once. isRetryable reports whether it may be sent again.
 func (c *client) attempt(ctx context.Context, addr string, request rpc.Request,
 	answer any) (isRetryable bool, err error) {
 	response, err := c.caller.Do(ctx, addr, request, callTimeout)
@@ -140,7 +140,7 @@
 	return false, errs.Wrap(json.Unmarshal(response.Body, answer), errs.Malformed, "answer of %s", addr)
 }
 
-// sleep waits before another attempt; false when ctx has ended.
+// sleep waits before another attempt. It returns false if ctx ends first.
 func (c *client) sleep(ctx context.Context) bool {
 	return clock.Sleep(ctx.Done(), c.clock, retryInterval)
 }
--- a/internal/testbed/endtoend/jobs.go
+++ b/internal/testbed/endtoend/jobs.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// What the configuration of a scenario has.
+// The configuration of a scenario: one service and two queues.
 const (
 	Service  = "batch"
 	Urgent   = "urgent" // the queue of higher priority
@@ -26,7 +26,7 @@
 	Services []jobsapi.Service `json:"services"`
 }
 
-// configuration is the order that puts the scenario's configuration in force on top of a version.
+// configuration returns the body that puts the scenario's configuration in force on top of version base.
 func configuration(base uint64) any {
 	queue := func(name string, priority int) jobsapi.Queue {
 		return jobsapi.Queue{Name: name, Service: Service, Priority: priority, Attempts: Attempts, Stretch: 1,
@@ -72,7 +72,7 @@
 	LongRunning   bool   `json:"lasting,omitempty"`
 }
 
-// spec is the job as the product reads it.
+// spec returns the job as crosstide parses it.
 func (j Job) spec() (jobs.Spec, error) {
 	body, err := json.Marshal(j)
 	if err != nil {
@@ -82,12 +82,12 @@
 	return spec, errs.Pass(err, "job %s", j.ID)
 }
 
-// smallStep is a step of equal tasks that take little.
+// smallStep returns a step of equal tasks with small needs.
 func smallStep(tasks int) Step {
 	return Step{Tasks: tasks, MilliCPU: 200, MemoryMB: 32, Estimate: "100ms"}
 }
 
-// with returns the step changed.
+// with returns a copy of the step to which change was applied.
 func (s Step) with(change func(*Step)) Step {
 	change(&s)
 	return s
@@ -101,13 +101,13 @@
 	return Job{ID: id, Queue: queue, Payload: string(payload), Steps: steps, WantState: wantState, Program: program}
 }
 
-// bulkJob is the low-priority work that fills the workers and saves its progress: more urgent work preempts it.
+// bulkJob returns low-priority work that fills the workers and writes checkpoints: more urgent work preempts it.
 func bulkJob(workers int) Job {
 	step := Step{Tasks: 4 * workers, MilliCPU: 1000, MemoryMB: 64, Estimate: "4s", Checkpoints: true}
 	return newJob("bulk", Normal, jobs.Succeeded, jobsworker.Program{MS: 4000, SaveMS: 100}, step)
 }
 
-// longRunningJob is a job that runs until it is cancelled.
+// longRunningJob returns a job that runs until it is cancelled.
 func longRunningJob() Job {
 	step := smallStep(1).with(func(s *Step) { s.LongRunning = true })
 	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, step)
--- a/internal/testbed/endtoend/processes.go
+++ b/internal/testbed/endtoend/processes.go
@@ -83,7 +83,7 @@
 	return errs.Wrap(proc.cmd.Process.Signal(signal), errs.Unknown, "signal %s", name)
 }
 
-// Wait waits until a process has ended; false when ctx ended first.
+// Wait waits until a process has ended. It returns false if ctx ends first.
 func (p *Processes) Wait(ctx context.Context, name string) bool {
 	p.mu.Lock()
 	proc := p.running[name]
--- a/internal/testbed/endtoend/scenario.go
+++ b/internal/testbed/endtoend/scenario.go
@@ -58,7 +58,7 @@
 	return s.result, errs.Pass(err, "drill")
 }
 
-// scenario is a scenario under way. Its phases run one after the other.
+// scenario is a scenario in progress. Its phases run one after the other.
 type scenario struct {
 	plan        Plan
 	processes   *Processes
@@ -77,12 +77,12 @@
 	fmt.Fprintf(s.out, "%6.2fs  %s\n", elapsed, fmt.Sprintf(format, args...))
 }
 
-// await polls until isSo holds. Failures: Timeout, those of isSo.
-func (s *scenario) await(ctx context.Context, what string, isSo func(ctx context.Context) (bool, error)) error {
+// await polls until condition is true, and logs what. Failures: Timeout, those of condition.
+func (s *scenario) await(ctx context.Context, what string, condition func(ctx context.Context) (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	for {
-		ok, err := isSo(ctx)
+		ok, err := condition(ctx)
 		if err != nil {
 			return errs.Pass(err, "%s", what)
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-// prepare waits for the leader and the workers and puts the configuration in force.
+// prepare puts the configuration in force, which takes a leader, and waits for all workers.
 func (s *scenario) prepare(ctx context.Context) error {
 	if err := s.client.Configure(ctx, http.MethodPut, configuration(0)); err != nil {
 		return errs.Pass(err, "settle")
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// drainWorker signals the last worker to leave.
+// drainWorker signals the last worker to leave and waits until the leader has seen it drain.
 func (s *scenario) drainWorker(ctx context.Context) error {
 	name := s.plan.Shapes[len(s.plan.Shapes)-1].Name
 	if err := s.processes.Signal(name, syscall.SIGTERM); err != nil {
--- a/internal/testbed/endtoend/workers.go
+++ b/internal/testbed/endtoend/workers.go
@@ -38,7 +38,7 @@
 	return out
 }
 
-// settings are those of the shape's process.
+// settings returns the settings of the shape's process.
 func (s Shape) settings(address string, core []string, journal string) jobsworker.Settings {
 	return jobsworker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack,
 		Labels: s.Labels, Capacity: s.Capacity, ControlAddrs: core, Journal: journal}
--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -14,7 +14,7 @@
 // maxEndsPerAnswer is how many ends one answer lists.
 const maxEndsPerAnswer = 200
 
-// core is one incarnation of a worker as a step machine, without a clock or a network of its own. Every method takes
+// core is the step function of one incarnation of a worker: it has no clock, network or goroutine. Every method takes
 // the time on the worker's clock, which must not go back. It is not safe for concurrent use; its owner is Host.
 type core struct {
 	id             string
@@ -29,7 +29,7 @@
 	record         func(Event)
 }
 
-// newCore makes a worker without runs; record is called with all that it does.
+// newCore returns a worker without runs. It calls record with each event of its journal.
 func newCore(id string, capacity jobs.Resources, record func(Event)) *core {
 	return &core{id: id, capacity: capacity, closedUpTo: map[jobs.TaskRef]int{}, record: record}
 }
@@ -42,7 +42,7 @@
 
 func (c *core) hasUnacknowledged() bool { return len(c.unacknowledged) > 0 }
 
-// NextDeadline is when Advance is to be called at the latest; false if nothing runs.
+// NextDeadline returns the time by which Advance must be called, and false if nothing runs.
 func (c *core) NextDeadline() (time.Duration, bool) {
 	if len(c.runs) == 0 {
 		return 0, false
@@ -56,8 +56,8 @@
 	return next, true
 }
 
-// Advance ends the runs that are due: those that end by themselves, and, when the lease has expired, all that still
-// run. A run that was over before the lease expired has its own end. It reports whether any run ended.
+// Advance ends the runs that are due: those that end by themselves, and all others once the lease has expired. A run
+// whose end came before the lease expired keeps that end reason. It reports whether any run ended.
 func (c *core) Advance(now time.Duration) bool {
 	hasEnded := false
 	for _, r := range slices.Clone(c.runs) {
@@ -75,7 +75,7 @@
 	return hasEnded
 }
 
-// end is the one place where a run ends: it is listed until acknowledged, and journaled.
+// end removes a run, lists its end until that is acknowledged, and journals it. No run ends otherwise.
 func (c *core) end(r *run, at time.Duration, reason jobs.EndReason) {
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
 	c.closeUpTo(r.key)
@@ -87,12 +87,12 @@
 		Checkpoint: ended.Checkpoint})
 }
 
-// closeUpTo makes a run, and all before it of the same task, impossible to start.
+// closeUpTo ensures that neither a run nor an earlier one of its task starts any more.
 func (c *core) closeUpTo(key jobs.RunKey) {
 	c.closedUpTo[key.Task] = max(c.closedUpTo[key.Task], key.Number)
 }
 
-// observeToken keeps the highest fencing token; false if this one is lower, so that the call must change nothing.
+// observeToken keeps the highest fencing token. It returns false if token is lower: the call must change nothing.
 func (c *core) observeToken(token uint64) bool {
 	if token < c.token {
 		return false
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// fits reports whether there is capacity for needs beside all that runs.
+// fits reports whether the free capacity suffices for needs.
 func (c *core) fits(needs jobs.Resources) bool {
 	for _, r := range c.runs {
 		needs.MilliCPU += r.needs.MilliCPU
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// RenewLease extends the lease and drops the ends that are acknowledged. The answer is Status, at once or later.
+// RenewLease extends the lease and drops the ends that are acknowledged. Its owner answers with Status, now or later.
 // Failures: Unknown, Stale: it is fenced.
 func (c *core) RenewLease(now time.Duration, call workerapi.RenewLeaseCall) error {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// Status is what runs and which ends are not acknowledged.
+// Status returns the runs in progress and the ends that are not acknowledged, at most maxEndsPerAnswer of them.
 func (c *core) Status(now time.Duration) workerapi.RenewLeaseAnswer {
 	answer := workerapi.RenewLeaseAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{},
 		More: len(c.unacknowledged) > maxEndsPerAnswer}
@@ -224,7 +224,7 @@
 	return answer
 }
 
-// StopAll ends all that runs, as the worker leaves.
+// StopAll stops all runs: the worker leaves.
 func (c *core) StopAll(now time.Duration) {
 	c.Advance(now)
 	for _, r := range slices.Clone(c.runs) {
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -1,6 +1,7 @@
-// Package jobsworker is the stand-in worker of the testbed for the jobs deployment, by the contract of
-// internal/httpapi/workerapi: it guards its own capacity, keeps its lease by its own clock, refuses fenced orders and
-// journals all that it does. It starts no real work: a run is a Program, a length of time and an outcome.
+// Package jobsworker is the testbed's stand-in for a worker of the jobs deployment. It keeps the contract of
+// internal/httpapi/workerapi: it refuses what exceeds its capacity, kills its runs when the lease expires by its own
+// clock, refuses fenced orders and journals every event. It starts no real work: a run is a Program, a duration and an
+// outcome.
 //
 // Host is the process: it serves the calls, sends the heartbeats and wakes at the deadlines of its core, which decides.
 // Begin with core.Advance and core.Start.
@@ -98,10 +99,10 @@
 	return errs.Pass(err, "journal")
 }
 
-// ID is the worker's ID, which no other incarnation has.
+// ID returns the worker's ID, which is unique to the incarnation.
 func (h *Host) ID() string { return h.id }
 
-// record journals an event. A worker that cannot write its journal is of no use to the audit: it ends at once.
+// record journals an event. The audit cannot judge a worker without a complete journal, so a failed write ends it.
 func (h *Host) record(e Event) {
 	if h.writer == nil {
 		return
@@ -113,8 +114,8 @@
 	}
 }
 
-// Run answers calls and sends heartbeats until ctx ends. Then the worker drains: nothing new starts, what runs has the
-// grace to end; it stops the rest and reports that it leaves.
+// Run answers calls and sends heartbeats until ctx ends. Then the worker drains: it refuses starts, waits up to the
+// grace for its runs to end, stops the rest and reports that it leaves.
 func (h *Host) Run(ctx context.Context) error {
 	h.group.Go(h.advanceLoop)
 	h.group.Go(h.heartbeatLoop)
@@ -138,10 +139,10 @@
 	}
 }
 
-// now is the worker's own clock, which starts with its incarnation.
+// now returns the time on the worker's clock, which starts at 0 with the incarnation.
 func (h *Host) now() time.Duration { return h.clock.Now() - h.startedAt }
 
-// broadcastLocked wakes all that wait for a change of core. The mutex is held.
+// broadcastLocked wakes all goroutines that wait for a change of core. h.mu is held.
 func (h *Host) broadcastLocked() {
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -233,8 +234,8 @@
 	h.sendHeartbeat(ctx, jobsapi.StateDraining)
 }
 
-// drainAndStop drains, lets what runs end within the grace, stops the rest, and reports that the worker leaves once all
-// ends are acknowledged.
+// drainAndStop drains, waits for the runs to end within the grace, stops the rest, and reports that the worker leaves
+// once all ends are acknowledged.
 func (h *Host) drainAndStop() {
 	ctx := h.group.Context()
 	h.drain(ctx)
@@ -247,7 +248,7 @@
 	h.sendHeartbeat(ctx, jobsapi.StateLeaving)
 }
 
-// awaitIdle waits until nothing runs and all ends were acknowledged, at most for timeout.
+// awaitIdle waits until nothing runs and all ends are acknowledged, at most for timeout.
 func (h *Host) awaitIdle(ctx context.Context, timeout time.Duration) {
 	for deadline := h.now() + timeout; h.now() < deadline; {
 		h.mu.Lock()
--- a/internal/testbed/jobsworker/run.go
+++ b/internal/testbed/jobsworker/run.go
@@ -25,15 +25,15 @@
 	resumed time.Duration // work that earlier runs of the task had saved
 }
 
-// progress is the work that is done by now, with what was resumed.
+// progress returns the work done by now, including what the checkpoint of the start had.
 func (r *run) progress(now time.Duration) time.Duration { return now - r.began + r.resumed }
 
-// endsAt is when a run ends by itself; false if it does not.
+// endsAt returns when a run ends by itself, and false if it does not.
 func (r *run) endsAt() (time.Duration, bool) {
 	return r.began - r.resumed + r.program.duration(), r.program.MS >= 0
 }
 
-// outcome is how a run ends by itself.
+// outcome returns the reason with which a run ends by itself.
 func (r *run) outcome() jobs.EndReason {
 	if r.key.Number <= r.program.Fails {
 		return jobs.EndFailed
@@ -41,7 +41,7 @@
 	return jobs.EndDone
 }
 
-// checkpoint is the work that a run has saved by now, in milliseconds; empty without any.
+// checkpoint returns the work that a run has saved by now, in milliseconds, and "" if it has saved none.
 func (r *run) checkpoint(now time.Duration) string {
 	interval := time.Duration(r.program.SaveMS) * time.Millisecond
 	if interval <= 0 {
@@ -63,7 +63,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// percent is how much of a run is done.
+// percent returns how much of a run is done.
 func (r *run) percent(now time.Duration) int {
 	if r.program.MS <= 0 {
 		return 0
--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -1,7 +1,7 @@
-// Package policyworker is the stand-in worker of the testbed for the policy deployment, by the contract of
-// docs/ops/minion-contract.md. It starts no real work: a run is a program, a length of time and an outcome.
+// Package policyworker is the testbed's stand-in for a worker of the policy deployment. It keeps the contract of
+// docs/ops/minion-contract.md. It starts no real work: a run is a program, a duration and an outcome.
 //
-// Core is a pure step machine: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions what is to be done. Host
+// Core is a step function: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions its results. Host
 // is the process around one or many cores, on a real clock; the simulator internal/testbed/policysim drives the same
 // Core on a virtual one. Begin with Core.process and Core.RenewLease.
 package policyworker
@@ -25,7 +25,7 @@
 // Never is Actions.WakeAt of a core that waits for nothing but calls.
 const Never = time.Duration(math.MaxInt64)
 
-// Traits are what a core is, for all of one incarnation.
+// Traits are the properties of a worker that stay the same for an incarnation.
 type Traits struct {
 	Name, Incarnation string
 	Kind              string // KindObey or KindCheck
@@ -46,7 +46,7 @@
 	Err    error
 }
 
-// Actions is what an input brings about, to be done in the order of the fields.
+// Actions is the result of a step, which its driver carries out in the order of the fields.
 type Actions struct {
 	Journal []journal.Entry // At is not set
 	Replies []Reply         // a call without a reply in its own step is a long poll
@@ -54,8 +54,8 @@
 	Exit    bool            // the process is to exit
 }
 
-// Core is one incarnation of a worker as a pure step machine: no clock, socket or goroutine of its own. Every input
-// carries the worker's own clock, which starts at 0 with the incarnation, counts suspension and never goes back.
+// Core is the step function of one incarnation of a worker: it has no clock, socket or goroutine. Every input carries
+// the time on the worker's clock, which starts at 0 with the incarnation, counts suspension and never goes back.
 // It is not safe for concurrent use; its owner is a driver of Host, or the simulator. Example:
 //
 //	core := policyworker.NewCore(policyworker.Traits{Name: "m1", Incarnation: "b1", Kind: policyworker.KindCheck,
@@ -91,7 +91,7 @@
 	deadline time.Duration
 }
 
-// NewCore makes a core that has not started.
+// NewCore returns a core that has not started.
 func NewCore(t Traits) *Core { return &Core{traits: t, leaveDeadline: Never, hasUpdate: true} }
 
 // Start journals the incarnation, at clock 0.
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// observe keeps the epoch, the floor and the acknowledgements of a call. A new epoch or floor is answered at once, and
-// so is a caller that knows another incarnation.
+// observe applies the epoch, the floor and the acknowledgements of a call. A call with a new epoch or floor, or for
+// another incarnation, is answered at once: it is no long poll.
 func (c *Core) observe(call internalapi.LeaseCall) {
 	isOtherIncarnation := call.Incarnation != "" && call.Incarnation != c.traits.Incarnation
 	if call.Epoch > c.epoch || call.Floor > c.runIDFloor || isOtherIncarnation {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Tick lets time pass: runs end, leases expire, a long poll is answered.
+// Tick does what is due by now: it ends runs, expires leases and answers a long poll.
 func (c *Core) Tick(now time.Duration) Actions { return c.process(now, func() {}) }
 
 // Drain switches draining. With leave it is final: the core leaves once nothing runs and all ends are
@@ -192,7 +192,7 @@
 	}
 }
 
-// process makes a step: first what is due, then the input, then what follows from both.
+// process executes a step: first what is due, then the input, then what follows from both.
 func (c *Core) process(now time.Duration, input func()) Actions {
 	c.now, c.actions = max(c.now, now), &Actions{WakeAt: Never}
 	c.endDueRuns()
@@ -213,7 +213,7 @@
 	return *c.actions
 }
 
-// nextDeadline is when something is due without a call, or Never.
+// nextDeadline returns when something is due without a call, or Never.
 func (c *Core) nextDeadline() time.Duration {
 	next := c.leaveDeadline
 	for _, r := range c.runs {
@@ -236,7 +236,7 @@
 	c.actions.Replies = append(c.actions.Replies, Reply{Tag: tag, Err: err})
 }
 
-// replyAnswer reports all that there is. A listed end is proof that nothing of its run ID runs.
+// replyAnswer answers a call with all runs and all ends. A listed end proves that nothing runs under its run ID.
 func (c *Core) replyAnswer(tag, call uint64, refused []internalapi.StartRefusal) {
 	var running []uint64
 	for _, r := range c.runs {
@@ -275,7 +275,7 @@
 	c.actions.Journal = append(c.actions.Journal, e)
 }
 
-// addSaturating is a+b, at most Never.
+// addSaturating returns a+b, at most Never.
 func addSaturating(a, b time.Duration) time.Duration {
 	if b > Never-a {
 		return Never
--- a/internal/testbed/policyworker/driver.go
+++ b/internal/testbed/policyworker/driver.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// renewLease passes a call to the core, perhaps late, and waits for its answer; isLost: that is to be dropped.
+// renewLease passes a call to the core, perhaps late, and waits for its answer. isLost reports that the answer is to be
+// dropped.
 func (d *driver) renewLease(ctx context.Context, call internalapi.LeaseCall) (answer internalapi.LeaseAnswer,
 	isLost bool, err error) {
 	delay, isLost := d.drawFaults(len(call.Starts) > 0)
--- a/internal/testbed/policyworker/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -100,10 +100,10 @@
 	return hex.EncodeToString(id[:])
 }
 
-// Addr is the host:port that all workers of the host are reached at.
+// Addr returns the host:port at which all workers of the host listen.
 func (h *Host) Addr() string { return h.server.Addr() }
 
-// Run announces the workers and answers until ctx ends or all have left after a drain; then it closes the host.
+// Run announces the workers and answers calls until ctx ends or all have left after a drain; then it closes the host.
 // A journal that cannot be written ends it with the failure Disk.
 func (h *Host) Run(ctx context.Context) error {
 	_ = level.Info(h.logger).Log("msg", "workers started", "addr", h.Addr(), "count", len(h.drivers),
@@ -151,7 +151,8 @@
 	return h.err
 }
 
-// workerLeft counts a worker that has left; err: it could not write its journal, which ends the host.
+// workerLeft counts a worker that has left. A non-nil err means that it could not write its journal, which ends the
+// host.
 func (h *Host) workerLeft(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/policyworker/run.go
+++ b/internal/testbed/policyworker/run.go
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// expireAtStart reports a run whose lease had expired before it started. While a run of the same ID goes on, that is
-// not listed as ended.
+// expireAtStart ends a run whose lease had expired before it started. The end is journaled, but not listed while
+// another run of the same ID is in progress: a listed end proves that nothing runs under its ID.
 func (c *Core) expireAtStart(r *run) {
 	r.outcome, r.reason = internalapi.OutcomeLeaseExpired, "the hold had lapsed before the start"
 	if c.isRunning(r.order.RunID) {
@@ -119,7 +119,7 @@
 	c.endRuns(func(r *run) bool { return r.endsAt <= c.now }, journal.End, "", "")
 }
 
-// endRuns ends the runs that match; an empty outcome leaves them their own.
+// endRuns ends the runs that match, with outcome and reason, or with those that were drawn if outcome is empty.
 func (c *Core) endRuns(match func(*run) bool, event, outcome, reason string) {
 	c.runs = slices.DeleteFunc(c.runs, func(r *run) bool {
 		if !match(r) {
--- a/internal/testbed/policyworker/settings.go
+++ b/internal/testbed/policyworker/settings.go
@@ -49,7 +49,7 @@
 	Seed            uint64   `json:"seed"` // of all four
 }
 
-// Defaults are the settings that need not be given.
+// Defaults returns the settings with the defaults of all that are optional.
 func Defaults() Settings {
 	return Settings{Addr: "127.0.0.1:0", Kind: KindCheck, Cores: 4, Count: 1, Grace: Duration(10 * time.Second),
 		SlowFactor: 1}
@@ -94,7 +94,7 @@
 	return errs.Wrap(errors.Join(problems...), errs.Settings, "settings of the minion")
 }
 
-// names are those of the workers.
+// names returns the names of the workers.
 func (s Settings) names() []string {
 	if s.Count == 1 {
 		return []string{s.Name}
