--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -2,8 +2,8 @@
 // against the journals of the workers, clients, operators and injected faults of a run. It trusts no daemon: Check is a
 // pure function over a History of journal lines, to which CheckFleet adds what the public API answers at the end.
 //
-// Each invariant is one function in the table checks, in the file of its subject: runs (spans.go, runs.go), placement,
-// drains and evacuations (windows.go), jobs, bundle versions. MeasureOutage and Lags measure, they judge nothing.
+// Begin with the table checks: each invariant is one function, in the file of its subject: runs (spans.go, runs.go),
+// placement, drains and evacuations (windows.go), jobs, bundle versions. MeasureOutage and Lags only measure.
 package audit
 
 import (
@@ -16,7 +16,7 @@
 	"crosstide/internal/errs"
 )
 
-// What the promises grant.
+// Time that the invariants allow for an order to take effect.
 const (
 	cancelGrace   = 3 * time.Second // from a cancel's acknowledgement to the last start of its job
 	knownGrace    = 3 * time.Second // from a job's acceptance until no node may call it unknown
@@ -32,13 +32,13 @@
 	NotExercised = "not exercised"
 )
 
-// Finding is what the audit says of one invariant.
+// Finding is the result of the audit for one invariant.
 type Finding struct {
 	Invariant string   `json:"promise"`
 	Verdict   string   `json:"verdict"`
 	Cases     int      `json:"cases"` // in which it could have been violated
 	Note      string   `json:"note,omitempty"`
-	Lines     []string `json:"lines,omitempty"` // the offending ones; any: it is violated
+	Lines     []string `json:"lines,omitempty"` // the offending ones; if there is one, the invariant is violated
 }
 
 // violate adds a violation, with the lines that prove it.
@@ -54,11 +54,11 @@
 // known is the invariant that probe adds cases to.
 const known = "known"
 
-// checks are the invariants, in the order of the design's table. A nil check has no evidence in the journals.
+// checks are the invariants, in the order of the design's table. An invariant that journals cannot prove has no check.
 var checks = []struct {
 	invariant    string
 	check        func(h History, f *Finding)
-	notCheckable string // why, of a nil check
+	notCheckable string // why check is nil
 }{
 	{"once", checkSingleRun, ""},
 	{"ticket-newer", checkRunIDsIncrease, ""},
--- a/internal/testbed/audit/history.go
+++ b/internal/testbed/audit/history.go
@@ -1,6 +1,7 @@
 package audit
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -24,7 +25,7 @@
 	Wipe     = "wipe"     // testbed: the data of Node were removed
 )
 
-// Source is whose journal a line is of.
+// Source is the kind of process that wrote a line.
 type Source string
 
 // Sources, by the prefix of the journal's name; without one of these prefixes it is a worker's.
@@ -37,7 +38,7 @@
 
 // Event is one line of any journal: which fields are set depends on its Source.
 type Event struct {
-	journal.Entry // of a worker's line; of any line At and Event, and what else it has
+	journal.Entry // At and Event are set for every line; the rest for a worker's line, else where the line has the key
 	State         string
 	Node          string
 	Team          string
@@ -50,13 +51,13 @@
 	Raw    string
 }
 
-// String is where the line stands, and the line.
+// String returns the file, the number and the text of the line.
 func (e Event) String() string { return fmt.Sprintf("%s:%d %s", e.File, e.Line, e.Raw) }
 
-// since reports how long after at (Unix ns) e is.
+// since returns the time from at (Unix ns) to e.
 func (e Event) since(at int64) time.Duration { return time.Duration(e.At - at) }
 
-// task identifies a task for good.
+// task identifies a task across all its runs.
 type task struct {
 	job, step string
 	index     int
@@ -86,7 +87,7 @@
 }
 
 // byTime orders events by their time.
-func byTime(a, b Event) int { return int(min(max(a.At-b.At, -1), 1)) }
+func byTime(a, b Event) int { return cmp.Compare(a.At, b.At) }
 
 // byWorker returns each worker's events in the order they were written.
 func (h History) byWorker() map[string][]Event {
--- a/internal/testbed/audit/jobs.go
+++ b/internal/testbed/audit/jobs.go
@@ -23,7 +23,8 @@
 	return out
 }
 
-// checkCancel: no start of a job later than the grace after its cancel was acknowledged. Cases are the cancelled jobs.
+// checkCancel checks that no run of a job starts later than the grace after its cancel was acknowledged. Cases are the
+// cancelled jobs.
 func checkCancel(h History, f *Finding) {
 	cancelled := firstByJob(h.filter(Client, load.Cancelled))
 	f.Cases = len(cancelled)
@@ -34,8 +35,8 @@
 	}
 }
 
-// checkKnown: no poll of an accepted job finds that it is not there, later than the grace after it was accepted. Cases
-// are the accepted jobs that were polled.
+// checkKnown checks that no poll of an accepted job is answered with 404 later than the grace after the acceptance.
+// Cases are the accepted jobs that were polled.
 func checkKnown(h History, f *Finding) {
 	accepted, polled, early := acceptedJobs(h), map[string]bool{}, 0
 	for _, e := range h.filter(Client, load.Poll) {
@@ -58,7 +59,8 @@
 	}
 }
 
-// checkDone: when a poll finds a job done, every task of it has succeeded before. Cases are the jobs found done.
+// checkDone checks that every task of a job has succeeded before a poll finds the job done. Cases are the jobs found
+// done.
 func checkDone(h History, f *Finding) {
 	accepted, succeeded, checked := acceptedJobs(h), successfulEnds(h), map[string]bool{}
 	for _, e := range h.filter(Client, load.Poll) {
@@ -78,8 +80,8 @@
 	}
 }
 
-// checkRepair: after a disk was wiped and another node of the same role was killed, all that was accepted before is
-// still known. Cases are wipes with a later kill of another node and a poll after that.
+// checkRepair checks that no accepted job is lost when the data of one node are wiped and another node of the same role
+// is killed after that. Cases are the wipes with such a kill and a poll after it.
 func checkRepair(h History, f *Finding) {
 	polls, accepted := h.filter(Client, load.Poll), acceptedJobs(h)
 	for _, wipe := range h.filter(Testbed, Wipe) {
--- a/internal/testbed/audit/lags.go
+++ b/internal/testbed/audit/lags.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/testbed/load"
 )
 
-// Lag is how long the fleet took to follow orders of one kind. A case that nothing had to follow any more counts as 0.
+// Lag is how long the fleet took to carry out orders of one kind. A case in which no run was concerned counts as 0.
 type Lag struct {
 	What  string        `json:"what"`
 	Cases int           `json:"cases"`
@@ -30,11 +30,11 @@
 	return l
 }
 
-// lagsOf collects the cases of one kind of order.
-type lagsOf struct{ toLastStart, toLastEnd []time.Duration }
+// lagCases collects the cases of one kind of order.
+type lagCases struct{ toLastStart, toLastEnd []time.Duration }
 
 // add measures one case: from the order, which opens w, to the last start and to the last end of the runs of concern.
-func (l *lagsOf) add(w window, runs []span, concerns func(Event) bool) {
+func (l *lagCases) add(w window, runs []span, concerns func(Event) bool) {
 	var start, end time.Duration
 	for _, s := range runs {
 		if s.start.At >= w.to || s.to <= w.from || !concerns(s.start) {
@@ -48,7 +48,7 @@
 	l.toLastStart, l.toLastEnd = append(l.toLastStart, start), append(l.toLastEnd, end)
 }
 
-func (l *lagsOf) lags(what string) []Lag {
+func (l *lagCases) lags(what string) []Lag {
 	return []Lag{newLag(what+" to last start", l.toLastStart), newLag(what+" to last end", l.toLastEnd)}
 }
 
@@ -61,11 +61,11 @@
 	for _, s := range runs {
 		byJob[s.start.Job] = append(byJob[s.start.Job], s)
 	}
-	var cancels lagsOf
+	var cancels lagCases
 	for _, e := range h.filter(Client, load.Cancelled) {
 		cancels.add(window{from: e.At, to: math.MaxInt64}, byJob[e.Job], func(Event) bool { return true })
 	}
-	out := cancels.lags("cancel")
+	lags := cancels.lags("cancel")
 	for _, kind := range []struct {
 		what     string
 		windows  map[string][]window
@@ -75,13 +75,13 @@
 		{"drain ordered", orderedDrains(h), startedOn},
 		{"evacuation", evacuations(h), startedIn},
 	} {
-		var all lagsOf
+		var cases lagCases
 		for name, list := range kind.windows {
 			for _, w := range list {
-				all.add(w, runs, kind.concerns(name))
+				cases.add(w, runs, kind.concerns(name))
 			}
 		}
-		out = append(out, all.lags(kind.what)...)
+		lags = append(lags, cases.lags(kind.what)...)
 	}
-	return out
+	return lags
 }
--- a/internal/testbed/audit/outage.go
+++ b/internal/testbed/audit/outage.go
@@ -7,7 +7,8 @@
 	"crosstide/internal/testbed/load"
 )
 
-// Outage is how long the service was away after a fault, in seconds; below 0: it was not seen to come back.
+// Outage is how long the service was unavailable after a fault, in seconds. A value below 0 means that the journals do
+// not show it available again.
 type Outage struct {
 	FirstAccept float64 `json:"first_accept_s"` // until a job was accepted that was first submitted after the fault
 	FirstStart  float64 `json:"first_start_s"`  // until a run started after the fault
@@ -25,19 +26,20 @@
 		isNew[e.Job] = e.At > at
 	}
 	accepted := h.filter(Client, load.Accepted)
-	out := Outage{FirstAccept: -1}
+	outage := Outage{FirstAccept: -1}
 	for _, e := range accepted {
 		if e.At > at && isNew[e.Job] {
-			out.FirstAccept = e.since(at).Seconds()
+			outage.FirstAccept = e.since(at).Seconds()
 			break
 		}
 	}
-	_, out.AcceptGap = gaps(accepted, at)
-	out.FirstStart, out.StartGap = gaps(h.filter(Worker, journal.Start), at)
-	return out
+	_, outage.AcceptGap = gaps(accepted, at)
+	outage.FirstStart, outage.StartGap = gaps(h.filter(Worker, journal.Start), at)
+	return outage
 }
 
-// gaps returns the time from at to the first of events in order, and the longest between two; below 0: none came.
+// gaps returns, in seconds, the time from at to the first later event, and the longest time without one up to the last.
+// Both are below 0 if there is no later event. events are in order of time.
 func gaps(events []Event, at int64) (first, longest float64) {
 	first, longest = -1, -1
 	last := at
--- a/internal/testbed/audit/placement.go
+++ b/internal/testbed/audit/placement.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/testbed/operator"
 )
 
-// checkPlacement: a run's worker has the labels that the client asked for (by the accepted job, else by the order), and
-// the start is within the placement policy of its queue.
+// checkPlacement checks that a run's worker has the labels that the client asked for (by the accepted job, else by the
+// order), and that the start is within the placement policy of its queue.
 func checkPlacement(h History, f *Finding) {
 	asked := map[[2]string]map[string]string{} // by job and step
 	for _, e := range h.filter(Client, load.Accepted) {
@@ -65,11 +65,11 @@
 		return nil // it is the store's own
 	}
 	out := []versionWindow{{window{from: math.MinInt64, to: math.MaxInt64}, initial}}
-	acked := h.filter(Operator, operator.Force)
-	slices.SortStableFunc(acked, func(a, b Event) int {
+	acknowledged := h.filter(Operator, operator.Force)
+	slices.SortStableFunc(acknowledged, func(a, b Event) int {
 		return int(a.OperatorEntry.Version) - int(b.OperatorEntry.Version)
 	})
-	for _, e := range acked {
+	for _, e := range acknowledged {
 		b, err := bundle.Parse(e.OperatorEntry.Bundle)
 		if err != nil {
 			continue // found by checkReadBack: it is not what was signed
@@ -107,7 +107,7 @@
 	workers  map[incarnation]Event // as they reported themselves
 }
 
-// checkPlacementPolicy: each start fits a version that may have been in force then.
+// checkPlacementPolicy checks that each start fits a bundle version that may have been in force then.
 func checkPlacementPolicy(h History, f *Finding) {
 	if len(h.filter(Operator, operator.Force)) == 0 {
 		f.Note = "labels; no bundle was changed"
@@ -140,8 +140,8 @@
 	}
 }
 
-// violation reports why a start fits none of the versions that may have been in force, and the last of these; "" if it
-// fits one.
+// violation returns why a start fits none of the versions that may have been in force, and the event that put the last
+// of them in force. The reason is "" if the start fits one.
 func (c placementChecker) violation(start Event) (reason string, last Event) {
 	for _, v := range c.versions {
 		if !v.contains(start.At) {
@@ -155,7 +155,7 @@
 	return reason, last
 }
 
-// misfit reports why a start is not within a bundle; "" if it is.
+// misfit returns why a bundle does not allow a start, and "" if it does.
 func (c placementChecker) misfit(b state.Bundle, start Event) string {
 	worker, team := c.workers[start.incarnation()], c.teams[start.Job]
 	q, ok := b.Queues[start.Queue]
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -52,7 +52,8 @@
 	return out, answered
 }
 
-// probeJob asks a node for a job; false if the answer says nothing about it.
+// probeJob asks a node for a job and returns the answer as a poll of a client. It returns false if the answer proves
+// nothing: there was none, or it is neither a job nor a 404.
 func probeJob(ctx context.Context, caller Caller, node fleet.Node, job string) (Event, bool) {
 	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/jobs/"+job, nil, probeTimeout)
 	if err != nil || !reply.IsSuccess() && reply.Status != http.StatusNotFound {
--- a/internal/testbed/audit/runs.go
+++ b/internal/testbed/audit/runs.go
@@ -6,7 +6,8 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// checkSingleRun: no two runs of a task at once, none after one that succeeded, no run ID started twice.
+// checkSingleRun checks that no two runs of a task overlap, that none starts after one that succeeded, and that no run
+// ID is started twice. Cases are the runs.
 func checkSingleRun(h History, f *Finding) {
 	succeeded := successfulEnds(h)
 	cut := 0
@@ -58,8 +59,8 @@
 	return out
 }
 
-// checkRunIDsIncrease: every start carries a run ID above all that its worker was ordered to start before, also in
-// older incarnations, for a run ID is assigned to one incarnation only.
+// checkRunIDsIncrease checks that every start has a run ID above all that its worker was ordered to start before, also
+// in older incarnations, for a run ID is assigned to one incarnation only. Cases are the starts.
 func checkRunIDsIncrease(h History, f *Finding) {
 	for _, events := range h.byWorker() {
 		var newest Event // order
@@ -79,8 +80,8 @@
 	}
 }
 
-// checkFencing: once any run was started under an epoch, none starts under an older one. Cases are the starts after the
-// first change of epoch.
+// checkFencing checks that once any run was started under an epoch, none starts under an older one. Cases are the
+// starts after the first change of epoch.
 func checkFencing(h History, f *Finding) {
 	var newest, first Event
 	for i, e := range h.filter(Worker, journal.Start) {
--- a/internal/testbed/audit/spans.go
+++ b/internal/testbed/audit/spans.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// span is the time in which a run surely ran.
+// span is the period in which a run was in progress beyond doubt.
 type span struct {
 	start      Event
 	to         int64 // Unix ns
@@ -18,7 +18,7 @@
 // spans returns the run of every start. A run ends with its end, stop or expire line. One without such a line is taken
 // to have run up to the first of:
 //
-//   - the testbed's note that it killed the worker (it is written just before, and only for a live process), if the
+//   - the testbed's line that it killed the worker (it is written just before, and only for a live process), if the
 //     same incarnation wrote nothing afterwards;
 //   - the last line its worker wrote in the same incarnation, for a worker that was killed by others (or is frozen)
 //     leaves no other trace.
@@ -73,7 +73,7 @@
 	return out
 }
 
-// endedSpan is the run of a start whose end was journaled: up to that, or to a freeze in which its lease expired.
+// endedSpan returns the span of a run whose end was journaled: up to that, or to a freeze in which its lease expired.
 func endedSpan(start, end Event, freezes []Event) span {
 	freeze, wasFrozen := firstAbout(freezes, start.Worker, start.At)
 	if wasFrozen && end.Event == journal.Expire && freeze.At < end.At {
@@ -82,7 +82,8 @@
 	return span{start, end.At, true}
 }
 
-// cutSpan is the run of a start whose end was never journaled: up to the kill of its worker after its last line.
+// cutSpan returns the span of a run whose end was never journaled: up to the kill that followed its worker's last line,
+// else up to that line.
 func cutSpan(start Event, lastLine int64, kills []Event) span {
 	if kill, wasKilled := firstAbout(kills, start.Worker, lastLine); wasKilled {
 		return span{start, kill.At, true}
@@ -90,7 +91,7 @@
 	return span{start, lastLine, false}
 }
 
-// firstAbout returns the first of events about a node from a time on.
+// firstAbout returns the first event about node at or after from, if there is one.
 func firstAbout(events []Event, node string, from int64) (Event, bool) {
 	i := slices.IndexFunc(events, func(e Event) bool { return e.Node == node && e.At >= from })
 	if i < 0 {
--- a/internal/testbed/audit/versions.go
+++ b/internal/testbed/audit/versions.go
@@ -7,14 +7,15 @@
 	"crosstide/internal/testbed/operator"
 )
 
-// checkOperatorOrders: of the drafts on one base one is accepted, and an order sent again is answered as before. Cases
-// are bases that several drafts were on, and orders that were answered more than once.
+// checkOperatorOrders checks that only one of the drafts on a base is accepted, and that an order sent again is answered
+// as before. Cases are the bases with several drafts, and the orders that were answered more than once.
 func checkOperatorOrders(h History, f *Finding) {
 	orders := h.filter(Operator, operator.Put, operator.Sign)
 	f.Cases = checkSameAnswers(orders, f) + checkOneDraftPerBase(orders, f)
 }
 
-// checkSameAnswers returns how many orders were answered more than once.
+// checkSameAnswers checks that an accepted order is answered the same when it is sent again. It returns how many orders
+// were answered more than once.
 func checkSameAnswers(orders []Event, f *Finding) (cases int) {
 	accepted, times := map[string]Event{}, map[string]int{} // by order
 	for _, e := range orders {
@@ -37,7 +38,8 @@
 	return cases
 }
 
-// checkOneDraftPerBase returns how many bases several drafts were on.
+// checkOneDraftPerBase checks that at most one draft on a base is accepted. It returns how many bases had several
+// drafts.
 func checkOneDraftPerBase(orders []Event, f *Finding) (cases int) {
 	accepted, drafts := map[uint64]Event{}, map[uint64]map[string]bool{} // by base
 	for _, e := range orders {
@@ -66,24 +68,24 @@
 	return cases
 }
 
-// checkReadBack: what is read as in force is not older than what was acknowledged before the call, and its bytes have
-// the digest that was signed. Cases are the reads.
+// checkReadBack checks that a bundle read as in force is not older than the newest one acknowledged before the call,
+// and that its bytes have the digest that was signed. Cases are the reads.
 func checkReadBack(h History, f *Finding) {
-	acked := h.filter(Operator, operator.Force)
+	acknowledged := h.filter(Operator, operator.Force)
 	for _, e := range h.filter(Operator, operator.ReadBack) {
 		f.Cases++
-		checkOneReadBack(acked, e, f)
+		checkOneReadBack(acknowledged, e, f)
 	}
-	for _, e := range acked {
+	for _, e := range acknowledged {
 		if _, err := bundle.Parse(e.OperatorEntry.Bundle); err != nil {
 			f.violate("what is in force is no bundle", e)
 		}
 	}
 }
 
-func checkOneReadBack(acked []Event, read Event, f *Finding) {
+func checkOneReadBack(acknowledged []Event, read Event, f *Finding) {
 	op := read.OperatorEntry
-	for _, a := range acked {
+	for _, a := range acknowledged {
 		signed := a.OperatorEntry
 		switch {
 		case a.At <= op.Sent && signed.Version > op.Version:
@@ -96,10 +98,10 @@
 	}
 }
 
-// checkRollout: no node follows a version older than one acknowledged longer than the grace ago, none goes back. Cases
-// are the times a node was asked and could confirm its version.
+// checkRollout checks that no node follows a version older than one acknowledged longer than the grace ago, and that
+// none goes back to an older one. Cases are the answers in which a node confirmed its version.
 func checkRollout(h History, f *Finding) {
-	acked := h.filter(Operator, operator.Force)
+	acknowledged := h.filter(Operator, operator.Force)
 	newest := map[string]Event{} // by node: the answer with the newest version
 	unconfirmed := 0
 	for _, e := range h.filter(Operator, operator.NodeVersion) {
@@ -109,7 +111,7 @@
 		}
 		f.Cases++
 		op := e.OperatorEntry
-		for _, a := range acked {
+		for _, a := range acknowledged {
 			if a.OperatorEntry.Version > op.Version && op.Sent-a.At > int64(bundleGrace) {
 				f.violate("a node goes by an old bundle", a, e)
 				break
--- a/internal/testbed/audit/windows.go
+++ b/internal/testbed/audit/windows.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// window is a time, Unix ns, for which something holds; to is math.MaxInt64 until it is closed.
+// window is a period in Unix ns, both ends included; to is math.MaxInt64 until it is closed.
 type window struct {
 	event    Event // that opened it
 	from, to int64
@@ -32,19 +32,19 @@
 	return out
 }
 
-// reportedDrains are the drains of workers as these reported them, by worker; a new incarnation does not drain.
+// reportedDrains returns, by worker, the drains that the workers reported. A new incarnation does not drain.
 func reportedDrains(h History) map[string][]window {
 	return windows(h.filter(Worker, journal.Drain, journal.NewIncarnation), func(e Event) string { return e.Worker },
 		func(e Event) bool { return e.Event == journal.Drain && e.OK })
 }
 
-// orderedDrains are the drains of workers as operators ordered them, by worker.
+// orderedDrains returns, by worker, the drains that operators ordered.
 func orderedDrains(h History) map[string][]window {
 	return windows(h.filter(Operator, Drain, Undrain), func(e Event) string { return e.Node },
 		func(e Event) bool { return e.Event == Drain })
 }
 
-// evacuations are those of zones as operators ordered them, by zone.
+// evacuations returns, by zone, the evacuations that operators ordered.
 func evacuations(h History) map[string][]window {
 	return windows(h.filter(Operator, Evacuate, Lift), func(e Event) string { return e.Zone },
 		func(e Event) bool { return e.Event == Evacuate })
@@ -56,7 +56,8 @@
 
 func startedIn(zone string) func(Event) bool { return func(e Event) bool { return e.Zone == zone } }
 
-// checkDrain: no run on a worker that has been draining for longer than the grace, as it or an operator said.
+// checkDrain checks that nothing runs on a worker that has been draining for longer than the grace, by its own report
+// or by an operator's order.
 func checkDrain(h History, f *Finding) {
 	runs := flatten(spans(h))
 	for _, drains := range []map[string][]window{reportedDrains(h), orderedDrains(h)} {
@@ -66,7 +67,7 @@
 	}
 }
 
-// checkEvacuation: no run in a zone that has been evacuated for longer than the grace.
+// checkEvacuation checks that nothing runs in a zone that has been evacuated for longer than the grace.
 func checkEvacuation(h History, f *Finding) {
 	runs := flatten(spans(h))
 	for zone, list := range evacuations(h) {
@@ -74,8 +75,8 @@
 	}
 }
 
-// checkNoRuns finds the runs of concern that started in a window, or surely still ran, later than its grace. Each
-// window is a case.
+// checkNoRuns adds a violation for each run of concern that started in a window later than its grace, or that was still
+// in progress then beyond doubt. Each window is a case.
 func (f *Finding) checkNoRuns(list []window, grace time.Duration, runs []span, concerns func(Event) bool,
 	where string) {
 	for _, w := range list {
