--- a/internal/testbed/faults/orders.go
+++ b/internal/testbed/faults/orders.go
@@ -23,8 +23,8 @@
 	orderRetryBackoff = 200 * time.Millisecond
 )
 
-// SendOrder sends an operator's order to one control plane after another until one has carried it out; its ID makes it
-// one order. Failures: Internal: it is refused, Unavailable.
+// SendOrder sends an operator's order to one control plane after another until one has carried it out. It is safe to
+// send it more than once: its ID makes it one order. Failures: Internal: it is refused, Unavailable.
 func (t *Target) SendOrder(ctx context.Context, path string, order operatorapi.Order) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
@@ -43,7 +43,8 @@
 	}
 }
 
-// Evacuate orders a zone to be evacuated, and lifts that after d, or when ctx ends, in any case.
+// Evacuate orders the evacuation of a zone, and lifts it after d or when ctx ends, even if the order has failed: it may
+// have been carried out all the same.
 func (t *Target) Evacuate(ctx context.Context, zone string, d time.Duration) error {
 	id := rand.Text()[:12]
 	writer, err := journal.Open(filepath.Join(t.Dir, "journal", "operator-"+id+".jsonl"))
@@ -71,7 +72,7 @@
 	return errors.Join(evacuated, recorded, t.lift(context.WithoutCancel(ctx), zone, id, keys))
 }
 
-// lift lets every operator sign the lifting of an evacuation, which two must.
+// lift orders the end of an evacuation with the signature of every operator: two are required.
 func (t *Target) lift(ctx context.Context, zone, id string, keys []signature.Key) error {
 	since, err := t.evacuatedSince(ctx, zone)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// evacuatedSince asks one control plane after another since when a zone is evacuated. Failures: Unknown: it is not,
-// Unavailable.
+// evacuatedSince asks one control plane after another when the evacuation of a zone began. Failures: Unknown: it is not
+// evacuated, Unavailable.
 func (t *Target) evacuatedSince(ctx context.Context, zone string) (time.Time, error) {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
--- a/internal/testbed/faults/processes.go
+++ b/internal/testbed/faults/processes.go
@@ -22,7 +22,7 @@
 	return writer, errs.Pass(err, "drill's journal")
 }
 
-// record journals what is done to a process, at a time in Unix ns.
+// record journals a signal to a process, sent at a time in Unix ns.
 func record(writer *journal.Writer, at int64, event, node, signal string) error {
 	err := writer.Append(map[string]any{"at": at, "ev": event, "node": node, "how": signal})
 	return errs.Pass(err, "drill's journal")
@@ -30,8 +30,8 @@
 
 func (t *Target) now() int64 { return t.clock.Wall().UnixNano() }
 
-// Kill sends SIGKILL to processes, all at once, and journals each under the name of a journal; one that is gone already
-// is left out.
+// Kill sends SIGKILL to processes and records each in the journal of the given name. It returns the names of those that
+// were running.
 func (t *Target) Kill(journalName string, names []string) (killed []string, err error) {
 	writer, err := t.openJournal(journalName)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return killed, nil
 }
 
-// Freeze stops a process for d, or until ctx ends, as a machine that hangs; it is always woken. Failures: Unknown (it
-// does not run), Disk.
+// Freeze stops a process for d, or until ctx ends, like a machine that hangs; the process is always continued.
+// Failures: Unknown (it does not run), Disk.
 func (t *Target) Freeze(ctx context.Context, name string, d time.Duration) error {
 	pid, err := fleet.PID(t.Dir, name)
 	if err != nil {
@@ -76,15 +76,15 @@
 	return errors.Join(errs.Pass(woken, "thaw"), record(writer, t.now(), "thaw", name, "SIGCONT"))
 }
 
-// freezeAll freezes processes for d, all at once.
+// freezeAll freezes processes for d, at the same time.
 func (t *Target) freezeAll(ctx context.Context, names []string, d time.Duration) error {
 	var mu sync.Mutex
-	var all []error
+	var failures []error
 	routine.Each(len(names), len(names), func(i int) {
 		err := t.Freeze(ctx, names[i], d)
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, err)
+		failures = append(failures, err)
 	})
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
--- a/internal/testbed/faults/target.go
+++ b/internal/testbed/faults/target.go
@@ -1,8 +1,9 @@
 // Package faults injects faults into a running fleet of the policy deployment on this machine: processes killed or
-// frozen, links cut, zones evacuated. Each is journaled in DIR/journal for the audit: what takes something away before
-// it happens, what an operator ordered once it is acknowledged.
+// frozen, links cut, zones evacuated. Each is journaled in DIR/journal for the audit: the loss of a process before
+// it happens, an operator's order once it is acknowledged.
 //
-// Open the fleet as a Target and call its methods. The package plays no load and judges nothing.
+// Begin with Open, which returns the fleet as a Target, and the Target's methods. The package runs no load and judges
+// nothing.
 package faults
 
 import (
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// Await polls until ok, and returns how many seconds that took. Failure: Timeout.
+// Await polls until ok returns true, and returns how many seconds that took. Failure: Timeout.
 func (t *Target) Await(ctx context.Context, timeout time.Duration, what string, ok func() bool) (float64, error) {
 	began := t.clock.Now()
 	for !ok() {
@@ -74,12 +75,12 @@
 	return seconds, errs.Pass(err, "ready")
 }
 
-// NotReady names the nodes that are not ready.
+// NotReady returns the names of the nodes that are not ready.
 func (t *Target) NotReady(ctx context.Context) []string {
 	return fleet.NotReady(ctx, t.Caller, t.Nodes)
 }
 
-// AwaitLeaders polls until the fleet's leaders are as wanted. Failure: Timeout.
+// AwaitLeaders polls until isWanted returns true for the fleet's leaders, and returns these. Failure: Timeout.
 func (t *Target) AwaitLeaders(ctx context.Context, timeout time.Duration, what string,
 	isWanted func(fleet.Leaders) bool) (leaders fleet.Leaders, err error) {
 	_, err = t.Await(ctx, timeout, what, func() bool {
@@ -90,7 +91,7 @@
 	return leaders, errs.Pass(err, "leaders")
 }
 
-// Sleep waits for d; false if ctx ends first.
+// Sleep waits for d. It returns false if ctx ends first.
 func (t *Target) Sleep(ctx context.Context, d time.Duration) bool {
 	return clock.Sleep(ctx.Done(), t.clock, d)
 }
--- a/internal/testbed/faults/zone.go
+++ b/internal/testbed/faults/zone.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/netproxy"
 )
 
-// Ways to take a zone out.
+// Kinds of zone outages.
 const (
 	ZoneKill     = "kill" // its processes stay down
 	ZoneEvacuate = "evacuate"
@@ -16,10 +16,10 @@
 	ZoneFreeze   = "freeze"
 )
 
-// ZoneKinds are all ways to take a zone out.
+// ZoneKinds lists all kinds of zone outages.
 var ZoneKinds = []string{ZoneKill, ZoneEvacuate, ZoneCut, ZoneFreeze}
 
-// TakeZoneOut takes a zone out, for d unless it is killed, and returns the processes that it hit.
+// TakeZoneOut makes a zone unavailable, for d unless its processes are killed, and returns the processes concerned.
 func (t *Target) TakeZoneOut(ctx context.Context, zone, kind string, d time.Duration) ([]string, error) {
 	names := t.Nodes.ProcessesInZone(zone)
 	var err error
--- a/internal/testbed/fleet/caller.go
+++ b/internal/testbed/fleet/caller.go
@@ -29,13 +29,13 @@
 // IsSuccess reports whether the status is 2xx.
 func (r Reply) IsSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
-// IsRefusal reports whether the node refused the call for good: another try, or another node, would answer the same.
+// IsRefusal reports whether the call was refused for good: another attempt, or another node, would answer the same.
 func (r Reply) IsRefusal() bool {
 	return !r.IsSuccess() && r.Status < http.StatusInternalServerError &&
 		r.Status != http.StatusTooManyRequests && r.Status != http.StatusMisdirectedRequest
 }
 
-// ErrorKind is the kind of error in the body; without one it is "status N".
+// ErrorKind returns the kind of error in the body, or "status N" if the body has none.
 func (r Reply) ErrorKind() string {
 	var failure errs.Error
 	if json.Unmarshal(r.Body, &failure) == nil && failure.Kind != "" {
@@ -44,10 +44,10 @@
 	return "status " + strconv.Itoa(r.Status)
 }
 
-// Caller is how the testbed calls the public APIs of a fleet. It may be used from many goroutines.
+// Caller calls the public APIs of a fleet. It may be used from many goroutines.
 type Caller struct{ client *http.Client }
 
-// NewCaller makes a Caller with at most conns connections to each node.
+// NewCaller returns a Caller with at most conns connections to each node.
 func NewCaller(conns int) *Caller {
 	return &Caller{&http.Client{
 		Transport: &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns,
@@ -74,7 +74,7 @@
 	return reply, errs.Pass(err, "call")
 }
 
-// Send is Call with the bytes of the body as they are, JSON or not.
+// Send is like Call, but sends body as it is, JSON or not.
 func (c *Caller) Send(ctx context.Context, method, addr, path string, body []byte,
 	timeout time.Duration) (Reply, error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
@@ -99,9 +99,9 @@
 	if err != nil {
 		return Reply{}, errs.Wrap(err, errs.Timeout, "answer of %s%s", addr, req.URL.Path)
 	}
-	out := Reply{Status: resp.StatusCode, Body: data}
+	reply := Reply{Status: resp.StatusCode, Body: data}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		out.RetryAfter = time.Duration(s * float64(time.Second))
+		reply.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	return out, nil
+	return reply, nil
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet knows a fleet of the policy deployment on one machine, by the files in its folder DIR: its nodes
-// (nodes.json), its processes (pids, start), whether they are ready and who leads.
+// Package fleet describes a fleet of the policy deployment on one machine by the files in its folder DIR: nodes.json
+// lists its nodes, pids and start its processes. It also reports which nodes are ready and which lead.
 //
-// Plan writes the files of a new fleet; scripts/fleet starts and ends the processes. This package starts none: it only
-// sends them signals, and calls over HTTP (Caller).
+// Plan writes the files of a new fleet, Read reads them; scripts/fleet starts and ends the processes. This package
+// starts none: it only sends them signals, and calls over HTTP (Caller).
 package fleet
 
 import (
@@ -46,25 +46,25 @@
 
 // ProcessesInZone returns the names of all processes in a zone.
 func (n Nodes) ProcessesInZone(zone string) []string {
-	var out []string
+	var names []string
 	for _, node := range n.All() {
-		if name := node.Process(); node.Zone == zone && !slices.Contains(out, name) {
-			out = append(out, name)
+		if name := node.Process(); node.Zone == zone && !slices.Contains(names, name) {
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
 // Read reads DIR/nodes.json. Failures: Disk, Malformed. Example:
 //
 //	nodes, err := fleet.Read(dir)
 func Read(dir string) (Nodes, error) {
-	var out Nodes
+	var nodes Nodes
 	data, err := os.ReadFile(filepath.Join(dir, "nodes.json"))
 	if err != nil {
-		return out, errs.Wrap(err, errs.Disk, "nodes of the fleet")
+		return nodes, errs.Wrap(err, errs.Disk, "nodes of the fleet")
 	}
-	return out, errs.Wrap(json.Unmarshal(data, &out), errs.Malformed, "nodes.json")
+	return nodes, errs.Wrap(json.Unmarshal(data, &nodes), errs.Malformed, "nodes.json")
 }
 
 // operators are the names of the two operators of a fleet; their keys are in DIR/keys/NAME.json.
@@ -72,13 +72,13 @@
 
 // Keys reads the operators' keys of the fleet in dir. Failures: Disk, Malformed.
 func Keys(dir string) ([]signature.Key, error) {
-	var out []signature.Key
+	var keys []signature.Key
 	for _, name := range operators {
 		key, err := signature.Load(filepath.Join(dir, "keys", name+".json"))
 		if err != nil {
 			return nil, errs.Pass(err, "operator %s", name)
 		}
-		out = append(out, key)
+		keys = append(keys, key)
 	}
-	return out, nil
+	return keys, nil
 }
--- a/internal/testbed/fleet/layout.go
+++ b/internal/testbed/fleet/layout.go
@@ -16,8 +16,8 @@
 	ports []int // that are left
 }
 
-// planNodes returns the nodes of a shape: zones in turn, racks of eight workers within each zone. One port per process;
-// the workers that share a process share its zone, rack and port, and are named after it: h1-0, h1-1 and on.
+// planNodes returns the nodes of a shape: zones in turn, racks of workersPerRack within each zone, one port for each
+// process. The workers that share a process share its zone, rack and port, and are named after it: h1-0, h1-1 and on.
 func planNodes(s Shape, ports []int) Nodes {
 	l := &layout{shape: s, ports: ports}
 	var n Nodes
@@ -51,17 +51,17 @@
 	return w
 }
 
-// sharedWorkers are the workers of shared process i; each process is a rack.
+// sharedWorkers returns the workers of shared process i. Each shared process is a rack.
 func (l *layout) sharedWorkers(i int) []Node {
 	process := l.worker("h", i, i/l.shape.Zones)
 	process.Host = process.Name
-	var out []Node
+	var workers []Node
 	for k := range l.shape.workersIn(i) {
 		w := process
 		w.Name += "-" + strconv.Itoa(k)
-		out = append(out, w)
+		workers = append(workers, w)
 	}
-	return out
+	return workers
 }
 
 // planLinks returns a link for each way on which some node dials another, one port each, and for each node by name the
--- a/internal/testbed/fleet/metrics.go
+++ b/internal/testbed/fleet/metrics.go
@@ -21,7 +21,7 @@
 // histogram or summary is NAME_sum and NAME_count.
 type Metrics map[string]float64
 
-// Series goes over all series of a name: the text of their labels, and their values.
+// Series iterates over the labels, as text, and the values of all series of a name.
 func (m Metrics) Series(name string) iter.Seq2[string, float64] {
 	return func(yield func(string, float64) bool) {
 		for key, value := range m {
@@ -68,7 +68,7 @@
 	return metrics, len(reply.Body), nil
 }
 
-// labelsOf is the text of a series' labels; the text format has them sorted.
+// labelsOf returns the labels of a series as text, in the order of the text format, which sorts them.
 func labelsOf(m *dto.Metric) string {
 	var labels []string
 	for _, label := range m.GetLabel() {
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -86,7 +86,7 @@
 	return dir, nil
 }
 
-// plan is a fleet whose files are being made.
+// plan is a fleet whose files are not written yet.
 type plan struct {
 	dir           string
 	shape         Shape
@@ -123,7 +123,7 @@
 	}
 }
 
-// settingsOf is what the settings of all daemons have.
+// settingsOf returns the settings that control and data planes have in common.
 func (p *plan) settingsOf(n Node, core []string) settings {
 	return settings{Name: n.Name, Zone: n.Zone, Region: "local", Addr: n.Addr, Seeds: seeds(n, core),
 		DialOverrides: p.dialOverrides[n.Name]}
@@ -205,7 +205,8 @@
 // maxSeeds is how many members a daemon asks at its start.
 const maxSeeds = 3
 
-// seeds returns addresses of others, beginning after the node's own place, so that not all nodes ask the same.
+// seeds returns up to maxSeeds addresses of other nodes, beginning after the node's own position in addrs, so that not
+// all nodes ask the same ones.
 func seeds(self Node, addrs []string) []string {
 	from := 0
 	for i, a := range addrs {
@@ -213,16 +214,16 @@
 			from = i + 1
 		}
 	}
-	var out []string
+	var others []string
 	for i := range addrs {
-		if a := addrs[(from+i)%len(addrs)]; a != self.Addr && len(out) < maxSeeds {
-			out = append(out, a)
+		if a := addrs[(from+i)%len(addrs)]; a != self.Addr && len(others) < maxSeeds {
+			others = append(others, a)
 		}
 	}
-	if len(out) == 0 { // a fleet of one control plane has no other seed
-		out = addrs[:1]
+	if len(others) == 0 { // a fleet of one control plane has no other seed
+		others = addrs[:1]
 	}
-	return out
+	return others
 }
 
 // createKeys writes the operators' keys to DIR/keys and returns their public parts.
@@ -230,7 +231,7 @@
 	if err := os.MkdirAll(filepath.Join(dir, "keys"), 0o700); err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "folder keys")
 	}
-	var out []operator
+	var public []operator
 	for _, name := range operators {
 		key, err := signature.New(name)
 		if err != nil {
@@ -239,7 +240,7 @@
 		if err := key.Save(filepath.Join(dir, "keys", name+".json")); err != nil {
 			return nil, errs.Pass(err, "operator %s", name)
 		}
-		out = append(out, operator{name, key.Public()})
+		public = append(public, operator{name, key.Public()})
 	}
-	return out, nil
+	return public, nil
 }
--- a/internal/testbed/fleet/ports.go
+++ b/internal/testbed/fleet/ports.go
@@ -15,7 +15,7 @@
 	defaultLowestLocal = 32768 // of the range for outgoing connections, if the system does not say
 )
 
-// FreePorts finds n free loopback ports below the range that outgoing connections take theirs from, so that a port
+// FreePorts returns n free loopback ports below the range that the system uses for outgoing connections, so that a port
 // stays free for its node while that is down. Failure: Unavailable.
 func FreePorts(n int) ([]int, error) {
 	end := lowestLocalPort()
@@ -24,24 +24,24 @@
 		return nil, errs.New(errs.Unavailable, "ports %d to %d are too few for %d nodes", lowestPort, end, n)
 	}
 	from := rand.IntN(span)
-	var out []int
-	for i := 0; i < span && len(out) < n; i++ {
+	var ports []int
+	for i := 0; i < span && len(ports) < n; i++ {
 		port := lowestPort + (from+i)%span
 		listener, err := net.Listen("tcp", loopback(port))
 		if err != nil {
 			continue
 		}
 		if err := listener.Close(); err == nil {
-			out = append(out, port)
+			ports = append(ports, port)
 		}
 	}
-	if len(out) < n {
-		return nil, errs.New(errs.Unavailable, "only %d of %d ports are free", len(out), n)
+	if len(ports) < n {
+		return nil, errs.New(errs.Unavailable, "only %d of %d ports are free", len(ports), n)
 	}
-	return out, nil
+	return ports, nil
 }
 
-// lowestLocalPort is where the range for outgoing connections begins.
+// lowestLocalPort returns the lowest port that the system uses for outgoing connections.
 func lowestLocalPort() int {
 	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -18,22 +18,22 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "pids of the fleet")
 	}
-	out := map[string]int{}
+	pids := map[string]int{}
 	for line := range strings.Lines(string(data)) {
 		var name string
 		var pid int
 		if _, err := fmt.Sscan(line, &name, &pid); err != nil || pid < 2 {
 			return nil, errs.New(errs.Malformed, "pids: line %q", strings.TrimSpace(line))
 		}
-		out[name] = pid
+		pids[name] = pid
 	}
-	return out, nil
+	return pids, nil
 }
 
-// Kill is Signal with SIGKILL.
+// Kill sends SIGKILL to the named process of the fleet. Failures: those of PID.
 func Kill(dir, name string) error { return errs.Pass(Signal(dir, name, unix.SIGKILL), "kill") }
 
-// Signal sends a signal to the named process of the fleet, if the pid still is that process. Failures: as of Pid.
+// Signal sends a signal to the named process of the fleet, if the pid still is that process. Failures: those of PID.
 func Signal(dir, name string, sig unix.Signal) error {
 	pid, err := PID(dir, name)
 	if err != nil {
--- a/internal/testbed/fleet/shape.go
+++ b/internal/testbed/fleet/shape.go
@@ -38,7 +38,7 @@
 
 const mixedKinds = "mixed"
 
-// kindOf is the kind of worker i.
+// kindOf returns the kind of worker i.
 func (s Shape) kindOf(i int) string {
 	if s.Kind == mixedKinds {
 		return []string{"check", "obey"}[i%2]
@@ -46,7 +46,7 @@
 	return s.Kind
 }
 
-// linkCount counts the links of a shape: among the daemons, and between data planes and workers.
+// linkCount returns the number of links: among the daemons, and between data planes and workers; 0 without a proxy.
 func (s Shape) linkCount() int {
 	if !s.Proxied {
 		return 0
@@ -55,7 +55,7 @@
 	return daemons*(daemons-1) + 2*s.DataPlanes*s.Workers
 }
 
-// processCount counts the processes with a port of their own, the proxy aside.
+// processCount returns the number of processes with a port, the proxy not counted.
 func (s Shape) processCount() int {
 	n := s.ControlPlanes + s.DataPlanes + s.Workers
 	if s.SharedWorkers > 0 {
@@ -64,7 +64,7 @@
 	return n
 }
 
-// workersIn is how many of the shared workers are in shared process i.
+// workersIn returns how many of the shared workers are in shared process i.
 func (s Shape) workersIn(i int) int {
 	n := s.SharedWorkers / s.SharedProcesses
 	if i < s.SharedWorkers%s.SharedProcesses {
@@ -86,8 +86,8 @@
 	"mamlaka": {ControlPlanes: 5, DataPlanes: 8, Workers: 48, Zones: 4, Cores: 16, Kind: "check"},
 }
 
-// WithProfile returns the shape of a deployment by name, in place of s but for what is no matter of size. Failure:
-// Invalid.
+// WithProfile returns the shape of a deployment by name. Only Bin, Proxied, FailingWorkers and SharedProcesses are
+// those of s. Failure: Invalid.
 func (s Shape) WithProfile(name string) (Shape, error) {
 	p, ok := profiles[name]
 	if !ok {
--- a/internal/testbed/fleet/status.go
+++ b/internal/testbed/fleet/status.go
@@ -42,26 +42,26 @@
 	return last, err
 }
 
-// NotReady names the nodes that are not ready: control and data planes whose /readyz is not 200, workers without an
-// incarnation in the store.
+// NotReady returns the names of the nodes that are not ready: control and data planes whose /readyz is not 200, workers
+// without an incarnation in the store.
 func NotReady(ctx context.Context, c *Caller, n Nodes) []string {
-	var out []string
+	var notReady []string
 	for _, node := range slices.Concat(n.ControlPlanes, n.DataPlanes) {
 		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/readyz", nil, readyTimeout)
 		if err != nil || !reply.IsSuccess() {
-			out = append(out, node.Name)
+			notReady = append(notReady, node.Name)
 		}
 	}
 	isKnown := knownWorkers(ctx, c, n)
 	for _, node := range n.Workers {
 		if !isKnown[node.Name] {
-			out = append(out, node.Name)
+			notReady = append(notReady, node.Name)
 		}
 	}
-	return out
+	return notReady
 }
 
-// knownWorkers returns the workers that the first control plane to answer knows an incarnation of.
+// knownWorkers returns, by name, whether the first control plane that answers has an incarnation of the worker.
 func knownWorkers(ctx context.Context, c *Caller, n Nodes) map[string]bool {
 	for _, node := range n.ControlPlanes {
 		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/v1/minions", nil, readTimeout)
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// parseWorkers reads the answer of GET /v1/minions, a list or an object with the list under "minions": by name,
-// whether the worker has an incarnation.
+// parseWorkers parses the answer of GET /v1/minions, which is a list or an object with the list under "minions". It
+// returns, by name, whether the worker has an incarnation.
 func parseWorkers(body []byte) map[string]bool {
 	type worker struct {
 		Name        string `json:"name"`
@@ -88,9 +88,9 @@
 			list = page.Workers
 		}
 	}
-	out := map[string]bool{}
+	hasIncarnation := map[string]bool{}
 	for _, w := range list {
-		out[w.Name] = w.Incarnation != ""
+		hasIncarnation[w.Name] = w.Incarnation != ""
 	}
-	return out
+	return hasIncarnation
 }
--- a/internal/testbed/netproxy/connection.go
+++ b/internal/testbed/netproxy/connection.go
@@ -14,7 +14,7 @@
 
 const (
 	bufferBytes       = 32 << 10
-	maxQueuedSegments = 4096 // that a direction of a connection holds back; then it stops reading
+	maxQueuedSegments = 4096 // of a direction of a connection; when they are used up, it stops reading
 	dialTimeout       = 2 * time.Second
 )
 
@@ -25,21 +25,21 @@
 	group *routine.Group
 }
 
-// segment is what came at one moment: bytes, or the stream's end.
+// segment is the result of one read: bytes, or the stream's end.
 type segment struct {
 	data []byte
 	due  time.Duration
 	err  error // the end: io.EOF or a reset
 }
 
-// serve carries one connection. Its opening is judged as its bytes are: held back, or never answered.
-func (p *proxy) serve(ctx context.Context, link Link, in *net.TCPConn) {
+// serve proxies one connection. Faults apply to its opening as they do to its bytes: it is delayed, or never answered.
+func (p *proxy) serve(ctx context.Context, link Link, inbound *net.TCPConn) {
 	c := &connection{p, link, routine.New(ctx)}
 	defer c.group.Stop()
-	resetOnStop(c.group, in)
+	resetOnStop(c.group, inbound)
 	forward := make(chan segment, maxQueuedSegments)
 	opening := c.judge(true)
-	c.group.Go(func(context.Context) { c.read(in, true, forward) }) // at once: bytes may come that are to be held back
+	c.group.Go(func(context.Context) { c.read(inbound, true, forward) }) // now: bytes may be due later
 	if opening.isLost || !c.wait(opening.due) {
 		<-c.group.Context().Done()
 		return
@@ -49,13 +49,13 @@
 	if err != nil {
 		return // a reset, as the kernel of the node itself would send
 	}
-	out := conn.(*net.TCPConn)
-	resetOnStop(c.group, out)
+	outbound := conn.(*net.TCPConn)
+	resetOnStop(c.group, outbound)
 	backward := make(chan segment, maxQueuedSegments)
 	ended := make(chan struct{}, 2)
-	c.group.Go(func(context.Context) { c.read(out, false, backward) })
-	c.group.Go(func(context.Context) { c.write(out, forward); ended <- struct{}{} })
-	c.group.Go(func(context.Context) { c.write(in, backward); ended <- struct{}{} })
+	c.group.Go(func(context.Context) { c.read(outbound, false, backward) })
+	c.group.Go(func(context.Context) { c.write(outbound, forward); ended <- struct{}{} })
+	c.group.Go(func(context.Context) { c.write(inbound, backward); ended <- struct{}{} })
 	for range 2 {
 		select {
 		case <-ended:
@@ -72,8 +72,8 @@
 	})
 }
 
-// judge returns the verdict on what comes now. If it is lost, the connection is reset at the end of the fault: a stream
-// with a gap cannot go on.
+// judge returns the verdict on bytes that arrive now. If they are lost, it has the connection reset at the end of the
+// fault: a stream with a gap cannot go on.
 func (c *connection) judge(isForward bool) verdict {
 	now := c.clock.Now()
 	v := c.faults.verdictFor(now, c.Link, isForward)
@@ -83,13 +83,13 @@
 	return v
 }
 
-// wait waits until due; false if the connection ends before.
+// wait waits until due. It returns false if the connection ends first.
 func (c *connection) wait(due time.Duration) bool {
 	d := due - c.clock.Now()
 	return d <= 0 || clock.Sleep(c.group.Context().Done(), c.clock, d)
 }
 
-// read queues a direction's bytes until its end, or until something of it is lost; then it discards the rest.
+// read queues the bytes of a direction until its end. Once a fault has lost some of them, it discards all that follow.
 func (c *connection) read(from *net.TCPConn, isForward bool, to chan<- segment) {
 	buffer := make([]byte, bufferBytes)
 	for {
@@ -118,7 +118,7 @@
 	}
 }
 
-// write delivers segments when they are due. An end is passed on as what it was; a reset takes both sides.
+// write delivers segments when they are due. An end of file closes this direction, a reset both.
 func (c *connection) write(to *net.TCPConn, from <-chan segment) {
 	for {
 		var s segment
--- a/internal/testbed/netproxy/fault.go
+++ b/internal/testbed/netproxy/fault.go
@@ -11,18 +11,18 @@
 
 // Kinds of faults.
 const (
-	// Blackhole swallows what comes. A connection that lost something is reset at the end of the fault.
+	// Blackhole drops all bytes. A connection that lost something is reset at the end of the fault.
 	Blackhole = "silent"
-	// OneWayBlackhole swallows what the node or zone sends; it still receives.
+	// OneWayBlackhole drops what the node or zone sends; it still receives.
 	OneWayBlackhole = "oneway"
 	// AddLatency delivers everything Fault.Delay later.
 	AddLatency = "slow"
-	// Stall holds everything back and delivers it, in order, at the end of the fault: also what was sent by one that
-	// has closed its connection since.
+	// Stall delays everything until the end of the fault and delivers it then, in order, even if the sender has closed
+	// the connection since.
 	Stall = "late"
 )
 
-// Fault is an order to the links between a node, or a zone, and all others. It heals by itself after For.
+// Fault disturbs the links between a node, or a zone, and all others. It ends by itself after For.
 type Fault struct {
 	Node  string        `json:"node,omitempty"`
 	Zone  string        `json:"zone,omitempty"`
@@ -31,12 +31,12 @@
 	Delay time.Duration `json:"delay,omitempty"` // ns, of AddLatency
 }
 
-// FaultAnswer is how many links are affected.
+// FaultAnswer is the answer to an injected fault: the number of links that it affects.
 type FaultAnswer struct {
 	Links int `json:"links"`
 }
 
-// InjectFault is the call of the control port.
+// InjectFault is the endpoint of the control port.
 var InjectFault = rpc.Endpoint[Fault, FaultAnswer]{Path: "/v1/cut"}
 
 // Check validates a fault. Failure: Invalid.
@@ -58,16 +58,17 @@
 	return f.Node != "" && node == f.Node || f.Zone != "" && zone == f.Zone
 }
 
-// affects reports whether a link leads into or out of the node or zone; isOutbound: what From sends to To leaves it.
+// affects reports whether a link leads into or out of the node or zone, and whether what From sends to To leaves it
+// (isOutbound).
 func (f Fault) affects(link Link) (isAffected, isOutbound bool) {
 	from, to := f.isInside(link.From, link.FromZone), f.isInside(link.To, link.ToZone)
 	return from != to, from
 }
 
-// verdict is what becomes of bytes.
+// verdict is the effect of the active faults on bytes that arrive.
 type verdict struct {
-	due    time.Duration // when they may go on
-	isLost bool          // they never may
+	due    time.Duration // when they are delivered
+	isLost bool          // they never are
 	end    time.Duration // isLost: when the fault is over
 }
 
@@ -90,7 +91,8 @@
 	s.active = append(s.active, activeFault{f, now + f.For})
 }
 
-// verdictFor judges bytes that come in now on a link; isForward: from the end that dialed. Faults add up.
+// verdictFor returns the effect of all active faults on bytes that arrive now on a link. isForward reports whether the
+// end that dialed has sent them.
 func (s *faultSet) verdictFor(now time.Duration, link Link, isForward bool) verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/netproxy/proxy.go
+++ b/internal/testbed/netproxy/proxy.go
@@ -1,9 +1,9 @@
-// Package netproxy is the network proxy of the testbed: a TCP proxy on the link between any two nodes, which loses
-// bytes without a reset, delays them or holds them back while a fault is active.
+// Package netproxy is the network proxy of the testbed: a TCP proxy on the link between any two nodes, which drops
+// bytes without a reset or delays them while a fault is active.
 //
-// Run listens on every link and on a control port. Each connection (connection.go) asks the faultSet (fault.go) what
-// becomes of each read; an order to the control port adds a Fault, which ends by itself. The proxy reads no protocol:
-// it neither drops single calls nor changes bytes.
+// Begin with Run, which listens on every link and on a control port. Each connection (connection.go) asks the faultSet
+// (fault.go) for the verdict on each read; a call to the control port adds a Fault, which ends by itself. The proxy
+// parses no protocol: it neither drops single calls nor changes bytes.
 package netproxy
 
 import (
@@ -36,9 +36,9 @@
 	Dial     string `json:"dial"`
 }
 
-// Settings are those of `crosstide-testbed link`.
+// Settings are the settings of `crosstide-testbed link`.
 type Settings struct {
-	Control string `json:"control"` // host:port that takes orders
+	Control string `json:"control"` // host:port of the control port
 	Journal string `json:"journal"`
 	Links   []Link `json:"ways"`
 }
@@ -63,7 +63,7 @@
 	faults   faultSet
 }
 
-// Run opens the links and takes orders until ctx ends. Failures: Settings, Disk. Example:
+// Run opens the links and serves the control port until ctx ends. Failures: Settings, Disk. Example:
 //
 //	err := netproxy.Run(ctx, settings, clock.Real{}, logger)
 func Run(ctx context.Context, settings Settings, clock clock.Clock, logger log.Logger) error {
