--- a/internal/testbed/audit/versions.go
+++ b/internal/testbed/audit/versions.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/testbed/operator"
 )
 
-// checkOperatorOrders checks that only one of the drafts on a base is accepted, and that an order sent again is answered
-// as before. Cases are the bases with several drafts, and the orders that were answered more than once.
+// checkOperatorOrders checks that only one of the drafts on a base is accepted, and that an order sent again is
+// answered as before. Cases are the bases with several drafts, and the orders that were answered more than once.
 func checkOperatorOrders(h History, f *Finding) {
 	orders := h.filter(Operator, operator.Put, operator.Sign)
 	f.Cases = checkSameAnswers(orders, f) + checkOneDraftPerBase(orders, f)
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -1,5 +1,5 @@
-// Package bench measures a fleet at rising rates of tasks that do nothing, and the disk under a store. It only
-// measures: no rate is a failure.
+// Package bench measures a fleet at increasing rates of tasks that do nothing (Run), and the syncs of a disk (Disk). It
+// judges nothing: no rate is a failure.
 package bench
 
 import (
@@ -20,7 +20,7 @@
 	retries        = 3 // of a task
 )
 
-// Options are what a fleet is measured under.
+// Options are the loads under which a fleet is measured.
 type Options struct {
 	Dir        string        // of the fleet
 	Rates      []float64     // jobs per second, one load after the other
@@ -78,7 +78,7 @@
 		SchedulerCPU: 100 * (after.schedulerCPU - before.schedulerCPU) / seconds}
 }
 
-// sample is what the two leaders have counted since their start.
+// sample has the counters of the leaders of the store and of the scheduler, since the start of their processes.
 type sample struct{ syncs, runIDs, leaderCPU, schedulerCPU float64 }
 
 func takeSample(ctx context.Context, caller *fleet.Caller, nodes fleet.Nodes) (sample, error) {
--- a/internal/testbed/bench/disk.go
+++ b/internal/testbed/bench/disk.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/storage"
 )
 
-// Disk appends records of a size to a log in a new folder for a time, each with a sync as the store does it, and
-// returns how many syncs a second that made. The folder is left behind. Failures: those of package storage.
+// Disk appends records of so many bytes to a log in a new folder for d, each with a sync as the store does it, and
+// returns the number of syncs per second. The folder is left behind. Failures: those of package storage.
 func Disk(dir string, bytes int, d time.Duration) (syncsPerSecond float64, err error) {
 	folder, err := storage.OSDisk(dir)
 	if err != nil {
--- a/internal/testbed/billingload/operator.go
+++ b/internal/testbed/billingload/operator.go
@@ -35,7 +35,7 @@
 	connsPerNode = 4
 )
 
-// Operator is an operator of a fleet. It is not safe for concurrent use.
+// Operator makes the calls of a fleet's operators. It is not safe for concurrent use.
 type Operator struct {
 	nodes  fleet.Nodes
 	keys   []signature.Key
@@ -46,7 +46,7 @@
 	node   int    // index of the control plane that is called first
 }
 
-// New makes the operator of the fleet in dir. Failures: Disk, Malformed.
+// New returns the operator of the fleet in dir; the IDs of its orders begin with prefix. Failures: Disk, Malformed.
 func New(dir, prefix string) (*Operator, error) {
 	nodes, err := fleet.Read(dir)
 	if err != nil {
@@ -60,7 +60,7 @@
 		prefix: prefix}, nil
 }
 
-// newOrderID returns an ID that no other order of this operator has.
+// newOrderID returns an ID that is unique among the orders of this operator.
 func (o *Operator) newOrderID() string {
 	o.serial++
 	return fmt.Sprintf("%s-%d", o.prefix, o.serial)
@@ -90,7 +90,7 @@
 	}
 }
 
-// callJSON is call with a body and an answer in JSON; in may be nil.
+// callJSON is like call, with a body and an answer in JSON. in may be nil: no body.
 func (o *Operator) callJSON(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -141,7 +141,7 @@
 	return drafted, errs.Wrap(json.Unmarshal(raw, &drafted), errs.Malformed, "draft")
 }
 
-// sign lets all operators sign a draft, which puts it in force.
+// sign signs a draft with the key of every operator, which puts it in force.
 func (o *Operator) sign(ctx context.Context, drafted state.Revision) error {
 	path := fmt.Sprintf("/v1/bundles/%d/sign", drafted.Version)
 	for _, key := range o.keys {
--- a/internal/testbed/journal/journal.go
+++ b/internal/testbed/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal is the history that a run of the testbed leaves behind: append-only JSON lines, one file a writer,
-// which package audit checks. It trusts no daemon: each line says what its writer itself did or was answered.
+// Package journal reads and writes the journals of the testbed: append-only files of JSON lines, one for each writer,
+// which package audit checks. A journal trusts no daemon: each line records what its writer did or was answered.
 //
 // A Writer appends to DIR/journal/NAME.jsonl; Lines reads all of them back. Entry is the line of a stand-in worker; the
 // other writers have entries of their own (packages load and operator, and the faults that the testbed injects).
@@ -113,7 +113,7 @@
 type Line struct {
 	File   string
 	Number int
-	Raw    []byte // valid JSON, kept by nobody else
+	Raw    []byte // valid JSON; the caller may keep it
 }
 
 // Entry decodes the line as a worker's. Failure: Damaged.
@@ -123,7 +123,7 @@
 	return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", l.File, l.Number)
 }
 
-// Lines goes over all lines of dir/journal/*.jsonl, by file name and then in order of writing. A last line
+// Lines iterates over all lines of dir/journal/*.jsonl, by file name and then in order of writing. A last line
 // without its line end is torn and left out. Any other line that is no JSON is yielded with the failure
 // Damaged, a file that cannot be read with Disk. Example:
 //
--- a/internal/testbed/latency/latency.go
+++ b/internal/testbed/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency records durations and tells their quantiles, for the reports of the testbed.
+// Package latency has the histogram of durations from which the testbed's reports are made. It measures nothing itself.
 package latency
 
 import (
@@ -11,7 +11,7 @@
 // concurrent use: its owner's mutex guards it.
 type Histogram struct{ values *hdrhistogram.Histogram }
 
-// New makes an empty histogram.
+// New returns an empty histogram.
 func New() *Histogram { return &Histogram{hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
 
 // Record adds a duration; one out of the bounds counts as the nearer bound.
@@ -22,16 +22,16 @@
 	}
 }
 
-// Quantile is the duration that percent of all are at most; 0 without any.
+// Quantile returns the duration that percent of all are at most, and 0 without any.
 func (h *Histogram) Quantile(percent float64) time.Duration {
 	return time.Duration(h.values.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// Max is the longest duration; 0 without any.
+// Max returns the longest duration, and 0 without any.
 func (h *Histogram) Max() time.Duration { return time.Duration(h.values.Max()) * time.Microsecond }
 
-// Count is how many durations were recorded.
+// Count returns how many durations were recorded.
 func (h *Histogram) Count() int64 { return h.values.TotalCount() }
 
-// Milliseconds is d as reports print it, in whole microseconds.
+// Milliseconds returns d in milliseconds, rounded down to a microsecond, as reports print it.
 func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/testbed/soak/simulation.go
+++ b/internal/testbed/soak/simulation.go
@@ -14,13 +14,13 @@
 	"crosstide/internal/state/command"
 )
 
-// leaseTTL is that of the plans.
+// leaseTTL is the lease of all runs.
 const leaseTTL = 20 * time.Second
 
-// incarnation is that of all workers.
+// incarnation is the incarnation of all workers.
 const incarnation = "b"
 
-// simulation is the state and the work that is to come.
+// simulation is the state and the work that is due later.
 type simulation struct {
 	options Options
 	state   *state.State
@@ -55,7 +55,7 @@
 	return answer, errs.Pass(err, "%s", c.Op())
 }
 
-// bootstrap announces the workers, and elects and introduces them to the scheduler's leader.
+// bootstrap announces the workers, grants the scheduler role and applies a plan that names the workers' incarnation.
 func (s *simulation) bootstrap() error {
 	for i := range s.options.Workers {
 		w := state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "10.0.0.1:7000", Kind: "check",
@@ -141,7 +141,7 @@
 	return errs.Pass(err, "tidy")
 }
 
-// endRuns reports the runs that are due as ended.
+// endRuns applies a plan with the ends of all runs that are over by now.
 func (s *simulation) endRuns() error {
 	plan := s.newPlan()
 	plan.LeaseTTL, plan.Seq = leaseTTL, s.state.Seq
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/state"
 )
 
-// Options are what the days are made of.
+// Options are the load of the simulated days.
 type Options struct {
 	Days         int
 	Jobs         int           // a day
@@ -50,7 +50,7 @@
 	LogKB      int `json:"log_kb"`  // their data
 }
 
-// tick is how far time advances at once: what falls into it is one plan.
+// tick is the step of the simulated time: what is due within it becomes one plan.
 const tick = 30 * time.Second
 
 // Run simulates the days and passes each day's end to report. The same options make the same days. Failures: Invalid,
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// endOfDay measures the state.
+// endOfDay returns the size of the state.
 func (s *simulation) endOfDay(day int) (Day, error) {
 	data, err := s.state.Encode()
 	if err != nil {
--- a/internal/testbed/testclock/testclock.go
+++ b/internal/testbed/testclock/testclock.go
@@ -1,4 +1,5 @@
-// Package testclock is a clock for the testbed's own tests: a test that waits on it takes no time.
+// Package testclock has the clock of tests whose code under test waits: each wait takes no time. It is for tests only.
+// Tests that must decide when time passes use clock.Virtual.
 package testclock
 
 import (
@@ -8,20 +9,21 @@
 	"crosstide/internal/clock"
 )
 
-// Elapsing is a clock on which every timer fires while it is set: its time has passed. The zero value starts at 0.
+// Elapsing is a clock on which every timer fires while it is set, as if its time had passed. The zero value starts
+// at 0.
 type Elapsing struct {
 	mu  sync.Mutex
 	now time.Duration
 }
 
-// Now is the time that all timers so far have taken.
+// Now returns the sum of the durations of all timers set so far.
 func (c *Elapsing) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// Wall is Now since the beginning of Unix time.
+// Wall returns the Unix epoch plus Now.
 func (c *Elapsing) Wall() time.Time { return time.Unix(0, int64(c.Now())) }
 
 // Set advances the clock by d and calls call.
@@ -36,5 +38,5 @@
 // fired is a timer that has fired.
 type fired struct{}
 
-// Stop reports that the timer had fired already.
+// Stop returns false: the timer has fired already.
 func (fired) Stop() bool { return false }
