--- a/internal/testbed/operator/bundletext.go
+++ b/internal/testbed/operator/bundletext.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// queue is a random queue of a bundle, for the queue that the load uses, too: some zones, now and then a lease time.
+// queue returns a random queue for a bundle: some of the zones, and with a probability of 1/3 a lease time.
 func (o *session) queue() map[string]any {
 	zones := []string{}
 	for _, k := range o.rng.Perm(len(o.zones))[:1+o.rng.IntN(len(o.zones))] {
@@ -18,7 +18,8 @@
 	return q
 }
 
-// bundleText is a complete bundle, with its white space at random: the bytes that were signed must be kept.
+// bundleText returns a complete random bundle. Its white space is random, too: the fleet must keep the bytes that were
+// signed.
 func (o *session) bundleText() []byte {
 	queues := map[string]any{"default": o.queue()}
 	for range o.rng.IntN(4) {
--- a/internal/testbed/operator/change.go
+++ b/internal/testbed/operator/change.go
@@ -15,10 +15,10 @@
 	"crosstide/internal/state/command"
 )
 
-// operators is how many there are; each version needs the signatures of both.
+// operators is the number of operators; each version needs the signatures of both.
 const operators = 2
 
-// bodyAttempts is how often the text of a patched bundle is asked for.
+// bodyAttempts is how often the text of a patched bundle is read at most.
 const bodyAttempts = 10
 
 // draft is a bundle that was written and has no signature yet.
@@ -28,7 +28,7 @@
 	text    []byte
 }
 
-// change makes change i: a draft, alone or raced for by both operators, its signatures, and the look at all nodes.
+// change makes change i: a draft by one operator or by both in a race, its signatures, and the checks of all nodes.
 func (o *session) change(ctx context.Context, i int) {
 	base, isKnown := o.newestVersion(ctx)
 	if !isKnown {
@@ -53,14 +53,14 @@
 	}
 }
 
-// newestVersion asks for the version that the next draft is written against.
+// newestVersion returns the version that the next draft is based on; isKnown is false without an answer.
 func (o *session) newestVersion(ctx context.Context) (version uint64, isKnown bool) {
 	var log struct{ Newest uint64 }
 	isKnown = o.read(ctx, o.anyControlPlane(), "/v1/bundles?limit=1", &log)
 	return log.Newest, isKnown
 }
 
-// writeDrafts lets one operator, or both at once, write against base. nil stands for one that was refused.
+// writeDrafts has one operator, or both at once, write a draft based on base. A draft that was refused is nil.
 func (o *session) writeDrafts(ctx context.Context, i int, base uint64) []*draft {
 	authors := []int{o.rng.IntN(operators)}
 	if o.rng.Float64() < o.RaceProbability {
@@ -105,7 +105,7 @@
 	return o.writeDraft(ctx, "/v1/bundles?"+query, text, text, entry)
 }
 
-// patch changes one queue; the text is what the fleet made of it, read before anyone signs.
+// patch drafts a change of one queue. The draft's text is the result, read from the fleet before anyone signs.
 func (o *session) patch(ctx context.Context, id string, key signature.Key, base uint64) *draft {
 	raw, err := json.Marshal(map[string]any{"queues": map[string]any{"default": o.queue()}})
 	if err != nil {
@@ -116,7 +116,7 @@
 	return o.writeDraft(ctx, "/v1/bundles/patch?"+query, raw, nil, entry)
 }
 
-// signedQuery is the query of a call that writes a draft: its ID, base, author and signature.
+// signedQuery returns the query of a call that writes a draft: its ID, base, author and signature.
 func signedQuery(id string, base uint64, key signature.Key, signed string) string {
 	return url.Values{"order": {id}, "base": {strconv.FormatUint(base, 10)}, "by": {key.Name},
 		"sig": {key.Sign(signed)}}.Encode()
@@ -145,7 +145,7 @@
 	return &draft{done.Version, signature.Digest(text), text}
 }
 
-// signResult is what a signature came to.
+// signResult is the result of a signature.
 type signResult struct {
 	answer
 	order, by string
--- a/internal/testbed/operator/evacuation.go
+++ b/internal/testbed/operator/evacuation.go
@@ -10,19 +10,19 @@
 	"crosstide/internal/state/query"
 )
 
-// Length of an evacuation: the least, and how much chance adds at most.
+// The duration of an evacuation is minEvacuation and up to extraEvacuationInMS, at random.
 const (
 	minEvacuation       = 6 * time.Second
 	extraEvacuationInMS = 4000
 )
 
-// evacuation is a zone that is evacuated, and until when on the session's clock; the zero value: none is.
+// evacuation is the evacuation of a zone, and when it is to be lifted, on the session's clock. The zero value is none.
 type evacuation struct {
 	zone  string
 	until time.Duration
 }
 
-// evacuateOrLift evacuates a zone, which takes one operator, or lifts the one that is due, which takes both.
+// evacuateOrLift orders an evacuation, which needs one operator, or lifts the one that is due, which needs both.
 func (o *session) evacuateOrLift(ctx context.Context, i int) {
 	if o.evacuated.zone != "" {
 		if o.clock.Now() >= o.evacuated.until {
@@ -75,7 +75,8 @@
 	}
 }
 
-// evacuatedSince asks since when a zone is evacuated; the zero time: it is not.
+// evacuatedSince returns when the evacuation of a zone began, and the zero time if it is not evacuated. isKnown is
+// false without an answer.
 func (o *session) evacuatedSince(ctx context.Context, zone string) (since time.Time, isKnown bool) {
 	var list struct{ Zones []query.ZoneView }
 	if !o.read(ctx, o.anyControlPlane(), "/v1/zones", &list) {
--- a/internal/testbed/operator/operator.go
+++ b/internal/testbed/operator/operator.go
@@ -1,9 +1,10 @@
-// Package operator is the testbed's stand-in operators: two of them write, sign, race for and read back bundles
-// (versions of the configuration), now and then evacuate a zone, and journal what was answered. Package audit checks
-// the promises to operators against these journals; this package only counts what it can see at once, in its Report.
+// Package operator is the testbed's stand-in for the operators of a fleet: two of them write, sign, race for and read
+// back bundles (versions of the configuration), now and then evacuate a zone, and journal the answers. Package audit
+// checks the promises to operators against these journals; this package only counts what it can see at once, in its
+// Report.
 //
 // Run is the loop: one change after the other (change.go), each a draft and two signatures sent as orders (order.go),
-// then a look at all nodes (rollout.go); after a change perhaps an evacuation (evacuation.go).
+// then the checks of all nodes (rollout.go); after a change perhaps an evacuation (evacuation.go).
 package operator
 
 import (
@@ -31,7 +32,7 @@
 	connsPerNode = 8
 )
 
-// Options are what the operators do.
+// Options are the options of Run.
 type Options struct {
 	Dir                 string        // of the fleet
 	For                 time.Duration // no change begins after it
@@ -43,8 +44,8 @@
 	InvalidProbability  float64       // that an invalid text is sent before a change
 }
 
-// session is the two operators at work. Its loop runs on one goroutine; orders that are sent at once run beside it and
-// touch only what the mutex guards.
+// session is a Run in progress. Its loop runs on one goroutine; orders that are sent at the same time have goroutines
+// that use only what the mutex guards and what is fixed.
 type session struct {
 	Options
 	keys      []signature.Key // of the two operators
@@ -67,7 +68,7 @@
 	callRng      *rand.Rand         // of orders, several of which may be under way at once
 }
 
-// Run lets the operators work on the fleet. Failures: Disk, Malformed, Settings. Example:
+// Run has the operators change the bundle of the fleet for options.For. Failures: Disk, Malformed, Settings. Example:
 //
 //	report, err := operator.Run(ctx, operator.Options{Dir: dir, For: time.Minute, Seed: 1, Interval: time.Second})
 func Run(ctx context.Context, options Options) (Report, error) {
@@ -108,7 +109,7 @@
 	return o, nil
 }
 
-// run makes changes until the time is over, then closes an evacuation that is still open.
+// run makes changes until the time is over, then lifts an evacuation that is still open.
 func (o *session) run(ctx context.Context) {
 	end := o.clock.Now() + o.For
 	for i := 0; o.clock.Now() < end && ctx.Err() == nil; i++ {
@@ -140,7 +141,7 @@
 	change(&o.counts)
 }
 
-// sleep waits for d; false if ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func (o *session) sleep(ctx context.Context, d time.Duration) bool {
 	return clock.Sleep(ctx.Done(), o.clock, d)
 }
--- a/internal/testbed/operator/order.go
+++ b/internal/testbed/operator/order.go
@@ -20,8 +20,8 @@
 	sent, at int64  // of the call and of its answer, Unix ns
 }
 
-// order sends an order, with the repeat probability once more after its answer, and journals each answer as entry with
-// what complete adds to it. It returns the first answer and whether that was a success, decoded into result.
+// order sends an order, with the repeat probability once more after its answer. It journals each answer as entry, to
+// which complete adds what result holds. It returns the first answer and whether that was a success.
 func (o *session) order(ctx context.Context, path string, body []byte, entry Entry, result any,
 	complete func(*Entry)) (first answer, isDone bool) {
 	times := 1
@@ -66,7 +66,7 @@
 }
 
 // sendUntilAnswered sends an order to one control plane after another until it is answered for good. With the failure
-// Timeout the answer still says where and when it was sent last.
+// Timeout the answer still has the node and the time of the last attempt.
 func (o *session) sendUntilAnswered(ctx context.Context, path string, body []byte) (answer, error) {
 	for deadline := o.clock.Now() + orderTimeout; ; {
 		node := o.anyControlPlane()
@@ -83,7 +83,7 @@
 	}
 }
 
-// isTransient reports whether the same order may well be answered otherwise at another time or node.
+// isTransient reports whether another attempt, or another node, may answer the same order otherwise.
 func isTransient(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests,
@@ -93,7 +93,7 @@
 	return false
 }
 
-// read sends one GET to a node and decodes its answer; false without a good one.
+// read sends one GET to a node and decodes its answer. It returns false if that fails.
 func (o *session) read(ctx context.Context, node fleet.Node, path string, result any) bool {
 	reply, err := o.caller.Call(ctx, http.MethodGet, node.Addr, path, nil, callTimeout)
 	return err == nil && reply.IsSuccess() && json.Unmarshal(reply.Body, result) == nil
--- a/internal/testbed/operator/report.go
+++ b/internal/testbed/operator/report.go
@@ -2,7 +2,7 @@
 
 import "crosstide/internal/testbed/latency"
 
-// Report is what the operators' work came to; its JSON is what `crosstide-testbed bundles` prints.
+// Report is the result of Run; `crosstide-testbed bundles` prints it as JSON.
 type Report struct {
 	Seed            uint64         `json:"seed"`
 	Changes         int            `json:"changes"` // versions that came into force
@@ -28,7 +28,7 @@
 	FromForce       Spread         `json:"commit_to_node_ms"`    // from the commit's store time to each node
 }
 
-// IsClean reports whether something changed and no promise to the operators was seen broken.
+// IsClean reports whether there was a change and no invariant was seen violated.
 func (r Report) IsClean() bool {
 	violations := r.BothWon + r.RepeatsDiffer + r.ReadBacksDiffer + r.NotEverywhere + r.InvalidTaken + r.LiftsWrong
 	return r.Changes > 0 && violations == 0
@@ -47,7 +47,7 @@
 	return Spread{P50: ms(h.Quantile(50)), P99: ms(h.Quantile(99)), Max: ms(h.Max()), Count: h.Count()}
 }
 
-// report completes the counts. Nothing is under way any more.
+// report completes the counts. It is called when all orders have ended.
 func (o *session) report() Report {
 	r := o.counts
 	r.Seed = o.Seed
--- a/internal/testbed/operator/rollout.go
+++ b/internal/testbed/operator/rollout.go
@@ -32,7 +32,8 @@
 	Heard   time.Time
 }
 
-// reached reports whether every node that is up has a version, and how long after at (Unix ns) the last one had it.
+// reached reports whether every node that is up has a version or a newer one, and returns how long after at (Unix ns)
+// the last node changed its version.
 func (r *rollout) reached(version uint64, at int64, now time.Time) (everywhere bool, last time.Duration) {
 	everywhere = len(r.Nodes) > 0
 	for _, n := range r.Nodes {
@@ -44,7 +45,8 @@
 	return everywhere, last
 }
 
-// afterForce follows a version that the signature result put in force: it waits for the roll-out, and reads back.
+// afterForce handles a version that the signature of result has put in force: it waits for the roll-out, reads the
+// bytes back and asks the data planes for their versions.
 func (o *session) afterForce(ctx context.Context, d *draft, result signResult) {
 	o.record(Entry{Event: Force, Sent: result.sent, Node: result.node, Order: result.order, By: result.by,
 		Base: d.version - 1, Version: d.version, SHA: d.digest, OK: true, Bundle: d.text})
@@ -111,7 +113,7 @@
 	}
 }
 
-// checkNodeVersion asks a data plane which version it follows.
+// checkNodeVersion asks a data plane which version it follows, and journals the answer.
 func (o *session) checkNodeVersion(ctx context.Context, node fleet.Node) {
 	sent := o.clock.Wall().UnixNano()
 	reply, err := o.caller.Call(ctx, http.MethodGet, node.Addr, "/v1/bundle", nil, callTimeout)
--- a/internal/testbed/rehearsal/balances.go
+++ b/internal/testbed/rehearsal/balances.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/testbed/load"
 )
 
-// What is offered, and how long the steps last.
+// The loads, the top-ups, and the time that the steps take.
 const (
 	billedTaskDuration  = 400 * time.Millisecond
 	billingLoadDuration = 75 * time.Second
@@ -36,14 +36,14 @@
 	recoveryTimeout = 30 * time.Second
 )
 
-// BalancesOptions are what the rehearsal of balances is played with.
+// BalancesOptions are the options of RunBalances.
 type BalancesOptions struct {
 	Target *faults.Target
 	Rate   float64 // jobs per second of the party, and as many of others
 	Seed   uint64
 }
 
-// BalancesReport is what the rehearsal of balances came to; times are in seconds.
+// BalancesReport is the result of RunBalances. Times are in seconds.
 type BalancesReport struct {
 	Notes       []string                `json:"notes"`
 	Violations  []string                `json:"wrong,omitempty"`
@@ -62,7 +62,7 @@
 // IsClean reports whether nothing was violated.
 func (r BalancesReport) IsClean() bool { return len(r.Violations) == 0 && audit.NoneViolated(r.Audit) }
 
-// balances is the rehearsal under way. Its steps run one after the other, the loads beside them.
+// balances is a rehearsal in progress. Its steps run one after the other, concurrently with the loads.
 type balances struct {
 	*faults.Target
 	findings
@@ -72,9 +72,9 @@
 	report   BalancesReport
 }
 
-// RunBalances puts a paying party into the bundle and offers its jobs, long-running ones and jobs that nobody pays for.
-// The party runs out of balance again and again while the leader, a worker or a member is lost. What is amiss stands in
-// the report. Failures: those of opening the party's account.
+// RunBalances adds a paying party to the bundle and offers jobs of the party, long-running ones among them, and jobs
+// that nobody pays for. The party runs out of balance again and again while the leader, a worker or a member is lost.
+// Violations are in the report. Failures: those of opening the party's account.
 func RunBalances(ctx context.Context, options BalancesOptions) (BalancesReport, error) {
 	party := fmt.Sprintf("payer-%x", clock.Real{}.Wall().UnixMilli())
 	operator, err := billingload.New(options.Target.Dir, party)
@@ -101,9 +101,9 @@
 	err     error
 }
 
-// loads are the party's jobs, its long-running ones and jobs that nobody pays for.
+// loads returns the three loads: the party's jobs, its long-running ones and jobs that nobody pays for.
 func (b *balances) loads(options BalancesOptions) []*billingLoad {
-	all := []*billingLoad{
+	loads := []*billingLoad{
 		{report: &b.report.Paid, options: load.Options{Team: b.party, Rate: options.Rate,
 			TaskDuration: billedTaskDuration, DuplicateProbability: 0.05, Prefix: b.party + "-paid"}},
 		{report: &b.report.LongRunning, options: load.Options{Team: b.party, Count: longRunningJobs, LongRunning: true,
@@ -111,14 +111,14 @@
 		{report: &b.report.Free, options: load.Options{Team: "drill", Rate: options.Rate,
 			TaskDuration: billedTaskDuration, Prefix: b.party + "-free"}},
 	}
-	for _, l := range all {
+	for _, l := range loads {
 		l.options.Dir, l.options.Duration, l.options.Seed = b.Dir, billingLoadDuration, options.Seed
 		l.options.Retries, l.options.EndTimeout = billedRetries, billingEndTimeout
 	}
-	return all
+	return loads
 }
 
-// play offers the loads, and plays the steps beside them.
+// play runs the loads and, concurrently, the steps.
 func (b *balances) play(ctx context.Context, options BalancesOptions) {
 	loads := b.loads(options)
 	group := routine.New(ctx)
@@ -134,7 +134,8 @@
 	}
 }
 
-// playSteps plays the steps one after the other. A step that fails is noted; the next one is played all the same.
+// playSteps plays the steps one after the other. A step that fails is a violation and does not keep the next one from
+// being played.
 func (b *balances) playSteps(ctx context.Context) {
 	for _, step := range []struct {
 		name string
--- a/internal/testbed/rehearsal/balances_steps.go
+++ b/internal/testbed/rehearsal/balances_steps.go
@@ -1,6 +1,7 @@
 package rehearsal
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"slices"
@@ -18,7 +19,7 @@
 	"crosstide/internal/testbed/netproxy"
 )
 
-// readAccount reads the account and keeps the lowest balance.
+// readAccount reads the account, keeps the lowest balance and checks that no unit was gained or lost.
 func (b *balances) readAccount(ctx context.Context) (internalapi.AccountView, error) {
 	account, err := b.operator.Account(ctx, b.party)
 	if err == nil {
@@ -33,8 +34,8 @@
 // awaitExhausted waits until the party's balance is less than a start needs.
 func (b *balances) awaitExhausted(ctx context.Context) error {
 	need := int64(billingload.CorePrice * billingload.Window / time.Second)
-	clock := clock.Real{}
-	for end := clock.Now() + exhaustTimeout; clock.Now() < end; {
+	clk := clock.Real{}
+	for end := clk.Now() + exhaustTimeout; clk.Now() < end; {
 		account, err := b.readAccount(ctx)
 		if err != nil {
 			return errs.Pass(err, "dry")
@@ -49,7 +50,8 @@
 	return errs.New(errs.Timeout, "the party is not dry within %s", exhaustTimeout)
 }
 
-// checkStaysExhausted leaves the party without balance: once what ran has ended, nothing of it starts.
+// checkStaysExhausted leaves the party without balance for a time, and checks that none of its jobs starts once those
+// that ran have ended.
 func (b *balances) checkStaysExhausted(ctx context.Context) error {
 	b.Sleep(ctx, exhaustedFor)
 	from := clock.Real{}.Wall()
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// starts returns the starts of jobs with a prefix since a time, by the workers' journals.
+// starts returns the starts since a time, by the workers' journals, of jobs whose key has a prefix.
 func (b *balances) starts(prefix string, since time.Time) ([]audit.Event, error) {
 	history, err := audit.Read(b.Dir)
 	if err != nil {
@@ -139,16 +141,16 @@
 	return nil
 }
 
-func compareTimes(a, b audit.Event) int { return int(min(max(a.At-b.At, -1), 1)) }
+func compareTimes(a, b audit.Event) int { return cmp.Compare(a.At, b.At) }
 
-// storeLeader names the store's leader.
+// storeLeader returns the name of the store's leader, once there is one.
 func (b *balances) storeLeader(ctx context.Context) (string, error) {
 	isKnown := func(l fleet.Leaders) bool { return l.Store != "" }
 	leaders, err := b.AwaitLeaders(ctx, leaderTimeout, "leader", isKnown)
 	return leaders.Store, errs.Pass(err, "leader")
 }
 
-// killAndRestart kills a process and starts it again a while later.
+// killAndRestart kills a process and starts it again after the given time.
 func (b *balances) killAndRestart(ctx context.Context, after time.Duration, name string) error {
 	killed, err := b.Kill("rehearse", []string{name})
 	b.notef("%s killed", strings.Join(killed, " "))
@@ -159,7 +161,7 @@
 	return errors.Join(err, b.Restart(ctx, []string{name}))
 }
 
-// killLeader kills the store's leader and starts it again a while later.
+// killLeader kills the store's leader and starts it again after leaderDowntime.
 func (b *balances) killLeader(ctx context.Context) error {
 	name, err := b.storeLeader(ctx)
 	if err != nil {
--- a/internal/testbed/rehearsal/cases.go
+++ b/internal/testbed/rehearsal/cases.go
@@ -1,9 +1,9 @@
-// Package rehearsal plays faults on a running fleet of the policy deployment under load, and audits what came of it.
+// Package rehearsal injects faults into a running fleet of the policy deployment under load, and audits the result.
 //
-// It has four rehearsals: RunCases plays the named cases one after the other (cases.go, scenarios.go, requests.go),
-// RunChurn injects faults at random beside operators at work (churn.go), RunZoneOutage takes a zone out (zone.go), and
-// RunBalances lets a paying party run out of balance while leaders fail (balances.go). Package faults injects, package
-// load offers jobs, package audit checks; this package only decides what happens when.
+// It has four rehearsals, which are the entry points: RunCases plays the named cases one after the other (cases.go,
+// scenarios.go, requests.go), RunChurn injects faults at random beside operators at work (churn.go), RunZoneOutage
+// takes a zone out (zone.go), and RunBalances has a paying party run out of balance while leaders fail (balances.go).
+// Package faults injects, package load offers jobs, package audit checks; this package only decides what happens when.
 package rehearsal
 
 import (
@@ -28,7 +28,7 @@
 	leaderTimeout = 15 * time.Second
 )
 
-// CaseOptions are what cases are played with.
+// CaseOptions are the options of RunCases.
 type CaseOptions struct {
 	Target       *faults.Target
 	BinDir       string // folder of the programs
@@ -37,7 +37,7 @@
 	Seed         uint64 // of the first case's load; each one after it adds 1
 }
 
-// CaseResult is what came of a case.
+// CaseResult is the result of a case.
 type CaseResult struct {
 	Key, Name  string
 	Outage     audit.Outage
@@ -48,7 +48,7 @@
 	isPlayed   bool
 }
 
-// Measures is a line of what the case measured; empty if it could not be played.
+// Measures returns the measurements of the case as one line, and "" if it could not be played.
 func (r CaseResult) Measures() string {
 	if !r.isPlayed {
 		return ""
@@ -60,16 +60,16 @@
 			jobs.Done, jobs.Cancelled, jobs.Failed, jobs.Offered-jobs.Accepted)
 }
 
-// DescribeCases is a line for each case: its key and its name.
+// DescribeCases returns a line for each case: its key and its name.
 func DescribeCases() string {
-	var out strings.Builder
+	var lines strings.Builder
 	for _, s := range scenarios {
-		fmt.Fprintf(&out, "  %s  %s\n", s.key, s.name)
+		fmt.Fprintf(&lines, "  %s  %s\n", s.key, s.name)
 	}
-	return out.String()
+	return lines.String()
 }
 
-// CheckCases checks the keys of cases. Failure: Settings.
+// CheckCases checks that there is a case for each of keys. Failure: Settings.
 func CheckCases(keys []string) error {
 	_, err := selectScenarios(keys)
 	return errs.Pass(err, "cases")
@@ -80,15 +80,15 @@
 	if len(keys) == 0 {
 		return scenarios, nil
 	}
-	var out []scenario
+	var selected []scenario
 	for _, key := range keys {
 		i := slices.IndexFunc(scenarios, func(s scenario) bool { return s.key == strings.TrimSpace(key) })
 		if i < 0 {
 			return nil, errs.Field(errs.Settings, "only", "there is no case %q", key)
 		}
-		out = append(out, scenarios[i])
+		selected = append(selected, scenarios[i])
 	}
-	return out, nil
+	return selected, nil
 }
 
 // RunCases plays cases one after the other, all without keys, and passes each one's result to report. A violation is
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// caseRun is a case under way.
+// caseRun is a case in progress.
 type caseRun struct {
 	*faults.Target
 	findings
@@ -202,10 +202,11 @@
 	return audit.MeasureOutage(history, r.faultAt), nil
 }
 
-// markFault sets the time of the fault: of the last call, for a scenario that only then takes something away.
+// markFault sets the time of the fault. A scenario calls it again if its fault comes after its preparations: the last
+// call counts.
 func (r *caseRun) markFault() { r.faultAt = clock.Real{}.Wall() }
 
-// kill kills processes, all at once.
+// kill kills processes, all at once, and notes their names. It fails if one did not run.
 func (r *caseRun) kill(names ...string) error {
 	r.markFault()
 	killed, err := r.Kill("rehearse", names)
--- a/internal/testbed/rehearsal/churn.go
+++ b/internal/testbed/rehearsal/churn.go
@@ -34,7 +34,7 @@
 	changeProbability = 0.2 // of a race, and of an order that is repeated
 )
 
-// ChurnOptions are what a churn is made of.
+// ChurnOptions are the options of RunChurn.
 type ChurnOptions struct {
 	Target         *faults.Target
 	Profile        string  // of load.RunProfile
@@ -54,7 +54,7 @@
 	Bundles *operator.Report       `json:"bundles,omitempty"`
 }
 
-// churn injects the faults, one after the other; operators and load run beside it.
+// churn injects faults, one after the other, concurrently with operators and load.
 type churn struct {
 	*faults.Target
 	options ChurnOptions
@@ -67,8 +67,8 @@
 // faultKinds are the kinds of faults in the order of the documentation: a seed draws by their index.
 var faultKinds = []string{"kill", "freeze", "drain", "leave", "evacuate", "cancel"}
 
-// RunChurn runs a deployment's work beside operators and random faults, until all three have ended. Failures: Invalid,
-// those of the load, the operators and the faults.
+// RunChurn runs a deployment's work, operators and random faults concurrently, until all three have ended. Failures:
+// Invalid, those of the load, the operators and the faults.
 func RunChurn(ctx context.Context, options ChurnOptions) (ChurnReport, error) {
 	writer, err := journal.Open(filepath.Join(options.Target.Dir, "journal", "operator-churn.jsonl"))
 	if err != nil {
@@ -125,8 +125,8 @@
 			return errs.Field(errs.Invalid, "only", "no kind of fault is named %q", kind)
 		}
 	}
-	clock := clock.Real{}
-	for end := clock.Now() + c.options.Duration; clock.Now() < end; {
+	clk := clock.Real{}
+	for end := clk.Now() + c.options.Duration; clk.Now() < end; {
 		if !c.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.options.FaultInterval))) {
 			return nil
 		}
@@ -151,7 +151,7 @@
 	return time.Duration(c.rng.Int64N(int64(limit)))
 }
 
-// killOne kills a node and starts it again a while later.
+// killOne kills a node and starts it again after up to maxDowntime.
 func (c *churn) killOne(ctx context.Context) error {
 	name := c.pickAnyNode().Name
 	killed, err := c.Kill("rehearse", []string{name})
@@ -208,7 +208,7 @@
 	return errs.Pass(err, "journal")
 }
 
-// leaveOne signals a worker to leave, as the platform does, and starts it again.
+// leaveOne signals a worker to leave, as the platform does, and starts it again once it has.
 func (c *churn) leaveOne(ctx context.Context) error {
 	name := c.pickNode(c.Nodes.Workers).Name
 	if err := fleet.Signal(c.Dir, name, unix.SIGTERM); err != nil {
--- a/internal/testbed/rehearsal/findings.go
+++ b/internal/testbed/rehearsal/findings.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/audit"
 )
 
-// findings are what a rehearsal notes of its own course. A fault that is injected beside it may add to them.
+// findings are the notes and violations that a rehearsal reports. Faults run concurrently with it and add to them, too.
 type findings struct {
 	mu         sync.Mutex
 	notes      []string
@@ -30,14 +30,14 @@
 // maxShown is how many violations of one invariant a case reports.
 const maxShown = 3
 
-// addNew audits and adds the violations that are not in seen, and adds them to seen.
+// addNew audits the fleet in dir, and adds the violations that are not in seen to the findings and to seen.
 func (f *findings) addNew(ctx context.Context, dir string, seen map[string]bool) {
-	all, err := audit.CheckFleet(ctx, dir)
+	audited, err := audit.CheckFleet(ctx, dir)
 	if err != nil {
 		f.violatef("audit: %v", err)
 		return
 	}
-	for _, finding := range all {
+	for _, finding := range audited {
 		added := 0
 		for _, line := range finding.Lines {
 			key := finding.Invariant + line
--- a/internal/testbed/rehearsal/requests.go
+++ b/internal/testbed/rehearsal/requests.go
@@ -27,7 +27,8 @@
 	doneTimeout    = 10 * time.Second // of a job of one short task
 )
 
-// sendInvalidRequests sends what clients and operators get wrong, and one job to three nodes at once.
+// sendInvalidRequests sends malformed and invalid jobs, checks invalid settings, and sends one job to three nodes at
+// once.
 func sendInvalidRequests(ctx context.Context, r *caseRun) error {
 	if err := r.submitAtThreeNodes(ctx); err != nil {
 		return errs.Pass(err, "one job at three nodes")
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// checkInvalidSettings has a program check a node's settings with three errors: it must exit 1 and name all three.
+// checkInvalidSettings runs a program's check of settings on those of a node with three errors in them: it must exit 1
+// and name all three.
 func (r *caseRun) checkInvalidSettings(ctx context.Context, program, node string) error {
 	raw, err := os.ReadFile(filepath.Join(r.Dir, "settings", node+".json"))
 	if err != nil {
@@ -96,8 +98,8 @@
 	writer *journal.Writer // of its client
 }
 
-// submitAtThreeNodes submits one job at three nodes at once, which must make one job and one start. Another job
-// under its key must be refused.
+// submitAtThreeNodes submits the same job to three nodes at once, and checks that it becomes one job with one start,
+// and that another job with its key is refused.
 func (r *caseRun) submitAtThreeNodes(ctx context.Context) error {
 	key := fmt.Sprintf("thrice-%d", clock.Real{}.Wall().UnixNano())
 	writer, err := journal.Open(filepath.Join(r.Dir, "journal", "consumer-"+key+".jsonl"))
--- a/internal/testbed/rehearsal/scenarios.go
+++ b/internal/testbed/rehearsal/scenarios.go
@@ -64,7 +64,7 @@
 	{"j", "one job at three nodes, broken bodies and settings", 8 * time.Second, sendInvalidRequests},
 }
 
-// zoneOf is the zone of a node; empty if there is no such node.
+// zoneOf returns the zone of a node, and "" if there is no such node.
 func (r *caseRun) zoneOf(name string) string {
 	for _, n := range r.Nodes.All() {
 		if n.Name == name {
@@ -77,20 +77,20 @@
 // pickWorkers returns a worker of either kind, or two of the one kind there is; from is the index of the first that is
 // considered.
 func (r *caseRun) pickWorkers(from int) []string {
-	var out []string
+	var picked []string
 	isPicked := map[string]bool{} // kinds
 	for _, oneOfKind := range []bool{true, false} {
 		for _, w := range r.Nodes.Workers[min(from, len(r.Nodes.Workers)):] {
-			if len(out) < 2 && !slices.Contains(out, w.Name) && !(oneOfKind && isPicked[w.Kind]) {
-				out = append(out, w.Name)
+			if len(picked) < 2 && !slices.Contains(picked, w.Name) && !(oneOfKind && isPicked[w.Kind]) {
+				picked = append(picked, w.Name)
 				isPicked[w.Kind] = true
 			}
 		}
 	}
-	return out
+	return picked
 }
 
-// killAndRestart kills processes at once and starts them again after a while.
+// killAndRestart kills processes, all at once, and starts them again after the given time.
 func (r *caseRun) killAndRestart(ctx context.Context, after time.Duration, names ...string) error {
 	err := r.kill(names...)
 	r.Sleep(ctx, after)
@@ -135,8 +135,8 @@
 	return errs.Pass(r.killAndRestart(ctx, 6*time.Second, leader), "kill")
 }
 
-// leaderAfterRepair asks a node that was wiped for the store's leader, and whether the node votes again: as a member
-// with the ID NAME~INCARNATION that is no learner.
+// leaderAfterRepair asks a node that was wiped for the store's leader, and reports whether the node votes again:
+// whether it is a member with the ID NAME~INCARNATION and no learner.
 func (r *caseRun) leaderAfterRepair(ctx context.Context, victim fleet.Node) (leader string, isRepaired bool) {
 	reply, err := r.Caller.Call(ctx, http.MethodGet, victim.Addr, "/v1/who", nil, readTimeout)
 	var who operatorapi.Who
@@ -155,7 +155,7 @@
 	return "", false
 }
 
-// drainWorkers signals workers to leave and waits until they have.
+// drainWorkers signals workers to leave, waits until they have, and starts them again.
 func drainWorkers(ctx context.Context, r *caseRun) error {
 	names := r.pickWorkers(2)
 	r.markFault()
--- a/internal/testbed/rehearsal/zone.go
+++ b/internal/testbed/rehearsal/zone.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/testbed/load"
 )
 
-// ZoneOptions are what a zone is taken out with.
+// ZoneOptions are the options of RunZoneOutage.
 type ZoneOptions struct {
 	Target *faults.Target
 	Zone   string
@@ -56,7 +56,7 @@
 	return report, nil
 }
 
-// loadAndTakeOut runs the load and, some time after its start, takes the zone out. It returns when that was.
+// loadAndTakeOut runs the load and takes the zone out options.After later. It returns when the outage began.
 func (r *ZoneReport) loadAndTakeOut(ctx context.Context, options ZoneOptions) (outAt time.Time, err error) {
 	var faultErr, loadErr error
 	group := routine.New(ctx)
