--- a/internal/testbed/load/arrivals.go
+++ b/internal/testbed/load/arrivals.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/state"
 )
 
-// arrival is one job to come; all chance in it is of the load's seed.
+// arrival is one job that is to be submitted. All its random values are drawn from the load's seed.
 type arrival struct {
 	at          time.Duration // since the start of the load
 	spec        state.Spec
@@ -26,15 +26,15 @@
 func planArrivals(o Options) []arrival {
 	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	program := programOf(o)
-	var out []arrival
+	var arrivals []arrival
 	for at := time.Duration(0); ; {
 		if o.Count > 0 {
 			at += countInterval
 		} else {
 			at += time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second))
 		}
-		if at >= o.Duration || o.Count > 0 && len(out) == o.Count {
-			return out
+		if at >= o.Duration || o.Count > 0 && len(arrivals) == o.Count {
+			return arrivals
 		}
 		next := arrival{at: at, cancelAfter: -1, seed: rng.Uint64()}
 		if rng.Float64() < o.CancelProbability {
@@ -44,12 +44,12 @@
 			next.cancelAfter = o.Duration - at
 		}
 		next.isRepeated = rng.Float64() < o.DuplicateProbability
-		next.spec = specOf(o, len(out), program)
-		out = append(out, next)
+		next.spec = specOf(o, len(arrivals), program)
+		arrivals = append(arrivals, next)
 	}
 }
 
-// programOf is what a task does on a stand-in worker.
+// programOf returns the program of a task on a stand-in worker.
 func programOf(o Options) []byte {
 	ms := o.TaskDuration.Milliseconds()
 	if o.LongRunning {
@@ -62,7 +62,7 @@
 	return program
 }
 
-// specOf is the nth job of a load: steps one after the other.
+// specOf returns the nth job of a load, whose steps run one after the other.
 func specOf(o Options, nth int, program []byte) state.Spec {
 	spec := state.Spec{Key: fmt.Sprintf("%s-%d", o.Prefix, nth), Team: o.Team, Queue: o.Queue}
 	for i := range o.Steps {
--- a/internal/testbed/load/entry.go
+++ b/internal/testbed/load/entry.go
@@ -16,8 +16,8 @@
 // Missing is the State of a poll that was answered 404.
 const Missing = "404"
 
-// Entry is one line of a client's journal, DIR/journal/consumer-*.jsonl. What was acknowledged is journaled
-// when its answer has come, so At is never before the acknowledgement.
+// Entry is one line of a client's journal, DIR/journal/consumer-*.jsonl. An acknowledgement is journaled when its
+// answer has arrived, so At is never before it.
 type Entry struct {
 	At     int64  `json:"at"` // Unix time in ns, of writing
 	Event  string `json:"ev"`
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -1,10 +1,10 @@
 // Package load is the load generator of the testbed: clients that submit jobs to a fleet in an open loop, at a rate
 // that does not depend on the answers. Each job is submitted, submitted again after a lost answer, polled to its end,
-// and journaled; the journals are what package audit checks the fleet's promises against.
+// and journaled; package audit checks the fleet by these journals.
 //
 // Run plans all arrivals from the seed (arrivals.go), starts each at its time (generator.go) and follows it on a
 // goroutine of its own (job.go); at the end it reads the workers' journals and reports (report.go). RunProfile runs
-// the kinds of work of a deployment at once (profile.go). The package never decides whether a promise was kept.
+// the kinds of work of a deployment at once (profile.go). The package judges no fleet.
 package load
 
 import (
@@ -35,7 +35,7 @@
 	Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (fleet.Reply, error)
 }
 
-// generator is one load under way. All but what its mutex guards is set before the first job starts.
+// generator is one load in progress. All but what its mutex guards is fixed before the first job starts.
 type generator struct {
 	options  Options
 	caller   Caller
@@ -95,7 +95,7 @@
 // newPrefix returns a prefix of keys that no earlier load had.
 func newPrefix() string { return "l" + strconv.FormatInt(time.Now().UnixMilli(), 36) }
 
-// run starts every job at its time, whatever became of those before, and waits for all.
+// run starts every job at its time, whether or not earlier ones were answered, and waits for all.
 func (g *generator) run(ctx context.Context, arrivals []arrival) {
 	began := g.clock.Now()
 	ctx, stop := context.WithCancel(ctx)
@@ -123,7 +123,7 @@
 	change(&g.counts)
 }
 
-// sleep waits for d; false if ctx has ended.
+// sleep waits for d. It returns false if ctx ends first.
 func (g *generator) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/testbed/load/job.go
+++ b/internal/testbed/load/job.go
@@ -33,7 +33,7 @@
 	node   int // index of the node that was tried last
 }
 
-// follow sees a job through: accepted, perhaps submitted once more, perhaps cancelled, polled to its end. due is when
+// follow submits a job, perhaps once more after its acceptance, polls it to its end and perhaps cancels it. due is when
 // it arrived, on the generator's clock.
 func (g *generator) follow(ctx context.Context, writer *journal.Writer, next arrival, due time.Duration) {
 	j := &job{generator: g, arrival: next, writer: writer, rng: rand.New(rand.NewPCG(next.seed, 2))}
@@ -51,7 +51,7 @@
 	j.pollToEnd(ctx, cancelAt)
 }
 
-// submit offers the job until a node accepts it; false if it was given up.
+// submit offers the job to the nodes until one accepts it. It returns false if the job was given up.
 func (j *job) submit(ctx context.Context, due time.Duration) bool {
 	j.record(Entry{Event: Submit, Node: j.nodeName(), Team: j.spec.Team, Queue: j.spec.Queue})
 	reply, reason := j.callUntilAnswered(ctx, http.MethodPost, "/v1/jobs", j.spec)
@@ -115,7 +115,8 @@
 	}
 }
 
-// cancelWhenDue cancels the job if cancelAt has come, and returns when to cancel it; below 0: no more.
+// cancelWhenDue cancels the job if cancelAt is over. It returns when the job is to be cancelled: below 0 if it is not,
+// or was.
 func (j *job) cancelWhenDue(ctx context.Context, cancelAt time.Duration) time.Duration {
 	if cancelAt < 0 || j.clock.Now() < cancelAt {
 		return cancelAt
@@ -129,8 +130,8 @@
 	return -1
 }
 
-// poll asks a node drawn at random for the job's state, which is Missing after a 404. Any other refusal, and a lost
-// answer, say nothing about the job: isAnswered is false.
+// poll asks a random node for the job's state, which is Missing after a 404. isAnswered is false after any other
+// refusal and a lost answer: neither proves anything about the job.
 func (j *job) poll(ctx context.Context) (found string, status int, isAnswered bool) {
 	j.node = j.rng.IntN(len(j.nodes))
 	addr, path := j.nodes[j.node].Addr, "/v1/jobs/"+j.spec.Key
@@ -175,7 +176,7 @@
 	}
 }
 
-// isTransient reports whether the same call may well be answered otherwise at another time or node.
+// isTransient reports whether another attempt, or another node, may answer the same call otherwise.
 func isTransient(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusBadGateway,
@@ -187,7 +188,7 @@
 
 func (j *job) nodeName() string { return j.nodes[j.node].Name }
 
-// switchNode goes on to another node, if there is one.
+// switchNode picks another node for the next call, if there is one.
 func (j *job) switchNode() {
 	if n := len(j.nodes); n > 1 {
 		j.node = (j.node + 1 + j.rng.IntN(n-1)) % n
@@ -207,7 +208,7 @@
 	return e.At
 }
 
-// stateOf is the job's state in an answer; "?" if it has none.
+// stateOf returns the job's state in an answer, and "?" if it has none.
 func stateOf(r fleet.Reply) string {
 	var view struct{ State string }
 	if json.Unmarshal(r.Body, &view) != nil || view.State == "" {
@@ -216,11 +217,11 @@
 	return view.State
 }
 
-// stepsOf is what the audit must know of a job's steps.
+// stepsOf returns what the audit must know of a job's steps.
 func stepsOf(spec state.Spec) []Step {
-	var out []Step
+	var steps []Step
 	for _, s := range spec.Steps {
-		out = append(out, Step{s.Name, s.Type, s.Tasks, s.Cores, s.Labels})
+		steps = append(steps, Step{s.Name, s.Type, s.Tasks, s.Cores, s.Labels})
 	}
-	return out
+	return steps
 }
--- a/internal/testbed/load/options.go
+++ b/internal/testbed/load/options.go
@@ -6,10 +6,10 @@
 	"crosstide/internal/errs"
 )
 
-// Options are what a load is made of. Zero values take the defaults of SetDefaults.
+// Options are the options of Run. Zero values are replaced by the defaults of SetDefaults.
 type Options struct {
 	Dir  string // of the fleet
-	Seed uint64 // of all chance in the arrivals and in the choice of nodes
+	Seed uint64 // of all random draws: arrivals and the choice of nodes
 
 	// Arrivals.
 	Rate     float64       // jobs per second on average, arrivals as of many independent clients
@@ -31,7 +31,7 @@
 	Labels       map[string]string
 	Retries      int // of a task
 
-	// What clients do with it.
+	// The clients.
 	CancelProbability    float64       // that a job is cancelled some time after it was accepted
 	DuplicateProbability float64       // that a job is submitted once more at another node
 	Clients              int           // each with its own journal, default 4
--- a/internal/testbed/load/profile.go
+++ b/internal/testbed/load/profile.go
@@ -35,8 +35,9 @@
 // clientsPerKind is how many clients each kind of work of a profile has.
 const clientsPerKind = 2
 
-// RunProfile runs all kinds of work of a deployment at once, at scale times the brief's rates. Of common it takes Dir,
-// Duration, EndTimeout, SubmitTimeout, Seed and Prefix. It returns a report by kind. Failure: Invalid. Example:
+// RunProfile runs all kinds of work of a deployment at once, at scale times the brief's rates. Of common only Dir,
+// Duration, EndTimeout, SubmitTimeout, Seed and Prefix are used. It returns a report by kind. Failure: Invalid.
+// Example:
 //
 //	reports, err := load.RunProfile(ctx, "lubra", 1, load.Options{Dir: dir, Duration: time.Minute})
 func RunProfile(ctx context.Context, name string, scale float64, common Options) (map[string]Report, error) {
--- a/internal/testbed/load/report.go
+++ b/internal/testbed/load/report.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/testbed/latency"
 )
 
-// Report is what a load came to; its JSON is what `crosstide-testbed load` prints.
+// Report is the result of a load; `crosstide-testbed load` prints it as JSON.
 type Report struct {
 	Seed        uint64         `json:"seed"`
 	Prefix      string         `json:"prefix"` // of the jobs' keys
@@ -44,12 +44,13 @@
 	Count int64   `json:"count"`
 }
 
-// AllDone reports whether something was accepted, all of it is done, and none was ever unknown.
+// AllDone reports whether jobs were accepted, all of them are done, and none was ever unknown.
 func (r Report) AllDone() bool {
 	return r.Accepted > 0 && r.Done == r.Accepted && r.Unknown == 0
 }
 
-// addEnd counts a job that was accepted by the phase that it was last seen in; wasMissing: a poll did not find it.
+// addEnd counts an accepted job by the phase in which it was last seen. wasMissing reports whether a poll ever did not
+// find it.
 func (r *Report) addEnd(phase state.JobPhase, wasMissing bool) {
 	switch phase {
 	case state.JobDone:
@@ -72,7 +73,7 @@
 		Max: ms(h.Max()), Count: h.Count()}
 }
 
-// report completes the counts by the starts of this load's jobs, as the workers' journals have them.
+// report completes the counts with the starts of this load's jobs, by the workers' journals.
 func (g *generator) report() (Report, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/scale/csv.go
+++ b/internal/testbed/scale/csv.go
@@ -17,30 +17,30 @@
 	"machine_cores", "loop_kb_s", "loop_packets_s", "role", "procs", "cpu_pct", "mb", "msgs_s", "body_kb_s", "net_kb_s",
 	"syncs_s", "log_kb_s", "note"}
 
-// cells are pointers to a row's fields, in the order of columns.
+// cells returns pointers to the row's fields, in the order of columns.
 func (r *Row) cells() []any {
 	return []any{&r.Workers, &r.Offered, &r.Starts, &r.Running, &r.P50, &r.P99, &r.Unfinished,
 		&r.Cores, &r.LoopKB, &r.LoopPk, &r.Role, &r.Procs, &r.CPU, &r.MB, &r.Msgs, &r.KB, &r.Net,
 		&r.Syncs, &r.LogKB, &r.Note}
 }
 
-// record is a row as a line of CSV.
+// record returns the row as a record of CSV.
 func (r Row) record() []string {
-	var out []string
+	var record []string
 	for _, cell := range r.cells() {
 		switch field := cell.(type) {
 		case *int:
-			out = append(out, strconv.Itoa(*field))
+			record = append(record, strconv.Itoa(*field))
 		case *float64:
-			out = append(out, strconv.FormatFloat(*field, 'f', 3, 64))
+			record = append(record, strconv.FormatFloat(*field, 'f', 3, 64))
 		case *string:
-			out = append(out, *field)
+			record = append(record, *field)
 		}
 	}
-	return out
+	return record
 }
 
-// parse sets a row from a line of CSV; n is the line's number.
+// parse sets the row from a record of CSV; n is the record's number, for errors.
 func (r *Row) parse(record []string, n int) error {
 	for i, cell := range r.cells() {
 		if text, isText := cell.(*string); isText {
@@ -87,11 +87,11 @@
 		return nil, errs.Wrap(err, errs.Disk, "open %s", path)
 	}
 	defer file.Close()
-	var out []Row
+	var rows []Row
 	for reader, n := csv.NewReader(file), 0; ; n++ {
 		record, err := reader.Read()
 		if err == io.EOF {
-			return out, nil
+			return rows, nil
 		}
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Malformed, "%s", path)
@@ -106,6 +106,6 @@
 		if err := row.parse(record, n); err != nil {
 			return nil, errs.Pass(err, "%s", path)
 		}
-		out = append(out, row)
+		rows = append(rows, row)
 	}
 }
--- a/internal/testbed/scale/plot.go
+++ b/internal/testbed/scale/plot.go
@@ -45,9 +45,9 @@
 	return errs.Pass(writeTiles(path, tiles), "draw")
 }
 
-// panelLine makes the panels that stand beside each other: one for each kind of cost.
+// panelLine returns a line of panels: one for each kind of cost.
 func panelLine(rows []Row, label string, isShown func(Row) bool, x func(Row) float64) ([]*plot.Plot, error) {
-	var out []*plot.Plot
+	var panels []*plot.Plot
 	for _, cost := range []struct {
 		label string
 		y     func(Row) float64
@@ -61,9 +61,9 @@
 			return nil, errs.Pass(err, "%s", cost.label)
 		}
 		p.X.Label.Text, p.Y.Label.Text = label, cost.label
-		out = append(out, p)
+		panels = append(panels, p)
 	}
-	return out, nil
+	return panels, nil
 }
 
 // writeTiles writes all panels as one picture.
--- a/internal/testbed/scale/probe.go
+++ b/internal/testbed/scale/probe.go
@@ -1,5 +1,6 @@
-// Package scale measures what a fleet costs at a size: for each role, processor time, memory, messages, bytes and
-// syncs a second, from /proc of the fleet's own processes and from their /metrics.
+// Package scale measures the resources that a fleet of some size needs: for each role, processor time, memory, and
+// messages, bytes and syncs per second, from /proc of the fleet's processes and from their /metrics. It neither starts
+// a fleet nor judges one.
 //
 // A Probe takes a Snapshot of all processes (probe.go, process.go); Rows is the cost of each role between two of them
 // (rows.go), which AppendRows keeps as CSV (csv.go) and Plot draws (plot.go). Run puts a fleet under load step by step
@@ -19,8 +20,8 @@
 )
 
 const (
-	connsPerNode  = 2
-	readingsAtOne = 8 // processes that are read at once
+	connsPerNode       = 2
+	concurrentReadings = 8 // processes that are read at the same time
 )
 
 // Snapshot is a reading of the whole fleet.
@@ -40,7 +41,7 @@
 	clock  clock.Clock
 }
 
-// Open makes a probe of the fleet in dir. Failures: Disk, Malformed. Example:
+// Open returns a probe of the fleet in dir. Failures: Disk, Malformed. Example:
 //
 //	probe, err := scale.Open(dir, clock.Real{})
 //	snapshot, err := probe.Read(ctx)
@@ -49,7 +50,7 @@
 	return &Probe{dir: dir, nodes: nodes, caller: fleet.NewCaller(connsPerNode), clock: clock}, errs.Pass(err, "probe")
 }
 
-// Workers is how many workers the fleet has.
+// Workers returns the number of workers of the fleet.
 func (p *Probe) Workers() int { return len(p.nodes.Workers) }
 
 // Read reads every process of DIR/pids once. Failures: Disk, Malformed, Unknown (a process is gone), Timeout.
@@ -60,30 +61,30 @@
 	}
 	processes := map[string]process{}
 	for _, n := range p.nodes.All() {
-		one := processes[n.Process()]
-		one.addr = n.Addr
-		one.nodes++
-		processes[n.Process()] = one
+		shared := processes[n.Process()]
+		shared.addr = n.Addr
+		shared.nodes++
+		processes[n.Process()] = shared
 	}
-	var all []process
+	var running []process
 	for name, pid := range pids {
-		one := processes[name]
-		one.name, one.pid = name, pid
-		all = append(all, one)
+		proc := processes[name]
+		proc.name, proc.pid = name, pid
+		running = append(running, proc)
 	}
-	readings, failures := make([]Reading, len(all)), make([]error, len(all))
-	routine.Each(len(all), readingsAtOne, func(i int) {
-		readings[i], failures[i] = p.readProcess(ctx, all[i])
+	readings, failures := make([]Reading, len(running)), make([]error, len(running))
+	routine.Each(len(running), concurrentReadings, func(i int) {
+		readings[i], failures[i] = p.readProcess(ctx, running[i])
 	})
-	out := Snapshot{Procs: map[string]Reading{}}
-	for i, one := range all {
+	snapshot := Snapshot{Procs: map[string]Reading{}}
+	for i, proc := range running {
 		if failures[i] != nil {
-			return out, errs.Pass(failures[i], "%s", one.name)
+			return snapshot, errs.Pass(failures[i], "%s", proc.name)
 		}
-		out.Procs[one.name] = readings[i]
+		snapshot.Procs[proc.name] = readings[i]
 	}
-	out.At = p.clock.Now()
-	return out, errs.Pass(out.readMachine(), "probe")
+	snapshot.At = p.clock.Now()
+	return snapshot, errs.Pass(snapshot.readMachine(), "probe")
 }
 
 func (s *Snapshot) readMachine() error {
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -26,7 +26,7 @@
 // Roles is the order of rows.
 var Roles = []string{Leader, Follower, SchedulerLeader, DataPlane, SharedWorker, DedicatedWorker}
 
-// Reading is what one process has used since its start, and what it has now.
+// Reading is the resources that one process has used since its start, and those that it has now.
 type Reading struct {
 	Role        string
 	Count       float64       // workers that share the process; 1 for a daemon
@@ -43,7 +43,7 @@
 	Handles     float64       // run IDs in use, as this data plane's replica has them
 }
 
-// process is a process of the fleet to be read.
+// process is a process of the fleet that is to be read.
 type process struct {
 	name  string
 	pid   int
@@ -51,38 +51,39 @@
 	nodes float64 // that share it
 }
 
-// readProcess reads /proc around the metrics: their answer must not count as the fleet's traffic.
-func (p *Probe) readProcess(ctx context.Context, one process) (Reading, error) {
-	r := Reading{Count: one.nodes}
-	proc, err := procfs.NewProc(one.pid)
+// readProcess reads a process's metrics, and its traffic in /proc both before and after: the answer with the metrics
+// must not count as the fleet's traffic.
+func (p *Probe) readProcess(ctx context.Context, target process) (Reading, error) {
+	r := Reading{Count: target.nodes}
+	proc, err := procfs.NewProc(target.pid)
 	if err != nil {
-		return r, errs.Wrap(err, errs.Unknown, "pid %d", one.pid)
+		return r, errs.Wrap(err, errs.Unknown, "pid %d", target.pid)
 	}
 	stat, err := proc.Stat()
 	if err != nil {
-		return r, errs.Wrap(err, errs.Unknown, "pid %d", one.pid)
+		return r, errs.Wrap(err, errs.Unknown, "pid %d", target.pid)
 	}
 	r.CPU, r.RSS = time.Duration(stat.CPUTime()*float64(time.Second)), float64(stat.ResidentMemory())
 	before, err := proc.IO()
 	if err != nil {
-		return r, errs.Wrap(err, errs.Unknown, "pid %d", one.pid)
+		return r, errs.Wrap(err, errs.Unknown, "pid %d", target.pid)
 	}
-	metrics, size, err := fleet.Scrape(ctx, p.caller, one.addr)
+	metrics, size, err := fleet.Scrape(ctx, p.caller, target.addr)
 	if err != nil {
 		return r, errs.Pass(err, "metrics")
 	}
 	r.addMetrics(metrics, size)
-	ownBytes := p.ownBytes(one.name, &r)
+	ownBytes := p.ownBytes(target.name, &r)
 	after, err := proc.IO()
 	if err != nil {
-		return r, errs.Wrap(err, errs.Unknown, "pid %d", one.pid)
+		return r, errs.Wrap(err, errs.Unknown, "pid %d", target.pid)
 	}
 	r.Stream = max(0, float64(before.RChar+before.WChar)-ownBytes)
 	r.StreamAfter = max(0, float64(after.RChar+after.WChar)-ownBytes)
 	return r, nil
 }
 
-// addMetrics sets what a process counts itself; size is that of the metrics' own answer.
+// addMetrics sets the counters that a process exports; size is that of the answer with its metrics.
 func (r *Reading) addMetrics(m fleet.Metrics, size int) {
 	r.Bytes, r.Msgs = sum(m, "crosstide_rpc_bytes_total"), sum(m, "crosstide_rpc_calls_total")
 	r.AnswerBytes = float64(size)
@@ -94,7 +95,7 @@
 	}
 }
 
-// ownBytes is what a process wrote to its own log or journal, which is no traffic.
+// ownBytes returns the bytes that a process wrote to its log or journal, which are no traffic.
 func (p *Probe) ownBytes(name string, r *Reading) float64 {
 	if r.Role == SharedWorker || r.Role == DedicatedWorker {
 		if info, err := os.Stat(filepath.Join(p.dir, "journal", name+".jsonl")); err == nil {
@@ -104,7 +105,7 @@
 	return r.Log
 }
 
-// sum adds up all series of a name but those of the probe's own calls.
+// sum returns the sum of all series of a name but those of the probe's own calls.
 func sum(m fleet.Metrics, name string) float64 {
 	total := 0.0
 	for labels, value := range m.Series(name) {
@@ -115,7 +116,7 @@
 	return total
 }
 
-// roleOf is a process's role by which metrics it has.
+// roleOf returns a process's role, by the metrics that it has.
 func roleOf(m fleet.Metrics) string {
 	isStore, isScheduler := false, false
 	for labels, value := range m.Series("crosstide_store_role") {
--- a/internal/testbed/scale/rows.go
+++ b/internal/testbed/scale/rows.go
@@ -2,7 +2,7 @@
 
 import "crosstide/internal/errs"
 
-// Step is what a fleet was under while it was measured.
+// Step is the load under which a fleet was measured, and what the whole fleet did under it.
 type Step struct {
 	Workers    int     // known to the fleet
 	Offered    float64 // task starts a second that the load asked for
@@ -41,44 +41,44 @@
 	step.Cores, step.LoopKB = (to.Busy-from.Busy)/seconds, (to.Loop-from.Loop)/seconds/1000
 	step.LoopPk = (to.Packets - from.Packets) / seconds
 	sums := map[string]*Row{} // by role
-	for name, now := range to.Procs {
+	for name, after := range to.Procs {
 		before, ok := from.Procs[name]
-		if !ok || now.CPU < before.CPU {
+		if !ok || after.CPU < before.CPU {
 			return nil, errs.New(errs.Unknown, "%s was started anew meanwhile", name)
 		}
-		row := sums[now.Role]
+		row := sums[after.Role]
 		if row == nil {
-			row = &Row{Role: now.Role}
-			sums[now.Role] = row
+			row = &Row{Role: after.Role}
+			sums[after.Role] = row
 		}
-		row.add(before, now, seconds)
-		step.Starts += (now.RunIDs - before.RunIDs) / seconds
-		step.Running = max(step.Running, now.Handles)
+		row.add(before, after, seconds)
+		step.Starts += (after.RunIDs - before.RunIDs) / seconds
+		step.Running = max(step.Running, after.Handles)
 	}
-	var out []Row
+	var rows []Row
 	for _, role := range Roles {
 		if row := sums[role]; row != nil {
 			row.Step = step
 			row.divide()
-			out = append(out, *row)
+			rows = append(rows, *row)
 		}
 	}
-	return out, nil
+	return rows, nil
 }
 
-// add adds what one process has used between two readings.
-func (r *Row) add(before, now Reading, seconds float64) {
-	r.Procs += now.Count
-	r.CPU += 100 * (now.CPU - before.CPU).Seconds() / seconds
-	r.MB += now.RSS / 1e6
-	r.Msgs += (now.Msgs - before.Msgs) / seconds
-	r.KB += (now.Bytes - before.Bytes - before.AnswerBytes) / seconds / 1000
-	r.Net += (now.Stream - before.StreamAfter) / seconds / 1000
-	r.Syncs += (now.Syncs - before.Syncs) / seconds
-	r.LogKB += (now.Log - before.Log) / seconds / 1000
+// add adds the resources that one process has used between two readings.
+func (r *Row) add(before, after Reading, seconds float64) {
+	r.Procs += after.Count
+	r.CPU += 100 * (after.CPU - before.CPU).Seconds() / seconds
+	r.MB += after.RSS / 1e6
+	r.Msgs += (after.Msgs - before.Msgs) / seconds
+	r.KB += (after.Bytes - before.Bytes - before.AnswerBytes) / seconds / 1000
+	r.Net += (after.Stream - before.StreamAfter) / seconds / 1000
+	r.Syncs += (after.Syncs - before.Syncs) / seconds
+	r.LogKB += (after.Log - before.Log) / seconds / 1000
 }
 
-// divide makes the mean of the sums.
+// divide replaces the sums by their means.
 func (r *Row) divide() {
 	for _, sum := range []*float64{&r.CPU, &r.MB, &r.Msgs, &r.KB, &r.Net, &r.Syncs, &r.LogKB} {
 		*sum /= r.Procs
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -22,7 +22,7 @@
 	pollsPerSecond   = 300             // of a load
 )
 
-// Plan is what a fleet is measured under.
+// Plan is the loads under which a fleet is measured, step by step.
 type Plan struct {
 	Dir          string
 	Running      int           // long tasks that are started first
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// runningTasks is how many run IDs are in use, as the leader of the scheduler has them.
+// runningTasks returns the number of run IDs in use, as the leader of the scheduler reports it.
 func runningTasks(s Snapshot) float64 {
 	for _, r := range s.Procs {
 		if r.Role == SchedulerLeader {
@@ -111,7 +111,7 @@
 	return 0
 }
 
-// step measures the fleet under a load of nth step's seed; isLast: the fleet does not keep up with it.
+// step measures the fleet under the load of the nth step. isLast reports that the fleet does not keep up with it.
 func (p *Probe) step(ctx context.Context, plan Plan, nth int, rate float64) (rows []Row, isLast bool, err error) {
 	var report load.Report
 	var loadErr error
@@ -138,7 +138,7 @@
 	return rows, step.Note != "", errs.Pass(err, "step")
 }
 
-// measure takes the snapshots at the end of a step's warm-up and at its own end.
+// measure takes a snapshot at the end of a step's warm-up, and one at the end of the step.
 func (p *Probe) measure(ctx context.Context, plan Plan) (from, to Snapshot, err error) {
 	if err := p.sleep(ctx, plan.WarmUp); err != nil {
 		return from, to, errs.Pass(err, "warm-up")
@@ -153,7 +153,7 @@
 	return from, to, errs.Pass(err, "to")
 }
 
-// reasonToStop is why a step of so many jobs is the last; "" if it is not.
+// reasonToStop returns why a step that offered so many jobs is the last one, and "" if it is not.
 func (plan Plan) reasonToStop(step Step, offered int) string {
 	switch {
 	case step.Unfinished > 0:
--- a/internal/testbed/scale/slopes.go
+++ b/internal/testbed/scale/slopes.go
@@ -23,7 +23,7 @@
 
 // IdleSlopes fits each cost of each role at idle over the numbers of workers; a cost with too few sizes is left out.
 func IdleSlopes(rows []Row) []Slope {
-	var out []Slope
+	var slopes []Slope
 	for _, role := range Roles {
 		for _, cost := range idleCosts {
 			if cost.name == loopbackCost && role != SchedulerLeader {
@@ -36,9 +36,9 @@
 				}
 			}
 			if base, slope, ok := fitLine(workers, values); ok {
-				out = append(out, Slope{Role: role, Cost: cost.name, Base: base, PerWorker: slope})
+				slopes = append(slopes, Slope{Role: role, Cost: cost.name, Base: base, PerWorker: slope})
 			}
 		}
 	}
-	return out
+	return slopes
 }
