--- a/cmd/crosstide-testbed/churn.go
+++ b/cmd/crosstide-testbed/churn.go
@@ -60,7 +60,7 @@
 	return errs.Pass(checkChurn(ctx, target.Dir, report), "churn")
 }
 
-// checkChurn audits, and looks for jobs that have not ended.
+// checkChurn audits the fleet, and fails if an invariant is violated or an accepted job is unknown or has not ended.
 func checkChurn(ctx context.Context, dir string, report rehearsal.ChurnReport) error {
 	findings, err := audit.CheckFleet(ctx, dir)
 	if err != nil {
--- a/cmd/crosstide-testbed/command.go
+++ b/cmd/crosstide-testbed/command.go
@@ -21,13 +21,13 @@
 	exitUsage    = 2 // a flag or an argument is wrong
 )
 
-// exitCode ends the program with a code of its own, after its message.
+// exitCode is an error that ends the program with the given exit code, after its message.
 type exitCode struct {
 	error
 	code int
 }
 
-// ExitCode is what cli asks for.
+// ExitCode implements cli.ExitCoder.
 func (e exitCode) ExitCode() int { return e.code }
 
 // Unwrap returns the error.
@@ -38,12 +38,12 @@
 	return signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 }
 
-// fleetFlag names the fleet that a command works on.
+// fleetFlag returns the flag for the folder of a command's fleet.
 func fleetFlag() cli.Flag {
 	return &cli.StringFlag{Name: "fleet", Usage: "`DIR` of the fleet", Required: true}
 }
 
-// scriptFlag names the script of openFleet.
+// scriptFlag returns the flag for the script that openFleet uses.
 func scriptFlag() cli.Flag {
 	return &cli.StringFlag{Name: "script",
 		Usage: "scripts/`fleet`, which starts processes again (default: beside this program's folder)"}
@@ -59,7 +59,7 @@
 	return target, errs.Pass(err, "fleet")
 }
 
-// binDir is the folder of this program, where the others are, too.
+// binDir returns the folder of this program, where the other programs are, too.
 func binDir() string {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/crosstide-testbed/cut.go
+++ b/cmd/crosstide-testbed/cut.go
@@ -54,7 +54,7 @@
 	return errs.Pass(err, "cut")
 }
 
-// faultOf is the fault that the flags ask for; each kind of fault has a flag of its name. Failure: Settings.
+// faultOf returns the fault that the flags select; each kind of fault has a flag of its name. Failure: Settings.
 func faultOf(cmd *cli.Command) (netproxy.Fault, error) {
 	fault := netproxy.Fault{Node: cmd.String("node"), Zone: cmd.String("zone"), For: cmd.Duration("for"),
 		Kind: netproxy.Blackhole, Delay: cmd.Duration(netproxy.AddLatency)}
--- a/cmd/crosstide-testbed/golden_test.go
+++ b/cmd/crosstide-testbed/golden_test.go
@@ -11,7 +11,7 @@
 	golden.Compare(t, "commands", golden.MainCommands(t, main))
 }
 
-// TestGoldenProcess pins the exit codes of the program itself, which runs in processes of its own.
+// TestGoldenProcess pins the exit codes of the program, which it runs as a process.
 func TestGoldenProcess(t *testing.T) {
 	golden.Compare(t, "processes", golden.ExitCodes(t, main,
 		"", "--help", "--no-such-flag", "no-such-command", "audit --no-such-flag", "no-such-command --help"))
--- a/cmd/crosstide-testbed/jobs.go
+++ b/cmd/crosstide-testbed/jobs.go
@@ -82,22 +82,22 @@
 	return dir, true, errs.Wrap(err, errs.Disk, "folder")
 }
 
-// resultText is what a scenario came to: the counts on one line, then a line for each violation.
+// resultText returns the result of a scenario as text: the counts on one line, then a line for each violation.
 func resultText(result endtoend.Result) string {
-	var out strings.Builder
-	fmt.Fprintf(&out, "jobs %d  runs %d", result.Accepted, result.Runs)
+	var text strings.Builder
+	fmt.Fprintf(&text, "jobs %d  runs %d", result.Accepted, result.Runs)
 	for _, reason := range slices.Sorted(maps.Keys(result.Ends)) {
-		fmt.Fprintf(&out, "  %s %d", reason, result.Ends[reason])
+		fmt.Fprintf(&text, "  %s %d", reason, result.Ends[reason])
 	}
 	for _, reason := range slices.Sorted(maps.Keys(result.Refused)) {
-		fmt.Fprintf(&out, "  refused-%s %d", reason, result.Refused[reason])
+		fmt.Fprintf(&text, "  refused-%s %d", reason, result.Refused[reason])
 	}
-	fmt.Fprintf(&out, "\naccepted again %s after the kill\n", result.AcceptedIn.Round(time.Millisecond))
+	fmt.Fprintf(&text, "\naccepted again %s after the kill\n", result.AcceptedIn.Round(time.Millisecond))
 	for _, violation := range result.Violations {
-		fmt.Fprintln(&out, "BROKEN", violation)
+		fmt.Fprintln(&text, "BROKEN", violation)
 	}
 	if len(result.Violations) == 0 {
-		fmt.Fprintln(&out, "held: nothing lost, nothing twice, order, room, labels, gangs, progress, attempts")
+		fmt.Fprintln(&text, "held: nothing lost, nothing twice, order, room, labels, gangs, progress, attempts")
 	}
-	return out.String()
+	return text.String()
 }
--- a/cmd/crosstide-testbed/load.go
+++ b/cmd/crosstide-testbed/load.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// loadFlags are the flags of loadOptions.
+// loadFlags returns the flags that loadOptions reads.
 func loadFlags() []cli.Flag {
 	return []cli.Flag{
 		fleetFlag(),
@@ -85,7 +85,7 @@
 	}
 }
 
-// loadOptions is the load that the flags ask for. Failure: Invalid.
+// loadOptions returns the load that the flags describe. Failure: Invalid.
 func loadOptions(cmd *cli.Command) (load.Options, error) {
 	o := load.Options{Dir: cmd.String("fleet"), Rate: cmd.Float("rate"), Duration: cmd.Duration("for"),
 		Seed: cmd.Uint64("seed"), Tasks: cmd.Int("tasks"), Steps: cmd.Int("steps"), Cores: cmd.Int("cores"),
--- a/cmd/crosstide-testbed/minion.go
+++ b/cmd/crosstide-testbed/minion.go
@@ -82,7 +82,8 @@
 	return errs.Pass(host.Run(group.Context()), "minion")
 }
 
-// followSignals drains the host as signals say, until ctx ends; true when it is to end at once.
+// followSignals drains the host on SIGTERM and SIGINT, and switches draining on SIGUSR1, until ctx ends. It returns
+// true when a further SIGTERM or SIGINT asks the host to end at once.
 func followSignals(ctx context.Context, signals <-chan os.Signal, host *policyworker.Host) (endNow bool) {
 	isDraining, isLeaving := false, false
 	for {
@@ -100,7 +101,7 @@
 	}
 }
 
-// policyWorkerSettings are the defaults, over them the file, over both the flags that were given. Failure: Settings.
+// policyWorkerSettings returns the settings: the file overrides the defaults, flags override both. Failure: Settings.
 func policyWorkerSettings(cmd *cli.Command) (policyworker.Settings, error) {
 	set := policyworker.Defaults()
 	if path := cmd.String("settings"); path != "" {
--- a/cmd/crosstide-testbed/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -92,10 +92,10 @@
 	return nil
 }
 
-// tracedBreaches is of how many breaches the end of the trace is printed.
+// tracedBreaches is the number of breaches for which the end of the trace is printed.
 const tracedBreaches = 2
 
-// simOptions are what the flags ask for. Failure: Settings.
+// simOptions returns the options that the flags describe. Failure: Settings.
 func simOptions(cmd *cli.Command) (policysim.Options, error) {
 	options := policysim.Options{FaultPeriod: cmd.Duration("for"), MeanFaultInterval: cmd.Duration("pace"),
 		WithoutGuard: cmd.String("break"), Parties: cmd.Bool("parties"), Faults: slices.Clone(policysim.Faults)}
@@ -117,7 +117,7 @@
 	return options, nil
 }
 
-// simSeeds are the first and the last seed: --seed, else --seeds A..B. Failure: Settings.
+// simSeeds returns the first and the last seed: --seed, else --seeds A..B. Failure: Settings.
 func simSeeds(cmd *cli.Command) (first, last uint64, err error) {
 	text := cmd.String("seeds")
 	from, to, _ := strings.Cut(text, "..")
