--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -37,7 +37,7 @@
 	return out
 }
 
-// clean is a history that exercises every promise with a check, and keeps it.
+// clean returns a history that exercises every invariant that has a check, and violates none.
 func clean() []string {
 	return []string{
 		`consumer-1 0 "ev":"accepted","job":"a","steps":[{"name":"s","tasks":2,"labels":{"gpu":"x"}}]`,
@@ -75,7 +75,9 @@
 		`operator-2 0.5 "ev":"put","sent":400000000,"order":"o2","base":1,"ok":false,"why":"conflict"`,
 		`operator-2 0.7 "ev":"put","sent":600000000,"order":"o1","base":1,"version":2,"sha":"A","ok":true`,
 		`operator-2 1.8 "ev":"sign","sent":1700000000,"order":"s1","version":2,"sha":"A","ok":true`,
-		`operator-2 2 "ev":"bundle","sent":1900000000,"order":"s2","base":1,"version":2,"sha":"A","ok":true,"bundle":{"queues":{"q":{"labels":{"disk":"ssd"},"placement":{"zones":["z7"],"racks":["r1"],"near":[{"label":"data","value":"s","within":"rack"}]}}}}`,
+		`operator-2 2 "ev":"bundle","sent":1900000000,"order":"s2","base":1,"version":2,"sha":"A","ok":true,` +
+			`"bundle":{"queues":{"q":{"labels":{"disk":"ssd"},"placement":{"zones":["z7"],"racks":["r1"],` +
+			`"near":[{"label":"data","value":"s","within":"rack"}]}}}}`,
 		`operator-2 2.2 "ev":"has","sent":2100000000,"node":"d1","version":1,"ok":true`,
 		`operator-2 2.6 "ev":"read","sent":2500000000,"node":"c1","version":2,"sha":"A"`,
 		`operator-2 4.6 "ev":"has","sent":4500000000,"node":"d1","version":2,"ok":true`,
@@ -87,7 +89,12 @@
 }
 
 func TestAudit(t *testing.T) {
-	judged := []string{"once", "ticket-newer", "fence", "place", "drain", "evacuate", "cancel", "known", "done", "operators", "bundle", "readback", "repair"}
+	judged := []string{"once", "ticket-newer", "fence", "place", "drain", "evacuate", "cancel", "known", "done",
+		"operators", "bundle", "readback", "repair"}
+
+	// A start under bundle 1 after bundle 2 came into force.
+	late := `m7 4.2 "ev":"start","boot":"b1","zone":"z7","queue":"default","job":"p2","step":"s","task":0,` +
+		`"ticket":40,"epoch":5`
 
 	Convey("A clean history satisfies every invariant that has a check, with cases for each", t, func() {
 		findings := Check(history(clean()...))
@@ -110,53 +117,130 @@
 	})
 
 	Convey("While it is unknown what came of a signature, starts are not judged by placement policies", t, func() {
-		late := `m7 4.2 "ev":"start","boot":"b1","zone":"z7","queue":"default","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`
 		unsure := `operator-3 34 "ev":"unsure","sent":4000000000,"order":"s3","version":3`
 		So(verdicts(history(append(clean(), late)...))["place"], ShouldEqual, Violated)
 		So(verdicts(history(append(clean(), late, unsure)...))["place"], ShouldEqual, Satisfied)
 	})
 
 	Convey("Each breach is found, and breaks only what it breaks", t, func() {
-		for _, c := range []struct{ invariant, why, line string }{
-			{"once", "two at once, on two minions", `m2 4.8 "ev":"start","boot":"b1","job":"b","step":"s","task":0,"ticket":20,"epoch":5|m2 6 "ev":"stop","boot":"b1","job":"b","step":"s","task":0,"ticket":20`},
-			{"once", "again after its good end", `m2 8 "ev":"start","boot":"b1","job":"a","step":"s","task":0,"ticket":20,"epoch":9`},
-			{"once", "again while the killed minion was alive", `m2 6.95 "ev":"start","boot":"b1","job":"c","step":"s","task":0,"ticket":10,"epoch":5`},
-			{"once", "one ticket on two minions", `m4 9 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":4,"epoch":9`},
-			{"ticket-newer", "older than one started", `m3 36 "ev":"order","boot":"b1","job":"y","step":"s","task":0,"ticket":12|m3 36 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":11,"epoch":9`},
-			{"ticket-newer", "older than one of the boot before", `m1 31 "ev":"order","boot":"b2","job":"z","step":"s","ticket":13|m1 32 "ev":"boot","boot":"b3"|m1 32 "ev":"start","boot":"b3","job":"z","step":"s","task":0,"ticket":12,"epoch":9`},
-			{"fence", "an old epoch after a newer one", `m4 9 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5`},
-			{"place", "asked for by the accepted job", `m5 5 "ev":"boot","boot":"b1","labels":{"gpu":"y"}|m5 5 "ev":"start","boot":"b1","job":"a","step":"s","task":7,"ticket":10,"epoch":5`},
-			{"place", "asked for by the order", `m5 5 "ev":"boot","boot":"b1"|m5 5 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5,"labels":{"x":""}`},
-			{"place", "under a bundle that is over", `m7 4.2 "ev":"start","boot":"b1","zone":"z7","queue":"default","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`},
-			{"place", "before its bundle", `m7 1.8 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":29,"epoch":5`},
-			{"place", "outside of the zones", `m8 0 "ev":"boot","boot":"b1","zone":"z8","rack":"r1","labels":{"disk":"ssd"}|m8 5 "ev":"start","boot":"b1","zone":"z8","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`},
-			{"place", "far from the data", `m8 0 "ev":"boot","boot":"b1","zone":"z7","rack":"r2","labels":{"disk":"ssd"}|m8 5 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`},
-			{"place", "without the queue's label", `m8 0 "ev":"boot","boot":"b1","zone":"z7","rack":"r1"|m8 5 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`},
-			{"operators", "two yes on one base", `operator-3 0.9 "ev":"put","sent":800000000,"order":"o3","base":1,"version":3,"sha":"B","ok":true`},
-			{"operators", "sent again and refused", `operator-3 0.9 "ev":"put","sent":800000000,"order":"o1","base":1,"ok":false,"why":"conflict"`},
-			{"operators", "sent again and answered otherwise", `operator-3 1.9 "ev":"sign","sent":1800000000,"order":"s1","version":3,"sha":"B","ok":true`},
-			{"readback", "an older one", `operator-3 2.6 "ev":"read","sent":2500000000,"node":"c2","version":1,"sha":"0"`},
-			{"readback", "other bytes", `operator-3 2.6 "ev":"read","sent":2500000000,"node":"c2","version":2,"sha":"B"`},
-			{"bundle", "ignored", `operator-3 4.2 "ev":"has","sent":4100000000,"node":"d2","version":1,"ok":true`},
-			{"bundle", "gone back", `operator-3 2.2 "ev":"has","sent":2100000000,"node":"d2","version":2,"ok":true|operator-3 2.4 "ev":"has","sent":2300000000,"node":"d2","version":1,"ok":true`},
-			{"drain", "as the minion said", `m1 7.1 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5`},
-			{"drain", "as an operator said", `m2 10.1 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":9`},
-			{"drain", "ran on", `m2 7.5 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":9|m2 10.1 "ev":"stop","boot":"b1","job":"z","step":"s","task":0,"ticket":10`},
-			{"evacuate", "ran on", `m6 9.5 "ev":"start","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10,"epoch":9|m6 10.1 "ev":"end","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10`},
-			{"evacuate", "late in the zone", `m6 10.1 "ev":"start","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10,"epoch":9`},
-			{"cancel", "late after the yes", `m6 11.1 "ev":"start","boot":"b1","job":"d","step":"s","task":1,"ticket":10,"epoch":9`},
-			{"known", "late after the yes", `consumer-1 3.1 "ev":"poll","job":"a","state":"404"`},
-			{"done", "a task never ended", `consumer-1 6 "ev":"poll","job":"b","state":"done"`},
-			{"done", "a task ended later", `consumer-1 8.5 "ev":"poll","job":"a","state":"done"`},
-			{"repair", "lost after a second loss", `consumer-1 20 "ev":"poll","job":"b","state":"404"`},
+		for _, c := range []struct {
+			invariant, why string
+			lines          []string // added to the clean history
+		}{
+			{"once", "two at once, on two minions", []string{
+				`m2 4.8 "ev":"start","boot":"b1","job":"b","step":"s","task":0,"ticket":20,"epoch":5`,
+				`m2 6 "ev":"stop","boot":"b1","job":"b","step":"s","task":0,"ticket":20`,
+			}},
+			{"once", "again after its good end", []string{
+				`m2 8 "ev":"start","boot":"b1","job":"a","step":"s","task":0,"ticket":20,"epoch":9`,
+			}},
+			{"once", "again while the killed minion was alive", []string{
+				`m2 6.95 "ev":"start","boot":"b1","job":"c","step":"s","task":0,"ticket":10,"epoch":5`,
+			}},
+			{"once", "one ticket on two minions", []string{
+				`m4 9 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":4,"epoch":9`,
+			}},
+			{"ticket-newer", "older than one started", []string{
+				`m3 36 "ev":"order","boot":"b1","job":"y","step":"s","task":0,"ticket":12`,
+				`m3 36 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":11,"epoch":9`,
+			}},
+			{"ticket-newer", "older than one of the boot before", []string{
+				`m1 31 "ev":"order","boot":"b2","job":"z","step":"s","ticket":13`,
+				`m1 32 "ev":"boot","boot":"b3"`,
+				`m1 32 "ev":"start","boot":"b3","job":"z","step":"s","task":0,"ticket":12,"epoch":9`,
+			}},
+			{"fence", "an old epoch after a newer one", []string{
+				`m4 9 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5`,
+			}},
+			{"place", "asked for by the accepted job", []string{
+				`m5 5 "ev":"boot","boot":"b1","labels":{"gpu":"y"}`,
+				`m5 5 "ev":"start","boot":"b1","job":"a","step":"s","task":7,"ticket":10,"epoch":5`,
+			}},
+			{"place", "asked for by the order", []string{
+				`m5 5 "ev":"boot","boot":"b1"`,
+				`m5 5 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5,"labels":{"x":""}`,
+			}},
+			{"place", "under a bundle that is over", []string{
+				late,
+			}},
+			{"place", "before its bundle", []string{
+				`m7 1.8 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":29,"epoch":5`,
+			}},
+			{"place", "outside of the zones", []string{
+				`m8 0 "ev":"boot","boot":"b1","zone":"z8","rack":"r1","labels":{"disk":"ssd"}`,
+				`m8 5 "ev":"start","boot":"b1","zone":"z8","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`,
+			}},
+			{"place", "far from the data", []string{
+				`m8 0 "ev":"boot","boot":"b1","zone":"z7","rack":"r2","labels":{"disk":"ssd"}`,
+				`m8 5 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`,
+			}},
+			{"place", "without the queue's label", []string{
+				`m8 0 "ev":"boot","boot":"b1","zone":"z7","rack":"r1"`,
+				`m8 5 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`,
+			}},
+			{"operators", "two yes on one base", []string{
+				`operator-3 0.9 "ev":"put","sent":800000000,"order":"o3","base":1,"version":3,"sha":"B","ok":true`,
+			}},
+			{"operators", "sent again and refused", []string{
+				`operator-3 0.9 "ev":"put","sent":800000000,"order":"o1","base":1,"ok":false,"why":"conflict"`,
+			}},
+			{"operators", "sent again and answered otherwise", []string{
+				`operator-3 1.9 "ev":"sign","sent":1800000000,"order":"s1","version":3,"sha":"B","ok":true`,
+			}},
+			{"readback", "an older one", []string{
+				`operator-3 2.6 "ev":"read","sent":2500000000,"node":"c2","version":1,"sha":"0"`,
+			}},
+			{"readback", "other bytes", []string{
+				`operator-3 2.6 "ev":"read","sent":2500000000,"node":"c2","version":2,"sha":"B"`,
+			}},
+			{"bundle", "ignored", []string{
+				`operator-3 4.2 "ev":"has","sent":4100000000,"node":"d2","version":1,"ok":true`,
+			}},
+			{"bundle", "gone back", []string{
+				`operator-3 2.2 "ev":"has","sent":2100000000,"node":"d2","version":2,"ok":true`,
+				`operator-3 2.4 "ev":"has","sent":2300000000,"node":"d2","version":1,"ok":true`,
+			}},
+			{"drain", "as the minion said", []string{
+				`m1 7.1 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5`,
+			}},
+			{"drain", "as an operator said", []string{
+				`m2 10.1 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
+			}},
+			{"drain", "ran on", []string{
+				`m2 7.5 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
+				`m2 10.1 "ev":"stop","boot":"b1","job":"z","step":"s","task":0,"ticket":10`,
+			}},
+			{"evacuate", "ran on", []string{
+				`m6 9.5 "ev":"start","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
+				`m6 10.1 "ev":"end","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10`,
+			}},
+			{"evacuate", "late in the zone", []string{
+				`m6 10.1 "ev":"start","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
+			}},
+			{"cancel", "late after the yes", []string{
+				`m6 11.1 "ev":"start","boot":"b1","job":"d","step":"s","task":1,"ticket":10,"epoch":9`,
+			}},
+			{"known", "late after the yes", []string{
+				`consumer-1 3.1 "ev":"poll","job":"a","state":"404"`,
+			}},
+			{"done", "a task never ended", []string{
+				`consumer-1 6 "ev":"poll","job":"b","state":"done"`,
+			}},
+			{"done", "a task ended later", []string{
+				`consumer-1 8.5 "ev":"poll","job":"a","state":"done"`,
+			}},
+			{"repair", "lost after a second loss", []string{
+				`consumer-1 20 "ev":"poll","job":"b","state":"404"`,
+			}},
 		} {
-			found := verdicts(history(append(clean(), strings.Split(c.line, "|")...)...))
+			found := verdicts(history(append(clean(), c.lines...)...))
 			for _, invariant := range judged {
 				want := Satisfied
 				if invariant == c.invariant || invariant == "known" && c.invariant == "repair" {
 					want = Violated
 				}
-				So(c.invariant+", "+c.why+": "+invariant+" "+found[invariant], ShouldEqual, c.invariant+", "+c.why+": "+invariant+" "+want)
+				name := c.invariant + ", " + c.why + ": " + invariant + " "
+				So(name+found[invariant], ShouldEqual, name+want)
 			}
 		}
 	})
--- a/internal/testbed/billingload/export_test.go
+++ b/internal/testbed/billingload/export_test.go
@@ -21,7 +21,8 @@
 			_, err := accounts.TopUp("acme", key, 100, at)
 			So(err, ShouldBeNil)
 		}
-		So(accounts.Reserve(account.Charge{Run: "r1", Account: "acme", Rate: 1000, Window: 10 * time.Second}, at), ShouldBeNil)
+		charge := account.Charge{Run: "r1", Account: "acme", Rate: 1000, Window: 10 * time.Second}
+		So(accounts.Reserve(charge, at), ShouldBeNil)
 		accounts.Debit("r1", at.Add(3*time.Second))
 		var out bytes.Buffer
 		So(accounts.Accounts["acme"].Ledger.WriteCSV(&out), ShouldBeNil)
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -20,8 +20,10 @@
 
 func newEventLog() *eventLog {
 	s := &eventLog{at: time.Unix(1000, 0)}
-	s.add(jobsworker.Event{Event: jobsworker.EventWorkerStart, Worker: "a", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}, Labels: []string{"ssd"}, Zone: "z"})
-	s.add(jobsworker.Event{Event: jobsworker.EventWorkerStart, Worker: "b", Needs: jobs.Resources{MilliCPU: 400, MemoryMB: 100}})
+	capacity := jobs.Resources{MilliCPU: 400, MemoryMB: 100}
+	s.add(jobsworker.Event{Event: jobsworker.EventWorkerStart, Worker: "a", Needs: capacity, Labels: []string{"ssd"},
+		Zone: "z"})
+	s.add(jobsworker.Event{Event: jobsworker.EventWorkerStart, Worker: "b", Needs: capacity})
 	return s
 }
 
@@ -37,17 +39,22 @@
 }
 
 func (s *eventLog) start(on string, r workerapi.Run, change ...func(*jobsworker.Event)) {
-	e := jobsworker.Event{Event: jobsworker.EventRunStart, Worker: on, Run: r, Token: 1, Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
+	e := jobsworker.Event{Event: jobsworker.EventRunStart, Worker: on, Run: r, Token: 1,
+		Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
 	for _, apply := range change {
 		apply(&e)
 	}
 	s.add(e)
 }
 
-func (s *eventLog) end(on string, r workerapi.Run, reason jobs.EndReason) { s.ends(on, r, reason, "") }
+func (s *eventLog) end(on string, r workerapi.Run, reason jobs.EndReason) {
+	s.endWith(on, r, reason, "")
+}
 
-func (s *eventLog) ends(on string, r workerapi.Run, reason jobs.EndReason, checkpoint string) {
-	s.add(jobsworker.Event{Event: jobsworker.EventRunEnd, Worker: on, Run: r, Reason: string(reason), Checkpoint: checkpoint})
+// endWith ends a run that has saved a checkpoint.
+func (s *eventLog) endWith(on string, r workerapi.Run, reason jobs.EndReason, checkpoint string) {
+	s.add(jobsworker.Event{Event: jobsworker.EventRunEnd, Worker: on, Run: r, Reason: string(reason),
+		Checkpoint: checkpoint})
 }
 
 // good runs a task once.
@@ -73,42 +80,65 @@
 		name        string
 		job         Job
 		write       func(s *eventLog)
-		wrong       string // part of the one thing that is wrong; empty: nothing is
+		violation   string // part of the only violation; empty: there is none
 		evacuations []Evacuation
 	}{
 		{"all is well", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "", nil},
 		{"a task is lost", two, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "1 of 2 tasks", nil},
-		{"a task was stopped and not tried again", single, func(s *eventLog) { s.start("a", runKey(0, 0, 1)); s.end("a", runKey(0, 0, 1), jobs.EndStopped) }, "0 of 1 tasks", nil},
-		{"a task is done twice", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.good("b", runKey(0, 0, 2)) }, "was done", nil},
-		{"a task runs twice at once", single, func(s *eventLog) { s.start("a", runKey(0, 0, 1)); s.good("b", runKey(0, 0, 2)) }, "goes on at a", nil},
+		{"a task was stopped and not started again", single, func(s *eventLog) {
+			s.start("a", runKey(0, 0, 1))
+			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
+		}, "0 of 1 tasks", nil},
+		{"a task is done twice", single, func(s *eventLog) {
+			s.good("a", runKey(0, 0, 1))
+			s.good("b", runKey(0, 0, 2))
+		}, "was done", nil},
+		{"a task runs twice at once", single, func(s *eventLog) {
+			s.start("a", runKey(0, 0, 1))
+			s.good("b", runKey(0, 0, 2))
+		}, "goes on at a", nil},
 		{"a run number comes again", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
 			s.good("b", runKey(0, 0, 1))
 		}, "after run 1", nil},
-		{"a task is tried again", single, func(s *eventLog) {
+		{"a task is started again", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
 			s.good("b", runKey(0, 0, 2))
 		}, "", nil},
-		{"a job that nobody handed in", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.start("a", workerapi.Run{Job: "k", Number: 1}) }, "no such job", nil},
-		{"an end without a run", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.end("b", runKey(0, 0, 2), jobs.EndDone) }, "did not run there", nil},
+		{"a job that nobody submitted", single, func(s *eventLog) {
+			s.good("a", runKey(0, 0, 1))
+			s.start("a", workerapi.Run{Job: "k", Number: 1})
+		}, "no such job", nil},
+		{"an end without a run", single, func(s *eventLog) {
+			s.good("a", runKey(0, 0, 1))
+			s.end("b", runKey(0, 0, 2), jobs.EndDone)
+		}, "did not run there", nil},
 		{"a lower token", two, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 			s.good("a", runKey(0, 1, 1))
 		}, "under token 1 after 2", nil},
-		{"steps in order", chain, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.good("b", runKey(1, 0, 1)) }, "", nil},
+		{"steps in order", chain, func(s *eventLog) {
+			s.good("a", runKey(0, 0, 1))
+			s.good("b", runKey(1, 0, 1))
+		}, "", nil},
 		{"a step comes too early", chain, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.good("b", runKey(1, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 		}, "0 of 1 tasks of step 0 done", nil},
-		{"a round comes too early", timed, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "before its time", nil},
-		{"a round comes at its time", timed, func(s *eventLog) { s.at = time.Unix(1001, 0); s.good("a", runKey(0, 0, 1)) }, "", nil},
+		{"a round comes too early", timed, func(s *eventLog) {
+			s.good("a", runKey(0, 0, 1))
+		}, "before its time", nil},
+		{"a round comes at its time", timed, func(s *eventLog) {
+			s.at = time.Unix(1001, 0)
+			s.good("a", runKey(0, 0, 1))
+		}, "", nil},
 		{"a label is not there", labelled, func(s *eventLog) { s.good("b", runKey(0, 0, 1)) }, "no label ssd", nil},
 		{"a label is there", labelled, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "", nil},
-		{"no room", two, func(s *eventLog) {
+		{"no capacity", two, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.start("a", runKey(0, 1, 1), func(e *jobsworker.Event) { e.Needs.MilliCPU = 201 })
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
@@ -120,7 +150,10 @@
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 			s.end("a", runKey(0, 1, 1), jobs.EndDone)
 		}, "2 tasks of the step run on a", nil},
-		{"one after the other on one worker", apart, func(s *eventLog) { s.good("a", runKey(0, 0, 1)); s.good("a", runKey(0, 1, 1)) }, "", nil},
+		{"one after the other on one worker", apart, func(s *eventLog) {
+			s.good("a", runKey(0, 0, 1))
+			s.good("a", runKey(0, 1, 1))
+		}, "", nil},
 		{"a whole gang", gang, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.start("b", runKey(0, 1, 1))
@@ -128,7 +161,10 @@
 			s.end("b", runKey(0, 1, 1), jobs.EndStopped)
 		}, "", nil},
 		{"half a gang", gang, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "1 of 2 members", nil},
-		{"a start in a closed zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("a", runKey(0, 0, 1)) }, "after zone z was evacuated",
+		{"a start in an evacuated zone", single, func(s *eventLog) {
+			s.at = time.Unix(1003, 0)
+			s.good("a", runKey(0, 0, 1))
+		}, "after zone z was evacuated",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"starts before and after", two, func(s *eventLog) {
 			s.at = time.Unix(1002, 0)
@@ -136,17 +172,20 @@
 			s.at = time.Unix(1004, 0)
 			s.good("a", runKey(0, 1, 1))
 		}, "", []Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"a start in another zone", single, func(s *eventLog) { s.at = time.Unix(1003, 0); s.good("b", runKey(0, 0, 1)) }, "",
+		{"a start in another zone", single, func(s *eventLog) {
+			s.at = time.Unix(1003, 0)
+			s.good("b", runKey(0, 0, 1))
+		}, "",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"progress is kept", saving, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
-			s.ends("a", runKey(0, 0, 1), jobs.EndStopped, "300")
+			s.endWith("a", runKey(0, 0, 1), jobs.EndStopped, "300")
 			s.start("b", runKey(0, 0, 2), func(e *jobsworker.Event) { e.Checkpoint = "300" })
 			s.end("b", runKey(0, 0, 2), jobs.EndDone)
 		}, "", nil},
 		{"progress is lost", saving, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
-			s.ends("a", runKey(0, 0, 1), jobs.EndStopped, "300")
+			s.endWith("a", runKey(0, 0, 1), jobs.EndStopped, "300")
 			s.good("b", runKey(0, 0, 2))
 		}, `goes on from ""`, nil},
 		{"too few attempts", job(jobs.Failed, smallStep(1)), func(s *eventLog) {
@@ -154,18 +193,18 @@
 			s.end("a", runKey(0, 0, 1), jobs.EndFailed)
 		}, "after 1 failed runs", nil},
 	}
-	Convey("Each broken promise is found, and nothing else", t, func() {
+	Convey("Each violation is found, and no other", t, func() {
 		for _, c := range cases {
 			s := newEventLog()
 			c.write(s)
 			report, err := Audit([]Job{c.job}, c.evacuations, s.events)
 			So(err, ShouldBeNil)
 			found := strings.Join(report.Violations, "\n")
-			if c.wrong == "" {
+			if c.violation == "" {
 				So(c.name+": "+found, ShouldEqual, c.name+": ")
 				continue
 			}
-			So(c.name+": "+found, ShouldContainSubstring, c.wrong)
+			So(c.name+": "+found, ShouldContainSubstring, c.violation)
 			So(len(report.Violations), ShouldEqual, 1)
 		}
 	})
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -65,11 +65,13 @@
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
-	fronts, err := jobsnode.NewDataPlaneNode(jobsnode.DataPlaneOptions{CoreAddresses: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
+	fronts, err := jobsnode.NewDataPlaneNode(jobsnode.DataPlaneOptions{
+		CoreAddresses: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
 		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
-	s := &testSystem{dir: dir, group: routine.New(context.Background()), end: end, caller: rpc.NewClient(rpc.ClientOptions{})}
+	s := &testSystem{dir: dir, group: routine.New(context.Background()), end: end,
+		caller: rpc.NewClient(rpc.ClientOptions{})}
 	s.client = newClient(s.caller, clock.Real{}, []string{front}, []string{control})
 	s.group.Go(func(context.Context) { _ = core.Run(ctx) })
 	s.group.Go(func(context.Context) { _ = fronts.Run(ctx, nil) })
@@ -89,8 +91,8 @@
 	s.workers, s.stop = append(s.workers, host), append(s.stop, stop)
 }
 
-// untilStarted waits until so many runs of a job go on by the workers' own journals. The leader shows a task as running
-// once its handle is committed, which is before the start order arrives: a worker that is told to stop in between
+// untilStarted waits until so many runs of a job are in progress by the workers' own journals. The leader shows a task
+// as running once its handle is committed, which is before the start order arrives: a worker that drains in between
 // refuses the start.
 func (s *testSystem) untilStarted(ctx context.Context, id string, runs int) error {
 	for {
@@ -154,7 +156,7 @@
 }
 
 func TestSystem(t *testing.T) {
-	Convey("A mix of jobs comes through one core node, one front node and workers, and the audit finds nothing", t, func() {
+	Convey("A mix of jobs runs on a control plane, a data plane and workers, and the audit finds no violation", t, func() {
 		s := startSystem(t.TempDir(), newShapes(4))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
@@ -190,7 +192,8 @@
 		// An evacuated zone gets nothing; once it is restored, its label finds a worker again.
 		So(client.Zone(ctx, "z1", "evacuate"), ShouldBeNil)
 		evacuation := Evacuation{Zone: "z1", From: clock.Real{}.Wall()}
-		labelled := newJob("waits", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, smallStep(1).with(func(s *Step) { s.Label = "z1-only" }))
+		labelled := newJob("waits", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10},
+			smallStep(1).with(func(s *Step) { s.Label = "z1-only" }))
 		So(client.Submit(ctx, labelled), ShouldBeNil)
 		free := newJob("elsewhere", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, smallStep(6))
 		So(client.Submit(ctx, free), ShouldBeNil)
@@ -215,7 +218,7 @@
 }
 
 func TestSystem_preemptionAndDrain(t *testing.T) {
-	Convey("Urgent work takes the place of other work, and a worker leaves: what was stopped resumes from its checkpoint once there is capacity", t, func() {
+	Convey("Work stopped for urgent work, or by a leaving worker, resumes from its checkpoint", t, func() {
 		s := startSystem(t.TempDir(), newShapes(2))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
@@ -224,7 +227,8 @@
 		slow := newJob("slow", Normal, jobs.Cancelled, jobsworker.Program{MS: 600_000, SaveMS: 1}, whole)
 		So(s.client.Submit(ctx, slow), ShouldBeNil)
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)
-		urgent := newJob("urgent", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10}, whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
+		urgent := newJob("urgent", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10},
+			whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
 		So(s.client.Submit(ctx, urgent), ShouldBeNil)
 		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no capacity but that of the slow one
 		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)           // and it has it back
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestAwait(t *testing.T) {
-	Convey("Await polls until so, and no longer than the timeout", t, func() {
+	Convey("Await polls until its condition is true, and no longer than the timeout", t, func() {
 		target := &Target{clock: &testclock.Elapsing{}}
 		polls := 0
 		_, err := target.Await(context.Background(), time.Hour, "third", func() bool { polls++; return polls == 3 })
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -35,24 +35,28 @@
 		_, err = Plan(dir, s)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 	})
-	Convey("Workers may share processes: one port, line, zone and journal for each", t, func() {
+	Convey("Workers that share a process share its port, command line, zone and journal", t, func() {
 		dir := filepath.Join(t.TempDir(), "f")
-		n, err := Plan(dir, Shape{ControlPlanes: 1, DataPlanes: 1, Workers: 1, Zones: 2, Cores: 4, Kind: "check", Bin: "bin", SharedWorkers: 7, SharedProcesses: 3})
+		n, err := Plan(dir, Shape{ControlPlanes: 1, DataPlanes: 1, Workers: 1, Zones: 2, Cores: 4, Kind: "check",
+			Bin: "bin", SharedWorkers: 7, SharedProcesses: 3})
 		So(err, ShouldBeNil)
 		So(len(n.Workers), ShouldEqual, 8)
-		So([]string{n.Workers[1].Name, n.Workers[3].Name, n.Workers[4].Name, n.Workers[7].Name}, ShouldResemble, []string{"h1-0", "h1-2", "h2-0", "h3-1"})
+		So([]string{n.Workers[1].Name, n.Workers[3].Name, n.Workers[4].Name, n.Workers[7].Name}, ShouldResemble,
+			[]string{"h1-0", "h1-2", "h2-0", "h3-1"})
 		So(n.Workers[1].Addr, ShouldEqual, n.Workers[3].Addr)
 		So(n.ProcessesInZone("z1"), ShouldResemble, []string{"c1", "d1", "m1", "h1", "h3"})
 		lines, err := os.ReadFile(filepath.Join(dir, "start"))
 		So(err, ShouldBeNil)
 		So(strings.Count(string(lines), "\n"), ShouldEqual, 6)
 		So(string(lines), ShouldContainSubstring, "/journal/h1.jsonl --count 3\n")
-		_, err = Plan(filepath.Join(t.TempDir(), "g"), Shape{ControlPlanes: 1, DataPlanes: 1, Zones: 1, Cores: 1, Kind: "check", SharedWorkers: 3, SharedProcesses: 2})
+		_, err = Plan(filepath.Join(t.TempDir(), "g"), Shape{ControlPlanes: 1, DataPlanes: 1, Zones: 1, Cores: 1,
+			Kind: "check", SharedWorkers: 3, SharedProcesses: 2})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 	})
 	Convey("With a proxy, every address that a node dials leads through a link of its own", t, func() {
 		dir := t.TempDir()
-		n, err := Plan(dir, Shape{ControlPlanes: 3, DataPlanes: 2, Workers: 4, Zones: 2, Cores: 1, Kind: "check", Bin: "bin", Proxied: true})
+		n, err := Plan(dir, Shape{ControlPlanes: 3, DataPlanes: 2, Workers: 4, Zones: 2, Cores: 1, Kind: "check",
+			Bin: "bin", Proxied: true})
 		So(err, ShouldBeNil)
 		set, err := netproxy.Load(filepath.Join(dir, "settings", "link.json"))
 		So(err, ShouldBeNil)
@@ -73,7 +77,7 @@
 		So(strings.Count(string(lines), " --via "), ShouldEqual, 2*4)
 		So(string(lines), ShouldStartWith, "link bin/crosstide-testbed link ")
 	})
-	Convey("A pid that is not the node any more is not killed", t, func() {
+	Convey("A process that has the pid of a node but is another one is not killed", t, func() {
 		dir := t.TempDir()
 		So(os.WriteFile(filepath.Join(dir, "pids"), []byte("c1 "+strconv.Itoa(os.Getpid())+"\n"), 0o644), ShouldBeNil)
 		So(os.WriteFile(filepath.Join(dir, "start"), []byte("c1 bin/crosstide-controlplane run\n"), 0o644), ShouldBeNil)
@@ -81,7 +85,8 @@
 		So(errs.KindOf(Kill(dir, "c2")), ShouldEqual, errs.Unknown)
 	})
 	Convey("Workers are read from a list or a page", t, func() {
-		for _, body := range []string{`[{"name":"m1","boot":"b"},{"name":"m2"}]`, `{"minions":[{"name":"m1","boot":"b"},{"name":"m2"}]}`} {
+		list := `[{"name":"m1","boot":"b"},{"name":"m2"}]`
+		for _, body := range []string{list, `{"minions":` + list + `}`} {
 			So(parseWorkers([]byte(body)), ShouldResemble, map[string]bool{"m1": true, "m2": false})
 		}
 	})
--- a/internal/testbed/fleet/metrics_test.go
+++ b/internal/testbed/fleet/metrics_test.go
@@ -35,7 +35,8 @@
 		metrics, size, err := scrape(http.StatusOK, text)
 		So(err, ShouldBeNil)
 		So(size, ShouldEqual, len(text))
-		So([]float64{metrics.Sum("calls"), metrics.Sum("calls_open"), metrics.Sum("none")}, ShouldResemble, []float64{7, 9, 0})
+		So([]float64{metrics.Sum("calls"), metrics.Sum("calls_open"), metrics.Sum("none")}, ShouldResemble,
+			[]float64{7, 9, 0})
 		So([]float64{metrics.Sum("sync_sum"), metrics.Sum("sync_count")}, ShouldResemble, []float64{0.5, 2})
 		labels := map[string]float64{}
 		for text, value := range metrics.Series("calls") {
@@ -44,7 +45,7 @@
 		So(labels, ShouldHaveLength, 2)
 		So(labels[`code="200",path="/b"}`]+labels[`path="/b",code="200"}`], ShouldEqual, 4)
 	})
-	Convey("What is no answer or no metrics is a failure", t, func() {
+	Convey("An answer that is an error or no metrics is a failure", t, func() {
 		_, _, err := scrape(http.StatusServiceUnavailable, "")
 		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 		_, _, err = scrape(http.StatusOK, "{")
--- a/internal/testbed/jobsworker/core_test.go
+++ b/internal/testbed/jobsworker/core_test.go
@@ -26,8 +26,8 @@
 
 func newTestCore() (*core, *[]Event) {
 	var events []Event
-	core := newCore("w", jobs.Resources{MilliCPU: 1000, MemoryMB: 25, GPUs: 2}, func(e Event) { events = append(events, e) })
-	return core, &events
+	capacity := jobs.Resources{MilliCPU: 1000, MemoryMB: 25, GPUs: 2}
+	return newCore("w", capacity, func(e Event) { events = append(events, e) }), &events
 }
 
 // refusal returns why a start was refused, empty if it was not.
@@ -39,25 +39,25 @@
 
 // ends returns how the listed runs ended.
 func ends(c *core, now time.Duration) []jobs.EndReason {
-	var out []jobs.EndReason
+	var reasons []jobs.EndReason
 	for _, e := range c.Status(now).Ended {
-		out = append(out, e.EndReason)
+		reasons = append(reasons, e.EndReason)
 	}
-	return out
+	return reasons
 }
 
 func TestStart(t *testing.T) {
 	Convey("A start is carried out once, or refused for the first reason there is", t, func() {
-		c, events := newTestCore()
-		So(refusal(c, 0, startOf(0, 3, `{"ms":100}`)), ShouldEqual, "")
-		So(refusal(c, 0, startOf(0, 3, `{"ms":100}`)), ShouldEqual, "") // it came twice
+		worker, events := newTestCore()
+		So(refusal(worker, 0, startOf(0, 3, `{"ms":100}`)), ShouldEqual, "")
+		So(refusal(worker, 0, startOf(0, 3, `{"ms":100}`)), ShouldEqual, "") // it came twice
 		So(len(*events), ShouldEqual, 1)
 		change := func(of func(*workerapi.StartCall)) workerapi.StartCall {
 			call := startOf(1, 1, `{"ms":100}`)
 			of(&call)
 			return call
 		}
-		for _, one := range []struct {
+		for _, c := range []struct {
 			call workerapi.StartCall
 			want scheduler.Refusal
 		}{
@@ -69,13 +69,13 @@
 			{change(func(c *workerapi.StartCall) { c.Needs.GPUs = 2 }), scheduler.RefusedCapacity},
 			{change(func(*workerapi.StartCall) {}), ""},
 		} {
-			So(refusal(c, 5*ms, one.call), ShouldEqual, string(one.want))
+			So(refusal(worker, 5*ms, c.call), ShouldEqual, string(c.want))
 		}
-		So(refusal(c, 300*ms, startOf(0, 3, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedStale)) // its run is over
-		So(refusal(c, 300*ms, startOf(0, 4, `{"ms":1}`)), ShouldEqual, "")
-		c.Drain()
-		So(refusal(c, 300*ms, startOf(5, 1, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedUnhealthy))
-		_, err := c.Start(0, workerapi.StartCall{Worker: "v"})
+		So(refusal(worker, 300*ms, startOf(0, 3, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedStale)) // its run is over
+		So(refusal(worker, 300*ms, startOf(0, 4, `{"ms":1}`)), ShouldEqual, "")
+		worker.Drain()
+		So(refusal(worker, 300*ms, startOf(5, 1, `{"ms":1}`)), ShouldEqual, string(scheduler.RefusedUnhealthy))
+		_, err := worker.Start(0, workerapi.StartCall{Worker: "v"})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 	})
 }
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -24,7 +24,7 @@
 	"crosstide/internal/rpc"
 )
 
-// fakeCore takes heartbeats at two addresses; the first one refuses them.
+// fakeCore is the controller behind the control plane that accepts heartbeats: it keeps them.
 type fakeCore struct {
 	jobsapi.Control
 	mu         sync.Mutex
@@ -32,7 +32,7 @@
 	leader     string
 }
 
-// Heartbeat keeps a heartbeat.
+// Heartbeat keeps call and answers with the leader's address.
 func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 func TestHost(t *testing.T) {
-	Convey("Given a worker, a core node that takes its heartbeats, and one that does not", t, func() {
+	Convey("Given a worker, a control plane that accepts its heartbeats, and one that refuses them", t, func() {
 		core := &fakeCore{}
 		down := serve(func(s *rpc.Server) {
 			s.Route("/", func(w http.ResponseWriter, _ *http.Request) {
@@ -71,10 +71,12 @@
 		})
 		up := serve(func(s *rpc.Server) { jobsapi.ServeControl(s, core, 0) })
 		core.leader = up.Addr()
-		host, err := Open(Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", Rack: "r", Labels: []string{"l"},
-			Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}, ControlAddrs: []string{down.Addr(), up.Addr()},
-			HeartbeatInterval: 10 * time.Millisecond, Grace: 20 * time.Millisecond, Journal: filepath.Join(t.TempDir(), "w.jsonl")},
-			clock.Real{}, log.NewNopLogger())
+		settings := Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", Rack: "r",
+			Labels: []string{"l"}, Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1},
+			ControlAddrs:      []string{down.Addr(), up.Addr()},
+			HeartbeatInterval: 10 * time.Millisecond, Grace: 20 * time.Millisecond,
+			Journal: filepath.Join(t.TempDir(), "w.jsonl")}
+		host, err := Open(settings, clock.Real{}, log.NewNopLogger())
 		So(err, ShouldBeNil)
 		ctx, leave := context.WithCancel(context.Background())
 		work := routine.New(context.Background())
@@ -94,16 +96,17 @@
 			Labels: []string{"l"}, Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}})
 		client := workerapi.NewClient(caller, caller, time.Minute)
 		call := context.Background()
-		order := scheduler.StartOrder{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}, Payload: `{"ms":30}`, Token: 1, LeaseDeadline: time.Hour}
+		order := scheduler.StartOrder{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1},
+			Payload: `{"ms":30}`, Token: 1, LeaseDeadline: time.Hour}
 
-		Convey("it carries orders out, and a lease renewal waits for the end", func() {
+		Convey("it carries out a start, and a lease renewal waits for the run's end", func() {
 			answer, err := client.Start(call, worker, order)
 			So([]any{answer.Refusal, err}, ShouldResemble, []any{scheduler.Refusal(""), nil})
 			lists, err := client.RenewLease(call, worker, scheduler.LeaseRenewal{Token: 1, Wait: 20 * time.Second})
 			So(err, ShouldBeNil)
 			So(lists.Ended, ShouldResemble, []scheduler.EndedRun{{Sequence: 1, Key: order.Key, Reason: jobs.EndDone}})
 		})
-		Convey("another incarnation is not here, and a lower token does nothing", func() {
+		Convey("it refuses calls to another incarnation and calls under a lower token", func() {
 			other := worker
 			other.ID = "w-0"
 			_, err := client.Start(call, other, order)
@@ -112,7 +115,7 @@
 			So(err, ShouldBeNil)
 			So(errs.KindOf(client.Stop(call, worker, scheduler.StopOrder{Key: order.Key, Token: 1})), ShouldEqual, errs.Stale)
 		})
-		Convey("signalled to leave it reports that it drains, stops what runs, and leaves", func() {
+		Convey("signalled to leave, it reports that it drains, stops its runs and leaves", func() {
 			order.Payload = `{"ms":-1}`
 			_, err := client.Start(call, worker, order)
 			So(err, ShouldBeNil)
@@ -122,14 +125,15 @@
 			work.Wait()
 		})
 	})
-	Convey("Settings that are wrong are refused with their field", t, func() {
-		whole := Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", ControlAddrs: []string{"127.0.0.1:1"}}
-		So(whole.Check(), ShouldBeNil)
+	Convey("Invalid settings are refused with the name of the field", t, func() {
+		valid := Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", ControlAddrs: []string{"127.0.0.1:1"}}
+		So(valid.Check(), ShouldBeNil)
 		for field, change := range map[string]func(*Settings){
 			"address": func(s *Settings) { s.Address = "here" }, "name": func(s *Settings) { s.Name = "" },
-			"service": func(s *Settings) { s.Service = "" }, "zone": func(s *Settings) { s.Zone = "" }, "core": func(s *Settings) { s.ControlAddrs = nil },
+			"service": func(s *Settings) { s.Service = "" }, "zone": func(s *Settings) { s.Zone = "" },
+			"core": func(s *Settings) { s.ControlAddrs = nil },
 		} {
-			settings := whole
+			settings := valid
 			change(&settings)
 			err := settings.Check()
 			So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Settings, field})
--- a/internal/testbed/journal/journal_test.go
+++ b/internal/testbed/journal/journal_test.go
@@ -50,10 +50,11 @@
 		So(kinds, ShouldBeEmpty)
 	})
 
-	Convey("A whole line that is no JSON is damage", t, func() {
+	Convey("A complete line that is no JSON is damaged", t, func() {
 		dir := t.TempDir()
 		So(os.Mkdir(filepath.Join(dir, "journal"), 0o755), ShouldBeNil)
-		So(os.WriteFile(filepath.Join(dir, "journal", "m.jsonl"), []byte("{\"ticket\":1}\n{\"ti\n{\"ticket\":2}\n"), 0o644), ShouldBeNil)
+		lines := []byte("{\"ticket\":1}\n{\"ti\n{\"ticket\":2}\n")
+		So(os.WriteFile(filepath.Join(dir, "journal", "m.jsonl"), lines, 0o644), ShouldBeNil)
 		runIDs, kinds := read(dir)
 		So(runIDs, ShouldResemble, []uint64{1, 2})
 		So(kinds, ShouldResemble, []errs.Kind{errs.Damaged})
--- a/internal/testbed/load/generator_test.go
+++ b/internal/testbed/load/generator_test.go
@@ -61,8 +61,9 @@
 		return l, caller, clock, evs
 	}
 
-	Convey("The same seed gives the same offers, about as many as the rate says, all within the time", t, func() {
-		o := Options{Rate: 50, Duration: 20 * time.Second, Seed: 7, Steps: 2, Prefix: "p", CancelProbability: 0.5, DuplicateProbability: 0.1}
+	Convey("The same seed makes the same offers, about as many as the rate asks for, all within the duration", t, func() {
+		o := Options{Rate: 50, Duration: 20 * time.Second, Seed: 7, Steps: 2, Prefix: "p",
+			CancelProbability: 0.5, DuplicateProbability: 0.1}
 		So(o.SetDefaults(), ShouldBeNil)
 		offers := planArrivals(o)
 		So(planArrivals(o), ShouldResemble, offers)
@@ -71,9 +72,10 @@
 		So(offers[3].spec.Steps[1].After, ShouldResemble, []string{"s1"})
 	})
 
-	Convey("A job goes from node to node until it is accepted, as Retry-After says, and is followed to its end", t, func() {
-		l, caller, clock, evs := follow(arrival{cancelAfter: -1}, nil, reply(503, 2*time.Second, ""), reply(202, 0, "accepted"),
-			reply(200, 0, "running"), reply(503, 0, ""), reply(200, 0, "running"), reply(404, 0, ""), reply(200, 0, "done"))
+	Convey("A job goes to node after node, after Retry-After, until accepted, and is then polled to its end", t, func() {
+		l, caller, clock, evs := follow(arrival{cancelAfter: -1}, nil, reply(503, 2*time.Second, ""),
+			reply(202, 0, "accepted"), reply(200, 0, "running"), reply(503, 0, ""), reply(200, 0, "running"),
+			reply(404, 0, ""), reply(200, 0, "done"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "poll running", "poll 404", "poll done"})
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
 		So(caller.calls[1], ShouldNotEqual, caller.calls[2])
@@ -83,7 +85,7 @@
 		So(r.Overloaded, ShouldResemble, map[string]int{"lost": 1, "status 503": 1})
 	})
 
-	Convey("A refusal for good is not repeated; one for now is given up in time", t, func() {
+	Convey("A call refused for good is not repeated; one without an answer is given up in time", t, func() {
 		l, caller, _, evs := follow(arrival{cancelAfter: -1}, reply(422, 0, ""))
 		So(len(caller.calls), ShouldEqual, 1)
 		So(evs, ShouldResemble, []string{"submit ", "refused "})
@@ -93,13 +95,14 @@
 		So(clock.Now(), ShouldBeBetween, 20*time.Second, 31*time.Second)
 	})
 
-	Convey("A job that is submitted once more goes to another node, a cancel is journaled when it was acknowledged", t, func() {
+	Convey("A job is submitted once more at another node; a cancel is journaled when it is acknowledged", t, func() {
 		l, caller, _, evs := follow(arrival{cancelAfter: time.Millisecond, isRepeated: true}, reply(202, 0, "accepted"),
 			reply(200, 0, "accepted"), nil, reply(202, 0, "stopping"), reply(200, 0, "cancelled"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "again accepted", "cancel ",
 			"cancelled stopping", "poll cancelled"})
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
 		So(caller.calls[2][:7], ShouldEqual, http.MethodDelete+" ")
-		So([]int{l.counts.Cancels, l.counts.Cancelled, l.counts.Dups, l.counts.DupsRefused}, ShouldResemble, []int{1, 1, 1, 0})
+		r := l.counts
+		So([]int{r.Cancels, r.Cancelled, r.Dups, r.DupsRefused}, ShouldResemble, []int{1, 1, 1, 0})
 	})
 }
--- a/internal/testbed/netproxy/proxy_test.go
+++ b/internal/testbed/netproxy/proxy_test.go
@@ -19,30 +19,36 @@
 var way = Link{From: "d1", FromZone: "z1", To: "c2", ToZone: "z2"}
 
 func TestFaultSet(t *testing.T) {
-	Convey("A cut touches what crosses it, for its time; cuts add up", t, func() {
+	Convey("A fault affects the links that cross its border until it ends; faults add up", t, func() {
 		g := &faultSet{}
-		out := func(now time.Duration, w Link, forward bool) []any {
+		verdictOn := func(now time.Duration, w Link, forward bool) []any {
 			f := g.verdictFor(now, w, forward)
 			return []any{f.isLost, f.end, f.due}
 		}
 		sameZone := Link{From: "d1", FromZone: "z1", To: "c1", ToZone: "z1"}
 		g.add(0, Fault{Zone: "z1", Kind: Blackhole, For: 10})
-		So(out(5, way, true), ShouldResemble, []any{true, time.Duration(10), time.Duration(5)})
-		So(out(5, way, false)[0], ShouldBeTrue)
-		So(out(5, sameZone, true)[0], ShouldBeFalse)
-		So(out(10, way, true)[0], ShouldBeFalse)
+		So(verdictOn(5, way, true), ShouldResemble, []any{true, time.Duration(10), time.Duration(5)})
+		So(verdictOn(5, way, false)[0], ShouldBeTrue)
+		So(verdictOn(5, sameZone, true)[0], ShouldBeFalse)
+		So(verdictOn(10, way, true)[0], ShouldBeFalse)
 		g.add(10, Fault{Node: "c2", Kind: OneWayBlackhole, For: 10})
-		So([]any{out(11, way, true)[0], out(11, way, false)[0]}, ShouldResemble, []any{false, true})
+		So([]any{verdictOn(11, way, true)[0], verdictOn(11, way, false)[0]}, ShouldResemble, []any{false, true})
 		g.add(20, Fault{Node: "d1", Kind: AddLatency, Delay: 3, For: 10})
-		So(out(21, way, true)[2], ShouldEqual, time.Duration(24))
+		So(verdictOn(21, way, true)[2], ShouldEqual, time.Duration(24))
 		g.add(21, Fault{Node: "d1", Kind: Stall, For: 9})
-		So(out(22, way, false)[2], ShouldEqual, time.Duration(30))
-		So(out(22, Link{From: "m1", To: "d2"}, true)[2], ShouldEqual, time.Duration(22))
+		So(verdictOn(22, way, false)[2], ShouldEqual, time.Duration(30))
+		So(verdictOn(22, Link{From: "m1", To: "d2"}, true)[2], ShouldEqual, time.Duration(22))
 	})
-	Convey("An order that makes no sense is refused", t, func() {
-		for _, c := range []Fault{{Kind: Stall, For: 1}, {Node: "a", Zone: "b", Kind: Stall, For: 1}, {Node: "a", Kind: "x", For: 1},
-			{Node: "a", Kind: Stall}, {Node: "a", Kind: AddLatency, For: 1}, {Node: "a", Kind: Stall, For: 1, Delay: 1}} {
-			So(c.Check(), ShouldNotBeNil)
+	Convey("An invalid fault is refused", t, func() {
+		for _, fault := range []Fault{
+			{Kind: Stall, For: 1},
+			{Node: "a", Zone: "b", Kind: Stall, For: 1},
+			{Node: "a", Kind: "x", For: 1},
+			{Node: "a", Kind: Stall},
+			{Node: "a", Kind: AddLatency, For: 1},
+			{Node: "a", Kind: Stall, For: 1, Delay: 1},
+		} {
+			So(fault.Check(), ShouldNotBeNil)
 		}
 		So(Fault{Node: "a", Kind: AddLatency, For: 1, Delay: 1}.Check(), ShouldBeNil)
 	})
@@ -91,7 +97,8 @@
 	})
 	w := way
 	w.Dial = peer.Addr().String()
-	l := &proxy{settings: Settings{Links: []Link{w}}, clock: clock, logger: log.NewNopLogger(), writer: writer, group: group}
+	l := &proxy{settings: Settings{Links: []Link{w}}, clock: clock, logger: log.NewNopLogger(), writer: writer,
+		group: group}
 	group.Go(func(ctx context.Context) { l.accept(ctx, front, w) })
 	Reset(func() { group.Stop(); So(writer.Close(), ShouldBeNil) })
 	return l, clock, func() net.Conn {
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -55,7 +55,8 @@
 }
 
 func order(runID uint64, run string, until time.Duration) internalapi.StartOrder {
-	return internalapi.StartOrder{RunID: runID, Job: "j", Step: "s", Cores: 1, Run: json.RawMessage(run), StartBy: 20 * ms, LeaseUntil: until}
+	return internalapi.StartOrder{RunID: runID, Job: "j", Step: "s", Cores: 1, Run: json.RawMessage(run),
+		StartBy: 20 * ms, LeaseUntil: until}
 }
 
 func starts(o ...internalapi.StartOrder) internalapi.LeaseCall {
@@ -85,9 +86,9 @@
 
 	for _, kind := range []string{KindCheck, KindObey} {
 		Convey("Every order of a start, its duplicate, a floor, a renewal and a late start: "+kind, t, func() {
-			all := orders(len(calls))
-			So(all, ShouldHaveLength, 120)
-			for _, seq := range all {
+			permutations := orders(len(calls))
+			So(permutations, ShouldHaveLength, 120)
+			for _, seq := range permutations {
 				b, at := newHarness(Traits{Kind: kind, Cores: 4}), [5]int{}
 				var answer internalapi.LeaseAnswer
 				for i, which := range seq {
@@ -102,7 +103,7 @@
 					}
 				}
 				if kind == KindCheck {
-					ones, twos, before = 0, 0, 0 // run ID 2 is void, and run ID 1 void once run ID 2 or the floor was seen
+					ones, twos, before = 0, 0, 0 // run ID 2 never starts, run ID 1 not once run ID 2 or the floor was seen
 					if begin := min(at[first], at[again]); begin < at[floor] && begin < at[delay] {
 						ones = 1
 						if begin < at[renew] {
@@ -116,7 +117,7 @@
 				So(b.ev[journal.Order][1]+b.ev[journal.Order][2], ShouldEqual, 3)
 				So([]uint64{answer.Seen, answer.Floor}, ShouldResemble, []uint64{2, 1})
 
-				b.take(b.Tick(50 * sec)) // the first hold is over
+				b.take(b.Tick(50 * sec)) // the first lease has expired
 				So(b.ev[journal.Expire][1], ShouldEqual, ones-before)
 				So(b.ev[journal.Expire][2], ShouldEqual, twos)
 				running := b.ask(60*sec, internalapi.LeaseCall{}).Running
@@ -132,16 +133,19 @@
 func TestLeases(t *testing.T) {
 	Convey("A run ends by itself before its lease does", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
-		s := b.take(b.RenewLease(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
+		s := b.take(b.RenewLease(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b",
+			Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
 		So(s.WakeAt, ShouldEqual, 60*ms)
 		So(b.Tick(60*ms).WakeAt, ShouldEqual, 110*ms)
 		s = b.take(b.Tick(110 * ms))
 		So(s.WakeAt, ShouldEqual, Never)
 		So(b.last[0].OK, ShouldBeTrue)
 		So(b.ask(111*ms, internalapi.LeaseCall{}).Ended, ShouldResemble, []internalapi.RunEnd{
-			{RunID: 2, Outcome: internalapi.OutcomeFailed, Reason: "the run is not ok"}, {RunID: 1, Outcome: internalapi.OutcomeOK}})
+			{RunID: 2, Outcome: internalapi.OutcomeFailed, Reason: "the run is not ok"},
+			{RunID: 1, Outcome: internalapi.OutcomeOK}})
 		Convey("and is listed until it is acknowledged", func() {
-			So(b.ask(112*ms, internalapi.LeaseCall{Acked: []uint64{2}}).Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}})
+			left := []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}
+			So(b.ask(112*ms, internalapi.LeaseCall{Acked: []uint64{2}}).Ended, ShouldResemble, left)
 			So(b.ask(113*ms, internalapi.LeaseCall{Acked: []uint64{1, 7}}).Ended, ShouldBeEmpty)
 		})
 	})
@@ -159,7 +163,8 @@
 		b.ask(10*ms, starts(order(1, longRunning, 2*sec)))
 		b.ask(11*ms, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: sec})
 		So(b.Tick(12*ms).WakeAt, ShouldEqual, 2*sec)
-		s := b.RenewLease(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older", Renew: []uint64{1}, RenewUntil: 9 * sec})
+		s := b.RenewLease(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older",
+			Renew: []uint64{1}, RenewUntil: 9 * sec})
 		So(s.WakeAt, ShouldEqual, 2*sec)
 	})
 	Convey("Even an obeying worker does not start a run whose lease is over", t, func() {
@@ -178,12 +183,14 @@
 	Convey("A stop kills, and frees the capacity for starts of the same call", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 1})
 		b.ask(10*ms, starts(order(1, longRunning, sec)))
-		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, longRunning, sec)).Starts})
-		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}})
+		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}},
+			Starts: starts(order(2, longRunning, sec)).Starts})
+		stopped := internalapi.RunEnd{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}
+		So(a.Ended, ShouldResemble, []internalapi.RunEnd{stopped})
 		So(a.Running, ShouldResemble, []uint64{2})
 		So(b.ev[journal.Stop][1], ShouldEqual, 1)
 	})
-	Convey("A run that cannot be read ends in a fault with a reason", t, func() {
+	Convey("A run whose program is invalid fails with a reason", t, func() {
 		for _, run := range []string{`{"ms":"x"}`, `{"ms":1.5}`, `{"ok":1}`, `[]`, `{`, `{"ms":99999999999999}`} {
 			b := newHarness(Traits{Kind: KindCheck, Cores: 1})
 			a := b.ask(10*ms, starts(order(1, run, sec)))
@@ -192,17 +199,17 @@
 			So(a.Ended[0].Reason, ShouldNotBeBlank)
 		}
 	})
-	Convey("What chance does to a run depends on the seed and the run ID only", t, func() {
+	Convey("The random outcome of a run depends on the seed and the run ID only", t, func() {
 		ends := func(first, second uint64) map[uint64]string {
 			b := newHarness(Traits{Kind: KindObey, FailProbability: 0.5, SlowFactor: 3, Seed: 7})
 			b.ask(10*ms, starts(order(first, `{"ms":9}`, sec)))
 			b.ask(10*ms, starts(order(second, `{"ms":9}`, sec)))
-			out := map[uint64]string{}
+			outcomes := map[uint64]string{}
 			b.Tick(500 * ms)
 			for _, e := range b.ask(500*ms, internalapi.LeaseCall{}).Ended {
-				out[e.RunID] = e.Outcome
+				outcomes[e.RunID] = e.Outcome
 			}
-			return out
+			return outcomes
 		}
 		for n := range uint64(20) {
 			So(ends(2*n+1, 2*n+2), ShouldResemble, ends(2*n+2, 2*n+1))
@@ -269,7 +276,7 @@
 	wait := func(n uint64) internalapi.LeaseCall {
 		return internalapi.LeaseCall{Call: n, Worker: "m", Incarnation: "b", Epoch: 1, Wait: sec}
 	}
-	Convey("With a run going and nothing new to say, a call that may wait is a long poll", t, func() {
+	Convey("While a run is in progress and there is no update, a call that may wait is a long poll", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4, Grace: 5 * sec})
 		b.ask(10*ms, starts(order(1, `{"ms":500}`, 9*sec)))
 		s := b.take(b.RenewLease(20*ms, 2, wait(2)))
--- a/internal/testbed/policyworker/host_test.go
+++ b/internal/testbed/policyworker/host_test.go
@@ -46,13 +46,14 @@
 		return out
 	}
 
-	Convey("Workers of a process share an address, and each announces, runs, drains and leaves under its own name", t, func() {
+	Convey("Workers that share a process and an address announce, run, drain and leave one by one", t, func() {
 		heard := make(chan internalapi.AnnounceWorkerCall, 8)
 		dataPlane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		rpc.Handle(dataPlane, internalapi.AnnounceWorker, func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
+		announce := func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
 			heard <- c
 			return internalapi.AnnounceWorkerAnswer{Interval: time.Hour}, nil
-		})
+		}
+		rpc.Handle(dataPlane, internalapi.AnnounceWorker, announce)
 		So(dataPlane.Start(), ShouldBeNil)
 		defer func() { So(dataPlane.Stop(time.Minute), ShouldBeNil) }()
 		h, dir := open(func(s *Settings) { s.Count, s.DataPlanes = 2, []string{dataPlane.Addr()} })
@@ -66,9 +67,11 @@
 			incarnations[c.Name] = c.Incarnation
 		}
 		So(incarnations, ShouldHaveLength, 2)
-		a, err := ask(h, internalapi.LeaseCall{Call: 3, Epoch: 4, Worker: "m-1", Incarnation: incarnations["m-1"], Starts: start(7)})
+		a, err := ask(h, internalapi.LeaseCall{Call: 3, Epoch: 4, Worker: "m-1",
+			Incarnation: incarnations["m-1"], Starts: start(7)})
 		So(err, ShouldBeNil)
-		So([]any{a.Call, a.Epoch, a.Incarnation, a.Seen}, ShouldResemble, []any{uint64(3), uint64(4), incarnations["m-1"], uint64(7)})
+		So([]any{a.Call, a.Epoch, a.Incarnation, a.Seen}, ShouldResemble,
+			[]any{uint64(3), uint64(4), incarnations["m-1"], uint64(7)})
 		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 7, Outcome: internalapi.OutcomeOK}})
 		_, err = ask(h, internalapi.LeaseCall{Worker: "other"})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
@@ -78,7 +81,8 @@
 		_, err = ask(h, internalapi.LeaseCall{Worker: "m-1", Epoch: 4, Acked: []uint64{7}})
 		So(err, ShouldBeNil)
 		So(<-over, ShouldBeNil)
-		So(events(dir), ShouldResemble, []string{"m-0 boot", "m-0 drain", "m-1 boot", "m-1 order", "m-1 start", "m-1 end", "m-1 drain"})
+		So(events(dir), ShouldResemble, []string{"m-0 boot", "m-0 drain",
+			"m-1 boot", "m-1 order", "m-1 start", "m-1 end", "m-1 drain"})
 	})
 
 	Convey("A lost answer ends the connection after the call was carried out, a late call is carried out too", t, func() {
--- a/internal/testbed/scale/process_test.go
+++ b/internal/testbed/scale/process_test.go
@@ -16,7 +16,8 @@
 	}
 	Convey("A process's role is seen by its metrics", t, func() {
 		leads := func(value float64) fleet.Metrics {
-			return fleet.Metrics{`crosstide_store_role{role="leader"}`: value, `crosstide_store_role{role="follower"}`: 1 - value}
+			return fleet.Metrics{`crosstide_store_role{role="leader"}`: value,
+				`crosstide_store_role{role="follower"}`: 1 - value}
 		}
 		So(read(1, leads(1)).Role, ShouldEqual, Leader)
 		So(read(1, leads(0)).Role, ShouldEqual, Follower)
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -12,13 +12,16 @@
 )
 
 func TestRows(t *testing.T) {
-	Convey("Rows are means per process and second, of a worker per worker", t, func() {
-		a := Snapshot{Procs: map[string]Reading{"c1": {Role: Follower, Count: 1}, "c2": {Role: Leader, Count: 1}, "c3": {Role: Follower, Count: 1},
+	Convey("Rows are means per process and second; for shared workers, per worker", t, func() {
+		a := Snapshot{Procs: map[string]Reading{
+			"c1": {Role: Follower, Count: 1}, "c2": {Role: Leader, Count: 1}, "c3": {Role: Follower, Count: 1},
 			"d1": {Role: SchedulerLeader, Count: 1}, "h1": {Role: SharedWorker, Count: 50}}}
 		b := Snapshot{At: 10 * time.Second, Busy: 20, Loop: 1e6, Procs: map[string]Reading{
 			"c1": {Role: Follower, Count: 1, CPU: time.Second, RSS: 4e6, Syncs: 100},
-			"c2": {Role: Leader, Count: 1, CPU: 2 * time.Second}, "c3": {Role: Follower, Count: 1, CPU: 3 * time.Second, RSS: 2e6},
-			"d1": {Role: SchedulerLeader, Count: 1, RunIDs: 500, Handles: 7}, "h1": {Role: SharedWorker, Count: 50, Stream: 1e6, Msgs: 500}}}
+			"c2": {Role: Leader, Count: 1, CPU: 2 * time.Second},
+			"c3": {Role: Follower, Count: 1, CPU: 3 * time.Second, RSS: 2e6},
+			"d1": {Role: SchedulerLeader, Count: 1, RunIDs: 500, Handles: 7},
+			"h1": {Role: SharedWorker, Count: 50, Stream: 1e6, Msgs: 500}}}
 		rows, err := Rows(a, b, Step{Workers: 50, Offered: 60})
 		So(err, ShouldBeNil)
 		So(len(rows), ShouldEqual, 4)
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -10,11 +10,12 @@
 )
 
 func TestSoak(t *testing.T) {
-	Convey("A state stays within its bounds: past the time that ended jobs are kept a day adds nothing, and what ended leaves no handle", t, func() {
+	Convey("Once ended jobs are purged, a day does not enlarge the state, and ended runs leave no handle", t, func() {
 		keep := config.DefaultControlPlane()
 		keep.KeepTombstonesFor = 48 * time.Hour
 		var days []Day
-		o := Options{Days: 5, Jobs: 300, Tasks: 3, TaskDuration: 10 * time.Minute, Workers: 5, Orders: 20, Seed: 1, Keep: keep}
+		o := Options{Days: 5, Jobs: 300, Tasks: 3, TaskDuration: 10 * time.Minute, Workers: 5, Orders: 20, Seed: 1,
+			Keep: keep}
 		So(Run(o, func(d Day) error { days = append(days, d); return nil }), ShouldBeNil)
 		So(len(days), ShouldEqual, 5)
 		So(days[3].Tombstones, ShouldBeBetweenOrEqual, 580, 610) // two days of jobs, less those of the last hour
