--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -83,7 +83,7 @@
 //	findings := audit.Check(history)
 //	if !audit.NoneViolated(findings) { … }
 func Check(h History) []Finding {
-	out := make([]Finding, 0, len(checks))
+	findings := make([]Finding, 0, len(checks))
 	for _, c := range checks {
 		f := Finding{Invariant: c.invariant, Note: c.notCheckable}
 		if c.check != nil {
@@ -97,9 +97,9 @@
 		default:
 			f.Verdict = NotExercised
 		}
-		out = append(out, f)
+		findings = append(findings, f)
 	}
-	return out
+	return findings
 }
 
 // NoneViolated reports whether no invariant is violated.
@@ -118,19 +118,19 @@
 }
 
 func (f Finding) text(shown int) string {
-	var out strings.Builder
-	fmt.Fprintf(&out, "%-13s%s", f.Invariant, f.Verdict)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%-13s%s", f.Invariant, f.Verdict)
 	if f.Verdict != NotExercised {
-		fmt.Fprintf(&out, " %d cases", f.Cases)
+		fmt.Fprintf(&text, " %d cases", f.Cases)
 	}
 	if f.Note != "" {
-		out.WriteString(" (" + f.Note + ")")
+		text.WriteString(" (" + f.Note + ")")
 	}
 	for _, line := range f.Lines[:min(len(f.Lines), shown)] {
-		out.WriteString("\n    " + line)
+		text.WriteString("\n    " + line)
 	}
 	if left := len(f.Lines) - shown; left > 0 {
-		fmt.Fprintf(&out, "\n    and %d more", left)
+		fmt.Fprintf(&text, "\n    and %d more", left)
 	}
-	return out.String()
+	return text.String()
 }
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -30,11 +30,11 @@
 }
 
 func verdicts(h History) map[string]string {
-	out := map[string]string{}
+	byInvariant := map[string]string{}
 	for _, f := range Check(h) {
-		out[f.Invariant] = f.Verdict
+		byInvariant[f.Invariant] = f.Verdict
 	}
-	return out
+	return byInvariant
 }
 
 // clean returns a history that exercises every invariant that has a check, and violates none.
--- a/internal/testbed/audit/history.go
+++ b/internal/testbed/audit/history.go
@@ -76,14 +76,14 @@
 // filter returns the events of a source in order of time; equal times keep the order of the files. Without kinds it
 // returns all of them.
 func (h History) filter(from Source, kinds ...string) []Event {
-	var out []Event
+	var matching []Event
 	for _, e := range h.Events {
 		if e.Source == from && (len(kinds) == 0 || slices.Contains(kinds, e.Event)) {
-			out = append(out, e)
+			matching = append(matching, e)
 		}
 	}
-	slices.SortStableFunc(out, byTime)
-	return out
+	slices.SortStableFunc(matching, byTime)
+	return matching
 }
 
 // byTime orders events by their time.
@@ -91,13 +91,13 @@
 
 // byWorker returns each worker's events in the order they were written.
 func (h History) byWorker() map[string][]Event {
-	out := map[string][]Event{}
+	byWorker := map[string][]Event{}
 	for _, e := range h.Events {
 		if e.Source == Worker {
-			out[e.Worker] = append(out[e.Worker], e)
+			byWorker[e.Worker] = append(byWorker[e.Worker], e)
 		}
 	}
-	return out
+	return byWorker
 }
 
 // Read reads the journals of dir. A damaged line is a failure: half a journal proves nothing. Failures: Disk,
--- a/internal/testbed/audit/jobs.go
+++ b/internal/testbed/audit/jobs.go
@@ -14,13 +14,13 @@
 }
 
 func firstByJob(events []Event) map[string]Event {
-	out := map[string]Event{}
+	first := map[string]Event{}
 	for _, e := range events {
-		if _, ok := out[e.Job]; !ok {
-			out[e.Job] = e
+		if _, ok := first[e.Job]; !ok {
+			first[e.Job] = e
 		}
 	}
-	return out
+	return first
 }
 
 // checkCancel checks that no run of a job starts later than the grace after its cancel was acknowledged. Cases are the
--- a/internal/testbed/audit/placement.go
+++ b/internal/testbed/audit/placement.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil // it is the store's own
 	}
-	out := []versionWindow{{window{from: math.MinInt64, to: math.MaxInt64}, initial}}
+	versions := []versionWindow{{window{from: math.MinInt64, to: math.MaxInt64}, initial}}
 	acknowledged := h.filter(Operator, operator.Force)
 	slices.SortStableFunc(acknowledged, func(a, b Event) int {
 		return int(a.OperatorEntry.Version) - int(b.OperatorEntry.Version)
@@ -75,16 +75,16 @@
 			continue // found by checkReadBack: it is not what was signed
 		}
 		b.Version = e.OperatorEntry.Version
-		out[len(out)-1].to = e.At + int64(bundleGrace)
-		out = append(out, versionWindow{window{e, e.OperatorEntry.Sent, math.MaxInt64}, b})
+		versions[len(versions)-1].to = e.At + int64(bundleGrace)
+		versions = append(versions, versionWindow{window{e, e.OperatorEntry.Sent, math.MaxInt64}, b})
 	}
-	return out
+	return versions
 }
 
 // unknownVersions returns the times in which a signature without an answer may have put an unknown version in force:
 // until the next version was acknowledged.
 func unknownVersions(h History, known []versionWindow) []window {
-	var out []window
+	var unknown []window
 	for _, e := range h.filter(Operator, operator.Unanswered) {
 		if e.OperatorEntry.Version == 0 {
 			continue // a draft, which changes nothing
@@ -95,9 +95,9 @@
 				w.to = min(w.to, v.to)
 			}
 		}
-		out = append(out, w)
+		unknown = append(unknown, w)
 	}
-	return out
+	return unknown
 }
 
 // placementChecker judges starts by the versions that may have been in force.
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -37,7 +37,7 @@
 	}
 	every := max(1, (len(jobs)+maxProbed-1)/maxProbed)
 	var mu sync.Mutex
-	out, answered := History{Events: slices.Clone(h.Events)}, 0
+	probed, answered := History{Events: slices.Clone(h.Events)}, 0
 	routine.Each((len(jobs)+every-1)/every, probesAtOnce, func(i int) {
 		e, ok := probeJob(ctx, caller, nodes[i%len(nodes)], jobs[i*every])
 		if !ok {
@@ -47,9 +47,9 @@
 		mu.Lock()
 		defer mu.Unlock()
 		answered++
-		out.Events = append(out.Events, e)
+		probed.Events = append(probed.Events, e)
 	})
-	return out, answered
+	return probed, answered
 }
 
 // probeJob asks a node for a job and returns the answer as a poll of a client. It returns false if the answer proves
--- a/internal/testbed/audit/runs.go
+++ b/internal/testbed/audit/runs.go
@@ -50,13 +50,13 @@
 
 // successfulEnds returns the first success of every task.
 func successfulEnds(h History) map[task]Event {
-	out := map[task]Event{}
+	ends := map[task]Event{}
 	for _, e := range h.filter(Worker, journal.End) {
-		if _, ok := out[e.task()]; e.OK && !ok {
-			out[e.task()] = e
+		if _, ok := ends[e.task()]; e.OK && !ok {
+			ends[e.task()] = e
 		}
 	}
-	return out
+	return ends
 }
 
 // checkRunIDsIncrease checks that every start has a run ID above all that its worker was ordered to start before, also
--- a/internal/testbed/audit/spans.go
+++ b/internal/testbed/audit/spans.go
@@ -33,16 +33,16 @@
 func spans(h History) map[task][]span {
 	kills, freezes := h.filter(Testbed, Kill), h.filter(Testbed, Freeze)
 	byWorker := h.byWorker()
-	out := map[task][]span{}
+	byTask := map[task][]span{}
 	for _, worker := range slices.Sorted(maps.Keys(byWorker)) {
 		for _, s := range spansOf(byWorker[worker], kills, freezes) {
-			out[s.start.task()] = append(out[s.start.task()], s)
+			byTask[s.start.task()] = append(byTask[s.start.task()], s)
 		}
 	}
-	for _, list := range out {
+	for _, list := range byTask {
 		slices.SortStableFunc(list, func(a, b span) int { return byTime(a.start, b.start) })
 	}
-	return out
+	return byTask
 }
 
 // spansOf returns the runs of one worker, the last one first, by its events in the order they were written.
@@ -56,7 +56,7 @@
 		runID       uint64
 	}
 	ends := map[run]Event{}
-	var out []span
+	var found []span
 	for _, e := range slices.Backward(events) { // from the end, so that a run ID started twice ends twice
 		id := run{e.Incarnation, e.RunID}
 		switch e.Event {
@@ -64,13 +64,13 @@
 			ends[id] = e
 		case journal.Start:
 			if end, isEndKnown := ends[id]; isEndKnown {
-				out = append(out, endedSpan(e, end, freezes))
+				found = append(found, endedSpan(e, end, freezes))
 			} else {
-				out = append(out, cutSpan(e, lastLine[e.Incarnation], kills))
+				found = append(found, cutSpan(e, lastLine[e.Incarnation], kills))
 			}
 		}
 	}
-	return out
+	return found
 }
 
 // endedSpan returns the span of a run whose end was journaled: up to that, or to a freeze in which its lease expired.
@@ -101,11 +101,11 @@
 }
 
 // flatten returns all spans in order of their starts.
-func flatten(all map[task][]span) []span {
-	var out []span
-	for _, list := range all {
-		out = append(out, list...)
+func flatten(byTask map[task][]span) []span {
+	var flat []span
+	for _, list := range byTask {
+		flat = append(flat, list...)
 	}
-	slices.SortFunc(out, func(a, b span) int { return cmp.Compare(a.start.At, b.start.At) })
-	return out
+	slices.SortFunc(flat, func(a, b span) int { return cmp.Compare(a.start.At, b.start.At) })
+	return flat
 }
--- a/internal/testbed/audit/windows.go
+++ b/internal/testbed/audit/windows.go
@@ -17,19 +17,19 @@
 
 // windows pairs the events that open a window with those that close it, by key.
 func windows(events []Event, key func(Event) string, opens func(Event) bool) map[string][]window {
-	out := map[string][]window{}
+	byKey := map[string][]window{}
 	for _, e := range events {
 		k := key(e)
-		list := out[k]
+		list := byKey[k]
 		isOpen := len(list) > 0 && list[len(list)-1].to == math.MaxInt64
 		switch {
 		case opens(e) && !isOpen:
-			out[k] = append(list, window{e, e.At, math.MaxInt64})
+			byKey[k] = append(list, window{e, e.At, math.MaxInt64})
 		case !opens(e) && isOpen:
 			list[len(list)-1].to = e.At
 		}
 	}
-	return out
+	return byKey
 }
 
 // reportedDrains returns, by worker, the drains that the workers reported. A new incarnation does not drain.
--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -26,10 +26,10 @@
 	From, To time.Time
 }
 
-// evacuationGrace is how long after the answer to an evacuation a start that was under way may arrive.
+// evacuationGrace is how long after the answer to an evacuation a start order that was sent before it may still arrive.
 const evacuationGrace = 500 * time.Millisecond
 
-// auditor is an audit under way: the events are observed in order of time, then each job is checked.
+// auditor is an audit in progress: the events are observed in order of time, then each job is checked.
 type auditor struct {
 	report      Report
 	evacuations []Evacuation
--- a/internal/testbed/endtoend/jobs.go
+++ b/internal/testbed/endtoend/jobs.go
@@ -141,10 +141,10 @@
 
 // numberedJobs returns small jobs with IDs of a common prefix.
 func numberedJobs(prefix string, count int) []Job {
-	var out []Job
+	var numbered []Job
 	for i := range count {
 		id := fmt.Sprintf("%s-%d", prefix, i)
-		out = append(out, newJob(id, Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, smallStep(2)))
+		numbered = append(numbered, newJob(id, Urgent, jobs.Succeeded, jobsworker.Program{MS: 60}, smallStep(2)))
 	}
-	return out
+	return numbered
 }
--- a/internal/testbed/endtoend/workers.go
+++ b/internal/testbed/endtoend/workers.go
@@ -22,7 +22,7 @@
 // newShapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with
 // GPUs.
 func newShapes(count int) []Shape {
-	var out []Shape
+	var shapes []Shape
 	for i := range count {
 		s := Shape{Name: fmt.Sprintf("w%d", i+1), Zone: fmt.Sprintf("z%d", i%2+1), Rack: fmt.Sprintf("r%d", i%2+1),
 			Capacity: jobs.Resources{MilliCPU: 4000, MemoryMB: 1024}}
@@ -33,9 +33,9 @@
 		if i < 2 {
 			s.Capacity.GPUs = 2
 		}
-		out = append(out, s)
+		shapes = append(shapes, s)
 	}
-	return out
+	return shapes
 }
 
 // settings returns the settings of the shape's process.
@@ -46,7 +46,7 @@
 
 // readEvents reads the journals of the workers in DIR/journal.
 func readEvents(dir string) ([]jobsworker.Event, error) {
-	var out []jobsworker.Event
+	var events []jobsworker.Event
 	for line, err := range journal.Lines(dir) {
 		if err != nil {
 			return nil, errs.Pass(err, "journals")
@@ -55,7 +55,7 @@
 		if err := json.Unmarshal(line.Raw, &e); err != nil {
 			return nil, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
 		}
-		out = append(out, e)
+		events = append(events, e)
 	}
-	return out, nil
+	return events, nil
 }
--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -198,8 +198,8 @@
 	c.endDueRuns()
 	input()
 	if c.leaveDeadline <= c.now {
-		all := func(*run) bool { return true }
-		c.endRuns(all, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
+		anyRun := func(*run) bool { return true }
+		c.endRuns(anyRun, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
 	}
 	isIdle := len(c.runs) == 0 && len(c.unacknowledged) == 0
 	c.hasExited = c.hasExited || c.leaveDeadline <= c.now || c.leaveDeadline != Never && isIdle
--- a/internal/testbed/policyworker/settings.go
+++ b/internal/testbed/policyworker/settings.go
@@ -99,11 +99,11 @@
 	if s.Count == 1 {
 		return []string{s.Name}
 	}
-	out := make([]string, s.Count)
-	for i := range out {
-		out[i] = s.Name + "-" + strconv.Itoa(i)
+	names := make([]string, s.Count)
+	for i := range names {
+		names[i] = s.Name + "-" + strconv.Itoa(i)
 	}
-	return out
+	return names
 }
 
 func (s Settings) traits(name, incarnation string) Traits {
