--- a/internal/testbed/endtoend/processes_test.go
+++ b/internal/testbed/endtoend/processes_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestPlan(t *testing.T) {
-	Convey("A plan's settings are taken by the daemons, and every process has a line", t, func() {
+	Convey("The daemons accept the settings of a plan, and every process has a command line", t, func() {
 		dir := t.TempDir()
 		plan, err := NewPlan(dir, "/bin/of", Size{ControlPlanes: 3, DataPlanes: 2, Workers: 4})
 		So(err, ShouldBeNil)
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -28,7 +28,7 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// testSystem is a small system: one core node, one front node and workers, all in this process on loopback.
+// testSystem is a small system: one control plane, one data plane and workers, all in this process on loopback.
 type testSystem struct {
 	client  *client
 	workers []*jobsworker.Host
--- a/internal/testbed/load/generator_test.go
+++ b/internal/testbed/load/generator_test.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/testbed/testclock"
 )
 
-// script answers calls in turn, the last answer again and again; a nil one is a lost answer.
+// script answers with each of answers in turn, then with the last one; nil is a lost answer.
 type script struct {
 	answers []*fleet.Reply
 	calls   []string
--- a/internal/testbed/netproxy/proxy_test.go
+++ b/internal/testbed/netproxy/proxy_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// pipe is a link to a peer that answers every byte with the next one.
+// pipe returns a proxy with a link to a peer that answers every byte with the next one, its clock, and a function that
+// dials through the link.
 func pipe(t *testing.T) (*proxy, *counted, func() net.Conn) {
 	clock, group := &counted{sets: make(chan struct{}, 100)}, routine.New(context.Background())
 	writer, err := journal.Open(filepath.Join(t.TempDir(), "j"))
@@ -108,12 +109,12 @@
 	}
 }
 
-func say(c net.Conn, b byte) {
+func send(c net.Conn, b byte) {
 	_, err := c.Write([]byte{b})
 	So(err, ShouldBeNil)
 }
 
-func hears(c net.Conn) byte {
+func receive(c net.Conn) byte {
 	b := make([]byte, 1)
 	_, err := io.ReadFull(c, b)
 	So(err, ShouldBeNil)
@@ -121,49 +122,49 @@
 }
 
 func TestProxy(t *testing.T) {
-	Convey("Bytes and ends go through, both ways", t, func() {
+	Convey("Bytes and ends of file pass in both directions", t, func() {
 		_, _, dial := pipe(t)
 		c := dial()
-		say(c, 1)
-		So(hears(c), ShouldEqual, 2)
+		send(c, 1)
+		So(receive(c), ShouldEqual, 2)
 		So(c.(*net.TCPConn).CloseWrite(), ShouldBeNil)
 		_, err := c.Read(make([]byte, 1))
 		So(err, ShouldEqual, io.EOF)
 	})
-	Convey("In a silent cut nothing is answered, and what lost something is reset at the end of it only", t, func() {
+	Convey("A blackhole drops all bytes, and resets at its end only the connections that lost some", t, func() {
 		l, clock, dial := pipe(t)
 		old, quiet := dial(), dial()
 		for _, c := range []net.Conn{old, quiet} {
-			say(c, 1)
-			So(hears(c), ShouldEqual, 2)
+			send(c, 1)
+			So(receive(c), ShouldEqual, 2)
 		}
 		answer, err := l.inject(Fault{Node: "c2", Kind: Blackhole, For: time.Second})
 		So(err, ShouldBeNil)
 		So(answer.Links, ShouldEqual, 1)
 		fresh := dial()
-		say(old, 5)
-		say(fresh, 7)
+		send(old, 5)
+		send(fresh, 7)
 		over := make(chan error, 2)
 		for _, c := range []net.Conn{old, fresh} {
 			l.group.Go(func(context.Context) { _, err := c.Read(make([]byte, 1)); over <- err })
 		}
-		clock.await(4) // of the cut, of what was lost, and of the new connection and what was lost on it
+		clock.await(4) // of the fault, of the lost bytes, and of the new connection and the bytes lost on it
 		clock.Advance(time.Second)
 		So([]error{<-over, <-over}, ShouldNotContain, nil)
-		say(quiet, 3)
-		So(hears(quiet), ShouldEqual, 4)
+		send(quiet, 3)
+		So(receive(quiet), ShouldEqual, 4)
 	})
-	Convey("A late link delivers in order at the end, also what was sent by one that has gone", t, func() {
+	Convey("A stall delivers in order at its end, even what was sent before the sender closed", t, func() {
 		l, clock, dial := pipe(t)
 		c := dial()
-		say(c, 1)
-		So(hears(c), ShouldEqual, 2)
+		send(c, 1)
+		So(receive(c), ShouldEqual, 2)
 		_, err := l.inject(Fault{Zone: "z1", Kind: Stall, For: time.Second})
 		So(err, ShouldBeNil)
-		say(c, 5)
+		send(c, 5)
 		So(c.(*net.TCPConn).CloseWrite(), ShouldBeNil)
-		clock.await(2) // of the cut, and of the bytes that wait for its end
+		clock.await(2) // of the fault, and of the bytes that it delays
 		clock.Advance(time.Second)
-		So(hears(c), ShouldEqual, 6)
+		So(receive(c), ShouldEqual, 6)
 	})
 }
--- a/internal/testbed/operator/operator_test.go
+++ b/internal/testbed/operator/operator_test.go
@@ -19,7 +19,8 @@
 	"crosstide/internal/testbed/testclock"
 )
 
-// newTestSession is a session whose only control plane answers its calls in turn; the last answer again and again.
+// newTestSession returns a session whose only control plane answers with each of answers in turn, then with the last
+// one.
 func newTestSession(dir string, answers ...any) *session {
 	var calls atomic.Int32
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
@@ -43,7 +44,7 @@
 		counts: Report{Refused: map[string]int{}}}
 }
 
-// entries reads the journal back, as event and reason.
+// entries returns the lines of the journal as event and reason.
 func entries(dir string) (out []string) {
 	for line, err := range journal.Lines(dir) {
 		So(err, ShouldBeNil)
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -21,29 +21,30 @@
 // harness drives a core and counts what it journals.
 type harness struct {
 	*Core
-	ev   map[string]map[uint64]int // event to run ID to count
-	last []journal.Entry
+	counts map[string]map[uint64]int // of journaled events, by event and run ID
+	last   []journal.Entry           // of the last step
 }
 
 func newHarness(t Traits) *harness {
 	t.Name, t.Incarnation, t.Zone = "m", "b", "z1"
-	b := &harness{Core: NewCore(t), ev: map[string]map[uint64]int{}}
+	b := &harness{Core: NewCore(t), counts: map[string]map[uint64]int{}}
 	b.take(b.Start())
 	return b
 }
 
+// take counts what a step journals, and returns its actions.
 func (b *harness) take(s Actions) Actions {
 	b.last = s.Journal
 	for _, e := range s.Journal {
-		if b.ev[e.Event] == nil {
-			b.ev[e.Event] = map[uint64]int{}
+		if b.counts[e.Event] == nil {
+			b.counts[e.Event] = map[uint64]int{}
 		}
-		b.ev[e.Event][e.RunID]++
+		b.counts[e.Event][e.RunID]++
 	}
 	return s
 }
 
-// ask calls and returns the answer, which must come at once.
+// ask makes a lease call and returns the answer, which must come in the same step.
 func (b *harness) ask(now time.Duration, call internalapi.LeaseCall) internalapi.LeaseAnswer {
 	call.Worker, call.Incarnation, call.Epoch = "m", "b", max(call.Epoch, 1)
 	s := b.take(b.RenewLease(now, 99, call))
@@ -112,18 +113,19 @@
 					}
 				}
 				name := fmt.Sprint(kind, seq)
-				So(name+fmt.Sprint(b.ev[journal.Start][1], b.ev[journal.Start][2]), ShouldEqual, name+fmt.Sprint(ones, twos))
-				So(b.ev[journal.Refuse][1]+b.ev[journal.Refuse][2], ShouldEqual, 3-ones-twos)
-				So(b.ev[journal.Order][1]+b.ev[journal.Order][2], ShouldEqual, 3)
+				started := fmt.Sprint(b.counts[journal.Start][1], b.counts[journal.Start][2])
+				So(name+started, ShouldEqual, name+fmt.Sprint(ones, twos))
+				So(b.counts[journal.Refuse][1]+b.counts[journal.Refuse][2], ShouldEqual, 3-ones-twos)
+				So(b.counts[journal.Order][1]+b.counts[journal.Order][2], ShouldEqual, 3)
 				So([]uint64{answer.Seen, answer.Floor}, ShouldResemble, []uint64{2, 1})
 
 				b.take(b.Tick(50 * sec)) // the first lease has expired
-				So(b.ev[journal.Expire][1], ShouldEqual, ones-before)
-				So(b.ev[journal.Expire][2], ShouldEqual, twos)
+				So(b.counts[journal.Expire][1], ShouldEqual, ones-before)
+				So(b.counts[journal.Expire][2], ShouldEqual, twos)
 				running := b.ask(60*sec, internalapi.LeaseCall{}).Running
 				So(len(running) == 1, ShouldEqual, before > 0)
 				b.take(b.Tick(100 * sec)) // the renewed one too
-				So(b.ev[journal.Expire][1], ShouldEqual, ones)
+				So(b.counts[journal.Expire][1], ShouldEqual, ones)
 				So(b.ask(101*sec, internalapi.LeaseCall{}).Running, ShouldBeEmpty)
 			}
 		})
@@ -155,8 +157,8 @@
 		a := b.ask(25*sec, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: 60 * sec})
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
-		So(b.ev[journal.End][1], ShouldEqual, 0)
-		So(b.ev[journal.Expire][1], ShouldEqual, 1)
+		So(b.counts[journal.End][1], ShouldEqual, 0)
+		So(b.counts[journal.Expire][1], ShouldEqual, 1)
 	})
 	Convey("A lease is only extended, and not by a call that knows another incarnation", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
@@ -172,7 +174,7 @@
 		a := b.ask(3*sec, starts(order(1, longRunning, 2*sec)))
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
-		So(b.ev[journal.Start][1], ShouldEqual, 0)
+		So(b.counts[journal.Start][1], ShouldEqual, 0)
 		Convey("nor is its run ID listed as ended while a run of it goes on", func() {
 			b.ask(3*sec, starts(order(2, longRunning, 9*sec)))
 			a := b.ask(3*sec, starts(order(2, longRunning, 2*sec)))
@@ -188,7 +190,7 @@
 		stopped := internalapi.RunEnd{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}
 		So(a.Ended, ShouldResemble, []internalapi.RunEnd{stopped})
 		So(a.Running, ShouldResemble, []uint64{2})
-		So(b.ev[journal.Stop][1], ShouldEqual, 1)
+		So(b.counts[journal.Stop][1], ShouldEqual, 1)
 	})
 	Convey("A run whose program is invalid fails with a reason", t, func() {
 		for _, run := range []string{`{"ms":"x"}`, `{"ms":1.5}`, `{"ok":1}`, `[]`, `{`, `{"ms":99999999999999}`} {
@@ -335,6 +337,6 @@
 		So(b.Drain(20*ms, true, true).WakeAt, ShouldEqual, 5020*ms)
 		s := b.take(b.Tick(5020 * ms))
 		So(s.Exit, ShouldBeTrue)
-		So(b.ev[journal.Stop][1], ShouldEqual, 1)
+		So(b.counts[journal.Stop][1], ShouldEqual, 1)
 	})
 }
--- a/internal/testbed/rehearsal/rehearsal_test.go
+++ b/internal/testbed/rehearsal/rehearsal_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestPickWorkers(t *testing.T) {
-	Convey("A worker of either kind is picked, or two of the one kind there is", t, func() {
+	Convey("One worker of each kind is picked, or two if there is only one kind", t, func() {
 		run := &caseRun{Target: &faults.Target{Nodes: fleet.Nodes{Workers: []fleet.Node{
 			{Name: "m1", Kind: "check"}, {Name: "m2", Kind: "check"}, {Name: "m3", Kind: "obey"}, {Name: "m4", Kind: "obey"}}}}}
 		So(run.pickWorkers(0), ShouldResemble, []string{"m1", "m3"})
