--- a/internal/testbed/audit/history.go
+++ b/internal/testbed/audit/history.go
@@ -1,6 +1,7 @@
 package audit
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -24,7 +25,7 @@
 	Wipe     = "wipe"     // testbed: the data of Node were removed
 )
 
-// Source is whose journal a line is of.
+// Source is the kind of process that wrote a line.
 type Source string
 
 // Sources, by the prefix of the journal's name; without one of these prefixes it is a worker's.
@@ -37,7 +38,7 @@
 
 // Event is one line of any journal: which fields are set depends on its Source.
 type Event struct {
-	journal.Entry // of a worker's line; of any line At and Event, and what else it has
+	journal.Entry // At and Event are set for every line; the rest for a worker's line, else where the line has the key
 	State         string
 	Node          string
 	Team          string
@@ -50,13 +51,13 @@
 	Raw    string
 }
 
-// String is where the line stands, and the line.
+// String returns the file, the number and the text of the line.
 func (e Event) String() string { return fmt.Sprintf("%s:%d %s", e.File, e.Line, e.Raw) }
 
-// since reports how long after at (Unix ns) e is.
+// since returns the time from at (Unix ns) to e.
 func (e Event) since(at int64) time.Duration { return time.Duration(e.At - at) }
 
-// task identifies a task for good.
+// task identifies a task across all its runs.
 type task struct {
 	job, step string
 	index     int
@@ -75,28 +76,28 @@
 // filter returns the events of a source in order of time; equal times keep the order of the files. Without kinds it
 // returns all of them.
 func (h History) filter(from Source, kinds ...string) []Event {
-	var out []Event
+	var matching []Event
 	for _, e := range h.Events {
 		if e.Source == from && (len(kinds) == 0 || slices.Contains(kinds, e.Event)) {
-			out = append(out, e)
+			matching = append(matching, e)
 		}
 	}
-	slices.SortStableFunc(out, byTime)
-	return out
+	slices.SortStableFunc(matching, byTime)
+	return matching
 }
 
 // byTime orders events by their time.
-func byTime(a, b Event) int { return int(min(max(a.At-b.At, -1), 1)) }
+func byTime(a, b Event) int { return cmp.Compare(a.At, b.At) }
 
 // byWorker returns each worker's events in the order they were written.
 func (h History) byWorker() map[string][]Event {
-	out := map[string][]Event{}
+	byWorker := map[string][]Event{}
 	for _, e := range h.Events {
 		if e.Source == Worker {
-			out[e.Worker] = append(out[e.Worker], e)
+			byWorker[e.Worker] = append(byWorker[e.Worker], e)
 		}
 	}
-	return out
+	return byWorker
 }
 
 // Read reads the journals of dir. A damaged line is a failure: half a journal proves nothing. Failures: Disk,
--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -20,16 +20,16 @@
 	Violations []string               // of the invariants; none: all held
 }
 
-// Evacuation is a time in which a zone was evacuated, by the answers to its order and its withdrawal.
+// Evacuation is a period in which a zone was evacuated: from the answer to the order until just before the restore.
 type Evacuation struct {
 	Zone     string
 	From, To time.Time
 }
 
-// evacuationGrace is how long after the answer to an evacuation a start that was under way may arrive.
+// evacuationGrace is how long after the answer to an evacuation a start order that was sent before it may still arrive.
 const evacuationGrace = 500 * time.Millisecond
 
-// auditor is an audit under way: the events are observed in order of time, then each job is checked.
+// auditor is an audit in progress: the events are observed in order of time, then each job is checked.
 type auditor struct {
 	report      Report
 	evacuations []Evacuation
@@ -97,7 +97,7 @@
 	a.report.Violations = append(a.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// observe follows an event; the checks of runs are made at their start.
+// observe applies an event to the auditor's state. A run is checked when it starts.
 func (a *auditor) observe(e jobsworker.Event) {
 	switch e.Event {
 	case jobsworker.EventWorkerStart:
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -1,6 +1,7 @@
-// Package jobsworker is the stand-in worker of the testbed for the jobs deployment, by the contract of
-// internal/httpapi/workerapi: it guards its own capacity, keeps its lease by its own clock, refuses fenced orders and
-// journals all that it does. It starts no real work: a run is a Program, a length of time and an outcome.
+// Package jobsworker is the testbed's stand-in for a worker of the jobs deployment. It keeps the contract of
+// internal/httpapi/workerapi: it refuses what exceeds its capacity, kills its runs when the lease expires by its own
+// clock, refuses fenced orders and journals every event. It starts no real work: a run is a Program, a duration and an
+// outcome.
 //
 // Host is the process: it serves the calls, sends the heartbeats and wakes at the deadlines of its core, which decides.
 // Begin with core.Advance and core.Start.
@@ -23,7 +24,6 @@
 	"crosstide/internal/routine"
 	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/journal"
-	"crosstide/internal/testbed/pause"
 )
 
 const (
@@ -85,7 +85,7 @@
 	return h, nil
 }
 
-// randomSuffix tells the incarnations of a machine's worker apart.
+// randomSuffix returns the part of a worker's ID that distinguishes its incarnations.
 func randomSuffix() string {
 	var suffix [6]byte
 	_, _ = rand.Read(suffix[:]) // never fails
@@ -99,10 +99,10 @@
 	return errs.Pass(err, "journal")
 }
 
-// ID is the worker's ID, which no other incarnation has.
+// ID returns the worker's ID, which is unique to the incarnation.
 func (h *Host) ID() string { return h.id }
 
-// record journals an event. A worker that cannot write its journal is of no use to the audit: it ends at once.
+// record journals an event. The audit cannot judge a worker without a complete journal, so a failed write ends it.
 func (h *Host) record(e Event) {
 	if h.writer == nil {
 		return
@@ -114,8 +114,8 @@
 	}
 }
 
-// Run answers calls and sends heartbeats until ctx ends. Then the worker drains: nothing new starts, what runs has the
-// grace to end; it stops the rest and reports that it leaves.
+// Run answers calls and sends heartbeats until ctx ends. Then the worker drains: it refuses starts, waits up to the
+// grace for its runs to end, stops the rest and reports that it leaves.
 func (h *Host) Run(ctx context.Context) error {
 	h.group.Go(h.advanceLoop)
 	h.group.Go(h.heartbeatLoop)
@@ -139,10 +139,10 @@
 	}
 }
 
-// now is the worker's own clock, which starts with its incarnation.
+// now returns the time on the worker's clock, which starts at 0 with the incarnation.
 func (h *Host) now() time.Duration { return h.clock.Now() - h.startedAt }
 
-// broadcastLocked wakes all that wait for a change of core. The mutex is held.
+// broadcastLocked wakes all goroutines that wait for a change of core. h.mu is held.
 func (h *Host) broadcastLocked() {
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -179,23 +179,14 @@
 	return h.core.Status(h.now()), nil
 }
 
-// awaitEnd waits until an end is not acknowledged, or for a deadline.
+// awaitEnd waits until an end is not acknowledged, until deadline on the worker's clock or until ctx ends.
 func (h *Host) awaitEnd(ctx context.Context, deadline time.Duration) {
-	elapsed := make(chan struct{})
-	timer := h.clock.Set(deadline-h.now(), func() { close(elapsed) })
-	defer timer.Stop()
 	for {
 		h.mu.Lock()
 		hasEnd, changed := h.core.hasUnacknowledged(), h.changed
 		h.mu.Unlock()
-		if hasEnd || h.now() >= deadline {
-			return
-		}
-		select {
-		case <-changed:
-		case <-elapsed:
-			return
-		case <-ctx.Done():
+		remaining := deadline - h.now()
+		if hasEnd || remaining <= 0 || !h.waitForChange(ctx, remaining, changed) {
 			return
 		}
 	}
@@ -215,15 +206,23 @@
 		if hasDeadline {
 			interval = max(deadline-h.now(), time.Millisecond)
 		}
-		if !h.sleep(ctx, interval, changed) {
+		if !h.waitForChange(ctx, interval, changed) {
 			return
 		}
 	}
 }
 
-// sleep waits for a time or until changed is closed; false when ctx has ended.
-func (h *Host) sleep(ctx context.Context, d time.Duration, changed <-chan struct{}) bool {
-	return pause.Until(ctx, h.clock, d, changed)
+// waitForChange waits until changed is closed, at most for timeout. It returns false if ctx ends first.
+func (h *Host) waitForChange(ctx context.Context, timeout time.Duration, changed <-chan struct{}) bool {
+	elapsed := make(chan struct{})
+	defer h.clock.Set(timeout, func() { close(elapsed) }).Stop()
+	select {
+	case <-changed:
+	case <-elapsed:
+	case <-ctx.Done():
+		return false
+	}
+	return true
 }
 
 // drain makes the worker refuse all starts from here on, and reports that.
@@ -235,8 +234,8 @@
 	h.sendHeartbeat(ctx, jobsapi.StateDraining)
 }
 
-// drainAndStop drains, lets what runs end within the grace, stops the rest, and reports that the worker leaves once all
-// ends are acknowledged.
+// drainAndStop drains, waits for the runs to end within the grace, stops the rest, and reports that the worker leaves
+// once all ends are acknowledged.
 func (h *Host) drainAndStop() {
 	ctx := h.group.Context()
 	h.drain(ctx)
@@ -249,13 +248,13 @@
 	h.sendHeartbeat(ctx, jobsapi.StateLeaving)
 }
 
-// awaitIdle waits until nothing runs and all ends were acknowledged, at most for timeout.
+// awaitIdle waits until nothing runs and all ends are acknowledged, at most for timeout.
 func (h *Host) awaitIdle(ctx context.Context, timeout time.Duration) {
 	for deadline := h.now() + timeout; h.now() < deadline; {
 		h.mu.Lock()
 		isIdle := h.core.IsIdle()
 		h.mu.Unlock()
-		if isIdle || !h.sleep(ctx, idlePollInterval, nil) {
+		if isIdle || !clock.Sleep(ctx.Done(), h.clock, idlePollInterval) {
 			return
 		}
 	}
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -21,29 +21,30 @@
 // harness drives a core and counts what it journals.
 type harness struct {
 	*Core
-	ev   map[string]map[uint64]int // event to run ID to count
-	last []journal.Entry
+	counts map[string]map[uint64]int // of journaled events, by event and run ID
+	last   []journal.Entry           // of the last step
 }
 
 func newHarness(t Traits) *harness {
 	t.Name, t.Incarnation, t.Zone = "m", "b", "z1"
-	b := &harness{Core: NewCore(t), ev: map[string]map[uint64]int{}}
+	b := &harness{Core: NewCore(t), counts: map[string]map[uint64]int{}}
 	b.take(b.Start())
 	return b
 }
 
+// take counts what a step journals, and returns its actions.
 func (b *harness) take(s Actions) Actions {
 	b.last = s.Journal
 	for _, e := range s.Journal {
-		if b.ev[e.Event] == nil {
-			b.ev[e.Event] = map[uint64]int{}
+		if b.counts[e.Event] == nil {
+			b.counts[e.Event] = map[uint64]int{}
 		}
-		b.ev[e.Event][e.RunID]++
+		b.counts[e.Event][e.RunID]++
 	}
 	return s
 }
 
-// ask calls and returns the answer, which must come at once.
+// ask makes a lease call and returns the answer, which must come in the same step.
 func (b *harness) ask(now time.Duration, call internalapi.LeaseCall) internalapi.LeaseAnswer {
 	call.Worker, call.Incarnation, call.Epoch = "m", "b", max(call.Epoch, 1)
 	s := b.take(b.RenewLease(now, 99, call))
@@ -55,7 +56,8 @@
 }
 
 func order(runID uint64, run string, until time.Duration) internalapi.StartOrder {
-	return internalapi.StartOrder{RunID: runID, Job: "j", Step: "s", Cores: 1, Run: json.RawMessage(run), StartBy: 20 * ms, LeaseUntil: until}
+	return internalapi.StartOrder{RunID: runID, Job: "j", Step: "s", Cores: 1, Run: json.RawMessage(run),
+		StartBy: 20 * ms, LeaseUntil: until}
 }
 
 func starts(o ...internalapi.StartOrder) internalapi.LeaseCall {
@@ -85,9 +87,9 @@
 
 	for _, kind := range []string{KindCheck, KindObey} {
 		Convey("Every order of a start, its duplicate, a floor, a renewal and a late start: "+kind, t, func() {
-			all := orders(len(calls))
-			So(all, ShouldHaveLength, 120)
-			for _, seq := range all {
+			permutations := orders(len(calls))
+			So(permutations, ShouldHaveLength, 120)
+			for _, seq := range permutations {
 				b, at := newHarness(Traits{Kind: kind, Cores: 4}), [5]int{}
 				var answer internalapi.LeaseAnswer
 				for i, which := range seq {
@@ -102,7 +104,7 @@
 					}
 				}
 				if kind == KindCheck {
-					ones, twos, before = 0, 0, 0 // run ID 2 is void, and run ID 1 void once run ID 2 or the floor was seen
+					ones, twos, before = 0, 0, 0 // run ID 2 never starts, run ID 1 not once run ID 2 or the floor was seen
 					if begin := min(at[first], at[again]); begin < at[floor] && begin < at[delay] {
 						ones = 1
 						if begin < at[renew] {
@@ -111,18 +113,19 @@
 					}
 				}
 				name := fmt.Sprint(kind, seq)
-				So(name+fmt.Sprint(b.ev[journal.Start][1], b.ev[journal.Start][2]), ShouldEqual, name+fmt.Sprint(ones, twos))
-				So(b.ev[journal.Refuse][1]+b.ev[journal.Refuse][2], ShouldEqual, 3-ones-twos)
-				So(b.ev[journal.Order][1]+b.ev[journal.Order][2], ShouldEqual, 3)
+				started := fmt.Sprint(b.counts[journal.Start][1], b.counts[journal.Start][2])
+				So(name+started, ShouldEqual, name+fmt.Sprint(ones, twos))
+				So(b.counts[journal.Refuse][1]+b.counts[journal.Refuse][2], ShouldEqual, 3-ones-twos)
+				So(b.counts[journal.Order][1]+b.counts[journal.Order][2], ShouldEqual, 3)
 				So([]uint64{answer.Seen, answer.Floor}, ShouldResemble, []uint64{2, 1})
 
-				b.take(b.Tick(50 * sec)) // the first hold is over
-				So(b.ev[journal.Expire][1], ShouldEqual, ones-before)
-				So(b.ev[journal.Expire][2], ShouldEqual, twos)
+				b.take(b.Tick(50 * sec)) // the first lease has expired
+				So(b.counts[journal.Expire][1], ShouldEqual, ones-before)
+				So(b.counts[journal.Expire][2], ShouldEqual, twos)
 				running := b.ask(60*sec, internalapi.LeaseCall{}).Running
 				So(len(running) == 1, ShouldEqual, before > 0)
 				b.take(b.Tick(100 * sec)) // the renewed one too
-				So(b.ev[journal.Expire][1], ShouldEqual, ones)
+				So(b.counts[journal.Expire][1], ShouldEqual, ones)
 				So(b.ask(101*sec, internalapi.LeaseCall{}).Running, ShouldBeEmpty)
 			}
 		})
@@ -132,16 +135,19 @@
 func TestLeases(t *testing.T) {
 	Convey("A run ends by itself before its lease does", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
-		s := b.take(b.RenewLease(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b", Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
+		s := b.take(b.RenewLease(10*ms, 1, internalapi.LeaseCall{Worker: "m", Incarnation: "b",
+			Starts: []internalapi.StartOrder{order(1, `{"ms":100}`, sec), order(2, `{"ms":50,"ok":false}`, sec)}}))
 		So(s.WakeAt, ShouldEqual, 60*ms)
 		So(b.Tick(60*ms).WakeAt, ShouldEqual, 110*ms)
 		s = b.take(b.Tick(110 * ms))
 		So(s.WakeAt, ShouldEqual, Never)
 		So(b.last[0].OK, ShouldBeTrue)
 		So(b.ask(111*ms, internalapi.LeaseCall{}).Ended, ShouldResemble, []internalapi.RunEnd{
-			{RunID: 2, Outcome: internalapi.OutcomeFailed, Reason: "the run is not ok"}, {RunID: 1, Outcome: internalapi.OutcomeOK}})
+			{RunID: 2, Outcome: internalapi.OutcomeFailed, Reason: "the run is not ok"},
+			{RunID: 1, Outcome: internalapi.OutcomeOK}})
 		Convey("and is listed until it is acknowledged", func() {
-			So(b.ask(112*ms, internalapi.LeaseCall{Acked: []uint64{2}}).Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}})
+			left := []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeOK}}
+			So(b.ask(112*ms, internalapi.LeaseCall{Acked: []uint64{2}}).Ended, ShouldResemble, left)
 			So(b.ask(113*ms, internalapi.LeaseCall{Acked: []uint64{1, 7}}).Ended, ShouldBeEmpty)
 		})
 	})
@@ -151,15 +157,16 @@
 		a := b.ask(25*sec, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: 60 * sec})
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
-		So(b.ev[journal.End][1], ShouldEqual, 0)
-		So(b.ev[journal.Expire][1], ShouldEqual, 1)
+		So(b.counts[journal.End][1], ShouldEqual, 0)
+		So(b.counts[journal.Expire][1], ShouldEqual, 1)
 	})
 	Convey("A lease is only extended, and not by a call that knows another incarnation", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4})
 		b.ask(10*ms, starts(order(1, longRunning, 2*sec)))
 		b.ask(11*ms, internalapi.LeaseCall{Renew: []uint64{1}, RenewUntil: sec})
 		So(b.Tick(12*ms).WakeAt, ShouldEqual, 2*sec)
-		s := b.RenewLease(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older", Renew: []uint64{1}, RenewUntil: 9 * sec})
+		s := b.RenewLease(13*ms, 5, internalapi.LeaseCall{Worker: "m", Incarnation: "older",
+			Renew: []uint64{1}, RenewUntil: 9 * sec})
 		So(s.WakeAt, ShouldEqual, 2*sec)
 	})
 	Convey("Even an obeying worker does not start a run whose lease is over", t, func() {
@@ -167,7 +174,7 @@
 		a := b.ask(3*sec, starts(order(1, longRunning, 2*sec)))
 		So(a.Running, ShouldBeEmpty)
 		So(a.Ended[0].Outcome, ShouldEqual, internalapi.OutcomeLeaseExpired)
-		So(b.ev[journal.Start][1], ShouldEqual, 0)
+		So(b.counts[journal.Start][1], ShouldEqual, 0)
 		Convey("nor is its run ID listed as ended while a run of it goes on", func() {
 			b.ask(3*sec, starts(order(2, longRunning, 9*sec)))
 			a := b.ask(3*sec, starts(order(2, longRunning, 2*sec)))
@@ -178,12 +185,14 @@
 	Convey("A stop kills, and frees the capacity for starts of the same call", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 1})
 		b.ask(10*ms, starts(order(1, longRunning, sec)))
-		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}}, Starts: starts(order(2, longRunning, sec)).Starts})
-		So(a.Ended, ShouldResemble, []internalapi.RunEnd{{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}})
+		a := b.ask(11*ms, internalapi.LeaseCall{Stops: []internalapi.StopOrder{{RunID: 1, Why: "cancel"}},
+			Starts: starts(order(2, longRunning, sec)).Starts})
+		stopped := internalapi.RunEnd{RunID: 1, Outcome: internalapi.OutcomeStopped, Reason: "cancel"}
+		So(a.Ended, ShouldResemble, []internalapi.RunEnd{stopped})
 		So(a.Running, ShouldResemble, []uint64{2})
-		So(b.ev[journal.Stop][1], ShouldEqual, 1)
+		So(b.counts[journal.Stop][1], ShouldEqual, 1)
 	})
-	Convey("A run that cannot be read ends in a fault with a reason", t, func() {
+	Convey("A run whose program is invalid fails with a reason", t, func() {
 		for _, run := range []string{`{"ms":"x"}`, `{"ms":1.5}`, `{"ok":1}`, `[]`, `{`, `{"ms":99999999999999}`} {
 			b := newHarness(Traits{Kind: KindCheck, Cores: 1})
 			a := b.ask(10*ms, starts(order(1, run, sec)))
@@ -192,17 +201,17 @@
 			So(a.Ended[0].Reason, ShouldNotBeBlank)
 		}
 	})
-	Convey("What chance does to a run depends on the seed and the run ID only", t, func() {
+	Convey("The random outcome of a run depends on the seed and the run ID only", t, func() {
 		ends := func(first, second uint64) map[uint64]string {
 			b := newHarness(Traits{Kind: KindObey, FailProbability: 0.5, SlowFactor: 3, Seed: 7})
 			b.ask(10*ms, starts(order(first, `{"ms":9}`, sec)))
 			b.ask(10*ms, starts(order(second, `{"ms":9}`, sec)))
-			out := map[uint64]string{}
+			outcomes := map[uint64]string{}
 			b.Tick(500 * ms)
 			for _, e := range b.ask(500*ms, internalapi.LeaseCall{}).Ended {
-				out[e.RunID] = e.Outcome
+				outcomes[e.RunID] = e.Outcome
 			}
-			return out
+			return outcomes
 		}
 		for n := range uint64(20) {
 			So(ends(2*n+1, 2*n+2), ShouldResemble, ends(2*n+2, 2*n+1))
@@ -269,7 +278,7 @@
 	wait := func(n uint64) internalapi.LeaseCall {
 		return internalapi.LeaseCall{Call: n, Worker: "m", Incarnation: "b", Epoch: 1, Wait: sec}
 	}
-	Convey("With a run going and nothing new to say, a call that may wait is a long poll", t, func() {
+	Convey("While a run is in progress and there is no update, a call that may wait is a long poll", t, func() {
 		b := newHarness(Traits{Kind: KindCheck, Cores: 4, Grace: 5 * sec})
 		b.ask(10*ms, starts(order(1, `{"ms":500}`, 9*sec)))
 		s := b.take(b.RenewLease(20*ms, 2, wait(2)))
@@ -328,6 +337,6 @@
 		So(b.Drain(20*ms, true, true).WakeAt, ShouldEqual, 5020*ms)
 		s := b.take(b.Tick(5020 * ms))
 		So(s.Exit, ShouldBeTrue)
-		So(b.ev[journal.Stop][1], ShouldEqual, 1)
+		So(b.counts[journal.Stop][1], ShouldEqual, 1)
 	})
 }
--- a/internal/testbed/rehearsal/zone.go
+++ b/internal/testbed/rehearsal/zone.go
@@ -10,10 +10,9 @@
 	"crosstide/internal/testbed/audit"
 	"crosstide/internal/testbed/faults"
 	"crosstide/internal/testbed/load"
-	"crosstide/internal/testbed/pause"
 )
 
-// ZoneOptions are what a zone is taken out with.
+// ZoneOptions are the options of RunZoneOutage.
 type ZoneOptions struct {
 	Target *faults.Target
 	Zone   string
@@ -57,12 +56,12 @@
 	return report, nil
 }
 
-// loadAndTakeOut runs the load and, some time after its start, takes the zone out. It returns when that was.
+// loadAndTakeOut runs the load and takes the zone out options.After later. It returns when the outage began.
 func (r *ZoneReport) loadAndTakeOut(ctx context.Context, options ZoneOptions) (outAt time.Time, err error) {
 	var faultErr, loadErr error
 	group := routine.New(ctx)
 	group.Go(func(ctx context.Context) {
-		if !pause.For(ctx, clock.Real{}, options.After) {
+		if !clock.Sleep(ctx.Done(), clock.Real{}, options.After) {
 			return
 		}
 		outAt = clock.Real{}.Wall()
