--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -164,9 +164,9 @@
 
 // secondsUntil advances the clock second by second until a condition holds, and returns how many it took; limit if it
 // does not hold by then.
-func (f *fleet) secondsUntil(limit int, holds func() bool) int {
+func (f *fleet) secondsUntil(limit int, condition func() bool) int {
 	for seconds := range limit {
-		if holds() {
+		if condition() {
 			return seconds
 		}
 		f.clock.Advance(time.Second)
@@ -175,9 +175,9 @@
 }
 
 // everyNode reports whether a condition holds for every live node.
-func (f *fleet) everyNode(holds func(c *Core) bool) bool {
+func (f *fleet) everyNode(condition func(c *Core) bool) bool {
 	for _, c := range f.nodes {
-		if c != nil && !holds(c) {
+		if c != nil && !condition(c) {
 			return false
 		}
 	}
--- a/internal/testbed/golden/golden_test.go
+++ b/internal/testbed/golden/golden_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestFilledTellsTheOrderOfKeys(t *testing.T) {
+func TestFilled_keepsOrderOfKeys(t *testing.T) {
 	ab := Filled("x", struct {
 		A string            `json:"a"`
 		B map[string][]bool `json:"b"`
