--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -1,5 +1,5 @@
 // Package policyworker is the testbed's stand-in for a worker of the policy deployment. It keeps the contract of
-// docs/ops/minion-contract.md. It starts no real work: a run is a program, a duration and an outcome.
+// docs/ops/worker-contract.md. It starts no real work: a run is a program, a duration and an outcome.
 //
 // Core is a step function: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions its results. Host
 // is the process around one or many cores, on a real clock; the simulator internal/testbed/policysim drives the same
