--- a/internal/store/silentmembers_test.go
+++ b/internal/store/silentmembers_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/internalapi"
 )
 
-func TestRemoveSilent_withinBounds(t *testing.T) {
+func TestRemoveSilent_bounds(t *testing.T) {
 	withOpenFleet(t, 4, func(fleet *testFleet) {
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4")
