--- a/internal/internalapi/golden_test.go
+++ b/internal/internalapi/golden_test.go
@@ -3,26 +3,26 @@
 import (
 	"testing"
 
-	"crosstide/internal/rpc"
 	"crosstide/internal/testbed/golden"
+	"crosstide/internal/testbed/golden/endpoint"
 )
 
 // TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
-		pair(Shuffle),
-		pair(Rollout),
-		pair(RenewLease),
-		pair(AnnounceWorker),
-		pair(Raft),
-		pair(Propose),
-		pair(ReadIndex),
-		pair(Follow),
-		pair(Chunk),
-		pair(ClaimRole),
-		pair(Status),
-		pair(Discover),
-		pair(Join),
+		endpoint.Shapes(Shuffle),
+		endpoint.Shapes(Rollout),
+		endpoint.Shapes(RenewLease),
+		endpoint.Shapes(AnnounceWorker),
+		endpoint.Shapes(Raft),
+		endpoint.Shapes(Propose),
+		endpoint.Shapes(ReadIndex),
+		endpoint.Shapes(Follow),
+		endpoint.Shapes(Chunk),
+		endpoint.Shapes(ClaimRole),
+		endpoint.Shapes(Status),
+		endpoint.Shapes(Discover),
+		endpoint.Shapes(Join),
 		golden.Shape("account create call", AccountCreateCall{}),
 		golden.Shape("top up call", TopUpCall{}),
 		golden.Shape("account view", AccountView{}),
@@ -37,10 +37,3 @@
 		golden.Shape("node bundle", NodeBundle{}),
 	)
 }
-
-// pair returns the shapes of a call and of its answer, under the call's path.
-func pair[C, A any](p rpc.Endpoint[C, A]) string {
-	var call C
-	var answer A
-	return golden.Shape(p.Path+" call", call) + "\n" + golden.Shape(p.Path+" answer", answer)
-}
