--- a/internal/controller/scheduler/ack.go
+++ b/internal/controller/scheduler/ack.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// endAcks tracks the ends that a worker lists, which it numbers from 1. Each step waits for the one before:
-// received >= durable >= acknowledged.
+// endAcks tracks which of a worker's ends were received, committed and acknowledged. The worker numbers its ends from
+// 1. An end is acknowledged only after its commit: received >= durable >= acknowledged.
 type endAcks struct {
-	received     uint64        // the highest end that was recorded
-	durable      uint64        // the highest end that is committed: the next call acknowledges up to it
-	durableAt    time.Duration // when durable last rose
-	acknowledged uint64        // the highest end that an answered call has acknowledged
+	received     uint64        // highest number recorded by recordEnds
+	durable      uint64        // highest committed number; the next call acknowledges all ends up to it
+	durableAt    time.Duration // when durable last increased
+	acknowledged uint64        // highest number acknowledged by a call that the worker answered
 }
 
-// markDurable records that the ends up to a number are committed, by worker.
+// markDurable records that the ends up to a number are committed. highestEnd maps worker IDs to numbers.
 func (c *Core) markDurable(highestEnd map[string]uint64) {
 	for id, number := range highestEnd {
 		if w := c.workers[id]; w != nil && number > w.ends.durable {
@@ -20,18 +20,18 @@
 	}
 }
 
-// hasUncommittedEnd reports whether an end of the worker waits for its commit.
+// hasUncommittedEnd reports whether an end of the worker was received but isn't committed yet.
 func (c *Core) hasUncommittedEnd(w *worker) bool {
 	_, pending := c.highestEnd[w.id]
 	return pending || c.inFlight != nil && c.inFlight.highestEnd[w.id] > 0
 }
 
-// ackDelay is how long a durable end may wait to be acknowledged by a call that has another purpose. Usually the next
-// run brings one.
+// ackDelay is how long a durable end may wait for a call that is sent for another reason and acknowledges it. Usually
+// the next run on the worker causes such a call.
 const ackDelay = 1500 * time.Millisecond
 
-// needsAck reports whether a worker on which nothing runs must be probed only to acknowledge its last ends: without a
-// further call it would keep them for ever.
+// needsAck reports whether a worker without runs must be probed only to acknowledge its last ends. Without another call
+// the worker would keep them forever.
 func (w *worker) needsAck(now time.Duration) bool {
 	callInFlight := w.renewal.longPoll.number != 0 || w.renewal.probe.number != 0
 	return w.ends.durable > w.ends.acknowledged && len(w.runs) == 0 && !callInFlight && now-w.ends.durableAt >= ackDelay
--- a/internal/controller/scheduler/actions.go
+++ b/internal/controller/scheduler/actions.go
@@ -6,13 +6,13 @@
 	"crosstide/internal/jobs"
 )
 
-// Actions are the calls and the commit that a pass asks of the owner of the Core.
+// Actions are the calls and the commit that the owner of the Core must carry out after a pass.
 type Actions struct {
-	Progress *jobs.Progress  // to be committed under its term, answered by Committed; nil: nothing to commit
-	Starts   []StartAction   // each answered by StartAnswered
-	Stops    []StopAction    // each answered by StopAnswered
-	Renewals []RenewalAction // each answered by RenewalAnswered
-	Next     time.Duration   // when the next pass is due at the latest
+	Progress *jobs.Progress  // to be committed under its term, then reported by Committed; nil: nothing to commit
+	Starts   []StartAction   // the outcome of each is reported by StartAnswered
+	Stops    []StopAction    // the outcome of each is reported by StopAnswered
+	Renewals []RenewalAction // the outcome of each is reported by RenewalAnswered
+	Next     time.Duration   // latest time of the next pass
 }
 
 // StartAction is a start order to be sent to a worker.
@@ -27,8 +27,8 @@
 	Order  StopOrder
 }
 
-// RenewalAction is a lease renewal to be sent to a worker. Two may be in flight to a worker at once; Number identifies
-// the one that an answer belongs to.
+// RenewalAction is a lease renewal to be sent to a worker. Two may be in flight to a worker at once; Number matches an
+// answer to its renewal.
 type RenewalAction struct {
 	Worker jobs.Worker
 	Number uint64
--- a/internal/controller/scheduler/balance.go
+++ b/internal/controller/scheduler/balance.go
@@ -2,16 +2,16 @@
 
 import "crosstide/internal/jobs"
 
-// balanceCheck keeps the starts of one placement within the balances of the parties that pay for them. The table checks
-// each start again when it is committed; without this check it would refuse the same starts again and again. A nil
-// balanceCheck permits everything.
+// balanceCheck limits the starts of one placement to what the balances of the paying parties cover. The table checks
+// each start again when it is committed; without this check every pass would propose the same starts and have them
+// refused. A nil balanceCheck permits everything.
 type balanceCheck struct {
 	table    *jobs.Table
 	reserved map[string]int64 // by party: the cost of the starts planned so far
-	blocked  map[string]bool  // parties whose balance doesn't cover a more urgent unit, for which it is saved
+	blocked  map[string]bool  // parties whose balance didn't cover a more urgent unit: the rest is saved for that unit
 }
 
-// newBalanceCheck returns the check of one placement; nil if the table has no parties.
+// newBalanceCheck returns the check for one placement, or nil if the table has no parties.
 func newBalanceCheck(table *jobs.Table) *balanceCheck {
 	if len(table.Parties) == 0 {
 		return nil
@@ -19,8 +19,8 @@
 	return &balanceCheck{table: table, reserved: map[string]int64{}, blocked: map[string]bool{}}
 }
 
-// affordable returns the part of a unit that its party's balance covers: the first tasks, of a gang all or none; nil if
-// it covers none.
+// affordable returns a copy of the unit with only the tasks whose fees the party's balance covers, or nil if it covers
+// none. A gang is covered as a whole or not at all.
 func (b *balanceCheck) affordable(u *unit) *unit {
 	if b == nil {
 		return u
@@ -48,7 +48,7 @@
 	return &part
 }
 
-// reserve deducts what planned starts of a unit cost from what is left for later units.
+// reserve deducts the cost of a unit's planned starts from the balance that remains for later units.
 func (b *balanceCheck) reserve(u *unit, starts []jobs.Start) {
 	if b == nil || len(starts) == 0 {
 		return
--- a/internal/controller/scheduler/commit.go
+++ b/internal/controller/scheduler/commit.go
@@ -9,11 +9,11 @@
 // proposal is a Progress whose commit is in flight. Owned by propose and Committed.
 type proposal struct {
 	progress   *jobs.Progress
-	highestEnd map[string]uint64 // by worker: the end up to which ends may be acknowledged after the commit
+	highestEnd map[string]uint64 // by worker: after the commit, ends up to this number may be acknowledged
 	starts     map[jobs.RunKey]bool
 }
 
-// propose returns the next Progress to commit; nil if there is nothing to commit or a proposal is in flight.
+// propose returns the next Progress to commit, or nil if there is nothing to commit or a proposal is in flight.
 func (c *Core) propose(now time.Duration, wall time.Time) *jobs.Progress {
 	if c.inFlight != nil {
 		return nil
@@ -33,7 +33,7 @@
 	ends, highestEnd := c.pendingEnds, c.highestEnd
 	c.pendingEnds, c.highestEnd = nil, map[string]uint64{}
 	if len(ends) == 0 && len(starts) == 0 && len(forget) == 0 {
-		c.markDurable(highestEnd) // the handles of these runs have left the table already: nothing to commit
+		c.markDurable(highestEnd) // the table no longer has the handles of these runs: nothing to commit
 		return nil
 	}
 	progress := &jobs.Progress{Term: c.term, At: wall, Ends: ends, Starts: starts, Forget: forget}
@@ -44,20 +44,20 @@
 	return progress
 }
 
-// Committed handles the outcome of the proposal in flight. After an error its starts are never sent; if they were
-// recorded all the same, their handles are found in the table and ended as lost.
+// Committed handles the outcome of the proposal in flight. After an error its start orders are never sent. If the table
+// recorded the starts in spite of the error, syncTask finds their handles and ends the runs as lost.
 func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.Started, err error) {
 	c.now = now
 	if c.term == 0 || c.inFlight == nil || c.inFlight.progress != progress {
 		return
 	}
-	done := c.inFlight
+	finished := c.inFlight
 	c.inFlight, c.placementDue = nil, true
 	if err != nil {
-		c.retryProposal(done)
+		c.retryProposal(finished)
 		return
 	}
-	c.markDurable(done.highestEnd)
+	c.markDurable(finished.highestEnd)
 	for i, s := range progress.Starts {
 		c.dirtyJobs[s.Task.Job] = true
 		if i < len(started.Recorded) && started.Recorded[i] {
@@ -66,7 +66,7 @@
 	}
 }
 
-// retryProposal puts the ends of a failed proposal into the next one, and its tasks back into the queue.
+// retryProposal adds the ends of a failed proposal to the next one and returns its tasks to the queue.
 func (c *Core) retryProposal(failed *proposal) {
 	c.pendingEnds = append(failed.progress.Ends, c.pendingEnds...)
 	for id, number := range failed.highestEnd {
@@ -82,7 +82,7 @@
 	return c.inFlight != nil && c.inFlight.starts[key]
 }
 
-// recordStart tracks a run whose handle was committed; its order leaves with the next pass.
+// recordStart tracks a run whose handle was committed. The next pass sends its start order.
 func (c *Core) recordStart(s jobs.Start) {
 	key := jobs.RunKey{Task: s.Task, Number: s.Number}
 	if r := c.trackRun(key, s.Worker, true); r != nil {
--- a/internal/controller/scheduler/config.go
+++ b/internal/controller/scheduler/config.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Config holds the timeouts, limits and factors of a Core. Defaults has values that work together.
+// Config holds the timeouts, limits and factors of a Core. Defaults returns values that work together.
 type Config struct {
 	// Lease is how long the runs on a worker stay alive without a renewal.
 	Lease time.Duration
 	// RenewalWait is how long a worker may hold a renewal open until a run ends (long poll).
 	RenewalWait time.Duration
-	// RenewalMargin is the time after its wait at which a renewal without an answer counts as failed.
+	// RenewalMargin is how long after its RenewalWait a renewal without an answer counts as failed.
 	RenewalMargin time.Duration
-	// SilenceTimeout is how long after its last answer or heartbeat a worker counts as silent and takes no starts.
+	// SilenceTimeout is how long after its last answer or heartbeat a worker counts as silent. Silent workers are sent
+	// no starts.
 	SilenceTimeout time.Duration
 	// OrderTimeout is the time after which a start or stop without an answer counts as unconfirmed.
 	OrderTimeout time.Duration
-	// RetryMin is the first back-off after a failed call; it doubles up to RetryMax.
+	// RetryMin is the first back-off after a failed call; each further failure doubles it, up to RetryMax.
 	RetryMin, RetryMax time.Duration
-	// ExpiryMargin is the time from the end of a lease to the certainty that the worker has killed its runs.
+	// ExpiryMargin is how long after the end of a lease its worker has certainly killed its runs.
 	ExpiryMargin time.Duration
 	// ClockSlack bounds clock drift: a worker's clock runs at least 1-ClockSlack times as fast as the leader's.
 	ClockSlack float64
-	// EarlyStart is how long before it is due a round may start.
+	// EarlyStart is how long before its due time a round may start.
 	EarlyStart time.Duration
 	// RemoteDataFactor multiplies the expected duration of a task that runs away from its data.
 	RemoteDataFactor float64
@@ -35,8 +36,7 @@
 	// accepts few, and those of a leader that lost power stay open there.
 	MaxOrdersPerWorker int
 	// MaxOrdersInFlight limits the start and stop orders in flight to all workers. No starts are planned beyond it: a
-	// task whose order can't leave at once had better wait in the queue, where another worker may still be selected for
-	// it.
+	// task whose order can't be sent at once stays in the queue, where another worker may still be selected for it.
 	MaxOrdersInFlight int
 	// MaxPreemptions limits the runs that one pass stops for more urgent work.
 	MaxPreemptions int
@@ -44,7 +44,7 @@
 	MaxProbes int
 }
 
-// Defaults returns the Config of a cluster that sets none.
+// Defaults returns the default Config.
 func Defaults() Config {
 	return Config{
 		Lease:              5 * time.Second,
--- a/internal/controller/scheduler/connbackoff.go
+++ b/internal/controller/scheduler/connbackoff.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// connBackoff is the back-off while this node lacks connections, which failures of calls show. Until it ends no starts
-// are planned: orders that can't leave would only bind their tasks to workers.
+// connBackoff is the back-off after calls that failed because this node has no free connections. No starts are planned
+// until it ends: orders that can't be sent would only bind their tasks to workers.
 type connBackoff struct {
 	until time.Duration
-	delay time.Duration // the last one; the next is twice as long, up to Config.RetryMax
+	delay time.Duration // the latest delay; the next is twice as long, up to Config.RetryMax
 }
 
-// failed records that a call found no connection. The delay doubles each time that it was not long enough.
-func (b *connBackoff) failed(cfg Config, now time.Duration) {
+// recordFailure records that a call found no connection. A failure during the back-off changes nothing; a later one
+// starts a back-off that is twice as long.
+func (b *connBackoff) recordFailure(cfg Config, now time.Duration) {
 	if now < b.until {
 		return
 	}
@@ -18,5 +19,5 @@
 	b.until = now + b.delay
 }
 
-// reset records that an order found a connection.
+// reset ends the back-off, as an order found a connection.
 func (b *connBackoff) reset() { *b = connBackoff{} }
--- a/internal/controller/scheduler/connbackoff_test.go
+++ b/internal/controller/scheduler/connbackoff_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestConnectionBackoff(t *testing.T) {
-	Convey("A start that found no connection is due again, and is no attempt and no failure of its worker", t, func() {
+	Convey("The task of a start that found no connection is due again; neither task nor worker has failed", t, func() {
 		c := newReadyCluster()
 		c.submit("j", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		c.runPasses()
@@ -27,20 +27,20 @@
 		So(c.starts[0].Order.Key, ShouldResemble, jobs.RunKey{Task: first.Task, Number: 2})
 		So(c.table.Jobs["j"].State, ShouldNotEqual, jobs.Failed)
 	})
-	Convey("The back-off grows to a limit while no call gets through, and ends with the first that does", t, func() {
-		var s connBackoff
+	Convey("The back-off grows to a limit while no call finds a connection, and ends with the first that does", t, func() {
+		var backoff connBackoff
 		cfg, now := Defaults(), time.Second
-		s.failed(cfg, now)
-		So(s.until-now, ShouldEqual, cfg.RetryMin)
-		s.failed(cfg, now) // of the same pass
-		So(s.until-now, ShouldEqual, cfg.RetryMin)
+		backoff.recordFailure(cfg, now)
+		So(backoff.until-now, ShouldEqual, cfg.RetryMin)
+		backoff.recordFailure(cfg, now) // another call of the same pass
+		So(backoff.until-now, ShouldEqual, cfg.RetryMin)
 		for range 10 {
-			now = s.until
-			s.failed(cfg, now)
+			now = backoff.until
+			backoff.recordFailure(cfg, now)
 		}
-		So(s.until-now, ShouldEqual, cfg.RetryMax)
-		s.reset()
-		So(s.until, ShouldEqual, 0)
+		So(backoff.until-now, ShouldEqual, cfg.RetryMax)
+		backoff.reset()
+		So(backoff.until, ShouldEqual, 0)
 	})
 	Convey("A renewal or a stop that found no connection is sent again and does not count against the worker", t, func() {
 		c := newReadyCluster()
@@ -66,7 +66,7 @@
 		c.runPasses()
 		So(len(c.stops), ShouldEqual, 1)
 	})
-	Convey("No starts are planned beyond the orders that may be in flight to all workers", t, func() {
+	Convey("No starts are planned beyond MaxOrdersInFlight", t, func() {
 		c := newReadyCluster()
 		c.core.cfg.MaxOrdersInFlight = 2
 		for _, id := range []string{"a", "b", "c"} {
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -13,20 +13,20 @@
 // use: its owner calls it from one goroutine.
 type Core struct {
 	cfg  Config
-	term uint64        // under which it schedules; 0: not leading
-	now  time.Duration // of the newest pass, answer or commit
-	// sequence numbers renewals and answers in the order of their events, across terms. A renewal that left after an
-	// event has a higher number than it, so its answer can prove something about it.
+	term uint64        // term under which it schedules; 0: not leading
+	now  time.Duration // time of the newest pass, answer or commit
+	// sequence numbers the renewals sent and the answers received, in order and across terms. A renewal sent after an
+	// event has a higher number than the event, so that its answer reflects the event.
 	sequence uint64
 
-	termState // everything known under the term; replaced as a whole when the term changes
+	termState // state under the term; replaced as a whole when the term changes
 
 	discarded map[Cause]Discarded // since New
 
 	Counts Counts // since New, for metrics and tests
 }
 
-// Counts are the totals of a Core since it was made.
+// Counts are the totals of a Core since New.
 type Counts struct {
 	Started     uint64 // start orders sent
 	Refused     uint64 // start orders refused
@@ -34,40 +34,40 @@
 	Stopped     uint64 // stop orders sent for runs with a handle
 	Preempted   uint64 // runs stopped for more urgent ones
 	Moved       uint64 // runs stopped on slow workers
-	Done        uint64 // runs that ended well
-	Failed      uint64 // runs that failed by themselves
+	Done        uint64 // runs that ended with jobs.EndDone
+	Failed      uint64 // runs that ended with jobs.EndFailed
 	Lost        uint64 // runs that ended with jobs.EndLost
-	Expired     uint64 // those of Lost whose worker's lease expired
+	Expired     uint64 // runs counted in Lost because their worker's lease expired
 }
 
-// termState is what a Core knows and has in flight under one term.
+// termState is the state of a Core under one term, including its calls and proposal in flight.
 type termState struct {
-	// table is only read here. Its owner changes it between calls, and reports each change by TableChanged.
+	// table is read-only for the Core. Its owner changes it between calls and reports each change by TableChanged.
 	table       *jobs.Table
 	leaderSince time.Duration // when BecomeLeader was called
 
 	workers    map[string]*worker
-	workerList []*worker // the values of workers in the order in which they were first seen: every scan goes by it
+	workerList []*worker // the values of workers in the order in which they were first seen; all scans use this order
 	runs       map[jobs.RunKey]*run
 	activeJobs map[string]*job // jobs that aren't terminal or have run handles
 	dirtyJobs  map[string]bool // jobs whose record must be rebuilt from the table before the next decision
-	nextDue    time.Time       // when the earliest round that isn't due yet falls due; zero: none is known
+	nextDue    time.Time       // due time of the earliest round that isn't due yet; zero: none is known
 
 	runsToStop         map[jobs.RunKey]*run // candidates for a stop order; sendStops drops those that need none
-	workersWithOrphans map[string]bool      // by ID; sendStops drops those that have none left
+	workersWithOrphans map[string]bool      // by ID; sendStops drops workers without orphans
 
-	pendingEnds  []jobs.End        // of the next proposal
+	pendingEnds  []jobs.End        // ends for the next proposal
 	highestEnd   map[string]uint64 // by worker: the highest number among its ends received since the last proposal
-	inFlight     *proposal         // nil: none; there is at most one
-	unsentStarts []jobs.RunKey     // committed handles whose start order hasn't left yet
+	inFlight     *proposal         // the proposal whose commit is in flight; nil: none
+	unsentStarts []jobs.RunKey     // committed handles whose start order wasn't sent yet
 
-	placementDue bool // since the last placement an input came that may make a due task placeable
+	placementDue bool // an input since the last placement may have made a due task placeable
 	nextSweep    time.Duration
-	nextForget   time.Duration // when workersToForget is called next, at the earliest
+	nextForget   time.Duration // earliest time of the next call of workersToForget
 
 	ordersInFlight int // start and stop orders to all workers: the sum of worker.ordersInFlight
 	connBackoff    connBackoff
-	history        taskHistory // of tasks of activeJobs
+	history        taskHistory
 	speeds         speedStats
 }
 
@@ -90,8 +90,8 @@
 	return &Core{cfg: cfg, termState: newTermState(), discarded: map[Cause]Discarded{}}
 }
 
-// BecomeLeader begins to schedule table under term. The commits of all earlier terms must be applied to the table. From
-// now on the owner reports each of its changes by TableChanged.
+// BecomeLeader begins to schedule table under term. The commits of all earlier terms must have been applied to the
+// table. From then on the owner reports each change of the table by TableChanged.
 func (c *Core) BecomeLeader(now time.Duration, term uint64, table *jobs.Table) {
 	c.termState = newTermState()
 	c.table, c.term, c.leaderSince, c.now = table, term, now, now
@@ -110,10 +110,10 @@
 	c.termState = newTermState()
 }
 
-// Term returns the term under which this Core schedules; 0 when it doesn't.
+// Term returns the term under which this Core schedules, or 0 if it doesn't lead.
 func (c *Core) Term() uint64 { return c.term }
 
-// TableChanged handles a change of the table. Each must be reported, in order.
+// TableChanged handles a change of the table. Every change must be reported, in order.
 func (c *Core) TableChanged(change jobs.Event) {
 	if c.term == 0 {
 		return
@@ -133,10 +133,10 @@
 	}
 }
 
-// Pass returns what is to be done at now; wall is the time of day.
+// Pass returns the actions that are due at now; wall is the time of day.
 //
-// The order of its steps matters. Orders that were decided earlier leave first. Renewals come last: whether one may be
-// sent depends on the orders in flight and on the ends that were just proposed.
+// The order of its steps matters. Orders decided by earlier passes are sent first. Renewals come last: whether one may
+// be sent depends on the orders in flight and on the ends in the new proposal.
 func (c *Core) Pass(now time.Duration, wall time.Time) Actions {
 	c.now = now
 	if c.term == 0 {
@@ -158,11 +158,11 @@
 	return actions
 }
 
-// sweepInterval is the pause between sweeps.
+// sweepInterval is the time between sweeps.
 const sweepInterval = 250 * time.Millisecond
 
-// sweep handles what changes by time alone: it ends the runs of workers whose lease has expired, probes workers that
-// wait for an acknowledgement, and requests stops that were not requested where the run was marked.
+// sweep handles transitions driven by time: it ends the runs of workers whose lease has expired and probes workers that
+// wait for an acknowledgement. It also queues the stops of runs that were marked without queueStop.
 func (c *Core) sweep(now time.Duration) {
 	c.nextSweep = now + sweepInterval
 	for _, w := range c.workerList {
@@ -190,7 +190,7 @@
 	}
 }
 
-// nextPass returns when time alone will require another pass.
+// nextPass returns when the next pass is due if no input comes before.
 func (c *Core) nextPass(now time.Duration, wall time.Time) time.Duration {
 	next := now + time.Second
 	if len(c.runs) > 0 || len(c.activeJobs) > 0 {
@@ -202,14 +202,14 @@
 	return next
 }
 
-// sortedRuns returns the keys of m in order: decisions must not depend on the order of a map.
+// sortedRuns returns the keys of m in order, as decisions must not depend on map iteration order.
 func sortedRuns[V any](m map[jobs.RunKey]V) []jobs.RunKey {
 	keys := slices.AppendSeq(make([]jobs.RunKey, 0, len(m)), maps.Keys(m))
 	slices.SortFunc(keys, jobs.RunKey.Compare)
 	return keys
 }
 
-// sortedKeys returns the keys of m in order: decisions must not depend on the order of a map.
+// sortedKeys returns the keys of m in order, as decisions must not depend on map iteration order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := slices.AppendSeq(make([]string, 0, len(m)), maps.Keys(m))
 	slices.Sort(keys)
--- a/internal/controller/scheduler/failure_test.go
+++ b/internal/controller/scheduler/failure_test.go
@@ -27,13 +27,13 @@
 }
 
 func TestFailureOfStoppedRunCounts(t *testing.T) {
-	Convey("Given a run that fails by itself while it is being stopped", t, func() {
+	Convey("Given a run that fails while it is being stopped", t, func() {
 		c := newCluster(1, "w1")
 		c.submit("j1", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		start := c.firstStart()
 		key := start.Order.Key
 		c.core.StartAnswered(c.now, "w1", key, StartAnswer{Clock: c.workerClock()}, StartOK)
-		c.core.runs[key].stop.wanted = true
+		c.core.runs[key].stop.requested = true
 		Convey("the failure counts as an attempt", func() {
 			for range 20 {
 				actions := c.passAfter(time.Millisecond)
--- a/internal/controller/scheduler/feasible.go
+++ b/internal/controller/scheduler/feasible.go
@@ -12,14 +12,15 @@
 	worker   *worker
 	record   *jobs.Worker
 	free     jobs.Resources // after the starts planned so far
-	freeing  jobs.Resources // held by runs that are being stopped, or whose ends wait to be committed
-	reserved bool           // for a more urgent unit: it takes no more starts in this pass
-	slowdown float64        // duration of a task here, as a multiple of that on the average worker
-	// lowestPriority is the priority of the least urgent run here that may be preempted; -1: none may.
+	freeing  jobs.Resources // held by runs that are being stopped, or whose ends are not committed yet
+	reserved bool           // for a more urgent unit: the node gets no more starts in this pass
+	slowdown float64        // task duration on this worker relative to the average worker
+	// lowestPriority is the priority of the least urgent preemptible run on the worker, which is the highest number;
+	// -1: no run is preemptible.
 	lowestPriority int
 }
 
-// feasibleNodes returns the nodes of a service, made once for all units of a pass.
+// feasibleNodes returns the nodes of a service that may be sent starts. All units of a pass share them.
 func (p *placement) feasibleNodes(service string) []*node {
 	if nodes, ok := p.feasible[service]; ok {
 		return nodes
@@ -37,13 +38,13 @@
 		}
 	}
 	if len(stalled) > len(nodes)/minHealthyPerStalled {
-		nodes = append(nodes, stalled...) // too many are excluded: a slow start is better than none
+		nodes = append(nodes, stalled...) // too many workers would be excluded: a slow run is better than none
 	}
 	p.feasible[service] = nodes
 	return nodes
 }
 
-// newNode returns the node of a worker, with the capacity that its runs leave free.
+// newNode returns the node of a worker. Its free capacity excludes what the worker's runs use.
 func (p *placement) newNode(w *worker, rec *jobs.Worker) *node {
 	n := &node{
 		worker:         w,
@@ -53,7 +54,7 @@
 		lowestPriority: -1,
 	}
 	for _, r := range w.runs {
-		if r.stop.wanted || r.ending {
+		if r.stop.requested || r.ending {
 			n.freeing = plus(n.freeing, r.needs)
 		}
 		if r.isPreemptible() {
@@ -63,46 +64,46 @@
 	return n
 }
 
-// cooldown holds when a worker last proved a bad place for starts. Times are of the leader's clock; 0: never.
+// cooldown holds when a worker last refused a start or stalled a run. Times are readings of the leader's clock;
+// 0: never.
 type cooldown struct {
-	fullAt      time.Duration // it refused a start for lack of capacity: it runs more than the table knows
+	fullAt      time.Duration // it refused a start for lack of capacity: it runs more than the table has handles for
 	unhealthyAt time.Duration // it refused a start as unhealthy
 	stalledAt   time.Duration // a run on it was found stalled, and none has made progress since
 }
 
-// How long a worker takes no starts after it refused one, or after a run on it was found stalled.
+// How long a worker is sent no starts after it refused one, or after a run on it was found stalled.
 const (
 	fullBackoff      = 300 * time.Millisecond
 	unhealthyBackoff = time.Second
 	stalledBackoff   = 2 * time.Second
 )
 
-// minHealthyPerStalled is how many other workers there must be for each one that is excluded because its runs are
-// stalled.
+// minHealthyPerStalled is how many other workers there must be for each worker that is excluded as stalled.
 const minHealthyPerStalled = 3
 
-// isStalled reports whether the worker is to be excluded because its runs are stalled.
+// isStalled reports whether a run on the worker was found stalled within stalledBackoff.
 func (d *cooldown) isStalled(now time.Duration) bool {
 	return d.stalledAt > 0 && now-d.stalledAt < stalledBackoff
 }
 
-// hasRefused reports whether the worker has refused a start lately.
+// hasRefused reports whether the back-off after a refused start is still in force.
 func (d *cooldown) hasRefused(now time.Duration) bool {
 	return d.fullAt > 0 && now-d.fullAt < fullBackoff || d.unhealthyAt > 0 && now-d.unhealthyAt < unhealthyBackoff
 }
 
-// markRefused records the reason for which a worker refused a start.
-func (w *worker) markRefused(now time.Duration, why Refusal) {
-	switch why {
+// markRefused records why a worker refused a start.
+func (w *worker) markRefused(now time.Duration, refusal Refusal) {
+	switch refusal {
 	case RefusedCapacity:
 		w.cooldown.fullAt = max(now, 1)
-		w.renewal.probeDue = true // its list shows what it runs that the table doesn't know of
+		w.renewal.probeDue = true // its list shows the runs that have no handle in the table
 	case RefusedUnhealthy, RefusedInvalid:
 		w.cooldown.unhealthyAt = max(now, 1)
 	}
 }
 
-// canTakeStarts reports whether a worker may be sent starts at all.
+// canTakeStarts reports whether a worker may be sent starts, whatever its free capacity.
 func (w *worker) canTakeStarts(c *Core, now time.Duration) bool {
 	rec := w.record()
 	switch {
@@ -116,7 +117,7 @@
 	return !w.cooldown.hasRefused(now)
 }
 
-// isFeasible reports whether a unit's tasks may run on a node, whatever its free capacity.
+// isFeasible reports whether one more of a unit's tasks may run on a node, whatever its free capacity.
 func (p *placement) isFeasible(u *unit, n *node) bool {
 	if u.step.Label != "" && !slices.Contains(n.record.Labels, u.step.Label) {
 		return false
@@ -124,36 +125,36 @@
 	return u.step.MaxPerWorker == 0 || p.tasksOn(u)[n.record.ID] < u.step.MaxPerWorker
 }
 
-// totalCapacity returns how many of a unit's tasks some nodes would take if they were empty.
+// totalCapacity returns how many of a unit's tasks would fit on the nodes if they were empty.
 func (p *placement) totalCapacity(u *unit, nodes []*node) int {
-	sum := 0
+	total := 0
 	for _, n := range nodes {
-		sum += p.capacityFor(u, n)
+		total += p.capacityFor(u, n)
 	}
-	return sum
+	return total
 }
 
-// maxTasksPerNode bounds the capacity of a node for tasks that need nothing.
+// maxTasksPerNode bounds the capacity of a node for tasks that need no resources.
 const maxTasksPerNode = 1 << 10
 
-// capacityFor returns how many of a unit's tasks a node would take if it were empty.
+// capacityFor returns how many of a unit's tasks would fit on a node if it were empty.
 func (p *placement) capacityFor(u *unit, n *node) int {
 	if !p.isFeasible(u, n) {
 		return 0
 	}
-	needs, has := u.step.Needs, n.record.Capacity
-	most := maxTasksPerNode
+	needs, capacity := u.step.Needs, n.record.Capacity
+	count := maxTasksPerNode
 	if needs.MilliCPU > 0 {
-		most = min(most, has.MilliCPU/needs.MilliCPU)
+		count = min(count, capacity.MilliCPU/needs.MilliCPU)
 	}
 	if needs.MemoryMB > 0 {
-		most = min(most, has.MemoryMB/needs.MemoryMB)
+		count = min(count, capacity.MemoryMB/needs.MemoryMB)
 	}
 	if needs.GPUs > 0 {
-		most = min(most, has.GPUs/needs.GPUs)
+		count = min(count, capacity.GPUs/needs.GPUs)
 	}
 	if u.step.MaxPerWorker > 0 {
-		most = min(most, u.step.MaxPerWorker)
+		count = min(count, u.step.MaxPerWorker)
 	}
-	return most
+	return count
 }
--- a/internal/controller/scheduler/flowcontrol.go
+++ b/internal/controller/scheduler/flowcontrol.go
@@ -9,13 +9,13 @@
 // orderDone counts an order as no longer in flight: it was answered, or it has failed.
 func (c *Core) orderDone(w *worker) {
 	if w.ordersInFlight == 0 {
-		return // of an earlier term
+		return // the order was sent under an earlier term
 	}
 	w.ordersInFlight--
 	c.ordersInFlight--
 }
 
-// orderBudget returns how many more starts may be planned. Those that wait to leave count as in flight.
+// orderBudget returns how many more starts may be planned. Unsent start orders count as in flight.
 func (c *Core) orderBudget() int {
 	return c.cfg.MaxOrdersInFlight - c.ordersInFlight - len(c.unsentStarts)
 }
--- a/internal/controller/scheduler/health.go
+++ b/internal/controller/scheduler/health.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Health summarizes the workers under the present term, for logs and metrics.
+// Health summarizes the workers under the current term, for logs and metrics.
 type Health struct {
-	// Silent counts by zone the workers that were not heard from for Config.SilenceTimeout, without deregistered ones.
+	// Silent is the number of silent workers by zone, see Config.SilenceTimeout. It excludes deregistered ones.
 	Silent  map[string]int
-	Workers int // that have not deregistered
+	Workers int // workers that have not deregistered
 	Counts  Counts
-	// Discarded is the work discarded since New.
+	// Discarded is the work discarded since New, by cause.
 	Discarded map[Cause]Discarded
 }
 
-// Health returns the state of the workers at now. The table must not change meanwhile.
+// Health returns the state of the workers at now. The table must not change during the call.
 func (c *Core) Health(now time.Duration) Health {
 	health := Health{Silent: map[string]int{}, Counts: c.Counts, Discarded: maps.Clone(c.discarded)}
 	for _, w := range c.workerList {
--- a/internal/controller/scheduler/history.go
+++ b/internal/controller/scheduler/history.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/jobs"
 )
 
-// taskHistory holds what earlier runs of a task imply for its next placement. It covers one term, and the tasks of
-// active jobs only.
+// taskHistory holds the data about earlier runs of a task that affect its next placement. It covers only one term and
+// the tasks of active jobs.
 type taskHistory struct {
 	// avoid maps a task to the worker on which it last failed or was refused, or from which it was last moved.
 	avoid map[jobs.TaskRef]string
@@ -19,7 +19,7 @@
 	return taskHistory{avoid: map[jobs.TaskRef]string{}, moves: map[jobs.TaskRef]int{}}
 }
 
-// forgetJob drops the tasks of a job.
+// forgetJob deletes the history of a job's tasks.
 func (h *taskHistory) forgetJob(id string) {
 	maps.DeleteFunc(h.avoid, func(task jobs.TaskRef, _ string) bool { return task.Job == id })
 	maps.DeleteFunc(h.moves, func(task jobs.TaskRef, _ int) bool { return task.Job == id })
--- a/internal/controller/scheduler/job.go
+++ b/internal/controller/scheduler/job.go
@@ -9,18 +9,18 @@
 // job is the scheduler's record of a job that isn't terminal or has run handles. refreshJob rebuilds it whenever the
 // job has changed in the table.
 type job struct {
-	id            string
-	runs          map[jobs.RunKey]bool // handles of its tasks
-	units         []*unit              // its due tasks, by step and round
-	hasUndueRound bool                 // some round of it isn't due yet
+	id             string
+	runs           map[jobs.RunKey]bool // handles of its tasks
+	units          []*unit              // its due tasks, by step and round
+	hasFutureRound bool                 // at least one of its rounds isn't due yet
 }
 
-// refreshDirtyJobs rebuilds the records of jobs that have changed, or that may have a round that fell due.
+// refreshDirtyJobs rebuilds the records of jobs that have changed or may have a round that has become due.
 func (c *Core) refreshDirtyJobs(wall time.Time) {
 	if !c.nextDue.IsZero() && !wall.Before(c.nextDue) {
 		c.nextDue = time.Time{}
 		for id, j := range c.activeJobs {
-			if j.hasUndueRound {
+			if j.hasFutureRound {
 				c.dirtyJobs[id] = true
 			}
 		}
@@ -34,7 +34,7 @@
 	clear(c.dirtyJobs)
 }
 
-// refreshJob rebuilds a job's record from the table. A unit that was due before keeps its place in the queue.
+// refreshJob rebuilds a job's record from the table. A unit that was due before keeps its waitingSince.
 func (c *Core) refreshJob(id string, wall time.Time) {
 	rec := c.activeJobs[id]
 	if rec == nil {
@@ -43,8 +43,8 @@
 	}
 	j := c.table.Jobs[id]
 	handles := c.syncRuns(rec, j)
-	before := rec.units
-	rec.units, rec.hasUndueRound = nil, false
+	oldUnits := rec.units
+	rec.units, rec.hasFutureRound = nil, false
 	if j == nil || j.State.IsTerminal() {
 		if handles == 0 {
 			delete(c.activeJobs, id)
@@ -55,14 +55,14 @@
 	}
 	queue := c.table.Config.Queue(j.Spec.Queue)
 	if queue == nil {
-		return // its queue was removed: it waits until a configuration has it again
+		return // its queue was removed: the job waits until a configuration adds the queue again
 	}
 	for round := range j.Rounds {
 		c.addDueUnits(rec, j, queue, round, wall)
 	}
 	for _, u := range rec.units {
 		u.waitingSince = c.now
-		for _, old := range before {
+		for _, old := range oldUnits {
 			if old.round == u.round && old.stepIndex == u.stepIndex {
 				u.waitingSince = old.waitingSince
 			}
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -7,19 +7,19 @@
 	"crosstide/internal/jobs"
 )
 
-// placement is the state of one placement: the decisions of one pass, on the free capacity that its earlier decisions
-// have left. It ends with the pass.
+// placement is the state of the placement of one pass: the starts planned so far and the capacity that they leave free.
+// It isn't used after the pass.
 type placement struct {
 	core *Core
 	now  time.Duration
 	wall time.Time
 
 	starts    []jobs.Start
-	assigned  map[jobs.TaskRef]map[string]int // by unit key and worker: the unit's tasks there, planned ones included
+	assigned  map[jobs.TaskRef]map[string]int // by unit key and worker, see tasksOn
 	preempted int                             // runs stopped so far for more urgent work
 
 	feasible map[string][]*node // by service, see feasibleNodes
-	byFree   map[string][]*node // by service, see nodesByFree; emptied by each planned start
+	byFree   map[string][]*node // by service, see nodesByFree; cleared by each planned or undone start
 }
 
 // place selects workers for the due tasks, most urgent first, and moves runs away from slow workers. It returns the
@@ -49,16 +49,16 @@
 			continue
 		}
 		if u.step.Gang && len(p.starts)+len(u.taskIndexes) > budget && budget < c.cfg.MaxOrdersInFlight {
-			c.placementDue = true // the orders of a gang leave together, once fewer are in flight
+			c.placementDue = true // all orders of a gang are planned in one pass, once fewer orders are in flight
 			continue
 		}
-		before := len(p.starts)
+		planned := len(p.starts)
 		if u.step.Gang {
 			p.placeGang(u)
 		} else {
 			p.placeTasks(u)
 		}
-		balances.reserve(u, p.starts[before:])
+		balances.reserve(u, p.starts[planned:])
 	}
 	p.moveSlowRuns()
 	return p.starts
@@ -78,7 +78,7 @@
 	}
 }
 
-// rackTimeoutFactor is how many times Config.ReserveAfter a gang waits for one rack before it is spread over several.
+// rackTimeoutFactor times Config.ReserveAfter is how long a gang waits for one rack before it is spread over several.
 const rackTimeoutFactor = 4
 
 // placeGang places all members of a gang, or none.
@@ -88,7 +88,7 @@
 	if u.step.SameRack {
 		groups = byRack(nodes)
 		if p.now-u.waitingSince > rackTimeoutFactor*p.core.cfg.ReserveAfter || !p.someRackFits(u, groups) {
-			groups = append(groups, nodes) // a gang over several racks is slower, but it runs
+			groups = append(groups, nodes) // a gang spread over several racks is slower, which is better than waiting
 		}
 	}
 	for _, group := range groups {
@@ -99,12 +99,13 @@
 	p.freeCapacity(u, nodes, len(u.taskIndexes))
 }
 
-// someRackFits reports whether some rack would hold the whole gang if it were empty.
+// someRackFits reports whether at least one rack would hold the whole gang if the rack were empty.
 func (p *placement) someRackFits(u *unit, racks [][]*node) bool {
 	return slices.ContainsFunc(racks, func(rack []*node) bool { return p.totalCapacity(u, rack) >= len(u.taskIndexes) })
 }
 
-// tryGang assigns all members of a gang to nodes of a group under one run number. It assigns none if one doesn't fit.
+// tryGang assigns all members of a gang to the nodes under one run number, or none if one of them doesn't fit. It
+// reports whether it assigned them.
 func (p *placement) tryGang(u *unit, nodes []*node) bool {
 	number := 0
 	for _, task := range u.tasks() {
@@ -130,7 +131,7 @@
 	p.starts = append(p.starts, jobs.Start{Task: u.task(index), Number: number, Worker: n.record.ID})
 }
 
-// rollback undoes the starts of a unit that were planned after the first planned ones.
+// rollback undoes the starts of a unit, which are those after the first planned ones.
 func (p *placement) rollback(u *unit, nodes []*node, planned int) {
 	clear(p.byFree)
 	for _, s := range p.starts[planned:] {
@@ -144,7 +145,7 @@
 	p.starts = p.starts[:planned]
 }
 
-// tasksOn returns the number of a unit's tasks on each worker, those planned in this pass included.
+// tasksOn returns the number of a unit's tasks on each worker, including those planned in this pass.
 func (p *placement) tasksOn(u *unit) map[string]int {
 	counts := p.assigned[u.key()]
 	if counts == nil {
@@ -159,9 +160,9 @@
 	return counts
 }
 
-// freeCapacity handles a unit of which count tasks found no node: it preempts less urgent runs, or, once the unit has
-// waited for Config.ReserveAfter, reserves nodes for it. Expired units get neither; small tasks get no reservation, as
-// capacity for them becomes free soon anyway.
+// freeCapacity handles a unit of which count tasks found no node. It preempts less urgent runs, or reserves nodes once
+// the unit has waited for Config.ReserveAfter. Expired units get neither. Small tasks get no reservation, as capacity
+// for them becomes free soon anyway.
 func (p *placement) freeCapacity(u *unit, nodes []*node, count int) {
 	if u.tier(p.wall) == expiredTier {
 		return
--- a/internal/controller/scheduler/preempt.go
+++ b/internal/controller/scheduler/preempt.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/jobs"
 )
 
-// preempt stops less urgent runs so that count tasks of a unit find capacity. It reports whether capacity for all of
-// them is becoming free. Gangs and long-running tasks preempt nothing: they wait or reserve.
+// preempt stops less urgent runs to free capacity for count tasks of a unit. It reports whether capacity for all of
+// them is becoming free. Gangs and long-running tasks don't preempt: they wait or get a reservation.
 func (p *placement) preempt(u *unit, nodes []*node, count int) bool {
 	if u.step.Gang || u.step.LongRunning {
 		return false
@@ -21,25 +21,26 @@
 	return true
 }
 
-// preemptOne frees capacity for one task on the node where that discards the least work.
+// preemptOne frees capacity for one task of a unit, on the node where this discards the least work. It reports whether
+// the capacity is becoming free.
 func (p *placement) preemptOne(u *unit, nodes []*node) bool {
 	var chosen *node
 	var victims []*run
-	least := 0.0
+	leastWaste := 0.0
 	for _, n := range nodes {
 		if n.reserved || !p.isFeasible(u, n) || !fits(n.record.Capacity, u.step.Needs) {
 			continue
 		}
-		if fits(plus(n.free, n.freeing), u.step.Needs) { // enough capacity is becoming free here
+		if fits(plus(n.free, n.freeing), u.step.Needs) { // enough capacity is already becoming free here
 			n.claim(u.step.Needs)
 			return true
 		}
 		if n.lowestPriority <= u.queue.Priority || p.preempted >= p.core.cfg.MaxPreemptions {
-			continue // nothing to stop here, or no more may be stopped in this pass
+			continue // no less urgent run here, or the pass may stop no more runs
 		}
 		candidates, waste, ok := p.victims(u, n)
-		if ok && (chosen == nil || waste < least) {
-			chosen, victims, least = n, candidates, waste
+		if ok && (chosen == nil || waste < leastWaste) {
+			chosen, victims, leastWaste = n, candidates, waste
 		}
 	}
 	if chosen == nil || p.preempted+len(victims) > p.core.cfg.MaxPreemptions {
@@ -56,20 +57,20 @@
 	return true
 }
 
-// claim sets capacity aside for a task that waits until runs here have stopped. Without it less urgent units of this
-// pass would take the part of it that is free already, and more runs would be stopped in each pass.
+// claim sets capacity aside for a task that waits until runs on the node have stopped. Without the claim, less urgent
+// units of this pass would take the part of that capacity that is already free, and each pass would stop more runs.
 func (n *node) claim(needs jobs.Resources) {
-	left := minus(plus(n.free, n.freeing), needs)
+	remaining := minus(plus(n.free, n.freeing), needs)
 	free := jobs.Resources{
-		MilliCPU: min(n.free.MilliCPU, left.MilliCPU),
-		MemoryMB: min(n.free.MemoryMB, left.MemoryMB),
-		GPUs:     min(n.free.GPUs, left.GPUs),
+		MilliCPU: min(n.free.MilliCPU, remaining.MilliCPU),
+		MemoryMB: min(n.free.MemoryMB, remaining.MemoryMB),
+		GPUs:     min(n.free.GPUs, remaining.GPUs),
 	}
-	n.free, n.freeing = free, minus(left, free)
+	n.free, n.freeing = free, minus(remaining, free)
 }
 
 // victims returns the runs to stop on a node for one task of a unit, and the work in core-seconds that this discards.
-// ok is false if stopping all that may be preempted isn't enough.
+// ok is false if even stopping every preemptible run that is less urgent doesn't free enough capacity.
 func (p *placement) victims(u *unit, n *node) (victims []*run, waste float64, ok bool) {
 	var candidates []*run
 	for _, r := range n.worker.runs {
@@ -92,17 +93,17 @@
 	return victims, waste, fits(capacity, u.step.Needs)
 }
 
-// isPreemptible reports whether a run may be stopped for a more urgent one. Members of a gang may not: all others would
-// have to be stopped too.
+// isPreemptible reports whether a run may be stopped for a more urgent one. Members of a gang are not preemptible, as
+// all other members would have to be stopped too.
 func (r *run) isPreemptible() bool {
-	return r.start.sent && r.progress.listed && !r.stop.wanted && !r.ending && !r.gang
+	return r.start.sent && r.progress.listed && !r.stop.requested && !r.ending && !r.gang
 }
 
-// checkpointedWaste divides the wasted work of a run with a checkpoint: it restarts from there.
+// checkpointedWaste is the divisor of the wasted work of a run with a checkpoint, as the run resumes from there.
 const checkpointedWaste = 4
 
-// wastedWork returns what the stop of a run discards, in core-seconds. A long-running task is never finished, so that
-// its restart counts a little on top.
+// wastedWork returns the work that stopping a run discards, in core-seconds. A long-running task never finishes; its
+// restart counts as one core-second more.
 func (p *placement) wastedWork(r *run) float64 {
 	waste := (p.now - r.start.sentAt).Seconds() * coresOf(r.needs)
 	if r.progress.checkpoint != "" {
--- a/internal/controller/scheduler/preempt_test.go
+++ b/internal/controller/scheduler/preempt_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPreemptedCapacityIsReserved(t *testing.T) {
-	Convey("Capacity that becomes free for an urgent task is not used by less urgent ones", t, func() {
+	Convey("Capacity that preemption frees for an urgent task is not used by less urgent ones", t, func() {
 		c := newReadyCluster()
 		c.submit("j", jobs.Step{Count: 4, Needs: jobs.Resources{MilliCPU: 2000}, Estimate: time.Hour})
 		c.runPasses()
@@ -20,7 +20,7 @@
 		c.answer(RenewalAnswer{Running: []ListedRun{{Key: first}, {Key: second}}})
 		c.submitTo("urgent", "u", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 4000}, Estimate: time.Second})
 		c.runPasses()
-		So(len(c.stops)+len(c.starts), ShouldEqual, 0) // they are sent by the pass after the decision
+		So(len(c.stops)+len(c.starts), ShouldEqual, 0) // the stops are sent by the pass after the decision
 		c.runPasses()
 		So(len(c.stops), ShouldEqual, 2)
 		c.answer(RenewalAnswer{Running: []ListedRun{{Key: second}},
@@ -35,42 +35,48 @@
 }
 
 func TestVictims(t *testing.T) {
-	Convey("Given a full node of 4 cores, and a task of priority 1 that needs some", t, func() {
+	Convey("Given a full node of 4 cores, and a task of priority 1 that needs a part of them", t, func() {
 		const now = time.Minute
-		at := func(index, cores, priority int, age time.Duration) *run {
+		newRun := func(index, cores, priority int, age time.Duration) *run {
 			return &run{key: jobs.RunKey{Task: jobs.TaskRef{Index: index}}, needs: jobs.Resources{MilliCPU: 1000 * cores},
 				priority: priority, start: startState{sent: true, sentAt: now - age}, progress: runProgress{listed: true}}
 		}
-		gang, checkpointed := at(1, 2, 2, time.Second), at(1, 2, 2, 4*time.Second)
-		longRunning, stopping := at(1, 2, 2, time.Second), at(1, 2, 2, 0)
+		gang, checkpointed := newRun(1, 2, 2, time.Second), newRun(1, 2, 2, 4*time.Second)
+		longRunning, stopping := newRun(1, 2, 2, time.Second), newRun(1, 2, 2, 0)
 		gang.gang, checkpointed.progress.checkpoint = true, "c"
-		longRunning.longRunning, stopping.stop.wanted = true, true
-		long, short := at(0, 2, 2, 3*time.Second), at(1, 2, 2, time.Second)
-		for _, c := range []struct {
+		longRunning.longRunning, stopping.stop.requested = true, true
+		long, short := newRun(0, 2, 2, 3*time.Second), newRun(1, 2, 2, time.Second)
+		for _, tt := range []struct {
 			name  string
 			runs  []*run
 			needs int
-			want  []int // indexes of the victims' tasks; nil: not enough may be preempted
+			want  []int // indexes of the victims' tasks; nil: not enough is preemptible
 			waste float64
 		}{
 			{"the run with the least work is stopped", []*run{long, short}, 2, []int{1}, 2},
-			{"and more until the task fits", []*run{long, short}, 4, []int{1, 0}, 8},
-			{"of equal ones the first", []*run{at(1, 2, 2, time.Second), at(0, 2, 2, time.Second)}, 2, []int{0}, 2},
-			{"none that is as urgent", []*run{at(0, 2, 1, time.Second), at(1, 2, 2, time.Hour)}, 2, []int{1}, 7200},
-			{"so that there may be too few", []*run{at(0, 2, 1, time.Second), at(1, 2, 2, time.Hour)}, 4, nil, 0},
-			{"none of a gang", []*run{at(0, 2, 2, time.Hour), gang}, 2, []int{0}, 7200},
-			{"none that is being stopped", []*run{at(0, 2, 2, time.Hour), stopping}, 2, []int{0}, 7200},
-			{"a checkpoint saves three quarters of the work", []*run{at(0, 2, 2, 2*time.Second), checkpointed}, 2, []int{1}, 2},
-			{"long-running work counts a little more", []*run{at(0, 2, 2, 2*time.Second), longRunning}, 2, []int{1}, 3},
+			{"further runs are stopped until the task fits", []*run{long, short}, 4, []int{1, 0}, 8},
+			{"of equal runs the one with the lowest key is stopped",
+				[]*run{newRun(1, 2, 2, time.Second), newRun(0, 2, 2, time.Second)}, 2, []int{0}, 2},
+			{"a run of the same priority is not stopped",
+				[]*run{newRun(0, 2, 1, time.Second), newRun(1, 2, 2, time.Hour)}, 2, []int{1}, 7200},
+			{"too few runs may be less urgent",
+				[]*run{newRun(0, 2, 1, time.Second), newRun(1, 2, 2, time.Hour)}, 4, nil, 0},
+			{"a gang member is not stopped", []*run{newRun(0, 2, 2, time.Hour), gang}, 2, []int{0}, 7200},
+			{"a run that is being stopped is not chosen",
+				[]*run{newRun(0, 2, 2, time.Hour), stopping}, 2, []int{0}, 7200},
+			{"a checkpoint saves three quarters of the work",
+				[]*run{newRun(0, 2, 2, 2*time.Second), checkpointed}, 2, []int{1}, 2},
+			{"a long-running run counts as one core-second more",
+				[]*run{newRun(0, 2, 2, 2*time.Second), longRunning}, 2, []int{1}, 3},
 		} {
-			Convey(c.name, func() {
+			Convey(tt.name, func() {
 				n := &node{worker: &worker{runs: map[jobs.RunKey]*run{}}}
-				for _, r := range c.runs {
+				for _, r := range tt.runs {
 					n.worker.runs[r.key] = r
 				}
-				u := &unit{step: &jobs.Step{Needs: jobs.Resources{MilliCPU: 1000 * c.needs}}, queue: &jobs.Queue{Priority: 1}}
+				u := &unit{step: &jobs.Step{Needs: jobs.Resources{MilliCPU: 1000 * tt.needs}}, queue: &jobs.Queue{Priority: 1}}
 				victims, waste, ok := (&placement{now: now}).victims(u, n)
-				So(ok, ShouldEqual, c.want != nil)
+				So(ok, ShouldEqual, tt.want != nil)
 				if !ok {
 					return
 				}
@@ -78,8 +84,8 @@
 				for _, r := range victims {
 					indexes = append(indexes, r.key.Task.Index)
 				}
-				So(indexes, ShouldResemble, c.want)
-				So(waste, ShouldAlmostEqual, c.waste, 1e-9)
+				So(indexes, ShouldResemble, tt.want)
+				So(waste, ShouldAlmostEqual, tt.waste, 1e-9)
 			})
 		}
 	})
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -8,26 +8,26 @@
 	"crosstide/internal/jobs"
 )
 
-// unit is an entry of the queue: the due tasks of one step of one round. They are placed one by one, or all or none if
-// the step is a gang.
+// unit is an entry of the queue: the due tasks of one step in one round of a job. They are placed one by one, or
+// together if the step is a gang.
 type unit struct {
 	job          *jobs.Job
 	step         *jobs.Step
 	queue        *jobs.Queue
 	round        int
 	stepIndex    int
-	taskIndexes  []int         // of the due tasks, ascending
+	taskIndexes  []int         // indexes of the due tasks, ascending
 	waitingSince time.Duration // when the unit was first due under this term
-	latestStart  time.Time     // the latest start with which the job can meet its objective; orders the queue
-	expiresAt    time.Time     // after it the unit is placed last, and no capacity is freed for it
+	latestStart  time.Time     // latest start with which the job can meet its objective; orders the queue
+	expiresAt    time.Time     // afterwards the unit is placed last, and no capacity is freed for it
 }
 
-// key returns the reference of the unit's step in its round, with the task index left 0.
+// key returns the reference of the unit's step in its round, with task index 0.
 func (u *unit) key() jobs.TaskRef {
 	return jobs.TaskRef{Job: u.job.Spec.ID, Round: u.round, Step: u.stepIndex}
 }
 
-// task returns the reference of the unit's task of an index.
+// task returns the reference of the unit's task with the index.
 func (u *unit) task(index int) jobs.TaskRef {
 	ref := u.key()
 	ref.Index = index
@@ -37,7 +37,7 @@
 // tasks returns all tasks of the unit's step, due or not.
 func (u *unit) tasks() []jobs.Task { return u.job.Rounds[u.round][u.stepIndex] }
 
-// dueUnits returns all units in the order in which they are placed.
+// dueUnits returns all units in the order of their placement.
 func (c *Core) dueUnits(wall time.Time) []*unit {
 	var units []*unit
 	for _, rec := range c.activeJobs {
@@ -57,7 +57,8 @@
 // expiredTier is the tier of expired units, after every priority.
 const expiredTier = 1 << 20
 
-// tier returns the unit's class of urgency: its queue's priority, or the last one once it has expired.
+// tier returns the unit's class of urgency, lower being more urgent: the priority of its queue, or expiredTier once it
+// has expired.
 func (u *unit) tier(wall time.Time) int {
 	if wall.After(u.expiresAt) {
 		return expiredTier
@@ -68,16 +69,17 @@
 // Expiry of units.
 const (
 	expiryObjectives  = 3              // a round expires after this many times its objective
-	longRunningExpiry = 24 * time.Hour // a round of a long-running step expires after it
+	longRunningExpiry = 24 * time.Hour // a round of a long-running step expires after this time
 )
 
-// addDueUnits adds the units of a round that are due; if the round itself isn't due yet, it records when it will be.
+// addDueUnits adds the due units of a round to the job's record. If the round isn't due yet, it records the due time
+// instead.
 func (c *Core) addDueUnits(rec *job, j *jobs.Job, queue *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
 		begin = j.Spec.FirstRun.Add(time.Duration(round) * j.Spec.Interval)
 		if due := begin.Add(-c.cfg.EarlyStart); wall.Before(due) {
-			rec.hasUndueRound = true
+			rec.hasFutureRound = true
 			if c.nextDue.IsZero() || due.Before(c.nextDue) {
 				c.nextDue = due
 			}
@@ -85,24 +87,25 @@
 		}
 	}
 	objective := time.Duration(queue.Stretch*float64(criticalPath(j.Spec.Steps))) + queue.Target
-	for number := range j.Spec.Steps {
-		step := &j.Spec.Steps[number]
-		indexes := dueTasks(j.Rounds[round][number], step.Gang)
-		if len(indexes) == 0 || !c.table.IsStepReady(j, round, number) {
+	for stepIndex := range j.Spec.Steps {
+		step := &j.Spec.Steps[stepIndex]
+		indexes := dueTasks(j.Rounds[round][stepIndex], step.Gang)
+		if len(indexes) == 0 || !c.table.IsStepReady(j, round, stepIndex) {
 			continue
 		}
-		u := &unit{job: j, step: step, queue: queue, round: round, stepIndex: number, taskIndexes: indexes}
+		u := &unit{job: j, step: step, queue: queue, round: round, stepIndex: stepIndex, taskIndexes: indexes}
 		if step.LongRunning {
 			u.latestStart, u.expiresAt = begin.Add(queue.Target), begin.Add(longRunningExpiry)
 		} else {
-			u.latestStart = begin.Add(objective - criticalPathFrom(j.Spec.Steps, number))
+			u.latestStart = begin.Add(objective - criticalPathFrom(j.Spec.Steps, stepIndex))
 			u.expiresAt = begin.Add(expiryObjectives * objective)
 		}
 		rec.units = append(rec.units, u)
 	}
 }
 
-// dueTasks returns the indexes of the tasks of a step that are to be started; of a gang all or none.
+// dueTasks returns the indexes of the tasks of a step that must be started: those that are neither done nor running.
+// The tasks of a gang are due together or not at all.
 func dueTasks(tasks []jobs.Task, gang bool) []int {
 	var due []int
 	for index := range tasks {
@@ -116,37 +119,37 @@
 	return due
 }
 
-// minEstimate replaces a smaller estimate, or none.
+// minEstimate replaces a missing or smaller estimate.
 const minEstimate = 200 * time.Millisecond
 
-// criticalPath returns the longest time along steps that wait for each other.
+// criticalPath returns the duration of the longest chain of dependent steps.
 func criticalPath(steps []jobs.Step) time.Duration {
 	return longestPath(steps, func(int) bool { return true })
 }
 
-// criticalPathFrom returns the longest time along steps that wait for each other, from one step on.
+// criticalPathFrom returns the duration of the longest chain of dependent steps that begins at one step.
 func criticalPathFrom(steps []jobs.Step, first int) time.Duration {
-	return longestPath(steps, func(number int) bool { return number == first })
+	return longestPath(steps, func(index int) bool { return index == first })
 }
 
-// longestPath returns the longest time along steps that wait for each other, of the paths that begin at a first step. A
-// step waits only for earlier ones.
-func longestPath(steps []jobs.Step, isFirst func(number int) bool) time.Duration {
-	longest := make([]time.Duration, len(steps)) // of the paths that end with a step; 0: there is none
-	var most time.Duration
-	for number := range steps {
-		isReached := isFirst(number)
+// longestPath returns the duration of the longest chain of dependent steps that begins at a step for which isFirst
+// holds. A step depends only on earlier steps.
+func longestPath(steps []jobs.Step, isFirst func(index int) bool) time.Duration {
+	durations := make([]time.Duration, len(steps)) // by last step: duration of the longest chain; 0: no chain
+	var longest time.Duration
+	for index := range steps {
+		isReached := isFirst(index)
 		var before time.Duration
-		for _, earlier := range steps[number].After {
-			if earlier < number && longest[earlier] > 0 {
-				before = max(before, longest[earlier])
+		for _, dependency := range steps[index].After {
+			if dependency < index && durations[dependency] > 0 {
+				before = max(before, durations[dependency])
 				isReached = true
 			}
 		}
 		if isReached {
-			longest[number] = before + max(steps[number].Estimate, minEstimate)
-			most = max(most, longest[number])
+			durations[index] = before + max(steps[index].Estimate, minEstimate)
+			longest = max(longest, durations[index])
 		}
 	}
-	return most
+	return longest
 }
--- a/internal/controller/scheduler/rank.go
+++ b/internal/controller/scheduler/rank.go
@@ -8,20 +8,20 @@
 
 // Weights of a worker's speed.
 const (
-	speedSteps    = 8   // a slowdown is rounded to multiples of one part in speedSteps
-	tooSlowFactor = 1.6 // at this slowdown a worker is avoided by all tasks that could run elsewhere
+	speedSteps    = 8   // slowdowns are rounded to multiples of 1/speedSteps
+	tooSlowFactor = 1.6 // workers with at least this slowdown are avoided by all kinds of work
 )
 
-// avoidedCost multiplies the cost of a worker on which the task failed, or from which it was moved: the task runs there
-// again rather than not at all.
+// avoidedCost is the factor on the cost of a worker on which the task failed, or from which it was moved. As the worker
+// isn't excluded, the task can run there again if no other has capacity.
 const avoidedCost = 4
 
-// selectNode returns the node of least cost for the unit's next task; nil if none has enough free capacity. Among nodes
-// of equal cost prefersNode decides, then their order. avoid is the ID of a worker that the task had better not run on,
-// or empty.
+// selectNode returns the node with the lowest cost for the unit's next task, or nil if no node has enough free
+// capacity. Among nodes of equal cost prefersNode decides, then their order. avoid is the ID of a worker whose cost is
+// multiplied by avoidedCost, or empty.
 func (p *placement) selectNode(u *unit, nodes []*node, avoid string) *node {
 	var best *node
-	var least float64
+	var lowestCost float64
 	for _, n := range nodes {
 		if n.reserved || !fits(n.free, u.step.Needs) || !p.isFeasible(u, n) {
 			continue
@@ -30,14 +30,14 @@
 		if n.record.ID == avoid {
 			cost *= avoidedCost
 		}
-		if best == nil || cost < least || cost == least && u.prefersNode(n, best) {
-			best, least = n, cost
+		if best == nil || cost < lowestCost || cost == lowestCost && u.prefersNode(n, best) {
+			best, lowestCost = n, cost
 		}
 	}
 	return best
 }
 
-// cost returns how long a unit's task is expected to take on a node, relative to the others.
+// cost returns the expected duration of a unit's task on a node, relative to that on other nodes.
 func (p *placement) cost(u *unit, n *node) float64 {
 	cost := u.speedCost(n)
 	if u.step.PreferredRack != "" && !slices.Contains(n.record.Labels, u.step.PreferredRack) {
@@ -47,8 +47,8 @@
 }
 
 // speedCost returns the part of a node's cost that depends on its speed. Fast nodes are left to urgent work: for work
-// of lower priority speed doesn't count, and long-running work, which no speed makes shorter, prefers slower nodes. A
-// node that is too slow for all costs its slowdown in each case.
+// of lower priority speed is ignored, and long-running work, which isn't shorter on a fast node, prefers slower nodes.
+// The cost of a node from tooSlowFactor on is its slowdown, for all kinds of work.
 func (u *unit) speedCost(n *node) float64 {
 	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
 	switch {
@@ -62,9 +62,9 @@
 	return rounded
 }
 
-// prefersNode reports whether a node is better than another of the same cost: the emptier one, so that every rack has
-// free capacity for tasks whose data is there; for tasks on accelerators the fuller one, so that whole nodes stay free
-// for tasks that need several.
+// prefersNode reports whether a node is better than another of the same cost. The emptier node is better, so that every
+// rack has free capacity for tasks whose data is there. For tasks that need accelerators the fuller one is better, so
+// that whole nodes stay free for tasks that need several.
 func (u *unit) prefersNode(n, other *node) bool {
 	if u.step.Needs.GPUs > 0 {
 		return n.free.GPUs < other.free.GPUs
@@ -72,7 +72,7 @@
 	return n.free.MilliCPU > other.free.MilliCPU
 }
 
-// byRack groups nodes by rack, the racks with the most free processors first.
+// byRack groups nodes by rack, in descending order of the free processors of the racks.
 func byRack(nodes []*node) [][]*node {
 	racks := map[string][]*node{}
 	free := map[string]int{}
@@ -89,7 +89,7 @@
 	return groups
 }
 
-// sortByFree returns a copy of nodes, those with the most free processors first.
+// sortByFree returns a copy of nodes in descending order of their free processors.
 func sortByFree(nodes []*node) []*node {
 	sorted := slices.Clone(nodes)
 	slices.SortStableFunc(sorted, func(a, b *node) int { return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU) })
--- a/internal/controller/scheduler/reconcile.go
+++ b/internal/controller/scheduler/reconcile.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/jobs"
 )
 
-// recordEnds records the ends that a worker lists. An end is a fact, however old the answer is.
+// recordEnds records the ends that a worker lists. An end is final, so the age of the answer doesn't matter.
 func (c *Core) recordEnds(w *worker, ended []EndedRun) {
 	for _, e := range ended {
 		if e.Sequence <= w.ends.received {
@@ -27,9 +27,9 @@
 	}
 }
 
-// reconcileRunning compares the runs that a worker lists with the handles of the table, both ways: a listed run without
-// a handle is an orphan and is stopped; a run with a handle that isn't listed is ended if that proves it dead. number
-// is that of the renewal that was answered.
+// reconcileRunning compares the runs that a worker lists with the handles in the table, both ways. A listed run without
+// a handle is an orphan and is stopped. A run with a handle that isn't listed is ended if that proves it dead. number
+// is the number of the answered renewal.
 func (c *Core) reconcileRunning(w *worker, number uint64, answer RenewalAnswer) {
 	present := make(map[jobs.RunKey]bool, len(answer.Running)+len(answer.Ended))
 	for _, e := range answer.Ended {
@@ -49,7 +49,7 @@
 		}
 	}
 	if answer.Full {
-		return // what isn't listed may have ended
+		return // runs that aren't listed may have ended
 	}
 	for _, key := range sortedRuns(w.runs) {
 		if r := w.runs[key]; !present[key] && !r.ending {
@@ -69,11 +69,11 @@
 	if listed.Percent > r.progress.percent {
 		r.progress.advancedAt, w.cooldown.stalledAt = c.now, 0
 	}
-	r.progress.checkpoint, r.progress.percent, r.progress.at = listed.Checkpoint, listed.Percent, c.now
+	r.progress.checkpoint, r.progress.percent, r.progress.listedAt = listed.Checkpoint, listed.Percent, c.now
 }
 
-// trackOrphan records that a worker lists a run that has no handle on it, unless the commit of the handle is in flight
-// or the handle is on another worker.
+// trackOrphan records that a worker lists a run without a handle. Runs whose handle is on another worker or part of the
+// proposal in flight are not tracked.
 func (c *Core) trackOrphan(w *worker, key jobs.RunKey) {
 	if w.orphans[key] == nil && c.runs[key] == nil && !c.isStartInFlight(key) {
 		w.orphans[key] = &orderRetry{}
@@ -81,8 +81,8 @@
 	}
 }
 
-// reconcileAbsent handles a run that the answer to the renewal of a number doesn't list. It ends the run if that
-// proves it dead, and stops it if its start is unconfirmed: the order may be carried out late.
+// reconcileAbsent handles a run that the answer to the renewal with the number doesn't list. It ends the run if that
+// proves it dead, and stops it if its start is unconfirmed, as the order may be carried out late.
 func (c *Core) reconcileAbsent(r *run, number uint64) {
 	switch {
 	case r.isProvedDead(number):
@@ -93,9 +93,10 @@
 	}
 }
 
-// isProvedDead reports whether a run that the answer to the renewal of a number doesn't list is dead and can't start
-// later: a run of an earlier term, whose orders the token of that renewal has fenced, or one whose start or stop was
-// answered before the renewal left. A start without an answer proves nothing: it may be carried out late.
+// isProvedDead reports whether a run is certainly dead and can't start later, given that the answer to the renewal with
+// the number doesn't list it. This holds for a run of an earlier term, whose orders the token of that renewal has
+// fenced, and for a run whose start or stop was answered before the renewal was sent. It doesn't hold for a start
+// without an answer, as the order may be carried out late.
 func (r *run) isProvedDead(number uint64) bool {
 	switch {
 	case !r.ownTerm:
@@ -109,7 +110,7 @@
 }
 
 // syncRuns makes the run records of a job match the handles of its tasks, and returns the number of handles. j is nil
-// if the table has no such job any more.
+// if the job was deleted from the table.
 func (c *Core) syncRuns(rec *job, j *jobs.Job) int {
 	present := map[jobs.RunKey]bool{}
 	if j != nil {
@@ -131,7 +132,8 @@
 	return len(present)
 }
 
-// syncTask tracks the handles of a task, adds them to present, and stops the runs of a task or job that is over.
+// syncTask tracks the handles of a task, adds them to present, and stops the runs of a task that is done or of a job
+// that has ended.
 func (c *Core) syncTask(j *jobs.Job, ref jobs.TaskRef, task *jobs.Task, present map[jobs.RunKey]bool) {
 	for _, handle := range task.Handles {
 		key := jobs.RunKey{Task: ref, Number: handle.Number}
@@ -139,15 +141,15 @@
 		r := c.runs[key]
 		if r == nil {
 			if c.isStartInFlight(key) {
-				continue // Committed tracks it
+				continue // Committed will track it
 			}
 			ownTerm := handle.Term == c.term
 			r = c.trackRun(key, handle.Worker, ownTerm)
 			if ownTerm && r != nil {
-				c.endRun(r, jobs.EndLost, "") // its commit was reported as failed, so its order never left
+				c.endRun(r, jobs.EndLost, "") // its commit was reported as failed, so its order was never sent
 			}
 		}
-		if r != nil && (task.Done || j.State.IsTerminal()) && !r.stop.wanted {
+		if r != nil && (task.Done || j.State.IsTerminal()) && !r.stop.requested {
 			c.requestStop(r, CauseJobOver)
 		}
 	}
--- a/internal/controller/scheduler/renewal.go
+++ b/internal/controller/scheduler/renewal.go
@@ -11,27 +11,28 @@
 type renewalState struct {
 	longPoll renewalCall
 	probe    renewalCall
-	probeDue bool // a probe must be sent as soon as one may
+	probeDue bool // a probe must be sent as soon as the limits permit
 }
 
 // renewalCall is a renewal in flight.
 type renewalCall struct {
-	number uint64 // of its RenewalAction; 0: none is in flight
-	ack    uint64 // it acknowledges the ends numbered up to it
+	number uint64 // number of its RenewalAction; 0: no renewal is in flight
+	ack    uint64 // highest number of the ends that it acknowledges
 	sentAt time.Duration
 }
 
-// sendRenewals adds the lease renewals that are due. A new leader must probe every worker; it does so a few at a time,
-// as the store's heartbeats share its processor. throttled reports whether a probe was postponed for that.
+// sendRenewals adds the lease renewals that are due. A new leader must probe every worker; it probes at most
+// Config.MaxProbes at a time, as the store's heartbeats share its processor. throttled reports whether that limit
+// postponed a probe.
 func (c *Core) sendRenewals(now time.Duration, actions *Actions) (throttled bool) {
 	probes := c.probesInFlight(now)
 	for _, w := range c.workerList {
 		if !w.renewal.probeDue && (w.renewal.longPoll.number != 0 || len(w.runs) == 0) || now < w.contact.retryAt {
-			continue // nothing to ask, as of most workers in most passes
+			continue // nothing to send, which is the case for most workers in most passes
 		}
 		rec := w.record()
 		if rec == nil || rec.Left && len(w.runs) == 0 && w.ends.acknowledged >= w.ends.durable {
-			continue // it takes no starts any more, and nothing is expected of it
+			continue // it has deregistered, runs nothing, and all its durable ends are acknowledged
 		}
 		switch {
 		case w.renewal.probeDue && w.renewal.probe.number == 0:
@@ -49,8 +50,8 @@
 	return throttled
 }
 
-// renewLease adds one renewal. A worker that didn't answer the newest call gets no new lease: a call that may or may
-// not have arrived must not defer the expiry for ever.
+// renewLease adds one renewal. A worker that didn't answer the newest call gets no new lease. Otherwise calls that may
+// never arrive would defer the expiry forever.
 func (c *Core) renewLease(w *worker, rec *jobs.Worker, wait time.Duration, actions *Actions) renewalCall {
 	c.sequence++
 	call := LeaseRenewal{Token: c.term, AcknowledgedUpTo: w.ends.durable, Wait: wait}
@@ -61,8 +62,8 @@
 	return renewalCall{number: c.sequence, ack: w.ends.durable, sentAt: c.now}
 }
 
-// probeWindow is how long a probe counts towards Config.MaxProbes. A reachable worker answers within it; workers that
-// aren't reachable must not keep the leader from probing the others.
+// probeWindow is how long a probe counts towards Config.MaxProbes. A reachable worker answers within it. Unreachable
+// workers must not keep the leader from probing the others.
 const probeWindow = 50 * time.Millisecond
 
 // probesInFlight counts the workers that were probed within probeWindow and have not answered.
@@ -85,7 +86,7 @@
 	return !w.contact.isThrottled(c.now) || w.ordersInFlight == 0 && w.renewal.probe.number == 0 && !w.hasRunsToStop()
 }
 
-// hasRunsToStop reports whether a run on the worker is to be stopped.
+// hasRunsToStop reports whether a run on the worker, with or without a handle, must be stopped.
 func (w *worker) hasRunsToStop() bool {
 	for _, r := range w.runs {
 		if r.needsStop() {
@@ -95,13 +96,13 @@
 	return len(w.orphans) > 0
 }
 
-// Long polls that are shorter than Config.RenewalWait.
+// Waits of long polls where Config.RenewalWait would be too long.
 const (
-	throttledWait = 250 * time.Millisecond // at a throttled worker
-	overdueWait   = 400 * time.Millisecond // while a run takes longer than expected: it may be stalled
+	throttledWait = 250 * time.Millisecond // for a throttled worker
+	overdueWait   = 400 * time.Millisecond // while a run takes longer than expected, as it may be stalled
 )
 
-// renewalWait returns how long the next long poll waits.
+// renewalWait returns how long the worker may hold the next long poll open.
 func (w *worker) renewalWait(c *Core) time.Duration {
 	switch {
 	case w.contact.isThrottled(c.now):
@@ -125,19 +126,19 @@
 	return false
 }
 
-// RenewalError is the way in which a lease renewal failed.
+// RenewalError is the outcome of a lease renewal.
 type RenewalError int
 
-// The failures of a lease renewal. RenewalNoConnection proves nothing about the worker.
+// The outcomes of a lease renewal. RenewalNoConnection is a shortage of this node, not a fault of the worker.
 const (
 	RenewalOK               RenewalError = iota // it was answered
-	RenewalFailed                               // no answer
+	RenewalFailed                               // it got no answer
 	RenewalOtherIncarnation                     // another incarnation answered: the worker is gone for good
-	RenewalFenced                               // the worker has seen a higher token: this leader is an old one
-	RenewalNoConnection                         // it never left: this node lacks connections
+	RenewalFenced                               // the worker has seen a higher token: this leader was replaced
+	RenewalNoConnection                         // it was never sent: this node has no free connection
 )
 
-// RenewalAnswered handles the answer to the renewal of a number, or its failure.
+// RenewalAnswered handles the answer to the renewal with the number, or its failure.
 func (c *Core) RenewalAnswered(now time.Duration, id string, number uint64, answer RenewalAnswer, err RenewalError) {
 	c.now = now
 	w := c.workers[id]
@@ -151,7 +152,7 @@
 	case w.renewal.probe.number:
 		acknowledged, w.renewal.probe = w.renewal.probe.ack, renewalCall{}
 	default:
-		return // of an earlier term
+		return // the renewal was sent under an earlier term
 	}
 	if err != RenewalOK {
 		c.renewalFailed(w, err)
@@ -169,7 +170,7 @@
 func (c *Core) renewalFailed(w *worker, err RenewalError) {
 	switch err {
 	case RenewalNoConnection:
-		c.connBackoff.failed(c.cfg, c.now)
+		c.connBackoff.recordFailure(c.cfg, c.now)
 		w.contact.retryAt = max(w.contact.retryAt, c.connBackoff.until)
 		w.renewal.probeDue = w.renewal.probeDue || !w.lease.fenced
 	case RenewalOtherIncarnation:
--- a/internal/controller/scheduler/reserve.go
+++ b/internal/controller/scheduler/reserve.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// smallTaskMilliCPU is the size up to which a task gets no reservation: it finds free capacity soon enough.
+// smallTaskMilliCPU is the size up to which a task gets no reservation, as it finds free capacity soon enough.
 const smallTaskMilliCPU = 2000
 
-// reserve keeps less urgent units of this pass off the nodes that would take count tasks of a unit soonest. Nothing is
-// reserved for a gang that wouldn't fit even if all nodes were empty: it waits for other workers, and what is reserved
-// for it would only be idle.
+// reserve reserves enough nodes for count tasks of a unit, those with the most free processors first: less urgent units
+// of this pass get no starts there. Nothing is reserved for a gang that wouldn't fit even if all nodes were empty. Such
+// a gang waits for more workers, and nodes reserved for it would only be idle.
 func (p *placement) reserve(u *unit, nodes []*node, count int) {
 	group := p.nodesByFree(u.queue.Service, nodes)
 	if u.step.SameRack {
@@ -25,7 +25,7 @@
 	}
 }
 
-// largestRack returns the nodes of the rack that would take most tasks of a unit if it were empty.
+// largestRack returns the nodes of the rack on which most tasks of a unit would fit if it were empty.
 func (p *placement) largestRack(u *unit, nodes []*node) []*node {
 	var largest []*node
 	for _, rack := range byRack(nodes) {
@@ -36,8 +36,8 @@
 	return largest
 }
 
-// nodesByFree returns all nodes of a service, those with the most free processors first. Waiting units follow one
-// another without a start in between, so the order is kept until the next start is planned.
+// nodesByFree returns all nodes of a service in descending order of their free processors. Many waiting units follow
+// one another without a planned start in between, so the sorted list is cached until the next planned start.
 func (p *placement) nodesByFree(service string, nodes []*node) []*node {
 	sorted, ok := p.byFree[service]
 	if !ok {
--- a/internal/controller/scheduler/run.go
+++ b/internal/controller/scheduler/run.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/jobs"
 )
 
-// run is the record of a run whose handle is in the table. It lives as long as the handle.
+// run is the record of a run whose handle is in the table. It exists as long as the handle.
 type run struct {
 	key     jobs.RunKey
 	worker  string // ID
@@ -18,12 +18,12 @@
 	longRunning bool
 	estimate    time.Duration
 	needs       jobs.Resources
-	priority    int // of its queue; lower is more urgent
+	priority    int // priority of its queue; lower is more urgent
 
 	start    startState
 	progress runProgress
 	stop     stopState
-	ending   bool // its end waits to be committed
+	ending   bool // its end was recorded and isn't committed yet
 }
 
 // runProgress is the progress of a run as its worker lists it. Owned by reconcile.go.
@@ -31,11 +31,12 @@
 	listed     bool // the worker has listed it as running
 	checkpoint string
 	percent    int
-	at         time.Duration // of the newest list that has the run
-	advancedAt time.Duration // when it was first listed, or last listed with a higher percent than before
+	listedAt   time.Duration // when the worker last listed it as running
+	advancedAt time.Duration // when its start was accepted or it was first listed, or when percent last increased
 }
 
-// trackRun returns the record of a handle of the table, made on first sight; nil if its job isn't known.
+// trackRun returns the record of the run with a handle in the table, which it creates if it is missing. It returns nil
+// if the table doesn't have the job.
 func (c *Core) trackRun(key jobs.RunKey, workerID string, ownTerm bool) *run {
 	if r := c.runs[key]; r != nil {
 		return r
@@ -44,7 +45,7 @@
 	if j == nil {
 		return nil
 	}
-	// The order of an earlier leader may have left.
+	// An earlier leader may have sent the order.
 	r := &run{key: key, worker: workerID, ownTerm: ownTerm, start: startState{sent: !ownTerm}}
 	if key.Task.Step < len(j.Spec.Steps) {
 		step := &j.Spec.Steps[key.Task.Step]
@@ -66,7 +67,7 @@
 	}
 }
 
-// endRun puts a run's end into the next proposal; the first end counts.
+// endRun adds a run's end to the next proposal. Only the first end of a run counts.
 func (c *Core) endRun(r *run, reason jobs.EndReason, checkpoint string) {
 	if r.ending {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// endUndeliveredRun ends a run as lost whose start order is known never to be carried out.
+// endUndeliveredRun ends a run as lost if its start order will certainly never be carried out. r may be nil.
 func (c *Core) endUndeliveredRun(r *run) {
 	if r != nil && r.start.sent && !r.progress.listed {
 		c.endRun(r, jobs.EndLost, "")
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -8,23 +8,23 @@
 
 // startState is the state of a run's start order. Owned by this file; reconcile.go sets missing.
 type startState struct {
-	sent   bool          // the order may have left, now or under an earlier term
-	sentAt time.Duration // when it left; 0: not under this term
+	sent   bool          // the order may have been sent, under this term or an earlier one
+	sentAt time.Duration // when it was sent; 0: not under this term
 
-	acceptedSeq uint64 // Core.sequence when the worker accepted it; 0: it has not
+	acceptedSeq uint64 // Core.sequence when the worker accepted the order; 0: not accepted
 	acceptedAt  time.Duration
 
-	unconfirmedSeq uint64 // Core.sequence when the order was found to have no answer; 0: it was not
+	unconfirmedSeq uint64 // Core.sequence when the order failed without an answer; 0: it did not
 
 	// missing is set if the start is unconfirmed and the answer to a later renewal didn't list the run. The run is
-	// stopped, lest the order be carried out late.
+	// stopped, as the order may be carried out late.
 	missing bool
 }
 
-// sendStarts adds the start orders of handles that were committed. A run whose worker has become unreachable meanwhile
-// is ended instead: its order never left, so its task is due again at once and nothing is left unconfirmed.
+// sendStarts adds the start orders of handles that were committed. A run whose worker has become unreachable since its
+// placement is ended instead: as its order was never sent, its task is due again at once and no start is unconfirmed.
 func (c *Core) sendStarts(actions *Actions) {
-	var later []jobs.RunKey
+	var unsent []jobs.RunKey
 	for _, key := range c.unsentStarts {
 		r := c.runs[key]
 		if r == nil || r.start.sent || r.ending {
@@ -33,12 +33,12 @@
 		w := c.workers[r.worker]
 		j := c.table.Jobs[key.Task.Job]
 		if w == nil || w.record() == nil || !w.contact.isReachable() ||
-			j == nil || j.State.IsTerminal() || r.stop.wanted {
+			j == nil || j.State.IsTerminal() || r.stop.requested {
 			c.endRun(r, jobs.EndLost, "")
 			continue
 		}
 		if !w.canOrder(c) {
-			later = append(later, key)
+			unsent = append(unsent, key)
 			continue
 		}
 		r.start.sent, r.start.sentAt = true, c.now
@@ -53,19 +53,19 @@
 		}})
 		c.Counts.Started++
 	}
-	c.unsentStarts = later
+	c.unsentStarts = unsent
 }
 
-// StartError is the way in which a start order failed.
+// StartError is the outcome of a start order.
 type StartError int
 
-// The failures of a start order. StartNoConnection proves nothing about the worker.
+// The outcomes of a start order. StartNoConnection is a shortage of this node, not a fault of the worker.
 const (
 	StartOK               StartError = iota // it was answered
-	StartUnsent                             // no byte of it left: it is never carried out
+	StartUnsent                             // no byte of it was sent: it is never carried out
 	StartUnknown                            // it may be carried out, now or later
 	StartOtherIncarnation                   // another incarnation answered: the worker is gone for good
-	StartNoConnection                       // no byte of it left: this node lacks connections
+	StartNoConnection                       // no byte of it was sent: this node has no free connection
 )
 
 // StartAnswered handles the answer to a start order, or its failure.
@@ -102,7 +102,7 @@
 func (c *Core) startFailed(w *worker, r *run, err StartError) {
 	switch err {
 	case StartNoConnection:
-		c.connBackoff.failed(c.cfg, c.now)
+		c.connBackoff.recordFailure(c.cfg, c.now)
 		c.endUndeliveredRun(r)
 	case StartOtherIncarnation:
 		c.endReplacedWorker(w)
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -9,29 +9,29 @@
 
 // stopState is the state of a run's stop. Owned by this file.
 type stopState struct {
-	wanted      bool
-	cause       Cause // the first one; empty: none. Also set for a run that ends without a stop
+	requested   bool
+	cause       Cause // first cause; empty: none. Also set for some runs that end without a stop
 	order       orderRetry
-	answeredSeq uint64 // Core.sequence when a stop order was answered; 0: none was
+	answeredSeq uint64 // Core.sequence when a stop order was answered; 0: none was answered
 }
 
 // orderRetry holds when a stop order may be sent, for the first time or again.
 type orderRetry struct {
 	inFlight bool
-	notUntil time.Duration
+	retryAt  time.Duration
 }
 
 // isDue reports whether the order may be sent at now.
-func (o *orderRetry) isDue(now time.Duration) bool { return !o.inFlight && now >= o.notUntil }
+func (o *orderRetry) isDue(now time.Duration) bool { return !o.inFlight && now >= o.retryAt }
 
-// requestStop marks a run to be stopped; the first cause counts.
+// requestStop marks a run to be stopped. Only the first cause counts.
 func (c *Core) requestStop(r *run, cause Cause) {
-	r.stop.wanted = true
+	r.stop.requested = true
 	r.stop.cause = cmp.Or(r.stop.cause, cause)
 	c.queueStop(r)
 }
 
-// stopGang stops the other members of the gang of a run that has ended: they can't work without it.
+// stopGang stops the other members of the gang of a run that has ended, as they can't work without it.
 func (c *Core) stopGang(ended *run) {
 	j := c.table.Jobs[ended.key.Task.Job]
 	if j == nil || j.Rounds == nil {
@@ -46,16 +46,16 @@
 	}
 }
 
-// queueStop adds a run to those that sendStops scans. The sweep adds those that were marked in another way.
+// queueStop adds a run to runsToStop, which sendStops scans. The sweep adds runs that were marked without queueStop.
 func (c *Core) queueStop(r *run) { c.runsToStop[r.key] = r }
 
 // needsStop reports whether a stop order must be sent for the run and none was answered yet.
 func (r *run) needsStop() bool {
-	return (r.stop.wanted || r.start.missing && !r.progress.listed) && !r.ending && r.stop.answeredSeq == 0
+	return (r.stop.requested || r.start.missing && !r.progress.listed) && !r.ending && r.stop.answeredSeq == 0
 }
 
-// sendStops adds the stop orders that are due. It scans only runsToStop and workersWithOrphans: most runs are never
-// stopped, and there is a pass for each answer of a worker.
+// sendStops adds the stop orders that are due. It scans only runsToStop and workersWithOrphans instead of all runs, as
+// most runs are never stopped and each answer of a worker causes a pass.
 func (c *Core) sendStops(actions *Actions) {
 	for _, key := range sortedRuns(c.runsToStop) {
 		r := c.runsToStop[key]
@@ -80,7 +80,8 @@
 	}
 }
 
-// sendStop adds a stop order if it is due and one more order may be in flight to the worker. It reports whether it did.
+// sendStop adds a stop order if it is due and one more order may be in flight to the worker. It reports whether it
+// added the order.
 func (c *Core) sendStop(w *worker, key jobs.RunKey, order *orderRetry, actions *Actions) bool {
 	rec := w.record()
 	if rec == nil || !order.isDue(c.now) || !w.canOrder(c) {
@@ -92,14 +93,14 @@
 	return true
 }
 
-// StopError is the way in which a stop order failed.
+// StopError is the outcome of a stop order.
 type StopError int
 
-// The failures of a stop order. StopNoConnection proves nothing about the worker.
+// The outcomes of a stop order. StopNoConnection is a shortage of this node, not a fault of the worker.
 const (
 	StopOK           StopError = iota // it was answered
 	StopFailed                        // it got no answer: it may be carried out, now or later
-	StopNoConnection                  // it never left: this node lacks connections
+	StopNoConnection                  // it was never sent: this node has no free connection
 )
 
 // StopAnswered handles the answer to a stop order, or its failure.
@@ -113,7 +114,7 @@
 	c.sequence++
 	retryAt := now + c.cfg.RetryMin
 	if order := w.orphans[key]; order != nil {
-		order.inFlight, order.notUntil = false, retryAt
+		order.inFlight, order.retryAt = false, retryAt
 		if err == StopOK {
 			delete(w.orphans, key)
 		}
@@ -125,12 +126,12 @@
 	r.stop.order.inFlight = false
 	switch err {
 	case StopNoConnection:
-		r.stop.order.notUntil = retryAt
+		r.stop.order.retryAt = retryAt
 	case StopFailed:
 		c.orderUnanswered(w)
-		r.stop.order.notUntil = retryAt
+		r.stop.order.retryAt = retryAt
 	default:
 		r.stop.answeredSeq = c.sequence
-		w.renewal.probeDue = true // its list after the stop proves the run dead
+		w.renewal.probeDue = true // a list from after the stop that lacks the run proves it dead
 	}
 }
--- a/internal/controller/scheduler/worker.go
+++ b/internal/controller/scheduler/worker.go
@@ -13,19 +13,20 @@
 	table     *jobs.Table   // Core.table
 	trackedAt time.Duration // when the worker was first seen under this term
 
-	runs    map[jobs.RunKey]*run        // those of Core.runs that are on the worker
-	orphans map[jobs.RunKey]*orderRetry // stop orders for runs that it lists without a handle in the table
+	runs    map[jobs.RunKey]*run        // the subset of Core.runs on the worker
+	orphans map[jobs.RunKey]*orderRetry // stop orders for listed runs that have no handle in the table
 
 	contact  contact      // owned by contact.go
 	lease    leaseState   // owned by lease.go
-	renewal  renewalState // owned by renewal.go; others set probeDue
+	renewal  renewalState // owned by renewal.go; other files set probeDue
 	ends     endAcks      // owned by ack.go; recordEnds sets received, RenewalAnswered acknowledged
 	cooldown cooldown     // owned by feasible.go; reconcile.go and move.go set stalledAt
 
-	ordersInFlight int // start and stop orders, see Config.MaxOrdersPerWorker
+	ordersInFlight int // start and stop orders in flight, see Config.MaxOrdersPerWorker
 }
 
-// trackWorker returns the record of a worker, made on first sight. A new one must be probed before it takes starts.
+// trackWorker returns the record of a worker, which it creates if it is missing. A new worker must be probed before it
+// is sent starts.
 func (c *Core) trackWorker(id string) *worker {
 	w := c.workers[id]
 	if w == nil {
@@ -43,7 +44,7 @@
 	return w
 }
 
-// untrackWorker drops the record of a worker that was deleted from the table.
+// untrackWorker deletes the record of a worker that was deleted from the table.
 func (c *Core) untrackWorker(id string) {
 	if w := c.workers[id]; w != nil {
 		c.ordersInFlight -= w.ordersInFlight
@@ -53,20 +54,20 @@
 	c.workerList = slices.DeleteFunc(c.workerList, func(w *worker) bool { return w.id == id })
 }
 
-// record returns the worker's entry in the table; nil if it has none.
+// record returns the worker's entry in the table, or nil if it has none.
 func (w *worker) record() *jobs.Worker { return w.table.Workers[w.id] }
 
-// isLeaving reports whether a worker has announced that it shuts down.
+// isLeaving reports whether a worker has announced its shutdown.
 func isLeaving(rec *jobs.Worker) bool { return rec.Draining || rec.Left }
 
 // markAnswered records an answered call, with the worker's clock (0: unknown).
 func (w *worker) markAnswered(now, clock time.Duration) {
-	w.contact.answered(now)
+	w.contact.markAnswered(now)
 	w.lease.setClock(now, clock)
 }
 
-// endReplacedWorker ends the runs of a worker in whose place another incarnation answers: they died with their process.
-// The worker takes no starts and isn't called until it is forgotten.
+// endReplacedWorker ends the runs of a worker at whose address another incarnation answers, as the runs died with the
+// old process. The worker is sent no starts and no renewals until it is deleted from the table.
 func (c *Core) endReplacedWorker(w *worker) {
 	for _, key := range sortedRuns(w.runs) {
 		if r := w.runs[key]; r.start.sent {
@@ -77,9 +78,9 @@
 	clear(w.orphans)
 }
 
-// workersToForget returns the workers without runs that were silent for Config.ForgetAfter, and count as gone. A worker
-// that has announced its shutdown serves on for a while, and its heartbeats may come late: deleted from the table too
-// soon, it would register again as a new one.
+// workersToForget returns the workers without runs that were silent for Config.ForgetAfter and are to be deleted from
+// the table. The time must be long enough for a worker that has announced its shutdown: it continues for a while and
+// its heartbeats may come late. If it were deleted too soon, it would register again as a new worker.
 func (c *Core) workersToForget(now time.Duration) []string {
 	var ids []string
 	for _, w := range c.workerList {
