--- a/internal/controller/scheduler/ack_test.go
+++ b/internal/controller/scheduler/ack_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLastEndsAreAcknowledged(t *testing.T) {
-	Convey("The last ends of a worker on which nothing runs any more are acknowledged in time, once", t, func() {
+	Convey("The last ends of a worker without runs are acknowledged after ackDelay, once", t, func() {
 		c := newReadyCluster()
 		c.endAs(c.runningTask(jobs.Step{}, ""), jobs.EndDone)
 		acknowledged := func() (calls int) {
@@ -22,7 +22,7 @@
 		}
 		c.renewals = nil
 		c.runPasses()
-		So(acknowledged(), ShouldEqual, 0) // usually the next run brings a call
+		So(acknowledged(), ShouldEqual, 0) // ackDelay has not passed
 		for range 20 {
 			c.now += sweepInterval
 			c.runPasses()
--- a/internal/controller/scheduler/balance_test.go
+++ b/internal/controller/scheduler/balance_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/jobs"
 )
 
-// paidAccounts are accounts on the clock of a cluster.
+// paidAccounts is an account table that reads the clock of a cluster.
 type paidAccounts struct {
 	*account.Table
 	cluster *cluster
@@ -22,8 +22,9 @@
 
 func (a paidAccounts) Debit(run string) { a.Table.Debit(run, a.cluster.wall()) }
 
-// pay makes acme, with an account of units, pay for queue q: 10 a second for a core, a window of 10 s in advance.
-func (c *cluster) pay(units int64) paidAccounts {
+// addPaidAccount makes acme pay for queue q: 10 units per core and second, reserved for a window of 10 s in advance.
+// units is the balance of its account.
+func (c *cluster) addPaidAccount(units int64) paidAccounts {
 	acme := jobs.Party{Name: "acme", Queues: []string{"q"}, Price: account.Price{Core: 10}, Window: 10 * time.Second}
 	So(c.table.SetParties(jobs.SetParties{Parties: []jobs.Party{acme}}), ShouldBeNil)
 	accounts := paidAccounts{account.NewTable(), c}
@@ -40,21 +41,21 @@
 
 // startsOf counts the starts of a job that the newest passes sent.
 func (c *cluster) startsOf(job string) int {
-	starts := 0
+	count := 0
 	for _, start := range c.starts {
 		if start.Order.Key.Task.Job == job {
-			starts++
+			count++
 		}
 	}
-	return starts
+	return count
 }
 
 func TestQueueOfExhaustedAccount(t *testing.T) {
-	Convey("A queue whose account is exhausted waits without commits and goes on soon after a top-up", t, func() {
+	Convey("Tasks of a queue with an exhausted account wait without commits and start soon after a top-up", t, func() {
 		c := newReadyCluster()
-		accounts := c.pay(150)
+		accounts := c.addPaidAccount(150)
 		c.submit("j", jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}})
-		c.runPasses() // it returns: no start is proposed and refused again and again
+		c.runPasses() // returns only if no pass proposes a start that the table refuses
 		So(c.startsOf("j"), ShouldEqual, 1)
 		c.accept()
 		c.answer(RenewalAnswer{Running: []ListedRun{{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}}}})
--- a/internal/controller/scheduler/cluster_test.go
+++ b/internal/controller/scheduler/cluster_test.go
@@ -9,16 +9,15 @@
 	"crosstide/internal/jobs"
 )
 
-// cluster is a Core that leads, the table that it schedules and a simulated clock. What the Core proposes is committed
+// cluster is a leading Core, the table that it schedules and a simulated clock. The proposals of the Core are committed
 // at once; the test answers its calls.
 type cluster struct {
 	core  *Core
 	table *jobs.Table
 	now   time.Duration
 
-	// Set by runPasses alone.
-	starts   []StartAction   // of the newest passes
-	stops    []StopAction    // of the newest passes
+	starts   []StartAction   // sent by the passes of the newest runPasses
+	stops    []StopAction    // sent by the passes of the newest runPasses
 	renewals []RenewalAction // in flight, oldest first
 }
 
@@ -74,7 +73,7 @@
 // workerClock returns the clock of the workers.
 func (c *cluster) workerClock() time.Duration { return time.Minute + c.now }
 
-// register puts a worker into the table.
+// register adds a worker to the table or updates it.
 func (c *cluster) register(worker jobs.Worker) {
 	c.table.Register(jobs.Register{Workers: []jobs.Worker{worker}})
 }
@@ -117,7 +116,7 @@
 	return actions
 }
 
-// runPasses runs passes until nothing is left to commit, and collects the calls of all.
+// runPasses runs passes until nothing is left to commit, and collects the calls of all these passes.
 func (c *cluster) runPasses() {
 	c.starts, c.stops = nil, nil
 	for {
@@ -131,7 +130,7 @@
 	}
 }
 
-// answer answers the newest renewal in flight, of worker w; the earlier ones stay unanswered.
+// answer answers the newest renewal in flight for worker w; the earlier ones stay unanswered.
 func (c *cluster) answer(answer RenewalAnswer) {
 	So(c.renewals, ShouldNotBeEmpty)
 	answer.Clock = c.workerClock()
@@ -139,7 +138,7 @@
 	c.renewals = nil
 }
 
-// answerAll answers all renewals in flight. percent is the progress of the runs of each worker.
+// answerAll answers all renewals in flight. percent maps worker IDs to the progress of the runs on that worker.
 func (c *cluster) answerAll(percent map[string]int) {
 	renewals := c.renewals
 	c.renewals = nil
@@ -169,12 +168,12 @@
 	c.answer(RenewalAnswer{Ended: []EndedRun{{Sequence: 1, Key: key, Reason: reason}}})
 }
 
-// endRuns answers all renewals in flight, but for one worker's, with the good end of every run.
-func (c *cluster) endRuns(except string) {
+// endRuns answers all renewals in flight with the successful end of every run, except those of one worker.
+func (c *cluster) endRuns(exceptWorker string) {
 	renewals := c.renewals
 	c.renewals = nil
 	for _, renewal := range renewals {
-		if renewal.Worker.ID == except {
+		if renewal.Worker.ID == exceptWorker {
 			c.renewals = append(c.renewals, renewal)
 			continue
 		}
@@ -186,9 +185,10 @@
 	}
 }
 
-// failRenewals makes all renewals fail for a time, in passes 200 ms apart.
-func (c *cluster) failRenewals(d time.Duration, heartbeats bool) {
-	for end := c.now + d; c.now < end; c.now += 200 * time.Millisecond {
+// failRenewals runs passes every 200 ms for a period in which all renewals fail. heartbeats is whether the worker sends
+// heartbeats during that time.
+func (c *cluster) failRenewals(period time.Duration, heartbeats bool) {
+	for end := c.now + period; c.now < end; c.now += 200 * time.Millisecond {
 		for _, renewal := range c.renewals {
 			c.core.RenewalAnswered(c.now, "w", renewal.Number, RenewalAnswer{}, RenewalFailed)
 		}
@@ -200,14 +200,14 @@
 	}
 }
 
-// accept answers all start orders of the newest passes well.
+// accept makes the workers accept all start orders of the newest passes.
 func (c *cluster) accept() {
 	for _, start := range c.starts {
 		c.core.StartAnswered(c.now, start.Worker.ID, start.Order.Key, StartAnswer{Clock: c.workerClock()}, StartOK)
 	}
 }
 
-// loseStarts leaves the start orders of the newest passes to some workers without an answer.
+// loseStarts reports that the start orders of the newest passes to the given workers got no answer.
 func (c *cluster) loseStarts(workers ...string) {
 	for _, start := range c.starts {
 		for _, id := range workers {
@@ -227,7 +227,7 @@
 	return starts
 }
 
-// stopOutcome returns the outcome of a stop order that was answered, or was not.
+// stopOutcome returns the outcome of a stop order that was or wasn't answered.
 func stopOutcome(answered bool) StopError {
 	if answered {
 		return StopOK
@@ -235,7 +235,8 @@
 	return StopFailed
 }
 
-// runningTask starts one task of two cores, which worker w lists with a checkpoint and which has run for a second.
+// runningTask starts a job j of one task that needs two cores. Worker w has listed the run with the checkpoint, and the
+// run was started a second ago.
 func (c *cluster) runningTask(step jobs.Step, checkpoint string) jobs.RunKey {
 	step.Count, step.Needs = 1, jobs.Resources{MilliCPU: 2000}
 	c.submit("j", step)
@@ -250,7 +251,7 @@
 	return key
 }
 
-// firstStart answers every renewal of passes as healthy workers do until a start leaves, and returns that start.
+// firstStart runs passes and answers their renewals until a start is sent, and returns that start.
 func (c *cluster) firstStart() StartAction {
 	for range 20 {
 		actions := c.passAfter(time.Millisecond)
@@ -262,16 +263,16 @@
 			return actions.Starts[0]
 		}
 	}
-	panic("no start")
+	panic("no start was sent")
 }
 
-// startAll starts job j1 of count tasks on the cluster's workers, which answer all calls well.
+// startAll starts job j1 of count tasks on the cluster's workers, which accept all start orders.
 func (c *cluster) startAll(count int) {
 	c.submit("j1", jobs.Step{Count: count, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 	for range 20 {
 		actions := c.passAfter(time.Millisecond)
 		for _, renewal := range actions.Renewals {
-			if renewal.Call.Wait == 0 { // long polls wait for an end, and none comes
+			if renewal.Call.Wait == 0 { // long polls stay open, as no run ends
 				answer := RenewalAnswer{Clock: c.workerClock()}
 				c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 			}
--- a/internal/controller/scheduler/deregister_test.go
+++ b/internal/controller/scheduler/deregister_test.go
@@ -9,9 +9,10 @@
 	"crosstide/internal/jobs"
 )
 
-// The worker of TestDeregisteredWorkerServesOn never drains: it deregisters, serves on, and exits.
+// TestDeregisteredWorkerServesOn covers a worker that deregisters without draining: its run continues until the worker
+// exits.
 func TestDeregisteredWorkerServesOn(t *testing.T) {
-	Convey("Given a run on a worker that has deregistered and serves on", t, func() {
+	Convey("Given a run on a worker that has deregistered and continues to serve", t, func() {
 		c := newReadyCluster()
 		c.submit("j", jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second, MaxPerWorker: 1})
 		c.runPasses()
@@ -22,7 +23,7 @@
 		c.runPasses()
 		c.deregister()
 		c.submitTo("urgent", "k", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
-		Convey("its lease is renewed, nothing more starts there, and the end of its run is recorded", func() {
+		Convey("its lease is renewed, it is sent no more starts, and the end of its run is recorded", func() {
 			for range 20 {
 				c.now += 200 * time.Millisecond
 				c.core.Heartbeat(c.now, "w", c.workerClock())
@@ -40,13 +41,13 @@
 			So(c.table.Jobs["j"].Rounds[0][0][key.Task.Index].Done, ShouldBeTrue)
 			So(c.starts, ShouldBeEmpty)
 		})
-		Convey("when it has exited, its run is lost once the lease has certainly expired, not before", func() {
+		Convey("when it has exited, its run is ended as lost only once the lease has certainly expired", func() {
 			c.failRenewals(Defaults().Lease-time.Second, false)
 			So(c.table.RunsOn("w"), ShouldHaveLength, 1)
 			c.failRenewals(4*time.Second, false)
 			So(c.table.RunsOn("w"), ShouldBeEmpty)
 		})
-		Convey("when another incarnation answers in its place, its run is lost at once", func() {
+		Convey("when another incarnation answers in its place, its run is ended as lost at once", func() {
 			c.core.RenewalAnswered(c.now, "w", c.renewals[len(c.renewals)-1].Number, RenewalAnswer{}, RenewalOtherIncarnation)
 			c.runPasses()
 			So(c.table.RunsOn("w"), ShouldBeEmpty)
@@ -55,7 +56,7 @@
 }
 
 func TestDeregisteredWorkerWithoutRuns(t *testing.T) {
-	Convey("A worker that has deregistered and runs nothing is not called any more", t, func() {
+	Convey("A worker that has deregistered and has no runs is no longer called", t, func() {
 		c := newReadyCluster()
 		c.register(jobs.Worker{ID: "unknown", Left: true})
 		c.deregister()
@@ -66,7 +67,7 @@
 			c.runPasses()
 		}
 		So(c.renewals, ShouldBeEmpty)
-		Convey("A worker that was never heard from is kept as long as heartbeats may be late", func() {
+		Convey("A deregistered worker that was never heard from stays in the table for ForgetAfter", func() {
 			c.now += time.Hour
 			c.runPasses()
 			So(c.table.Workers["unknown"], ShouldBeNil)
@@ -78,8 +79,8 @@
 			So(c.table.Workers["another"], ShouldNotBeNil)
 		})
 	})
-	// A late heartbeat would register it as a new one.
-	Convey("A deregistered worker without runs is not forgotten after one failed call", t, func() {
+	// If it were deleted, a late heartbeat would register it as a new worker.
+	Convey("A deregistered worker without runs stays in the table after one failed call", t, func() {
 		c := newReadyCluster()
 		c.submit("j", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
 		c.runPasses()
@@ -87,7 +88,7 @@
 		c.core.StartAnswered(c.now, "w", c.starts[0].Order.Key, StartAnswer{}, StartUnsent)
 		for range 10 {
 			c.now += time.Second
-			c.core.Heartbeat(c.now, "w", c.workerClock()) // it serves on
+			c.core.Heartbeat(c.now, "w", c.workerClock())
 			c.runPasses()
 			So(c.table.Workers["w"], ShouldNotBeNil)
 			So(c.starts, ShouldBeEmpty)
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -33,7 +33,7 @@
 		c.endAs(key, jobs.EndStopped)
 		So(c.core.Health(c.now).Discarded[CauseJobOver].Runs, ShouldEqual, 1)
 	})
-	Convey("Good ends and failures discard nothing; checkpointed and long-running work costs no core-seconds", t, func() {
+	Convey("Runs that are done or failed discard nothing; checkpointed and long-running ones no core-seconds", t, func() {
 		for _, reason := range []jobs.EndReason{jobs.EndDone, jobs.EndFailed} {
 			c := newReadyCluster()
 			c.endAs(c.runningTask(jobs.Step{}, ""), reason)
@@ -46,7 +46,7 @@
 		c.endAs(c.runningTask(jobs.Step{LongRunning: true}, ""), jobs.EndLeaseExpired)
 		So(c.core.Health(c.now).Discarded[CauseLeaseExpired], ShouldResemble, Discarded{Runs: 1})
 	})
-	Convey("A run counts as expired if its lease did, and as lost if its worker does not list it", t, func() {
+	Convey("A run is counted as expired if its lease expired, and as lost if its worker does not list it", t, func() {
 		c := newReadyCluster()
 		c.runningTask(jobs.Step{}, "")
 		for range 60 { // the worker is silent
@@ -63,7 +63,7 @@
 		So(c.core.Health(c.now).Discarded, ShouldHaveLength, 1)
 		So(c.core.Health(c.now).Discarded[CauseLost].Runs, ShouldEqual, 1)
 	})
-	Convey("A start without an answer that is stopped counts as unanswered", t, func() {
+	Convey("A run that is stopped because its start got no answer is counted as unanswered", t, func() {
 		c := newReadyCluster()
 		c.submit("j", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 		c.runPasses()
--- a/internal/controller/scheduler/flowcontrol_test.go
+++ b/internal/controller/scheduler/flowcontrol_test.go
@@ -16,7 +16,7 @@
 		c.submit("j", jobs.Step{Count: tasks, Needs: jobs.Resources{MilliCPU: 100}, Estimate: time.Second})
 		c.runPasses()
 		So(len(c.starts), ShouldEqual, Defaults().MaxOrdersPerWorker)
-		Convey("the next ones leave with each answer, until all have left", func() {
+		Convey("each answer lets the next ones be sent, until all are sent", func() {
 			started := map[jobs.RunKey]bool{}
 			for range tasks {
 				for _, s := range c.starts {
@@ -32,7 +32,7 @@
 	})
 }
 
-// answerFirst answers the first stop or renewal of a pass, which takes worker w's only connection. The others fail.
+// answerFirst answers the first stop or renewal of a pass, which uses worker w's only connection. The others fail.
 func (c *cluster) answerFirst(actions Actions) {
 	calls := 0
 	for _, stop := range actions.Stops {
@@ -65,7 +65,7 @@
 				}
 				c.answerFirst(actions)
 			}
-			So("a second start", ShouldEqual, "sent")
+			So("second start not sent", ShouldEqual, "sent")
 		})
 	})
 }
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/jobs"
 )
 
-// month is a cluster under one term for a simulated month, which alternates periods of work and pauses.
+// month is a cluster under one term for a simulated month, which alternates between periods of work and idle time.
 type month struct {
 	*cluster
 	workers      []string // IDs of the running ones
@@ -26,8 +26,8 @@
 
 const (
 	monthWorkers   = 6
-	periodInterval = 20 * time.Minute // from the begin of one period to that of the next
-	periodPasses   = 40               // of a period
+	periodInterval = 20 * time.Minute // idle time before each period
+	periodPasses   = 40               // number of passes in a period
 	periodsPerDay  = int(24 * time.Hour / periodInterval)
 	jobRetention   = 10 * time.Minute
 )
@@ -41,7 +41,7 @@
 	return m
 }
 
-// startWorker starts a worker under an ID that was never used.
+// startWorker registers a worker under an ID that was never used before.
 func (m *month) startWorker() {
 	m.incarnations++
 	id := fmt.Sprintf("w%d", m.incarnations)
@@ -49,7 +49,7 @@
 	m.table.Register(jobs.Register{Workers: []jobs.Worker{testWorker(id)}})
 }
 
-// crash ends the oldest worker, which announces nothing.
+// crash ends the oldest worker without an announcement of its shutdown.
 func (m *month) crash() {
 	id := m.workers[0]
 	m.workers = m.workers[1:]
@@ -58,20 +58,20 @@
 	delete(m.counts, id)
 }
 
-// submitKind submits a job whose ID begins with the way in which its runs end.
-func (m *month) submitKind(kind string) string {
+// submitWithOutcome submits a job whose ID begins with the outcome of its runs, see answerRenewal.
+func (m *month) submitWithOutcome(outcome string) string {
 	m.jobs++
-	id := fmt.Sprintf("%s%d", kind, m.jobs)
+	id := fmt.Sprintf("%s%d", outcome, m.jobs)
 	m.submit(id, jobs.Step{Count: 2, Needs: jobs.Resources{MilliCPU: 500}, Estimate: time.Second})
 	return id
 }
 
-// runPeriod submits jobs, works on them, and purges old ones. A worker may crash in the middle of it.
+// runPeriod submits jobs, runs them, and purges old ones. With crash a worker crashes after a quarter of the passes.
 func (m *month) runPeriod(crash bool) {
 	m.now += periodInterval
-	m.submitKind("done")
-	m.submitKind("fails")
-	cancelled := m.submitKind("stays")
+	m.submitWithOutcome("done")
+	m.submitWithOutcome("fails")
+	cancelled := m.submitWithOutcome("stays")
 	for pass := range periodPasses {
 		for _, id := range m.workers {
 			m.core.Heartbeat(m.now, id, m.now)
@@ -91,7 +91,7 @@
 
 func (m *month) isUp(id string) bool { return slices.Contains(m.workers, id) }
 
-// carryOut answers the calls of a pass as running workers do, and not at all as crashed ones.
+// carryOut answers the calls of a pass. Calls to crashed workers get no answer.
 func (m *month) carryOut(actions Actions) {
 	for _, s := range actions.Starts {
 		if !m.isUp(s.Worker.ID) {
@@ -145,23 +145,23 @@
 	}
 }
 
-// sizes collects the lengths of all maps and slices of a value and of the structs in it, by path.
-func sizes(name string, v reflect.Value, into map[string]int) {
+// collectLengths adds the lengths of all maps and slices of a value and of the structs in it to lengths, by path.
+func collectLengths(path string, v reflect.Value, lengths map[string]int) {
 	switch v.Kind() {
 	case reflect.Map, reflect.Slice:
-		into[name] = v.Len()
+		lengths[path] = v.Len()
 	case reflect.Struct:
 		for i := range v.NumField() {
-			sizes(name+"."+v.Type().Field(i).Name, v.Field(i), into)
+			collectLengths(path+"."+v.Type().Field(i).Name, v.Field(i), lengths)
 		}
 	}
 }
 
-// size returns the lengths of all maps and slices of the scheduler and its table, and that of the encoded table.
-func (m *month) size() map[string]int {
+// lengths returns the lengths of all maps and slices of the scheduler and its table, and that of the encoded table.
+func (m *month) lengths() map[string]int {
 	lengths := map[string]int{}
-	sizes("core", reflect.ValueOf(m.core).Elem(), lengths)
-	sizes("table", reflect.ValueOf(m.table).Elem(), lengths)
+	collectLengths("core", reflect.ValueOf(m.core).Elem(), lengths)
+	collectLengths("table", reflect.ValueOf(m.table).Elem(), lengths)
 	data, err := m.table.Encode()
 	must(err)
 	lengths["bytes/1000"] = len(data) / 1000
@@ -169,7 +169,7 @@
 }
 
 func TestMemoryStaysBoundedOverMonth(t *testing.T) {
-	Convey("No map or list of the scheduler and its table grows from the third day of a month to the last", t, func() {
+	Convey("No map or slice of the scheduler and its table grows after the third day of a month", t, func() {
 		m := newMonth()
 		var early map[string]int
 		for day := 1; day <= 30; day++ {
@@ -177,10 +177,10 @@
 				m.runPeriod(period%12 == 0)
 			}
 			if day == 3 {
-				early = m.size()
+				early = m.lengths()
 			}
 		}
-		late := m.size()
+		late := m.lengths()
 		t.Log(m.jobs, "jobs,", m.incarnations, "incarnations of workers:", late)
 		So(m.core.Counts.Done, ShouldBeGreaterThan, 3000)
 		So(m.core.Counts.Failed, ShouldBeGreaterThan, 3000)
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -13,18 +13,19 @@
 // usualPercent is the progress of a run that is as fast as its peers.
 const usualPercent = 90
 
-// paced starts runs on four workers, two on each, of a step whose other tasks took a second. After a time it lists the
-// progress in percent of each worker's two runs, and returns the workers on which runs were stopped.
-func (c *cluster) paced(elapsed time.Duration, near string, percent map[string][2]int) (stopped []string) {
+// stoppedAfter starts two runs on each of four workers, of a step whose other tasks took a second. Once the time has
+// elapsed, each worker lists the progress in percent of its two runs. It returns the workers on which runs were
+// stopped.
+func (c *cluster) stoppedAfter(elapsed time.Duration, rack string, percent map[string][2]int) (stopped []string) {
 	c.addWorkers("x", "y", "z")
-	c.submit("j", jobs.Step{Count: 8, Estimate: time.Second, PreferredRack: near, Needs: jobs.Resources{MilliCPU: 1000}})
+	c.submit("j", jobs.Step{Count: 8, Estimate: time.Second, PreferredRack: rack, Needs: jobs.Resources{MilliCPU: 1000}})
 	c.runPasses()
 	So(c.starts, ShouldHaveLength, 8)
 	c.accept()
 	for range minPeers {
 		c.core.speeds.observeDuration(jobs.TaskRef{Job: "j"}, time.Second)
 	}
-	c.answerAll(map[string]int{}) // all are listed
+	c.answerAll(map[string]int{}) // lists all runs
 	c.runPasses()
 	c.now += elapsed
 	renewals := c.renewals
@@ -32,16 +33,16 @@
 	for _, renewal := range renewals {
 		answer := RenewalAnswer{Clock: c.workerClock()}
 		for i, key := range c.table.RunsOn(renewal.Worker.ID) {
-			done := percent[renewal.Worker.ID][i%2]
-			if done == usualPercent {
-				c.core.runs[key].start.sentAt = c.now - 900*time.Millisecond // it began later
+			runPercent := percent[renewal.Worker.ID][i%2]
+			if runPercent == usualPercent {
+				c.core.runs[key].start.sentAt = c.now - 900*time.Millisecond // it started later than the slow runs
 			}
-			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: done})
+			answer.Running = append(answer.Running, ListedRun{Key: key, Percent: runPercent})
 		}
 		c.core.RenewalAnswered(c.now, renewal.Worker.ID, renewal.Number, answer, RenewalOK)
 	}
-	c.runPasses() // it decides
-	c.runPasses() // and sends the stops
+	c.runPasses() // decides on the stops
+	c.runPasses() // sends the stops
 	for _, stop := range c.stops {
 		stopped = append(stopped, stop.Worker.ID)
 	}
@@ -49,8 +50,8 @@
 }
 
 func TestOnlySlowWorkersLoseRuns(t *testing.T) {
-	// with returns the usual progress on all workers but one.
-	with := func(id string, percent [2]int) map[string][2]int {
+	// usualExcept returns the usual progress on all workers but one.
+	usualExcept := func(id string, percent [2]int) map[string][2]int {
 		byWorker := map[string][2]int{}
 		for _, worker := range []string{"w", "x", "y", "z"} {
 			byWorker[worker] = [2]int{usualPercent, usualPercent}
@@ -59,25 +60,26 @@
 		return byWorker
 	}
 	Convey("A long task among short ones stays on a worker that is as fast as others", t, func() {
-		So(newReadyCluster().paced(2200*time.Millisecond, "", with("w", [2]int{47, usualPercent})), ShouldBeEmpty)
+		So(newReadyCluster().stoppedAfter(2200*time.Millisecond, "", usualExcept("w", [2]int{47, usualPercent})),
+			ShouldBeEmpty)
 	})
 	Convey("Two runs that both take long prove a slow worker: they are moved", t, func() {
-		stopped := newReadyCluster().paced(2200*time.Millisecond, "", with("w", [2]int{47, 47}))
+		stopped := newReadyCluster().stoppedAfter(2200*time.Millisecond, "", usualExcept("w", [2]int{47, 47}))
 		So(stopped, ShouldResemble, []string{"w", "w"})
 	})
-	Convey("One run that takes longer than tasks of a step ever differ is moved too", t, func() {
-		stopped := newReadyCluster().paced(2200*time.Millisecond, "", with("w", [2]int{30, usualPercent}))
+	Convey("One run with a slowdown of certainSlowdown is moved too", t, func() {
+		stopped := newReadyCluster().stoppedAfter(2200*time.Millisecond, "", usualExcept("w", [2]int{30, usualPercent}))
 		So(stopped, ShouldResemble, []string{"w"})
 	})
 	Convey("A run away from its data takes longer everywhere, which does not prove a slow worker", t, func() {
-		slow := with("w", [2]int{50, usualPercent})
-		So(newReadyCluster().paced(3*time.Second, "", slow), ShouldResemble, []string{"w"})
-		So(newReadyCluster().paced(3*time.Second, "r", slow), ShouldBeEmpty)
+		slow := usualExcept("w", [2]int{50, usualPercent})
+		So(newReadyCluster().stoppedAfter(3*time.Second, "", slow), ShouldResemble, []string{"w"})
+		So(newReadyCluster().stoppedAfter(3*time.Second, "r", slow), ShouldBeEmpty)
 	})
 }
 
 func TestRunsLeaveStalledWorker(t *testing.T) {
-	Convey("A run without progress is moved within 1.5 s, and its worker is excluded until it has progress", t, func() {
+	Convey("A stalled run is moved within 1.5 s, and its worker is sent no starts until it has progress", t, func() {
 		c := newReadyCluster()
 		c.addWorkers("x", "y", "z")
 		c.submit("j", jobs.Step{Count: 4, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 3000}})
@@ -86,16 +88,16 @@
 		stalled := c.starts[0].Worker.ID
 		c.accept()
 		percent := map[string]int{}
-		began := c.now
+		startedAt := c.now
 		var stopped []StopAction
-		for c.now < began+1500*time.Millisecond && len(stopped) == 0 {
+		for c.now < startedAt+1500*time.Millisecond && len(stopped) == 0 {
 			c.now += 100 * time.Millisecond
 			for _, id := range []string{"w", "x", "y", "z"} {
 				if id != stalled {
-					percent[id] = int((c.now - began) / (50 * time.Millisecond))
+					percent[id] = int((c.now - startedAt) / (50 * time.Millisecond))
 				}
 			}
-			if c.now > began+500*time.Millisecond { // the others end, so that there is capacity to move to
+			if c.now > startedAt+500*time.Millisecond { // the other runs end, which frees capacity for the move
 				c.endRuns(stalled)
 			}
 			c.answerAll(percent)
@@ -104,7 +106,7 @@
 		}
 		So(stopped, ShouldHaveLength, 1)
 		So(stopped[0].Worker.ID, ShouldEqual, stalled)
-		So(c.now-began, ShouldBeLessThan, 1500*time.Millisecond)
+		So(c.now-startedAt, ShouldBeLessThan, 1500*time.Millisecond)
 		c.submit("more", jobs.Step{Count: 3, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 1000}})
 		c.runPasses()
 		So(c.starts, ShouldHaveLength, 3)
@@ -112,15 +114,15 @@
 			So(s.Worker.ID, ShouldNotEqual, stalled)
 		}
 	})
-	Convey("Stalled workers take starts all the same if they are more than a quarter", t, func() {
+	Convey("Stalled workers are sent starts if more than a quarter of the workers are stalled", t, func() {
 		c := newReadyCluster()
 		c.core.workers["w"].cooldown.stalledAt = c.now
 		c.submit("j", jobs.Step{Count: 1, Estimate: time.Second, Needs: jobs.Resources{MilliCPU: 1000}})
 		c.runPasses()
 		So(c.starts, ShouldHaveLength, 1)
 	})
-	Convey("A stalled worker takes starts again after progress of any run, or after a time", t, func() {
-		for _, again := range []string{"progress", "time"} {
+	Convey("A stalled worker is sent starts again after progress of any run, or after stalledBackoff", t, func() {
+		for _, recovery := range []string{"progress", "time"} {
 			c := newReadyCluster()
 			c.addWorkers("x", "y", "z")
 			c.submit("j", jobs.Step{Count: 4, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 3000}})
@@ -132,14 +134,14 @@
 			c.runPasses()
 			So(c.starts, ShouldHaveLength, 3)
 			c.accept()
-			if again == "time" {
+			if recovery == "time" {
 				c.now += stalledBackoff
 			} else {
 				c.answerAll(map[string]int{"w": 1})
 			}
 			c.now += sweepInterval
 			c.runPasses()
-			So(fmt.Sprint(again, len(c.starts)), ShouldEqual, fmt.Sprint(again, 1))
+			So(fmt.Sprint(recovery, len(c.starts)), ShouldEqual, fmt.Sprint(recovery, 1))
 			So(c.starts[0].Worker.ID, ShouldEqual, "w")
 		}
 	})
--- a/internal/controller/scheduler/queue_test.go
+++ b/internal/controller/scheduler/queue_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestJobsWaitForRemovedQueue(t *testing.T) {
-	Convey("A job whose queue was removed is started when a configuration has the queue again", t, func() {
+	Convey("A job whose queue was removed is started once a configuration adds the queue again", t, func() {
 		c := newReadyCluster()
 		c.submit("j", jobs.Step{Count: 1})
 		So(c.table.Configure(jobs.Configure{Base: 1, Version: 2, RemoveQueues: []string{"q"}}), ShouldBeNil)
@@ -23,16 +23,16 @@
 }
 
 func TestCriticalPath(t *testing.T) {
-	Convey("The critical path is the longest time along steps that wait for each other", t, func() {
+	Convey("The critical path is the duration of the longest chain of dependent steps, given", t, func() {
 		step := func(estimate time.Duration, after ...int) jobs.Step {
 			return jobs.Step{Estimate: estimate, After: after}
 		}
 		diamond := []jobs.Step{step(time.Second), step(3*time.Second, 0), step(2*time.Second, 0), step(time.Second, 1, 2)}
-		for _, c := range []struct {
+		for _, tt := range []struct {
 			name  string
 			steps []jobs.Step
-			whole time.Duration
-			from  []time.Duration // by step
+			want  time.Duration
+			from  []time.Duration // by first step
 		}{
 			{"no steps", nil, 0, nil},
 			{"a step without an estimate", []jobs.Step{step(0)}, minEstimate, []time.Duration{minEstimate}},
@@ -43,10 +43,10 @@
 			{"a diamond", diamond, 5 * time.Second,
 				[]time.Duration{5 * time.Second, 4 * time.Second, 3 * time.Second, time.Second}},
 		} {
-			Convey(c.name, func() {
-				So(criticalPath(c.steps), ShouldEqual, c.whole)
-				for number, want := range c.from {
-					So(criticalPathFrom(c.steps, number), ShouldEqual, want)
+			Convey(tt.name, func() {
+				So(criticalPath(tt.steps), ShouldEqual, tt.want)
+				for first, want := range tt.from {
+					So(criticalPathFrom(tt.steps, first), ShouldEqual, want)
 				}
 			})
 		}
@@ -54,22 +54,23 @@
 }
 
 func TestQueueOrder(t *testing.T) {
-	Convey("Units are placed by priority, then by latest start, then as their jobs came; expired ones last", t, func() {
-		at := time.Unix(1_000_000, 0)
-		due := func(id string, priority int, sequence uint64, latestStart time.Duration) *unit {
+	Convey("Units are ordered by priority, then latest start, then job sequence; expired ones are last", t, func() {
+		wall := time.Unix(1_000_000, 0)
+		newUnit := func(id string, priority int, sequence uint64, latestStart time.Duration) *unit {
 			return &unit{job: &jobs.Job{Spec: jobs.Spec{ID: id}, Sequence: sequence}, queue: &jobs.Queue{Priority: priority},
-				latestStart: at.Add(latestStart), expiresAt: at.Add(time.Hour)}
+				latestStart: wall.Add(latestStart), expiresAt: wall.Add(time.Hour)}
 		}
-		expired := due("expired", 0, 1, 0)
-		expired.expiresAt = at.Add(-time.Second)
+		expired := newUnit("expired", 0, 1, 0)
+		expired.expiresAt = wall.Add(-time.Second)
 		core := New(Defaults())
 		for _, u := range []*unit{
-			expired, due("low", 1, 2, 0), due("late", 0, 3, time.Minute), due("second", 0, 5, 0), due("first", 0, 4, 0),
+			expired, newUnit("low", 1, 2, 0), newUnit("late", 0, 3, time.Minute), newUnit("second", 0, 5, 0),
+			newUnit("first", 0, 4, 0),
 		} {
 			core.activeJobs[u.job.Spec.ID] = &job{units: []*unit{u}}
 		}
 		var order []string
-		for _, u := range core.dueUnits(at) {
+		for _, u := range core.dueUnits(wall) {
 			order = append(order, u.job.Spec.ID)
 		}
 		So(order, ShouldResemble, []string{"first", "second", "late", "low", "expired"})
--- a/internal/controller/scheduler/reconcile_test.go
+++ b/internal/controller/scheduler/reconcile_test.go
@@ -8,26 +8,26 @@
 
 func TestIsProvedDead(t *testing.T) {
 	Convey("A run that the answer to renewal 10 does not list", t, func() {
-		for _, c := range []struct {
+		for _, tt := range []struct {
 			name string
 			run  run
 			dead bool
 		}{
 			{"of an earlier term is dead: the renewal has fenced its leader", run{start: startState{sent: true}}, true},
-			{"whose order has not left is not: it will leave", run{ownTerm: true}, false},
-			{"whose order is in flight is not", run{ownTerm: true, start: startState{sent: true}}, false},
-			{"whose start is unconfirmed is not: the order may be carried out late",
+			{"whose order was not sent is not dead: it will be sent", run{ownTerm: true}, false},
+			{"whose order is in flight is not dead", run{ownTerm: true, start: startState{sent: true}}, false},
+			{"whose start is unconfirmed is not dead: the order may be carried out late",
 				run{ownTerm: true, start: startState{sent: true, unconfirmedSeq: 9}}, false},
-			{"whose start was accepted before the renewal left is dead",
+			{"whose start was accepted before the renewal was sent is dead",
 				run{ownTerm: true, start: startState{sent: true, acceptedSeq: 9}}, true},
-			{"whose start was accepted after it left is not: the list may be older",
+			{"whose start was accepted after the renewal was sent is not dead: the list may be older",
 				run{ownTerm: true, start: startState{sent: true, acceptedSeq: 11}}, false},
-			{"whose stop was answered before the renewal left is dead",
+			{"whose stop was answered before the renewal was sent is dead",
 				run{ownTerm: true, start: startState{sent: true, unconfirmedSeq: 7}, stop: stopState{answeredSeq: 9}}, true},
-			{"whose stop was answered after it left is not yet",
+			{"whose stop was answered after the renewal was sent is not proved dead",
 				run{ownTerm: true, start: startState{sent: true, unconfirmedSeq: 7}, stop: stopState{answeredSeq: 11}}, false},
 		} {
-			Convey(c.name, func() { So(c.run.isProvedDead(10), ShouldEqual, c.dead) })
+			Convey(tt.name, func() { So(tt.run.isProvedDead(10), ShouldEqual, tt.dead) })
 		}
 	})
 }
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -9,8 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
-// waitingGang returns a cluster in which a gang of tasks of one core each waits, as other work takes three of the
-// worker's four cores; a small task was submitted after it.
+// waitingGang returns a cluster in which a gang of tasks that need one core each waits, as another job uses three of
+// the worker's four cores. Once the gang had waited for ReserveAfter, a small task was submitted.
 func waitingGang(cores int) *cluster {
 	c := newReadyCluster()
 	c.submit("busy", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 3000}, Estimate: time.Hour})
@@ -31,7 +31,7 @@
 }
 
 func TestNodesAreReservedForGang(t *testing.T) {
-	Convey("Nodes are reserved for a gang that has waited and would fit on empty workers", t, func() {
+	Convey("Nodes are reserved for a gang that has waited for ReserveAfter and would fit on empty workers", t, func() {
 		So(waitingGang(4).starts, ShouldBeEmpty)
 	})
 	Convey("Nothing is reserved for a gang that would not fit on empty workers", t, func() {
--- a/internal/controller/scheduler/start_test.go
+++ b/internal/controller/scheduler/start_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestUnsentStartsOfThrottledWorker(t *testing.T) {
-	Convey("Given four starts for a throttled worker, to which one order leaves at a time", t, func() {
+	Convey("Given four starts for a throttled worker, to which one order is sent at a time", t, func() {
 		c := newReadyCluster()
 		c.core.workers["w"].contact.throttledUntil = c.now + throttlePeriod
 		c.submit("j", jobs.Step{Count: 4, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Second})
@@ -18,13 +18,13 @@
 		So(c.starts, ShouldHaveLength, 1)
 		So(c.table.RunsOn("w"), ShouldHaveLength, 4)
 		first := c.starts[0].Order.Key
-		Convey("when that one is answered, the next one leaves", func() {
+		Convey("when that order is answered, the next one is sent", func() {
 			c.accept()
 			c.runPasses()
 			So(c.starts, ShouldHaveLength, 1)
 			So(c.starts[0].Order.Key, ShouldNotResemble, first)
 		})
-		Convey("when that one gets no answer, the others never leave, and their tasks are due again at once", func() {
+		Convey("when that order gets no answer, the others are never sent, and their tasks are due again at once", func() {
 			c.core.StartAnswered(c.now, "w", first, StartAnswer{}, StartUnknown)
 			c.runPasses()
 			So(c.starts, ShouldBeEmpty)
@@ -38,7 +38,7 @@
 }
 
 func TestUnsentStartsMoveFromUnreachableWorker(t *testing.T) {
-	Convey("A start that waits behind others to a worker goes elsewhere once the worker does not answer", t, func() {
+	Convey("Tasks whose start orders are not sent yet move to another worker once theirs does not answer", t, func() {
 		c := newReadyCluster()
 		c.core.cfg.MaxOrdersPerWorker = 1
 		c.submit("j", jobs.Step{Count: 3, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1000}})
--- a/internal/controller/scheduler/stop_test.go
+++ b/internal/controller/scheduler/stop_test.go
@@ -19,7 +19,7 @@
 			must(err)
 			So(len(c.passAfter(time.Millisecond).Stops), ShouldEqual, 6)
 			So(c.passAfter(time.Millisecond).Stops, ShouldBeEmpty)
-			Convey("And another one after a pause if the order got no answer, but none once it was answered", func() {
+			Convey("And another one after RetryMin if the order got no answer, but none once it was answered", func() {
 				for key, r := range c.core.runs {
 					c.core.StopAnswered(c.now, r.worker, key, stopOutcome(key.Task.Index > 0))
 				}
@@ -29,7 +29,7 @@
 				So(again[0].Order.Key.Task.Index, ShouldEqual, 0)
 			})
 		})
-		Convey("When nothing is to be stopped, runsToStop is empty", func() {
+		Convey("When no run has to be stopped, runsToStop is empty", func() {
 			c.passAfter(sweepInterval)
 			So(c.core.runsToStop, ShouldBeEmpty)
 		})
@@ -37,14 +37,14 @@
 }
 
 func TestOrphanIsStopped(t *testing.T) {
-	Convey("Given a worker that lists a run of which the table has no handle", t, func() {
+	Convey("Given a worker that lists a run without a handle in the table", t, func() {
 		c := newCluster(2, "w1")
 		actions := c.passAfter(time.Millisecond)
 		So(len(actions.Renewals), ShouldEqual, 1)
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "gone"}, Number: 3}
 		c.core.RenewalAnswered(c.now, "w1", actions.Renewals[0].Number,
 			RenewalAnswer{Clock: c.workerClock(), Running: []ListedRun{{Key: key}}}, RenewalOK)
-		Convey("Then it gets a stop order, and the orphan is forgotten after its answer", func() {
+		Convey("Then it is sent a stop order, and the orphan is forgotten after the answer", func() {
 			stops := c.passAfter(time.Millisecond).Stops
 			So(len(stops), ShouldEqual, 1)
 			So(stops[0].Order.Key, ShouldResemble, key)
--- a/internal/controller/scheduler/zone_test.go
+++ b/internal/controller/scheduler/zone_test.go
@@ -31,7 +31,7 @@
 
 func TestZoneIsVerifiedAfterLosses(t *testing.T) {
 	wide := jobs.Step{Count: 9, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1500}}
-	Convey("When several workers of a zone stop answering, its others get no starts before they have answered", t, func() {
+	Convey("When several workers of a zone stop answering, its others are sent no starts until they answer", t, func() {
 		c := newZones()
 		c.submit("j", wide)
 		c.runPasses()
@@ -47,7 +47,7 @@
 			So(c.startedOn()["east3"], ShouldEqual, 1)
 		})
 	})
-	Convey("Two workers without an answer do not implicate their zone", t, func() {
+	Convey("Two workers that stop answering do not cause a verification of their zone", t, func() {
 		c := newZones()
 		c.submit("j", wide)
 		c.runPasses()
@@ -58,21 +58,21 @@
 	})
 }
 
-func TestLossesThatDoNotImplicateZone(t *testing.T) {
+func TestLossesThatDoNotTriggerVerification(t *testing.T) {
 	lose := func(c *cluster, count int) {
 		for i := range count {
 			c.core.markUnanswered(c.core.workers[fmt.Sprint("east", i)], c.now)
 		}
 	}
-	verifying := func(c *cluster) bool { return c.core.workers["east30"].contact.verifyAt > 0 }
-	Convey("A large zone is implicated by a fraction of its workers without an answer, not by a few", t, func() {
+	isVerifying := func(c *cluster) bool { return c.core.workers["east30"].contact.verifyAt > 0 }
+	Convey("A large zone is verified only after one in zoneFraction of its workers has stopped answering", t, func() {
 		c := newZonesOf(100, "east")
 		lose(c, 100/zoneFraction-1)
-		So(verifying(c), ShouldBeFalse)
+		So(isVerifying(c), ShouldBeFalse)
 		lose(c, 100/zoneFraction)
-		So(verifying(c), ShouldBeTrue)
+		So(isVerifying(c), ShouldBeTrue)
 	})
-	Convey("Workers that announced their shutdown do not implicate their zone when they stop answering", t, func() {
+	Convey("Workers that announced their shutdown do not cause a verification when they stop answering", t, func() {
 		c := newZonesOf(40, "east")
 		for i := range 20 {
 			leaving := *c.table.Workers[fmt.Sprint("east", i)]
@@ -81,6 +81,6 @@
 		}
 		c.runPasses()
 		lose(c, 20)
-		So(verifying(c), ShouldBeFalse)
+		So(isVerifying(c), ShouldBeFalse)
 	})
 }
