--- a/internal/dataplane/scheduler/admit.go
+++ b/internal/dataplane/scheduler/admit.go
@@ -12,38 +12,40 @@
 	"crosstide/internal/state"
 )
 
-// queue has the due tasks: those in back-off by time, the others by class. An entry may be out of date, and is checked
-// against the replica when it is used. Owner: Core.
+// queue has the due tasks: those in back-off ordered by time, the others by class. An entry may be out of date; it is
+// checked against the replica when it is used. Core owns the queue.
 type queue struct {
 	classes map[string]*class // by key
 	backoff backoffHeap
-	queued  map[state.TaskRef]bool // all of classes and backoff
+	queued  map[state.TaskRef]bool // every task in classes or backoff
 }
 
+// clear removes all tasks and classes.
 func (q *queue) clear() {
 	q.classes, q.backoff, q.queued = map[string]*class{}, nil, map[state.TaskRef]bool{}
 }
 
+// len returns the number of queued tasks, including those in back-off.
 func (q *queue) len() int { return len(q.queued) }
 
 // isIdle reports whether no task is ready to be placed.
 func (q *queue) isIdle() bool { return len(q.queued) == len(q.backoff) }
 
-// class is a set of due tasks that may run on the same workers, with what placement has found out about them.
+// class is a set of due tasks with the same placement requirements, and their placement state.
 type class struct {
 	key      string
 	taskType string
 	queue    string
 	team     string
-	gang     bool // all of its tasks start together
+	gang     bool // all of its tasks start together or none does
 
-	refs []queuedTask // by age of their jobs, from head on
+	refs []queuedTask // the tasks from index head on, oldest job first
 	head int
 
-	unschedulable bool // its oldest task fitted on none of the workers when they were last all tried
-	// passedOverSince is when a younger task first started while none of the class fitted; 0: none did.
+	unschedulable bool // its oldest task fitted on no worker in the latest round that considered all workers
+	// passedOverSince is when a younger task first started while no task of the class fitted; 0 if none has.
 	passedOverSince   time.Duration
-	nextReservationAt time.Duration // the class gets no reservation earlier
+	nextReservationAt time.Duration // earliest time of the class's next reservation
 }
 
 // queuedTask is a due task in its class.
@@ -52,21 +54,22 @@
 	seq uint64 // of its job
 }
 
-// insert puts a task behind those of its own job and of older jobs, so that a task that falls due again does not wait
-// behind younger jobs. A new task belongs at the end and a returning one near the head: the shorter side is moved.
-func (cls *class) insert(q queuedTask) {
-	at, _ := slices.BinarySearchFunc(cls.refs[cls.head:], q.seq+1,
+// insert puts a task behind those of its own job and of older jobs, so that a task that becomes due again does not
+// wait behind younger jobs. New tasks are inserted near the end and requeued ones near the head, so the shorter side
+// is moved.
+func (cls *class) insert(task queuedTask) {
+	at, _ := slices.BinarySearchFunc(cls.refs[cls.head:], task.seq+1,
 		func(e queuedTask, seq uint64) int { return cmp.Compare(e.seq, seq) })
 	if cls.head > 0 && at < len(cls.refs)-cls.head-at {
 		cls.head--
 		copy(cls.refs[cls.head:], cls.refs[cls.head+1:cls.head+1+at])
-		cls.refs[cls.head+at] = q
+		cls.refs[cls.head+at] = task
 		return
 	}
-	cls.refs = slices.Insert(cls.refs, cls.head+at, q)
+	cls.refs = slices.Insert(cls.refs, cls.head+at, task)
 }
 
-// groupSize returns how many of the class's tasks are placed together.
+// groupSize returns the number of tasks that are placed together: all of a gang, otherwise one.
 func (cls *class) groupSize() int {
 	if cls.gang {
 		return len(cls.refs) - cls.head
@@ -74,28 +77,28 @@
 	return 1
 }
 
-// backoffTask is a due task that is not to be placed before at.
+// backoffTask is a due task that must not be placed before at.
 type backoffTask struct {
 	at  time.Duration
 	ref state.TaskRef
 }
 
-// backoffHeap is a container/heap by time.
+// backoffHeap implements heap.Interface, ordered by time.
 type backoffHeap []backoffTask
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h backoffHeap) Len() int { return len(h) }
 
-// Less orders the tasks by the end of their back-off; part of heap.Interface.
+// Less implements heap.Interface: it orders the tasks by the end of their back-off.
 func (h backoffHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h backoffHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *backoffHeap) Push(x any) { *h = append(*h, x.(backoffTask)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *backoffHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -114,7 +117,7 @@
 	}
 }
 
-// enqueue adds a due task to the queue. It ignores one that is queued already or not due any more.
+// enqueue adds a due task to the queue. It ignores a task that is already queued or no longer due.
 func (c *Core) enqueue(ref state.TaskRef) {
 	_, task := c.st.TaskOf(ref)
 	if task == nil || task.Phase != state.TaskDue {
@@ -134,14 +137,14 @@
 	c.addToClass(ref)
 }
 
-// endBackoffs moves tasks whose back-off is over to their classes.
+// endBackoffs moves tasks whose back-off has ended to their classes.
 func (c *Core) endBackoffs(now time.Duration) {
 	for len(c.queue.backoff) > 0 && c.queue.backoff[0].at <= now {
 		c.addToClass(heap.Pop(&c.queue.backoff).(backoffTask).ref)
 	}
 }
 
-// addToClass puts a task into its class, which it creates if needed.
+// addToClass adds a task to its class, and creates the class if it does not exist.
 func (c *Core) addToClass(ref state.TaskRef) {
 	job, _ := c.st.TaskOf(ref)
 	if job == nil {
@@ -158,8 +161,8 @@
 	cls.insert(queuedTask{ref, job.Seq})
 }
 
-// classKey returns the key of a task's class: all that decides which workers may run it. Ties between classes are
-// broken by their keys.
+// classKey returns the key of a task's class. It contains every attribute that decides which workers may run the task.
+// Ties between classes are broken by their keys.
 func (c *Core) classKey(job *state.Job, step *state.StepSpec, ref state.TaskRef) string {
 	var key strings.Builder
 	fmt.Fprintf(&key, "%s|%s|%s|%d|%d", job.Spec.Queue, job.Spec.Team, step.Type, step.Cores, step.GPUs)
@@ -169,14 +172,14 @@
 	if step.Gang {
 		fmt.Fprintf(&key, "|gang|%s|%d", ref.Job, ref.Step)
 	}
-	if !step.Gang && c.st.IsRestart(ref) { // not to wait behind one that its party's balance does not cover
+	if !step.Gang && c.st.IsRestart(ref) { // must not wait behind a task that its party's balance does not cover
 		key.WriteString("|attached")
 	}
 	return key.String()
 }
 
-// peek returns the oldest task of a class that is still due, with its job; nil if none is left. Tasks that are not due
-// any more are dropped.
+// peek returns the oldest task of a class that is still due, and its job, or nil if none is left. It drops tasks that
+// are no longer due.
 func (c *Core) peek(cls *class) (*state.Job, *state.TaskRef) {
 	for cls.head < len(cls.refs) {
 		ref := &cls.refs[cls.head].TaskRef
--- a/internal/dataplane/scheduler/budget.go
+++ b/internal/dataplane/scheduler/budget.go
@@ -6,11 +6,11 @@
 	"crosstide/internal/state"
 )
 
-// budget is the state of the parties' balances while placement makes a plan. The store checks each start again when the
-// plan is applied; the budget keeps the scheduler from proposing the same uncovered starts in every plan.
+// budget tracks the parties' balances while placement builds a plan. The store checks each start again when the plan
+// is applied; the budget keeps the scheduler from proposing the same uncovered starts in every plan.
 type budget struct {
-	reserved map[string]int64 // what the starts of the plan need, by party
-	// firstUncovered is the first of a party's due tasks that its balance does not cover; later ones wait behind it.
+	reserved map[string]int64 // fees of the starts in the plan, by party
+	// firstUncovered is, by party, the first due task that the balance does not cover. Later tasks wait behind it.
 	firstUncovered map[string]paymentOrder
 }
 
@@ -18,7 +18,7 @@
 	return budget{reserved: map[string]int64{}, firstUncovered: map[string]paymentOrder{}}
 }
 
-// paymentOrder orders a party's due tasks: urgent queues first, then by age of the job.
+// paymentOrder is the position of a due task among those of its party: by rank, then oldest job first.
 type paymentOrder struct {
 	rank rank
 	seq  uint64
@@ -28,8 +28,8 @@
 	return cmp.Or(cmp.Compare(o.rank, other.rank), cmp.Compare(o.seq, other.seq)) < 0
 }
 
-// resetBudget clears the budget for a new plan, and finds each party's first uncovered task before any task is placed.
-// It finds none if the bundle has no parties.
+// resetBudget clears the budget for a new plan, and records each party's first uncovered task before any task is
+// placed. Without parties in the bundle every task is covered.
 func (c *Core) resetBudget() {
 	clear(c.placement.budget.reserved)
 	clear(c.placement.budget.firstUncovered)
@@ -43,7 +43,7 @@
 	}
 }
 
-// nextFee returns the fee of the tasks of a class that are placed together next.
+// nextFee returns the total fee of the next group of tasks of a class.
 func (c *Core) nextFee(cls *class, job *state.Job) state.Fee {
 	var sum state.Fee
 	for _, task := range cls.refs[cls.head : cls.head+cls.groupSize()] {
@@ -55,17 +55,17 @@
 	return sum
 }
 
-// isCovered reports whether a party's balance covers the next fee of a class, in addition to what the plan has
-// reserved. If it does not, the class is recorded as the party's first uncovered one, and tasks that come later wait
-// behind it.
+// isCovered reports whether the party's balance covers the next fee of a class in addition to the fees that the plan
+// has reserved. If not, it records the class's next task as the party's first uncovered one, behind which later tasks
+// wait.
 func (c *Core) isCovered(cls *class, job *state.Job) bool {
 	fee := c.nextFee(cls, job)
 	if fee.Party == "" {
 		return true
 	}
 	order := paymentOrder{c.rankOf(cls, 0), job.Seq}
-	first, waits := c.placement.budget.firstUncovered[fee.Party]
-	if waits && first.before(order) {
+	first, exists := c.placement.budget.firstUncovered[fee.Party]
+	if exists && first.before(order) {
 		return false
 	}
 	fee.Cost += c.placement.budget.reserved[fee.Party]
@@ -76,15 +76,16 @@
 	return false
 }
 
-// reserveFee reserves the fee of a class's next tasks in the plan. It must be called before they are popped.
+// reserveFee reserves the fee of a class's next group in the plan. It must be called before the group is popped.
 func (c *Core) reserveFee(cls *class, job *state.Job) {
 	if fee := c.nextFee(cls, job); fee.Party != "" {
 		c.placement.budget.reserved[fee.Party] += fee.Cost
 	}
 }
 
-// awaitsTopUp reports whether a class waits for its party's balance. Such a class delays no other party: it gets no
-// reservation, and is tried again with the next sweep, and at once when an account is topped up.
+// awaitsTopUp reports whether the balance of a class's party does not cover its next tasks. Such a class delays no
+// other party: it gets no reservation. It is considered again at the next sweep, and immediately when an account
+// changes.
 func (c *Core) awaitsTopUp(cls *class) bool {
 	if len(c.st.Bundle.Parties) == 0 {
 		return false
@@ -93,7 +94,7 @@
 	return job != nil && !c.isCovered(cls, job)
 }
 
-// TasksAwaitingTopUp returns how many due tasks wait for a top-up, by party; nil if none does.
+// TasksAwaitingTopUp returns the number of due tasks that wait for a top-up, by party, or nil if no task waits.
 func (c *Core) TasksAwaitingTopUp() map[string]int {
 	var waiting map[string]int
 	for _, cls := range c.queue.classes {
--- a/internal/dataplane/scheduler/health.go
+++ b/internal/dataplane/scheduler/health.go
@@ -7,33 +7,35 @@
 	"crosstide/internal/state"
 )
 
-// HealthConfig configures the ejection of unhealthy workers: of those that fail tasks of a type that peers complete.
+// HealthConfig configures the ejection of unhealthy workers, that is, workers that fail tasks of a type that their
+// peers complete.
 type HealthConfig struct {
-	MinFailures      float64       // failures of a type, decayed, below which a worker is not judged
-	MinExcessRate    float64       // its failure rate must exceed its peers' by this much
-	HalfLife         time.Duration // after which an end counts half
-	MaxShare         float64       // of a zone's workers that may be ejected at once, at least one; 0: no ejections
-	ProbeInterval    time.Duration // between two probes of an ejected worker, doubled after each that fails
+	MinFailures      float64       // a worker with fewer failures of a type, after decay, is not ejected
+	MinExcessRate    float64       // a worker is ejected if its failure rate exceeds its peers' by this much
+	HalfLife         time.Duration // interval after which the weight of an end halves
+	MaxShare         float64       // of a zone's workers that may be ejected at once, at least one; 0 disables ejection
+	ProbeInterval    time.Duration // between probes of an ejected worker; doubles after each failed probe
 	MaxProbeInterval time.Duration
-	RecoverAfter     int // probes that must succeed in a row
+	RecoverAfter     int // consecutive successful probes that end an ejection
 }
 
-// defaultHealthConfig returns the values that apply where the settings have none.
+// defaultHealthConfig returns the values used for parameters that the settings omit.
 func defaultHealthConfig() HealthConfig {
 	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxShare: 0.3,
 		ProbeInterval: 4 * time.Second, MaxProbeInterval: 15 * time.Second, RecoverAfter: 3}
 }
 
-// maxBlamedWorkers is how many workers may be blamed for the failures of one job. A job that fails on one worker after
-// another cannot succeed, and its failures say nothing about the workers.
+// maxBlamedWorkers is the number of workers that failures of one job may count against. A job that fails on more
+// workers presumably cannot succeed, so its further failures do not indicate an unhealthy worker.
 const maxBlamedWorkers = 2
 
-// score counts ends of runs, halved with every half-life that passes.
+// score counts ends of runs. The counts halve with every half-life.
 type score struct {
 	succeeded, failed float64
-	at                time.Duration // of the newest halving
+	at                time.Duration // of the latest halving
 }
 
+// decay halves the counts for each half-life since the last halving, and resets them after 16 half-lives.
 func (s *score) decay(now, halfLife time.Duration) {
 	for s.at == 0 || now-s.at >= halfLife {
 		if s.at == 0 || now-s.at >= 16*halfLife {
@@ -44,6 +46,7 @@
 	}
 }
 
+// failureRate returns the share of failed ends, or 0 without ends.
 func (s *score) failureRate() float64 {
 	if s.succeeded+s.failed == 0 {
 		return 0
@@ -51,16 +54,17 @@
 	return s.failed / (s.succeeded + s.failed)
 }
 
-// ejection is the record of an ejected worker: it gets single starts, as probes, until enough of them have succeeded.
+// ejection is the record of an ejected worker. The worker gets one start at a time, as a probe, until enough
+// consecutive probes have succeeded.
 type ejection struct {
 	nextProbeAt   time.Duration
 	probeInterval time.Duration
-	successes     int             // in a row
-	probes        map[uint64]bool // run IDs in flight
+	successes     int             // consecutive successful probes
+	probes        map[uint64]bool // run IDs of probes in flight
 }
 
-// health judges workers by the ends of their runs. It is not replicated: a new leader starts with no scores and no
-// ejections. Owner: Core.
+// health detects unhealthy workers by the ends of their runs. It is not replicated: a new leader starts without scores
+// and ejections. Core owns it.
 type health struct {
 	cfg          HealthConfig
 	scores       map[string]map[string]*score // by worker, by task type
@@ -81,6 +85,7 @@
 	}
 }
 
+// score returns the score of a worker for a task type, and creates it if it does not exist.
 func (h *health) score(worker, taskType string) *score {
 	if h.scores[worker] == nil {
 		h.scores[worker] = map[string]*score{}
@@ -91,6 +96,7 @@
 	return h.scores[worker][taskType]
 }
 
+// total returns the score of all workers for a task type, and creates it if it does not exist.
 func (h *health) total(taskType string) *score {
 	if h.totals[taskType] == nil {
 		h.totals[taskType] = &score{}
@@ -98,7 +104,8 @@
 	return h.totals[taskType]
 }
 
-// recordEnd counts the end of a run for its worker and for all workers, and as a probe's if it was one.
+// recordEnd adds the end of a run to the scores of its worker and of all workers, and handles it as the result of a
+// probe if the run was one.
 func (h *health) recordEnd(now time.Duration, handle *state.Handle, ok bool) {
 	own, total := h.score(handle.Worker, handle.Type), h.total(handle.Type)
 	own.decay(now, h.cfg.HalfLife)
@@ -125,7 +132,8 @@
 	return len(h.failedByJob[ref.Job]) <= maxBlamedWorkers
 }
 
-// recordProbeEnd ends an ejection once enough probes in a row have succeeded, and delays the next one after a failure.
+// recordProbeEnd ends an ejection after enough consecutive successful probes, and delays the next probe after a failed
+// one.
 func (h *health) recordProbeEnd(now time.Duration, handle *state.Handle, ok bool) {
 	e := h.unhealthy[handle.Worker]
 	if e == nil || !e.probes[handle.RunID] {
@@ -140,11 +148,11 @@
 	e.nextProbeAt = now
 	if e.successes++; e.successes >= h.cfg.RecoverAfter {
 		delete(h.unhealthy, handle.Worker)
-		delete(h.scores, handle.Worker) // what it failed before must not eject it again
+		delete(h.scores, handle.Worker) // failures before the recovery must not eject it again
 	}
 }
 
-// recordLost drops a probe whose run is gone without an end: it counts neither way.
+// recordLost drops a probe whose run was lost without an end. It counts neither as a success nor as a failure.
 func (h *health) recordLost(worker string, runID uint64) {
 	if e := h.unhealthy[worker]; e != nil {
 		delete(e.probes, runID)
@@ -158,8 +166,8 @@
 	}
 }
 
-// ejectIfUnhealthy ejects a worker if it fails clearly more tasks of a type than its peers do, and reports whether it
-// did. inZone is the number of workers in its zone, ejected how many of them are ejected already.
+// ejectIfUnhealthy ejects a worker whose failure rate for a task type clearly exceeds that of its peers, and reports
+// whether it did. inZone is the number of workers in its zone, ejected the number of those that are ejected already.
 func (h *health) ejectIfUnhealthy(now time.Duration, worker, taskType string, inZone, ejected int) bool {
 	if h.cfg.MaxShare == 0 || h.unhealthy[worker] != nil {
 		return false
@@ -174,7 +182,7 @@
 		return false
 	}
 	peers := score{succeeded: max(total.succeeded-own.succeeded, 0), failed: max(total.failed-own.failed, 0)}
-	if peers.succeeded < 1 { // nobody completes the type: the cause is not the worker
+	if peers.succeeded < 1 { // no peer completes the type, so the worker is not the cause
 		return false
 	}
 	if own.failureRate() < peers.failureRate()+h.cfg.MinExcessRate {
@@ -185,18 +193,19 @@
 	return true
 }
 
-// admitsStart reports whether a worker may get another start now: a healthy one always, an ejected one a single probe.
+// admitsStart reports whether a worker may get another start now. A healthy worker always may; an ejected one may if a
+// probe is due and none is in flight.
 func (h *health) admitsStart(now time.Duration, worker string) bool {
 	e := h.unhealthy[worker]
 	return e == nil || len(e.probes) == 0 && now >= e.nextProbeAt
 }
 
-// hasFailedOn reports whether a task has failed on a worker: then placement prefers another one.
+// hasFailedOn reports whether a task has failed on a worker. Placement then prefers another worker.
 func (h *health) hasFailedOn(ref state.TaskRef, worker string) bool {
 	return slices.Contains(h.failedByTask[ref], worker)
 }
 
-// dropFinishedJobs drops the failures of jobs that are not open.
+// dropFinishedJobs drops the failure records of jobs for which isOpen returns false.
 func (h *health) dropFinishedJobs(isOpen func(job string) bool) {
 	for ref := range h.failedByTask {
 		if !isOpen(ref.Job) {
@@ -210,7 +219,8 @@
 	}
 }
 
-// checkHealth ejects a worker that fails what its peers complete, unless too many of its zone are ejected already.
+// checkHealth ejects a worker that fails tasks of a type that its peers complete, unless too many workers of its zone
+// are ejected already.
 func (c *Core) checkHealth(now time.Duration, w *worker, taskType string) {
 	rec := c.st.Workers[w.name]
 	if rec == nil || c.health.score(w.name, taskType).failed < c.cfg.Health.MinFailures {
--- a/internal/dataplane/scheduler/place.go
+++ b/internal/dataplane/scheduler/place.go
@@ -8,49 +8,50 @@
 	"crosstide/internal/state/command"
 )
 
-// placement is the state that placement keeps from one plan to the next. Owner: Core.
+// placement is the state that placement keeps between plans. Core owns it.
 type placement struct {
 	ring         []string        // names of workers, in the order in which they were first seen
-	ringOffset   int             // where in the ring the next plan begins, so that starts are spread over the workers
-	freedWorkers map[string]bool // workers that may have gained free capacity since placement ran last
-	fullScan     bool            // the next placement tries every class on all workers
-	current      bool            // nothing that placement depends on has changed since it ran last
+	ringOffset   int             // index in ring at which the next plan begins, to spread starts over the workers
+	freedWorkers map[string]bool // workers that may have gained free capacity since the latest placement
+	fullScan     bool            // the next placement considers every class on all workers
+	current      bool            // no input of placement has changed since the latest placement
 
-	reservation       *reservation // nil: none
+	reservation       *reservation // nil while no workers are reserved
 	nextReservationAt time.Duration
 	budget            budget
 }
 
+// clear resets the state, except ringOffset and budget, and requests a full scan.
 func (p *placement) clear() {
 	p.ring, p.freedWorkers, p.fullScan = nil, map[string]bool{}, true
 	p.reservation, p.nextReservationAt = nil, 0
 }
 
-// candidate is a worker that may get starts, with what the plan has left free on it so far.
+// candidate is a worker that may get starts, with the capacity that the plan has left free so far.
 type candidate struct {
 	rec         *state.Worker
 	cores, gpus int
-	probe       bool // of an ejected worker: one start, no more
+	isProbe     bool // the worker is ejected: it gets a single start
 }
 
-// placementRound is one run of placement.
+// placementRound is the state of one call of place.
 type placementRound struct {
 	plan *command.Plan
-	// The workers that may get a start, and those of them that are in freedWorkers. candidates is empty if no class
-	// is to be tried on all workers. Each search for a worker starts where the one before ended.
+	// The workers that may get a start, and those of them that are in freedWorkers. candidates is empty if no class is
+	// considered on all workers. Each search for a worker starts where the previous one ended.
 	candidates, freed        []*candidate
 	nextCandidate, nextFreed int
 
-	unschedulable map[string]bool // classes that fit on none of the workers that they are tried on, by key
+	unschedulable map[string]bool // classes that fit on none of their candidates, by key
 	startsByType  map[string]int
 	startsByTeam  map[string]int
 }
 
-// place adds starts for due tasks to a plan. Urgent queues go first, then types under their limit, then those over
-// it; among equals the team with the fewest runs for its weight, if the policy has weights, then the oldest job.
+// place adds starts for due tasks to a plan. The order is: urgent queues, types under their limit, types over their
+// limit; among equals the team with the fewest runs for its weight, if the policy has weights, then the oldest job.
 //
-// A class that fits nowhere delays others only by short reservations (see reserve.go): neither a limit nor a large task
-// keeps capacity idle for long that another due task may use.
+// A class that fits on no worker delays others only by short reservations (see reserve.go). Neither a limit nor a
+// large task keeps capacity idle for long that another due task may use.
 func (c *Core) place(now time.Duration, p *command.Plan) {
 	c.endBackoffs(now)
 	if c.queue.isIdle() || len(c.placement.ring) == 0 {
@@ -84,16 +85,16 @@
 
 // newRound selects the workers that may get a start now, and the classes that fit on none of them.
 //
-// A class that fitted nowhere is tried on freed workers only, until a sweep or a change of placement: otherwise, on a
-// full cluster, every answer would cost the number of classes times the number of workers.
+// A class that fitted on no worker is considered only on freed workers until the next sweep, or until the placement
+// policy or an account changes. Otherwise, on a full cluster, every answer would cost O(classes * workers).
 func (c *Core) newRound(now time.Duration, p *command.Plan) *placementRound {
 	round := &placementRound{plan: p, unschedulable: map[string]bool{},
 		startsByType: map[string]int{}, startsByTeam: map[string]int{}}
-	tryAll := c.placement.fullScan
+	scanAll := c.placement.fullScan
 	for _, cls := range c.queue.classes {
-		tryAll = tryAll || !cls.unschedulable
+		scanAll = scanAll || !cls.unschedulable
 	}
-	if tryAll {
+	if scanAll {
 		round.candidates = c.candidates(now, c.rotatedRing())
 		for _, w := range round.candidates {
 			if c.placement.freedWorkers[w.rec.Name] {
@@ -115,7 +116,7 @@
 	return round
 }
 
-// rotatedRing returns the ring, beginning at its offset.
+// rotatedRing returns the names in the ring, starting at ringOffset.
 func (c *Core) rotatedRing() []string {
 	ring := make([]string, len(c.placement.ring))
 	for i := range ring {
@@ -124,7 +125,7 @@
 	return ring
 }
 
-// candidates returns those of the named workers that may get a start now, in the order of names.
+// candidates returns the named workers that may get a start now and have free cores, in the order of names.
 func (c *Core) candidates(now time.Duration, names []string) []*candidate {
 	selected := make([]*candidate, 0, len(names))
 	for _, name := range names {
@@ -141,20 +142,21 @@
 	return selected
 }
 
-// acceptsStarts reports whether a worker may get starts now. One with an order in flight gets none: orders are sent one
-// at a time, in the order of run IDs.
+// acceptsStarts reports whether a worker may get starts now. A worker with an order in flight may not, because orders
+// are sent one at a time, in the order of run IDs.
 func (c *Core) acceptsStarts(now time.Duration, w *worker, rec *state.Worker) bool {
-	answers := w.heardAt > 0 && w.failures == 0 && now-w.heardAt <= c.cfg.PlacementTimeout
-	recorded := w.report == nil && rec.Incarnation == w.incarnation // the store has its latest report
-	return answers && recorded && !w.draining && w.orderCall == 0 && len(w.outbox) == 0 &&
+	isResponsive := w.heardAt > 0 && w.failures == 0 && now-w.heardAt <= c.cfg.PlacementTimeout
+	isRecorded := w.report == nil && rec.Incarnation == w.incarnation // the store has its latest report
+	return isResponsive && isRecorded && !w.draining && w.orderCall == 0 && len(w.outbox) == 0 &&
 		c.health.admitsStart(now, w.name)
 }
 
-// fitsAny reports whether any candidate would take the oldest task of a class.
+// fitsAny reports whether the oldest task of a class fits on any candidate. It returns false if the class awaits a
+// top-up.
 func (c *Core) fitsAny(cls *class, candidates []*candidate) bool {
 	job, ref := c.peek(cls)
 	if job == nil {
-		return true // nextClass drops it
+		return true // nextClass drops the empty class
 	}
 	if c.awaitsTopUp(cls) {
 		return false
@@ -163,13 +165,13 @@
 	return slices.ContainsFunc(candidates, func(w *candidate) bool { return c.fits(cls, job, step, w) })
 }
 
-// fits reports whether a candidate would take a task of a class.
+// fits reports whether a task of a class may start on a candidate.
 func (c *Core) fits(cls *class, job *state.Job, step *state.StepSpec, w *candidate) bool {
 	return c.mayUse(cls, w.rec.Name) && w.cores >= step.Cores && w.gpus >= step.GPUs &&
 		c.st.PlacementRefusal(&job.Spec, step, w.rec) == ""
 }
 
-// classPriority orders the classes that placement may take next.
+// classPriority is the position of a class among those that may be placed next; lower values go first.
 type classPriority struct {
 	rank  rank
 	share float64
@@ -189,12 +191,12 @@
 	return p.key < other.key
 }
 
-// nextClass returns the class whose oldest task is next, with the job of that task; nil if none is left. Classes
-// without tasks are dropped.
+// nextClass returns the class whose oldest task is placed next, and the job of that task, or nil if none is left. It
+// drops classes without tasks.
 func (c *Core) nextClass(round *placementRound) (*class, *state.Job) {
 	var next *class
 	var nextJob *state.Job
-	var first classPriority
+	var nextPriority classPriority
 	for key, cls := range c.queue.classes {
 		if round.unschedulable[key] {
 			continue
@@ -206,15 +208,15 @@
 		}
 		rank := c.rankOf(cls, round.startsByType[cls.taskType])
 		share := c.teamShare(cls.team, round.startsByTeam[cls.team])
-		if p := (classPriority{rank, share, job.Seq, key}); next == nil || p.before(first) {
-			next, nextJob, first = cls, job, p
+		if p := (classPriority{rank, share, job.Seq, key}); next == nil || p.before(nextPriority) {
+			next, nextJob, nextPriority = cls, job, p
 		}
 	}
 	return next, nextJob
 }
 
-// teamShare returns a team's runs, its starts of this round included, divided by its weight; 0 if the policy has no
-// weights.
+// teamShare returns the number of a team's runs, including its starts of this round, divided by the team's weight. It
+// returns 0 if the policy has no weights.
 func (c *Core) teamShare(team string, starts int) float64 {
 	if len(c.st.Bundle.Weights) == 0 {
 		return 0
@@ -222,8 +224,8 @@
 	return float64(c.runningByTeam[team]+starts) / float64(max(1, c.st.Bundle.Weights[team]))
 }
 
-// placeGroup adds starts for those next tasks of a class that must start together. It reports whether it did; if not
-// all of them fit, or their party's balance does not cover them, the plan stays as it is.
+// placeGroup adds starts for the next group of a class to the plan, and reports whether it did. If not all tasks of
+// the group fit, or their party's balance does not cover them, the plan is unchanged.
 func (c *Core) placeGroup(now time.Duration, round *placementRound, cls *class, job *state.Job) bool {
 	size := cls.groupSize()
 	candidates, next := round.candidates, &round.nextCandidate
@@ -256,37 +258,37 @@
 	return true
 }
 
-// fitGroup finds workers for the next size tasks of a class and subtracts what they need from the candidates. If not
-// all of them fit it returns nil, and the candidates are as before.
+// fitGroup finds workers for the next size tasks of a class and subtracts the tasks' resources from the candidates. If
+// not all tasks fit it returns nil and leaves the candidates unchanged.
 func (c *Core) fitGroup(candidates []*candidate, next *int, cls *class, job *state.Job, size int) []command.Start {
 	var starts []command.Start
-	var taken []*candidate
+	var assigned []*candidate
 	for i := range size {
 		ref := cls.refs[cls.head+i].TaskRef
 		step := &job.Spec.Steps[ref.Step]
-		found := c.findWorker(candidates, next, cls, job, ref, size > 1)
-		if found == nil {
-			for n, w := range taken {
+		target := c.findWorker(candidates, next, cls, job, ref, size > 1)
+		if target == nil {
+			for n, w := range assigned {
 				step := &job.Spec.Steps[starts[n].Ref.Step]
 				w.cores += step.Cores
 				w.gpus += step.GPUs
 			}
 			return nil
 		}
-		found.cores -= step.Cores
-		found.gpus -= step.GPUs
-		if found.probe {
-			found.cores = 0
+		target.cores -= step.Cores
+		target.gpus -= step.GPUs
+		if target.isProbe {
+			target.cores = 0
 		}
-		taken = append(taken, found)
-		starts = append(starts, command.Start{Ref: ref, Worker: found.rec.Name, Incarnation: found.rec.Incarnation})
+		assigned = append(assigned, target)
+		starts = append(starts, command.Start{Ref: ref, Worker: target.rec.Name, Incarnation: target.rec.Incarnation})
 	}
 	return starts
 }
 
-// findWorker returns the next candidate that a task fits on, nil if there is none. One on which the task has failed
-// before is chosen only if it fits on no other, and never as a probe. A gang gets no probes: a failed one would delay
-// it.
+// findWorker returns the next candidate that a task fits on, or nil. A worker on which the task has failed before is
+// returned only if the task fits on no other, and never for a probe. Gangs get no probes, because a failed probe would
+// delay the whole gang.
 func (c *Core) findWorker(candidates []*candidate, next *int, cls *class, job *state.Job, ref state.TaskRef,
 	inGang bool) *candidate {
 	step := &job.Spec.Steps[ref.Step]
@@ -294,13 +296,13 @@
 	for range candidates {
 		w := candidates[*next%len(candidates)]
 		*next++
-		if w.probe && inGang || !c.fits(cls, job, step, w) {
+		if w.isProbe && inGang || !c.fits(cls, job, step, w) {
 			continue
 		}
 		if !c.health.hasFailedOn(ref, w.rec.Name) {
 			return w
 		}
-		if fallback == nil && !w.probe {
+		if fallback == nil && !w.isProbe {
 			fallback = w
 		}
 	}
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -8,24 +8,25 @@
 	"crosstide/internal/state/command"
 )
 
-// facts are findings about runs and workers that no plan contains yet. Owner: Core; nextPlan empties them.
+// facts are observed changes of runs and workers that no plan contains yet. Core owns them; nextPlan moves them into a
+// plan.
 type facts struct {
 	newlyRunning []uint64
 	unconfirmed  []uint64
 	ends         []command.End
-	proofs       []command.Proof // of runs that can never run any more
-	reported     map[string]bool // workers whose record has a report
+	proofs       []command.Proof // that runs are dead: they can no longer execute
+	reported     map[string]bool // workers whose record has a report, by name
 }
 
-// inFlightPlan is a plan that was proposed and has not been answered.
+// inFlightPlan is a plan that was proposed and whose answer is pending.
 type inFlightPlan struct {
 	plan        *command.Plan
 	sentAt      time.Duration
-	invalidated bool // the records were rebuilt since: its answer is dropped
+	invalidated bool // the records were rebuilt since: its answer is ignored
 }
 
-// nextPlan collects the facts, places due tasks, and returns both as one plan; nil if there is nothing to commit, or
-// while another plan is in flight.
+// nextPlan returns a plan with the collected facts and starts for due tasks. It returns nil if there is nothing to
+// commit or another plan is in flight.
 func (c *Core) nextPlan(now time.Duration) *command.Plan {
 	if c.planInFlight != nil {
 		return nil
@@ -57,9 +58,9 @@
 	return plan
 }
 
-// PlanAnswered handles the answer to the plan in flight. The replica must have reached the plan's index, so that it has
-// the handles of the plan's run IDs. A plan that failed may have been committed all the same: its contents are proposed
-// again with the next one, and no order is sent for the run IDs that it was given.
+// PlanAnswered handles the answer to the plan in flight. The replica must have reached the plan's index, so that it
+// has the handles of the plan's run IDs. A failed plan may have been committed nevertheless: its contents are
+// proposed again in the next plan, and no order is sent for run IDs that the store assigned to it.
 func (c *Core) PlanAnswered(now time.Duration, epoch uint64, planned command.Planned, err error) {
 	c.now = now
 	sent := c.planInFlight
@@ -69,7 +70,7 @@
 	if c.planInFlight, c.placement.current = nil, false; sent.invalidated || c.role.phase != Ready {
 		return
 	}
-	for _, start := range sent.plan.Starts { // a refused start left its capacity free
+	for _, start := range sent.plan.Starts { // the capacity of a refused start is still free
 		c.placement.freedWorkers[start.Worker] = true
 	}
 	if err != nil {
@@ -91,8 +92,8 @@
 	}
 }
 
-// planFailed restores the ends, proofs and starts of a failed plan; its other facts recur in the next answers of
-// workers. A stale epoch means that another node has the role.
+// planFailed queues the ends, proofs and starts of a failed plan again; workers repeat its other facts in their next
+// answers. A stale epoch means that another node has the role: the core steps down and keeps only the ends.
 func (c *Core) planFailed(plan *command.Plan, err error) {
 	c.Counts.PlanFailures++
 	c.facts.ends = append(plan.Ends, c.facts.ends...)
@@ -106,8 +107,8 @@
 	}
 }
 
-// queueOrder puts the start order of a committed run ID into its worker's outbox. One whose window is over already is
-// never sent, which proves the run dead.
+// queueOrder adds the start order of a committed run ID to its worker's outbox. If its deadline has passed, the order
+// is never sent, which proves the run dead.
 func (c *Core) queueOrder(now time.Duration, r *run, w *worker, sendBy time.Duration) {
 	if now >= sendBy {
 		c.proveDead(r, command.ProofUnsent, "")
@@ -119,7 +120,7 @@
 	c.callsDue[w.name] = true
 }
 
-// proveDead puts the proof that a run can never run any more into the next plan.
+// proveDead adds a proof that a run can no longer execute to the facts for the next plan.
 func (c *Core) proveDead(r *run, kind command.ProofKind, reason string) {
 	if r.closing {
 		return
@@ -129,7 +130,7 @@
 	c.Counts.ProvedDead[kind]++
 }
 
-// markUnconfirmed records for the next plan that it is unknown whether a run has started.
+// markUnconfirmed adds a run to the facts for the next plan if it is unknown whether the run has started.
 func (c *Core) markUnconfirmed(r *run) {
 	if !r.closing && !r.listed && r.handle.Phase == state.TaskAssigned {
 		c.facts.unconfirmed = append(c.facts.unconfirmed, r.handle.RunID)
--- a/internal/dataplane/scheduler/reconcile.go
+++ b/internal/dataplane/scheduler/reconcile.go
@@ -9,8 +9,8 @@
 	"crosstide/internal/state/command"
 )
 
-// CallFailed handles a call that got no answer. sent reports whether any byte of it may have left this node: if none
-// did, the call's starts are proved dead; otherwise the worker may still carry them out.
+// CallFailed handles a call that got no answer. sent reports whether any byte of it may have left this node. If none
+// did, the runs of the call's start orders are proved dead; otherwise the worker may still execute the orders.
 func (c *Core) CallFailed(now time.Duration, outgoing OutgoingCall, sent bool) {
 	c.now = now
 	call := outgoing.Call
@@ -34,13 +34,13 @@
 			c.proveDead(r, command.ProofUnsent, "")
 			continue
 		}
-		w.floor = max(w.floor, start.RunID) // the next answer either lists the run or proves it dead
+		w.floor = max(w.floor, start.RunID) // the next answer under it either lists the run or shows that it is dead
 		c.markUnconfirmed(r)
 	}
 }
 
-// finishCall marks the connection of a finished call as free, and returns its worker; nil if the call is of another
-// epoch or is not the one in flight.
+// finishCall marks the connection of a finished call as free and returns the call's worker. It returns nil if the call
+// belongs to another epoch or is not the one in flight.
 func (c *Core) finishCall(outgoing OutgoingCall) *worker {
 	w := c.workers[outgoing.Worker]
 	if w == nil || c.role.phase != Ready || outgoing.Call.Epoch != c.role.epoch {
@@ -59,8 +59,8 @@
 	return w
 }
 
-// CallAnswered handles the answer to a call. If it is older than one handled before, only its ends and refusals count.
-// If it names another call, the call counts as failed.
+// CallAnswered handles the answer to a call. Of an answer older than one handled before, only the ends and refusals
+// are used. If the answer names another call, the call is treated as failed.
 func (c *Core) CallAnswered(now time.Duration, outgoing OutgoingCall, answer internalapi.LeaseAnswer) {
 	c.now = now
 	call := outgoing.Call
@@ -74,11 +74,12 @@
 		return
 	}
 	c.recordStarts(w, call, answer.Refused)
-	older := call.Call < w.lastAnswered
-	if older {
+	isOlder := call.Call < w.lastAnswered
+	if isOlder {
 		w.raiseFloor(call.Starts)
 	}
-	if older || w.pastIncarnations[answer.Incarnation] { // made before one that was handled, although its call is newer
+	// An answer of a past incarnation was made before one that was handled, although its call is newer.
+	if isOlder || w.pastIncarnations[answer.Incarnation] {
 		c.Counts.StaleAnswers++
 		c.recordEnds(now, w, answer.Ended)
 		return
@@ -97,7 +98,8 @@
 	c.reconcile(now, w, call, answer)
 }
 
-// recordStarts marks the starts of an answered call as no longer in flight, and proves the refused ones dead.
+// recordStarts marks the start orders of an answered call as no longer in flight, and proves the runs of refused ones
+// dead.
 func (c *Core) recordStarts(w *worker, call internalapi.LeaseCall, refused []internalapi.StartRefusal) {
 	for _, start := range call.Starts {
 		if r := w.runs[start.RunID]; r != nil {
@@ -112,8 +114,8 @@
 	}
 }
 
-// raiseFloor raises the floor to starts that no answer has listed. Once the worker has received that floor, an answer
-// that does not list them proves them dead.
+// raiseFloor raises the floor to the run IDs of starts that no answer has listed. Once the worker has received that
+// floor, an answer that omits such a run shows that it is dead.
 func (w *worker) raiseFloor(starts []internalapi.StartOrder) {
 	for _, start := range starts {
 		if r := w.runs[start.RunID]; r != nil && !r.listed {
@@ -122,7 +124,7 @@
 	}
 }
 
-// updateReport queues a worker's report of itself for the next plan if it differs from the store's record.
+// updateReport queues the worker's attributes in an answer for the next plan if they differ from the store's record.
 func (c *Core) updateReport(w *worker, answer internalapi.LeaseAnswer) {
 	rec := c.st.Workers[w.name]
 	if rec == nil {
@@ -138,13 +140,13 @@
 	}
 }
 
-// sameWorker reports whether two records agree in the fields that a worker reports.
+// sameWorker reports whether two records have equal values in the fields that a worker reports.
 func sameWorker(a, b *state.Worker) bool {
 	return a.Incarnation == b.Incarnation && a.Kind == b.Kind && a.Zone == b.Zone && a.Rack == b.Rack &&
 		a.Cores == b.Cores && a.GPUs == b.GPUs && a.Draining == b.Draining && maps.Equal(a.Labels, b.Labels)
 }
 
-// recordEnds handles listed ends. An end is a fact however old the answer is that lists it.
+// recordEnds handles the ends that an answer lists. Ends are valid regardless of the age of the answer.
 func (c *Core) recordEnds(now time.Duration, w *worker, ended []internalapi.RunEnd) {
 	for _, end := range ended {
 		r := w.runs[end.RunID]
@@ -154,7 +156,7 @@
 		}
 		ok, failed := end.Outcome == internalapi.OutcomeOK, end.Outcome == internalapi.OutcomeFailed
 		if r.endPending || r.closing && !ok && !failed {
-			continue // a run with a proof that is not committed yet may still end: the end goes before the proof
+			continue // only a success or failure takes precedence over a proof not committed yet
 		}
 		r.endPending = ok || failed
 		switch {
@@ -176,8 +178,9 @@
 	}
 }
 
-// recordLateEnd handles a listed end of a run ID without a handle. A run whose handle was released on a proof has
-// ended well all the same if its task has no newer run ID; all other ends may be forgotten by the worker.
+// recordLateEnd handles a listed end of a run ID without a handle. The successful end of a run whose handle was
+// released on a proof is accepted if its task has no newer run ID. All other ends are acknowledged, so that the
+// worker drops them.
 func (c *Core) recordLateEnd(w *worker, end internalapi.RunEnd) {
 	r := c.findReleased(end.RunID)
 	switch {
@@ -190,8 +193,8 @@
 	}
 }
 
-// reconcile compares what a worker lists with its handles: listed runs without a handle are orphans to be stopped,
-// handles without a listed run are dead as soon as the answer proves it.
+// reconcile compares the runs that a worker lists with its handles. Listed runs without a handle are orphans and are
+// stopped; runs of handles that the worker does not list are proved dead as soon as the answer suffices.
 func (c *Core) reconcile(now time.Duration, w *worker, call internalapi.LeaseCall, answer internalapi.LeaseAnswer) {
 	listed := make(map[uint64]bool, len(answer.Running)+len(answer.Ended))
 	for _, runID := range answer.Running {
@@ -204,7 +207,7 @@
 	c.recordEnds(now, w, answer.Ended)
 	proofs, unconfirmed := len(c.facts.proofs), len(c.facts.unconfirmed)
 	for runID, r := range w.runs {
-		// An order that left after this call may not have arrived when the answer was made.
+		// An order sent after this call may not have arrived when the answer was made.
 		unsent := r.ofThisEpoch && (r.orderedIn == 0 || r.orderedIn > call.Call)
 		if listed[runID] || r.closing || r.inOutbox || r.inFlight || unsent {
 			continue
@@ -233,9 +236,10 @@
 	}
 }
 
-// recordAbsence handles a run that a worker should list and does not. Under a floor that the worker has not received
-// its order may still arrive: the floor is raised first. With it a worker that checks orders proves the run dead at
-// once; one of kind obey may carry an order out late, and proves it only after its bound.
+// recordAbsence handles a run that has a handle but is missing from a worker's answer. If the worker has not received
+// a floor that covers the run, its order may still arrive, so the floor is raised first. Once the worker has received
+// it, the absence proves the run dead at once if the worker checks orders. A worker of kind obey may execute an order
+// late, so the run must have been absent for Config.Lateness.
 func (c *Core) recordAbsence(now time.Duration, w *worker, r *run, answer internalapi.LeaseAnswer) {
 	if answer.Floor < r.handle.RunID {
 		w.floor = max(w.floor, r.handle.RunID)
@@ -245,13 +249,14 @@
 	}
 	if w.obeys() {
 		if c.role.lastInheritedRunID > 0 && now < c.role.since+c.cfg.StartWindow {
-			return // an order of before the return to this epoch may not have left yet
+			return // an order queued before this node took the role again may not have been sent yet
 		}
 		if r.absentSince == 0 || r.absentIncarnation != answer.Incarnation {
 			r.absentSince, r.absentIncarnation = max(answer.Clock, 1), answer.Incarnation
 			c.markUnconfirmed(r)
 		}
-		// By the worker's clock: the answer may have been on its way for long, and is true of when it was made.
+		// By the worker's clock: the answer describes the moment at which it was made, and may have been delayed
+		// since.
 		if minElapsed(answer.Clock-r.absentSince) < c.cfg.Lateness {
 			return
 		}
--- a/internal/dataplane/scheduler/records.go
+++ b/internal/dataplane/scheduler/records.go
@@ -8,82 +8,83 @@
 	"crosstide/internal/state"
 )
 
-// run is the record of a handle. Owner: Core; it lives from addRun until removeRun.
+// run is the record of a handle. Core owns it; it exists from addRun until removeRun.
 type run struct {
 	handle *state.Handle
 	team   string
 
-	// How far its start order is, under this epoch.
-	ofThisEpoch bool   // its run ID was given under this epoch, and not before the newest return to it
-	inOutbox    bool   // waits in its worker's outbox
-	orderedIn   uint64 // the call that carried its order; 0: not sent by this leader
+	// Progress of its start order under this epoch.
+	ofThisEpoch bool   // its run ID was assigned under this epoch, after this node last took the role
+	inOutbox    bool   // its order is in its worker's outbox
+	orderedIn   uint64 // number of the call that carried its order; 0 if this leader sent none
 	inFlight    bool   // that call is unanswered
-	listed      bool   // the newest answer that proves anything about it lists it as running
+	listed      bool   // the latest conclusive answer about it lists it as running
 
-	// The latest lease that the worker may know, by its clock in leaseIncarnation; 0: unknown.
+	// The latest lease end that the worker may have received, by its clock in leaseIncarnation; 0 if unknown.
 	leaseUntil       time.Duration
 	leaseIncarnation string
 
-	// For a worker of kind obey: its clock when an answer of absentIncarnation first lacked the run although its floor
-	// had reached the run ID.
+	// For a worker of kind obey: its clock when an answer of absentIncarnation first omitted the run although the
+	// floor of the answer had reached the run ID.
 	absentSince       time.Duration
 	absentIncarnation string
 
-	stopReason string // why it is to be stopped; "" if it is not
-	closing    bool   // its end, or the proof that it is dead, waits in the next plan
-	endPending bool   // its end waits in the next plan; implies closing
+	stopReason string // why it must be stopped; "" if it may continue
+	closing    bool   // its end, or the proof that it is dead, is to be committed
+	endPending bool   // its end is to be committed; implies closing
 }
 
-// releasedRun is a run whose handle was released without a good end while its task is due again. A good end of it may
-// still arrive, and counts until the task has a newer run ID.
+// releasedRun is a run whose handle was released before any successful end was reported, and whose task is due again.
+// A successful end may still arrive, and is accepted until the task has a newer run ID.
 type releasedRun struct {
 	ref        state.TaskRef
-	endPending bool // its end waits in the next plan
+	endPending bool // its end is to be committed
 }
 
-// worker is the record of a worker: what its answers said under this epoch.
+// worker is the record of a worker: its answers and calls under this epoch.
 type worker struct {
 	name string
 	runs map[uint64]*run
 
-	// From the newest answer.
+	// From the latest answer.
 	incarnation      string
 	pastIncarnations map[string]bool
 	kind             string
 	draining         bool
-	heardAt          time.Duration // when it came; 0: none under this epoch
-	clock            time.Duration // the worker's clock in it
+	heardAt          time.Duration // when the answer arrived; 0 if there was none under this epoch
+	clock            time.Duration // the worker's clock in the answer
 	ackedFloor       uint64        // the highest floor that the worker has received
-	report           *state.Worker // what differs from the store's record, for the next plan; nil if nothing does
+	report           *state.Worker // for the next plan; nil if it agrees with the store's record
 
-	// Calls. Their numbers go up by one with each call to the worker under the epoch.
+	// Calls, by number. The number increases by one with each call to the worker under the epoch.
 	lastCall            uint64
-	lastAnswered        uint64 // the newest call whose answer was handled
-	pollCall            uint64 // in flight on the poll connection; 0: none
-	orderCall           uint64 // in flight on the order connection; 0: none
-	lastCallBeforePause uint64 // calls up to it left before the newest pause of the role's lease
-	unanswered          bool   // a call after lastCallBeforePause failed, and none was answered since
-	failures            int    // calls in a row that failed
+	lastAnswered        uint64 // the latest call whose answer was handled
+	pollCall            uint64 // in flight on the poll connection; 0 if none
+	orderCall           uint64 // in flight on the order connection; 0 if none
+	lastCallBeforePause uint64 // the last call sent before the role lease last kept this node from acting
+	unanswered          bool   // a call after lastCallBeforePause failed, and none has been answered since
+	failures            int    // consecutive failed calls
 	retryAt             time.Duration
 
-	// What the next call carries.
-	floor          uint64   // run IDs at or below it that the worker has not started are invalid
+	// Contents of the next call.
+	floor          uint64   // the worker must not start run IDs at or below it that it has not started yet
 	outbox         []uint64 // committed run IDs whose orders are to be sent, ascending
 	outboxDeadline time.Duration
 	acks           []uint64          // ends that the worker may forget
-	orphans        map[uint64]string // runs that it listed and that have no handle, with the reason to stop them
-	urgent         bool              // something must be sent before the poll call comes back
+	orphans        map[uint64]string // listed runs without a handle, with the reason to stop them
+	urgent         bool              // a call must be sent before the poll call in flight is answered
 }
 
-// clockAt returns the least that the worker's clock shows at now.
+// clockAt returns a lower bound of the worker's clock at now, without regard to drift: its answer was made before
+// heardAt.
 func (w *worker) clockAt(now time.Duration) time.Duration { return w.clock + (now - w.heardAt) }
 
-// obeys reports whether the worker is of the kind that carries out a start order whenever it arrives, without a check
-// of its StartBy, run ID and incarnation. How late that may be is bounded by Config.Lateness instead.
+// obeys reports whether the worker is of the kind that executes a start order whenever it arrives, without checking
+// its StartBy, run ID and incarnation. Config.Lateness bounds how late that may be.
 func (w *worker) obeys() bool { return w.kind == "obey" }
 
-// StateChanged updates the records after a change of the replica. The owner calls it before it releases the lock under
-// which the change was applied.
+// StateChanged updates the records after a change of the replica. The owner must call it under the same lock as the
+// change, before releasing the lock.
 func (c *Core) StateChanged(e state.Event) {
 	if c.role.phase != Ready {
 		return
@@ -117,7 +118,7 @@
 	c.placement.current = false
 }
 
-// trackWorker returns the record of a worker, which it creates if needed.
+// trackWorker returns the record of a worker and creates it if it does not exist.
 func (c *Core) trackWorker(name string) *worker {
 	w := c.workers[name]
 	if w == nil {
@@ -141,7 +142,7 @@
 		r.team = job.Spec.Team
 	}
 	c.runningByTeam[r.team]++
-	if c.role.phase != Ready { // rebuilding: the events that would have stopped it are past
+	if c.role.phase != Ready { // rebuilding: events that require a stop have occurred already
 		c.reviewRun(r)
 	}
 }
@@ -164,7 +165,7 @@
 	}
 }
 
-// reviewJob reviews the runs of a job; job may be nil.
+// reviewJob calls reviewRun for each run of a job; job may be nil.
 func (c *Core) reviewJob(job *state.Job) {
 	if job == nil || job.HandleCount() == 0 {
 		return
@@ -178,8 +179,8 @@
 	}
 }
 
-// reviewRun decides whether a run is to be stopped: because its job stops, or because policy, zone or drain no
-// longer allow it.
+// reviewRun sets the stop reason of a run: its job is stopping, or the placement policy, an evacuated zone or a
+// draining worker no longer allows it.
 func (c *Core) reviewRun(r *run) {
 	job, _ := c.st.TaskOf(r.handle.Ref)
 	reason := ""
@@ -190,7 +191,7 @@
 		reason = string(job.Outcome)
 	case w != nil:
 		reason = string(c.st.PlacementRefusal(&job.Spec, &job.Spec.Steps[r.handle.Ref.Step], w))
-		if reason == string(state.RefusedIncarnation) { // the store has not heard of the worker's incarnation yet
+		if reason == string(state.RefusedIncarnation) { // the store does not have the worker's incarnation yet
 			reason = ""
 		}
 	}
@@ -203,8 +204,8 @@
 	}
 }
 
-// findReleased returns the record of a released run while its task is due and has no newer run ID. Otherwise it drops
-// the record and returns nil.
+// findReleased returns the record of a released run if its task is due and has no newer run ID. Otherwise it drops the
+// record and returns nil.
 func (c *Core) findReleased(runID uint64) *releasedRun {
 	r := c.released[runID]
 	if r == nil {
@@ -217,4 +218,5 @@
 	return r
 }
 
+// sortedRunIDs returns the run IDs of runs in ascending order.
 func sortedRunIDs(runs map[uint64]*run) []uint64 { return slices.Sorted(maps.Keys(runs)) }
--- a/internal/dataplane/scheduler/renew.go
+++ b/internal/dataplane/scheduler/renew.go
@@ -11,11 +11,11 @@
 	"crosstide/internal/state/command"
 )
 
-// renewAfter is the part of a lease after which it is renewed.
+// renewAfter is the elapsed fraction of a lease after which the lease is renewed.
 const renewAfter = 0.25
 
-// appendCalls appends the calls to be sent to a worker now: start orders and urgent stops on its order connection, and
-// the next poll if none is in flight. w may be nil: the worker was retired.
+// appendCalls appends the calls that must be sent to a worker now: start orders and urgent stops on its order
+// connection, and the next poll if none is in flight. w is nil if the worker was retired.
 func (c *Core) appendCalls(now time.Duration, w *worker, calls []OutgoingCall) []OutgoingCall {
 	if w == nil {
 		return calls
@@ -36,7 +36,7 @@
 	if w.pollCall == 0 {
 		call := c.newLeaseCall(now, w)
 		call.Wait = c.cfg.PollWait
-		if w.heardAt == 0 || w.failures > 0 || w.floor > w.ackedFloor { // its answer is needed at once
+		if w.heardAt == 0 || w.failures > 0 || w.floor > w.ackedFloor { // the answer is needed at once
 			call.Wait = 0
 		}
 		w.pollCall = call.Call
@@ -45,7 +45,7 @@
 	return calls
 }
 
-// newLeaseCall returns a call with stops, renewals and acknowledgements, but without starts.
+// newLeaseCall returns the next call to a worker, with stops, renewals and acknowledgements, but without starts.
 func (c *Core) newLeaseCall(now time.Duration, w *worker) internalapi.LeaseCall {
 	w.lastCall++
 	c.role.highestCall = max(c.role.highestCall, w.lastCall)
@@ -72,21 +72,22 @@
 	return call
 }
 
-// addRenewals adds renewals to a call. A lease is renewed once a quarter of it has passed, and only while the worker
-// answers: calls that may not have arrived must not postpone its expiry for ever. A call has one RenewUntil, so it
-// renews leases of one length: that of the lease of which the largest part has passed.
+// addRenewals adds renewals to a call. runs must belong to a worker that answers: renewals in calls that may not have
+// arrived would postpone the known end of a lease for ever. A lease is renewed once a quarter of it has elapsed. A
+// call has a single RenewUntil, so it renews only leases of one length: that of the lease with the largest elapsed
+// fraction.
 func (c *Core) addRenewals(now time.Duration, w *worker, runs []*run, call *internalapi.LeaseCall) {
-	usedPart := func(r *run) float64 {
+	elapsedFraction := func(r *run) float64 {
 		if r.leaseIncarnation != w.incarnation {
 			return 1
 		}
 		return float64(w.clockAt(now)+c.leaseOf(r)-r.leaseUntil) / float64(c.leaseOf(r))
 	}
 	var length time.Duration
-	mostUsed := 0.0
+	largestFraction := 0.0
 	for _, r := range runs {
-		if used := usedPart(r); used > renewAfter && used > mostUsed {
-			mostUsed, length = used, c.leaseOf(r)
+		if fraction := elapsedFraction(r); fraction > renewAfter && fraction > largestFraction {
+			largestFraction, length = fraction, c.leaseOf(r)
 		}
 	}
 	if length == 0 {
@@ -94,20 +95,20 @@
 	}
 	call.RenewUntil = w.clockAt(now) + length
 	for _, r := range runs {
-		if c.leaseOf(r) == length && usedPart(r) > renewAfter {
+		if c.leaseOf(r) == length && elapsedFraction(r) > renewAfter {
 			call.Renew = append(call.Renew, r.handle.RunID)
 			r.leaseUntil, r.leaseIncarnation = call.RenewUntil, w.incarnation
 		}
 	}
 }
 
-// leaseOf returns the length of a run's lease, as its placement policy had it when its run ID was given.
+// leaseOf returns the length of a run's lease according to the placement policy in force when its run ID was assigned.
 func (c *Core) leaseOf(r *run) time.Duration { return cmp.Or(r.handle.LeaseTTL, c.cfg.RunLease) }
 
-// firstLease returns the length of the lease in a start order. A worker that obeys checks nothing of an order but its
-// lease. One that was suspended with the order unread must not carry it out long after the job was cancelled or the
-// zone evacuated: its first lease is no longer than the bound on its lateness, and the first answer that lists the run
-// renews it in full. Other workers check StartBy.
+// firstLease returns the length of the lease in a start order. A worker of kind obey checks only the lease of an
+// order. If it was suspended before it read the order, it must not execute the order long after the job was cancelled
+// or the zone evacuated. Its first lease is therefore at most Config.Lateness, and is renewed in full after the first
+// answer that lists the run. Other workers check StartBy.
 func (c *Core) firstLease(w *worker, r *run) time.Duration {
 	if w.obeys() && c.cfg.Lateness > 0 {
 		return min(c.leaseOf(r), c.cfg.Lateness)
@@ -115,8 +116,8 @@
 	return c.leaseOf(r)
 }
 
-// newOrderCall returns a call with the start orders of the outbox, in the order of run IDs. A run that is not to start
-// any more is left out, and proved dead as unsent.
+// newOrderCall returns a call with the start orders of the outbox, in the order of run IDs. A run that must no longer
+// start is left out and proved dead as unsent.
 func (c *Core) newOrderCall(now time.Duration, w *worker, rec *state.Worker) OutgoingCall {
 	call := c.newLeaseCall(now, w)
 	startBy := w.clockAt(now) + c.cfg.StartWindow
@@ -145,7 +146,7 @@
 	return outgoing
 }
 
-// startOrder returns the order to start a run.
+// startOrder returns the start order for a run.
 func startOrder(r *run, job *state.Job, startBy time.Duration) internalapi.StartOrder {
 	ref := r.handle.Ref
 	step := &job.Spec.Steps[ref.Step]
@@ -156,7 +157,7 @@
 	}
 }
 
-// dropUnsentOrders empties an outbox whose orders did not leave in time. They were never sent, so their runs are dead.
+// dropUnsentOrders empties a worker's outbox. Its orders were never sent, which proves their runs dead.
 func (c *Core) dropUnsentOrders(w *worker) {
 	for _, runID := range w.outbox {
 		if r := w.runs[runID]; r != nil {
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -9,32 +9,32 @@
 	"crosstide/internal/state"
 )
 
-// reservation keeps the capacity that becomes free on some workers for one class, for a short time. Without it a class
-// whose tasks need more than one ending run frees would be passed over for ever while smaller tasks are due.
+// reservation holds the capacity that becomes free on some workers for one class, for a short time. Without it, a
+// class whose tasks need more capacity than one ending run frees would starve while smaller tasks are due.
 //
-// Reservations are short, one at a time, with a pause after each, because a due task must not wait long while capacity
-// for it is free.
+// Reservations are short, exclusive and followed by a pause, because a due task must not wait long while capacity for
+// it is free.
 type reservation struct {
-	class   string // key
+	class   string // key of the class
 	workers map[string]bool
 	until   time.Duration
 }
 
-// reserveFactor is how many times the capacity that a class needs is reserved for it, so that enough of it becomes free
-// in time.
+// reserveFactor is the ratio of the capacity reserved for a class to the capacity that it needs, so that enough of it
+// becomes free in time.
 const reserveFactor = 3
 
-// rank orders classes: urgent queues, types under their limit, types over it.
+// rank is the first criterion of the order of classes: urgent queues, types under their limit, types at or over it.
 type rank int
 
 const (
 	rankUrgent rank = iota
 	rankNormal
 	rankOverLimit
-	ranks
+	ranks // number of ranks
 )
 
-// rankOf returns the rank of a class; starts is the number of starts of its type in the plan that is being made.
+// rankOf returns the rank of a class. starts is the number of starts of its type in the plan under construction.
 func (c *Core) rankOf(cls *class, starts int) rank {
 	if c.st.Bundle.Queues[cls.queue].Urgent {
 		return rankUrgent
@@ -45,13 +45,14 @@
 	return rankNormal
 }
 
-// mayUse reports whether a class may use a worker. Urgent queues do not wait for reservations.
+// mayUse reports whether the reservation lets a class use a worker. Urgent queues ignore reservations.
 func (c *Core) mayUse(cls *class, worker string) bool {
 	r := c.placement.reservation
 	return r == nil || r.class == cls.key || !r.workers[worker] || c.st.Bundle.Queues[cls.queue].Urgent
 }
 
-// updateReservation ends a reservation that is over, and makes the next one if a class was passed over for too long.
+// updateReservation ends a reservation that has expired or whose class no longer needs it, and makes the next one if a
+// class was passed over for too long.
 func (c *Core) updateReservation(now time.Duration) {
 	if r := c.placement.reservation; r != nil {
 		cls := c.queue.classes[r.class]
@@ -71,18 +72,18 @@
 	}
 }
 
-// endReservation opens the workers of the reservation to all classes.
+// endReservation ends the reservation, so that its workers are available to all classes.
 func (c *Core) endReservation(now time.Duration) {
 	c.placement.reservation, c.placement.nextReservationAt = nil, now+c.cfg.ReserveRest
 	c.placement.fullScan = true
 }
 
-// isOverdue reports whether a class has been passed over for so long that its reservations are to be long ones.
+// isOverdue reports whether a class has been passed over for so long that it gets long reservations.
 func (c *Core) isOverdue(now time.Duration, cls *class) bool {
 	return cls.passedOverSince > 0 && now-cls.passedOverSince >= c.cfg.ReserveLongAfter
 }
 
-// reservationLength returns how long a reservation of a class lasts.
+// reservationLength returns the duration of a reservation for a class.
 func (c *Core) reservationLength(now time.Duration, cls *class) time.Duration {
 	if c.isOverdue(now, cls) {
 		return c.cfg.ReserveLong
@@ -90,8 +91,8 @@
 	return c.cfg.ReserveFor
 }
 
-// retryReservationAt returns when a class may get its next reservation. For an overdue one that is right after the
-// pause, or after the reservation of another class that waits.
+// retryReservationAt returns the earliest time of a class's next reservation. For an overdue class that is immediately
+// after the pause, or after the reservation of another waiting class.
 func (c *Core) retryReservationAt(now time.Duration, cls *class) time.Duration {
 	if c.isOverdue(now, cls) {
 		return c.placement.nextReservationAt + 1
@@ -99,8 +100,8 @@
 	return now + c.cfg.ReserveRetry
 }
 
-// pickPassedOver returns the class with the oldest task among those passed over for too long, and workers for it; nil
-// if there is none. A class that the cluster cannot hold now is tried again after ReserveRetry.
+// pickPassedOver returns the class with the oldest task among those passed over for too long, and workers for it, or
+// nil if there is no such class. A class that the cluster cannot hold now is considered again after ReserveRetry.
 func (c *Core) pickPassedOver(now time.Duration) (*class, map[string]bool) {
 	type passedOver struct {
 		class *class
@@ -118,71 +119,71 @@
 	slices.SortFunc(waiting, func(a, b passedOver) int {
 		return cmp.Or(cmp.Compare(a.seq, b.seq), strings.Compare(a.class.key, b.class.key))
 	})
-	for _, w := range waiting {
-		if workers := c.workersToReserve(w.class); workers != nil {
-			return w.class, workers
+	for _, candidate := range waiting {
+		if workers := c.workersToReserve(candidate.class); workers != nil {
+			return candidate.class, workers
 		}
-		w.class.nextReservationAt = now + c.cfg.ReserveRetry
+		candidate.class.nextReservationAt = now + c.cfg.ReserveRetry
 	}
 	return nil, nil
 }
 
-// workersToReserve picks workers for a class, those with most free cores first; nil if the cluster cannot hold its next
-// tasks.
+// workersToReserve picks workers for a class, those with most free cores first. It returns nil if the cluster cannot
+// hold the class's next group.
 func (c *Core) workersToReserve(cls *class) map[string]bool {
 	job, ref := c.peek(cls)
 	if job == nil {
 		return nil
 	}
 	step := &job.Spec.Steps[ref.Step]
-	var fit []*state.Worker
+	var suitable []*state.Worker
 	for _, name := range c.placement.ring {
 		rec, w := c.st.Workers[name], c.workers[name]
 		if rec == nil || w.heardAt == 0 || w.failures > 0 || c.health.unhealthy[name] != nil {
 			continue
 		}
 		if tasksPerWorker(rec, step) > 0 && c.st.PlacementRefusal(&job.Spec, step, rec) == "" {
-			fit = append(fit, rec)
+			suitable = append(suitable, rec)
 		}
 	}
 	free := func(rec *state.Worker) int { return rec.Cores - c.st.UsageOf(rec.Name).Cores }
-	slices.SortStableFunc(fit, func(a, b *state.Worker) int { return free(b) - free(a) })
-	need, got, picked := cls.groupSize(), 0, map[string]bool{}
-	for _, rec := range fit {
-		if got >= reserveFactor*need {
+	slices.SortStableFunc(suitable, func(a, b *state.Worker) int { return free(b) - free(a) })
+	needed, reserved, workers := cls.groupSize(), 0, map[string]bool{}
+	for _, rec := range suitable {
+		if reserved >= reserveFactor*needed {
 			break
 		}
-		picked[rec.Name] = true
-		got += tasksPerWorker(rec, step)
+		workers[rec.Name] = true
+		reserved += tasksPerWorker(rec, step)
 	}
-	if got < need {
+	if reserved < needed {
 		return nil
 	}
-	return picked
+	return workers
 }
 
 // tasksPerWorker returns how many tasks of a step fit on an empty worker.
 func tasksPerWorker(rec *state.Worker, step *state.StepSpec) int {
-	n := rec.Cores / max(step.Cores, 1)
+	tasks := rec.Cores / max(step.Cores, 1)
 	if step.GPUs > 0 {
-		n = min(n, rec.GPUs/step.GPUs)
+		tasks = min(tasks, rec.GPUs/step.GPUs)
 	}
-	return n
+	return tasks
 }
 
-// recordPassedOver marks the classes that the starts of a round passed over: those that fitted nowhere although they
-// have a task older than one that got a start in the same rank or a later one.
+// recordPassedOver marks the classes that the starts of a round passed over: those that fitted on no worker and have a
+// task older than one that got a start in the same rank or a lower-priority one.
 func (c *Core) recordPassedOver(now time.Duration, round *placementRound) {
-	var newest [ranks]uint64 // job that got a start, by rank
+	var newestStarted [ranks]uint64 // sequence number of the newest job that got a start, by rank
 	for _, start := range round.plan.Starts {
 		job, _ := c.st.TaskOf(start.Ref)
 		step := &job.Spec.Steps[start.Ref.Step]
-		r := c.rankOf(&class{queue: job.Spec.Queue, taskType: step.Type}, 0)
-		newest[r] = max(newest[r], job.Seq)
+		rank := c.rankOf(&class{queue: job.Spec.Queue, taskType: step.Type}, 0)
+		newestStarted[rank] = max(newestStarted[rank], job.Seq)
 	}
 	for key, cls := range c.queue.classes {
 		if c.awaitsTopUp(cls) {
-			cls.passedOverSince = 0 // others do not keep it from starting, its party's balance does
+			cls.passedOverSince = 0 // it waits for its party's balance, not for capacity
 			continue
 		}
 		if !round.unschedulable[key] || cls.passedOverSince > 0 {
@@ -192,8 +193,8 @@
 		if job == nil {
 			continue
 		}
-		for r := c.rankOf(cls, round.startsByType[cls.taskType]); r < ranks; r++ {
-			if newest[r] > job.Seq {
+		for rank := c.rankOf(cls, round.startsByType[cls.taskType]); rank < ranks; rank++ {
+			if newestStarted[rank] > job.Seq {
 				cls.passedOverSince = now
 			}
 		}
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package scheduler decides, for the policy deployment, which task runs on which worker: it admits due tasks, places
-// them under the placement policy in force, asks the store for their run IDs, renews the leases of runs, and finds out
-// what became of each run. It is the singleton role named `sched`; at most one node acts in it at a time.
+// Package scheduler assigns tasks to workers in the policy deployment: it queues due tasks, places them under the
+// placement policy in force, requests run IDs for them from the store, renews the leases of runs, and determines the
+// outcome of each run. It is the singleton role named `sched`; at most one node acts in it at a time.
 //
-// Core is a step function: it has no clock, socket or goroutine, never blocks, and never changes the replicated state
-// that it reads: all changes are proposed as plans. Its owner (package dataplane) drives it under one lock:
+// Core is a step function: it has no clock, socket or goroutine and never blocks. It only reads the replicated state;
+// it proposes every change as a plan. Its owner (package dataplane) drives it under one lock:
 //
 //	core := scheduler.New(cfg, replica)   // replica changes go to core.StateChanged
 //	core.BecomeLeader(now, epoch)         // once the replica has reached the grant of the role
@@ -14,13 +14,14 @@
 //		// send actions.Calls; hand each answer to core.CallAnswered or core.CallFailed
 //	}
 //
-// The rule that all of it keeps: a task has one run at a time. A start order leaves only after the commit of its run ID
-// was answered, inside a window; a task gets another run ID only after the store has the end of the run before it, or
-// the proof that this run can never run any more.
+// The invariant of the package: a task has at most one run at a time. A start order is sent only after the commit of
+// its run ID was answered, and only within a time window. A task gets another run ID only after the store has
+// recorded the end of the previous run, or a proof that the previous run can no longer execute.
 //
-// The passes, one file each: admit (due tasks by class), place (workers for due tasks), reserve and budget (what
-// placement must keep free), plan (what is to be committed), renew (calls to workers), reconcile (what their answers
-// say), expire (what time alone changes), health (workers whose tasks fail). Begin with Core.Pass below, then place.go.
+// The passes, one file each: admit (due tasks by class), place (workers for due tasks), reserve and budget (capacity
+// and balances that placement must keep), plan (changes to commit), renew (calls to workers), reconcile (answers of
+// workers), expire (transitions driven by time), health (workers whose tasks fail). Start with Core.Pass below, then
+// place.go.
 package scheduler
 
 import (
@@ -34,31 +35,32 @@
 	"crosstide/internal/state/command"
 )
 
-// Config has the times and limits of the passes.
+// Config has the timing parameters and limits of the passes. DefaultConfig returns the defaults.
 type Config struct {
-	RunLease         time.Duration // how long a run goes on without renewal, where its policy does not say
+	RunLease         time.Duration // lease of a run whose placement policy sets none
 	PollWait         time.Duration // how long a worker may delay the answer to a call without starts
-	StartWindow      time.Duration // from the answer to a run ID's commit until its start order is written
-	PlanWindow       time.Duration // from the proposal of a plan until its start orders are written
-	Lateness         time.Duration // bound on how late a worker of kind obey carries out an order
+	StartWindow      time.Duration // longest time from the answer to a run ID's commit until its start order is written
+	PlanWindow       time.Duration // longest time from the proposal of a plan until its start orders are written
+	Lateness         time.Duration // bound on how late a worker of kind obey executes an order
 	RoleLeaseMargin  time.Duration // the node stops acting this long before its role lease ends
 	RetryInterval    time.Duration // between calls to a worker that does not answer
-	PlacementTimeout time.Duration // no new starts on a worker unheard for this long
-	// OrderTimeout bounds how long a worker may have been unheard when an order is sent: it may have begun to drain,
-	// and starts on it must end within 2 s of that.
+	PlacementTimeout time.Duration // a worker that has not answered for this long gets no new starts
+	// OrderTimeout is the longest time since a worker's last answer at which an order is still sent to it. The worker
+	// may have begun to drain since that answer, and starts on it must end within 2 s of that.
 	OrderTimeout  time.Duration
 	SweepInterval time.Duration // between passes over all records
-	MaxStarts     int           // of one plan
-	// A class that younger tasks passed over for ReserveAfter, because it fitted nowhere, gets workers reserved for
-	// ReserveFor. ReserveRest lies between two reservations, ReserveRetry between two for the same class.
+	MaxStarts     int           // per plan
+	// A class that fits on no worker, while younger tasks have started for ReserveAfter, gets workers reserved for
+	// ReserveFor. Reservations are separated by ReserveRest, those of the same class by ReserveRetry.
 	ReserveAfter, ReserveFor, ReserveRest, ReserveRetry time.Duration
-	// From ReserveLongAfter on its reservations last ReserveLong, and one follows the other after ReserveRest.
+	// Once a class has been passed over for ReserveLongAfter, its reservations last ReserveLong and are separated by
+	// ReserveRest only.
 	ReserveLongAfter, ReserveLong time.Duration
 
 	Health HealthConfig
 }
 
-// DefaultConfig returns the values that apply where the settings have none.
+// DefaultConfig returns the values used for parameters that the settings omit.
 func DefaultConfig() Config {
 	return Config{
 		RunLease:         20 * time.Second,
@@ -85,25 +87,25 @@
 // Phase is the state of the role on this node.
 type Phase string
 
-// Phases of the role.
+// The phases of the role.
 const (
 	Idle  Phase = "idle"  // another node has the role, or none
 	Ready Phase = "ready" // granted to this node, records rebuilt
 )
 
-// Actions are what the owner is to do after a pass.
+// Actions are the plan and the calls that the owner must send after a pass.
 type Actions struct {
-	Plan  *command.Plan  // to be committed; answered by PlanAnswered
-	Calls []OutgoingCall // to be sent; each answered by CallAnswered or CallFailed
+	Plan  *command.Plan  // to be committed, then reported to PlanAnswered; may be nil
+	Calls []OutgoingCall // to be sent, each then reported to CallAnswered or CallFailed
 }
 
 // OutgoingCall is one lease call to be sent.
 type OutgoingCall struct {
 	Worker  string
 	Addr    string
-	IsOrder bool // on the worker's order connection, else on its poll connection
+	IsOrder bool // sent on the worker's order connection, otherwise on its poll connection
 	Call    internalapi.LeaseCall
-	// WriteBy is the time by which starts must have been written; 0 without starts.
+	// WriteBy is the deadline for writing the call if it has starts; 0 if it has none.
 	WriteBy time.Duration
 }
 
@@ -111,35 +113,35 @@
 type Counts struct {
 	Plans        uint64
 	PlanFailures uint64
-	RunIDs       uint64 // given by the store
+	RunIDs       uint64 // assigned by the store
 	Refused      uint64 // starts refused by the store or by a worker
-	Sent         uint64 // start orders
-	Stops        uint64 // stop orders
-	Ended        uint64 // ends listed by workers
-	FailedEnds   uint64
-	Unconfirmed  uint64
+	Sent         uint64 // start orders sent
+	Stops        uint64 // stop orders sent
+	Ended        uint64 // ends reported by workers
+	FailedEnds   uint64 // ends of failed runs, included in Ended
+	Unconfirmed  uint64 // runs of which it was unknown whether they had started
 	CallFailures uint64
-	StaleAnswers uint64                       // answers dropped because a newer one was handled before
-	ProvedDead   map[command.ProofKind]uint64 // runs
+	StaleAnswers uint64                       // answers superseded by a newer one, or that name another call
+	ProvedDead   map[command.ProofKind]uint64 // runs proved dead
 }
 
 // Core has the records of the role and the passes over them. It is not safe for concurrent use: its owner calls it
-// under the replica's lock. The records are rebuilt from the replica when the node takes the role; answers of workers
-// under an earlier epoch are not carried over.
+// under the replica's lock. The records are rebuilt from the replica when the node takes the role; answers that
+// workers gave under an earlier epoch are dropped.
 type Core struct {
 	Counts Counts
 
 	cfg  Config
 	st   *state.State  // the node's replica; read only
-	now  time.Duration // of the newest input
+	now  time.Duration // time of the latest input
 	role role
 
-	runs          map[uint64]*run         // one for each handle of the replica
+	runs          map[uint64]*run         // by run ID, one for each handle of the replica
 	released      map[uint64]*releasedRun // by run ID
 	workers       map[string]*worker
 	runningCounts map[string]int  // handles by task type
 	runningByTeam map[string]int  // handles by team
-	callsDue      map[string]bool // workers that something may have to be sent to; emptied by each pass
+	callsDue      map[string]bool // workers that may need a call; emptied by each pass
 
 	facts        facts
 	planInFlight *inFlightPlan
@@ -147,24 +149,24 @@
 	placement    placement
 	health       health
 	nextSweepAt  time.Duration
-	nextGCAt     time.Duration // of records about finished jobs
+	nextGCAt     time.Duration // when records of finished jobs are dropped next
 }
 
-// role is the state of the role on this node. Owner: the methods of this file.
+// role is the state of the role on this node. Only the methods of this file change it, but for highestCall.
 type role struct {
 	phase      Phase
-	epoch      uint64        // log index of the grant; stays after StepDown, so that a return under it is noticed
+	epoch      uint64        // log index of the grant; kept by StepDown, to detect a return under the same epoch
 	since      time.Duration // when this node took the role
 	leaseUntil time.Duration
-	paused     bool // the lease did not allow the newest pass to act
+	paused     bool // the role lease did not allow the latest pass to act
 
-	// Set when the node takes the role again under the same epoch: it may have sent orders for run IDs up to
-	// lastInheritedRunID, and numbers its calls on from highestCall.
+	// lastInheritedRunID is set when the node takes the role again under the same epoch, and is otherwise 0: the node
+	// may have sent orders for run IDs up to it before.
 	lastInheritedRunID uint64
-	highestCall        uint64
+	highestCall        uint64 // highest number of a call under the epoch, from which new worker records continue
 }
 
-// New returns a Core that is idle and reads st, the node's replica. The owner passes each change of st to StateChanged.
+// New returns an idle Core that reads st, the node's replica. The owner passes each change of st to StateChanged.
 func New(cfg Config, st *state.State) *Core {
 	c := &Core{cfg: cfg, st: st, Counts: Counts{ProvedDead: map[command.ProofKind]uint64{}}}
 	c.role.phase = Idle
@@ -173,8 +175,8 @@
 	return c
 }
 
-// clearRecords drops all records but the role, the plan in flight and the ends not committed yet: ends are facts, and
-// the workers that reported them may not report them again.
+// clearRecords drops all records but the role, the plan in flight and the ends not committed yet. Ends remain valid,
+// and the workers that reported them may not report them again.
 func (c *Core) clearRecords() {
 	c.runs = map[uint64]*run{}
 	c.released = map[uint64]*releasedRun{}
@@ -183,7 +185,7 @@
 	c.runningByTeam = map[string]int{}
 	c.callsDue = map[string]bool{}
 	if sent := c.planInFlight; sent != nil && !sent.invalidated {
-		sent.invalidated = true // its answer must not be taken for that of a later plan
+		sent.invalidated = true // otherwise its answer would be applied to a later plan
 		c.facts.ends = append(sent.plan.Ends, c.facts.ends...)
 	}
 	c.facts = facts{ends: c.facts.ends, reported: map[string]bool{}}
@@ -201,10 +203,10 @@
 }
 
 // BecomeLeader takes the role under epoch, the log index of the grant. The replica must have reached that index, so
-// that no older epoch can add a handle any more. All records are rebuilt before anything is placed.
+// that older epochs can no longer add a handle. All records are rebuilt before the first placement.
 //
-// Under the same epoch as before (after a snapshot, say) what this node did is forgotten: earlier runs count as those
-// of another leader, and none of their orders counts as surely unsent.
+// If the epoch is the same as before (after a snapshot, for example), this node's record of the orders it sent is
+// lost: existing runs are treated as those of another leader, and none of their orders as provably unsent.
 func (c *Core) BecomeLeader(now time.Duration, epoch uint64) {
 	c.clearRecords()
 	if c.role.lastInheritedRunID = c.st.LastRunID; epoch != c.role.epoch {
@@ -225,8 +227,8 @@
 	c.role.phase = Ready
 }
 
-// keepEnd reports whether an end heard before this node took the role again is still to be committed, and marks its
-// run so that nothing else is.
+// keepEnd reports whether an end that was reported before this node took the role again must still be committed. If so
+// it marks the run, so that no other end or proof of it is committed.
 func (c *Core) keepEnd(e command.End) bool {
 	if r := c.runs[e.RunID]; r != nil {
 		r.closing, r.endPending = true, true
@@ -240,17 +242,17 @@
 	return true
 }
 
-// StepDown makes the core idle and drops its records, but for ends not committed yet. It ignores answers that arrive
-// later.
+// StepDown makes the core idle and drops its records, except ends not committed yet. Answers that arrive later are
+// ignored.
 func (c *Core) StepDown() {
 	c.role.phase = Idle
 	c.clearRecords()
 }
 
-// SetRoleLease sets the time at which the lease of the role ends.
+// SetRoleLease sets the time at which the role lease ends.
 func (c *Core) SetRoleLease(until time.Duration) { c.role.leaseUntil = until }
 
-// MayAct reports whether this node may act in the role at now: its lease has more than the margin left.
+// MayAct reports whether this node may act in the role at now: more than RoleLeaseMargin of its lease is left.
 func (c *Core) MayAct(now time.Duration) bool {
 	return c.role.phase == Ready && now < c.role.leaseUntil-c.cfg.RoleLeaseMargin
 }
@@ -258,7 +260,7 @@
 // Phase returns the state of the role on this node.
 func (c *Core) Phase() Phase { return c.role.phase }
 
-// Epoch returns the epoch of this node's grant, 0 when idle.
+// Epoch returns the epoch of this node's grant, or 0 if the role is idle.
 func (c *Core) Epoch() uint64 {
 	if c.role.phase == Idle {
 		return 0
@@ -266,16 +268,16 @@
 	return c.role.epoch
 }
 
-// RunningCount returns the number of handles of a task type, by this node's own records.
+// RunningCount returns the number of handles of a task type in this node's records.
 func (c *Core) RunningCount(taskType string) int { return c.runningCounts[taskType] }
 
 // UnhealthyWorkers returns the names of the ejected workers, sorted.
 func (c *Core) UnhealthyWorkers() []string { return slices.Sorted(maps.Keys(c.health.unhealthy)) }
 
-// QueueLength returns how many due tasks wait for a run ID, those in back-off included.
+// QueueLength returns the number of due tasks that wait for a run ID, including those in back-off.
 func (c *Core) QueueLength() int { return c.queue.len() }
 
-// Pass runs the passes at time now. It does nothing while the role's lease does not allow this node to act.
+// Pass runs the passes at time now. It returns no actions unless MayAct(now).
 func (c *Core) Pass(now time.Duration) Actions {
 	c.now = now
 	if !c.MayAct(now) {
@@ -297,8 +299,8 @@
 	return actions
 }
 
-// resume restarts the count of unanswered calls: while the lease did not allow this node to act it called no worker, so
-// silence in that time proves nothing about one.
+// resume discards the record of unanswered calls of all workers. While the role lease did not allow this node to act,
+// it called no worker, so a worker's silence in that time does not show that the worker failed.
 func (c *Core) resume() {
 	c.role.paused = false
 	for _, w := range c.workers {
@@ -306,4 +308,5 @@
 	}
 }
 
+// sortedKeys returns the keys of a set in ascending order.
 func sortedKeys(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
