--- a/internal/dataplane/scheduler/admit_test.go
+++ b/internal/dataplane/scheduler/admit_test.go
@@ -14,48 +14,48 @@
 )
 
 func TestPlacement_oldestJobFirst(t *testing.T) {
-	Convey("A task of an older job that falls due again is placed before younger jobs of its class", t, func() {
+	Convey("A task of an older job that becomes due again is placed before younger jobs of its class", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		for n := range 5 {
 			h.submit(fmt.Sprintf("j%d", n), state.StepSpec{Cores: 4, Retries: 3})
 		}
-		var began []string
+		var started []string
 		outcome := internalapi.OutcomeFailed // of the first run; all others succeed
-		for calls := h.commitPlans(); len(began) < 6; calls = h.commitPlans() {
+		for calls := h.commitPlans(); len(started) < 6; calls = h.commitPlans() {
 			if order := findOrder(calls); order != nil {
 				s := order.Call.Starts[0]
-				began = append(began, s.Job)
+				started = append(started, s.Job)
 				end := internalapi.RunEnd{RunID: s.RunID, Outcome: outcome}
 				h.answer(*order, "check", internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{end}})
 				outcome = internalapi.OutcomeOK
 			}
 			h.now += time.Second
-			h.reply("check", "", internalapi.LeaseAnswer{})
+			h.answerPolls("check", "", internalapi.LeaseAnswer{})
 		}
-		So(began, ShouldResemble, []string{"j0", "j1", "j0", "j2", "j3", "j4"})
+		So(started, ShouldResemble, []string{"j0", "j1", "j0", "j2", "j3", "j4"})
 	})
 }
 
 func TestClass_insertKeepsJobOrder(t *testing.T) {
-	Convey("A class keeps its tasks by age of their jobs, and those of one job in order of arrival", t, func() {
+	Convey("A class orders its tasks by the age of their jobs, and those of one job by arrival", t, func() {
 		rnd := rand.New(rand.NewPCG(14, 1))
 		cls, want := &class{}, []queuedTask(nil)
 		for n := range 5000 {
 			if rnd.IntN(9) < 5 {
-				q := queuedTask{state.TaskRef{Task: n}, uint64(rnd.IntN(40))}
-				at := slices.IndexFunc(want, func(e queuedTask) bool { return e.seq > q.seq })
+				task := queuedTask{state.TaskRef{Task: n}, uint64(rnd.IntN(40))}
+				at := slices.IndexFunc(want, func(e queuedTask) bool { return e.seq > task.seq })
 				if at < 0 {
 					at = len(want)
 				}
-				want = slices.Insert(want, at, q)
-				cls.insert(q)
+				want = slices.Insert(want, at, task)
+				cls.insert(task)
 			} else if len(want) > 0 {
 				want = want[1:]
 				cls.head++
 			}
 			if !slices.Equal(cls.refs[cls.head:], want) {
-				t.Fatalf("after %d steps the queue is %v, not %v", n, cls.refs[cls.head:], want)
+				t.Fatalf("after %d steps: queue is %v, want %v", n, cls.refs[cls.head:], want)
 			}
 		}
 		So(len(want), ShouldBeGreaterThan, 100)
--- a/internal/dataplane/scheduler/bench_test.go
+++ b/internal/dataplane/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/state/command"
 )
 
-// newFullCluster returns a scheduler of a cluster with runs running: every worker has answered once, and each has one
-// free core. Each of the classes has due tasks that need two cores.
+// newFullCluster returns a scheduler for a cluster with the given number of running runs, its state and the time.
+// Every worker has answered once and has one free core. Each of the classes has due tasks that need two cores.
 func newFullCluster(b testing.TB, workers, runs, classes int) (*Core, *state.State, time.Duration) {
 	b.Helper()
 	st := state.New()
@@ -26,7 +26,7 @@
 			b.Fatal(err)
 		}
 	}
-	cores := runs/workers + 1 // one core is left free on each
+	cores := runs/workers + 1 // one core stays free on each
 	for i := range workers {
 		apply(&command.Announce{Worker: state.Worker{Name: fmt.Sprintf("m%04d", i), Addr: "h:1", Kind: "check",
 			Zone: "z1", Cores: cores}})
@@ -42,9 +42,9 @@
 	apply(&command.GrantRole{Role: "sched", Holder: "d"})
 	plan := &command.Plan{Epoch: index, BundleVersion: st.Bundle.Version, Seq: st.Seq}
 	for _, name := range st.WorkerNames() {
-		m := *st.Workers[name]
-		m.Incarnation = "b"
-		plan.Workers = append(plan.Workers, m)
+		worker := *st.Workers[name]
+		worker.Incarnation = "b"
+		plan.Workers = append(plan.Workers, worker)
 	}
 	apply(plan)
 	epoch := plan.Epoch
@@ -72,14 +72,14 @@
 	return c, st, now
 }
 
-// refusePlan answers a plan with none of its starts accepted.
+// refusePlan answers a plan with a refusal of all its starts. A nil plan is ignored.
 func refusePlan(c *Core, now time.Duration, p *command.Plan) {
 	if p != nil {
 		c.PlanAnswered(now, p.Epoch, command.Planned{RunIDs: make([]uint64, len(p.Starts))}, nil)
 	}
 }
 
-// answer answers a call as a worker on which all is as the store has it.
+// answer answers a call as a worker whose attributes and runs agree with the store.
 func answer(c *Core, st *state.State, now time.Duration, call OutgoingCall) {
 	worker := st.Workers[call.Worker]
 	c.CallAnswered(now, call, internalapi.LeaseAnswer{Call: call.Call.Call, Epoch: call.Call.Epoch, Incarnation: "b",
@@ -87,9 +87,9 @@
 		Running: st.RunIDsOn(worker.Name)})
 }
 
-// BenchmarkPass measures one answer and the pass after it, with 1,600 workers and 28,800 runs: what the scheduler does
-// some two thousand times a second. With stuck=N it has N classes of due tasks that fit nowhere, although a core is
-// free on every worker.
+// BenchmarkPass measures the handling of one answer and the pass after it, with 1,600 workers and 28,800 runs. The
+// scheduler does this some two thousand times a second. With stuck=N there are N classes of due tasks that fit on no
+// worker, although every worker has a free core.
 func BenchmarkPass(b *testing.B) {
 	for _, classes := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("stuck=%d", classes), func(b *testing.B) {
--- a/internal/dataplane/scheduler/determinism_test.go
+++ b/internal/dataplane/scheduler/determinism_test.go
@@ -11,9 +11,9 @@
 	"crosstide/internal/state"
 )
 
-// The records are maps: a core's decisions must not depend on the order in which they are walked.
+// Guards against plans that depend on the iteration order of the maps in which a Core keeps its records.
 func TestPlan_sameInputsSamePlan(t *testing.T) {
-	Convey("A new leader places the oldest due task first, every time the same way", t, func() {
+	Convey("A new leader places the oldest due task first, and equal inputs give equal plans", t, func() {
 		var plans [8]string
 		for i := range plans {
 			h := newHarness("check", "m1", "m2", "m3")
@@ -21,13 +21,13 @@
 				h.submit(fmt.Sprintf("j%d", (n*7)%20), state.StepSpec{})
 			}
 			h.commitPlans()
-			h.lead()
+			h.changeLeader()
 			h.core.Pass(h.now)
 			h.core.Reset(h.now, h.st)
-			for _, m := range []string{"m1", "m2", "m3"} {
-				rec := *h.st.Workers[m]
+			for _, name := range []string{"m1", "m2", "m3"} {
+				rec := *h.st.Workers[name]
 				rec.Incarnation, rec.Cores = "b1", 4
-				h.st.Workers[m] = &rec
+				h.st.Workers[name] = &rec
 			}
 			for _, c := range h.core.Pass(h.now).Calls {
 				h.answer(c, "check", internalapi.LeaseAnswer{Zone: "z1"})
--- a/internal/dataplane/scheduler/ends_test.go
+++ b/internal/dataplane/scheduler/ends_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/state/command"
 )
 
-// succeeded returns the answer of a worker that lists the end of a run and nothing else.
+// succeeded returns the answer of a worker that lists only the successful end of a run.
 func succeeded(runID uint64) internalapi.LeaseAnswer {
 	return internalapi.LeaseAnswer{Ended: []internalapi.RunEnd{{RunID: runID, Outcome: internalapi.OutcomeOK}}}
 }
@@ -20,16 +20,16 @@
 func TestEnd_inStaleAnswer(t *testing.T) {
 	Convey("An end counts even if its answer is older than one handled before", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j1", state.StepSpec{})
 		first := findOrder(h.commitPlans())
 		h.answer(*first, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.submit("j2", state.StepSpec{})
 		second := findOrder(h.commitPlans())
-		waiting := h.wait["m1"] // sent before it
-		So(waiting.Call.Call, ShouldBeLessThan, second.Call.Call)
+		olderPoll := h.polls["m1"] // sent before the second order
+		So(olderPoll.Call.Call, ShouldBeLessThan, second.Call.Call)
 		h.answer(*second, "check", internalapi.LeaseAnswer{Running: []uint64{1, 2}})
-		h.answer(waiting, "check", internalapi.LeaseAnswer{Running: []uint64{2}, Ended: succeeded(1).Ended})
+		h.answer(olderPoll, "check", internalapi.LeaseAnswer{Running: []uint64{2}, Ended: succeeded(1).Ended})
 		h.commitPlans()
 		So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 	})
@@ -38,13 +38,13 @@
 func TestEnd_beforeProofIsCommitted(t *testing.T) {
 	Convey("An end reported before the proof of an expired lease is committed takes precedence", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j1", state.StepSpec{})
 		order := findOrder(h.commitPlans())
 		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
-		w := h.wait["m1"]
-		h.core.CallFailed(h.now, w, true)
+		poll := h.polls["m1"]
+		h.core.CallFailed(h.now, poll, true)
 		h.now += 30 * time.Second
 		actions := h.core.Pass(h.now)
 		So(actions.Plan.Dead, ShouldHaveLength, 1)
@@ -60,7 +60,7 @@
 	Convey("While the proof of an expired lease is being committed", t, func() {
 		h := newExpiredRun()
 		h.commitPlans()
-		h.core.CallFailed(h.now, h.wait["m1"], true)
+		h.core.CallFailed(h.now, h.polls["m1"], true)
 		h.now += time.Second
 		actions := h.core.Pass(h.now)
 		So(actions.Plan.Dead, ShouldHaveLength, 1)
@@ -73,7 +73,7 @@
 			So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 			So(h.st.LastRunID, ShouldEqual, 1)
 		})
-		Convey("so does one reported after it, and it is acknowledged only once it is committed", func() {
+		Convey("an end reported after the commit counts, and is acknowledged only once it is committed", func() {
 			h.commit(actions.Plan)
 			So(taskOf(h, "j1").Phase, ShouldEqual, state.TaskDue)
 			h.answer(actions.Calls[0], "check", succeeded(1))
@@ -85,12 +85,12 @@
 			h.commitPlans()
 			So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 			So(h.st.LastRunID, ShouldEqual, 1)
-			h.answer(h.wait["m1"], "check", succeeded(1))
+			h.answer(h.polls["m1"], "check", succeeded(1))
 			So(h.core.Pass(h.now).Calls[0].Call.Acked, ShouldResemble, []uint64{1})
 		})
-		Convey("an end counts also if the leader installs a snapshot in between", func() {
+		Convey("an end counts even if the leader installs a snapshot in between", func() {
 			h.answer(actions.Calls[0], "check", succeeded(1))
-			h.do(actions.Plan)
+			h.apply(actions.Plan)
 			h.core.Reset(h.now, h.st)
 			h.core.PlanAnswered(h.now, actions.Plan.Epoch, command.Planned{}, nil)
 			h.commitPlans()
--- a/internal/dataplane/scheduler/expire_test.go
+++ b/internal/dataplane/scheduler/expire_test.go
@@ -13,25 +13,25 @@
 )
 
 func TestSilentWorker_runIsProvedDead(t *testing.T) {
-	Convey("Given a running task on a worker that falls silent", t, func() {
+	Convey("Given a running task on a worker that stops answering", t, func() {
 		h := newHarness("check", "m1", "m2")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j", state.StepSpec{Run: json.RawMessage(`{}`)})
 		order := findOrder(h.commitPlans())
 		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
-		Convey("its task is due again only when the newest lease has expired by the worker's clock", func() {
+		Convey("its task is due again only when the latest lease has expired by the worker's clock", func() {
 			end := order.Call.Starts[0].LeaseUntil
 			tick := func() {
 				for _, c := range h.commitPlans() {
 					So(c.Call.Starts, ShouldBeEmpty)
 				}
-				if c, ok := h.wait[order.Worker]; ok { // no renewal may go to a worker that does not answer
+				if c, ok := h.polls[order.Worker]; ok { // a worker that does not answer must get no renewals
 					end = max(end, c.Call.RenewUntil)
-					delete(h.wait, order.Worker)
+					delete(h.polls, order.Worker)
 					h.core.CallFailed(h.now, c, true)
 				}
-				h.reply("check", order.Worker, internalapi.LeaseAnswer{})
+				h.answerPolls("check", order.Worker, internalapi.LeaseAnswer{})
 			}
 			for tick(); h.now+500*time.Millisecond < end+200*time.Millisecond; tick() {
 				h.now += 500 * time.Millisecond
@@ -45,8 +45,8 @@
 			So(h.core.Counts.ProvedDead[command.ProofLeaseExpired], ShouldEqual, 1)
 		})
 		Convey("a new incarnation of the worker proves the run dead at once", func() {
-			for range 2 { // the first answer is older than that to the order, and proves nothing
-				h.reply("check", "", internalapi.LeaseAnswer{Incarnation: "b2"})
+			for range 2 { // the first answer is older than the answer to the order, and is not conclusive
+				h.answerPolls("check", "", internalapi.LeaseAnswer{Incarnation: "b2"})
 				h.commitPlans()
 			}
 			So(h.st.Handles[1], ShouldBeNil)
@@ -55,17 +55,17 @@
 	})
 }
 
-// newExpiredRun is a harness with a run that ended while its leader, which had no role lease, called nobody. At the
-// leader's return the run's lease has expired by the clock.
+// newExpiredRun returns a harness with a run that ended while its leader had no role lease and called no worker. When
+// the leader has its role lease again, the run's lease has expired by the clock.
 func newExpiredRun() *harness {
 	h := newHarness("check", "m1")
-	h.greetWorkers("check")
+	h.registerWorkers("check")
 	h.submit("j1", state.StepSpec{})
 	h.answer(*findOrder(h.commitPlans()), "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 	h.commitPlans()
 	h.core.SetRoleLease(h.now)
 	h.core.Pass(h.now)
-	h.core.CallFailed(h.now, h.wait["m1"], true)
+	h.core.CallFailed(h.now, h.polls["m1"], true)
 	h.now += 30 * time.Second
 	h.core.Pass(h.now)
 	h.core.SetRoleLease(h.now + time.Hour)
@@ -73,11 +73,11 @@
 }
 
 func TestLeaseExpiry_workerIsCalledFirst(t *testing.T) {
-	Convey("After a time without role lease the leader calls a worker before it proves its runs dead", t, func() {
+	Convey("After a time without role lease the leader calls a worker before it proves the worker's runs dead", t, func() {
 		h := newExpiredRun()
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldNotBeNil)
-		h.answer(h.wait["m1"], "check", succeeded(1))
+		h.answer(h.polls["m1"], "check", succeeded(1))
 		h.commitPlans()
 		So(h.st.Jobs["j1"].Phase, ShouldEqual, state.JobDone)
 		So(h.st.LastRunID, ShouldEqual, 1)
@@ -85,7 +85,7 @@
 	Convey("It proves them dead once the worker has left a call unanswered", t, func() {
 		h := newExpiredRun()
 		h.commitPlans()
-		h.core.CallFailed(h.now, h.wait["m1"], true)
+		h.core.CallFailed(h.now, h.polls["m1"], true)
 		h.now += time.Second
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldBeNil)
--- a/internal/dataplane/scheduler/golden_test.go
+++ b/internal/dataplane/scheduler/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenEnums pins what stands for each value on the wire and on disk.
+// TestGoldenEnums pins the encoding of each value on the wire and on disk.
 func TestGoldenEnums(t *testing.T) {
 	golden.Compare(t, "enums",
 		golden.Lines("phases",
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -11,9 +11,9 @@
 	"crosstide/internal/state"
 )
 
-// work lets the workers run for some rounds: every run ends at once, and succeeds if ends returns true. It returns the
-// number of starts by worker.
-func (h *harness) work(rounds int, ends func(worker string, s internalapi.StartOrder) bool) map[string]int {
+// runRounds lets the workers run for some rounds. Every run ends at once, and succeeds if succeeds returns true. It
+// returns the number of starts by worker.
+func (h *harness) runRounds(rounds int, succeeds func(worker string, s internalapi.StartOrder) bool) map[string]int {
 	starts := map[string]int{}
 	unacked := map[string][]internalapi.RunEnd{}
 	for range rounds {
@@ -25,7 +25,7 @@
 			for _, s := range c.Call.Starts {
 				starts[c.Worker]++
 				outcome := internalapi.OutcomeFailed
-				if ends(c.Worker, s) {
+				if succeeds(c.Worker, s) {
 					outcome = internalapi.OutcomeOK
 				}
 				end := internalapi.RunEnd{RunID: s.RunID, Outcome: outcome, Reason: "x"}
@@ -33,8 +33,8 @@
 			}
 			h.answer(c, "check", internalapi.LeaseAnswer{Ended: unacked[c.Worker]})
 		}
-		for name, c := range h.wait {
-			delete(h.wait, name)
+		for name, c := range h.polls {
+			delete(h.polls, name)
 			h.answer(c, "check", internalapi.LeaseAnswer{Ended: unacked[name]})
 		}
 		for name, ended := range unacked {
@@ -51,44 +51,44 @@
 }
 
 func TestHealth_unhealthyWorkerIsEjected(t *testing.T) {
-	Convey("Given ten workers, one of which fails all of its tasks and answers like a healthy one", t, func() {
+	Convey("Given ten workers, one of which fails all of its tasks but answers calls normally", t, func() {
 		var names []string
 		for i := range 10 {
 			names = append(names, fmt.Sprintf("m%d", i))
 		}
 		h := newHarness("check", names...)
-		h.greetWorkers("check")
-		bad := true
-		ends := func(worker string, _ internalapi.StartOrder) bool { return worker != "m3" || !bad }
+		h.registerWorkers("check")
+		isFaulty := true
+		succeeds := func(worker string, _ internalapi.StartOrder) bool { return worker != "m3" || !isFaulty }
 		for i := range 60 {
 			h.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 10, Retries: 3})
 		}
-		starts := h.work(60, ends)
+		starts := h.runRounds(60, succeeds)
 		Convey("it is ejected soon, its tasks run elsewhere, and no job fails because of it", func() {
 			So(h.core.UnhealthyWorkers(), ShouldResemble, []string{"m3"})
 			So(starts["m3"], ShouldBeLessThan, starts["m4"]/2)
 			for key, j := range h.st.Jobs {
 				So(key+string(j.Phase), ShouldEqual, key+string(state.JobDone))
 			}
-			Convey("and it is readmitted after probes that succeed", func() {
-				bad = false
+			Convey("and it is readmitted after successful probes", func() {
+				isFaulty = false
 				for i := range 200 {
 					h.submit(fmt.Sprintf("b%d", i), state.StepSpec{})
-					h.work(2, ends)
+					h.runRounds(2, succeeds)
 				}
 				So(h.core.UnhealthyWorkers(), ShouldBeEmpty)
 			})
-			Convey("and a probe that fails delays the next one", func() {
+			Convey("and a failed probe delays the next one", func() {
 				before := h.core.Counts.RunIDs
-				again := map[string]int{}
+				starts := map[string]int{}
 				for i := range 100 { // 20 s
 					h.submit(fmt.Sprintf("b%d", i), state.StepSpec{Tasks: 5, Retries: 5})
-					for name, n := range h.work(2, ends) {
-						again[name] += n
+					for name, n := range h.runRounds(2, succeeds) {
+						starts[name] += n
 					}
 				}
 				So(h.core.Counts.RunIDs-before, ShouldBeGreaterThanOrEqualTo, 500)
-				So(again["m3"], ShouldBeBetween, 0, 5)
+				So(starts["m3"], ShouldBeBetween, 0, 5)
 			})
 		})
 	})
@@ -97,13 +97,13 @@
 func TestHealth_workerNotToBlame(t *testing.T) {
 	Convey("A job that can never succeed fails, and no worker is ejected for it", t, func() {
 		h := newHarness("check", "m1", "m2", "m3", "m4")
-		h.greetWorkers("check")
-		ends := func(_ string, s internalapi.StartOrder) bool { return s.Job != "never" }
+		h.registerWorkers("check")
+		succeeds := func(_ string, s internalapi.StartOrder) bool { return s.Job != "never" }
 		h.submit("never", state.StepSpec{Tasks: 8, Retries: 5})
 		for i := range 40 {
 			h.submit(fmt.Sprintf("a%d", i), state.StepSpec{Tasks: 4})
 		}
-		h.work(400, ends)
+		h.runRounds(400, succeeds)
 		So(h.core.UnhealthyWorkers(), ShouldBeEmpty)
 		So(h.st.Jobs["never"].Phase, ShouldEqual, state.JobFailed)
 		So(h.st.Jobs["never"].Reason, ShouldContainSubstring, "gave up")
@@ -111,8 +111,8 @@
 	})
 	Convey("A type that no worker completes ejects no worker, and at most a share of a zone is ejected", t, func() {
 		h := newHealth(defaultHealthConfig())
-		end := func(name, kind, job string, ok bool) {
-			h.recordEnd(time.Second, &state.Handle{Worker: name, Type: kind, Ref: state.TaskRef{Job: job}}, ok)
+		end := func(worker, taskType, job string, ok bool) {
+			h.recordEnd(time.Second, &state.Handle{Worker: worker, Type: taskType, Ref: state.TaskRef{Job: job}}, ok)
 		}
 		for i := range 20 {
 			end("m1", "k", fmt.Sprint(i), false)
--- a/internal/dataplane/scheduler/place_test.go
+++ b/internal/dataplane/scheduler/place_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestLimit_lowersRankOnly(t *testing.T) {
-	Convey("A type over its limit runs where capacity is free, after types under theirs", t, func() {
+	Convey("A type over its limit uses free capacity, after types under their limit", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.st.Bundle.Limits = map[string]int{"t": 1}
 		h.submit("j", state.StepSpec{Tasks: 6})
 		h.submit("k", state.StepSpec{})
@@ -25,7 +25,7 @@
 		So(h.core.RunningCount("t"), ShouldEqual, 3)
 		So(h.st.RunningCount("t"), ShouldEqual, 3)
 		Convey("and a new leader rebuilds the same counts before it places anything", func() {
-			h.lead()
+			h.changeLeader()
 			So(h.core.RunningCount("t"), ShouldEqual, 3)
 			So(h.core.RunningCount("u"), ShouldEqual, 1)
 			So(findOrder(h.commitPlans()), ShouldBeNil) // no worker has answered under the new epoch
@@ -34,7 +34,7 @@
 }
 
 func TestUnschedulableClass_placedWhenCapacityIsFreed(t *testing.T) {
-	Convey("A class that fits nowhere is placed by the first pass after capacity was freed, without a sweep", t, func() {
+	Convey("An unschedulable class is placed by the first pass after capacity was freed, without a sweep", t, func() {
 		c, st, now := newFullCluster(t, 4, 4, 1)
 		index := st.Index
 		apply := func(cmd command.Command) {
@@ -47,16 +47,16 @@
 		refusePlan(c, now, c.Pass(now).Plan)
 		So(c.Pass(now).Plan, ShouldBeNil)
 		apply(&command.Plan{Epoch: c.Epoch(), Ends: []command.End{{RunID: 3, OK: true}}})
-		p := c.Pass(now).Plan
-		So(p, ShouldNotBeNil)
-		So(len(p.Starts), ShouldEqual, 1)
-		So(p.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
-		Convey("a refused start leaves its capacity to the next pass", func() {
-			refusePlan(c, now, p)
+		plan := c.Pass(now).Plan
+		So(plan, ShouldNotBeNil)
+		So(len(plan.Starts), ShouldEqual, 1)
+		So(plan.Starts[0].Worker, ShouldEqual, st.WorkerNames()[2])
+		Convey("the capacity of a refused start is used by the next pass", func() {
+			refusePlan(c, now, plan)
 			again := c.Pass(now).Plan
 			So(again, ShouldNotBeNil)
 			So(len(again.Starts), ShouldEqual, 1) // of the next task: the refused one went to the end of its class
-			So(again.Starts[0].Worker, ShouldEqual, p.Starts[0].Worker)
+			So(again.Starts[0].Worker, ShouldEqual, plan.Starts[0].Worker)
 		})
 	})
 }
--- a/internal/dataplane/scheduler/plan_test.go
+++ b/internal/dataplane/scheduler/plan_test.go
@@ -13,7 +13,7 @@
 func TestOrder_onlyAfterRunIDIsCommitted(t *testing.T) {
 	Convey("An order is sent only after the commit of its run ID was answered", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j", state.StepSpec{})
 		actions := h.core.Pass(h.now)
 		So(actions.Plan, ShouldNotBeNil)
@@ -30,9 +30,9 @@
 		So(order, ShouldNotBeNil)
 		So(order.Call.Starts[0].RunID, ShouldEqual, 1)
 
-		Convey("and only inside its window", func() {
+		Convey("and only within the start window", func() {
 			h = newHarness("check", "m1")
-			h.greetWorkers("check")
+			h.registerWorkers("check")
 			h.submit("j", state.StepSpec{})
 			h.commit(h.core.Pass(h.now).Plan)
 			h.commit(h.core.Pass(h.now).Plan)
@@ -42,7 +42,7 @@
 			So(taskOf(h, "j").Phase, ShouldEqual, state.TaskDue)
 			So(h.core.Counts.ProvedDead[command.ProofUnsent], ShouldEqual, 1)
 		})
-		Convey("and not once the lease has only its margin left", func() {
+		Convey("and not once only the margin of the role lease is left", func() {
 			h.submit("k", state.StepSpec{})
 			h.core.SetRoleLease(h.now + DefaultConfig().RoleLeaseMargin)
 			So(h.core.Pass(h.now), ShouldResemble, Actions{})
--- a/internal/dataplane/scheduler/policy_test.go
+++ b/internal/dataplane/scheduler/policy_test.go
@@ -14,8 +14,8 @@
 	"crosstide/internal/state/query"
 )
 
-// enact puts a bundle in force, signed by two operators.
-func (h *harness) enact(text string) {
+// enactBundle puts a bundle into force, signed by two operators.
+func (h *harness) enactBundle(text string) {
 	ada, err := signature.New("ada")
 	So(err, ShouldBeNil)
 	ben, err := signature.New("ben")
@@ -23,36 +23,36 @@
 	h.st.Operators = map[string]string{"ada": ada.Public(), "ben": ben.Public()}
 	base, digest := h.st.Head().Version, signature.Digest([]byte(text))
 	id := fmt.Sprint("o", base)
-	h.do(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
+	h.apply(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
 		Sig: ada.Sign(signature.Put(id, base, digest))})
 	for _, key := range []signature.Key{ada, ben} {
-		h.do(&command.SignBundle{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name,
+		h.apply(&command.SignBundle{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name,
 			Sig: key.Sign(signature.Bundle(base+1, digest))})
 	}
 }
 
 func TestPlacementPolicy_change(t *testing.T) {
-	Convey("A plan made under the previous bundle gets no run ID", t, func() {
+	Convey("A plan made under the previous bundle gets no run IDs", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j", state.StepSpec{})
 		h.commit(h.core.Pass(h.now).Plan)
 		plan := h.core.Pass(h.now).Plan
 		So(plan.Starts, ShouldHaveLength, 1)
-		h.enact(`{"queues":{"default":{}}}`)
+		h.enactBundle(`{"queues":{"default":{}}}`)
 		h.commit(plan)
 		So(h.st.Handles, ShouldBeEmpty)
-		So(findOrder(h.commitPlans()), ShouldNotBeNil) // made again under the new one
+		So(findOrder(h.commitPlans()), ShouldNotBeNil) // planned again under the new bundle
 	})
 
-	Convey("A run that a new bundle does not allow is stopped; its task is due again and says why it waits", t, func() {
+	Convey("A run that a new bundle does not allow is stopped; its task is due again and has a wait reason", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j", state.StepSpec{})
 		order := findOrder(h.commitPlans())
 		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
-		h.enact(`{"queues":{"other":{}}}`)
+		h.enactBundle(`{"queues":{"other":{}}}`)
 		h.now += time.Second
 		var stop *OutgoingCall
 		for _, c := range h.commitPlans() {
@@ -69,17 +69,17 @@
 		view, err := query.Job(h.st, "j")
 		So(err, ShouldBeNil)
 		So([]any{view.State, view.WaitReason}, ShouldResemble, []any{state.JobRunning, "no queue default in bundle 2"})
-		h.enact(`{"queues":{"default":{}}}`)
-		h.reply("check", "", internalapi.LeaseAnswer{})
+		h.enactBundle(`{"queues":{"default":{}}}`)
+		h.answerPolls("check", "", internalapi.LeaseAnswer{})
 		So(findOrder(h.commitPlans()), ShouldNotBeNil)
 	})
 }
 
 func TestPlacementPolicy_leaseLength(t *testing.T) {
-	Convey("A queue's lease length is in its start orders, and its leases are renewed at that length", t, func() {
+	Convey("Start orders have the lease length of their queue, and leases are renewed at that length", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
-		h.enact(`{"queues":{"default":{"hold":"8s"},"slow":{}}}`)
+		h.registerWorkers("check")
+		h.enactBundle(`{"queues":{"default":{"hold":"8s"},"slow":{}}}`)
 		h.submit("j", state.StepSpec{})
 		h.submitTo("slow", "a", "k", state.StepSpec{Name: "s", Type: "t", Tasks: 1, Cores: 1})
 		until := map[string]time.Duration{}
@@ -94,28 +94,28 @@
 		renewed := map[uint64]int{}
 		for range 30 { // seconds
 			h.now += time.Second
-			h.reply("check", "", runs)
+			h.answerPolls("check", "", runs)
 			for _, c := range h.commitPlans() {
-				for _, t := range c.Call.Renew {
-					renewed[t]++
+				for _, renewedID := range c.Call.Renew {
+					renewed[renewedID]++
 					want := 8 * time.Second
-					if t == runID["k"] {
+					if renewedID == runID["k"] {
 						want = DefaultConfig().RunLease
 					}
 					So(c.Call.RenewUntil-h.now, ShouldEqual, want)
 				}
 			}
 		}
-		So(renewed[runID["j"]], ShouldBeGreaterThanOrEqualTo, 9) // each 3 s
-		So(renewed[runID["k"]], ShouldBeGreaterThanOrEqualTo, 4) // each 6 s
+		So(renewed[runID["j"]], ShouldBeGreaterThanOrEqualTo, 9) // every 3 s
+		So(renewed[runID["k"]], ShouldBeGreaterThanOrEqualTo, 4) // every 6 s
 	})
 }
 
 func TestPlacementPolicy_teamWeights(t *testing.T) {
-	Convey("Under contention teams share by their weights; without contention all capacity is used", t, func() {
+	Convey("Under contention teams share capacity by weight; without contention all capacity is used", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
-		h.enact(`{"queues":{"default":{}},"weights":{"a":3}}`)
+		h.registerWorkers("check")
+		h.enactBundle(`{"queues":{"default":{}},"weights":{"a":3}}`)
 		h.submit("old", state.StepSpec{Tasks: 9}) // of team a
 		h.submitTo("default", "b", "new", state.StepSpec{Name: "s", Type: "t", Tasks: 9, Cores: 1})
 		order := findOrder(h.commitPlans())
--- a/internal/dataplane/scheduler/renew_test.go
+++ b/internal/dataplane/scheduler/renew_test.go
@@ -15,13 +15,13 @@
 		cfg := DefaultConfig()
 		for kind, first := range map[string]time.Duration{"check": cfg.RunLease, "obey": cfg.Lateness} {
 			h := newHarness(kind, "m1")
-			h.greetWorkers(kind)
+			h.registerWorkers(kind)
 			h.submit("j", state.StepSpec{})
 			order := findOrder(h.commitPlans())
 			So(order.Call.Starts[0].LeaseUntil-h.now, ShouldEqual, first)
 			h.answer(*order, kind, internalapi.LeaseAnswer{Running: []uint64{1}})
 			h.commitPlans()
-			h.reply(kind, "", internalapi.LeaseAnswer{Running: []uint64{1}})
+			h.answerPolls(kind, "", internalapi.LeaseAnswer{Running: []uint64{1}})
 			h.commitPlans()
 			So(h.core.runs[1].leaseUntil-h.now, ShouldEqual, cfg.RunLease)
 		}
--- a/internal/dataplane/scheduler/reset_test.go
+++ b/internal/dataplane/scheduler/reset_test.go
@@ -12,11 +12,13 @@
 	"crosstide/internal/state/command"
 )
 
-// A leader whose replica falls behind installs a snapshot, and takes its role again under the same epoch.
+// Guards against a leader whose replica fell behind, which installs a snapshot and takes its role again under the
+// same epoch: the lost record of sent orders must not prove runs dead, and the old plan's answer must not count for a
+// new one.
 func TestReset_whilePlanInFlight(t *testing.T) {
-	Convey("With a run in flight and a plan in flight, a leader installs a snapshot", t, func() {
+	Convey("Given a leader that installs a snapshot while an order and a plan are in flight", t, func() {
 		h := newHarness("check", "m1", "m2")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j1", state.StepSpec{Cores: 3})
 		calls := h.commitPlans()
 		var order OutgoingCall
@@ -31,7 +33,7 @@
 		h.commit(h.core.Pass(h.now).Plan) // admits the job
 		plan := h.core.Pass(h.now).Plan
 		So(plan.Starts, ShouldHaveLength, 1)
-		answer := h.do(plan).(command.Planned)
+		answer := h.apply(plan).(command.Planned)
 		body, err := h.st.Encode()
 		So(err, ShouldBeNil)
 		st, err := state.Decode(body)
@@ -40,11 +42,11 @@
 		h.st.OnEvent = h.core.StateChanged
 		h.core.Reset(h.now, h.st)
 
-		Convey("The run does not count as unsent, and the numbers of calls go on", func() {
+		Convey("the run is not proved dead as unsent, and call numbers continue", func() {
 			for range 5 {
 				h.now += 200 * time.Millisecond
 				actions := h.core.Pass(h.now)
-				So(actions.Plan, ShouldBeNil) // the old one is still in flight
+				So(actions.Plan, ShouldBeNil) // the old plan is still in flight
 				for _, c := range actions.Calls {
 					So(c.Call.Call, ShouldBeGreaterThan, order.Call.Call)
 					var answer internalapi.LeaseAnswer
@@ -56,7 +58,7 @@
 			}
 			So(h.st.Handles[runID], ShouldNotBeNil)
 
-			Convey("Nor is the answer to the old plan taken for that of the next", func() {
+			Convey("and the answer to the old plan is not applied to the next plan", func() {
 				h.submit("j3", state.StepSpec{})
 				h.core.PlanAnswered(h.now, plan.Epoch, answer, nil)
 				calls := h.commitPlans()
@@ -73,24 +75,24 @@
 }
 
 func TestBecomeLeader_keepsUncommittedEnds(t *testing.T) {
-	Convey("A reported end is kept when the node takes its role again, whatever became of its plan", t, func() {
+	Convey("A reported end is kept when the node takes its role again, even if its plan failed", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j1", state.StepSpec{})
 		order := findOrder(h.commitPlans())
 		h.answer(*order, "check", succeeded(1))
 		plan := h.core.Pass(h.now).Plan
 		So(plan.Ends, ShouldHaveLength, 1)
-		again := map[string]func(){
+		interruptions := map[string]func(){
 			"a snapshot": func() { h.core.Reset(h.now, h.st) },
 			"a new epoch": func() {
 				h.core.StepDown()
-				h.do(&command.GrantRole{Role: "sched", Holder: "d", After: plan.Epoch})
+				h.apply(&command.GrantRole{Role: "sched", Holder: "d", After: plan.Epoch})
 			},
 		}
-		for name, do := range again {
-			Convey("After "+name, func() {
-				do()
+		for name, interrupt := range interruptions {
+			Convey("after "+name, func() {
+				interrupt()
 				h.core.PlanAnswered(h.now, plan.Epoch, command.Planned{}, errs.New(errs.Stale, "lost"))
 				h.core.BecomeLeader(h.now, h.st.Roles["sched"].Epoch)
 				h.commitPlans()
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/state"
 )
 
-// answerAt answers a call as a worker of an incarnation whose clock showed clock; the answer arrives now.
+// answerAt answers a call as a worker of the given incarnation and clock. The answer arrives at h.now.
 func (h *harness) answerAt(c OutgoingCall, kind, incarnation string, clock time.Duration, a internalapi.LeaseAnswer) {
 	a.Call, a.Floor, a.Clock = c.Call.Call, c.Call.Floor, clock
 	a.Kind, a.Incarnation, a.Cores, a.Zone = kind, incarnation, 4, "z1"
@@ -18,65 +18,65 @@
 }
 
 func TestLeaseAnswer_late(t *testing.T) {
-	Convey("The time for which a run is missing counts by the clock in the answers, not by their arrival", t, func() {
+	Convey("The time since a run became absent is taken from the clock in the answers, not from their arrival", t, func() {
 		h := newHarness("obey", "m1")
-		h.greetWorkers("obey")
+		h.registerWorkers("obey")
 		h.submit("j1", state.StepSpec{})
 		order := findOrder(h.commitPlans())
 		h.core.CallFailed(h.now, *order, true)
-		h.reply("obey", "", internalapi.LeaseAnswer{}) // raises the floor
+		h.answerPolls("obey", "", internalapi.LeaseAnswer{}) // raises the floor
 		h.now += time.Second
 		h.commitPlans()
-		from := h.now
-		h.reply("obey", "", internalapi.LeaseAnswer{}) // missing
+		absentSince := h.now
+		h.answerPolls("obey", "", internalapi.LeaseAnswer{}) // the run is absent
 		h.now += 10 * time.Millisecond
 		h.commitPlans()
-		late := h.wait["m1"]
-		h.now = from + DefaultConfig().Lateness + 100*time.Millisecond
-		h.answerAt(late, "obey", "b1", from+time.Second, internalapi.LeaseAnswer{})
+		latePoll := h.polls["m1"]
+		h.now = absentSince + DefaultConfig().Lateness + 100*time.Millisecond
+		h.answerAt(latePoll, "obey", "b1", absentSince+time.Second, internalapi.LeaseAnswer{})
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldNotBeNil)
 		h.now += time.Second
 		h.commitPlans()
-		h.reply("obey", "", internalapi.LeaseAnswer{})
+		h.answerPolls("obey", "", internalapi.LeaseAnswer{})
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldBeNil)
 	})
-	Convey("An answer of an older incarnation that comes late does not bring that incarnation back", t, func() {
+	Convey("A late answer of an older incarnation does not restore that incarnation", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
+		h.registerWorkers("check")
 		h.submit("j1", state.StepSpec{})
 		order := findOrder(h.commitPlans())
-		late := h.wait["m1"]
+		latePoll := h.polls["m1"]
 		h.answerAt(*order, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.submit("j2", state.StepSpec{})
 		order = findOrder(h.commitPlans())
-		if order.Call.Call > late.Call.Call { // the poll that comes back late must be the newer call
-			h.answerAt(late, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
+		if order.Call.Call > latePoll.Call.Call { // the poll that is answered late must be the newer call
+			h.answerAt(latePoll, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
 			h.commitPlans()
-			late = h.wait["m1"]
+			latePoll = h.polls["m1"]
 		}
-		So(late.Call.Call, ShouldBeGreaterThan, order.Call.Call)
+		So(latePoll.Call.Call, ShouldBeGreaterThan, order.Call.Call)
 		refusal := internalapi.StartRefusal{RunID: 2, Why: "boot"}
 		h.answerAt(*order, "check", "b2", time.Second, internalapi.LeaseAnswer{Refused: []internalapi.StartRefusal{refusal}})
 		h.commitPlans()
 		So(h.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
-		h.answerAt(late, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
+		h.answerAt(latePoll, "check", "b1", h.now, internalapi.LeaseAnswer{Running: []uint64{1}})
 		h.commitPlans()
 		So(h.st.Workers["m1"].Incarnation, ShouldEqual, "b2")
 	})
 }
 
 func TestLeaseAnswer_stale(t *testing.T) {
-	Convey("An answer that is older than one handled before proves nothing", t, func() {
+	Convey("An answer that is older than one handled before does not prove a run dead", t, func() {
 		h := newHarness("check", "m1")
-		h.greetWorkers("check")
-		wait := h.wait["m1"]
+		h.registerWorkers("check")
+		olderPoll := h.polls["m1"]
 		h.submit("j", state.StepSpec{})
 		order := findOrder(h.commitPlans())
 		So(order, ShouldNotBeNil)
 		h.answer(*order, "check", internalapi.LeaseAnswer{Running: []uint64{1}})
-		h.answer(wait, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
+		h.answer(olderPoll, "check", internalapi.LeaseAnswer{Floor: 9}) // made before the order arrived
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldNotBeNil)
 		So(h.st.Handles[1].Phase, ShouldEqual, state.TaskRunning)
