--- a/internal/dataplane/scheduler/expire.go
+++ b/internal/dataplane/scheduler/expire.go
@@ -29,13 +29,13 @@
 	}
 	if c.planInFlight == nil { // otherwise its answer may still queue their orders
 		for _, r := range c.runs {
-			if r.ofThisEpoch && r.orderedIn == 0 && !r.inOutbox {
+			if r.ofThisEpoch && r.orderCall == 0 && !r.inOutbox {
 				c.proveDead(r, command.ProofUnsent, "")
 			}
 		}
 	}
 	c.sortFacts(proofs, len(c.facts.unconfirmed))
-	c.placement.current, c.placement.fullScan = false, true
+	c.placement.isCurrent, c.placement.fullScan = false, true
 	if now >= c.nextGCAt {
 		c.nextGCAt = now + gcInterval
 		c.collectGarbage()
--- a/internal/dataplane/scheduler/place.go
+++ b/internal/dataplane/scheduler/place.go
@@ -14,7 +14,7 @@
 	ringOffset   int             // index in ring at which the next plan begins, to spread starts over the workers
 	freedWorkers map[string]bool // workers that may have gained free capacity since the latest placement
 	fullScan     bool            // the next placement considers every class on all workers
-	current      bool            // no input of placement has changed since the latest placement
+	isCurrent    bool            // no input of placement has changed since the latest placement
 
 	reservation       *reservation // nil while no workers are reserved
 	nextReservationAt time.Duration
@@ -52,7 +52,7 @@
 //
 // A class that fits on no worker delays others only by short reservations (see reserve.go). Neither a limit nor a
 // large task keeps capacity idle for long that another due task may use.
-func (c *Core) place(now time.Duration, p *command.Plan) {
+func (c *Core) place(now time.Duration, plan *command.Plan) {
 	c.endBackoffs(now)
 	if c.queue.isIdle() || len(c.placement.ring) == 0 {
 		return
@@ -61,12 +61,12 @@
 	if c.placement.fullScan {
 		c.updateReservation(now)
 	}
-	round := c.newRound(now, p)
+	round := c.newRound(now, plan)
 	if len(round.candidates)+len(round.freed) == 0 {
 		clear(c.placement.freedWorkers)
 		return
 	}
-	for len(p.Starts) < c.cfg.MaxStarts {
+	for len(plan.Starts) < c.cfg.MaxStarts {
 		cls, job := c.nextClass(round)
 		if cls == nil {
 			break
@@ -78,7 +78,7 @@
 	c.recordPassedOver(now, round)
 	clear(c.placement.budget.reserved)
 	c.placement.ringOffset = (c.placement.ringOffset + round.nextCandidate) % len(c.placement.ring)
-	if len(p.Starts) < c.cfg.MaxStarts {
+	if len(plan.Starts) < c.cfg.MaxStarts {
 		clear(c.placement.freedWorkers)
 	}
 }
@@ -87,8 +87,8 @@
 //
 // A class that fitted on no worker is considered only on freed workers until the next sweep, or until the placement
 // policy or an account changes. Otherwise, on a full cluster, every answer would cost O(classes * workers).
-func (c *Core) newRound(now time.Duration, p *command.Plan) *placementRound {
-	round := &placementRound{plan: p, unschedulable: map[string]bool{},
+func (c *Core) newRound(now time.Duration, plan *command.Plan) *placementRound {
+	round := &placementRound{plan: plan, unschedulable: map[string]bool{},
 		startsByType: map[string]int{}, startsByTeam: map[string]int{}}
 	scanAll := c.placement.fullScan
 	for _, cls := range c.queue.classes {
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -43,9 +43,9 @@
 		}
 	}
 	clear(c.facts.reported)
-	if !c.placement.current {
+	if !c.placement.isCurrent {
 		c.place(now, plan)
-		c.placement.current = true
+		c.placement.isCurrent = true
 	}
 	changes := len(plan.Workers) + len(plan.Running) + len(plan.Unconfirmed) + len(plan.Ends) + len(plan.Dead) +
 		len(plan.Starts)
@@ -63,22 +63,22 @@
 // proposed again in the next plan, and no order is sent for run IDs that the store assigned to it.
 func (c *Core) PlanAnswered(now time.Duration, epoch uint64, planned command.Planned, err error) {
 	c.now = now
-	sent := c.planInFlight
-	if sent == nil || sent.plan.Epoch != epoch {
+	inFlight := c.planInFlight
+	if inFlight == nil || inFlight.plan.Epoch != epoch {
 		return
 	}
-	if c.planInFlight, c.placement.current = nil, false; sent.invalidated || c.role.phase != Ready {
+	if c.planInFlight, c.placement.isCurrent = nil, false; inFlight.invalidated || c.role.phase != Ready {
 		return
 	}
-	for _, start := range sent.plan.Starts { // the capacity of a refused start is still free
+	for _, start := range inFlight.plan.Starts { // the capacity of a refused start is still free
 		c.placement.freedWorkers[start.Worker] = true
 	}
 	if err != nil {
-		c.planFailed(sent.plan, err)
+		c.planFailed(inFlight.plan, err)
 		return
 	}
-	sendBy := min(now+c.cfg.StartWindow, sent.sentAt+c.cfg.PlanWindow)
-	for i, start := range sent.plan.Starts {
+	sendBy := min(now+c.cfg.StartWindow, inFlight.sentAt+c.cfg.PlanWindow)
+	for i, start := range inFlight.plan.Starts {
 		runID := planned.RunIDs[i]
 		if runID == 0 {
 			c.Counts.Refused++
--- a/internal/dataplane/scheduler/reconcile.go
+++ b/internal/dataplane/scheduler/reconcile.go
@@ -30,7 +30,7 @@
 		}
 		r.inFlight = false
 		if !sent {
-			r.orderedIn = 0
+			r.orderCall = 0
 			c.proveDead(r, command.ProofUnsent, "")
 			continue
 		}
@@ -55,7 +55,7 @@
 	}
 	*inFlight = 0
 	c.callsDue[w.name], c.placement.freedWorkers[w.name] = true, true
-	c.placement.current = false
+	c.placement.isCurrent = false
 	return w
 }
 
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, refusal := range refused {
-		if r := w.runs[refusal.RunID]; r != nil && r.orderedIn == call.Call {
+		if r := w.runs[refusal.RunID]; r != nil && r.orderCall == call.Call {
 			c.proveDead(r, command.ProofRefuse, "refused by "+w.name+": "+refusal.Why)
 			c.Counts.Refused++
 		}
@@ -208,7 +208,7 @@
 	proofs, unconfirmed := len(c.facts.proofs), len(c.facts.unconfirmed)
 	for runID, r := range w.runs {
 		// An order sent after this call may not have arrived when the answer was made.
-		unsent := r.ofThisEpoch && (r.orderedIn == 0 || r.orderedIn > call.Call)
+		unsent := r.ofThisEpoch && (r.orderCall == 0 || r.orderCall > call.Call)
 		if listed[runID] || r.closing || r.inOutbox || r.inFlight || unsent {
 			continue
 		}
--- a/internal/dataplane/scheduler/records.go
+++ b/internal/dataplane/scheduler/records.go
@@ -16,7 +16,7 @@
 	// Progress of its start order under this epoch.
 	ofThisEpoch bool   // its run ID was assigned under this epoch, after this node last took the role
 	inOutbox    bool   // its order is in its worker's outbox
-	orderedIn   uint64 // number of the call that carried its order; 0 if this leader sent none
+	orderCall   uint64 // number of the call that carried its order; 0 if this leader sent none
 	inFlight    bool   // that call is unanswered
 	listed      bool   // the latest conclusive answer about it lists it as running
 
@@ -115,7 +115,7 @@
 			c.reviewRun(r)
 		}
 	}
-	c.placement.current = false
+	c.placement.isCurrent = false
 }
 
 // trackWorker returns the record of a worker and creates it if it does not exist.
--- a/internal/dataplane/scheduler/renew.go
+++ b/internal/dataplane/scheduler/renew.go
@@ -132,7 +132,7 @@
 			c.proveDead(r, command.ProofUnsent, "")
 			continue
 		}
-		r.orderedIn, r.inFlight = call.Call, true
+		r.orderCall, r.inFlight = call.Call, true
 		r.leaseUntil, r.leaseIncarnation = w.clockAt(now)+c.firstLease(w, r), w.incarnation
 		call.Starts = append(call.Starts, startOrder(r, job, startBy))
 		c.Counts.Sent++
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -184,9 +184,9 @@
 	c.runningCounts = map[string]int{}
 	c.runningByTeam = map[string]int{}
 	c.callsDue = map[string]bool{}
-	if sent := c.planInFlight; sent != nil && !sent.invalidated {
-		sent.invalidated = true // otherwise its answer would be applied to a later plan
-		c.facts.ends = append(sent.plan.Ends, c.facts.ends...)
+	if inFlight := c.planInFlight; inFlight != nil && !inFlight.invalidated {
+		inFlight.invalidated = true // otherwise its answer would be applied to a later plan
+		c.facts.ends = append(inFlight.plan.Ends, c.facts.ends...)
 	}
 	c.facts = facts{ends: c.facts.ends, reported: map[string]bool{}}
 	c.queue.clear()
