--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -8,14 +8,14 @@
 	"crosstide/internal/rpc"
 )
 
-// Location identifies the queue of a call by the call's host and path; the configuration maps them to a queue.
+// Location is the host and path of a call, which the configuration maps to a queue.
 type Location struct {
 	Host string `json:"host"`
 	Path string `json:"path"`
 }
 
 // SubmitCall submits a job. Spec.ID is the part of the path after the queue's prefix. If Spec.Queue is empty, the
-// leader sets it by Location.
+// leader derives it from Location.
 type SubmitCall struct {
 	Location Location  `json:"at"`
 	Spec     jobs.Spec `json:"spec"`
@@ -27,19 +27,19 @@
 	State jobs.JobState `json:"state"`
 }
 
-// JobCall asks for a job or cancels it.
+// JobCall reads or cancels a job.
 type JobCall struct {
 	Location Location `json:"at"`
 	Cancel   bool     `json:"cancel,omitempty"`
 }
 
-// JobAnswer is a job's state. Gone is set if there is no such job.
+// JobAnswer is a job's state. Gone is set if the job does not exist.
 type JobAnswer struct {
 	State jobs.JobState `json:"state,omitempty"`
 	Gone  bool          `json:"gone,omitempty"`
 }
 
-// CountCall asks for the number of a queue's waiting jobs: those of which no run was started yet.
+// CountCall requests the number of a queue's waiting jobs. A job waits until its first run is started.
 type CountCall struct {
 	Location Location `json:"at"`
 }
@@ -52,63 +52,63 @@
 // HeartbeatCall is a worker's heartbeat.
 type HeartbeatCall struct {
 	Worker          jobs.Worker   `json:"worker"`
-	Sequence        uint64        `json:"seq"`                 // rising within the worker's incarnation
-	Clock           time.Duration `json:"clock"`               // the worker's own
-	Remaining       time.Duration `json:"remaining,omitempty"` // while draining: the least time before the worker exits
-	WarmupRemaining time.Duration `json:"cold,omitempty"`      // until the worker is warmed up; 0: it is
-	Leaving         bool          `json:"leaving,omitempty"`   // the worker exits now; of Worker only ID is read
-	// Listing is the worker's running and ended runs if orders go with the answers to heartbeats; nil otherwise.
+	Sequence        uint64        `json:"seq"`                 // increases within the worker's incarnation
+	Clock           time.Duration `json:"clock"`               // the worker's own clock
+	Remaining       time.Duration `json:"remaining,omitempty"` // while draining: minimum time before the worker exits
+	WarmupRemaining time.Duration `json:"cold,omitempty"`      // until the worker is warmed up; 0: it is warm
+	Leaving         bool          `json:"leaving,omitempty"`   // the worker exits now; only Worker.ID is read
+	// Listing is the worker's running and ended runs if heartbeat answers carry the orders, else nil.
 	Listing *scheduler.RenewalAnswer `json:"listing,omitempty"`
 }
 
-// HeartbeatAnswer acknowledges a heartbeat: what it reported is durable and queued for the scheduler.
+// HeartbeatAnswer acknowledges a heartbeat: the reported state is durable and queued for the scheduler.
 type HeartbeatAnswer struct {
-	HeartbeatAddress string           `json:"home,omitempty"`   // to which the worker had better send later heartbeats
-	Orders           *HeartbeatOrders `json:"orders,omitempty"` // nil unless orders go with the answers to heartbeats
+	HeartbeatAddress string           `json:"home,omitempty"`   // preferred destination of later heartbeats
+	Orders           *HeartbeatOrders `json:"orders,omitempty"` // nil unless heartbeat answers carry the orders
 }
 
-// HeartbeatOrders are the orders in the answer to a heartbeat.
+// HeartbeatOrders are the orders that the answer to a heartbeat carries.
 type HeartbeatOrders struct {
 	Lease            time.Duration          `json:"lease"` // of all runs on the worker, from the arrival of the answer
-	AcknowledgedUpTo uint64                 `json:"seen"`  // ends numbered up to it are durable here
+	AcknowledgedUpTo uint64                 `json:"seen"`  // ended runs up to this sequence number are durable
 	Token            uint64                 `json:"token"` // fencing token
 	Starts           []scheduler.StartOrder `json:"starts,omitempty"`
 	Stops            []jobs.RunKey          `json:"stops,omitempty"`
 	NextHeartbeat    time.Duration          `json:"again"` // pause before the next heartbeat
 }
 
-// ConfigCall asks for the configuration in force.
+// ConfigCall requests the configuration in force.
 type ConfigCall struct{}
 
-// TopologyCall asks for the members of the store and the leader.
+// TopologyCall requests the members of the store and the leader.
 type TopologyCall struct{}
 
-// TopologyAnswer lists internal addresses.
+// TopologyAnswer lists the internal addresses of the leader and the members.
 type TopologyAnswer struct {
 	Leader  string   `json:"leader,omitempty"`
 	Members []string `json:"members"`
 }
 
-// ConfigureAnswer acknowledges a change of the configuration: it is in force and durable.
+// ConfigureAnswer acknowledges a change of the configuration: the change is in force and durable.
 type ConfigureAnswer struct{}
 
-// EvacuateAnswer acknowledges the start or withdrawal of an evacuation: it is in force and durable.
+// EvacuateAnswer acknowledges the start or end of a zone's evacuation: the change is in force and durable.
 type EvacuateAnswer struct{}
 
-// ShowCall asks for a job by its ID alone.
+// ShowCall requests a job by ID.
 type ShowCall struct {
 	ID string `json:"id"`
 }
 
-// StepView is the progress of one step's tasks, all rounds together.
+// StepView is the progress of one step's tasks, summed over all rounds.
 type StepView struct {
 	Tasks    int `json:"tasks"`
 	Done     int `json:"done"`
-	Running  int `json:"running"` // tasks with a run that is not over
+	Running  int `json:"running"` // tasks with an unfinished run
 	Failures int `json:"failures,omitempty"`
 }
 
-// JobView is a job as its client sees it. Steps is empty once the job is over and nothing of it runs.
+// JobView is a job as its client sees it. Steps is empty once the job has ended and none of its runs is left.
 type JobView struct {
 	ID       string        `json:"id"`
 	Queue    string        `json:"queue"`
@@ -118,16 +118,16 @@
 	Steps    []StepView    `json:"steps,omitempty"`
 }
 
-// CancelCall cancels a job by its ID alone.
+// CancelCall cancels a job by ID.
 type CancelCall struct {
 	ID string `json:"id"`
 }
 
-// ListCall asks for jobs in the order of their IDs; an empty filter takes all.
+// ListCall requests jobs in the order of their IDs. An empty filter matches all jobs.
 type ListCall struct {
 	Queue string        `json:"queue,omitempty"`
 	State jobs.JobState `json:"state,omitempty"`
-	After string        `json:"after,omitempty"` // only IDs above it
+	After string        `json:"after,omitempty"` // only IDs greater than this one
 	Limit int           `json:"limit"`
 }
 
@@ -140,16 +140,16 @@
 	Ended    time.Time     `json:"ended,omitzero"`
 }
 
-// ListAnswer is one page of a list. More is set if there are jobs after the last one.
+// ListAnswer is one page of jobs. More is set if further jobs match.
 type ListAnswer struct {
 	Jobs []JobSummary `json:"jobs"`
 	More bool         `json:"more,omitempty"`
 }
 
-// QueuesCall asks for the queues of the configuration.
+// QueuesCall requests the queues of the configuration.
 type QueuesCall struct{}
 
-// QueueView is one queue and how many of its jobs wait.
+// QueueView is a queue and the number of its waiting jobs.
 type QueueView struct {
 	Name     string `json:"name"`
 	Service  string `json:"service"`
@@ -162,30 +162,31 @@
 	Queues []QueueView `json:"queues"`
 }
 
-// WorkersCall asks for the workers.
+// WorkersCall requests the list of workers.
 type WorkersCall struct{}
 
-// WorkerView is one worker and what the runs on it take.
+// WorkerView is a worker with the number of its runs and the resources that they use.
 type WorkerView struct {
 	jobs.Worker
 	Used jobs.Resources `json:"used"`
 	Runs int            `json:"runs"`
 }
 
-// WorkersAnswer lists the workers by ID, and the zones that are evacuated by name.
+// WorkersAnswer lists the workers, sorted by ID, and the evacuated zones, sorted by name.
 type WorkersAnswer struct {
 	Workers   []WorkerView `json:"workers"`
 	Evacuated []string     `json:"evacuated"`
 }
 
-// The calls that the leader answers. Their errors are, by kind:
+// The calls that the leader answers. Their errors have one of these kinds:
 //
-//   - errs.NotLeader: this node does not lead and did nothing; the hint is the leader's address, if it is known;
-//   - errs.Unknown: there is no such queue;
-//   - errs.Invalid: a field is wrong; the error names it;
+//   - errs.NotLeader: this node is not the leader and has not executed the call; the hint is the leader's address, if
+//     it is known;
+//   - errs.Unknown: the queue does not exist;
+//   - errs.Invalid: a field is invalid; the error names it;
 //   - errs.Stale: another version of the configuration is in force;
-//   - errs.Unavailable: the call was surely not carried out;
-//   - errs.Timeout: the call may or may not have been carried out, or may be yet.
+//   - errs.Unavailable: the call was not executed and never will be;
+//   - errs.Timeout: the outcome is unknown: the call may have been executed, or may still be.
 var (
 	SubmitEndpoint    = rpc.Endpoint[SubmitCall, SubmitAnswer]{Path: "/c/submit"}
 	JobEndpoint       = rpc.Endpoint[JobCall, JobAnswer]{Path: "/c/job"}
@@ -197,7 +198,8 @@
 	TopologyEndpoint  = rpc.Endpoint[TopologyCall, TopologyAnswer]{Path: "/c/topology"} // any node answers
 )
 
-// The calls that find jobs by ID alone. Their errors are those of the other calls; errs.Unknown: there is no such job.
+// The calls for operators, which identify jobs by ID. Their errors have the kinds listed above; errs.Unknown means that
+// the job does not exist.
 var (
 	ShowEndpoint    = rpc.Endpoint[ShowCall, JobView]{Path: "/c/show"}
 	CancelEndpoint  = rpc.Endpoint[CancelCall, JobAnswer]{Path: "/c/cancel"}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,12 +9,12 @@
 	"crosstide/internal/state/command"
 )
 
-// Submit accepts a job. A spec that names its queue needs no location. A job submitted again with the same digest is
-// the same job: its state is returned.
+// Submit accepts a job. The location is ignored if the spec names its queue. Submit is idempotent: if a job with the
+// same ID and digest exists, its state is returned.
 func (l *Leader) Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error) {
 	term, err := l.readTable(func(table *jobs.Table) error {
 		if call.Spec.Queue != "" && table.Config.Version > 0 {
-			return nil // the table refuses a queue that it does not have
+			return nil // the table rejects a queue that does not exist
 		}
 		queue, err := queueAt(table, call.Location)
 		if err != nil {
@@ -32,7 +32,7 @@
 	return SubmitAnswer{State: state}, errs.Pass(err, "submit")
 }
 
-// Job returns a job's state, or cancels the job. The job's ID is the last part of the location's path.
+// Job reads or cancels a job. The job's ID is the last segment of the location's path.
 func (l *Leader) Job(ctx context.Context, call JobCall) (JobAnswer, error) {
 	var answer JobAnswer
 	id := call.Location.Path[strings.LastIndexByte(call.Location.Path, '/')+1:]
@@ -52,12 +52,12 @@
 	}
 	answer.State, err = l.cancelJob(ctx, term, id)
 	if errs.Is(err, errs.Unknown) {
-		return JobAnswer{Gone: true}, nil // deleted meanwhile
+		return JobAnswer{Gone: true}, nil // deleted since it was read
 	}
 	return answer, errs.Pass(err, "cancel")
 }
 
-// Cancel ends a job.
+// Cancel cancels a job by ID.
 func (l *Leader) Cancel(ctx context.Context, call CancelCall) (JobAnswer, error) {
 	term, err := l.readTable(func(table *jobs.Table) error {
 		_, err := jobByID(table, call.ID)
@@ -70,7 +70,7 @@
 	return JobAnswer{State: state}, errs.Pass(err, "cancel")
 }
 
-// cancelJob commits a job's cancellation and returns the job's state after it.
+// cancelJob commits a job's cancellation and returns the resulting state.
 func (l *Leader) cancelJob(ctx context.Context, term uint64, id string) (jobs.JobState, error) {
 	cancel := command.JobCancel{Cancel: jobs.Cancel{ID: id, At: l.clock.Wall()}}
 	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &cancel)
@@ -83,12 +83,12 @@
 	return ConfigureAnswer{}, errs.Pass(l.propose(ctx, &command.JobConfigure{Configure: call}), "configure")
 }
 
-// Evacuate starts or withdraws the evacuation of a zone.
+// Evacuate starts or ends the evacuation of a zone.
 func (l *Leader) Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
 	return EvacuateAnswer{}, errs.Pass(l.propose(ctx, &command.JobEvacuate{Evacuate: call}), "evacuate")
 }
 
-// propose commits a command if this node leads with its lease in force.
+// propose commits a command if this node leads and its lease is in force.
 func (l *Leader) propose(ctx context.Context, c command.Command) error {
 	term, err := l.readTable(func(*jobs.Table) error { return nil })
 	if err != nil {
--- a/internal/controller/gc.go
+++ b/internal/controller/gc.go
@@ -10,14 +10,14 @@
 	"crosstide/internal/state/command"
 )
 
-// DefaultJobRetention is how long a job that is over stays in the table by default.
+// DefaultJobRetention is the default of LeaderOptions.JobRetention.
 const DefaultJobRetention = 10 * time.Minute
 
 // purgeInterval is how often the leader deletes expired jobs.
 const purgeInterval = 20 * time.Second
 
-// purgeEndedJobs deletes the jobs that have been over for JobRetention, every purgeInterval. A proposal that fails
-// is not repeated: the next one covers it.
+// purgeEndedJobs proposes, every purgeInterval, to delete the jobs that ended at least JobRetention ago. A failed
+// proposal is not retried: the next one covers the same jobs.
 func (l *Leader) purgeEndedJobs(now time.Duration, term uint64) {
 	if now < l.nextPurgeAt {
 		return
@@ -26,12 +26,12 @@
 	before := l.clock.Wall().Add(-l.opt.JobRetention)
 	l.group.Go(func(ctx context.Context) {
 		if _, _, err := l.opt.Store.ProposeIn(ctx, term, &command.JobPurge{Before: before}); err != nil {
-			_ = level.Debug(l.log).Log("msg", "expired jobs not deleted", "err", err)
+			_ = level.Debug(l.log).Log("msg", "purge of ended jobs failed", "err", err)
 		}
 	})
 }
 
-// forgetWorker drops the controller's own state of a worker that has left the table.
+// forgetWorker drops the controller's in-memory state of a worker that was removed from the table.
 func (l *Leader) forgetWorker(worker string) {
 	l.heartbeats.forget(worker)
 	if l.opt.Mailboxes != nil {
@@ -39,12 +39,12 @@
 	}
 }
 
-// dropForgottenWorkers drops the controller's own state of workers that left the table while another node led: this
-// node has seen no change for them.
+// dropForgottenWorkers drops the controller's in-memory state of all workers that are not in the table. Those removed
+// while another node led caused no change event on this node.
 func (l *Leader) dropForgottenWorkers(workers map[string]*jobs.Worker) {
-	gone := func(id string) bool { return workers[id] == nil }
-	l.heartbeats.forgetAll(gone)
+	isGone := func(id string) bool { return workers[id] == nil }
+	l.heartbeats.forgetAll(isGone)
 	if l.opt.Mailboxes != nil {
-		l.opt.Mailboxes.ForgetWorkers(gone)
+		l.opt.Mailboxes.ForgetWorkers(isGone)
 	}
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -13,9 +13,9 @@
 	"crosstide/internal/state/command"
 )
 
-// Heartbeat handles a worker's heartbeat. What it changes is durable, and queued for the scheduler, before it is
-// answered. A heartbeat older than one handled before is acknowledged and changes nothing: it was delayed on its way,
-// or is a copy.
+// Heartbeat handles a worker's heartbeat. Changes to the worker's record are committed, and the heartbeat is queued for
+// the scheduler, before it is answered. A heartbeat older than the newest one handled was delayed or duplicated on the
+// network: it is acknowledged without effect.
 func (l *Leader) Heartbeat(ctx context.Context, call HeartbeatCall) (HeartbeatAnswer, error) {
 	answer := HeartbeatAnswer{HeartbeatAddress: l.heartbeatAddress(call.Worker.ID)}
 	worker := call.Worker
@@ -25,7 +25,7 @@
 		if call.Leaving {
 			worker = leavingWorker(known, worker.ID)
 		}
-		changed = known == nil || !sameWorker(known, &worker)
+		changed = known == nil || !isUpToDate(known, &worker)
 		return nil
 	})
 	if err != nil {
@@ -52,7 +52,7 @@
 	return answer, nil
 }
 
-// heartbeatAddress returns the address to which a worker is to send its heartbeats.
+// heartbeatAddress returns the address to which the worker should send its heartbeats.
 func (l *Leader) heartbeatAddress(worker string) string {
 	if l.assigner == nil {
 		return l.opt.ControlAddress
@@ -63,8 +63,9 @@
 	return l.opt.ControlAddress
 }
 
-// leavingWorker returns the record of a worker that has deregistered. One that is not known is recorded too: its first
-// heartbeat may have been lost with a leader, or come late, and must not make it pass for a worker that takes starts.
+// leavingWorker returns the record of a worker that has deregistered. An unknown worker is recorded too: its first
+// heartbeat may have been lost with an earlier leader, or may arrive late, and must not register it as a worker that
+// accepts starts.
 func leavingWorker(known *jobs.Worker, id string) jobs.Worker {
 	worker := jobs.Worker{ID: id}
 	if known != nil {
@@ -74,16 +75,16 @@
 	return worker
 }
 
-// sameWorker reports whether a worker's report changes nothing of its record. Draining and Left are never withdrawn.
-func sameWorker(known, reported *jobs.Worker) bool {
+// isUpToDate reports whether the known record already holds the reported state. Draining and Left are never reset.
+func isUpToDate(known, reported *jobs.Worker) bool {
 	return known.Address == reported.Address && known.Service == reported.Service && known.Zone == reported.Zone &&
 		known.Rack == reported.Rack && known.Capacity == reported.Capacity &&
 		slices.Equal(known.Labels, reported.Labels) &&
 		(known.Draining || !reported.Draining) && (known.Left || !reported.Left)
 }
 
-// heartbeatSequences holds the sequence number of each worker's newest heartbeat, so that one that comes late does not
-// undo what a newer one reported. It is not replicated: a new leader begins with none.
+// heartbeatSequences holds the sequence number of each worker's newest heartbeat, so that a late heartbeat does not
+// overwrite newer state. It is not replicated: a new leader starts with an empty one.
 type heartbeatSequences struct {
 	mu       sync.Mutex
 	byWorker map[string]uint64
@@ -93,7 +94,8 @@
 	return &heartbeatSequences{byWorker: map[string]uint64{}}
 }
 
-// advance records a worker's heartbeat and reports whether it is the newest. A copy of the newest one counts as new.
+// advance records a worker's heartbeat and reports whether it is the newest one. A duplicate of the newest counts as
+// newest.
 func (s *heartbeatSequences) advance(worker string, sequence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,9 +112,9 @@
 	delete(s.byWorker, worker)
 }
 
-// forgetAll drops the workers that are gone.
-func (s *heartbeatSequences) forgetAll(gone func(id string) bool) {
+// forgetAll drops all workers for which isGone returns true.
+func (s *heartbeatSequences) forgetAll(isGone func(id string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.byWorker, func(id string, _ uint64) bool { return gone(id) })
+	maps.DeleteFunc(s.byWorker, func(id string, _ uint64) bool { return isGone(id) })
 }
--- a/internal/controller/heartbeat_assigner.go
+++ b/internal/controller/heartbeat_assigner.go
@@ -9,14 +9,14 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// memberRefreshInterval is how long a list of the reachable members is used before it is read again.
+// memberRefreshInterval is how long the list of reachable members is cached.
 const memberRefreshInterval = 250 * time.Millisecond
 
-// heartbeatAssigner spreads the workers' heartbeats over the control-plane nodes, by rendezvous hashing: each worker
-// sends its own to one node, which forwards them to the leader. So no node needs a connection to every worker, a
-// change of leader moves no worker, and the loss of a node moves that node's workers only.
+// heartbeatAssigner spreads the workers over the control-plane nodes by rendezvous hashing. A worker sends its
+// heartbeats to its assigned node, which forwards them to the leader. No node needs a connection to every worker, a
+// change of leader reassigns no worker, and the loss of a node reassigns only the workers of that node.
 type heartbeatAssigner struct {
-	reachable func() []string // returns the internal addresses of the reachable members, the leader's among them
+	reachable func() []string // returns the internal addresses of the reachable members, including the leader
 
 	mu            sync.Mutex
 	members       []string // as of the last refresh, sorted
@@ -24,7 +24,7 @@
 	nextRefreshAt time.Duration
 }
 
-// nodeFor returns the internal address of the node to which a worker is to send heartbeats; "" if no member is known.
+// nodeFor returns the internal address of the node assigned to a worker, or "" if no member is known.
 func (h *heartbeatAssigner) nodeFor(now time.Duration, worker string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +37,7 @@
 	return h.table.Lookup(worker)
 }
 
-// refresh reads which members are reachable now. The mutex is held.
+// refresh updates the reachable members and the hash table. h.mu must be held.
 func (h *heartbeatAssigner) refresh(now time.Duration) {
 	h.nextRefreshAt = now + memberRefreshInterval
 	members := slices.Sorted(slices.Values(h.reachable()))
--- a/internal/controller/inbox.go
+++ b/internal/controller/inbox.go
@@ -8,22 +8,22 @@
 	"crosstide/internal/jobs"
 )
 
-// schedulerEvent is an input of the scheduler's core, made on the loop's goroutine at the time now.
+// schedulerEvent passes one input to the scheduler's core. The leader's loop calls it with the current time.
 type schedulerEvent func(core *scheduler.Core, now time.Duration)
 
-// inbox collects the inputs of the loop's next pass, and wakes the loop. Any goroutine may add to it; the loop alone
-// drains it.
+// inbox collects the inputs of the next pass of the leader's loop and wakes the loop. Any goroutine may add to it; only
+// the loop drains it.
 type inbox struct {
-	wakeup chan struct{} // holds one signal at most; the loop receives from it
+	wakeup chan struct{} // buffered for one signal, which the loop receives
 
 	mu      sync.Mutex
 	events  []schedulerEvent
-	changes []jobs.Event // of the job table, in the order of their commits
+	changes []jobs.Event // of the job table, in commit order
 }
 
 func newInbox() *inbox { return &inbox{wakeup: make(chan struct{}, 1)} }
 
-// wake makes the loop begin its next pass. It never blocks.
+// wake makes the loop start its next pass. It never blocks.
 func (b *inbox) wake() {
 	select {
 	case b.wakeup <- struct{}{}:
@@ -31,7 +31,7 @@
 	}
 }
 
-// enqueueEvent adds an input of the scheduler.
+// enqueueEvent adds an input for the scheduler.
 func (b *inbox) enqueueEvent(event schedulerEvent) {
 	b.mu.Lock()
 	b.events = append(b.events, event)
@@ -39,7 +39,8 @@
 	b.wake()
 }
 
-// onTableChange adds a change of the job table. The store calls it under its lock: it must not block or read the table.
+// onTableChange adds a change of the job table. The store calls it with its lock held, so it must neither block nor
+// read the table.
 func (b *inbox) onTableChange(change jobs.Event) {
 	b.mu.Lock()
 	b.changes = append(b.changes, change)
@@ -47,7 +48,7 @@
 	b.wake()
 }
 
-// drain empties the inbox and returns what was in it.
+// drain empties the inbox and returns its contents.
 func (b *inbox) drain() ([]schedulerEvent, []jobs.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -17,62 +17,62 @@
 )
 
 const (
-	// minPassInterval is the least time from the beginning of one pass to that of the next. Workers' answers come by
-	// the thousand a second; those that come in the meantime share a pass.
+	// minPassInterval is the minimum time between the starts of two passes. Thousands of worker answers arrive each
+	// second; one pass handles every answer that arrived within the interval.
 	minPassInterval = 2 * time.Millisecond
-	// followerPollInterval is how often a node that does not lead checks whether it does now.
+	// followerPollInterval is how often a follower checks whether it has become the leader.
 	followerPollInterval = time.Second
-	// leasePollInterval is how often a node that leads without its lease in force checks the lease.
+	// leasePollInterval is how often a leader whose lease is not in force checks the lease.
 	leasePollInterval = 20 * time.Millisecond
 )
 
-// Store is the replicated store as the controller needs it. Its methods may be called concurrently.
+// Store is the part of the replicated store that the controller uses. It is safe for concurrent use.
 type Store interface {
-	// View calls read with the live state, under the store's lock.
+	// View calls read with the live state while holding the store's lock.
 	View(read func(*state.State))
-	// LeaderTerm returns the term in which this node leads, 0 if it does not. hasLease reports whether the leader's
-	// lease is in force at now and all that was committed before is applied here.
+	// LeaderTerm returns the term in which this node leads, or 0 if it is not the leader. hasLease reports whether the
+	// leader's lease is in force at now and every entry committed before is applied on this node.
 	LeaderTerm(now time.Duration) (term uint64, hasLease bool)
-	// ProposeIn commits a command under a term and applies it. It fails if the term is over.
+	// ProposeIn commits a command in the given term and applies it. It fails if the term has ended.
 	ProposeIn(ctx context.Context, term uint64, c command.Command) (index uint64, answer any, err error)
 	// Changed returns a channel that is closed when the live state or the leadership next changes.
 	Changed() <-chan struct{}
-	// Members returns the leader's address, "" if none is known, and the addresses of all members.
+	// Members returns the leader's address, or "" if unknown, and the addresses of all members.
 	Members() (leader string, addresses []string)
-	// ReachableVoters returns the addresses of the voters that this leader has lately heard from, its own among them.
+	// ReachableVoters returns the addresses of the voters that this leader recently heard from, including its own.
 	ReachableVoters() []string
 }
 
-// LeaderOptions are the parts and settings of a Leader.
+// LeaderOptions are the dependencies and settings of a Leader.
 type LeaderOptions struct {
 	Store   Store
 	Workers scheduler.Workers // carries orders to workers
-	// Mailboxes are the Workers if orders go with the answers to heartbeats; nil otherwise.
+	// Mailboxes is the same value as Workers if heartbeat answers carry the orders, else nil.
 	Mailboxes      *Mailboxes
 	Config         scheduler.Config
-	ControlAddress string // at which this node receives heartbeats
-	// ControlAddressOf returns the address at which the node with an internal address receives heartbeats; then workers
-	// are spread over all members. nil: all heartbeats go to the leader. With Mailboxes they always do, as the leader's
-	// answers carry the orders.
+	ControlAddress string // address at which this node receives heartbeats
+	// ControlAddressOf maps a node's internal address to the address at which it receives heartbeats. If it is set,
+	// workers are spread over all members. All heartbeats go to the leader if it is nil, and also with Mailboxes,
+	// because the leader's answers carry the orders.
 	ControlAddressOf func(internal string) string
-	// JobRetention is how long a job that is over stays in the table; 0 takes DefaultJobRetention.
+	// JobRetention is how long an ended job stays in the table; 0 means DefaultJobRetention.
 	JobRetention time.Duration
 	Clock        clock.Clock
 	Logger       log.Logger
 }
 
-// Leader answers calls and runs the scheduler on the node that leads the store; on any other node it answers
-// errs.NotLeader. It owns the scheduler's core, which its loop alone may touch.
+// Leader answers calls and runs the scheduler on the node that leads the store. On any other node its calls fail with
+// errs.NotLeader. It owns the scheduler's core, which only its loop may access.
 type Leader struct {
 	opt   LeaderOptions
 	clock clock.Clock
 	log   log.Logger
-	group *routine.Group // the loop, and one goroutine for each action under way
+	group *routine.Group // the loop, and one goroutine per action in progress
 
 	inbox        *inbox
 	heartbeats   *heartbeatSequences
 	assigner     *heartbeatAssigner               // nil: all heartbeats go to the leader
-	latestHealth atomic.Pointer[scheduler.Health] // as of the last report; nil before the first one
+	latestHealth atomic.Pointer[scheduler.Health] // as of the latest report; nil before the first one
 
 	// Owned by the loop.
 	core        *scheduler.Core
@@ -80,7 +80,7 @@
 	nextPurgeAt time.Duration
 }
 
-// NewLeader makes a controller that does nothing before Start.
+// NewLeader returns a Leader that does not schedule before Start is called.
 func NewLeader(opt LeaderOptions) *Leader {
 	if opt.JobRetention <= 0 {
 		opt.JobRetention = DefaultJobRetention
@@ -104,14 +104,14 @@
 	return l
 }
 
-// Start begins to schedule whenever this node leads. It returns at once.
+// Start starts the scheduling loop, which is active while this node leads. It does not block.
 func (l *Leader) Start() { l.group.Go(l.loop) }
 
-// Stop ends all goroutines of the controller.
+// Stop ends the loop and all actions, and waits for their goroutines.
 func (l *Leader) Stop() { l.group.Stop() }
 
-// loop makes a pass whenever there is an input, the table or the leadership has changed, or the time that the last pass
-// named has come.
+// loop makes a pass whenever there is an input, the table or the leadership has changed, or the time requested by the
+// previous pass has come.
 func (l *Leader) loop(ctx context.Context) {
 	for {
 		changed := l.opt.Store.Changed()
@@ -119,7 +119,7 @@
 		next := l.pass()
 		timer := l.clock.Set(max(time.Millisecond, next-l.clock.Now()), l.inbox.wake)
 		if l.core.Term() != 0 {
-			changed = nil // the table's changes come to the inbox
+			changed = nil // while scheduling, table changes arrive through the inbox
 		}
 		select {
 		case <-ctx.Done():
@@ -133,15 +133,15 @@
 	}
 }
 
-// waitForBatch waits until a pass that follows one begun at lastBegin is due.
+// waitForBatch waits until minPassInterval after lastBegin, the start of the previous pass.
 func (l *Leader) waitForBatch(ctx context.Context, lastBegin time.Duration) {
 	if pause := lastBegin + minPassInterval - l.clock.Now(); pause > 0 {
 		sleep(ctx, l.clock, pause)
 	}
 }
 
-// pass follows the leadership and, while this node leads with its lease in force, carries out one pass of the
-// scheduler. It returns when the next one is due.
+// pass handles changes of leadership and, if this node leads and its lease is in force, runs one pass of the scheduler.
+// It returns the time at which the next pass is due.
 func (l *Leader) pass() time.Duration {
 	now := l.clock.Now()
 	term, hasLease := l.opt.Store.LeaderTerm(now)
@@ -159,7 +159,7 @@
 		if l.core.Term() == 0 {
 			l.becomeLeader(now, term, s.JobTable)
 		}
-		l.takeInputs(now)
+		l.applyInputs(now)
 		actions = l.core.Pass(now, l.clock.Wall())
 		l.updateHealth(now)
 	})
@@ -168,9 +168,9 @@
 	return actions.Next
 }
 
-// takeInputs passes the inputs since the last pass to the scheduler: changes of the table first, as the event of the
-// heartbeat that registered a worker was enqueued after the change.
-func (l *Leader) takeInputs(now time.Duration) {
+// applyInputs passes the inputs since the last pass to the scheduler. Table changes come first, because the event of a
+// heartbeat that registers a worker is enqueued after the change.
+func (l *Leader) applyInputs(now time.Duration) {
 	events, changes := l.inbox.drain()
 	for _, change := range changes {
 		l.core.TableChanged(change)
@@ -183,7 +183,7 @@
 	}
 }
 
-// updateHealth logs changes of the workers' health and publishes it to the metrics, if a report is due.
+// updateHealth logs changes of the workers' health and publishes the health to the metrics if a report is due.
 func (l *Leader) updateHealth(now time.Duration) {
 	if !l.health.isDue(now) {
 		return
@@ -193,8 +193,8 @@
 	l.latestHealth.Store(&health)
 }
 
-// becomeLeader begins to schedule under a term. Events of an earlier term are dropped: the scheduler has dropped the
-// calls that they answer. The store's lock is held.
+// becomeLeader starts scheduling in a term. Events of earlier terms are dropped, as the scheduler no longer tracks the
+// calls that they answer. The store's lock must be held.
 func (l *Leader) becomeLeader(now time.Duration, term uint64, table *jobs.Table) {
 	l.inbox.drain()
 	l.dropForgottenWorkers(table.Workers)
@@ -205,19 +205,20 @@
 		"jobs", len(table.Jobs), "workers", len(table.Workers))
 }
 
-// stepDown ends scheduling if this node schedules. Actions under way end by themselves: each checks the lease.
+// stepDown stops scheduling if it is active. It does not cancel actions in progress; each checks the lease before it
+// sends its order.
 func (l *Leader) stepDown() {
 	if l.core.Term() == 0 {
 		return
 	}
-	_ = level.Info(l.log).Log("msg", "no longer scheduling", "term", l.core.Term())
+	_ = level.Info(l.log).Log("msg", "scheduling stopped", "term", l.core.Term())
 	l.core.StepDown()
 	l.opt.Store.View(func(s *state.State) { s.JobTable.OnEvent = nil })
 	l.inbox.drain()
 }
 
-// hasLease reports whether this node leads in a term with its lease in force. It is called immediately before each
-// order, so that a node that lost the lead sends none.
+// hasLease reports whether this node leads in the given term and its lease is in force. It is called immediately before
+// each order, so that a node that has lost leadership sends none.
 func (l *Leader) hasLease(term uint64) bool {
 	current, hasLease := l.opt.Store.LeaderTerm(l.clock.Now())
 	return hasLease && current == term
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/jobs"
 )
 
-// Metrics are the metrics of the job table, as a prometheus.Collector. A node that does not lead exports isLeader
-// alone.
+// Metrics is a prometheus.Collector for the metrics of the job table. A node that is not the leader exports only
+// isLeader.
 type Metrics struct {
 	leader *Leader
 
@@ -32,15 +32,15 @@
 	return &Metrics{
 		leader:   leader,
 		isLeader: desc("leads", "1 on the node that schedules jobs, 0 on the others."),
-		waiting:  desc("waiting", "Jobs of which nothing was started yet, by queue.", "queue"),
+		waiting:  desc("waiting", "Jobs without a started run, by queue.", "queue"),
 		workers:  desc("workers", "Workers, by zone and state.", "zone", "state"),
-		runs:     desc("runs", "Runs that are not over, by zone of their worker.", "zone"),
+		runs:     desc("runs", "Unfinished runs, by zone of their worker.", "zone"),
 		version:  desc("config_version", "Version of the configuration in force."),
 
 		discardedRuns: desc("discarded_runs_total",
-			"Runs that ended neither well nor by their own fault, by cause.", "cause"),
+			"Runs that ended without success for a reason other than their own failure, by cause.", "cause"),
 		discardedWork: desc("discarded_core_seconds_total",
-			"Work of such runs that had no checkpoint, by cause.", "cause"),
+			"Core-seconds spent on discarded runs without a checkpoint, by cause.", "cause"),
 	}
 }
 
@@ -52,10 +52,10 @@
 	}
 }
 
-// workerGroup is the key by which workers are counted.
+// workerGroup is the label set by which workers are counted.
 type workerGroup struct{ zone, state string }
 
-// tableStats are counts over the table at one time.
+// tableStats holds counts taken from one snapshot of the job table.
 type tableStats struct {
 	version uint64
 	waiting map[string]int // by queue
@@ -63,7 +63,7 @@
 	runs    map[string]int // by zone
 }
 
-// Collect sends the metrics as of now.
+// Collect sends the current values of all metrics.
 func (m *Metrics) Collect(out chan<- prometheus.Metric) {
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
@@ -91,7 +91,7 @@
 	}
 }
 
-// collectDiscarded sends the metrics of discarded runs, as of the leader's latest health.
+// collectDiscarded sends the metrics of discarded runs from the leader's latest health report.
 func (m *Metrics) collectDiscarded(out chan<- prometheus.Metric) {
 	health := m.leader.latestHealth.Load()
 	if health == nil {
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -14,11 +14,11 @@
 	"crosstide/internal/state/command"
 )
 
-// heartbeatOrderTimeout bounds an order that waits for the worker's heartbeat.
+// heartbeatOrderTimeout is the timeout of an order that is delivered in a heartbeat answer.
 const heartbeatOrderTimeout = 3 * time.Second
 
-// dispatch carries out a pass's actions, each on its own goroutine. Every action reports its outcome to the scheduler
-// by one event, even if it was not carried out.
+// dispatch executes the actions of a pass, each on its own goroutine. Every action reports its outcome to the scheduler
+// in exactly one event, even if it was not executed.
 func (l *Leader) dispatch(term uint64, actions scheduler.Actions) {
 	if actions.Progress != nil {
 		l.group.Go(func(ctx context.Context) { l.commitProgress(ctx, term, actions.Progress) })
@@ -38,14 +38,14 @@
 	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &command.JobProgress{Progress: *progress})
 	started, _ := answer.(jobs.Started)
 	if err != nil {
-		_ = level.Warn(l.log).Log("msg", "progress not committed", "err", err)
+		_ = level.Warn(l.log).Log("msg", "progress commit failed", "err", err)
 	}
 	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.Committed(now, progress, started, err) })
 }
 
-// sendStart sends a start to its worker. An order that surely did not reach it is reported as unsent, so that the
-// scheduler may place the run elsewhere at once; one whose outcome is unknown must be confirmed by the worker's lists
-// first.
+// sendStart sends a start order to its worker. An order that cannot have reached the worker is reported as unsent, so
+// that the scheduler may place the run elsewhere immediately. If the outcome is unknown, the scheduler first needs the
+// worker's list of runs.
 func (l *Leader) sendStart(ctx context.Context, term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
 	failure := scheduler.StartUnsent
@@ -97,7 +97,7 @@
 	return scheduler.StopFailed
 }
 
-// renewLease renews a worker's lease and reports the worker's lists to the scheduler.
+// renewLease renews a worker's lease and reports the worker's list of runs to the scheduler.
 func (l *Leader) renewLease(ctx context.Context, term uint64, renewal scheduler.RenewalAction) {
 	id, number := renewal.Worker.ID, renewal.Number
 	failure := scheduler.RenewalFailed
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -10,42 +10,43 @@
 	"crosstide/internal/state"
 )
 
-// readTable calls read with the job table, under the store's lock, if this node leads with its lease in force: then the
-// table has every commit. It returns the term, under which a command that follows from the reading is to be proposed.
-// The error is errs.NotLeader with the leader's address as hint, errs.Unavailable, or that of read.
+// readTable calls read with the job table, holding the store's lock. This node must lead with its lease in force, which
+// guarantees that the table holds every committed change. It returns the term in which to propose commands that depend
+// on the data read. The error is errs.NotLeader with the leader's address as hint, errs.Unavailable if leadership
+// cannot be confirmed, or the error of read.
 func (l *Leader) readTable(read func(*jobs.Table) error) (term uint64, err error) {
 	term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now())
 	if term == 0 {
 		leader, _ := l.opt.Store.Members()
-		err := errs.New(errs.NotLeader, "this node does not lead")
+		err := errs.New(errs.NotLeader, "this node is not the leader")
 		errs.Of(err).Hint = leader
 		return 0, err
 	}
 	if !hasLease {
-		return term, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
+		return term, errs.New(errs.Unavailable, "leadership cannot be confirmed")
 	}
 	l.opt.Store.View(func(s *state.State) { err = read(s.JobTable) })
 	return term, errs.Pass(err, "read the job table")
 }
 
-// queueAt returns the queue at a location.
+// queueAt returns the queue that serves a location.
 func queueAt(table *jobs.Table, at Location) (*jobs.Queue, error) {
 	if table.Config.Version == 0 {
-		return nil, errs.New(errs.Unavailable, "there is no configuration yet")
+		return nil, errs.New(errs.Unavailable, "no configuration has been set")
 	}
 	queue := table.QueueFor(at.Host, at.Path)
 	if queue == nil {
-		return nil, errs.New(errs.Unknown, "no queue at %s%s", at.Host, at.Path)
+		return nil, errs.New(errs.Unknown, "no queue serves %s%s", at.Host, at.Path)
 	}
 	return queue, nil
 }
 
-// jobByID returns a job by its ID alone.
+// jobByID returns the job with the given ID.
 func jobByID(table *jobs.Table, id string) (*jobs.Job, error) {
 	if job := table.Jobs[id]; job != nil {
 		return job, nil
 	}
-	return nil, errs.Field(errs.Unknown, "id", "no job %q", id)
+	return nil, errs.Field(errs.Unknown, "id", "job %q does not exist", id)
 }
 
 // Count returns the number of a queue's waiting jobs.
@@ -148,7 +149,7 @@
 	return answer, errs.Pass(err, "queues")
 }
 
-// Workers lists the workers by ID, and the evacuated zones by name.
+// Workers lists the workers, sorted by ID, and the evacuated zones, sorted by name.
 func (l *Leader) Workers(context.Context, WorkersCall) (WorkersAnswer, error) {
 	answer := WorkersAnswer{Workers: []WorkerView{}, Evacuated: []string{}}
 	_, err := l.readTable(func(table *jobs.Table) error {
@@ -166,11 +167,11 @@
 	return answer, errs.Pass(err, "workers")
 }
 
-// Topology returns the leader and the members of the store, as this node knows them.
+// Topology returns the leader and the members of the store known to this node.
 func (l *Leader) Topology(context.Context, TopologyCall) (TopologyAnswer, error) {
 	leader, members := l.opt.Store.Members()
 	if term, hasLease := l.opt.Store.LeaderTerm(l.clock.Now()); term != 0 && !hasLease {
-		leader = "" // without the lease another node may lead already
+		leader = "" // without a valid lease, another node may already be the leader
 	}
 	return TopologyAnswer{Leader: leader, Members: members}, nil
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -7,15 +7,15 @@
 	"crosstide/internal/jobs"
 )
 
-// Relay answers calls on any control-plane node: the node itself answers them while it leads, else they are forwarded
-// to the leader.
+// Relay answers calls on any control-plane node. The node answers them itself while it leads; otherwise they are
+// forwarded to the leader.
 type Relay struct {
 	local  Local
 	remote *Client
 	self   string
 }
 
-// NewRelay returns a Relay on the node whose internal address is self.
+// NewRelay returns a Relay for the node whose internal address is self.
 func NewRelay(local Local, remote *Client, self string) *Relay {
 	return &Relay{local: local, remote: remote, self: self}
 }
@@ -26,13 +26,13 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Job asks for a job or cancels it.
+// Job reads or cancels a job.
 func (r *Relay) Job(ctx context.Context, call JobCall) (JobAnswer, error) {
 	answer, err := relay(ctx, r, call, r.local.Job, r.remote.Job)
 	return answer, errs.Pass(err, "relay")
 }
 
-// Count asks for the number of a queue's waiting jobs.
+// Count returns the number of a queue's waiting jobs.
 func (r *Relay) Count(ctx context.Context, call CountCall) (CountAnswer, error) {
 	answer, err := relay(ctx, r, call, r.local.Count, r.remote.Count)
 	return answer, errs.Pass(err, "relay")
@@ -44,7 +44,7 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Config asks for the configuration in force.
+// Config returns the configuration in force.
 func (r *Relay) Config(ctx context.Context, call ConfigCall) (jobs.Config, error) {
 	answer, err := relay(ctx, r, call, r.local.Config, r.remote.Config)
 	return answer, errs.Pass(err, "relay")
@@ -56,7 +56,7 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Evacuate starts or withdraws the evacuation of a zone.
+// Evacuate starts or ends the evacuation of a zone.
 func (r *Relay) Evacuate(ctx context.Context, call jobs.Evacuate) (EvacuateAnswer, error) {
 	answer, err := relay(ctx, r, call, r.local.Evacuate, r.remote.Evacuate)
 	return answer, errs.Pass(err, "relay")
@@ -68,13 +68,13 @@
 	return answer, errs.Pass(err, "relay")
 }
 
-// Topology returns the leader and the members of the store, as this node knows them.
+// Topology returns the leader and the members of the store known to this node.
 func (r *Relay) Topology(ctx context.Context, call TopologyCall) (TopologyAnswer, error) {
 	answer, err := r.local.Topology(ctx, call)
 	return answer, errs.Pass(err, "relay")
 }
 
-// relay makes a call at this node, and at the leader if this node has not carried it out because it does not lead.
+// relay executes a call on this node and, if that fails as shouldForward describes, on the leader.
 func relay[C, A any](ctx context.Context, r *Relay, call C,
 	local, remote func(context.Context, C) (A, error)) (A, error) {
 	answer, err := local(ctx, call)
@@ -85,16 +85,16 @@
 	return answer, errs.Pass(err, "the leader")
 }
 
-// shouldForward reports whether a call that failed here with err was surely not carried out and may succeed at another
-// node. A node that leads without its lease in force forwards too: another one may lead already.
+// shouldForward reports whether err proves that the call was not executed on this node and another node may execute it.
+// A leader whose lease is not in force forwards too, because another node may already be the leader.
 func (r *Relay) shouldForward(ctx context.Context, err error) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
 		r.remote.Hint(errs.Of(err).Hint)
 		return true
 	case errs.Unavailable:
-		topology, failed := r.local.Topology(ctx, TopologyCall{})
-		return failed != nil || topology.Leader != r.self
+		topology, topologyErr := r.local.Topology(ctx, TopologyCall{})
+		return topologyErr != nil || topology.Leader != r.self
 	}
 	return false
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -9,10 +9,10 @@
 	"crosstide/internal/rpc"
 )
 
-// Local answers the calls on a control-plane node, with the errors that are listed at the endpoints. On a node that
-// does not lead each call but Topology does nothing and fails with errs.NotLeader; the hint is the leader's internal
-// address. Any node answers Topology; it names itself as the leader only while its lease is in force. Calls may be
-// concurrent and return when their ctx ends.
+// Local answers the calls on a control-plane node, with the errors documented at the endpoints. On a node that is not
+// the leader, every call but Topology fails with errs.NotLeader without any effect; the hint is the leader's internal
+// address. Any node answers Topology, and names itself as the leader only while its lease is in force. It is safe for
+// concurrent use; a call returns when its ctx ends.
 type Local interface {
 	Submit(ctx context.Context, call SubmitCall) (SubmitAnswer, error)
 	Job(ctx context.Context, call JobCall) (JobAnswer, error)
@@ -31,11 +31,11 @@
 
 var _ Local = (*Leader)(nil)
 
-// serveTimeout bounds a call at the node that answers it. Callers give up long before.
+// serveTimeout is the timeout of a call on the node that answers it. Callers time out long before.
 const serveTimeout = 10 * time.Second
 
-// Serve adds the endpoints of the core to s, answered by local: a call that reaches the wrong node is refused, not
-// forwarded. Call it before s starts.
+// Serve registers the endpoints of the controller on s. local answers the calls, so a call to a node that is not the
+// leader fails and is not forwarded. Serve must be called before s starts.
 func Serve(s *rpc.Server, local Local) {
 	handle(s, SubmitEndpoint, local.Submit)
 	handle(s, JobEndpoint, local.Job)
