--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -15,42 +15,42 @@
 
 const (
 	defaultAttemptTimeout = 700 * time.Millisecond
-	readyWindow           = 2500 * time.Millisecond // how long a leader's answer keeps the client ready
-	probeInterval         = time.Second             // between probes while no call has reached the leader
-	memberListInterval    = 10 * time.Second        // between probes for the members while calls reach the leader
+	readyWindow           = 2500 * time.Millisecond // a client is ready for this long after a leader's answer
+	probeInterval         = time.Second             // between probes while no call reaches the leader
+	memberListInterval    = 10 * time.Second        // between probes for the member list while calls reach the leader
 )
 
 // ClientOptions are the settings of a Client. Caller and Seeds are required.
 type ClientOptions struct {
 	Caller  *rpc.Client
-	Seeds   []string      // internal addresses of control-plane nodes that are asked beside the known members
-	Self    string        // own internal address if the client runs on a control-plane node: asked only after a hint
+	Seeds   []string      // internal addresses of control-plane nodes to try in addition to the known members
+	Self    string        // own internal address on a control-plane node, "" elsewhere; called only after a hint
 	Clock   clock.Clock   // default clock.Real
 	Logger  log.Logger    // default: no logging
 	Attempt time.Duration // timeout of one attempt of a call, default 700ms
 }
 
-// Client calls the store's leader. It remembers the leader and the members, follows a node's hint to the leader and
-// tries the others in rotation when a node fails, until the deadline of the call's ctx nears. Its errors are
+// Client calls the store's leader. It caches the leader and the members, follows a node's hint to the leader and, if a
+// node fails, tries the others in rotation until shortly before the deadline of the call's ctx. Its errors are:
 //
 //   - the leader's refusal, of kind errs.Unknown, Invalid, Malformed, TooLarge, Conflict, Stale, Forbidden or
-//     Overloaded: the call was surely not carried out;
-//   - errs.Unavailable: it was surely not carried out;
-//   - errs.Timeout: it may or may not have been carried out, or may be yet.
+//     Overloaded: the call was not executed and never will be;
+//   - errs.Unavailable: likewise not executed;
+//   - errs.Timeout: the outcome is unknown: the call may have been executed, or may still be.
 //
 // It is safe for concurrent use.
 type Client struct {
 	opt       ClientOptions
 	directory *directory
 	contacts  *contactLog
-	group     *routine.Group // the probes
+	group     *routine.Group // runs watchLeader
 
 	// Replaced by tests.
-	ask   func(ctx context.Context, addr string, q query, answer any, timeout time.Duration) reply
+	send  func(ctx context.Context, addr string, req request, answer any, timeout time.Duration) reply
 	sleep func(ctx context.Context, d time.Duration)
 }
 
-// NewClient makes a client. It can be used at once; Start makes it look for the leader before the first call. Example:
+// NewClient returns a client that is ready for calls. Start lets it find the leader before the first call. Example:
 //
 //	client := controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: seeds})
 //	client.Start()
@@ -72,20 +72,20 @@
 		contacts:  newContactLog(opt.Clock),
 		group:     routine.New(context.Background()),
 	}
-	c.ask, c.sleep = c.askRPC, c.sleepOnClock
+	c.send, c.sleep = c.sendRPC, c.sleepOnClock
 	return c
 }
 
 // SetSeeds replaces the seeds.
 func (c *Client) SetSeeds(seeds []string) { c.directory.setSeeds(seeds) }
 
-// Hint makes the client try an address as the leader's next, one that its caller has learnt; "" changes nothing.
+// Hint makes the client try the given address as the leader's next. An empty address has no effect.
 func (c *Client) Hint(leader string) { c.directory.followHint("", leader, c.opt.Clock.Now()) }
 
-// Start begins to probe for the leader, so that Ready is up to date and calls need not search. Call it once.
+// Start begins to probe for the leader, which keeps Ready up to date and saves calls the search. Call it once.
 func (c *Client) Start() { c.group.Go(c.watchLeader) }
 
-// Stop ends the probes. Calls may go on.
+// Stop ends the probes. Calls remain possible.
 func (c *Client) Stop() { c.group.Stop() }
 
 // Ready returns nil if a leader has answered within readyWindow, else errs.Unavailable.
@@ -96,10 +96,11 @@
 	if c.contacts.isRecent(contactLeader, maxAge) {
 		return nil
 	}
-	return errs.New(errs.Unavailable, "no leader of the core has answered for %s", maxAge)
+	return errs.New(errs.Unavailable, "no answer from a control-plane leader for %s", maxAge)
 }
 
-// watchLeader probes for the leader whenever calls have not reached it lately, and logs when it is lost or found.
+// watchLeader probes for the leader if no call has reached it within probeInterval, and logs when it becomes reachable
+// or unreachable.
 func (c *Client) watchLeader(ctx context.Context) {
 	wasReady := false
 	for ctx.Err() == nil {
@@ -109,17 +110,17 @@
 		}
 		if isReady := c.Ready() == nil; isReady != wasReady {
 			wasReady = isReady
-			_ = level.Info(c.opt.Logger).Log("msg", "the core's leader", "answers", isReady)
+			_ = level.Info(c.opt.Logger).Log("msg", "leader reachability changed", "answers", isReady)
 		}
 		c.sleep(ctx, probeInterval)
 	}
 }
 
-// probe finds the leader and asks it for the members. A probe that fails is not repeated before the next is due.
+// probe finds the leader and requests the member list from it. A failed probe is not retried before the next is due.
 func (c *Client) probe(ctx context.Context) {
-	_, err := callEndpoint(ctx, c, TopologyEndpoint, TopologyCall{}, query{bound: probeInterval, topology: true})
+	_, err := callEndpoint(ctx, c, TopologyEndpoint, TopologyCall{}, request{timeout: probeInterval, leaderOnly: true})
 	if err != nil {
-		_ = level.Debug(c.opt.Logger).Log("msg", "no leader found", "err", err)
+		_ = level.Debug(c.opt.Logger).Log("msg", "leader probe failed", "err", err)
 	}
 }
 
--- a/internal/controller/client_attempt.go
+++ b/internal/controller/client_attempt.go
@@ -12,19 +12,19 @@
 type reply struct {
 	answer   any
 	err      error
-	answered bool // the node answered, with the answer or a failure
-	unsent   bool // no byte of the call left this node
+	answered bool // the node responded, with an answer or an error
+	unsent   bool // the call failed before any byte of it was sent
 }
 
-// outcome is what an attempt means for its call.
+// outcome classifies the reply to an attempt by its consequence for the call.
 type outcome int
 
 const (
 	succeeded  outcome = iota
-	refused            // a failure that ends the call
-	redirected         // the node does not lead; it did nothing
-	declined           // the attempt surely did nothing; another may succeed
-	uncertain          // the attempt may have been carried out
+	refused            // the leader rejected the call, which ends it
+	redirected         // the node is not the leader and has not executed the call
+	declined           // the attempt was not executed; another one may succeed
+	uncertain          // the attempt may have been executed
 )
 
 func (r reply) outcome() outcome {
@@ -45,32 +45,33 @@
 	case errs.Unavailable:
 		return declined
 	}
-	// Stopped too: a server that stops refuses what it has not begun, but a handler may say it of what it has.
+	// errs.Stopped is uncertain too: a stopping server returns it for calls that it has not started, but a handler may
+	// return it for a call that it has started.
 	return uncertain
 }
 
-// attempt makes one attempt at the node at addr, hedged by another node if q allows it.
-func (c *Client) attempt(ctx context.Context, addr string, q query, timeout time.Duration) reply {
-	if q.hedge && timeout > hedgeDelay {
-		return c.hedged(ctx, addr, q, timeout)
+// attempt sends req once to the node at addr, and to another node too if req may be hedged and the node is slow.
+func (c *Client) attempt(ctx context.Context, addr string, req request, timeout time.Duration) reply {
+	if req.canHedge && timeout > hedgeDelay {
+		return c.sendHedged(ctx, addr, req, timeout)
 	}
-	r := c.askOnce(ctx, addr, q, timeout)
+	r := c.sendOnce(ctx, addr, req, timeout)
 	c.recordReply(ctx, addr, timeout, r)
 	return r
 }
 
-// askOnce asks the node at addr. For a query of the topology only the leader's own answer is a success.
-func (c *Client) askOnce(ctx context.Context, addr string, q query, timeout time.Duration) reply {
-	answer := q.newAnswer()
-	r := c.ask(ctx, addr, q, answer, timeout)
+// sendOnce sends req to the node at addr. If req is leaderOnly, an answer of any other node is a redirect.
+func (c *Client) sendOnce(ctx context.Context, addr string, req request, timeout time.Duration) reply {
+	answer := req.newAnswer()
+	r := c.send(ctx, addr, req, answer, timeout)
 	if r.err != nil {
 		return r
 	}
 	r.answer = answer
-	if t, ok := answer.(*TopologyAnswer); ok && q.topology {
+	if t, ok := answer.(*TopologyAnswer); ok && req.leaderOnly {
 		c.directory.updateMembers(t.Members, t.Leader == addr)
 		if t.Leader != addr {
-			r.err = &errs.Error{Kind: errs.NotLeader, Message: "it does not lead", Hint: t.Leader}
+			r.err = &errs.Error{Kind: errs.NotLeader, Message: "the node is not the leader", Hint: t.Leader}
 			return r
 		}
 		c.contacts.record(contactMembers)
@@ -78,7 +79,7 @@
 	return r
 }
 
-// recordReply updates the directory and the contacts by a reply of the node at addr, which had timeout to answer.
+// recordReply updates the directory and the contacts with the reply of the node at addr, which had timeout to answer.
 func (c *Client) recordReply(ctx context.Context, addr string, timeout time.Duration, r reply) {
 	if r.answered {
 		c.contacts.record(contactAny)
@@ -93,14 +94,14 @@
 	case r.answered:
 		c.directory.clearLeader(addr)
 	case errs.Is(r.err, errs.Timeout) && (ctx.Err() != nil || timeout < c.opt.Attempt):
-		// Too little time was left for the call: the timeout proves nothing about the node.
+		// The node had less than a full attempt to answer, so the timeout does not prove that it failed.
 	default:
 		c.directory.recordFailure(addr, now)
 	}
 }
 
-// askRPC makes one attempt over the client's Caller.
-func (c *Client) askRPC(ctx context.Context, addr string, q query, answer any, timeout time.Duration) reply {
-	err := c.opt.Caller.CallInto(ctx, addr, q.path, q.call, answer, timeout)
+// sendRPC makes one attempt through the client's Caller.
+func (c *Client) sendRPC(ctx context.Context, addr string, req request, answer any, timeout time.Duration) reply {
+	err := c.opt.Caller.CallInto(ctx, addr, req.path, req.call, answer, timeout)
 	return reply{err: err, answered: err == nil || rpc.IsRemote(err), unsent: rpc.IsUnsent(err)}
 }
--- a/internal/controller/client_directory.go
+++ b/internal/controller/client_directory.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// failureBackoff is how long an address that failed is not picked while there are others.
+	// failureBackoff is how long an address is avoided after a failure while others are available.
 	failureBackoff = 500 * time.Millisecond
-	// maxMembers bounds the addresses that are learnt from nodes that do not lead.
+	// maxMembers bounds the addresses learned from nodes that are not the leader.
 	maxMembers = 64
 )
 
-// directory is what a client knows of the control plane: the presumed leader, the members, and which of them failed
-// lately. It is safe for concurrent use.
+// directory caches a client's view of the control plane: the presumed leader, the members, and which of them are backed
+// off after a failure. It is safe for concurrent use.
 type directory struct {
-	self string // the own address, never in the rotation
+	self string // own address, excluded from the rotation
 
 	mu           sync.Mutex
 	seeds        []string
 	members      []string
-	leader       string                   // "" if none is presumed
-	backoffUntil map[string]time.Duration // of the addresses that failed lately
+	leader       string                   // "" if unknown
+	backoffUntil map[string]time.Duration // by address, for those that failed recently
 	rotation     int                      // index of the next address in addresses, modulo its length
 }
 
-// newDirectory begins the rotation at random, so that clients that start together spread over the core.
+// newDirectory returns a directory whose rotation starts at a random address, so that clients that start together
+// spread over the control-plane nodes.
 func newDirectory(self string, seeds []string) *directory {
 	return &directory{
 		self:         self,
@@ -37,7 +38,7 @@
 	}
 }
 
-// addresses lists every address of the rotation once. The mutex is held.
+// addresses returns the distinct addresses of the rotation. d.mu must be held.
 func (d *directory) addresses() []string {
 	list := make([]string, 0, len(d.members)+len(d.seeds))
 	for _, addr := range slices.Concat(d.members, d.seeds) {
@@ -48,13 +49,13 @@
 	return list
 }
 
-// isBackedOff reports whether the node at addr failed lately. The mutex is held.
+// isBackedOff reports whether the node at addr failed within the last failureBackoff. d.mu must be held.
 func (d *directory) isBackedOff(addr string, now time.Duration) bool {
 	return now < d.backoffUntil[addr]
 }
 
-// pick returns the address to ask: the presumed leader, else the next one in rotation; one that failed lately only if
-// all did. It is "" if no address is known.
+// pick returns the address for the next attempt: the presumed leader unless it is backed off, else the next one in
+// rotation. An address that is backed off is returned only if all are; "" if no address is known.
 func (d *directory) pick(now time.Duration) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,15 +65,15 @@
 	return d.nextInRotation(now, "")
 }
 
-// pickOther returns the next address in rotation that is not except.
+// pickOther returns the next address in rotation other than except.
 func (d *directory) pickOther(now time.Duration, except string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.nextInRotation(now, except)
 }
 
-// nextInRotation returns the next address that is not backed off, else the one whose backoff ends first. The mutex is
-// held.
+// nextInRotation returns the next address that is not backed off, or, if all are, the one whose backoff ends first.
+// d.mu must be held.
 func (d *directory) nextInRotation(now time.Duration, except string) string {
 	list := d.addresses()
 	soonest := ""
@@ -92,8 +93,8 @@
 	return soonest
 }
 
-// followHint presumes the leader that the node at from named, "" if it named none. A hint that names the node itself,
-// or one that failed lately, only ends the presumption that the node at from leads.
+// followHint records leader, as named by the node at from, as the presumed leader. If the hint is empty or names from
+// itself or a node that is backed off, it only clears the presumed leader if that is from.
 func (d *directory) followHint(from, leader string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,14 +107,14 @@
 	d.leader = leader
 }
 
-// isLeader reports whether the node at addr is presumed to lead and is not backed off.
+// isLeader reports whether the node at addr is the presumed leader and is not backed off.
 func (d *directory) isLeader(addr string, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return addr != "" && addr == d.leader && !d.isBackedOff(addr, now)
 }
 
-// recordLeader records that the node at addr has answered as the leader.
+// recordLeader records that the node at addr answered as the leader.
 func (d *directory) recordLeader(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +122,7 @@
 	delete(d.backoffUntil, addr)
 }
 
-// clearLeader ends the presumption that the node at addr leads.
+// clearLeader clears the presumed leader if it is the node at addr.
 func (d *directory) clearLeader(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// recordFailure records that the node at addr did not answer: it is backed off.
+// recordFailure backs off the node at addr, which did not answer.
 func (d *directory) recordFailure(addr string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,8 +146,8 @@
 	d.backoffUntil[addr] = now + failureBackoff
 }
 
-// updateMembers records the members that a node lists: the leader's list replaces the known ones, another node's adds
-// to them.
+// updateMembers records the members that a node listed. The leader's list replaces the known members; the list of any
+// other node adds to them.
 func (d *directory) updateMembers(members []string, fromLeader bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/client_hedge.go
+++ b/internal/controller/client_hedge.go
@@ -8,12 +8,12 @@
 	"crosstide/internal/routine"
 )
 
-// hedgeDelay is how long a read waits for the first node's answer before it asks another one too.
+// hedgeDelay is how long a read waits for the first node's answer before it is sent to another one too.
 const hedgeDelay = 400 * time.Millisecond
 
-// hedged asks the node at addr and, if it has not answered after hedgeDelay, another one at the same time. It returns
-// the first success, else the first node's reply.
-func (c *Client) hedged(ctx context.Context, addr string, q query, timeout time.Duration) reply {
+// sendHedged sends req to the node at addr and, if that has not answered within hedgeDelay, concurrently to another
+// node. It returns the first successful reply, or the first node's reply if neither succeeds.
+func (c *Client) sendHedged(ctx context.Context, addr string, req request, timeout time.Duration) reply {
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	secondCtx, cancelSecond := context.WithCancel(ctx)
 	defer cancelFirst()
@@ -23,33 +23,34 @@
 	timer := c.opt.Clock.Set(hedgeDelay, func() {
 		routine.New(secondCtx).Go(func(ctx context.Context) {
 			defer close(secondDone)
-			if second = c.askAnother(ctx, addr, q, timeout-hedgeDelay); second.err == nil {
+			if second = c.sendToOther(ctx, addr, req, timeout-hedgeDelay); second.err == nil {
 				cancelFirst()
 			}
 		})
 	})
-	first := c.askOnce(firstCtx, addr, q, timeout)
+	first := c.sendOnce(firstCtx, addr, req, timeout)
 	if timer.Stop() || first.outcome() <= refused {
 		c.recordReply(ctx, addr, timeout, first)
 		return first
 	}
 	<-secondDone
 	if second.err == nil {
-		c.directory.clearLeader(addr) // not backed off, as it may only be slow; askAnother has recorded who answered
+		c.directory.clearLeader(addr) // not backed off: it may just be slow. sendToOther has recorded the new leader.
 		return second
 	}
 	c.recordReply(ctx, addr, timeout, first)
 	return first
 }
 
-// askAnother asks a node other than the one at except and, if that one does not lead, the leader that it names.
-func (c *Client) askAnother(ctx context.Context, except string, q query, timeout time.Duration) reply {
+// sendToOther sends req to a node other than the one at except, and then to the leader that it names if it is not the
+// leader itself.
+func (c *Client) sendToOther(ctx context.Context, except string, req request, timeout time.Duration) reply {
 	addr := c.directory.pickOther(c.opt.Clock.Now(), except)
 	if addr == "" {
-		return reply{err: errs.New(errs.Unavailable, "there is no other node")}
+		return reply{err: errs.New(errs.Unavailable, "no other control-plane node known")}
 	}
 	begin := c.opt.Clock.Now()
-	r := c.askOnce(ctx, addr, q, timeout)
+	r := c.sendOnce(ctx, addr, req, timeout)
 	c.recordReply(ctx, addr, timeout, r)
 	left := timeout - (c.opt.Clock.Now() - begin)
 	if r.outcome() != redirected || left <= 0 {
@@ -59,7 +60,7 @@
 	if hint == "" || hint == except || hint == addr {
 		return r
 	}
-	r = c.askOnce(ctx, hint, q, left)
+	r = c.sendOnce(ctx, hint, req, left)
 	c.recordReply(ctx, hint, left, r)
 	return r
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -13,14 +13,14 @@
 	"crosstide/internal/state/command"
 )
 
-// submitCall submits job j of queue q.
+// submitCall returns a call that submits job j to queue q.
 func submitCall(digest string) SubmitCall {
 	return SubmitCall{Location: Location{Host: "h", Path: "/q/j"}, Digest: digest,
 		Spec: jobs.Spec{ID: "j", Payload: "p", Steps: []jobs.Step{{Count: 1, Estimate: time.Second}}}}
 }
 
-// configured commits a configuration with queue q, as a version on top of the one before.
-func configured(store *fakeStore, version uint64) {
+// commitConfig commits the given version of a configuration with queue q, based on the previous version.
+func commitConfig(store *fakeStore, version uint64) {
 	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/q/", Service: "s", MaxAttempts: 3, Stretch: 2,
 		Target: time.Second, Timeout: time.Second}
 	_, err := store.commit(&command.JobConfigure{Configure: jobs.Configure{Base: version - 1, Version: version,
@@ -30,11 +30,11 @@
 
 func TestSubmitIsIdempotent(t *testing.T) {
 	ctx := context.Background()
-	Convey("A job that is submitted again stays one job", t, func() {
+	Convey("A job that is submitted again is not duplicated", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
-		configured(store, 1)
-		Convey("seconds after it was accepted, at a new leader", func() {
+		commitConfig(store, 1)
+		Convey("if it is submitted to a new leader 5 seconds after it was accepted", func() {
 			_, err := leader.Submit(ctx, submitCall("d"))
 			So(err, ShouldBeNil)
 			accepted := *store.state.JobTable.Jobs["j"]
@@ -45,18 +45,18 @@
 			So(store.state.JobTable.Jobs["j"].Sequence, ShouldEqual, accepted.Sequence)
 			So(store.state.JobTable.Jobs["j"].AcceptedAt, ShouldResemble, accepted.AcceptedAt)
 		})
-		Convey("when the outcome of the first attempt is unknown", func() {
-			for _, late := range []bool{false, true} {
-				store.refuses, store.late = errs.Timeout, late
+		Convey("if the outcome of the first attempt is unknown", func() {
+			for _, isCommitted := range []bool{false, true} {
+				store.proposeErr, store.commitsAnyway = errs.Timeout, isCommitted
 				_, err := leader.Submit(ctx, submitCall("d"))
 				So(errs.KindOf(err), ShouldEqual, errs.Timeout)
-				store.refuses = ""
+				store.proposeErr = ""
 				_, err = leader.Submit(ctx, submitCall("d"))
 				So(err, ShouldBeNil)
 				So(store.state.JobTable.Jobs, ShouldHaveLength, 1)
 			}
 		})
-		Convey("when it is over, and after it was cancelled", func() {
+		Convey("if it has been cancelled", func() {
 			_, err := leader.Submit(ctx, submitCall("d"))
 			So(err, ShouldBeNil)
 			_, err = leader.Job(ctx, JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true})
@@ -64,13 +64,13 @@
 			answer, err := leader.Submit(ctx, submitCall("d"))
 			So([]any{answer.State, err}, ShouldResemble, []any{jobs.Cancelled, nil})
 		})
-		Convey("another job under its ID is refused", func() {
+		Convey("a different job with the same ID is rejected", func() {
 			_, err := leader.Submit(ctx, submitCall("d"))
 			So(err, ShouldBeNil)
 			_, err = leader.Submit(ctx, submitCall("other"))
 			So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 		})
-		Convey("a node without a configuration answers Unavailable, not that there is no queue", func() {
+		Convey("a leader without a configuration answers Unavailable, not Unknown", func() {
 			_, err := newTestLeader(newFakeStore(), clk).Submit(ctx, submitCall("d"))
 			So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
 		})
@@ -80,25 +80,25 @@
 func TestCancelIsIdempotent(t *testing.T) {
 	ctx := context.Background()
 	cancel := JobCall{Location: Location{Host: "h", Path: "/q/j"}, Cancel: true}
-	Convey("Given a job and a cancellation whose answer is lost", t, func() {
+	Convey("Given a job and cancellations with an unknown outcome, one of them committed", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
-		configured(store, 1)
+		commitConfig(store, 1)
 		_, err := leader.Submit(ctx, submitCall("d"))
 		So(err, ShouldBeNil)
-		for _, late := range []bool{false, true} {
-			store.refuses, store.late = errs.Timeout, late
+		for _, isCommitted := range []bool{false, true} {
+			store.proposeErr, store.commitsAnyway = errs.Timeout, isCommitted
 			_, err = leader.Job(ctx, cancel)
 			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 		}
-		store.refuses = ""
-		Convey("the next one is acknowledged, by this or by a new leader, as often as it comes", func() {
+		store.proposeErr = ""
+		Convey("further ones are acknowledged by this leader and by a new one", func() {
 			for _, leader := range []*Leader{leader, newTestLeader(store, clk), leader} {
 				answer, err := leader.Job(ctx, cancel)
 				So([]any{answer.State, answer.Gone, err}, ShouldResemble, []any{jobs.Cancelled, false, nil})
 			}
 		})
-		Convey("a cancellation of a job that is forgotten is answered Gone", func() {
+		Convey("the cancellation of a purged job is answered with Gone", func() {
 			store.state.JobTable.Purge(clk.Wall().Add(time.Hour))
 			answer, err := leader.Job(ctx, cancel)
 			So([]any{answer.Gone, err}, ShouldResemble, []any{true, nil})
@@ -108,29 +108,29 @@
 
 func TestCancelDuringLeaderLoss(t *testing.T) {
 	const (
-		ackTime      = 4 * time.Second         // in which the platform requires the acknowledgement of a cancellation
-		electionTime = 1500 * time.Millisecond // the longest time until the store has another leader
+		ackTime      = 4 * time.Second         // within which the platform requires a cancellation to be acknowledged
+		electionTime = 1500 * time.Millisecond // upper bound until the store has a new leader
 	)
-	Convey("A cancellation is acknowledged in time if the leader is lost before, while or after it commits it", t, func() {
-		for name, lose := range map[string]func(f *fakeCore) node{
-			"killed": func(*fakeCore) node { return connectionRefused },
-			"silent": func(f *fakeCore) node { return f.timesOut },
-			"hangs":  func(f *fakeCore) node { return f.connectTimesOut },
-			"stops":  func(*fakeCore) node { return failsWith(errs.Stopped) },
-			"cut":    func(*fakeCore) node { return failsWith(errs.Timeout) },
+	Convey("A cancellation is acknowledged in time if the leader fails before, during or after the commit", t, func() {
+		for name, failLeader := range map[string]func(f *fakeCluster) nodeHandler{
+			"killed": func(*fakeCluster) nodeHandler { return connectionRefused },
+			"silent": func(f *fakeCluster) nodeHandler { return f.timesOut },
+			"hangs":  func(f *fakeCluster) nodeHandler { return f.connectTimesOut },
+			"stops":  func(*fakeCluster) nodeHandler { return failsWith(errs.Stopped) },
+			"cut":    func(*fakeCluster) nodeHandler { return failsWith(errs.Timeout) },
 		} {
-			f := newFakeCore(nil, "a", "b", "c")
-			newLeader := func(ctx context.Context, q query, answer any, timeout time.Duration) reply {
+			f := newFakeCluster(nil, "a", "b", "c")
+			newLeader := func(ctx context.Context, req request, answer any, timeout time.Duration) reply {
 				if f.clock.Now() < electionTime {
-					return redirectsTo("a")(ctx, q, answer, timeout)
+					return redirectsTo("a")(ctx, req, answer, timeout)
 				}
-				return answersAsLeader(ctx, q, answer, timeout)
+				return answersAsLeader(ctx, req, answer, timeout)
 			}
-			f.nodes = map[string]node{"a": lose(f), "b": newLeader, "c": redirectsTo("b")}
+			f.nodes = map[string]nodeHandler{"a": failLeader(f), "b": newLeader, "c": redirectsTo("b")}
 			f.directory.recordLeader("a")
-			// A client of the data-plane node repeats the call, each with a deadline of a second.
+			// A client of the data-plane node retries the call, with a deadline of one second each time.
 			for f.clock.Now() < ackTime {
-				if _, err := f.Job(f.until(time.Second), JobCall{Cancel: true}); err == nil {
+				if _, err := f.Job(f.withDeadline(time.Second), JobCall{Cancel: true}); err == nil {
 					break
 				}
 			}
--- a/internal/controller/gc_test.go
+++ b/internal/controller/gc_test.go
@@ -11,10 +11,10 @@
 )
 
 func TestExpiredJobs(t *testing.T) {
-	Convey("A job that is over is deleted when its retention ends, and not before", t, func() {
+	Convey("An ended job is deleted by the first purge after its retention period, and not before", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
-		configured(store, 1)
+		commitConfig(store, 1)
 		_, err := leader.Submit(context.Background(), submitCall("d"))
 		So(err, ShouldBeNil)
 		_, err = leader.Cancel(context.Background(), CancelCall{ID: "j"})
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden/endpoint"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON encoding of the calls and answers that are sent between processes.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		endpoint.Shapes(ShowEndpoint),
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -13,21 +13,21 @@
 	"crosstide/internal/controller/scheduler"
 )
 
-// healthInterval is how often the workers' health is reported.
+// healthInterval is the interval between reports of the workers' health.
 const healthInterval = time.Second
 
-// healthLog writes a line when workers fall silent or come back, and when runs end that no worker has reported. The
-// leader's loop owns it.
+// healthLog logs changes in the number of silent workers, and runs that were lost, refused or not confirmed by their
+// worker. The leader's loop owns it.
 type healthLog struct {
 	log    log.Logger
 	nextAt time.Duration
-	last   scheduler.Health // as of the last report
+	last   scheduler.Health // as of the previous report
 }
 
 // isDue reports whether it is time for a report.
 func (h *healthLog) isDue(now time.Duration) bool { return now >= h.nextAt }
 
-// report logs what changed since the last report.
+// report logs the differences from the previous report.
 func (h *healthLog) report(now time.Duration, health scheduler.Health) {
 	h.nextAt = now + healthInterval
 	last := h.last
@@ -39,12 +39,12 @@
 	unconfirmed := health.Counts.Unconfirmed - last.Counts.Unconfirmed
 	refused := health.Counts.Refused - last.Counts.Refused
 	if lost+unconfirmed+refused > 0 {
-		_ = level.Warn(h.log).Log("msg", "runs without an end", "lost", lost, "lapsed", expired,
+		_ = level.Warn(h.log).Log("msg", "runs lost, unconfirmed or refused", "lost", lost, "lapsed", expired,
 			"doubted", unconfirmed, "refused", refused)
 	}
 }
 
-// zoneCounts formats counts by zone, in the zones' order.
+// zoneCounts formats the counts by zone, sorted by zone name.
 func zoneCounts(counts map[string]int) string {
 	parts := make([]string, 0, len(counts))
 	for _, zone := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -12,14 +12,14 @@
 )
 
 func TestHealthLog(t *testing.T) {
-	Convey("Given a log of the workers' health", t, func() {
+	Convey("Given a health log", t, func() {
 		var text bytes.Buffer
 		h := &healthLog{log: log.NewLogfmtLogger(&text)}
 		h.report(time.Second, scheduler.Health{Workers: 48, Silent: map[string]int{}})
-		Convey("healthy workers log nothing", func() {
+		Convey("nothing is logged while workers are healthy", func() {
 			So(text.String(), ShouldBeEmpty)
 		})
-		Convey("the next report is due a second later", func() {
+		Convey("the next report is due after healthInterval", func() {
 			So(h.isDue(time.Second+healthInterval-1), ShouldBeFalse)
 			So(h.isDue(time.Second+healthInterval), ShouldBeTrue)
 		})
@@ -31,11 +31,12 @@
 			So(text.String(), ShouldEqual, "level=warn msg=\"silent workers\" of=48 zones=north:1,south:16\n"+
 				"level=warn msg=\"silent workers\" of=48 zones=none\n")
 		})
-		Convey("runs without an end are logged as their number rises", func() {
+		Convey("lost and refused runs are logged when their number rises", func() {
 			health := scheduler.Health{Workers: 48, Counts: scheduler.Counts{Lost: 5, Expired: 3, Refused: 2}}
 			h.report(2*time.Second, health)
 			h.report(3*time.Second, health)
-			So(text.String(), ShouldEqual, "level=warn msg=\"runs without an end\" lost=5 lapsed=3 doubted=0 refused=2\n")
+			So(text.String(), ShouldEqual,
+				"level=warn msg=\"runs lost, unconfirmed or refused\" lost=5 lapsed=3 doubted=0 refused=2\n")
 		})
 	})
 }
--- a/internal/controller/heartbeat_assigner_test.go
+++ b/internal/controller/heartbeat_assigner_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestHeartbeatAssigner(t *testing.T) {
-	Convey("Workers are spread over the reachable members, and the loss of one moves its own workers only", t, func() {
+	Convey("Workers are spread over the reachable members; the loss of a member reassigns only its workers", t, func() {
 		members := []string{"a:1", "b:1", "c:1", "d:1", "e:1"}
 		reads := 0
 		h := &heartbeatAssigner{reachable: func() []string { reads++; return members }}
@@ -44,19 +44,19 @@
 			}
 		}
 	})
-	Convey("Without members no node is assigned", t, func() {
+	Convey("No node is assigned if no member is reachable", t, func() {
 		h := &heartbeatAssigner{reachable: func() []string { return nil }}
 		So(h.nodeFor(0, "w"), ShouldBeEmpty)
 	})
 }
 
 func TestHeartbeatAddressInAnswer(t *testing.T) {
-	Convey("The answer to a heartbeat names the worker's node if workers are spread, else the leader", t, func() {
+	Convey("A heartbeat's answer names the worker's assigned node, or the leader if workers are not spread", t, func() {
 		spread := func(internal string) string { return "control of " + internal }
 		for _, c := range []struct {
-			options LeaderOptions
-			reached []string
-			want    string
+			options         LeaderOptions
+			reachableVoters []string
+			want            string
 		}{
 			{LeaderOptions{ControlAddressOf: spread}, []string{"b:1"}, "control of b:1"},
 			{LeaderOptions{ControlAddressOf: spread}, nil, "own"},
@@ -64,7 +64,7 @@
 			{LeaderOptions{ControlAddressOf: spread, Mailboxes: NewMailboxes()}, []string{"b:1"}, "own"},
 		} {
 			store := newFakeStore()
-			store.reached = c.reached
+			store.reachableVoters = c.reachableVoters
 			c.options.Store, c.options.ControlAddress = store, "own"
 			c.options.Clock, c.options.Logger = &clock.Virtual{}, log.NewNopLogger()
 			So(NewLeader(c.options).heartbeatAddress("w"), ShouldEqual, c.want)
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state/command"
 )
 
-// heartbeat returns the call of a worker that is ready.
+// heartbeat returns a heartbeat of a worker that accepts starts.
 func heartbeat(sequence uint64) HeartbeatCall {
 	worker := jobs.Worker{ID: "w1", Address: "10.0.0.1:80", Service: "s", Zone: "z",
 		Capacity: jobs.Resources{MilliCPU: 4000}}
@@ -32,14 +32,14 @@
 }
 
 func TestLateHeartbeats(t *testing.T) {
-	Convey("Given a worker that drains, and earlier heartbeats of it that come late", t, func() {
+	Convey("Given a draining worker whose earlier heartbeats arrive late", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
 		sendHeartbeat(leader, heartbeat(1))
 		sendHeartbeat(leader, draining(heartbeat(5)))
 		record := func() jobs.Worker { return *store.state.JobTable.Workers["w1"] }
 		So(record().Draining, ShouldBeTrue)
-		Convey("they are acknowledged and change nothing", func() {
+		Convey("late heartbeats are acknowledged without effect", func() {
 			before, entries := record(), store.index
 			for _, sequence := range []uint64{4, 2, 3, 1} {
 				late := heartbeat(sequence)
@@ -50,7 +50,7 @@
 			So(record(), ShouldResemble, before)
 			So(store.index, ShouldEqual, entries)
 		})
-		Convey("the worker still drains at a new leader, which has not seen the newer ones", func() {
+		Convey("the worker stays draining at a new leader that has not received the newer heartbeats", func() {
 			other := newTestLeader(store, clk)
 			sendHeartbeat(other, heartbeat(4))
 			So(record().Draining, ShouldBeTrue)
@@ -58,43 +58,43 @@
 			sendHeartbeat(other, heartbeat(5))
 			So(record().Draining, ShouldBeTrue)
 		})
-		Convey("the same heartbeat sent again after a lost answer is acknowledged", func() {
+		Convey("a heartbeat that is retried after its answer was lost is acknowledged", func() {
 			sendHeartbeat(leader, draining(heartbeat(5)))
 			So(record().Draining, ShouldBeTrue)
 		})
 	})
-	Convey("What a heartbeat changes is committed before it is acknowledged", t, func() {
+	Convey("Changes reported by a heartbeat are committed before it is acknowledged", t, func() {
 		store := newFakeStore()
 		leader := newTestLeader(store, &clock.Virtual{})
 		sendHeartbeat(leader, heartbeat(1))
-		store.refuses = errs.Timeout
+		store.proposeErr = errs.Timeout
 		_, err := leader.Heartbeat(context.Background(), draining(heartbeat(2)))
 		So(errs.KindOf(err), ShouldEqual, errs.Timeout)
-		store.refuses = ""
+		store.proposeErr = ""
 		sendHeartbeat(leader, draining(heartbeat(3)))
 		So(store.state.JobTable.Workers["w1"].Draining, ShouldBeTrue)
 	})
 }
 
 func TestLeavingWorker(t *testing.T) {
-	Convey("Given a worker that deregisters without draining and serves on", t, func() {
+	Convey("Given a worker that deregisters without draining and continues to send heartbeats", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
 		sendHeartbeat(leader, heartbeat(1))
 		sendHeartbeat(leader, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
-		Convey("later heartbeats do not bring it back, here or at a new leader", func() {
+		Convey("later heartbeats do not reset Left, at this leader or a new one", func() {
 			sendHeartbeat(leader, heartbeat(2))
 			sendHeartbeat(newTestLeader(store, clk), heartbeat(3))
 			So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 		})
-		Convey("a second deregistration is acknowledged and changes nothing", func() {
+		Convey("a second deregistration is acknowledged without effect", func() {
 			entries := store.index
 			sendHeartbeat(leader, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
 			So(store.index, ShouldEqual, entries)
 		})
 	})
-	Convey("A worker that deregisters before it is known has left: its heartbeat may come later", t, func() {
+	Convey("An unknown worker that deregisters is recorded as left, even if its heartbeats arrive later", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
 		sendHeartbeat(leader, HeartbeatCall{Worker: jobs.Worker{ID: "w1"}, Leaving: true})
@@ -102,7 +102,7 @@
 		sendHeartbeat(newTestLeader(store, clk), heartbeat(2))
 		So(store.state.JobTable.Workers["w1"].Left, ShouldBeTrue)
 	})
-	Convey("The sequence numbers of forgotten workers are dropped", t, func() {
+	Convey("The sequence numbers of removed workers are dropped", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
 		sendHeartbeat(leader, heartbeat(1))
@@ -112,16 +112,16 @@
 		leader.pass()
 		So(leader.heartbeats.byWorker, ShouldBeEmpty)
 	})
-	Convey("So are those of workers that were forgotten while another node led", t, func() {
+	Convey("The state of workers that were removed while another node led is dropped", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
 		leader := newTestLeader(store, clk)
 		leader.opt.Mailboxes = NewMailboxes()
-		leader.opt.Mailboxes.mailboxOf("w1")
+		leader.opt.Mailboxes.mailboxFor("w1")
 		sendHeartbeat(leader, heartbeat(1))
-		lead := store.term
+		previousTerm := store.term
 		store.term = 0
 		leader.pass()
-		store.term = lead + 1
+		store.term = previousTerm + 1
 		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		leader.pass()
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// answerTimeout is how long a worker waits for the answer to a heartbeat; it ignores a later one. A lease begins
-	// when its answer arrives, so an answer grants that much less.
+	// answerTimeout is how long a worker waits for the answer to a heartbeat; it ignores a later answer. A lease starts
+	// when the answer that grants it arrives, so the granted duration is reduced by answerTimeout.
 	answerTimeout = time.Second
-	// idleAnswerDelay is how long the answer to an idle worker's heartbeat is delayed until there are orders.
+	// idleAnswerDelay is the maximum time that the answer to an idle worker's heartbeat waits for an order.
 	idleAnswerDelay = 500 * time.Millisecond
-	// minHeartbeatInterval and maxHeartbeatInterval bound the pause before a worker's next heartbeat. Between them it
-	// is intervalPerWorker for each worker there is, so that one leader can answer the heartbeats of all. The time
-	// that an answer was delayed counts as part of the pause.
+	// minHeartbeatInterval and maxHeartbeatInterval bound the pause before a worker's next heartbeat. Within these
+	// bounds the pause is intervalPerWorker times the number of workers, so that one leader can answer all heartbeats.
+	// The time that an answer was delayed counts as part of the pause.
 	minHeartbeatInterval = 100 * time.Millisecond
 	maxHeartbeatInterval = time.Second
 	intervalPerWorker    = 500 * time.Microsecond
-	// tokensPerTerm is how many fencing tokens, one for each answer, a term has for a worker.
+	// tokensPerTerm is the number of fencing tokens reserved per worker and term. Each answer uses one.
 	tokensPerTerm = 1 << 20
-	// requiredDeliveries is how many answers must have carried a stop, or the first call under a term, before a
-	// heartbeat counts as sent after it.
+	// requiredDeliveries is the number of answers that must have carried a stop, or the first renewal in a term, before
+	// a later heartbeat can confirm it: see renewalDeliveries.
 	requiredDeliveries = 2
 )
 
-// Mailboxes carry the scheduler's orders to workers with the answers to their heartbeats, where the system cannot call
-// the workers. An order waits for the worker's next heartbeat, goes with its answer and with all later ones, and is
-// confirmed by what a later heartbeat lists. It is safe for concurrent use.
+// Mailboxes delivers the scheduler's orders in the answers to the workers' heartbeats, for deployments in which the
+// control plane cannot connect to workers. An order waits for the worker's next heartbeat, is included in its answer
+// and all later ones, and is confirmed by the runs that a later heartbeat lists. It is safe for concurrent use.
 type Mailboxes struct {
 	mu       sync.Mutex // also guards each mailbox and its orders
 	byWorker map[string]*mailbox
@@ -40,10 +40,10 @@
 
 var _ scheduler.Workers = (*Mailboxes)(nil)
 
-// NewMailboxes returns Mailboxes without any.
+// NewMailboxes returns an empty Mailboxes.
 func NewMailboxes() *Mailboxes { return &Mailboxes{byWorker: map[string]*mailbox{}} }
 
-// Start delivers a start; the worker confirms it by listing the run.
+// Start delivers a start order. The worker confirms it by listing the run.
 func (m *Mailboxes) Start(ctx context.Context, worker jobs.Worker,
 	order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	pending := newPendingOrder[scheduler.StartOrder, scheduler.StartAnswer](order, order.Token)
@@ -54,14 +54,14 @@
 	return answer, errs.Pass(err, "start")
 }
 
-// Stop delivers a stop; the worker confirms it by not listing the run any more.
+// Stop delivers a stop order. The worker confirms it by no longer listing the run.
 func (m *Mailboxes) Stop(ctx context.Context, worker jobs.Worker, order scheduler.StopOrder) error {
 	pending := newPendingOrder[scheduler.StopOrder, struct{}](order, order.Token)
 	_, err := deliver(ctx, m, worker.ID, pending, func(b *mailbox) *[]*pendingStop { return &b.stops })
 	return errs.Pass(err, "stop")
 }
 
-// RenewLease extends the worker's lease and waits for the worker's lists.
+// RenewLease extends the worker's lease and waits for the worker's list of runs.
 func (m *Mailboxes) RenewLease(ctx context.Context, worker jobs.Worker,
 	call scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
 	pending := newPendingOrder[scheduler.LeaseRenewal, scheduler.RenewalAnswer](call, call.Token)
@@ -73,19 +73,19 @@
 	return answer, errs.Pass(err, "renew lease")
 }
 
-// Exchange completes the orders that the worker's heartbeat confirms and returns those that the answer is to carry. If
-// there are none and the worker is idle, it waits for some, for idleAnswerDelay at most. It calls hasLease last, which
-// reports whether this node may send orders under term; if not, the result is nil. hasLease is called under the mutex.
+// Exchange completes the orders that the worker's heartbeat confirms and returns the orders for the answer. If no order
+// is pending and the worker is idle, it waits up to idleAnswerDelay for one. Finally it calls hasLease, which reports
+// whether this node may send orders under term, and returns nil if it may not. hasLease is called with the mutex held.
 func (m *Mailboxes) Exchange(ctx context.Context, id string, sequence, term uint64, listing scheduler.RenewalAnswer,
 	hasLease func() bool) *HeartbeatOrders {
 	m.mu.Lock()
-	b := m.mailboxOf(id)
-	b.completeOrders(sequence, listing)
+	box := m.mailboxFor(id)
+	box.completeOrders(sequence, listing)
 	isIdle := len(listing.Running)+len(listing.Ended) == 0
-	orderAdded := b.orderAdded
-	delayed := isIdle && b.isEmpty()
+	orderAdded := box.orderAdded
+	isDelayed := isIdle && box.isEmpty()
 	m.mu.Unlock()
-	if delayed {
+	if isDelayed {
 		bounded, cancel := context.WithTimeout(ctx, idleAnswerDelay)
 		select {
 		case <-orderAdded:
@@ -98,37 +98,37 @@
 	if !hasLease() {
 		return nil
 	}
-	orders := b.takeOrders(sequence, term, listing.Clock)
-	orders.NextHeartbeat = heartbeatInterval(delayed, len(m.byWorker))
+	orders := box.collectOrders(sequence, term, listing.Clock)
+	orders.NextHeartbeat = heartbeatInterval(isDelayed, len(m.byWorker))
 	return orders
 }
 
-// heartbeatInterval returns the pause before a worker's next heartbeat; delayed reports whether the answer was delayed
-// by idleAnswerDelay, workers is how many there are.
-func heartbeatInterval(delayed bool, workers int) time.Duration {
+// heartbeatInterval returns the pause before a worker's next heartbeat, given the number of workers and whether the
+// answer was delayed by idleAnswerDelay.
+func heartbeatInterval(isDelayed bool, workers int) time.Duration {
 	pause := time.Duration(workers) * intervalPerWorker
-	if delayed {
+	if isDelayed {
 		pause -= idleAnswerDelay
 	}
 	return min(max(minHeartbeatInterval, pause), maxHeartbeatInterval)
 }
 
-// ForgetWorker drops the mailbox of a worker that is gone. Calls that wait for its orders end by their timeouts.
+// ForgetWorker drops the mailbox of a removed worker. Calls that wait for its orders fail when they time out.
 func (m *Mailboxes) ForgetWorker(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.byWorker, id)
 }
 
-// ForgetWorkers drops the mailboxes of all workers that are gone.
-func (m *Mailboxes) ForgetWorkers(gone func(id string) bool) {
+// ForgetWorkers drops the mailboxes of all workers for which isGone returns true.
+func (m *Mailboxes) ForgetWorkers(isGone func(id string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	maps.DeleteFunc(m.byWorker, func(id string, _ *mailbox) bool { return gone(id) })
+	maps.DeleteFunc(m.byWorker, func(id string, _ *mailbox) bool { return isGone(id) })
 }
 
-// mailboxOf returns a worker's mailbox, which it makes if there is none. The mutex is held.
-func (m *Mailboxes) mailboxOf(id string) *mailbox {
+// mailboxFor returns a worker's mailbox and creates it if necessary. m.mu must be held.
+func (m *Mailboxes) mailboxFor(id string) *mailbox {
 	b := m.byWorker[id]
 	if b == nil {
 		b = &mailbox{orderAdded: make(chan struct{})}
@@ -137,27 +137,28 @@
 	return b
 }
 
-// mailbox holds the pending orders for one worker. The mutex of Mailboxes guards it.
+// mailbox holds the pending orders of one worker. The mutex of Mailboxes guards it.
 type mailbox struct {
 	starts           []*pendingStart
 	stops            []*pendingStop
 	renewals         []*pendingRenewal
-	leaseDeadline    time.Duration // the latest lease granted, on the worker's clock
-	acknowledgedUpTo uint64        // ends numbered up to it are durable
-	tokens           uint64        // fencing tokens used, over all terms
-	orderAdded       chan struct{} // closed, and replaced, when an order comes in
+	leaseDeadline    time.Duration // of the longest lease granted, on the worker's clock
+	acknowledgedUpTo uint64        // ended runs up to this sequence number are durable
+	tokens           uint64        // number of fencing tokens used, over all terms
+	orderAdded       chan struct{} // closed and replaced when an order is added
 }
 
 func (b *mailbox) isEmpty() bool { return len(b.starts)+len(b.stops)+len(b.renewals) == 0 }
 
-// signalOrder wakes the heartbeats that wait for orders.
+// signalOrder wakes the heartbeats that wait for an order.
 func (b *mailbox) signalOrder() {
 	close(b.orderAdded)
 	b.orderAdded = make(chan struct{})
 }
 
-// completeOrders completes the orders that the heartbeat of a sequence confirms. A start is confirmed, or refused, by
-// any heartbeat that lists its run; a stop or a renewal only by one that was sent after the worker had the order.
+// completeOrders completes the orders that the heartbeat with the given sequence number confirms. Any heartbeat that
+// lists a run confirms or refuses its start. A stop or a renewal is confirmed only by a heartbeat that the worker sent
+// after it received the order.
 func (b *mailbox) completeOrders(sequence uint64, listing scheduler.RenewalAnswer) {
 	running, started, refused := map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}
 	for _, r := range listing.Running {
@@ -180,10 +181,10 @@
 	b.renewals = completeWhere(b.renewals, listing, func(p *pendingRenewal) bool { return p.deliveredBefore(sequence) })
 }
 
-// takeOrders returns the orders that the answer to the heartbeat of a sequence carries, under a new token: a worker
-// that has seen it ignores an earlier answer that comes later. Orders of other terms are not sent: this node has no
-// lease for them.
-func (b *mailbox) takeOrders(sequence, term uint64, clock time.Duration) *HeartbeatOrders {
+// collectOrders returns the orders for the answer to the heartbeat with the given sequence number, under a new fencing
+// token, so that the worker ignores earlier answers that arrive after this one. Orders of other terms are excluded:
+// this node has no lease for them.
+func (b *mailbox) collectOrders(sequence, term uint64, clock time.Duration) *HeartbeatOrders {
 	b.tokens = min(b.tokens+1, tokensPerTerm-1)
 	orders := &HeartbeatOrders{Token: term*tokensPerTerm + b.tokens, AcknowledgedUpTo: b.acknowledgedUpTo}
 	orders.Lease = max(0, b.leaseDeadline-clock-answerTimeout)
@@ -207,8 +208,8 @@
 	return orders
 }
 
-// renewalDeliveries returns how many answers must have carried a renewal before a heartbeat confirms it: one if it only
-// renews a lease, requiredDeliveries if the lists that it asks for serve as a proof.
+// renewalDeliveries returns the number of answers that must have carried a renewal before a heartbeat can confirm it:
+// one if it only renews the lease, requiredDeliveries if the list of runs in its answer serves as a proof.
 func renewalDeliveries(call scheduler.LeaseRenewal) int {
 	if call.Wait > 0 {
 		return 1
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -15,7 +15,7 @@
 
 func TestOrderErrors(t *testing.T) {
 	notDelivered := errs.Wrap(errNotDelivered, errs.Unavailable, "worker w")
-	Convey("Each error of an order is reported as the outcome that the order may have had", t, func() {
+	Convey("Each error of an order is mapped to the failure that the scheduler handles", t, func() {
 		for _, c := range []struct {
 			err     error
 			start   scheduler.StartError
@@ -37,7 +37,7 @@
 	})
 }
 
-// countingWorkers count the orders that reach them.
+// countingWorkers counts the stop orders that it receives.
 type countingWorkers struct {
 	unresponsiveWorkers
 	orders int
@@ -49,13 +49,13 @@
 }
 
 func TestOrderWithoutLease(t *testing.T) {
-	Convey("An order of a term is sent while the node leads in that term, and its outcome becomes an event", t, func() {
+	Convey("An order is sent if the node leads in the order's term, and its outcome becomes an event", t, func() {
 		store, workers := newFakeStore(), &countingWorkers{}
 		leader := NewLeader(LeaderOptions{Store: store, Workers: workers, Config: scheduler.Defaults(),
 			Clock: &clock.Virtual{}, Logger: log.NewNopLogger()})
 		leader.sendStop(context.Background(), store.term, scheduler.StopAction{})
 		So([]int{workers.orders, len(leader.inbox.events)}, ShouldResemble, []int{1, 1})
-		Convey("an order of an earlier term is not sent, and its failure becomes an event too", func() {
+		Convey("an order of an earlier term is not sent, and the failure becomes an event", func() {
 			leader.sendStop(context.Background(), store.term-1, scheduler.StopAction{})
 			So([]int{workers.orders, len(leader.inbox.events)}, ShouldResemble, []int{1, 2})
 		})
--- a/internal/controller/pending_order.go
+++ b/internal/controller/pending_order.go
@@ -8,17 +8,17 @@
 	"crosstide/internal/errs"
 )
 
-// errNotDelivered is the cause of the error of an order that was withdrawn before any answer carried it.
-var errNotDelivered = errors.New("no heartbeat came to carry the order")
+// errNotDelivered is the cause of the error if an order was withdrawn before any heartbeat answer carried it.
+var errNotDelivered = errors.New("order not delivered: no heartbeat received")
 
-// pendingOrder is an order in a mailbox that its worker has not confirmed yet. The mutex of Mailboxes guards it, apart
-// from its result.
+// pendingOrder is an order in a mailbox that its worker has not confirmed yet. The mutex of Mailboxes guards all fields
+// but result.
 type pendingOrder[Order, Answer any] struct {
 	order            Order
 	term             uint64
-	deliveries       int         // how many answers carried it
-	confirmableAfter uint64      // sequence of the heartbeat whose answer was the last required delivery; 0: none yet
-	result           chan Answer // buffered, so that completing the order never blocks
+	deliveries       int         // number of heartbeat answers that carried it
+	confirmableAfter uint64      // sequence number of the heartbeat whose answer completed delivery; 0: not delivered
+	result           chan Answer // buffered, so that completing an order never blocks
 }
 
 type (
@@ -31,8 +31,8 @@
 	return &pendingOrder[Order, Answer]{order: order, term: term, result: make(chan Answer, 1)}
 }
 
-// recordDelivery records that the answer to the heartbeat of a sequence carries the order. The order can be confirmed
-// after the required number of deliveries.
+// recordDelivery records that the answer to the heartbeat with the given sequence number carries the order. The order
+// can be confirmed after the required number of deliveries.
 func (p *pendingOrder[Order, Answer]) recordDelivery(sequence uint64, required int) {
 	p.deliveries++
 	if p.confirmableAfter == 0 && p.deliveries >= required {
@@ -40,21 +40,21 @@
 	}
 }
 
-// deliveredBefore reports whether the heartbeat of a sequence was sent after the order was delivered.
+// deliveredBefore reports whether the heartbeat with the given sequence number was sent after the order was delivered.
 func (p *pendingOrder[Order, Answer]) deliveredBefore(sequence uint64) bool {
 	return p.confirmableAfter != 0 && p.confirmableAfter < sequence
 }
 
-// deliver puts an order into the list of a worker's mailbox that listOf returns, and waits until it is completed or ctx
-// ends. Then it withdraws the order; the error is errs.Unavailable with errNotDelivered if the order was surely not
-// carried out, errs.Timeout if it may be.
+// deliver appends an order to the list of the worker's mailbox that listOf selects, and waits until the order is
+// completed or ctx ends. If ctx ends first, it withdraws the order. The error then is errs.Unavailable, caused by
+// errNotDelivered, if no answer carried the order, and errs.Timeout if the order may be executed.
 func deliver[Order, Answer any](ctx context.Context, m *Mailboxes, worker string, p *pendingOrder[Order, Answer],
 	listOf func(*mailbox) *[]*pendingOrder[Order, Answer]) (Answer, error) {
 	m.mu.Lock()
-	b := m.mailboxOf(worker)
-	list := listOf(b)
+	box := m.mailboxFor(worker)
+	list := listOf(box)
 	*list = append(*list, p)
-	b.signalOrder()
+	box.signalOrder()
 	m.mu.Unlock()
 	var answer Answer
 	select {
@@ -73,10 +73,10 @@
 	if p.deliveries == 0 {
 		return answer, errs.Wrap(errNotDelivered, errs.Unavailable, "worker %s", worker)
 	}
-	return answer, errs.New(errs.Timeout, "worker %s has not confirmed the order", worker)
+	return answer, errs.New(errs.Timeout, "worker %s did not confirm the order", worker)
 }
 
-// without returns a copy of list without one of its items.
+// without returns a copy of list without the dropped item.
 func without[T comparable](list []T, dropped T) []T {
 	kept := list[:0:0]
 	for _, item := range list {
@@ -87,7 +87,7 @@
 	return kept
 }
 
-// completeWhere completes the orders that are confirmed, with answer, and returns the others.
+// completeWhere completes the confirmed orders in list with answer and returns the others.
 func completeWhere[Order, Answer any](list []*pendingOrder[Order, Answer], answer Answer,
 	isConfirmed func(*pendingOrder[Order, Answer]) bool) []*pendingOrder[Order, Answer] {
 	kept := list[:0:0]
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -18,13 +18,13 @@
 )
 
 func TestQueriesReachTheLeader(t *testing.T) {
-	Convey("Calls by ID reach the leader from a client, once, and those of operators from any node", t, func() {
-		nodes, caller, end := startCore(2)
-		defer end()
+	Convey("Calls by ID reach the leader exactly once, and Workers and Topology work on any node", t, func() {
+		nodes, caller, stop := startCluster(2)
+		defer stop()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		follower, leader := nodes[0], nodes[1]
-		client := NewClient(patient(caller, "", follower.addr))
+		client := NewClient(longAttemptOptions(caller, "", follower.addr))
 		view, err := client.Show(ctx, ShowCall{ID: "a"})
 		So([]any{view.ID, err}, ShouldResemble, []any{"a", nil})
 		answer, err := client.Cancel(ctx, CancelCall{ID: "b"})
@@ -33,18 +33,18 @@
 		So([]any{list.More, err}, ShouldResemble, []any{true, nil})
 		queues, err := client.Queues(ctx, QueuesCall{})
 		So([]any{queues.Queues[0].Name, err}, ShouldResemble, []any{"q", nil})
-		So(leader.takeCalls(), ShouldResemble, []string{"show a", "cancel b", "list q", "queues"})
-		relay := NewRelay(follower, NewClient(patient(caller, follower.addr, leader.addr)), follower.addr)
+		So(leader.drainCalls(), ShouldResemble, []string{"show a", "cancel b", "list q", "queues"})
+		relay := NewRelay(follower, NewClient(longAttemptOptions(caller, follower.addr, leader.addr)), follower.addr)
 		workers, err := relay.Workers(ctx, WorkersCall{})
 		So([]any{workers.Evacuated, err}, ShouldResemble, []any{[]string{"z"}, nil})
 		topology, err := relay.Topology(ctx, TopologyCall{})
 		So([]any{topology.Leader, err}, ShouldResemble, []any{leader.addr, nil})
-		So(leader.takeCalls(), ShouldResemble, []string{"workers"})
-		So(len(follower.takeCalls()), ShouldEqual, 0)
+		So(leader.drainCalls(), ShouldResemble, []string{"workers"})
+		So(len(follower.drainCalls()), ShouldEqual, 0)
 	})
 }
 
-// gatheredMetrics returns the metrics of a registry, one a line: name, labels, value.
+// gatheredMetrics returns one line per metric of a registry: name, labels and value.
 func gatheredMetrics(registry *prometheus.Registry) []string {
 	families, err := registry.Gather()
 	So(err, ShouldBeNil)
@@ -62,7 +62,7 @@
 	return lines
 }
 
-// newQueriedLeader returns a leader with the queues a and b, the jobs j1 to j3 and a worker that runs one task of j2.
+// newQueriedLeader returns a leader with queues a and b, jobs j1 to j3 and a worker that runs one task of j2.
 func newQueriedLeader() (*Leader, *fakeStore) {
 	store := newFakeStore()
 	leader := NewLeader(LeaderOptions{
@@ -88,7 +88,7 @@
 	return leader, store
 }
 
-// submitTo submits a job of three tasks to a queue.
+// submitTo submits a job with three tasks to a queue.
 func submitTo(leader *Leader, queue, id string) error {
 	spec := jobs.Spec{ID: id, Queue: queue, Steps: []jobs.Step{{Count: 3, Needs: jobs.Resources{MilliCPU: 100}}}}
 	_, err := leader.Submit(context.Background(), SubmitCall{Spec: spec, Digest: id})
@@ -100,11 +100,11 @@
 		leader, store := newQueriedLeader()
 		ctx := context.Background()
 
-		Convey("a queue that a spec names must exist", func() {
+		Convey("the queue named by a spec must exist", func() {
 			err := submitTo(leader, "c", "j4")
 			So([]any{errs.KindOf(err), errs.Of(err).Field}, ShouldResemble, []any{errs.Unknown, "queue"})
 		})
-		Convey("a job is shown with its progress", func() {
+		Convey("Show returns a job with its progress", func() {
 			view, err := leader.Show(ctx, ShowCall{ID: "j2"})
 			So(err, ShouldBeNil)
 			So([]any{view.Queue, view.State, view.Steps}, ShouldResemble,
@@ -112,7 +112,7 @@
 			_, err = leader.Show(ctx, ShowCall{ID: "none"})
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 		})
-		Convey("a job is cancelled by its ID, as often as the call comes", func() {
+		Convey("Cancel cancels a job by ID and is idempotent", func() {
 			for range 2 {
 				answer, err := leader.Cancel(ctx, CancelCall{ID: "j1"})
 				So([]any{answer.State, err}, ShouldResemble, []any{jobs.Cancelled, nil})
@@ -120,7 +120,7 @@
 			_, err := leader.Cancel(ctx, CancelCall{ID: "none"})
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 		})
-		Convey("jobs are listed by ID, in pages, and filtered", func() {
+		Convey("List filters jobs and returns them sorted by ID, in pages", func() {
 			for _, c := range []struct {
 				call ListCall
 				want []string
@@ -165,7 +165,7 @@
 			store.term = 0
 			So(gatheredMetrics(registry), ShouldResemble, []string{"crosstide_jobs_leads 0"})
 		})
-		Convey("workers are listed with what their runs use", func() {
+		Convey("workers are listed with the resources that their runs use", func() {
 			_, err := leader.Evacuate(ctx, jobs.Evacuate{Zone: "z", Start: true})
 			So(err, ShouldBeNil)
 			answer, err := leader.Workers(ctx, WorkersCall{})
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -12,12 +12,12 @@
 	"crosstide/internal/rpc"
 )
 
-// patient are the options of a client whose attempts a busy machine does not cut short.
-func patient(caller *rpc.Client, self string, seeds ...string) ClientOptions {
+// longAttemptOptions returns client options with an attempt timeout that is not exceeded on a busy machine.
+func longAttemptOptions(caller *rpc.Client, self string, seeds ...string) ClientOptions {
 	return ClientOptions{Caller: caller, Seeds: seeds, Self: self, Attempt: 30 * time.Second}
 }
 
-// relayedCalls are the calls that a Client and a Relay have in common.
+// relayedCalls is implemented by Client and Relay.
 type relayedCalls interface {
 	Submit(context.Context, SubmitCall) (SubmitAnswer, error)
 	Job(context.Context, JobCall) (JobAnswer, error)
@@ -28,7 +28,7 @@
 	Evacuate(context.Context, jobs.Evacuate) (EvacuateAnswer, error)
 }
 
-// callAll makes every call once and checks its answer.
+// callAll makes each call once and checks its answer.
 func callAll(ctx context.Context, c relayedCalls, leader string) {
 	submitted, err := c.Submit(ctx, SubmitCall{Spec: jobs.Spec{ID: "1"}})
 	So([]any{submitted.State, err}, ShouldResemble, []any{jobs.Queued, nil})
@@ -46,53 +46,54 @@
 	So(err, ShouldBeNil)
 }
 
-var allDone = []string{"submit 1", "job /p", "count h", "beat w", "config", "configure d", "evacuate z"}
+// allCalls are the calls of callAll, as a fakeNode records them.
+var allCalls = []string{"submit 1", "job /p", "count h", "beat w", "config", "configure d", "evacuate z"}
 
 func TestRelay(t *testing.T) {
-	Convey("Every call reaches the leader from a client and from every node of the core, once", t, func() {
-		nodes, caller, end := startCore(3)
-		defer end()
+	Convey("Each call of a client or of a Relay on any node reaches the leader exactly once", t, func() {
+		nodes, caller, stop := startCluster(3)
+		defer stop()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		leader := nodes[2]
-		callAll(ctx, NewClient(patient(caller, "", nodes[0].addr)), leader.addr)
-		So(leader.takeCalls(), ShouldResemble, allDone)
+		callAll(ctx, NewClient(longAttemptOptions(caller, "", nodes[0].addr)), leader.addr)
+		So(leader.drainCalls(), ShouldResemble, allCalls)
 		for _, node := range nodes {
-			client := NewClient(patient(caller, node.addr, nodes[0].addr))
+			client := NewClient(longAttemptOptions(caller, node.addr, nodes[0].addr))
 			callAll(ctx, NewRelay(node, client, node.addr), leader.addr)
-			So(leader.takeCalls(), ShouldResemble, allDone)
+			So(leader.drainCalls(), ShouldResemble, allCalls)
 		}
-		So(len(nodes[0].takeCalls())+len(nodes[1].takeCalls()), ShouldEqual, 0)
+		So(len(nodes[0].drainCalls())+len(nodes[1].drainCalls()), ShouldEqual, 0)
 	})
-	Convey("A node that does not lead forwards calls; the leader's own error is returned", t, func() {
-		nodes, caller, end := startCore(2)
-		defer end()
+	Convey("A follower forwards calls that it did not execute; the error of the leader is returned", t, func() {
+		nodes, caller, stop := startCluster(2)
+		defer stop()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		follower, leader := nodes[0], nodes[1]
 		for _, c := range []struct {
-			kind   errs.Kind
-			passed bool
+			kind        errs.Kind
+			isForwarded bool
 		}{{errs.Unavailable, true}, {errs.Timeout, false}, {errs.Stale, false}, {errs.Stopped, false}} {
-			follower.refuses(c.kind)
-			relay := NewRelay(follower, NewClient(patient(caller, follower.addr, leader.addr)), follower.addr)
+			follower.failWith(c.kind)
+			relay := NewRelay(follower, NewClient(longAttemptOptions(caller, follower.addr, leader.addr)), follower.addr)
 			_, err := relay.Submit(ctx, SubmitCall{})
 			want := c.kind
-			if c.passed {
+			if c.isForwarded {
 				want = ""
 			}
 			So(errs.KindOf(err), ShouldEqual, want)
 		}
-		So(len(leader.takeCalls()), ShouldEqual, 1)
-		leader.refuses(errs.Unavailable)
-		relay := NewRelay(leader, NewClient(patient(caller, leader.addr, follower.addr)), leader.addr)
+		So(len(leader.drainCalls()), ShouldEqual, 1)
+		leader.failWith(errs.Unavailable)
+		relay := NewRelay(leader, NewClient(longAttemptOptions(caller, leader.addr, follower.addr)), leader.addr)
 		_, err := relay.Submit(ctx, SubmitCall{})
 		So(errs.KindOf(err), ShouldEqual, errs.Unavailable)
-		So(len(follower.takeCalls()), ShouldEqual, 0)
+		So(len(follower.drainCalls()), ShouldEqual, 0)
 	})
-	Convey("A client becomes ready once started, and reports a core that is gone as Unavailable", t, func() {
-		nodes, caller, end := startCore(2)
-		c := NewClient(patient(caller, "", nodes[0].addr))
+	Convey("A started client becomes ready, and calls to a stopped control plane fail as Unavailable", t, func() {
+		nodes, caller, stop := startCluster(2)
+		c := NewClient(longAttemptOptions(caller, "", nodes[0].addr))
 		ready := make(chan struct{})
 		c.sleep = func(ctx context.Context, _ time.Duration) { // the pause after the first probe
 			close(ready)
@@ -103,7 +104,7 @@
 		So(c.Ready(), ShouldBeNil)
 		So(c.directory.addresses(), ShouldResemble, []string{nodes[0].addr, nodes[1].addr})
 		c.Stop()
-		end()
+		stop()
 		c.sleep = c.sleepOnClock
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
