--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -20,7 +20,7 @@
 // after returns the time ms milliseconds after start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// funded returns a table with one account, acme, that was topped up with amount.
+// funded returns a table with one account, acme, topped up with amount.
 func funded(amount int64) *Table {
 	table := NewTable()
 	So(table.Create("acme", 0), ShouldBeNil)
@@ -29,19 +29,19 @@
 	return table
 }
 
-// charge returns the charge of a run that costs 10 units a second, with a window of 10 s: 100 units.
+// charge returns the charge of a run that costs 10 units a second, with a window of 10 s that costs 100 units.
 func charge(run string) Charge {
 	return Charge{Run: run, Account: "acme", Rate: 10_000, Window: 10 * time.Second}
 }
 
-// sums returns the balance, the reserved and the spent units of acme.
+// sums returns Balance, Reserved and Spent of acme.
 func sums(table *Table) [3]int64 {
 	a := table.Accounts["acme"]
 	return [3]int64{a.Balance, a.Reserved, a.Spent}
 }
 
 func TestReservations(t *testing.T) {
-	Convey("A run reserves its window and pays its time, rounded up once", t, func() {
+	Convey("A run reserves its window and pays for its run time, rounded up once", t, func() {
 		table := funded(250)
 		So(table.Reserve(charge("1"), start), ShouldBeNil)
 		So(sums(table), ShouldEqual, [3]int64{150, 100, 0})
@@ -49,17 +49,17 @@
 		So(table.Reserve(charge("2"), start), ShouldBeNil)
 		err := table.Reserve(charge("3"), start)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
-		So(err.Error(), ShouldContainSubstring, "has 50, a start reserves 100")
+		So(err.Error(), ShouldContainSubstring, "has a balance of 50, a start reserves 100")
 		table.Debit("1", after(1201)) // 12.01 units
 		So(sums(table), ShouldEqual, [3]int64{137, 100, 13})
 		So(table.Reserve(charge("3"), after(1300)), ShouldBeNil)
 		table.Refund("2")
-		table.Debit("2", after(9000)) // it has no reservation any more
+		table.Debit("2", after(9000)) // ignored: its reservation was released
 		table.Refund("nobody")
 		So(sums(table), ShouldEqual, [3]int64{137, 100, 13})
 		So(table.Check(), ShouldBeNil)
 	})
-	Convey("A run that outlives its window has it drawn and the next one reserved, also below zero", t, func() {
+	Convey("When a window ends it is drawn and the next one reserved, even if the balance becomes negative", t, func() {
 		table := funded(150)
 		So(table.Reserve(charge("1"), start), ShouldBeNil)
 		table.Renew(after(9_999))
@@ -69,7 +69,7 @@
 		table.Renew(after(35_000)) // two windows at once
 		So(sums(table), ShouldEqual, [3]int64{-250, 100, 300})
 		So(table.Accounts["acme"].Ledger.Head.Number, ShouldEqual, 3)
-		table.Refund("1") // lost: what was drawn stays drawn
+		table.Refund("1") // lost: amounts already drawn are not refunded
 		So(sums(table), ShouldEqual, [3]int64{-150, 0, 300})
 		So(table.Covers("acme", 0), ShouldBeFalse)
 		_, err := table.TopUp("acme", "second", 250, after(40_000))
@@ -78,21 +78,21 @@
 		So(table.Covers("acme", 101), ShouldBeFalse)
 		So(table.Check(), ShouldBeNil)
 	})
-	Convey("A granted charge is reserved whatever the balance is; without an account nothing is", t, func() {
+	Convey("A granted charge is reserved whatever the balance is, but an unknown account is refused", t, func() {
 		table := funded(50)
-		again := charge("1")
-		again.Granted = true
-		So(table.Reserve(again, start), ShouldBeNil)
+		granted := charge("1")
+		granted.Granted = true
+		So(table.Reserve(granted, start), ShouldBeNil)
 		So(sums(table), ShouldEqual, [3]int64{-50, 100, 0})
-		again.Account = "other"
-		So(errs.KindOf(table.Reserve(again, start)), ShouldEqual, errs.Unknown)
+		granted.Account = "other"
+		So(errs.KindOf(table.Reserve(granted, start)), ShouldEqual, errs.Unknown)
 		var none *Table
 		So(none.Covers("acme", 0), ShouldBeFalse)
 		So(none.Check(), ShouldBeNil)
 		none.Debit("1", start)
 		none.Renew(start)
 	})
-	Convey("With a credit, starts reserve that far below zero", t, func() {
+	Convey("With a credit, starts may reserve until the balance is the negative credit", t, func() {
 		table := NewTable()
 		So(table.Create("acme", 100), ShouldBeNil)
 		So(table.Reserve(charge("1"), start), ShouldBeNil)
@@ -102,18 +102,18 @@
 		So(errs.KindOf(table.Create(strings.Repeat("x", maxNameBytes+1), 0)), ShouldEqual, errs.Invalid)
 		So(errs.KindOf(table.Create("x", -1)), ShouldEqual, errs.Invalid)
 	})
-	Convey("The forecast assumes the present rate", t, func() {
+	Convey("The forecast assumes the current rate", t, func() {
 		table := funded(300)
-		_, draws := table.Accounts["acme"].ExhaustedIn()
-		So(draws, ShouldBeFalse)
+		_, hasForecast := table.Accounts["acme"].ExhaustedIn()
+		So(hasForecast, ShouldBeFalse)
 		So(table.Reserve(charge("1"), start), ShouldBeNil)
-		in, draws := table.Accounts["acme"].ExhaustedIn()
-		So([]any{in, draws}, ShouldResemble, []any{20 * time.Second, true})
+		exhaustedIn, hasForecast := table.Accounts["acme"].ExhaustedIn()
+		So([]any{exhaustedIn, hasForecast}, ShouldResemble, []any{20 * time.Second, true})
 	})
 }
 
 func TestTopUp(t *testing.T) {
-	Convey("A top-up counts once for each key, and its answer stays the same", t, func() {
+	Convey("A top-up is applied once for each key, and a repeated call returns the same answer", t, func() {
 		table := funded(100)
 		first, err := table.TopUp("acme", "k", 7, after(1))
 		So(err, ShouldBeNil)
@@ -154,7 +154,7 @@
 }
 
 func TestLedger(t *testing.T) {
-	Convey("Given an account of many entries", t, func() {
+	Convey("Given an account with many ledger entries", t, func() {
 		table := funded(1)
 		for i := range 3 * keepEntries {
 			_, err := table.TopUp("acme", fmt.Sprint(i), 2, after(i))
@@ -168,19 +168,19 @@
 			So(l.Head.ToppedUp, ShouldEqual, 6*keepEntries+1)
 			So(l.Verify(), ShouldBeNil)
 		})
-		Convey("an entry that was changed, left out or doubled is found", func() {
+		Convey("Verify detects an entry that was changed, left out or duplicated", func() {
 			for name, change := range map[string]func(){
 				"amount": func() { l.Entries[3].Amount++ },
 				"two amounts, the same sum": func() {
 					l.Entries[3].Amount++
 					l.Entries[4].Amount--
 				},
-				"key":      func() { l.Entries[3].Key = "x" },
-				"time":     func() { l.Entries[3].At = after(-1) },
-				"left out": func() { l.Entries = append(l.Entries[:3:3], l.Entries[4:]...) },
-				"doubled":  func() { l.Entries = append(l.Entries[:4:4], l.Entries[3:]...) },
-				"base":     func() { l.Base.Spent++ },
-				"kind":     func() { l.Entries[3].Kind = "gift" },
+				"key":        func() { l.Entries[3].Key = "x" },
+				"time":       func() { l.Entries[3].At = after(-1) },
+				"left out":   func() { l.Entries = append(l.Entries[:3:3], l.Entries[4:]...) },
+				"duplicated": func() { l.Entries = append(l.Entries[:4:4], l.Entries[3:]...) },
+				"base":       func() { l.Base.Spent++ },
+				"kind":       func() { l.Entries[3].Kind = "gift" },
 			} {
 				before := *l
 				before.Entries = append([]Entry(nil), l.Entries...)
@@ -191,18 +191,19 @@
 			So(l.Verify(), ShouldBeNil)
 		})
 		Convey("the export has a row for each entry, the base and the head", func() {
-			var out bytes.Buffer
-			So(l.WriteCSV(&out), ShouldBeNil)
-			rows := strings.Split(strings.TrimSpace(out.String()), "\n")
+			var export bytes.Buffer
+			So(l.WriteCSV(&export), ShouldBeNil)
+			rows := strings.Split(strings.TrimSpace(export.String()), "\n")
 			So(len(rows), ShouldEqual, len(l.Entries)+3)
 			So(rows[1], ShouldContainSubstring, ",base,")
 			last := strings.Split(rows[len(rows)-2], ",")
 			head := strings.Split(rows[len(rows)-1], ",")
 			So(head[len(head)-3:], ShouldResemble, last[len(last)-3:])
 		})
-		Convey("entries are read by their numbers", func() {
-			part := l.Since(l.Head.Number-3, 2)
-			So([]uint64{part[0].Number, part[1].Number}, ShouldResemble, []uint64{l.Head.Number - 2, l.Head.Number - 1})
+		Convey("Since returns the entries above a number", func() {
+			entries := l.Since(l.Head.Number-3, 2)
+			So([]uint64{entries[0].Number, entries[1].Number}, ShouldResemble,
+				[]uint64{l.Head.Number - 2, l.Head.Number - 1})
 			So(l.Since(l.Head.Number, 5), ShouldBeEmpty)
 			So(l.Since(0, 1)[0].Number, ShouldEqual, l.Base.Number+1)
 		})
@@ -210,21 +211,22 @@
 }
 
 func TestCost(t *testing.T) {
-	Convey("A cost equals that of exact arithmetic, rounded up", t, func() {
+	Convey("A cost equals the result of arbitrary-precision arithmetic, rounded up", t, func() {
 		So(Price{Core: 3, GPU: 50, Memory: 2}.Rate(Needs{MilliCPU: 1500, MemoryMB: 500, GPUs: 1}), ShouldEqual,
 			4500+50_000+1000)
 		So(Rate(MaxAmount).Cost(1<<62), ShouldEqual, MaxAmount)
 		So(Rate(5).Cost(-time.Second), ShouldEqual, 0)
 		rapid.Check(t, func(t *rapid.T) {
-			rate, length := rapid.Int64Range(0, 1<<50).Draw(t, "rate"), rapid.Int64Range(0, 1<<55).Draw(t, "length")
-			want := new(big.Int).Mul(big.NewInt(rate), big.NewInt(length))
+			rate := rapid.Int64Range(0, 1<<50).Draw(t, "rate")
+			duration := rapid.Int64Range(0, 1<<55).Draw(t, "duration")
+			want := new(big.Int).Mul(big.NewInt(rate), big.NewInt(duration))
 			want.Add(want, big.NewInt(1e12-1))
 			want.Div(want, big.NewInt(1e12))
 			if !want.IsInt64() || want.Int64() > MaxAmount {
 				want = big.NewInt(MaxAmount)
 			}
-			if got := Rate(rate).Cost(time.Duration(length)); got != want.Int64() {
-				t.Fatalf("%d, want %d", got, want)
+			if got := Rate(rate).Cost(time.Duration(duration)); got != want.Int64() {
+				t.Fatalf("Cost returned %d, want %d", got, want)
 			}
 		})
 	})
--- a/internal/account/golden_test.go
+++ b/internal/account/golden_test.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON that is sent to other processes, clients and operators, or stored.
+// TestGoldenWire pins the JSON of the types that are stored or sent to other processes, clients and operators.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("account", Account{}),
@@ -37,7 +37,7 @@
 	)
 }
 
-// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+// TestGoldenDigests pins the hashed text of an entry by the hash of a fixed entry.
 func TestGoldenDigests(t *testing.T) {
 	e := Entry{Number: 1, At: time.Unix(0, 2), Kind: EntryTopUp, Key: "key", DrawIndex: 3, Amount: 4}
 	golden.Compare(t, "digests", golden.Lines("chain of a ledger", e.hash(""), e.hash("before")))
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -10,16 +10,16 @@
 	"crosstide/internal/errs"
 )
 
-// keepEntries is the number of newest entries that a compaction leaves. A ledger is compacted at twice as many.
+// keepEntries is the number of entries that a compaction keeps. A ledger is compacted when it has twice as many.
 const keepEntries = 256
 
-// EntryKind is the kind of a ledger's entry.
+// EntryKind is the kind of a ledger entry.
 type EntryKind string
 
-// The kinds of entries. The strings are stored, and part of the hashes.
+// The kinds of entries. The strings are stored and hashed.
 const (
-	EntryTopUp EntryKind = "top-up" // Amount was added; Key is its idempotency key
-	EntryDraw  EntryKind = "draw"   // Amount was spent; Key is the run, DrawIndex counts its draws from 0
+	EntryTopUp EntryKind = "top-up" // Amount was added; Key is the top-up's idempotency key
+	EntryDraw  EntryKind = "draw"   // Amount was spent; Key is the run, DrawIndex counts the run's draws from 0
 )
 
 // Entry is one entry of an account's ledger. No two draws have the same Key and DrawIndex.
@@ -32,15 +32,15 @@
 	Amount    int64     `json:"u"`
 }
 
-// hash returns the hash of the chain up to this entry, in hex; before is the hash up to the previous entry.
-func (e *Entry) hash(before string) string {
+// hash returns the hash of the chain including this entry, in hex; previous is the hash including the entry before.
+func (e *Entry) hash(previous string) string {
 	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n",
-		before, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
+		previous, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// Checkpoint is the sum of all entries up to Number.
+// Checkpoint holds the totals of all entries up to and including Number.
 type Checkpoint struct {
 	Number   uint64 `json:"n"`
 	ToppedUp int64  `json:"topped_up"`
@@ -48,10 +48,10 @@
 	Hash     string `json:"hash,omitempty"` // of the chain, in hex; "" before the first entry
 }
 
-// add returns the sum with the next entry. Failure: Damaged (the entry is not the next one, or of an unknown kind).
+// add returns c plus the next entry. Failure: Damaged (the entry's number is not the next one, or its kind is unknown).
 func (c Checkpoint) add(e *Entry) (Checkpoint, error) {
 	if e.Number != c.Number+1 {
-		return c, errs.New(errs.Damaged, "entry %d follows entry %d", e.Number, c.Number)
+		return c, errs.New(errs.Damaged, "ledger is not consecutive: entry %d follows entry %d", e.Number, c.Number)
 	}
 	switch e.Kind {
 	case EntryTopUp:
@@ -59,7 +59,7 @@
 	case EntryDraw:
 		c.Spent += e.Amount
 	default:
-		return c, errs.New(errs.Damaged, "entry %d is a %q", e.Number, e.Kind)
+		return c, errs.New(errs.Damaged, "ledger entry %d has unknown kind %q", e.Number, e.Kind)
 	}
 	c.Number, c.Hash = e.Number, e.hash(c.Hash)
 	return c, nil
@@ -67,12 +67,12 @@
 
 // Ledger is the hash chain of an account's entries.
 type Ledger struct {
-	Base    Checkpoint `json:"base"`              // the sum of the compacted entries
-	Entries []Entry    `json:"entries,omitempty"` // those after Base, oldest first
-	Head    Checkpoint `json:"head"`              // the sum of Base and Entries
+	Base    Checkpoint `json:"base"`              // totals of the compacted entries
+	Entries []Entry    `json:"entries,omitempty"` // after Base, oldest first
+	Head    Checkpoint `json:"head"`              // totals of Base and Entries
 }
 
-// append appends an entry under the next number, and compacts the ledger if it is full.
+// append appends an entry with the next number, and compacts the ledger if it is full.
 func (l *Ledger) append(e Entry) {
 	e.Number = l.Head.Number + 1
 	head, err := l.Head.add(&e)
@@ -84,7 +84,7 @@
 	}
 }
 
-// compact folds the oldest entries into the base.
+// compact folds the n oldest entries into Base.
 func (l *Ledger) compact(n int) {
 	for i := range l.Entries[:n] {
 		base, err := l.Base.add(&l.Entries[i])
@@ -94,7 +94,7 @@
 	l.Entries = slices.Clone(l.Entries[n:])
 }
 
-// Verify checks that the entries add up from the base to the head. Failure: Damaged.
+// Verify checks that Base plus Entries equals Head, including the hash. Failure: Damaged.
 func (l *Ledger) Verify() error {
 	sum := l.Base
 	for i := range l.Entries {
@@ -105,12 +105,13 @@
 		sum = next
 	}
 	if sum != l.Head {
-		return errs.New(errs.Damaged, "the entries add up to %+v, the head says %+v", sum, l.Head)
+		return errs.New(errs.Damaged, "ledger entries add up to %+v, expected the head %+v", sum, l.Head)
 	}
 	return nil
 }
 
-// Since returns the entries above a number, oldest first, at most limit. Compacted entries are not included.
+// Since returns the oldest entries with a number above number, at most limit, oldest first. Compacted entries are not
+// included.
 func (l *Ledger) Since(number uint64, limit int) []Entry {
 	from := len(l.Entries)
 	for i := range l.Entries {
--- a/internal/account/price.go
+++ b/internal/account/price.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// MaxAmount bounds the sum of an account's top-ups, in units. Any JSON reader represents it exactly.
+// MaxAmount bounds the sum of an account's top-ups, in units. Every JSON parser represents it exactly.
 const MaxAmount int64 = 1<<53 - 1
 
 // MaxPrice bounds each part of a price, so that rates do not overflow.
 const MaxPrice = 1_000_000
 
-// Price is what a party pays, in whole units: for a second of a core, of an accelerator, and of a GB of memory.
+// Price is what a party pays, in whole units per second: for a core, an accelerator, and a GB of memory.
 type Price struct {
 	Core   int64 `json:"core,omitempty"`
 	GPU    int64 `json:"gpu,omitempty"`
@@ -28,7 +28,7 @@
 // Rate is the cost of a run in thousandths of a unit per second.
 type Rate int64
 
-// Valid reports whether every part of a price is within its bounds.
+// Valid reports whether every part of the price is from 0 to MaxPrice.
 func (p Price) Valid() bool {
 	return min(p.Core, p.GPU, p.Memory) >= 0 && max(p.Core, p.GPU, p.Memory) <= MaxPrice
 }
@@ -38,20 +38,21 @@
 	return Rate(int64(n.MilliCPU)*p.Core + int64(n.GPUs)*1000*p.GPU + int64(n.MemoryMB)*p.Memory)
 }
 
-// nanosPerMilliunit divides a product of a Rate and a Duration into units.
-const nanosPerMilliunit = 1000 * uint64(time.Second)
+// rateDurationPerUnit is the product of a Rate and a Duration, in milliunits per second times nanoseconds, that costs
+// one unit.
+const rateDurationPerUnit = 1000 * uint64(time.Second)
 
-// Cost returns the price of a length of time in units, rounded up, at most MaxAmount. A length below 0 costs nothing.
-func (r Rate) Cost(length time.Duration) int64 {
-	if r <= 0 || length <= 0 {
+// Cost returns the cost of a duration in units, rounded up, at most MaxAmount. It is 0 for a negative duration.
+func (r Rate) Cost(duration time.Duration) int64 {
+	if r <= 0 || duration <= 0 {
 		return 0
 	}
-	high, low := bits.Mul64(uint64(r), uint64(length))
-	if high >= nanosPerMilliunit {
+	high, low := bits.Mul64(uint64(r), uint64(duration))
+	if high >= rateDurationPerUnit {
 		return MaxAmount
 	}
-	units, rest := bits.Div64(high, low, nanosPerMilliunit)
-	if rest > 0 {
+	units, remainder := bits.Div64(high, low, rateDurationPerUnit)
+	if remainder > 0 {
 		units++
 	}
 	return int64(min(units, uint64(MaxAmount)))
--- a/internal/account/renewal.go
+++ b/internal/account/renewal.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Renew draws the windows that are over at now, and reserves the next ones, also below zero. It must be called before
-// every other change of a later time, so that no run continues beyond a paid window.
+// Renew draws the price of the windows that have ended at now and reserves the next ones, even if the balance becomes
+// negative. It must be called before every other change of a later time, so that no run continues beyond a paid window.
 func (t *Table) Renew(now time.Time) {
 	if t == nil {
 		return
@@ -21,25 +21,25 @@
 	}
 }
 
-// renewReservation draws all windows of a run that are over at now with one entry, and reserves the open one.
+// renewReservation draws all windows of a run that have ended at now with one ledger entry, and reserves the open one.
 func (t *Table) renewReservation(run string, r *Reservation, now time.Time) {
 	a := t.Accounts[r.Account]
 	a.reserve(-r.openCost())
-	windows := now.Sub(r.Start) / r.Window
-	over := r.Start.Add(windows * r.Window)
-	a.draw(run, r, r.Rate.Cost(over.Sub(r.Start))-r.Drawn, now)
-	r.Until = over.Add(r.Window)
+	endedWindows := now.Sub(r.Start) / r.Window
+	openStart := r.Start.Add(endedWindows * r.Window)
+	a.draw(run, r, r.Rate.Cost(openStart.Sub(r.Start))-r.Drawn, now)
+	r.Until = openStart.Add(r.Window)
 	a.reserve(r.openCost())
 	heap.Push(&t.renewals, renewal{r.Until, run})
 }
 
-// renewal is the end of a run's window.
+// renewal is the time at which a run's open window ends.
 type renewal struct {
 	until time.Time
 	run   string
 }
 
-// renewals is a heap of windows by end, then by run. Entries of runs that have ended stay until they are due.
+// renewals is a heap ordered by end of the window, then by run. Renewals of runs that have ended stay in it until due.
 type renewals []renewal
 
 // Len implements heap.Interface.
@@ -48,7 +48,7 @@
 // Swap implements heap.Interface.
 func (r renewals) Swap(i, k int) { r[i], r[k] = r[k], r[i] }
 
-// Less orders windows by end, then by run; it implements heap.Interface.
+// Less orders renewals by end of the window, then by run; it implements heap.Interface.
 func (r renewals) Less(i, k int) bool {
 	if r[i].until.Equal(r[k].until) {
 		return r[i].run < r[k].run
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -7,13 +7,13 @@
 	"crosstide/internal/errs"
 )
 
-// Table holds all accounts and reservations. It has no lock: the owner of its State serializes all access. Covers,
-// Debit, Refund, Renew, Check and HasReservations may be called on a nil table, which holds nothing.
+// Table holds all accounts and reservations. It has no lock: the owner of its State serializes all access. For Covers,
+// Debit, Refund, Renew, Check and HasReservations a nil table behaves as an empty one.
 type Table struct {
 	Accounts     map[string]*Account     `json:"accounts"`     // by the party's name; never removed
-	Reservations map[string]*Reservation `json:"reservations"` // by run; each of an account in Accounts
+	Reservations map[string]*Reservation `json:"reservations"` // by run; the account of each is in Accounts
 
-	renewals renewals // at least one for each reservation, at its Until; derived by Rebuild
+	renewals renewals // has the Until of each reservation, may have ended runs; derived by Rebuild
 }
 
 // NewTable returns an empty table.
@@ -23,7 +23,7 @@
 	return t
 }
 
-// Rebuild derives the unexported fields after the exported ones were decoded, and fills maps that are nil.
+// Rebuild derives the unexported fields from the exported ones after decoding, and initializes nil maps.
 func (t *Table) Rebuild() {
 	if t.Accounts == nil {
 		t.Accounts = map[string]*Account{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// Create opens an account. Failures: Conflict (there is one of that name), Invalid.
+// Create adds an account. Failures: Conflict (an account with this name exists), Invalid.
 func (t *Table) Create(name string, credit int64) error {
 	switch {
 	case name == "" || len(name) > maxNameBytes:
@@ -52,42 +52,43 @@
 	case credit < 0 || credit > MaxAmount:
 		return errs.Field(errs.Invalid, "credit", "must be 0 to %d, is %d", MaxAmount, credit)
 	case t.Accounts[name] != nil:
-		return errs.Field(errs.Conflict, "account", "there is an account %q", name)
+		return errs.Field(errs.Conflict, "account", "account %q already exists", name)
 	}
 	t.Accounts[name] = &Account{Name: name, Credit: credit, TopUps: map[string]TopUp{}}
 	return nil
 }
 
-// TopUp adds to a balance, once for each idempotency key: repeated, it returns the first answer. Failures: Unknown (no
-// such account), Conflict (the key is another top-up's), Invalid.
+// TopUp adds an amount to a balance, once for each idempotency key: a repeated call returns the first answer. Failures:
+// Unknown (no such account), Conflict (the key was used for another amount), Invalid.
 func (t *Table) TopUp(name, key string, amount int64, at time.Time) (TopUp, error) {
 	a := t.Accounts[name]
 	if a == nil {
 		return TopUp{}, errs.Field(errs.Unknown, "account", "no account %q", name)
 	}
-	if made, ok := a.TopUps[key]; ok {
-		if made.Amount != amount {
-			return TopUp{}, errs.Field(errs.Conflict, "key", "%q was a top-up of %d", key, made.Amount)
+	if earlier, ok := a.TopUps[key]; ok {
+		if earlier.Amount != amount {
+			return TopUp{}, errs.Field(errs.Conflict, "key", "key %q was already used for a top-up of %d",
+				key, earlier.Amount)
 		}
-		return made, nil
+		return earlier, nil
 	}
 	switch {
 	case key == "":
-		return TopUp{}, errs.Field(errs.Invalid, "key", "a top-up needs a key")
+		return TopUp{}, errs.Field(errs.Invalid, "key", "idempotency key of a top-up must not be empty")
 	case amount <= 0 || amount > MaxAmount-a.ToppedUp:
 		return TopUp{}, errs.Field(errs.Invalid, "amount", "must be 1 to %d, is %d", MaxAmount-a.ToppedUp, amount)
 	}
 	return a.topUp(key, amount, at), nil
 }
 
-// Covers reports whether the account's balance and credit cover a cost; false if there is no such account.
+// Covers reports whether the account exists and its balance plus credit covers a cost.
 func (t *Table) Covers(name string, cost int64) bool {
 	a := t.find(name)
 	return a != nil && a.covers(cost)
 }
 
-// Check checks the consistency of the table: every account is conserved, its reserved amount is the sum of its
-// reservations, and its ledger is verified. Failures: Internal, Damaged.
+// Check checks the consistency of the table: every account's Balance + Reserved + Spent equals its ToppedUp, its
+// Reserved is the sum of its reservations, and its ledger is valid. Failures: Internal, Damaged.
 func (t *Table) Check() error {
 	if t == nil {
 		return nil
@@ -95,7 +96,7 @@
 	reserved := map[string]int64{}
 	for run, r := range t.Reservations {
 		if t.Accounts[r.Account] == nil {
-			return errs.New(errs.Internal, "run %q has a reservation without account", run)
+			return errs.New(errs.Internal, "run %q has a reservation on an unknown account", run)
 		}
 		reserved[r.Account] += r.openCost()
 	}
@@ -104,7 +105,7 @@
 			return errs.Pass(err, "check")
 		}
 		if a.Reserved != reserved[name] {
-			return errs.New(errs.Internal, "account %q has %d reserved, its runs hold %d",
+			return errs.New(errs.Internal, "account %q has %d reserved, its reservations add up to %d",
 				name, a.Reserved, reserved[name])
 		}
 		if err := a.Ledger.Verify(); err != nil {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// find returns an account; nil if there is none, or the table is nil.
+// find returns an account, or nil if it does not exist or the table is nil.
 func (t *Table) find(name string) *Account {
 	if t == nil {
 		return nil
