--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -1,10 +1,10 @@
-// Package bundle reads the operators' bundle of the policy deployment: one JSON document with queues, their placement
-// policies, limits, retries, lease TTLs, weights, operators and parties. It also changes a text by a merge patch
-// (Merge) and compares two (Diff).
+// Package bundle parses the operators' bundle of the policy deployment: one JSON document with queues, their placement
+// policies, limits, retries, lease TTLs, weights, operators and parties. It also applies merge patches to bundles
+// (Merge) and compares two bundles (Diff).
 //
-// The result depends on the text alone, for package command parses bundles while it applies the log: no clock, no
-// settings, and no change in what an older text means. A text that was accepted once must be accepted by every later
-// version of this package.
+// The result depends on the text alone, because package command parses bundles while it applies the log: it uses no
+// clock and no settings, and the meaning of an older text never changes. A text that was accepted once must be accepted
+// by every later version of this package.
 //
 // Begin with Parse.
 package bundle
@@ -20,7 +20,7 @@
 	"crosstide/internal/state"
 )
 
-// MaxBytes bounds the text of a bundle and of a merge patch.
+// MaxBytes is the maximum size of a bundle and of a merge patch.
 const MaxBytes = 256 << 10
 
 // Bounds of durations. They catch wrong units, not unusual choices.
@@ -30,8 +30,8 @@
 	maxBackoff  = 24 * time.Hour
 )
 
-// Parse reads a bundle. The Version of its result is 0. Failures: TooLarge (over MaxBytes), Invalid, whose message
-// lists all validation errors with their paths, one a line, and whose field is the first path. Example:
+// Parse parses and validates a bundle. The Version of the result is 0. Failures: TooLarge (over MaxBytes), Invalid,
+// whose message lists all validation errors with their paths, one per line, and whose field is the first path. Example:
 //
 //	b, err := bundle.Parse([]byte(`{"queues":{"scan":{"placement":{"zones":["z1"]}}}}`))
 func Parse(data []byte) (state.Bundle, error) {
@@ -46,19 +46,19 @@
 		Backoff: state.Backoff{Min: 200 * time.Millisecond, Max: 30 * time.Second},
 	}
 	err := config.Parse(data, func(r *config.Reader) { readBundle(r, &b) })
-	var wrong config.ValidationErrors
-	if errors.As(err, &wrong) {
+	var invalid config.ValidationErrors
+	if errors.As(err, &invalid) {
 		noun := "mistakes"
-		if len(wrong) == 1 {
+		if len(invalid) == 1 {
 			noun = "mistake"
 		}
-		return state.Bundle{}, errs.Field(errs.Invalid, wrong[0].Field,
-			"%d %s in the bundle:\n%s", len(wrong), noun, wrong.Error())
+		return state.Bundle{}, errs.Field(errs.Invalid, invalid[0].Field,
+			"%d %s in the bundle:\n%s", len(invalid), noun, invalid.Error())
 	}
 	return b, errs.Pass(err, "bundle")
 }
 
-// Digest returns the SHA-256 of a bundle's exact bytes, in hex.
+// Digest returns the SHA-256 of a bundle's bytes, in hex.
 func Digest(data []byte) string { return signature.Digest(data) }
 
 func readBundle(r *config.Reader, b *state.Bundle) {
@@ -81,7 +81,7 @@
 		r.Duration("min", &b.Backoff.Min, time.Millisecond, maxBackoff)
 		r.Duration("max", &b.Backoff.Max, time.Millisecond, maxBackoff)
 		if b.Backoff.Min > b.Backoff.Max {
-			r.Reject("max", "must not be under min (%s), is %s", b.Backoff.Min, b.Backoff.Max)
+			r.Reject("max", "must not be less than min (%s), is %s", b.Backoff.Min, b.Backoff.Max)
 		}
 	})
 	r.Duration("hold", &b.LeaseTTL, minLeaseTTL, maxLeaseTTL)
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -11,14 +11,14 @@
 	"crosstide/internal/state"
 )
 
-// fullBundle has every field but operators and parties.
+// fullBundle has every field except operators and parties.
 const fullBundle = `{"queues":{"scan":{"types":["scan","route"],"teams":["parcel"],"labels":{"disk":"ssd"},
 "urgent":true,"hold":"10s","retries":2,"placement":{"minions":["m2","m1"],"zones":["z1"],"racks":["r1"],
 "near":[{"label":"data","value":"scans","within":"rack"}]}}},
 "limits":{"scan":40},"weights":{"parcel":3},"retries":5,"backoff":{"min":"1s","max":"1m"},"hold":"30s"}`
 
 func TestParse(t *testing.T) {
-	Convey("Every field is read, and the initial text is the bundle of a new state", t, func() {
+	Convey("Every field is parsed, and a new state has the parsed state.InitialBundle", t, func() {
 		b, err := Parse([]byte(fullBundle))
 		So(err, ShouldBeNil)
 		two, five := 2, 5
@@ -32,10 +32,10 @@
 			Limits: map[string]int{"scan": 40}, Weights: map[string]int{"parcel": 3}, Retries: &five,
 			LeaseTTL: 30 * time.Second, Backoff: state.Backoff{Min: time.Second, Max: time.Minute},
 		})
-		first, err := Parse([]byte(state.InitialBundle))
+		initial, err := Parse([]byte(state.InitialBundle))
 		So(err, ShouldBeNil)
-		first.Version = 1
-		So(state.New().Bundle, ShouldResemble, first)
+		initial.Version = 1
+		So(state.New().Bundle, ShouldResemble, initial)
 		So(state.New().Head().Digest, ShouldEqual, Digest([]byte(state.InitialBundle)))
 	})
 	Convey("All validation errors are reported at once, with their paths", t, func() {
@@ -56,19 +56,19 @@
 			"queues.q.zones: is not a known field",
 			"limits.scan: must be from 0",
 			"weights.t: must be from 1",
-			"backoff.max: must not be under min",
+			"backoff.max: must not be less than min",
 			"operators[0].key: must be the base64 of 32 bytes",
 		} {
 			So(lines[i+1], ShouldStartWith, want)
 		}
 		So(errs.Of(err).Message, ShouldEndWith, "limit: is not a known field")
 	})
-	Convey("A field under its former name is refused with the name it has now", t, func() {
+	Convey("A field under its former name is refused with its current name", t, func() {
 		_, err := Parse([]byte(`{"queues":{"q":{"charter":{"zones":["z1"]}}}}`))
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		So(errs.Of(err).Message, ShouldEndWith, "queues.q.charter: is now named placement")
 	})
-	Convey("A text that is no bundle, or too large, is refused", t, func() {
+	Convey("An invalid or too large text is refused", t, func() {
 		for _, text := range []string{
 			``, `[]`, `{}`, `{"queues":{}}`, `{"queues":{"q":{},"q":{}}}`,
 			"{\"queues\":{\"q\":{\"teams\":[\"\xff\"]}}}", `{"queues":{"q":{}},"operators":[]}`,
@@ -82,7 +82,7 @@
 }
 
 func TestMerge(t *testing.T) {
-	Convey("A merge patch sets, replaces and removes, and the difference is reported by paths", t, func() {
+	Convey("A merge patch sets, replaces and removes fields, and Diff lists the changed paths", t, func() {
 		patch := `{"queues":{"scan":{"placement":{"zones":["z2"],"racks":null},"teams":null},"new":{}},"limits":null}`
 		next, err := Merge([]byte(fullBundle), []byte(patch))
 		So(err, ShouldBeNil)
@@ -100,7 +100,7 @@
 			{"queues.scan.teams", `["parcel"]`, ""},
 		})
 	})
-	Convey("A patch that is no JSON object, or has a name twice, is refused", t, func() {
+	Convey("A patch that is not a JSON object, or has a duplicate name, is refused", t, func() {
 		for _, patch := range []string{`{`, `[]`, `{"limits":{"a":1,"a":2}}`} {
 			_, err := Merge([]byte(fullBundle), []byte(patch))
 			So(errs.KindOf(err), ShouldEqual, errs.Invalid)
@@ -109,7 +109,7 @@
 }
 
 func TestParse_parties(t *testing.T) {
-	Convey("The bundle maps teams and queues to parties, each to one", t, func() {
+	Convey("The bundle maps each team and queue to at most one party", t, func() {
 		b, err := Parse([]byte(`{"queues":{"q":{},"r":{}},"parties":{
 			"acme":{"teams":["a"],"queues":["q"],"price":{"core":10,"gpu":500},"reserve":"30s"},
 			"blue":{"teams":["b"],"price":{"core":1},"warn":"1h"}}}`))
@@ -125,11 +125,11 @@
 		_, err = Parse([]byte(`{"queues":{"q":{}},"parties":{"acme":{"teams":["a"],"queues":["z"],"price":{"core":-1}},
 			"blue":{"teams":["a"],"price":{}},"cold":{"teams":[],"price":{"core":1},"reserve":"1ms"}}}`))
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
-		for _, mistake := range []string{
-			"5 mistakes", `there is no queue "z"`, "price.core",
-			`parties.blue.teams: "a" is paid for by "acme" already`, "cold.teams", "cold.reserve",
+		for _, want := range []string{
+			"5 mistakes", `unknown queue "z"`, "price.core",
+			`parties.blue.teams: "a" is already paid for by "acme"`, "cold.teams", "cold.reserve",
 		} {
-			So(err.Error(), ShouldContainSubstring, mistake)
+			So(err.Error(), ShouldContainSubstring, want)
 		}
 	})
 }
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -17,17 +17,17 @@
 	To   string `json:"to,omitempty"`
 }
 
-// Diff returns the differences between the values of two texts, in order of paths; formatting does not count. Failure:
-// Invalid.
+// Diff returns the differences between the values of two JSON texts, sorted by path. It ignores differences in
+// formatting. Failure: Invalid.
 func Diff(from, to []byte) ([]Change, error) {
 	var left, right fastjson.Parser
 	a, err := left.ParseBytes(from)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "the first must be JSON")
+		return nil, errs.Wrap(err, errs.Invalid, "invalid JSON in the first text")
 	}
 	b, err := right.ParseBytes(to)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "the second must be JSON")
+		return nil, errs.Wrap(err, errs.Invalid, "invalid JSON in the second text")
 	}
 	var changes []Change
 	appendChanges("", a, b, &changes)
@@ -35,7 +35,8 @@
 	return changes, nil
 }
 
-// appendChanges appends the differences between two values at path, one of which may be nil: the path does not exist.
+// appendChanges appends the differences between two values at path. One of them may be nil: the path does not exist in
+// that text.
 func appendChanges(path string, a, b *fastjson.Value, changes *[]Change) {
 	if a != nil && b != nil && a.Type() == fastjson.TypeObject && b.Type() == fastjson.TypeObject {
 		a.GetObject().Visit(func(key []byte, v *fastjson.Value) {
@@ -60,7 +61,7 @@
 	return string(v.MarshalTo(nil))
 }
 
-// joinPath appends a name to a path; a name that validateName would refuse is quoted.
+// joinPath appends a name to a path. A name that validateName rejects is quoted.
 func joinPath(path, name string) string {
 	if !namePattern.MatchString(name) {
 		name = strconv.Quote(name)
--- a/internal/bundle/fields.go
+++ b/internal/bundle/fields.go
@@ -8,12 +8,12 @@
 	"crosstide/internal/state"
 )
 
-// maxCount bounds counts. It catches typing errors, not unusual choices.
+// maxCount bounds counts. It catches typos, not unusual choices.
 const maxCount = 1 << 30
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$`)
 
-// validateName returns what is wrong with a name; "" if it is valid.
+// validateName returns the error message for an invalid name, or "" if it is valid.
 func validateName(value string) string {
 	if namePattern.MatchString(value) {
 		return ""
@@ -21,7 +21,7 @@
 	return "must be a name of 1 to 128 of A-Z a-z 0-9 . _ : -, is " + quoteShort(value)
 }
 
-// validateLabelValue returns what is wrong with the value of a label; "" if it is valid.
+// validateLabelValue returns the error message for an invalid label value, or "" if it is valid.
 func validateLabelValue(value string) string {
 	if value == "" || len(value) > 256 {
 		return "must be 1 to 256 bytes, is " + quoteShort(value)
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// quoteShort quotes a value for a message, cut to 40 characters.
+// quoteShort quotes a value for a message, truncated to 40 characters.
 func quoteShort(value string) string {
 	if r := []rune(value); len(r) > 40 {
 		value = string(r[:40]) + "…"
@@ -37,27 +37,27 @@
 	return `"` + value + `"`
 }
 
-// checkName rejects a field whose own name is no valid name.
+// checkName rejects a field with an invalid name.
 func checkName(r *config.Reader, name string) {
-	if wrong := validateName(name); wrong != "" {
-		r.Reject(name, "%s", wrong)
+	if invalid := validateName(name); invalid != "" {
+		r.Reject(name, "%s", invalid)
 	}
 }
 
-// readNames reads a list of names, sorted and without repetitions. An empty list is rejected: it would allow every
-// name, but may be meant to allow none.
-func readNames(r *config.Reader, field string, to *[]string) {
-	got := []string{""} // stays when the field is missing or rejected
-	switch r.Strings(field, &got, validateName); {
-	case len(got) == 0:
+// readNames reads a list of names into target, sorted and without duplicates. An empty list is rejected: it would allow
+// every name, but the operator may have meant to allow none.
+func readNames(r *config.Reader, field string, target *[]string) {
+	names := []string{""} // unchanged if the field is missing or rejected
+	switch r.Strings(field, &names, validateName); {
+	case len(names) == 0:
 		r.Reject(field, "must not be empty; leave it out to allow any")
-	case got[0] != "":
-		slices.Sort(got)
-		*to = slices.Compact(got)
+	case names[0] != "":
+		slices.Sort(names)
+		*target = slices.Compact(names)
 	}
 }
 
-// readByName reads an object with a value for each name; nil if it has none.
+// readByName reads an object with one value per name. It returns nil if the object is missing or empty.
 func readByName[T any](r *config.Reader, field string, read func(r *config.Reader, name string) T) map[string]T {
 	var values map[string]T
 	r.Object(field, func(r *config.Reader) {
@@ -80,14 +80,14 @@
 	})
 }
 
-func readCounts(r *config.Reader, field string, least int) map[string]int {
+func readCounts(r *config.Reader, field string, minimum int) map[string]int {
 	return readByName(r, field, func(r *config.Reader, name string) (n int) {
-		r.Int(name, &n, least, maxCount)
+		r.Int(name, &n, minimum, maxCount)
 		return n
 	})
 }
 
-// readRetries reads the field retries; nil if it is missing.
+// readRetries reads the field retries. It returns nil if the field is missing.
 func readRetries(r *config.Reader) *int {
 	n := 0
 	if r.Int("retries", &n, 0, maxCount); r.Has("retries") {
--- a/internal/bundle/merge.go
+++ b/internal/bundle/merge.go
@@ -9,9 +9,9 @@
 	"crosstide/internal/errs"
 )
 
-// Merge changes a bundle's text by a JSON merge patch (RFC 7396): objects are merged, null removes, all else replaces.
-// The result is indented by two spaces; names keep their order, and new ones come last. It is not checked as a bundle:
-// that is Parse's. Failures: Invalid, TooLarge. Example:
+// Merge applies a JSON merge patch (RFC 7396) to the text of a bundle: objects are merged, null removes a field, any
+// other value replaces it. The result is indented by two spaces; fields keep their order, and new fields come last. The
+// result is not validated as a bundle; Parse does that. Failures: Invalid, TooLarge. Example:
 //
 //	next, err := bundle.Merge(body, []byte(`{"limits":{"scan":40}}`))
 func Merge(base, patch []byte) ([]byte, error) {
@@ -19,62 +19,62 @@
 		return nil, errs.New(errs.TooLarge, "the patch has %d bytes, at most %d", len(patch), MaxBytes)
 	}
 	var left, right fastjson.Parser
-	to, err := left.ParseBytes(base)
+	baseValue, err := left.ParseBytes(base)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "the base must be JSON")
+		return nil, errs.Wrap(err, errs.Invalid, "invalid JSON in the base")
 	}
-	from, err := right.ParseBytes(patch)
+	patchValue, err := right.ParseBytes(patch)
 	if err != nil {
 		return nil, errs.New(errs.Invalid, "1 mistake in the patch:\nmust be JSON: %v", err)
 	}
-	if from.Type() != fastjson.TypeObject {
-		return nil, errs.New(errs.Invalid, "1 mistake in the patch:\nmust be an object, is %s", from.Type())
+	if patchValue.Type() != fastjson.TypeObject {
+		return nil, errs.New(errs.Invalid, "1 mistake in the patch:\nmust be an object, is %s", patchValue.Type())
 	}
-	if path := duplicatePath("", from); path != "" {
+	if path := duplicatePath("", patchValue); path != "" {
 		return nil, errs.Field(errs.Invalid, path, "1 mistake in the patch:\n%s: is given more than once", path)
 	}
 	var text bytes.Buffer
-	if err := json.Indent(&text, mergeValues(to, from).MarshalTo(nil), "", "  "); err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "the result")
+	if err := json.Indent(&text, mergeValues(baseValue, patchValue).MarshalTo(nil), "", "  "); err != nil {
+		return nil, errs.Wrap(err, errs.Invalid, "indent the merged bundle")
 	}
 	text.WriteByte('\n')
 	return text.Bytes(), nil
 }
 
-// mergeValues applies the merge patch from to a value, which may be nil, and returns the result.
-func mergeValues(to, from *fastjson.Value) *fastjson.Value {
-	if from.Type() != fastjson.TypeObject {
-		return from
+// mergeValues applies a merge patch to target, which may be nil, and returns the result.
+func mergeValues(target, patch *fastjson.Value) *fastjson.Value {
+	if patch.Type() != fastjson.TypeObject {
+		return patch
 	}
-	if to == nil || to.Type() != fastjson.TypeObject {
-		to = fastjson.MustParse("{}")
+	if target == nil || target.Type() != fastjson.TypeObject {
+		target = fastjson.MustParse("{}")
 	}
-	from.GetObject().Visit(func(key []byte, v *fastjson.Value) {
+	patch.GetObject().Visit(func(key []byte, v *fastjson.Value) {
 		name := string(key)
 		if v.Type() == fastjson.TypeNull {
-			to.Del(name)
+			target.Del(name)
 			return
 		}
-		to.Set(name, mergeValues(to.Get(name), v))
+		target.Set(name, mergeValues(target.Get(name), v))
 	})
-	return to
+	return target
 }
 
-// duplicatePath returns the path of a name that an object in v has more than once.
-func duplicatePath(path string, v *fastjson.Value) (found string) {
+// duplicatePath returns the path of the first duplicate name in an object in v, or "" if all names are unique.
+func duplicatePath(path string, v *fastjson.Value) (duplicate string) {
 	if v.Type() != fastjson.TypeObject {
 		return ""
 	}
 	seen := map[string]bool{}
 	v.GetObject().Visit(func(key []byte, v *fastjson.Value) {
-		at := joinPath(path, string(key))
-		if seen[string(key)] && found == "" {
-			found = at
+		memberPath := joinPath(path, string(key))
+		if seen[string(key)] && duplicate == "" {
+			duplicate = memberPath
 		}
 		seen[string(key)] = true
-		if deep := duplicatePath(at, v); found == "" {
-			found = deep
+		if nested := duplicatePath(memberPath, v); duplicate == "" {
+			duplicate = nested
 		}
 	})
-	return found
+	return duplicate
 }
--- a/internal/bundle/operators.go
+++ b/internal/bundle/operators.go
@@ -9,7 +9,8 @@
 	"crosstide/internal/state"
 )
 
-// readOperators reads the operators who may sign from this version on. Without the field they do not change.
+// readOperators reads the operators who may sign from this version on. If the field is missing, Operators stays nil and
+// the operators do not change.
 func readOperators(r *config.Reader, b *state.Bundle) {
 	type operator struct{ name, key string }
 	var list []operator
@@ -25,20 +26,21 @@
 	for _, o := range list {
 		b.Operators[o.name] = o.key
 	}
-	if wrong := OperatorsError(b.Operators, len(list)); wrong != "" {
-		r.Reject("operators", "%s", wrong)
+	if invalid := OperatorsError(b.Operators, len(list)); invalid != "" {
+		r.Reject("operators", "%s", invalid)
 	}
 }
 
-// OperatorsError returns what is wrong with a set of operators that was listed in that many lines; "" if nothing is.
-// Two of them must be able to sign, and none may sign under two names.
+// OperatorsError returns the error message for an invalid set of operators, or "" if it is valid. listed is the number
+// of items that the set was read from: it exceeds the size of the set if a name is listed twice. At least two operators
+// are required, and no two names may share a key, so that nobody can sign under two names.
 func OperatorsError(operators state.Operators, listed int) string {
 	keys := slices.Sorted(maps.Values(operators))
 	switch {
 	case len(operators) < listed || len(slices.Compact(keys)) < listed:
-		return "must have a name and a key each of their own"
+		return "must have unique names and keys"
 	case listed < 2:
-		return "must be at least two: two sign each version"
+		return "must be at least two: each version needs two signatures"
 	}
 	return ""
 }
--- a/internal/bundle/parties.go
+++ b/internal/bundle/parties.go
@@ -9,15 +9,15 @@
 	"crosstide/internal/state"
 )
 
-// Bounds of a party's settings.
+// Bounds of a party's reserve and warn durations.
 const (
 	minReserve = 100 * time.Millisecond
 	maxReserve = 24 * time.Hour
 )
 
-// readParties reads the parties with their prices, teams and queues. A team or queue has one party at most.
+// readParties reads the parties with their prices, teams and queues. A team or queue has at most one party.
 func readParties(r *config.Reader, b *state.Bundle) {
-	found := map[string]state.Party{}
+	parties := map[string]state.Party{}
 	r.Object("parties", func(r *config.Reader) {
 		teams, queues := map[string]string{}, map[string]string{}
 		names := slices.Clone(r.Names())
@@ -28,18 +28,18 @@
 			r.Object(name, func(r *config.Reader) { readParty(r, &p) })
 			for _, queue := range p.Queues {
 				if _, ok := b.Queues[queue]; !ok {
-					r.Reject(name+".queues", "there is no queue %q", queue)
+					r.Reject(name+".queues", "unknown queue %q", queue)
 				}
 				claim(r, name+".queues", queue, name, queues)
 			}
 			for _, team := range p.Teams {
 				claim(r, name+".teams", team, name, teams)
 			}
-			found[name] = p
+			parties[name] = p
 		}
 	})
-	if len(found) > 0 {
-		b.SetParties(found)
+	if len(parties) > 0 {
+		b.SetParties(parties)
 	}
 }
 
@@ -62,11 +62,11 @@
 	return int64(n)
 }
 
-// claim records in taken that a party pays for a team or queue, or rejects the field if another party does.
-func claim(r *config.Reader, field, what, party string, taken map[string]string) {
-	if other, ok := taken[what]; ok {
-		r.Reject(field, "%q is paid for by %q already", what, other)
+// claim records in payers that a party pays for a team or queue, or rejects the field if another party does.
+func claim(r *config.Reader, field, teamOrQueue, party string, payers map[string]string) {
+	if other, ok := payers[teamOrQueue]; ok {
+		r.Reject(field, "%q is already paid for by %q", teamOrQueue, other)
 		return
 	}
-	taken[what] = party
+	payers[teamOrQueue] = party
 }
--- a/internal/signature/texts.go
+++ b/internal/signature/texts.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// Bundle returns the text that two operators sign to put a version in force: version and digest of its exact bytes.
+// Bundle returns the text that two operators sign to put a version of the bundle in force. digest is the Digest of the
+// version's bytes.
 func Bundle(version uint64, digest string) string {
 	return fmt.Sprintf("crosstide bundle\nversion %d\nsha256 %s\n", version, digest)
 }
 
-// Put returns the text of an order that writes a draft against a base.
+// Put returns the text of an order that writes a new draft on top of the version base; digest is that of the draft.
 func Put(order string, base uint64, digest string) string {
 	return fmt.Sprintf("crosstide put\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
 }
 
-// Patch returns the text of an order that changes a base by a merge patch; digest is the patch's.
+// Patch returns the text of an order that writes a new draft by applying a merge patch to the version base; digest is
+// that of the patch.
 func Patch(order string, base uint64, digest string) string {
 	return fmt.Sprintf("crosstide patch\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
 }
@@ -25,17 +27,17 @@
 	return fmt.Sprintf("crosstide evacuate\norder %q\nzone %q\n", order, zone)
 }
 
-// Lift returns the text that two operators sign to lift the evacuation of a zone that began at since.
+// Lift returns the text that two operators sign to end the evacuation of a zone that began at since.
 func Lift(zone string, since time.Time) string {
 	return fmt.Sprintf("crosstide lift\nzone %q\nsince %d\n", zone, since.UnixNano())
 }
 
-// AccountCreate returns the text of an order that opens a party's account.
+// AccountCreate returns the text of an order that creates a party's account.
 func AccountCreate(order, account string, credit int64) string {
 	return fmt.Sprintf("crosstide account create\norder %q\naccount %q\ncredit %d\n", order, account, credit)
 }
 
-// AccountTopUp returns the text of a top-up of an account.
+// AccountTopUp returns the text of an order that tops up an account.
 func AccountTopUp(key, account string, amount int64) string {
 	return fmt.Sprintf("crosstide account top-up\nkey %q\naccount %q\namount %d\n", key, account, amount)
 }
