--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkProgress makes changes of 50 ends and 50 starts on a table of 20,000 jobs and 200 workers; an operation is
-// one start and one end.
+// BenchmarkProgress applies changes of 50 starts and of 50 ends to a table of 20,000 jobs and 200 workers. An operation
+// is one start and one end.
 func BenchmarkProgress(b *testing.B) {
 	const jobs, workers, batch = 20_000, 200, 50
 	table := testTable()
@@ -16,13 +16,13 @@
 	for i := range jobs {
 		table.mustSubmit(testJob(fmt.Sprint(i), Step{Count: 4, Needs: Resources{MilliCPU: 100}}))
 	}
-	round := 0
+	number := 0
 	b.ResetTimer()
 	for done := 0; done < b.N; done += batch {
-		round++
+		number++
 		p := Progress{Term: testTerm, At: noon}
 		for i := range batch {
-			start := startOf(taskOf(fmt.Sprint((done+i)%jobs), 0, 0), round, fmt.Sprintf("w%d", i%workers))
+			start := startOf(taskOf(fmt.Sprint((done+i)%jobs), 0, 0), number, fmt.Sprintf("w%d", i%workers))
 			p.Starts = append(p.Starts, start)
 		}
 		started, err := table.Progress(testTerm, p)
--- a/internal/jobs/changes.go
+++ b/internal/jobs/changes.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// The rule for the declarations of this file is in jobs.go.
+// The comment at the head of jobs.go says which declarations are allowed in this file.
 
-// Submit accepts a job. The same ID with the same digest is the same job.
+// Submit accepts a job. A submission with the same ID and digest is a repetition of the same job.
 type Submit struct {
 	Spec   Spec      `json:"spec"`
 	Digest string    `json:"digest"`
 	At     time.Time `json:"at"`
 }
 
-// Cancel ends a job that is not terminal: none of its tasks starts any more.
+// Cancel cancels a job that is not terminal: no further task of it starts.
 type Cancel struct {
 	ID string    `json:"id"`
 	At time.Time `json:"at"`
 }
 
-// Configure changes the configuration on top of version Base. With Replace, Queues, Services and Limits are the whole
-// new configuration; else they are added or replace those of the same name, after the removals.
+// Configure changes the configuration of version Base. With Replace, Queues, Services and Limits are the complete new
+// configuration. Otherwise the removals are applied first, then queues and services are added or replace those of the
+// same name, and Limits, if present, replaces the old limits.
 type Configure struct {
 	Base           uint64          `json:"base"`
 	Version        uint64          `json:"version"` // of the new configuration; above Base
-	Digest         string          `json:"digest"`  // of the order's own bytes and its base: tells a repeated order
+	Digest         string          `json:"digest"`  // of the order's bytes and base; identifies a repeated order
 	Replace        bool            `json:"replace,omitempty"`
 	Queues         []Queue         `json:"queues,omitempty"`
 	Services       []Service       `json:"services,omitempty"`
@@ -34,10 +35,10 @@
 	RemoveServices []string        `json:"rs,omitempty"`
 }
 
-// Evacuate starts or withdraws the evacuation of a zone, in which no task is started until it is withdrawn.
+// Evacuate starts or ends the evacuation of a zone. No task starts in an evacuated zone.
 type Evacuate struct {
 	Zone  string `json:"zone"`
-	Start bool   `json:"start"`
+	Start bool   `json:"start"` // false: end the evacuation
 }
 
 // Register records workers that are new or have changed.
@@ -45,29 +46,30 @@
 	Workers []Worker `json:"workers"`
 }
 
-// Progress has the decisions of the scheduler of a term and the reports of workers: ends first, then starts. It is
-// refused if the leader of another term wrote it. A start whose preconditions no longer hold is left out, with the
-// other members of its gang.
+// Progress holds the decisions of the leader's scheduler and the reports of workers. Ends are applied before Starts.
+// Progress written by the leader of another term is refused. A start whose preconditions no longer hold is not
+// recorded, nor are the other members of its gang.
 type Progress struct {
 	Term   uint64    `json:"term"`
 	At     time.Time `json:"at"`
 	Ends   []End     `json:"ends,omitempty"`
 	Starts []Start   `json:"starts,omitempty"`
-	Forget []string  `json:"forget,omitempty"` // IDs of workers that are gone; only those without handles are deleted
+	Forget []string  `json:"forget,omitempty"` // IDs of workers that are gone; those with handles are kept
 }
 
-// EndReason is the way in which a run ended or was proved dead. The strings are stored.
+// EndReason says why a run ended. The strings are stored.
 type EndReason string
 
-// The reasons of an end. EndDone and EndFailed are outcomes of the task itself; after all others it is due again.
+// The reasons of an end. EndDone and EndFailed are outcomes of the task itself; after any other end the task is due
+// again.
 const (
 	EndDone         EndReason = "done"
 	EndFailed       EndReason = "failed"
-	EndStopped      EndReason = "stopped" // as ordered
+	EndStopped      EndReason = "stopped" // by an order to stop
 	EndLeaseExpired EndReason = "lapsed"
 	EndGangBroken   EndReason = "broken" // another member of its gang ended
-	EndGangTimeout  EndReason = "alone"  // it waited too long for the other members
-	EndLost         EndReason = "lost"   // proved dead without an end: never started, or its worker is gone
+	EndGangTimeout  EndReason = "alone"  // timed out waiting for the other members of its gang
+	EndLost         EndReason = "lost"   // no end was reported, but the run never started or its worker is gone
 )
 
 // End records the end of a run.
@@ -75,17 +77,17 @@
 	Key        RunKey    `json:"r"`
 	Worker     string    `json:"w"`
 	Reason     EndReason `json:"h"`
-	Checkpoint string    `json:"k,omitempty"` // newest saved progress, if any
+	Checkpoint string    `json:"k,omitempty"` // newest checkpoint, if any
 }
 
-// Start records one run of a task on a worker. The members of a gang are recorded in one Progress.
+// Start starts one run of a task on a worker. The starts of all members of a gang are in the same Progress.
 type Start struct {
 	Task   TaskRef `json:"t"`
 	Number int     `json:"n"` // above the task's LastRun; one number for all members of a gang
 	Worker string  `json:"w"`
 }
 
-// Started answers Progress: Recorded reports for each start, in order, whether it was recorded.
+// Started is the answer to Progress. Recorded[i] reports whether Starts[i] was recorded.
 type Started struct {
 	Recorded []bool `json:"recorded,omitempty"`
 }
--- a/internal/jobs/config.go
+++ b/internal/jobs/config.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// Queue returns a queue by name; nil if there is none.
+// Queue returns the queue with a name, or nil.
 func (c *Config) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// Service returns a service by name; nil if there is none.
+// Service returns the service with a name, or nil.
 func (c *Config) Service(name string) *Service {
 	for i := range c.Services {
 		if c.Services[i].Name == name {
@@ -27,11 +27,11 @@
 	return nil
 }
 
-// queueAddress identifies a queue to clients.
+// queueAddress is the address by which clients call a queue. It is unique.
 type queueAddress struct{ host, prefix string }
 
-// validate refuses a configuration that cannot be in force. Failure: Invalid; the field names the queue by its position
-// in the whole configuration.
+// validate checks the queues of a configuration. Failure: Invalid; the error's field identifies the queue by its
+// position in the complete configuration.
 func (c *Config) validate() error {
 	names, addresses := map[string]bool{}, map[queueAddress]string{}
 	for i, q := range c.Queues {
@@ -39,11 +39,11 @@
 		var err error
 		switch {
 		case c.Service(q.Service) == nil:
-			err = invalidQueue(i, "service", "queue %q: no service %q", q.Name, q.Service)
+			err = invalidQueue(i, "service", "queue %q: unknown service %q", q.Name, q.Service)
 		case names[q.Name]:
-			err = invalidQueue(i, "name", "two queues are called %q", q.Name)
+			err = invalidQueue(i, "name", "duplicate queue name %q", q.Name)
 		case addresses[address] != "":
-			err = invalidQueue(i, "prefix", "queue %q is at %s%s too", addresses[address], q.Host, q.Prefix)
+			err = invalidQueue(i, "prefix", "queue %q has the same address %s%s", addresses[address], q.Host, q.Prefix)
 		case q.Timeout <= 0:
 			err = invalidQueue(i, "timeout", "queue %q: must be above 0, is %s", q.Name, q.Timeout)
 		}
--- a/internal/jobs/configure.go
+++ b/internal/jobs/configure.go
@@ -6,18 +6,19 @@
 	"crosstide/internal/errs"
 )
 
-// maxOrders is how many digests of configuration orders are remembered, the newest.
+// maxOrders is the number of digests of configuration orders that are remembered; the oldest are dropped first.
 const maxOrders = 1024
 
-// Configure puts another configuration in force. A repeated order succeeds and changes nothing, also when a later one
-// is in force. Failures: Stale (another version than Base is in force), Invalid with the field. A refused order changes
-// nothing.
+// Configure puts a new configuration in force. A repeated order succeeds without a change, even if a later
+// configuration is in force by then. Failures: Stale (the version in force is not Base), Invalid with the field. After
+// a failure the table is unchanged.
 func (t *Table) Configure(c Configure) error {
 	if _, repeated := t.indexes.orders[c.Digest]; repeated {
 		return nil
 	}
 	if c.Base != t.Config.Version {
-		return errs.Field(errs.Stale, "base", "version %d is in force, not %d", t.Config.Version, c.Base)
+		return errs.Field(errs.Stale, "base", "version %d is in force, the order is based on %d",
+			t.Config.Version, c.Base)
 	}
 	if c.Version <= t.Config.Version {
 		return errs.Field(errs.Invalid, "version", "must be above %d, is %d", t.Config.Version, c.Version)
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// rememberOrder records the digest of an accepted order. An order without a digest is not recognized when repeated.
+// rememberOrder records the digest of an accepted order. A repetition of an order without a digest is not recognized.
 func (t *Table) rememberOrder(digest string) {
 	if digest == "" {
 		return
@@ -40,14 +41,14 @@
 	t.Orders = append(t.Orders, digest)
 	t.indexes.orders[digest] = struct{}{}
 	if excess := len(t.Orders) - maxOrders; excess > 0 {
-		for _, old := range t.Orders[:excess] {
-			delete(t.indexes.orders, old)
+		for _, oldest := range t.Orders[:excess] {
+			delete(t.indexes.orders, oldest)
 		}
 		t.Orders = slices.Clone(t.Orders[excess:])
 	}
 }
 
-// withChange returns the configuration that an order asks for. c stays as it was.
+// withChange returns the configuration that results from applying an order to c. It does not modify c.
 func (c *Config) withChange(order Configure) Config {
 	if order.Replace {
 		return Config{Version: order.Version, Queues: order.Queues, Services: order.Services, Limits: order.Limits}
@@ -64,8 +65,8 @@
 	return next
 }
 
-// merged returns a new list: old without the removed items, in which each item of put replaces the one of its name or
-// is appended.
+// merged returns a copy of old without the items named in remove. Each item of put replaces the item of the same name,
+// or is appended if no item has its name.
 func merged[T any](old []T, remove []string, put []T, name func(T) string) []T {
 	next := make([]T, 0, len(old)+len(put))
 	for _, item := range old {
--- a/internal/jobs/configure_test.go
+++ b/internal/jobs/configure_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestConfigure_invalid(t *testing.T) {
-	Convey("A refused configuration names its field and changes nothing", t, func() {
+	Convey("A refused configuration returns an error with the invalid field and changes nothing", t, func() {
 		table := testTable()
 		before := table.bytes()
 		withQueue := func(change func(*Queue)) Configure {
@@ -30,7 +30,7 @@
 		}{
 			{Configure{Base: 4, Version: 6}, errs.Stale, "base"},
 			{Configure{Base: 6, Version: 7}, errs.Stale, "base"},
-			{Configure{Base: 4, Version: 4}, errs.Stale, "base"}, // stale goes before invalid
+			{Configure{Base: 4, Version: 4}, errs.Stale, "base"}, // Base is checked before Version
 			{Configure{Base: 5, Version: 5}, errs.Invalid, "version"},
 			{withQueue(func(q *Queue) { q.Service = "none" }), errs.Invalid, "queues[0].service"},
 			{withQueue(func(q *Queue) { q.Timeout = 0 }), errs.Invalid, "queues[0].timeout"},
@@ -50,7 +50,7 @@
 }
 
 func TestConfigure_update(t *testing.T) {
-	Convey("An update removes, then replaces in place or appends; a new whole configuration replaces all", t, func() {
+	Convey("An update removes, then replaces in place or appends; with Replace it replaces everything", t, func() {
 		table := testTable()
 		changed := testConfig().Queues[0]
 		changed.MaxAttempts = 9
@@ -84,24 +84,24 @@
 }
 
 func TestConfigure_sameBase(t *testing.T) {
-	Convey("Of orders on one base the first is accepted, in whatever order they and their repeats come", t, func() {
+	Convey("Of several orders with the same base the first is accepted, in any sequence of orders and repeats", t, func() {
 		orders := make([]Configure, 6) // three orders, each sent twice
 		for i := range orders {
 			orders[i] = Configure{Base: 5, Version: uint64(6 + i%3), Digest: fmt.Sprint("order ", i%3)}
 		}
 		cases := 0
-		exhaustive.Permutations(len(orders), func(order []int) {
+		exhaustive.Permutations(len(orders), func(permutation []int) {
 			table := testTable()
-			winner := orders[order[0]]
-			for _, i := range order {
+			winner := orders[permutation[0]]
+			for _, i := range permutation {
 				err := table.Configure(orders[i])
 				isWinner := orders[i].Digest == winner.Digest
 				if isWinner != (err == nil) || !isWinner && !errs.Is(err, errs.Stale) {
-					panic(fmt.Sprint("order ", order, " at ", i, ": ", err))
+					panic(fmt.Sprint("permutation ", permutation, " at ", i, ": ", err))
 				}
 			}
 			if table.Config.Version != winner.Version {
-				panic(fmt.Sprint("order ", order, ": version ", table.Config.Version))
+				panic(fmt.Sprint("permutation ", permutation, ": version ", table.Config.Version))
 			}
 			cases++
 		})
@@ -110,7 +110,7 @@
 }
 
 func TestConfigure_repeated(t *testing.T) {
-	Convey("An order among the newest accepted ones succeeds when repeated, also on a decoded table", t, func() {
+	Convey("A repetition of one of the newest maxOrders orders succeeds, also on a decoded table", t, func() {
 		table := testTable()
 		for i := range uint64(maxOrders) {
 			So(table.Configure(Configure{Base: 5 + i, Version: 6 + i, Digest: fmt.Sprint(i)}), ShouldBeNil)
@@ -120,14 +120,14 @@
 			before := each.bytes()
 			So(each.Configure(Configure{Base: 5, Version: 6, Digest: "0"}), ShouldBeNil)
 			So(each.Configure(Configure{Base: 99, Version: 1, Digest: "7"}), ShouldBeNil)
-			So(each.Configure(testConfig()), shouldBeKind, errs.Stale) // the oldest of 1,025
+			So(each.Configure(testConfig()), shouldBeKind, errs.Stale) // the oldest of 1,025 orders is forgotten
 			So(each.bytes(), ShouldEqual, before)
 		}
 	})
 }
 
 func TestConfigure_withoutDigest(t *testing.T) {
-	Convey("An order without a digest is never mistaken for another", t, func() {
+	Convey("An order without a digest is never taken for a repetition", t, func() {
 		table := testTable()
 		So(table.Configure(Configure{Base: 5, Version: 6}), ShouldBeNil)
 		So(table.Configure(Configure{Base: 6, Version: 7}), ShouldBeNil)
--- a/internal/jobs/evacuate.go
+++ b/internal/jobs/evacuate.go
@@ -1,6 +1,6 @@
 package jobs
 
-// Evacuate starts or withdraws the evacuation of a zone; repeated it changes nothing.
+// Evacuate starts or ends the evacuation of a zone. A repetition changes nothing.
 func (t *Table) Evacuate(c Evacuate) {
 	if t.Evacuated[c.Zone] == c.Start {
 		return
--- a/internal/jobs/evacuate_test.go
+++ b/internal/jobs/evacuate_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestEvacuate(t *testing.T) {
-	Convey("Starting or withdrawing an evacuation a second time changes nothing", t, func() {
+	Convey("Starting or ending an evacuation a second time changes nothing", t, func() {
 		table := testTable()
 		before := table.bytes()
 		table.Evacuate(Evacuate{Zone: "zone-1"})
--- a/internal/jobs/event.go
+++ b/internal/jobs/event.go
@@ -1,21 +1,21 @@
 package jobs
 
-// Event is a change that Table.OnEvent is called for, after it was made.
+// Event describes a change of the table. It is passed to Table.OnEvent after the change.
 type Event struct {
 	Kind EventKind
-	Name string // see EventKind
+	Name string // the job's ID, worker's ID or zone, depending on Kind
 }
 
 // EventKind is the kind of an event. It determines the meaning of Event.Name.
 type EventKind uint8
 
-// The kinds of events. A deleted job is reported as changed too.
+// The kinds of events.
 const (
-	JobChanged    EventKind = iota + 1 // a job was accepted, changed or deleted (its ID)
-	WorkerChanged                      // the record of a worker was added or changed (its ID)
-	WorkerGone                         // the record of a worker was deleted (its ID)
-	ConfigChanged                      // another configuration, or other parties, are in force (no name)
-	ZonesChanged                       // an evacuation was started or withdrawn (the zone)
+	JobChanged    EventKind = iota + 1 // a job was accepted, changed or deleted; Name is its ID
+	WorkerChanged                      // the record of a worker was added or changed; Name is its ID
+	WorkerGone                         // the record of a worker was deleted; Name is its ID
+	ConfigChanged                      // the configuration or the parties were replaced; no Name
+	ZonesChanged                       // an evacuation was started or ended; Name is the zone
 )
 
 func (t *Table) notify(kind EventKind, name string) {
--- a/internal/jobs/event_test.go
+++ b/internal/jobs/event_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestEvents(t *testing.T) {
-	Convey("Each change causes one event, after it was made, and what changes nothing causes none", t, func() {
+	Convey("OnEvent is called once after each change, and not for a call that changes nothing", t, func() {
 		table := testTable()
 		var events []Event
 		table.OnEvent = func(event Event) { events = append(events, event) }
 		takeEvents := func() []Event {
-			taken := events
+			newEvents := events
 			events = nil
-			return taken
+			return newEvents
 		}
 		table.mustSubmit(testJob("j", oneCore(2)))
 		So(takeEvents(), ShouldResemble, []Event{{JobChanged, "j"}})
--- a/internal/jobs/gang_test.go
+++ b/internal/jobs/gang_test.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/testbed/exhaustive"
 )
 
-// gangOf returns the starts of one run of a gang, one member on each of the workers.
+// gangOf returns the starts of one run of a gang; member i starts on workers[i].
 func gangOf(job string, number int, workers ...string) []Start {
 	starts := make([]Start, len(workers))
 	for i, worker := range workers {
@@ -29,24 +29,25 @@
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(3)))
 		none := []bool{false, false, false}
-		Convey("its members are recorded together, in whatever order and between other starts", func() {
+		Convey("its members are recorded together, in any order and with other starts between them", func() {
 			exhaustive.Permutations(3, func(order []int) {
 				each := testTable()
 				each.mustSubmit(testJob("j", gangStep(3)))
 				each.mustSubmit(testJob("k", oneCore(1)))
 				gang := gangOf("j", 1, "w1", "w1", "w2")
-				got := each.start(gang[order[0]], startOf(taskOf("k", 0, 0), 1, "w2"), gang[order[1]], gang[order[2]])
-				allRecorded := fmt.Sprint(got) == "[true true true true]"
+				recorded := each.start(
+					gang[order[0]], startOf(taskOf("k", 0, 0), 1, "w2"), gang[order[1]], gang[order[2]])
+				allRecorded := fmt.Sprint(recorded) == "[true true true true]"
 				if !allRecorded || len(each.RunsOn("w1")) != 2 || len(each.RunsOn("w2")) != 2 {
-					panic(fmt.Sprint(order, got))
+					panic(fmt.Sprint(order, recorded))
 				}
 			})
 		})
-		Convey("none is recorded if one is missing, listed twice, under another number, or does not fit", func() {
+		Convey("none is recorded if one is missing, duplicated, has another number, or does not fit", func() {
 			gang := gangOf("j", 1, "w1", "w1", "w2")
 			So(table.start(gang[:2]...), ShouldResemble, none[:2])
-			twice := startOf(taskOf("j", 0, 0), 1, "w2") // w2 has capacity for it
-			So(table.start(gang[0], twice, gang[2]), ShouldResemble, none)
+			duplicate := startOf(taskOf("j", 0, 0), 1, "w2") // w2 has capacity for it
+			So(table.start(gang[0], duplicate, gang[2]), ShouldResemble, none)
 			So(table.start(gang[0], gang[1], gang[2], gang[2]), ShouldResemble, append(none, false))
 			So(table.start(gang[0], gang[1], startOf(taskOf("j", 0, 2), 2, "w2")), ShouldResemble, none)
 			So(table.start(gangOf("j", 1, "w1", "w1", "w1")...), ShouldResemble, none)
@@ -56,7 +57,7 @@
 			So(table.start(append(gang, gangOf("j", 2, "w2", "w1", "w1")...)...), ShouldResemble,
 				[]bool{true, true, true, false, false, false})
 		})
-		Convey("MaxPerWorker counts the members placed before", func() {
+		Convey("MaxPerWorker includes the members of the same gang", func() {
 			step := gangStep(3)
 			step.MaxPerWorker = 1
 			table.mustSubmit(testJob("k", step))
@@ -64,7 +65,7 @@
 			So(table.start(gangOf("k", 1, "w1", "w1", "w2")...), ShouldResemble, none)
 			So(table.start(gangOf("k", 1, "w1", "w2", "w3")...), ShouldResemble, []bool{true, true, true})
 		})
-		Convey("no new run starts while the old one has a handle, and then under a higher number", func() {
+		Convey("a new run starts only when the old one has no handles, and only with a higher number", func() {
 			gang := gangOf("j", 4, "w1", "w1", "w2")
 			table.start(gang...)
 			table.end(endOf(gang[0], EndLost), endOf(gang[2], EndLost))
@@ -80,7 +81,7 @@
 }
 
 func TestGangEnds_done(t *testing.T) {
-	Convey("The first member done makes all members done; their handles stay until their own ends", t, func() {
+	Convey("When one member is done, all members are done; their handles stay until their own ends", t, func() {
 		exhaustive.Permutations(3, func(order []int) {
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
@@ -93,7 +94,7 @@
 					panic(fmt.Sprint(order, n, job.State))
 				}
 				if n < 2 && job.Rounds[0][0][0].Failures != 0 {
-					panic("a failure was counted of a gang that is done")
+					panic("a failure was counted for a gang that is done")
 				}
 			}
 		})
@@ -101,7 +102,7 @@
 }
 
 func TestGangEnds_failedAfterDone(t *testing.T) {
-	Convey("A member that fails after its gang is done does not count, while another step is not done", t, func() {
+	Convey("A failure of a member after its gang is done is not counted", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(2), oneCore(1)))
 		gang := gangOf("j", 1, "w1", "w2")
@@ -113,7 +114,7 @@
 }
 
 func TestGangEnds_failureCountsOnce(t *testing.T) {
-	Convey("A run of a gang counts one failure at the first member, in any order of the ends", t, func() {
+	Convey("A failed run of a gang counts as one failure of its first member, in any order of the ends", t, func() {
 		exhaustive.Permutations(3, func(order []int) {
 			table := testTable()
 			job := table.mustSubmit(testJob("j", gangStep(3)))
@@ -139,7 +140,7 @@
 }
 
 func TestGangEnds_checkpoint(t *testing.T) {
-	Convey("The checkpoint of one member is that of all", t, func() {
+	Convey("A checkpoint of one member is set for all members", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", gangStep(2), oneCore(1)))
 		gang := gangOf("j", 1, "w1", "w2")
@@ -154,7 +155,7 @@
 }
 
 func TestGangEnds_longRunning(t *testing.T) {
-	Convey("A long-running gang is due again however it ends", t, func() {
+	Convey("A long-running gang is due again after any end", t, func() {
 		table := testTable()
 		step := gangStep(2)
 		step.LongRunning = true
--- a/internal/jobs/generator_test.go
+++ b/internal/jobs/generator_test.go
@@ -7,132 +7,133 @@
 	"pgregory.net/rapid"
 )
 
-// generator draws changes, most of which fit the records of its table.
+// generator draws random changes, most of which refer to existing records of its table.
 type generator struct {
 	*rapid.T
 	table *Table
 }
 
-func (d generator) number(name string, least, most int) int {
-	return rapid.IntRange(least, most).Draw(d.T, name)
+func (g generator) number(name string, minimum, maximum int) int {
+	return rapid.IntRange(minimum, maximum).Draw(g.T, name)
 }
 
-func pick[T any](d generator, name string, list ...T) T {
-	return rapid.SampledFrom(list).Draw(d.T, name)
+func pick[T any](g generator, name string, list ...T) T {
+	return rapid.SampledFrom(list).Draw(g.T, name)
 }
 
-func (d generator) at() time.Time {
-	return noon.Add(time.Duration(d.number("at", 0, 50)) * time.Second)
+func (g generator) at() time.Time {
+	return noon.Add(time.Duration(g.number("at", 0, 50)) * time.Second)
 }
 
-func (d generator) worker() string { return pick(d, "worker", "w1", "w2", "w3", "g1") }
+func (g generator) worker() string { return pick(g, "worker", "w1", "w2", "w3", "g1") }
 
-func (d generator) change() any {
-	switch n := d.number("kind", 0, 31); {
-	case n < 20 && len(d.table.Jobs) > 0: // small numbers are drawn more often
-		return d.progress()
+func (g generator) change() any {
+	switch n := g.number("kind", 0, 31); {
+	case n < 20 && len(g.table.Jobs) > 0: // small numbers are drawn more often
+		return g.progress()
 	case n < 26:
-		return d.submit()
+		return g.submit()
 	case n == 26:
-		return d.configure()
+		return g.configure()
 	case n == 27:
-		return Evacuate{Zone: pick(d, "zone", "zone-1", "zone-2"), Start: d.number("start", 0, 3) == 3}
+		return Evacuate{Zone: pick(g, "zone", "zone-1", "zone-2"), Start: g.number("start", 0, 3) == 3}
 	case n == 28:
-		return d.register()
+		return g.register()
 	case n == 29:
-		return Cancel{ID: pick(d, "id", "a", "b", "c"), At: d.at()}
+		return Cancel{ID: pick(g, "id", "a", "b", "c"), At: g.at()}
 	default:
-		return d.at()
+		return g.at()
 	}
 }
 
-func (d generator) submit() Submit {
-	steps := make([]Step, d.number("steps", 1, 2))
+func (g generator) submit() Submit {
+	steps := make([]Step, g.number("steps", 1, 2))
 	for i := range steps {
 		steps[i] = Step{
-			Count: d.number("count", 1, 3), Needs: Resources{MilliCPU: 500 * d.number("cores", 0, 2)},
-			MaxPerWorker: pick(d, "most", 0, 0, 1, 2), Label: pick(d, "label", "", "", "", "ssd", "fast"),
-			Gang: d.number("gang", 0, 2) == 2, LongRunning: d.number("lasting", 0, 5) == 5,
+			Count: g.number("count", 1, 3), Needs: Resources{MilliCPU: 500 * g.number("cores", 0, 2)},
+			MaxPerWorker: pick(g, "max per worker", 0, 0, 1, 2), Label: pick(g, "label", "", "", "", "ssd", "fast"),
+			Gang: g.number("gang", 0, 2) == 2, LongRunning: g.number("long-running", 0, 5) == 5,
 		}
-		if i > 0 && d.number("after", 0, 1) == 0 {
+		if i > 0 && g.number("after", 0, 1) == 0 {
 			steps[i].After = []int{0}
 		}
 	}
-	c := testJob(pick(d, "id", "a", "b", "c", "d"), steps...)
-	c.Spec.Queue = pick(d, "queue", "plain", "plain", "guarded", "plain", "guarded", "none")
-	c.Spec.Rounds = d.number("rounds", 0, 2)
-	return c
+	job := testJob(pick(g, "id", "a", "b", "c", "d"), steps...)
+	job.Spec.Queue = pick(g, "queue", "plain", "plain", "guarded", "plain", "guarded", "none")
+	job.Spec.Rounds = g.number("rounds", 0, 2)
+	return job
 }
 
-func (d generator) configure() Configure {
-	c := testConfig()
-	c.Base = d.table.Config.Version
-	c.Version = c.Base + uint64(d.number("step", 0, 2))
-	c.Digest = fmt.Sprint("order ", d.number("order", 0, 9))
-	c.Queues[0].MaxAttempts = d.number("attempts", 1, 3)
-	if d.number("remove", 0, 3) == 3 {
-		c.Queues = c.Queues[1:]
-		c.RemoveQueues = []string{"plain"}
+func (g generator) configure() Configure {
+	order := testConfig()
+	order.Base = g.table.Config.Version
+	order.Version = order.Base + uint64(g.number("version increment", 0, 2))
+	order.Digest = fmt.Sprint("order ", g.number("order", 0, 9))
+	order.Queues[0].MaxAttempts = g.number("attempts", 1, 3)
+	if g.number("remove", 0, 3) == 3 {
+		order.Queues = order.Queues[1:]
+		order.RemoveQueues = []string{"plain"}
 	}
-	return c
+	return order
 }
 
-func (d generator) register() Register {
-	id := d.worker()
+func (g generator) register() Register {
+	id := g.worker()
 	worker := testWorker(id, map[byte]string{'w': "open", 'g': "guard"}[id[0]])
-	worker.Draining, worker.Left = d.number("draining", 0, 9) == 9, d.number("left", 0, 9) == 9
-	if d.number("fast", 0, 1) == 0 {
+	worker.Draining, worker.Left = g.number("draining", 0, 9) == 9, g.number("left", 0, 9) == 9
+	if g.number("fast", 0, 1) == 0 {
 		worker.Labels = append(worker.Labels, "fast")
 	}
 	return Register{Workers: []Worker{worker}}
 }
 
-func (d generator) progress() Progress {
-	p := Progress{Term: testTerm, At: d.at()}
-	for range d.number("ends", 0, 3) {
-		keys := d.table.RunsOn(d.worker())
+func (g generator) progress() Progress {
+	p := Progress{Term: testTerm, At: g.at()}
+	for range g.number("ends", 0, 3) {
+		keys := g.table.RunsOn(g.worker())
 		if len(keys) == 0 {
 			continue
 		}
-		key := pick(d, "key", keys...)
-		_, task := d.table.findTask(key.Task)
-		end := End{Key: key, Worker: task.Handles[0].Worker, Reason: pick(d, "how", EndDone, EndDone, EndFailed, EndLost)}
-		end.Checkpoint = pick(d, "checkpoint", "", "", "half")
+		key := pick(g, "key", keys...)
+		_, task := g.table.findTask(key.Task)
+		reason := pick(g, "reason", EndDone, EndDone, EndFailed, EndLost)
+		end := End{Key: key, Worker: task.Handles[0].Worker, Reason: reason}
+		end.Checkpoint = pick(g, "checkpoint", "", "", "half")
 		p.Ends = append(p.Ends, end)
 	}
-	for range d.number("starts", 0, 3) {
-		p.Starts = append(p.Starts, d.starts()...)
+	for range g.number("starts", 0, 3) {
+		p.Starts = append(p.Starts, g.starts()...)
 	}
-	if d.number("forget", 0, 9) == 9 {
-		p.Forget = []string{d.worker()}
+	if g.number("forget", 0, 9) == 9 {
+		p.Forget = []string{g.worker()}
 	}
 	return p
 }
 
-// starts draws starts of a step: of one task, or of most or all members of a gang.
-func (d generator) starts() []Start {
-	job := d.table.Jobs[pick(d, "job", "a", "b", "c", "d")]
+// starts draws the starts of a step: one task of it, or most or all members of a gang.
+func (g generator) starts() []Start {
+	job := g.table.Jobs[pick(g, "job", "a", "b", "c", "d")]
 	if job == nil || job.Rounds == nil {
 		return nil
 	}
-	round := d.number("round", 0, len(job.Rounds)-1)
-	step := d.number("step", 0, len(job.Spec.Steps)-1)
+	round := g.number("round", 0, len(job.Rounds)-1)
+	step := g.number("step", 0, len(job.Spec.Steps)-1)
 	tasks := job.Rounds[round][step]
 	start := func(index, number int) Start {
-		worker := d.worker()
-		if job.Spec.Queue == "guarded" && d.number("other", 0, 9) < 9 {
+		worker := g.worker()
+		if job.Spec.Queue == "guarded" && g.number("any worker", 0, 9) < 9 {
 			worker = "g1"
 		}
 		return startOf(TaskRef{Job: job.Spec.ID, Round: round, Step: step, Index: index}, number, worker)
 	}
 	if !job.Spec.Steps[step].Gang {
-		index := d.number("index", 0, len(tasks)-1)
-		return []Start{start(index, tasks[index].LastRun+pick(d, "number", 1, 1, 2, 1, 0))}
+		index := g.number("index", 0, len(tasks)-1)
+		return []Start{start(index, tasks[index].LastRun+pick(g, "number", 1, 1, 2, 1, 0))}
 	}
 	var starts []Start
-	number := tasks[0].LastRun + pick(d, "number", 1, 1, 2, 1, 0)
+	number := tasks[0].LastRun + pick(g, "number", 1, 1, 2, 1, 0)
 	for index := range tasks {
-		if d.number("leave out", 0, 9) < 9 {
+		if g.number("leave out", 0, 9) < 9 {
 			starts = append(starts, start(index, number))
 		}
 	}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON that is sent to other processes, clients and operators, or stored.
+// TestGoldenWire pins the JSON of the types that are stored or sent to other processes, clients and operators.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("resources", Resources{}),
--- a/internal/jobs/helpers_test.go
+++ b/internal/jobs/helpers_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/errs"
 )
 
-// init makes the property tests draw the same cases in each run; -rapid.seed on the command line draws others.
+// init fixes the seed of the property tests, so that each run draws the same cases. -rapid.seed overrides it.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// testTable returns a table with testConfig, the workers w1 and w2 for the queue plain, and g1 for guarded.
+// testTable returns a table with testConfig, workers w1 and w2 for queue plain, and worker g1 for queue guarded.
 func testTable() *Table {
 	t := NewTable()
 	must(t.Configure(testConfig()))
@@ -114,13 +114,13 @@
 	if errs.Is(err, expected[0].(errs.Kind)) {
 		return ""
 	}
-	return fmt.Sprintf("want a fault %v, got %v", expected[0], err)
+	return fmt.Sprintf("want an error of kind %v, got %v", expected[0], err)
 }
 
 func shouldNameField(actual any, expected ...any) string {
 	err, _ := actual.(error)
 	if err == nil {
-		return "got no fault"
+		return "want an error with a field, got nil"
 	}
 	return ShouldEqual(errs.Of(err).Field, expected[0])
 }
--- a/internal/jobs/indexes.go
+++ b/internal/jobs/indexes.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// indexes are derived from the records, never stored, and owned by Table: Rebuild makes them, and the functions that
-// change a record keep them.
+// indexes are derived from the records of a Table and never stored. Rebuild builds them; every function that changes a
+// record updates them.
 type indexes struct {
 	partyByQueue map[string]*Party     // into Table.Parties
 	orders       map[string]struct{}   // Table.Orders as a set
-	queued       map[string]int        // jobs in Queued by queue; no zeros
-	occupancy    map[string]*occupancy // by worker ID; none for a worker without handles
-	retired      retiredJobs           // terminal jobs without a handle
+	queued       map[string]int        // number of Queued jobs by queue; no zeros
+	occupancy    map[string]*occupancy // by worker ID; only workers with handles
+	retired      retiredJobs           // terminal jobs without handles
 }
 
-// stepRef names a step of one round of a job.
+// stepRef identifies a step of one round of a job.
 type stepRef struct {
 	job         string
 	round, step int
@@ -20,21 +20,21 @@
 
 func (r TaskRef) stepRef() stepRef { return stepRef{job: r.Job, round: r.Round, step: r.Step} }
 
-// occupancy is the use of a worker by its handles.
+// occupancy is what the handles on a worker use of it.
 type occupancy struct {
 	used  Resources
 	runs  map[RunKey]struct{}
-	steps map[stepRef]int // handles by step of a round; no zeros
+	steps map[stepRef]int // number of handles by step of a round; no zeros
 }
 
 // jobIndex is derived from a job's tasks, so that no change has to scan all of them. It is zero for a retired job.
 type jobIndex struct {
-	remaining [][]int // tasks that are not done, by round and step
+	remaining [][]int // number of tasks that are not done, by round and step
 	undone    int     // the sum of remaining
-	handles   int     // of all tasks
+	handles   int     // number of handles of all tasks
 }
 
-// Rebuild derives the indexes from the exported fields, and fills maps that are nil. UnmarshalJSON calls it.
+// Rebuild derives the indexes from the exported fields, and initializes nil maps. UnmarshalJSON calls it.
 func (t *Table) Rebuild() {
 	if t.Jobs == nil {
 		t.Jobs = map[string]*Job{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// indexJob derives a job's index and enters the job and its handles into the table's.
+// indexJob derives a job's index, and adds the job and its handles to the indexes of the table.
 func (t *Table) indexJob(job *Job) {
 	job.index = jobIndex{remaining: make([][]int, len(job.Rounds))}
 	for round, steps := range job.Rounds {
@@ -89,15 +89,15 @@
 		job.index.remaining[ref.Round][ref.Step]++
 		job.index.undone++
 	}
-	for _, run := range task.Handles {
+	for _, handle := range task.Handles {
 		job.index.handles++
-		t.indexes.occupy(run.Worker, RunKey{Task: ref, Number: run.Number}, job.Spec.Steps[ref.Step].Needs)
+		t.indexes.occupy(handle.Worker, RunKey{Task: ref, Number: handle.Number}, job.Spec.Steps[ref.Step].Needs)
 	}
 }
 
-// countQueued adds by, 1 or -1, to the count of queued jobs of a queue.
-func (x *indexes) countQueued(queue string, by int) {
-	if x.queued[queue] += by; x.queued[queue] == 0 {
+// countQueued adds delta, 1 or -1, to the number of queued jobs of a queue.
+func (x *indexes) countQueued(queue string, delta int) {
+	if x.queued[queue] += delta; x.queued[queue] == 0 {
 		delete(x.queued, queue)
 	}
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// retiredJobs is a heap of jobs by end, then by acceptance.
+// retiredJobs is a heap of jobs ordered by EndedAt, then by Sequence.
 type retiredJobs []*Job
 
 // Len implements heap.Interface.
@@ -138,7 +138,7 @@
 // Swap implements heap.Interface.
 func (r retiredJobs) Swap(i, k int) { r[i], r[k] = r[k], r[i] }
 
-// Less orders jobs by their end, then by their acceptance; it implements heap.Interface.
+// Less orders jobs by EndedAt, then by Sequence; it implements heap.Interface.
 func (r retiredJobs) Less(i, k int) bool {
 	if r[i].EndedAt.Equal(r[k].EndedAt) {
 		return r[i].Sequence < r[k].Sequence
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// This file declares the records of the table, changes.go its changes. Neither has anything that decides: package
-// platform may use the types of these two files, and nothing else of this package, as its test of boundaries checks.
+// This file declares the records of the table, changes.go its changes. Neither file contains logic: package platform
+// may use only the types of these two files, which its boundary test checks.
 
 // Resources are the needs of a task, or the capacity of a worker.
 type Resources struct {
@@ -21,7 +21,7 @@
 	Queue    string        `json:"q"`
 	Payload  string        `json:"p,omitempty"` // sent to the worker with each start
 	Steps    []Step        `json:"s"`
-	Rounds   int           `json:"k,omitempty"` // 0: once, at once; else the number of times the steps are run
+	Rounds   int           `json:"k,omitempty"` // how often the steps are run; 0: once, immediately
 	FirstRun time.Time     `json:"f,omitzero"`  // when round 0 is due
 	Interval time.Duration `json:"i,omitempty"` // round k is due at FirstRun + k*Interval
 }
@@ -30,15 +30,15 @@
 type Step struct {
 	Count         int           `json:"n"`
 	Needs         Resources     `json:"r"`            // of each task
-	Estimate      time.Duration `json:"e,omitempty"`  // rough guess of how long a task takes
-	After         []int         `json:"a,omitempty"`  // earlier steps, counted from 0, that must be done first
-	Label         string        `json:"l,omitempty"`  // the worker must have it
-	PreferredRack string        `json:"d,omitempty"`  // the rack with the data; elsewhere tasks take longer
-	MaxPerWorker  int           `json:"x,omitempty"`  // most tasks of the step (of one round) on a worker; 0: no bound
-	Checkpoints   bool          `json:"k,omitempty"`  // tasks save their progress
-	Gang          bool          `json:"gg,omitempty"` // all tasks of a run start together and end together
-	SameRack      bool          `json:"sr,omitempty"` // a gang is faster in one rack
-	Speculative   bool          `json:"sp,omitempty"` // copies may run side by side
+	Estimate      time.Duration `json:"e,omitempty"`  // rough estimate of a task's run time
+	After         []int         `json:"a,omitempty"`  // indexes of earlier steps that must be done first
+	Label         string        `json:"l,omitempty"`  // required of the worker
+	PreferredRack string        `json:"d,omitempty"`  // the rack with the data; tasks take longer in other racks
+	MaxPerWorker  int           `json:"x,omitempty"`  // limit of the step's tasks (of one round) on a worker; 0: none
+	Checkpoints   bool          `json:"k,omitempty"`  // tasks save checkpoints
+	Gang          bool          `json:"gg,omitempty"` // all tasks of the step start together and end together
+	SameRack      bool          `json:"sr,omitempty"` // the gang is faster in one rack
+	Speculative   bool          `json:"sp,omitempty"` // copies of a task may run concurrently
 	LongRunning   bool          `json:"ls,omitempty"` // tasks run until the job is cancelled
 }
 
@@ -47,17 +47,17 @@
 
 // The states of a job. The last three are terminal. The strings are stored.
 const (
-	Queued    JobState = "queued"  // none of its tasks was started yet
-	Running   JobState = "running" // from the first start on
-	Succeeded JobState = "succeeded"
-	Failed    JobState = "failed"    // a task failed as often as the queue allows
+	Queued    JobState = "queued"    // no task has been started
+	Running   JobState = "running"   // at least one task has been started
+	Succeeded JobState = "succeeded" // all tasks are done
+	Failed    JobState = "failed"    // a task has failed Queue.MaxAttempts times
 	Cancelled JobState = "cancelled" // by its client
 )
 
-// IsTerminal reports whether a job stays in the state.
+// IsTerminal reports whether a job in this state never leaves it.
 func (s JobState) IsTerminal() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// TaskRef names a task.
+// TaskRef identifies a task.
 type TaskRef struct {
 	Job   string `json:"j"`
 	Round int    `json:"k,omitempty"`
@@ -65,40 +65,40 @@
 	Index int    `json:"i,omitempty"`
 }
 
-// RunKey names one run of a task.
+// RunKey identifies one run of a task.
 type RunKey struct {
 	Task   TaskRef `json:"t"`
 	Number int     `json:"n"`
 }
 
-// Handle is the durable handle of a run: recorded before its start order is sent, and kept until its end is reported
-// or it is proved dead. Until then its task is not started again.
+// Handle is the durable record of a run that may be active. It is recorded before the run's start order is sent, and
+// kept until the run's end is reported or the run is known to be dead. Until then the task is not started again.
 type Handle struct {
 	Number int    `json:"n"`
 	Worker string `json:"w"` // worker ID
-	Term   uint64 `json:"t"` // leadership term in which it was recorded: the fencing token of its start order
+	Term   uint64 `json:"t"` // leader's term when it was recorded; the fencing token of the start order
 }
 
 // Task is one task of a round.
 type Task struct {
 	Done       bool     `json:"d,omitempty"`
-	LastRun    int      `json:"r,omitempty"`  // newest run number issued; numbers ascend and are never reused
-	Failures   int      `json:"f,omitempty"`  // runs that ended failed; of a gang: counted at its first member
-	FailedRun  int      `json:"fr,omitempty"` // of a gang's first member: the newest run number that counted as failed
-	Checkpoint string   `json:"k,omitempty"`  // newest saved progress
-	Handles    []Handle `json:"h,omitempty"`  // handles; at most one
+	LastRun    int      `json:"r,omitempty"`  // number of the newest run; numbers ascend and are never reused
+	Failures   int      `json:"f,omitempty"`  // number of failed runs; those of a gang are counted in its first member
+	FailedRun  int      `json:"fr,omitempty"` // in a gang's first member: the newest run that was counted as failed
+	Checkpoint string   `json:"k,omitempty"`  // newest checkpoint
+	Handles    []Handle `json:"h,omitempty"`  // at most one
 }
 
 // Job is the record of a job.
 type Job struct {
-	Spec       Spec      `json:"spec"`   // without payload and steps once Rounds is nil
-	Digest     string    `json:"digest"` // of the submission: tells a repeated one from another job
+	Spec       Spec      `json:"spec"`   // without Payload and Steps once Rounds is nil
+	Digest     string    `json:"digest"` // of the submission; distinguishes a repetition from another job with this ID
 	State      JobState  `json:"state"`
-	Sequence   uint64    `json:"seq"` // order of acceptance
+	Sequence   uint64    `json:"seq"` // position in the order of acceptance, from 1 on
 	AcceptedAt time.Time `json:"at"`
 	EndedAt    time.Time `json:"ended,omitzero"`
 
-	// Rounds holds the tasks by round, step, index; nil once the job is terminal and has no handle.
+	// Rounds holds the tasks by round, step and index. It is nil once the job is retired: terminal and without handles.
 	Rounds [][][]Task `json:"rounds,omitempty"`
 
 	index jobIndex
@@ -114,8 +114,8 @@
 	Rack     string    `json:"rack,omitempty"`
 	Labels   []string  `json:"labels,omitempty"`
 	Capacity Resources `json:"cap"`
-	Draining bool      `json:"draining,omitempty"` // never withdrawn
-	Left     bool      `json:"left,omitempty"`     // it reported that it ends; never withdrawn
+	Draining bool      `json:"draining,omitempty"` // once true it stays true
+	Left     bool      `json:"left,omitempty"`     // the worker reported its shutdown; once true it stays true
 }
 
 // Config is the operators' configuration in force.
@@ -129,14 +129,14 @@
 // Queue is one queue of the configuration.
 type Queue struct {
 	Name        string `json:"name"`
-	Host        string `json:"host"`               // with Prefix: where clients find it
-	Prefix      string `json:"prefix"`             // of the path of a call
-	Service     string `json:"service"`            // whose workers serve it
-	Priority    int    `json:"priority,omitempty"` // 0 goes first
-	MaxAttempts int    `json:"attempts"`           // of a task, after which its job has failed
+	Host        string `json:"host"`               // clients address the queue by Host and Prefix
+	Prefix      string `json:"prefix"`             // of the request path
+	Service     string `json:"service"`            // the workers of this service run the queue's tasks
+	Priority    int    `json:"priority,omitempty"` // 0 is the highest
+	MaxAttempts int    `json:"attempts"`           // a job fails when a task has failed this many times
 
 	// Stretch and Target are the latency objective of a job's round: Stretch times the estimate of its critical path,
-	// plus Target. A long-running task has Target alone, to its start.
+	// plus Target. The objective of a long-running task is to start within Target.
 	Stretch float64       `json:"stretch"`
 	Target  time.Duration `json:"target"`
 
@@ -147,6 +147,6 @@
 // Service is one service of the configuration: a kind of worker.
 type Service struct {
 	Name           string          `json:"name"`
-	ChecksCapacity bool            `json:"guards,omitempty"` // its workers refuse what does not fit, the table does not
+	ChecksCapacity bool            `json:"guards,omitempty"` // its workers check capacity, the table does not
 	Document       json.RawMessage `json:"doc"`              // the item as the operator sent it
 }
--- a/internal/jobs/lifecycle.go
+++ b/internal/jobs/lifecycle.go
@@ -7,7 +7,8 @@
 	"crosstide/internal/errs"
 )
 
-// Cancel ends a job that is not terminal. Its handles stay until their runs' ends. Failure: Unknown.
+// Cancel cancels a job that is not terminal, and returns the job's state. Its handles stay until their runs have ended.
+// Failure: Unknown.
 func (t *Table) Cancel(c Cancel) (JobState, error) {
 	job := t.Jobs[c.ID]
 	if job == nil {
@@ -20,7 +21,7 @@
 	return job.State, nil
 }
 
-// Purge deletes the jobs that ended before a time and have no handle.
+// Purge deletes the terminal jobs that ended before a time and have no handles.
 func (t *Table) Purge(before time.Time) {
 	retired := &t.indexes.retired
 	for len(*retired) > 0 && (*retired)[0].EndedAt.Before(before) {
@@ -30,22 +31,22 @@
 	}
 }
 
-// succeedIfDone ends a job whose tasks are all done.
+// succeedIfDone sets a job to Succeeded if all its tasks are done.
 func (t *Table) succeedIfDone(job *Job, at time.Time) {
 	if job.index.undone == 0 && !job.State.IsTerminal() {
 		t.finish(job, Succeeded, at)
 	}
 }
 
-// finish puts a job that is not terminal into a terminal state.
+// finish moves a job to a terminal state. The job must not be terminal yet.
 func (t *Table) finish(job *Job, to JobState, at time.Time) {
 	t.setState(job, to)
 	job.EndedAt = at
 	t.retire(job)
 }
 
-// retire drops the parts of a job that are not needed when it is terminal and has no handle. Its outcome stays until
-// Purge, to answer a repeated submission.
+// retire drops the tasks, payload and steps of a job if it is terminal and has no handles. The rest of the record stays
+// until Purge, to answer repeated submissions.
 func (t *Table) retire(job *Job) {
 	if !job.State.IsTerminal() || job.index.handles > 0 {
 		return
@@ -56,7 +57,7 @@
 	heap.Push(&t.indexes.retired, job)
 }
 
-// setState changes a job's state; nothing else may.
+// setState changes a job's state. All changes must go through it, so that the count of queued jobs stays correct.
 func (t *Table) setState(job *Job, to JobState) {
 	if job.State == Queued {
 		t.indexes.countQueued(job.Spec.Queue, -1)
--- a/internal/jobs/lifecycle_test.go
+++ b/internal/jobs/lifecycle_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestCancel_handles(t *testing.T) {
-	Convey("A cancelled job starts nothing and keeps its handles until their ends", t, func() {
+	Convey("A cancelled job starts no task and keeps each handle until the end of its run", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", oneCore(2)))
 		first := startOf(taskOf("j", 0, 0), 1, "w1")
@@ -45,7 +45,7 @@
 }
 
 func TestCancel_lastAttempt(t *testing.T) {
-	Convey("A cancelled job does not become failed at the last attempt of a task that still ran", t, func() {
+	Convey("A cancelled job stays cancelled when a task that was still running fails for the last time", t, func() {
 		table := testTable()
 		job := table.mustSubmit(testJob("j", oneCore(1)))
 		first, second := startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 0), 2, "w1")
@@ -61,7 +61,7 @@
 }
 
 func TestCancel_terminalOrQueued(t *testing.T) {
-	Convey("Cancelling leaves a job that succeeded as it is, and a queued one is no longer counted", t, func() {
+	Convey("Cancelling a succeeded job has no effect; cancelling a queued job removes it from QueuedCount", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		table.mustSubmit(testJob("k", oneCore(1)))
@@ -79,7 +79,7 @@
 }
 
 func TestPurge_order(t *testing.T) {
-	Convey("Jobs that ended before a time are deleted, the oldest end first, in whatever order they ended", t, func() {
+	Convey("Jobs that ended before a time are deleted by end time, in whatever order they were cancelled", t, func() {
 		exhaustive.Permutations(4, func(order []int) {
 			table := testTable()
 			for i := range 4 {
@@ -90,11 +90,11 @@
 				must(err)
 			}
 			for _, each := range []*Table{table.decodedCopy(), table} {
-				var dropped string
-				each.OnEvent = func(event Event) { dropped += event.Name }
+				var deleted string
+				each.OnEvent = func(event Event) { deleted += event.Name }
 				each.Purge(noon.Add(3 * time.Second))
-				if dropped != "012" || len(each.Jobs) != 1 {
-					panic(fmt.Sprint(order, dropped))
+				if deleted != "012" || len(each.Jobs) != 1 {
+					panic(fmt.Sprint(order, deleted))
 				}
 			}
 		})
@@ -102,7 +102,7 @@
 }
 
 func TestPurge_lastHandle(t *testing.T) {
-	Convey("A job whose last handle was released after its end is deleted once", t, func() {
+	Convey("A terminal job is deleted once after its last handle was released", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
@@ -112,7 +112,7 @@
 		table.OnEvent = func(event Event) { events = append(events, event) }
 		table.Purge(noon.Add(time.Hour))
 		So(events, ShouldResemble, []Event{{JobChanged, "j"}})
-		Convey("and its ID may be used again", func() {
+		Convey("and its ID can be reused", func() {
 			So(table.mustSubmit(testJob("j", oneCore(1))).Sequence, ShouldEqual, 2)
 			table.Purge(noon.Add(time.Hour))
 			So(table.Jobs["j"], ShouldNotBeNil)
--- a/internal/jobs/model_test.go
+++ b/internal/jobs/model_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// expectedStarts is a simple model of recordStarts: on a copy of the table it records the ends, then places the
-// starts and gangs one after another, with a scan of all tasks for each. It returns which starts are recorded.
+// expectedStarts is a simple model of recordStarts. On a copy of the table it records the ends, then places the starts
+// and gangs one after another, scanning all tasks for each. It returns which starts must be recorded.
 func expectedStarts(t *Table, p Progress) []bool {
 	if len(p.Starts) == 0 {
 		return nil
@@ -38,8 +38,8 @@
 	return recorded
 }
 
-// expectedGroup returns the positions of the starts that are recorded together with start i; nil if there is no such
-// task.
+// expectedGroup returns the positions of the starts that must be recorded together with start i, including i. It
+// returns nil if the task does not exist.
 func expectedGroup(t *Table, starts []Start, i int) []int {
 	job := t.Jobs[starts[i].Task.Job]
 	if job == nil || job.Rounds == nil {
@@ -81,17 +81,17 @@
 			}
 		}
 	}
-	used, ofStep := step.Needs, 1
-	eachHandle(t, func(ref TaskRef, run Handle, needs Resources) {
-		if run.Worker != start.Worker {
+	used, runsOfStep := step.Needs, 1
+	eachHandle(t, func(ref TaskRef, handle Handle, needs Resources) {
+		if handle.Worker != start.Worker {
 			return
 		}
 		used = used.plus(needs, 1)
 		if ref.stepRef() == start.Task.stepRef() {
-			ofStep++
+			runsOfStep++
 		}
 	})
-	if step.MaxPerWorker > 0 && ofStep > step.MaxPerWorker {
+	if step.MaxPerWorker > 0 && runsOfStep > step.MaxPerWorker {
 		return false
 	}
 	if !t.Config.Service(worker.Service).ChecksCapacity && !used.fitsIn(worker.Capacity) {
@@ -101,14 +101,14 @@
 	return true
 }
 
-// eachHandle calls do with every handle of the table and the needs of its task.
-func eachHandle(t *Table, do func(TaskRef, Handle, Resources)) {
+// eachHandle calls visit with every handle of the table, its task and the needs of the task.
+func eachHandle(t *Table, visit func(TaskRef, Handle, Resources)) {
 	for id, job := range t.Jobs {
 		for round, steps := range job.Rounds {
 			for step, tasks := range steps {
 				for index, task := range tasks {
-					for _, run := range task.Handles {
-						do(TaskRef{id, round, step, index}, run, job.Spec.Steps[step].Needs)
+					for _, handle := range task.Handles {
+						visit(TaskRef{id, round, step, index}, handle, job.Spec.Steps[step].Needs)
 					}
 				}
 			}
--- a/internal/jobs/payment_test.go
+++ b/internal/jobs/payment_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/errs"
 )
 
-// testAccounts implements Payments at a time that the test sets.
+// testAccounts implements Payments. Its methods use a time that the test sets.
 type testAccounts struct {
 	*account.Table
 	at time.Time
@@ -20,15 +20,15 @@
 func (a *testAccounts) Reserve(c account.Charge) error { return a.Table.Reserve(c, a.at) }
 func (a *testAccounts) Debit(run string)               { a.Table.Debit(run, a.at) }
 
-// sums checks the accounts, and returns the balance, the reserved and the spent units of acme.
+// sums checks the accounts, and returns Balance, Reserved and Spent of acme.
 func (a *testAccounts) sums() [3]int64 {
 	must(a.Check())
 	acme := a.Accounts["acme"]
 	return [3]int64{acme.Balance, acme.Reserved, acme.Spent}
 }
 
-// paidTable returns a testTable in which acme, with units on its account, pays for the queue plain: 10 units a second
-// for each core, so that a start of one core reserves 100.
+// paidTable returns a testTable in which acme pays for the queue plain, and accounts in which acme has a balance of
+// units. A core costs 10 units a second, so that a start of one core reserves 100 units.
 func paidTable(units int64) (*Table, *testAccounts) {
 	t := testTable()
 	must(t.SetParties(SetParties{Parties: []Party{
@@ -45,7 +45,7 @@
 }
 
 func TestPayment_ofRuns(t *testing.T) {
-	Convey("A start reserves if the balance covers it; ends are debited and losses refunded", t, func() {
+	Convey("A start reserves if the balance covers it; ended runs are debited and lost runs refunded", t, func() {
 		table, a := paidTable(250)
 		table.mustSubmit(testJob("j", oneCore(4)))
 		first, second := startOf(taskOf("j", 0, 0), 1, "w1"), startOf(taskOf("j", 0, 1), 1, "w1")
@@ -55,14 +55,14 @@
 		a.at = noon.Add(1500 * time.Millisecond)
 		table.end(endOf(first, EndDone), endOf(second, EndLost))
 		So(a.sums(), ShouldEqual, [3]int64{235, 0, 15})
-		table.end(endOf(first, EndDone)) // reported again
+		table.end(endOf(first, EndDone)) // a repeated report
 		So(a.sums(), ShouldEqual, [3]int64{235, 0, 15})
 		So(table.start(third), ShouldResemble, []bool{true})
 	})
 }
 
 func TestPayment_ofGangs(t *testing.T) {
-	Convey("A gang is paid for together or not at all", t, func() {
+	Convey("A gang starts only if the balance covers all members together", t, func() {
 		table, a := paidTable(199)
 		gang := oneCore(2)
 		gang.Gang = true
@@ -77,25 +77,25 @@
 }
 
 func TestPayment_ofLongRunningTasks(t *testing.T) {
-	Convey("A long-running task that ran before restarts on an exhausted balance; one that never ran waits", t, func() {
+	Convey("With an exhausted balance a long-running task can restart, but not start for the first time", t, func() {
 		table, a := paidTable(100)
-		feed := oneCore(1)
-		feed.LongRunning = true
-		table.mustSubmit(testJob("j", feed))
-		table.mustSubmit(testJob("k", feed))
+		step := oneCore(1)
+		step.LongRunning = true
+		table.mustSubmit(testJob("j", step))
+		table.mustSubmit(testJob("k", step))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		So(table.start(start, startOf(taskOf("k", 0, 0), 1, "w2")), ShouldResemble, []bool{true, false})
 		table.end(endOf(start, EndLeaseExpired))
-		other := startOf(taskOf("j", 0, 0), 2, "w2")
+		restart := startOf(taskOf("j", 0, 0), 2, "w2")
 		table.mustSubmit(testJob("l", oneCore(1)))
 		So(table.start(startOf(taskOf("l", 0, 0), 1, "w1")), ShouldResemble, []bool{true})
-		So(table.start(other), ShouldResemble, []bool{true})
+		So(table.start(restart), ShouldResemble, []bool{true})
 		So(a.sums(), ShouldEqual, [3]int64{-100, 200, 0})
 	})
 }
 
 func TestPayment_ofLongRunningGangs(t *testing.T) {
-	Convey("The first run of a gang's member is paid for with another's restart", t, func() {
+	Convey("For a long-running gang the balance must cover only the members that have not run before", t, func() {
 		table, a := paidTable(100)
 		gang := oneCore(2)
 		gang.Gang, gang.LongRunning = true, true
@@ -108,7 +108,7 @@
 }
 
 func TestPayment_withoutParty(t *testing.T) {
-	Convey("Queues without a party, and tables without parties, need no account", t, func() {
+	Convey("Runs of queues without a party, and of tables without parties, are free", t, func() {
 		table, a := paidTable(0)
 		guarded := testJob("g", oneCore(1))
 		guarded.Spec.Queue = "guarded"
@@ -123,7 +123,7 @@
 }
 
 func TestPayment_withoutAccount(t *testing.T) {
-	Convey("Without any account a party's queue waits", t, func() {
+	Convey("Without accounts no task of a party's queue starts", t, func() {
 		table, _ := paidTable(0)
 		table.Payments = nil
 		table.mustSubmit(testJob("j", oneCore(1)))
@@ -132,7 +132,7 @@
 }
 
 func TestSetParties(t *testing.T) {
-	Convey("Parties are decoded with the table, and invalid ones are refused", t, func() {
+	Convey("Parties are decoded with the table, and invalid parties are refused", t, func() {
 		table, _ := paidTable(0)
 		decoded := table.decodedCopy()
 		job := table.mustSubmit(testJob("j", oneCore(1)))
@@ -151,13 +151,13 @@
 	})
 }
 
-// paidHistory draws starts and ends of the tasks of a table that acme pays for.
+// paidHistory applies random starts and ends to tasks of a paidTable.
 type paidHistory struct {
 	*rapid.T
 	table    *Table
 	accounts *testAccounts
-	running  map[TaskRef]Start // with a handle
-	lastRun  map[TaskRef]int   // newest number of a start
+	running  map[TaskRef]Start // starts whose runs have a handle
+	lastRun  map[TaskRef]int   // number of the newest start
 }
 
 // event starts a task, or ends its run if it has one.
@@ -169,7 +169,7 @@
 	if start, ok := h.running[ref]; ok {
 		reason := rapid.SampledFrom([]EndReason{
 			EndDone, EndFailed, EndStopped, EndLeaseExpired, EndLost, EndGangBroken, EndGangTimeout,
-		}).Draw(h.T, "how")
+		}).Draw(h.T, "reason")
 		h.table.end(endOf(start, reason))
 		delete(h.running, ref)
 		return
@@ -182,11 +182,11 @@
 	}
 	h.running[ref] = start
 	if balance < 100 {
-		h.Fatalf("a start at a balance of %d", balance)
+		h.Fatalf("a start was recorded at a balance of %d", balance)
 	}
 }
 
-// checkReservations checks that there is one reservation for each handle, and no other.
+// checkReservations checks that each handle has a reservation, and that no other reservations exist.
 func (h *paidHistory) checkReservations() {
 	must(h.accounts.Check())
 	if len(h.accounts.Reservations) != len(h.running) {
@@ -199,10 +199,10 @@
 	}
 }
 
-// TestPayment_randomHistories draws starts and ends: reservations and handles stay one to one, and no start is recorded
-// that the balance does not cover.
+// TestPayment_randomHistories checks after random starts and ends that reservations correspond one to one to handles,
+// and that no start was recorded that the balance did not cover.
 func TestPayment_randomHistories(t *testing.T) {
-	Convey("There is a reservation for each handle", t, func() {
+	Convey("Each handle has a reservation", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			table, accounts := paidTable(rapid.Int64Range(0, 600).Draw(t, "units"))
 			h := &paidHistory{
--- a/internal/jobs/progress.go
+++ b/internal/jobs/progress.go
@@ -2,8 +2,8 @@
 
 import "crosstide/internal/errs"
 
-// Progress records ends, then starts, then deletes workers. entryTerm is the term of the log entry that carries it.
-// Failure: Stale (the leader of another term wrote it); nothing is changed.
+// Progress records ends, then starts, then deletes workers. entryTerm is the term of the log entry that contains p.
+// Failure: Stale (the leader of another term wrote p, or a newer term has made progress); the table is unchanged.
 func (t *Table) Progress(entryTerm uint64, p Progress) (Started, error) {
 	if p.Term != entryTerm || p.Term < t.Term {
 		return Started{}, errs.New(errs.Stale, "progress of term %d in an entry of term %d, after one of term %d",
@@ -29,7 +29,7 @@
 	return Started{Recorded: recorded}, nil
 }
 
-// changedJobs lists jobs once each, in the order of their first change.
+// changedJobs is a set of job IDs in the order of insertion.
 type changedJobs struct {
 	ids  []string
 	seen map[string]bool
--- a/internal/jobs/progress_end.go
+++ b/internal/jobs/progress_end.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// recordEnd removes the handle of a run that ended, and updates its task and job; false if there is no such handle.
+// recordEnd removes the handle of a run that ended, and updates its task and job. It returns false if the run has no
+// handle.
 func (t *Table) recordEnd(end End, at time.Time) bool {
 	ref := end.Key.Task
 	job, task := t.findTask(ref)
@@ -27,10 +28,11 @@
 	return true
 }
 
-// releaseHandle removes the handle that an end names; false if there is none.
+// releaseHandle removes the handle of the run that ended and closes its reservation. It returns false if the run has no
+// handle.
 func (t *Table) releaseHandle(job *Job, task *Task, end End) bool {
-	for i, run := range task.Handles {
-		if run.Number != end.Key.Number || run.Worker != end.Worker {
+	for i, handle := range task.Handles {
+		if handle.Number != end.Key.Number || handle.Worker != end.Worker {
 			continue
 		}
 		if task.Handles = append(task.Handles[:i:i], task.Handles[i+1:]...); len(task.Handles) == 0 {
@@ -38,14 +40,13 @@
 		}
 		job.index.handles--
 		t.closeReservation(end.Key, end.Reason)
-		t.indexes.vacate(run.Worker, end.Key, job.Spec.Steps[end.Key.Task.Step].Needs)
+		t.indexes.vacate(handle.Worker, end.Key, job.Spec.Steps[end.Key.Task.Step].Needs)
 		return true
 	}
 	return false
 }
 
-// markDone makes a task done, with the other members of its gang. The tasks of a long-running step are due again
-// instead.
+// markDone marks a task and the other members of its gang as done. A long-running task is never done: it is due again.
 func (t *Table) markDone(job *Job, ref TaskRef, members []Task, at time.Time) {
 	if job.Spec.Steps[ref.Step].LongRunning {
 		return
@@ -60,8 +61,8 @@
 	t.succeedIfDone(job, at)
 }
 
-// countFailure counts a failure of a task at counter, the task itself or the first member of its gang, and fails the
-// job after the most attempts of its queue. A gang's run counts once, however many of its members report a failure.
+// countFailure counts a failed run in counter, the task itself or the first member of its gang, and fails the job when
+// the queue's MaxAttempts is reached. A run of a gang counts once, even if several members report a failure.
 func (t *Table) countFailure(job *Job, task, counter *Task, key RunKey, at time.Time) {
 	step := &job.Spec.Steps[key.Task.Step]
 	if task.Done || job.State.IsTerminal() || step.LongRunning {
--- a/internal/jobs/progress_end_test.go
+++ b/internal/jobs/progress_end_test.go
@@ -16,7 +16,7 @@
 		So(table.start(start), ShouldResemble, []bool{true})
 		So(job.State, ShouldEqual, Running)
 		task := &job.Rounds[0][0][0]
-		Convey("only an end of its own handle counts", func() {
+		Convey("an end without a matching handle changes nothing", func() {
 			before := table.bytes()
 			other := startOf(taskOf("j", 0, 0), 1, "w2")
 			for _, unknown := range []Start{
@@ -27,7 +27,7 @@
 				So(table.bytes(), ShouldEqual, before)
 			}
 		})
-		Convey("done is final, and the job succeeds with its last task at the time of the change", func() {
+		Convey("done is final, and the job succeeds when its last task is done, at the time of that change", func() {
 			table.end(endOf(start, EndDone), endOf(start, EndFailed))
 			So(*task, ShouldResemble, Task{Done: true, LastRun: 1})
 			So(table.start(startOf(start.Task, 2, "w1")), ShouldResemble, []bool{false})
@@ -40,7 +40,7 @@
 			So(job.Rounds, ShouldBeNil)
 			So(table.RunsOn("w1"), ShouldBeEmpty)
 		})
-		Convey("any other end makes it due again from its newest checkpoint, without a failure", func() {
+		Convey("after any end but done or failed it is due again from its newest checkpoint, without a failure", func() {
 			for number, reason := range []EndReason{
 				EndStopped, EndLeaseExpired, EndGangBroken, EndGangTimeout, EndLost,
 			} {
@@ -58,14 +58,14 @@
 			}
 			So(job.State, ShouldEqual, Running)
 		})
-		Convey("failed ends count up to the attempts of the queue in force", func() {
+		Convey("its failed runs are counted", func() {
 			table.end(endOf(start, EndFailed))
 			So(task.Failures, ShouldEqual, 1)
-			again := startOf(start.Task, 2, "w2")
+			restart := startOf(start.Task, 2, "w2")
 			other := startOf(taskOf("j", 0, 1), 1, "w1")
-			table.start(again, other)
-			Convey("then the job has failed; its other handles stay", func() {
-				table.end(endOf(again, EndFailed))
+			table.start(restart, other)
+			Convey("at the queue's MaxAttempts the job fails; its other handles stay", func() {
+				table.end(endOf(restart, EndFailed))
 				So(job.State, ShouldEqual, Failed)
 				So(job.Rounds, ShouldNotBeNil)
 				So(table.RunsOn("w1"), ShouldHaveLength, 1)
@@ -73,9 +73,9 @@
 				So(job.State, ShouldEqual, Failed)
 				So(job.Rounds, ShouldBeNil)
 			})
-			Convey("a job whose queue is gone fails at its next start when the queue is back", func() {
+			Convey("if its queue is removed, the job fails at the next start after the queue is restored", func() {
 				must(table.Configure(Configure{Base: 5, Version: 6, RemoveQueues: []string{"plain"}}))
-				table.end(endOf(again, EndFailed))
+				table.end(endOf(restart, EndFailed))
 				So(task.Failures, ShouldEqual, 2)
 				So(job.State, ShouldEqual, Running)
 				third := startOf(start.Task, 3, "w1")
@@ -91,7 +91,7 @@
 }
 
 func TestEnds_longRunning(t *testing.T) {
-	Convey("A long-running task is due again however it ends", t, func() {
+	Convey("A long-running task is due again after any end", t, func() {
 		table := testTable()
 		step := oneCore(1)
 		step.LongRunning = true
--- a/internal/jobs/progress_start.go
+++ b/internal/jobs/progress_start.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// gangRun names one run of a gang.
+// gangRun identifies one run of a gang.
 type gangRun struct {
 	step   stepRef
 	number int
 }
 
-// recordStarts records the starts whose preconditions hold, those of a gang together or not at all, and reports which
-// it recorded. It fails jobs that have no attempts left.
+// recordStarts records the starts whose preconditions hold, and returns for each start whether it was recorded. The
+// starts of a gang are recorded together or not at all. It fails jobs that have no attempts left.
 func (t *Table) recordStarts(term uint64, at time.Time, starts []Start) []bool {
 	if len(starts) == 0 {
 		return nil
@@ -38,8 +38,9 @@
 	return recorded
 }
 
-// failIfOutOfAttempts fails a job if a task, or a gang, has failed as often as its queue allows. recordEnd does that
-// too, except while no configuration has the queue, or when a later one allows fewer attempts.
+// failIfOutOfAttempts fails a job if a task or gang has failed as often as its queue allows, and reports whether it did
+// so. recordEnd normally does this, but it cannot if the configuration lacks the queue when the run ends, or if a later
+// configuration allows fewer attempts.
 func (t *Table) failIfOutOfAttempts(job *Job, ref TaskRef, at time.Time) bool {
 	queue := t.Config.Queue(job.Spec.Queue)
 	failures := job.members(ref)[0].Failures
@@ -51,7 +52,7 @@
 	return true
 }
 
-// gangRuns returns the positions of the starts of each run of a gang.
+// gangRuns returns the positions in starts of the members of each run of a gang.
 func (t *Table) gangRuns(starts []Start) map[gangRun][]int {
 	var gangs map[gangRun][]int
 	for i, start := range starts {
@@ -68,16 +69,16 @@
 	return gangs
 }
 
-// mayStart reports whether all starts of a group, one task or one run of a gang, may be recorded together. group holds
-// their positions.
+// mayStart reports whether all starts of a group may be recorded together. A group is a single task or a run of a gang;
+// group holds the positions of its starts.
 func (t *Table) mayStart(job *Job, starts []Start, group []int) bool {
 	first := starts[group[0]].Task
-	isWhole := len(group) == len(job.members(first))
-	if job.State.IsTerminal() || !isWhole || !t.IsStepReady(job, first.Round, first.Step) {
+	isComplete := len(group) == len(job.members(first))
+	if job.State.IsTerminal() || !isComplete || !t.IsStepReady(job, first.Round, first.Step) {
 		return false
 	}
 	members := map[int]bool{}
-	placed := map[string]int{} // members of the group by worker
+	placed := map[string]int{} // number of members placed on each worker
 	for _, i := range group {
 		start := starts[i]
 		task := &job.Rounds[first.Round][first.Step][start.Task.Index]
@@ -93,7 +94,7 @@
 	return true
 }
 
-// canAccept reports whether a worker can accept the given number of additional runs of a step.
+// canAccept reports whether a worker can accept a number of additional runs of a step.
 func (t *Table) canAccept(id string, job *Job, ref stepRef, runs int) bool {
 	worker := t.Workers[id]
 	queue := t.Config.Queue(job.Spec.Queue)
@@ -116,7 +117,7 @@
 	return t.Used(id).plus(step.Needs, runs).fitsIn(worker.Capacity)
 }
 
-// recordStart records the handle of a start that may be recorded.
+// recordStart records the handle of a start for which mayStart and isCovered returned true.
 func (t *Table) recordStart(job *Job, start Start, term uint64) {
 	ref := start.Task
 	key := RunKey{Task: ref, Number: start.Number}
--- a/internal/jobs/progress_start_test.go
+++ b/internal/jobs/progress_start_test.go
@@ -10,23 +10,23 @@
 )
 
 func TestStarts(t *testing.T) {
-	Convey("A start is recorded only while all its preconditions hold", t, func() {
+	Convey("A start is recorded only if all its preconditions hold", t, func() {
 		table := testTable()
 		labelled := oneCore(1)
 		labelled.Label = "fast"
 		after := Step{Count: 1, After: []int{0}}
 		table.mustSubmit(testJob("j", oneCore(1), labelled, after))
-		good := startOf(taskOf("j", 0, 0), 1, "w1")
-		for _, bad := range []Start{
+		valid := startOf(taskOf("j", 0, 0), 1, "w1")
+		for _, invalid := range []Start{
 			startOf(taskOf("k", 0, 0), 1, "w1"), startOf(taskOf("j", 3, 0), 1, "w1"),
 			startOf(taskOf("j", 0, 1), 1, "w1"),
 			startOf(TaskRef{Job: "j", Round: 1}, 1, "w1"), startOf(TaskRef{Job: "j", Index: -1}, 1, "w1"),
-			startOf(good.Task, 0, "w1"), startOf(good.Task, 1, "w9"), startOf(good.Task, 1, "g1"),
+			startOf(valid.Task, 0, "w1"), startOf(valid.Task, 1, "w9"), startOf(valid.Task, 1, "g1"),
 			startOf(taskOf("j", 1, 0), 1, "w1"), startOf(taskOf("j", 2, 0), 1, "w1"),
 		} {
-			So(table.start(bad), ShouldResemble, []bool{false})
+			So(table.start(invalid), ShouldResemble, []bool{false})
 		}
-		for _, forbid := range []func(*Table){
+		for _, preventStart := range []func(*Table){
 			func(x *Table) {
 				draining := testWorker("w1", "open")
 				draining.Draining = true
@@ -44,19 +44,19 @@
 				must(x.Configure(Configure{Base: 5, Version: 6, Queues: []Queue{queue}}))
 			},
 			func(x *Table) { _, err := x.Cancel(Cancel{ID: "j", At: noon}); must(err) },
-			func(x *Table) { x.start(startOf(good.Task, 4, "w2")) },
+			func(x *Table) { x.start(startOf(valid.Task, 4, "w2")) },
 			func(x *Table) {
-				x.start(startOf(good.Task, 4, "w2"))
-				x.end(endOf(startOf(good.Task, 4, "w2"), EndLost))
+				x.start(startOf(valid.Task, 4, "w2"))
+				x.end(endOf(startOf(valid.Task, 4, "w2"), EndLost))
 			},
 		} {
 			changed := table.decodedCopy()
-			forbid(changed)
-			So(changed.start(good), ShouldResemble, []bool{false})
+			preventStart(changed)
+			So(changed.start(valid), ShouldResemble, []bool{false})
 		}
-		So(table.start(good, good), ShouldResemble, []bool{true, false})
+		So(table.start(valid, valid), ShouldResemble, []bool{true, false})
 		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeFalse)
-		table.end(endOf(good, EndDone))
+		table.end(endOf(valid, EndDone))
 		So(table.IsStepReady(table.Jobs["j"], 0, 2), ShouldBeTrue)
 		So(table.IsStepReady(table.Jobs["j"], 1, 0), ShouldBeFalse)
 		So(table.IsStepReady(table.Jobs["j"], 0, 3), ShouldBeFalse)
@@ -69,7 +69,7 @@
 }
 
 func TestStarts_races(t *testing.T) {
-	Convey("A start is recorded exactly if it comes before the change that forbids it", t, func() {
+	Convey("A start is recorded if and only if it comes before all changes that prevent it", t, func() {
 		changes := []func(*Table){
 			func(x *Table) { x.start(startOf(taskOf("j", 0, 0), 1, "w1")) },
 			func(x *Table) { _, err := x.Cancel(Cancel{ID: "j", At: noon}); must(err) },
@@ -82,15 +82,15 @@
 			for _, i := range order {
 				changes[i](table)
 			}
-			if got := len(table.RunsOn("w1")) == 1; got != (order[0] == 0) {
-				panic(fmt.Sprint(order, got))
+			if isRecorded := len(table.RunsOn("w1")) == 1; isRecorded != (order[0] == 0) {
+				panic(fmt.Sprint(order, isRecorded))
 			}
 		})
 	})
 }
 
 func TestStarts_rounds(t *testing.T) {
-	Convey("Rounds do not wait for one another, and each has its own steps", t, func() {
+	Convey("Rounds are independent, and each round has its own tasks", t, func() {
 		table := testTable()
 		spec := testJob("j", oneCore(1), Step{Count: 1, After: []int{0}})
 		spec.Spec.Rounds = 2
@@ -104,7 +104,7 @@
 }
 
 func TestStarts_capacity(t *testing.T) {
-	Convey("Capacity is checked for a service whose workers do not check it, and else left to them", t, func() {
+	Convey("The table checks capacity only for services without ChecksCapacity", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(3)))
 		guarded := testJob("k", oneCore(3))
@@ -120,7 +120,7 @@
 		So(table.Used("w1"), ShouldResemble, Resources{MilliCPU: 2000})
 		So(table.start(startsOn("g1", "k")...), ShouldResemble, []bool{true, true, true})
 		So(table.Used("g1"), ShouldResemble, Resources{MilliCPU: 3000})
-		Convey("an end in the same change frees its capacity first", func() {
+		Convey("an end frees capacity for the starts of the same change", func() {
 			starts := startsOn("w1", "j")
 			started, err := table.Progress(testTerm, Progress{
 				Term: testTerm, Ends: []End{endOf(starts[0], EndDone)}, Starts: starts[2:],
@@ -138,7 +138,7 @@
 }
 
 func TestStarts_maxPerWorker(t *testing.T) {
-	Convey("A worker runs no more tasks of a step of one round than the step allows", t, func() {
+	Convey("A worker runs at most MaxPerWorker tasks of a step of one round", t, func() {
 		table := testTable()
 		spec := testJob("j", Step{Count: 3, MaxPerWorker: 1})
 		spec.Spec.Rounds = 2
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestProgress_ofAnotherTerm(t *testing.T) {
-	Convey("Progress of another term than its entry's, or of an older one, changes nothing", t, func() {
+	Convey("Progress whose term differs from its entry's or is older than the table's is refused", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		table.start()
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRandomChanges draws changes and makes them on a table and on a copy that is sometimes encoded and decoded. Both
-// must encode to the same bytes and answer alike, and their indexes must equal a scan of all records; each start must
-// be recorded exactly when the model expectedStarts records it.
+// TestRandomChanges applies random changes to a table and to a copy that is sometimes encoded and decoded. Both must
+// return the same answers and encode to the same bytes, their indexes must equal a scan of all records, and the
+// recorded starts must be those of the model expectedStarts.
 func TestRandomChanges(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -20,17 +20,17 @@
 		random := generator{rt, live}
 		for range rapid.IntRange(30, 90).Draw(rt, "changes") {
 			change := random.change()
-			want, isProgress := change.(Progress)
+			progress, isProgress := change.(Progress)
 			var expected []bool
 			if isProgress {
-				expected = expectedStarts(live, want)
+				expected = expectedStarts(live, progress)
 			}
-			answer, again := apply(live, change), apply(decodedCopy, change)
-			if answer != again {
-				rt.Fatalf("%+v: answers %s and %s", change, answer, again)
+			answer, copyAnswer := apply(live, change), apply(decodedCopy, change)
+			if answer != copyAnswer {
+				rt.Fatalf("%+v: table answers %s, copy answers %s", change, answer, copyAnswer)
 			}
 			if isProgress && answer != fmt.Sprint(Started{Recorded: expected}, nil) {
-				rt.Fatalf("%+v: answer %s, the model says %v", want, answer, expected)
+				rt.Fatalf("%+v: answer %s, the model expects %v", progress, answer, expected)
 			}
 			countCases(seen, live, expected)
 			if live.bytes() != decodedCopy.bytes() {
@@ -72,7 +72,7 @@
 	}
 }
 
-// apply makes a change and returns its answer as text.
+// apply applies a change and returns its answer as text.
 func apply(t *Table, change any) string {
 	var answer any
 	var err error
@@ -100,10 +100,10 @@
 
 // checkIndexes compares the indexes with a scan of all records.
 func checkIndexes(rt *rapid.T, t *Table) {
-	used, runs, waiting := map[string]Resources{}, map[string][]RunKey{}, map[string]int{}
-	eachHandle(t, func(ref TaskRef, run Handle, needs Resources) {
-		used[run.Worker] = used[run.Worker].plus(needs, 1)
-		runs[run.Worker] = append(runs[run.Worker], RunKey{ref, run.Number})
+	used, runs, queued := map[string]Resources{}, map[string][]RunKey{}, map[string]int{}
+	eachHandle(t, func(ref TaskRef, handle Handle, needs Resources) {
+		used[handle.Worker] = used[handle.Worker].plus(needs, 1)
+		runs[handle.Worker] = append(runs[handle.Worker], RunKey{ref, handle.Number})
 	})
 	for _, id := range []string{"w1", "w2", "w3", "g1"} {
 		slices.SortFunc(runs[id], RunKey.Compare)
@@ -111,29 +111,30 @@
 			rt.Fatalf("worker %s: used %v, runs %v; scanned %v, %v", id, t.Used(id), t.RunsOn(id), used[id], runs[id])
 		}
 		if len(runs[id]) > 0 && t.Workers[id] == nil {
-			rt.Fatalf("worker %s is forgotten with handles", id)
+			rt.Fatalf("worker %s has handles, but its record was deleted", id)
 		}
 	}
 	for _, job := range t.Jobs {
 		if job.State == Queued {
-			waiting[job.Spec.Queue]++
+			queued[job.Spec.Queue]++
 		}
 		checkJob(rt, t, job)
 	}
 	for _, queue := range []string{"plain", "guarded"} {
-		if t.QueuedCount(queue) != waiting[queue] {
-			rt.Fatalf("queue %s: %d are queued, scanned %d", queue, t.QueuedCount(queue), waiting[queue])
+		if t.QueuedCount(queue) != queued[queue] {
+			rt.Fatalf("queue %s: QueuedCount is %d, scanned %d", queue, t.QueuedCount(queue), queued[queue])
 		}
 	}
 }
 
-// countTasks counts the handles of a job's tasks, one at most for each, and the tasks that are not done.
+// countTasks counts the handles of a job's tasks and the tasks that are not done, and checks that no task has more than
+// one handle.
 func countTasks(rt *rapid.T, job *Job) (handles, undone int) {
 	for _, steps := range job.Rounds {
 		for _, tasks := range steps {
 			for _, task := range tasks {
 				if handles += len(task.Handles); len(task.Handles) > 1 {
-					rt.Fatalf("job %s: two handles of a task", job.Spec.ID)
+					rt.Fatalf("job %s: a task has more than one handle", job.Spec.ID)
 				}
 				if !task.Done {
 					undone++
@@ -151,7 +152,7 @@
 		rt.Fatalf("job %s is %s with %d handles, rounds %v", job.Spec.ID, job.State, handles, job.Rounds)
 	}
 	if job.Rounds != nil && !job.State.IsTerminal() && undone == 0 {
-		rt.Fatalf("job %s is %s without tasks left", job.Spec.ID, job.State)
+		rt.Fatalf("job %s is %s, but all its tasks are done", job.Spec.ID, job.State)
 	}
 	if job.index.handles != handles || job.index.undone != undone {
 		rt.Fatalf("job %s: index %+v, scanned %d handles, %d undone", job.Spec.ID, job.index, handles, undone)
@@ -159,7 +160,7 @@
 	checkReady(rt, t, job)
 }
 
-// checkReady compares IsStepReady with a scan of the tasks of the steps before.
+// checkReady compares IsStepReady with a scan of the tasks that each step depends on.
 func checkReady(rt *rapid.T, t *Table, job *Job) {
 	for round, steps := range job.Rounds {
 		for step := range steps {
@@ -168,7 +169,7 @@
 				ready = ready && !slices.ContainsFunc(steps[before], func(task Task) bool { return !task.Done })
 			}
 			if t.IsStepReady(job, round, step) != ready {
-				rt.Fatalf("job %s, round %d, step %d: ready is %v when scanned", job.Spec.ID, round, step, ready)
+				rt.Fatalf("job %s, round %d, step %d: IsStepReady differs from scanned %v", job.Spec.ID, round, step, ready)
 			}
 		}
 	}
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// IsStepReady reports whether the steps that a step of a round waits for are done. It does not check whether the round
-// is due. It is false for a retired job.
+// IsStepReady reports whether all steps that a step depends on are done in a round. It does not check whether the round
+// is due. It returns false for a retired job.
 func (*Table) IsStepReady(job *Job, round, step int) bool {
 	remaining := job.index.remaining
 	if round < 0 || round >= len(remaining) || step < 0 || step >= len(job.Spec.Steps) {
@@ -21,29 +21,29 @@
 	return true
 }
 
-// QueueFor returns the queue for a call: of the queues of the host, which may have a port, the one with the longest
-// prefix of the path; nil if there is none.
+// QueueFor returns the queue for a request: of the queues of the host, the one whose prefix is the longest that matches
+// the path, or nil if none matches. A port in host is ignored.
 func (t *Table) QueueFor(host, path string) *Queue {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	var found *Queue
+	var longest *Queue
 	for i := range t.Config.Queues {
 		queue := &t.Config.Queues[i]
 		if !strings.EqualFold(queue.Host, host) || !strings.HasPrefix(path, queue.Prefix) {
 			continue
 		}
-		if found == nil || len(queue.Prefix) > len(found.Prefix) {
-			found = queue
+		if longest == nil || len(queue.Prefix) > len(longest.Prefix) {
+			longest = queue
 		}
 	}
-	return found
+	return longest
 }
 
-// QueuedCount returns the number of jobs of a queue that are Queued.
+// QueuedCount returns the number of Queued jobs of a queue.
 func (t *Table) QueuedCount(queue string) int { return t.indexes.queued[queue] }
 
-// Used returns the resources that the handles on a worker use.
+// Used returns the sum of the needs of the runs with a handle on a worker.
 func (t *Table) Used(worker string) Resources {
 	if o := t.indexes.occupancy[worker]; o != nil {
 		return o.used
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// RunsOn returns the runs with a handle on a worker, in the order of RunKey.Compare.
+// RunsOn returns the runs with a handle on a worker, sorted by RunKey.Compare.
 func (t *Table) RunsOn(worker string) []RunKey {
 	o := t.indexes.occupancy[worker]
 	if o == nil {
@@ -73,7 +73,7 @@
 	return runs
 }
 
-// runsOfStep returns the number of handles of a step of a round on a worker.
+// runsOfStep returns the number of runs of a step with a handle on a worker.
 func (t *Table) runsOfStep(worker string, step stepRef) int {
 	if o := t.indexes.occupancy[worker]; o != nil {
 		return o.steps[step]
--- a/internal/jobs/query_test.go
+++ b/internal/jobs/query_test.go
@@ -7,13 +7,14 @@
 )
 
 func TestQueueFor(t *testing.T) {
-	Convey("The longest prefix of the host counts, with or without a port", t, func() {
+	Convey("QueueFor returns the queue of the host with the longest matching prefix, ignoring the port", t, func() {
 		table := NewTable()
-		at := func(name, host, prefix string) Queue {
+		queueAt := func(name, host, prefix string) Queue {
 			return Queue{Name: name, Host: host, Prefix: prefix, Service: "s", Timeout: 1}
 		}
 		must(table.Configure(Configure{Version: 1, Services: []Service{{Name: "s"}}, Queues: []Queue{
-			at("long", "a.example", "/x/y/"), at("short", "a.example", "/x/"), at("other", "b.example", "/x/y/z/"),
+			queueAt("long", "a.example", "/x/y/"), queueAt("short", "a.example", "/x/"),
+			queueAt("other", "b.example", "/x/y/z/"),
 		}}))
 		for _, test := range []struct{ host, path, queue string }{
 			{"a.example", "/x/y/1", "long"},
--- a/internal/jobs/resources.go
+++ b/internal/jobs/resources.go
@@ -9,7 +9,7 @@
 	}
 }
 
-// fitsIn reports whether no resource of r exceeds that of capacity.
+// fitsIn reports whether no resource of r exceeds the same resource of capacity.
 func (r Resources) fitsIn(capacity Resources) bool {
 	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB && r.GPUs <= capacity.GPUs
 }
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/errs"
 )
 
-// Submit accepts a job, or returns the state of the same job accepted before. Failures: Conflict (the ID is that of
-// another job), Unknown (no such queue), Invalid (steps that the table cannot hold).
+// Submit accepts a job. For a repetition of an accepted job it returns the job's current state. Failures: Conflict (the
+// ID belongs to another job), Unknown (no such queue), Invalid (invalid steps).
 func (t *Table) Submit(c Submit) (JobState, error) {
 	if job := t.Jobs[c.Spec.ID]; job != nil {
 		if job.Digest != c.Digest {
-			return "", errs.Field(errs.Conflict, "id", "%q is the ID of another job", c.Spec.ID)
+			return "", errs.Field(errs.Conflict, "id", "job ID %q is already used by another job", c.Spec.ID)
 		}
 		return job.State, nil
 	}
@@ -28,12 +28,12 @@
 	}
 	t.Jobs[c.Spec.ID] = job
 	t.indexJob(job)
-	t.succeedIfDone(job, c.At) // only a job without tasks
+	t.succeedIfDone(job, c.At) // true only of a job without tasks
 	t.notify(JobChanged, c.Spec.ID)
 	return job.State, nil
 }
 
-// validateSteps checks that the table can hold the steps. Failure: Invalid.
+// validateSteps checks the counts and dependencies of steps. Failure: Invalid.
 func validateSteps(steps []Step) error {
 	for i, step := range steps {
 		if step.Count < 0 {
@@ -42,7 +42,8 @@
 		}
 		for _, before := range step.After {
 			if before < 0 || before >= i {
-				return errs.Field(errs.Invalid, fmt.Sprintf("steps[%d].after", i), "%d is no earlier step", before)
+				return errs.Field(errs.Invalid, fmt.Sprintf("steps[%d].after", i),
+					"must be indexes of earlier steps, %d is not", before)
 			}
 		}
 	}
--- a/internal/jobs/submit_test.go
+++ b/internal/jobs/submit_test.go
@@ -18,13 +18,13 @@
 		So(job.Rounds, ShouldResemble, [][][]Task{{make([]Task, 2), make([]Task, 3)}})
 		So(table.QueuedCount("plain"), ShouldEqual, 1)
 		before := table.bytes()
-		Convey("the same ID and digest are the same job", func() {
+		Convey("a submission with the same ID and digest returns its state and changes nothing", func() {
 			state, err := table.Submit(testJob("j"))
 			So(err, ShouldBeNil)
 			So(state, ShouldEqual, Queued)
 			So(table.bytes(), ShouldEqual, before)
 		})
-		Convey("another digest is a conflict, also once it is terminal", func() {
+		Convey("a submission with another digest is a conflict, even if the job is terminal", func() {
 			other := testJob("j")
 			other.Digest = "other"
 			_, err := table.Submit(other)
@@ -37,7 +37,7 @@
 			So(err, ShouldBeNil)
 			So(state, ShouldEqual, Cancelled)
 		})
-		Convey("it is found again when its queue is gone", func() {
+		Convey("a repeated submission succeeds even if its queue was removed", func() {
 			So(table.Configure(Configure{Base: 5, Version: 6, RemoveQueues: []string{"plain"}}), ShouldBeNil)
 			state, err := table.Submit(testJob("j"))
 			So(err, ShouldBeNil)
@@ -49,7 +49,7 @@
 }
 
 func TestSubmit_invalid(t *testing.T) {
-	Convey("A job with invalid steps or an unknown queue is refused, and changes nothing", t, func() {
+	Convey("A job with invalid steps or an unknown queue is refused without a change", t, func() {
 		table := testTable()
 		before := table.bytes()
 		for _, steps := range [][]Step{
@@ -69,11 +69,11 @@
 }
 
 func TestSubmit_rounds(t *testing.T) {
-	Convey("A job has the rounds that it asks for, and one without tasks has succeeded", t, func() {
+	Convey("A job has Spec.Rounds rounds, and a job without tasks succeeds immediately", t, func() {
 		table := testTable()
-		many := testJob("j", oneCore(1))
-		many.Spec.Rounds = 3
-		So(table.mustSubmit(many).Rounds, ShouldHaveLength, 3)
+		threeRounds := testJob("j", oneCore(1))
+		threeRounds.Spec.Rounds = 3
+		So(table.mustSubmit(threeRounds).Rounds, ShouldHaveLength, 3)
 		So(table.mustSubmit(testJob("k")).State, ShouldEqual, Succeeded)
 		So(table.QueuedCount("plain"), ShouldEqual, 1)
 	})
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -7,23 +7,23 @@
 	"crosstide/internal/errs"
 )
 
-// Table is the replicated table of the jobs deployment. It has no lock: the owner of its State serializes all access.
-// The order of the fields is the order of the keys in snapshots.
+// Table is the replicated table of the jobs deployment. It has no lock: the owner of the enclosing state.State
+// serializes all access. The order of the fields is the order of the keys in snapshots.
 type Table struct {
-	Jobs      map[string]*Job    `json:"jobs"`                // by ID, until Purge
-	Workers   map[string]*Worker `json:"workers"`             // by ID, until Progress.Forget
+	Jobs      map[string]*Job    `json:"jobs"`                // by ID; deleted by Purge
+	Workers   map[string]*Worker `json:"workers"`             // by ID; deleted by Progress.Forget
 	Config    Config             `json:"config"`              // in force
 	Evacuated map[string]bool    `json:"evacuated,omitempty"` // zones being evacuated; no false values
 	Sequence  uint64             `json:"seq"`                 // of the newest accepted job
-	Term      uint64             `json:"term"`                // of the newest Progress; never goes back
+	Term      uint64             `json:"term"`                // of the newest Progress; never decreases
 	Orders    []string           `json:"orders,omitempty"`    // digests of accepted Configure orders, oldest first
-	Parties   []Party            `json:"parties,omitempty"`   // who pays for which queues; none: nobody pays
+	Parties   []Party            `json:"parties,omitempty"`   // if empty, all runs are free
 
-	// OnEvent is called after each change, on the goroutine that applies the entry; it must not change the table. Nil:
-	// events are dropped.
+	// OnEvent is called after each change, on the goroutine that applies the entry. It must not change the table. If it
+	// is nil, events are dropped.
 	OnEvent func(Event) `json:"-"`
 
-	// Payments are the accounts of Parties; nil until the first account is opened. Set by the table's owner.
+	// Payments holds the accounts of Parties. The table's owner sets it; it is nil until the first account exists.
 	Payments Payments `json:"-"`
 
 	indexes indexes
@@ -36,7 +36,7 @@
 	return t
 }
 
-// Encode returns the table as JSON, the same bytes for the same table.
+// Encode returns the table as JSON. Equal tables encode to the same bytes.
 func (t *Table) Encode() ([]byte, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
@@ -45,9 +45,9 @@
 	return data, nil
 }
 
-// UnmarshalJSON replaces the table by what Encode wrote. OnEvent and Payments stay. Failure: Damaged.
+// UnmarshalJSON replaces the table by a table encoded by Encode, except OnEvent and Payments. Failure: Damaged.
 func (t *Table) UnmarshalJSON(data []byte) error {
-	type plain Table // without this method
+	type plain Table // has no UnmarshalJSON, which would recurse
 	var decoded plain
 	if err := codec.Decode(data, &decoded); err != nil {
 		return errs.Wrap(err, errs.Damaged, "decode job table")
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -13,7 +13,7 @@
 	)
 }
 
-// findTask returns a task and its job; nil if there is no such task, or none any more.
+// findTask returns a task and its job. It returns nil if the task does not exist or its job is retired.
 func (t *Table) findTask(ref TaskRef) (*Job, *Task) {
 	job := t.Jobs[ref.Job]
 	if job == nil || ref.Round < 0 || ref.Round >= len(job.Rounds) {
@@ -26,7 +26,7 @@
 	return job, &steps[ref.Step][ref.Index]
 }
 
-// newRounds returns the tasks of a job, none of them started.
+// newRounds returns the tasks of a new job by round, step and index.
 func newRounds(spec *Spec) [][][]Task {
 	rounds := make([][][]Task, max(1, spec.Rounds))
 	for round := range rounds {
@@ -38,7 +38,8 @@
 	return rounds
 }
 
-// members returns the tasks that start and end together with a task: of a gang all of the step, else it alone.
+// members returns the tasks that start and end together with a task: all tasks of the step if it is a gang, otherwise
+// only the task itself.
 func (j *Job) members(ref TaskRef) []Task {
 	tasks := j.Rounds[ref.Round][ref.Step]
 	if j.Spec.Steps[ref.Step].Gang {
--- a/internal/jobs/worker.go
+++ b/internal/jobs/worker.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Register records workers that are new or have changed. A worker that drains or has left stays so under its ID.
+// Register records workers that are new or have changed. Draining and Left of a worker are never reset.
 func (t *Table) Register(c Register) {
 	for _, worker := range c.Workers {
 		old := t.Workers[worker.ID]
--- a/internal/jobs/worker_test.go
+++ b/internal/jobs/worker_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRegister_leavingWorker(t *testing.T) {
-	Convey("A worker that drains or has left stays so under its ID, in whatever order its reports come", t, func() {
+	Convey("Draining and Left of a worker are never reset, in whatever order its reports arrive", t, func() {
 		plain, draining, left := testWorker("w1", "open"), testWorker("w1", "open"), testWorker("w1", "open")
 		draining.Draining, left.Left = true, true
 		reports := []Worker{plain, draining, left}
@@ -31,7 +31,7 @@
 }
 
 func TestForget_workerWithHandles(t *testing.T) {
-	Convey("A worker is forgotten only without handles", t, func() {
+	Convey("The record of a worker is deleted only if it has no handles", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
