--- a/internal/state/bundle.go
+++ b/internal/state/bundle.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Bundle is a version of the operators' configuration of the policy deployment, as package bundle reads it from its
-// text. State.Bundle is the one in force.
+// Bundle is one version of the operators' configuration of the policy deployment, as parsed by package bundle.
+// State.Bundle is the version in force.
 type Bundle struct {
 	Version uint64           `json:"version"`
 	Queues  map[string]Queue `json:"queues"`
-	Limits  map[string]int   `json:"limits,omitempty"` // by task type: running tasks; they only order the queue
+	Limits  map[string]int   `json:"limits,omitempty"` // running tasks by type; a type at its limit goes last
 	Backoff Backoff          `json:"backoff"`
-	// Retries bounds the retries that steps may ask for; nil: no bound.
+	// Retries is the upper limit of StepSpec.Retries; nil means no limit.
 	Retries *int `json:"retries,omitempty"`
-	// LeaseTTL is the time for which a run continues without a renewal; 0: the scheduler's setting.
+	// LeaseTTL is how long a run may continue without a lease renewal; 0 selects the scheduler's setting.
 	LeaseTTL time.Duration `json:"hold,omitempty"`
-	// Weights are the teams' shares under contention; a team that is not listed has 1.
+	// Weights are the teams' shares under contention; an unlisted team has weight 1.
 	Weights map[string]int `json:"weights,omitempty"`
-	// Operators replace State.Operators when this version is put in force; empty: they stay.
+	// Operators, unless empty, replaces State.Operators when this version is put in force.
 	Operators Operators `json:"operators,omitempty"`
-	// Parties pay for runs, by name. SetParties derives the other two: queue and team to the party's name.
+	// Parties are the payers of runs, by name. SetParties derives PartyByQueue and PartyByTeam, which map queues and
+	// teams to party names.
 	Parties      map[string]Party  `json:"parties,omitempty"`
 	PartyByQueue map[string]string `json:"paying_queues,omitempty"`
 	PartyByTeam  map[string]string `json:"paying_teams,omitempty"`
 }
 
-// Queue is an operators' queue with its placement policy. An empty list allows any.
+// Queue is a queue that the operators configured, with its placement policy. An empty list allows any value.
 type Queue struct {
 	Types    []string      `json:"types,omitempty"`
 	Teams    []string      `json:"teams,omitempty"`
-	Labels   Labels        `json:"labels,omitempty"` // a worker must have them
+	Labels   Labels        `json:"labels,omitempty"` // that a worker must have
 	Workers  []string      `json:"minions,omitempty"`
 	Zones    []string      `json:"zones,omitempty"`
 	Racks    []string      `json:"racks,omitempty"`
@@ -47,16 +48,17 @@
 	Scope string `json:"within"` // ScopeZone or ScopeRack
 }
 
-// Backoff bounds the pause before a task that ended in failure is due again.
+// Backoff bounds the delay before a failed task is due again.
 type Backoff struct {
 	Min time.Duration `json:"min"`
 	Max time.Duration `json:"max"`
 }
 
-// After returns the pause after a number of failures, at least 1: Min, doubled with each failure after the first, at
-// most Max.
+// After returns the delay after the given number of failures, which must be at least 1. It is Min, doubled with each
+// failure after the first, and at most Max.
 func (b Backoff) After(failures int) time.Duration {
-	// Doubling so often overflows for no Min within the bounds of a bundle. After more failures the pause is Max.
+	// Up to this number of failures no Min that package bundle accepts overflows when doubled. After more failures the
+	// delay is Max.
 	const maxDoubled = 15
 	if failures > maxDoubled {
 		return b.Max
@@ -69,12 +71,13 @@
 	return cmp.Or(b.Queues[queue].LeaseTTL, b.LeaseTTL, fallback)
 }
 
-// RetriesFor returns the number of retries of a task in a queue: asked, which its step has, within the bundle's bounds.
-func (b *Bundle) RetriesFor(queue string, asked int) int {
-	for _, bound := range []*int{b.Queues[queue].Retries, b.Retries} {
-		if bound != nil {
-			return min(asked, *bound)
+// RetriesFor returns the number of retries of a task in a queue: requested, the value of its step, capped by the limit
+// of the queue or else of the bundle.
+func (b *Bundle) RetriesFor(queue string, requested int) int {
+	for _, limit := range []*int{b.Queues[queue].Retries, b.Retries} {
+		if limit != nil {
+			return min(requested, *limit)
 		}
 	}
-	return asked
+	return requested
 }
--- a/internal/state/bundle_test.go
+++ b/internal/state/bundle_test.go
@@ -19,7 +19,7 @@
 		{usual, 9, 30 * time.Second},
 		{usual, 1000, 30 * time.Second},
 		{tiny, 15, 16384 * time.Nanosecond},
-		{tiny, 16, time.Hour}, // from here on the pause is Max, whatever Min is
+		{tiny, 16, time.Hour}, // after more than 15 failures the delay is Max, whatever Min is
 		{Backoff{Min: 24 * time.Hour, Max: 24 * time.Hour}, 15, 24 * time.Hour},
 	} {
 		if got := test.backoff.After(test.failures); got != test.want {
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -1,6 +1,6 @@
 package state
 
-// Event is a change that State.OnEvent is called for, after it was made.
+// Event describes a change of the state. State.OnEvent receives it after the change was made.
 type Event struct {
 	Kind   EventKind
 	Ref    TaskRef
@@ -21,11 +21,11 @@
 	EventJobSubmitted                      // a job entered the inbox (Name)
 	EventJobStopping                       // a job's runs are to be stopped (Name)
 	EventRoleChanged                       // a role was granted or released (Name)
-	EventPlacementChanged                  // another bundle or evacuation is in force, or labels have moved
+	EventPlacementChanged                  // the bundle in force, an evacuation or the labels in a zone changed
 	EventAccountChanged                    // an account was opened or topped up (Name)
 )
 
-// NotifyWatcher calls OnEvent for a change that package command made in a record itself.
+// NotifyWatcher calls OnEvent for a change that package command made directly in a record.
 func (s *State) NotifyWatcher(kind EventKind, name string) { s.notify(Event{Kind: kind, Name: name}) }
 
 func (s *State) notify(event Event) {
--- a/internal/state/handle.go
+++ b/internal/state/handle.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Handle is the durable record of a run. It exists from the commit of its run ID to the run's reported end or the proof
-// that the run is dead; until then the task is not started again.
+// Handle is the durable record of a run. It exists from the commit of its run ID until the run's end is reported or the
+// run is proved dead. While it exists, its task is not started again.
 type Handle struct {
 	RunID         uint64        `json:"t"`
 	Ref           TaskRef       `json:"r"`
@@ -14,6 +14,6 @@
 	Type          string        `json:"y"`
 	Cores         int           `json:"n"`
 	GPUs          int           `json:"g,omitempty"`
-	LeaseTTL      time.Duration `json:"h"` // how long the run goes on without a renewal
+	LeaseTTL      time.Duration `json:"h"` // how long the run may continue without a renewal
 	Phase         TaskPhase     `json:"p"` // that of its task
 }
--- a/internal/state/indexes.go
+++ b/internal/state/indexes.go
@@ -6,16 +6,16 @@
 )
 
 // indexes are derived from the records, never stored, and owned by State: New and Decode rebuild them, and the
-// functions that change a record keep them.
+// functions that change a record keep them up to date.
 type indexes struct {
-	usage          map[string]*Usage // by worker; an entry stays when its handles are gone
+	usage          map[string]*Usage // by worker; an entry is kept after its last handle is removed
 	runningByType  map[string]int    // handles by task type; no zeros
 	openJobs       int               // jobs that are not terminal
-	openJobsByTeam map[string]int    // the same by team; no zeros
-	labelSites     map[labelSite]int // workers by labelSite; no zeros
+	openJobsByTeam map[string]int    // jobs that are not terminal, by team; no zeros
+	labelSites     map[labelSite]int // number of workers by labelSite; no zeros
 }
 
-// Usage is the use of a worker's capacity by its handles. It is owned by State: callers must not change it.
+// Usage is the part of a worker's capacity that its handles occupy. It is owned by State: callers must not change it.
 type Usage struct {
 	Cores, GPUs int
 	Handles     map[uint64]*Handle // by run ID
@@ -72,25 +72,25 @@
 	return u
 }
 
-// addOpenJob adds by, 1 or -1, to the counts of open jobs, in all and of a team.
-func (x *indexes) addOpenJob(team string, by int) {
-	x.openJobs += by
-	if x.openJobsByTeam[team] += by; x.openJobsByTeam[team] == 0 {
+// addOpenJob adds delta, 1 or -1, to the total count of open jobs and to the count of a team.
+func (x *indexes) addOpenJob(team string, delta int) {
+	x.openJobs += delta
+	if x.openJobsByTeam[team] += delta; x.openJobsByTeam[team] == 0 {
 		delete(x.openJobsByTeam, team)
 	}
 }
 
-// addLabels adds by, 1 or -1, to the counts of a worker's label sites. It reports whether some site appeared or
+// addLabels adds delta, 1 or -1, to the counts of a worker's label sites. It reports whether some site appeared or
 // disappeared.
-func (x *indexes) addLabels(w *Worker, by int) bool {
+func (x *indexes) addLabels(w *Worker, delta int) bool {
 	changed := false
 	for label, value := range w.Labels {
 		for _, scope := range []string{ScopeZone, ScopeRack} {
-			at := labelSiteOf(Near{label, value, scope}, w)
-			n := x.labelSites[at] + by
-			changed = changed || n == 0 || n == by
-			if x.labelSites[at] = n; n == 0 {
-				delete(x.labelSites, at)
+			site := labelSiteOf(Near{label, value, scope}, w)
+			count := x.labelSites[site] + delta
+			changed = changed || count == 0 || count == delta
+			if x.labelSites[site] = count; count == 0 {
+				delete(x.labelSites, site)
 			}
 		}
 	}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -13,12 +13,12 @@
 	JobAccepted  JobPhase = "accepted"  // in the inbox, not yet admitted by the scheduler
 	JobRunning   JobPhase = "running"   // admitted: its tasks become due step by step
 	JobStopping  JobPhase = "stopping"  // its outcome is fixed, some tasks still have handles
-	JobDone      JobPhase = "done"      // every task ended well
+	JobDone      JobPhase = "done"      // every task succeeded
 	JobFailed    JobPhase = "fault"     // a task failed after its retries
-	JobCancelled JobPhase = "cancelled" // cancelled by a client, and no task has a handle any more
+	JobCancelled JobPhase = "cancelled" // cancelled by a client; no task has a handle
 )
 
-// IsTerminal reports whether a job stays in the phase.
+// IsTerminal reports whether p is a final phase.
 func (p JobPhase) IsTerminal() bool { return p == JobDone || p == JobFailed || p == JobCancelled }
 
 // Spec is a job as its client submits it. Its JSON is the body of POST /v1/jobs.
@@ -29,15 +29,15 @@
 	Steps []StepSpec `json:"steps"`
 }
 
-// StepSpec is one step: Tasks equal tasks of one type, after the steps named.
+// StepSpec is one step of a job: a number of identical tasks, which become due when the steps in After are done.
 type StepSpec struct {
 	Name        string          `json:"name"`
 	Type        string          `json:"type"`
-	After       []string        `json:"after,omitempty"` // names of steps whose tasks must all be done first
+	After       []string        `json:"after,omitempty"` // names of the steps to wait for
 	Tasks       int             `json:"tasks"`
 	Cores       int             `json:"cores"` // of each task
 	GPUs        int             `json:"gpus,omitempty"`
-	Labels      Labels          `json:"labels,omitempty"`   // a worker must have them
+	Labels      Labels          `json:"labels,omitempty"`   // that a worker must have
 	Retries     int             `json:"retries"`            // bounded by Bundle.RetriesFor
 	Run         json.RawMessage `json:"run,omitempty"`      // sent to the worker with each start
 	LongRunning bool            `json:"standing,omitempty"` // tasks run until the job is cancelled
@@ -47,7 +47,7 @@
 // Job is the record of a job of the policy deployment.
 type Job struct {
 	Spec        Spec      `json:"spec"`
-	Digest      string    `json:"digest"` // of the submitted body: tells a repeated submission from another job
+	Digest      string    `json:"digest"` // of the submitted body; distinguishes a repeated submission from another job
 	Phase       JobPhase  `json:"phase"`
 	Outcome     JobPhase  `json:"outcome,omitempty"` // the terminal phase to come; only in JobStopping
 	Reason      string    `json:"reason,omitempty"`
--- a/internal/state/labels.go
+++ b/internal/state/labels.go
@@ -1,6 +1,6 @@
 package state
 
-// Labels map label names to values: those of a worker, or those that a step or placement policy requires.
+// Labels maps label names to values: those that a worker has, or those that a step or placement policy requires.
 type Labels map[string]string
 
 // hasAll reports whether l has every label of want, with its value.
--- a/internal/state/operators.go
+++ b/internal/state/operators.go
@@ -1,4 +1,5 @@
 package state
 
-// Operators are the operators whose signatures count: name to Ed25519 public key in base64 (package signature).
+// Operators maps the names of the operators whose signatures are accepted to their Ed25519 public keys in base64
+// (package signature).
 type Operators map[string]string
--- a/internal/state/party.go
+++ b/internal/state/party.go
@@ -9,11 +9,11 @@
 
 // The defaults of a party's settings.
 const (
-	DefaultReserve = time.Minute      // the window that a start reserves
+	DefaultReserve = time.Minute      // the run time that a start reserves
 	DefaultWarn    = 10 * time.Minute // how long before the forecast exhaustion of its account a party is warned
 )
 
-// Party pays for the runs of teams and queues, out of the account of its name.
+// Party pays for the runs of its teams and queues from the account that has its name.
 type Party struct {
 	Teams   []string      `json:"teams,omitempty"`
 	Queues  []string      `json:"queues,omitempty"`
@@ -22,14 +22,14 @@
 	Warn    time.Duration `json:"warn,omitempty"`    // 0: DefaultWarn
 }
 
-// Window returns the time that a start pays in advance.
+// Window returns the run time that a start reserves in advance.
 func (p Party) Window() time.Duration { return cmp.Or(p.Reserve, DefaultReserve) }
 
 // WarnBefore returns the time before the forecast exhaustion of its account at which the party is warned.
 func (p Party) WarnBefore() time.Duration { return cmp.Or(p.Warn, DefaultWarn) }
 
-// PartyOf returns the party that pays for a queue and team, "" if none does. A party of the queue goes before one of
-// the team.
+// PartyOf returns the party that pays for a team's jobs in a queue, or "" if none does. The party of the queue takes
+// precedence over that of the team.
 func (b *Bundle) PartyOf(queue, team string) string {
 	if len(b.Parties) == 0 {
 		return ""
@@ -37,7 +37,8 @@
 	return cmp.Or(b.PartyByQueue[queue], b.PartyByTeam[team])
 }
 
-// SetParties puts parties into a bundle and derives PartyByQueue and PartyByTeam. No queue or team may be in two.
+// SetParties sets the parties of a bundle and derives PartyByQueue and PartyByTeam. No queue or team may belong to two
+// parties.
 func (b *Bundle) SetParties(parties map[string]Party) {
 	b.Parties, b.PartyByQueue, b.PartyByTeam = parties, map[string]string{}, map[string]string{}
 	for name, p := range parties {
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -8,17 +8,17 @@
 	"crosstide/internal/errs"
 )
 
-// Fee is the amount that a start reserves on a party's balance. Party is "" if nobody pays.
+// Fee is the amount that a start reserves from a party's balance. Party is "" if no party pays.
 type Fee struct {
 	Party string
 	Cost  int64
 }
 
-// PartyOf returns the party that pays for a job's runs, "" if none does.
+// PartyOf returns the party that pays for a job's runs, or "" if none does.
 func (s *State) PartyOf(j *Job) string { return s.Bundle.PartyOf(j.Spec.Queue, j.Spec.Team) }
 
-// Fee returns the fee of a task's start: the price of a window. It is zero if nobody pays for the job, and for a
-// restart of a long-running task, which continues even when the balance is exhausted.
+// Fee returns the fee for starting a task: the price of one window. It is zero if no party pays for the job, and for
+// the restart of a long-running task, which continues even when the balance is exhausted.
 func (s *State) Fee(j *Job, ref TaskRef) Fee {
 	party := s.PartyOf(j)
 	if party == "" || j.isRestart(ref) {
@@ -28,10 +28,10 @@
 	return Fee{party, p.rate(&j.Spec.Steps[ref.Step]).Cost(p.Window())}
 }
 
-// Covers reports whether the party's balance covers a fee, which may be the sum of several starts.
+// Covers reports whether the party's balance covers a fee, which may be the sum of the fees of several starts.
 func (s *State) Covers(f Fee) bool { return f.Party == "" || s.Accounts.Covers(f.Party, f.Cost) }
 
-// UnpaidReason returns why due tasks of a job wait for a top-up; "" if none does.
+// UnpaidReason returns why due tasks of a job wait for a top-up, or "" if none does.
 func (s *State) UnpaidReason(j *Job) string {
 	if s.PartyOf(j) == "" {
 		return ""
@@ -42,14 +42,14 @@
 				continue
 			}
 			if f := s.Fee(j, TaskRef{Job: j.Spec.Key, Step: i, Task: k}); !s.Covers(f) {
-				return s.insufficientBalance(f)
+				return s.insufficientBalanceReason(f)
 			}
 		}
 	}
 	return ""
 }
 
-func (s *State) insufficientBalance(f Fee) string {
+func (s *State) insufficientBalanceReason(f Fee) string {
 	if s.Accounts == nil || s.Accounts.Accounts[f.Party] == nil {
 		return fmt.Sprintf("party %s has no account", f.Party)
 	}
@@ -57,7 +57,7 @@
 		"the job goes on by itself after a top-up", f.Party, s.Accounts.Accounts[f.Party].Balance, f.Cost)
 }
 
-// IsRestart reports whether a task is a long-running one that ran before.
+// IsRestart reports whether a task is long-running and has been started before.
 func (s *State) IsRestart(ref TaskRef) bool {
 	j, t := s.TaskOf(ref)
 	return t != nil && j.isRestart(ref)
@@ -72,11 +72,11 @@
 	return p.Price.Rate(account.Needs{MilliCPU: 1000 * step.Cores, GPUs: step.GPUs})
 }
 
-// RunName returns the name of a run in the accounts.
+// RunName returns the name under which the accounts record a run.
 func RunName(runID uint64) string { return "r" + strconv.FormatUint(runID, 10) }
 
-// reserve reserves the first window of a run, if somebody pays for it, in the step that records its handle. The restart
-// of a long-running task whose party has no account is not paid for.
+// reserve reserves the first window of a run if a party pays for it, in the transition that records its handle. The
+// restart of a long-running task is not charged if its party has no account.
 func (s *State) reserve(j *Job, ref TaskRef, runID uint64) error {
 	party := s.PartyOf(j)
 	isRestart := j.isRestart(ref)
@@ -89,12 +89,12 @@
 	p := s.Bundle.Parties[party]
 	charge := account.Charge{
 		Run: RunName(runID), Account: party, Rate: p.rate(&j.Spec.Steps[ref.Step]), Window: p.Window(),
-		Granted: true, // the plan found it covered with the others of its group, or it is a restart
+		Granted: true, // the plan checked that the balance covers its whole group, or it is a restart
 	}
 	return errs.Pass(s.Accounts.Reserve(charge, s.At), "reserve")
 }
 
-// debitRun debits the time of a run whose handle is released.
+// debitRun debits the run time of a run whose handle is released.
 func (s *State) debitRun(runID uint64) {
 	if s.Accounts != nil {
 		s.Accounts.Debit(RunName(runID), s.At)
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Refusal is the reason for which a start is refused; "" if it is not. The strings are sent to the scheduler.
+// Refusal is the reason why a start is refused, or "" if it is not. The strings are sent to the scheduler.
 type Refusal string
 
 // The refusals of State.PlacementRefusal.
 const (
 	RefusedQueue       Refusal = "queue"   // the bundle has no such queue
-	RefusedIncarnation Refusal = "boot"    // the worker's incarnation is not known yet, or is another one
-	RefusedDrain       Refusal = "drain"   // the worker drains
+	RefusedIncarnation Refusal = "boot"    // the worker's incarnation is unknown or has changed
+	RefusedDrain       Refusal = "drain"   // the worker is draining
 	RefusedZone        Refusal = "zone"    // its zone is evacuated
-	RefusedType        Refusal = "type"    // the queue does not take the task's type
-	RefusedTeam        Refusal = "team"    // the queue does not take the job's team
+	RefusedType        Refusal = "type"    // the queue does not accept the task's type
+	RefusedTeam        Refusal = "team"    // the queue does not accept the job's team
 	RefusedPolicy      Refusal = "charter" // the placement policy does not list the worker, its zone or its rack
 	RefusedLabel       Refusal = "label"   // the worker lacks a label
-	RefusedNear        Refusal = "near"    // nothing near the worker has a label that the placement policy wants
+	RefusedNear        Refusal = "near"    // no worker nearby has a label that the placement policy requires there
 )
 
-// PlacementRefusal returns why a task of a step may not be assigned to a worker, by the bundle, labels, evacuations and
-// drains; "" if it may. It does not check capacity. The scheduler calls it when it plans, package command again when
-// the plan is applied.
+// PlacementRefusal returns why the bundle, labels, evacuations or drains forbid assigning a task of a step to a worker,
+// or "" if they allow it. It does not check capacity. The scheduler calls it when it plans, and package command again
+// when the plan is applied.
 func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) Refusal {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	switch {
@@ -52,7 +52,7 @@
 	return ""
 }
 
-// WaitReason returns why the bundle in force lets tasks of a job start on no worker; "" if it does not.
+// WaitReason returns why the bundle in force forbids all workers to start tasks of a job, or "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
 	q, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
@@ -75,19 +75,19 @@
 	ScopeRack = "rack"
 )
 
-// labelSite is a label with its value that some worker has, in a zone or in one rack of it.
+// labelSite is a label with its value, in a zone or in one of its racks, where some worker has it.
 type labelSite struct{ zone, rack, label, value string }
 
 // labelSiteOf returns the site that must exist for a worker to satisfy near.
 func labelSiteOf(near Near, w *Worker) labelSite {
-	at := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
+	site := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
 	if near.Scope == ScopeRack {
-		at.rack = "r" + w.Rack // also of a worker without a rack it differs from a whole zone
+		site.rack = "r" + w.Rack // never "", so that a worker without a rack differs from the whole zone
 	}
-	return at
+	return site
 }
 
-// notifyIfNearChanged reports that label sites have changed, if any placement policy depends on them.
+// notifyIfNearChanged emits EventPlacementChanged if label sites have changed and some placement policy uses Near.
 func (s *State) notifyIfNearChanged(sitesChanged bool) {
 	if !sitesChanged {
 		return
--- a/internal/state/revision.go
+++ b/internal/state/revision.go
@@ -39,7 +39,7 @@
 	RevisionReplaced RevisionPhase = "replaced"    // by a newer version, whether or not it was in force; terminal
 )
 
-// revisionTransitions are the changes of a revision's phase that exist; SetRevisionPhase refuses all others.
+// revisionTransitions lists the allowed changes of a revision's phase; SetRevisionPhase rejects all others.
 var revisionTransitions = map[RevisionPhase][]RevisionPhase{
 	RevisionDraft:   {RevisionSigned, RevisionReplaced},
 	RevisionSigned:  {RevisionInForce, RevisionReplaced},
@@ -59,27 +59,28 @@
 	Signed       []Signature   `json:"signed,omitempty"` // at most two, by different operators
 	InForceSince time.Time     `json:"in_force,omitzero"`
 	ReplacedAt   time.Time     `json:"until,omitzero"`
-	Body         []byte        `json:"body,omitempty"` // its exact text; nil once trimmed
+	Body         []byte        `json:"body,omitempty"` // its exact text; nil after it was trimmed
 }
 
-// Signature is an operator's approval of a version: Sig, in base64, is over signature.Bundle of version and digest.
+// Signature is an operator's approval of a version. Sig is the base64 signature of the text that signature.Bundle
+// returns for its number and digest.
 type Signature struct {
 	By  string    `json:"by"`
 	At  time.Time `json:"at"`
 	Sig string    `json:"sig"`
 }
 
-// The bounds of State.Revisions. The version in force and the newest are kept with their bodies beyond all bounds.
+// The limits of State.Revisions. The version in force and the newest one are always kept with their bodies.
 const (
 	KeepBodies     = 64      // bodies of versions that were in force
-	KeepBodyBytes  = 4 << 20 // of all bodies
+	KeepBodyBytes  = 4 << 20 // total size of the bodies
 	KeepDrafts     = 16      // bodies of versions that never were in force
 	KeepRevisions  = 1000    // versions that were in force
 	KeepUnfinished = 200     // versions that never were in force
 )
 
-// SetRevisionPhase changes a revision's phase; nothing else may. Failure: Stale (revisionTransitions has no such
-// change).
+// SetRevisionPhase changes a revision's phase; no other code may change it. Failure: Stale (revisionTransitions does
+// not allow the change).
 func (s *State) SetRevisionPhase(r *Revision, to RevisionPhase) error {
 	if !slices.Contains(revisionTransitions[r.Phase], to) {
 		return errs.New(errs.Stale, "version %d is %s, cannot become %s", r.Version, r.Phase, to)
@@ -97,7 +98,7 @@
 // Head returns the newest version, in force or not. The next version must be written against it.
 func (s *State) Head() *Revision { return s.Revisions[len(s.Revisions)-1] }
 
-// Revision finds a version; nil if there is none or it was trimmed.
+// Revision returns a version, or nil if it does not exist or was trimmed.
 func (s *State) Revision(version uint64) *Revision {
 	for _, r := range slices.Backward(s.Revisions) {
 		if r.Version == version {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// AppendRevision adds a newest version; one that still waits for signatures is replaced by it.
+// AppendRevision adds the newest version. It replaces the previous newest one if that still lacks signatures.
 func (s *State) AppendRevision(r *Revision) error {
 	if head := s.Head(); head.Phase == RevisionDraft || head.Phase == RevisionSigned {
 		if err := s.SetRevisionPhase(head, RevisionReplaced); err != nil {
@@ -133,32 +134,32 @@
 	s.Bundle = b
 	if len(b.Operators) > 0 {
 		s.Operators = b.Operators
-		clear(s.LiftSignatures) // a signature may be of an operator who is none any more
+		clear(s.LiftSignatures) // their signers may have been removed as operators
 	}
 	s.trimRevisions()
 	s.notify(Event{Kind: EventPlacementChanged})
 	return nil
 }
 
-// trimRevisions drops bodies and revisions beyond the bounds, the oldest first.
+// trimRevisions drops the oldest bodies and revisions beyond the limits.
 func (s *State) trimRevisions() {
-	forced, drafts, bytes := 0, 0, 0
+	enforced, drafts, bodyBytes := 0, 0, 0
 	keep := make([]*Revision, 0, len(s.Revisions))
 	for i, r := range slices.Backward(s.Revisions) {
 		if i == len(s.Revisions)-1 || r.Phase == RevisionInForce {
-			bytes += len(r.Body)
+			bodyBytes += len(r.Body)
 			keep = append(keep, r)
 			continue
 		}
 		count, maxBodies, maxRevisions := &drafts, KeepDrafts, KeepUnfinished
 		if !r.InForceSince.IsZero() {
-			count, maxBodies, maxRevisions = &forced, KeepBodies, KeepRevisions
+			count, maxBodies, maxRevisions = &enforced, KeepBodies, KeepRevisions
 		}
 		if *count++; *count > maxRevisions {
 			continue
 		}
-		if bytes += len(r.Body); *count > maxBodies || bytes > KeepBodyBytes {
-			bytes -= len(r.Body)
+		if bodyBytes += len(r.Body); *count > maxBodies || bodyBytes > KeepBodyBytes {
+			bodyBytes -= len(r.Body)
 			r.Body = nil
 		}
 		keep = append(keep, r)
--- a/internal/state/role.go
+++ b/internal/state/role.go
@@ -1,9 +1,9 @@
 package state
 
-// SchedulerRole is the name of the scheduler's role: whoever has it writes plans. It is stored and sent under it.
+// SchedulerRole is the name of the scheduler's role, whose holder writes plans. The name is stored and sent to nodes.
 const SchedulerRole = "sched"
 
-// Role is a singleton role, such as the scheduler's, with the node that holds it.
+// Role records which node holds a singleton role, such as the scheduler's.
 type Role struct {
 	Holder      string `json:"holder,omitempty"` // node name; "" after it was released
 	Addr        string `json:"addr,omitempty"`
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/jobs"
 )
 
-// State is the whole replicated state. It has no lock: its owner serializes all access (see the package). The order of
-// the fields is the order of the keys in snapshots.
+// State is the whole replicated state. It has no lock: its owner serializes all access (see the package comment). The
+// order of the fields is the order of the keys in snapshots.
 type State struct {
 	Index uint64 `json:"index"` // of the newest entry applied
 	Term  uint64 `json:"term"`  // of the newest entry applied
@@ -19,7 +19,8 @@
 	// At is the store time: the greatest time of any applied entry, so it never goes back.
 	At time.Time `json:"at"`
 
-	// The records of the policy deployment, up to LiftSignatures; of these Operators and Successors serve both.
+	// The fields up to LiftSignatures are the records of the policy deployment. Both deployments use Operators and
+	// Successors.
 
 	// LastRunID is the newest run ID issued; run IDs are issued in ascending order and never reused.
 	LastRunID uint64 `json:"ticket"`
@@ -44,14 +45,14 @@
 
 	Bundle    Bundle      `json:"bundle"`    // the version in force
 	Revisions []*Revision `json:"line"`      // versions of the bundle, oldest first; never empty
-	Operators Operators   `json:"operators"` // empty until the first are known
+	Operators Operators   `json:"operators"` // empty until SetOperators is applied
 
 	Evacuated map[string]time.Time `json:"evacuated"` // zone to the start of its evacuation
 
 	// Successors are the control plane nodes that may join in another's place, by an operator's order: new name to old.
 	Successors map[string]string `json:"successors,omitempty"`
 
-	// LiftSignatures has for each evacuated zone the operators who signed for lifting the evacuation so far.
+	// LiftSignatures maps each evacuated zone to the operators who have signed for lifting its evacuation.
 	LiftSignatures map[string][]string `json:"lifts,omitempty"`
 
 	// Orders are the answered orders of operators, of both deployments.
@@ -64,8 +65,8 @@
 	// Accounts are the parties' prepaid balances; nil until the first account is opened.
 	Accounts *account.Table `json:"accounts,omitempty"`
 
-	// OnEvent is called after each change that Event names, on the goroutine that applies the entry; it must not change
-	// the state. Nil: events are dropped.
+	// OnEvent is called after each change that has an EventKind, on the goroutine that applies the entry. It must not
+	// change the state. If it is nil, events are dropped.
 	OnEvent func(Event) `json:"-"`
 
 	indexes indexes
@@ -94,7 +95,7 @@
 	return s
 }
 
-// Encode returns the state as JSON, the same bytes for the same state.
+// Encode returns the state as JSON. Equal states have equal encodings.
 func (s *State) Encode() ([]byte, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return data, nil
 }
 
-// Decode reads what Encode wrote. Failure: Damaged.
+// Decode parses a state that Encode returned. Failure: Damaged.
 func Decode(data []byte) (*State, error) {
 	s := New()
 	s.Bundle, s.Revisions = Bundle{}, nil
@@ -115,7 +116,7 @@
 	return s, nil
 }
 
-// fillDefaults sets the fields that every state must have and that encodings of older versions lack.
+// fillDefaults sets fields that every state must have but that encodings of older versions lack.
 func (s *State) fillDefaults() {
 	if s.JobTable == nil {
 		s.JobTable = jobs.NewTable()
@@ -125,7 +126,7 @@
 	}
 }
 
-// must panics on a refusal of a change that the caller has just checked. Such a refusal is a bug, and to continue would
+// must panics on an error of a change that the caller has just checked. Such an error is a bug, and continuing would
 // let the nodes diverge.
 func must(err error) {
 	if err != nil {
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -12,13 +12,13 @@
 	TaskDue         TaskPhase = "d" // may be assigned from Task.DueAt on
 	TaskAssigned    TaskPhase = "h" // has a handle; its worker has not yet reported it as running
 	TaskRunning     TaskPhase = "r" // reported as running
-	TaskUnconfirmed TaskPhase = "?" // an answer about it was lost; its handle stays until it is proved dead
-	TaskDone        TaskPhase = "e" // ended well
-	TaskFailed      TaskPhase = "x" // ended in failure once more than its retries allow
-	TaskSkipped     TaskPhase = "s" // never to run: the job was cancelled or has failed
+	TaskUnconfirmed TaskPhase = "?" // its order or the answer was lost; keeps its handle until reported or proved dead
+	TaskDone        TaskPhase = "e" // succeeded
+	TaskFailed      TaskPhase = "x" // failed more often than its retries allow
+	TaskSkipped     TaskPhase = "s" // will not run: the job was cancelled or has failed
 )
 
-// IsTerminal reports whether a task stays in the phase.
+// IsTerminal reports whether p is a final phase.
 func (p TaskPhase) IsTerminal() bool { return p == TaskDone || p == TaskFailed || p == TaskSkipped }
 
 // HasHandle reports whether a task in this phase has a handle.
@@ -26,8 +26,8 @@
 	return p == TaskAssigned || p == TaskRunning || p == TaskUnconfirmed
 }
 
-// taskTransitions are the changes of a task's phase that exist; State.applyTaskPhase refuses all others. A due task
-// becomes done when the end of its run is reported after its handle was released by a proof.
+// taskTransitions lists the allowed changes of a task's phase; State.applyTaskPhase rejects all others. A due task
+// becomes done if the success of its run is reported after a proof has released its handle.
 var taskTransitions = map[TaskPhase][]TaskPhase{
 	TaskWaiting:     {TaskDue, TaskSkipped},
 	TaskDue:         {TaskAssigned, TaskDone, TaskSkipped},
@@ -39,21 +39,21 @@
 // Task is one task of a step.
 type Task struct {
 	Phase    TaskPhase `json:"p,omitempty"`
-	Failures int       `json:"n,omitempty"` // ends in failure so far
-	Lost     int       `json:"l,omitempty"` // handles proved dead without an end
-	RunID    uint64    `json:"t,omitempty"` // of its newest run, also after the handle is released
+	Failures int       `json:"n,omitempty"` // number of failed runs
+	Lost     int       `json:"l,omitempty"` // number of runs proved dead without a reported end
+	RunID    uint64    `json:"t,omitempty"` // of its newest run, kept after the handle is released
 	DueAt    time.Time `json:"d,omitzero"`  // store time from which it may start
 	Reason   string    `json:"w,omitempty"` // of its newest failure
 }
 
-// TaskRef names a task: its job by key, its step and itself by position.
+// TaskRef identifies a task by the key of its job, the position of its step and its own position in the step.
 type TaskRef struct {
 	Job  string `json:"j"`
 	Step int    `json:"s"`
 	Task int    `json:"k"`
 }
 
-// TaskOf finds a task and its job; nil if there is none.
+// TaskOf returns the job and the task that ref identifies, or nil for both if the task does not exist.
 func (s *State) TaskOf(ref TaskRef) (*Job, *Task) {
 	j := s.Jobs[ref.Job]
 	if j == nil || ref.Step < 0 || ref.Step >= len(j.Tasks) || ref.Task < 0 || ref.Task >= len(j.Tasks[ref.Step]) {
--- a/internal/state/tombstone.go
+++ b/internal/state/tombstone.go
@@ -22,7 +22,7 @@
 	s.EndedJobs = s.EndedJobs[1:]
 }
 
-// DropOldestTombstone forgets the oldest tombstone; its job's key may then be used again.
+// DropOldestTombstone removes the oldest tombstone. The key of its job may then be used for a new job.
 func (s *State) DropOldestTombstone() {
 	delete(s.Tombstones, s.TombstoneOrder[0])
 	s.TombstoneOrder = s.TombstoneOrder[1:]
--- a/internal/state/transition.go
+++ b/internal/state/transition.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/errs"
 )
 
-// EnqueueJob puts a new job into the inbox. Its tasks wait until AdmitJobs.
+// EnqueueJob puts a new job into the inbox. Its tasks wait until AdmitJobs admits the job.
 func (s *State) EnqueueJob(j *Job) {
 	j.Tasks = make([][]Task, len(j.Spec.Steps))
 	for i, step := range j.Spec.Steps {
@@ -26,12 +26,12 @@
 		return
 	}
 	s.AdmittedSeq = min(seq, s.Seq)
-	n := 0
-	for n < len(s.Inbox) && s.Jobs[s.Inbox[n]].Seq <= seq {
-		n++
+	admitted := 0
+	for admitted < len(s.Inbox) && s.Jobs[s.Inbox[admitted]].Seq <= seq {
+		admitted++
 	}
-	keys := s.Inbox[:n]
-	s.Inbox = append([]string(nil), s.Inbox[n:]...)
+	keys := s.Inbox[:admitted]
+	s.Inbox = append([]string(nil), s.Inbox[admitted:]...)
 	for _, key := range keys {
 		j := s.Jobs[key]
 		j.Phase = JobRunning
@@ -39,8 +39,8 @@
 	}
 }
 
-// StopJob fixes a job's outcome, a terminal phase: none of its tasks starts any more, and its runs are to be stopped.
-// It does nothing for a job that is stopping or terminal.
+// StopJob fixes the outcome of a job, which must be a terminal phase. No task of the job starts afterwards, and its
+// runs are to be stopped. A job that is stopping or terminal is left unchanged.
 func (s *State) StopJob(j *Job, outcome JobPhase, reason string) {
 	if j.Phase.IsTerminal() || j.Phase == JobStopping {
 		return
@@ -62,11 +62,11 @@
 	s.finishIfComplete(j)
 }
 
-// SetTaskPhase changes a task's phase, with all that follows for its handle, step and job. h is the new handle on the
-// way into TaskAssigned, else nil. Failures: Stale (no such task, or taskTransitions has no such change), Conflict or
-// Unknown (the party that pays has no account). A refusal changes nothing. Example:
+// SetTaskPhase changes a task's phase and updates its handle, step and job accordingly. h is the new handle if to is
+// TaskAssigned, otherwise nil. Failures: Stale (no such task, or taskTransitions does not allow the change), Conflict
+// or Unknown (the party that pays has no account). A failure changes nothing. Example:
 //
-//	err := s.SetTaskPhase(h.Ref, state.TaskDone, nil) // the run of h ended well
+//	err := s.SetTaskPhase(h.Ref, state.TaskDone, nil) // the run of h succeeded
 func (s *State) SetTaskPhase(ref TaskRef, to TaskPhase, h *Handle) error {
 	j, t := s.TaskOf(ref)
 	if t == nil {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// applyTaskPhase changes a task's phase and its handle, with the indexes and the reservation of the handle, but nothing
-// of its step or job.
+// applyTaskPhase changes a task's phase and its handle, including the indexes and the reservation of the handle, but
+// does not advance its step or job.
 func (s *State) applyTaskPhase(j *Job, t *Task, ref TaskRef, to TaskPhase, h *Handle) error {
 	from := t.Phase
 	if !slices.Contains(taskTransitions[from], to) {
@@ -121,7 +121,7 @@
 	s.notify(Event{Kind: EventHandleCreated, Handle: h, Ref: h.Ref})
 }
 
-// releaseHandle removes a handle and debits its run's time.
+// releaseHandle removes a handle and debits the time of its run.
 func (s *State) releaseHandle(j *Job, h *Handle) {
 	delete(s.Handles, h.RunID)
 	s.indexes.removeHandle(h)
@@ -130,7 +130,7 @@
 	s.notify(Event{Kind: EventHandleReleased, Handle: h, Ref: h.Ref})
 }
 
-// makeReadyTasksDue makes the waiting tasks of all steps due whose preceding steps are done.
+// makeReadyTasksDue makes the waiting tasks due of every step whose preceding steps are done.
 func (s *State) makeReadyTasksDue(j *Job) {
 	for i := range j.Spec.Steps {
 		if !j.isReady(&j.Spec.Steps[i]) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// finishIfComplete moves a job to its terminal phase when it is complete: a running one when all its tasks are done, a
-// stopping one when none has a handle.
+// finishIfComplete moves a job to its terminal phase if it is complete: a running job if all its tasks are done, a
+// stopping job if none of its tasks has a handle.
 func (s *State) finishIfComplete(j *Job) {
 	switch {
 	case j.Phase == JobStopping && j.index.handles == 0:
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -10,8 +10,8 @@
 type Worker struct {
 	Name        string `json:"name"`
 	Addr        string `json:"addr"`
-	Incarnation string `json:"boot,omitempty"` // by its newest answer to the scheduler; "" before
-	Kind        string `json:"kind"`           // obey or check: whether it starts whatever it is ordered to
+	Incarnation string `json:"boot,omitempty"` // from its newest answer to the scheduler; "" before the first
+	Kind        string `json:"kind"`           // obey: starts whatever it is ordered to; check: verifies the order
 	Zone        string `json:"zone"`
 	Rack        string `json:"rack,omitempty"`
 	Labels      Labels `json:"labels,omitempty"`
@@ -36,7 +36,7 @@
 	s.notifyIfNearChanged(sitesChanged)
 }
 
-// DropWorker removes a worker's record. The caller ensures that no handle is on it.
+// DropWorker removes a worker's record. The caller must ensure that the worker has no handles.
 func (s *State) DropWorker(name string) {
 	w := s.Workers[name]
 	if w == nil {
