--- a/internal/state/command/accounts.go
+++ b/internal/state/command/accounts.go
@@ -9,12 +9,12 @@
 	"crosstide/internal/state"
 )
 
-// AccountCreate opens the account of a party. Once the store knows operators, one of them signs
+// AccountCreate opens the account of a party. Once operators are set, one of them must sign the text
 // signature.AccountCreate.
 type AccountCreate struct {
 	Order   string `json:"order"`
 	Account string `json:"account"`
-	Credit  int64  `json:"credit,omitempty"` // how far below zero starts may reserve
+	Credit  int64  `json:"credit,omitempty"` // how far below zero a start may take the balance
 	By      string `json:"by,omitempty"`
 	Sig     string `json:"sig,omitempty"`
 }
@@ -52,8 +52,9 @@
 	return AccountCreated{Account: c.Account, Credit: c.Credit, At: s.At}, nil
 }
 
-// AccountTopUp adds to the balance of an account, once for each idempotency key: repeated, it gets the first answer
-// again. Once the store knows operators, one of them signs signature.AccountTopUp. The answer is an account.TopUp.
+// AccountTopUp adds to the balance of an account, once for each idempotency key: a repeated top-up gets the first
+// answer again. Once operators are set, one of them must sign the text signature.AccountTopUp. The answer is an
+// account.TopUp.
 type AccountTopUp struct {
 	Account string `json:"account"`
 	Key     string `json:"key"`
--- a/internal/state/command/accounts_test.go
+++ b/internal/state/command/accounts_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAccounts_orders(t *testing.T) {
-	Convey("Orders on accounts are applied once, also on a decoded state, and must be signed", t, func() {
+	Convey("Orders for accounts are applied once, also to a decoded state, and must be signed", t, func() {
 		o := newOperatorsFixture()
 		opened := &AccountCreate{Order: "o1", Account: "acme", By: "ada"}
 		opened.Sig = o.keys["ada"].Sign(signature.AccountCreate("o1", "acme", 0))
--- a/internal/state/command/entry.go
+++ b/internal/state/command/entry.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/state"
 )
 
-// Entry is the data of a log entry: one command, with the store time that its leader read.
+// Entry is the data of a log entry: one command and the store time that the leader set.
 type Entry struct {
 	At   time.Time       `json:"at"`
 	Op   string          `json:"op"`
@@ -20,12 +20,12 @@
 type Command interface {
 	// Op is the command's name in the log.
 	Op() string
-	// apply checks the command against s and, if nothing refuses it, changes s and returns the answer. With an error
-	// nothing is changed. index is that of the entry.
+	// apply checks the command against s, changes s and returns the answer. If it returns an error, s is unchanged.
+	// index is the index of the log entry.
 	apply(s *state.State, index uint64) (any, error)
 }
 
-// constructors have a function for each op that returns an empty command.
+// constructors maps each op to a function that returns an empty command of that op.
 var constructors = map[string]func() Command{
 	// Of both deployments.
 	"succeed":        func() Command { return &ReplaceMember{} },
@@ -63,7 +63,7 @@
 func New(op string) (Command, error) {
 	construct, ok := constructors[op]
 	if !ok {
-		return nil, errs.Field(errs.Invalid, "op", "no command %q", op)
+		return nil, errs.Field(errs.Invalid, "op", "unknown command %q", op)
 	}
 	return construct(), nil
 }
@@ -83,9 +83,9 @@
 	return data, nil
 }
 
-// Apply decodes the data of the log entry at index and term, and applies it. The answer and the error are the
-// command's: the error is an outcome, equal on every node. The state's index and term advance in any case. An entry
-// without data, which a new leader appends, advances only these.
+// Apply decodes the data of the log entry at index and term, and applies it. The answer and the error are those of the
+// command; the error is an outcome that is equal on every node. The state's index and term advance in any case. An
+// entry without data, which a new leader appends, advances only these.
 func Apply(s *state.State, index, term uint64, data []byte) (any, error) {
 	s.Index, s.Term = index, term
 	if len(data) == 0 {
@@ -97,7 +97,7 @@
 	}
 	if e.At.After(s.At) {
 		s.At = e.At
-		s.Accounts.Renew(s.At) // before anything else of that time
+		s.Accounts.Renew(s.At) // before any other change at that time
 	}
 	c, err := New(e.Op)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return answer, nil
 }
 
-// must panics on a refusal of a change that the caller has just checked. Such a refusal is a bug, and to continue would
+// must panics on an error of a change that the caller has just checked. Such an error is a bug, and continuing would
 // let the nodes diverge.
 func must(err error) {
 	if err != nil {
--- a/internal/state/command/helpers_test.go
+++ b/internal/state/command/helpers_test.go
@@ -8,11 +8,11 @@
 	"crosstide/internal/state"
 )
 
-// testState is a state to which a test applies commands as log entries, in order. All entries are of term 1, and the
-// store time advances by a second with each.
+// testState is a state to which a test applies commands as log entries, in order. All entries have term 1, and each
+// advances the store time by a second.
 type testState struct{ *state.State }
 
-// newTestState returns a state with a scheduler role of epoch 1 and the workers m1 and m2 with two cores each.
+// newTestState returns a state in which the scheduler's role has epoch 1 and the workers m1 and m2 have two cores each.
 func newTestState() testState {
 	s := testState{state.New()}
 	s.do(&GrantRole{Role: "sched", Holder: "d1"})
@@ -28,7 +28,7 @@
 	return state.Worker{Name: name, Incarnation: "b", Kind: "check", Zone: "z" + name[1:], Cores: 2}
 }
 
-// startOn returns a start of a task of the first step.
+// startOn returns a start of a task of the first step on a worker.
 func startOn(worker, key string, task int) Start {
 	return Start{Ref: state.TaskRef{Job: key, Task: task}, Worker: worker, Incarnation: "b"}
 }
@@ -50,8 +50,8 @@
 	return s.do(&Submit{Spec: state.Spec{Key: key, Team: "a", Queue: "default", Steps: steps}, Digest: key, Bound: 3})
 }
 
-// start applies a plan that admits all jobs and has the starts. A plan of another epoch is answered with the reason
-// "epoch".
+// start applies a plan that admits all jobs and contains the starts. If the plan is rejected, the answer has the
+// refusal "epoch" and only zero run IDs.
 func (s testState) start(epoch uint64, starts ...Start) Planned {
 	answer, err := s.do(&Plan{
 		Epoch: epoch, BundleVersion: s.Bundle.Version, Seq: s.Seq, Starts: starts, LeaseTTL: time.Second,
@@ -62,14 +62,14 @@
 	return answer.(Planned)
 }
 
-// must applies a command that must not be refused, and returns its answer.
+// must applies a command, checks that it succeeds and returns its answer.
 func (s testState) must(c Command) any {
 	answer, err := s.do(c)
 	So(err, ShouldBeNil)
 	return answer
 }
 
-// plan applies a plan of epoch 1 that must not be refused.
+// plan applies a plan of epoch 1 and checks that it succeeds.
 func (s testState) plan(p Plan) Planned {
 	p.Epoch, p.BundleVersion = 1, s.Bundle.Version
 	return s.must(&p).(Planned)
--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/state"
 )
 
-// The commands on the job table have the changes of package jobs, which checks and makes them. Here they get their op,
-// their JSON in the log and, for orders of operators, the signature.
+// The commands on the job table wrap the changes of package jobs, which checks and makes them. This file adds the op,
+// the JSON in the log and, for orders of operators, the signature.
 
 // JobSubmit accepts a job into the job table; the answer is its jobs.JobState.
 type JobSubmit struct{ jobs.Submit }
@@ -67,8 +67,8 @@
 	return nil, nil
 }
 
-// JobProgress records what the scheduler has decided and what workers have reported; the answer is jobs.Started. It is
-// refused unless its log entry is of the term that it was decided in.
+// JobProgress records decisions of the scheduler and reports of workers; the answer is jobs.Started. It is rejected if
+// its log entry has another term than the one in which it was decided.
 type JobProgress struct{ jobs.Progress }
 
 // Op returns "job-progress".
@@ -79,7 +79,7 @@
 	return answer, errs.Pass(err, "progress")
 }
 
-// JobPurge deletes the jobs of the job table that ended before a time.
+// JobPurge deletes the jobs of the job table that ended before the time Before.
 type JobPurge struct {
 	Before time.Time `json:"before"`
 }
@@ -92,8 +92,8 @@
 	return nil, nil
 }
 
-// JobParties sets who pays for which queues of the job table. Once the store knows operators, one of them signs
-// signature.JobParties over the digest of the parties' JSON.
+// JobParties sets which parties pay for which queues of the job table. Once operators are set, one of them must sign
+// the text signature.JobParties, which contains the digest of the parties' JSON.
 type JobParties struct {
 	Order string `json:"order"`
 	jobs.SetParties
--- a/internal/state/command/jobs_table_test.go
+++ b/internal/state/command/jobs_table_test.go
@@ -50,14 +50,14 @@
 		So(err, ShouldBeNil)
 		So(string(continued), ShouldEqual, string(data))
 	})
-	Convey("Progress in an entry of another term is stale, and a cancel without its job is unknown", t, func() {
+	Convey("Progress of another term fails with Stale, and a cancel of an unknown job with Unknown", t, func() {
 		s := testState{state.New()}
-		_, err := s.do(&JobProgress{jobs.Progress{Term: 2}}) // the test's entries are of term 1
+		_, err := s.do(&JobProgress{jobs.Progress{Term: 2}}) // the entries of testState have term 1
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		_, err = s.do(&JobCancel{jobs.Cancel{ID: "j"}})
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
 	})
-	Convey("A state that was encoded before there was a job table is decoded with an empty one", t, func() {
+	Convey("A state that was encoded without a job table is decoded with an empty one", t, func() {
 		data, err := state.New().Encode()
 		So(err, ShouldBeNil)
 		cut := strings.Index(string(data), `,"table":`)
@@ -76,7 +76,7 @@
 }
 
 func TestJobTable_payment(t *testing.T) {
-	Convey("The job table draws on the state's accounts, also in a decoded state", t, func() {
+	Convey("The job table reserves and debits the state's accounts, also in a decoded state", t, func() {
 		s := testState{state.New()}
 		s.must(&JobConfigure{jobs.Configure{Version: 1, Replace: true, Services: []jobs.Service{{Name: "s"}},
 			Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 1, Timeout: time.Second}}}})
--- a/internal/state/command/members.go
+++ b/internal/state/command/members.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/state"
 )
 
-// ReplaceMember allows the control-plane node New to join in the place of Old, whose machine is gone. The store removes
-// Old from the members when New has caught up.
+// ReplaceMember allows the control-plane node New to replace Old, whose machine is lost. The store removes Old from the
+// members when New has caught up.
 type ReplaceMember struct {
 	Order string `json:"order"`
 	Old   string `json:"old"`
@@ -32,12 +32,12 @@
 func (c *ReplaceMember) check(s *state.State) error {
 	switch {
 	case c.Old == "" || c.New == "" || strings.Contains(c.Old+c.New, "~"):
-		return errs.Field(errs.Invalid, "new", "the names of two machines are needed, without ~")
+		return errs.Field(errs.Invalid, "new", "the old and the new name must not be empty and must not contain ~")
 	case c.Old == c.New:
-		return errs.Field(errs.Invalid, "new", "a machine of the same name joins by itself")
+		return errs.Field(errs.Invalid, "new", "a machine with the same name joins without an order")
 	}
 	if old, ok := s.Successors[c.New]; ok && old != c.Old {
-		return errs.Field(errs.Conflict, "new", "%q takes the place of %q already", c.New, old)
+		return errs.Field(errs.Conflict, "new", "%q already replaces %q", c.New, old)
 	}
 	return nil
 }
--- a/internal/state/command/operators_test.go
+++ b/internal/state/command/operators_test.go
@@ -11,8 +11,7 @@
 	"crosstide/internal/state"
 )
 
-// operatorsFixture is a state that knows the operators ada and ben, with their keys and that of eve, who is no
-// operator.
+// operatorsFixture is a state with the operators ada and ben, and the keys of both and of eve, who is not an operator.
 type operatorsFixture struct {
 	st   *state.State
 	keys map[string]signature.Key
@@ -66,8 +65,8 @@
 	return &EvacuateZone{Order: order, Zone: zone, Out: out, By: by, Sig: o.keys[by].Sign(text)}
 }
 
-// force writes a version with the text body, has both operators sign it, and returns its number.
-func (o *operatorsFixture) force(body string) uint64 {
+// putInForce writes a version with the text body, has both operators sign it, and returns its number.
+func (o *operatorsFixture) putInForce(body string) uint64 {
 	base := o.st.Head().Version
 	for i, order := range []func() Command{
 		func() Command { return o.put(fmt.Sprintf("p%d", base), "ada", base, body) },
@@ -81,5 +80,5 @@
 	return base + 1
 }
 
-// zonedBundle is the format of a bundle that allows one zone, with spacing that a stored version must keep.
+// zonedBundle is the format of a bundle that allows one zone. A stored version must keep its unusual spacing.
 const zonedBundle = ` {"queues": {"default":{"placement":{"zones":["%s"]}}} }` + "\n\n"
--- a/internal/state/command/order.go
+++ b/internal/state/command/order.go
@@ -9,20 +9,20 @@
 	"crosstide/internal/state"
 )
 
-// order is a command of an operator that is applied at most once for each order ID.
+// order is a command of an operator that is applied at most once per order ID.
 type order interface {
 	Command
-	// check returns why the order is refused; it changes nothing.
+	// check returns an error if the order must be rejected. It changes nothing.
 	check(s *state.State) error
-	// change makes an order that check has not refused, and returns the answer. An error changes nothing.
+	// change applies an order that check has accepted and returns the answer. If it returns an error, s is unchanged.
 	change(s *state.State) (any, error)
 }
 
-// applyOnce applies an order at most once: repeated with the same ID and content it is answered as the first time, with
-// other content it is a conflict. A refusal is not remembered, as it has changed nothing.
+// applyOnce applies an order at most once. An order with an ID and content that were applied before gets the first
+// answer; other content under the same ID is a conflict. A rejected order is not recorded, as it has changed nothing.
 func applyOnce(s *state.State, id string, c order) (any, error) {
 	if id == "" {
-		return nil, errs.Field(errs.Invalid, "order", "an order needs an id")
+		return nil, errs.Field(errs.Invalid, "order", "the ID of an order must not be empty")
 	}
 	digest, err := orderDigest(c)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	if first := s.Orders[id]; first != nil {
 		if first.Digest != digest {
-			return nil, errs.Field(errs.Conflict, "order", "id %q is taken by another order", id)
+			return nil, errs.Field(errs.Conflict, "order", "ID %q belongs to another order", id)
 		}
 		return first.Answer, nil
 	}
@@ -49,7 +49,7 @@
 	return json.RawMessage(raw), nil
 }
 
-// orderDigest returns the op and the SHA-256 of the order's JSON. It is stored with the answer.
+// orderDigest returns the op and the hex SHA-256 of the order's JSON. It is stored with the answer.
 func orderDigest(c order) (string, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
--- a/internal/state/command/order_test.go
+++ b/internal/state/command/order_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestOrders_repeated(t *testing.T) {
-	Convey("A repeated order is answered the same and not applied; another order of its ID conflicts", t, func() {
+	Convey("A repeated order gets the first answer and is not applied; another order with its ID conflicts", t, func() {
 		s := newTestState()
 		first, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
 		So(err, ShouldBeNil)
@@ -25,8 +25,8 @@
 	})
 }
 
-// TestOrders_storedAnswers pins the stored answers to the byte: they are part of snapshots, which must be the same on
-// nodes of all versions of the program.
+// TestOrders_storedAnswers pins the exact bytes of stored answers: they are part of snapshots, which must be equal on
+// nodes that run different versions of the program.
 func TestOrders_storedAnswers(t *testing.T) {
 	Convey("The stored answers of orders that change workers, members and zones have fixed bytes", t, func() {
 		s := newTestState()
--- a/internal/state/command/policy_bundle.go
+++ b/internal/state/command/policy_bundle.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/state"
 )
 
-// PutBundle writes a version of the bundle as a draft against Base, which must be the newest. Sig is over
-// signature.Put.
+// PutBundle writes a version of the bundle as a draft against Base, which must be the newest version. Sig signs the
+// text signature.Put.
 type PutBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
@@ -20,7 +20,7 @@
 	Body  []byte `json:"body"`
 }
 
-// BundleDrafted answers PutBundle and PatchBundle: the new version, the digest to be signed, and its phase.
+// BundleDrafted answers PutBundle and PatchBundle with the new version, the digest to sign, and the phase.
 type BundleDrafted struct {
 	Version uint64              `json:"version"`
 	Base    uint64              `json:"base"`
@@ -49,8 +49,8 @@
 	return drafted, errs.Pass(err, "put")
 }
 
-// PatchBundle writes a version as a draft: Base, which must be the newest, changed by a JSON merge patch. The result
-// must be a valid bundle. Sig is over signature.Patch.
+// PatchBundle writes a version as a draft: the result of a JSON merge patch of Base, which must be the newest version.
+// The result must be a valid bundle. Sig signs the text signature.Patch.
 type PatchBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
@@ -84,12 +84,12 @@
 	return drafted, errs.Pass(err, "patch")
 }
 
-// checkBase returns nil if base is the newest version, in force or not. Failure: Conflict.
+// checkBase returns nil if base is the newest version, whether in force or not. Failure: Conflict.
 func checkBase(s *state.State, base uint64) error {
 	head := s.Head()
 	switch {
 	case base > head.Version:
-		return errs.Field(errs.Conflict, "base", "there is no version %d, the newest is %d", base, head.Version)
+		return errs.Field(errs.Conflict, "base", "version %d does not exist, the newest is %d", base, head.Version)
 	case base < head.Version:
 		author := head.Author
 		if next := s.Revision(base + 1); next != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// appendDraft appends a text as the newest version. Failures: Invalid, TooLarge; they change nothing.
+// appendDraft appends a text as the newest version. Failures, which change nothing: Invalid, TooLarge.
 func appendDraft(s *state.State, order, author string, body []byte) (any, error) {
 	if _, err := bundle.Parse(body); err != nil {
 		return nil, errs.Pass(err, "draft")
@@ -112,12 +112,12 @@
 		Version: base + 1, Base: base, Digest: bundle.Digest(body), Size: len(body),
 		Order: order, Author: author, WrittenAt: s.At, Phase: state.RevisionDraft, Body: body,
 	}
-	must(s.AppendRevision(r)) // a head that waits for signatures may always be replaced
+	must(s.AppendRevision(r)) // a head that lacks signatures may always be replaced
 	return BundleDrafted{r.Version, r.Base, r.Digest, r.Phase}, nil
 }
 
-// SignBundle is an operator's signature of a version: Sig is over signature.Bundle. The second one, by another
-// operator, puts the version in force in the same step.
+// SignBundle adds an operator's signature to a version: Sig signs the text signature.Bundle. The second signature, by
+// another operator, also puts the version in force.
 type SignBundle struct {
 	Order   string `json:"order"`
 	Version uint64 `json:"version"`
@@ -126,7 +126,7 @@
 	Sig     string `json:"sig"`
 }
 
-// BundleSigned answers SignBundle: the version's phase now, and who signed it.
+// BundleSigned answers SignBundle with the version's new phase and its signers.
 type BundleSigned struct {
 	Version uint64              `json:"version"`
 	Digest  string              `json:"sha256"`
@@ -146,22 +146,22 @@
 	r := s.Revision(c.Version)
 	switch {
 	case r == nil:
-		return errs.Field(errs.Unknown, "version", "no version %d", c.Version)
+		return errs.Field(errs.Unknown, "version", "version %d does not exist", c.Version)
 	case !strings.EqualFold(r.Digest, c.Digest):
-		return errs.Field(errs.Invalid, "sha256", "version %d has %s, not %s", r.Version, r.Digest, c.Digest)
+		return errs.Field(errs.Invalid, "sha256", "version %d has the digest %s, not %s", r.Version, r.Digest, c.Digest)
 	}
 	if err := verifySignature(s, c.By, c.Sig, signature.Bundle(r.Version, r.Digest)); err != nil {
 		return errs.Pass(err, "sign")
 	}
 	switch {
 	case r.Phase == state.RevisionInForce:
-		return errs.Field(errs.Conflict, "version", "version %d is in force already", r.Version)
+		return errs.Field(errs.Conflict, "version", "version %d is already in force", r.Version)
 	case r.Phase == state.RevisionReplaced:
 		return errs.Field(errs.Conflict, "version",
 			"someone else was first: version %d was replaced, the newest is %d", r.Version, s.Head().Version)
 	case slices.ContainsFunc(r.Signed, func(g state.Signature) bool { return g.By == c.By }):
 		return errs.Field(errs.Forbidden, "by",
-			"%s has signed version %d; another operator must sign too", c.By, r.Version)
+			"%s has already signed version %d; another operator must sign too", c.By, r.Version)
 	}
 	return nil
 }
@@ -172,8 +172,8 @@
 	if len(r.Signed) == 1 {
 		must(s.SetRevisionPhase(r, state.RevisionSigned))
 	} else {
-		// The draft was parsed when it was written. A node of another version of the program that refuses it now must
-		// stop: the bundle must not be in force on some nodes only.
+		// The draft was parsed when it was written. A node that runs another version of the program and rejects it now
+		// must stop: the bundle must not be in force on some nodes only.
 		b, err := bundle.Parse(r.Body)
 		must(err)
 		must(s.PutInForce(r, b))
--- a/internal/state/command/policy_bundle_test.go
+++ b/internal/state/command/policy_bundle_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestBundle_intoForce(t *testing.T) {
-	Convey("A version goes from draft over one signature into force, and its exact bytes stay", t, func() {
+	Convey("A draft is in force after two operators have signed it, and keeps its exact bytes", t, func() {
 		o := newOperatorsFixture()
 		notified := 0
 		o.st.OnEvent = func(event state.Event) {
@@ -58,7 +58,7 @@
 }
 
 func TestBundle_badSignatures(t *testing.T) {
-	Convey("An order without the signature that it needs is refused, and changes nothing", t, func() {
+	Convey("An order without the required signature is rejected and changes nothing", t, func() {
 		o := newOperatorsFixture()
 		_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zonedBundle, "z1")))
 		So(err, ShouldBeNil)
@@ -67,26 +67,26 @@
 		before, err := o.st.Encode()
 		So(err, ShouldBeNil)
 		index := o.st.Index
-		other, wrong := o.sign("o9", "ben", 2), o.sign("o9", "ben", 2)
-		other.Sig = o.keys["ada"].Sign(signature.Bundle(2, other.Digest))
-		wrong.Digest = bundle.Digest([]byte("x"))
-		wrong.Sig = o.keys["ben"].Sign(signature.Bundle(2, wrong.Digest))
-		stolen := o.put("o9", "ben", 2, fmt.Sprintf(zonedBundle, "z2"))
-		stolen.Body = []byte(fmt.Sprintf(zonedBundle, "z3"))
-		patchOfNoZones := o.patch("o9", "ben", 2, `{"queues":{"default":{"placement":{"zones":[]}}}}`)
+		wrongSigner, wrongDigest := o.sign("o9", "ben", 2), o.sign("o9", "ben", 2)
+		wrongSigner.Sig = o.keys["ada"].Sign(signature.Bundle(2, wrongSigner.Digest))
+		wrongDigest.Digest = bundle.Digest([]byte("x"))
+		wrongDigest.Sig = o.keys["ben"].Sign(signature.Bundle(2, wrongDigest.Digest))
+		wrongBody := o.put("o9", "ben", 2, fmt.Sprintf(zonedBundle, "z2"))
+		wrongBody.Body = []byte(fmt.Sprintf(zonedBundle, "z3"))
+		emptyZonesPatch := o.patch("o9", "ben", 2, `{"queues":{"default":{"placement":{"zones":[]}}}}`)
 		operators := map[string]string{"eve": o.keys["eve"].Public(), "ada": o.keys["ada"].Public()}
 		for i, test := range []struct {
 			order Command
 			kind  errs.Kind
 		}{
-			{o.sign("o9", "ada", 2), errs.Forbidden}, // ada has signed it already
+			{o.sign("o9", "ada", 2), errs.Forbidden}, // ada has already signed it
 			{o.sign("o9", "eve", 2), errs.Forbidden},
-			{other, errs.Forbidden},
-			{wrong, errs.Invalid},
-			{stolen, errs.Forbidden},
+			{wrongSigner, errs.Forbidden},
+			{wrongDigest, errs.Invalid},
+			{wrongBody, errs.Forbidden},
 			{o.put("o9", "eve", 2, fmt.Sprintf(zonedBundle, "z2")), errs.Forbidden},
 			{o.put("o9", "ben", 2, `{"queues":{"q":{"zone":1}}}`), errs.Invalid},
-			{patchOfNoZones, errs.Invalid}, // a valid patch, but its result is no valid bundle
+			{emptyZonesPatch, errs.Invalid}, // a valid patch, but its result is not a valid bundle
 			{o.put("o9", "ben", 3, fmt.Sprintf(zonedBundle, "z2")), errs.Conflict},
 			{o.sign("o9", "ben", 3), errs.Unknown},
 			{o.sign("o9", "ben", 1), errs.Conflict},
@@ -104,9 +104,9 @@
 }
 
 func TestBundle_patch(t *testing.T) {
-	Convey("A patch changes the newest version, and is signed like a bundle", t, func() {
+	Convey("A patch changes the newest version and must be signed like a bundle", t, func() {
 		o := newOperatorsFixture()
-		o.force(fmt.Sprintf(zonedBundle, "z1"))
+		o.putInForce(fmt.Sprintf(zonedBundle, "z1"))
 		_, err := o.do(o.patch("o1", "ben", 2, `{"queues":{"scan":{"urgent":true}},"limits":{"scan":4}}`))
 		So(err, ShouldBeNil)
 		So(o.st.Bundle.Version, ShouldEqual, 2)
@@ -121,8 +121,8 @@
 }
 
 func TestBundle_races(t *testing.T) {
-	Convey("Of orders on one base the first is accepted and the others are conflicts, in every order", t, func() {
-		for _, turn := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
+	Convey("Of drafts against one base, in any order, the first is accepted and the others conflict", t, func() {
+		for _, sequence := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 			o := newOperatorsFixture()
 			orders := []Command{
 				o.put("oa", "ada", 1, fmt.Sprintf(zonedBundle, "z1")),
@@ -130,8 +130,8 @@
 				o.patch("oc", "ben", 1, `{"limits":{"scan":1}}`),
 			}
 			var accepted []int
-			for round := range 2 { // each is sent twice
-				for _, i := range turn {
+			for round := range 2 { // each order is sent twice
+				for _, i := range sequence {
 					_, err := o.do(orders[i])
 					if err == nil {
 						accepted = append(accepted, i)
@@ -140,7 +140,7 @@
 					So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 					So(err.Error(), ShouldContainSubstring, "someone else was first")
 				}
-				So(accepted, ShouldResemble, slices.Repeat([]int{turn[0]}, round+1))
+				So(accepted, ShouldResemble, slices.Repeat([]int{sequence[0]}, round+1))
 			}
 			So(o.st.Head().Version, ShouldEqual, 2)
 		}
@@ -148,7 +148,7 @@
 }
 
 func TestBundle_draftReplaced(t *testing.T) {
-	Convey("A draft that a newer one has replaced cannot be signed", t, func() {
+	Convey("A draft that was replaced by a newer one cannot be signed", t, func() {
 		for _, signed := range []bool{false, true} {
 			o := newOperatorsFixture()
 			_, err := o.do(o.put("o1", "ada", 1, fmt.Sprintf(zonedBundle, "z1")))
@@ -168,10 +168,10 @@
 }
 
 func TestBundle_bounds(t *testing.T) {
-	Convey("Old bodies are dropped, but never those of the version in force and the newest", t, func() {
+	Convey("Old bodies are dropped, except those of the version in force and of the newest version", t, func() {
 		o := newOperatorsFixture()
 		for i := range state.KeepBodies + 6 {
-			o.force(fmt.Sprintf(zonedBundle, fmt.Sprintf("z%d", i)))
+			o.putInForce(fmt.Sprintf(zonedBundle, fmt.Sprintf("z%d", i)))
 		}
 		inForce := o.st.Bundle.Version
 		for i := range state.KeepDrafts + 6 {
@@ -192,9 +192,10 @@
 }
 
 func TestBundle_operators(t *testing.T) {
-	Convey("The operators of a bundle in force replace the former ones", t, func() {
+	Convey("The operators of a bundle replace the previous ones when it is put in force", t, func() {
 		o := newOperatorsFixture()
-		o.force(fmt.Sprintf(`{"queues":{"default":{}},"operators":[{"name":"eve","key":%q},{"name":"ada","key":%q}]}`,
+		o.putInForce(fmt.Sprintf(
+			`{"queues":{"default":{}},"operators":[{"name":"eve","key":%q},{"name":"ada","key":%q}]}`,
 			o.keys["eve"].Public(), o.keys["ada"].Public()))
 		_, err := o.do(o.put("n1", "ben", 2, fmt.Sprintf(zonedBundle, "z1")))
 		So(errs.KindOf(err), ShouldEqual, errs.Forbidden)
--- a/internal/state/command/policy_cancel.go
+++ b/internal/state/command/policy_cancel.go
@@ -10,12 +10,12 @@
 // cancelReason is stored with each cancelled job.
 const cancelReason = "cancelled by a consumer"
 
-// Cancel stops a job: no task of it starts after this entry.
+// Cancel stops a job: none of its tasks starts after this entry.
 type Cancel struct {
 	Key string `json:"key"`
 }
 
-// Cancelled answers Cancel with the phase after it; a terminal job keeps its phase.
+// Cancelled answers Cancel with the job's phase after it; a terminal job keeps its phase.
 type Cancelled struct {
 	Key   string         `json:"key"`
 	Phase state.JobPhase `json:"state"`
@@ -35,21 +35,21 @@
 	return nil, errs.Field(errs.Unknown, "key", "no job %q", c.Key)
 }
 
-// maxCancels bounds the keys of one CancelMany.
+// maxCancels is the maximum number of keys in one CancelMany.
 const maxCancels = 10000
 
-// CancelMany stops many jobs in one step: those of Keys, or all of a team, of a queue, or of a team in a queue.
+// CancelMany stops many jobs in one entry: those in Keys, or all of a team, of a queue, or of a team in a queue.
 type CancelMany struct {
 	Keys  []string `json:"keys,omitempty"`
 	Team  string   `json:"team,omitempty"`
 	Queue string   `json:"queue,omitempty"`
 }
 
-// CancelledMany answers CancelMany.
+// CancelledMany answers CancelMany with the number of jobs by outcome.
 type CancelledMany struct {
-	Cancelled int      `json:"cancelled"`         // stopped by this call
-	Over      int      `json:"over,omitempty"`    // were terminal or stopping
-	Unknown   []string `json:"unknown,omitempty"` // keys that no job has
+	Cancelled int      `json:"cancelled"`         // stopped by this entry
+	Over      int      `json:"over,omitempty"`    // already terminal or stopping
+	Unknown   []string `json:"unknown,omitempty"` // keys without a job
 }
 
 // Op returns "cancels".
@@ -60,7 +60,7 @@
 		return nil, errs.Pass(err, "cancel")
 	}
 	answer := CancelledMany{}
-	for _, key := range c.selected(s) {
+	for _, key := range c.selectedKeys(s) {
 		switch j := s.Jobs[key]; {
 		case j != nil && !j.Phase.IsTerminal() && j.Phase != state.JobStopping:
 			s.StopJob(j, state.JobCancelled, cancelReason)
@@ -78,17 +78,17 @@
 	byGroup := c.Team+c.Queue != ""
 	switch {
 	case len(c.Keys) > maxCancels:
-		return errs.Field(errs.Invalid, "keys", "%d keys, at most %d", len(c.Keys), maxCancels)
+		return errs.Field(errs.Invalid, "keys", "got %d keys, the maximum is %d", len(c.Keys), maxCancels)
 	case len(c.Keys) > 0 && byGroup:
-		return errs.Field(errs.Invalid, "keys", "keys go without team and queue")
+		return errs.Field(errs.Invalid, "keys", "must not be combined with team or queue")
 	case len(c.Keys) == 0 && !byGroup:
-		return errs.Field(errs.Invalid, "keys", "keys, a team or a queue are needed")
+		return errs.Field(errs.Invalid, "keys", "keys, team or queue must be set")
 	}
 	return nil
 }
 
-// selected returns the keys of the jobs to stop, in the same order on every node.
-func (c *CancelMany) selected(s *state.State) []string {
+// selectedKeys returns the keys of the jobs to stop, in the same order on every node.
+func (c *CancelMany) selectedKeys(s *state.State) []string {
 	if len(c.Keys) > 0 {
 		return c.Keys
 	}
--- a/internal/state/command/policy_payment_test.go
+++ b/internal/state/command/policy_payment_test.go
@@ -14,12 +14,12 @@
 	"crosstide/internal/testbed/exhaustive"
 )
 
-// window is the time that a start pays in advance in these tests.
+// window is the run time that a start reserves in these tests.
 const window = 10 * time.Second
 
-// newPaid returns a state in which the party acme, with units on its account, pays for team a: 10 units a second for
+// newPaidState returns a state in which the party acme, with the given balance, pays for team a: 10 units a second for
 // each run, so that a start reserves 100.
-func newPaid(units int64) testState {
+func newPaidState(units int64) testState {
 	s := newTestState()
 	s.Bundle.SetParties(map[string]state.Party{
 		"acme": {Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: window},
@@ -42,16 +42,16 @@
 
 func TestPayment_ofRuns(t *testing.T) {
 	Convey("Given a party with enough for two starts, and a job of its team", t, func() {
-		s := newPaid(250)
+		s := newPaidState(250)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 4, Retries: 9})
-		Convey("a start reserves in its commit, and is refused when the balance is exhausted; an end debits", func() {
+		Convey("a start reserves when it is applied, or is refused if the balance is exhausted; an end debits", func() {
 			So(s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1), startOn("m2", "j", 2)), ShouldResemble,
 				Planned{RunIDs: []uint64{1, 2, 0}, Refused: []state.Refusal{"", "", "balance"}})
 			So(s.sums(), ShouldEqual, [3]int64{50, 200, 0})
 			s.plan(Plan{Ends: []End{{RunID: 1, OK: true}}})
 			So(s.sums(), ShouldEqual, [3]int64{140, 100, 10})
 			So(s.start(1, startOn("m2", "j", 2)).RunIDs, ShouldResemble, []uint64{3})
-			Convey("a refused start leaves the task due and counts as no failure", func() {
+			Convey("a refused start leaves the task due and does not count as a failure", func() {
 				task := s.Jobs["j"].Tasks[0][3]
 				So(task, ShouldResemble, state.Task{Phase: state.TaskDue})
 				So(s.UnpaidReason(s.Jobs["j"]), ShouldContainSubstring,
@@ -61,7 +61,7 @@
 				So(s.start(1, startOn("m1", "j", 3)).RunIDs, ShouldResemble, []uint64{4})
 			})
 		})
-		Convey("a run that the cluster lost is not paid for; one that was stopped as ordered is", func() {
+		Convey("a run that the cluster lost is refunded; one that was stopped as ordered is debited", func() {
 			s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
 			s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}, {RunID: 2, Kind: ProofStop}}})
 			So(s.sums(), ShouldEqual, [3]int64{240, 0, 10})
@@ -71,7 +71,7 @@
 			s.plan(Plan{Running: []uint64{3}, Workers: []state.Worker{restarted}})
 			So(s.sums(), ShouldEqual, [3]int64{240, 0, 10})
 		})
-		Convey("a run that outlives its window is debited further, also below zero, by any later entry", func() {
+		Convey("a run that exceeds its window is debited by any later entry, also below zero", func() {
 			s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
 			for range 9 {
 				s.must(&Purge{JobsKeep: 9})
@@ -83,7 +83,7 @@
 			s.plan(Plan{Ends: []End{{RunID: 1, OK: true}, {RunID: 2}}})
 			So(s.sums(), ShouldEqual, [3]int64{10, 0, 240})
 		})
-		Convey("a team that nobody pays for is not affected", func() {
+		Convey("a team without a party is not affected", func() {
 			s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1))
 			steps := []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}
 			spec := state.Spec{Key: "k", Team: "free", Queue: "default", Steps: steps}
@@ -97,8 +97,8 @@
 }
 
 func TestPayment_ofGangs(t *testing.T) {
-	Convey("A gang is paid for together or not at all", t, func() {
-		s := newPaid(199)
+	Convey("The starts of a gang are paid for together or not at all", t, func() {
+		s := newPaidState(199)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, Gang: true})
 		first, other := startOn("m1", "j", 0), startOn("m2", "j", 1)
 		first.Group, other.Group = 7, 7
@@ -112,7 +112,7 @@
 
 func TestPayment_ofLongRunningTasks(t *testing.T) {
 	Convey("A long-running task starts only when paid for, and restarts also when the balance is exhausted", t, func() {
-		s := newPaid(99)
+		s := newPaidState(99)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", LongRunning: true})
 		So(s.start(1, startOn("m1", "j", 0)).Refused, ShouldResemble, []state.Refusal{"balance"})
 		s.topUp("one more", 1)
@@ -156,14 +156,14 @@
 }
 
 func TestPayment_ofLongRunningGangs(t *testing.T) {
-	Convey("The first run of a gang's member is paid for with another's restart, below zero if need be", t, func() {
-		s := newPaid(200)
+	Convey("A gang with a restart starts if the balance covers the other's first run, even below zero", t, func() {
+		s := newPaidState(200)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, LongRunning: true})
 		s.start(1, startOn("m1", "j", 0))
 		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		s.start(1, startOn("m1", "j", 0))
 		s.plan(Plan{Dead: []Proof{{RunID: 2, Kind: ProofLeaseExpired}}})
-		s.Accounts.Accounts["acme"].Balance -= 100 // as if something else ran
+		s.Accounts.Accounts["acme"].Balance -= 100 // as if another run had been paid for
 		s.Accounts.Accounts["acme"].ToppedUp -= 100
 		s.Accounts.Accounts["acme"].Ledger.Head.ToppedUp -= 100
 		first, other := startOn("m1", "j", 0), startOn("m2", "j", 1)
@@ -174,7 +174,7 @@
 }
 
 // TestPayment_races tries every order of events that change a balance, with a start after each prefix: it is assigned
-// exactly when the balance covers it at that entry, whatever balance the scheduler planned with.
+// if and only if the balance covers it at that entry, whatever the balance was when the scheduler planned it.
 func TestPayment_races(t *testing.T) {
 	events := []struct {
 		name string
@@ -187,9 +187,9 @@
 		{"a loss", func(s testState) { s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 2, Kind: ProofFloor}}}) }},
 		{"a long time", func(s testState) { s.do(&Purge{JobsKeep: 9}); s.Accounts.Renew(s.At.Add(window)) }},
 	}
-	Convey("A start is assigned exactly when the balance covers it at its own entry", t, func() {
+	Convey("A start is assigned if and only if the balance covers it at its own entry", t, func() {
 		orders := exhaustive.Arrangements(len(events), func(chosen []int) {
-			s := newPaid(300)
+			s := newPaidState(300)
 			s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 4, Retries: 9})
 			s.start(1, startOn("m2", "j", 1), startOn("m2", "j", 2))
 			for _, i := range chosen {
--- a/internal/state/command/policy_placement_test.go
+++ b/internal/state/command/policy_placement_test.go
@@ -13,7 +13,7 @@
 func TestPlacementPolicies(t *testing.T) {
 	Convey("Placement, lease TTLs, retries and wait reasons follow the bundle in force", t, func() {
 		o := newOperatorsFixture()
-		o.force(`{"queues":{"default":{"placement":{"near":[{"label":"data","value":"s","within":"rack"}]},
+		o.putInForce(`{"queues":{"default":{"placement":{"near":[{"label":"data","value":"s","within":"rack"}]},
 			"hold":"9s","retries":1}},"retries":7}`)
 		for _, worker := range []state.Worker{
 			{Name: "m1", Zone: "z1", Rack: "r1"},
@@ -38,7 +38,7 @@
 		So(err, ShouldBeNil)
 		So(refusal("m1"), ShouldEqual, state.Refusal("near"))
 		So(o.st.WaitReason(spec), ShouldEqual, "")
-		version := o.force(`{"queues":{"other":{}}}`)
+		version := o.putInForce(`{"queues":{"other":{}}}`)
 		So(refusal("m1"), ShouldEqual, state.Refusal("queue"))
 		So(o.st.WaitReason(spec), ShouldEqual, fmt.Sprintf("no queue default in bundle %d", version))
 	})
--- a/internal/state/command/policy_purge.go
+++ b/internal/state/command/policy_purge.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/state"
 )
 
-// Purge replaces terminal jobs by tombstones, and drops tombstones and answered orders: jobs and tombstones by age and
-// number, orders by age.
+// Purge replaces old terminal jobs by tombstones, and drops old tombstones and answered orders. Age and number limit
+// the jobs and tombstones, age alone the orders.
 type Purge struct {
 	JobsBefore       time.Time `json:"jobs_before"`
 	JobsKeep         int       `json:"jobs_keep"`
--- a/internal/state/command/policy_roles.go
+++ b/internal/state/command/policy_roles.go
@@ -5,8 +5,8 @@
 	"crosstide/internal/state"
 )
 
-// GrantRole grants a role to a holder if After is still its epoch. The new epoch is the entry's index, so of two nodes
-// that claim a role at once only the first entry counts. The answer is the state.Role.
+// GrantRole grants a role to a holder if After is still its epoch. The new epoch is the entry's index, so if two nodes
+// claim a role concurrently, only the first entry succeeds. The answer is the state.Role.
 type GrantRole struct {
 	Role        string `json:"duty"`
 	Holder      string `json:"holder"`
@@ -28,7 +28,7 @@
 	return *role, nil
 }
 
-// ReleaseRole ends a role before its lease does: from this entry on, the holder does nothing under Epoch.
+// ReleaseRole releases a role before its lease expires. From this entry on, the holder no longer acts under Epoch.
 type ReleaseRole struct {
 	Role  string `json:"duty"`
 	Epoch uint64 `json:"epoch"`
--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/state"
 )
 
-// End is the reported end of a run. Ref names its task, so that the end of a run counts whose handle was released
-// meanwhile.
+// End is the reported end of a run. Ref identifies its task, so that a success counts even if the handle of the run was
+// released before.
 type End struct {
 	RunID  uint64        `json:"t"`
 	Ref    state.TaskRef `json:"f,omitzero"`
@@ -27,19 +27,19 @@
 
 // The kinds of proof.
 const (
-	ProofFloor          ProofKind = "floor"  // the worker's floor is at or above the run, and it neither runs nor ended
+	ProofFloor          ProofKind = "floor"  // the worker has a floor at or above the run ID and lists no such run
 	ProofNewIncarnation ProofKind = "boot"   // the worker runs under another incarnation; not written: see recordReport
-	ProofLeaseExpired   ProofKind = "lapse"  // its lease has expired on any clock
-	ProofUnsent         ProofKind = "unsent" // its start order never left this scheduler
-	ProofRefuse         ProofKind = "refuse" // the worker refused it
+	ProofLeaseExpired   ProofKind = "lapse"  // its lease has expired even with clock differences
+	ProofUnsent         ProofKind = "unsent" // the scheduler never sent its start order
+	ProofRefuse         ProofKind = "refuse" // the worker refused to start it
 	ProofStop           ProofKind = "stop"   // the worker stopped it as ordered
 )
 
-// startsAnything is the state.Worker.Kind of a worker that starts whatever it is ordered to, unlike one that checks the
+// startsAnything is the state.Worker.Kind of a worker that starts every run it is ordered to, without checking the
 // incarnation in the order.
 const startsAnything = "obey"
 
-// recordEnd records a reported end. After a failure the task is due again after a backoff, up to the step's retries; a
+// recordEnd records a reported end. A failed task is due again after a backoff until its retries are used up; a
 // long-running task is always retried.
 func recordEnd(s *state.State, e End) {
 	h := s.Handles[e.RunID]
@@ -63,28 +63,28 @@
 	requeueTask(s, h)
 }
 
-// isOutOfRetries reports whether the newest failure of a task fails its job.
+// isOutOfRetries reports whether the newest failure of a task makes its job fail.
 func isOutOfRetries(s *state.State, j *state.Job, t *state.Task, ref state.TaskRef) bool {
 	step := stepOf(s, ref)
 	return t.Failures > s.Bundle.RetriesFor(j.Spec.Queue, step.Retries) && !step.LongRunning &&
 		j.Phase == state.JobRunning
 }
 
-// recordLateEnd records that a run ended well whose handle was released by a proof before its end was reported. It
-// counts as long as no newer run of its task has been assigned.
+// recordLateEnd records the success of a run whose handle was released by a proof before its end was reported. It
+// counts unless a newer run of the task has been assigned.
 func recordLateEnd(s *state.State, e End) {
 	if _, t := s.TaskOf(e.Ref); e.OK && t != nil && t.RunID == e.RunID && t.Phase == state.TaskDue {
 		must(s.SetTaskPhase(e.Ref, state.TaskDone, nil))
 	}
 }
 
-// recordReport records a worker's report of itself. Under a new incarnation its older runs are dead, as a worker kills
-// the runs of an older incarnation before it reports. But a start order that is still in flight may reach a worker that
-// starts anything: the handle of such a run stays until the scheduler proves it dead.
+// recordReport records a worker's report of itself. After a change of incarnation the older runs are dead, because a
+// worker kills them before it reports the new one. A start order that is still in flight, however, may reach a worker
+// that starts anything: the handle of such a run is kept until the scheduler proves the run dead.
 func recordReport(s *state.State, w state.Worker) {
 	old := s.Workers[w.Name]
 	if old == nil {
-		return // retired meanwhile
+		return // the worker was retired after the report
 	}
 	w.Closed, w.Addr = old.Closed, old.Addr
 	s.PutWorker(&w)
@@ -101,8 +101,8 @@
 	}
 }
 
-// recordPhase records runs as running or unconfirmed. Run IDs without a handle are ignored: an end or a proof came
-// first.
+// recordPhase records runs as running or unconfirmed. Run IDs without a handle are ignored: an end or a proof has
+// released the handle.
 func recordPhase(s *state.State, runIDs []uint64, to state.TaskPhase) {
 	for _, id := range runIDs {
 		if h := s.Handles[id]; h != nil && h.Phase != to {
@@ -111,7 +111,7 @@
 	}
 }
 
-// recordProof releases a handle that was proved dead. The run is refunded unless it was stopped as ordered.
+// recordProof releases the handle of a run that was proved dead. The run is refunded unless it was stopped as ordered.
 func recordProof(s *state.State, p Proof) {
 	h := s.Handles[p.RunID]
 	if h == nil {
@@ -134,8 +134,8 @@
 	requeueTask(s, h)
 }
 
-// requeueTask releases a handle and makes its task due again at the DueAt that the caller has set; of a job that stops,
-// the task is skipped instead.
+// requeueTask releases a handle and makes its task due again at the DueAt that the caller has set. If the job is not
+// running, the task is skipped instead.
 func requeueTask(s *state.State, h *state.Handle) {
 	to := state.TaskDue
 	if s.Jobs[h.Ref.Job].Phase != state.JobRunning {
--- a/internal/state/command/policy_runs_test.go
+++ b/internal/state/command/policy_runs_test.go
@@ -14,11 +14,11 @@
 		s.submit("j", state.StepSpec{Name: "a", Type: "t", Tasks: 2, Retries: 1},
 			state.StepSpec{Name: "b", Type: "t", After: []string{"a"}})
 		second := Start{Ref: state.TaskRef{Job: "j", Step: 1}, Worker: "m2", Incarnation: "b"}
-		Convey("a task has one handle at most", func() {
+		Convey("a task has at most one handle", func() {
 			So(s.start(1, startOn("m1", "j", 0), startOn("m2", "j", 0)), ShouldResemble,
 				Planned{RunIDs: []uint64{1, 0}, Refused: []state.Refusal{"", "task"}})
 		})
-		Convey("a step waits for the one before, and the job is done when all its tasks are", func() {
+		Convey("a step waits for the one before it, and the job is done when all its tasks are", func() {
 			So(s.start(1, startOn("m1", "j", 0), startOn("m1", "j", 1), second).RunIDs, ShouldResemble,
 				[]uint64{1, 2, 0})
 			So(s.RunningCount("t"), ShouldEqual, 2)
@@ -88,12 +88,12 @@
 	})
 }
 
-// TestEnds_late shows that the end of a run that ended well counts after a proof has released its handle, as long as
-// the task has no newer run ID.
+// TestEnds_late checks that the reported success of a run counts even after a proof has released its handle, unless the
+// task has a newer run ID. Otherwise a task that is done would run again.
 func TestEnds_late(t *testing.T) {
 	ref := state.TaskRef{Job: "j"}
 	late := End{RunID: 1, Ref: ref, OK: true}
-	Convey("Given a task whose only handle was released as its lease expired", t, func() {
+	Convey("Given a task whose only handle was released because its lease expired", t, func() {
 		s := newTestState()
 		s.submit("j", state.StepSpec{Name: "s", Type: "t"},
 			state.StepSpec{Name: "u", Type: "t", After: []string{"s"}})
@@ -102,7 +102,7 @@
 		_, task := s.TaskOf(ref)
 		So(task.Phase, ShouldEqual, state.TaskDue)
 
-		Convey("its end makes it done, before the starts of the same plan, and the next step due", func() {
+		Convey("its success makes it done, before the starts of the same plan, and the next step due", func() {
 			answer, err := s.do(&Plan{
 				Epoch: 1, BundleVersion: s.Bundle.Version, Ends: []End{late}, Starts: []Start{startOn("m2", "j", 0)},
 			})
@@ -113,7 +113,7 @@
 			So(next.Phase, ShouldEqual, state.TaskDue)
 			So(s.Handles, ShouldBeEmpty)
 		})
-		Convey("its end under a newer run ID changes nothing", func() {
+		Convey("its success changes nothing if the task has a newer run ID", func() {
 			So(s.start(1, startOn("m2", "j", 0)).RunIDs, ShouldResemble, []uint64{2})
 			s.do(&Plan{Epoch: 1, Ends: []End{late}})
 			So(task.Phase, ShouldEqual, state.TaskAssigned)
@@ -121,12 +121,12 @@
 			s.do(&Plan{Epoch: 1, Ends: []End{late}})
 			So(task.Phase, ShouldEqual, state.TaskDue)
 		})
-		Convey("an end in failure changes nothing", func() {
+		Convey("its failure changes nothing", func() {
 			s.do(&Plan{Epoch: 1, Ends: []End{{RunID: 1, Ref: ref}}})
 			So(task.Phase, ShouldEqual, state.TaskDue)
 			So(task.Failures, ShouldEqual, 0)
 		})
-		Convey("nor does an end after the job was cancelled", func() {
+		Convey("its success after the job was cancelled changes nothing", func() {
 			s.do(&Cancel{Key: "j"})
 			s.do(&Plan{Epoch: 1, Ends: []End{late}})
 			So(task.Phase, ShouldEqual, state.TaskSkipped)
--- a/internal/state/command/policy_starts.go
+++ b/internal/state/command/policy_starts.go
@@ -2,21 +2,21 @@
 
 import "crosstide/internal/state"
 
-// Start asks for a run ID for a due task on a worker. Adjacent starts with the same Group above 0 get theirs together
-// or not at all.
+// Start requests a run ID for a due task on a worker. Adjacent starts with the same Group, if above 0, are assigned
+// together or not at all.
 type Start struct {
 	Ref         state.TaskRef `json:"r"`
 	Worker      string        `json:"m"`
-	Incarnation string        `json:"b"` // of the worker that the scheduler decided on
+	Incarnation string        `json:"b"` // of the worker when the scheduler planned
 	Group       int           `json:"g,omitempty"`
 }
 
 // The refusals in addition to those of State.PlacementRefusal.
 const (
-	RefusedBundle   state.Refusal = "charter version" // another bundle is in force than the plan was decided on
+	RefusedBundle   state.Refusal = "charter version" // the bundle in force is not the one of the plan
 	RefusedJob      state.Refusal = "job"             // the job is not running, or has no such task
 	RefusedTask     state.Refusal = "task"            // the task is not due
-	RefusedCapacity state.Refusal = "room"            // the worker's free capacity is too small
+	RefusedCapacity state.Refusal = "room"            // the worker has too little free capacity
 	RefusedBalance  state.Refusal = "balance"         // the party's balance does not cover the start
 )
 
@@ -37,7 +37,7 @@
 	if c.BundleVersion != s.Bundle.Version {
 		return RefusedBundle
 	}
-	taken := map[string]capacity{} // by worker: of the starts so far in the group
+	taken := map[string]capacity{} // by worker: needs of the starts of the group so far
 	var fees groupFees
 	for _, start := range group {
 		if refusal := startRefusal(s, start); refusal != "" {
@@ -54,7 +54,7 @@
 	return ""
 }
 
-// startRefusal returns why one start may not be assigned, not counting the rest of its group; "" if it may.
+// startRefusal returns why one start may not be assigned, regardless of the rest of its group; "" if it may.
 func startRefusal(s *state.State, start Start) state.Refusal {
 	j, t := s.TaskOf(start.Ref)
 	w := s.Workers[start.Worker]
@@ -93,12 +93,12 @@
 	return capacity{c.cores + step.Cores, c.gpus + step.GPUs}
 }
 
-// fits reports whether a worker has that much free beside its handles.
+// fits reports whether a worker has this capacity free beside its handles.
 func (c capacity) fits(w *state.Worker, used *state.Usage) bool {
 	return used.Cores+c.cores <= w.Cores && used.GPUs+c.gpus <= w.GPUs
 }
 
-// groupFees is the sum of the fees of a group's starts. All are of one job, and so of one party.
+// groupFees is the sum of the fees of a group's starts. All belong to one job, and so to one party.
 type groupFees struct{ sum state.Fee }
 
 // add adds the fee of a start, and reports whether the party's balance covers the sum.
--- a/internal/state/command/policy_starts_test.go
+++ b/internal/state/command/policy_starts_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestStarts_races tries every order of events that forbid a start, with the start after each prefix: a run ID is
-// issued exactly when none of them came before, and never twice.
+// issued if and only if none of them was committed before, and never twice.
 func TestStarts_races(t *testing.T) {
 	events := []struct {
 		name string
@@ -32,7 +32,7 @@
 		}},
 		{"new holder", func(s testState) { s.do(&GrantRole{Role: "sched", Holder: "d2", After: 1}) }},
 	}
-	Convey("A run ID is issued exactly when nothing that forbids it was committed before", t, func() {
+	Convey("A run ID is issued if and only if nothing that forbids it was committed before", t, func() {
 		orders := exhaustive.Arrangements(len(events), func(chosen []int) {
 			s := newTestState()
 			_, err := s.submit("j", state.StepSpec{Name: "s", Type: "t"})
@@ -55,7 +55,7 @@
 }
 
 func TestStarts_thenCancel(t *testing.T) {
-	Convey("A cancel after the run ID was issued fixes the outcome, and the task is not due again", t, func() {
+	Convey("A cancel after a run ID was issued fixes the outcome, and the task is not due again", t, func() {
 		s := newTestState()
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2})
 		So(s.start(1, startOn("m1", "j", 0)).RunIDs, ShouldResemble, []uint64{1})
--- a/internal/state/command/policy_submit.go
+++ b/internal/state/command/policy_submit.go
@@ -8,15 +8,15 @@
 	"crosstide/internal/state"
 )
 
-// Submit puts a job into the inbox. Repeated with the same digest it is the same job; with another one it is a
-// conflict. Bound is the most jobs that may be open, see State.OverloadReason.
+// Submit puts a job into the inbox. A submission with a known key is the same job if its digest is the same, otherwise
+// a conflict. Bound is the maximum number of open jobs, see State.OverloadReason.
 type Submit struct {
 	Spec   state.Spec `json:"spec"`
 	Digest string     `json:"digest"`
 	Bound  int        `json:"bound"`
 }
 
-// Submitted answers Submit: the job's phase, and whether this entry accepted it.
+// Submitted answers Submit with the job's phase and whether this entry accepted the job.
 type Submitted struct {
 	Key    string         `json:"key"`
 	Phase  state.JobPhase `json:"state"`
@@ -31,13 +31,13 @@
 	key := c.Spec.Key
 	if j := s.Jobs[key]; j != nil {
 		if j.Digest != c.Digest {
-			return nil, errs.Field(errs.Conflict, "key", "%q is the key of another job", key)
+			return nil, errs.Field(errs.Conflict, "key", "%q belongs to another job", key)
 		}
 		return Submitted{Key: key, Phase: j.Phase, Reason: j.Reason}, nil
 	}
 	if t := s.Tombstones[key]; t != nil {
 		if t.Digest != c.Digest {
-			return nil, errs.Field(errs.Conflict, "key", "%q was the key of another job", key)
+			return nil, errs.Field(errs.Conflict, "key", "%q belongs to another job, which was purged", key)
 		}
 		return Submitted{Key: key, Phase: t.Phase, Reason: t.Reason}, nil
 	}
@@ -47,7 +47,7 @@
 	return c.change(s), nil
 }
 
-// check returns why a new job is refused: by the placement policy of its queue, or as overload. Failures: Invalid,
+// check returns an error if the placement policy of the queue or overload forbids a new job. Failures: Invalid,
 // Forbidden, Overloaded.
 func (c *Submit) check(s *state.State) error {
 	q, ok := s.Bundle.Queues[c.Spec.Queue]
--- a/internal/state/command/policy_submit_test.go
+++ b/internal/state/command/policy_submit_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestSubmit_repeated(t *testing.T) {
-	Convey("The inbox is bounded, and a repeated submission is the same job, also after it was purged", t, func() {
+	Convey("Open jobs are limited, and a repeated submission is the same job, also after it was purged", t, func() {
 		s := newTestState()
 		for _, key := range []string{"a", "b", "c"} {
 			_, err := s.submit(key, state.StepSpec{Name: "s", Type: "t"})
@@ -41,7 +41,7 @@
 }
 
 func TestSubmit_overload(t *testing.T) {
-	Convey("Under overload each team keeps its share, and the last capacity is for urgent queues", t, func() {
+	Convey("Under overload each team is limited to its share, and the last twentieth is for urgent queues", t, func() {
 		s := testState{state.New()}
 		s.Bundle.Queues["now"] = state.Queue{Urgent: true}
 		s.Bundle.Weights = map[string]int{"c": 2}
@@ -59,12 +59,12 @@
 		}
 		So(submit("a", "default", 40), ShouldEqual, 40)
 		So(submit("b", "default", 20), ShouldEqual, 20)
-		So(submit("a", "default", 20), ShouldEqual, 10) // up to half of the bound, the share of one of two
+		So(submit("a", "default", 20), ShouldEqual, 10) // up to half of the bound, the share of each of two teams
 		So(submit("c", "default", 90), ShouldEqual, 25) // its share by weight is 50, but the reserve comes first
 		So(submit("b", "default", 20), ShouldEqual, 0)
 		So(submit("b", "now", 20), ShouldEqual, 5)
 		So(s.OpenJobs(), ShouldEqual, 100)
-		Convey("and a team's jobs in a queue, all of a team, or a list are cancelled in one step", func() {
+		Convey("and a team's jobs in a queue, all its jobs, or a list of jobs are cancelled in one entry", func() {
 			got, err := s.do(&CancelMany{Team: "b", Queue: "now"})
 			So(err, ShouldBeNil)
 			So(got, ShouldResemble, CancelledMany{Cancelled: 5})
--- a/internal/state/command/policy_workers.go
+++ b/internal/state/command/policy_workers.go
@@ -5,8 +5,8 @@
 	"crosstide/internal/state"
 )
 
-// Announce adds a worker. Of a known worker it changes only the address: its other properties and its incarnation are
-// taken only from its answers to the scheduler (Plan.Workers).
+// Announce adds a worker. For a known worker it changes only the address: the other properties and the incarnation come
+// only from the worker's answers to the scheduler (Plan.Workers).
 type Announce struct {
 	Worker state.Worker `json:"minion"`
 }
@@ -29,7 +29,7 @@
 	return nil, nil
 }
 
-// CloseWorker drains a worker by an operator's order, reopens it, or retires it (only without handles).
+// CloseWorker drains, reopens or retires a worker by an operator's order. A worker with handles cannot be retired.
 type CloseWorker struct {
 	Order  string `json:"order"`
 	Worker string `json:"minion"`
@@ -62,7 +62,7 @@
 		return errs.Field(errs.Unknown, "minion", "no minion %q", c.Worker)
 	}
 	if handles := len(s.UsageOf(c.Worker).Handles); c.Retire && handles > 0 {
-		return errs.Field(errs.Conflict, "minion", "%q has %d tickets out; drain it first", c.Worker, handles)
+		return errs.Field(errs.Conflict, "minion", "%q still has %d tickets; drain it first", c.Worker, handles)
 	}
 	return nil
 }
--- a/internal/state/command/policy_zone.go
+++ b/internal/state/command/policy_zone.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/state"
 )
 
-// EvacuateZone evacuates a zone (Out) or lifts the evacuation. Once the store knows operators, one of them must sign an
-// evacuation (signature.Evacuate), and two its lifting (signature.Lift), each with a separate order.
+// EvacuateZone evacuates a zone (Out) or lifts the evacuation. Once operators are set, one of them must sign an
+// evacuation (signature.Evacuate), and two must sign to lift it (signature.Lift), each with a separate order.
 type EvacuateZone struct {
 	Order string `json:"order"`
 	Zone  string `json:"zone"`
@@ -18,7 +18,7 @@
 	Sig   string `json:"sig,omitempty"`
 }
 
-// ZoneEvacuation answers EvacuateZone: whether the zone is evacuated now, and who signed for lifting so far.
+// ZoneEvacuation answers EvacuateZone with whether the zone is evacuated now and who has signed to lift the evacuation.
 type ZoneEvacuation struct {
 	Zone      string   `json:"zone"`
 	Evacuated bool     `json:"evacuated"`
@@ -46,7 +46,8 @@
 		return errs.Pass(err, "lift")
 	}
 	if slices.Contains(s.LiftSignatures[c.Zone], c.By) {
-		return errs.Field(errs.Forbidden, "by", "%s has signed this lifting; another operator must sign too", c.By)
+		return errs.Field(errs.Forbidden, "by",
+			"%s has already signed to lift this evacuation; another operator must sign too", c.By)
 	}
 	return nil
 }
@@ -58,7 +59,7 @@
 	return c.lift(s), nil
 }
 
-// evacuate starts an evacuation. Signatures for lifting an earlier one no longer count.
+// evacuate starts an evacuation. It drops the signatures for lifting an earlier one.
 func (c *EvacuateZone) evacuate(s *state.State) ZoneEvacuation {
 	s.Evacuated[c.Zone] = s.At
 	delete(s.LiftSignatures, c.Zone)
@@ -66,7 +67,7 @@
 	return ZoneEvacuation{Zone: c.Zone, Evacuated: true}
 }
 
-// lift adds a signature, and lifts the evacuation with the second one; without operators it does so at once.
+// lift adds a signature, and lifts the evacuation with the second one. Without operators it needs no signatures.
 func (c *EvacuateZone) lift(s *state.State) ZoneEvacuation {
 	var signed []string
 	if len(s.Operators) > 0 {
--- a/internal/state/command/policy_zone_test.go
+++ b/internal/state/command/policy_zone_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestZones(t *testing.T) {
-	Convey("One operator evacuates a zone, two lift the evacuation; without operators none signs", t, func() {
+	Convey("One operator evacuates a zone and two lift that; without operators no signature is needed", t, func() {
 		o := newOperatorsFixture()
 		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Out: true}
 		_, err := o.do(unsigned)
@@ -37,11 +37,11 @@
 			_, isEvacuated := o.st.Evacuated["z1"]
 			So(isEvacuated, ShouldEqual, test.evacuated)
 		}
-		free := &operatorsFixture{st: state.New()}
+		withoutOperators := &operatorsFixture{st: state.New()}
 		for _, order := range []Command{unsigned, &EvacuateZone{Order: "o1", Zone: "z1"}} {
-			_, err := free.do(order)
+			_, err := withoutOperators.do(order)
 			So(err, ShouldBeNil)
 		}
-		So(free.st.Evacuated, ShouldBeEmpty)
+		So(withoutOperators.st.Evacuated, ShouldBeEmpty)
 	})
 }
