--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -14,10 +14,10 @@
 	"crosstide/internal/state/command"
 )
 
-// storeSource is the store's name in a vector of versions; its version is the log index.
+// storeSource is the name of the store in a version vector; its version is the log index.
 const storeSource = "store"
 
-// The bounds of a pull.
+// The limits of a pull.
 const (
 	maxChangeBytes  = 4 << 20                // changes in one answer
 	maxChunkBytes   = 1 << 20                // one chunk of a snapshot
@@ -26,15 +26,15 @@
 	longPollTimeout = time.Second            // how long a source may wait for changes
 )
 
-// Source has the calls of a replica to the control-plane nodes. They bound themselves by a time-out of their own.
+// Source calls the control-plane nodes for a replica. Each call has its own timeout.
 type Source interface {
-	// Follow asks a node for changes: the same one until a call to it fails.
+	// Follow requests changes from a node. It uses the same node until a call to it fails.
 	Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error)
-	// Chunk asks for a part of a snapshot, which only the node that answered the last Follow is sure to have.
+	// Chunk requests a part of a snapshot. Only the node that answered the last Follow is guaranteed to have it.
 	Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
 }
 
-// Run pulls until ctx ends. Each failure is passed to onError and followed by a pause of retryInterval on clk.
+// Run pulls until ctx is done. It passes each error to onError and then waits for retryInterval on clk.
 func (r *Replica) Run(ctx context.Context, source Source, clk clock.Clock, node string, onError func(error)) {
 	for ctx.Err() == nil {
 		err := r.Pull(ctx, source, node, longPollTimeout)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Pull asks the source once for what the replica lacks, and applies it. wait is how long the source may wait for
-// changes if there are none. After an error the replica is at the index it was at, or past it, and may pull again.
+// Pull requests the missing changes once and applies them. If nothing is missing, the source may wait for changes for
+// the time wait. After an error the index of the replica is unchanged or higher, and Pull may be called again.
 func (r *Replica) Pull(ctx context.Context, source Source, node string, wait time.Duration) error {
 	from := r.Index()
 	answer, err := source.Follow(ctx, internalapi.FollowCall{
@@ -71,8 +71,8 @@
 	return errs.Pass(r.applyChanges(missing.Changes), "changes after %d", from)
 }
 
-// applyChanges applies changes in order, and skips those at or below the index, as answers may overlap. Failure: Stale
-// at a gap. The caller holds mu.
+// applyChanges applies changes in order and skips those at or below the index, as answers may overlap. Failure: Stale
+// if there is a gap. The caller must hold mu.
 func (r *Replica) applyChanges(changes []raft.Entry) error {
 	before := r.state.Index
 	for _, e := range changes {
@@ -80,7 +80,7 @@
 			continue
 		}
 		if e.Index != r.state.Index+1 {
-			return errs.New(errs.Stale, "changes skip from %d to %d", r.state.Index, e.Index)
+			return errs.New(errs.Stale, "gap in the changes from %d to %d", r.state.Index, e.Index)
 		}
 		data := e.Data
 		if e.Kind != raft.Normal {
@@ -98,7 +98,7 @@
 }
 
 // installSnapshot fetches a snapshot and replaces the replica's state by it. Failures: Stale if the snapshot is not
-// newer than the state, those of fetchBody, and those of decoding.
+// newer than the state, those of fetchBody and those of state.Decode.
 func (r *Replica) installSnapshot(ctx context.Context, source Source, snap internalapi.Snapshot) error {
 	body, err := fetchBody(ctx, source, snap)
 	if err != nil {
@@ -111,7 +111,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if next.Index <= r.state.Index {
-		return errs.New(errs.Stale, "snapshot at %d is behind the replica at %d", next.Index, r.state.Index)
+		return errs.New(errs.Stale, "snapshot at %d is not newer than the replica at %d", next.Index, r.state.Index)
 	}
 	r.state.OnEvent = nil
 	r.state = next
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// fetchBody fetches the body of a snapshot in chunks; a request that fails is repeated for that chunk alone. Failures:
-// Stale if the source has another snapshot by now, Damaged if the checksum is wrong, and those of Source.Chunk.
+// fetchBody fetches the body of a snapshot in chunks and retries each failed chunk separately. Failures: Stale if the
+// source no longer has the snapshot, Damaged if the checksum is wrong, and those of Source.Chunk.
 func fetchBody(ctx context.Context, source Source, snap internalapi.Snapshot) ([]byte, error) {
 	body := make([]byte, 0, snap.Size)
 	failures := 0
@@ -140,11 +140,11 @@
 			continue
 		}
 		if chunk.Number != snap.Number || len(chunk.Data) == 0 {
-			return nil, errs.New(errs.Stale, "snapshot %d is gone", snap.Number)
+			return nil, errs.New(errs.Stale, "the source no longer has snapshot %d", snap.Number)
 		}
 		body = append(body, chunk.Data...)
 		if int64(len(body)) == snap.Size && xxhash.Sum64(body) != chunk.Sum {
-			return nil, errs.New(errs.Damaged, "snapshot %d fails its check", snap.Number)
+			return nil, errs.New(errs.Damaged, "checksum mismatch in snapshot %d", snap.Number)
 		}
 	}
 	return body, nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,11 +1,12 @@
-// Package replica keeps a replica of the control store's state on a node without a disk. It pulls the changes that the
-// node lacks, and a snapshot first if those are compacted at their source.
+// Package replica keeps a replica of the control store's state on a node without a disk. It pulls the missing changes,
+// and first a snapshot if the source has compacted them.
 //
-// A replica only follows: it proposes nothing, stores nothing and decides nothing. Its state is always one that the
-// store had at its index; it may be behind. The owner calls New, runs Run on a goroutine, and reads by View, or by Lock
-// if it needs the state for longer. A caller that must see its own write calls WaitForIndex first.
+// A replica is a read-only follower: it proposes nothing, stores nothing on disk and decides nothing. Its state always
+// equals that of the store at the same index, but may lag behind. The owner calls New, runs Run on a goroutine, and
+// reads with View, or with Lock if it needs the state for longer. A caller that must see its own write calls
+// WaitForIndex first.
 //
-// Begin to read at Replica; pull.go has the pulling.
+// Start reading at Replica; pull.go implements the pulling.
 package replica
 
 import (
@@ -16,8 +17,7 @@
 	"crosstide/internal/state"
 )
 
-// Replica is the state of the store as of an index, under its lock. Only Pull changes it. It is safe for concurrent
-// use.
+// Replica holds the state of the store at some index. Only Pull changes it. It is safe for concurrent use.
 type Replica struct {
 	onChange func(state.Event)  // see New
 	onReset  func(*state.State) // see New; nil: none
@@ -27,12 +27,12 @@
 	indexChanged chan struct{} // closed and replaced at every change of the index
 	hasPulled    bool          // a pull has succeeded
 
-	// What the pulls have received since New; Bytes counts changes and snapshots.
+	// Totals of the pulls since New; Bytes counts changes and snapshots.
 	Bytes, Changes, Snapshots uint64
 }
 
 // New returns a replica of the empty state, at index 0. onChange (nil: none) is called with each change, onReset (nil:
-// none) with the new state after a snapshot; both run under the replica's lock and must not call it.
+// none) with the new state after a snapshot; both run under the replica's lock and must not call the replica.
 func New(onChange func(state.Event), onReset func(*state.State)) *Replica {
 	r := &Replica{state: state.New(), indexChanged: make(chan struct{}), onChange: onChange, onReset: onReset}
 	r.state.OnEvent = onChange
@@ -42,10 +42,10 @@
 // Lock locks the replica and returns its state, which is valid until Unlock and must not be changed.
 func (r *Replica) Lock() *state.State { r.mu.Lock(); return r.state }
 
-// Unlock releases the lock of Lock.
+// Unlock releases the lock that Lock acquired.
 func (r *Replica) Unlock() { r.mu.Unlock() }
 
-// View calls do with the state, under a lock that readers share. do must not change or keep the state. Example:
+// View calls do with the state under the read lock. do must not change or keep the state. Example:
 //
 //	r.View(func(s *state.State) { n = len(s.Jobs) })
 func (r *Replica) View(do func(s *state.State)) {
@@ -80,12 +80,12 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return errs.Wrap(ctx.Err(), errs.Unavailable, "the replica is at %d, not yet at %d", at, index)
+			return errs.Wrap(ctx.Err(), errs.Unavailable, "the replica is at index %d, not yet at %d", at, index)
 		}
 	}
 }
 
-// signalIndex wakes all calls of WaitForIndex to check the index again. The caller holds mu.
+// signalIndex wakes all calls of WaitForIndex to check the index again. The caller must hold mu.
 func (r *Replica) signalIndex() {
 	close(r.indexChanged)
 	r.indexChanged = make(chan struct{})
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -17,7 +17,7 @@
 	"crosstide/internal/testbed/exhaustive"
 )
 
-// history is the log of a store with the state after each entry.
+// history is the log of a store and the state after each entry.
 type history struct {
 	log    []raft.Entry // from index 2 on
 	states [][]byte     // encoded, by index
@@ -55,10 +55,10 @@
 	return r
 }
 
-// changes returns the entries from one index to another, both included.
+// changes returns the entries from index from to index to, both inclusive.
 func (h history) changes(from, to uint64) []raft.Entry { return h.log[from-2 : to-1] }
 
-// matches reports whether a replica has the state of its index; at 0 it has received nothing.
+// matches reports whether a replica has the state of the store at its index. At index 0 it has received nothing.
 func (h history) matches(r *Replica) bool {
 	index := r.Index()
 	body, err := r.Lock().Encode()
@@ -66,7 +66,7 @@
 	return err == nil && (index == 0 || string(body) == string(h.states[index]))
 }
 
-// fakeSource is a Source that returns prepared answers in turn, and one snapshot in chunks.
+// fakeSource is a Source that returns prepared answers one after the other, and one snapshot in chunks.
 type fakeSource struct {
 	answers   []internalapi.SourceUpdate
 	body      []byte // of the snapshot
@@ -98,8 +98,8 @@
 	return &internalapi.Snapshot{Number: f.number, Index: index, Term: 1, Size: int64(len(f.body))}
 }
 
-// checkOrder pulls the answers in an order, and fails the test if the replica goes back or has a state that the store
-// never had. It returns the index at the end.
+// checkOrder pulls the answers in the given order, and fails the test if the replica's index decreases or its state
+// differs from that of the store. It returns the final index.
 func (h history) checkOrder(t *testing.T, answers [][]raft.Entry, order []int) uint64 {
 	t.Helper()
 	r := h.bootstrapped(t)
@@ -118,7 +118,7 @@
 }
 
 func TestPull_answersInAnyOrder(t *testing.T) {
-	Convey("In whatever order answers arrive, the replica never goes back and never skips a change", t, func() {
+	Convey("Whatever the order of the answers, the index never decreases and no change is skipped", t, func() {
 		h := newHistory(t, 6)
 		answers := [][]raft.Entry{h.changes(2, 4), h.changes(2, 3), h.changes(4, 5), h.changes(6, 7), nil}
 		orders, complete := 0, 0
@@ -161,7 +161,7 @@
 		{"a damaged body", func(_ history, f *fakeSource) { f.body = append([]byte("x"), f.body[1:]...) }},
 		{"an older snapshot", func(h history, f *fakeSource) { f.body = h.states[3] }},
 	} {
-		Convey("A snapshot that cannot be installed leaves the replica as it was: "+c.name, t, func() {
+		Convey("A snapshot that cannot be installed leaves the replica unchanged: "+c.name, t, func() {
 			h := newHistory(t, 6)
 			r := h.bootstrapped(t)
 			first := &fakeSource{answers: []internalapi.SourceUpdate{{Changes: h.changes(2, 4)}}}
--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state"
 )
 
-// Accounts returns every account in order of names.
+// Accounts returns all accounts, sorted by name.
 func Accounts(s *state.State) []internalapi.AccountView {
 	if s.Accounts == nil {
 		return []internalapi.AccountView{}
@@ -34,7 +34,7 @@
 	return accountView(s, name, runsByAccount(s)[name], waitingByParty(s)[name]), nil
 }
 
-// Ledger returns the entries of an account's ledger after a number, at most limit. Failure: Unknown.
+// Ledger returns at most limit entries of an account's ledger, those with numbers above after. Failure: Unknown.
 func Ledger(s *state.State, name string, after uint64, limit int) (internalapi.LedgerAnswer, error) {
 	a, err := findAccount(s, name)
 	if err != nil {
@@ -74,18 +74,18 @@
 	return v
 }
 
-// balanceWarning returns a warning if an account is exhausted or will be soon; "" if neither.
+// balanceWarning returns a warning if an account is exhausted or will be soon, otherwise "".
 func balanceWarning(v *internalapi.AccountView, p state.Party) string {
 	switch {
 	case v.Waiting > 0:
 		return fmt.Sprintf("dry: %d jobs wait for a top-up", v.Waiting)
 	case v.Draws && v.ExhaustedIn < p.WarnBefore():
-		return fmt.Sprintf("dry in about %s at the rate of now", v.ExhaustedIn.Round(time.Second))
+		return fmt.Sprintf("dry in about %s at the current rate", v.ExhaustedIn.Round(time.Second))
 	}
 	return ""
 }
 
-// runsByAccount counts the runs with a reservation.
+// runsByAccount returns the number of runs with a reservation by account.
 func runsByAccount(s *state.State) map[string]int {
 	runs := map[string]int{}
 	for _, r := range s.Accounts.Reservations {
@@ -94,7 +94,7 @@
 	return runs
 }
 
-// waitingByParty counts the jobs that wait for a top-up.
+// waitingByParty returns the number of jobs that wait for a top-up by party.
 func waitingByParty(s *state.State) map[string]int {
 	waiting := map[string]int{}
 	if len(s.Bundle.Parties) == 0 {
@@ -108,15 +108,15 @@
 	return waiting
 }
 
-// waitsBehindReason returns why due tasks of a job wait although the balance may cover them: it is kept for a job that
-// is paid for first. "" if they do not. The cost is proportional to the number of jobs.
+// waitsBehindReason returns a reason if due tasks of a job wait because the balance is reserved for another job of the
+// party, which is paid for first and waits for a top-up; otherwise "". Its cost is proportional to the number of jobs.
 func waitsBehindReason(s *state.State, j *state.Job) string {
 	party := s.PartyOf(j)
 	if party == "" || j.Phase != state.JobRunning || !hasDueTask(j) {
 		return ""
 	}
 	for _, other := range s.Jobs {
-		if other.Phase == state.JobRunning && s.PartyOf(other) == party && goesBefore(s, other, j) &&
+		if other.Phase == state.JobRunning && s.PartyOf(other) == party && isPaidBefore(s, other, j) &&
 			s.UnpaidReason(other) != "" {
 			return fmt.Sprintf("party %s is dry for a job that goes before this one; "+
 				"the job goes on by itself after a top-up", party)
@@ -125,8 +125,8 @@
 	return ""
 }
 
-// goesBefore reports whether the tasks of a job are paid for before those of another.
-func goesBefore(s *state.State, j, other *state.Job) bool {
+// isPaidBefore reports whether the tasks of a job are paid for before those of another.
+func isPaidBefore(s *state.State, j, other *state.Job) bool {
 	isUrgent, isOtherUrgent := s.Bundle.Queues[j.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
 	if isUrgent != isOtherUrgent {
 		return isUrgent
--- a/internal/state/query/counts.go
+++ b/internal/state/query/counts.go
@@ -2,7 +2,7 @@
 
 import "crosstide/internal/state"
 
-// Counts has the number of records of each kind in the state.
+// Counts holds the number of records of each kind in the state.
 type Counts struct {
 	Jobs, Inbox, Tombstones, Handles, Workers int
 	RunningCounts                             map[string]int // handles by task type
--- a/internal/state/query/jobs.go
+++ b/internal/state/query/jobs.go
@@ -15,7 +15,7 @@
 	Queue      string         `json:"queue,omitempty"`
 	State      state.JobPhase `json:"state"`
 	Reason     string         `json:"reason,omitempty"`
-	WaitReason string         `json:"waits,omitempty"` // why bundle or balance let none of its tasks start
+	WaitReason string         `json:"waits,omitempty"` // why the bundle or the balance keeps its tasks from starting
 	Submitted  time.Time      `json:"submitted,omitzero"`
 	Ended      time.Time      `json:"ended,omitzero"`
 	Steps      []StepView     `json:"steps,omitempty"`
@@ -34,12 +34,12 @@
 	Done        int    `json:"done,omitempty"`
 	Failed      int    `json:"spent,omitempty"`
 	Skipped     int    `json:"skipped,omitempty"`
-	Failures    int    `json:"faults,omitempty"` // ends in failure, of all tasks
-	Lost        int    `json:"lost,omitempty"`   // handles proved dead without an end, of all tasks
+	Failures    int    `json:"faults,omitempty"` // failed runs of all tasks
+	Lost        int    `json:"lost,omitempty"`   // runs of all tasks proved dead without a reported end
 	Reason      string `json:"reason,omitempty"` // of the newest failure of a task that is not done
 }
 
-// Job returns a job, or the view of its tombstone. Failure: Unknown (the store has neither).
+// Job returns the view of a job or of its tombstone. Failure: Unknown (the state has neither).
 func Job(s *state.State, key string) (JobView, error) {
 	if j := s.Jobs[key]; j != nil {
 		v := jobView(s, j)
@@ -54,8 +54,8 @@
 	return JobView{}, errs.Field(errs.Unknown, "key", "no job %q", key)
 }
 
-// Jobs returns the jobs of a team ("": any) in a phase ("": any) with keys above after, in order of keys, at most limit
-// and without their steps. more reports whether there are others.
+// Jobs returns the jobs of a team ("": any) in a phase ("": any) with keys above after, sorted by key and without their
+// steps. It returns at most limit jobs; more reports whether others follow.
 func Jobs(
 	s *state.State, team string, phase state.JobPhase, after string, limit int,
 ) (jobs []JobView, more bool) {
--- a/internal/state/query/revisions.go
+++ b/internal/state/query/revisions.go
@@ -13,7 +13,7 @@
 	Newest  = "newest"  // the newest, in force or not
 )
 
-// Revisions returns the versions of the bundle without bodies, newest first, at most limit.
+// Revisions returns at most limit versions of the bundle without their bodies, newest first.
 func Revisions(s *state.State, limit int) []state.Revision {
 	var revisions []state.Revision
 	for _, r := range slices.Backward(s.Revisions) {
@@ -25,11 +25,11 @@
 	return revisions
 }
 
-// Revision returns a version without its body, and its exact text, nil if that was trimmed. Failure: Unknown.
+// Revision returns a version without its body, and separately its exact text, nil if it was trimmed. Failure: Unknown.
 func Revision(s *state.State, version uint64) (state.Revision, []byte, error) {
 	r := s.Revision(version)
 	if r == nil {
-		return state.Revision{}, nil, errs.Field(errs.Unknown, "version", "no version %d", version)
+		return state.Revision{}, nil, errs.Field(errs.Unknown, "version", "version %d does not exist", version)
 	}
 	return withoutBody(r), r.Body, nil
 }
--- a/internal/state/query/workers.go
+++ b/internal/state/query/workers.go
@@ -2,7 +2,7 @@
 
 import "crosstide/internal/state"
 
-// WorkerView is a worker with the use of its capacity.
+// WorkerView is a worker with its used capacity.
 type WorkerView struct {
 	state.Worker
 	RunCount  int `json:"tickets"`
@@ -10,7 +10,7 @@
 	UsedGPUs  int `json:"used_gpus"`
 }
 
-// Workers returns every worker in order of names.
+// Workers returns all workers, sorted by name.
 func Workers(s *state.State) []WorkerView {
 	workers := make([]WorkerView, 0, len(s.Workers))
 	for _, name := range s.WorkerNames() {
--- a/internal/state/query/zones.go
+++ b/internal/state/query/zones.go
@@ -12,10 +12,10 @@
 type ZoneView struct {
 	Zone   string    `json:"zone"`
 	Since  time.Time `json:"since"`
-	Signed []string  `json:"signed,omitempty"` // operators who signed for lifting it
+	Signed []string  `json:"signed,omitempty"` // operators who have signed to lift it
 }
 
-// Zones returns the evacuated zones in order of names.
+// Zones returns the evacuated zones, sorted by name.
 func Zones(s *state.State) []ZoneView {
 	zones := []ZoneView{}
 	for zone, since := range s.Evacuated {
