--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -75,19 +75,19 @@
 // if there is a gap. The caller must hold mu.
 func (r *Replica) applyChanges(changes []raft.Entry) error {
 	before := r.state.Index
-	for _, e := range changes {
-		if e.Index <= r.state.Index {
+	for _, entry := range changes {
+		if entry.Index <= r.state.Index {
 			continue
 		}
-		if e.Index != r.state.Index+1 {
-			return errs.New(errs.Stale, "gap in the changes from %d to %d", r.state.Index, e.Index)
+		if entry.Index != r.state.Index+1 {
+			return errs.New(errs.Stale, "gap in the changes from %d to %d", r.state.Index, entry.Index)
 		}
-		data := e.Data
-		if e.Kind != raft.Normal {
+		data := entry.Data
+		if entry.Kind != raft.Normal {
 			data = nil
 		}
 		// A rejected command has the same outcome on every node: it changes nothing but the index.
-		_, _ = command.Apply(r.state, e.Index, e.Term, data)
+		_, _ = command.Apply(r.state, entry.Index, entry.Term, data)
 		r.Bytes += uint64(len(data))
 		r.Changes++
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -153,7 +153,7 @@
 }
 
 func TestPull_snapshotRejected(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		damage func(h history, source *fakeSource)
 	}{
@@ -161,13 +161,13 @@
 		{"a damaged body", func(_ history, f *fakeSource) { f.body = append([]byte("x"), f.body[1:]...) }},
 		{"an older snapshot", func(h history, f *fakeSource) { f.body = h.states[3] }},
 	} {
-		Convey("A snapshot that cannot be installed leaves the replica unchanged: "+c.name, t, func() {
+		Convey("A snapshot that cannot be installed leaves the replica unchanged: "+test.name, t, func() {
 			h := newHistory(t, 6)
 			r := h.bootstrapped(t)
 			first := &fakeSource{answers: []internalapi.SourceUpdate{{Changes: h.changes(2, 4)}}}
 			So(r.Pull(context.Background(), first, "d", 0), ShouldBeNil)
 			source := &fakeSource{body: h.states[5], number: 3, chunkSize: 1 << 20}
-			c.damage(h, source)
+			test.damage(h, source)
 			source.answers = []internalapi.SourceUpdate{{Snapshot: source.snapshot(5)}}
 			So(r.Pull(context.Background(), source, "d", 0), ShouldNotBeNil)
 			So(r.Index(), ShouldEqual, 4)
--- a/internal/state/command/accounts_test.go
+++ b/internal/state/command/accounts_test.go
@@ -13,42 +13,42 @@
 
 func TestAccounts_orders(t *testing.T) {
 	Convey("Orders for accounts are applied once, also to a decoded state, and must be signed", t, func() {
-		o := newOperatorsFixture()
+		fixture := newOperatorsFixture()
 		opened := &AccountCreate{Order: "o1", Account: "acme", By: "ada"}
-		opened.Sig = o.keys["ada"].Sign(signature.AccountCreate("o1", "acme", 0))
+		opened.Sig = fixture.keys["ada"].Sign(signature.AccountCreate("o1", "acme", 0))
 		paid := &AccountTopUp{Account: "acme", Key: "k1", Amount: 50, By: "ben"}
-		paid.Sig = o.keys["ben"].Sign(signature.AccountTopUp("k1", "acme", 50))
-		_, err := o.do(paid)
+		paid.Sig = fixture.keys["ben"].Sign(signature.AccountTopUp("k1", "acme", 50))
+		_, err := fixture.do(paid)
 		So(errs.KindOf(err), ShouldEqual, errs.Unknown)
-		first, err := o.do(opened)
+		first, err := fixture.do(opened)
 		So(err, ShouldBeNil)
-		made, err := o.do(paid)
+		made, err := fixture.do(paid)
 		So(err, ShouldBeNil)
-		data, err := o.st.Encode()
+		data, err := fixture.st.Encode()
 		So(err, ShouldBeNil)
-		o.st, err = state.Decode(data)
+		fixture.st, err = state.Decode(data)
 		So(err, ShouldBeNil)
-		again, err := o.do(opened)
+		again, err := fixture.do(opened)
 		So(err, ShouldBeNil)
 		So(fmt.Sprintf("%s", again), ShouldEqual, fmt.Sprintf("%s", first))
-		twice, err := o.do(paid)
+		twice, err := fixture.do(paid)
 		So(err, ShouldBeNil)
 		So(twice, ShouldResemble, made)
-		So(o.st.Accounts.Accounts["acme"].Balance, ShouldEqual, 50)
+		So(fixture.st.Accounts.Accounts["acme"].Balance, ShouldEqual, 50)
 
 		more := *paid
 		more.Amount = 5000
 		eve := *paid
-		eve.By, eve.Sig = "eve", o.keys["eve"].Sign(signature.AccountTopUp("k1", "acme", 50))
+		eve.By, eve.Sig = "eve", fixture.keys["eve"].Sign(signature.AccountTopUp("k1", "acme", 50))
 		unsigned := *opened
 		unsigned.Order, unsigned.Sig = "o2", ""
 		for _, bad := range []Command{&more, &eve, &unsigned} {
-			_, err := o.do(bad)
+			_, err := fixture.do(bad)
 			So(errs.KindOf(err), ShouldEqual, errs.Forbidden)
 		}
-		more.Sig = o.keys["ben"].Sign(signature.AccountTopUp("k1", "acme", 5000))
-		_, err = o.do(&more)
+		more.Sig = fixture.keys["ben"].Sign(signature.AccountTopUp("k1", "acme", 5000))
+		_, err = fixture.do(&more)
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
-		So(o.st.Accounts.Check(), ShouldBeNil)
+		So(fixture.st.Accounts.Check(), ShouldBeNil)
 	})
 }
--- a/internal/state/command/entry.go
+++ b/internal/state/command/entry.go
@@ -91,20 +91,20 @@
 	if len(data) == 0 {
 		return nil, nil
 	}
-	var e Entry
-	if err := codec.Decode(data, &e); err != nil {
+	var entry Entry
+	if err := codec.Decode(data, &entry); err != nil {
 		return nil, errs.Wrap(err, errs.Malformed, "entry %d", index)
 	}
-	if e.At.After(s.At) {
-		s.At = e.At
+	if entry.At.After(s.At) {
+		s.At = entry.At
 		s.Accounts.Renew(s.At) // before any other change at that time
 	}
-	c, err := New(e.Op)
+	c, err := New(entry.Op)
 	if err != nil {
 		return nil, errs.Pass(err, "entry")
 	}
-	if err := codec.Decode(e.Body, c); err != nil {
-		return nil, errs.Wrap(err, errs.Malformed, "entry %d, %s", index, e.Op)
+	if err := codec.Decode(entry.Body, c); err != nil {
+		return nil, errs.Wrap(err, errs.Malformed, "entry %d, %s", index, entry.Op)
 	}
 	answer, err := c.apply(s, index)
 	if err != nil {
--- a/internal/state/command/operators_test.go
+++ b/internal/state/command/operators_test.go
@@ -18,18 +18,18 @@
 }
 
 func newOperatorsFixture() *operatorsFixture {
-	o := &operatorsFixture{st: state.New(), keys: map[string]signature.Key{}}
+	fixture := &operatorsFixture{st: state.New(), keys: map[string]signature.Key{}}
 	public := map[string]string{}
 	for _, name := range []string{"ada", "ben", "eve"} {
 		key, err := signature.New(name)
 		So(err, ShouldBeNil)
-		if o.keys[name] = key; name != "eve" {
+		if fixture.keys[name] = key; name != "eve" {
 			public[name] = key.Public()
 		}
 	}
-	_, err := o.do(&SetOperators{Operators: public})
+	_, err := fixture.do(&SetOperators{Operators: public})
 	So(err, ShouldBeNil)
-	return o
+	return fixture
 }
 
 func (o *operatorsFixture) do(c Command) (any, error) {
--- a/internal/state/command/policy_bundle.go
+++ b/internal/state/command/policy_bundle.go
@@ -108,12 +108,12 @@
 		return nil, errs.Pass(err, "draft")
 	}
 	base := s.Head().Version
-	r := &state.Revision{
+	revision := &state.Revision{
 		Version: base + 1, Base: base, Digest: bundle.Digest(body), Size: len(body),
 		Order: order, Author: author, WrittenAt: s.At, Phase: state.RevisionDraft, Body: body,
 	}
-	must(s.AppendRevision(r)) // a head that lacks signatures may always be replaced
-	return BundleDrafted{r.Version, r.Base, r.Digest, r.Phase}, nil
+	must(s.AppendRevision(revision)) // a head that lacks signatures may always be replaced
+	return BundleDrafted{revision.Version, revision.Base, revision.Digest, revision.Phase}, nil
 }
 
 // SignBundle adds an operator's signature to a version: Sig signs the text signature.Bundle. The second signature, by
@@ -143,43 +143,44 @@
 }
 
 func (c *SignBundle) check(s *state.State) error {
-	r := s.Revision(c.Version)
+	revision := s.Revision(c.Version)
 	switch {
-	case r == nil:
+	case revision == nil:
 		return errs.Field(errs.Unknown, "version", "version %d does not exist", c.Version)
-	case !strings.EqualFold(r.Digest, c.Digest):
-		return errs.Field(errs.Invalid, "sha256", "version %d has the digest %s, not %s", r.Version, r.Digest, c.Digest)
+	case !strings.EqualFold(revision.Digest, c.Digest):
+		return errs.Field(errs.Invalid, "sha256",
+			"version %d has the digest %s, not %s", revision.Version, revision.Digest, c.Digest)
 	}
-	if err := verifySignature(s, c.By, c.Sig, signature.Bundle(r.Version, r.Digest)); err != nil {
+	if err := verifySignature(s, c.By, c.Sig, signature.Bundle(revision.Version, revision.Digest)); err != nil {
 		return errs.Pass(err, "sign")
 	}
 	switch {
-	case r.Phase == state.RevisionInForce:
-		return errs.Field(errs.Conflict, "version", "version %d is already in force", r.Version)
-	case r.Phase == state.RevisionReplaced:
+	case revision.Phase == state.RevisionInForce:
+		return errs.Field(errs.Conflict, "version", "version %d is already in force", revision.Version)
+	case revision.Phase == state.RevisionReplaced:
 		return errs.Field(errs.Conflict, "version",
-			"someone else was first: version %d was replaced, the newest is %d", r.Version, s.Head().Version)
-	case slices.ContainsFunc(r.Signed, func(g state.Signature) bool { return g.By == c.By }):
+			"someone else was first: version %d was replaced, the newest is %d", revision.Version, s.Head().Version)
+	case slices.ContainsFunc(revision.Signed, func(g state.Signature) bool { return g.By == c.By }):
 		return errs.Field(errs.Forbidden, "by",
-			"%s has already signed version %d; another operator must sign too", c.By, r.Version)
+			"%s has already signed version %d; another operator must sign too", c.By, revision.Version)
 	}
 	return nil
 }
 
 func (c *SignBundle) change(s *state.State) (any, error) {
-	r := s.Revision(c.Version)
-	r.Signed = append(r.Signed, state.Signature{By: c.By, At: s.At, Sig: c.Sig})
-	if len(r.Signed) == 1 {
-		must(s.SetRevisionPhase(r, state.RevisionSigned))
+	revision := s.Revision(c.Version)
+	revision.Signed = append(revision.Signed, state.Signature{By: c.By, At: s.At, Sig: c.Sig})
+	if len(revision.Signed) == 1 {
+		must(s.SetRevisionPhase(revision, state.RevisionSigned))
 	} else {
 		// The draft was parsed when it was written. A node that runs another version of the program and rejects it now
 		// must stop: the bundle must not be in force on some nodes only.
-		b, err := bundle.Parse(r.Body)
+		b, err := bundle.Parse(revision.Body)
 		must(err)
-		must(s.PutInForce(r, b))
+		must(s.PutInForce(revision, b))
 	}
-	answer := BundleSigned{Version: r.Version, Digest: r.Digest, Phase: r.Phase}
-	for _, g := range r.Signed {
+	answer := BundleSigned{Version: revision.Version, Digest: revision.Digest, Phase: revision.Phase}
+	for _, g := range revision.Signed {
 		answer.Signed = append(answer.Signed, g.By)
 	}
 	return answer, nil
--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -41,33 +41,33 @@
 
 // recordEnd records a reported end. A failed task is due again after a backoff until its retries are used up; a
 // long-running task is always retried.
-func recordEnd(s *state.State, e End) {
-	h := s.Handles[e.RunID]
-	if h == nil {
-		recordLateEnd(s, e)
+func recordEnd(s *state.State, end End) {
+	handle := s.Handles[end.RunID]
+	if handle == nil {
+		recordLateEnd(s, end)
 		return
 	}
-	if e.OK {
-		must(s.SetTaskPhase(h.Ref, state.TaskDone, nil))
+	if end.OK {
+		must(s.SetTaskPhase(handle.Ref, state.TaskDone, nil))
 		return
 	}
-	j, t := s.TaskOf(h.Ref)
-	t.Failures++
-	t.Reason = e.Reason
-	if isOutOfRetries(s, j, t, h.Ref) {
-		must(s.SetTaskPhase(h.Ref, state.TaskFailed, nil))
-		s.StopJob(j, state.JobFailed, "step "+stepOf(s, h.Ref).Name+" gave up: "+e.Reason)
+	job, task := s.TaskOf(handle.Ref)
+	task.Failures++
+	task.Reason = end.Reason
+	if isOutOfRetries(s, job, task, handle.Ref) {
+		must(s.SetTaskPhase(handle.Ref, state.TaskFailed, nil))
+		s.StopJob(job, state.JobFailed, "step "+stepOf(s, handle.Ref).Name+" gave up: "+end.Reason)
 		return
 	}
-	t.DueAt = s.At.Add(s.Bundle.Backoff.After(t.Failures))
-	requeueTask(s, h)
+	task.DueAt = s.At.Add(s.Bundle.Backoff.After(task.Failures))
+	requeueTask(s, handle)
 }
 
 // isOutOfRetries reports whether the newest failure of a task makes its job fail.
-func isOutOfRetries(s *state.State, j *state.Job, t *state.Task, ref state.TaskRef) bool {
+func isOutOfRetries(s *state.State, job *state.Job, task *state.Task, ref state.TaskRef) bool {
 	step := stepOf(s, ref)
-	return t.Failures > s.Bundle.RetriesFor(j.Spec.Queue, step.Retries) && !step.LongRunning &&
-		j.Phase == state.JobRunning
+	return task.Failures > s.Bundle.RetriesFor(job.Spec.Queue, step.Retries) && !step.LongRunning &&
+		job.Phase == state.JobRunning
 }
 
 // recordLateEnd records the success of a run whose handle was released by a proof before its end was reported. It
@@ -81,22 +81,22 @@
 // recordReport records a worker's report of itself. After a change of incarnation the older runs are dead, because a
 // worker kills them before it reports the new one. A start order that is still in flight, however, may reach a worker
 // that starts anything: the handle of such a run is kept until the scheduler proves the run dead.
-func recordReport(s *state.State, w state.Worker) {
-	old := s.Workers[w.Name]
+func recordReport(s *state.State, worker state.Worker) {
+	old := s.Workers[worker.Name]
 	if old == nil {
 		return // the worker was retired after the report
 	}
-	w.Closed, w.Addr = old.Closed, old.Addr
-	s.PutWorker(&w)
-	if w.Incarnation == old.Incarnation {
+	worker.Closed, worker.Addr = old.Closed, old.Addr
+	s.PutWorker(&worker)
+	if worker.Incarnation == old.Incarnation {
 		return
 	}
-	for _, id := range s.RunIDsOn(w.Name) {
-		h := s.Handles[id]
-		maySurvive := w.Kind == startsAnything && h.Phase != state.TaskRunning
-		if h.Incarnation != w.Incarnation && !maySurvive {
-			s.RefundRun(h.RunID)
-			requeueLost(s, h, "the minion came back under a new boot")
+	for _, id := range s.RunIDsOn(worker.Name) {
+		handle := s.Handles[id]
+		maySurvive := worker.Kind == startsAnything && handle.Phase != state.TaskRunning
+		if handle.Incarnation != worker.Incarnation && !maySurvive {
+			s.RefundRun(handle.RunID)
+			requeueLost(s, handle, "the minion came back under a new boot")
 		}
 	}
 }
@@ -112,34 +112,34 @@
 }
 
 // recordProof releases the handle of a run that was proved dead. The run is refunded unless it was stopped as ordered.
-func recordProof(s *state.State, p Proof) {
-	h := s.Handles[p.RunID]
-	if h == nil {
+func recordProof(s *state.State, proof Proof) {
+	handle := s.Handles[proof.RunID]
+	if handle == nil {
 		return
 	}
-	if p.Kind != ProofStop {
-		s.RefundRun(h.RunID)
+	if proof.Kind != ProofStop {
+		s.RefundRun(handle.RunID)
 	}
-	requeueLost(s, h, p.Reason)
+	requeueLost(s, handle, proof.Reason)
 }
 
 // requeueLost releases a handle whose run has no reported end: its task may start again at once.
-func requeueLost(s *state.State, h *state.Handle, reason string) {
-	_, t := s.TaskOf(h.Ref)
-	t.DueAt = time.Time{}
+func requeueLost(s *state.State, handle *state.Handle, reason string) {
+	_, task := s.TaskOf(handle.Ref)
+	task.DueAt = time.Time{}
 	if reason != "" {
-		t.Reason = reason
+		task.Reason = reason
 	}
-	t.Lost++
-	requeueTask(s, h)
+	task.Lost++
+	requeueTask(s, handle)
 }
 
 // requeueTask releases a handle and makes its task due again at the DueAt that the caller has set. If the job is not
 // running, the task is skipped instead.
-func requeueTask(s *state.State, h *state.Handle) {
+func requeueTask(s *state.State, handle *state.Handle) {
 	to := state.TaskDue
-	if s.Jobs[h.Ref.Job].Phase != state.JobRunning {
+	if s.Jobs[handle.Ref.Job].Phase != state.JobRunning {
 		to = state.TaskSkipped
 	}
-	must(s.SetTaskPhase(h.Ref, to, nil))
+	must(s.SetTaskPhase(handle.Ref, to, nil))
 }
--- a/internal/state/command/policy_starts.go
+++ b/internal/state/command/policy_starts.go
@@ -56,28 +56,28 @@
 
 // startRefusal returns why one start may not be assigned, regardless of the rest of its group; "" if it may.
 func startRefusal(s *state.State, start Start) state.Refusal {
-	j, t := s.TaskOf(start.Ref)
-	w := s.Workers[start.Worker]
+	job, task := s.TaskOf(start.Ref)
+	worker := s.Workers[start.Worker]
 	switch {
-	case t == nil || j.Phase != state.JobRunning:
+	case task == nil || job.Phase != state.JobRunning:
 		return RefusedJob
-	case t.Phase != state.TaskDue:
+	case task.Phase != state.TaskDue:
 		return RefusedTask
-	case w == nil || w.Incarnation != start.Incarnation:
+	case worker == nil || worker.Incarnation != start.Incarnation:
 		return state.RefusedIncarnation
 	}
-	return s.PlacementRefusal(&j.Spec, stepOf(s, start.Ref), w)
+	return s.PlacementRefusal(&job.Spec, stepOf(s, start.Ref), worker)
 }
 
 // assign issues a run ID and records the handle of a start that was not refused.
 func (c *Plan) assign(s *state.State, start Start) uint64 {
-	j, _ := s.TaskOf(start.Ref)
+	job, _ := s.TaskOf(start.Ref)
 	step := stepOf(s, start.Ref)
 	s.LastRunID++
 	must(s.SetTaskPhase(start.Ref, state.TaskAssigned, &state.Handle{
 		RunID: s.LastRunID, Ref: start.Ref, Worker: start.Worker, Incarnation: start.Incarnation,
 		Epoch: c.Epoch, BundleVersion: c.BundleVersion, Type: step.Type, Cores: step.Cores, GPUs: step.GPUs,
-		LeaseTTL: s.Bundle.LeaseTTLFor(j.Spec.Queue, c.LeaseTTL),
+		LeaseTTL: s.Bundle.LeaseTTLFor(job.Spec.Queue, c.LeaseTTL),
 	}))
 	return s.LastRunID
 }
--- a/internal/state/command/policy_submit.go
+++ b/internal/state/command/policy_submit.go
@@ -50,20 +50,20 @@
 // check returns an error if the placement policy of the queue or overload forbids a new job. Failures: Invalid,
 // Forbidden, Overloaded.
 func (c *Submit) check(s *state.State) error {
-	q, ok := s.Bundle.Queues[c.Spec.Queue]
+	queue, ok := s.Bundle.Queues[c.Spec.Queue]
 	if !ok {
 		return errs.Field(errs.Invalid, "queue", "no queue %q in bundle %d", c.Spec.Queue, s.Bundle.Version)
 	}
-	if len(q.Teams) > 0 && !slices.Contains(q.Teams, c.Spec.Team) {
+	if len(queue.Teams) > 0 && !slices.Contains(queue.Teams, c.Spec.Team) {
 		return errs.Field(errs.Forbidden, "team", "%q may not use queue %q", c.Spec.Team, c.Spec.Queue)
 	}
 	for i, step := range c.Spec.Steps {
-		if len(q.Types) > 0 && !slices.Contains(q.Types, step.Type) {
+		if len(queue.Types) > 0 && !slices.Contains(queue.Types, step.Type) {
 			return errs.Field(errs.Forbidden, fmt.Sprintf("steps[%d].type", i),
 				"%q may not use queue %q", step.Type, c.Spec.Queue)
 		}
 	}
-	if reason := s.OverloadReason(c.Spec.Team, q.Urgent, c.Bound); reason != "" {
+	if reason := s.OverloadReason(c.Spec.Team, queue.Urgent, c.Bound); reason != "" {
 		return errs.New(errs.Overloaded, "%s", reason)
 	}
 	return nil
--- a/internal/state/command/policy_zone_test.go
+++ b/internal/state/command/policy_zone_test.go
@@ -11,30 +11,30 @@
 
 func TestZones(t *testing.T) {
 	Convey("One operator evacuates a zone and two lift that; without operators no signature is needed", t, func() {
-		o := newOperatorsFixture()
+		fixture := newOperatorsFixture()
 		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Out: true}
-		_, err := o.do(unsigned)
+		_, err := fixture.do(unsigned)
 		So(errs.KindOf(err), ShouldEqual, errs.Forbidden)
-		_, err = o.do(o.zone("o1", "ada", "z1", true))
+		_, err = fixture.do(fixture.zone("o1", "ada", "z1", true))
 		So(err, ShouldBeNil)
-		old := o.zone("o6", "ben", "z1", false)
+		old := fixture.zone("o6", "ben", "z1", false)
 		for _, test := range []struct {
 			order     Command
 			kind      errs.Kind
 			evacuated bool // after the order
 		}{
-			{o.zone("o2", "ada", "z1", false), "", true},
-			{o.zone("o3", "ada", "z1", false), errs.Forbidden, true},
-			{o.zone("o2", "ada", "z1", false), "", true},
-			{o.zone("o4", "eve", "z1", false), errs.Forbidden, true},
-			{o.zone("o5", "ben", "z1", false), "", false},
-			{o.zone("o7", "ben", "z1", false), errs.Unknown, false},
-			{o.zone("o8", "ben", "z1", true), "", true},
+			{fixture.zone("o2", "ada", "z1", false), "", true},
+			{fixture.zone("o3", "ada", "z1", false), errs.Forbidden, true},
+			{fixture.zone("o2", "ada", "z1", false), "", true},
+			{fixture.zone("o4", "eve", "z1", false), errs.Forbidden, true},
+			{fixture.zone("o5", "ben", "z1", false), "", false},
+			{fixture.zone("o7", "ben", "z1", false), errs.Unknown, false},
+			{fixture.zone("o8", "ben", "z1", true), "", true},
 			{old, errs.Forbidden, true}, // a signature for lifting the first evacuation
 		} {
-			_, err := o.do(test.order)
+			_, err := fixture.do(test.order)
 			So(errs.KindOf(err), ShouldEqual, test.kind)
-			_, isEvacuated := o.st.Evacuated["z1"]
+			_, isEvacuated := fixture.st.Evacuated["z1"]
 			So(isEvacuated, ShouldEqual, test.evacuated)
 		}
 		withoutOperators := &operatorsFixture{st: state.New()}
--- a/internal/state/indexes.go
+++ b/internal/state/indexes.go
@@ -45,21 +45,21 @@
 	}
 }
 
-func (x *indexes) addHandle(h *Handle) {
-	u := x.usageOf(h.Worker)
-	u.Cores += h.Cores
-	u.GPUs += h.GPUs
-	u.Handles[h.RunID] = h
-	x.runningByType[h.Type]++
+func (x *indexes) addHandle(handle *Handle) {
+	u := x.usageOf(handle.Worker)
+	u.Cores += handle.Cores
+	u.GPUs += handle.GPUs
+	u.Handles[handle.RunID] = handle
+	x.runningByType[handle.Type]++
 }
 
-func (x *indexes) removeHandle(h *Handle) {
-	u := x.usageOf(h.Worker)
-	u.Cores -= h.Cores
-	u.GPUs -= h.GPUs
-	delete(u.Handles, h.RunID)
-	if x.runningByType[h.Type]--; x.runningByType[h.Type] == 0 {
-		delete(x.runningByType, h.Type)
+func (x *indexes) removeHandle(handle *Handle) {
+	u := x.usageOf(handle.Worker)
+	u.Cores -= handle.Cores
+	u.GPUs -= handle.GPUs
+	delete(u.Handles, handle.RunID)
+	if x.runningByType[handle.Type]--; x.runningByType[handle.Type] == 0 {
+		delete(x.runningByType, handle.Type)
 	}
 }
 
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -19,29 +19,29 @@
 
 // Fee returns the fee for starting a task: the price of one window. It is zero if no party pays for the job, and for
 // the restart of a long-running task, which continues even when the balance is exhausted.
-func (s *State) Fee(j *Job, ref TaskRef) Fee {
-	party := s.PartyOf(j)
-	if party == "" || j.isRestart(ref) {
+func (s *State) Fee(job *Job, ref TaskRef) Fee {
+	party := s.PartyOf(job)
+	if party == "" || job.isRestart(ref) {
 		return Fee{}
 	}
 	p := s.Bundle.Parties[party]
-	return Fee{party, p.rate(&j.Spec.Steps[ref.Step]).Cost(p.Window())}
+	return Fee{party, p.rate(&job.Spec.Steps[ref.Step]).Cost(p.Window())}
 }
 
 // Covers reports whether the party's balance covers a fee, which may be the sum of the fees of several starts.
 func (s *State) Covers(f Fee) bool { return f.Party == "" || s.Accounts.Covers(f.Party, f.Cost) }
 
 // UnpaidReason returns why due tasks of a job wait for a top-up, or "" if none does.
-func (s *State) UnpaidReason(j *Job) string {
-	if s.PartyOf(j) == "" {
+func (s *State) UnpaidReason(job *Job) string {
+	if s.PartyOf(job) == "" {
 		return ""
 	}
-	for i := range j.Tasks {
-		for k := range j.Tasks[i] {
-			if j.Tasks[i][k].Phase != TaskDue {
+	for i := range job.Tasks {
+		for k := range job.Tasks[i] {
+			if job.Tasks[i][k].Phase != TaskDue {
 				continue
 			}
-			if f := s.Fee(j, TaskRef{Job: j.Spec.Key, Step: i, Task: k}); !s.Covers(f) {
+			if f := s.Fee(job, TaskRef{Job: job.Spec.Key, Step: i, Task: k}); !s.Covers(f) {
 				return s.insufficientBalanceReason(f)
 			}
 		}
@@ -77,9 +77,9 @@
 
 // reserve reserves the first window of a run if a party pays for it, in the transition that records its handle. The
 // restart of a long-running task is not charged if its party has no account.
-func (s *State) reserve(j *Job, ref TaskRef, runID uint64) error {
-	party := s.PartyOf(j)
-	isRestart := j.isRestart(ref)
+func (s *State) reserve(job *Job, ref TaskRef, runID uint64) error {
+	party := s.PartyOf(job)
+	isRestart := job.isRestart(ref)
 	if party == "" || isRestart && (s.Accounts == nil || s.Accounts.Accounts[party] == nil) {
 		return nil
 	}
@@ -88,7 +88,7 @@
 	}
 	p := s.Bundle.Parties[party]
 	charge := account.Charge{
-		Run: RunName(runID), Account: party, Rate: p.rate(&j.Spec.Steps[ref.Step]), Window: p.Window(),
+		Run: RunName(runID), Account: party, Rate: p.rate(&job.Spec.Steps[ref.Step]), Window: p.Window(),
 		Granted: true, // the plan checked that the balance covers its whole group, or it is a restart
 	}
 	return errs.Pass(s.Accounts.Reserve(charge, s.At), "reserve")
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -24,28 +24,28 @@
 // PlacementRefusal returns why the bundle, labels, evacuations or drains forbid assigning a task of a step to a worker,
 // or "" if they allow it. It does not check capacity. The scheduler calls it when it plans, and package command again
 // when the plan is applied.
-func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) Refusal {
-	q, ok := s.Bundle.Queues[spec.Queue]
+func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, worker *Worker) Refusal {
+	queue, ok := s.Bundle.Queues[spec.Queue]
 	switch {
 	case !ok:
 		return RefusedQueue
-	case w.Incarnation == "":
+	case worker.Incarnation == "":
 		return RefusedIncarnation
-	case w.Draining || w.Closed:
+	case worker.Draining || worker.Closed:
 		return RefusedDrain
-	case s.isEvacuated(w.Zone):
+	case s.isEvacuated(worker.Zone):
 		return RefusedZone
-	case !allows(q.Types, step.Type):
+	case !allows(queue.Types, step.Type):
 		return RefusedType
-	case !allows(q.Teams, spec.Team):
+	case !allows(queue.Teams, spec.Team):
 		return RefusedTeam
-	case !allows(q.Workers, w.Name), !allows(q.Zones, w.Zone), !allows(q.Racks, w.Rack):
+	case !allows(queue.Workers, worker.Name), !allows(queue.Zones, worker.Zone), !allows(queue.Racks, worker.Rack):
 		return RefusedPolicy
-	case !w.Labels.hasAll(q.Labels), !w.Labels.hasAll(step.Labels):
+	case !worker.Labels.hasAll(queue.Labels), !worker.Labels.hasAll(step.Labels):
 		return RefusedLabel
 	}
-	for _, near := range q.Near {
-		if s.indexes.labelSites[labelSiteOf(near, w)] == 0 {
+	for _, near := range queue.Near {
+		if s.indexes.labelSites[labelSiteOf(near, worker)] == 0 {
 			return RefusedNear
 		}
 	}
@@ -54,15 +54,15 @@
 
 // WaitReason returns why the bundle in force forbids all workers to start tasks of a job, or "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
-	q, ok := s.Bundle.Queues[spec.Queue]
+	queue, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
 		return fmt.Sprintf("no queue %s in bundle %d", spec.Queue, s.Bundle.Version)
 	}
-	if !allows(q.Teams, spec.Team) {
+	if !allows(queue.Teams, spec.Team) {
 		return fmt.Sprintf("team %s may not use queue %s in bundle %d", spec.Team, spec.Queue, s.Bundle.Version)
 	}
 	for _, step := range spec.Steps {
-		if !allows(q.Types, step.Type) {
+		if !allows(queue.Types, step.Type) {
 			return fmt.Sprintf("type %s may not use queue %s in bundle %d", step.Type, spec.Queue, s.Bundle.Version)
 		}
 	}
--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -64,23 +64,23 @@
 }
 
 func accountView(s *state.State, name string, runs, waiting int) internalapi.AccountView {
-	a, p := s.Accounts.Accounts[name], s.Bundle.Parties[name]
-	v := internalapi.AccountView{
+	a, party := s.Accounts.Accounts[name], s.Bundle.Parties[name]
+	view := internalapi.AccountView{
 		Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
-		Runs: runs, Rate: a.Rate(), Teams: p.Teams, Queues: p.Queues, Waiting: waiting,
+		Runs: runs, Rate: a.Rate(), Teams: party.Teams, Queues: party.Queues, Waiting: waiting,
 	}
-	v.ExhaustedIn, v.Draws = a.ExhaustedIn()
-	v.Warning = balanceWarning(&v, p)
-	return v
+	view.ExhaustedIn, view.Draws = a.ExhaustedIn()
+	view.Warning = balanceWarning(&view, party)
+	return view
 }
 
 // balanceWarning returns a warning if an account is exhausted or will be soon, otherwise "".
-func balanceWarning(v *internalapi.AccountView, p state.Party) string {
+func balanceWarning(view *internalapi.AccountView, party state.Party) string {
 	switch {
-	case v.Waiting > 0:
-		return fmt.Sprintf("dry: %d jobs wait for a top-up", v.Waiting)
-	case v.Draws && v.ExhaustedIn < p.WarnBefore():
-		return fmt.Sprintf("dry in about %s at the current rate", v.ExhaustedIn.Round(time.Second))
+	case view.Waiting > 0:
+		return fmt.Sprintf("dry: %d jobs wait for a top-up", view.Waiting)
+	case view.Draws && view.ExhaustedIn < party.WarnBefore():
+		return fmt.Sprintf("dry in about %s at the current rate", view.ExhaustedIn.Round(time.Second))
 	}
 	return ""
 }
@@ -100,9 +100,9 @@
 	if len(s.Bundle.Parties) == 0 {
 		return waiting
 	}
-	for _, j := range s.Jobs {
-		if j.Phase == state.JobRunning && s.UnpaidReason(j) != "" {
-			waiting[s.PartyOf(j)]++
+	for _, job := range s.Jobs {
+		if job.Phase == state.JobRunning && s.UnpaidReason(job) != "" {
+			waiting[s.PartyOf(job)]++
 		}
 	}
 	return waiting
@@ -110,13 +110,13 @@
 
 // waitsBehindReason returns a reason if due tasks of a job wait because the balance is reserved for another job of the
 // party, which is paid for first and waits for a top-up; otherwise "". Its cost is proportional to the number of jobs.
-func waitsBehindReason(s *state.State, j *state.Job) string {
-	party := s.PartyOf(j)
-	if party == "" || j.Phase != state.JobRunning || !hasDueTask(j) {
+func waitsBehindReason(s *state.State, job *state.Job) string {
+	party := s.PartyOf(job)
+	if party == "" || job.Phase != state.JobRunning || !hasDueTask(job) {
 		return ""
 	}
 	for _, other := range s.Jobs {
-		if other.Phase == state.JobRunning && s.PartyOf(other) == party && isPaidBefore(s, other, j) &&
+		if other.Phase == state.JobRunning && s.PartyOf(other) == party && isPaidBefore(s, other, job) &&
 			s.UnpaidReason(other) != "" {
 			return fmt.Sprintf("party %s is dry for a job that goes before this one; "+
 				"the job goes on by itself after a top-up", party)
@@ -126,12 +126,12 @@
 }
 
 // isPaidBefore reports whether the tasks of a job are paid for before those of another.
-func isPaidBefore(s *state.State, j, other *state.Job) bool {
-	isUrgent, isOtherUrgent := s.Bundle.Queues[j.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
+func isPaidBefore(s *state.State, job, other *state.Job) bool {
+	isUrgent, isOtherUrgent := s.Bundle.Queues[job.Spec.Queue].Urgent, s.Bundle.Queues[other.Spec.Queue].Urgent
 	if isUrgent != isOtherUrgent {
 		return isUrgent
 	}
-	return j.Seq < other.Seq
+	return job.Seq < other.Seq
 }
 
 func hasDueTask(j *state.Job) bool {
--- a/internal/state/query/jobs.go
+++ b/internal/state/query/jobs.go
@@ -77,37 +77,37 @@
 	return jobs, more
 }
 
-func jobView(s *state.State, j *state.Job) JobView {
-	v := JobView{
-		Key: j.Spec.Key, Team: j.Spec.Team, Queue: j.Spec.Queue, State: j.Phase, Reason: j.Reason,
-		Submitted: j.SubmittedAt, Ended: j.EndedAt, Steps: make([]StepView, len(j.Spec.Steps)),
+func jobView(s *state.State, job *state.Job) JobView {
+	view := JobView{
+		Key: job.Spec.Key, Team: job.Spec.Team, Queue: job.Spec.Queue, State: job.Phase, Reason: job.Reason,
+		Submitted: job.SubmittedAt, Ended: job.EndedAt, Steps: make([]StepView, len(job.Spec.Steps)),
 	}
-	if !j.Phase.IsTerminal() && j.Phase != state.JobStopping {
-		if v.WaitReason = s.WaitReason(&j.Spec); v.WaitReason == "" {
-			v.WaitReason = s.UnpaidReason(j)
+	if !job.Phase.IsTerminal() && job.Phase != state.JobStopping {
+		if view.WaitReason = s.WaitReason(&job.Spec); view.WaitReason == "" {
+			view.WaitReason = s.UnpaidReason(job)
 		}
 	}
-	for i := range j.Spec.Steps {
-		v.Steps[i] = stepView(&j.Spec.Steps[i], j.Tasks[i])
+	for i := range job.Spec.Steps {
+		view.Steps[i] = stepView(&job.Spec.Steps[i], job.Tasks[i])
 	}
-	return v
+	return view
 }
 
 func stepView(step *state.StepSpec, tasks []state.Task) StepView {
-	v := StepView{Name: step.Name, Type: step.Type, Tasks: step.Tasks}
+	view := StepView{Name: step.Name, Type: step.Type, Tasks: step.Tasks}
 	taskCounts := map[state.TaskPhase]*int{
-		state.TaskWaiting: &v.Waiting, state.TaskDue: &v.Due, state.TaskAssigned: &v.Assigned,
-		state.TaskRunning: &v.Running, state.TaskUnconfirmed: &v.Unconfirmed, state.TaskDone: &v.Done,
-		state.TaskFailed: &v.Failed, state.TaskSkipped: &v.Skipped,
+		state.TaskWaiting: &view.Waiting, state.TaskDue: &view.Due, state.TaskAssigned: &view.Assigned,
+		state.TaskRunning: &view.Running, state.TaskUnconfirmed: &view.Unconfirmed, state.TaskDone: &view.Done,
+		state.TaskFailed: &view.Failed, state.TaskSkipped: &view.Skipped,
 	}
 	for i := range tasks {
 		t := &tasks[i]
 		*taskCounts[t.Phase]++
-		v.Failures += t.Failures
-		v.Lost += t.Lost
+		view.Failures += t.Failures
+		view.Lost += t.Lost
 		if t.Reason != "" && t.Phase != state.TaskDone {
-			v.Reason = t.Reason
+			view.Reason = t.Reason
 		}
 	}
-	return v
+	return view
 }
--- a/internal/state/revision.go
+++ b/internal/state/revision.go
@@ -81,16 +81,16 @@
 
 // SetRevisionPhase changes a revision's phase; no other code may change it. Failure: Stale (revisionTransitions does
 // not allow the change).
-func (s *State) SetRevisionPhase(r *Revision, to RevisionPhase) error {
-	if !slices.Contains(revisionTransitions[r.Phase], to) {
-		return errs.New(errs.Stale, "version %d is %s, cannot become %s", r.Version, r.Phase, to)
+func (s *State) SetRevisionPhase(revision *Revision, to RevisionPhase) error {
+	if !slices.Contains(revisionTransitions[revision.Phase], to) {
+		return errs.New(errs.Stale, "version %d is %s, cannot become %s", revision.Version, revision.Phase, to)
 	}
-	r.Phase = to
+	revision.Phase = to
 	switch to {
 	case RevisionInForce:
-		r.InForceSince = s.At
+		revision.InForceSince = s.At
 	case RevisionReplaced:
-		r.ReplacedAt = s.At
+		revision.ReplacedAt = s.At
 	}
 	return nil
 }
@@ -109,28 +109,28 @@
 }
 
 // AppendRevision adds the newest version. It replaces the previous newest one if that still lacks signatures.
-func (s *State) AppendRevision(r *Revision) error {
+func (s *State) AppendRevision(revision *Revision) error {
 	if head := s.Head(); head.Phase == RevisionDraft || head.Phase == RevisionSigned {
 		if err := s.SetRevisionPhase(head, RevisionReplaced); err != nil {
 			return errs.Pass(err, "append")
 		}
 	}
-	s.Revisions = append(s.Revisions, r)
+	s.Revisions = append(s.Revisions, revision)
 	s.trimRevisions()
 	return nil
 }
 
 // PutInForce puts a version that has all its signatures in force; b is its parsed text.
-func (s *State) PutInForce(r *Revision, b Bundle) error {
+func (s *State) PutInForce(revision *Revision, b Bundle) error {
 	if old := s.Revision(s.Bundle.Version); old != nil {
 		if err := s.SetRevisionPhase(old, RevisionReplaced); err != nil {
 			return errs.Pass(err, "enforce")
 		}
 	}
-	if err := s.SetRevisionPhase(r, RevisionInForce); err != nil {
+	if err := s.SetRevisionPhase(revision, RevisionInForce); err != nil {
 		return errs.Pass(err, "enforce")
 	}
-	b.Version = r.Version
+	b.Version = revision.Version
 	s.Bundle = b
 	if len(b.Operators) > 0 {
 		s.Operators = b.Operators
@@ -145,24 +145,24 @@
 func (s *State) trimRevisions() {
 	enforced, drafts, bodyBytes := 0, 0, 0
 	keep := make([]*Revision, 0, len(s.Revisions))
-	for i, r := range slices.Backward(s.Revisions) {
-		if i == len(s.Revisions)-1 || r.Phase == RevisionInForce {
-			bodyBytes += len(r.Body)
-			keep = append(keep, r)
+	for i, revision := range slices.Backward(s.Revisions) {
+		if i == len(s.Revisions)-1 || revision.Phase == RevisionInForce {
+			bodyBytes += len(revision.Body)
+			keep = append(keep, revision)
 			continue
 		}
 		count, maxBodies, maxRevisions := &drafts, KeepDrafts, KeepUnfinished
-		if !r.InForceSince.IsZero() {
+		if !revision.InForceSince.IsZero() {
 			count, maxBodies, maxRevisions = &enforced, KeepBodies, KeepRevisions
 		}
 		if *count++; *count > maxRevisions {
 			continue
 		}
-		if bodyBytes += len(r.Body); *count > maxBodies || bodyBytes > KeepBodyBytes {
-			bodyBytes -= len(r.Body)
-			r.Body = nil
+		if bodyBytes += len(revision.Body); *count > maxBodies || bodyBytes > KeepBodyBytes {
+			bodyBytes -= len(revision.Body)
+			revision.Body = nil
 		}
-		keep = append(keep, r)
+		keep = append(keep, revision)
 	}
 	slices.Reverse(keep)
 	s.Revisions = keep
--- a/internal/state/tombstone.go
+++ b/internal/state/tombstone.go
@@ -13,12 +13,12 @@
 
 // BuryOldestJob replaces the oldest terminal job, the first of EndedJobs, by its tombstone.
 func (s *State) BuryOldestJob() {
-	j := s.Jobs[s.EndedJobs[0]]
-	s.Tombstones[j.Spec.Key] = &Tombstone{
-		Digest: j.Digest, Team: j.Spec.Team, Phase: j.Phase, Reason: j.Reason, EndedAt: j.EndedAt,
+	job := s.Jobs[s.EndedJobs[0]]
+	s.Tombstones[job.Spec.Key] = &Tombstone{
+		Digest: job.Digest, Team: job.Spec.Team, Phase: job.Phase, Reason: job.Reason, EndedAt: job.EndedAt,
 	}
-	s.TombstoneOrder = append(s.TombstoneOrder, j.Spec.Key)
-	delete(s.Jobs, j.Spec.Key)
+	s.TombstoneOrder = append(s.TombstoneOrder, job.Spec.Key)
+	delete(s.Jobs, job.Spec.Key)
 	s.EndedJobs = s.EndedJobs[1:]
 }
 
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -22,28 +22,28 @@
 }
 
 // PutWorker adds a worker or replaces its record.
-func (s *State) PutWorker(w *Worker) {
-	old := s.Workers[w.Name]
-	s.Workers[w.Name] = w
+func (s *State) PutWorker(worker *Worker) {
+	old := s.Workers[worker.Name]
+	s.Workers[worker.Name] = worker
 	sitesChanged := false
-	if old == nil || !old.hasSameSites(w) {
+	if old == nil || !old.hasSameSites(worker) {
 		if old != nil {
 			sitesChanged = s.indexes.addLabels(old, -1)
 		}
-		sitesChanged = s.indexes.addLabels(w, 1) || sitesChanged
+		sitesChanged = s.indexes.addLabels(worker, 1) || sitesChanged
 	}
-	s.notify(Event{Kind: EventWorkerChanged, Name: w.Name})
+	s.notify(Event{Kind: EventWorkerChanged, Name: worker.Name})
 	s.notifyIfNearChanged(sitesChanged)
 }
 
 // DropWorker removes a worker's record. The caller must ensure that the worker has no handles.
 func (s *State) DropWorker(name string) {
-	w := s.Workers[name]
-	if w == nil {
+	worker := s.Workers[name]
+	if worker == nil {
 		return
 	}
 	delete(s.Workers, name)
-	sitesChanged := s.indexes.addLabels(w, -1)
+	sitesChanged := s.indexes.addLabels(worker, -1)
 	s.notify(Event{Kind: EventWorkerRetired, Name: name})
 	s.notifyIfNearChanged(sitesChanged)
 }
