--- a/internal/state/command/policy_submit.go
+++ b/internal/state/command/policy_submit.go
@@ -8,15 +8,15 @@
 	"crosstide/internal/state"
 )
 
-// Submit puts a job into the inbox. Repeated with the same digest it is the same job; with another one it is a
-// conflict. Bound is the most jobs that may be open, see State.OverloadReason.
+// Submit puts a job into the inbox. A submission with a known key is the same job if its digest is the same, otherwise
+// a conflict. Bound is the maximum number of open jobs, see State.OverloadReason.
 type Submit struct {
 	Spec   state.Spec `json:"spec"`
 	Digest string     `json:"digest"`
 	Bound  int        `json:"bound"`
 }
 
-// Submitted answers Submit: the job's phase, and whether this entry accepted it.
+// Submitted answers Submit with the job's phase and whether this entry accepted the job.
 type Submitted struct {
 	Key    string         `json:"key"`
 	Phase  state.JobPhase `json:"state"`
@@ -31,13 +31,13 @@
 	key := c.Spec.Key
 	if j := s.Jobs[key]; j != nil {
 		if j.Digest != c.Digest {
-			return nil, errs.Field(errs.Conflict, "key", "%q is the key of another job", key)
+			return nil, errs.Field(errs.Conflict, "key", "%q belongs to another job", key)
 		}
 		return Submitted{Key: key, Phase: j.Phase, Reason: j.Reason}, nil
 	}
 	if t := s.Tombstones[key]; t != nil {
 		if t.Digest != c.Digest {
-			return nil, errs.Field(errs.Conflict, "key", "%q was the key of another job", key)
+			return nil, errs.Field(errs.Conflict, "key", "%q belongs to another job, which was purged", key)
 		}
 		return Submitted{Key: key, Phase: t.Phase, Reason: t.Reason}, nil
 	}
@@ -47,23 +47,23 @@
 	return c.change(s), nil
 }
 
-// check returns why a new job is refused: by the placement policy of its queue, or as overload. Failures: Invalid,
+// check returns an error if the placement policy of the queue or overload forbids a new job. Failures: Invalid,
 // Forbidden, Overloaded.
 func (c *Submit) check(s *state.State) error {
-	q, ok := s.Bundle.Queues[c.Spec.Queue]
+	queue, ok := s.Bundle.Queues[c.Spec.Queue]
 	if !ok {
 		return errs.Field(errs.Invalid, "queue", "no queue %q in bundle %d", c.Spec.Queue, s.Bundle.Version)
 	}
-	if len(q.Teams) > 0 && !slices.Contains(q.Teams, c.Spec.Team) {
+	if len(queue.Teams) > 0 && !slices.Contains(queue.Teams, c.Spec.Team) {
 		return errs.Field(errs.Forbidden, "team", "%q may not use queue %q", c.Spec.Team, c.Spec.Queue)
 	}
 	for i, step := range c.Spec.Steps {
-		if len(q.Types) > 0 && !slices.Contains(q.Types, step.Type) {
+		if len(queue.Types) > 0 && !slices.Contains(queue.Types, step.Type) {
 			return errs.Field(errs.Forbidden, fmt.Sprintf("steps[%d].type", i),
 				"%q may not use queue %q", step.Type, c.Spec.Queue)
 		}
 	}
-	if reason := s.OverloadReason(c.Spec.Team, q.Urgent, c.Bound); reason != "" {
+	if reason := s.OverloadReason(c.Spec.Team, queue.Urgent, c.Bound); reason != "" {
 		return errs.New(errs.Overloaded, "%s", reason)
 	}
 	return nil
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -5,64 +5,64 @@
 	"slices"
 )
 
-// Refusal is the reason for which a start is refused; "" if it is not. The strings are sent to the scheduler.
+// Refusal is the reason why a start is refused, or "" if it is not. The strings are sent to the scheduler.
 type Refusal string
 
 // The refusals of State.PlacementRefusal.
 const (
 	RefusedQueue       Refusal = "queue"   // the bundle has no such queue
-	RefusedIncarnation Refusal = "boot"    // the worker's incarnation is not known yet, or is another one
-	RefusedDrain       Refusal = "drain"   // the worker drains
+	RefusedIncarnation Refusal = "boot"    // the worker's incarnation is unknown or has changed
+	RefusedDrain       Refusal = "drain"   // the worker is draining
 	RefusedZone        Refusal = "zone"    // its zone is evacuated
-	RefusedType        Refusal = "type"    // the queue does not take the task's type
-	RefusedTeam        Refusal = "team"    // the queue does not take the job's team
+	RefusedType        Refusal = "type"    // the queue does not accept the task's type
+	RefusedTeam        Refusal = "team"    // the queue does not accept the job's team
 	RefusedPolicy      Refusal = "charter" // the placement policy does not list the worker, its zone or its rack
 	RefusedLabel       Refusal = "label"   // the worker lacks a label
-	RefusedNear        Refusal = "near"    // nothing near the worker has a label that the placement policy wants
+	RefusedNear        Refusal = "near"    // no worker nearby has a label that the placement policy requires there
 )
 
-// PlacementRefusal returns why a task of a step may not be assigned to a worker, by the bundle, labels, evacuations and
-// drains; "" if it may. It does not check capacity. The scheduler calls it when it plans, package command again when
-// the plan is applied.
-func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, w *Worker) Refusal {
-	q, ok := s.Bundle.Queues[spec.Queue]
+// PlacementRefusal returns why the bundle, labels, evacuations or drains forbid assigning a task of a step to a worker,
+// or "" if they allow it. It does not check capacity. The scheduler calls it when it plans, and package command again
+// when the plan is applied.
+func (s *State) PlacementRefusal(spec *Spec, step *StepSpec, worker *Worker) Refusal {
+	queue, ok := s.Bundle.Queues[spec.Queue]
 	switch {
 	case !ok:
 		return RefusedQueue
-	case w.Incarnation == "":
+	case worker.Incarnation == "":
 		return RefusedIncarnation
-	case w.Draining || w.Closed:
+	case worker.Draining || worker.Closed:
 		return RefusedDrain
-	case s.isEvacuated(w.Zone):
+	case s.isEvacuated(worker.Zone):
 		return RefusedZone
-	case !allows(q.Types, step.Type):
+	case !allows(queue.Types, step.Type):
 		return RefusedType
-	case !allows(q.Teams, spec.Team):
+	case !allows(queue.Teams, spec.Team):
 		return RefusedTeam
-	case !allows(q.Workers, w.Name), !allows(q.Zones, w.Zone), !allows(q.Racks, w.Rack):
+	case !allows(queue.Workers, worker.Name), !allows(queue.Zones, worker.Zone), !allows(queue.Racks, worker.Rack):
 		return RefusedPolicy
-	case !w.Labels.hasAll(q.Labels), !w.Labels.hasAll(step.Labels):
+	case !worker.Labels.hasAll(queue.Labels), !worker.Labels.hasAll(step.Labels):
 		return RefusedLabel
 	}
-	for _, near := range q.Near {
-		if s.indexes.labelSites[labelSiteOf(near, w)] == 0 {
+	for _, near := range queue.Near {
+		if s.indexes.labelSites[labelSiteOf(near, worker)] == 0 {
 			return RefusedNear
 		}
 	}
 	return ""
 }
 
-// WaitReason returns why the bundle in force lets tasks of a job start on no worker; "" if it does not.
+// WaitReason returns why the bundle in force forbids all workers to start tasks of a job, or "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
-	q, ok := s.Bundle.Queues[spec.Queue]
+	queue, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
 		return fmt.Sprintf("no queue %s in bundle %d", spec.Queue, s.Bundle.Version)
 	}
-	if !allows(q.Teams, spec.Team) {
+	if !allows(queue.Teams, spec.Team) {
 		return fmt.Sprintf("team %s may not use queue %s in bundle %d", spec.Team, spec.Queue, s.Bundle.Version)
 	}
 	for _, step := range spec.Steps {
-		if !allows(q.Types, step.Type) {
+		if !allows(queue.Types, step.Type) {
 			return fmt.Sprintf("type %s may not use queue %s in bundle %d", step.Type, spec.Queue, s.Bundle.Version)
 		}
 	}
@@ -75,19 +75,19 @@
 	ScopeRack = "rack"
 )
 
-// labelSite is a label with its value that some worker has, in a zone or in one rack of it.
+// labelSite is a label with its value, in a zone or in one of its racks, where some worker has it.
 type labelSite struct{ zone, rack, label, value string }
 
 // labelSiteOf returns the site that must exist for a worker to satisfy near.
 func labelSiteOf(near Near, w *Worker) labelSite {
-	at := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
+	site := labelSite{zone: w.Zone, label: near.Label, value: near.Value}
 	if near.Scope == ScopeRack {
-		at.rack = "r" + w.Rack // also of a worker without a rack it differs from a whole zone
+		site.rack = "r" + w.Rack // never "", so that a worker without a rack differs from the whole zone
 	}
-	return at
+	return site
 }
 
-// notifyIfNearChanged reports that label sites have changed, if any placement policy depends on them.
+// notifyIfNearChanged emits EventPlacementChanged if label sites have changed and some placement policy uses Near.
 func (s *State) notifyIfNearChanged(sitesChanged bool) {
 	if !sitesChanged {
 		return
