--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -14,8 +14,8 @@
 // proposeTimeout bounds the wait for the outcome of a proposal.
 const proposeTimeout = 2 * time.Second
 
-// Propose commits c and applies it here; index is the index of its entry. It waits at most proposeTimeout. The error is
-// the command's own, or one of:
+// Propose commits c and applies it to this node's live state; index is the index of its entry. It waits at most
+// proposeTimeout. The error is the command's own, or one of:
 //
 //   - NotLeader (its Hint is the leader's address), Overloaded, TooLarge, Unavailable: c will not be committed
 //   - Stopped: c will not be committed, unless the message says otherwise
@@ -29,19 +29,19 @@
 	return index, answer, errs.Pass(err, "propose")
 }
 
-// ProposeIn is Propose for a command that was decided in one term of this node as the leader (see LeaderTerm): it
-// enters the log in that term or not at all. Failures: those of Propose; Stale if this node leads in another term by
-// then, and c was not committed.
+// ProposeIn is Propose for a command that this node decided as the leader in the given term (see LeaderTerm): the
+// command enters the log in that term or not at all. Failures: those of Propose; Stale if this node now leads in
+// another term, so c is not committed.
 func (s *Store) ProposeIn(ctx context.Context, term uint64, c command.Command) (index uint64, answer any, err error) {
 	if term == 0 {
-		return 0, nil, errs.Field(errs.Stale, "term", "no leader has term 0")
+		return 0, nil, errs.Field(errs.Stale, "term", "must not be 0")
 	}
 	index, answer, err = s.proposeAndWait(ctx, c, term)
 	return index, answer, errs.Pass(err, "propose in term %d", term)
 }
 
-// ProposeOrForward is Propose at any node: a follower forwards the command to the leader, one hop at most. The answer
-// is JSON. Failures: those of Propose, with Unavailable in place of NotLeader.
+// ProposeOrForward is Propose at any node: a follower forwards the command to the leader, over one hop at most. It
+// returns the answer as JSON. Failures: those of Propose, with Unavailable in place of NotLeader.
 func (s *Store) ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error) {
 	_, answer, err := s.Propose(ctx, c)
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
@@ -62,7 +62,7 @@
 // hideNotLeader turns NotLeader into Unavailable: callers outside the store have no use for the leader's address.
 func hideNotLeader(err error) error {
 	if errs.Is(err, errs.NotLeader) {
-		return errs.Wrap(err, errs.Unavailable, "no leader is known here at the moment")
+		return errs.Wrap(err, errs.Unavailable, "this node knows no leader")
 	}
 	return err
 }
@@ -70,7 +70,7 @@
 // handlePropose answers internalapi.Propose, by which another node forwards a command.
 func (s *Store) handlePropose(ctx context.Context, call internalapi.ProposeCall) (internalapi.ProposeAnswer, error) {
 	s.mu.Lock()
-	err := s.checkLeader() // before the work of decoding
+	err := s.checkLeader() // first, as decoding is costly
 	s.mu.Unlock()
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Pass(err, "propose")
@@ -104,7 +104,7 @@
 		return 0, nil, errs.Pass(err, "encode %s", c.Op())
 	}
 	if len(data) > maxCommandBytes {
-		return 0, nil, errs.New(errs.TooLarge, "the command has %d bytes, at most %d", len(data), maxCommandBytes)
+		return 0, nil, errs.New(errs.TooLarge, "command has %d bytes, the maximum is %d", len(data), maxCommandBytes)
 	}
 	w := &waiter{data: data, onlyTerm: term, done: make(chan outcome, 1)}
 	if err := s.enqueueProposal(w); err != nil {
@@ -124,8 +124,8 @@
 	return o.index, o.answer, errs.Pass(o.err, "propose %s", c.Op())
 }
 
-// enqueueProposal adds w to the proposals of the loop's next pass. It rejects w as Overloaded when too many proposals
-// have no outcome, or when the snapshotter is so far behind that the log would grow without bound.
+// enqueueProposal adds w to the proposals of the loop's next pass. It rejects w as Overloaded if too many proposals
+// have no outcome, or if the snapshotter is so far behind that the log would grow without bound.
 func (s *Store) enqueueProposal(w *waiter) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 		return errs.Pass(err, "enqueue")
 	}
 	if s.proposals.isFull(len(w.data)) || s.snapshots.unsnapshottedBytes > maxUnsnapshottedBytes {
-		return errs.New(errs.Overloaded, "%d proposals wait, %d bytes; %d bytes of log since the last slot",
+		return errs.New(errs.Overloaded, "%d waiting proposals of %d bytes; %d bytes of log since the last snapshot",
 			s.proposals.count, s.proposals.bytes, s.snapshots.unsnapshottedBytes)
 	}
 	s.proposals.add(w)
@@ -166,14 +166,14 @@
 	s.proposals.onProposed(batch, first, term, err)
 }
 
-// checkLeader returns nil if this node leads as far as it knows; its lease may have expired. Failures: NotLeader
-// (Hint), Unavailable, Stopped. s.mu must be held.
+// checkLeader returns nil if this node's role is Leader; its lease may have expired. Failures: NotLeader (Hint),
+// Unavailable, Stopped. s.mu must be held.
 func (s *Store) checkLeader() error {
 	switch {
 	case s.core == nil:
 		return errs.New(errs.Unavailable, "not part of a fleet yet")
 	case s.halted:
-		return errs.New(errs.Stopped, "the disk failed")
+		return errs.New(errs.Stopped, "the store is halted")
 	case s.status.Role != raft.Leader:
 		err := errs.New(errs.NotLeader, "%s is %s in term %d", s.id, s.status.Role, s.status.Term)
 		errs.Of(err).Hint = s.status.LeaderAddr
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -9,8 +9,8 @@
 	"crosstide/internal/state"
 )
 
-// readIndexTimeout bounds the wait for the leader's lease: over a slow network the lease is valid only for a moment
-// after each answer of a majority.
+// readIndexTimeout bounds the wait for a valid leader lease: over a slow network the lease is valid only briefly after
+// each response from a majority.
 const readIndexTimeout = 600 * time.Millisecond
 
 // View calls read with this node's live state, which may be behind the leader's. read runs with the store locked: it
@@ -21,8 +21,8 @@
 	read(s.live)
 }
 
-// Read is a linearizable View at any member: the state has all that was committed before the call. A follower asks the
-// leader for the read index, one hop at most. Failures: Unavailable, Timeout.
+// Read is a linearizable View at any member: the state includes every entry committed before the call. A follower asks
+// the leader for the read index, over one hop at most. Failures: Unavailable, Timeout.
 func (s *Store) Read(ctx context.Context, read func(*state.State)) error {
 	index, err := s.ReadIndex()
 	if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
@@ -49,8 +49,8 @@
 	return index, errs.Pass(err, "read index")
 }
 
-// readIndexLocked is ReadIndex with s.mu held. It releases s.mu while it waits for the lease: what the caller read
-// before may have changed.
+// readIndexLocked is ReadIndex with s.mu held. It releases s.mu while it waits for the lease, so fields that the caller
+// read before the call may have changed.
 func (s *Store) readIndexLocked() (uint64, error) {
 	deadline := s.clock.Now() + readIndexTimeout
 	for {
@@ -63,7 +63,7 @@
 			return commit, nil
 		}
 		if now >= deadline || s.manual != nil || s.group.Context().Err() != nil {
-			return 0, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
+			return 0, errs.New(errs.Unavailable, "leadership cannot be confirmed now")
 		}
 		s.mu.Unlock()
 		s.sleep(s.group.Context(), pollInterval)
@@ -71,29 +71,29 @@
 	}
 }
 
-// WaitApplied waits until the live state has the entry at index, proposeTimeout at most. Failure: Timeout.
+// WaitApplied waits until the entry at index is applied to the live state, at most proposeTimeout. Failure: Timeout.
 func (s *Store) WaitApplied(ctx context.Context, index uint64) error {
 	expired := make(chan struct{})
 	defer s.clock.Set(proposeTimeout, func() { close(expired) }).Stop()
 	for {
 		s.mu.Lock()
-		at, changed := s.live.Index, s.changed
+		applied, changed := s.live.Index, s.changed
 		s.mu.Unlock()
-		if at >= index {
+		if applied >= index {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-expired:
-			return errs.New(errs.Timeout, "at %d, not at %d in time", at, index)
+			return errs.New(errs.Timeout, "applied index is %d, timed out waiting for %d", applied, index)
 		case <-ctx.Done():
-			return errs.Wrap(ctx.Err(), errs.Timeout, "at %d, not yet at %d", at, index)
+			return errs.Wrap(ctx.Err(), errs.Timeout, "applied index is %d, stopped waiting for %d", applied, index)
 		}
 	}
 }
 
-// Changed returns a channel that is closed at the next change of the live state. Get it before reading the state, or a
-// change in between is missed.
+// Changed returns a channel that is closed at the next change of the live state. Call it before reading the state:
+// otherwise a change between the two calls is missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -11,11 +11,12 @@
 	"crosstide/internal/state/command"
 )
 
-// ClaimRole claims, renews or releases a singleton role. Only the leader answers, while its own lease is confirmed.
-// roleLeases says why a role never has two holders. Failures: NotLeader (Hint), Unavailable, Timeout, Invalid.
+// ClaimRole claims, renews or releases a singleton role. It succeeds only on the leader, while the leader's own lease
+// is valid. roleLeases explains why a role never has two holders. Failures: NotLeader (Hint), Unavailable, Timeout,
+// Invalid.
 func (s *Store) ClaimRole(ctx context.Context, call internalapi.ClaimRoleCall) (internalapi.RoleLease, error) {
 	if call.Role == "" || call.Holder == "" || call.Incarnation == "" {
-		return internalapi.RoleLease{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot are needed")
+		return internalapi.RoleLease{}, errs.Field(errs.Invalid, "holder", "duty, holder and boot must not be empty")
 	}
 	answer, current, c, err := s.evaluateRoleCall(call)
 	if err != nil || c == nil {
@@ -26,8 +27,8 @@
 	return answer, errs.Pass(err, "role %s", call.Role)
 }
 
-// evaluateRoleCall decides a call. It returns the answer, or the command to commit before the call can be answered;
-// finishRoleCall must then be called with the outcome and current, the role before the command.
+// evaluateRoleCall returns the answer to a call, or the command that must be committed before the call is answered. In
+// the latter case the caller passes the command's outcome to finishRoleCall, with current, the role before the command.
 func (s *Store) evaluateRoleCall(call internalapi.ClaimRoleCall) (
 	answer internalapi.RoleLease, current state.Role, c command.Command, err error,
 ) {
@@ -47,14 +48,14 @@
 }
 
 // checkRoleCall checks a call against the role leases. On claimGrantable the role is reserved until finishRoleCall.
-// s.mu must be held; it is released while the leader's lease is confirmed.
+// s.mu must be held; it is released while waiting for a valid leader lease.
 func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, result claimResult, err error) {
 	if _, err := s.readIndexLocked(); err != nil {
 		return current, result, errs.Pass(err, "confirm the lease")
 	}
 	now, leases := s.clock.Now(), s.leadership.leases
 	if !leases.Active() {
-		return current, result, errs.New(errs.Unavailable, "what earlier leaders committed is not applied here yet")
+		return current, result, errs.New(errs.Unavailable, "entries committed by earlier leaders are not applied yet")
 	}
 	if r := s.live.Roles[call.Role]; r != nil {
 		current = *r
@@ -68,7 +69,8 @@
 	return current, claimDenied, nil
 }
 
-// finishRoleCall ends the reservation made by evaluateRoleCall and answers the call by the outcome of its command.
+// finishRoleCall ends the reservation made by evaluateRoleCall and returns the answer to the call. index and err are
+// the outcome of the command.
 func (s *Store) finishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
 	internalapi.RoleLease, error,
 ) {
@@ -89,10 +91,10 @@
 	return s.roleAnswer(*current, granted), nil
 }
 
-// roleAnswer returns the answer to a call on role r; isCallers reports whether the caller has its lease.
-func (s *Store) roleAnswer(r state.Role, isCallers bool) internalapi.RoleLease {
-	answer := internalapi.RoleLease{Mine: isCallers, Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
-	if isCallers {
+// roleAnswer returns the answer to a call on role r; hasLease tells whether the caller holds the lease.
+func (s *Store) roleAnswer(r state.Role, hasLease bool) internalapi.RoleLease {
+	answer := internalapi.RoleLease{Mine: hasLease, Epoch: r.Epoch, Holder: r.Holder, Addr: r.Addr}
+	if hasLease {
 		answer.TTL = s.settings.RoleLease
 	}
 	return answer
--- a/internal/store/rolelease.go
+++ b/internal/store/rolelease.go
@@ -11,23 +11,23 @@
 type claimResult uint8
 
 const (
-	claimDenied    claimResult = iota // another node has the lease, or a change of the role is in flight
+	claimDenied    claimResult = iota // another node holds the lease, or a proposal about the role is in flight
 	claimRenewed                      // the caller's lease is renewed
 	claimGrantable                    // reserved for the caller: propose command.GrantRole, then call ProposalDone
 )
 
-// roleLeases keeps the leases of singleton roles, in memory only. It is active from BecomeLeader to StepDown: while
-// this node is the confirmed leader. It has no clock: callers pass the time. The leadership owns it; guarded by
+// roleLeases keeps the leases of singleton roles, in memory only. It is active from BecomeLeader to StepDown, which is
+// while this node is the confirmed leader. It has no clock: callers pass the time. leadership owns it; guarded by
 // Store.mu.
 //
-// A role never has two holders, because a holder counts its lease from before it sent its call, and the leader from
-// when it answered, plus a margin for clocks of different speed. A new leader does not know when its predecessor last
-// answered, but that was before it became the confirmed leader itself, so it counts every lease as granted at that
-// moment. Once a grant or a release of an epoch was proposed, its outcome may stay unknown, so this leader never renews
-// that epoch again.
+// A role never has two holders, because a holder counts its lease from before it sent its call, while the leader counts
+// from its answer and adds a margin for clock drift. A new leader does not know when its predecessor last answered, but
+// that was before the new leader was confirmed, so it treats every lease as granted at its own confirmation. Once a
+// command that ends an epoch (a grant or a release) was proposed, its outcome may stay unknown, so this leader never
+// renews that epoch again.
 type roleLeases struct {
 	duration time.Duration // of a lease, as its holder counts it
-	margin   time.Duration // added by the leader, for clocks of different speed
+	margin   time.Duration // added by the leader, for clock drift
 	active   bool
 	leases   map[string]*roleLease // by role; only while active
 }
@@ -36,7 +36,7 @@
 type roleLease struct {
 	epoch            uint64
 	expiresAt        time.Duration
-	invalidated      bool // a grant or release that ends the epoch was proposed: it is never renewed
+	invalidated      bool // a grant or release that ends the epoch was proposed, so it is never renewed
 	proposalInFlight bool // that proposal has no outcome yet
 }
 
@@ -44,8 +44,8 @@
 	return &roleLeases{duration: duration, margin: margin}
 }
 
-// BecomeLeader activates the leases, each as granted now. It must be called once this node is the confirmed leader and
-// its state has all that earlier leaders committed.
+// BecomeLeader activates the leases and treats each as granted now. It must be called once this node is the confirmed
+// leader and its state includes every entry that earlier leaders committed.
 func (l *roleLeases) BecomeLeader(now time.Duration, roles map[string]*state.Role) {
 	l.active, l.leases = true, map[string]*roleLease{}
 	for name, r := range roles {
@@ -56,18 +56,18 @@
 // StepDown drops all leases until the next BecomeLeader.
 func (l *roleLeases) StepDown() { l.active, l.leases = false, nil }
 
-// Active reports whether this node counts leases.
+// Active reports whether the leases are active.
 func (l *roleLeases) Active() bool { return l.active }
 
-// ObserveEpoch starts the lease on a role's epoch now, if it is new. It is called for each grant as it is applied; a
-// grant observed late expires late, which is safe.
+// ObserveEpoch starts a lease on a role's epoch now, if the epoch is new. It is called for each grant when it is
+// applied; the lease of a grant observed late expires late, which is safe.
 func (l *roleLeases) ObserveEpoch(now time.Duration, role string, epoch uint64) {
 	if l.active {
 		l.leaseOf(now, role, epoch)
 	}
 }
 
-// leaseOf returns the lease on a role, and starts it now if its epoch is new here.
+// leaseOf returns the lease on a role. If epoch is newer than that of the known lease, it starts a new lease now.
 func (l *roleLeases) leaseOf(now time.Duration, role string, epoch uint64) *roleLease {
 	lease := l.leases[role]
 	if lease == nil || lease.epoch < epoch {
@@ -77,9 +77,9 @@
 	return lease
 }
 
-// Claim decides a call that is answered at now; current is the role in the live state. The caller must have confirmed
-// that this node leads at now and that the live state has all that was committed before. On claimGrantable the role is
-// reserved until ProposalDone. Example:
+// Claim decides a claim that is answered at now; current is the role in the live state. The caller must have confirmed
+// that this node leads at now and that the live state includes every entry committed before. On claimGrantable the role
+// is reserved until ProposalDone. Example:
 //
 //	if leases.Claim(now, current, call) == claimRenewed {
 //		return internalapi.RoleLease{Mine: true, Epoch: current.Epoch, TTL: duration}
@@ -92,8 +92,8 @@
 	switch {
 	case lease.epoch != current.Epoch || lease.proposalInFlight:
 		return claimDenied
-	case current.Holder == "": // released or never granted: nothing runs under it
-	case now >= lease.expiresAt: // expired for its holder too, which has stopped and needs a new epoch
+	case current.Holder == "": // released or never granted: the epoch has no holder
+	case now >= lease.expiresAt: // expired for the holder too, which has stopped and needs a new epoch
 	case !lease.invalidated && isHolder(current, call):
 		lease.expiresAt = now + l.duration + l.margin
 		return claimRenewed
@@ -105,7 +105,7 @@
 }
 
 // Release invalidates an epoch that its holder releases, and reserves the role until ProposalDone. It returns false if
-// the epoch is not the caller's or a proposal about it is in flight.
+// the caller does not hold the epoch or a proposal about it is in flight.
 func (l *roleLeases) Release(now time.Duration, current state.Role, call internalapi.ClaimRoleCall) bool {
 	if !l.active || !isHolder(current, call) || call.Epoch == 0 {
 		return false
@@ -126,7 +126,7 @@
 	}
 }
 
-// isHolder reports whether the caller holds the role, in this epoch and incarnation.
+// isHolder reports whether the caller holds the role in its current epoch, under the same incarnation.
 func isHolder(current state.Role, call internalapi.ClaimRoleCall) bool {
 	return call.Epoch == current.Epoch && call.Incarnation == current.Incarnation && call.Holder == current.Holder
 }
--- a/internal/store/rollout.go
+++ b/internal/store/rollout.go
@@ -15,25 +15,25 @@
 // followerRetention is how long a data-plane node is reported after its last call.
 const followerRetention = 10 * time.Minute
 
-// rolloutReport has the bundle versions of this node and of the data-plane nodes that pull from it (its followers). A
+// rolloutReport holds the bundle versions of this node and of the data-plane nodes that pull from it (its followers). A
 // Store owns it; guarded by Store.mu.
 type rolloutReport struct {
 	own       internalapi.NodeBundle
-	followers map[string]internalapi.NodeBundle // by the follower's name, from its newest call
+	followers map[string]internalapi.NodeBundle // by the follower's name, as of its newest call
 }
 
 func newRolloutReport() rolloutReport {
 	return rolloutReport{followers: map[string]internalapi.NodeBundle{}}
 }
 
-// observeOwn records the bundle version of the live state, and the time if it is a new one.
+// observeOwn records the bundle version of the live state and, if it changed, the current time.
 func (r *rolloutReport) observeOwn(node string, version uint64, clk clock.Clock) {
 	if r.own.Version != version {
 		r.own = internalapi.NodeBundle{Node: node, Kind: "cplane", Version: version, Since: clk.Wall()}
 	}
 }
 
-// observeFollower records the version in a follower's call, and drops followers that have not called for
+// observeFollower records the bundle version in a follower's call, and drops followers that have not called for
 // followerRetention.
 func (r *rolloutReport) observeFollower(call internalapi.FollowCall, now time.Time) {
 	maps.DeleteFunc(r.followers, func(_ string, n internalapi.NodeBundle) bool {
@@ -54,7 +54,7 @@
 	return nodes
 }
 
-// recordFollowerBundle records the bundle version in a call to Follow, if the call names its node.
+// recordFollowerBundle records the bundle version in a call to Follow, if the call has the caller's name.
 func (s *Store) recordFollowerBundle(call internalapi.FollowCall) {
 	if call.Node == "" {
 		return
@@ -73,7 +73,7 @@
 }
 
 // Rollout asks every member for its rollout report and returns the newest record of each node, sorted by kind and name.
-// silent has the names of the members that did not answer.
+// silent contains the names of the members that did not answer.
 func (s *Store) Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string) {
 	members := s.Status().Raft.Members
 	answers := make([]*internalapi.RolloutAnswer, len(members))
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/raft"
 )
 
-// maxReadyLag is how long a follower stays ready after it last had all that its leader had committed.
+// maxReadyLag is how long a follower stays ready after it last caught up with its leader's commit index.
 const maxReadyLag = 2 * time.Second
 
 // followerProgress tracks how far this node is behind its leader, by the commit index in the leader's appends. A Store
@@ -16,26 +16,26 @@
 type followerProgress struct {
 	leaderCommit  uint64        // commit index in the newest append
 	leaderHeardAt time.Duration // when that append arrived
-	caughtUpAt    time.Duration // arrival of the newest append whose commit index is applied here
+	caughtUpAt    time.Duration // arrival of the newest append whose commit index this node has applied
 }
 
 // newFollowerProgress returns the progress of a node that has not heard from a leader: not ready.
 func newFollowerProgress() followerProgress { return followerProgress{caughtUpAt: -maxReadyLag * 2} }
 
-// onAppend records an append of the leader, received at now.
+// onAppend records an append received from the leader at now.
 func (p *followerProgress) onAppend(commit uint64, now time.Duration) {
 	p.leaderCommit, p.leaderHeardAt = commit, now
 }
 
-// onApplied records that the live state is at index.
+// onApplied records that the live state has reached index.
 func (p *followerProgress) onApplied(index uint64) {
 	if p.leaderHeardAt > p.caughtUpAt && index >= p.leaderCommit {
 		p.caughtUpAt = p.leaderHeardAt
 	}
 }
 
-// Ready returns nil if this node leads with a valid lease, or knows the leader and had all of its commits within
-// maxReadyLag. Failure: Unavailable.
+// Ready returns nil if this node leads with a valid lease and has applied all commits, or if it knows the leader and
+// had applied all of the leader's commits within the last maxReadyLag. Failure: Unavailable.
 func (s *Store) Ready() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,10 +51,10 @@
 		return errs.New(errs.Unavailable, "no leader is known")
 	case s.status.Role == raft.Leader:
 		if commit, ok := s.core.LeaseReadIndex(now); !ok || s.live.Index < commit {
-			return errs.New(errs.Unavailable, "the lead is not confirmed")
+			return errs.New(errs.Unavailable, "leadership is not confirmed, or commits are not applied yet")
 		}
 	case now-s.followerProgress.caughtUpAt > maxReadyLag:
-		return errs.New(errs.Unavailable, "behind the leader: at %d of %d", s.live.Index,
+		return errs.New(errs.Unavailable, "behind the leader: applied index %d, commit index %d", s.live.Index,
 			s.followerProgress.leaderCommit)
 	}
 	return nil
