--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -13,11 +13,12 @@
 	"crosstide/internal/storage"
 )
 
-// idFile holds the raft ID of a folder that began as a new incarnation. Without it the node's name is the ID.
+// idFile contains the raft ID of a folder that belongs to a new incarnation. Without this file the node's name is the
+// ID.
 const idFile = "id"
 
 // recoverFolder reads the folder and starts the core. It leaves the core nil if the folder is empty and the node may
-// have to bootstrap: resolveEmptyFolder must follow.
+// have to bootstrap; resolveEmptyFolder must then be called.
 func (s *Store) recoverFolder() error {
 	if err := s.finishDiscard(); err != nil {
 		return errs.Pass(err, "discard")
@@ -47,8 +48,8 @@
 	return errs.Pass(s.startCore(recovered), "start the core")
 }
 
-// startCore makes the core and the live state from what the disk had. No goroutine of the store runs yet except its
-// caller's, but handlers of calls may.
+// startCore creates the core and the live state from the recovered data. The store's other goroutines do not run yet,
+// but handlers of calls may run concurrently.
 func (s *Store) startCore(recovered storage.Recovered) error {
 	initial, live, err := decodeRecovered(recovered)
 	if err != nil {
@@ -83,12 +84,12 @@
 	return nil
 }
 
-// decodeRecovered decodes what the disk had: the snapshot, if any, the newest hard state and the log entries.
+// decodeRecovered decodes the recovered data: the snapshot, if any, the newest hard state and the log entries.
 func decodeRecovered(recovered storage.Recovered) (initial raft.InitialState, live *state.State, err error) {
 	live = state.New()
 	if image := recovered.Snapshot; image != nil {
 		if initial.Snapshot, err = decodeSnapshotMeta(image.Meta); err != nil {
-			return initial, nil, errs.Pass(err, "meta of snapshot %d", image.Number)
+			return initial, nil, errs.Pass(err, "metadata of snapshot %d", image.Number)
 		}
 		if live, err = state.Decode(image.Body); err != nil {
 			return initial, nil, errs.Pass(err, "snapshot %d", image.Number)
@@ -97,7 +98,7 @@
 	for _, r := range recovered.Records {
 		if r.Kind == storage.KindHardState {
 			if err := json.Unmarshal(r.Data, &initial.HardState); err != nil {
-				return initial, nil, errs.Wrap(err, errs.Damaged, "the hard state")
+				return initial, nil, errs.Wrap(err, errs.Damaged, "decode the hard state")
 			}
 			continue
 		}
@@ -122,7 +123,7 @@
 // newID returns a raft ID for a new incarnation of this node's folder.
 func (s *Store) newID() string { return s.settings.Name + "~" + strings.ToLower(s.opt.RandomID()[:10]) }
 
-// readID returns the raft ID in the folder's idFile, "" if there is no such file.
+// readID returns the raft ID in the folder's idFile, or "" if the file does not exist.
 func readID(d storage.Disk) (string, error) {
 	id, ok, err := readFile(d, idFile)
 	if err == nil && ok && id == "" {
--- a/internal/store/servesnapshot.go
+++ b/internal/store/servesnapshot.go
@@ -13,23 +13,23 @@
 
 const (
 	maxChunkBytes        = 4 << 20
-	snapshotCacheTimeout = 30 * time.Second // a cached snapshot that is not used for this long is dropped
+	snapshotCacheTimeout = 30 * time.Second // a cached snapshot that was not used for this long is dropped
 	snapshotCacheSize    = 2
 )
 
-// snapshotCache keeps the snapshots that other members are fetching, oldest first, so that a newer one does not abort
-// their fetch and a chunk needs no disk read. A Store owns it; guarded by Store.mu.
+// snapshotCache keeps the snapshots that other members are fetching, oldest first, so that a newer snapshot does not
+// abort their fetch and a chunk needs no disk read. A Store owns it; guarded by Store.mu.
 type snapshotCache struct{ images []*cachedSnapshot }
 
-// cachedSnapshot is a snapshot in the cache. Only lastUsed changes.
+// cachedSnapshot is a snapshot in the cache. Only lastUsed changes once it is added.
 type cachedSnapshot struct {
 	image          storage.Snapshot
-	sum            uint64 // of image.Body
+	sum            uint64 // checksum of image.Body
 	lastUsed       time.Duration
-	compactedBytes int // snapshots.compactedBytes when it was loaded
+	compactedBytes int // value of snapshots.compactedBytes when the snapshot was loaded
 }
 
-// get returns the cached snapshot with a number, nil if there is none, and records the use.
+// get returns the snapshot with the given number and records its use. It returns nil if the snapshot is not cached.
 func (c *snapshotCache) get(number uint64, now time.Duration) *cachedSnapshot {
 	for _, cached := range c.images {
 		if cached.image.Number == number {
@@ -50,17 +50,17 @@
 
 // dropIdle drops the snapshots that were not used for snapshotCacheTimeout.
 func (c *snapshotCache) dropIdle(now time.Duration) {
-	used := c.images[:0:0]
+	kept := c.images[:0:0]
 	for _, cached := range c.images {
 		if now-cached.lastUsed < snapshotCacheTimeout {
-			used = append(used, cached)
+			kept = append(kept, cached)
 		}
 	}
-	c.images = used
+	c.images = kept
 }
 
-// Chunk returns a chunk of the snapshot call.Number, or of the newest if that is 0. Failures: Unknown if that snapshot
-// is no longer there: the caller must start again at Number 0; Invalid; Disk and Damaged.
+// Chunk returns a chunk of the snapshot call.Number, or of the newest one if that is 0. Failures: Unknown if that
+// snapshot no longer exists (the caller must start again with Number 0), Invalid, Disk, Damaged.
 func (s *Store) Chunk(call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	cached, err := s.snapshotFor(call.Number)
 	if err != nil {
@@ -69,7 +69,7 @@
 	image := cached.image
 	size := int64(len(image.Body))
 	if call.From < 0 || call.From > size {
-		return internalapi.ChunkAnswer{}, errs.Field(errs.Invalid, "from", "%d of %d bytes", call.From, size)
+		return internalapi.ChunkAnswer{}, errs.Field(errs.Invalid, "from", "got %d, must be 0 to %d", call.From, size)
 	}
 	limit := call.Max
 	if limit <= 0 || limit > maxChunkBytes {
@@ -82,8 +82,8 @@
 	}, nil
 }
 
-// snapshotFor returns the snapshot with a number, 0 for the newest, from the cache or the disk. It reads the disk
-// without holding s.mu.
+// snapshotFor returns the snapshot with the given number, or the newest one if that is 0, from the cache or the disk.
+// It reads the disk without holding s.mu.
 func (s *Store) snapshotFor(number uint64) (*cachedSnapshot, error) {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -97,7 +97,7 @@
 		return cached, nil
 	}
 	if number != newest || newest == 0 {
-		return nil, errs.New(errs.Unknown, "slot %d is gone, the newest is %d", number, newest)
+		return nil, errs.New(errs.Unknown, "snapshot %d does not exist, the newest is %d", number, newest)
 	}
 	image, err := s.storage.NewestSnapshot()
 	if err != nil {
@@ -106,7 +106,7 @@
 	loaded := &cachedSnapshot{image: image, sum: xxhash.Sum64(image.Body), lastUsed: now}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cached := s.snapshotCache.get(image.Number, now); cached != nil { // another call loaded it meanwhile
+	if cached := s.snapshotCache.get(image.Number, now); cached != nil { // loaded by a concurrent call
 		return cached, nil
 	}
 	loaded.compactedBytes = s.snapshots.compactedBytes
@@ -115,7 +115,8 @@
 	return loaded, nil
 }
 
-// evictIdleSnapshots drops idle snapshots from the cache. The clock calls it for as long as a snapshot is cached.
+// evictIdleSnapshots drops idle snapshots from the cache. It runs every snapshotCacheTimeout while a snapshot is
+// cached.
 func (s *Store) evictIdleSnapshots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/silentmembers.go
+++ b/internal/store/silentmembers.go
@@ -10,12 +10,13 @@
 
 // Bounds on the removal of silent members by the leader of an open fleet.
 const (
-	minVoters            = 3                // no removal leaves fewer voters
-	silentLearnerTimeout = 10 * time.Second // a learner that is silent this long is removed
+	minVoters            = 3                // no removal of a voter leaves fewer than this
+	silentLearnerTimeout = 10 * time.Second // a learner that is silent for this long is removed
 )
 
-// removeSilent proposes, on the leader of an open fleet, to remove one silent member: a voter if their number is even,
-// as one less tolerates as many losses, else a learner. It is called at each tick. s.mu must be held.
+// removeSilent proposes to remove one silent member, on the leader of an open fleet. It removes a voter only if the
+// number of voters is even, as one fewer tolerates as many failures; without such a voter it removes a learner. It is
+// called at each tick. s.mu must be held.
 func (s *Store) removeSilent(now time.Duration) {
 	if !s.settings.OpenMembership || s.status.Role != raft.Leader {
 		return
@@ -38,10 +39,10 @@
 		_ = level.Debug(s.logger).Log("msg", "silent member not removed", "id", candidate, "err", err)
 		return
 	}
-	_ = level.Warn(s.logger).Log("msg", "removing a silent member", "id", candidate, "silent", silent)
+	_ = level.Warn(s.logger).Log("msg", "removal of silent member proposed", "id", candidate, "silent", silent)
 }
 
-// silentVoter is longestSilentVoter for callers without s.mu; "" in a fixed fleet.
+// silentVoter is longestSilentVoter for callers without s.mu. It returns "" in a fixed fleet.
 func (s *Store) silentVoter(members []raft.Member) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +52,8 @@
 	return s.longestSilentVoter(s.clock.Now(), members)
 }
 
-// longestSilentVoter returns the voter that has been silent for longest, and for RemoveAfter at least, if the voters
-// without it have a live majority; else "". s.mu must be held.
+// longestSilentVoter returns the voter that has been silent for the longest time, and at least for RemoveAfter. It
+// returns "" if no voter has been, or if the voters without it would have no live majority. s.mu must be held.
 func (s *Store) longestSilentVoter(now time.Duration, members []raft.Member) (id string) {
 	longest := s.settings.RemoveAfter
 	for _, m := range members {
@@ -66,7 +67,8 @@
 	return id
 }
 
-// silentFor returns how long this leader has not heard from a member; 0 if it does not lead. s.mu must be held.
+// silentFor returns how long this leader has not heard from a member, or 0 if this node does not lead. s.mu must be
+// held.
 func (s *Store) silentFor(now time.Duration, id string) time.Duration {
 	heard, ok := s.core.LastContact(now, id)
 	if !ok {
@@ -75,8 +77,8 @@
 	return now - heard
 }
 
-// hasLiveMajority reports whether a member set has minVoters and this leader heard from a majority of its voters within
-// an Election. s.mu must be held.
+// hasLiveMajority reports whether a member set has at least minVoters voters and this leader has heard from a majority
+// of them within an election timeout. s.mu must be held.
 func (s *Store) hasLiveMajority(now time.Duration, members []raft.Member) bool {
 	heard := 0
 	for _, m := range members {
--- a/internal/store/smallfile.go
+++ b/internal/store/smallfile.go
@@ -29,7 +29,7 @@
 	temporary := name + ".tmp"
 	if _, exists, err := readFile(d, temporary); err != nil {
 		return errs.Pass(err, "look for %s", temporary)
-	} else if exists { // of a write that crashed
+	} else if exists { // left by a write that a crash interrupted
 		if err := d.Remove(temporary); err != nil {
 			return errs.Pass(err, "remove %s", temporary)
 		}
--- a/internal/store/snapshotter.go
+++ b/internal/store/snapshotter.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxSnapshotLogBytes   = 64 << 20  // of log between two snapshots, whatever Settings.SnapshotEvery is
-	maxUnsnapshottedBytes = 256 << 20 // of log in no snapshot; beyond, proposals are rejected
+	maxSnapshotLogBytes   = 64 << 20  // of log between two snapshots, regardless of Settings.SnapshotEvery
+	maxUnsnapshottedBytes = 256 << 20 // of log that is in no snapshot; beyond this, proposals are rejected
 )
 
 // snapshots is the queue of the snapshotter, and its progress. A Store owns it; all but wake is guarded by Store.mu.
@@ -24,18 +24,18 @@
 
 	committed          []raft.Entry         // applied to the live state and not taken by the snapshotter yet
 	unsnapshottedBytes int                  // of log entries that are applied to the live state and in no snapshot
-	newest             internalapi.Snapshot // the newest snapshot on disk; the zero value: none
+	newest             internalapi.Snapshot // the newest snapshot on disk; the zero value if the disk has no snapshot
 	compactedBytes     int                  // of log entries that snapshots have replaced since Open
-	fetching           bool                 // a fetch is under way; at most one is
-	toInstall          *fetchedSnapshot     // fetched and not taken by the snapshotter yet; nil: none
+	fetching           bool                 // whether a fetch is under way; there is at most one
+	toInstall          *fetchedSnapshot     // fetched and not taken by the snapshotter yet, or nil
 }
 
-// onWritten records the newest snapshot on the disk.
+// onWritten records that a snapshot was written, which is now the newest on disk.
 func (q *snapshots) onWritten(meta raft.Meta, bytes int) {
 	q.newest = internalapi.Snapshot{Number: q.newest.Number + 1, Index: meta.Index, Term: meta.Term, Size: int64(bytes)}
 }
 
-// takeDurable removes the committed entries up to the index that is durable here and returns them.
+// takeDurable removes the committed entries whose index is at most durable, and returns them.
 func (q *snapshots) takeDurable(durable uint64) []raft.Entry {
 	end := 0
 	for end < len(q.committed) && q.committed[end].Index <= durable {
@@ -48,18 +48,18 @@
 	return batch
 }
 
-// snapshotter has a second copy of the state, from which snapshots are encoded, so that the live state is not locked
-// meanwhile. The goroutine runSnapshotter owns it, once startCore has set its start; no lock guards it.
+// snapshotter holds a second copy of the state, from which snapshots are encoded without locking the live state. The
+// goroutine runSnapshotter owns it once startCore has initialized it; no lock guards it.
 type snapshotter struct {
 	state        *state.State  // nil before the first entry is applied
-	initialImage []byte        // body of the snapshot found on disk, to be decoded into state; nil: none, or decoded
+	initialImage []byte        // body of the recovered snapshot, to be decoded into state; nil if none, or decoded
 	members      []raft.Member // in force at state.Index
 	entries      int           // applied since the newest snapshot
-	bytes        int           // of their log entries
+	bytes        int           // total size of those entries in the log
 }
 
-// loadInitial decodes the snapshot that was found on disk. It is called before the first entry is applied and not at
-// the start, so that a restarted node serves sooner.
+// loadInitial decodes the recovered snapshot. It is called before the first entry is applied, not when the store
+// starts, so that a restarted node serves sooner.
 func (p *snapshotter) loadInitial() error {
 	if p.state != nil {
 		return nil
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// apply applies an entry and reports whether it did: an installed snapshot may have the entry already.
+// apply applies an entry and reports whether it did. It skips an entry that an installed snapshot already includes.
 func (p *snapshotter) apply(e raft.Entry) (applied bool, err error) {
 	if e.Index <= p.state.Index {
 		return false, nil
@@ -87,13 +87,13 @@
 			return false, errs.Wrap(err, errs.Damaged, "members at %d", e.Index)
 		}
 	}
-	_, _ = applyTo(p.state, e) // a command's own error is an outcome, and the same on every node
+	_, _ = applyTo(p.state, e) // a command's own error is an outcome, the same on every node
 	p.entries++
 	p.bytes += len(e.Data) + entryOverhead
 	return true, nil
 }
 
-// encode returns a snapshot of the state, to be written.
+// encode returns a snapshot of the state in the form to be written, and its metadata.
 func (p *snapshotter) encode() (storage.Snapshot, raft.Meta, error) {
 	body, err := p.state.Encode()
 	if err != nil {
@@ -102,13 +102,13 @@
 	meta := raft.Meta{Index: p.state.Index, Term: p.state.Term, Members: p.members}
 	raw, err := json.Marshal(meta)
 	if err != nil {
-		return storage.Snapshot{}, raft.Meta{}, errs.Wrap(err, errs.Internal, "encode the meta of a snapshot")
+		return storage.Snapshot{}, raft.Meta{}, errs.Wrap(err, errs.Internal, "encode the metadata of a snapshot")
 	}
 	return storage.Snapshot{Index: meta.Index, Term: meta.Term, Meta: raw, Body: body}, meta, nil
 }
 
 // runSnapshotter is the goroutine of the snapshotter, the only writer of snapshot files once the store runs. It applies
-// an entry only once that is durable here: a snapshot must never be ahead of the log on its own disk.
+// an entry only once it is durable on this node: a snapshot must never be ahead of the log on the same disk.
 func (s *Store) runSnapshotter(ctx context.Context) {
 	for {
 		select {
@@ -149,8 +149,9 @@
 	return fetched, nil
 }
 
-// takeDurableEntries takes the fetched snapshot that is to be installed, if any, and the durable entries. While the
-// live state is catching up it takes no entries, so that a restarted node serves sooner; each later pass signals again.
+// takeDurableEntries takes the fetched snapshot that is to be installed, if any, and the durable entries. Without a
+// fetched snapshot it takes no entries while the live state is catching up, so that a restarted node serves sooner;
+// each later pass signals again.
 func (s *Store) takeDurableEntries() (*fetchedSnapshot, []raft.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,8 +175,9 @@
 	return errs.Pass(s.writeSnapshot(ctx), "snapshot at %d", e.Index)
 }
 
-// isSnapshotDue reports whether the snapshotter has applied enough since the newest snapshot. A new leader postpones it
-// by takeoverPeriod: encoding would compete with the takeover.
+// isSnapshotDue reports whether the snapshotter has applied maxSnapshotLogBytes or SnapshotEvery entries since the
+// newest snapshot. A new leader postpones the latter until takeoverPeriod ends: encoding would compete with the
+// takeover.
 func (s *Store) isSnapshotDue() bool {
 	if s.snapshotter.bytes >= maxSnapshotLogBytes {
 		return true
@@ -185,7 +187,7 @@
 
 // writeSnapshot writes a snapshot of the snapshotter's state and compacts the core's log.
 func (s *Store) writeSnapshot(ctx context.Context) error {
-	from := s.clock.Now()
+	start := s.clock.Now()
 	image, meta, err := s.snapshotter.encode()
 	if err != nil {
 		return errs.Pass(err, "encode a snapshot")
@@ -196,35 +198,36 @@
 	if err != nil {
 		return errs.Pass(err, "persist")
 	}
-	took := s.clock.Now() - from
+	took := s.clock.Now() - start
 	s.metrics.snapshots.Observe(took.Seconds())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.snapshots.newest.Index
+	previous := s.snapshots.newest.Index
 	s.snapshots.onWritten(meta, len(image.Body))
 	s.core.SnapshotPersisted(meta)
 	s.snapshots.compactedBytes += s.snapshotter.bytes
-	s.core.Compact(s.compactionIndex(before))
+	s.core.Compact(s.compactionIndex(previous))
 	s.snapshots.unsnapshottedBytes -= s.snapshotter.bytes
 	s.snapshotter.entries, s.snapshotter.bytes = 0, 0
 	_ = level.Info(s.logger).Log("msg", "snapshot written", "index", meta.Index, "bytes", len(image.Body), "took", took)
 	return nil
 }
 
-// compactionIndex returns the index up to which the log may be dropped from memory. It is that of the snapshot before
-// the newest, so that followers a little behind need no snapshot, and not past a snapshot that another member is
-// fetching: a fetch that takes longer than two snapshots would otherwise find the log after it gone, every time. A
-// fetch that has fallen maxUnsnapshottedBytes behind no longer counts, which bounds the memory. s.mu must be held.
-func (s *Store) compactionIndex(before uint64) uint64 {
+// compactionIndex returns the index up to which the log may be dropped from memory. It is at most previous, the index
+// of the snapshot before the newest, so that followers slightly behind need no snapshot, and at most the index of each
+// snapshot that another member is fetching: otherwise, whenever a fetch takes longer than two snapshots, the log after
+// the fetched snapshot would already be dropped. A fetch that has fallen maxUnsnapshottedBytes behind no longer counts,
+// which bounds the memory. s.mu must be held.
+func (s *Store) compactionIndex(previous uint64) uint64 {
 	for _, c := range s.snapshotCache.images {
 		if s.snapshots.compactedBytes-c.compactedBytes < maxUnsnapshottedBytes {
-			before = min(before, c.image.Index)
+			previous = min(previous, c.image.Index)
 		}
 	}
-	return before
+	return previous
 }
 
 // decodeSnapshotMeta decodes the raft metadata of a snapshot.
 func decodeSnapshotMeta(raw []byte) (m raft.Meta, err error) {
-	return m, errs.Wrap(json.Unmarshal(raw, &m), errs.Damaged, "meta of a slot")
+	return m, errs.Wrap(json.Unmarshal(raw, &m), errs.Damaged, "decode snapshot metadata")
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,9 +2,9 @@
 // (internal/raft, a step function) to a clock, a disk and the other members, applies committed entries to the live
 // state (internal/state), and serves that state to the process and to other nodes.
 //
-// It never decides who leads or what is committed (internal/raft does), what a command does (internal/state/command) or
-// which task runs where (the schedulers, which propose commands here). It acknowledges nothing before it is committed,
-// and sends no raft message before what the message promises is synced.
+// It does not elect leaders or commit entries (internal/raft does), define the commands (internal/state/command) or
+// place tasks (the schedulers do, and propose commands here). It acknowledges a command only once it is committed, and
+// holds a raft message back until the entries and the hard state that the message depends on are synced.
 //
 // # Goroutines
 //
@@ -12,27 +12,27 @@
 // fields below it in Store; no goroutine waits for the disk or the network while it holds it. Each goroutine owns:
 //
 //	loop                 the passes: ticks the core, proposes, applies, distributes each raft.Ready (loop.go)
-//	runDiskWriter        writes to the log: one sync for all that is queued (diskwriter.go)
+//	runDiskWriter        writes to the log: one sync for all queued writes (diskwriter.go)
 //	runSnapshotter       the second copy of the state, and all writing of snapshot files (snapshotter.go)
 //	runSender            one per peer: the calls that carry its queue of raft messages (peer.go)
-//	fetch                one download of a member's snapshot, when the core asks for it (installsnapshot.go)
-//	runGC                on the leader: purges of what is past its retention, warnings of accounts (gc.go)
+//	fetch                one download of a member's snapshot, when the core requests it (installsnapshot.go)
+//	runGC                on the leader: purges of records past their retention, warnings about accounts (gc.go)
 //	installOperatorKeys  on the leader: the first commit of the operators' keys (operatorkeys.go)
-//	joinFleet            of a folder with a new ID: calls to the leader until this node is a voter (join.go);
+//	joinFleet            on a node with a new ID: calls to the leader until this node is a voter (join.go);
 //	                     joinOpenFleet in an open fleet
-//	watchRemoval         in an open fleet: the check whether this node was removed while it was away (removal.go)
+//	watchRemoval         in an open fleet: the check whether this node was removed while unreachable (removal.go)
 //
-// In the deterministic simulator a ManualDriver (manual.go) makes the steps of all of them on one goroutine.
+// In the deterministic simulator a ManualDriver (manual.go) runs the steps of all these goroutines on a single one.
 //
-// # Where to begin
+// # Where to start reading
 //
-// Read Store, then Store.pass in loop.go, one turn of the loop. From there:
+// Read Store, then Store.pass in loop.go, one iteration of the loop. From there:
 //
 //	a command        Propose (propose.go), proposals (proposals.go), pass, the core, the disk writers of a majority
-//	                 (diskwriter.go), Store.apply (apply.go), back to Propose
+//	                 (diskwriter.go), Store.apply (apply.go), and again Propose, which returns the outcome
 //	a snapshot       written in snapshotter.go, served in servesnapshot.go, downloaded in downloadsnapshot.go,
 //	                 installed in installsnapshot.go
-//	a replica        a data-plane node pulls changes by Follow (follow.go)
+//	a replica        Follow, from which a data-plane node pulls changes (follow.go)
 //	a lost disk      recoverFolder (recovery.go), resolveEmptyFolder (emptyfolder.go), Join (join.go)
 //	a role lease     ClaimRole (role.go), roleLeases (rolelease.go)
 //	leadership       onStatusChange, TransferLeadership (leader.go)
@@ -66,16 +66,16 @@
 	Settings config.ControlPlane
 	Disk     storage.Disk
 	Net      Net
-	// Fatal is called once, after a failed write or sync or when the state cannot be trusted. It must end the process:
-	// what the disk holds is unknown until the folder is opened anew.
+	// Fatal is called once, after a write or sync failed or when the state cannot be trusted. It must end the process:
+	// the content of the disk is unknown until the folder is opened again.
 	Fatal func(error)
-	// Removed is called once, when this node was removed from the members while it was away and its folder has been
-	// marked as discarded. It must cause the store to be stopped and the folder to be opened again; the node then joins
-	// as a new incarnation.
+	// Removed is called once, if this node was removed from the members while it was down or partitioned, after its
+	// folder was marked as discarded. It must cause the store to be stopped and the folder to be opened again; the node
+	// then joins as a new incarnation.
 	Removed  func()
 	Damaged  bool                  // an earlier folder was set aside as damaged: the node never bootstraps a fleet
-	Seed     uint64                // of the random election timeouts; 0: a random one
-	RandomID func() string         // returns names that no other process has; default crypto/rand.Text
+	Seed     uint64                // of the random election timeouts; 0 for a random seed
+	RandomID func() string         // returns a globally unique string; default crypto/rand.Text
 	Clock    clock.Clock           // default clock.Real
 	Logger   log.Logger            // default: none
 	Registry prometheus.Registerer // default: no metrics
@@ -100,7 +100,7 @@
 
 // Store is one member of the replicated store. Its exported methods may be called from any goroutine.
 type Store struct {
-	// Set by Open, manual by Manual, and not changed after.
+	// Set by Open, except for manual, which Manual sets; not changed afterwards.
 	opt         Options
 	settings    config.ControlPlane // opt.Settings
 	clock       clock.Clock
@@ -108,7 +108,7 @@
 	group       *routine.Group // of all goroutines
 	metrics     *metrics
 	storage     *storage.Store // locks itself
-	incarnation string         // of this process
+	incarnation string         // random ID of this process
 	manual      *ManualDriver  // drives the store instead of its goroutines; nil in a daemon
 	wakeLoop    chan struct{}  // capacity 1; a signal asks the loop for a pass
 
@@ -118,11 +118,11 @@
 
 	mu sync.Mutex // guards all below
 
-	id     string      // raft ID: the node's name, or name~incarnation; set before core and not changed after
+	id     string      // raft ID: the node's name, or name~incarnation; set before core and not changed afterwards
 	core   *raft.Core  // nil until it is known whether this node bootstraps or joins
 	status raft.Status // of core, as of the last pass
-	frozen bool        // a snapshot is being installed: no message enters core and no Ready leaves it
-	halted bool        // a write failed or the node was removed: it sends nothing more; never reset
+	frozen bool        // a snapshot is being installed: core receives no messages and no Ready is taken from it
+	halted bool        // a write failed or the node was removed: the store sends nothing more; never reset
 
 	live      *state.State  // replicated state with all entries up to live.Index applied
 	changed   chan struct{} // closed and replaced when the live state changes
@@ -151,7 +151,7 @@
 func Open(opt Options) (*Store, error) {
 	opt = opt.withDefaults()
 	if strings.Contains(opt.Settings.Name, "~") {
-		return nil, errs.Field(errs.Settings, "name", "must not hold ~, which sets the incarnation of a folder apart")
+		return nil, errs.Field(errs.Settings, "name", "must not contain '~', which separates name and incarnation")
 	}
 	metrics, settings := newMetrics(), opt.Settings
 	s := &Store{
@@ -177,7 +177,7 @@
 	if err := s.recoverFolder(); err != nil {
 		return nil, errs.Pass(err, "open the store")
 	}
-	s.metrics.register(s, opt.Registry) // last: a caller may retry a failed Open, and must not register twice
+	s.metrics.register(s, opt.Registry) // last: after a failed Open a caller may retry, and must not register twice
 	return s, nil
 }
 
@@ -221,7 +221,7 @@
 	}
 }
 
-// halt stops the store from sending or acknowledging anything, for good. It reports whether this call did so.
+// halt permanently stops the store from sending or acknowledging anything. It returns false if it was halted before.
 func (s *Store) halt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +230,7 @@
 	return !wasHalted
 }
 
-// NameOf returns the node's name in a raft ID: the part before the incarnation.
+// NameOf returns the node's name in a raft ID, which is the part before "~" and the incarnation.
 func NameOf(id string) string {
 	name, _, _ := strings.Cut(id, "~")
 	return name
