--- a/internal/store/removal_test.go
+++ b/internal/store/removal_test.go
@@ -10,38 +10,38 @@
 
 func TestRemovedMember_rejoins(t *testing.T) {
 	withOpenFleet(t, 6, func(fleet *testFleet) {
-		fleet.settings.SnapshotEvery = 1 << 20 // from a snapshot a restarted node would know a committed membership
+		fleet.settings.SnapshotEvery = 1 << 20 // a snapshot would tell a restarted node its committed membership
 		fleet.startAll()
 		all := []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 		fleet.waitVoters(all...)
 		fleet.submitJobs("a", 50)
-		// c6 is no bootstrap member: its folder has its membership in the log only.
+		// c6 is not a bootstrap member: in its folder only the log records its membership.
 		for _, mode := range []string{"cut", "down", "cut c6", "down c6"} {
-			gone := fleet.follower(fleet.leader()).settings.Name
+			removed := fleet.follower(fleet.leader()).settings.Name
 			if name, isC6 := strings.CutSuffix(mode, " c6"); isC6 {
-				mode, gone = name, "c6"
+				mode, removed = name, "c6"
 				fleet.moveLeaderFrom("c6")
 			}
-			old := fleet.nodes[gone].Status().Raft.ID
+			old := fleet.nodes[removed].Status().Raft.ID
 			if mode == "cut" {
-				fleet.setCut(true, gone)
+				fleet.setCut(true, removed)
 			} else {
-				fleet.kill(gone)
+				fleet.kill(removed)
 			}
-			fleet.waitVoters(fleet.others(gone)...)
-			So(fleet.submitJobs(mode+gone, 50), ShouldBeEmpty)
+			fleet.waitVoters(fleet.others(removed)...)
+			So(fleet.submitJobs(mode+removed, 50), ShouldBeEmpty)
 			took := fleet.elapsed(func() {
-				if fleet.setCut(false, gone); mode == "down" {
-					fleet.start(gone)
+				if fleet.setCut(false, removed); mode == "down" {
+					fleet.start(removed)
 				}
-				fleet.until("it finds out", func() bool { return fleet.wasRemoved(gone) })
-				fleet.reopen(gone)
+				fleet.until("the node detects its removal", func() bool { return fleet.wasRemoved(removed) })
+				fleet.reopen(removed)
 				fleet.waitVoters(all...)
 			})
 			Printf("\nremoved while %s, a voter again after %s", mode, took)
 			So(took, ShouldBeLessThan, 3*time.Second)
-			So(fleet.nodes[gone].Status().Raft.ID, ShouldNotEqual, old)
-			So(fleet.submitJobs(mode+gone+"-again", 20), ShouldBeEmpty)
+			So(fleet.nodes[removed].Status().Raft.ID, ShouldNotEqual, old)
+			So(fleet.submitJobs(mode+removed+"-again", 20), ShouldBeEmpty)
 			fleet.waitLevel()
 		}
 		So(fleet.died, ShouldBeEmpty)
--- a/internal/store/role_test.go
+++ b/internal/store/role_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/internalapi"
 )
 
-func TestClaimRole_overChangeOfLeader(t *testing.T) {
+func TestClaimRole_afterLeaderChange(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		claim := func(holder string, epoch uint64, release bool) (lease internalapi.RoleLease) {
 			s := fleet.leader()
@@ -24,18 +24,18 @@
 		first := claim("a", 0, false)
 		So(first.Mine, ShouldBeTrue)
 		So(claim("b", 0, false).Mine, ShouldBeFalse)
-		// The leader dies: the next one counts the lease from its own election, and still knows the epoch.
+		// After the leader fails, the next one restarts the lease at its own election and still knows the epoch.
 		lead := fleet.leader()
 		fleet.kill(lead.settings.Name)
 		So(claim("b", 0, false).Mine, ShouldBeFalse)
 		So(claim("a", first.Epoch, false).Mine, ShouldBeTrue)
 		var second internalapi.RoleLease
-		began := fleet.clock.Now()
+		start := fleet.clock.Now()
 		for !second.Mine {
 			second = claim("b", 0, false)
 			fleet.clock.Advance(50 * time.Millisecond)
 		}
-		So(fleet.clock.Now()-began, ShouldBeGreaterThan, fleet.settings.RoleLease)
+		So(fleet.clock.Now()-start, ShouldBeGreaterThan, fleet.settings.RoleLease)
 		So(second.Epoch, ShouldBeGreaterThan, first.Epoch)
 		So(claim("a", first.Epoch, false).Mine, ShouldBeFalse)
 		So(claim("b", second.Epoch, true).Mine, ShouldBeFalse)
--- a/internal/store/rolelease_test.go
+++ b/internal/store/rolelease_test.go
@@ -37,7 +37,7 @@
 			So(claim(b), ShouldEqual, claimDenied)
 			clock.Advance(1)
 			So(claim(b), ShouldEqual, claimGrantable)
-			Convey("After that the old epoch is never renewed again, whatever the outcome of the grant", func() {
+			Convey("Then the old epoch is never renewed again, whatever the outcome of the grant", func() {
 				So(claim(a), ShouldEqual, claimDenied)
 				So(claim(b), ShouldEqual, claimDenied) // one proposal at a time
 				leases.ProposalDone("sched", 7)
@@ -74,11 +74,11 @@
 	})
 }
 
-// TestRoleLeases_neverTwoHolders tries random orders of renewals, expiries, grants whose answers are lost and changes
-// of leader: no two nodes count a valid lease at once, each from before it sent its call.
+// TestRoleLeases_neverTwoHolders runs random sequences of renewals, expiries, grants whose answers are lost and leader
+// changes. At no time may two nodes have a valid lease, where each node counts its lease from before it sent its call.
 func TestRoleLeases_neverTwoHolders(t *testing.T) {
 	Convey("Over many seeds no two nodes hold the role at once", t, func() {
-		worst, grants := 0, 0
+		maxHolders, grants := 0, 0
 		for seed := range uint64(400) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
 			var clock clock.Virtual
@@ -93,21 +93,21 @@
 			leases.BecomeLeader(0, nil)
 			for range 300 {
 				i := rnd.IntN(len(nodes))
-				sent := clock.Now()
+				sentAt := clock.Now()
 				clock.Advance(time.Duration(rnd.Int64N(int64(2 * testLease / 3))))
 				call := internalapi.ClaimRoleCall{Role: "sched", Holder: string(rune('a' + i)), Incarnation: "1",
 					Epoch: nodes[i].epoch}
-				lost := rnd.IntN(4) == 0
+				answerLost := rnd.IntN(4) == 0
 				switch rnd.IntN(12) {
-				case 0: // the leader dies; the next one has only the replicated state
+				case 0: // the leader fails; the next one has only the replicated state
 					leases.StepDown()
 					clock.Advance(time.Duration(rnd.Int64N(int64(testLease))))
 					leases.BecomeLeader(clock.Now(), map[string]*state.Role{"sched": &current})
 					continue
 				case 1:
-					if nodes[i].until > sent && nodes[i].epoch == current.Epoch {
+					if nodes[i].until > sentAt && nodes[i].epoch == current.Epoch {
 						nodes[i].until = 0
-						if leases.Release(clock.Now(), current, call) && !lost {
+						if leases.Release(clock.Now(), current, call) && !answerLost {
 							index++
 							current = state.Role{Epoch: index}
 						}
@@ -124,8 +124,8 @@
 					leases.ObserveEpoch(clock.Now(), "sched", index)
 					leases.ProposalDone("sched", before)
 				}
-				if decision != claimDenied && !lost {
-					nodes[i] = node{current.Epoch, sent + testLease}
+				if decision != claimDenied && !answerLost {
+					nodes[i] = node{current.Epoch, sentAt + testLease}
 				}
 				holders := 0
 				for _, n := range nodes {
@@ -133,10 +133,10 @@
 						holders++
 					}
 				}
-				worst = max(worst, holders)
+				maxHolders = max(maxHolders, holders)
 			}
 		}
-		So(worst, ShouldEqual, 1)
+		So(maxHolders, ShouldEqual, 1)
 		So(grants, ShouldBeGreaterThan, 400)
 	})
 }
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -14,7 +14,7 @@
 	"crosstide/internal/state/command"
 )
 
-// newOperators returns a key for each name.
+// newOperators returns a new key for each operator name.
 func newOperators(t *testing.T, names ...string) []signature.Key {
 	t.Helper()
 	keys := make([]signature.Key, len(names))
@@ -27,23 +27,23 @@
 	return keys
 }
 
-// putBundle puts a bundle in force as the successor of version base, signed by ada and ben.
+// putBundle proposes a bundle as the successor of version base and signs it as ada and as ben, which activates it.
 func (fleet *testFleet) putBundle(at *Store, keys []signature.Key, base uint64, text string) {
-	order := func(c command.Command) {
+	propose := func(c command.Command) {
 		var err error
 		fleet.call(func(ctx context.Context) { _, err = at.ProposeOrForward(ctx, c) })
 		So(err, ShouldBeNil)
 	}
 	id, digest := fmt.Sprint("o", base), signature.Digest([]byte(text))
-	order(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
+	propose(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
 		Sig: keys[0].Sign(signature.Put(id, base, digest))})
 	for i, by := range []string{"ada", "ben"} {
-		order(&command.SignBundle{Order: id + by, Version: base + 1, Digest: digest, By: by,
+		propose(&command.SignBundle{Order: id + by, Version: base + 1, Digest: digest, By: by,
 			Sig: keys[i].Sign(signature.Bundle(base+1, digest))})
 	}
 }
 
-// bundles returns the version of the bundle and the text of one version, as c1, c2 and c3 have them.
+// bundles returns, for each of c1, c2 and c3, its bundle version followed by its text of the given version.
 func (fleet *testFleet) bundles(version uint64) (bundles []string) {
 	for _, name := range []string{"c1", "c2", "c3"} {
 		fleet.nodes[name].View(func(s *state.State) {
@@ -53,7 +53,7 @@
 	return bundles
 }
 
-// areAllAtBundle reports whether all members run and have a version of the bundle.
+// areAllAtBundle reports whether all members are running and have the bundle at the given version.
 func (fleet *testFleet) areAllAtBundle(version uint64) bool {
 	nodes := 0
 	for _, s := range fleet.nodes {
@@ -66,7 +66,7 @@
 	return nodes == len(fleet.settings.Members)
 }
 
-// followOnce makes a call to Follow at a node, by which data-plane node d1 reports its bundle version.
+// followOnce calls Follow at a node as data-plane node d1, which reports its bundle version in the call.
 func (fleet *testFleet) followOnce(name string, version uint64) {
 	call := internalapi.FollowCall{Node: "d1", Vector: map[string]uint64{}, Bundle: version}
 	fleet.call(func(ctx context.Context) { _, _ = fleet.nodes[name].Follow(ctx, call) })
@@ -82,12 +82,12 @@
 			return installed == 2
 		})
 		text := ""
-		for base := uint64(1); base < 40; base++ { // over several snapshots
+		for base := uint64(1); base < 40; base++ { // enough commands for several snapshots
 			text = fmt.Sprintf("{\"queues\": {\"q%d\":{}} }\t\n", base)
 			fleet.putBundle(lead, keys, base, text)
 		}
 
-		// Every node has it, also after a power loss of all of them: byte for byte.
+		// Every node has the bundle byte for byte, also after all of them lost power at once.
 		allAt40 := func() bool { return fleet.areAllAtBundle(40) }
 		fleet.until("all at 40", allAt40)
 		wanted := fmt.Sprint(40, text)
@@ -101,7 +101,7 @@
 		fleet.until("all at 40 again", allAt40)
 		So(fleet.bundles(40), ShouldResemble, []string{wanted, wanted, wanted})
 
-		// Every member reports the bundles of all followers, each by its newest call.
+		// Every member reports the bundle versions of all followers, as of each follower's newest call.
 		fleet.followOnce("c1", 39)
 		fleet.followOnce("c2", 40)
 		var nodes []internalapi.NodeBundle
@@ -116,7 +116,7 @@
 		So(silent, ShouldResemble, []string{"c2"})
 		fleet.start("c2")
 		fleet.until("c2 again", allAt40)
-		fleet.clock.Advance(time.Second) // the newest report is the one of the latest time
+		fleet.clock.Advance(time.Second) // so that the next call has a later time and counts as the newest
 		fleet.followOnce("c2", 40)
 		fleet.call(func(ctx context.Context) { nodes, silent = fleet.nodes["c1"].Rollout(ctx) })
 		So([]any{nodes[3].Node, nodes[3].Version, len(silent)}, ShouldResemble, []any{"d1", uint64(40), 0})
--- a/internal/store/silentmembers_test.go
+++ b/internal/store/silentmembers_test.go
@@ -15,25 +15,25 @@
 	withOpenFleet(t, 4, func(fleet *testFleet) {
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4")
-		gone := fleet.follower(fleet.leader()).settings.Name
-		fleet.kill(gone)
+		stopped := fleet.follower(fleet.leader()).settings.Name
+		fleet.kill(stopped)
 		fleet.advance(fleet.settings.RemoveAfter - 500*time.Millisecond)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 4)
 		fleet.waitVoters(fleet.others()...)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
 
-		// Never below three.
+		// No removal leaves fewer than three voters.
 		fleet.kill(fleet.follower(fleet.leader()).settings.Name)
 		fleet.advance(20 * time.Second)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
 		So(fleet.submitJobs("a", 20), ShouldBeEmpty)
 
-		// A newcomer becomes the fourth, then the dead one is removed.
+		// A new node becomes the fourth voter, then the stopped one is removed.
 		fleet.startFresh("c9")
 		fleet.waitVoters(fleet.others()...)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 3)
 
-		// Without a majority nobody is removed.
+		// Without a majority no member is removed.
 		lead := fleet.leader()
 		for _, n := range fleet.others(lead.settings.Name) {
 			fleet.kill(n)
@@ -59,10 +59,10 @@
 			return lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt > since
 		})
 
-		// It is rejected under its old ID: its folder has it as a member.
+		// It cannot rejoin under its old ID, as its folder records a membership before the removal.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
-		// A folder whose membership was never committed is not rejected.
+		// A node whose recorded membership was never committed is not rejected.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since + 100})
 		So(err, ShouldBeNil)
 	})
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -22,7 +22,7 @@
 		So(batch, ShouldHaveLength, 2) // entry 10 is not durable yet
 		So(s.snapshots.committed, ShouldHaveLength, 1)
 	})
-	Convey("A fetched snapshot is taken even then", t, func() {
+	Convey("A fetched snapshot is taken even while the live state is catching up", t, func() {
 		s := &Store{unapplied: []raft.Entry{{Index: 11}}, snapshots: snapshots{toInstall: &fetchedSnapshot{}}}
 		fetched, _ := s.takeDurableEntries()
 		So(fetched, ShouldNotBeNil)
@@ -32,13 +32,13 @@
 func TestSnapshotter_pausesInTakeover(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		s := fleet.leader()
-		began := fleet.clock.Now()
+		start := fleet.clock.Now()
 		fleet.submitJobs("a", 60)
 		fleet.waitLevel()
-		So(fleet.clock.Now()-began, ShouldBeLessThan, takeoverPeriod)
+		So(fleet.clock.Now()-start, ShouldBeLessThan, takeoverPeriod)
 		So(s.Status().Raft.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
-		fleet.until("the end of the take-over", func() bool { return fleet.clock.Now()-began > takeoverPeriod })
+		fleet.until("the end of the takeover", func() bool { return fleet.clock.Now()-start > takeoverPeriod })
 		fleet.submitJobs("b", 1)
 		fleet.until("the snapshot that was due", func() bool { return newestSnapshot(s) > 40 })
 	})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,12 +13,12 @@
 	"crosstide/internal/errs"
 )
 
-func TestStore_keepsAcknowledgedOverCrashes(t *testing.T) {
+func TestStore_keepsAcknowledgedAcrossCrashes(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 100)
 		lead := fleet.leader()
 		fleet.kill(lead.settings.Name)
-		fleet.submitJobs("b", 100) // from now on the dead node needs a snapshot
+		fleet.submitJobs("b", 100) // after these the stopped node needs a snapshot to catch up
 		fleet.start(lead.settings.Name)
 		fleet.waitLevel()
 		for round := range 3 {
@@ -33,7 +33,7 @@
 		fleet.waitLevel()
 		So(len(fleet.acked), ShouldEqual, 410)
 
-		// Without a majority no proposal is acknowledged: it times out with an unknown outcome.
+		// Without a majority no proposal is acknowledged: a proposal times out, with an unknown outcome.
 		lead = fleet.leader()
 		for _, m := range fleet.settings.Members {
 			if m.ID != lead.settings.Name {
@@ -46,15 +46,15 @@
 	})
 }
 
-// countingClock counts the timers that a node timers.
+// countingClock is the clock of one node and counts the timers that the node sets.
 type countingClock struct {
 	clock.Clock
 	timersSet *atomic.Int64
 }
 
-func (c countingClock) Set(d time.Duration, ring func()) clock.Stopper {
+func (c countingClock) Set(d time.Duration, call func()) clock.Stopper {
 	c.timersSet.Add(1)
-	return c.Clock.Set(d, ring)
+	return c.Clock.Set(d, call)
 }
 
 func TestIdle_timersPerSecond(t *testing.T) {
@@ -88,7 +88,7 @@
 		fleet.advance(10 * time.Second)
 		for n, c := range timers {
 			perSecond := (c.Load() - before[n]) / 10
-			Printf("\n%s leads %v: %d timers a second", n, n == lead.settings.Name, perSecond)
+			Printf("\n%s, leader=%v: %d timers per second", n, n == lead.settings.Name, perSecond)
 			if n == lead.settings.Name {
 				So(perSecond, ShouldBeLessThan, 90)
 			} else {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -23,27 +23,27 @@
 	"crosstide/internal/storage"
 )
 
-// The folders under testdata/stored were written by the code of commit df84be1, one for each deployment: `cplane run` and
-// `cplane jobs run`. Later code must read the same contents from them. Commands and the expected contents stand here and
-// in expected.json under the names on disk, not those of Go.
+// The folders under testdata/stored were written by the code of commit df84be1, one for each deployment: `cplane run`
+// and `cplane jobs run`. Later code must read the same contents from them. The commands in this file and the contents
+// in expected.json use the field names of the stored format, not those of Go.
 //
-// Never rewrite a folder after a change of the stored format: it is there to detect that. A folder in a newer format is
-// added beside them, under a name of its own: add it to storedFolders and run
+// Never rewrite a folder after a change of the stored format: the folders exist to detect such changes. Add a folder in
+// a newer format under a name of its own: add it to storedFolders and run
 //
 //	go test ./internal/store -run TestStoredFolders -write-stored
 //
-// which writes the missing ones with the current code.
+// which writes the missing folders with the current code.
 var writeStored = flag.Bool("write-stored", false, "write the folders of testdata/stored that are missing")
 
 var storedFolders = []struct {
-	name  string
-	id    string            // the ID that the node took when it joined anew; "": its name
-	write func(*storedNode) // commits the commands before the newest snapshot
-	after func(*storedNode) // commits those after it
-	goOn  func(*storedNode) // continues on what was read
+	name      string
+	id        string            // raft ID of the node, if it rejoined as a new incarnation; "" if it is the node's name
+	write     func(*storedNode) // commits the commands before the newest snapshot
+	writeTail func(*storedNode) // commits the commands after it
+	extend    func(*storedNode) // commits more commands on the recovered state and checks their results
 }{
-	{"cplane", "", writePolicy, writePolicyTail, goOnPolicy},
-	{"jobs", "c1~abcdefghij", writeJobs, writeJobsTail, goOnJobs},
+	{"cplane", "", writePolicy, writePolicyTail, extendPolicy},
+	{"jobs", "c1~abcdefghij", writeJobs, writeJobsTail, extendJobs},
 }
 
 // storedContents is the content of expected.json.
@@ -52,11 +52,11 @@
 	Members any            `json:"members"`
 	Hard    map[string]any `json:"hard"`  // the last hard state in the log
 	Metas   []any          `json:"metas"` // of slot-a and slot-b
-	Peers   []string       `json:"peers"` // addresses that were known before a discard
+	Peers   []string       `json:"peers"` // addresses in peersFile, known before the folder was discarded
 	ID      string         `json:"id"`
 }
 
-// storedNode is a control-plane node on a folder, the only voter of its fleet, with a manual driver.
+// storedNode is a control-plane node on a folder, the only voter of its fleet, run by a ManualDriver.
 type storedNode struct {
 	*ManualDriver
 	clock *clock.Virtual
@@ -80,8 +80,8 @@
 	return n
 }
 
-// turn makes all steps that the store has pending, and advances the clock.
-func (n *storedNode) turn() {
+// step runs the pending work of the store and advances the clock.
+func (n *storedNode) step() {
 	for range 4 {
 		n.Pass()
 		n.TakeMessages()
@@ -94,19 +94,19 @@
 	n.clock.Advance(25 * time.Millisecond)
 }
 
-// lead waits until the node leads and has applied its log.
-func (n *storedNode) lead() {
+// awaitLeadership waits until the node leads and has applied its log.
+func (n *storedNode) awaitLeadership() {
 	for range 1000 {
-		if n.turn(); n.leading() {
-			n.turn()
+		if n.step(); n.isLeading() {
+			n.step()
 			return
 		}
 	}
-	So("leads", ShouldEqual, "within 1000 turns")
+	So("leads", ShouldEqual, "leads within 1000 steps")
 }
 
-// leading reports whether the node leads with a valid lease.
-func (n *storedNode) leading() bool {
+// isLeading reports whether the node leads with a valid lease.
+func (n *storedNode) isLeading() bool {
 	_, confirmed := n.Core().LeaseReadIndex(n.clock.Now())
 	return confirmed
 }
@@ -114,26 +114,26 @@
 // do commits a command, given in its stored form, and returns its answer. The clock advances by a second.
 func (n *storedNode) do(op, body string) map[string]any {
 	n.clock.Advance(time.Second)
-	n.lead()
+	n.awaitLeadership()
 	c, err := command.New(op)
 	So(err, ShouldBeNil)
 	So(json.Unmarshal([]byte(body), c), ShouldBeNil)
 	p, err := n.Propose(c)
 	So(err, ShouldBeNil)
-	n.turn()
+	n.step()
 	_, answer, err, ok := p.Done()
 	So(fmt.Sprint(op, body, ok, err), ShouldEqual, fmt.Sprint(op, body, true, nil))
-	out, _ := plainJSON(answer).(map[string]any)
-	return out
+	object, _ := plainJSON(answer).(map[string]any)
+	return object
 }
 
-// members commits a member set, given in its stored form.
-func (n *storedNode) members(set string) {
-	n.lead()
+// commitMembers commits a member set, given in its stored form.
+func (n *storedNode) commitMembers(set string) {
+	n.awaitLeadership()
 	var next []raft.Member
 	So(json.Unmarshal([]byte(set), &next), ShouldBeNil)
 	So(n.store.changeMembers(n.store.Status().Raft.Members, next), ShouldBeNil)
-	n.turn()
+	n.step()
 }
 
 // state returns the encoded live state as plain JSON.
@@ -145,11 +145,11 @@
 
 // snapshot writes the state as the newest snapshot.
 func (n *storedNode) snapshot() {
-	n.turn()
+	n.step()
 	So(n.store.writeSnapshot(n.store.group.Context()), ShouldBeNil)
 }
 
-// parseJSON decodes JSON and keeps numbers as they are written.
+// parseJSON decodes JSON and keeps each number as a json.Number.
 func parseJSON(data []byte) (value any) {
 	d := json.NewDecoder(strings.NewReader(string(data)))
 	d.UseNumber()
@@ -164,22 +164,23 @@
 	return data
 }
 
-// plainJSON returns v as the maps, slices and numbers of its JSON.
+// plainJSON encodes v as JSON and returns the result as parseJSON decodes it.
 func plainJSON(v any) any { return parseJSON(encoded(v)) }
 
-// reread decodes a stored JSON object into a value of its type and returns that encoded again, as plain JSON.
+// reread decodes a stored JSON object into a value of its Go type and returns plainJSON of that value.
 func reread(data []byte, into any) any {
 	So(json.Unmarshal(data, into), ShouldBeNil)
 	return plainJSON(into)
 }
 
-// contents reads a folder, except for the state: as stored, or as the types that decode it encode it again.
+// contents returns the contents of a folder, except for the state and the members. With asStored it returns the stored
+// JSON, else the JSON that results from decoding it into the Go types and encoding it again.
 func contents(t *testing.T, dir string, asStored bool) (read storedContents) {
 	t.Helper()
 	disk, err := storage.OSDisk(dir)
 	So(err, ShouldBeNil)
 	read.Metas = []any{}
-	for _, removed := range []string{"slot-b", "slot-a"} { // removed, so that the other one is read
+	for _, removed := range []string{"slot-b", "slot-a"} { // without one slot, the other one is read
 		folder := copyFolder(t, dir, removed)
 		d, err := storage.OSDisk(folder)
 		So(err, ShouldBeNil)
@@ -203,7 +204,7 @@
 	return read
 }
 
-// copyFolder copies a folder without the files in except to a new one, and returns its path.
+// copyFolder copies a folder, without the files in except, to a new folder and returns its path.
 func copyFolder(t *testing.T, from string, except ...string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -220,7 +221,7 @@
 	return to
 }
 
-// assertSameState compares two states part by part, except for index and term, which a new term advances.
+// assertSameState compares two states part by part, except for index and term, which change when a new term starts.
 func assertSameState(got, want map[string]any) {
 	for _, part := range slices.Sorted(maps.Keys(want)) {
 		if part != "index" && part != "term" {
@@ -230,7 +231,7 @@
 	So(slices.Sorted(maps.Keys(got)), ShouldResemble, slices.Sorted(maps.Keys(want)))
 }
 
-// number returns a number in plain JSON.
+// number returns a number that parseJSON decoded.
 func number(v any) uint64 {
 	n, err := v.(json.Number).Int64()
 	So(err, ShouldBeNil)
@@ -242,18 +243,19 @@
 		from := filepath.Join("testdata", "stored", f.name)
 		data := filepath.Join(from, "data")
 		if _, err := os.Stat(from); *writeStored && os.IsNotExist(err) {
-			Convey("Write "+from, t, func() { writeFolder(t, from, f.id, f.write, f.after) })
+			Convey("Write "+from, t, func() { writeFolder(t, from, f.id, f.write, f.writeTail) })
 		}
 		for _, newest := range []bool{true, false} {
-			how := map[bool]string{true: "its newest snapshot and the log after it", false: "its first snapshot and the whole log"}[newest]
-			Convey("The folder "+f.name+" is recovered unchanged from "+how, t, func() {
+			source := map[bool]string{true: "its newest snapshot and the log after it",
+				false: "its first snapshot and the whole log"}[newest]
+			Convey("The folder "+f.name+" is recovered unchanged from "+source, t, func() {
 				raw, err := os.ReadFile(filepath.Join(from, "expected.json"))
 				So(err, ShouldBeNil)
 				expected := parseJSON(raw).(map[string]any)
 				want := expected["state"].(map[string]any)
-				rest := plainJSON(contents(t, data, false)).(map[string]any)
+				decoded := plainJSON(contents(t, data, false)).(map[string]any)
 				for _, part := range []string{"hard", "metas", "peers", "id"} {
-					So(rest[part], ShouldResemble, expected[part])
+					So(decoded[part], ShouldResemble, expected[part])
 				}
 
 				except := []string{}
@@ -262,18 +264,18 @@
 				}
 				dir := copyFolder(t, data, except...)
 				n := openStored(dir, "c1")
-				n.lead()
+				n.awaitLeadership()
 				got := n.state()
 				assertSameState(got, want)
 				So(number(got["index"]), ShouldEqual, number(want["index"])+1) // the first entry of the new term
 				So(number(got["term"]), ShouldEqual, number(want["term"])+1)
 				So(plainJSON(n.store.Status().Raft.Members), ShouldResemble, expected["members"])
 
-				f.goOn(n)
+				f.extend(n)
 				got = n.state()
 				n.store.Stop()
 				n = openStored(dir, "c1")
-				n.lead()
+				n.awaitLeadership()
 				assertSameState(n.state(), got)
 				So(plainJSON(n.store.Status().Raft.Members), ShouldResemble, expected["members"])
 				n.store.Stop()
@@ -282,31 +284,32 @@
 	}
 }
 
-// writeFolder writes a folder: slot-a is the snapshot of the bootstrap, slot-b the newest one, and the log has all entries.
-func writeFolder(t *testing.T, from, id string, write, after func(*storedNode)) {
+// writeFolder writes the folder dir/data and dir/expected.json. In the folder, slot-a is the snapshot of the bootstrap,
+// slot-b the newest snapshot, and the log has all entries.
+func writeFolder(t *testing.T, dir, id string, write, writeTail func(*storedNode)) {
 	t.Helper()
-	data := filepath.Join(from, "data")
+	data := filepath.Join(dir, "data")
 	So(os.MkdirAll(data, 0o750), ShouldBeNil)
 	n := openStored(data, cmp.Or(id, "c1"))
 	So(n.Bootstrap(), ShouldBeNil)
-	if id != "" { // the node knows its ID from its next start on
+	if id != "" { // the node reads its ID at its next start
 		So(writeFile(n.disk, idFile, id), ShouldBeNil)
 		So(writeFile(n.disk, peersFile, "c2:1\nc3:1"), ShouldBeNil)
 		n.store.Stop()
 		n = openStored(data, id)
 	}
-	n.lead()
+	n.awaitLeadership()
 	write(n)
 	n.snapshot()
-	after(n)
-	n.turn()
+	writeTail(n)
+	n.step()
 	written := storedContents{State: n.state(), Members: plainJSON(n.store.Status().Raft.Members)}
 	n.store.Stop()
 	files := contents(t, data, true)
 	written.Hard, written.Metas, written.Peers, written.ID = files.Hard, files.Metas, files.Peers, files.ID
 	raw, err := json.MarshalIndent(written, "", " ")
 	So(err, ShouldBeNil)
-	So(os.WriteFile(filepath.Join(from, "expected.json"), append(raw, '\n'), 0o600), ShouldBeNil)
+	So(os.WriteFile(filepath.Join(dir, "expected.json"), append(raw, '\n'), 0o600), ShouldBeNil)
 }
 
 const storedBundle = `{
@@ -354,7 +357,7 @@
 	patch := []byte(`{"weights": {"parcel": 4}}`)
 	n.do("patch", string(encoded(map[string]any{"order": "patch-3", "base": 3, "by": "ben", "patch": patch,
 		"sig": ben.Sign(signature.Patch("patch-3", 3, signature.Digest(patch)))})))
-	put(4, 5) // 4 is replaced as a draft
+	put(4, 5) // replaces draft 4
 	sign(5, ben)
 	for _, zone := range []string{"z8", "z9"} {
 		n.do("zone", fmt.Sprintf(`{"order": "out-%s", "zone": %q, "out": true, "by": "ada", "sig": %q}`, zone, zone, ada.Sign(signature.Evacuate("out-"+zone, zone))))
@@ -378,13 +381,13 @@
 	const never, later = "1970-01-01T00:00:00Z", "1971-01-01T00:00:00Z"
 	submit("f-old", "default", "other", plain)
 	n.do("cancel", `{"key": "f-old"}`)
-	tidy(later, never, "1970-01-01T00:00:04Z") // orders o1 and o2 go
-	tidy(never, later, never)                  // its tomb goes too
+	tidy(later, never, "1970-01-01T00:00:04Z") // deletes the job and the orders o1 and o2
+	tidy(never, later, never)                  // deletes the job's tombstone
 	submit("f-tomb", "default", "other", plain)
 	n.do("cancel", `{"key": "f-tomb"}`)
 	tidy(later, never, never)
 
-	n.members(`[{"id": "c1", "addr": "c1:1", "zone": "z1"}, {"id": "c2~abc", "addr": "c2:1", "zone": "z2", "incarnation": "abc", "learner": true}]`)
+	n.commitMembers(`[{"id": "c1", "addr": "c1:1", "zone": "z1"}, {"id": "c2~abc", "addr": "c2:1", "zone": "z2", "incarnation": "abc", "learner": true}]`)
 	minions := []string{
 		`{"name": "m1", "addr": "m1:1", "boot": "b1", "kind": "obey", "zone": "z1", "rack": "r1", "labels": {"disk": "ssd", "data": "scans"}, "cores": 16, "gpus": 4}`,
 		`{"name": "m2", "addr": "m2:1", "boot": "b2", "kind": "check", "zone": "z1", "rack": "r2", "labels": {"disk": "ssd"}, "cores": 16, "gpus": 4}`,
@@ -415,7 +418,7 @@
 	submit("r-refused", "default", "other", `{"name": "pair", "type": "g", "tasks": 2, "cores": 1, "retries": 0, "gang": true}`)
 	submit("x-gone", "default", "other", plain)
 	n.do("cancel", `{"key": "x-gone"}`)
-	tidy(never, never, never) // nothing goes
+	tidy(never, never, never) // deletes nothing
 	n.do("cancels", `{"team": "nobody", "queue": "default"}`)
 	n.do("cancels", `{"team": "other", "queue": "nowhere"}`)
 	plan := func(body string) map[string]any {
@@ -429,13 +432,13 @@
 		start("a-done", 0, "1", ""), start("b-run", 0, "1", ""), start("b-run", 1, "1", ""), start("b-run", 2, "2", ""), start("b-run", 3, "2", ""),
 		start("c-fault", 0, "2", ""), start("d-stop", 0, "1", ""), start("g-gang", 0, "1", `, "g": 1`), start("g-gang", 1, "2", `, "g": 1`),
 		start("s-standing", 0, "2", ""), start("t-two", 0, "1", ""),
-		start("r-refused", 0, "1", `, "g": 2`), start("r-refused", 1, "3", `, "g": 2`), // m3 is drained: both are refused
+		start("r-refused", 0, "1", `, "g": 2`), start("r-refused", 1, "3", `, "g": 2`), // m3 is draining: both are refused
 	}, ",") + `]`)
 	So(fmt.Sprint(answer["tickets"]), ShouldEqual, "[1 2 3 4 5 6 7 8 9 10 11 0 0]")
 	plan(`"r": [2, 4, 8, 9, 10], "u": [3], "x": [{"t": 1, "ok": true}, {"t": 5, "ok": false, "w": "exit 2"}, {"t": 6, "ok": false, "w": "exit 1"}, {"t": 11, "ok": true}],
 		"k": [{"t": 9, "w": "lapse", "r": "not heard"}, {"t": 4, "w": "lapse", "r": "not heard"}],
 		"s": [{"r": {"j": "t-two", "s": 1, "k": 0}, "m": "m1", "b": "b1"}]`)
-	plan(`"x": [{"t": 9, "f": {"j": "g-gang", "s": 0, "k": 1}, "ok": true}]`) // ended well after all
+	plan(`"x": [{"t": 9, "f": {"j": "g-gang", "s": 0, "k": 1}, "ok": true}]`) // succeeded although its lease had lapsed
 	n.clock.Advance(40 * time.Second)                                         // the windows of paid runs are renewed
 }
 
@@ -444,21 +447,21 @@
 	n.do("submit", `{"spec": {"key": "e-new", "team": "other", "queue": "default", "steps": [{"name": "one", "type": "t", "tasks": 1, "cores": 1, "retries": 0}]}, "digest": "e", "bound": 1000}`)
 }
 
-func goOnPolicy(n *storedNode) {
-	was := n.state()
-	epoch := number(was["duties"].(map[string]any)["sched"].(map[string]any)["epoch"])
+func extendPolicy(n *storedNode) {
+	before := n.state()
+	epoch := number(before["duties"].(map[string]any)["sched"].(map[string]any)["epoch"])
 	answer := n.do("plan", fmt.Sprintf(`{"e": %d, "v": 3, "x": [{"t": 2, "f": {"j": "b-run", "s": 0, "k": 0}, "ok": true}],
 		"s": [{"r": {"j": "b-run", "s": 0, "k": 4}, "m": "m1", "b": "b1"}]}`, epoch))
-	So(fmt.Sprint(answer["tickets"]), ShouldEqual, "[13]") // never one that was given before
-	now := n.state()
-	handles := now["handles"].(map[string]any)
+	So(fmt.Sprint(answer["tickets"]), ShouldEqual, "[13]") // a ticket is never reused
+	after := n.state()
+	handles := after["handles"].(map[string]any)
 	So(handles["2"], ShouldBeNil)
 	So(handles["13"], ShouldNotBeNil)
-	balance := func(s map[string]any, of string) uint64 {
-		return number(s["accounts"].(map[string]any)["accounts"].(map[string]any)["acme"].(map[string]any)[of])
+	amount := func(s map[string]any, field string) uint64 {
+		return number(s["accounts"].(map[string]any)["accounts"].(map[string]any)["acme"].(map[string]any)[field])
 	}
-	So(balance(now, "spent"), ShouldBeGreaterThan, balance(was, "spent"))
-	So(balance(now, "balance")+balance(now, "reserved")+balance(now, "spent"), ShouldEqual, balance(now, "topped_up"))
+	So(amount(after, "spent"), ShouldBeGreaterThan, amount(before, "spent"))
+	So(amount(after, "balance")+amount(after, "reserved")+amount(after, "spent"), ShouldEqual, amount(after, "topped_up"))
 	So(n.do("submit", `{"spec": {"key": "f-tomb", "team": "other", "queue": "default", "steps": []}, "digest": "digest of f-tomb", "bound": 1000}`)["state"],
 		ShouldEqual, "cancelled")
 	So(n.do("succeed", `{"order": "o3", "old": "c0", "new": "c9"}`)["old"], ShouldEqual, "c0") // answered as before
@@ -485,7 +488,7 @@
 		{"id": "w3", "addr": "w3:1", "service": "small", "zone": "z2", "cap": {"c": 4000, "m": 8000}},
 		{"id": "w4", "addr": "w4:1", "service": "small", "zone": "z3", "cap": {"c": 4000}, "draining": true, "left": true}]}`)
 	n.do("job-evacuate", `{"zone": "z9", "start": true}`)
-	n.members(`[{"id": "c1~abcdefghij", "addr": "c1:1", "zone": "z1"}, {"id": "c2~abc", "addr": "c2:1", "zone": "z2", "incarnation": "abc", "learner": true}]`)
+	n.commitMembers(`[{"id": "c1~abcdefghij", "addr": "c1:1", "zone": "z1"}, {"id": "c2~abc", "addr": "c2:1", "zone": "z2", "incarnation": "abc", "learner": true}]`)
 	submit := func(id, queue, more, steps string) {
 		n.do("job-submit", fmt.Sprintf(`{"spec": {"id": %q, "q": %q, "p": "payload of %s"%s, "s": [%s]}, "digest": "digest of %s", "at": "1970-01-01T00:01:00Z"}`, id, queue, id, more, steps, id))
 	}
@@ -514,28 +517,28 @@
 		{"r": {"t": {"j": "g-gang"}, "n": 1}, "w": "w1", "h": "failed"}, {"r": {"t": {"j": "g-gang", "i": 1}, "n": 1}, "w": "w2", "h": "broken"}],
 		"starts": [{"t": {"j": "g-gang"}, "n": 2, "w": "w1"}, {"t": {"j": "g-gang", "i": 1}, "n": 2, "w": "w2"},
 			{"t": {"j": "r-rounds", "k": 1, "s": 1}, "n": 1, "w": "w3"}], "forget": ["w4"]`)
-	for range 140 { // windows of paid runs, more than the ledger keeps
+	for range 140 { // more windows of paid runs than the ledger keeps
 		n.clock.Advance(30 * time.Second)
 		n.do("job-evacuate", `{"zone": "z9", "start": true}`)
 	}
 }
 
-// progress commits what the scheduler of the current term decided.
+// progress commits decisions of the scheduler, in the current term.
 func (n *storedNode) progress(body string) map[string]any {
-	n.lead()
+	n.awaitLeadership()
 	return n.do("job-progress", fmt.Sprintf(`{"term": %d, "at": "1970-01-01T00:02:00Z", %s}`, number(n.state()["term"]), body))
 }
 
 func writeJobsTail(n *storedNode) {
-	n.do("job-cancel", `{"id": "d-cancelled", "at": "1970-01-01T00:03:00Z"}`) // with a handle out
+	n.do("job-cancel", `{"id": "d-cancelled", "at": "1970-01-01T00:03:00Z"}`) // while one of its runs has a handle
 	n.do("job-register", `{"workers": [{"id": "w5", "addr": "w5:1", "service": "small", "zone": "z3", "rack": "r9", "cap": {"c": 4000}, "draining": true, "left": true}]}`)
 }
 
-func goOnJobs(n *storedNode) {
+func extendJobs(n *storedNode) {
 	answer := n.progress(`"ends": [{"r": {"t": {"j": "b-run"}, "n": 1}, "w": "w1", "h": "done"}],
 		"starts": [{"t": {"j": "b-run", "i": 1}, "n": 1, "w": "w1"}, {"t": {"j": "b-run", "i": 1}, "n": 2, "w": "w1"}]`)
-	So(fmt.Sprint(answer["recorded"]), ShouldEqual, "[false true]")       // number 1 was given before
-	n.do("job-configure", `{"base": 0, "version": 2, "digest": "first"}`) // taken before: answered alike
+	So(fmt.Sprint(answer["recorded"]), ShouldEqual, "[false true]")       // run number 1 was used before
+	n.do("job-configure", `{"base": 0, "version": 2, "digest": "first"}`) // a repetition gets the same answer
 	n.do("job-submit", `{"spec": {"id": "z-later", "q": "fast", "s": [{"n": 1, "r": {"c": 1}}]}, "digest": "z", "at": "1970-01-01T00:05:00Z"}`)
 	table := n.state()["table"].(map[string]any)
 	So(table["jobs"].(map[string]any)["z-later"].(map[string]any)["state"], ShouldEqual, "queued")
--- a/internal/store/testdisk_test.go
+++ b/internal/store/testdisk_test.go
@@ -9,14 +9,15 @@
 	"crosstide/internal/storage"
 )
 
-// testDisk is the disk of one node of a fleet, which makes it slow, hang, or refuse writes.
+// testDisk is the disk of one node of a test fleet. Tests can make it slow, make its syncs hang or make its writes
+// fail.
 type testDisk struct {
 	storage.Disk
 	fleet *testFleet
 	name  string
 }
 
-// testDiskFile is a file of a testDisk.
+// testDiskFile is a file on a testDisk.
 type testDiskFile struct {
 	storage.File
 	fleet *testFleet
@@ -50,21 +51,21 @@
 	return f.File.Sync()
 }
 
-// refusal returns the error with which a node's disk refuses writes, nil if it does not.
+// refusal returns the error that a node's disk returns for writes, or nil if writes succeed.
 func (fleet *testFleet) refusal(name string) error {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.full[name]
 }
 
-// setRefusal makes a node's disk refuse writes with an error; nil: it accepts them again.
-func (fleet *testFleet) setRefusal(name string, with error) {
+// setRefusal makes writes to a node's disk fail with err, or succeed again if err is nil.
+func (fleet *testFleet) setRefusal(name string, err error) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	fleet.full[name] = with
+	fleet.full[name] = err
 }
 
-// setFull fills a node's disk, or makes space on it again.
+// setFull fills a node's disk, or frees space on it again.
 func (fleet *testFleet) setFull(name string, full bool) {
 	if full {
 		fleet.setRefusal(name, unix.ENOSPC)
@@ -73,14 +74,14 @@
 	}
 }
 
-// doesHang reports whether a node's disk hangs.
+// doesHang reports whether syncs of a node's disk hang.
 func (fleet *testFleet) doesHang(name string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.hangs[name]
 }
 
-// setHang makes a node's disk hang in syncs, or ends that.
+// setHang makes syncs of a node's disk hang, or lets them finish again.
 func (fleet *testFleet) setHang(name string, hangs bool) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
--- a/internal/store/testnet_test.go
+++ b/internal/store/testnet_test.go
@@ -7,19 +7,19 @@
 	"crosstide/internal/internalapi"
 )
 
-// testNet is the Net of one node of a fleet: it calls the other store directly.
+// testNet is the Net of one node of a test fleet. It calls the stores of the other nodes directly.
 type testNet struct {
 	fleet *testFleet
 	from  string
 }
 
-// callNode calls do with the store at an address. Over a partition the call times out; a node that is down is
-// Unavailable.
+// callNode calls do with the store at an address. It fails with Timeout if a partition separates the nodes, and with
+// Unavailable if the node is down.
 func callNode[A any](ctx context.Context, n testNet, addr string, do func(s *Store) (A, error)) (A, error) {
 	n.fleet.mu.Lock()
 	s, cut := n.fleet.nodes[addr], n.fleet.cut[addr] || n.fleet.cut[n.from]
 	n.fleet.mu.Unlock()
-	var none A
+	var zero A
 	if cut {
 		timedOut := make(chan struct{})
 		defer n.fleet.clock.Set(n.fleet.settings.Election/2, func() { close(timedOut) }).Stop()
@@ -27,10 +27,10 @@
 		case <-timedOut:
 		case <-ctx.Done():
 		}
-		return none, errs.New(errs.Timeout, "%s does not answer", addr)
+		return zero, errs.New(errs.Timeout, "%s does not answer", addr)
 	}
 	if s == nil {
-		return none, errs.New(errs.Unavailable, "%s is down", addr)
+		return zero, errs.New(errs.Unavailable, "%s is down", addr)
 	}
 	return do(s)
 }
@@ -43,7 +43,7 @@
 func (n testNet) FetchChunk(ctx context.Context, addr string, c internalapi.ChunkCall) (
 	internalapi.ChunkAnswer, error,
 ) {
-	c.Max = 1000 // many chunks
+	c.Max = 1000 // so that a snapshot takes many chunks
 	return callNode(ctx, n, addr, func(s *Store) (internalapi.ChunkAnswer, error) { return s.Chunk(c) })
 }
 
