--- a/internal/raft/coldstart_test.go
+++ b/internal/raft/coldstart_test.go
@@ -8,83 +8,83 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// coldStart stops all of five nodes and starts them in an order, with gap between two starts. It returns the time from
-// the start of the third, with which there is a majority, until there is a leader; 5 s at most.
-func (w *world) coldStart(order []*node, gap time.Duration) time.Duration {
-	for _, n := range w.nodes {
-		w.sync(n, true)
+// coldStart stops all five nodes and starts them in the given order, with a pause of gap between two starts. It returns
+// the time until there is a leader, at most 5 s, counted from the start of the third node, which completes a majority.
+func (sim *simulation) coldStart(order []*node, gap time.Duration) time.Duration {
+	for _, n := range sim.nodes {
+		sim.sync(n, true)
 		n.down = true
 	}
-	w.net = nil
-	w.run(time.Second, nil)
+	sim.net = nil
+	sim.run(time.Second, nil)
 	var majorityAt time.Duration
 	for i, n := range order {
-		w.startNode(n)
+		sim.startNode(n)
 		if i == 2 {
-			majorityAt = w.now
+			majorityAt = sim.now
 		}
-		w.run(gap, nil)
+		sim.run(gap, nil)
 	}
-	for w.leader() == nil && w.now < majorityAt+5*time.Second {
-		w.run(20*time.Millisecond, nil)
+	for sim.leader() == nil && sim.now < majorityAt+5*time.Second {
+		sim.run(20*time.Millisecond, nil)
 	}
-	return w.now - majorityAt
+	return sim.now - majorityAt
 }
 
 func TestColdStart_anyOrder(t *testing.T) {
 	Convey("After all nodes were down, a leader is elected soon after a majority has started", t, func() {
 		for seed := range uint64(40) {
-			w := newWorld(seed, "a", "b", "c", "d", "e")
-			w.run(5*time.Second, nil)
-			formerLeader := w.leader()
+			sim := newSimulation(seed, "a", "b", "c", "d", "e")
+			sim.run(5*time.Second, nil)
+			formerLeader := sim.leader()
 			So(formerLeader, ShouldNotBeNil)
-			order := slices.Clone(w.nodes)
-			w.random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-			took := w.coldStart(order, 100*time.Millisecond)
-			So(w.failures, ShouldBeEmpty)
-			if slices.Index(order, formerLeader) < 3 { // it asks for votes at once, no node is sticky to another
-				So(took, ShouldBeLessThan, 600*time.Millisecond)
+			order := slices.Clone(sim.nodes)
+			sim.random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+			duration := sim.coldStart(order, 100*time.Millisecond)
+			So(sim.failures, ShouldBeEmpty)
+			if slices.Index(order, formerLeader) < 3 { // it requests votes at once, and no node is sticky to another leader
+				So(duration, ShouldBeLessThan, 600*time.Millisecond)
 			}
-			So(took, ShouldBeLessThan, 1500*time.Millisecond)
+			So(duration, ShouldBeLessThan, 1500*time.Millisecond)
 		}
 	})
 }
 
 func TestColdStart_formerLeaderBehind(t *testing.T) {
-	Convey("If the former leader lost its newest entries with its power, a node that has them leads soon", t, func() {
+	Convey("If the former leader lost its newest entries in a power failure, a node with them soon leads", t, func() {
 		const seeds = 40
 		soon := 0
 		for seed := range uint64(seeds) {
-			w := newWorld(seed, "a", "b", "c", "d", "e")
-			w.run(5*time.Second, nil)
-			formerLeader := w.leader()
+			sim := newSimulation(seed, "a", "b", "c", "d", "e")
+			sim.run(5*time.Second, nil)
+			formerLeader := sim.leader()
 			So(formerLeader, ShouldNotBeNil)
-			formerLeader.slow = time.Hour // its own writes are never synced
-			w.propose()
-			w.run(200*time.Millisecond, nil)
-			formerLeader.queue, formerLeader.slow = nil, 0
+			formerLeader.minSyncTime = time.Hour // its own writes are never synced
+			sim.propose()
+			sim.run(200*time.Millisecond, nil)
+			formerLeader.queue, formerLeader.minSyncTime = nil, 0
 			stored := formerLeader.disk.Entries
-			took := w.coldStart(w.nodes, 0)
-			So(w.failures, ShouldBeEmpty)
-			So(stored[len(stored)-1].Index, ShouldBeLessThan, w.leader().core.log.last())
-			if took < 450*time.Millisecond {
+			duration := sim.coldStart(sim.nodes, 0)
+			So(sim.failures, ShouldBeEmpty)
+			So(stored[len(stored)-1].Index, ShouldBeLessThan, sim.leader().core.log.last())
+			if duration < 450*time.Millisecond {
 				soon++
 			}
 		}
-		So(soon, ShouldBeGreaterThanOrEqualTo, seeds*9/10) // votes are split now and then, as in any election
+		So(soon, ShouldBeGreaterThanOrEqualTo, seeds*9/10) // split votes are possible in any election
 	})
 }
 
 func TestNew_knownCommit(t *testing.T) {
-	Convey("A node that starts applies what it knew to be committed, before any contact", t, func() {
-		w := newWorld(1, "a", "b", "c")
-		w.run(3*time.Second, nil)
+	Convey("A restarted node applies the entries that it knew to be committed before any contact", t, func() {
+		sim := newSimulation(1, "a", "b", "c")
+		sim.run(3*time.Second, nil)
 		for range 20 {
-			w.propose()
-			w.run(100*time.Millisecond, nil)
+			sim.propose()
+			sim.run(100*time.Millisecond, nil)
 		}
-		n := w.nodes[1]
-		w.sync(n, true)
+		n := sim.nodes[1]
+		sim.sync(n, true)
 		last := n.disk.Entries[len(n.disk.Entries)-1].Index
 		known := n.disk.HardState.Commit
 		So(known, ShouldBeGreaterThan, 15)
@@ -97,7 +97,7 @@
 		_, ok := c.LeaseReadIndex(time.Hour)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("The commit index stored with entries never covers them, and counts only as far as the log goes", t, func() {
+	Convey("The commit index stored with entries is below their index, and is limited to the end of the log", t, func() {
 		c, err := New(Config{ID: "a"}, bootstrap, 0)
 		So(err, ShouldBeNil)
 		c.Step(0, Message{Kind: Append, From: "b", To: "a", Term: 2, PrevIndex: 1, PrevTerm: 1, Commit: 3,
--- a/internal/raft/config.go
+++ b/internal/raft/config.go
@@ -7,26 +7,26 @@
 	"crosstide/internal/errs"
 )
 
-// Config is fixed for the life of a Core; ID is required, other zero fields take their defaults. The times must be the
-// same on all members: the lease of one counts on the election time-out of the others.
+// Config holds the settings of a Core, which never change. ID is required; other zero fields take their defaults. The
+// durations must be the same on all members: the lease of a leader relies on the election time-out of the others.
 type Config struct {
 	ID string // of this member
-	// ElectionTimeout is the least time without a leader before a node campaigns; the random part adds up to as much
-	// again. Default: 1s.
+	// ElectionTimeout is the minimum time without a leader before a node campaigns. A random time of up to the same
+	// length is added to it. Default: 1s.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration // default: ElectionTimeout/10
-	// LeaseDuration is shorter than ElectionTimeout by more than two clocks can drift apart in that time. Default:
-	// 7/10 of it.
+	// LeaseDuration must be shorter than ElectionTimeout by more than two clocks can drift apart in that time.
+	// Default: 7/10 of ElectionTimeout.
 	LeaseDuration      time.Duration
-	MaxAppendBytes     int    // bytes of entries in one append, which has one entry at least; default 1 MiB
-	MaxInflightAppends int    // appends to one member that await their reply; default 64
-	Seed               uint64 // of the random part of the election time-out
+	MaxAppendBytes     int    // limit on the entries in one append; a larger single entry is still sent; default 1 MiB
+	MaxInflightAppends int    // limit on unanswered appends to one member; default 64
+	Seed               uint64 // seed of the random part of the election time-out
 }
 
 // defaultMaxInflight is the default of Config.MaxInflightAppends.
 const defaultMaxInflight = 64
 
-// withDefaults returns cfg with its defaults filled in; errs.Settings if it is invalid.
+// withDefaults returns cfg with zero fields set to their defaults. Failure: Settings if cfg is invalid.
 func (cfg Config) withDefaults() (Config, error) {
 	cfg.ElectionTimeout = cmp.Or(cfg.ElectionTimeout, time.Second)
 	cfg.HeartbeatInterval = cmp.Or(cfg.HeartbeatInterval, cfg.ElectionTimeout/10)
@@ -37,7 +37,7 @@
 		cfg.LeaseDuration < 0 || cfg.LeaseDuration >= cfg.ElectionTimeout ||
 		cfg.MaxAppendBytes < 0 || cfg.MaxInflightAppends < 0 {
 		return cfg, errs.New(errs.Settings,
-			"quorum needs an ID, 0 < Heartbeat < Election, 0 <= Lease < Election, limits above 0")
+			"need an ID, 0 < HeartbeatInterval < ElectionTimeout, 0 <= LeaseDuration < ElectionTimeout, limits > 0")
 	}
 	return cfg, nil
 }
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// configuration is a member set and the index of the entry, or of the snapshot, that it is from.
+// configuration is a member set and the index of the entry or the snapshot that defines it.
 type configuration struct {
 	index   uint64
 	members []Member
@@ -22,7 +22,7 @@
 	return conf, errs.Pass(validateMembers(conf.members), "members at index %d", e.Index)
 }
 
-// configurationsOf returns the member sets among entries, in order.
+// configurationsOf returns the member sets in entries, in order of index.
 func configurationsOf(entries []Entry) ([]configuration, error) {
 	var configurations []configuration
 	for _, e := range entries {
@@ -38,19 +38,20 @@
 	return configurations, nil
 }
 
-// DecodeMembers returns the member set of a Members entry. Failures: Damaged if it is no JSON, Invalid.
+// DecodeMembers returns the member set of a Members entry. Failures: Damaged if its data cannot be decoded, Invalid.
 func DecodeMembers(e Entry) ([]Member, error) {
 	conf, err := configurationOf(e)
 	return conf.members, errs.Pass(err, "decode")
 }
 
-// validateMembers checks a member set by itself: its IDs are unique, and it has a voter. Failure: Invalid.
+// validateMembers checks that the IDs of a member set are unique and not empty, and that it has a voter. Failure:
+// Invalid.
 func validateMembers(members []Member) error {
 	seen := make(map[string]bool, len(members))
 	voters := 0
 	for _, m := range members {
 		if m.ID == "" || seen[m.ID] {
-			return errs.Field(errs.Invalid, "members", "ID %q is empty or doubled", m.ID)
+			return errs.Field(errs.Invalid, "members", "ID %q is empty or duplicate", m.ID)
 		}
 		seen[m.ID] = true
 		if !m.Learner {
@@ -58,12 +59,12 @@
 		}
 	}
 	if voters == 0 {
-		return errs.Field(errs.Invalid, "members", "no voter is left")
+		return errs.Field(errs.Invalid, "members", "at least one voter is required")
 	}
 	return nil
 }
 
-// findMember returns the member with the ID.
+// findMember returns the member with the ID, and whether there is one.
 func findMember(members []Member, id string) (Member, bool) {
 	if i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id }); i >= 0 {
 		return members[i], true
@@ -77,10 +78,11 @@
 	return ok && !m.Learner
 }
 
-// latestConfiguration returns the set in force. A node without one, as only a blank follower is, must not call it.
+// latestConfiguration returns the current member set. It must not be called on a node that has none, which only a blank
+// follower can be.
 func (c *Core) latestConfiguration() configuration { return c.configurations[len(c.configurations)-1] }
 
-// members returns the set in force; nil if none is known.
+// members returns the members of the current set, or nil if none is known.
 func (c *Core) members() []Member {
 	if len(c.configurations) == 0 {
 		return nil
@@ -88,16 +90,16 @@
 	return c.latestConfiguration().members
 }
 
-// clearBlank clears HardState.Blank once a committed set names this node a learner: as learners have no vote, none
-// that was cast under its ID can have been forgotten.
+// clearBlank clears HardState.Blank once a committed set has this node as a learner. As learners have no vote, the
+// node cannot have forgotten one that it cast under its ID.
 func (c *Core) clearBlank(members []Member) {
 	if m, ok := findMember(members, c.cfg.ID); ok && m.Learner && c.hardState.Blank {
 		c.hardState.Blank, c.hardStateChanged = false, true
 	}
 }
 
-// CommittedMembers returns the newest member set that this node knows to be committed, and the index of its entry;
-// zero and nil on a node that began empty and has received no snapshot yet.
+// CommittedMembers returns the newest member set that this node knows to be committed, and the index of its entry. It
+// returns 0 and nil on a node that started with an empty folder and has received no snapshot yet.
 func (c *Core) CommittedMembers() (index uint64, members []Member) {
 	if len(c.configurations) == 0 {
 		return 0, nil
@@ -105,8 +107,8 @@
 	return c.configurations[0].index, slices.Clone(c.configurations[0].members)
 }
 
-// MemberSince returns the index of the oldest known set, committed or not, that has this node as a member; 0 if none
-// has.
+// MemberSince returns the index of the oldest known set, committed or not, that has this node as a member, or 0 if no
+// known set has it.
 func (c *Core) MemberSince() uint64 {
 	for _, conf := range c.configurations {
 		if _, ok := findMember(conf.members, c.cfg.ID); ok {
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -8,32 +8,33 @@
 	"crosstide/internal/errs"
 )
 
-// never is a time before every other: no message was acknowledged, no lease held.
+// never is earlier than any other time. It means that no message was acknowledged, or that no lease is held.
 const never = time.Duration(-1 << 62)
 
-// Core is one node's part in the consensus. It has no lock: its owner, the runtime, makes one call at a time. The
-// argument now of its methods is a reading of the runtime's clock; an older one than before counts as the newest.
+// Core is the Raft state machine of one node. It has no lock: its owner, the runtime, makes one call at a time. The
+// argument now of its methods is a reading of the runtime's clock; one older than a previous reading is replaced by the
+// latest.
 type Core struct {
 	cfg    Config
-	random *rand.Rand    // draws election time-outs only
-	now    time.Duration // the newest time passed in
+	random *rand.Rand    // source of the random part of election time-outs
+	now    time.Duration // the latest time passed to any method
 	role   Role
 
 	hardState HardState // whoever changes it sets hardStateChanged
 	log       memoryLog
-	// configurations has the newest committed member set and those after it, in order of index; the last is in force.
-	// It is empty on a node that began with an empty folder and has received no snapshot.
+	// configurations has the newest committed member set and all later ones, in order of index. The last one is the
+	// current member set. It is empty on a node that started with an empty folder and has received no snapshot.
 	configurations []configuration
 	snapshot       Meta   // newest durable snapshot, at or before applied
-	commit         uint64 // never decreases
-	applied        uint64 // last index that a Ready has handed out as committed; at most commit
-	firstUnstable  uint64 // first index of the log that no Ready has handed out for storing
-	// refused counts messages that contradict what is committed here, and invalid member sets. It must stay 0:
-	// anything else is a defect of a disk or of the code.
+	commit         uint64 // commit index; never decreases
+	applied        uint64 // last index that Ready has returned in CommittedEntries; at most commit
+	firstUnstable  uint64 // first index of the log that Ready has not returned in Entries
+	// refused counts messages that contradict an entry committed here, and invalid member sets. It must stay 0:
+	// any other value indicates a disk fault or a bug.
 	refused uint64
 
-	leader     string // of the term; empty: unknown
-	leaderAddr string // from a snapshot offer or from the member sets; empty: unknown
+	leader     string // leader of the current term; empty: unknown
+	leaderAddr string // its address, from a snapshot offer or a member set; empty: unknown
 	election   electionState
 	leadership leaderState // valid while role is Leader, zero otherwise
 	fetch      snapshotFetch
@@ -41,9 +42,9 @@
 	output
 }
 
-// New returns a follower with what the disk had when the process started. It stays sticky to the leader that it may
-// have acknowledged before the restart, and campaigns soon after that: on a cold start there is no leader to wait for.
-// Failures: Settings for an invalid Config, Damaged for an InitialState that no run could have stored.
+// New returns a follower in the initial state, which was read from the disk. The follower first remains sticky to the
+// leader that it may have acknowledged before a restart, and campaigns soon after: after a cold start no leader exists.
+// Failures: Settings for an invalid Config, Damaged for an inconsistent InitialState.
 func New(cfg Config, initial InitialState, now time.Duration) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -64,7 +65,7 @@
 	}
 	if len(snapshot.Members) == 0 {
 		if snapshot.Index != 0 || len(initial.Entries) != 0 {
-			return nil, errs.New(errs.Damaged, "a log without members")
+			return nil, errs.New(errs.Damaged, "the stored log has no members")
 		}
 		c.hardState.Blank, c.hardStateChanged = true, true
 	} else {
@@ -85,9 +86,9 @@
 	return c, nil
 }
 
-// Tick does what is due at now: a leader makes heartbeats due, steps down without a majority (check-quorum) and
-// abandons a transfer that took too long; another node campaigns at its ElectionDeadline. It is called four times per
-// heartbeat interval. All that it does may be late by that much, which the lease allows for.
+// Tick performs the actions that are due at now: a leader makes heartbeats due, steps down without a majority
+// (check-quorum) and abandons a transfer that took too long; another node campaigns at its ElectionDeadline. It must be
+// called four times per heartbeat interval. Each action may be late by one such period, which the lease allows for.
 func (c *Core) Tick(now time.Duration) {
 	c.advanceClock(now)
 	if c.role == Leader {
@@ -104,11 +105,11 @@
 	}
 }
 
-// advanceClock moves the time to now, never back.
+// advanceClock sets the current time to now unless now is earlier.
 func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// becomeFollower makes the node a follower of leader, which is empty if unknown, in a term that is not older than its
-// own.
+// becomeFollower makes the node a follower of leader (empty if unknown) in term, which must be at least its current
+// term.
 func (c *Core) becomeFollower(term uint64, leader string) {
 	if term > c.hardState.Term {
 		c.hardState.Term, c.hardState.Vote, c.hardState.Leader, c.hardStateChanged = term, "", "", true
@@ -125,39 +126,40 @@
 	c.role, c.leader, c.election.votes, c.leadership = Follower, leader, nil, leaderState{}
 }
 
-// commitTo raises the commit index to at most the last index of the log. Member sets before one that is committed by
-// it are dropped.
-func (c *Core) commitTo(to uint64) {
-	if to <= c.commit {
+// commitTo raises the commit index to index, which must be in the log. It discards the member sets before the newest
+// committed one.
+func (c *Core) commitTo(index uint64) {
+	if index <= c.commit {
 		return
 	}
-	c.commit = to
-	for len(c.configurations) > 1 && c.configurations[1].index <= to {
+	c.commit = index
+	for len(c.configurations) > 1 && c.configurations[1].index <= index {
 		c.configurations = c.configurations[1:]
 		c.clearBlank(c.configurations[0].members)
 	}
 }
 
-// Entries returns the committed entries from an index on, up to limitBytes but one at least; none if from is not
-// committed yet. They must not be changed. Failure: Unknown if from is compacted, so that a snapshot is needed.
-// Example:
+// Entries returns committed entries that start at index from, limited to limitBytes but at least one; none if from is
+// not committed yet. The caller must not modify them. Failure: Unknown if from is compacted: a snapshot is needed
+// instead. Example:
 //
 //	entries, err := core.Entries(applied+1, 1<<20)
 func (c *Core) Entries(from uint64, limitBytes int) ([]Entry, error) {
 	if from <= c.log.offset {
-		return nil, errs.New(errs.Unknown, "entry %d is compacted, the log begins at %d", from, c.log.offset+1)
+		return nil, errs.New(errs.Unknown, "entry %d is compacted, the log starts at %d", from, c.log.offset+1)
 	}
 	return c.log.sliceUpTo(from, c.commit, limitBytes), nil
 }
 
-// Compact removes the entries up to index from memory, as far as a durable snapshot has them and a Ready has handed
-// them out. An index below the snapshot's keeps a tail, so that members a little behind need no snapshot.
+// Compact removes the entries up to index from memory, except for those that no durable snapshot covers or that Ready
+// has not returned yet. An index below the snapshot's retains entries for members that are slightly behind, so that
+// they need no snapshot.
 func (c *Core) Compact(index uint64) {
 	c.log.compact(min(index, c.snapshot.Index, c.applied, c.firstUnstable-1))
 }
 
-// replaceEntries puts entries into the log in place of those at and after the index of the first. It reports false,
-// and leaves the log as it is, if a member set among them is invalid.
+// replaceEntries replaces the log from the index of the first entry on with entries. It returns false, and leaves the
+// log unchanged, if one of them has an invalid member set.
 func (c *Core) replaceEntries(entries []Entry) bool {
 	configurations, err := configurationsOf(entries)
 	if err != nil {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// electionState is what a node that does not lead needs for elections; its owner is Core.
+// electionState is the state for elections of a node that is not the leader. It is owned by Core.
 type electionState struct {
-	// lastLeaderContact is the time of the last message of a leader. The start of the process counts as one: the node
-	// may have acknowledged a leader just before it.
+	// lastLeaderContact is the time of the last message from a leader. The start of the process counts as such a
+	// message: the node may have acknowledged a leader just before.
 	lastLeaderContact time.Duration
-	deadline          time.Duration   // when the node campaigns, unless it hears of a leader before
-	votes             map[string]bool // granted to this node by member, its own included; nil unless it campaigns
-	afterTransfer     bool            // the leader asked for the campaign (TimeoutNow)
+	deadline          time.Duration   // when the node campaigns unless a leader sends a message before
+	votes             map[string]bool // (pre-)votes granted to this node, its own included; nil unless campaigning
+	afterTransfer     bool            // this campaign was requested by the leader (TimeoutNow)
 }
 
-// ElectionDeadline returns when a node that does not lead campaigns: it needs a Tick then. Any other call may change
-// it.
+// ElectionDeadline returns the time at which a node that is not the leader campaigns. The runtime must call Tick then.
+// Any other call may change the deadline.
 func (c *Core) ElectionDeadline() time.Duration { return c.election.deadline }
 
-// jitter draws a random time below limit.
+// jitter returns a random duration below limit.
 func (c *Core) jitter(limit time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(limit)))
 }
 
-// resetElectionTimer puts the next campaign off to between one and two election time-outs from now.
+// resetElectionTimer postpones the next campaign to between one and two election time-outs from now.
 func (c *Core) resetElectionTimer() {
 	c.election.deadline = c.now + c.cfg.ElectionTimeout + c.jitter(c.cfg.ElectionTimeout)
 }
 
-// promotable reports whether the node may campaign: it is a voter of the set in force, or of one before it that may
-// still be the committed one. Without the latter nobody could win when this node alone has the entry that removes it.
-// Votes are counted by the set in force in any case, then without its own.
+// promotable reports whether the node may campaign: it must be a voter in the current member set, or in an earlier one
+// that may still be the committed set. Without the latter, no node could win an election if this node alone has the
+// entry that removes it. Votes are always counted by the current set, which then excludes its own.
 func (c *Core) promotable() bool {
 	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
 		return isVoter(conf.members, c.cfg.ID)
 	})
 }
 
-// leaderStickiness returns how long after a message of a leader a node votes for nobody else: the leader's lease and a
-// margin for clocks that drift apart.
+// leaderStickiness returns how long after a message from a leader a node votes for no other node: the lease duration
+// plus a margin for clock drift.
 func (c *Core) leaderStickiness() time.Duration {
 	return c.cfg.LeaseDuration + (c.cfg.ElectionTimeout-c.cfg.LeaseDuration)/3
 }
 
-// isStickyToLeader reports whether this node must not vote for a candidate yet, as the leader of the term may still
-// have its lease. If the candidate is that leader, it has lost its leadership, and the node is not sticky. A leader is
+// isStickyToLeader reports whether this node must not vote for a candidate yet because the leader of the term may still
+// hold its lease. If the candidate is that leader, it has lost its leadership, and the node is not sticky. A leader is
 // sticky to itself.
 func (c *Core) isStickyToLeader(candidate string) bool {
 	if c.role == Leader {
@@ -55,9 +55,9 @@
 	return c.now < c.election.lastLeaderContact+c.leaderStickiness() && candidate != c.hardState.Leader
 }
 
-// releaseStickiness ends the stickiness to the leader of the term if m, a request for a pre-vote, is from it: it was
-// restarted and leads no more. If its newest entries were lost with its power it cannot win, so this node campaigns
-// soon if it has them: on a cold start nobody else would before the election time-out.
+// releaseStickiness ends the stickiness to the leader of the term if that leader sent m, a pre-vote request: it was
+// restarted and is no longer the leader. If it lost its newest entries in a power failure, it cannot win. A node that
+// has them therefore campaigns soon: after a cold start no other node would do so before its election time-out.
 func (c *Core) releaseStickiness(m Message) {
 	if m.Term <= c.hardState.Term || m.From != c.hardState.Leader || c.role == Leader {
 		return
@@ -68,9 +68,10 @@
 	}
 }
 
-// majority returns the highest value that a majority of the voters has reached; the zero value without voters.
+// majority returns the highest value that a majority of the voters has reached, or the zero value if members has no
+// voter.
 func majority[T cmp.Ordered](members []Member, valueOf func(id string) T) T {
-	var buffer [9]T // no allocation for the usual number of voters
+	var buffer [9]T // avoids an allocation for up to 9 voters, more than is usual
 	values := buffer[:0]
 	for _, m := range members {
 		if !m.Learner {
@@ -85,7 +86,7 @@
 	return values[(len(values)-1)/2]
 }
 
-// hasMajority reports whether a majority of the voters has granted its (pre-)vote to this node.
+// hasMajority reports whether a majority of the voters has granted this node its (pre-)vote.
 func (c *Core) hasMajority() bool {
 	return majority(c.members(), func(id string) int {
 		if c.election.votes[id] {
@@ -95,8 +96,8 @@
 	}) == 1
 }
 
-// startPreVote asks the voters whether they would vote for this node. As it raises no term, it disturbs nobody and is
-// repeated within a heartbeat interval.
+// startPreVote asks the voters whether they would vote for this node. As this does not increment the term, it does not
+// disrupt other nodes and is repeated within a heartbeat interval.
 func (c *Core) startPreVote() {
 	c.role, c.leader, c.leaderAddr = PreCandidate, "", ""
 	c.election.afterTransfer = false
@@ -109,7 +110,7 @@
 	c.requestVotes(PreVote, c.hardState.Term+1)
 }
 
-// startElection starts a campaign in a new term. The requests are sent once the node's vote for itself is synced.
+// startElection starts a campaign in a new term. The vote requests are sent once the node's vote for itself is synced.
 func (c *Core) startElection(afterTransfer bool) {
 	c.role, c.leader = Candidate, ""
 	c.election.afterTransfer = afterTransfer
@@ -124,7 +125,8 @@
 	c.requestVotes(Vote, c.hardState.Term)
 }
 
-// requestVotes asks all other voters: for a vote after the sync, for a pre-vote at once, as it promises nothing.
+// requestVotes sends requests to all other voters: for a vote after the sync; for a pre-vote at once, as it depends on
+// no stored state.
 func (c *Core) requestVotes(kind Kind, term uint64) {
 	for _, m := range c.members() {
 		if m.ID == c.cfg.ID || m.Learner {
@@ -140,13 +142,14 @@
 	}
 }
 
-// isUpToDate reports whether the log of the sender of a (pre-)vote has at least the entries of this one.
+// isUpToDate reports whether the log of the sender of a (pre-)vote request is at least as up to date as this node's:
+// its last entry has a higher term, or the same term and an index that is not lower.
 func (c *Core) isUpToDate(m Message) bool {
 	lastTerm := c.log.lastTerm()
 	return m.PrevTerm > lastTerm || m.PrevTerm == lastTerm && m.PrevIndex >= c.log.last()
 }
 
-// onPreVote answers whether this node would vote for the sender in m.Term. A blank node does not answer.
+// onPreVote replies whether this node would vote for the sender in m.Term. A blank node does not reply.
 func (c *Core) onPreVote(m Message) {
 	if c.hardState.Blank {
 		return
@@ -170,8 +173,8 @@
 	}
 }
 
-// onVote votes for the sender, unless this node has voted for or followed another one in the term, or has the newer
-// log.
+// onVote grants the sender its vote unless this node has voted for or followed another node in the term, or its own log
+// is more up to date.
 func (c *Core) onVote(m Message) {
 	canVote := c.hardState.Vote == "" && c.hardState.Leader == "" || c.hardState.Vote == m.From
 	if !canVote || !c.isUpToDate(m) {
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -7,10 +7,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// bootstrap is the initial state of a, b and c.
+// bootstrap is the initial state of a cluster of the voters a, b and c.
 var bootstrap = Bootstrap(voters("a", "b", "c"))
 
-// startCore starts the core of a at 0 and discards its first output.
+// startCore starts the core of node a at time 0 and discards its first output.
 func startCore(t *testing.T, initial InitialState) *Core {
 	t.Helper()
 	c, err := New(Config{ID: "a"}, initial, 0)
@@ -19,12 +19,12 @@
 	return c
 }
 
-// messageFrom returns a message of a node to a, whose log is longer and newer than that of a.
+// messageFrom returns a message to node a from a node whose log is longer and more up to date.
 func messageFrom(id string, kind Kind, term uint64) Message {
 	return Message{Kind: kind, From: id, To: "a", Term: term, PrevIndex: 9, PrevTerm: 9}
 }
 
-// grantsVote reports whether a core grants the vote that m asks for. A vote is stored with its answer.
+// grantsVote reports whether a core grants the vote that m requests. It checks that a granted vote is stored.
 func grantsVote(t *testing.T, c *Core, now time.Duration, m Message) bool {
 	t.Helper()
 	c.Step(now, m)
@@ -58,7 +58,7 @@
 }
 
 func TestElection_leaderAsksForVote(t *testing.T) {
-	Convey("A voter is not sticky to a leader that asks for votes itself, also after a restart", t, func() {
+	Convey("A voter is not sticky to a leader that requests votes itself, also after a restart", t, func() {
 		c := startCore(t, bootstrap)
 		c.Step(2*time.Second, Message{Kind: Append, From: "b", To: "a", Term: 2, PrevIndex: 1, PrevTerm: 1})
 		stored := c.Ready().HardState
@@ -67,11 +67,11 @@
 		So(grantsVote(t, c, 2*time.Second+1, messageFrom("c", Vote, 3)), ShouldBeFalse)
 		restarted := startCore(t, InitialState{HardState: *stored, Snapshot: bootstrap.Snapshot})
 		So(grantsVote(t, restarted, 1, messageFrom("c", Vote, 3)), ShouldBeFalse)
-		So(grantsVote(t, restarted, 1, messageFrom("b", Vote, 2)), ShouldBeFalse) // sent before it led
+		So(grantsVote(t, restarted, 1, messageFrom("b", Vote, 2)), ShouldBeFalse) // sent before it became leader
 		So(grantsVote(t, restarted, 1, messageFrom("b", Vote, 3)), ShouldBeTrue)
 		So(grantsVote(t, c, 2*time.Second+1, messageFrom("b", Vote, 3)), ShouldBeTrue)
 		c.Step(3*time.Second, Message{Kind: VoteReply, From: "b", To: "a", Term: 5, Reject: true})
-		So(c.Ready().HardState.Leader, ShouldBeEmpty) // the leader of an older term is not that of this one
+		So(c.Ready().HardState.Leader, ShouldBeEmpty) // the leader of an older term is not kept in a new one
 	})
 }
 
@@ -88,10 +88,10 @@
 		isReleased bool
 	}{
 		{"the leader of the term", "b", 3, true},
-		{"the leader, before it led", "b", 2, false},
+		{"the leader, before it became leader", "b", 2, false},
 		{"another node", "c", 3, false},
 	} {
-		Convey("A pre-vote request of a node that is behind ends stickiness only if it leads: "+c.name, t, func() {
+		Convey("A pre-vote request from a node that is behind ends stickiness only if it is the leader: "+c.name, t, func() {
 			request := Message{Kind: PreVote, From: c.from, To: "a", Term: c.term, PrevIndex: 2, PrevTerm: 2}
 			voter := startCore(t, ahead)
 			voter.Step(1, request)
@@ -109,7 +109,7 @@
 }
 
 func TestElection_blankNode(t *testing.T) {
-	Convey("A node that began with an empty folder neither votes nor campaigns, even if named a voter", t, func() {
+	Convey("A node that started with an empty folder neither votes nor campaigns, even if listed as a voter", t, func() {
 		c := startCore(t, InitialState{})
 		So(grantsVote(t, c, 5*time.Second, messageFrom("b", Vote, 2)), ShouldBeFalse)
 		c.SnapshotInstalled(5*time.Second, Meta{Index: 7, Term: 2, Members: voters("a", "b", "c")})
--- a/internal/raft/failover_test.go
+++ b/internal/raft/failover_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Timings of the fleet whose failovers are measured; those of the store's TestFailover_duration.
+// Timings of the simulated cluster, the same as in TestFailover_duration of the store.
 const (
 	failoverElection  = 600 * time.Millisecond
 	failoverHeartbeat = 120 * time.Millisecond
@@ -19,9 +19,9 @@
 	failoverTick      = failoverHeartbeat / 4
 )
 
-// failoverFleet is five voters on one thread: messages arrive a millisecond after they were sent, in a drawn order, and
-// every sync takes failoverSync. Its verdicts depend on the seed alone.
-type failoverFleet struct {
+// failoverCluster simulates five voters in one goroutine: messages arrive one millisecond after they were sent, in
+// random order, and every sync takes failoverSync. Its results depend only on the seed.
+type failoverCluster struct {
 	t         *testing.T
 	random    *rand.Rand
 	now       time.Duration
@@ -29,34 +29,34 @@
 	inTransit []Message
 }
 
-// failoverNode is one voter. Each ticks at a phase of its own.
+// failoverNode is one voter.
 type failoverNode struct {
 	id      string
 	core    *Core // nil while killed
 	disk    InitialState
-	syncing []Ready
-	syncAt  time.Duration
-	phase   time.Duration
+	syncing []Ready       // being synced, in order
+	syncAt  time.Duration // when the sync finishes
+	phase   time.Duration // offset of its ticks from those of the other nodes
 }
 
-func newFailoverFleet(t *testing.T, seed uint64) *failoverFleet {
+func newFailoverCluster(t *testing.T, seed uint64) *failoverCluster {
 	t.Helper()
-	f := &failoverFleet{t: t, random: rand.New(rand.NewPCG(seed, 9))}
+	f := &failoverCluster{t: t, random: rand.New(rand.NewPCG(seed, 9))}
 	members := voters("c1", "c2", "c3", "c4", "c5")
 	for _, m := range members {
-		n := &failoverNode{id: m.ID, disk: Bootstrap(members), phase: f.drawPhase()}
+		n := &failoverNode{id: m.ID, disk: Bootstrap(members), phase: f.randomPhase()}
 		f.nodes = append(f.nodes, n)
 		f.start(n)
 	}
 	return f
 }
 
-// drawPhase returns a whole number of milliseconds, as the fleet's time goes by them.
-func (f *failoverFleet) drawPhase() time.Duration {
+// randomPhase returns a random tick phase in whole milliseconds, the time step of the simulation.
+func (f *failoverCluster) randomPhase() time.Duration {
 	return time.Duration(f.random.Int64N(failoverTick.Milliseconds())) * time.Millisecond
 }
 
-func (f *failoverFleet) start(n *failoverNode) {
+func (f *failoverCluster) start(n *failoverNode) {
 	f.t.Helper()
 	core, err := New(Config{ID: n.id, Seed: f.random.Uint64(), ElectionTimeout: failoverElection,
 		HeartbeatInterval: failoverHeartbeat, LeaseDuration: failoverLease}, n.disk, f.now)
@@ -64,11 +64,11 @@
 	n.core, n.syncing = core, nil
 }
 
-// kill ends a node; what it was syncing is lost, and so are messages to it.
-func (*failoverFleet) kill(n *failoverNode) { n.core, n.syncing = nil, nil }
+// kill stops a node. Data that it was syncing is lost, and so are messages to it.
+func (*failoverCluster) kill(n *failoverNode) { n.core, n.syncing = nil, nil }
 
-// step lets a millisecond pass.
-func (f *failoverFleet) step() {
+// step advances the time by one millisecond.
+func (f *failoverCluster) step() {
 	f.now += time.Millisecond
 	arriving := f.inTransit
 	f.inTransit = nil
@@ -91,8 +91,8 @@
 	}
 }
 
-// sync finishes the oldest sync that is due, and begins the next one with all that waits.
-func (f *failoverFleet) sync(n *failoverNode) {
+// sync finishes the pending sync of a node if it is due.
+func (f *failoverCluster) sync(n *failoverNode) {
 	if len(n.syncing) == 0 || f.now < n.syncAt {
 		return
 	}
@@ -111,7 +111,8 @@
 	n.syncing = nil
 }
 
-func (f *failoverFleet) takeReady(n *failoverNode) {
+// takeReady sends the messages of a Ready and adds its writes to the pending sync.
+func (f *failoverCluster) takeReady(n *failoverNode) {
 	r := n.core.Ready()
 	f.inTransit = append(f.inTransit, r.Messages...)
 	if r.HardState == nil && len(r.Entries) == 0 && len(r.MessagesAfterSync) == 0 {
@@ -123,8 +124,8 @@
 	n.syncing = append(n.syncing, r)
 }
 
-// awaitLeader returns the node whose lease is in force, once there is one.
-func (f *failoverFleet) awaitLeader() *failoverNode {
+// awaitLeader runs the simulation until a node holds the lease, and returns that node.
+func (f *failoverCluster) awaitLeader() *failoverNode {
 	f.t.Helper()
 	for deadline := f.now + 10*time.Second; f.now < deadline; f.step() {
 		for _, n := range f.nodes {
@@ -140,56 +141,57 @@
 	return nil
 }
 
-// awaitLevel waits until every node has the leader's log.
-func (f *failoverFleet) awaitLevel(leader *failoverNode) {
+// awaitCaughtUp runs the simulation until the log of every node ends at the leader's last index.
+func (f *failoverCluster) awaitCaughtUp(leader *failoverNode) {
 	f.t.Helper()
-	isLevel := func(n *failoverNode) bool {
+	isCaughtUp := func(n *failoverNode) bool {
 		return n.core != nil && n.core.Status().Last == leader.core.Status().Last
 	}
 	for deadline := f.now + 10*time.Second; f.now < deadline; f.step() {
-		if !slices.ContainsFunc(f.nodes, func(n *failoverNode) bool { return !isLevel(n) }) {
+		if !slices.ContainsFunc(f.nodes, func(n *failoverNode) bool { return !isCaughtUp(n) }) {
 			return
 		}
 	}
-	f.t.Fatal("not level within 10 s")
+	f.t.Fatal("nodes not caught up within 10 s")
 }
 
 // failover is one change of leader after a kill.
 type failover struct {
-	took   time.Duration
-	rounds uint64 // elections until one had a winner; over 1: the votes were split
+	duration time.Duration
+	rounds   uint64 // elections until one had a winner; more than 1: the votes were split
 }
 
-// A split vote is part of Raft: two nodes campaign in the same moment, neither gets a majority, and each waits for a
-// drawn time again. What it costs and how seldom it comes is held here, where the order of messages is drawn from a seed
-// and not left to the runtime's scheduler, as it is in the store's test.
+// TestElection_failoverDuration bounds the duration of a failover and the frequency of split votes: two nodes campaign
+// at the same time, neither gets a majority, and each waits for another random time. The order of messages is derived
+// from a seed here; in the store's test it depends on the scheduler of the Go runtime.
 func TestElection_failoverDuration(t *testing.T) {
-	Convey("A killed leader is replaced within 1.3 s unless votes split, and they split in under one election of 100", t, func() {
-		var all []failover
+	Convey("A killed leader is replaced within 1.3 s per election, and under 1% of failovers have split votes", t, func() {
+		var failovers []failover
 		for seed := range uint64(10) {
-			f := newFailoverFleet(t, seed)
+			f := newFailoverCluster(t, seed)
 			leader := f.awaitLeader()
 			for range 40 {
 				before, term := f.now, leader.core.Status().Term
 				killed := leader
 				f.kill(killed)
 				leader = f.awaitLeader()
-				all = append(all, failover{took: f.now - before, rounds: leader.core.Status().Term - term})
+				failovers = append(failovers,
+					failover{duration: f.now - before, rounds: leader.core.Status().Term - term})
 				f.start(killed)
-				f.awaitLevel(leader)
+				f.awaitCaughtUp(leader)
 			}
 		}
 		split := 0
-		for _, o := range all {
+		for _, o := range failovers {
 			if o.rounds > 1 {
 				split++
 			}
-			So(o.took, ShouldBeLessThan, time.Duration(o.rounds)*1300*time.Millisecond)
+			So(o.duration, ShouldBeLessThan, time.Duration(o.rounds)*1300*time.Millisecond)
 		}
-		slices.SortFunc(all, func(a, b failover) int { return cmp.Compare(a.took, b.took) })
-		t.Logf("%d failovers: %s in the middle, %s at most, %d with split votes",
-			len(all), all[len(all)/2].took, all[len(all)-1].took, split)
-		So(split*100, ShouldBeLessThan, len(all))
-		So(all[len(all)/2].took, ShouldBeLessThan, 900*time.Millisecond)
+		slices.SortFunc(failovers, func(a, b failover) int { return cmp.Compare(a.duration, b.duration) })
+		median, longest := failovers[len(failovers)/2].duration, failovers[len(failovers)-1].duration
+		t.Logf("%d failovers: median %s, maximum %s, %d with split votes", len(failovers), median, longest, split)
+		So(split*100, ShouldBeLessThan, len(failovers))
+		So(median, ShouldBeLessThan, 900*time.Millisecond)
 	})
 }
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -1,6 +1,7 @@
 package raft
 
-// onLeaderMessage handles an append or a snapshot offer of the leader of this node's term, and follows it.
+// onLeaderMessage handles an append or a snapshot offer from the leader of the current term, and makes this node its
+// follower.
 func (c *Core) onLeaderMessage(m Message) {
 	if c.role == Leader { // two leaders in a term: must never happen
 		c.refused++
@@ -16,8 +17,8 @@
 	}
 }
 
-// onAppend stores the entries of an append that are missing or differ, and answers up to which index the log equals
-// the leader's. A malformed append is dropped.
+// onAppend adds the entries that are missing here or differ, and replies with the index up to which the log matches the
+// leader's. A malformed append is dropped.
 func (c *Core) onAppend(m Message) {
 	if !m.isWellFormed() {
 		return
@@ -47,14 +48,14 @@
 	c.reply(m, Message{Kind: AppendReply, Match: match, PrevIndex: m.PrevIndex})
 }
 
-// rejectAppend answers an append whose PrevIndex is missing in the log or, with inLog, has another term there. Its
-// hint lets the leader go back by a whole term at a time.
+// rejectAppend rejects an append whose PrevIndex is not in the log or, if inLog is set, has another term there. The
+// hint in the reply lets the leader skip a whole term per rejection.
 func (c *Core) rejectAppend(m Message, inLog bool) {
 	hint := c.log.last()
 	if inLog {
 		hint = c.log.lastOfLowerTerm(m.PrevIndex)
 	}
-	if m.PrevIndex == c.commit && m.PrevIndex > 0 { // the leader contradicts what is committed here
+	if m.PrevIndex == c.commit && m.PrevIndex > 0 { // the leader contradicts an entry that is committed here
 		c.refused++
 		return
 	}
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -7,7 +7,8 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire guards the JSON that is sent between processes, to clients and to operators, or written to files
+// against unintended changes.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("member", Member{}),
@@ -24,7 +25,7 @@
 	)
 }
 
-// TestGoldenEnums pins the encoding of each value on the wire and on disk.
+// TestGoldenEnums guards the encoding of each enum value on the wire and on disk against unintended changes.
 func TestGoldenEnums(t *testing.T) {
 	golden.Compare(t, "enums",
 		golden.Lines("roles",
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// leaderState is what only a leader has; its owner is Core. becomeLeader makes it, becomeFollower clears it.
+// leaderState is the state that only a leader has. It is owned by Core; becomeLeader creates it and becomeFollower
+// clears it.
 type leaderState struct {
-	progress      map[string]*progress // of every other member of the set in force, learners included
-	synced        uint64               // newest entry of the own term that is durable here
-	firstIndex    uint64               // of the term's Noop: until it is committed there are no lease reads
+	progress      map[string]*progress // of all other current members, learners included, by ID
+	synced        uint64               // highest index of this leader's term that is durable here
+	firstIndex    uint64               // index of the term's Noop; no lease reads until it is committed
 	nextHeartbeat time.Duration
-	// caughtUpIndex is a commit index from at least one heartbeat interval ago: a member that has it is caught up.
+	// caughtUpIndex is the commit index at a time at least one heartbeat interval ago. A member that has the entries up
+	// to it counts as caught up.
 	caughtUpIndex     uint64
 	commitAtHeartbeat uint64 // commit index at the last heartbeat, the next caughtUpIndex
-	// awaitOwnSync is set while the vote for itself may not be durable yet: nothing may be sent.
+	// awaitOwnSync is set while this node's vote for itself may not be durable yet. Until then nothing may be sent.
 	awaitOwnSync bool
 
 	transferee       string        // the voter to which leadership is transferred; empty: none
 	transferDeadline time.Duration // when the transfer is abandoned; valid with a transferee
-	timeoutNowSent   bool          // the transferee may campaign: this leader has no lease any more in its term
+	timeoutNowSent   bool          // the transferee may campaign: this leader has no lease for the rest of its term
 }
 
-// becomeLeader makes the node the leader of its term, and appends the term's Noop. With awaitOwnSync it sends nothing
-// before its own sync: it won without the vote of another node, so its term may not be durable anywhere yet.
+// becomeLeader makes the node the leader of its term, and appends the term's Noop. awaitOwnSync is set if the node won
+// without the vote of another one. Its term may not be durable anywhere then, so it sends nothing before its own sync.
 func (c *Core) becomeLeader(awaitOwnSync bool) {
 	c.role, c.leader, c.election.votes = Leader, c.cfg.ID, nil
 	c.hardState.Leader, c.hardStateChanged = c.cfg.ID, true
@@ -39,11 +41,11 @@
 	c.updateProgress()
 }
 
-// updateProgress tracks the other members of the set in force, and no one else.
+// updateProgress makes the leader track the progress of exactly the other current members.
 func (c *Core) updateProgress() {
 	for _, conf := range c.configurations {
 		if m, ok := findMember(conf.members, c.cfg.ID); ok {
-			c.leaderAddr = m.Addr // an older set has it while this leader commits its own removal
+			c.leaderAddr = m.Addr // from an older set while this leader commits its own removal
 		}
 	}
 	tracked := c.leadership.progress
@@ -60,15 +62,15 @@
 	}
 }
 
-// appendOwn appends an entry of the own term to the log; the next Ready sends it and hands it out for storing.
+// appendOwn appends an entry of the leader's term to the log. The next Ready sends it and returns it for storing.
 func (c *Core) appendOwn(kind EntryKind, data json.RawMessage) {
 	entry := Entry{Term: c.hardState.Term, Index: c.log.last() + 1, Kind: kind, Data: data}
 	c.log.entries = append(c.log.entries, entry)
 }
 
-// tickLeader steps down if no majority answered within an election time-out (check-quorum) or if a transferee that was
-// asked to campaign has not won in time. It abandons a transfer that took too long before that, and makes heartbeats
-// due.
+// tickLeader steps down if no majority replied within an election time-out (check-quorum), or if a transferee that
+// received TimeoutNow has not won by the transfer deadline. It abandons a transfer whose TimeoutNow was not sent by
+// then, and makes heartbeats due.
 func (c *Core) tickLeader() {
 	l := &c.leadership
 	quorumContact := majority(c.members(), func(id string) time.Duration {
@@ -101,11 +103,11 @@
 	}
 }
 
-// LeaderTerm returns the term of this node, and reports whether it leads in it.
+// LeaderTerm returns the current term of this node, and whether the node is its leader.
 func (c *Core) LeaderTerm() (term uint64, ok bool) { return c.hardState.Term, c.role == Leader }
 
-// LastContact returns when this leader last received a reply of a member; before the first one, when it began to track
-// it. ok is false on a node that does not lead, and for an ID that is no member's.
+// LastContact returns the time at which this leader last received a reply from a member or, before the first reply,
+// started to track it. ok is false if this node is not the leader or the ID is not that of a member.
 func (c *Core) LastContact(now time.Duration, id string) (at time.Duration, ok bool) {
 	c.advanceClock(now)
 	if c.role != Leader {
@@ -121,9 +123,9 @@
 	return p.lastContact, true
 }
 
-// Synced tells the core that the entries up to index, whose last one is of term, are durable here. Only then does a
-// leader count itself for them. A report of another term than the leader's changes nothing: older entries are
-// committed through one of the leader's own.
+// Synced reports that the entries up to index, whose last one has the given term, are durable on this node. Only then
+// does a leader count itself towards the majority that commits them. A report for another term than the leader's is
+// ignored: entries of older terms are committed only through one of the leader's own term.
 func (c *Core) Synced(now time.Duration, index, term uint64) {
 	c.advanceClock(now)
 	l := &c.leadership
@@ -135,8 +137,8 @@
 	c.advanceCommit()
 }
 
-// advanceCommit commits the entries that a majority of the voters has stored, once one of the leader's own term is
-// among them. A leader that is no voter any more steps down once the set without it is committed.
+// advanceCommit commits the entries that a majority of the voters has stored, provided that an entry of the leader's
+// own term is among them. A leader that was removed from the voters steps down once that change is committed.
 func (c *Core) advanceCommit() {
 	stored := majority(c.members(), func(id string) uint64 {
 		if p := c.leadership.progress[id]; p != nil {
@@ -153,10 +155,10 @@
 	}
 }
 
-// stepDownAfterRemoval ends the leadership of a node whose removal is committed, and asks a voter that has the whole
-// log to campaign at once, so that nobody waits for an election time-out.
+// stepDownAfterRemoval makes a leader whose removal is committed a follower, and asks a voter that has the complete log
+// to campaign at once, so that the cluster need not wait for an election time-out.
 func (c *Core) stepDownAfterRemoval(members []Member) {
-	c.sendAppends() // with the commit index that commits the removal
+	c.sendAppends() // tells the members the commit index that includes the removal
 	for _, m := range members {
 		if p := c.leadership.progress[m.ID]; !m.Learner && p != nil && p.match == c.log.last() {
 			c.leadership.transferee = m.ID
--- a/internal/raft/leader_test.go
+++ b/internal/raft/leader_test.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/errs"
 )
 
-// startLeader starts the core of a and makes it, at 3 s, the leader of its next term by the vote of b.
+// startLeader starts the core of node a and makes it the leader of its next term, at 3 s and with the vote of b.
 func startLeader(t *testing.T, initial InitialState) *Core {
 	t.Helper()
 	c := startCore(t, initial)
@@ -21,7 +21,7 @@
 	return c
 }
 
-// acknowledge lets b answer, at 3 s, that it has the entries up to match.
+// acknowledge delivers a reply from b, at 3 s, that it has the entries up to match.
 func acknowledge(c *Core, match uint64) {
 	c.Step(3*time.Second, Message{
 		Kind: AppendReply, From: "b", To: "a", Term: c.hardState.Term, Match: match, Sent: 3 * time.Second,
@@ -33,7 +33,7 @@
 		_, ok := c.LeaseReadIndex(at)
 		return ok
 	}
-	Convey("A leader has its lease only once an entry of its term is committed, and until a transfer", t, func() {
+	Convey("A leader holds its lease only after it has committed an entry of its term, and until a transfer", t, func() {
 		c := startLeader(t, bootstrap)
 		So(hasLease(c, 3*time.Second), ShouldBeFalse)
 		acknowledge(c, 2)
@@ -42,7 +42,7 @@
 		So(c.TransferLeadership(3*time.Second, "b"), ShouldBeNil)
 		So(hasLease(c, 3*time.Second+699*time.Millisecond), ShouldBeFalse)
 	})
-	Convey("The lease counts from when the answered message was sent", t, func() {
+	Convey("The lease starts when the message that was answered was sent", t, func() {
 		c := startLeader(t, bootstrap)
 		acknowledge(c, 2)
 		c.Synced(3*time.Second, 2, 2)
@@ -51,13 +51,13 @@
 }
 
 func TestCommit_entryOfOlderTerm(t *testing.T) {
-	Convey("An entry of an older term is committed only by one of the leader's own, and so are members", t, func() {
+	Convey("Until an entry of its term is committed, a leader commits no older one and rejects member changes", t, func() {
 		c := startLeader(t, InitialState{
 			HardState: HardState{Term: 2},
 			Snapshot:  bootstrap.Snapshot,
 			Entries:   []Entry{{Term: 2, Index: 2, Kind: Noop}},
 		})
-		c.leadership.synced = 2 // as if the leader counted itself for the old entry
+		c.leadership.synced = 2 // as if the leader counted itself towards the majority of the old entry
 		acknowledge(c, 2)
 		So(c.Status().Commit, ShouldEqual, 1)
 		_, _, err := c.ProposeMembers(3*time.Second, voters("a", "b"))
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// leaseUntil returns the end of the leader's lease; never if it has none. The lease counts from the time at which the
-// newest message that a majority has answered was sent: each of them votes for nobody else for longer than
+// leaseUntil returns the end of the leader's lease, or never if it has none. The lease starts at the send time of the
+// newest message that a majority has answered: each of these members votes for no other node for longer than
 // LeaseDuration after it received that message (see leaderStickiness).
 func (c *Core) leaseUntil() time.Duration {
 	if c.leadership.timeoutNowSent {
@@ -21,9 +21,9 @@
 	return quorumAcked + c.cfg.LeaseDuration
 }
 
-// LeaseReadIndex returns the commit index at which a linearizable read may be answered: no other leader can have
-// committed more at now. ok is false unless this node leads, has its lease at now, and has committed an entry of its
-// own term. Example:
+// LeaseReadIndex returns the commit index up to which entries must be applied before a linearizable read is answered:
+// no other leader can have committed a later entry at now. ok is false unless this node is the leader, holds its lease
+// at now, and has committed an entry of its own term. Example:
 //
 //	if commit, ok := core.LeaseReadIndex(now); ok && applied >= commit { answer() }
 func (c *Core) LeaseReadIndex(now time.Duration) (commit uint64, ok bool) {
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -5,18 +5,18 @@
 	"sort"
 )
 
-// memoryLog is the part of the log that is in memory; its owner is Core. Elements of entries are never overwritten, so
-// the runtime may keep slices of it.
+// memoryLog is the part of the log that is in memory. It is owned by Core. Elements of entries are never overwritten,
+// so the runtime may retain slices of it.
 type memoryLog struct {
-	offset     uint64  // index before that of entries[0]; all up to it is compacted
+	offset     uint64  // index of the last compacted entry; entries[0] is the next one
 	offsetTerm uint64  // the term of the entry at offset
-	entries    []Entry // without a gap in their indexes
+	entries    []Entry // with consecutive indexes
 }
 
-// last returns the index of the newest entry; offset if there is none.
+// last returns the index of the newest entry, or offset if entries is empty.
 func (l *memoryLog) last() uint64 { return l.offset + uint64(len(l.entries)) }
 
-// term returns the term of the entry at an index; false if it is compacted or missing.
+// term returns the term of the entry at an index. It returns false if the entry is compacted or missing.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.offset:
@@ -30,7 +30,7 @@
 // lastTerm returns the term of the newest entry.
 func (l *memoryLog) lastTerm() uint64 { term, _ := l.term(l.last()); return term }
 
-// slice returns the entries from from to to, both included. They must be in memory.
+// slice returns the entries from index from through index to. They must be in memory.
 func (l *memoryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
@@ -39,7 +39,7 @@
 	return l.entries[first:end:end]
 }
 
-// sliceUpTo is slice, limited to a size but with one entry at least.
+// sliceUpTo is like slice, but limits the result to limitBytes and at least one entry.
 func (l *memoryLog) sliceUpTo(from, to uint64, limitBytes int) []Entry {
 	entries := l.slice(from, to)
 	for i, e := range entries {
@@ -50,29 +50,30 @@
 	return entries
 }
 
-// truncate removes the entries at and after from. It cuts the capacity too, so that the next append allocates a new
-// array.
+// truncate removes the entry at index from and all later ones. It limits the capacity too, so that the next append
+// allocates a new array and slices held by the runtime stay valid.
 func (l *memoryLog) truncate(from uint64) {
 	n := from - l.offset - 1
 	l.entries = l.entries[:n:n]
 }
 
-// compact removes the entries up to index. It copies the rest to a new array once that is at most as long as what is
-// removed, so that the cost of copying is amortized.
+// compact removes the entries up to index. It copies the remaining entries to a new array if they are at most as many
+// as the removed ones, so that the cost of copying is amortized.
 func (l *memoryLog) compact(index uint64) {
 	if index <= l.offset {
 		return
 	}
 	l.offsetTerm, _ = l.term(index)
 	removed := index - l.offset
-	rest := l.entries[removed:]
-	if removed >= uint64(len(rest)) {
-		rest = slices.Clone(rest)
+	remaining := l.entries[removed:]
+	if removed >= uint64(len(remaining)) {
+		remaining = slices.Clone(remaining)
 	}
-	l.entries, l.offset = rest, index
+	l.entries, l.offset = remaining, index
 }
 
-// lastOfLowerTerm returns the newest index whose term is lower than that of index; offset if there is none in memory.
+// lastOfLowerTerm returns the highest index whose term is lower than the term at index, or offset if no entry in memory
+// has a lower term.
 func (l *memoryLog) lastOfLowerTerm(index uint64) uint64 {
 	term, _ := l.term(index)
 	return l.offset + uint64(sort.Search(len(l.entries), func(n int) bool { return l.entries[n].Term >= term }))
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -8,9 +8,9 @@
 	"crosstide/internal/errs"
 )
 
-// ProposeMembers appends a new member set, which is in force at once, and returns the index and the term of its entry.
-// The set may differ from the one before it in one voter: a caught-up learner is promoted, or a voter is removed or
-// made a learner. A new machine is added as a learner first; any number of learners may be added and removed.
+// ProposeMembers appends a new member set, which takes effect at once, and returns the index and the term of its entry.
+// The set may differ from the current one in one voter: a caught-up learner is promoted, or a voter is removed or
+// demoted to a learner. A new machine is added as a learner first; any number of learners may be added and removed.
 // Status.Match has their progress. Failures: NotLeader; Unavailable while another change is not committed, before the
 // first commit of the term, while leadership is transferred, or if the promoted learner is not caught up; Invalid for
 // any other set.
@@ -21,7 +21,7 @@
 	}
 	if c.latestConfiguration().index > c.commit || c.commit < c.leadership.firstIndex {
 		return 0, 0, errs.New(errs.Unavailable,
-			"a change of members, or the first entry of the term, is not committed yet")
+			"the previous membership change or the first entry of the term is not committed yet")
 	}
 	if err := validateMembers(next); err != nil {
 		return 0, 0, errs.Pass(err, "propose members")
@@ -36,18 +36,18 @@
 	c.appendOwn(Members, data)
 	c.configurations = append(c.configurations, configuration{c.log.last(), slices.Clone(next)})
 	c.updateProgress()
-	c.advanceCommit() // the voters that are left may be a majority already
+	c.advanceCommit() // without a removed voter, the entries may already have a majority
 	return c.log.last(), c.hardState.Term, nil
 }
 
-// checkMemberChange checks that next differs from the set in force in one voter at most: any two majorities of such
-// sets have a voter in common.
+// checkMemberChange checks that next differs from the current member set in at most one voter: any two majorities of
+// such sets have a voter in common.
 func (c *Core) checkMemberChange(next []Member) error {
 	changed := 0
 	for _, m := range c.members() {
 		n, ok := findMember(next, m.ID)
 		if ok && n.Incarnation != m.Incarnation {
-			return errs.Field(errs.Invalid, "members", "%s keeps its ID but not its incarnation", m.ID)
+			return errs.Field(errs.Invalid, "members", "member %s: incarnation must not change under the same ID", m.ID)
 		}
 		if !m.Learner && (!ok || n.Learner) {
 			changed++
@@ -63,20 +63,20 @@
 		}
 	}
 	if changed > 1 {
-		return errs.Field(errs.Invalid, "members", "%d voters change, one may", changed)
+		return errs.Field(errs.Invalid, "members", "at most one voter may change, got %d", changed)
 	}
 	return nil
 }
 
-// checkCaughtUp checks that a node may become a voter: it is a learner that has nearly the whole log. If another voter
-// failed, one that is far behind would stop commits until it has caught up.
+// checkCaughtUp checks that a node may become a voter: it must be a learner that has nearly the complete log. If
+// another voter failed, a new voter that is far behind could block commits until it has caught up.
 func (c *Core) checkCaughtUp(id string) error {
 	p := c.leadership.progress[id]
 	if p == nil {
-		return errs.Field(errs.Invalid, "members", "%s must be a learner before it is a voter", id)
+		return errs.Field(errs.Invalid, "members", "%s must be a learner before it becomes a voter", id)
 	}
 	if p.blank || p.match < max(c.leadership.caughtUpIndex, c.latestConfiguration().index) {
-		return errs.New(errs.Unavailable, "learner %s is not caught up: at %d of %d", id, p.match, c.commit)
+		return errs.New(errs.Unavailable, "learner %s is not caught up: at index %d of %d", id, p.match, c.commit)
 	}
 	return nil
 }
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -12,52 +12,52 @@
 
 func TestMembership_wipedMachine(t *testing.T) {
 	Convey("A wiped machine returns under a new ID as a learner and replaces the old member", t, func() {
-		w := newWorld(7, "a", "b", "c")
-		w.run(5*time.Second, w.propose)
-		l := w.leader()
-		old := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })]
-		w.crash(old)
-		now := func() time.Duration { return w.clockOf(l) }
+		sim := newSimulation(7, "a", "b", "c")
+		sim.run(5*time.Second, sim.propose)
+		leader := sim.leader()
+		old := sim.nodes[slices.IndexFunc(sim.nodes, func(n *node) bool { return n != leader })]
+		sim.crash(old)
+		now := func() time.Duration { return sim.clockOf(leader) }
 		learner := Member{ID: "x", Addr: "x", Learner: true}
-		_, _, err := l.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x"}))
+		_, _, err := leader.core.ProposeMembers(now(), append(voters("a", "b", "c"), Member{ID: "x", Addr: "x"}))
 		So(errs.Is(err, errs.Invalid), ShouldBeTrue)
-		_, _, err = l.core.ProposeMembers(now(), append(voters("a", "b", "c"), learner))
+		_, _, err = leader.core.ProposeMembers(now(), append(voters("a", "b", "c"), learner))
 		So(err, ShouldBeNil)
-		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c"))
+		_, _, err = leader.core.ProposeMembers(now(), voters("a", "b", "c"))
 		So(errs.Is(err, errs.Unavailable), ShouldBeTrue)
-		x := w.join("x", InitialState{})
-		w.run(2*time.Second, nil)
+		x := sim.join("x", InitialState{})
+		sim.run(2*time.Second, nil)
 		So(x.core.Status().Voter, ShouldBeFalse)
-		So(x.applied, ShouldEqual, l.applied)
-		_, _, err = l.core.ProposeMembers(now(), voters("a", "b", "c", "x"))
+		So(x.applied, ShouldEqual, leader.applied)
+		_, _, err = leader.core.ProposeMembers(now(), voters("a", "b", "c", "x"))
 		So(err, ShouldBeNil)
-		w.run(time.Second, nil)
+		sim.run(time.Second, nil)
 		So(x.core.Status().Voter, ShouldBeTrue)
 		rest := slices.DeleteFunc(voters("a", "b", "c", "x"), func(m Member) bool { return m.ID == old.id })
-		_, _, err = l.core.ProposeMembers(now(), rest)
+		_, _, err = leader.core.ProposeMembers(now(), rest)
 		So(err, ShouldBeNil)
-		w.run(time.Second, nil)
-		So(l.core.Status().Members, ShouldResemble, rest)
-		w.crash(l) // the new voter and the one left are the majority
-		w.run(6*time.Second, nil)
-		So(w.leader(), ShouldNotBeNil)
-		So(w.failures, ShouldBeEmpty)
+		sim.run(time.Second, nil)
+		So(leader.core.Status().Members, ShouldResemble, rest)
+		sim.crash(leader) // the new voter and the remaining one are a majority
+		sim.run(6*time.Second, nil)
+		So(sim.leader(), ShouldNotBeNil)
+		So(sim.failures, ShouldBeEmpty)
 	})
-	Convey("A wiped machine under its old ID never votes, even once it has received the members", t, func() {
-		w := newWorld(8, "a", "b", "c")
-		w.run(5*time.Second, w.propose)
-		l := w.leader()
-		wiped := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n != l })]
+	Convey("A wiped machine with its old ID never votes, even after it has received the member set", t, func() {
+		sim := newSimulation(8, "a", "b", "c")
+		sim.run(5*time.Second, sim.propose)
+		leader := sim.leader()
+		wiped := sim.nodes[slices.IndexFunc(sim.nodes, func(n *node) bool { return n != leader })]
 		wiped.disk = InitialState{}
-		w.startNode(wiped)
-		w.run(time.Second, nil)
-		w.crash(l)
-		w.run(20*time.Second, nil) // a leader would need its vote
-		So(w.leader(), ShouldBeNil)
-		w.startNode(l)
-		w.run(5*time.Second, nil)
-		So(w.leader(), ShouldNotBeNil)
+		sim.startNode(wiped)
+		sim.run(time.Second, nil)
+		sim.crash(leader)
+		sim.run(20*time.Second, nil) // a leader would need its vote
+		So(sim.leader(), ShouldBeNil)
+		sim.startNode(leader)
+		sim.run(5*time.Second, nil)
+		So(sim.leader(), ShouldNotBeNil)
 		So(wiped.core.Status().Voter, ShouldBeFalse)
-		So(w.failures, ShouldBeEmpty)
+		So(sim.failures, ShouldBeEmpty)
 	})
 }
--- a/internal/raft/propose.go
+++ b/internal/raft/propose.go
@@ -7,9 +7,10 @@
 	"crosstide/internal/errs"
 )
 
-// Propose appends each data as a Normal entry, and returns the index of the first and their term. An entry is
-// committed once a Ready hands it out in CommittedEntries; another term at that index means that it is lost. Failures:
-// NotLeader (its Hint is the leader's address), Unavailable while leadership is transferred. Example:
+// Propose appends each data as a Normal entry, and returns the index of the first entry and the term of all. An entry
+// is committed once Ready returns it in CommittedEntries; if an entry with another term is committed at its index, the
+// proposal is lost. Failures: NotLeader (its Hint is the leader's address), Unavailable while leadership is
+// transferred. Example:
 //
 //	first, term, err := core.Propose(now, a, b) // a is entry first, b is first+1
 func (c *Core) Propose(now time.Duration, data ...json.RawMessage) (first, term uint64, err error) {
@@ -24,19 +25,19 @@
 	return first, c.hardState.Term, nil
 }
 
-// checkProposable returns NotLeader unless this node leads, and Unavailable while it transfers its leadership: with
-// entries appended then, the transferee might never have the whole log.
+// checkProposable returns NotLeader unless this node is the leader, and Unavailable while it transfers its leadership:
+// if entries were appended then, the transferee might never have the complete log.
 func (c *Core) checkProposable() error {
 	if c.role != Leader {
 		return errs.Pass(c.notLeader(), "not the leader")
 	}
 	if c.leadership.transferee != "" {
-		return errs.New(errs.Unavailable, "handing over to %s", c.leadership.transferee)
+		return errs.New(errs.Unavailable, "leadership is being transferred to %s", c.leadership.transferee)
 	}
 	return nil
 }
 
-// notLeader returns the error of a call that only the leader accepts.
+// notLeader returns the error for a call that only the leader accepts.
 func (c *Core) notLeader() error {
 	err := errs.New(errs.NotLeader, "%s is %s in term %d", c.cfg.ID, c.role, c.hardState.Term)
 	errs.Of(err).Hint = c.leaderAddress()
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,9 +1,10 @@
-// Package raft is the consensus core of the control store: Raft with pre-vote, check-quorum, a leader lease, learners,
-// membership changes one voter at a time, snapshots, leadership transfer and pipelined appends.
+// Package raft implements the consensus core of the control store: Raft with pre-vote, check-quorum, a leader lease,
+// learners, membership changes of one voter at a time, snapshots, leadership transfer and pipelined appends.
 //
-// Core is a pure step function: its input is the time, messages and reports of the runtime, its output (Ready) is what
-// the runtime must store, send and apply. It never reads a clock, opens a socket, writes to a disk or starts a
-// goroutine, and it is not safe for concurrent use. The data of an entry is opaque to it, except for member sets.
+// Core is a deterministic state machine: its input is the time, messages and reports from the runtime, and its output
+// (Ready) lists the data that the runtime must store, send and apply. Core never reads a clock, opens a socket, writes
+// to a disk or starts a goroutine, and it is not safe for concurrent use. The data of an entry is opaque to it, except
+// for member sets.
 //
 // The runtime (internal/store) drives it in one loop:
 //
@@ -15,18 +16,18 @@
 //	apply(r.CommittedEntries); fetch(r.Fetch)
 //
 // Safety depends on the runtime:
-//   - now never runs backwards within a process and counts suspension; each process has its own zero;
-//   - Readys reach the disk in their order: a later one is never durable without the earlier ones;
-//   - the stored log is cut at its front (up to a durable snapshot) only in that same order, behind the Readys
-//     handed out before;
+//   - now is monotonic within a process and includes time spent suspended; each process has its own zero;
+//   - Readys are written to the disk in order: a later one is never durable without the earlier ones;
+//   - a compaction of the stored log (up to a durable snapshot) is written in that same order, after all Readys that
+//     were returned before it;
 //   - a new data folder gets a new member ID. An empty one starts with an empty InitialState, never with Bootstrap.
 //
-// The first start of a fleet passes Bootstrap(members) on every bootstrap member; only an operator's explicit order
-// may do so.
+// At the first start of a cluster every bootstrap member passes Bootstrap(members) to New. This must happen only at
+// the explicit request of an operator.
 //
-// Begin to read at Core (core.go) and Step (step.go). The rules of each role are in election.go, leader.go,
-// replication.go and follower.go; propose.go, membership.go and transfer.go have the operations on a leader, ready.go
-// the output.
+// Start reading at Core (core.go) and Step (step.go). The rules of each role are in election.go, leader.go,
+// replication.go and follower.go; the operations on a leader in propose.go, membership.go and transfer.go; the output
+// in ready.go.
 package raft
 
 import "encoding/json"
@@ -34,7 +35,7 @@
 // Role is the role of a node in its term.
 type Role string
 
-// The roles of a node. A pre-candidate asks whether it would win an election before it raises its term.
+// The roles of a node. A PreCandidate asks whether it would win an election before it increments its term.
 const (
 	Follower     Role = "follower"
 	PreCandidate Role = "precandidate"
@@ -59,10 +60,10 @@
 const (
 	Normal  EntryKind = iota // a command of the store
 	Noop                     // the first entry of a leader's term; no data
-	Members                  // JSON []Member: the whole new set, in force as soon as it is in the log
+	Members                  // JSON []Member: the complete new member set, which applies once it is in the log
 )
 
-// Entry is one entry of the log. Indexes follow each other without a gap; terms never decrease.
+// Entry is one entry of the log. Indexes are consecutive; terms never decrease.
 type Entry struct {
 	Term  uint64          `json:"t"`
 	Index uint64          `json:"i"`
@@ -70,24 +71,26 @@
 	Data  json.RawMessage `json:"d,omitempty"`
 }
 
-// size returns what the entry counts against a byte limit: its data and about what the rest takes.
+// size returns the number of bytes that the entry counts against a limit: its data and an estimate for the other
+// fields.
 func (e Entry) size() int { return len(e.Data) + 32 }
 
-// HardState is what a node must not forget. It is durable before any message that depends on it is sent.
+// HardState is the state that a node must not lose. It is durable before any message that depends on it is sent.
 type HardState struct {
-	Term uint64 `json:"t"`           // newest term that this node knows
+	Term uint64 `json:"t"`           // highest term that this node has seen
 	Vote string `json:"v,omitempty"` // the candidate this node voted for in Term; empty: none
-	// Leader is the leader of Term, once this node has led or followed it; empty: none.
+	// Leader is the leader of Term, set once this node has become it or followed it; empty: unknown.
 	Leader string `json:"l,omitempty"`
-	// Blank is set while this node may have forgotten votes that were cast under its ID: its folder began empty, and
-	// no committed set has named it a learner yet. It neither votes nor campaigns.
+	// Blank is set while this node may have forgotten votes that it cast under its ID: it started with an empty folder,
+	// and no committed member set has it as a learner yet. A blank node neither votes nor campaigns.
 	Blank bool `json:"b,omitempty"`
-	// Commit is an index up to which the stored log is known to be committed; more of it may be. It is stored along
-	// with entries, so that a node that starts can apply them before it hears from a leader.
+	// Commit is a lower bound of the commit index. It is stored along with entries, so that a restarted node can apply
+	// them before it receives a message from a leader.
 	Commit uint64 `json:"c,omitempty"`
 }
 
-// Meta describes a snapshot: the state after the entry at Index, of Term, and the member set in force there.
+// Meta describes a snapshot of the state after the entry with the given Index and Term. Members is the member set at
+// that index.
 type Meta struct {
 	Index   uint64   `json:"i"`
 	Term    uint64   `json:"t"`
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -1,32 +1,32 @@
 package raft
 
-// Ready is what the runtime has to do since the last Ready. Its slices must not be changed.
+// Ready lists the work for the runtime that has accumulated since the last Ready. The runtime must not modify its
+// slices.
 type Ready struct {
-	HardState *HardState // to be stored; nil: it has not changed
-	// ResetLog is set if every stored entry is invalid, as a snapshot replaces them: they are removed before Entries
-	// are stored.
+	HardState *HardState // to be stored; nil: unchanged
+	// ResetLog is set if a snapshot replaces all stored entries. They must be removed before Entries are stored.
 	ResetLog bool
-	// Entries are to be stored in place of the stored entries at and after Entries[0].Index.
+	// Entries must be stored. They replace the stored entries from Entries[0].Index on.
 	Entries  []Entry
 	Messages []Message // may be sent at once
 	// MessagesAfterSync may be sent only once HardState, ResetLog and Entries are synced.
 	MessagesAfterSync []Message
 	Commit            uint64 // the commit index
-	// CommittedEntries are to be applied: each committed entry once, in order, after a start from the snapshot on.
-	// They may not be synced here yet.
+	// CommittedEntries must be applied. Each committed entry is returned once and in order; after a start, the first
+	// one is that after the snapshot. They may not be synced on this node yet.
 	CommittedEntries []Entry
-	Fetch            *FetchSnapshot // nil: nothing is to be fetched
+	Fetch            *FetchSnapshot // nil: no fetch is requested
 }
 
-// FetchSnapshot asks the runtime to fetch the body of a snapshot at or after Meta, to sync and apply it, and to call
-// SnapshotInstalled with the Meta of what it received. The request is repeated from time to time; a fetch that runs
-// already continues.
+// FetchSnapshot asks the runtime to fetch the body of the snapshot Meta or of a later one, to sync and apply it, and to
+// call SnapshotInstalled with the Meta of the snapshot that it received. The request is repeated periodically; it must
+// not restart a fetch in progress.
 type FetchSnapshot struct {
 	Meta Meta
 	From string // address of the leader
 }
 
-// output is what the next Ready hands out, besides entries. Any call may add to it; only Ready empties it.
+// output holds the content of the next Ready except for entries. Any call may add to it; only Ready clears it.
 type output struct {
 	hardStateChanged  bool
 	logReset          bool
@@ -35,8 +35,8 @@
 	fetchRequest      *FetchSnapshot
 }
 
-// Ready returns the pending output, and the caller must carry out all of it. It is called after each burst of calls:
-// a leader makes its appends here, so that a burst of proposals is one append to each member.
+// Ready returns the pending output, all of which the caller must process. It is called after each burst of calls: a
+// leader creates its appends here, so that a burst of proposals is sent to each member in one append.
 func (c *Core) Ready() Ready {
 	if c.role == Leader {
 		c.sendAppends()
@@ -61,8 +61,9 @@
 	return r
 }
 
-// recordCommit puts the commit index into the hard state whenever entries are stored, as those are synced in any case.
-// It stays below them: if their write is torn, older entries that were never committed may still be in their place.
+// recordCommit updates the commit index in the hard state whenever entries are stored, as this needs no additional
+// sync. The stored value stays below the index of those entries: if their write is torn, older entries that were never
+// committed may remain at these indexes.
 func (c *Core) recordCommit(stored []Entry) {
 	if len(stored) == 0 {
 		return
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,6 +1,6 @@
 package raft
 
-// sendAppends makes the messages that are due to each member. What was proposed since the last call goes together.
+// sendAppends creates the messages that are due to each member. All entries proposed since the last call are batched.
 func (c *Core) sendAppends() {
 	if c.leadership.awaitOwnSync {
 		return
@@ -12,7 +12,7 @@
 	}
 }
 
-// sendTo sends what is due to a member: pipelined appends, one probe, or the offer of a snapshot.
+// sendTo sends the messages that are due to a member: pipelined appends, one probe, or the offer of a snapshot.
 func (c *Core) sendTo(id string, p *progress) {
 	if p.state == stateReplicate && p.next <= c.log.offset { // the next entry was compacted
 		p.startProbe(p.next)
@@ -32,7 +32,7 @@
 		p.state, p.paused = stateSnapshot, true
 	default:
 		limitBytes := c.cfg.MaxAppendBytes
-		if c.now >= p.lastContact+c.cfg.ElectionTimeout { // unreachable: not the same entries at every heartbeat
+		if c.now >= p.lastContact+c.cfg.ElectionTimeout { // unreachable: don't resend the entries at every heartbeat
 			limitBytes = 0
 		}
 		p.state = stateProbe
@@ -42,8 +42,8 @@
 	p.heartbeatDue = false
 }
 
-// sendAppend sends one append from p.next on, of up to limitBytes (0: without entries), and returns the number of its
-// entries.
+// sendAppend sends one append with the entries from p.next on, up to limitBytes (0: no entries), and returns the number
+// of its entries.
 func (c *Core) sendAppend(id string, p *progress, limitBytes int) uint64 {
 	m := Message{Kind: Append, From: c.cfg.ID, To: id, Term: c.hardState.Term, PrevIndex: p.next - 1,
 		Commit: c.commit, Sent: c.now}
@@ -56,14 +56,14 @@
 	return uint64(len(m.Entries))
 }
 
-// offerSnapshot offers the newest durable snapshot to a member that needs entries which are compacted.
+// offerSnapshot offers the newest durable snapshot to a member that needs compacted entries.
 func (c *Core) offerSnapshot(id string) {
 	meta := c.snapshot
 	c.messages = append(c.messages, Message{Kind: Snapshot, From: c.cfg.ID, To: id, Term: c.hardState.Term,
 		Sent: c.now, Meta: &meta, Addr: c.leaderAddr})
 }
 
-// onReply handles the reply to an append or to a snapshot offer of this leader's term.
+// onReply handles the reply to an append or to a snapshot offer that this leader sent in its term.
 func (c *Core) onReply(m Message) {
 	p := c.leadership.progress[m.From]
 	if p == nil || m.Match > c.log.last() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// onReject continues with a probe at the index of the member's hint. A rejection that arrived out of order, or that
-// concerns an index at which the logs were found equal since, is stale and changes nothing.
+// onReject continues with a probe after the index of the member's hint. A rejection is stale and ignored if it arrived
+// out of order, or if the logs are now known to match at its index.
 func (p *progress) onReject(m Message) {
 	isStale := m.PrevIndex <= p.match
 	switch p.state {
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// snapshotFetch is the fetch that a follower has requested from its runtime; its owner is Core. The zero value is
-// none.
+// snapshotFetch is the fetch that a follower has requested from its runtime. It is owned by Core. The zero value means
+// that no fetch is requested.
 type snapshotFetch struct {
 	meta Meta
-	from string        // address
-	at   time.Duration // of the last request
+	from string        // address of the leader
+	at   time.Duration // time of the last request
 }
 
-// onSnapshot handles the leader's offer of a snapshot. The request for the same one is repeated only after an election
-// time-out, as the runtime may have failed to fetch it.
+// onSnapshot handles the leader's offer of a snapshot. A fetch of the same snapshot is requested again only after an
+// election time-out, in case the runtime failed to fetch it.
 func (c *Core) onSnapshot(m Message) {
 	if m.Meta == nil || validateMembers(m.Meta.Members) != nil {
 		return
@@ -32,12 +32,12 @@
 		c.fetch = snapshotFetch{meta: meta, from: m.Addr, at: c.now}
 		c.fetchRequest = &FetchSnapshot{Meta: meta, From: m.Addr}
 	}
-	c.reply(m, Message{Kind: SnapshotReply}) // counts as contact while the fetch runs
+	c.reply(m, Message{Kind: SnapshotReply}) // keeps the contact with the leader alive during the fetch
 }
 
-// SnapshotInstalled tells the core that a fetched snapshot is synced and applied here in place of the state before it.
-// One at or before the commit index changes nothing here, and the runtime must not apply it either. Entries that the
-// snapshot contradicts are dropped; the next Ready resets the stored log.
+// SnapshotInstalled reports that a fetched snapshot is synced on this node and has replaced the applied state. A
+// snapshot at or before the commit index is ignored, and the runtime must not apply it either. If the log contradicts
+// the snapshot or ends before it, its entries are discarded and the next Ready resets the stored log.
 func (c *Core) SnapshotInstalled(now time.Duration, meta Meta) {
 	c.advanceClock(now)
 	c.fetch.meta, c.fetch.from, c.fetchRequest = Meta{}, "", nil
@@ -69,8 +69,9 @@
 	}
 }
 
-// SnapshotPersisted tells the core that a snapshot of this node's own state is durable. Members behind the log in
-// memory are offered it. One that is not newer, or that is past what was applied, is ignored.
+// SnapshotPersisted reports that a snapshot of this node's own state is durable. A leader offers it to members that
+// need entries which are no longer in memory. A snapshot that is not newer than the last one, or is past the applied
+// index, is ignored.
 func (c *Core) SnapshotPersisted(meta Meta) {
 	if meta.Index > c.snapshot.Index && meta.Index <= c.applied && validateMembers(meta.Members) == nil {
 		c.snapshot = meta
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Status is the state of a core for operators and the runtime.
+// Status is the state of a Core for operators and the runtime.
 type Status struct {
 	ID         string            `json:"id"`
 	Role       Role              `json:"role"`
@@ -13,13 +13,13 @@
 	Leader     string            `json:"leader,omitempty"`
 	LeaderAddr string            `json:"leader_addr,omitempty"`
 	Commit     uint64            `json:"commit"`
-	Last       uint64            `json:"last"`  // last entry of the log, committed or not
-	First      uint64            `json:"first"` // first entry in memory
+	Last       uint64            `json:"last"`  // index of the last entry in the log, committed or not
+	First      uint64            `json:"first"` // index of the first entry in memory
 	Members    []Member          `json:"members"`
-	Match      map[string]uint64 `json:"match,omitempty"` // leader: last durable index by member
-	LeaseUntil time.Duration     `json:"lease_until"`     // leader: on its clock; 0 without a lease
-	Voter      bool              `json:"voter"`           // in the set in force, and not blank
-	Refused    uint64            `json:"refused"`         // messages that contradict what is committed: must stay 0
+	Match      map[string]uint64 `json:"match,omitempty"` // leader: highest durable index by member ID
+	LeaseUntil time.Duration     `json:"lease_until"`     // leader: end of the lease by its clock; 0 without a lease
+	Voter      bool              `json:"voter"`           // a voter in the current member set, and not blank
+	Refused    uint64            `json:"refused"`         // contradictions of committed entries: must stay 0
 }
 
 // Status returns the state of the node. Its maps and slices are copies.
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Step handles a message of another core. One that is malformed, not for this node or of an unknown kind is dropped.
+// Step handles a message from another Core. A message that is malformed, is addressed to another node or has an unknown
+// kind is dropped.
 func (c *Core) Step(now time.Duration, m Message) {
 	c.advanceClock(now)
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || m.From == "" {
 		return
 	}
-	switch m.Kind { // pre-votes raise no term, so they are handled before the terms are compared
+	switch m.Kind { // pre-votes don't change the term, so they are handled before the terms are compared
 	case PreVote:
 		c.onPreVote(m)
 		return
@@ -36,7 +37,7 @@
 	c.stepInTerm(m)
 }
 
-// rejectOldTerm answers a leader or candidate of an older term, so that it learns the newer one.
+// rejectOldTerm replies to a leader or candidate of an older term, so that it learns the current one.
 func (c *Core) rejectOldTerm(m Message) {
 	switch m.Kind {
 	case Append, Snapshot:
@@ -46,7 +47,7 @@
 	}
 }
 
-// stepInTerm handles a message of this node's term.
+// stepInTerm handles a message whose term is the current one.
 func (c *Core) stepInTerm(m Message) {
 	switch m.Kind {
 	case Vote:
@@ -66,8 +67,8 @@
 	}
 }
 
-// reply sends answer to the sender of m: at once for a pre-vote, which promises nothing, otherwise once the pending
-// changes are synced. Its Term is the node's unless it is set.
+// reply sends answer to the sender of m: at once for a pre-vote, which does not bind this node, otherwise once the
+// pending changes are synced. A zero Term is replaced by the current one.
 func (c *Core) reply(m, answer Message) {
 	answer.From, answer.To, answer.Sent, answer.Blank = c.cfg.ID, m.From, m.Sent, c.hardState.Blank
 	answer.Term = cmp.Or(answer.Term, c.hardState.Term)
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -6,14 +6,14 @@
 	"crosstide/internal/errs"
 )
 
-// TransferLeadership asks the voter with the ID to to campaign once it has the whole log, and rejects proposals until
-// then. The leader ends its lease when it asks. After one election time-out it abandons the transfer, or steps down if
-// it has asked already. Failures: NotLeader, Unavailable while a transfer is pending, Invalid if to is not another
-// voter.
+// TransferLeadership sends TimeoutNow to the voter whose ID is to, once that voter has the complete log. Proposals are
+// rejected during the transfer. The leader ends its lease when it sends TimeoutNow. After one election time-out it
+// steps down if it has sent TimeoutNow, and abandons the transfer otherwise. Failures: NotLeader, Unavailable while a
+// transfer is pending, Invalid if to is not another voter.
 func (c *Core) TransferLeadership(now time.Duration, to string) error {
 	c.advanceClock(now)
 	if err := c.checkProposable(); err != nil {
-		return errs.Pass(err, "handover")
+		return errs.Pass(err, "transfer leadership")
 	}
 	if to == c.cfg.ID || !isVoter(c.members(), to) {
 		return errs.Field(errs.Invalid, "to", "%s is not another voter", to)
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// sendTimeoutNow asks the transferee to campaign if it has the whole log. The lease ends first: from then on the
-// transferee may win at any moment.
+// sendTimeoutNow asks the transferee to campaign if it has the complete log. The lease ends at the same time, as the
+// transferee may win at any moment from then on.
 func (c *Core) sendTimeoutNow() {
 	l := &c.leadership
 	if p := l.progress[l.transferee]; p != nil && p.match == c.log.last() && !p.blank {
