--- a/internal/storage/aftercrash_test.go
+++ b/internal/storage/aftercrash_test.go
@@ -10,21 +10,21 @@
 	"crosstide/internal/errs"
 )
 
-// crashRun is a store that is used at random until its disk loses power, again and again.
+// crashRun uses a store at random until its disk loses power, repeatedly.
 type crashRun struct {
 	random    *rand.Rand
 	disk      *MemDisk
-	model     model    // what was appended with success
-	tried     []Record // by the last Append, if it failed: any first few of them may be durable
-	commit    uint64   // no entry up to it is replaced
+	model     model    // content that was appended successfully
+	inDoubt   []Record // records of the last Append if it failed: any prefix of them may be durable
+	commit    uint64   // entries up to it are not replaced
 	term      uint64
-	snapshots int // written
+	snapshots int // number of snapshots written
 }
 
-// useUntilPowerLoss opens the store, and appends and writes snapshots until the power of the disk fails.
+// useUntilPowerLoss opens the store, and appends records and writes snapshots until the disk loses power.
 func (c *crashRun) useUntilPowerLoss() {
 	c.disk.PowerOff(1 + c.random.Intn(60))
-	c.tried = nil
+	c.inDoubt = nil
 	s, _, err := Open(c.disk, virtual)
 	for err == nil {
 		if at := c.commit; c.random.Intn(5) == 0 && at > 0 {
@@ -44,19 +44,19 @@
 	if uncommitted := next - 1 - c.commit; uncommitted > 0 && c.random.Intn(4) == 0 {
 		next -= uint64(c.random.Intn(int(uncommitted) + 1))
 	}
-	c.tried = []Record{hard(c.term)}
+	c.inDoubt = []Record{hardState(c.term)}
 	for range c.random.Intn(4) {
-		c.tried, next = append(c.tried, entry(c.term, next)), next+1
+		c.inDoubt, next = append(c.inDoubt, entry(c.term, next)), next+1
 	}
-	if err := s.Append(c.tried); err != nil {
+	if err := s.Append(c.inDoubt); err != nil {
 		return errs.Pass(err, "append")
 	}
-	c.model, c.tried = c.model.with(c.tried...), nil
+	c.model, c.inDoubt = c.model.with(c.inDoubt...), nil
 	c.commit += uint64(c.random.Intn(len(c.model.entries) + 1 - int(c.commit)))
 	return nil
 }
 
-// crash loses what was not synced, in one of three cases once more while the store is opened.
+// crash discards unsynced data. In one of three cases the disk loses power again while the store is opened.
 func (c *crashRun) crash() {
 	c.disk.Crash(c.random)
 	if c.random.Intn(3) == 0 {
@@ -66,14 +66,14 @@
 	}
 }
 
-// recovers reports whether the store opens to what was appended with success, and the first few records of tried.
+// recovers reports whether Open recovers the records that were appended successfully, and a prefix of inDoubt.
 func (c *crashRun) recovers() bool {
 	_, recovered, err := Open(c.disk, virtual)
 	if err != nil {
 		return false
 	}
-	for n := range len(c.tried) + 1 {
-		if got := c.model.with(c.tried[:n]...); got.fits(recovered) {
+	for n := range len(c.inDoubt) + 1 {
+		if got := c.model.with(c.inDoubt[:n]...); got.matches(recovered) {
 			c.model = got
 			return true
 		}
@@ -82,7 +82,7 @@
 }
 
 func TestOpen_afterCrash(t *testing.T) {
-	Convey("What was appended is there after a loss of power at any moment", t, func() {
+	Convey("Appended records are recovered after a power failure at any time", t, func() {
 		wrong, crashes, snapshots := 0, 0, 0
 		for seed := range int64(600) {
 			c := &crashRun{random: rand.New(rand.NewSource(seed)), disk: NewMemDisk(), term: 1}
@@ -92,7 +92,7 @@
 				crashes++
 				if !c.recovers() {
 					wrong++
-					t.Logf("seed %d round %d", seed, round)
+					t.Logf("wrong content recovered: seed %d, round %d", seed, round)
 				}
 			}
 			snapshots += c.snapshots
@@ -103,12 +103,12 @@
 	})
 }
 
-// checkFailedSync lets the n-th sync from now fail, of an append or a snapshot: the store rejects all writes after it,
-// and what the next Open returns is durable.
+// checkFailedSync makes the n-th sync of appends or of snapshots fail. It checks that the store rejects all later
+// writes, and that the state which the next Open returns is durable.
 func checkFailedSync(t *testing.T, n int, isSnapshot bool) {
 	t.Helper()
-	d, m := filled()
-	s := must(Open(d, virtual))
+	d, m := filledDisk()
+	s := mustOpen(Open(d, virtual))
 	d.FailSync(n)
 	var err error
 	for i := 0; i < n && err == nil; i++ {
@@ -118,10 +118,10 @@
 			err = s.Append([]Record{entry(12, 12)})
 		}
 	}
-	So(err, shouldBe, errs.Disk)
-	So(s.Append([]Record{hard(13)}), shouldBe, errs.Disk)
-	So(s.WriteSnapshot(m.snapshot(11), 0), shouldBe, errs.Disk)
-	_, before, err := Open(d, virtual) // the process starts again on the same machine
+	So(err, shouldBeKind, errs.Disk)
+	So(s.Append([]Record{hardState(13)}), shouldBeKind, errs.Disk)
+	So(s.WriteSnapshot(m.snapshot(11), 0), shouldBeKind, errs.Disk)
+	_, before, err := Open(d, virtual) // the process restarts on the same machine
 	So(err, ShouldBeNil)
 	d.Crash(rand.New(rand.NewSource(int64(n))))
 	_, after, err := Open(d, virtual)
@@ -131,7 +131,7 @@
 
 func TestOpen_afterFailedSync(t *testing.T) {
 	for n := 1; n <= 5; n++ {
-		Convey(fmt.Sprintf("A failed sync is fatal, and what is read after it is durable: sync %d", n), t, func() {
+		Convey(fmt.Sprintf("After a failed sync the store is unusable, and the recovered state is durable: sync %d", n), t, func() {
 			checkFailedSync(t, n, false)
 			checkFailedSync(t, n, true)
 		})
--- a/internal/storage/append.go
+++ b/internal/storage/append.go
@@ -7,13 +7,14 @@
 	"crosstide/internal/errs"
 )
 
-// bufferKept is the capacity up to which Append keeps its buffer for the next call.
-const bufferKept = maxData / 16
+// maxRetainedBuffer is the largest capacity in bytes of a buffer that Append reuses in the next call.
+const maxRetainedBuffer = maxData / 16
 
-// Append writes records with one write and one sync, and returns once they are durable. An entry replaces the one of
-// its index and all after it; it must follow the last entry without a gap and be past the newest snapshot. Failures:
-// Invalid and TooLarge (nothing was written), Stopped, Disk (a write or sync failed, now or before: the records may or
-// may not be there, and the process has to end, or to call Resume if IsFull holds). Example:
+// Append writes records with one write and one sync, and returns once they are durable. An entry replaces the entry
+// with the same index and all later ones. Its index must be at most one after that of the last entry and higher than
+// that of the newest snapshot. Failures: Invalid and TooLarge (nothing was written), Stopped, Disk (this or an earlier
+// write or sync failed: the records may or may not be stored, and the process must exit, or call Resume if IsFull
+// reports true). Example:
 //
 //	err := store.Append([]storage.Record{{Kind: storage.KindHardState, Data: vote}, {Term: 2, Index: 9, Data: order}})
 func (s *Store) Append(records []Record) error {
@@ -39,7 +40,7 @@
 	s.log.size += len(s.buf)
 	for _, r := range records {
 		s.log.active().track(r)
-		s.log.state.apply(r.kept())
+		s.log.state.apply(r.inMemory())
 	}
 	s.updateStats(func(stats *Stats) {
 		stats.Syncs++
@@ -47,24 +48,25 @@
 		stats.Records += uint64(len(records))
 		stats.LastSync, stats.LongestSync = syncTime, max(stats.LongestSync, syncTime)
 	})
-	if cap(s.buf) > bufferKept {
+	if cap(s.buf) > maxRetainedBuffer {
 		s.buf = nil
 	}
 	return nil
 }
 
-// checkRecords checks a group of records before anything of it is written. The caller holds mu.
+// checkRecords validates a group of records before it is written. The caller holds mu.
 func (s *Store) checkRecords(records []Record) error {
 	last := max(s.log.state.lastIndex(), s.newest.Index)
 	for _, r := range records {
 		switch {
 		case len(r.Data) > maxData:
-			return errs.New(errs.TooLarge, "a record of %d bytes, at most %d", len(r.Data), maxData)
+			return errs.New(errs.TooLarge, "record data of %d bytes exceeds the limit of %d", len(r.Data), maxData)
 		case r.Kind == kindSnapshot:
-			return errs.Field(errs.Invalid, "kind", "%d is the store's own", r.Kind)
+			return errs.Field(errs.Invalid, "kind", "kind %d is reserved for the store", r.Kind)
 		case r.Kind == KindHardState:
 		case r.Index > last+1 || r.Index <= s.newest.Index:
-			return errs.Field(errs.Invalid, "index", "entry %d after %d, image at %d", r.Index, last, s.newest.Index)
+			return errs.Field(errs.Invalid, "index",
+				"entry %d must follow entry %d or replace one after the snapshot at %d", r.Index, last, s.newest.Index)
 		default:
 			last = r.Index
 		}
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// writeLog writes to the active segment and syncs it, and returns how long the sync took. The caller holds mu.
+// writeLog appends data to the active segment and syncs it. It returns the duration of the sync. The caller holds mu.
 func (s *Store) writeLog(data []byte) (syncTime time.Duration, err error) {
 	if _, err := s.log.file.Write(data); err != nil {
 		return 0, errs.Wrap(markFull(err), errs.Disk, "write the log")
@@ -84,8 +86,9 @@
 	return s.clock.Now() - start, nil
 }
 
-// kept returns what the store keeps of a record in memory: a copy of a hard state, an entry without its Data.
-func (r Record) kept() Record {
+// inMemory returns the form of a record that the store holds in memory: a copy of a hard state, or an entry without its
+// Data.
+func (r Record) inMemory() Record {
 	if r.Kind == KindHardState {
 		r.Data = slices.Clone(r.Data)
 	} else {
--- a/internal/storage/folder.go
+++ b/internal/storage/folder.go
@@ -8,18 +8,18 @@
 	"crosstide/internal/errs"
 )
 
-// The names of the store's files. They are stored data: they never change.
+// The names of the store's files. They must never change, as existing folders have them.
 const (
-	unfinishedSuffix = ".tmp" // ends the name of a file that may not be synced yet
-	segmentPrefix    = "log-" // begins the name of a segment, before its number
+	unfinishedSuffix = ".tmp" // suffix of a file that may not be synced yet
+	segmentPrefix    = "log-" // prefix of a segment's file name, followed by its number
 )
 
-// snapshotFileNames are the names of the files of the two snapshots, which are written in turn.
+// snapshotFileNames are the names of the two snapshot files, which are written alternately.
 var snapshotFileNames = [2]string{"slot-a", "slot-b"}
 
-// folderContents is a folder as Open reads it.
+// folderContents holds the files of a store that Open has read from a folder.
 type folderContents struct {
-	snapshots     []storedSnapshot // the valid ones, newest first
+	snapshots     []storedSnapshot // the valid snapshots, newest first
 	snapshotFiles int              // number of snapshot files, valid or not
 	segments      []storedSegment  // in order of their numbers
 	unfinished    []string         // names of files whose write did not finish
@@ -31,17 +31,17 @@
 	file int // index in snapshotFileNames
 }
 
-// storedSegment is the content of a segment's file, not checked yet.
+// storedSegment is the content of a segment's file, not validated yet.
 type storedSegment struct {
 	number uint64
 	data   []byte
 }
 
-// scanFolder reads the files of a store in a folder, and ignores others. Failure: Disk.
+// scanFolder reads the files of a store in a folder, and ignores other files. Failure: Disk.
 func scanFolder(d Disk) (folder folderContents, err error) {
 	names, err := d.List()
 	if err != nil {
-		return folder, errs.Pass(err, "look at the folder")
+		return folder, errs.Pass(err, "scan the folder")
 	}
 	slices.Sort(names)
 	for _, name := range names {
@@ -56,7 +56,7 @@
 		}
 		data, err := readFile(d, name)
 		if err != nil {
-			return folder, errs.Pass(err, "look at %s", name)
+			return folder, errs.Pass(err, "scan %s", name)
 		}
 		if isSegment {
 			folder.segments = append(folder.segments, storedSegment{number, data})
@@ -67,8 +67,8 @@
 	return folder, nil
 }
 
-// addSnapshot adds the content of a snapshot's file. An invalid one is only counted: Open may recover from the other
-// one and the log.
+// addSnapshot decodes and adds the content of a snapshot's file. An invalid file is only counted: Open may be able to
+// recover from the other snapshot and the log.
 func (f *folderContents) addSnapshot(data []byte, file int) {
 	f.snapshotFiles++
 	snap, err := decodeSnapshot(data)
@@ -93,8 +93,8 @@
 	return data, errs.Wrap(err, errs.Disk, "read %s", name)
 }
 
-// writeFile writes a file under a temporary name, syncs it, renames it and syncs the folder: under its own name it is
-// always complete. It returns the file, which is still open for writing.
+// writeFile writes a file under a temporary name, syncs it, renames it and syncs the folder, so that a file under its
+// final name is always complete. It returns the file, which is still open for writing.
 func (s *Store) writeFile(name string, parts ...[]byte) (File, error) {
 	file, err := s.disk.Create(name + unfinishedSuffix)
 	if err != nil {
@@ -125,8 +125,8 @@
 	return file, nil
 }
 
-// removeUnfinished removes the file under its temporary name that a write left when it found the disk full, so that it
-// takes no space.
+// removeUnfinished removes the temporary file of a write that failed because the disk was full, so that it does not
+// occupy space.
 func (s *Store) removeUnfinished(name string) error {
 	names, err := s.disk.List()
 	if err != nil {
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// Clear removes the files of a store from a folder, leaves all others, and syncs the folder. No Store may be open on
-// it. Failure: Disk.
+// Clear removes the files of a store from a folder, leaves all other files in place, and syncs the folder. No Store may
+// be open on the folder. Failure: Disk.
 func Clear(d Disk) error {
 	names, err := d.List()
 	if err != nil {
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/errs"
 )
 
-// FuzzOpen opens a folder with any bytes as its files: Open does not panic, returns only records with a right checksum,
-// and returns the same ones again.
+// FuzzOpen opens a folder whose files have arbitrary content. It checks that Open does not panic, returns only records
+// with a correct checksum, and returns the same records when called again.
 func FuzzOpen(f *testing.F) {
 	f.Fuzz(func(t *testing.T, segment1, segment2, snapshotA, snapshotB []byte) {
 		segments := [][]byte{segment1, segment2}
@@ -18,22 +18,22 @@
 			return
 		}
 		if err != nil {
-			t.Fatalf("not damage: %v", err)
+			t.Fatalf("error is not of kind Damaged: %v", err)
 		}
 		valid := validRecords(segments)
 		for _, r := range recovered.Records {
 			if !valid[fmt.Sprint(r)] {
-				t.Fatalf("a record that no file has: %v", r)
+				t.Fatalf("recovered record is in no file: %v", r)
 			}
 		}
 		_, again, err := Open(d, virtual)
 		if recovered.TornBytes = 0; err != nil || fmt.Sprint(recovered.Records) != fmt.Sprint(again.Records) {
-			t.Fatalf("opens to %v, then to %v (%v)", recovered, again, err)
+			t.Fatalf("first Open recovered %v, second Open %v (error: %v)", recovered, again, err)
 		}
 	})
 }
 
-// fuzzedFolder returns a folder with the files; empty ones are left out.
+// fuzzedFolder returns a folder with the given files, without the empty ones.
 func fuzzedFolder(segments, snapshots [][]byte) *MemDisk {
 	d := NewMemDisk()
 	put := func(name string, content []byte) {
@@ -50,7 +50,7 @@
 	return d
 }
 
-// validRecords returns the records, as text, that begin anywhere in the segments.
+// validRecords returns the text of every valid record that starts at any offset of the segments.
 func validRecords(segments [][]byte) map[string]bool {
 	valid := map[string]bool{}
 	for i, content := range segments {
@@ -69,7 +69,7 @@
 	}
 }
 
-// appendGroups appends groups of n records of 200 bytes to a folder of the system.
+// appendGroups appends groups of n records of 200 bytes to a folder in the file system.
 func appendGroups(b *testing.B, n int) {
 	b.Helper()
 	check := func(err error) {
--- a/internal/storage/logstate.go
+++ b/internal/storage/logstate.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// logState is what a sequence of records amounts to: the entries and the hard state in force. A Store has that of its
-// log; Open builds it from the records that it reads.
+// logState is the result of applying a sequence of records: the current entries and hard state. Open builds it from the
+// records that it reads, and a Store updates it with each record that it appends.
 type logState struct {
-	entries      []Record // the entries in force, without a gap in their indexes
+	entries      []Record // the current entries, with consecutive indexes
 	hardState    *Record  // the last KindHardState; nil: none
 	lastSnapshot Record   // the last kindSnapshot; zero: none
-	compactedTo  uint64   // the entries up to this index are known only through a snapshot
+	compactedTo  uint64   // the entries up to this index are only in a snapshot
 }
 
-// lastIndex returns the index of the newest entry, in the log or in a snapshot.
+// lastIndex returns the index of the newest entry in the log or in a snapshot.
 func (l *logState) lastIndex() uint64 {
 	if n := len(l.entries); n > 0 {
 		return max(l.entries[n-1].Index, l.compactedTo)
@@ -19,8 +19,8 @@
 	return l.compactedTo
 }
 
-// apply applies the next record of the log. It reports false, and changes nothing, if an entry leaves a gap in the
-// indexes.
+// apply applies the next record of the log. It returns false, and changes nothing, if the record is an entry that would
+// leave a gap in the indexes.
 func (l *logState) apply(r Record) bool {
 	switch r.Kind {
 	case KindHardState:
@@ -40,9 +40,9 @@
 	return true
 }
 
-// applySnapshot applies the record of a snapshot. Entries stay if one of them has the index and the term of the
-// snapshot, or if all are after it. Otherwise they contradict it or end before it, so it came from another member: they
-// are removed.
+// applySnapshot applies the record of a snapshot. The entries stay if one of them has the index and the term of the
+// snapshot, or if all are after it. Otherwise they contradict the snapshot or end before it, which means that it came
+// from another member, and they are removed.
 func (l *logState) applySnapshot(snap Record) {
 	l.lastSnapshot = snap
 	if len(l.entries) > 0 {
@@ -57,7 +57,7 @@
 	l.entries, l.compactedTo = nil, max(l.compactedTo, snap.Index)
 }
 
-// compact removes the entries up to index. If none is left, the log continues from the snapshot at newest.
+// compact removes the entries up to index. If none remain, the log continues from the snapshot at index newest.
 func (l *logState) compact(index, newest uint64) {
 	l.entries = slices.DeleteFunc(l.entries, func(r Record) bool { return r.Index <= index })
 	if len(l.entries) == 0 {
@@ -65,7 +65,8 @@
 	}
 }
 
-// entriesAfter returns the entries after a snapshot at index; false if there is a gap between it and them.
+// entriesAfter returns the entries after a snapshot at index. It returns false if there is a gap between the snapshot
+// and the entries.
 func (l *logState) entriesAfter(index uint64) ([]Record, bool) {
 	if l.compactedTo > index {
 		return nil, false
--- a/internal/storage/memdisk.go
+++ b/internal/storage/memdisk.go
@@ -10,23 +10,23 @@
 	"crosstide/internal/errs"
 )
 
-// MemDisk is a Disk in memory for tests and simulators. It keeps what is synced apart from what is not, so that Crash
-// can lose the latter. It is safe for concurrent use.
+// MemDisk is an in-memory Disk for tests and simulators. It distinguishes synced from unsynced data, so that Crash can
+// discard the latter. It is safe for concurrent use.
 type MemDisk struct {
 	mu            sync.Mutex          // guards the fields below, and all inodes and files of the disk
-	live          map[string]*inode   // the files by name, as a reader finds them
+	live          map[string]*inode   // the current files by name, as a reader sees them
 	durable       map[string]*inode   // the files by name, as of the last sync of the folder
 	unsyncedNames []map[string]*inode // the files by name after each creation, removal and rename since then
 	incarnation   int                 // counts crashes: files opened before the last one are invalid
-	failSync      int                 // 1: the next sync fails, 2: the one after it, and so on; 0: none
-	powerOff      int                 // 1: the next change and all after it fail, and so on; 0: none
+	failSync      int                 // the sync that fails, counted from now: 1 is the next one; 0: none
+	powerOff      int                 // the change from which on all fail, counted likewise; 0: none
 }
 
-// inode is the content of a file, which outlives its name.
+// inode is the content of a file. It may outlive the name of the file.
 type inode struct {
 	data       []byte
-	durable    int  // how many bytes of data survive a crash
-	syncFailed bool // a sync failed: what was not durable before it never is, though it can be read
+	durable    int  // number of bytes of data that survive a crash
+	syncFailed bool // after a failed sync, no more bytes become durable, though they can be read
 }
 
 // memFile is an open file.
@@ -42,21 +42,21 @@
 //	d := storage.NewMemDisk()
 //	store, _, err := storage.Open(d, storage.Options{})
 //	d.Crash(rand.New(rand.NewSource(7)))
-//	store, recovered, err := storage.Open(d, storage.Options{}) // all that was appended is in recovered
+//	store, recovered, err := storage.Open(d, storage.Options{}) // recovered has every appended record
 func NewMemDisk() *MemDisk {
 	return &MemDisk{live: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// FailSync makes the n-th sync from now (1: the next one), of a file or of the folder, fail; 0 cancels that. As on
-// Linux, later syncs of that file succeed although the bytes are not durable.
+// FailSync makes the n-th sync of a file or of the folder from now on (1: the next one) fail; 0 cancels that. As on
+// Linux, later syncs of that file succeed although its bytes are not durable.
 func (d *MemDisk) FailSync(n int) { d.mu.Lock(); defer d.mu.Unlock(); d.failSync = n }
 
-// PowerOff makes the n-th change from now (1: the next one) and all after it fail until Crash; 0 cancels that.
+// PowerOff makes the n-th change from now on (1: the next one) and all later ones fail until Crash; 0 cancels that.
 func (d *MemDisk) PowerOff(n int) { d.mu.Lock(); defer d.mu.Unlock(); d.powerOff = n }
 
-// Crash is a loss of power: of unsynced bytes a random prefix survives, sometimes followed by zeros; of unsynced
-// creations, removals and renames a random number of the first ones survive. Writes and syncs of files opened before it
-// fail from now on.
+// Crash simulates a power failure. Of the unsynced bytes of each file, a random prefix survives, sometimes followed by
+// zeros. Of the unsynced creations, removals and renames, a random number of the first ones survive. Later writes and
+// syncs of files opened before the crash fail.
 func (d *MemDisk) Crash(r *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,7 +82,7 @@
 	d.durable = maps.Clone(d.live)
 }
 
-// Bytes returns a copy of a file's content; nil if there is no such file.
+// Bytes returns a copy of a file's content, or nil if the file does not exist.
 func (d *MemDisk) Bytes(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Put creates a file, or replaces its content, and makes that durable.
+// Put creates a file or replaces its content, and makes the result durable.
 func (d *MemDisk) Put(name string, data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Clone returns a copy of the folder as a reader finds it now, with everything durable.
+// Clone returns a copy of the folder as a reader sees it now, with all data durable.
 func (d *MemDisk) Clone() *MemDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,21 +114,21 @@
 	return clone
 }
 
-// checkWritable counts a change; it fails while the power is off, and for a file of an incarnation before a crash. The
-// caller holds mu.
+// checkWritable counts a change. It returns an error while the power is off, and for a file that was opened before the
+// last crash. The caller holds mu.
 func (d *MemDisk) checkWritable(incarnation int) error {
 	if d.powerOff > 1 {
 		d.powerOff--
 	} else if d.powerOff == 1 {
-		return errs.New(errs.Disk, "power is off")
+		return errs.New(errs.Disk, "the power is off")
 	}
 	if incarnation != d.incarnation {
-		return errs.New(errs.Disk, "file of an earlier boot")
+		return errs.New(errs.Disk, "the file was opened before a crash")
 	}
 	return nil
 }
 
-// syncFails counts a sync and reports whether it is to fail. The caller holds mu.
+// syncFails counts a sync and reports whether it must fail. The caller holds mu.
 func (d *MemDisk) syncFails() bool {
 	if d.failSync == 0 {
 		return false
@@ -137,7 +137,7 @@
 	return d.failSync == 0
 }
 
-// changeNames lets edit change the names in live, and records them as not synced. The caller holds mu.
+// changeNames calls edit, which changes the names in live, and records the result as unsynced. The caller holds mu.
 func (d *MemDisk) changeNames(edit func()) {
 	edit()
 	d.unsyncedNames = append(d.unsyncedNames, maps.Clone(d.live))
@@ -151,7 +151,7 @@
 		return nil, errs.Pass(err, "create %s", name)
 	}
 	if d.live[name] != nil {
-		return nil, errs.New(errs.Disk, "%s is there already", name)
+		return nil, errs.New(errs.Disk, "%s already exists", name)
 	}
 	n := &inode{}
 	d.changeNames(func() { d.live[name] = n })
@@ -163,7 +163,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.live[name] == nil {
-		return nil, errs.New(errs.Disk, "%s is missing", name)
+		return nil, errs.New(errs.Disk, "%s does not exist", name)
 	}
 	return &memFile{disk: d, inode: d.live[name], incarnation: d.incarnation}, nil
 }
@@ -183,7 +183,7 @@
 		return errs.Pass(err, "remove %s", name)
 	}
 	if d.live[name] == nil {
-		return errs.New(errs.Disk, "%s is missing", name)
+		return errs.New(errs.Disk, "%s does not exist", name)
 	}
 	d.changeNames(func() { delete(d.live, name) })
 	return nil
@@ -198,7 +198,7 @@
 	}
 	n := d.live[from]
 	if n == nil {
-		return errs.New(errs.Disk, "%s is missing", from)
+		return errs.New(errs.Disk, "%s does not exist", from)
 	}
 	d.changeNames(func() { delete(d.live, from); d.live[to] = n })
 	return nil
@@ -241,7 +241,7 @@
 	return len(p), nil
 }
 
-// Sync implements File, unless FailSync makes it fail.
+// Sync implements File. It fails if FailSync requested that.
 func (f *memFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -258,5 +258,5 @@
 	return nil
 }
 
-// Close implements File; there is nothing to release.
+// Close implements File. It has no effect.
 func (*memFile) Close() error { return nil }
--- a/internal/storage/memdisk_test.go
+++ b/internal/storage/memdisk_test.go
@@ -1,6 +1,6 @@
 package storage
 
-// flip inverts the bits of mask in one byte of a file; nothing happens past its end.
+// flip inverts the bits of mask in one byte of a file. It has no effect past the end of the file.
 func (d *MemDisk) flip(name string, offset int, mask byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -10,14 +10,14 @@
 // Recovered is the durable state that Open found.
 type Recovered struct {
 	Snapshot  *Snapshot // the newest snapshot that the log continues; nil if none was ever written
-	Records   []Record  // the hard state if there is one, then the entries after Snapshot, without a gap
-	Fresh     bool      // the folder has no snapshot, no hard state and no entry
+	Records   []Record  // the hard state if there is one, then the entries after Snapshot, with consecutive indexes
+	Fresh     bool      // the folder has no snapshot, no hard state and no entries
 	TornBytes int64     // length of the torn end of the log that was removed
 }
 
-// Open reads a folder, removes the torn end of its log and makes the rest durable. At most one Store may be open on a
-// folder. Failures: Damaged if data that may have been synced is lost (nothing in the folder was changed, and it must
-// not be used as a member's disk any more), Disk. Example:
+// Open reads a folder, removes the torn end of its log and makes the remaining data durable. At most one Store may be
+// open on a folder. Failures: Damaged if data that may have been synced is lost (nothing in the folder was changed, and
+// it must no longer be used as a member's disk), Disk. Example:
 //
 //	store, recovered, err := storage.Open(disk, storage.Options{})
 //	if errs.Is(err, errs.Damaged) {
@@ -35,15 +35,15 @@
 	return s, recovered, nil
 }
 
-// newStore returns a store that is not open yet. As its newest snapshot counts as in the second file, it writes its
-// first one to the first.
+// newStore returns a store that is not open yet. newestFile is the second file, so that the first snapshot is written
+// to the first file.
 func newStore(d Disk, clock clock.Clock) *Store { return &Store{disk: d, clock: clock, newestFile: 1} }
 
-// open is Open without the defaults; Resume opens a second store with it.
+// open implements Open for a store that newStore returned. Resume uses it too.
 func (s *Store) open() (recovered Recovered, err error) {
 	folder, err := scanFolder(s.disk)
 	if err != nil {
-		return recovered, errs.Pass(err, "files of the store")
+		return recovered, errs.Pass(err, "read the store files")
 	}
 	log, err := readLog(folder)
 	if err != nil {
@@ -51,16 +51,17 @@
 	}
 	recovered.TornBytes = log.tornBytes
 	if len(folder.segments) == 0 && folder.snapshotFiles > 0 {
-		return recovered, errs.New(errs.Damaged, "snapshots without a log")
+		return recovered, errs.New(errs.Damaged, "the folder has snapshots but no log")
 	}
 	if err := s.chooseSnapshot(folder, &log.state, &recovered); err != nil {
 		return recovered, errs.Pass(err, "newest snapshot")
 	}
-	return recovered, errs.Pass(s.rewriteTail(folder, log), "end of the log")
+	return recovered, errs.Pass(s.rewriteTail(folder, log), "rewrite the last segment")
 }
 
-// chooseSnapshot makes the newest snapshot that the log continues the store's, and brings log to the state with it.
-// Failure: Damaged if there are snapshot files and the log continues none.
+// chooseSnapshot makes the newest snapshot that the log continues that of the store, applies it to log and sets the
+// fields of recovered. Failure: Damaged if the log continues none of the valid snapshots or, without a valid snapshot,
+// does not start at entry 1.
 func (s *Store) chooseSnapshot(folder folderContents, log *logState, recovered *Recovered) error {
 	for _, stored := range folder.snapshots {
 		snap, state := stored.Snapshot, *log
@@ -77,7 +78,7 @@
 	if recovered.Snapshot == nil {
 		entries, ok := log.entriesAfter(0)
 		if !ok || len(folder.snapshots) > 0 {
-			return errs.New(errs.Damaged, "the log does not follow any valid snapshot (%d of %d valid)",
+			return errs.New(errs.Damaged, "the log continues no valid snapshot (%d of %d files valid)",
 				len(folder.snapshots), folder.snapshotFiles)
 		}
 		recovered.Records = slices.Clone(entries)
@@ -89,8 +90,9 @@
 	return nil
 }
 
-// rewriteTail writes the last segment again, as what was read of it may come from the page cache, after a failed sync
-// or a kill, and need not be durable. It removes unfinished files and the segments after the torn end.
+// rewriteTail rewrites and syncs the last segment: after a failed sync or a killed process, the data that was read may
+// come from the page cache and need not be durable. It also removes unfinished files and the segments after the torn
+// end.
 func (s *Store) rewriteTail(folder folderContents, log recoveredLog) error {
 	for _, name := range folder.unfinished {
 		if err := s.disk.Remove(name); err != nil {
@@ -116,8 +118,8 @@
 	return nil
 }
 
-// tailRecords returns the records for the last segment when it is written again: those that were read of it, and the
-// hard state and the newest snapshot if they are not among them.
+// tailRecords returns the records for the rewritten last segment: tail, which was read from it, and the hard state and
+// the newest snapshot if tail does not have them.
 func (s *Store) tailRecords(tail []Record) []Record {
 	isHardState := func(r Record) bool { return r.Kind == KindHardState }
 	isNewest := func(r Record) bool {
@@ -135,7 +137,7 @@
 	return records
 }
 
-// withoutData returns the entries without their Data, which a store has on the disk only.
+// withoutData returns the entries without their Data, which a store has only on the disk.
 func withoutData(entries []Record) []Record {
 	stripped := slices.Clone(entries)
 	for i := range stripped {
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestOpen_everyPrefix(t *testing.T) {
-	Convey("Every prefix of the log recovers the complete records in it, also with zeros after it", t, func() {
+	Convey("Every prefix of the log, with or without zeros after it, recovers its complete records", t, func() {
 		d, m := NewMemDisk(), model{}
-		s := must(Open(d, virtual))
+		s := mustOpen(Open(d, virtual))
 		name := s.log.segments[0].name()
-		ends := []int{len(d.Bytes(name))} // by number of entries
+		ends := []int{len(d.Bytes(name))} // length of the file by number of entries
 		for i := uint64(1); i <= 5; i++ {
 			So(s.Append([]Record{entry(1, i)}), ShouldBeNil)
 			m, ends = m.with(entry(1, i)), append(ends, len(d.Bytes(name)))
@@ -38,10 +38,11 @@
 	})
 }
 
-// continuesFrom reports whether a folder opens to a model, takes an entry after it, and opens again to both.
+// continuesFrom reports whether Open recovers a model from a folder, the next entry can be appended, and Open then
+// recovers both.
 func continuesFrom(d *MemDisk, want model) bool {
 	s, recovered, err := Open(d, virtual)
-	if err != nil || !want.fits(recovered) {
+	if err != nil || !want.matches(recovered) {
 		return false
 	}
 	next := entry(2, uint64(len(want.entries))+1)
@@ -49,12 +50,12 @@
 		return false
 	}
 	_, recovered, err = Open(d, virtual)
-	return err == nil && recovered.TornBytes == 0 && want.with(next).fits(recovered)
+	return err == nil && recovered.TornBytes == 0 && want.with(next).matches(recovered)
 }
 
 func TestOpen_invertedBits(t *testing.T) {
-	Convey("An inverted bit anywhere is damage, a torn last record, or repaired from the log", t, func() {
-		d, m := filled()
+	Convey("An inverted bit is reported as damage, removed as a torn last record, or repaired from the log", t, func() {
+		d, m := filledDisk()
 		names, _ := d.List()
 		So(names, ShouldHaveLength, 4)
 		last := names[1]
@@ -70,9 +71,9 @@
 				switch {
 				case errs.Is(err, errs.Damaged) && isSegment && !isTail:
 					damaged++
-				case err == nil && isTail && recovered.TornBytes > 0 && (model{m.hard, m.entries[:10]}).fits(recovered):
+				case err == nil && isTail && recovered.TornBytes > 0 && (model{m.hardState, m.entries[:10]}).matches(recovered):
 					torn++
-				case err == nil && !isSegment && m.fits(recovered):
+				case err == nil && !isSegment && m.matches(recovered):
 					repaired++
 				default:
 					wrong++
@@ -86,13 +87,13 @@
 
 func TestOpen_snapshotsTornOrMissing(t *testing.T) {
 	for _, c := range []struct {
-		broken string // last letters of the names of snapshot files
+		broken string // last letters of the names of the broken snapshot files
 		kind   errs.Kind
 	}{{"", ""}, {"a", ""}, {"b", ""}, {"ab", errs.Damaged}} {
 		for _, isMissing := range []bool{false, true} {
 			name := fmt.Sprintf("broken %q, missing %t", c.broken, isMissing)
-			Convey("The log continues either snapshot, and without both of them it is damaged: "+name, t, func() {
-				d, m := filled()
+			Convey("Open succeeds with either snapshot and reports damage without both: "+name, t, func() {
+				d, m := filledDisk()
 				for _, letter := range c.broken {
 					name := "slot-" + string(letter)
 					if d.Put(name, d.Bytes(name)[:20]); isMissing {
@@ -100,23 +101,23 @@
 					}
 				}
 				_, recovered, err := Open(d, virtual)
-				So(err, shouldBe, c.kind)
-				So(err != nil || m.fits(recovered), ShouldBeTrue)
+				So(err, shouldBeKind, c.kind)
+				So(err != nil || m.matches(recovered), ShouldBeTrue)
 			})
 		}
 	}
-	Convey("Without the older snapshot and the segment after it the log is damaged", t, func() {
-		d, _ := filled()
+	Convey("Without the older snapshot and the segment that continues it, Open reports damage", t, func() {
+		d, _ := filledDisk()
 		names, _ := d.List()
 		So(d.Remove(names[0]), ShouldBeNil)
 		So(d.Remove(snapshotFileNames[1]), ShouldBeNil)
 		_, _, err := Open(d, virtual)
-		So(err, shouldBe, errs.Damaged)
+		So(err, shouldBeKind, errs.Damaged)
 	})
 }
 
 func TestOpen_gapInLog(t *testing.T) {
-	Convey("Entries that do not follow the start, the snapshot or each other are damage", t, func() {
+	Convey("Open reports a gap before the first entry, after the snapshot or between entries as damage", t, func() {
 		for _, c := range []struct {
 			snapshot, first, second uint64
 			kind                    errs.Kind
@@ -138,7 +139,7 @@
 			}
 			d.Put(segment{number: 1}.name(), content)
 			_, _, err := Open(d, virtual)
-			So(err, shouldBe, c.kind)
+			So(err, shouldBeKind, c.kind)
 		}
 	})
 }
--- a/internal/storage/osdisk.go
+++ b/internal/storage/osdisk.go
@@ -11,18 +11,18 @@
 	"crosstide/internal/errs"
 )
 
-// osDisk is a folder of the operating system.
+// osDisk is a folder in the file system of the operating system.
 type osDisk struct {
 	dir string
-	// folder is dir, opened in advance, so that a process that is out of descriptors can still make a rename durable.
+	// folder is dir, opened in advance so that a process without free file descriptors can still make a rename durable.
 	folder *os.File
 }
 
 // osFile is a file of an osDisk.
 type osFile struct{ *os.File }
 
-// OSDisk returns the folder dir as a Disk. It creates dir, and syncs its parent, if it is missing. Failure: Disk.
-// Example:
+// OSDisk returns the folder dir as a Disk. If dir does not exist, OSDisk creates it and syncs its parent. Failure:
+// Disk. Example:
 //
 //	disk, err := storage.OSDisk(filepath.Join(data, "store"))
 func OSDisk(dir string) (Disk, error) {
@@ -33,25 +33,25 @@
 	return disk, errs.Pass(err, "folder")
 }
 
-// makeFolder creates the folder if it is missing, and makes that durable. Failure: Disk.
+// makeFolder creates the folder if it does not exist, and syncs its parent. Failure: Disk.
 func makeFolder(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
 	} else if !errors.Is(err, fs.ErrNotExist) {
-		return errs.Wrap(err, errs.Disk, "look at the folder")
+		return errs.Wrap(err, errs.Disk, "stat the folder")
 	}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
-		return errs.Wrap(err, errs.Disk, "make the folder")
+		return errs.Wrap(err, errs.Disk, "create the folder")
 	}
 	parent, err := openDisk(filepath.Dir(dir))
 	if err != nil {
-		return errs.Pass(err, "the parent")
+		return errs.Pass(err, "parent folder")
 	}
 	defer parent.folder.Close()
-	return errs.Pass(parent.Sync(), "the parent")
+	return errs.Pass(parent.Sync(), "parent folder")
 }
 
-// openDisk opens a folder that exists. Failure: Disk.
+// openDisk opens an existing folder. Failure: Disk.
 func openDisk(dir string) (osDisk, error) {
 	folder, err := os.Open(dir)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return osFile{f}, nil
 }
 
-// List implements Disk. Its names are sorted, and those of regular files only.
+// List implements Disk. It returns the sorted names of the regular files only.
 func (d osDisk) List() ([]string, error) {
 	entries, err := os.ReadDir(d.dir)
 	if err != nil {
@@ -110,8 +110,8 @@
 	return errs.Wrap(d.folder.Sync(), errs.Disk, "sync the folder")
 }
 
-// Sync implements File by fdatasync, which makes the length durable too. It repeats the call after EINTR, which does
-// not mean that the sync failed.
+// Sync implements File with fdatasync, which makes the length durable too. It retries after EINTR, which does not mean
+// that the sync failed.
 func (f osFile) Sync() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
--- a/internal/storage/recoverlog.go
+++ b/internal/storage/recoverlog.go
@@ -2,33 +2,35 @@
 
 import "crosstide/internal/errs"
 
-// recoveredLog is the log as Open reads it, up to its torn end if it has one.
+// recoveredLog is the log that Open has read, up to its torn end if it has one.
 type recoveredLog struct {
 	state           logState
 	segments        []segment // up to the one with the torn end
-	tail            []Record  // the valid records of the last one of segments
-	droppedSegments int       // number of segments in the folder after them
+	tail            []Record  // the valid records of the last element of segments
+	droppedSegments int       // number of segments in the folder after the last element of segments
 	tornBytes       int64     // length of the torn end: all bytes after the last valid record
 }
 
-// readLog reads the log up to the first invalid record. Failure: Damaged unless that is a torn write at the end of the
-// log: a gap between segments or entries, a segment without its first records, or valid records after an invalid one.
+// readLog reads the log up to the first invalid record, which may be a torn write at the end of the log. Failure:
+// Damaged if there is a gap between segments or entries, a segment without its first records, or a valid record after
+// an invalid one.
 func readLog(folder folderContents) (log recoveredLog, err error) {
 	for i, stored := range folder.segments {
 		if i > 0 && stored.number != folder.segments[i-1].number+1 {
-			return log, errs.New(errs.Damaged, "segment %d follows %d", stored.number, folder.segments[i-1].number)
+			return log, errs.New(errs.Damaged, "gap in the log: segment %d follows segment %d",
+				stored.number, folder.segments[i-1].number)
 		}
 		records, end := readSegment(stored.data, stored.number)
 		if err := log.addSegment(stored.number, records); err != nil {
 			return log, errs.Pass(err, "records")
 		}
-		// The first records of a segment were synced before it got its name, so a torn write cannot take them.
+		// The first records of a segment were synced before its file was renamed, so a torn write cannot affect them.
 		isHeadLost := len(records) == 0 && folder.snapshotFiles > 0 || len(records) == 1 && len(records[0].Data) > 0
 		if i == 0 && isHeadLost || len(records) > 0 && records[0].Kind != kindSnapshot {
-			return log, errs.New(errs.Damaged, "segment %d lost its start", stored.number)
+			return log, errs.New(errs.Damaged, "segment %d: the first records are missing", stored.number)
 		}
 		if end < len(stored.data) || len(records) == 0 {
-			return log, errs.Pass(log.truncateAt(folder, i, end), "torn end")
+			return log, errs.Pass(log.truncateAt(folder, i, end), "truncate the torn end")
 		}
 	}
 	return log, nil
@@ -39,7 +41,8 @@
 	g := segment{number: number}
 	for _, r := range records {
 		if !l.state.apply(r) {
-			return errs.New(errs.Damaged, "segment %d: entry %d follows %d", number, r.Index, l.state.lastIndex())
+			return errs.New(errs.Damaged, "gap in segment %d: entry %d follows entry %d",
+				number, r.Index, l.state.lastIndex())
 		}
 		g.track(r)
 	}
@@ -47,8 +50,8 @@
 	return nil
 }
 
-// truncateAt ends the log at an offset of segment i. Failure: Damaged if a valid record follows, as a torn write leaves
-// none.
+// truncateAt ends the log at offset end of segment i. Failure: Damaged if a valid record follows: in that case the
+// invalid one is not a torn write at the end of the log.
 func (l *recoveredLog) truncateAt(folder folderContents, i, end int) error {
 	torn := folder.segments[i]
 	hasLater := hasRecord(torn.data, torn.number, end)
@@ -58,7 +61,8 @@
 		l.tornBytes += int64(len(later.data))
 	}
 	if hasLater {
-		return errs.New(errs.Damaged, "segment %d is bad at byte %d, before valid records", torn.number, end)
+		return errs.New(errs.Damaged, "segment %d: invalid record at byte %d is followed by a valid one",
+			torn.number, end)
 	}
 	l.droppedSegments = len(folder.segments) - 1 - i
 	return nil
--- a/internal/storage/resume_test.go
+++ b/internal/storage/resume_test.go
@@ -10,8 +10,9 @@
 	"crosstide/internal/errs"
 )
 
-// limited is a disk with space for free more bytes and names. A write beyond it keeps what fits, and fails.
-type limited struct {
+// limitedDisk is a disk with free units of space, for bytes and names. A write that exceeds it stores as many bytes as
+// possible and fails.
+type limitedDisk struct {
 	Disk
 	free *int
 }
@@ -21,10 +22,10 @@
 	free *int
 }
 
-// nameCost is the space that a new name takes.
+// nameCost is the space that a new name occupies.
 const nameCost = 8
 
-func (d limited) Create(name string) (File, error) {
+func (d limitedDisk) Create(name string) (File, error) {
 	if *d.free < nameCost {
 		return nil, unix.ENOSPC
 	}
@@ -34,9 +35,9 @@
 }
 
 func (f limitedFile) Write(p []byte) (int, error) {
-	if fits := *f.free; fits < len(p) {
+	if available := *f.free; available < len(p) {
 		*f.free = 0
-		n, err := f.File.Write(p[:fits])
+		n, err := f.File.Write(p[:available])
 		if err != nil {
 			return n, errs.Pass(err, "write")
 		}
@@ -47,22 +48,22 @@
 	return n, errs.Pass(err, "write")
 }
 
-// plenty is more space than any test needs.
-const plenty = 1 << 20
+// ampleSpace is more space than any test needs.
+const ampleSpace = 1 << 20
 
-// fullDiskStep is a step on a disk that may be full.
+// fullDiskStep is an operation on a disk that may be full.
 type fullDiskStep struct {
 	name  string
 	do    func(s *Store, m model) error
-	after func(m model) model // what the store must have once the step has succeeded
+	after func(m model) model // the expected content after the operation has succeeded
 }
 
 func TestFullDisk(t *testing.T) {
 	for _, step := range []fullDiskStep{
 		{
 			name:  "append",
-			do:    func(s *Store, _ model) error { return s.Append([]Record{hard(12), entry(12, 12)}) },
-			after: func(m model) model { return m.with(hard(12), entry(12, 12)) },
+			do:    func(s *Store, _ model) error { return s.Append([]Record{hardState(12), entry(12, 12)}) },
+			after: func(m model) model { return m.with(hardState(12), entry(12, 12)) },
 		},
 		{
 			name: "append that replaces",
@@ -79,7 +80,7 @@
 			after: func(m model) model { return m },
 		},
 	} {
-		Convey("However little space is left, nothing is lost, and Resume works with space: "+step.name, t, func() {
+		Convey("With little space left no data is lost, and Resume succeeds once there is space: "+step.name, t, func() {
 			fullErrors := 0
 			for free := 0; free < 2000 && checkOnFullDisk(t, free, step); free++ {
 				fullErrors++
@@ -88,42 +89,42 @@
 		})
 	}
 	Convey("After a failed sync Resume fails, and the store stays unusable", t, func() {
-		d, _ := filled()
-		s := must(Open(d, virtual))
+		d, _ := filledDisk()
+		s := mustOpen(Open(d, virtual))
 		d.FailSync(1)
 		err := s.Append([]Record{entry(12, 12)})
-		So(err, shouldBe, errs.Disk)
+		So(err, shouldBeKind, errs.Disk)
 		So(IsFull(err), ShouldBeFalse)
-		So(s.Resume(), shouldBe, errs.Disk)
-		So(s.Append([]Record{entry(12, 12)}), shouldBe, errs.Disk)
+		So(s.Resume(), shouldBeKind, errs.Disk)
+		So(s.Append([]Record{entry(12, 12)}), shouldBeKind, errs.Disk)
 	})
-	Convey("Open on a full disk fails, loses nothing, and succeeds once there is space", t, func() {
+	Convey("Open on a full disk fails without loss of data, and succeeds once there is space", t, func() {
 		for free := 0; free < 400; free++ {
-			d, m := filled()
+			d, m := filledDisk()
 			left := free
-			s, _, err := Open(limited{d, &left}, virtual)
+			s, _, err := Open(limitedDisk{d, &left}, virtual)
 			if err == nil {
 				So(s.Close(), ShouldBeNil)
 				So(free, ShouldBeGreaterThan, 20)
 				return
 			}
 			So(IsFull(err), ShouldBeTrue)
-			left = plenty
-			_, recovered, err := Open(limited{d, &left}, virtual)
+			left = ampleSpace
+			_, recovered, err := Open(limitedDisk{d, &left}, virtual)
 			So(err, ShouldBeNil)
-			So(m.fits(recovered), ShouldBeTrue)
+			So(m.matches(recovered), ShouldBeTrue)
 		}
-		So("Open never had enough space", ShouldBeEmpty)
+		So("Open failed with any amount of space below the limit of the test", ShouldBeEmpty)
 	})
 }
 
-// checkOnFullDisk does a step on a disk with free bytes left, and reports whether it found the disk full. In that case
-// it checks what survives a loss of power, and does the step again with space.
+// checkOnFullDisk performs a step on a disk with free bytes of space, and reports whether the disk was full. In that
+// case it checks the data that survives a power failure, and repeats the step with enough space.
 func checkOnFullDisk(t *testing.T, free int, step fullDiskStep) (isFull bool) {
 	t.Helper()
-	d, m := filled()
-	left := plenty
-	s := must(Open(limited{d, &left}, virtual))
+	d, m := filledDisk()
+	left := ampleSpace
+	s := mustOpen(Open(limitedDisk{d, &left}, virtual))
 	left = free
 	err := step.do(s, m)
 	if err == nil {
@@ -134,30 +135,30 @@
 	survivor.Crash(rand.New(rand.NewSource(int64(free))))
 	_, recovered, err := Open(survivor, virtual)
 	So(err, ShouldBeNil)
-	So(m.fits(recovered) || step.after(m).fits(recovered) || m.with(hard(12)).fits(recovered), ShouldBeTrue)
+	So(m.matches(recovered) || step.after(m).matches(recovered) || m.with(hardState(12)).matches(recovered), ShouldBeTrue)
 
 	left = 0
-	if err := s.Resume(); err != nil { // nil after a snapshot that found no space: the store stayed usable
+	if err := s.Resume(); err != nil { // nil after a failed snapshot: the store stayed usable
 		So(IsFull(err), ShouldBeTrue)
-		So(IsFull(s.Append([]Record{hard(13)})), ShouldBeTrue)
+		So(IsFull(s.Append([]Record{hardState(13)})), ShouldBeTrue)
 	}
-	left = plenty
+	left = ampleSpace
 	So(s.Resume(), ShouldBeNil)
 	So(step.do(s, m), ShouldBeNil)
 	d.Crash(rand.New(rand.NewSource(int64(free))))
 	_, recovered, err = Open(d, virtual)
 	So(err, ShouldBeNil)
-	So(step.after(m).fits(recovered), ShouldBeTrue)
+	So(step.after(m).matches(recovered), ShouldBeTrue)
 	return true
 }
 
-// descriptorLimited is a disk whose process is out of descriptors while left is 0.
-type descriptorLimited struct {
+// descriptorLimitedDisk is a disk on which Create fails for lack of a file descriptor while left is 0.
+type descriptorLimitedDisk struct {
 	Disk
 	left *int
 }
 
-func (d descriptorLimited) Create(name string) (File, error) {
+func (d descriptorLimitedDisk) Create(name string) (File, error) {
 	if *d.left <= 0 {
 		return nil, unix.EMFILE
 	}
@@ -166,12 +167,12 @@
 }
 
 func TestOutOfDescriptors(t *testing.T) {
-	Convey("A snapshot that finds no descriptor fails as on a full disk, and is written once there is one", t, func() {
+	Convey("Without a free descriptor a snapshot fails as on a full disk, and succeeds once there is one", t, func() {
 		left := 10
 		disk := NewMemDisk()
-		store, _, err := Open(descriptorLimited{disk, &left}, Options{})
+		store, _, err := Open(descriptorLimitedDisk{disk, &left}, Options{})
 		So(err, ShouldBeNil)
-		So(store.Append([]Record{hard(1), entry(1, 1)}), ShouldBeNil)
+		So(store.Append([]Record{hardState(1), entry(1, 1)}), ShouldBeNil)
 		left = 0
 		snap := Snapshot{Index: 1, Term: 1, Body: []byte("state")}
 		err = store.WriteSnapshot(snap, 0)
@@ -183,7 +184,7 @@
 		So(store.Append([]Record{entry(1, 2)}), ShouldBeNil)
 		So(store.Close(), ShouldBeNil)
 	})
-	Convey("A rename is made durable without a descriptor, as the folder was opened in advance", t, func() {
+	Convey("A rename can be made durable without a free descriptor, as the folder was opened in advance", t, func() {
 		disk, err := OSDisk(t.TempDir())
 		So(err, ShouldBeNil)
 		var limit unix.Rlimit
--- a/internal/storage/segment.go
+++ b/internal/storage/segment.go
@@ -8,28 +8,28 @@
 
 // segment is one file of the log.
 type segment struct {
-	number    uint64 // in its name and in the checksums of its records; the next segment has the next number
-	lastEntry uint64 // highest index of an entry in it; 0: it has none
+	number    uint64 // part of its file name and of the checksums of its records; consecutive
+	lastEntry uint64 // highest index of an entry in the segment; 0: no entry
 }
 
 // name returns the name of the segment's file.
 func (g segment) name() string { return fmt.Sprintf("%s%016d", segmentPrefix, g.number) }
 
-// track records that r is in the segment.
+// track updates lastEntry for a record r that is added to the segment.
 func (g *segment) track(r Record) {
 	if r.Kind < kindSnapshot {
 		g.lastEntry = max(g.lastEntry, r.Index)
 	}
 }
 
-// segmentNumber returns the number of the segment whose file has the name; false if it is not that of a segment.
+// segmentNumber returns the number of the segment with the file name. ok is false if name is not that of a segment.
 func segmentNumber(name string) (number uint64, ok bool) {
 	_, err := fmt.Sscanf(name, segmentPrefix+"%d", &number)
 	return number, err == nil && segment{number: number}.name() == name
 }
 
-// segmentHead returns the first records of a segment: the newest snapshot and the hard state, so that the segments
-// before it can be removed. Data in the first record means that a hard state follows. The caller holds mu.
+// segmentHead returns the first records of a new segment: the newest snapshot and the hard state, so that the segments
+// before it can be removed. If the first record has Data, a hard state follows it. The caller holds mu.
 func (s *Store) segmentHead() []Record {
 	head := []Record{s.newest.record()}
 	if s.log.state.hardState != nil {
@@ -39,7 +39,7 @@
 	return head
 }
 
-// startSegment writes the file of g with its first records, and makes it the one that Append writes to. The caller
+// startSegment writes the file of g with its first records, and makes g the segment that Append writes to. The caller
 // holds mu.
 func (s *Store) startSegment(g segment, records []Record) error {
 	var buf []byte
@@ -48,7 +48,7 @@
 	}
 	file, err := s.writeFile(g.name(), buf)
 	if err != nil {
-		return errs.Pass(err, "segment to append to")
+		return errs.Pass(err, "write the active segment")
 	}
 	if s.log.file != nil {
 		_ = s.log.file.Close() // its records are synced
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/errs"
 )
 
-// WriteSnapshot makes snap the newest snapshot and sets its Number. It starts a new segment, and removes those whose
-// entries are all at or before the previous snapshot, and before keepFrom if that is not 0. Appends may run meanwhile,
-// and wait only while the segment changes. A snapshot of the node's own log must have the term of its entry. One from
-// another member removes the entries that it contradicts, and must be written before those after it are appended.
-// Failures: Invalid if snap is older than the newest snapshot, Stopped, Disk (as with Append; if IsFull holds, snap may
-// be written again). Example:
+// WriteSnapshot stores snap as the newest snapshot and sets its Number. It starts a new segment, and removes the
+// segments whose entries are all at or before the previous snapshot and, if keepFrom is not 0, before keepFrom. Appends
+// may run concurrently, and are blocked only while the new segment is started. The term of a snapshot of the node's own
+// log must be that of the entry at its index. A snapshot from another member removes the entries that it contradicts,
+// and must be written before later entries are appended. Failures: Invalid if snap is older than the newest snapshot,
+// Stopped, Disk (as with Append; if IsFull reports true, snap may be written again). Example:
 //
 //	err := store.WriteSnapshot(storage.Snapshot{Index: applied, Term: term, Meta: members, Body: state}, 0)
 func (s *Store) WriteSnapshot(snap Snapshot, keepFrom uint64) error {
@@ -25,14 +25,14 @@
 	}
 	if snap.Index < previous.Index {
 		return errs.Field(errs.Invalid, "index",
-			"image at %d, the newest snapshot is at %d", snap.Index, previous.Index)
+			"snapshot at %d is older than the newest one at %d", snap.Index, previous.Index)
 	}
 	snap.Number = previous.Number + 1
 	head, tail := encodeSnapshot(snap)
 	written, err := s.writeFile(snapshotFileNames[file], head, snap.Body, tail)
 	if IsFull(err) {
 		if removeErr := s.removeUnfinished(snapshotFileNames[file]); removeErr == nil {
-			return errs.Pass(err, "slot %d", snap.Number) // the store is as it was, and still usable
+			return errs.Pass(err, "snapshot %d", snap.Number) // the store is unchanged and still usable
 		}
 	}
 	if err == nil {
@@ -48,23 +48,24 @@
 	return nil
 }
 
-// rotate starts a new segment once the snapshot in file is durable, and removes the segments that are not needed any
-// more.
+// rotate starts a new segment after the snapshot in file has become durable, and removes the segments that are no
+// longer needed (see detachObsolete).
 func (s *Store) rotate(snap Snapshot, file int, previous, keepFrom uint64) error {
 	s.mu.Lock()
 	err := s.checkUsable()
 	if err == nil {
 		err = s.startSegmentAfter(snap, file)
 	}
-	unneeded := s.takeUnneeded(snap.Index, previous, keepFrom)
+	obsolete := s.detachObsolete(snap.Index, previous, keepFrom)
 	s.mu.Unlock()
-	for i := 0; i < len(unneeded) && err == nil; i++ { // oldest first and each synced: a crash leaves no gap
-		err = s.removeSegment(unneeded[i].number)
+	for i := 0; i < len(obsolete) && err == nil; i++ { // oldest first, each synced: a crash leaves no gap
+		err = s.removeSegment(obsolete[i].number)
 	}
-	return errs.Pass(err, "change of segment")
+	return errs.Pass(err, "rotate the log")
 }
 
-// startSegmentAfter makes snap the newest snapshot and starts a segment that begins with it. The caller holds mu.
+// startSegmentAfter makes snap the newest snapshot and starts a segment whose first record is that of snap. The caller
+// holds mu.
 func (s *Store) startSegmentAfter(snap Snapshot, file int) error {
 	s.newest, s.newestFile = Snapshot{Number: snap.Number, Index: snap.Index, Term: snap.Term}, file
 	head := s.segmentHead()
@@ -77,10 +78,10 @@
 	return nil
 }
 
-// takeUnneeded removes the segments from the log whose entries are all at or before the previous snapshot, and before
-// keepFrom if that is not 0, and returns them. What is left continues the previous snapshot, in case the newest one is
-// damaged. The caller holds mu.
-func (s *Store) takeUnneeded(newest, previous, keepFrom uint64) []segment {
+// detachObsolete removes the segments whose entries are all at or before the previous snapshot and, if keepFrom is not
+// 0, before keepFrom. It returns them; their files are not removed yet. The remaining log continues the previous
+// snapshot, in case the newest one is damaged. The caller holds mu.
+func (s *Store) detachObsolete(newest, previous, keepFrom uint64) []segment {
 	segments, n := s.log.segments, 0
 	for n < len(segments)-1 && segments[n].lastEntry <= previous &&
 		(keepFrom == 0 || segments[n].lastEntry < keepFrom) {
@@ -93,13 +94,13 @@
 	return segments[:n]
 }
 
-// NewestSnapshot reads the newest snapshot from the disk. Failures: Unknown if none was ever written, Damaged, Disk.
+// NewestSnapshot reads the newest snapshot from the disk. Failures: Unknown if none has been written, Damaged, Disk.
 func (s *Store) NewestSnapshot() (Snapshot, error) {
 	s.mu.Lock()
 	name, number := snapshotFileNames[s.newestFile], s.newest.Number
 	s.mu.Unlock()
 	if number == 0 {
-		return Snapshot{}, errs.New(errs.Unknown, "no snapshot was written yet")
+		return Snapshot{}, errs.New(errs.Unknown, "no snapshot has been written yet")
 	}
 	content, err := readFile(s.disk, name)
 	if err != nil {
@@ -110,7 +111,7 @@
 		return Snapshot{}, errs.Pass(err, "read %s", name)
 	}
 	if snap.Number < number {
-		return Snapshot{}, errs.New(errs.Damaged, "%s holds number %d, not %d", name, snap.Number, number)
+		return Snapshot{}, errs.New(errs.Damaged, "%s has snapshot number %d, expected %d", name, snap.Number, number)
 	}
 	return snap, nil
 }
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/errs"
 )
 
-// Snapshot is the whole state after the entry at Index, of Term.
+// Snapshot is the complete state after the entry with the given Index and Term.
 type Snapshot struct {
 	Number      uint64 // counts the snapshots of the folder from 1; set by the store
 	Index, Term uint64
@@ -14,7 +14,7 @@
 	Body        []byte // the caller's encoded state
 }
 
-// record returns the record for the log that names the snapshot as the newest one.
+// record returns the log record that marks the snapshot as the newest one.
 func (snap Snapshot) record() Record {
 	return Record{Kind: kindSnapshot, Index: snap.Index, Term: snap.Term}
 }
@@ -26,7 +26,7 @@
 	snapshotChecksumSize = 8  // xxhash of everything before it
 )
 
-// encodeSnapshot returns what precedes and what follows the body in a snapshot's file: the body is not copied.
+// encodeSnapshot returns the parts of a snapshot's file before and after the body, so that the body is not copied.
 func encodeSnapshot(snap Snapshot) (head, tail []byte) {
 	head = append(head, snapshotMagic...)
 	for _, v := range []uint64{snap.Number, snap.Index, snap.Term, uint64(len(snap.Meta)), uint64(len(snap.Body))} {
@@ -39,20 +39,20 @@
 	return head, byteOrder.AppendUint64(nil, checksum.Sum64())
 }
 
-// decodeSnapshot decodes and checks the content of a snapshot's file. Meta and Body are parts of content. Failure:
+// decodeSnapshot decodes and validates the content of a snapshot's file. Meta and Body are slices of content. Failure:
 // Damaged.
 func decodeSnapshot(content []byte) (Snapshot, error) {
 	if len(content) < snapshotHeaderSize+snapshotChecksumSize || string(content[:8]) != snapshotMagic {
-		return Snapshot{}, errs.New(errs.Damaged, "no slot in %d bytes", len(content))
+		return Snapshot{}, errs.New(errs.Damaged, "not a snapshot: %d bytes, too short or bad magic", len(content))
 	}
 	end := len(content) - snapshotChecksumSize
 	if xxhash.Sum64(content[:end]) != byteOrder.Uint64(content[end:]) {
-		return Snapshot{}, errs.New(errs.Damaged, "the slot's sum is wrong")
+		return Snapshot{}, errs.New(errs.Damaged, "snapshot checksum mismatch")
 	}
 	rest := content[snapshotHeaderSize:end]
 	metaSize, bodySize := byteOrder.Uint64(content[32:]), byteOrder.Uint64(content[40:])
 	if metaSize > uint64(len(rest)) || bodySize != uint64(len(rest))-metaSize {
-		return Snapshot{}, errs.New(errs.Damaged, "the slot's lengths are wrong")
+		return Snapshot{}, errs.New(errs.Damaged, "snapshot lengths do not match the file size")
 	}
 	return Snapshot{
 		Number: byteOrder.Uint64(content[8:]),
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,18 +1,19 @@
-// Package storage is the durable storage of the control store in one folder: a write-ahead log in segments, and the
-// newest two snapshots of the whole state in two files that are written in turn.
+// Package storage implements the durable storage of the control store in one folder: a segmented write-ahead log, and
+// the newest two snapshots of the complete state in two files that are written alternately.
 //
-// Open returns the durable state (Recovered). Then the owner calls Append for each group of records, and WriteSnapshot
-// from time to time, which also removes segments that are not needed any more. The package knows nothing of consensus:
-// the Data of an entry and of the hard state is opaque to it, and it never decides what to store or when.
+// Open returns the durable state (Recovered). Then the owner calls Append for each group of records, and periodically
+// WriteSnapshot, which also removes obsolete segments. The package is independent of the consensus protocol: the Data
+// of an entry and of the hard state is opaque to it, and the owner decides what to store and when.
 //
-// Only synced data counts. Each file is written and synced under a temporary name and then renamed. Only the last
-// segment is appended to in place, so a torn write can be nowhere else: anything else that is invalid is errs.Damaged,
-// and the folder must not be used as a member's disk any more. After a failed sync a Store stays unusable, as what the
-// sync left behind is unknown. After a write that found the disk full, Resume makes it usable again.
+// Only synced data counts as stored. Each file is written and synced under a temporary name and then renamed. Only the
+// last segment is appended to in place, so a torn write can only be at its end. Any other invalid data is reported as
+// errs.Damaged, and the folder must then no longer be used as a member's disk. After a failed sync a Store stays
+// unusable, as it is unknown which data is durable. After a write that failed because the disk was full, Resume makes
+// the Store usable again.
 //
-// Begin to read at open.go (how a folder is recovered) and append.go. snapshot.go writes and reads snapshots; record.go
-// and snapshotfile.go have the formats, logstate.go the meaning of a sequence of records. disk.go has the interface of
-// a folder; osdisk.go and memdisk.go implement it.
+// Start reading at open.go (recovery of a folder) and append.go. snapshot.go writes and reads snapshots; record.go and
+// snapshotfile.go define the formats, logstate.go the meaning of a sequence of records. disk.go has the interface of a
+// folder; osdisk.go and memdisk.go implement it.
 package storage
 
 import (
@@ -25,21 +26,21 @@
 
 // Options are the settings of a Store.
 type Options struct {
-	Clock clock.Clock // times the syncs for Stats; default clock.Real
+	Clock clock.Clock // measures the duration of syncs for Stats; default clock.Real
 }
 
-// Stats are counters and times since Open.
+// Stats are counters and durations since Open.
 type Stats struct {
 	Syncs       uint64
 	Bytes       uint64        // written to all files
 	Records     uint64        // appended
 	Snapshots   uint64        // written
-	Segments    uint64        // in the folder now
-	LastSync    time.Duration // how long the sync of the last Append took
-	LongestSync time.Duration // how long the longest sync of an Append took
+	Segments    uint64        // currently in the folder
+	LastSync    time.Duration // duration of the sync in the last Append
+	LongestSync time.Duration // duration of the longest sync in an Append
 }
 
-// Store is the log and the snapshots in an open folder. It is safe for concurrent use.
+// Store manages the log and the snapshots in a folder. It is safe for concurrent use.
 type Store struct {
 	disk  Disk
 	clock clock.Clock
@@ -48,9 +49,9 @@
 
 	mu         sync.Mutex // guards the fields below; not held while the body of a snapshot is written
 	log        appendLog
-	buf        []byte   // of Append, kept to avoid allocations
+	buf        []byte   // buffer of Append, reused to avoid allocations
 	newest     Snapshot // the newest snapshot, without Meta and Body; Number 0: none
-	newestFile int      // its index in snapshotFileNames; the other file is the next to be written
+	newestFile int      // index of its file in snapshotFileNames; the other file is written next
 	failure    error    // the first error of a write or sync since Open or Resume; nil: the store is usable
 	closed     bool     // Close was called
 
@@ -58,7 +59,7 @@
 	stats   Stats
 }
 
-// appendLog is the log that a Store appends to; its owner is Store.
+// appendLog is the log that a Store appends to. It is owned by Store.
 type appendLog struct {
 	file     File      // the last segment
 	size     int       // its length in bytes
@@ -66,7 +67,7 @@
 	state    logState  // its entries have no Data
 }
 
-// active returns the last segment, to which Append writes.
+// active returns the last segment, the one that Append writes to.
 func (l *appendLog) active() *segment { return &l.segments[len(l.segments)-1] }
 
 // Stats returns the counters since Open.
@@ -81,17 +82,18 @@
 	return stats
 }
 
-// updateStats runs update on the stats, under their mutex.
+// updateStats calls update on the stats while holding their mutex.
 func (s *Store) updateStats(update func(stats *Stats)) {
 	s.statsMu.Lock()
 	defer s.statsMu.Unlock()
 	update(&s.stats)
 }
 
-// checkUsable returns the error for a write that the store must reject, nil if it may write. The caller holds mu.
+// checkUsable returns nil if the store may be written to, or the error with which it must reject a write. The caller
+// holds mu.
 func (s *Store) checkUsable() error {
 	if s.failure != nil {
-		return errs.Wrap(s.failure, errs.Disk, "the store failed before")
+		return errs.Wrap(s.failure, errs.Disk, "the store is unusable after an earlier failure")
 	}
 	if s.closed {
 		return errs.New(errs.Stopped, "the store is closed")
@@ -99,7 +101,8 @@
 	return nil
 }
 
-// markFailed makes the store unusable after err; Resume is possible if IsFull holds for it. The caller holds mu.
+// markFailed makes the store unusable after err. Resume is possible if IsFull reports true for err. The caller holds
+// mu.
 func (s *Store) markFailed(err error) error {
 	if s.failure == nil {
 		s.failure = err
@@ -107,8 +110,8 @@
 	return errs.Wrap(err, errs.Disk, "the store failed")
 }
 
-// Close closes the store, once a WriteSnapshot that runs has returned. All that was appended is durable already. Later
-// writes fail as errs.Stopped; a second Close does nothing.
+// Close waits for a running WriteSnapshot and closes the store. Appended records are already durable. Later writes fail
+// with errs.Stopped; a second Close has no effect.
 func (s *Store) Close() error {
 	s.snapshotMu.Lock()
 	defer s.snapshotMu.Unlock()
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -16,26 +16,28 @@
 
 var virtual = Options{Clock: &clock.Virtual{}}
 
+// entry returns an entry record whose Data is unique for its term and index.
 func entry(term, index uint64) Record {
 	return Record{Kind: uint8(index % 3), Term: term, Index: index, Data: fmt.Appendf(nil, "%d/%d;", term, index)}
 }
 
-func hard(term uint64) Record {
+// hardState returns a hard state record whose Data is unique for the term.
+func hardState(term uint64) Record {
 	return Record{Kind: KindHardState, Data: fmt.Appendf(nil, "vote %d", term)}
 }
 
-// model is what a store must have.
+// model is the expected content of a store.
 type model struct {
-	hard    []byte
-	entries []Record // from index 1 on
+	hardState []byte   // Data of the hard state; nil: none
+	entries   []Record // from index 1 on
 }
 
-// with returns the model after an Append of records.
+// with returns the model after records are appended.
 func (m model) with(records ...Record) model {
 	m.entries = slices.Clone(m.entries)
 	for _, r := range records {
 		if r.Kind == KindHardState {
-			m.hard = r.Data
+			m.hardState = r.Data
 		} else {
 			m.entries = append(m.entries[:r.Index-1], r)
 		}
@@ -52,11 +54,11 @@
 	return snap
 }
 
-// fits reports whether m was recovered.
-func (m model) fits(recovered Recovered) bool {
+// matches reports whether the recovered state equals the model.
+func (m model) matches(recovered Recovered) bool {
 	records, from := recovered.Records, uint64(0)
-	if m.hard != nil {
-		if len(records) == 0 || records[0].Kind != KindHardState || !bytes.Equal(records[0].Data, m.hard) {
+	if m.hardState != nil {
+		if len(records) == 0 || records[0].Kind != KindHardState || !bytes.Equal(records[0].Data, m.hardState) {
 			return false
 		}
 		records = records[1:]
@@ -72,18 +74,18 @@
 	})
 }
 
-// must returns the store of an Open that has to succeed.
-func must(s *Store, _ Recovered, err error) *Store {
+// mustOpen returns the store of an Open call, which must have succeeded.
+func mustOpen(s *Store, _ Recovered, err error) *Store {
 	So(err, ShouldBeNil)
 	return s
 }
 
-// filled returns a folder with two snapshots (at 4 and 8), entries up to 11 and a hard state.
-func filled() (*MemDisk, model) {
+// filledDisk returns a folder with two snapshots (at 4 and 8), entries up to 11 and a hard state, and its model.
+func filledDisk() (*MemDisk, model) {
 	d, m := NewMemDisk(), model{}
-	s := must(Open(d, virtual))
+	s := mustOpen(Open(d, virtual))
 	for _, at := range []uint64{1, 5, 9} {
-		records := []Record{hard(at), entry(at, at), entry(at, at+1), entry(at, at+2)}
+		records := []Record{hardState(at), entry(at, at), entry(at, at+1), entry(at, at+2)}
 		if at < 9 {
 			records = append(records, entry(at, at+3))
 		}
@@ -93,27 +95,27 @@
 		}
 	}
 	So(s.Close(), ShouldBeNil)
-	So(s.Append([]Record{hard(1)}), shouldBe, errs.Stopped)
+	So(s.Append([]Record{hardState(1)}), shouldBeKind, errs.Stopped)
 	return d, m
 }
 
-// shouldBe is an assertion on the kind of an error; empty: none.
-func shouldBe(actual any, expected ...any) string {
+// shouldBeKind is an assertion on the kind of an error; an empty kind expects no error.
+func shouldBeKind(actual any, expected ...any) string {
 	err, _ := actual.(error)
 	return ShouldEqual(errs.KindOf(err), expected[0])
 }
 
 func TestStore_realFolder(t *testing.T) {
-	Convey("In a folder of the system, what was appended is recovered, and Stats counts it", t, func() {
+	Convey("In a folder of the file system, appended records are recovered and counted by Stats", t, func() {
 		d, err := OSDisk(t.TempDir() + "/store")
 		So(err, ShouldBeNil)
 		s, recovered, err := Open(d, Options{})
 		So(err, ShouldBeNil)
 		So(recovered.Fresh, ShouldBeTrue)
 		_, err = s.NewestSnapshot()
-		So(err, shouldBe, errs.Unknown)
-		m := model{}.with(hard(1), entry(1, 1), entry(1, 2), entry(1, 3))
-		So(s.Append(append(m.entries, hard(1))), ShouldBeNil)
+		So(err, shouldBeKind, errs.Unknown)
+		m := model{}.with(hardState(1), entry(1, 1), entry(1, 2), entry(1, 3))
+		So(s.Append(append(m.entries, hardState(1))), ShouldBeNil)
 		So(s.WriteSnapshot(m.snapshot(2), 0), ShouldBeNil)
 		snap, err := s.NewestSnapshot()
 		So(err, ShouldBeNil)
@@ -122,39 +124,39 @@
 		So(s.Append([]Record{entry(2, 3), entry(2, 4)}), ShouldBeNil) // replaces 1/3
 		So(s.Stats().Records, ShouldEqual, 6)
 		So(s.Stats().Segments, ShouldEqual, 2)
-		So(s.Append([]Record{entry(2, 6)}), shouldBe, errs.Invalid)
-		So(s.Append([]Record{entry(2, 2)}), shouldBe, errs.Invalid)
-		So(s.WriteSnapshot(m.snapshot(1), 0), shouldBe, errs.Invalid)
+		So(s.Append([]Record{entry(2, 6)}), shouldBeKind, errs.Invalid)
+		So(s.Append([]Record{entry(2, 2)}), shouldBeKind, errs.Invalid)
+		So(s.WriteSnapshot(m.snapshot(1), 0), shouldBeKind, errs.Invalid)
 		So(s.Close(), ShouldBeNil)
 		s, recovered, err = Open(d, Options{})
 		So(err, ShouldBeNil)
 		So(recovered.Fresh, ShouldBeFalse)
-		So(m.with(entry(2, 3), entry(2, 4)).fits(recovered), ShouldBeTrue)
+		So(m.with(entry(2, 3), entry(2, 4)).matches(recovered), ShouldBeTrue)
 		So(s.Close(), ShouldBeNil)
 	})
 }
 
 func TestWriteSnapshot_ofAnotherMember(t *testing.T) {
-	Convey("A snapshot from another member removes what it contradicts, and only that", t, func() {
-		d, m := filled()
-		s := must(Open(d, virtual))
+	Convey("A snapshot from another member removes only the entries that it contradicts", t, func() {
+		d, m := filledDisk()
+		s := mustOpen(Open(d, virtual))
 		So(s.WriteSnapshot(Snapshot{Index: 10, Term: 20, Body: []byte("theirs")}, 0), ShouldBeNil)
-		So(s.Append([]Record{entry(20, 12)}), shouldBe, errs.Invalid)
+		So(s.Append([]Record{entry(20, 12)}), shouldBeKind, errs.Invalid)
 		So(s.Append([]Record{entry(20, 11)}), ShouldBeNil)
 		_, recovered, err := Open(d, virtual)
 		So(err, ShouldBeNil)
 		So(recovered.Snapshot.Number, ShouldEqual, 3)
-		So(recovered.Records, ShouldResemble, []Record{{Kind: KindHardState, Data: m.hard}, entry(20, 11)})
-		d.flip(snapshotFileNames[0], 60, 1) // that snapshot; the log cannot replace it
+		So(recovered.Records, ShouldResemble, []Record{{Kind: KindHardState, Data: m.hardState}, entry(20, 11)})
+		d.flip(snapshotFileNames[0], 60, 1) // damages that snapshot, which the log cannot replace
 		_, _, err = Open(d, virtual)
-		So(err, shouldBe, errs.Damaged)
+		So(err, shouldBeKind, errs.Damaged)
 	})
 }
 
 func TestWriteSnapshot_keepFrom(t *testing.T) {
-	Convey("Segments with entries from keepFrom on stay until a later snapshot without it", t, func() {
-		d, m := filled()
-		s := must(Open(d, virtual))
+	Convey("Segments with entries from keepFrom on are kept until a later snapshot without keepFrom", t, func() {
+		d, m := filledDisk()
+		s := mustOpen(Open(d, virtual))
 		So(s.WriteSnapshot(m.snapshot(11), 6), ShouldBeNil)
 		So(s.Stats().Segments, ShouldEqual, 3)
 		So(s.WriteSnapshot(m.snapshot(11), 0), ShouldBeNil)
@@ -163,12 +165,12 @@
 }
 
 func TestStore_concurrentUse(t *testing.T) {
-	Convey("Appends and snapshots may run at the same time", t, func() {
+	Convey("Appends and snapshots may run concurrently", t, func() {
 		d, m := NewMemDisk(), model{}
 		for i := uint64(1); i <= 300; i++ {
 			m = m.with(entry(1, i))
 		}
-		s := must(Open(d, virtual))
+		s := mustOpen(Open(d, virtual))
 		So(s.Append(m.entries[:100]), ShouldBeNil)
 		group, failures := routine.New(context.Background()), make([]error, 2)
 		group.Go(func(context.Context) {
@@ -186,6 +188,6 @@
 		_, recovered, err := Open(d, virtual)
 		So(err, ShouldBeNil)
 		So(recovered.Snapshot.Index, ShouldEqual, 100)
-		So(m.fits(recovered), ShouldBeTrue)
+		So(m.matches(recovered), ShouldBeTrue)
 	})
 }
