--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/storage"
 )
 
-// bootstrapDecision is what to do with an empty folder, decided from the answers of other nodes.
+// bootstrapDecision says how a node with an empty folder proceeds, according to the answers of other nodes.
 type bootstrapDecision uint8
 
 const (
@@ -28,12 +28,12 @@
 	settingsDiffer // nodes disagree on the bootstrap members
 )
 
-// decideBootstrap decides from the answers of the other members, by ID. If all of them are fresh it also returns their
-// incarnations; before are those of the last round. Two such rounds in a row are needed: the first shows which
-// processes run, the second that none of them had campaigned by then. So no earlier incarnation of any of them has
-// voted, and each may be listed as a bootstrap member.
+// decideBootstrap decides by the answers of the other members, keyed by ID. If all of them are fresh it also returns
+// their incarnations; previous holds those of the previous round. A bootstrap needs two such rounds in a row with the
+// same incarnations: the first shows which processes run, the second that none of them had campaigned by then. So no
+// earlier incarnation of any of them has voted, and each may be listed as a bootstrap member.
 func decideBootstrap(name, incarnation, digest string, members int, answers map[string]internalapi.DiscoverAnswer,
-	before map[string]string,
+	previous map[string]string,
 ) (bootstrapDecision, map[string]string) {
 	incarnations, isListed, allFresh := map[string]string{}, false, true
 	for id, a := range answers {
@@ -55,15 +55,15 @@
 	if !allFresh || len(answers) < members-1 {
 		return undecided, nil
 	}
-	if !maps.Equal(before, incarnations) {
+	if !maps.Equal(previous, incarnations) {
 		return undecided, incarnations
 	}
 	return mayBootstrap, incarnations
 }
 
 // decideOpenBootstrap is decideBootstrap for an open fleet, where settings may differ between nodes: only seeds that
-// bootstrap together must have the same seeds. answers are by address.
-func (s *Store) decideOpenBootstrap(answers map[string]internalapi.DiscoverAnswer, before map[string]string) (
+// bootstrap together must have the same list of seeds. answers are keyed by address.
+func (s *Store) decideOpenBootstrap(answers map[string]internalapi.DiscoverAnswer, previous map[string]string) (
 	bootstrapDecision, map[string]string,
 ) {
 	digest := s.digest()
@@ -85,15 +85,15 @@
 	}
 	for id, a := range seedAnswers {
 		if !a.Fresh {
-			a.Digest = digest // one that is not fresh only prevents a bootstrap; its seeds do not matter
+			a.Digest = digest // it prevents a bootstrap anyway, so a different list of seeds does not matter
 			seedAnswers[id] = a
 		}
 	}
-	return decideBootstrap(s.settings.Name, s.incarnation, digest, len(s.settings.Members), seedAnswers, before)
+	return decideBootstrap(s.settings.Name, s.incarnation, digest, len(s.settings.Members), seedAnswers, previous)
 }
 
-// bootstrap starts a new fleet: its first snapshot is the empty state at index 1. incarnations are those of the other
-// members that were found fresh, see membership.bootstrapped.
+// bootstrap creates a new fleet, whose first snapshot is the empty state at index 1, and starts the core. incarnations
+// holds those of the other members that were fresh, see membership.bootstrapped.
 func (s *Store) bootstrap(incarnations map[string]string) error {
 	members := make([]raft.Member, len(s.settings.Members))
 	for i, m := range s.settings.Members {
@@ -108,7 +108,7 @@
 	}
 	meta, err := json.Marshal(initial.Snapshot)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "encode the meta of the first snapshot")
+		return errs.Wrap(err, errs.Internal, "encode the metadata of the first snapshot")
 	}
 	image := storage.Snapshot{Number: 1, Index: empty.Index, Term: empty.Term, Meta: meta, Body: body}
 	if err := s.storage.WriteSnapshot(image, 0); err != nil {
@@ -118,15 +118,16 @@
 	s.id, s.membership.bootstrapped = s.settings.Name, incarnations
 	s.mu.Unlock()
 	_ = level.Info(s.logger).Log("msg", "fleet bootstrapped", "members", len(members))
-	hard, err := json.Marshal(initial.HardState)
+	hardState, err := json.Marshal(initial.HardState)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode the hard state")
 	}
-	records := []storage.Record{{Kind: storage.KindHardState, Data: hard}}
+	records := []storage.Record{{Kind: storage.KindHardState, Data: hardState}}
 	return errs.Pass(s.startCore(storage.Recovered{Snapshot: &image, Records: records}), "start the core")
 }
 
-// BootstrapStatus answers internalapi.Discover: what this node knows of the fleet, and whether its own folder is fresh.
+// BootstrapStatus answers internalapi.Discover: whether this node's folder is fresh, and the leader, the members and
+// the commit index that it knows.
 func (s *Store) BootstrapStatus(internalapi.DiscoverCall) internalapi.DiscoverAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +137,8 @@
 	if s.core != nil {
 		status := s.core.Status()
 		answer.Term, answer.Leader = status.Term, status.LeaderAddr
-		// The process that bootstrapped the fleet answers with the seeds in its settings, any later one with the
-		// committed members.
+		// The process that bootstrapped the fleet answers with the digest of the seeds in its settings, any later
+		// process with that of the committed members.
 		if answer.MembersAt, answer.Members = s.core.CommittedMembers(); s.settings.OpenMembership &&
 			s.membership.bootstrapped == nil {
 			answer.Digest = digestOf(seedsOf(answer.Members))
@@ -148,10 +149,10 @@
 	return answer
 }
 
-// digest returns the digest of the bootstrap members in the settings, which must be the same on all of them.
+// digest returns the digest of the bootstrap members in the settings, which must be equal on all of them.
 func (s *Store) digest() string { return digestOf(s.settings.Members) }
 
-// digestOf returns a digest of members that does not depend on their order.
+// digestOf returns a digest of members that is independent of their order.
 func digestOf(members []config.Member) string {
 	lines := make([]string, len(members))
 	for i, m := range members {
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -22,7 +22,7 @@
 		want    bootstrapDecision
 	}{
 		{"no other member answers", nil, undecided},
-		{"one of two is fresh", []internalapi.DiscoverAnswer{fresh}, undecided},
+		{"only one of the two answers, and is fresh", []internalapi.DiscoverAnswer{fresh}, undecided},
 		{"both are fresh", []internalapi.DiscoverAnswer{fresh, fresh}, mayBootstrap},
 		{"one has a commit", []internalapi.DiscoverAnswer{fresh, {Commit: 2}}, fleetExists},
 		{"the only one has commits", []internalapi.DiscoverAnswer{{Commit: 900}}, fleetExists},
@@ -30,7 +30,7 @@
 		{"one lists this process as a bootstrap member", []internalapi.DiscoverAnswer{listing("boot")}, mayBootstrap},
 		{"one lists an earlier incarnation", []internalapi.DiscoverAnswer{listing("earlier")}, fleetExists},
 	} {
-		Convey("When "+c.when+", an empty folder is decided on accordingly", t, func() {
+		Convey("When "+c.when+", a node with an empty folder decides as expected", t, func() {
 			answers := map[string]internalapi.DiscoverAnswer{}
 			isListed := false
 			for i, a := range c.answers {
@@ -38,8 +38,8 @@
 				answers[fmt.Sprint("c", i+2)] = a
 				isListed = isListed || a.BootstrapIncarnations != nil
 			}
-			before := map[string]string{"c2": "p", "c3": "p"}
-			decision, incarnations := decideBootstrap("c1", "boot", "d", 3, answers, before)
+			previous := map[string]string{"c2": "p", "c3": "p"}
+			decision, incarnations := decideBootstrap("c1", "boot", "d", 3, answers, previous)
 			So(decision, ShouldEqual, c.want)
 			So(decision == mayBootstrap && !isListed, ShouldEqual, incarnations != nil)
 		})
@@ -145,20 +145,20 @@
 	hasVoted := internalapi.DiscoverAnswer{Commit: 1, Digest: s.digest()}
 	for _, c := range []struct {
 		when    string
-		answers []internalapi.DiscoverAnswer // of the seeds c2 and c3, and of c4, which is no seed
+		answers []internalapi.DiscoverAnswer // of the seeds c2 and c3, and of c4, which is not a seed
 		want    bootstrapDecision
 	}{
 		{"all seeds are fresh", []internalapi.DiscoverAnswer{fresh, fresh}, mayBootstrap},
 		{"the seeds differ", []internalapi.DiscoverAnswer{fresh, otherSeeds}, settingsDiffer},
-		{"a seed has commits", []internalapi.DiscoverAnswer{fresh, committed}, fleetExists}, // its seeds do not matter
+		{"a seed has commits", []internalapi.DiscoverAnswer{fresh, committed}, fleetExists}, // whatever its seeds are
 		{"a seed has commits and the seeds differ", []internalapi.DiscoverAnswer{otherSeeds, committed}, fleetExists},
-		{"a node that is no seed has commits", []internalapi.DiscoverAnswer{fresh, fresh, committed}, fleetExists},
+		{"a node that is not a seed has commits", []internalapi.DiscoverAnswer{fresh, fresh, committed}, fleetExists},
 		{"a seed may not bootstrap", []internalapi.DiscoverAnswer{fresh, mayNotBootstrap}, undecided},
 		{"a seed has voted", []internalapi.DiscoverAnswer{fresh, hasVoted}, undecided},
 		{"a seed lists this process", []internalapi.DiscoverAnswer{fresh, listing(s.digest())}, mayBootstrap},
 		{"a seed with other seeds lists it", []internalapi.DiscoverAnswer{fresh, listing("other")}, fleetExists},
 	} {
-		Convey("When "+c.when+", an empty folder of an open fleet is decided on accordingly", t, func() {
+		Convey("When "+c.when+", a node of an open fleet with an empty folder decides as expected", t, func() {
 			answers := map[string]internalapi.DiscoverAnswer{}
 			for i, a := range c.answers {
 				answers[fmt.Sprint("c", i+2)] = a
@@ -167,7 +167,7 @@
 			So(decision, ShouldEqual, c.want)
 		})
 	}
-	Convey("The first round in which all seeds are fresh decides nothing", t, func() {
+	Convey("After the first round in which all seeds are fresh, the decision is still open", t, func() {
 		answers := map[string]internalapi.DiscoverAnswer{"c2": fresh, "c3": fresh}
 		decision, _ := s.decideOpenBootstrap(answers, nil)
 		So(decision, ShouldEqual, undecided)
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// discardFile marks a folder whose contents must not be used any more. It is removed last, after the folder got a
-	// new ID, so that a crash in between never leaves an empty folder that could bootstrap a fleet. It holds the
-	// addresses of other nodes, one per line.
+	// discardFile marks a folder whose contents must no longer be used. It is removed last, after the new ID of the
+	// folder is written, so that a crash in between never leaves an empty folder, which could bootstrap a fleet. It
+	// holds the addresses of other nodes, one per line.
 	discardFile = "discard"
-	// peersFile keeps the addresses from discardFile, for the new incarnation to ask.
+	// peersFile keeps the addresses from discardFile: the new incarnation asks these nodes for the leader.
 	peersFile = "peers"
 )
 
-// Discard durably marks the contents of a folder as invalid, because it is damaged or its member was removed. The next
-// Open deletes them and starts as a new incarnation, which asks the nodes at the given addresses, besides its seeds, to
-// join. Failure: Disk.
+// Discard durably marks the contents of a folder as invalid, because they are damaged or the node was removed from the
+// members. The next Open deletes them and starts as a new incarnation, which looks for the leader at the given
+// addresses besides its seeds. Failure: Disk.
 func Discard(d storage.Disk, addresses ...string) error {
 	names, err := d.List()
 	if err != nil {
@@ -30,15 +30,16 @@
 	if slices.Contains(names, discardFile) {
 		return errs.Pass(d.Sync(), "sync") // an earlier Discard may have crashed before its sync
 	}
-	return errs.Pass(writeFile(d, discardFile, strings.Join(addresses, "\n")), "mark the folder")
+	return errs.Pass(writeFile(d, discardFile, strings.Join(addresses, "\n")), "mark the folder as discarded")
 }
 
-// finishDiscard deletes the contents of a folder that Discard marked, and gives it a new ID. Otherwise it does nothing.
+// finishDiscard deletes the contents of a folder that Discard marked, and writes a new ID to it. It leaves any other
+// folder as it is.
 func (s *Store) finishDiscard() error {
 	disk := s.opt.Disk
 	peers, marked, err := readFile(disk, discardFile)
 	if err != nil || !marked {
-		return errs.Pass(err, "read the mark")
+		return errs.Pass(err, "read the discard mark")
 	}
 	if err := storage.Clear(disk); err != nil {
 		return errs.Pass(err, "clear")
@@ -48,16 +49,16 @@
 	}
 	id := s.newID()
 	if err := writeFile(disk, idFile, id); err != nil {
-		return errs.Pass(err, "write the new id")
+		return errs.Pass(err, "write the new ID")
 	}
 	if err := disk.Remove(discardFile); err != nil {
-		return errs.Pass(err, "remove the mark")
+		return errs.Pass(err, "remove the discard mark")
 	}
-	_ = level.Warn(s.logger).Log("msg", "old contents of the folder removed: joining anew", "id", id)
+	_ = level.Warn(s.logger).Log("msg", "discarded folder cleared, rejoining with a new ID", "id", id)
 	return errs.Pass(disk.Sync(), "sync")
 }
 
-// loadPeerAddresses loads the addresses that were known before the folder's contents were discarded.
+// loadPeerAddresses loads the addresses of other nodes that Discard stored, if any.
 func (s *Store) loadPeerAddresses() error {
 	peers, _, err := readFile(s.opt.Disk, peersFile)
 	s.rememberAddresses(strings.Fields(peers)...)
--- a/internal/store/discard_test.go
+++ b/internal/store/discard_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestDiscard_survivesPowerLoss(t *testing.T) {
-	Convey("A discarded folder never bootstraps and never keeps its ID, wherever the power fails on the way", t, func() {
+	Convey("A discarded folder never bootstraps and never keeps its ID, at whichever write the power fails", t, func() {
 		newFolder := func() *storage.MemDisk {
 			d := storage.NewMemDisk()
 			So(writeFile(d, idFile, "c1~old"), ShouldBeNil)
@@ -28,12 +28,12 @@
 		open := func(d storage.Disk) (*Store, error) {
 			return Open(Options{Settings: settings, Disk: d, Net: testNet{}, Fatal: func(error) {}})
 		}
-		for at := 1; ; at++ {
+		for failAt := 1; ; failAt++ { // the write to the disk at which the power fails
 			d := newFolder()
 			So(Discard(d, "c7", "c8"), ShouldBeNil)
-			d.PowerOff(at)
+			d.PowerOff(failAt)
 			_, err := open(d)
-			d.Crash(rand.New(rand.NewSource(int64(at))))
+			d.Crash(rand.New(rand.NewSource(int64(failAt))))
 			s, reopenErr := open(d)
 			So(reopenErr, ShouldBeNil)
 			So(s.id, ShouldStartWith, "c1~")
@@ -42,17 +42,17 @@
 			So(s.addresses(), ShouldResemble, []string{"c2", "c7", "c8"})
 			So(s.BootstrapStatus(internalapi.DiscoverCall{}).Fresh, ShouldBeFalse)
 			if err == nil {
-				So(at, ShouldBeGreaterThan, 8)
+				So(failAt, ShouldBeGreaterThan, 8)
 				break
 			}
 		}
-		for at := 1; at < 20; at++ { // while the mark is written
+		for failAt := 1; failAt < 20; failAt++ { // the power fails while Discard writes the mark
 			d := newFolder()
-			d.PowerOff(at)
+			d.PowerOff(failAt)
 			if Discard(d) == nil {
 				break
 			}
-			d.Crash(rand.New(rand.NewSource(int64(at))))
+			d.Crash(rand.New(rand.NewSource(int64(failAt))))
 			So(Discard(d), ShouldBeNil)
 			s, err := open(d)
 			So(err, ShouldBeNil)
--- a/internal/store/discovery.go
+++ b/internal/store/discovery.go
@@ -14,20 +14,20 @@
 
 const maxKnownAddresses = 64 // learned from other nodes
 
-// jitter returns d, longer or shorter by up to a quarter, so that nodes of an open fleet that were started together do
-// not send their calls at the same moments.
+// jitter returns d, randomly lengthened or shortened by up to a quarter, so that nodes of an open fleet that were
+// started together do not all send their calls at the same moment.
 func jitter(d time.Duration) time.Duration { return d - d/4 + rand.N(d/2) }
 
-// LearnAddresses adds addresses, such as new seeds, at which a node of an open fleet may ask for the fleet. They never
-// change which members it bootstraps with.
+// LearnAddresses adds addresses, such as new seeds, at which a node of an open fleet may look for the fleet. They do
+// not affect which members it bootstraps with.
 func (s *Store) LearnAddresses(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rememberAddresses(addresses...)
 }
 
-// rememberAddresses adds addresses of other nodes, up to maxKnownAddresses; in a fixed fleet it does nothing. s.mu must
-// be held.
+// rememberAddresses adds addresses of other nodes, up to maxKnownAddresses. It has no effect in a fixed fleet. s.mu
+// must be held.
 func (s *Store) rememberAddresses(addresses ...string) {
 	if !s.settings.OpenMembership {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// addresses returns the addresses of all other nodes that may know the fleet, sorted: seeds, members and learned ones.
+// addresses returns the sorted addresses of all other known nodes: seeds, members and those learned from other nodes.
 func (s *Store) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,12 +111,12 @@
 	return answers
 }
 
-// findLeader asks other nodes for the leader's address and returns the one of the newest term, "" if none is known.
+// findLeader asks other nodes for the leader's address and returns that of the newest term, or "" if none is known.
 func (s *Store) findLeader(ctx context.Context) (leader string) {
 	newestTerm := uint64(0)
-	knows := func(a internalapi.DiscoverAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
-	for _, a := range s.askKnownNodes(ctx, knows) {
-		if knows(a) && (leader == "" || a.Term > newestTerm) {
+	knowsLeader := func(a internalapi.DiscoverAnswer) bool { return a.Leader != "" && a.Leader != s.settings.Addr }
+	for _, a := range s.askKnownNodes(ctx, knowsLeader) {
+		if knowsLeader(a) && (leader == "" || a.Term > newestTerm) {
 			leader, newestTerm = a.Leader, a.Term
 		}
 	}
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -16,7 +16,7 @@
 
 const (
 	joinInterval  = 50 * time.Millisecond // between calls to join an open fleet
-	maxLearnerLag = 1000                  // entries; a learner within it of the leader's last entry has caught up
+	maxLearnerLag = 1000                  // entries; a learner at most this far behind the leader has caught up
 )
 
 // joinCall returns this node's request to join the fleet.
@@ -24,8 +24,8 @@
 	return internalapi.JoinCall{ID: s.id, Name: s.settings.Name, Addr: s.settings.Addr, Zone: s.settings.Zone}
 }
 
-// joinFleet is the goroutine that asks the leader to join a fixed fleet, until this node is a voter. The leader is
-// found through any member.
+// joinFleet is the goroutine that asks the leader of a fixed fleet to add this node, until it is a voter. Any member's
+// answer names the leader.
 func (s *Store) joinFleet(ctx context.Context) {
 	call := s.joinCall()
 	for i := 0; ; i++ {
@@ -39,7 +39,7 @@
 		if addr == "" {
 			addr = s.settings.Members[i%len(s.settings.Members)].Addr
 		}
-		pause := retryInterval
+		backoff := retryInterval
 		if addr != s.settings.Addr {
 			a, err := s.opt.Net.Join(ctx, addr, call)
 			if errs.Is(err, errs.NotLeader) && errs.Of(err).Hint != "" {
@@ -48,10 +48,10 @@
 			if err != nil {
 				_ = level.Debug(s.logger).Log("msg", "join failed", "err", err)
 			} else {
-				pause = max(a.RetryAfter, pollInterval)
+				backoff = max(a.RetryAfter, pollInterval)
 			}
 		}
-		if !s.sleep(ctx, pause) {
+		if !s.sleep(ctx, backoff) {
 			return
 		}
 	}
@@ -90,15 +90,15 @@
 	}
 }
 
-// isCommittedVoter reports whether this node is a voter in the committed member set; a newer set in its log may be
-// undone. s.mu must be held.
+// isCommittedVoter reports whether this node is a voter in the committed member set. A newer set in its log does not
+// count, as it may still be overwritten. s.mu must be held.
 func (s *Store) isCommittedVoter() bool {
 	_, members := s.core.CommittedMembers()
 	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == s.id && !m.Learner })
 }
 
 // askToJoin asks the leader to bring this node one step closer to being a voter. Failures: those of the call; Stale if
-// this node was removed: its folder must be discarded.
+// this node was removed and must discard its folder.
 func (s *Store) askToJoin(ctx context.Context, leader string, call internalapi.JoinCall) error {
 	a, err := s.opt.Net.Join(ctx, leader, call)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Join brings a node that lost its folder, or a new one, one step closer to being a voter. The steps are: it becomes a
+// Join brings a new node, or one that lost its folder, one step closer to being a voter. The steps are: it becomes a
 // learner; its earlier incarnation is removed; it becomes a voter.
 //
 // The removal goes first, although promoting first would be allowed too. The earlier incarnation is certainly dead:
@@ -123,8 +123,8 @@
 func (s *Store) Join(ctx context.Context, call internalapi.JoinCall) (internalapi.JoinAnswer, error) {
 	name, incarnation, ok := strings.Cut(call.ID, "~")
 	if !ok || name != call.Name || name == "" || incarnation == "" || call.Addr == "" {
-		return internalapi.JoinAnswer{}, errs.Field(errs.Invalid, "id", "%q is not of %q with an incarnation",
-			call.ID, call.Name)
+		return internalapi.JoinAnswer{}, errs.Field(errs.Invalid, "id",
+			"%q must be the name %q, ~ and an incarnation, and have an address", call.ID, call.Name)
 	}
 	s.mu.Lock()
 	err := s.checkLeader()
@@ -162,32 +162,32 @@
 	return answer, errs.Pass(s.promoteLearner(ctx, plan), "promote")
 }
 
-// checkNameKnown rejects a node whose name neither the members nor the settings of a fixed fleet have. Failure:
+// checkNameKnown rejects a node of a fixed fleet if no member and no entry of the settings has its name. Failure:
 // Forbidden.
 func (s *Store) checkNameKnown(name string, members []raft.Member) error {
 	if s.settings.OpenMembership {
 		return nil
 	}
 	isMember := func(m raft.Member) bool { return NameOf(m.ID) == name }
-	isNamed := func(m config.Member) bool { return m.ID == name }
-	if slices.ContainsFunc(members, isMember) || slices.ContainsFunc(s.settings.Members, isNamed) {
+	isInSettings := func(m config.Member) bool { return m.ID == name }
+	if slices.ContainsFunc(members, isMember) || slices.ContainsFunc(s.settings.Members, isInSettings) {
 		return nil
 	}
 	return errs.Field(errs.Forbidden, "name",
-		"no member is named %s; an operator says whom it replaces: crosstide-controlplane member replace OLD %s",
+		"no member is named %s; to let it replace member OLD, run: crosstide-controlplane member replace OLD %s",
 		name, name)
 }
 
-// joinPlan is what planJoin derives from the member set for a node that joins.
+// joinPlan describes the place of a node that joins in the member set. planJoin returns it.
 type joinPlan struct {
-	from     []raft.Member // the member set in force
-	next     []raft.Member // from, without earlier incarnations of the node that are still learners
-	position int           // the node's position in next; -1: it is not a member
-	replaced *raft.Member  // the voter that it replaces; nil: none
+	from     []raft.Member // the current member set
+	next     []raft.Member // from without earlier incarnations of the node that are learners
+	position int           // of the node in next; -1: it is not a member
+	replaced *raft.Member  // the voter that the node replaces; nil: none
 }
 
-// planJoin derives the joinPlan of the node id. predecessor is the name of the node that it replaces: another's if an
-// operator said so, else its own.
+// planJoin returns the joinPlan of the node id. predecessor is the name of the node that it replaces: another node's if
+// an operator named one, else its own.
 func planJoin(members []raft.Member, id, predecessor string) joinPlan {
 	name := NameOf(id)
 	plan := joinPlan{from: members, next: make([]raft.Member, 0, len(members)+1), position: -1}
@@ -205,13 +205,13 @@
 	return plan
 }
 
-// promoteLearner makes a learner that has caught up a voter. If there is one to remove first it only does that: the
-// voter that the learner replaces, which must not be alive, or a silent voter of an open fleet. Failures: Conflict, and
-// those of changeMembers.
+// promoteLearner makes a learner that has caught up a voter. If a voter must be removed first it only removes that one:
+// the voter that the learner replaces, which must not be alive, or a silent voter of an open fleet. Failures: Conflict,
+// and those of changeMembers.
 func (s *Store) promoteLearner(ctx context.Context, plan joinPlan) error {
 	if old := plan.replaced; old != nil {
 		if a, err := s.opt.Net.BootstrapStatus(ctx, old.Addr, s.discoverCall()); err == nil && a.ID == old.ID {
-			return errs.Field(errs.Conflict, "name", "%s is alive at %s", old.ID, old.Addr)
+			return errs.Field(errs.Conflict, "name", "%s is still running at %s", old.ID, old.Addr)
 		}
 		return errs.Pass(s.changeMembers(plan.from, withoutMember(plan.next, old.ID)), "remove %s", old.ID)
 	}
@@ -223,8 +223,8 @@
 	return errs.Pass(s.changeMembers(plan.from, plan.next), "join as a voter")
 }
 
-// checkNotRemoved rejects a node that is not a member although its folder says so: it was removed and must come back as
-// a new incarnation. Failures: Stale; Unavailable while the removal is not committed.
+// checkNotRemoved rejects a node that is not a member although its folder has it as one: it was removed and must rejoin
+// as a new incarnation. Failures: Stale; Unavailable while the removal is not committed.
 func (s *Store) checkNotRemoved(call internalapi.JoinCall) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +235,7 @@
 	case slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == call.ID }):
 		return errs.New(errs.Unavailable, "%s is being removed", call.ID)
 	case at > call.Since:
-		return errs.New(errs.Stale, "%s was a member at %d and is none at %d", call.ID, call.Since, at)
+		return errs.New(errs.Stale, "%s was a member at index %d and is not one at index %d", call.ID, call.Since, at)
 	}
-	return nil // the set that had the node was never committed
+	return nil // the member set with the node was never committed
 }
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -32,7 +32,7 @@
 		So(len(lead.Status().Raft.Members), ShouldEqual, 3)
 		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
-		// The newcomer counts for a majority, and keeps its new ID over a restart.
+		// The new voter counts towards a majority, and keeps its new ID over a restart.
 		fleet.kill(gone)
 		fleet.start(gone)
 		fleet.waitLevel()
@@ -63,10 +63,10 @@
 		})
 		So(err, ShouldBeNil)
 		fleet.until("the successor is a voter", func() bool { return fresh.Status().Raft.Voter })
-		fleet.until("the old member is out", func() bool { return len(lead.Status().Raft.Members) == 3 })
+		fleet.until("the old member is removed", func() bool { return len(lead.Status().Raft.Members) == 3 })
 		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
-		// It is a majority with the only other node that is left.
+		// The successor and the only other node that is left are a majority.
 		fleet.kill(lead.settings.Name)
 		So(fleet.submitJobs("b", 50), ShouldBeEmpty)
 	})
@@ -88,7 +88,7 @@
 					fleet.waitVoters(append(before, gone)...)
 				})
 				Printf("\nwiped %s is a voter after %s", gone, took)
-				So(took, ShouldBeLessThan, 2500*time.Millisecond) // an election may be in it
+				So(took, ShouldBeLessThan, 2500*time.Millisecond) // this may include an election
 				So(fleet.submitJobs(fmt.Sprint(gone, mayBootstrap), 20), ShouldBeEmpty)
 				fleet.waitLevel()
 			}
@@ -101,8 +101,8 @@
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
 		fleet.submitJobs("a", 100)
-		// The new machine comes before the dead one is known to be dead: it joins as the sixth voter, then that one is
-		// removed.
+		// The new machine starts before the dead one has been silent for RemoveAfter: it joins as the sixth voter, then
+		// the dead one is removed.
 		gone := fleet.follower(fleet.leader()).settings.Name
 		fleet.kill(gone)
 		took := fleet.elapsed(func() {
@@ -115,11 +115,12 @@
 		So(fleet.others(), ShouldHaveLength, 5)
 		So(fleet.submitJobs("b", 50), ShouldBeEmpty)
 
-		// It comes when the dead one is known to be dead: that one is removed first, there never are six voters.
+		// The new machine starts after the dead one has been silent for RemoveAfter: the dead one is removed first, so
+		// that there are never six voters.
 		gone = fleet.follower(fleet.leader()).settings.Name
 		fleet.kill(gone)
 		fleet.advance(fleet.settings.RemoveAfter + time.Second)
-		So(memberIDs(fleet.leader()), ShouldHaveLength, 5) // an odd set stays
+		So(memberIDs(fleet.leader()), ShouldHaveLength, 5) // a silent voter of an odd set is not removed
 		fleet.startFresh("c7")
 		fleet.until("the newcomer is a voter", func() bool {
 			So(len(memberIDs(fleet.leader())), ShouldBeLessThan, 6)
@@ -142,15 +143,15 @@
 		fleet.waitVoters(all[:7]...)
 		fleet.setCut(true, "c1", "c2", "c3")
 		fleet.start("c8")
-		fleet.until("it finds out", func() bool { return fleet.wasRemoved("c8") })
+		fleet.until("c8 learns that it was removed", func() bool { return fleet.wasRemoved("c8") })
 		fleet.reopen("c8")
-		fleet.until("it is a voter", func() bool { return fleet.nodes["c8"].Status().Raft.Voter })
+		fleet.until("c8 is a voter", func() bool { return fleet.nodes["c8"].Status().Raft.Voter })
 		So(fleet.submitJobs("b", 20), ShouldBeEmpty)
 
-		// A wiped node that knows only two seeds, both partitioned, learns whom to ask from the leader's calls to its
-		// earlier incarnation.
+		// A wiped node that knows only two seeds, both partitioned, learns the leader's address from the leader's calls
+		// to its earlier incarnation.
 		fleet.setCut(false, "c1", "c2", "c3")
-		fleet.until("all are there", func() bool { return slices.Equal(memberIDs(fleet.leader()), fleet.idsOf(all)) })
+		fleet.until("all eight are members", func() bool { return slices.Equal(memberIDs(fleet.leader()), fleet.idsOf(all)) })
 		fleet.settings.Members = fleet.settings.Members[:2]
 		fleet.setCut(true, "c1", "c2")
 		lead := fleet.leaderOf("c3", "c4", "c5", "c6", "c7", "c8")
@@ -160,10 +161,10 @@
 		}
 		fleet.kill(gone)
 		fleet.startFresh(gone)
-		fleet.until("the wiped one is a voter", func() bool { return fleet.nodes[gone].Status().Raft.Voter })
+		fleet.until("the wiped node is a voter", func() bool { return fleet.nodes[gone].Status().Raft.Voter })
 		So(fleet.submitJobs("c", 20), ShouldBeEmpty)
 
-		// A node whose seeds do not answer, and that nobody calls, waits until it learns of another node.
+		// A node whose seeds do not answer, and that no other node calls, waits until it learns another address.
 		fleet.startFresh("c9")
 		fleet.advance(3 * time.Second)
 		So(fleet.nodes["c9"].Status().Raft.Members, ShouldBeEmpty)
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -11,14 +11,14 @@
 	"crosstide/internal/raft"
 )
 
-// membership is what this node knows of the fleet beside the member set, which the core owns. A Store owns it; guarded
-// by Store.mu.
+// membership has this node's knowledge of other nodes beyond the member set, which the core owns. A Store owns it;
+// guarded by Store.mu.
 type membership struct {
 	// bootstrapped has the incarnations, by ID, of the other members that were fresh when this process bootstrapped the
-	// fleet. A member that asks under its incarnation here may bootstrap too. nil if this process did not bootstrap, or
+	// fleet. A member that finds its own incarnation here may bootstrap too. nil if this process did not bootstrap, or
 	// did so only because another member listed it.
 	bootstrapped map[string]string
-	// knownAddresses has the addresses of nodes that were learned from other nodes; empty in a fixed fleet.
+	// knownAddresses is the set of node addresses learned at runtime; empty in a fixed fleet.
 	knownAddresses map[string]bool
 }
 
@@ -29,8 +29,8 @@
 	return s.status.LeaderAddr, addressesOf(s.status.Members)
 }
 
-// ReachableVoters returns the addresses of the voters that this leader has heard from within an Election, its own among
-// them. It returns none on a node that does not lead.
+// ReachableVoters returns the addresses of the voters that this leader has heard from within an election timeout, its
+// own included. It returns none on a node that does not lead.
 func (s *Store) ReachableVoters() (addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 // changeMembers proposes the member set next, which was derived from the set from, and does not wait for its commit.
-// Failures: those of checkLeader; Unavailable if from is no longer in force.
+// Failures: those of checkLeader; Unavailable if from is no longer the current set.
 func (s *Store) changeMembers(from, next []raft.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,20 +61,20 @@
 	return nil
 }
 
-// proposeMembers proposes the member set next to the core, unless the set from is no longer in force: next would undo
-// another change. s.mu must be held.
+// proposeMembers proposes the member set next to the core, unless from is no longer the current set: next would then
+// undo another change. s.mu must be held.
 func (s *Store) proposeMembers(now time.Duration, from, next []raft.Member) error {
 	if !slices.Equal(from, s.core.Status().Members) {
-		return errs.New(errs.Unavailable, "the members changed meanwhile")
+		return errs.New(errs.Unavailable, "the member set has changed since it was read")
 	}
 	if _, _, err := s.core.ProposeMembers(now, next); err != nil {
 		return errs.Pass(err, "propose")
 	}
-	_ = level.Info(s.logger).Log("msg", "changing members", "members", len(next))
+	_ = level.Info(s.logger).Log("msg", "member change proposed", "members", len(next))
 	return nil
 }
 
-// addressesOf returns the addresses of members: voters, then learners.
+// addressesOf returns the addresses of members, voters before learners.
 func addressesOf(members []raft.Member) (addresses []string) {
 	for _, learner := range []bool{false, true} {
 		for _, m := range members {
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -16,12 +16,12 @@
 	"crosstide/internal/storage"
 )
 
-// withOpenFleet runs do in a synctest bubble, with the disks of an open fleet of n nodes, with the seeds c1 to c3 and
-// the platform's settings. No node is started. Snapshots are written, so syncs must take no time (see slowSyncs).
+// withOpenFleet runs do in a synctest bubble, with the disks of an open fleet of n nodes, the seeds c1 to c3 and the
+// platform's timeouts. No node is started. Snapshots are written, so syncs must take no time (see slowSyncs).
 func withOpenFleet(t *testing.T, n int, do func(fleet *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Given the machines of an open fleet", t, func() {
+		Convey("Given the disks of an open fleet", t, func() {
 			fleet := newTestFleet(0, 40)
 			defer fleet.close()
 			fleet.settings.OpenMembership = true
@@ -44,10 +44,10 @@
 	fleet.slow.Store(int64(3 * time.Millisecond))
 }
 
-// nodeName returns the name of the node with an index.
+// nodeName returns the name of node i, counted from 0.
 func nodeName(i int) string { return fmt.Sprintf("c%d", i+1) }
 
-// startAll starts the nodes that have a disk and do not run.
+// startAll starts the nodes that have a disk and are not running, in the order of their names.
 func (fleet *testFleet) startAll() {
 	for _, n := range slices.Sorted(func(yield func(string) bool) {
 		for n := range fleet.disks {
@@ -60,7 +60,7 @@
 	}
 }
 
-// startFresh starts a node with an empty disk and the settings of a replaced machine, which may not bootstrap.
+// startFresh starts a node with an empty disk and the settings of a replacement machine, which may not bootstrap.
 func (fleet *testFleet) startFresh(name string) {
 	fleet.disks[name] = storage.NewMemDisk()
 	fleet.settings.Bootstrap = false
@@ -89,7 +89,7 @@
 	return ids
 }
 
-// memberIDs returns the IDs of the members of s, sorted; nil while one of them is a learner.
+// memberIDs returns the sorted IDs of the members that s knows, or nil if one of them is a learner.
 func memberIDs(s *Store) (ids []string) {
 	for _, m := range s.Status().Raft.Members {
 		if m.Learner {
@@ -101,7 +101,7 @@
 	return ids
 }
 
-// setCut partitions nodes from all others, or ends that.
+// setCut partitions nodes from all others, or ends their partition.
 func (fleet *testFleet) setCut(cut bool, names ...string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -110,10 +110,10 @@
 	}
 }
 
-// others returns the names of the running nodes except those given, sorted.
-func (fleet *testFleet) others(but ...string) (names []string) {
+// others returns the sorted names of the running nodes except the given ones.
+func (fleet *testFleet) others(except ...string) (names []string) {
 	for n := range fleet.nodes {
-		if !slices.Contains(but, n) {
+		if !slices.Contains(except, n) {
 			names = append(names, n)
 		}
 	}
@@ -128,7 +128,7 @@
 	return fleet.removed[name]
 }
 
-// reopen opens the folder of a removed node again, as Options.Removed asks for.
+// reopen opens the folder of a removed node again, as Options.Removed requires.
 func (fleet *testFleet) reopen(name string) {
 	fleet.kill(name)
 	fleet.mu.Lock()
@@ -139,7 +139,7 @@
 
 // leaderOf waits until one of the named nodes leads and is ready, and returns it.
 func (fleet *testFleet) leaderOf(names ...string) (lead *Store) {
-	fleet.until("a leader of some", func() bool {
+	fleet.until("a ready leader among the named nodes", func() bool {
 		for _, n := range names {
 			if s := fleet.nodes[n]; s != nil {
 				if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader {
@@ -153,8 +153,9 @@
 	return lead
 }
 
-// TestOpenFleet_survivesChurn kills, partitions, wipes and replaces machines in any order, and checks that nothing that
-// was acknowledged is lost. A disk is wiped only while all others are there: more losses at once lose data.
+// TestOpenFleet_survivesChurn kills, partitions, wipes and replaces nodes in random order, and checks that no
+// acknowledged job is lost. A disk is wiped only while all other nodes are voters: losing several disks at once loses
+// data.
 func TestOpenFleet_survivesChurn(t *testing.T) {
 	for seed := range int64(6) {
 		withOpenFleet(t, 5, func(fleet *testFleet) {
@@ -173,12 +174,12 @@
 					}
 				case 1:
 					fleet.setCut(!fleet.cut[name], name)
-				case 2: // a disk is lost
+				case 2: // the node loses its disk
 					fleet.heal(names)
 					fleet.kill(name)
 					fleet.startFresh(name)
 					fleet.heal(names)
-				case 3: // another machine takes the place
+				case 3: // a new machine replaces the node
 					fleet.heal(names)
 					fleet.kill(name)
 					delete(fleet.disks, name)
@@ -207,7 +208,7 @@
 	}
 }
 
-// setSeeds names the seeds of the nodes that start from now on.
+// setSeeds sets the seeds of the nodes that start from now on.
 func (fleet *testFleet) setSeeds(names []string) {
 	fleet.settings.Members = nil
 	for _, n := range names {
@@ -224,11 +225,11 @@
 	}
 }
 
-// heal ends all partitions, starts what is down and waits until the named nodes are the voters.
+// heal ends the partitions of the named nodes, starts all stopped nodes and waits until the named ones are the voters.
 func (fleet *testFleet) heal(names []string) {
 	fleet.setCut(false, names...)
 	fleet.startAll()
-	fleet.until("healed", func() bool {
+	fleet.until("the named nodes to be the voters", func() bool {
 		fleet.revive()
 		for _, n := range names {
 			if s := fleet.nodes[n]; !s.Status().Raft.Voter || !slices.Equal(memberIDs(s), fleet.idsOf(names)) {
@@ -240,18 +241,18 @@
 	So(fleet.died, ShouldBeEmpty)
 }
 
-// hasMajority reports whether a leader can reach a majority of its members.
+// hasMajority reports whether a ready leader can reach a majority of its members.
 func (fleet *testFleet) hasMajority() bool {
 	for _, s := range fleet.nodes {
-		members, there := memberIDs(s), 0
+		members, reachable := memberIDs(s), 0
 		for _, id := range members {
 			if n := NameOf(id); fleet.nodes[n] != nil && !fleet.cut[n] && fleet.nodes[n].Status().Raft.ID == id {
-				there++
+				reachable++
 			}
 		}
 		st := s.Status()
-		leads := st.Ready && st.Raft.Role == raft.Leader && !fleet.cut[s.settings.Name]
-		if leads && there > len(members)/2 {
+		isLeader := st.Ready && st.Raft.Role == raft.Leader && !fleet.cut[s.settings.Name]
+		if isLeader && reachable > len(members)/2 {
 			return true
 		}
 	}
--- a/internal/store/operatorkeys.go
+++ b/internal/store/operatorkeys.go
@@ -14,7 +14,7 @@
 const operatorKeysInterval = 200 * time.Millisecond
 
 // installOperatorKeys is the goroutine that, on the leader, commits the operators' keys from its settings if the state
-// has none yet. The first leader decides for the fleet: every replica checks signatures by the committed keys.
+// has none yet. The first leader decides for the fleet: every replica checks signatures against the committed keys.
 func (s *Store) installOperatorKeys(ctx context.Context) {
 	if len(s.settings.OperatorKeys) == 0 {
 		return
@@ -30,7 +30,7 @@
 		s.mu.Unlock()
 		if areInstalled {
 			if !areSame {
-				_ = level.Warn(s.logger).Log("msg", "operator_keys differ from the stored ones, which apply")
+				_ = level.Warn(s.logger).Log("msg", "operator_keys in the settings ignored, committed keys differ")
 			}
 			return
 		}
