--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -11,42 +11,42 @@
 var (
 	descAccount = describe("account_units", "Units of an account: balance, reserved, spent, topped_up.",
 		"account", "of")
-	descRate = describe("account_units_per_second", "What the runs of an account cost now.",
+	descRate = describe("account_units_per_second", "Cost of the runs of an account, in units per second.",
 		"account")
 	descExhaustedIn = describe("account_dry_in_seconds",
-		"Forecast until an account is dry, at the rate of now; none if nothing draws.", "account")
-	descUnpaid  = describe("account_waiting_jobs", "Jobs that wait for a top-up.", "account")
-	descWarning = describe("account_warning", "1 for an account that is dry or soon will be.", "account")
+		"Forecast until an account is exhausted, at its current rate; absent if no run draws on it.", "account")
+	descAwaitingTopUp = describe("account_waiting_jobs", "Jobs of an account that wait for a top-up.", "account")
+	descWarning       = describe("account_warning", "1 if an account is exhausted or soon will be, else 0.", "account")
 )
 
 // collectAccounts sends the gauges of each account.
-func collectAccounts(accounts []internalapi.AccountView, to chan<- prometheus.Metric) {
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+func collectAccounts(accounts []internalapi.AccountView, ch chan<- prometheus.Metric) {
+	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
+		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	for _, v := range accounts {
-		gauge(descAccount, float64(v.Balance), v.Name, "balance")
-		gauge(descAccount, float64(v.Reserved), v.Name, "reserved")
-		gauge(descAccount, float64(v.Spent), v.Name, "spent")
-		gauge(descAccount, float64(v.ToppedUp), v.Name, "topped_up")
-		gauge(descRate, float64(v.Rate)/1000, v.Name)
-		gauge(descUnpaid, float64(v.Waiting), v.Name)
-		if v.Draws {
-			gauge(descExhaustedIn, v.ExhaustedIn.Seconds(), v.Name)
+	for _, account := range accounts {
+		gauge(descAccount, float64(account.Balance), account.Name, "balance")
+		gauge(descAccount, float64(account.Reserved), account.Name, "reserved")
+		gauge(descAccount, float64(account.Spent), account.Name, "spent")
+		gauge(descAccount, float64(account.ToppedUp), account.Name, "topped_up")
+		gauge(descRate, float64(account.Rate)/1000, account.Name)
+		gauge(descAwaitingTopUp, float64(account.Waiting), account.Name)
+		if account.Draws {
+			gauge(descExhaustedIn, account.ExhaustedIn.Seconds(), account.Name)
 		}
 		warning := 0.0
-		if v.Warning != "" {
+		if account.Warning != "" {
 			warning = 1
 		}
-		gauge(descWarning, warning, v.Name)
+		gauge(descWarning, warning, account.Name)
 	}
 }
 
 // accountWarnings is the set of accounts for which this leader has logged a warning. The goroutine runGC owns it.
 type accountWarnings map[string]bool
 
-// logNew logs a warning for each account that is exhausted or soon will be: one until the account recovers. On a node
-// that does not lead it logs nothing.
+// logNew logs a warning for each account that is exhausted or soon will be, and none again for the same account until
+// it has recovered. On a node that does not lead it logs nothing and forgets earlier warnings.
 func (w accountWarnings) logNew(s *Store) {
 	s.mu.Lock()
 	isLeader, accounts := s.leadership.term != 0, []internalapi.AccountView(nil)
@@ -65,8 +65,8 @@
 		}
 		if !w[account.Name] {
 			w[account.Name] = true
-			_ = level.Warn(s.logger).Log("msg", "account runs dry", "account", account.Name, "balance", account.Balance,
-				"why", account.Warning)
+			_ = level.Warn(s.logger).Log("msg", "account exhausted or running low", "account", account.Name,
+				"balance", account.Balance, "why", account.Warning)
 		}
 	}
 }
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestAccountWarnings_loggedOncePerWarning(t *testing.T) {
-	Convey("The leader warns of an account once, until it has recovered", t, func() {
+	Convey("The leader logs one warning for an account until the account has recovered", t, func() {
 		var lines bytes.Buffer
 		s := &Store{live: state.New(), logger: log.NewLogfmtLogger(&lines)}
 		at := time.Unix(1_700_000_000, 0).UTC()
@@ -29,7 +29,7 @@
 		warned := accountWarnings{}
 		warnings := func() int {
 			warned.logNew(s)
-			return strings.Count(lines.String(), "account runs dry")
+			return strings.Count(lines.String(), "account exhausted or running low")
 		}
 		So(warnings(), ShouldEqual, 0) // this node does not lead
 		s.leadership.term = 1
@@ -41,7 +41,7 @@
 		table.Renew(at.Add(9_900 * time.Second))
 		So(warnings(), ShouldEqual, 2)
 	})
-	Convey("Each account has its gauges, a forecast only while its balance is drawn down", t, func() {
+	Convey("Each account has its gauges, and a forecast only while a run draws on it", t, func() {
 		views := []internalapi.AccountView{
 			{Name: "a", Balance: 1, Draws: true, ExhaustedIn: time.Second, Warning: "dry"},
 			{Name: "b"},
--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -9,21 +9,21 @@
 	"crosstide/internal/state/command"
 )
 
-// Bounds of what one pass applies: a restarted node may have thousands of entries to apply, and a leader that applied
-// them in one pass would send no heartbeat meanwhile.
+// Limits of one pass. A restarted node may have thousands of entries to apply, and a leader that applied all of them in
+// one pass would send no heartbeats until it was done.
 const (
 	maxApplyEntries = 64
 	maxApplyBytes   = 256 << 10
-	// catchUpPause separates passes that catch up: on a machine with one processor they would starve the goroutines
-	// that handle messages.
+	// catchUpPause is the pause between passes while entries are left to apply: on a machine with one processor, passes
+	// without a pause would starve the goroutines that handle messages.
 	catchUpPause = time.Millisecond
 )
 
-// apply queues committed entries, applies as many to the live state as one pass may, and ends the proposals among them.
-// s.mu must be held.
+// apply queues committed entries, applies one batch of them to the live state, and completes the proposals in it. s.mu
+// must be held.
 func (s *Store) apply(entries []raft.Entry) {
 	s.unapplied = append(s.unapplied, entries...)
-	batch := s.nextApplied()
+	batch := s.takeApplyBatch()
 	if len(batch) == 0 {
 		return
 	}
@@ -37,9 +37,9 @@
 	s.onLiveChange()
 }
 
-// nextApplied removes the entries that this pass applies from s.unapplied, and requests another pass if any are left. A
-// store with a manual driver applies all at once. s.mu must be held.
-func (s *Store) nextApplied() []raft.Entry {
+// takeApplyBatch removes the entries that this pass applies from s.unapplied and returns them. It requests another pass
+// if any are left. A store with a manual driver applies all entries in one batch. s.mu must be held.
+func (s *Store) takeApplyBatch() []raft.Entry {
 	n, bytes := 0, 0
 	for n < len(s.unapplied) && (s.manual != nil || n < maxApplyEntries && bytes < maxApplyBytes) {
 		bytes += len(s.unapplied[n].Data)
@@ -54,15 +54,15 @@
 	return batch
 }
 
-// isCatchingUp reports whether committed entries are not applied yet.
+// isCatchingUp reports whether committed entries are left to apply.
 func (s *Store) isCatchingUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.unapplied) > 0
 }
 
-// applyTo applies one entry to a state. Entries with members, and the empty one that begins a leader's term, only
-// advance its index. The error is the command's own: an outcome, the same on every node.
+// applyTo applies one entry to a state. Member changes, and the empty entry that begins a leader's term, only advance
+// the state's index. The error is the command's outcome, which is the same on every node.
 func applyTo(to *state.State, e raft.Entry) (any, error) {
 	data := e.Data
 	if e.Kind != raft.Normal {
--- a/internal/store/apply_test.go
+++ b/internal/store/apply_test.go
@@ -14,11 +14,11 @@
 		for i := range 2*maxApplyEntries + 8 {
 			s.unapplied = append(s.unapplied, raft.Entry{Index: uint64(i + 1)})
 		}
-		Convey("Then passes take them batch by batch, in order, and each asks for the next", func() {
+		Convey("Then passes apply them in order, in batches, and each requests the next pass", func() {
 			var sizes []int
 			next := uint64(1)
 			for len(s.unapplied) > 0 {
-				batch := s.nextApplied()
+				batch := s.takeApplyBatch()
 				sizes = append(sizes, len(batch))
 				for _, e := range batch {
 					So(e.Index, ShouldEqual, next)
@@ -31,15 +31,15 @@
 				}
 			}
 			So(sizes, ShouldResemble, []int{maxApplyEntries, maxApplyEntries, 8})
-			So(s.nextApplied(), ShouldBeEmpty)
+			So(s.takeApplyBatch(), ShouldBeEmpty)
 		})
-		Convey("Then long entries make a shorter batch, of one at least", func() {
+		Convey("Then a batch ends at the byte limit, after one entry at least", func() {
 			s.unapplied[0].Data = make([]byte, maxApplyBytes)
-			So(len(s.nextApplied()), ShouldEqual, 1)
+			So(len(s.takeApplyBatch()), ShouldEqual, 1)
 		})
-		Convey("Then a store with a manual driver applies all at once", func() {
+		Convey("Then a store with a manual driver applies all of them in one batch", func() {
 			s.manual = &ManualDriver{}
-			So(len(s.nextApplied()), ShouldEqual, 2*maxApplyEntries+8)
+			So(len(s.takeApplyBatch()), ShouldEqual, 2*maxApplyEntries+8)
 		})
 	})
 }
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -13,13 +13,14 @@
 	"crosstide/internal/raft"
 )
 
-// submitAll submits n jobs until all are acknowledged: after a change of leader it submits them again.
+// submitAll submits n jobs, and submits them again after a failure such as a change of leader, until all of them are
+// acknowledged.
 func (fleet *testFleet) submitAll(label string, n int) {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		if failures := fleet.submitJobs(label, n); len(failures) == 0 {
 			return
 		}
-		So(try, ShouldBeLessThan, 20)
+		So(attempt, ShouldBeLessThan, 20)
 		fleet.advance(100 * time.Millisecond)
 	}
 }
@@ -39,13 +40,13 @@
 		fleet.setFull(name, true)
 		var err error
 		fleet.call(func(ctx context.Context) { _, _, err = old.Propose(ctx, job("while full")) })
-		if err == nil { // the two others have it
+		if err == nil { // the two other nodes committed it
 			fleet.acked["while full"] = 1
 		}
 		fleet.until("another leader", func() bool { return old.Status().Raft.Role != raft.Leader })
-		at := old.durableIndex()
+		durable := old.durableIndex()
 		fleet.submitAll("without it", 200)
-		So(old.durableIndex(), ShouldEqual, at) // it acknowledges nothing
+		So(old.durableIndex(), ShouldEqual, durable) // the node acknowledges nothing
 		So(fleet.died, ShouldBeEmpty)
 		fleet.advance(30 * time.Second)
 		So(fleet.died, ShouldBeEmpty)
@@ -54,7 +55,7 @@
 		fleet.setFull(name, false)
 		fleet.waitLevel()
 		So(fleet.died, ShouldBeEmpty)
-		// Its acknowledgements count again: with one other node dead it is needed for a majority.
+		// Its acknowledgements count again: with one of the other nodes stopped, a majority needs it.
 		gone := fleet.others(name)[0]
 		fleet.kill(gone)
 		fleet.submitAll("with it", 50)
@@ -63,14 +64,14 @@
 	})
 }
 
-// TestRefusedWrite_isFatal refuses a write for another reason than a full disk, which is as fatal as a failed sync.
+// TestRefusedWrite_isFatal checks that a write that fails for any reason but a full disk is fatal, as a failed sync is.
 func TestRefusedWrite_isFatal(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 20)
 		lead := fleet.leader()
 		fleet.setRefusal(lead.settings.Name, unix.EIO)
 		fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
-		fleet.until("the end of the process", func() bool { return fleet.died[lead.settings.Name] != nil })
+		fleet.until("the call of Options.Fatal", func() bool { return fleet.died[lead.settings.Name] != nil })
 		So(fleet.died, ShouldHaveLength, 1)
 		fleet.kill(lead.settings.Name)
 		fleet.setRefusal(lead.settings.Name, nil)
@@ -90,14 +91,14 @@
 		var s *Store
 		var err error
 		done := false
-		fleet.work.Go(func(ctx context.Context) {
+		fleet.calls.Go(func(ctx context.Context) {
 			s, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
 			done = true
 		})
 		fleet.advance(30 * time.Second)
 		So(done, ShouldBeFalse)
 		fleet.setFull(name, false)
-		fleet.until("the start", func() bool { return done })
+		fleet.until("the start to complete", func() bool { return done })
 		So(err, ShouldBeNil)
 		fleet.mu.Lock()
 		fleet.nodes[name] = s
@@ -116,18 +117,19 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var err error
 		done := false
-		fleet.work.Go(func(context.Context) {
+		fleet.calls.Go(func(context.Context) {
 			_, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
 			done = true
 		})
 		fleet.advance(time.Second)
 		cancel()
-		fleet.until("the end of the start", func() bool { return done })
+		fleet.until("the cancelled start to return", func() bool { return done })
 		So(errs.KindOf(err), ShouldEqual, errs.Stopped)
 	})
 }
 
-// TestHungDisk_leaderStepsDown hangs the disk of each node in turn, the leader's among them.
+// TestHungDisk_leaderStepsDown checks that a leader whose disk hangs loses the leadership and that the fleet still
+// commits. The disk of one node after another hangs, the leader's included.
 func TestHungDisk_leaderStepsDown(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		for round, m := range slices.Clone(fleet.settings.Members) {
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -13,37 +13,38 @@
 // entryOverhead is the assumed size of an entry without its data, wherever this package counts bytes.
 const entryOverhead = 64
 
-// diskWrite is what one raft.Ready asks to be stored. Ready.ResetLog needs no write: the storage dropped the same
-// entries when the snapshot that caused it was written.
+// diskWrite holds the changes that one raft.Ready requires to be stored. Ready.ResetLog needs no write: the storage
+// dropped the same entries when it wrote the snapshot that caused the reset.
 type diskWrite struct {
 	hardState     *raft.HardState
 	entries       []raft.Entry
 	sendAfterSync []raft.Message // must not be sent before the write is synced
 }
 
-// diskQueue is the queue of writes for the disk writer, and its progress. A Store owns it; all but wake is guarded by
-// Store.mu.
+// diskQueue is the queue of writes for the disk writer, and the progress of that goroutine. A Store owns it; all fields
+// but wake are guarded by Store.mu.
 type diskQueue struct {
 	wake chan struct{} // capacity 1; a signal asks the disk writer to empty the queue
 
 	writes    []diskWrite   // in the order of the Readys
 	busySince time.Duration // when the disk writer took its batch; 0 while it has none
-	durable   uint64        // up to this index the log on disk equals the core's
+	durable   uint64        // the log on disk equals the core's up to this index
 }
 
-// add queues what a Ready asks to be stored, if anything. Stored entries that it replaces no longer count as durable.
-func (q *diskQueue) add(r raft.Ready) {
-	if r.HardState == nil && len(r.Entries) == 0 && len(r.MessagesAfterSync) == 0 {
+// add queues the changes that a Ready requires to be stored, if any. Stored entries that it replaces no longer count as
+// durable.
+func (q *diskQueue) add(ready raft.Ready) {
+	if ready.HardState == nil && len(ready.Entries) == 0 && len(ready.MessagesAfterSync) == 0 {
 		return
 	}
-	if len(r.Entries) > 0 {
-		q.durable = min(q.durable, r.Entries[0].Index-1)
+	if len(ready.Entries) > 0 {
+		q.durable = min(q.durable, ready.Entries[0].Index-1)
 	}
-	q.writes = append(q.writes, diskWrite{r.HardState, r.Entries, r.MessagesAfterSync})
+	q.writes = append(q.writes, diskWrite{ready.HardState, ready.Entries, ready.MessagesAfterSync})
 	signal(q.wake)
 }
 
-// take removes all queued writes, to be stored with one sync.
+// take removes all queued writes and returns them, to be stored with one sync.
 func (q *diskQueue) take(now time.Duration) []diskWrite {
 	batch := q.writes
 	q.writes = nil
@@ -66,12 +67,13 @@
 // isIdle reports whether no write is queued or under way.
 func (q *diskQueue) isIdle() bool { return len(q.writes) == 0 && q.busySince == 0 }
 
-// isHung reports whether the disk writer has had its batch for longer than limit.
+// isHung reports whether the disk writer has been storing one batch for longer than limit.
 func (q *diskQueue) isHung(now, limit time.Duration) bool {
 	return q.busySince != 0 && now-q.busySince > limit
 }
 
-// runDiskWriter is the goroutine that stores queued writes: all that are queued at a time with one sync (group commit).
+// runDiskWriter is the goroutine that stores queued writes. It stores all writes that are in the queue with one sync
+// (group commit).
 func (s *Store) runDiskWriter(ctx context.Context) {
 	for {
 		select {
@@ -108,9 +110,9 @@
 func (s *Store) writeBatch(batch []diskWrite) error {
 	records, err := recordsOf(batch)
 	if err == nil && len(records) > 0 {
-		from := s.clock.Now()
+		start := s.clock.Now()
 		err = s.storage.Append(records)
-		s.metrics.syncs.Observe((s.clock.Now() - from).Seconds())
+		s.metrics.syncs.Observe((s.clock.Now() - start).Seconds())
 	}
 	return errs.Pass(err, "append")
 }
@@ -132,8 +134,8 @@
 	return records, nil
 }
 
-// onStored enqueues the messages that depended on a stored batch, and reports the sync to the core, the snapshotter and
-// the loop.
+// onStored enqueues the messages that had to wait until a batch was stored, and reports the sync to the core, the
+// snapshotter and the loop.
 func (s *Store) onStored(batch []diskWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/diskwriter_test.go
+++ b/internal/store/diskwriter_test.go
@@ -11,14 +11,14 @@
 )
 
 func TestDiskWriter_groupsCommits(t *testing.T) {
-	withFleet(t, 1<<20, func(fleet *testFleet) { // no snapshots: they sync too
+	withFleet(t, 1<<20, func(fleet *testFleet) { // no snapshots, which would add syncs
 		lead := fleet.leader()
-		fleet.slow.Store(int64(5 * time.Millisecond)) // a disk without a delay would leave the grouping to the scheduler
+		fleet.slow.Store(int64(5 * time.Millisecond)) // else the goroutine scheduler decides on the groups
 		before := lead.storage.Stats().Syncs
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
 		So(300/(lead.storage.Stats().Syncs-before), ShouldBeGreaterThan, 10)
 		fleet.slow.Store(0)
-		fleet.clock.Advance(time.Second) // lets the syncs under way end
+		fleet.clock.Advance(time.Second) // for the syncs that are under way
 	})
 }
 
@@ -28,7 +28,7 @@
 		fleet.disks[lead.settings.Name].FailSync(1)
 		var err error
 		fleet.call(func(ctx context.Context) { _, _, err = lead.Propose(ctx, job("a")) })
-		if err == nil { // the two others had it synced before the failure showed: it must stay
+		if err == nil { // the two other nodes committed it before the failure showed: it must not be lost
 			fleet.acked["a"] = 1
 		} else {
 			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
--- a/internal/store/fleet_test.go
+++ b/internal/store/fleet_test.go
@@ -27,16 +27,16 @@
 // the clock advances only when every goroutine waits.
 type testFleet struct {
 	clock    clock.Virtual
-	settings config.ControlPlane // of the nodes that start from now on, but for name, address and zone
-	seed     uint64              // likewise, besides their names
+	settings config.ControlPlane // for nodes started from now on, except name, address and zone
+	seed     uint64              // added to the seeds of nodes started from now on
 	slow     atomic.Int64        // nanoseconds that a sync takes on the virtual clock
-	work     *routine.Group      // of calls that wait on the stores while the clock advances
-	acked    map[string]uint64   // the index of each acknowledged job, by key: what must not be lost
+	calls    *routine.Group      // runs the calls that wait on a store while the clock advances
+	acked    map[string]uint64   // log indexes of the acknowledged jobs, by key; none may be lost
 	disks    map[string]*storage.MemDisk
 
-	mu      sync.Mutex // guards all below against the goroutines of the stores
+	mu      sync.Mutex // guards the fields below; goroutines of the stores use them too
 	nodes   map[string]*Store
-	died    map[string]error // with what error nodes called Options.Fatal
+	died    map[string]error // the errors with which nodes called Options.Fatal
 	removed map[string]bool  // nodes that called Options.Removed
 	cut     map[string]bool  // partitioned nodes: calls to and from them time out
 	full    map[string]error // the error that a disk returns for writes
@@ -56,7 +56,7 @@
 		disks:    map[string]*storage.MemDisk{},
 		nodes:    map[string]*Store{},
 		died:     map[string]error{},
-		work:     routine.New(context.Background()),
+		calls:    routine.New(context.Background()),
 		acked:    map[string]uint64{},
 		cut:      map[string]bool{},
 		full:     map[string]error{},
@@ -97,7 +97,7 @@
 func (fleet *testFleet) start(name string) {
 	var s *Store
 	var err error
-	fleet.call(func(context.Context) { s, err = Open(fleet.options(name)) }) // its syncs may take time
+	fleet.call(func(context.Context) { s, err = Open(fleet.options(name)) }) // call, as its syncs may take time
 	So(err, ShouldBeNil)
 	fleet.mu.Lock()
 	fleet.nodes[name] = s
@@ -105,13 +105,13 @@
 	s.Start()
 }
 
-// kill stops a node; what its disk had not synced may be lost.
+// kill stops a node and crashes its disk, which may lose unsynced writes.
 func (fleet *testFleet) kill(name string) {
 	s := fleet.nodes[name]
 	fleet.mu.Lock()
 	delete(fleet.nodes, name)
 	fleet.mu.Unlock()
-	fleet.call(func(context.Context) { s.Stop() }) // a sync may be under way
+	fleet.call(func(context.Context) { s.Stop() }) // call, as a sync may be under way
 	fleet.disks[name].Crash(rand.New(rand.NewSource(int64(name[1]))))
 }
 
@@ -120,10 +120,10 @@
 		fleet.kill(name)
 	}
 	fleet.clock.Advance(time.Minute) // timers that are still set, such as those of proposals
-	fleet.work.Stop()
+	fleet.calls.Stop()
 }
 
-// until advances the clock in small steps until cond holds.
+// until advances the clock in small steps until cond holds, and fails the test after 20000 steps of 2 ms.
 func (fleet *testFleet) until(what string, cond func() bool) {
 	for range 20000 {
 		synctest.Wait()
@@ -137,23 +137,23 @@
 
 // leader waits until a node leads and is ready, and returns it.
 func (fleet *testFleet) leader() *Store {
-	var found *Store
+	var lead *Store
 	fleet.until("a ready leader", func() bool {
 		for _, s := range fleet.nodes {
 			if st := s.Status(); st.Ready && st.Raft.Role == raft.Leader {
-				found = s
+				lead = s
 				return true
 			}
 		}
 		return false
 	})
-	return found
+	return lead
 }
 
 // call runs do, which waits on the stores, while the clock advances.
 func (fleet *testFleet) call(do func(ctx context.Context)) {
 	done := false
-	fleet.work.Go(func(ctx context.Context) { do(ctx); done = true })
+	fleet.calls.Go(func(ctx context.Context) { do(ctx); done = true })
 	fleet.until("the end of a call", func() bool { return done })
 }
 
@@ -163,19 +163,20 @@
 		Steps: []state.StepSpec{{Name: "s", Type: "t", Tasks: 1, Cores: 1}}}}
 }
 
-// submitJobs submits n jobs concurrently at the leader, records what was acknowledged and returns the other outcomes.
+// submitJobs submits n jobs concurrently at the leader. It records the acknowledged ones and returns the kinds of the
+// other jobs' errors.
 func (fleet *testFleet) submitJobs(label string, n int) (failures []errs.Kind) {
 	s := fleet.leader()
-	keys, got, outcomes := make([]string, n), make([]uint64, n), make([]error, n)
+	keys, indexes, outcomes := make([]string, n), make([]uint64, n), make([]error, n)
 	fleet.call(func(ctx context.Context) {
 		routine.Each(n, n, func(i int) {
 			keys[i] = fmt.Sprintf("%s-%d", label, i)
-			got[i], _, outcomes[i] = s.Propose(ctx, job(keys[i]))
+			indexes[i], _, outcomes[i] = s.Propose(ctx, job(keys[i]))
 		})
 	})
 	for i, err := range outcomes {
 		if err == nil {
-			fleet.acked[keys[i]] = got[i]
+			fleet.acked[keys[i]] = indexes[i]
 		} else {
 			failures = append(failures, errs.KindOf(err))
 		}
@@ -183,10 +184,11 @@
 	return failures
 }
 
-// waitLevel waits until all nodes have applied the same entries, and checks that every acknowledged job is there.
+// waitLevel waits until all nodes have applied the same entries, and checks that their states are equal and have every
+// acknowledged job.
 func (fleet *testFleet) waitLevel() {
 	lead := fleet.leader()
-	fleet.until("all nodes level", func() bool {
+	fleet.until("all nodes to apply the same entries", func() bool {
 		for _, s := range fleet.nodes {
 			if s.Status().Applied != lead.Status().Applied {
 				return false
@@ -194,7 +196,7 @@
 		}
 		return true
 	})
-	wanted := ""
+	firstState := ""
 	for _, s := range fleet.nodes {
 		s.View(func(st *state.State) {
 			lost := 0
@@ -206,10 +208,10 @@
 			So(lost, ShouldEqual, 0)
 			body, err := st.Encode()
 			So(err, ShouldBeNil)
-			if wanted == "" {
-				wanted = string(body)
+			if firstState == "" {
+				firstState = string(body)
 			}
-			So(string(body) == wanted, ShouldBeTrue)
+			So(string(body) == firstState, ShouldBeTrue)
 		})
 		So(s.Status().Raft.Refused, ShouldEqual, 0)
 	}
@@ -227,10 +229,10 @@
 	})
 }
 
-// follower returns a running node other than of.
-func (fleet *testFleet) follower(of *Store) *Store {
+// follower returns a running node other than leader, or nil.
+func (fleet *testFleet) follower(leader *Store) *Store {
 	for _, m := range fleet.settings.Members {
-		if s := fleet.nodes[m.ID]; s != nil && s != of {
+		if s := fleet.nodes[m.ID]; s != nil && s != leader {
 			return s
 		}
 	}
@@ -240,12 +242,12 @@
 // advance advances the clock by d in small steps.
 func (fleet *testFleet) advance(d time.Duration) {
 	end := fleet.clock.Now() + d
-	fleet.until("the end of a time", func() bool { return fleet.clock.Now() >= end })
+	fleet.until("the clock to advance", func() bool { return fleet.clock.Now() >= end })
 }
 
 // elapsed returns how long do took on the clock.
 func (fleet *testFleet) elapsed(do func()) time.Duration {
-	from := fleet.clock.Now()
+	start := fleet.clock.Now()
 	do()
-	return fleet.clock.Now() - from
+	return fleet.clock.Now() - start
 }
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -14,9 +14,9 @@
 	maxFollowWait  = 30 * time.Second
 )
 
-// Follow returns the changes after the version that a data-plane node has, or a snapshot where the log no longer has
-// them all. While there are none it waits, up to call.Wait. Any member answers, from the entries that it has applied.
-// Failures: Unavailable, Stopped.
+// Follow returns the changes after the version that a data-plane node has, or a snapshot if the log no longer has all
+// of them. If there are no changes it waits for the first, up to call.Wait. Any member can answer, from the entries
+// that it has applied. Failures: Unavailable, Stopped.
 func (s *Store) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	s.recordFollowerBundle(call)
 	version, ok := call.Vector[vectorSource]
@@ -47,8 +47,8 @@
 	}
 }
 
-// changesAfter returns the applied entries after version, or the newest snapshot where the log no longer reaches back
-// to version. If there are none it returns a channel that is closed at the next change.
+// changesAfter returns the applied entries after version, or the newest snapshot if the log no longer reaches back to
+// version. If no entry after version is applied it returns a channel that is closed at the next change.
 func (s *Store) changesAfter(version uint64, limit int) (*internalapi.SourceUpdate, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/routine"
 )
 
-// follow calls Follow at s while during runs, and returns the update.
+// follow calls Follow at s and during concurrently, and returns the update.
 func (fleet *testFleet) follow(s *Store, from uint64, wait time.Duration, during func(context.Context)) (
 	update internalapi.SourceUpdate,
 ) {
@@ -30,16 +30,16 @@
 
 func TestFollow_returnsChangesOrSnapshot(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
-		other := fleet.follower(fleet.leader())
+		follower := fleet.follower(fleet.leader())
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
 		fleet.waitLevel()
-		at := other.Status().Applied
+		at := follower.Status().Applied
 		idle := func(context.Context) {}
-		So(len(fleet.follow(other, at-3, 0, idle).Changes), ShouldEqual, 3)
-		So(fleet.follow(other, 0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1) // the log no longer has the changes
-		So(fleet.follow(other, at, time.Second, idle), ShouldResemble, internalapi.SourceUpdate{})
-		update := fleet.follow(other, at, 20*time.Second, func(ctx context.Context) {
-			_, _ = other.ProposeOrForward(ctx, job("news")) // a failure shows in the update
+		So(len(fleet.follow(follower, at-3, 0, idle).Changes), ShouldEqual, 3)
+		So(fleet.follow(follower, 0, 0, idle).Snapshot.Number, ShouldBeGreaterThan, 1) // the log was compacted
+		So(fleet.follow(follower, at, time.Second, idle), ShouldResemble, internalapi.SourceUpdate{})
+		update := fleet.follow(follower, at, 20*time.Second, func(ctx context.Context) {
+			_, _ = follower.ProposeOrForward(ctx, job("news")) // if it fails, the update has no change
 		})
 		So(len(update.Changes), ShouldEqual, 1)
 	})
--- a/internal/store/gc.go
+++ b/internal/store/gc.go
@@ -9,10 +9,10 @@
 	"crosstide/internal/state/command"
 )
 
-// gcInterval is the time between two purges, and between two checks of accounts.
+// gcInterval is the time between two purges, and between two checks of the accounts' balances.
 const gcInterval = 10 * time.Second
 
-// runGC is the goroutine that, on the leader, proposes to purge what is past its retention and warns of accounts.
+// runGC is the goroutine that, on the leader, proposes to purge records past their retention and logs account warnings.
 func (s *Store) runGC(ctx context.Context) {
 	warned := accountWarnings{}
 	for s.sleep(ctx, gcInterval) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// gcCommand returns the command that purges what is past its retention. It returns nil on a node that does not lead, or
-// if the state has nothing that could be purged.
+// gcCommand returns the command that purges records past their retention. It returns nil on a node that does not lead,
+// or if the state has no records that could be purged.
 func (s *Store) gcCommand() command.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -7,19 +7,19 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenMetrics pins names, help texts and labels of metrics.
+// TestGoldenMetrics pins the names, help texts and labels of the metrics.
 func TestGoldenMetrics(t *testing.T) {
 	var kept golden.Registry
 	newMetrics().register(nil, &kept)
 	golden.Compare(t, "metrics",
 		golden.Metrics("store", kept.Collectors...),
 		golden.Metrics("store, told when asked", golden.Descs{descRole, descTerm, descCommit, descApplied, descWaiting,
-			descRefused, descLog, descWrites, descState, descType, descAccount, descRate, descExhaustedIn, descUnpaid,
-			descWarning}),
+			descRefused, descLogBytes, descSnapshots, descObjects, descRunning, descAccount, descRate, descExhaustedIn,
+			descAwaitingTopUp, descWarning}),
 	)
 }
 
-// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+// TestGoldenDigests pins the digest of a fixed member list, as nodes of different versions compare digests.
 func TestGoldenDigests(t *testing.T) {
 	golden.Compare(t, "digests", golden.Lines("founding members",
 		digestOf([]config.Member{{ID: "b", Addr: "addr", Zone: "zone"}, {ID: "a", Addr: "addr", Zone: "zone"}})))
--- a/internal/store/installsnapshot.go
+++ b/internal/store/installsnapshot.go
@@ -20,7 +20,8 @@
 	done  chan struct{} // closed once it is installed or rejected
 }
 
-// startFetch starts to fetch the snapshot that the core asked for, unless a fetch is under way. s.mu must be held.
+// startFetch starts to fetch the snapshot that the core requested, if any, unless a fetch is under way. s.mu must be
+// held.
 func (s *Store) startFetch(wanted *raft.FetchSnapshot) {
 	if wanted == nil || s.snapshots.fetching {
 		return
@@ -34,8 +35,8 @@
 	s.group.Go(func(ctx context.Context) { s.fetch(ctx, request) })
 }
 
-// fetch is the goroutine that downloads a snapshot and waits until it is installed. After a failure the core asks
-// again.
+// fetch is the goroutine that downloads a snapshot and waits until it is installed. After a failure the core requests
+// the snapshot again.
 func (s *Store) fetch(ctx context.Context, wanted raft.FetchSnapshot) {
 	err := s.fetchAndInstall(ctx, wanted)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return fetched, nil
 }
 
-// installFetched replaces this node's state with a fetched snapshot. The core is frozen meanwhile, so that the log on
-// disk cannot change between the write of the image and SnapshotInstalled.
+// installFetched replaces this node's state with a fetched snapshot. The core stays frozen until it is done, so that
+// the log on disk cannot change between the write of the image and SnapshotInstalled.
 func (s *Store) installFetched(ctx context.Context, fetched *fetchedSnapshot) error {
 	if !s.freeze(fetched) {
 		return nil
@@ -92,7 +93,7 @@
 	return errs.Pass(s.replaceWithFetched(ctx, fetched), "install")
 }
 
-// freeze stops the core if the snapshot is newer than what is committed here, and reports whether it is.
+// freeze stops the core if the snapshot is newer than this node's commit index, and reports whether it did.
 func (s *Store) freeze(fetched *fetchedSnapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -16,14 +16,14 @@
 // leadership is this node's state as the leader, reset when it gains or loses the leadership. A Store owns it; guarded
 // by Store.mu.
 type leadership struct {
-	term      uint64        // in which this node leads; 0: it does not lead
+	term      uint64        // the term in which this node leads; 0: it does not lead
 	changedAt time.Duration // when this node began or ceased to lead
 	leases    *roleLeases   // active from when the leader's lease is first confirmed in this term
 }
 
-// onStatusChange acts on the status of the core after each pass: when this node gains or loses the leadership it fails
-// the proposals and drops the role leases; once the leader's lease is confirmed it starts to count role leases; and it
-// makes the peers match the member set. s.mu must be held.
+// onStatusChange handles the status of the core after each pass. When this node gains or loses the leadership it fails
+// all proposals and drops the role leases; once the leader's lease is confirmed it activates the role leases. It also
+// starts and stops peers to match the member set. s.mu must be held.
 func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
 	status := &s.status
 	if before.Role != status.Role || before.Leader != status.Leader || before.Term != status.Term {
@@ -50,8 +50,8 @@
 }
 
 // LeaderTerm returns the term in which this node leads, 0 if it does not lead. hasLease reports whether, at now on the
-// store's clock, no other node can lead: the leader's lease is valid, and the live state has all that earlier leaders
-// committed. Example:
+// store's clock, no other node can lead: the leader's lease is valid, and the live state has every entry that earlier
+// leaders committed. Example:
 //
 //	if term, hasLease := s.LeaderTerm(clock.Now()); hasLease {
 //		_, _, err = s.ProposeIn(ctx, term, decide())
@@ -73,8 +73,8 @@
 	return s.leadership.term != 0 && s.clock.Now()-s.leadership.changedAt < takeoverPeriod
 }
 
-// TransferLeadership asks another voter to take over if this node leads, and waits until it no longer does, for one
-// Election at most. A failure is logged: an ordinary election follows once this node stops.
+// TransferLeadership asks another voter to take over if this node leads, and waits until it no longer leads, for one
+// election timeout at most. A failure is only logged: after this node stops, an ordinary election follows.
 func (s *Store) TransferLeadership(ctx context.Context) {
 	s.mu.Lock()
 	if s.core == nil || s.status.Role != raft.Leader {
@@ -101,30 +101,31 @@
 }
 
 // stepDownIfDiskHangs transfers the leadership when this node's disk hangs. The other members can commit without it,
-// but a node that cannot store entries must not go on leading them. It is called at each tick. s.mu must be held.
+// but a node that cannot store entries must not remain the leader. It is called at each tick. s.mu must be held.
 func (s *Store) stepDownIfDiskHangs(now time.Duration) {
 	if s.status.Role != raft.Leader || !s.diskQueue.isHung(now, 2*s.settings.Election) {
 		return
 	}
 	if to := s.successor(); to != "" && s.core.TransferLeadership(now, to) == nil {
-		_ = level.Warn(s.logger).Log("msg", "disk hung, leadership transferring", "to", to,
+		_ = level.Warn(s.logger).Log("msg", "disk hung, leadership transfer started", "to", to,
 			"for", now-s.diskQueue.busySince)
 	}
 }
 
-// successor returns the best voter to lead after this node: among those heard from within an Election the one with most
-// of the log, and among equals the one heard from last. It returns "" if there is none. s.mu must be held.
+// successor returns the best voter to lead after this node: of those heard from within an election timeout the one with
+// the longest log, and of equal ones the one heard from most recently. It returns "" if there is no such voter. s.mu
+// must be held.
 func (s *Store) successor() (to string) {
 	now := s.clock.Now()
 	var newestContact time.Duration
 	for _, m := range s.status.Members {
-		heard, ok := s.core.LastContact(now, m.ID)
-		if m.ID == s.id || m.Learner || !ok || now-heard >= s.settings.Election {
+		contact, ok := s.core.LastContact(now, m.ID)
+		if m.ID == s.id || m.Learner || !ok || now-contact >= s.settings.Election {
 			continue
 		}
 		hasMore := s.status.Match[m.ID] > s.status.Match[to]
-		if to == "" || hasMore || s.status.Match[m.ID] == s.status.Match[to] && heard > newestContact {
-			to, newestContact = m.ID, heard
+		if to == "" || hasMore || s.status.Match[m.ID] == s.status.Match[to] && contact > newestContact {
+			to, newestContact = m.ID, contact
 		}
 	}
 	return to
--- a/internal/store/leader_test.go
+++ b/internal/store/leader_test.go
@@ -19,16 +19,17 @@
 	}
 }
 
-// An election whose votes split takes another round. The order in which the runtime's scheduler runs goroutines decides
-// whether one does: 19 of 360 plays beside load had one such election among their 40. So the bound holds for each
-// round, and how seldom votes split is held on fixed seeds by the raft package's TestElection_failoverDuration.
+// TestFailover_duration bounds the time without a leader after a killed leader, a leadership transfer and a power loss.
+// A split vote costs another election round, and the goroutine scheduler decides whether votes split: of 360 runs under
+// load, 19 had one split vote in their 40 elections. So the bound is per round; the raft package's
+// TestElection_failoverDuration bounds the rate of split votes, on fixed seeds.
 func TestFailover_duration(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.slowSyncs()
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
-		all := []time.Duration{}
-		longest, handover, power := time.Duration(0), time.Duration(0), time.Duration(0)
+		failovers := []time.Duration{}
+		longestRound, longestTransfer, longestRestart := time.Duration(0), time.Duration(0), time.Duration(0)
 		splitVotes := 0
 		for range 40 {
 			fleet.seed += 1000
@@ -39,18 +40,18 @@
 				fleet.kill(lead)
 				successor = fleet.leader()
 			})
-			all = append(all, took)
+			failovers = append(failovers, took)
 			rounds := successor.Status().Raft.Term - term
 			if rounds > 1 {
 				splitVotes++
 			}
-			longest = max(longest, took/time.Duration(rounds))
+			longestRound = max(longestRound, took/time.Duration(rounds))
 			fleet.start(lead)
 			fleet.waitLevel()
 		}
 		for range 8 {
 			lead := fleet.leader()
-			handover = max(handover, fleet.elapsed(func() {
+			longestTransfer = max(longestTransfer, fleet.elapsed(func() {
 				fleet.call(func(ctx context.Context) { lead.TransferLeadership(ctx) })
 				fleet.leaderOf(fleet.others(lead.settings.Name)...)
 			}))
@@ -61,17 +62,17 @@
 			for _, n := range fleet.others() {
 				fleet.kill(n)
 			}
-			power = max(power, fleet.elapsed(func() { fleet.startAll(); fleet.leader() }))
+			longestRestart = max(longestRestart, fleet.elapsed(func() { fleet.startAll(); fleet.leader() }))
 			fleet.waitLevel()
 		}
-		slices.Sort(all)
-		Printf("\nkilled leader %s in the middle", all[len(all)/2])
-		Printf("\nkilled leader %s, handover %s, power loss %s at most", longest, handover, power)
-		So(longest, ShouldBeLessThan, 1300*time.Millisecond)
-		So(all[len(all)/2], ShouldBeLessThan, 900*time.Millisecond)
+		slices.Sort(failovers)
+		Printf("\nmedian failover %s", failovers[len(failovers)/2])
+		Printf("\nlongest round %s, transfer %s, start after power loss %s", longestRound, longestTransfer, longestRestart)
+		So(longestRound, ShouldBeLessThan, 1300*time.Millisecond)
+		So(failovers[len(failovers)/2], ShouldBeLessThan, 900*time.Millisecond)
 		So(splitVotes, ShouldBeLessThanOrEqualTo, 2)
-		So(handover, ShouldBeLessThan, 100*time.Millisecond)
-		So(power, ShouldBeLessThan, 2*time.Second)
+		So(longestTransfer, ShouldBeLessThan, 100*time.Millisecond)
+		So(longestRestart, ShouldBeLessThan, 2*time.Second)
 	})
 }
 
@@ -81,7 +82,7 @@
 		fleet.startAll()
 		fleet.waitVoters("c1", "c2", "c3", "c4", "c5")
 		lead := fleet.leader()
-		gone := fleet.others(lead.settings.Name)[:2] // idle, so the dead have all of the log as the others do
+		gone := fleet.others(lead.settings.Name)[:2] // the fleet is idle: dead nodes have the whole log too
 		fleet.kill(gone[0])
 		fleet.kill(gone[1])
 		fleet.advance(time.Second)
@@ -100,8 +101,8 @@
 		term, hasLease := lead.LeaderTerm(fleet.clock.Now())
 		So(hasLease, ShouldBeTrue)
 		So(term, ShouldEqual, lead.Status().Raft.Term)
-		_, other := fleet.follower(lead).LeaderTerm(fleet.clock.Now())
-		So(other, ShouldBeFalse)
+		_, followerHasLease := fleet.follower(lead).LeaderTerm(fleet.clock.Now())
+		So(followerHasLease, ShouldBeFalse)
 
 		propose := func(s *Store, term uint64, key string) (err error) {
 			fleet.call(func(ctx context.Context) { _, _, err = s.ProposeIn(ctx, term, job(key)) })
@@ -118,7 +119,7 @@
 		So(errs.KindOf(propose(lead, 0, "b")), ShouldEqual, errs.Stale)
 		So(errs.KindOf(propose(fleet.follower(lead), term, "b")), ShouldEqual, errs.NotLeader)
 
-		// Cut off, the lease ends before another can lead.
+		// The lease of a partitioned leader ends before another node can lead.
 		fleet.setCut(true, lead.settings.Name)
 		fleet.advance(fleet.settings.Lease + fleet.settings.Heartbeat)
 		_, hasLease = lead.LeaderTerm(fleet.clock.Now())
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	pollInterval      = 10 * time.Millisecond // of conditions that signal no channel
+	pollInterval      = 10 * time.Millisecond // for conditions that no channel signals
 	ticksPerHeartbeat = 4                     // ticks of the core in one Settings.Heartbeat
 )
 
-// loop is the goroutine that drives the core: it makes a pass whenever it is woken or a tick is due.
+// loop is the goroutine that drives the core: it runs a pass whenever it is woken or a tick is due.
 func (s *Store) loop(ctx context.Context) {
 	var timer clock.Stopper
 	wake := func() { signal(s.wakeLoop) }
 	for {
-		due := s.pass()
+		untilNext := s.pass()
 		if s.isCatchingUp() {
 			s.sleep(ctx, catchUpPause)
 		}
 		if timer != nil {
 			timer.Stop()
 		}
-		timer = s.clock.Set(due, wake)
+		timer = s.clock.Set(untilNext, wake)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -41,18 +41,18 @@
 	}
 }
 
-// pass is one turn of the loop: it ticks the core if that is due, proposes what is pending, and distributes the core's
-// Ready to the peers' queues, the disk queue, the live state and the snapshot fetch. It returns the time until the next
-// pass is due.
+// pass is one turn of the loop: it ticks the core if a tick is due, proposes the pending commands, and distributes the
+// core's Ready to the peers' queues, the disk queue, the live state and the snapshot fetch. It returns the time until
+// the next pass is due.
 func (s *Store) pass() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	tick := s.tickInterval()
+	interval := s.tickInterval()
 	if s.frozen || s.halted {
-		return tick
+		return interval
 	}
-	if now-s.lastTick >= tick {
+	if now-s.lastTick >= interval {
 		s.core.Tick(now)
 		s.lastTick = now
 		s.stepDownIfDiskHangs(now)
@@ -83,8 +83,8 @@
 // tickInterval returns the time between two ticks of the core; between them the loop runs only when it is woken.
 func (s *Store) tickInterval() time.Duration { return s.settings.Heartbeat / ticksPerHeartbeat }
 
-// Step passes raft messages of another member to the core, or drops them. call.From is the sender's address: a node
-// that has no member set yet can answer there.
+// Step passes raft messages of another member to the core, or drops them if this node has no core, is frozen or halted.
+// call.From is the sender's address, to which a node that has no member set yet can reply.
 func (s *Store) Step(call internalapi.RaftCall) {
 	s.mu.Lock()
 	s.rememberAddresses(call.From)
@@ -112,7 +112,7 @@
 	}
 }
 
-// sleep waits for d and reports whether that passed before ctx ended.
+// sleep waits for d, or until ctx ends, and reports whether d has passed.
 func (s *Store) sleep(ctx context.Context, d time.Duration) bool {
 	return clock.Sleep(ctx.Done(), s.clock, d)
 }
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -13,21 +13,21 @@
 )
 
 // ManualDriver drives a store that was not started, step by step on one goroutine, so that the deterministic simulator
-// runs the daemon's own code. Each step is one that a goroutine of a started store makes when it is woken; the caller
-// decides when a sync ends or a message arrives. No step waits: Net must answer at once. Example:
+// runs the daemon's own code. Each method does a step that a goroutine of a started store does when it is woken; the
+// caller decides when a sync ends or a message arrives. No step waits: Net must answer at once. Example:
 //
 //	s, err := store.Open(options)
 //	d := s.Manual()
-//	d.Pass()                   // one turn of the loop
-//	b := d.TakeDiskBatch()     // the queued writes, nil if there are none
+//	d.Pass()                   // runs one turn of the loop
+//	b := d.TakeDiskBatch()     // returns the queued writes, nil if the queue is empty
 //	err = b.Write()            // writes and syncs them
-//	b.MarkStored()             // now, or at a later time of the simulation
+//	b.MarkStored()             // now, or later in simulated time
 //	err = d.RunSnapshotter()   // writes snapshots that are due
 //	for _, m := range d.TakeMessages() { send(m.Addr, m.Call) }
 type ManualDriver struct {
 	store   *Store
 	wanted  *raft.FetchSnapshot // the core's request for a snapshot; nil: none
-	fetched *fetchedSnapshot    // to be installed once the disk is idle; the store is frozen meanwhile
+	fetched *fetchedSnapshot    // to be installed once the disk is idle; until then the store is frozen
 }
 
 // Manual returns a driver of the store, which must not be started.
@@ -36,10 +36,10 @@
 	return s.manual
 }
 
-// IsMember reports whether the core exists: the folder was not empty, or Bootstrap or ResolveEmptyFolder resolved it.
+// IsMember reports whether the core exists: the folder was not empty, or Bootstrap or ResolveEmptyFolder started it.
 func (d *ManualDriver) IsMember() bool { return d.store.core != nil }
 
-// Bootstrap starts a new fleet, as resolveEmptyFolder does once all members were found fresh.
+// Bootstrap creates a new fleet, as resolveEmptyFolder does once all members are known to be fresh.
 func (d *ManualDriver) Bootstrap() error { return errs.Pass(d.store.bootstrap(nil), "bootstrap") }
 
 // ResolveEmptyFolder is one round of resolveEmptyFolder that starts a new incarnation if a fleet exists, and never
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// JoinCall returns this node's request to join and the leader's address. ok is false if the node need not join: it is a
-// voter, or a bootstrap member under its own name.
+// JoinCall returns this node's request to join and the leader's address. ok is false if the node is a voter or a
+// bootstrap member, or has no core yet.
 func (d *ManualDriver) JoinCall() (call internalapi.JoinCall, addr string, ok bool) {
 	s := d.store
 	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
@@ -72,14 +72,14 @@
 	return s.joinCall(), s.status.LeaderAddr, true
 }
 
-// Pass is one turn of the loop.
+// Pass runs one turn of the loop.
 func (d *ManualDriver) Pass() {
 	if d.store.core != nil {
 		d.store.pass()
 	}
 }
 
-// OutboundCall is a call with raft messages and the address that it is for.
+// OutboundCall is a call with raft messages and the address to which to send it.
 type OutboundCall struct {
 	Addr string
 	Call internalapi.RaftCall
@@ -100,13 +100,13 @@
 	return calls
 }
 
-// DiskBatch is the writes that one sync stores.
+// DiskBatch holds the writes that one sync stores.
 type DiskBatch struct {
 	store  *Store
 	writes []diskWrite
 }
 
-// TakeDiskBatch removes all queued writes and returns them; nil if there are none, or while another batch is under way.
+// TakeDiskBatch removes all queued writes and returns them; nil if the queue is empty or another batch is being stored.
 func (d *ManualDriver) TakeDiskBatch() *DiskBatch {
 	if d.store.diskQueue.busySince != 0 || d.store.halted {
 		return nil
@@ -123,7 +123,7 @@
 // MarkStored reports to the store that the batch is synced.
 func (b *DiskBatch) MarkStored() { b.store.onStored(b.writes) }
 
-// Entries returns the log entries in the batch, in the order of writing.
+// Entries returns the log entries in the batch, in the order in which they are written.
 func (b *DiskBatch) Entries() (entries []raft.Entry) {
 	for _, w := range b.writes {
 		entries = append(entries, w.entries...)
@@ -131,8 +131,8 @@
 	return entries
 }
 
-// RunSnapshotter applies durable entries to the snapshotter's state, writes the snapshots that are due, and installs a
-// fetched one once the disk is idle.
+// RunSnapshotter applies durable entries to the snapshotter's state, writes a snapshot if one is due, and installs a
+// fetched snapshot once the disk is idle.
 func (d *ManualDriver) RunSnapshotter() error {
 	fetched, err := d.store.applyDurableEntries(context.Background())
 	if err != nil {
@@ -149,7 +149,7 @@
 	return errs.Pass(d.store.replaceWithFetched(context.Background(), fetched), "install")
 }
 
-// FetchSnapshot downloads the snapshot that the core asked for, if any.
+// FetchSnapshot downloads the snapshot that the core requested, if any. It returns at the first failed call.
 func (d *ManualDriver) FetchSnapshot() error {
 	if d.wanted == nil || d.fetched != nil {
 		return nil
@@ -157,7 +157,7 @@
 	wanted := *d.wanted
 	d.wanted, d.store.snapshots.fetching = nil, false
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // no pauses between tries
+	cancel() // ends the pause after a failed call, and so the download
 	fetched, err := d.store.downloadAndDecode(ctx, wanted)
 	if err == nil {
 		d.store.snapshots.toInstall = fetched
@@ -184,7 +184,7 @@
 	return &Proposal{d.store, w}, nil
 }
 
-// Done returns the outcome, once; ok is false while there is none.
+// Done returns the outcome, once only; ok is false while the proposal has no outcome.
 func (p *Proposal) Done() (index uint64, answer any, err error, ok bool) {
 	select {
 	case o := <-p.waiter.done:
@@ -216,16 +216,16 @@
 	return answer, errs.Pass(err, "role %s", call.Role)
 }
 
-// ChangesAfter is Store.Follow without the wait; nil if there are no changes after version.
+// ChangesAfter is Store.Follow without the wait; it returns nil if no entry after version is applied.
 func (d *ManualDriver) ChangesAfter(version uint64) (*internalapi.SourceUpdate, error) {
 	update, _, err := d.store.changesAfter(version, maxFollowBytes)
 	return update, errs.Pass(err, "changes after %d", version)
 }
 
-// ProposeGC proposes to purge what is past its retention, if this node leads.
+// ProposeGC proposes to purge records past their retention, if this node leads.
 func (d *ManualDriver) ProposeGC() {
 	if c := d.store.gcCommand(); c != nil {
-		_, _ = d.Propose(c) // a failed one is made up for by the next
+		_, _ = d.Propose(c) // after a failure the next call purges the same records
 	}
 }
 
@@ -238,5 +238,5 @@
 // WantsSnapshot reports whether FetchSnapshot has a snapshot to download.
 func (d *ManualDriver) WantsSnapshot() bool { return d.wanted != nil && d.fetched == nil }
 
-// Core returns the replication core; nil before IsMember.
+// Core returns the replication core; nil while IsMember is false.
 func (d *ManualDriver) Core() *raft.Core { return d.store.core }
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -23,18 +23,21 @@
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 17)})
 	}
 	return &metrics{
-		proposals: counter("proposals_total", "Proposals put into the log."),
-		dropped:   counter("messages_dropped_total", "Messages to peers that fell or failed."),
-		syncs:     seconds("sync_seconds", "Syncs of the log; its count is the count of group commits."),
-		commits:   seconds("commit_seconds", "From a proposal to its answer, where it was committed."),
-		snapshots: seconds("snapshot_seconds", "Encoding and writing of a snapshot."),
+		proposals: counter("proposals_total", "Proposals passed to the replication core."),
+		dropped: counter("messages_dropped_total",
+			"Messages to peers that were dropped from a full queue or failed to be sent."),
+		syncs: seconds("sync_seconds",
+			"Time to write and sync a batch of log records; the count is the number of group commits."),
+		commits: seconds("commit_seconds",
+			"Time from a proposal to its outcome, of proposals that were committed and succeeded."),
+		snapshots: seconds("snapshot_seconds", "Time to encode and write a snapshot."),
 	}
 }
 
-// register registers m and a collector of s; with a nil registry it does nothing.
-func (m *metrics) register(s *Store, to prometheus.Registerer) {
-	if to != nil {
-		to.MustRegister(m.proposals, m.dropped, m.syncs, m.commits, m.snapshots, &collector{store: s})
+// register registers m and a collector of s, unless registerer is nil.
+func (m *metrics) register(s *Store, registerer prometheus.Registerer) {
+	if registerer != nil {
+		registerer.MustRegister(m.proposals, m.dropped, m.syncs, m.commits, m.snapshots, &collector{store: s})
 	}
 }
 
@@ -47,34 +50,34 @@
 }
 
 var (
-	descRole    = describe("role", "1 for the role of this node.", "role")
-	descTerm    = describe("term", "Term.")
-	descCommit  = describe("commit_index", "Newest entry known to be committed.")
-	descApplied = describe("applied_index", "Newest entry in the live state.")
-	descWaiting = describe("waiting", "Proposals that wait.")
-	descRefused = describe("refused_total", "Messages that contradict what is committed here; must stay 0.")
-	descLog     = describe("log_bytes_total", "Bytes written to disk.")
-	descWrites  = describe("snapshots_total", "Snapshots written.")
-	descState   = describe("state", "What is in the state.", "of")
-	descType    = describe("running", "Handles out, by type of job.", "type")
+	descRole      = describe("role", "1 for the current raft role of this node, 0 for the others.", "role")
+	descTerm      = describe("term", "Term.")
+	descCommit    = describe("commit_index", "Index of the newest entry known to be committed.")
+	descApplied   = describe("applied_index", "Index of the newest entry applied to the live state.")
+	descWaiting   = describe("waiting", "Proposals without an outcome yet.")
+	descRefused   = describe("refused_total", "Raft messages that contradict entries committed here; must stay 0.")
+	descLogBytes  = describe("log_bytes_total", "Bytes written to the files of the store.")
+	descSnapshots = describe("snapshots_total", "Snapshots written.")
+	descObjects   = describe("state", "Objects in the replicated state, by kind.", "of")
+	descRunning   = describe("running", "Handles in use, by task type.", "type")
 )
 
-// Describe sends nothing, which makes the collector an unchecked one: its labels depend on the state.
+// Describe sends no descriptions, which makes this an unchecked collector: its label values depend on the state.
 func (*collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the current values.
-func (c *collector) Collect(to chan<- prometheus.Metric) {
+func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	s := c.store
 	s.mu.Lock()
 	status, applied, waiting := s.status, s.live.Index, s.proposals.count
-	figures, accounts := query.Count(s.live), query.Accounts(s.live)
+	counts, accounts := query.Count(s.live), query.Accounts(s.live)
 	s.mu.Unlock()
 	var disk storage.Stats
 	if s.storage != nil {
 		disk = s.storage.Stats()
 	}
 	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
+		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 	}
 	for _, role := range []raft.Role{raft.Follower, raft.PreCandidate, raft.Candidate, raft.Leader} {
 		value := 0.0
@@ -87,16 +90,16 @@
 	gauge(descCommit, float64(status.Commit))
 	gauge(descApplied, float64(applied))
 	gauge(descWaiting, float64(waiting))
-	to <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(status.Refused))
-	to <- prometheus.MustNewConstMetric(descLog, prometheus.CounterValue, float64(disk.Bytes))
-	to <- prometheus.MustNewConstMetric(descWrites, prometheus.CounterValue, float64(disk.Snapshots))
-	gauge(descState, float64(figures.Jobs), "jobs")
-	gauge(descState, float64(figures.Inbox), "inbox")
-	gauge(descState, float64(figures.Tombstones), "tombs")
-	gauge(descState, float64(figures.Handles), "handles")
-	gauge(descState, float64(figures.Workers), "minions")
-	for kind, n := range figures.RunningCounts {
-		gauge(descType, float64(n), kind)
+	ch <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(status.Refused))
+	ch <- prometheus.MustNewConstMetric(descLogBytes, prometheus.CounterValue, float64(disk.Bytes))
+	ch <- prometheus.MustNewConstMetric(descSnapshots, prometheus.CounterValue, float64(disk.Snapshots))
+	gauge(descObjects, float64(counts.Jobs), "jobs")
+	gauge(descObjects, float64(counts.Inbox), "inbox")
+	gauge(descObjects, float64(counts.Tombstones), "tombs")
+	gauge(descObjects, float64(counts.Handles), "handles")
+	gauge(descObjects, float64(counts.Workers), "minions")
+	for taskType, n := range counts.RunningCounts {
+		gauge(descRunning, float64(n), taskType)
 	}
-	collectAccounts(accounts, to)
+	collectAccounts(accounts, ch)
 }
--- a/internal/store/network.go
+++ b/internal/store/network.go
@@ -43,7 +43,8 @@
 	return s.BootstrapStatus(call), nil
 }
 
-// immediate adapts a function without a context to a handler; it must return at once or bound its own wait.
+// immediate adapts a function without a context to an rpc handler. The function must return at once or bound its own
+// wait.
 func immediate[C, A any](serve func(C) (A, error)) func(context.Context, C) (A, error) {
 	return func(_ context.Context, call C) (A, error) {
 		answer, err := serve(call)
@@ -51,8 +52,8 @@
 	}
 }
 
-// Net makes calls to the control-plane node at an address. Each call ends within a timeout of its own, earlier if ctx
-// ends; it is called without Store.mu held. An error says nothing about whether the call was carried out.
+// Net makes calls to the control-plane node at an address. Each call ends within its own timeout, or earlier if ctx
+// ends; Store.mu must not be held. After an error the call may or may not have been carried out.
 type Net interface {
 	SendMessages(ctx context.Context, addr string, call internalapi.RaftCall) error
 	FetchChunk(ctx context.Context, addr string, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
@@ -63,7 +64,7 @@
 	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
 }
 
-// NetworkOf returns a Net that calls by client.
+// NetworkOf returns a Net that makes its calls through client.
 func NetworkOf(client *rpc.Client, settings config.ControlPlane) Net {
 	return networkCalls{client, settings.Election}
 }
@@ -88,7 +89,8 @@
 	return a, errs.Pass(err, "fetch a chunk")
 }
 
-// BootstrapStatus asks a node whether its folder is fresh, and what it knows of the fleet.
+// BootstrapStatus asks a node whether its folder is fresh, and for the leader, the members and the commit index that it
+// knows.
 func (n networkCalls) BootstrapStatus(ctx context.Context, addr string, call internalapi.DiscoverCall) (
 	internalapi.DiscoverAnswer, error,
 ) {
@@ -104,7 +106,7 @@
 	return a, errs.Pass(err, "join")
 }
 
-// Propose forwards a command to the leader and waits for its outcome.
+// Propose forwards a command to the leader and returns its outcome.
 func (n networkCalls) Propose(ctx context.Context, addr string, call internalapi.ProposeCall) (
 	internalapi.ProposeAnswer, error,
 ) {
@@ -112,7 +114,7 @@
 	return a, errs.Pass(err, "propose")
 }
 
-// ReadIndex asks the leader for the index that a linearizable read must wait for.
+// ReadIndex asks the leader for the index that must be applied before a linearizable read.
 func (n networkCalls) ReadIndex(ctx context.Context, addr string) (internalapi.ReadIndexAnswer, error) {
 	a, err := rpc.Call(ctx, n.client, addr, internalapi.ReadIndex, internalapi.ReadIndexCall{}, n.election)
 	return a, errs.Pass(err, "read index")
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxPeerMessages  = 4096     // in a peer's queue; beyond, the oldest are dropped
-	maxPeerBytes     = 32 << 20 // likewise
-	maxCallBytes     = 8 << 20  // of one call, approximately
+	maxPeerMessages  = 4096     // in a peer's queue; the oldest are dropped first
+	maxPeerBytes     = 32 << 20 // in a peer's queue, likewise
+	maxCallBytes     = 8 << 20  // approximate size of one call
 	maxInFlightCalls = 8        // to one peer at once
 	maxLearnedAddrs  = 64
 )
@@ -19,13 +19,13 @@
 type peers struct {
 	byID map[string]*peer
 	// learned has the addresses of senders that are not in this node's member set, by ID. Without them a node that has
-	// no member set yet could not answer its leader.
+	// no member set yet could not reply to its leader.
 	learned map[string]string
 }
 
 func newPeers() peers { return peers{byID: map[string]*peer{}, learned: map[string]string{}} }
 
-// learn keeps the address of a sender that is not a peer, if there is space.
+// learn keeps the address of a sender that is not a peer, up to maxLearnedAddrs of them.
 func (p *peers) learn(id, addr string) {
 	if p.byID[id] == nil && addr != "" && len(p.learned) < maxLearnedAddrs {
 		p.learned[id] = addr
@@ -37,7 +37,7 @@
 type peer struct {
 	addr  string
 	queue []raft.Message
-	bytes int           // of queue, approximately
+	bytes int           // approximate size of queue
 	wake  chan struct{} // capacity 1; a signal asks runSender to empty the queue
 	stop  context.CancelFunc
 }
@@ -68,7 +68,7 @@
 	return batch
 }
 
-// messageSize returns approximately what a message takes in a call.
+// messageSize returns the approximate size of a message in a call, in bytes.
 func messageSize(m raft.Message) int {
 	n := 256
 	for _, e := range m.Entries {
@@ -77,7 +77,7 @@
 	return n
 }
 
-// enqueueMessages queues messages for their receivers. Those to a receiver without a known address are dropped. s.mu
+// enqueueMessages queues messages for their receivers. It drops messages to a receiver whose address is unknown. s.mu
 // must be held.
 func (s *Store) enqueueMessages(messages []raft.Message) {
 	if s.halted {
@@ -160,8 +160,8 @@
 	}
 }
 
-// sendBatch makes one call and waits until it is answered, but no longer than a heartbeat interval. Over a network
-// slower than that, calls overlap, up to the capacity of inFlight: otherwise the leader's lease would wait for a whole
+// sendBatch makes one call and waits until it is answered, but no longer than a heartbeat interval. If a round trip
+// takes longer, calls overlap, up to the capacity of inFlight: otherwise the leader's lease would wait for a whole
 // round trip per batch. Raft tolerates the reordering. It returns false once ctx has ended.
 func (s *Store) sendBatch(ctx context.Context, p *peer, batch []raft.Message, inFlight chan struct{}) bool {
 	select {
@@ -172,7 +172,7 @@
 	done, timedOut := make(chan struct{}), make(chan struct{})
 	s.group.Go(func(context.Context) {
 		defer func() { <-inFlight; close(done) }()
-		// Only these messages are lost by a failure; the core resends what is still needed.
+		// Only these messages are lost by a failure; the core resends them if they are still needed.
 		call := internalapi.RaftCall{From: s.settings.Addr, Messages: batch}
 		if err := s.opt.Net.SendMessages(ctx, p.addr, call); err != nil {
 			s.metrics.dropped.Add(float64(len(batch)))
