--- a/internal/rpc/addresslimiter.go
+++ b/internal/rpc/addresslimiter.go
@@ -7,21 +7,22 @@
 	"crosstide/internal/errs"
 )
 
-// addressLimiter bounds the calls that run to each address at a time; further ones wait, first come, first served. It
-// is safe for concurrent use.
+// addressLimiter limits the number of concurrent calls to each address; further calls wait in FIFO order. It is safe
+// for concurrent use.
 type addressLimiter struct {
-	limit int // most calls to one address; 0: any number
+	limit int // maximum number of concurrent calls to one address; 0: no limit
 
 	mu      sync.Mutex           // guards the fields below
-	running map[string]int       // by address; no zero entries
-	waiting map[string]waitQueue // by address; a call that is woken runs in place of another; no empty queues
+	running map[string]int       // number of concurrent calls by address; no zero entries
+	waiting map[string]waitQueue // by address; a woken call replaces one that ended in running; no empty queues
 }
 
 func newAddressLimiter(limit int) *addressLimiter {
 	return &addressLimiter{limit: limit, running: map[string]int{}, waiting: map[string]waitQueue{}}
 }
 
-// acquire waits until a call to addr may run; the caller then calls release once. Failure: Timeout if ctx ends first.
+// acquire waits until a call to addr may run; the caller must then call release once. Failure: Timeout if ctx ends
+// first.
 func (l *addressLimiter) acquire(ctx context.Context, addr string) error {
 	if l.limit <= 0 {
 		return nil
@@ -45,13 +46,13 @@
 	defer l.mu.Unlock()
 	queue = l.waiting[addr]
 	if !queue.leave(acquired) {
-		return nil // it was woken at the same moment
+		return nil // woken at the same time as ctx ended: the call may run
 	}
 	l.setWaiting(addr, queue)
-	return errs.Wrap(ctx.Err(), errs.Timeout, "earlier calls to %s are not over", addr)
+	return errs.Wrap(ctx.Err(), errs.Timeout, "wait for earlier calls to %s", addr)
 }
 
-// release ends a call to addr, and lets the one run that has waited for longest.
+// release ends a call to addr, and starts the one that has waited longest, if any.
 func (l *addressLimiter) release(addr string) {
 	if l.limit <= 0 {
 		return
--- a/internal/rpc/addresslimiter_test.go
+++ b/internal/rpc/addresslimiter_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAddressLimiter(t *testing.T) {
-	Convey("Calls to an address run in order, others do not wait; one that never ran is unsent", t, func() {
+	Convey("Calls to an address run in FIFO order, others do not wait; one that never ran is unsent", t, func() {
 		addresses, end := quietPeers(t, 2)
 		defer end()
 		virtual := &clock.Virtual{}
@@ -28,13 +28,13 @@
 			defer limiter.mu.Unlock()
 			return len(limiter.waiting[addresses[0]])
 		}
-		work, failed, acquired := routine.New(ctx), make(chan error, 1), make(chan *connection, 1)
-		work.Go(func(context.Context) {
+		group, failed, acquired := routine.New(ctx), make(chan error, 1), make(chan *connection, 1)
+		group.Go(func(context.Context) {
 			_, err := client.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
 			failed <- err
 		})
 		waitUntil(func() bool { return waiting() == 1 })
-		work.Go(func(context.Context) {
+		group.Go(func(context.Context) {
 			conn, _ := client.acquire(ctx, addresses[0])
 			acquired <- conn
 		})
@@ -47,6 +47,6 @@
 		client.release(first, true)
 		client.release(other, true)
 		So([]int{len(limiter.running), len(limiter.waiting)}, ShouldResemble, []int{0, 0})
-		work.Wait()
+		group.Wait()
 	})
 }
--- a/internal/rpc/admission.go
+++ b/internal/rpc/admission.go
@@ -8,12 +8,12 @@
 	"crosstide/internal/errs"
 )
 
-// admission is a server's admission control: it counts connections in the server's quota. A connection beyond it stays
-// open until its first request is rejected, as a client would take a bare close for a node that is down. It is safe for
-// concurrent use.
+// admission is a server's admission control: it counts connections in the server's quota. A connection beyond the quota
+// stays open until its first request has been rejected: a client would take a connection that is closed without a
+// response for a node that is down. It is safe for concurrent use.
 type admission struct {
-	quota *ConnQuota // nil: every connection is admitted, none is counted
-	// admitted has an entry for each open connection, by the address of its peer: whether it counts in the quota.
+	quota *ConnQuota // nil: every connection is admitted and not counted
+	// admitted maps the peer address of each open connection to whether it was admitted, and so counts in the quota.
 	admitted *xsync.Map[string, bool]
 }
 
@@ -33,8 +33,8 @@
 	a.admitted.Store(c.RemoteAddr().String(), isAdmitted)
 }
 
-// onClose releases the quota of a connection. One without an onOpen before it, as the server's own local ones, is
-// ignored.
+// onClose releases the quota of an admitted connection. It ignores connections for which onOpen was not called, such as
+// the server's own local ones.
 func (a admission) onClose(c net.Conn) {
 	if a.quota == nil || c.RemoteAddr() == nil {
 		return
@@ -52,7 +52,7 @@
 	if isAdmitted, known := a.admitted.Load(peer); !known || isAdmitted {
 		return nil
 	}
-	err := errs.New(errs.Unavailable, "too many connections are open here")
+	err := errs.New(errs.Unavailable, "too many open connections on this node")
 	errs.Of(err).After = retryAfter
 	return err
 }
--- a/internal/rpc/admission_test.go
+++ b/internal/rpc/admission_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// get sends a request over c, and returns the response's status and Retry-After, and whether it closes the connection.
+// get sends a request over c, and returns the response's status, its Retry-After, and whether it closes the connection.
 func get(t *testing.T, c net.Conn) (status int, after string, isClosing bool) {
 	t.Helper()
 	_, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -24,7 +24,7 @@
 }
 
 func TestAdmission(t *testing.T) {
-	Convey("A connection beyond the quota is rejected with a time to retry, until another one is closed", t, func() {
+	Convey("A connection beyond the quota is rejected with Retry-After, until another one is closed", t, func() {
 		limiter := NewConnLimiter(1)
 		quota, err := limiter.NewQuota("clients", 1)
 		So(err, ShouldBeNil)
--- a/internal/rpc/body.go
+++ b/internal/rpc/body.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/errs"
 )
 
-// ReadBody reads the body of a request into a new slice. Failures: TooLarge if its declared or real length is more than
-// limit bytes, Malformed if it cannot be read whole.
+// ReadBody reads the body of a request into a new slice. Failures: TooLarge if its declared or actual length is more
+// than limit bytes, Malformed if it cannot be read to its end.
 func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	var buf bytes.Buffer
 	if err := readInto(&buf, r.Body, r.ContentLength, limit); err != nil {
@@ -18,11 +18,11 @@
 	return buf.Bytes(), nil
 }
 
-// readInto appends body to buf, with the bound and the failures of ReadBody. length is the declared one; negative:
-// none.
+// readInto appends body to buf, with the limit and the failures of ReadBody. length is the declared length, negative if
+// unknown.
 func readInto(buf *bytes.Buffer, body io.Reader, length, limit int64) error {
 	if length > limit {
-		return errs.New(errs.TooLarge, "the body has %d bytes, at most %d are taken", length, limit)
+		return errs.New(errs.TooLarge, "the body has %d bytes, the limit is %d", length, limit)
 	}
 	if body == nil {
 		return nil
@@ -33,7 +33,7 @@
 		return errs.Wrap(err, errs.Malformed, "read the body")
 	}
 	if n > limit {
-		return errs.New(errs.TooLarge, "the body has more than %d bytes", limit)
+		return errs.New(errs.TooLarge, "the body exceeds the limit of %d bytes", limit)
 	}
 	return nil
 }
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -11,31 +11,31 @@
 	"crosstide/internal/errs"
 )
 
-// Call sends call to addr (host:port) and returns the answer. It ends at the latest after timeout on the client's
-// clock, or with ctx: the connection is then closed with a reset. Failures: Timeout, also while it waits or dials;
-// Unavailable for a refused or broken connection; Stopped for a closed client; Malformed for an answer that is no JSON
-// of A; and those that the peer answers, with their kind, field, message, hint and After. IsUnsent reports which calls
-// were not sent, IsRemote which failures the peer answered. Example:
+// Call sends call to addr (host:port) and returns the answer. If timeout passes on the client's clock or ctx ends
+// first, also while it waits for a connection or dials, Call resets the connection and fails as Timeout. Other
+// failures: Unavailable for a refused or broken connection; Stopped for a closed client; Malformed for an answer that
+// is not valid JSON for A; and errors that the peer returns, with their kind, field, message, hint and After. IsUnsent
+// tells whether a failed call was not sent, IsRemote whether the peer returned the error. Example:
 //
 //	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
 func Call[C, A any](
 	ctx context.Context, c *Client, addr string, e Endpoint[C, A], call C, timeout time.Duration,
 ) (A, error) {
-	var answer, none A
+	var answer, zero A
 	if err := c.CallInto(ctx, addr, e.Path, call, &answer, timeout); err != nil {
-		return none, errs.Pass(err, "shared connection")
+		return zero, errs.Pass(err, "pooled connection")
 	}
 	return answer, nil
 }
 
 // CallInto is Call for a caller that handles endpoints of several types: answer is a pointer to a value of the answer's
-// type. After an error the value may have a part of the answer.
+// type. After an error the value may hold a part of the answer.
 func (c *Client) CallInto(ctx context.Context, addr, path string, call, answer any, timeout time.Duration) error {
 	t := transfer{addr: addr, path: path, method: http.MethodPost, timeout: timeout}
-	return errs.Pass(c.roundTrip(ctx, c, t, call, answer), "ask %s", path)
+	return errs.Pass(c.roundTrip(ctx, c, t, call, answer), "call %s", path)
 }
 
-// headBytes is the most that the head of a request takes, its path and address not included.
+// headBytes is the maximum length of the head of a request, without its path and address.
 const headBytes = 160
 
 // roundTrip encodes call, sends it as t over a connection of source, and decodes the answer. It fills in t.request and
@@ -43,18 +43,19 @@
 func (c *Client) roundTrip(ctx context.Context, source connectionSource, t transfer, call, answer any) error {
 	c.metrics.calls.WithLabelValues(t.path).Inc()
 	headroom := len(t.path) + len(t.addr) + headBytes
-	out, in := takeFrame(headroom), takeFrame(0)
-	defer out.free()
-	defer in.free()
-	err := out.encode(call)
+	requestFrame, responseFrame := takeFrame(headroom), takeFrame(0)
+	defer requestFrame.free()
+	defer responseFrame.free()
+	err := requestFrame.encode(call)
 	if err == nil {
-		t.request, t.response = out.prependHead(headroom, t.path, t.addr), &in.buf
+		t.request, t.response = requestFrame.prependHead(headroom, t.path, t.addr), &responseFrame.buf
 		err = c.transferCall(ctx, source, t)
 	} else {
-		err = errs.Pass(&marked[unsent]{err}, "the call")
+		err = errs.Pass(&marked[unsent]{err}, "encode the call")
 	}
 	if err == nil {
-		err = errs.Wrap(codec.Decode(in.buf.Bytes(), answer), errs.Malformed, "the answer of %s at %s", t.path, t.addr)
+		err = errs.Wrap(codec.Decode(responseFrame.buf.Bytes(), answer), errs.Malformed,
+			"the answer of %s at %s", t.path, t.addr)
 	}
 	if err != nil {
 		c.metrics.failures.WithLabelValues(t.path, string(knownKind(errs.KindOf(err)))).Inc()
@@ -62,7 +63,7 @@
 	return errs.Pass(err, "call")
 }
 
-// transferCall is transfer for a call: it returns an answer other than 200 as the failure that it has.
+// transferCall is transfer for a call: it returns a response with a status other than 200 as an error.
 func (c *Client) transferCall(ctx context.Context, source connectionSource, t transfer) error {
 	response, err := c.transfer(ctx, source, t)
 	if err != nil {
@@ -75,7 +76,7 @@
 }
 
 // prependHead writes the head of a request into the headroom of the frame, right before the body, and returns the whole
-// request: one write sends it.
+// request, so that a single write sends it.
 func (f *frame) prependHead(headroom int, path, addr string) []byte {
 	buffered := f.buf.Bytes()
 	head := make([]byte, 0, headroom)
@@ -89,8 +90,8 @@
 	return buffered[start:]
 }
 
-// decodeError returns the failure of an answer other than 200. One with an error body is marked for IsRemote; without,
-// something between the processes answered.
+// decodeError returns the error of a response with a status other than 200. With an error body it is marked for
+// IsRemote; without one, the response came from something between the processes.
 func decodeError(response *http.Response, body []byte) error {
 	var b errorBody
 	if err := json.Unmarshal(body, &b); err != nil || b.Kind == "" {
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestCall_errorOfPeer(t *testing.T) {
-	Convey("Errors come back with kind, field, message, hint and After, and are counted by kind", t, func() {
+	Convey("Errors are returned with kind, field, message, hint and After, and are counted by kind", t, func() {
 		h := newHarness(t)
 		defer h.end(t)
 		_, err := Call(ctx, h.Client, h.Addr(), fail, message{}, time.Second)
@@ -62,7 +62,7 @@
 }
 
 func TestCall_timeout(t *testing.T) {
-	Convey("A call whose time is over, or whose context ends, fails as Timeout and resets the connection", t, func() {
+	Convey("A call whose timeout expires or whose context ends is a Timeout and resets the connection", t, func() {
 		h := newHarness(t)
 		defer h.end(t)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,7 +112,7 @@
 }
 
 func TestCall_remoteError(t *testing.T) {
-	Convey("IsRemote holds for errors that the peer answered, and for no others", t, func() {
+	Convey("IsRemote is true for errors that the peer returned, and for no others", t, func() {
 		h := newHarness(t)
 		defer h.end(t)
 		_, err := Call(ctx, h.Client, h.Addr(), fail, message{}, time.Second)
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -24,18 +24,18 @@
 	// connection. Default: the kernel's.
 	UserTimeout       time.Duration
 	DialTimeout       time.Duration         // default 2s
-	DialOverrides     map[string]string     // by address: the one to dial in its place, as that of a network proxy
+	DialOverrides     map[string]string     // by address: the one to dial instead, such as a network proxy
 	MaxIdlePerAddress int                   // idle connections kept per address, default 16
 	IdleTimeout       time.Duration         // age at which an idle connection is closed, default 1m; servers have 2m
-	MaxBody           int64                 // bound on the body of an answer in bytes, default MaxBody
+	MaxBody           int64                 // limit of the body of a response in bytes, default MaxBody
 	ReadBuffer        int                   // bytes of the read buffer of each connection, default 4096
 	Logger            log.Logger            // default: none
 	Registry          prometheus.Registerer // default: the counters are not registered
-	// Quota bounds the open connections. A call that needs one more waits for it within its time-out; IsQuotaExhausted
-	// holds for the error of one that got none. Default: no bound.
+	// Quota limits the open connections. A call that needs one more waits for it within its timeout; if it gets none,
+	// IsQuotaExhausted is true for its error. Default: no limit.
 	Quota *ConnQuota
-	// MaxCallsPerAddress bounds the calls that run to an address at a time. Others wait within their time-out; IsUnsent
-	// holds for the error of one that never ran. Default: no bound.
+	// MaxCallsPerAddress limits the concurrent calls to an address. Further calls wait within their timeout; if one
+	// never ran, IsUnsent is true for its error. Default: no limit.
 	MaxCallsPerAddress int
 }
 
@@ -77,7 +77,8 @@
 	}
 }
 
-// setUserTimeout returns a net.Dialer's Control that sets TCP_USER_TIMEOUT, rounded up to milliseconds; 0 sets none.
+// setUserTimeout returns a net.Dialer's Control that sets TCP_USER_TIMEOUT, rounded up to milliseconds. If timeout is
+// 0, it sets nothing.
 func setUserTimeout(timeout time.Duration) func(network, addr string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		if timeout <= 0 {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Close resets every connection, dedicated ones too. Calls that still run, and later ones, fail as errs.Stopped.
+// Close resets every connection, dedicated ones too. Running calls and later ones fail as errs.Stopped.
 func (c *Client) Close() { c.pool.close() }
 
 // dial opens a connection once the client's quota allows one more. It counts in the quota until the pool closes it.
@@ -108,7 +109,7 @@
 	if !c.pool.add(conn) {
 		conn.reset()
 		c.opt.Quota.release()
-		return nil, errs.New(errs.Stopped, "the caller is closed")
+		return nil, errs.New(errs.Stopped, "the client is closed")
 	}
 	return conn, nil
 }
@@ -128,16 +129,16 @@
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		_ = tcp.Close()
-		return nil, errs.Wrap(err, errs.Internal, "raw connection")
+		return nil, errs.Wrap(err, errs.Internal, "get the raw connection")
 	}
 	return &connection{TCPConn: tcp, raw: raw, reader: bufio.NewReaderSize(tcp, c.opt.ReadBuffer), addr: addr}, nil
 }
 
-// acquire implements connectionSource by the pool: it waits for its turn at addr, and returns an idle connection, or a
-// new one if there is none.
+// acquire implements connectionSource with the pool: it waits until the address limiter allows a call to addr, and
+// returns an idle connection or else a new one.
 func (c *Client) acquire(ctx context.Context, addr string) (*connection, error) {
 	if err := c.addressLimiter.acquire(ctx, addr); err != nil {
-		return nil, errs.Pass(err, "wait for a turn")
+		return nil, errs.Pass(err, "limit of concurrent calls")
 	}
 	if conn := c.pool.get(addr); conn != nil {
 		return conn, nil
@@ -145,7 +146,7 @@
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
 		c.addressLimiter.release(addr)
-		return nil, errs.Pass(err, "no idle connection to %s", addr)
+		return nil, errs.Pass(err, "open a connection to %s", addr)
 	}
 	return conn, nil
 }
--- a/internal/rpc/connection.go
+++ b/internal/rpc/connection.go
@@ -23,15 +23,15 @@
 	idleElement *list.Element // of the pool's idleByAge; nil while in use
 }
 
-// reset closes the connection at once: bytes that are not acknowledged yet are discarded, and the peer gets a reset. It
-// may be called at any time by any goroutine, and fails the call that uses the connection.
+// reset closes the connection at once: unacknowledged bytes are discarded, and the peer receives a reset. It may
+// be called at any time by any goroutine, and makes the call that uses the connection fail.
 func (c *connection) reset() {
-	_ = c.SetLinger(0) // if it fails, the close is an ordinary one
-	_ = c.Close()      // whatever was on the connection is given up
+	_ = c.SetLinger(0) // if it fails, Close closes without a reset
+	_ = c.Close()      // the connection is not used again, so an error does not matter
 }
 
-// write writes data to the socket without a buffer, and calls check right before each write(2), which its error
-// prevents. It adds the bytes that the kernel took to sent, also if it fails.
+// write writes data to the socket without buffering. It calls check right before each write(2) and stops if check
+// returns an error. Even if it fails, it adds to sent the bytes that the kernel accepted.
 func (c *connection) write(data []byte, sent *int, check func() error) error {
 	var writeErr error
 	err := c.raw.Write(func(fd uintptr) bool {
@@ -59,7 +59,7 @@
 	return errs.Wrap(writeErr, errs.Unavailable, "write")
 }
 
-// alive reports whether an idle connection is open and has nothing to be read: the peer has neither closed it nor sent
+// alive reports whether an idle connection is open and has no bytes to read: the peer has neither closed it nor sent
 // anything without a request.
 func (c *connection) alive() bool {
 	open := false
@@ -72,7 +72,7 @@
 	return err == nil && open && c.reader.Buffered() == 0
 }
 
-// readHead reads the head of the response, and skips interim ones (1xx). The body is read from the response.
+// readHead reads the head of the response, and skips interim responses (1xx). The body is read from the response.
 func (c *connection) readHead(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
--- a/internal/rpc/connlimiter.go
+++ b/internal/rpc/connlimiter.go
@@ -7,11 +7,11 @@
 	"crosstide/internal/errs"
 )
 
-// ConnLimiter bounds the open connections of a process. It is divided into quotas: each has a number of connections
-// reserved that no other can take, and may have more as long as all reservations can still be met. It is safe for
-// concurrent use.
+// ConnLimiter limits the open connections of a process. It is divided into quotas. Each quota has a number of reserved
+// connections that no other quota can use, and may use more as long as the reservations of all others can still be met.
+// It is safe for concurrent use.
 type ConnLimiter struct {
-	limit int // most connections of all quotas together
+	limit int // maximum number of connections of all quotas together
 
 	mu     sync.Mutex   // guards quotas, and the fields of each
 	quotas []*ConnQuota // in the order in which they were added
@@ -20,17 +20,18 @@
 // NewConnLimiter returns a limiter without quotas.
 func NewConnLimiter(limit int) *ConnLimiter { return &ConnLimiter{limit: limit} }
 
-// NewQuota adds a quota with a number of connections reserved. If several quotas have waiters, those of the one added
-// first come first. Failure: Settings for a reservation that is more than what is left of the limit.
+// NewQuota adds a quota with a number of reserved connections. If several quotas have waiters, those of the quota that
+// was added first are served first. Failure: Settings if reserved is negative or exceeds the unreserved connections.
 func (l *ConnLimiter) NewQuota(name string, reserved int) (*ConnQuota, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	left := l.limit
+	unreserved := l.limit
 	for _, q := range l.quotas {
-		left -= q.reserved
+		unreserved -= q.reserved
 	}
-	if reserved < 0 || reserved > left {
-		return nil, errs.Field(errs.Settings, name, "%d connections cannot be reserved, %d are left", reserved, left)
+	if reserved < 0 || reserved > unreserved {
+		return nil, errs.Field(errs.Settings, name,
+			"cannot reserve %d connections, %d are unreserved", reserved, unreserved)
 	}
 	q := &ConnQuota{limiter: l, name: name, reserved: reserved}
 	l.quotas = append(l.quotas, q)
@@ -41,9 +42,9 @@
 type QuotaUsage struct {
 	Name     string
 	Used     int    // connections that are open or being opened
-	Reserved int    // connections that no other quota can take
+	Reserved int    // connections that no other quota can use
 	Waiting  int    // calls that wait for a connection
-	Rejected uint64 // connections and calls that got none, since the start
+	Rejected uint64 // connections and calls rejected since the process started
 }
 
 // Usage returns the state of each quota, in the order in which they were added.
@@ -59,8 +60,8 @@
 	return usages
 }
 
-// canAcquire reports whether q may have one more connection: of those reserved to it, or beyond all reservations. The
-// caller holds mu.
+// canAcquire reports whether q may use one more connection: one of its reserved connections, or one that is neither
+// used nor reserved by any quota. The caller holds mu.
 func (l *ConnLimiter) canAcquire(q *ConnQuota) bool {
 	if q.used < q.reserved {
 		return true
@@ -72,7 +73,8 @@
 	return free > 0
 }
 
-// wakeWaiters wakes as many waiters as there are free connections, and counts one as used by each. The caller holds mu.
+// wakeWaiters wakes as many waiters as there are free connections, and counts a connection as used for each. The caller
+// holds mu.
 func (l *ConnLimiter) wakeWaiters() {
 	for _, q := range l.quotas {
 		for len(q.waiters) > 0 && l.canAcquire(q) {
@@ -82,15 +84,15 @@
 	}
 }
 
-// hasWaiters reports whether a call waits for a connection of any quota.
+// hasWaiters reports whether a call is waiting for a connection, of any quota.
 func (l *ConnLimiter) hasWaiters() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.ContainsFunc(l.quotas, func(q *ConnQuota) bool { return len(q.waiters) > 0 })
 }
 
-// evictOne closes an idle connection, of q or of a quota that uses more than is reserved to it. It reports false if
-// there is none. The caller does not hold mu.
+// evictOne closes an idle connection of q, or of another quota that uses more than its reservation, and reports whether
+// there was one. The caller must not hold mu.
 func (l *ConnLimiter) evictOne(q *ConnQuota) bool {
 	l.mu.Lock()
 	var evictors []func() bool
@@ -99,6 +101,6 @@
 			evictors = append(evictors, other.evictIdle)
 		}
 	}
-	l.mu.Unlock() // an evictor releases what it closes, and release locks mu
+	l.mu.Unlock() // an evictor calls release, which locks mu
 	return slices.ContainsFunc(evictors, func(evict func() bool) bool { return evict() })
 }
--- a/internal/rpc/connlimiter_test.go
+++ b/internal/rpc/connlimiter_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestConnLimiter_reservations(t *testing.T) {
-	Convey("Quotas never exceed the limit together, and each can acquire what is reserved to it", t, func() {
+	Convey("Quotas together never exceed the limit, and each can acquire its reserved connections", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			limit := rapid.IntRange(1, 30).Draw(t, "limit")
 			limiter := NewConnLimiter(limit)
@@ -26,19 +26,19 @@
 					used += usage.Used
 				}
 				if used > limit {
-					t.Fatalf("%d of %d are used", used, limit)
+					t.Fatalf("%d connections are used, the limit is %d", used, limit)
 				}
 			}
 		})
 	})
 }
 
-// drawQuotas adds one to four quotas, whose reservations are within the limit.
+// drawQuotas adds one to four quotas, whose reservations together are within the limit.
 func drawQuotas(t *rapid.T, limiter *ConnLimiter, limit int) (quotas []*ConnQuota) {
-	left := limit
+	unreserved := limit
 	for i := range rapid.IntRange(1, 4).Draw(t, "quotas") {
-		reserved := rapid.IntRange(0, left).Draw(t, "reserved")
-		left -= reserved
+		reserved := rapid.IntRange(0, unreserved).Draw(t, "reserved")
+		unreserved -= reserved
 		quota, err := limiter.NewQuota(string(rune('a'+i)), reserved)
 		if err != nil {
 			t.Fatal(err)
@@ -53,7 +53,7 @@
 	if rapid.Bool().Draw(t, "acquire") {
 		isReserved := quota.used < quota.reserved
 		if acquired := quota.tryAcquire(); isReserved && !acquired {
-			t.Fatalf("quota %s has %d of %d and gets no more", quota.name, quota.used, quota.reserved)
+			t.Fatalf("quota %s uses %d of %d reserved and cannot acquire one", quota.name, quota.used, quota.reserved)
 		}
 	} else if quota.used > 0 {
 		quota.release()
@@ -72,7 +72,7 @@
 }
 
 func TestConnLimiter_orderOfWaiters(t *testing.T) {
-	Convey("A released connection goes to a waiter, of the first quota first; one that gives up fails", t, func() {
+	Convey("A released connection goes to a waiter, of the first quota first; a cancelled wait fails", t, func() {
 		limiter := NewConnLimiter(2)
 		first, err := limiter.NewQuota("first", 0)
 		So(err, ShouldBeNil)
@@ -81,31 +81,31 @@
 		for range 2 {
 			So(second.tryAcquire(), ShouldBeTrue)
 		}
-		work := routine.New(ctx)
+		group := routine.New(ctx)
 		order := make(chan string, 2)
 		for i, quota := range []*ConnQuota{second, first} {
-			work.Go(func(context.Context) {
+			group.Go(func(context.Context) {
 				if quota.acquire(ctx) == nil {
 					order <- quota.name
 				}
 			})
 			waitUntil(func() bool { return limiter.Usage()[1].Waiting+limiter.Usage()[0].Waiting == i+1 })
 		}
-		ended, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		err = second.acquire(ended)
+		err = second.acquire(cancelled)
 		So([]any{errs.KindOf(err), errs.Of(err).After}, ShouldResemble, []any{errs.Overloaded, time.Second})
 		So(limiter.Usage()[1].Rejected, ShouldEqual, 1)
 		second.release()
 		So(<-order, ShouldEqual, "first")
 		second.release()
 		So(<-order, ShouldEqual, "second")
-		work.Wait()
+		group.Wait()
 	})
 }
 
 func TestDo_quotaExhausted(t *testing.T) {
-	Convey("A call that gets no quota is unsent and quota-exhausted; one to a dead peer is only unsent", t, func() {
+	Convey("A call without a connection is unsent and quota-exhausted; one to a dead peer is only unsent", t, func() {
 		addresses, end := quietPeers(t, 1)
 		limiter, virtual := NewConnLimiter(1), &clock.Virtual{}
 		quota, err := limiter.NewQuota("calls", 0)
@@ -114,8 +114,8 @@
 		defer client.Close()
 		current, err := client.acquire(ctx, addresses[0])
 		So(err, ShouldBeNil)
-		work, failed := routine.New(ctx), make(chan error, 1)
-		work.Go(func(context.Context) {
+		group, failed := routine.New(ctx), make(chan error, 1)
+		group.Go(func(context.Context) {
 			_, err := client.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
 			failed <- err
 		})
@@ -123,7 +123,7 @@
 		virtual.Advance(time.Second)
 		err = <-failed
 		So([]bool{IsUnsent(err), IsQuotaExhausted(err)}, ShouldResemble, []bool{true, true})
-		work.Wait()
+		group.Wait()
 		client.release(current, false)
 		end()
 		_, err = client.Do(ctx, addresses[0], Request{Method: "GET", Path: "/"}, time.Second)
--- a/internal/rpc/connlimitermetrics.go
+++ b/internal/rpc/connlimitermetrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// ConnLimiterMetrics is the prometheus.Collector of a ConnLimiter: its metrics are read when they are scraped.
+// ConnLimiterMetrics is the prometheus.Collector of a ConnLimiter. It reads the usage on each scrape.
 type ConnLimiterMetrics struct {
 	limiter                        *ConnLimiter
 	connections, refused, reserved *prometheus.Desc
@@ -17,8 +17,9 @@
 	}
 	return &ConnLimiterMetrics{limiter: limiter,
 		connections: desc("", "Connections, by use and state (open, waiting).", "use", "state"),
-		reserved:    desc("_reserved", "Connections that nobody else can take, by use.", "use"),
-		refused:     desc("_refused_total", "Connections that found no room, by use.", "use")}
+		reserved:    desc("_reserved", "Connections reserved for one use, by use.", "use"),
+		refused: desc("_refused_total",
+			"Connections and calls rejected because the limit was reached, by use.", "use")}
 }
 
 // Describe sends the descriptions of the metrics.
--- a/internal/rpc/connquota.go
+++ b/internal/rpc/connquota.go
@@ -7,19 +7,19 @@
 	"crosstide/internal/errs"
 )
 
-// retryAfter is the Retry-After of those that got no connection.
+// retryAfter is the retry time of connections and calls that are rejected for lack of a free connection.
 const retryAfter = time.Second
 
-// ConnQuota is a part of a ConnLimiter: a semaphore for the connections of one server or client. A nil ConnQuota bounds
-// nothing. The limiter's mutex guards its fields from used on.
+// ConnQuota is a share of a ConnLimiter: a semaphore for the connections of one server or client. A nil ConnQuota has
+// no limit. The limiter's mutex guards the fields from used on.
 type ConnQuota struct {
 	limiter   *ConnLimiter
 	name      string
-	reserved  int         // connections that no other quota can take
+	reserved  int         // connections that no other quota can use
 	used      int         // connections that are open or being opened
-	waiters   waitQueue   // calls of acquire; one that is woken has its connection, which counts in used
-	evictIdle func() bool // closes an idle connection of this quota, see onEvict; nil: it never has one
-	rejected  uint64      // connections and calls that got none
+	waiters   waitQueue   // calls of acquire that wait; a woken one has its connection, which counts in used
+	evictIdle func() bool // closes an idle connection of this quota, see onEvict; nil: idle connections are not kept
+	rejected  uint64      // connections and calls that were rejected
 }
 
 // tryAcquire acquires a connection if one is free, or can be freed by closing idle ones. It does not wait.
@@ -37,7 +37,7 @@
 	}
 }
 
-// takeFree acquires a connection if one is free and no earlier call waits for it.
+// takeFree acquires a connection if one is free and no earlier call is waiting.
 func (q *ConnQuota) takeFree() bool {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
@@ -62,10 +62,10 @@
 		return nil
 	case <-ctx.Done():
 	}
-	return errs.Pass(q.cancelWait(acquired), "no room for a connection")
+	return errs.Pass(q.cancelWait(acquired), "acquire a connection")
 }
 
-// cancelWait removes a waiter and returns its error; nil if it was woken at the same moment and has its connection.
+// cancelWait removes a waiter and returns its error, or nil if it was woken at the same time and has its connection.
 func (q *ConnQuota) cancelWait(acquired chan struct{}) error {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
@@ -73,7 +73,7 @@
 		return nil
 	}
 	q.rejected++
-	err := errs.New(errs.Overloaded, "%s: %d connections are open", q.name, q.used)
+	err := errs.New(errs.Overloaded, "%s: connection quota exhausted, %d in use", q.name, q.used)
 	errs.Of(err).After = retryAfter
 	return err
 }
@@ -85,7 +85,7 @@
 	q.rejected++
 }
 
-// release returns a connection to the quota, and wakes those that can be served by it.
+// release returns a connection to the quota, and wakes the waiters that can now be served.
 func (q *ConnQuota) release() {
 	if q == nil {
 		return
@@ -107,5 +107,5 @@
 	q.evictIdle = evict
 }
 
-// hasWaiters reports whether a call waits for a connection, of any quota of the limiter.
+// hasWaiters reports whether a call is waiting for a connection, of any quota of the limiter.
 func (q *ConnQuota) hasWaiters() bool { return q != nil && q.limiter.hasWaiters() }
--- a/internal/rpc/dedicated.go
+++ b/internal/rpc/dedicated.go
@@ -9,12 +9,12 @@
 	"crosstide/internal/errs"
 )
 
-// DedicatedConn is a connection to one address that is shared with nothing else. It carries one call at a time and is
-// dialed when a call needs it. It is safe for concurrent use.
+// DedicatedConn is a connection to one address that is not in the client's pool: only its own calls use it. It carries
+// one call at a time and is dialed when a call needs it. It is safe for concurrent use.
 type DedicatedConn struct {
 	client *Client
 	addr   string
-	inUse  chan struct{} // a semaphore of one: the call that has sent to it may use the connection
+	inUse  chan struct{} // a semaphore of one: the call that holds it may use the connection
 
 	mu         sync.Mutex  // guards the fields below
 	connection *connection // nil: the next call dials
@@ -28,9 +28,10 @@
 }
 
 // CallDedicated is Call over d. Calls wait for each other within their timeout. beforeWrite (nil: none) runs after
-// dialing and encoding, right before each write(2) of the call: once, unless the socket took only a part. Its error
-// stops the writing, closes the connection with a reset and is returned wrapped, with its kind. No bytes ever wait in a
-// user-space buffer. After any error but one answered by the peer the next call dials again. Example:
+// dialing and encoding, right before each write(2) of the call: once, unless the socket accepted only a part. If it
+// returns an error, nothing more is written, the connection is reset, and the error is returned wrapped, with its kind.
+// Bytes are never buffered in user space. After an error other than one that the peer returned, the next call dials
+// again. Example:
 //
 //	answer, err := rpc.CallDedicated(ctx, conn, RenewLease, orders, time.Second, lease.Check)
 //	if rpc.IsUnsent(err) {
@@ -39,15 +40,15 @@
 func CallDedicated[C, A any](
 	ctx context.Context, d *DedicatedConn, e Endpoint[C, A], call C, timeout time.Duration, beforeWrite func() error,
 ) (A, error) {
-	var answer, none A
+	var answer, zero A
 	t := transfer{addr: d.addr, path: e.Path, method: http.MethodPost, timeout: timeout, beforeWrite: beforeWrite}
 	if err := d.client.roundTrip(ctx, d, t, call, &answer); err != nil {
-		return none, errs.Pass(err, "line, ask %s", e.Path)
+		return zero, errs.Pass(err, "dedicated call %s", e.Path)
 	}
 	return answer, nil
 }
 
-// Close resets the connection. A call that runs fails, and so do later ones, as errs.Stopped.
+// Close resets the connection. A running call and all later ones fail as errs.Stopped.
 func (d *DedicatedConn) Close() {
 	d.mu.Lock()
 	current := d.connection
@@ -63,12 +64,12 @@
 	select {
 	case d.inUse <- struct{}{}:
 	case <-ctx.Done():
-		return nil, errs.Wrap(ctx.Err(), errs.Timeout, "wait for the line")
+		return nil, errs.Wrap(ctx.Err(), errs.Timeout, "wait for the dedicated connection")
 	}
 	conn, err := d.connect(ctx)
 	if err != nil {
 		<-d.inUse
-		return nil, errs.Pass(err, "line to %s", d.addr)
+		return nil, errs.Pass(err, "dedicated connection to %s", d.addr)
 	}
 	return conn, nil
 }
@@ -79,7 +80,7 @@
 	current, closed := d.connection, d.closed
 	d.mu.Unlock()
 	if closed {
-		return nil, errs.New(errs.Stopped, "the line is closed")
+		return nil, errs.New(errs.Stopped, "the dedicated connection is closed")
 	}
 	if current != nil {
 		if d.client.opt.Clock.Now()-current.idleSince < d.client.opt.IdleTimeout && current.alive() {
@@ -89,14 +90,14 @@
 	}
 	dialed, err := d.client.dial(ctx, d.addr)
 	if err != nil {
-		return nil, errs.Pass(err, "dedicated connection")
+		return nil, errs.Pass(err, "open a new connection")
 	}
 	d.mu.Lock()
 	d.connection, closed = dialed, d.closed
 	d.mu.Unlock()
 	if closed {
 		d.client.pool.discard(dialed)
-		return nil, errs.New(errs.Stopped, "the line was closed")
+		return nil, errs.New(errs.Stopped, "the dedicated connection was closed while dialing")
 	}
 	return dialed, nil
 }
--- a/internal/rpc/digest.go
+++ b/internal/rpc/digest.go
@@ -6,8 +6,9 @@
 	"strconv"
 )
 
-// Digest returns the SHA-256 of parts in hexadecimal. Each part is preceded by its length, so that other parts of the
-// same concatenation differ. By it a handler distinguishes a repeated call from another one under the same key.
+// Digest returns the SHA-256 of parts in hexadecimal. Each part is preceded by its length, so that different parts with
+// the same concatenation have different digests. Handlers use it to distinguish a repeated call from a different call
+// with the same key.
 func Digest(parts ...[]byte) string {
 	sum := sha256.New()
 	for _, part := range parts {
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -2,15 +2,15 @@
 
 import "errors"
 
-// IsUnsent reports whether err is of a call that failed before the kernel took its first byte: the peer cannot have
-// seen it, so it may be sent again.
+// IsUnsent reports whether err comes from a call that failed before the kernel accepted its first byte: the peer cannot
+// have seen the call, so it may be sent again.
 func IsUnsent(err error) bool { return isMarked[unsent](err) }
 
-// IsQuotaExhausted reports whether err is of a call that got no connection within the client's own quota: it says
-// nothing about the peer. IsUnsent holds for it too.
+// IsQuotaExhausted reports whether err comes from a call that got no connection within the client's own quota, whatever
+// the state of the peer. IsUnsent is true for it too.
 func IsQuotaExhausted(err error) bool { return isMarked[quotaExhausted](err) }
 
-// IsRemote reports whether err is a failure that the peer answered, from its handler or its server.
+// IsRemote reports whether err is an error response of the peer, from its handler or its server.
 func IsRemote(err error) bool { return isMarked[remote](err) }
 
 // mark is a property of a call's error; its label begins the error's text.
@@ -23,10 +23,10 @@
 )
 
 func (unsent) label() string         { return "not sent" }
-func (quotaExhausted) label() string { return "no room" }
+func (quotaExhausted) label() string { return "connection quota exhausted" }
 func (remote) label() string         { return "answered" }
 
-// marked is an error with a mark. An error may have several, as unsent and quotaExhausted.
+// marked is an error with a mark. An error may have several marks, such as unsent and quotaExhausted.
 type marked[M mark] struct{ cause error }
 
 // Error returns the label of the mark and the text of the cause.
--- a/internal/rpc/eventloops.go
+++ b/internal/rpc/eventloops.go
@@ -11,9 +11,9 @@
 	"crosstide/internal/errs"
 )
 
-// waitForLoops waits until every event loop of nbio runs: a loop misses a stop that comes before, and the engine's Stop
-// would wait for it forever. Each loop is handed one end of a local connection whose other end is closed, and runs once
-// it has reported that.
+// waitForLoops waits until every event loop of nbio is running: a loop misses a stop that happens before it runs, and
+// the engine's Stop would wait for it forever. Each loop receives one end of a local connection whose other end is
+// closed; a loop that reports the close is running.
 func (s *Server) waitForLoops() error {
 	loops := s.engine.Engine.NPoller
 	if loops == 1 {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// waitForOnlyLoop is waitForLoops for a single loop. Any connection reaches that one, so it dials the server's own
-// address: not every machine has local socket pairs.
+// waitForOnlyLoop is waitForLoops for a single loop. Any connection reaches that loop, so this dials the server's
+// own address, which also works on machines without local socket pairs.
 func (s *Server) waitForOnlyLoop() error {
 	closed := make(chan struct{}, 1)
 	s.engine.OnClose(func(c net.Conn, _ error) {
@@ -50,7 +50,7 @@
 	})
 	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "reach the own address")
+		return errs.Wrap(err, errs.Internal, "dial the server's own address")
 	}
 	if err := c.Close(); err != nil {
 		return errs.Wrap(err, errs.Internal, "close")
@@ -59,35 +59,35 @@
 	return nil
 }
 
-// connectToLoop hands one event loop a connection whose other end is closed. nbio selects the loop by the number of the
-// descriptor, so duplicates are made until one has a matching number. All others are closed before that one is handed
-// over: epoll reports events of a connection as long as a duplicate is open, under a number that may have been reused.
+// connectToLoop adds to one event loop a connection whose other end is closed. nbio selects the loop by the number of
+// the file descriptor, so duplicates are made until one has a matching number. All others are closed before that one is
+// added: epoll reports events of a connection as long as a duplicate is open, under a number that may have been reused.
 func (s *Server) connectToLoop(loop, loops int) error {
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "local connection")
+		return errs.Wrap(err, errs.Internal, "open a local socket pair")
 	}
-	here, there := os.NewFile(uintptr(ends[0]), "here"), os.NewFile(uintptr(ends[1]), "there")
-	defer there.Close()
-	spare := []io.Closer{here}
+	localEnd, peerEnd := os.NewFile(uintptr(ends[0]), "here"), os.NewFile(uintptr(ends[1]), "there")
+	defer peerEnd.Close()
+	surplus := []io.Closer{localEnd}
 	var matching *nbio.Conn
 	for err == nil && matching == nil {
 		var c net.Conn
 		var end *nbio.Conn
-		if c, err = net.FileConn(here); err == nil {
+		if c, err = net.FileConn(localEnd); err == nil {
 			end, err = nbio.NBConn(c) // closes c
 		}
 		if err == nil && end.Hash()%loops == loop {
 			matching = end
 		} else if err == nil {
-			spare = append(spare, end)
+			surplus = append(surplus, end)
 		}
 	}
-	for _, duplicate := range spare {
+	for _, duplicate := range surplus {
 		_ = duplicate.Close() // nothing was sent on it
 	}
 	if err == nil {
 		_, err = s.engine.AddConn(matching)
 	}
-	return errs.Wrap(err, errs.Internal, "local connection")
+	return errs.Wrap(err, errs.Internal, "add a local connection")
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/errs"
 )
 
-// frame is a pooled buffer with a JSON encoder that writes to it. Its owner is the call or answer that took it, until
-// it calls free.
+// frame is a pooled buffer with a JSON encoder that writes to it. The call or response that took it owns it until it
+// calls free.
 type frame struct {
 	buf bytes.Buffer
 	enc *json.Encoder // to buf
@@ -23,7 +23,7 @@
 	return f
 }}
 
-// takeFrame returns a frame with headroom bytes in it, over which a head may be written later (see prependHead).
+// takeFrame returns a frame that begins with headroom reserved bytes, for a head that is written later (prependHead).
 func takeFrame(headroom int) *frame {
 	f := frames.Get().(*frame)
 	f.buf.Reset()
@@ -37,7 +37,7 @@
 	return errs.Wrap(f.enc.Encode(v), errs.Internal, "encode %T", v)
 }
 
-// maxPooledBytes is the capacity up to which a frame is returned to the pool: a few large bodies must not keep memory.
+// maxPooledBytes is the capacity up to which a frame returns to the pool: a few large bodies must not retain memory.
 const maxPooledBytes = 1 << 20
 
 // free returns the frame to the pool. Neither it nor its bytes may be used afterwards.
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON of an error response.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("error body", errorBody{}),
@@ -14,14 +14,14 @@
 	)
 }
 
-// TestGoldenMetrics pins names, help texts and labels of metrics.
+// TestGoldenMetrics pins the names, help texts and labels of the metrics.
 func TestGoldenMetrics(t *testing.T) {
-	var kept golden.Registry
-	newMetrics("server", &kept)
-	golden.Compare(t, "metrics", golden.Metrics("rpc", append(kept.Collectors, NewConnLimiterMetrics(nil))...))
+	var registry golden.Registry
+	newMetrics("server", &registry)
+	golden.Compare(t, "metrics", golden.Metrics("rpc", append(registry.Collectors, NewConnLimiterMetrics(nil))...))
 }
 
-// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+// TestGoldenDigests pins the encoding that Digest hashes, by the digest of fixed parts.
 func TestGoldenDigests(t *testing.T) {
 	golden.Compare(t, "digests", golden.Lines("parts", Digest([]byte("a"), []byte("bc"))))
 }
--- a/internal/rpc/handle.go
+++ b/internal/rpc/handle.go
@@ -10,9 +10,9 @@
 	"crosstide/internal/errs"
 )
 
-// Handle makes the server answer calls of e by serve, whose ctx ends when the grace of Stop is over. An error of serve
-// is answered by WriteError; a body that is no JSON of C is errs.Malformed, a method other than POST is answered with
-// 405. Like Route, it is called before Start.
+// Handle registers serve as the handler of calls of e. The ctx of serve is cancelled when the grace period of Stop
+// expires. An error of serve is written with WriteError; a body that is not valid JSON for C is errs.Malformed, and a
+// method other than POST is answered with status 405. Like Route, Handle must be called before Start.
 func Handle[C, A any](s *Server, e Endpoint[C, A], serve func(ctx context.Context, call C) (A, error)) {
 	s.Route(e.Path, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
@@ -21,12 +21,12 @@
 			return
 		}
 		var call C
-		in := takeFrame(0)
-		err := readInto(&in.buf, r.Body, r.ContentLength, s.opt.MaxBody)
+		requestFrame := takeFrame(0)
+		err := readInto(&requestFrame.buf, r.Body, r.ContentLength, s.opt.MaxBody)
 		if err == nil {
-			err = errs.Wrap(codec.Decode(in.buf.Bytes(), &call), errs.Malformed, "the body of %s", e.Path)
+			err = errs.Wrap(codec.Decode(requestFrame.buf.Bytes(), &call), errs.Malformed, "the body of %s", e.Path)
 		}
-		in.free()
+		requestFrame.free()
 		if err != nil {
 			WriteError(w, err)
 			return
@@ -41,7 +41,7 @@
 	})
 }
 
-// logFailure logs an error that is this node's own, with its causes, which are not sent to the caller.
+// logFailure logs an error of this node itself, with its causes, which are not sent to the caller.
 func (s *Server) logFailure(path string, err error) {
 	switch errs.KindOf(err) {
 	case errs.Internal, errs.Disk, errs.Damaged, errs.Torn:
@@ -49,9 +49,9 @@
 	}
 }
 
-// Route makes the server answer requests that match pattern, as of http.ServeMux, by handle, which answers errors by
-// WriteError and must not keep w and r after it has returned. If it panics, the request is answered as errs.Internal.
-// Route is called before Start; it panics if the pattern is taken.
+// Route registers handle for requests that match pattern, in the syntax of http.ServeMux. handle writes errors with
+// WriteError and must not keep w and r after it returns. If it panics, the request is answered with errs.Internal.
+// Route must be called before Start; it panics if the pattern conflicts with a registered one.
 func (s *Server) Route(pattern string, handle func(w http.ResponseWriter, r *http.Request)) {
 	calls := s.metrics.calls.WithLabelValues(pattern)
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -75,8 +75,8 @@
 	})
 }
 
-// serve passes a request to its route. It rejects it if the server is stopping, the connection was not admitted or
-// there is no route.
+// serve passes a request to its route. It rejects the request if the server is stopping, the connection was not
+// admitted or no route matches.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	stopping := s.stopping
@@ -91,13 +91,13 @@
 		return
 	}
 	if handler, pattern := s.mux.Handler(r); pattern == "" {
-		muxAnswer := &headRecorder{head: w.Header()}
-		handler.ServeHTTP(muxAnswer, r) // the answer of the mux itself, whose body is not JSON
-		if muxAnswer.status == http.StatusMethodNotAllowed {
+		muxResponse := &headRecorder{head: w.Header()}
+		handler.ServeHTTP(muxResponse, r) // writes the mux's own error response, whose body is not JSON
+		if muxResponse.status == http.StatusMethodNotAllowed {
 			writeMethodRejected(w, r)
 			return
 		}
-		WriteError(w, errs.New(errs.Unknown, "there is nothing at this path"))
+		WriteError(w, errs.New(errs.Unknown, "no route matches this path"))
 		return
 	}
 	s.mux.ServeHTTP(w, r)
--- a/internal/rpc/harness_test.go
+++ b/internal/rpc/harness_test.go
@@ -30,14 +30,14 @@
 	ctx   = context.Background()
 )
 
-// harness is a server and a client with one registry and one clock.
+// harness is a server and a client that share a registry and a clock.
 type harness struct {
 	*Server
 	*Client
 	clock    *clock.Virtual
 	registry *prometheus.Registry
-	entered  chan struct{} // has an element for each call of block that has begun
-	gate     chan struct{} // calls of block wait until it is closed, or their context ends
+	entered  chan struct{} // receives an element for each call of block that has begun
+	gate     chan struct{} // calls of block return when it is closed or their context ends
 }
 
 func newHarness(t *testing.T) *harness {
@@ -79,7 +79,7 @@
 	So(h.Stop(time.Hour), ShouldBeNil)
 }
 
-// count returns the sum of the counters of a name that have all the label values.
+// count returns the sum of the counters called name that have all of the label values.
 func (h *harness) count(t *testing.T, name string, labels ...string) (sum float64) {
 	t.Helper()
 	families, err := h.registry.Gather()
@@ -98,26 +98,26 @@
 	return sum
 }
 
-// waitUntil yields until a condition holds that other goroutines make true.
+// waitUntil yields until other goroutines have made condition true.
 func waitUntil(condition func() bool) {
 	for !condition() {
 		runtime.Gosched()
 	}
 }
 
-// plainPeer listens and calls serve for each connection, with its number from 1. end stops it.
+// plainPeer starts a TCP server that calls serve for each connection, with its number, counted from 1. end stops it.
 func plainPeer(t *testing.T, serve func(n int, c net.Conn, in *bufio.Reader)) (addr string, end func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
-	work := routine.New(ctx)
-	work.Go(func(context.Context) {
+	group := routine.New(ctx)
+	group.Go(func(context.Context) {
 		for n := 1; ; n++ {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			work.Go(func(context.Context) {
+			group.Go(func(context.Context) {
 				defer c.Close()
 				serve(n, c, bufio.NewReader(c))
 			})
@@ -125,7 +125,7 @@
 	})
 	return ln.Addr().String(), func() {
 		_ = ln.Close()
-		work.Stop()
+		group.Stop()
 	}
 }
 
--- a/internal/rpc/json.go
+++ b/internal/rpc/json.go
@@ -11,8 +11,8 @@
 // ParseJSON parses the body of a call strictly. The value is valid until the next use of parser. Failure: Malformed;
 // its cause quotes the body.
 //
-// The parser runs before the validation, as it bounds the nesting: the validation, which rejects what the parser
-// accepts (NaN, invalid escapes), takes time that grows with the square of the nesting, and stack that grows with it.
+// The parser runs before the validator because it limits the nesting depth. The validator, which rejects values that
+// the parser accepts (NaN, invalid escapes), needs time quadratic in the depth, and stack that grows with the depth.
 func ParseJSON(parser *fastjson.Parser, body []byte) (*fastjson.Value, error) {
 	if !utf8.Valid(body) {
 		return nil, errs.New(errs.Malformed, "the body is not UTF-8")
@@ -22,7 +22,7 @@
 		err = fastjson.ValidateBytes(body)
 	}
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Malformed, "the body is no JSON")
+		return nil, errs.Wrap(err, errs.Malformed, "the body is not valid JSON")
 	}
 	return value, nil
 }
--- a/internal/rpc/listener.go
+++ b/internal/rpc/listener.go
@@ -19,10 +19,10 @@
 	return nil
 }
 
-// takeListener returns the open socket to the engine, which would otherwise open one.
+// takeListener is the engine's Listen function. It returns the socket that listen opened.
 func (s *Server) takeListener(string, string) (net.Listener, error) { return s.listener, nil }
 
-// listener pauses after a failed Accept: nbhttp calls Accept again at once after an error, and would spin.
+// listener pauses after a failed Accept: after an error nbhttp calls Accept again immediately, and would spin.
 type listener struct {
 	net.Listener
 	clock     clock.Clock
@@ -33,8 +33,8 @@
 // acceptInterval is the pause after a failed Accept.
 const acceptInterval = 50 * time.Millisecond
 
-// Accept returns the next connection. After an error, as for lack of descriptors, it pauses and tries again. Failure:
-// Stopped once the listener is closed.
+// Accept returns the next connection. After an error, such as a lack of file descriptors, it pauses and tries again.
+// Failure: Stopped once the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters of one side of calls, "server" or "caller". Clients and servers that share a registry add to
-// the same counters.
+// metrics holds the counters of one side of calls, "server" or "caller". Clients and servers that share a registry add
+// to the same counters.
 type metrics struct {
 	calls    *prometheus.CounterVec // by path
 	failures *prometheus.CounterVec // by path and kind
@@ -29,7 +29,8 @@
 	}
 }
 
-// registerCounter returns the counter of a name that is registered, now or before; without a registry a new one.
+// registerCounter registers a counter and returns it, or the counter already registered under its name. If registry is
+// nil, the counter is not registered.
 func registerCounter(registry prometheus.Registerer, name, help string, labels []string) *prometheus.CounterVec {
 	opts := prometheus.CounterOpts{Name: name, Help: help}
 	counter := prometheus.NewCounterVec(opts, append([]string{"side"}, labels...))
--- a/internal/rpc/nbiolog.go
+++ b/internal/rpc/nbiolog.go
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// boundDescriptors bounds nbio's tables of connections, whose length is the number of descriptors that the process may
-// have. The lowest bound of a process holds; 0 sets none.
+// boundDescriptors limits the length of nbio's connection tables, which is the number of file descriptors that the
+// process may open. The lowest limit set in the process applies; 0 sets none.
 func boundDescriptors(limit int) {
 	maxOpenFilesMu.Lock()
 	defer maxOpenFilesMu.Unlock()
@@ -24,9 +24,9 @@
 // maxOpenFilesMu guards nbio.MaxOpenFiles.
 var maxOpenFilesMu sync.Mutex
 
-// redirectLogs sends the log lines of nbio, which has one logger for the process, to the logger of the newest server.
-func redirectLogs(to log.Logger) {
-	logTo.Store(&to)
+// redirectLogs sends nbio's log lines to logger, the one of the newest server: nbio has a single logger per process.
+func redirectLogs(logger log.Logger) {
+	logTo.Store(&logger)
 	logOnce.Do(func() { logging.SetLogger(nbioLog{}) })
 }
 
@@ -38,8 +38,8 @@
 // nbioLog is nbio's logger, which writes to logTo.
 type nbioLog struct{}
 
-func (nbioLog) log(at func(log.Logger) log.Logger, format string, v []any) {
-	_ = at(*logTo.Load()).Log("part", "nbio", "msg", fmt.Sprintf(format, v...))
+func (nbioLog) log(withLevel func(log.Logger) log.Logger, format string, v []any) {
+	_ = withLevel(*logTo.Load()).Log("part", "nbio", "msg", fmt.Sprintf(format, v...))
 }
 
 // Debug implements nbio's logging.Logger.
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -9,16 +9,16 @@
 	"crosstide/internal/clock"
 )
 
-// pool has the open connections of a client: those in use and, by address, the idle ones. Each counts in the quota from
-// its dial until discard or close. A pool is safe for concurrent use.
+// pool holds the open connections of a client: those in use and, by address, the idle ones. Each counts in the quota
+// from its dial until discard or close. A pool is safe for concurrent use.
 type pool struct {
 	clock       clock.Clock
-	maxIdle     int           // most idle connections per address
+	maxIdle     int           // maximum number of idle connections per address
 	idleTimeout time.Duration // age at which an idle connection is closed
-	quota       *ConnQuota    // bounds the open connections; nil: no bound
+	quota       *ConnQuota    // limits the open connections; nil: no limit
 
 	mu        sync.Mutex               // guards the fields below
-	idle      map[string][]*connection // by address, the one used last at the end; no empty lists
+	idle      map[string][]*connection // by address, the most recently used last; no empty lists
 	idleByAge *list.List               // the same connections, the longest idle first
 	open      map[*connection]struct{} // all open connections, idle or in use
 	closed    bool                     // close was called
@@ -49,8 +49,8 @@
 	return true
 }
 
-// get returns an idle connection to addr, which then is in use; nil if there is none. It discards those that are too
-// old or that the peer has closed.
+// get returns an idle connection to addr, which is then in use, or nil. It discards idle connections that are too old
+// or that the peer has closed.
 func (p *pool) get(addr string) *connection {
 	for {
 		conn := p.takeNewestIdle(addr)
@@ -61,7 +61,7 @@
 	}
 }
 
-// takeNewestIdle returns the idle connection to addr that was used last, and makes it one in use; nil if there is none.
+// takeNewestIdle returns the most recently used idle connection to addr, which is then in use, or nil.
 func (p *pool) takeNewestIdle(addr string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,8 +74,8 @@
 	return conn
 }
 
-// put makes a connection idle whose use has ended. It discards idle ones that are too many or too old, and one more if
-// a call waits for the quota.
+// put makes a connection idle after its use. It discards idle connections beyond maxIdle or older than idleTimeout, and
+// one more if a call is waiting for the quota.
 func (p *pool) put(conn *connection) {
 	for _, surplus := range p.addIdle(conn) {
 		p.discard(surplus)
@@ -85,7 +85,7 @@
 	}
 }
 
-// addIdle makes conn idle, and returns the connections that the caller has to discard.
+// addIdle makes conn idle, and returns the connections that the caller must discard.
 func (p *pool) addIdle(conn *connection) (surplus []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +107,7 @@
 	return surplus
 }
 
-// oldestIdle returns the connection that has been idle for longest; nil if none is idle. The caller holds mu.
+// oldestIdle returns the connection that has been idle longest, or nil. The caller holds mu.
 func (p *pool) oldestIdle() *connection {
 	if front := p.idleByAge.Front(); front != nil {
 		return front.Value.(*connection)
@@ -130,7 +130,7 @@
 	p.idle[conn.addr] = idle
 }
 
-// evictOldestIdle closes the connection that has been idle for longest. It reports false if none is idle.
+// evictOldestIdle closes the connection that has been idle longest. It reports false if no connection is idle.
 func (p *pool) evictOldestIdle() bool {
 	p.mu.Lock()
 	conn := p.oldestIdle()
@@ -145,8 +145,7 @@
 	return true
 }
 
-// discard resets a connection that is not idle, and releases its quota. It does nothing more for one that close has
-// closed.
+// discard resets a connection that is not idle, and releases its quota unless close has done so.
 func (p *pool) discard(conn *connection) {
 	p.mu.Lock()
 	_, isOpen := p.open[conn]
@@ -158,8 +157,8 @@
 	}
 }
 
-// close resets all connections, those in use too, and releases their quota. Connections that are put or added later are
-// rejected.
+// close resets all connections, including those in use, and releases their quota. From then on, add rejects connections
+// and put discards them.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/routine"
 )
 
-// poolModel uses a client at random, and knows which connections are in use.
+// poolModel acquires and releases connections of a client at random, and tracks which are in use.
 type poolModel struct {
 	clock  *clock.Virtual
 	client *Client
@@ -21,7 +21,7 @@
 	inUse  []*connection
 }
 
-// violation returns an invariant of the pool that does not hold; empty: all hold.
+// violation describes an invariant of the pool that does not hold, or returns "" if all hold.
 func (m *poolModel) violation() string {
 	pool := m.client.pool
 	pool.mu.Lock()
@@ -45,11 +45,11 @@
 	}
 	switch {
 	case len(pool.open) != idle+len(m.inUse):
-		return "open connections are neither idle nor in use"
+		return "an open connection is neither idle nor in use"
 	case idle != pool.idleByAge.Len():
 		return "the list by age and the lists by address differ"
 	case m.quota.limiter.Usage()[0].Used != len(pool.open):
-		return "the quota does not count what is open"
+		return "the quota does not count exactly the open connections"
 	case len(pool.open) > m.limit:
 		return "more connections are open than the limit"
 	}
@@ -57,7 +57,7 @@
 }
 
 func TestPool(t *testing.T) {
-	Convey("Whatever is acquired and released, open connections are in use or idle, and within the limit", t, func() {
+	Convey("After any acquires and releases, open connections are in use or idle, and within the limit", t, func() {
 		addresses, end := quietPeers(t, 3)
 		defer end()
 		rapid.Check(t, func(t *rapid.T) {
@@ -80,7 +80,7 @@
 			}
 		})
 	})
-	Convey("A connection that becomes idle is closed if a call to another address waits", t, func() {
+	Convey("A connection that becomes idle is closed if a call to another address is waiting", t, func() {
 		addresses, end := quietPeers(t, 2)
 		defer end()
 		limiter := NewConnLimiter(1)
@@ -90,8 +90,8 @@
 		defer client.Close()
 		first, err := client.acquire(ctx, addresses[0])
 		So(err, ShouldBeNil)
-		work, acquired := routine.New(ctx), make(chan *connection, 1)
-		work.Go(func(context.Context) {
+		group, acquired := routine.New(ctx), make(chan *connection, 1)
+		group.Go(func(context.Context) {
 			second, err := client.acquire(ctx, addresses[1])
 			if err == nil {
 				acquired <- second
@@ -104,16 +104,16 @@
 		So(second, ShouldNotBeNil)
 		So(second.addr, ShouldEqual, addresses[1])
 		client.release(second, true)
-		work.Wait()
+		group.Wait()
 	})
 }
 
 // step acquires a connection, releases one or advances the clock.
 func (m *poolModel) step(t *rapid.T, addresses []string) {
-	switch rapid.IntRange(0, 3).Draw(t, "what") {
+	switch rapid.IntRange(0, 3).Draw(t, "action") {
 	case 0, 1:
 		if len(m.inUse) < m.limit {
-			conn, err := m.client.acquire(ctx, rapid.SampledFrom(addresses).Draw(t, "to"))
+			conn, err := m.client.acquire(ctx, rapid.SampledFrom(addresses).Draw(t, "address"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -121,7 +121,7 @@
 		}
 	case 2:
 		if len(m.inUse) > 0 {
-			i := rapid.IntRange(0, len(m.inUse)-1).Draw(t, "which")
+			i := rapid.IntRange(0, len(m.inUse)-1).Draw(t, "connection")
 			conn := m.inUse[i]
 			m.inUse = append(m.inUse[:i], m.inUse[i+1:]...)
 			m.client.release(conn, rapid.IntRange(0, 4).Draw(t, "reusable") > 0)
--- a/internal/rpc/recorder.go
+++ b/internal/rpc/recorder.go
@@ -6,35 +6,35 @@
 	"crosstide/internal/errs"
 )
 
-// responseRecorder records what the metrics of a request need while it passes the answer on.
+// responseRecorder forwards a response and records the values that the metrics need.
 type responseRecorder struct {
 	http.ResponseWriter
-	bodyBytes   int       // of the body, written so far
-	errorKind   errs.Kind // set by writeFailure; empty: the answer is no error
-	wroteHeader bool      // the answer has begun: its status cannot change any more
+	bodyBytes   int       // bytes of the body written so far
+	errorKind   errs.Kind // set by writeFailure; empty: not an error response
+	wroteHeader bool      // the status was written and can no longer change
 }
 
 // Unwrap lets http.ResponseController reach the connection.
 func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// WriteHeader records that the answer has begun and passes the status on.
+// WriteHeader records that the status was written and forwards it.
 func (r *responseRecorder) WriteHeader(status int) {
 	r.wroteHeader = true
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write counts the bytes of the answer and passes them on.
+// Write counts the bytes of the response and forwards them.
 func (r *responseRecorder) Write(b []byte) (int, error) {
 	r.wroteHeader = true
 	n, err := r.ResponseWriter.Write(b)
 	r.bodyBytes += max(n, 0)
 	if err != nil {
-		return n, errs.Wrap(err, errs.Unavailable, "write the answer")
+		return n, errs.Wrap(err, errs.Unavailable, "write the response")
 	}
 	return n, nil
 }
 
-// headRecorder records the head of an answer that is not sent.
+// headRecorder records the status and header of a response that is not sent.
 type headRecorder struct {
 	head   http.Header
 	status int
--- a/internal/rpc/request_test.go
+++ b/internal/rpc/request_test.go
@@ -18,7 +18,7 @@
 	"crosstide/internal/errs"
 )
 
-// answers are the answers of a peer by method.
+// answers has the responses of a peer by method.
 var answers = map[string]string{
 	http.MethodPost: "HTTP/1.1 100 Continue\r\n\r\n" +
 		"HTTP/1.1 409 Conflict\r\nX-Seen: a\r\nX-Seen: b\r\nContent-Length: 2\r\n\r\nno",
@@ -27,7 +27,7 @@
 }
 
 func TestDo_anyStatus(t *testing.T) {
-	Convey("Requests are sent as they are, and every status is a response, over one pooled connection", t, func() {
+	Convey("Requests are sent unchanged over one pooled connection, and a response may have any status", t, func() {
 		type received struct {
 			conn                     int // number of the connection
 			line, host, sent, length string
@@ -70,7 +70,7 @@
 }
 
 func TestDo_timeout(t *testing.T) {
-	Convey("A request that is out of time, or whose context ends, fails and resets the connection", t, func() {
+	Convey("A request whose timeout expires, or whose context ends, fails and resets the connection", t, func() {
 		for _, byClock := range []bool{true, false} {
 			virtual := &clock.Virtual{}
 			client := NewClient(ClientOptions{Clock: virtual})
@@ -97,7 +97,7 @@
 }
 
 func TestDo_unsent(t *testing.T) {
-	Convey("A request is unsent without a connection, without time, and if it cannot be encoded", t, func() {
+	Convey("A request is unsent without a connection, with a timeout of 0, and if it cannot be encoded", t, func() {
 		addr, end := plainPeer(t, nil)
 		end()
 		client := NewClient(ClientOptions{})
--- a/internal/rpc/respond.go
+++ b/internal/rpc/respond.go
@@ -8,8 +8,9 @@
 	"crosstide/internal/errs"
 )
 
-// WriteError answers an error: with the status of its kind (errs.ReplyOf), Retry-After in whole seconds, rounded up, if
-// it has a time to retry, and the JSON of its kind, field, message and hint. Causes are not sent.
+// WriteError writes err as an error response: the status of its kind (errs.ReplyOf), Retry-After in whole seconds,
+// rounded up, if the error or its kind has a retry time, and JSON of its kind, field, message and hint. Causes are not
+// sent.
 func WriteError(w http.ResponseWriter, err error) {
 	failure := errs.Of(err)
 	if failure == nil {
@@ -18,7 +19,7 @@
 	writeFailure(w, failure, errs.ReplyOf(failure.Kind).Status)
 }
 
-// writeFailure is WriteError with a status that may differ from that of the kind.
+// writeFailure is WriteError with an explicit status, which may differ from that of the kind.
 func writeFailure(w http.ResponseWriter, failure *errs.Error, status int) {
 	kind := knownKind(failure.Kind)
 	if after := firstPositive(failure.After, errs.ReplyOf(kind).After); after > 0 {
@@ -30,13 +31,13 @@
 	WriteJSON(w, status, errorBody{Kind: kind, Field: failure.Field, Message: failure.Message, Hint: failure.Hint})
 }
 
-// writeMethodRejected answers a request with a method that is not allowed at its path.
+// writeMethodRejected answers a request whose method is not allowed at its path.
 func writeMethodRejected(w http.ResponseWriter, r *http.Request) {
-	failure := &errs.Error{Kind: errs.Invalid, Field: "method", Message: r.Method + " is not taken here"}
+	failure := &errs.Error{Kind: errs.Invalid, Field: "method", Message: r.Method + " is not allowed at this path"}
 	writeFailure(w, failure, http.StatusMethodNotAllowed)
 }
 
-// WriteJSON answers with a status and v as JSON; with errs.Internal if v cannot be encoded.
+// WriteJSON writes a response with a status and v as JSON, or with errs.Internal if v cannot be encoded.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	f := takeFrame(0)
 	defer f.free()
@@ -47,7 +48,7 @@
 	writeBytes(w, status, f.buf.Bytes())
 }
 
-// writeBytes answers with a status and a body of JSON.
+// writeBytes writes a response with a status and a body that is JSON.
 func writeBytes(w http.ResponseWriter, status int, body []byte) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -22,16 +22,16 @@
 type ServerOptions struct {
 	Addr     string                // host:port to listen at; port 0: a free one
 	Logger   log.Logger            // default: none
-	MaxBody  int64                 // bound on the body of a call in bytes, default MaxBody
+	MaxBody  int64                 // limit of the body of a call in bytes, default MaxBody
 	Clock    clock.Clock           // default clock.Real
 	Registry prometheus.Registerer // default: the counters are not registered
 	// Descriptors is an upper bound on the file descriptors of the process: each server has a table of that length. The
-	// lowest one of a process holds for all its servers. Default: the limit of the system.
+	// lowest value set in a process applies to all its servers. Default: the limit of the system.
 	Descriptors int
 	// Loops is the number of event loops. Default: nbio's.
 	Loops int
-	// Quota bounds the connections. A request on a connection beyond it is answered errs.Unavailable, with the time to
-	// try again, and the connection is closed. Default: no bound.
+	// Quota limits the connections. A request on a connection beyond it is answered with errs.Unavailable and
+	// Retry-After, and the connection is closed. Default: no limit.
 	Quota *ConnQuota
 }
 
@@ -51,18 +51,19 @@
 // block (long polls) without delaying others. A connection has one request at a time.
 type Server struct {
 	opt      ServerOptions
-	mux      *http.ServeMux // not changed from Start on
+	mux      *http.ServeMux // read-only from Start on
 	engine   *nbhttp.Engine
-	requests *routine.Group // the goroutines of requests; their context is its context
+	requests *routine.Group // runs each request on a goroutine; its context is that of the requests
 	metrics  *metrics
 	listener *listener // nil before Start
-	// accepted synchronizes the opening of a connection with its first read: nbio hands a connection from the accepting
-	// goroutine to an event loop by epoll alone, which is no synchronization in Go's memory model.
+	// accepted synchronizes the opening of a connection with its first read: nbio passes a connection from the
+	// accepting goroutine to an event loop only through epoll, which Go's memory model does not count as
+	// synchronization.
 	accepted  atomic.Int64
 	admission admission
 
 	mu             sync.Mutex    // guards the fields below
-	activeRequests int           // requests that are read whole and whose answer is not written yet
+	activeRequests int           // requests that were read completely and are not answered yet
 	stopping       bool          // Stop was called: new requests are rejected
 	drained        chan struct{} // closed once the server is stopping and no request is active
 	drainedClosed  bool
@@ -94,7 +95,7 @@
 
 // newEngine returns nbio's engine with the server's callbacks.
 func (s *Server) newEngine() *nbhttp.Engine {
-	maxBody := int(max(2*s.opt.MaxBody, MaxBody)) // beyond it nbhttp closes the connection without an answer
+	maxBody := int(max(2*s.opt.MaxBody, MaxBody)) // beyond it nbhttp closes the connection without a response
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Name:              "rpc",
 		Network:           "tcp",
@@ -122,7 +123,7 @@
 	return engine
 }
 
-// execute runs handle, which handles a request and writes its answer, on a goroutine.
+// execute runs handle, which handles a request and writes its response, on a new goroutine.
 func (s *Server) execute(handle func()) {
 	s.mu.Lock()
 	s.activeRequests++
@@ -133,7 +134,7 @@
 	})
 }
 
-// requestDone ends a request that execute has counted.
+// requestDone removes a request that execute counted from the active ones.
 func (s *Server) requestDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,7 @@
 	s.signalDrained()
 }
 
-// signalDrained closes drained if the server is stopping and no request is active, once. The caller holds mu.
+// signalDrained closes drained, at most once, if the server is stopping and no request is active. The caller holds mu.
 func (s *Server) signalDrained() {
 	if s.activeRequests > 0 || !s.stopping || s.drainedClosed {
 		return
@@ -150,9 +151,9 @@
 	close(s.drained)
 }
 
-// Start listens at the address and returns once the server answers. Failure: Settings if it cannot listen there. The
-// socket is opened before the engine starts: an engine that cannot listen stops its event loops at once, and waits
-// forever for one that does not run yet.
+// Start listens at the address and returns once the server can answer requests. Failure: Settings if it cannot listen.
+// The socket is opened before the engine starts: an engine that cannot listen stops its event loops immediately, and
+// waits forever for a loop that is not running yet.
 func (s *Server) Start() error {
 	if err := s.listen(); err != nil {
 		return errs.Pass(err, "listen at %s", s.opt.Addr)
@@ -166,9 +167,9 @@
 // Addr returns the host:port at which the server listens, once Start has returned.
 func (s *Server) Addr() string { return s.engine.Addrs[0] }
 
-// Stop closes the listener, rejects new requests as errs.Stopped, and waits for the active ones for up to grace. Then
-// it ends the context of those that are left and closes all connections. Failure: Timeout if there were any. It is
-// called once; without a Start it does nothing.
+// Stop closes the listener, rejects new requests as errs.Stopped, and waits up to grace for the active ones. Then it
+// cancels the context of the remaining requests and closes all connections. Failure: Timeout if any remained. Stop must
+// be called at most once; it returns nil if the server was not started.
 func (s *Server) Stop(grace time.Duration) error {
 	if s.listener == nil {
 		return nil
@@ -178,18 +179,18 @@
 	s.stopping = true
 	s.signalDrained()
 	s.mu.Unlock()
-	graceOver := make(chan struct{})
-	timer := s.opt.Clock.Set(grace, func() { close(graceOver) })
+	graceExpired := make(chan struct{})
+	timer := s.opt.Clock.Set(grace, func() { close(graceExpired) })
 	defer timer.Stop()
 	var err error
 	select {
 	case <-s.drained:
-	case <-graceOver:
+	case <-graceExpired:
 		s.mu.Lock()
-		left := s.activeRequests
+		remaining := s.activeRequests
 		s.mu.Unlock()
-		if left > 0 {
-			err = errs.New(errs.Timeout, "%d handlers still ran after %s", left, grace)
+		if remaining > 0 {
+			err = errs.New(errs.Timeout, "%d requests were still active after %s", remaining, grace)
 		}
 	}
 	s.engine.Stop()
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -19,10 +19,10 @@
 	Convey("500 blocked handlers do not delay another call, and Stop waits until they return", t, func() {
 		h := newHarness(t)
 		defer h.Client.Close()
-		work := routine.New(ctx)
+		group := routine.New(ctx)
 		var answered atomic.Int32
 		for range 500 {
-			work.Go(func(ctx context.Context) {
+			group.Go(func(ctx context.Context) {
 				if _, err := Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour); err == nil {
 					answered.Add(1)
 				}
@@ -34,7 +34,7 @@
 		_, err := Call(ctx, h.Client, h.Addr(), echo, message{}, time.Hour)
 		So(err, ShouldBeNil)
 		close(h.gate)
-		work.Wait()
+		group.Wait()
 		So(answered.Load(), ShouldEqual, 500)
 		So(len(h.Client.pool.idle[h.Addr()]), ShouldEqual, h.Client.opt.MaxIdlePerAddress)
 		So(h.Stop(time.Hour), ShouldBeNil)
@@ -42,7 +42,7 @@
 }
 
 func TestServer_stopAfterAnswers(t *testing.T) {
-	Convey("Stop closes no connection before the answers of the handlers that it waited for are written", t, func() {
+	Convey("Stop closes no connection before the handlers that it waited for have written their responses", t, func() {
 		for range 20 {
 			h := newHarness(t)
 			So(h.stopDuringCalls(100), ShouldBeEmpty)
@@ -89,8 +89,8 @@
 	Convey("Stop rejects new requests, and ends the context of handlers that run longer than grace", t, func() {
 		h := newHarness(t)
 		defer h.Client.Close()
-		work := routine.New(ctx)
-		work.Go(func(ctx context.Context) { _, _ = Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour) })
+		group := routine.New(ctx)
+		group.Go(func(ctx context.Context) { _, _ = Call(ctx, h.Client, h.Addr(), block, message{}, time.Hour) })
 		<-h.entered
 		_, err := Call(ctx, h.Client, h.Addr(), echo, message{}, time.Hour) // leaves an idle connection
 		So(err, ShouldBeNil)
@@ -104,12 +104,12 @@
 			h.clock.Advance(time.Second)
 		}
 		So(errs.KindOf(<-stopped), ShouldEqual, errs.Timeout)
-		work.Wait()
+		group.Wait()
 	})
 }
 
 func TestServer_wrongMethod(t *testing.T) {
-	Convey("A method that is not allowed is answered 405, with Allow and an error body", t, func() {
+	Convey("A method that is not allowed is answered with status 405, Allow and an error body", t, func() {
 		h := newHarness(t)
 		defer h.end(t)
 		response, err := http.Get("http://" + h.Addr() + "/echo")
@@ -119,12 +119,12 @@
 		http.DefaultClient.CloseIdleConnections()
 		So([]any{response.StatusCode, response.Header.Get("Allow")}, ShouldResemble, []any{405, "POST"})
 		So(string(bytes.TrimSpace(body)), ShouldEqual,
-			`{"kind":"invalid","field":"method","message":"GET is not taken here"}`)
+			`{"kind":"invalid","field":"method","message":"GET is not allowed at this path"}`)
 	})
 }
 
 func TestServer_startAtTakenAddress(t *testing.T) {
-	Convey("Start at an address in use fails at once, every time", t, func() {
+	Convey("Start at an address that is in use fails immediately, every time", t, func() {
 		first := NewServer(ServerOptions{Addr: "127.0.0.1:0"})
 		So(first.Start(), ShouldBeNil)
 		defer func() { So(first.Stop(0), ShouldBeNil) }()
--- a/internal/rpc/waitqueue.go
+++ b/internal/rpc/waitqueue.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// waitQueue is a queue of waiting calls, first in, first out. Each is the channel that wakes it. The owner's mutex
-// guards the queue.
+// waitQueue is a FIFO queue of waiting calls. Each call is represented by the channel whose closing wakes it. The
+// owner's mutex guards the queue.
 type waitQueue []chan struct{}
 
 // join adds a call at the end, and returns the channel that is closed when the call is woken.
@@ -13,13 +13,13 @@
 	return woken
 }
 
-// wakeFirst wakes and removes the call that has waited for longest. The queue must not be empty.
+// wakeFirst wakes and removes the call that has waited longest. The queue must not be empty.
 func (w *waitQueue) wakeFirst() {
 	close((*w)[0])
 	*w = (*w)[1:]
 }
 
-// leave removes a call that gives up. It reports false if the call was woken already.
+// leave removes a call that stops waiting. It reports false if the call has already been woken.
 func (w *waitQueue) leave(woken chan struct{}) bool {
 	at := slices.Index(*w, woken)
 	if at < 0 {
