--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,9 +1,9 @@
 // Package codec decodes JSON that crosstide's own processes encoded: log entries, snapshots and calls between nodes.
-// Its decoder is chosen for speed, as time to decode is time without service: a node decodes a thousand entries before
-// it can serve, and a new leader a call of each of its workers at once.
+// It uses a fast decoder, as nothing is served while data is decoded: a node decodes a thousand entries before it can
+// serve, and a new leader decodes a call from each of its workers at the same time.
 //
-// The package is one function, Decode, which validates nothing beyond the types. Bodies of clients, operators and
-// workers are decoded elsewhere, by code that names the field at fault.
+// The only function, Decode, validates nothing beyond the types. Bodies from clients, operators and workers are decoded
+// elsewhere, by code that names the invalid field.
 package codec
 
 import (
@@ -12,7 +12,7 @@
 	"crosstide/internal/errs"
 )
 
-// Decode decodes data into the value that into points to, which keeps no reference to data. Failure: Malformed.
+// Decode decodes data into the value that into points to. The value keeps no reference to data. Failure: Malformed.
 // Example:
 //
 //	var entry Entry
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/errs"
 )
 
-// record has fields of all types that entries, snapshots and calls have.
+// record has fields of all types that occur in entries, snapshots and calls.
 type record struct {
 	Name   string            `json:"n"`
 	Count  uint64            `json:"c,omitempty"`
@@ -25,7 +25,7 @@
 	Parent *record           `json:"p,omitempty"`
 }
 
-// drawRecord draws a record in which others are nested up to depth.
+// drawRecord draws a record that has others nested in it, up to depth levels.
 func drawRecord(t *rapid.T, depth int) record {
 	r := record{
 		Name:  rapid.String().Draw(t, "name"),
@@ -69,7 +69,7 @@
 		wantText, _ := json.Marshal(want)
 		gotText, _ := json.Marshal(got)
 		if string(gotText) != string(wantText) {
-			t.Fatalf("%s is decoded to %s, not %s", data, gotText, wantText)
+			t.Fatalf("Decode(%s) = %s, want %s", data, gotText, wantText)
 		}
 	})
 }
@@ -89,7 +89,7 @@
 }
 
 func TestDecode_malformed(t *testing.T) {
-	Convey("Data that is no JSON of the type, as a whole, is malformed", t, func() {
+	Convey("Data that is not, as a whole, valid JSON for the type is malformed", t, func() {
 		for _, text := range []string{
 			``, `{`, `{"n":"a"`, `{"n":1}`, `{"n":"a"} more`, `{"c":-1}`, `{"at":"noon"}`, `[]`, `{"l":[{"n":"a"},]}`,
 		} {
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestReplyOf_everyKind(t *testing.T) {
-	Convey("Every kind has an answer, with a time to retry exactly where the call may be sent again", t, func() {
+	Convey("Every kind has a response, with a retry time if and only if the call may be sent again", t, func() {
 		So(Kinds(), ShouldHaveLength, 17)
 		for _, k := range Kinds() {
 			r := ReplyOf(k)
@@ -27,7 +27,7 @@
 		So(KindOf(err), ShouldEqual, Torn)
 		So(errors.Is(err, io.EOF), ShouldBeTrue)
 		So(Of(err).Error(), ShouldEqual, "torn: record 7: EOF")
-		So(KindOf(Wrap(err, Disk, "again")), ShouldEqual, Disk) // the outermost counts
+		So(KindOf(Wrap(err, Disk, "again")), ShouldEqual, Disk) // the outermost kind counts
 		So(Of(Field(Invalid, "steps[0].tasks", "is %d", 0)).Field, ShouldEqual, "steps[0].tasks")
 		So(KindOf(io.EOF), ShouldEqual, Internal)
 		So(Wrap(nil, Disk, "x"), ShouldBeNil)
--- a/internal/errs/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -8,14 +8,14 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON of an Error, which is sent to other processes and stored in files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("error", Error{}),
 	)
 }
 
-// TestGoldenEnums pins every kind of error with its answer over HTTP.
+// TestGoldenEnums pins every kind of error with its HTTP response.
 func TestGoldenEnums(t *testing.T) {
 	var lines []string
 	for _, k := range append(Kinds(), "no such kind") {
