--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,10 @@
 // Package clock is the only source of time in crosstide: Real for the daemons, Virtual for tests and simulators.
 //
-// A component takes a Clock in its options and reads time and sets timers through it alone, so that a test decides
-// when time passes. The package decides nothing by time: leases, time-outs and backoffs belong to the callers. Step
-// functions take no Clock; their owner reads one and passes the time in.
+// A component takes a Clock in its options, and reads the time and sets timers only through it, so that a test decides
+// when time passes. Leases, timeouts and backoffs are implemented by the callers. Step functions take no Clock; their
+// owner reads one and passes the time in.
 //
-// Begin to read at Clock; Sleep (sleep.go) is the pause that is built on it.
+// Entry points: Clock, and Sleep (sleep.go), which pauses on a Clock.
 package clock
 
 import (
@@ -17,16 +17,17 @@
 
 // Clock reads the time and sets timers. It is safe for concurrent use.
 type Clock interface {
-	// Now returns the time since an arbitrary start. It never goes back, and it counts the time for which the machine
+	// Now returns the time since an arbitrary start. It never decreases, and it counts the time for which the machine
 	// was suspended: a lease must not outlive a suspension of its holder.
 	Now() time.Duration
 	// Wall returns the time of day, for people and for ages of records, never for leases: it may go back.
 	Wall() time.Time
-	// Set calls call once, after d, on a goroutine of the clock: call must not block. Stop of the result cancels it.
-	Set(d time.Duration, call func()) Stopper
+	// Set calls fn once, after d, on a goroutine of the clock: fn must not block. The result's Stop cancels the timer.
+	Set(d time.Duration, fn func()) Stopper
 }
 
-// Stopper cancels a timer. Stop reports whether it kept the timer from firing; it does not wait for a call that runs.
+// Stopper cancels a timer. Stop reports whether it prevented the timer from firing; it does not wait for a call in
+// progress.
 type Stopper interface{ Stop() bool }
 
 // Real is the machine's clock (CLOCK_BOOTTIME).
@@ -36,7 +37,7 @@
 func (Real) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("clock: CLOCK_BOOTTIME cannot be read: " + err.Error())
+		panic("clock: read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
@@ -45,27 +46,27 @@
 func (Real) Wall() time.Time { return time.Now() }
 
 // Set starts a timer of the standard library.
-func (Real) Set(d time.Duration, call func()) Stopper { return time.AfterFunc(d, call) }
+func (Real) Set(d time.Duration, fn func()) Stopper { return time.AfterFunc(d, fn) }
 
 // Virtual is a clock that moves only by Advance. Timers fire in order of time, then in the order in which they were
 // set. The zero value starts at 0.
 type Virtual struct {
 	mu      sync.Mutex // guards the fields below, and those of its timers
 	now     time.Duration
-	lastSeq uint64    // of the timer set last
-	timers  timerHeap // those that have not fired; stopped ones stay until they are due
+	lastSeq uint64    // seq of the timer set last
+	timers  timerHeap // timers that have not fired; stopped ones stay until they are due
 }
 
 // timer is a timer of a Virtual clock.
 type timer struct {
-	clock *Virtual // fixed
+	clock *Virtual // immutable
 	at    time.Duration
-	seq   uint64 // counts the timers of a clock: of two that are due together the lower one fires first
-	call  func()
-	done  bool // it has fired or was stopped
+	seq   uint64 // number of the timer on its clock: of two due at the same time, the lower one fires first
+	fn    func()
+	done  bool // fired or stopped
 }
 
-// Stop keeps the timer from firing, and reports whether it was still pending.
+// Stop prevents the timer from firing, and reports whether it was still pending.
 func (t *timer) Stop() bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
@@ -110,17 +111,17 @@
 func (v *Virtual) Wall() time.Time { return time.Unix(0, 0).Add(v.Now()) }
 
 // Set adds a timer at Now+d.
-func (v *Virtual) Set(d time.Duration, call func()) Stopper {
+func (v *Virtual) Set(d time.Duration, fn func()) Stopper {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lastSeq++
-	t := &timer{clock: v, at: v.now + max(d, 0), seq: v.lastSeq, call: call}
+	t := &timer{clock: v, at: v.now + max(d, 0), seq: v.lastSeq, fn: fn}
 	heap.Push(&v.timers, t)
 	return t
 }
 
-// Advance moves the clock by d and fires the timers that become due, those that a call sets included. The calls run one
-// after the other on the goroutine of the caller, at the time of their timer and without a lock.
+// Advance moves the clock by d and fires the timers that become due, including timers that their functions set. The
+// functions run one after the other on the goroutine of the caller, at the time of their timer and without a lock.
 func (v *Virtual) Advance(d time.Duration) {
 	v.mu.Lock()
 	end := v.now + d
@@ -132,7 +133,7 @@
 		t.done = true
 		v.now = max(v.now, t.at)
 		v.mu.Unlock()
-		t.call()
+		t.fn()
 		v.mu.Lock()
 	}
 	v.now = max(v.now, end)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestVirtual_order(t *testing.T) {
-	Convey("Timers fire by time, then in the order set, also one set by a call; a stopped one does not", t, func() {
+	Convey("Timers fire by time, then in the order set, also one set by another; stopped ones do not", t, func() {
 		var clk Virtual
 		var fired []string
 		record := func(name string) func() { return func() { fired = append(fired, name) } }
@@ -29,7 +29,7 @@
 }
 
 func TestReal_neverGoesBack(t *testing.T) {
-	Convey("The machine's clock does not go back", t, func() {
+	Convey("Now of the machine's clock never decreases", t, func() {
 		clk := Real{}
 		before := clk.Now()
 		for range 1000 {
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Sleep pauses the calling goroutine for d on clk, and reports whether all of d has passed: it returns false as soon as
-// done is closed. Example:
+// Sleep pauses the calling goroutine for d on clk. It returns true after all of d has passed, and false as soon as done
+// is closed. Example:
 //
 //	if !clock.Sleep(ctx.Done(), clk, retryInterval) {
 //		return // ctx has ended
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -10,14 +10,15 @@
 	"crosstide/internal/routine"
 )
 
-// notifyingClock reports each timer that is set, so that a test advances the clock only once a goroutine waits for it.
+// notifyingClock sends each timer that is set to timers, so that a test advances the clock only after a goroutine has
+// set its timer.
 type notifyingClock struct {
 	*Virtual
 	timers chan Stopper
 }
 
-func (c notifyingClock) Set(d time.Duration, call func()) Stopper {
-	timer := c.Virtual.Set(d, call)
+func (c notifyingClock) Set(d time.Duration, fn func()) Stopper {
+	timer := c.Virtual.Set(d, fn)
 	c.timers <- timer
 	return timer
 }
@@ -25,12 +26,12 @@
 // sleeper is a goroutine that sleeps for a second.
 type sleeper struct {
 	clock Virtual
-	group *routine.Group // its context ends the sleep
-	timer Stopper        // that of the sleep
+	group *routine.Group // its Stop ends the sleep
+	timer Stopper        // the timer that Sleep has set
 	slept chan bool      // the result of Sleep
 }
 
-// startSleep returns once the goroutine has set its timer.
+// startSleep starts a sleeper, and returns once its goroutine has set its timer.
 func startSleep() *sleeper {
 	s := &sleeper{group: routine.New(context.Background()), slept: make(chan bool, 1)}
 	clk := notifyingClock{&s.clock, make(chan Stopper, 1)}
@@ -56,7 +57,7 @@
 		So(<-s.slept, ShouldBeFalse)
 		So(s.timer.Stop(), ShouldBeFalse)
 	})
-	Convey("Sleep returns false at once when done was closed before", t, func() {
+	Convey("Sleep returns false at once when done is already closed", t, func() {
 		done := make(chan struct{})
 		close(done)
 		So(Sleep(done, &Virtual{}, time.Hour), ShouldBeFalse)
--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -1,8 +1,8 @@
-// Package routine is the only place of crosstide that starts goroutines, so that whoever starts one can wait for its
-// end. internal/lint reports a go statement anywhere else.
+// Package routine is the only package of crosstide that starts goroutines, so that the owner of a goroutine can wait
+// for it to return. internal/lint reports a go statement anywhere else.
 //
-// A component makes a Group in its Start, runs its loops with Go, and ends them with Stop. The package restarts nothing
-// and recovers no panic: a goroutine that panics ends the process.
+// A component creates a Group in its Start, runs its loops with Go, and ends them with Stop. The package does not
+// restart goroutines or recover panics: a goroutine that panics ends the process.
 package routine
 
 import (
@@ -17,23 +17,23 @@
 	running sync.WaitGroup
 }
 
-// New returns a group whose context ends with parent, or with Cancel or Stop. Example:
+// New returns a group whose context ends with parent, or on Cancel or Stop. Example:
 //
 //	g := routine.New(context.Background())
 //	g.Go(func(ctx context.Context) { <-ctx.Done() })
-//	g.Stop() // ends the context and waits for all
+//	g.Stop() // ends the context and waits for all goroutines
 func New(parent context.Context) *Group {
 	ctx, cancel := context.WithCancel(parent)
 	return &Group{ctx: ctx, cancel: cancel}
 }
 
-// Go runs work on a goroutine. work returns soon after ctx has ended, as Stop waits for it. Go must not run at the same
-// time as Stop or Wait, unless it is called by a goroutine of the group.
-func (g *Group) Go(work func(ctx context.Context)) {
+// Go runs fn on a new goroutine. fn must return soon after ctx has ended, as Stop waits for it. Go must not run at the
+// same time as Stop or Wait, unless a goroutine of the group calls it.
+func (g *Group) Go(fn func(ctx context.Context)) {
 	g.running.Add(1)
 	go func() {
 		defer g.running.Done()
-		work(g.ctx)
+		fn(g.ctx)
 	}()
 }
 
@@ -52,17 +52,17 @@
 // Wait waits until all goroutines have returned, without ending their context.
 func (g *Group) Wait() { g.running.Wait() }
 
-// Each calls work with each of 0 to n-1, on at most width goroutines at a time (one if width is below that), and
-// returns once all calls have returned.
-func Each(n, width int, work func(i int)) {
-	semaphore := make(chan struct{}, max(width, 1))
+// Each calls fn once with each of 0 to n-1, on at most concurrency goroutines at a time (at least one), and returns
+// once all calls have returned.
+func Each(n, concurrency int, fn func(i int)) {
+	semaphore := make(chan struct{}, max(concurrency, 1))
 	var running sync.WaitGroup
 	for i := range n {
 		semaphore <- struct{}{}
 		running.Add(1)
 		go func() {
 			defer func() { <-semaphore; running.Done() }()
-			work(i)
+			fn(i)
 		}()
 	}
 	running.Wait()
--- a/internal/routine/routine_test.go
+++ b/internal/routine/routine_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestGroup_stop(t *testing.T) {
-	Convey("Stop ends the context of every goroutine, also of one started by another, and waits for all", t, func() {
+	Convey("Stop ends the context of all goroutines, including one started by another, and waits for them", t, func() {
 		group := New(context.Background())
 		var ended atomic.Int32
 		untilEnd := func(ctx context.Context) {
@@ -38,12 +38,12 @@
 	})
 }
 
-func TestEach_width(t *testing.T) {
-	for _, c := range []struct{ n, width, most int }{{0, 1, 0}, {5, 0, 1}, {5, -1, 1}, {5, 2, 2}, {3, 9, 3}} {
-		Convey("Each calls work once with every number, on no more goroutines than its width", t, func() {
+func TestEach_concurrency(t *testing.T) {
+	for _, c := range []struct{ n, concurrency, most int }{{0, 1, 0}, {5, 0, 1}, {5, -1, 1}, {5, 2, 2}, {3, 9, 3}} {
+		Convey("Each calls fn once with every index, with no more concurrent calls than its limit", t, func() {
 			var mu sync.Mutex
 			calls, running, most := make([]int, c.n), 0, 0
-			Each(c.n, c.width, func(i int) {
+			Each(c.n, c.concurrency, func(i int) {
 				mu.Lock()
 				calls[i]++
 				running++
