--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Config has the bounds of a Core; Defaults returns the values of the daemons. All nodes of a fleet have the same.
+// Config holds the intervals and limits of a Core. All nodes of a fleet use the same values; Defaults returns those of
+// the daemons.
 type Config struct {
-	ShuffleInterval time.Duration // between two shuffles of a node, a tenth more or less
-	ViewSize        int           // most neighbours of a node
-	ShuffleLength   int           // most members in a shuffle, the sender included
-	DirectorySize   int           // most control-plane nodes that a node keeps and sends
-	MaxDepartures   int           // most departures, and most suspects, in a message
-	MaxTombstones   int           // most tombstones that a node keeps
-	SuspectTimeout  time.Duration // how long a suspect may go without a newer version before it is removed
-	MemberTTL       time.Duration // age at which every node drops a version
-	// DirectoryTTL is the MemberTTL of the directory. It is shorter, as every message refreshes the directory.
+	ShuffleInterval time.Duration // mean time between two shuffles of a node; varies by up to 10 %
+	ViewSize        int           // maximum number of neighbours of a node
+	ShuffleLength   int           // maximum number of members in a shuffle, including the sender
+	DirectorySize   int           // maximum number of control-plane nodes that a node stores and sends
+	MaxDepartures   int           // maximum number of departures, and of suspects, in a message
+	MaxTombstones   int           // maximum number of tombstones that a node stores
+	SuspectTimeout  time.Duration // time without a newer version after which a suspect is removed
+	MemberTTL       time.Duration // age at which every node discards a version
+	// DirectoryTTL is the MemberTTL of directory entries. It is shorter because every message refreshes the directory.
 	DirectoryTTL time.Duration
-	// ShufflesPerSeedVisit is the number of shuffles between two visits to a seed. It holds for control-plane nodes
-	// and for nodes that know none of them; the others do not visit seeds once they have joined.
+	// ShufflesPerSeedVisit is the number of shuffles between two visits to a seed, by control-plane nodes and by nodes
+	// with an empty directory. Other nodes do not visit seeds once they have joined.
 	ShufflesPerSeedVisit int
 }
 
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,62 +6,64 @@
 	"time"
 )
 
-// Core is one node's part in the membership: a step function without clock, socket or goroutine. The argument now of
-// its methods is a reading of the node's clock, which counts suspension and never decreases from call to call. A Core
-// is not safe for concurrent use.
+// Core is the membership protocol of one node, as a deterministic state machine without clock, sockets or goroutines.
+// The argument now of its methods is a reading of the node's clock, which includes suspended time and never goes
+// backwards. A Core is not safe for concurrent use.
 type Core struct {
 	cfg        Config
-	self       Member // Age is 0; Heartbeat rises with each message, Incarnation when another process has the name
+	self       Member // Age is 0; Heartbeat rises with each message, Incarnation if a newer version of it is received
 	random     *rand.Rand
 	neighbours []*neighbour          // the partial view: at most ViewSize, names unique, never self
-	directory  []*neighbour          // the control-plane nodes known: at most DirectorySize, names unique, never self
+	directory  []*neighbour          // the known control-plane nodes: at most DirectorySize, names unique, never self
 	tombstones map[string]*tombstone // by name, at most MaxTombstones
 
 	nextShuffle time.Duration
-	round       int // counts the shuffles that were due
+	round       int // number of shuffles that have been due so far
 	seeds       seedRotation
-	pending     map[uint64]*pendingCall // calls without an outcome yet, by ID
+	pending     map[uint64]*pendingCall // calls whose outcome is not known yet, by ID
 	lastCallID  uint64
 
 	leaving  bool     // Leave was called
-	changes  []Change // of the directory since the last call of Changes
+	changes  []Change // of the directory since the last call to Changes
 	Counters Counters // read by the owner
 }
 
-// Counters count what a core did since New.
+// Counters are totals since New.
 type Counters struct {
 	Shuffles   uint64 // shuffles sent, visits to seeds included
 	Failures   uint64 // shuffles sent that failed
 	SeedVisits uint64
-	Received   uint64 // shuffles of other nodes
+	Received   uint64 // shuffles received from other nodes
 	Suspects   uint64 // neighbours that became suspected
 	Dropped    uint64 // suspects that were removed
 }
 
-// neighbour is a node that this one knows, at the newest version received.
+// neighbour is another node that this one knows, at the newest version received. The directory has entries of this
+// type too.
 type neighbour struct {
 	Member                     // Age is 0: the age follows from sentAt
 	sentAt       time.Duration // when the node itself sent this version, on this node's clock
-	suspected    bool          // a call to it failed, and no version sent since has come
+	suspected    bool          // a call to it failed, and no newer version has been received since
 	suspectSince time.Duration // valid while suspected
 }
 
-// memberAt returns the member with its age at now, as it is sent.
+// memberAt returns the member with its age at now, in the form that is sent.
 func (e *neighbour) memberAt(now time.Duration) Member {
 	m := e.Member
 	m.Age = max(0, (now - e.sentAt).Milliseconds())
 	return m
 }
 
-// tombstone marks a version and all older ones as ended, so that copies that still go round are not stored again.
+// tombstone marks a version of a node and all older ones as ended, so that copies that other nodes still pass on are
+// not stored again.
 type tombstone struct {
 	Member
 	sentAt time.Duration // of the version, as in neighbour
 	left   bool          // the node announced its departure: the whole incarnation has ended
 }
 
-// New returns the core of self, which knows nothing but the addresses of its seeds. With the same randomSeed and the
-// same calls it takes the same steps. Example:
+// New returns the Core of self, which initially knows only the addresses of its seeds. It is deterministic: the same
+// randomSeed and the same calls produce the same results. Example:
 //
 //	self := membership.Member{Name: "d1", Addr: addr, Zone: "a", Role: membership.RoleDataPlane, Incarnation: started}
 //	core := membership.New(membership.Defaults(), self, seeds, 1)
@@ -93,11 +95,11 @@
 	return c
 }
 
-// NextTick returns when Tick is due next. Other calls do not change it.
+// NextTick returns when Tick is due next. Only Tick changes it.
 func (c *Core) NextTick() time.Duration { return c.nextShuffle }
 
-// Tick does nothing before NextTick and after Leave. Otherwise it removes what has expired, and returns the call of a
-// shuffle: with a seed if a visit is due, else with the neighbour heard of least recently; none if there is neither.
+// Tick removes expired state and returns the call of a shuffle: with a seed if a visit is due, otherwise with the
+// neighbour whose version is the oldest. It returns no call if it finds neither, nor before NextTick or after Leave.
 func (c *Core) Tick(now time.Duration) []Call {
 	if now < c.nextShuffle || c.leaving {
 		return nil
@@ -118,8 +120,8 @@
 	return []Call{c.newShuffle(now, target.Addr, target)}
 }
 
-// oldestNeighbour returns the neighbour with the oldest version, nil if there is none. It skips suspected neighbours
-// and those with a call in flight.
+// oldestNeighbour returns the neighbour with the oldest version, or nil. It skips suspected neighbours and those with a
+// call in flight.
 func (c *Core) oldestNeighbour() (oldest *neighbour) {
 	inFlight := map[string]bool{}
 	for _, call := range c.pending {
@@ -133,7 +135,7 @@
 	return oldest
 }
 
-// neighbourAt returns the neighbour at an address, nil if there is none.
+// neighbourAt returns the neighbour at addr, or nil.
 func (c *Core) neighbourAt(addr string) *neighbour {
 	for _, e := range c.neighbours {
 		if e.Addr == addr {
@@ -143,8 +145,9 @@
 	return nil
 }
 
-// expire removes suspects without a newer version for SuspectTimeout, which leave a tombstone; versions, directory
-// entries and calls at the end of their time; and tombstones once every copy of their version has expired.
+// expire removes suspects without a newer version for SuspectTimeout, and adds a tombstone for each. It also removes
+// neighbours and pending calls older than MemberTTL, directory entries older than DirectoryTTL, and tombstones once
+// every copy of their version has expired.
 func (c *Core) expire(now time.Duration) {
 	c.neighbours = slices.DeleteFunc(c.neighbours, func(e *neighbour) bool {
 		isGone := e.suspected && now-e.suspectSince >= c.cfg.SuspectTimeout
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// The kinds of changes in the directory of control-plane nodes, as they stand in the log.
+// Kinds of changes in the directory of control-plane nodes, as written to the log.
 const (
-	Joined    = "came"  // not known before
-	Restarted = "again" // under a new incarnation
-	Moved     = "moved" // to another address
-	Left      = "left"  // announced by the node itself
-	Expired   = "lost"  // no newer version for Config.DirectoryTTL
+	Joined    = "came"  // was not known before
+	Restarted = "again" // has a new incarnation
+	Moved     = "moved" // has another address
+	Left      = "left"  // has announced its departure
+	Expired   = "lost"  // no newer version received for Config.DirectoryTTL
 )
 
 // Change is a change in the directory of control-plane nodes.
 type Change struct {
 	Kind   string
-	Member Member // after the change; of Left and Expired the last version known
+	Member Member // after the change; for Left and Expired the last known version
 }
 
-// Changes returns the changes of the directory since the last call, in order.
+// Changes returns the changes in the directory since the last call, in order.
 func (c *Core) Changes() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// ControlPlanes returns the addresses of the control-plane nodes in the directory, in order of their names. This node's
-// own is not among them.
+// ControlPlanes returns the addresses of the control-plane nodes in the directory, sorted by node name. This node's own
+// address is not included.
 func (c *Core) ControlPlanes() []string {
 	sorted := slices.Clone(c.directory)
 	slices.SortFunc(sorted, byName)
@@ -40,19 +40,19 @@
 	return addrs
 }
 
-// MemberStatus is a node as this one knows it, for operators.
+// MemberStatus describes a known node, for operators.
 type MemberStatus struct {
 	Name        string        `json:"name"`
 	Role        string        `json:"role"`
 	Zone        string        `json:"zone"`
 	Addr        string        `json:"addr"`
 	Incarnation uint64        `json:"boot"`
-	Age         time.Duration `json:"age"` // since it sent the newest version known here, in nanoseconds
+	Age         time.Duration `json:"age"` // since the node sent the newest version known here, in nanoseconds
 	Suspect     bool          `json:"suspect,omitempty"`
 }
 
-// Nodes returns all nodes known at now, in order of their names: this one, its neighbours and the directory. Versions
-// past MemberTTL that no Tick has removed yet are left out.
+// Nodes returns all nodes known at now, sorted by name: this one, its neighbours and the directory. It leaves out
+// versions older than MemberTTL that Tick has not removed yet.
 func (c *Core) Nodes(now time.Duration) []MemberStatus {
 	known := []*neighbour{{Member: c.self, sentAt: now}}
 	for _, e := range append(slices.Clone(c.neighbours), c.directory...) {
@@ -72,7 +72,7 @@
 	return statuses
 }
 
-// Size returns the number of neighbours, of suspects among them, and of control-plane nodes in the directory.
+// Size returns the numbers of neighbours, of suspects among them, and of control-plane nodes in the directory.
 func (c *Core) Size() (neighbours, suspects, directory int) {
 	for _, e := range c.neighbours {
 		if e.suspected {
@@ -82,7 +82,7 @@
 	return len(c.neighbours), suspects, len(c.directory)
 }
 
-// newest returns the newest version known of a node, nil if there is none.
+// newest returns the newest known version of a node, or nil.
 func (c *Core) newest(name string) *neighbour {
 	inView, inDirectory := findByName(c.neighbours, name), findByName(c.directory, name)
 	if inView == nil || inDirectory != nil && compareVersions(inView.Member, inDirectory.Member) < 0 {
@@ -93,6 +93,7 @@
 
 func byName(a, b *neighbour) int { return strings.Compare(a.Name, b.Name) }
 
+// findByName returns the entry of list with the given name, or nil.
 func findByName(list []*neighbour, name string) *neighbour {
 	for _, e := range list {
 		if e.Name == name {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -12,27 +12,27 @@
 	"crosstide/internal/clock"
 )
 
-// fleet drives cores on a virtual clock. A call and its answer take no time.
+// fleet runs cores on a virtual clock. Calls and answers arrive without delay.
 type fleet struct {
 	clock      clock.Virtual
 	random     *rand.Rand
 	nodes      []*Core // by index; nil: dead
-	partition  []int   // by index; nodes of different ones do not reach each other
+	partition  []int   // by index; nodes in different partitions cannot reach each other
 	loss       float64 // probability that an answer is lost
-	calls      int     // that were answered
-	bytes      int     // of them, while countBytes is set
+	calls      int     // answered calls
+	bytes      int     // sent in them while countBytes is set
 	countBytes bool
 	indexes    map[string]int // by address
-	// controlPlane is the index of a control-plane node besides the first five.
+	// controlPlane is the index of a control-plane node in addition to the first five.
 	controlPlane int
 }
 
-// headBytes is the length of the HTTP heads of a call and its answer: see docs/design/membership.md.
-const headBytes = 105 + 110
+// headerBytes is the length of the HTTP headers of a call and its answer: see docs/design/membership.md.
+const headerBytes = 105 + 110
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-// join starts the node of an index under an incarnation. The first five are control-plane nodes.
+// join starts node i under an incarnation. The first five nodes are control-plane nodes.
 func (f *fleet) join(i int, incarnation uint64) *Core {
 	role, seeds := RoleDataPlane, []string{addrOf(0), addrOf(1), addrOf(2)}
 	if i < 5 || i == f.controlPlane {
@@ -49,6 +49,7 @@
 	return c
 }
 
+// newFleet returns a fleet of n nodes that begin to shuffle within the first second.
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), indexes: map[string]int{}}
 	for i := range n {
@@ -57,7 +58,7 @@
 	return f
 }
 
-// tick calls Tick of c when it is due, until c is dead or replaced by a later incarnation.
+// tick calls c.Tick whenever it is due, until c is dead or replaced by a later incarnation.
 func (f *fleet) tick(i int, c *Core) {
 	if f.nodes[i] != c {
 		return
@@ -80,7 +81,7 @@
 		if f.calls++; f.countBytes {
 			encodedCall, _ := json.Marshal(call.Message)
 			encodedAnswer, _ := json.Marshal(answer)
-			f.bytes += len(encodedCall) + len(encodedAnswer) + headBytes
+			f.bytes += len(encodedCall) + len(encodedAnswer) + headerBytes
 		}
 		if f.random.Float64() < f.loss {
 			c.HandleFailure(now, call.ID)
@@ -90,7 +91,7 @@
 	}
 }
 
-// indexOf returns the index of the live node at an address, -1 if there is none.
+// indexOf returns the index of the live node at addr, or -1.
 func (f *fleet) indexOf(addr string) int {
 	if i, ok := f.indexes[addr]; ok && f.nodes[i] != nil {
 		return i
@@ -142,7 +143,7 @@
 	return g
 }
 
-// components is a union-find structure: the parent of each element, itself at a root.
+// components is a union-find structure: it has the parent of each element; a root is its own parent.
 type components []int
 
 func newComponents(n int) components {
@@ -162,8 +163,8 @@
 
 func (p components) join(i, j int) { p[p.root(i)] = p.root(j) }
 
-// secondsUntil advances the clock second by second until a condition holds, and returns how many it took; limit if it
-// does not hold by then.
+// secondsUntil advances the clock second by second until condition holds, and returns the number of seconds, or limit
+// if it does not hold by then.
 func (f *fleet) secondsUntil(limit int, condition func() bool) int {
 	for seconds := range limit {
 		if condition() {
@@ -174,7 +175,7 @@
 	return limit
 }
 
-// everyNode reports whether a condition holds for every live node.
+// everyNode reports whether condition holds for every live node.
 func (f *fleet) everyNode(condition func(c *Core) bool) bool {
 	for _, c := range f.nodes {
 		if c != nil && !condition(c) {
@@ -206,7 +207,7 @@
 	}
 }
 
-// checkNewControlPlane adds a control-plane node to n nodes: all learn of it.
+// checkNewControlPlane adds a control-plane node to the n nodes, and checks that all of them learn of it.
 func (f *fleet) checkNewControlPlane(t *testing.T, n int) {
 	t.Helper()
 	f.controlPlane = n
@@ -218,8 +219,8 @@
 	So(took, ShouldBeLessThanOrEqualTo, 20)
 }
 
-// checkPartition partitions the fleet into blocks of nodes, alternately of one side and the other, and heals it: it is
-// connected again, also where a side had no control-plane node.
+// checkPartition splits the fleet into two sides for a duration, and checks that it is connected again afterwards.
+// Blocks of consecutive nodes are on either side alternately, so that a side may have no control-plane node.
 func (f *fleet) checkPartition(t *testing.T, n, block int, duration time.Duration) {
 	t.Helper()
 	for i := range f.partition {
@@ -235,7 +236,7 @@
 	So(took, ShouldBeLessThanOrEqualTo, 40)
 }
 
-// checkDeaths kills 30 % of the nodes: the others stay connected all the time, and forget them.
+// checkDeaths kills 30 % of the nodes, and checks that the others stay connected throughout and remove the dead ones.
 func (f *fleet) checkDeaths(t *testing.T, n int) {
 	t.Helper()
 	for _, i := range f.random.Perm(n)[:n*3/10] {
@@ -248,7 +249,7 @@
 		return g.deadEntries == 0
 	})
 	g := f.graph()
-	t.Logf("%d nodes: the dead gone after %d s, in-degree %d to %d", n, took, g.minDegree, g.maxDegree)
+	t.Logf("%d nodes: dead nodes removed after %d s, in-degree %d to %d", n, took, g.minDegree, g.maxDegree)
 	So(took, ShouldBeLessThanOrEqualTo, 61)
 	So(staysConnected, ShouldBeTrue)
 	So(g.isHealthy(), ShouldBeTrue)
@@ -289,7 +290,7 @@
 	})
 }
 
-// BenchmarkBytes measures the bytes that a node sends in a fleet at rest: calls and answers with their heads.
+// BenchmarkBytes measures the bytes that a node sends in an unchanging fleet: calls and answers with HTTP headers.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{9, 100, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON encoding of messages between processes, answers to clients and operators, and files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("note", Member{}),
@@ -17,9 +17,9 @@
 	)
 }
 
-// TestGoldenMetrics pins names, help texts and labels of metrics.
+// TestGoldenMetrics pins the names, help texts and labels of the metrics.
 func TestGoldenMetrics(t *testing.T) {
-	var kept golden.Registry
-	NewNode(Options{Clock: &clock.Virtual{}, Registry: &kept})
-	golden.Compare(t, "metrics", golden.Metrics("membership", kept.Collectors...))
+	var registry golden.Registry
+	NewNode(Options{Clock: &clock.Virtual{}, Registry: &registry})
+	golden.Compare(t, "metrics", golden.Metrics("membership", registry.Collectors...))
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,12 +7,12 @@
 )
 
 // The merge functions apply the parts of a received message in a fixed order: departures first, so that a version that
-// has ended is not stored by the same message. now is the time, at the time from which the ages in the message count
-// back. reusable has the names of neighbours that the other side has just received: in a full view their places may be
-// taken, and a name is removed from it with its place.
+// has ended is not stored by the same message. now is the current time; at is the time from which the ages in the
+// message are subtracted. reusable has the names of neighbours that were just sent to the other node: if the view is
+// full, a new member replaces the first of them that is still a neighbour, and the name is removed from reusable.
 
-// mergeCall applies the message of a call. sample has the names of the neighbours in the answer, whose places may be
-// reused. The sender takes the first place that is free or may be reused.
+// mergeCall applies the message of a call. sample has the names of the neighbours in the answer, which new members may
+// replace. The sender is stored first, so that it gets the first place that is free or can be replaced.
 func (c *Core) mergeCall(now time.Duration, m Message, sample []string) {
 	c.mergeDeparted(now, now, m)
 	from := m.From
@@ -26,9 +26,9 @@
 	c.mergeDirectory(now, now, m)
 }
 
-// mergeAnswer applies the message of an answer. Its ages count back from sentAt, when the call was sent, as the time in
-// transit is unknown: a version may seem older than it is, never newer. sample has the names of the neighbours in the
-// call, whose places may be reused for all but the sender.
+// mergeAnswer applies the message of an answer. Its ages are subtracted from sentAt, the time when the call was sent,
+// because the time in transit is unknown: a version may appear older than it is, but never newer. sample has the names
+// of the neighbours in the call, which any new member except the sender may replace.
 func (c *Core) mergeAnswer(now, sentAt time.Duration, m Message, sample []string) {
 	c.mergeDeparted(now, sentAt, m)
 	from := m.From
@@ -61,9 +61,9 @@
 	}
 }
 
-// admit reports whether a received member may be stored, and when the node itself sent it. It rejects what is invalid,
-// expired or covered by a tombstone, and this node itself. A version of this node that is newer than its own, as after
-// a restart with a clock set back, makes it raise its incarnation above that version.
+// admit reports whether a received member may be stored, and when the node itself sent it. It rejects members that are
+// invalid, expired or covered by a tombstone, and this node itself. If it receives a newer version of this node than
+// its own, as after a restart with a clock set back, it raises this node's incarnation above that version.
 func (c *Core) admit(now, at time.Duration, member Member) (sentAt time.Duration, ok bool) {
 	if !member.isValid() {
 		return 0, false
@@ -91,19 +91,19 @@
 		member.Incarnation == t.Incarnation && (t.left || member.Heartbeat <= t.Heartbeat)
 }
 
-// update replaces e by member if that is the newer version, which also ends a suspicion.
+// update replaces e with member if member is the newer version, which also ends a suspicion.
 func (e *neighbour) update(member Member, sentAt time.Duration) {
 	switch order := compareVersions(e.Member, member); {
 	case order < 0:
 		*e = neighbour{Member: member, sentAt: sentAt}
 	case order == 0:
-		// An age leaves out the time in transit: the greater one is more accurate.
+		// Ages do not include the time in transit, so the greater age is the more accurate one.
 		e.sentAt = min(e.sentAt, sentAt)
 	}
 }
 
-// addNeighbour stores a member among the neighbours if a place is free or reusable (nil: none is), and in the directory
-// if it is a control-plane node.
+// addNeighbour stores a member in the directory if it is a control-plane node, and as a neighbour if it is one already,
+// if the view is not full, or if it can replace a neighbour in reusable. A nil reusable permits no replacement.
 func (c *Core) addNeighbour(now, at time.Duration, member Member, reusable *[]string) {
 	sentAt, ok := c.admit(now, at, member)
 	if !ok {
@@ -131,9 +131,9 @@
 	}
 }
 
-// addControlPlane stores a member of a message's directory. It updates a neighbour of that name only if that one is
-// suspected or has restarted: as the directory is always recent, a neighbour updated from it would never be the oldest,
-// so never be replaced, and control-plane nodes would fill the views of the fleet.
+// addControlPlane stores a member of a message's directory. It updates a neighbour of that name only if the neighbour
+// is suspected or has restarted: directory entries are always recent, so a neighbour updated from them would never be
+// the oldest and never be replaced, and control-plane nodes would fill the views of the fleet.
 func (c *Core) addControlPlane(now, at time.Duration, member Member) {
 	sentAt, ok := c.admit(now, at, member)
 	if !ok {
@@ -147,7 +147,7 @@
 }
 
 // updateDirectory stores a member in the directory if it is a control-plane node, and records the change. The directory
-// is never behind the view: where a neighbour of that name is newer, that version is stored.
+// is never older than the view: if the neighbour of that name is newer than member, the neighbour's version is stored.
 func (c *Core) updateDirectory(now time.Duration, member Member, sentAt time.Duration) {
 	if member.Role != RoleControlPlane || now-sentAt >= c.cfg.DirectoryTTL {
 		return
@@ -173,9 +173,9 @@
 	}
 }
 
-// markLeft removes a member whose incarnation has announced its departure, and leaves a tombstone. An announcement of
-// an older incarnation than the one known changes nothing. If it is about this node, which runs, the node raises its
-// incarnation above it.
+// markLeft removes a member whose incarnation has announced its departure, and adds a tombstone. It ignores departures
+// of an older incarnation than the known one. If the member is this node and this node is not leaving, it raises its
+// own incarnation above that of the member.
 func (c *Core) markLeft(now, at time.Duration, member Member) {
 	if member.Name == c.self.Name && member.Incarnation >= c.self.Incarnation && !c.leaving {
 		c.self.Incarnation, c.self.Heartbeat = member.Incarnation+1, 0
@@ -196,8 +196,9 @@
 	c.neighbours, c.directory = slices.DeleteFunc(c.neighbours, hasLeft), slices.DeleteFunc(c.directory, hasLeft)
 }
 
-// addTombstone marks the version of e as ended, or its incarnation if it has left, until expire removes the tombstone.
-// One that covers more stays. Beyond MaxTombstones the oldest is removed.
+// addTombstone marks the version of e as ended, or its whole incarnation if left is set, until expire removes the
+// tombstone. It keeps an existing tombstone that covers more, and removes the oldest if there are more than
+// MaxTombstones.
 func (c *Core) addTombstone(e *neighbour, left bool) {
 	if t := c.tombstones[e.Name]; t != nil &&
 		(compareVersions(t.Member, e.Member) > 0 || t.left && t.Incarnation == e.Incarnation) {
@@ -216,5 +217,5 @@
 	delete(c.tombstones, oldest)
 }
 
-// sortedNames returns the names in order, so that the steps do not depend on the order of a map.
+// sortedNames returns the keys in order, so that the steps of a Core do not depend on map iteration.
 func sortedNames(m map[string]*tombstone) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -9,37 +9,37 @@
 	"crosstide/internal/testbed/exhaustive"
 )
 
-// memberX returns the node x at a version.
+// memberX returns the control-plane node x at a version.
 func memberX(incarnation, heartbeat uint64) Member {
 	return Member{Name: "x", Addr: "10.0.0.9:7000", Zone: "a", Role: RoleControlPlane,
 		Incarnation: incarnation, Heartbeat: heartbeat}
 }
 
-// newMe returns a core that knows nobody.
-func newMe() *Core {
+// newEmptyCore returns the core of the node me, which knows no other node.
+func newEmptyCore() *Core {
 	return New(Defaults(), Member{Name: "me", Addr: "10.0.0.7:7000", Role: RoleDataPlane, Incarnation: 1}, nil, 1)
 }
 
-// peer is a node that knows x.
+// peer is a node that passes on versions of x.
 var peer = Member{Name: "p", Addr: "10.0.0.8:7000", Zone: "b", Role: RoleDataPlane, Incarnation: 1}
 
-// checkOrder passes the messages about x to a core in an order, and fails the test if the view and the directory
-// differ, an old incarnation comes back, or the newest version is not the one known at the end.
+// checkOrder passes messages about x to a core in the given order. It fails the test if the incarnations of x in the
+// view and in the directory differ, if an old incarnation returns, or if the newest version is not known at the end.
 func checkOrder(t *testing.T, messages []Message, order []int) {
 	t.Helper()
-	c := newMe()
+	c := newEmptyCore()
 	incarnation, hasLeft := uint64(0), false
 	for k, i := range order {
 		c.HandleShuffle(time.Duration(k)*time.Second, messages[i])
 		hasLeft = hasLeft || messages[i].Leaving || len(messages[i].Departed) > 0
 		inView, inDirectory := findByName(c.neighbours, "x"), findByName(c.directory, "x")
-		isRight := inView == nil && inDirectory == nil && incarnation != 2
+		isConsistent := inView == nil && inDirectory == nil && incarnation != 2
 		if inView != nil && inDirectory != nil {
-			isRight = inView.Incarnation == inDirectory.Incarnation && inView.Incarnation >= incarnation &&
+			isConsistent = inView.Incarnation == inDirectory.Incarnation && inView.Incarnation >= incarnation &&
 				(inView.Incarnation != 1 || !hasLeft)
 			incarnation = inView.Incarnation
 		}
-		if !isRight {
+		if !isConsistent {
 			t.Fatalf("after %v of %v: view %+v, directory %+v", order[:k+1], order, inView, inDirectory)
 		}
 	}
@@ -49,7 +49,7 @@
 }
 
 func TestMerge_anyOrderOfMessages(t *testing.T) {
-	Convey("In any order of the messages about a node, no old incarnation of it comes back", t, func() {
+	Convey("In any order of the messages about a node, none of its old incarnations returns", t, func() {
 		messages := []Message{
 			{From: memberX(1, 1)}, {From: memberX(1, 2)}, {From: memberX(1, 3), Leaving: true}, {From: memberX(2, 1)},
 			{From: peer, Sample: []Member{memberX(1, 2)}, Directory: []Member{memberX(1, 1)}},
@@ -65,8 +65,8 @@
 	})
 }
 
-func TestMerge_ownNameNewerElsewhere(t *testing.T) {
-	Convey("A restarted node whose clock went back raises its incarnation above its old one", t, func() {
+func TestMerge_newerVersionOfSelf(t *testing.T) {
+	Convey("A node that restarted with a clock set back raises its incarnation above its old one", t, func() {
 		c := New(Defaults(), memberX(3, 0), nil, 1)
 		answer := c.HandleShuffle(0, Message{From: peer, Directory: []Member{memberX(7, 40)}})
 		So(answer.From.Incarnation, ShouldEqual, 3)
@@ -79,7 +79,7 @@
 func TestSuspect_withoutAnswer(t *testing.T) {
 	Convey("A neighbour that does not answer is suspected, and removed unless a newer version comes", t, func() {
 		for _, isRefreshed := range []bool{false, true} {
-			c := newMe()
+			c := newEmptyCore()
 			c.HandleShuffle(0, Message{From: memberX(1, 1)})
 			c.HandleShuffle(time.Millisecond, Message{From: peer})
 			call := c.Tick(time.Second)[0]
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -2,16 +2,16 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// collector is the prometheus.Collector of a node: its metrics are read when they are scraped.
+// collector implements prometheus.Collector for a node. It reads the values at each scrape.
 type collector struct{ node *Node }
 
 var (
 	descSize = prometheus.NewDesc("crosstide_membership_nodes",
-		"Nodes known: neighbours, suspects among them, cplanes in the directory.", []string{"of"}, nil)
+		"Known nodes: neighbours, suspects among them, control-plane nodes in the directory.", []string{"of"}, nil)
 	descShuffles = prometheus.NewDesc("crosstide_membership_shuffles_total",
-		"Shuffles: sent, taken, without an answer, and sent to seeds.", []string{"how"}, nil)
+		"Shuffles: sent, received (taken), sent without an answer (failed), sent to seeds.", []string{"how"}, nil)
 	descSuspects = prometheus.NewDesc("crosstide_membership_suspects_total",
-		"Neighbours that were suspected, and of those dropped.", []string{"what"}, nil)
+		"Neighbours that became suspects, and suspects that were removed (dropped).", []string{"what"}, nil)
 )
 
 // Describe sends the descriptions of the metrics.
@@ -21,14 +21,14 @@
 	to <- descSuspects
 }
 
-// Collect sends the metrics.
+// Collect sends the current values.
 func (c *collector) Collect(to chan<- prometheus.Metric) {
 	c.node.mu.Lock()
 	neighbours, suspects, directory := c.node.core.Size()
 	counters := c.node.core.Counters
 	c.node.mu.Unlock()
-	gauge := func(value int, of string) {
-		to <- prometheus.MustNewConstMetric(descSize, prometheus.GaugeValue, float64(value), of)
+	gauge := func(value int, label string) {
+		to <- prometheus.MustNewConstMetric(descSize, prometheus.GaugeValue, float64(value), label)
 	}
 	counter := func(desc *prometheus.Desc, value uint64, label string) {
 		to <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), label)
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -15,36 +15,36 @@
 	"crosstide/internal/routine"
 )
 
-// SendFunc sends a message to the node at addr and returns its answer. It bounds the call by a time-out of its own, and
-// returns when ctx ends. It is called by several goroutines at a time.
+// SendFunc sends a message to the node at addr and returns its answer. It applies its own timeout, and returns when ctx
+// ends. It must be safe for concurrent use.
 type SendFunc func(ctx context.Context, addr string, m Message) (Message, error)
 
 // Options are the settings of a Node; Self, Send and Clock are required.
 type Options struct {
-	Self       Member   // its Incarnation 0: the time of day in milliseconds
-	Seeds      []string // addresses of nodes to join by; this node's own may be among them
+	Self       Member   // Incarnation 0: NewNode sets the Unix time in milliseconds
+	Seeds      []string // addresses of nodes through which to join; may include this node's own
 	RandomSeed uint64   // see New
 	Config     *Config  // default: Defaults()
 	Send       SendFunc
 	Clock      clock.Clock
 	Logger     log.Logger            // default: none
 	Registry   prometheus.Registerer // default: the metrics are not registered
-	// OnControlPlanes is called with Core.ControlPlanes after each change of the directory, one call at a time and
-	// under the node's mutex: it must not call the node. Default: none.
+	// OnControlPlanes is called with Core.ControlPlanes after each change in the directory. The node's mutex is held
+	// during the call: it must not call the node. Default: none.
 	OnControlPlanes func(addrs []string)
 }
 
-// Node owns a Core and drives it by a clock and the network. It is safe for concurrent use.
+// Node runs a Core with a clock and the network. It is safe for concurrent use.
 type Node struct {
 	opt   Options
 	group *routine.Group     // nil before Start
-	bytes prometheus.Counter // JSON sent
+	bytes prometheus.Counter // of JSON sent
 
 	mu   sync.Mutex // guards core, and orders the calls of OnControlPlanes
 	core *Core
 }
 
-// NewNode returns a node, which may serve at once and shuffles from Start on. Example:
+// NewNode returns a node. It can answer shuffles at once, and sends its own after Start. Example:
 //
 //	n := membership.NewNode(membership.Options{Self: self, Seeds: seeds, Send: send, Clock: clock.Real{}})
 //	rpc.Handle(srv, internalapi.Shuffle, n.Serve)
@@ -63,20 +63,20 @@
 	}
 	n := &Node{opt: opt, core: New(cfg, opt.Self, opt.Seeds, opt.RandomSeed)}
 	n.bytes = prometheus.NewCounter(prometheus.CounterOpts{Name: "crosstide_membership_bytes_total",
-		Help: "Bytes of JSON sent in shuffles, calls and answers; heads are not counted."})
+		Help: "Bytes of JSON sent in calls and answers of shuffles, without HTTP headers."})
 	if opt.Registry != nil {
 		opt.Registry.MustRegister(n.bytes, &collector{n})
 	}
 	return n
 }
 
-// Start makes the node shuffle until Stop, or until ctx ends. Call it once.
+// Start sends shuffles in the background until Stop is called or ctx ends. Call it once.
 func (n *Node) Start(ctx context.Context) {
 	n.group = routine.New(ctx)
 	n.group.Go(n.run)
 }
 
-// Stop ends the shuffles, and then announces the departure of the node to some others, until ctx ends at the latest.
+// Stop ends the shuffles, then announces this node's departure to a few other nodes. The announcements end with ctx.
 // Call it once, after Start.
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
@@ -91,7 +91,8 @@
 	})
 }
 
-// run starts the shuffles that are due until ctx ends. Each has its own goroutine, so that a slow peer delays nothing.
+// run starts the shuffles that are due until ctx ends. Each has its own goroutine, so that a slow peer does not delay
+// the next one.
 func (n *Node) run(ctx context.Context) {
 	for {
 		n.mu.Lock()
@@ -126,10 +127,10 @@
 	n.reportChanges()
 }
 
-// Serve answers the shuffle of another node; errs.Invalid if its sender is not valid.
+// Serve answers a shuffle of another node. It fails with errs.Invalid if the sender is not a valid member.
 func (n *Node) Serve(_ context.Context, m Message) (Message, error) {
 	if !m.From.isValid() {
-		return Message{}, errs.Field(errs.Invalid, "from", "must be a node with its name and address")
+		return Message{}, errs.Field(errs.Invalid, "from", "must have a name and an address, and no oversized field")
 	}
 	n.mu.Lock()
 	answer := n.core.HandleShuffle(n.opt.Clock.Now(), m)
@@ -139,10 +140,10 @@
 	return answer, nil
 }
 
-// reportChanges logs the changes of the directory and passes its addresses to Options.OnControlPlanes.
+// reportChanges logs the changes in the directory and passes its addresses to Options.OnControlPlanes.
 func (n *Node) reportChanges() {
 	n.mu.Lock()
-	defer n.mu.Unlock() // after the calls below, so that those of two changes keep their order
+	defer n.mu.Unlock() // after OnControlPlanes, so that successive changes are reported in order
 	changes := n.core.Changes()
 	for _, change := range changes {
 		_ = level.Info(n.opt.Logger).Log("msg", "control plane changed", "change", change.Kind,
@@ -153,7 +154,7 @@
 	}
 }
 
-// countBytes adds the length of a message that is sent to the metric.
+// countBytes adds the encoded length of a sent message to the metric.
 func (n *Node) countBytes(m Message) {
 	if encoded, err := json.Marshal(m); err == nil {
 		n.bytes.Add(float64(len(encoded)))
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestNode_serve(t *testing.T) {
-	Convey("A shuffle is answered, counted and its control planes reported; one without sender is rejected", t, func() {
+	Convey("A shuffle is answered, counted and its control planes reported, or rejected without a sender", t, func() {
 		var reported []string
 		registry := prometheus.NewRegistry()
 		n := NewNode(Options{
--- a/internal/membership/shuffle.go
+++ b/internal/membership/shuffle.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Call is a message to be sent to Addr. Its outcome is passed to HandleAnswer or HandleFailure under ID, once.
+// Call is a message to send to Addr. The Core's owner passes its outcome to HandleAnswer or HandleFailure, once.
 type Call struct {
 	ID   uint64
 	Addr string
 	Message
 }
 
-// pendingCall is a call without an outcome yet.
+// pendingCall is a call whose outcome is not known yet.
 type pendingCall struct {
-	name        string // of the neighbour called; empty for a seed that is no neighbour
+	name        string // of the called neighbour; empty if the called seed is not a neighbour
 	isSeedVisit bool
 	sample      []string // names of the neighbours in its message
 	sentAt      time.Duration
 }
 
-// newShuffle returns the call of a shuffle with the node at addr, and keeps it as pending. to is the neighbour there;
-// nil: none is known.
+// newShuffle returns the call of a shuffle with the node at addr, and records it as pending. to is the neighbour at
+// addr, or nil if none is known.
 func (c *Core) newShuffle(now time.Duration, addr string, to *neighbour) Call {
 	call := &pendingCall{sentAt: now}
 	if to != nil {
@@ -40,8 +40,8 @@
 	return Call{c.lastCallID, addr, m}
 }
 
-// newMessage returns a new version of this node in a message for the node named to, and the names of the neighbours in
-// its sample. Each call raises the heartbeat.
+// newMessage returns a message to the node named to, with a new version of this node, and the names of the neighbours
+// in its sample. Each call increments the heartbeat.
 func (c *Core) newMessage(now time.Duration, to string) (m Message, sample []string) {
 	c.self.Heartbeat++
 	m = Message{From: c.self, Leaving: c.leaving}
@@ -64,8 +64,8 @@
 	return m, sample
 }
 
-// HandleShuffle applies the message of another node and returns the answer, which is made before the message is
-// applied. Its From must be valid; every other invalid part of it is ignored.
+// HandleShuffle applies a message from another node and returns the answer, which is made before the message is
+// applied. m.From must be valid; other invalid parts of m are ignored.
 func (c *Core) HandleShuffle(now time.Duration, m Message) Message {
 	c.Counters.Received++
 	c.expire(now)
@@ -79,7 +79,7 @@
 	return answer
 }
 
-// HandleAnswer applies the answer m to the call id. An id without a pending call, as after it has expired, is ignored.
+// HandleAnswer applies the answer m to the call id. An id that is not pending, such as of an expired call, is ignored.
 func (c *Core) HandleAnswer(now time.Duration, id uint64, m Message) {
 	call := c.pending[id]
 	if call == nil {
@@ -87,20 +87,20 @@
 	}
 	delete(c.pending, id)
 	if call.isSeedVisit {
-		c.seeds.missed = 0
+		c.seeds.failed = 0
 	}
 	if e := findByName(c.neighbours, call.name); e != nil {
 		if m.From.Name != call.name {
 			c.addTombstone(e, false) // another node answers at its address
 		}
-		// Its place is freed for the nodes in its answer, as it has just received some of this node's.
+		// The neighbour has just received some of this node's neighbours. Its place is freed for those in its answer.
 		c.neighbours = slices.DeleteFunc(c.neighbours, func(other *neighbour) bool { return other == e })
 	}
 	c.mergeAnswer(now, call.sentAt, m, call.sample)
 }
 
-// HandleFailure records that the call id failed: the neighbour that was called becomes suspected, and is removed unless
-// a newer version of it comes within SuspectTimeout. An id without a pending call is ignored.
+// HandleFailure records that the call id failed: the called neighbour becomes suspected, and is removed unless a newer
+// version of it is received within SuspectTimeout. An id that is not pending is ignored.
 func (c *Core) HandleFailure(now time.Duration, id uint64) {
 	call := c.pending[id]
 	if call == nil {
@@ -109,17 +109,17 @@
 	delete(c.pending, id)
 	c.Counters.Failures++
 	if call.isSeedVisit {
-		c.missSeedVisit()
+		c.retrySeedVisit()
 	}
-	// A version that the neighbour sent since the call proves that it lives.
+	// A version that the neighbour sent after the call proves that it is alive.
 	if e := findByName(c.neighbours, call.name); e != nil && !e.suspected && e.sentAt < call.sentAt {
 		e.suspected, e.suspectSince = true, now
 		c.Counters.Suspects++
 	}
 }
 
-// Leave returns the last calls of this node, which announce its departure to some control-plane nodes and neighbours:
-// at most ShuffleLength. Their outcomes are ignored, and Tick returns no calls any more.
+// Leave returns the last calls of this node, at most ShuffleLength, which announce its departure to control-plane nodes
+// and neighbours. Their outcomes are ignored, and Tick returns no further calls.
 func (c *Core) Leave(now time.Duration) (calls []Call) {
 	c.leaving = true
 	m, _ := c.newMessage(now, "")
