--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
-// Package daemon holds what the daemons share: the command line (Program, Service), the order in which a daemon
-// starts, serves and drains (Lifecycle), the logger, the signals, and the routes that every one of them has. It knows
-// nothing of what a daemon serves.
+// Package daemon has the code that all daemons share: the command line (Program, Service), the order in which a daemon
+// starts, serves and drains (Lifecycle), the logger, signal handling, and the common HTTP routes. It does not depend on
+// what a daemon serves.
 //
-// A main function makes a Program or a Service of its settings type; its Serve builds the daemon's parts and passes
-// them to Lifecycle.Run. Begin to read there.
+// A main function makes a Program or a Service for its settings type; its Serve builds the daemon's parts and passes
+// them to Lifecycle.Run. Start reading there.
 package daemon
 
 import (
@@ -19,18 +19,18 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Logger returns a logger that writes logfmt lines of at least a level to w: debug, info, warn or error, and info for
-// any other name. Example:
+// Logger returns a logger that writes logfmt lines of level minLevel and above to w. minLevel is debug, info, warn or
+// error; any other value means info. Example:
 //
 //	l := daemon.Part(daemon.Logger("info", os.Stderr), "store")
-//	_ = level.Info(l).Log("msg", "begin")
+//	_ = level.Info(l).Log("msg", "store opened")
 func Logger(minLevel string, w io.Writer) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	logger = level.NewFilter(logger, level.Allow(level.ParseDefault(minLevel, level.InfoValue())))
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
-// Part returns a logger whose lines name the part of the program.
+// Part returns a logger that adds part=name to its lines, for a part of the program.
 func Part(logger log.Logger, name string) log.Logger { return log.With(logger, "part", name) }
 
 // Registry returns a new registry with the metrics of the process and of the Go runtime.
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/rpc"
 )
 
-// RunUntilDone runs the functions in goroutines. Their context ends after ctx; RunUntilDone returns once all of them
-// have returned.
+// RunUntilDone runs the background functions in goroutines. When ctx ends, it cancels their context, and returns once
+// all of them have returned.
 func RunUntilDone(ctx context.Context, background ...func(ctx context.Context)) {
 	group := routine.New(context.Background())
 	for _, run := range background {
@@ -32,11 +32,11 @@
 	Grace   time.Duration // bounds Drain, and then the wait for running calls
 
 	Start func()                    // starts the daemon's parts once the server listens
-	Drain func(ctx context.Context) // announces the shutdown to other nodes; ctx ends after Grace
+	Drain func(ctx context.Context) // announces the shutdown to other nodes; its ctx ends after Grace
 	Stop  func()                    // stops the daemon's parts after the server
 }
 
-// Run serves until ctx ends, then drains and stops. It fails only if the server cannot listen; Start was not called
+// Run serves until ctx ends, then drains and stops. It fails only if the server cannot listen, and does not call Start
 // then.
 func (l Lifecycle) Run(ctx context.Context) error {
 	if err := l.Server.Start(); err != nil {
@@ -51,7 +51,7 @@
 	err := l.Server.Stop(l.Grace)
 	l.Stop()
 	if err != nil {
-		_ = level.Warn(l.Logger).Log("msg", "running calls cut off", "err", err)
+		_ = level.Warn(l.Logger).Log("msg", "running calls aborted", "err", err)
 	}
 	return nil
 }
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -33,7 +33,7 @@
 		So(lifecycle.Run(ctx), ShouldBeNil)
 		So(steps, ShouldResemble, []string{"start at " + server.Addr(), "drain", "stop"})
 	})
-	Convey("A server that cannot listen is a failure, and no part is started", t, func() {
+	Convey("Run fails if the server cannot listen, and calls no function of the lifecycle", t, func() {
 		taken := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		So(taken.Start(), ShouldBeNil)
 		defer func() { So(taken.Stop(0), ShouldBeNil) }()
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -16,10 +16,10 @@
 	"crosstide/internal/rpc"
 )
 
-// shuffleTimeout bounds a call of Send: a shuffle, or the announcement that the daemon leaves.
+// shuffleTimeout bounds each call to another node: a shuffle, or the announcement of the daemon's departure.
 const shuffleTimeout = time.Second
 
-// NewMembership returns a daemon's membership node, which the caller starts, routes shuffles to and stops.
+// NewMembership returns a daemon's membership node. The caller starts it, serves shuffles with it and stops it.
 // onControlPlanes may be nil, see membership.Options.
 func NewMembership(settings config.Common, role string, seeds []string, caller *rpc.Client, logger log.Logger,
 	registry prometheus.Registerer, onControlPlanes func([]string)) *membership.Node {
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -13,13 +13,13 @@
 	"crosstide/internal/errs"
 )
 
-// Program is a daemon's command line: run, check and version over settings of type S.
+// Program is a daemon's command line, with the commands run, check and version. S is the type of its settings.
 type Program[S any] struct {
 	Version string
-	Load    func(path string) (S, error) // reads and checks a file
-	Check   func(S) error                // checks settings that flags have changed
+	Load    func(path string) (S, error) // reads and checks the settings file at path
+	Check   func(S) error                // checks the settings after flags have replaced some
 	Common  func(*S) *config.Common      // the common settings in S
-	// StringFlags are the flags of run, beside the common ones, that replace a setting, by name.
+	// StringFlags has the settings that flags of run replace, in addition to the common ones, by flag name.
 	StringFlags map[string]func(*S) *string
 	Flags       []cli.Flag // the flags of StringFlags
 	// Serve runs the daemon until ctx ends, then drains it.
@@ -50,13 +50,13 @@
 
 func (p Program[S]) check(_ context.Context, cmd *cli.Command) error {
 	if _, err := p.Load(cmd.String("settings")); err != nil {
-		return errs.Pass(err, "check") // its text lists all that is wrong
+		return errs.Pass(err, "check") // the text of err lists every mistake in the settings
 	}
 	fmt.Println("ok")
 	return nil
 }
 
-// loadWithFlags reads the settings, replaces those that are given as flags, and checks the result.
+// loadWithFlags reads the settings, replaces those whose flags are set, and checks the result.
 func (p Program[S]) loadWithFlags(cmd *cli.Command) (S, error) {
 	settings, err := p.Load(cmd.String("settings"))
 	if err != nil {
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -21,13 +21,13 @@
 	maxProfileSeconds     = 60
 )
 
-// probeAnswer is the answer of a probe that succeeds. One that fails has a body of package errs.
+// probeAnswer is the body of a successful probe. A failed probe answers with an error of package errs.
 type probeAnswer struct {
 	OK bool `json:"ok"`
 }
 
-// Routes adds GET /livez (200 while the process answers), GET /readyz (200, or the error that ready returns) and GET
-// /metrics.
+// Routes adds GET /livez (200 as long as the process answers), GET /readyz (200, or the error that ready returns) and
+// GET /metrics.
 func Routes(srv *rpc.Server, registry prometheus.Gatherer, ready func() error) {
 	srv.Route("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
 		rpc.WriteJSON(w, http.StatusOK, probeAnswer{true})
@@ -43,7 +43,7 @@
 }
 
 // Profiles adds GET /debug/pprof/cpu?seconds=N (1 to 60, default 5) and GET /debug/pprof/NAME for heap, goroutine and
-// the other profiles of the runtime. A profile costs time while it is taken; a daemon serves them only with --pprof.
+// the other profiles of the runtime. Profiling slows the process down, so a daemon serves profiles only with --pprof.
 func Profiles(srv *rpc.Server) {
 	srv.Route("GET /debug/pprof/cpu", serveCPUProfile)
 	srv.Route("GET /debug/pprof/{name}", serveProfile)
@@ -56,10 +56,10 @@
 	}
 	var body bytes.Buffer
 	if err := pprof.StartCPUProfile(&body); err != nil {
-		rpc.WriteError(w, errs.Wrap(err, errs.Conflict, "a profile is being taken"))
+		rpc.WriteError(w, errs.Wrap(err, errs.Conflict, "a CPU profile is already running"))
 		return
 	}
-	clock.Sleep(nil, clock.Real{}, time.Duration(seconds)*time.Second) // in full, also if the client leaves
+	clock.Sleep(nil, clock.Real{}, time.Duration(seconds)*time.Second) // not shortened if the client disconnects
 	pprof.StopCPUProfile()
 	_, _ = w.Write(body.Bytes()) // fails only if the client is gone
 }
@@ -68,7 +68,7 @@
 	name := r.PathValue("name")
 	profile := pprof.Lookup(name)
 	if profile == nil {
-		rpc.WriteError(w, errs.Field(errs.Unknown, "name", "no profile %q", name))
+		rpc.WriteError(w, errs.Field(errs.Unknown, "name", "unknown profile %q", name))
 		return
 	}
 	var body bytes.Buffer
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -12,12 +12,12 @@
 	"crosstide/internal/errs"
 )
 
-// Service is a command that runs a daemon on settings of type S, which are read without flags and may change while
-// it runs.
+// Service is a command that runs a daemon with settings of type S. The settings cannot be replaced by flags, and may
+// change while the daemon runs.
 type Service[S any] struct {
 	Name, Usage string
 	Load        func() (S, error)
-	NodeName    func(S) string // the value of node in log lines
+	NodeName    func(S) string // value of the key node in log lines
 	// Serve runs the daemon until ctx ends, then drains it. changed receives a signal (SIGHUP) when the settings have
 	// changed.
 	Serve func(ctx context.Context, settings S, changed <-chan os.Signal, logger log.Logger) error
@@ -26,7 +26,7 @@
 // Command returns the command.
 func (s Service[S]) Command() *cli.Command {
 	return &cli.Command{Name: s.Name, Usage: s.Usage, Action: func(ctx context.Context, _ *cli.Command) error {
-		changed := make(chan os.Signal, 1) // before Load: without a handler SIGHUP ends the process
+		changed := make(chan os.Signal, 1) // before Load: without a handler, SIGHUP ends the process
 		signal.Notify(changed, syscall.SIGHUP)
 		defer signal.Stop(changed)
 		settings, err := s.Load()
--- a/internal/internalapi/controlplane.go
+++ b/internal/internalapi/controlplane.go
@@ -8,10 +8,10 @@
 	"crosstide/internal/rpc"
 )
 
-// Raft carries consensus messages between control plane nodes. The answer confirms only that they arrived.
+// Raft carries consensus messages between control plane nodes. The answer only confirms their arrival.
 var Raft = rpc.Endpoint[RaftCall, RaftAnswer]{Path: "/x/quorum"}
 
-// RaftCall is a batch of messages in order.
+// RaftCall is an ordered batch of messages.
 type RaftCall struct {
 	From     string         `json:"from"`
 	Messages []raft.Message `json:"m"`
@@ -20,11 +20,12 @@
 // RaftAnswer is empty.
 type RaftAnswer struct{}
 
-// Propose commits one command. Only the leader accepts it (else errs.NotLeader, with the leader's address as hint). The
-// answer comes after the command was applied; the command's own failure is the answer's error.
+// Propose commits one command. Only the leader accepts it; other nodes answer errs.NotLeader, with the leader's address
+// as hint if they know it. The leader answers once the command has been applied. If the command itself fails, its error
+// is the answer.
 var Propose = rpc.Endpoint[ProposeCall, ProposeAnswer]{Path: "/x/propose"}
 
-// ProposeCall is a command of package command: its op and its JSON.
+// ProposeCall is a command of package command: its operation and its JSON.
 type ProposeCall struct {
 	Op   string          `json:"op"`
 	Body json.RawMessage `json:"c"`
@@ -36,20 +37,20 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// ReadIndex asks the leader for its read index: every commit acknowledged before the call is at or below it, so a state
-// that has reached it is at least as new as the call.
+// ReadIndex asks the leader for its read index. Every commit acknowledged before the call is at or below this index, so
+// a state that has reached it is at least as new as the call.
 var ReadIndex = rpc.Endpoint[ReadIndexCall, ReadIndexAnswer]{Path: "/x/confirm"}
 
 // ReadIndexCall is empty.
 type ReadIndexCall struct{}
 
-// ReadIndexAnswer has the read index.
+// ReadIndexAnswer holds the read index.
 type ReadIndexAnswer struct {
 	Index uint64 `json:"index"`
 }
 
-// Follow returns committed changes that the caller lacks, from any control plane node. It waits up to Wait for the
-// first change.
+// Follow returns committed changes that the caller does not have yet. Any control plane node answers it; the answer
+// waits up to Wait for the first change.
 var Follow = rpc.Endpoint[FollowCall, FollowAnswer]{Path: "/x/follow"}
 
 // FollowCall names, for each source, the version that the caller has. The only source is "store"; its version is the
@@ -58,25 +59,25 @@
 	Node   string            `json:"node"`
 	Vector map[string]uint64 `json:"vector"` // source to version
 	Wait   time.Duration     `json:"wait"`
-	Max    int               `json:"max"` // bytes of changes, about
-	// Bundle is the version of the policy bundle that the caller goes by, 0 before its first pull, and Age how long it
-	// has had it.
+	Max    int               `json:"max"` // approximate limit of the changes in bytes
+	// Bundle is the version of the policy bundle that the caller uses, 0 before its first pull. Age is how long the
+	// caller has had that version.
 	Bundle uint64        `json:"bundle,omitempty"`
 	Age    time.Duration `json:"age,omitempty"`
 }
 
-// FollowAnswer carries what the caller lacks of each source.
+// FollowAnswer carries, for each source, the changes that the caller does not have.
 type FollowAnswer struct {
 	Updates map[string]SourceUpdate `json:"lacks,omitempty"`
 }
 
-// SourceUpdate is a run of changes, or a snapshot to begin with where the changes are gone.
+// SourceUpdate is a sequence of changes. If the log no longer has them, it names a snapshot to start from.
 type SourceUpdate struct {
 	Snapshot *Snapshot    `json:"snapshot,omitempty"`
 	Changes  []raft.Entry `json:"changes,omitempty"`
 }
 
-// Snapshot names a snapshot to be fetched in chunks.
+// Snapshot describes a snapshot, which is fetched in chunks.
 type Snapshot struct {
 	Number uint64 `json:"number"` // of the snapshot
 	Index  uint64 `json:"index"`
@@ -84,7 +85,7 @@
 	Size   int64  `json:"size"`
 }
 
-// Chunk fetches a part of a snapshot, so that a lost connection costs no more than the part.
+// Chunk fetches a part of a snapshot, so that only that part is sent again after a lost connection.
 var Chunk = rpc.Endpoint[ChunkCall, ChunkAnswer]{Path: "/x/chunk"}
 
 // ChunkCall asks for up to Max bytes of snapshot Number (0: the newest), beginning at offset From.
@@ -94,7 +95,7 @@
 	Max    int    `json:"max"`
 }
 
-// ChunkAnswer is the part, with the snapshot that it belongs to. Sum is xxhash64 of the whole body.
+// ChunkAnswer is a part of a snapshot. Sum is the xxhash64 of the whole snapshot's body.
 type ChunkAnswer struct {
 	Snapshot
 	Meta json.RawMessage `json:"meta"` // raft.Meta of the snapshot
@@ -115,7 +116,8 @@
 	Release     bool   `json:"give_up,omitempty"`
 }
 
-// RoleLease names the node that has the role. If Mine is set, it is the caller, for TTL from when the call was sent.
+// RoleLease names the node that has the role. If Mine is set, that node is the caller, and its lease ends TTL after the
+// call was sent.
 type RoleLease struct {
 	Mine   bool          `json:"mine"`
 	Epoch  uint64        `json:"epoch"`
--- a/internal/internalapi/golden_test.go
+++ b/internal/internalapi/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden/endpoint"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON encoding of messages between processes, answers to clients and operators, and files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		endpoint.Shapes(Shuffle),
--- a/internal/internalapi/lease.go
+++ b/internal/internalapi/lease.go
@@ -7,23 +7,23 @@
 	"crosstide/internal/rpc"
 )
 
-// RenewLease is the call of the scheduler, the node that has the role sched, to a worker: POST /v1/hold at the worker's
-// address.
+// RenewLease is the scheduler's call to a worker: POST /v1/hold at the worker's address. The scheduler is the node that
+// has the role sched.
 //
-// Two connections lead to a worker. One carries polls, calls without starts that the worker may delay up to Wait until
-// it has something to report. The other carries orders, calls with starts, one at a time, in the order of run IDs,
-// answered at once. The arrival of any call ends the wait of an older one. An answer names its call; the scheduler
-// drops an answer that is older than one it has already handled.
+// The scheduler uses two connections to a worker. One carries polls: calls without starts, whose answers the worker may
+// delay by up to Wait until it has something to report. The other carries orders: calls with starts, one at a time, in
+// the order of run IDs, which the worker answers at once. The arrival of any call ends the wait of an older one. An
+// answer names its call; the scheduler drops an answer that is older than one it has already handled.
 var RenewLease = rpc.Endpoint[LeaseCall, LeaseAnswer]{Path: "/v1/hold"}
 
 // LeaseCall orders starts and stops, acknowledges ends, and renews leases. All clock values are readings of the
 // worker's own clock (LeaseAnswer.Clock), in nanoseconds.
 type LeaseCall struct {
 	Call        uint64        `json:"call"`            // increases with every call to this worker under Epoch
-	Epoch       uint64        `json:"epoch"`           // fencing token: a worker refuses all older ones
+	Epoch       uint64        `json:"epoch"`           // fencing token: a worker refuses calls with an older one
 	Worker      string        `json:"minion"`          // the worker that the scheduler means to call
-	Incarnation string        `json:"boot,omitempty"`  // as the scheduler knows it; starts are invalid under another
-	RenewUntil  time.Duration `json:"until,omitempty"` // runs of Renew may go on until the worker's clock shows this
+	Incarnation string        `json:"boot,omitempty"`  // as known to the scheduler; starts are invalid under another
+	RenewUntil  time.Duration `json:"until,omitempty"` // runs in Renew may continue until the worker's clock reads this
 	Renew       []uint64      `json:"renew,omitempty"` // run IDs whose leases are renewed up to RenewUntil
 	Starts      []StartOrder  `json:"starts,omitempty"`
 	Stops       []StopOrder   `json:"stops,omitempty"`
@@ -44,8 +44,8 @@
 	GPUs       int               `json:"gpus,omitempty"`
 	Labels     map[string]string `json:"labels,omitempty"`
 	Run        json.RawMessage   `json:"run,omitempty"`
-	StartBy    time.Duration     `json:"void"`  // not to be started once the worker's clock is past it
-	LeaseUntil time.Duration     `json:"until"` // the first lease: not to run past it unless renewed
+	StartBy    time.Duration     `json:"void"`  // must not start once the worker's clock is past it
+	LeaseUntil time.Duration     `json:"until"` // end of the first lease: must not run past it unless renewed
 }
 
 // StopOrder stops a run. It may be sent repeatedly.
@@ -60,11 +60,11 @@
 	Epoch       uint64            `json:"epoch"` // the newest that the worker has seen
 	Incarnation string            `json:"boot"`
 	Clock       time.Duration     `json:"clock"` // the worker's own, of this incarnation; counts suspension
-	Seen        uint64            `json:"seen"`  // the highest run ID that it received in an order
-	Floor       uint64            `json:"floor"` // the highest that it received
+	Seen        uint64            `json:"seen"`  // the highest run ID that the worker received in an order
+	Floor       uint64            `json:"floor"` // the highest floor that it received
 	Running     []uint64          `json:"running,omitempty"`
 	Ended       []RunEnd          `json:"ended,omitempty"`
-	Refused     []StartRefusal    `json:"refused,omitempty"` // of the starts of this very call
+	Refused     []StartRefusal    `json:"refused,omitempty"` // starts of the answered call that it refused
 	Kind        string            `json:"kind"`              // obey (carries out any start) or check (checks it first)
 	Zone        string            `json:"zone"`
 	Rack        string            `json:"rack,omitempty"`
@@ -79,10 +79,10 @@
 	OutcomeOK           = "ok"
 	OutcomeFailed       = "fault"
 	OutcomeStopped      = "stop"  // by a StopOrder
-	OutcomeLeaseExpired = "lapse" // its lease was not renewed in time
+	OutcomeLeaseExpired = "lapse" // the lease was not renewed in time
 )
 
-// RunEnd is the end of a run; it is listed until it is acknowledged.
+// RunEnd is the end of a run. The worker lists it until the scheduler has acknowledged it.
 type RunEnd struct {
 	RunID   uint64 `json:"ticket"`
 	Outcome string `json:"how"`
@@ -98,7 +98,7 @@
 // AnnounceWorker is a worker's announcement to any data plane node, repeated every few seconds: POST /v1/minions.
 var AnnounceWorker = rpc.Endpoint[AnnounceWorkerCall, AnnounceWorkerAnswer]{Path: "/v1/minions"}
 
-// AnnounceWorkerCall has the address of a worker and what it offers.
+// AnnounceWorkerCall describes a worker: its address, location, labels and capacity.
 type AnnounceWorkerCall struct {
 	Name        string            `json:"name"`
 	Addr        string            `json:"addr"`
@@ -111,7 +111,7 @@
 	GPUs        int               `json:"gpus,omitempty"`
 }
 
-// AnnounceWorkerAnswer has the interval after which to announce again.
+// AnnounceWorkerAnswer holds the interval until the next announcement.
 type AnnounceWorkerAnswer struct {
 	Interval time.Duration `json:"again"`
 }
