--- a/internal/jobsnode/controlplane.go
+++ b/internal/jobsnode/controlplane.go
@@ -20,43 +20,43 @@
 )
 
 const (
-	dialTimeout = 700 * time.Millisecond  // connecting to a machine that is gone hangs
-	userTimeout = 1500 * time.Millisecond // how long the kernel resends bytes that are not acknowledged
+	dialTimeout = 700 * time.Millisecond  // a dial to a machine that is down hangs
+	userTimeout = 1500 * time.Millisecond // how long the kernel retransmits bytes that are not acknowledged
 
 	peerIdleConns = 5 // idle connections that a control-plane node keeps to each other node
 
-	// Connections to workers, which are many and whose answers are short.
-	renewalIdleConns   = 2               // to each worker: one for a long poll, one for calls that are answered at once
-	renewalIdleTimeout = 3 * time.Second // renewals to a worker that runs something follow one another sooner
-	startIdleConns     = 1               // to each worker: starts go one after the other
+	// Connections to workers. There are many workers, and their answers are short.
+	renewalIdleConns   = 2               // to each worker: one for a long poll, one for calls answered at once
+	renewalIdleTimeout = 3 * time.Second // longer than the interval of renewals to a worker with runs
+	startIdleConns     = 1               // to each worker: starts are sent one after the other
 	workerReadBuffer   = 1 << 10         // bytes
 
-	minGrace     = time.Second // for the transfer of the lead
+	minGrace     = time.Second // for the leadership transfer
 	drainTimeout = time.Second // for calls in flight when the node stops
 )
 
 // ControlPlaneOptions are the parts and settings of a control-plane node.
 type ControlPlaneOptions struct {
-	Store config.ControlPlane // settings of the store; its seeds are nodes that are asked beside the known members
+	Store config.ControlPlane // settings of the store; its seeds are called in addition to the known members
 	// OpenStore opens the store; it may wait until ctx ends.
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
 	Scheduler    scheduler.Config
-	JobRetention time.Duration // how long a job that is over stays in the table; 0 takes the controller's default
-	// Workers returns what carries orders to workers: renewals and stops over one client, starts over the other. It is
-	// not called with OrdersByHeartbeat.
+	JobRetention time.Duration // how long a finished job stays in the table; 0: the controller's default
+	// Workers returns the transport of orders to workers, which sends renewals and stops by one client, starts by the
+	// other. It is not called if OrdersByHeartbeat is set.
 	Workers           func(renewals, starts *rpc.Client) scheduler.Workers
-	OrdersByHeartbeat bool   // orders go with the answers to workers' heartbeats
-	ControlAddress    string // for workers and operators
-	// ControlAddressOf returns the control address of the node with an internal address; then workers are spread over
-	// all nodes for their heartbeats. nil: all go to the leader.
+	OrdersByHeartbeat bool   // orders are sent in the answers to workers' heartbeats
+	ControlAddress    string // address for workers and operators
+	// ControlAddressOf returns the control address of the node with the given internal address; workers' heartbeats are
+	// then spread over all nodes. If it is nil, all heartbeats go to the leader.
 	ControlAddressOf func(internal string) string
-	// ServeControl adds the calls of workers and operators to control, which relay answers.
+	// ServeControl adds the endpoints for workers and operators to control; relay answers their calls.
 	ServeControl func(control *rpc.Server, relay *controller.Relay)
-	// ServeNodes adds further calls at the internal address; nil adds none.
+	// ServeNodes adds further endpoints at the internal address; nil adds none.
 	ServeNodes  func(server *rpc.Server, store *store.Store)
-	OnRemoved   func()                // called if this node was removed from the members; see store.Options
-	Descriptors int                   // bound on file descriptors; 0: the system's
-	Grace       time.Duration         // for the transfer of the lead, minGrace at least
+	OnRemoved   func()                // called if this node is removed from the members; see store.Options
+	Descriptors int                   // limit of file descriptors; 0: the system's limit
+	Grace       time.Duration         // for the leadership transfer, at least minGrace
 	Registry    prometheus.Registerer // nil: no metrics
 	Logger      log.Logger
 	Version     string
@@ -65,7 +65,7 @@
 // ControlPlaneNode is a control-plane node. It owns its clients, servers and store, and closes them when Run returns.
 type ControlPlaneNode struct {
 	opt           ControlPlaneOptions
-	quotas        coreQuotas
+	quotas        controlPlaneQuotas
 	peers         *rpc.Client // calls other nodes
 	renewals      *rpc.Client // carries lease renewals and stops to workers
 	starts        *rpc.Client // carries starts to workers
@@ -76,17 +76,18 @@
 	controlServer *rpc.Server        // for workers and operators
 }
 
-// NewControlPlaneNode makes a control-plane node and opens its store, which may wait until ctx ends. Example:
+// NewControlPlaneNode returns a control-plane node with an open store. Opening the store may wait until ctx ends.
+// Example:
 //
-//	core, err := jobsnode.NewControlPlaneNode(ctx, options)
+//	node, err := jobsnode.NewControlPlaneNode(ctx, options)
 //	if err != nil {
 //		return errs.Pass(err, "control-plane node")
 //	}
-//	return core.Run(ctx)
+//	return node.Run(ctx)
 func NewControlPlaneNode(ctx context.Context, opt ControlPlaneOptions) (*ControlPlaneNode, error) {
 	n := &ControlPlaneNode{opt: opt}
 	var err error
-	if n.quotas, err = newCoreQuotas(opt.Descriptors); err != nil {
+	if n.quotas, err = newControlPlaneQuotas(opt.Descriptors); err != nil {
 		return nil, errs.Pass(err, "connections")
 	}
 	if opt.Registry != nil {
@@ -111,8 +112,8 @@
 
 func (n *ControlPlaneNode) logger(part string) log.Logger { return daemon.Part(n.opt.Logger, part) }
 
-// makeClients makes the clients. Starts have one of their own, so that renewals and stops, which keep work alive or end
-// it, wait for no start's connection.
+// makeClients creates the clients. Starts have their own client, so that renewals and stops, which extend or end
+// running work, never wait for a connection that a start uses.
 func (n *ControlPlaneNode) makeClients() {
 	n.peers = n.newClient("caller", n.quotas.peers, rpc.ClientOptions{MaxIdlePerAddress: peerIdleConns})
 	n.renewals = n.newClient("holds", n.quotas.renewals, rpc.ClientOptions{
@@ -123,7 +124,7 @@
 	})
 }
 
-// newClient completes the options of a client that takes its connections from a quota.
+// newClient returns a client that takes its connections from quota. It adds the common settings to options.
 func (n *ControlPlaneNode) newClient(part string, quota *rpc.ConnQuota, options rpc.ClientOptions) *rpc.Client {
 	options.DialTimeout, options.UserTimeout, options.DialOverrides = dialTimeout, userTimeout, n.opt.Store.Via
 	options.Registry, options.Logger, options.Quota = n.opt.Registry, n.logger(part), quota
@@ -136,7 +137,7 @@
 	}
 }
 
-// makeServers makes the servers and adds their calls.
+// makeServers creates the servers and adds their endpoints.
 func (n *ControlPlaneNode) makeServers() {
 	n.peerServer = n.newServer(n.opt.Store.Addr, "wire", n.quotas.nodes)
 	n.store.Serve(n.peerServer)
@@ -185,13 +186,13 @@
 	return options
 }
 
-// fatal ends the process at once: a store that cannot write must acknowledge nothing more.
+// fatal exits the process at once, because a store that cannot write must not acknowledge anything more.
 func (n *ControlPlaneNode) fatal(err error) {
-	_ = level.Error(n.opt.Logger).Log("msg", "the process ends", "err", err)
+	_ = level.Error(n.opt.Logger).Log("msg", "store failed, process exiting", "err", err)
 	os.Exit(1)
 }
 
-// Run serves until ctx ends, then transfers the lead and drains. background runs meanwhile.
+// Run serves until ctx ends, then transfers leadership and drains. The background functions run while it serves.
 func (n *ControlPlaneNode) Run(ctx context.Context, background ...func(ctx context.Context)) error {
 	defer n.closeClients()
 	if err := n.start(); err != nil {
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// SetSeeds replaces the seeds: nodes that are asked beside the known members.
+// SetSeeds replaces the seeds: nodes that are called in addition to the known members.
 func (n *ControlPlaneNode) SetSeeds(seeds []string) {
 	n.client.SetSeeds(seeds)
 	n.store.LearnAddresses(seeds...)
@@ -214,7 +215,7 @@
 		return errs.Pass(err, "serve other nodes")
 	}
 	if err := n.controlServer.Start(); err != nil {
-		_ = n.peerServer.Stop(0) // the start is given up: nobody has called yet
+		_ = n.peerServer.Stop(0) // the node failed to start: no calls to wait for
 		return errs.Pass(err, "serve workers and operators")
 	}
 	n.store.Start()
@@ -225,19 +226,19 @@
 	return nil
 }
 
-// stop transfers the lead first, so that the next leader begins while this node still answers. The store is last, as
-// all others use it.
+// stop transfers leadership first, so that the next leader takes over while this node still answers. The store is
+// stopped last, because all other parts use it.
 func (n *ControlPlaneNode) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), max(n.opt.Grace, minGrace))
 	defer cancel()
 	n.store.TransferLeadership(ctx)
 	if err := n.controlServer.Stop(drainTimeout); err != nil {
-		_ = level.Warn(n.opt.Logger).Log("msg", "calls were cut off", "err", err)
+		_ = level.Warn(n.opt.Logger).Log("msg", "running calls aborted", "err", err)
 	}
 	n.client.Stop()
 	n.leader.Stop()
 	if err := n.peerServer.Stop(drainTimeout); err != nil {
-		_ = level.Debug(n.opt.Logger).Log("msg", "calls of nodes were cut off", "err", err)
+		_ = level.Debug(n.opt.Logger).Log("msg", "running calls of other nodes aborted", "err", err)
 	}
 	n.store.Stop()
 }
--- a/internal/jobsnode/dataplane.go
+++ b/internal/jobsnode/dataplane.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	coreIdleConns = 64                      // idle connections that a data-plane node keeps to each control-plane node
-	drainDelay    = 2500 * time.Millisecond // from not ready to the refusal of calls: new clients still come meanwhile
-	exitMargin    = 500 * time.Millisecond  // part of the grace that is left for the process to exit
-	defaultGrace  = 5 * time.Second
-	seedsInterval = 10 * time.Second // between readings of the seeds while no leader is found
+	controlPlaneIdleConns = 64                      // idle connections to each control-plane node
+	drainDelay            = 2500 * time.Millisecond // from not ready to the refusal of calls, as clients still connect
+	exitMargin            = 500 * time.Millisecond  // part of the grace left for the process to exit
+	defaultGrace          = 5 * time.Second
+	seedsInterval         = 10 * time.Second // between reads of the seeds while no leader is known
 )
 
 // DataPlaneOptions are the parts and settings of a data-plane node.
 type DataPlaneOptions struct {
-	CoreAddresses []string          // seeds: control-plane nodes that are asked beside the known members
-	Via           map[string]string // by address: the address that is dialed in its place
-	Address       string            // for clients
-	// ServeClients adds the clients' calls to clients, which client answers.
+	CoreAddresses []string          // seeds: control-plane nodes called in addition to the known members
+	Via           map[string]string // by address: the address to dial instead
+	Address       string            // listening address for clients
+	// ServeClients adds the endpoints for clients to the server clients; client forwards their calls.
 	ServeClients func(clients *rpc.Server, client *controller.Client)
-	ReadyAddress string // for readiness checks; empty: Address
-	// ServeReady adds the readiness check to server; check returns nil if the node is ready.
+	ReadyAddress string // listening address for readiness checks; empty: Address
+	// ServeReady adds the readiness endpoint to server; check returns nil if the node is ready.
 	ServeReady func(server *rpc.Server, check func() error)
-	// ReadSeeds returns seeds that replace CoreAddresses; nil: they stay.
+	// ReadSeeds returns seeds that replace CoreAddresses. If it is nil, CoreAddresses stay in use.
 	ReadSeeds   func() ([]string, error)
-	Descriptors int                   // bound on file descriptors; 0: the system's
-	Grace       time.Duration         // from the order to stop to the exit; 0: defaultGrace
+	Descriptors int                   // limit of file descriptors; 0: the system's limit
+	Grace       time.Duration         // from the stop signal to the exit; 0: defaultGrace
 	Registry    prometheus.Registerer // nil: no metrics
 	Logger      log.Logger
 	Zone        string
@@ -48,7 +48,7 @@
 // client and servers, and closes them when Run returns.
 type DataPlaneNode struct {
 	opt          DataPlaneOptions
-	quotas       frontQuotas
+	quotas       dataPlaneQuotas
 	caller       *rpc.Client
 	client       *controller.Client
 	clientServer *rpc.Server
@@ -56,83 +56,84 @@
 	readiness    readiness
 }
 
-// NewDataPlaneNode makes a data-plane node. The error is errs.Settings if it may have too few descriptors. Example:
+// NewDataPlaneNode returns a data-plane node. It fails with errs.Settings if the limit of file descriptors is too low.
+// Example:
 //
-//	front, err := jobsnode.NewDataPlaneNode(options)
+//	node, err := jobsnode.NewDataPlaneNode(options)
 //	if err != nil {
 //		return errs.Pass(err, "data-plane node")
 //	}
-//	return front.Run(ctx, changed)
+//	return node.Run(ctx, changed)
 func NewDataPlaneNode(opt DataPlaneOptions) (*DataPlaneNode, error) {
-	f := &DataPlaneNode{opt: opt}
+	n := &DataPlaneNode{opt: opt}
 	var err error
-	if f.quotas, err = newFrontQuotas(opt.Descriptors); err != nil {
+	if n.quotas, err = newDataPlaneQuotas(opt.Descriptors); err != nil {
 		return nil, errs.Pass(err, "connections")
 	}
 	if opt.Registry != nil {
-		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(f.quotas.limiter))
+		opt.Registry.MustRegister(rpc.NewConnLimiterMetrics(n.quotas.limiter))
 	}
-	f.caller = rpc.NewClient(rpc.ClientOptions{
-		DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: coreIdleConns, DialOverrides: opt.Via,
-		Registry: opt.Registry, Logger: f.logger("caller"), Quota: f.quotas.core,
+	n.caller = rpc.NewClient(rpc.ClientOptions{
+		DialTimeout: dialTimeout, UserTimeout: userTimeout, MaxIdlePerAddress: controlPlaneIdleConns,
+		DialOverrides: opt.Via, Registry: opt.Registry, Logger: n.logger("caller"), Quota: n.quotas.controlPlane,
 	})
-	f.client = controller.NewClient(controller.ClientOptions{
-		Caller: f.caller, Seeds: opt.CoreAddresses, Logger: f.logger("client"),
+	n.client = controller.NewClient(controller.ClientOptions{
+		Caller: n.caller, Seeds: opt.CoreAddresses, Logger: n.logger("client"),
 	})
-	f.readiness.leaderReady, f.readiness.leaderAnswered = f.client.Ready, f.client.CheckLeader
-	f.clientServer = f.newServer(opt.Address, f.quotas.clients)
-	opt.ServeClients(f.clientServer, f.client)
-	f.readyServer = f.clientServer
+	n.readiness.leaderReady, n.readiness.leaderAnswered = n.client.Ready, n.client.CheckLeader
+	n.clientServer = n.newServer(opt.Address, n.quotas.clients)
+	opt.ServeClients(n.clientServer, n.client)
+	n.readyServer = n.clientServer
 	if opt.ReadyAddress != "" {
-		f.readyServer = f.newServer(opt.ReadyAddress, f.quotas.ready)
+		n.readyServer = n.newServer(opt.ReadyAddress, n.quotas.ready)
 	}
-	opt.ServeReady(f.readyServer, f.readiness.check)
-	return f, nil
+	opt.ServeReady(n.readyServer, n.readiness.check)
+	return n, nil
 }
 
-func (f *DataPlaneNode) logger(part string) log.Logger { return daemon.Part(f.opt.Logger, part) }
+func (n *DataPlaneNode) logger(part string) log.Logger { return daemon.Part(n.opt.Logger, part) }
 
-func (f *DataPlaneNode) newServer(addr string, quota *rpc.ConnQuota) *rpc.Server {
+func (n *DataPlaneNode) newServer(addr string, quota *rpc.ConnQuota) *rpc.Server {
 	return rpc.NewServer(rpc.ServerOptions{
-		Addr: addr, Loops: 1, Descriptors: f.opt.Descriptors, Registry: f.opt.Registry, Logger: f.logger("wire"),
+		Addr: addr, Loops: 1, Descriptors: n.opt.Descriptors, Registry: n.opt.Registry, Logger: n.logger("wire"),
 		Quota: quota,
 	})
 }
 
 // Run serves until ctx ends, then drains the node. changed, which may be nil, signals that the seeds may have changed.
-func (f *DataPlaneNode) Run(ctx context.Context, changed <-chan os.Signal) error {
-	defer f.caller.Close()
-	if err := f.start(); err != nil {
+func (n *DataPlaneNode) Run(ctx context.Context, changed <-chan os.Signal) error {
+	defer n.caller.Close()
+	if err := n.start(); err != nil {
 		return errs.Pass(err, "start")
 	}
 	var background []func(ctx context.Context)
-	if f.opt.ReadSeeds != nil {
-		background = append(background, func(ctx context.Context) { f.refreshSeeds(ctx, changed) })
+	if n.opt.ReadSeeds != nil {
+		background = append(background, func(ctx context.Context) { n.refreshSeeds(ctx, changed) })
 	}
 	daemon.RunUntilDone(ctx, background...)
-	f.stop()
+	n.stop()
 	return nil
 }
 
-func (f *DataPlaneNode) start() error {
-	if err := f.clientServer.Start(); err != nil {
+func (n *DataPlaneNode) start() error {
+	if err := n.clientServer.Start(); err != nil {
 		return errs.Pass(err, "serve clients")
 	}
-	if f.readyServer != f.clientServer {
-		if err := f.readyServer.Start(); err != nil {
-			_ = f.clientServer.Stop(0) // the start is given up: nobody has called yet
+	if n.readyServer != n.clientServer {
+		if err := n.readyServer.Start(); err != nil {
+			_ = n.clientServer.Stop(0) // the node failed to start: no calls to wait for
 			return errs.Pass(err, "serve readiness")
 		}
 	}
-	f.client.Start()
-	_ = level.Info(f.opt.Logger).Log("msg", "serving", "addr", f.clientServer.Addr(), "zone", f.opt.Zone,
-		"version", f.opt.Version)
+	n.client.Start()
+	_ = level.Info(n.opt.Logger).Log("msg", "serving", "addr", n.clientServer.Addr(), "zone", n.opt.Zone,
+		"version", n.opt.Version)
 	return nil
 }
 
-// refreshSeeds reads the seeds again when changed signals, and every seedsInterval while no leader is found: the
-// settings may change without a signal.
-func (f *DataPlaneNode) refreshSeeds(ctx context.Context, changed <-chan os.Signal) {
+// refreshSeeds reads the seeds again after each signal on changed, and every seedsInterval while no leader is known, as
+// the settings may change without a signal.
+func (n *DataPlaneNode) refreshSeeds(ctx context.Context, changed <-chan os.Signal) {
 	for {
 		due := make(chan struct{})
 		timer := clock.Real{}.Set(seedsInterval, func() { close(due) })
@@ -141,47 +142,47 @@
 			timer.Stop()
 			return
 		case <-changed:
-			f.readSeeds()
+			n.readSeeds()
 		case <-due:
-			if f.client.Ready() != nil {
-				f.readSeeds()
+			if n.client.Ready() != nil {
+				n.readSeeds()
 			}
 		}
 		timer.Stop()
 	}
 }
 
-func (f *DataPlaneNode) readSeeds() {
-	seeds, err := f.opt.ReadSeeds()
+func (n *DataPlaneNode) readSeeds() {
+	seeds, err := n.opt.ReadSeeds()
 	if err != nil {
-		_ = level.Warn(f.opt.Logger).Log("msg", "seeds not read, the old ones stay", "err", err)
+		_ = level.Warn(n.opt.Logger).Log("msg", "reading seeds failed, old seeds kept", "err", err)
 		return
 	}
-	f.client.SetSeeds(seeds)
+	n.client.SetSeeds(seeds)
 }
 
-// stop drains the node: it reports not ready, serves on while new clients may still come, then refuses new calls and
-// answers those in flight.
-func (f *DataPlaneNode) stop() {
+// stop drains the node: it reports not ready, continues to serve while new clients may still connect, then refuses new
+// calls and answers those in flight.
+func (n *DataPlaneNode) stop() {
 	clk := clock.Real{}
 	begin := clk.Now()
-	grace := f.opt.Grace
+	grace := n.opt.Grace
 	if grace <= 0 {
 		grace = defaultGrace
 	}
 	grace = max(grace-exitMargin, grace/2)
-	f.readiness.startDraining()
+	n.readiness.startDraining()
 	delayed := make(chan struct{})
 	clk.Set(min(drainDelay, grace/2), func() { close(delayed) })
 	<-delayed
-	if err := f.clientServer.Stop(max(grace-(clk.Now()-begin), 0)); err != nil {
-		_ = level.Warn(f.opt.Logger).Log("msg", "calls were cut off", "err", err)
+	if err := n.clientServer.Stop(max(grace-(clk.Now()-begin), 0)); err != nil {
+		_ = level.Warn(n.opt.Logger).Log("msg", "running calls aborted", "err", err)
 	}
-	f.client.Stop()
-	if f.readyServer != f.clientServer {
-		if err := f.readyServer.Stop(0); err != nil {
-			_ = level.Debug(f.opt.Logger).Log("msg", "readiness check cut off", "err", err)
+	n.client.Stop()
+	if n.readyServer != n.clientServer {
+		if err := n.readyServer.Stop(0); err != nil {
+			_ = level.Debug(n.opt.Logger).Log("msg", "readiness check aborted", "err", err)
 		}
 	}
-	_ = level.Info(f.opt.Logger).Log("msg", "end")
+	_ = level.Info(n.opt.Logger).Log("msg", "node stopped")
 }
--- a/internal/jobsnode/dataplane_test.go
+++ b/internal/jobsnode/dataplane_test.go
@@ -19,9 +19,9 @@
 	"crosstide/internal/rpc"
 )
 
-// startLeader starts a core of one node, which signals each cancellation to entered and answers none until gate is
-// closed.
-func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, end func()) {
+// startLeader starts a control plane of one node, which signals each call for a job on entered and answers none until
+// gate is closed.
+func startLeader(gate chan struct{}, entered chan<- struct{}) (addr string, stop func()) {
 	s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	topology := func(context.Context, controller.TopologyCall) (controller.TopologyAnswer, error) {
 		return controller.TopologyAnswer{Leader: s.Addr(), Members: []string{s.Addr()}}, nil
@@ -36,7 +36,7 @@
 	return s.Addr(), func() { So(s.Stop(time.Minute), ShouldBeNil) }
 }
 
-// serveCancel answers a client's DELETE by a cancel at the leader.
+// serveCancel adds DELETE /job, which cancels a job at the leader.
 func serveCancel(clients *rpc.Server, client *controller.Client) {
 	clients.Route("DELETE /job", func(w http.ResponseWriter, r *http.Request) {
 		answer, err := client.Job(r.Context(), controller.JobCall{Cancel: true})
@@ -48,7 +48,7 @@
 	})
 }
 
-// serveReady answers GET /ready.
+// serveReady adds GET /ready, which answers 200 if check returns nil.
 func serveReady(server *rpc.Server, check func() error) {
 	server.Route("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
 		if err := check(); err != nil {
@@ -59,16 +59,16 @@
 	})
 }
 
-// frontOf returns the options of a data-plane node of a core.
-func frontOf(core ...string) DataPlaneOptions {
+// dataPlaneOptions returns the options of a data-plane node with the given seeds.
+func dataPlaneOptions(seeds ...string) DataPlaneOptions {
 	return DataPlaneOptions{
-		CoreAddresses: core, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
+		CoreAddresses: seeds, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
 		ServeClients: serveCancel, ServeReady: serveReady,
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger(),
 	}
 }
 
-// cancelJob cancels a job at a data-plane node and returns the answer's status, 0 for none.
+// cancelJob cancels a job at a data-plane node. It returns the HTTP status, or 0 without an answer.
 func cancelJob(addr string) int {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+addr+"/job", nil)
 	if err != nil {
@@ -84,54 +84,54 @@
 	return res.StatusCode
 }
 
-func TestFront(t *testing.T) {
-	Convey("A front node serves clients, is not ready once it stops, and still answers calls in flight", t, func() {
+func TestDataPlaneNode(t *testing.T) {
+	Convey("A node serves clients, is not ready once it is stopping, and still answers calls in flight", t, func() {
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
-		leader, end := startLeader(gate, entered)
-		defer end()
-		f, err := NewDataPlaneNode(frontOf(leader))
+		leader, stop := startLeader(gate, entered)
+		defer stop()
+		node, err := NewDataPlaneNode(dataPlaneOptions(leader))
 		So(err, ShouldBeNil)
-		defer f.caller.Close()
-		So(f.start(), ShouldBeNil)
-		for f.readiness.check() != nil { // until the first probe is answered
+		defer node.caller.Close()
+		So(node.start(), ShouldBeNil)
+		for node.readiness.check() != nil { // until the first probe is answered
 			runtime.Gosched()
 		}
 		answers := make(chan int, 1)
-		work := routine.New(context.Background())
-		work.Go(func(context.Context) {
-			answers <- cancelJob(f.clientServer.Addr())
+		group := routine.New(context.Background())
+		group.Go(func(context.Context) {
+			answers <- cancelJob(node.clientServer.Addr())
 		})
 		<-entered
-		work.Go(func(context.Context) { f.stop() })
-		for f.readiness.check() == nil {
+		group.Go(func(context.Context) { node.stop() })
+		for node.readiness.check() == nil {
 			runtime.Gosched()
 		}
 		close(gate)
 		So(<-answers, ShouldEqual, http.StatusOK)
-		work.Wait()
-		So(cancelJob(f.clientServer.Addr()), ShouldEqual, 0)
+		group.Wait()
+		So(cancelJob(node.clientServer.Addr()), ShouldEqual, 0)
 	})
 	Convey("New seeds are read when the settings change", t, func() {
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
 		close(gate)
-		leader, end := startLeader(gate, entered)
-		defer end()
-		options := frontOf()
+		leader, stop := startLeader(gate, entered)
+		defer stop()
+		options := dataPlaneOptions()
 		options.ReadSeeds = func() ([]string, error) { return []string{leader}, nil }
-		f, err := NewDataPlaneNode(options)
+		node, err := NewDataPlaneNode(options)
 		So(err, ShouldBeNil)
-		defer f.caller.Close()
+		defer node.caller.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		_, err = f.client.Job(ctx, controller.JobCall{})
-		So(err, ShouldNotBeNil) // no seed at all
+		_, err = node.client.Job(ctx, controller.JobCall{})
+		So(err, ShouldNotBeNil) // no seeds yet
 		changed := make(chan os.Signal)
-		work := routine.New(context.Background())
-		work.Go(func(ctx context.Context) { f.refreshSeeds(ctx, changed) })
+		group := routine.New(context.Background())
+		group.Go(func(ctx context.Context) { node.refreshSeeds(ctx, changed) })
 		changed <- syscall.SIGHUP
-		changed <- syscall.SIGHUP // received once the first one was handled
-		_, err = f.client.Job(ctx, controller.JobCall{})
+		changed <- syscall.SIGHUP // received once the first one has been handled
+		_, err = node.client.Job(ctx, controller.JobCall{})
 		So(err, ShouldBeNil)
-		work.Stop()
+		group.Stop()
 	})
 }
--- a/internal/jobsnode/doc.go
+++ b/internal/jobsnode/doc.go
@@ -4,9 +4,9 @@
 // schedules while the node leads, and serves other nodes at one address, workers and operators at another. A
 // data-plane node ([DataPlaneNode]) has no state: it receives clients' calls and forwards them to the store's leader.
 //
-// The package wires the parts of a node and orders their start and stop. It decides nothing and has no wire format:
-// the caller adds the calls of clients, workers and operators by functions in the options. A constructor makes a node
-// and, for a control-plane node, opens its store; Run drives the node and returns after a graceful shutdown.
+// The package connects the parts of a node and orders their start and stop. It makes no scheduling decisions and
+// defines no wire format: functions in the options add the endpoints for clients, workers and operators. A constructor
+// builds a node and, for a control-plane node, opens its store; Run serves and returns after a graceful shutdown.
 //
-// Begin with NewControlPlaneNode and ControlPlaneNode.stop, then NewDataPlaneNode and DataPlaneNode.stop.
+// Start reading at NewControlPlaneNode and ControlPlaneNode.stop, then NewDataPlaneNode and DataPlaneNode.stop.
 package jobsnode
--- a/internal/jobsnode/quotas.go
+++ b/internal/jobsnode/quotas.go
@@ -7,10 +7,11 @@
 	"crosstide/internal/rpc"
 )
 
-// reservedDescriptors are for the store's files, the listeners and the runtime: no connection takes them.
+// reservedDescriptors is the number of file descriptors kept for the store's files, the listeners and the runtime.
 const reservedDescriptors = 64
 
-// Each use of a control-plane node's connections has one part in its divisor reserved. Any use may take from the rest.
+// Of a control-plane node's connections, each use has the total divided by its divisor reserved. Any use may take from
+// the rest.
 const (
 	peersDivisor    = 16 // calls to other nodes
 	nodesDivisor    = 8  // calls of other nodes
@@ -19,11 +20,12 @@
 	startsDivisor   = 8  // starts to workers
 )
 
-// Each use of a data-plane node's connections has one part in its divisor reserved. Clients may take all of the rest.
+// Of a data-plane node's connections, each use has the total divided by its divisor reserved. Clients may take all of
+// the rest.
 const (
-	coreDivisor    = 8 // calls to control-plane nodes
-	readyDivisor   = 8 // readiness checks
-	clientsDivisor = 2 // clients' calls
+	controlPlaneDivisor = 8 // calls to control-plane nodes
+	readyDivisor        = 8 // readiness checks
+	clientsDivisor      = 2 // clients' calls
 )
 
 // reservation is one use of connections.
@@ -33,8 +35,8 @@
 	quota   **rpc.ConnQuota // set by reserve
 }
 
-// reserve divides the connections of a process among uses. descriptors bounds its file descriptors; 0: the system's
-// limit.
+// reserve creates a quota for each of the uses of a process's connections. descriptors limits the file descriptors of
+// the process; 0: the system's limit.
 func reserve(descriptors int, uses ...reservation) (*rpc.ConnLimiter, error) {
 	total, err := maxConnections(descriptors)
 	if err != nil {
@@ -49,49 +51,50 @@
 	return limiter, nil
 }
 
-// coreQuotas are the uses of a control-plane node's connections. A connection that becomes free goes to renewals and
-// stops before starts: a lease that is not renewed ends running work, and a gang that cannot be stopped waits for
-// members that never come.
-type coreQuotas struct {
+// controlPlaneQuotas has the quotas of a control-plane node's connections. A connection that becomes free goes to
+// renewals and stops before starts: a lease that is not renewed ends running work, and a gang that cannot be stopped
+// waits for members that never start.
+type controlPlaneQuotas struct {
 	limiter                                 *rpc.ConnLimiter
 	peers, nodes, control, renewals, starts *rpc.ConnQuota
 }
 
-func newCoreQuotas(descriptors int) (q coreQuotas, err error) {
+func newControlPlaneQuotas(descriptors int) (q controlPlaneQuotas, err error) {
 	q.limiter, err = reserve(descriptors,
 		reservation{"peers", peersDivisor, &q.peers},
 		reservation{"nodes", nodesDivisor, &q.nodes},
 		reservation{"control", controlDivisor, &q.control},
 		reservation{"holds", renewalsDivisor, &q.renewals},
 		reservation{"starts", startsDivisor, &q.starts})
-	return q, errs.Pass(err, "core node")
+	return q, errs.Pass(err, "control-plane node")
 }
 
-// frontQuotas are the uses of a data-plane node's connections.
-type frontQuotas struct {
-	limiter              *rpc.ConnLimiter
-	core, ready, clients *rpc.ConnQuota
+// dataPlaneQuotas has the quotas of a data-plane node's connections.
+type dataPlaneQuotas struct {
+	limiter                      *rpc.ConnLimiter
+	controlPlane, ready, clients *rpc.ConnQuota
 }
 
-func newFrontQuotas(descriptors int) (q frontQuotas, err error) {
+func newDataPlaneQuotas(descriptors int) (q dataPlaneQuotas, err error) {
 	q.limiter, err = reserve(descriptors,
-		reservation{"core", coreDivisor, &q.core},
+		reservation{"core", controlPlaneDivisor, &q.controlPlane},
 		reservation{"asked", readyDivisor, &q.ready},
 		reservation{"clients", clientsDivisor, &q.clients})
-	return q, errs.Pass(err, "front node")
+	return q, errs.Pass(err, "data-plane node")
 }
 
-// maxConnections returns the number of connections that descriptors permit; 0: the system's limit of descriptors.
+// maxConnections returns the number of connections that fit into descriptors, or into the system's limit if that is
+// lower or if descriptors is 0.
 func maxConnections(descriptors int) (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, errs.Wrap(err, errs.Internal, "read the limit of descriptors")
+		return 0, errs.Wrap(err, errs.Internal, "read the limit of file descriptors")
 	}
 	if allowed := int(min(limit.Cur, 1<<20)); descriptors <= 0 || allowed < descriptors {
 		descriptors = allowed
 	}
 	if descriptors <= 2*reservedDescriptors {
-		return 0, errs.Field(errs.Settings, "descriptors", "%d are too few, %d are needed",
+		return 0, errs.Field(errs.Settings, "descriptors", "got %d, need at least %d",
 			descriptors, 2*reservedDescriptors+1)
 	}
 	return descriptors - reservedDescriptors, nil
--- a/internal/jobsnode/readiness.go
+++ b/internal/jobsnode/readiness.go
@@ -7,13 +7,13 @@
 	"crosstide/internal/errs"
 )
 
-// leaderlessGrace is how long a node that was ready stays so without an answer of the store's leader: a change of
-// leader must not take all data-plane nodes out at once.
+// leaderlessGrace is how long a ready node stays ready without an answer from the store's leader: a change of leader
+// must not make all data-plane nodes unready at once.
 const leaderlessGrace = 4 * time.Second
 
 // readiness decides when the node is ready for new clients. It is safe for concurrent use.
 type readiness struct {
-	leaderReady    func() error                     // returns nil if the leader has answered lately
+	leaderReady    func() error                     // returns nil if the leader has answered recently
 	leaderAnswered func(maxAge time.Duration) error // returns nil if the leader has answered within maxAge
 
 	mu       sync.Mutex
@@ -21,8 +21,8 @@
 	draining bool
 }
 
-// check returns nil if the node is ready. A node becomes ready by a fresh answer of the leader, and stays so through
-// leaderlessGrace without one.
+// check returns nil if the node is ready. A node becomes ready when the leader has answered recently, and stays ready
+// for leaderlessGrace after the leader's last answer.
 func (r *readiness) check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,7 +37,7 @@
 	return errs.Pass(err, "not ready")
 }
 
-// startDraining makes the node not ready, for good.
+// startDraining makes the node permanently not ready.
 func (r *readiness) startDraining() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/jobsnode/readiness_test.go
+++ b/internal/jobsnode/readiness_test.go
@@ -10,23 +10,26 @@
 )
 
 func TestReadiness(t *testing.T) {
-	Convey("A node is ready after a fresh answer and through the grace, and not once it drains", t, func() {
+	Convey("A node is ready after a recent answer and during the grace, and is not ready while draining", t, func() {
 		silent := 3 * time.Second // since the leader's last answer
-		answeredIn := func(d time.Duration) error {
-			if silent <= d {
+		answeredWithin := func(maxAge time.Duration) error {
+			if silent <= maxAge {
 				return nil
 			}
 			return errs.New(errs.Unavailable, "no leader")
 		}
-		r := &readiness{leaderReady: func() error { return answeredIn(2500 * time.Millisecond) }, leaderAnswered: answeredIn}
-		So(errs.KindOf(r.check()), ShouldEqual, errs.Unavailable) // never was ready: the grace is not for it
+		r := &readiness{
+			leaderReady:    func() error { return answeredWithin(2500 * time.Millisecond) },
+			leaderAnswered: answeredWithin,
+		}
+		So(errs.KindOf(r.check()), ShouldEqual, errs.Unavailable) // was never ready: the grace does not apply
 		silent = 0
 		So(r.check(), ShouldBeNil)
 		silent = leaderlessGrace
 		So(r.check(), ShouldBeNil)
 		silent++
 		So(errs.KindOf(r.check()), ShouldEqual, errs.Unavailable)
-		silent = 3 * time.Second // an answer that came late; it is not fresh
+		silent = 3 * time.Second // within the grace, but not recent enough to become ready again
 		So(errs.KindOf(r.check()), ShouldEqual, errs.Unavailable)
 		silent = time.Second
 		So(r.check(), ShouldBeNil)
