--- a/internal/dataplane/controlplane.go
+++ b/internal/dataplane/controlplane.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// retryStep is added to the pause before each further attempt to reach the leader, up to maxRetryPause.
-	retryStep     = 10 * time.Millisecond
-	maxRetryPause = 200 * time.Millisecond
-	// chunkTimeouts is how many times the timeout of a call one chunk of a snapshot may take.
-	chunkTimeouts = 5
+	// retryBackoffStep is added to the backoff before each further attempt to reach the leader, up to maxRetryBackoff.
+	retryBackoffStep = 10 * time.Millisecond
+	maxRetryBackoff  = 200 * time.Millisecond
+	// chunkTimeoutFactor is the timeout of fetching a chunk of a snapshot, in multiples of the timeout of other calls.
+	chunkTimeoutFactor = 5
 )
 
-// controlPlaneClient calls the control plane. It remembers the addresses, the leader, and the node that the replica
+// controlPlaneClient calls the control plane. It keeps the addresses, the leader, and the node that the replica
 // follows. It is safe for concurrent use.
 type controlPlaneClient struct {
 	caller  *rpc.Client
@@ -31,11 +31,11 @@
 	mu           sync.Mutex
 	addrs        []string // never empty
 	leader       string   // "": unknown
-	next         int      // counts the addresses tried in turn
-	followedAddr string   // "": the next one in turn
+	next         int      // advances by one per address used, round-robin
+	followedAddr string   // "": Follow picks the next address
 }
 
-// setAddresses replaces the addresses; an empty list leaves them as they are.
+// setAddresses replaces the addresses, unless addrs is empty.
 func (c *controlPlaneClient) setAddresses(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// leaderAddr returns the address of the leader, or of the next node in turn while the leader is unknown.
+// leaderAddr returns the address of the leader, or the next address, round-robin, while the leader is unknown.
 func (c *controlPlaneClient) leaderAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,20 +59,20 @@
 	return c.addrs[c.next%len(c.addrs)]
 }
 
-// learnLeader updates the known leader from the outcome of a call to the node asked. After a success it
-// is the leader. NotLeader may name another node; without a name, and after a call without an answer, the leader is
-// unknown again if asked was taken for it. Other failures say nothing about who leads.
-func (c *controlPlaneClient) learnLeader(asked string, err error) {
+// learnLeader updates the known leader from err, the outcome of a call to the address called. After a success, the node
+// there is the leader. errs.NotLeader may name another node. If it names none, or if the call got no answer, and called
+// is the known leader's address, then the leader is unknown again. Other failures do not show which node leads.
+func (c *controlPlaneClient) learnLeader(called string, err error) {
 	failure := errs.Of(err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if failure == nil {
-		c.leader = asked
+		c.leader = called
 		return
 	}
 	switch failure.Kind {
 	case errs.NotLeader:
-		if failure.Hint != "" && failure.Hint != asked {
+		if failure.Hint != "" && failure.Hint != called {
 			c.leader = failure.Hint
 			return
 		}
@@ -80,36 +80,37 @@
 	default:
 		return
 	}
-	if c.leader == asked {
+	if c.leader == called {
 		c.leader = ""
 	}
 }
 
-// retryRule is after which failures a call to the leader may be made again.
-type retryRule int
+// retryPolicy decides after which failures a call to the leader may be repeated.
+type retryPolicy int
 
 const (
-	// retryUndone is for calls that are not idempotent: only one that surely did nothing is made again.
-	retryUndone retryRule = iota
-	// retryIdempotent is for calls that may be carried out twice: one without an answer is made again too.
+	// retryUnexecuted is for calls that are not idempotent: they are repeated only if they surely had no effect.
+	retryUnexecuted retryPolicy = iota
+	// retryIdempotent is for calls that may be executed twice: they are also repeated if there was no answer.
 	retryIdempotent
 )
 
-// allows reports whether a call that ended in err may be made again, at the same node or at another.
-func (r retryRule) allows(err error) bool {
+// allows reports whether a call that failed with err may be repeated, at the same node or at another.
+func (p retryPolicy) allows(err error) bool {
 	switch errs.KindOf(err) {
 	case errs.NotLeader:
 		return true
 	case errs.Unavailable, errs.Stopped, errs.Timeout:
-		return r == retryIdempotent || rpc.IsUnsent(err)
+		return p == retryIdempotent || rpc.IsUnsent(err)
 	}
 	return false
 }
 
-// callLeader calls the leader, wherever it is. It retries by the rule until ctx ends: at once the first time, so that a
-// hint to the leader costs no pause, then with growing pauses. timeout is that of one attempt.
+// callLeader calls the leader, which it looks for if it is unknown. It retries as the policy allows until ctx ends: the
+// first time at once, so that following a hint to the leader needs no backoff, then with increasing backoff. timeout
+// bounds each attempt.
 func callLeader[C, A any](ctx context.Context, c *controlPlaneClient, endpoint rpc.Endpoint[C, A], call C,
-	timeout time.Duration, retry retryRule) (A, error) {
+	timeout time.Duration, retry retryPolicy) (A, error) {
 	for attempt := 0; ; attempt++ {
 		addr := c.leaderAddr()
 		answer, err := rpc.Call(ctx, c.caller, addr, endpoint, call, timeout)
@@ -118,20 +119,20 @@
 			return answer, nil
 		}
 		if ctx.Err() != nil || !retry.allows(err) {
-			return answer, errs.Pass(err, "ask the leader")
+			return answer, errs.Pass(err, "call the leader")
 		}
 		if attempt == 0 {
 			continue
 		}
-		if !clock.Sleep(ctx.Done(), c.clock, min(maxRetryPause, time.Duration(attempt)*retryStep)) {
-			return answer, errs.Wrap(err, errs.Unavailable, "no leader of the store found in time")
+		if !clock.Sleep(ctx.Done(), c.clock, min(maxRetryBackoff, time.Duration(attempt)*retryBackoffStep)) {
+			return answer, errs.Wrap(err, errs.Unavailable, "no leader of the store found before the deadline")
 		}
 	}
 }
 
 // propose commits a command at the leader.
 func (c *controlPlaneClient) propose(ctx context.Context, cmd command.Command,
-	retry retryRule) (internalapi.ProposeAnswer, error) {
+	retry retryPolicy) (internalapi.ProposeAnswer, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
 		return internalapi.ProposeAnswer{}, errs.Wrap(err, errs.Malformed, "encode %s", cmd.Op())
@@ -141,7 +142,7 @@
 	return answer, errs.Pass(err, "propose %s", cmd.Op())
 }
 
-// Follow calls the same node as long as that answers, and the next one in turn after a failure. It is part of
+// Follow calls the same node as long as it answers, and the next one, round-robin, after a failure. It implements
 // replica.Source.
 func (c *controlPlaneClient) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer,
 	error) {
@@ -160,14 +161,14 @@
 	return answer, errs.Pass(err, "follow %s", addr)
 }
 
-// Chunk calls the node that Follow called last: only that one surely has the snapshot. It is part of replica.Source.
+// Chunk calls the node that Follow called last, which has the snapshot; others may not. It implements replica.Source.
 func (c *controlPlaneClient) Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	c.mu.Lock()
 	addr := c.followedAddr
 	c.mu.Unlock()
 	if addr == "" {
-		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "no cplane is followed")
+		return internalapi.ChunkAnswer{}, errs.New(errs.Unavailable, "no control-plane node is followed")
 	}
-	answer, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, chunkTimeouts*c.timeout)
-	return answer, errs.Pass(err, "chunk from %s", addr)
+	answer, err := rpc.Call(ctx, c.caller, addr, internalapi.Chunk, call, chunkTimeoutFactor*c.timeout)
+	return answer, errs.Pass(err, "fetch chunk from %s", addr)
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -1,12 +1,12 @@
 // Package dataplane is the runtime of a data plane node of the policy deployment. It keeps a replica of the store,
-// competes for the role `sched` and runs the scheduler while it has it, and serves the reads and commits of the
-// clients' API. It never decides anything: where a run goes is the scheduler's decision (package scheduler), what is
-// true is the store's.
+// competes for the role `sched`, runs the scheduler while it has the role, and serves the reads and commits of the
+// clients' API. It makes no decisions itself: package scheduler decides on which worker a run is placed, and the store
+// is authoritative for all state.
 //
-// Three loops drive a node, all started by Start: claimRoleLoop claims the role and renews its lease, passLoop runs the
-// scheduler's passes and carries out what they want done, and readIndexer.run confirms for reads how new the replica
-// is. The replica follows a control plane node beside them. Begin with Node.Start, then read role.go, passes.go and
-// requests.go.
+// Start starts three loops: claimRoleLoop claims the role and renews its lease, passLoop runs the scheduler's passes
+// and carries out the resulting actions, and readIndexer.run asks the leader for the index that the replica must reach
+// before a read. In parallel, the replica follows a control plane node. Start reading at Node.Start, then role.go,
+// passes.go and requests.go.
 //
 // The scheduler is guarded by the replica's lock: a change of the replica reaches it in the same critical section.
 // Node.mu is never held together with it.
@@ -29,48 +29,48 @@
 	"crosstide/internal/state"
 )
 
-// maxConfirmationAge is how old the newest confirmation of the replica may be on a node that is ready.
+// maxConfirmationAge is the maximum age of the replica's newest confirmation on a ready node.
 const maxConfirmationAge = 3 * time.Second
 
 // Options configure a Node; all of them are required.
 type Options struct {
 	Name          string
 	Addr          string
-	Incarnation   string   // of this process, drawn anew by each
+	Incarnation   string   // random, different for each process
 	ControlPlanes []string // addresses, at least one
 	Scheduler     scheduler.Config
-	CallTimeout   time.Duration // of a call to the control plane; a worker has half of it beyond its wait
-	QueueLimit    int           // jobs that may be open at most
+	CallTimeout   time.Duration // of a call to the control plane; a call to a worker has half of it plus its Wait
+	QueueLimit    int           // maximum number of open jobs
 	Clock         clock.Clock
 	Logger        log.Logger
 	Caller        *rpc.Client // for the control plane
-	// WorkerCaller is for workers. Its TCP user timeout must be well inside the margin of the role's lease: the kernel
-	// must not go on sending a start order when the lease is over.
+	// WorkerCaller is for workers. Its TCP user timeout must be well below the margin of the role's lease: the kernel
+	// must not retransmit a start order after the lease has ended.
 	WorkerCaller *rpc.Client
 }
 
-// Node is a data plane node of the policy deployment. Its methods are safe for concurrent use, but for Start and Stop.
+// Node is a data plane node of the policy deployment. Its methods except Start and Stop are safe for concurrent use.
 type Node struct {
 	opt          Options
 	controlPlane *controlPlaneClient
 	readIndexer  readIndexer
 	group        *routine.Group // of all loops; set by Start
-	wakeups      chan struct{}  // capacity 1; filled when passLoop is to run a pass
+	wakeups      chan struct{}  // capacity 1; filled when passLoop has to run a pass
 
-	// The replica's lock guards these.
+	// Guarded by the replica's lock.
 	replica    *replica.Replica
 	scheduler  *scheduler.Core
 	leaseEpoch uint64 // of the newest lease of the role
 	leaseUntil time.Duration
 
-	mu           sync.Mutex
+	mu           sync.Mutex              // guards the fields below
 	workerConns  map[string]*workerConns // by worker
 	confirmedAt  time.Duration           // when the replica last reached an index that the leader had confirmed
-	grantedEpoch uint64                  // of this node's newest grant of the role; 0: another node has it
+	grantedEpoch uint64                  // of this node's newest grant of the role; 0: none, or another node has it
 	stopping     bool
 }
 
-// New returns a node that does nothing until Start.
+// New returns a node. Start starts it.
 func New(opt Options) *Node {
 	n := &Node{opt: opt, wakeups: make(chan struct{}, 1), workerConns: map[string]*workerConns{}}
 	n.controlPlane = &controlPlaneClient{caller: opt.Caller, clock: opt.Clock, timeout: opt.CallTimeout,
@@ -89,14 +89,14 @@
 	return n
 }
 
-// SetControlPlanes replaces the addresses of the control plane; an empty list leaves them as they are.
+// SetControlPlanes replaces the addresses of the control plane, unless addrs is empty.
 func (n *Node) SetControlPlanes(addrs []string) { n.controlPlane.setAddresses(addrs) }
 
-// Start starts the node's loops. They end with ctx, or at Stop.
+// Start starts the node's loops. They run until ctx ends or Stop is called.
 func (n *Node) Start(ctx context.Context) {
 	n.group = routine.New(ctx)
 	n.group.Go(func(ctx context.Context) {
-		source := &puller{controlPlaneClient: n.controlPlane, node: n}
+		source := &reportingSource{controlPlaneClient: n.controlPlane, node: n}
 		n.replica.Run(ctx, source, n.opt.Clock, n.opt.Name, func(err error) {
 			_ = level.Debug(n.opt.Logger).Log("msg", "pull failed", "err", err)
 		})
@@ -109,8 +109,8 @@
 // Stop ends the loops and waits for them.
 func (n *Node) Stop() { n.group.Stop() }
 
-// Ready returns nil if the node can serve now. Otherwise the error says why not: errs.Stopped from StepDown on,
-// errs.Unavailable while the replica was not confirmed for maxConfirmationAge.
+// Ready returns nil if the node can serve requests. It fails with errs.Stopped after StepDown, and with
+// errs.Unavailable if the replica has not been confirmed within maxConfirmationAge.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +118,7 @@
 	case n.stopping:
 		return errs.New(errs.Stopped, "stopping")
 	case n.confirmedAt == 0:
-		return errs.New(errs.Unavailable, "the replica is not confirmed yet")
+		return errs.New(errs.Unavailable, "the replica has not been confirmed yet")
 	case age > maxConfirmationAge:
 		return errs.New(errs.Unavailable, "the replica was last confirmed %s ago", age.Round(time.Millisecond))
 	}
--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// passInterval is the longest pause between two passes.
+	// passInterval is the maximum interval between two passes.
 	passInterval = 20 * time.Millisecond
-	// planRetryInterval delays the pass after a plan that failed.
+	// planRetryInterval is the delay of the pass after a failed plan.
 	planRetryInterval = 20 * time.Millisecond
 )
 
-// workerConns are the two connections to a worker: on one goes a call that the worker may delay, on the other one with
-// starts, which it answers at once.
+// workerConns has the two connections to a worker: pollConn carries calls whose answers the worker may delay, orderConn
+// those with starts, which the worker answers at once.
 type workerConns struct {
 	addr                string
 	pollConn, orderConn *rpc.DedicatedConn
@@ -37,7 +37,7 @@
 	}
 }
 
-// passLoop runs the scheduler's passes: after each input, and every passInterval in any case.
+// passLoop runs the scheduler's passes: after each wake, and at least every passInterval.
 func (n *Node) passLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := n.opt.Clock.Set(passInterval, n.wake)
@@ -60,13 +60,13 @@
 	}
 }
 
-// commitPlan proposes a plan, and hands the answer to the scheduler once the replica has the plan's changes. A plan is
-// not idempotent: after a failure the scheduler makes another one.
+// commitPlan proposes a plan, and passes the answer to the scheduler once the replica has the plan's changes. A plan is
+// not idempotent, so it is not proposed again: after a failure the scheduler makes another one.
 func (n *Node) commitPlan(ctx context.Context, plan *command.Plan) {
 	planned, err := n.proposePlan(ctx, plan)
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "plan failed", "epoch", plan.Epoch, "err", err)
-		_ = clock.Sleep(ctx.Done(), n.opt.Clock, planRetryInterval) // if ctx has ended, so has passLoop
+		_ = clock.Sleep(ctx.Done(), n.opt.Clock, planRetryInterval) // no need to check ctx: passLoop ends with it
 	}
 	n.replica.Lock()
 	n.scheduler.PlanAnswered(n.opt.Clock.Now(), plan.Epoch, planned, err)
@@ -75,7 +75,7 @@
 }
 
 func (n *Node) proposePlan(ctx context.Context, plan *command.Plan) (planned command.Planned, err error) {
-	answer, err := n.controlPlane.propose(ctx, plan, retryUndone)
+	answer, err := n.controlPlane.propose(ctx, plan, retryUnexecuted)
 	if err != nil {
 		return planned, errs.Pass(err, "plan")
 	}
@@ -85,10 +85,10 @@
 		return planned, errs.Pass(err, "plan")
 	}
 	err = json.Unmarshal(answer.Answer, &planned)
-	return planned, errs.Wrap(err, errs.Malformed, "the answer to a plan")
+	return planned, errs.Wrap(err, errs.Malformed, "decode the answer to a plan")
 }
 
-// sendCall makes one lease call and hands its outcome to the scheduler.
+// sendCall makes one lease call and passes its outcome to the scheduler.
 func (n *Node) sendCall(ctx context.Context, c scheduler.OutgoingCall) {
 	timeout := c.Call.Wait + n.opt.CallTimeout/2
 	answer, err := rpc.CallDedicated(ctx, n.connTo(c), internalapi.RenewLease, c.Call, timeout, n.sendCheck(c))
@@ -108,8 +108,8 @@
 }
 
 // sendCheck returns the check that rpc runs immediately before each write of a call's bytes. It fails if the role's
-// lease is over or the window for the call's starts has passed. Then nothing more is written, and the call counts as
-// unsent if no byte of it was written before.
+// lease has ended or if the deadline for sending the call's starts has passed. Then no further byte is written, and the
+// call counts as unsent if none was written before.
 func (n *Node) sendCheck(c scheduler.OutgoingCall) func() error {
 	return func() error {
 		now := n.opt.Clock.Now()
@@ -117,16 +117,16 @@
 		mayAct := n.scheduler.MayAct(now) && n.scheduler.Epoch() == c.Call.Epoch
 		n.replica.Unlock()
 		if !mayAct {
-			return errs.New(errs.Stale, "the duty's lease is over")
+			return errs.New(errs.Stale, "the lease of the role has ended")
 		}
 		if c.WriteBy > 0 && now >= c.WriteBy {
-			return errs.New(errs.Stale, "the window of these starts is over")
+			return errs.New(errs.Stale, "the deadline for sending these starts has passed")
 		}
 		return nil
 	}
 }
 
-// connTo returns the connection for a call, new ones if the worker's address has changed.
+// connTo returns the connection for a call. If the worker's address has changed, it replaces both connections.
 func (n *Node) connTo(c scheduler.OutgoingCall) *rpc.DedicatedConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/dataplane/readindex.go
+++ b/internal/dataplane/readindex.go
@@ -11,17 +11,17 @@
 	"crosstide/internal/internalapi"
 )
 
-// idleReadInterval is how often a node without reads confirms its replica, for readiness.
+// idleReadInterval is the interval at which a node without reads confirms its replica, for readiness.
 const idleReadInterval = time.Second
 
-// readIndexer asks the leader for its read index on behalf of all reads that wait, one call at a time: a read joins the
-// next call that begins after it, so that what was committed before the read is below the index.
+// readIndexer asks the leader for its read index on behalf of all waiting reads, one call at a time. A read joins the
+// next call that begins after it, so that every commit before the read is at or below the index.
 type readIndexer struct {
 	node    *Node
 	wakeups chan struct{} // capacity 1; filled when a read waits for a call
 
 	mu   sync.Mutex
-	next *readIndexCall // the call that reads join; nil until one wants it
+	next *readIndexCall // the call that reads join; nil until a read needs it
 }
 
 // readIndexCall is one call that reads wait for. index and err are set before done is closed.
@@ -31,7 +31,7 @@
 	err   error
 }
 
-// join returns the next call, and wakes run to make it.
+// join returns the next call and wakes run, which makes it.
 func (x *readIndexer) join() *readIndexCall {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -46,18 +46,18 @@
 }
 
 // readIndex returns an index such that every commit acknowledged before the call is at or below it. It fails with
-// errs.Timeout when ctx ends first.
+// errs.Timeout if ctx ends first.
 func (x *readIndexer) readIndex(ctx context.Context) (uint64, error) {
 	call := x.join()
 	select {
 	case <-call.done:
 		return call.index, errs.Pass(call.err, "confirm")
 	case <-ctx.Done():
-		return 0, errs.Wrap(ctx.Err(), errs.Timeout, "waiting for a confirmation")
+		return 0, errs.Wrap(ctx.Err(), errs.Timeout, "wait for the read index")
 	}
 }
 
-// run makes the calls that reads join, and one every idleReadInterval while there are no reads, until ctx ends.
+// run makes the calls that reads join, and one call per idleReadInterval while there are no reads, until ctx ends.
 func (x *readIndexer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		idle := x.node.opt.Clock.Set(idleReadInterval, func() { x.join() })
@@ -71,14 +71,14 @@
 		x.next = nil
 		x.mu.Unlock()
 		if call != nil {
-			x.do(ctx, call)
+			x.complete(ctx, call)
 		}
 	}
 }
 
-// do makes a call and completes it for the reads that joined it. They wait for the replica themselves; readiness
-// (Node.confirmedAt) counts from when the replica has reached the index.
-func (x *readIndexer) do(ctx context.Context, call *readIndexCall) {
+// complete makes the call and gives its result to the reads that joined it. They wait for the replica themselves. Once
+// the replica has reached the index, complete sets Node.confirmedAt, which decides readiness.
+func (x *readIndexer) complete(ctx context.Context, call *readIndexCall) {
 	n := x.node
 	ctx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
 	defer cancel()
--- a/internal/dataplane/readindex_test.go
+++ b/internal/dataplane/readindex_test.go
@@ -18,25 +18,25 @@
 )
 
 func TestReadIndex_sharesCalls(t *testing.T) {
-	Convey("Many concurrent reads are all confirmed, by fewer calls, and none waits for ever", t, func() {
+	Convey("Concurrent reads share calls to the leader, and all of them are confirmed", t, func() {
 		var calls atomic.Int64
-		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
+		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		answerIndex := func(context.Context, internalapi.ReadIndexCall) (internalapi.ReadIndexAnswer, error) {
 			calls.Add(1)
 			return internalapi.ReadIndexAnswer{}, nil
 		}
-		rpc.Handle(srv, internalapi.ReadIndex, answerIndex)
-		So(srv.Start(), ShouldBeNil)
+		rpc.Handle(server, internalapi.ReadIndex, answerIndex)
+		So(server.Start(), ShouldBeNil)
 		caller := rpc.NewClient(rpc.ClientOptions{})
-		n := New(Options{Name: "d", ControlPlanes: []string{srv.Addr()},
+		node := New(Options{Name: "d", ControlPlanes: []string{server.Addr()},
 			Scheduler: scheduler.DefaultConfig(), CallTimeout: 20 * time.Second, Clock: clock.Real{},
 			Logger: log.NewNopLogger(), Caller: caller, WorkerCaller: caller})
 		loop := routine.New(context.Background())
-		loop.Go(n.readIndexer.run)
+		loop.Go(node.readIndexer.run)
 		var confirmed atomic.Int64
 		const reads = 4000
 		routine.Each(reads, 32, func(int) {
-			if n.Read(context.Background(), func(*state.State) error { return nil }) == nil {
+			if node.Read(context.Background(), func(*state.State) error { return nil }) == nil {
 				confirmed.Add(1)
 			}
 		})
@@ -44,6 +44,6 @@
 		So(calls.Load(), ShouldBeLessThan, reads)
 		loop.Stop()
 		caller.Close()
-		So(srv.Stop(time.Second), ShouldBeNil)
+		So(server.Stop(time.Second), ShouldBeNil)
 	})
 }
--- a/internal/dataplane/requests.go
+++ b/internal/dataplane/requests.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/state/command"
 )
 
-// announceInterval is how often a worker is to announce itself.
+// announceInterval is the interval between two announcements of a worker.
 const announceInterval = 3 * time.Second
 
 // Propose commits an idempotent command (submit, cancel, announce) and returns its answer.
@@ -25,29 +25,29 @@
 	return answer.Answer, nil
 }
 
-// Read runs do on a state that is at least as new as the call. It fails with errs.Unavailable, without having run do,
-// if no leader confirms how new the replica is.
+// Read runs do on a state that is at least as new as the call. It fails with errs.Unavailable, and does not run do, if
+// no leader confirms the read or if the replica does not reach the leader's index before ctx ends.
 func (n *Node) Read(ctx context.Context, do func(s *state.State) error) error {
 	index, err := n.readIndexer.readIndex(ctx)
 	if err != nil {
-		return errs.Wrap(err, errs.Unavailable, "cannot confirm the state")
+		return errs.Wrap(err, errs.Unavailable, "cannot confirm that the state is current")
 	}
 	if err := n.replica.WaitForIndex(ctx, index); err != nil {
-		return errs.Pass(err, "read at %d", index)
+		return errs.Pass(err, "read at index %d", index)
 	}
 	n.replica.View(func(s *state.State) { err = do(s) })
 	return errs.Pass(err, "read")
 }
 
-// QueueLimit returns how many jobs may be open at most.
+// QueueLimit returns the maximum number of open jobs.
 func (n *Node) QueueLimit() int { return n.opt.QueueLimit }
 
-// Announce makes a worker known to the store, unless the replica knows it at the same address.
+// Announce registers a worker with the store, unless the replica already has it at the same address.
 func (n *Node) Announce(ctx context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer,
 	error) {
 	answer := internalapi.AnnounceWorkerAnswer{Interval: announceInterval}
 	if c.Name == "" || c.Addr == "" {
-		return answer, errs.Field(errs.Invalid, "name", "a minion needs a name and an address")
+		return answer, errs.Field(errs.Invalid, "name", "a worker must have a name and an address")
 	}
 	known := false
 	n.replica.View(func(s *state.State) {
--- a/internal/dataplane/role.go
+++ b/internal/dataplane/role.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// claimInterval is the pause between two claims.
+	// claimInterval is the interval between two claims.
 	claimInterval = 300 * time.Millisecond
-	// claimAttempts bounds how often one claim follows a hint to another node.
+	// claimAttempts is the maximum number of nodes that one claim calls to find the leader.
 	claimAttempts = 3
-	// maxClaims bounds the claims in flight: a slow path to the leader must not let the lease run out between two
-	// answers, and a dead one must not keep the next claim from finding the new leader.
+	// maxClaims is the maximum number of claims in flight. They overlap so that the lease does not expire between two
+	// slow answers, and so that a claim to an unreachable leader does not delay the one that finds the new leader.
 	maxClaims = 4
 )
 
-// claimRoleLoop claims the role, or renews its lease, every claimInterval until ctx ends or the node steps down. Claims
-// overlap when answers are slow, up to maxClaims.
+// claimRoleLoop claims the role, or renews its lease, every claimInterval until ctx ends or the node steps down. Up to
+// maxClaims claims overlap if answers are slow.
 func (n *Node) claimRoleLoop(ctx context.Context) {
 	inFlight := make(chan struct{}, maxClaims)
 	for ctx.Err() == nil {
@@ -48,14 +48,14 @@
 	}
 }
 
-// roleClaim returns the call that renews the grant of epoch, or claims the role anew if epoch is 0.
+// roleClaim returns the call that renews the grant of epoch, or that requests a new grant if epoch is 0.
 func (n *Node) roleClaim(epoch uint64) internalapi.ClaimRoleCall {
 	return internalapi.ClaimRoleCall{Role: state.SchedulerRole, Holder: n.opt.Name, Addr: n.opt.Addr,
 		Incarnation: n.opt.Incarnation, Epoch: epoch}
 }
 
-// claimRole makes one claim at the leader of the store. The lease counts from before the call was sent, so that it ends
-// here before it ends at the leader.
+// claimRole makes one claim at the leader of the store. The lease is counted from before the call was sent, so that it
+// ends on this node before it ends on the leader.
 func (n *Node) claimRole(ctx context.Context) {
 	n.mu.Lock()
 	epoch := n.grantedEpoch
@@ -72,7 +72,7 @@
 			}
 			return
 		case err == nil:
-			n.roleLost(lease)
+			n.handleRoleLost(lease)
 			return
 		case !errs.Is(err, errs.NotLeader) && !rpc.IsUnsent(err):
 			_ = level.Debug(n.opt.Logger).Log("msg", "claim of the role failed", "role", state.SchedulerRole,
@@ -82,15 +82,16 @@
 	}
 }
 
-// acceptGrant makes the scheduler act under a grant, or under its renewed lease. The replica must reach the grant's
-// index first: only then does it have all handles of earlier epochs. It fails with errs.Stale if another grant has
-// followed already, and with the error of WaitForIndex if the replica is behind.
+// acceptGrant lets the scheduler act under a grant, or under its renewed lease. The replica must reach the grant's
+// index first, because only then does it have all handles of earlier epochs. A grant older than this node's newest is
+// ignored. acceptGrant fails with errs.Stale if the replica has another grant already, and with the error of
+// WaitForIndex if the replica is behind.
 func (n *Node) acceptGrant(ctx context.Context, lease internalapi.RoleLease, sentAt time.Duration) error {
 	n.mu.Lock()
-	stale := lease.Epoch < n.grantedEpoch // the answers to claims in flight at once may arrive in any order
+	isStale := lease.Epoch < n.grantedEpoch // the answers to overlapping claims may arrive in any order
 	n.grantedEpoch = max(n.grantedEpoch, lease.Epoch)
 	n.mu.Unlock()
-	if stale {
+	if isStale {
 		return nil
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, n.opt.CallTimeout)
@@ -102,7 +103,7 @@
 	defer n.replica.Unlock()
 	role := st.Roles[state.SchedulerRole]
 	if role == nil || role.Epoch != lease.Epoch || role.Incarnation != n.opt.Incarnation {
-		return errs.New(errs.Stale, "grant %d is over", lease.Epoch)
+		return errs.New(errs.Stale, "grant %d has ended", lease.Epoch)
 	}
 	if n.scheduler.Epoch() != lease.Epoch {
 		n.scheduler.BecomeLeader(n.opt.Clock.Now(), lease.Epoch)
@@ -117,23 +118,24 @@
 	return nil
 }
 
-// roleLost stops the scheduler if another node has the role. An answer whose epoch is not newer than this node's grant
-// was made before the grant, or announces that the epoch ends: then the lease runs out without further action.
-func (n *Node) roleLost(lease internalapi.RoleLease) {
+// handleRoleLost stops the scheduler if another node has the role. It ignores an answer whose epoch is not newer than
+// this node's grant. Such an answer was made before the grant, or announces the end of the grant's epoch; in that case
+// the lease expires without further action.
+func (n *Node) handleRoleLost(lease internalapi.RoleLease) {
 	n.mu.Lock()
-	had := n.grantedEpoch
-	if had == 0 || lease.Epoch <= had {
+	lostEpoch := n.grantedEpoch
+	if lostEpoch == 0 || lease.Epoch <= lostEpoch {
 		n.mu.Unlock()
 		return
 	}
 	n.grantedEpoch = 0
 	n.mu.Unlock()
 	n.stopScheduler()
-	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", state.SchedulerRole, "epoch", had,
+	_ = level.Info(n.opt.Logger).Log("msg", "role lost", "role", state.SchedulerRole, "epoch", lostEpoch,
 		"holder", lease.Holder, "now", lease.Epoch)
 }
 
-// StepDown makes the node unready and releases the role, so that another node can take it at once.
+// StepDown makes the node permanently not ready and releases the role, so that another node can acquire it at once.
 func (n *Node) StepDown(ctx context.Context) {
 	n.mu.Lock()
 	n.stopping = true
@@ -154,6 +156,7 @@
 	}
 }
 
+// stopScheduler ends the scheduler's work under this node's grant.
 func (n *Node) stopScheduler() {
 	n.replica.Lock()
 	n.scheduler.StepDown()
--- a/internal/dataplane/rollout.go
+++ b/internal/dataplane/rollout.go
@@ -11,26 +11,26 @@
 	"crosstide/internal/state"
 )
 
-// confirmTimeout is how long a node tries to confirm that its policy bundle is the newest.
+// confirmTimeout bounds the confirmation that a node's policy bundle is the newest.
 const confirmTimeout = time.Second
 
-// puller is the replica's source. With each call it reports which policy bundle the node goes by, so that operators see
-// how far a new one has come.
-type puller struct {
+// reportingSource is the replica's source. With each call it reports the version of the node's policy bundle, so that
+// operators can see the progress of a rollout.
+type reportingSource struct {
 	*controlPlaneClient
 	node         *Node
 	version      uint64        // reported last; 0 until the first pull
-	versionSince time.Duration // when the node was first seen to have it
+	versionSince time.Duration // when Follow first found the node to have it
 }
 
 // Follow adds the node's bundle version to the client's Follow.
-func (p *puller) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
-	now := p.node.opt.Clock.Now()
-	if v := p.node.bundleVersion(); v != p.version {
-		p.version, p.versionSince = v, now
+func (s *reportingSource) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
+	now := s.node.opt.Clock.Now()
+	if v := s.node.bundleVersion(); v != s.version {
+		s.version, s.versionSince = v, now
 	}
-	call.Bundle, call.Age = p.version, now-p.versionSince
-	answer, err := p.controlPlaneClient.Follow(ctx, call)
+	call.Bundle, call.Age = s.version, now-s.versionSince
+	answer, err := s.controlPlaneClient.Follow(ctx, call)
 	return answer, errs.Pass(err, "pull")
 }
 
@@ -42,21 +42,21 @@
 	return version
 }
 
-// Router is what the node needs of its server (*rpc.Server).
+// Router is the part of *rpc.Server that the node uses.
 type Router interface {
 	Route(pattern string, h func(w http.ResponseWriter, r *http.Request))
 }
 
-// Bundle is the answer of GET /v1/bundle: the version this node goes by, no older than the call.
+// Bundle is the answer of GET /v1/bundle: the bundle version that this node uses, at least as new as the call.
 type Bundle struct {
 	Node    string `json:"node"`
 	Version uint64 `json:"version"`
 	Digest  string `json:"sha256"`
-	Index   uint64 `json:"index"` // of the newest change this node has
+	Index   uint64 `json:"index"` // of the newest change that this node has applied
 }
 
 // Routes adds GET /v1/bundle, which answers errs.Unavailable if the node cannot confirm its bundle within
-// confirmTimeout: a node that is partitioned, behind or just resumed must not present an old version as the one in
+// confirmTimeout: a node that is partitioned, behind or just resumed must not report an old version as the one in
 // force.
 func (n *Node) Routes(srv Router) { srv.Route("GET /v1/bundle", n.serveBundle) }
 
@@ -72,7 +72,7 @@
 		return nil
 	})
 	if err != nil {
-		rpc.WriteError(w, errs.Wrap(err, errs.Unavailable, "this node cannot confirm its bundle now"))
+		rpc.WriteError(w, errs.Wrap(err, errs.Unavailable, "cannot confirm that the bundle is current"))
 		return
 	}
 	rpc.WriteJSON(w, http.StatusOK, answer)
