--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -8,46 +8,47 @@
 	"crosstide/internal/errs"
 )
 
-// maxSeedMembers bounds the members in the settings of an open membership.
+// maxSeedMembers is the maximum number of members in the settings of an open membership.
 const maxSeedMembers = 3
 
-// Member is one of the first nodes of the control plane.
+// Member is a bootstrap member of the control plane's store.
 type Member struct{ ID, Addr, Zone string }
 
-// OperatorKey is an operator's public key, 32 bytes of ed25519 in base64.
+// OperatorKey is an operator's ed25519 public key: 32 bytes in base64.
 type OperatorKey struct{ Name, Key string }
 
-// ControlPlane are the settings of a control plane node. Each comment begins with the setting's name.
+// ControlPlane holds the settings of a control-plane node. Each field's comment begins with the setting's name.
 type ControlPlane struct {
 	Common
-	Data    string   // data: the folder of the store, required
-	Members []Member // members: the first members of the store, required
+	Data    string   // data: the store's folder; required
+	Members []Member // members: the store's bootstrap members; required
 
-	Election  time.Duration // election: silence after which a node campaigns to lead; default 1s
-	Heartbeat time.Duration // heartbeat: of the leader; default 100ms, under half of lease
-	Lease     time.Duration // lease: of the leader; default 700ms, under election
-	RoleLease time.Duration // duty_lease: of a singleton role; default 3s
+	Election  time.Duration // election: silence of the leader after which a node starts an election; default 1s
+	Heartbeat time.Duration // heartbeat: the leader's heartbeat interval; default 100ms, less than half of lease
+	Lease     time.Duration // lease: duration of the leader's lease; default 700ms, less than election
+	RoleLease time.Duration // duty_lease: lease duration of a singleton role; default 3s
 
 	SnapshotEvery     int           // snapshot_every: log entries between two snapshots; default 20000
-	QueueLimit        int           // queue_limit: jobs that may be open at most; default 60000
-	KeepEnded         int           // keep_ended: ended jobs kept at most; default 20000
-	KeepEndedFor      time.Duration // keep_ended_for; default 1h
-	KeepTombstones    int           // keep_tombs: tombstones kept at most; default 200000
-	KeepTombstonesFor time.Duration // keep_tombs_for; default 168h
+	QueueLimit        int           // queue_limit: maximum number of open jobs; default 60000
+	KeepEnded         int           // keep_ended: maximum number of ended jobs kept; default 20000
+	KeepEndedFor      time.Duration // keep_ended_for: maximum age of ended jobs; default 1h
+	KeepTombstones    int           // keep_tombs: maximum number of tombstones kept; default 200000
+	KeepTombstonesFor time.Duration // keep_tombs_for: maximum age of tombstones and orders; default 168h
 
-	OperatorKeys []OperatorKey // operator_keys: who may sign from the bootstrap on; none, or two at least
+	OperatorKeys []OperatorKey // operator_keys: keys that may sign from the bootstrap on; none, or at least two
 
-	// OpenMembership, open_membership: members are only seeds, which may differ between nodes and starts; any node
-	// may join, and the leader removes voters that are silent. Default false.
+	// OpenMembership, open_membership: if true, members lists only seeds, which may differ between nodes and between
+	// restarts; any node may join, and the leader removes silent voters. Default false.
 	OpenMembership bool
-	// Bootstrap, founding: an empty folder may begin a new cluster; else it only joins one. Default true.
+	// Bootstrap, founding: if true, a node with an empty folder may bootstrap a new cluster; if false, it only joins
+	// an existing one. Default true.
 	Bootstrap bool
-	// RemoveAfter, remove_after: silence after which an open cluster removes a voter of an even set; default 3s, over
-	// election.
+	// RemoveAfter, remove_after: silence after which the leader removes a voter if the membership is open and the
+	// number of voters is even; default 3s, greater than election.
 	RemoveAfter time.Duration
 }
 
-// DefaultControlPlane returns the defaults; required settings are empty.
+// DefaultControlPlane returns the default settings. Required settings are empty.
 func DefaultControlPlane() ControlPlane {
 	return ControlPlane{
 		Common:            defaultCommon(),
@@ -66,21 +67,23 @@
 	}
 }
 
-// LoadControlPlane reads and checks a settings file. All its errors are errs.Settings: for a file that cannot be read,
-// and for one with ValidationErrors, see Parse.
+// LoadControlPlane reads and validates a settings file. Its errors are errs.Settings: the file cannot be read, or has
+// ValidationErrors; see Parse.
 func LoadControlPlane(path string) (ControlPlane, error) {
 	c := DefaultControlPlane()
 	err := load(path, c.read)
-	return c, errs.Pass(err, "cplane")
+	return c, errs.Pass(err, "control-plane node")
 }
 
-// CheckControlPlane checks settings that flags have changed; the error is as that of Parse.
-func CheckControlPlane(c ControlPlane) error { return errs.Pass(checkSettings(c.read), "cplane") }
+// CheckControlPlane validates settings that flags have changed. It returns the same errors as Parse.
+func CheckControlPlane(c ControlPlane) error {
+	return errs.Pass(checkSettings(c.read), "control-plane node")
+}
 
 func (c *ControlPlane) read(r *Reader) {
 	c.Common.read(r)
 	if len(c.Seeds) == 0 {
-		r.Reject("seeds", "must be 1 to 3 addresses, are 0")
+		r.Reject("seeds", "must be 1 to 3 addresses, got 0")
 	}
 	r.Require("data", "members")
 	r.String("data", &c.Data, NotEmpty)
@@ -105,10 +108,10 @@
 		c.checkOpenMembership(r)
 	}
 	if c.Lease >= c.Election {
-		r.Reject("lease", "must be under election (%s), is %s", c.Election, c.Lease)
+		r.Reject("lease", "must be less than election (%s), is %s", c.Election, c.Lease)
 	}
 	if 2*c.Heartbeat >= c.Lease {
-		r.Reject("heartbeat", "must be under half of lease (%s), is %s", c.Lease, c.Heartbeat)
+		r.Reject("heartbeat", "must be less than half of lease (%s), is %s", c.Lease, c.Heartbeat)
 	}
 }
 
@@ -120,7 +123,7 @@
 		r.String("zone", &m.Zone, NotEmpty)
 	})
 	if len(c.Members) == 0 {
-		r.Reject("members", "must be at least one")
+		r.Reject("members", "must have at least one item")
 	}
 	checkUnique(r, "members", "id", c.Members, func(m Member) string { return m.ID })
 	checkUnique(r, "members", "addr", c.Members, func(m Member) string { return m.Addr })
@@ -135,15 +138,15 @@
 	checkUnique(r, "operator_keys", "name", c.OperatorKeys, func(k OperatorKey) string { return k.Name })
 	checkUnique(r, "operator_keys", "key", c.OperatorKeys, func(k OperatorKey) string { return k.Key })
 	if len(c.OperatorKeys) == 1 {
-		r.Reject("operator_keys", "must be none, or two at least: two operators sign each bundle")
+		r.Reject("operator_keys", "must be empty or have at least two items: two operators sign each bundle")
 	}
 }
 
-// checkOpenMembership checks what an open membership requires, above all that nodes are named by the IP of their
-// address.
+// checkOpenMembership validates the settings that an open membership restricts. Above all, each node's name must be the
+// IP of its address.
 func (c *ControlPlane) checkOpenMembership(r *Reader) {
 	if len(c.Members) > maxSeedMembers {
-		r.Reject("members", "must be at most %d with open_membership, are %d", maxSeedMembers, len(c.Members))
+		r.Reject("members", "must have at most %d items with open_membership, got %d", maxSeedMembers, len(c.Members))
 	}
 	if host := hostOf(c.Addr); host != "" && c.Name != host {
 		r.Reject("name", "must be the IP of addr (%s) with open_membership, is %q", host, c.Name)
@@ -155,11 +158,11 @@
 		}
 	}
 	if c.RemoveAfter <= c.Election {
-		r.Reject("remove_after", "must be over election (%s), is %s", c.Election, c.RemoveAfter)
+		r.Reject("remove_after", "must be greater than election (%s), is %s", c.Election, c.RemoveAfter)
 	}
 }
 
-// hostOf returns the IP of an address; "" if addr is no address.
+// hostOf returns the IP of addr, or "" if addr is not IP:port.
 func hostOf(addr string) string {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -6,7 +6,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the default settings and the names of the settings that are read from files.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Values("core defaults", DefaultControlPlane()),
--- a/internal/config/jobs.go
+++ b/internal/config/jobs.go
@@ -6,39 +6,39 @@
 	"crosstide/internal/errs"
 )
 
-// JobsControlPlane are the settings of a control plane node of the jobs deployment: those of ControlPlane, and a
-// section jobs. Each comment begins with the setting's name.
+// JobsControlPlane holds the settings of a control-plane node of the jobs deployment: those of ControlPlane and the
+// section jobs. Each field's comment begins with the setting's name.
 type JobsControlPlane struct {
 	ControlPlane
-	Control     string        // jobs.control: IP:PORT where workers and operators reach the node, required
-	CallTimeout time.Duration // jobs.call_timeout: of an operator's call; default 3s
-	// KeepFinished, jobs.keep_over, is how long a finished job can be read; default 10m.
+	Control     string        // jobs.control: IP:port that serves workers and operators; required
+	CallTimeout time.Duration // jobs.call_timeout: timeout of an operator's call; default 3s
+	// KeepFinished, jobs.keep_over: how long a finished job can be read; default 10m.
 	KeepFinished time.Duration
 	Scheduler    JobsScheduler
 }
 
-// JobsScheduler are the settings of the section jobs that the scheduler uses.
+// JobsScheduler holds the scheduler's settings in the section jobs.
 type JobsScheduler struct {
-	Lease        time.Duration // jobs.lease: of all that runs on a worker; default 5s
+	Lease        time.Duration // jobs.lease: lease duration of the runs on a worker; default 5s
 	PollWait     time.Duration // jobs.hold_wait: how long a worker may delay its answer; default 1s, at most lease/3
-	Silence      time.Duration // jobs.silence: no starts on a worker unheard for so long; default 4s
-	LapseMargin  time.Duration // jobs.lapse_margin: in which a worker kills all once its lease is over; default 600ms
-	EarlyStart   time.Duration // jobs.early_start: how much ahead of its time a round may start; default 0s
-	RemoteFactor float64       // jobs.remote_factor: how many times as long a task takes far from its data; default 1.5
-	ForgetAfter  time.Duration // jobs.forget_after: a worker without runs is dropped when unheard so long; default 15s
+	Silence      time.Duration // jobs.silence: a worker that is silent for this long gets no starts; default 4s
+	LapseMargin  time.Duration // jobs.lapse_margin: time for a worker to kill its runs after its lease; default 600ms
+	EarlyStart   time.Duration // jobs.early_start: how long before it is due a round may start; default 0s
+	RemoteFactor float64       // jobs.remote_factor: factor on the duration of a task far from its data; default 1.5
+	ForgetAfter  time.Duration // jobs.forget_after: a worker without runs is dropped after this silence; default 15s
 }
 
-// JobsDataPlane are the settings of a data plane node of the jobs deployment.
+// JobsDataPlane holds the settings of a data-plane node of the jobs deployment.
 type JobsDataPlane struct {
 	Common
-	ControlPlanes []string      // core: addresses of control plane nodes; required without seeds
-	CallTimeout   time.Duration // call_timeout: of a client's call; default 3s
+	ControlPlanes []string      // core: addresses of control-plane nodes; required without seeds
+	CallTimeout   time.Duration // call_timeout: timeout of a client's call; default 3s
 }
 
-// renewalsPerLease is how often at least a lease is renewed while it runs.
+// renewalsPerLease is the minimum number of renewals in the duration of a lease.
 const renewalsPerLease = 3
 
-// DefaultJobsControlPlane returns the defaults; required settings are empty.
+// DefaultJobsControlPlane returns the default settings. Required settings are empty.
 func DefaultJobsControlPlane() JobsControlPlane {
 	return JobsControlPlane{
 		ControlPlane: DefaultControlPlane(),
@@ -55,32 +55,34 @@
 	}
 }
 
-// DefaultJobsDataPlane returns the defaults; required settings are empty.
+// DefaultJobsDataPlane returns the default settings. Required settings are empty.
 func DefaultJobsDataPlane() JobsDataPlane {
 	return JobsDataPlane{Common: defaultCommon(), CallTimeout: 3 * time.Second}
 }
 
-// LoadJobsControlPlane is LoadControlPlane for a control plane node of the jobs deployment.
+// LoadJobsControlPlane is LoadControlPlane for a control-plane node of the jobs deployment.
 func LoadJobsControlPlane(path string) (JobsControlPlane, error) {
 	c := DefaultJobsControlPlane()
 	err := load(path, c.read)
-	return c, errs.Pass(err, "core node")
+	return c, errs.Pass(err, "control-plane node")
 }
 
-// LoadJobsDataPlane is LoadControlPlane for a data plane node of the jobs deployment.
+// LoadJobsDataPlane is LoadControlPlane for a data-plane node of the jobs deployment.
 func LoadJobsDataPlane(path string) (JobsDataPlane, error) {
-	f := DefaultJobsDataPlane()
-	err := load(path, f.read)
-	return f, errs.Pass(err, "front node")
+	d := DefaultJobsDataPlane()
+	err := load(path, d.read)
+	return d, errs.Pass(err, "data-plane node")
 }
 
-// CheckJobsControlPlane is CheckControlPlane for a control plane node of the jobs deployment.
+// CheckJobsControlPlane is CheckControlPlane for a control-plane node of the jobs deployment.
 func CheckJobsControlPlane(c JobsControlPlane) error {
-	return errs.Pass(checkSettings(c.read), "core node")
+	return errs.Pass(checkSettings(c.read), "control-plane node")
 }
 
-// CheckJobsDataPlane is CheckControlPlane for a data plane node of the jobs deployment.
-func CheckJobsDataPlane(f JobsDataPlane) error { return errs.Pass(checkSettings(f.read), "front node") }
+// CheckJobsDataPlane is CheckControlPlane for a data-plane node of the jobs deployment.
+func CheckJobsDataPlane(d JobsDataPlane) error {
+	return errs.Pass(checkSettings(d.read), "data-plane node")
+}
 
 func (c *JobsControlPlane) read(r *Reader) {
 	c.ControlPlane.read(r)
@@ -111,24 +113,24 @@
 		r.Reject("hold_wait", "must be at most a third of lease (%s), is %s", s.Lease, s.PollWait)
 	}
 	if s.ForgetAfter <= s.Lease+s.LapseMargin {
-		r.Reject("forget_after", "must be over lease and lapse_margin (%s), is %s",
+		r.Reject("forget_after", "must be greater than lease + lapse_margin (%s), is %s",
 			s.Lease+s.LapseMargin, s.ForgetAfter)
 	}
 }
 
-func (f *JobsDataPlane) read(r *Reader) {
-	f.Common.read(r)
-	r.Strings("core", &f.ControlPlanes, Address)
-	if len(f.ControlPlanes)+len(f.Seeds) == 0 {
-		r.Reject("core", "must be given when there are no seeds")
+func (d *JobsDataPlane) read(r *Reader) {
+	d.Common.read(r)
+	r.Strings("core", &d.ControlPlanes, Address)
+	if len(d.ControlPlanes)+len(d.Seeds) == 0 {
+		r.Reject("core", "must be given if there are no seeds")
 	}
-	r.Duration("call_timeout", &f.CallTimeout, minDuration, maxDuration)
+	r.Duration("call_timeout", &d.CallTimeout, minDuration, maxDuration)
 }
 
-// ControlPlaneAddresses returns the addresses to try first: those of core, or the seeds if core is empty.
-func (f JobsDataPlane) ControlPlaneAddresses() []string {
-	if len(f.ControlPlanes) > 0 {
-		return f.ControlPlanes
+// ControlPlaneAddresses returns the addresses in core, or the seeds if core is empty.
+func (d JobsDataPlane) ControlPlaneAddresses() []string {
+	if len(d.ControlPlanes) > 0 {
+		return d.ControlPlanes
 	}
-	return f.Seeds
+	return d.Seeds
 }
--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -19,7 +19,7 @@
 	return path
 }
 
-// invalidFields returns the fields of all validation errors in err.
+// invalidFields returns the fields of all ValidationErrors in err, separated by spaces.
 func invalidFields(err error) string {
 	var invalid ValidationErrors
 	if !errors.As(err, &invalid) {
@@ -38,7 +38,7 @@
 }
 
 func TestJobsControlPlane_load(t *testing.T) {
-	Convey("A control plane node's settings are those of the policy deployment and the section jobs", t, func() {
+	Convey("A control-plane node's settings are those of the policy deployment and the section jobs", t, func() {
 		section := `,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`
 		set, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(section)))
 		So(err, ShouldBeNil)
@@ -50,7 +50,7 @@
 		set.Control = set.Addr
 		So(invalidFields(CheckJobsControlPlane(set)), ShouldEqual, "jobs.control")
 	})
-	Convey("Every error is reported with its field, all at once", t, func() {
+	Convey("All errors are reported at once, each with its field", t, func() {
 		for _, c := range []struct{ section, fields string }{
 			{``, "jobs"},
 			{`,"jobs":7`, "jobs"},
@@ -72,19 +72,19 @@
 }
 
 func TestJobsDataPlane_load(t *testing.T) {
-	Convey("A data plane node's settings load, and errors are reported with their fields", t, func() {
-		const needed = `"name":"d1","zone":"z","region":"r","addr":"127.0.0.1:7001"`
-		set, err := LoadJobsDataPlane(writeSettings(t, `{`+needed+`,"core":["127.0.0.1:7101"],"call_timeout":"5s"}`))
+	Convey("A data-plane node's settings load, and errors are reported with their fields", t, func() {
+		const required = `"name":"d1","zone":"z","region":"r","addr":"127.0.0.1:7001"`
+		set, err := LoadJobsDataPlane(writeSettings(t, `{`+required+`,"core":["127.0.0.1:7101"],"call_timeout":"5s"}`))
 		So(err, ShouldBeNil)
 		So([]any{set.ControlPlaneAddresses(), set.CallTimeout}, ShouldResemble,
 			[]any{[]string{"127.0.0.1:7101"}, 5 * time.Second})
 		So(CheckJobsDataPlane(set), ShouldBeNil)
-		set, err = LoadJobsDataPlane(writeSettings(t, `{`+needed+`,"seeds":["127.0.0.1:7102"]}`))
+		set, err = LoadJobsDataPlane(writeSettings(t, `{`+required+`,"seeds":["127.0.0.1:7102"]}`))
 		So([]any{set.ControlPlaneAddresses(), err}, ShouldResemble, []any{[]string{"127.0.0.1:7102"}, nil})
 		for text, fields := range map[string]string{
-			`{` + needed + `}`:                                        "core",
-			`{"core":["127.0.0.1:7101"]}`:                             "name zone region addr",
-			`{` + needed + `,"core":["x"],"call_timeout":1,"hold":1}`: "core[0] core call_timeout hold",
+			`{` + required + `}`:                                        "core",
+			`{"core":["127.0.0.1:7101"]}`:                               "name zone region addr",
+			`{` + required + `,"core":["x"],"call_timeout":1,"hold":1}`: "core[0] core call_timeout hold",
 		} {
 			_, err := LoadJobsDataPlane(writeSettings(t, text))
 			So(text+" "+invalidFields(err), ShouldEqual, text+" "+fields)
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -1,12 +1,12 @@
-// Package config reads the settings of the daemons: JSON, every value checked, all validation errors reported at
-// once.
+// Package config reads the daemons' settings, which are JSON files. It validates every value and reports all
+// validation errors at once.
 //
-// For each kind of daemon there is a struct with its settings, and Default, Load and Check for it. Its method read
-// names each setting once, with its bounds; Load runs it on a file, Check on values that flags have changed. The
-// names of settings are what operators have in their files: they never change, whatever the fields are named.
+// Each kind of daemon has a struct with its settings and the functions Default, Load and Check. The struct's method
+// read names each setting once, with its bounds: Load applies it to a file, Check to values that flags have changed.
+// Operators use the names of the settings in their files, so those never change, even if a field is renamed.
 //
-// Other packages use Parse and Reader for JSON of operators that must be as strict: policy bundles, jobs'
-// configurations.
+// Other packages use Parse and Reader for JSON that operators write and that needs the same validation: policy bundles
+// and the configurations of the jobs deployment.
 package config
 
 import (
@@ -19,28 +19,29 @@
 	"crosstide/internal/errs"
 )
 
-// Reader reads the fields of one JSON object. A field that is missing or invalid leaves its target unchanged, and so
-// the default in it. Invalid fields are collected, and reported together by Parse.
+// Reader reads the fields of one JSON object. If a field is missing or invalid, its target keeps its value, which is
+// the default. Validation errors are collected and Parse reports them together.
 //
-// A Reader without an object checks the values that the targets have by the same rules; see checkSettings.
+// A Reader without an object validates the present values of the targets by the same rules; see checkSettings.
 type Reader struct {
-	path    string            // of the object; "" for the file
-	obj     *fastjson.Object  // nil: check the targets
+	path    string            // path of the object; "" is the whole file
+	obj     *fastjson.Object  // nil: validate the targets
 	seen    map[string]bool   // fields that were read or required
 	invalid *ValidationErrors // shared by the readers of one file
 }
 
+// checking reports whether the Reader validates the targets instead of reading an object.
 func (r *Reader) checking() bool { return r.obj == nil }
 
-// Parse reads data, a JSON object, with into. Fields that into does not read and fields given twice are errors too. The
-// result is nil or an errs.Settings whose text lists all; errors.As finds the ValidationErrors in it. Example:
+// Parse calls into to read data, a JSON object. Fields that into does not read and repeated fields are errors too.
+// Parse returns nil or an errs.Settings whose text lists all errors; errors.As finds the ValidationErrors. Example:
 //
 //	lease := 3 * time.Second
 //	err := config.Parse(data, func(r *config.Reader) {
 //		r.Object("sched", func(r *config.Reader) { r.Duration("lease", &lease, time.Second, time.Minute) })
 //	}) // sched.lease: must be a duration like "3s", is "3 monkeys"
 func Parse(data []byte, into func(r *Reader)) error {
-	var parser fastjson.Parser // its values live as long as it does
+	var parser fastjson.Parser // its values are valid only while it is
 	v, err := parser.ParseBytes(data)
 	if err != nil {
 		invalid := ValidationErrors{{"", "must be JSON: " + err.Error()}}
@@ -59,23 +60,23 @@
 	}
 	r := &Reader{path: path, obj: obj, seen: map[string]bool{}, invalid: invalid}
 	into(r)
-	times := map[string]int{}
+	occurrences := map[string]int{}
 	obj.Visit(func(key []byte, _ *fastjson.Value) {
 		name := string(key)
-		times[name]++
+		occurrences[name]++
 		switch {
-		case times[name] == 2:
+		case occurrences[name] == 2:
 			r.Reject(name, "is given more than once")
-		case times[name] == 1 && !r.seen[name]:
+		case occurrences[name] == 1 && !r.seen[name]:
 			r.Reject(name, "is not a known field")
 		}
 	})
 }
 
-// maxExcerpt bounds a value in a message, in characters.
+// maxExcerpt is the maximum length of a value in a message, in characters.
 const maxExcerpt = 60
 
-// excerpt returns a value as it is shown in a message.
+// excerpt returns the JSON text of v for a message, cut off after maxExcerpt characters.
 func excerpt(v *fastjson.Value) string {
 	s := v.String()
 	if r := []rune(s); len(r) > maxExcerpt {
@@ -84,8 +85,8 @@
 	return s
 }
 
-// Reject records a validation error at a field of this object; "" is the object itself. Only the first error at a field
-// is kept.
+// Reject records a validation error for a field of this object; "" is the object itself. Only the first error for a
+// field is kept.
 func (r *Reader) Reject(field, format string, args ...any) {
 	path := r.join(field)
 	if slices.ContainsFunc(*r.invalid, func(m ValidationError) bool { return m.Field == path }) {
@@ -94,6 +95,7 @@
 	*r.invalid = append(*r.invalid, ValidationError{path, fmt.Sprintf(format, args...)})
 }
 
+// join returns the path of a field of this object.
 func (r *Reader) join(field string) string {
 	if r.path == "" || field == "" {
 		return r.path + field
@@ -101,6 +103,7 @@
 	return r.path + "." + field
 }
 
+// get returns the value of a field and marks the field as read. It returns nil if the field is missing.
 func (r *Reader) get(field string) *fastjson.Value {
 	r.seen[field] = true
 	if r.checking() {
@@ -109,11 +112,11 @@
 	return r.obj.Get(field)
 }
 
-// Has reports whether a field is given. It does not count as read. A Reader without an object has no fields.
+// Has reports whether a field is given, without marking it as read. A Reader without an object has no fields.
 func (r *Reader) Has(field string) bool { return !r.checking() && r.obj.Get(field) != nil }
 
-// Names returns the names of this object's fields in the order of the text, for objects whose field names the operator
-// chooses. A name given twice is listed twice, and is an error.
+// Names returns the names of this object's fields in the order of the text. It is for objects whose field names the
+// operator chooses. A repeated name is listed each time, and is an error.
 func (r *Reader) Names() []string {
 	var names []string
 	if !r.checking() {
@@ -122,14 +125,14 @@
 	return names
 }
 
-// Renamed rejects a field that is given under its former name, and reports the present one.
+// Renamed rejects a field that is given under its old name; the message has the new name.
 func (r *Reader) Renamed(old, now string) {
 	if r.Has(old) {
 		r.Reject(old, "is now named %s", now)
 	}
 }
 
-// Require rejects each of the fields that is not given.
+// Require rejects each of the fields that is missing.
 func (r *Reader) Require(fields ...string) {
 	for _, field := range fields {
 		if r.get(field) == nil && !r.checking() {
@@ -138,7 +141,7 @@
 	}
 }
 
-// Object reads a nested object with into.
+// Object calls into to read a nested object.
 func (r *Reader) Object(field string, into func(r *Reader)) {
 	if v := r.get(field); v != nil {
 		readObject(r.join(field), v, r.invalid, into)
@@ -166,7 +169,7 @@
 	}
 }
 
-// Each reads an array of objects: it calls into with the index of each and its Reader.
+// Each calls into for each object of an array, with its index and its Reader.
 func (r *Reader) Each(field string, into func(i int, r *Reader)) {
 	i := 0
 	r.readItems(field, func(at string, v *fastjson.Value) {
@@ -175,7 +178,7 @@
 	})
 }
 
-// readItems calls each with the path and the value of every item of an array, and reports whether there is an array.
+// readItems calls each with the path and the value of every item of an array, and reports whether the field is one.
 func (r *Reader) readItems(field string, each func(at string, v *fastjson.Value)) bool {
 	v := r.get(field)
 	if v == nil {
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -11,63 +11,66 @@
 	"crosstide/internal/errs"
 )
 
-// lines returns the lines of the ValidationErrors in err, which must be errs.Settings.
-func lines(err error) []string {
-	var m ValidationErrors
+// errorLines returns the text of each ValidationError in err, which must be errs.Settings.
+func errorLines(err error) []string {
+	var invalid ValidationErrors
 	So(errs.KindOf(err), ShouldEqual, errs.Settings)
-	So(errors.As(err, &m), ShouldBeTrue)
-	So(err.Error(), ShouldContainSubstring, m.Error())
-	return strings.Split(m.Error(), "\n")
+	So(errors.As(err, &invalid), ShouldBeTrue)
+	So(err.Error(), ShouldContainSubstring, invalid.Error())
+	return strings.Split(invalid.Error(), "\n")
 }
 
 func TestReader_errors(t *testing.T) {
 	Convey("All errors of a file are reported at once, each with its field, and leave their targets unchanged", t, func() {
-		lease, n, on, names := 3*time.Second, 5, true, []string{"x"}
-		var of []int
+		lease, number, on, names := 3*time.Second, 5, true, []string{"x"}
+		var indexes []int
 		text := `{"sched":{"lease":"3 monkeys","n":99},"names":["a",4],"each":[{"k":1},{"k":"2"}],"od":0}`
 		err := Parse([]byte(text), func(r *Reader) {
 			r.Require("sched")
 			r.Object("sched", func(r *Reader) {
 				r.Duration("lease", &lease, time.Second, time.Minute)
-				r.Int("n", &n, 0, 10)
+				r.Int("n", &number, 0, 10)
 				r.Bool("on", &on)
 			})
 			r.Strings("names", &names)
-			r.Each("each", func(i int, r *Reader) { r.Int("k", &n, 0, 10); of = append(of, i) })
+			r.Each("each", func(i int, r *Reader) {
+				r.Int("k", &number, 0, 10)
+				indexes = append(indexes, i)
+			})
 		})
-		So(lines(err), ShouldResemble, []string{
+		So(errorLines(err), ShouldResemble, []string{
 			`sched.lease: must be a duration like "3s", is "3 monkeys"`,
 			`sched.n: must be from 0 to 10, is 99`,
 			`names[1]: must be a string, is 4`,
 			`each[1].k: must be a whole number, is "2"`,
 			`od: is not a known field`,
 		})
-		So([]any{lease, on, names, of}, ShouldResemble, []any{3 * time.Second, true, []string{"x"}, []int{0, 1}})
+		So([]any{lease, on, names, indexes}, ShouldResemble, []any{3 * time.Second, true, []string{"x"}, []int{0, 1}})
 	})
-	Convey("A map of addresses is read completely or not at all", t, func() {
+	Convey("A map of addresses with an invalid entry leaves its target unchanged", t, func() {
 		const a, b = "10.0.0.1:1", "10.0.0.2:2"
 		via := map[string]string{}
 		into := func(r *Reader) { r.Map("via", &via, Address) }
 		So(Parse([]byte(`{"via":{"`+a+`":"`+b+`"}}`), into), ShouldBeNil)
 		So(via, ShouldResemble, map[string]string{a: b})
-		So(lines(Parse([]byte(`{"via":{"`+a+`":7,"x":"`+b+`"}}`), into)), ShouldResemble, []string{
+		So(errorLines(Parse([]byte(`{"via":{"`+a+`":7,"x":"`+b+`"}}`), into)), ShouldResemble, []string{
 			"via." + a + ": must be a string, is 7", `via: must be an address like "10.0.0.7:7000", is "x"`})
 		So(via, ShouldResemble, map[string]string{a: b})
 	})
-	Convey("Broken JSON, wrong types, repeated and missing fields are errors", t, func() {
+	Convey("Invalid JSON, wrong types, repeated fields and missing fields are errors", t, func() {
 		into := func(r *Reader) {
 			var s string
 			r.Require("a")
 			r.Addr("a", &s)
 			r.Object("o", func(*Reader) {})
 		}
-		So(lines(Parse([]byte(`{"a":`), into))[0], ShouldStartWith, "must be JSON: ")
-		So(lines(Parse([]byte(`[]`), into)), ShouldResemble, []string{"must be an object, is []"})
-		So(lines(Parse([]byte(`{"o":1}`), into)), ShouldResemble,
+		So(errorLines(Parse([]byte(`{"a":`), into))[0], ShouldStartWith, "must be JSON: ")
+		So(errorLines(Parse([]byte(`[]`), into)), ShouldResemble, []string{"must be an object, is []"})
+		So(errorLines(Parse([]byte(`{"o":1}`), into)), ShouldResemble,
 			[]string{"a: must be given", "o: must be an object, is 1"})
-		So(lines(Parse([]byte(`{"a":"1.2.3.4:5","a":"1.2.3.4:5"}`), into)), ShouldResemble,
+		So(errorLines(Parse([]byte(`{"a":"1.2.3.4:5","a":"1.2.3.4:5"}`), into)), ShouldResemble,
 			[]string{"a: is given more than once"})
-		So(lines(Parse([]byte(`{"a":"host:5"}`), into)), ShouldResemble,
+		So(errorLines(Parse([]byte(`{"a":"host:5"}`), into)), ShouldResemble,
 			[]string{`a: must be an address like "10.0.0.7:7000", is "host:5"`})
 	})
 }
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Rule checks a value. It returns the message of its rejection, or "" if the value is valid.
+// Rule validates a value. It returns an error message, or "" if the value is valid.
 type Rule func(value string) string
 
 // NotEmpty rejects the empty string.
@@ -19,7 +19,7 @@
 	return ""
 }
 
-// OneOf allows the listed values.
+// OneOf accepts only the listed values.
 func OneOf(values ...string) Rule {
 	return func(value string) string {
 		if slices.Contains(values, value) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Address allows IP:port with a port from 1 to 65535.
+// Address accepts IP:port with a port from 1 to 65535.
 func Address(value string) string {
 	if a, err := netip.ParseAddrPort(value); err != nil || a.Port() == 0 {
 		return fmt.Sprintf("must be an address like \"10.0.0.7:7000\", is %q", value)
@@ -37,7 +37,7 @@
 	return ""
 }
 
-// Base64 allows the standard base64 of n bytes.
+// Base64 accepts the standard base64 encoding of n bytes.
 func Base64(n int) Rule {
 	return func(value string) string {
 		if b, err := base64.StdEncoding.DecodeString(value); err != nil || len(b) != n {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/errs"
 )
 
-// Bounds of what may be set. They are wide: they catch a wrong unit, not an odd choice.
+// Bounds of settings. They are wide, to reject values in a wrong unit but not unusual ones.
 const (
 	minDuration  = time.Millisecond
 	maxDuration  = time.Hour
@@ -17,17 +17,17 @@
 	maxSeeds = 3
 )
 
-// Common has the settings of all daemons. Each comment begins with the setting's name.
+// Common holds the settings that all daemons have. Each field's comment begins with the setting's name.
 type Common struct {
-	Name     string        // name: of this node, required
-	Zone     string        // zone, required
-	Region   string        // region, required
-	Addr     string        // addr: IP:port to listen at, required
-	Seeds    []string      // seeds: 1 to 3 addresses of nodes to ask for the others; none are needed beside core
+	Name     string        // name: name of this node; required
+	Zone     string        // zone: zone of this node; required
+	Region   string        // region: region of this node; required
+	Addr     string        // addr: IP:port to listen on; required
+	Seeds    []string      // seeds: 1 to 3 addresses of nodes that know the others; optional if core is given
 	LogLevel string        // log_level: debug, info, warn or error; default info
-	Grace    time.Duration // grace: time for running calls at shutdown; default 5s
+	Grace    time.Duration // grace: time for calls in flight at shutdown; default 5s
 
-	Via map[string]string // via: an address in it is dialed at the other one; for tests with faulty links
+	Via map[string]string // via: replaces a dialed address (key) by another (value); for tests with faulty links
 }
 
 func defaultCommon() Common { return Common{LogLevel: "info", Grace: 5 * time.Second} }
@@ -40,14 +40,14 @@
 	r.Addr("addr", &c.Addr)
 	r.Strings("seeds", &c.Seeds, Address)
 	if len(c.Seeds) > maxSeeds {
-		r.Reject("seeds", "must be 1 to 3 addresses, are %d", len(c.Seeds))
+		r.Reject("seeds", "must be 1 to 3 addresses, got %d", len(c.Seeds))
 	}
 	r.String("log_level", &c.LogLevel, OneOf("debug", "info", "warn", "error"))
 	r.Duration("grace", &c.Grace, 0, maxDuration)
 	r.Map("via", &c.Via, Address)
 }
 
-// load reads a settings file with into, see Parse.
+// load reads a settings file and parses it with into; see Parse.
 func load(path string, into func(r *Reader)) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -56,19 +56,19 @@
 	return errs.Pass(Parse(data, into), "%s", path)
 }
 
-// checkSettings runs into with a Reader that checks the present values of its targets, see Reader.
+// checkSettings calls into with a Reader that validates the present values of the targets; see Reader.
 func checkSettings(into func(r *Reader)) error {
 	var invalid ValidationErrors
 	into(&Reader{invalid: &invalid, seen: map[string]bool{}})
 	return errs.Wrap(invalid.orNil(), errs.Settings, "%s in the settings", invalid.count())
 }
 
-// checkUnique rejects each item with the key of an earlier one; "" is no key.
+// checkUnique rejects each item whose key equals that of an earlier item. An empty key is ignored.
 func checkUnique[T any](r *Reader, list, field string, items []T, key func(T) string) {
 	first := map[string]int{}
 	for i, item := range items {
 		k := key(item)
-		if j, twice := first[k]; twice && k != "" {
+		if j, repeated := first[k]; repeated && k != "" {
 			r.Reject(itemPath(list, i)+"."+field, "must differ from %s, both are %q", itemPath(list, j), k)
 			continue
 		}
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// String reads a string that every rule allows.
+// String reads a string that must satisfy every rule.
 func (r *Reader) String(field string, to *string, rules ...Rule) {
 	if v := r.get(field); v != nil {
 		r.readString(field, v, to, rules)
@@ -29,10 +29,11 @@
 	}
 }
 
+// checkRules rejects a value with the message of the first rule that it violates, and reports whether it is valid.
 func (r *Reader) checkRules(field, value string, rules []Rule) bool {
 	for _, rule := range rules {
-		if wrong := rule(value); wrong != "" {
-			r.Reject(field, "%s", wrong)
+		if message := rule(value); message != "" {
+			r.Reject(field, "%s", message)
 			return false
 		}
 	}
@@ -64,7 +65,7 @@
 	*to = d
 }
 
-// Int reads a whole number from least to most.
+// Int reads an integer from least to most.
 func (r *Reader) Int(field string, to *int, least, most int) {
 	n := *to
 	if v := r.get(field); v != nil {
@@ -97,7 +98,7 @@
 	*to = b
 }
 
-// Strings reads an array of strings that every rule allows. If one is invalid, the target is unchanged.
+// Strings reads an array of strings that must satisfy every rule. If one is invalid, the target is unchanged.
 func (r *Reader) Strings(field string, to *[]string, rules ...Rule) {
 	if r.checking() {
 		for i, item := range *to {
@@ -117,8 +118,8 @@
 	}
 }
 
-// Map reads an object of strings; every rule must allow its keys and its values. If one is invalid, the target is
-// unchanged.
+// Map reads an object whose values are strings. Its keys and values must satisfy every rule. If one is invalid, the
+// target is unchanged.
 func (r *Reader) Map(field string, to *map[string]string, rules ...Rule) {
 	values, errorsBefore := *to, len(*r.invalid)
 	if v := r.get(field); v != nil {
@@ -161,7 +162,7 @@
 	*to = x
 }
 
-// Time reads a point in time in the form of RFC 3339, such as "2026-12-02T08:00:00Z".
+// Time reads a time in RFC 3339 format, such as "2026-12-02T08:00:00Z".
 func (r *Reader) Time(field string, to *time.Time) {
 	v := r.get(field)
 	if v == nil {
@@ -178,7 +179,7 @@
 	r.Reject(field, "must be a time like \"2026-12-02T08:00:00Z\", is %s", excerpt(v))
 }
 
-// Ints reads an array of whole numbers from least to most. If one is invalid, the target is unchanged.
+// Ints reads an array of integers from least to most. If one is invalid, the target is unchanged.
 func (r *Reader) Ints(field string, to *[]int, least, most int) {
 	v := r.get(field)
 	if v == nil {
--- a/internal/config/values_test.go
+++ b/internal/config/values_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestReader_values(t *testing.T) {
-	Convey("Numbers, times and lists of whole numbers are read, or rejected with their field", t, func() {
+	Convey("Numbers, times and lists of integers are read, or rejected with their field", t, func() {
 		for _, c := range []struct{ text, field string }{
 			{`{"x":1.5,"at":"2026-12-02T08:00:00+01:00","list":[1,2]}`, ""},
 			{`{}`, ""},
@@ -40,7 +40,7 @@
 			}
 		}
 	})
-	Convey("The targets get the values of the file", t, func() {
+	Convey("The targets are set to the values in the file", t, func() {
 		x, at, list := 0.0, time.Time{}, []int(nil)
 		So(Parse([]byte(`{"x":1.5,"at":"2026-12-02T08:00:00+01:00","list":[1,2]}`), func(r *Reader) {
 			r.Float("x", &x, 0, 2)
@@ -49,7 +49,7 @@
 		}), ShouldBeNil)
 		So([]any{x, at, list}, ShouldResemble, []any{1.5, time.Date(2026, 12, 2, 7, 0, 0, 0, time.UTC), []int{1, 2}})
 	})
-	Convey("A reader without an object checks the number in its target", t, func() {
+	Convey("A Reader without an object validates the number in its target", t, func() {
 		x := 3.0
 		So(checkSettings(func(r *Reader) { r.Float("x", &x, 0, 2) }), ShouldNotBeNil)
 		So(checkSettings(func(r *Reader) { r.Float("x", &x, 0, 4) }), ShouldBeNil)
