--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -20,23 +20,23 @@
 
 // accountCommand returns the command for the parties' prepaid accounts.
 func accountCommand() *cli.Command {
-	credit := &cli.Int64Flag{Name: "credit", Usage: "how many `UNITS` below zero starts may reserve"}
-	after := &cli.Uint64Flag{Name: "after", Usage: "only those after this `NUMBER`"}
+	credit := &cli.Int64Flag{Name: "credit", Usage: "let starts reserve up to this many `UNITS` below zero"}
+	after := &cli.Uint64Flag{Name: "after", Usage: "only entries after this `NUMBER`"}
 	limit := &cli.IntFlag{Name: "limit", Value: 100}
 	return &cli.Command{Name: "account", Usage: "open, top up and read the prepaid accounts of parties",
 		Commands: []*cli.Command{
 			{Name: "create", Usage: "open the account of the party NAME", ArgsUsage: "NAME",
 				Flags: signedOrderFlags(credit), Action: createAccount},
-			{Name: "top-up", Usage: "add UNITS to the account NAME; sent again with the same --order it counts once",
+			{Name: "top-up", Usage: "add UNITS to the account NAME; a repeat with the same --order counts once",
 				ArgsUsage: "NAME UNITS", Flags: signedOrderFlags(), Action: topUpAccount},
 			{Name: "show", Usage: "print the account NAME", ArgsUsage: "NAME", Flags: queryFlags(),
 				Action: showAccount},
 			{Name: "list", Usage: "print every account", Flags: queryFlags(),
 				Action: queryAction("/v1/accounts", renderAccounts)},
-			{Name: "ledger", Usage: "print entries of the ledger of NAME", ArgsUsage: "NAME",
+			{Name: "ledger", Usage: "print entries of the ledger of the account NAME", ArgsUsage: "NAME",
 				Flags: queryFlags(after, limit), Action: showLedger},
-			{Name: "export", Usage: "print the ledger of NAME as CSV, with the hash of each entry", ArgsUsage: "NAME",
-				Flags: []cli.Flag{addrFlag()}, Action: exportLedger},
+			{Name: "export", Usage: "print the ledger of the account NAME as CSV, with the hash of each entry",
+				ArgsUsage: "NAME", Flags: []cli.Flag{addrFlag()}, Action: exportLedger},
 		}}
 }
 
@@ -47,12 +47,12 @@
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
-	by, err := loadOperator(cmd)
+	signer, err := loadOperator(cmd)
 	if err != nil {
 		return errs.Pass(err, "create")
 	}
 	call := internalapi.AccountCreateCall{Order: orderID(cmd), Credit: cmd.Int64("credit")}
-	call.By, call.Sig = by.sign(signature.AccountCreate(call.Order, args[0], call.Credit))
+	call.By, call.Sig = signer.sign(signature.AccountCreate(call.Order, args[0], call.Credit))
 	err = printJSONOrder(ctx, cmd, call.Order, accountPath(args[0], "/create"), call,
 		func(t table, done command.AccountCreated) {
 			t.row("account", done.Account)
@@ -69,14 +69,14 @@
 	}
 	amount, err := strconv.ParseInt(args[1], 10, 64)
 	if err != nil || amount < 1 {
-		return errs.Field(errs.Settings, "UNITS", "must be a whole number above 0, is %q", args[1])
+		return errs.Field(errs.Settings, "UNITS", "must be an integer greater than 0, is %q", args[1])
 	}
-	by, err := loadOperator(cmd)
+	signer, err := loadOperator(cmd)
 	if err != nil {
 		return errs.Pass(err, "top-up")
 	}
 	call := internalapi.TopUpCall{Key: orderID(cmd), Amount: amount}
-	call.By, call.Sig = by.sign(signature.AccountTopUp(call.Key, args[0], amount))
+	call.By, call.Sig = signer.sign(signature.AccountTopUp(call.Key, args[0], amount))
 	err = printJSONOrder(ctx, cmd, call.Key, accountPath(args[0], "/top-up"), call, func(t table, done account.TopUp) {
 		t.row("account", done.Account)
 		t.row("key", done.Key)
@@ -120,10 +120,10 @@
 	}
 }
 
-// unitsPerSecond formats a rate, which is in thousandths of a unit per second.
+// unitsPerSecond formats a rate, whose unit is a thousandth of a unit per second.
 func unitsPerSecond(rate account.Rate) string { return fmt.Sprintf("%d.%03d", rate/1000, rate%1000) }
 
-// exhaustedIn formats the time until an account is exhausted at its present rate.
+// exhaustedIn formats the time until the balance runs out at the present rate, or a dash if nothing is drawn.
 func exhaustedIn(v internalapi.AccountView) string {
 	if !v.Draws {
 		return "-"
@@ -145,12 +145,12 @@
 	for _, entry := range ledger.Entries {
 		t.row(entry.Number, formatTime(entry.At), entry.Kind, entry.Key, entry.DrawIndex, entry.Amount)
 	}
-	sum := func(name string, sum account.Checkpoint) {
-		t.row(fmt.Sprintf("%s to %d", name, sum.Number), "", "", "",
-			fmt.Sprintf("topped up %d", sum.ToppedUp), fmt.Sprintf("spent %d", sum.Spent))
+	totals := func(name string, upTo account.Checkpoint) {
+		t.row(fmt.Sprintf("%s to %d", name, upTo.Number), "", "", "",
+			fmt.Sprintf("topped up %d", upTo.ToppedUp), fmt.Sprintf("spent %d", upTo.Spent))
 	}
-	sum("compacted", ledger.Base)
-	sum("all", ledger.Head)
+	totals("compacted", ledger.Base)
+	totals("all", ledger.Head)
 }
 
 func exportLedger(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/crosstide-controlplane/bundle.go
+++ b/cmd/crosstide-controlplane/bundle.go
@@ -21,24 +21,25 @@
 
 // bundleCommand returns the command for the versions of the bundle, the policy deployment's configuration.
 func bundleCommand() *cli.Command {
-	base := &cli.Uint64Flag{Name: "base", Usage: "the `VERSION` that this is written against, the newest",
+	base := &cli.Uint64Flag{Name: "base", Usage: "the newest `VERSION`, on which the draft is based",
 		Required: true}
-	sha := &cli.StringFlag{Name: "sha", Usage: "refuse unless the bytes have this SHA-256"}
+	sha := &cli.StringFlag{Name: "sha", Usage: "sign only if the bytes have this SHA-256"}
 	limit := &cli.IntFlag{Name: "limit", Value: 50}
-	return &cli.Command{Name: "bundle", Usage: "write, sign and read the bundle", Commands: []*cli.Command{
-		{Name: "check", Usage: "print all mistakes in the bundle FILE (- for standard input)", ArgsUsage: "FILE",
-			Action: checkBundle},
+	return &cli.Command{Name: "bundle", Usage: "write, sign and read versions of the bundle", Commands: []*cli.Command{
+		{Name: "check", Usage: "validate the bundle FILE (- for standard input) and print all errors",
+			ArgsUsage: "FILE", Action: checkBundle},
 		{Name: "put", Usage: "write FILE as a draft", ArgsUsage: "FILE", Flags: signedOrderFlags(base),
 			Action: draftAction("/v1/bundles", signature.Put)},
-		{Name: "patch", Usage: "write the base, changed by the JSON merge patch in FILE, as a draft", ArgsUsage: "FILE",
-			Flags: signedOrderFlags(base), Action: draftAction("/v1/bundles/patch", signature.Patch)},
-		{Name: "sign", Usage: "sign VERSION; the second operator puts it in force", ArgsUsage: "VERSION",
+		{Name: "patch", Usage: "apply the JSON merge patch in FILE to the base and write the result as a draft",
+			ArgsUsage: "FILE", Flags: signedOrderFlags(base),
+			Action: draftAction("/v1/bundles/patch", signature.Patch)},
+		{Name: "sign", Usage: "sign VERSION; the second operator's signature puts it in force", ArgsUsage: "VERSION",
 			Flags: signedOrderFlags(sha), Action: signBundle},
 		{Name: "show",
-			Usage:     "print the exact bytes of VERSION (also: current, newest); with --json what is known of it",
+			Usage:     "print the exact bytes of VERSION (also: current, newest), or its metadata with --json",
 			ArgsUsage: "VERSION", Flags: queryFlags(), Action: showBundle},
 		{Name: "log", Usage: "list the versions, newest first", Flags: queryFlags(limit), Action: showBundleLog},
-		{Name: "diff", Usage: "print what differs between A and B", ArgsUsage: "A B", Flags: queryFlags(),
+		{Name: "diff", Usage: "print the differences between versions A and B", ArgsUsage: "A B", Flags: queryFlags(),
 			Action: diffBundles},
 	}}
 }
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// draftAction returns the action of put and patch: it posts the file as an order, and signs the order ID, the base and
+// draftAction returns the action of put and patch. It posts the file as an order and signs the order ID, the base and
 // the file's digest.
 func draftAction(path string, signedText func(order string, base uint64, digest string) string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
@@ -63,13 +64,13 @@
 		if err != nil {
 			return errs.Pass(err, "write")
 		}
-		by, err := loadOperator(cmd)
+		signer, err := loadOperator(cmd)
 		if err != nil {
 			return errs.Pass(err, "write")
 		}
 		id, base := orderID(cmd), cmd.Uint64("base")
 		query := url.Values{"order": {id}, "base": {strconv.FormatUint(base, 10)}}
-		if name, sig := by.sign(signedText(id, base, bundle.Digest(data))); name != "" {
+		if name, sig := signer.sign(signedText(id, base, bundle.Digest(data))); name != "" {
 			query.Set("by", name)
 			query.Set("sig", sig)
 		}
@@ -82,7 +83,7 @@
 	}
 }
 
-// signBundle reads the version from the node, and signs the digest of exactly the bytes that it read.
+// signBundle reads a version from the node and signs the digest of the bytes that it has read.
 func signBundle(ctx context.Context, cmd *cli.Command) error {
 	args, err := exactArgs(cmd, "VERSION")
 	if err != nil {
@@ -92,11 +93,11 @@
 	if err != nil {
 		return errs.Field(errs.Settings, "VERSION", "must be a number, is %q", args[0])
 	}
-	by, err := loadOperator(cmd)
+	signer, err := loadOperator(cmd)
 	if err != nil {
 		return errs.Pass(err, "sign")
 	}
-	if by.key == nil {
+	if signer.key == nil {
 		return errs.Field(errs.Settings, "key", "must be given")
 	}
 	path := "/v1/bundles/" + strconv.FormatUint(version, 10)
@@ -106,10 +107,10 @@
 	}
 	digest := bundle.Digest(body)
 	if want := cmd.String("sha"); want != "" && !strings.EqualFold(want, digest) {
-		return errs.Field(errs.Conflict, "sha", "version %d has %s", version, digest)
+		return errs.Field(errs.Conflict, "sha", "version %d has SHA-256 %s", version, digest)
 	}
 	order := operatorapi.Signing{Order: orderID(cmd), Digest: digest}
-	order.By, order.Sig = by.sign(signature.Bundle(version, digest))
+	order.By, order.Sig = signer.sign(signature.Bundle(version, digest))
 	err = printJSONOrder(ctx, cmd, order.Order, path+"/sign", order, func(t table, done command.BundleSigned) {
 		t.row("version", done.Version)
 		t.row("sha256", done.Digest)
@@ -132,7 +133,7 @@
 	if err != nil {
 		return errs.Pass(err, "show")
 	}
-	_, err = os.Stdout.Write(raw) // the exact bytes, without a line end
+	_, err = os.Stdout.Write(raw) // the exact bytes, without a trailing newline
 	return errs.Wrap(err, errs.Internal, "print")
 }
 
--- a/cmd/crosstide-controlplane/exitcodes.go
+++ b/cmd/crosstide-controlplane/exitcodes.go
@@ -9,16 +9,16 @@
 	"crosstide/internal/errs"
 )
 
-// Exit codes of the operators' commands, for scripts.
+// Exit codes of the operators' commands. Scripts depend on them.
 const (
-	exitOther       = 1 // any other failure, of the daemons too
-	exitUsage       = 2 // arguments, files or settings that cannot be used
-	exitConflict    = 3 // another change came first, or the order ID is that of another order
-	exitRefused     = 4 // invalid, unknown, or without the signature that it needs
-	exitUnavailable = 5 // the same command may be retried
+	exitOther       = 1 // any other failure, including those of the daemons
+	exitUsage       = 2 // invalid arguments, files or settings
+	exitConflict    = 3 // another change came first, or the order ID belongs to another order
+	exitRefused     = 4 // invalid, unknown, or without a required signature
+	exitUnavailable = 5 // temporary failure: the same command may be retried
 )
 
-// exitCodes maps kinds of errors to exit codes; exitOther is that of all other kinds.
+// exitCodes maps kinds of errors to exit codes. All other kinds have exitOther.
 var exitCodes = map[errs.Kind]int{
 	errs.Conflict: exitConflict, errs.Stale: exitConflict,
 	errs.Malformed: exitRefused, errs.Invalid: exitRefused, errs.TooLarge: exitRefused, errs.Unknown: exitRefused,
@@ -28,7 +28,7 @@
 	errs.Settings: exitUsage, errs.Disk: exitUsage,
 }
 
-// exitError is the failure of a command with the exit code for it.
+// exitError is the failure of a command with its exit code.
 type exitError struct {
 	error
 	code int
@@ -37,7 +37,7 @@
 // Unwrap returns the failure.
 func (e exitError) Unwrap() error { return e.error }
 
-// Error returns kind, field and message, without the trace of where the failure came from.
+// Error returns the kind, the field and the message of the failure, without its causes and its trace.
 func (e exitError) Error() string {
 	failure := errs.Of(e.error)
 	if failure.Field != "" {
@@ -46,7 +46,7 @@
 	return string(failure.Kind) + ": " + failure.Message
 }
 
-// withExitCodes makes all actions of the command trees return an exitError on failure, and returns the commands.
+// withExitCodes wraps every action of the command trees to return an exitError on failure. It returns the commands.
 func withExitCodes(commands ...*cli.Command) []*cli.Command {
 	for _, command := range commands {
 		withExitCodes(command.Commands...)
@@ -71,7 +71,7 @@
 	}
 }
 
-// exitCode returns the exit code for an error of the program. An error without a kind is from cli, on wrong usage.
+// exitCode returns the program's exit code for err. An error without a kind comes from package cli: wrong usage.
 func exitCode(err error) int {
 	var coded exitError
 	var failure *errs.Error
--- a/cmd/crosstide-controlplane/exitcodes_test.go
+++ b/cmd/crosstide-controlplane/exitcodes_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestExitCodes(t *testing.T) {
-	Convey("The kind of a command's error sets the exit code; its message has no trace", t, func() {
+	Convey("The exit code depends on the kind of a command's error, whose message has no trace", t, func() {
 		for kind, code := range map[errs.Kind]int{
 			errs.Conflict: 3, errs.Invalid: 4, errs.Forbidden: 4, errs.Unknown: 4,
 			errs.Unavailable: 5, errs.Timeout: 5, errs.Settings: 2, errs.Internal: 1,
--- a/cmd/crosstide-controlplane/flags.go
+++ b/cmd/crosstide-controlplane/flags.go
@@ -18,41 +18,41 @@
 	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}
 }
 
-// jobsAddrFlag returns the flag for the address of a control-plane node of the jobs deployment, which serves
-// operators at another address than other nodes.
+// jobsAddrFlag returns the flag for the control address of a control-plane node of the jobs deployment. It serves
+// operators there, and other nodes at a different address.
 func jobsAddrFlag() cli.Flag {
-	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` where any core node takes workers and operators",
+	return &cli.StringFlag{Name: "addr", Usage: "control `IP:PORT` of any control-plane node",
 		Required: true}
 }
 
 func jsonFlag() cli.Flag {
-	return &cli.BoolFlag{Name: "json", Usage: "print the answer as JSON"}
+	return &cli.BoolFlag{Name: "json", Usage: "print the response as JSON"}
 }
 
 func keyFlag() cli.Flag {
-	return &cli.StringFlag{Name: "key", Usage: "`FILE` of the operator who signs"}
+	return &cli.StringFlag{Name: "key", Usage: "key `FILE` of the operator who signs"}
 }
 
 func orderFlag() cli.Flag {
 	return &cli.StringFlag{Name: "order",
-		Usage: "`ID` of the order; drawn if it is not given. Sent again it is carried out once"}
+		Usage: "`ID` of the order (default: random); orders with the same ID are carried out once"}
 }
 
-// queryFlags returns the flags of a command that queries a node, followed by more.
+// queryFlags returns the flags of a command that queries a node, and the flags in more.
 func queryFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{addrFlag(), jsonFlag()}, more...)
 }
 
-// signedOrderFlags returns the flags of a command that sends a signed order, followed by more.
+// signedOrderFlags returns the flags of a command that sends a signed order, and the flags in more.
 func signedOrderFlags(more ...cli.Flag) []cli.Flag {
 	return queryFlags(append([]cli.Flag{keyFlag(), orderFlag()}, more...)...)
 }
 
-// exactArgs returns the arguments. Failure: Settings (there is not exactly one for each name).
+// exactArgs returns the arguments. Failure: Settings, if their number differs from that of names.
 func exactArgs(cmd *cli.Command, names ...string) ([]string, error) {
 	if cmd.NArg() != len(names) {
-		return nil, errs.Field(errs.Settings, strings.Join(names, " "), "%d arguments are needed, are %d", len(names),
-			cmd.NArg())
+		return nil, errs.Field(errs.Settings, strings.Join(names, " "), "number of arguments must be %d, is %d",
+			len(names), cmd.NArg())
 	}
 	return cmd.Args().Slice(), nil
 }
@@ -71,8 +71,8 @@
 	return data, errs.Wrap(err, errs.Disk, "file")
 }
 
-// orderID returns the ID of the flag --order, or a random one, which it prints on standard error so that the order can
-// be sent again.
+// orderID returns the value of --order, or a random ID, which it prints on standard error so that the order can be sent
+// again.
 func orderID(cmd *cli.Command) string {
 	id := cmd.String("order")
 	if id == "" {
@@ -82,7 +82,7 @@
 	return id
 }
 
-// operator signs orders. The zero value has no key and signs nothing, as the store may know no operators yet.
+// operator signs orders. The zero value has no key and does not sign, for a store that has no operators yet.
 type operator struct{ key *signature.Key }
 
 // loadOperator reads the key file named by --key; without the flag it returns the zero operator.
@@ -94,7 +94,7 @@
 	return operator{&key}, errs.Pass(err, "key")
 }
 
-// sign returns the operator's name and signature of the text, or two empty strings without a key.
+// sign returns the operator's name and its signature of text, or two empty strings without a key.
 func (o operator) sign(text string) (by, sig string) {
 	if o.key == nil {
 		return "", ""
--- a/cmd/crosstide-controlplane/golden_output_test.go
+++ b/cmd/crosstide-controlplane/golden_output_test.go
@@ -19,20 +19,20 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// program is this program, with the line that pins how a command failed.
+// program is this program. Failure formats a command's error for the golden file.
 var program = commandline.Program{
 	New:     newApp,
 	Failure: func(err error) string { return fmt.Sprintf("exit %d: %s", exitCode(err), err.Error()) },
 }
 
-// filled returns the JSON of an answer with every field set.
+// filled returns the JSON of an answer of v's type with every field set.
 func filled(v any) string {
 	lines := strings.Split(strings.TrimSpace(golden.Filled("answer", v)), "\n")
 	return strings.TrimPrefix(lines[len(lines)-1], "= ")
 }
 
-// commandCases are the operators' commands that call a node, with the answer of the node: a text, a value to be filled,
-// or nil for a command that calls none.
+// commandCases lists command lines with the answer of the node: a text, a value whose fields are then filled in, or nil
+// for a command that calls no node.
 var commandCases = []struct {
 	line   string
 	answer any
@@ -84,8 +84,8 @@
 	{"key show DIR/nokey", nil},
 }
 
-// TestGoldenOutput pins what the operators' commands send to a node and what they print, with answers that have every
-// field, answers that have none, and failures.
+// TestGoldenOutput pins the requests and the output of the operators' commands, for answers with every field, answers
+// without fields, and failures.
 func TestGoldenOutput(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "file"), []byte(`{"queues":{"default":{}}}`), 0o600); err != nil {
@@ -122,8 +122,8 @@
 	golden.Compare(t, "outputs", parts...)
 }
 
-// runAnswered runs a command line with an answer of commandCases. If the answer is a value, it runs the line again with
-// --json, and with an answer that has no field.
+// runAnswered runs a command line with an answer of commandCases. If the answer is a value, it also runs the line with
+// --json, and with an answer that has no fields.
 func runAnswered(t *testing.T, node *commandline.Node, dir, line string, answer any) []string {
 	t.Helper()
 	body, isText := answer.(string)
--- a/cmd/crosstide-controlplane/golden_test.go
+++ b/cmd/crosstide-controlplane/golden_test.go
@@ -13,12 +13,12 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenCommands pins the commands of the program.
+// TestGoldenCommands pins the program's commands and flags.
 func TestGoldenCommands(t *testing.T) {
 	golden.Compare(t, "commands", golden.MainCommands(t, main))
 }
 
-// TestGoldenExits pins the exit code of each kind of error, and of wrong usage.
+// TestGoldenExits pins the exit code of each kind of error and that of wrong usage.
 func TestGoldenExits(t *testing.T) {
 	var lines []string
 	for _, kind := range append(errs.Kinds(), "no such kind") {
@@ -34,7 +34,7 @@
 	golden.Compare(t, "exits", golden.Lines("exit codes", lines...))
 }
 
-// TestGoldenProcess pins the exit codes of the program itself, which runs in processes of its own.
+// TestGoldenProcess pins the exit codes of the program when it runs as a process.
 func TestGoldenProcess(t *testing.T) {
 	golden.Compare(t, "processes", golden.ExitCodes(t, main,
 		"", "--help", "--no-such-flag", "no-such-command", "run", "check --settings no-such-file", "who",
--- a/cmd/crosstide-controlplane/incarnations.go
+++ b/cmd/crosstide-controlplane/incarnations.go
@@ -7,9 +7,9 @@
 )
 
 // runIncarnations runs incarnations of a node, one after another, until ctx ends or one fails. The context of an
-// incarnation ends with ctx, and when removed is called: the store calls it when it finds that the node was removed
-// from the members while it was down. The node then joins again in the same process, because a process that exits by
-// itself is a failure to its supervisor.
+// incarnation ends with ctx or when removed is called. The store calls removed if it finds that the node was removed
+// from the members while it was down. The node then joins again in the same process, because its supervisor would
+// count an exit of the process as a failure.
 func runIncarnations(ctx context.Context, run func(ctx context.Context, removed func()) error) error {
 	for {
 		incarnation, cancel := context.WithCancel(ctx)
--- a/cmd/crosstide-controlplane/incarnations_test.go
+++ b/cmd/crosstide-controlplane/incarnations_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRunIncarnations(t *testing.T) {
-	Convey("A node that was removed starts another incarnation in the same process until ctx ends", t, func() {
+	Convey("A removed node starts another incarnation in the same process until ctx ends", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		incarnations := 0
 		err := runIncarnations(ctx, func(incarnation context.Context, removed func()) error {
@@ -25,7 +25,7 @@
 		So(err, ShouldBeNil)
 		So(incarnations, ShouldEqual, 4)
 	})
-	Convey("An incarnation that fails is the last one", t, func() {
+	Convey("No incarnation follows one that fails", t, func() {
 		incarnations := 0
 		err := runIncarnations(context.Background(), func(_ context.Context, removed func()) error {
 			incarnations++
--- a/cmd/crosstide-controlplane/jobs.go
+++ b/cmd/crosstide-controlplane/jobs.go
@@ -20,9 +20,9 @@
 	"crosstide/internal/store"
 )
 
-// jobsCommand returns the command for the jobs deployment: the daemon of a control-plane node, and operators' commands.
+// jobsCommand returns the command for the jobs deployment: a control-plane node's daemon and the operators' commands.
 func jobsCommand() *cli.Command {
-	return &cli.Command{Name: "jobs", Usage: "serve jobs as a core node; operators' commands for such nodes",
+	return &cli.Command{Name: "jobs", Usage: "run a control-plane node of the jobs deployment; its operators' commands",
 		Commands: append(jobsProgram().Commands(), withExitCodes(jobsCommands()...)...)}
 }
 
@@ -43,11 +43,11 @@
 	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
 		options := jobsOptions(settings, profiles, logger)
 		options.OnRemoved = removed
-		core, err := jobsnode.NewControlPlaneNode(ctx, options)
+		node, err := jobsnode.NewControlPlaneNode(ctx, options)
 		if err != nil {
-			return errs.Pass(err, "make the node")
+			return errs.Pass(err, "create the node")
 		}
-		return errs.Pass(core.Run(ctx), "incarnation")
+		return errs.Pass(node.Run(ctx), "incarnation")
 	})
 	return errs.Pass(err, "serve")
 }
@@ -65,24 +65,24 @@
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
 			jobsapi.ServeControl(control, relay, settings.CallTimeout)
 		},
-		ServeNodes: func(inner *rpc.Server, store *store.Store) {
-			serveOperators(inner, store)
-			daemon.Routes(inner, registry, store.Ready)
+		ServeNodes: func(server *rpc.Server, store *store.Store) {
+			serveOperators(server, store)
+			daemon.Routes(server, registry, store.Ready)
 			if profiles {
-				daemon.Profiles(inner)
+				daemon.Profiles(server)
 			}
 		},
 		Grace: settings.Grace, Registry: registry, Logger: logger, Version: version,
 	}
 }
 
-// serveOperators adds the operators' calls about the members of the store. A control-plane node keeps no membership
-// list, so the calls list no other nodes.
-func serveOperators(inner *rpc.Server, members *store.Store) {
-	operatorapi.Serve(inner, members, store.NameOf, func() []membership.MemberStatus { return nil })
+// serveOperators registers the operators' calls about the members of the store. A control-plane node of the jobs
+// deployment has no membership list, so these calls list no other nodes.
+func serveOperators(server *rpc.Server, members *store.Store) {
+	operatorapi.Serve(server, members, store.NameOf, func() []membership.MemberStatus { return nil })
 }
 
-// jobsScheduler maps the settings of the jobs deployment to the scheduler's.
+// jobsScheduler maps the settings of the jobs deployment to the scheduler's settings.
 func jobsScheduler(settings config.JobsScheduler) scheduler.Config {
 	config := scheduler.Defaults()
 	config.Lease, config.RenewalWait, config.SilenceTimeout = settings.Lease, settings.PollWait, settings.Silence
--- a/cmd/crosstide-controlplane/jobs_test.go
+++ b/cmd/crosstide-controlplane/jobs_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestJobsOptions(t *testing.T) {
-	Convey("The settings of a core node are mapped to its options and to the scheduler's settings", t, func() {
+	Convey("A control-plane node's settings are mapped to its options and to the scheduler's settings", t, func() {
 		settings := config.DefaultJobsControlPlane()
 		settings.Addr, settings.Control = "10.0.0.1:7100", "10.0.0.1:7200"
 		settings.Grace, settings.KeepFinished = 7*time.Second, time.Hour
--- a/cmd/crosstide-controlplane/jobscommands.go
+++ b/cmd/crosstide-controlplane/jobscommands.go
@@ -19,16 +19,16 @@
 	return []*cli.Command{
 		{Name: "config", Usage: "read or change the configuration of queues and services", Commands: []*cli.Command{
 			{Name: "get", Usage: "print the configuration in force", Flags: flags(), Action: showJobsConfig},
-			{Name: "put", Usage: "put the whole configuration in FILE (- for standard input) in force",
+			{Name: "put", Usage: "replace the whole configuration by FILE (- for standard input)",
 				ArgsUsage: "FILE", Flags: flags(), Action: jobsConfigAction(http.MethodPut)},
-			{Name: "patch", Usage: "put and remove the items in FILE (- for standard input)", ArgsUsage: "FILE",
-				Flags: flags(), Action: jobsConfigAction(http.MethodPatch)},
+			{Name: "patch", Usage: "add, replace or remove the items in FILE (- for standard input)",
+				ArgsUsage: "FILE", Flags: flags(), Action: jobsConfigAction(http.MethodPatch)},
 		}},
-		{Name: "evacuate", Usage: "no new starts in ZONE; what runs there ends there", ArgsUsage: "ZONE",
+		{Name: "evacuate", Usage: "start nothing new in ZONE; its runs continue to their end", ArgsUsage: "ZONE",
 			Flags: flags(), Action: jobsZoneAction("evacuate")},
-		{Name: "restore", Usage: "ZONE may be used again", ArgsUsage: "ZONE", Flags: flags(),
+		{Name: "restore", Usage: "allow starts in ZONE again", ArgsUsage: "ZONE", Flags: flags(),
 			Action: jobsZoneAction("restore")},
-		{Name: "topology", Usage: "print the leader and the members of the core", Flags: flags(jsonFlag()),
+		{Name: "topology", Usage: "print the leader and the members of the control plane", Flags: flags(jsonFlag()),
 			Action: queryAction("/v2/topology", renderTopology)},
 		{Name: "workers", Usage: "print every worker", Flags: flags(jsonFlag()),
 			Action: queryAction("/v2/workers", renderJobsWorkers)},
@@ -40,7 +40,7 @@
 }
 
 // jobsConfigAction returns the action that sends the file named by the argument: with PUT as the whole configuration,
-// with PATCH as a change of it.
+// with PATCH as a change to it.
 func jobsConfigAction(method string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		body, err := readFileArg(cmd)
@@ -72,10 +72,12 @@
 
 func renderJobsWorkers(t table, list jobsapi.Workers) {
 	t.row("ID", "ADDRESS", "SERVICE", "ZONE", "RACK", "LABELS", "MILLI_CPU", "MEMORY_MB", "GPUS", "RUNS", "STATE")
-	for _, w := range list.Workers {
-		t.row(w.ID, w.Address, w.Service, w.Zone, orDash(w.Rack), orDash(strings.Join(w.Labels, ",")),
-			usedOf(w.Used.MilliCPU, w.Capacity.MilliCPU), usedOf(w.Used.MemoryMB, w.Capacity.MemoryMB),
-			usedOf(w.Used.GPUs, w.Capacity.GPUs), w.Runs, w.State)
+	for _, worker := range list.Workers {
+		t.row(worker.ID, worker.Address, worker.Service, worker.Zone, orDash(worker.Rack),
+			orDash(strings.Join(worker.Labels, ",")),
+			usedOf(worker.Used.MilliCPU, worker.Capacity.MilliCPU),
+			usedOf(worker.Used.MemoryMB, worker.Capacity.MemoryMB),
+			usedOf(worker.Used.GPUs, worker.Capacity.GPUs), worker.Runs, worker.State)
 	}
 	for _, zone := range list.Evacuated {
 		t.line("evacuated", zone)
--- a/cmd/crosstide-controlplane/key.go
+++ b/cmd/crosstide-controlplane/key.go
@@ -9,12 +9,12 @@
 	"crosstide/internal/signature"
 )
 
-// keyCommand returns the command for operators' key files, which calls no node.
+// keyCommand returns the command for operators' key files. It does not call a node.
 func keyCommand() *cli.Command {
-	return &cli.Command{Name: "key", Usage: "an operator's key", Commands: []*cli.Command{
-		{Name: "new", Usage: "draw a key for the operator NAME and write it to FILE", ArgsUsage: "NAME FILE",
+	return &cli.Command{Name: "key", Usage: "generate and show operators' keys", Commands: []*cli.Command{
+		{Name: "new", Usage: "generate a key for the operator NAME and write it to FILE", ArgsUsage: "NAME FILE",
 			Action: newKey},
-		{Name: "show", Usage: "print the public part of the key in FILE, as operator_keys holds it", ArgsUsage: "FILE",
+		{Name: "show", Usage: "print the public key in FILE, as an item of operator_keys", ArgsUsage: "FILE",
 			Action: showKey},
 	}}
 }
--- a/cmd/crosstide-controlplane/main.go
+++ b/cmd/crosstide-controlplane/main.go
@@ -4,9 +4,9 @@
 // schedulers are crosstide-dataplane. In the jobs deployment (`jobs run`, and `platform` on the users' platform) it is
 // a control-plane node, in which the leader of the store runs the controller and its scheduler too.
 //
-// The program parses, checks, wires and runs; it decides nothing. Begin with policy.go, jobs.go or platform.go for a
-// deployment's daemon; every other command has a file of its name, on request.go (one call to a node) and print.go
-// (answers in columns).
+// The program parses flags and settings, connects the components and runs them; all other logic is in the internal
+// packages. The daemons are in policy.go, jobs.go and platform.go. Every other command is in a file of its name, and
+// uses request.go (one call to a node) and print.go (output in columns).
 package main
 
 import (
@@ -31,11 +31,11 @@
 func newApp() *cli.Command {
 	app := &cli.Command{
 		Name:     "crosstide-controlplane",
-		Usage:    "a member of the control store",
+		Usage:    "run a control-plane node; operators' commands",
 		Commands: append(policyProgram().Commands(), platformCommand(), jobsCommand()),
 	}
 	app.Commands = append(app.Commands, withExitCodes(keyCommand(), bundleCommand(), rolloutCommand(), zoneCommand(),
 		whoCommand(), memberCommand(), workerCommand(), accountCommand())...)
-	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the exit codes are those of exitcodes.go
+	app.ExitErrHandler = func(context.Context, *cli.Command, error) {} // main exits, with the codes of exitcodes.go
 	return app
 }
--- a/cmd/crosstide-controlplane/openstore.go
+++ b/cmd/crosstide-controlplane/openstore.go
@@ -14,9 +14,9 @@
 	"crosstide/internal/store"
 )
 
-// openStore opens the data folder of the store, and waits while the disk is full. A damaged folder may lack entries
-// that this member has acknowledged, so the node must not continue under its identity: the folder is set aside, or
-// emptied if the membership is open, and the node joins like a replaced machine.
+// openStore opens the store's data folder, and waits while the disk is full. A damaged folder may lack entries that
+// this member has acknowledged, so the node must not keep its identity. The folder is renamed, or emptied if the
+// membership is open, and the node joins like a replaced machine.
 func openStore(ctx context.Context, options store.Options, logger log.Logger) (*store.Store, error) {
 	folder := filepath.Clean(options.Settings.Data)
 	disk, err := storage.OSDisk(folder)
@@ -43,7 +43,7 @@
 	return opened, errs.Pass(err, "store")
 }
 
-// setAside renames a damaged folder, so that it can be examined, and returns an empty disk in its place.
+// setAside renames a damaged folder, so that it can be examined, and returns a disk on a new folder in its place.
 func setAside(folder string, damage error, logger log.Logger) (storage.Disk, error) {
 	aside := folder + ".damaged-" + clock.Real{}.Wall().UTC().Format("20060102T150405")
 	_ = level.Error(logger).Log("msg", "store folder damaged, set aside", "as", aside, "err", damage)
--- a/cmd/crosstide-controlplane/openstore_test.go
+++ b/cmd/crosstide-controlplane/openstore_test.go
@@ -17,8 +17,9 @@
 	"crosstide/internal/store"
 )
 
-// damaged returns a data folder with snapshots but without its log. It also has a file, other, that is not the store's.
-func damaged(t *testing.T) string {
+// damagedFolder returns a data folder that has a snapshot but no log. It also has a file, other, that is not the
+// store's.
+func damagedFolder(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
 	disk, err := storage.OSDisk(dir)
@@ -40,7 +41,7 @@
 func TestOpenStore_damagedFolder(t *testing.T) {
 	for _, openMembership := range []bool{false, true} {
 		Convey("A node with a damaged folder joins again and never bootstraps", t, func() {
-			dir := damaged(t)
+			dir := damagedFolder(t)
 			settings := config.DefaultControlPlane()
 			settings.Name, settings.Addr, settings.Data = "10.0.0.1", "10.0.0.1:7000", dir
 			settings.OpenMembership = openMembership
@@ -57,10 +58,10 @@
 			folders, err := os.ReadDir(filepath.Dir(dir))
 			So(err, ShouldBeNil)
 			_, statErr := os.Stat(filepath.Join(dir, "other"))
-			if openMembership { // only the store's own files are removed, and nothing outside of the folder is changed
+			if openMembership { // only the store's files are removed, and nothing outside of the folder changes
 				So(folders, ShouldHaveLength, 1)
 				So(statErr, ShouldBeNil)
-			} else { // the folder is set aside
+			} else { // the folder is renamed
 				So(folders, ShouldHaveLength, 2)
 				So(statErr, ShouldNotBeNil)
 			}
@@ -72,7 +73,7 @@
 	}
 	Convey("A folder that cannot be created is not treated as damaged", t, func() {
 		settings := config.DefaultControlPlane()
-		settings.Data = filepath.Join(damaged(t), "other", "data")
+		settings.Data = filepath.Join(damagedFolder(t), "other", "data")
 		_, err := openTestStore(store.Options{Settings: settings})
 		So(errs.KindOf(err), ShouldEqual, errs.Disk)
 	})
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -18,15 +18,15 @@
 	"crosstide/platform"
 )
 
-// platformCommand runs a control-plane node on the users' platform.
+// platformCommand returns the command that runs a control-plane node on the users' platform.
 func platformCommand() *cli.Command {
-	return daemon.Service[platform.Settings]{Name: "platform", Usage: "serve as a core node of the users' platform",
+	return daemon.Service[platform.Settings]{Name: "platform", Usage: "run a control-plane node on the users' platform",
 		Load: platform.LoadSettings, Serve: servePlatform,
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// servePlatform runs a control-plane node until ctx ends. changed has a value whenever the settings have changed; the
-// seeds are then read again. All other settings are read again only by a new incarnation.
+// servePlatform runs a control-plane node until ctx ends. changed receives a signal when the settings have changed;
+// only the seeds are then read again. A new incarnation of the node reads all settings again.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core, first := settings.Core(), true
 	daemon.LimitMemory(core.MemoryBytes)
@@ -35,19 +35,19 @@
 			core = newestSettings(core, logger)
 		}
 		first = false
-		options := coreOptions(core, logger)
+		options := controlPlaneOptions(core, logger)
 		options.OnRemoved = removed
-		served, err := jobsnode.NewControlPlaneNode(ctx, options)
+		node, err := jobsnode.NewControlPlaneNode(ctx, options)
 		if err != nil {
-			return errs.Pass(err, "make the node")
+			return errs.Pass(err, "create the node")
 		}
-		err = served.Run(ctx, func(ctx context.Context) { followSettings(ctx, served, changed, logger) })
+		err = node.Run(ctx, func(ctx context.Context) { followSettings(ctx, node, changed, logger) })
 		return errs.Pass(err, "incarnation")
 	})
 	return errs.Pass(err, "serve")
 }
 
-// newestSettings reads the settings again, for a new incarnation of the node. If they cannot be read the old ones stay.
+// newestSettings reads the settings again for a new incarnation of the node. If that fails, it returns the old ones.
 func newestSettings(old platform.CoreSettings, logger log.Logger) platform.CoreSettings {
 	settings, err := platform.LoadSettings()
 	if err != nil {
@@ -59,8 +59,8 @@
 	return core
 }
 
-// coreOptions maps the platform's settings to a control-plane node's options.
-func coreOptions(core platform.CoreSettings, logger log.Logger) jobsnode.ControlPlaneOptions {
+// controlPlaneOptions maps the platform's settings to a control-plane node's options.
+func controlPlaneOptions(core platform.CoreSettings, logger log.Logger) jobsnode.ControlPlaneOptions {
 	return jobsnode.ControlPlaneOptions{
 		Store: storeSettings(core), OpenStore: openStore,
 		Scheduler:    schedulerSettings(core.Scheduler, core.ContactTimeout),
@@ -77,8 +77,8 @@
 	}
 }
 
-// followSettings sets the node's seeds anew whenever the settings have changed, until ctx ends.
-func followSettings(ctx context.Context, core *jobsnode.ControlPlaneNode, changed <-chan os.Signal, logger log.Logger) {
+// followSettings updates the node's seeds whenever the settings have changed, until ctx ends.
+func followSettings(ctx context.Context, node *jobsnode.ControlPlaneNode, changed <-chan os.Signal, logger log.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -90,16 +90,16 @@
 			_ = level.Warn(logger).Log("msg", "settings reload failed, previous seeds kept", "err", err)
 			continue
 		}
-		core.SetSeeds(settings.Core().Seeds)
+		node.SetSeeds(settings.Core().Seeds)
 	}
 }
 
-// exchanger carries the platform's requests to workers over an rpc.Client.
+// exchanger sends the platform's requests to workers through an rpc.Client.
 type exchanger struct{ caller *rpc.Client }
 
 var _ platform.Exchanger = exchanger{}
 
-// Exchange sends one request to addr and returns the answer.
+// Exchange sends one request to addr and returns the response.
 func (e exchanger) Exchange(ctx context.Context, addr string, request platform.Request, timeout time.Duration,
 ) (platform.Response, error) {
 	response, err := e.caller.Do(ctx, addr, rpc.Request(request), timeout)
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -13,14 +13,14 @@
 	"crosstide/platform"
 )
 
-func TestCoreOptions(t *testing.T) {
-	Convey("The platform's settings are mapped to a core node's options", t, func() {
+func TestControlPlaneOptions(t *testing.T) {
+	Convey("The platform's settings are mapped to a control-plane node's options", t, func() {
 		core := platform.CoreSettings{
 			Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", ControlAddress: "10.1.0.10:7800",
 			Grace: 6 * time.Second, OrdersByHeartbeat: true, Descriptors: 4000,
 			Scheduler: platform.SchedulerSettings{JobRetention: time.Minute},
 		}
-		options := coreOptions(core, log.NewNopLogger())
+		options := controlPlaneOptions(core, log.NewNopLogger())
 		So(options.Store.Addr, ShouldEqual, "10.1.0.10:7720")
 		So(options.ControlAddress, ShouldEqual, "10.1.0.10:7800")
 		So(options.Grace, ShouldEqual, 5500*time.Millisecond)
@@ -32,7 +32,7 @@
 }
 
 func TestExchanger(t *testing.T) {
-	Convey("A platform request is sent over the caller, and any status is returned with its header", t, func() {
+	Convey("A request is sent through the client, and the response is returned with its header for any status", t, func() {
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		server.Route("POST /work", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Seen", r.Header.Get("X-Sent"))
--- a/cmd/crosstide-controlplane/platformsettings.go
+++ b/cmd/crosstide-controlplane/platformsettings.go
@@ -9,21 +9,21 @@
 	"crosstide/platform"
 )
 
-// Timings of the store on the platform, for a fail-over well under three seconds.
+// Timings of the store on the platform. They make a fail-over take well under three seconds.
 const (
 	platformElection  = 350 * time.Millisecond
 	platformHeartbeat = 70 * time.Millisecond
 	platformLease     = 235 * time.Millisecond
 
-	// platformSnapshotEvery is the number of log entries between two snapshots: a restart replays about twice as many
-	// at most.
+	// platformSnapshotEvery is the number of log entries between two snapshots. A restart replays at most about twice
+	// as many.
 	platformSnapshotEvery = 1000
 
-	exitMargin = 500 * time.Millisecond // the part of the platform's grace that is left for the process to exit
+	exitMargin = 500 * time.Millisecond // part of the platform's grace that is reserved for the exit of the process
 )
 
-// storeSettings maps the platform's settings of a control-plane node to the store's. The bootstrap members are the
-// seeds.
+// storeSettings maps the platform's settings of a control-plane node to the store's settings. The seeds become the
+// bootstrap members.
 func storeSettings(core platform.CoreSettings) config.ControlPlane {
 	settings := config.DefaultControlPlane()
 	settings.Name, settings.Zone, settings.Region = core.Name, core.Zone, core.Region
@@ -37,42 +37,42 @@
 	for _, seed := range core.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			continue // the settings were checked when they were read
+			continue // the settings were validated when they were read
 		}
-		// Without a zone: those of the seeds are not in the settings.
+		// No zone: the settings do not contain the zones of the seeds.
 		settings.Members = append(settings.Members, config.Member{ID: host, Addr: seed})
 	}
 	return settings
 }
 
-// minLease is the shortest lease, unless the longest one is shorter. After a loss of power at all control-plane nodes
-// no lease is renewed for a second and a half, and a worker's last renewal may be as old as a lease renewal call
-// takes: with shorter leases all runs would end then.
+// minLease is the minimum lease, unless the maximum is even shorter. After a power loss of all control-plane nodes, no
+// lease is renewed for a second and a half, and the last renewal of a worker may already be as old as a renewal call
+// takes. With shorter leases all runs would end.
 const minLease = 3 * time.Second
 
-// workerLease returns the lease of workers. It outlasts a loss of contact of contactTimeout, after which operators
-// count a machine as unreachable, plus the lease renewal that may have been in flight when contact was lost and the
-// backoff before the next one: runs of a worker that is back within that time continue. A longer lease would only delay
-// the retry of tasks whose worker is gone for good.
-func workerLease(contactTimeout, longest time.Duration, config scheduler.Config) time.Duration {
-	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, minLease), longest)
+// workerLease returns the lease of workers. It covers contactTimeout, after which operators count a machine as
+// unreachable, the renewal that may have been in flight when contact was lost, and the backoff before the next renewal:
+// the runs of a worker that is back within that time continue. A longer lease would only delay the retry of tasks whose
+// worker is gone for good.
+func workerLease(contactTimeout, maxLease time.Duration, config scheduler.Config) time.Duration {
+	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, minLease), maxLease)
 }
 
-// schedulerSettings maps the platform's bounds to the scheduler's settings.
-func schedulerSettings(bounds platform.SchedulerSettings, contactTimeout time.Duration) scheduler.Config {
+// schedulerSettings maps the platform's settings to the scheduler's settings.
+func schedulerSettings(settings platform.SchedulerSettings, contactTimeout time.Duration) scheduler.Config {
 	config := scheduler.Defaults()
-	if bounds.MaxLease > 0 {
-		config.Lease = workerLease(contactTimeout, bounds.MaxLease, config)
+	if settings.MaxLease > 0 {
+		config.Lease = workerLease(contactTimeout, settings.MaxLease, config)
 	}
 	config.RenewalWait = min(config.RenewalWait, config.Lease/3)
-	if bounds.StopTimeout > 0 {
-		config.ExpiryMargin = bounds.StopTimeout/2 + 200*time.Millisecond
+	if settings.StopTimeout > 0 {
+		config.ExpiryMargin = settings.StopTimeout/2 + 200*time.Millisecond
 	}
-	if bounds.SpreadFactor > 0 {
-		config.RemoteDataFactor = bounds.SpreadFactor
+	if settings.SpreadFactor > 0 {
+		config.RemoteDataFactor = settings.SpreadFactor
 	}
-	if bounds.HeartbeatInterval > 0 {
-		config.SilenceTimeout = bounds.HeartbeatInterval*5/2 + 250*time.Millisecond
+	if settings.HeartbeatInterval > 0 {
+		config.SilenceTimeout = settings.HeartbeatInterval*5/2 + 250*time.Millisecond
 	}
 	return config
 }
--- a/cmd/crosstide-controlplane/platformsettings_test.go
+++ b/cmd/crosstide-controlplane/platformsettings_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestWorkerLease(t *testing.T) {
-	Convey("The lease outlasts a loss of contact, a renewal and a backoff, within its bounds", t, func() {
-		for _, test := range []struct{ contactTimeout, longest, lease time.Duration }{
+	Convey("The lease covers a loss of contact, a renewal and a backoff, within its bounds", t, func() {
+		for _, test := range []struct{ contactTimeout, maxLease, lease time.Duration }{
 			{3 * time.Second, 10 * time.Second, 4500 * time.Millisecond},
 			{4 * time.Second, 6 * time.Second, 5500 * time.Millisecond},
 			{5 * time.Second, 6 * time.Second, 6 * time.Second},
@@ -21,18 +21,18 @@
 			{0, 20 * time.Second, minLease},
 			{time.Second, 2 * time.Second, 2 * time.Second},
 		} {
-			config := schedulerSettings(platform.SchedulerSettings{MaxLease: test.longest}, test.contactTimeout)
+			config := schedulerSettings(platform.SchedulerSettings{MaxLease: test.maxLease}, test.contactTimeout)
 			So(config.Lease, ShouldEqual, test.lease)
 			So(config.RenewalWait, ShouldBeLessThanOrEqualTo, config.Lease/3)
 		}
 	})
-	Convey("Without a longest lease the scheduler's own is used", t, func() {
+	Convey("Without a maximum lease the scheduler's default is used", t, func() {
 		So(schedulerSettings(platform.SchedulerSettings{}, time.Hour).Lease, ShouldEqual, scheduler.Defaults().Lease)
 	})
 }
 
 func TestStoreSettings(t *testing.T) {
-	Convey("A core node's settings are mapped to the store's, with the seeds as bootstrap members", t, func() {
+	Convey("A control-plane node's settings are mapped to the store's, with the seeds as bootstrap members", t, func() {
 		settings := storeSettings(platform.CoreSettings{
 			Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r", DataFolder: "data",
 			Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, Grace: 6 * time.Second,
--- a/cmd/crosstide-controlplane/policy.go
+++ b/cmd/crosstide-controlplane/policy.go
@@ -21,7 +21,7 @@
 
 // dataFlag returns the flag for the data folder of the store.
 func dataFlag() cli.Flag {
-	return &cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store, over the settings"}
+	return &cli.StringFlag{Name: "data", Usage: "`FOLDER` of the store; overrides the settings"}
 }
 
 // policyProgram returns the daemon's commands in the policy deployment.
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// memberSeeds returns the addresses that the membership contacts first: the seeds of the settings and the store's first
-// members.
+// memberSeeds returns the addresses that the membership contacts first: the seeds in the settings and the store's
+// bootstrap members.
 func memberSeeds(settings config.ControlPlane) []string {
 	seeds := slices.Clone(settings.Seeds)
 	for _, member := range settings.Members {
--- a/cmd/crosstide-controlplane/print.go
+++ b/cmd/crosstide-controlplane/print.go
@@ -16,7 +16,7 @@
 
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// table prints an answer in columns, aligned by the tabwriter behind out.
+// table prints an answer in columns. out is a tabwriter, which aligns them.
 type table struct{ out io.Writer }
 
 // row prints a line with one cell for each column.
@@ -30,10 +30,10 @@
 	fmt.Fprintln(t.out)
 }
 
-// line prints words separated by spaces, outside of the columns.
-func (t table) line(words ...any) { fmt.Fprintln(t.out, words...) }
+// line prints values separated by spaces, without columns.
+func (t table) line(values ...any) { fmt.Fprintln(t.out, values...) }
 
-// printAnswer prints an answer: with --json unchanged, else by render.
+// printAnswer prints an answer: unchanged with --json, else with render.
 func printAnswer[T any](cmd *cli.Command, raw []byte, render func(t table, answer T)) error {
 	if cmd.Bool("json") {
 		_, err := os.Stdout.Write(append([]byte(strings.TrimSpace(string(raw))), '\n'))
@@ -41,7 +41,7 @@
 	}
 	var answer T
 	if err := json.Unmarshal(raw, &answer); err != nil {
-		return errs.Wrap(err, errs.Malformed, "the answer")
+		return errs.Wrap(err, errs.Malformed, "invalid response")
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	render(table{out}, answer)
@@ -57,7 +57,7 @@
 	return errs.Wrap(err, errs.Internal, "print")
 }
 
-// formatTime returns a time in UTC; a dash for the zero time.
+// formatTime formats a time in UTC. It returns a dash for the zero time.
 func formatTime(at time.Time) string {
 	if at.IsZero() {
 		return "-"
@@ -73,8 +73,8 @@
 	return text
 }
 
-// joined returns words as the text of one cell.
-func joined(words []string) string { return strings.Join(words, " ") }
+// joined returns items as the text of one cell.
+func joined(items []string) string { return strings.Join(items, " ") }
 
-// usedOf formats the used part of a resource.
+// usedOf formats the usage of a resource as used/capacity.
 func usedOf[N int | int64](used, capacity N) string { return fmt.Sprintf("%d/%d", used, capacity) }
--- a/cmd/crosstide-controlplane/request.go
+++ b/cmd/crosstide-controlplane/request.go
@@ -18,31 +18,31 @@
 	"crosstide/internal/httpapi/operatorapi"
 )
 
-// requestTimeout bounds the time for which a command waits for an answer.
+// requestTimeout is the timeout of a command's request to a node.
 const requestTimeout = 10 * time.Second
 
-// doRequest sends one request to the node at --addr and returns the body of its answer. An answer with a status other
-// than 200 is returned as the error in its body, or as Unavailable if it has none.
+// doRequest sends one request to the node at --addr and returns the body of the response. If the status is not 200, it
+// returns the error in the body, or Unavailable if the body has none.
 func doRequest(ctx context.Context, cmd *cli.Command, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	addr := cmd.String("addr")
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "request")
+		return nil, errs.Wrap(err, errs.Invalid, "invalid request to %s", addr)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		var failed *url.Error // its text has the URL, whose query may contain a signature
+		var failed *url.Error // its text contains the URL, whose query may have a signature
 		if errors.As(err, &failed) {
 			err = failed.Err
 		}
-		return nil, errs.Wrap(err, errs.Unavailable, "ask %s", addr)
+		return nil, errs.Wrap(err, errs.Unavailable, "request to %s failed", addr)
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end, so a failure to close loses nothing
+	defer func() { _ = response.Body.Close() }() // the body was read to its end, so a failure to close loses nothing
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
+		return nil, errs.Wrap(err, errs.Unavailable, "reading the response of %s failed", addr)
 	}
 	if response.StatusCode != http.StatusOK {
 		failure := &errs.Error{Kind: errs.Unavailable, Message: response.Status}
@@ -52,7 +52,7 @@
 	return raw, nil
 }
 
-// printResponse sends one request and prints the answer unchanged.
+// printResponse sends one request and prints the response unchanged.
 func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body []byte) error {
 	raw, err := doRequest(ctx, cmd, method, path, body)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// printQuery gets path and prints the answer: with --json unchanged, else by render.
+// printQuery gets path and prints the answer: unchanged with --json, else with render.
 func printQuery[T any](ctx context.Context, cmd *cli.Command, path string, render func(t table, answer T)) error {
 	raw, err := doRequest(ctx, cmd, http.MethodGet, path, nil)
 	if err != nil {
@@ -71,14 +71,14 @@
 	return errs.Pass(printAnswer(cmd, raw, render), "%s", path)
 }
 
-// queryAction returns the action of a command without arguments: printQuery of path.
+// queryAction returns the action of a command without arguments, which calls printQuery with path.
 func queryAction[T any](path string, render func(t table, answer T)) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		return errs.Pass(printQuery(ctx, cmd, path, render), "query")
 	}
 }
 
-// printOrder posts an order and prints its outcome. A failure has the order's ID, under which it may be sent again.
+// printOrder posts an order and prints its outcome. An error names the order's ID, with which it can be sent again.
 func printOrder[T any](ctx context.Context, cmd *cli.Command, id, path string, body []byte,
 	render func(t table, outcome T)) error {
 	raw, err := doRequest(ctx, cmd, http.MethodPost, path, body)
@@ -98,11 +98,11 @@
 	return errs.Pass(printOrder(ctx, cmd, id, path, body, render), "order")
 }
 
-// unsignedOrderCommand returns a command that posts an order without a signature and prints the answer unchanged. args
-// has the names of the arguments, and format is the path, with a verb for each of them.
+// unsignedOrderCommand returns a command that posts an order without a signature and prints the response unchanged.
+// args has the names of the arguments, separated by spaces. format is the path, with one %s per argument.
 func unsignedOrderCommand(name, usage, args, format string) *cli.Command {
 	action := func(ctx context.Context, cmd *cli.Command) error {
-		words, err := exactArgs(cmd, strings.Fields(args)...)
+		values, err := exactArgs(cmd, strings.Fields(args)...)
 		if err != nil {
 			return errs.Pass(err, "%s", name)
 		}
@@ -111,18 +111,18 @@
 		if err != nil {
 			return errs.Wrap(err, errs.Internal, "encode the order")
 		}
-		path := fmt.Sprintf(format, escapePaths(words)...)
+		path := fmt.Sprintf(format, escapePaths(values)...)
 		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, body), "order %s", id)
 	}
 	return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: []cli.Flag{addrFlag(), orderFlag()},
 		Action: action}
 }
 
-// escapePaths escapes words for use as segments of a path, as arguments for Sprintf.
-func escapePaths(words []string) []any {
-	escaped := make([]any, len(words))
-	for i, word := range words {
-		escaped[i] = url.PathEscape(word)
+// escapePaths escapes path segments and returns them as arguments for Sprintf.
+func escapePaths(segments []string) []any {
+	escaped := make([]any, len(segments))
+	for i, segment := range segments {
+		escaped[i] = url.PathEscape(segment)
 	}
 	return escaped
 }
--- a/cmd/crosstide-controlplane/rollout.go
+++ b/cmd/crosstide-controlplane/rollout.go
@@ -11,7 +11,7 @@
 
 // rolloutCommand returns the command that prints the bundle version of every node.
 func rolloutCommand() *cli.Command {
-	return &cli.Command{Name: "rollout", Usage: "print which bundle every node has, and how long it took",
+	return &cli.Command{Name: "rollout", Usage: "print the bundle version of every node and how long its roll-out took",
 		Flags: queryFlags(), Action: queryAction("/v1/rollout", renderRollout)}
 }
 
--- a/cmd/crosstide-controlplane/zone.go
+++ b/cmd/crosstide-controlplane/zone.go
@@ -17,10 +17,10 @@
 
 // zoneCommand returns the command for the evacuation of zones.
 func zoneCommand() *cli.Command {
-	return &cli.Command{Name: "zone", Usage: "evacuate a zone, or lift that", Commands: []*cli.Command{
-		{Name: "evacuate", Usage: "no new starts in ZONE, what runs there is stopped", ArgsUsage: "ZONE",
+	return &cli.Command{Name: "zone", Usage: "evacuate a zone, or lift an evacuation", Commands: []*cli.Command{
+		{Name: "evacuate", Usage: "stop all runs in ZONE and start nothing new there", ArgsUsage: "ZONE",
 			Flags: signedOrderFlags(), Action: evacuateZone},
-		{Name: "lift", Usage: "ZONE may be used again; two operators are needed", ArgsUsage: "ZONE",
+		{Name: "lift", Usage: "allow starts in ZONE again; requires two operators", ArgsUsage: "ZONE",
 			Flags: signedOrderFlags(), Action: liftEvacuation},
 		{Name: "list", Usage: "print the evacuated zones", Flags: queryFlags(),
 			Action: queryAction("/v1/zones", renderZones)},
@@ -34,7 +34,7 @@
 	return errs.Pass(err, "evacuate")
 }
 
-// liftEvacuation signs the start time of the zone's evacuation, so that the signature cannot lift a later one.
+// liftEvacuation signs the start time of the zone's evacuation, so that the signature cannot lift a later evacuation.
 func liftEvacuation(ctx context.Context, cmd *cli.Command) error {
 	err := orderZone(ctx, cmd, "lift", func(zone, _ string) (string, error) {
 		since, err := evacuatedSince(ctx, cmd, zone)
@@ -43,14 +43,14 @@
 	return errs.Pass(err, "lift")
 }
 
-// orderZone posts a signed order for the zone named by the argument. signedText returns the text that is signed.
+// orderZone posts a signed order for the zone named by the argument. signedText returns the text to sign.
 func orderZone(ctx context.Context, cmd *cli.Command, verb string,
 	signedText func(zone, order string) (string, error)) error {
 	args, err := exactArgs(cmd, "ZONE")
 	if err != nil {
 		return errs.Pass(err, "zone")
 	}
-	by, err := loadOperator(cmd)
+	signer, err := loadOperator(cmd)
 	if err != nil {
 		return errs.Pass(err, "zone")
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return errs.Pass(err, "zone")
 	}
-	order.By, order.Sig = by.sign(text)
+	order.By, order.Sig = signer.sign(text)
 	path := "/v1/zones/" + url.PathEscape(args[0]) + "/" + verb
 	err = printJSONOrder(ctx, cmd, order.Order, path, order, func(t table, done command.ZoneEvacuation) {
 		t.row("zone", done.Zone)
@@ -69,7 +69,7 @@
 	return errs.Pass(err, "zone")
 }
 
-// evacuatedSince returns the start time of a zone's evacuation; the zero time if it is not evacuated.
+// evacuatedSince returns the start time of a zone's evacuation, or the zero time if the zone is not evacuated.
 func evacuatedSince(ctx context.Context, cmd *cli.Command, name string) (since time.Time, err error) {
 	raw, err := doRequest(ctx, cmd, http.MethodGet, "/v1/zones", nil)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	var list operatorapi.Zones
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return since, errs.Wrap(err, errs.Malformed, "zones")
+		return since, errs.Wrap(err, errs.Malformed, "invalid list of zones")
 	}
 	for _, zone := range list.Zones {
 		if zone.Zone == name {
