--- a/cmd/crosstide-dataplane/golden_output_test.go
+++ b/cmd/crosstide-dataplane/golden_output_test.go
@@ -11,13 +11,13 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// program is this program, with the line that pins how a command failed.
+// program is this program. Failure formats a command's error for the golden file.
 var program = commandline.Program{
 	New:     newApp,
 	Failure: func(err error) string { return "failed: " + err.Error() },
 }
 
-// TestGoldenOutput pins what the clients' commands ask of a node and what they print, answered and refused.
+// TestGoldenOutput pins the requests and the output of the clients' commands, for successful and failed requests.
 func TestGoldenOutput(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "file"), []byte(`{"key":"j"}`), 0o600); err != nil {
--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -15,9 +15,9 @@
 	"crosstide/internal/rpc"
 )
 
-// jobsCommand returns the command for the jobs deployment: the daemon of a data-plane node, and clients' commands.
+// jobsCommand returns the command for the jobs deployment: a data-plane node's daemon and the clients' commands.
 func jobsCommand() *cli.Command {
-	return &cli.Command{Name: "jobs", Usage: "serve jobs as a front node; clients' commands for such nodes",
+	return &cli.Command{Name: "jobs", Usage: "run a data-plane node of the jobs deployment; its clients' commands",
 		Commands: append(jobsProgram().Commands(), jobsCommands()...)}
 }
 
@@ -31,11 +31,11 @@
 
 // serveJobs runs a data-plane node until ctx ends.
 func serveJobs(ctx context.Context, settings config.JobsDataPlane, profiles bool, logger log.Logger) error {
-	front, err := jobsnode.NewDataPlaneNode(jobsOptions(settings, profiles, logger))
+	node, err := jobsnode.NewDataPlaneNode(jobsOptions(settings, profiles, logger))
 	if err != nil {
-		return errs.Pass(err, "make the node")
+		return errs.Pass(err, "create the node")
 	}
-	return errs.Pass(front.Run(ctx, nil), "serve")
+	return errs.Pass(node.Run(ctx, nil), "serve")
 }
 
 // jobsOptions maps settings to a data-plane node's options.
@@ -43,13 +43,13 @@
 	registry := daemon.Registry()
 	return jobsnode.DataPlaneOptions{
 		CoreAddresses: settings.ControlPlaneAddresses(), Via: settings.Via, Address: settings.Addr,
-		ServeClients: func(clients *rpc.Server, client *controller.Client) {
-			jobsapi.ServeClients(clients, client, settings.CallTimeout)
+		ServeClients: func(server *rpc.Server, client *controller.Client) {
+			jobsapi.ServeClients(server, client, settings.CallTimeout)
 			if profiles {
-				daemon.Profiles(clients)
+				daemon.Profiles(server)
 			}
 		},
-		ServeReady: func(asked *rpc.Server, check func() error) { daemon.Routes(asked, registry, check) },
+		ServeReady: func(server *rpc.Server, check func() error) { daemon.Routes(server, registry, check) },
 		Grace:      settings.Grace, Registry: registry, Logger: logger, Zone: settings.Zone, Version: version,
 	}
 }
--- a/cmd/crosstide-dataplane/jobs_test.go
+++ b/cmd/crosstide-dataplane/jobs_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestJobsOptions(t *testing.T) {
-	Convey("The settings of a front node are mapped to its options, with calls and readiness at one address", t, func() {
+	Convey("A data-plane node's settings are mapped to its options; one address has calls and readiness", t, func() {
 		settings := config.DefaultJobsDataPlane()
 		settings.Addr, settings.Zone, settings.Grace = "10.0.0.1:7000", "z", 7*time.Second
 		settings.Seeds = []string{"10.0.1.1:7100"}
@@ -31,7 +31,7 @@
 		options.ServeReady(server, func() error { return errs.New(errs.Unavailable, "not yet") })
 		So(server.Start(), ShouldBeNil)
 		get := func(path string) int { return send(http.MethodGet, "http://"+server.Addr()+path) }
-		So(get("/v2/queues"), ShouldEqual, http.StatusServiceUnavailable) // no core node is known
+		So(get("/v2/queues"), ShouldEqual, http.StatusServiceUnavailable) // no control-plane node is known
 		So(get("/v2/jobs/a%20b"), ShouldEqual, http.StatusUnprocessableEntity)
 		So(get("/readyz"), ShouldEqual, http.StatusServiceUnavailable)
 		So(get("/metrics"), ShouldEqual, http.StatusOK)
--- a/cmd/crosstide-dataplane/jobscommands.go
+++ b/cmd/crosstide-dataplane/jobscommands.go
@@ -13,21 +13,21 @@
 
 // jobsCommands returns the clients' commands of the jobs deployment.
 func jobsCommands() []*cli.Command {
-	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any front node", Required: true}
+	addr := &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any data-plane node", Required: true}
 	queue, state := &cli.StringFlag{Name: "queue"}, &cli.StringFlag{Name: "state"}
-	after := &cli.StringFlag{Name: "after", Usage: "page on after this `ID`"}
-	limit := &cli.IntFlag{Name: "limit", Usage: "most jobs of a page"}
+	after := &cli.StringFlag{Name: "after", Usage: "only jobs after this `ID`"}
+	limit := &cli.IntFlag{Name: "limit", Usage: "maximum number of jobs"}
 	return []*cli.Command{
-		{Name: "submit", Usage: "hand in the job in FILE (- for standard input)", ArgsUsage: "FILE",
+		{Name: "submit", Usage: "submit the job in FILE (- for standard input)", ArgsUsage: "FILE",
 			Flags: []cli.Flag{addr}, Action: submitAction("/v2/jobs")},
 		{Name: "show", Usage: "print the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr},
 			Action: jobAction(http.MethodGet)},
 		{Name: "cancel", Usage: "cancel the job ID", ArgsUsage: "ID", Flags: []cli.Flag{addr},
 			Action: jobAction(http.MethodDelete)},
-		{Name: "list", Usage: "print jobs by ID", Flags: []cli.Flag{addr, queue, state, after, limit},
+		{Name: "list", Usage: "print jobs, sorted by ID", Flags: []cli.Flag{addr, queue, state, after, limit},
 			Action: listJobs},
-		{Name: "queues", Usage: "print the queues, and how many jobs wait in each", Flags: []cli.Flag{addr},
-			Action: listQueues},
+		{Name: "queues", Usage: "print the queues and the number of waiting jobs in each",
+			Flags: []cli.Flag{addr}, Action: listQueues},
 	}
 }
 
--- a/cmd/crosstide-dataplane/main.go
+++ b/cmd/crosstide-dataplane/main.go
@@ -1,12 +1,13 @@
-// Command crosstide-dataplane is a node that takes clients' jobs, and the clients' command line.
+// Command crosstide-dataplane is a node that accepts clients' jobs, and the clients' command line.
 //
 // It runs in two deployments. In the policy deployment (`run`) each node follows the replicated store and is a
-// candidate for the scheduler role; the one that holds the role places runs and starts them on workers. In the jobs
-// deployment (`jobs run`, and `platform` on the users' platform) it is a data-plane node, which only forwards
-// clients' calls to the leader among the control-plane nodes.
+// candidate for the scheduler role; the holder of the role places runs and starts them on workers. In the jobs
+// deployment (`jobs run`, and `platform` on the users' platform) it only forwards clients' calls to the leader of the
+// control-plane nodes.
 //
-// The program parses, checks, wires and runs; it decides nothing. Begin with policy.go, jobs.go or platform.go for a
-// deployment's daemon, and with request.go for what a client's command does.
+// The program parses flags and settings, connects the components and runs them; all other logic is in the internal
+// packages. The daemons are in policy.go, jobs.go and platform.go. The clients' commands are in policycommands.go and
+// jobscommands.go, and use request.go.
 package main
 
 import (
@@ -29,6 +30,6 @@
 
 // newApp returns the program's command line: the daemons of both deployments and the clients' commands.
 func newApp() *cli.Command {
-	return &cli.Command{Name: "crosstide-dataplane", Usage: "a front node of crosstide",
+	return &cli.Command{Name: "crosstide-dataplane", Usage: "run a data-plane node; clients' commands",
 		Commands: append(policyProgram().Commands(), policyJobCommand(), platformCommand(), jobsCommand())}
 }
--- a/cmd/crosstide-dataplane/platform.go
+++ b/cmd/crosstide-dataplane/platform.go
@@ -15,31 +15,31 @@
 	"crosstide/platform"
 )
 
-// platformCommand runs a data-plane node on the users' platform.
+// platformCommand returns the command that runs a data-plane node on the users' platform.
 func platformCommand() *cli.Command {
-	return daemon.Service[platform.Settings]{Name: "platform", Usage: "serve as a front node of the users' platform",
+	return daemon.Service[platform.Settings]{Name: "platform", Usage: "run a data-plane node on the users' platform",
 		Load: platform.LoadSettings, Serve: servePlatform,
 		NodeName: func(settings platform.Settings) string { return settings.IP }}.Command()
 }
 
-// servePlatform runs a data-plane node until ctx ends, then drains it. changed has a value whenever the settings have
+// servePlatform runs a data-plane node until ctx ends, then drains it. changed receives a signal when the settings have
 // changed; the node then reads its seeds again.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
 	core := settings.Core()
 	daemon.LimitMemory(core.MemoryBytes)
-	front, err := jobsnode.NewDataPlaneNode(frontOptions(core, logger))
+	node, err := jobsnode.NewDataPlaneNode(dataPlaneOptions(core, logger))
 	if err != nil {
-		return errs.Pass(err, "make the node")
+		return errs.Pass(err, "create the node")
 	}
-	return errs.Pass(front.Run(ctx, changed), "serve")
+	return errs.Pass(node.Run(ctx, changed), "serve")
 }
 
-// frontOptions maps the platform's settings to a data-plane node's options.
-func frontOptions(core platform.CoreSettings, logger log.Logger) jobsnode.DataPlaneOptions {
+// dataPlaneOptions maps the platform's settings to a data-plane node's options.
+func dataPlaneOptions(core platform.CoreSettings, logger log.Logger) jobsnode.DataPlaneOptions {
 	return jobsnode.DataPlaneOptions{
 		CoreAddresses: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
-		ServeClients: func(clients *rpc.Server, client *controller.Client) {
-			platform.NewIngress(client).Routes(clients)
+		ServeClients: func(server *rpc.Server, client *controller.Client) {
+			platform.NewIngress(client).Routes(server)
 		},
 		ServeReady: platform.Readiness,
 		ReadSeeds: func() ([]string, error) {
--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -16,7 +16,7 @@
 	"crosstide/platform"
 )
 
-// startLeader starts a stand-in for a control-plane node that answers every call about a job with the state cancelled.
+// startLeader starts a fake control-plane node that answers every call about a job with the state cancelled.
 func startLeader() *rpc.Server {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	rpc.Handle(server, controller.JobEndpoint, func(context.Context, controller.JobCall) (controller.JobAnswer, error) {
@@ -26,7 +26,7 @@
 	return server
 }
 
-// send makes a request and returns the answer's status.
+// send sends a request and returns the status of the response.
 func send(method, url string) int {
 	request, err := http.NewRequest(method, url, nil)
 	So(err, ShouldBeNil)
@@ -37,14 +37,14 @@
 	return response.StatusCode
 }
 
-func TestFrontOptions(t *testing.T) {
-	Convey("A front node with the platform's settings forwards clients' calls and reports its readiness", t, func() {
+func TestDataPlaneOptions(t *testing.T) {
+	Convey("A data-plane node on the platform forwards clients' calls and reports its readiness", t, func() {
 		leader := startLeader()
 		core := platform.CoreSettings{
 			ClientAddress: "10.0.0.1:80", ReadyAddress: "10.0.0.1:81", Seeds: []string{leader.Addr()},
 			Zone: "z", Grace: 3 * time.Second, Descriptors: 4000,
 		}
-		options := frontOptions(core, log.NewNopLogger())
+		options := dataPlaneOptions(core, log.NewNopLogger())
 		So(options.CoreAddresses, ShouldResemble, core.Seeds)
 		So(options.Address, ShouldEqual, core.ClientAddress)
 		So(options.ReadyAddress, ShouldEqual, core.ReadyAddress)
@@ -67,9 +67,9 @@
 		So(server.Stop(time.Minute), ShouldBeNil)
 		So(leader.Stop(time.Minute), ShouldBeNil)
 	})
-	Convey("Reading the seeds from settings that cannot be read fails", t, func() {
+	Convey("Reading the seeds fails if the settings cannot be read", t, func() {
 		t.Setenv("CROSSTIDE_SETTINGS", "")
-		_, err := frontOptions(platform.CoreSettings{}, log.NewNopLogger()).ReadSeeds()
+		_, err := dataPlaneOptions(platform.CoreSettings{}, log.NewNopLogger()).ReadSeeds()
 		So(errs.KindOf(err), ShouldEqual, errs.Settings)
 	})
 }
--- a/cmd/crosstide-dataplane/policy.go
+++ b/cmd/crosstide-dataplane/policy.go
@@ -38,7 +38,7 @@
 	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: settings.CallTimeout, DialOverrides: settings.Via,
 		Logger: daemon.Part(logger, "caller"), Registry: registry})
 	defer caller.Close()
-	// The kernel must not resend a start order after the lease has expired: its timeout is well inside the margin.
+	// The kernel must not resend a start order after the role lease has expired: its timeout is half of the margin.
 	workerCaller := rpc.NewClient(rpc.ClientOptions{UserTimeout: settings.LeaseMargin / 2, DialOverrides: settings.Via,
 		DialTimeout: time.Second, Logger: daemon.Part(logger, "worker-caller"), Registry: registry})
 	defer workerCaller.Close()
@@ -66,7 +66,7 @@
 	return errs.Pass(nodeLifecycle(settings, server, node, members, logger).Run(ctx), "run")
 }
 
-// nodeOptions maps settings to a node's options, but for the incarnation ID and the callers.
+// nodeOptions maps settings to a node's options, except for the incarnation ID and the callers.
 func nodeOptions(settings config.DataPlane, logger log.Logger) dataplane.Options {
 	controlPlanes := settings.ControlPlanes
 	if len(controlPlanes) == 0 {
@@ -77,7 +77,7 @@
 		Clock: clock.Real{}, Logger: daemon.Part(logger, "dataplane")}
 }
 
-// schedulerConfig maps settings to the scheduler's.
+// schedulerConfig maps settings to the scheduler's settings.
 func schedulerConfig(settings config.DataPlane) scheduler.Config {
 	config := scheduler.DefaultConfig()
 	config.RunLease, config.PollWait, config.StartWindow = settings.RunLease, settings.PollWait, settings.StartWindow
@@ -86,7 +86,7 @@
 	return config
 }
 
-// nodeLifecycle returns the steps in which a node starts and ends: it steps down from the scheduler role before it
+// nodeLifecycle returns the steps in which a node starts and stops. It steps down from the scheduler role before it
 // leaves the membership.
 func nodeLifecycle(settings config.DataPlane, server *rpc.Server, node *dataplane.Node, members *membership.Node,
 	logger log.Logger) daemon.Lifecycle {
--- a/cmd/crosstide-dataplane/policy_test.go
+++ b/cmd/crosstide-dataplane/policy_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestNodeOptions(t *testing.T) {
-	Convey("The settings of a data-plane node are mapped to its options and the scheduler's settings", t, func() {
+	Convey("A data-plane node's settings are mapped to its options and to the scheduler's settings", t, func() {
 		settings := config.DefaultDataPlane()
 		settings.Name, settings.Addr, settings.QueueLimit = "d1", "10.0.0.1:7000", 17
 		settings.CallTimeout, settings.RunLease, settings.PollWait = time.Second, 2*time.Second, 3*time.Second
@@ -25,7 +25,7 @@
 			[]time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second})
 		So(got.Health.MaxShare, ShouldEqual, 0.25)
 	})
-	Convey("The control-plane nodes are those of the settings, or else the seeds", t, func() {
+	Convey("The control-plane nodes come from core in the settings, or from seeds if core is empty", t, func() {
 		settings := config.DefaultDataPlane()
 		settings.Seeds = []string{"10.0.1.1:7000"}
 		So(nodeOptions(settings, log.NewNopLogger()).ControlPlanes, ShouldResemble, settings.Seeds)
--- a/cmd/crosstide-dataplane/request.go
+++ b/cmd/crosstide-dataplane/request.go
@@ -15,27 +15,27 @@
 	"crosstide/internal/errs"
 )
 
-// requestTimeout bounds the time for which a command waits for an answer.
+// requestTimeout is the timeout of a command's request to a node.
 const requestTimeout = 10 * time.Second
 
-// printResponse sends one request to the node at --addr and prints the answer unchanged. An answer with a status of 300
-// or above is an error.
+// printResponse sends one request to the node at --addr and prints the response unchanged. A status of 300 or above is
+// an error.
 func printResponse(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	addr := cmd.String("addr")
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
 	if err != nil {
-		return errs.Wrap(err, errs.Invalid, "request")
+		return errs.Wrap(err, errs.Invalid, "invalid request to %s", addr)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errs.Wrap(err, errs.Unavailable, "%s", addr)
+		return errs.Wrap(err, errs.Unavailable, "request to %s failed", addr)
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end, so a failure to close loses nothing
+	defer func() { _ = response.Body.Close() }() // the body was read to its end, so a failure to close loses nothing
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errs.Wrap(err, errs.Unavailable, "answer of %s", addr)
+		return errs.Wrap(err, errs.Unavailable, "reading the response of %s failed", addr)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return errs.New(errs.Invalid, "%s: %s", response.Status, bytes.TrimSpace(data))
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// submitAction returns the action that posts the job in the file named by the argument; - is standard input.
+// submitAction returns the action that posts the job in the file named by the argument, where - is standard input.
 func submitAction(path string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		body := io.Reader(os.Stdin)
@@ -53,14 +53,14 @@
 			if err != nil {
 				return errs.Wrap(err, errs.Invalid, "job file")
 			}
-			defer func() { _ = file.Close() }() // it was only read
+			defer func() { _ = file.Close() }() // the file is only read, so a failure to close loses nothing
 			body = file
 		}
-		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, body), "hand in a job")
+		return errs.Pass(printResponse(ctx, cmd, http.MethodPost, path, body), "submit the job")
 	}
 }
 
-// setFlags returns a query with the named flags that are set.
+// setFlags returns a query with those of the named flags that are set.
 func setFlags(cmd *cli.Command, names ...string) url.Values {
 	query := url.Values{}
 	for _, name := range names {
