--- a/cmd/crosstide-testbed/audit.go
+++ b/cmd/crosstide-testbed/audit.go
@@ -10,18 +10,19 @@
 )
 
 const auditDescription = "crosstide-testbed audit DIR\n\n" +
-	"Reads DIR/journal/*.jsonl and, if the fleet is up, asks its dplanes for accepted jobs. Prints a line per\n" +
-	"promise: held and the number of cases, broken with the offending lines, or not exercised. Exit 1 on broken."
+	"Reads DIR/journal/*.jsonl and, if the fleet is running, asks its data-plane nodes for accepted jobs.\n" +
+	"Prints one line per invariant: held with the number of cases, broken with the violations, or not\n" +
+	"exercised. Exits with 1 if an invariant is broken."
 
 func auditCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "audit",
-		Usage:       "check the promises against the journals of a fleet",
+		Usage:       "check the invariants against the journals of a fleet",
 		Description: auditDescription,
 		ArgsUsage:   "DIR",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "json", Usage: "print the findings as one JSON list"},
-			&cli.IntFlag{Name: "shown", Value: 10, Usage: "offending lines shown per promise"},
+			&cli.BoolFlag{Name: "json", Usage: "print the findings as a JSON array"},
+			&cli.IntFlag{Name: "shown", Value: 10, Usage: "maximum number of violations printed per invariant"},
 		},
 		Action: runAudit,
 	}
@@ -29,7 +30,7 @@
 
 func runAudit(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return exitCode{errs.Field(errs.Settings, "DIR", "one is needed"), exitUsage}
+		return exitCode{errs.Field(errs.Settings, "DIR", "exactly one argument is required"), exitUsage}
 	}
 	findings, err := audit.CheckFleet(ctx, cmd.Args().First())
 	if err != nil {
@@ -44,7 +45,7 @@
 		return errs.Pass(err, "audit")
 	}
 	if !audit.NoneViolated(findings) {
-		return exitCode{errs.New(errs.Internal, "a promise is broken"), exitViolated}
+		return exitCode{errs.New(errs.Internal, "an invariant was violated"), exitViolated}
 	}
 	return nil
 }
--- a/cmd/crosstide-testbed/balances.go
+++ b/cmd/crosstide-testbed/balances.go
@@ -12,20 +12,21 @@
 )
 
 const balancesDescription = "crosstide-testbed balances --fleet DIR [--rate 8]\n\n" +
-	"Puts a paying party into the bundle and offers its jobs, two lasting ones and jobs that nobody pays for. The\n" +
-	"party runs dry three times: the leader is killed at the last draw and while a top-up is sent, a top-up is sent\n" +
-	"again, a lasting task's minion is killed, the leader is cut off (if the fleet has links) and a member loses" +
-	" its\n" +
-	"data. Prints one JSON object, the audit's lines to the standard error. Exit 1 if something was amiss."
+	"Adds a paying party to the bundle and submits its jobs, two of them long-running, and jobs that nobody\n" +
+	"pays for. The party's balance runs out three times. The leader is killed at the last draw and while a\n" +
+	"top-up is sent, a top-up is repeated, the minion of a long-running task is killed, the leader is\n" +
+	"isolated (if the fleet has links) and a member loses its data. Prints one JSON object, and the audit on\n" +
+	"standard error. Exits with 1 if an invariant was violated."
 
 func balancesCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "balances",
-		Usage:       "run a paying party dry under load, with the leader killed at its draws and top-ups, then audit",
+		Usage:       "exhaust a paying party's balance under load and faults, then audit",
 		Description: balancesDescription,
 		Flags: []cli.Flag{
 			fleetFlag(),
-			&cli.FloatFlag{Name: "rate", Value: 8, Usage: "jobs per second of the party, and as many of others"},
+			&cli.FloatFlag{Name: "rate", Value: 8,
+				Usage: "jobs per second of the party, and of the jobs that nobody pays for"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			scriptFlag(),
 		},
@@ -52,7 +53,7 @@
 		return errs.Pass(err, "balances")
 	}
 	if !report.IsClean() {
-		return exitCode{errs.New(errs.Internal, "something was amiss"), exitViolated}
+		return exitCode{errs.New(errs.Internal, "an invariant was violated"), exitViolated}
 	}
 	return nil
 }
--- a/cmd/crosstide-testbed/bench.go
+++ b/cmd/crosstide-testbed/bench.go
@@ -11,8 +11,9 @@
 )
 
 const benchDescription = "crosstide-testbed bench --fleet DIR --rates 100,200,400 --tasks 5 --for 5s\n\n" +
-	"One load after another, each of no-op tasks; prints a table: jobs and starts per second, accept and start\n" +
-	"percentiles, tickets per sync of the store's leader, and processor time of the leader and of the holder of sched."
+	"Runs one load of no-op tasks per rate and prints a table: jobs and starts per second, percentiles of the\n" +
+	"accept and start latency, tickets (run IDs) per sync of the store's leader, and processor time of the\n" +
+	"store's leader and of the scheduler."
 
 func benchCommand() *cli.Command {
 	return &cli.Command{
@@ -21,9 +22,9 @@
 		Description: benchDescription,
 		Flags: []cli.Flag{fleetFlag(),
 			&cli.FloatSliceFlag{Name: "rates", Value: []float64{50, 100, 200, 400, 800}, Usage: "jobs per second"},
-			&cli.IntFlag{Name: "tasks", Value: 5, Usage: "per job"},
-			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "of each rate"},
-			&cli.DurationFlag{Name: "wait", Value: 30 * time.Second, Usage: "for the ends"},
+			&cli.IntFlag{Name: "tasks", Value: 5, Usage: "tasks per job"},
+			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "duration of the load at each rate"},
+			&cli.DurationFlag{Name: "wait", Value: 30 * time.Second, Usage: "how long to wait for jobs to end"},
 		},
 		Action: runBench,
 	}
@@ -39,11 +40,11 @@
 	}
 	options := bench.Options{Dir: cmd.String("fleet"), Rates: cmd.FloatSlice("rates"), Tasks: cmd.Int("tasks"),
 		Duration: cmd.Duration("for"), EndTimeout: cmd.Duration("wait")}
-	return errs.Pass(bench.Run(ctx, options, func(r bench.Row) error {
-		jobs := r.Load
+	return errs.Pass(bench.Run(ctx, options, func(row bench.Row) error {
+		jobs := row.Load
 		err := printf(cmd, "| %.0f | %d | %d | %.0f | %.1f / %.1f | %.1f / %.1f | %.0f | %.1f | %.0f | %.0f |\n",
-			r.Rate, jobs.Accepted, jobs.Done, jobs.StartsPerS, jobs.Accept.P50, jobs.Accept.P99, jobs.ToStart.P50,
-			jobs.ToStart.P99, r.SyncsPerSecond, r.RunIDsPerSync, r.LeaderCPU, r.SchedulerCPU)
+			row.Rate, jobs.Accepted, jobs.Done, jobs.StartsPerS, jobs.Accept.P50, jobs.Accept.P99, jobs.ToStart.P50,
+			jobs.ToStart.P99, row.SyncsPerSecond, row.RunIDsPerSync, row.LeaderCPU, row.SchedulerCPU)
 		return errs.Pass(err, "row")
 	}), "bench")
 }
--- a/cmd/crosstide-testbed/churn.go
+++ b/cmd/crosstide-testbed/churn.go
@@ -13,25 +13,26 @@
 )
 
 const churnDescription = "crosstide-testbed churn --fleet DIR --profile lubra|mamlaka --for 5m [--seed 1]\n\n" +
-	"The work of the deployment; two operators who change bundles and race; and, one after the other at random:\n" +
-	"a node killed and started again, a node frozen, minions drained by order and by themselves, a zone\n" +
-	"evacuated and lifted, a mass of cancels. Prints one JSON object; the audit goes to the standard error.\n" +
-	"Exit 1 if a promise is broken, or an accepted job is unknown or unfinished."
+	"Runs the load of a deployment while two operators change bundles and race. Faults follow one another at\n" +
+	"random: a node is killed and restarted, a node is frozen, minions drain by order or independently, a\n" +
+	"zone is evacuated and the evacuation lifted, many jobs are cancelled. Prints one JSON object, and the\n" +
+	"audit on standard error. Exits with 1 if an invariant was violated, or an accepted job is unknown or has\n" +
+	"not ended."
 
 func churnCommand() *cli.Command {
 	return &cli.Command{
-		Name: "churn", Usage: "a deployment's work with rolling faults and operators at work, then the audit",
+		Name: "churn", Usage: "run a deployment's load with random faults and active operators, then audit",
 		Description: churnDescription,
 		Flags: []cli.Flag{fleetFlag(),
 			&cli.StringFlag{Name: "profile", Value: "lubra"},
-			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "of the profile's rates"},
+			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor on the profile's rates"},
 			&cli.DurationFlag{Name: "for", Value: time.Minute},
-			&cli.DurationFlag{Name: "wait", Value: time.Minute, Usage: "for the ends"},
+			&cli.DurationFlag{Name: "wait", Value: time.Minute, Usage: "how long to wait for jobs to end"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.DurationFlag{Name: "every", Value: 2 * time.Second,
-				Usage: "from the end of a fault to the next, on average"},
+				Usage: "mean time from the end of a fault to the next"},
 			&cli.DurationFlag{Name: "changes", Value: 2 * time.Second,
-				Usage: "from a change of bundle to the next, on average; 0: none"},
+				Usage: "mean time between two changes of the bundle; 0: none"},
 			scriptFlag(),
 			&cli.StringSliceFlag{Name: "only",
 				Usage: "kinds of faults: kill, freeze, drain, leave, evacuate, cancel (default: all)"},
@@ -71,12 +72,12 @@
 	}
 	for kind, jobs := range report.Work {
 		if jobs.Unknown+jobs.Unfinished > 0 {
-			err := errs.New(errs.Internal, "%s: %d jobs unknown, %d unfinished", kind, jobs.Unknown, jobs.Unfinished)
+			err := errs.New(errs.Internal, "%s: %d jobs unknown, %d not ended", kind, jobs.Unknown, jobs.Unfinished)
 			return exitCode{err, exitViolated}
 		}
 	}
 	if !audit.NoneViolated(findings) {
-		return exitCode{errs.New(errs.Internal, "a promise is broken"), exitViolated}
+		return exitCode{errs.New(errs.Internal, "an invariant was violated"), exitViolated}
 	}
 	return nil
 }
--- a/cmd/crosstide-testbed/command.go
+++ b/cmd/crosstide-testbed/command.go
@@ -15,13 +15,13 @@
 	"crosstide/internal/testbed/faults"
 )
 
-// Exit codes beside 0 and the 1 of any failure.
+// Exit codes besides 0 for success. Every other failure exits with 1.
 const (
-	exitViolated = 1 // an invariant is violated, or something else was amiss
+	exitViolated = 1 // an invariant was violated, or another check failed
 	exitUsage    = 2 // a flag or an argument is wrong
 )
 
-// exitCode is an error that ends the program with the given exit code, after its message.
+// exitCode is an error with the exit code that the program ends with.
 type exitCode struct {
 	error
 	code int
@@ -30,26 +30,26 @@
 // ExitCode implements cli.ExitCoder.
 func (e exitCode) ExitCode() int { return e.code }
 
-// Unwrap returns the error.
+// Unwrap returns the error without the exit code.
 func (e exitCode) Unwrap() error { return e.error }
 
-// interruptible returns a context that ends with SIGINT or SIGTERM.
+// interruptible returns a context that ends with ctx, or on SIGINT or SIGTERM.
 func interruptible(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 }
 
-// fleetFlag returns the flag for the folder of a command's fleet.
+// fleetFlag returns the flag for the folder of the fleet.
 func fleetFlag() cli.Flag {
 	return &cli.StringFlag{Name: "fleet", Usage: "`DIR` of the fleet", Required: true}
 }
 
-// scriptFlag returns the flag for the script that openFleet uses.
+// scriptFlag returns the flag for the path of scripts/fleet, which openFleet needs.
 func scriptFlag() cli.Flag {
 	return &cli.StringFlag{Name: "script",
-		Usage: "scripts/`fleet`, which starts processes again (default: beside this program's folder)"}
+		Usage: "path of scripts/`fleet`, which restarts processes (default: next to this program's folder)"}
 }
 
-// openFleet opens the fleet that a command's flags name, to inject faults into.
+// openFleet opens the fleet that --fleet names, for the injection of faults.
 func openFleet(cmd *cli.Command) (*faults.Target, error) {
 	script := cmd.String("script")
 	if script == "" {
@@ -59,7 +59,7 @@
 	return target, errs.Pass(err, "fleet")
 }
 
-// binDir returns the folder of this program, where the other programs are, too.
+// binDir returns the folder of this program, which also has the other programs.
 func binDir() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -68,7 +68,7 @@
 	return filepath.Dir(self)
 }
 
-// printJSON prints one value as a line of JSON.
+// printJSON prints v as one line of JSON.
 func printJSON(cmd *cli.Command, v any) error {
 	return errs.Wrap(json.NewEncoder(cmd.Root().Writer).Encode(v), errs.Disk, "print")
 }
@@ -79,7 +79,7 @@
 	return errs.Wrap(err, errs.Disk, "print")
 }
 
-// setFlag sets *to from a flag, if it was given.
+// setFlag sets *to from a flag if the flag is given.
 func setFlag[T any](cmd *cli.Command, name string, to *T, get func(string) T) {
 	if cmd.IsSet(name) {
 		*to = get(name)
--- a/cmd/crosstide-testbed/cut.go
+++ b/cmd/crosstide-testbed/cut.go
@@ -11,31 +11,32 @@
 
 const cutDescription = "crosstide-testbed cut --fleet DIR (--node NAME|--zone Z) --for 25s" +
 	" [--silent|--oneway|--slow 300ms|--late]\n\n" +
-	"Only the links between the node (or zone) and all others are touched; clients and operators still reach\n" +
-	"it. The cut heals by itself, this command does not wait for it. No connection is reset before it heals.\n" +
-	"With --late, held back orders of one that has gone on since arrive at the end: a minion that obeys late\n" +
-	"orders is promised that none is later than `lateness` of the dplanes' settings."
+	"Only the links between the node (or zone) and all others are affected; clients and operators still reach\n" +
+	"it. The fault ends after --for; this command does not wait for it. No connection is reset before the\n" +
+	"end. With --late, orders arrive at the end even if their sender has continued since. A minion of\n" +
+	"kind obey carries out late orders and relies on none being later than `lateness` in the data-plane\n" +
+	"nodes' settings."
 
 func cutCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cut", Usage: "make the links to a node or a zone lose, slow down or hold back what they carry",
+		Name: "cut", Usage: "drop, slow down or hold back the traffic on the links to a node or a zone",
 		Description: cutDescription,
 		Flags: []cli.Flag{
 			fleetFlag(),
 			&cli.StringFlag{Name: "node"},
 			&cli.StringFlag{Name: "zone"},
 			&cli.DurationFlag{Name: "for", Required: true},
-			&cli.BoolFlag{Name: netproxy.Blackhole, Usage: "swallow all (the default)"},
-			&cli.BoolFlag{Name: netproxy.OneWayBlackhole, Usage: "swallow what the node or zone sends"},
-			&cli.DurationFlag{Name: netproxy.AddLatency, Usage: "let all arrive `D` later"},
-			&cli.BoolFlag{Name: netproxy.Stall, Usage: "hold all back until the end"},
+			&cli.BoolFlag{Name: netproxy.Blackhole, Usage: "drop everything (the default)"},
+			&cli.BoolFlag{Name: netproxy.OneWayBlackhole, Usage: "drop everything that the node or zone sends"},
+			&cli.DurationFlag{Name: netproxy.AddLatency, Usage: "deliver everything `D` later"},
+			&cli.BoolFlag{Name: netproxy.Stall, Usage: "hold everything back until the end"},
 		},
 		Action: runCut,
 	}
 }
 
 func runCut(ctx context.Context, cmd *cli.Command) error {
-	fault, err := faultOf(cmd)
+	fault, err := faultFromFlags(cmd)
 	if err != nil {
 		return exitCode{err, exitUsage}
 	}
@@ -54,8 +55,9 @@
 	return errs.Pass(err, "cut")
 }
 
-// faultOf returns the fault that the flags select; each kind of fault has a flag of its name. Failure: Settings.
-func faultOf(cmd *cli.Command) (netproxy.Fault, error) {
+// faultFromFlags returns the fault that the flags select. Each kind of fault has a flag of its name. Failure: Settings,
+// if more than one of them is set.
+func faultFromFlags(cmd *cli.Command) (netproxy.Fault, error) {
 	fault := netproxy.Fault{Node: cmd.String("node"), Zone: cmd.String("zone"), For: cmd.Duration("for"),
 		Kind: netproxy.Blackhole, Delay: cmd.Duration(netproxy.AddLatency)}
 	given := 0
@@ -66,7 +68,7 @@
 		}
 	}
 	if given > 1 {
-		return fault, errs.Field(errs.Settings, "how", "only one of them may be given")
+		return fault, errs.Field(errs.Settings, "how", "only one of --silent, --oneway, --slow and --late may be given")
 	}
 	return fault, nil
 }
--- a/cmd/crosstide-testbed/disk.go
+++ b/cmd/crosstide-testbed/disk.go
@@ -13,10 +13,10 @@
 func diskCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "disk",
-		Usage: "measure how many syncs a second the disk gives, as the store does them",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "data", Required: true, Usage: "a new `FOLDER`, left behind"},
+		Usage: "measure the disk's syncs per second, with the writes of the store's log",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "data", Required: true, Usage: "a new `FOLDER`, which is not removed"},
 			&cli.DurationFlag{Name: "for", Value: 2 * time.Second},
-			&cli.IntFlag{Name: "bytes", Value: 256, Usage: "of a record"}},
+			&cli.IntFlag{Name: "bytes", Value: 256, Usage: "size of a record"}},
 		Action: runDisk,
 	}
 }
--- a/cmd/crosstide-testbed/freeze.go
+++ b/cmd/crosstide-testbed/freeze.go
@@ -9,11 +9,12 @@
 )
 
 const freezeDescription = "crosstide-testbed freeze --fleet DIR --node NAME --for 25s\n\n" +
-	"SIGSTOP, then SIGCONT; also when this command is told to end. Journaled to DIR/journal/drill-freeze-NAME.jsonl."
+	"Sends SIGSTOP, and SIGCONT after --for or when this command is interrupted. Both are recorded in\n" +
+	"DIR/journal/drill-freeze-NAME.jsonl."
 
 func freezeCommand() *cli.Command {
 	return &cli.Command{
-		Name: "freeze", Usage: "stop a process for a while, as a machine that hangs, and let it go on",
+		Name: "freeze", Usage: "stop a process for a while, like a machine that hangs, then continue it",
 		Description: freezeDescription,
 		Flags: []cli.Flag{fleetFlag(), &cli.StringFlag{Name: "node", Required: true},
 			&cli.DurationFlag{Name: "for", Required: true}},
--- a/cmd/crosstide-testbed/golden_test.go
+++ b/cmd/crosstide-testbed/golden_test.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenCommands pins the commands of the program.
+// TestGoldenCommands pins the program's commands and flags.
 func TestGoldenCommands(t *testing.T) {
 	golden.Compare(t, "commands", golden.MainCommands(t, main))
 }
 
-// TestGoldenProcess pins the exit codes of the program, which it runs as a process.
+// TestGoldenProcess pins the exit codes of the program when it runs as a process.
 func TestGoldenProcess(t *testing.T) {
 	golden.Compare(t, "processes", golden.ExitCodes(t, main,
 		"", "--help", "--no-such-flag", "no-such-command", "audit --no-such-flag", "no-such-command --help"))
--- a/cmd/crosstide-testbed/jobs.go
+++ b/cmd/crosstide-testbed/jobs.go
@@ -17,17 +17,18 @@
 )
 
 const jobsDescription = "" +
-	"Starts cplanes, dplanes and workers, hands in jobs of every kind, tells a worker to leave, kills the leader\n" +
-	"once, evacuates a zone, waits for every job and audits the workers' journals. Exit 1 if a promise is broken."
+	"Starts control-plane nodes, data-plane nodes and workers, submits jobs of every kind, drains a worker,\n" +
+	"kills the leader once, evacuates a zone, waits for every job and audits the workers' journals. Exits\n" +
+	"with 1 if an invariant was violated."
 
 func jobsCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "jobs",
-		Usage:       "the jobs interface end to end: processes on loopback, a mix of jobs, the leader killed, an audit",
+		Usage:       "test the jobs deployment end to end on loopback: mixed jobs, a killed leader, an audit",
 		Description: jobsDescription,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "dir",
-				Usage: "`DIR` for settings, data, logs and journals; default: a new one, removed if all is well"},
+				Usage: "`DIR` for settings, data, logs and journals (default: a new one, removed on success)"},
 			&cli.StringFlag{Name: "bin", Usage: "`FOLDER` of the programs (default: this program's)"},
 			&cli.IntFlag{Name: "cplanes", Value: 3},
 			&cli.IntFlag{Name: "dplanes", Value: 2},
@@ -64,7 +65,7 @@
 		return errs.Pass(err, "jobs")
 	}
 	if n := len(result.Violations); n > 0 {
-		return errs.New(errs.Internal, "%d promises are broken; logs and journals are in %s", n, dir)
+		return errs.New(errs.Internal, "%d violations of invariants; logs and journals are in %s", n, dir)
 	}
 	if isNew {
 		return errs.Wrap(os.RemoveAll(dir), errs.Disk, "remove %s", dir)
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// jobsFolder returns the folder to work in: the one named, else a new one.
+// jobsFolder returns the absolute path of the folder named, or a new temporary folder if named is empty.
 func jobsFolder(named string) (dir string, isNew bool, err error) {
 	if named != "" {
 		dir, err = filepath.Abs(named)
@@ -92,12 +93,12 @@
 	for _, reason := range slices.Sorted(maps.Keys(result.Refused)) {
 		fmt.Fprintf(&text, "  refused-%s %d", reason, result.Refused[reason])
 	}
-	fmt.Fprintf(&text, "\naccepted again %s after the kill\n", result.AcceptedIn.Round(time.Millisecond))
+	fmt.Fprintf(&text, "\naccepted a job %s after the leader was killed\n", result.AcceptedIn.Round(time.Millisecond))
 	for _, violation := range result.Violations {
 		fmt.Fprintln(&text, "BROKEN", violation)
 	}
 	if len(result.Violations) == 0 {
-		fmt.Fprintln(&text, "held: nothing lost, nothing twice, order, room, labels, gangs, progress, attempts")
+		fmt.Fprintln(&text, "held: no lost job, no repeated run, order, room, labels, gangs, progress, attempts")
 	}
 	return text.String()
 }
--- a/cmd/crosstide-testbed/lags.go
+++ b/cmd/crosstide-testbed/lags.go
@@ -11,7 +11,8 @@
 
 func lagsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "lags", Usage: "how long a fleet took to follow cancels, drains and evacuations, by its journals",
+		Name:      "lags",
+		Usage:     "print how long a fleet took to carry out cancels, drains and evacuations, by its journals",
 		ArgsUsage: "DIR",
 		Action:    runLags,
 	}
@@ -22,9 +23,9 @@
 	if err != nil {
 		return errs.Pass(err, "lags")
 	}
-	for _, l := range audit.Lags(history) {
-		err := printf(cmd, "%-32s %5d cases  p50 %7.1f ms  p99 %7.1f ms  max %7.1f ms\n", l.What, l.Cases,
-			l.P50.Seconds()*1000, l.P99.Seconds()*1000, l.Max.Seconds()*1000)
+	for _, lag := range audit.Lags(history) {
+		err := printf(cmd, "%-32s %5d cases  p50 %7.1f ms  p99 %7.1f ms  max %7.1f ms\n", lag.What, lag.Cases,
+			lag.P50.Seconds()*1000, lag.P99.Seconds()*1000, lag.Max.Seconds()*1000)
 		if err != nil {
 			return errs.Pass(err, "lags")
 		}
--- a/cmd/crosstide-testbed/link.go
+++ b/cmd/crosstide-testbed/link.go
@@ -14,9 +14,9 @@
 
 func linkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "link", Usage: "run the faulty links of a fleet; `scripts/fleet up --links` starts it",
+		Name: "link", Usage: "run the faulty links of a fleet; started by `scripts/fleet up --links`",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` of crosstide-testbed plan", Required: true},
+			&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` written by crosstide-testbed plan", Required: true},
 		},
 		Action: runLink,
 	}
--- a/cmd/crosstide-testbed/main.go
+++ b/cmd/crosstide-testbed/main.go
@@ -1,6 +1,6 @@
-// Command crosstide-testbed is the testbed of crosstide: stand-in workers and clients, load, injected faults, audits
-// and simulators. Each file is one command and is named for it; it parses, checks and wires, and one of the packages
-// under internal/testbed does the work.
+// Command crosstide-testbed is the testbed of crosstide: simulated workers and clients, load, injected faults, audits
+// and simulators. Each file has one command and is named after it. It parses and validates the flags, and calls a
+// package under internal/testbed, which does the work.
 package main
 
 import (
@@ -14,7 +14,7 @@
 func main() {
 	root := &cli.Command{
 		Name:  "crosstide-testbed",
-		Usage: "rehearse a crosstide fleet on one machine",
+		Usage: "test a crosstide fleet on one machine",
 		Commands: []*cli.Command{
 			auditCommand(), balancesCommand(), benchCommand(), diskCommand(), bundlesCommand(), churnCommand(),
 			lagsCommand(), portsCommand(), planCommand(), readyCommand(), whoCommand(), freezeCommand(), jobsCommand(),
--- a/cmd/crosstide-testbed/minion.go
+++ b/cmd/crosstide-testbed/minion.go
@@ -17,35 +17,36 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-const policyWorkerDescription = "SIGTERM and SIGINT drain and then leave, a second one leaves at once;\n" +
-	"SIGUSR1 switches draining on and off. Flags go over what the settings file says."
+const policyWorkerDescription = "" +
+	"SIGTERM or SIGINT drains the minion and then stops it; a second one stops it at once.\n" +
+	"SIGUSR1 toggles draining. Flags override the settings file."
 
 func policyWorkerCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "minion",
-		Usage:       "run a stand-in minion, or many hollow ones at one address",
+		Usage:       "run a simulated minion, or many hollow ones at one address",
 		Description: policyWorkerDescription,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` with the names of these flags"},
+			&cli.StringFlag{Name: "settings", Usage: "JSON `FILE` whose fields have the names of these flags"},
 			&cli.StringFlag{Name: "name", Usage: "the minion's name"},
-			&cli.StringFlag{Name: "addr", Usage: "`HOST:PORT` to listen at (default 127.0.0.1:0)"},
+			&cli.StringFlag{Name: "addr", Usage: "`HOST:PORT` to listen on (default 127.0.0.1:0)"},
 			&cli.StringFlag{Name: "kind", Usage: "obey or check (default check)"},
 			&cli.StringFlag{Name: "zone"},
 			&cli.StringFlag{Name: "rack"},
-			&cli.StringMapFlag{Name: "label", Usage: "`K=V`, may be given again"},
-			&cli.IntFlag{Name: "cores", Usage: "(default 4)"},
+			&cli.StringMapFlag{Name: "label", Usage: "`K=V`; may be repeated"},
+			&cli.IntFlag{Name: "cores", Usage: "number of cores (default 4)"},
 			&cli.IntFlag{Name: "gpus"},
-			&cli.StringSliceFlag{Name: "dplanes", Usage: "`A,B,C`: host:port of dplanes to announce to"},
-			&cli.StringMapFlag{Name: "via", Usage: "`A=B`: dial B to reach A, may be given again"},
-			&cli.StringFlag{Name: "journal", Usage: "`FILE` to append to; {name} stands for the minion's name"},
-			&cli.IntFlag{Name: "count", Usage: "`N` hollow minions NAME-0 and on (default 1: NAME itself)"},
-			&cli.DurationFlag{Name: "grace", Usage: "how long a leaving minion waits (default 10s)"},
+			&cli.StringSliceFlag{Name: "dplanes", Usage: "`A,B,C`: host:port of the data-plane nodes to announce to"},
+			&cli.StringMapFlag{Name: "via", Usage: "`A=B`: dial B to reach A; may be repeated"},
+			&cli.StringFlag{Name: "journal", Usage: "`FILE` to append to; {name} is replaced by the minion's name"},
+			&cli.IntFlag{Name: "count", Usage: "run `N` hollow minions NAME-0, NAME-1, … (default 1: NAME itself)"},
+			&cli.DurationFlag{Name: "grace", Usage: "grace period of a minion that leaves (default 10s)"},
 			&cli.DurationFlag{Name: "late",
-				Usage: "carry out calls with starts late by up to `D`, half of them unanswered"},
-			&cli.FloatFlag{Name: "lose", Usage: "drop an answer with probability `P`"},
-			&cli.FloatFlag{Name: "fail", Usage: "end a run in a fault with probability `P`"},
+				Usage: "delay calls with starts by up to `D`; half of the delayed calls get no response"},
+			&cli.FloatFlag{Name: "lose", Usage: "drop a response with probability `P`"},
+			&cli.FloatFlag{Name: "fail", Usage: "let a run fail with probability `P`"},
 			&cli.FloatFlag{Name: "slow", Usage: "let runs take up to `F` times as long (default 1)"},
-			&cli.Uint64Flag{Name: "seed", Usage: "of late, lose, fail and slow"},
+			&cli.Uint64Flag{Name: "seed", Usage: "random seed of late, lose, fail and slow"},
 			&cli.StringFlag{Name: "log", Value: "info", Usage: "`LEVEL`: debug, info, warn or error"},
 		},
 		Action: runPolicyWorker,
@@ -82,50 +83,51 @@
 	return errs.Pass(host.Run(group.Context()), "minion")
 }
 
-// followSignals drains the host on SIGTERM and SIGINT, and switches draining on SIGUSR1, until ctx ends. It returns
-// true when a further SIGTERM or SIGINT asks the host to end at once.
+// followSignals drains the host on SIGTERM and SIGINT, and toggles draining on SIGUSR1, until ctx ends. It returns true
+// when a second SIGTERM or SIGINT asks the host to end at once.
 func followSignals(ctx context.Context, signals <-chan os.Signal, host *policyworker.Host) (endNow bool) {
 	isDraining, isLeaving := false, false
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case s := <-signals:
-			if isLeaving && s != syscall.SIGUSR1 {
+		case received := <-signals:
+			if isLeaving && received != syscall.SIGUSR1 {
 				return true
 			}
-			isLeaving = isLeaving || s != syscall.SIGUSR1
+			isLeaving = isLeaving || received != syscall.SIGUSR1
 			isDraining = isLeaving || !isDraining
 			host.Drain(isDraining, isLeaving)
 		}
 	}
 }
 
-// policyWorkerSettings returns the settings: the file overrides the defaults, flags override both. Failure: Settings.
+// policyWorkerSettings returns the settings. The file overrides the defaults, and flags override both. Failure:
+// Settings.
 func policyWorkerSettings(cmd *cli.Command) (policyworker.Settings, error) {
-	set := policyworker.Defaults()
+	settings := policyworker.Defaults()
 	if path := cmd.String("settings"); path != "" {
-		if err := set.Load(path); err != nil {
-			return set, errs.Pass(err, "settings")
+		if err := settings.Load(path); err != nil {
+			return settings, errs.Pass(err, "settings")
 		}
 	}
-	setFlag(cmd, "name", &set.Name, cmd.String)
-	setFlag(cmd, "addr", &set.Addr, cmd.String)
-	setFlag(cmd, "kind", &set.Kind, cmd.String)
-	setFlag(cmd, "zone", &set.Zone, cmd.String)
-	setFlag(cmd, "rack", &set.Rack, cmd.String)
-	setFlag(cmd, "label", &set.Labels, cmd.StringMap)
-	setFlag(cmd, "cores", &set.Cores, cmd.Int)
-	setFlag(cmd, "gpus", &set.GPUs, cmd.Int)
-	setFlag(cmd, "dplanes", &set.DataPlanes, cmd.StringSlice)
-	setFlag(cmd, "via", &set.DialOverrides, cmd.StringMap)
-	setFlag(cmd, "journal", &set.Journal, cmd.String)
-	setFlag(cmd, "count", &set.Count, cmd.Int)
-	setFlag(cmd, "grace", (*time.Duration)(&set.Grace), cmd.Duration)
-	setFlag(cmd, "late", (*time.Duration)(&set.MaxDelay), cmd.Duration)
-	setFlag(cmd, "lose", &set.LossProbability, cmd.Float)
-	setFlag(cmd, "fail", &set.FailProbability, cmd.Float)
-	setFlag(cmd, "slow", &set.SlowFactor, cmd.Float)
-	setFlag(cmd, "seed", &set.Seed, cmd.Uint64)
-	return set, errs.Pass(set.Check(), "settings")
+	setFlag(cmd, "name", &settings.Name, cmd.String)
+	setFlag(cmd, "addr", &settings.Addr, cmd.String)
+	setFlag(cmd, "kind", &settings.Kind, cmd.String)
+	setFlag(cmd, "zone", &settings.Zone, cmd.String)
+	setFlag(cmd, "rack", &settings.Rack, cmd.String)
+	setFlag(cmd, "label", &settings.Labels, cmd.StringMap)
+	setFlag(cmd, "cores", &settings.Cores, cmd.Int)
+	setFlag(cmd, "gpus", &settings.GPUs, cmd.Int)
+	setFlag(cmd, "dplanes", &settings.DataPlanes, cmd.StringSlice)
+	setFlag(cmd, "via", &settings.DialOverrides, cmd.StringMap)
+	setFlag(cmd, "journal", &settings.Journal, cmd.String)
+	setFlag(cmd, "count", &settings.Count, cmd.Int)
+	setFlag(cmd, "grace", (*time.Duration)(&settings.Grace), cmd.Duration)
+	setFlag(cmd, "late", (*time.Duration)(&settings.MaxDelay), cmd.Duration)
+	setFlag(cmd, "lose", &settings.LossProbability, cmd.Float)
+	setFlag(cmd, "fail", &settings.FailProbability, cmd.Float)
+	setFlag(cmd, "slow", &settings.SlowFactor, cmd.Float)
+	setFlag(cmd, "seed", &settings.Seed, cmd.Uint64)
+	return settings, errs.Pass(settings.Check(), "settings")
 }
--- a/cmd/crosstide-testbed/month.go
+++ b/cmd/crosstide-testbed/month.go
@@ -12,21 +12,21 @@
 )
 
 const monthDescription = "" +
-	"No process runs: the commands of the log are applied one after the other under simulated times, with the\n" +
-	"letting go of ended jobs, tombstones and orders as a leader proposes it under its default settings."
+	"Runs no processes: applies the commands of the log one after the other at simulated times, and purges\n" +
+	"ended jobs, tombstones and orders as a leader with the default settings does."
 
 func monthCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "month",
-		Usage:       "let a state live through days of jobs and print its size at the end of each, as JSON lines",
+		Usage:       "simulate days of jobs on the store's state and print its size after each, as JSON lines",
 		Description: monthDescription,
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "days", Value: 30},
-			&cli.IntFlag{Name: "jobs", Value: 21000, Usage: "a day"},
-			&cli.IntFlag{Name: "tasks", Value: 20, Usage: "of a job"},
-			&cli.DurationFlag{Name: "last", Value: time.Hour, Usage: "of a task, mean"},
+			&cli.IntFlag{Name: "jobs", Value: 21000, Usage: "jobs per day"},
+			&cli.IntFlag{Name: "tasks", Value: 20, Usage: "tasks per job"},
+			&cli.DurationFlag{Name: "last", Value: time.Hour, Usage: "mean duration of a task"},
 			&cli.IntFlag{Name: "minions", Value: 1600},
-			&cli.IntFlag{Name: "orders", Value: 670, Usage: "of operators, a day"},
+			&cli.IntFlag{Name: "orders", Value: 670, Usage: "operators' orders per day"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: runMonth,
--- a/cmd/crosstide-testbed/plan.go
+++ b/cmd/crosstide-testbed/plan.go
@@ -11,7 +11,7 @@
 
 func planCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plan", Usage: "write the settings of a fleet on this machine; scripts/fleet starts it",
+		Name: "plan", Usage: "write the settings of a fleet on this machine, which scripts/fleet starts",
 		Description: "Writes DIR/nodes.json, DIR/settings/NAME.json and DIR/start (lines: name program args...).",
 		Flags: []cli.Flag{
 			fleetFlag(),
@@ -20,14 +20,14 @@
 			&cli.IntFlag{Name: "dplanes", Value: 3},
 			&cli.IntFlag{Name: "minions", Value: 12},
 			&cli.IntFlag{Name: "zones", Value: 3},
-			&cli.IntFlag{Name: "cores", Value: 16, Usage: "of each minion"},
-			&cli.StringFlag{Name: "kind", Value: "check", Usage: "obey, check or mixed"},
-			&cli.IntFlag{Name: "hollow", Usage: "`N` hollow minions, many to a process, beside the others"},
-			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "processes that share the hollow minions"},
+			&cli.IntFlag{Name: "cores", Value: 16, Usage: "cores of each minion"},
+			&cli.StringFlag{Name: "kind", Value: "check", Usage: "kind of the minions: obey, check or mixed"},
+			&cli.IntFlag{Name: "hollow", Usage: "`N` additional hollow minions, many in one process"},
+			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "number of processes for the hollow minions"},
 			&cli.StringFlag{Name: "profile",
-				Usage: "a deployment at its own size, in place of the sizes: lubra or mamlaka"},
-			&cli.IntFlag{Name: "sick", Usage: "`N` of the minions end every run in a fault"},
-			&cli.BoolFlag{Name: "links", Usage: "a faulty link between any two nodes, for crosstide-testbed cut"},
+				Usage: "use the sizes of a deployment in place of the flags: lubra or mamlaka"},
+			&cli.IntFlag{Name: "sick", Usage: "`N` of the minions fail every run"},
+			&cli.BoolFlag{Name: "links", Usage: "put a faulty link between any two nodes, for crosstide-testbed cut"},
 		},
 		Action: runPlan,
 	}
--- a/cmd/crosstide-testbed/plot.go
+++ b/cmd/crosstide-testbed/plot.go
@@ -11,7 +11,7 @@
 
 func plotCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plot", Usage: "draw a PNG of what crosstide-testbed scale has measured, and print the slopes at idle",
+		Name: "plot", Usage: "plot the CSV of crosstide-testbed scale as a PNG, and print the idle cost per minion",
 		Flags:  []cli.Flag{&cli.StringFlag{Name: "csv", Required: true}, &cli.StringFlag{Name: "png", Required: true}},
 		Action: runPlot,
 	}
@@ -22,8 +22,9 @@
 	if err != nil {
 		return errs.Pass(err, "plot")
 	}
-	for _, s := range scale.IdleSlopes(rows) {
-		err := printf(cmd, "%-15s %-13s at idle: %10.4f + %9.6f a minion\n", s.Role, s.Cost, s.Base, s.PerWorker)
+	for _, slope := range scale.IdleSlopes(rows) {
+		err := printf(cmd, "%-15s %-13s at idle: %10.4f + %9.6f a minion\n", slope.Role, slope.Cost,
+			slope.Base, slope.PerWorker)
 		if err != nil {
 			return errs.Pass(err, "plot")
 		}
--- a/cmd/crosstide-testbed/ports.go
+++ b/cmd/crosstide-testbed/ports.go
@@ -12,7 +12,7 @@
 func portsCommand() *cli.Command {
 	return &cli.Command{
 		Name: "ports", Usage: "print N free loopback ports", ArgsUsage: "N",
-		Description: "The ports are outside of the range that outgoing connections take theirs from.",
+		Description: "The ports are outside of the ephemeral range, which outgoing connections use.",
 		Arguments:   []cli.Argument{&cli.IntArg{Name: "n", Value: 1}},
 		Action:      runPorts,
 	}
--- a/cmd/crosstide-testbed/ready.go
+++ b/cmd/crosstide-testbed/ready.go
@@ -14,13 +14,16 @@
 
 func readyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "ready", Usage: "wait until a fleet is ready; name what is not and exit 1 when the bound is over",
-		Description: "Ready: /readyz of every cplane and dplane is 200 and the store knows a boot of every minion.",
-		Flags:       []cli.Flag{fleetFlag(), &cli.DurationFlag{Name: "for", Value: 20 * time.Second}},
-		Action:      runReady,
+		Name:  "ready",
+		Usage: "wait until a fleet is ready; on timeout print the nodes that are not ready and exit 1",
+		Description: "A fleet is ready if /readyz of every control-plane and data-plane node returns 200 and the\n" +
+			"store knows an incarnation of every minion.",
+		Flags:  []cli.Flag{fleetFlag(), &cli.DurationFlag{Name: "for", Value: 20 * time.Second}},
+		Action: runReady,
 	}
 }
 
+// readyPollInterval is the pause between two checks of a fleet.
 const readyPollInterval = 200 * time.Millisecond
 
 func runReady(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/crosstide-testbed/rehearse.go
+++ b/cmd/crosstide-testbed/rehearse.go
@@ -13,20 +13,22 @@
 
 var rehearseDescription = "crosstide-testbed rehearse --fleet DIR [--only a,b,c]\n\n" +
 	rehearsal.DescribeCases() + "\n" +
-	"A line per case: held, or broken with what is broken below it. accept A/B and start A/B: seconds from the\n" +
-	"blow to the first yes to a job handed in after it (the first start), and the longest time without a yes\n" +
-	"(without a start) until the offers end. ready: seconds from the load's end until every node is ready.\n" +
-	"Exit 1 if a case is broken or could not be run."
+	"Prints one line per case: held, or broken with the violations below it. accept A/B: seconds from the\n" +
+	"fault to the first acceptance of a job submitted after it, and the longest time without an acceptance\n" +
+	"until the load ends. start A/B: the same for starts. ready: seconds from the end of the load until every\n" +
+	"node is ready. Exits with 1 if a case is broken or could not be run."
 
 func rehearseCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rehearse", Usage: "blow after blow on a running fleet under load, each followed by an audit",
+		Name:        "rehearse",
+		Usage:       "inject one fault after another into a running fleet under load, with an audit after each",
 		Description: rehearseDescription,
 		Flags: []cli.Flag{
 			fleetFlag(),
-			&cli.StringSliceFlag{Name: "only", Usage: "letters of the cases, `a,b,c`, in this order (default: all)"},
+			&cli.StringSliceFlag{Name: "only",
+				Usage: "letters of the cases to run, `a,b,c`, in this order (default: all)"},
 			&cli.FloatFlag{Name: "rate", Value: 20, Usage: "jobs per second"},
-			&cli.IntFlag{Name: "ms", Value: 400, Usage: "length of a task"},
+			&cli.IntFlag{Name: "ms", Value: 400, Usage: "duration of a task in milliseconds"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			scriptFlag(),
 		},
@@ -47,24 +49,24 @@
 	}
 	options := rehearsal.CaseOptions{Target: target, BinDir: binDir(), Rate: cmd.Float("rate"),
 		TaskDuration: time.Duration(cmd.Int("ms")) * time.Millisecond, Seed: cmd.Uint64("seed")}
-	played, broken := 0, 0
+	played, violated := 0, 0
 	err = rehearsal.RunCases(ctx, options, only, func(result rehearsal.CaseResult) error {
 		played++
 		if len(result.Violations) > 0 {
-			broken++
+			violated++
 		}
 		return errs.Pass(printCase(cmd, result), "print")
 	})
 	if err != nil {
 		return errs.Pass(err, "rehearse")
 	}
-	if broken > 0 {
-		return exitCode{errs.New(errs.Internal, "%d of %d cases are broken", broken, played), exitViolated}
+	if violated > 0 {
+		return exitCode{errs.New(errs.Internal, "%d of %d cases violated an invariant", violated, played), exitViolated}
 	}
 	return nil
 }
 
-// printCase prints a line for a case, and its violations below it.
+// printCase prints one line for a case, with its violations below.
 func printCase(cmd *cli.Command, result rehearsal.CaseResult) error {
 	verdict := "held"
 	if len(result.Violations) > 0 {
--- a/cmd/crosstide-testbed/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -18,9 +18,10 @@
 var simDescription = "" +
 	"crosstide-testbed sim --seeds A..B [--for D] [--pace D] [--faults LIST] [--break GUARD] [--parties]\n" +
 	"crosstide-testbed sim --seed N --trace\n\n" +
-	"Each seed is a fleet of 5 cplanes, 3 dplanes and 6 minions under its own faults, on one thread. Prints the\n" +
-	"cases seen of every promise and fault. Exit 1 if a promise is broken, or one was not exercised; with --break\n" +
-	"exit 1 if no seed found the missing guard.\n\nfaults: " + strings.Join(policysim.Faults, " ") +
+	"Each seed simulates a fleet of 5 control-plane nodes, 3 data-plane nodes and 6 minions under its own\n" +
+	"faults, on one thread. Prints the number of cases of every invariant and fault. Exits with 1 if an\n" +
+	"invariant was violated, or an invariant or fault had no case; with --break, if no seed detected the\n" +
+	"missing guard.\n\nfaults: " + strings.Join(policysim.Faults, " ") +
 	"\nguards: " + strings.Join(policysim.Guards, " ")
 
 func simCommand() *cli.Command {
@@ -30,16 +31,18 @@
 		Description: simDescription,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Value: "1..20", Usage: "first and last seed"},
-			&cli.Uint64Flag{Name: "seed", Usage: "one seed"},
-			&cli.DurationFlag{Name: "for", Value: 40 * time.Second, Usage: "virtual time with faults and fresh jobs"},
+			&cli.Uint64Flag{Name: "seed", Usage: "run only this seed"},
+			&cli.DurationFlag{Name: "for", Value: 40 * time.Second,
+				Usage: "virtual time in which faults are injected and jobs submitted"},
 			&cli.DurationFlag{Name: "pace",
-				Usage: "mean time between two faults; drawn by the seed if 0 (200ms to 2.5s)"},
-			&cli.StringFlag{Name: "faults", Usage: "names with commas, `none`, or all if empty"},
-			&cli.StringFlag{Name: "break", Usage: "take a guard out"},
-			&cli.BoolFlag{Name: "parties", Usage: "parties pay for some of the jobs, and one runs dry again and again"},
+				Usage: "mean time between two faults; if 0, drawn from the seed (200ms to 2.5s)"},
+			&cli.StringFlag{Name: "faults", Usage: "comma-separated names, `none`, or empty for all"},
+			&cli.StringFlag{Name: "break", Usage: "disable a guard"},
+			&cli.BoolFlag{Name: "parties",
+				Usage: "let parties pay for some of the jobs; the balance of one runs out repeatedly"},
 			&cli.BoolFlag{Name: "trace", Usage: "print every line of the trace"},
-			&cli.IntFlag{Name: "width", Value: 4, Usage: "seeds at once"},
-			&cli.IntFlag{Name: "many", Value: 3, Usage: "stop after so many broken seeds; 0: run all"},
+			&cli.IntFlag{Name: "width", Value: 4, Usage: "number of seeds that run concurrently"},
+			&cli.IntFlag{Name: "many", Value: 3, Usage: "stop after this many seeds with a violation; 0: run all"},
 		},
 		Action: runSim,
 	}
@@ -59,26 +62,27 @@
 	if cmd.Bool("trace") {
 		options.Trace, last = out, first
 	}
-	maxBroken := cmd.Int("many")
+	maxViolated := cmd.Int("many")
 	if options.WithoutGuard != "" {
-		maxBroken = 0
+		maxViolated = 0
 	}
-	results := policysim.RunSeeds(options, first, last, cmd.Int("width"), maxBroken)
+	results := policysim.RunSeeds(options, first, last, cmd.Int("width"), maxViolated)
 	summary := policysim.Summarize(results, options.Faults)
 	if options.Parties {
 		summary.Require(policysim.BillingPromises)
 	}
 	isTraced := options.WithoutGuard == "" && options.Trace == nil
-	for i, r := range summary.Breaches {
-		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
+	for i, breached := range summary.Breaches {
+		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", breached.Seed, breached.Breach.Promise,
+			breached.Breach.At, breached.Breach.Detail)
 		if i < tracedBreaches && isTraced {
-			fmt.Fprintln(out, "  "+strings.Join(r.Breach.TraceTail, "\n  "))
+			fmt.Fprintln(out, "  "+strings.Join(breached.Breach.TraceTail, "\n  "))
 		}
 	}
 	if options.WithoutGuard != "" {
 		fmt.Fprintf(out, "without %s: found in %d of %d seeds\n", options.WithoutGuard, summary.Broken, summary.Seeds)
 		if summary.Broken == 0 {
-			return exitCode{errs.New(errs.Internal, "the missing guard was not found"), exitViolated}
+			return exitCode{errs.New(errs.Internal, "no seed detected the missing guard"), exitViolated}
 		}
 		return nil
 	}
@@ -87,12 +91,13 @@
 	}
 	unexercised := len(summary.UnexercisedPromises) + len(summary.UnexercisedFaults)
 	if summary.Broken > 0 || last > first && unexercised > 0 {
-		return exitCode{errs.New(errs.Internal, "a promise is broken or was not exercised"), exitViolated}
+		err := errs.New(errs.Internal, "an invariant was violated or never checked, or a fault was never injected")
+		return exitCode{err, exitViolated}
 	}
 	return nil
 }
 
-// tracedBreaches is the number of breaches for which the end of the trace is printed.
+// tracedBreaches is the number of violations for which the end of the trace is printed.
 const tracedBreaches = 2
 
 // simOptions returns the options that the flags describe. Failure: Settings.
@@ -108,16 +113,16 @@
 	}
 	for _, fault := range options.Faults {
 		if !slices.Contains(policysim.Faults, fault) {
-			return options, errs.Field(errs.Settings, "faults", "no fault %q", fault)
+			return options, errs.Field(errs.Settings, "faults", "unknown fault %q", fault)
 		}
 	}
 	if options.WithoutGuard != "" && !slices.Contains(policysim.Guards, options.WithoutGuard) {
-		return options, errs.Field(errs.Settings, "break", "no guard %q", options.WithoutGuard)
+		return options, errs.Field(errs.Settings, "break", "unknown guard %q", options.WithoutGuard)
 	}
 	return options, nil
 }
 
-// simSeeds returns the first and the last seed: --seed, else --seeds A..B. Failure: Settings.
+// simSeeds returns the first and the last seed, from --seed or else from --seeds A..B. Failure: Settings.
 func simSeeds(cmd *cli.Command) (first, last uint64, err error) {
 	text := cmd.String("seeds")
 	from, to, _ := strings.Cut(text, "..")
@@ -125,7 +130,7 @@
 		last, err = strconv.ParseUint(to, 10, 64)
 	}
 	if err != nil || last < first {
-		return 0, 0, errs.Field(errs.Settings, "seeds", "%q is not A..B", text)
+		return 0, 0, errs.Field(errs.Settings, "seeds", "must have the form A..B, is %q", text)
 	}
 	if seed := cmd.Uint64("seed"); seed > 0 {
 		return seed, seed, nil
--- a/cmd/crosstide-testbed/who.go
+++ b/cmd/crosstide-testbed/who.go
@@ -11,7 +11,9 @@
 
 func whoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "who", Usage: "print the holders: store NAME and sched NAME", Flags: []cli.Flag{fleetFlag()},
+		Name:   "who",
+		Usage:  "print the store's leader and the scheduler, as store NAME and sched NAME",
+		Flags:  []cli.Flag{fleetFlag()},
 		Action: runWho,
 	}
 }
