--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestReader_errors(t *testing.T) {
-	Convey("All errors of a file are reported at once, each with its field, and leave their targets unchanged", t, func() {
+	Convey("All errors are reported at once, each with its field, and leave their targets unchanged", t, func() {
 		lease, number, on, names := 3*time.Second, 5, true, []string{"x"}
 		var indexes []int
 		text := `{"sched":{"lease":"3 monkeys","n":99},"names":["a",4],"each":[{"k":1},{"k":"2"}],"od":0}`
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -75,7 +75,8 @@
 			ip := fmt.Sprintf("10.0.0.%d", i+3)
 			c.Members = append(c.Members, Member{ID: ip, Addr: ip + ":7000", Zone: "a"})
 		}
-		So(errorLines(CheckControlPlane(c))[0], ShouldEqual, "members: must have at most 3 items with open_membership, got 4")
+		So(errorLines(CheckControlPlane(c))[0], ShouldEqual,
+			"members: must have at most 3 items with open_membership, got 4")
 	})
 	Convey("All errors in a control-plane node's settings file are reported together", t, func() {
 		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, firstKey, `"QQ=="`,
