--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -1,8 +1,8 @@
 // Package clientapi is the clients' API of the policy deployment, served by every data plane node: submit a job, read
-// one, list jobs, cancel jobs. A node that cannot confirm how new its state is answers 503, never 404.
+// one, list jobs, cancel jobs. A node that cannot confirm that its state is current answers 503, never 404.
 //
-// Begin with Register, which adds the routes; jobs.go and list.go have their handlers. parse.go reads a job's text into
-// a checked state.Spec. The package never keeps state of jobs: it reads and commits through Store.
+// Begin with Register, which registers the routes; jobs.go and list.go have their handlers. parse.go parses and
+// validates a job. The package keeps no state of jobs: it reads and commits through Store.
 package clientapi
 
 import (
@@ -28,36 +28,36 @@
 	defaultMaxSubmits = 2000
 )
 
-// maxRetryAfter bounds the Retry-After of an answer, in seconds.
+// maxRetryAfter is the maximum Retry-After of a response, in seconds.
 const maxRetryAfter = 3
 
-// Store is what the API needs of its node: confirmed reads and commits. Propose and Read must return at once when ctx
-// ends.
+// Store is the part of the node that the API uses: confirmed reads, and commits. Propose and Read must return at once
+// when ctx ends.
 type Store interface {
-	// Propose commits c at the leader and returns the command's answer. After an error c may have been committed all
-	// the same, so every command that is proposed must be idempotent.
+	// Propose commits c at the leader and returns the command's answer. c may have been committed even if Propose
+	// fails, so every command that is proposed must be idempotent.
 	Propose(ctx context.Context, c command.Command) (json.RawMessage, error)
 	// Read runs do, before it returns, on a state at least as new as the beginning of the call. do must not keep the
-	// state. Read fails with errs.Unavailable, without having run do, if it cannot confirm how new its state is.
+	// state. If Read cannot confirm that its state is new enough, it fails with errs.Unavailable and does not run do.
 	Read(ctx context.Context, do func(s *state.State) error) error
-	// QueueLimit returns how many jobs may be open at most.
+	// QueueLimit returns the maximum number of open jobs.
 	QueueLimit() int
 }
 
-// Router is what the API needs of its server (*rpc.Server).
+// Router is the part of *rpc.Server that the API uses.
 type Router interface {
 	Route(pattern string, h func(w http.ResponseWriter, r *http.Request))
 }
 
-// Options are the settings of the API. The zero value has the defaults.
+// Options configures the API. Zero fields get their defaults.
 type Options struct {
 	Timeout    time.Duration // of a call; default 2s
-	MaxSubmits int           // in flight at once, default 2000; one more is errs.Overloaded
+	MaxSubmits int           // in flight, default 2000; one more fails with errs.Overloaded
 	Seed       uint64        // of the jitter of Retry-After
 	Clock      clock.Clock   // default clock.Real
 }
 
-// handler handles a request. It returns the status and the body of the answer, or an error.
+// handler handles a request. It returns the status and the body of the response, or an error.
 type handler func(ctx context.Context, r *http.Request) (status int, answer any, err error)
 
 // api has the handlers. It is safe for concurrent use.
@@ -70,15 +70,16 @@
 	retryJitter *rand.Rand
 }
 
-// Register adds the API's routes to srv:
+// Register registers the API's routes:
 //
-//	POST   /v1/jobs        202 {"key","state"} when fresh, 200 when the same job was there before
+//	POST   /v1/jobs        202 {"key","state"} for a new job, 200 if the same job was submitted before
 //	GET    /v1/jobs/{key}  200 query.JobView
-//	DELETE /v1/jobs/{key}  202 {"key","state"} while runs are being stopped, 200 when the job is over
+//	DELETE /v1/jobs/{key}  202 {"key","state"} while runs are being stopped, 200 once the job has ended
 //	POST   /v1/jobs/cancel 202 command.CancelledAll; body {"keys":[…]}, or {"team":…,"queue":…} with one or both
 //	GET    /v1/jobs        200 Listing; ?team= &state= &after= &limit= (1..1000, 200 if not given)
 //
-// Errors are answered as package errs maps their kinds; 429 and 503 carry a Retry-After of 1 to 3 seconds. Example:
+// Each kind of error has the status that package errs maps it to; 429 and 503 have a Retry-After of 1 to 3 seconds.
+// Example:
 //
 //	clientapi.Register(server, node, clientapi.Options{Seed: seed})
 func Register(srv Router, store Store, opt Options) {
@@ -99,7 +100,7 @@
 	a.route(srv, "POST /v1/jobs/cancel", a.cancelJobs)
 }
 
-// route adds a route whose handler's context ends after the timeout.
+// route registers handle for a pattern. The context of handle ends after Options.Timeout.
 func (a *api) route(srv Router, pattern string, handle handler) {
 	srv.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
@@ -120,7 +121,7 @@
 	if err != nil {
 		return errs.Pass(err, "propose %s", c.Op())
 	}
-	return errs.Wrap(json.Unmarshal(raw, answer), errs.Internal, "answer of %s", c.Op())
+	return errs.Wrap(json.Unmarshal(raw, answer), errs.Internal, "decode the answer of %s", c.Op())
 }
 
 // read runs do on a confirmed state. errs.Unknown from the store, or a Read that did not run do, becomes
@@ -134,16 +135,16 @@
 	})
 	switch {
 	case errs.Is(err, errs.Unknown), err == nil && !ran:
-		return errs.New(errs.Unavailable, "nothing was read")
+		return errs.New(errs.Unavailable, "the state could not be confirmed")
 	case err != nil:
 		return errs.Pass(err, "read")
 	}
 	return nil
 }
 
-// clientError maps an error to the one that the client gets: kinds that concern only the node and leave the outcome
-// unconfirmed become Unavailable. The Retry-After of Unavailable and Overloaded is random, so that clients do not retry
-// all at once.
+// clientError maps an error to the one that the client gets. Kinds that concern only this node and leave the outcome
+// unconfirmed become Unavailable. The Retry-After of Unavailable and Overloaded is random, so that clients do not all
+// retry at the same time.
 func (a *api) clientError(err error) error {
 	failure := *errs.Of(err)
 	ended := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
@@ -151,7 +152,7 @@
 	case failure.Kind == errs.Timeout, failure.Kind == errs.NotLeader, failure.Kind == errs.Stopped,
 		failure.Kind == errs.Internal && ended:
 		failure = errs.Error{Kind: errs.Unavailable,
-			Message: "this cannot be confirmed now; send the same again, here or at another node"}
+			Message: "the outcome cannot be confirmed; send the same request again, to this node or another"}
 	}
 	if failure.Kind == errs.Unavailable || failure.Kind == errs.Overloaded {
 		a.mu.Lock()
--- a/internal/httpapi/clientapi/fields.go
+++ b/internal/httpapi/clientapi/fields.go
@@ -28,7 +28,7 @@
 		field := join(path, name)
 		switch read := fields[name]; {
 		case read == nil:
-			r.reject(errs.Invalid, field, "there is no such field")
+			r.reject(errs.Invalid, field, "is not a known field")
 		case seen[name]:
 			r.reject(errs.Invalid, field, "is given twice")
 		default:
@@ -46,7 +46,7 @@
 // maxQuotedName bounds an invalid name in a field's path, in bytes.
 const maxQuotedName = 64
 
-// join returns the path of a field. A name that is not of nameForm is quoted and truncated.
+// join returns the path of a field. A name that nameForm does not match is truncated and quoted.
 func join(path, name string) string {
 	if !nameForm.MatchString(name) {
 		name = strconv.QuoteToASCII(name[:min(len(name), maxQuotedName)])
@@ -57,6 +57,7 @@
 	return path + "." + name
 }
 
+// array reads an array of least to most entries.
 func (r *reader) array(field string, v *fastjson.Value, least, most int) []*fastjson.Value {
 	list, err := v.Array()
 	if err != nil {
@@ -70,6 +71,7 @@
 	return list
 }
 
+// name reads a string that nameForm matches.
 func (r *reader) name(field string, v *fastjson.Value) string {
 	raw, err := v.StringBytes()
 	if err != nil {
@@ -83,6 +85,7 @@
 	return string(raw)
 }
 
+// names reads an array of names, each of which may occur only once.
 func (r *reader) names(field string, v *fastjson.Value) []string {
 	var names []string
 	seen := map[string]bool{}
@@ -90,7 +93,7 @@
 		at := fmt.Sprintf("%s[%d]", field, i)
 		name := r.name(at, v)
 		if name != "" && seen[name] {
-			r.reject(errs.Invalid, at, "names %q twice", name)
+			r.reject(errs.Invalid, at, "%q is given twice", name)
 		}
 		seen[name] = true
 		names = append(names, name)
@@ -98,6 +101,7 @@
 	return names
 }
 
+// number reads a whole number from least to most.
 func (r *reader) number(field string, v *fastjson.Value, least, most int) int {
 	if v.Type() != fastjson.TypeNumber {
 		r.reject(errs.Malformed, field, "must be a whole number, is %s", v.Type())
@@ -106,7 +110,7 @@
 	n, err := v.Int64()
 	switch {
 	case err != nil:
-		r.reject(errs.Malformed, field, "must be a whole number of %d to %d", least, most)
+		r.reject(errs.Malformed, field, "must be a whole number from %d to %d", least, most)
 		return 0
 	case n < int64(least) || n > int64(most):
 		r.reject(errs.Invalid, field, "must be %d to %d, is %d", least, most, n)
@@ -123,6 +127,7 @@
 	return b
 }
 
+// labels reads an object of at most MaxLabels names with their values.
 func (r *reader) labels(field string, v *fastjson.Value) map[string]string {
 	o, err := v.Object()
 	if err != nil {
@@ -137,11 +142,11 @@
 	o.Visit(func(raw []byte, v *fastjson.Value) {
 		name := string(raw)
 		at := join(field, name)
-		_, twice := labels[name]
+		_, isDuplicate := labels[name]
 		switch {
 		case !nameForm.MatchString(name):
 			r.reject(errs.Invalid, at, "the label's name "+nameRule)
-		case twice:
+		case isDuplicate:
 			r.reject(errs.Invalid, at, "is given twice")
 		default:
 			labels[name] = r.name(at, v)
@@ -150,7 +155,8 @@
 	return labels
 }
 
-// run returns any JSON in canonical form, for the digest: no white space, fields sorted, numbers as they were written.
+// run reads any JSON and returns it in canonical form, for the digest: no white space, fields sorted, numbers as they
+// were written.
 func (r *reader) run(field string, v *fastjson.Value) json.RawMessage {
 	r.rejectDuplicates(field, v)
 	decoder := json.NewDecoder(bytes.NewReader(v.MarshalTo(nil)))
@@ -165,14 +171,14 @@
 		r.reject(errs.Malformed, field, "%s", err)
 		return nil
 	}
-	if len(raw) > MaxRun {
-		r.reject(errs.Invalid, field, "must be at most %d bytes, is %d", MaxRun, len(raw))
+	if len(raw) > MaxRunBytes {
+		r.reject(errs.Invalid, field, "must be at most %d bytes, is %d", MaxRunBytes, len(raw))
 		return nil
 	}
 	return raw
 }
 
-// rejectDuplicates rejects fields that are given twice, at any depth.
+// rejectDuplicates rejects duplicate fields at any depth.
 func (r *reader) rejectDuplicates(path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeArray:
--- a/internal/httpapi/clientapi/jobs.go
+++ b/internal/httpapi/clientapi/jobs.go
@@ -13,10 +13,10 @@
 	"crosstide/internal/state/query"
 )
 
-// MaxBody bounds the body of a job, in bytes.
+// MaxBody is the maximum size of a job's body, in bytes.
 const MaxBody = 1 << 20
 
-// Accepted answers POST /v1/jobs and DELETE /v1/jobs/{key}.
+// Accepted is the response to POST /v1/jobs and DELETE /v1/jobs/{key}.
 type Accepted struct {
 	Key    string         `json:"key"`
 	State  state.JobPhase `json:"state"`
@@ -27,7 +27,7 @@
 func (a *api) submit(ctx context.Context, r *http.Request) (int, any, error) {
 	defer a.submits.Add(-1)
 	if inFlight := a.submits.Add(1); inFlight > int64(a.opt.MaxSubmits) {
-		return 0, nil, errs.New(errs.Overloaded, "%d jobs are being handed in here, the bound", a.opt.MaxSubmits)
+		return 0, nil, errs.New(errs.Overloaded, "the limit of %d submissions in flight is reached", a.opt.MaxSubmits)
 	}
 	data, err := rpc.ReadBody(r, MaxBody)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return status, Accepted{Key: answer.Key, State: answer.Phase}, nil
 }
 
-// cancelJobs handles POST /v1/jobs/cancel: it cancels the listed jobs, or all of a team, of a queue or of both.
+// cancelJobs handles POST /v1/jobs/cancel: it cancels the listed jobs, or all jobs of a team, a queue or both.
 func (a *api) cancelJobs(ctx context.Context, r *http.Request) (int, any, error) {
 	data, err := rpc.ReadBody(r, MaxBody)
 	if err != nil {
@@ -76,7 +76,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&cancel); err != nil {
-		return 0, nil, errs.Wrap(err, errs.Malformed, "the body is not {keys} or {team, queue}: %s", err)
+		return 0, nil, errs.Wrap(err, errs.Malformed, "the body must have keys, or team, queue or both: %s", err)
 	}
 	var answer command.CancelledMany
 	if err := a.propose(ctx, &cancel, &answer); err != nil {
@@ -92,7 +92,7 @@
 		return 0, nil, errs.Pass(err, "job")
 	}
 	var view query.JobView
-	var missing error // not returned through read: this is from a confirmed state, and may become 404
+	var missing error // separate from read's error: a confirmed state may answer 404
 	if err := a.read(ctx, func(s *state.State) { view, missing = query.Job(s, key) }); err != nil {
 		return 0, nil, errs.Pass(err, "job %s", key)
 	}
--- a/internal/httpapi/clientapi/list.go
+++ b/internal/httpapi/clientapi/list.go
@@ -13,11 +13,11 @@
 
 // Bounds of a list.
 const (
-	DefaultList = 200
-	MaxList     = 1000
+	DefaultListLimit = 200
+	MaxListLimit     = 1000
 )
 
-// Listing is the answer of GET /v1/jobs. Next is the `after` of the next page, "" on the last one.
+// Listing is the response to GET /v1/jobs. Next is the value of `after` for the next page, empty on the last page.
 type Listing struct {
 	Jobs []query.JobView `json:"jobs"`
 	Next string          `json:"next,omitempty"`
@@ -56,11 +56,12 @@
 	state.JobDone: true, state.JobFailed: true, state.JobCancelled: true,
 }
 
+// parseFilter parses the query of GET /v1/jobs.
 func parseFilter(r *http.Request) (filter, error) {
-	f := filter{limit: DefaultList}
+	f := filter{limit: DefaultListLimit}
 	values, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
-		return f, errs.Wrap(err, errs.Malformed, "the query")
+		return f, errs.Wrap(err, errs.Malformed, "invalid query")
 	}
 	for name, list := range values {
 		value := list[0]
@@ -75,14 +76,14 @@
 			return f, errs.Field(errs.Invalid, name, nameRule)
 		case name == "state":
 			if f.phase = state.JobPhase(value); !phases[f.phase] {
-				return f, errs.Field(errs.Invalid, name, "is no state of a job")
+				return f, errs.Field(errs.Invalid, name, "is not a job state")
 			}
 		case name == "limit":
-			if f.limit, err = strconv.Atoi(value); err != nil || f.limit < 1 || f.limit > MaxList {
-				return f, errs.Field(errs.Invalid, name, "must be a whole number of 1 to %d", MaxList)
+			if f.limit, err = strconv.Atoi(value); err != nil || f.limit < 1 || f.limit > MaxListLimit {
+				return f, errs.Field(errs.Invalid, name, "must be a whole number from 1 to %d", MaxListLimit)
 			}
 		default:
-			return f, errs.Field(errs.Invalid, join("", name), "there is no such parameter")
+			return f, errs.Field(errs.Invalid, join("", name), "is not a known parameter")
 		}
 	}
 	return f, nil
--- a/internal/httpapi/clientapi/parse.go
+++ b/internal/httpapi/clientapi/parse.go
@@ -26,9 +26,9 @@
 	MaxGPUs             = 1024 // of a task
 	MaxRetries          = 100
 	MaxLabels           = 32
-	MaxGang             = 64       // tasks of a step that start together
-	MaxRun              = 64 << 10 // bytes of `run`, without white space
-	maxValidationErrors = 20       // reported at once
+	MaxGangTasks        = 64       // tasks of a step that start together
+	MaxRunBytes         = 64 << 10 // bytes of `run`, without white space
+	maxValidationErrors = 20       // listed in one error
 )
 
 // Defaults of a job.
@@ -39,15 +39,16 @@
 	DefaultRetries = 3
 )
 
-// nameForm is the form of keys, teams, queues, names, types and labels.
+// nameForm matches valid keys, teams, queues, names, types and labels.
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 const nameRule = "must be 1 to 128 of A-Z a-z 0-9 . _ : -"
 
-// Parse reads the body of POST /v1/jobs, at most MaxBody bytes, into a checked Spec with its defaults filled in, and
-// its digest: SHA-256 in hex over the Spec's JSON, the same whatever the order of fields and the white space. Bytes
-// that are no JSON are errs.Malformed with line and column. Otherwise the failure names the first error's field
-// (errs.Malformed for a wrong type, errs.Invalid for a refused value) and its message lists up to 20 errors. Example:
+// Parse parses the body of POST /v1/jobs, at most MaxBody bytes. It returns the validated Spec, with defaults for
+// omitted fields, and its digest: SHA-256 in hex of the Spec's JSON, which does not depend on the order of the fields
+// or on white space. A body that is not valid JSON is errs.Malformed with line and column. Any other error has the
+// field and the kind of the first validation error (errs.Malformed for a wrong type, errs.Invalid for a value that is
+// not allowed), and its message lists up to 20 of them. Example:
 //
 //	body := `{"key":"k-1","team":"depot","steps":[{"name":"scan","type":"scan"}]}`
 //	spec, digest, err := clientapi.Parse([]byte(body))
@@ -76,7 +77,7 @@
 	return spec, hex.EncodeToString(sum[:]), nil
 }
 
-// syntaxErrorAt returns a message with the place at which data is not valid JSON.
+// syntaxErrorAt returns a message with the line and column at which data is not valid JSON.
 func syntaxErrorAt(data []byte, cause error) string {
 	var raw json.RawMessage
 	var syntax *json.SyntaxError
@@ -86,10 +87,10 @@
 	at := min(max(int(syntax.Offset)-1, 0), len(data))
 	line := 1 + bytes.Count(data[:at], []byte{'\n'})
 	column := at - bytes.LastIndexByte(data[:at], '\n')
-	return fmt.Sprintf("no JSON at line %d, column %d: %s", line, column, syntax.Error())
+	return fmt.Sprintf("invalid JSON at line %d, column %d: %s", line, column, syntax.Error())
 }
 
-// reader reads a job and collects its validation errors, see failure.
+// reader reads a job and collects its validation errors; failure returns them as one error.
 type reader struct {
 	kind             errs.Kind // of the first error
 	field            string    // of the first error
@@ -111,7 +112,7 @@
 	}
 }
 
-// failure returns one error for all rejections, with the kind and field of the first; nil if there are none.
+// failure returns one error for all validation errors, with the kind and field of the first, or nil.
 func (r *reader) failure() error {
 	if len(r.validationErrors) == 0 {
 		return nil
@@ -139,7 +140,7 @@
 		spec.Steps = append(spec.Steps, step)
 	}
 	if tasks > MaxJobTasks {
-		r.reject(errs.Invalid, "steps", "the job has %d tasks, at most %d", tasks, MaxJobTasks)
+		r.reject(errs.Invalid, "steps", "must have at most %d tasks in total, has %d", MaxJobTasks, tasks)
 	}
 	r.checkSteps(spec.Steps)
 	return spec
@@ -160,8 +161,8 @@
 		"standing": func(f string, v *fastjson.Value) { s.LongRunning = r.boolean(f, v) },
 		"gang":     func(f string, v *fastjson.Value) { s.Gang = r.boolean(f, v) },
 	}, "name", "type")
-	if s.Gang && s.Tasks > MaxGang {
-		r.reject(errs.Invalid, path+".gang", "a gang has at most %d tasks, this step has %d", MaxGang, s.Tasks)
+	if s.Gang && s.Tasks > MaxGangTasks {
+		r.reject(errs.Invalid, path+".gang", "must have at most %d tasks, has %d", MaxGangTasks, s.Tasks)
 	}
 	return s
 }
--- a/internal/httpapi/clientapi/parse_test.go
+++ b/internal/httpapi/clientapi/parse_test.go
@@ -12,7 +12,7 @@
 
 const head = `{"key":"k","team":"depot","steps":`
 
-// step returns a job of one step, with more fields of the step.
+// step returns the JSON of a job with one step; more is appended to the fields of the step.
 func step(more string) string { return head + `[{"name":"a","type":"scan"` + more + `}]}` }
 
 func TestParse(t *testing.T) {
@@ -40,7 +40,7 @@
 			{`{"key":"a b","team":"t","steps":[{"name":"a","type":"s"}]}`, errs.Invalid, "key", "must be 1 to 128"},
 			{`{"key":7,"team":"t","steps":[{"name":"a","type":"s"}]}`, errs.Malformed, "key", "must be a string"},
 			{strings.Replace(step(""), `"key":"k"`, `"key":"k","ke\u0079":"l"`, 1), errs.Invalid, "key", "twice"},
-			{strings.Replace(step(""), `"key"`, `"colour":1,"key"`, 1), errs.Invalid, "colour", "no such field"},
+			{strings.Replace(step(""), `"key"`, `"colour":1,"key"`, 1), errs.Invalid, "colour", "is not a known field"},
 			{head + `[]}`, errs.Invalid, "steps", "1 to 100"},
 			{head + `[` + many(101, `{}`) + `]}`, errs.Invalid, "steps", "has 101"},
 			{head + `[1]}`, errs.Malformed, "steps[0]", "must be an object"},
@@ -58,13 +58,14 @@
 			{step(`,"labels":{"gpu":true}`), errs.Malformed, "steps[0].labels.gpu", "must be a string"},
 			{step(`,"labels":{"a":"b","a":"c"}`), errs.Invalid, "steps[0].labels.a", "twice"},
 			{step(`,"run":{"a":[{"b":1,"b":2}]}`), errs.Invalid, "steps[0].run.a[0].b", "twice"},
-			{step(`,"run":"` + strings.Repeat("x", MaxRun) + `"`), errs.Invalid, "steps[0].run", "65536"},
+			{step(`,"run":"` + strings.Repeat("x", MaxRunBytes) + `"`), errs.Invalid, "steps[0].run", "65536"},
 			{step(`,"after":["b"]`), errs.Invalid, "steps[0].after[0]", `no step is named "b"`},
 			{step(`,"after":["a"]`), errs.Invalid, "steps[0].after[0]", "a after a"},
 			{head + `[{"name":"z","type":"s","after":["a"]},{"name":"a","type":"s","after":["b"]},
 				{"name":"b","type":"s","after":["a"]}]}`,
 				errs.Invalid, "steps[2].after[0]", "a after b after a"},
-			{head + `[{"name":"a","type":"s"},{"name":"a","type":"s"}]}`, errs.Invalid, "steps[1].name", "steps[0] too"},
+			{head + `[{"name":"a","type":"s"},{"name":"a","type":"s"}]}`,
+				errs.Invalid, "steps[1].name", "already the name of steps[0]"},
 			{head + `[{"name":"a","type":"s","tasks":10000},{"name":"b","type":"s","tasks":10000},{"name":"c","type":"s"}]}`,
 				errs.Invalid, "steps", "20001"},
 			{head + `[` + many(30, `{"name":"","type":"s"}`) + `]}`, errs.Invalid, "steps[0].name", "and 10 more"},
@@ -76,7 +77,7 @@
 			So(f.Message, ShouldContainSubstring, c.text)
 		}
 	})
-	Convey("The digest differs between jobs, and does not depend on how one is written", t, func() {
+	Convey("The digest differs between jobs, and does not depend on how a job's JSON is written", t, func() {
 		digestOf := func(body string) string {
 			_, digest, err := Parse([]byte(body))
 			So(err, ShouldBeNil)
--- a/internal/httpapi/clientapi/routes_test.go
+++ b/internal/httpapi/clientapi/routes_test.go
@@ -21,7 +21,7 @@
 	"crosstide/internal/state/command"
 )
 
-// fakeStore is a node on a state of its own; fail, if set, ends calls before they reach it.
+// fakeStore is a store of one node that commits immediately. If fail is set, calls fail with it and change nothing.
 type fakeStore struct {
 	s       *state.State
 	bound   int
@@ -68,7 +68,7 @@
 	m.HandleFunc(pattern, h)
 }
 
-// testAPI is the API before a fake node, without a network.
+// testAPI is the API of a fakeStore, called without a network.
 type testAPI struct {
 	mux
 	store *fakeStore
@@ -94,7 +94,7 @@
 }
 
 func TestRoutes_submit(t *testing.T) {
-	Convey("The same job three times is one job, and another one under its key is a conflict", t, func() {
+	Convey("A job that is submitted three times is one job, and another job with its key is a conflict", t, func() {
 		a := newTestAPI()
 		for i, want := range []int{202, 200, 200} {
 			code, body, _ := a.call("POST", "/v1/jobs", step("")+strings.Repeat(" ", i))
@@ -111,7 +111,7 @@
 }
 
 func TestRoutes_cancelMany(t *testing.T) {
-	Convey("A cancellation of many jobs takes a list or a team and a queue, and rejects all else", t, func() {
+	Convey("A cancellation of many jobs takes a list, or a team and a queue, and rejects any other body", t, func() {
 		a := newTestAPI()
 		for i := range 3 {
 			a.call("POST", "/v1/jobs", strings.Replace(step(""), `"k"`, fmt.Sprintf(`"k%d"`, i), 1))
@@ -148,7 +148,7 @@
 }
 
 func TestRoutes_unconfirmed(t *testing.T) {
-	Convey("What certainly does not exist is 404, what cannot be confirmed is 503 with Retry-After", t, func() {
+	Convey("A job that is confirmed not to exist is 404; what cannot be confirmed is 503 with Retry-After", t, func() {
 		a := newTestAPI()
 		So(a.status("GET", "/v1/jobs/none", ""), ShouldEqual, 404)
 		So(a.status("DELETE", "/v1/jobs/none", ""), ShouldEqual, 404)
@@ -184,7 +184,7 @@
 }
 
 func TestRoutes_overload(t *testing.T) {
-	Convey("A call over its timeout is 503, and a submit over the limit in flight is 429", t, func() {
+	Convey("A call that times out is 503, and a submission above the limit of those in flight is 429", t, func() {
 		a := newTestAPI()
 		a.store.entered, a.store.leave = make(chan struct{}), make(chan struct{})
 		g := routine.New(context.Background())
@@ -198,8 +198,8 @@
 	})
 }
 
-func TestRoutes_overTheWire(t *testing.T) {
-	Convey("A body over its bound is 413, and one that is not JSON is 400", t, func() {
+func TestRoutes_overHTTP(t *testing.T) {
+	Convey("A body above the maximum size is 413, and one that is not JSON is 400", t, func() {
 		s := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		Register(s, &fakeStore{s: state.New(), bound: 10}, Options{})
 		So(s.Start(), ShouldBeNil)
--- a/internal/httpapi/clientapi/steps.go
+++ b/internal/httpapi/clientapi/steps.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/state"
 )
 
-// checkSteps checks the names of the steps: each is unique, After refers to existing steps, and there is no cycle.
+// checkSteps checks that the names of the steps are unique, that After names existing steps and that there is no cycle.
 func (r *reader) checkSteps(steps []state.StepSpec) {
 	index := map[string]int{}
 	for i, s := range steps {
@@ -17,7 +17,8 @@
 			continue
 		}
 		if first, twice := index[s.Name]; twice {
-			r.reject(errs.Invalid, fmt.Sprintf("steps[%d].name", i), "%q is the name of steps[%d] too", s.Name, first)
+			r.reject(errs.Invalid, fmt.Sprintf("steps[%d].name", i),
+				"%q is already the name of steps[%d]", s.Name, first)
 			continue
 		}
 		index[s.Name] = i
@@ -32,10 +33,10 @@
 	r.checkCycles(steps, index)
 }
 
-// checkCycles rejects steps that wait for each other, by a depth-first search that stops at the first cycle. index has
-// the indexes of the steps by name.
+// checkCycles rejects dependency cycles, by a depth-first search that stops at the first cycle. index has the indexes
+// of the steps by name.
 func (r *reader) checkCycles(steps []state.StepSpec, index map[string]int) {
-	const unvisited, onPath, cleared = 0, 1, 2
+	const unvisited, onPath, done = 0, 1, 2
 	mark := make([]int, len(steps))
 	var path []string
 	var visit func(i int) bool
@@ -44,19 +45,19 @@
 		path = append(path, steps[i].Name)
 		for k, name := range steps[i].After {
 			next, ok := index[name]
-			if !ok || mark[next] == cleared {
+			if !ok || mark[next] == done {
 				continue
 			}
 			if mark[next] == onPath {
 				cycle := strings.Join(append(path[slices.Index(path, name):], name), " after ")
-				r.reject(errs.Invalid, fmt.Sprintf("steps[%d].after[%d]", i, k), "steps wait for each other: %s", cycle)
+				r.reject(errs.Invalid, fmt.Sprintf("steps[%d].after[%d]", i, k), "dependency cycle: %s", cycle)
 				return false
 			}
 			if !visit(next) {
 				return false
 			}
 		}
-		mark[i] = cleared
+		mark[i] = done
 		path = path[:len(path)-1]
 		return true
 	}
--- a/internal/httpapi/doc.go
+++ b/internal/httpapi/doc.go
@@ -1,5 +1,5 @@
-// Package httpapi has no code. The packages below it are the interfaces of crosstide that others than its own control
-// and data planes use, as JSON over HTTP/1.1. They differ by who calls, and in which deployment:
+// Package httpapi has no code. Its subpackages are the APIs, as JSON over HTTP/1.1, between crosstide's nodes and
+// clients, operators and workers. They differ by caller and by deployment:
 //
 //	package      caller               deployment     served by                        paths
 //	clientapi    clients              policy         crosstide-dataplane run          /v1/jobs
@@ -9,9 +9,9 @@
 //	             workers' heartbeats  jobs           crosstide-controlplane jobs run  /v2/workers
 //	workerapi    the store's leader   jobs           the users' workers               /v2/start, /v2/stop, /v2/hold
 //
-// *: a control-plane node of the jobs deployment serves operatorapi too, at its address for other nodes, for the
+// *: a control-plane node of the jobs deployment also serves operatorapi, at its internal address, to manage the
 // members of its store.
 //
-// On the users' platform the interfaces are the platform's: package platform takes the place of jobsapi and workerapi.
-// Calls between nodes of crosstide, and lease renewals to workers of the policy deployment, are package internalapi.
+// On the users' platform, package platform replaces jobsapi and workerapi: it implements the platform's own APIs.
+// Calls between crosstide's nodes, and lease renewals to workers of the policy deployment, are in package internalapi.
 package httpapi
--- a/internal/httpapi/jobsapi/calls_test.go
+++ b/internal/httpapi/jobsapi/calls_test.go
@@ -17,7 +17,7 @@
 	"crosstide/internal/rpc"
 )
 
-// fakeCore answers all calls, or fails them; it keeps the newest call.
+// fakeCore answers every call, or fails it with err. It records the latest call that has parameters.
 type fakeCore struct {
 	err  error
 	call any
@@ -79,10 +79,10 @@
 	return controller.WorkersAnswer{Evacuated: []string{"z"}, Workers: []controller.WorkerView{view}}, f.err
 }
 
-// sender sends one call to a test server and returns the status and the body of the answer.
+// sender sends one call to a test server and returns the status and the body of the response.
 type sender func(method, path, body string) (int, string)
 
-// withServer runs test with a server of all calls, which core answers.
+// withServer runs test with a server that passes all calls to core.
 func withServer(core *fakeCore, test func(send sender)) {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	ServeClients(server, core, time.Minute)
@@ -132,7 +132,7 @@
 			}
 		})
 	})
-	Convey("The configuration that is read can be put again, on top of its version", t, func() {
+	Convey("A configuration that was read can be put again, with its version as the base", t, func() {
 		core := &fakeCore{}
 		withServer(core, func(send sender) {
 			_, body := send("GET", "/v2/config", "")
@@ -146,7 +146,7 @@
 }
 
 func TestCalls_refused(t *testing.T) {
-	Convey("A wrong call is refused with its field and does not reach the core", t, func() {
+	Convey("An invalid call is rejected with the name of its field and does not reach the core", t, func() {
 		core := &fakeCore{}
 		withServer(core, func(send sender) {
 			for _, c := range []struct {
@@ -184,7 +184,7 @@
 }
 
 func TestCalls_errors(t *testing.T) {
-	Convey("Each error of the core has its status; callers do not learn which node leads", t, func() {
+	Convey("Each kind of error has its status; callers do not learn which node is the leader", t, func() {
 		for kind, want := range map[errs.Kind]int{
 			errs.Unknown: 404, errs.Conflict: 409, errs.Stale: 412, errs.Invalid: 422, errs.Overloaded: 429,
 			errs.Internal: 500, errs.Unavailable: 503, errs.NotLeader: 503, errs.Stopped: 503, errs.Timeout: 504,
--- a/internal/httpapi/jobsapi/client_calls.go
+++ b/internal/httpapi/jobsapi/client_calls.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	maxJobBody  = 4 << 20
-	defaultPage = 200 // jobs
-	maxPage     = 1000
+	maxJobBody      = 4 << 20 // bytes
+	defaultPageSize = 200     // jobs
+	maxPageSize     = 1000
 )
 
-// Jobs answers the clients' calls. Calls may be concurrent and return when their ctx ends. A call that fails with an
-// error of kind errs.Unavailable, errs.Stopped, errs.NotLeader or errs.Overloaded was surely not carried out; after
-// errs.Timeout it may have been.
+// Jobs executes the clients' calls. Its methods are safe for concurrent use and return when their ctx ends. A call that
+// fails with errs.Unavailable, errs.Stopped, errs.NotLeader or errs.Overloaded was certainly not executed; one that
+// fails with errs.Timeout may have been.
 type Jobs interface {
 	Submit(ctx context.Context, call controller.SubmitCall) (controller.SubmitAnswer, error)
 	Show(ctx context.Context, call controller.ShowCall) (controller.JobView, error)
@@ -30,20 +30,20 @@
 	Queues(ctx context.Context, call controller.QueuesCall) (controller.QueuesAnswer, error)
 }
 
-// JobState answers a submission or a cancellation.
+// JobState is the response to a submission or a cancellation.
 type JobState struct {
 	ID    string        `json:"id"`
 	State jobs.JobState `json:"state"`
 }
 
-// Page answers GET /v2/jobs. Next is the `after` of the next page, empty if there is none.
+// Page is the response to GET /v2/jobs. Next is the value of `after` for the next page, empty on the last page.
 type Page struct {
 	Jobs []controller.JobSummary `json:"jobs"`
 	Next string                  `json:"next,omitempty"`
 }
 
-// ServeClients adds the clients' calls, which backend answers, to server. timeout bounds each call; 0:
-// defaultTimeout. Call it before the server starts.
+// ServeClients registers the routes of the clients' calls, which backend executes. timeout bounds each call; 0 means
+// defaultTimeout. It must be called before the server starts.
 //
 //	POST   /v2/jobs       200 JobState; idempotent by the job's ID and content
 //	GET    /v2/jobs/{id}  200 controller.JobView
@@ -59,7 +59,7 @@
 	route(server, "GET /v2/queues", timeout, c.queues)
 }
 
-// clientCalls are the handlers of the clients' calls.
+// clientCalls has the handlers of the clients' calls.
 type clientCalls struct{ backend Jobs }
 
 func (c clientCalls) submit(ctx context.Context, r *http.Request) (any, error) {
@@ -75,11 +75,11 @@
 	return JobState{ID: spec.ID, State: answer.State}, errs.Pass(err, "submit")
 }
 
-// jobID reads the ID in a call's path.
+// jobID returns the job ID in the path of a request.
 func jobID(r *http.Request) (string, error) {
 	id := r.PathValue("id")
-	if wrong := checkName(id); wrong != "" {
-		return "", errs.Field(errs.Invalid, "id", "%s", wrong)
+	if problem := checkName(id); problem != "" {
+		return "", errs.Field(errs.Invalid, "id", "%s", problem)
 	}
 	return id, nil
 }
@@ -126,9 +126,9 @@
 // jobStates are the states by which a list may be filtered.
 var jobStates = []jobs.JobState{jobs.Queued, jobs.Running, jobs.Succeeded, jobs.Failed, jobs.Cancelled}
 
-// parseList reads the query of a list.
+// parseList parses the query of GET /v2/jobs.
 func parseList(r *http.Request) (controller.ListCall, error) {
-	call := controller.ListCall{Limit: defaultPage}
+	call := controller.ListCall{Limit: defaultPageSize}
 	for field, values := range r.URL.Query() {
 		if len(values) != 1 {
 			return call, errs.Field(errs.Invalid, field, "is given more than once")
@@ -140,6 +140,7 @@
 	return call, nil
 }
 
+// setListField sets the field of call for the query parameter named field.
 func setListField(call *controller.ListCall, field, value string) error {
 	switch field {
 	case "queue":
@@ -154,16 +155,16 @@
 		return nil
 	case "limit":
 		limit, err := strconv.Atoi(value)
-		if err != nil || limit < 1 || limit > maxPage {
-			return errs.Field(errs.Invalid, field, "must be from 1 to %d, is %q", maxPage, value)
+		if err != nil || limit < 1 || limit > maxPageSize {
+			return errs.Field(errs.Invalid, field, "must be from 1 to %d, is %q", maxPageSize, value)
 		}
 		call.Limit = limit
 		return nil
 	default:
 		return errs.Field(errs.Invalid, field, "is not a known field")
 	}
-	if wrong := checkName(value); wrong != "" {
-		return errs.Field(errs.Invalid, field, "%s", wrong)
+	if problem := checkName(value); problem != "" {
+		return errs.Field(errs.Invalid, field, "%s", problem)
 	}
 	return nil
 }
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -15,11 +15,12 @@
 	maxPriority = 1 << 20
 	maxAttempts = 1 << 20
 	maxStretch  = 1e6
-	maxVersion  = 1 << 53 // whole numbers up to it are exact in every reader of JSON
+	maxVersion  = 1 << 53 // JSON parsers that use float64 read integers up to it exactly
 )
 
-// Queue is a queue of the configuration on the wire. Jobs of a queue of priority 0 go first. A job should be over
-// within Target and Stretch times the estimate of its longest chain of steps; Timeout bounds a run.
+// Queue is the JSON form of a queue of the configuration. Jobs of queues with priority 0 are scheduled first. A round
+// of a job should end within Target plus Stretch times the estimated length of its critical path. Timeout bounds each
+// run.
 type Queue struct {
 	Name     string  `json:"name"`
 	Service  string  `json:"service"`
@@ -30,21 +31,21 @@
 	Timeout  string  `json:"timeout"`
 }
 
-// Service is a service of the configuration on the wire: a kind of worker. ChecksCapacity is set if its workers refuse
-// runs that do not fit.
+// Service is the JSON form of a service of the configuration: a kind of worker. ChecksCapacity is set if its workers
+// refuse runs that exceed their free capacity.
 type Service struct {
 	Name           string `json:"name"`
 	ChecksCapacity bool   `json:"guards_room"`
 }
 
-// Configuration is the configuration in force on the wire.
+// Configuration is the JSON form of the configuration in force.
 type Configuration struct {
 	Version  uint64    `json:"version"`
 	Queues   []Queue   `json:"queues"`
 	Services []Service `json:"services"`
 }
 
-// configurationOf returns the wire form of a configuration.
+// configurationOf returns the JSON form of a configuration.
 func configurationOf(c jobs.Config) Configuration {
 	answer := Configuration{Version: c.Version, Queues: []Queue{}, Services: []Service{}}
 	for _, q := range c.Queues {
@@ -63,7 +64,7 @@
 	}
 }
 
-// parsePut reads the body of PUT /v2/config: the whole configuration on top of version base.
+// parsePut parses the body of PUT /v2/config: the whole configuration, which replaces version base.
 func parsePut(body []byte) (jobs.Configure, error) {
 	change := jobs.Configure{Replace: true}
 	err := parse(body, func(r *config.Reader) {
@@ -78,7 +79,7 @@
 	return change, errs.Pass(err, "configuration")
 }
 
-// parsePatch reads the body of PATCH /v2/config: items to put and names to remove, on top of version base.
+// parsePatch parses the body of PATCH /v2/config: items to add or replace in version base, and names to remove from it.
 func parsePatch(body []byte) (jobs.Configure, error) {
 	var change jobs.Configure
 	err := parse(body, func(r *config.Reader) {
@@ -90,7 +91,7 @@
 			r.Strings("services", &change.RemoveServices, checkName)
 		})
 		if len(change.Queues)+len(change.Services)+len(change.RemoveQueues)+len(change.RemoveServices) == 0 {
-			r.Reject("put", "must be given, or remove")
+			r.Reject("put", "put or remove must have at least one item")
 		}
 	})
 	if err != nil {
@@ -100,7 +101,7 @@
 	return change, errs.Pass(err, "configuration")
 }
 
-// completeChange sets a change's version, which is the one after its base, its digest and its items' documents.
+// completeChange sets the version of a change, which is its base plus 1, its digest and the documents of its items.
 func completeChange(change jobs.Configure, body []byte) (jobs.Configure, error) {
 	change.Version = change.Base + 1
 	change.Digest = rpc.Digest(fmt.Appendf(nil, "replace %t", change.Replace), body)
@@ -119,11 +120,11 @@
 	return change, nil
 }
 
-// encodeDocument sets an item's document, its JSON text.
+// encodeDocument sets the document of an item, its JSON text.
 func encodeDocument(to *json.RawMessage, item any) error {
 	data, err := json.Marshal(item)
 	*to = data
-	return errs.Wrap(err, errs.Internal, "encode an item")
+	return errs.Wrap(err, errs.Internal, "encode a configuration item")
 }
 
 func readBase(r *config.Reader, change *jobs.Configure) {
@@ -149,7 +150,7 @@
 	r.Float("stretch", &q.Stretch, 0, maxStretch)
 	r.Duration("target", &q.Target, 0, maxDuration)
 	r.Duration("timeout", &q.Timeout, time.Millisecond, maxDuration)
-	q.Prefix = "/" + q.Name + "/" // the job table requires a prefix of each queue, unlike the others'
+	q.Prefix = "/" + q.Name + "/" // the job table requires a distinct prefix for each queue
 }
 
 func readService(r *config.Reader, s *jobs.Service) {
@@ -158,7 +159,7 @@
 	r.Bool("guards_room", &s.ChecksCapacity)
 }
 
-// checkUniqueNames refuses items whose name an earlier one has.
+// checkUniqueNames rejects items that have the name of an earlier item.
 func checkUniqueNames[T any](r *config.Reader, list string, items []T, nameOf func(T) string) {
 	seen := map[string]bool{}
 	for i, item := range items {
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestParsePut(t *testing.T) {
-	Convey("A whole configuration is read, with the defaults of a queue", t, func() {
+	Convey("A whole configuration is parsed, and omitted fields of a queue get their defaults", t, func() {
 		change, err := parsePut([]byte(`{"base":3,"services":[{"name":"s","guards_room":true}],"queues":[
 			{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,"target":"30s","timeout":"1h"},
 			{"name":"b","service":"s","timeout":"1m"}]}`))
@@ -29,7 +29,7 @@
 			Timeout: time.Minute})
 		So([]any{change.Services[0].Name, change.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
 	})
-	Convey("A wrong body is refused with its field", t, func() {
+	Convey("An invalid body is rejected with the name of its field", t, func() {
 		queue := func(fields string) string {
 			return `{"base":0,"services":[],"queues":[{"name":"a","service":"s","timeout":"1m"` + fields + `}]}`
 		}
@@ -60,7 +60,7 @@
 }
 
 func TestParsePatch(t *testing.T) {
-	Convey("Items to put and names to remove are read", t, func() {
+	Convey("Items to put and names to remove are parsed", t, func() {
 		change, err := parsePatch([]byte(`{"base":3,"put":{"services":[{"name":"s"}]},` +
 			`"remove":{"queues":["a"],"services":["t"]}}`))
 		So(err, ShouldBeNil)
@@ -68,7 +68,7 @@
 		So([]any{change.Services[0].Name, change.RemoveQueues, change.RemoveServices}, ShouldResemble,
 			[]any{"s", []string{"a"}, []string{"t"}})
 	})
-	Convey("The same text as a patch and as a put are two orders, and so are two texts", t, func() {
+	Convey("The digest differs between bodies, and between divisions of the same text into parts", t, func() {
 		change, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
 		again, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
 		other, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["b"]}}`))
@@ -76,7 +76,7 @@
 		So(change.Digest, ShouldNotEqual, other.Digest)
 		So(rpc.Digest([]byte("a"), []byte("b")), ShouldNotEqual, rpc.Digest([]byte("ab")))
 	})
-	Convey("A wrong body is refused with its field", t, func() {
+	Convey("An invalid body is rejected with the name of its field", t, func() {
 		shouldRefuse(func(body []byte) error { _, err := parsePatch(body); return errs.Pass(err, "patch") }, []rejection{
 			{`{"base":1,"remove":{"queues":["a"]}}`, "", ""},
 			{`{"base":1}`, errs.Invalid, "put"},
--- a/internal/httpapi/jobsapi/doc.go
+++ b/internal/httpapi/jobsapi/doc.go
@@ -1,10 +1,9 @@
-// Package jobsapi is the product's own interface to the jobs of the jobs deployment, as JSON over HTTP/1.1: the
-// clients' calls of a data-plane node (ServeClients), and the operators' calls and the workers' heartbeats of a
-// control-plane node (ServeControl).
+// Package jobsapi is the API of the jobs deployment, as JSON over HTTP/1.1. A data-plane node serves the clients' calls
+// (ServeClients); a control-plane node serves the operators' calls and the workers' heartbeats (ServeControl).
 //
-// It translates between the wire and the controller's calls; it decides nothing and keeps no state. Bodies are read
-// strictly: an unknown field, a wrong type or a value out of its range is refused with the field's name.
+// The package converts between JSON and the controller's calls. It makes no decisions and keeps no state. Bodies are
+// parsed strictly: an unknown field, a wrong type or a value out of range is rejected with the name of the field.
 //
-// Begin with the tables of calls at ServeClients and ServeControl; job.go, configuration.go and heartbeat.go read the
+// Begin with the tables of calls at ServeClients and ServeControl; job.go, configuration.go and heartbeat.go parse the
 // bodies.
 package jobsapi
--- a/internal/httpapi/jobsapi/docs_test.go
+++ b/internal/httpapi/jobsapi/docs_test.go
@@ -11,36 +11,36 @@
 	"crosstide/internal/config"
 )
 
-// page is the operators' page whose examples must be taken as they stand there.
-const page = "../../../docs/ops/jobs.md"
+// operatorsPage is the page for operators. The API must accept its examples verbatim.
+const operatorsPage = "../../../docs/ops/jobs.md"
 
-// between returns all texts that stand between two marks.
-func between(text, open, end string) []string {
-	var out []string
+// between returns the substrings of text between each marker start and the marker end that follows it.
+func between(text, start, end string) []string {
+	var substrings []string
 	for {
-		_, rest, found := strings.Cut(text, open)
+		_, rest, found := strings.Cut(text, start)
 		if !found {
-			return out
+			return substrings
 		}
-		one, after, found := strings.Cut(rest, end)
+		substring, after, found := strings.Cut(rest, end)
 		So(found, ShouldBeTrue)
-		out, text = append(out, one), after
+		substrings, text = append(substrings, substring), after
 	}
 }
 
 func TestDocumentedExamples(t *testing.T) {
 	Convey("Every example of the operators' page is accepted", t, func() {
-		data, err := os.ReadFile(page)
+		data, err := os.ReadFile(operatorsPage)
 		So(err, ShouldBeNil)
 		text := string(data)
 
-		fences := between(text, "```json\n", "```")
-		So(len(fences), ShouldEqual, 2)
+		codeBlocks := between(text, "```json\n", "```")
+		So(len(codeBlocks), ShouldEqual, 2)
 		settings := filepath.Join(t.TempDir(), "settings.json")
-		So(os.WriteFile(settings, []byte(fences[0]), 0o600), ShouldBeNil)
+		So(os.WriteFile(settings, []byte(codeBlocks[0]), 0o600), ShouldBeNil)
 		core, err := config.LoadJobsControlPlane(settings)
 		So([]any{core.Control, err}, ShouldResemble, []any{"10.0.1.10:7200", nil})
-		heartbeat, err := parseHeartbeat("w", []byte(fences[1]))
+		heartbeat, err := parseHeartbeat("w", []byte(codeBlocks[1]))
 		So([]any{heartbeat.Worker.Rack, err}, ShouldResemble, []any{"r7", nil})
 
 		submitted := between(text, "/v2/jobs -d '", "'\n")
--- a/internal/httpapi/jobsapi/golden_test.go
+++ b/internal/httpapi/jobsapi/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON of the types that are exchanged with clients, operators and workers.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		golden.Shape("job state", JobState{}),
@@ -26,7 +26,7 @@
 	)
 }
 
-// TestGoldenDigests pins what is hashed, by the hash of a fixed value.
+// TestGoldenDigests pins the encoding of a job that its digest is computed over, by the digest of a fixed job.
 func TestGoldenDigests(t *testing.T) {
 	spec, digest, err := ParseJob([]byte(`{"id":"j-1","queue":"nightly","steps":[{"milli_cpu":500}]}`))
 	if err != nil {
--- a/internal/httpapi/jobsapi/heartbeat.go
+++ b/internal/httpapi/jobsapi/heartbeat.go
@@ -13,19 +13,19 @@
 // The states that a worker reports with its heartbeats.
 const (
 	StateReady    = "ready"
-	StateDraining = "draining" // it takes no starts
-	StateLeaving  = "leaving"  // it exits now, and all its runs end
+	StateDraining = "draining" // accepts no starts
+	StateLeaving  = "leaving"  // exits now, and all its runs end
 )
 
 // maxLabels bounds the labels of a worker.
 const maxLabels = 64
 
-// parseHeartbeat reads the heartbeat of the worker id. Durations are whole nanoseconds.
+// parseHeartbeat parses a heartbeat of the worker with the ID id. Durations are integers in nanoseconds.
 func parseHeartbeat(id string, body []byte) (controller.HeartbeatCall, error) {
 	call := controller.HeartbeatCall{Worker: jobs.Worker{ID: id}}
 	err := parse(body, func(r *config.Reader) { readHeartbeat(r, &call) })
-	if wrong := checkName(id); wrong != "" {
-		return controller.HeartbeatCall{}, errs.Field(errs.Invalid, "id", "%s", wrong)
+	if problem := checkName(id); problem != "" {
+		return controller.HeartbeatCall{}, errs.Field(errs.Invalid, "id", "%s", problem)
 	}
 	return call, errs.Pass(err, "heartbeat")
 }
@@ -50,7 +50,7 @@
 	r.String("rack", &worker.Rack, checkName)
 	r.Strings("labels", &worker.Labels, checkName)
 	if len(worker.Labels) > maxLabels {
-		r.Reject("labels", "must be at most %d, are %d", maxLabels, len(worker.Labels))
+		r.Reject("labels", "must have at most %d entries, has %d", maxLabels, len(worker.Labels))
 	}
 	r.Object("capacity", func(r *config.Reader) {
 		r.Require("milli_cpu", "memory_mb")
--- a/internal/httpapi/jobsapi/heartbeat_test.go
+++ b/internal/httpapi/jobsapi/heartbeat_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/jobs"
 )
 
-// heartbeatJSON returns a heartbeat without a state, with further fields.
+// heartbeatJSON returns the JSON of a heartbeat without the field state, with fields appended to it.
 func heartbeatJSON(fields string) string {
 	return `{"sequence":7,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z",` +
 		`"capacity":{"milli_cpu":1000,"memory_mb":512}` + fields + `}`
@@ -21,14 +21,14 @@
 const readyHeartbeat = `{"state":"ready","sequence":1,"clock":5,"address":"10.0.0.1:7300","service":"s","zone":"z",` +
 	`"capacity":{"milli_cpu":1,"memory_mb":1}}`
 
-// changed returns readyHeartbeat with one part of its text replaced.
+// changed returns readyHeartbeat with old, which must occur in it exactly once, replaced.
 func changed(old, replacement string) string {
 	So(strings.Count(readyHeartbeat, old), ShouldEqual, 1)
 	return strings.Replace(readyHeartbeat, old, replacement, 1)
 }
 
 func TestParseHeartbeat(t *testing.T) {
-	Convey("A heartbeat is read", t, func() {
+	Convey("A heartbeat is parsed", t, func() {
 		call, err := parseHeartbeat("w1", []byte(heartbeatJSON(`,"state":"draining","remaining":9,"rack":"r1",`+
 			`"labels":["ssd","big"]`)))
 		So(err, ShouldBeNil)
@@ -41,7 +41,7 @@
 		call, err := parseHeartbeat("w1", []byte(`{"state":"leaving"}`))
 		So([]any{call.Leaving, call.Worker.ID, err}, ShouldResemble, []any{true, "w1", nil})
 	})
-	Convey("A wrong body is refused with its field", t, func() {
+	Convey("An invalid body is rejected with the name of its field", t, func() {
 		parse := func(body []byte) error {
 			_, err := parseHeartbeat("w1", body)
 			return errs.Pass(err, "heartbeat")
--- a/internal/httpapi/jobsapi/job.go
+++ b/internal/httpapi/jobsapi/job.go
@@ -21,8 +21,8 @@
 	maxDuration = 10 * 365 * 24 * time.Hour
 )
 
-// ParseJob reads the body of POST /v2/jobs into a job and its digest, which is the same whatever the order of the
-// fields and the white space. Failures: Malformed, Invalid with the field. Example:
+// ParseJob parses the body of POST /v2/jobs and returns the job and its digest, which does not depend on the order of
+// the fields or on white space. Errors: errs.Malformed, and errs.Invalid with the field. Example:
 //
 //	spec, digest, err := jobsapi.ParseJob([]byte(`{"id":"j-1","queue":"nightly","steps":[{"milli_cpu":500}]}`))
 func ParseJob(body []byte) (jobs.Spec, string, error) {
@@ -54,7 +54,7 @@
 	return ""
 }
 
-// readTimes reads when the rounds of a job are due.
+// readTimes reads the schedule of the rounds of a job.
 func readTimes(r *config.Reader, spec *jobs.Spec) {
 	spec.Rounds = 1
 	r.Require("first")
@@ -62,7 +62,7 @@
 	r.Int("rounds", &spec.Rounds, 1, maxJobTasks)
 	r.Duration("every", &spec.Interval, time.Millisecond, maxDuration)
 	if spec.Rounds > 1 && spec.Interval == 0 {
-		r.Reject("every", "must be given with more than one round")
+		r.Reject("every", "is required with more than one round")
 	}
 }
 
@@ -81,10 +81,10 @@
 	r.Bool("speculative", &step.Speculative)
 	r.Bool("lasting", &step.LongRunning)
 	if step.SameRack && !step.Gang {
-		r.Reject("one_rack", "is for gangs only")
+		r.Reject("one_rack", "requires gang")
 	}
 	if step.Speculative && (step.Gang || step.LongRunning) {
-		r.Reject("speculative", "goes with neither gang nor lasting")
+		r.Reject("speculative", "cannot be combined with gang or lasting")
 	}
 }
 
@@ -94,10 +94,10 @@
 	r.Int("gpus", &needs.GPUs, 0, maxAmount)
 }
 
-// checkSteps checks the steps of a job against each other and their total.
+// checkSteps checks the number of steps, their dependencies and the total number of tasks.
 func checkSteps(r *config.Reader, spec *jobs.Spec) {
 	if len(spec.Steps) < 1 || len(spec.Steps) > maxSteps {
-		r.Reject("steps", "must be 1 to %d, are %d", maxSteps, len(spec.Steps))
+		r.Reject("steps", "must have 1 to %d entries, has %d", maxSteps, len(spec.Steps))
 		return
 	}
 	total := 0
@@ -106,10 +106,11 @@
 		checkAfter(r, spec, i)
 	}
 	if total *= max(spec.Rounds, 1); total > maxJobTasks {
-		r.Reject("steps", "must have at most %d tasks over all rounds, have %d", maxJobTasks, total)
+		r.Reject("steps", "must have at most %d tasks over all rounds, has %d", maxJobTasks, total)
 	}
 }
 
+// checkAfter checks that step i depends on earlier steps only, on each at most once and on none that is long-running.
 func checkAfter(r *config.Reader, spec *jobs.Spec, i int) {
 	after := spec.Steps[i].After
 	for at, before := range after {
@@ -118,7 +119,7 @@
 		case before >= i:
 			r.Reject(field, "must be the number of an earlier step, is %d", before)
 		case spec.Steps[before].LongRunning:
-			r.Reject(field, "step %d lasts until the job is cancelled", before)
+			r.Reject(field, "must not be step %d, which runs until the job is cancelled", before)
 		case slices.Contains(after[:at], before):
 			r.Reject(field, "step %d is given twice", before)
 		}
--- a/internal/httpapi/jobsapi/job_test.go
+++ b/internal/httpapi/jobsapi/job_test.go
@@ -11,14 +11,14 @@
 	"crosstide/internal/jobs"
 )
 
-// rejection is a body and the error with which it is refused; kind "" if it is accepted.
+// rejection is a body and the error that it must be rejected with; kind is empty if it must be accepted.
 type rejection struct {
 	body  string
 	kind  errs.Kind
 	field string
 }
 
-// shouldRefuse checks that parse refuses each body as its case says.
+// shouldRefuse checks that parse rejects the body of each case with its kind and field, or accepts it.
 func shouldRefuse(parse func(body []byte) error, cases []rejection) {
 	for _, c := range cases {
 		err := parse([]byte(c.body))
@@ -35,7 +35,7 @@
 func steps(steps string) string { return `{"id":"j","queue":"q","steps":` + steps + `}` }
 
 func TestParseJob(t *testing.T) {
-	Convey("Every field of a job is read", t, func() {
+	Convey("Every field of a job is parsed", t, func() {
 		spec, digest, err := ParseJob([]byte(`{"id":"j-1","queue":"nightly","payload":"p",
 			"times":{"first":"2026-12-02T08:00:00Z","every":"1h","rounds":3},
 			"steps":[{"tasks":2,"milli_cpu":500,"memory_mb":64,"gpus":1,"estimate":"3s","label":"ssd","near":"r1",
@@ -52,7 +52,7 @@
 				{Count: 1, After: []int{0, 1}, Speculative: true},
 				{Count: 1, LongRunning: true}}})
 	})
-	Convey("The digest is of the job, not of its text", t, func() {
+	Convey("The digest depends on the job, not on how its JSON is written", t, func() {
 		_, digest, _ := ParseJob([]byte(`{"id":"j","queue":"q","steps":[{}]}`))
 		_, same, _ := ParseJob([]byte(` {"queue":"q", "steps":[{"tasks":1}],"id":"j" }`))
 		_, other, _ := ParseJob([]byte(`{"id":"j","queue":"q","steps":[{"tasks":2}]}`))
@@ -61,7 +61,7 @@
 	})
 }
 
-// wrongJobs are bodies of jobs and their rejections; those without a kind are accepted.
+// wrongJobs are bodies of invalid jobs, and of some valid ones, whose kind is empty.
 var wrongJobs = []rejection{
 	{job(""), "", ""},
 	{"", errs.Malformed, ""},
@@ -115,7 +115,7 @@
 }
 
 func TestParseJob_refused(t *testing.T) {
-	Convey("A wrong body is refused with its field", t, func() {
+	Convey("An invalid body is rejected with the name of its field", t, func() {
 		shouldRefuse(func(body []byte) error { _, _, err := ParseJob(body); return errs.Pass(err, "job") }, wrongJobs)
 	})
 	Convey("All validation errors are reported at once, the first one by its field", t, func() {
--- a/internal/httpapi/jobsapi/operator_calls.go
+++ b/internal/httpapi/jobsapi/operator_calls.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	maxHeartbeatBody = 64 << 10
-	maxConfigBody    = 16 << 20
-	heartbeatTimeout = time.Second // a worker tries another node after it
+	maxHeartbeatBody = 64 << 10    // bytes
+	maxConfigBody    = 16 << 20    // bytes
+	heartbeatTimeout = time.Second // after which a worker tries another node
 )
 
-// Control answers the operators' calls and the workers' heartbeats. Calls may be concurrent and return when their ctx
-// ends; their errors are those of Jobs.
+// Control executes the operators' calls and the workers' heartbeats. Its methods are safe for concurrent use, return
+// when their ctx ends and fail with the same kinds of errors as those of Jobs.
 type Control interface {
 	Heartbeat(ctx context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error)
 	Config(ctx context.Context, call controller.ConfigCall) (jobs.Config, error)
@@ -28,23 +28,24 @@
 	Workers(ctx context.Context, call controller.WorkersCall) (controller.WorkersAnswer, error)
 }
 
-// ConfigVersion answers a change of the configuration.
+// ConfigVersion is the response to a change of the configuration.
 type ConfigVersion struct {
 	Version uint64 `json:"version"`
 }
 
-// ZoneState answers an evacuation or its withdrawal.
+// ZoneState is the response to the evacuation or the restoration of a zone.
 type ZoneState struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"evacuated"`
 }
 
-// Heartbeat answers a heartbeat. Leader, if known, is the address to which the worker had better send later ones.
+// Heartbeat is the response to a heartbeat. Leader is the address to which the worker should send its next heartbeats,
+// empty if it is unknown.
 type Heartbeat struct {
 	Leader string `json:"leader,omitempty"`
 }
 
-// Worker is a worker as operators see it.
+// Worker is the state of a worker as listed for operators.
 type Worker struct {
 	ID       string    `json:"id"`
 	Address  string    `json:"address"`
@@ -58,25 +59,25 @@
 	State    string    `json:"state"` // ready, draining or leaving
 }
 
-// Resources are amounts of each kind.
+// Resources is an amount of each kind of resource.
 type Resources struct {
 	MilliCPU int `json:"milli_cpu"`
 	MemoryMB int `json:"memory_mb"`
 	GPUs     int `json:"gpus"`
 }
 
-// Workers lists the workers and the evacuated zones.
+// Workers is the response to GET /v2/workers: the workers and the evacuated zones.
 type Workers struct {
 	Workers   []Worker `json:"workers"`
 	Evacuated []string `json:"evacuated"`
 }
 
-// ServeControl adds the operators' calls and the workers' heartbeats, which backend answers, to server. timeout bounds
-// each operator's call; 0: defaultTimeout. Call it before the server starts.
+// ServeControl registers the routes of the operators' calls and the workers' heartbeats, which backend executes.
+// timeout bounds each operator's call; 0 means defaultTimeout. It must be called before the server starts.
 //
 //	GET   /v2/config                    200 Configuration
-//	PUT   /v2/config                    200 ConfigVersion; the whole configuration on top of a version
-//	PATCH /v2/config                    200 ConfigVersion; single items on top of a version
+//	PUT   /v2/config                    200 ConfigVersion; replaces the whole configuration of a base version
+//	PATCH /v2/config                    200 ConfigVersion; changes single items of a base version
 //	POST  /v2/zones/{zone}/evacuate     200 ZoneState
 //	POST  /v2/zones/{zone}/restore      200 ZoneState
 //	GET   /v2/topology                  200 controller.TopologyAnswer
@@ -94,7 +95,7 @@
 	route(server, "POST /v2/workers/{id}/heartbeat", heartbeatTimeout, calls.heartbeat)
 }
 
-// operatorCalls are the handlers of the operators' calls and of heartbeats.
+// operatorCalls has the handlers of the operators' calls and of heartbeats.
 type operatorCalls struct{ backend Control }
 
 func (o operatorCalls) config(ctx context.Context, _ *http.Request) (any, error) {
@@ -120,8 +121,8 @@
 func (o operatorCalls) evacuate(start bool) handler {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		zone := r.PathValue("zone")
-		if wrong := checkName(zone); wrong != "" {
-			return nil, errs.Field(errs.Invalid, "zone", "%s", wrong)
+		if problem := checkName(zone); problem != "" {
+			return nil, errs.Field(errs.Invalid, "zone", "%s", problem)
 		}
 		_, err := o.backend.Evacuate(ctx, jobs.Evacuate{Zone: zone, Start: start})
 		return ZoneState{Zone: zone, Evacuated: start}, errs.Pass(err, "evacuate")
--- a/internal/httpapi/jobsapi/parse.go
+++ b/internal/httpapi/jobsapi/parse.go
@@ -13,15 +13,15 @@
 	"crosstide/internal/rpc"
 )
 
-// maxReportedErrors is how many validation errors of a body are reported at once.
+// maxReportedErrors is the maximum number of validation errors that the message of one error lists.
 const maxReportedErrors = 20
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 const nameRule = "must be 1 to 128 of A-Z a-z 0-9 . _ : -"
 
-// checkName returns what is wrong with the name of a job, queue, service, worker, zone, rack or label; "" if it is
-// valid.
+// checkName returns nameRule if value is not a valid name of a job, queue, service, worker, zone, rack or label, else
+// the empty string.
 func checkName(value string) string {
 	if nameForm.MatchString(value) {
 		return ""
@@ -29,14 +29,14 @@
 	return nameRule
 }
 
-// parse calls into with a reader of body. The error is errs.Malformed if body is no JSON, errs.Invalid if a field is
-// refused; it has the field of the first validation error, and its message names the others too.
-func parse(body []byte, into func(r *config.Reader)) error {
+// parse calls read with a reader of body. It fails with errs.Malformed if body is not valid JSON, and with errs.Invalid
+// if a field is rejected: the error has the field of the first validation error, and its message lists the others too.
+func parse(body []byte, read func(r *config.Reader)) error {
 	var parser fastjson.Parser
 	if _, err := rpc.ParseJSON(&parser, body); err != nil {
 		return errs.Pass(err, "body")
 	}
-	err := config.Parse(body, into)
+	err := config.Parse(body, read)
 	var validationErrs config.ValidationErrors
 	if errors.As(err, &validationErrs) {
 		return errs.Pass(rejectionOf(validationErrs), "body")
@@ -51,8 +51,8 @@
 	for _, further := range validationErrs[1:min(len(validationErrs), maxReportedErrors)] {
 		messages = append(messages, further.Field+": "+further.Message)
 	}
-	if more := len(validationErrs) - len(messages); more > 0 {
-		messages = append(messages, "and "+strconv.Itoa(more)+" more")
+	if omitted := len(validationErrs) - len(messages); omitted > 0 {
+		messages = append(messages, "and "+strconv.Itoa(omitted)+" more")
 	}
 	return errs.Field(errs.Invalid, first.Field, "%s", strings.Join(messages, "; "))
 }
--- a/internal/httpapi/jobsapi/route.go
+++ b/internal/httpapi/jobsapi/route.go
@@ -12,16 +12,16 @@
 // defaultTimeout bounds a call for which no timeout is set.
 const defaultTimeout = 3 * time.Second
 
-// Router is what the API needs of its server (*rpc.Server). Route answers the calls that match a pattern of net/http's
-// ServeMux by serve, concurrently; it is called before the server starts.
+// Router is the part of *rpc.Server that the API uses. Route registers serve for the requests that match pattern, in
+// the syntax of http.ServeMux. serve may be called concurrently. Route must be called before the server starts.
 type Router interface {
 	Route(pattern string, serve func(w http.ResponseWriter, r *http.Request))
 }
 
-// handler answers one call with a value that is written as JSON, or an error.
+// handler handles one call. It returns the value to write as JSON, or an error.
 type handler func(ctx context.Context, r *http.Request) (any, error)
 
-// route answers the calls of a pattern by serve, whose ctx ends after timeout; 0: defaultTimeout.
+// route registers serve for the calls of a pattern. The ctx of serve ends after timeout; 0 means defaultTimeout.
 func route(server Router, pattern string, timeout time.Duration, serve handler) {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -38,14 +38,14 @@
 	})
 }
 
-// publicError returns the error that a caller from outside gets: it does not learn which node leads, and an internal
-// error after the end of ctx is a timeout.
+// publicError maps err to the error that an external caller gets: it does not reveal which node is the leader, and an
+// internal error after the end of ctx becomes a timeout.
 func publicError(ctx context.Context, err error) error {
 	switch {
 	case errs.Is(err, errs.NotLeader):
-		return errs.Wrap(err, errs.Unavailable, "no leader can be reached now")
+		return errs.Wrap(err, errs.Unavailable, "no leader is reachable")
 	case errs.Is(err, errs.Internal) && ctx.Err() != nil:
-		return errs.Wrap(err, errs.Timeout, "the call's time is over")
+		return errs.Wrap(err, errs.Timeout, "the call timed out")
 	}
 	return errs.Pass(err, "call")
 }
--- a/internal/httpapi/operatorapi/account.go
+++ b/internal/httpapi/operatorapi/account.go
@@ -12,19 +12,20 @@
 	"crosstide/internal/state/query"
 )
 
-// maxEntries bounds the ledger entries of one answer.
+// maxEntries is the maximum number of ledger entries in one response.
 const maxEntries = 1000
 
-// serveAccounts adds the routes of the parties' accounts:
+// serveAccounts registers the routes of the parties' accounts:
 //
 //	POST /v1/accounts/{name}/create   {"order","credit","by","sig"}
-//	POST /v1/accounts/{name}/top-up   {"key","amount","by","sig"}   counts once for each key
+//	POST /v1/accounts/{name}/top-up   {"key","amount","by","sig"}   applied once per key
 //	GET  /v1/accounts
 //	GET  /v1/accounts/{name}
 //	GET  /v1/accounts/{name}/ledger?after=N&limit=M
 //	GET  /v1/accounts/{name}/export   CSV
 //
-// Errors: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Unavailable, Timeout (send the same again).
+// Errors: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Unavailable, Timeout (send the same request
+// again).
 func serveAccounts(srv *rpc.Server, s Store) {
 	a := accounts{s}
 	route(srv, "POST /v1/accounts/{name}/create", a.create)
@@ -38,8 +39,8 @@
 // accounts has the handlers of the accounts' routes.
 type accounts struct{ store Store }
 
-func decodeAccountOrder(r *http.Request, into any) error {
-	return errs.Pass(decode(r, into, "the body must be a JSON object of the order"), "account")
+func decodeAccountOrder(r *http.Request, target any) error {
+	return errs.Pass(decode(r, target, "the body must be a JSON object with the fields of the order"), "account")
 }
 
 func (a accounts) create(r *http.Request) (any, error) {
@@ -74,9 +75,9 @@
 	return answer, errs.Pass(err, "accounts")
 }
 
-// read runs do with the name of the account in the path. It returns the error of the store, or that of do.
+// read runs do with the account name in the path. It returns the error of the store, or else that of do.
 func (a accounts) read(r *http.Request, do func(s *state.State, name string) error) error {
-	var failure error // kept apart: only a confirmed state may report that an account does not exist
+	var failure error // separate from err: only a confirmed state may report that an account does not exist
 	err := a.store.Read(r.Context(), func(s *state.State) { failure = do(s, r.PathValue("name")) })
 	if err != nil {
 		return errs.Pass(err, "account")
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -23,7 +23,7 @@
 	"crosstide/internal/state/query"
 )
 
-// accountsServer is a served store that knows the operators ada and ben, with the account "acme".
+// accountsServer serves a store with the operators ada and ben and the account "acme".
 type accountsServer struct {
 	*fakeStore
 	addr string
@@ -94,7 +94,7 @@
 }
 
 func TestAccounts_topUp(t *testing.T) {
-	Convey("A top-up counts once however often it is sent; errors are answered by their kind", t, func() {
+	Convey("A top-up that is sent again is applied once; each kind of error has its status", t, func() {
 		c := newAccountsServer(t)
 		status, first := c.topUp("acme", "k1", 300)
 		So(status, ShouldEqual, 200)
@@ -115,9 +115,9 @@
 		status, _ = c.create("o2", "acme")
 		So(status, ShouldEqual, 409)
 		status, raw := c.call("GET", "/v1/accounts/acme", nil)
-		var v internalapi.AccountView
-		So(json.Unmarshal([]byte(raw), &v), ShouldBeNil)
-		So([]any{status, v.Balance, v.ToppedUp, v.Draws, v.Warning}, ShouldResemble,
+		var view internalapi.AccountView
+		So(json.Unmarshal([]byte(raw), &view), ShouldBeNil)
+		So([]any{status, view.Balance, view.ToppedUp, view.Draws, view.Warning}, ShouldResemble,
 			[]any{200, int64(300), int64(300), false, ""})
 	})
 }
@@ -129,9 +129,10 @@
 			c.topUp("acme", fmt.Sprint("k", i), 10)
 		}
 		_, raw := c.call("GET", "/v1/accounts/acme/ledger?after=1&limit=2", nil)
-		var l internalapi.LedgerAnswer
-		So(json.Unmarshal([]byte(raw), &l), ShouldBeNil)
-		So([]any{l.Entries[0].Number, len(l.Entries), l.Head.ToppedUp}, ShouldResemble, []any{uint64(2), 2, int64(50)})
+		var ledger internalapi.LedgerAnswer
+		So(json.Unmarshal([]byte(raw), &ledger), ShouldBeNil)
+		So([]any{ledger.Entries[0].Number, len(ledger.Entries), ledger.Head.ToppedUp}, ShouldResemble,
+			[]any{uint64(2), 2, int64(50)})
 		status, raw := c.call("GET", "/v1/accounts/acme/export", nil)
 		So(status, ShouldEqual, 200)
 		So(strings.Count(raw, "top-up"), ShouldEqual, 5)
@@ -149,7 +150,7 @@
 }
 
 func TestAccounts_exhausted(t *testing.T) {
-	Convey("A job reports what it waits for, and the account warns before and when it is exhausted", t, func() {
+	Convey("A job reports why it waits, and the account has a warning before and after it is exhausted", t, func() {
 		c := newAccountsServer(t)
 		c.topUp("acme", "k", 250)
 		acme := state.Party{Teams: []string{"a"}, Price: account.Price{Core: 10}, Reserve: 10 * time.Second,
@@ -172,11 +173,11 @@
 			c.order(plan)
 		}
 		start("j0")
-		v := c.view()
-		So([]any{v.Runs, v.ExhaustedIn, v.Warning}, ShouldResemble, []any{1, 15 * time.Second, ""})
+		view := c.view()
+		So([]any{view.Runs, view.ExhaustedIn, view.Warning}, ShouldResemble, []any{1, 15 * time.Second, ""})
 		start("j1", "j2")
-		v = c.view()
-		So([]any{v.Runs, v.Rate, v.ExhaustedIn, v.Waiting, v.Warning}, ShouldResemble,
+		view = c.view()
+		So([]any{view.Runs, view.Rate, view.ExhaustedIn, view.Waiting, view.Warning}, ShouldResemble,
 			[]any{2, account.Rate(20_000), 2500 * time.Millisecond, 1, "dry: 1 jobs wait for a top-up"})
 		So(c.waitReason("j2"), ShouldEqual,
 			"party acme has run dry: its balance is 50, a start needs 100; the job goes on by itself after a top-up")
@@ -189,7 +190,7 @@
 			"party acme is dry for a job that goes before this one; the job goes on by itself after a top-up")
 		c.order(&command.Cancel{Key: "j2"})
 		So(c.waitReason("cheap"), ShouldEqual, "")
-		v = c.view()
-		So(v.Warning, ShouldStartWith, "dry in about 3s")
+		view = c.view()
+		So(view.Warning, ShouldStartWith, "dry in about 3s")
 	})
 }
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -20,22 +20,22 @@
 	Sig    string `json:"sig"`
 }
 
-// Log is the answer of GET /v1/bundles, newest first. Current is the version in force, Newest what a new one is
-// written against.
+// Log is the response to GET /v1/bundles, newest version first. Current is the version in force; Newest is the version
+// that a new one must be based on.
 type Log struct {
 	Current  uint64           `json:"current"`
 	Newest   uint64           `json:"newest"`
 	Versions []state.Revision `json:"versions"`
 }
 
-// Difference is the answer of GET /v1/bundles/{a}/diff/{b}.
+// Difference is the response to GET /v1/bundles/{a}/diff/{b}.
 type Difference struct {
 	From    uint64          `json:"from"`
 	To      uint64          `json:"to"`
 	Changes []bundle.Change `json:"changes"`
 }
 
-// serveBundles adds the routes of the policy bundle.
+// serveBundles registers the routes of the policy bundle.
 func serveBundles(srv *rpc.Server, s Store) {
 	b := bundleRoutes{s}
 	route(srv, "POST /v1/bundles", b.put)
@@ -56,37 +56,38 @@
 // bundleRoutes has the handlers of the bundles' routes.
 type bundleRoutes struct{ store Store }
 
-// writtenOrder is an order whose text is the request's body; the rest is in its query.
-type writtenOrder struct {
+// draftOrder is an order to put or to patch a bundle. The text is the body of the request; the other fields are query
+// parameters.
+type draftOrder struct {
 	id   string
-	base uint64 // the version that it is written against
+	base uint64 // the version that the draft is based on
 	by   string // the operator who signs
 	sig  string
 	text []byte
 }
 
-// readWritten reads a written order. Errors: Invalid, TooLarge, Malformed.
-func readWritten(r *http.Request) (writtenOrder, error) {
+// readDraftOrder reads the order of a request. Errors: Invalid, TooLarge, Malformed.
+func readDraftOrder(r *http.Request) (draftOrder, error) {
 	q := r.URL.Query()
-	order := writtenOrder{id: q.Get("order"), by: q.Get("by"), sig: q.Get("sig")}
+	order := draftOrder{id: q.Get("order"), by: q.Get("by"), sig: q.Get("sig")}
 	if err := checkID("order", order.id); err != nil {
 		return order, errs.Pass(err, "query")
 	}
 	var err error
 	if order.base, err = strconv.ParseUint(q.Get("base"), 10, 64); err != nil {
 		return order, errs.Field(errs.Invalid, "base",
-			"must be the version that this is written against, is %q", q.Get("base"))
+			"must be the version that the draft is based on, is %q", q.Get("base"))
 	}
 	order.text, err = rpc.ReadBody(r, bundle.MaxBytes)
 	return order, errs.Pass(err, "body")
 }
 
 func (b bundleRoutes) put(r *http.Request) (any, error) {
-	order, err := readWritten(r)
+	order, err := readDraftOrder(r)
 	if err != nil {
 		return nil, errs.Pass(err, "put")
 	}
-	if _, err := bundle.Parse(order.text); err != nil { // the store would reject it too, but later
+	if _, err := bundle.Parse(order.text); err != nil { // fails early: the store would reject it too
 		return nil, errs.Pass(err, "put")
 	}
 	answer, err := b.store.ProposeOrForward(r.Context(), &command.PutBundle{Order: order.id, Base: order.base,
@@ -95,7 +96,7 @@
 }
 
 func (b bundleRoutes) patch(r *http.Request) (any, error) {
-	order, err := readWritten(r)
+	order, err := readDraftOrder(r)
 	if err != nil {
 		return nil, errs.Pass(err, "patch")
 	}
@@ -138,7 +139,8 @@
 	return answer, errs.Pass(err, "log")
 }
 
-// revision returns the version that a wildcard of the path names. body is nil if the store has dropped its bytes.
+// revision returns the bundle version that a wildcard of the path names. body is nil if the store no longer keeps its
+// bytes.
 func (b bundleRoutes) revision(r *http.Request, wildcard string) (meta state.Revision, body []byte, err error) {
 	name := r.PathValue(wildcard)
 	version, invalid := strconv.ParseUint(name, 10, 64)
@@ -146,7 +148,7 @@
 		return meta, nil, errs.Field(errs.Invalid, wildcard,
 			"must be a number, %s or %s, is %q", query.Current, query.Newest, name)
 	}
-	var missing error // kept apart: only a confirmed state may report that a version does not exist
+	var missing error // separate from err: only a confirmed state may report that a version does not exist
 	err = b.store.Read(r.Context(), func(s *state.State) {
 		switch name {
 		case query.Current:
@@ -162,12 +164,12 @@
 	return meta, body, errs.Pass(err, "version %s", name)
 }
 
-// body is revision, but fails with errs.Unknown if the store has dropped the bytes.
+// body is like revision, but fails with errs.Unknown if the store no longer keeps the bytes.
 func (b bundleRoutes) body(r *http.Request, wildcard string) (state.Revision, []byte, error) {
 	meta, body, err := b.revision(r, wildcard)
 	if err == nil && body == nil {
 		err = errs.Field(errs.Unknown, wildcard,
-			"the bytes of version %d were let go; its sha256 is %s", meta.Version, meta.Digest)
+			"the bytes of version %d are no longer stored; its sha256 is %s", meta.Version, meta.Digest)
 	}
 	return meta, body, errs.Pass(err, "body")
 }
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -1,8 +1,8 @@
 // Package operatorapi is the operators' API of the policy deployment, served by every control plane node: policy
-// bundles, zones, workers, members and accounts. Orders are committed by the leader, wherever that is; reads are as
-// new as the call. The package never keeps state: it reads and commits through Store.
+// bundles, zones, workers, members and accounts. Any node accepts orders, which the leader commits; reads include every
+// commit made before the call. The package keeps no state: it reads and commits through Store.
 //
-// Begin with Serve, which adds all routes. Their handlers are in orders.go (orders that name their object in the path),
+// Begin with Serve, which registers all routes. Their handlers are in orders.go (orders whose target is in the path),
 // bundle.go, rollout.go, account.go and status.go.
 package operatorapi
 
@@ -19,23 +19,23 @@
 	"crosstide/internal/state/command"
 )
 
-// Store is what the API needs of the replicated store.
+// Store is the part of the replicated store that the API uses.
 type Store interface {
-	// ProposeOrForward commits a command at the leader, wherever that is, and returns its answer. After errs.Timeout
-	// the command may have been committed; it may be sent again.
+	// ProposeOrForward commits a command at the leader, whichever node that is, and returns the command's answer. After
+	// errs.Timeout the command may have been committed; it may be sent again.
 	ProposeOrForward(ctx context.Context, c command.Command) (json.RawMessage, error)
-	// Read runs read on a state that has all that was committed before the call. read must not keep the state, and
-	// does not run if Read fails.
+	// Read runs read on a state that includes every command committed before the call. read must not keep the state,
+	// and does not run if Read fails.
 	Read(ctx context.Context, read func(*state.State)) error
-	// Status returns the state of the node that answers.
+	// Status returns the status of this node.
 	Status() internalapi.StatusAnswer
-	// Rollout returns which bundle every node has, and the members of the store that did not answer.
+	// Rollout returns the bundle version of every node, and the members of the store that did not answer.
 	Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string)
 }
 
-// Serve adds the routes:
+// Serve registers the routes:
 //
-//	POST /v1/bundles?order=ID&base=V&by=NAME&sig=S        body: the exact bytes; a draft against the newest version V
+//	POST /v1/bundles?order=ID&base=V&by=NAME&sig=S        body: the exact bytes; a draft based on the newest version V
 //	POST /v1/bundles/patch?order=ID&base=V&by=NAME&sig=S  body: a JSON merge patch on V
 //	POST /v1/bundles/{version}/sign  {"order","sha256","by","sig"}  the second signature puts it in force
 //	GET  /v1/bundles?limit=N         the versions, newest first, without bodies
@@ -44,7 +44,7 @@
 //	GET  /v1/bundles/{version}/diff/{other}
 //	GET  /v1/rollout                 which version every node has
 //	GET  /v1/zones                   the evacuated zones
-//	POST /v1/zones/{zone}/evacuate  {"order":"id","by","sig"}   no new starts there, what runs is stopped
+//	POST /v1/zones/{zone}/evacuate  {"order":"id","by","sig"}   no new starts there; running tasks are stopped
 //	POST /v1/zones/{zone}/lift      {"order":"id","by","sig"}   two operators must sign
 //	POST /v1/minions/{name}/drain   {"order":"id"}   no new starts on it
 //	POST /v1/minions/{name}/open    {"order":"id"}
@@ -54,11 +54,11 @@
 //	GET  /v1/who
 //	/v1/accounts…                   see serveAccounts
 //
-// name translates a member's id into the node's name; nodes lists the cluster as the answering node knows it.
+// name returns the name of the node with a member ID; nodes returns the cluster's nodes that this node knows.
 //
-// Once the store knows operators, what needs a signature and has none is Forbidden; before that, orders for zones need
-// none. Failures: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Overloaded, Unavailable, Timeout
-// (send the same order again).
+// Once the store has operators, a request that needs a signature and has none fails with Forbidden; before that, orders
+// for zones need none. Errors: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Overloaded, Unavailable,
+// Timeout (send the same order again).
 func Serve(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
 	serveOrders(srv, s)
 	serveBundles(srv, s)
@@ -67,10 +67,10 @@
 	serveStatus(srv, s, name, nodes)
 }
 
-// exactBytes is an answer that is JSON already and is sent byte for byte: digests are over these bytes.
+// exactBytes is a result that is JSON already. It is sent byte for byte, because digests are computed over these bytes.
 type exactBytes []byte
 
-// route adds a route whose answer is what do returns, as JSON.
+// route registers do for the requests of a pattern, and responds with the result of do as JSON.
 func route(srv *rpc.Server, pattern string, do func(r *http.Request) (any, error)) {
 	srv.Route(pattern, func(w http.ResponseWriter, r *http.Request) {
 		answer, err := do(r)
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -21,7 +21,7 @@
 	"crosstide/internal/state/command"
 )
 
-// fakeStore is a store of one node.
+// fakeStore is a store of one node that commits immediately.
 type fakeStore struct{ st *state.State }
 
 func (d *fakeStore) ProposeOrForward(_ context.Context, c command.Command) (json.RawMessage, error) {
@@ -44,8 +44,8 @@
 }
 
 func TestServe_bundle(t *testing.T) {
-	Convey("A bundle is put, signed twice and read byte for byte; orders without a signature are 403", t, func() {
-		d := &fakeStore{state.New()}
+	Convey("A bundle is put, signed twice and read back byte for byte; orders without a signature are 403", t, func() {
+		store := &fakeStore{state.New()}
 		keys := map[string]signature.Key{}
 		public := map[string]string{}
 		for _, name := range []string{"ada", "ben"} {
@@ -53,10 +53,10 @@
 			So(err, ShouldBeNil)
 			keys[name], public[name] = key, key.Public()
 		}
-		_, err := d.ProposeOrForward(t.Context(), &command.SetOperators{Operators: public})
+		_, err := store.ProposeOrForward(t.Context(), &command.SetOperators{Operators: public})
 		So(err, ShouldBeNil)
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Serve(srv, d, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
+		Serve(srv, store, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
 		So(srv.Start(), ShouldBeNil)
 		defer func() { _ = srv.Stop(time.Second) }()
 		call := func(method, path string, body []byte) (int, string) {
@@ -95,8 +95,8 @@
 			So(status, ShouldEqual, 200)
 		}
 		So(raw, ShouldContainSubstring, `"state":"in force"`)
-		for _, word := range []string{"2", "current", "newest"} {
-			status, raw = call("GET", "/v1/bundles/"+word+"/body", nil)
+		for _, version := range []string{"2", "current", "newest"} {
+			status, raw = call("GET", "/v1/bundles/"+version+"/body", nil)
 			So([]any{status, raw}, ShouldResemble, []any{200, text})
 		}
 		status, raw = call("GET", "/v1/bundles/1/diff/2", nil)
--- a/internal/httpapi/operatorapi/orders.go
+++ b/internal/httpapi/operatorapi/orders.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	maxBody = 64 << 10 // bytes of an order's body, but for bundles
-	maxID   = 200      // bytes of an order's id or a top-up's key
+	maxBody = 64 << 10 // bytes of an order's body, except of a bundle
+	maxID   = 200      // bytes of an order's ID or a top-up's key
 )
 
-// Order is the body of every order. The same id with the same content is carried out once and answered alike.
+// Order is the body of an order. An order that is sent again with the same ID and content is executed once, and gets
+// the same response.
 type Order struct {
 	Order string `json:"order"`
-	By    string `json:"by,omitempty"`  // of evacuate and lift: the operator who signs
+	By    string `json:"by,omitempty"`  // for evacuate and lift: the operator who signs
 	Sig   string `json:"sig,omitempty"` // over signature.Evacuate or signature.Lift, in base64
 }
 
-// serveOrders adds the routes of the orders that name their object in the path.
+// serveOrders registers the routes of the orders whose target is in the path.
 func serveOrders(srv *rpc.Server, s Store) {
 	order := func(pattern string, toCommand func(r *http.Request, in Order) command.Command) {
 		route(srv, "POST "+pattern, func(r *http.Request) (any, error) {
@@ -56,19 +57,19 @@
 	})
 }
 
-// decode reads a JSON body into into. A body that is no such JSON is errs.Malformed with the message wrong.
-func decode(r *http.Request, into any, wrong string) error {
+// decode decodes the JSON body of r into target. If that is not possible, it fails with errs.Malformed and message.
+func decode(r *http.Request, target any, message string) error {
 	raw, err := rpc.ReadBody(r, maxBody)
 	if err != nil {
 		return errs.Pass(err, "order")
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
-		return errs.Wrap(err, errs.Malformed, "%s", wrong)
+	if err := json.Unmarshal(raw, target); err != nil {
+		return errs.Wrap(err, errs.Malformed, "%s", message)
 	}
 	return nil
 }
 
-// checkID rejects an order's id or a top-up's key that is empty or too long for the store to keep.
+// checkID rejects an order's ID or a top-up's key that is empty or too long to be stored.
 func checkID(field, id string) error {
 	if id == "" || len(id) > maxID {
 		return errs.Field(errs.Invalid, field, "must be 1 to %d bytes, is %d", maxID, len(id))
--- a/internal/httpapi/operatorapi/rollout.go
+++ b/internal/httpapi/operatorapi/rollout.go
@@ -11,13 +11,13 @@
 	"crosstide/internal/state/query"
 )
 
-// Zones is the answer of GET /v1/zones.
+// Zones is the response to GET /v1/zones.
 type Zones struct {
 	Zones []query.ZoneView `json:"zones"`
 }
 
-// Rollout is the answer of GET /v1/rollout: the version in force and since when, and every node with its own version.
-// Silent names the members of the store that did not answer.
+// Rollout is the response to GET /v1/rollout: the version in force, since when it is in force, and the version of each
+// node. Silent lists the members of the store that did not answer.
 type Rollout struct {
 	Version      uint64        `json:"version"`
 	InForceSince time.Time     `json:"in_force,omitzero"`
@@ -25,15 +25,15 @@
 	Silent       []string      `json:"silent,omitempty"`
 }
 
-// NodeRollout is one node. Took is the time from when the version came into force until the node had it, by the clocks
-// of two control plane nodes; 0 while the node has another one.
+// NodeRollout is the version of one node. Took is the time from when the version came into force until the node had it,
+// by the clocks of two control plane nodes; 0 while the node has another version.
 type NodeRollout struct {
 	internalapi.NodeBundle
 	Current bool          `json:"current"`
 	Took    time.Duration `json:"took,omitempty"`
 }
 
-// serveRollout adds the routes for the rollout of a bundle and for the evacuated zones.
+// serveRollout registers the routes for the rollout of a bundle and for the evacuated zones.
 func serveRollout(srv *rpc.Server, s Store) {
 	route(srv, "GET /v1/zones", func(r *http.Request) (any, error) {
 		var answer Zones
@@ -46,7 +46,7 @@
 	})
 }
 
-// rollout returns the answer of GET /v1/rollout.
+// rollout returns the response to GET /v1/rollout.
 func rollout(r *http.Request, s Store) (Rollout, error) {
 	var answer Rollout
 	err := s.Read(r.Context(), func(st *state.State) {
--- a/internal/httpapi/operatorapi/status.go
+++ b/internal/httpapi/operatorapi/status.go
@@ -14,24 +14,24 @@
 	"crosstide/internal/state/query"
 )
 
-// Workers is the answer of GET /v1/minions.
+// Workers is the response to GET /v1/minions.
 type Workers struct {
 	Workers []query.WorkerView `json:"minions"`
 }
 
-// Who is the answer of GET /v1/who: the names of the store's leader and of the node with the role sched, "" if there is
-// none, and the members of the store.
+// Who is the response to GET /v1/who. Store and Scheduler are the names of the store's leader and of the node with the
+// role sched, empty if no node has the role. Members are the members of the store.
 type Who struct {
 	Store     string                    `json:"store"`
 	Scheduler string                    `json:"sched"`
 	Members   []raft.Member             `json:"members"`
 	Evacuated []string                  `json:"evacuated,omitempty"`
 	Status    *internalapi.StatusAnswer `json:"status,omitempty"` // of the node that answers
-	// Nodes are all of a small cluster, else a part, as the node that answers knows them.
+	// Nodes are the nodes known to the node that answers: all nodes of a small cluster, a subset of a large one.
 	Nodes []membership.MemberStatus `json:"nodes,omitempty"`
 }
 
-// serveStatus adds the routes that list the workers and name the leader and the scheduler.
+// serveStatus registers the routes that list the workers and name the leader and the scheduler.
 func serveStatus(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
 	route(srv, "GET /v1/minions", func(r *http.Request) (any, error) {
 		var answer Workers
@@ -45,7 +45,7 @@
 	})
 }
 
-// who returns the answer of GET /v1/who without Store and Nodes. Members and Status are set even if it fails.
+// who returns the response to GET /v1/who without Store and Nodes. Members and Status are set even if it fails.
 func who(ctx context.Context, s Store) (Who, error) {
 	var answer Who
 	err := s.Read(ctx, func(st *state.State) {
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	defaultTimeout = 2 * time.Second // of a call, besides the time that its answer may be delayed
+	defaultTimeout = 2 * time.Second // of a call, not counting the time by which its answer may be delayed
 	maxWait        = 30 * time.Second
 )
 
-// Client carries the scheduler's orders to workers. It keeps no state between calls.
+// Client sends the scheduler's orders to workers. It keeps no state between calls.
 type Client struct {
 	renewals, starts *rpc.Client
-	timeout          time.Duration // of a call, besides the time that its answer may be delayed
+	timeout          time.Duration // of a call, not counting the time by which its answer may be delayed
 }
 
 var _ scheduler.Workers = (*Client)(nil)
 
-// NewClient returns a Client that sends starts over another rpc.Client than lease renewals and stops: these keep work
-// alive or end it, and must not wait for a start's connection. timeout bounds each call, besides the time that a
-// renewal asks the worker to wait; 0: defaultTimeout.
+// NewClient returns a Client that sends starts through a separate rpc.Client, so that lease renewals and stops, which
+// keep runs alive or end them, never wait for a connection in use by a start. timeout bounds each call, not counting
+// the time that a renewal asks the worker to wait; 0 means defaultTimeout.
 func NewClient(renewals, starts *rpc.Client, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -34,7 +34,7 @@
 	return &Client{renewals: renewals, starts: starts, timeout: timeout}
 }
 
-// Start orders worker to start one run. An answer that the order cannot be read counts as a refusal.
+// Start orders worker to start one run. If the worker answers that it cannot parse the order, Start returns a refusal.
 func (c *Client) Start(ctx context.Context, worker jobs.Worker,
 	order scheduler.StartOrder) (scheduler.StartAnswer, error) {
 	call := StartCall{
@@ -64,7 +64,7 @@
 	return errs.Pass(checkIdentity(worker.ID, answer.Worker, 0), "stop on %s", worker.ID)
 }
 
-// RenewLease renews the lease of worker and asks for its lists.
+// RenewLease renews the lease of worker and returns the lists of its running and ended runs.
 func (c *Client) RenewLease(ctx context.Context, worker jobs.Worker,
 	renewal scheduler.LeaseRenewal) (scheduler.RenewalAnswer, error) {
 	wait := min(max(renewal.Wait, 0), maxWait)
@@ -80,7 +80,7 @@
 	return lists, errs.Pass(err, "renew lease on %s", worker.ID)
 }
 
-// refusals are the reasons for which a worker may refuse a start; "" if it accepted it.
+// refusals are the valid values of StartAnswer.Refused; "" means that the worker accepted the start.
 var refusals = []scheduler.Refusal{"", scheduler.RefusedFenced, scheduler.RefusedStale, scheduler.RefusedExpired,
 	scheduler.RefusedCapacity, scheduler.RefusedInvalid, scheduler.RefusedUnhealthy}
 
@@ -89,7 +89,7 @@
 		return errs.Pass(err, "answer")
 	}
 	if !slices.Contains(refusals, answer.Refused) {
-		return errs.Field(errs.Malformed, "refused", "%q is not known", answer.Refused)
+		return errs.Field(errs.Malformed, "refused", "unknown refusal %q", answer.Refused)
 	}
 	return nil
 }
@@ -98,14 +98,14 @@
 var endReasons = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired,
 	jobs.EndGangBroken, jobs.EndGangTimeout}
 
-// listsOf checks an answer and returns its lists. A run that is not listed counts as over, so an answer that does not
-// name the worker, or lacks a list, is refused.
+// listsOf validates an answer and returns its lists. The scheduler takes a run that is not listed for ended, so an
+// answer that does not name the worker, or lacks a list, is rejected.
 func listsOf(worker string, answer RenewLeaseAnswer) (scheduler.RenewalAnswer, error) {
 	if err := checkIdentity(worker, answer.Worker, answer.Clock); err != nil {
 		return scheduler.RenewalAnswer{}, errs.Pass(err, "answer")
 	}
 	if answer.Running == nil || answer.Ended == nil {
-		return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "running", "both lists must be given")
+		return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "running", "running and ended are required")
 	}
 	lists := scheduler.RenewalAnswer{Clock: answer.Clock, Full: answer.More}
 	for _, r := range answer.Running {
@@ -114,7 +114,7 @@
 	}
 	for _, e := range answer.Ended {
 		if !slices.Contains(endReasons, e.EndReason) {
-			return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "ended", "%q is not known", e.EndReason)
+			return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "ended", "unknown reason %q", e.EndReason)
 		}
 		lists.Ended = append(lists.Ended, scheduler.EndedRun{
 			Sequence: e.Sequence, Key: e.Run.Key(), Reason: e.EndReason, Checkpoint: e.Checkpoint,
@@ -123,7 +123,7 @@
 	return lists, nil
 }
 
-// checkIdentity refuses an answer that another worker gave, or that has a negative clock.
+// checkIdentity rejects an answer of another worker, or with a negative clock.
 func checkIdentity(worker, answering string, clock time.Duration) error {
 	if answering != worker {
 		return errs.Field(errs.Malformed, "worker", "must be %q, is %q", worker, answering)
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -14,8 +14,8 @@
 	"crosstide/internal/rpc"
 )
 
-// withWorker runs test with a client whose worker answers every call with a status and a body. called returns the body
-// of the newest call.
+// withWorker runs test with a client and a worker that answers every call with status and body. called returns the body
+// of the latest call.
 func withWorker(status int, body string, test func(client *Client, worker jobs.Worker, called func() string)) {
 	var got string
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
@@ -42,7 +42,7 @@
 
 func TestStart(t *testing.T) {
 	ctx := context.Background()
-	Convey("A start is sent with all its fields, and the answer must be the worker's own", t, func() {
+	Convey("A start is sent with all its fields; an invalid answer, or one of another worker, is rejected", t, func() {
 		order := scheduler.StartOrder{Key: key, Payload: "p", Needs: jobs.Resources{MilliCPU: 5, MemoryMB: 6, GPUs: 7},
 			LeaseDeadline: 8, Token: 9, Checkpoint: "c"}
 		withWorker(200, `{"worker":"w1","clock":7}`, func(c *Client, w jobs.Worker, called func() string) {
@@ -73,7 +73,7 @@
 			})
 		}
 	})
-	Convey("An order to an address without a listener is unsent", t, func() {
+	Convey("An order to an address without a listener fails as unsent", t, func() {
 		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer caller.Close()
 		_, err := NewClient(caller, caller, time.Minute).Start(ctx, jobs.Worker{ID: "w", Address: "127.0.0.1:1"},
@@ -83,7 +83,7 @@
 }
 
 func TestStop(t *testing.T) {
-	Convey("A stop is sent with all its fields, and only the worker's own answer counts", t, func() {
+	Convey("A stop is sent with all its fields, and an answer of another worker is rejected", t, func() {
 		for body, kind := range map[string]errs.Kind{
 			`{"worker":"w1"}`: "", `{}`: errs.Malformed, `{"worker":"w2"}`: errs.Malformed,
 		} {
@@ -110,7 +110,7 @@
 			So(called(), ShouldEqual, `{"worker":"w1","token":9,"seen":1,"deadline":8,"wait":3}`+"\n")
 		})
 	})
-	Convey("An answer without both lists is refused, as it could pass for empty lists", t, func() {
+	Convey("An answer without both lists is rejected, because missing lists could be taken for empty ones", t, func() {
 		for body, kind := range map[string]errs.Kind{
 			`{}`:                         errs.Malformed,
 			`{"worker":"w1"}`:            errs.Malformed,
--- a/internal/httpapi/workerapi/golden_test.go
+++ b/internal/httpapi/workerapi/golden_test.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden/endpoint"
 )
 
-// TestGoldenWire pins the JSON of what goes between processes, to clients and operators, and into files.
+// TestGoldenWire pins the JSON of the types that are exchanged with workers.
 func TestGoldenWire(t *testing.T) {
 	golden.Compare(t, "wire",
 		endpoint.Shapes(StartEndpoint),
