--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -89,7 +89,7 @@
 	Worker           string        `json:"worker"`
 	Token            uint64        `json:"token"`
 	AcknowledgedUpTo uint64        `json:"seen"`               // the worker may drop ends numbered up to it
-	Deadline         time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: unchanged
+	Deadline         time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: not renewed
 	Wait             time.Duration `json:"wait,omitempty"`     // how long the answer may be delayed until a run ends
 }
 
