--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -13,13 +13,13 @@
 const mostGuardSeeds = 60
 
 func TestBadDays(t *testing.T) {
-	for _, day := range BadDays() {
+	for _, day := range Scenarios() {
 		Convey("With all guards no rule breaks on days of "+day.Name, t, func() {
 			made := map[Disruption]int{}
 			for seed := uint64(1); seed <= daySeeds; seed++ {
 				report := Run(Options{Seed: seed, Disruptions: day.Disruptions})
-				for _, b := range report.Breaches {
-					t.Errorf("seed %d breaks %s at %s: %s", seed, b.Rule, b.At, b.What)
+				for _, b := range report.Violations {
+					t.Errorf("seed %d breaks %s at %s: %s", seed, b.Invariant, b.At, b.Detail)
 				}
 				for kind, count := range report.Disruptions {
 					made[kind] += count
@@ -33,7 +33,7 @@
 			Convey("The checker detects the absence of a guard: "+string(guard), t, func() {
 				seed, found := findBreachWithout(day, guard)
 				So(found, ShouldNotBeEmpty)
-				t.Logf("%s: seed %d: %s %s", guard, seed, found[0].Rule, found[0].What)
+				t.Logf("%s: seed %d: %s %s", guard, seed, found[0].Invariant, found[0].Detail)
 			})
 		}
 	}
@@ -43,11 +43,11 @@
 var firstSeeds = map[Guard]uint64{StaleHeartbeatsCount: 18, NoLeaseCheck: 5}
 
 // findBreachWithout runs seeds without a guard until a rule breaks, at most mostGuardSeeds.
-func findBreachWithout(day BadDay, guard Guard) (seed uint64, found []Breach) {
+func findBreachWithout(day Scenario, guard Guard) (seed uint64, found []Violation) {
 	seed = firstSeeds[guard]
 	for len(found) == 0 && seed < mostGuardSeeds {
 		seed++
-		found = Run(Options{Seed: seed, WithoutGuard: guard, Disruptions: day.Disruptions}).Breaches
+		found = Run(Options{Seed: seed, WithoutGuard: guard, Disruptions: day.Disruptions}).Violations
 	}
 	return seed, found
 }
@@ -55,7 +55,7 @@
 func TestBadDays_coverAll(t *testing.T) {
 	Convey("Every disruption and every guard is in one kind of bad day", t, func() {
 		disruptions, guards := map[Disruption]int{}, map[Guard]int{}
-		for _, day := range BadDays() {
+		for _, day := range Scenarios() {
 			So(day.Guards, ShouldNotBeEmpty)
 			for _, kind := range day.Disruptions {
 				disruptions[kind]++
--- a/internal/testbed/jobssim/clients.go
+++ b/internal/testbed/jobssim/clients.go
@@ -9,7 +9,7 @@
 	"crosstide/internal/jobs"
 )
 
-// Load is which jobs come.
+// Load selects the jobs that clients submit.
 type Load string
 
 // The loads.
@@ -18,49 +18,49 @@
 	Short Load = "short" // a steady stream of short tasks
 )
 
-// clientJob is a job as its client knows it.
+// clientJob is a job and what its client knows about it.
 type clientJob struct {
-	spec         jobs.Spec
-	prefix       string
-	sentAt       time.Duration
-	attempts     int
-	isUnclear    bool          // an attempt may have been accepted
-	isAccepted   bool          // an attempt was accepted
-	acceptedAt   time.Duration // when
-	isRejected   bool          // every attempt was rejected
-	isCancelSent bool
-	cancelFrom   time.Duration // when it was first sent
-	afterFault   bool          // submitted when the machines had recovered from the final fault
-	isCancelled  bool          // its cancelling was acknowledged
-	cancelAt     time.Duration
-	lastShown    jobs.JobState
-	polls        int // since it was shown as ended
+	spec          jobs.Spec
+	prefix        string
+	sentAt        time.Duration
+	attempts      int
+	mayBeAccepted bool          // an attempt had an unknown outcome
+	isAccepted    bool          // an attempt was acknowledged
+	acceptedAt    time.Duration // when
+	isRejected    bool          // all attempts were rejected
+	isCancelSent  bool
+	cancelSentAt  time.Duration // when the cancel was first sent
+	afterFault    bool          // submitted after the machines had recovered from the final fault
+	isCancelled   bool          // the cancel was acknowledged
+	cancelledAt   time.Duration
+	lastState     jobs.JobState
+	polls         int // that returned a terminal state
 }
 
-// clients submit jobs, poll them and cancel some.
+// clients submits jobs, polls their states and cancels some of them.
 type clients struct {
 	sim          *simulator
 	jobs         []*clientJob
 	byID         map[string]*clientJob
-	faultPending bool // the final fault, or the jobs that are submitted after it, are still to come
+	faultPending bool // the final fault is planned and the jobs that follow it are not yet submitted
 }
 
 const (
-	submitAttempts  = 4
-	answerTimeout   = time.Second // for an answer
+	submitAttempts  = 4           // for each job
+	answerTimeout   = time.Second // of a client, for the answer to a call
 	retryBackoff    = 400 * time.Millisecond
 	minPollInterval = 500 * time.Millisecond
 	maxPollInterval = 3 * time.Second
-	pollsAfterEnd   = 2
+	pollsAfterEnd   = 2 // polls that return a terminal state before the polling ends
 )
 
 func (s *simulator) buildClients() {
 	s.clients = &clients{sim: s, byID: map[string]*clientJob{}}
-	s.after(2*time.Second, s.clients.arrive)
+	s.after(2*time.Second, s.clients.submitNext)
 	s.after(s.options.DisruptionPeriod+time.Second, s.clients.cancelLongRunning)
 }
 
-// spec returns a job as a client sent it; nil if none did.
+// spec returns the specification of a submitted job, or nil if no client submitted it.
 func (c *clients) spec(id string) *jobs.Spec {
 	if j := c.byID[id]; j != nil {
 		return &j.spec
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// arrive submits one job and schedules the next.
-func (c *clients) arrive() {
+// submitNext submits a job and schedules the next one, until the end of the disruption period.
+func (c *clients) submitNext() {
 	s := c.sim
 	if s.now >= s.options.DisruptionPeriod {
 		return
@@ -79,12 +79,12 @@
 		pause = s.between(5*time.Millisecond, 45*time.Millisecond)
 		c.submitNew(c.shortJob())
 	} else {
-		c.submitNew(c.anyJob())
+		c.submitNew(c.randomJob())
 	}
-	s.after(pause, c.arrive)
+	s.after(pause, c.submitNext)
 }
 
-// submitNew begins to submit a job.
+// submitNew records a new job and submits it.
 func (c *clients) submitNew(spec jobs.Spec, prefix string) *clientJob {
 	j := &clientJob{spec: spec, prefix: prefix, sentAt: c.sim.now}
 	c.jobs = append(c.jobs, j)
@@ -94,13 +94,14 @@
 	return j
 }
 
-// call makes a call to a node that may lead; done is called once, with a Timeout if no answer comes.
+// call sends a call to a node that considers itself the leader. done is called once, with errs.Timeout if no answer
+// arrives within answerTimeout.
 func (c *clients) call(send func(n *node, done func(any, error)), done func(any, error)) {
 	s := c.sim
-	over := false
+	isFinished := false
 	finish := func(answer any, err error) {
-		if !over {
-			over = true
+		if !isFinished {
+			isFinished = true
 			done(answer, err)
 		}
 	}
@@ -117,7 +118,7 @@
 	})
 }
 
-// isCertainlyNotAccepted reports whether an error says that a job was not accepted.
+// isCertainlyNotAccepted reports whether an error proves that the job was not accepted.
 func isCertainlyNotAccepted(err error) bool {
 	switch errs.KindOf(err) {
 	case errs.Unavailable, errs.NotLeader, errs.Unknown:
@@ -126,6 +127,7 @@
 	return false
 }
 
+// submit makes an attempt to submit a job, and another one after a failure, up to submitAttempts.
 func (c *clients) submit(j *clientJob) {
 	j.attempts++
 	c.call(func(n *node, done func(any, error)) { n.submit(j, done) }, func(_ any, err error) {
@@ -135,38 +137,38 @@
 				j.isAccepted, j.acceptedAt = true, c.sim.now
 				c.sim.report.Jobs++
 				c.sim.checker.accepted(j)
-				c.follow(j)
+				c.pollUntilEnded(j)
 				if c.sim.chance(0.1) {
 					c.sim.after(c.sim.between(0, 6*time.Second), func() { c.submitAgain(j) })
 				}
 			}
 			return
 		case !isCertainlyNotAccepted(err):
-			j.isUnclear = true
+			j.mayBeAccepted = true
 		}
 		if j.attempts < submitAttempts {
 			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff*3/2), func() { c.submit(j) })
-		} else if !j.isUnclear {
+		} else if !j.mayBeAccepted {
 			j.isRejected = true
 			c.sim.checker.rejected(j)
 		}
 	})
 }
 
-// submitAgain submits a job once more that was accepted, at whatever node leads by then.
+// submitAgain repeats the submission of an accepted job, which must not be refused.
 func (c *clients) submitAgain(j *clientJob) {
-	c.sim.report.Seen["handed in again after its acceptance"]++
+	c.sim.report.Counts["resubmitted after acceptance"]++
 	c.call(func(n *node, done func(any, error)) { n.submit(j, done) }, func(_ any, err error) {
 		switch errs.KindOf(err) {
 		case "", errs.Unavailable, errs.NotLeader, errs.Timeout, errs.Unknown:
 		default:
-			c.sim.checker.breach(LostRule, "job %s was accepted and is refused when it is handed in again: %v",
+			c.sim.checker.violate(LostInvariant, "job %s was accepted and is refused when resubmitted: %v",
 				j.spec.ID, err)
 		}
 	})
 }
 
-// submit is controller.Leader.Submit.
+// submit mirrors controller.Leader.Submit.
 func (n *node) submit(j *clientJob, done func(any, error)) {
 	table, term, err := n.readTable()
 	if err != nil {
@@ -174,7 +176,7 @@
 		return
 	}
 	if table.Config.Version == 0 {
-		done(nil, errs.New(errs.Unavailable, "there is no configuration yet"))
+		done(nil, errs.New(errs.Unavailable, "no configuration has been set"))
 		return
 	}
 	q := table.QueueFor(queueHost, j.prefix+j.spec.ID)
@@ -184,69 +186,71 @@
 	}
 	spec := j.spec
 	spec.Queue = q.Name
-	n.answer(term, jobs.Submit{Spec: spec, Digest: "d" + spec.ID, At: n.wall()}, done)
+	n.proposeAndAnswer(term, jobs.Submit{Spec: spec, Digest: "d" + spec.ID, At: n.wall()}, done)
 }
 
-// follow polls an accepted job until it has ended, and a little longer; some are cancelled on the way.
-func (c *clients) follow(j *clientJob) {
+// pollUntilEnded polls an accepted job until pollsAfterEnd polls have returned a terminal state. It schedules a cancel
+// of some jobs.
+func (c *clients) pollUntilEnded(j *clientJob) {
 	if !j.isCancelSent && c.sim.chance(0.06) {
 		c.sim.after(c.sim.between(0, 4*time.Second), func() { c.cancel(j) })
 	}
 	c.sim.after(c.sim.between(minPollInterval, maxPollInterval), func() {
 		c.poll(j)
 		if j.polls < pollsAfterEnd {
-			c.follow(j)
+			c.pollUntilEnded(j)
 		}
 	})
 }
 
-// jobAnswer is what a poll is answered with.
+// jobAnswer is the answer to a poll or a cancel.
 type jobAnswer struct {
-	state jobs.JobState
-	gone  bool
+	state    jobs.JobState
+	notFound bool
 }
 
+// poll queries the state of a job once.
 func (c *clients) poll(j *clientJob) {
-	c.call(func(n *node, done func(any, error)) { n.job(j, false, done) }, func(answer any, err error) {
+	c.call(func(n *node, done func(any, error)) { n.queryJob(j, false, done) }, func(answer any, err error) {
 		if err != nil {
 			return
 		}
-		done := answer.(jobAnswer)
-		c.sim.checker.shown(j, done)
-		j.lastShown = done.state
-		if done.state.IsTerminal() {
+		reported := answer.(jobAnswer)
+		c.sim.checker.checkState(j, reported)
+		j.lastState = reported.state
+		if reported.state.IsTerminal() {
 			j.polls++
 		}
 	})
 }
 
-// cancel sends a cancel until it is acknowledged.
+// cancel sends a cancel repeatedly until it is acknowledged.
 func (c *clients) cancel(j *clientJob) {
-	if j.isCancelled || j.lastShown.IsTerminal() {
+	if j.isCancelled || j.lastState.IsTerminal() {
 		return
 	}
 	if !j.isCancelSent {
-		j.isCancelSent, j.cancelFrom = true, c.sim.now
+		j.isCancelSent, j.cancelSentAt = true, c.sim.now
 	}
-	c.call(func(n *node, done func(any, error)) { n.job(j, true, done) }, func(answer any, err error) {
+	c.call(func(n *node, done func(any, error)) { n.queryJob(j, true, done) }, func(answer any, err error) {
 		if err != nil {
 			if errs.KindOf(err) == errs.Unknown {
-				j.cancelFrom = c.sim.now // its queue is not there at the moment: that is an answer
+				j.cancelSentAt = c.sim.now // its queue does not exist at present, which is a valid answer
 			}
 			c.sim.after(c.sim.between(retryBackoff/2, retryBackoff), func() { c.cancel(j) })
 			return
 		}
-		c.sim.checker.checkAcknowledgement("a cancel", j.cancelFrom)
-		c.sim.checker.shown(j, answer.(jobAnswer))
+		c.sim.checker.checkAcknowledgement("a cancel", j.cancelSentAt)
+		c.sim.checker.checkState(j, answer.(jobAnswer))
 		if answer.(jobAnswer).state == jobs.Cancelled {
-			j.isCancelled, j.cancelAt = true, c.sim.now
+			j.isCancelled, j.cancelledAt = true, c.sim.now
 			c.sim.checker.cancelled(j)
 		}
 	})
 }
 
-// job is controller.Leader.Job and, with cancel, Cancel.
-func (n *node) job(j *clientJob, cancel bool, done func(any, error)) {
+// queryJob mirrors controller.Leader.Job or, with cancel set, controller.Leader.Cancel.
+func (n *node) queryJob(j *clientJob, cancel bool, done func(any, error)) {
 	table, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
@@ -259,7 +263,7 @@
 	known := table.Jobs[j.spec.ID]
 	switch {
 	case known == nil:
-		done(jobAnswer{gone: true}, nil)
+		done(jobAnswer{notFound: true}, nil)
 	case !cancel:
 		done(jobAnswer{state: known.State}, nil)
 	default:
@@ -270,16 +274,16 @@
 	}
 }
 
-// cancelMany cancels half of the jobs that have not ended.
+// cancelMany cancels about half of the jobs that have not ended.
 func (c *clients) cancelMany() {
 	for _, j := range c.jobs {
-		if j.isAccepted && !j.lastShown.IsTerminal() && !j.isCancelSent && c.sim.chance(0.5) {
+		if j.isAccepted && !j.lastState.IsTerminal() && !j.isCancelSent && c.sim.chance(0.5) {
 			c.cancel(j)
 		}
 	}
 }
 
-// cancelLongRunning cancels the long-running jobs, so that a run can end.
+// cancelLongRunning cancels all long-running jobs, which end in no other way, and schedules itself again.
 func (c *clients) cancelLongRunning() {
 	for _, j := range c.jobs {
 		if isLongRunning(&j.spec) && j.isAccepted && !j.isCancelSent {
@@ -298,7 +302,8 @@
 	return false
 }
 
-// allEnded reports whether all accepted jobs were shown as ended and polled again after that.
+// allEnded reports whether no submission is pending and all accepted jobs have been polled in a terminal state
+// pollsAfterEnd times.
 func (c *clients) allEnded() bool {
 	if c.faultPending {
 		return false
@@ -313,7 +318,7 @@
 
 func (c *clients) newID() string { return fmt.Sprintf("%016x", c.sim.rng.Uint64()) }
 
-// stepsText writes steps as they stand in the log, so that a history does not depend on names of Go fields.
+// stepsText returns the JSON encoding of steps, so that the trace does not depend on the names of Go fields.
 func stepsText(steps []jobs.Step) string {
 	text, err := json.Marshal(steps)
 	if err != nil {
--- a/internal/testbed/jobssim/disruptions.go
+++ b/internal/testbed/jobssim/disruptions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Disruption is a kind of disruption.
+// Disruption is a kind of disruption. Its value is its name in traces and in the settings of TestHunt.
 type Disruption string
 
 // The disruptions.
@@ -41,13 +41,13 @@
 	MassCancel             Disruption = "many jobs are cancelled"
 	Burst                  Disruption = "wide jobs come at once"
 	UrgentStorm            Disruption = "urgent jobs come at once"
-	Unschedulable          Disruption = "jobs that can never be done come at once"
+	FailingJobs            Disruption = "jobs that can never be done come at once"
 	Shortage               Disruption = "calls of the leader find no connection"
 )
 
-// The disruptions by kind of bad day, each once.
+// The following functions return the disruptions of each scenario. Every disruption belongs to one scenario.
 
-func overloads() []Disruption { return []Disruption{Burst, UrgentStorm, Unschedulable, MassCancel} }
+func overloads() []Disruption { return []Disruption{Burst, UrgentStorm, FailingJobs, MassCancel} }
 
 func workerDisruptions() []Disruption {
 	return []Disruption{WorkerCut, WorkerDrain, WorkerLeaves, WorkerFlaps, WorkerReportsUnhealthy, WorkerFailsPart,
@@ -66,46 +66,48 @@
 	return []Disruption{Reconfigure, ConfigRace, BadConfig, AckLost, Evacuation}
 }
 
-// Disruptions returns all kinds.
+// Disruptions returns all kinds of disruptions.
 func Disruptions() []Disruption {
 	return slices.Concat(overloads(), workerDisruptions(), machineDisruptions(), partitions(), operatorDisruptions(),
 		connectionShortages())
 }
 
-// contactTimeout is how long after a disruption a machine is in touch again.
+// contactTimeout is the time after a disruption by which the affected machines communicate again.
 const contactTimeout = 3 * time.Second
 
-// quiet is when the last disruptions end.
-type quiet struct {
-	coreUntil time.Duration // of the core
-	anyUntil  time.Duration // of anything but configurations, cancels and new workers
+// disruptionEnds holds the times at which the latest disruptions end.
+type disruptionEnds struct {
+	coreUntil time.Duration // of disruptions of the core
+	anyUntil  time.Duration // of all disruptions except configuration changes, cancels and new workers
 }
 
+// markCoreDisrupted records a disruption of the core that lasts until a time.
 func (s *simulator) markCoreDisrupted(until time.Duration) {
-	s.quiet.coreUntil = max(s.quiet.coreUntil, until)
+	s.disrupted.coreUntil = max(s.disrupted.coreUntil, until)
 	s.markDisrupted(until)
 }
 
+// markDisrupted records a disruption that lasts until a time.
 func (s *simulator) markDisrupted(until time.Duration) {
-	s.quiet.anyUntil = max(s.quiet.anyUntil, until)
+	s.disrupted.anyUntil = max(s.disrupted.anyUntil, until)
 }
 
-// inTouch reports whether the machines of the core are in touch.
-func (s *simulator) inTouch() bool {
-	return s.now > s.quiet.coreUntil+contactTimeout && s.now > contactTimeout
+// isCoreStable reports whether the last disruption of the core ended, and the run began, more than contactTimeout ago.
+func (s *simulator) isCoreStable() bool {
+	return s.now > s.disrupted.coreUntil+contactTimeout && s.now > contactTimeout
 }
 
-// calmSince reports whether nothing was disrupted near the time from a moment until now.
-func (s *simulator) calmSince(since time.Duration) bool {
-	return since > s.quiet.anyUntil+2*contactTimeout
+// undisruptedSince reports whether all disruptions so far ended more than 2*contactTimeout before since.
+func (s *simulator) undisruptedSince(since time.Duration) bool {
+	return since > s.disrupted.anyUntil+2*contactTimeout
 }
 
-// disrupting reports whether disruptions still come.
-func (s *simulator) disrupting() bool {
+// isDisrupting reports whether disruptions are still injected.
+func (s *simulator) isDisrupting() bool {
 	return s.now < s.options.DisruptionPeriod && (s.options.Disruptions == nil || len(s.options.Disruptions) > 0)
 }
 
-// planDisruptions schedules the disruptions. They come in periods, with calm between them.
+// planDisruptions schedules the disruptions. They are injected in periods, with pauses between them.
 func (s *simulator) planDisruptions() {
 	kinds := s.options.Disruptions
 	if kinds == nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// finalFault takes the power from the whole core, and submits jobs when the machines have recovered.
+// finalFault stops the whole core, and submits jobs recoveryTime after the machines are back.
 func (s *simulator) finalFault() {
 	if !s.outage() {
 		s.after(500*time.Millisecond, s.finalFault)
@@ -129,7 +131,7 @@
 	}
 	s.report.Disruptions[CoreOutage]++
 	s.trace("final fault")
-	s.after(s.quiet.coreUntil-s.now+recoveryTime, func() {
+	s.after(s.disrupted.coreUntil-s.now+recoveryTime, func() {
 		for range 8 {
 			s.clients.submitNew(s.clients.shortJob()).afterFault = true
 		}
@@ -137,7 +139,7 @@
 	})
 }
 
-// disruptForPeriod makes disruptions for a while.
+// disruptForPeriod injects disruptions for a random period and schedules the next period.
 func (s *simulator) disruptForPeriod(kinds []Disruption) {
 	end := min(s.now+s.between(4*time.Second, 14*time.Second), s.options.DisruptionPeriod)
 	var next func()
@@ -155,7 +157,7 @@
 	next()
 }
 
-// disrupt makes one disruption, if it can be made now.
+// disrupt injects a disruption, if it is possible at present.
 func (s *simulator) disrupt(kind Disruption) {
 	made := true
 	host := s.hosts[s.rng.IntN(len(s.hosts))]
@@ -192,8 +194,8 @@
 		s.clients.burst()
 	case UrgentStorm:
 		s.clients.urgentStorm()
-	case Unschedulable:
-		s.clients.submitUnschedulable()
+	case FailingJobs:
+		s.clients.submitFailingJobs()
 	case Shortage:
 		made = s.beginShortage()
 	default:
@@ -205,41 +207,43 @@
 	}
 }
 
-// loseLeader makes the leader lose its lead.
+// loseLeader freezes, disconnects or kills the leader, and schedules an election. It returns false unless there
+// is a leader and the other running nodes are a majority.
 func (s *simulator) loseLeader(kind Disruption) bool {
 	n := s.log.leader
 	if n == nil || !s.majorityWithout(n) {
 		return false
 	}
-	s.log.lose()
-	back := s.between(time.Second, 6*time.Second)
+	s.log.endLeadership()
+	downtime := s.between(time.Second, 6*time.Second)
 	switch kind {
 	case LeaderFreeze:
-		n.frozenUntil = s.now + back
+		n.frozenUntil = s.now + downtime
 		n.after(s.between(0, 300*time.Millisecond), func() { n.learnNewerTerm() })
 	case LeaderCut:
 		n.isCutOff = true
-		s.after(back, func() {
+		s.after(downtime, func() {
 			n.isCutOff = false
 			n.after(s.between(0, 300*time.Millisecond), n.learnNewerTerm)
 		})
 	default:
 		n.kill()
-		s.after(back, n.startProcess)
+		s.after(downtime, n.startProcess)
 	}
 	election := s.between(minElectionTime, maxElectionTime)
 	s.after(election, s.log.elect)
-	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
+	s.markCoreDisrupted(s.now + max(downtime, election) + 300*time.Millisecond)
 	return true
 }
 
-// learnNewerTerm ends the lead of a node that led once it hears of the newer term.
+// learnNewerTerm makes a former leader step down when it learns of a newer term.
 func (n *node) learnNewerTerm() {
 	if n.sim.log.leader != n {
 		n.stepDown()
 	}
 }
 
+// majorityWithout reports whether the running nodes other than n are a majority.
 func (s *simulator) majorityWithout(n *node) bool {
 	running := 0
 	for _, other := range s.nodes {
@@ -250,12 +254,12 @@
 	return running > len(s.nodes)/2
 }
 
-// outage stops the whole core for a while.
+// outage stops all nodes of the core for a while. It returns false if there is no leader.
 func (s *simulator) outage() bool {
 	if s.log.leader == nil {
 		return false
 	}
-	s.log.lose()
+	s.log.endLeadership()
 	longest := s.between(500*time.Millisecond, 8*time.Second)
 	for _, n := range s.nodes {
 		n.kill()
@@ -267,24 +271,24 @@
 	return true
 }
 
-// disruptWorker disrupts what runs on a host; false if nothing runs there, or it drains already.
+// disruptWorker disrupts the worker on a host. It returns false if no worker is running or it drains or leaves already.
 func (s *simulator) disruptWorker(kind Disruption, host *workerHost) bool {
 	w := host.current
 	if w == nil || w.isDraining || w.isLeaving {
 		return false
 	}
 	d := s.between(time.Second, 10*time.Second)
-	host.disruptedAt = s.now + d
+	host.disruptedUntil = s.now + d
 	if disrupt := workerDisruptors[kind]; disrupt != nil {
 		d = disrupt(w, d)
 	}
-	host.disruptedAt = s.now + d
+	host.disruptedUntil = s.now + d
 	s.checker.workerLost(w)
 	s.markDisrupted(s.now + d)
 	return true
 }
 
-// workerDisruptors disrupt a worker for d, and return for how long it may be out of touch.
+// workerDisruptors holds functions that disrupt a worker for d and return for how long its host counts as disrupted.
 var workerDisruptors = map[Disruption]func(w *workerIncarnation, d time.Duration) time.Duration{
 	NodeLinkCut:            (*workerIncarnation).cutFromNode,
 	WorkerCrash:            (*workerIncarnation).crash,
--- a/internal/testbed/jobssim/disruptions_core.go
+++ b/internal/testbed/jobssim/disruptions_core.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// majorityWithoutAll reports whether the core can go on without some nodes.
+// majorityWithoutAll reports whether the running nodes that are not in lost are a majority.
 func (s *simulator) majorityWithoutAll(lost []*node) bool {
 	running := 0
 	for _, n := range s.nodes {
@@ -17,24 +17,24 @@
 	return running > len(s.nodes)/2
 }
 
-// killNodes kills processes of the core, which leave a majority, and starts them again after a while.
-func (s *simulator) killNodes(lost []*node, back time.Duration) {
+// killNodes kills the processes of some nodes and starts them again after downtime. The other nodes must be a majority.
+func (s *simulator) killNodes(lost []*node, downtime time.Duration) {
 	election := time.Duration(0)
 	if slices.Contains(lost, s.log.leader) {
-		s.log.lose()
+		s.log.endLeadership()
 		election = s.between(minElectionTime, maxElectionTime)
 		s.after(election, s.log.elect)
 	}
 	for _, n := range lost {
 		if !n.isDown {
 			n.kill()
-			s.after(back, n.startProcess)
+			s.after(downtime, n.startProcess)
 		}
 	}
-	s.markCoreDisrupted(s.now + max(back, election) + 300*time.Millisecond)
+	s.markCoreDisrupted(s.now + max(downtime, election) + 300*time.Millisecond)
 }
 
-// wipeMember kills a member of the core, which may be the leader, and starts it again with an empty disk.
+// wipeMember kills a random node, possibly the leader, and starts it again with an empty disk.
 func (s *simulator) wipeMember() bool {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if n.isDown || !s.majorityWithoutAll([]*node{n}) {
@@ -45,59 +45,59 @@
 	return true
 }
 
-// loseZone takes the power from all that stands in a zone.
+// loseZone kills all nodes and workers in a zone, as a power failure does.
 func (s *simulator) loseZone() bool {
-	number := s.rng.IntN(zoneCount)
+	zone := s.rng.IntN(zoneCount)
 	var lost []*node
 	for i, n := range s.nodes {
-		if i%zoneCount == number {
+		if i%zoneCount == zone {
 			lost = append(lost, n)
 		}
 	}
 	if !s.majorityWithoutAll(lost) {
 		return false
 	}
-	back := s.between(time.Second, 6*time.Second)
-	s.killNodes(lost, back)
+	downtime := s.between(time.Second, 6*time.Second)
+	s.killNodes(lost, downtime)
 	for _, host := range s.hosts {
-		if host.zone == fmt.Sprintf("zone%d", number) {
-			s.crashHost(host, back)
+		if host.zone == fmt.Sprintf("zone%d", zone) {
+			s.crashHost(host, downtime)
 		}
 	}
 	return true
 }
 
-// crashHost ends what runs on a host and starts another incarnation after a while.
-func (s *simulator) crashHost(host *workerHost, back time.Duration) {
+// crashHost ends the worker on a host and starts another incarnation after downtime.
+func (s *simulator) crashHost(host *workerHost, downtime time.Duration) {
 	w := host.current
 	if w == nil {
 		return
 	}
-	host.disruptedAt = max(host.disruptedAt, s.now+back)
-	s.markDisrupted(s.now + back)
+	host.disruptedUntil = max(host.disruptedUntil, s.now+downtime)
+	s.markDisrupted(s.now + downtime)
 	w.terminate()
-	s.after(back+s.between(0, 500*time.Millisecond), host.startWorker)
+	s.after(downtime+s.between(0, 500*time.Millisecond), host.startWorker)
 }
 
-// loseRack cuts all workers of a rack off, or takes their power.
+// loseRack either disconnects or kills all workers of a rack.
 func (s *simulator) loseRack(rack string) {
-	back, power := s.between(time.Second, 8*time.Second), s.chance(0.5)
+	duration, losesPower := s.between(time.Second, 8*time.Second), s.chance(0.5)
 	for _, host := range s.hosts {
 		switch {
 		case host.rack != rack || host.current == nil:
-		case power:
-			s.crashHost(host, back)
+		case losesPower:
+			s.crashHost(host, duration)
 		default:
-			host.disruptedAt = max(host.disruptedAt, s.now+back)
+			host.disruptedUntil = max(host.disruptedUntil, s.now+duration)
 			s.checker.workerLost(host.current)
-			host.cutFor(back)
+			host.cutFor(duration)
 		}
 	}
-	s.markDisrupted(s.now + back)
+	s.markDisrupted(s.now + duration)
 }
 
-// killMany kills half of all workers and as many members of the core as leave a majority, the leader among them, at
-// once.
+// killMany kills about half of the workers at once, together with the leader and as many other nodes as possible while
+// a majority remains.
 func (s *simulator) killMany() bool {
 	leader := s.log.leader
 	if leader == nil {
@@ -105,8 +105,8 @@
 	}
 	lost := []*node{leader}
 	for _, n := range s.nodes {
-		if more := append(slices.Clone(lost), n); n != leader && s.majorityWithoutAll(more) {
-			lost = more
+		if candidates := append(slices.Clone(lost), n); n != leader && s.majorityWithoutAll(candidates) {
+			lost = candidates
 		}
 	}
 	if !s.majorityWithoutAll(lost) {
@@ -121,13 +121,13 @@
 	return true
 }
 
-// flap ends and starts incarnations on a host by turns.
+// flap repeatedly ends the worker on a host and starts another incarnation.
 func (host *workerHost) flap(until time.Duration) {
 	s := host.sim
 	if s.now >= until || s.now >= s.options.DisruptionPeriod {
 		return
 	}
-	host.disruptedAt = max(host.disruptedAt, until)
+	host.disruptedUntil = max(host.disruptedUntil, until)
 	s.crashHost(host, s.between(300*time.Millisecond, time.Second))
 	s.after(s.between(1500*time.Millisecond, 3*time.Second), func() { host.flap(until) })
 }
--- a/internal/testbed/jobssim/failover.go
+++ b/internal/testbed/jobssim/failover.go
@@ -1,24 +1,25 @@
 package jobssim
 
-// elected records the election of a leader. With measureFailover it measures the time from the last start of a leader
-// to the first one of the next leader.
+// elected records the election of a leader. Together with measureFailover it measures the time from the last run
+// started by a leader to the first one started by its successor.
 func (ic *invariantChecker) elected(term uint64) {
 	ic.lastStartBeforeLoss = ic.lastStartAt
 	if ic.awaitsFirstStart {
-		ic.lastStartBeforeLoss = 0 // the leader before was lost before it started anything: two losses in one
+		ic.lastStartBeforeLoss = 0 // the previous leader started nothing, so the time would span two losses
 	}
 	ic.newestTerm, ic.electedAt, ic.awaitsFirstStart = term, ic.sim.now, true
 	for _, j := range ic.histories {
-		// The excuse begins anew for a leader that did not see its cause.
+		// The new leader has not observed the cause of the excuse, so the excuse period begins again.
 		if j.excusedUntil > ic.sim.now-2*contactTimeout {
-			ic.expectUnconfirmed(j)
+			ic.excuseIdle(j)
 		}
 	}
 }
 
-// measureFailover records a start under a term, and the failover that ends with it.
+// measureFailover records a start, and the duration of the failover if it is the first start in the newest term. A late
+// start may have been ordered by an earlier leader and does not count.
 func (ic *invariantChecker) measureFailover(r *liveRun, token uint64) {
-	if r.order.isLate {
+	if r.origin.isLate {
 		return
 	}
 	if token == ic.newestTerm && ic.awaitsFirstStart {
--- a/internal/testbed/jobssim/failover_test.go
+++ b/internal/testbed/jobssim/failover_test.go
@@ -21,7 +21,7 @@
 		for seed := uint64(1); len(failovers) < losses; seed++ {
 			report := Run(Options{Seed: seed, Load: Short, DisruptionRate: 3,
 				Disruptions: []Disruption{LeaderFreeze, LeaderCut, LeaderKill}})
-			So(report.Breaches, ShouldBeEmpty)
+			So(report.Violations, ShouldBeEmpty)
 			failovers, takeovers = append(failovers, report.Failovers...), append(takeovers, report.Takeovers...)
 		}
 		slices.Sort(failovers)
--- a/internal/testbed/jobssim/gang.go
+++ b/internal/testbed/jobssim/gang.go
@@ -13,11 +13,12 @@
 	round, step, number int
 }
 
+// gangKey returns the key of the run of the gang that this run is a member of.
 func (r *liveRun) gangKey() gangKey {
 	return gangKey{r.key.Task.Job, r.key.Task.Round, r.key.Task.Step, r.key.Number}
 }
 
-// gang is one run of a gang: its members can work only together.
+// gang is one run of a gang, whose members work only while all of them run.
 type gang struct {
 	sim       *simulator
 	members   []*liveRun
@@ -26,7 +27,8 @@
 	hasEnded  bool
 }
 
-// joinGang lets a run wait for the other members, or begin with them.
+// joinGang adds a run to its gang. The work begins when all members have joined; a member that has waited for
+// gangTimeout ends.
 func (s *simulator) joinGang(r *liveRun) {
 	key := r.gangKey()
 	g := s.gangs[key]
@@ -47,14 +49,15 @@
 	})
 }
 
-// begin starts the work of all members, once all are present.
+// begin starts the work of all members. It lasts as long as the longest work of a member, and spreadFactor times as
+// long if the gang should share a rack and does not.
 func (g *gang) begin() {
 	g.isWorking = true
 	var work time.Duration
 	racks := map[string]bool{}
 	for _, m := range g.members {
 		m.workedAt = m.worker.workedTime()
-		work = max(work, m.work)
+		work = max(work, m.remaining)
 		racks[m.worker.host.rack] = true
 	}
 	if g.members[0].step.SameRack && len(racks) > 1 {
@@ -63,6 +66,7 @@
 	g.scheduleEnd(work)
 }
 
+// scheduleEnd ends the gang after d, or later if the worker of a member is stalled at that time.
 func (g *gang) scheduleEnd(d time.Duration) {
 	g.sim.after(d, func() {
 		if g.hasEnded {
@@ -74,14 +78,14 @@
 				return
 			}
 		}
-		g.done()
+		g.complete()
 	})
 }
 
-// done ends all members together, or one as failed and the rest as broken.
-func (g *gang) done() {
+// complete ends all members as done. If one of them is to fail, it ends as failed and the others as broken.
+func (g *gang) complete() {
 	for _, m := range g.members {
-		if m.fails && m.worker.hasRun(m) {
+		if m.willFail && m.worker.hasRun(m) {
 			m.worker.finish(m, jobs.EndFailed)
 			return
 		}
@@ -94,7 +98,7 @@
 	}
 }
 
-// memberEnded removes a member that has ended: the others end as broken if they were at work.
+// memberEnded removes a member that has ended. If the gang was working, the other members end as broken.
 func (g *gang) memberEnded(r *liveRun) {
 	g.members = slices.DeleteFunc(g.members, func(m *liveRun) bool { return m == r })
 	if g.hasEnded || !g.isWorking {
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -8,47 +8,47 @@
 	"crosstide/internal/jobs"
 )
 
-// Guard is a safety measure that a run can be without, to show that the invariant checker detects its absence.
+// Guard is a safety measure that can be removed from a run, to verify that the invariant checker detects its absence.
 type Guard string
 
 // The guards that can be removed.
 const (
-	NoAttemptBound  Guard = "no attempt bound" // runs that failed are not counted
-	NoCapacityCheck Guard = "no room check"    // workers are assigned twice their capacity
-	NoIdentity      Guard = "no identity"      // a job that is submitted again is another job
+	NoAttemptBound     Guard = "no attempt bound" // failed runs are not counted
+	NoCapacityCheck    Guard = "no room check"    // workers are assigned work for twice their capacity
+	NoJobDeduplication Guard = "no identity"      // a resubmitted job is accepted as another job
 
 	UnconfirmedIsDead          Guard = "doubt is dead"         // a start without an answer counts as never sent
 	UnconfirmedReservesNothing Guard = "doubt takes no room"   // the capacity of an unconfirmed run is assigned again
-	NoDrainMark                Guard = "no drain mark"         // that a worker drains is acknowledged and not recorded
-	NoLeaveMark                Guard = "no leave mark"         // that a worker ends is acknowledged and not recorded
-	StaleHeartbeatsCount       Guard = "late heartbeats count" // a heartbeat replaces what a newer one reported
+	NoDrainMark                Guard = "no drain mark"         // a drain is acknowledged but not recorded
+	NoLeaveMark                Guard = "no leave mark"         // a departure is acknowledged but not recorded
+	StaleHeartbeatsCount       Guard = "late heartbeats count" // an older heartbeat replaces the report of a newer one
 
 	EarlyAcknowledgement Guard = "early acknowledgement" // ends are acknowledged before their commit
-	StartBeforeCommit    Guard = "start before commit"   // starts are sent before their handles are committed
+	StartBeforeCommit    Guard = "start before commit"   // starts are sent before they are committed
 	EarlyAnswers         Guard = "early answers"         // clients and operators are answered before the commit
 
-	NoLeaseCheck     Guard = "no lease check"     // a leader acts after its lease has expired
-	NoFencingWait    Guard = "no fencing wait"    // a new leader treats all runs of earlier terms as dead
-	OldLeadersAnswer Guard = "old leaders answer" // a leader answers for its table after its lease
+	NoLeaseCheck     Guard = "no lease check"     // a leader sends orders after its lease has expired
+	NoFencingWait    Guard = "no fencing wait"    // a new leader ends all runs of earlier terms as lost
+	OldLeadersAnswer Guard = "old leaders answer" // a leader answers from its table after its lease has expired
 
-	NoBaseCheck      Guard = "no base check"      // a change is accepted whatever version is in force
-	NoOrderMemory    Guard = "no order memory"    // accepted orders are not remembered
-	NoConfigCheck    Guard = "no config check"    // an invalid configuration is repaired and accepted
-	NoEvacuationMark Guard = "no evacuation mark" // an evacuation is acknowledged and not recorded
+	NoBaseCheck           Guard = "no base check"      // a change is accepted even if its base version is not in force
+	NoChangeDeduplication Guard = "no order memory"    // a repeated change is not recognized
+	NoConfigCheck         Guard = "no config check"    // an invalid configuration is repaired and accepted
+	NoEvacuationMark      Guard = "no evacuation mark" // an evacuation is acknowledged but not recorded
 
-	UnsentStopsCount Guard = "unsent stops count" // a stop that found no connection counts as answered
+	UnsentStopsCount Guard = "unsent stops count" // a stop without a connection counts as answered
 )
 
 // Guards returns all guards that can be removed.
 func Guards() []Guard {
-	return []Guard{NoAttemptBound, NoCapacityCheck, NoIdentity,
+	return []Guard{NoAttemptBound, NoCapacityCheck, NoJobDeduplication,
 		UnconfirmedIsDead, UnconfirmedReservesNothing, NoDrainMark, NoLeaveMark, StaleHeartbeatsCount,
 		EarlyAcknowledgement, StartBeforeCommit, EarlyAnswers,
 		NoLeaseCheck, NoFencingWait, OldLeadersAnswer,
-		NoBaseCheck, NoOrderMemory, NoConfigCheck, NoEvacuationMark, UnsentStopsCount}
+		NoBaseCheck, NoChangeDeduplication, NoConfigCheck, NoEvacuationMark, UnsentStopsCount}
 }
 
-// startOutcome returns what the scheduler learns of a start without an answer.
+// startOutcome returns the error passed to the scheduler for a start without an answer.
 func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartError {
 	switch n.sim.options.WithoutGuard {
 	case UnconfirmedIsDead:
@@ -59,8 +59,8 @@
 	return scheduler.StartUnknown
 }
 
-// answer commits a change of a client or an operator and answers with the outcome.
-func (n *node) answer(term uint64, change any, done func(any, error)) {
+// proposeAndAnswer proposes a change from a client or an operator and answers with the outcome.
+func (n *node) proposeAndAnswer(term uint64, change any, done func(any, error)) {
 	if n.sim.options.WithoutGuard == EarlyAnswers && n.sim.log.leader == n {
 		answered := done
 		answered(nil, nil)
@@ -69,7 +69,7 @@
 	n.sim.log.propose(n, term, change, done)
 }
 
-// widenCapacity records a worker with the needs of a run on top of its capacity.
+// widenCapacity adds the needs of a run to the recorded capacity of its worker.
 func (n *node) widenCapacity(term uint64, start scheduler.StartAction) {
 	known, j := n.table.Workers[start.Worker.ID], n.table.Jobs[start.Order.Key.Task.Job]
 	if known == nil || j == nil || j.Rounds == nil {
@@ -81,7 +81,7 @@
 	n.sim.log.propose(n, term, jobs.Register{Workers: []jobs.Worker{worker}}, func(any, error) {})
 }
 
-// startBeforeCommit sends the starts of a Progress that is not committed.
+// startBeforeCommit sends the starts of a Progress before it is committed.
 func (n *node) startBeforeCommit(term uint64, progress *jobs.Progress) {
 	for _, s := range progress.Starts {
 		worker, j := n.table.Workers[s.Worker], n.table.Jobs[s.Task.Job]
@@ -99,7 +99,7 @@
 	}
 }
 
-// forgetHandles commits the end of all handles of earlier terms, without proof.
+// forgetHandles proposes to end all runs of earlier terms as lost, without waiting until their leases have expired.
 func (n *node) forgetHandles(term uint64) {
 	progress := jobs.Progress{Term: term, At: n.wall()}
 	for id := range n.table.Workers {
--- a/internal/testbed/jobssim/heartbeats.go
+++ b/internal/testbed/jobssim/heartbeats.go
@@ -12,10 +12,10 @@
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = time.Second
-	maxHeartbeatDelay = 4 * time.Second // of a heartbeat that is late
+	maxHeartbeatDelay = 4 * time.Second // of a late heartbeat
 )
 
-// buildWorkers builds the machines of both services.
+// buildWorkers creates the hosts of both services and starts their workers.
 func (s *simulator) buildWorkers() {
 	for i := range workersPerService * 2 {
 		checksCapacity := i%2 == 0
@@ -23,8 +23,8 @@
 		host := &workerHost{sim: s, address: fmt.Sprintf("10.0.0.%d:80", i+1), service: serviceOpen,
 			checksCapacity: checksCapacity,
 			zone:           fmt.Sprintf("zone%d", place%zoneCount), rack: fmt.Sprintf("r%d", place%rackCount),
-			capacity: jobs.Resources{MilliCPU: 16000, MemoryMB: 65536, GPUs: 2},
-			speed:    0.8 + 0.5*s.rng.Float64(), cutFrom: map[*node]bool{}, disruptedAt: -time.Minute}
+			capacity:       jobs.Resources{MilliCPU: 16000, MemoryMB: 65536, GPUs: 2},
+			durationFactor: 0.8 + 0.5*s.rng.Float64(), cutFrom: map[*node]bool{}, disruptedUntil: -time.Minute}
 		if checksCapacity {
 			host.service = serviceGuards
 		}
@@ -36,13 +36,14 @@
 }
 
 const (
-	serviceGuards     = "guarding"
-	serviceOpen       = "open"
+	serviceGuards     = "guarding" // its workers check their capacity
+	serviceOpen       = "open"     // its workers do not check their capacity
 	workersPerService = 8
 	zoneCount         = 3
 	rackCount         = 4
 )
 
+// hostAt returns the host with the given address, or nil.
 func (s *simulator) hostAt(address string) *workerHost {
 	for _, host := range s.hosts {
 		if host.address == address {
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// heartbeatLoop sends heartbeats for as long as the incarnation lasts.
+// heartbeatLoop sends heartbeats until the incarnation ends.
 func (w *workerIncarnation) heartbeatLoop() {
 	if !w.isUp() {
 		return
@@ -61,7 +62,7 @@
 	w.host.sim.after(w.host.sim.between(heartbeatInterval*9/10, heartbeatInterval*11/10), w.heartbeatLoop)
 }
 
-// heartbeat is one heartbeat.
+// heartbeat is the report that a worker sends to the leader at intervals.
 type heartbeat struct {
 	worker    jobs.Worker
 	sequence  uint64
@@ -70,7 +71,8 @@
 	leaving   bool
 }
 
-// sendHeartbeat sends one heartbeat to a node that may lead.
+// sendHeartbeat sends a heartbeat to a node that considers itself the leader. done is called when a heartbeat that was
+// not delayed is acknowledged.
 func (w *workerIncarnation) sendHeartbeat(leaving bool, done func(ok bool)) {
 	s := w.host.sim
 	w.heartbeatSequence++
@@ -79,18 +81,18 @@
 		call.remaining = drainTimeout
 	}
 	n := s.anyLeader()
-	if n == nil || w.host.isCutOff { // a node that it is cut from is reached by way of another
+	if n == nil || w.host.isCutOff { // cutFrom is ignored: another node relays the heartbeat
 		return
 	}
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	if s.chance(0.01) || s.now < w.host.heartbeatsDelayedUntil && s.chance(0.7) {
-		late = s.between(0, maxHeartbeatDelay)
+		delay = s.between(0, maxHeartbeatDelay)
 	}
-	s.after(s.linkDelay()+late, func() {
+	s.after(s.linkDelay()+delay, func() {
 		n.after(0, func() {
 			n.receiveHeartbeat(call, func(err error) {
 				s.after(s.linkDelay(), func() {
-					if ok := err == nil && !w.host.isCutOff; ok && late == 0 {
+					if ok := err == nil && !w.host.isCutOff; ok && delay == 0 {
 						w.heartbeatAcknowledged(call, n)
 						done(true)
 					}
@@ -100,9 +102,9 @@
 	})
 }
 
-// heartbeatAcknowledged ends a drain some time after its first acknowledgement.
+// heartbeatAcknowledged makes a draining worker leave some time after its drain was first acknowledged.
 func (w *workerIncarnation) heartbeatAcknowledged(call heartbeat, _ *node) {
-	if !call.worker.Draining || w.drainAcknowledgedAt != 0 || !w.isUp() {
+	if !call.worker.Draining || w.leavingAcknowledgedAt != 0 || !w.isUp() {
 		return
 	}
 	s := w.host.sim
@@ -110,7 +112,7 @@
 	s.after(drainTimeout+s.between(100*time.Millisecond, 4*time.Second), w.leave)
 }
 
-// deregister reports that the worker leaves, without a drain before; it serves on for a while and ends.
+// deregister reports that the worker leaves, without an earlier drain. The worker executes orders for a while longer.
 func (w *workerIncarnation) deregister() {
 	w.isLeaving, w.leavingSince = true, w.host.sim.now
 	w.host.sim.trace("%s deregisters first", w.id)
@@ -118,13 +120,14 @@
 	w.host.sim.after(maxDrainTime, w.terminate) // also without an acknowledgement
 }
 
+// announceLeaving sends heartbeats that report the departure until one is acknowledged.
 func (w *workerIncarnation) announceLeaving() {
-	if !w.isUp() || w.drainAcknowledgedAt != 0 {
+	if !w.isUp() || w.leavingAcknowledgedAt != 0 {
 		return
 	}
 	s := w.host.sim
 	w.sendHeartbeat(true, func(bool) {
-		if !w.isUp() || w.drainAcknowledgedAt != 0 {
+		if !w.isUp() || w.leavingAcknowledgedAt != 0 {
 			return
 		}
 		w.leavingAcknowledged()
@@ -133,17 +136,17 @@
 	s.after(heartbeatTimeout, w.announceLeaving)
 }
 
-// leavingAcknowledged records the first acknowledgement that the worker leaves.
+// leavingAcknowledged records the first acknowledgement that the worker drains or leaves.
 func (w *workerIncarnation) leavingAcknowledged() {
 	s := w.host.sim
-	w.drainAcknowledgedAt = s.now
-	s.checker.count(DrainRule)
+	w.leavingAcknowledgedAt = s.now
+	s.checker.countCase(DrainInvariant)
 	if w.leavingSince >= w.host.heartbeatsUnreliableUntil {
-		s.checker.checkAcknowledgement("the leaving of a worker", w.leavingSince)
+		s.checker.checkAcknowledgement("the departure of a worker", w.leavingSince)
 	}
 }
 
-// leave reports that the worker leaves, and ends it.
+// leave reports that the worker leaves, without waiting for an acknowledgement, and ends it.
 func (w *workerIncarnation) leave() {
 	if !w.isUp() {
 		return
@@ -152,7 +155,7 @@
 	w.host.sim.after(w.host.sim.between(5*time.Millisecond, 50*time.Millisecond), w.terminate)
 }
 
-// drain begins a planned end.
+// drain begins a planned shutdown, unless one is in progress.
 func (w *workerIncarnation) drain() {
 	if w.isDraining || w.isLeaving || !w.isUp() {
 		return
@@ -162,14 +165,14 @@
 	w.host.sim.after(maxDrainTime, w.leave) // also without an acknowledgement
 }
 
-// record returns what the worker reports of itself.
+// record returns the description of the worker that its heartbeats carry.
 func (w *workerIncarnation) record() jobs.Worker {
 	host := w.host
 	return jobs.Worker{ID: w.id, Address: host.address, Service: host.service, Zone: host.zone, Rack: host.rack,
 		Labels: host.labels, Capacity: host.capacity, Draining: w.isDraining}
 }
 
-// anyLeader returns a node that takes itself for the leader; nil if there is none.
+// anyLeader returns a random node among those that consider themselves the leader, or nil.
 func (s *simulator) anyLeader() *node {
 	var leading []*node
 	for _, n := range s.nodes {
@@ -183,7 +186,7 @@
 	return leading[s.rng.IntN(len(leading))]
 }
 
-// readTable reads the table if this node may answer for it, as controller.Leader.readTable.
+// readTable returns the table if this node leads with its lease in force; it mirrors controller.Leader.readTable.
 func (n *node) readTable() (table *jobs.Table, term uint64, err error) {
 	term, isLeader := n.leadTerm()
 	removed := n.sim.options.WithoutGuard
@@ -192,14 +195,14 @@
 	}
 	switch {
 	case term == 0:
-		return nil, 0, errs.New(errs.NotLeader, "this node does not lead")
+		return nil, 0, errs.New(errs.NotLeader, "this node is not the leader")
 	case !isLeader:
-		return nil, term, errs.New(errs.Unavailable, "the lead cannot be confirmed now")
+		return nil, term, errs.New(errs.Unavailable, "leadership cannot be confirmed")
 	}
 	return n.table, term, nil
 }
 
-// receiveHeartbeat handles a heartbeat, as controller.Leader.Heartbeat.
+// receiveHeartbeat handles a heartbeat; it mirrors controller.Leader.Heartbeat.
 func (n *node) receiveHeartbeat(call heartbeat, done func(error)) {
 	table, term, err := n.readTable()
 	if err != nil {
@@ -238,6 +241,7 @@
 	n.sim.log.propose(n, term, jobs.Register{Workers: []jobs.Worker{worker}}, func(_ any, err error) { finish(err) })
 }
 
-func changedWorker(known, done *jobs.Worker) bool {
-	return known.Address != done.Address || done.Draining && !known.Draining || done.Left && !known.Left
+// changedWorker reports whether a heartbeat reports a change that must be committed.
+func changedWorker(known, reported *jobs.Worker) bool {
+	return known.Address != reported.Address || reported.Draining && !known.Draining || reported.Left && !known.Left
 }
--- a/internal/testbed/jobssim/hunt_test.go
+++ b/internal/testbed/jobssim/hunt_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestHunt runs FLEETSIM_SEEDS seeds (none if it is not set), from FLEETSIM_FROM on. FLEETSIM_KINDS lists the
-// disruptions, separated by commas, or FLEETSIM_DAY is the number of a scenario of BadDays, from 1. FLEETSIM_BREAK is a
+// disruptions, separated by commas, or FLEETSIM_DAY is the number of a scenario of Scenarios, from 1. FLEETSIM_BREAK is a
 // guard to remove, FLEETSIM_PACE the DisruptionRate, FLEETSIM_FOR the DisruptionPeriod, FLEETSIM_LOAD the Load,
 // FLEETSIM_TRACE a file for the trace.
 func TestHunt(t *testing.T) {
@@ -24,7 +24,7 @@
 		}
 	}
 	if day, err := strconv.Atoi(os.Getenv("FLEETSIM_DAY")); err == nil {
-		opt.Disruptions = BadDays()[day-1].Disruptions
+		opt.Disruptions = Scenarios()[day-1].Disruptions
 	}
 	if path := os.Getenv("FLEETSIM_TRACE"); path != "" {
 		file, err := os.Create(path)
@@ -34,17 +34,17 @@
 		defer func() { _ = file.Close() }()
 		opt.Trace = file
 	}
-	cases, seen, periods, longest := map[Rule]int{}, map[string]int{}, 0, time.Duration(0)
+	cases, seen, periods, longest := map[Invariant]int{}, map[string]int{}, 0, time.Duration(0)
 	for seed := from; seed < from+count; seed++ {
 		opt.Seed = seed
 		report := Run(opt)
-		for _, b := range report.Breaches {
-			t.Errorf("seed %d breaks %s at %s: %s", seed, b.Rule, b.At, b.What)
+		for _, b := range report.Violations {
+			t.Errorf("seed %d breaks %s at %s: %s", seed, b.Invariant, b.At, b.Detail)
 		}
 		for rule, n := range report.Cases {
 			cases[rule] += n
 		}
-		for what, n := range report.Seen {
+		for what, n := range report.Counts {
 			seen[what] += n
 		}
 		periods += report.IdlePeriods
--- a/internal/testbed/jobssim/invariants_ends.go
+++ b/internal/testbed/jobssim/invariants_ends.go
@@ -9,18 +9,18 @@
 // ended records the end of a run.
 func (ic *invariantChecker) ended(r *liveRun, reason jobs.EndReason) *endRecord {
 	ic.sim.trace("end %s %s", r, reason)
-	j := ic.job(r.key.Task.Job)
+	j := ic.history(r.key.Task.Job)
 	ic.removeRun(j, r)
-	if ic.sim.now < r.worker.host.disruptedAt {
-		ic.expectUnconfirmed(j)
+	if ic.sim.now < r.worker.host.disruptedUntil {
+		ic.excuseIdle(j)
 	}
-	ic.sim.report.Seen["end: "+string(reason)]++
+	ic.sim.report.Counts["end: "+string(reason)]++
 	if reason == jobs.EndStopped && !j.job.isCancelSent && !j.attemptsExhausted() {
-		ic.sim.report.Seen["stopped for other work"]++
+		ic.sim.report.Counts["stopped for other work"]++
 	}
 	e := &endRecord{run: r, reason: reason, at: ic.sim.now}
-	ic.listed(r.worker, e)
-	t := j.ending(r.key.Task)
+	ic.endListed(r.worker, e)
+	t := j.endHistory(r.key.Task)
 	switch reason {
 	case jobs.EndDone:
 		t.done = append(t.done, e)
@@ -34,28 +34,28 @@
 	return e
 }
 
-// checkGangStart judges a member of a gang that waited in vain.
+// checkGangStart judges a run that ended because its gang did not become complete in time.
 func (ic *invariantChecker) checkGangStart(j *jobHistory, r *liveRun) {
-	if ic.calmGang(r) && !j.job.isCancelSent {
-		ic.breach(GangRule, "%s ended alone", r)
+	if ic.isGangUndisrupted(r) && !j.job.isCancelSent {
+		ic.violate(GangInvariant, "%s timed out waiting for its gang", r)
 	}
 }
 
-// calmGang reports whether no disruption is near a run of a gang: neither of the core nor of a worker that a member was
-// sent to.
-func (ic *invariantChecker) calmGang(r *liveRun) bool {
-	if !r.order.wasInTouch || r.order.isLate || !ic.sim.inTouch() {
+// isGangUndisrupted reports whether no disruption of the core, or of a worker to which a member was sent, is near a run
+// of a gang.
+func (ic *invariantChecker) isGangUndisrupted(r *liveRun) bool {
+	if !r.origin.wasCoreStable || r.origin.isLate || !ic.sim.isCoreStable() {
 		return false
 	}
 	for _, host := range ic.gangHosts[r.gangKey()] {
-		if r.began < host.disruptedAt+contactTimeout || host.current == nil {
+		if r.began < host.disruptedUntil+contactTimeout || host.current == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// removeRun removes a run from those that run.
+// removeRun removes a run from the running ones of its task.
 func (ic *invariantChecker) removeRun(j *jobHistory, r *liveRun) {
 	t := j.task(r.key.Task)
 	before := len(t.running)
@@ -63,22 +63,22 @@
 	if len(t.running) < before {
 		j.running--
 	}
-	if r.gang != nil && ic.calmGang(r) {
-		ic.count(GangRule)
+	if r.gang != nil && ic.isGangUndisrupted(r) {
+		ic.countCase(GangInvariant)
 	}
 }
 
 // runLost records that a run was lost with its worker.
 func (ic *invariantChecker) runLost(r *liveRun) {
-	j := ic.job(r.key.Task.Job)
+	j := ic.history(r.key.Task.Job)
 	ic.removeRun(j, r)
-	ic.expectUnconfirmed(j)
+	ic.excuseIdle(j)
 }
 
-// workerLost records that a worker was lost, or is disrupted, with ends that were not acknowledged.
+// workerLost records that a worker was lost or is disrupted, so that its unacknowledged ends may not be delivered.
 func (ic *invariantChecker) workerLost(w *workerIncarnation) {
 	for _, e := range w.endRecords {
-		ic.expectUnconfirmed(ic.job(e.run.key.Task.Job))
+		ic.excuseIdle(ic.history(e.run.key.Task.Job))
 	}
 }
 
@@ -90,25 +90,25 @@
 	}
 }
 
-// endAcknowledged records that an end is acknowledged, and judges the starts since it.
+// endAcknowledged records that an end is acknowledged, and judges the starts of the task since that end.
 func (ic *invariantChecker) endAcknowledged(e *endRecord) {
 	if e == nil || e.isInvalidated {
 		return
 	}
 	e.isAcknowledged = true
 	ic.sim.trace("noted %s %s", e.run, e.reason)
-	j := ic.job(e.run.key.Task.Job)
+	j := ic.history(e.run.key.Task.Job)
 	for _, r := range e.starts {
 		if e.reason == jobs.EndDone {
-			ic.breach(TwiceRule, "%s began after %s ended done, which was acknowledged later", r, e.run)
+			ic.violate(TwiceInvariant, "%s began after %s had ended as done, which was acknowledged later", r, e.run)
 		} else if failed := j.failedBefore(r); failed >= maxAttempts {
-			ic.breach(BudgetRule, "%s began after %d runs that failed, the last acknowledged later", r, failed)
+			ic.violate(BudgetInvariant, "%s began after %d failed runs, the last of them acknowledged later", r, failed)
 		}
 	}
 	e.starts = nil
 }
 
-// recordCheckpoint records a checkpoint that a worker reported.
+// recordCheckpoint records a checkpoint that a run has saved.
 func (ic *invariantChecker) recordCheckpoint(r *liveRun, text string) {
-	ic.job(r.key.Task.Job).ending(r.key.Task).checkpoints[text] = true
+	ic.history(r.key.Task.Job).endHistory(r.key.Task).checkpoints[text] = true
 }
--- a/internal/testbed/jobssim/invariants_jobs.go
+++ b/internal/testbed/jobssim/invariants_jobs.go
@@ -9,46 +9,48 @@
 )
 
 // accepted records that a job was accepted.
-func (ic *invariantChecker) accepted(j *clientJob) { ic.job(j.spec.ID) }
+func (ic *invariantChecker) accepted(j *clientJob) { ic.history(j.spec.ID) }
 
 // rejected records that every attempt to submit a job was rejected.
 func (ic *invariantChecker) rejected(j *clientJob) {
-	t := ic.job(j.spec.ID)
-	started := t.running > 0 || len(t.tasks) > 0
-	ic.require(RefusedRule, !started, "job %s was refused and has started", j.spec.ID)
+	history := ic.history(j.spec.ID)
+	started := history.running > 0 || len(history.tasks) > 0
+	ic.require(RefusedInvariant, !started, "job %s was rejected but has started", j.spec.ID)
 }
 
-// shown judges what a client is shown of its job.
-func (ic *invariantChecker) shown(c *clientJob, a jobAnswer) {
-	j := ic.job(c.spec.ID)
-	if a.gone {
+// checkState judges the state that a poll or a cancel of a job returned.
+func (ic *invariantChecker) checkState(c *clientJob, answer jobAnswer) {
+	j := ic.history(c.spec.ID)
+	if answer.notFound {
 		if c.isAccepted && !c.isCancelSent {
-			isExcused := ic.sim.now <= c.acceptedAt+visibleTime || !ic.sim.inTouch()
-			ic.require(LostRule, isExcused, "job %s is accepted and not known", c.spec.ID)
+			isExcused := ic.sim.now <= c.acceptedAt+visibleTime || !ic.sim.isCoreStable()
+			ic.require(LostInvariant, isExcused, "accepted job %s does not exist", c.spec.ID)
 		}
 		return
 	}
-	switch a.state {
+	switch answer.state {
 	case jobs.Succeeded:
-		ic.require(MixedRule, j.allDone(), "job %s is shown as succeeded and is not done", c.spec.ID)
+		ic.require(MixedInvariant, j.allDone(),
+			"job %s is reported as succeeded, but its tasks are not all done", c.spec.ID)
 		j.succeeded = true
 	case jobs.Failed:
-		ic.require(LostRule, j.attemptsExhausted(), "job %s is shown as failed without cause", c.spec.ID)
+		ic.require(LostInvariant, j.attemptsExhausted(),
+			"job %s is reported as failed, but no task has exhausted its attempts", c.spec.ID)
 	case jobs.Cancelled:
-		ic.require(LostRule, c.isCancelSent, "job %s is shown as cancelled without cause", c.spec.ID)
+		ic.require(LostInvariant, c.isCancelSent, "job %s is reported as cancelled, but no cancel was sent", c.spec.ID)
 	default:
-		ic.count(LostRule)
-		if c.lastShown.IsTerminal() {
-			ic.breach(LostRule, "job %s is shown as %s after %s", c.spec.ID, a.state, c.lastShown)
+		ic.countCase(LostInvariant)
+		if c.lastState.IsTerminal() {
+			ic.violate(LostInvariant, "job %s is reported as %s after %s", c.spec.ID, answer.state, c.lastState)
 		}
 	}
 }
 
-// cancelled records that a job's cancel was acknowledged.
+// cancelled records that the cancel of a job was acknowledged, and verifies later that no run of it remains.
 func (ic *invariantChecker) cancelled(c *clientJob) {
 	since := ic.sim.now
 	ic.sim.after(cancelTime+maxStopDelay, func() {
-		if !ic.sim.calmSince(since) {
+		if !ic.sim.undisruptedSince(since) {
 			return
 		}
 		for _, host := range ic.sim.hosts {
@@ -57,43 +59,44 @@
 			}
 			for _, r := range host.current.runs {
 				if r.spec.ID == c.spec.ID {
-					ic.breach(UnaskedRule, "%s runs on after its cancelling", r)
+					ic.violate(UnaskedInvariant, "%s still runs after its job was cancelled", r)
 				}
 			}
 		}
-		ic.count(UnaskedRule)
+		ic.countCase(UnaskedInvariant)
 	})
 }
 
-// checkAcknowledgement judges how long an order waited for its acknowledgement in the newest time in which the core was
-// stable.
+// checkAcknowledgement judges how long a request waited for its acknowledgement. Only the time since the core became
+// stable counts.
 func (ic *invariantChecker) checkAcknowledgement(what string, sent time.Duration) {
-	stable := max(sent, ic.sim.quiet.coreUntil+contactTimeout)
-	waited := ic.sim.now - stable
-	ic.require(AckRule, waited <= ackTime, "%s waited %s for its acknowledgement, the core being stable", what, waited)
+	stableSince := max(sent, ic.sim.disrupted.coreUntil+contactTimeout)
+	waited := ic.sim.now - stableSince
+	ic.require(AckInvariant, waited <= ackTime, "%s waited %s for its acknowledgement while the core was stable",
+		what, waited)
 }
 
 const (
-	maxIdle           = 3 * time.Second
+	maxIdle           = 3 * time.Second // for a job that could run
 	idleCheckInterval = 250 * time.Millisecond
 )
 
-// watchIdle looks for idle jobs at intervals.
-func (ic *invariantChecker) watchIdle() {
+// scheduleIdleChecks checks for idle jobs and long-running tasks at intervals of idleCheckInterval.
+func (ic *invariantChecker) scheduleIdleChecks() {
 	ic.sim.after(idleCheckInterval, func() {
-		ic.findIdle()
-		ic.findDetached()
-		ic.watchIdle()
+		ic.checkIdleJobs()
+		ic.checkLongRunningTasks()
+		ic.scheduleIdleChecks()
 	})
 }
 
-// findIdle judges jobs that could run and do not.
-func (ic *invariantChecker) findIdle() {
+// checkIdleJobs judges for how long jobs that could run have not run.
+func (ic *invariantChecker) checkIdleJobs() {
 	for _, c := range ic.sim.clients.jobs {
-		if !c.isAccepted || c.lastShown.IsTerminal() || c.isCancelSent {
+		if !c.isAccepted || c.lastState.IsTerminal() || c.isCancelSent {
 			continue
 		}
-		j := ic.job(c.spec.ID)
+		j := ic.history(c.spec.ID)
 		if !ic.couldRun(j) {
 			j.idleSince, j.idleSinceAnyCause = 0, 0
 			continue
@@ -108,15 +111,15 @@
 			continue
 		}
 		if ic.sim.now-j.idleSince > maxIdle {
-			ic.breach(LostRule, "job %s has been idle since %s: %s", c.spec.ID, j.idleSince,
-				ic.describe(queueOf(c.prefix)))
+			ic.violate(LostInvariant, "job %s has been idle since %s: %s", c.spec.ID, j.idleSince,
+				ic.describeWorkers(queueOf(c.prefix)))
 			j.idleSince = ic.sim.now
 		}
-		ic.count(LostRule)
+		ic.countCase(LostInvariant)
 	}
 }
 
-// recordIdlePeriod records how long a job is idle, whatever the cause.
+// recordIdlePeriod records how long a job has been idle, whatever the cause.
 func (ic *invariantChecker) recordIdlePeriod(j *jobHistory) {
 	if j.idleSinceAnyCause == 0 {
 		j.idleSinceAnyCause = ic.sim.now
@@ -129,22 +132,22 @@
 	ic.sim.report.LongestIdle = max(ic.sim.report.LongestIdle, period)
 }
 
-// describe lists the workers of the service of a queue.
-func (ic *invariantChecker) describe(queue string) string {
+// describeWorkers returns the running workers of the service to which a queue is directed.
+func (ic *invariantChecker) describeWorkers(queue string) string {
 	configs := ic.sim.operator.configs
 	service := configs[len(configs)-1].services[queue]
 	text := service
 	for _, host := range ic.sim.hosts {
 		if host.service == service && host.current != nil {
-			text += fmt.Sprintf(" %s(sound %v, used %v)", host.current.id, ic.isHealthy(host), host.current.used())
+			text += fmt.Sprintf(" %s(healthy %v, used %v)", host.current.id, ic.isHealthy(host), host.current.used())
 		}
 	}
 	return text
 }
 
-// couldRun reports whether nothing of a job runs although a task's turn has come and there is capacity for it twice.
+// couldRun reports whether no task of a job is running although a step is ready and there is capacity for it twice.
 func (ic *invariantChecker) couldRun(j *jobHistory) bool {
-	if j.running > 0 || !ic.sim.inTouch() || j.attemptsExhausted() {
+	if j.running > 0 || !ic.sim.isCoreStable() || j.attemptsExhausted() {
 		return false
 	}
 	service := ic.serviceOf(j)
@@ -157,8 +160,8 @@
 		if spec.Rounds > 0 && ic.sim.wall().Before(due) {
 			continue
 		}
-		for number := range spec.Steps {
-			if ic.turnHasCome(j, round, number) && ic.hasCapacityTwice(&spec.Steps[number], service) {
+		for step := range spec.Steps {
+			if ic.isStepReady(j, round, step) && ic.hasCapacityTwice(&spec.Steps[step], service) {
 				return true
 			}
 		}
@@ -166,23 +169,23 @@
 	return false
 }
 
-// serviceOf returns the service to which the newest configuration directs a job; empty if none, or if that
-// configuration need not be in force yet.
+// serviceOf returns the service to which the newest configuration directs a job. It is empty if there is none, or if
+// that configuration may not be in force yet.
 func (ic *invariantChecker) serviceOf(j *jobHistory) string {
 	configs := ic.sim.operator.configs
 	newest := configs[len(configs)-1]
-	if !newest.acked || ic.sim.now < newest.ackedAt+configTime {
+	if !newest.isAcknowledged || ic.sim.now < newest.acknowledgedAt+configTime {
 		return ""
 	}
 	return newest.services[queueOf(j.job.prefix)]
 }
 
-// turnHasCome reports whether a task of a step of a round is not done, and all steps before are.
-func (*invariantChecker) turnHasCome(j *jobHistory, round, number int) bool {
-	if j.stepDone(round, number) {
+// isStepReady reports whether a step of a round is not done, but all steps on which it depends are.
+func (*invariantChecker) isStepReady(j *jobHistory, round, step int) bool {
+	if j.stepDone(round, step) {
 		return false
 	}
-	for _, before := range j.job.spec.Steps[number].After {
+	for _, before := range j.job.spec.Steps[step].After {
 		if !j.stepDone(round, before) {
 			return false
 		}
@@ -190,10 +193,10 @@
 	return true
 }
 
-// hasCapacityTwice reports whether healthy workers of a service have capacity for a task, or a gang, twice, and less
-// than half of their capacity is in use.
+// hasCapacityTwice reports whether the healthy workers of a service have free capacity for two tasks of a step, or two
+// gangs, and less than half of their capacity is in use.
 func (ic *invariantChecker) hasCapacityTwice(step *jobs.Step, service string) bool {
-	wanted, could := 2, 0
+	wanted, placeable := 2, 0
 	if step.Gang {
 		wanted = 2 * step.Count
 	}
@@ -210,51 +213,52 @@
 		if step.Label != "" && !slices.Contains(host.labels, step.Label) {
 			continue
 		}
-		here, free := 0, plus(w.used(), step.Needs)
-		for fits(free, host.capacity) && (step.MaxPerWorker == 0 || here < step.MaxPerWorker) && here < wanted {
-			here++
-			free = plus(free, step.Needs)
+		onHost, usedWithNext := 0, plus(w.used(), step.Needs)
+		for fits(usedWithNext, host.capacity) && (step.MaxPerWorker == 0 || onHost < step.MaxPerWorker) &&
+			onHost < wanted {
+			onHost++
+			usedWithNext = plus(usedWithNext, step.Needs)
 		}
-		could += here
+		placeable += onHost
 	}
 	isHalfFree := 2*used.MilliCPU < capacity.MilliCPU && 2*used.MemoryMB < capacity.MemoryMB &&
 		2*used.GPUs <= capacity.GPUs
-	return could >= wanted && isHalfFree
+	return placeable >= wanted && isHalfFree
 }
 
-// isHealthy reports whether any scheduler could assign starts to a worker.
+// isHealthy reports whether every correct scheduler can be expected to assign runs to the worker of a host.
 func (ic *invariantChecker) isHealthy(host *workerHost) bool {
 	w := host.current
 	isImpaired := w.isDraining || w.isLeaving || w.refuses || w.failShare > 0 || w.failsAll || w.stalledSince > 0
-	isOutOfTouch := host.isCutOff || len(host.cutFrom) > 0 || ic.sim.now < host.disruptedAt ||
+	isUnreachable := host.isCutOff || len(host.cutFrom) > 0 || ic.sim.now < host.disruptedUntil ||
 		ic.sim.now-w.startedAt < contactTimeout
-	if isImpaired || isOutOfTouch {
+	if isImpaired || isUnreachable {
 		return false
 	}
 	for _, e := range ic.sim.operator.evacuations {
-		if e.zone == host.zone && !(e.finished && ic.sim.now > e.ackedAt+evacuationTime+contactTimeout) {
+		if e.zone == host.zone && !(e.isWithdrawalSent && ic.sim.now > e.acknowledgedAt+evacuationTime+contactTimeout) {
 			return false
 		}
 	}
 	return true
 }
 
-// finish judges what is left when a run is over.
+// finish judges the state at the end of the run.
 func (ic *invariantChecker) finish() {
 	for _, c := range ic.sim.clients.jobs {
 		if !c.isAccepted {
 			continue
 		}
-		ic.require(EndRule, c.lastShown.IsTerminal(), "job %s was accepted and is %q at the end", c.spec.ID,
-			c.lastShown)
+		ic.require(EndInvariant, c.lastState.IsTerminal(), "accepted job %s has the state %q at the end", c.spec.ID,
+			c.lastState)
 	}
-	ic.recovered()
-	ic.finishConfig()
+	ic.checkRecovery()
+	ic.checkFinalConfig()
 	ic.sim.compareReplicas()
 }
 
-// recovered judges the jobs that were submitted after the final fault, when the machines had been back for long enough.
-func (ic *invariantChecker) recovered() {
+// checkRecovery requires that at least a quarter of the jobs submitted after the final fault were accepted.
+func (ic *invariantChecker) checkRecovery() {
 	accepted, submitted := 0, 0
 	for _, c := range ic.sim.clients.jobs {
 		if c.afterFault {
@@ -265,33 +269,34 @@
 		}
 	}
 	if submitted > 0 {
-		ic.require(RecoverRule, 4*accepted >= submitted, "%d of %d jobs were accepted after the final fault",
+		ic.require(RecoverInvariant, 4*accepted >= submitted, "%d of %d jobs were accepted after the final fault",
 			accepted, submitted)
 	}
 }
 
-// finishConfig compares what is in force at the end with what was acknowledged.
-func (ic *invariantChecker) finishConfig() {
+// checkFinalConfig compares the configuration and the evacuations in force at the end with those acknowledged.
+func (ic *invariantChecker) checkFinalConfig() {
 	n := ic.sim.log.leader
 	if n == nil {
-		ic.breach(EndRule, "there is no leader at the end")
+		ic.violate(EndInvariant, "there is no leader at the end")
 		return
 	}
 	n.catchUp()
-	at, newest := -1, -1
+	inForce, newestAcknowledged := -1, -1
 	for i, c := range ic.sim.operator.configs {
-		if c.change.Version == n.table.Config.Version && (c.acked || !c.lost) {
-			at = i
+		if c.change.Version == n.table.Config.Version && (c.isAcknowledged || !c.hasLostRace) {
+			inForce = i
 		}
-		if c.acked {
-			newest = i
+		if c.isAcknowledged {
+			newestAcknowledged = i
 		}
 	}
-	ic.require(ConfigRule, at >= newest && at >= 0,
-		"version %d is in force at the end, older than what was acknowledged or never sent", n.table.Config.Version)
+	ic.require(ConfigInvariant, inForce >= newestAcknowledged && inForce >= 0,
+		"version %d is in force at the end, but it was never sent or a newer one was acknowledged",
+		n.table.Config.Version)
 	for _, e := range ic.sim.operator.evacuations {
-		if e.acked && !e.finished {
-			ic.require(LostRule, n.table.Evacuated[e.zone], "the evacuation of %s is gone", e.zone)
+		if e.isAcknowledged && !e.isWithdrawalSent {
+			ic.require(LostInvariant, n.table.Evacuated[e.zone], "the evacuation of %s was lost", e.zone)
 		}
 	}
 }
--- a/internal/testbed/jobssim/invariants_longrunning.go
+++ b/internal/testbed/jobssim/invariants_longrunning.go
@@ -8,36 +8,37 @@
 
 // Bounds of the invariants of long-running tasks and of the ends that workers list.
 const (
-	reattachTime    = 6 * time.Second // from the last run of a task to the next, with capacity
-	calmBefore      = 4 * time.Second // before the idle time that is judged nothing was disrupted
-	acknowledgeTime = ackTime         // an end that is listed is acknowledged within it
+	restartTime       = 6 * time.Second // from the last run of a task to the next one, if there is capacity
+	undisruptedBefore = 4 * time.Second // time without disruptions before a task is expected to start
+	acknowledgeTime   = ackTime         // from the listing of an end to its acknowledgement
 )
 
-// longRunningTask is what the checker knows of one long-running task.
+// longRunningTask records since when a long-running task has not been running.
 type longRunningTask struct {
-	idleSince     time.Duration // since when it does not run; 0: it runs
-	capacitySince time.Duration // since when there is capacity for it twice; 0: there is not
+	idleSince     time.Duration // since when it is not running; 0: it is running
+	capacitySince time.Duration // since when there is capacity for it twice; 0: there is none
 }
 
-// findDetached judges long-running tasks that could run and do not, whether others of their job run or not.
-func (ic *invariantChecker) findDetached() {
+// checkLongRunningTasks judges for how long long-running tasks that could run have not run. Unlike checkIdleJobs, it
+// checks each task, even if other tasks of its job are running.
+func (ic *invariantChecker) checkLongRunningTasks() {
 	for _, c := range ic.sim.clients.jobs {
-		if !c.isAccepted || c.lastShown.IsTerminal() || c.isCancelSent {
+		if !c.isAccepted || c.lastState.IsTerminal() || c.isCancelSent {
 			continue
 		}
-		j := ic.job(c.spec.ID)
+		j := ic.history(c.spec.ID)
 		for number := range c.spec.Steps {
 			if c.spec.Steps[number].LongRunning {
-				ic.checkLongRunning(j, number)
+				ic.checkLongRunningStep(j, number)
 			}
 		}
 	}
 }
 
-// checkLongRunning judges the tasks of one long-running step.
-func (ic *invariantChecker) checkLongRunning(j *jobHistory, number int) {
+// checkLongRunningStep judges the tasks of one long-running step.
+func (ic *invariantChecker) checkLongRunningStep(j *jobHistory, number int) {
 	step := &j.job.spec.Steps[number]
-	hasCapacity := ic.couldAttach(j, step)
+	hasCapacity := ic.couldRunLongRunning(j, step)
 	for index := range step.Count {
 		ref := jobs.TaskRef{Job: j.job.spec.ID, Step: number, Index: index}
 		l := ic.longRunning[ref]
@@ -47,7 +48,7 @@
 		}
 		if len(j.task(ref).running) > 0 {
 			*l = longRunningTask{}
-			ic.count(LongRunningRule)
+			ic.countCase(LongRunningInvariant)
 			continue
 		}
 		if l.idleSince == 0 {
@@ -60,32 +61,36 @@
 			l.capacitySince = ic.sim.now
 		}
 		hadCapacity := l.capacitySince > 0 && ic.sim.now-l.capacitySince > maxIdle
-		if hadCapacity && ic.sim.now-l.idleSince > reattachTime {
-			ic.breach(LongRunningRule, "%s.%d of a lasting step has not run since %s, with room since %s", ref.Job,
-				index, l.idleSince, l.capacitySince)
+		if hadCapacity && ic.sim.now-l.idleSince > restartTime {
+			ic.violate(LongRunningInvariant,
+				"%s.%d of a long-running step has not run since %s, with capacity since %s",
+				ref.Job, index, l.idleSince, l.capacitySince)
 			*l = longRunningTask{}
 		}
 	}
 }
 
-// couldAttach reports whether a long-running step's tasks could be started now, by what any scheduler knows.
-func (ic *invariantChecker) couldAttach(j *jobHistory, step *jobs.Step) bool {
-	if !ic.sim.inTouch() || !ic.sim.calmSince(ic.sim.now-calmBefore) || ic.sim.now < j.excusedUntil {
+// couldRunLongRunning reports whether every correct scheduler can be expected to start the tasks of a long-running step
+// now.
+func (ic *invariantChecker) couldRunLongRunning(j *jobHistory, step *jobs.Step) bool {
+	if !ic.sim.isCoreStable() || !ic.sim.undisruptedSince(ic.sim.now-undisruptedBefore) || ic.sim.now < j.excusedUntil {
 		return false
 	}
 	service := ic.serviceOf(j)
 	return service != "" && ic.hasCapacityTwice(step, service)
 }
 
-// listed records that a worker lists an end, which must be acknowledged in time.
-func (ic *invariantChecker) listed(w *workerIncarnation, e *endRecord) {
+// endListed records that a worker lists an end, and verifies later that the end was acknowledged.
+func (ic *invariantChecker) endListed(w *workerIncarnation, e *endRecord) {
 	since := ic.sim.now
 	ic.sim.after(acknowledgeTime, func() {
-		isStill := w.isUp() && !e.isInvalidated
-		isCalm := ic.sim.calmSince(since) && ic.sim.inTouch() && since >= w.host.disruptedAt+contactTimeout
-		if !isStill || !isCalm {
+		isPending := w.isUp() && !e.isInvalidated
+		isUndisrupted := ic.sim.undisruptedSince(since) && ic.sim.isCoreStable() &&
+			since >= w.host.disruptedUntil+contactTimeout
+		if !isPending || !isUndisrupted {
 			return
 		}
-		ic.require(NotedRule, e.isAcknowledged, "%s ended %s at %s, which is not acknowledged", e.run, e.reason, since)
+		ic.require(NotedInvariant, e.isAcknowledged, "%s ended as %s at %s, but this is not acknowledged",
+			e.run, e.reason, since)
 	})
 }
--- a/internal/testbed/jobssim/log.go
+++ b/internal/testbed/jobssim/log.go
@@ -7,13 +7,13 @@
 	"crosstide/internal/jobs"
 )
 
-// entry is a committed change.
+// entry is a change in the log.
 type entry struct {
 	term   uint64
 	change any
 }
 
-// proposal is a change on its way into the log.
+// proposal is a change that is not committed yet.
 type proposal struct {
 	entry
 	node    *node
@@ -21,15 +21,15 @@
 	done    func(answer any, err error)
 }
 
-// replicatedLog is the log of the core: it commits in the order of proposing, and only what the leader of the newest
-// term proposes while a majority is there.
+// replicatedLog simulates the replicated log of the core. It commits proposals in the order of proposing, and only
+// those of the leader of the newest term while it has a majority.
 type replicatedLog struct {
-	sim     *simulator
-	entries []entry
-	term    uint64
-	leader  *node // nil while there is none
-	pending []*proposal
-	last    time.Duration // when the newest proposal commits
+	sim          *simulator
+	entries      []entry
+	term         uint64
+	leader       *node // nil: no node leads
+	pending      []*proposal
+	lastCommitAt time.Duration // when the newest proposal will be committed
 
 	slowUntil time.Duration // until then commits are slow
 }
@@ -37,12 +37,12 @@
 const (
 	minCommitDelay      = 5 * time.Millisecond
 	maxCommitDelay      = 30 * time.Millisecond
-	maxSlowCommitDelay  = 700 * time.Millisecond // longest commit on slow disks
-	proposalTimeout     = time.Second            // of a proposal without an outcome
-	unknownOutcomeShare = 0.01                   // of proposals
+	maxSlowCommitDelay  = 700 * time.Millisecond // while commits are slow
+	proposalTimeout     = time.Second            // until a proposal without an outcome fails
+	unknownOutcomeShare = 0.01                   // share of proposals whose outcome is lost
 )
 
-// propose is the store's ProposeIn: done is called on the node with the answer or with an error.
+// propose mirrors ProposeIn of the store. done is called on the node with the answer or an error.
 func (l *replicatedLog) propose(n *node, term uint64, change any, done func(any, error)) {
 	if n.term != term {
 		n.after(0, func() { done(nil, errs.New(errs.Unavailable, "another term")) })
@@ -57,18 +57,19 @@
 	if l.sim.now < l.slowUntil {
 		delay = l.sim.between(maxCommitDelay, maxSlowCommitDelay)
 	}
-	if l.sim.disrupting() && l.sim.chance(unknownOutcomeShare) {
+	if l.sim.isDisrupting() && l.sim.chance(unknownOutcomeShare) {
 		delay = l.loseOutcome(p, delay)
 		if p.dropped {
 			return
 		}
 	}
 	l.pending = append(l.pending, p)
-	l.last = max(l.last, l.sim.now+delay)
-	l.sim.after(l.last-l.sim.now, func() { l.commit(p) })
+	l.lastCommitAt = max(l.lastCommitAt, l.sim.now+delay)
+	l.sim.after(l.lastCommitAt-l.sim.now, func() { l.commit(p) })
 }
 
-// loseOutcome answers a proposal with an error and lets it be committed later or never; it returns the new delay.
+// loseOutcome makes a proposal fail with an unknown outcome: it is committed late or never. It returns the delay until
+// the commit.
 func (l *replicatedLog) loseOutcome(p *proposal, delay time.Duration) time.Duration {
 	done := p.done
 	p.done = func(any, error) {}
@@ -79,7 +80,7 @@
 	return delay + l.sim.between(0, time.Second)
 }
 
-// commit appends a proposal, applies it at the leader and answers it.
+// commit appends a proposal to the log, applies it on the leader and answers it.
 func (l *replicatedLog) commit(p *proposal) {
 	if p.dropped {
 		return
@@ -90,8 +91,9 @@
 	p.node.after(0, func() { p.done(answer, err) })
 }
 
-// lose ends the leader's lead: some of what it proposed last is committed by the next leader, the rest never.
-func (l *replicatedLog) lose() {
+// endLeadership ends the leadership of the present leader. The next leader commits a random number of the pending
+// proposals, the oldest ones; the others are never committed. The old leader gets a timeout for all of them.
+func (l *replicatedLog) endLeadership() {
 	old := l.leader
 	if old == nil {
 		return
@@ -114,10 +116,10 @@
 	minElectionTime = 600 * time.Millisecond
 	maxElectionTime = 2 * time.Second
 	electionRetry   = 200 * time.Millisecond
-	maxTermStep     = 3
+	maxTermStep     = 3 // by which an election increases the term, at most
 )
 
-// elect elects a node that is up and sees the majority.
+// elect elects a random running node if a majority is running; otherwise it tries again after electionRetry.
 func (l *replicatedLog) elect() {
 	if l.leader != nil {
 		return
@@ -136,7 +138,7 @@
 	n.stepDown()
 	l.term += 1 + uint64(l.sim.rng.IntN(maxTermStep))
 	l.leader = n
-	l.last = l.sim.now
+	l.lastCommitAt = l.sim.now
 	n.catchUp()
 	n.term = l.term
 	l.sim.trace("elected %s term %d", n.name, l.term)
@@ -144,7 +146,7 @@
 	n.wakeScheduler()
 }
 
-// apply makes a change in a table.
+// apply applies a log entry to a table.
 func (s *simulator) apply(t *jobs.Table, e entry) (answer any, err error) {
 	switch c := withoutGuard(s.options.WithoutGuard, t, e.change).(type) {
 	case jobs.Submit:
--- a/internal/testbed/jobssim/network.go
+++ b/internal/testbed/jobssim/network.go
@@ -6,24 +6,24 @@
 	"crosstide/internal/jobs"
 )
 
-// failure is the outcome of a call to a worker, as the node knows it.
-type failure int
+// callOutcome is the outcome of a call to a worker from the point of view of the calling node.
+type callOutcome int
 
 const (
-	answered         failure = iota
-	unsent                   // no byte of it was sent
-	unknown                  // it may be carried out, now or later
-	otherIncarnation         // another incarnation has the address
+	callAnswered         callOutcome = iota
+	callUnsent                       // nothing was sent
+	callUnknown                      // the call may have been executed or may still be
+	callOtherIncarnation             // another incarnation of the worker uses the address
 )
 
 const (
 	minLinkDelay = 300 * time.Microsecond
 	maxLinkDelay = 3 * time.Millisecond
-	minLateDelay = 2 * time.Second
+	minLateDelay = 2 * time.Second // of a call that is delivered late
 	maxLateDelay = 12 * time.Second
 )
 
-// linkDelay draws how long a message takes.
+// linkDelay returns a random delay for one message.
 func (s *simulator) linkDelay() time.Duration {
 	if s.chance(0.01) {
 		return s.between(20*time.Millisecond, 400*time.Millisecond)
@@ -31,73 +31,75 @@
 	return s.between(minLinkDelay, maxLinkDelay)
 }
 
-// handler handles a call on a worker. isLate is set if the call arrives long after it was sent.
+// handler executes a call on a worker. isLate is set if the call is delivered late, see deliverLate.
 type handler func(w *workerIncarnation, isLate bool, reply func(any))
 
-// exchange is a call to a worker. done is called once on the node, with the answer or with what is known of it.
-type exchange struct {
-	node   *node
-	host   *workerHost
-	to     jobs.Worker
-	handle handler
-	done   func(any, failure)
-	isOver bool
+// workerCall is a call to a worker. done is called once on the node, with the answer or the outcome.
+type workerCall struct {
+	node       *node
+	host       *workerHost
+	to         jobs.Worker
+	handle     handler
+	done       func(any, callOutcome)
+	isFinished bool
 }
 
-// exchange makes a call to a worker; after timeout without an answer it counts as unknown.
-func (s *simulator) exchange(n *node, to jobs.Worker, timeout time.Duration, handle handler, done func(any, failure)) {
-	e := &exchange{node: n, host: s.hostAt(to.Address), to: to, handle: handle, done: done}
+// callWorker calls a worker. Without an answer within timeout, the outcome is callUnknown.
+func (s *simulator) callWorker(n *node, to jobs.Worker, timeout time.Duration, handle handler,
+	done func(any, callOutcome),
+) {
+	call := &workerCall{node: n, host: s.hostAt(to.Address), to: to, handle: handle, done: done}
 	n.after(timeout, func() {
-		if !e.isOver {
-			s.report.Seen["call without an answer"]++
+		if !call.isFinished {
+			s.report.Counts["call without an answer"]++
 		}
-		e.finish(nil, unknown)
+		call.finish(nil, callUnknown)
 	})
-	if e.host == nil {
+	if call.host == nil {
 		return
 	}
 	switch {
-	case e.host.cutOff(n) || e.host.current == nil:
+	case call.host.cutOff(n) || call.host.current == nil:
 		if s.chance(0.3) {
-			n.after(s.linkDelay(), func() { e.finish(nil, unsent) })
+			n.after(s.linkDelay(), func() { call.finish(nil, callUnsent) })
 		} else if s.chance(0.4) {
-			s.after(s.between(minLateDelay, maxLateDelay), e.deliverLate)
+			s.after(s.between(minLateDelay, maxLateDelay), call.deliverLate)
 		}
-	case s.now < e.host.lateUntil && s.chance(0.4):
-		s.after(s.between(minLateDelay, maxLateDelay), e.deliverLate)
+	case s.now < call.host.lateUntil && s.chance(0.4):
+		s.after(s.between(minLateDelay, maxLateDelay), call.deliverLate)
 	default:
-		s.after(s.linkDelay(), func() { e.deliver(false, e.sendBack) })
+		s.after(s.linkDelay(), func() { call.deliver(false, call.sendBack) })
 	}
 }
 
-// finish passes the first outcome to the caller.
-func (e *exchange) finish(answer any, f failure) {
-	if !e.isOver {
-		e.isOver = true
-		e.done(answer, f)
+// finish passes the outcome to the caller, unless the caller already has one.
+func (call *workerCall) finish(answer any, outcome callOutcome) {
+	if !call.isFinished {
+		call.isFinished = true
+		call.done(answer, outcome)
 	}
 }
 
-// deliver lets the worker handle the call, if it is the incarnation that was called and is reachable.
-func (e *exchange) deliver(isLate bool, answer func(any, failure)) {
-	w := e.host.current
+// deliver executes the call on the worker if the host is reachable and runs the incarnation that was called.
+func (call *workerCall) deliver(isLate bool, answer func(any, callOutcome)) {
+	w := call.host.current
 	switch {
-	case w == nil || e.host.cutOff(e.node):
-	case w.id != e.to.ID:
-		answer(nil, otherIncarnation)
+	case w == nil || call.host.cutOff(call.node):
+	case w.id != call.to.ID:
+		answer(nil, callOtherIncarnation)
 	default:
-		e.handle(w, isLate, func(a any) { answer(a, answered) })
+		call.handle(w, isLate, func(a any) { answer(a, callAnswered) })
 	}
 }
 
-// deliverLate delivers a call that the caller no longer waits for.
-func (e *exchange) deliverLate() { e.deliver(true, func(any, failure) {}) }
+// deliverLate delivers a call, and drops the answer because the caller no longer waits for it.
+func (call *workerCall) deliverLate() { call.deliver(true, func(any, callOutcome) {}) }
 
-// sendBack sends an answer back, unless it is lost.
-func (e *exchange) sendBack(answer any, f failure) {
-	s := e.host.sim
-	if e.host.cutOff(e.node) || s.now < e.host.answersLostUntil && s.chance(e.host.answerLossShare) {
+// sendBack sends an answer to the caller, unless it is lost on the way.
+func (call *workerCall) sendBack(answer any, outcome callOutcome) {
+	s := call.host.sim
+	if call.host.cutOff(call.node) || s.now < call.host.answersLostUntil && s.chance(call.host.answerLossShare) {
 		return
 	}
-	e.node.after(s.linkDelay(), func() { e.finish(answer, f) })
+	call.node.after(s.linkDelay(), func() { call.finish(answer, outcome) })
 }
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -10,32 +10,32 @@
 	"crosstide/internal/jobs"
 )
 
-// node is a control plane node: a replica of the table, and the loop of controller.Leader around a scheduler.Core.
+// node is a control plane node: a replica of the job table and a scheduler.Core, driven as by controller.Leader.
 type node struct {
 	sim         *simulator
 	name        string
 	table       *jobs.Table
-	applied     int // entries of the log that table has
-	incarnation int // increases with each start and kill of the process: calls that an older one scheduled are dropped
+	applied     int // number of log entries applied to table
+	incarnation int // increases with each start and kill of the process; calls of older ones are dropped
 
-	term        uint64        // in which it leads, as far as it knows; 0: it does not
-	leaseUntil  time.Duration // of a leader that lost the majority: until then it may still answer
-	isDown      bool          // its process does not run
-	isCutOff    bool          // from the rest of the core
+	term        uint64        // the term in which it considers itself the leader; 0: it does not
+	leaseUntil  time.Duration // until then a leader that lost its majority may still answer
+	isDown      bool          // its process is not running
+	isCutOff    bool          // disconnected from the rest of the core
 	frozenUntil time.Duration
-	skew        time.Duration // of its time of day
+	skew        time.Duration // of its wall clock
 
 	core            *scheduler.Core
-	inputs          []func(*scheduler.Core, time.Duration) // of the next pass
-	tableEvents     []jobs.Event                           // of the next pass, which takes them before inputs
-	passNumber      int                                    // of the newest scheduled pass: older ones are dropped
+	inputs          []func(*scheduler.Core, time.Duration) // for the next pass
+	tableEvents     []jobs.Event                           // for the next pass, which applies them before inputs
+	passNumber      int                                    // of the newest scheduled pass; older ones are dropped
 	passAt          time.Duration                          // when the newest scheduled pass is due
-	isPassPlanned   bool                                   // it has not run yet
+	isPassScheduled bool                                   // the newest scheduled pass has not run yet
 	newestHeartbeat map[string]uint64                      // sequence, by worker
 	newestEnd       map[string]uint64                      // sequence, by worker; for EarlyAcknowledgement
 }
 
-// coreSize is how many machines the core has.
+// coreSize is the number of nodes in the core.
 const coreSize = 5
 
 func (s *simulator) buildCore() {
@@ -50,10 +50,10 @@
 	s.after(followInterval, s.follow)
 }
 
-// followInterval is the time between two catch-ups of the followers.
+// followInterval is the interval at which followers apply committed entries.
 const followInterval = time.Second
 
-// follow lets the followers apply what is committed.
+// follow makes the followers apply all committed entries, and schedules itself again.
 func (s *simulator) follow() {
 	for _, n := range s.nodes {
 		if n.isRunning() && n.term == 0 {
@@ -63,7 +63,7 @@
 	s.after(followInterval, s.follow)
 }
 
-// schedulerConfig returns the configuration of the schedulers, cut to the lease of the platform.
+// schedulerConfig returns the default configuration of the scheduler, with the lease limited to maxLease.
 func (*simulator) schedulerConfig() scheduler.Config {
 	cfg := scheduler.Defaults()
 	cfg.Lease = min(cfg.Lease, maxLease)
@@ -71,13 +71,13 @@
 	return cfg
 }
 
-// startProcess restarts the process: its memory is lost, its log is not.
+// startProcess starts the process if it is not running. It begins with an empty memory; its log is kept.
 func (n *node) startProcess() {
 	if !n.isDown && n.incarnation > 0 {
 		return
 	}
 	n.incarnation++
-	n.isDown, n.term, n.isPassPlanned = false, 0, false
+	n.isDown, n.term, n.isPassScheduled = false, 0, false
 	n.core = scheduler.New(n.sim.schedulerConfig())
 	n.inputs, n.tableEvents = nil, nil
 	n.newestHeartbeat, n.newestEnd = map[string]uint64{}, map[string]uint64{}
@@ -86,7 +86,7 @@
 	}
 }
 
-// reload replaces the table by what it reads back from its own snapshot.
+// reload encodes the table and replaces it by the decoded copy, as a restart from a snapshot does.
 func (n *node) reload() {
 	data, err := n.table.Encode()
 	table := jobs.NewTable()
@@ -94,25 +94,26 @@
 		err = table.UnmarshalJSON(data)
 	}
 	if err != nil {
-		n.sim.checker.breach(ReplicaRule, "%s cannot read its snapshot: %v", n.name, err)
+		n.sim.checker.violate(ReplicaInvariant, "%s: cannot decode its snapshot: %v", n.name, err)
 		return
 	}
 	n.table = table
 }
 
-// wipe empties the disk of a node that is down.
+// wipe erases the disk of a node that is down.
 func (n *node) wipe() { n.table, n.applied = jobs.NewTable(), 0 }
 
-// kill ends the process; startProcess starts the next one.
+// kill ends the process without notice; startProcess starts it again.
 func (n *node) kill() {
 	n.incarnation++
 	n.isDown, n.term = true, 0
 }
 
-// isRunning reports whether the node can be a member of a majority now.
+// isRunning reports whether the node runs, is connected and not frozen, so that it counts towards a majority.
 func (n *node) isRunning() bool { return !n.isDown && !n.isCutOff && n.sim.now >= n.frozenUntil }
 
-// after schedules a call on this incarnation of the node. A node that is frozen then makes it once it is not any more.
+// after schedules a call on this incarnation of the node. If the node is frozen at that time, the call is made when it
+// resumes; if the incarnation has ended, the call is dropped.
 func (n *node) after(d time.Duration, call func()) {
 	incarnation := n.incarnation
 	var fire func()
@@ -128,7 +129,7 @@
 	n.sim.after(d, fire)
 }
 
-// applyAll applies what is committed and returns the answer of the newest entry.
+// applyAll applies all committed entries and returns the answer of the newest one.
 func (n *node) applyAll() (answer any, err error) {
 	for n.applied < len(n.sim.log.entries) {
 		answer, err = n.sim.apply(n.table, n.sim.log.entries[n.applied])
@@ -137,9 +138,10 @@
 	return answer, errs.Pass(err, "entry %d", n.applied)
 }
 
-func (n *node) catchUp() { _, _ = n.applyAll() } // a refused entry is an outcome
+// catchUp applies all committed entries. An entry that is refused counts as applied.
+func (n *node) catchUp() { _, _ = n.applyAll() }
 
-// stepDown ends the node's term as leader. Its scheduler learns of it in the next pass.
+// stepDown ends the node's leadership. Its scheduler stops in the next pass.
 func (n *node) stepDown() {
 	if n.term != 0 {
 		n.term = 0
@@ -147,12 +149,13 @@
 	}
 }
 
-// leadTerm stands for the store's LeadTerm: the term in which the node believes to lead, and whether its lease lasts.
+// leadTerm mirrors LeaderTerm of the store: it returns the term in which the node considers itself the leader, and
+// whether its lease is in force.
 func (n *node) leadTerm() (term uint64, isLeader bool) {
 	return n.term, n.term != 0 && (n.sim.log.leader == n && !n.isCutOff || n.sim.now < n.leaseUntil)
 }
 
-// leads reports whether an order may be sent under a term now.
+// leads reports whether the node leads in the given term with its lease in force, so that it may send orders.
 func (n *node) leads(term uint64) bool {
 	if n.sim.options.WithoutGuard == NoLeaseCheck {
 		return true
@@ -161,42 +164,43 @@
 	return isLeader && current == term
 }
 
-// deliver queues an input of the scheduler.
+// deliver queues an input of the scheduler for the next pass.
 func (n *node) deliver(input func(*scheduler.Core, time.Duration)) {
 	n.inputs = append(n.inputs, input)
 	n.wakeScheduler()
 }
 
-// onTableChange queues an event of the table for the next pass.
+// onTableChange queues a table event for the next pass.
 func (n *node) onTableChange(event jobs.Event) {
 	n.tableEvents = append(n.tableEvents, event)
 	n.wakeScheduler()
 }
 
-func (n *node) wakeScheduler() { n.passIn(n.sim.between(0, time.Millisecond)) }
+func (n *node) wakeScheduler() { n.schedulePass(n.sim.between(0, time.Millisecond)) }
 
-// passIn schedules the next pass; an earlier one replaces a later one.
-func (n *node) passIn(d time.Duration) {
-	if at := n.sim.now + d; n.isPassPlanned && n.passAt <= at && n.passAt >= n.sim.now {
+// schedulePass schedules the next pass d from now, unless an earlier one is scheduled already.
+func (n *node) schedulePass(d time.Duration) {
+	if at := n.sim.now + d; n.isPassScheduled && n.passAt <= at && n.passAt >= n.sim.now {
 		return
 	}
 	n.passNumber++
 	number := n.passNumber
-	n.isPassPlanned, n.passAt = true, n.sim.now+d
+	n.isPassScheduled, n.passAt = true, n.sim.now+d
 	n.after(d, func() {
 		if number == n.passNumber {
-			n.isPassPlanned = false
+			n.isPassScheduled = false
 			n.pass()
 		}
 	})
 }
 
+// Intervals between passes that do not schedule.
 const (
-	idleInterval  = time.Second
-	leaseInterval = 20 * time.Millisecond
+	idleInterval  = time.Second           // while the node is not the leader
+	leaseInterval = 20 * time.Millisecond // while the lease of the leader is not in force
 )
 
-// pass is one iteration of the loop; it mirrors controller.Leader.pass.
+// pass is one iteration of the scheduling loop; it mirrors controller.Leader.pass.
 func (n *node) pass() {
 	now := n.sim.now
 	term, isLeader := n.leadTerm()
@@ -208,10 +212,10 @@
 	}
 	switch {
 	case term == 0:
-		n.passIn(idleInterval)
+		n.schedulePass(idleInterval)
 		return
 	case !isLeader:
-		n.passIn(leaseInterval)
+		n.schedulePass(leaseInterval)
 		return
 	}
 	if n.core.Term() == 0 {
@@ -227,12 +231,13 @@
 	}
 	actions := n.core.Pass(now, n.wall())
 	n.dispatchActions(term, actions)
-	n.passIn(max(time.Millisecond, actions.Next-now))
+	n.schedulePass(max(time.Millisecond, actions.Next-now))
 }
 
+// wall returns the time on the node's wall clock.
 func (n *node) wall() time.Time { return n.sim.wall().Add(n.skew) }
 
-// becomeLeader makes the scheduler act under a term. Inputs for an earlier one are dropped.
+// becomeLeader starts scheduling in a term. Inputs of earlier terms are dropped.
 func (n *node) becomeLeader(term uint64) {
 	n.inputs, n.tableEvents = nil, nil
 	if n.sim.options.WithoutGuard == NoFencingWait {
@@ -242,6 +247,7 @@
 	n.core.BecomeLeader(n.sim.now, term, n.table)
 }
 
+// stepDownScheduler stops scheduling if it is active.
 func (n *node) stepDownScheduler() {
 	if n.core.Term() == 0 {
 		return
@@ -251,20 +257,20 @@
 	n.inputs, n.tableEvents = nil, nil
 }
 
-// compareReplicas compares the tables of all nodes.
+// compareReplicas verifies that the tables of all nodes are equal after applying all entries.
 func (s *simulator) compareReplicas() {
 	var first []byte
 	for _, n := range s.nodes {
 		n.catchUp()
 		data, err := n.table.Encode()
-		s.checker.count(ReplicaRule)
+		s.checker.countCase(ReplicaInvariant)
 		if err != nil {
-			s.checker.breach(ReplicaRule, "%s cannot write its table: %v", n.name, err)
+			s.checker.violate(ReplicaInvariant, "%s: cannot encode its table: %v", n.name, err)
 		}
 		if first == nil {
 			first = data
 		} else if !bytes.Equal(first, data) {
-			s.checker.breach(ReplicaRule, "%s has another table than %s", n.name, s.nodes[0].name)
+			s.checker.violate(ReplicaInvariant, "the table of %s differs from that of %s", n.name, s.nodes[0].name)
 		}
 	}
 }
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -9,47 +9,47 @@
 	"crosstide/internal/jobs"
 )
 
-// queueHost is the host of all queues.
+// queueHost is the host name of all queues.
 const queueHost = "jobs.example"
 
-// maxAttempts is how many runs of a task may fail, in every configuration.
+// maxAttempts is the number of failed runs after which a task has failed, in every configuration.
 const maxAttempts = 3
 
-// configVariant is how a configuration differs from others.
+// configVariant holds the differences between the configurations of a run.
 type configVariant struct {
-	isQueueMoved     bool // the moving queue is on the open service
-	withoutSideQueue bool // the side queue is not there
+	isQueueMoved     bool // the queue "moving" is directed to serviceOpen, not to serviceGuards
+	withoutSideQueue bool // the queue "side" does not exist
 }
 
 // sentConfig is a configuration that the operator sent.
 type sentConfig struct {
-	change   jobs.Configure
-	sentAt   time.Duration
-	acked    bool
-	ackedAt  time.Duration
-	variant  configVariant
-	rival    *sentConfig       // the other one of a race; nil: none
-	lost     bool              // it was refused because the other one of its race won
-	services map[string]string // by queue
+	change         jobs.Configure
+	sentAt         time.Duration
+	isAcknowledged bool
+	acknowledgedAt time.Duration
+	variant        configVariant
+	rival          *sentConfig       // the competing change in a race; nil: none
+	hasLostRace    bool              // it was refused because the competing change was accepted
+	services       map[string]string // service by queue
 }
 
 // evacuation is one evacuation of a zone.
 type evacuation struct {
-	zone     string
-	acked    bool
-	ackedAt  time.Duration
-	finished bool // its withdrawal was sent
-	over     bool // its withdrawal was acknowledged
+	zone             string
+	isAcknowledged   bool
+	acknowledgedAt   time.Duration
+	isWithdrawalSent bool // the end of the evacuation was sent
+	isWithdrawn      bool // the end of the evacuation was acknowledged
 }
 
-// operator changes the configuration and evacuates zones. It stands for two operators when they race.
+// operator changes the configuration and evacuates zones. In a race it acts as two operators.
 type operator struct {
 	sim                       *simulator
-	configs                   []*sentConfig // those that may be in force or were, the newest last
+	configs                   []*sentConfig // those that are, were or may be in force, in the order of sending
 	evacuations               []*evacuation
 	variant                   configVariant // of the newest configuration
-	busy                      bool
-	acknowledgementsLostUntil time.Duration // until then most answers to it are lost
+	isBusy                    bool
+	acknowledgementsLostUntil time.Duration // until then most answers to the operator are lost
 }
 
 func (s *simulator) buildOperator() {
@@ -57,18 +57,18 @@
 	s.after(50*time.Millisecond, s.operator.configure)
 }
 
-// configure sends the configuration as the operator wants it now, until it is taken.
+// configure sends a configuration of the current variant until it is acknowledged, unless another change is pending.
 func (o *operator) configure() {
-	if o.busy {
+	if o.isBusy {
 		return
 	}
-	o.busy = true
+	o.isBusy = true
 	c := o.build(o.base(), o.variant)
 	o.configs = append(o.configs, c)
 	o.send(c)
 }
 
-// base returns the version that the next change is built on.
+// base returns the version on which the next change is based.
 func (o *operator) base() uint64 {
 	if len(o.configs) == 0 {
 		return 0
@@ -76,7 +76,7 @@
 	return o.configs[len(o.configs)-1].change.Version
 }
 
-// build builds a configuration on top of a version.
+// build returns a configuration based on a version.
 func (o *operator) build(base uint64, variant configVariant) *sentConfig {
 	version := base + 1 + uint64(o.sim.rng.IntN(3))
 	c := &sentConfig{sentAt: o.sim.now, variant: variant, services: map[string]string{}}
@@ -103,61 +103,64 @@
 	return c
 }
 
+// send sends a configuration until it is acknowledged or refused.
 func (o *operator) send(c *sentConfig) {
-	o.order(c.change, func() { o.configAcknowledged(c) }, func(err error) { o.configRefused(c, err) })
+	o.sendUntilAnswered(c.change, func() { o.configAcknowledged(c) }, func(err error) { o.configRefused(c, err) })
 }
 
 // configAcknowledged records that a configuration was acknowledged.
 func (o *operator) configAcknowledged(c *sentConfig) {
-	if c.acked {
+	if c.isAcknowledged {
 		return
 	}
-	c.acked, c.ackedAt = true, o.sim.now
+	c.isAcknowledged, c.acknowledgedAt = true, o.sim.now
 	o.variant = c.variant
 	o.sim.checker.checkAcknowledgement("a configuration", c.sentAt)
 	if c.rival != nil {
-		o.sim.checker.require(ConfigRule, !c.rival.acked, "versions %d and %d on top of %d are both acknowledged",
+		o.sim.checker.require(ConfigInvariant, !c.rival.isAcknowledged,
+			"versions %d and %d, both based on %d, are both acknowledged",
 			c.change.Version, c.rival.change.Version, c.change.Base)
-		if !c.rival.lost {
-			return // the other one has no answer yet
+		if !c.rival.hasLostRace {
+			return // the competing change has no answer yet
 		}
 	}
-	o.busy = false
+	o.isBusy = false
 	if o.sim.chance(0.2) {
 		o.sendAgain(c)
 	}
 }
 
-// sendAgain sends a change that was acknowledged once more, with no other change made since.
+// sendAgain repeats an acknowledged change. No other change was made since, so the repetition must be accepted.
 func (o *operator) sendAgain(c *sentConfig) {
-	o.busy = true
-	o.order(c.change, func() {
-		o.sim.checker.count(ConfigRule)
-		o.busy = false
+	o.isBusy = true
+	o.sendUntilAnswered(c.change, func() {
+		o.sim.checker.countCase(ConfigInvariant)
+		o.isBusy = false
 	}, func(err error) {
-		o.sim.checker.breach(ConfigRule, "version %d was acknowledged and is refused when it is sent again: %v",
+		o.sim.checker.violate(ConfigInvariant, "version %d was acknowledged and is refused when sent again: %v",
 			c.change.Version, err)
 	})
 }
 
-// configRefused records that a configuration was refused: only the loser of a race may be.
+// configRefused records that a configuration was refused, which is a violation unless a competing change won the race.
 func (o *operator) configRefused(c *sentConfig, err error) {
 	rival := c.rival
-	o.sim.checker.require(ConfigRule, rival != nil && !rival.lost && !c.acked && errs.KindOf(err) == errs.Stale,
+	o.sim.checker.require(ConfigInvariant,
+		rival != nil && !rival.hasLostRace && !c.isAcknowledged && errs.KindOf(err) == errs.Stale,
 		"version %d is refused: %v", c.change.Version, err)
-	c.lost = true
+	c.hasLostRace = true
 	o.configs = slices.DeleteFunc(o.configs, func(other *sentConfig) bool { return other == c })
-	if rival != nil && rival.acked {
-		o.busy = false
+	if rival != nil && rival.isAcknowledged {
+		o.isBusy = false
 	}
 }
 
-// order sends a change until it is acknowledged or refused.
-func (o *operator) order(change any, acknowledged func(), refused func(error)) {
-	o.sim.clients.call(func(n *node, done func(any, error)) { n.change(change, done) }, func(_ any, err error) {
+// sendUntilAnswered sends a change, repeatedly if necessary, until it is acknowledged or refused.
+func (o *operator) sendUntilAnswered(change any, acknowledged func(), refused func(error)) {
+	o.sim.clients.call(func(n *node, done func(any, error)) { n.proposeChange(change, done) }, func(_ any, err error) {
 		if o.sim.now < o.acknowledgementsLostUntil && o.sim.chance(0.6) {
-			o.sim.report.Seen["acknowledgement to the operator lost"]++
-			err = errs.New(errs.Timeout, "the answer is lost")
+			o.sim.report.Counts["acknowledgement to the operator lost"]++
+			err = errs.New(errs.Timeout, "the answer was lost")
 		}
 		if err == nil {
 			acknowledged()
@@ -165,73 +168,75 @@
 		}
 		switch errs.KindOf(err) {
 		case errs.Unavailable, errs.NotLeader, errs.Timeout:
-			o.sim.after(o.sim.between(retryBackoff/2, retryBackoff), func() { o.order(change, acknowledged, refused) })
+			o.sim.after(o.sim.between(retryBackoff/2, retryBackoff), func() {
+				o.sendUntilAnswered(change, acknowledged, refused)
+			})
 		default:
 			refused(err)
 		}
 	})
 }
 
-// neverRefused is for orders that are always valid.
+// neverRefused is the refused callback of changes that are always valid.
 func (o *operator) neverRefused(err error) {
-	o.sim.checker.breach(ConfigRule, "order refused: %v", err)
+	o.sim.checker.violate(ConfigInvariant, "valid change refused: %v", err)
 }
 
-// race lets two operators send different changes on top of the same version at once.
+// race sends two different changes with the same base version at almost the same time.
 func (o *operator) race() bool {
-	if o.busy || len(o.configs) == 0 {
+	if o.isBusy || len(o.configs) == 0 {
 		return false
 	}
-	o.busy = true
+	o.isBusy = true
 	base := o.base()
 	moved, other := o.variant, o.variant
 	moved.isQueueMoved = !moved.isQueueMoved
 	other.withoutSideQueue = !other.withoutSideQueue
-	one, rival := o.build(base, moved), o.build(base, other)
-	one.rival, rival.rival = rival, one
-	o.configs = append(o.configs, one, rival)
-	o.send(one)
+	config, rival := o.build(base, moved), o.build(base, other)
+	config.rival, rival.rival = rival, config
+	o.configs = append(o.configs, config, rival)
+	o.send(config)
 	o.sim.after(o.sim.between(0, 20*time.Millisecond), func() { o.send(rival) })
 	o.sim.after(o.sim.between(2*time.Second, 6*time.Second), o.restoreQueue)
 	return true
 }
 
-// sendInvalid sends a configuration that must not be taken.
+// sendInvalid sends an invalid configuration, which must be refused.
 func (o *operator) sendInvalid() {
 	if len(o.configs) == 0 {
 		return
 	}
 	c := o.build(o.base(), o.variant)
-	what := ""
+	defect := ""
 	switch o.sim.rng.IntN(4) {
 	case 0:
-		what, c.change.Queues[0].Service = "names an unknown service", "nowhere"
+		defect, c.change.Queues[0].Service = "names an unknown service", "nowhere"
 	case 1:
-		what, c.change.Queues[1].Prefix = "has two queues in one place", c.change.Queues[0].Prefix
+		defect, c.change.Queues[1].Prefix = "has two queues with the same prefix", c.change.Queues[0].Prefix
 	case 2:
-		what, c.change.Queues[2].Timeout = "has a timeout of 0", 0
+		defect, c.change.Queues[2].Timeout = "has a timeout of 0", 0
 	default:
-		what, c.change.Version = "has a version that is not above the one in force", c.change.Base
+		defect, c.change.Version = "has a version that is not above the one in force", c.change.Base
 	}
-	c.change.Digest += " invalid: " + what
-	o.order(c.change, func() {
-		o.sim.checker.breach(ConfigRule, "a configuration that %s is acknowledged", what)
-	}, func(error) { o.sim.checker.count(ConfigRule) })
+	c.change.Digest += " invalid: " + defect
+	o.sendUntilAnswered(c.change, func() {
+		o.sim.checker.violate(ConfigInvariant, "a configuration that %s is acknowledged", defect)
+	}, func(error) { o.sim.checker.countCase(ConfigInvariant) })
 }
 
-// change is what controller.Leader does with an operator's change.
-func (n *node) change(change any, done func(any, error)) {
+// proposeChange handles a change sent by an operator, as controller.Leader does.
+func (n *node) proposeChange(change any, done func(any, error)) {
 	_, term, err := n.readTable()
 	if err != nil {
 		done(nil, err)
 		return
 	}
-	n.answer(term, change, done)
+	n.proposeAndAnswer(term, change, done)
 }
 
-// reconfigure changes one thing.
+// reconfigure either moves the queue "moving" to the other service or removes the queue "side" for a while.
 func (o *operator) reconfigure() {
-	if o.busy {
+	if o.isBusy {
 		return
 	}
 	if o.sim.chance(0.5) {
@@ -243,9 +248,9 @@
 	o.configure()
 }
 
-// restoreQueue brings the side queue back.
+// restoreQueue adds the queue "side" again, as soon as no other change is pending.
 func (o *operator) restoreQueue() {
-	if o.busy {
+	if o.isBusy {
 		o.sim.after(200*time.Millisecond, o.restoreQueue)
 		return
 	}
@@ -255,29 +260,30 @@
 	}
 }
 
-// evacuate empties a zone for a while.
+// evacuate starts the evacuation of a zone, unless one is in progress, and ends it after a while.
 func (o *operator) evacuate() {
 	for _, e := range o.evacuations {
-		if !e.over {
+		if !e.isWithdrawn {
 			return
 		}
 	}
 	e := &evacuation{zone: fmt.Sprintf("zone%d", o.sim.rng.IntN(zoneCount))}
 	o.evacuations = append(o.evacuations, e)
 	sent := o.sim.now
-	o.order(jobs.Evacuate{Zone: e.zone, Start: true}, func() {
-		e.acked, e.ackedAt = true, o.sim.now
-		o.sim.checker.count(EvacRule)
+	o.sendUntilAnswered(jobs.Evacuate{Zone: e.zone, Start: true}, func() {
+		e.isAcknowledged, e.acknowledgedAt = true, o.sim.now
+		o.sim.checker.countCase(EvacInvariant)
 		o.sim.checker.checkAcknowledgement("an evacuation", sent)
 	}, o.neverRefused)
 	o.sim.after(o.sim.between(6*time.Second, 12*time.Second), func() { o.finishEvacuation(e) })
 }
 
+// finishEvacuation ends an evacuation once its start was acknowledged.
 func (o *operator) finishEvacuation(e *evacuation) {
-	if !e.acked {
+	if !e.isAcknowledged {
 		o.sim.after(200*time.Millisecond, func() { o.finishEvacuation(e) })
 		return
 	}
-	e.finished = true
-	o.order(jobs.Evacuate{Zone: e.zone}, func() { e.over = true }, o.neverRefused)
+	e.isWithdrawalSent = true
+	o.sendUntilAnswered(jobs.Evacuate{Zone: e.zone}, func() { e.isWithdrawn = true }, o.neverRefused)
 }
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -7,10 +7,11 @@
 	"crosstide/internal/jobs"
 )
 
-// callTimeout bounds start and stop orders, and a lease renewal beyond its wait, as the controller's does.
+// callTimeout is the timeout of start and stop orders, and of a lease renewal in addition to its wait. It mirrors the
+// timeout of package controller.
 const callTimeout = 700 * time.Millisecond
 
-// dispatchActions carries out the actions of a pass; it mirrors controller.Leader.dispatch.
+// dispatchActions executes the actions of a pass; it mirrors controller.Leader.dispatch.
 func (n *node) dispatchActions(term uint64, actions scheduler.Actions) {
 	if actions.Progress != nil {
 		n.commit(term, actions.Progress)
@@ -26,7 +27,8 @@
 	}
 }
 
-// dispatchDelay returns how long an order waits for its goroutine: orders of a pass are sent in any order.
+// dispatchDelay returns a random delay until an order is sent. Package controller sends each order on its own
+// goroutine, so the orders of a pass are sent in any sequence.
 func (n *node) dispatchDelay() time.Duration {
 	if n.sim.chance(0.01) {
 		return n.sim.between(0, 30*time.Millisecond)
@@ -34,7 +36,7 @@
 	return n.sim.between(0, 500*time.Microsecond)
 }
 
-// commit proposes the changes of a pass and passes the answer to the scheduler.
+// commit proposes the changes of a pass and passes the outcome to the scheduler.
 func (n *node) commit(term uint64, progress *jobs.Progress) {
 	if n.sim.options.WithoutGuard == StartBeforeCommit {
 		n.startBeforeCommit(term, progress)
@@ -65,31 +67,31 @@
 		n.failStart(answered)
 		return
 	}
-	n.sim.checker.sent(start)
-	order := order{from: n, sent: n.sim.now, wasInTouch: n.sim.inTouch()}
-	n.sim.exchange(n, start.Worker, callTimeout, func(w *workerIncarnation, late bool, reply func(any)) {
-		order.isLate = late
-		reply(w.start(order, start.Order))
-	}, func(answer any, failure failure) {
-		done, _ := answer.(scheduler.StartAnswer)
-		answered(done, startError(failure))
+	n.sim.checker.startSent(start)
+	origin := startOrigin{node: n, sentAt: n.sim.now, wasCoreStable: n.sim.isCoreStable()}
+	n.sim.callWorker(n, start.Worker, callTimeout, func(w *workerIncarnation, late bool, reply func(any)) {
+		origin.isLate = late
+		reply(w.start(origin, start.Order))
+	}, func(answer any, outcome callOutcome) {
+		startAnswer, _ := answer.(scheduler.StartAnswer)
+		answered(startAnswer, startError(outcome))
 	})
 }
 
-// startError returns what the scheduler learns of a start that ended with f.
-func startError(f failure) scheduler.StartError {
-	switch f {
-	case answered:
+// startError maps the outcome of a start order to the error that is passed to the scheduler.
+func startError(outcome callOutcome) scheduler.StartError {
+	switch outcome {
+	case callAnswered:
 		return scheduler.StartOK
-	case otherIncarnation:
+	case callOtherIncarnation:
 		return scheduler.StartOtherIncarnation
-	case unsent:
+	case callUnsent:
 		return scheduler.StartUnsent
 	}
 	return scheduler.StartUnknown
 }
 
-// stop is start for a stop order.
+// stop sends a stop order, unless the node no longer leads, and passes the outcome to the scheduler.
 func (n *node) stop(term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
 	done := func(failure scheduler.StopError) {
@@ -103,10 +105,10 @@
 		n.failStop(done)
 		return
 	}
-	n.sim.exchange(n, stop.Worker, callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
+	n.sim.callWorker(n, stop.Worker, callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
 		reply(w.stop(stop.Order))
-	}, func(answer any, f failure) {
-		if isAccepted, _ := answer.(bool); f != answered || !isAccepted {
+	}, func(answer any, outcome callOutcome) {
+		if isAccepted, _ := answer.(bool); outcome != callAnswered || !isAccepted {
 			done(scheduler.StopFailed)
 			return
 		}
@@ -120,7 +122,7 @@
 	fenced bool
 }
 
-// renewLease is start for a lease renewal.
+// renewLease sends a lease renewal, unless the node no longer leads, and passes the outcome to the scheduler.
 func (n *node) renewLease(term uint64, renewal scheduler.RenewalAction) {
 	id, number, call := renewal.Worker.ID, renewal.Number, renewal.Call
 	n.sim.trace("hold %d to %s wait %s", number, id, call.Wait)
@@ -143,14 +145,14 @@
 	if n.sim.options.WithoutGuard == EarlyAcknowledgement {
 		call.AcknowledgedUpTo = max(call.AcknowledgedUpTo, n.newestEnd[id])
 	}
-	n.sim.exchange(n, renewal.Worker, call.Wait+callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
+	n.sim.callWorker(n, renewal.Worker, call.Wait+callTimeout, func(w *workerIncarnation, _ bool, reply func(any)) {
 		w.renewLease(call, func(r leaseReply) { reply(r) })
-	}, func(answer any, f failure) {
+	}, func(answer any, f callOutcome) {
 		r, _ := answer.(leaseReply)
 		switch {
-		case f == otherIncarnation:
+		case f == callOtherIncarnation:
 			done(scheduler.RenewalAnswer{}, scheduler.RenewalOtherIncarnation)
-		case f != answered:
+		case f != callAnswered:
 			done(scheduler.RenewalAnswer{}, scheduler.RenewalFailed)
 		case r.fenced:
 			done(scheduler.RenewalAnswer{}, scheduler.RenewalFenced)
--- a/internal/testbed/jobssim/shapes.go
+++ b/internal/testbed/jobssim/shapes.go
@@ -7,14 +7,14 @@
 	"crosstide/internal/jobs"
 )
 
-// shortJob draws a job of one short task.
+// shortJob returns a job with one short task, and the prefix of its queue.
 func (c *clients) shortJob() (jobs.Spec, string) {
 	return jobs.Spec{ID: c.newID(), Payload: payloadSound, Steps: []jobs.Step{{Count: 1,
 		Needs: jobs.Resources{MilliCPU: 1000, MemoryMB: 256}, Estimate: 300 * time.Millisecond}}}, "/urgent/"
 }
 
-// anyJob draws a job of any shape, and the prefix of its queue.
-func (c *clients) anyJob() (jobs.Spec, string) {
+// randomJob returns a job of a random shape, and the prefix of its queue.
+func (c *clients) randomJob() (jobs.Spec, string) {
 	s := c.sim
 	spec := jobs.Spec{ID: c.newID()}
 	spec.Payload = payloadSound
@@ -26,7 +26,7 @@
 	}
 	spec.Payload = fmt.Sprintf("%s %s", spec.Payload, spec.ID[:4])
 	for number := range 1 + s.rng.IntN(3) {
-		spec.Steps = append(spec.Steps, c.anyStep(number))
+		spec.Steps = append(spec.Steps, c.randomStep(number))
 	}
 	prefixes := []string{"/urgent/", "/bulk/", "/moving/", "/side/"}
 	prefix := prefixes[s.rng.IntN(len(prefixes))]
@@ -36,13 +36,14 @@
 		spec.FirstRun = s.wall().Add(s.between(-time.Second, 4*time.Second))
 		spec.Interval = s.between(500*time.Millisecond, 3*time.Second)
 	case s.chance(0.06):
-		spec.Steps = []jobs.Step{{Count: 1 + s.rng.IntN(5), Needs: c.anyNeeds(), Estimate: time.Second,
+		spec.Steps = []jobs.Step{{Count: 1 + s.rng.IntN(5), Needs: c.randomNeeds(), Estimate: time.Second,
 			LongRunning: true}}
 	}
 	return spec, prefix
 }
 
-func (c *clients) anyNeeds() jobs.Resources {
+// randomNeeds returns random resource needs of a task.
+func (c *clients) randomNeeds() jobs.Resources {
 	s := c.sim
 	needs := jobs.Resources{MilliCPU: 500 * (1 + s.rng.IntN(6)), MemoryMB: 256 << s.rng.IntN(5)}
 	if s.chance(0.06) {
@@ -51,9 +52,10 @@
 	return needs
 }
 
-func (c *clients) anyStep(number int) jobs.Step {
+// randomStep returns a random step, which may depend on the steps before it.
+func (c *clients) randomStep(number int) jobs.Step {
 	s := c.sim
-	step := jobs.Step{Count: 1 + s.rng.IntN(8), Needs: c.anyNeeds(),
+	step := jobs.Step{Count: 1 + s.rng.IntN(8), Needs: c.randomNeeds(),
 		Estimate: s.between(100*time.Millisecond, 4*time.Second)}
 	if number > 0 && s.chance(0.7) {
 		step.After = []int{number - 1}
@@ -83,7 +85,7 @@
 	return step
 }
 
-// urgentStorm submits many small jobs of the highest priority at once.
+// urgentStorm submits 40 small jobs with the highest priority at once.
 func (c *clients) urgentStorm() {
 	for range 40 {
 		spec, prefix := c.shortJob()
@@ -92,8 +94,8 @@
 	}
 }
 
-// submitUnschedulable submits jobs at once that fail however often they are run.
-func (c *clients) submitUnschedulable() {
+// submitFailingJobs submits 10 jobs at once whose first task always fails.
+func (c *clients) submitFailingJobs() {
 	for range 10 {
 		spec, prefix := c.shortJob()
 		spec.Payload = payloadPoison + " " + spec.ID[:4]
@@ -102,10 +104,10 @@
 	}
 }
 
-// burst submits a few jobs of many tasks at once.
+// burst submits three jobs with many tasks each at once.
 func (c *clients) burst() {
 	for range 3 {
-		spec, _ := c.anyJob()
+		spec, _ := c.randomJob()
 		spec.Rounds, spec.Steps = 0, []jobs.Step{{Count: 60 + c.sim.rng.IntN(60),
 			Needs:    jobs.Resources{MilliCPU: 1500, MemoryMB: 512},
 			Estimate: c.sim.between(300*time.Millisecond, 2*time.Second), Checkpoints: c.sim.chance(0.5)}}
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -6,20 +6,21 @@
 	"crosstide/internal/controller/scheduler"
 )
 
-// shortage is a time in which a share of the leader's calls finds no connection. It is no disruption of any machine:
-// rules hold as if there were none.
+// shortage is a period in which a share of the leader's calls find no free connection. It is not a disruption of a
+// machine: the invariants hold without any excuse.
 type shortage struct {
 	until time.Duration
 	share float64
 }
 
-// A shortage ends by itself: a call that waits is served before later ones, so that no worker or job waits for long.
+// A shortage ends without intervention: a waiting call gets a connection before later ones, so that no worker or job
+// waits for long.
 const (
 	maxShortage         = 2 * time.Second
 	minShortageInterval = 3 * time.Second
 )
 
-// beginShortage begins a shortage, unless one was lately.
+// beginShortage begins a shortage, unless the last one ended less than minShortageInterval ago.
 func (s *simulator) beginShortage() bool {
 	if s.now < s.shortage.until+minShortageInterval {
 		return false
@@ -29,32 +30,32 @@
 	return true
 }
 
-// connectionWait is how long a call waits for a connection before it fails.
+// connectionWait is the time for which a call waits for a connection before it fails.
 const connectionWait = 300 * time.Millisecond
 
-// urgentShare is the probability that a lease renewal or a stop finds no connection, as a fraction of that of a start,
-// which has a lower priority.
+// urgentShare is the probability that a lease renewal or a stop finds no connection, relative to that of a start, which
+// has a lower priority.
 const urgentShare = 0.1
 
-// startFindsNoConnection reports whether a start finds no connection; it fails after connectionWait.
+// startFindsNoConnection reports whether a start finds no connection. Such a call fails after connectionWait.
 func (s *simulator) startFindsNoConnection() bool {
 	return s.now < s.shortage.until && s.chance(s.shortage.share)
 }
 
-// urgentFindsNoConnection reports the same of a lease renewal or a stop.
+// urgentFindsNoConnection reports whether a lease renewal or a stop finds no connection.
 func (s *simulator) urgentFindsNoConnection() bool {
 	return s.now < s.shortage.until && s.chance(s.shortage.share*urgentShare)
 }
 
 // failStart fails a start that found no connection.
 func (n *node) failStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
-	n.sim.report.Seen["short: start"]++
+	n.sim.report.Counts["start without a connection"]++
 	n.after(connectionWait, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
 }
 
 // failStop fails a stop that found no connection.
 func (n *node) failStop(done func(scheduler.StopError)) {
-	n.sim.report.Seen["short: stop"]++
+	n.sim.report.Counts["stop without a connection"]++
 	failure := scheduler.StopNoConnection
 	if n.sim.options.WithoutGuard == UnsentStopsCount {
 		failure = scheduler.StopOK
@@ -64,6 +65,6 @@
 
 // failLeaseRenewal fails a lease renewal that found no connection.
 func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
-	n.sim.report.Seen["short: hold"]++
+	n.sim.report.Counts["lease renewal without a connection"]++
 	n.after(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
 }
--- a/internal/testbed/jobssim/sim.go
+++ b/internal/testbed/jobssim/sim.go
@@ -1,13 +1,14 @@
-// Package jobssim is the deterministic simulator of the jobs deployment: it runs the scheduler against stand-ins of
-// workers, clients and an operator, on one thread under a virtual clock, from one seed.
+// Package jobssim is a deterministic simulator of the jobs deployment. It runs the scheduler against simulated workers,
+// clients and an operator, on one goroutine with a virtual clock and one seeded random number generator.
 //
-// What decides is the product's own code: scheduler.Core over jobs.Table. The loop around it (node.go, orders.go,
-// heartbeats.go) mirrors controller.Leader: the same check of the lease before each order, the same inputs and table
-// events. The replicated log (log.go), the links (network.go) and the workers (worker.go, run.go) are stand-ins that do
-// whatever the platform allows. Disruptions come at random (disruptions.go); the invariant checker (invariants.go)
-// judges only what workers and clients saw. The same seed makes the same run, event by event: TestHistories pins that.
+// The decisions are made by production code: scheduler.Core over jobs.Table. The loop around it (node.go, orders.go,
+// heartbeats.go) mirrors controller.Leader: it checks the lease before each order and passes the same inputs and table
+// events to the scheduler. The replicated log (log.go), the links (network.go) and the workers (worker.go, run.go) are
+// simulated and may do anything that the platform permits. Disruptions are injected at random (disruptions.go). The
+// invariant checker (invariants.go) judges only what workers and clients observed. A seed always produces the same
+// sequence of events, which TestHistories verifies.
 //
-// Run is one run. Begin with simulator.loop and node.pass.
+// Run simulates one seed. The main loops are simulator.loop and node.pass.
 package jobssim
 
 import (
@@ -18,70 +19,70 @@
 	"time"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Seed             uint64
-	DisruptionPeriod time.Duration // how long disruptions and new jobs come; default 32 s
-	DrainTime        time.Duration // after that, until every job has ended, at most; default 45 s
-	WithoutGuard     Guard         // a guard that is removed; empty: none
-	Load             Load          // which jobs come; default Mixed
-	Disruptions      []Disruption  // which disruptions come; nil: all
-	DisruptionRate   float64       // how many times as many disruptions come as usual; default 1
-	Trace            io.Writer     // gets a line for each event worth a line; nil: none
+	DisruptionPeriod time.Duration // in which disruptions are injected and jobs submitted; default 32 s
+	DrainTime        time.Duration // longest time after it until every job has ended; default 45 s
+	WithoutGuard     Guard         // the guard to remove; empty: none
+	Load             Load          // which jobs are submitted; default Mixed
+	Disruptions      []Disruption  // which disruptions are injected; nil: all
+	DisruptionRate   float64       // multiplies the frequency of disruptions; default 1
+	Trace            io.Writer     // receives the trace of the run, one line per notable event; nil: none
 }
 
 // Report is the result of a run.
 type Report struct {
 	Seed        uint64
-	Breaches    []Breach
-	Cases       map[Rule]int       // situations that were checked, by rule
-	Disruptions map[Disruption]int // disruptions made, by kind
-	Seen        map[string]int     // what else occurred, such as refusals of workers
-	IdlePeriods int                // of over maxIdle, in which a job could run and did not, excused ones included
-	LongestIdle time.Duration      // the longest of them
-	Failovers   []time.Duration    // from the last start of a leader to the first of the next one
-	Takeovers   []time.Duration    // from the election of a leader to its first start
-	Starts      int                // starts on workers
-	Jobs        int                // jobs accepted
+	Violations  []Violation
+	Cases       map[Invariant]int  // checks made, by invariant
+	Disruptions map[Disruption]int // disruptions injected, by kind
+	Counts      map[string]int     // other occurrences, such as refused starts, by description
+	IdlePeriods int                // periods over maxIdle in which a job could run and did not, with excused ones
+	LongestIdle time.Duration      // the longest idle period of a job
+	Failovers   []time.Duration    // from the last run started by a leader to the first started by its successor
+	Takeovers   []time.Duration    // from the election of a leader to the first run that it starts
+	Starts      int                // of runs on workers
+	Jobs        int                // accepted jobs
 	Events      int
 	VirtualTime time.Duration
 }
 
-// Breach is a broken rule.
-type Breach struct {
-	Rule Rule
-	At   time.Duration
-	What string
+// Violation describes a violated invariant.
+type Violation struct {
+	Invariant Invariant
+	At        time.Duration
+	Detail    string
 }
 
-// maxBreaches is the number of breaches after which a run ends.
-const maxBreaches = 5
+// maxViolations is the number of violations after which a run ends.
+const maxViolations = 5
 
-// event is a call that is due at a time.
+// event is a function call scheduled for a virtual time.
 type event struct {
 	at     time.Duration
-	number uint64 // in the order in which events were scheduled
+	number uint64 // increases with each scheduled event
 	call   func()
 }
 
 // eventQueue is a heap of events by time, then by number.
 type eventQueue []event
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
 
-// Less orders events by time, then by number; part of heap.Interface.
+// Less orders events by time, then by number. It implements heap.Interface.
 func (q eventQueue) Less(i, k int) bool {
 	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].number < q[k].number
 }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(e any) { *q = append(*q, e.(event)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -90,10 +91,10 @@
 	return e
 }
 
-// simulator is one run. Everything in it runs on the goroutine of Run.
+// simulator is the state of one run. All its code runs on the goroutine that called Run.
 type simulator struct {
 	options Options
-	rng     *rand.Rand // one for all draws: their order is part of the run
+	rng     *rand.Rand // the only source of randomness: the order of draws determines the run
 	now     time.Duration
 	queue   eventQueue
 	number  uint64 // of the newest event
@@ -106,15 +107,15 @@
 	clients      *clients
 	operator     *operator
 	checker      *invariantChecker
-	quiet        quiet
+	disrupted    disruptionEnds
 	shortage     shortage
 	incarnations int
 }
 
-// epoch is the time of day at which each run begins.
+// epoch is the wall-clock time at which each run begins.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Run simulates one seed until all jobs have ended, time is up, or maxBreaches rules were broken.
+// Run simulates one seed until all jobs have ended, the time limit is reached or maxViolations were recorded.
 func Run(opt Options) Report {
 	if opt.DisruptionPeriod == 0 {
 		opt.DisruptionPeriod = 32 * time.Second
@@ -126,23 +127,24 @@
 		opt.DisruptionRate = 1
 	}
 	s := &simulator{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 7)), gangs: map[gangKey]*gang{}}
-	s.report = Report{Seed: opt.Seed, Cases: map[Rule]int{}, Disruptions: map[Disruption]int{}, Seen: map[string]int{}}
+	s.report = Report{Seed: opt.Seed, Cases: map[Invariant]int{}, Disruptions: map[Disruption]int{},
+		Counts: map[string]int{}}
 	s.checker = newInvariantChecker(s)
 	s.buildCore()
 	s.buildWorkers()
 	s.buildOperator()
 	s.buildClients()
 	s.planDisruptions()
-	s.checker.watchIdle()
+	s.checker.scheduleIdleChecks()
 	s.loop()
 	s.report.VirtualTime = s.now
 	return s.report
 }
 
-// loop runs the events in order until all jobs have ended or time is up.
+// loop executes the events in order until all jobs have ended or the time limit is reached.
 func (s *simulator) loop() {
 	end := s.options.DisruptionPeriod + s.options.DrainTime
-	for len(s.queue) > 0 && len(s.report.Breaches) < maxBreaches {
+	for len(s.queue) > 0 && len(s.report.Violations) < maxViolations {
 		e := heap.Pop(&s.queue).(event)
 		if e.at > end || s.now > s.options.DisruptionPeriod && s.clients.allEnded() {
 			break
@@ -151,31 +153,32 @@
 		s.report.Events++
 		e.call()
 	}
-	if len(s.report.Breaches) < maxBreaches {
+	if len(s.report.Violations) < maxViolations {
 		s.checker.finish()
 	}
 }
 
-// after schedules a call.
+// after schedules a call d from now.
 func (s *simulator) after(d time.Duration, call func()) {
 	s.number++
 	heap.Push(&s.queue, event{at: s.now + max(0, d), number: s.number, call: call})
 }
 
-// between draws a duration.
+// between returns a random duration from least to most, both included.
 func (s *simulator) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int64N(int64(most-least)+1))
 }
 
-// chance draws true with a probability.
+// chance returns true with probability p.
 func (s *simulator) chance(p float64) bool { return s.rng.Float64() < p }
 
-// wall returns the true time of day.
+// wall returns the true wall-clock time. The clock of each node is skewed against it.
 func (s *simulator) wall() time.Time { return epoch.Add(s.now) }
 
+// trace writes a line to Options.Trace. TestHistories hashes these lines.
 func (s *simulator) trace(format string, args ...any) {
 	if s.options.Trace != nil {
-		// A trace that nobody reads changes no run.
+		// A failed write of the trace must not affect the run.
 		_, _ = fmt.Fprintf(s.options.Trace, "%9.4f %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/testbed/jobssim/sim_test.go
+++ b/internal/testbed/jobssim/sim_test.go
@@ -12,11 +12,11 @@
 
 func TestSeeds(t *testing.T) {
 	Convey("No rule breaks in a fixed set of seeds with all disruptions", t, func() {
-		cases, disruptions := map[Rule]int{}, map[Disruption]int{}
+		cases, disruptions := map[Invariant]int{}, map[Disruption]int{}
 		for seed := uint64(1); seed <= seeds; seed++ {
 			report := Run(Options{Seed: seed})
-			for _, b := range report.Breaches {
-				t.Errorf("seed %d breaks %s at %s: %s", seed, b.Rule, b.At, b.What)
+			for _, b := range report.Violations {
+				t.Errorf("seed %d breaks %s at %s: %s", seed, b.Invariant, b.At, b.Detail)
 			}
 			for rule, count := range report.Cases {
 				cases[rule] += count
@@ -26,7 +26,7 @@
 			}
 		}
 		t.Log(cases, disruptions)
-		for _, rule := range Rules() {
+		for _, rule := range Invariants() {
 			So(cases[rule], ShouldBeGreaterThan, 0)
 		}
 		for _, kind := range Disruptions() {
@@ -39,9 +39,9 @@
 	Convey("Without disruptions no lease expires, no gang times out, no start is refused and no job is idle", t, func() {
 		for seed := uint64(1); seed <= 4; seed++ {
 			report := Run(Options{Seed: seed, Disruptions: []Disruption{}})
-			So(report.Breaches, ShouldBeEmpty)
-			So(report.Seen["end: lapsed"]+report.Seen["end: alone"], ShouldEqual, 0)
-			So(report.Seen["start refused: room"]+report.Seen["start refused: fence"], ShouldEqual, 0)
+			So(report.Violations, ShouldBeEmpty)
+			So(report.Counts["end: lapsed"]+report.Counts["end: alone"], ShouldEqual, 0)
+			So(report.Counts["start refused: room"]+report.Counts["start refused: fence"], ShouldEqual, 0)
 			So(report.IdlePeriods, ShouldEqual, 0)
 		}
 	})
--- a/internal/testbed/jobssim/weaken.go
+++ b/internal/testbed/jobssim/weaken.go
@@ -7,7 +7,8 @@
 	"crosstide/internal/jobs"
 )
 
-// withoutGuard returns a change as a table without a guard would make it; every node does the same.
+// withoutGuard modifies a change, and if necessary the table, so that applying the change has the effect that it would
+// have without a guard. All nodes do this in the same way.
 func withoutGuard(removed Guard, t *jobs.Table, change any) any {
 	switch c := change.(type) {
 	case jobs.Submit:
@@ -26,13 +27,13 @@
 }
 
 func weakenSubmit(removed Guard, t *jobs.Table, c jobs.Submit) jobs.Submit {
-	if removed == NoIdentity && t.Jobs[c.Spec.ID] != nil {
+	if removed == NoJobDeduplication && t.Jobs[c.Spec.ID] != nil {
 		c.Spec.ID += " again"
 	}
 	return c
 }
 
-// manyAttempts is more than any task of a run makes.
+// manyAttempts is more than the number of attempts of any task in a run.
 const manyAttempts = 1000
 
 func weakenConfigure(removed Guard, t *jobs.Table, c jobs.Configure) jobs.Configure {
@@ -44,7 +45,7 @@
 		}
 	case NoBaseCheck:
 		c.Base = t.Config.Version
-	case NoOrderMemory:
+	case NoChangeDeduplication:
 		c.Digest = ""
 	case NoConfigCheck:
 		return repairConfig(t, c)
@@ -52,7 +53,7 @@
 	return c
 }
 
-// repairConfig makes an invalid configuration a valid one.
+// repairConfig turns an invalid configuration into a valid one.
 func repairConfig(t *jobs.Table, c jobs.Configure) jobs.Configure {
 	c.Queues = append([]jobs.Queue{}, c.Queues...)
 	for i := range c.Queues {
