--- a/internal/testbed/jobssim/baddays_test.go
+++ b/internal/testbed/jobssim/baddays_test.go
@@ -6,61 +6,61 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// daySeeds is how many runs of each kind of bad day are made with all guards.
-const daySeeds = 6
+// scenarioSeeds is the number of seeds that are run of each scenario with all guards.
+const scenarioSeeds = 6
 
-// mostGuardSeeds is how many runs it may take until the absence of a guard is detected.
-const mostGuardSeeds = 60
+// maxGuardSeeds is the last seed by which the absence of a guard must be detected.
+const maxGuardSeeds = 60
 
-func TestBadDays(t *testing.T) {
-	for _, day := range Scenarios() {
-		Convey("With all guards no rule breaks on days of "+day.Name, t, func() {
-			made := map[Disruption]int{}
-			for seed := uint64(1); seed <= daySeeds; seed++ {
-				report := Run(Options{Seed: seed, Disruptions: day.Disruptions})
-				for _, b := range report.Violations {
-					t.Errorf("seed %d breaks %s at %s: %s", seed, b.Invariant, b.At, b.Detail)
+func TestScenarios(t *testing.T) {
+	for _, scenario := range Scenarios() {
+		Convey("With all guards no invariant is violated in the scenario: "+scenario.Name, t, func() {
+			counts := map[Disruption]int{}
+			for seed := uint64(1); seed <= scenarioSeeds; seed++ {
+				report := Run(Options{Seed: seed, Disruptions: scenario.Disruptions})
+				for _, v := range report.Violations {
+					t.Errorf("seed %d violates %s at %s: %s", seed, v.Invariant, v.At, v.Detail)
 				}
 				for kind, count := range report.Disruptions {
-					made[kind] += count
+					counts[kind] += count
 				}
 			}
-			for _, kind := range day.Disruptions {
-				So(made[kind], ShouldBeGreaterThan, 0)
+			for _, kind := range scenario.Disruptions {
+				So(counts[kind], ShouldBeGreaterThan, 0)
 			}
 		})
-		for _, guard := range day.Guards {
+		for _, guard := range scenario.Guards {
 			Convey("The checker detects the absence of a guard: "+string(guard), t, func() {
-				seed, found := findBreachWithout(day, guard)
-				So(found, ShouldNotBeEmpty)
-				t.Logf("%s: seed %d: %s %s", guard, seed, found[0].Invariant, found[0].Detail)
+				seed, violations := findViolationWithout(scenario, guard)
+				So(violations, ShouldNotBeEmpty)
+				t.Logf("%s: seed %d: %s %s", guard, seed, violations[0].Invariant, violations[0].Detail)
 			})
 		}
 	}
 }
 
-// firstSeeds are the seeds before those that are tried, for guards whose absence takes many runs to show.
+// firstSeeds holds the seeds after which the search begins, for guards whose absence is detected only after many seeds.
 var firstSeeds = map[Guard]uint64{StaleHeartbeatsCount: 18, NoLeaseCheck: 5}
 
-// findBreachWithout runs seeds without a guard until a rule breaks, at most mostGuardSeeds.
-func findBreachWithout(day Scenario, guard Guard) (seed uint64, found []Violation) {
+// findViolationWithout runs seeds without a guard until an invariant is violated, up to the seed maxGuardSeeds.
+func findViolationWithout(scenario Scenario, guard Guard) (seed uint64, violations []Violation) {
 	seed = firstSeeds[guard]
-	for len(found) == 0 && seed < mostGuardSeeds {
+	for len(violations) == 0 && seed < maxGuardSeeds {
 		seed++
-		found = Run(Options{Seed: seed, WithoutGuard: guard, Disruptions: day.Disruptions}).Violations
+		violations = Run(Options{Seed: seed, WithoutGuard: guard, Disruptions: scenario.Disruptions}).Violations
 	}
-	return seed, found
+	return seed, violations
 }
 
-func TestBadDays_coverAll(t *testing.T) {
-	Convey("Every disruption and every guard is in one kind of bad day", t, func() {
+func TestScenarios_coverAll(t *testing.T) {
+	Convey("Every disruption and every guard belongs to exactly one scenario", t, func() {
 		disruptions, guards := map[Disruption]int{}, map[Guard]int{}
-		for _, day := range Scenarios() {
-			So(day.Guards, ShouldNotBeEmpty)
-			for _, kind := range day.Disruptions {
+		for _, scenario := range Scenarios() {
+			So(scenario.Guards, ShouldNotBeEmpty)
+			for _, kind := range scenario.Disruptions {
 				disruptions[kind]++
 			}
-			for _, guard := range day.Guards {
+			for _, guard := range scenario.Guards {
 				guards[guard]++
 			}
 		}
--- a/internal/testbed/jobssim/failover_test.go
+++ b/internal/testbed/jobssim/failover_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestFailover measures how long nothing is started around the loss of a leader under a steady stream of short tasks.
+// TestFailover measures for how long no run is started when the leader is lost, under a steady stream of short tasks.
 func TestFailover(t *testing.T) {
 	Convey("A new leader starts tasks soon after its election", t, func() {
 		losses := 15
@@ -27,7 +27,7 @@
 		slices.Sort(failovers)
 		slices.Sort(takeovers)
 		middle, last := len(failovers)/2, len(failovers)-1
-		t.Logf("%d losses: last start of the old leader to first of the new one p50 %s, max %s; "+
+		t.Logf("%d losses: last start by the old leader to first start by the new one p50 %s, max %s; "+
 			"from the election p50 %s, max %s",
 			len(failovers), failovers[middle], failovers[last], takeovers[middle], takeovers[last])
 		So(failovers[last], ShouldBeLessThan, maxElectionTime+time.Second)
--- a/internal/testbed/jobssim/histories_test.go
+++ b/internal/testbed/jobssim/histories_test.go
@@ -11,10 +11,11 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestHistories pins what happened in runs of fixed seeds, line by line. A change that keeps behaviour keeps each
-// history to the byte; one that changes the scheduler's decisions writes the file anew, and its commit says why.
+// TestHistories compares the hashes of the traces of fixed seeds with testdata/histories.golden. A change that keeps the
+// behaviour keeps each trace to the byte. A change of the decisions of the scheduler updates the file, and its commit
+// states the reason.
 func TestHistories(t *testing.T) {
-	Convey("Fixed seeds have the histories that are kept", t, func() {
+	Convey("Fixed seeds have the traces recorded in the golden file", t, func() {
 		var lines strings.Builder
 		for seed := uint64(101); seed <= 112; seed++ {
 			digest := sha256.New()
--- a/internal/testbed/jobssim/hunt_test.go
+++ b/internal/testbed/jobssim/hunt_test.go
@@ -8,10 +8,17 @@
 	"time"
 )
 
-// TestHunt runs FLEETSIM_SEEDS seeds (none if it is not set), from FLEETSIM_FROM on. FLEETSIM_KINDS lists the
-// disruptions, separated by commas, or FLEETSIM_DAY is the number of a scenario of Scenarios, from 1. FLEETSIM_BREAK is a
-// guard to remove, FLEETSIM_PACE the DisruptionRate, FLEETSIM_FOR the DisruptionPeriod, FLEETSIM_LOAD the Load,
-// FLEETSIM_TRACE a file for the trace.
+// TestHunt searches for violations with other seeds and options. It is configured by environment variables:
+//
+//	FLEETSIM_SEEDS  number of seeds to run, default 0
+//	FLEETSIM_FROM   first seed
+//	FLEETSIM_KINDS  disruptions, separated by commas
+//	FLEETSIM_DAY    number of a scenario in Scenarios, from 1; overrides FLEETSIM_KINDS
+//	FLEETSIM_BREAK  guard to remove
+//	FLEETSIM_PACE   Options.DisruptionRate
+//	FLEETSIM_FOR    Options.DisruptionPeriod
+//	FLEETSIM_LOAD   Options.Load
+//	FLEETSIM_TRACE  file to which the trace is written
 func TestHunt(t *testing.T) {
 	count, _ := strconv.ParseUint(os.Getenv("FLEETSIM_SEEDS"), 10, 64)
 	from, _ := strconv.ParseUint(os.Getenv("FLEETSIM_FROM"), 10, 64)
@@ -23,8 +30,8 @@
 			opt.Disruptions = append(opt.Disruptions, Disruption(kind))
 		}
 	}
-	if day, err := strconv.Atoi(os.Getenv("FLEETSIM_DAY")); err == nil {
-		opt.Disruptions = Scenarios()[day-1].Disruptions
+	if scenario, err := strconv.Atoi(os.Getenv("FLEETSIM_DAY")); err == nil {
+		opt.Disruptions = Scenarios()[scenario-1].Disruptions
 	}
 	if path := os.Getenv("FLEETSIM_TRACE"); path != "" {
 		file, err := os.Create(path)
@@ -34,22 +41,22 @@
 		defer func() { _ = file.Close() }()
 		opt.Trace = file
 	}
-	cases, seen, periods, longest := map[Invariant]int{}, map[string]int{}, 0, time.Duration(0)
+	cases, counts, idlePeriods, longest := map[Invariant]int{}, map[string]int{}, 0, time.Duration(0)
 	for seed := from; seed < from+count; seed++ {
 		opt.Seed = seed
 		report := Run(opt)
-		for _, b := range report.Violations {
-			t.Errorf("seed %d breaks %s at %s: %s", seed, b.Invariant, b.At, b.Detail)
+		for _, v := range report.Violations {
+			t.Errorf("seed %d violates %s at %s: %s", seed, v.Invariant, v.At, v.Detail)
 		}
-		for rule, n := range report.Cases {
-			cases[rule] += n
+		for invariant, n := range report.Cases {
+			cases[invariant] += n
 		}
 		for what, n := range report.Counts {
-			seen[what] += n
+			counts[what] += n
 		}
-		periods += report.IdlePeriods
+		idlePeriods += report.IdlePeriods
 		longest = max(longest, report.LongestIdle)
 	}
 	t.Log(cases)
-	t.Log(seen, "idle spells", periods, "longest", longest)
+	t.Log(counts, "idle periods", idlePeriods, "longest", longest)
 }
--- a/internal/testbed/jobssim/sim_test.go
+++ b/internal/testbed/jobssim/sim_test.go
@@ -7,27 +7,27 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// seeds is how many runs the ordinary test makes.
-const seeds = 16
+// seedCount is the number of seeds that TestSeeds runs.
+const seedCount = 16
 
 func TestSeeds(t *testing.T) {
-	Convey("No rule breaks in a fixed set of seeds with all disruptions", t, func() {
+	Convey("No invariant is violated in a fixed set of seeds with all disruptions", t, func() {
 		cases, disruptions := map[Invariant]int{}, map[Disruption]int{}
-		for seed := uint64(1); seed <= seeds; seed++ {
+		for seed := uint64(1); seed <= seedCount; seed++ {
 			report := Run(Options{Seed: seed})
-			for _, b := range report.Violations {
-				t.Errorf("seed %d breaks %s at %s: %s", seed, b.Invariant, b.At, b.Detail)
+			for _, v := range report.Violations {
+				t.Errorf("seed %d violates %s at %s: %s", seed, v.Invariant, v.At, v.Detail)
 			}
-			for rule, count := range report.Cases {
-				cases[rule] += count
+			for invariant, count := range report.Cases {
+				cases[invariant] += count
 			}
 			for kind, count := range report.Disruptions {
 				disruptions[kind] += count
 			}
 		}
 		t.Log(cases, disruptions)
-		for _, rule := range Invariants() {
-			So(cases[rule], ShouldBeGreaterThan, 0)
+		for _, invariant := range Invariants() {
+			So(cases[invariant], ShouldBeGreaterThan, 0)
 		}
 		for _, kind := range Disruptions() {
 			So(disruptions[kind], ShouldBeGreaterThan, 0)
