--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -11,34 +11,34 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// Report is what an audit found.
+// Report is the result of an audit.
 type Report struct {
-	Runs       int                    // that began
+	Runs       int                    // runs that began
 	Ends       map[jobs.EndReason]int // runs that ended, by reason
 	Failed     map[string]int         // runs that failed, by job
 	Refused    map[string]int         // starts that workers refused, by reason
-	Violations []string               // of the invariants; none: all held
+	Violations []string               // of invariants; empty if all held
 }
 
-// Evacuation is a period in which a zone was evacuated: from the answer to the order until just before the restore.
+// Evacuation is the period in which a zone was evacuated: from the answer to that order until just before the restore.
 type Evacuation struct {
 	Zone     string
 	From, To time.Time
 }
 
-// evacuationGrace is how long after the answer to an evacuation a start order that was sent before it may still arrive.
+// evacuationGrace is how long after the answer to an evacuation a start order that was sent earlier may still arrive.
 const evacuationGrace = 500 * time.Millisecond
 
-// auditor is an audit in progress: the events are observed in order of time, then each job is checked.
+// auditor is an audit in progress: it observes all events in order of time, then checks each job.
 type auditor struct {
 	report      Report
 	evacuations []Evacuation
 	specs       map[string]jobs.Spec          // of accepted jobs
 	programs    map[string]jobsworker.Program // of accepted jobs
-	workers     map[string]jobsworker.Event   // by ID: EventWorkerStart
+	workers     map[string]jobsworker.Event   // the EventWorkerStart of each worker, by ID
 	tasks       map[jobs.TaskRef]*history
 	running     map[string][]*span // by worker: runs that have not ended
-	tokens      map[string]uint64  // by worker: newest token of a start
+	tokens      map[string]uint64  // by worker: highest token of a start
 }
 
 // span is one run as its worker journaled it.
@@ -48,27 +48,27 @@
 	needs      jobs.Resources
 	task       jobs.TaskRef
 	began      time.Time
-	reason     jobs.EndReason // empty: it has not ended
-	resumed    string         // checkpoint of its start
+	reason     jobs.EndReason // empty until it ends
+	resumed    string         // checkpoint that it started from
 	checkpoint string         // at its end
 }
 
 func (s *span) hasEnded() bool { return s.reason != "" }
 
-// history is all runs of one task, in the order they began.
+// history lists all runs of one task, in the order they began.
 type history struct{ spans []*span }
 
-// Audit checks the journals of all workers against the jobs that were accepted. All workers' clocks are one machine's.
-// The invariants:
+// Audit checks the journals of all workers against the accepted jobs. It orders the events by their timestamps, so all
+// workers must run on one machine. The invariants:
 //
 //   - nothing lost: every task of a job that succeeded has a run that ended done;
-//   - nothing twice: no two runs of a task overlap, none begins after one that ended done, no worker starts under a
-//     lower token than before;
-//   - order: a step begins after the steps before it, a round not before its time;
-//   - placement: no worker runs more than its capacity, labels and the most per worker are kept, nothing begins in a
-//     zone while that is evacuated;
-//   - a gang's run begins on all members; a run resumes from the checkpoint that the last one saved; a job that failed
-//     used its attempts, no more.
+//   - nothing twice: no two runs of a task overlap, no run begins after one that ended done, no worker starts a run
+//     under a lower token than before;
+//   - order: a step begins after the steps before it are done, a round not before it is due;
+//   - placement: the runs on a worker never exceed its capacity, labels and the maximum per worker are respected, no
+//     run begins in a zone while that is evacuated;
+//   - a gang's run begins on all members; a run resumes from the checkpoint that the previous one saved; a job that
+//     failed used all its attempts and no more.
 func Audit(accepted []Job, evacuations []Evacuation, events []jobsworker.Event) (Report, error) {
 	a := &auditor{evacuations: evacuations, specs: map[string]jobs.Spec{}, programs: map[string]jobsworker.Program{},
 		workers: map[string]jobsworker.Event{}, tasks: map[jobs.TaskRef]*history{}, running: map[string][]*span{},
@@ -118,7 +118,7 @@
 		a.report.Failed[key.Task.Job]++
 	}
 	if reason == jobs.EndDone && key.Number <= a.programs[key.Task.Job].Fails {
-		a.violate("run %d of %v ended well, though it was to fail", key.Number, key.Task)
+		a.violate("run %d of %v succeeded, but its program fails", key.Number, key.Task)
 	}
 	for i, s := range a.running[e.Worker] {
 		if s.task == key.Task && s.number == key.Number {
--- a/internal/testbed/endtoend/audit_jobs.go
+++ b/internal/testbed/endtoend/audit_jobs.go
@@ -6,12 +6,12 @@
 	"crosstide/internal/jobs"
 )
 
-// checkJob checks a job as a whole, after all events.
+// checkJob checks the invariants of a whole job. It is called after all events were observed.
 func (a *auditor) checkJob(job Job) {
 	spec := a.specs[job.ID]
 	for round := range max(spec.Rounds, 1) {
 		for step := range spec.Steps {
-			done, tasks := a.done(job.ID, round, step), spec.Steps[step].Count
+			done, tasks := a.countDone(job.ID, round, step), spec.Steps[step].Count
 			if job.WantState == jobs.Succeeded && done != tasks {
 				a.violate("%s: %d of %d tasks of step %d, round %d, were done", job.ID, done, tasks, step, round)
 			}
@@ -25,16 +25,16 @@
 	}
 }
 
-// checkGang checks that a run that was done had begun on all members.
+// checkGang checks that every run of a gang that ended done had begun on all members.
 func (a *auditor) checkGang(job string, round, step int) {
 	members := a.specs[job].Steps[step].Count
 	began, isDone := map[int]int{}, map[int]bool{} // by number of the run
 	for index := range members {
-		past := a.tasks[jobs.TaskRef{Job: job, Round: round, Step: step, Index: index}]
-		if past == nil {
+		taskHistory := a.tasks[jobs.TaskRef{Job: job, Round: round, Step: step, Index: index}]
+		if taskHistory == nil {
 			continue
 		}
-		for _, s := range past.spans {
+		for _, s := range taskHistory.spans {
 			began[s.number]++
 			isDone[s.number] = isDone[s.number] || s.reason == jobs.EndDone
 		}
@@ -47,16 +47,16 @@
 	}
 }
 
-// checkAttempts checks that some task of a failed job has used its attempts, and none more.
+// checkAttempts checks that some task of a failed job used all its attempts, and that none used more.
 func (a *auditor) checkAttempts(job string) {
-	most := 0
-	for task, past := range a.tasks {
+	maxFailures := 0
+	for task, taskHistory := range a.tasks {
 		if task.Job == job {
-			most = max(most, past.failures())
+			maxFailures = max(maxFailures, taskHistory.failures())
 		}
 	}
-	if most != Attempts {
-		a.violate("%s failed after %d failed runs of a task, not %d", job, most, Attempts)
+	if maxFailures != Attempts {
+		a.violate("%s failed after %d failed runs of a task, not %d", job, maxFailures, Attempts)
 	}
 }
 
@@ -71,8 +71,8 @@
 	return count
 }
 
-// done counts the tasks of a step of a round that are done. Those of a gang are done together.
-func (a *auditor) done(job string, round, step int) int {
+// countDone returns how many tasks of a step are done in a round. All members of a gang are done once one is.
+func (a *auditor) countDone(job string, round, step int) int {
 	count := 0
 	for index := range a.specs[job].Steps[step].Count {
 		if a.taskDone(jobs.TaskRef{Job: job, Round: round, Step: step, Index: index}) {
@@ -86,6 +86,7 @@
 }
 
 func (a *auditor) taskDone(task jobs.TaskRef) bool {
-	past := a.tasks[task]
-	return past != nil && slices.ContainsFunc(past.spans, func(s *span) bool { return s.reason == jobs.EndDone })
+	taskHistory := a.tasks[task]
+	return taskHistory != nil &&
+		slices.ContainsFunc(taskHistory.spans, func(s *span) bool { return s.reason == jobs.EndDone })
 }
--- a/internal/testbed/endtoend/audit_runs.go
+++ b/internal/testbed/endtoend/audit_runs.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// onStart checks a run that begins, and follows it.
+// onStart checks a run that begins and adds it to the auditor's state.
 func (a *auditor) onStart(e jobsworker.Event) {
 	a.report.Runs++
 	key := e.Run.Key()
@@ -22,22 +22,23 @@
 		a.violate("%v began on %s under token %d after %d", key, e.Worker, e.Token, a.tokens[e.Worker])
 	}
 	a.tokens[e.Worker] = max(a.tokens[e.Worker], e.Token)
-	past := a.tasks[key.Task]
-	if past == nil {
-		past = &history{}
-		a.tasks[key.Task] = past
+	taskHistory := a.tasks[key.Task]
+	if taskHistory == nil {
+		taskHistory = &history{}
+		a.tasks[key.Task] = taskHistory
 	}
-	a.checkExclusive(s, past)
-	a.checkResumed(s, past)
-	past.spans = append(past.spans, s)
+	a.checkExclusive(s, taskHistory)
+	a.checkResumed(s, taskHistory)
+	taskHistory.spans = append(taskHistory.spans, s)
 	a.running[e.Worker] = append(a.running[e.Worker], s)
 	a.checkPlacement(s)
 	a.checkOrder(s)
 }
 
-// checkExclusive checks a run against those of its task before it.
-func (a *auditor) checkExclusive(s *span, past *history) {
-	for _, before := range past.spans {
+// checkExclusive checks that a run begins after all earlier runs of its task have ended, under a higher number, and
+// that no earlier run was done. Only a long-running task may run again after a run that was done.
+func (a *auditor) checkExclusive(s *span, taskHistory *history) {
+	for _, before := range taskHistory.spans {
 		switch {
 		case !before.hasEnded():
 			a.violate("%v: run %d began on %s while run %d goes on at %s", s.task, s.number, s.worker, before.number,
@@ -50,13 +51,13 @@
 	}
 }
 
-// checkResumed checks that a run resumes from the checkpoint that the last one of its task saved.
-func (a *auditor) checkResumed(s *span, past *history) {
+// checkResumed checks that a run resumes from the checkpoint that the previous run of its task saved.
+func (a *auditor) checkResumed(s *span, taskHistory *history) {
 	step := a.step(s.task)
-	if len(past.spans) == 0 || !step.Checkpoints || step.Gang {
+	if len(taskHistory.spans) == 0 || !step.Checkpoints || step.Gang {
 		return
 	}
-	last := past.spans[len(past.spans)-1]
+	last := taskHistory.spans[len(taskHistory.spans)-1]
 	if last.hasEnded() && last.checkpoint != s.resumed {
 		a.violate("%v: run %d goes on from %q, run %d had saved %q", s.task, s.number, s.resumed, last.number,
 			last.checkpoint)
@@ -65,7 +66,7 @@
 
 func (a *auditor) step(task jobs.TaskRef) jobs.Step { return a.specs[task.Job].Steps[task.Step] }
 
-// checkPlacement checks that a run's worker may have it.
+// checkPlacement checks the label, zone and capacity of a run's worker.
 func (a *auditor) checkPlacement(s *span) {
 	worker, step := a.workers[s.worker], a.step(s.task)
 	if step.Label != "" && !slices.Contains(worker.Labels, step.Label) {
@@ -79,27 +80,28 @@
 	a.checkCapacity(s, worker.Needs, step.MaxPerWorker)
 }
 
-// checkCapacity checks all that runs on a run's worker, with that run.
+// checkCapacity checks that the runs in progress on a run's worker, including that run, fit its capacity and the
+// maximum per worker.
 func (a *auditor) checkCapacity(s *span, capacity jobs.Resources, maxPerWorker int) {
 	var used jobs.Resources
-	ofStep := 0
+	sameStep := 0
 	for _, other := range a.running[s.worker] {
 		used.MilliCPU += other.needs.MilliCPU
 		used.MemoryMB += other.needs.MemoryMB
 		used.GPUs += other.needs.GPUs
 		if other.task.Job == s.task.Job && other.task.Round == s.task.Round && other.task.Step == s.task.Step {
-			ofStep++
+			sameStep++
 		}
 	}
 	if used.MilliCPU > capacity.MilliCPU || used.MemoryMB > capacity.MemoryMB || used.GPUs > capacity.GPUs {
-		a.violate("%s runs %+v, it has %+v", s.worker, used, capacity)
+		a.violate("%s runs %+v, more than its capacity %+v", s.worker, used, capacity)
 	}
-	if maxPerWorker > 0 && ofStep > maxPerWorker {
-		a.violate("%v: %d tasks of the step run on %s", s.task, ofStep, s.worker)
+	if maxPerWorker > 0 && sameStep > maxPerWorker {
+		a.violate("%v: %d tasks of the step run on %s", s.task, sameStep, s.worker)
 	}
 }
 
-// checkOrder checks that a run's time has come and that the steps before it are done.
+// checkOrder checks that a run's round is due and that the steps before it are done.
 func (a *auditor) checkOrder(s *span) {
 	spec := a.specs[s.task.Job]
 	due := spec.FirstRun.Add(time.Duration(s.task.Round) * spec.Interval)
@@ -107,7 +109,7 @@
 		a.violate("%v began %s before its time", s.task, due.Sub(s.began))
 	}
 	for _, before := range spec.Steps[s.task.Step].After {
-		done, tasks := a.done(s.task.Job, s.task.Round, before), spec.Steps[before].Count
+		done, tasks := a.countDone(s.task.Job, s.task.Round, before), spec.Steps[before].Count
 		if done < tasks {
 			a.violate("%v began with %d of %d tasks of step %d done", s.task, done, tasks, before)
 		}
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// eventLog is a journal that is written one millisecond after the other.
+// eventLog is a journal whose events are one millisecond apart.
 type eventLog struct {
 	events []jobsworker.Event
 	at     time.Time
@@ -33,13 +33,13 @@
 	s.events = append(s.events, e)
 }
 
-// runKey names run number of a task of job j.
+// runKey returns the key of a run of a task of job j.
 func runKey(step, index, number int) workerapi.Run {
 	return workerapi.Run{Job: "j", Step: step, Index: index, Number: number}
 }
 
-func (s *eventLog) start(on string, r workerapi.Run, change ...func(*jobsworker.Event)) {
-	e := jobsworker.Event{Event: jobsworker.EventRunStart, Worker: on, Run: r, Token: 1,
+func (s *eventLog) start(worker string, r workerapi.Run, change ...func(*jobsworker.Event)) {
+	e := jobsworker.Event{Event: jobsworker.EventRunStart, Worker: worker, Run: r, Token: 1,
 		Needs: jobs.Resources{MilliCPU: 200, MemoryMB: 32}}
 	for _, apply := range change {
 		apply(&e)
@@ -47,20 +47,20 @@
 	s.add(e)
 }
 
-func (s *eventLog) end(on string, r workerapi.Run, reason jobs.EndReason) {
-	s.endWith(on, r, reason, "")
+func (s *eventLog) end(worker string, r workerapi.Run, reason jobs.EndReason) {
+	s.endWith(worker, r, reason, "")
 }
 
-// endWith ends a run that has saved a checkpoint.
-func (s *eventLog) endWith(on string, r workerapi.Run, reason jobs.EndReason, checkpoint string) {
-	s.add(jobsworker.Event{Event: jobsworker.EventRunEnd, Worker: on, Run: r, Reason: string(reason),
+// endWith journals the end of a run that has saved a checkpoint.
+func (s *eventLog) endWith(worker string, r workerapi.Run, reason jobs.EndReason, checkpoint string) {
+	s.add(jobsworker.Event{Event: jobsworker.EventRunEnd, Worker: worker, Run: r, Reason: string(reason),
 		Checkpoint: checkpoint})
 }
 
-// good runs a task once.
-func (s *eventLog) good(on string, r workerapi.Run) {
-	s.start(on, r)
-	s.end(on, r, jobs.EndDone)
+// succeed journals a run that starts and ends done.
+func (s *eventLog) succeed(worker string, r workerapi.Run) {
+	s.start(worker, r)
+	s.end(worker, r, jobs.EndDone)
 }
 
 func job(wantState jobs.JobState, steps ...Step) Job {
@@ -80,79 +80,79 @@
 		name        string
 		job         Job
 		write       func(s *eventLog)
-		violation   string // part of the only violation; empty: there is none
+		violation   string // substring of the only violation; empty if none is expected
 		evacuations []Evacuation
 	}{
-		{"all is well", single, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "", nil},
-		{"a task is lost", two, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "1 of 2 tasks", nil},
+		{"a task runs once", single, func(s *eventLog) { s.succeed("a", runKey(0, 0, 1)) }, "", nil},
+		{"a task is lost", two, func(s *eventLog) { s.succeed("a", runKey(0, 0, 1)) }, "1 of 2 tasks", nil},
 		{"a task was stopped and not started again", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
 		}, "0 of 1 tasks", nil},
 		{"a task is done twice", single, func(s *eventLog) {
-			s.good("a", runKey(0, 0, 1))
-			s.good("b", runKey(0, 0, 2))
+			s.succeed("a", runKey(0, 0, 1))
+			s.succeed("b", runKey(0, 0, 2))
 		}, "was done", nil},
 		{"a task runs twice at once", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
-			s.good("b", runKey(0, 0, 2))
+			s.succeed("b", runKey(0, 0, 2))
 		}, "goes on at a", nil},
-		{"a run number comes again", single, func(s *eventLog) {
+		{"a run number is reused", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
-			s.good("b", runKey(0, 0, 1))
+			s.succeed("b", runKey(0, 0, 1))
 		}, "after run 1", nil},
 		{"a task is started again", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
-			s.good("b", runKey(0, 0, 2))
+			s.succeed("b", runKey(0, 0, 2))
 		}, "", nil},
-		{"a job that nobody submitted", single, func(s *eventLog) {
-			s.good("a", runKey(0, 0, 1))
+		{"a run of a job that was not accepted", single, func(s *eventLog) {
+			s.succeed("a", runKey(0, 0, 1))
 			s.start("a", workerapi.Run{Job: "k", Number: 1})
 		}, "no such job", nil},
 		{"an end without a run", single, func(s *eventLog) {
-			s.good("a", runKey(0, 0, 1))
+			s.succeed("a", runKey(0, 0, 1))
 			s.end("b", runKey(0, 0, 2), jobs.EndDone)
 		}, "did not run there", nil},
-		{"a lower token", two, func(s *eventLog) {
+		{"a start under a lower token", two, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1), func(e *jobsworker.Event) { e.Token = 2 })
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
-			s.good("a", runKey(0, 1, 1))
+			s.succeed("a", runKey(0, 1, 1))
 		}, "under token 1 after 2", nil},
 		{"steps in order", chain, func(s *eventLog) {
-			s.good("a", runKey(0, 0, 1))
-			s.good("b", runKey(1, 0, 1))
+			s.succeed("a", runKey(0, 0, 1))
+			s.succeed("b", runKey(1, 0, 1))
 		}, "", nil},
-		{"a step comes too early", chain, func(s *eventLog) {
+		{"a step starts before the previous one is done", chain, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
-			s.good("b", runKey(1, 0, 1))
+			s.succeed("b", runKey(1, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 		}, "0 of 1 tasks of step 0 done", nil},
-		{"a round comes too early", timed, func(s *eventLog) {
-			s.good("a", runKey(0, 0, 1))
+		{"a round starts before it is due", timed, func(s *eventLog) {
+			s.succeed("a", runKey(0, 0, 1))
 		}, "before its time", nil},
-		{"a round comes at its time", timed, func(s *eventLog) {
+		{"a round starts when it is due", timed, func(s *eventLog) {
 			s.at = time.Unix(1001, 0)
-			s.good("a", runKey(0, 0, 1))
+			s.succeed("a", runKey(0, 0, 1))
 		}, "", nil},
-		{"a label is not there", labelled, func(s *eventLog) { s.good("b", runKey(0, 0, 1)) }, "no label ssd", nil},
-		{"a label is there", labelled, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "", nil},
-		{"no capacity", two, func(s *eventLog) {
+		{"the worker lacks the label", labelled, func(s *eventLog) { s.succeed("b", runKey(0, 0, 1)) }, "no label ssd", nil},
+		{"the worker has the label", labelled, func(s *eventLog) { s.succeed("a", runKey(0, 0, 1)) }, "", nil},
+		{"the capacity is exceeded", two, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.start("a", runKey(0, 1, 1), func(e *jobsworker.Event) { e.Needs.MilliCPU = 201 })
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 			s.end("a", runKey(0, 1, 1), jobs.EndDone)
 		}, "MilliCPU:401", nil},
-		{"two on one worker", apart, func(s *eventLog) {
+		{"two tasks at once exceed the maximum per worker", apart, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.start("a", runKey(0, 1, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 			s.end("a", runKey(0, 1, 1), jobs.EndDone)
 		}, "2 tasks of the step run on a", nil},
-		{"one after the other on one worker", apart, func(s *eventLog) {
-			s.good("a", runKey(0, 0, 1))
-			s.good("a", runKey(0, 1, 1))
+		{"one task after the other within the maximum per worker", apart, func(s *eventLog) {
+			s.succeed("a", runKey(0, 0, 1))
+			s.succeed("a", runKey(0, 1, 1))
 		}, "", nil},
 		{"a whole gang", gang, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
@@ -160,33 +160,33 @@
 			s.end("a", runKey(0, 0, 1), jobs.EndDone)
 			s.end("b", runKey(0, 1, 1), jobs.EndStopped)
 		}, "", nil},
-		{"half a gang", gang, func(s *eventLog) { s.good("a", runKey(0, 0, 1)) }, "1 of 2 members", nil},
+		{"half a gang", gang, func(s *eventLog) { s.succeed("a", runKey(0, 0, 1)) }, "1 of 2 members", nil},
 		{"a start in an evacuated zone", single, func(s *eventLog) {
 			s.at = time.Unix(1003, 0)
-			s.good("a", runKey(0, 0, 1))
+			s.succeed("a", runKey(0, 0, 1))
 		}, "after zone z was evacuated",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"starts before and after", two, func(s *eventLog) {
+		{"starts before and after an evacuation", two, func(s *eventLog) {
 			s.at = time.Unix(1002, 0)
-			s.good("a", runKey(0, 0, 1))
+			s.succeed("a", runKey(0, 0, 1))
 			s.at = time.Unix(1004, 0)
-			s.good("a", runKey(0, 1, 1))
+			s.succeed("a", runKey(0, 1, 1))
 		}, "", []Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
 		{"a start in another zone", single, func(s *eventLog) {
 			s.at = time.Unix(1003, 0)
-			s.good("b", runKey(0, 0, 1))
+			s.succeed("b", runKey(0, 0, 1))
 		}, "",
 			[]Evacuation{{"z", time.Unix(1002, 0), time.Unix(1004, 0)}}},
-		{"progress is kept", saving, func(s *eventLog) {
+		{"a run resumes from the checkpoint", saving, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.endWith("a", runKey(0, 0, 1), jobs.EndStopped, "300")
 			s.start("b", runKey(0, 0, 2), func(e *jobsworker.Event) { e.Checkpoint = "300" })
 			s.end("b", runKey(0, 0, 2), jobs.EndDone)
 		}, "", nil},
-		{"progress is lost", saving, func(s *eventLog) {
+		{"a run ignores the checkpoint", saving, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.endWith("a", runKey(0, 0, 1), jobs.EndStopped, "300")
-			s.good("b", runKey(0, 0, 2))
+			s.succeed("b", runKey(0, 0, 2))
 		}, `goes on from ""`, nil},
 		{"too few attempts", job(jobs.Failed, smallStep(1)), func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
@@ -199,18 +199,18 @@
 			c.write(s)
 			report, err := Audit([]Job{c.job}, c.evacuations, s.events)
 			So(err, ShouldBeNil)
-			found := strings.Join(report.Violations, "\n")
+			violations := strings.Join(report.Violations, "\n")
 			if c.violation == "" {
-				So(c.name+": "+found, ShouldEqual, c.name+": ")
+				So(c.name+": "+violations, ShouldEqual, c.name+": ")
 				continue
 			}
-			So(c.name+": "+found, ShouldContainSubstring, c.violation)
+			So(c.name+": "+violations, ShouldContainSubstring, c.violation)
 			So(len(report.Violations), ShouldEqual, 1)
 		}
 	})
 	Convey("Runs, ends and refusals are counted", t, func() {
 		s := newEventLog()
-		s.good("a", runKey(0, 0, 1))
+		s.succeed("a", runKey(0, 0, 1))
 		s.add(jobsworker.Event{Event: jobsworker.EventRunRefuse, Worker: "a", Run: runKey(0, 0, 2), Reason: "room"})
 		report, err := Audit([]Job{single}, nil, s.events)
 		So(err, ShouldBeNil)
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -20,8 +20,8 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// client makes the calls of a scenario's clients and operators. A call that failed and may be repeated is sent again,
-// to the next node, until its ctx ends.
+// client sends the requests of a scenario's clients and operators. A request that failed with a retryable error is sent
+// again, to the next node, until its ctx ends.
 type client struct {
 	caller       *rpc.Client
 	clock        clock.Clock
@@ -29,9 +29,9 @@
 	controlAddrs []string // of the control planes
 }
 
-// newClient returns a client of the data planes at fronts and the control planes at control.
-func newClient(caller *rpc.Client, clock clock.Clock, fronts, control []string) *client {
-	return &client{caller: caller, clock: clock, frontAddrs: fronts, controlAddrs: control}
+// newClient returns a client of the data planes at frontAddrs and the control planes at controlAddrs.
+func newClient(caller *rpc.Client, clock clock.Clock, frontAddrs, controlAddrs []string) *client {
+	return &client{caller: caller, clock: clock, frontAddrs: frontAddrs, controlAddrs: controlAddrs}
 }
 
 // Submit submits a job.
@@ -51,12 +51,12 @@
 	return errs.Pass(err, "cancel %s", id)
 }
 
-// AwaitState polls a job until it is in a state. Failures: Conflict: it ended in another one, Timeout.
+// AwaitState polls a job until it is in a state. Failures: Conflict if it ended in another state, Timeout.
 func (c *client) AwaitState(ctx context.Context, id string, state jobs.JobState) error {
 	for {
 		view, err := c.Show(ctx, id)
 		if err != nil {
-			return errs.Pass(err, "until %s", state)
+			return errs.Pass(err, "await state %s", state)
 		}
 		if view.State == state {
 			return nil
@@ -70,13 +70,13 @@
 	}
 }
 
-// Config reads the configuration in force.
+// Config reads the current configuration.
 func (c *client) Config(ctx context.Context) (config jobsapi.Configuration, err error) {
 	err = c.call(ctx, c.controlAddrs, http.MethodGet, "/v2/config", nil, &config)
 	return config, errs.Pass(err, "configuration")
 }
 
-// Configure puts a whole configuration in force, or patches it.
+// Configure replaces the configuration (PUT) or patches it (PATCH).
 func (c *client) Configure(ctx context.Context, method string, order any) error {
 	return errs.Pass(c.call(ctx, c.controlAddrs, method, "/v2/config", order, nil), "configure")
 }
@@ -99,7 +99,7 @@
 	return topology, errs.Pass(err, "topology")
 }
 
-// call sends a call to each of addrs in turn until one answers for good.
+// call sends a request to addrs, round-robin, until one answers with success or an error that is not retryable.
 func (c *client) call(ctx context.Context, addrs []string, method, path string, body, answer any) error {
 	request := rpc.Request{Method: method, Path: path, Header: map[string]string{"Content-Type": "application/json"}}
 	if body != nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// attempt sends a call once. isRetryable reports whether it may be sent again.
+// attempt sends a request once. isRetryable reports whether it may be sent again.
 func (c *client) attempt(ctx context.Context, addr string, request rpc.Request,
 	answer any) (isRetryable bool, err error) {
 	response, err := c.caller.Do(ctx, addr, request, callTimeout)
@@ -130,14 +130,14 @@
 	if response.Status != http.StatusOK {
 		failure := errs.Error{Kind: errs.Internal}
 		if err := json.Unmarshal(response.Body, &failure); err != nil {
-			return false, errs.Wrap(err, errs.Malformed, "status %d of %s", response.Status, addr)
+			return false, errs.Wrap(err, errs.Malformed, "decode error of status %d from %s", response.Status, addr)
 		}
 		return errs.ReplyOf(failure.Kind).Again, errs.Field(failure.Kind, failure.Field, "%s", failure.Message)
 	}
 	if answer == nil {
 		return false, nil
 	}
-	return false, errs.Wrap(json.Unmarshal(response.Body, answer), errs.Malformed, "answer of %s", addr)
+	return false, errs.Wrap(json.Unmarshal(response.Body, answer), errs.Malformed, "decode answer of %s", addr)
 }
 
 // sleep waits before another attempt. It returns false if ctx ends first.
--- a/internal/testbed/endtoend/jobs.go
+++ b/internal/testbed/endtoend/jobs.go
@@ -19,14 +19,14 @@
 	Attempts = 3 // of a task in either queue
 )
 
-// configOrder is the body that puts a whole configuration in force.
+// configOrder is the body of a request that replaces the configuration.
 type configOrder struct {
 	Base     uint64            `json:"base"`
 	Queues   []jobsapi.Queue   `json:"queues"`
 	Services []jobsapi.Service `json:"services"`
 }
 
-// configuration returns the body that puts the scenario's configuration in force on top of version base.
+// configuration returns the body of a request that replaces version base with the scenario's configuration.
 func configuration(base uint64) any {
 	queue := func(name string, priority int) jobsapi.Queue {
 		return jobsapi.Queue{Name: name, Service: Service, Priority: priority, Attempts: Attempts, Stretch: 1,
@@ -36,25 +36,25 @@
 		Queues: []jobsapi.Queue{queue(Urgent, 0), queue(Normal, 5)}}
 }
 
-// Job is a job as a client writes it, with what the audit must know of it.
+// Job is a job as a client submits it, with its program and expected state for the audit.
 type Job struct {
 	ID        string             `json:"id"`
 	Queue     string             `json:"queue"`
 	Payload   string             `json:"payload"`
 	Times     *Times             `json:"times,omitempty"`
 	Steps     []Step             `json:"steps"`
-	WantState jobs.JobState      `json:"-"` // that it must come to
+	WantState jobs.JobState      `json:"-"` // expected at the end of the scenario
 	Program   jobsworker.Program `json:"-"`
 }
 
-// Times is when the rounds of a job are due.
+// Times is the schedule of the rounds of a job.
 type Times struct {
 	First  time.Time `json:"first"`
 	Every  string    `json:"every"`
 	Rounds int       `json:"rounds"`
 }
 
-// Step is a step of a job as a client writes it.
+// Step is a step of a job as a client submits it.
 type Step struct {
 	Tasks         int    `json:"tasks"`
 	MilliCPU      int    `json:"milli_cpu"`
@@ -96,7 +96,7 @@
 func newJob(id, queue string, wantState jobs.JobState, program jobsworker.Program, steps ...Step) Job {
 	payload, err := json.Marshal(program)
 	if err != nil {
-		panic("a program of numbers always encodes: " + err.Error())
+		panic("encode program: " + err.Error()) // a struct of numbers always encodes
 	}
 	return Job{ID: id, Queue: queue, Payload: string(payload), Steps: steps, WantState: wantState, Program: program}
 }
@@ -113,7 +113,7 @@
 	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, step)
 }
 
-// mixedJobs returns jobs of every kind that ends by itself; first is when the timed one is due.
+// mixedJobs returns a job of every kind that ends without being cancelled. The timed job is due at first.
 func mixedJobs(first time.Time) []Job {
 	quick, slow := jobsworker.Program{MS: 60}, jobsworker.Program{MS: 300}
 	failing := func(ms, fails int) jobsworker.Program { return jobsworker.Program{MS: ms, Fails: fails} }
@@ -139,7 +139,7 @@
 	}
 }
 
-// numberedJobs returns small jobs with IDs of a common prefix.
+// numberedJobs returns count small jobs with the IDs PREFIX-0, PREFIX-1, …
 func numberedJobs(prefix string, count int) []Job {
 	var numbered []Job
 	for i := range count {
--- a/internal/testbed/endtoend/plan.go
+++ b/internal/testbed/endtoend/plan.go
@@ -12,14 +12,14 @@
 	"crosstide/internal/testbed/fleet"
 )
 
-// Size is how many processes a scenario has.
+// Size is the number of processes of each kind in a scenario.
 type Size struct{ ControlPlanes, DataPlanes, Workers int }
 
-// Plan is the processes of a scenario and their addresses.
+// Plan lists the processes of a scenario and their addresses.
 type Plan struct {
 	Dir          string
-	FrontAddrs   []string          // where clients call: of the data planes
-	ControlAddrs []string          // where operators call: of the control planes
+	FrontAddrs   []string          // of the data planes, for clients
+	ControlAddrs []string          // of the control planes, for operators
 	NamesByAddr  map[string]string // of the control planes, by internal address
 	CommandLines []CommandLine
 	Shapes       []Shape
@@ -28,23 +28,23 @@
 // CommandLine is the command line of one process.
 type CommandLine struct {
 	Name string
-	Args []string // with the program first
+	Args []string // the program first
 }
 
-// zones is how many zones the processes are spread over.
+// zones is the number of zones that the processes are spread over.
 const zones = 2
 
-// minWorkers is how many workers the jobs of a scenario need.
+// minWorkers is the smallest number of workers that can run the jobs of a scenario.
 const minWorkers = 4
 
-// NewPlan writes the settings of a scenario's processes into dir, which must have none; bin is the programs' folder.
-// Failures: Invalid, Conflict, Disk, Unavailable.
+// NewPlan returns the plan of a scenario and writes the settings of its processes into dir, which must not contain
+// settings yet. bin is the directory of the programs. Failures: Invalid, Conflict, Disk, Unavailable.
 func NewPlan(dir, bin string, size Size) (Plan, error) {
 	if size.ControlPlanes < 1 || size.DataPlanes < 1 || size.Workers < minWorkers {
-		return Plan{}, errs.Field(errs.Invalid, "size", "one cplane, one dplane and four workers are needed at least")
+		return Plan{}, errs.Field(errs.Invalid, "size", "must be at least one cplane, one dplane and four workers")
 	}
 	if _, err := os.Stat(filepath.Join(dir, "settings")); err == nil {
-		return Plan{}, errs.New(errs.Conflict, "%s holds a drill already", dir)
+		return Plan{}, errs.New(errs.Conflict, "%s already contains the settings of a drill", dir)
 	}
 	ports, err := fleet.FreePorts(2*size.ControlPlanes + size.DataPlanes + size.Workers)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	for _, folder := range []string{"settings", "log", "journal", "data"} {
 		if err := os.MkdirAll(filepath.Join(dir, folder), 0o755); err != nil {
-			return Plan{}, errs.Wrap(err, errs.Disk, "folder %s", folder)
+			return Plan{}, errs.Wrap(err, errs.Disk, "create directory %s", folder)
 		}
 	}
 	plan := Plan{Dir: dir, NamesByAddr: map[string]string{}, Shapes: newShapes(size.Workers)}
@@ -63,16 +63,16 @@
 	return p.plan, errs.Pass(p.err, "plan")
 }
 
-// planner makes a plan.
+// planner builds a Plan.
 type planner struct {
 	plan      Plan
 	bin       string
 	ports     []int
 	coreAddrs []string // internal addresses of the control planes
-	err       error    // the first failure
+	err       error    // the first error
 }
 
-// nextAddr takes a free port.
+// nextAddr returns a loopback address with the next free port.
 func (p *planner) nextAddr() string {
 	port := p.ports[0]
 	p.ports = p.ports[1:]
@@ -81,7 +81,7 @@
 
 func zone(i int) string { return fmt.Sprintf("z%d", i%zones+1) }
 
-// nodeSettings is the settings file of a control or a data plane.
+// nodeSettings is the settings file of a control plane or a data plane.
 type nodeSettings struct {
 	Name      string        `json:"name"`
 	Zone      string        `json:"zone"`
@@ -106,14 +106,14 @@
 }
 
 // writeSettings writes a settings file and returns its path.
-func (p *planner) writeSettings(set nodeSettings) string {
-	path := filepath.Join(p.plan.Dir, "settings", set.Name+".json")
-	data, err := json.MarshalIndent(set, "", " ")
+func (p *planner) writeSettings(settings nodeSettings) string {
+	path := filepath.Join(p.plan.Dir, "settings", settings.Name+".json")
+	data, err := json.MarshalIndent(settings, "", " ")
 	if err == nil {
 		err = os.WriteFile(path, append(data, '\n'), 0o644)
 	}
 	if p.err == nil {
-		p.err = errs.Wrap(err, errs.Disk, "settings of %s", set.Name)
+		p.err = errs.Wrap(err, errs.Disk, "write settings of %s", settings.Name)
 	}
 	return path
 }
@@ -123,7 +123,7 @@
 	p.plan.CommandLines = append(p.plan.CommandLines, line)
 }
 
-// maxSeeds is how many members a control plane asks at its start.
+// maxSeeds limits the seeds of a control plane: the members that it contacts when it starts.
 const maxSeeds = 3
 
 func (p *planner) addControlPlanes(count int) {
--- a/internal/testbed/endtoend/processes.go
+++ b/internal/testbed/endtoend/processes.go
@@ -14,7 +14,7 @@
 	"crosstide/internal/routine"
 )
 
-// Processes are the processes of a plan that run. Its methods may be called from many goroutines.
+// Processes holds the running processes of a plan. It is safe for concurrent use.
 type Processes struct {
 	plan  Plan
 	group *routine.Group
@@ -25,10 +25,10 @@
 
 type process struct {
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when it has
+	exited chan struct{} // closed when the process has exited
 }
 
-// Start starts all processes of a plan; Stop ends them.
+// Start starts all processes of a plan. The caller must call Stop.
 func Start(plan Plan) (*Processes, error) {
 	p := &Processes{plan: plan, group: routine.New(context.Background()), running: map[string]*process{}}
 	for _, line := range plan.CommandLines {
@@ -40,25 +40,25 @@
 	return p, nil
 }
 
-// Launch starts the process of a name, which must not run. Failures: Unknown, Disk, Settings.
+// Launch starts the named process, which must not be running. Failures: Unknown, Disk, Settings.
 func (p *Processes) Launch(name string) error {
 	for _, line := range p.plan.CommandLines {
 		if line.Name == name {
 			return errs.Pass(p.start(line), "launch %s", name)
 		}
 	}
-	return errs.New(errs.Unknown, "no process %s", name)
+	return errs.New(errs.Unknown, "the plan has no process %s", name)
 }
 
 func (p *Processes) start(line CommandLine) error {
 	path := filepath.Join(p.plan.Dir, "log", line.Name+".log")
-	out, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	logFile, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
-		return errs.Wrap(err, errs.Disk, "log of %s", line.Name)
+		return errs.Wrap(err, errs.Disk, "open log of %s", line.Name)
 	}
-	defer out.Close() // the process has its own descriptor
+	defer logFile.Close() // the process has its own descriptor
 	proc := &process{cmd: exec.Command(line.Args[0], line.Args[1:]...), exited: make(chan struct{})}
-	proc.cmd.Stdout, proc.cmd.Stderr = out, out
+	proc.cmd.Stdout, proc.cmd.Stderr = logFile, logFile
 	if err := proc.cmd.Start(); err != nil {
 		return errs.Wrap(err, errs.Settings, "start %s", line.Args[0])
 	}
@@ -66,24 +66,24 @@
 	p.running[line.Name] = proc
 	p.mu.Unlock()
 	p.group.Go(func(context.Context) {
-		_ = proc.cmd.Wait() // its log says how it ended
+		_ = proc.cmd.Wait() // the process logs its own failures
 		close(proc.exited)
 	})
 	return nil
 }
 
-// Signal sends a signal to a process. Failure: Unknown: it does not run.
+// Signal sends a signal to a process. Failure: Unknown if it was not started or has exited.
 func (p *Processes) Signal(name string, signal syscall.Signal) error {
 	p.mu.Lock()
 	proc := p.running[name]
 	p.mu.Unlock()
 	if proc == nil {
-		return errs.New(errs.Unknown, "%s does not run", name)
+		return errs.New(errs.Unknown, "process %s was not started", name)
 	}
 	return errs.Wrap(proc.cmd.Process.Signal(signal), errs.Unknown, "signal %s", name)
 }
 
-// Wait waits until a process has ended. It returns false if ctx ends first.
+// Wait waits until a process has exited. It returns false if ctx ends first.
 func (p *Processes) Wait(ctx context.Context, name string) bool {
 	p.mu.Lock()
 	proc := p.running[name]
@@ -99,15 +99,15 @@
 	}
 }
 
-// stopGrace is how long processes have to end in order.
+// stopGrace is how long processes may take to exit after SIGTERM before they are killed.
 const stopGrace = 15 * time.Second
 
-// workerCommand is the subcommand of crosstide-testbed that workers run.
+// workerCommand is the subcommand of crosstide-testbed that runs a worker.
 const workerCommand = "worker"
 
 func (l CommandLine) isWorker() bool { return l.Args[1] == workerCommand }
 
-// Stop ends the workers, then all others, in order where they do, by force else.
+// Stop stops the workers, then all other processes. It kills those that have not exited within stopGrace.
 func (p *Processes) Stop() {
 	p.mu.Lock()
 	running := p.running
@@ -128,19 +128,19 @@
 	p.group.Stop()
 }
 
-// stopAll signals all processes to end, then waits for each.
+// stopAll sends SIGTERM to all processes, then waits for each.
 func stopAll(processes []*process) {
 	for _, proc := range processes {
-		_ = proc.cmd.Process.Signal(syscall.SIGTERM) // one that has ended already is fine
+		_ = proc.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has exited already
 	}
 	for _, proc := range processes {
 		proc.waitOrKill()
 	}
 }
 
-// waitOrKill waits for a process that was signalled to end, and kills it after the grace.
+// waitOrKill waits until a process that was sent SIGTERM has exited, and kills it after stopGrace.
 func (p *process) waitOrKill() {
-	timer := clock.Real{}.Set(stopGrace, func() { _ = p.cmd.Process.Kill() }) // one that has ended already is fine
+	timer := clock.Real{}.Set(stopGrace, func() { _ = p.cmd.Process.Kill() }) // fails if the process has exited already
 	<-p.exited
 	timer.Stop()
 }
--- a/internal/testbed/endtoend/processes_test.go
+++ b/internal/testbed/endtoend/processes_test.go
@@ -43,10 +43,10 @@
 }
 
 func TestProcesses(t *testing.T) {
-	Convey("Processes are started, signalled, waited for, started again and stopped", t, func() {
+	Convey("Processes are started, signalled, awaited, restarted and stopped", t, func() {
 		plan := Plan{Dir: t.TempDir(), CommandLines: []CommandLine{{Name: "a", Args: []string{"/bin/sleep", "1000"}}}}
 		_, err := Start(plan)
-		So(errs.KindOf(err), ShouldEqual, errs.Disk) // there is no folder for logs
+		So(errs.KindOf(err), ShouldEqual, errs.Disk) // the log directory is missing
 		plan, err = NewPlan(t.TempDir(), "/bin/of", Size{ControlPlanes: 1, DataPlanes: 1, Workers: 4})
 		So(err, ShouldBeNil)
 		plan.CommandLines = []CommandLine{{Name: "a", Args: []string{"/bin/sleep", "1000"}}}
@@ -59,8 +59,8 @@
 		So(processes.Signal("a", syscall.SIGKILL), ShouldBeNil)
 		So(processes.Wait(ctx, "a"), ShouldBeTrue)
 		So(processes.Launch("a"), ShouldBeNil)
-		elapsed, cancel := context.WithCancel(ctx)
+		ended, cancel := context.WithCancel(ctx)
 		cancel()
-		So(processes.Wait(elapsed, "a"), ShouldBeFalse)
+		So(processes.Wait(ended, "a"), ShouldBeFalse)
 	})
 }
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -28,15 +28,15 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// testSystem is a small system: one control plane, one data plane and workers, all in this process on loopback.
+// testSystem is one control plane, one data plane and workers, all in this process on loopback.
 type testSystem struct {
-	client  *client
-	workers []*jobsworker.Host
-	stop    []func() // of each worker
-	dir     string
-	group   *routine.Group
-	end     context.CancelFunc
-	caller  *rpc.Client
+	client      *client
+	workers     []*jobsworker.Host
+	stopWorkers []func() // of each worker
+	dir         string
+	group       *routine.Group
+	stopNodes   context.CancelFunc
+	caller      *rpc.Client
 }
 
 func local(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
@@ -44,14 +44,14 @@
 func startSystem(dir string, shapes []Shape) *testSystem {
 	ports, err := fleet.FreePorts(3)
 	So(err, ShouldBeNil)
-	inner, control, front := local(ports[0]), local(ports[1]), local(ports[2])
+	internalAddr, controlAddr, frontAddr := local(ports[0]), local(ports[1]), local(ports[2])
 	set := config.DefaultControlPlane()
-	set.Name, set.Zone, set.Region, set.Addr, set.Data = "c1", "z1", "r", inner, dir
-	set.Seeds, set.Members = []string{inner}, []config.Member{{ID: "c1", Addr: inner, Zone: "z1"}}
+	set.Name, set.Zone, set.Region, set.Addr, set.Data = "c1", "z1", "r", internalAddr, dir
+	set.Seeds, set.Members = []string{internalAddr}, []config.Member{{ID: "c1", Addr: internalAddr, Zone: "z1"}}
 	logger := log.NewNopLogger()
-	ctx, end := context.WithCancel(context.Background())
-	core, err := jobsnode.NewControlPlaneNode(ctx, jobsnode.ControlPlaneOptions{
-		Store: set, Scheduler: scheduler.Defaults(), ControlAddress: control, Logger: logger,
+	ctx, stopNodes := context.WithCancel(context.Background())
+	controlPlane, err := jobsnode.NewControlPlaneNode(ctx, jobsnode.ControlPlaneOptions{
+		Store: set, Scheduler: scheduler.Defaults(), ControlAddress: controlAddr, Logger: logger,
 		OpenStore: func(ctx context.Context, opt store.Options, _ log.Logger) (*store.Store, error) {
 			disk, err := storage.OSDisk(filepath.Join(dir, "store"))
 			if err != nil {
@@ -65,35 +65,35 @@
 		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
-	fronts, err := jobsnode.NewDataPlaneNode(jobsnode.DataPlaneOptions{
-		CoreAddresses: []string{inner}, Address: front, Logger: logger, Grace: time.Second,
+	dataPlane, err := jobsnode.NewDataPlaneNode(jobsnode.DataPlaneOptions{
+		CoreAddresses: []string{internalAddr}, Address: frontAddr, Logger: logger, Grace: time.Second,
 		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
-	s := &testSystem{dir: dir, group: routine.New(context.Background()), end: end,
+	s := &testSystem{dir: dir, group: routine.New(context.Background()), stopNodes: stopNodes,
 		caller: rpc.NewClient(rpc.ClientOptions{})}
-	s.client = newClient(s.caller, clock.Real{}, []string{front}, []string{control})
-	s.group.Go(func(context.Context) { _ = core.Run(ctx) })
-	s.group.Go(func(context.Context) { _ = fronts.Run(ctx, nil) })
+	s.client = newClient(s.caller, clock.Real{}, []string{frontAddr}, []string{controlAddr})
+	s.group.Go(func(context.Context) { _ = controlPlane.Run(ctx) })
+	s.group.Go(func(context.Context) { _ = dataPlane.Run(ctx, nil) })
 	for _, shape := range shapes {
-		s.startWorker(shape, control)
+		s.startWorker(shape, controlAddr)
 	}
 	return s
 }
 
-func (s *testSystem) startWorker(shape Shape, control string) {
-	settings := shape.settings("127.0.0.1:0", []string{control}, filepath.Join(s.dir, "journal", shape.Name+".jsonl"))
+func (s *testSystem) startWorker(shape Shape, controlAddr string) {
+	settings := shape.settings("127.0.0.1:0", []string{controlAddr}, filepath.Join(s.dir, "journal", shape.Name+".jsonl"))
 	settings.HeartbeatInterval, settings.Grace = 200*time.Millisecond, time.Second
 	host, err := jobsworker.Open(settings, clock.Real{}, log.NewNopLogger())
 	So(err, ShouldBeNil)
 	ctx, stop := context.WithCancel(context.Background())
 	s.group.Go(func(context.Context) { _ = host.Run(ctx) })
-	s.workers, s.stop = append(s.workers, host), append(s.stop, stop)
+	s.workers, s.stopWorkers = append(s.workers, host), append(s.stopWorkers, stop)
 }
 
-// untilStarted waits until so many runs of a job are in progress by the workers' own journals. The leader shows a task
-// as running once its handle is committed, which is before the start order arrives: a worker that drains in between
-// refuses the start.
+// untilStarted waits until the workers' journals show the given number of runs of a job in progress. The leader shows
+// a task as running once its handle is committed, which is before the start order arrives: a worker that drains in
+// between refuses the start.
 func (s *testSystem) untilStarted(ctx context.Context, id string, runs int) error {
 	for {
 		events, err := readEvents(s.dir)
@@ -109,7 +109,7 @@
 	}
 }
 
-// startedRuns counts a job's runs that have begun and not ended.
+// startedRuns returns how many runs of a job have begun and not ended.
 func startedRuns(events []jobsworker.Event, id string) int {
 	runs := 0
 	for _, e := range events {
@@ -124,7 +124,7 @@
 	return runs
 }
 
-// untilRunning waits until so many tasks of a job's first step run.
+// untilRunning waits until the leader shows the given number of tasks of a job's first step as running.
 func (s *testSystem) untilRunning(ctx context.Context, id string, tasks int) error {
 	for {
 		view, err := s.client.Show(ctx, id)
@@ -135,17 +135,17 @@
 			return nil
 		}
 		if !s.client.sleep(ctx) {
-			return errs.New(errs.Timeout, "%s does not run", id)
+			return errs.New(errs.Timeout, "%s does not run as many tasks as expected", id)
 		}
 	}
 }
 
-// close ends the workers, then the nodes, and audits.
+// close stops the workers, then the nodes, and audits the journals.
 func (s *testSystem) close(accepted []Job, evacuations ...Evacuation) Report {
-	for _, stop := range s.stop {
+	for _, stop := range s.stopWorkers {
 		stop()
 	}
-	s.end()
+	s.stopNodes()
 	s.group.Wait()
 	s.caller.Close()
 	events, err := readEvents(s.dir)
@@ -163,7 +163,7 @@
 		client := s.client
 
 		So(client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil)
-		So(client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil) // the same order again
+		So(client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil) // a repeated order succeeds
 		other := configuration(0).(configOrder)
 		other.Queues = other.Queues[:1]
 		So(errs.KindOf(client.Configure(ctx, http.MethodPut, other)), ShouldEqual, errs.Stale)
@@ -175,7 +175,7 @@
 		accepted := append(mixedJobs(clock.Real{}.Wall().Add(500*time.Millisecond)), longRunningJob())
 		for _, job := range accepted {
 			So(client.Submit(ctx, job), ShouldBeNil)
-			So(client.Submit(ctx, job), ShouldBeNil) // it is the same job
+			So(client.Submit(ctx, job), ShouldBeNil) // a repeated submission succeeds
 		}
 		changed := accepted[0]
 		changed.Payload = `{"ms":1}`
@@ -189,7 +189,7 @@
 		So(client.Cancel(ctx, "lasting"), ShouldBeNil)
 		So(client.AwaitState(ctx, "lasting", jobs.Cancelled), ShouldBeNil)
 
-		// An evacuated zone gets nothing; once it is restored, its label finds a worker again.
+		// No run starts in an evacuated zone; the job that requires the zone's label runs once the zone is restored.
 		So(client.Zone(ctx, "z1", "evacuate"), ShouldBeNil)
 		evacuation := Evacuation{Zone: "z1", From: clock.Real{}.Wall()}
 		labelled := newJob("waits", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10},
@@ -206,9 +206,8 @@
 
 		report := s.close(append(accepted, labelled, free), evacuation)
 		So(report.Violations, ShouldBeEmpty)
-		// A job is given up at its last attempt, exactly. A run that was to fail may be stopped before it does, when
-		// its start gets no answer in time; what runs on in its place then has a higher number. No run fails that was
-		// not to.
+		// A job fails exactly at its last attempt. A run that is programmed to fail may be stopped before it does, if
+		// its start is not answered in time; the run that replaces it has a higher number. No other run fails.
 		So(report.Failed["hopeless"], ShouldEqual, Attempts)
 		So(report.Failed["retried"], ShouldBeLessThan, Attempts)
 		So(report.Failed["gang-retried"], ShouldBeLessThanOrEqualTo, 3)
@@ -218,27 +217,27 @@
 }
 
 func TestSystem_preemptionAndDrain(t *testing.T) {
-	Convey("Work stopped for urgent work, or by a leaving worker, resumes from its checkpoint", t, func() {
+	Convey("Runs stopped by preemption or by a leaving worker resume from their checkpoints", t, func() {
 		s := startSystem(t.TempDir(), newShapes(2))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
 		So(s.client.Configure(ctx, http.MethodPut, configuration(0)), ShouldBeNil)
-		whole := Step{Tasks: 8, MilliCPU: 1000, MemoryMB: 32, Estimate: "10m", Checkpoints: true}
-		slow := newJob("slow", Normal, jobs.Cancelled, jobsworker.Program{MS: 600_000, SaveMS: 1}, whole)
+		step := Step{Tasks: 8, MilliCPU: 1000, MemoryMB: 32, Estimate: "10m", Checkpoints: true}
+		slow := newJob("slow", Normal, jobs.Cancelled, jobsworker.Program{MS: 600_000, SaveMS: 1}, step)
 		So(s.client.Submit(ctx, slow), ShouldBeNil)
-		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)
+		So(s.untilRunning(ctx, slow.ID, step.Tasks), ShouldBeNil)
 		urgent := newJob("urgent", Urgent, jobs.Succeeded, jobsworker.Program{MS: 10},
-			whole.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
+			step.with(func(s *Step) { s.Tasks, s.Checkpoints = 2, false }))
 		So(s.client.Submit(ctx, urgent), ShouldBeNil)
-		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // there was no capacity but that of the slow one
-		So(s.untilRunning(ctx, slow.ID, whole.Tasks), ShouldBeNil)           // and it has it back
-		So(s.untilStarted(ctx, slow.ID, whole.Tasks), ShouldBeNil)
-		s.stop[0]()
-		So(s.untilRunning(ctx, slow.ID, whole.Tasks/2), ShouldBeNil)
+		So(s.client.AwaitState(ctx, urgent.ID, jobs.Succeeded), ShouldBeNil) // it preempts the slow job
+		So(s.untilRunning(ctx, slow.ID, step.Tasks), ShouldBeNil)            // and the slow job resumes
+		So(s.untilStarted(ctx, slow.ID, step.Tasks), ShouldBeNil)
+		s.stopWorkers[0]()
+		So(s.untilRunning(ctx, slow.ID, step.Tasks/2), ShouldBeNil)
 		So(s.client.Cancel(ctx, slow.ID), ShouldBeNil)
 		report := s.close([]Job{slow, urgent})
 		So(report.Violations, ShouldBeEmpty)
-		So(report.Ends[jobs.EndStopped], ShouldBeGreaterThanOrEqualTo, whole.Tasks+2)
+		So(report.Ends[jobs.EndStopped], ShouldBeGreaterThanOrEqualTo, step.Tasks+2)
 		So(report.Ends[jobs.EndDone], ShouldEqual, 2)
 	})
 }
--- a/internal/testbed/endtoend/scenario.go
+++ b/internal/testbed/endtoend/scenario.go
@@ -17,22 +17,22 @@
 const (
 	scenarioTimeout = 2 * time.Minute
 	awaitTimeout    = 30 * time.Second
-	timedDelay      = 3 * time.Second // the timed job is due so long after it is submitted
-	failoverJobs    = 10              // submitted while there is no leader
+	timedDelay      = 3 * time.Second // from the submission of the timed job until it is due
+	failoverJobs    = 10              // submitted after the leader was killed
 	evacuatedZone   = "z2"
 	evacuationJobs  = 20 // submitted while the zone is evacuated
 )
 
-// Result is what a scenario measured.
+// Result is the outcome of a scenario.
 type Result struct {
 	Report
-	Accepted   int           // jobs
+	Accepted   int           // accepted jobs
 	AcceptedIn time.Duration // from the kill of the leader to the first job accepted after it
 }
 
-// Run plays the scenario on processes that have just been started: a mix of jobs, one worker drained, the leader
-// killed with jobs submitted meanwhile, a zone evacuated; then it waits for every job's state, ends the processes and
-// audits. Its progress is written to out.
+// Run runs the scenario on processes that have just been started: it submits a mix of jobs, drains one worker, kills
+// the leader and submits jobs during the failover, and evacuates a zone. Then it waits until every job is in its
+// expected state, stops the processes and audits their journals. It writes its progress to out.
 func Run(ctx context.Context, plan Plan, processes *Processes, out io.Writer) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
@@ -40,7 +40,7 @@
 	defer caller.Close()
 	s := &scenario{plan: plan, processes: processes, out: out, clock: clock.Real{},
 		client: newClient(caller, clock.Real{}, plan.FrontAddrs, plan.ControlAddrs)}
-	s.begin = s.clock.Now()
+	s.startedAt = s.clock.Now()
 	for _, phase := range []func(context.Context) error{
 		s.prepare, s.submitJobs, s.drainWorker, s.killLeader, s.evacuate, s.awaitEnds,
 	} {
@@ -65,7 +65,7 @@
 	client      *client
 	clock       clock.Clock
 	out         io.Writer
-	begin       time.Duration
+	startedAt   time.Duration
 	accepted    []Job
 	evacuations []Evacuation
 	result      Result
@@ -73,36 +73,37 @@
 
 // logf writes a line of progress.
 func (s *scenario) logf(format string, args ...any) {
-	elapsed := (s.clock.Now() - s.begin).Seconds()
+	elapsed := (s.clock.Now() - s.startedAt).Seconds()
 	fmt.Fprintf(s.out, "%6.2fs  %s\n", elapsed, fmt.Sprintf(format, args...))
 }
 
-// await polls until condition is true, and logs what. Failures: Timeout, those of condition.
-func (s *scenario) await(ctx context.Context, what string, condition func(ctx context.Context) (bool, error)) error {
+// await polls until condition returns true, then logs description. Failures: Timeout, those of condition.
+func (s *scenario) await(ctx context.Context, description string,
+	condition func(ctx context.Context) (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	for {
 		ok, err := condition(ctx)
 		if err != nil {
-			return errs.Pass(err, "%s", what)
+			return errs.Pass(err, "%s", description)
 		}
 		if ok {
-			s.logf("%s", what)
+			s.logf("%s", description)
 			return nil
 		}
 		if !s.client.sleep(ctx) {
-			return errs.New(errs.Timeout, "not in %s: %s", awaitTimeout, what)
+			return errs.New(errs.Timeout, "condition not met within %s: %s", awaitTimeout, description)
 		}
 	}
 }
 
-// prepare puts the configuration in force, which takes a leader, and waits for all workers.
+// prepare applies the configuration, which requires a leader, and waits until all workers are registered.
 func (s *scenario) prepare(ctx context.Context) error {
 	if err := s.client.Configure(ctx, http.MethodPut, configuration(0)); err != nil {
 		return errs.Pass(err, "settle")
 	}
-	s.logf("the configuration is in force")
-	return errs.Pass(s.await(ctx, "all workers are known", func(ctx context.Context) (bool, error) {
+	s.logf("configuration applied")
+	return errs.Pass(s.await(ctx, "all workers registered", func(ctx context.Context) (bool, error) {
 		workers, err := s.client.Workers(ctx)
 		return len(workers.Workers) == len(s.plan.Shapes), errs.Pass(err, "workers")
 	}), "settle")
@@ -111,19 +112,19 @@
 func (s *scenario) submit(ctx context.Context, list ...Job) error {
 	for _, job := range list {
 		if err := s.client.Submit(ctx, job); err != nil {
-			return errs.Pass(err, "hand in %s", job.ID)
+			return errs.Pass(err, "submit job %s", job.ID)
 		}
 		s.accepted = append(s.accepted, job)
 	}
 	return nil
 }
 
-// submitJobs fills the workers with work of low priority and submits a mix of jobs.
+// submitJobs fills the workers with a low-priority job and submits a mix of jobs.
 func (s *scenario) submitJobs(ctx context.Context) error {
 	if err := s.submit(ctx, bulkJob(len(s.plan.Shapes))); err != nil {
 		return errs.Pass(err, "bulk")
 	}
-	err := s.await(ctx, "low-priority work runs", func(ctx context.Context) (bool, error) {
+	err := s.await(ctx, "low-priority job running", func(ctx context.Context) (bool, error) {
 		view, err := s.client.Show(ctx, "bulk")
 		return len(view.Steps) > 0 && view.Steps[0].Running > 0, errs.Pass(err, "bulk")
 	})
@@ -133,17 +134,17 @@
 	if err := s.submit(ctx, append(mixedJobs(s.clock.Wall().Add(timedDelay)), longRunningJob())...); err != nil {
 		return errs.Pass(err, "mix")
 	}
-	s.logf("%d jobs are accepted", len(s.accepted))
+	s.logf("%d jobs accepted", len(s.accepted))
 	return nil
 }
 
-// drainWorker signals the last worker to leave and waits until the leader has seen it drain.
+// drainWorker signals the last worker to leave and waits until the leader reports a worker as draining or gone.
 func (s *scenario) drainWorker(ctx context.Context) error {
 	name := s.plan.Shapes[len(s.plan.Shapes)-1].Name
 	if err := s.processes.Signal(name, syscall.SIGTERM); err != nil {
 		return errs.Pass(err, "leave")
 	}
-	return errs.Pass(s.await(ctx, name+" drains", func(ctx context.Context) (bool, error) {
+	return errs.Pass(s.await(ctx, name+" draining", func(ctx context.Context) (bool, error) {
 		workers, err := s.client.Workers(ctx)
 		draining := 0
 		for _, w := range workers.Workers {
@@ -155,7 +156,7 @@
 	}), "leave")
 }
 
-// killLeader kills the leader, submits jobs at once, and starts the node again.
+// killLeader kills the leader, submits jobs at once, and restarts the node.
 func (s *scenario) killLeader(ctx context.Context) error {
 	topology, err := s.client.Topology(ctx)
 	if err != nil {
@@ -163,13 +164,13 @@
 	}
 	leader := s.plan.NamesByAddr[topology.Leader]
 	if leader == "" {
-		return errs.New(errs.Unavailable, "no leader is told, %q", topology.Leader)
+		return errs.New(errs.Unavailable, "leader address %q is not that of a control plane", topology.Leader)
 	}
 	killed := s.clock.Now()
 	if err := s.processes.Signal(leader, syscall.SIGKILL); err != nil {
 		return errs.Pass(err, "leader")
 	}
-	s.logf("%s, which led, is killed", leader)
+	s.logf("leader %s killed", leader)
 	for i, job := range numberedJobs("later", failoverJobs) {
 		if err := s.submit(ctx, job); err != nil {
 			return errs.Pass(err, "after the kill")
@@ -178,37 +179,37 @@
 			s.result.AcceptedIn = s.clock.Now() - killed
 		}
 	}
-	s.logf("%d jobs more are accepted, the first %s after the kill", failoverJobs,
+	s.logf("%d more jobs accepted, the first %s after the kill", failoverJobs,
 		s.result.AcceptedIn.Round(time.Millisecond))
 	if !s.processes.Wait(ctx, leader) {
-		return errs.New(errs.Timeout, "%s does not end", leader)
+		return errs.New(errs.Timeout, "%s did not exit after the kill", leader)
 	}
-	return errs.Pass(s.processes.Launch(leader), "start %s again", leader)
+	return errs.Pass(s.processes.Launch(leader), "restart %s", leader)
 }
 
-// evacuate evacuates a zone, submits jobs that run elsewhere meanwhile, and restores it. What runs in the zone ends
-// there.
+// evacuate evacuates a zone, submits jobs, waits until they have succeeded in other zones, and restores the zone. Runs
+// that were in progress in the zone end there.
 func (s *scenario) evacuate(ctx context.Context) error {
 	if err := s.client.Zone(ctx, evacuatedZone, "evacuate"); err != nil {
 		return errs.Pass(err, "evacuate")
 	}
 	evacuation := Evacuation{Zone: evacuatedZone, From: s.clock.Wall()}
-	meanwhile := numberedJobs("closed", evacuationJobs)
-	if err := s.submit(ctx, meanwhile...); err != nil {
+	submitted := numberedJobs("closed", evacuationJobs)
+	if err := s.submit(ctx, submitted...); err != nil {
 		return errs.Pass(err, "evacuate")
 	}
-	for _, job := range meanwhile {
+	for _, job := range submitted {
 		if err := s.client.AwaitState(ctx, job.ID, job.WantState); err != nil {
 			return errs.Pass(err, "evacuate")
 		}
 	}
 	evacuation.To = s.clock.Wall()
 	s.evacuations = append(s.evacuations, evacuation)
-	s.logf("%d jobs ran while %s was closed", evacuationJobs, evacuatedZone)
+	s.logf("%d jobs succeeded while zone %s was evacuated", evacuationJobs, evacuatedZone)
 	return errs.Pass(s.client.Zone(ctx, evacuatedZone, "restore"), "restore")
 }
 
-// awaitEnds waits until every job is in the state that it must come to.
+// awaitEnds waits until every job is in its expected state. It cancels the jobs that are expected to be cancelled.
 func (s *scenario) awaitEnds(ctx context.Context) error {
 	for _, job := range s.accepted {
 		if job.WantState == jobs.Cancelled {
@@ -223,6 +224,6 @@
 			return errs.Pass(err, "finish")
 		}
 	}
-	s.logf("all %d jobs have come to their states", len(s.accepted))
+	s.logf("all %d jobs reached their expected states", len(s.accepted))
 	return nil
 }
--- a/internal/testbed/endtoend/workers.go
+++ b/internal/testbed/endtoend/workers.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// Shape is one worker of a scenario.
+// Shape describes one worker of a scenario.
 type Shape struct {
 	Name     string
 	Zone     string
@@ -19,8 +19,8 @@
 	Capacity jobs.Resources
 }
 
-// newShapes returns count workers: two zones and two racks in turn, every other one with a label, the first two with
-// GPUs.
+// newShapes returns the shapes of count workers. They alternate between two zones and two racks; every other pair has
+// the label ssd, and the first two have GPUs. Every worker has a label of its zone.
 func newShapes(count int) []Shape {
 	var shapes []Shape
 	for i := range count {
@@ -38,10 +38,10 @@
 	return shapes
 }
 
-// settings returns the settings of the shape's process.
-func (s Shape) settings(address string, core []string, journal string) jobsworker.Settings {
+// settings returns the settings of the worker's process.
+func (s Shape) settings(address string, controlAddrs []string, journalPath string) jobsworker.Settings {
 	return jobsworker.Settings{Name: s.Name, Address: address, Service: Service, Zone: s.Zone, Rack: s.Rack,
-		Labels: s.Labels, Capacity: s.Capacity, ControlAddrs: core, Journal: journal}
+		Labels: s.Labels, Capacity: s.Capacity, ControlAddrs: controlAddrs, Journal: journalPath}
 }
 
 // readEvents reads the journals of the workers in DIR/journal.
@@ -53,7 +53,7 @@
 		}
 		var e jobsworker.Event
 		if err := json.Unmarshal(line.Raw, &e); err != nil {
-			return nil, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
+			return nil, errs.Wrap(err, errs.Damaged, "decode journal %s line %d", line.File, line.Number)
 		}
 		events = append(events, e)
 	}
