--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -1,9 +1,9 @@
-// Package policyworker is the testbed's stand-in for a worker of the policy deployment. It keeps the contract of
-// docs/ops/worker-contract.md. It starts no real work: a run is a program, a duration and an outcome.
+// Package policyworker is the testbed's stand-in for a worker of the policy deployment. It implements the contract of
+// docs/ops/worker-contract.md. It starts no real work: a run only has a duration and an outcome.
 //
-// Core is a step function: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions its results. Host
-// is the process around one or many cores, on a real clock; the simulator internal/testbed/policysim drives the same
-// Core on a virtual one. Begin with Core.process and Core.RenewLease.
+// Core is a step function: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions its results. Host runs one or
+// many cores in a process on a real clock; the simulator internal/testbed/policysim drives the same Core on a virtual
+// one. Start reading at Core.process and Core.RenewLease.
 package policyworker
 
 import (
@@ -18,11 +18,11 @@
 
 // Kinds of workers.
 const (
-	KindObey  = "obey"  // starts whatever it is ordered to
-	KindCheck = "check" // refuses late, old and unfitting orders
+	KindObey  = "obey"  // carries out every start order
+	KindCheck = "check" // refuses start orders that are late, outdated or do not fit
 )
 
-// Never is Actions.WakeAt of a core that waits for nothing but calls.
+// Never is the Actions.WakeAt of a core that only waits for calls.
 const Never = time.Duration(math.MaxInt64)
 
 // Traits are the properties of a worker that stay the same for an incarnation.
@@ -33,13 +33,13 @@
 	Labels            map[string]string
 	Cores             int
 	GPUs              int
-	Grace             time.Duration // of a worker that leaves, for its runs to end and its ends to be acknowledged
-	FailProbability   float64       // that a run fails
-	SlowFactor        float64       // runs take up to this many times as long; at most 1: as long as they say
-	Seed              uint64        // of both; what a run meets depends on its ID, not on the order of calls
+	Grace             time.Duration // how long a leaving worker waits for its runs to end and for acknowledgements
+	FailProbability   float64       // of each run
+	SlowFactor        float64       // runs last up to this many times their duration; 1 or less has no effect
+	Seed              uint64        // of both; a run's outcome depends on its ID, not on call order
 }
 
-// Reply answers the call that came with Tag.
+// Reply is the answer to the call with Tag.
 type Reply struct {
 	Tag    uint64
 	Answer internalapi.LeaseAnswer
@@ -50,12 +50,12 @@
 type Actions struct {
 	Journal []journal.Entry // At is not set
 	Replies []Reply         // a call without a reply in its own step is a long poll
-	WakeAt  time.Duration   // the reading of the worker's clock to call Tick at, or Never
+	WakeAt  time.Duration   // the time on the worker's clock at which to call Tick, or Never
 	Exit    bool            // the process is to exit
 }
 
 // Core is the step function of one incarnation of a worker: it has no clock, socket or goroutine. Every input carries
-// the time on the worker's clock, which starts at 0 with the incarnation, counts suspension and never goes back.
+// the time on the worker's clock, which starts at 0 with the incarnation, includes suspension and never goes back.
 // It is not safe for concurrent use; its owner is a driver of Host, or the simulator. Example:
 //
 //	core := policyworker.NewCore(policyworker.Traits{Name: "m1", Incarnation: "b1", Kind: policyworker.KindCheck,
@@ -66,25 +66,25 @@
 //	// actions.Replies[0].Tag is 1
 type Core struct {
 	traits         Traits
-	epoch          uint64               // newest seen
-	highestRunID   uint64               // seen in a start order
-	runIDFloor     uint64               // no run ID up to it may start any more; it only grows
+	epoch          uint64               // highest seen in a call
+	highestRunID   uint64               // highest seen in a start order
+	runIDFloor     uint64               // run IDs up to it must not start; never decreases
 	runs           []*run               // in the order they started
-	unacknowledged []internalapi.RunEnd // ends that are listed until acknowledged; one for each run ID
-	usedCores      int                  // of runs
-	usedGPUs       int                  // of runs
+	unacknowledged []internalapi.RunEnd // ends that every answer lists until acknowledged; one per run ID
+	usedCores      int                  // by runs
+	usedGPUs       int                  // by runs
 	isDraining     bool
-	leaveDeadline  time.Duration // when a worker that leaves gives up waiting; Never: it does not leave
+	leaveDeadline  time.Duration // when a leaving worker stops its runs and exits; Never if it is not leaving
 	hasExited      bool
 
-	hasUpdate   bool      // something to report since the last answer
-	pendingPoll *longPoll // the call that waits for an update; nil: none
+	hasUpdate   bool      // there is something to report since the last answer that was delivered
+	pendingPoll *longPoll // the call that waits for an update, or nil
 
-	now     time.Duration // of the present step
-	actions *Actions      // of the present step, being made
+	now     time.Duration // of the current step
+	actions *Actions      // of the current step, being collected
 }
 
-// longPoll is a call that is answered when there is an update, at its deadline or when a newer call comes.
+// longPoll is a call that is answered on an update, at its deadline or when a newer call arrives.
 type longPoll struct {
 	tag      uint64
 	call     uint64
@@ -99,8 +99,8 @@
 	return c.process(0, func() { c.record(journal.NewIncarnation, nil, c.traits.Kind) })
 }
 
-// RenewLease carries out a lease call; tag names it in Actions.Replies, of this step or of a later one. A pending long
-// poll is answered first, with what was known before.
+// RenewLease carries out a lease call; tag identifies its reply in the Actions of this step or of a later one. A
+// pending long poll is answered first, with the state before the call.
 func (c *Core) RenewLease(now time.Duration, tag uint64, call internalapi.LeaseCall) Actions {
 	return c.process(now, func() {
 		c.answerPendingPoll()
@@ -111,8 +111,8 @@
 		c.observe(call)
 		c.renew(call)
 		for _, s := range call.Stops {
-			isMeant := func(r *run) bool { return r.order.RunID == s.RunID }
-			c.endRuns(isMeant, journal.Stop, internalapi.OutcomeStopped, s.Why)
+			hasRunID := func(r *run) bool { return r.order.RunID == s.RunID }
+			c.endRuns(hasRunID, journal.Stop, internalapi.OutcomeStopped, s.Why)
 		}
 		var refused []internalapi.StartRefusal
 		for _, order := range call.Starts {
@@ -120,7 +120,7 @@
 				refused = append(refused, internalapi.StartRefusal{RunID: order.RunID, Why: reason})
 			}
 		}
-		c.endDueRuns() // runs that end at once are reported at once
+		c.endDueRuns() // a run of no duration is reported by this answer
 		if call.Wait > 0 && len(call.Starts) == 0 && !c.hasUpdate {
 			c.pendingPoll = &longPoll{tag: tag, call: call.Call, deadline: addSaturating(c.now, call.Wait)}
 			return
@@ -129,19 +129,19 @@
 	})
 }
 
-// checkCall rejects a call to another worker and, of a checking worker, one of an older epoch.
+// checkCall rejects a call to another worker. A checking worker also rejects a call of an older epoch.
 func (c *Core) checkCall(call internalapi.LeaseCall) error {
 	if call.Worker != c.traits.Name {
 		return errs.Field(errs.Unknown, "minion", "this is %s", c.traits.Name)
 	}
 	if c.traits.Kind == KindCheck && call.Epoch < c.epoch {
-		return errs.Field(errs.Stale, "epoch", "epoch %d is over, %d was seen", call.Epoch, c.epoch)
+		return errs.Field(errs.Stale, "epoch", "epoch %d is older than epoch %d", call.Epoch, c.epoch)
 	}
 	return nil
 }
 
 // observe applies the epoch, the floor and the acknowledgements of a call. A call with a new epoch or floor, or for
-// another incarnation, is answered at once: it is no long poll.
+// another incarnation, is answered at once instead of becoming a long poll.
 func (c *Core) observe(call internalapi.LeaseCall) {
 	isOtherIncarnation := call.Incarnation != "" && call.Incarnation != c.traits.Incarnation
 	if call.Epoch > c.epoch || call.Floor > c.runIDFloor || isOtherIncarnation {
@@ -153,8 +153,8 @@
 	})
 }
 
-// renew extends the leases that a call names. The new deadline is a reading of the clock of the incarnation that the
-// caller knows: one of another incarnation's clock extends nothing.
+// renew extends the leases of the runs that a call lists. RenewUntil is a time on the clock of the incarnation that the
+// call names, so a call that names another incarnation extends nothing.
 func (c *Core) renew(call internalapi.LeaseCall) {
 	if call.Incarnation != c.traits.Incarnation && call.Incarnation != "" {
 		return
@@ -166,11 +166,11 @@
 	}
 }
 
-// Tick does what is due by now: it ends runs, expires leases and answers a long poll.
+// Tick performs the transitions that are due by now: it ends runs, expires leases and answers a long poll.
 func (c *Core) Tick(now time.Duration) Actions { return c.process(now, func() {}) }
 
-// Drain switches draining. With leave it is final: the core leaves once nothing runs and all ends are
-// acknowledged, or when the grace is over; what still runs then is stopped.
+// Drain turns draining on or off. With leave it is final: the core exits once no run is in progress and all ends are
+// acknowledged, or when the grace has elapsed, which stops the remaining runs.
 func (c *Core) Drain(now time.Duration, on, leave bool) Actions {
 	return c.process(now, func() {
 		on = on || leave || c.leaveDeadline != Never
@@ -184,7 +184,7 @@
 	})
 }
 
-// AnswerLost reports that the answer to the call tagged tag did not get out: what it reported is an update again.
+// AnswerLost reports that the answer to the call with tag was not delivered. The next call is answered at once.
 func (c *Core) AnswerLost(tag uint64) {
 	c.hasUpdate = true
 	if c.pendingPoll != nil && c.pendingPoll.tag == tag {
@@ -192,14 +192,14 @@
 	}
 }
 
-// process executes a step: first what is due, then the input, then what follows from both.
+// process executes a step: first the transitions that are due, then input, then a leave and the pending poll's answer.
 func (c *Core) process(now time.Duration, input func()) Actions {
 	c.now, c.actions = max(c.now, now), &Actions{WakeAt: Never}
 	c.endDueRuns()
 	input()
 	if c.leaveDeadline <= c.now {
-		anyRun := func(*run) bool { return true }
-		c.endRuns(anyRun, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
+		allRuns := func(*run) bool { return true }
+		c.endRuns(allRuns, journal.Stop, internalapi.OutcomeStopped, "the minion leaves")
 	}
 	isIdle := len(c.runs) == 0 && len(c.unacknowledged) == 0
 	c.hasExited = c.hasExited || c.leaveDeadline <= c.now || c.leaveDeadline != Never && isIdle
@@ -213,7 +213,7 @@
 	return *c.actions
 }
 
-// nextDeadline returns when something is due without a call, or Never.
+// nextDeadline returns when the next transition is due without a call, or Never.
 func (c *Core) nextDeadline() time.Duration {
 	next := c.leaveDeadline
 	for _, r := range c.runs {
@@ -236,7 +236,7 @@
 	c.actions.Replies = append(c.actions.Replies, Reply{Tag: tag, Err: err})
 }
 
-// replyAnswer answers a call with all runs and all ends. A listed end proves that nothing runs under its run ID.
+// replyAnswer answers a call with all runs and all ends. A listed end proves that no run with its ID is in progress.
 func (c *Core) replyAnswer(tag, call uint64, refused []internalapi.StartRefusal) {
 	var running []uint64
 	for _, r := range c.runs {
@@ -255,7 +255,7 @@
 	}})
 }
 
-// record journals an event about r, nil for the worker itself.
+// record journals an event of run r, or of the worker itself if r is nil.
 func (c *Core) record(event string, r *run, reason string) {
 	t := &c.traits
 	e := journal.Entry{Event: event, Worker: t.Name, Incarnation: t.Incarnation, Zone: t.Zone, Clock: int64(c.now),
@@ -275,7 +275,7 @@
 	c.actions.Journal = append(c.actions.Journal, e)
 }
 
-// addSaturating returns a+b, at most Never.
+// addSaturating returns a+b, or Never on overflow.
 func addSaturating(a, b time.Duration) time.Duration {
 	if b > Never-a {
 		return Never
--- a/internal/testbed/policyworker/driver.go
+++ b/internal/testbed/policyworker/driver.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	announceInterval      = 3 * time.Second // unless the answer names another one
+	announceInterval      = 3 * time.Second // unless the answer contains another one
 	announceRetryInterval = announceInterval / 6
 	announceTimeout       = 2 * time.Second
 )
@@ -26,15 +26,15 @@
 type driver struct {
 	host      *Host
 	traits    Traits
-	startedAt time.Duration // zero of the worker's clock, on the host's
+	startedAt time.Duration // time on the host's clock at which the worker's clock is 0
 	writer    *journal.Writer
 
-	mu       sync.Mutex // guards all below; writer is used under it, too
+	mu       sync.Mutex // guards the fields below and the use of writer
 	core     *Core
 	rng      *rand.Rand            // of the injected faults
-	lastTag  uint64                // of a call
-	waiting  map[uint64]chan Reply // by tag: calls without an answer; each channel has capacity for one
-	timer    clock.Stopper         // for Core.Tick; nil: none is set
+	lastTag  uint64                // of the newest call
+	waiting  map[uint64]chan Reply // unanswered calls, by tag; each channel has a capacity of 1
+	timer    clock.Stopper         // calls Core.Tick; nil if none is set
 	isClosed bool
 }
 
@@ -44,7 +44,7 @@
 		rng:     rand.New(rand.NewPCG(h.settings.Seed, xxhash.Sum64String(traits.Name)))}
 }
 
-// step passes an input to the core at the present time and carries out its actions.
+// step passes an input to the core at the current time and carries out its actions.
 func (d *driver) step(input func(now time.Duration) Actions) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,13 +54,14 @@
 	d.executeLocked(input(d.host.clock.Now() - d.startedAt))
 }
 
-// executeLocked carries out actions: the journal first, so that nothing is answered that is not in it. d.mu is held.
+// executeLocked carries out actions. It writes the journal first, so that no answer reports an event that is not
+// journaled. The caller holds d.mu.
 func (d *driver) executeLocked(actions Actions) {
 	for _, e := range actions.Journal {
 		e.At = d.host.clock.Wall().UnixNano()
 		if err := d.writer.Append(e); err != nil {
 			d.closeLocked()
-			d.host.workerLeft(errs.Pass(err, "minion %s has lost its witness", d.traits.Name))
+			d.host.workerLeft(errs.Pass(err, "write the journal of minion %s", d.traits.Name))
 			return
 		}
 	}
@@ -85,7 +86,7 @@
 	}
 }
 
-// closeLocked fails all pending calls; no input reaches the core any more. d.mu is held.
+// closeLocked fails all pending calls and makes step discard all further inputs. The caller holds d.mu.
 func (d *driver) closeLocked() {
 	d.isClosed = true
 	if d.timer != nil {
@@ -105,12 +106,12 @@
 	}
 }
 
-// renewLease passes a call to the core, perhaps late, and waits for its answer. isLost reports that the answer is to be
-// dropped.
+// renewLease passes a call to the core, after an injected delay if one was drawn, and waits for the answer. isLost
+// reports that the caller must drop the answer.
 func (d *driver) renewLease(ctx context.Context, call internalapi.LeaseCall) (answer internalapi.LeaseAnswer,
 	isLost bool, err error) {
 	delay, isLost := d.drawFaults(len(call.Starts) > 0)
-	if delay > 0 { // not of ctx: the call is carried out even if nobody waits for the answer any more
+	if delay > 0 { // independent of ctx: the call is carried out even if its caller has gone
 		clock.Sleep(d.host.group.Context().Done(), d.host.clock, delay)
 	}
 	wait := make(chan Reply, 1)
@@ -128,7 +129,7 @@
 	case r := <-wait:
 		answer, err = r.Answer, r.Err
 	case <-ctx.Done():
-		isLost, err = true, errs.Wrap(ctx.Err(), errs.Stopped, "the call is over")
+		isLost, err = true, errs.Wrap(ctx.Err(), errs.Stopped, "the caller has gone")
 	}
 	if isLost {
 		d.mu.Lock()
@@ -139,7 +140,7 @@
 	return answer, isLost, err
 }
 
-// drawFaults draws how late a call is carried out and whether its answer is lost.
+// drawFaults draws the delay of a call and whether its answer is lost.
 func (d *driver) drawFaults(hasStarts bool) (delay time.Duration, isLost bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -152,7 +153,7 @@
 	return delay, isLost
 }
 
-// announceLoop announces the worker's address to a data plane, after a failure to the next one, until ctx ends.
+// announceLoop announces the worker's address to a data plane until ctx ends. After a failure it uses the next one.
 func (d *driver) announceLoop(ctx context.Context) {
 	h, t := d.host, d.traits
 	call := internalapi.AnnounceWorkerCall{
@@ -163,13 +164,13 @@
 	if len(nodes) == 0 {
 		return
 	}
-	for at := int(xxhash.Sum64String(t.Name) % uint64(len(nodes))); ctx.Err() == nil; {
+	for i := int(xxhash.Sum64String(t.Name) % uint64(len(nodes))); ctx.Err() == nil; {
 		interval := announceInterval
-		answer, err := rpc.Call(ctx, h.client, nodes[at], internalapi.AnnounceWorker, call, announceTimeout)
+		answer, err := rpc.Call(ctx, h.client, nodes[i], internalapi.AnnounceWorker, call, announceTimeout)
 		switch {
 		case err != nil:
-			_ = level.Debug(h.logger).Log("msg", "announcement failed", "worker", t.Name, "to", nodes[at], "err", err)
-			at = (at + 1) % len(nodes)
+			_ = level.Debug(h.logger).Log("msg", "announcement failed", "worker", t.Name, "to", nodes[i], "err", err)
+			i = (i + 1) % len(nodes)
 			interval = announceRetryInterval
 		case answer.Interval > 0:
 			interval = answer.Interval
--- a/internal/testbed/policyworker/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -23,11 +23,11 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// serverGrace is how long a call that is being answered may take when the host closes.
+// serverGrace is how long Host.Close waits for calls in progress.
 const serverGrace = time.Second
 
-// Host is the workers of a process: one, or many that share an address, a server and a client. A call is passed to the
-// worker that it names.
+// Host runs one or many workers in a process, which share an address, a server and a client. It passes a call to the
+// worker that the call names.
 type Host struct {
 	settings Settings
 	clock    clock.Clock
@@ -40,18 +40,18 @@
 
 	mu        sync.Mutex
 	remaining int           // workers that have not left
-	err       error         // the first failure of a journal
-	done      chan struct{} // closed when all have left, or one cannot write its journal
+	err       error         // the first journal error
+	done      chan struct{} // closed when all workers have left or one cannot write its journal
 }
 
-// Open starts the workers and their journals, and listens. Nothing is answered for a worker before its incarnation is
-// in its journal. Failures: Settings, Disk. Example:
+// Open opens the journals, starts the workers and listens. It listens only after each worker's incarnation is in its
+// journal. Failures: Settings, Disk. Example:
 //
 //	host, err := policyworker.Open(settings, clock.Real{}, logger)
 //	if err != nil {
 //		return errs.Pass(err, "minion")
 //	}
-//	return host.Run(ctx) // until ctx ends, or a drain has led to the end
+//	return host.Run(ctx) // until ctx ends or all workers have left
 func Open(settings Settings, clock clock.Clock, logger log.Logger) (*Host, error) {
 	if err := settings.Check(); err != nil {
 		return nil, errs.Pass(err, "minion")
@@ -104,7 +104,7 @@
 func (h *Host) Addr() string { return h.server.Addr() }
 
 // Run announces the workers and answers calls until ctx ends or all have left after a drain; then it closes the host.
-// A journal that cannot be written ends it with the failure Disk.
+// It fails with Disk if a journal cannot be written.
 func (h *Host) Run(ctx context.Context) error {
 	_ = level.Info(h.logger).Log("msg", "workers started", "addr", h.Addr(), "count", len(h.drivers),
 		"kind", h.settings.Kind)
@@ -119,15 +119,15 @@
 	return errs.Pass(h.failure(), "minions at %s", h.Addr())
 }
 
-// Drain switches draining of all workers. With leave it is final: Run returns once nothing runs and the ends
-// are acknowledged, or when the grace is over.
+// Drain turns draining of all workers on or off. With leave it is final: Run returns once no run is in progress and all
+// ends are acknowledged, or when the grace has elapsed.
 func (h *Host) Drain(on, leave bool) {
 	for _, d := range h.drivers {
 		d.step(func(now time.Duration) Actions { return d.core.Drain(now, on, leave) })
 	}
 }
 
-// Close ends everything at once, runs too, and journals nothing more.
+// Close stops the workers and their runs at once, without journal entries.
 func (h *Host) Close() {
 	h.group.Cancel()
 	for _, d := range h.drivers {
@@ -174,7 +174,7 @@
 func (h *Host) serveRenewLease(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
-		rpc.WriteError(w, errs.Field(errs.Invalid, "method", "%s is not taken here", r.Method))
+		rpc.WriteError(w, errs.Field(errs.Invalid, "method", "%s is not allowed", r.Method))
 		return
 	}
 	raw, err := rpc.ReadBody(r, rpc.MaxBody)
@@ -184,13 +184,13 @@
 	}
 	var call internalapi.LeaseCall
 	if err := json.Unmarshal(raw, &call); err != nil {
-		err = errs.Wrap(err, errs.Malformed, "the body is no hold call")
+		err = errs.Wrap(err, errs.Malformed, "body is not a valid hold call")
 		rpc.WriteError(w, errs.Pass(err, "hold"))
 		return
 	}
 	d := h.drivers[call.Worker]
 	if d == nil {
-		rpc.WriteError(w, errs.Field(errs.Unknown, "minion", "%q is not here", call.Worker))
+		rpc.WriteError(w, errs.Field(errs.Unknown, "minion", "%q is not a worker of this host", call.Worker))
 		return
 	}
 	answer, isLost, err := d.renewLease(r.Context(), call)
@@ -204,8 +204,8 @@
 	}
 }
 
-// dropConnection closes the connection of w without an answer. Where the server does not hand it over, an answer is
-// begun and never finished: the caller's own time-out closes it.
+// dropConnection closes the connection of w without an answer. If the connection can't be hijacked, it starts an answer
+// that it never completes, and the caller's time-out closes the connection.
 func (h *Host) dropConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/testbed/policyworker/host_test.go
+++ b/internal/testbed/policyworker/host_test.go
@@ -36,33 +36,33 @@
 		return []internalapi.StartOrder{{RunID: runID, Job: "j", Step: "s", Type: "t", Cores: 1, Run: json.RawMessage(`{}`),
 			StartBy: time.Hour, LeaseUntil: time.Hour}}
 	}
-	events := func(dir string) (out []string) {
+	events := func(dir string) (journaled []string) {
 		for line, err := range journal.Lines(dir) {
 			So(err, ShouldBeNil)
 			e, err := line.Entry()
 			So(err, ShouldBeNil)
-			out = append(out, e.Worker+" "+e.Event)
+			journaled = append(journaled, e.Worker+" "+e.Event)
 		}
-		return out
+		return journaled
 	}
 
 	Convey("Workers that share a process and an address announce, run, drain and leave one by one", t, func() {
-		heard := make(chan internalapi.AnnounceWorkerCall, 8)
+		announced := make(chan internalapi.AnnounceWorkerCall, 8)
 		dataPlane := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		announce := func(_ context.Context, c internalapi.AnnounceWorkerCall) (internalapi.AnnounceWorkerAnswer, error) {
-			heard <- c
+			announced <- c
 			return internalapi.AnnounceWorkerAnswer{Interval: time.Hour}, nil
 		}
 		rpc.Handle(dataPlane, internalapi.AnnounceWorker, announce)
 		So(dataPlane.Start(), ShouldBeNil)
 		defer func() { So(dataPlane.Stop(time.Minute), ShouldBeNil) }()
 		h, dir := open(func(s *Settings) { s.Count, s.DataPlanes = 2, []string{dataPlane.Addr()} })
-		group, over := routine.New(context.Background()), make(chan error, 1)
+		group, stopped := routine.New(context.Background()), make(chan error, 1)
 		defer group.Stop()
-		group.Go(func(ctx context.Context) { over <- h.Run(ctx) })
+		group.Go(func(ctx context.Context) { stopped <- h.Run(ctx) })
 		incarnations := map[string]string{}
 		for range 2 {
-			c := <-heard
+			c := <-announced
 			So(c.Addr, ShouldEqual, h.Addr())
 			incarnations[c.Name] = c.Incarnation
 		}
@@ -80,12 +80,12 @@
 		h.Drain(true, true)
 		_, err = ask(h, internalapi.LeaseCall{Worker: "m-1", Epoch: 4, Acked: []uint64{7}})
 		So(err, ShouldBeNil)
-		So(<-over, ShouldBeNil)
+		So(<-stopped, ShouldBeNil)
 		So(events(dir), ShouldResemble, []string{"m-0 boot", "m-0 drain",
 			"m-1 boot", "m-1 order", "m-1 start", "m-1 end", "m-1 drain"})
 	})
 
-	Convey("A lost answer ends the connection after the call was carried out, a late call is carried out too", t, func() {
+	Convey("A call whose answer is lost is carried out before the connection is closed, also after a delay", t, func() {
 		h, dir := open(func(s *Settings) { s.Kind, s.LossProbability, s.MaxDelay = KindObey, 1, Duration(time.Millisecond) })
 		defer h.Close()
 		_, err := ask(h, internalapi.LeaseCall{Worker: "m", Starts: start(7)})
--- a/internal/testbed/policyworker/run.go
+++ b/internal/testbed/policyworker/run.go
@@ -14,13 +14,13 @@
 type run struct {
 	order      internalapi.StartOrder
 	epoch      uint64        // of the call that brought the order
-	endsAt     time.Duration // by itself; Never of one that is long-running
-	leaseUntil time.Duration // it is killed then; it only grows
-	outcome    string        // when it ends by itself
+	endsAt     time.Duration // unless it is stopped or expires earlier; Never if long-running
+	leaseUntil time.Duration // it is killed then; never decreases
+	outcome    string        // at endsAt
 	reason     string        // of that outcome
 }
 
-// startRun carries out a start order, or returns why not.
+// startRun carries out a start order, or returns the reason why it is refused.
 func (c *Core) startRun(call internalapi.LeaseCall, order internalapi.StartOrder) (refused string) {
 	r := &run{order: order, epoch: call.Epoch, leaseUntil: order.LeaseUntil}
 	c.record(journal.Order, r, "")
@@ -46,7 +46,7 @@
 }
 
 // expireAtStart ends a run whose lease had expired before it started. The end is journaled, but not listed while
-// another run of the same ID is in progress: a listed end proves that nothing runs under its ID.
+// another run with its ID is in progress: a listed end proves that no such run is.
 func (c *Core) expireAtStart(r *run) {
 	r.outcome, r.reason = internalapi.OutcomeLeaseExpired, "the hold had lapsed before the start"
 	if c.isRunning(r.order.RunID) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// refusalReason returns the first reason for which a checking worker refuses an order; "" if there is none.
+// refusalReason returns the first reason for which a checking worker refuses an order, or "" if it accepts the order.
 func (c *Core) refusalReason(call internalapi.LeaseCall, order internalapi.StartOrder) string {
 	switch {
 	case call.Incarnation != c.traits.Incarnation:
@@ -90,7 +90,7 @@
 	return slices.ContainsFunc(c.runs, func(r *run) bool { return r.order.RunID == runID })
 }
 
-// drawOutcome sets when and how r will end by itself. The draws are of the seed and the run ID alone.
+// drawOutcome sets endsAt and the outcome at that time. The draws depend only on the seed and the run ID.
 func (c *Core) drawOutcome(r *run) {
 	program, err := parseProgram(r.order.Run)
 	if err != nil {
@@ -119,7 +119,7 @@
 	c.endRuns(func(r *run) bool { return r.endsAt <= c.now }, journal.End, "", "")
 }
 
-// endRuns ends the runs that match, with outcome and reason, or with those that were drawn if outcome is empty.
+// endRuns ends the runs that match with outcome and reason, or with their drawn ones if outcome is empty.
 func (c *Core) endRuns(match func(*run) bool, event, outcome, reason string) {
 	c.runs = slices.DeleteFunc(c.runs, func(r *run) bool {
 		if !match(r) {
@@ -135,10 +135,11 @@
 	})
 }
 
-// recordEnd journals an end and lists it, once for each run ID: an obeying worker may run a run ID twice.
+// recordEnd journals an end and adds it to the unacknowledged ends, once per run ID: an obeying worker may run a run ID
+// twice.
 func (c *Core) recordEnd(event string, r *run) {
-	isOfRun := func(e internalapi.RunEnd) bool { return e.RunID == r.order.RunID }
-	if !slices.ContainsFunc(c.unacknowledged, isOfRun) {
+	hasRunID := func(e internalapi.RunEnd) bool { return e.RunID == r.order.RunID }
+	if !slices.ContainsFunc(c.unacknowledged, hasRunID) {
 		end := internalapi.RunEnd{RunID: r.order.RunID, Outcome: r.outcome, Reason: r.reason}
 		c.unacknowledged = append(c.unacknowledged, end)
 	}
