--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -11,38 +11,38 @@
 	"crosstide/internal/jobs"
 )
 
-// maxEndsPerAnswer is how many ends one answer lists.
+// maxEndsPerAnswer limits the ends that one answer lists.
 const maxEndsPerAnswer = 200
 
-// core is the step function of one incarnation of a worker: it has no clock, network or goroutine. Every method takes
-// the time on the worker's clock, which must not go back. It is not safe for concurrent use; its owner is Host.
+// core is the step function of one incarnation of a worker: it has no clock, network or goroutine. Times are on the
+// worker's clock, which must not go back. It is not safe for concurrent use; its owner is Host.
 type core struct {
 	id             string
 	capacity       jobs.Resources
 	isDraining     bool
 	token          uint64               // highest fencing token seen
-	leaseDeadline  time.Duration        // of all that runs; it only grows
-	runs           []*run               // in the order they began; together they never need more than capacity
+	leaseDeadline  time.Duration        // of all runs; never decreases
+	runs           []*run               // in the order they began; their total needs never exceed capacity
 	unacknowledged []workerapi.EndedRun // ends that the leader has not acknowledged, in order of their sequence
 	endSequence    uint64               // of the newest end
-	closedUpTo     map[jobs.TaskRef]int // newest run that was stopped or has ended: none up to it starts
+	closedUpTo     map[jobs.TaskRef]int // highest run number stopped or ended; runs up to it must not start
 	record         func(Event)
 }
 
-// newCore returns a worker without runs. It calls record with each event of its journal.
+// newCore returns a core without runs. It passes each event to record.
 func newCore(id string, capacity jobs.Resources, record func(Event)) *core {
 	return &core{id: id, capacity: capacity, closedUpTo: map[jobs.TaskRef]int{}, record: record}
 }
 
-// Drain makes the worker refuse all starts from here on.
+// Drain makes the worker refuse all further starts.
 func (c *core) Drain() { c.isDraining = true }
 
-// IsIdle reports whether nothing runs and all ends were acknowledged.
+// IsIdle reports whether no run is in progress and all ends are acknowledged.
 func (c *core) IsIdle() bool { return len(c.runs) == 0 && !c.hasUnacknowledged() }
 
 func (c *core) hasUnacknowledged() bool { return len(c.unacknowledged) > 0 }
 
-// NextDeadline returns the time by which Advance must be called, and false if nothing runs.
+// NextDeadline returns when Advance must be called next, and false if no run is in progress.
 func (c *core) NextDeadline() (time.Duration, bool) {
 	if len(c.runs) == 0 {
 		return 0, false
@@ -56,8 +56,8 @@
 	return next, true
 }
 
-// Advance ends the runs that are due: those that end by themselves, and all others once the lease has expired. A run
-// whose end came before the lease expired keeps that end reason. It reports whether any run ended.
+// Advance ends the runs whose programs are complete, and all others once the lease has expired. A run that was complete
+// before the lease expired keeps that end reason. It reports whether any run ended.
 func (c *core) Advance(now time.Duration) bool {
 	hasEnded := false
 	for _, r := range slices.Clone(c.runs) {
@@ -75,7 +75,7 @@
 	return hasEnded
 }
 
-// end removes a run, lists its end until that is acknowledged, and journals it. No run ends otherwise.
+// end removes a run, lists its end until that is acknowledged, and journals it. Every run ends here.
 func (c *core) end(r *run, at time.Duration, reason jobs.EndReason) {
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
 	c.closeUpTo(r.key)
@@ -87,12 +87,12 @@
 		Checkpoint: ended.Checkpoint})
 }
 
-// closeUpTo ensures that neither a run nor an earlier one of its task starts any more.
+// closeUpTo bars a run and all earlier runs of its task from starting.
 func (c *core) closeUpTo(key jobs.RunKey) {
 	c.closedUpTo[key.Task] = max(c.closedUpTo[key.Task], key.Number)
 }
 
-// observeToken keeps the highest fencing token. It returns false if token is lower: the call must change nothing.
+// observeToken keeps the highest fencing token. It returns false if token is lower; the call must then have no effect.
 func (c *core) observeToken(token uint64) bool {
 	if token < c.token {
 		return false
@@ -103,12 +103,12 @@
 
 func (c *core) checkWorker(worker string) error {
 	if worker != c.id {
-		return errs.Field(errs.Unknown, "worker", "%q is not here, %q is", worker, c.id)
+		return errs.Field(errs.Unknown, "worker", "call for worker %q reached worker %q", worker, c.id)
 	}
 	return nil
 }
 
-// Start carries out a start order. Failure: Unknown: another incarnation is meant.
+// Start carries out a start order. Failure: Unknown if the call is for another incarnation.
 func (c *core) Start(now time.Duration, call workerapi.StartCall) (workerapi.StartAnswer, error) {
 	if err := c.checkWorker(call.Worker); err != nil {
 		return workerapi.StartAnswer{}, errs.Pass(err, "start")
@@ -121,7 +121,7 @@
 	return workerapi.StartAnswer{Worker: c.id, Clock: now, Refused: refusal}, nil
 }
 
-// startRun starts a run, or returns the first reason to refuse it. An order that comes twice starts one run.
+// startRun starts a run, or returns the first reason to refuse it. A duplicate order starts no second run.
 func (c *core) startRun(now time.Duration, call workerapi.StartCall) scheduler.Refusal {
 	key := call.Run.Key()
 	if !c.observeToken(call.Token) {
@@ -173,7 +173,7 @@
 		needs.GPUs <= c.capacity.GPUs
 }
 
-// Stop carries out a stop order, also one that comes before its start. Failures: Unknown, Stale: it is fenced.
+// Stop carries out a stop order, also one that arrives before its start order. Failures: Unknown, Stale if fenced.
 func (c *core) Stop(now time.Duration, call workerapi.StopCall) (workerapi.StopAnswer, error) {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return workerapi.StopAnswer{}, errs.Pass(err, "stop")
@@ -193,13 +193,13 @@
 	}
 	c.Advance(now)
 	if !c.observeToken(token) {
-		return errs.Field(errs.Stale, "token", "%d was seen, this is %d", c.token, token)
+		return errs.Field(errs.Stale, "token", "must be at least %d, got %d", c.token, token)
 	}
 	return nil
 }
 
-// RenewLease extends the lease and drops the ends that are acknowledged. Its owner answers with Status, now or later.
-// Failures: Unknown, Stale: it is fenced.
+// RenewLease extends the lease and drops the acknowledged ends. The caller answers with Status, at once or later.
+// Failures: Unknown, Stale if fenced.
 func (c *core) RenewLease(now time.Duration, call workerapi.RenewLeaseCall) error {
 	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
 		return errs.Pass(err, "hold")
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// Status returns the runs in progress and the ends that are not acknowledged, at most maxEndsPerAnswer of them.
+// Status returns the runs in progress and the first maxEndsPerAnswer unacknowledged ends.
 func (c *core) Status(now time.Duration) workerapi.RenewLeaseAnswer {
 	answer := workerapi.RenewLeaseAnswer{Worker: c.id, Clock: now, Running: []workerapi.RunningRun{},
 		More: len(c.unacknowledged) > maxEndsPerAnswer}
@@ -224,7 +224,7 @@
 	return answer
 }
 
-// StopAll stops all runs: the worker leaves.
+// StopAll stops all runs of a worker that leaves.
 func (c *core) StopAll(now time.Duration) {
 	c.Advance(now)
 	for _, r := range slices.Clone(c.runs) {
--- a/internal/testbed/jobsworker/event.go
+++ b/internal/testbed/jobsworker/event.go
@@ -15,7 +15,7 @@
 	EventRunEnd      = "end"    // a run ended; Reason is its end reason
 )
 
-// Event is what a worker did, as its journal keeps it.
+// Event is an entry of a worker's journal.
 type Event struct {
 	At         time.Time      `json:"at"`
 	Event      string         `json:"event"`
--- a/internal/testbed/jobsworker/heartbeat.go
+++ b/internal/testbed/jobsworker/heartbeat.go
@@ -15,15 +15,15 @@
 	"crosstide/internal/rpc"
 )
 
-// heartbeatTimeout bounds one call.
+// heartbeatTimeout is the timeout of one heartbeat.
 const heartbeatTimeout = time.Second
 
-// heartbeat is the body of a heartbeat.
+// heartbeat is the request body of a heartbeat.
 type heartbeat struct {
 	State     string            `json:"state"`
 	Sequence  int               `json:"sequence"`
-	Clock     int64             `json:"clock"`               // the worker's own, ns
-	Remaining int64             `json:"remaining,omitempty"` // of the grace, ns, while it drains
+	Clock     int64             `json:"clock"`               // time on the worker's clock, ns
+	Remaining int64             `json:"remaining,omitempty"` // the grace, ns, while it drains
 	Address   string            `json:"address"`
 	Service   string            `json:"service"`
 	Zone      string            `json:"zone"`
@@ -42,7 +42,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat, to the leader if it is known; after a failure the next one goes to another node.
+// sendHeartbeat sends one heartbeat, to the leader if it is known. After a failure the next one goes to another node.
 func (h *Host) sendHeartbeat(ctx context.Context, state string) {
 	body, addr := h.nextHeartbeat(state)
 	leader, err := h.postHeartbeat(ctx, addr, body)
@@ -57,7 +57,7 @@
 	}
 }
 
-// nextHeartbeat returns the body of the next heartbeat and where it goes to.
+// nextHeartbeat returns the body and the address of the next heartbeat.
 func (h *Host) nextHeartbeat(state string) (body heartbeat, addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,7 +83,7 @@
 func (h *Host) postHeartbeat(ctx context.Context, addr string, body heartbeat) (leader string, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return "", errs.Wrap(err, errs.Internal, "encode a heartbeat")
+		return "", errs.Wrap(err, errs.Internal, "encode heartbeat")
 	}
 	request := rpc.Request{Method: http.MethodPost, Path: "/v2/workers/" + h.id + "/heartbeat", Body: data,
 		Header: map[string]string{"Content-Type": "application/json"}}
@@ -92,9 +92,9 @@
 		return "", errs.Pass(err, "heartbeat")
 	}
 	if response.Status != http.StatusOK {
-		return "", errs.New(errs.Unavailable, "status %d: %s", response.Status, response.Body)
+		return "", errs.New(errs.Unavailable, "heartbeat answered with status %d: %s", response.Status, response.Body)
 	}
 	var answer jobsapi.Heartbeat
 	err = json.Unmarshal(response.Body, &answer)
-	return answer.Leader, errs.Wrap(err, errs.Malformed, "answer to a heartbeat")
+	return answer.Leader, errs.Wrap(err, errs.Malformed, "decode answer to heartbeat")
 }
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -1,10 +1,10 @@
-// Package jobsworker is the testbed's stand-in for a worker of the jobs deployment. It keeps the contract of
-// internal/httpapi/workerapi: it refuses what exceeds its capacity, kills its runs when the lease expires by its own
-// clock, refuses fenced orders and journals every event. It starts no real work: a run is a Program, a duration and an
-// outcome.
+// Package jobsworker is the testbed's stand-in for a worker of the jobs deployment. It implements the contract of
+// internal/httpapi/workerapi: it refuses runs that exceed its capacity, kills its runs when the lease expires by its
+// own clock, refuses fenced orders and journals every event. It starts no real work: a run has a Program, which only
+// defines a duration and an outcome.
 //
-// Host is the process: it serves the calls, sends the heartbeats and wakes at the deadlines of its core, which decides.
-// Begin with core.Advance and core.Start.
+// Host is the process: it serves the calls, sends the heartbeats and advances its core at the core's deadlines. The
+// core makes all decisions. Start reading at core.Advance and core.Start.
 package jobsworker
 
 import (
@@ -28,7 +28,7 @@
 
 const (
 	serverGrace      = time.Second
-	idleInterval     = time.Minute // between two calls of core.Advance while nothing runs
+	idleInterval     = time.Minute // between two calls of core.Advance while no run is in progress
 	idlePollInterval = 50 * time.Millisecond
 )
 
@@ -38,7 +38,7 @@
 	id        string // the worker's ID
 	clock     clock.Clock
 	logger    log.Logger
-	startedAt time.Duration // zero of the worker's clock
+	startedAt time.Duration // time on clock at which the worker's clock is 0
 	server    *rpc.Server
 	client    *rpc.Client
 	writer    *journal.Writer // nil: no journal
@@ -46,14 +46,14 @@
 
 	mu         sync.Mutex
 	core       *core
-	changed    chan struct{} // closed, and replaced, when a call or a deadline may have changed core
+	changed    chan struct{} // closed and replaced when a call or a deadline may have changed core
 	sequence   int           // of the newest heartbeat
 	isDraining bool
-	nextCore   int    // of Settings.ControlAddrs: where the next heartbeat goes to without a leader
-	leader     string // where heartbeats are best sent to; empty: not known
+	nextCore   int    // index in Settings.ControlAddrs of the next heartbeat's receiver while no leader is known
+	leader     string // address for heartbeats; empty if not known
 }
 
-// Open starts a worker's incarnation, which listens. Failures: Settings, Disk. Example:
+// Open starts a new incarnation of a worker and listens. Failures: Settings, Disk. Example:
 //
 //	host, err := jobsworker.Open(settings, clock.Real{}, logger)
 //	if err != nil {
@@ -102,7 +102,7 @@
 // ID returns the worker's ID, which is unique to the incarnation.
 func (h *Host) ID() string { return h.id }
 
-// record journals an event. The audit cannot judge a worker without a complete journal, so a failed write ends it.
+// record journals an event. The audit requires complete journals, so a failed write stops the worker.
 func (h *Host) record(e Event) {
 	if h.writer == nil {
 		return
@@ -115,7 +115,7 @@
 }
 
 // Run answers calls and sends heartbeats until ctx ends. Then the worker drains: it refuses starts, waits up to the
-// grace for its runs to end, stops the rest and reports that it leaves.
+// grace for its runs to end, stops the remaining ones and reports that it leaves.
 func (h *Host) Run(ctx context.Context) error {
 	h.group.Go(h.advanceLoop)
 	h.group.Go(h.heartbeatLoop)
@@ -135,14 +135,14 @@
 	}
 	h.client.Close()
 	if h.writer != nil {
-		_ = h.writer.Close() // each line was written whole
+		_ = h.writer.Close() // every line is complete: the writer does not buffer
 	}
 }
 
 // now returns the time on the worker's clock, which starts at 0 with the incarnation.
 func (h *Host) now() time.Duration { return h.clock.Now() - h.startedAt }
 
-// broadcastLocked wakes all goroutines that wait for a change of core. h.mu is held.
+// broadcastLocked wakes all goroutines that wait for a change of core. The caller holds h.mu.
 func (h *Host) broadcastLocked() {
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -164,7 +164,7 @@
 	return answer, errs.Pass(err, "worker")
 }
 
-// renewLease renews the lease at once and answers when an end is to be acknowledged, or after call.Wait.
+// renewLease renews the lease at once. It answers when there is an unacknowledged end, or after call.Wait.
 func (h *Host) renewLease(ctx context.Context, call workerapi.RenewLeaseCall) (workerapi.RenewLeaseAnswer, error) {
 	h.mu.Lock()
 	err := h.core.RenewLease(h.now(), call)
@@ -179,7 +179,7 @@
 	return h.core.Status(h.now()), nil
 }
 
-// awaitEnd waits until an end is not acknowledged, until deadline on the worker's clock or until ctx ends.
+// awaitEnd waits until there is an unacknowledged end, until deadline on the worker's clock, or until ctx ends.
 func (h *Host) awaitEnd(ctx context.Context, deadline time.Duration) {
 	for {
 		h.mu.Lock()
@@ -225,7 +225,7 @@
 	return true
 }
 
-// drain makes the worker refuse all starts from here on, and reports that.
+// drain makes the worker refuse all further starts, and reports that it drains.
 func (h *Host) drain(ctx context.Context) {
 	h.mu.Lock()
 	h.isDraining = true
@@ -234,8 +234,8 @@
 	h.sendHeartbeat(ctx, jobsapi.StateDraining)
 }
 
-// drainAndStop drains, waits for the runs to end within the grace, stops the rest, and reports that the worker leaves
-// once all ends are acknowledged.
+// drainAndStop drains, waits up to the grace for the runs to end, stops the remaining ones, waits up to the grace for
+// all ends to be acknowledged, and reports that the worker leaves.
 func (h *Host) drainAndStop() {
 	ctx := h.group.Context()
 	h.drain(ctx)
@@ -248,7 +248,7 @@
 	h.sendHeartbeat(ctx, jobsapi.StateLeaving)
 }
 
-// awaitIdle waits until nothing runs and all ends are acknowledged, at most for timeout.
+// awaitIdle waits until no run is in progress and all ends are acknowledged, at most for timeout.
 func (h *Host) awaitIdle(ctx context.Context, timeout time.Duration) {
 	for deadline := h.now() + timeout; h.now() < deadline; {
 		h.mu.Lock()
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -24,7 +24,7 @@
 	"crosstide/internal/rpc"
 )
 
-// fakeCore is the controller behind the control plane that accepts heartbeats: it keeps them.
+// fakeCore is a controller that records heartbeats.
 type fakeCore struct {
 	jobsapi.Control
 	mu         sync.Mutex
@@ -32,7 +32,7 @@
 	leader     string
 }
 
-// Heartbeat keeps call and answers with the leader's address.
+// Heartbeat records call and answers with the leader's address.
 func (f *fakeCore) Heartbeat(_ context.Context, call controller.HeartbeatCall) (controller.HeartbeatAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,14 +40,14 @@
 	return controller.HeartbeatAnswer{HeartbeatAddress: f.leader}, nil
 }
 
-// await returns the first heartbeat that is as wanted, once there is one.
-func (f *fakeCore) await(wanted func(controller.HeartbeatCall) bool) controller.HeartbeatCall {
+// await waits for a heartbeat that matches and returns the first one.
+func (f *fakeCore) await(matches func(controller.HeartbeatCall) bool) controller.HeartbeatCall {
 	for {
 		f.mu.Lock()
-		at := slices.IndexFunc(f.heartbeats, wanted)
-		if at >= 0 {
+		i := slices.IndexFunc(f.heartbeats, matches)
+		if i >= 0 {
 			defer f.mu.Unlock()
-			return f.heartbeats[at]
+			return f.heartbeats[i]
 		}
 		f.mu.Unlock()
 		runtime.Gosched()
@@ -66,7 +66,7 @@
 		core := &fakeCore{}
 		down := serve(func(s *rpc.Server) {
 			s.Route("/", func(w http.ResponseWriter, _ *http.Request) {
-				rpc.WriteError(w, errs.New(errs.Unavailable, "on purpose"))
+				rpc.WriteError(w, errs.New(errs.Unavailable, "injected failure"))
 			})
 		})
 		up := serve(func(s *rpc.Server) { jobsapi.ServeControl(s, core, 0) })
@@ -79,50 +79,50 @@
 		host, err := Open(settings, clock.Real{}, log.NewNopLogger())
 		So(err, ShouldBeNil)
 		ctx, leave := context.WithCancel(context.Background())
-		work := routine.New(context.Background())
-		work.Go(func(context.Context) { _ = host.Run(ctx) })
+		group := routine.New(context.Background())
+		group.Go(func(context.Context) { _ = host.Run(ctx) })
 		caller := rpc.NewClient(rpc.ClientOptions{})
 		defer func() {
 			leave()
-			work.Wait()
+			group.Wait()
 			caller.Close()
 			So(down.Stop(time.Minute), ShouldBeNil)
 			So(up.Stop(time.Minute), ShouldBeNil)
 		}()
-		first := func(controller.HeartbeatCall) bool { return true }
-		firstHeartbeat := core.await(first)
+		anyHeartbeat := func(controller.HeartbeatCall) bool { return true }
+		firstHeartbeat := core.await(anyHeartbeat)
 		worker := firstHeartbeat.Worker
 		So(worker, ShouldResemble, jobs.Worker{ID: host.ID(), Address: worker.Address, Service: "s", Zone: "z", Rack: "r",
 			Labels: []string{"l"}, Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1}})
 		client := workerapi.NewClient(caller, caller, time.Minute)
-		call := context.Background()
+		callCtx := context.Background()
 		order := scheduler.StartOrder{Key: jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1},
 			Payload: `{"ms":30}`, Token: 1, LeaseDeadline: time.Hour}
 
 		Convey("it carries out a start, and a lease renewal waits for the run's end", func() {
-			answer, err := client.Start(call, worker, order)
+			answer, err := client.Start(callCtx, worker, order)
 			So([]any{answer.Refusal, err}, ShouldResemble, []any{scheduler.Refusal(""), nil})
-			lists, err := client.RenewLease(call, worker, scheduler.LeaseRenewal{Token: 1, Wait: 20 * time.Second})
+			status, err := client.RenewLease(callCtx, worker, scheduler.LeaseRenewal{Token: 1, Wait: 20 * time.Second})
 			So(err, ShouldBeNil)
-			So(lists.Ended, ShouldResemble, []scheduler.EndedRun{{Sequence: 1, Key: order.Key, Reason: jobs.EndDone}})
+			So(status.Ended, ShouldResemble, []scheduler.EndedRun{{Sequence: 1, Key: order.Key, Reason: jobs.EndDone}})
 		})
 		Convey("it refuses calls to another incarnation and calls under a lower token", func() {
 			other := worker
 			other.ID = "w-0"
-			_, err := client.Start(call, other, order)
+			_, err := client.Start(callCtx, other, order)
 			So(errs.KindOf(err), ShouldEqual, errs.Unknown)
-			_, err = client.RenewLease(call, worker, scheduler.LeaseRenewal{Token: 2})
+			_, err = client.RenewLease(callCtx, worker, scheduler.LeaseRenewal{Token: 2})
 			So(err, ShouldBeNil)
-			So(errs.KindOf(client.Stop(call, worker, scheduler.StopOrder{Key: order.Key, Token: 1})), ShouldEqual, errs.Stale)
+			So(errs.KindOf(client.Stop(callCtx, worker, scheduler.StopOrder{Key: order.Key, Token: 1})), ShouldEqual, errs.Stale)
 		})
-		Convey("signalled to leave, it reports that it drains, stops its runs and leaves", func() {
+		Convey("when its context ends, it reports that it drains, stops its runs and reports that it leaves", func() {
 			order.Payload = `{"ms":-1}`
-			_, err := client.Start(call, worker, order)
+			_, err := client.Start(callCtx, worker, order)
 			So(err, ShouldBeNil)
 			leave()
 			core.await(func(c controller.HeartbeatCall) bool { return c.Worker.Draining && c.Remaining > 0 })
 			core.await(func(c controller.HeartbeatCall) bool { return c.Leaving })
-			work.Wait()
+			group.Wait()
 		})
 	})
 	Convey("Invalid settings are refused with the name of the field", t, func() {
--- a/internal/testbed/jobsworker/run.go
+++ b/internal/testbed/jobsworker/run.go
@@ -7,11 +7,11 @@
 	"crosstide/internal/jobs"
 )
 
-// Program is the payload of a run on a stand-in worker: what the run does.
+// Program is the payload of a run on a stand-in worker.
 type Program struct {
-	MS     int `json:"ms"`      // length of the run; below 0: until it is stopped
-	Fails  int `json:"fails"`   // so many runs of a task fail first
-	SaveMS int `json:"save_ms"` // interval of checkpoints; 0: none
+	MS     int `json:"ms"`      // duration; negative: until it is stopped
+	Fails  int `json:"fails"`   // number of runs of a task that fail before the first success
+	SaveMS int `json:"save_ms"` // interval between checkpoints; 0: none
 }
 
 func (p Program) duration() time.Duration { return time.Duration(p.MS) * time.Millisecond }
@@ -22,18 +22,18 @@
 	needs   jobs.Resources
 	program Program
 	began   time.Duration
-	resumed time.Duration // work that earlier runs of the task had saved
+	resumed time.Duration // progress in the checkpoint that it started from
 }
 
-// progress returns the work done by now, including what the checkpoint of the start had.
+// progress returns the work done by now, including the progress that the run resumed from.
 func (r *run) progress(now time.Duration) time.Duration { return now - r.began + r.resumed }
 
-// endsAt returns when a run ends by itself, and false if it does not.
+// endsAt returns when a run's program is complete, and false if it never is.
 func (r *run) endsAt() (time.Duration, bool) {
 	return r.began - r.resumed + r.program.duration(), r.program.MS >= 0
 }
 
-// outcome returns the reason with which a run ends by itself.
+// outcome returns the end reason of a run whose program is complete.
 func (r *run) outcome() jobs.EndReason {
 	if r.key.Number <= r.program.Fails {
 		return jobs.EndFailed
@@ -41,7 +41,7 @@
 	return jobs.EndDone
 }
 
-// checkpoint returns the work that a run has saved by now, in milliseconds, and "" if it has saved none.
+// checkpoint returns the progress that a run has saved by now, in milliseconds, or "" if it has saved none.
 func (r *run) checkpoint(now time.Duration) string {
 	interval := time.Duration(r.program.SaveMS) * time.Millisecond
 	if interval <= 0 {
@@ -54,7 +54,7 @@
 	return strconv.FormatInt(saved.Milliseconds(), 10)
 }
 
-// parseCheckpoint reads the work that a checkpoint saved; one that cannot be read saved none.
+// parseCheckpoint returns the progress in a checkpoint, or 0 if the checkpoint is invalid.
 func parseCheckpoint(checkpoint string) time.Duration {
 	ms, err := strconv.ParseInt(checkpoint, 10, 32)
 	if err != nil || ms < 0 {
@@ -63,7 +63,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// percent returns how much of a run is done.
+// percent returns the progress of a run in percent of its duration.
 func (r *run) percent(now time.Duration) int {
 	if r.program.MS <= 0 {
 		return 0
--- a/internal/testbed/jobsworker/settings.go
+++ b/internal/testbed/jobsworker/settings.go
@@ -8,10 +8,10 @@
 	"crosstide/internal/jobs"
 )
 
-// Settings are those of one worker process; Name, Address, Service, Zone and ControlAddrs are required.
+// Settings configures one worker process; Name, Address, Service, Zone and ControlAddrs are required.
 type Settings struct {
-	Name              string // of the machine; the worker's ID is drawn anew with each incarnation
-	Address           string // IP:PORT to listen at; port 0 takes a free one
+	Name              string // of the machine; each incarnation adds a random suffix for its worker ID
+	Address           string // IP:PORT to listen at; port 0 selects a free one
 	Service           string
 	Zone              string
 	Rack              string
@@ -19,14 +19,14 @@
 	Capacity          jobs.Resources
 	ControlAddrs      []string      // control addresses of core nodes
 	HeartbeatInterval time.Duration // default 1s
-	Grace             time.Duration // for runs to end in a drain, then for ends to be acknowledged; default 5s
+	Grace             time.Duration // in a drain, for runs to end, then again for ends to be acknowledged; default 5s
 	Journal           string        // file; empty: none
 }
 
-// Check validates settings. Failure: Settings with the field.
+// Check validates the settings. Failure: Settings, with the field.
 func (s Settings) Check() error {
 	if _, err := netip.ParseAddrPort(s.Address); err != nil {
-		return errs.Field(errs.Settings, "address", "must be IP:PORT, is %q", s.Address)
+		return errs.Field(errs.Settings, "address", "must be IP:PORT, got %q", s.Address)
 	}
 	for field, value := range map[string]string{"name": s.Name, "service": s.Service, "zone": s.Zone} {
 		if value == "" {
@@ -34,12 +34,12 @@
 		}
 	}
 	if len(s.ControlAddrs) == 0 {
-		return errs.Field(errs.Settings, "core", "must be given")
+		return errs.Field(errs.Settings, "core", "at least one address is required")
 	}
 	return nil
 }
 
-// setDefaults replaces zero values by the defaults.
+// setDefaults replaces zero values with the defaults.
 func (s *Settings) setDefaults() {
 	if s.HeartbeatInterval <= 0 {
 		s.HeartbeatInterval = time.Second
--- a/internal/testbed/jobsworker/wait_test.go
+++ b/internal/testbed/jobsworker/wait_test.go
@@ -21,11 +21,11 @@
 			close(changed)
 			So(host.waitForChange(ctx, time.Hour, changed), ShouldBeTrue)
 		})
-		Convey("ends when its time has passed", func() {
+		Convey("ends when its timeout has elapsed", func() {
 			host.clock = &testclock.Elapsing{}
 			So(host.waitForChange(ctx, time.Hour, changed), ShouldBeTrue)
 		})
-		Convey("ends with its context", func() {
+		Convey("returns false when its context ends", func() {
 			end()
 			So(host.waitForChange(ctx, time.Hour, changed), ShouldBeFalse)
 		})
