--- a/internal/testbed/rehearsal/balances.go
+++ b/internal/testbed/rehearsal/balances.go
@@ -15,7 +15,7 @@
 	"crosstide/internal/testbed/load"
 )
 
-// The loads, the top-ups, and the time that the steps take.
+// Constants of the loads, the top-ups and the durations of the steps.
 const (
 	billedTaskDuration  = 400 * time.Millisecond
 	billingLoadDuration = 75 * time.Second
@@ -25,13 +25,13 @@
 	smallTopUp          = 400
 	lastTopUp           = 1_000_000
 
-	exhaustTimeout  = 20 * time.Second // from a top-up until the party has run out of balance again
-	exhaustedFor    = 4 * time.Second  // how long it is left without
+	exhaustTimeout  = 20 * time.Second // from a top-up until the balance of the party is exhausted again
+	exhaustedFor    = 4 * time.Second  // how long the balance is left exhausted
 	leaderDowntime  = 3 * time.Second
 	workerDowntime  = time.Second
 	restartTimeout  = 20 * time.Second // from the loss of a worker until its long-running task runs again
-	resumeTimeout   = 10 * time.Second // from a top-up until work resumes, to be measured at all
-	maxResume       = time.Second      // from the acknowledgement of a top-up until work resumes
+	resumeTimeout   = 10 * time.Second // from a top-up until work resumes; after that the step fails
+	maxResume       = time.Second      // from the acknowledgement of a top-up until work resumes; more is a violation
 	balanceInterval = 20 * time.Millisecond
 	recoveryTimeout = 30 * time.Second
 )
@@ -39,7 +39,7 @@
 // BalancesOptions are the options of RunBalances.
 type BalancesOptions struct {
 	Target *faults.Target
-	Rate   float64 // jobs per second of the party, and as many of others
+	Rate   float64 // jobs per second, of the paying party and also of unpaid jobs
 	Seed   uint64
 }
 
@@ -47,34 +47,34 @@
 type BalancesReport struct {
 	Notes       []string                `json:"notes"`
 	Violations  []string                `json:"wrong,omitempty"`
-	Resumed     []float64               `json:"resumed"`  // from a top-up's acknowledgement until a job started
-	Attached    []float64               `json:"attached"` // from the loss of a worker until its task ran again
-	Lowest      int64                   `json:"lowest"`   // balance that was read
+	Resumed     []float64               `json:"resumed"`  // from the acknowledgement of each top-up until a job started
+	Attached    []float64               `json:"attached"` // from the loss of each worker until its task ran again
+	Lowest      int64                   `json:"lowest"`   // lowest balance that was read
 	Account     internalapi.AccountView `json:"account"`  // at the end
-	TopUps      int                     `json:"top_ups"`  // acknowledged, each once
-	Sent        int                     `json:"sent"`     // top-ups sent, with those sent again
+	TopUps      int                     `json:"top_ups"`  // acknowledged top-ups, each counted once
+	Sent        int                     `json:"sent"`     // top-ups sent, including repetitions
 	Paid        load.Report             `json:"paid"`
 	LongRunning load.Report             `json:"lasting"`
 	Free        load.Report             `json:"free"`
 	Audit       []audit.Finding         `json:"audit"`
 }
 
-// IsClean reports whether nothing was violated.
+// IsClean reports whether no violation was found.
 func (r BalancesReport) IsClean() bool { return len(r.Violations) == 0 && audit.NoneViolated(r.Audit) }
 
-// balances is a rehearsal in progress. Its steps run one after the other, concurrently with the loads.
+// balances is a run of RunBalances in progress. Its steps run one after the other, concurrently with the loads.
 type balances struct {
 	*faults.Target
 	findings
 	operator *billingload.Operator
 	party    string
-	topUps   map[string]int64 // that were acknowledged: amounts by key
+	topUps   map[string]int64 // amounts of the acknowledged top-ups, by key
 	report   BalancesReport
 }
 
-// RunBalances adds a paying party to the bundle and offers jobs of the party, long-running ones among them, and jobs
-// that nobody pays for. The party runs out of balance again and again while the leader, a worker or a member is lost.
-// Violations are in the report. Failures: those of opening the party's account.
+// RunBalances adds a paying party to the bundle and offers jobs of the party, some of them long-running, and unpaid
+// jobs. The balance of the party is exhausted repeatedly while the leader, a worker or a member is lost. Violations are
+// in the report. Failures: those of opening the party's account.
 func RunBalances(ctx context.Context, options BalancesOptions) (BalancesReport, error) {
 	party := fmt.Sprintf("payer-%x", clock.Real{}.Wall().UnixMilli())
 	operator, err := billingload.New(options.Target.Dir, party)
@@ -88,20 +88,20 @@
 	if _, err := b.topUp(ctx, smallTopUp); err != nil {
 		return BalancesReport{}, errs.Pass(err, "balances")
 	}
-	b.play(ctx, options)
+	b.runUnderLoad(ctx, options)
 	b.check(ctx)
 	b.report.Notes, b.report.Violations = b.notes, b.violations
 	return b.report, nil
 }
 
-// billingLoad is one of the three loads that are offered.
+// billingLoad is one of the three loads.
 type billingLoad struct {
 	options load.Options
-	report  *load.Report // where its result goes
+	report  *load.Report // receives the result
 	err     error
 }
 
-// loads returns the three loads: the party's jobs, its long-running ones and jobs that nobody pays for.
+// loads returns the three loads: the party's jobs, its long-running ones and unpaid jobs.
 func (b *balances) loads(options BalancesOptions) []*billingLoad {
 	loads := []*billingLoad{
 		{report: &b.report.Paid, options: load.Options{Team: b.party, Rate: options.Rate,
@@ -118,28 +118,27 @@
 	return loads
 }
 
-// play runs the loads and, concurrently, the steps.
-func (b *balances) play(ctx context.Context, options BalancesOptions) {
+// runUnderLoad runs the steps concurrently with the loads.
+func (b *balances) runUnderLoad(ctx context.Context, options BalancesOptions) {
 	loads := b.loads(options)
 	group := routine.New(ctx)
 	for _, l := range loads {
 		group.Go(func(ctx context.Context) { *l.report, l.err = load.Run(ctx, l.options) })
 	}
-	b.playSteps(ctx)
+	b.runSteps(ctx)
 	group.Wait()
 	for _, l := range loads {
 		if l.err != nil {
-			b.violatef("load of %s: %v", l.options.Team, l.err)
+			b.violatef("load of team %s: %v", l.options.Team, l.err)
 		}
 	}
 }
 
-// playSteps plays the steps one after the other. A step that fails is a violation and does not keep the next one from
-// being played.
-func (b *balances) playSteps(ctx context.Context) {
+// runSteps runs the steps one after the other. A step that fails is reported as a violation, and the next one runs.
+func (b *balances) runSteps(ctx context.Context) {
 	for _, step := range []struct {
 		name string
-		play func(context.Context) error
+		run  func(context.Context) error
 	}{
 		{"leader killed at the last draw", b.killLeaderAtLastDraw},
 		{"leader killed at a top-up", b.killLeaderAtTopUp},
@@ -149,7 +148,7 @@
 			return errs.Pass(b.topUpAndMeasure(ctx, lastTopUp, nil), "top-up")
 		}},
 	} {
-		if err := step.play(ctx); err != nil {
+		if err := step.run(ctx); err != nil {
 			b.violatef("%s: %v", step.name, err)
 		}
 	}
--- a/internal/testbed/rehearsal/balances_check.go
+++ b/internal/testbed/rehearsal/balances_check.go
@@ -9,20 +9,21 @@
 	"crosstide/internal/testbed/load"
 )
 
-// check checks the loads, the account, the ledgers of all control planes and the journals, once the fleet is ready.
+// check waits until the fleet is ready and checks the loads, the account, the ledgers of all control planes and the
+// journals.
 func (b *balances) check(ctx context.Context) {
 	if _, err := b.AwaitReady(ctx, recoveryTimeout, "ready after the drill"); err != nil {
 		b.violatef("%v", err)
 	}
-	for what, r := range map[string]load.Report{"paid": b.report.Paid, "free": b.report.Free} {
+	for name, r := range map[string]load.Report{"paid": b.report.Paid, "free": b.report.Free} {
 		if !r.AllDone() {
-			b.violatef("%s: %d accepted, %d done, %d unknown, %d unfinished", what, r.Accepted, r.Done, r.Unknown,
+			b.violatef("load %s: %d accepted, %d done, %d unknown, %d unfinished", name, r.Accepted, r.Done, r.Unknown,
 				r.Unfinished)
 		}
 	}
 	var err error
 	if b.report.Account, err = b.readAccount(ctx); err != nil {
-		b.violatef("account: %v", err)
+		b.violatef("read account: %v", err)
 		return
 	}
 	b.checkLedgers(ctx)
@@ -32,7 +33,7 @@
 	}
 }
 
-// checkLedgers compares the exports of all control planes, and sums up their entries.
+// checkLedgers checks that all control planes export the same ledger and that its sums match the account.
 func (b *balances) checkLedgers(ctx context.Context) {
 	want := int64(0)
 	for _, amount := range b.topUps {
@@ -40,29 +41,29 @@
 	}
 	account := b.report.Account
 	if account.ToppedUp != want {
-		b.violatef("topped up with %d, %d was acknowledged", account.ToppedUp, want)
+		b.violatef("account was topped up with %d, but the acknowledged top-ups sum to %d", account.ToppedUp, want)
 	}
 	first := b.compareExports(ctx)
 	sums, err := billingload.SumExport(first)
 	if err != nil || sums.ToppedUp != want || sums.Spent != account.Spent {
-		b.violatef("the ledger adds up to %d and %d (%v), the account has %d and %d", sums.ToppedUp, sums.Spent, err,
+		b.violatef("ledger sums to %d topped up and %d spent (%v), want %d and %d", sums.ToppedUp, sums.Spent, err,
 			want, account.Spent)
 	}
 }
 
-// compareExports returns the first export; those of all control planes must be the same.
+// compareExports returns the first ledger export. All control planes must export the same.
 func (b *balances) compareExports(ctx context.Context) (first []byte) {
 	for _, node := range b.Nodes.ControlPlanes {
 		raw, err := b.operator.Export(ctx, node, b.party)
 		if err != nil {
-			b.violatef("export at %s: %v", node.Name, err)
+			b.violatef("export ledger at %s: %v", node.Name, err)
 			continue
 		}
 		if first == nil {
 			first = raw
 		}
 		if !bytes.Equal(raw, first) {
-			b.violatef("%s exports another ledger", node.Name)
+			b.violatef("ledger exported at %s differs from the first", node.Name)
 		}
 	}
 	return first
--- a/internal/testbed/rehearsal/balances_steps.go
+++ b/internal/testbed/rehearsal/balances_steps.go
@@ -19,19 +19,19 @@
 	"crosstide/internal/testbed/netproxy"
 )
 
-// readAccount reads the account, keeps the lowest balance and checks that no unit was gained or lost.
+// readAccount reads the account, records the lowest balance and checks that no unit was created or lost.
 func (b *balances) readAccount(ctx context.Context) (internalapi.AccountView, error) {
 	account, err := b.operator.Account(ctx, b.party)
 	if err == nil {
 		b.report.Lowest = min(b.report.Lowest, account.Balance)
 		if account.Balance+account.Reserved+account.Spent != account.ToppedUp {
-			b.violatef("not conserved: %+v", account)
+			b.violatef("balance, reserved and spent do not sum to the top-ups: %+v", account)
 		}
 	}
 	return account, errs.Pass(err, "show")
 }
 
-// awaitExhausted waits until the party's balance is less than a start needs.
+// awaitExhausted waits until the party's balance does not suffice for a start.
 func (b *balances) awaitExhausted(ctx context.Context) error {
 	need := int64(billingload.CorePrice * billingload.Window / time.Second)
 	clk := clock.Real{}
@@ -44,37 +44,37 @@
 			return nil
 		}
 		if !b.Sleep(ctx, balanceInterval) {
-			return errs.New(errs.Stopped, "stopped before %s was dry", b.party)
+			return errs.New(errs.Stopped, "stopped before the balance of %s was exhausted", b.party)
 		}
 	}
-	return errs.New(errs.Timeout, "the party is not dry within %s", exhaustTimeout)
+	return errs.New(errs.Timeout, "balance not exhausted within %s", exhaustTimeout)
 }
 
-// checkStaysExhausted leaves the party without balance for a time, and checks that none of its jobs starts once those
-// that ran have ended.
+// checkStaysExhausted leaves the party without balance for exhaustedFor, in which its running jobs end. Then it checks
+// for half that time that none of its jobs starts, and that jobs wait.
 func (b *balances) checkStaysExhausted(ctx context.Context) error {
 	b.Sleep(ctx, exhaustedFor)
 	from := clock.Real{}.Wall()
 	b.Sleep(ctx, exhaustedFor/2)
 	started, err := b.starts(b.party+"-paid", from)
 	if err != nil {
-		return errs.Pass(err, "stay dry")
+		return errs.Pass(err, "stay exhausted")
 	}
 	account, err := b.readAccount(ctx)
 	if err != nil {
-		return errs.Pass(err, "stay dry")
+		return errs.Pass(err, "stay exhausted")
 	}
 	if len(started) > 0 {
-		b.violatef("%d jobs started though the party is dry, at a balance of %d", len(started), account.Balance)
+		b.violatef("%d jobs started although the balance was exhausted, at %d", len(started), account.Balance)
 	}
-	b.notef("dry at %d, %d jobs wait", account.Balance, account.Waiting)
+	b.notef("exhausted at a balance of %d, %d jobs waiting", account.Balance, account.Waiting)
 	if account.Waiting == 0 {
-		b.violatef("nothing waits while the party is dry")
+		b.violatef("no job waiting although the balance is exhausted")
 	}
 	return nil
 }
 
-// starts returns the starts since a time, by the workers' journals, of jobs whose key has a prefix.
+// starts returns the starts in the workers' journals, since a time, of jobs whose key has a prefix.
 func (b *balances) starts(prefix string, since time.Time) ([]audit.Event, error) {
 	history, err := audit.Read(b.Dir)
 	if err != nil {
@@ -86,26 +86,26 @@
 	}), nil
 }
 
-// topUp sends a top-up until it is acknowledged, and then once more: the answer must be the same. It returns when it
-// was acknowledged first.
+// topUp sends a top-up until it is acknowledged, and then once more: the answer must be the same. It returns the time
+// of the first acknowledgement.
 func (b *balances) topUp(ctx context.Context, amount int64) (time.Time, error) {
 	order := b.operator.NewTopUp(b.party, amount)
 	first, err := b.operator.SendTopUp(ctx, order)
 	if err != nil {
 		return time.Time{}, errs.Pass(err, "top-up")
 	}
-	at := clock.Real{}.Wall()
+	acknowledgedAt := clock.Real{}.Wall()
 	b.topUps[order.Call.Key] = amount
 	again, err := b.operator.SendTopUp(ctx, order)
 	b.report.Sent += 2
 	if err != nil || again != first {
-		b.violatef("a top-up sent again is answered %+v (%v), first %+v", again, err, first)
+		b.violatef("repeated top-up answered with %+v (%v), first with %+v", again, err, first)
 	}
-	return at, nil
+	return acknowledgedAt, nil
 }
 
-// topUpAndMeasure tops the party up, with a fault meanwhile unless inject is nil, and measures until its jobs start
-// again.
+// topUpAndMeasure tops the party up and measures the time until its jobs start again. It injects a fault concurrently,
+// unless inject is nil.
 func (b *balances) topUpAndMeasure(ctx context.Context, amount int64, inject func(context.Context) error) error {
 	account, err := b.readAccount(ctx)
 	if err != nil {
@@ -123,7 +123,7 @@
 		return errs.Pass(errors.Join(err, faultErr), "resume")
 	}
 	var started []audit.Event
-	_, err = b.Await(ctx, resumeTimeout, "work after the top-up", func() bool {
+	_, err = b.Await(ctx, resumeTimeout, "work resumed after the top-up", func() bool {
 		var err error
 		started, err = b.starts(b.party+"-paid", before)
 		return err == nil && len(started) > 0
@@ -136,7 +136,7 @@
 	took := max(0, time.Unix(0, first.At).Sub(acknowledged))
 	b.report.Resumed = append(b.report.Resumed, took.Seconds())
 	if took > maxResume {
-		b.violatef("work went on %s after the yes to a top-up", took)
+		b.violatef("work resumed %s after the acknowledgement of a top-up", took)
 	}
 	return nil
 }
@@ -150,18 +150,18 @@
 	return leaders.Store, errs.Pass(err, "leader")
 }
 
-// killAndRestart kills a process and starts it again after the given time.
-func (b *balances) killAndRestart(ctx context.Context, after time.Duration, name string) error {
+// killAndRestart kills a process and restarts it after downtime.
+func (b *balances) killAndRestart(ctx context.Context, downtime time.Duration, name string) error {
 	killed, err := b.Kill("rehearse", []string{name})
 	b.notef("%s killed", strings.Join(killed, " "))
 	if err == nil && len(killed) == 0 {
-		err = errs.New(errs.Unknown, "%s was not there to be killed", name)
+		err = errs.New(errs.Unknown, "process %s was not running", name)
 	}
-	b.Sleep(ctx, after)
+	b.Sleep(ctx, downtime)
 	return errors.Join(err, b.Restart(ctx, []string{name}))
 }
 
-// killLeader kills the store's leader and starts it again after leaderDowntime.
+// killLeader kills the store's leader and restarts it after leaderDowntime.
 func (b *balances) killLeader(ctx context.Context) error {
 	name, err := b.storeLeader(ctx)
 	if err != nil {
@@ -170,7 +170,7 @@
 	return errs.Pass(b.killAndRestart(ctx, leaderDowntime, name), "kill")
 }
 
-// killLeaderAtLastDraw kills the leader as the balance runs out, and then the worker of a long-running task.
+// killLeaderAtLastDraw kills the leader when the balance is exhausted, and then the worker of a long-running task.
 func (b *balances) killLeaderAtLastDraw(ctx context.Context) error {
 	for _, step := range []func(context.Context) error{
 		b.awaitExhausted, b.killLeader, b.checkStaysExhausted, b.killLongRunningWorker,
@@ -187,10 +187,10 @@
 func (b *balances) killLongRunningWorker(ctx context.Context) error {
 	started, err := b.starts(b.party+"-lasting", time.Time{})
 	if err != nil {
-		return errs.Pass(err, "lasting task")
+		return errs.Pass(err, "long-running task")
 	}
 	if len(started) == 0 {
-		return errs.New(errs.Unknown, "no lasting task of %s has started", b.party)
+		return errs.New(errs.Unknown, "no long-running task of %s has started", b.party)
 	}
 	last := slices.MaxFunc(started, compareTimes)
 	before := clock.Real{}.Wall()
@@ -198,7 +198,7 @@
 		return errs.Pass(err, "kill minion")
 	}
 	var again []audit.Event
-	_, err = b.Await(ctx, restartTimeout, "a lasting task runs again", func() bool {
+	_, err = b.Await(ctx, restartTimeout, "long-running task restarted", func() bool {
 		var err error
 		again, err = b.starts(last.Job, before)
 		return err == nil && len(again) > 0
@@ -214,10 +214,11 @@
 	return errs.Pass(b.topUpAndMeasure(ctx, smallTopUp, b.killLeader), "top-up")
 }
 
-// isolateLeader cuts the leader off while the party runs out of balance and is topped up.
+// isolateLeader cuts the leader off from the network once the balance is exhausted, and tops the party up before that
+// fault is healed.
 func (b *balances) isolateLeader(ctx context.Context) error {
 	if b.Nodes.ProxyAddr == "" {
-		b.notef("not run: the leader cut off; the fleet has no links")
+		b.notef("leader isolation not run: the fleet has no proxy")
 		return nil
 	}
 	if err := b.awaitExhausted(ctx); err != nil {
--- a/internal/testbed/rehearsal/cases.go
+++ b/internal/testbed/rehearsal/cases.go
@@ -1,9 +1,9 @@
 // Package rehearsal injects faults into a running fleet of the policy deployment under load, and audits the result.
 //
-// It has four rehearsals, which are the entry points: RunCases plays the named cases one after the other (cases.go,
-// scenarios.go, requests.go), RunChurn injects faults at random beside operators at work (churn.go), RunZoneOutage
-// takes a zone out (zone.go), and RunBalances has a paying party run out of balance while leaders fail (balances.go).
-// Package faults injects, package load offers jobs, package audit checks; this package only decides what happens when.
+// It has four entry points: RunCases runs the named cases one after the other (cases.go, scenarios.go, requests.go),
+// RunChurn injects random faults while operators make changes (churn.go), RunZoneOutage takes a zone out (zone.go), and
+// RunBalances exhausts the balance of a paying party while leaders fail (balances.go). Package faults injects the
+// faults, package load offers jobs and package audit checks the invariants; this package sequences them.
 package rehearsal
 
 import (
@@ -31,10 +31,10 @@
 // CaseOptions are the options of RunCases.
 type CaseOptions struct {
 	Target       *faults.Target
-	BinDir       string // folder of the programs
+	BinDir       string // directory of the programs
 	Rate         float64
 	TaskDuration time.Duration
-	Seed         uint64 // of the first case's load; each one after it adds 1
+	Seed         uint64 // of the load of the first case; each further case adds 1
 }
 
 // CaseResult is the result of a case.
@@ -44,13 +44,13 @@
 	ReadyAfter float64 // seconds from the load's end until every node was ready
 	Load       load.Report
 	Notes      []string
-	Violations []string // none: it held
-	isPlayed   bool
+	Violations []string // empty if no invariant was violated
+	hasRun     bool
 }
 
-// Measures returns the measurements of the case as one line, and "" if it could not be played.
+// Measures returns the measurements of the case as one line, or "" if the case could not be run.
 func (r CaseResult) Measures() string {
-	if !r.isPlayed {
+	if !r.hasRun {
 		return ""
 	}
 	outage, jobs := r.Outage, r.Load
@@ -69,13 +69,13 @@
 	return lines.String()
 }
 
-// CheckCases checks that there is a case for each of keys. Failure: Settings.
+// CheckCases checks that every key names a case. Failure: Settings.
 func CheckCases(keys []string) error {
 	_, err := selectScenarios(keys)
 	return errs.Pass(err, "cases")
 }
 
-// selectScenarios returns the scenarios of keys in their order, all without keys. Failure: Settings.
+// selectScenarios returns the scenarios of keys, in that order, or all scenarios if keys is empty. Failure: Settings.
 func selectScenarios(keys []string) ([]scenario, error) {
 	if len(keys) == 0 {
 		return scenarios, nil
@@ -84,15 +84,15 @@
 	for _, key := range keys {
 		i := slices.IndexFunc(scenarios, func(s scenario) bool { return s.key == strings.TrimSpace(key) })
 		if i < 0 {
-			return nil, errs.Field(errs.Settings, "only", "there is no case %q", key)
+			return nil, errs.Field(errs.Settings, "only", "unknown case %q", key)
 		}
 		selected = append(selected, scenarios[i])
 	}
 	return selected, nil
 }
 
-// RunCases plays cases one after the other, all without keys, and passes each one's result to report. A violation is
-// reported by the first case after which it is found. Failures: Settings, Stopped, those of report.
+// RunCases runs the cases of keys, or all if keys is empty, one after the other, and passes each result to report. A
+// violation is reported only by the first case after which it is found. Failures: Settings, Stopped, those of report.
 func RunCases(ctx context.Context, options CaseOptions, keys []string, report func(CaseResult) error) error {
 	selected, err := selectScenarios(keys)
 	if err != nil {
@@ -104,7 +104,7 @@
 			return errs.Wrap(ctx.Err(), errs.Stopped, "rehearse")
 		}
 		run := &caseRun{Target: options.Target, binDir: options.BinDir}
-		result := run.play(ctx, s, load.Options{Dir: options.Target.Dir, Rate: options.Rate, Duration: s.offer,
+		result := run.execute(ctx, s, load.Options{Dir: options.Target.Dir, Rate: options.Rate, Duration: s.offer,
 			Seed: options.Seed + uint64(i), TaskDuration: options.TaskDuration, Retries: 5,
 			CancelProbability: 0.05, DuplicateProbability: 0.05}, seen)
 		if err := report(result); err != nil {
@@ -120,36 +120,36 @@
 	findings
 	binDir  string
 	leaders fleet.Leaders // before the fault
-	faultAt time.Time     // when it was injected
+	faultAt time.Time     // when the fault was injected
 }
 
-// play plays a scenario under load, audits, and waits until the fleet is ready again. seen are the violations that
+// execute runs a scenario under load, waits until the fleet is ready again, and audits. seen holds the violations that
 // earlier cases have reported.
-func (r *caseRun) play(ctx context.Context, s scenario, options load.Options, seen map[string]bool) CaseResult {
+func (r *caseRun) execute(ctx context.Context, s scenario, options load.Options, seen map[string]bool) CaseResult {
 	result := CaseResult{Key: s.key, Name: s.name}
 	if err := r.prepare(ctx); err != nil {
 		r.violatef("not run: %v", err)
 	} else {
-		result.isPlayed = true
+		result.hasRun = true
 		var offersEnd time.Time
 		result.Load, offersEnd = r.injectUnderLoad(ctx, s, options)
 		result.ReadyAfter = r.awaitRecovery(ctx)
 		if n := result.Load.Unknown; n > 0 {
-			r.violatef("%d accepted jobs were unknown", n)
+			r.violatef("%d accepted jobs are unknown", n)
 		}
 		if n := result.Load.Unfinished; n > 0 {
 			r.violatef("%d accepted jobs did not end", n)
 		}
 		r.addNew(ctx, r.Dir, seen)
 		if result.Outage, err = r.measureOutage(offersEnd); err != nil {
-			r.violatef("journals: %v", err)
+			r.violatef("read journals: %v", err)
 		}
 	}
 	result.Notes, result.Violations = r.notes, r.violations
 	return result
 }
 
-// prepare waits until the fleet is ready and its leaders are known.
+// prepare waits until the fleet is ready and both leaders are known.
 func (r *caseRun) prepare(ctx context.Context) error {
 	if _, err := r.AwaitReady(ctx, readyTimeout, "ready before the case"); err != nil {
 		return errs.Pass(err, "prepare")
@@ -160,8 +160,8 @@
 	return errs.Pass(err, "prepare")
 }
 
-// injectUnderLoad starts the load, injects the fault some time after that and waits for the load's end. offersEnd is
-// when the last job was due.
+// injectUnderLoad starts the load, injects the fault faultDelay later and waits until the load ends. offersEnd is when
+// the last job was due.
 func (r *caseRun) injectUnderLoad(ctx context.Context, s scenario, options load.Options) (jobs load.Report,
 	offersEnd time.Time) {
 	var loadErr error
@@ -175,7 +175,7 @@
 	}
 	group.Wait()
 	if faultErr != nil {
-		r.violatef("the case: %v", faultErr)
+		r.violatef("inject fault: %v", faultErr)
 	}
 	if loadErr != nil {
 		r.violatef("load: %v", loadErr)
@@ -187,7 +187,7 @@
 func (r *caseRun) awaitRecovery(ctx context.Context) float64 {
 	seconds, err := r.AwaitReady(ctx, readyTimeout, "ready after the case")
 	if err != nil {
-		r.violatef("%v: %s", err, strings.Join(r.NotReady(ctx), " "))
+		r.violatef("%v; nodes not ready: %s", err, strings.Join(r.NotReady(ctx), " "))
 	}
 	return seconds
 }
@@ -202,17 +202,17 @@
 	return audit.MeasureOutage(history, r.faultAt), nil
 }
 
-// markFault sets the time of the fault. A scenario calls it again if its fault comes after its preparations: the last
-// call counts.
+// markFault sets the time of the fault to now. A scenario whose fault comes after preparations calls it
+// again: the last call counts.
 func (r *caseRun) markFault() { r.faultAt = clock.Real{}.Wall() }
 
-// kill kills processes, all at once, and notes their names. It fails if one did not run.
+// kill kills processes, all at once, and notes their names. It fails if one of them was not running.
 func (r *caseRun) kill(names ...string) error {
 	r.markFault()
 	killed, err := r.Kill("rehearse", names)
 	r.notef("%s killed", strings.Join(killed, " "))
 	if err == nil && len(killed) < len(names) {
-		err = errs.New(errs.Unknown, "only %d of %d were there to be killed", len(killed), len(names))
+		err = errs.New(errs.Unknown, "only %d of %d processes were running", len(killed), len(names))
 	}
 	return errs.Pass(err, "kill")
 }
--- a/internal/testbed/rehearsal/churn.go
+++ b/internal/testbed/rehearsal/churn.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	maxDowntime       = 4 * time.Second // of a process that is killed
+	maxDowntime       = 4 * time.Second // of a killed process
 	maxFreeze         = 6 * time.Second
 	drainDuration     = 3 * time.Second
 	evacuationLength  = 6 * time.Second
-	gracefulTimeout   = 15 * time.Second // of a worker that is signalled to leave
+	gracefulTimeout   = 15 * time.Second // for a worker that is signalled to leave
 	cancelledJobs     = 20
-	changeProbability = 0.2 // of a race, and of an order that is repeated
+	changeProbability = 0.2 // of a race between operators, and of a repeated order
 )
 
 // ChurnOptions are the options of RunChurn.
@@ -40,10 +40,10 @@
 	Profile        string  // of load.RunProfile
 	Scale          float64 // of the profile's rates
 	Duration       time.Duration
-	EndTimeout     time.Duration // after Duration, until every accepted job has ended
+	EndTimeout     time.Duration // from the end of Duration until every accepted job has ended
 	Seed           uint64
-	FaultInterval  time.Duration // from the end of a fault to the next, on average
-	ChangeInterval time.Duration // from a change of bundle to the next, on average; 0: none
+	FaultInterval  time.Duration // mean time from the end of a fault to the next
+	ChangeInterval time.Duration // mean time between changes of the bundle; 0: none
 	Only           []string      // kinds of faults; empty: all
 }
 
@@ -54,20 +54,20 @@
 	Bundles *operator.Report       `json:"bundles,omitempty"`
 }
 
-// churn injects faults, one after the other, concurrently with operators and load.
+// churn is a run of RunChurn in progress. It injects one fault after the other, concurrently with operators and load.
 type churn struct {
 	*faults.Target
 	options ChurnOptions
 	rng     *rand.Rand
-	writer  *journal.Writer // an operator's, for ordered drains
-	orders  int             // sent so far, for their IDs
+	writer  *journal.Writer // an operator's journal, for the drains that it orders
+	orders  int             // sent so far; makes their IDs unique
 	counts  map[string]int  // of faults, by kind
 }
 
-// faultKinds are the kinds of faults in the order of the documentation: a seed draws by their index.
+// faultKinds are the kinds of faults in the order of the documentation. A seed draws by index, so the order is fixed.
 var faultKinds = []string{"kill", "freeze", "drain", "leave", "evacuate", "cancel"}
 
-// RunChurn runs a deployment's work, operators and random faults concurrently, until all three have ended. Failures:
+// RunChurn runs a profile's load, operators and random faults concurrently until all three have ended. Failures:
 // Invalid, those of the load, the operators and the faults.
 func RunChurn(ctx context.Context, options ChurnOptions) (ChurnReport, error) {
 	writer, err := journal.Open(filepath.Join(options.Target.Dir, "journal", "operator-churn.jsonl"))
@@ -112,7 +112,7 @@
 	return report, nil
 }
 
-// injectFaults injects faults until the duration is over; the last one is healed before it returns.
+// injectFaults injects faults until the duration has elapsed. It heals the last fault before it returns.
 func (c *churn) injectFaults(ctx context.Context) error {
 	inject := map[string]func(context.Context) error{"kill": c.killOne, "freeze": c.freezeOne, "drain": c.drainSome,
 		"leave": c.leaveOne, "evacuate": c.evacuateOne, "cancel": c.cancelMany}
@@ -122,7 +122,7 @@
 	}
 	for _, kind := range kinds {
 		if !slices.Contains(faultKinds, kind) {
-			return errs.Field(errs.Invalid, "only", "no kind of fault is named %q", kind)
+			return errs.Field(errs.Invalid, "only", "unknown kind of fault %q", kind)
 		}
 	}
 	clk := clock.Real{}
@@ -141,7 +141,7 @@
 
 func (c *churn) pickNode(list []fleet.Node) fleet.Node { return list[c.rng.IntN(len(list))] }
 
-// pickAnyNode picks a control plane, a data plane or a worker, each role as often as the others.
+// pickAnyNode picks a node. Control planes, data planes and workers are equally likely.
 func (c *churn) pickAnyNode() fleet.Node {
 	roles := [][]fleet.Node{c.Nodes.ControlPlanes, c.Nodes.DataPlanes, c.Nodes.Workers}
 	return c.pickNode(roles[c.rng.IntN(len(roles))])
@@ -151,12 +151,12 @@
 	return time.Duration(c.rng.Int64N(int64(limit)))
 }
 
-// killOne kills a node and starts it again after up to maxDowntime.
+// killOne kills a node and restarts it after at most maxDowntime.
 func (c *churn) killOne(ctx context.Context) error {
 	name := c.pickAnyNode().Name
 	killed, err := c.Kill("rehearse", []string{name})
 	if err == nil && len(killed) == 0 {
-		err = errs.New(errs.Unknown, "%s was not there to be killed", name)
+		err = errs.New(errs.Unknown, "node %s was not running", name)
 	}
 	if err != nil {
 		return errs.Pass(err, "kill")
@@ -169,7 +169,7 @@
 	return errs.Pass(c.Freeze(ctx, c.pickAnyNode().Name, c.randomDuration(maxFreeze)), "freeze")
 }
 
-// drainSome drains a few workers by an operator's orders, and undrains them.
+// drainSome drains some workers by operator orders, and undrains them after drainDuration.
 func (c *churn) drainSome(ctx context.Context) error {
 	var drained []fleet.Node
 	for range 1 + len(c.Nodes.Workers)/16 {
@@ -185,7 +185,7 @@
 	}
 	c.Sleep(ctx, drainDuration)
 	for _, w := range drained {
-		recorded := c.record(audit.Undrain, w.Name) // before the order: starts may come from its commit on
+		recorded := c.record(audit.Undrain, w.Name) // before the order: starts are allowed from its commit on
 		sent := c.sendWorkerOrder(context.WithoutCancel(ctx), w.Name, "open")
 		if err := errors.Join(sent, recorded); err != nil {
 			return errs.Pass(err, "open %s", w.Name)
@@ -208,14 +208,14 @@
 	return errs.Pass(err, "journal")
 }
 
-// leaveOne signals a worker to leave, as the platform does, and starts it again once it has.
+// leaveOne signals a worker to leave, as the platform does, and restarts it once it has exited.
 func (c *churn) leaveOne(ctx context.Context) error {
 	name := c.pickNode(c.Nodes.Workers).Name
 	if err := fleet.Signal(c.Dir, name, unix.SIGTERM); err != nil {
 		return errs.Pass(err, "leave")
 	}
 	hasLeft := func() bool { _, err := fleet.PID(c.Dir, name); return err != nil }
-	_, err := c.Await(ctx, gracefulTimeout, name+" gone", hasLeft)
+	_, err := c.Await(ctx, gracefulTimeout, name+" exited", hasLeft)
 	return errors.Join(err, c.Restart(context.WithoutCancel(ctx), []string{name}))
 }
 
@@ -224,7 +224,7 @@
 	return errs.Pass(c.Evacuate(ctx, zone, evacuationLength), "zone %s", zone)
 }
 
-// cancelMany submits many jobs and cancels them at once, one after the other.
+// cancelMany submits cancelledJobs jobs and cancels each at once.
 func (c *churn) cancelMany(ctx context.Context) error {
 	_, err := load.Run(ctx, load.Options{Dir: c.Dir, Count: cancelledJobs, Duration: time.Second,
 		TaskDuration: 5 * time.Second, CancelProbability: 1, Team: "crowd", Seed: c.rng.Uint64(), Clients: 2,
--- a/internal/testbed/rehearsal/findings.go
+++ b/internal/testbed/rehearsal/findings.go
@@ -8,7 +8,8 @@
 	"crosstide/internal/testbed/audit"
 )
 
-// findings are the notes and violations that a rehearsal reports. Faults run concurrently with it and add to them, too.
+// findings collects the notes and violations that a rehearsal reports. It is safe for concurrent use: faults that run
+// concurrently add to it.
 type findings struct {
 	mu         sync.Mutex
 	notes      []string
@@ -27,10 +28,10 @@
 	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// maxShown is how many violations of one invariant a case reports.
-const maxShown = 3
+// maxReported limits the violations of one invariant that a case reports.
+const maxReported = 3
 
-// addNew audits the fleet in dir, and adds the violations that are not in seen to the findings and to seen.
+// addNew audits the fleet in dir and adds the violations that are not in seen to the findings and to seen.
 func (f *findings) addNew(ctx context.Context, dir string, seen map[string]bool) {
 	audited, err := audit.CheckFleet(ctx, dir)
 	if err != nil {
@@ -46,12 +47,12 @@
 			}
 			seen[key] = true
 			added++
-			if added <= maxShown {
+			if added <= maxReported {
 				f.violatef("%s: %s", finding.Invariant, line)
 			}
 		}
-		if added > maxShown {
-			f.violatef("%s: and %d more", finding.Invariant, added-maxShown)
+		if added > maxReported {
+			f.violatef("%s: %d more violations", finding.Invariant, added-maxReported)
 		}
 	}
 }
--- a/internal/testbed/rehearsal/rehearsal_test.go
+++ b/internal/testbed/rehearsal/rehearsal_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestSelectScenarios(t *testing.T) {
-	Convey("Cases are selected in the order of their keys, all without keys", t, func() {
+	Convey("Cases are selected in the order of the given keys; without keys all are selected", t, func() {
 		all, err := selectScenarios(nil)
 		So(err, ShouldBeNil)
 		So(len(all), ShouldEqual, strings.Count(DescribeCases(), "\n"))
@@ -24,7 +24,7 @@
 }
 
 func TestPickWorkers(t *testing.T) {
-	Convey("One worker of each kind is picked, or two if there is only one kind", t, func() {
+	Convey("One worker of each kind is picked, or two workers if all are of one kind", t, func() {
 		run := &caseRun{Target: &faults.Target{Nodes: fleet.Nodes{Workers: []fleet.Node{
 			{Name: "m1", Kind: "check"}, {Name: "m2", Kind: "check"}, {Name: "m3", Kind: "obey"}, {Name: "m4", Kind: "obey"}}}}}
 		So(run.pickWorkers(0), ShouldResemble, []string{"m1", "m3"})
--- a/internal/testbed/rehearsal/requests.go
+++ b/internal/testbed/rehearsal/requests.go
@@ -27,8 +27,8 @@
 	doneTimeout    = 10 * time.Second // of a job of one short task
 )
 
-// sendInvalidRequests sends malformed and invalid jobs, checks invalid settings, and sends one job to three nodes at
-// once.
+// sendInvalidRequests checks that one job that is sent to three nodes at once becomes one job, and that malformed jobs,
+// invalid jobs and invalid settings are refused.
 func sendInvalidRequests(ctx context.Context, r *caseRun) error {
 	if err := r.submitAtThreeNodes(ctx); err != nil {
 		return errs.Pass(err, "one job at three nodes")
@@ -43,7 +43,7 @@
 		for body, want := range wantStatus {
 			reply, err := r.Caller.Send(ctx, http.MethodPost, n.Addr, "/v1/jobs", []byte(body), requestTimeout)
 			if err != nil || reply.Status != want {
-				r.violatef("%s answers %d (%v) to %.20q of %d bytes, not %d", n.Name, reply.Status, err, body,
+				r.violatef("%s answered %d (%v) to %.20q of %d bytes, want %d", n.Name, reply.Status, err, body,
 					len(body), want)
 			}
 		}
@@ -51,25 +51,25 @@
 	for program, node := range map[string]string{"crosstide-controlplane": r.Nodes.ControlPlanes[0].Name,
 		"crosstide-dataplane": r.Nodes.DataPlanes[0].Name} {
 		if err := r.checkInvalidSettings(ctx, program, node); err != nil {
-			return errs.Pass(err, "settings of a %s", program)
+			return errs.Pass(err, "check settings of %s", program)
 		}
 	}
-	r.notef("3 bodies at %d nodes, 2 settings files with 3 mistakes", len(r.Nodes.DataPlanes))
+	r.notef("3 invalid bodies at %d nodes, 2 settings files with 3 errors each", len(r.Nodes.DataPlanes))
 	return nil
 }
 
-// checkInvalidSettings runs a program's check of settings on those of a node with three errors in them: it must exit 1
-// and name all three.
+// checkInvalidSettings adds three errors to the settings of a node and runs the program's check of settings on them. It
+// must exit with 1 and name all three.
 func (r *caseRun) checkInvalidSettings(ctx context.Context, program, node string) error {
 	raw, err := os.ReadFile(filepath.Join(r.Dir, "settings", node+".json"))
 	if err != nil {
-		return errs.Wrap(err, errs.Disk, "settings of %s", node)
+		return errs.Wrap(err, errs.Disk, "read settings of %s", node)
 	}
 	settings := map[string]any{}
 	if err := json.Unmarshal(raw, &settings); err != nil {
-		return errs.Wrap(err, errs.Malformed, "settings of %s", node)
+		return errs.Wrap(err, errs.Malformed, "decode settings of %s", node)
 	}
-	settings["addr"], settings["grace"], settings["odd"] = "nowhere", "3 monkeys", 1
+	settings["addr"], settings["grace"], settings["odd"] = "nowhere", "not a duration", 1
 	if raw, err = json.Marshal(settings); err != nil {
 		return errs.Wrap(err, errs.Internal, "encode")
 	}
@@ -78,28 +78,28 @@
 		return errs.Wrap(err, errs.Disk, "write settings")
 	}
 	cmd := exec.CommandContext(ctx, filepath.Join(r.binDir, program), "check", "--settings", path)
-	out, err := cmd.CombinedOutput()
+	output, err := cmd.CombinedOutput()
 	exit := &exec.ExitError{}
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-		r.violatef("%s check of settings with mistakes ends with %v, not exit 1", program, err)
+		r.violatef("%s check of invalid settings ended with %v, want exit status 1", program, err)
 	}
 	for _, field := range []string{"addr:", "grace:", "odd:"} {
-		if !strings.Contains(string(out), field) {
-			r.violatef("%s check does not name %s in %q", program, field, out)
+		if !strings.Contains(string(output), field) {
+			r.violatef("%s check does not name %s in %q", program, field, output)
 		}
 	}
 	return nil
 }
 
-// threefoldJob is a job that is submitted at three nodes at once.
+// threefoldJob is a job that is submitted to three nodes at once.
 type threefoldJob struct {
 	*caseRun
 	spec   state.Spec
-	writer *journal.Writer // of its client
+	writer *journal.Writer // of the job's client
 }
 
-// submitAtThreeNodes submits the same job to three nodes at once, and checks that it becomes one job with one start,
-// and that another job with its key is refused.
+// submitAtThreeNodes submits the same job to three nodes at once. It checks that this creates one job with one start,
+// and that a different job with the same key is refused.
 func (r *caseRun) submitAtThreeNodes(ctx context.Context) error {
 	key := fmt.Sprintf("thrice-%d", clock.Real{}.Wall().UnixNano())
 	writer, err := journal.Open(filepath.Join(r.Dir, "journal", "consumer-"+key+".jsonl"))
@@ -122,12 +122,12 @@
 	job.spec.Team = "other"
 	reply, err := r.Caller.Call(ctx, http.MethodPost, r.Nodes.DataPlanes[0].Addr, "/v1/jobs", job.spec, requestTimeout)
 	if err != nil || reply.Status != http.StatusConflict {
-		r.violatef("another job under the key is answered %d (%v), not 409", reply.Status, err)
+		r.violatef("a different job with the same key was answered with %d (%v), want 409", reply.Status, err)
 	}
 	return nil
 }
 
-// record writes an event of the job into the client's journal.
+// record journals an event of the job for its client.
 func (j *threefoldJob) record(event, phase string) error {
 	err := j.writer.Append(load.Entry{At: clock.Real{}.Wall().UnixNano(), Event: event, Job: j.spec.Key, State: phase,
 		Steps: []load.Step{{Name: "s1", Type: "scan", Tasks: 1, Cores: 1}}})
@@ -149,7 +149,7 @@
 	})
 	for _, status := range statuses {
 		if status != http.StatusOK && status != http.StatusAccepted {
-			j.violatef("one job at three nodes is answered %v", statuses)
+			j.violatef("one job at three nodes was answered with %v", statuses)
 		}
 	}
 	return errs.Pass(j.record(load.Accepted, ""), "accepted")
--- a/internal/testbed/rehearsal/scenarios.go
+++ b/internal/testbed/rehearsal/scenarios.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	longOutage    = 25 * time.Second // over every lease and time-out
+	longOutage    = 25 * time.Second // longer than every lease and time-out
 	repairTimeout = 20 * time.Second
 	leaveTimeout  = 12 * time.Second // the workers' own grace is 10 s
 	readTimeout   = 2 * time.Second
@@ -31,7 +31,7 @@
 	inject    func(ctx context.Context, r *caseRun) error
 }
 
-// scenarios are the cases, in the order in which they are played.
+// scenarios are the cases, in the order in which they run.
 var scenarios = []scenario{
 	{"a", "kill -9 of the holder of sched", 20 * time.Second, func(ctx context.Context, r *caseRun) error {
 		return errs.Pass(r.killAndRestart(ctx, 6*time.Second, r.leaders.Scheduler), "kill")
@@ -64,7 +64,7 @@
 	{"j", "one job at three nodes, broken bodies and settings", 8 * time.Second, sendInvalidRequests},
 }
 
-// zoneOf returns the zone of a node, and "" if there is no such node.
+// zoneOf returns the zone of a node, or "" if the fleet does not have the node.
 func (r *caseRun) zoneOf(name string) string {
 	for _, n := range r.Nodes.All() {
 		if n.Name == name {
@@ -74,11 +74,11 @@
 	return ""
 }
 
-// pickWorkers returns a worker of either kind, or two of the one kind there is; from is the index of the first that is
-// considered.
+// pickWorkers returns one worker of each kind, or two workers if all are of one kind. It considers the workers from
+// index from on.
 func (r *caseRun) pickWorkers(from int) []string {
 	var picked []string
-	isPicked := map[string]bool{} // kinds
+	isPicked := map[string]bool{} // kinds that are picked
 	for _, oneOfKind := range []bool{true, false} {
 		for _, w := range r.Nodes.Workers[min(from, len(r.Nodes.Workers)):] {
 			if len(picked) < 2 && !slices.Contains(picked, w.Name) && !(oneOfKind && isPicked[w.Kind]) {
@@ -90,14 +90,14 @@
 	return picked
 }
 
-// killAndRestart kills processes, all at once, and starts them again after the given time.
-func (r *caseRun) killAndRestart(ctx context.Context, after time.Duration, names ...string) error {
+// killAndRestart kills processes, all at once, and restarts them after downtime.
+func (r *caseRun) killAndRestart(ctx context.Context, downtime time.Duration, names ...string) error {
 	err := r.kill(names...)
-	r.Sleep(ctx, after)
+	r.Sleep(ctx, downtime)
 	return errors.Join(err, r.Restart(ctx, names))
 }
 
-// isolateScheduler cuts the leader of the scheduler off from all nodes.
+// isolateScheduler cuts the scheduler's leader off from all nodes.
 func isolateScheduler(ctx context.Context, r *caseRun) error {
 	name := r.leaders.Scheduler
 	r.notef("%s cut off", name)
@@ -108,37 +108,37 @@
 	return errs.Pass(err, "cut")
 }
 
-// wipeAndKillLeader removes a follower's data, waits until the node is a voting member again, and kills the leader at
-// once after that: what was accepted before must survive both losses.
+// wipeAndKillLeader removes a follower's data, waits until the node is a voting member again, and then kills the leader
+// at once: jobs that were accepted before must survive both losses.
 func wipeAndKillLeader(ctx context.Context, r *caseRun) error {
 	isFollower := func(n fleet.Node) bool { return n.Name != r.leaders.Store }
 	i := slices.IndexFunc(r.Nodes.ControlPlanes, isFollower)
 	if i < 0 {
-		return errs.New(errs.Settings, "there is only one cplane")
+		return errs.New(errs.Settings, "at least two cplanes are required")
 	}
-	victim := r.Nodes.ControlPlanes[i]
-	if err := r.Restart(ctx, []string{victim.Name}, "--wipe"); err != nil {
-		return errs.Pass(err, "wipe %s", victim.Name)
+	follower := r.Nodes.ControlPlanes[i]
+	if err := r.Restart(ctx, []string{follower.Name}, "--wipe"); err != nil {
+		return errs.Pass(err, "wipe %s", follower.Name)
 	}
 	leader := ""
-	seconds, err := r.Await(ctx, repairTimeout, victim.Name+" repaired", func() (isRepaired bool) {
-		leader, isRepaired = r.leaderAfterRepair(ctx, victim)
+	seconds, err := r.Await(ctx, repairTimeout, follower.Name+" repaired", func() (isRepaired bool) {
+		leader, isRepaired = r.leaderAfterRepair(ctx, follower)
 		return isRepaired
 	})
 	if err != nil {
 		return errs.Pass(err, "wipe")
 	}
-	if leader == victim.Name {
-		return errs.New(errs.Internal, "%s leads already, it cannot be the second loss", leader)
+	if leader == follower.Name {
+		return errs.New(errs.Internal, "%s became the leader, so killing it is not a second loss", leader)
 	}
-	r.notef("%s wiped, repaired in %.1f s", victim.Name, seconds)
+	r.notef("%s wiped, repaired in %.1f s", follower.Name, seconds)
 	return errs.Pass(r.killAndRestart(ctx, 6*time.Second, leader), "kill")
 }
 
-// leaderAfterRepair asks a node that was wiped for the store's leader, and reports whether the node votes again:
-// whether it is a member with the ID NAME~INCARNATION and no learner.
-func (r *caseRun) leaderAfterRepair(ctx context.Context, victim fleet.Node) (leader string, isRepaired bool) {
-	reply, err := r.Caller.Call(ctx, http.MethodGet, victim.Addr, "/v1/who", nil, readTimeout)
+// leaderAfterRepair asks a wiped node for the store's leader, and reports whether the node is a voting member again: a
+// member with the ID NAME~INCARNATION that is not a learner.
+func (r *caseRun) leaderAfterRepair(ctx context.Context, wiped fleet.Node) (leader string, isRepaired bool) {
+	reply, err := r.Caller.Call(ctx, http.MethodGet, wiped.Addr, "/v1/who", nil, readTimeout)
 	var who operatorapi.Who
 	if err != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &who) != nil {
 		return "", false
@@ -148,14 +148,14 @@
 		return "", false
 	}
 	for _, m := range who.Members {
-		if strings.HasPrefix(m.ID, victim.Name+"~") && !m.Learner {
+		if strings.HasPrefix(m.ID, wiped.Name+"~") && !m.Learner {
 			return leader, true
 		}
 	}
 	return "", false
 }
 
-// drainWorkers signals workers to leave, waits until they have, and starts them again.
+// drainWorkers signals workers to leave, waits until they have exited, and restarts them.
 func drainWorkers(ctx context.Context, r *caseRun) error {
 	names := r.pickWorkers(2)
 	r.markFault()
@@ -165,7 +165,7 @@
 		}
 	}
 	isRunning := func(name string) bool { _, err := fleet.PID(r.Dir, name); return err == nil }
-	seconds, err := r.Await(ctx, leaveTimeout, strings.Join(names, " ")+" gone", func() bool {
+	seconds, err := r.Await(ctx, leaveTimeout, strings.Join(names, " ")+" exited", func() bool {
 		return !slices.ContainsFunc(names, isRunning)
 	})
 	if err == nil {
--- a/internal/testbed/rehearsal/zone.go
+++ b/internal/testbed/rehearsal/zone.go
@@ -18,7 +18,7 @@
 	Zone   string
 	Kind   string        // of faults.ZoneKinds
 	After  time.Duration // from the start of the load
-	For    time.Duration // how long the zone is out; not of faults.ZoneKill
+	For    time.Duration // duration of the outage; ignored for faults.ZoneKill
 	Load   load.Options
 }
 
@@ -37,7 +37,7 @@
 	return audit.NoneViolated(r.Audit) && r.Load.Unknown == 0 && r.Load.Unfinished == 0
 }
 
-// RunZoneOutage takes a zone out under load, waits for the load's end, audits and measures the outage. Failures: those
+// RunZoneOutage takes a zone out under load, waits until the load ends, audits and measures the outage. Failures: those
 // of load.Run, of the fault and of the audit, Stopped.
 func RunZoneOutage(ctx context.Context, options ZoneOptions) (ZoneReport, error) {
 	report := ZoneReport{Zone: options.Zone, Kind: options.Kind}
@@ -56,7 +56,8 @@
 	return report, nil
 }
 
-// loadAndTakeOut runs the load and takes the zone out options.After later. It returns when the outage began.
+// loadAndTakeOut starts the load, takes the zone out options.After later, and waits for both. outAt is when the outage
+// began.
 func (r *ZoneReport) loadAndTakeOut(ctx context.Context, options ZoneOptions) (outAt time.Time, err error) {
 	var faultErr, loadErr error
 	group := routine.New(ctx)
--- a/internal/testbed/soak/simulation.go
+++ b/internal/testbed/soak/simulation.go
@@ -20,22 +20,22 @@
 // incarnation is the incarnation of all workers.
 const incarnation = "b"
 
-// simulation is the state and the work that is due later.
+// simulation holds the replicated state and the work that is not due yet.
 type simulation struct {
 	options Options
 	state   *state.State
-	rng     *rand.Rand // one for all draws: their order is part of the simulation
+	rng     *rand.Rand // the only source of randomness: the order of draws determines the simulation
 	now     time.Time
 	workers []string
 	epoch   uint64 // of the scheduler's leader
-	runs    []run  // that have not ended
+	runs    []run  // in progress
 	serial  int    // of the newest job or order
 
-	jobsDue, ordersDue float64 // not yet submitted; below 1 after each tick
+	jobsDue, ordersDue float64 // accumulated fractions not yet submitted; below 1 after each tick
 
-	// Of the day.
-	bytes   int // of the log's data
-	entries int // of the log
+	// Of the current day.
+	bytes   int // of log data
+	entries int // log entries
 }
 
 type run struct {
@@ -79,7 +79,7 @@
 	return errs.Pass(err, "found")
 }
 
-// runDay simulates a day.
+// runDay simulates one day.
 func (s *simulation) runDay() error {
 	s.bytes, s.entries = 0, 0
 	for end := s.now.Add(24 * time.Hour); s.now.Before(end); s.now = s.now.Add(tick) {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// submitDue submits the jobs and orders of a tick.
+// submitDue submits the jobs and orders that are due in a tick.
 func (s *simulation) submitDue() error {
 	perTick := func(perDay int) float64 { return float64(perDay) * tick.Hours() / 24 }
 	for s.jobsDue += perTick(s.options.Jobs); s.jobsDue >= 1; s.jobsDue-- {
@@ -125,7 +125,7 @@
 	return &command.Plan{Epoch: s.epoch, BundleVersion: s.state.Bundle.Version}
 }
 
-// schedule makes the plans of a tick as the scheduler's leader makes them, and the purge as the store's leader does.
+// schedule applies the plans of a tick as the scheduler's leader would, and the purge as the store's leader would.
 func (s *simulation) schedule() error {
 	submitted := append([]string(nil), s.state.Inbox...)
 	if err := s.endRuns(); err != nil {
@@ -141,19 +141,19 @@
 	return errs.Pass(err, "tidy")
 }
 
-// endRuns applies a plan with the ends of all runs that are over by now.
+// endRuns applies a plan with the ends of all runs that have ended by now.
 func (s *simulation) endRuns() error {
 	plan := s.newPlan()
 	plan.LeaseTTL, plan.Seq = leaseTTL, s.state.Seq
-	var left []run
+	var remaining []run
 	for _, r := range s.runs {
 		if r.endsAt.After(s.now) {
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		plan.Ends = append(plan.Ends, command.End{RunID: r.runID, OK: true})
 	}
-	s.runs = left
+	s.runs = remaining
 	_, err := s.apply(plan)
 	return errs.Pass(err, "plan")
 }
@@ -175,11 +175,11 @@
 	planned, running := answer.(command.Planned), s.newPlan()
 	for i, runID := range planned.RunIDs {
 		if runID == 0 {
-			return errs.New(errs.Internal, "a start is refused: %s", planned.Refused[i])
+			return errs.New(errs.Internal, "start refused: %s", planned.Refused[i])
 		}
 		running.Running = append(running.Running, runID)
-		lasts := time.Duration(s.rng.ExpFloat64() * float64(s.options.TaskDuration))
-		s.runs = append(s.runs, run{runID, s.now.Add(lasts)})
+		duration := time.Duration(s.rng.ExpFloat64() * float64(s.options.TaskDuration))
+		s.runs = append(s.runs, run{runID, s.now.Add(duration)})
 	}
 	_, err = s.apply(running)
 	return errs.Pass(err, "running")
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -1,7 +1,7 @@
 // Package soak is the soak test of the replicated state of the policy deployment: it applies the commands of simulated
-// days at a rate of jobs, with the purges of the leader, and reports how large the state is at the end of each day.
+// days at a given rate of jobs, with the purges of the leader, and reports the size of the state after each day.
 //
-// No process runs and nothing is persisted: Run applies the commands one after the other under simulated times
+// It starts no process and persists nothing: Run applies the commands one after the other at simulated times
 // (simulation.go).
 package soak
 
@@ -18,23 +18,23 @@
 // Options are the load of the simulated days.
 type Options struct {
 	Days         int
-	Jobs         int           // a day
+	Jobs         int           // per day
 	Tasks        int           // of a job
-	TaskDuration time.Duration // mean
+	TaskDuration time.Duration // mean, exponentially distributed
 	Workers      int
-	Orders       int // of operators, a day
+	Orders       int // of operators, per day
 	Seed         uint64
-	Keep         config.ControlPlane // keep_ended and keep_tombs, as the control planes have them
+	Keep         config.ControlPlane // its retention (keep_ended, keep_tombs) and queue limit apply
 }
 
 func (o Options) check() error {
 	if o.Days < 1 || o.Jobs < 1 || o.Tasks < 1 || o.Workers < 1 || o.TaskDuration <= 0 {
-		return errs.Field(errs.Invalid, "days", "days, jobs, tasks, minions and the length of a task must be above 0")
+		return errs.Field(errs.Invalid, "days", "days, jobs, tasks, minions and the duration of a task must be above 0")
 	}
 	return nil
 }
 
-// Day is the state at the end of a day.
+// Day is the size of the state at the end of a day.
 type Day struct {
 	Day        int `json:"day"`
 	Jobs       int `json:"jobs"`
@@ -43,18 +43,18 @@
 	Tombstones int `json:"tombs"`
 	Handles    int `json:"handles"`
 	Orders     int `json:"orders"`
-	Revisions  int `json:"bundles"` // versions that are kept
-	Bytes      int `json:"bytes"`   // encoded
-	HeapMB     int `json:"heap_mb"` // of this one replica and the work of the simulation, after a collection
-	Entries    int `json:"entries"` // of the log, that day
-	LogKB      int `json:"log_kb"`  // their data
+	Revisions  int `json:"bundles"` // versions retained
+	Bytes      int `json:"bytes"`   // size of the encoded state
+	HeapMB     int `json:"heap_mb"` // of this replica and the simulation, after a garbage collection
+	Entries    int `json:"entries"` // of the log, on that day
+	LogKB      int `json:"log_kb"`  // size of the data of those entries
 }
 
-// tick is the step of the simulated time: what is due within it becomes one plan.
+// tick is the step of the simulated time. All ends that are due within a tick form one plan, and so do all starts.
 const tick = 30 * time.Second
 
-// Run simulates the days and passes each day's end to report. The same options make the same days. Failures: Invalid,
-// those of the commands, those of report. Example:
+// Run simulates the days and passes the state at the end of each day to report. The same options produce the same days.
+// Failures: Invalid, those of the commands, those of report. Example:
 //
 //	err := soak.Run(soak.Options{Days: 30, Jobs: 21000, Tasks: 20, TaskDuration: time.Minute, Workers: 1600,
 //		Keep: config.DefaultControlPlane()}, print)
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSoak(t *testing.T) {
-	Convey("Once ended jobs are purged, a day does not enlarge the state, and ended runs leave no handle", t, func() {
+	Convey("Once ended jobs are purged, the state does not grow daily, and ended runs leave no handle", t, func() {
 		keep := config.DefaultControlPlane()
 		keep.KeepTombstonesFor = 48 * time.Hour
 		var days []Day
