--- a/internal/testbed/policysim/billingscenario.go
+++ b/internal/testbed/policysim/billingscenario.go
@@ -13,8 +13,8 @@
 	"crosstide/internal/state/command"
 )
 
-// The two parties of a run with Options.Parties: the account of limitedParty is exhausted again and again, that of
-// unlimitedParty never. Nobody pays for freeTeam.
+// The two parties of a run with Options.Parties: the account of limitedParty is exhausted repeatedly, that of
+// unlimitedParty never. No party pays for freeTeam.
 const (
 	limitedParty   = "acme"
 	unlimitedParty = "blue"
@@ -26,33 +26,33 @@
 // partyOf maps a team to the party that pays for it.
 var partyOf = map[string]string{limitedTeam: limitedParty, unlimitedTeam: unlimitedParty}
 
-// The prices of partiesBundle, in units.
+// Prices in partiesBundle and payments, in units, and the length of the window that is paid in advance.
 const (
-	corePrice    = 10 // a second of a core
+	corePrice    = 10 // price of a core for a second
 	paidWindow   = 5 * time.Second
 	amplePayment = 1_000_000_000
 )
 
-// partiesBundle puts the parties in force, with the prices above.
+// partiesBundle is the bundle that introduces the parties, with the prices above.
 const partiesBundle = `{"queues":{"default":{}},"backoff":{"min":"200ms","max":"30s"},"parties":{` +
 	`"acme":{"teams":["a"],"price":{"core":10},"reserve":"5s"},` +
 	`"blue":{"teams":["b"],"price":{"core":10},"reserve":"5s"}}}`
 
-// maxLongRunning is how many long-running jobs of limitedTeam are open at most.
+// maxLongRunning is the maximum number of open long-running jobs of limitedTeam.
 const maxLongRunning = 2
 
-// lastTopUpAfter is the time from the start of the quiet tail to the top-up after which limitedParty's account is not
-// exhausted any more.
+// lastTopUpAfter is the time from the start of the fault-free phase to the top-up after which limitedParty's account is
+// never exhausted again.
 const lastTopUpAfter = 22 * time.Second
 
-// billingScenario drives what clients and operators do about accounts in a run with Options.Parties; billingChecker
-// checks the outcome. Without Options.Parties it is nil: start, paidUpDelay, signedEvacuation and drawTeam accept that.
+// billingScenario simulates the clients' and operators' calls about accounts in a run with parties; billingChecker
+// checks the outcome. Without parties it is nil: start, lastTopUpDelay, signedEvacuation and drawTeam accept that.
 type billingScenario struct {
 	sim             *sim
-	keys            map[string]signature.Key // of the operators, by name
-	ready           bool                     // parties are in force and their accounts open
+	keys            map[string]signature.Key // keys of the operators, by name
+	ready           bool                     // the parties' bundle is active and their accounts exist
 	lastNumber      int                      // newest number used in a key of a top-up or long-running job
-	longRunningJobs []*clientJob             // those that may still be open
+	longRunningJobs []*clientJob             // long-running jobs that may still be open
 }
 
 func newBillingScenario(s *sim) *billingScenario {
@@ -65,16 +65,16 @@
 	return b
 }
 
-// paidUpDelay returns the time from the end of the faults to the last top-up of limitedParty. Jobs that wait for
+// lastTopUpDelay returns the time from the end of the faults to the last top-up of limitedParty. Jobs that wait for
 // payment may end that much later.
-func (b *billingScenario) paidUpDelay() time.Duration {
+func (b *billingScenario) lastTopUpDelay() time.Duration {
 	if b == nil {
 		return 0
 	}
 	return recoveryTime + lastTopUpAfter
 }
 
-// start registers the operators, puts the parties in force and opens their accounts.
+// start registers the operators, activates the parties' bundle and opens their accounts.
 func (b *billingScenario) start() {
 	if b == nil {
 		return
@@ -94,7 +94,7 @@
 		})
 	})
 	s.schedule(100*time.Millisecond, s.billingChecker.checkDeadlines)
-	s.schedule(s.options.FaultPeriod+recoveryTime, b.scheduleQuietTail)
+	s.schedule(s.options.FaultPeriod+recoveryTime, b.scheduleFaultFreePhase)
 }
 
 func (b *billingScenario) setUpOrders() []command.Command {
@@ -176,18 +176,18 @@
 	return freeTeam
 }
 
-// topUpPeriodically tops limitedParty up at random intervals with about what it needs, so that its account is exhausted
-// for much of the time.
+// topUpPeriodically tops limitedParty up at random intervals. The amounts are about as high as its consumption, so that
+// its account is often exhausted.
 func (b *billingScenario) topUpPeriodically() {
 	s := b.sim
-	if s.faultsOver {
+	if s.faultsEnded {
 		return
 	}
 	b.topUpLimited(int64(50 + s.rng.IntN(350)))
 	s.clients.after(s.between(time.Second, 9*time.Second), b.topUpPeriodically)
 }
 
-// topUpLimited tops limitedParty up. In a quarter of the cases the leader of the store is killed meanwhile.
+// topUpLimited tops limitedParty up. In a quarter of the cases the leader of the store is killed within 20 ms.
 func (b *billingScenario) topUpLimited(amount int64) {
 	s := b.sim
 	if s.chance(0.25) {
@@ -204,14 +204,14 @@
 	}
 }
 
-// killLeader crashes the leader of the store after the delay in, and restarts it later. name is the counter in
+// killLeader crashes the leader of the store after the delay, and restarts it later. name is the key of the count in
 // Report.Faults.
-func (b *billingScenario) killLeader(name string, in time.Duration) {
+func (b *billingScenario) killLeader(name string, delay time.Duration) {
 	s := b.sim
-	if s.faultsOver || !s.faults.enabled["kill"] {
+	if s.faultsEnded || !s.faults.enabled["kill"] {
 		return
 	}
-	s.schedule(in, func() {
+	s.schedule(delay, func() {
 		i := slices.IndexFunc(s.controlPlanes, func(c *controlPlane) bool {
 			return c.alive && c.driver != nil && c.driver.Core() != nil && c.driver.Core().Status().Role == raft.Leader
 		})
@@ -226,11 +226,11 @@
 	})
 }
 
-// submitLongRunning keeps up to maxLongRunning long-running jobs open until the faults are over, and cancels half of
+// submitLongRunning keeps up to maxLongRunning long-running jobs open until the faults have ended, and cancels half of
 // them later.
 func (b *billingScenario) submitLongRunning() {
 	s := b.sim
-	if s.faultsOver {
+	if s.faultsEnded {
 		return
 	}
 	b.longRunningJobs = slices.DeleteFunc(b.longRunningJobs,
@@ -255,7 +255,7 @@
 		Steps: []state.StepSpec{step}}
 }
 
-// cancel cancels a job once it is accepted.
+// cancel cancels a job as soon as it is accepted.
 func (b *billingScenario) cancel(j *clientJob) {
 	switch {
 	case j.abandoned || j.cancelRequested:
@@ -266,13 +266,13 @@
 	}
 }
 
-// scheduleQuietTail schedules the last part of a run, without faults: the account of limitedParty is exhausted, a
-// long-running task loses its worker, two top-ups follow that are used up, then one that is not, and finally the
-// long-running jobs are cancelled.
-func (b *billingScenario) scheduleQuietTail() {
+// scheduleFaultFreePhase schedules the last phase of a run, without faults: a long-running task loses its worker while
+// the account of limitedParty is exhausted, two top-ups are used up, a third is ample, and finally the long-running
+// jobs are cancelled.
+func (b *billingScenario) scheduleFaultFreePhase() {
 	for _, step := range []struct {
-		in time.Duration
-		do func()
+		delay time.Duration
+		do    func()
 	}{
 		{time.Second, b.killLongRunningWorker},
 		{12 * time.Second, func() { b.topUpLimitedTo(600) }},
@@ -284,7 +284,7 @@
 			}
 		}},
 	} {
-		b.sim.clients.after(step.in, step.do)
+		b.sim.clients.after(step.delay, step.do)
 	}
 }
 
@@ -297,7 +297,7 @@
 			continue
 		}
 		s.trace("%s, which runs %v, is ended", r.worker.addr, r.ref)
-		s.billingChecker.expectAttachment(r)
+		s.billingChecker.expectReattachment(r)
 		r.worker.kill()
 		s.schedule(500*time.Millisecond, r.worker.restart)
 		return
--- a/internal/testbed/policysim/checkbilling.go
+++ b/internal/testbed/policysim/checkbilling.go
@@ -12,34 +12,34 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// BillingPromises are the invariants that a run with Options.Parties checks too.
+// BillingPromises are the names of the invariants that are checked only with Options.Parties.
 var BillingPromises = []string{"conserved", "paid for", "bounded below zero", "resumes in time", "attached"}
 
 // billingChecker checks the invariants of billing. It computes its own accounts from the commands in the log and from
 // the times at which handles are created and released, and compares the replicated accounts with them after every
-// entry. The checks that work resumes after a top-up and that long-running tasks run again are in
-// checkbillingprogress.go. It only observes, with one exception: when an account becomes exhausted it may have the
-// leader of the store killed.
+// entry. The checks that tasks start after a top-up and that long-running tasks are restarted are in
+// checkbillingprogress.go. It only observes, with one exception: when an account becomes exhausted it may kill the
+// leader of the store.
 type billingChecker struct {
 	sim      *sim
 	accounts map[string]*accountModel
-	runs     map[uint64]*paidRun    // with a handle, by run ID
+	runs     map[uint64]*paidRun    // runs with a handle, by run ID
 	everRan  map[state.TaskRef]bool // long-running tasks that had a run
 	checks   uint64                 // number of calls of checkAccounts
 
 	plan         *command.Plan     // the plan that is being applied; nil while another entry is
-	incarnations map[string]string // of the workers, before plan
+	incarnations map[string]string // incarnations of the workers before plan, by name
 
-	pendingResume      *resumption // nil: none
-	pendingAttachments []attachment
+	pendingResume        *resumption // nil: none
+	pendingReattachments []reattachment
 }
 
-// accountModel is an account as the checker computes it.
+// accountModel is the checker's own computation of an account.
 type accountModel struct {
-	topUps           map[string]int64 // by key
-	spent            int64            // by runs whose handle was released
+	topUps           map[string]int64 // amounts, by key
+	spent            int64            // cost of the runs whose handle was released
 	exhausted        bool
-	nonNegativeSince time.Time // the newest time at which the balance was not below zero
+	nonNegativeSince time.Time // newest time at which the balance was not negative
 	endedSinceBound  int64     // upper bound on the draws of runs that ended since nonNegativeSince
 }
 
@@ -50,7 +50,7 @@
 	start time.Time
 }
 
-// newBillingChecker returns a checker that observes each event of the reference after the invariant checker.
+// newBillingChecker returns a checker that gets each event of the reference state after the invariant checker.
 func newBillingChecker(s *sim) *billingChecker {
 	bc := &billingChecker{sim: s, accounts: map[string]*accountModel{}, runs: map[uint64]*paidRun{},
 		everRan: map[state.TaskRef]bool{}}
@@ -67,7 +67,7 @@
 	return bc
 }
 
-// account returns the replicated account; nil if there is none.
+// account returns the replicated account, or nil if it does not exist.
 func (bc *billingChecker) account(name string) *account.Account {
 	if bc.sim.checker.reference.Accounts == nil {
 		return nil
@@ -83,7 +83,7 @@
 	return (rate*int64(length) + int64(time.Second) - 1) / int64(time.Second)
 }
 
-// closedWindows returns the total length of a run's windows that are over at the time at.
+// closedWindows returns the total length of a run's windows that have ended by the time at.
 func (r *paidRun) closedWindows(at time.Time) time.Duration {
 	return at.Sub(r.start) / paidWindow * paidWindow
 }
@@ -96,10 +96,10 @@
 	return price(r.rate, at.Sub(since)+paidWindow)
 }
 
-// sums are the amounts of an account that must agree.
+// sums are the amounts of an account that the checker compares.
 type sums struct{ toppedUp, balance, reserved, spent int64 }
 
-// expectedSums computes the sums of a party's account at a time.
+// expectedSums computes the sums of a party's account at a time from the checker's own records.
 func (bc *billingChecker) expectedSums(party string, at time.Time) (want sums) {
 	model := bc.accounts[party]
 	if model == nil {
@@ -120,8 +120,8 @@
 	return want
 }
 
-// apply applies an entry to the reference by calling apply, and checks the accounts after it. A nil checker only calls
-// apply.
+// apply calls apply, which applies an entry to the reference state, and then checks the accounts. A nil checker only
+// calls apply.
 func (bc *billingChecker) apply(data []byte, apply func()) {
 	if bc == nil {
 		apply()
@@ -147,7 +147,7 @@
 	bc.checkAccounts()
 }
 
-// observePlan records a plan, and the workers' incarnations before it, for the checks while it is applied.
+// observePlan records a plan and the workers' incarnations before it, for the checks that run while it is applied.
 func (bc *billingChecker) observePlan(body []byte) {
 	bc.plan = &command.Plan{}
 	must(json.Unmarshal(body, bc.plan))
@@ -179,8 +179,8 @@
 	s.trace("account %s is topped up with %d by %s", topUp.Account, topUp.Amount, topUp.Key)
 }
 
-// checkCreated checks that the balance covers the run of a new handle (invariant: paid for). The restart of a
-// long-running task need not be covered.
+// checkCreated checks that the balance covers the run of a new handle (invariant: paid for). It need not cover the
+// restart of a long-running task.
 func (bc *billingChecker) checkCreated(h *state.Handle) {
 	s := bc.sim
 	j, _ := s.checker.reference.TaskOf(h.Ref)
@@ -196,7 +196,7 @@
 		s.countCase("paid for")
 		cost := price(rate, paidWindow)
 		if balance := bc.expectedSums(party, bc.storeTime()).balance; balance < cost {
-			s.reportBreach("paid for", "run ID %d of %v is given at a balance of %d, it needs %d",
+			s.reportViolation("paid for", "run ID %d of %v is given at a balance of %d, it needs %d",
 				h.RunID, h.Ref, balance, cost)
 		}
 	}
@@ -204,7 +204,7 @@
 	bc.runs[h.RunID] = &paidRun{party, rate, bc.storeTime()}
 }
 
-// observeReleased adds the time of a released run to what is spent, or only its closed windows if the run was lost.
+// observeReleased adds the cost of a released run to the spent amount. A lost run costs only its closed windows.
 func (bc *billingChecker) observeReleased(h *state.Handle) {
 	r := bc.runs[h.RunID]
 	if r == nil {
@@ -220,8 +220,8 @@
 	model.endedSinceBound += r.boundSince(model.nonNegativeSince, bc.storeTime())
 }
 
-// isLost reports whether the plan being applied releases a handle without a reported end, other than that of a run that
-// was stopped as ordered.
+// isLost reports whether the plan being applied releases a handle without a reported end of its run, and not because
+// the run was stopped as ordered.
 func (bc *billingChecker) isLost(h *state.Handle) bool {
 	if slices.ContainsFunc(bc.plan.Ends, func(e command.End) bool { return e.RunID == h.RunID }) {
 		return false
@@ -237,7 +237,7 @@
 	})
 }
 
-// checkAccounts compares the replicated accounts with the checker's own (invariant: conserved).
+// checkAccounts compares the replicated accounts with the expected sums (invariant: conserved).
 func (bc *billingChecker) checkAccounts() {
 	s := bc.sim
 	for _, name := range slices.Sorted(maps.Keys(bc.accounts)) {
@@ -245,7 +245,7 @@
 		s.countCase("conserved")
 		got := sums{replicated.ToppedUp, replicated.Balance, replicated.Reserved, replicated.Spent}
 		if got != want {
-			s.reportBreach("conserved",
+			s.reportViolation("conserved",
 				"account %s has %d topped up, %d balance, %d reserved, %d spent; it should be %d, %d, %d, %d", name,
 				got.toppedUp, got.balance, got.reserved, got.spent, want.toppedUp, want.balance, want.reserved,
 				want.spent)
@@ -253,16 +253,16 @@
 		bc.checkBound(name, want.balance)
 		bc.observeExhaustion(name, want.balance)
 	}
-	const checkEvery = 64 // it takes long
+	const checkEvery = 64 // Accounts.Check is slow
 	if bc.checks++; bc.checks%checkEvery == 0 {
 		if err := s.checker.reference.Accounts.Check(); err != nil {
-			s.reportBreach("conserved", "%v", err)
+			s.reportViolation("conserved", "%v", err)
 		}
 	}
 }
 
-// checkBound checks that a balance is no further below zero than the runs could have drawn since it was last at zero or
-// above (invariant: bounded below zero).
+// checkBound checks that a negative balance is covered by what the runs can have drawn since the balance was last not
+// negative (invariant: bounded below zero).
 func (bc *billingChecker) checkBound(name string, balance int64) {
 	model := bc.accounts[name]
 	if balance >= 0 {
@@ -277,13 +277,13 @@
 		}
 	}
 	if -balance > bound {
-		bc.sim.reportBreach("bounded below zero", "account %s is at %d, what was out since %s draws %d at most",
+		bc.sim.reportViolation("bounded below zero", "account %s is at %d, what was out since %s draws %d at most",
 			name, balance, model.nonNegativeSince, bound)
 	}
 }
 
-// observeExhaustion counts the periods in which an account is exhausted. At the start of one of limitedParty's the
-// leader of the store may be killed.
+// observeExhaustion counts the periods in which an account is exhausted. When the account of limitedParty becomes
+// exhausted, it may kill the leader of the store.
 func (bc *billingChecker) observeExhaustion(name string, balance int64) {
 	s, model := bc.sim, bc.accounts[name]
 	exhausted := balance < price(corePrice, paidWindow)
--- a/internal/testbed/policysim/checkbillingprogress.go
+++ b/internal/testbed/policysim/checkbillingprogress.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// resumeTimeout bounds the time from the acknowledgement of a top-up to the next start, once the faults are over.
+	// resumeTimeout bounds the time from the acknowledgement of a top-up to the next start, without faults.
 	resumeTimeout = time.Second
-	// reattachTimeout bounds the time from the loss of a long-running task's worker to its next start, once the faults
-	// are over.
+	// reattachTimeout bounds the time from the loss of a long-running task's worker to the task's next start, without
+	// faults.
 	reattachTimeout = 10 * time.Second
 )
 
-// resumption is a top-up for which tasks waited: one of them must start soon after it.
+// resumption is a top-up for which tasks waited. One of them must start within resumeTimeout.
 type resumption struct {
-	key            string // of the top-up
+	key            string // key of the top-up
 	team           string
 	runID          uint64        // the newest run ID before the top-up
 	acknowledgedAt time.Duration // when the operator had the answer; 0: not yet
 	startedAt      time.Duration // when the first run after it started; 0: not yet
 }
 
-// attachment is a long-running task that lost its worker and must run again.
-type attachment struct {
+// reattachment is a long-running task that lost its worker and must be restarted.
+type reattachment struct {
 	ref       state.TaskRef
 	runID     uint64        // of the lost run
 	since     time.Duration // when its worker was killed
 	exhausted bool          // the balance did not cover a start at that time
 }
 
-// checkDeadlines checks the pending resumption and attachments, every 100 ms.
+// checkDeadlines checks the pending resumption and reattachments every 100 ms.
 func (bc *billingChecker) checkDeadlines() {
 	bc.sim.schedule(100*time.Millisecond, bc.checkDeadlines)
 	bc.checkResume()
-	bc.checkAttached()
+	bc.checkReattached()
 }
 
-// applyTopUp applies a top-up by calling apply, and expects a start if a task waited for it.
+// applyTopUp calls apply, which applies a top-up, and then expects a start if a task waited for the top-up.
 func (bc *billingChecker) applyTopUp(body []byte, apply func()) {
 	var topUp command.AccountTopUp
 	must(json.Unmarshal(body, &topUp))
@@ -61,7 +61,7 @@
 	}
 }
 
-// observeStart records that a worker starts a run (invariant: attached). A nil checker does nothing.
+// observeStart records that a worker starts a run (invariant: attached). A nil checker ignores it.
 func (bc *billingChecker) observeStart(ref state.TaskRef, runID uint64) {
 	if bc == nil {
 		return
@@ -73,12 +73,12 @@
 		r.startedAt = s.now
 		bc.finishResume()
 	}
-	bc.pendingAttachments = slices.DeleteFunc(bc.pendingAttachments, func(a attachment) bool {
+	bc.pendingReattachments = slices.DeleteFunc(bc.pendingReattachments, func(a reattachment) bool {
 		if a.ref != ref || runID <= a.runID {
 			return false
 		}
 		s.countCase("attached")
-		s.report.Attached = append(s.report.Attached, s.now-a.since)
+		s.report.ReattachDelays = append(s.report.ReattachDelays, s.now-a.since)
 		if a.exhausted {
 			s.report.Counts["lasting tasks attached again while dry"]++
 		}
@@ -86,27 +86,27 @@
 	})
 }
 
-// isCalm reports whether a moment is so long after the faults that the timeouts apply.
-func (bc *billingChecker) isCalm(at time.Duration) bool {
+// isAfterRecovery reports whether recoveryTime has passed since the faults ended; the timeouts apply only then.
+func (bc *billingChecker) isAfterRecovery(at time.Duration) bool {
 	return at > bc.sim.options.FaultPeriod+recoveryTime
 }
 
-// finishResume checks the time of a resumption (invariant: resumes in time), once both the acknowledgement and the
-// start are known. They arrive in any order.
+// finishResume checks the time of a resumption (invariant: resumes in time) once both the acknowledgement and the start
+// have been observed, in either order.
 func (bc *billingChecker) finishResume() {
 	s, r := bc.sim, bc.pendingResume
 	if r.acknowledgedAt == 0 || r.startedAt == 0 {
 		return
 	}
 	took := max(0, r.startedAt-r.acknowledgedAt)
-	if bc.isCalm(r.acknowledgedAt) {
+	if bc.isAfterRecovery(r.acknowledgedAt) {
 		s.countCase("resumes in time")
-		s.report.CalmResumes = append(s.report.CalmResumes, took)
+		s.report.ResumeDelaysAfterFaults = append(s.report.ResumeDelaysAfterFaults, took)
 		if took > resumeTimeout {
-			s.reportBreach("resumes in time", "work went on %v after the top-up %s was acknowledged", took, r.key)
+			s.reportViolation("resumes in time", "work went on %v after the top-up %s was acknowledged", took, r.key)
 		}
 	} else {
-		s.report.Resumes = append(s.report.Resumes, took)
+		s.report.ResumeDelays = append(s.report.ResumeDelays, took)
 	}
 	bc.pendingResume = nil
 }
@@ -121,37 +121,38 @@
 		bc.pendingResume = nil
 		return
 	}
-	if bc.isCalm(r.acknowledgedAt) {
-		s.reportBreach("resumes in time", "nothing started since the top-up %s was acknowledged at %v",
+	if bc.isAfterRecovery(r.acknowledgedAt) {
+		s.reportViolation("resumes in time", "nothing started since the top-up %s was acknowledged at %v",
 			r.key, r.acknowledgedAt)
 	}
 }
 
-// expectAttachment records a long-running task that loses its worker now and must run again.
-func (bc *billingChecker) expectAttachment(lost *workerRun) {
+// expectReattachment records a long-running task that loses its worker now and must be restarted.
+func (bc *billingChecker) expectReattachment(lost *workerRun) {
 	cost := int64(corePrice * 5)
-	bc.pendingAttachments = append(bc.pendingAttachments,
-		attachment{ref: lost.ref, runID: lost.runID, since: bc.sim.now,
+	bc.pendingReattachments = append(bc.pendingReattachments,
+		reattachment{ref: lost.ref, runID: lost.runID, since: bc.sim.now,
 			exhausted: !bc.sim.checker.reference.Accounts.Covers(limitedParty, cost)})
 }
 
-// checkAttached checks that long-running tasks which lost their worker run again in time (invariant: attached).
-func (bc *billingChecker) checkAttached() {
+// checkReattached checks that long-running tasks are restarted in time after the loss of their worker (invariant:
+// attached).
+func (bc *billingChecker) checkReattached() {
 	s := bc.sim
-	bc.pendingAttachments = slices.DeleteFunc(bc.pendingAttachments, func(a attachment) bool {
+	bc.pendingReattachments = slices.DeleteFunc(bc.pendingReattachments, func(a reattachment) bool {
 		j := s.checker.reference.Jobs[a.ref.Job]
 		if j == nil || j.Phase != state.JobRunning || s.checker.jobs[a.ref.Job].cancelRequested {
 			return true // it was cancelled
 		}
 		if s.now-a.since > reattachTimeout {
-			s.reportBreach("attached", "%v, lost at %v, does not run again", a.ref, a.since)
+			s.reportViolation("attached", "%v, lost at %v, does not run again", a.ref, a.since)
 		}
 		return false
 	})
 }
 
-// hasWaitingTask reports whether some worker has capacity for a due task of the team that a party pays for and whose
-// isPayable is payable.
+// hasWaitingTask reports whether a worker has capacity for a due task of the team that a party pays for and for which
+// isPayable returns payable.
 func (bc *billingChecker) hasWaitingTask(team string, payable bool) bool {
 	ic := bc.sim.checker
 	for _, key := range ic.runningJobs() {
@@ -168,8 +169,9 @@
 	return false
 }
 
-// isPayable reports whether a due task needs no top-up: nobody pays for it, or the balance covers it and no older task
-// of the party waits for that balance. For a nil checker every task is payable.
+// isPayable reports whether a due task can start without a top-up: no party pays for it, or the balance covers it and
+// no job of the party that is older has a task which the balance does not cover. For a nil checker every task is
+// payable.
 func (bc *billingChecker) isPayable(j *state.Job, ref state.TaskRef) bool {
 	if bc == nil {
 		return true
@@ -191,7 +193,7 @@
 	return true
 }
 
-// dueTogether returns how many due tasks of a step start together: of a gang all, else one.
+// dueTogether returns the number of due tasks of a step that start together: all of a gang, otherwise 1.
 func dueTogether(j *state.Job, step int) int64 {
 	if !j.Spec.Steps[step].Gang {
 		return 1
--- a/internal/testbed/policysim/checklinearizability.go
+++ b/internal/testbed/policysim/checklinearizability.go
@@ -13,7 +13,7 @@
 	"crosstide/internal/state/command"
 )
 
-// operationKind is what a client asks for.
+// operationKind is the kind of a client's call.
 type operationKind string
 
 const (
@@ -22,37 +22,37 @@
 	opCancel operationKind = "cancel"
 )
 
-// answerKind classifies the answer that a client got; "": no certain answer. The strings are part of the keys of
-// Report.Counts.
+// answerKind classifies the answer that a client got. It is "" if the outcome is unknown. The strings are part of the
+// keys of Report.Counts.
 type answerKind string
 
 const (
-	answerFresh      answerKind = "fresh"    // submit: accepted, the key was free
-	answerSame       answerKind = "same"     // submit: accepted before, with the same body
-	answerConflict   answerKind = "conflict" // submit: the key is taken by another body
-	answerOverloaded answerKind = "pressure" // submit: not now
-	answerPhase      answerKind = "phase"    // poll, cancel: the job is known
-	answerUnknown    answerKind = "unknown"  // poll, cancel: no such job
+	answerFresh      answerKind = "fresh"    // submit: accepted, the key was unused
+	answerSame       answerKind = "same"     // submit: the job had already been accepted with the same body
+	answerConflict   answerKind = "conflict" // submit: the key is used by a job with another body
+	answerOverloaded answerKind = "pressure" // submit: rejected because of load
+	answerPhase      answerKind = "phase"    // poll, cancel: the job exists
+	answerUnknown    answerKind = "unknown"  // poll, cancel: the job does not exist
 )
 
-// operation is an operation of a client on a key, from its call to its answer in virtual time.
+// operation is a client's call on a job key and its answer, with their virtual times.
 type operation struct {
 	key        string
 	kind       operationKind
-	digest     string // of the body, for a submit
+	digest     string // digest of the body, for a submit
 	calledAt   time.Duration
 	answeredAt time.Duration
 	answer     answerKind
-	phase      state.JobPhase // in the answers fresh, same and phase
+	phase      state.JobPhase // phase in the answers fresh, same and phase
 }
 
-// String returns the call and its answer, for a report.
+// String returns the call and its answer for Violation.Detail.
 func (op *operation) String() string {
 	return fmt.Sprintf("%v..%v %s %s: %s %s", op.calledAt, op.answeredAt, op.kind, op.digest, op.answer, op.phase)
 }
 
-// complete records the answer to a submit or a cancel. A failure after which the outcome is unknown is no certain
-// answer.
+// complete records the answer to a submit or a cancel. After an error that leaves the outcome unknown it records
+// nothing.
 func (op *operation) complete(at time.Duration, answer any, err error) {
 	raw, _ := answer.(json.RawMessage)
 	switch {
@@ -77,7 +77,7 @@
 	}
 }
 
-// observe records a certain answer.
+// observe records an answer that shows the outcome.
 func (op *operation) observe(at time.Duration, answer answerKind, phase state.JobPhase) {
 	op.answeredAt, op.answer, op.phase = at, answer, phase
 }
@@ -86,14 +86,14 @@
 // schedules no event.
 type clientHistory struct{ operations []*operation }
 
-// called records a call; it has no certain answer until complete or observe is called.
+// called records a call. Its outcome is unknown until complete or observe records the answer.
 func (h *clientHistory) called(at time.Duration, key string, kind operationKind, digest string) *operation {
 	op := &operation{key: key, kind: kind, digest: digest, calledAt: at}
 	h.operations = append(h.operations, op)
 	return op
 }
 
-// check checks, at the end of a run, that the answers are linearizable by model (invariant: linear).
+// check checks, at the end of a run, that the answers are linearizable under linearizabilityModel (invariant: linear).
 func (h *clientHistory) check(s *sim) {
 	for _, op := range h.operations {
 		if op.answer == "" {
@@ -105,30 +105,31 @@
 	}
 	if key := firstNonlinearizable(h.operations, s.now+1); key != "" {
 		ofKey := slices.DeleteFunc(slices.Clone(h.operations), func(op *operation) bool { return op.key != key })
-		s.reportBreach("linear", "no order explains the answers about %s: %v", key, ofKey)
+		s.reportViolation("linear", "no order explains the answers about %s: %v", key, ofKey)
 	}
 }
 
-// firstNonlinearizable returns the first key whose operations are not linearizable; "" if there is none.
-// Example:
+// firstNonlinearizable returns the first key whose operations are not linearizable, or "". The operations are in the
+// order of their calls, and all of them are before end. Example:
 //
-//	key := firstNonlinearizable(operations, time.Minute) // in the order of their calls, all before the minute
+//	key := firstNonlinearizable(operations, time.Minute)
 func firstNonlinearizable(operations []*operation, end time.Duration) string {
 	history := porcupineHistory(operations, end)
-	if porcupine.CheckOperations(model, history) {
+	if porcupine.CheckOperations(linearizabilityModel, history) {
 		return ""
 	}
-	for _, part := range model.Partition(history) { // in order, so that the same key is reported every time
-		if !porcupine.CheckOperations(model, part) {
+	// In order, so that the same key is reported every time.
+	for _, part := range linearizabilityModel.Partition(history) {
+		if !porcupine.CheckOperations(linearizabilityModel, part) {
 			return part[0].Input.(*operation).key
 		}
 	}
 	return ""
 }
 
-// porcupineHistory converts operations for the checker; all of them end at end at the latest. A call may reach the
-// store more than once (data-plane nodes retry, the network duplicates) and late, so for each submit and cancel it adds
-// one without an answer, from the call to the end. Of equal ones the earliest is enough, as they are idempotent.
+// porcupineHistory converts operations for porcupine; none of them ends after end. A call may reach the store more than
+// once (data-plane nodes retry, the network duplicates messages), and late. So each submit and cancel is added a second
+// time, without an answer, from the call to end. Of equal calls only the earliest is added, as they are idempotent.
 func porcupineHistory(operations []*operation, end time.Duration) (history []porcupine.Operation) {
 	type effect struct {
 		key, digest string
--- a/internal/testbed/policysim/checklog.go
+++ b/internal/testbed/policysim/checklog.go
@@ -14,15 +14,15 @@
 
 // committedLog is the log of the store. An entry belongs to it once any control-plane node shows it as committed.
 type committedLog struct {
-	entries  []entryDigest            // from index 2 on: the first one is the bootstrap's
-	observed map[*controlPlane]uint64 // index up to which a node's committed entries were compared
-	members  []raft.Member            // of the newest entry that changes them
+	entries  []entryDigest            // from index 2 on; entry 1 is the bootstrap entry
+	compared map[*controlPlane]uint64 // index up to which a node's committed entries have been compared
+	members  []raft.Member            // members according to the newest entry that changes them
 }
 
 // entryDigest identifies an entry: two nodes have the same one at an index if the digests are equal.
 type entryDigest struct {
 	term uint64
-	sum  uint64 // xxhash64 of its data
+	sum  uint64 // xxhash64 of the entry's data
 }
 
 // observeCommits compares the newly committed entries of a control-plane node with those of all others. It must run
@@ -33,10 +33,10 @@
 		return
 	}
 	commit := c.driver.State().Index
-	for ic.observed[c] < commit {
-		from := max(ic.observed[c]+1, core.Status().First, 2)
+	for ic.compared[c] < commit {
+		from := max(ic.compared[c]+1, core.Status().First, 2)
 		if from > commit {
-			ic.observed[c] = commit
+			ic.compared[c] = commit
 			return
 		}
 		entries, err := core.Entries(from, 1<<20)
@@ -45,30 +45,31 @@
 		}
 		for _, e := range entries {
 			ic.observeEntry(c, e)
-			ic.observed[c] = e.Index
+			ic.compared[c] = e.Index
 		}
 	}
 }
 
-// observeEntry checks one committed entry (invariants: same log, durable) and applies a new one to the reference.
+// observeEntry checks a committed entry (invariants: same log, durable) and applies a new one to the reference state.
 func (ic *invariantChecker) observeEntry(c *controlPlane, e raft.Entry) {
 	s := ic.sim
 	digest := entryDigest{e.Term, xxhash.Sum64(e.Data)}
-	if at := int(e.Index) - 2; at < len(ic.entries) {
+	if position := int(e.Index) - 2; position < len(ic.entries) {
 		s.countCase("same log")
-		if ic.entries[at] != digest {
-			s.reportBreach("same log", "entry %d at %s is of term %d, elsewhere of %d", e.Index, c.addr, e.Term,
-				ic.entries[at].term)
+		if ic.entries[position] != digest {
+			s.reportViolation("same log", "entry %d at %s is of term %d, elsewhere of %d", e.Index, c.addr, e.Term,
+				ic.entries[position].term)
 		}
 		return
-	} else if at > len(ic.entries) {
-		s.reportBreach("same log", "%s shows entry %d as committed, %d is unknown", c.addr, e.Index, len(ic.entries)+2)
+	} else if position > len(ic.entries) {
+		s.reportViolation("same log", "%s shows entry %d as committed, %d is unknown", c.addr, e.Index,
+			len(ic.entries)+2)
 		return
 	}
 	ic.entries = append(ic.entries, digest)
 	s.countCase("durable")
 	if !ic.isDurable(e.Index, e.Term) {
-		s.reportBreach("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks",
+		s.reportViolation("durable", "%s shows entry %d of term %d as committed, which is not on a majority of disks",
 			c.addr, e.Index, e.Term)
 	}
 	if e.Kind == raft.Members {
@@ -107,14 +108,15 @@
 	return slices.ContainsFunc(ic.members, func(m raft.Member) bool { return m.ID == id && !m.Learner })
 }
 
-// isDurable reports whether an entry is on the disks of a majority of a member set that some node has in force. A wiped
-// disk counts with what it had: the entry may have been acknowledged before the wipe.
+// isDurable reports whether an entry is on the disks of a majority of the committed members, or of the members that
+// some node uses. A wiped disk counts with its content before the wipe, as the entry may have been acknowledged before
+// it.
 func (ic *invariantChecker) isDurable(index, term uint64) bool {
 	have := map[string]bool{}
 	sets := [][]raft.Member{ic.members}
 	for _, c := range ic.sim.controlPlanes {
 		if c.wipedID != "" {
-			have[c.wipedID] = have[c.wipedID] || c.wiped.has(index, term)
+			have[c.wipedID] = have[c.wipedID] || c.wipedLog.has(index, term)
 		}
 		if c.driver == nil || c.driver.Core() == nil {
 			continue
@@ -126,7 +128,7 @@
 	return slices.ContainsFunc(sets, func(members []raft.Member) bool { return isMajority(members, have) })
 }
 
-// isMajority reports whether a majority of the voters among members is in the set in.
+// isMajority reports whether the set in contains the IDs of a majority of the voters among members.
 func isMajority(members []raft.Member, in map[string]bool) bool {
 	voters, count := 0, 0
 	for _, member := range members {
@@ -141,7 +143,7 @@
 	return 2*count > voters
 }
 
-// compareStates compares the states of all nodes that are at the same index (invariant: same state), every 2 s.
+// compareStates compares the states of all nodes that are at the same index every 2 s (invariant: same state).
 func (ic *invariantChecker) compareStates() {
 	s := ic.sim
 	first := map[uint64][]byte{}
@@ -155,7 +157,7 @@
 		}
 		s.countCase("same state")
 		if !bytes.Equal(have, raw) {
-			s.reportBreach("same state", "%s has another state at %d", name, st.Index)
+			s.reportViolation("same state", "%s has another state at %d", name, st.Index)
 		}
 	}
 	compare("the log", ic.reference)
--- a/internal/testbed/policysim/checkprogress.go
+++ b/internal/testbed/policysim/checkprogress.go
@@ -8,30 +8,30 @@
 	"crosstide/internal/state"
 )
 
-// endTimeout bounds the time from the end of the faults until every job has ended: the longest lease, then retries and
-// long runs.
+// endTimeout bounds the time from the end of the faults until every job has ended. It covers the longest lease followed
+// by retries and long runs.
 const endTimeout = 150 * time.Second
 
 const (
-	idleTimeout      = 3 * time.Second  // for which a due task may wait beside free capacity
-	recoveryTime     = 30 * time.Second // from the end of faults until a due task must not be idle any more
-	startTimeout     = 20 * time.Second // the longest run, and then the oldest due task must have got its run ID
-	gangStartTimeout = 45 * time.Second // the same for a gang, which needs capacity on several workers at one moment
+	idleTimeout      = 3 * time.Second  // for which a due task may wait although capacity is free
+	recoveryTime     = 30 * time.Second // from the end of the faults until idleTimeout applies
+	startTimeout     = 20 * time.Second // until the oldest due task has a run ID; covers the longest run
+	gangStartTimeout = 45 * time.Second // the same for a gang, which needs several free workers at once
 )
 
-// dueTasks records since when tasks wait, by the committed entries.
+// dueTasks records since when tasks wait, according to the committed entries.
 type dueTasks struct {
-	dueAt       map[state.TaskRef]time.Duration // when a task may start, also in the future
-	idleSince   map[state.TaskRef]time.Duration // since when a due task could start at once on some worker
+	dueAt       map[state.TaskRef]time.Duration // when a task may start; may be in the future
+	idleSince   map[state.TaskRef]time.Duration // since when a worker has had capacity for a due task
 	oldestTask  state.TaskRef                   // the oldest due task that would fit if the workers were empty
-	oldestSince time.Duration                   // since when it is the oldest; 0: there is none, or !isServing
+	oldestSince time.Duration                   // since when it is the oldest; 0: no such task, or !isServing
 }
 
-// checkWaiting checks the waiting tasks every 250 ms, once the faults are over.
+// checkWaiting checks the waiting tasks every 250 ms after the faults have ended.
 func (ic *invariantChecker) checkWaiting() {
 	s := ic.sim
 	s.schedule(250*time.Millisecond, ic.checkWaiting)
-	if !s.faultsOver {
+	if !s.faultsEnded {
 		return
 	}
 	ic.checkPassedOver()
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkIdle checks that no due task waits beside free capacity (invariant: not idle beside room).
+// checkIdle checks that no due task waits although capacity is free (invariant: not idle beside room).
 func (ic *invariantChecker) checkIdle() {
 	for _, key := range ic.runningJobs() {
 		j := ic.reference.Jobs[key]
@@ -61,14 +61,14 @@
 	}
 	s.countCase("not idle beside room")
 	if s.now-ic.idleSince[ref] > idleTimeout {
-		s.reportBreach("not idle beside room", "%v is due since %v and there is room for it since %v",
+		s.reportViolation("not idle beside room", "%v is due since %v and there is room for it since %v",
 			ref, ic.dueAt[ref], ic.idleSince[ref])
 	}
 }
 
 // checkPassedOver checks that the oldest due task that would fit if the workers were empty starts in time (invariant:
-// not passed over): younger ones that need less may start before it only for a while. The time counts only while the
-// fleet can start anything at all, as a process that a fault ended may be down for up to recoveryTime after the faults.
+// not passed over): younger tasks that need less capacity must not starve it. The time counts only while isServing, as
+// a process that a fault ended may be down for up to recoveryTime after the faults.
 func (ic *invariantChecker) checkPassedOver() {
 	s := ic.sim
 	ref, found := ic.oldestPlaceable()
@@ -84,12 +84,13 @@
 			timeout = gangStartTimeout
 		}
 		if s.now-ic.oldestSince > timeout {
-			s.reportBreach("not passed over", "%v is the oldest due task since %v", ref, ic.oldestSince)
+			s.reportViolation("not passed over", "%v is the oldest due task since %v", ref, ic.oldestSince)
 		}
 	}
 }
 
-// isServing reports whether a majority of the store's voters and a data-plane node are up.
+// isServing reports whether a majority of the store's voters and at least one data-plane node are running, so that the
+// fleet can start tasks.
 func (ic *invariantChecker) isServing() bool {
 	up := map[string]bool{}
 	for _, c := range ic.sim.controlPlanes {
@@ -129,8 +130,8 @@
 
 // fitsEmptyFleet reports whether the tasks of a step that start together, all of a gang or else one, would fit if the
 // workers were empty.
-func (ic *invariantChecker) fitsEmptyFleet(j *state.Job, at int) bool {
-	step := &j.Spec.Steps[at]
+func (ic *invariantChecker) fitsEmptyFleet(j *state.Job, stepIndex int) bool {
+	step := &j.Spec.Steps[stepIndex]
 	need, have := 1, 0
 	if step.Gang {
 		need = step.Tasks
@@ -173,8 +174,8 @@
 	return ic.fitsNow(j, ref) && ic.sim.billingChecker.isPayable(j, ref)
 }
 
-// fitsNow reports whether a task is due and a worker has capacity for it now. It is false for a gang's task, which
-// needs the other members placed too.
+// fitsNow reports whether a task is due and a worker has capacity for it now. It is false for a task of a gang, whose
+// tasks must all be placed at once.
 func (ic *invariantChecker) fitsNow(j *state.Job, ref state.TaskRef) bool {
 	step := &j.Spec.Steps[ref.Step]
 	if j.Tasks[ref.Step][ref.Task].Phase != state.TaskDue || step.Gang || ic.sim.now < ic.dueAt[ref] {
@@ -186,8 +187,8 @@
 	})
 }
 
-// usableWorkers returns the workers that must be used for starts: those that are up, not draining and not ejected as
-// unhealthy by the scheduler.
+// usableWorkers returns the workers that the scheduler must use for starts: those that are running, not draining and
+// not ejected by the scheduler as unhealthy.
 func (ic *invariantChecker) usableWorkers() []*worker {
 	var unhealthy []string
 	for _, d := range ic.sim.dataPlanes {
@@ -205,7 +206,7 @@
 	return usable
 }
 
-// checkEnd checks, at the end of a run, that every job has ended (invariant: all ends) and all states are the same.
+// checkEnd checks, at the end of a run, that every job has ended (invariant: all ends) and that all states are equal.
 func (ic *invariantChecker) checkEnd() {
 	s := ic.sim
 	s.countCase("all ends")
@@ -215,7 +216,7 @@
 			if known := ic.reference.Jobs[j.spec.Key]; known != nil {
 				phase = known.Phase
 			}
-			s.reportBreach("all ends", "%s, sent at %v, accepted at %v, has not ended; the log has it as %q",
+			s.reportViolation("all ends", "%s, sent at %v, accepted at %v, has not ended; the log has it as %q",
 				j.spec.Key, j.sentAt, j.acceptedAt, phase)
 		}
 	}
--- a/internal/testbed/policysim/checkrole.go
+++ b/internal/testbed/policysim/checkrole.go
@@ -5,8 +5,7 @@
 	"crosstide/internal/state/command"
 )
 
-// newestEpoch returns the newest epoch of the scheduler role granted at or before an index of the log; 0 before the
-// first.
+// newestEpoch returns the newest epoch of the scheduler role that was granted at or before an index of the log, or 0.
 func (ic *invariantChecker) newestEpoch(index uint64) (epoch uint64) {
 	for _, granted := range ic.grants {
 		if granted <= index {
@@ -16,21 +15,22 @@
 	return epoch
 }
 
-// observePlanCommitted checks the epoch of a plan that was committed and applied (invariant: decided in office).
+// observePlanCommitted checks that a plan was committed and applied under the current epoch (invariant: decided in
+// office).
 func (ic *invariantChecker) observePlanCommitted(epoch, index uint64) {
 	ic.sim.countCase("decided in office")
-	if now := ic.newestEpoch(index); now != epoch {
-		ic.sim.reportBreach("decided in office", "a plan of epoch %d counts at %d, where %d was granted", epoch, index,
-			now)
+	if newest := ic.newestEpoch(index); newest != epoch {
+		ic.sim.reportViolation("decided in office", "a plan of epoch %d counts at %d, where %d was granted", epoch,
+			index, newest)
 	}
 }
 
-// observePlanMade checks the replica of a role holder that makes a plan (invariant: rebuilt). No plan may come from a
-// replica that has not reached the grant, as ends and proofs are decided by its handles too; only plans with starts are
-// counted as cases.
+// observePlanMade checks the replica of a role holder that makes a plan (invariant: rebuilt). A holder must not make
+// any plan before its replica has reached the grant, because ends and proofs depend on the replica's handles too. Only
+// plans with starts are counted as cases.
 func (ic *invariantChecker) observePlanMade(d *dataPlane, p *command.Plan) {
 	if d.state().Index < p.Epoch {
-		ic.sim.reportBreach("rebuilt", "%s makes a plan of %d starts under epoch %d with its replica at %d", d.addr,
+		ic.sim.reportViolation("rebuilt", "%s makes a plan of %d starts under epoch %d with its replica at %d", d.addr,
 			len(p.Starts), p.Epoch, d.state().Index)
 	}
 	if len(p.Starts) == 0 {
@@ -47,16 +47,18 @@
 	want := d.state().RunningCounts()
 	for taskType, n := range want {
 		if got := d.scheduler.RunningCount(taskType); got != n {
-			ic.sim.reportBreach("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, taskType, n)
+			ic.sim.reportViolation("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, taskType,
+				n)
 		}
 	}
 }
 
-// checkFence checks the epoch of a lease call as it leaves a data-plane node (invariant: fence).
+// checkFence checks the epoch of a lease call when it leaves a data-plane node (invariant: fence).
 func (ic *invariantChecker) checkFence(d *dataPlane, c scheduler.OutgoingCall) {
 	s := ic.sim
 	s.countCase("fence")
-	if now := ic.newestEpoch(ic.reference.Index); c.Call.Epoch < now {
-		s.reportBreach("fence", "%s writes to %s under epoch %d, %d was granted", d.addr, c.Worker, c.Call.Epoch, now)
+	if newest := ic.newestEpoch(ic.reference.Index); c.Call.Epoch < newest {
+		s.reportViolation("fence", "%s writes to %s under epoch %d, %d was granted", d.addr, c.Worker, c.Call.Epoch,
+			newest)
 	}
 }
--- a/internal/testbed/policysim/checkruns.go
+++ b/internal/testbed/policysim/checkruns.go
@@ -11,10 +11,10 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// runRecords are all run IDs by the committed entries, and the runs by the workers' journals.
+// runRecords holds all run IDs from the committed entries, and the runs from the workers' journals.
 type runRecords struct {
 	runIDs      map[uint64]*runIDHistory
-	ended       map[state.TaskRef][]*completion // never removed
+	completions map[state.TaskRef][]*completion // entries are never removed
 	running     []*workerRun                    // in the order of their starts
 	newestOrder map[*worker]uint64              // newest run ID whose start order arrived at a worker
 }
@@ -23,20 +23,20 @@
 type runIDHistory struct {
 	handle     state.Handle
 	orderedAt  time.Duration // when its start order left the role holder; 0: not yet
-	closedAt   time.Duration // when its handle was released; 0: not yet
-	leaseUntil time.Duration // end of the first lease, as the start order has it, in virtual time
+	releasedAt time.Duration // when its handle was released; 0: not yet
+	leaseUntil time.Duration // virtual time at which the lease in its start order ends
 }
 
-// completion is a run that ended well at its worker.
+// completion is a run that succeeded on its worker.
 type completion struct {
-	runID        uint64
-	worker       *worker
-	generation   int                      // of the worker
-	acknowledged map[uint64]time.Duration // when a role holder first got the end in an answer, by epoch
+	runID      uint64
+	worker     *worker
+	generation int                      // of the worker
+	reportedAt map[uint64]time.Duration // when a role holder first got the end in an answer, by epoch
 }
 
-// workerRun is a run on a worker. It is over when the worker's journal has its end, when its lease has expired, or when
-// the worker's next incarnation starts.
+// workerRun is a run on a worker. It has ended when the worker's journal has its end, when its lease has expired, or
+// when the worker's next incarnation starts.
 type workerRun struct {
 	ref        state.TaskRef
 	runID      uint64
@@ -46,19 +46,19 @@
 	leaseUntil time.Duration // virtual time
 }
 
-// observeLeaseCall checks a lease call as it leaves a data-plane node (invariants: fence, durable, ordered once).
+// observeLeaseCall checks a lease call when it leaves a data-plane node (invariants: fence, durable, ordered once).
 func (ic *invariantChecker) observeLeaseCall(d *dataPlane, c scheduler.OutgoingCall) {
 	s := ic.sim
 	ic.checkFence(d, c)
 	for _, order := range c.Call.Starts {
 		ordered := ic.runIDs[order.RunID]
 		if ordered == nil {
-			s.reportBreach("durable", "the order of ticket %d leaves %s before it is committed", order.RunID, d.addr)
+			s.reportViolation("durable", "the order of ticket %d leaves %s before it is committed", order.RunID, d.addr)
 			return
 		}
 		s.countCase("ordered once")
 		if ordered.orderedAt != 0 {
-			s.reportBreach("ordered once", "ticket %d was ordered at %v already", order.RunID, ordered.orderedAt)
+			s.reportViolation("ordered once", "ticket %d was ordered at %v already", order.RunID, ordered.orderedAt)
 		}
 		ordered.orderedAt = s.now
 		s.trace("%s orders ticket %d (%s/%s/%d) at %s, epoch %d, call %d", d.addr, order.RunID, order.Job, order.Step,
@@ -75,7 +75,8 @@
 		ic.sim.countCase("newer ticket")
 		newest := ic.newestOrder[w]
 		if order.RunID <= newest && w.kind == policyworker.KindObey {
-			ic.sim.reportBreach("newer ticket", "ticket %d reaches %s, which has seen %d", order.RunID, w.addr, newest)
+			ic.sim.reportViolation("newer ticket", "ticket %d reaches %s, which has seen %d", order.RunID, w.addr,
+				newest)
 		}
 		ic.newestOrder[w] = max(newest, order.RunID)
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// observeAnswer records which ends a role holder learns of from an answer.
+// observeAnswer records the successful runs that an answer reports to a role holder for the first time.
 func (ic *invariantChecker) observeAnswer(d *dataPlane, c scheduler.OutgoingCall, a internalapi.LeaseAnswer) {
 	if a.Call != c.Call.Call || c.Call.Epoch != d.scheduler.Epoch() {
 		return
@@ -103,16 +104,16 @@
 		if history == nil || ended.Outcome != internalapi.OutcomeOK {
 			continue
 		}
-		for _, end := range ic.ended[history.handle.Ref] {
-			_, known := end.acknowledged[c.Call.Epoch]
+		for _, end := range ic.completions[history.handle.Ref] {
+			_, known := end.reportedAt[c.Call.Epoch]
 			if end.runID == ended.RunID && !known {
-				end.acknowledged[c.Call.Epoch] = ic.sim.now
+				end.reportedAt[c.Call.Epoch] = ic.sim.now
 			}
 		}
 	}
 }
 
-// observeWorkerStart removes the runs of a worker's former incarnation: the new one has killed them.
+// observeWorkerStart removes the runs of a worker's previous incarnation, as the new one has killed them.
 func (ic *invariantChecker) observeWorkerStart(w *worker) {
 	ic.running = slices.DeleteFunc(ic.running, func(r *workerRun) bool { return r.worker == w })
 	ic.sim.trace("%s boots as %s", w.addr, w.traits.Incarnation)
@@ -150,12 +151,12 @@
 	wasRunning := len(ic.running) < before
 	if history := ic.runIDs[e.RunID]; e.Event == journal.End && e.OK && history != nil && wasRunning {
 		ref := history.handle.Ref
-		ic.ended[ref] = append(ic.ended[ref], &completion{runID: e.RunID, worker: w, generation: w.generation,
-			acknowledged: map[uint64]time.Duration{}})
+		ic.completions[ref] = append(ic.completions[ref], &completion{runID: e.RunID, worker: w,
+			generation: w.generation, reportedAt: map[uint64]time.Duration{}})
 	}
 }
 
-// checkDone checks that each task of a job that its client sees as done ended well on a worker (invariant: done).
+// checkDone checks that each task succeeded on a worker if the client sees the job as done (invariant: done).
 func (ic *invariantChecker) checkDone(j *clientJob) {
 	if j.outcome != state.JobDone {
 		return
@@ -163,9 +164,9 @@
 	ic.sim.countCase("done")
 	for i, step := range j.spec.Steps {
 		for k := range step.Tasks {
-			if len(ic.ended[state.TaskRef{Job: j.spec.Key, Step: i, Task: k}]) == 0 {
-				ic.sim.reportBreach("done", "%s is shown as done, task %d of step %d never ended well", j.spec.Key, k,
-					i)
+			if len(ic.completions[state.TaskRef{Job: j.spec.Key, Step: i, Task: k}]) == 0 {
+				ic.sim.reportViolation("done", "%s is shown as done, task %d of step %d never ended well", j.spec.Key,
+					k, i)
 			}
 		}
 	}
--- a/internal/testbed/policysim/clients.go
+++ b/internal/testbed/policysim/clients.go
@@ -14,22 +14,22 @@
 // clientTimeout bounds the time for which a client waits for an answer.
 const clientTimeout = 3 * time.Second
 
-// jobsPerCore bounds the open jobs for each core of the fleet. Under faults the fleet runs far fewer jobs than clients
-// would submit: without a bound, jobs queued for some minutes take longer than the quiet tail of a run lasts. A job is
-// about 10 core-seconds of work, so the open jobs take about 40 s.
+// jobsPerCore is the maximum number of open jobs per core of the fleet. Under faults the fleet runs far fewer jobs than
+// clients would submit: without a limit, the jobs queued within some minutes could not all end in the fault-free part
+// of a run. A job is about 10 core-seconds of work, so the open jobs take about 40 s.
 const jobsPerCore = 4
 
-// clients are the clients and the operators (operators.go), as one process outside of all partitions. Clients submit
-// jobs, poll each until it has ended, and cancel some. Each answer is checked when it arrives, and all of them at the
-// end of a run as a history.
+// clients simulates the clients and the operators (operators.go) in one process that no partition affects. Clients
+// submit jobs, poll each until it has ended, and cancel some. Each answer is checked when it arrives; at the end of a
+// run, the history of all answers is checked.
 type clients struct {
 	*process
 	jobs    []*clientJob
 	lastJob int // number in the newest job key
 	history clientHistory
 
-	operator       *dataPlane      // never opened: only callLeader and what it calls are used
-	evacuatedZones map[string]bool // from the first order until the lifting is acknowledged; one at most
+	operator       *dataPlane      // never opened: only callLeader and its callees are used
+	evacuatedZones map[string]bool // at most one, from its first order to the acknowledged lift
 	orderCount     int             // number in the newest order ID
 }
 
@@ -39,8 +39,8 @@
 	sentAt          time.Duration
 	acceptedAt      time.Duration  // 0: not yet
 	cancelRequested bool           // a cancel was sent
-	cancelledAt     time.Duration  // when a cancel was acknowledged; 0: not yet
-	outcome         state.JobPhase // terminal phase that a poll showed; "": none yet
+	cancelledAt     time.Duration  // when a cancel was acknowledged first; 0: not yet
+	outcome         state.JobPhase // terminal phase returned by a poll; "": none yet
 	abandoned       bool           // the client gave up before the job was accepted; terminal
 }
 
@@ -52,10 +52,10 @@
 	c.after(4*time.Second, c.resubmit)
 }
 
-// submitJobs submits a job at random intervals, sometimes several at once, until the faults are over.
+// submitJobs submits a job at random intervals, sometimes several at once, until the faults have ended.
 func (c *clients) submitJobs() {
 	s := c.sim
-	if s.faultsOver {
+	if s.faultsEnded {
 		return
 	}
 	n := 1
@@ -87,10 +87,10 @@
 }
 
 // randomStep draws the step at a position in a job. The order of the draws is part of every history.
-func (s *sim) randomStep(place int) state.StepSpec {
-	step := state.StepSpec{Name: fmt.Sprintf("s%d", place), Type: fmt.Sprintf("k%d", s.rng.IntN(3)),
+func (s *sim) randomStep(index int) state.StepSpec {
+	step := state.StepSpec{Name: fmt.Sprintf("s%d", index), Type: fmt.Sprintf("k%d", s.rng.IntN(3)),
 		Tasks: 1 + s.rng.IntN(3), Cores: 1 + s.rng.IntN(2), Retries: 4}
-	if place > 0 && s.chance(0.7) {
+	if index > 0 && s.chance(0.7) {
 		step.After = []string{"s0"}
 	}
 	if s.chance(0.2) {
@@ -115,7 +115,7 @@
 		onAnswer:  func(a any, err error, _ bool) { onAnswer(d, a, err) }})
 }
 
-// propose has a random data-plane node propose a command.
+// propose proposes a command through a random data-plane node.
 func (c *clients) propose(cmd command.Command, onAnswer func(answer any, err error)) {
 	c.call(func(d *dataPlane, reply func(any, error)) {
 		d.propose(cmd, d.Now()+clientTimeout, func(answer json.RawMessage, err error) { reply(answer, err) })
@@ -139,7 +139,7 @@
 
 func (c *clients) retrySubmit(j *clientJob, attempt int) {
 	s := c.sim
-	if attempt > 20 && !s.faultsOver {
+	if attempt > 20 && !s.faultsEnded {
 		j.abandoned = true
 		return
 	}
@@ -152,7 +152,7 @@
 	j.acceptedAt = s.now
 	s.trace("%s accepted", j.spec.Key)
 	c.after(s.between(100*time.Millisecond, time.Second), func() { c.poll(j) })
-	if s.chance(0.05) { // as if the answer was lost: the client submits the job again
+	if s.chance(0.05) { // the client submits again, as if the answer had been lost
 		c.submit(j, 0)
 	}
 	if s.faults.enabled["cancel"] && s.chance(0.12) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// resubmit submits a random accepted job again, which must stay one job.
+// resubmit submits a random accepted job again, periodically. The store must not create a second job.
 func (c *clients) resubmit() {
 	s := c.sim
 	if len(c.jobs) > 0 {
@@ -168,7 +168,7 @@
 			c.submit(j, 0)
 		}
 	}
-	if !s.faultsOver {
+	if !s.faultsEnded {
 		c.after(s.between(time.Second, 4*time.Second), c.resubmit)
 	}
 }
@@ -182,7 +182,7 @@
 		op.complete(s.now, answer, err)
 		if err != nil {
 			if errs.Is(err, errs.Unknown) {
-				s.reportBreach("known", "cancel of %s, accepted at %v: %v", j.spec.Key, j.acceptedAt, err)
+				s.reportViolation("known", "cancel of %s, accepted at %v: %v", j.spec.Key, j.acceptedAt, err)
 			}
 			c.after(s.between(50*time.Millisecond, time.Second), func() { c.cancel(j) })
 			return
@@ -213,7 +213,7 @@
 	}, func(d *dataPlane, answer any, err error) {
 		if errs.Is(err, errs.Unknown) {
 			op.observe(s.now, answerUnknown, "")
-			s.reportBreach("known", "%s, accepted at %v, is unknown at %s", j.spec.Key, j.acceptedAt, d.addr)
+			s.reportViolation("known", "%s, accepted at %v, is unknown at %s", j.spec.Key, j.acceptedAt, d.addr)
 		}
 		if err == nil {
 			c.onPolled(j, op, answer.(query.JobView))
@@ -229,7 +229,7 @@
 	s.countCase("known")
 	op.observe(s.now, answerPhase, view.State)
 	if j.outcome != "" && view.State != j.outcome {
-		s.reportBreach("done", "%s was %s, now it is %s", j.spec.Key, j.outcome, view.State)
+		s.reportViolation("done", "%s was %s, now it is %s", j.spec.Key, j.outcome, view.State)
 	}
 	if view.State.IsTerminal() {
 		j.outcome = view.State
@@ -237,7 +237,7 @@
 	}
 }
 
-// maxOpen returns the most jobs that the clients have open.
+// maxOpen returns the maximum number of jobs that the clients keep open.
 func (c *clients) maxOpen() int {
 	cores := 0
 	for _, w := range c.sim.workers {
@@ -246,7 +246,7 @@
 	return jobsPerCore * cores
 }
 
-// jobsOpen returns the number of jobs that have not ended as far as their clients know, without abandoned ones.
+// jobsOpen returns the number of jobs that have not ended as far as their clients know. Abandoned jobs do not count.
 func (c *clients) jobsOpen() int {
 	n := 0
 	for _, j := range c.jobs {
@@ -257,8 +257,8 @@
 	return n
 }
 
-// abandonedOpen returns the number of jobs that are open in the store although their clients have abandoned them: no
-// acknowledgement ever arrived.
+// abandonedOpen returns the number of jobs that are open in the store but abandoned by their clients, which never got
+// an acknowledgement.
 func (c *clients) abandonedOpen() int {
 	n := 0
 	for _, j := range c.jobs {
@@ -270,5 +270,5 @@
 	return n
 }
 
-// allEnded reports whether every job that its client has not abandoned has ended as far as the client knows.
+// allEnded reports whether all jobs have ended as far as their clients know. Abandoned jobs do not count.
 func (c *clients) allEnded() bool { return c.jobsOpen() == 0 }
--- a/internal/testbed/policysim/controlplane.go
+++ b/internal/testbed/policysim/controlplane.go
@@ -11,30 +11,31 @@
 	"crosstide/internal/store"
 )
 
-// controlPlane is a machine with a disk that runs the store. Where the daemon has goroutines, events take the steps of
-// store.ManualDriver (controlplaneloop.go). controlplanecalls.go answers the calls of other nodes.
+// controlPlane simulates a control-plane node: a machine with a disk that runs the store. In place of the daemon's
+// goroutines, events take the steps of store.ManualDriver (controlplaneloop.go). controlplanecalls.go serves the calls
+// of other nodes.
 type controlPlane struct {
 	*process
-	disk      *storage.MemDisk
-	store     *store.Store
-	driver    *store.ManualDriver
-	batch     *store.DiskBatch // being written to the disk; nil: none
-	proposals []*proposal      // whose outcome is awaited
-	followers []*follower      // whose replicas are up to date
-	role      string           // in raft, with its term, as last traced
-
-	durable durableLog // of the data folder, by the syncs that have succeeded
-	wipedID string     // member ID that the node had before its disk was wiped; "": none
-	wiped   durableLog // of the wiped data folder
+	disk           *storage.MemDisk
+	store          *store.Store
+	driver         *store.ManualDriver
+	batch          *store.DiskBatch // being written to the disk; nil: none
+	proposals      []*proposal      // proposals whose outcome is unknown yet
+	pendingFollows []*pendingFollow // follow calls that wait for the next change
+	role           string           // raft role and term that were traced last
+
+	durable  durableLog // synced log in the data folder
+	wipedID  string     // member ID that the node had before its disk was wiped; "": none
+	wipedLog durableLog // value of durable when the disk was wiped
 
 	syncDelay    time.Duration // set by the fault slow
 	failNextSync bool          // set by the fault sync
 }
 
-// durableLog is the part of the log that is surely durable in a data folder.
+// durableLog is the part of the log that is known to be durable in a data folder.
 type durableLog struct {
 	snapshot uint64            // index of the newest snapshot, which covers all entries up to it
-	terms    map[uint64]uint64 // of the entries, by index
+	terms    map[uint64]uint64 // terms of the entries, by index
 	last     uint64            // index of the last entry
 }
 
@@ -43,7 +44,7 @@
 	return index <= l.snapshot || l.terms[index] == term
 }
 
-// add adds an entry, which replaces all entries from its index on.
+// add adds an entry, after it has removed all entries from its index on.
 func (l *durableLog) add(index, term uint64) {
 	for i := index; i <= l.last; i++ {
 		delete(l.terms, i)
@@ -51,7 +52,8 @@
 	l.terms[index], l.last = term, index
 }
 
-// open starts an incarnation from what is on the disk. bootstrap reports that the node is one of the first members.
+// open starts an incarnation from the content of the disk. bootstrap is set for the initial members at the start of the
+// run.
 func (c *controlPlane) open(bootstrap bool) {
 	s := c.sim
 	c.startIncarnation()
@@ -63,19 +65,19 @@
 		return
 	}
 	if err != nil {
-		s.reportBreach("disk", "%s cannot read its folder: %v", c.addr, errs.Of(err))
+		s.reportViolation("disk", "%s cannot read its folder: %v", c.addr, errs.Of(err))
 		return
 	}
 	c.store, c.driver = opened, opened.Manual()
-	c.batch, c.proposals, c.followers, c.role = nil, nil, nil, ""
+	c.batch, c.proposals, c.pendingFollows, c.role = nil, nil, nil, ""
 	if bootstrap {
 		must(c.driver.Bootstrap())
 	}
 	c.durable = readDurable(c.disk)
 	s.trace("%s up, folder to %d", c.addr, c.durable.last)
-	s.checker.observed[c] = 0
+	s.checker.compared[c] = 0
 	c.tick()
-	c.after(10*time.Second, c.collectGarbage)
+	c.after(10*time.Second, c.proposeGarbageCollection)
 	if !c.driver.IsMember() || c.isJoining() {
 		c.joinMembers()
 	}
@@ -127,7 +129,7 @@
 	c.sim.schedule(c.sim.between(100*time.Millisecond, 5*time.Second), c.restart)
 }
 
-// crash ends the incarnation. A loss of power also loses what is not synced, sometimes in the middle of a write.
+// crash ends the incarnation. With losesPower, unsynced data is lost too, sometimes in the middle of a write.
 func (c *controlPlane) crash(losesPower bool) {
 	if !c.alive {
 		return
@@ -150,7 +152,7 @@
 	return ok
 }
 
-// joinMembers resolves an empty data folder, and then asks to join until this node is a voter.
+// joinMembers resolves an empty data folder, and then sends join calls until this node is a voter.
 func (c *controlPlane) joinMembers() {
 	if !c.driver.IsMember() {
 		if c.sim.options.WithoutGuard == "learner" {
@@ -169,7 +171,8 @@
 	c.after(200*time.Millisecond, c.joinMembers)
 }
 
-// sendJoinCall asks the leader, or a random node, to add this node to the members; false if it is a voter already.
+// sendJoinCall asks the leader, or a random node, to add this node to the members. It returns false if the node is
+// already a voter.
 func (c *controlPlane) sendJoinCall() bool {
 	s := c.sim
 	call, addr, ok := c.driver.JoinCall()
@@ -189,6 +192,6 @@
 			peer.advance()
 			reply(answer, err)
 		},
-		onAnswer: func(any, error, bool) {}}) // the next call shows whether it is a voter
+		onAnswer: func(any, error, bool) {}}) // the next call finds out whether it is a voter
 	return true
 }
--- a/internal/testbed/policysim/controlplanecalls.go
+++ b/internal/testbed/policysim/controlplanecalls.go
@@ -11,10 +11,10 @@
 	"crosstide/internal/store"
 )
 
-// propose serves internalapi.Propose; done is called once, with the outcome of the command.
+// propose serves internalapi.Propose. It calls done once, with the outcome of the command.
 func (c *controlPlane) propose(cmd command.Command, done func(index uint64, answer any, err error)) {
 	if plan, ok := cmd.(*command.Plan); ok {
-		cmd, done = c.proposedPlan(plan), c.observed(plan.Epoch, done)
+		cmd, done = c.proposedPlan(plan), c.observeCommit(plan.Epoch, done)
 	}
 	pending, err := c.driver.Propose(cmd)
 	if err != nil {
@@ -25,19 +25,20 @@
 	c.advance()
 }
 
-// proposedPlan returns the plan to propose: without the guard epoch, the plan under the epoch in force.
+// proposedPlan returns the plan to propose. Without the guard epoch it replaces the plan's epoch by the role's current
+// one, so that the store accepts a plan of any epoch.
 func (c *controlPlane) proposedPlan(plan *command.Plan) *command.Plan {
 	role := c.driver.State().Roles["sched"]
 	if c.sim.options.WithoutGuard != "epoch" || role == nil {
 		return plan
 	}
-	passed := *plan
-	passed.Epoch = role.Epoch
-	return &passed
+	current := *plan
+	current.Epoch = role.Epoch
+	return &current
 }
 
-// observed wraps done to report the commit of a plan that was decided under an epoch to the checker.
-func (c *controlPlane) observed(epoch uint64, done func(index uint64, answer any, err error),
+// observeCommit wraps done to report the commit of a plan that was decided under an epoch to the checker.
+func (c *controlPlane) observeCommit(epoch uint64, done func(index uint64, answer any, err error),
 ) func(index uint64, answer any, err error) {
 	return func(index uint64, answer any, err error) {
 		if err == nil {
@@ -60,7 +61,7 @@
 	})
 }
 
-// sentLease returns the lease to send to the claimant: without the guard lease, a longer one than the granter keeps.
+// sentLease returns the lease to send to the claimant. Without the guard lease it is 8 times the granter's.
 func (c *controlPlane) sentLease(lease internalapi.RoleLease) internalapi.RoleLease {
 	if c.sim.options.WithoutGuard == "lease" {
 		lease.TTL *= 8
@@ -68,10 +69,11 @@
 	return lease
 }
 
-// follow serves internalapi.Follow: it replies once there is a change after the version, or with none after the wait.
+// follow serves internalapi.Follow: it replies with the changes after version as soon as there are any, or with an
+// empty answer after wait.
 func (c *controlPlane) follow(version uint64, wait time.Duration, reply func(any, error)) {
-	c.followers = append(c.followers, &follower{version, c.Now() + wait, reply})
-	c.answerWaiting()
+	c.pendingFollows = append(c.pendingFollows, &pendingFollow{version, c.Now() + wait, reply})
+	c.answerPendingCalls()
 }
 
 // join serves internalapi.Join.
@@ -80,27 +82,27 @@
 	return answer, errs.Pass(err, "join")
 }
 
-// encodeJSON returns an answer as it is on the wire.
+// encodeJSON returns the wire encoding of an answer.
 func encodeJSON(answer any) json.RawMessage {
 	raw, err := json.Marshal(answer)
 	must(err)
 	return raw
 }
 
-// directNetwork is the store's network for the calls that it makes and gets answered within one event. They fail like
-// others, but take no time. The embedded interface is nil: the store makes no other call in the simulator.
+// directNetwork is the store's network for calls that are made and answered within one event. They fail like other
+// calls, but take no virtual time. The embedded interface is nil: the store makes no other calls in the simulator.
 type directNetwork struct {
 	store.Net
 	controlPlane *controlPlane
 }
 
-// reachable returns the node at addr if a call to it and its answer get through.
+// reachable returns the node at addr, or an error if a call to it or the answer would be lost.
 func (d directNetwork) reachable(addr string) (*controlPlane, error) {
 	s, from := d.controlPlane.sim, d.controlPlane.process
 	to := s.byAddr[addr]
 	if to == nil || !to.alive || to.frozen || s.blocked(from, to) || s.blocked(to, from) ||
 		s.chance(s.network.lossRate) {
-		return nil, errs.New(errs.Unavailable, "%s does not answer", addr)
+		return nil, errs.New(errs.Unavailable, "no response from %s", addr)
 	}
 	return s.controlPlaneAt(to), nil
 }
@@ -116,7 +118,7 @@
 	return answer, errs.Pass(err, "chunk")
 }
 
-// BootstrapStatus returns whether a peer has an empty data folder too, or is a member of an existing store.
+// BootstrapStatus returns whether a peer has an empty data folder too or is a member of an existing store.
 func (d directNetwork) BootstrapStatus(_ context.Context, addr string, call internalapi.DiscoverCall,
 ) (internalapi.DiscoverAnswer, error) {
 	peer, err := d.reachable(addr)
--- a/internal/testbed/policysim/controlplaneloop.go
+++ b/internal/testbed/policysim/controlplaneloop.go
@@ -14,10 +14,10 @@
 	c.after(10*time.Millisecond, c.tick)
 }
 
-func (c *controlPlane) collectGarbage() {
+func (c *controlPlane) proposeGarbageCollection() {
 	c.driver.ProposeGC()
 	c.advance()
-	c.after(10*time.Second, c.collectGarbage)
+	c.after(10*time.Second, c.proposeGarbageCollection)
 }
 
 // advance runs one pass of the store and carries out its actions: it sends messages, writes a batch to the disk, writes
@@ -37,7 +37,7 @@
 	if !c.runSnapshotter() {
 		return
 	}
-	c.answerWaiting()
+	c.answerPendingCalls()
 	c.traceRole()
 }
 
@@ -59,7 +59,7 @@
 }
 
 // startSync writes a batch to the disk after a delay. Without the guard sync, half of the batches are marked as stored
-// at once.
+// before they are written.
 func (c *controlPlane) startSync(batch *store.DiskBatch) {
 	s := c.sim
 	c.batch = batch
@@ -95,8 +95,8 @@
 	c.advance()
 }
 
-// runSnapshotter writes a snapshot if one is due, and schedules a fetch if the store wants a peer's; false if the disk
-// failed.
+// runSnapshotter writes a snapshot if one is due, and schedules the fetch of a peer's snapshot if the store needs one.
+// It returns false if the disk failed.
 func (c *controlPlane) runSnapshotter() bool {
 	s := c.sim
 	before := c.driver.SnapshotIndex()
@@ -134,35 +134,35 @@
 		}
 	}
 	if status.Refused > 0 {
-		s.reportBreach("log", "%s refused %d messages that contradict what is committed", c.addr, status.Refused)
+		s.reportViolation("log", "%s refused %d messages that contradict what is committed", c.addr, status.Refused)
 	}
 }
 
-// proposal awaits the outcome of a command.
+// proposal is a proposed command whose outcome is unknown yet.
 type proposal struct {
 	pending  *store.Proposal
 	deadline time.Duration // by the process's clock
 	done     func(index uint64, answer any, err error)
 }
 
-// follower awaits a change after the version that its replica has.
-type follower struct {
+// pendingFollow is a follow call that waits for a change after the version of the caller's replica.
+type pendingFollow struct {
 	version  uint64
 	deadline time.Duration // by the process's clock
 	reply    func(any, error)
 }
 
-// answerWaiting answers the proposals and followers whose outcome is known or whose deadline has passed. Both lists are
-// updated before the first answer, which may add to them.
-func (c *controlPlane) answerWaiting() {
-	answers := append(c.takeDecided(), c.takeServed()...)
+// answerPendingCalls answers the proposals whose outcome is known, the follow calls for which there are changes, and
+// those whose deadline has passed. Both lists are updated before the first answer, which may add to them.
+func (c *controlPlane) answerPendingCalls() {
+	answers := append(c.takeFinishedProposals(), c.takeFinishedFollows()...)
 	for _, answer := range answers {
 		answer()
 	}
 }
 
-// takeDecided removes the proposals that can be answered, and returns functions that answer them.
-func (c *controlPlane) takeDecided() (answers []func()) {
+// takeFinishedProposals removes the proposals that can be answered, and returns functions that answer them.
+func (c *controlPlane) takeFinishedProposals() (answers []func()) {
 	waiting := c.proposals[:0:0]
 	for _, p := range c.proposals {
 		index, answer, err, ok := p.pending.Done()
@@ -180,10 +180,10 @@
 	return answers
 }
 
-// takeServed removes the followers that can be answered, and returns functions that answer them.
-func (c *controlPlane) takeServed() (answers []func()) {
-	waiting := c.followers[:0:0]
-	for _, f := range c.followers {
+// takeFinishedFollows removes the follow calls that can be answered, and returns functions that answer them.
+func (c *controlPlane) takeFinishedFollows() (answers []func()) {
+	waiting := c.pendingFollows[:0:0]
+	for _, f := range c.pendingFollows {
 		changes, err := c.driver.ChangesAfter(f.version)
 		switch {
 		case err != nil:
@@ -197,6 +197,6 @@
 			waiting = append(waiting, f)
 		}
 	}
-	c.followers = waiting
+	c.pendingFollows = waiting
 	return answers
 }
--- a/internal/testbed/policysim/dataplane.go
+++ b/internal/testbed/policysim/dataplane.go
@@ -14,12 +14,12 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// callTimeout is the setting of the same name of data-plane nodes.
+// callTimeout is the value of the data-plane setting of the same name.
 const callTimeout = 2 * time.Second
 
-// dataPlane is dataplane.Node without goroutines: it takes the same steps as events, and replica.Replica and
-// scheduler.Core decide. dataplanereplica.go follows the store, dataplanerole.go claims the scheduler role, and
-// dataplanecalls.go finds the leader of the store.
+// dataPlane simulates dataplane.Node: events take the steps of its goroutines, and replica.Replica and scheduler.Core
+// make the decisions. dataplanereplica.go follows the store, dataplanerole.go claims the scheduler role, and
+// dataplanecalls.go calls the leader of the store.
 type dataPlane struct {
 	*process
 	incarnationID string
@@ -29,10 +29,10 @@
 	planning      bool // a plan is in flight to the store
 	leaving       bool // the node is shutting down
 
-	grantedEpoch uint64 // of the role's lease that this node has by the newest answer; 0: none
-	leaderHint   string // address at which the leader of the store answered last; "": unknown
+	grantedEpoch uint64 // epoch of the role's lease, if the newest answer grants it to this node; else 0
+	leaderHint   string // presumed address of the store's leader; "": unknown
 
-	source       string         // the control-plane node that the replica follows; "": to be drawn
+	source       string         // the control-plane node that the replica follows; "": drawn by the next pull
 	indexWaiters []*indexWaiter // see waitForIndex
 	lagUntil     time.Duration  // virtual time before which the replica does not follow the store, for the fault lag
 }
@@ -73,7 +73,7 @@
 	}
 }
 
-// state returns the replica's state. It need not stay locked, as there is one thread.
+// state returns the replica's state. It need not stay locked, as there is only one goroutine.
 func (d *dataPlane) state() *state.State {
 	st := d.replica.Lock()
 	d.replica.Unlock()
@@ -97,7 +97,7 @@
 	d.after(20*time.Millisecond, d.passPeriodically)
 }
 
-// runPass runs one pass of the scheduler and carries out what it decides.
+// runPass runs one pass of the scheduler and carries out its decisions.
 func (d *dataPlane) runPass() {
 	decision := d.scheduler.Pass(d.Now())
 	if decision.Plan != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// proposePlan proposes a plan to the store, once. The scheduler gets the answer when the replica has applied the plan.
+// proposePlan proposes a plan to the store once. The scheduler gets the answer after the replica has applied the plan.
 func (d *dataPlane) proposePlan(plan *command.Plan) {
 	answered := func(done command.Planned, err error) {
 		d.scheduler.PlanAnswered(d.Now(), plan.Epoch, done, err)
@@ -143,7 +143,7 @@
 	})
 }
 
-// sendLeaseCall makes one call to a worker, if the role's lease still allows it immediately before the write.
+// sendLeaseCall makes a call to a worker. Immediately before the write it checks that the role's lease still allows it.
 func (d *dataPlane) sendLeaseCall(c scheduler.OutgoingCall) {
 	s, now := d.sim, d.Now()
 	failed := func(sent bool) {
--- a/internal/testbed/policysim/dataplanecalls.go
+++ b/internal/testbed/policysim/dataplanecalls.go
@@ -11,19 +11,20 @@
 	"crosstide/internal/state/query"
 )
 
-// leaderCall is a call to the leader of the store, which is to be found.
+// leaderCall is a call to the leader of the store, whose address may be unknown.
 type leaderCall struct {
-	timeout    time.Duration // of an attempt
+	timeout    time.Duration // of one attempt
 	idempotent bool          // it may be retried when the outcome of an attempt is unknown
-	deadline   time.Duration // by the process's clock: a failure at or after it is not retried; 0: none
+	deadline   time.Duration // by the process's clock; no retry at or after it; 0: none
 	serve      func(c *controlPlane, reply func(any, error))
 	done       func(answer any, err error) // called once
 }
 
-// callLeader tries one node after another until one answers or mayRetry forbids another attempt.
+// callLeader calls the presumed leader or random nodes, until one answers, mayRetry forbids another attempt or the
+// deadline has passed.
 func (d *dataPlane) callLeader(call leaderCall) { d.attempt(call, 0) }
 
-// attempt makes attempt number n, from 0 on.
+// attempt makes attempt number n, counted from 0.
 func (d *dataPlane) attempt(call leaderCall, n int) {
 	addr := d.leaderHint
 	if addr == "" {
@@ -53,7 +54,8 @@
 		}})
 }
 
-// updateLeaderHint sets leaderHint to the hint of a failure, or clears it if the node there has failed.
+// updateLeaderHint sets leaderHint to the leader that a failure names. Otherwise, if the called node was the presumed
+// leader and is not the leader or did not answer, it clears leaderHint.
 func (d *dataPlane) updateLeaderHint(addr string, failure *errs.Error) {
 	switch {
 	case failure.Kind == errs.NotLeader && failure.Hint != "" && failure.Hint != addr:
@@ -63,24 +65,24 @@
 	}
 }
 
-// isUnanswered reports whether a failure of the kind means that the node has not answered.
+// isUnanswered reports whether a failure of the kind means that the node did not answer.
 func isUnanswered(kind errs.Kind) bool {
 	return kind == errs.Unavailable || kind == errs.Timeout || kind == errs.Stopped
 }
 
-// mayRetry reports whether another attempt may be made. harmless: the failed one surely had no effect, or a second
-// effect is none.
+// mayRetry reports whether another attempt may be made. harmless is set if the failed attempt certainly had no effect,
+// or if the call is idempotent.
 func mayRetry(kind errs.Kind, harmless bool) bool {
 	return kind == errs.NotLeader || isUnanswered(kind) && harmless
 }
 
-// propose proposes an idempotent command until the deadline.
+// propose proposes an idempotent command, with retries until the deadline.
 func (d *dataPlane) propose(cmd command.Command, deadline time.Duration, done func(answer json.RawMessage, err error)) {
 	d.sendProposal(cmd, leaderCall{idempotent: true, deadline: deadline},
 		func(_ uint64, answer json.RawMessage, err error) { done(answer, err) })
 }
 
-// proposeOnce proposes a command that must not be retried. index is that of its entry.
+// proposeOnce proposes a command that must not be retried. done gets the index of its log entry.
 func (d *dataPlane) proposeOnce(cmd command.Command, done func(index uint64, answer json.RawMessage, err error)) {
 	d.sendProposal(cmd, leaderCall{}, done)
 }
@@ -108,7 +110,7 @@
 	d.callLeader(call)
 }
 
-// readJob reads one job as Node.Read does: from the replica, when that has reached the leader's read index.
+// readJob reads a job as Node.Read does: from the replica, once it has reached the leader's read index.
 func (d *dataPlane) readJob(key string, done func(view query.JobView, err error)) {
 	d.callLeader(leaderCall{timeout: callTimeout / 2, idempotent: true, deadline: d.Now() + callTimeout,
 		serve: func(c *controlPlane, reply func(any, error)) {
@@ -117,7 +119,7 @@
 		},
 		done: func(a any, err error) {
 			if err != nil {
-				done(query.JobView{}, errs.Wrap(err, errs.Unavailable, "cannot confirm"))
+				done(query.JobView{}, errs.Wrap(err, errs.Unavailable, "cannot confirm the read index"))
 				return
 			}
 			d.waitForIndex(a.(uint64), callTimeout, func(err error) {
@@ -130,7 +132,7 @@
 		}})
 }
 
-// announceWorker announces a worker to the store, unless the replica has it at this address.
+// announceWorker announces a worker to the store, unless the replica already has it at this address.
 func (d *dataPlane) announceWorker(w *worker, reply func(any, error)) {
 	if known := d.state().Workers[w.addr]; known != nil && known.Addr == w.addr {
 		reply(internalapi.AnnounceWorkerAnswer{}, nil)
--- a/internal/testbed/policysim/dataplanereplica.go
+++ b/internal/testbed/policysim/dataplanereplica.go
@@ -8,11 +8,11 @@
 	"crosstide/internal/internalapi"
 )
 
-// receivedAnswer is a source for replica.Replica.Pull: an answer that has arrived, and the node that sent it.
+// receivedAnswer is a source for replica.Replica.Pull. It returns an answer that has already arrived.
 type receivedAnswer struct {
 	dataPlane *dataPlane
 	answer    internalapi.FollowAnswer
-	from      *controlPlane
+	from      *controlPlane // the node that sent the answer
 }
 
 // Follow returns the answer.
@@ -20,7 +20,7 @@
 	return r.answer, nil
 }
 
-// Chunk returns a chunk of the snapshot of the control-plane node that answered.
+// Chunk returns a chunk of the snapshot of the control-plane node that sent the answer.
 func (r receivedAnswer) Chunk(_ context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error) {
 	if r.from.driver == nil || !r.from.alive || r.dataPlane.sim.blocked(r.dataPlane.process, r.from.process) {
 		return internalapi.ChunkAnswer{}, errs.New(errs.Unknown, "gone")
@@ -65,22 +65,22 @@
 		}})
 }
 
-// indexWaiter waits until the replica is at an index.
+// indexWaiter is a call of waitForIndex that is still waiting.
 type indexWaiter struct {
 	index    uint64
 	deadline time.Duration // by the process's clock
 	done     func(error)
 }
 
-// waitForIndex calls done when the replica is at index, or with a failure after the timeout.
+// waitForIndex calls done when the replica has reached index, or with an error after the timeout.
 func (d *dataPlane) waitForIndex(index uint64, timeout time.Duration, done func(error)) {
 	d.indexWaiters = append(d.indexWaiters, &indexWaiter{index, d.Now() + timeout, done})
 	d.after(timeout, d.releaseIndexWaiters)
 	d.releaseIndexWaiters()
 }
 
-// releaseIndexWaiters calls the waiters whose index is reached or whose deadline has passed. The list is updated before
-// the first call, which may add to it.
+// releaseIndexWaiters calls done of the waiters whose index is reached or whose deadline has passed. The list is
+// updated before the first call, which may add to it.
 func (d *dataPlane) releaseIndexWaiters() {
 	var released []func()
 	waiting := d.indexWaiters[:0:0]
@@ -89,7 +89,9 @@
 		case d.replica.Index() >= w.index:
 			released = append(released, func() { w.done(nil) })
 		case d.Now() >= w.deadline:
-			released = append(released, func() { w.done(errs.New(errs.Unavailable, "not at %d in time", w.index)) })
+			released = append(released, func() {
+				w.done(errs.New(errs.Unavailable, "replica has not reached index %d in time", w.index))
+			})
 		default:
 			waiting = append(waiting, w)
 		}
--- a/internal/testbed/policysim/dataplanerole.go
+++ b/internal/testbed/policysim/dataplanerole.go
@@ -19,17 +19,17 @@
 	if d.leaving {
 		return
 	}
-	again := func() { d.after(claimInterval, d.claimRole) }
+	scheduleNextClaim := func() { d.after(claimInterval, d.claimRole) }
 	sent, call := d.Now(), d.roleCall(d.grantedEpoch, false)
 	d.callLeader(leaderCall{timeout: callTimeout / 2, idempotent: true,
 		serve: func(c *controlPlane, reply func(any, error)) { c.grantRole(call, reply) },
 		done: func(a any, err error) {
 			if err != nil {
-				again()
+				scheduleNextClaim()
 				return
 			}
 			if lease := a.(internalapi.RoleLease); lease.Mine {
-				d.acceptRole(lease, sent, again)
+				d.acceptRole(lease, sent, scheduleNextClaim)
 				return
 			}
 			if d.grantedEpoch != 0 {
@@ -37,17 +37,18 @@
 				d.grantedEpoch = 0
 				d.scheduler.StepDown()
 			}
-			again()
+			scheduleNextClaim()
 		}})
 }
 
-// acceptRole accepts a lease of the role. A new epoch takes effect when the replica has reached its grant: before, the
-// node does not know everything that its predecessors committed. The lease counts from when the claim was sent.
-func (d *dataPlane) acceptRole(lease internalapi.RoleLease, sent time.Duration, again func()) {
+// acceptRole accepts a lease of the role. A new epoch takes effect only when the replica has reached its grant, because
+// before that the node may lack entries that its predecessors committed. The lease counts from the time at which the
+// claim was sent.
+func (d *dataPlane) acceptRole(lease internalapi.RoleLease, sent time.Duration, scheduleNextClaim func()) {
 	d.grantedEpoch = lease.Epoch
 	guarded := d.sim.options.WithoutGuard != "rebuild"
-	lead := func(err error) {
-		defer again()
+	activate := func(err error) {
+		defer scheduleNextClaim()
 		if err != nil || d.leaving || guarded && !d.hasGrant(lease.Epoch) {
 			return
 		}
@@ -58,13 +59,13 @@
 		d.schedulePass()
 	}
 	if !guarded {
-		lead(nil)
+		activate(nil)
 		return
 	}
-	d.waitForIndex(lease.Epoch, callTimeout, lead)
+	d.waitForIndex(lease.Epoch, callTimeout, activate)
 }
 
-// hasGrant reports whether the role is granted to this incarnation under the epoch, by the replica.
+// hasGrant reports whether the replica has the grant of the role to this incarnation under the epoch.
 func (d *dataPlane) hasGrant(epoch uint64) bool {
 	role := d.state().Roles["sched"]
 	return role != nil && role.Epoch == epoch && role.Incarnation == d.incarnationID
--- a/internal/testbed/policysim/directedfaults.go
+++ b/internal/testbed/policysim/directedfaults.go
@@ -10,20 +10,20 @@
 // of Guards protects against; see docs/design/simulator.md.
 
 const (
-	lagLead          = 2 * time.Second  // for which replicas lag before the role holder is killed
-	lagFor           = 10 * time.Second // longer than the role's lease and its margin
-	majorityAloneFor = 2 * time.Second  // for which the majority commits without the rest
-	wipedAloneFor    = 10 * time.Second // for which the lagging members are alone with the wiped one
+	lagBeforeKill      = 2 * time.Second  // how long replicas lag before the role holder is killed
+	lagAfterKill       = 10 * time.Second // how long replicas lag after it; longer than the role's lease and its margin
+	majorityCommitTime = 2 * time.Second  // how long the other three nodes commit without the lagging two
+	wipedIsolationTime = 10 * time.Second // how long the lagging nodes are isolated with the wiped one
 
-	planTimeout        = 2 * time.Second        // until a role holder has a plan in flight; below the role's lease
-	replacementTimeout = 30 * time.Second       // until another node has been granted the role
+	planTimeout        = 2 * time.Second        // limit of the wait for a plan in flight; below the role's lease
+	replacementTimeout = 30 * time.Second       // limit of the wait for a grant to another node
 	pollInterval       = 20 * time.Millisecond  // between two checks of a condition
 	shortDelay         = 100 * time.Millisecond // too short for any timeout to matter
 )
 
-// lagReplicas stops the replicas of all data-plane nodes but the role holder's, and kills the holder: its successor is
-// granted the role before its replica has the grant.
-func (f *faultInjector) lagReplicas(targets) {
+// lagReplicas stops the replicas of all data-plane nodes except the role holder's, and then kills the holder. Its
+// successor is granted the role before its own replica has reached the grant.
+func (f *faultInjector) lagReplicas(faultTargets) {
 	s := f.sim
 	holder := s.roleHolder()
 	if holder == nil {
@@ -32,60 +32,60 @@
 	s.report.Faults["lag"]++
 	for _, d := range s.dataPlanes {
 		if d != holder {
-			d.lagUntil = s.now + lagLead + lagFor
+			d.lagUntil = s.now + lagBeforeKill + lagAfterKill
 		}
 	}
 	s.trace("fault lag, all replicas but that of %s", holder.addr)
-	s.schedule(lagLead, func() { f.kill("lag", holder) })
+	s.schedule(lagBeforeKill, func() { f.kill("lag", holder) })
 }
 
-// rejoinWiped cuts two control-plane nodes off until they lack entries, wipes the disk of a third, and leaves these
-// three to themselves: they are a majority by their names, but none of them has the newest entries.
-func (f *faultInjector) rejoinWiped(targets) {
+// rejoinWiped isolates two control-plane nodes until they lack entries, wipes the disk of a third, and then isolates
+// these three from the other two. By their names the three are a majority, but none of them has the newest entries.
+func (f *faultInjector) rejoinWiped(faultTargets) {
 	s := f.sim
-	if f.wipedIsAway() {
+	if f.isWipedNodeRejoining() {
 		return
 	}
 	order := s.rng.Perm(len(s.controlPlanes))
-	late := []*process{s.controlPlanes[order[0]].process, s.controlPlanes[order[1]].process}
-	empty := s.controlPlanes[order[2]]
-	rest := []*process{s.controlPlanes[order[3]].process, s.controlPlanes[order[4]].process}
+	lagging := []*process{s.controlPlanes[order[0]].process, s.controlPlanes[order[1]].process}
+	wiped := s.controlPlanes[order[2]]
+	majority := []*process{s.controlPlanes[order[3]].process, s.controlPlanes[order[4]].process}
 	s.report.Faults["rejoin"]++
-	s.trace("fault rejoin, %v lag, %s is wiped", addresses(late), empty.addr)
-	heal := f.partition(late, true)
-	s.schedule(majorityAloneFor, func() {
-		if s.faultsOver || f.wipedIsAway() {
-			heal()
+	s.trace("fault rejoin, %v lag, %s is wiped", addresses(lagging), wiped.addr)
+	healLagging := f.partition(lagging, true)
+	s.schedule(majorityCommitTime, func() {
+		if s.faultsEnded || f.isWipedNodeRejoining() {
+			healLagging()
 			return
 		}
-		f.wipe(empty, shortDelay)
-		healRest := f.partition(rest, true)
-		s.schedule(shortDelay, heal)
-		s.schedule(wipedAloneFor, healRest)
+		f.wipe(wiped, shortDelay)
+		healMajority := f.partition(majority, true)
+		s.schedule(shortDelay, healLagging)
+		s.schedule(wipedIsolationTime, healMajority)
 	})
 }
 
-// wipedIsAway reports whether the member whose disk was wiped last does not vote yet. No other disk is wiped before
-// that: the store need not survive the loss of more disks at once.
-func (f *faultInjector) wipedIsAway() bool {
+// isWipedNodeRejoining reports whether the node whose disk was wiped last is not a voter again yet. Until then no other
+// disk is wiped: the store need not survive the loss of several disks at once.
+func (f *faultInjector) isWipedNodeRejoining() bool {
 	return f.wiped != nil && !f.sim.checker.isVoter(f.wiped)
 }
 
-// wipe crashes a control-plane node and replaces its disk by an empty one; the node restarts after the delay back.
-func (f *faultInjector) wipe(c *controlPlane, back time.Duration) {
+// wipe crashes a control-plane node, replaces its disk by an empty one, and restarts the node after restartDelay.
+func (f *faultInjector) wipe(c *controlPlane, restartDelay time.Duration) {
 	f.wiped = c
 	c.crash(false)
 	if c.driver.Core() != nil {
-		c.wipedID, c.wiped = c.driver.Core().Status().ID, c.durable
+		c.wipedID, c.wipedLog = c.driver.Core().Status().ID, c.durable
 	}
 	c.disk = storage.NewMemDisk()
 	c.durable = durableLog{}
-	f.sim.schedule(back, c.restart)
+	f.sim.schedule(restartDelay, c.restart)
 }
 
-// freezeWithPlanOut crashes the leader of the store, freezes the role holder while its plan is in flight, and wakes it
-// when another node has been granted the role: it then sends the plan again, to the new leader.
-func (f *faultInjector) freezeWithPlanOut(targets) {
+// freezeWithPlanInFlight crashes the leader of the store, freezes the role holder while its plan is in flight, and
+// wakes it when another node has been granted the role. The old holder then sends the plan again, to the new leader.
+func (f *faultInjector) freezeWithPlanInFlight(faultTargets) {
 	s := f.sim
 	holder, leader := s.roleHolder(), s.storeLeader()
 	if holder == nil || leader == nil {
@@ -97,7 +97,7 @@
 	s.schedule(f.drawDuration(), leader.restart)
 	generation, until := holder.generation, s.now+planTimeout
 	s.waitUntil(until, func() bool { return holder.generation != generation || holder.planning }, func() {
-		if holder.generation == generation && !holder.frozen && !s.faultsOver {
+		if holder.generation == generation && !holder.frozen && !s.faultsEnded {
 			f.freezeUntilReplaced(holder)
 		}
 	})
@@ -110,7 +110,7 @@
 	s.trace("%s freezes with a plan under way: %v", holder.addr, holder.planning)
 	holder.freeze()
 	s.waitUntil(s.now+replacementTimeout, func() bool {
-		return s.faultsOver || s.checker.newestEpoch(s.checker.reference.Index) > epoch
+		return s.faultsEnded || s.checker.newestEpoch(s.checker.reference.Index) > epoch
 	}, func() {
 		if holder.generation == generation {
 			s.trace("%s wakes", holder.addr)
@@ -128,7 +128,7 @@
 	s.schedule(pollInterval, func() { s.waitUntil(deadline, condition, do) })
 }
 
-// roleHolder returns the data-plane node that acts under the scheduler role now; nil if there is none.
+// roleHolder returns the first running data-plane node that may act under its role lease, or nil.
 func (s *sim) roleHolder() *dataPlane {
 	for _, d := range s.dataPlanes {
 		if d.alive && !d.frozen && d.scheduler.MayAct(d.Now()) {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// storeLeader returns a control-plane node whose own role is leader; nil if there is none.
+// storeLeader returns the first running control-plane node whose raft role is leader, or nil.
 func (s *sim) storeLeader() *controlPlane {
 	for _, c := range s.controlPlanes {
 		if c.alive && !c.frozen && c.driver.Core() != nil && c.driver.Core().Status().Role == "leader" {
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// fault is a kind of disruption. Most faults are injected at random times into random processes; the others, without
-// inject, are rates that faultInjector.start sets, or actions of the clients.
+// fault is a kind of disruption. Most faults are injected at random times into random processes. A fault without inject
+// is a rate that faultInjector.start sets, or an action of the clients.
 type fault struct {
 	name    string
-	counter string // the key of Report.Faults that counts its cases
-	inject  func(f *faultInjector, at targets)
+	counter string // key of its count in Report.Faults
+	inject  func(f *faultInjector, targets faultTargets)
 }
 
-// targets are the processes drawn for a fault, one of each kind. A fault uses those that it needs.
-type targets struct {
+// faultTargets are the processes drawn for a fault, one of each kind. A fault uses only those that it needs.
+type faultTargets struct {
 	controlPlane *controlPlane
 	dataPlane    *dataPlane
 	worker       *worker
 }
 
-// faults is the table of all faults. Its order is part of every history: the injector draws from it by index.
+// faults lists all faults. Its order is part of every history: the injector draws from it by index.
 var faults = []fault{
-	{"net", "lose", nil}, // lost, delayed, doubled messages, crossed answers
-	{"kill", "kill", (*faultInjector).killControlPlane},            // a process ends and comes back
-	{"power", "power", (*faultInjector).cutPower},                  // the same, with the loss of what was not synced
-	{"blackout", "blackout", (*faultInjector).blackOut},            // all control-plane nodes lose power at once
-	{"wipe", "wipe", (*faultInjector).wipeDisk},                    // a control-plane node loses its disk, joins anew
-	{"sync", "sync failed", (*faultInjector).failSync},             // a sync fails, the process ends
-	{"slow", "slow", (*faultInjector).slowDisk},                    // syncs take long
-	{"freeze", "freeze", (*faultInjector).freezeNode},              // a control- or data-plane node freezes and wakes
-	{"holder", "holder", (*faultInjector).disturbRoleHolder},       // the role holder is killed, frozen or cut off
-	{"dkill", "dkill", (*faultInjector).killDataPlane},             // a data-plane node ends, comes back with nothing
-	{"leave", "leave", (*faultInjector).shutDownDataPlane},         // a data-plane node shuts down
-	{"split", "split", (*faultInjector).splitNetwork},              // the machines fall into two partitions
-	{"oneway", "oneway", (*faultInjector).splitNetworkOneWay},      // bytes go one way only
-	{"island", "island", (*faultInjector).isolateZoneOrScheduler},  // a zone, or the role holder with some workers
-	{"cut", "cut", (*faultInjector).isolateOne},                    // one machine is cut off
-	{"stall", "stall", (*faultInjector).freezeWorker},              // a worker freezes and wakes
-	{"boot", "boot", (*faultInjector).restartWorker},               // a worker comes back as another incarnation
-	{"late", "late order", nil},                                    // workers carry out orders late
-	{"lost", "lost at the minion", nil},                            // workers lose answers
-	{"drain", "drain", (*faultInjector).drainWorker},               // a worker drains for a while
-	{"zone", "zone", (*faultInjector).evacuateZone},                // operators evacuate a zone and lift it
-	{"cancel", "cancel", nil},                                      // clients cancel
-	{"lag", "lag", (*faultInjector).lagReplicas},                   // replicas lag, then the role holder ends
-	{"rejoin", "rejoin", (*faultInjector).rejoinWiped},             // a wiped member joins two that lack entries
-	{"staleplan", "staleplan", (*faultInjector).freezeWithPlanOut}, // the role holder wakes when it is replaced
+	{"net", "lose", nil}, // lost, delayed and duplicated messages, crossed answers
+	{"kill", "kill", (*faultInjector).killControlPlane},                 // a control-plane node is killed and restarts
+	{"power", "power", (*faultInjector).cutPower},                       // the same, and it loses unsynced data
+	{"blackout", "blackout", (*faultInjector).blackOut},                 // all control-plane nodes lose power at once
+	{"wipe", "wipe", (*faultInjector).wipeDisk},                         // a control-plane node loses its disk, rejoins
+	{"sync", "sync failed", (*faultInjector).failSync},                  // a sync fails, which ends the process
+	{"slow", "slow", (*faultInjector).slowDisk},                         // syncs take long
+	{"freeze", "freeze", (*faultInjector).freezeNode},                   // a control- or data-plane node freezes
+	{"holder", "holder", (*faultInjector).disturbRoleHolder},            // the role holder is killed, frozen, isolated
+	{"dkill", "dkill", (*faultInjector).killDataPlane},                  // a data-plane node is killed, restarts empty
+	{"leave", "leave", (*faultInjector).shutDownDataPlane},              // a data-plane node shuts down
+	{"split", "split", (*faultInjector).splitNetwork},                   // a random partition into two halves
+	{"oneway", "oneway", (*faultInjector).splitNetworkOneWay},           // the same, but one direction still works
+	{"island", "island", (*faultInjector).isolateZoneOrScheduler},       // a zone or the role holder is isolated
+	{"cut", "cut", (*faultInjector).isolateOne},                         // one machine is isolated
+	{"stall", "stall", (*faultInjector).freezeWorker},                   // a worker freezes
+	{"boot", "boot", (*faultInjector).restartWorker},                    // a worker restarts as another incarnation
+	{"late", "late order", nil},                                         // workers carry out orders late
+	{"lost", "lost at the minion", nil},                                 // answers of workers are lost
+	{"drain", "drain", (*faultInjector).drainWorker},                    // a worker drains for a while
+	{"zone", "zone", (*faultInjector).evacuateZone},                     // operators evacuate a zone and lift it later
+	{"cancel", "cancel", nil},                                           // clients cancel jobs
+	{"lag", "lag", (*faultInjector).lagReplicas},                        // replicas lag, then the role holder is killed
+	{"rejoin", "rejoin", (*faultInjector).rejoinWiped},                  // a wiped member joins two that lack entries
+	{"staleplan", "staleplan", (*faultInjector).freezeWithPlanInFlight}, // a frozen role holder wakes when replaced
 }
 
 // Faults are the names for Options.Faults, in the order of the table.
@@ -59,7 +59,7 @@
 	return names
 }
 
-// faultCounter returns the key of Report.Faults that counts a fault; "" if there is no fault of the name.
+// faultCounter returns the key of a fault's count in Report.Faults, or "" if the name is unknown.
 func faultCounter(name string) string {
 	if i := faultIndex(name); i >= 0 {
 		return faults[i].counter
@@ -67,12 +67,12 @@
 	return ""
 }
 
-// faultIndex returns the index of a fault in the table; negative if there is no fault of the name.
+// faultIndex returns the index of a fault in the table, or -1 if the name is unknown.
 func faultIndex(name string) int {
 	return slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 }
 
-// Guards are the names for Options.WithoutGuard: safeguards of the daemons that a run can disable, to show that the
+// Guards are the names for Options.WithoutGuard: safeguards of the daemons that a run can disable, to verify that the
 // checker detects their absence.
 var Guards = []string{
 	"epoch",   // the store does not check a plan's epoch
@@ -85,20 +85,20 @@
 	"lease",   // role holders get longer leases than the granter keeps
 }
 
-// faultInjector injects faults until Options.FaultPeriod is over, and then ends them all.
+// faultInjector injects faults until Options.FaultPeriod has passed, and then ends them all.
 type faultInjector struct {
-	sim     *sim
-	enabled map[string]bool // by the names in Options.Faults
-	pace    time.Duration   // mean time between two faults
-	wiped   *controlPlane   // the node wiped last; nil: none. No other is wiped before it votes again
+	sim          *sim
+	enabled      map[string]bool // by the names in Options.Faults
+	meanInterval time.Duration   // mean time between two faults
+	wiped        *controlPlane   // the node wiped last; nil: none. It votes again before another is wiped
 }
 
-// start sets the rates of the faults that have one, and schedules the first of the others.
+// start sets the rates of the faults without inject, and schedules the first injection and the end of all faults.
 func (f *faultInjector) start() {
 	s := f.sim
-	f.pace = s.between(200*time.Millisecond, 2500*time.Millisecond)
+	f.meanInterval = s.between(200*time.Millisecond, 2500*time.Millisecond)
 	if s.options.MeanFaultInterval > 0 {
-		f.pace = s.options.MeanFaultInterval
+		f.meanInterval = s.options.MeanFaultInterval
 	}
 	f.enabled = map[string]bool{}
 	for _, name := range s.options.Faults {
@@ -126,7 +126,7 @@
 func (f *faultInjector) stop() {
 	s := f.sim
 	s.trace("faults end")
-	s.faultsOver = true
+	s.faultsEnded = true
 	s.network = network{}
 	for _, w := range s.workers {
 		w.lateOrderRate, w.answerLossRate = 0, 0
@@ -145,29 +145,28 @@
 
 func (f *faultInjector) injectNext() {
 	s := f.sim
-	if s.faultsOver {
+	if s.faultsEnded {
 		return
 	}
 	if len(s.options.Faults) > 0 {
 		f.inject(s.options.Faults[s.rng.IntN(len(s.options.Faults))])
 	}
-	s.schedule(s.between(0, 2*f.pace), f.injectNext)
+	s.schedule(s.between(0, 2*f.meanInterval), f.injectNext)
 }
 
-// inject draws targets for every fault, also if it uses none, so that later draws do not depend on which faults use
-// them.
+// inject draws targets for every fault, even one that uses none: later draws must not depend on which faults use them.
 func (f *faultInjector) inject(name string) {
 	s := f.sim
-	at := targets{pick(s, s.controlPlanes), pick(s, s.dataPlanes), pick(s, s.workers)}
+	targets := faultTargets{pick(s, s.controlPlanes), pick(s, s.dataPlanes), pick(s, s.workers)}
 	if i := faultIndex(name); i >= 0 && faults[i].inject != nil {
-		faults[i].inject(f, at)
+		faults[i].inject(f, targets)
 	}
 }
 
-// count counts a case of a fault at a process. what names the fault in the trace.
-func (f *faultInjector) count(name string, at *process, what string) {
+// count counts a case of a fault at a process, and traces it by its description.
+func (f *faultInjector) count(name string, p *process, description string) {
 	f.sim.report.Faults[name]++
-	f.sim.trace("fault %s %s", what, at.addr)
+	f.sim.trace("fault %s %s", description, p.addr)
 }
 
 // drawDuration draws the duration of a fault: mostly a short one, in a quarter of the cases longer than every lease.
--- a/internal/testbed/policysim/fleet.go
+++ b/internal/testbed/policysim/fleet.go
@@ -9,7 +9,7 @@
 )
 
 // build creates and starts the fleet: 5 control-plane nodes, 3 data-plane nodes and 6 workers in 3 zones, and the
-// clients. The order of the steps, and of their draws, is part of every history.
+// clients. The order of these steps and of their draws is part of every history.
 func (s *sim) build() {
 	s.clients = &clients{process: s.newProcess("people", "")}
 	for i, m := range initialMembers() {
@@ -41,8 +41,8 @@
 	s.billing.start()
 }
 
-// newWorker returns a worker that is not running yet. Every second one obeys start orders without checking them, and
-// the first four have the label disk=ssd.
+// newWorker returns a worker that is not running yet. Workers with an even number obey start orders without checking
+// them; the first four have the label disk=ssd.
 func (s *sim) newWorker(number int) *worker {
 	w := &worker{process: s.newProcess(fmt.Sprintf("m%d", number), zone(number)), kind: policyworker.KindCheck,
 		cores: 2 + s.rng.IntN(4), labels: map[string]string{}}
--- a/internal/testbed/policysim/injections.go
+++ b/internal/testbed/policysim/injections.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
-// The inject functions of the table faults. Each draws what it needs, counts a case under the fault's name and writes a
-// line of the trace, or does nothing if its target is down or has the fault already.
+// The inject functions of the table faults. Each counts a case under the fault's name and traces it, unless its target
+// is down or already has the fault.
 
-func (f *faultInjector) killControlPlane(at targets) { f.crash("kill", at.controlPlane, false) }
+func (f *faultInjector) killControlPlane(targets faultTargets) {
+	f.crash("kill", targets.controlPlane, false)
+}
 
-func (f *faultInjector) cutPower(at targets) { f.crash("power", at.controlPlane, true) }
+func (f *faultInjector) cutPower(targets faultTargets) { f.crash("power", targets.controlPlane, true) }
 
 func (f *faultInjector) crash(name string, c *controlPlane, power bool) {
 	if c.alive {
@@ -20,7 +22,7 @@
 	}
 }
 
-func (f *faultInjector) blackOut(targets) {
+func (f *faultInjector) blackOut(faultTargets) {
 	s := f.sim
 	s.report.Faults["blackout"]++
 	s.trace("fault blackout")
@@ -30,33 +32,33 @@
 	}
 }
 
-func (f *faultInjector) wipeDisk(at targets) {
-	if f.wipedIsAway() {
+func (f *faultInjector) wipeDisk(targets faultTargets) {
+	if f.isWipedNodeRejoining() {
 		return
 	}
-	f.count("wipe", at.controlPlane.process, "wipe")
-	f.wipe(at.controlPlane, f.sim.between(10*time.Millisecond, 3*time.Second))
+	f.count("wipe", targets.controlPlane.process, "wipe")
+	f.wipe(targets.controlPlane, f.sim.between(10*time.Millisecond, 3*time.Second))
 }
 
 // failSync makes the next sync fail. The case is counted when that happens, in controlPlane.finishSync.
-func (*faultInjector) failSync(at targets) {
-	if at.controlPlane.alive {
-		at.controlPlane.failNextSync = true
+func (*faultInjector) failSync(targets faultTargets) {
+	if targets.controlPlane.alive {
+		targets.controlPlane.failNextSync = true
 	}
 }
 
-func (f *faultInjector) slowDisk(at targets) {
-	c := at.controlPlane
+func (f *faultInjector) slowDisk(targets faultTargets) {
+	c := targets.controlPlane
 	f.count("slow", c.process, "slow")
 	c.syncDelay = f.sim.between(5*time.Millisecond, 400*time.Millisecond)
 	f.sim.schedule(f.drawDuration(), func() { c.syncDelay = 0 })
 }
 
-func (f *faultInjector) freezeNode(at targets) {
-	f.freeze("freeze", pick(f.sim, []*process{at.controlPlane.process, at.dataPlane.process}))
+func (f *faultInjector) freezeNode(targets faultTargets) {
+	f.freeze("freeze", pick(f.sim, []*process{targets.controlPlane.process, targets.dataPlane.process}))
 }
 
-func (f *faultInjector) freezeWorker(at targets) { f.freeze("stall", at.worker.process) }
+func (f *faultInjector) freezeWorker(targets faultTargets) { f.freeze("stall", targets.worker.process) }
 
 // freeze freezes a process and wakes it later, unless it has ended by then.
 func (f *faultInjector) freeze(name string, p *process) {
@@ -74,9 +76,9 @@
 	})
 }
 
-// disturbRoleHolder kills, freezes or cuts off the first data-plane node whose role lease allows it to act. It may be
-// frozen already.
-func (f *faultInjector) disturbRoleHolder(targets) {
+// disturbRoleHolder kills, freezes or isolates the first data-plane node whose role lease allows it to act, even if the
+// node is frozen already.
+func (f *faultInjector) disturbRoleHolder(faultTargets) {
 	for _, d := range f.sim.dataPlanes {
 		if !d.alive || !d.scheduler.MayAct(d.Now()) {
 			continue
@@ -88,15 +90,15 @@
 			f.freeze("holder", d.process)
 		default:
 			f.count("holder", d.process, "cut off")
-			f.cutOff([]*process{d.process}, true)
+			f.isolate([]*process{d.process}, true)
 		}
 		return
 	}
 }
 
-func (f *faultInjector) killDataPlane(at targets) { f.kill("dkill", at.dataPlane) }
+func (f *faultInjector) killDataPlane(targets faultTargets) { f.kill("dkill", targets.dataPlane) }
 
-// kill ends a data-plane node, which restarts later without any state.
+// kill ends a data-plane node and restarts it later, without any state.
 func (f *faultInjector) kill(name string, d *dataPlane) {
 	if d.alive {
 		f.count(name, d.process, "kill")
@@ -105,9 +107,9 @@
 	}
 }
 
-// shutDownDataPlane has a data-plane node release the role, ends it and restarts it later.
-func (f *faultInjector) shutDownDataPlane(at targets) {
-	s, d := f.sim, at.dataPlane
+// shutDownDataPlane makes a data-plane node release the role, then ends it and restarts it.
+func (f *faultInjector) shutDownDataPlane(targets faultTargets) {
+	s, d := f.sim, targets.dataPlane
 	if !d.alive || d.frozen || d.leaving {
 		return
 	}
@@ -122,81 +124,82 @@
 	})
 }
 
-func (f *faultInjector) splitNetwork(targets) { f.split("split", true) }
+func (f *faultInjector) splitNetwork(faultTargets) { f.split("split", true) }
 
-func (f *faultInjector) splitNetworkOneWay(targets) { f.split("oneway", false) }
+func (f *faultInjector) splitNetworkOneWay(faultTargets) { f.split("oneway", false) }
 
-// split separates about half of the processes from the others for a while.
-func (f *faultInjector) split(name string, bothWays bool) {
+// split isolates about half of the processes from the others.
+func (f *faultInjector) split(name string, bidirectional bool) {
 	s := f.sim
-	var side []*process
+	var isolated []*process
 	for _, p := range s.processes {
 		if p != s.clients.process && s.chance(0.5) {
-			side = append(side, p)
+			isolated = append(isolated, p)
 		}
 	}
 	s.report.Faults[name]++
-	s.trace("fault %s %s", name, addresses(side))
-	f.cutOff(side, bothWays)
+	s.trace("fault %s %s", name, addresses(isolated))
+	f.isolate(isolated, bidirectional)
 }
 
-// isolateZoneOrScheduler cuts off a zone, or the role holder with about half of the workers.
-func (f *faultInjector) isolateZoneOrScheduler(targets) {
+// isolateZoneOrScheduler isolates a zone, or the role holder together with about half of the workers.
+func (f *faultInjector) isolateZoneOrScheduler(faultTargets) {
 	s := f.sim
 	cutZone, withScheduler := zone(s.rng.IntN(3)), s.chance(0.5)
-	var side []*process
+	var isolated []*process
 	for _, p := range s.processes {
-		if withScheduler && f.joinsScheduler(p) || !withScheduler && p.zone == cutZone {
-			side = append(side, p)
+		if withScheduler && f.isIsolatedWithScheduler(p) || !withScheduler && p.zone == cutZone {
+			isolated = append(isolated, p)
 		}
 	}
 	s.report.Faults["island"]++
-	s.trace("fault island %s", addresses(side))
-	f.cutOff(side, true)
+	s.trace("fault island %s", addresses(isolated))
+	f.isolate(isolated, true)
 }
 
-// joinsScheduler reports whether a process is cut off together with the role holder: that itself, and workers by
-// chance.
-func (f *faultInjector) joinsScheduler(p *process) bool {
+// isIsolatedWithScheduler reports whether a process belongs to the group of the role holder: the holder itself always,
+// a worker with probability 0.5.
+func (f *faultInjector) isIsolatedWithScheduler(p *process) bool {
 	d, w := f.sim.dataPlaneAt(p), f.sim.workerAt(p)
 	return d != nil && d.alive && d.scheduler.MayAct(d.Now()) || w != nil && f.sim.chance(0.5)
 }
 
-func (f *faultInjector) isolateOne(targets) {
+func (f *faultInjector) isolateOne(faultTargets) {
 	s := f.sim
 	p := pick(s, s.processes)
 	if p != s.clients.process {
 		f.count("cut", p, "cut")
-		f.cutOff([]*process{p}, true)
+		f.isolate([]*process{p}, true)
 	}
 }
 
-// cutOff separates a set of processes from the others for a while.
-func (f *faultInjector) cutOff(side []*process, bothWays bool) {
-	f.sim.schedule(f.drawDuration(), f.partition(side, bothWays))
+// isolate partitions a set of processes from the others for a random time.
+func (f *faultInjector) isolate(isolated []*process, bidirectional bool) {
+	f.sim.schedule(f.drawDuration(), f.partition(isolated, bidirectional))
 }
 
 // partition separates a set of processes from the others, but not from the clients, until heal is called. Unless
-// bothWays, only messages from the set are dropped.
-func (f *faultInjector) partition(side []*process, bothWays bool) (heal func()) {
+// bidirectional is set, only messages from the set are dropped.
+func (f *faultInjector) partition(isolated []*process, bidirectional bool) (heal func()) {
 	s := f.sim
-	c := &cut{from: map[*process]bool{}, to: map[*process]bool{}, bothWays: bothWays}
+	added := &networkPartition{from: map[*process]bool{}, to: map[*process]bool{}, bidirectional: bidirectional}
 	for _, p := range s.processes {
-		if slices.Contains(side, p) {
-			c.from[p] = true
+		if slices.Contains(isolated, p) {
+			added.from[p] = true
 		} else if p != s.clients.process {
-			c.to[p] = true
+			added.to[p] = true
 		}
 	}
-	s.network.cuts = append(s.network.cuts, c)
+	s.network.partitions = append(s.network.partitions, added)
 	return func() {
 		s.trace("a cut heals")
-		s.network.cuts = slices.DeleteFunc(s.network.cuts, func(other *cut) bool { return other == c })
+		s.network.partitions = slices.DeleteFunc(s.network.partitions,
+			func(other *networkPartition) bool { return other == added })
 	}
 }
 
-func (f *faultInjector) restartWorker(at targets) {
-	s, w := f.sim, at.worker
+func (f *faultInjector) restartWorker(targets faultTargets) {
+	s, w := f.sim, targets.worker
 	if !w.alive || w.frozen {
 		return
 	}
@@ -205,8 +208,8 @@
 	s.schedule(s.between(time.Millisecond, 4*time.Second), w.restart)
 }
 
-func (f *faultInjector) drainWorker(at targets) {
-	s, w := f.sim, at.worker
+func (f *faultInjector) drainWorker(targets faultTargets) {
+	s, w := f.sim, targets.worker
 	if w.alive && !w.frozen && !w.draining {
 		f.count("drain", w.process, "drain")
 		w.drain(true)
@@ -214,7 +217,7 @@
 	}
 }
 
-func (f *faultInjector) evacuateZone(targets) {
+func (f *faultInjector) evacuateZone(faultTargets) {
 	s := f.sim
 	if s.clients.evacuateZone(zone(s.rng.IntN(3))) {
 		s.report.Faults["zone"]++
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -7,21 +7,21 @@
 	"crosstide/internal/state"
 )
 
-// promises are the names of the invariants that every run checks, under which Report.Promise counts their cases.
-var promises = []string{
+// invariants are the names of the invariants that every run checks, and the keys of Report.Promise.
+var invariants = []string{
 	"once at a time", "not after it ended well", "newer ticket", "fence", "decided in office", "rebuilt", "durable",
 	"ordered once", "not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over",
 	"draining", "evacuated", "fits", "order once", "same log", "same state", "all ends", "linear",
 }
 
-// invariantChecker checks the invariants against what really happened: the calls sent to workers, the starts and ends
-// in workers' journals, the answers to clients and operators, and the content of disks. Of the daemons' own records it
-// trusts only the log, of which it keeps a copy of each entry from the first control-plane node that shows it as
-// committed. It draws no random number and changes nothing; faults and clients read its records.
+// invariantChecker checks the invariants against observed events: the calls sent to workers, the starts and ends in
+// workers' journals, the answers to clients and operators, and the content of disks. Of the daemons' own records it
+// trusts only the log: it takes each entry from the first control-plane node that shows it as committed, and applies it
+// to a reference state. It draws no random number and changes nothing; faults and clients read its records.
 //
-// Every event of the simulation that matters to an invariant calls an observe method; the check methods report
-// breaches. A file has the checks of one subject: checklog.go, checkrole.go, checkruns.go, checkstart.go,
-// checkprogress.go, and with Options.Parties checkbilling.go and checkbillingprogress.go.
+// Every event of the simulation that affects an invariant calls an observe method; the check methods report violations.
+// Each file has the checks of one subject: checklog.go, checkrole.go, checkruns.go, checkstart.go, checkprogress.go,
+// and for parties checkbilling.go and checkbillingprogress.go.
 type invariantChecker struct {
 	sim       *sim
 	reference *state.State             // the state after all committed entries
@@ -36,8 +36,8 @@
 func newInvariantChecker(s *sim) *invariantChecker {
 	ic := &invariantChecker{sim: s, reference: state.New(), jobs: map[string]*clientJob{},
 		evacuated:    map[string]time.Duration{},
-		committedLog: committedLog{observed: map[*controlPlane]uint64{}},
-		runRecords: runRecords{runIDs: map[uint64]*runIDHistory{}, ended: map[state.TaskRef][]*completion{},
+		committedLog: committedLog{compared: map[*controlPlane]uint64{}},
+		runRecords: runRecords{runIDs: map[uint64]*runIDHistory{}, completions: map[state.TaskRef][]*completion{},
 			newestOrder: map[*worker]uint64{}},
 		dueTasks: dueTasks{dueAt: map[state.TaskRef]time.Duration{}, idleSince: map[state.TaskRef]time.Duration{}},
 	}
@@ -51,14 +51,14 @@
 	return ic
 }
 
-// observeState records a change of the reference by the entry that is being applied.
+// observeState records a change that the entry being applied makes to the reference state.
 func (ic *invariantChecker) observeState(event state.Event) {
 	s := ic.sim
 	switch event.Kind {
 	case state.EventHandleCreated:
 		ic.runIDs[event.Handle.RunID] = &runIDHistory{handle: *event.Handle}
 	case state.EventHandleReleased:
-		ic.runIDs[event.Handle.RunID].closedAt = s.now
+		ic.runIDs[event.Handle.RunID].releasedAt = s.now
 		s.trace("ticket %d of %v is closed", event.Handle.RunID, event.Ref)
 	case state.EventRoleChanged:
 		if role := ic.reference.Roles[event.Name]; role.Holder != "" {
--- a/internal/testbed/policysim/jobmodel.go
+++ b/internal/testbed/policysim/jobmodel.go
@@ -6,10 +6,10 @@
 	"crosstide/internal/state"
 )
 
-// jobModel is what is known of a job from the operations that took effect so far. Between operations a job may advance
-// to a later phase by itself, but never go back.
+// jobModel is the state of a job as far as it follows from the operations that took effect so far. Between operations a
+// job may advance to a later phase, but never return to an earlier one.
 type jobModel struct {
-	digest        string         // "": there is no job
+	digest        string         // "": the job does not exist
 	phase         state.JobPhase // the earliest phase that it may be in; "": stopping or terminal
 	cancelApplied bool           // a cancel took effect
 }
@@ -18,15 +18,15 @@
 var phaseRank = map[state.JobPhase]int{state.JobAccepted: 0, state.JobRunning: 1, state.JobStopping: 2, "": 2,
 	state.JobDone: 3, state.JobFailed: 3, state.JobCancelled: 3}
 
-// observe reports whether an answer may show the job in a phase now, and returns what is known after that answer.
-func (j jobModel) observe(phase state.JobPhase) (possible bool, then jobModel) {
+// observe reports whether an answer may show the job in a phase now, and returns the model after that answer.
+func (j jobModel) observe(phase state.JobPhase) (possible bool, next jobModel) {
 	rank, ok := phaseRank[phase]
 	switch {
 	case !ok || phase == "" || j.digest == "" || rank < phaseRank[j.phase]:
 		return false, j
-	case j.phase.IsTerminal() && phase != j.phase: // an outcome stays
+	case j.phase.IsTerminal() && phase != j.phase: // an outcome is final
 		return false, j
-	case j.phase == state.JobStopping && phase == state.JobDone: // it was not done when it was stopped
+	case j.phase == state.JobStopping && phase == state.JobDone: // a job that was stopped does not become done
 		return false, j
 	case phase == state.JobCancelled && !j.cancelApplied:
 		return false, j
@@ -35,7 +35,7 @@
 	return true, j
 }
 
-// afterCancel returns what is known after a cancel took effect.
+// afterCancel returns the model after a cancel took effect.
 func (j jobModel) afterCancel() jobModel {
 	if j.digest == "" {
 		return j
@@ -47,9 +47,8 @@
 	return j
 }
 
-// step reports whether an operation may take effect now with the answer that it had, and returns what is known after
-// it.
-func (j jobModel) step(op *operation) (possible bool, then jobModel) {
+// step reports whether an operation may take effect now with its recorded answer, and returns the model after it.
+func (j jobModel) step(op *operation) (possible bool, next jobModel) {
 	switch op.kind {
 	case opSubmit:
 		return j.submit(op)
@@ -64,7 +63,7 @@
 	return false, j
 }
 
-func (j jobModel) submit(op *operation) (possible bool, then jobModel) {
+func (j jobModel) submit(op *operation) (possible bool, next jobModel) {
 	accepted := j
 	if j.digest == "" {
 		accepted = jobModel{digest: op.digest, phase: state.JobAccepted}
@@ -90,7 +89,7 @@
 	return false, j
 }
 
-func (j jobModel) cancel(op *operation) (possible bool, then jobModel) {
+func (j jobModel) cancel(op *operation) (possible bool, next jobModel) {
 	switch op.answer {
 	case "":
 		return true, j.afterCancel()
@@ -102,21 +101,21 @@
 	return false, j
 }
 
-// model is jobModel for porcupine. The histories of different keys are independent.
-var model = porcupine.Model{
+// linearizabilityModel is jobModel as a porcupine model. The histories of different keys are independent.
+var linearizabilityModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return jobModel{} },
 	Step:      func(job, input, _ any) (bool, any) { return job.(jobModel).step(input.(*operation)) },
 }
 
 func partitionByKey(history []porcupine.Operation) (parts [][]porcupine.Operation) {
-	places := map[string]int{}
+	partIndexes := map[string]int{}
 	for _, op := range history {
 		key := op.Input.(*operation).key
-		i, ok := places[key]
+		i, ok := partIndexes[key]
 		if !ok {
 			i = len(parts)
-			places[key], parts = i, append(parts, nil)
+			partIndexes[key], parts = i, append(parts, nil)
 		}
 		parts[i] = append(parts[i], op)
 	}
--- a/internal/testbed/policysim/network.go
+++ b/internal/testbed/policysim/network.go
@@ -6,27 +6,28 @@
 	"crosstide/internal/errs"
 )
 
-// resendInterval is the time between two attempts of a kernel to send a message that a cut drops.
+// resendInterval is the interval at which a kernel retransmits a message that a partition drops.
 const resendInterval = 20 * time.Millisecond
 
-// network has the disruptions of the network between the processes. Its zero value has none.
+// network holds the current disruptions of the network. Its zero value has none.
 type network struct {
 	lossRate, duplicateRate, delayRate float64       // probabilities for each message
 	maxDelay                           time.Duration // of a message that is delayed
 	crossedAnswerRate                  float64       // probability that a lease call gets the answer to another call
-	cuts                               []*cut
+	partitions                         []*networkPartition
 }
 
-// cut drops the messages from one set of processes to another, and those back if bothWays is set.
-type cut struct {
-	from, to map[*process]bool
-	bothWays bool
+// networkPartition drops the messages from one set of processes to another, and if bidirectional is set also those in
+// the other direction.
+type networkPartition struct {
+	from, to      map[*process]bool
+	bidirectional bool
 }
 
-// blocked reports whether a cut drops messages from one process to another.
+// blocked reports whether a partition drops messages from one process to another.
 func (s *sim) blocked(from, to *process) bool {
-	for _, c := range s.network.cuts {
-		if c.from[from] && c.to[to] || c.bothWays && c.from[to] && c.to[from] {
+	for _, c := range s.network.partitions {
+		if c.from[from] && c.to[to] || c.bidirectional && c.from[to] && c.to[from] {
 			return true
 		}
 	}
@@ -43,8 +44,8 @@
 	return d
 }
 
-// transmit sends a message, whose arrival runs do: once, never, or sometimes twice if mayRepeat is set. The kernel
-// resends a message that a cut drops until resendFor has passed or the connection is closed.
+// transmit sends a message and runs do when it arrives. It may be lost, and it may arrive twice if mayRepeat is set.
+// The kernel retransmits a message that a partition drops until resendFor has passed or the connection is closed.
 func (s *sim) transmit(from, to *process, resendFor time.Duration, mayRepeat bool, isOpen func() bool, do func()) {
 	if s.chance(s.network.lossRate) {
 		s.report.Faults["lose"]++
@@ -60,7 +61,7 @@
 	}
 }
 
-// deliver sends a message, and resends it until the deadline while a cut drops it.
+// deliver sends a message, and retransmits it until the deadline while a partition drops it.
 func (s *sim) deliver(from, to *process, deadline time.Duration, isOpen func() bool, do func()) {
 	if !s.blocked(from, to) {
 		s.schedule(s.latency(), func() {
@@ -85,11 +86,11 @@
 	from      *process
 	addr      string
 	timeout   time.Duration
-	resendFor time.Duration // how long the kernels resend
+	resendFor time.Duration // how long the kernels retransmit
 	mayRepeat bool          // the call may arrive twice
 	serve     func(to *process, reply func(any, error))
-	// onAnswer is called once, unless the caller's incarnation ends before: with the answer or a failure. sent reports
-	// that a byte of the call may have left the caller.
+	// onAnswer is called once with the answer or an error, unless the caller's incarnation ends before. sent reports
+	// whether a byte of the call may have left the caller.
 	onAnswer func(answer any, err error, sent bool)
 }
 
@@ -109,11 +110,11 @@
 	isDown := c.peer == nil || !c.peer.alive
 	if isDown && s.chance(0.7) {
 		s.schedule(s.latency(), func() {
-			c.finish(nil, errs.New(errs.Unavailable, "%s refuses the connection", r.addr), false)
+			c.finish(nil, errs.New(errs.Unavailable, "connection refused by %s", r.addr), false)
 		})
 		return
 	}
-	r.from.after(r.timeout, func() { c.finish(nil, errs.New(errs.Timeout, "no answer of %s", r.addr), true) })
+	r.from.after(r.timeout, func() { c.finish(nil, errs.New(errs.Timeout, "no response from %s", r.addr), true) })
 	if isDown {
 		return
 	}
@@ -123,7 +124,7 @@
 
 func (c *connection) isOpen() bool { return !c.closed }
 
-// finish closes the connection at the caller's side with an answer or a failure. Only the first call has an effect.
+// finish closes the connection at the caller's side with an answer or an error. Only the first call has an effect.
 func (c *connection) finish(answer any, err error, sent bool) {
 	c.from.execute(c.generation, func() {
 		if !c.closed {
@@ -135,12 +136,12 @@
 
 // arrive serves the call at the peer, or resets the connection if its incarnation has ended.
 func (c *connection) arrive() {
-	if c.closed && !c.mayRepeat { // the caller's reset arrived too
+	if c.closed && !c.mayRepeat { // the caller's connection reset has arrived too
 		return
 	}
 	if !c.peer.alive || c.peer.generation != c.incarnation {
 		c.sim.deliver(c.peer, c.from, c.sim.now, c.isOpen, func() {
-			c.finish(nil, errs.New(errs.Unavailable, "%s reset the connection", c.addr), true)
+			c.finish(nil, errs.New(errs.Unavailable, "connection reset by %s", c.addr), true)
 		})
 		return
 	}
--- a/internal/testbed/policysim/operators.go
+++ b/internal/testbed/policysim/operators.go
@@ -12,18 +12,19 @@
 // orderTimeout bounds the time for which an operator waits for an answer.
 const orderTimeout = 5 * time.Second
 
-// sendOrder sends an operator's order until it is acknowledged, then calls done, and sometimes sends the order once
-// more (invariant: order once). first is the answer that acknowledged it; nil before.
-func (c *clients) sendOrder(cmd command.Command, first json.RawMessage, done func()) {
+// sendOrder sends an operator's order until it is acknowledged, then calls done, and sometimes sends the order again,
+// which must return the same answer (invariant: order once). firstAnswer is the answer that acknowledged the order, or
+// nil.
+func (c *clients) sendOrder(cmd command.Command, firstAnswer json.RawMessage, done func()) {
 	c.operator.propose(cmd, c.Now()+orderTimeout, func(answer json.RawMessage, err error) {
 		s := c.sim
 		switch {
 		case err != nil:
-			c.after(200*time.Millisecond, func() { c.sendOrder(cmd, first, done) })
-		case first != nil:
+			c.after(200*time.Millisecond, func() { c.sendOrder(cmd, firstAnswer, done) })
+		case firstAnswer != nil:
 			s.countCase("order once")
-			if !bytes.Equal(first, answer) {
-				s.reportBreach("order once", "an order sent again was answered %s, first %s", answer, first)
+			if !bytes.Equal(firstAnswer, answer) {
+				s.reportViolation("order once", "an order sent again was answered %s, first %s", answer, firstAnswer)
 			}
 		default:
 			done()
@@ -34,7 +35,7 @@
 	})
 }
 
-// sendInOrder sends each order when the previous one is acknowledged, and calls done after the last.
+// sendInOrder sends each order after the previous one is acknowledged, and calls done after the last.
 func (c *clients) sendInOrder(orders []command.Command, done func()) {
 	if len(orders) == 0 {
 		done()
@@ -43,7 +44,7 @@
 	c.sendOrder(orders[0], nil, func() { c.sendInOrder(orders[1:], done) })
 }
 
-// evacuateZone evacuates a zone for a while; false if one is evacuated already.
+// evacuateZone evacuates a zone for a while. It returns false if a zone is evacuated already.
 func (c *clients) evacuateZone(zone string) (ordered bool) {
 	if len(c.evacuatedZones) > 0 {
 		return false
@@ -59,8 +60,8 @@
 	return true
 }
 
-// liftEvacuation lifts the evacuation of a zone. Starts in the zone are allowed from when the order is sent, as it may
-// be committed long before it is acknowledged.
+// liftEvacuation lifts the evacuation of a zone. Starts in the zone are allowed as soon as the order is sent, because
+// it may be committed long before it is acknowledged.
 func (c *clients) liftEvacuation(zone string) {
 	s := c.sim
 	delete(s.checker.evacuated, zone)
@@ -70,7 +71,7 @@
 	})
 }
 
-func (c *clients) evacuationOrder(zone string, out bool) command.EvacuateZone {
+func (c *clients) evacuationOrder(zone string, evacuate bool) command.EvacuateZone {
 	c.orderCount++
-	return command.EvacuateZone{Order: fmt.Sprintf("o%d", c.orderCount), Zone: zone, Out: out}
+	return command.EvacuateZone{Order: fmt.Sprintf("o%d", c.orderCount), Zone: zone, Out: evacuate}
 }
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -1,13 +1,12 @@
-// Package policysim simulates the policy deployment: a whole fleet on one thread under a virtual clock, from one seed.
-// There are control-plane nodes on disks that lose what is not synced, data-plane nodes, workers of both kinds, clients
-// and an operator, with faults injected into all of them. A checker tests every start, write and answer against the
-// invariants as it happens. The same seed has the same trace, byte for byte; several seeds may run concurrently.
+// Package policysim is a deterministic simulator of the policy deployment. It runs a whole fleet on one goroutine under
+// a virtual clock: control-plane nodes with disks that lose unsynced data, data-plane nodes, workers of both kinds,
+// clients and an operator. Faults are injected into all of them, and a checker verifies the invariants at every start,
+// write and answer. The same seed produces the same trace, byte for byte; several seeds may run concurrently.
 //
 // All decisions are made by the daemons' own code: raft.Core, store.Store (its steps taken by store.ManualDriver) on a
 // storage.MemDisk, state and command, replica.Replica, scheduler.Core, policyworker.Core. The wiring of dataplane.Node
-// and of the worker's host is reimplemented here, as events instead of goroutines: a step that a daemon takes must be
-// taken here too. The package measures nothing but times to recover; for load and real processes see the other
-// testbeds.
+// and of the worker's host is reimplemented here, with events instead of goroutines: a step that is added to a daemon
+// must be added here too. The package measures only recovery times; the other testbeds cover load and real processes.
 //
 // Run loops over the events in order of time:
 //
@@ -18,7 +17,7 @@
 //		e.do()                              // a timer of a process (process.go), an arrival (network.go), a fault
 //	}
 //
-// Begin with simulation.go and invariants.go. The nodes are in controlplane*.go, dataplane*.go and worker.go, the
+// Start with simulation.go and invariants.go. The nodes are in controlplane*.go, dataplane*.go and worker.go, the
 // faults in faults.go, injections.go and directedfaults.go, and the checks in invariants.go and check*.go.
 package policysim
 
@@ -35,38 +34,38 @@
 type Options struct {
 	Seed              uint64
 	FaultPeriod       time.Duration // for which faults are injected and jobs are submitted; default 40s
-	Faults            []string      // names of the faults to inject; default: all of Faults
+	Faults            []string      // names of the faults to inject; nil: all of Faults
 	WithoutGuard      string        // name of a guard to disable, of Guards; "": none
-	MeanFaultInterval time.Duration // default: drawn, 200 ms to 2.5 s
-	Trace             io.Writer     // gets every line of the trace; nil: none
-	// Parties has two parties pay for some of the jobs. The account of one is exhausted repeatedly.
+	MeanFaultInterval time.Duration // 0: drawn from 200 ms to 2.5 s
+	Trace             io.Writer     // receives every line of the trace; nil: no trace
+	// Parties makes two parties pay for some of the jobs. The account of one of them is exhausted repeatedly.
 	Parties bool
 }
 
 // Report is the result of a run.
 type Report struct {
 	Seed        uint64
-	Breach      *Breach           // nil: every invariant held
+	Breach      *Violation        // nil: every invariant held
 	Promise     map[string]uint64 // cases checked, by invariant
 	Faults      map[string]uint64 // cases injected, by fault
-	Counts      map[string]uint64 // of other events, by description
+	Counts      map[string]uint64 // other events, by description
 	Events      uint64            // 0: the seed was not run, see RunSeeds
 	VirtualTime time.Duration
 	TraceHash   uint64 // xxhash64 of all lines of the trace
 	// With Parties: the times from the acknowledgement of a top-up to the next start, under faults and after them, and
-	// from the loss of a long-running task's worker to its next start.
-	Resumes, CalmResumes, Attached []time.Duration
+	// the times from the loss of a long-running task's worker to the task's next start.
+	ResumeDelays, ResumeDelaysAfterFaults, ReattachDelays []time.Duration
 }
 
-// Breach is the first invariant that did not hold in a run.
-type Breach struct {
+// Violation describes the first invariant that did not hold in a run.
+type Violation struct {
 	Promise   string // the invariant
 	At        time.Duration
 	Detail    string
 	TraceTail []string // the newest lines of the trace
 }
 
-// Run runs one seed to its end or to the first breach. Example:
+// Run runs one seed to its end or to the first violation. Example:
 //
 //	r := policysim.Run(policysim.Options{Seed: 7, FaultPeriod: 30 * time.Second})
 //	if r.Breach != nil {
@@ -74,7 +73,7 @@
 //	}
 func Run(options Options) Report {
 	s := newSim(options)
-	end := s.options.FaultPeriod + s.billing.paidUpDelay() + endTimeout
+	end := s.options.FaultPeriod + s.billing.lastTopUpDelay() + endTimeout
 	for s.queue.Len() > 0 && s.report.Breach == nil {
 		next := heap.Pop(&s.queue).(event)
 		if s.now = next.at; s.now > end {
@@ -82,7 +81,7 @@
 		}
 		s.report.Events++
 		next.do()
-		if s.faultsOver && s.clients.allEnded() {
+		if s.faultsEnded && s.clients.allEnded() {
 			break
 		}
 	}
--- a/internal/testbed/policysim/process.go
+++ b/internal/testbed/policysim/process.go
@@ -12,13 +12,13 @@
 	sim        *sim
 	addr       string
 	zone       string
-	generation int // increased by every start and end; events scheduled under an older one are dropped
+	generation int // increased by every start and end; events of an older generation are dropped
 	alive      bool
 	frozen     bool
 	delayed    []func()      // events that became due while it was frozen
 	wokeAt     time.Duration // virtual time at which it last woke
 	clockZero  time.Duration // virtual time at which its clock was 0
-	wallSkew   time.Duration // of its time of day from virtual time
+	wallSkew   time.Duration // offset of its wall clock from virtual time
 }
 
 // newProcess returns a process that is not alive yet.
@@ -42,7 +42,7 @@
 	p.alive, p.frozen, p.delayed = false, false, nil
 }
 
-// execute runs do if the process is of the generation, when it wakes if it is frozen.
+// execute runs do if the process is alive and still of that generation. If it is frozen, do runs after it wakes.
 func (p *process) execute(generation int, do func()) {
 	switch {
 	case !p.alive || p.generation != generation:
@@ -61,7 +61,7 @@
 
 func (p *process) freeze() { p.frozen = p.alive }
 
-// wake ends the freeze and runs the events that became due meanwhile, in random order.
+// wake ends the freeze and runs the delayed events within 1 ms, in random order.
 func (p *process) wake() {
 	if !p.alive || !p.frozen {
 		return
@@ -83,21 +83,21 @@
 func (p *process) Wall() time.Time { return time.Unix(1_700_000_000, 0).Add(p.sim.now + p.wallSkew) }
 
 // timer implements clock.Stopper.
-type timer struct{ off bool } // off: it has fired or was stopped
+type timer struct{ done bool } // done: it has fired or was stopped
 
 // Stop prevents the timer from firing, and reports whether it was pending.
 func (t *timer) Stop() bool {
-	pending := !t.off
-	t.off = true
+	pending := !t.done
+	t.done = true
 	return pending
 }
 
-// Set starts a timer of the incarnation.
+// Set runs call after d, unless the timer is stopped or the incarnation ends before.
 func (p *process) Set(d time.Duration, call func()) clock.Stopper {
 	t := &timer{}
 	p.after(d, func() {
-		if !t.off {
-			t.off = true
+		if !t.done {
+			t.done = true
 			call()
 		}
 	})
--- a/internal/testbed/policysim/simulation.go
+++ b/internal/testbed/policysim/simulation.go
@@ -45,17 +45,17 @@
 	return last
 }
 
-// traceTail is the number of lines of the trace that are kept for a breach.
-const traceTail = 120
+// traceTailLines is the number of trace lines that are kept for Violation.TraceTail.
+const traceTailLines = 120
 
-// sim is a run: the virtual clock with its events, the only source of random numbers, the fleet, and the report.
-// Everything runs on the goroutine of Run. Each draw and each event is part of the history: a change of their order
-// changes everything after it.
+// sim is the state of one run: the virtual clock and its event queue, the only source of random numbers, the fleet and
+// the report. It is confined to the goroutine of Run. The order of random draws and events is part of the history: a
+// change of that order changes everything after it.
 type sim struct {
 	options Options
 	rng     *rand.Rand
 	now     time.Duration // virtual time
-	seq     uint64        // of the newest event
+	seq     uint64        // sequence number of the newest event
 	queue   eventHeap
 
 	network       network
@@ -68,58 +68,58 @@
 	faults        *faultInjector
 	checker       *invariantChecker
 
-	billing        *billingScenario // nil without Options.Parties, as billingChecker is
+	billing        *billingScenario // nil without parties (see build), as billingChecker is
 	billingChecker *billingChecker
 
-	faultsOver bool // FaultPeriod has passed, all faults have ended
-	report     Report
-	hash       *xxhash.Digest // of the trace
-	recent     []string       // ring of the newest lines of the trace
-	recentNext int            // index of the next line in recent
+	faultsEnded bool // FaultPeriod has passed, all faults have ended
+	report      Report
+	hash        *xxhash.Digest // of the trace
+	recent      []string       // ring of the newest lines of the trace
+	recentNext  int            // index of the next line in recent
 }
 
-// schedule runs do after d.
+// schedule runs do when d of virtual time has passed. A negative d counts as 0.
 func (s *sim) schedule(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, do})
 }
 
-// trace writes a line of the trace.
+// trace adds a line to the trace: to its hash, to Options.Trace and to the recent lines.
 func (s *sim) trace(format string, args ...any) {
 	line := fmt.Sprintf("%12.6f ", s.now.Seconds()) + fmt.Sprintf(format, args...)
 	_, _ = s.hash.WriteString(line) // never fails
 	if s.options.Trace != nil {
 		_, _ = io.WriteString(s.options.Trace, line+"\n") // a failure does not affect the run
 	}
-	if len(s.recent) < traceTail {
+	if len(s.recent) < traceTailLines {
 		s.recent = append(s.recent, line)
 	} else {
 		s.recent[s.recentNext] = line
 	}
-	s.recentNext = (s.recentNext + 1) % traceTail
+	s.recentNext = (s.recentNext + 1) % traceTailLines
 }
 
-// countCase counts a case of an invariant.
-func (s *sim) countCase(promise string) { s.report.Promise[promise]++ }
+// countCase counts a check of an invariant in Report.Promise.
+func (s *sim) countCase(invariant string) { s.report.Promise[invariant]++ }
 
-// reportBreach reports the first breach; the run ends after this event.
-func (s *sim) reportBreach(promise, format string, args ...any) {
+// reportViolation records the first violation of an invariant. The run ends after the current event.
+func (s *sim) reportViolation(invariant, format string, args ...any) {
 	if s.report.Breach != nil {
 		return
 	}
 	detail := fmt.Sprintf(format, args...)
-	s.trace("BREACH %s: %s", promise, detail)
+	s.trace("BREACH %s: %s", invariant, detail)
 	tail := append([]string(nil), s.recent...)
-	if len(tail) == traceTail {
+	if len(tail) == traceTailLines {
 		tail = append(tail[s.recentNext:], tail[:s.recentNext]...)
 	}
-	s.report.Breach = &Breach{Promise: promise, At: s.now, Detail: detail, TraceTail: tail}
+	s.report.Breach = &Violation{Promise: invariant, At: s.now, Detail: detail, TraceTail: tail}
 }
 
-// chance reports true with probability p.
+// chance returns true with probability p.
 func (s *sim) chance(p float64) bool { return s.rng.Float64() < p }
 
-// between draws a duration from low inclusive to high exclusive; low if high is not above it.
+// between draws a duration in [low, high). It returns low if high <= low.
 func (s *sim) between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -127,7 +127,7 @@
 	return low + time.Duration(s.rng.Int64N(int64(high-low)))
 }
 
-// pick draws an element of a list.
+// pick returns a random element of list.
 func pick[T any](s *sim, list []T) T { return list[s.rng.IntN(len(list))] }
 
 // must panics on an error that cannot occur in the simulator.
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -12,21 +12,21 @@
 	"crosstide/internal/routine"
 )
 
-// RunSeeds runs the seeds from..to, width at a time and each on one goroutine, and returns their reports in the order
-// of the seeds. After maxBreaches breaches it starts no further seed (0: it runs all); the reports of the others have
-// no events.
-func RunSeeds(options Options, from, to uint64, width, maxBreaches int) []Report {
+// RunSeeds runs the seeds from..to, parallelism at a time and each on one goroutine, and returns their reports in the
+// order of the seeds. After maxViolations violations it starts no further seeds (0: no limit); the report of a seed
+// that was not run has no events.
+func RunSeeds(options Options, from, to uint64, parallelism, maxViolations int) []Report {
 	reports := make([]Report, to-from+1)
-	var breaches atomic.Int64
-	routine.Each(len(reports), width, func(i int) {
+	var violations atomic.Int64
+	routine.Each(len(reports), parallelism, func(i int) {
 		seeded := options
 		seeded.Seed = from + uint64(i)
-		if maxBreaches > 0 && breaches.Load() >= int64(maxBreaches) {
+		if maxViolations > 0 && violations.Load() >= int64(maxViolations) {
 			reports[i].Seed = seeded.Seed
 			return
 		}
 		if reports[i] = Run(seeded); reports[i].Breach != nil {
-			breaches.Add(1)
+			violations.Add(1)
 		}
 	})
 	return reports
@@ -34,24 +34,24 @@
 
 // Summary is the sum of the reports of a set of runs.
 type Summary struct {
-	Seeds, Broken                          int
-	Events                                 uint64
-	Promise, Faults, Counts                map[string]uint64 // see Report
-	Breaches                               []Report          // those of the broken seeds
-	UnexercisedPromises, UnexercisedFaults []string          // required ones without a case
-	Resumes, CalmResumes, Attached         []time.Duration   // see Report
+	Seeds, Broken                                         int
+	Events                                                uint64
+	Promise, Faults, Counts                               map[string]uint64 // see Report
+	Breaches                                              []Report          // of the seeds with a violation
+	UnexercisedPromises, UnexercisedFaults                []string          // required, but without a case
+	ResumeDelays, ResumeDelaysAfterFaults, ReattachDelays []time.Duration   // see Report
 }
 
-// Summarize adds up reports. wanted are the names of faults that must have cases, as all of promises must.
-func Summarize(reports []Report, wanted []string) Summary {
+// Summarize adds up reports. The faults named in requiredFaults must have cases, as must all of invariants.
+func Summarize(reports []Report, requiredFaults []string) Summary {
 	s := Summary{Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
 	for _, r := range reports {
 		if r.Events > 0 {
 			s.add(r)
 		}
 	}
-	s.Require(promises)
-	for _, name := range wanted {
+	s.Require(invariants)
+	for _, name := range requiredFaults {
 		if s.Faults[faultCounter(name)] == 0 {
 			s.UnexercisedFaults = append(s.UnexercisedFaults, name)
 		}
@@ -65,9 +65,9 @@
 	addCounts(s.Promise, r.Promise)
 	addCounts(s.Faults, r.Faults)
 	addCounts(s.Counts, r.Counts)
-	s.Resumes = append(s.Resumes, r.Resumes...)
-	s.CalmResumes = append(s.CalmResumes, r.CalmResumes...)
-	s.Attached = append(s.Attached, r.Attached...)
+	s.ResumeDelays = append(s.ResumeDelays, r.ResumeDelays...)
+	s.ResumeDelaysAfterFaults = append(s.ResumeDelaysAfterFaults, r.ResumeDelaysAfterFaults...)
+	s.ReattachDelays = append(s.ReattachDelays, r.ReattachDelays...)
 	if r.Breach != nil {
 		s.Broken++
 		s.Breaches = append(s.Breaches, r)
@@ -80,17 +80,17 @@
 	}
 }
 
-// Require adds those of the invariants that have no case to UnexercisedPromises.
-func (s *Summary) Require(promises []string) {
-	for _, promise := range promises {
-		if s.Promise[promise] == 0 {
-			s.UnexercisedPromises = append(s.UnexercisedPromises, promise)
+// Require adds the invariants that have no case to UnexercisedPromises.
+func (s *Summary) Require(invariants []string) {
+	for _, invariant := range invariants {
+		if s.Promise[invariant] == 0 {
+			s.UnexercisedPromises = append(s.UnexercisedPromises, invariant)
 		}
 	}
 }
 
-// Print prints a line with the number of cases for each invariant, fault and count, one for each kind of duration, and
-// one for each that was required and has no case.
+// Print prints a line with the number of cases for each invariant, fault and count, a line for each kind of duration,
+// and a line for each required invariant or fault without a case.
 func (s Summary) Print(w io.Writer) error {
 	var err error
 	line := func(format string, args ...any) {
@@ -113,11 +113,11 @@
 	counts("promise", s.Promise)
 	counts("fault", s.Faults)
 	counts("count", s.Counts)
-	times("resumed after a top-up, under faults", s.Resumes)
-	times("resumed after a top-up, faults over", s.CalmResumes)
-	times("lasting task attached again", s.Attached)
-	for _, promise := range s.UnexercisedPromises {
-		line("NOT EXERCISED promise %s", promise)
+	times("resumed after a top-up, under faults", s.ResumeDelays)
+	times("resumed after a top-up, after the faults", s.ResumeDelaysAfterFaults)
+	times("long-running task restarted", s.ReattachDelays)
+	for _, invariant := range s.UnexercisedPromises {
+		line("NOT EXERCISED promise %s", invariant)
 	}
 	for _, fault := range s.UnexercisedFaults {
 		line("NOT EXERCISED fault %s", fault)
--- a/internal/testbed/policysim/worker.go
+++ b/internal/testbed/policysim/worker.go
@@ -9,11 +9,11 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// lateness bounds the time from the arrival of an order until an obeying worker carries it out. It is below the bound
-// in the scheduler's settings by the time for which an order may be in flight.
-const lateness = 1700 * time.Millisecond
+// maxOrderDelay bounds the time from the arrival of an order until an obeying worker carries it out. The bound in the
+// scheduler's settings is higher by the time for which an order may be in flight.
+const maxOrderDelay = 1700 * time.Millisecond
 
-// worker hosts a policyworker.Core: it passes calls and the time to it, and carries out its actions.
+// worker hosts a policyworker.Core: it passes calls and the current time to the core and carries out its actions.
 type worker struct {
 	*process
 	kind   string
@@ -21,15 +21,15 @@
 	gpus   int
 	labels map[string]string
 
-	// The fields up to floor are set anew by each incarnation.
+	// Each incarnation resets the fields down to floor.
 	core           *policyworker.Core
 	traits         policyworker.Traits
-	pendingReplies map[uint64]func(any, error) // to calls in flight, by tag
+	pendingReplies map[uint64]func(any, error) // replies to calls in flight, by tag
 	draining       bool
 	drainingSince  time.Duration // virtual time
 	floor          uint64        // highest floor of any call; used without the guard floor only
 
-	lastTag        uint64  // of the newest call
+	lastTag        uint64  // tag of the newest call
 	answerLossRate float64 // set by the fault lost
 	lateOrderRate  float64 // set by the fault late
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// renewLease serves a lease call, with the faults late and lost.
+// renewLease serves a lease call, subject to the faults late and lost.
 func (w *worker) renewLease(call internalapi.LeaseCall, reply func(any, error)) {
 	s := w.sim
 	isLost, late := s.chance(w.answerLossRate), time.Duration(0)
@@ -109,7 +109,7 @@
 		s.checker.observeOrderArrived(w, call)
 		if s.chance(w.lateOrderRate) {
 			s.report.Faults["late order"]++
-			late = s.between(0, lateness)
+			late = s.between(0, maxOrderDelay)
 			isLost = isLost || s.chance(0.5)
 		}
 	}
@@ -122,7 +122,7 @@
 	})
 }
 
-// handle passes a call to the core. If the answer is lost, the core is notified after it has carried the call out.
+// handle passes a call to the core. If the answer is lost, it then notifies the core.
 func (w *worker) handle(call internalapi.LeaseCall, reply func(any, error), isLost bool) {
 	w.lastTag++
 	tag := w.lastTag
@@ -139,7 +139,7 @@
 	}
 }
 
-// withoutFloor returns a call without its floor and without the times after which its orders are invalid.
+// withoutFloor returns a copy of call without the floor and without the times after which its orders are invalid.
 func (w *worker) withoutFloor(call internalapi.LeaseCall) internalapi.LeaseCall {
 	w.floor = max(w.floor, call.Floor)
 	call.Floor = 0
