--- a/internal/testbed/policysim/billing_test.go
+++ b/internal/testbed/policysim/billing_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestSeeds_withParties(t *testing.T) {
-	Convey("With parties, one of them exhausted repeatedly, no invariant breaks under all faults", t, func() {
-		sum := runUnbroken(t, Options{FaultPeriod: 20 * time.Second, Parties: true}, 1, 6)
-		for promise, least := range map[string]uint64{
+	Convey("With parties, one of them exhausted repeatedly, no invariant is violated under all faults", t, func() {
+		sum := runWithoutViolations(t, Options{FaultPeriod: 20 * time.Second, Parties: true}, 1, 6)
+		for invariant, minimum := range map[string]uint64{
 			"conserved": 3000, "paid for": 500, "bounded below zero": 100, "resumes in time": 6, "attached": 1,
 		} {
-			So(sum.Promise[promise], ShouldBeGreaterThanOrEqualTo, least)
+			So(sum.Promise[invariant], ShouldBeGreaterThanOrEqualTo, minimum)
 		}
 		So(sum.Counts["dry spells"], ShouldBeGreaterThan, 20)
 		So(sum.Counts["top-ups that came again"], ShouldBeGreaterThan, 5)
@@ -29,10 +29,10 @@
 	})
 }
 
-// TestGuards_balance runs without the check of the balance in the commit of a start: the checker must find a start that
-// is not paid for.
+// TestGuards_balance disables the store's check of the balance at a start: the checker must find a start that the
+// balance does not cover.
 func TestGuards_balance(t *testing.T) {
-	Convey("Without the guard balance, the invariant paid for breaks", t, func() {
+	Convey("Without the guard balance, the invariant paid for is violated", t, func() {
 		sum := Summarize(RunSeeds(Options{FaultPeriod: 20 * time.Second, WithoutGuard: "balance"}, 1, 6, 2, 0), nil)
 		So(sum.Broken, ShouldBeGreaterThan, 0)
 		for _, r := range sum.Breaches {
--- a/internal/testbed/policysim/checkprogress_test.go
+++ b/internal/testbed/policysim/checkprogress_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestPassedOverCountsWhileServing(t *testing.T) {
-	Convey("A due task waits, and no run ID is given", t, func() {
+	Convey("A due task waits and gets no run ID", t, func() {
 		s := newSim(Options{Seed: 1, Faults: []string{}})
 		ic := s.checker
 		s.now = time.Minute
@@ -27,14 +27,14 @@
 			Tasks: [][]state.Task{{{Phase: state.TaskDue}}}}
 		ic.reference.Workers["m0"] = &state.Worker{Name: "m0", Addr: "m0", Zone: "z0", Incarnation: "b",
 			Cores: s.workers[0].cores}
-		Convey("with all up it is passed over after its time", func() {
+		Convey("while all nodes run, the invariant is violated after startTimeout", func() {
 			ic.checkPassedOverFor(startTimeout)
 			So(s.report.Breach, ShouldBeNil)
 			ic.checkPassedOverFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 			So(s.report.Breach.Promise, ShouldEqual, "not passed over")
 		})
-		Convey("without a majority of the store the time does not count, from its return on it does", func() {
+		Convey("without a majority of the store the time does not count; once the majority is back, it does", func() {
 			for _, c := range s.controlPlanes[:3] {
 				c.crash(false)
 			}
@@ -46,14 +46,14 @@
 			ic.checkPassedOverFor(time.Second)
 			So(s.report.Breach, ShouldNotBeNil)
 		})
-		Convey("nor does it without a data-plane node", func() {
+		Convey("without a data-plane node the time does not count", func() {
 			for _, d := range s.dataPlanes {
 				d.endIncarnation()
 			}
 			ic.checkPassedOverFor(recoveryTime)
 			So(s.report.Breach, ShouldBeNil)
 		})
-		Convey("two of five members gone are no reason", func() {
+		Convey("with two of five members down the time counts", func() {
 			for _, c := range s.controlPlanes[:2] {
 				c.crash(false)
 			}
--- a/internal/testbed/policysim/clients_test.go
+++ b/internal/testbed/policysim/clients_test.go
@@ -9,22 +9,22 @@
 )
 
 func TestOpenJobsAreBounded(t *testing.T) {
-	Convey("Clients have no more jobs open than the fleet can finish in the quiet tail", t, func() {
+	Convey("Clients keep no more jobs open than the fleet can finish in the fault-free phase", t, func() {
 		s := newSim(Options{Seed: 9, Faults: []string{}})
-		most := s.clients.maxOpen()
-		So(most, ShouldEqual, 15*jobsPerCore) // the workers of this seed have 15 cores
-		Convey("counting jobs that they abandoned and that are still open in the store", func() {
-			for range most {
+		maxOpen := s.clients.maxOpen()
+		So(maxOpen, ShouldEqual, 15*jobsPerCore) // the workers of this seed have 15 cores
+		Convey("including abandoned jobs that are still open in the store", func() {
+			for range maxOpen {
 				j := &clientJob{spec: s.clients.randomSpec(), abandoned: true}
 				s.clients.jobs = append(s.clients.jobs, j)
 				s.checker.reference.Jobs[j.spec.Key] = &state.Job{Spec: j.spec, Phase: state.JobRunning}
 			}
 			s.clients.submitJobs()
-			So(s.clients.jobs, ShouldHaveLength, most)
-			Convey("until one of these ends", func() {
+			So(s.clients.jobs, ShouldHaveLength, maxOpen)
+			Convey("until one of these jobs ends", func() {
 				s.checker.reference.Jobs[s.clients.jobs[0].spec.Key].Phase = state.JobDone
 				s.clients.submitJobs()
-				So(s.clients.jobs, ShouldHaveLength, most+1)
+				So(s.clients.jobs, ShouldHaveLength, maxOpen+1)
 			})
 		})
 	})
--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -9,13 +9,13 @@
 
 const guardSeeds = 4
 
-// TestGuards shows that each guard is needed: without it an invariant breaks within a few seeds, under the faults that
-// it protects against. With the guard no invariant breaks in the same seeds.
+// TestGuards verifies that each guard is needed: without it an invariant is violated within a few seeds, under the
+// faults that it protects against. With the guard no invariant is violated in the same seeds.
 func TestGuards(t *testing.T) {
 	for _, test := range []struct {
-		guard, promise string
-		faults         []string
-		length         time.Duration
+		guard, invariant string
+		faults           []string
+		length           time.Duration
 	}{
 		{"sync", "durable", []string{"power", "blackout"}, 10 * time.Second},
 		{"floor", "not late", []string{"late", "stall", "lost", "net"}, 15 * time.Second},
@@ -24,16 +24,16 @@
 		{"learner", "same log", []string{"rejoin"}, 12 * time.Second},
 		{"epoch", "decided in office", []string{"staleplan"}, 14 * time.Second},
 	} {
-		Convey("Without the guard "+test.guard+", the invariant "+test.promise+" breaks", t, func() {
+		Convey("Without the guard "+test.guard+", the invariant "+test.invariant+" is violated", t, func() {
 			options := Options{FaultPeriod: test.length, Faults: test.faults}
 			So(Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
 			options.WithoutGuard = test.guard
 			sum := Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil)
-			var broken []string
+			var violated []string
 			for _, r := range sum.Breaches {
-				broken = append(broken, r.Breach.Promise)
+				violated = append(violated, r.Breach.Promise)
 			}
-			So(broken, ShouldContain, test.promise)
+			So(violated, ShouldContain, test.invariant)
 		})
 	}
 }
--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -12,10 +12,10 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestHistories compares digests of the traces of fixed seeds. A change that keeps the behaviour keeps every trace to
-// the byte. A change of decisions updates the file with -update, and its commit states that.
+// TestHistories compares digests of the traces of fixed seeds. A change that keeps the behaviour keeps every trace byte
+// for byte. A change of decisions updates the golden file with -update and says so in its commit.
 func TestHistories(t *testing.T) {
-	Convey("Fixed seeds have the histories that are kept", t, func() {
+	Convey("Fixed seeds have the histories of the golden file", t, func() {
 		var lines strings.Builder
 		for seed := uint64(101); seed <= 108; seed++ {
 			digest := sha256.New()
--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -8,20 +8,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// runUnbroken runs seeds two at a time, checks that no invariant breaks in any, and returns their summary.
-func runUnbroken(t *testing.T, options Options, first, last uint64) Summary {
+// runWithoutViolations runs seeds two at a time, checks that no invariant is violated, and returns their summary.
+func runWithoutViolations(t *testing.T, options Options, first, last uint64) Summary {
 	t.Helper()
 	sum := Summarize(RunSeeds(options, first, last, 2, 0), nil)
 	for _, r := range sum.Breaches {
-		t.Errorf("seed %d breaks %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
+		t.Errorf("seed %d violates %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
 	}
 	So(sum.Broken, ShouldEqual, 0)
 	return sum
 }
 
 func TestSeeds(t *testing.T) {
-	Convey("No invariant breaks in a fixed set of seeds with all faults", t, func() {
-		sum := runUnbroken(t, Options{FaultPeriod: 20 * time.Second}, 1, 4)
+	Convey("No invariant is violated in a fixed set of seeds with all faults", t, func() {
+		sum := runWithoutViolations(t, Options{FaultPeriod: 20 * time.Second}, 1, 4)
 		So(sum.Promise["once at a time"], ShouldBeGreaterThan, 200)
 		So(sum.Promise["linear"], ShouldBeGreaterThan, 200)
 	})
@@ -39,21 +39,22 @@
 	})
 }
 
-// TestMinutes runs longer than TestSeeds and so reaches other situations: leases that are not renewed for longer than
-// they last, long queues, jobs of many attempts.
+// TestMinutes runs longer than TestSeeds and so covers other situations: leases that expire because they are not
+// renewed for long, long queues, jobs with many attempts.
 func TestMinutes(t *testing.T) {
-	Convey("No invariant breaks in a few seeds of five minutes with all faults", t, func() {
-		sum := runUnbroken(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
+	Convey("No invariant is violated in a few seeds of five minutes with all faults", t, func() {
+		sum := runWithoutViolations(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
 		So(sum.Promise["not passed over"], ShouldBeGreaterThan, 100)
 		So(sum.Promise["all ends"], ShouldEqual, 4)
 	})
 }
 
-// TestMinutesWithPauses has pauses between faults. With a fault every few hundred milliseconds, few tasks start before
-// the faults end; with pauses most do.
+// TestMinutesWithPauses has longer intervals between the faults. With a fault every few hundred milliseconds, few tasks
+// start before the faults end; here most do.
 func TestMinutesWithPauses(t *testing.T) {
-	Convey("No invariant breaks in two seeds of two minutes with a fault every 5 s", t, func() {
-		sum := runUnbroken(t, Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
+	Convey("No invariant is violated in two seeds of two minutes with a fault every 5 s", t, func() {
+		sum := runWithoutViolations(t,
+			Options{FaultPeriod: 2 * time.Minute, MeanFaultInterval: 5 * time.Second}, 641000, 641001)
 		So(sum.Counts["starts under faults"], ShouldBeGreaterThan, 300)
 	})
 }
