--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,9 +1,10 @@
-// Package audit is the invariant checker of the testbed for the policy deployment: it checks what crosstide promises
-// against the journals of the workers, clients, operators and injected faults of a run. It trusts no daemon: Check is a
-// pure function over a History of journal lines, to which CheckFleet adds what the public API answers at the end.
+// Package audit checks the invariants of the policy deployment against the journals that workers, clients, operators
+// and fault injection wrote during a run of the testbed. It trusts no daemon: Check is a pure function over a History
+// of journal lines, to which CheckFleet adds the answers of the public API at the end of the run.
 //
-// Begin with the table checks: each invariant is one function, in the file of its subject: runs (spans.go, runs.go),
-// placement, drains and evacuations (windows.go), jobs, bundle versions. MeasureOutage and Lags only measure.
+// Begin with the table checks. Each invariant is one function, in the file of its subject: runs (spans.go, runs.go),
+// placement (placement.go), drains and evacuations (windows.go), jobs (jobs.go) and bundle versions (versions.go).
+// MeasureOutage and Lags measure durations and check nothing.
 package audit
 
 import (
@@ -16,16 +17,16 @@
 	"crosstide/internal/errs"
 )
 
-// Time that the invariants allow for an order to take effect.
+// Grace periods: how long after an order or an acceptance the invariants do not yet require its effect.
 const (
 	cancelGrace   = 3 * time.Second // from a cancel's acknowledgement to the last start of its job
-	knownGrace    = 3 * time.Second // from a job's acceptance until no node may call it unknown
+	knownGrace    = 3 * time.Second // from a job's acceptance until no node may answer 404 for it
 	drainGrace    = 2 * time.Second // from a drain to the end of the last run on its worker
 	bundleGrace   = 2 * time.Second // from a bundle's acknowledgement to the last start under an older one
 	evacuateGrace = 5 * time.Second // from an evacuation's acknowledgement to the end of the last run in its zone
 )
 
-// Verdicts on an invariant.
+// Values of Finding.Verdict.
 const (
 	Satisfied    = "held"
 	Violated     = "broken"
@@ -36,12 +37,12 @@
 type Finding struct {
 	Invariant string   `json:"promise"`
 	Verdict   string   `json:"verdict"`
-	Cases     int      `json:"cases"` // in which it could have been violated
+	Cases     int      `json:"cases"` // observations in which the invariant could have been violated
 	Note      string   `json:"note,omitempty"`
-	Lines     []string `json:"lines,omitempty"` // the offending ones; if there is one, the invariant is violated
+	Lines     []string `json:"lines,omitempty"` // one text for each violation, with the journal lines that prove it
 }
 
-// violate adds a violation, with the lines that prove it.
+// violate adds a violation and the journal lines that prove it.
 func (f *Finding) violate(what string, proof ...Event) {
 	var line strings.Builder
 	line.WriteString(what)
@@ -51,10 +52,11 @@
 	f.Lines = append(f.Lines, line.String())
 }
 
-// known is the invariant that probe adds cases to.
+// known is the name of the invariant whose cases include the polls of probe.
 const known = "known"
 
-// checks are the invariants, in the order of the design's table. An invariant that journals cannot prove has no check.
+// checks lists the invariants, in the order of the design's table. An invariant that journals cannot prove has no
+// check.
 var checks = []struct {
 	invariant    string
 	check        func(h History, f *Finding)
@@ -63,8 +65,8 @@
 	{"once", checkSingleRun, ""},
 	{"ticket-newer", checkRunIDsIncrease, ""},
 	{"fence", checkFencing, ""},
-	{"durable", nil, "the journals cannot tell a ticket that was not durable"},
-	{"idle", nil, "no journal tells what was due"},
+	{"durable", nil, "the journals do not show whether a ticket was durable"},
+	{"idle", nil, "no journal records which starts were due"},
 	{"place", checkPlacement, ""},
 	{"drain", checkDrain, ""},
 	{"evacuate", checkEvacuation, ""},
@@ -107,7 +109,7 @@
 	return !slices.ContainsFunc(findings, func(f Finding) bool { return f.Verdict == Violated })
 }
 
-// WriteReport writes one line per invariant, and below a violated one its offending lines, at most shown of them.
+// WriteReport writes one line per invariant, and below it at most shown of its violations.
 func WriteReport(w io.Writer, findings []Finding, shown int) error {
 	for _, f := range findings {
 		if _, err := fmt.Fprintln(w, f.text(shown)); err != nil {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// history reads hand-written lines: "FILE SECONDS JSON-WITHOUT-BRACES".
+// history parses lines of the form "FILE SECONDS JSON", where FILE has no suffix and JSON neither braces nor "at".
 func history(lines ...string) History {
 	var h History
 	for i, text := range lines {
@@ -37,8 +37,8 @@
 	return byInvariant
 }
 
-// clean returns a history that exercises every invariant that has a check, and violates none.
-func clean() []string {
+// cleanLines returns a history that exercises every invariant that has a check, and violates none.
+func cleanLines() []string {
 	return []string{
 		`consumer-1 0 "ev":"accepted","job":"a","steps":[{"name":"s","tasks":2,"labels":{"gpu":"x"}}]`,
 		`consumer-1 0 "ev":"accepted","job":"b","steps":[{"name":"s","tasks":1}]`,
@@ -89,19 +89,19 @@
 }
 
 func TestAudit(t *testing.T) {
-	judged := []string{"once", "ticket-newer", "fence", "place", "drain", "evacuate", "cancel", "known", "done",
+	checked := []string{"once", "ticket-newer", "fence", "place", "drain", "evacuate", "cancel", "known", "done",
 		"operators", "bundle", "readback", "repair"}
 
-	// A start under bundle 1 after bundle 2 came into force.
+	// A start that only bundle 1 allows, after bundle 2 came into force.
 	late := `m7 4.2 "ev":"start","boot":"b1","zone":"z7","queue":"default","job":"p2","step":"s","task":0,` +
 		`"ticket":40,"epoch":5`
 
 	Convey("A clean history satisfies every invariant that has a check, with cases for each", t, func() {
-		findings := Check(history(clean()...))
+		findings := Check(history(cleanLines()...))
 		So(NoneViolated(findings), ShouldBeTrue)
 		for _, f := range findings {
 			want := NotExercised
-			for _, name := range judged {
+			for _, name := range checked {
 				if name == f.Invariant {
 					want = Satisfied
 				}
@@ -116,61 +116,61 @@
 		}
 	})
 
-	Convey("While it is unknown what came of a signature, starts are not judged by placement policies", t, func() {
+	Convey("While the outcome of a signature is unknown, starts are not checked against placement policies", t, func() {
 		unsure := `operator-3 34 "ev":"unsure","sent":4000000000,"order":"s3","version":3`
-		So(verdicts(history(append(clean(), late)...))["place"], ShouldEqual, Violated)
-		So(verdicts(history(append(clean(), late, unsure)...))["place"], ShouldEqual, Satisfied)
+		So(verdicts(history(append(cleanLines(), late)...))["place"], ShouldEqual, Violated)
+		So(verdicts(history(append(cleanLines(), late, unsure)...))["place"], ShouldEqual, Satisfied)
 	})
 
-	Convey("Each breach is found, and breaks only what it breaks", t, func() {
+	Convey("Each violation is found, and violates no other invariant", t, func() {
 		for _, c := range []struct {
-			invariant, why string
-			lines          []string // added to the clean history
+			invariant, violation string
+			lines                []string // added to the clean history
 		}{
-			{"once", "two at once, on two minions", []string{
+			{"once", "two runs at once, on two minions", []string{
 				`m2 4.8 "ev":"start","boot":"b1","job":"b","step":"s","task":0,"ticket":20,"epoch":5`,
 				`m2 6 "ev":"stop","boot":"b1","job":"b","step":"s","task":0,"ticket":20`,
 			}},
-			{"once", "again after its good end", []string{
+			{"once", "started again after its success", []string{
 				`m2 8 "ev":"start","boot":"b1","job":"a","step":"s","task":0,"ticket":20,"epoch":9`,
 			}},
-			{"once", "again while the killed minion was alive", []string{
+			{"once", "started again before its minion was killed", []string{
 				`m2 6.95 "ev":"start","boot":"b1","job":"c","step":"s","task":0,"ticket":10,"epoch":5`,
 			}},
 			{"once", "one ticket on two minions", []string{
 				`m4 9 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":4,"epoch":9`,
 			}},
-			{"ticket-newer", "older than one started", []string{
+			{"ticket-newer", "older than one that was ordered before", []string{
 				`m3 36 "ev":"order","boot":"b1","job":"y","step":"s","task":0,"ticket":12`,
 				`m3 36 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":11,"epoch":9`,
 			}},
-			{"ticket-newer", "older than one of the boot before", []string{
+			{"ticket-newer", "older than one of the previous incarnation", []string{
 				`m1 31 "ev":"order","boot":"b2","job":"z","step":"s","ticket":13`,
 				`m1 32 "ev":"boot","boot":"b3"`,
 				`m1 32 "ev":"start","boot":"b3","job":"z","step":"s","task":0,"ticket":12,"epoch":9`,
 			}},
-			{"fence", "an old epoch after a newer one", []string{
+			{"fence", "an older epoch after a newer one", []string{
 				`m4 9 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5`,
 			}},
-			{"place", "asked for by the accepted job", []string{
+			{"place", "without a label of the accepted job", []string{
 				`m5 5 "ev":"boot","boot":"b1","labels":{"gpu":"y"}`,
 				`m5 5 "ev":"start","boot":"b1","job":"a","step":"s","task":7,"ticket":10,"epoch":5`,
 			}},
-			{"place", "asked for by the order", []string{
+			{"place", "without a label of the order", []string{
 				`m5 5 "ev":"boot","boot":"b1"`,
 				`m5 5 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5,"labels":{"x":""}`,
 			}},
-			{"place", "under a bundle that is over", []string{
+			{"place", "under a bundle that was replaced", []string{
 				late,
 			}},
-			{"place", "before its bundle", []string{
+			{"place", "before its bundle came into force", []string{
 				`m7 1.8 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":29,"epoch":5`,
 			}},
-			{"place", "outside of the zones", []string{
+			{"place", "outside of the queue's zones", []string{
 				`m8 0 "ev":"boot","boot":"b1","zone":"z8","rack":"r1","labels":{"disk":"ssd"}`,
 				`m8 5 "ev":"start","boot":"b1","zone":"z8","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`,
 			}},
-			{"place", "far from the data", []string{
+			{"place", "in another rack than the data", []string{
 				`m8 0 "ev":"boot","boot":"b1","zone":"z7","rack":"r2","labels":{"disk":"ssd"}`,
 				`m8 5 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`,
 			}},
@@ -178,16 +178,16 @@
 				`m8 0 "ev":"boot","boot":"b1","zone":"z7","rack":"r1"`,
 				`m8 5 "ev":"start","boot":"b1","zone":"z7","queue":"q","job":"p2","step":"s","task":0,"ticket":40,"epoch":5`,
 			}},
-			{"operators", "two yes on one base", []string{
+			{"operators", "two drafts accepted on one base", []string{
 				`operator-3 0.9 "ev":"put","sent":800000000,"order":"o3","base":1,"version":3,"sha":"B","ok":true`,
 			}},
-			{"operators", "sent again and refused", []string{
+			{"operators", "repeated and refused", []string{
 				`operator-3 0.9 "ev":"put","sent":800000000,"order":"o1","base":1,"ok":false,"why":"conflict"`,
 			}},
-			{"operators", "sent again and answered otherwise", []string{
+			{"operators", "repeated and answered differently", []string{
 				`operator-3 1.9 "ev":"sign","sent":1800000000,"order":"s1","version":3,"sha":"B","ok":true`,
 			}},
-			{"readback", "an older one", []string{
+			{"readback", "an older version", []string{
 				`operator-3 2.6 "ev":"read","sent":2500000000,"node":"c2","version":1,"sha":"0"`,
 			}},
 			{"readback", "other bytes", []string{
@@ -196,50 +196,50 @@
 			{"bundle", "ignored", []string{
 				`operator-3 4.2 "ev":"has","sent":4100000000,"node":"d2","version":1,"ok":true`,
 			}},
-			{"bundle", "gone back", []string{
+			{"bundle", "back to an older version", []string{
 				`operator-3 2.2 "ev":"has","sent":2100000000,"node":"d2","version":2,"ok":true`,
 				`operator-3 2.4 "ev":"has","sent":2300000000,"node":"d2","version":1,"ok":true`,
 			}},
-			{"drain", "as the minion said", []string{
+			{"drain", "started after the minion reported the drain", []string{
 				`m1 7.1 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":5`,
 			}},
-			{"drain", "as an operator said", []string{
+			{"drain", "started after an operator ordered the drain", []string{
 				`m2 10.1 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
 			}},
-			{"drain", "ran on", []string{
+			{"drain", "still running after the grace", []string{
 				`m2 7.5 "ev":"start","boot":"b1","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
 				`m2 10.1 "ev":"stop","boot":"b1","job":"z","step":"s","task":0,"ticket":10`,
 			}},
-			{"evacuate", "ran on", []string{
+			{"evacuate", "still running after the grace", []string{
 				`m6 9.5 "ev":"start","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
 				`m6 10.1 "ev":"end","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10`,
 			}},
-			{"evacuate", "late in the zone", []string{
+			{"evacuate", "started after the grace", []string{
 				`m6 10.1 "ev":"start","boot":"b1","zone":"z2","job":"z","step":"s","task":0,"ticket":10,"epoch":9`,
 			}},
-			{"cancel", "late after the yes", []string{
+			{"cancel", "started after the grace", []string{
 				`m6 11.1 "ev":"start","boot":"b1","job":"d","step":"s","task":1,"ticket":10,"epoch":9`,
 			}},
-			{"known", "late after the yes", []string{
+			{"known", "answered 404 after the grace", []string{
 				`consumer-1 3.1 "ev":"poll","job":"a","state":"404"`,
 			}},
-			{"done", "a task never ended", []string{
+			{"done", "a task that never ended", []string{
 				`consumer-1 6 "ev":"poll","job":"b","state":"done"`,
 			}},
-			{"done", "a task ended later", []string{
+			{"done", "a task that ended later", []string{
 				`consumer-1 8.5 "ev":"poll","job":"a","state":"done"`,
 			}},
-			{"repair", "lost after a second loss", []string{
+			{"repair", "answered 404 after the loss of a second node", []string{
 				`consumer-1 20 "ev":"poll","job":"b","state":"404"`,
 			}},
 		} {
-			found := verdicts(history(append(clean(), c.lines...)...))
-			for _, invariant := range judged {
+			found := verdicts(history(append(cleanLines(), c.lines...)...))
+			for _, invariant := range checked {
 				want := Satisfied
 				if invariant == c.invariant || invariant == "known" && c.invariant == "repair" {
 					want = Violated
 				}
-				name := c.invariant + ", " + c.why + ": " + invariant + " "
+				name := c.invariant + ", " + c.violation + ": " + invariant + " "
 				So(name+found[invariant], ShouldEqual, name+want)
 			}
 		}
--- a/internal/testbed/audit/history.go
+++ b/internal/testbed/audit/history.go
@@ -14,7 +14,7 @@
 	"crosstide/internal/testbed/operator"
 )
 
-// Events of the operators' and the testbed's own journals.
+// Events in the journals of operators and of the testbed.
 const (
 	Evacuate = "evacuate" // operator: zone Zone was acknowledged as evacuated
 	Lift     = "lift"     // operator: the evacuation of Zone is about to be lifted
@@ -22,13 +22,13 @@
 	Undrain  = "undrain"  // operator: the drain of worker Node is about to be lifted
 	Kill     = "kill"     // testbed: process Node is about to get a signal to end
 	Freeze   = "freeze"   // testbed: process Node is about to be frozen
-	Wipe     = "wipe"     // testbed: the data of Node were removed
+	Wipe     = "wipe"     // testbed: the data of Node was removed
 )
 
 // Source is the kind of process that wrote a line.
 type Source string
 
-// Sources, by the prefix of the journal's name; without one of these prefixes it is a worker's.
+// Sources. The value is the prefix of the journal's file name; a file with none of the other prefixes is a worker's.
 const (
 	Worker   Source = "minion"
 	Client   Source = "consumer"
@@ -36,14 +36,14 @@
 	Testbed  Source = "drill"
 )
 
-// Event is one line of any journal: which fields are set depends on its Source.
+// Event is one line of any journal. Which fields are set depends on its Source.
 type Event struct {
-	journal.Entry // At and Event are set for every line; the rest for a worker's line, else where the line has the key
+	journal.Entry // At and Event are set for every line, other fields if the line has their key
 	State         string
 	Node          string
 	Team          string
 	Steps         []load.Step
-	OperatorEntry operator.Entry // of an operator's line
+	OperatorEntry operator.Entry // set if Source is Operator
 
 	Source Source
 	File   string // base name of the journal
@@ -65,20 +65,20 @@
 
 func (e Event) task() task { return task{e.Job, e.Step, e.Task} }
 
-// incarnation identifies one life of a worker's process.
+// incarnation identifies one incarnation of a worker.
 type incarnation struct{ worker, id string }
 
 func (e Event) incarnation() incarnation { return incarnation{e.Worker, e.Incarnation} }
 
-// History is all lines of all journals: those of each file in the order they were written.
+// History holds the lines of all journals. The lines of one file are in the order in which they were written.
 type History struct{ Events []Event }
 
-// filter returns the events of a source in order of time; equal times keep the order of the files. Without kinds it
-// returns all of them.
-func (h History) filter(from Source, kinds ...string) []Event {
+// filter returns the events of a source that have one of the kinds, or all its events if kinds is empty. It sorts them
+// by time; events with the same time keep their order.
+func (h History) filter(source Source, kinds ...string) []Event {
 	var matching []Event
 	for _, e := range h.Events {
-		if e.Source == from && (len(kinds) == 0 || slices.Contains(kinds, e.Event)) {
+		if e.Source == source && (len(kinds) == 0 || slices.Contains(kinds, e.Event)) {
 			matching = append(matching, e)
 		}
 	}
@@ -86,10 +86,10 @@
 	return matching
 }
 
-// byTime orders events by their time.
+// byTime compares events by their time, for sorting.
 func byTime(a, b Event) int { return cmp.Compare(a.At, b.At) }
 
-// byWorker returns each worker's events in the order they were written.
+// byWorker returns each worker's events in the order in which they were written.
 func (h History) byWorker() map[string][]Event {
 	byWorker := map[string][]Event{}
 	for _, e := range h.Events {
@@ -100,8 +100,8 @@
 	return byWorker
 }
 
-// Read reads the journals of dir. A damaged line is a failure: half a journal proves nothing. Failures: Disk,
-// Damaged, Unknown (no line at all).
+// Read reads the journals of dir. It fails on a damaged line, because a partial journal proves nothing. Failures: Disk,
+// Damaged, Unknown (the journals have no lines).
 func Read(dir string) (History, error) {
 	var h History
 	for line, err := range journal.Lines(dir) {
@@ -115,32 +115,32 @@
 		h.Events = append(h.Events, e)
 	}
 	if len(h.Events) == 0 {
-		return h, errs.New(errs.Unknown, "%s holds no journals", dir)
+		return h, errs.New(errs.Unknown, "no journal lines in %s", dir)
 	}
 	return h, nil
 }
 
 // Parse reads one line of any journal. Failure: Damaged.
 func Parse(line journal.Line) (Event, error) {
-	var own struct {
+	var extra struct {
 		State string
 		Node  string
 		Team  string
 		Steps []load.Step
 	}
 	e := Event{Source: Worker, File: line.File, Line: line.Number, Raw: string(line.Raw)}
-	for _, from := range []Source{Client, Operator, Testbed} {
-		if strings.HasPrefix(line.File, string(from)+"-") {
-			e.Source = from
+	for _, source := range []Source{Client, Operator, Testbed} {
+		if strings.HasPrefix(line.File, string(source)+"-") {
+			e.Source = source
 		}
 	}
 	if err := json.Unmarshal(line.Raw, &e.Entry); err != nil {
 		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
 	}
-	if err := json.Unmarshal(line.Raw, &own); err != nil {
+	if err := json.Unmarshal(line.Raw, &extra); err != nil {
 		return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
 	}
-	e.State, e.Node, e.Team, e.Steps = own.State, own.Node, own.Team, own.Steps
+	e.State, e.Node, e.Team, e.Steps = extra.State, extra.Node, extra.Team, extra.Steps
 	if e.Source == Operator {
 		if err := json.Unmarshal(line.Raw, &e.OperatorEntry); err != nil {
 			return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", line.File, line.Number)
--- a/internal/testbed/audit/lags.go
+++ b/internal/testbed/audit/lags.go
@@ -9,7 +9,8 @@
 	"crosstide/internal/testbed/load"
 )
 
-// Lag is how long the fleet took to carry out orders of one kind. A case in which no run was concerned counts as 0.
+// Lag is the distribution of how long the fleet took to carry out orders of one kind. An order that affected no run
+// counts as 0.
 type Lag struct {
 	What  string        `json:"what"`
 	Cases int           `json:"cases"`
@@ -30,14 +31,15 @@
 	return l
 }
 
-// lagCases collects the cases of one kind of order.
+// lagCases holds the durations of one kind of order, one per order.
 type lagCases struct{ toLastStart, toLastEnd []time.Duration }
 
-// add measures one case: from the order, which opens w, to the last start and to the last end of the runs of concern.
-func (l *lagCases) add(w window, runs []span, concerns func(Event) bool) {
+// add measures one order, which opens w: the time to the last start and to the last end, within w, of the runs whose
+// start isAffected accepts.
+func (l *lagCases) add(w window, runs []span, isAffected func(Event) bool) {
 	var start, end time.Duration
 	for _, s := range runs {
-		if s.start.At >= w.to || s.to <= w.from || !concerns(s.start) {
+		if s.start.At >= w.to || s.to <= w.from || !isAffected(s.start) {
 			continue
 		}
 		start = max(start, time.Duration(s.start.At-w.from))
@@ -52,9 +54,9 @@
 	return []Lag{newLag(what+" to last start", l.toLastStart), newLag(what+" to last end", l.toLastEnd)}
 }
 
-// Lags measures, by the journals alone: from a cancel's acknowledgement to the last start and to the last end of
-// its job, from a drain to the last start and to the last end on its worker, and from an evacuation's
-// acknowledgement to the last start and to the last end in its zone. A run that was never seen to end is left out.
+// Lags measures from the journals alone how long orders take: from the acknowledgement of a cancel to the last start
+// and the last end of a run of its job, from a drain to those on its worker, and from the acknowledgement of an
+// evacuation to those in its zone. A run without a known end does not count for the last end.
 func Lags(h History) []Lag {
 	runs := flatten(spans(h))
 	byJob := map[string][]span{}
@@ -67,9 +69,9 @@
 	}
 	lags := cancels.lags("cancel")
 	for _, kind := range []struct {
-		what     string
-		windows  map[string][]window
-		concerns func(name string) func(Event) bool
+		what       string
+		windows    map[string][]window
+		isAffected func(name string) func(Event) bool
 	}{
 		{"drain reported", reportedDrains(h), startedOn},
 		{"drain ordered", orderedDrains(h), startedOn},
@@ -78,7 +80,7 @@
 		var cases lagCases
 		for name, list := range kind.windows {
 			for _, w := range list {
-				cases.add(w, runs, kind.concerns(name))
+				cases.add(w, runs, kind.isAffected(name))
 			}
 		}
 		lags = append(lags, cases.lags(kind.what)...)
--- a/internal/testbed/audit/outage.go
+++ b/internal/testbed/audit/outage.go
@@ -7,11 +7,11 @@
 	"crosstide/internal/testbed/load"
 )
 
-// Outage is how long the service was unavailable after a fault, in seconds. A value below 0 means that the journals do
-// not show it available again.
+// Outage is how long the service was unavailable after a fault, in seconds. A negative value means that the journals
+// hold no such acceptance or start after the fault.
 type Outage struct {
-	FirstAccept float64 `json:"first_accept_s"` // until a job was accepted that was first submitted after the fault
-	FirstStart  float64 `json:"first_start_s"`  // until a run started after the fault
+	FirstAccept float64 `json:"first_accept_s"` // until the first acceptance of a job submitted after the fault
+	FirstStart  float64 `json:"first_start_s"`  // until the first start of a run
 	AcceptGap   float64 `json:"accept_gap_s"`   // the longest time without an acceptance, up to the last one
 	StartGap    float64 `json:"start_gap_s"`    // the longest time without a start, up to the last one
 }
@@ -38,8 +38,8 @@
 	return outage
 }
 
-// gaps returns, in seconds, the time from at to the first later event, and the longest time without one up to the last.
-// Both are below 0 if there is no later event. events are in order of time.
+// gaps returns, in seconds, the time from at (Unix ns) to the first later event, and the longest time without an event
+// from at to the last event. Both are negative if there is no later event. events must be sorted by time.
 func gaps(events []Event, at int64) (first, longest float64) {
 	first, longest = -1, -1
 	last := at
--- a/internal/testbed/audit/placement.go
+++ b/internal/testbed/audit/placement.go
@@ -12,24 +12,24 @@
 	"crosstide/internal/testbed/operator"
 )
 
-// checkPlacement checks that a run's worker has the labels that the client asked for (by the accepted job, else by the
-// order), and that the start is within the placement policy of its queue.
+// checkPlacement checks that a run's worker has the requested labels, and that the start is within the placement policy
+// of its queue. The labels are those of the accepted job, or of the start order if no acceptance was journaled.
 func checkPlacement(h History, f *Finding) {
-	asked := map[[2]string]map[string]string{} // by job and step
+	requested := map[[2]string]map[string]string{} // labels by job and step
 	for _, e := range h.filter(Client, load.Accepted) {
 		for _, s := range e.Steps {
-			asked[[2]string{e.Job, s.Name}] = s.Labels
+			requested[[2]string{e.Job, s.Name}] = s.Labels
 		}
 	}
 	for _, events := range h.byWorker() {
-		var worker Event // its present incarnation
+		var worker Event // the start of its current incarnation
 		for _, e := range events {
 			switch e.Event {
 			case journal.NewIncarnation:
 				worker = e
 			case journal.Start:
-				labels, isAsked := asked[[2]string{e.Job, e.Step}]
-				if !isAsked {
+				labels, isAccepted := requested[[2]string{e.Job, e.Step}]
+				if !isAccepted {
 					labels = e.Labels
 				}
 				checkLabels(worker, e, labels, f)
@@ -45,24 +45,24 @@
 	}
 	for key, value := range labels {
 		if has, ok := worker.Labels[key]; !ok || has != value {
-			f.violate("label "+key+" is not borne", worker, start)
+			f.violate("label "+key+" is missing on the minion", worker, start)
 			return
 		}
 	}
 }
 
-// versionWindow is the time in which a version may have been in force: from the sending of the signature that put it
-// in force to the acknowledgement of the next one, with the grace.
+// versionWindow is the period in which a version may have been in force: from when the signature that put it in force
+// was sent until bundleGrace after the acknowledgement of the next version.
 type versionWindow struct {
 	window
 	bundle state.Bundle
 }
 
-// versionWindows returns every version that was acknowledged as in force, the initial one in front.
+// versionWindows returns every version that was acknowledged as in force, after the initial one.
 func versionWindows(h History) []versionWindow {
 	initial, err := bundle.Parse([]byte(state.InitialBundle))
 	if err != nil {
-		return nil // it is the store's own
+		return nil // cannot happen: the text is built in
 	}
 	versions := []versionWindow{{window{from: math.MinInt64, to: math.MaxInt64}, initial}}
 	acknowledged := h.filter(Operator, operator.Force)
@@ -72,7 +72,7 @@
 	for _, e := range acknowledged {
 		b, err := bundle.Parse(e.OperatorEntry.Bundle)
 		if err != nil {
-			continue // found by checkReadBack: it is not what was signed
+			continue // reported by checkReadBack
 		}
 		b.Version = e.OperatorEntry.Version
 		versions[len(versions)-1].to = e.At + int64(bundleGrace)
@@ -81,13 +81,13 @@
 	return versions
 }
 
-// unknownVersions returns the times in which a signature without an answer may have put an unknown version in force:
-// until the next version was acknowledged.
+// unknownVersions returns the periods in which a signature without an answer may have put a version in force. Each ends
+// with the window of the first known version that is newer.
 func unknownVersions(h History, known []versionWindow) []window {
 	var unknown []window
 	for _, e := range h.filter(Operator, operator.Unanswered) {
 		if e.OperatorEntry.Version == 0 {
-			continue // a draft, which changes nothing
+			continue // a draft puts no version in force
 		}
 		w := window{e, e.OperatorEntry.Sent, math.MaxInt64}
 		for _, v := range known {
@@ -100,17 +100,17 @@
 	return unknown
 }
 
-// placementChecker judges starts by the versions that may have been in force.
+// placementChecker checks starts against the versions that may have been in force.
 type placementChecker struct {
 	versions []versionWindow
 	teams    map[string]string     // of accepted jobs
-	workers  map[incarnation]Event // as they reported themselves
+	workers  map[incarnation]Event // the worker's own report at the start of the incarnation
 }
 
-// checkPlacementPolicy checks that each start fits a bundle version that may have been in force then.
+// checkPlacementPolicy checks that each start is allowed by a bundle version that may have been in force at its time.
 func checkPlacementPolicy(h History, f *Finding) {
 	if len(h.filter(Operator, operator.Force)) == 0 {
-		f.Note = "labels; no bundle was changed"
+		f.Note = "labels only; no bundle was changed"
 		return
 	}
 	c := placementChecker{versions: versionWindows(h), teams: map[string]string{}, workers: map[incarnation]Event{}}
@@ -120,13 +120,13 @@
 	for _, e := range h.filter(Worker, journal.NewIncarnation) {
 		c.workers[e.incarnation()] = e
 	}
-	unknown, notJudged := unknownVersions(h, c.versions), 0
+	unknown, unchecked := unknownVersions(h, c.versions), 0
 	for _, e := range h.filter(Worker, journal.Start) {
 		if e.Queue == "" {
 			continue
 		}
 		if slices.ContainsFunc(unknown, func(w window) bool { return w.contains(e.At) }) {
-			notJudged++
+			unchecked++
 			continue
 		}
 		f.Cases++
@@ -135,19 +135,19 @@
 		}
 	}
 	f.Note = fmt.Sprintf("labels, and placement policies of %d versions", len(c.versions))
-	if notJudged > 0 {
-		f.Note += fmt.Sprintf("; %d starts not judged, the version was unsure", notJudged)
+	if unchecked > 0 {
+		f.Note += fmt.Sprintf("; %d starts not checked, the version in force was unknown", unchecked)
 	}
 }
 
-// violation returns why a start fits none of the versions that may have been in force, and the event that put the last
-// of them in force. The reason is "" if the start fits one.
+// violation returns why none of the versions that may have been in force allows a start, and the event that put the
+// last of them in force. The reason is "" if one of them allows it.
 func (c placementChecker) violation(start Event) (reason string, last Event) {
 	for _, v := range c.versions {
 		if !v.contains(start.At) {
 			continue
 		}
-		reason, last = c.misfit(v.bundle, start), v.event
+		reason, last = c.refusal(v.bundle, start), v.event
 		if reason == "" {
 			return "", last
 		}
@@ -155,22 +155,23 @@
 	return reason, last
 }
 
-// misfit returns why a bundle does not allow a start, and "" if it does.
-func (c placementChecker) misfit(b state.Bundle, start Event) string {
+// refusal returns why a bundle does not allow a start, or "" if it does.
+func (c placementChecker) refusal(b state.Bundle, start Event) string {
 	worker, team := c.workers[start.incarnation()], c.teams[start.Job]
 	q, ok := b.Queues[start.Queue]
-	allows := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
+	allows := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	switch {
 	case !ok:
 		return fmt.Sprintf("queue %s is not in bundle %d", start.Queue, b.Version)
 	case !allows(q.Zones, start.Zone) || !allows(q.Racks, worker.Rack) || !allows(q.Workers, start.Worker):
-		return fmt.Sprintf("outside of the placement policy of %s in bundle %d", start.Queue, b.Version)
+		return fmt.Sprintf("outside the placement policy of queue %s in bundle %d", start.Queue, b.Version)
 	case !allows(q.Types, start.Type) || team != "" && !allows(q.Teams, team):
-		return fmt.Sprintf("type or team may not use %s in bundle %d", start.Queue, b.Version)
+		return fmt.Sprintf("type or team not allowed in queue %s of bundle %d", start.Queue, b.Version)
 	}
 	for key, value := range q.Labels {
 		if has, ok := worker.Labels[key]; !ok || has != value {
-			return fmt.Sprintf("label %s of queue %s in bundle %d is not borne", key, start.Queue, b.Version)
+			return fmt.Sprintf("label %s of queue %s in bundle %d is missing on the minion", key, start.Queue,
+				b.Version)
 		}
 	}
 	for _, near := range q.Near {
@@ -180,7 +181,8 @@
 			isNear = isNear || isInScope && other.Labels[near.Label] == near.Value
 		}
 		if !isNear {
-			return fmt.Sprintf("%s=%s is not near in bundle %d", near.Label, near.Value, b.Version)
+			return fmt.Sprintf("no minion with label %s=%s within the scope of bundle %d", near.Label, near.Value,
+				b.Version)
 		}
 	}
 	return ""
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxProbed    = 500 // accepted jobs that are asked for
+	maxProbed    = 500 // accepted jobs that are polled
 	probesAtOnce = 16
 	probeTimeout = 2 * time.Second
 )
@@ -28,8 +28,9 @@
 	Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (fleet.Reply, error)
 }
 
-// probe polls accepted jobs, spread evenly over all, each at one of the nodes in turn. It returns the history with the
-// answers as polls of a client, and how many answered. A node that is down or cannot confirm its state adds nothing.
+// probe polls up to maxProbed accepted jobs, evenly spaced in the order of their keys, at the nodes round-robin. It
+// returns the history with the answers added as polls of a client, and the number of answers. A node that is down or
+// cannot confirm its state adds nothing.
 func probe(ctx context.Context, h History, caller Caller, nodes []fleet.Node) (History, int) {
 	jobs := slices.Sorted(maps.Keys(acceptedJobs(h)))
 	if len(nodes) == 0 || len(jobs) == 0 {
@@ -52,8 +53,8 @@
 	return probed, answered
 }
 
-// probeJob asks a node for a job and returns the answer as a poll of a client. It returns false if the answer proves
-// nothing: there was none, or it is neither a job nor a 404.
+// probeJob asks a node for a job and returns the answer as a poll of a client. It returns false if the call failed,
+// or if the answer is neither a job nor a 404: then it proves nothing.
 func probeJob(ctx context.Context, caller Caller, node fleet.Node, job string) (Event, bool) {
 	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/jobs/"+job, nil, probeTimeout)
 	if err != nil || !reply.IsSuccess() && reply.Status != http.StatusNotFound {
@@ -72,8 +73,8 @@
 	return e, true
 }
 
-// CheckFleet checks the fleet in dir: its journals and, where it answers, its data planes' views of accepted jobs.
-// Failures: those of Read.
+// CheckFleet checks the invariants on the journals of the fleet in dir and on the answers of its data planes, if they
+// run, to polls of accepted jobs. Failures: those of Read.
 func CheckFleet(ctx context.Context, dir string) ([]Finding, error) {
 	history, err := Read(dir)
 	if err != nil {
@@ -86,7 +87,7 @@
 	findings := Check(history)
 	for i, f := range findings {
 		if f.Invariant == known {
-			findings[i].Note = strings.TrimPrefix(f.Note+fmt.Sprintf("; %d asked for at the end", answered), "; ")
+			findings[i].Note = strings.TrimPrefix(f.Note+fmt.Sprintf("; %d jobs polled at the end", answered), "; ")
 		}
 	}
 	return findings, nil
--- a/internal/testbed/audit/runs.go
+++ b/internal/testbed/audit/runs.go
@@ -6,34 +6,34 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// checkSingleRun checks that no two runs of a task overlap, that none starts after one that succeeded, and that no run
-// ID is started twice. Cases are the runs.
+// checkSingleRun checks that no two runs of a task overlap, that none starts after another has succeeded, and that no
+// run ID is started twice. Cases are the runs.
 func checkSingleRun(h History, f *Finding) {
 	succeeded := successfulEnds(h)
-	cut := 0
+	withoutEnd := 0
 	for _, list := range spans(h) {
 		for i, s := range list {
 			f.Cases++
 			if !s.isEndKnown {
-				cut++
+				withoutEnd++
 			}
-			checkAfterEarlier(s, list[:i], f)
+			checkNoOverlap(s, list[:i], f)
 			if end, ok := succeeded[s.start.task()]; ok && end.At < s.start.At {
-				f.violate("started after it had ended well", end, s.start)
+				f.violate("started after its task had succeeded", end, s.start)
 			}
 		}
 	}
 	checkOneStartPerRunID(h, f)
-	if cut > 0 {
-		f.Note = fmt.Sprintf("%d runs without an end, taken up to their minion's last line", cut)
+	if withoutEnd > 0 {
+		f.Note = fmt.Sprintf("%d runs without an end, counted up to their minion's last line", withoutEnd)
 	}
 }
 
-// checkAfterEarlier checks that the earlier runs of its task were over when s began.
-func checkAfterEarlier(s span, earlier []span, f *Finding) {
+// checkNoOverlap checks that the earlier runs of the same task had ended when s began.
+func checkNoOverlap(s span, earlier []span, f *Finding) {
 	for _, other := range earlier {
 		if other.to > s.start.At {
-			f.violate("ran twice at once", other.start, s.start)
+			f.violate("two runs of a task at once", other.start, s.start)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	started := map[uint64]Event{}
 	for _, e := range h.filter(Worker, journal.Start) {
 		if earlier, isTwice := started[e.RunID]; isTwice {
-			f.violate("one ticket, two starts", earlier, e)
+			f.violate("one ticket started twice", earlier, e)
 		}
 		started[e.RunID] = e
 	}
@@ -59,17 +59,17 @@
 	return ends
 }
 
-// checkRunIDsIncrease checks that every start has a run ID above all that its worker was ordered to start before, also
-// in older incarnations, for a run ID is assigned to one incarnation only. Cases are the starts.
+// checkRunIDsIncrease checks that no start has a run ID below one that its worker was ordered to start before. Orders
+// to older incarnations count too, because a run ID is assigned to one incarnation only. Cases are the starts.
 func checkRunIDsIncrease(h History, f *Finding) {
 	for _, events := range h.byWorker() {
-		var newest Event // order
+		var newest Event // the order with the highest run ID
 		for _, e := range events {
 			switch e.Event {
 			case journal.Start:
 				f.Cases++
 				if e.RunID < newest.RunID {
-					f.violate("a start with a ticket older than one seen", newest, e)
+					f.violate("started with a ticket older than one ordered before", newest, e)
 				}
 			case journal.Order:
 				if e.RunID > newest.RunID {
@@ -80,8 +80,8 @@
 	}
 }
 
-// checkFencing checks that once any run was started under an epoch, none starts under an older one. Cases are the
-// starts after the first change of epoch.
+// checkFencing checks that no run starts under an older epoch than one that started before it, on any worker. Cases are
+// the starts under another epoch than that of the first start.
 func checkFencing(h History, f *Finding) {
 	var newest, first Event
 	for i, e := range h.filter(Worker, journal.Start) {
@@ -89,7 +89,7 @@
 			first = e
 		}
 		if e.Epoch < newest.Epoch && e.At > newest.At {
-			f.violate("started by an old leader", newest, e)
+			f.violate("started under an older epoch", newest, e)
 		}
 		if e.Epoch > newest.Epoch {
 			newest = e
--- a/internal/testbed/audit/versions.go
+++ b/internal/testbed/audit/versions.go
@@ -7,57 +7,57 @@
 	"crosstide/internal/testbed/operator"
 )
 
-// checkOperatorOrders checks that only one of the drafts on a base is accepted, and that an order sent again is
-// answered as before. Cases are the bases with several drafts, and the orders that were answered more than once.
+// checkOperatorOrders checks that at most one draft per base version is accepted, and that a repeated order gets the
+// same answer. Cases are the bases with several drafts, and the orders that were answered more than once.
 func checkOperatorOrders(h History, f *Finding) {
 	orders := h.filter(Operator, operator.Put, operator.Sign)
 	f.Cases = checkSameAnswers(orders, f) + checkOneDraftPerBase(orders, f)
 }
 
-// checkSameAnswers checks that an accepted order is answered the same when it is sent again. It returns how many orders
-// were answered more than once.
+// checkSameAnswers checks that an accepted order gets the same answer when it is repeated. It returns the number of
+// orders that were answered more than once.
 func checkSameAnswers(orders []Event, f *Finding) (cases int) {
-	accepted, times := map[string]Event{}, map[string]int{} // by order
+	accepted, answers := map[string]Event{}, map[string]int{} // by order: the first acceptance, the number of answers
 	for _, e := range orders {
-		op := e.OperatorEntry
-		earlier, wasAccepted := accepted[op.Order]
+		entry := e.OperatorEntry
+		earlier, wasAccepted := accepted[entry.Order]
 		switch {
 		case !wasAccepted && e.OK:
-			accepted[op.Order] = e
-		case wasAccepted && !e.OK && op.Sent >= earlier.At:
-			f.violate("an order sent again was refused", earlier, e)
+			accepted[entry.Order] = e
+		case wasAccepted && !e.OK && entry.Sent >= earlier.At:
+			f.violate("a repeated order was refused", earlier, e)
 		case wasAccepted && e.OK &&
-			(op.Version != earlier.OperatorEntry.Version || op.SHA != earlier.OperatorEntry.SHA):
-			f.violate("an order sent again was answered otherwise", earlier, e)
+			(entry.Version != earlier.OperatorEntry.Version || entry.SHA != earlier.OperatorEntry.SHA):
+			f.violate("a repeated order got a different answer", earlier, e)
 		}
-		times[op.Order]++
-		if times[op.Order] == 2 {
+		answers[entry.Order]++
+		if answers[entry.Order] == 2 {
 			cases++
 		}
 	}
 	return cases
 }
 
-// checkOneDraftPerBase checks that at most one draft on a base is accepted. It returns how many bases had several
-// drafts.
+// checkOneDraftPerBase checks that at most one draft per base version is accepted. It returns the number of bases that
+// had several drafts.
 func checkOneDraftPerBase(orders []Event, f *Finding) (cases int) {
 	accepted, drafts := map[uint64]Event{}, map[uint64]map[string]bool{} // by base
 	for _, e := range orders {
-		op := e.OperatorEntry
+		entry := e.OperatorEntry
 		if e.Event != operator.Put {
 			continue
 		}
-		if drafts[op.Base] == nil {
-			drafts[op.Base] = map[string]bool{}
+		if drafts[entry.Base] == nil {
+			drafts[entry.Base] = map[string]bool{}
 		}
-		drafts[op.Base][op.Order] = true
+		drafts[entry.Base][entry.Order] = true
 		if !e.OK {
 			continue
 		}
-		if first, ok := accepted[op.Base]; !ok {
-			accepted[op.Base] = e
-		} else if first.OperatorEntry.Order != op.Order {
-			f.violate("two orders on one base heard yes", first, e)
+		if first, ok := accepted[entry.Base]; !ok {
+			accepted[entry.Base] = e
+		} else if first.OperatorEntry.Order != entry.Order {
+			f.violate("two drafts on one base were accepted", first, e)
 		}
 	}
 	for _, orders := range drafts {
@@ -68,8 +68,8 @@
 	return cases
 }
 
-// checkReadBack checks that a bundle read as in force is not older than the newest one acknowledged before the call,
-// and that its bytes have the digest that was signed. Cases are the reads.
+// checkReadBack checks that a bundle that was read as the one in force is not older than the newest one acknowledged
+// before the read, and that its bytes have the digest that was signed. Cases are the reads.
 func checkReadBack(h History, f *Finding) {
 	acknowledged := h.filter(Operator, operator.Force)
 	for _, e := range h.filter(Operator, operator.ReadBack) {
@@ -78,28 +78,28 @@
 	}
 	for _, e := range acknowledged {
 		if _, err := bundle.Parse(e.OperatorEntry.Bundle); err != nil {
-			f.violate("what is in force is no bundle", e)
+			f.violate("the bundle in force is invalid", e)
 		}
 	}
 }
 
 func checkOneReadBack(acknowledged []Event, read Event, f *Finding) {
-	op := read.OperatorEntry
+	entry := read.OperatorEntry
 	for _, a := range acknowledged {
 		signed := a.OperatorEntry
 		switch {
-		case a.At <= op.Sent && signed.Version > op.Version:
+		case a.At <= entry.Sent && signed.Version > entry.Version:
 			f.violate("an older bundle was read back", a, read)
 			return
-		case signed.Version == op.Version && signed.SHA != op.SHA:
-			f.violate("other bytes were read back than were signed", a, read)
+		case signed.Version == entry.Version && signed.SHA != entry.SHA:
+			f.violate("the bytes read back differ from those signed", a, read)
 			return
 		}
 	}
 }
 
-// checkRollout checks that no node follows a version older than one acknowledged longer than the grace ago, and that
-// none goes back to an older one. Cases are the answers in which a node confirmed its version.
+// checkRollout checks that no node follows a version older than one acknowledged more than bundleGrace before, and that
+// no node returns to an older version. Cases are the answers in which a node confirmed its version.
 func checkRollout(h History, f *Finding) {
 	acknowledged := h.filter(Operator, operator.Force)
 	newest := map[string]Event{} // by node: the answer with the newest version
@@ -110,17 +110,17 @@
 			continue
 		}
 		f.Cases++
-		op := e.OperatorEntry
+		entry := e.OperatorEntry
 		for _, a := range acknowledged {
-			if a.OperatorEntry.Version > op.Version && op.Sent-a.At > int64(bundleGrace) {
-				f.violate("a node goes by an old bundle", a, e)
+			if a.OperatorEntry.Version > entry.Version && entry.Sent-a.At > int64(bundleGrace) {
+				f.violate("a node follows an old bundle", a, e)
 				break
 			}
 		}
-		if earlier := newest[op.Node]; earlier.At <= op.Sent && op.Version < earlier.OperatorEntry.Version {
-			f.violate("a node went back", earlier, e)
-		} else if op.Version > earlier.OperatorEntry.Version {
-			newest[op.Node] = e
+		if earlier := newest[entry.Node]; earlier.At <= entry.Sent && entry.Version < earlier.OperatorEntry.Version {
+			f.violate("a node returned to an older bundle", earlier, e)
+		} else if entry.Version > earlier.OperatorEntry.Version {
+			newest[entry.Node] = e
 		}
 	}
 	if unconfirmed > 0 {
--- a/internal/testbed/audit/windows.go
+++ b/internal/testbed/audit/windows.go
@@ -7,15 +7,16 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// window is a period in Unix ns, both ends included; to is math.MaxInt64 until it is closed.
+// window is a period in Unix ns, both ends included. While it is open, to is math.MaxInt64.
 type window struct {
-	event    Event // that opened it
+	event    Event // opened the window
 	from, to int64
 }
 
 func (w window) contains(at int64) bool { return at >= w.from && at <= w.to }
 
-// windows pairs the events that open a window with those that close it, by key.
+// windows pairs the events that open a window with those that close it, by key. events must be sorted by time. An event
+// that opens a window that is already open is ignored, as is one that closes none.
 func windows(events []Event, key func(Event) string, opens func(Event) bool) map[string][]window {
 	byKey := map[string][]window{}
 	for _, e := range events {
@@ -32,7 +33,7 @@
 	return byKey
 }
 
-// reportedDrains returns, by worker, the drains that the workers reported. A new incarnation does not drain.
+// reportedDrains returns, by worker, the drains that the workers reported. A new incarnation ends a drain.
 func reportedDrains(h History) map[string][]window {
 	return windows(h.filter(Worker, journal.Drain, journal.NewIncarnation), func(e Event) string { return e.Worker },
 		func(e Event) bool { return e.Event == journal.Drain && e.OK })
@@ -56,8 +57,8 @@
 
 func startedIn(zone string) func(Event) bool { return func(e Event) bool { return e.Zone == zone } }
 
-// checkDrain checks that nothing runs on a worker that has been draining for longer than the grace, by its own report
-// or by an operator's order.
+// checkDrain checks that nothing runs on a worker that has been draining for longer than drainGrace, counted from the
+// worker's own report and from the operator's order.
 func checkDrain(h History, f *Finding) {
 	runs := flatten(spans(h))
 	for _, drains := range []map[string][]window{reportedDrains(h), orderedDrains(h)} {
@@ -67,7 +68,7 @@
 	}
 }
 
-// checkEvacuation checks that nothing runs in a zone that has been evacuated for longer than the grace.
+// checkEvacuation checks that nothing runs in a zone that has been evacuated for longer than evacuateGrace.
 func checkEvacuation(h History, f *Finding) {
 	runs := flatten(spans(h))
 	for zone, list := range evacuations(h) {
@@ -75,16 +76,16 @@
 	}
 }
 
-// checkNoRuns adds a violation for each run of concern that started in a window later than its grace, or that was still
-// in progress then beyond doubt. Each window is a case.
-func (f *Finding) checkNoRuns(list []window, grace time.Duration, runs []span, concerns func(Event) bool,
+// checkNoRuns adds a violation for each run whose start isAffected accepts and that started in a window after the
+// grace, or was certainly still in progress then. Each window is a case.
+func (f *Finding) checkNoRuns(list []window, grace time.Duration, runs []span, isAffected func(Event) bool,
 	where string) {
 	for _, w := range list {
 		f.Cases++
 		latest := w.from + int64(grace)
 		for _, s := range runs {
 			switch {
-			case !concerns(s.start) || s.start.At >= w.to:
+			case !isAffected(s.start) || s.start.At >= w.to:
 			case s.start.At > latest:
 				f.violate("started "+where, w.event, s.start)
 			case s.isEndKnown && min(s.to, w.to) > latest:
