--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -17,9 +17,9 @@
 	"crosstide/internal/testbed/testclock"
 )
 
-// controlPlane answers every order in turn with one of failures, the last one again and again; nil is a success. It
-// returns the node and how often it was called.
-func controlPlane(failures ...error) (fleet.Node, *atomic.Int32) {
+// startControlPlane starts a control plane that answers the nth call with the nth of failures, and every later call
+// with the last one; nil is a success. It returns the node and its number of calls.
+func startControlPlane(failures ...error) (fleet.Node, *atomic.Int32) {
 	calls := &atomic.Int32{}
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	server.Route("/", func(w http.ResponseWriter, _ *http.Request) {
@@ -39,21 +39,21 @@
 		target := &Target{Nodes: fleet.Nodes{ControlPlanes: nodes}, Caller: fleet.NewCaller(1), clock: &testclock.Elapsing{}}
 		return target.SendOrder(context.Background(), "/v1/order", operatorapi.Order{Order: "o"})
 	}
-	Convey("An order goes from node to node until one has carried it out", t, func() {
-		down, askedDown := controlPlane(errs.New(errs.Unavailable, "on purpose"))
-		up, askedUp := controlPlane(errs.New(errs.Overloaded, "on purpose"), nil)
+	Convey("An order is sent to one node after another until one carries it out", t, func() {
+		down, callsDown := startControlPlane(errs.New(errs.Unavailable, "on purpose"))
+		up, callsUp := startControlPlane(errs.New(errs.Overloaded, "on purpose"), nil)
 		So(send(down, up), ShouldBeNil)
-		So([]int32{askedDown.Load(), askedUp.Load()}, ShouldResemble, []int32{2, 2})
+		So([]int32{callsDown.Load(), callsUp.Load()}, ShouldResemble, []int32{2, 2})
 	})
-	Convey("An order that is refused for good is not sent again", t, func() {
-		refusing, asked := controlPlane(errs.New(errs.Conflict, "on purpose"))
+	Convey("An order that is refused permanently is not sent again", t, func() {
+		refusing, calls := startControlPlane(errs.New(errs.Conflict, "on purpose"))
 		So(errs.KindOf(send(refusing)), ShouldEqual, errs.Internal)
-		So(asked.Load(), ShouldEqual, 1)
+		So(calls.Load(), ShouldEqual, 1)
 	})
 }
 
 func TestInjectNetwork(t *testing.T) {
-	Convey("A fault that is invalid, or of a fleet without a proxy, is refused", t, func() {
+	Convey("An invalid fault is refused, and so is a fault in a fleet without a network proxy", t, func() {
 		target := &Target{Caller: fleet.NewCaller(1), clock: &testclock.Elapsing{}}
 		_, err := target.InjectNetwork(context.Background(), netproxy.Fault{})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
@@ -64,7 +64,7 @@
 }
 
 func TestAwait(t *testing.T) {
-	Convey("Await polls until its condition is true, and no longer than the timeout", t, func() {
+	Convey("Await polls until its condition is true, or fails after the timeout", t, func() {
 		target := &Target{clock: &testclock.Elapsing{}}
 		polls := 0
 		_, err := target.Await(context.Background(), time.Hour, "third", func() bool { polls++; return polls == 3 })
--- a/internal/testbed/faults/network.go
+++ b/internal/testbed/faults/network.go
@@ -12,14 +12,15 @@
 
 const proxyTimeout = 5 * time.Second
 
-// InjectNetwork orders a fault of the fleet's network proxy, which ends by itself, and returns how many links it
-// affects. Failures: Invalid, Settings: the fleet has no proxy, Timeout, Internal.
+// InjectNetwork has the fleet's network proxy inject a fault, which ends after fault.For, and returns the number of
+// links that it affects. Failures: Invalid, Settings (the fleet has no proxy), Timeout, Internal (the proxy refused the
+// fault).
 func (t *Target) InjectNetwork(ctx context.Context, fault netproxy.Fault) (links int, err error) {
 	if err := fault.Check(); err != nil {
 		return 0, errs.Pass(err, "cut")
 	}
 	if t.Nodes.ProxyAddr == "" {
-		return 0, errs.New(errs.Settings, "the fleet has no links; it was brought up without --links")
+		return 0, errs.New(errs.Settings, "the fleet has no network proxy; it was started without --links")
 	}
 	path := netproxy.InjectFault.Path
 	reply, err := t.Caller.Call(ctx, http.MethodPost, t.Nodes.ProxyAddr, path, fault, proxyTimeout)
@@ -28,7 +29,7 @@
 	}
 	var answer netproxy.FaultAnswer
 	if !reply.IsSuccess() || json.Unmarshal(reply.Body, &answer) != nil {
-		return 0, errs.New(errs.Internal, "the links refuse: %s", reply.Body)
+		return 0, errs.New(errs.Internal, "the network proxy refused the fault: %s", reply.Body)
 	}
 	return answer.Links, nil
 }
--- a/internal/testbed/faults/orders.go
+++ b/internal/testbed/faults/orders.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	orderTimeout      = 30 * time.Second // over all control planes
+	orderTimeout      = 30 * time.Second // over all attempts
 	orderCallTimeout  = 5 * time.Second
 	orderRetryBackoff = 200 * time.Millisecond
 )
 
-// SendOrder sends an operator's order to one control plane after another until one has carried it out. It is safe to
-// send it more than once: its ID makes it one order. Failures: Internal: it is refused, Unavailable.
+// SendOrder sends an operator's order to one control plane after another until one has carried it out. Retries are
+// safe: the order's ID makes it idempotent. Failures: Internal (it was refused), Unavailable.
 func (t *Target) SendOrder(ctx context.Context, path string, order operatorapi.Order) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
@@ -35,16 +35,16 @@
 		case err == nil && reply.IsSuccess():
 			return nil
 		case err == nil && reply.IsRefusal():
-			return errs.New(errs.Internal, "order %s: %s refuses: %s", path, node.Name, reply.Body)
+			return errs.New(errs.Internal, "order %s: %s refused it: %s", path, node.Name, reply.Body)
 		case !t.Sleep(ctx, orderRetryBackoff):
-			return errs.New(errs.Unavailable, "order %s: no cplane carried it out in time, the last one said %v %s",
+			return errs.New(errs.Unavailable, "order %s: no cplane carried it out in time; last answer: %v %s",
 				path, err, reply.Body)
 		}
 	}
 }
 
-// Evacuate orders the evacuation of a zone, and lifts it after d or when ctx ends, even if the order has failed: it may
-// have been carried out all the same.
+// Evacuate orders the evacuation of a zone, and lifts it after d or when ctx ends. It sends the lift even if the order
+// failed, because a control plane may have carried the order out without an answer.
 func (t *Target) Evacuate(ctx context.Context, zone string, d time.Duration) error {
 	id := rand.Text()[:12]
 	writer, err := journal.Open(filepath.Join(t.Dir, "journal", "operator-"+id+".jsonl"))
@@ -68,11 +68,11 @@
 			t.Sleep(ctx, d)
 		}
 	}
-	recorded := record(audit.Lift) // before the orders: starts may come from their commit on
+	recorded := record(audit.Lift) // before the orders: runs may start as soon as they are committed
 	return errors.Join(evacuated, recorded, t.lift(context.WithoutCancel(ctx), zone, id, keys))
 }
 
-// lift orders the end of an evacuation with the signature of every operator: two are required.
+// lift orders the end of an evacuation in the name of each operator: the signatures of two are required.
 func (t *Target) lift(ctx context.Context, zone, id string, keys []signature.Key) error {
 	since, err := t.evacuatedSince(ctx, zone)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// evacuatedSince asks one control plane after another when the evacuation of a zone began. Failures: Unknown: it is not
-// evacuated, Unavailable.
+// evacuatedSince asks one control plane after another when the evacuation of a zone began. Failures: Unknown (the zone
+// is not evacuated), Unavailable.
 func (t *Target) evacuatedSince(ctx context.Context, zone string) (time.Time, error) {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
@@ -106,7 +106,8 @@
 			return time.Time{}, errs.New(errs.Unknown, "zone %s is not evacuated", zone)
 		}
 		if !t.Sleep(ctx, orderRetryBackoff) {
-			return time.Time{}, errs.New(errs.Unavailable, "no cplane lists the zones: %v %s", err, reply.Body)
+			return time.Time{}, errs.New(errs.Unavailable, "no cplane listed the zones; last answer: %v %s", err,
+				reply.Body)
 		}
 	}
 }
--- a/internal/testbed/faults/processes.go
+++ b/internal/testbed/faults/processes.go
@@ -19,19 +19,19 @@
 // openJournal opens one of the testbed's own journals, DIR/journal/drill-NAME.jsonl.
 func (t *Target) openJournal(name string) (*journal.Writer, error) {
 	writer, err := journal.Open(filepath.Join(t.Dir, "journal", "drill-"+name+".jsonl"))
-	return writer, errs.Pass(err, "drill's journal")
+	return writer, errs.Pass(err, "testbed's journal")
 }
 
-// record journals a signal to a process, sent at a time in Unix ns.
+// record journals a signal that is sent to a process at a time in Unix ns.
 func record(writer *journal.Writer, at int64, event, node, signal string) error {
 	err := writer.Append(map[string]any{"at": at, "ev": event, "node": node, "how": signal})
-	return errs.Pass(err, "drill's journal")
+	return errs.Pass(err, "testbed's journal")
 }
 
 func (t *Target) now() int64 { return t.clock.Wall().UnixNano() }
 
-// Kill sends SIGKILL to processes and records each in the journal of the given name. It returns the names of those that
-// were running.
+// Kill sends SIGKILL to the named processes and records each kill in the testbed's journal journalName. It returns the
+// names of the processes that were running.
 func (t *Target) Kill(journalName string, names []string) (killed []string, err error) {
 	writer, err := t.openJournal(journalName)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 	defer writer.Close()
 	for _, name := range names {
-		at := t.now() // before the kill, which may fail: then nothing is journaled
+		at := t.now() // read before the kill; journaled only if the kill succeeds
 		if err := fleet.Kill(t.Dir, name); errs.Is(err, errs.Unknown) {
 			continue
 		} else if err != nil {
@@ -53,7 +53,7 @@
 	return killed, nil
 }
 
-// Freeze stops a process for d, or until ctx ends, like a machine that hangs; the process is always continued.
+// Freeze suspends a process with SIGSTOP for d, or until ctx ends, as if its machine hung, and always continues it.
 // Failures: Unknown (it does not run), Disk.
 func (t *Target) Freeze(ctx context.Context, name string, d time.Duration) error {
 	pid, err := fleet.PID(t.Dir, name)
@@ -72,11 +72,11 @@
 		return errs.Wrap(err, errs.Unknown, "freeze %s, pid %d", name, pid)
 	}
 	t.Sleep(ctx, d)
-	woken := fleet.Signal(t.Dir, name, unix.SIGCONT) // it may have been killed, and the pid be another's
-	return errors.Join(errs.Pass(woken, "thaw"), record(writer, t.now(), "thaw", name, "SIGCONT"))
+	continued := fleet.Signal(t.Dir, name, unix.SIGCONT) // checks the pid: it may be reused if the process was killed
+	return errors.Join(errs.Pass(continued, "thaw"), record(writer, t.now(), "thaw", name, "SIGCONT"))
 }
 
-// freezeAll freezes processes for d, at the same time.
+// freezeAll freezes processes for d, all at the same time.
 func (t *Target) freezeAll(ctx context.Context, names []string, d time.Duration) error {
 	var mu sync.Mutex
 	var failures []error
--- a/internal/testbed/faults/zone.go
+++ b/internal/testbed/faults/zone.go
@@ -10,7 +10,7 @@
 
 // Kinds of zone outages.
 const (
-	ZoneKill     = "kill" // its processes stay down
+	ZoneKill     = "kill" // the processes of the zone stay down
 	ZoneEvacuate = "evacuate"
 	ZoneCut      = "cut"
 	ZoneFreeze   = "freeze"
@@ -19,7 +19,8 @@
 // ZoneKinds lists all kinds of zone outages.
 var ZoneKinds = []string{ZoneKill, ZoneEvacuate, ZoneCut, ZoneFreeze}
 
-// TakeZoneOut makes a zone unavailable, for d unless its processes are killed, and returns the processes concerned.
+// TakeZoneOut makes a zone unavailable and returns the names of its processes. The outage ends after d, but for
+// ZoneKill: killed processes stay down, and only those that were running are returned.
 func (t *Target) TakeZoneOut(ctx context.Context, zone, kind string, d time.Duration) ([]string, error) {
 	names := t.Nodes.ProcessesInZone(zone)
 	var err error
--- a/internal/testbed/fleet/caller.go
+++ b/internal/testbed/fleet/caller.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	maxAnswerBytes  = 16 << 20 // that are read of an answer
+	maxAnswerBytes  = 16 << 20 // the rest of an answer is not read
 	idleConnTimeout = 30 * time.Second
 )
 
 // Reply is an answer over HTTP, whatever its status.
 type Reply struct {
 	Status     int
-	RetryAfter time.Duration // of Retry-After, 0 without one
+	RetryAfter time.Duration // from the header Retry-After, 0 without one
 	Body       []byte
 }
 
 // IsSuccess reports whether the status is 2xx.
 func (r Reply) IsSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
-// IsRefusal reports whether the call was refused for good: another attempt, or another node, would answer the same.
+// IsRefusal reports whether the call was refused permanently: a retry, or another node, would get the same answer.
 func (r Reply) IsRefusal() bool {
 	return !r.IsSuccess() && r.Status < http.StatusInternalServerError &&
 		r.Status != http.StatusTooManyRequests && r.Status != http.StatusMisdirectedRequest
@@ -58,8 +58,9 @@
 	}}
 }
 
-// Call sends one request and reads the answer within timeout; in is sent as JSON unless nil. Any answer at all is
-// a Reply. Failures: Internal (in is no JSON), Timeout (no complete answer: what was asked may have happened). Example:
+// Call sends one request, with in encoded as JSON unless it is nil, and reads the answer within timeout. It returns a
+// Reply for every status. Failures: Internal (in cannot be encoded), Timeout (no complete answer; the node may still
+// have carried the request out). Example:
 //
 //	reply, err := caller.Call(ctx, http.MethodGet, node.Addr, "/v1/who", nil, time.Second)
 func (c *Caller) Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (Reply, error) {
@@ -67,14 +68,14 @@
 	if in != nil {
 		var err error
 		if body, err = json.Marshal(in); err != nil {
-			return Reply{}, errs.Wrap(err, errs.Internal, "body for %s", path)
+			return Reply{}, errs.Wrap(err, errs.Internal, "encode the body for %s", path)
 		}
 	}
 	reply, err := c.Send(ctx, method, addr, path, body, timeout)
 	return reply, errs.Pass(err, "call")
 }
 
-// Send is like Call, but sends body as it is, JSON or not.
+// Send is like Call, but sends body unchanged, even if it is not valid JSON.
 func (c *Caller) Send(ctx context.Context, method, addr, path string, body []byte,
 	timeout time.Duration) (Reply, error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
@@ -88,7 +89,7 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		var failed *url.Error // its text is the whole URL, whose query may hold a signature
+		var failed *url.Error // unwrapped: its text contains the URL, whose query may hold a signature
 		if errors.As(err, &failed) {
 			err = failed.Err
 		}
@@ -97,7 +98,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return Reply{}, errs.Wrap(err, errs.Timeout, "answer of %s%s", addr, req.URL.Path)
+		return Reply{}, errs.Wrap(err, errs.Timeout, "read the answer of %s%s", addr, req.URL.Path)
 	}
 	reply := Reply{Status: resp.StatusCode, Body: data}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -1,8 +1,9 @@
 // Package fleet describes a fleet of the policy deployment on one machine by the files in its folder DIR: nodes.json
-// lists its nodes, pids and start its processes. It also reports which nodes are ready and which lead.
+// lists its nodes, start the command lines of its processes, and pids their process IDs. The package also reports which
+// nodes are ready and which ones lead.
 //
-// Plan writes the files of a new fleet, Read reads them; scripts/fleet starts and ends the processes. This package
-// starts none: it only sends them signals, and calls over HTTP (Caller).
+// Plan writes the files of a new fleet, and Read reads nodes.json. scripts/fleet starts and stops the processes: this
+// package starts none, it only sends them signals (Signal) and HTTP calls (Caller).
 package fleet
 
 import (
@@ -16,14 +17,14 @@
 	"crosstide/internal/signature"
 )
 
-// Node is one node of the fleet. All but the first three fields are of workers.
+// Node is one node of the fleet. Only workers have the fields after Addr.
 type Node struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	Addr string `json:"addr"`
 	Rack string `json:"rack,omitempty"`
 	Kind string `json:"kind,omitempty"` // policyworker.KindObey or KindCheck
-	Host string `json:"host,omitempty"` // the process that it shares with others, as in DIR/pids; empty: none
+	Host string `json:"host,omitempty"` // name in DIR/pids of the process that it shares; empty: its own process
 
 	Cores  int               `json:"cores,omitempty"`
 	GPUs   int               `json:"gpus,omitempty"`
@@ -38,7 +39,7 @@
 	ControlPlanes []Node `json:"cplanes"`
 	DataPlanes    []Node `json:"dplanes"`
 	Workers       []Node `json:"minions"`
-	ProxyAddr     string `json:"link,omitempty"` // control port of the network proxy; empty: the fleet has none
+	ProxyAddr     string `json:"link,omitempty"` // control address of the network proxy; empty: no proxy
 }
 
 // All returns every node.
@@ -67,7 +68,7 @@
 	return nodes, errs.Wrap(json.Unmarshal(data, &nodes), errs.Malformed, "nodes.json")
 }
 
-// operators are the names of the two operators of a fleet; their keys are in DIR/keys/NAME.json.
+// operators holds the names of the two operators of a fleet. Their keys are in DIR/keys/NAME.json.
 var operators = []string{"ada", "ben"}
 
 // Keys reads the operators' keys of the fleet in dir. Failures: Disk, Malformed.
--- a/internal/testbed/fleet/layout.go
+++ b/internal/testbed/fleet/layout.go
@@ -13,11 +13,12 @@
 // layout assigns names, zones and ports to the nodes of a shape.
 type layout struct {
 	shape Shape
-	ports []int // that are left
+	ports []int // not assigned yet
 }
 
-// planNodes returns the nodes of a shape: zones in turn, racks of workersPerRack within each zone, one port for each
-// process. The workers that share a process share its zone, rack and port, and are named after it: h1-0, h1-1 and on.
+// planNodes returns the nodes of a shape. It assigns zones round-robin, racks of workersPerRack within each zone, and
+// one port per process. Workers that share a process share its zone, rack and port, and are named after it, as h1-0
+// and h1-1 after h1.
 func planNodes(s Shape, ports []int) Nodes {
 	l := &layout{shape: s, ports: ports}
 	var n Nodes
@@ -64,8 +65,8 @@
 	return workers
 }
 
-// planLinks returns a link for each way on which some node dials another, one port each, and for each node by name the
-// address to dial by the address to reach.
+// planLinks returns a link, with a port of its own, for each pair of nodes of which the first dials the second.
+// overrides holds by node name the address to dial for each address to reach.
 func planLinks(n Nodes, ports []int) (links []netproxy.Link, overrides map[string]map[string]string) {
 	overrides = map[string]map[string]string{}
 	addBetween := func(from, to []Node) {
@@ -84,7 +85,7 @@
 			}
 		}
 	}
-	daemons := slices.Concat(n.ControlPlanes, n.DataPlanes) // the members' views are exchanged between all of them
+	daemons := slices.Concat(n.ControlPlanes, n.DataPlanes) // gossip goes between all of them
 	addBetween(daemons, daemons)
 	addBetween(n.DataPlanes, n.Workers)
 	addBetween(n.Workers, n.DataPlanes)
--- a/internal/testbed/fleet/metrics.go
+++ b/internal/testbed/fleet/metrics.go
@@ -17,11 +17,11 @@
 
 const scrapeTimeout = 5 * time.Second
 
-// Metrics are a node's metrics: by name, and by name{label="value",…} with the labels in order of their names. A
-// histogram or summary is NAME_sum and NAME_count.
+// Metrics holds the values of a node's series, by NAME or NAME{label="value",…} with the labels sorted by name. A
+// histogram or summary has the two series NAME_sum and NAME_count.
 type Metrics map[string]float64
 
-// Series iterates over the labels, as text, and the values of all series of a name.
+// Series iterates over the series of a name. It yields the labels as text, without the opening brace, and the value.
 func (m Metrics) Series(name string) iter.Seq2[string, float64] {
 	return func(yield func(string, float64) bool) {
 		for key, value := range m {
@@ -41,8 +41,8 @@
 	return total
 }
 
-// Scrape reads GET /metrics of a node; size is that of the answer in bytes. Failures: Timeout (no answer), Malformed
-// (no metrics). Example:
+// Scrape reads GET /metrics of a node; size is the length of the answer in bytes. Failures: Timeout (no answer),
+// Malformed (an error status, or the answer cannot be parsed). Example:
 //
 //	metrics, _, err := fleet.Scrape(ctx, caller, node.Addr)
 //	syncs := metrics.Sum("crosstide_store_sync_seconds_count")
@@ -68,7 +68,7 @@
 	return metrics, len(reply.Body), nil
 }
 
-// labelsOf returns the labels of a series as text, in the order of the text format, which sorts them.
+// labelsOf returns the labels of a series as text, in the order in which the node sent them: sorted by name.
 func labelsOf(m *dto.Metric) string {
 	var labels []string
 	for _, label := range m.GetLabel() {
--- a/internal/testbed/fleet/metrics_test.go
+++ b/internal/testbed/fleet/metrics_test.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/rpc"
 )
 
-// serveText answers every call with a status and a text.
+// serveText starts a server that answers every call with a status and a text.
 func serveText(status int, text string) (addr string) {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 	server.Route("/", func(w http.ResponseWriter, _ *http.Request) {
@@ -28,7 +28,7 @@
 	scrape := func(status int, text string) (Metrics, int, error) {
 		return Scrape(context.Background(), NewCaller(1), serveText(status, text))
 	}
-	Convey("Metrics are read with their labels; a histogram is its sum and its count", t, func() {
+	Convey("Metrics are read with their labels; a histogram becomes its sum and its count", t, func() {
 		text := "# TYPE calls counter\ncalls{path=\"/a\",code=\"200\"} 3\ncalls{path=\"/b\",code=\"200\"} 4\n" +
 			"# TYPE calls_open gauge\ncalls_open 9\n" +
 			"# TYPE sync histogram\nsync_bucket{le=\"+Inf\"} 2\nsync_sum 0.5\nsync_count 2\n"
@@ -45,7 +45,7 @@
 		So(labels, ShouldHaveLength, 2)
 		So(labels[`code="200",path="/b"}`]+labels[`path="/b",code="200"}`], ShouldEqual, 4)
 	})
-	Convey("An answer that is an error or no metrics is a failure", t, func() {
+	Convey("Scrape fails on an error status and on an answer that cannot be parsed", t, func() {
 		_, _, err := scrape(http.StatusServiceUnavailable, "")
 		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 		_, _, err = scrape(http.StatusOK, "{")
@@ -54,7 +54,7 @@
 }
 
 func TestReplyIsRefusal(t *testing.T) {
-	Convey("A refusal is for good: neither overload nor a node that cannot answer now", t, func() {
+	Convey("Only a permanent refusal counts: not overload, not a node that cannot answer now", t, func() {
 		for status, isRefusal := range map[int]bool{200: false, 202: false, 400: true, 404: true, 409: true, 421: false,
 			422: true, 429: false, 500: false, 503: false} {
 			So([]any{status, Reply{Status: status}.IsRefusal()}, ShouldResemble, []any{status, isRefusal})
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -39,8 +39,8 @@
 	Key  string `json:"key"`
 }
 
-// Plan writes DIR/nodes.json, DIR/settings/NAME.json, DIR/keys and DIR/start (lines `name program args...`). The folder
-// must not have a fleet yet. Failures: Invalid, Conflict, Disk. Example:
+// Plan writes DIR/nodes.json, DIR/settings/NAME.json, DIR/keys and DIR/start (lines `name program args...`). Failures:
+// Invalid, Conflict (the folder already holds a fleet), Disk, Unavailable (too few free ports). Example:
 //
 //	nodes, err := fleet.Plan(dir, fleet.Shape{ControlPlanes: 5, DataPlanes: 3, Workers: 12, Zones: 3, Cores: 16,
 //		Kind: "check", Bin: "bin"})
@@ -78,29 +78,29 @@
 		return "", errs.Wrap(err, errs.Disk, "folder of the fleet")
 	}
 	if strings.ContainsAny(dir+s.Bin, " \t\n") {
-		return "", errs.Field(errs.Invalid, "dir", "must hold no blanks: %q, %q", dir, s.Bin)
+		return "", errs.Field(errs.Invalid, "dir", "folders must not contain blanks: %q, %q", dir, s.Bin)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "nodes.json")); err == nil {
-		return "", errs.New(errs.Conflict, "%s holds a fleet already", dir)
+		return "", errs.New(errs.Conflict, "%s already holds a fleet", dir)
 	}
 	return dir, nil
 }
 
-// plan is a fleet whose files are not written yet.
+// plan collects the files of a fleet before they are written.
 type plan struct {
 	dir           string
 	shape         Shape
 	nodes         Nodes
 	files         map[string]any               // by path below dir, encoded as JSON
-	commands      strings.Builder              // the file start
-	dialOverrides map[string]map[string]string // by node: the address to dial in place of another; nil without proxy
+	commands      strings.Builder              // text of DIR/start
+	dialOverrides map[string]map[string]string // by node: address to dial by address to reach; nil without proxy
 }
 
-// addProxy plans the network proxy's process. ports are its control port and those of the links.
+// addProxy plans the process of the network proxy. ports holds its control port, followed by those of the links.
 func (p *plan) addProxy(ports []int) {
-	set := netproxy.Settings{Control: loopback(ports[0]), Journal: p.dir + "/journal/drill-cut.jsonl"}
-	set.Links, p.dialOverrides = planLinks(p.nodes, ports[1:])
-	p.nodes.ProxyAddr, p.files["settings/link.json"] = set.Control, set
+	proxy := netproxy.Settings{Control: loopback(ports[0]), Journal: p.dir + "/journal/drill-cut.jsonl"}
+	proxy.Links, p.dialOverrides = planLinks(p.nodes, ports[1:])
+	p.nodes.ProxyAddr, p.files["settings/link.json"] = proxy.Control, proxy
 	fmt.Fprintf(&p.commands, "link %s/crosstide-testbed link --settings %s/settings/link.json\n", p.shape.Bin, p.dir)
 }
 
@@ -112,72 +112,72 @@
 		members, core = append(members, member{c.Name, c.Addr, c.Zone}), append(core, c.Addr)
 	}
 	for _, c := range p.nodes.ControlPlanes {
-		set := p.settingsOf(c, core)
-		set.Data, set.Members, set.Operators = filepath.Join(p.dir, "data", c.Name), members, operators
-		p.addDaemon("crosstide-controlplane", set)
+		daemon := p.settingsOf(c, core)
+		daemon.Data, daemon.Members, daemon.Operators = filepath.Join(p.dir, "data", c.Name), members, operators
+		p.addDaemon("crosstide-controlplane", daemon)
 	}
 	for _, d := range p.nodes.DataPlanes {
-		set := p.settingsOf(d, core)
-		set.Core = core
-		p.addDaemon("crosstide-dataplane", set)
+		daemon := p.settingsOf(d, core)
+		daemon.Core = core
+		p.addDaemon("crosstide-dataplane", daemon)
 	}
 }
 
-// settingsOf returns the settings that control and data planes have in common.
+// settingsOf returns those settings of a node that control and data planes have in common.
 func (p *plan) settingsOf(n Node, core []string) settings {
 	return settings{Name: n.Name, Zone: n.Zone, Region: "local", Addr: n.Addr, Seeds: seeds(n, core),
 		DialOverrides: p.dialOverrides[n.Name]}
 }
 
-// addDaemon plans one daemon with its settings.
-func (p *plan) addDaemon(program string, set settings) {
-	p.files["settings/"+set.Name+".json"] = set
-	fmt.Fprintf(&p.commands, "%s %s/%s run --settings %s/settings/%s.json\n", set.Name, p.shape.Bin, program, p.dir,
-		set.Name)
+// addDaemon plans the settings file and the process of one daemon.
+func (p *plan) addDaemon(program string, daemon settings) {
+	p.files["settings/"+daemon.Name+".json"] = daemon
+	fmt.Fprintf(&p.commands, "%s %s/%s run --settings %s/settings/%s.json\n", daemon.Name, p.shape.Bin, program, p.dir,
+		daemon.Name)
 }
 
-// addWorkers plans the processes of the workers: one line for all workers that share a process.
+// addWorkers plans the processes of the workers: one command line for all workers that share a process.
 func (p *plan) addWorkers() {
-	sharing := map[string]int{} // workers by process
-	for _, m := range p.nodes.Workers {
-		sharing[m.Host]++
+	workersByHost := map[string]int{}
+	for _, w := range p.nodes.Workers {
+		workersByHost[w.Host]++
 	}
 	host := ""
-	for i, m := range p.nodes.Workers {
-		if m.Host != "" && m.Host == host {
+	for i, w := range p.nodes.Workers {
+		if w.Host != "" && w.Host == host {
 			continue
 		}
-		host = m.Host
-		m.Name = m.Process()
-		p.addWorker(m, i < p.shape.FailingWorkers, sharing[host])
+		host = w.Host
+		w.Name = w.Process()
+		p.addWorker(w, i < p.shape.FailingWorkers, workersByHost[host])
 	}
 }
 
-// addWorker plans the process of a worker; sharing is how many share it, if any do.
-func (p *plan) addWorker(m Node, isFailing bool, sharing int) {
+// addWorker plans the process of a worker. If the worker has a Host, count workers share the process.
+func (p *plan) addWorker(w Node, isFailing bool, count int) {
 	var dataPlanes []string
 	for _, d := range p.nodes.DataPlanes {
 		dataPlanes = append(dataPlanes, d.Addr)
 	}
 	fmt.Fprintf(&p.commands, "%s %s/crosstide-testbed minion --name %s --addr %s --kind %s --zone %s --rack %s"+
-		" --cores %d --dplanes %s --journal %s/journal/%s.jsonl", m.Name, p.shape.Bin, m.Name, m.Addr, m.Kind, m.Zone,
-		m.Rack, m.Cores, strings.Join(dataPlanes, ","), p.dir, m.Name)
-	if m.GPUs > 0 {
-		fmt.Fprintf(&p.commands, " --gpus %d", m.GPUs)
+		" --cores %d --dplanes %s --journal %s/journal/%s.jsonl", w.Name, p.shape.Bin, w.Name, w.Addr, w.Kind, w.Zone,
+		w.Rack, w.Cores, strings.Join(dataPlanes, ","), p.dir, w.Name)
+	if w.GPUs > 0 {
+		fmt.Fprintf(&p.commands, " --gpus %d", w.GPUs)
 	}
-	for _, key := range slices.Sorted(maps.Keys(m.Labels)) {
-		fmt.Fprintf(&p.commands, " --label %s=%s", key, m.Labels[key])
+	for _, key := range slices.Sorted(maps.Keys(w.Labels)) {
+		fmt.Fprintf(&p.commands, " --label %s=%s", key, w.Labels[key])
 	}
 	for _, addr := range dataPlanes {
-		if override := p.dialOverrides[m.Name][addr]; override != "" {
+		if override := p.dialOverrides[w.Name][addr]; override != "" {
 			fmt.Fprintf(&p.commands, " --via %s=%s", addr, override)
 		}
 	}
 	if isFailing {
 		p.commands.WriteString(" --fail 1")
 	}
-	if m.Host != "" {
-		fmt.Fprintf(&p.commands, " --count %d", sharing)
+	if w.Host != "" {
+		fmt.Fprintf(&p.commands, " --count %d", count)
 	}
 	p.commands.WriteString("\n")
 }
@@ -202,11 +202,11 @@
 	return errs.Wrap(os.WriteFile(filepath.Join(p.dir, "start"), start, 0o644), errs.Disk, "write start")
 }
 
-// maxSeeds is how many members a daemon asks at its start.
+// maxSeeds is how many members a daemon contacts when it starts.
 const maxSeeds = 3
 
-// seeds returns up to maxSeeds addresses of other nodes, beginning after the node's own position in addrs, so that not
-// all nodes ask the same ones.
+// seeds returns up to maxSeeds addresses of other nodes. They begin after the node's own position in addrs, so that the
+// nodes have different seeds.
 func seeds(self Node, addrs []string) []string {
 	from := 0
 	for i, a := range addrs {
--- a/internal/testbed/fleet/ports.go
+++ b/internal/testbed/fleet/ports.go
@@ -12,16 +12,16 @@
 
 const (
 	lowestPort         = 10240
-	defaultLowestLocal = 32768 // of the range for outgoing connections, if the system does not say
+	defaultLowestLocal = 32768 // of the range for outgoing connections, if the system's setting cannot be read
 )
 
-// FreePorts returns n free loopback ports below the range that the system uses for outgoing connections, so that a port
-// stays free for its node while that is down. Failure: Unavailable.
+// FreePorts returns n free loopback ports. They are below the range that the system uses for outgoing connections, so
+// that no outgoing connection takes the port of a node that is down. Failure: Unavailable.
 func FreePorts(n int) ([]int, error) {
 	end := lowestLocalPort()
 	span := end - lowestPort
 	if span < 4*n {
-		return nil, errs.New(errs.Unavailable, "ports %d to %d are too few for %d nodes", lowestPort, end, n)
+		return nil, errs.New(errs.Unavailable, "port range %d to %d is too small for %d ports", lowestPort, end, n)
 	}
 	from := rand.IntN(span)
 	var ports []int
@@ -36,7 +36,7 @@
 		}
 	}
 	if len(ports) < n {
-		return nil, errs.New(errs.Unavailable, "only %d of %d ports are free", len(ports), n)
+		return nil, errs.New(errs.Unavailable, "found only %d of %d free ports", len(ports), n)
 	}
 	return ports, nil
 }
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -23,7 +23,7 @@
 		var name string
 		var pid int
 		if _, err := fmt.Sscan(line, &name, &pid); err != nil || pid < 2 {
-			return nil, errs.New(errs.Malformed, "pids: line %q", strings.TrimSpace(line))
+			return nil, errs.New(errs.Malformed, "pids: invalid line %q", strings.TrimSpace(line))
 		}
 		pids[name] = pid
 	}
@@ -33,7 +33,8 @@
 // Kill sends SIGKILL to the named process of the fleet. Failures: those of PID.
 func Kill(dir, name string) error { return errs.Pass(Signal(dir, name, unix.SIGKILL), "kill") }
 
-// Signal sends a signal to the named process of the fleet, if the pid still is that process. Failures: those of PID.
+// Signal sends a signal to the named process of the fleet, after PID has checked that it still runs. Failures: those of
+// PID.
 func Signal(dir, name string, sig unix.Signal) error {
 	pid, err := PID(dir, name)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return errs.Wrap(unix.Kill(pid, sig), errs.Unknown, "signal %s, pid %d", name, pid)
 }
 
-// PID returns the pid of a node that runs: the process with the pid of DIR/pids must have the command line of
-// DIR/start. Failures: Disk, Malformed, Unknown (no such process any more).
+// PID returns the pid of the named process. It checks that the process with the pid in DIR/pids has the command line in
+// DIR/start, because the system may have reused the pid. Failures: Disk, Malformed, Unknown (the process does not run).
 func PID(dir, name string) (int, error) {
 	pids, err := PIDs(dir)
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 	starts, err := os.ReadFile(filepath.Join(dir, "start"))
 	if err != nil {
-		return 0, errs.Wrap(err, errs.Disk, "start lines of the fleet")
+		return 0, errs.Wrap(err, errs.Disk, "command lines of the fleet")
 	}
 	argv, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/cmdline")
 	if err != nil {
@@ -63,7 +64,7 @@
 	}
 	line := name + " " + strings.Join(strings.Split(strings.TrimRight(string(argv), "\x00"), "\x00"), " ")
 	if !strings.Contains("\n"+string(starts), "\n"+line+"\n") {
-		return 0, errs.New(errs.Unknown, "pid %d is not %s any more", pid, name)
+		return 0, errs.New(errs.Unknown, "pid %d no longer belongs to %s", pid, name)
 	}
 	return pid, nil
 }
--- a/internal/testbed/fleet/shape.go
+++ b/internal/testbed/fleet/shape.go
@@ -2,34 +2,35 @@
 
 import "crosstide/internal/errs"
 
-// Shape is what a fleet is made of.
+// Shape is the size and composition of a fleet.
 type Shape struct {
 	ControlPlanes   int
 	DataPlanes      int
-	Workers         int // with a process of their own
+	Workers         int // each with its own process
 	Zones           int
 	Cores           int    // of each worker
-	Kind            string // of the workers: policyworker.KindObey, KindCheck, or "mixed" for both in turn
-	Bin             string // folder of the programs
+	Kind            string // of the workers: policyworker.KindObey, KindCheck, or "mixed": the two alternate
+	Bin             string // folder with the programs
 	Proxied         bool   // all calls between nodes go through a network proxy
-	SharedWorkers   int    // that share processes
-	SharedProcesses int    // the processes that these share
-	Profile         string // a deployment's name, see WithProfile; empty: none
-	FailingWorkers  int    // the first ones fail every run
+	SharedWorkers   int    // workers that share processes
+	SharedProcesses int    // processes of the shared workers
+	Profile         string // name of a deployment, see WithProfile; empty: none
+	FailingWorkers  int    // how many workers, the first ones, fail every run
 }
 
 // Check validates a shape. Failure: Invalid.
 func (s Shape) Check() error {
 	switch {
 	case s.ControlPlanes < 1 || s.DataPlanes < 1 || s.Workers < 0:
-		return errs.Field(errs.Invalid, "nodes", "at least one cplane and one dplane are needed")
+		return errs.Field(errs.Invalid, "nodes",
+			"need at least one cplane and one dplane, and no negative number of minions")
 	case s.Zones < 1 || s.Cores < 1:
 		return errs.Field(errs.Invalid, "zones", "zones and cores must be at least 1")
 	case s.SharedWorkers < 0 || s.SharedWorkers > 0 && (s.SharedProcesses < 1 || s.SharedWorkers < 2*s.SharedProcesses):
-		return errs.Field(errs.Invalid, "hollow", "%d hollow minions cannot share %d processes", s.SharedWorkers,
-			s.SharedProcesses)
+		return errs.Field(errs.Invalid, "hollow", "%d hollow minions cannot share %d processes: each needs at least 2",
+			s.SharedWorkers, s.SharedProcesses)
 	case s.SharedWorkers > 0 && s.Proxied:
-		return errs.Field(errs.Invalid, "hollow", "hollow minions take no links")
+		return errs.Field(errs.Invalid, "hollow", "hollow minions cannot be combined with links")
 	case s.Kind != "obey" && s.Kind != "check" && s.Kind != mixedKinds:
 		return errs.Field(errs.Invalid, "kind", "is %q, must be obey, check or mixed", s.Kind)
 	}
@@ -46,7 +47,7 @@
 	return s.Kind
 }
 
-// linkCount returns the number of links: among the daemons, and between data planes and workers; 0 without a proxy.
+// linkCount returns the number of links between daemons and between data planes and workers, or 0 without a proxy.
 func (s Shape) linkCount() int {
 	if !s.Proxied {
 		return 0
@@ -55,7 +56,7 @@
 	return daemons*(daemons-1) + 2*s.DataPlanes*s.Workers
 }
 
-// processCount returns the number of processes with a port, the proxy not counted.
+// processCount returns the number of processes that need a port, without the proxy.
 func (s Shape) processCount() int {
 	n := s.ControlPlanes + s.DataPlanes + s.Workers
 	if s.SharedWorkers > 0 {
@@ -64,7 +65,7 @@
 	return n
 }
 
-// workersIn returns how many of the shared workers are in shared process i.
+// workersIn returns how many workers run in shared process i.
 func (s Shape) workersIn(i int) int {
 	n := s.SharedWorkers / s.SharedProcesses
 	if i < s.SharedWorkers%s.SharedProcesses {
@@ -73,21 +74,22 @@
 	return n
 }
 
-// activationWorkers is how many workers of the deployment mamlaka are for activation.
-const activationWorkers = 29 // the first ones; the others are for reconciliation
+// activationWorkers is how many workers of the deployment mamlaka, the first ones, are for activation. The others are
+// for reconciliation.
+const activationWorkers = 29
 
-// profiles are the two deployments of the brief at their own sizes.
+// profiles holds the two deployments of the brief at full size.
 var profiles = map[string]Shape{
-	// one region of three zones; the tracking service on 48 workers of 16 cores, eight to a rack, that start
-	// whatever they are ordered to
+	// One region of three zones. The tracking service has 48 workers of 16 cores, eight to a rack, which start
+	// whatever they are ordered to.
 	"lubra": {ControlPlanes: 5, DataPlanes: 9, Workers: 48, Zones: 3, Cores: 16, Kind: "obey"},
-	// one region of four zones; activation on 29 workers of 64 cores with GPUs, reconciliation on 19 of 16 cores;
-	// they refuse what does not fit
+	// One region of four zones. Activation has 29 workers of 64 cores with GPUs, reconciliation 19 of 16 cores; they
+	// refuse orders that do not fit.
 	"mamlaka": {ControlPlanes: 5, DataPlanes: 8, Workers: 48, Zones: 4, Cores: 16, Kind: "check"},
 }
 
-// WithProfile returns the shape of a deployment by name. Only Bin, Proxied, FailingWorkers and SharedProcesses are
-// those of s. Failure: Invalid.
+// WithProfile returns the shape of the named deployment, with Bin, Proxied, FailingWorkers and SharedProcesses taken
+// from s. Failure: Invalid.
 func (s Shape) WithProfile(name string) (Shape, error) {
 	p, ok := profiles[name]
 	if !ok {
@@ -98,7 +100,7 @@
 	return p, nil
 }
 
-// setResources sets the size and the labels of worker i.
+// setResources sets the cores, GPUs and labels of worker i.
 func (s Shape) setResources(i int, worker *Node) {
 	worker.Cores = s.Cores
 	if s.Profile != "mamlaka" {
--- a/internal/testbed/fleet/status.go
+++ b/internal/testbed/fleet/status.go
@@ -16,34 +16,35 @@
 	readTimeout  = 2 * time.Second
 )
 
-// Leaders is the answer of GET /v1/who: the nodes that lead the store and hold the scheduler role; empty: unknown.
+// Leaders is the answer of GET /v1/who: the leader of the store and the holder of the scheduler role. Empty means
+// unknown.
 type Leaders struct {
 	Store     string `json:"store"`
 	Scheduler string `json:"sched"`
 }
 
-// FindLeaders asks the control planes in turn and returns the first answer that names both leaders, else the last one.
-// Failure: Unavailable, if none answers.
+// FindLeaders asks one control plane after another and returns the first answer that names both leaders, or else the
+// last answer. Failure: Unavailable (none answered).
 func FindLeaders(ctx context.Context, c *Caller, n Nodes) (Leaders, error) {
 	var last Leaders
-	err := errs.New(errs.Unavailable, "no cplane tells who leads")
+	err := errs.New(errs.Unavailable, "no cplane answered GET /v1/who")
 	for _, node := range n.ControlPlanes {
 		reply, callErr := c.Call(ctx, http.MethodGet, node.Addr, "/v1/who", nil, readTimeout)
-		var got Leaders
-		if callErr != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &got) != nil {
+		var leaders Leaders
+		if callErr != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &leaders) != nil {
 			continue
 		}
-		got.Store, _, _ = strings.Cut(got.Store, "~") // a repaired node's ID is NAME~INCARNATION
-		if got.Store != "" && got.Scheduler != "" {
-			return got, nil
+		leaders.Store, _, _ = strings.Cut(leaders.Store, "~") // a repaired node's ID is NAME~INCARNATION
+		if leaders.Store != "" && leaders.Scheduler != "" {
+			return leaders, nil
 		}
-		last, err = got, nil
+		last, err = leaders, nil
 	}
 	return last, err
 }
 
-// NotReady returns the names of the nodes that are not ready: control and data planes whose /readyz is not 200, workers
-// without an incarnation in the store.
+// NotReady returns the names of the nodes that are not ready: control and data planes whose /readyz does not answer
+// 200, and workers without an incarnation in the store.
 func NotReady(ctx context.Context, c *Caller, n Nodes) []string {
 	var notReady []string
 	for _, node := range slices.Concat(n.ControlPlanes, n.DataPlanes) {
@@ -52,17 +53,17 @@
 			notReady = append(notReady, node.Name)
 		}
 	}
-	isKnown := knownWorkers(ctx, c, n)
+	hasIncarnation := registeredWorkers(ctx, c, n)
 	for _, node := range n.Workers {
-		if !isKnown[node.Name] {
+		if !hasIncarnation[node.Name] {
 			notReady = append(notReady, node.Name)
 		}
 	}
 	return notReady
 }
 
-// knownWorkers returns, by name, whether the first control plane that answers has an incarnation of the worker.
-func knownWorkers(ctx context.Context, c *Caller, n Nodes) map[string]bool {
+// registeredWorkers returns by name, from the first control plane that answers, whether a worker has an incarnation.
+func registeredWorkers(ctx context.Context, c *Caller, n Nodes) map[string]bool {
 	for _, node := range n.ControlPlanes {
 		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/v1/minions", nil, readTimeout)
 		if err == nil && reply.IsSuccess() {
@@ -73,7 +74,7 @@
 }
 
 // parseWorkers parses the answer of GET /v1/minions, which is a list or an object with the list under "minions". It
-// returns, by name, whether the worker has an incarnation.
+// returns by name whether a worker has an incarnation.
 func parseWorkers(body []byte) map[string]bool {
 	type worker struct {
 		Name        string `json:"name"`
