--- a/internal/testbed/load/arrivals.go
+++ b/internal/testbed/load/arrivals.go
@@ -9,20 +9,20 @@
 	"crosstide/internal/state"
 )
 
-// arrival is one job that is to be submitted. All its random values are drawn from the load's seed.
+// arrival is one job to submit. All its random values are drawn from the seed of the load.
 type arrival struct {
 	at          time.Duration // since the start of the load
 	spec        state.Spec
-	cancelAfter time.Duration // after it was accepted; below 0: never
-	isRepeated  bool          // it is submitted once more at another node
-	seed        uint64        // of the choice of nodes
+	cancelAfter time.Duration // from its acceptance to its cancel; negative: never
+	isRepeated  bool          // it is submitted a second time, at another node
+	seed        uint64        // for the choice of nodes
 }
 
-// countInterval is the time between two arrivals of a load of Options.Count jobs.
+// countInterval is the time between two arrivals of a load with Options.Count.
 const countInterval = 20 * time.Millisecond
 
-// planArrivals returns the arrivals of a load in order: the same seed makes the same ones. The order of the draws is
-// part of that: a draw that is added or moved changes the load of every seed.
+// planArrivals returns the arrivals of a load in order of time. They depend on the options and the seed only. A random
+// draw that is added or moved here changes the arrivals of every seed.
 func planArrivals(o Options) []arrival {
 	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	program := programOf(o)
@@ -49,7 +49,7 @@
 	}
 }
 
-// programOf returns the program of a task on a stand-in worker.
+// programOf returns the program of every task, which a stand-in worker executes.
 func programOf(o Options) []byte {
 	ms := o.TaskDuration.Milliseconds()
 	if o.LongRunning {
@@ -57,12 +57,12 @@
 	}
 	program, err := json.Marshal(map[string]any{"ms": ms, "ok": true})
 	if err != nil {
-		panic(err) // a number and a bool
+		panic(err) // cannot happen: a number and a bool
 	}
 	return program
 }
 
-// specOf returns the nth job of a load, whose steps run one after the other.
+// specOf returns the nth job of a load. Its steps run one after the other.
 func specOf(o Options, nth int, program []byte) state.Spec {
 	spec := state.Spec{Key: fmt.Sprintf("%s-%d", o.Prefix, nth), Team: o.Team, Queue: o.Queue}
 	for i := range o.Steps {
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -1,10 +1,10 @@
-// Package load is the load generator of the testbed: clients that submit jobs to a fleet in an open loop, at a rate
-// that does not depend on the answers. Each job is submitted, submitted again after a lost answer, polled to its end,
-// and journaled; package audit checks the fleet by these journals.
+// Package load is the load generator of the testbed. Its clients submit jobs to a fleet in an open loop, that is at a
+// rate that does not depend on the answers. Each job is submitted, with retries after lost answers, polled until it
+// ends, and journaled; package audit checks the fleet against these journals.
 //
-// Run plans all arrivals from the seed (arrivals.go), starts each at its time (generator.go) and follows it on a
-// goroutine of its own (job.go); at the end it reads the workers' journals and reports (report.go). RunProfile runs
-// the kinds of work of a deployment at once (profile.go). The package judges no fleet.
+// Run plans all arrivals from the seed (arrivals.go), starts each at its time (generator.go) and follows each job on
+// its own goroutine (job.go). At the end it reads the workers' journals and returns a Report (report.go). RunProfile
+// runs all kinds of work of a deployment at once (profile.go). The package checks no invariants.
 package load
 
 import (
@@ -27,7 +27,7 @@
 
 const (
 	connsPerNode = 256
-	pollBurst    = 50 // polls that may go out at once
+	pollBurst    = 50 // polls that may exceed Options.MaxPollsPerSecond at once
 )
 
 // Caller sends one call to a node (*fleet.Caller). It may be called from many goroutines.
@@ -35,24 +35,25 @@
 	Call(ctx context.Context, method, addr, path string, in any, timeout time.Duration) (fleet.Reply, error)
 }
 
-// generator is one load in progress. All but what its mutex guards is fixed before the first job starts.
+// generator is one load in progress. The fields above mu do not change after the first job has started.
 type generator struct {
 	options  Options
 	caller   Caller
-	nodes    []fleet.Node // data planes that jobs are submitted to
+	nodes    []fleet.Node // the data planes, which serve the clients
 	clock    clock.Clock
 	polls    *rate.Limiter
-	journals []*journal.Writer // one for each client
+	journals []*journal.Writer // one per client
 
 	mu         sync.Mutex
 	counts     Report
-	accept     *latency.Histogram // from a job's arrival until it was accepted
-	acceptedAt map[string]int64   // by the job's key, Unix ns
-	err        error              // the first failure of a journal
+	accept     *latency.Histogram // from a job's arrival to its acceptance
+	acceptedAt map[string]int64   // Unix ns, by the job's key
+	err        error              // the first error of a journal
 }
 
-// Run offers the load of options to the data planes of the fleet in options.Dir and waits for the ends of what was
-// accepted. The Report is complete also when ctx ends early. Failures: Invalid, Disk. Example:
+// Run submits the jobs of a load to the data planes of the fleet in options.Dir and waits until the accepted ones have
+// ended, at most for EndTimeout after Duration. The Report is complete even if ctx ends early. Failures: Invalid,
+// Settings (the fleet has no data plane), Malformed, Disk. Example:
 //
 //	report, err := load.Run(ctx, load.Options{Dir: dir, Rate: 20, Duration: 20 * time.Second,
 //		TaskDuration: 100 * time.Millisecond})
@@ -92,10 +93,10 @@
 		accept: latency.New(), acceptedAt: map[string]int64{}}
 }
 
-// newPrefix returns a prefix of keys that no earlier load had.
+// newPrefix returns a key prefix made from the time, so that no earlier load used it.
 func newPrefix() string { return "l" + strconv.FormatInt(time.Now().UnixMilli(), 36) }
 
-// run starts every job at its time, whether or not earlier ones were answered, and waits for all.
+// run starts every job at its time, without waiting for answers to earlier ones, and then waits for all of them.
 func (g *generator) run(ctx context.Context, arrivals []arrival) {
 	began := g.clock.Now()
 	ctx, stop := context.WithCancel(ctx)
@@ -116,7 +117,7 @@
 	})
 }
 
-// count changes the report under the mutex.
+// count calls change on the counts with the mutex held.
 func (g *generator) count(change func(r *Report)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/load/generator_test.go
+++ b/internal/testbed/load/generator_test.go
@@ -18,61 +18,65 @@
 	"crosstide/internal/testbed/testclock"
 )
 
-// script answers with each of answers in turn, then with the last one; nil is a lost answer.
-type script struct {
+// scriptedCaller returns the nth of answers to the nth call, and the last one to every later call; nil is a lost
+// answer.
+type scriptedCaller struct {
 	answers []*fleet.Reply
 	calls   []string
 }
 
-func (s *script) Call(_ context.Context, method, addr, path string, _ any, _ time.Duration) (fleet.Reply, error) {
-	s.calls = append(s.calls, method+" "+addr+path)
-	a := s.answers[min(len(s.calls), len(s.answers))-1]
-	if a == nil {
+func (c *scriptedCaller) Call(_ context.Context, method, addr, path string, _ any,
+	_ time.Duration) (fleet.Reply, error) {
+	c.calls = append(c.calls, method+" "+addr+path)
+	answer := c.answers[min(len(c.calls), len(c.answers))-1]
+	if answer == nil {
 		return fleet.Reply{}, errs.New(errs.Timeout, "lost")
 	}
-	return *a, nil
+	return *answer, nil
 }
 
-func reply(status int, after time.Duration, phase state.JobPhase) *fleet.Reply {
+func reply(status int, retryAfter time.Duration, phase state.JobPhase) *fleet.Reply {
 	body, err := json.Marshal(map[string]any{"state": phase})
 	So(err, ShouldBeNil)
-	return &fleet.Reply{Status: status, RetryAfter: after, Body: body}
+	return &fleet.Reply{Status: status, RetryAfter: retryAfter, Body: body}
 }
 
 func TestLoad(t *testing.T) {
-	follow := func(of arrival, answers ...*fleet.Reply) (*generator, *script, *testclock.Elapsing, []string) {
-		o := Options{Dir: t.TempDir(), Rate: 1, Duration: time.Second}
-		So(o.SetDefaults(), ShouldBeNil)
-		writer, err := journal.Open(filepath.Join(o.Dir, "journal", "consumer-1.jsonl"))
+	// follow runs one job to its end. It returns the journal as the event and state of each line.
+	follow := func(next arrival, answers ...*fleet.Reply) (*generator, *scriptedCaller, *testclock.Elapsing,
+		[]string) {
+		options := Options{Dir: t.TempDir(), Rate: 1, Duration: time.Second}
+		So(options.SetDefaults(), ShouldBeNil)
+		writer, err := journal.Open(filepath.Join(options.Dir, "journal", "consumer-1.jsonl"))
 		So(err, ShouldBeNil)
 		defer writer.Close()
-		caller, clock := &script{answers: answers}, &testclock.Elapsing{}
-		l := newGenerator(o, caller, clock, []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}})
-		l.polls = rate.NewLimiter(rate.Inf, 1)
-		of.spec = state.Spec{Key: "k"}
-		l.follow(context.Background(), writer, of, 0)
-		var evs []string
-		for line, err := range journal.Lines(o.Dir) {
+		caller, clock := &scriptedCaller{answers: answers}, &testclock.Elapsing{}
+		g := newGenerator(options, caller, clock, []fleet.Node{{Name: "d1", Addr: "1"}, {Name: "d2", Addr: "2"}})
+		g.polls = rate.NewLimiter(rate.Inf, 1)
+		next.spec = state.Spec{Key: "k"}
+		g.follow(context.Background(), writer, next, 0)
+		var entries []string
+		for line, err := range journal.Lines(options.Dir) {
 			So(err, ShouldBeNil)
 			var e Entry
 			So(json.Unmarshal(line.Raw, &e), ShouldBeNil)
-			evs = append(evs, e.Event+" "+e.State)
+			entries = append(entries, e.Event+" "+e.State)
 		}
-		return l, caller, clock, evs
+		return g, caller, clock, entries
 	}
 
-	Convey("The same seed makes the same offers, about as many as the rate asks for, all within the duration", t, func() {
-		o := Options{Rate: 50, Duration: 20 * time.Second, Seed: 7, Steps: 2, Prefix: "p",
+	Convey("The same seed plans the same arrivals, about as many as the rate demands, all within the duration", t, func() {
+		options := Options{Rate: 50, Duration: 20 * time.Second, Seed: 7, Steps: 2, Prefix: "p",
 			CancelProbability: 0.5, DuplicateProbability: 0.1}
-		So(o.SetDefaults(), ShouldBeNil)
-		offers := planArrivals(o)
-		So(planArrivals(o), ShouldResemble, offers)
-		So(len(offers), ShouldBeBetween, 900, 1100)
-		So(offers[len(offers)-1].at, ShouldBeLessThan, o.Duration)
-		So(offers[3].spec.Steps[1].After, ShouldResemble, []string{"s1"})
+		So(options.SetDefaults(), ShouldBeNil)
+		arrivals := planArrivals(options)
+		So(planArrivals(options), ShouldResemble, arrivals)
+		So(len(arrivals), ShouldBeBetween, 900, 1100)
+		So(arrivals[len(arrivals)-1].at, ShouldBeLessThan, options.Duration)
+		So(arrivals[3].spec.Steps[1].After, ShouldResemble, []string{"s1"})
 	})
 
-	Convey("A job goes to node after node, after Retry-After, until accepted, and is then polled to its end", t, func() {
+	Convey("A job goes to other nodes, after Retry-After, until accepted, and is then polled to its end", t, func() {
 		l, caller, clock, evs := follow(arrival{cancelAfter: -1}, nil, reply(503, 2*time.Second, ""),
 			reply(202, 0, "accepted"), reply(200, 0, "running"), reply(503, 0, ""), reply(200, 0, "running"),
 			reply(404, 0, ""), reply(200, 0, "done"))
@@ -85,7 +89,7 @@
 		So(r.Overloaded, ShouldResemble, map[string]int{"lost": 1, "status 503": 1})
 	})
 
-	Convey("A call refused for good is not repeated; one without an answer is given up in time", t, func() {
+	Convey("A call refused permanently is not retried; one without an answer is given up after the timeout", t, func() {
 		l, caller, _, evs := follow(arrival{cancelAfter: -1}, reply(422, 0, ""))
 		So(len(caller.calls), ShouldEqual, 1)
 		So(evs, ShouldResemble, []string{"submit ", "refused "})
@@ -95,7 +99,7 @@
 		So(clock.Now(), ShouldBeBetween, 20*time.Second, 31*time.Second)
 	})
 
-	Convey("A job is submitted once more at another node; a cancel is journaled when it is acknowledged", t, func() {
+	Convey("A job is submitted a second time at another node; a cancel is journaled when it is acknowledged", t, func() {
 		l, caller, _, evs := follow(arrival{cancelAfter: time.Millisecond, isRepeated: true}, reply(202, 0, "accepted"),
 			reply(200, 0, "accepted"), nil, reply(202, 0, "stopping"), reply(200, 0, "cancelled"))
 		So(evs, ShouldResemble, []string{"submit ", "accepted accepted", "again accepted", "cancel ",
--- a/internal/testbed/load/job.go
+++ b/internal/testbed/load/job.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	callTimeout       = 5 * time.Second        // of one call
-	firstPollInterval = 200 * time.Millisecond // before the first poll; it grows by half with every poll
+	callTimeout       = 5 * time.Second        // for one call
+	firstPollInterval = 200 * time.Millisecond // before the first poll; grows by half with every poll
 	maxPollInterval   = 3 * time.Second
-	minBackoff        = 50 * time.Millisecond // before another node is tried without a Retry-After; it doubles
-	maxBackoff        = 3 * time.Second       // of a Retry-After, too
+	minBackoff        = 50 * time.Millisecond // before a retry without a Retry-After; doubles with every attempt
+	maxBackoff        = 3 * time.Second       // also limits a Retry-After
 )
 
-// lost is the reason of a call that was never answered: it may have been carried out all the same.
-const lost = "lost"
+// reasonLost is the reason of a call without an answer: the node may still have carried it out.
+const reasonLost = "lost"
 
-// job is one job as its client sees it. It belongs to the goroutine that follows it.
+// job is the client's view of one job. Only the goroutine that follows the job uses it.
 type job struct {
 	*generator
 	arrival
 	writer *journal.Writer
 	rng    *rand.Rand
-	node   int // index of the node that was tried last
+	node   int // index of the node of the current or last call
 }
 
-// follow submits a job, perhaps once more after its acceptance, polls it to its end and perhaps cancels it. due is when
-// it arrived, on the generator's clock.
+// follow submits a job, submits it a second time if it isRepeated, polls it until it ends, and cancels it after its
+// cancelAfter. due is the time of its arrival on the generator's clock.
 func (g *generator) follow(ctx context.Context, writer *journal.Writer, next arrival, due time.Duration) {
 	j := &job{generator: g, arrival: next, writer: writer, rng: rand.New(rand.NewPCG(next.seed, 2))}
 	j.node = j.rng.IntN(len(g.nodes))
@@ -51,7 +51,7 @@
 	j.pollToEnd(ctx, cancelAt)
 }
 
-// submit offers the job to the nodes until one accepts it. It returns false if the job was given up.
+// submit submits the job to one node after another until one accepts it. It returns false if the job was given up.
 func (j *job) submit(ctx context.Context, due time.Duration) bool {
 	j.record(Entry{Event: Submit, Node: j.nodeName(), Team: j.spec.Team, Queue: j.spec.Queue})
 	reply, reason := j.callUntilAnswered(ctx, http.MethodPost, "/v1/jobs", j.spec)
@@ -71,7 +71,7 @@
 	return true
 }
 
-// resubmit submits the job once more at another node: it must be the same job.
+// resubmit submits the accepted job a second time, at another node, which must answer for the same job.
 func (j *job) resubmit(ctx context.Context) {
 	j.switchNode()
 	reply, reason := j.callUntilAnswered(ctx, http.MethodPost, "/v1/jobs", j.spec)
@@ -84,10 +84,10 @@
 	})
 }
 
-// pollToEnd polls until the job has ended; from cancelAt on (below 0: never) it cancels first. Of the polls only a
-// state that is new, and each that found no job, is journaled.
+// pollToEnd polls until the job has ended, and cancels it at cancelAt (negative: never). It journals a poll only if the
+// state differs from the last one, or if the answer was a 404.
 func (j *job) pollToEnd(ctx context.Context, cancelAt time.Duration) {
-	seen, wasMissing := "", false
+	lastState, wasMissing := "", false
 	for interval := firstPollInterval; ; interval = min(interval*3/2, maxPollInterval) {
 		wait := interval
 		if cancelAt >= 0 {
@@ -98,25 +98,25 @@
 			return
 		}
 		cancelAt = j.cancelWhenDue(ctx, cancelAt)
-		found, status, isAnswered := j.poll(ctx)
+		jobState, status, isAnswered := j.poll(ctx)
 		if !isAnswered {
 			continue
 		}
-		wasMissing = wasMissing || found == Missing
-		if found == seen && found != Missing {
+		wasMissing = wasMissing || jobState == Missing
+		if jobState == lastState && jobState != Missing {
 			continue
 		}
-		seen = found
-		j.record(Entry{Event: Poll, Node: j.nodeName(), State: found, Status: status})
-		if phase := state.JobPhase(found); phase.IsTerminal() {
+		lastState = jobState
+		j.record(Entry{Event: Poll, Node: j.nodeName(), State: jobState, Status: status})
+		if phase := state.JobPhase(jobState); phase.IsTerminal() {
 			j.count(func(r *Report) { r.addEnd(phase, wasMissing) })
 			return
 		}
 	}
 }
 
-// cancelWhenDue cancels the job if cancelAt is over. It returns when the job is to be cancelled: below 0 if it is not,
-// or was.
+// cancelWhenDue cancels the job if cancelAt has passed. It returns the time at which the job still has to be cancelled,
+// which is negative if it need not be, or no longer.
 func (j *job) cancelWhenDue(ctx context.Context, cancelAt time.Duration) time.Duration {
 	if cancelAt < 0 || j.clock.Now() < cancelAt {
 		return cancelAt
@@ -130,9 +130,9 @@
 	return -1
 }
 
-// poll asks a random node for the job's state, which is Missing after a 404. isAnswered is false after any other
-// refusal and a lost answer: neither proves anything about the job.
-func (j *job) poll(ctx context.Context) (found string, status int, isAnswered bool) {
+// poll asks a random node for the job's state, which is Missing if the answer is a 404. isAnswered is false after any
+// other refusal and after a lost answer, because neither proves anything about the job.
+func (j *job) poll(ctx context.Context) (jobState string, status int, isAnswered bool) {
 	j.node = j.rng.IntN(len(j.nodes))
 	addr, path := j.nodes[j.node].Addr, "/v1/jobs/"+j.spec.Key
 	reply, err := j.caller.Call(ctx, http.MethodGet, addr, path, nil, callTimeout)
@@ -146,27 +146,27 @@
 	return "", 0, false
 }
 
-// callUntilAnswered sends a call that may be repeated to one node after another until it is answered for good or
-// the submit timeout is over; reason is the kind of the last refusal, "" after a success.
+// callUntilAnswered sends an idempotent call to one node after another until it gets a final answer or SubmitTimeout
+// has passed. reason is the kind of the last refusal, or "" after a success.
 func (j *job) callUntilAnswered(ctx context.Context, method, path string, in any) (reply fleet.Reply, reason string) {
 	deadline := j.clock.Now() + j.options.SubmitTimeout
 	for backoff := minBackoff; ; backoff = min(backoff*2, maxBackoff) {
-		got, err := j.caller.Call(ctx, method, j.nodes[j.node].Addr, path, in, callTimeout)
+		answer, err := j.caller.Call(ctx, method, j.nodes[j.node].Addr, path, in, callTimeout)
 		switch {
 		case err != nil:
-			reason = lost
-		case got.IsSuccess():
-			return got, ""
+			reason = reasonLost
+		case answer.IsSuccess():
+			return answer, ""
 		default:
-			reply, reason = got, got.ErrorKind()
-			if !isTransient(got.Status) {
+			reply, reason = answer, answer.ErrorKind()
+			if !isTransient(answer.Status) {
 				return reply, reason
 			}
 		}
 		j.count(func(r *Report) { r.Overloaded[reason]++ })
 		wait := time.Duration((0.5 + j.rng.Float64()) * float64(backoff))
-		if err == nil && got.RetryAfter > 0 {
-			wait = min(got.RetryAfter, maxBackoff)
+		if err == nil && answer.RetryAfter > 0 {
+			wait = min(answer.RetryAfter, maxBackoff)
 		}
 		if j.clock.Now()+wait > deadline || !j.sleep(ctx, wait) {
 			return reply, reason
@@ -176,7 +176,7 @@
 	}
 }
 
-// isTransient reports whether another attempt, or another node, may answer the same call otherwise.
+// isTransient reports whether a retry, or another node, may give another answer to the same call.
 func isTransient(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusBadGateway,
@@ -188,14 +188,14 @@
 
 func (j *job) nodeName() string { return j.nodes[j.node].Name }
 
-// switchNode picks another node for the next call, if there is one.
+// switchNode picks another node at random for the next call, if there is one.
 func (j *job) switchNode() {
 	if n := len(j.nodes); n > 1 {
 		j.node = (j.node + 1 + j.rng.IntN(n-1)) % n
 	}
 }
 
-// record journals an event of the job and returns its time, Unix ns.
+// record journals an event of the job and returns its time in Unix ns.
 func (j *job) record(e Entry) int64 {
 	e.At, e.Job = j.clock.Wall().UnixNano(), j.spec.Key
 	if err := j.writer.Append(e); err != nil {
@@ -208,7 +208,7 @@
 	return e.At
 }
 
-// stateOf returns the job's state in an answer, and "?" if it has none.
+// stateOf returns the job's state in an answer, or "?" if the answer has none.
 func stateOf(r fleet.Reply) string {
 	var view struct{ State string }
 	if json.Unmarshal(r.Body, &view) != nil || view.State == "" {
@@ -217,7 +217,7 @@
 	return view.State
 }
 
-// stepsOf returns what the audit must know of a job's steps.
+// stepsOf returns what the audit needs of a job's steps.
 func stepsOf(spec state.Spec) []Step {
 	var steps []Step
 	for _, s := range spec.Steps {
--- a/internal/testbed/load/profile.go
+++ b/internal/testbed/load/profile.go
@@ -11,7 +11,7 @@
 	"crosstide/internal/routine"
 )
 
-// profiles are the kinds of work of the brief's two deployments, at their rates.
+// profiles holds the kinds of work of the brief's two deployments, by deployment and kind, at the brief's rates.
 var profiles = map[string]map[string]Options{
 	"lubra": {
 		"scan": {Rate: 15, Type: "scan", Team: "tracking", Tasks: 2, TaskDuration: 400 * time.Millisecond, Retries: 5,
@@ -32,12 +32,12 @@
 	},
 }
 
-// clientsPerKind is how many clients each kind of work of a profile has.
+// clientsPerKind is the number of clients of each kind of work in a profile.
 const clientsPerKind = 2
 
-// RunProfile runs all kinds of work of a deployment at once, at scale times the brief's rates. Of common only Dir,
-// Duration, EndTimeout, SubmitTimeout, Seed and Prefix are used. It returns a report by kind. Failure: Invalid.
-// Example:
+// RunProfile runs all kinds of work of a deployment at once, with the brief's rates multiplied by scale. Of common it
+// uses only Dir, Duration, EndTimeout, SubmitTimeout, Seed and Prefix. It returns a report for each kind. Failures:
+// Invalid and those of Run. Example:
 //
 //	reports, err := load.RunProfile(ctx, "lubra", 1, load.Options{Dir: dir, Duration: time.Minute})
 func RunProfile(ctx context.Context, name string, scale float64, common Options) (map[string]Report, error) {
@@ -47,7 +47,7 @@
 		return nil, errs.Field(errs.Invalid, "profile", "is %q, must be one of %v", name, known)
 	}
 	if scale <= 0 {
-		return nil, errs.Field(errs.Invalid, "scale", "must be above 0, is %g", scale)
+		return nil, errs.Field(errs.Invalid, "scale", "is %g, must be above 0", scale)
 	}
 	if common.Prefix == "" {
 		common.Prefix = newPrefix()
--- a/internal/testbed/load/report.go
+++ b/internal/testbed/load/report.go
@@ -19,9 +19,9 @@
 	Failed      int            `json:"fault"`
 	Cancelled   int            `json:"cancelled"`
 	Unknown     int            `json:"unknown"`    // accepted, and answered 404 at least once
-	Unfinished  int            `json:"unfinished"` // accepted, and not seen to end
-	Refused     map[string]int `json:"refused"`    // given up, by the last refusal; "lost": without any answer
-	Overloaded  map[string]int `json:"overloaded"` // answers that sent a client to another node, by kind
+	Unfinished  int            `json:"unfinished"` // accepted, but no poll returned a terminal state
+	Refused     map[string]int `json:"refused"`    // given up, by reason of the last refusal; "lost": no answer
+	Overloaded  map[string]int `json:"overloaded"` // transient refusals and lost answers, by reason
 	Retries     int            `json:"retries"`
 	Polls       int            `json:"polls"`
 	Cancels     int            `json:"cancels"` // acknowledged
@@ -29,13 +29,13 @@
 	DupsRefused int            `json:"dups_refused"`
 	Seconds     float64        `json:"seconds"` // from the first arrival to the last end
 	Rate        float64        `json:"rate_offered"`
-	StartsPerS  float64        `json:"starts_per_s"` // from the first start to the last, by the workers' journals
+	StartsPerS  float64        `json:"starts_per_s"` // from the first start to the last in the workers' journals
 	Starts      int            `json:"starts"`
-	Accept      Spread         `json:"accept_ms"`          // from the arrival until it was accepted
-	ToStart     Spread         `json:"accept_to_start_ms"` // from that to the first start of the job
+	Accept      Spread         `json:"accept_ms"`          // from the arrival of a job to its acceptance
+	ToStart     Spread         `json:"accept_to_start_ms"` // from the acceptance to the first start of the job
 }
 
-// Spread is a distribution in milliseconds.
+// Spread holds the quantiles of a distribution in milliseconds.
 type Spread struct {
 	P50   float64 `json:"p50"`
 	P90   float64 `json:"p90"`
@@ -44,13 +44,13 @@
 	Count int64   `json:"count"`
 }
 
-// AllDone reports whether jobs were accepted, all of them are done, and none was ever unknown.
+// AllDone reports whether jobs were accepted, all of them are done, and no poll of one was answered 404.
 func (r Report) AllDone() bool {
 	return r.Accepted > 0 && r.Done == r.Accepted && r.Unknown == 0
 }
 
-// addEnd counts an accepted job by the phase in which it was last seen. wasMissing reports whether a poll ever did not
-// find it.
+// addEnd counts an accepted job by its terminal phase, or as unfinished if phase is not terminal. wasMissing reports
+// whether a poll of the job was ever answered 404.
 func (r *Report) addEnd(phase state.JobPhase, wasMissing bool) {
 	switch phase {
 	case state.JobDone:
@@ -73,7 +73,7 @@
 		Max: ms(h.Max()), Count: h.Count()}
 }
 
-// report completes the counts with the starts of this load's jobs, by the workers' journals.
+// report completes the counts with the starts of this load's jobs, which it reads from the workers' journals.
 func (g *generator) report() (Report, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,7 +88,7 @@
 		}
 		e, err := line.Entry()
 		if err != nil || e.Event != journal.Start {
-			continue // not a worker's
+			continue // a line of another journal
 		}
 		if _, isOurs := g.acceptedAt[e.Job]; !isOurs {
 			continue
--- a/internal/testbed/operator/entry.go
+++ b/internal/testbed/operator/entry.go
@@ -4,21 +4,21 @@
 
 // Events of an Entry.
 const (
-	Put         = "put"    // the writing of a draft was answered for good: OK, Version and SHA, or Reason
-	Sign        = "sign"   // a signature was answered for good
+	Put         = "put"    // a draft got its final answer: OK with Version and SHA, or Reason
+	Sign        = "sign"   // a signature got its final answer
 	Force       = "bundle" // a version was acknowledged as in force; Bundle is its text
-	Unanswered  = "unsure" // no answer came; Version may be in force from Sent on
-	ReadBack    = "read"   // the version in force was read back; SHA is of the bytes that came
-	NodeVersion = "has"    // Node reported its version, or (not OK) could not
+	Unanswered  = "unsure" // an order got no answer; Version, if set, may be in force from Sent on
+	ReadBack    = "read"   // the version in force was read back; SHA is the digest of the bytes read
+	NodeVersion = "has"    // Node confirmed its version, or could not if OK is false
 
 	Evacuate = "evacuate" // the evacuation of Zone was acknowledged
 	Lift     = "lift"     // the second signature for lifting it is about to be sent
 )
 
-// Entry is one line of an operator's journal, DIR/journal/operator-bundles-*.jsonl. Sent is before the call was sent,
-// At after its answer came: what was acknowledged was so between them.
+// Entry is one line of an operator's journal, DIR/journal/operator-bundles-*.jsonl. Sent is a time before the call was
+// sent, At one after its answer arrived: an acknowledged order took effect between the two.
 type Entry struct {
-	At      int64           `json:"at"` // Unix time in ns, of writing
+	At      int64           `json:"at"` // time of writing, Unix ns
 	Event   string          `json:"ev"`
 	Sent    int64           `json:"sent"`
 	Node    string          `json:"node"`
--- a/internal/testbed/operator/evacuation.go
+++ b/internal/testbed/operator/evacuation.go
@@ -10,19 +10,19 @@
 	"crosstide/internal/state/query"
 )
 
-// The duration of an evacuation is minEvacuation and up to extraEvacuationInMS, at random.
+// An evacuation lasts minEvacuation plus a random time below extraEvacuationInMS.
 const (
 	minEvacuation       = 6 * time.Second
 	extraEvacuationInMS = 4000
 )
 
-// evacuation is the evacuation of a zone, and when it is to be lifted, on the session's clock. The zero value is none.
+// evacuation is an evacuation that is in force. In the zero value no zone is evacuated.
 type evacuation struct {
 	zone  string
-	until time.Duration
+	until time.Duration // when to lift it, on the session's clock
 }
 
-// evacuateOrLift orders an evacuation, which needs one operator, or lifts the one that is due, which needs both.
+// evacuateOrLift orders an evacuation, which takes one operator, or lifts the one that is due, which takes both.
 func (o *session) evacuateOrLift(ctx context.Context, i int) {
 	if o.evacuated.zone != "" {
 		if o.clock.Now() >= o.evacuated.until {
@@ -45,8 +45,8 @@
 	o.evacuated = evacuation{zone, o.clock.Now() + minEvacuation + extra}
 }
 
-// lift lifts the open evacuation by the orders of both operators; the first alone must not lift it. If the fleet does
-// not answer, it stays open until the next turn.
+// lift lifts the evacuation by the orders of both operators; the first order alone must not lift it. If the fleet does
+// not answer, the evacuation stays in force until the next call.
 func (o *session) lift(ctx context.Context, i int) {
 	zone := o.evacuated.zone
 	since, isKnown := o.evacuatedSince(ctx, zone)
@@ -57,16 +57,16 @@
 		o.evacuated = evacuation{}
 		return
 	}
-	for k, at := range o.rng.Perm(operators) {
-		key, isLast := o.keys[at], k == operators-1
-		id := fmt.Sprintf("%s-%d-l%d", o.prefix, i, at)
-		if isLast { // before the order: starts may come from its commit on
+	for k, signer := range o.rng.Perm(operators) {
+		key, isLast := o.keys[signer], k == operators-1
+		id := fmt.Sprintf("%s-%d-l%d", o.prefix, i, signer)
+		if isLast { // before the order: runs may start as soon as it is committed
 			o.record(Entry{Event: Lift, Zone: zone, Order: id, By: key.Name})
 		}
-		var done command.ZoneEvacuation
+		var result command.ZoneEvacuation
 		entry := Entry{Event: "lifting", Order: id, By: key.Name}
-		isDone := o.zoneOrder(ctx, zone, "lift", key, signature.Lift(zone, since), entry, &done)
-		if isDone && done.Evacuated == isLast {
+		isDone := o.zoneOrder(ctx, zone, "lift", key, signature.Lift(zone, since), entry, &result)
+		if isDone && result.Evacuated == isLast {
 			o.counts.LiftsWrong++
 		}
 		if isDone && isLast {
@@ -75,8 +75,8 @@
 	}
 }
 
-// evacuatedSince returns when the evacuation of a zone began, and the zero time if it is not evacuated. isKnown is
-// false without an answer.
+// evacuatedSince returns when the evacuation of a zone began, or the zero time if it is not evacuated. isKnown is false
+// if the answer cannot be read.
 func (o *session) evacuatedSince(ctx context.Context, zone string) (since time.Time, isKnown bool) {
 	var list struct{ Zones []query.ZoneView }
 	if !o.read(ctx, o.anyControlPlane(), "/v1/zones", &list) {
@@ -90,10 +90,11 @@
 	return since, true
 }
 
-// zoneOrder sends one operator's order about a zone and reports whether it was carried out.
-func (o *session) zoneOrder(ctx context.Context, zone, verb string, key signature.Key, signed string, entry Entry,
-	done *command.ZoneEvacuation) bool {
-	body := mustEncode(map[string]string{"order": entry.Order, "by": key.Name, "sig": key.Sign(signed)})
-	_, isDone := o.order(ctx, "/v1/zones/"+zone+"/"+verb, body, entry, done, func(*Entry) {})
+// zoneOrder sends an operator's order about a zone, with a signature of message, and reports whether it was carried
+// out.
+func (o *session) zoneOrder(ctx context.Context, zone, verb string, key signature.Key, message string, entry Entry,
+	result *command.ZoneEvacuation) bool {
+	body := mustEncode(map[string]string{"order": entry.Order, "by": key.Name, "sig": key.Sign(message)})
+	_, isDone := o.order(ctx, "/v1/zones/"+zone+"/"+verb, body, entry, result, func(*Entry) {})
 	return isDone
 }
--- a/internal/testbed/operator/operator.go
+++ b/internal/testbed/operator/operator.go
@@ -1,10 +1,10 @@
-// Package operator is the testbed's stand-in for the operators of a fleet: two of them write, sign, race for and read
-// back bundles (versions of the configuration), now and then evacuate a zone, and journal the answers. Package audit
-// checks the promises to operators against these journals; this package only counts what it can see at once, in its
-// Report.
+// Package operator simulates the two operators of a fleet. They write, sign and read back bundles (versions of the
+// configuration), sometimes both on the same base at once, sometimes evacuate a zone, and journal the answers. Package
+// audit checks the invariants for operators against these journals; the Report of this package counts only those
+// violations that show in single answers.
 //
 // Run is the loop: one change after the other (change.go), each a draft and two signatures sent as orders (order.go),
-// then the checks of all nodes (rollout.go); after a change perhaps an evacuation (evacuation.go).
+// then the checks of all nodes (rollout.go), and after a change perhaps an evacuation (evacuation.go).
 package operator
 
 import (
@@ -26,46 +26,46 @@
 )
 
 const (
-	callTimeout  = 3 * time.Second        // of one call
-	retryBackoff = 100 * time.Millisecond // before another control plane is tried
-	liftAttempts = 10                     // at the end, of an evacuation that is still open
+	callTimeout  = 3 * time.Second        // for one call
+	retryBackoff = 100 * time.Millisecond // before a retry at another control plane
+	liftAttempts = 10                     // at the end of Run, for an evacuation that is still in force
 	connsPerNode = 8
 )
 
 // Options are the options of Run.
 type Options struct {
-	Dir                 string        // of the fleet
+	Dir                 string        // folder of the fleet
 	For                 time.Duration // no change begins after it
-	Seed                uint64        // of all chance; what the fleet answers, and when, is not part of it
-	Interval            time.Duration // from the end of a change to the next, on average
-	RaceProbability     float64       // that both operators write against the same base at once
-	RepeatProbability   float64       // that an order is sent once more
-	EvacuateProbability float64       // that a zone is evacuated after a change, while none is
-	InvalidProbability  float64       // that an invalid text is sent before a change
+	Seed                uint64        // for all random draws; the fleet's answers and their timing still vary
+	Interval            time.Duration // average time from the end of a change to the next one
+	RaceProbability     float64       // that both operators write a draft on the same base at once
+	RepeatProbability   float64       // that an order is sent again after its answer
+	EvacuateProbability float64       // that a zone is evacuated after a change, if none is evacuated
+	InvalidProbability  float64       // that an invalid bundle is sent before a change
 }
 
-// session is a Run in progress. Its loop runs on one goroutine; orders that are sent at the same time have goroutines
-// that use only what the mutex guards and what is fixed.
+// session is a Run in progress. Its loop runs on one goroutine. Orders that are sent at the same time have goroutines
+// of their own, which use only the fields below mu and those that do not change.
 type session struct {
 	Options
 	keys      []signature.Key // of the two operators
 	nodes     fleet.Nodes
-	zones     []string // that have workers
+	zones     []string // the zones that have workers
 	caller    *fleet.Caller
 	clock     clock.Clock
-	rng       *rand.Rand // of the loop
+	rng       *rand.Rand // for the loop
 	writer    *journal.Writer
 	prefix    string     // of the orders' IDs
-	evacuated evacuation // that is open
+	evacuated evacuation // the one in force, if any
 
 	mu           sync.Mutex
 	counts       Report
 	toEverywhere *latency.Histogram // from the acknowledgement to the last node, per change
 	toNode       *latency.Histogram // from the acknowledgement to each node
 	fromForce    *latency.Histogram // from the commit to each node
-	fromSign     *latency.Histogram // from the signature to its acknowledgement
+	fromSign     *latency.Histogram // from the last signature of a version to its acknowledgement
 	err          error              // failures of the journal
-	callRng      *rand.Rand         // of orders, several of which may be under way at once
+	callRng      *rand.Rand         // for orders, several of which may be in flight at once
 }
 
 // Run has the operators change the bundle of the fleet for options.For. Failures: Disk, Malformed, Settings. Example:
@@ -109,7 +109,7 @@
 	return o, nil
 }
 
-// run makes changes until the time is over, then lifts an evacuation that is still open.
+// run makes changes for the duration For, then lifts the evacuation that is still in force, if there is one.
 func (o *session) run(ctx context.Context) {
 	end := o.clock.Now() + o.For
 	for i := 0; o.clock.Now() < end && ctx.Err() == nil; i++ {
@@ -127,6 +127,7 @@
 	}
 }
 
+// record journals an entry with the current time.
 func (o *session) record(e Entry) {
 	e.At = o.clock.Wall().UnixNano()
 	o.mu.Lock()
@@ -134,7 +135,7 @@
 	o.err = errors.Join(o.err, o.writer.Append(e))
 }
 
-// count changes the report under the mutex.
+// count calls change on the counts with the mutex held.
 func (o *session) count(change func(r *Report)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/operator/operator_test.go
+++ b/internal/testbed/operator/operator_test.go
@@ -19,8 +19,8 @@
 	"crosstide/internal/testbed/testclock"
 )
 
-// newTestSession returns a session whose only control plane answers with each of answers in turn, then with the last
-// one.
+// newTestSession returns a session whose only control plane answers the nth call with the nth of answers, and every
+// later call with the last one.
 func newTestSession(dir string, answers ...any) *session {
 	var calls atomic.Int32
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
@@ -44,15 +44,15 @@
 		counts: Report{Refused: map[string]int{}}}
 }
 
-// entries returns the lines of the journal as event and reason.
-func entries(dir string) (out []string) {
+// entries returns the event and the reason of each line of the journal.
+func entries(dir string) (lines []string) {
 	for line, err := range journal.Lines(dir) {
 		So(err, ShouldBeNil)
 		var e Entry
 		So(json.Unmarshal(line.Raw, &e), ShouldBeNil)
-		out = append(out, e.Event+" "+e.Reason)
+		lines = append(lines, e.Event+" "+e.Reason)
 	}
-	return out
+	return lines
 }
 
 func TestOrder(t *testing.T) {
@@ -63,7 +63,7 @@
 			func(e *Entry) { e.Version = result.Version })
 		return result, isDone
 	}
-	Convey("An order is sent until it is answered for good, and journaled once", t, func() {
+	Convey("An order is sent until it gets a final answer, and journaled once", t, func() {
 		dir := t.TempDir()
 		s := newTestSession(dir, errs.New(errs.Unavailable, "on purpose"), done{Version: 3})
 		result, isDone := order(s)
@@ -78,7 +78,7 @@
 		So(s.counts.Refused, ShouldResemble, map[string]int{"conflict": 1})
 		So(entries(dir), ShouldResemble, []string{"put conflict"})
 	})
-	Convey("An order that is sent again must be answered as before", t, func() {
+	Convey("An order that is sent again must get the same answer", t, func() {
 		dir := t.TempDir()
 		s := newTestSession(dir, done{Version: 3}, done{Version: 4})
 		s.RepeatProbability = 1
@@ -94,7 +94,7 @@
 	node := func(version uint64, since, heard int64) nodeVersion {
 		return nodeVersion{Version: version, Since: time.Unix(since, 0), Heard: time.Unix(heard, 0)}
 	}
-	Convey("A version is everywhere when every node that is up has it", t, func() {
+	Convey("A rollout is complete when every node that reported recently has the version", t, func() {
 		for _, c := range []struct {
 			nodes      []nodeVersion
 			everywhere bool
@@ -103,10 +103,10 @@
 			{nil, false, 0},
 			{[]nodeVersion{node(2, 91, 100), node(2, 94, 100)}, true, 4 * time.Second},
 			{[]nodeVersion{node(2, 91, 100), node(1, 80, 99)}, false, time.Second},
-			{[]nodeVersion{node(2, 91, 100), node(1, 80, 97)}, true, time.Second}, // the second one is down
+			{[]nodeVersion{node(2, 91, 100), node(1, 80, 97)}, true, time.Second}, // the second node is down
 		} {
-			seen := rollout{Nodes: c.nodes}
-			everywhere, last := seen.reached(2, acknowledged, now)
+			r := rollout{Nodes: c.nodes}
+			everywhere, last := r.reached(2, acknowledged, now)
 			So([]any{everywhere, last}, ShouldResemble, []any{c.everywhere, c.last})
 		}
 	})
--- a/internal/testbed/operator/order.go
+++ b/internal/testbed/operator/order.go
@@ -10,18 +10,19 @@
 	"crosstide/internal/testbed/fleet"
 )
 
-// orderTimeout is how long an order is sent to one control plane after another.
+// orderTimeout limits how long an order is retried at one control plane after another.
 const orderTimeout = 30 * time.Second
 
 // answer is a final answer to an order.
 type answer struct {
 	reply    fleet.Reply
-	node     string // that answered
-	sent, at int64  // of the call and of its answer, Unix ns
+	node     string // the node that was called
+	sent, at int64  // times of the call and of its answer, Unix ns
 }
 
-// order sends an order, with the repeat probability once more after its answer. It journals each answer as entry, to
-// which complete adds what result holds. It returns the first answer and whether that was a success.
+// order sends an order, and with the RepeatProbability sends it again after its answer. It decodes a successful answer
+// into result and journals each answer as entry, to which complete adds fields of result. It returns the first answer
+// and whether that was a success.
 func (o *session) order(ctx context.Context, path string, body []byte, entry Entry, result any,
 	complete func(*Entry)) (first answer, isDone bool) {
 	times := 1
@@ -29,21 +30,21 @@
 		times = 2
 	}
 	for k := range times {
-		got, err := o.sendUntilAnswered(ctx, path, body)
+		current, err := o.sendUntilAnswered(ctx, path, body)
 		if err != nil {
 			o.count(func(r *Report) { r.Unanswered++ })
-			entry.Event, entry.Sent, entry.Node = Unanswered, got.sent, got.node
+			entry.Event, entry.Sent, entry.Node = Unanswered, current.sent, current.node
 			o.record(entry)
 			return first, isDone
 		}
-		done := o.recordAnswer(got, entry, result, complete)
+		isSuccess := o.recordAnswer(current, entry, result, complete)
 		if k == 0 {
-			first, isDone = got, done
+			first, isDone = current, isSuccess
 			continue
 		}
 		o.count(func(r *Report) {
 			r.Repeats++
-			if string(got.reply.Body) != string(first.reply.Body) || got.reply.Status != first.reply.Status {
+			if string(current.reply.Body) != string(first.reply.Body) || current.reply.Status != first.reply.Status {
 				r.RepeatsDiffer++
 			}
 		})
@@ -65,25 +66,25 @@
 	return entry.OK
 }
 
-// sendUntilAnswered sends an order to one control plane after another until it is answered for good. With the failure
-// Timeout the answer still has the node and the time of the last attempt.
+// sendUntilAnswered sends an order to one control plane after another until it gets a final answer. With the failure
+// Timeout it still returns the node and the time of the last attempt.
 func (o *session) sendUntilAnswered(ctx context.Context, path string, body []byte) (answer, error) {
 	for deadline := o.clock.Now() + orderTimeout; ; {
 		node := o.anyControlPlane()
-		got := answer{node: node.Name, sent: o.clock.Wall().UnixNano()}
+		current := answer{node: node.Name, sent: o.clock.Wall().UnixNano()}
 		reply, err := o.caller.Send(ctx, http.MethodPost, node.Addr, path, body, callTimeout)
-		got.reply, got.at = reply, o.clock.Wall().UnixNano()
+		current.reply, current.at = reply, o.clock.Wall().UnixNano()
 		if err == nil && !isTransient(reply.Status) {
-			return got, nil
+			return current, nil
 		}
 		o.count(func(r *Report) { r.Retries++ })
 		if o.clock.Now() > deadline || !o.sleep(ctx, retryBackoff) {
-			return got, errs.New(errs.Timeout, "no answer to an order in %s", orderTimeout)
+			return current, errs.New(errs.Timeout, "no answer to an order within %s", orderTimeout)
 		}
 	}
 }
 
-// isTransient reports whether another attempt, or another node, may answer the same order otherwise.
+// isTransient reports whether a retry, or another node, may give another answer to the same order.
 func isTransient(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests,
@@ -93,18 +94,20 @@
 	return false
 }
 
-// read sends one GET to a node and decodes its answer. It returns false if that fails.
+// read sends one GET to a node and decodes its answer into result. It returns false if that fails.
 func (o *session) read(ctx context.Context, node fleet.Node, path string, result any) bool {
 	reply, err := o.caller.Call(ctx, http.MethodGet, node.Addr, path, nil, callTimeout)
 	return err == nil && reply.IsSuccess() && json.Unmarshal(reply.Body, result) == nil
 }
 
+// anyControlPlane returns a random control plane.
 func (o *session) anyControlPlane() fleet.Node {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.nodes.ControlPlanes[o.callRng.IntN(len(o.nodes.ControlPlanes))]
 }
 
+// chance returns true with a probability.
 func (o *session) chance(probability float64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/operator/rollout.go
+++ b/internal/testbed/operator/rollout.go
@@ -14,26 +14,27 @@
 
 const (
 	rolloutPollInterval = 5 * time.Millisecond
-	rolloutTimeout      = 5 * time.Second // until every node has a version
-	downAfter           = 3 * time.Second // a node unheard for it is down, and not waited for
+	rolloutTimeout      = 5 * time.Second // for every node to have a version
+	downAfter           = 3 * time.Second // a node not heard of for so long is down, and not waited for
 )
 
 // rollout is the part of GET /v1/rollout that the operators read.
 type rollout struct {
 	Version uint64        // in force
-	Force   time.Time     `json:"in_force"` // since when
-	Nodes   []nodeVersion // as the nodes report it
+	Force   time.Time     `json:"in_force"` // when Version came into force
+	Nodes   []nodeVersion // as the nodes report themselves
 }
 
+// nodeVersion is the version that a node follows.
 type nodeVersion struct {
 	Node    string
 	Version uint64
-	Since   time.Time
-	Heard   time.Time
+	Since   time.Time // when the node took over the version
+	Heard   time.Time // when the node last reported
 }
 
-// reached reports whether every node that is up has a version or a newer one, and returns how long after at (Unix ns)
-// the last node changed its version.
+// reached reports whether every node that is not down follows a version or a newer one, and returns how long after at
+// (Unix ns) the last node changed its version, or 0 if all did before.
 func (r *rollout) reached(version uint64, at int64, now time.Time) (everywhere bool, last time.Duration) {
 	everywhere = len(r.Nodes) > 0
 	for _, n := range r.Nodes {
@@ -45,8 +46,8 @@
 	return everywhere, last
 }
 
-// afterForce handles a version that the signature of result has put in force: it waits for the roll-out, reads the
-// bytes back and asks the data planes for their versions.
+// afterForce checks a version that the signature of result has put in force: it waits for the rollout, reads the bytes
+// back and asks the data planes for their versions.
 func (o *session) afterForce(ctx context.Context, d *draft, result signResult) {
 	o.record(Entry{Event: Force, Sent: result.sent, Node: result.node, Order: result.order, By: result.by,
 		Base: d.version - 1, Version: d.version, SHA: d.digest, OK: true, Bundle: d.text})
@@ -61,19 +62,19 @@
 	}
 }
 
-// awaitRollout polls the roll-out until every node has the version, and records how long after the acknowledgement
-// at (Unix ns) each had it, as it reports itself.
+// awaitRollout polls the rollout until every node follows the version, and records how long after the acknowledgement
+// at (Unix ns) each one did so, by the node's own report.
 func (o *session) awaitRollout(ctx context.Context, version uint64, at int64) {
-	var seen rollout
+	var current rollout
 	for deadline := o.clock.Now() + rolloutTimeout; ; {
-		isRead := o.read(ctx, o.anyControlPlane(), "/v1/rollout", &seen)
-		everywhere, last := seen.reached(version, at, o.clock.Wall())
-		if isRead && everywhere && seen.Version == version {
-			o.recordRollout(&seen, at, last)
+		isRead := o.read(ctx, o.anyControlPlane(), "/v1/rollout", &current)
+		everywhere, last := current.reached(version, at, o.clock.Wall())
+		if isRead && everywhere && current.Version == version {
+			o.recordRollout(&current, at, last)
 			return
 		}
-		if seen.Version > version {
-			return // a newer one is in force, of the other signature or another session
+		if current.Version > version {
+			return // a newer version is in force, by the other signature or another session
 		}
 		if o.clock.Now() > deadline || !o.sleep(ctx, rolloutPollInterval) {
 			o.count(func(r *Report) { r.NotEverywhere++ })
@@ -82,17 +83,17 @@
 	}
 }
 
-func (o *session) recordRollout(seen *rollout, at int64, last time.Duration) {
+func (o *session) recordRollout(current *rollout, at int64, last time.Duration) {
 	o.toEverywhere.Record(last)
-	for _, n := range seen.Nodes {
-		if n.Version == seen.Version {
+	for _, n := range current.Nodes {
+		if n.Version == current.Version {
 			o.toNode.Record(time.Duration(n.Since.UnixNano() - at))
-			o.fromForce.Record(n.Since.Sub(seen.Force))
+			o.fromForce.Record(n.Since.Sub(current.Force))
 		}
 	}
 }
 
-// readBack reads the bytes in force at a control plane; they must be those of d.
+// readBack reads the bundle in force from a control plane. It must be d, with the same bytes, or a newer version.
 func (o *session) readBack(ctx context.Context, node fleet.Node, d *draft) {
 	sent := o.clock.Wall().UnixNano()
 	var current state.Revision
@@ -100,15 +101,15 @@
 		return
 	}
 	path := fmt.Sprintf("/v1/bundles/%d/body", current.Version)
-	body, err := o.caller.Call(ctx, http.MethodGet, node.Addr, path, nil, callTimeout)
-	if err != nil || !body.IsSuccess() {
+	reply, err := o.caller.Call(ctx, http.MethodGet, node.Addr, path, nil, callTimeout)
+	if err != nil || !reply.IsSuccess() {
 		return
 	}
 	o.record(Entry{Event: ReadBack, Sent: sent, Node: node.Name, Version: current.Version,
-		SHA: signature.Digest(body.Body), OK: true})
+		SHA: signature.Digest(reply.Body), OK: true})
 	o.counts.ReadBacks++
-	isOther := current.Version == d.version && string(body.Body) != string(d.text)
-	if isOther || current.Version < d.version {
+	hasOtherBytes := current.Version == d.version && string(reply.Body) != string(d.text)
+	if hasOtherBytes || current.Version < d.version {
 		o.counts.ReadBacksDiffer++
 	}
 }
