--- a/internal/testbed/netproxy/connection.go
+++ b/internal/testbed/netproxy/connection.go
@@ -14,32 +14,32 @@
 
 const (
 	bufferBytes       = 32 << 10
-	maxQueuedSegments = 4096 // of a direction of a connection; when they are used up, it stops reading
+	maxQueuedSegments = 4096 // per direction of a connection, which stops reading when the queue is full
 	dialTimeout       = 2 * time.Second
 )
 
-// connection is one connection through a link: its two ends, which are reset together when its group ends.
+// connection is one proxied connection through a link. Its two TCP connections are reset together when its group stops.
 type connection struct {
 	*proxy
 	Link
 	group *routine.Group
 }
 
-// segment is the result of one read: bytes, or the stream's end.
+// segment is the result of one read: bytes, or the end of the stream.
 type segment struct {
 	data []byte
-	due  time.Duration
-	err  error // the end: io.EOF or a reset
+	due  time.Duration // when to deliver it
+	err  error         // set for the end of the stream: io.EOF or a reset
 }
 
-// serve proxies one connection. Faults apply to its opening as they do to its bytes: it is delayed, or never answered.
+// serve proxies one connection. Faults apply to its opening as to its bytes: the dial is delayed, or never made.
 func (p *proxy) serve(ctx context.Context, link Link, inbound *net.TCPConn) {
 	c := &connection{p, link, routine.New(ctx)}
 	defer c.group.Stop()
 	resetOnStop(c.group, inbound)
 	forward := make(chan segment, maxQueuedSegments)
-	opening := c.judge(true)
-	c.group.Go(func(context.Context) { c.read(inbound, true, forward) }) // now: bytes may be due later
+	opening := c.applyFaults(true)
+	c.group.Go(func(context.Context) { c.read(inbound, true, forward) }) // before the dial, which may be delayed
 	if opening.isLost || !c.wait(opening.due) {
 		<-c.group.Context().Done()
 		return
@@ -47,7 +47,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(c.group.Context(), "tcp", link.Dial)
 	if err != nil {
-		return // a reset, as the kernel of the node itself would send
+		return // which resets inbound, as the kernel of the node itself would
 	}
 	outbound := conn.(*net.TCPConn)
 	resetOnStop(c.group, outbound)
@@ -64,7 +64,7 @@
 	}
 }
 
-// resetOnStop resets a connection when the group ends.
+// resetOnStop resets a TCP connection when the group stops.
 func resetOnStop(group *routine.Group, conn *net.TCPConn) {
 	context.AfterFunc(group.Context(), func() {
 		_ = conn.SetLinger(0)
@@ -72,15 +72,15 @@
 	})
 }
 
-// judge returns the verdict on bytes that arrive now. If they are lost, it has the connection reset at the end of the
-// fault: a stream with a gap cannot go on.
-func (c *connection) judge(isForward bool) verdict {
+// applyFaults returns the effect of the active faults on bytes that arrive now. If the bytes are lost, it schedules a
+// reset of the connection for the end of the fault, because a stream with a gap cannot go on.
+func (c *connection) applyFaults(isForward bool) effect {
 	now := c.clock.Now()
-	v := c.faults.verdictFor(now, c.Link, isForward)
-	if v.isLost {
-		c.clock.Set(v.end-now, c.group.Cancel)
+	e := c.faults.effectOn(now, c.Link, isForward)
+	if e.isLost {
+		c.clock.Set(e.end-now, c.group.Cancel)
 	}
-	return v
+	return e
 }
 
 // wait waits until due. It returns false if the connection ends first.
@@ -89,26 +89,27 @@
 	return d <= 0 || clock.Sleep(c.group.Context().Done(), c.clock, d)
 }
 
-// read queues the bytes of a direction until its end. Once a fault has lost some of them, it discards all that follow.
+// read queues the bytes of one direction until its end. Once a fault has dropped bytes, it discards all later ones.
 func (c *connection) read(from *net.TCPConn, isForward bool, to chan<- segment) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		v := c.judge(isForward)
-		if v.isLost {
+		e := c.applyFaults(isForward)
+		if e.isLost {
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
-		if n > 0 && !c.enqueue(to, segment{data: slices.Clone(buffer[:n]), due: v.due}) {
+		if n > 0 && !c.enqueue(to, segment{data: slices.Clone(buffer[:n]), due: e.due}) {
 			return
 		}
 		if err != nil {
-			c.enqueue(to, segment{due: v.due, err: err})
+			c.enqueue(to, segment{due: e.due, err: err})
 			return
 		}
 	}
 }
 
+// enqueue queues a segment. It returns false if the connection ends first.
 func (c *connection) enqueue(to chan<- segment, s segment) bool {
 	select {
 	case to <- s:
@@ -118,7 +119,7 @@
 	}
 }
 
-// write delivers segments when they are due. An end of file closes this direction, a reset both.
+// write delivers segments when they are due. An io.EOF closes this direction, a reset the whole connection.
 func (c *connection) write(to *net.TCPConn, from <-chan segment) {
 	for {
 		var s segment
--- a/internal/testbed/netproxy/fault.go
+++ b/internal/testbed/netproxy/fault.go
@@ -11,18 +11,18 @@
 
 // Kinds of faults.
 const (
-	// Blackhole drops all bytes. A connection that lost something is reset at the end of the fault.
+	// Blackhole drops all bytes. A connection that lost bytes is reset at the end of the fault.
 	Blackhole = "silent"
-	// OneWayBlackhole drops what the node or zone sends; it still receives.
+	// OneWayBlackhole drops the bytes that the node or zone sends; it still receives.
 	OneWayBlackhole = "oneway"
-	// AddLatency delivers everything Fault.Delay later.
+	// AddLatency delivers all bytes Fault.Delay later.
 	AddLatency = "slow"
-	// Stall delays everything until the end of the fault and delivers it then, in order, even if the sender has closed
-	// the connection since.
+	// Stall holds all bytes until the end of the fault and then delivers them in order, even if the sender has closed
+	// the connection before.
 	Stall = "late"
 )
 
-// Fault disturbs the links between a node, or a zone, and all others. It ends by itself after For.
+// Fault disturbs the links between a node, or a zone, and all other nodes. It ends after For.
 type Fault struct {
 	Node  string        `json:"node,omitempty"`
 	Zone  string        `json:"zone,omitempty"`
@@ -31,48 +31,48 @@
 	Delay time.Duration `json:"delay,omitempty"` // ns, of AddLatency
 }
 
-// FaultAnswer is the answer to an injected fault: the number of links that it affects.
+// FaultAnswer is the answer to an injected fault: the number of links that the fault affects.
 type FaultAnswer struct {
 	Links int `json:"links"`
 }
 
-// InjectFault is the endpoint of the control port.
+// InjectFault is the endpoint of the control port that injects a fault.
 var InjectFault = rpc.Endpoint[Fault, FaultAnswer]{Path: "/v1/cut"}
 
 // Check validates a fault. Failure: Invalid.
 func (f Fault) Check() error {
 	switch {
 	case (f.Node == "") == (f.Zone == ""):
-		return errs.Field(errs.Invalid, "node", "either a node or a zone must be given")
+		return errs.Field(errs.Invalid, "node", "exactly one of node and zone must be set")
 	case f.For <= 0 || f.For > time.Hour:
-		return errs.Field(errs.Invalid, "for", "must be up to 1h, is %s", f.For)
+		return errs.Field(errs.Invalid, "for", "is %s, must be above 0 and at most 1h", f.For)
 	case !slices.Contains([]string{Blackhole, OneWayBlackhole, AddLatency, Stall}, f.Kind):
-		return errs.Field(errs.Invalid, "how", "is %q", f.Kind)
+		return errs.Field(errs.Invalid, "how", "is %q, must be silent, oneway, slow or late", f.Kind)
 	case (f.Kind == AddLatency) != (f.Delay > 0):
-		return errs.Field(errs.Invalid, "delay", "goes with slow, is %s", f.Delay)
+		return errs.Field(errs.Invalid, "delay", "is %s, must be above 0 for slow and 0 for the others", f.Delay)
 	}
 	return nil
 }
 
+// isInside reports whether a node is the one, or in the zone, that the fault isolates.
 func (f Fault) isInside(node, zone string) bool {
 	return f.Node != "" && node == f.Node || f.Zone != "" && zone == f.Zone
 }
 
-// affects reports whether a link leads into or out of the node or zone, and whether what From sends to To leaves it
-// (isOutbound).
+// affects reports whether a link leads into or out of the node or zone, and whether its From is inside (isOutbound).
 func (f Fault) affects(link Link) (isAffected, isOutbound bool) {
 	from, to := f.isInside(link.From, link.FromZone), f.isInside(link.To, link.ToZone)
 	return from != to, from
 }
 
-// verdict is the effect of the active faults on bytes that arrive.
-type verdict struct {
-	due    time.Duration // when they are delivered
-	isLost bool          // they never are
-	end    time.Duration // isLost: when the fault is over
+// effect is what the active faults do to bytes that arrive.
+type effect struct {
+	due    time.Duration // when to deliver the bytes
+	isLost bool          // the bytes are dropped
+	end    time.Duration // if isLost: when the last of the faults ends
 }
 
-// faultSet is the faults that are active. The zero value has none.
+// faultSet holds the active faults. The zero value is empty.
 type faultSet struct {
 	mu     sync.Mutex
 	active []activeFault
@@ -83,7 +83,7 @@
 	end time.Duration
 }
 
-// add makes a fault active from now on.
+// add makes a fault active from now on, and removes those that have ended.
 func (s *faultSet) add(now time.Duration, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,23 +91,23 @@
 	s.active = append(s.active, activeFault{f, now + f.For})
 }
 
-// verdictFor returns the effect of all active faults on bytes that arrive now on a link. isForward reports whether the
-// end that dialed has sent them.
-func (s *faultSet) verdictFor(now time.Duration, link Link, isForward bool) verdict {
+// effectOn returns the effect of all active faults on bytes that arrive now on a link. isForward is true for bytes that
+// link.From, which dialed, has sent.
+func (s *faultSet) effectOn(now time.Duration, link Link, isForward bool) effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := verdict{due: now}
+	e := effect{due: now}
 	for _, f := range s.active {
 		isAffected, isOutbound := f.affects(link)
 		switch {
 		case !isAffected || f.end <= now:
 		case f.Kind == Blackhole || f.Kind == OneWayBlackhole && isOutbound == isForward:
-			v.isLost, v.end = true, max(v.end, f.end)
+			e.isLost, e.end = true, max(e.end, f.end)
 		case f.Kind == AddLatency:
-			v.due = max(v.due, now+f.Delay)
+			e.due = max(e.due, now+f.Delay)
 		case f.Kind == Stall:
-			v.due = max(v.due, f.end)
+			e.due = max(e.due, f.end)
 		}
 	}
-	return v
+	return e
 }
--- a/internal/testbed/netproxy/proxy.go
+++ b/internal/testbed/netproxy/proxy.go
@@ -1,9 +1,9 @@
-// Package netproxy is the network proxy of the testbed: a TCP proxy on the link between any two nodes, which drops
-// bytes without a reset or delays them while a fault is active.
+// Package netproxy is the network proxy of the testbed: a TCP proxy on the link between any two nodes. While a fault is
+// active, it drops bytes without a reset, or delays them.
 //
 // Begin with Run, which listens on every link and on a control port. Each connection (connection.go) asks the faultSet
-// (fault.go) for the verdict on each read; a call to the control port adds a Fault, which ends by itself. The proxy
-// parses no protocol: it neither drops single calls nor changes bytes.
+// (fault.go) for the effect of the active faults on each read. A call to the control port adds a Fault, which ends
+// after its duration. The proxy parses no protocol: it neither drops single calls nor changes bytes.
 package netproxy
 
 import (
@@ -23,10 +23,10 @@
 	"crosstide/internal/testbed/journal"
 )
 
-// serverGrace is how long an order that is being answered may take when the proxy stops.
+// serverGrace is how long a call to the control port that is in flight may take when the proxy stops.
 const serverGrace = time.Second
 
-// Link is one way on which a node dials another: From dials Listen to reach To, which listens at Dial.
+// Link is the connection from one node to another: From dials Listen to reach To, which listens at Dial.
 type Link struct {
 	From     string `json:"from"`
 	FromZone string `json:"from_zone"`
@@ -36,9 +36,9 @@
 	Dial     string `json:"dial"`
 }
 
-// Settings are the settings of `crosstide-testbed link`.
+// Settings is the settings file of `crosstide-testbed link`.
 type Settings struct {
-	Control string `json:"control"` // host:port of the control port
+	Control string `json:"control"` // address of the control port
 	Journal string `json:"journal"`
 	Links   []Link `json:"ways"`
 }
@@ -53,7 +53,7 @@
 	return s, errs.Wrap(json.Unmarshal(raw, &s), errs.Settings, "%s", path)
 }
 
-// proxy is the links of a process and the faults on them.
+// proxy holds the links of a process and the faults on them.
 type proxy struct {
 	settings Settings
 	clock    clock.Clock
@@ -85,14 +85,14 @@
 		return answer, errs.Pass(err, "order")
 	})
 	if err := server.Start(); err != nil {
-		return errs.Pass(err, "control port of the links")
+		return errs.Pass(err, "control port of the network proxy")
 	}
 	_ = level.Info(logger).Log("msg", "links opened", "links", len(settings.Links), "control", server.Addr())
 	<-ctx.Done()
 	return errs.Pass(server.Stop(serverGrace), "links")
 }
 
-// listen accepts connections of a link until the group stops.
+// listen starts to accept connections of a link, until the group stops.
 func (p *proxy) listen(link Link) error {
 	listener, err := net.Listen("tcp", link.Listen)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// inject makes a fault active, after it is in the journal, and journals its end.
+// inject journals a fault, makes it active, and has its end journaled after f.For.
 func (p *proxy) inject(f Fault) (FaultAnswer, error) {
 	var answer FaultAnswer
 	if err := f.Check(); err != nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	if answer.Links == 0 {
-		return answer, errs.New(errs.Unknown, "no link leads to %s%s", f.Node, f.Zone)
+		return answer, errs.New(errs.Unknown, "no link leads into or out of %s%s", f.Node, f.Zone)
 	}
 	if err := p.record("cut", f); err != nil {
 		return answer, errs.Pass(err, "cut")
@@ -144,9 +144,9 @@
 	return answer, nil
 }
 
-// record journals an event of a fault.
+// record journals the start ("cut") or the end ("heal") of a fault.
 func (p *proxy) record(event string, f Fault) error {
 	err := p.writer.Append(map[string]any{"at": p.clock.Wall().UnixNano(), "ev": event, "node": f.Node, "zone": f.Zone,
 		"how": f.Kind, "for": f.For.String(), "delay": f.Delay.String()})
-	return errs.Pass(err, "links' journal")
+	return errs.Pass(err, "network proxy's journal")
 }
--- a/internal/testbed/netproxy/proxy_test.go
+++ b/internal/testbed/netproxy/proxy_test.go
@@ -16,28 +16,29 @@
 	"crosstide/internal/testbed/journal"
 )
 
-var way = Link{From: "d1", FromZone: "z1", To: "c2", ToZone: "z2"}
+// testLink is a link between two zones.
+var testLink = Link{From: "d1", FromZone: "z1", To: "c2", ToZone: "z2"}
 
 func TestFaultSet(t *testing.T) {
-	Convey("A fault affects the links that cross its border until it ends; faults add up", t, func() {
-		g := &faultSet{}
-		verdictOn := func(now time.Duration, w Link, forward bool) []any {
-			f := g.verdictFor(now, w, forward)
-			return []any{f.isLost, f.end, f.due}
+	Convey("A fault affects the links into and out of its node or zone until it ends; faults combine", t, func() {
+		faults := &faultSet{}
+		effectOn := func(now time.Duration, link Link, isForward bool) []any {
+			e := faults.effectOn(now, link, isForward)
+			return []any{e.isLost, e.end, e.due}
 		}
 		sameZone := Link{From: "d1", FromZone: "z1", To: "c1", ToZone: "z1"}
-		g.add(0, Fault{Zone: "z1", Kind: Blackhole, For: 10})
-		So(verdictOn(5, way, true), ShouldResemble, []any{true, time.Duration(10), time.Duration(5)})
-		So(verdictOn(5, way, false)[0], ShouldBeTrue)
-		So(verdictOn(5, sameZone, true)[0], ShouldBeFalse)
-		So(verdictOn(10, way, true)[0], ShouldBeFalse)
-		g.add(10, Fault{Node: "c2", Kind: OneWayBlackhole, For: 10})
-		So([]any{verdictOn(11, way, true)[0], verdictOn(11, way, false)[0]}, ShouldResemble, []any{false, true})
-		g.add(20, Fault{Node: "d1", Kind: AddLatency, Delay: 3, For: 10})
-		So(verdictOn(21, way, true)[2], ShouldEqual, time.Duration(24))
-		g.add(21, Fault{Node: "d1", Kind: Stall, For: 9})
-		So(verdictOn(22, way, false)[2], ShouldEqual, time.Duration(30))
-		So(verdictOn(22, Link{From: "m1", To: "d2"}, true)[2], ShouldEqual, time.Duration(22))
+		faults.add(0, Fault{Zone: "z1", Kind: Blackhole, For: 10})
+		So(effectOn(5, testLink, true), ShouldResemble, []any{true, time.Duration(10), time.Duration(5)})
+		So(effectOn(5, testLink, false)[0], ShouldBeTrue)
+		So(effectOn(5, sameZone, true)[0], ShouldBeFalse)
+		So(effectOn(10, testLink, true)[0], ShouldBeFalse)
+		faults.add(10, Fault{Node: "c2", Kind: OneWayBlackhole, For: 10})
+		So([]any{effectOn(11, testLink, true)[0], effectOn(11, testLink, false)[0]}, ShouldResemble, []any{false, true})
+		faults.add(20, Fault{Node: "d1", Kind: AddLatency, Delay: 3, For: 10})
+		So(effectOn(21, testLink, true)[2], ShouldEqual, time.Duration(24))
+		faults.add(21, Fault{Node: "d1", Kind: Stall, For: 9})
+		So(effectOn(22, testLink, false)[2], ShouldEqual, time.Duration(30))
+		So(effectOn(22, Link{From: "m1", To: "d2"}, true)[2], ShouldEqual, time.Duration(22))
 	})
 	Convey("An invalid fault is refused", t, func() {
 		for _, fault := range []Fault{
@@ -54,34 +55,35 @@
 	})
 }
 
-// counted records every timer that is set.
-type counted struct {
+// countingClock is a virtual clock that counts the timers that are set.
+type countingClock struct {
 	clock.Virtual
-	sets chan struct{}
+	sets chan struct{} // one element for each timer
 }
 
-func (c *counted) Set(d time.Duration, timer func()) clock.Stopper {
+func (c *countingClock) Set(d time.Duration, timer func()) clock.Stopper {
 	defer func() { c.sets <- struct{}{} }()
 	return c.Virtual.Set(d, timer)
 }
 
-func (c *counted) await(n int) {
+// awaitTimers waits until n more timers have been set.
+func (c *countingClock) awaitTimers(n int) {
 	for range n {
 		<-c.sets
 	}
 }
 
-// pipe returns a proxy with a link to a peer that answers every byte with the next one, its clock, and a function that
-// dials through the link.
-func pipe(t *testing.T) (*proxy, *counted, func() net.Conn) {
-	clock, group := &counted{sets: make(chan struct{}, 100)}, routine.New(context.Background())
+// newTestProxy returns a proxy with a link to a peer that answers every byte with the next higher one, its clock, and a
+// function that dials through the link.
+func newTestProxy(t *testing.T) (*proxy, *countingClock, func() net.Conn) {
+	clock, group := &countingClock{sets: make(chan struct{}, 100)}, routine.New(context.Background())
 	writer, err := journal.Open(filepath.Join(t.TempDir(), "j"))
 	So(err, ShouldBeNil)
 	listen := func() net.Listener {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		context.AfterFunc(group.Context(), func() { _ = ln.Close() })
-		return ln
+		context.AfterFunc(group.Context(), func() { _ = listener.Close() })
+		return listener
 	}
 	peer, front := listen(), listen()
 	group.Go(func(context.Context) {
@@ -96,13 +98,13 @@
 			})
 		}
 	})
-	w := way
-	w.Dial = peer.Addr().String()
-	l := &proxy{settings: Settings{Links: []Link{w}}, clock: clock, logger: log.NewNopLogger(), writer: writer,
+	link := testLink
+	link.Dial = peer.Addr().String()
+	p := &proxy{settings: Settings{Links: []Link{link}}, clock: clock, logger: log.NewNopLogger(), writer: writer,
 		group: group}
-	group.Go(func(ctx context.Context) { l.accept(ctx, front, w) })
+	group.Go(func(ctx context.Context) { p.accept(ctx, front, link) })
 	Reset(func() { group.Stop(); So(writer.Close(), ShouldBeNil) })
-	return l, clock, func() net.Conn {
+	return p, clock, func() net.Conn {
 		c, err := net.Dial("tcp", front.Addr().String())
 		So(err, ShouldBeNil)
 		return c
@@ -122,8 +124,8 @@
 }
 
 func TestProxy(t *testing.T) {
-	Convey("Bytes and ends of file pass in both directions", t, func() {
-		_, _, dial := pipe(t)
+	Convey("Bytes and the end of the stream pass in both directions", t, func() {
+		_, _, dial := newTestProxy(t)
 		c := dial()
 		send(c, 1)
 		So(receive(c), ShouldEqual, 2)
@@ -131,39 +133,39 @@
 		_, err := c.Read(make([]byte, 1))
 		So(err, ShouldEqual, io.EOF)
 	})
-	Convey("A blackhole drops all bytes, and resets at its end only the connections that lost some", t, func() {
-		l, clock, dial := pipe(t)
-		old, quiet := dial(), dial()
-		for _, c := range []net.Conn{old, quiet} {
+	Convey("A blackhole drops all bytes, and its end resets only the connections that lost some", t, func() {
+		p, clock, dial := newTestProxy(t)
+		active, idle := dial(), dial()
+		for _, c := range []net.Conn{active, idle} {
 			send(c, 1)
 			So(receive(c), ShouldEqual, 2)
 		}
-		answer, err := l.inject(Fault{Node: "c2", Kind: Blackhole, For: time.Second})
+		answer, err := p.inject(Fault{Node: "c2", Kind: Blackhole, For: time.Second})
 		So(err, ShouldBeNil)
 		So(answer.Links, ShouldEqual, 1)
-		fresh := dial()
-		send(old, 5)
-		send(fresh, 7)
-		over := make(chan error, 2)
-		for _, c := range []net.Conn{old, fresh} {
-			l.group.Go(func(context.Context) { _, err := c.Read(make([]byte, 1)); over <- err })
+		opened := dial()
+		send(active, 5)
+		send(opened, 7)
+		readErrs := make(chan error, 2)
+		for _, c := range []net.Conn{active, opened} {
+			p.group.Go(func(context.Context) { _, err := c.Read(make([]byte, 1)); readErrs <- err })
 		}
-		clock.await(4) // of the fault, of the lost bytes, and of the new connection and the bytes lost on it
+		clock.awaitTimers(4) // the fault's, one for the lost bytes, two for the new connection and its lost bytes
 		clock.Advance(time.Second)
-		So([]error{<-over, <-over}, ShouldNotContain, nil)
-		send(quiet, 3)
-		So(receive(quiet), ShouldEqual, 4)
+		So([]error{<-readErrs, <-readErrs}, ShouldNotContain, nil)
+		send(idle, 3)
+		So(receive(idle), ShouldEqual, 4)
 	})
-	Convey("A stall delivers in order at its end, even what was sent before the sender closed", t, func() {
-		l, clock, dial := pipe(t)
+	Convey("A stall delivers all bytes in order at its end, even if the sender has closed the connection", t, func() {
+		p, clock, dial := newTestProxy(t)
 		c := dial()
 		send(c, 1)
 		So(receive(c), ShouldEqual, 2)
-		_, err := l.inject(Fault{Zone: "z1", Kind: Stall, For: time.Second})
+		_, err := p.inject(Fault{Zone: "z1", Kind: Stall, For: time.Second})
 		So(err, ShouldBeNil)
 		send(c, 5)
 		So(c.(*net.TCPConn).CloseWrite(), ShouldBeNil)
-		clock.await(2) // of the fault, and of the bytes that it delays
+		clock.awaitTimers(2) // the fault's, and one for the bytes that it delays
 		clock.Advance(time.Second)
 		So(receive(c), ShouldEqual, 6)
 	})
