--- a/internal/testbed/commandline/commandline.go
+++ b/internal/testbed/commandline/commandline.go
@@ -1,8 +1,8 @@
-// Package commandline runs the commands of a program against a stand-in for a node, for tests that pin what the
-// commands send and print. The commands run in the test's process with os.Stdout replaced, so tests that use the
-// package must not run in parallel.
+// Package commandline runs the commands of a program against a fake node, for tests that pin the requests and the
+// output of the commands. The commands run in the test's process with os.Stdout replaced, so tests that use the package
+// must not run in parallel.
 //
-// Begin with StartNode, set an answer with Node.Answer, then call Node.Run for each command line.
+// Start a node with StartNode, set its answers with Node.Answer, then call Node.Run for each command line.
 package commandline
 
 import (
@@ -22,26 +22,27 @@
 	"crosstide/internal/rpc"
 )
 
-// Program is the program whose commands are run.
+// Program describes the program under test.
 type Program struct {
-	New     func() *cli.Command    // a new command line for each run
-	Failure func(err error) string // the line that pins how a command failed
+	New     func() *cli.Command    // returns a new root command for each run
+	Failure func(err error) string // formats the error of a command as an output line
 }
 
-// Node is a stand-in for the node that commands call: it records each request and sends the answer that is set.
+// Node is a fake node: it records each request and sends the answers set by Answer.
 type Node struct {
 	server *rpc.Server
 
 	mu       sync.Mutex // guards the fields below
-	requests []string   // since Run started
+	requests []string   // received since the start of Run
 	status   int
-	bodies   map[string]string // by path; that of "" is for all other paths
+	bodies   map[string]string // by path; "" is the default
 }
 
-// signed matches an operator's signature in a query or a body, which differs in each run as the operator's key does.
-var signed = regexp.MustCompile(`(sig=|"sig":")[^&" ]+`)
+// signaturePattern matches an operator's signature in a query or a body. Signatures differ between runs because the
+// operator's key does.
+var signaturePattern = regexp.MustCompile(`(sig=|"sig":")[^&" ]+`)
 
-// StartNode starts a node on a free port. The caller stops it.
+// StartNode starts a node on a free port. The caller must call Stop.
 func StartNode(t *testing.T) *Node {
 	t.Helper()
 	n := &Node{server: rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})}
@@ -53,7 +54,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		request := fmt.Sprint(r.Method, " ", r.RequestURI, " ", string(body))
-		n.requests = append(n.requests, signed.ReplaceAllString(request, "${1}SIGNATURE"))
+		n.requests = append(n.requests, signaturePattern.ReplaceAllString(request, "${1}SIGNATURE"))
 		answer, ok := n.bodies[r.URL.Path]
 		if !ok {
 			answer = n.bodies[""]
@@ -67,7 +68,7 @@
 	return n
 }
 
-// Stop stops the node.
+// Stop shuts the node down.
 func (n *Node) Stop(t *testing.T) {
 	t.Helper()
 	if err := n.server.Stop(time.Minute); err != nil {
@@ -75,25 +76,25 @@
 	}
 }
 
-// Answer sets the status and the bodies, by path, of the answers from now on. The body under "" is for all other paths.
+// Answer sets the status of subsequent answers, and their bodies by path. The body under "" is for all other paths.
 func (n *Node) Answer(status int, bodies map[string]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.status, n.bodies = status, bodies
 }
 
-// Run runs a command line of a program, in which ADDR stands for the node's address and DIR for the folder dir. It
-// returns the line, the requests to the node, what was printed, and how the command failed, if it did. The file stdout
-// of dir is overwritten.
+// Run runs a command line of a program, after replacing ADDR by the node's address and DIR by dir. It returns the
+// command line, the requests that the node received, the output, and the error line if the command failed. The file
+// stdout in dir is overwritten.
 func (n *Node) Run(t *testing.T, program Program, dir, line string) []string {
 	t.Helper()
 	n.mu.Lock()
 	n.requests = nil
 	n.mu.Unlock()
-	app := program.New()
-	args := []string{app.Name}
-	for _, word := range strings.Fields(line) {
-		args = append(args, strings.NewReplacer("ADDR", n.server.Addr(), "DIR", dir).Replace(word))
+	root := program.New()
+	args := []string{root.Name}
+	for _, argument := range strings.Fields(line) {
+		args = append(args, strings.NewReplacer("ADDR", n.server.Addr(), "DIR", dir).Replace(argument))
 	}
 	stdout, err := os.Create(filepath.Join(dir, "stdout"))
 	if err != nil {
@@ -101,7 +102,7 @@
 	}
 	original := os.Stdout
 	os.Stdout = stdout
-	failure := app.Run(t.Context(), args)
+	failure := root.Run(t.Context(), args)
 	os.Stdout = original
 	if err := stdout.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/exhaustive/exhaustive_test.go
+++ b/internal/testbed/exhaustive/exhaustive_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestPermutations_everyOrder(t *testing.T) {
-	Convey("Every order comes once, in lexicographic order", t, func() {
+	Convey("Every permutation occurs once, in lexicographic order", t, func() {
 		var orders [][]int
 		Permutations(3, func(order []int) { orders = append(orders, order) })
 		So(orders, ShouldResemble, [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}})
@@ -18,7 +18,7 @@
 }
 
 func TestArrangements_everySubset(t *testing.T) {
-	Convey("Every order of every subset comes once, in lexicographic order", t, func() {
+	Convey("Every permutation of every subset occurs once, in lexicographic order", t, func() {
 		var arrangements [][]int
 		So(Arrangements(2, func(chosen []int) { arrangements = append(arrangements, chosen) }), ShouldEqual, 5)
 		So(arrangements, ShouldResemble, [][]int{nil, {0}, {0, 1}, {1}, {1, 0}})
@@ -27,7 +27,7 @@
 }
 
 func TestChoices_dependOnEarlierOnes(t *testing.T) {
-	Convey("Every sequence of choices comes once, also where an earlier choice decides about later ones", t, func() {
+	Convey("Every sequence of choices occurs once, also if later choices depend on earlier ones", t, func() {
 		var sequences [][]int
 		runs := Choices(func(choose func(n int) int) {
 			sequence := []int{choose(2)}
@@ -39,7 +39,7 @@
 		So(runs, ShouldEqual, 4)
 		So(sequences, ShouldResemble, [][]int{{0}, {1, 0}, {1, 1}, {1, 2}})
 	})
-	Convey("Without a choice there is one run", t, func() {
+	Convey("There is one run if it makes no choice", t, func() {
 		So(Choices(func(func(n int) int) {}), ShouldEqual, 1)
 	})
 }
--- a/internal/testbed/golden/code.go
+++ b/internal/testbed/golden/code.go
@@ -14,60 +14,61 @@
 	"testing"
 )
 
-// Literals lists the string literals that match a pattern in the Go files under root that are no tests and not of a
-// testbed, each once and sorted. Import paths are left out.
+// Literals lists the distinct string literals that match a pattern in the code under root, sorted. Import paths, tests
+// and testbeds are left out.
 func Literals(t *testing.T, label, root, pattern string) string {
 	t.Helper()
-	match, found := regexp.MustCompile(pattern), map[string]bool{}
-	each(t, root, func(n ast.Node) bool {
+	re, literals := regexp.MustCompile(pattern), map[string]bool{}
+	inspectFiles(t, root, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.ImportSpec:
 			return false
 		case *ast.BasicLit:
-			if text, err := strconv.Unquote(n.Value); err == nil && n.Kind == token.STRING && match.MatchString(text) {
-				found[text] = true
+			if text, err := strconv.Unquote(n.Value); err == nil && n.Kind == token.STRING && re.MatchString(text) {
+				literals[text] = true
 			}
 		}
 		return true
 	})
-	return Lines(label, sorted(found)...)
+	return Lines(label, sortedKeys(literals)...)
 }
 
-// Keys lists the names that the hand-written readers of a package may ask for: string literals that look like a key
-// and are an argument of a call x.f(...) with x other than errs, a key of a composite literal, or the value of a
-// constant or variable.
+// Keys lists the keys that the hand-written decoders of a package may read: string literals that look like a key and
+// are an argument of a call x.f(...) with x other than errs, a key of a composite literal, or the value of a constant
+// or variable.
 func Keys(t *testing.T, label, folder string) string {
 	t.Helper()
-	match, found := regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`), map[string]bool{}
-	take := func(e ast.Expr) {
+	re, keys := regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`), map[string]bool{}
+	addKey := func(e ast.Expr) {
 		if lit, ok := e.(*ast.BasicLit); ok && lit.Kind == token.STRING {
-			if text, err := strconv.Unquote(lit.Value); err == nil && match.MatchString(text) {
-				found[text] = true
+			if text, err := strconv.Unquote(lit.Value); err == nil && re.MatchString(text) {
+				keys[text] = true
 			}
 		}
 	}
-	each(t, folder, func(n ast.Node) bool {
+	inspectFiles(t, folder, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.CallExpr:
 			if f, ok := n.Fun.(*ast.SelectorExpr); ok && fmt.Sprint(f.X) != "errs" {
 				for _, arg := range n.Args {
-					take(arg)
+					addKey(arg)
 				}
 			}
 		case *ast.KeyValueExpr:
-			take(n.Key)
+			addKey(n.Key)
 		case *ast.ValueSpec:
 			for _, value := range n.Values {
-				take(value)
+				addKey(value)
 			}
 		}
 		return true
 	})
-	return Lines(label, sorted(found)...)
+	return Lines(label, sortedKeys(keys)...)
 }
 
-// each visits the code of the files under root, without tests, and without testbeds unless root is one.
-func each(t *testing.T, root string, visit func(ast.Node) bool) {
+// inspectFiles calls visit for the syntax nodes of the Go files under root, except tests, and except testbeds unless
+// root is one.
+func inspectFiles(t *testing.T, root string, visit func(ast.Node) bool) {
 	t.Helper()
 	files := 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -93,21 +94,21 @@
 	}
 }
 
-func sorted(set map[string]bool) []string {
-	out := make([]string, 0, len(set))
-	for s := range set {
-		out = append(out, s)
+func sortedKeys(set map[string]bool) []string {
+	keys := make([]string, 0, len(set))
+	for key := range set {
+		keys = append(keys, key)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-// LogLines lists what stands in the calls x.Log(...) of the code under root, sorted: string literals as they are, other
-// arguments as "_". So the keys and messages of log lines are pinned, not how often they stand in the code.
+// LogLines lists the arguments of the calls x.Log(...) in the code under root, sorted: string literals verbatim, other
+// arguments as "_". This pins the keys and messages of log lines, but not how often they occur.
 func LogLines(t *testing.T, label, root string) string {
 	t.Helper()
-	found := map[string]bool{}
-	each(t, root, func(n ast.Node) bool {
+	lines := map[string]bool{}
+	inspectFiles(t, root, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
 			return true
@@ -115,31 +116,31 @@
 		if f, ok := call.Fun.(*ast.SelectorExpr); !ok || f.Sel.Name != "Log" {
 			return true
 		}
-		var words []string
+		var arguments []string
 		for _, arg := range call.Args {
-			word := "_"
+			argument := "_"
 			if lit, ok := arg.(*ast.BasicLit); ok && lit.Kind == token.STRING {
-				word = lit.Value
+				argument = lit.Value
 			}
-			words = append(words, word)
+			arguments = append(arguments, argument)
 		}
-		found[strings.Join(words, " ")] = true
+		lines[strings.Join(arguments, " ")] = true
 		return true
 	})
-	return Lines(label, sorted(found)...)
+	return Lines(label, sortedKeys(lines)...)
 }
 
-// Constants lists the string constants of the code under root: one line for each type of its own, its values in the
-// order of the code, and one line for each value of the others. The lines are sorted and bear no names.
+// Constants lists the string constants of the code under root: in each declaration, one line per named type with its
+// values in source order, and one line per untyped value. The lines are sorted and contain no Go names.
 func Constants(t *testing.T, label, root string) string {
 	t.Helper()
-	found := map[string]bool{}
+	lines := map[string]bool{}
 	visit := func(n ast.Node) bool {
 		decl, ok := n.(*ast.GenDecl)
 		if !ok || decl.Tok != token.CONST {
 			return true
 		}
-		typed := map[string][]string{}
+		valuesByType := map[string][]string{}
 		for _, spec := range decl.Specs {
 			value := spec.(*ast.ValueSpec)
 			for _, v := range value.Values {
@@ -147,29 +148,29 @@
 				switch {
 				case !ok || lit.Kind != token.STRING:
 				case value.Type == nil:
-					found["value "+lit.Value] = true
+					lines["value "+lit.Value] = true
 				default:
 					name := fmt.Sprint(value.Type)
-					typed[name] = append(typed[name], lit.Value)
+					valuesByType[name] = append(valuesByType[name], lit.Value)
 				}
 			}
 		}
-		for _, values := range typed {
-			found["type "+strings.Join(values, " ")] = true
+		for _, values := range valuesByType {
+			lines["type "+strings.Join(values, " ")] = true
 		}
 		return true
 	}
-	each(t, root, visit)
-	return Lines(label, sorted(found)...)
+	inspectFiles(t, root, visit)
+	return Lines(label, sortedKeys(lines)...)
 }
 
 // Arguments lists the string literals that are the first argument of x.Get, x.Set, x.Add, x.Del, x.Values or
-// x.PathValue in the code under root: headers and parameters of HTTP, as they come.
+// x.PathValue in the code under root: the names of HTTP headers and parameters, verbatim.
 func Arguments(t *testing.T, label, root string) string {
 	t.Helper()
 	methods := []string{"Get", "Set", "Add", "Del", "Values", "PathValue"}
-	found := map[string]bool{}
-	each(t, root, func(n ast.Node) bool {
+	literals := map[string]bool{}
+	inspectFiles(t, root, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok || len(call.Args) == 0 {
 			return true
@@ -179,9 +180,9 @@
 			return true
 		}
 		if lit, ok := call.Args[0].(*ast.BasicLit); ok && lit.Kind == token.STRING {
-			found[lit.Value] = true
+			literals[lit.Value] = true
 		}
 		return true
 	})
-	return Lines(label, sorted(found)...)
+	return Lines(label, sortedKeys(literals)...)
 }
--- a/internal/testbed/golden/commands.go
+++ b/internal/testbed/golden/commands.go
@@ -9,23 +9,24 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Commands lists every command under root, sorted by its path without the root's name: aliases, texts of the help,
-// arguments, and its flags as the help shows them, with what they take, need and default to.
+// Commands returns a section for root and each command below it, sorted by path, with "program" in place of the root's
+// name. A section lists the command's aliases, help texts, arguments and flags, the latter with help text, type,
+// default, environment variables and whether they are required.
 func Commands(root *cli.Command) string {
-	var parts []string
-	var list func(path []string, c *cli.Command)
-	list = func(path []string, c *cli.Command) {
-		parts = append(parts, command(strings.Join(path, " "), c))
+	var sections []string
+	var visit func(path []string, c *cli.Command)
+	visit = func(path []string, c *cli.Command) {
+		sections = append(sections, commandSection(strings.Join(path, " "), c))
 		for _, sub := range c.Commands {
-			list(append(slices.Clone(path), sub.Name), sub)
+			visit(append(slices.Clone(path), sub.Name), sub)
 		}
 	}
-	list([]string{"program"}, root)
-	slices.Sort(parts)
-	return strings.Join(parts, "\n")
+	visit([]string{"program"}, root)
+	slices.Sort(sections)
+	return strings.Join(sections, "\n")
 }
 
-func command(path string, c *cli.Command) string {
+func commandSection(path string, c *cli.Command) string {
 	lines := []string{"usage: " + c.Usage}
 	add := func(name, value string) {
 		if value != "" {
@@ -74,13 +75,13 @@
 		line += fmt.Sprintf(" value=%t default=%q text=%q env=%v",
 			doc.TakesValue(), doc.GetValue(), doc.GetDefaultText(), doc.GetEnvVars())
 	}
-	if need, ok := f.(cli.RequiredFlag); ok && need.IsRequired() {
+	if required, ok := f.(cli.RequiredFlag); ok && required.IsRequired() {
 		line += " required"
 	}
 	if typed, ok := f.(cli.SchemaTyper); ok {
 		line += " " + typed.SchemaType()
 	}
-	if seen, ok := f.(cli.VisibleFlag); ok && !seen.IsVisible() {
+	if visible, ok := f.(cli.VisibleFlag); ok && !visible.IsVisible() {
 		line += " hidden"
 	}
 	return line
--- a/internal/testbed/golden/endpoint/endpoint.go
+++ b/internal/testbed/golden/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint pins the calls between processes in golden files. It stands apart from package golden, which imports
-// nothing of crosstide so that every package's tests may use it; package rpc's own tests can't use this one.
+// Package endpoint compares the calls between processes with golden files. It is separate from package golden, which
+// must not import crosstide so that every package's tests may use it. The tests of package rpc cannot use this package.
 package endpoint
 
 import (
@@ -7,7 +7,7 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// Shapes returns the shapes of an endpoint's call and answer, under its path. Example:
+// Shapes returns the shapes of an endpoint's call and answer, labeled with its path. Example:
 //
 //	golden.Compare(t, "wire", endpoint.Shapes(Status), endpoint.Shapes(Join))
 func Shapes[C, A any](e rpc.Endpoint[C, A]) string {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,8 +1,7 @@
-// Package golden pins what a program shows to other processes and to its operators in text files that tests compare:
-// shapes of JSON bodies, encoded values, commands and names. The texts hold labels given by the test, keys, kinds and
-// values, never Go packages or names of Go types, so that they stay as they are when code is moved and renamed. The
-// package imports nothing of crosstide: the tests inside any package may use it. Test with -update to write the files
-// anew.
+// Package golden compares the external interfaces of a program with golden files: shapes of JSON bodies, encoded
+// values, commands and names. The files contain labels given by the test, keys, kinds and values, but no names of Go
+// packages or types, so they do not change when code is moved or renamed. The package imports nothing of crosstide, so
+// the internal tests of any package may use it. Run the tests with -update to rewrite the files.
 package golden
 
 import (
@@ -14,9 +13,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Compare fails unless the parts, in their order, are the text of testdata/NAME.golden. Example:
+// Compare fails the test unless testdata/NAME.golden consists of the parts in the given order. Example:
 //
 //	golden.Compare(t, "wire", golden.Shape("start call", StartCall{}))
 func Compare(t *testing.T, name string, parts ...string) {
@@ -32,26 +31,26 @@
 		}
 		return
 	}
-	kept, err := os.ReadFile(path)
+	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := string(kept); got != want {
-		t.Errorf("%s differs; what other processes, files or operators see has changed:\n%s",
+	if want := string(stored); got != want {
+		t.Errorf("%s differs: an interface to other processes, stored files or operators has changed:\n%s",
 			path, difference(want, got))
 	}
 }
 
-// difference lists the lines that only one of two texts has, each under the newest heading before it.
+// difference lists the lines that only one of two texts has, each with the heading of its section.
 func difference(want, got string) string {
 	var out strings.Builder
 	for _, side := range []struct{ sign, text, other string }{{"- ", want, got}, {"+ ", got, want}} {
-		other, heading := headed(side.other), ""
+		otherLines, heading := linesWithHeadings(side.other), ""
 		for _, line := range strings.Split(side.text, "\n") {
 			if strings.HasPrefix(line, "# ") {
 				heading = line
 			}
-			if !other[heading+"\n"+line] {
+			if !otherLines[heading+"\n"+line] {
 				fmt.Fprintf(&out, "%s%s: %s\n", side.sign, heading, line)
 			}
 		}
@@ -62,18 +61,19 @@
 	return out.String()
 }
 
-func headed(text string) map[string]bool {
-	out, heading := map[string]bool{}, ""
+// linesWithHeadings returns the set of lines of text, each preceded by the heading of its section.
+func linesWithHeadings(text string) map[string]bool {
+	lines, heading := map[string]bool{}, ""
 	for _, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "# ") {
 			heading = line
 		}
-		out[heading+"\n"+line] = true
+		lines[heading+"\n"+line] = true
 	}
-	return out
+	return lines
 }
 
-// Lines is a section of lines under a label, as they come.
+// Lines returns a section with a heading and the lines in the given order.
 func Lines(label string, lines ...string) string {
 	return "# " + label + "\n" + strings.Join(append(lines, ""), "\n")
 }
--- a/internal/testbed/golden/golden_test.go
+++ b/internal/testbed/golden/golden_test.go
@@ -10,10 +10,10 @@
 	inner struct {
 		A int `json:"a,omitempty"`
 	}
-	one struct {
+	nested struct {
 		inner
-		Time   time.Time        `json:"t"`
-		Parts  map[string][]one `json:"p"`
+		Time   time.Time           `json:"t"`
+		Parts  map[string][]nested `json:"p"`
 		Plain  string
 		Local  int `json:"-"`
 		hidden int
@@ -31,7 +31,7 @@
 
 func TestShape(t *testing.T) {
 	want := "# x\n. object\nPlain string\na integer omitempty\np map by string\np{} list\np{}[] recursive\nt time\n"
-	for _, v := range []any{one{hidden: 1}, &one{}, renamed{}} {
+	for _, v := range []any{nested{hidden: 1}, &nested{}, renamed{}} {
 		if got := Shape("x", v); got != want {
 			t.Errorf("%T: %s", v, got)
 		}
@@ -60,12 +60,12 @@
 		if Shape("x", v) == Shape("x", struct {
 			A int `json:"a"`
 		}{}) {
-			t.Errorf("%T is not told from the first", v)
+			t.Errorf("the shape of %T must differ from that of the reference struct", v)
 		}
 	}
 }
 
-func TestFilled_keepsOrderOfKeys(t *testing.T) {
+func TestFilled_preservesKeyOrder(t *testing.T) {
 	ab := Filled("x", struct {
 		A string            `json:"a"`
 		B map[string][]bool `json:"b"`
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestDifferenceNamesTheHeading(t *testing.T) {
+func TestDifference_includesHeadings(t *testing.T) {
 	got := difference("# a\nk int\n\n# b\nk int\n", "# a\nk int\n\n# b\nk string\n")
 	if got != "- # b: k int\n+ # b: k string\n" {
 		t.Error(got)
--- a/internal/testbed/golden/levels_test.go
+++ b/internal/testbed/golden/levels_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLeveledMessages_lists_every_level_a_line_may_have(t *testing.T) {
+func TestLeveledMessages_listsEveryPossibleLevel(t *testing.T) {
 	root := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(root, name), []byte(text), 0o644); err != nil {
@@ -26,10 +26,10 @@
 	_ = at.Log("msg", "joined anew")
 	_ = level.Error(log).Log("msg", text)
 }
-func g() { _ = at.Log("msg", "of another function") }
+func g() { _ = at.Log("msg", "variable of another function") }
 `)
 	write("a_test.go", `package a
-func h() { _ = level.Warn(log).Log("msg", "of a test") }
+func h() { _ = level.Warn(log).Log("msg", "call in a test") }
 `)
 	want := []LeveledMessage{
 		{"a", "warn", "disk slow"}, {"a", "info", "started"}, {"a", "error", "store halted"},
--- a/internal/testbed/golden/metrics.go
+++ b/internal/testbed/golden/metrics.go
@@ -4,21 +4,21 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics lists the figures that collectors describe: names, help texts, labels.
+// Metrics lists the names, help texts and labels of the metrics that collectors describe.
 func Metrics(label string, collectors ...prometheus.Collector) string {
-	found := map[string]bool{}
+	lines := map[string]bool{}
 	for _, c := range collectors {
 		descs := make(chan *prometheus.Desc, 1000)
 		c.Describe(descs)
 		close(descs)
 		for d := range descs {
-			found[d.String()] = true
+			lines[d.String()] = true
 		}
 	}
-	return Lines(label, sorted(found)...)
+	return Lines(label, sortedKeys(lines)...)
 }
 
-// Descs is a collector, for Metrics, in place of one whose descriptions are known but not announced by its Describe.
+// Descs is a collector for use with Metrics. It describes the metrics of a collector whose own Describe omits them.
 type Descs []*prometheus.Desc
 
 // Describe sends the descriptions.
@@ -28,20 +28,20 @@
 	}
 }
 
-// Collect sends nothing: Metrics reads descriptions only.
+// Collect sends no metrics: Metrics reads only descriptions.
 func (Descs) Collect(chan<- prometheus.Metric) {}
 
-// Registry is a prometheus.Registerer that keeps what is registered, for Metrics.
+// Registry is a prometheus.Registerer that stores registered collectors for use with Metrics.
 type Registry struct{ Collectors []prometheus.Collector }
 
-// Register keeps c.
+// Register appends c to Collectors.
 func (r *Registry) Register(c prometheus.Collector) error {
 	r.Collectors = append(r.Collectors, c)
 	return nil
 }
 
-// MustRegister keeps the collectors.
+// MustRegister appends c to Collectors.
 func (r *Registry) MustRegister(c ...prometheus.Collector) { r.Collectors = append(r.Collectors, c...) }
 
-// Unregister does nothing and reports so.
+// Unregister has no effect and returns false.
 func (*Registry) Unregister(prometheus.Collector) bool { return false }
--- a/internal/testbed/golden/program.go
+++ b/internal/testbed/golden/program.go
@@ -12,8 +12,9 @@
 	"github.com/urfave/cli/v3"
 )
 
-// MainCommands returns the Commands of a program whose main function runs a cli.Command over os.Args. It calls main
-// with --help and takes the tree that cli would print the help of, so that the tree is the one that main builds.
+// MainCommands returns the Commands of a program whose main function runs a cli.Command with os.Args. It calls main
+// with --help and intercepts the command tree that cli passes to its help printer, so the tree is the one that main
+// builds.
 func MainCommands(t *testing.T, main func()) string {
 	t.Helper()
 	args, printer := os.Args, cli.HelpPrinter
@@ -28,11 +29,11 @@
 	return Commands(root)
 }
 
-// argumentsVariable is the environment variable with the arguments for the processes that ExitCodes starts.
+// argumentsVariable is the environment variable through which ExitCodes passes arguments to the processes it starts.
 const argumentsVariable = "CROSSTIDE_GOLDEN_ARGS"
 
-// ExitCodes runs main once for each line of arguments, in a process of its own, and returns the exit codes. The process
-// is the test's own binary, which runs the calling test alone: that must call ExitCodes first and be no subtest.
+// ExitCodes runs main in a separate process for each line of arguments and returns the exit codes. The processes run
+// the test binary with only the calling test selected, so the caller must be a top-level test and call ExitCodes first.
 func ExitCodes(t *testing.T, main func(), lines ...string) string {
 	t.Helper()
 	if line, ok := os.LookupEnv(argumentsVariable); ok {
--- a/internal/testbed/golden/shapes.go
+++ b/internal/testbed/golden/shapes.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// Shape is the JSON of v's type: a line for each path of keys with its kind, sorted by path. What a list holds is under
-// PATH[], what a map holds under PATH{}. A type that is inside itself is told once, its inner place as "recursive".
+// Shape returns the JSON structure of v's type: one line per key path with its kind, sorted. List elements have the
+// path PATH[], map values PATH{}. A struct nested in itself is expanded once; its inner occurrence is listed as
+// "recursive".
 func Shape(label string, v any) string {
 	var lines []string
-	walk(reflect.TypeOf(v), "", "", nil, &lines)
+	appendShape(reflect.TypeOf(v), "", "", nil, &lines)
 	slices.Sort(lines)
 	return Lines(label, lines...)
 }
@@ -27,7 +28,9 @@
 	textType = reflect.TypeFor[encoding.TextMarshaler]()
 )
 
-func walk(t reflect.Type, path, options string, outer []reflect.Type, lines *[]string) {
+// appendShape appends the lines of type t at path to lines. options are the options of its json tag, outer the structs
+// that enclose it.
+func appendShape(t reflect.Type, path, options string, outer []reflect.Type, lines *[]string) {
 	for t != nil && t.Kind() == reflect.Pointer {
 		if t.Elem().Kind() != reflect.Struct {
 			options += " or null"
@@ -35,11 +38,11 @@
 		t = t.Elem()
 	}
 	add := func(kind string) {
-		at := path
-		if at == "" {
-			at = "."
+		shownPath := path
+		if shownPath == "" {
+			shownPath = "."
 		}
-		*lines = append(*lines, at+" "+kind+options)
+		*lines = append(*lines, shownPath+" "+kind+options)
 	}
 	switch {
 	case t == nil || t.Kind() == reflect.Interface:
@@ -58,24 +61,25 @@
 			return
 		}
 		add("object")
-		fields(t, path, append(slices.Clone(outer), t), lines)
+		appendFields(t, path, append(slices.Clone(outer), t), lines)
 	case t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Uint8:
 		add("base64")
 	case t.Kind() == reflect.Slice:
 		add("list")
-		walk(t.Elem(), path+"[]", "", outer, lines)
+		appendShape(t.Elem(), path+"[]", "", outer, lines)
 	case t.Kind() == reflect.Array:
 		add("list of " + strconv.Itoa(t.Len()))
-		walk(t.Elem(), path+"[]", "", outer, lines)
+		appendShape(t.Elem(), path+"[]", "", outer, lines)
 	case t.Kind() == reflect.Map:
-		add("map by " + scalar(t.Key()))
-		walk(t.Elem(), path+"{}", "", outer, lines)
+		add("map by " + scalarKind(t.Key()))
+		appendShape(t.Elem(), path+"{}", "", outer, lines)
 	default:
-		add(scalar(t))
+		add(scalarKind(t))
 	}
 }
 
-func scalar(t reflect.Type) string {
+// scalarKind returns the JSON kind of a type without elements or fields.
+func scalarKind(t reflect.Type) string {
 	switch {
 	case t.Kind() == reflect.String:
 		return "string"
@@ -91,8 +95,9 @@
 	return "no JSON (" + t.Kind().String() + ")"
 }
 
-// fields walks what encoding/json writes of a struct; the fields of an embedded one without a key stand in its place.
-func fields(t reflect.Type, path string, outer []reflect.Type, lines *[]string) {
+// appendFields appends the lines of the fields that encoding/json encodes. Like there, an embedded struct without a key
+// is replaced by its fields.
+func appendFields(t reflect.Type, path string, outer []reflect.Type, lines *[]string) {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		tag := f.Tag.Get("json")
@@ -105,7 +110,7 @@
 		case tag == "-":
 			continue
 		case f.Anonymous && key == "" && inner.Kind() == reflect.Struct:
-			fields(inner, path, outer, lines)
+			appendFields(inner, path, outer, lines)
 			continue
 		case !f.IsExported():
 			continue
@@ -116,30 +121,30 @@
 		if rest != "" {
 			options = " " + rest
 		}
-		at := key
+		fieldPath := key
 		if path != "" {
-			at = path + "." + key
+			fieldPath = path + "." + key
 		}
-		walk(f.Type, at, options, outer, lines)
+		appendShape(f.Type, fieldPath, options, outer, lines)
 	}
 }
 
-// Filled is the JSON of a value like v in which every exported field has a value, counted up (numbers modulo
-// 128): it pins the order
-// of the keys too, and what a method of the type makes of it.
+// Filled returns the JSON of a value of v's type whose exported fields are set to consecutive values, integers modulo
+// 128. Unlike Shape it also pins the order of the keys and the output of custom marshalers.
 func Filled(label string, v any) string {
 	value, n := reflect.New(reflect.TypeOf(v)).Elem(), 0
 	fill(value, &n, 0)
 	data, err := json.Marshal(value.Addr().Interface())
 	if err != nil {
-		panic(err) // a body that cannot be encoded: the test has a wrong root
+		panic(err) // the test passed a type that cannot be encoded
 	}
 	return Lines(label+", filled", string(data))
 }
 
-// deepest is where filling stops: under it lists, maps and pointers stay empty.
-const deepest = 12
+// maxFillDepth is the depth from which lists, maps and pointers are left empty, so that recursive types end.
+const maxFillDepth = 12
 
+// fill sets v and its fields. n counts the values set so far.
 func fill(v reflect.Value, n *int, depth int) {
 	if !v.CanSet() {
 		return
@@ -173,13 +178,14 @@
 			fill(v.Index(i), n, depth+1)
 		}
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		if depth < deepest {
-			fillInner(v, n, depth)
+		if depth < maxFillDepth {
+			fillElement(v, n, depth)
 		}
 	}
 }
 
-func fillInner(v reflect.Value, n *int, depth int) {
+// fillElement sets v, a pointer, slice or map, to one with a single filled element.
+func fillElement(v reflect.Value, n *int, depth int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
@@ -196,7 +202,7 @@
 	}
 }
 
-// Values lists the values of a struct in the order of its fields, without their names; embedded structs in their place.
+// Values lists the values of a struct's fields in order, without names. Nested structs are replaced by their fields.
 func Values(label string, v any) string {
 	var lines []string
 	var list func(v reflect.Value)
--- a/internal/testbed/testclock/testclock.go
+++ b/internal/testbed/testclock/testclock.go
@@ -1,5 +1,5 @@
-// Package testclock has the clock of tests whose code under test waits: each wait takes no time. It is for tests only.
-// Tests that must decide when time passes use clock.Virtual.
+// Package testclock provides a clock for tests of code that waits: its timers fire immediately. Tests that control when
+// time passes use clock.Virtual instead.
 package testclock
 
 import (
@@ -9,10 +9,10 @@
 	"crosstide/internal/clock"
 )
 
-// Elapsing is a clock on which every timer fires while it is set, as if its time had passed. The zero value starts
-// at 0.
+// Elapsing is a clock whose timers fire when they are set, as if their duration had passed. The zero value starts at 0.
+// It is safe for concurrent use.
 type Elapsing struct {
-	mu  sync.Mutex
+	mu  sync.Mutex // guards now
 	now time.Duration
 }
 
@@ -26,17 +26,17 @@
 // Wall returns the Unix epoch plus Now.
 func (c *Elapsing) Wall() time.Time { return time.Unix(0, int64(c.Now())) }
 
-// Set advances the clock by d and calls call.
+// Set advances the clock by d, if d is positive, and calls call before it returns.
 func (c *Elapsing) Set(d time.Duration, call func()) clock.Stopper {
 	c.mu.Lock()
 	c.now += max(d, 0)
 	c.mu.Unlock()
 	call()
-	return fired{}
+	return firedTimer{}
 }
 
 // fired is a timer that has fired.
-type fired struct{}
+type firedTimer struct{}
 
-// Stop returns false: the timer has fired already.
-func (fired) Stop() bool { return false }
+// Stop returns false because the timer has already fired.
+func (firedTimer) Stop() bool { return false }
