--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -1,5 +1,5 @@
-// Package bench measures a fleet at increasing rates of tasks that do nothing (Run), and the syncs of a disk (Disk). It
-// judges nothing: no rate is a failure.
+// Package bench measures the throughput of a fleet under loads of no-op tasks at increasing rates (Run), and the sync
+// rate of a disk (Disk). It sets no targets: no result counts as a failure.
 package bench
 
 import (
@@ -17,30 +17,30 @@
 	connsPerNode   = 4
 	pollsPerSecond = 2000
 	clients        = 8
-	retries        = 3 // of a task
+	retries        = 3 // per task
 )
 
-// Options are the loads under which a fleet is measured.
+// Options describes the loads that Run applies to a fleet.
 type Options struct {
-	Dir        string        // of the fleet
-	Rates      []float64     // jobs per second, one load after the other
+	Dir        string        // directory of the fleet
+	Rates      []float64     // jobs per second; each rate is a separate load
 	Tasks      int           // per job
-	Duration   time.Duration // of each rate
-	EndTimeout time.Duration
+	Duration   time.Duration // of the load at each rate
+	EndTimeout time.Duration // for the jobs to end after the load
 }
 
-// Row is what was measured at one rate.
+// Row holds the results at one rate.
 type Row struct {
 	Rate           float64
 	Load           load.Report
 	SyncsPerSecond float64 // of the store's leader
-	RunIDsPerSync  float64
+	RunIDsPerSync  float64 // run IDs that the scheduler assigned, per sync of the store's leader
 	LeaderCPU      float64 // of the store's leader, % of a core
 	SchedulerCPU   float64 // of the scheduler's leader, % of a core
 }
 
-// Run measures one rate after the other and passes each row to report. Failures: those of load.Run, of reading the
-// leaders' metrics, of report.
+// Run applies the rates one after the other and passes the results of each to report. It returns the errors of
+// load.Run and report, and those of reading the leaders' metrics.
 func Run(ctx context.Context, options Options, report func(Row) error) error {
 	nodes, err := fleet.Read(options.Dir)
 	if err != nil {
@@ -52,14 +52,14 @@
 		if err != nil {
 			return errs.Pass(err, "bench")
 		}
-		began := clock.Real{}.Now()
+		startedAt := clock.Real{}.Now()
 		jobs, err := load.Run(ctx, load.Options{Dir: options.Dir, Rate: rate, Duration: options.Duration,
 			Seed: uint64(i + 1), Tasks: options.Tasks, EndTimeout: options.EndTimeout,
 			MaxPollsPerSecond: pollsPerSecond, Clients: clients, Retries: retries})
 		if err != nil {
 			return errs.Pass(err, "load at %g", rate)
 		}
-		seconds := (clock.Real{}.Now() - began).Seconds()
+		seconds := (clock.Real{}.Now() - startedAt).Seconds()
 		after, err := takeSample(ctx, caller, nodes)
 		if err != nil {
 			return errs.Pass(err, "bench")
@@ -78,13 +78,13 @@
 		SchedulerCPU: 100 * (after.schedulerCPU - before.schedulerCPU) / seconds}
 }
 
-// sample has the counters of the leaders of the store and of the scheduler, since the start of their processes.
+// sample holds counters of the leaders of the store and of the scheduler, counted since their processes started.
 type sample struct{ syncs, runIDs, leaderCPU, schedulerCPU float64 }
 
 func takeSample(ctx context.Context, caller *fleet.Caller, nodes fleet.Nodes) (sample, error) {
 	leaders, err := fleet.FindLeaders(ctx, caller, nodes)
 	if err != nil {
-		return sample{}, errs.Pass(err, "who holds what")
+		return sample{}, errs.Pass(err, "find leaders")
 	}
 	var s sample
 	for _, n := range slices.Concat(nodes.ControlPlanes, nodes.DataPlanes) {
@@ -93,7 +93,7 @@
 		}
 		metrics, _, err := fleet.Scrape(ctx, caller, n.Addr)
 		if err != nil {
-			return s, errs.Pass(err, "sample of %s", n.Name)
+			return s, errs.Pass(err, "scrape metrics of %s", n.Name)
 		}
 		cpu := metrics.Sum("process_cpu_seconds_total")
 		if n.Name == leaders.Store {
--- a/internal/testbed/bench/bench_test.go
+++ b/internal/testbed/bench/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestNewRow(t *testing.T) {
-	Convey("A row is what the leaders have counted between two samples, a second", t, func() {
+	Convey("A row holds the increase of the leaders' counters between two samples, per second", t, func() {
 		before := sample{syncs: 100, runIDs: 10, leaderCPU: 1, schedulerCPU: 2}
 		after := sample{syncs: 200, runIDs: 510, leaderCPU: 2, schedulerCPU: 2.5}
 		So(newRow(50, load.Report{Accepted: 7}, before, after, 10), ShouldResemble, Row{Rate: 50,
@@ -19,7 +19,7 @@
 }
 
 func TestDisk(t *testing.T) {
-	Convey("A disk that is measured for no time has made no sync", t, func() {
+	Convey("A measurement of zero duration makes no syncs", t, func() {
 		rate, err := Disk(filepath.Join(t.TempDir(), "d"), 8, 0)
 		So(err, ShouldBeNil)
 		So(rate, ShouldEqual, 0)
--- a/internal/testbed/bench/disk.go
+++ b/internal/testbed/bench/disk.go
@@ -8,8 +8,9 @@
 	"crosstide/internal/storage"
 )
 
-// Disk appends records of so many bytes to a log in a new folder for d, each with a sync as the store does it, and
-// returns the number of syncs per second. The folder is left behind. Failures: those of package storage.
+// Disk appends records of the given size in bytes to a log in dir until d has passed, with one sync per record as in
+// the store, and returns the number of syncs per second. dir should be new; it is not removed. The errors are those of
+// package storage.
 func Disk(dir string, bytes int, d time.Duration) (syncsPerSecond float64, err error) {
 	folder, err := storage.OSDisk(dir)
 	if err != nil {
@@ -20,13 +21,13 @@
 		return 0, errs.Pass(err, "disk")
 	}
 	data, clock, syncs := make([]byte, bytes), clock.Real{}, uint64(0)
-	began := clock.Now()
-	for clock.Now()-began < d {
+	startedAt := clock.Now()
+	for clock.Now()-startedAt < d {
 		syncs++
 		if err := log.Append([]storage.Record{{Term: 1, Index: syncs, Data: data}}); err != nil {
 			return 0, errs.Pass(err, "disk")
 		}
 	}
-	syncsPerSecond = float64(syncs) / (clock.Now() - began).Seconds()
+	syncsPerSecond = float64(syncs) / (clock.Now() - startedAt).Seconds()
 	return syncsPerSecond, errs.Pass(log.Close(), "disk")
 }
--- a/internal/testbed/billingload/export.go
+++ b/internal/testbed/billingload/export.go
@@ -9,7 +9,8 @@
 	"crosstide/internal/errs"
 )
 
-// Columns of an export. Its first row is the head, its second the base (what was compacted), its last the sum.
+// Columns of an export. The first row is the header, the second the base (totals of compacted entries), the last one
+// the ledger's head (the totals of the account).
 const (
 	columnKind   = 2
 	columnKey    = 3
@@ -19,31 +20,31 @@
 	columnSpent  = 7
 )
 
-// Sums are what the rows of an export add up to.
+// Sums holds the totals of an export's rows.
 type Sums struct {
 	ToppedUp, Spent int64
-	TopUps          map[string]int64 // by key, of the entries that were not compacted
+	TopUps          map[string]int64 // by key; compacted entries are not included
 	Entries         int
 }
 
-// SumExport adds the entries of an export to its base row; the sum must be that of its last row. Failure: Damaged: it
-// is not, or an entry stands twice.
+// SumExport adds the entries of an export to its base row and compares the result with the totals in the last row. It
+// returns a Damaged error if they differ, if an entry occurs twice or if the export is not valid CSV.
 func SumExport(export []byte) (Sums, error) {
 	rows, err := csv.NewReader(bytes.NewReader(export)).ReadAll()
 	if err != nil {
-		return Sums{}, errs.Wrap(err, errs.Damaged, "the export is no CSV")
+		return Sums{}, errs.Wrap(err, errs.Damaged, "the export is not valid CSV")
 	}
 	if len(rows) < 3 {
-		return Sums{}, errs.New(errs.Damaged, "the export has %d rows", len(rows))
+		return Sums{}, errs.New(errs.Damaged, "the export has %d rows, expected at least 3", len(rows))
 	}
-	base, last := rows[1], rows[len(rows)-1]
+	base, totals := rows[1], rows[len(rows)-1]
 	sums := Sums{ToppedUp: parseAmount(base[columnTopUps]), Spent: parseAmount(base[columnSpent]),
 		TopUps: map[string]int64{}}
 	seen := map[string]bool{}
 	for _, row := range rows[2 : len(rows)-1] {
 		name := row[columnKind] + " " + row[columnKey] + " " + row[columnPart]
 		if seen[name] {
-			return sums, errs.New(errs.Damaged, "the entry %s stands twice", name)
+			return sums, errs.New(errs.Damaged, "duplicate entry %s", name)
 		}
 		seen[name] = true
 		amount := parseAmount(row[columnAmount])
@@ -55,14 +56,14 @@
 			sums.Spent += amount
 		}
 	}
-	if sums.ToppedUp != parseAmount(last[columnTopUps]) || sums.Spent != parseAmount(last[columnSpent]) {
-		return sums, errs.New(errs.Damaged, "the entries add up to %d and %d, the head says %s and %s", sums.ToppedUp,
-			sums.Spent, last[columnTopUps], last[columnSpent])
+	if sums.ToppedUp != parseAmount(totals[columnTopUps]) || sums.Spent != parseAmount(totals[columnSpent]) {
+		return sums, errs.New(errs.Damaged, "entries add up to %d topped up and %d spent, the last row has %s and %s",
+			sums.ToppedUp, sums.Spent, totals[columnTopUps], totals[columnSpent])
 	}
 	return sums, nil
 }
 
-// parseAmount reads a whole number; what is none is -1, which no sum of an export is.
+// parseAmount returns the integer in text, or -1 if text is not an integer. Sums in an export are never negative.
 func parseAmount(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/testbed/billingload/export_test.go
+++ b/internal/testbed/billingload/export_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestSumExport(t *testing.T) {
-	Convey("An export adds up to its head; one that was changed does not", t, func() {
+	Convey("The entries of an export add up to its totals row; a changed export is rejected", t, func() {
 		at := time.Unix(1_700_000_000, 0).UTC()
 		accounts := account.NewTable()
 		So(accounts.Create("acme", 0), ShouldBeNil)
@@ -31,15 +31,15 @@
 		So(sums, ShouldResemble, Sums{ToppedUp: 200, Spent: 3, TopUps: map[string]int64{"k1": 100, "k2": 100}, Entries: 3})
 		text := out.String()
 		lines := strings.SplitAfter(text, "\n")
-		for what, changed := range map[string]string{
-			"an amount":    strings.Replace(text, ",draw,r1,0,3,", ",draw,r1,0,4,", 1),
-			"left out":     strings.Join(append(append([]string{}, lines[:2]...), lines[3:]...), ""),
-			"doubled":      strings.Join(append(append([]string{}, lines[:3]...), lines[2:]...), ""),
-			"no number":    strings.Replace(text, ",draw,r1,0,3,", ",draw,r1,0,x,", 1),
-			"nothing else": lines[0],
+		for change, changed := range map[string]string{
+			"amount changed": strings.Replace(text, ",draw,r1,0,3,", ",draw,r1,0,4,", 1),
+			"entry removed":  strings.Join(append(append([]string{}, lines[:2]...), lines[3:]...), ""),
+			"doubled":        strings.Join(append(append([]string{}, lines[:3]...), lines[2:]...), ""),
+			"not a number":   strings.Replace(text, ",draw,r1,0,3,", ",draw,r1,0,x,", 1),
+			"header only":    lines[0],
 		} {
 			_, err := SumExport([]byte(changed))
-			So(what+" "+string(errs.KindOf(err)), ShouldEqual, what+" "+string(errs.Damaged))
+			So(change+" "+string(errs.KindOf(err)), ShouldEqual, change+" "+string(errs.Damaged))
 		}
 	})
 }
--- a/internal/testbed/journal/journal.go
+++ b/internal/testbed/journal/journal.go
@@ -1,8 +1,9 @@
-// Package journal reads and writes the journals of the testbed: append-only files of JSON lines, one for each writer,
-// which package audit checks. A journal trusts no daemon: each line records what its writer did or was answered.
+// Package journal reads and writes the journals of the testbed: append-only files of JSON lines, one file per writer,
+// which package audit checks. Journals are independent of the daemons: each line records an action of its writer or an
+// answer that the writer received.
 //
-// A Writer appends to DIR/journal/NAME.jsonl; Lines reads all of them back. Entry is the line of a stand-in worker; the
-// other writers have entries of their own (packages load and operator, and the faults that the testbed injects).
+// A Writer appends to DIR/journal/NAME.jsonl; Lines reads all files of a folder. Entry is the line format of simulated
+// workers; other writers define their own (packages load and operator, and the faults that the testbed injects).
 package journal
 
 import (
@@ -21,66 +22,67 @@
 
 // Events of an Entry.
 const (
-	NewIncarnation = "boot"   // the process began under a new incarnation
-	Order          = "order"  // a start order came
-	Start          = "start"  // its run began
-	Refuse         = "refuse" // it was refused for Reason
-	Stop           = "stop"   // a run was killed on an order, or as the worker left
-	End            = "end"    // a run ended by itself; OK: it succeeded
-	Expire         = "lapse"  // a run was killed (or not begun) as its lease had expired
-	Drain          = "drain"  // draining was switched; OK: on
+	NewIncarnation = "boot"   // the process started with a new incarnation
+	Order          = "order"  // a start order was received
+	Start          = "start"  // the ordered run started
+	Refuse         = "refuse" // the start order was refused; Reason says why
+	Stop           = "stop"   // a run was killed by an order, or because the worker shut down
+	End            = "end"    // a run ended without being killed; OK: it succeeded
+	Expire         = "lapse"  // a run was killed, or not started, because its lease had expired
+	Drain          = "drain"  // draining was switched on (OK) or off
 )
 
-// Entry is one line of a worker's journal. Labels, Cores and GPUs are the worker's with NewIncarnation, else the run's.
+// Entry is one line of a worker's journal. Labels, Cores and GPUs are those of the worker if Event is NewIncarnation,
+// and of the run otherwise.
 type Entry struct {
-	At          int64             `json:"at"` // Unix time in ns, of writing
+	At          int64             `json:"at"` // Unix time in ns at which the entry was written
 	Event       string            `json:"ev"`
 	Worker      string            `json:"minion"`
 	Incarnation string            `json:"boot"`
 	Job         string            `json:"job"`
 	Task        int               `json:"task"`
 	RunID       uint64            `json:"ticket"`
-	Epoch       uint64            `json:"epoch"` // of the call that brought the order
+	Epoch       uint64            `json:"epoch"` // of the call that contained the order
 	Type        string            `json:"type"`
 	Zone        string            `json:"zone"`
-	Rack        string            `json:"rack,omitempty"` // of the worker, with NewIncarnation
+	Rack        string            `json:"rack,omitempty"` // of the worker; set with NewIncarnation
 	OK          bool              `json:"ok"`
 	Step        string            `json:"step,omitempty"`
 	Queue       string            `json:"queue,omitempty"`
-	Labels      map[string]string `json:"labels,omitempty"` // of the worker, or that the step asks for
-	Cores       int               `json:"cores,omitempty"`  // of the worker, or of the run
+	Labels      map[string]string `json:"labels,omitempty"` // of the worker, or required by the step
+	Cores       int               `json:"cores,omitempty"`  // of the worker, or required by the run
 	GPUs        int               `json:"gpus,omitempty"`
-	Clock       int64             `json:"clock,omitempty"` // the worker's own clock in ns
+	Clock       int64             `json:"clock,omitempty"` // reading of the worker's own clock in ns
 	Reason      string            `json:"why,omitempty"`
 }
 
-// Writer appends to one file. It is the file's only writer; its methods may be called from many goroutines.
+// Writer appends lines to a file, of which it must be the only writer. It is safe for concurrent use.
 type Writer struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// Open opens path for appending, with its folder if need be. A torn last line, left by a killed writer, is cut.
-// Failure: Disk.
+// Open opens path for appending and creates it and its folder if needed. It removes an incomplete last line, which a
+// killed writer may leave. Errors are of kind Disk.
 func Open(path string) (*Writer, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return nil, errs.Wrap(err, errs.Disk, "folder of journal %s", path)
+		return nil, errs.Wrap(err, errs.Disk, "create folder of journal %s", path)
 	}
 	length, err := completeLength(path)
 	if err != nil {
-		return nil, errs.Pass(err, "whole lines")
+		return nil, errs.Pass(err, "find incomplete line")
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "open journal %s", path)
 	}
 	if err := file.Truncate(length); err != nil {
-		return nil, errs.Wrap(errors.Join(err, file.Close()), errs.Disk, "cut torn end of journal %s", path)
+		return nil, errs.Wrap(errors.Join(err, file.Close()), errs.Disk, "truncate journal %s", path)
 	}
 	return &Writer{file: file}, nil
 }
 
-// completeLength returns the size of path up to its last line end, 0 if there is no such file.
+// completeLength returns the length of path up to and including its last newline, or 0 if the file does not exist.
 func completeLength(path string) (int64, error) {
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -89,14 +91,14 @@
 	return int64(bytes.LastIndexByte(data, '\n') + 1), nil
 }
 
-// Append writes v, commonly an Entry, as one line by one write(2): a process killed afterwards loses nothing.
-// Failures: Internal (v is no JSON), Disk. Example:
+// Append writes v, usually an Entry, as one line with a single write(2), so the line survives if the process is killed
+// afterwards. Errors are of kind Internal, if v cannot be encoded as JSON, or Disk. Example:
 //
 //	err := w.Append(journal.Entry{At: time.Now().UnixNano(), Event: journal.NewIncarnation, Worker: "m1"})
 func (w *Writer) Append(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "journal line")
+		return errs.Wrap(err, errs.Internal, "encode journal line")
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,28 +106,28 @@
 	return errs.Wrap(err, errs.Disk, "append to journal")
 }
 
-// Close closes the file.
+// Close closes the file. The Writer must not be used afterwards.
 func (w *Writer) Close() error {
 	return errs.Wrap(w.file.Close(), errs.Disk, "close journal")
 }
 
-// Line is one line as found: the file's base name, the line's number from 1, and its bytes.
+// Line is one line of a journal.
 type Line struct {
-	File   string
-	Number int
-	Raw    []byte // valid JSON; the caller may keep it
+	File   string // base name
+	Number int    // counted from 1
+	Raw    []byte // the line without its newline, valid JSON; the caller may retain it
 }
 
-// Entry decodes the line as a worker's. Failure: Damaged.
+// Entry decodes the line of a worker's journal. Errors are of kind Damaged.
 func (l Line) Entry() (Entry, error) {
 	var e Entry
 	err := json.Unmarshal(l.Raw, &e)
-	return e, errs.Wrap(err, errs.Damaged, "journal %s line %d", l.File, l.Number)
+	return e, errs.Wrap(err, errs.Damaged, "decode journal %s line %d", l.File, l.Number)
 }
 
-// Lines iterates over all lines of dir/journal/*.jsonl, by file name and then in order of writing. A last line
-// without its line end is torn and left out. Any other line that is no JSON is yielded with the failure
-// Damaged, a file that cannot be read with Disk. Example:
+// Lines iterates over all lines of dir/journal/*.jsonl, by file name and then in order of writing. A last line without
+// a newline is incomplete and skipped. Any other line that is not valid JSON is yielded with an error of kind Damaged,
+// a file that cannot be read with one of kind Disk. Example:
 //
 //	for line, err := range journal.Lines(dir) {
 //		if err != nil {
@@ -149,6 +151,7 @@
 	}
 }
 
+// readLines yields the lines of a file. It returns false if yield did.
 func readLines(path string, yield func(Line, error) bool) bool {
 	line := Line{File: filepath.Base(path)}
 	file, err := os.Open(path)
@@ -156,10 +159,10 @@
 		return yield(line, errs.Wrap(err, errs.Disk, "open journal %s", path))
 	}
 	defer file.Close()
-	for in := bufio.NewReader(file); ; {
-		raw, err := in.ReadBytes('\n')
+	for reader := bufio.NewReader(file); ; {
+		raw, err := reader.ReadBytes('\n')
 		if err == io.EOF {
-			return true // what raw still holds is torn
+			return true // raw may hold an incomplete last line, which is skipped
 		}
 		if err != nil {
 			return yield(line, errs.Wrap(err, errs.Disk, "read journal %s", path))
@@ -167,7 +170,7 @@
 		line.Number++
 		line.Raw = bytes.TrimSuffix(raw, []byte("\n"))
 		if !json.Valid(line.Raw) {
-			err = errs.New(errs.Damaged, "journal %s line %d is no JSON", line.File, line.Number)
+			err = errs.New(errs.Damaged, "journal %s line %d is not valid JSON", line.File, line.Number)
 		}
 		if !yield(line, err) {
 			return false
--- a/internal/testbed/journal/journal_test.go
+++ b/internal/testbed/journal/journal_test.go
@@ -10,7 +10,8 @@
 	"crosstide/internal/errs"
 )
 
-func read(dir string) (runIDs []uint64, kinds []errs.Kind) {
+// readRunIDs returns the run IDs of the valid lines of a journal folder, and the error kinds of the others.
+func readRunIDs(dir string) (runIDs []uint64, kinds []errs.Kind) {
 	for line, err := range Lines(dir) {
 		if err != nil {
 			kinds = append(kinds, errs.KindOf(err))
@@ -23,8 +24,8 @@
 	return runIDs, kinds
 }
 
-func TestJournal(t *testing.T) {
-	Convey("Lines written are read back in order; a torn end is left out, and cut when the writer comes back", t, func() {
+func TestWriterAndLines(t *testing.T) {
+	Convey("Lines are read in order of writing; an incomplete last line is skipped, and removed by Open", t, func() {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "journal", "m1.jsonl")
 		w, err := Open(path)
@@ -37,7 +38,7 @@
 		data, err := os.ReadFile(path)
 		So(err, ShouldBeNil)
 		So(os.WriteFile(path, append(data, `{"ev":"sta`...), 0o644), ShouldBeNil)
-		runIDs, kinds := read(dir)
+		runIDs, kinds := readRunIDs(dir)
 		So(runIDs, ShouldResemble, []uint64{1, 2, 3})
 		So(kinds, ShouldBeEmpty)
 
@@ -45,17 +46,17 @@
 		So(err, ShouldBeNil)
 		So(w.Append(Entry{Event: NewIncarnation, RunID: 4}), ShouldBeNil)
 		So(w.Close(), ShouldBeNil)
-		runIDs, kinds = read(dir)
+		runIDs, kinds = readRunIDs(dir)
 		So(runIDs, ShouldResemble, []uint64{1, 2, 3, 4})
 		So(kinds, ShouldBeEmpty)
 	})
 
-	Convey("A complete line that is no JSON is damaged", t, func() {
+	Convey("A complete line that is not valid JSON is yielded as Damaged", t, func() {
 		dir := t.TempDir()
 		So(os.Mkdir(filepath.Join(dir, "journal"), 0o755), ShouldBeNil)
 		lines := []byte("{\"ticket\":1}\n{\"ti\n{\"ticket\":2}\n")
 		So(os.WriteFile(filepath.Join(dir, "journal", "m.jsonl"), lines, 0o644), ShouldBeNil)
-		runIDs, kinds := read(dir)
+		runIDs, kinds := readRunIDs(dir)
 		So(runIDs, ShouldResemble, []uint64{1, 2})
 		So(kinds, ShouldResemble, []errs.Kind{errs.Damaged})
 	})
--- a/internal/testbed/latency/latency_test.go
+++ b/internal/testbed/latency/latency_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestHistogram(t *testing.T) {
-	Convey("An empty histogram is all zero", t, func() {
+	Convey("All values of an empty histogram are zero", t, func() {
 		h := New()
 		So([]time.Duration{h.Quantile(50), h.Quantile(99), h.Max()}, ShouldResemble, []time.Duration{0, 0, 0})
 		So(h.Count(), ShouldEqual, 0)
 	})
 
-	Convey("Quantiles are in whole microseconds, and what is out of the bounds counts as the bound", t, func() {
+	Convey("Quantiles are in whole microseconds; durations outside the range count as the nearest bound", t, func() {
 		h := New()
 		for _, d := range []time.Duration{-time.Second, 1500 * time.Microsecond, 2 * time.Hour} {
 			h.Record(d)
--- a/internal/testbed/scale/csv.go
+++ b/internal/testbed/scale/csv.go
@@ -12,7 +12,7 @@
 	"crosstide/internal/errs"
 )
 
-// columns are the names of cells, in the order of Row.cells.
+// columns are the column names, in the order of Row.cells.
 var columns = []string{"minions", "offered_per_s", "starts_per_s", "running", "start_p50_ms", "start_p99_ms", "left",
 	"machine_cores", "loop_kb_s", "loop_packets_s", "role", "procs", "cpu_pct", "mb", "msgs_s", "body_kb_s", "net_kb_s",
 	"syncs_s", "log_kb_s", "note"}
@@ -24,7 +24,7 @@
 		&r.Syncs, &r.LogKB, &r.Note}
 }
 
-// record returns the row as a record of CSV.
+// record returns the row as a CSV record.
 func (r Row) record() []string {
 	var record []string
 	for _, cell := range r.cells() {
@@ -40,8 +40,8 @@
 	return record
 }
 
-// parse sets the row from a record of CSV; n is the record's number, for errors.
-func (r *Row) parse(record []string, n int) error {
+// parse sets the row from a CSV record. number is the record's number, for errors.
+func (r *Row) parse(record []string, number int) error {
 	for i, cell := range r.cells() {
 		if text, isText := cell.(*string); isText {
 			*text = record[i]
@@ -49,7 +49,7 @@
 		}
 		value, err := strconv.ParseFloat(record[i], 64)
 		if err != nil {
-			return errs.Wrap(err, errs.Malformed, "row %d, %s", n, columns[i])
+			return errs.Wrap(err, errs.Malformed, "row %d, column %s", number, columns[i])
 		}
 		switch field := cell.(type) {
 		case *int:
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// AppendRows adds rows to a CSV file, with a head if it is new. Failure: Disk.
+// AppendRows appends rows to a CSV file, which it creates with a header if it does not exist. Errors are of kind Disk.
 func AppendRows(path string, rows []Row) error {
 	_, err := os.Stat(path)
 	isNew := errors.Is(err, fs.ErrNotExist)
@@ -71,16 +71,16 @@
 	}
 	w := csv.NewWriter(file)
 	if isNew {
-		_ = w.Write(columns) // Error reports it
+		_ = w.Write(columns) // w.Error returns the error
 	}
 	for _, r := range rows {
-		_ = w.Write(r.record()) // Error reports it
+		_ = w.Write(r.record()) // w.Error returns the error
 	}
 	w.Flush()
 	return errs.Wrap(errors.Join(w.Error(), file.Close()), errs.Disk, "write %s", path)
 }
 
-// ReadRows reads what AppendRows wrote. Failures: Disk, Malformed.
+// ReadRows reads a file written by AppendRows. Errors are of kind Disk or Malformed.
 func ReadRows(path string) ([]Row, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	defer file.Close()
 	var rows []Row
-	for reader, n := csv.NewReader(file), 0; ; n++ {
+	for reader, number := csv.NewReader(file), 0; ; number++ {
 		record, err := reader.Read()
 		if err == io.EOF {
 			return rows, nil
@@ -96,14 +96,14 @@
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Malformed, "%s", path)
 		}
-		if n == 0 {
+		if number == 0 {
 			if !slices.Equal(record, columns) {
-				return nil, errs.New(errs.Malformed, "%s has other columns", path)
+				return nil, errs.New(errs.Malformed, "%s: columns differ from those of this version", path)
 			}
 			continue
 		}
 		var row Row
-		if err := row.parse(record, n); err != nil {
+		if err := row.parse(record, number); err != nil {
 			return nil, errs.Pass(err, "%s", path)
 		}
 		rows = append(rows, row)
--- a/internal/testbed/scale/plot.go
+++ b/internal/testbed/scale/plot.go
@@ -14,29 +14,30 @@
 	"crosstide/internal/errs"
 )
 
-// Plot writes a PNG of processor time, memory and traffic of each role: above against workers at idle, below against
-// starts a second at the largest fleet. Failures: Invalid (no rows), Internal, Disk.
+// Plot writes a PNG with the processor time, memory and traffic of each role: in the upper panels against the number of
+// workers of an idle fleet, in the lower ones against the start rate of the largest fleet. Errors are of kind Invalid,
+// if rows is empty, Internal or Disk.
 func Plot(path string, rows []Row) error {
 	largest := 0
 	for _, r := range rows {
 		largest = max(largest, r.Workers)
 	}
 	if largest == 0 {
-		return errs.New(errs.Invalid, "nothing to draw")
+		return errs.New(errs.Invalid, "no rows to plot")
 	}
 	isLoaded := func(r Row) bool {
 		return r.Workers == largest && r.Offered > 0 && !strings.HasPrefix(r.Note, fillNote)
 	}
 	var tiles [][]*plot.Plot
-	for _, line := range []struct {
-		label    string
-		isShown  func(Row) bool
-		valueOfX func(Row) float64
+	for _, group := range []struct {
+		label           string
+		isPlotted       func(Row) bool
+		workersOrStarts func(Row) float64
 	}{
 		{"minions, idle", Row.IsIdle, func(r Row) float64 { return float64(r.Workers) }},
-		{"starts a second", isLoaded, func(r Row) float64 { return r.Starts }},
+		{"starts per second", isLoaded, func(r Row) float64 { return r.Starts }},
 	} {
-		panels, err := panelLine(rows, line.label, line.isShown, line.valueOfX)
+		panels, err := panelRow(rows, group.label, group.isPlotted, group.workersOrStarts)
 		if err != nil {
 			return errs.Pass(err, "draw")
 		}
@@ -45,8 +46,8 @@
 	return errs.Pass(writeTiles(path, tiles), "draw")
 }
 
-// panelLine returns a line of panels: one for each kind of cost.
-func panelLine(rows []Row, label string, isShown func(Row) bool, x func(Row) float64) ([]*plot.Plot, error) {
+// panelRow returns a row of panels, one for each kind of cost, for the rows for which isPlotted is true.
+func panelRow(rows []Row, label string, isPlotted func(Row) bool, x func(Row) float64) ([]*plot.Plot, error) {
 	var panels []*plot.Plot
 	for _, cost := range []struct {
 		label string
@@ -54,9 +55,9 @@
 	}{
 		{"% of a core", func(r Row) float64 { return r.CPU }},
 		{"MB resident", func(r Row) float64 { return r.MB }},
-		{"KB a second", func(r Row) float64 { return r.Net }},
+		{"KB per second", func(r Row) float64 { return r.Net }},
 	} {
-		p, err := panel(rows, isShown, x, cost.y)
+		p, err := newPanel(rows, isPlotted, x, cost.y)
 		if err != nil {
 			return nil, errs.Pass(err, "%s", cost.label)
 		}
@@ -66,15 +67,15 @@
 	return panels, nil
 }
 
-// writeTiles writes all panels as one picture.
+// writeTiles writes all panels to one PNG file.
 func writeTiles(path string, tiles [][]*plot.Plot) error {
 	img := vgimg.New(33*vg.Centimeter, 20*vg.Centimeter)
 	pad := vg.Points(8)
 	grid := draw.Tiles{Rows: len(tiles), Cols: len(tiles[0]), PadX: pad, PadY: pad, PadTop: pad, PadBottom: pad,
 		PadLeft: pad, PadRight: pad}
-	for i, canvases := range plot.Align(tiles, grid, draw.New(img)) {
-		for k, c := range canvases {
-			tiles[i][k].Draw(c)
+	for row, canvases := range plot.Align(tiles, grid, draw.New(img)) {
+		for column, canvas := range canvases {
+			tiles[row][column].Draw(canvas)
 		}
 	}
 	file, err := os.Create(path)
@@ -86,15 +87,15 @@
 	return errs.Wrap(err, errs.Disk, "write %s", path)
 }
 
-// panel draws y against x for each role.
-func panel(rows []Row, isShown func(Row) bool, x, y func(Row) float64) (*plot.Plot, error) {
+// newPanel returns a panel that plots y against x for each role.
+func newPanel(rows []Row, isPlotted func(Row) bool, x, y func(Row) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Y.Min, p.X.Min = 0, 0
 	for i, role := range Roles {
 		var points plotter.XYs
 		for _, r := range rows {
-			if r.Role == role && isShown(r) {
+			if r.Role == role && isPlotted(r) {
 				points = append(points, plotter.XY{X: x(r), Y: y(r)})
 			}
 		}
--- a/internal/testbed/scale/probe.go
+++ b/internal/testbed/scale/probe.go
@@ -1,10 +1,10 @@
-// Package scale measures the resources that a fleet of some size needs: for each role, processor time, memory, and
-// messages, bytes and syncs per second, from /proc of the fleet's processes and from their /metrics. It neither starts
-// a fleet nor judges one.
+// Package scale measures the resources that a running fleet uses: for each role, processor time, memory, and messages,
+// bytes and syncs per second, from /proc and /metrics of the fleet's processes. It does not start fleets and sets no
+// limits.
 //
-// A Probe takes a Snapshot of all processes (probe.go, process.go); Rows is the cost of each role between two of them
-// (rows.go), which AppendRows keeps as CSV (csv.go) and Plot draws (plot.go). Run puts a fleet under load step by step
-// and measures each (run.go).
+// A Probe takes a Snapshot of all processes (probe.go, process.go). Rows computes the cost of each role from two
+// snapshots (rows.go), AppendRows stores it as CSV (csv.go), Plot plots it (plot.go) and IdleSlopes fits its growth
+// with the number of workers (slopes.go). Run applies a series of loads to a fleet and measures each (run.go).
 package scale
 
 import (
@@ -21,19 +21,19 @@
 
 const (
 	connsPerNode       = 2
-	concurrentReadings = 8 // processes that are read at the same time
+	concurrentReadings = 8 // processes read at the same time
 )
 
-// Snapshot is a reading of the whole fleet.
+// Snapshot holds the readings of all processes of a fleet, and counters of the machine since its start.
 type Snapshot struct {
 	At      time.Duration
 	Procs   map[string]Reading // by name in DIR/pids
-	Busy    float64            // processor seconds of the whole machine, all that run on it
-	Loop    float64            // bytes over the loopback, all that run on the machine
-	Packets float64            // over the loopback
+	Busy    float64            // processor seconds used by all processes of the machine
+	Loop    float64            // bytes received over the loopback by all processes of the machine
+	Packets float64            // packets received over the loopback
 }
 
-// Probe reads a fleet.
+// Probe takes snapshots of a fleet.
 type Probe struct {
 	dir    string
 	nodes  fleet.Nodes
@@ -41,7 +41,7 @@
 	clock  clock.Clock
 }
 
-// Open returns a probe of the fleet in dir. Failures: Disk, Malformed. Example:
+// Open returns a probe of the fleet in dir. Errors are of kind Disk or Malformed. Example:
 //
 //	probe, err := scale.Open(dir, clock.Real{})
 //	snapshot, err := probe.Read(ctx)
@@ -53,7 +53,8 @@
 // Workers returns the number of workers of the fleet.
 func (p *Probe) Workers() int { return len(p.nodes.Workers) }
 
-// Read reads every process of DIR/pids once. Failures: Disk, Malformed, Unknown (a process is gone), Timeout.
+// Read takes a snapshot of the processes in DIR/pids. Errors are of kind Disk, Malformed, Timeout, or Unknown if a
+// process no longer exists.
 func (p *Probe) Read(ctx context.Context) (Snapshot, error) {
 	pids, err := fleet.PIDs(p.dir)
 	if err != nil {
@@ -87,6 +88,7 @@
 	return snapshot, errs.Pass(snapshot.readMachine(), "probe")
 }
 
+// readMachine sets the counters of the machine.
 func (s *Snapshot) readMachine() error {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -94,7 +96,7 @@
 	}
 	stat, err := proc.Stat()
 	if err != nil {
-		return errs.Wrap(err, errs.Disk, "processor time")
+		return errs.Wrap(err, errs.Disk, "read processor time")
 	}
 	cpu := stat.CPUTotal
 	s.Busy = cpu.User + cpu.Nice + cpu.System + cpu.IRQ + cpu.SoftIRQ + cpu.Steal
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -13,46 +13,46 @@
 	"crosstide/internal/testbed/fleet"
 )
 
-// Roles of a process.
+// Roles of a process. The values are stored in CSV files.
 const (
 	Leader          = "cplane leader"
 	Follower        = "cplane follower"
 	SchedulerLeader = "sched holder"
 	DataPlane       = "dplane"
-	SharedWorker    = "minion" // figures are per worker: the process's divided by how many share it
-	DedicatedWorker = "agent"  // a worker with a process of its own
+	SharedWorker    = "minion" // a process with many workers; its costs are given per worker
+	DedicatedWorker = "agent"  // a process with one worker
 )
 
-// Roles is the order of rows.
+// Roles lists all roles in the order of rows.
 var Roles = []string{Leader, Follower, SchedulerLeader, DataPlane, SharedWorker, DedicatedWorker}
 
-// Reading is the resources that one process has used since its start, and those that it has now.
+// Reading holds the counters of one process since its start, and its current memory and run IDs.
 type Reading struct {
 	Role        string
-	Count       float64       // workers that share the process; 1 for a daemon
-	CPU         time.Duration // user and system
-	RSS         float64       // bytes resident
-	Bytes       float64       // bodies in and out, by its wire counters
+	Count       float64       // workers in the process; 1 for a daemon
+	CPU         time.Duration // user and system time
+	RSS         float64       // resident bytes
+	Bytes       float64       // of bodies sent and received, as the process counts them
 	Msgs        float64       // calls sent and answered
-	Stream      float64       // bytes through read(2) and write(2) but for those of its log or journal: its sockets
-	AnswerBytes float64       // of the reading's own answer, which the wire counters of the next one count
-	StreamAfter float64       // Stream after the reading itself, whose answer is large
-	Syncs       float64       // of the log
-	Log         float64       // bytes to the log and snapshots
-	RunIDs      float64       // assigned by this leader of the scheduler
-	Handles     float64       // run IDs in use, as this data plane's replica has them
+	Stream      float64       // bytes through sockets: all of read(2) and write(2) except its log or journal
+	AnswerBytes float64       // size of the answer to this reading, which Bytes of the next reading includes
+	StreamAfter float64       // Stream after the answer to this reading, which is large
+	Syncs       float64       // of the store's log
+	Log         float64       // bytes written to the log and snapshots
+	RunIDs      float64       // assigned by this process as the scheduler's leader
+	Handles     float64       // run IDs in use according to this data plane's replica
 }
 
-// process is a process of the fleet that is to be read.
+// process identifies a process of the fleet.
 type process struct {
 	name  string
 	pid   int
 	addr  string
-	nodes float64 // that share it
+	nodes float64 // number of nodes in the process
 }
 
-// readProcess reads a process's metrics, and its traffic in /proc both before and after: the answer with the metrics
-// must not count as the fleet's traffic.
+// readProcess reads a process's metrics, and its traffic from /proc both before and after, so that the answer with the
+// metrics can be excluded from the fleet's traffic.
 func (p *Probe) readProcess(ctx context.Context, target process) (Reading, error) {
 	r := Reading{Count: target.nodes}
 	proc, err := procfs.NewProc(target.pid)
@@ -73,17 +73,18 @@
 		return r, errs.Pass(err, "metrics")
 	}
 	r.addMetrics(metrics, size)
-	ownBytes := p.ownBytes(target.name, &r)
+	fileBytes := p.fileBytes(target.name, &r)
 	after, err := proc.IO()
 	if err != nil {
 		return r, errs.Wrap(err, errs.Unknown, "pid %d", target.pid)
 	}
-	r.Stream = max(0, float64(before.RChar+before.WChar)-ownBytes)
-	r.StreamAfter = max(0, float64(after.RChar+after.WChar)-ownBytes)
+	r.Stream = max(0, float64(before.RChar+before.WChar)-fileBytes)
+	r.StreamAfter = max(0, float64(after.RChar+after.WChar)-fileBytes)
 	return r, nil
 }
 
-// addMetrics sets the counters that a process exports; size is that of the answer with its metrics.
+// addMetrics sets the role and the counters from the metrics of a process. size is that of the answer with the metrics
+// in bytes.
 func (r *Reading) addMetrics(m fleet.Metrics, size int) {
 	r.Bytes, r.Msgs = sum(m, "crosstide_rpc_bytes_total"), sum(m, "crosstide_rpc_calls_total")
 	r.AnswerBytes = float64(size)
@@ -95,8 +96,8 @@
 	}
 }
 
-// ownBytes returns the bytes that a process wrote to its log or journal, which are no traffic.
-func (p *Probe) ownBytes(name string, r *Reading) float64 {
+// fileBytes returns the bytes that a process wrote to its log or journal. /proc counts them with the network traffic.
+func (p *Probe) fileBytes(name string, r *Reading) float64 {
 	if r.Role == SharedWorker || r.Role == DedicatedWorker {
 		if info, err := os.Stat(filepath.Join(p.dir, "journal", name+".jsonl")); err == nil {
 			return float64(info.Size())
@@ -105,7 +106,7 @@
 	return r.Log
 }
 
-// sum returns the sum of all series of a name but those of the probe's own calls.
+// sum returns the sum of all series of a name, without those of calls for metrics, which the probe makes.
 func sum(m fleet.Metrics, name string) float64 {
 	total := 0.0
 	for labels, value := range m.Series(name) {
@@ -116,7 +117,7 @@
 	return total
 }
 
-// roleOf returns a process's role, by the metrics that it has.
+// roleOf derives a process's role from the metrics that it exports. It returns SharedWorker for all workers.
 func roleOf(m fleet.Metrics) string {
 	isStore, isScheduler := false, false
 	for labels, value := range m.Series("crosstide_store_role") {
--- a/internal/testbed/scale/rows.go
+++ b/internal/testbed/scale/rows.go
@@ -2,40 +2,40 @@
 
 import "crosstide/internal/errs"
 
-// Step is the load under which a fleet was measured, and what the whole fleet did under it.
+// Step describes the load of one measurement and its results for the whole fleet.
 type Step struct {
-	Workers    int     // known to the fleet
-	Offered    float64 // task starts a second that the load asked for
-	Starts     float64 // run IDs a second that were assigned
-	Running    float64 // run IDs in use at the end
-	P50        float64 // from a job's acceptance to its first start, ms; 0 without a load
-	P99        float64
-	Unfinished int     // jobs of the load that were not accepted or not seen to end
-	Cores      float64 // busy on the whole machine, whatever ran on it
-	LoopKB     float64 // KB a second over the loopback, whatever used it
-	LoopPk     float64 // packets a second over the loopback
-	Note       string
+	Workers    int     // in the fleet
+	Offered    float64 // task starts per second that the load requested
+	Starts     float64 // run IDs assigned per second
+	Running    float64 // run IDs in use at the end of the step
+	P50        float64 // ms from a job's acceptance to its first start, 50th percentile; 0 without a load
+	P99        float64 // 99th percentile of the same
+	Unfinished int     // jobs of the load that were not accepted or did not end in time
+	Cores      float64 // busy cores of the whole machine, including other processes
+	LoopKB     float64 // KB per second over the loopback, including other processes
+	LoopPk     float64 // packets per second over the loopback, including other processes
+	Note       string  // result of the fill, or why Run ended after this step; else empty
 }
 
-// Row is the cost of one role at a step: the mean of its processes. For SharedWorker it is that of one worker.
+// Row is the cost of one role at a step: the mean over its processes, or over its workers for SharedWorker.
 type Row struct {
 	Step
 	Role  string
-	Procs float64 // processes of the role, or workers
-	CPU   float64 // of one core, in %
-	MB    float64 // resident
-	Msgs  float64 // a second
-	KB    float64 // bodies in and out, a second
-	Net   float64 // KB a second through its sockets, headers too, by read(2) and write(2)
-	Syncs float64 // of the log, a second
-	LogKB float64 // to the log and snapshots, a second
+	Procs float64 // number of processes, or of workers for SharedWorker
+	CPU   float64 // % of one core
+	MB    float64 // resident memory
+	Msgs  float64 // calls sent and answered per second
+	KB    float64 // KB per second of bodies sent and received
+	Net   float64 // KB per second through sockets including headers, from read(2) and write(2)
+	Syncs float64 // of the store's log per second
+	LogKB float64 // KB per second written to the log and snapshots
 }
 
-// IsIdle reports whether the fleet had nothing to do at the row's step.
+// IsIdle reports whether the fleet had no load and no running tasks at the row's step.
 func (r Row) IsIdle() bool { return r.Offered == 0 && r.Running == 0 }
 
-// Rows returns the cost of each role between two snapshots. A process that changed its role between them counts for
-// the newer one. Failure: Unknown: a process was restarted, its counters went back.
+// Rows returns the cost of each role between two snapshots. A process that changed its role counts for the newer one.
+// The error is of kind Unknown if a process was started or restarted in between, which resets its counters.
 func Rows(from, to Snapshot, step Step) ([]Row, error) {
 	seconds := (to.At - from.At).Seconds()
 	step.Cores, step.LoopKB = (to.Busy-from.Busy)/seconds, (to.Loop-from.Loop)/seconds/1000
@@ -44,7 +44,7 @@
 	for name, after := range to.Procs {
 		before, ok := from.Procs[name]
 		if !ok || after.CPU < before.CPU {
-			return nil, errs.New(errs.Unknown, "%s was started anew meanwhile", name)
+			return nil, errs.New(errs.Unknown, "%s was started or restarted during the measurement", name)
 		}
 		row := sums[after.Role]
 		if row == nil {
@@ -66,7 +66,7 @@
 	return rows, nil
 }
 
-// add adds the resources that one process has used between two readings.
+// add adds the cost of one process between two readings.
 func (r *Row) add(before, after Reading, seconds float64) {
 	r.Procs += after.Count
 	r.CPU += 100 * (after.CPU - before.CPU).Seconds() / seconds
@@ -78,25 +78,25 @@
 	r.LogKB += (after.Log - before.Log) / seconds / 1000
 }
 
-// divide replaces the sums by their means.
+// divide replaces the sums over the processes of a role by means.
 func (r *Row) divide() {
 	for _, sum := range []*float64{&r.CPU, &r.MB, &r.Msgs, &r.KB, &r.Net, &r.Syncs, &r.LogKB} {
 		*sum /= r.Procs
 	}
 }
 
-// fitLine fits y = base + slope*x by least squares; more than two points and two values of x are needed, else ok is
-// false.
+// fitLine fits y = base + slope*x by least squares. ok is false unless there are at least three points with at least
+// two different values of x.
 func fitLine(x, y []float64) (base, slope float64, ok bool) {
 	n := float64(len(x))
-	var sx, sy, sxx, sxy float64
+	var sumX, sumY, sumXX, sumXY float64
 	for i := range x {
-		sx, sy, sxx, sxy = sx+x[i], sy+y[i], sxx+x[i]*x[i], sxy+x[i]*y[i]
+		sumX, sumY, sumXX, sumXY = sumX+x[i], sumY+y[i], sumXX+x[i]*x[i], sumXY+x[i]*y[i]
 	}
-	d := n*sxx - sx*sx
-	if n < 3 || d == 0 {
+	denominator := n*sumXX - sumX*sumX
+	if n < 3 || denominator == 0 {
 		return 0, 0, false
 	}
-	slope = (n*sxy - sx*sy) / d
-	return (sy - slope*sx) / n, slope, true
+	slope = (n*sumXY - sumX*sumY) / denominator
+	return (sumY - slope*sumX) / n, slope, true
 }
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	fillNote         = "fill: " // begins the note of the burst that starts the long tasks: no steady step
-	fillTasks        = 1000     // of a job, at most
+	fillNote         = "fill: " // prefix of the note of the burst of long tasks, which is not a steady load
+	fillTasks        = 1000     // maximum per job
 	fillPollInterval = 500 * time.Millisecond
 	submitTimeout    = 5 * time.Second
-	endTimeout       = 6 * time.Second // of a load, beyond the length of a task
-	pollsPerSecond   = 300             // of a load
+	endTimeout       = 6 * time.Second // for the jobs of a load to end, added to the duration of a task
+	pollsPerSecond   = 300             // maximum of a load
 )
 
-// Plan is the loads under which a fleet is measured, step by step.
+// Plan describes the steps of a measurement: the loads that are applied to a fleet one after the other.
 type Plan struct {
-	Dir          string
-	Running      int           // long tasks that are started first
-	FillTimeout  time.Duration // for that
-	Rates        []float64     // task starts a second, one step each; 0: no load
+	Dir          string        // directory of the fleet
+	Running      int           // long tasks to start before the first step
+	FillTimeout  time.Duration // for starting them
+	Rates        []float64     // task starts per second, one step each; 0: no load
 	StepDuration time.Duration
-	WarmUp       time.Duration // left out at the start of a step
-	Tasks        int           // of a job
+	WarmUp       time.Duration // at the start of a step, not measured
+	Tasks        int           // per job
 	TaskDuration time.Duration
-	MaxP99       time.Duration // a step whose 99th percentile to the first start is over it is the last; 0: none
+	MaxP99       time.Duration // of the time to first start; Run ends after a step that exceeds it; 0: no limit
 }
 
-// Run measures step after step and passes each step's rows to report. It ends early, with a note in that step's rows,
-// when a step is over MaxP99 or leaves jobs unfinished. Failures: those of Probe.Read and report, Invalid, Unavailable.
+// Run measures the steps one after the other and passes the rows of each to report. It ends early, with a note in that
+// step's rows, if a step exceeds MaxP99 or leaves jobs unfinished. It returns the errors of Probe.Read and report, and
+// errors of kind Invalid and Unavailable.
 func Run(ctx context.Context, plan Plan, probe *Probe, report func([]Row) error) error {
 	if plan.Running > 0 {
 		rows, err := probe.fill(ctx, plan)
@@ -50,7 +51,7 @@
 	for i, rate := range plan.Rates {
 		rows, isLast, err := probe.step(ctx, plan, i, rate)
 		if err != nil {
-			return errs.Pass(err, "%g starts a second", rate)
+			return errs.Pass(err, "%g starts per second", rate)
 		}
 		if err := report(rows); err != nil || isLast {
 			return errs.Pass(err, "step")
@@ -59,32 +60,32 @@
 	return nil
 }
 
-// fill submits jobs of long tasks until plan.Running of them run, and measures the burst.
+// fill submits plan.Running long tasks, waits until they run or FillTimeout has passed, and measures the burst.
 func (p *Probe) fill(ctx context.Context, plan Plan) ([]Row, error) {
 	from, err := p.Read(ctx)
 	if err != nil {
 		return nil, errs.Pass(err, "before")
 	}
 	if err := p.submitLongTasks(ctx, plan.Running); err != nil {
-		return nil, errs.Pass(err, "long tasks")
+		return nil, errs.Pass(err, "submit long tasks")
 	}
-	began, now := p.clock.Now(), from
-	for p.clock.Now() < began+plan.FillTimeout && runningTasks(now) < float64(plan.Running) {
+	startedAt, latest := p.clock.Now(), from
+	for p.clock.Now() < startedAt+plan.FillTimeout && runningTasks(latest) < float64(plan.Running) {
 		if err := p.sleep(ctx, fillPollInterval); err != nil {
 			return nil, errs.Pass(err, "fill")
 		}
-		if now, err = p.Read(ctx); err != nil {
+		if latest, err = p.Read(ctx); err != nil {
 			return nil, errs.Pass(err, "fill")
 		}
 	}
 	step := Step{Workers: p.Workers(), Offered: float64(plan.Running)}
-	step.Note = fmt.Sprintf(fillNote+"%.0f of %d out after %.1f s", runningTasks(now), plan.Running,
-		(now.At - from.At).Seconds())
-	rows, err := Rows(from, now, step)
+	step.Note = fmt.Sprintf(fillNote+"%.0f of %d running after %.1f s", runningTasks(latest), plan.Running,
+		(latest.At - from.At).Seconds())
+	rows, err := Rows(from, latest, step)
 	return rows, errs.Pass(err, "fill")
 }
 
-// submitLongTasks submits jobs of so many tasks of an hour, over all data planes in turn.
+// submitLongTasks submits jobs with the given total of one-hour tasks, round-robin over the data planes.
 func (p *Probe) submitLongTasks(ctx context.Context, tasks int) error {
 	for n := 0; tasks > 0; n++ {
 		spec := state.Spec{Key: fmt.Sprintf("fill-%d-%d", p.clock.Wall().UnixMilli(), n),
@@ -95,13 +96,13 @@
 		node := p.nodes.DataPlanes[n%len(p.nodes.DataPlanes)]
 		reply, err := p.caller.Call(ctx, http.MethodPost, node.Addr, "/v1/jobs", spec, submitTimeout)
 		if err != nil || !reply.IsSuccess() {
-			return errs.New(errs.Unavailable, "job %d is not taken: %s %v", n, reply.Body, err)
+			return errs.New(errs.Unavailable, "job %d was not accepted: %s %v", n, reply.Body, err)
 		}
 	}
 	return nil
 }
 
-// runningTasks returns the number of run IDs in use, as the leader of the scheduler reports it.
+// runningTasks returns the number of run IDs in use according to the scheduler's leader, or 0 without a leader.
 func runningTasks(s Snapshot) float64 {
 	for _, r := range s.Procs {
 		if r.Role == SchedulerLeader {
@@ -111,7 +112,7 @@
 	return 0
 }
 
-// step measures the fleet under the load of the nth step. isLast reports that the fleet does not keep up with it.
+// step measures the fleet under the load of the nth step. isLast is true if the fleet did not keep up with the load.
 func (p *Probe) step(ctx context.Context, plan Plan, nth int, rate float64) (rows []Row, isLast bool, err error) {
 	var report load.Report
 	var loadErr error
@@ -138,7 +139,7 @@
 	return rows, step.Note != "", errs.Pass(err, "step")
 }
 
-// measure takes a snapshot at the end of a step's warm-up, and one at the end of the step.
+// measure takes one snapshot at the end of a step's warm-up and one at the end of the step.
 func (p *Probe) measure(ctx context.Context, plan Plan) (from, to Snapshot, err error) {
 	if err := p.sleep(ctx, plan.WarmUp); err != nil {
 		return from, to, errs.Pass(err, "warm-up")
@@ -153,18 +154,18 @@
 	return from, to, errs.Pass(err, "to")
 }
 
-// reasonToStop returns why a step that offered so many jobs is the last one, and "" if it is not.
+// reasonToStop returns why the run ends after a step that offered the given number of jobs, or "" if it continues.
 func (plan Plan) reasonToStop(step Step, offered int) string {
 	switch {
 	case step.Unfinished > 0:
-		return fmt.Sprintf("stopped here: %d of %d jobs not accepted or not over in time", step.Unfinished, offered)
+		return fmt.Sprintf("stopped here: %d of %d jobs not accepted or not ended in time", step.Unfinished, offered)
 	case plan.MaxP99 > 0 && step.P99 > float64(plan.MaxP99.Milliseconds()):
-		return fmt.Sprintf("stopped here: p99 to the first start over %s", plan.MaxP99)
+		return fmt.Sprintf("stopped here: p99 of the time to first start over %s", plan.MaxP99)
 	}
 	return ""
 }
 
-// sleep waits for d. Failure: Stopped, if ctx ends first.
+// sleep waits for d. It returns an error of kind Stopped if ctx ends first.
 func (p *Probe) sleep(ctx context.Context, d time.Duration) error {
 	if !clock.Sleep(ctx.Done(), p.clock, d) {
 		return errs.Wrap(ctx.Err(), errs.Stopped, "stopped")
--- a/internal/testbed/scale/slopes.go
+++ b/internal/testbed/scale/slopes.go
@@ -1,6 +1,6 @@
 package scale
 
-// Slope is how a role's cost at idle grows with the fleet: Base + PerWorker for each worker.
+// Slope is a role's cost in an idle fleet as a linear function of the number of workers: Base + PerWorker*workers.
 type Slope struct {
 	Role, Cost      string
 	Base, PerWorker float64
@@ -18,10 +18,11 @@
 	{loopbackCost, func(r Row) float64 { return r.LoopKB }},
 }
 
-// loopbackCost is of the whole machine, the same in the rows of all roles: it is fitted once.
+// loopbackCost is a cost of the whole machine. All roles have the same value, so it is fitted for one role only.
 const loopbackCost = "loopback KB/s"
 
-// IdleSlopes fits each cost of each role at idle over the numbers of workers; a cost with too few sizes is left out.
+// IdleSlopes fits each cost of each role in idle fleets over the number of workers. A cost is omitted if there are too
+// few fleet sizes.
 func IdleSlopes(rows []Row) []Slope {
 	var slopes []Slope
 	for _, role := range Roles {
