--- a/internal/lint/docs.go
+++ b/internal/lint/docs.go
@@ -7,11 +7,10 @@
 	"strings"
 )
 
-// checkDocs reports each exported top-level item and each exported method without a doc comment. In a group of
-// constants, variables or types the comment of the group or the one at the end of the line serves too. Test
-// files are not checked.
+// checkDocs reports exported top-level declarations and methods without a doc comment. A constant, variable or type may
+// instead have a comment at the end of its line, or be in a group with a comment. Test files are not checked.
 func (f *file) checkDocs(tree *ast.File) {
-	if f.test {
+	if f.isTest {
 		return
 	}
 	for _, decl := range tree.Decls {
@@ -28,7 +27,7 @@
 	}
 }
 
-// checkSpecDoc reports the exported names of one constant, variable or type that no comment describes.
+// checkSpecDoc reports the exported names of a constant, variable or type declaration without a comment.
 func (f *file) checkSpecDoc(decl *ast.GenDecl, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
@@ -47,23 +46,23 @@
 	}
 }
 
-// packageDocs collects, folder by folder, whether one of the files that are no tests has a package comment.
+// packageDocs records for each folder whether one of its non-test files has a package comment.
 type packageDocs map[string]bool
 
-// see takes note of one file.
-func (p packageDocs) see(rel string, tree *ast.File) {
+// record adds a non-test file.
+func (p packageDocs) record(rel string, tree *ast.File) {
 	dir := path.Dir(rel)
 	p[dir] = p[dir] || tree.Doc != nil
 }
 
-// findings returns one finding for each folder whose package has no comment, in order of names.
+// findings returns one finding for each folder whose package has no comment, sorted by folder.
 func (p packageDocs) findings() []Finding {
-	var out []Finding
+	var findings []Finding
 	for dir, documented := range p {
 		if !documented {
-			out = append(out, Finding{File: dir, Rule: RuleDoc, Text: "the package has no doc comment"})
+			findings = append(findings, Finding{File: dir, Rule: RuleDoc, Text: "the package has no doc comment"})
 		}
 	}
-	slices.SortFunc(out, func(a, b Finding) int { return strings.Compare(a.File, b.File) })
-	return out
+	slices.SortFunc(findings, func(a, b Finding) int { return strings.Compare(a.File, b.File) })
+	return findings
 }
--- a/internal/lint/glossary_test.go
+++ b/internal/lint/glossary_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// A term whose identifier is gone sends a reader to code that is not there.
+// Guards against glossary entries that refer to identifiers which were renamed or removed.
 func TestGlossary(t *testing.T) {
 	page, err := os.ReadFile("../../docs/glossary.md")
 	if err != nil {
@@ -29,22 +29,22 @@
 		terms++
 		names := glossaryName.FindAllStringSubmatch(cells[3], -1)
 		if len(names) == 0 {
-			t.Errorf("%q names nothing in the code", strings.TrimSpace(cells[1]))
+			t.Errorf("the entry %q refers to no identifier of the code", strings.TrimSpace(cells[1]))
 		}
 		for _, name := range names {
 			if !declared[name[1]] {
-				t.Errorf("%q names %s, which no package declares", strings.TrimSpace(cells[1]), name[1])
+				t.Errorf("the entry %q refers to %s, which no package declares", strings.TrimSpace(cells[1]), name[1])
 			}
 		}
 	}
 	if terms < 40 {
-		t.Errorf("only %d terms were read", terms)
+		t.Errorf("found only %d terms, expected at least 40", terms)
 	}
 }
 
 var glossaryName = regexp.MustCompile("`([a-z]+\\.[A-Z][A-Za-z]*)`")
 
-// exportedNames returns package.Name of every exported top-level declaration below root, tests left out.
+// exportedNames returns the exported top-level declarations below root as package.Name, except those in tests.
 func exportedNames(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		if entry.IsDir() && path != root && skipped(entry.Name()) {
+		if entry.IsDir() && path != root && isSkippedDir(entry.Name()) {
 			return filepath.SkipDir
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -75,6 +75,7 @@
 	return names
 }
 
+// topLevelNames returns the exported names that a top-level declaration declares, except methods.
 func topLevelNames(declaration ast.Decl) []string {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
--- a/internal/lint/golden_test.go
+++ b/internal/lint/golden_test.go
@@ -6,8 +6,8 @@
 	"crosstide/internal/testbed/golden"
 )
 
-// TestGoldenRoutes pins the paths of all calls: what looks like a path of HTTP, with or without a method before it, in
-// the programs and the platform's package. The testbed is a client only; its paths stand apart.
+// TestGoldenRoutes pins the paths of all HTTP calls: string literals that look like a path, optionally preceded by a
+// method, in the programs and package platform. The testbed is only a client, so its paths have a section of their own.
 func TestGoldenRoutes(t *testing.T) {
 	const pattern = `^((GET|PUT|POST|PATCH|DELETE|HEAD) )?/[a-z][a-z0-9/{}_.%-]*$`
 	var parts []string
@@ -18,8 +18,8 @@
 	golden.Compare(t, "routes", parts...)
 }
 
-// TestGoldenMetrics pins the literals of names of metrics, whole or the part before what is joined to them. What the
-// collectors describe, with labels, is pinned in their packages.
+// TestGoldenMetrics pins string literals that are metric names or prefixes of metric names. The tests of the packages
+// that export the metrics pin the complete descriptions with labels.
 func TestGoldenMetrics(t *testing.T) {
 	const pattern = `^crosstide_[a-z_]+$`
 	golden.Compare(t, "metrics",
@@ -39,7 +39,7 @@
 	)
 }
 
-// TestGoldenConstants pins the values of string constants: states, phases, kinds, names of fields.
+// TestGoldenConstants pins the values of string constants: states, phases, kinds, field names.
 func TestGoldenConstants(t *testing.T) {
 	golden.Compare(t, "constants",
 		golden.Constants(t, "internal", "../../internal"),
@@ -48,7 +48,7 @@
 	)
 }
 
-// TestGoldenParameters pins the names of headers, of parameters in queries and in paths.
+// TestGoldenParameters pins the names of HTTP headers, query parameters and path parameters.
 func TestGoldenParameters(t *testing.T) {
 	golden.Compare(t, "parameters",
 		golden.Arguments(t, "internal", "../../internal"),
--- a/internal/lint/lint_test.go
+++ b/internal/lint/lint_test.go
@@ -7,12 +7,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const top = `package x
+const fileHeader = `package x
 import ("errors"; "net/http"; "time"; clock "time"; "crosstide/internal/errs")
 `
 
 func TestRules(t *testing.T) {
-	Convey("Each rule finds what it is for and nothing else", t, func() {
+	Convey("Each rule reports its violations and accepts other code", t, func() {
 		for _, c := range []struct{ file, body, want string }{
 			{"internal/a/a.go", `func f() { go g() }`, "go"},
 			{"internal/a/a_test.go", `func f() { go g() }`, "go"},
@@ -27,7 +27,7 @@
 			{"internal/a/a.go", `var s = http.Server{}`, "http"},
 			{"internal/a/a.go", `var s http.Handler`, ""},
 			{"internal/a/a.go", `func f( {`, "parse"},
-			// withdrawn words
+			// withdrawn terms
 			{"internal/a/a.go", `var alarmClock int`, "name"},
 			{"internal/a/a.go", `type t struct { MaxBacklog int }`, "name"},
 			{"internal/a/a.go", `func f(consumers int) { for _, ticketID := range g { use(ticketID) } }`, "namename"},
@@ -88,19 +88,20 @@
 			{"internal/a/a.go", `func f() error { h(func() int { return g() }); return nil }`, ""},
 		} {
 			got := ""
-			for _, f := range scanFile(c.file, c.file, top+c.body, packageDocs{}) {
+			for _, f := range scanFile(c.file, c.file, fileHeader+c.body, packageDocs{}) {
 				got += f.Rule
 			}
 			So(fmt.Sprint(c.file, " ", c.body, " -> ", got), ShouldEqual, fmt.Sprint(c.file, " ", c.body, " -> ", c.want))
 		}
-		other := scanFile("a.go", "a.go", `package x; import "github.com/valyala/fasthttp"; import "golang.org/x/sync/errgroup"`, packageDocs{})
-		So(len(other), ShouldEqual, 2)
-		So(other[0].String(), ShouldEqual, "a.go:1: http: import of github.com/valyala/fasthttp")
+		imports := scanFile("a.go", "a.go",
+			`package x; import "github.com/valyala/fasthttp"; import "golang.org/x/sync/errgroup"`, packageDocs{})
+		So(len(imports), ShouldEqual, 2)
+		So(imports[0].String(), ShouldEqual, "a.go:1: http: import of github.com/valyala/fasthttp")
 	})
 }
 
 func TestPackageComment(t *testing.T) {
-	Convey("A package needs a comment in one of its files that are no tests", t, func() {
+	Convey("A package needs a comment in one of its non-test files", t, func() {
 		docs := packageDocs{}
 		scanFile("a/a.go", "a/a.go", "package a", docs)
 		scanFile("a/b.go", "a/b.go", "// Package a is described.\npackage a", docs)
@@ -110,6 +111,7 @@
 	})
 }
 
+// Checks the module itself.
 func TestModule(t *testing.T) {
 	for _, f := range Scan("../..") {
 		t.Error(f)
--- a/internal/lint/names.go
+++ b/internal/lint/names.go
@@ -9,8 +9,8 @@
 	"unicode"
 )
 
-// withdrawnWords are words that no Go name of the module may contain, each with the term to use in its place.
-var withdrawnWords = map[string]string{
+// withdrawnTerms maps the terms that no Go name of the module may contain to their replacements.
+var withdrawnTerms = map[string]string{
 	"alarm":    "clock or timer",
 	"pressure": "load or overloaded",
 	"backlog":  "queue",
@@ -23,12 +23,11 @@
 	"fault":    "error or failure",
 }
 
-// injectionDirs are the folders in which "fault" is the field's own term: a failure that a test injects.
+// injectionDirs are the folders in which "fault" is allowed, as the usual term for a failure that a test injects.
 var injectionDirs = []string{"internal/testbed", "cmd/crosstide-testbed"}
 
-// checkNames reports each withdrawn word in a name that the file declares, in the package's name and in the
-// file's own name. Names that are only used are not reported: they are reported where they are declared, or
-// belong to another module.
+// checkNames reports withdrawn terms in the names that the file declares, in the package's name and in the file's name.
+// Uses of a name are not reported: the name is reported at its declaration, or belongs to another module.
 func (f *file) checkNames(tree *ast.File) {
 	f.checkName(tree.Name, tree.Name.Name)
 	f.checkName(tree.Name, strings.TrimSuffix(path.Base(f.rel), ".go"))
@@ -37,31 +36,31 @@
 	}
 }
 
-// checkName reports the withdrawn words of one name at node.
+// checkName reports the withdrawn terms in name as findings at node.
 func (f *file) checkName(node ast.Node, name string) {
 	for _, word := range splitWords(name) {
 		word = singular(word)
-		better, withdrawn := withdrawnWords[word]
-		if !withdrawn || word == "fault" && f.in(injectionDirs...) {
+		replacement, isWithdrawn := withdrawnTerms[word]
+		if !isWithdrawn || word == "fault" && f.isBelow(injectionDirs...) {
 			continue
 		}
-		f.add(node, RuleName, name+" contains "+word+"; use "+better)
+		f.add(node, RuleName, name+" contains "+word+"; use "+replacement)
 	}
 }
 
-// singular returns the withdrawn word of which word is a plural, or word itself.
+// singular returns word without its plural ending if that is a withdrawn term, or word unchanged.
 func singular(word string) string {
-	if stem, ok := strings.CutSuffix(word, "ies"); ok && withdrawnWords[stem+"y"] != "" {
+	if stem, ok := strings.CutSuffix(word, "ies"); ok && withdrawnTerms[stem+"y"] != "" {
 		return stem + "y"
 	}
-	if stem, ok := strings.CutSuffix(word, "s"); ok && withdrawnWords[stem] != "" {
+	if stem, ok := strings.CutSuffix(word, "s"); ok && withdrawnTerms[stem] != "" {
 		return stem
 	}
 	return word
 }
 
-// splitWords cuts a name at underscores, hyphens, digits and changes of case, and returns its words in lower
-// case: "HTTPServer_v2" gives http, server and v.
+// splitWords splits a name at underscores, hyphens, digits and changes of case, and returns its parts in lower case:
+// http, server and v for "HTTPServer_v2".
 func splitWords(name string) []string {
 	var words []string
 	letters := []rune(name)
@@ -89,8 +88,8 @@
 	return words
 }
 
-// declaredNames returns the identifiers that the file declares, in the order of the file: imports' local names,
-// constants, variables, types, type parameters, functions, methods, fields, parameters, results and labels.
+// declaredNames returns the identifiers that the file declares, in source order: local names of imports, constants,
+// variables, types, type parameters, functions, methods, fields, parameters, results and labels.
 func declaredNames(tree *ast.File) []*ast.Ident {
 	var names []*ast.Ident
 	ast.Inspect(tree, func(n ast.Node) bool {
@@ -124,7 +123,7 @@
 	return names
 }
 
-// appendIdents appends those of the expressions that are identifiers.
+// appendIdents appends the expressions that are identifiers to names.
 func appendIdents(names []*ast.Ident, exprs ...ast.Expr) []*ast.Ident {
 	for _, e := range exprs {
 		if id, ok := e.(*ast.Ident); ok {
--- a/internal/lint/returns.go
+++ b/internal/lint/returns.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// returns checks the return statements of one function whose last result is an error.
-func (f *file) returns(t *ast.FuncType, body *ast.BlockStmt) {
-	if f.test || !f.in("internal", "cmd") || t.Results == nil {
+// checkReturns checks the return statements of a function, if its last result is an error.
+func (f *file) checkReturns(t *ast.FuncType, body *ast.BlockStmt) {
+	if f.isTest || !f.isBelow("internal", "cmd") || t.Results == nil {
 		return
 	}
 	last := t.Results.List[len(t.Results.List)-1]
@@ -20,7 +20,7 @@
 	ast.Inspect(body, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.FuncLit:
-			return false // a function of its own
+			return false // ast.Inspect in scanFile visits it separately
 		case *ast.ReturnStmt:
 			f.checkReturn(body, n, returnedError(n, last))
 		}
@@ -28,8 +28,8 @@
 	})
 }
 
-// returnedError returns the expression that a return statement gives its last result, nil if there is none. A bare
-// return gives the named result.
+// returnedError returns the expression for the last result of a return statement: the named result if the statement has
+// no expressions, or nil if the result has no name either.
 func returnedError(statement *ast.ReturnStmt, result *ast.Field) ast.Expr {
 	switch {
 	case len(statement.Results) > 0:
@@ -40,23 +40,25 @@
 	return nil
 }
 
-// checkReturn reports a returned error that no function of errs or trace has named.
+// checkReturn reports a returned error that comes from a call and was not wrapped by a function of errs, trace or
+// errors.
 func (f *file) checkReturn(body *ast.BlockStmt, statement *ast.ReturnStmt, returned ast.Expr) {
 	switch returned := returned.(type) {
 	case *ast.CallExpr:
-		if call := f.bare(returned); call != "" {
-			f.add(statement, RuleBare, "returns the error of "+call+" as it came")
+		if call := f.unwrappedCallee(returned); call != "" {
+			f.add(statement, RuleBare, "returns the error of "+call+" unwrapped; use errs")
 		}
 	case *ast.Ident:
-		if call := f.origin(body, returned, statement); call != "" {
-			f.add(statement, RuleBare, fmt.Sprintf("returns %s of %s as it came", returned.Name, call))
+		if call := f.unwrappedSource(body, returned, statement); call != "" {
+			f.add(statement, RuleBare, fmt.Sprintf("returns %s of %s unwrapped; use errs", returned.Name, call))
 		}
 	}
 }
 
-// bare names the callee if its error is not one that was named: those of errs, trace and errors are.
-func (f *file) bare(c *ast.CallExpr) string {
-	name := f.named(c.Fun)
+// unwrappedCallee returns the name of the function that c calls, or "" if it is one of errs, trace or errors, whose
+// results need no wrapping.
+func (f *file) unwrappedCallee(c *ast.CallExpr) string {
+	name := f.importedName(c.Fun)
 	for _, p := range []string{"crosstide/internal/errs.", "github.com/gravitational/trace.", "errors."} {
 		if strings.HasPrefix(name, p) {
 			return ""
@@ -64,7 +66,7 @@
 	}
 	switch fun := c.Fun.(type) {
 	case *ast.Ident:
-		if f.in("internal/errs") && slices.Contains([]string{"New", "Field", "Wrap", "Pass"}, fun.Name) {
+		if f.isBelow("internal/errs") && slices.Contains([]string{"New", "Field", "Wrap", "Pass"}, fun.Name) {
 			return ""
 		}
 		return fun.Name
@@ -74,31 +76,30 @@
 		}
 		return fun.Sel.Name
 	case *ast.IndexExpr:
-		return f.bare(&ast.CallExpr{Fun: fun.X})
+		return f.unwrappedCallee(&ast.CallExpr{Fun: fun.X})
 	case *ast.IndexListExpr:
-		return f.bare(&ast.CallExpr{Fun: fun.X})
+		return f.unwrappedCallee(&ast.CallExpr{Fun: fun.X})
 	}
 	return "a call"
 }
 
-// source is an assignment: the call it takes its value from, "" if that is no bare call, and the span of
-// statements over which its value replaces all earlier ones.
+// source is an assignment to a variable.
 type source struct {
-	call       string
+	call       string // the unwrapped callee that returns the value; "" if the value has another origin
 	pos        token.Pos
-	start, end token.Pos
+	start, end token.Pos // span in which the value certainly replaces all earlier ones
 }
 
-// origin finds a bare call whose error id may hold at ret: in the nearest assignment that certainly comes before
-// ret, or in one on a branch since.
-func (f *file) origin(body *ast.BlockStmt, id *ast.Ident, ret ast.Node) string {
+// unwrappedSource returns an unwrapped callee whose error id may hold at ret, or "". It considers the last assignment
+// that is certainly executed before ret, and later ones in branches.
+func (f *file) unwrappedSource(body *ast.BlockStmt, id *ast.Ident, ret ast.Node) string {
 	if id.Obj == nil || id.Name == "nil" {
 		return ""
 	}
 	finder := sourceFinder{file: f, id: id}
 	finder.walk(body, body.Pos(), body.End())
-	slices.SortFunc(finder.found, func(a, b source) int { return int(b.pos - a.pos) })
-	for _, s := range finder.found {
+	slices.SortFunc(finder.sources, func(a, b source) int { return int(b.pos - a.pos) })
+	for _, s := range finder.sources {
 		if s.pos > ret.Pos() {
 			continue
 		}
@@ -114,12 +115,12 @@
 
 // sourceFinder collects the assignments to one variable.
 type sourceFinder struct {
-	file  *file
-	id    *ast.Ident
-	found []source
+	file    *file
+	id      *ast.Ident
+	sources []source
 }
 
-// walk collects the assignments below n. Their values replace earlier ones from start to end.
+// walk collects the assignments below n. Outside nested blocks, their values replace earlier ones from start to end.
 func (w *sourceFinder) walk(n ast.Node, start, end token.Pos) {
 	ast.Inspect(n, func(c ast.Node) bool {
 		switch c := c.(type) {
@@ -134,26 +135,26 @@
 				return false
 			}
 		case *ast.AssignStmt:
-			w.assigned(c.Lhs, c.Rhs, source{pos: c.Pos(), start: start, end: end})
+			w.addAssignment(c.Lhs, c.Rhs, source{pos: c.Pos(), start: start, end: end})
 		case *ast.ValueSpec:
 			names := make([]ast.Expr, len(c.Names))
 			for i, name := range c.Names {
 				names[i] = name
 			}
-			w.assigned(names, c.Values, source{pos: c.Pos(), start: start, end: end})
+			w.addAssignment(names, c.Values, source{pos: c.Pos(), start: start, end: end})
 		}
 		return true
 	})
 }
 
-// walkIf collects the assignments of an if statement. One under `if id != nil` counts as sure: without it the value is
-// nil.
+// walkIf collects the assignments of an if statement. One in the body of `if id != nil` counts as certainly executed:
+// if it is not, the value is nil, which needs no wrapping.
 func (w *sourceFinder) walkIf(statement *ast.IfStmt, start, end token.Pos) {
 	if statement.Init != nil {
 		w.walk(statement.Init, statement.Pos(), statement.End())
 	}
 	bodyStart, bodyEnd := statement.Body.Pos(), statement.Body.End()
-	if notNil(statement.Cond, w.id) {
+	if isNotNilCheck(statement.Cond, w.id) {
 		bodyStart, bodyEnd = start, end
 	}
 	for _, s := range statement.Body.List {
@@ -164,29 +165,29 @@
 	}
 }
 
-// assigned records s as a source of the variable, if the assignment of values to names sets it.
-func (w *sourceFinder) assigned(names, values []ast.Expr, s source) {
+// addAssignment records s as a source of the variable if the assignment of values to names sets it.
+func (w *sourceFinder) addAssignment(names, values []ast.Expr, s source) {
 	for i, name := range names {
-		x, ok := name.(*ast.Ident)
-		if !ok || x.Obj != w.id.Obj {
+		id, ok := name.(*ast.Ident)
+		if !ok || id.Obj != w.id.Obj {
 			continue
 		}
-		var from ast.Expr
+		var value ast.Expr
 		switch {
 		case len(values) == len(names):
-			from = values[i]
+			value = values[i]
 		case len(values) == 1 && i == len(names)-1:
-			from = values[0]
+			value = values[0]
 		}
-		if c, ok := from.(*ast.CallExpr); ok {
-			s.call = w.file.bare(c)
+		if c, ok := value.(*ast.CallExpr); ok {
+			s.call = w.file.unwrappedCallee(c)
 		}
-		w.found = append(w.found, s)
+		w.sources = append(w.sources, s)
 	}
 }
 
-// notNil reports whether cond is just `id != nil`.
-func notNil(cond ast.Expr, id *ast.Ident) bool {
+// isNotNilCheck reports whether cond is exactly `id != nil`.
+func isNotNilCheck(cond ast.Expr, id *ast.Ident) bool {
 	b, ok := cond.(*ast.BinaryExpr)
 	if !ok || b.Op != token.NEQ {
 		return false
--- a/internal/lint/runbook_test.go
+++ b/internal/lint/runbook_test.go
@@ -12,17 +12,17 @@
 
 const runbookPage = "docs/ops/metrics-and-logs.md"
 
-// daemonFolders hold the code of the daemons; the golden package's walkers leave the testbed out.
+// daemonFolders contain the code of the daemons. Package golden skips the testbed below them.
 var daemonFolders = []string{"internal", "platform", "cmd/crosstide-controlplane", "cmd/crosstide-dataplane"}
 
-// The page for on-call engineers has a row for every log line at warn and error, at the level that the code has, and
-// no row for a line that the code does not log. Lines at info may have a row.
-func TestRunbook_has_every_log_line_at_warn_and_error(t *testing.T) {
+// The on-call page must have a row for every log message at warn and error, with the level used in the code, and no row
+// for a message that is not logged at that level. Messages at info may have a row.
+func TestRunbook_listsEveryWarningAndError(t *testing.T) {
 	type line struct{ level, message string }
 	logged, rows := map[line]string{}, map[line]bool{}
 	for _, folder := range daemonFolders {
-		for _, found := range golden.LeveledMessages(t, "../../"+folder) {
-			logged[line{found.Level, found.Message}] = found.Package
+		for _, call := range golden.LeveledMessages(t, "../../"+folder) {
+			logged[line{call.Level, call.Message}] = call.Package
 		}
 	}
 	for _, cells := range tableRows(t, runbookPage, "message") {
@@ -38,15 +38,15 @@
 		}
 	}
 	required := 0
-	for found, pkg := range logged {
-		if found.level != "warn" && found.level != "error" {
+	for call, pkg := range logged {
+		if call.level != "warn" && call.level != "error" {
 			continue
 		}
 		required++
-		if found.message == "" {
-			t.Errorf("package %s: a log line at %s whose msg is no string literal: use a literal", pkg, found.level)
-		} else if !rows[found] {
-			t.Errorf("%s: add a row | `%s` | %s | … |: package %s logs it", runbookPage, found.message, found.level, pkg)
+		if call.message == "" {
+			t.Errorf("package %s: a log line at %s whose msg is not a string literal: use a literal", pkg, call.level)
+		} else if !rows[call] {
+			t.Errorf("%s: add a row | `%s` | %s | … |: package %s logs it", runbookPage, call.message, call.level, pkg)
 		}
 	}
 	if required < 20 {
@@ -54,10 +54,10 @@
 	}
 }
 
-// The page has a row for every metric of the daemons and none for another. The names are those that the packages'
-// metrics.golden files list, which their own tests compare with the collectors; a literal of the code that no such file
-// knows, whole or as the part before what is joined to it, is missing there.
-func TestRunbook_has_every_metric(t *testing.T) {
+// The on-call page must have a row for every metric of the daemons and no other rows. The names come from the packages'
+// metrics.golden files, which their own tests compare with the collectors. A string literal in the code that is neither
+// a listed name nor a prefix of one shows that a metric is missing from these files.
+func TestRunbook_listsEveryMetric(t *testing.T) {
 	exported, rows := exportedMetrics(t), map[string]bool{}
 	for _, cells := range tableRows(t, runbookPage, "metric") {
 		for _, name := range backticked(cells[0]) {
@@ -87,6 +87,7 @@
 	}
 }
 
+// isMetricOrPrefix reports whether literal is an exported metric, or a prefix of one that ends with an underscore.
 func isMetricOrPrefix(literal string, exported map[string]bool) bool {
 	if exported[literal] {
 		return true
@@ -101,7 +102,7 @@
 
 var metricName = regexp.MustCompile(`fqName: "(crosstide_[a-z_]+)"`)
 
-// exportedMetrics returns the names in the metrics.golden files of the packages.
+// exportedMetrics returns the metric names in the packages' metrics.golden files.
 func exportedMetrics(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -114,8 +115,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, found := range metricName.FindAllStringSubmatch(string(text), -1) {
-			names[found[1]] = true
+		for _, match := range metricName.FindAllStringSubmatch(string(text), -1) {
+			names[match[1]] = true
 		}
 	}
 	if len(names) < 40 {
@@ -124,8 +125,8 @@
 	return names
 }
 
-// tableRows returns the cells of the rows of all tables of a page whose first heading is the one given; no such table is
-// no row.
+// tableRows returns the cells of the rows of all tables on a page whose first column has the given heading, or nil if
+// no table has it.
 func tableRows(t *testing.T, name, heading string) [][]string {
 	t.Helper()
 	page, err := os.ReadFile("../../" + name)
@@ -149,10 +150,11 @@
 
 var inBackticks = regexp.MustCompile("`([^`]+)`")
 
+// backticked returns the texts in backticks in a cell.
 func backticked(cell string) []string {
-	var out []string
-	for _, found := range inBackticks.FindAllStringSubmatch(cell, -1) {
-		out = append(out, found[1])
+	var texts []string
+	for _, match := range inBackticks.FindAllStringSubmatch(cell, -1) {
+		texts = append(texts, match[1])
 	}
-	return out
+	return texts
 }
--- a/internal/lint/sizes_test.go
+++ b/internal/lint/sizes_test.go
@@ -19,46 +19,48 @@
 	sizesPage        = "docs/habits/readable.md"
 )
 
-// Functions and files that are longer than the rule allows are listed, each with its reason, in docs/habits/readable.md.
-// A row of one that is not longer any more, or is gone, has to be removed. Tests are not counted.
-func TestSizes_exceptions_are_listed(t *testing.T) {
-	files, functions := longOnes(t, "../..")
+// Files and functions that exceed the limits must be listed with a reason in docs/habits/readable.md, and the list must
+// have no other rows. Test files have no limit here.
+func TestSizes_exceptionsAreListed(t *testing.T) {
+	files, functions := oversized(t, "../..")
 	compareSizes(t, "file", files)
 	compareSizes(t, "function", functions)
 }
 
-// compareSizes compares what is too long with the rows of the page's table that begins with kind.
-func compareSizes(t *testing.T, kind string, long map[string]int) {
+// compareSizes compares the oversized files or functions with the rows of the page's table for kind.
+func compareSizes(t *testing.T, kind string, sizes map[string]int) {
 	t.Helper()
 	listed := map[string]bool{}
 	for _, cells := range tableRows(t, sizesPage, kind) {
 		for _, name := range backticked(cells[0]) {
 			listed[name] = true
-			if long[name] == 0 {
-				t.Errorf("%s: remove the row of the %s `%s`: it is not too long any more, or is gone", sizesPage, kind, name)
+			if sizes[name] == 0 {
+				t.Errorf("%s: remove the row of the %s `%s`: it does not exceed the limit or does not exist",
+					sizesPage, kind, name)
 			}
 			if strings.TrimSpace(cells[1]) == "" {
 				t.Errorf("%s: the %s `%s` has no reason", sizesPage, kind, name)
 			}
 		}
 	}
-	for name, lines := range long {
+	for name, lines := range sizes {
 		if !listed[name] {
-			t.Errorf("the %s %s has %d lines: split it, or add a row | `%s` | reason | to %s", kind, name, lines, name, sizesPage)
+			t.Errorf("the %s %s has %d lines: split it, or add a row | `%s` | reason | to %s",
+				kind, name, lines, name, sizesPage)
 		}
 	}
 }
 
-// longOnes returns the files and the functions below root that are longer than the rule allows, with their lines. A
-// function is named by its file and its name.
-func longOnes(t *testing.T, root string) (files, functions map[string]int) {
+// oversized returns the numbers of lines of the files and functions below root that exceed the limits. The keys are the
+// path of a file, and the path and name of a function.
+func oversized(t *testing.T, root string) (files, functions map[string]int) {
 	t.Helper()
 	files, functions = map[string]int{}, map[string]int{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		if entry.IsDir() && path != root && skipped(entry.Name()) {
+		if entry.IsDir() && path != root && isSkippedDir(entry.Name()) {
 			return filepath.SkipDir
 		}
 		if entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -76,7 +78,7 @@
 		if lines := bytes.Count(text, []byte("\n")); lines > maxFileLines {
 			files[rel] = lines
 		}
-		return longFunctions(rel, text, functions)
+		return addLongFunctions(rel, text, functions)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +86,8 @@
 	return files, functions
 }
 
-func longFunctions(file string, text []byte, into map[string]int) error {
+// addLongFunctions adds the functions of a file that exceed the limit to functions.
+func addLongFunctions(file string, text []byte, functions map[string]int) error {
 	set := token.NewFileSet()
 	tree, err := parser.ParseFile(set, file, text, parser.SkipObjectResolution)
 	if err != nil {
@@ -97,7 +100,7 @@
 		}
 		lines := set.Position(function.End()).Line - set.Position(function.Pos()).Line + 1
 		if lines > maxFunctionLines {
-			into[fmt.Sprintf("%s %s", file, function.Name.Name)] = lines
+			functions[fmt.Sprintf("%s %s", file, function.Name.Name)] = lines
 		}
 	}
 	return nil
