--- a/internal/testbed/golden/levels_test.go
+++ b/internal/testbed/golden/levels_test.go
@@ -23,7 +23,7 @@
 	if quiet {
 		at = level.Info(log)
 	}
-	_ = at.Log("msg", "joined anew")
+	_ = at.Log("msg", "joined again")
 	_ = level.Error(log).Log("msg", text)
 }
 func g() { _ = at.Log("msg", "variable of another function") }
@@ -33,7 +33,7 @@
 `)
 	want := []LeveledMessage{
 		{"a", "warn", "disk slow"}, {"a", "info", "started"}, {"a", "error", "store halted"},
-		{"a", "warn", "joined anew"}, {"a", "info", "joined anew"}, {"a", "error", ""},
+		{"a", "warn", "joined again"}, {"a", "info", "joined again"}, {"a", "error", ""},
 	}
 	if got := LeveledMessages(t, root); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
--- a/internal/testbed/scale/plot.go
+++ b/internal/testbed/scale/plot.go
@@ -30,14 +30,14 @@
 	}
 	var tiles [][]*plot.Plot
 	for _, group := range []struct {
-		label           string
-		isPlotted       func(Row) bool
-		workersOrStarts func(Row) float64
+		label     string
+		isPlotted func(Row) bool
+		xValue    func(Row) float64
 	}{
 		{"minions, idle", Row.IsIdle, func(r Row) float64 { return float64(r.Workers) }},
 		{"starts per second", isLoaded, func(r Row) float64 { return r.Starts }},
 	} {
-		panels, err := panelRow(rows, group.label, group.isPlotted, group.workersOrStarts)
+		panels, err := panelRow(rows, group.label, group.isPlotted, group.xValue)
 		if err != nil {
 			return errs.Pass(err, "draw")
 		}
