--- a/internal/testbed/golden/levels_test.go
+++ b/internal/testbed/golden/levels_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLeveledMessages_lists_every_level_a_line_may_have(t *testing.T) {
+func TestLeveledMessages_listsEveryPossibleLevel(t *testing.T) {
 	root := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(root, name), []byte(text), 0o644); err != nil {
@@ -23,17 +23,17 @@
 	if quiet {
 		at = level.Info(log)
 	}
-	_ = at.Log("msg", "joined anew")
+	_ = at.Log("msg", "joined again")
 	_ = level.Error(log).Log("msg", text)
 }
-func g() { _ = at.Log("msg", "of another function") }
+func g() { _ = at.Log("msg", "variable of another function") }
 `)
 	write("a_test.go", `package a
-func h() { _ = level.Warn(log).Log("msg", "of a test") }
+func h() { _ = level.Warn(log).Log("msg", "call in a test") }
 `)
 	want := []LeveledMessage{
 		{"a", "warn", "disk slow"}, {"a", "info", "started"}, {"a", "error", "store halted"},
-		{"a", "warn", "joined anew"}, {"a", "info", "joined anew"}, {"a", "error", ""},
+		{"a", "warn", "joined again"}, {"a", "info", "joined again"}, {"a", "error", ""},
 	}
 	if got := LeveledMessages(t, root); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
