--- a/internal/raft/coldstart_test.go
+++ b/internal/raft/coldstart_test.go
@@ -31,6 +31,8 @@
 	return sim.now - majorityAt
 }
 
+// TestColdStart_anyOrder guards against a long outage after all nodes were stopped: each restarted node stays sticky to
+// the leader that it followed before, although no leader exists.
 func TestColdStart_anyOrder(t *testing.T) {
 	Convey("After all nodes were down, a leader is elected soon after a majority has started", t, func() {
 		for seed := range uint64(40) {
@@ -50,6 +52,8 @@
 	})
 }
 
+// TestColdStart_formerLeaderBehind guards against a long outage if the first candidate, the former leader, cannot win
+// because a power failure destroyed entries that the others have.
 func TestColdStart_formerLeaderBehind(t *testing.T) {
 	Convey("If the former leader lost its newest entries in a power failure, a node with them soon leads", t, func() {
 		const seeds = 40
@@ -75,6 +79,8 @@
 	})
 }
 
+// TestNew_knownCommit guards against a restarted node that applies nothing until a leader contacts it, and against one
+// that applies entries which were never committed: those at the indexes of a torn write.
 func TestNew_knownCommit(t *testing.T) {
 	Convey("A restarted node applies the entries that it knew to be committed before any contact", t, func() {
 		sim := newSimulation(1, "a", "b", "c")
@@ -97,7 +103,7 @@
 		_, ok := c.LeaseReadIndex(time.Hour)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("The commit index stored with entries is below their index, and is limited to the end of the log", t, func() {
+	Convey("The commit index stored with entries is below their index, and New limits it to the end of the log", t, func() {
 		c, err := New(Config{ID: "a"}, bootstrap, 0)
 		So(err, ShouldBeNil)
 		c.Step(0, Message{Kind: Append, From: "b", To: "a", Term: 2, PrevIndex: 1, PrevTerm: 1, Commit: 3,
--- a/internal/raft/config.go
+++ b/internal/raft/config.go
@@ -37,7 +37,9 @@
 		cfg.LeaseDuration < 0 || cfg.LeaseDuration >= cfg.ElectionTimeout ||
 		cfg.MaxAppendBytes < 0 || cfg.MaxInflightAppends < 0 {
 		return cfg, errs.New(errs.Settings,
-			"need an ID, 0 < HeartbeatInterval < ElectionTimeout, 0 <= LeaseDuration < ElectionTimeout, limits > 0")
+			"need an ID, 0 < HeartbeatInterval < ElectionTimeout, 0 <= LeaseDuration < ElectionTimeout, limits > 0; "+
+				"got ID %q, HeartbeatInterval %s, ElectionTimeout %s, LeaseDuration %s, limits %d and %d", cfg.ID,
+			cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.LeaseDuration, cfg.MaxAppendBytes, cfg.MaxInflightAppends)
 	}
 	return cfg, nil
 }
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -22,7 +22,7 @@
 	return conf, errs.Pass(validateMembers(conf.members), "members at index %d", e.Index)
 }
 
-// configurationsOf returns the member sets in entries, in order of index.
+// configurationsOf returns the member sets in entries, in order of index. Failures: Damaged, Invalid.
 func configurationsOf(entries []Entry) ([]configuration, error) {
 	var configurations []configuration
 	for _, e := range entries {
@@ -78,8 +78,8 @@
 	return ok && !m.Learner
 }
 
-// latestConfiguration returns the current member set. It must not be called on a node that has none, which only a blank
-// follower can be.
+// latestConfiguration returns the current member set. It panics without one, which is possible only on a blank
+// node.
 func (c *Core) latestConfiguration() configuration { return c.configurations[len(c.configurations)-1] }
 
 // members returns the members of the current set, or nil if none is known.
@@ -90,8 +90,8 @@
 	return c.latestConfiguration().members
 }
 
-// clearBlank clears HardState.Blank once a committed set has this node as a learner. As learners have no vote, the
-// node cannot have forgotten one that it cast under its ID.
+// clearBlank clears HardState.Blank if members, a committed set, has this node as a learner. As learners have no vote,
+// the node cannot have forgotten one that it cast under its ID.
 func (c *Core) clearBlank(members []Member) {
 	if m, ok := findMember(members, c.cfg.ID); ok && m.Learner && c.hardState.Blank {
 		c.hardState.Blank, c.hardStateChanged = false, true
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -29,8 +29,9 @@
 	commit         uint64 // commit index; never decreases
 	applied        uint64 // last index that Ready has returned in CommittedEntries; at most commit
 	firstUnstable  uint64 // first index of the log that Ready has not returned in Entries
-	// refused counts messages that contradict an entry committed here, and invalid member sets. It must stay 0:
-	// any other value indicates a disk fault or a bug.
+	// refused counts the leader messages that a correct cluster never sends: those that contradict an entry committed
+	// here, come from a second leader of the term, or append an invalid member set. It must stay 0: any other value
+	// indicates a disk fault or a bug.
 	refused uint64
 
 	leader     string // leader of the current term; empty: unknown
@@ -42,9 +43,10 @@
 	output
 }
 
-// New returns a follower in the initial state, which was read from the disk. The follower first remains sticky to the
-// leader that it may have acknowledged before a restart, and campaigns soon after: after a cold start no leader exists.
-// Failures: Settings for an invalid Config, Damaged for an inconsistent InitialState.
+// New returns a follower in the initial state, which was read from the disk. It stays sticky to the leader that it may
+// have acknowledged before a restart, and campaigns soon after the stickiness ends: after a cold start there is no
+// leader to wait for. A node that was itself the leader campaigns within a heartbeat interval. Failures: Settings for
+// an invalid Config, Damaged for an inconsistent InitialState.
 func New(cfg Config, initial InitialState, now time.Duration) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -88,7 +90,8 @@
 
 // Tick performs the actions that are due at now: a leader makes heartbeats due, steps down without a majority
 // (check-quorum) and abandons a transfer that took too long; another node campaigns at its ElectionDeadline. It must be
-// called four times per heartbeat interval. Each action may be late by one such period, which the lease allows for.
+// called four times per heartbeat interval. Each action may be late by the time between two calls, which the lease
+// allows for.
 func (c *Core) Tick(now time.Duration) {
 	c.advanceClock(now)
 	if c.role == Leader {
@@ -158,8 +161,8 @@
 	c.log.compact(min(index, c.snapshot.Index, c.applied, c.firstUnstable-1))
 }
 
-// replaceEntries replaces the log from the index of the first entry on with entries. It returns false, and leaves the
-// log unchanged, if one of them has an invalid member set.
+// replaceEntries replaces the log from the index of the first entry on with entries. If one of them has an invalid
+// member set, it counts a refusal, leaves the log unchanged and returns false.
 func (c *Core) replaceEntries(entries []Entry) bool {
 	configurations, err := configurationsOf(entries)
 	if err != nil {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -12,7 +12,7 @@
 	// message: the node may have acknowledged a leader just before.
 	lastLeaderContact time.Duration
 	deadline          time.Duration   // when the node campaigns unless a leader sends a message before
-	votes             map[string]bool // (pre-)votes granted to this node, its own included; nil unless campaigning
+	votes             map[string]bool // (pre-)votes granted, by member ID, its own included; nil unless campaigning
 	afterTransfer     bool            // this campaign was requested by the leader (TimeoutNow)
 }
 
@@ -30,9 +30,10 @@
 	c.election.deadline = c.now + c.cfg.ElectionTimeout + c.jitter(c.cfg.ElectionTimeout)
 }
 
-// promotable reports whether the node may campaign: it must be a voter in the current member set, or in an earlier one
-// that may still be the committed set. Without the latter, no node could win an election if this node alone has the
-// entry that removes it. Votes are always counted by the current set, which then excludes its own.
+// promotable reports whether the node may campaign: it must not be blank, and must be a voter in the current member set
+// or in an earlier one that may still be the committed set. Otherwise, if this node alone had the entry that removes
+// it, possibly no node could win an election: this one would not campaign, and it grants no vote to a node whose log
+// lacks that entry. The current set always decides whose votes count, so a removed node does not count its own.
 func (c *Core) promotable() bool {
 	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
 		return isVoter(conf.members, c.cfg.ID)
@@ -56,8 +57,9 @@
 }
 
 // releaseStickiness ends the stickiness to the leader of the term if that leader sent m, a pre-vote request: it was
-// restarted and is no longer the leader. If it lost its newest entries in a power failure, it cannot win. A node that
-// has them therefore campaigns soon: after a cold start no other node would do so before its election time-out.
+// restarted and is no longer the leader. It cannot win if it lost its newest entries in a power failure. If this node
+// has entries that the sender lacks, it therefore campaigns soon: after a cold start no other node would do so before
+// its election time-out.
 func (c *Core) releaseStickiness(m Message) {
 	if m.Term <= c.hardState.Term || m.From != c.hardState.Leader || c.role == Leader {
 		return
@@ -110,7 +112,8 @@
 	c.requestVotes(PreVote, c.hardState.Term+1)
 }
 
-// startElection starts a campaign in a new term. The vote requests are sent once the node's vote for itself is synced.
+// startElection starts a campaign in a new term. afterTransfer is set if the leader requested it by TimeoutNow. The
+// vote requests are sent once the vote of this node for itself is synced.
 func (c *Core) startElection(afterTransfer bool) {
 	c.role, c.leader = Candidate, ""
 	c.election.afterTransfer = afterTransfer
@@ -162,7 +165,8 @@
 	}
 }
 
-// onPreVoteReply counts a granted pre-vote, and starts the election once a majority has granted one.
+// onPreVoteReply counts a granted pre-vote, and starts the election once a majority has granted one. A rejection from a
+// higher term makes this node a follower in that term.
 func (c *Core) onPreVoteReply(m Message) {
 	if m.Reject && m.Term > c.hardState.Term {
 		c.becomeFollower(m.Term, "")
@@ -173,8 +177,8 @@
 	}
 }
 
-// onVote grants the sender its vote unless this node has voted for or followed another node in the term, or its own log
-// is more up to date.
+// onVote grants the sender its vote if the sender's log is up to date and this node, in this term, has voted for the
+// sender already, or has neither voted nor followed a leader.
 func (c *Core) onVote(m Message) {
 	canVote := c.hardState.Vote == "" && c.hardState.Leader == "" || c.hardState.Vote == m.From
 	if !canVote || !c.isUpToDate(m) {
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -35,6 +35,8 @@
 	return isGranted
 }
 
+// TestElection_stickyToLeader guards against stale reads: if a voter helped to elect another leader before the lease of
+// the one that it acknowledged has ended, the old leader could answer reads without the writes of the new one.
 func TestElection_stickyToLeader(t *testing.T) {
 	Convey("A voter is sticky to the leader after a restart and after contact, but not after a transfer", t, func() {
 		c := startCore(t, bootstrap)
@@ -57,6 +59,8 @@
 	})
 }
 
+// TestElection_leaderAsksForVote guards against a needless wait after a restart of the leader: its lease has ended, so
+// the voters need not wait for the end of their stickiness.
 func TestElection_leaderAsksForVote(t *testing.T) {
 	Convey("A voter is not sticky to a leader that requests votes itself, also after a restart", t, func() {
 		c := startCore(t, bootstrap)
@@ -75,6 +79,8 @@
 	})
 }
 
+// TestElection_leaderAsksForPreVote guards against a needless wait if the restarted leader lost entries and cannot win:
+// its request must release the voters, and let a node with those entries campaign.
 func TestElection_leaderAsksForPreVote(t *testing.T) {
 	ahead := InitialState{
 		HardState: HardState{Term: 2, Leader: "b"},
@@ -108,6 +114,8 @@
 	}
 }
 
+// TestElection_blankNode guards against two leaders in a term: a member that lost its disk has forgotten its vote, and
+// could vote again in the same term.
 func TestElection_blankNode(t *testing.T) {
 	Convey("A node that started with an empty folder neither votes nor campaigns, even if listed as a voter", t, func() {
 		c := startCore(t, InitialState{})
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -18,7 +18,7 @@
 }
 
 // onAppend adds the entries that are missing here or differ, and replies with the index up to which the log matches the
-// leader's. A malformed append is dropped.
+// leader's. An append that is malformed or has an invalid member set is dropped.
 func (c *Core) onAppend(m Message) {
 	if !m.isWellFormed() {
 		return
@@ -49,7 +49,8 @@
 }
 
 // rejectAppend rejects an append whose PrevIndex is not in the log or, if inLog is set, has another term there. The
-// hint in the reply lets the leader skip a whole term per rejection.
+// hint in the reply lets the leader skip a whole term per rejection. An append that contradicts a committed entry is
+// counted in refused and not answered.
 func (c *Core) rejectAppend(m Message, inLog bool) {
 	hint := c.log.last()
 	if inLog {
--- a/internal/raft/interleaving_test.go
+++ b/internal/raft/interleaving_test.go
@@ -11,8 +11,8 @@
 	"crosstide/internal/testbed/exhaustive"
 )
 
-// interleaving simulates three nodes at 3 s, two of which campaign. messages holds the messages that are not delivered
-// yet.
+// interleaving simulates three nodes, two of which campaign at simulated time 3 s. messages holds the messages that are
+// not delivered yet.
 type interleaving struct {
 	*simulation
 	messages []Message
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -41,7 +41,8 @@
 	c.updateProgress()
 }
 
-// updateProgress makes the leader track the progress of exactly the other current members.
+// updateProgress makes the leader track the progress of exactly the other current members, and sets leaderAddr to its
+// own address.
 func (c *Core) updateProgress() {
 	for _, conf := range c.configurations {
 		if m, ok := findMember(conf.members, c.cfg.ID); ok {
@@ -155,8 +156,8 @@
 	}
 }
 
-// stepDownAfterRemoval makes a leader whose removal is committed a follower, and asks a voter that has the complete log
-// to campaign at once, so that the cluster need not wait for an election time-out.
+// stepDownAfterRemoval makes a leader whose removal is committed a follower. It first asks a voter that has the
+// complete log, if there is one, to campaign at once, so that the cluster need not wait for an election time-out.
 func (c *Core) stepDownAfterRemoval(members []Member) {
 	c.sendAppends() // tells the members the commit index that includes the removal
 	for _, m := range members {
--- a/internal/raft/leader_test.go
+++ b/internal/raft/leader_test.go
@@ -50,6 +50,8 @@
 	})
 }
 
+// TestCommit_entryOfOlderTerm guards against the loss of a committed entry: a majority may store an entry of an older
+// term and a later leader still replace it, until an entry of the leader's own term is committed.
 func TestCommit_entryOfOlderTerm(t *testing.T) {
 	Convey("Until an entry of its term is committed, a leader commits no older one and rejects member changes", t, func() {
 		c := startLeader(t, InitialState{
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -16,7 +16,8 @@
 // last returns the index of the newest entry, or offset if entries is empty.
 func (l *memoryLog) last() uint64 { return l.offset + uint64(len(l.entries)) }
 
-// term returns the term of the entry at an index. It returns false if the entry is compacted or missing.
+// term returns the term of the entry at an index from offset on. It returns false if the index is below offset or past
+// the end.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.offset:
@@ -30,7 +31,7 @@
 // lastTerm returns the term of the newest entry.
 func (l *memoryLog) lastTerm() uint64 { term, _ := l.term(l.last()); return term }
 
-// slice returns the entries from index from through index to. They must be in memory.
+// slice returns the entries from index from through index to, or nil if from > to. They must be in memory.
 func (l *memoryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -11,9 +11,9 @@
 // ProposeMembers appends a new member set, which takes effect at once, and returns the index and the term of its entry.
 // The set may differ from the current one in one voter: a caught-up learner is promoted, or a voter is removed or
 // demoted to a learner. A new machine is added as a learner first; any number of learners may be added and removed.
-// Status.Match has their progress. Failures: NotLeader; Unavailable while another change is not committed, before the
-// first commit of the term, while leadership is transferred, or if the promoted learner is not caught up; Invalid for
-// any other set.
+// Status.Match has the progress of all members. Failures: NotLeader; Unavailable while another change is not committed,
+// before the first commit of the term, while leadership is transferred, or if the promoted learner is not caught up;
+// Invalid for any other set.
 func (c *Core) ProposeMembers(now time.Duration, next []Member) (index, term uint64, err error) {
 	c.advanceClock(now)
 	if err := c.checkProposable(); err != nil {
@@ -21,7 +21,8 @@
 	}
 	if c.latestConfiguration().index > c.commit || c.commit < c.leadership.firstIndex {
 		return 0, 0, errs.New(errs.Unavailable,
-			"the previous membership change or the first entry of the term is not committed yet")
+			"the member set at index %d and the term's first entry %d must be committed first, commit index is %d",
+			c.latestConfiguration().index, c.leadership.firstIndex, c.commit)
 	}
 	if err := validateMembers(next); err != nil {
 		return 0, 0, errs.Pass(err, "propose members")
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -10,6 +10,8 @@
 	"crosstide/internal/errs"
 )
 
+// TestMembership_wipedMachine guards against lost commits after a machine lost its disk: under its old ID it no longer
+// has the entries and votes that it acknowledged, so it must not count as a voter.
 func TestMembership_wipedMachine(t *testing.T) {
 	Convey("A wiped machine returns under a new ID as a learner and replaces the old member", t, func() {
 		sim := newSimulation(7, "a", "b", "c")
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -20,10 +20,10 @@
 //   - Readys are written to the disk in order: a later one is never durable without the earlier ones;
 //   - a compaction of the stored log (up to a durable snapshot) is written in that same order, after all Readys that
 //     were returned before it;
-//   - a new data folder gets a new member ID. An empty one starts with an empty InitialState, never with Bootstrap.
+//   - a new data folder gets a new member ID, and starts with the zero InitialState.
 //
-// At the first start of a cluster every bootstrap member passes Bootstrap(members) to New. This must happen only at
-// the explicit request of an operator.
+// The only exception is the first start of a cluster, when every bootstrap member passes Bootstrap(members) to New
+// instead. This must happen only at the explicit request of an operator.
 //
 // Start reading at Core (core.go) and Step (step.go). The rules of each role are in election.go, leader.go,
 // replication.go and follower.go; the operations on a leader in propose.go, membership.go and transfer.go; the output
--- a/internal/raft/safety_test.go
+++ b/internal/raft/safety_test.go
@@ -97,6 +97,8 @@
 	}
 }
 
+// TestReplication_stuckLeaderDisk guards against an outage caused by one slow disk: a leader must send entries before
+// its own sync, and commit them once the other voters that stored them are a majority without it.
 func TestReplication_stuckLeaderDisk(t *testing.T) {
 	Convey("A leader whose disk is stuck commits through the other nodes, 500 proposals in one append", t, func() {
 		sim := newSimulation(9, "a", "b", "c")
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -40,7 +40,7 @@
 	now       time.Duration
 	nodes     []*node
 	net       []inTransit
-	partition map[string]int    // by member; different ones do not reach each other
+	partition map[string]int    // partition number by member ID; messages between partitions are lost
 	loss      float64           // probability that a copy of a message is lost
 	committed []Entry           // committed by any node, from index 2 on
 	leaders   map[uint64]string // leader by term
@@ -109,7 +109,8 @@
 	}
 }
 
-// meta describes a snapshot of the state after index. members is its member set if no committed entry has another one.
+// meta returns the description of a snapshot after the entry at index. members is the member set that applies unless a
+// committed entry up to index has another one.
 func (sim *simulation) meta(index uint64, members []Member) Meta {
 	meta := Meta{Index: index, Term: 1, Members: members}
 	for _, e := range sim.committed[:index-1] {
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -13,8 +13,9 @@
 	at   time.Duration // time of the last request
 }
 
-// onSnapshot handles the leader's offer of a snapshot. A fetch of the same snapshot is requested again only after an
-// election time-out, in case the runtime failed to fetch it.
+// onSnapshot handles the leader's offer of a snapshot. If the log already has the entries up to it, they are committed
+// and no fetch is needed. A fetch of the same snapshot is requested again only after an election time-out, in case the
+// runtime failed to fetch it.
 func (c *Core) onSnapshot(m Message) {
 	if m.Meta == nil || validateMembers(m.Meta.Members) != nil {
 		return
@@ -65,6 +66,7 @@
 	}
 	c.clearBlank(meta.Members)
 	if c.leader != "" {
+		// Sent is never: this answers no message of the leader, so it must not extend the lease.
 		c.reply(Message{From: c.leader, Sent: never}, Message{Kind: SnapshotReply, Match: meta.Index})
 	}
 }
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -19,7 +19,7 @@
 	Match      map[string]uint64 `json:"match,omitempty"` // leader: highest durable index by member ID
 	LeaseUntil time.Duration     `json:"lease_until"`     // leader: end of the lease by its clock; 0 without a lease
 	Voter      bool              `json:"voter"`           // a voter in the current member set, and not blank
-	Refused    uint64            `json:"refused"`         // contradictions of committed entries: must stay 0
+	Refused    uint64            `json:"refused"`         // messages that no correct cluster sends: must stay 0
 }
 
 // Status returns the state of the node. Its maps and slices are copies.
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -6,7 +6,8 @@
 )
 
 // Step handles a message from another Core. A message that is malformed, is addressed to another node or has an unknown
-// kind is dropped.
+// kind is dropped. So is a vote request to a node that is blank or sticky to a leader: the node does not even adopt the
+// higher term, so that a partitioned node which returns cannot depose a leader that has its lease.
 func (c *Core) Step(now time.Duration, m Message) {
 	c.advanceClock(now)
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || m.From == "" {
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// sendTimeoutNow asks the transferee to campaign if it has the complete log. The lease ends at the same time, as the
-// transferee may win at any moment from then on.
+// sendTimeoutNow asks the transferee to campaign if it has the complete log and is not blank. The lease ends at the
+// same time, as the transferee may win at any moment from then on.
 func (c *Core) sendTimeoutNow() {
 	l := &c.leadership
 	if p := l.progress[l.transferee]; p != nil && p.match == c.log.last() && !p.blank {
