--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -19,9 +19,9 @@
 
 // The limits of a pull.
 const (
-	maxChangeBytes  = 4 << 20                // changes in one answer
-	maxChunkBytes   = 1 << 20                // one chunk of a snapshot
-	maxChunkRetries = 5                      // failed requests for chunks of one snapshot
+	maxChangeBytes  = 4 << 20                // size of the changes in one answer
+	maxChunkBytes   = 1 << 20                // size of one chunk of a snapshot
+	maxChunkRetries = 5                      // failed requests for chunks of one snapshot, in total
 	retryInterval   = 100 * time.Millisecond // pause after a failed pull
 	longPollTimeout = time.Second            // how long a source may wait for changes
 )
@@ -34,7 +34,8 @@
 	Chunk(ctx context.Context, call internalapi.ChunkCall) (internalapi.ChunkAnswer, error)
 }
 
-// Run pulls until ctx is done. It passes each error to onError and then waits for retryInterval on clk.
+// Run pulls until ctx is done. node is the name of the node that the replica runs on. Run passes each error to onError
+// and then waits for retryInterval on clk.
 func (r *Replica) Run(ctx context.Context, source Source, clk clock.Clock, node string, onError func(error)) {
 	for ctx.Err() == nil {
 		err := r.Pull(ctx, source, node, longPollTimeout)
@@ -125,8 +126,9 @@
 	return nil
 }
 
-// fetchBody fetches the body of a snapshot in chunks and retries each failed chunk separately. Failures: Stale if the
-// source no longer has the snapshot, Damaged if the checksum is wrong, and those of Source.Chunk.
+// fetchBody fetches the body of a snapshot in chunks. It repeats a failed request for a chunk at once, up to
+// maxChunkRetries times for the whole snapshot, unless the error is Unknown. Failures: Stale if the source no longer
+// has the snapshot, Damaged if the checksum is wrong, and those of Source.Chunk.
 func fetchBody(ctx context.Context, source Source, snap internalapi.Snapshot) ([]byte, error) {
 	body := make([]byte, 0, snap.Size)
 	failures := 0
--- a/internal/storage/aftercrash_test.go
+++ b/internal/storage/aftercrash_test.go
@@ -81,6 +81,8 @@
 	return false
 }
 
+// TestOpen_afterCrash guards against the loss of acknowledged records: a power failure may drop or tear any write,
+// creation, removal or rename that was not synced, also while Open repairs the folder.
 func TestOpen_afterCrash(t *testing.T) {
 	Convey("Appended records are recovered after a power failure at any time", t, func() {
 		wrong, crashes, snapshots := 0, 0, 0
@@ -129,6 +131,8 @@
 	So(after, ShouldResemble, before)
 }
 
+// TestOpen_afterFailedSync guards against records that are read from the page cache but are not on the disk: after a
+// failed sync, a later sync of the file succeeds without writing them.
 func TestOpen_afterFailedSync(t *testing.T) {
 	for n := 1; n <= 5; n++ {
 		Convey(fmt.Sprintf("After a failed sync the store is unusable, and the recovered state is durable: sync %d", n), t, func() {
--- a/internal/storage/folder.go
+++ b/internal/storage/folder.go
@@ -125,8 +125,8 @@
 	return file, nil
 }
 
-// removeUnfinished removes the temporary file of a write that failed because the disk was full, so that it does not
-// occupy space.
+// removeUnfinished removes the temporary file that a failed write of name left on a full disk, so that it does not
+// occupy space. It has no effect if that file does not exist.
 func (s *Store) removeUnfinished(name string) error {
 	names, err := s.disk.List()
 	if err != nil {
--- a/internal/storage/logstate.go
+++ b/internal/storage/logstate.go
@@ -19,8 +19,8 @@
 	return l.compactedTo
 }
 
-// apply applies the next record of the log. It returns false, and changes nothing, if the record is an entry that would
-// leave a gap in the indexes.
+// apply applies the next record of the log. It returns false, and changes nothing, if the record is an entry with index
+// 0 or one that would leave a gap in the indexes.
 func (l *logState) apply(r Record) bool {
 	switch r.Kind {
 	case KindHardState:
@@ -41,8 +41,8 @@
 }
 
 // applySnapshot applies the record of a snapshot. The entries stay if one of them has the index and the term of the
-// snapshot, or if all are after it. Otherwise they contradict the snapshot or end before it, which means that it came
-// from another member, and they are removed.
+// snapshot, or if all are after it. Otherwise they contradict the snapshot or end before it, which means that the
+// snapshot came from another member, and they are removed.
 func (l *logState) applySnapshot(snap Record) {
 	l.lastSnapshot = snap
 	if len(l.entries) > 0 {
--- a/internal/storage/memdisk.go
+++ b/internal/storage/memdisk.go
@@ -114,9 +114,9 @@
 	return clone
 }
 
-// checkWritable counts a change. It returns an error while the power is off, and for a file that was opened before the
-// last crash. The caller holds mu.
-func (d *MemDisk) checkWritable(incarnation int) error {
+// beginChange counts a change towards PowerOff. It returns an error while the power is off, and for a file that was
+// opened before the last crash. The caller holds mu.
+func (d *MemDisk) beginChange(incarnation int) error {
 	if d.powerOff > 1 {
 		d.powerOff--
 	} else if d.powerOff == 1 {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// syncFails counts a sync and reports whether it must fail. The caller holds mu.
-func (d *MemDisk) syncFails() bool {
+// countSync counts a sync towards FailSync and reports whether it must fail. The caller holds mu.
+func (d *MemDisk) countSync() bool {
 	if d.failSync == 0 {
 		return false
 	}
@@ -147,7 +147,7 @@
 func (d *MemDisk) Create(name string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.incarnation); err != nil {
+	if err := d.beginChange(d.incarnation); err != nil {
 		return nil, errs.Pass(err, "create %s", name)
 	}
 	if d.live[name] != nil {
@@ -179,7 +179,7 @@
 func (d *MemDisk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.incarnation); err != nil {
+	if err := d.beginChange(d.incarnation); err != nil {
 		return errs.Pass(err, "remove %s", name)
 	}
 	if d.live[name] == nil {
@@ -193,7 +193,7 @@
 func (d *MemDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.incarnation); err != nil {
+	if err := d.beginChange(d.incarnation); err != nil {
 		return errs.Pass(err, "rename %s", from)
 	}
 	n := d.live[from]
@@ -208,10 +208,10 @@
 func (d *MemDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.checkWritable(d.incarnation); err != nil {
+	if err := d.beginChange(d.incarnation); err != nil {
 		return errs.Pass(err, "sync the folder")
 	}
-	if d.syncFails() {
+	if d.countSync() {
 		return errs.New(errs.Disk, "sync of the folder failed")
 	}
 	d.durable, d.unsyncedNames = maps.Clone(d.live), nil
@@ -234,7 +234,7 @@
 func (f *memFile) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if err := f.disk.checkWritable(f.incarnation); err != nil {
+	if err := f.disk.beginChange(f.incarnation); err != nil {
 		return 0, errs.Pass(err, "write")
 	}
 	f.inode.data = append(f.inode.data, p...)
@@ -245,10 +245,10 @@
 func (f *memFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if err := f.disk.checkWritable(f.incarnation); err != nil {
+	if err := f.disk.beginChange(f.incarnation); err != nil {
 		return errs.Pass(err, "sync")
 	}
-	if f.disk.syncFails() {
+	if f.disk.countSync() {
 		f.inode.syncFailed = true
 		return errs.New(errs.Disk, "sync failed")
 	}
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -59,9 +59,9 @@
 	return recovered, errs.Pass(s.rewriteTail(folder, log), "rewrite the last segment")
 }
 
-// chooseSnapshot makes the newest snapshot that the log continues that of the store, applies it to log and sets the
-// fields of recovered. Failure: Damaged if the log continues none of the valid snapshots or, without a valid snapshot,
-// does not start at entry 1.
+// chooseSnapshot selects the newest valid snapshot that the log continues: the log has every entry after it up to its
+// own end. It makes that snapshot the store's newest, applies it to log and sets the fields of recovered. Failure:
+// Damaged if the log continues none of the valid snapshots or, without a valid snapshot, does not start at entry 1.
 func (s *Store) chooseSnapshot(folder folderContents, log *logState, recovered *Recovered) error {
 	for _, stored := range folder.snapshots {
 		snap, state := stored.Snapshot, *log
@@ -78,7 +78,8 @@
 	if recovered.Snapshot == nil {
 		entries, ok := log.entriesAfter(0)
 		if !ok || len(folder.snapshots) > 0 {
-			return errs.New(errs.Damaged, "the log continues no valid snapshot (%d of %d files valid)",
+			return errs.New(errs.Damaged,
+				"the log does not continue any valid snapshot (%d of %d snapshot files are valid)",
 				len(folder.snapshots), folder.snapshotFiles)
 		}
 		recovered.Records = slices.Clone(entries)
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -53,6 +53,8 @@
 	return err == nil && recovered.TornBytes == 0 && want.with(next).matches(recovered)
 }
 
+// TestOpen_invertedBits guards against bit rot that goes unnoticed: an inverted bit must not change a record, or
+// silently remove one that is not the last.
 func TestOpen_invertedBits(t *testing.T) {
 	Convey("An inverted bit is reported as damage, removed as a torn last record, or repaired from the log", t, func() {
 		d, m := filledDisk()
--- a/internal/storage/recoverlog.go
+++ b/internal/storage/recoverlog.go
@@ -24,7 +24,8 @@
 		if err := log.addSegment(stored.number, records); err != nil {
 			return log, errs.Pass(err, "records")
 		}
-		// The first records of a segment were synced before its file was renamed, so a torn write cannot affect them.
+		// The first records of a segment (see segmentHead) were synced before its file was renamed, so a torn write
+		// cannot affect them. Data in the first record means that a hard state must follow it.
 		isHeadLost := len(records) == 0 && folder.snapshotFiles > 0 || len(records) == 1 && len(records[0].Data) > 0
 		if i == 0 && isHeadLost || len(records) > 0 && records[0].Kind != kindSnapshot {
 			return log, errs.New(errs.Damaged, "segment %d: the first records are missing", stored.number)
--- a/internal/storage/resume.go
+++ b/internal/storage/resume.go
@@ -22,7 +22,8 @@
 		return errs.Pass(err, "resume")
 	}
 	if next.newest.Number < s.newest.Number {
-		return errs.New(errs.Damaged, "snapshot %d is missing", s.newest.Number)
+		return errs.New(errs.Damaged, "snapshot %d is missing, the newest valid one is %d",
+			s.newest.Number, next.newest.Number)
 	}
 	_ = s.log.file.Close() // open has rewritten its records to a new file
 	s.log, s.newest, s.newestFile, s.failure = next.log, next.newest, next.newestFile, nil
--- a/internal/storage/resume_test.go
+++ b/internal/storage/resume_test.go
@@ -10,8 +10,8 @@
 	"crosstide/internal/errs"
 )
 
-// limitedDisk is a disk with free units of space, for bytes and names. A write that exceeds it stores as many bytes as
-// possible and fails.
+// limitedDisk is a disk with limited space: a byte occupies one unit of free, a new name nameCost units. A write that
+// exceeds it stores as many bytes as possible and fails.
 type limitedDisk struct {
 	Disk
 	free *int
--- a/internal/storage/segment.go
+++ b/internal/storage/segment.go
@@ -39,8 +39,8 @@
 	return head
 }
 
-// startSegment writes the file of g with its first records, and makes g the segment that Append writes to. The caller
-// holds mu.
+// startSegment writes the file of g with its first records, and directs Append to it. g must be, or be made by the
+// caller, the last element of log.segments. The caller holds mu.
 func (s *Store) startSegment(g segment, records []Record) error {
 	var buf []byte
 	for _, r := range records {
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -6,12 +6,13 @@
 	"crosstide/internal/errs"
 )
 
-// WriteSnapshot stores snap as the newest snapshot and sets its Number. It starts a new segment, and removes the
-// segments whose entries are all at or before the previous snapshot and, if keepFrom is not 0, before keepFrom. Appends
-// may run concurrently, and are blocked only while the new segment is started. The term of a snapshot of the node's own
-// log must be that of the entry at its index. A snapshot from another member removes the entries that it contradicts,
-// and must be written before later entries are appended. Failures: Invalid if snap is older than the newest snapshot,
-// Stopped, Disk (as with Append; if IsFull reports true, snap may be written again). Example:
+// WriteSnapshot stores snap as the newest snapshot under the next Number; snap.Number is ignored. It starts a new
+// segment, and removes the segments whose entries are all at or before the previous snapshot and, if keepFrom is not 0,
+// before keepFrom. Appends may run concurrently, and are blocked only while the new segment is started. The term of a
+// snapshot of the node's own log must be that of the entry at its index. A snapshot from another member removes the
+// entries that it contradicts, and must be written before later entries are appended. Failures: Invalid if snap is
+// older than the newest snapshot, Stopped, Disk (as with Append; if IsFull reports true, snap may be written again).
+// Example:
 //
 //	err := store.WriteSnapshot(storage.Snapshot{Index: applied, Term: term, Meta: members, Body: state}, 0)
 func (s *Store) WriteSnapshot(snap Snapshot, keepFrom uint64) error {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -31,7 +31,7 @@
 
 // Stats are counters and durations since Open.
 type Stats struct {
-	Syncs       uint64
+	Syncs       uint64        // of files and of the folder
 	Bytes       uint64        // written to all files
 	Records     uint64        // appended
 	Snapshots   uint64        // written
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// markFailed makes the store unusable after err. Resume is possible if IsFull reports true for err. The caller holds
-// mu.
+// markFailed makes the store unusable after err, and returns err with kind Disk. Resume is possible if IsFull reports
+// true for err. The caller holds mu.
 func (s *Store) markFailed(err error) error {
 	if s.failure == nil {
 		s.failure = err
