--- a/cmd/crosstide-testbed/bundles.go
+++ b/cmd/crosstide-testbed/bundles.go
@@ -42,7 +42,7 @@
 func runBundles(ctx context.Context, cmd *cli.Command) error {
 	ctx, stop := interruptible(ctx)
 	defer stop()
-	report, err := operator.Run(ctx, operator.Options{Dir: cmd.String("fleet"), For: cmd.Duration("for"),
+	report, err := operator.Run(ctx, operator.Options{Dir: cmd.String("fleet"), Duration: cmd.Duration("for"),
 		Seed: cmd.Uint64("seed"), Interval: cmd.Duration("every"), RaceProbability: cmd.Float("race"),
 		RepeatProbability: cmd.Float("again"), InvalidProbability: cmd.Float("invalid"),
 		EvacuateProbability: cmd.Float("evacuate")})
--- a/cmd/crosstide-testbed/lags.go
+++ b/cmd/crosstide-testbed/lags.go
@@ -24,7 +24,7 @@
 		return errs.Pass(err, "lags")
 	}
 	for _, lag := range audit.Lags(history) {
-		err := printf(cmd, "%-32s %5d cases  p50 %7.1f ms  p99 %7.1f ms  max %7.1f ms\n", lag.What, lag.Cases,
+		err := printf(cmd, "%-32s %5d cases  p50 %7.1f ms  p99 %7.1f ms  max %7.1f ms\n", lag.Name, lag.Cases,
 			lag.P50.Seconds()*1000, lag.P99.Seconds()*1000, lag.Max.Seconds()*1000)
 		if err != nil {
 			return errs.Pass(err, "lags")
--- a/cmd/crosstide-testbed/scale.go
+++ b/cmd/crosstide-testbed/scale.go
@@ -69,7 +69,7 @@
 func printRow(cmd *cli.Command, row scale.Row) error {
 	err := printf(cmd, "%5d minions %6.0f/s offered %6.0f/s given %6.0f out  %-15s cpu %7.3f%% %7.2f MB %8.2f msg/s"+
 		" %9.3f KB/s %6.1f syncs/s %8.2f logKB/s  p99 %.0f ms, machine %.1f cores %s\n", row.Workers, row.Offered,
-		row.Starts, row.Running, row.Role, row.CPU, row.MB, row.Msgs, row.Net, row.Syncs, row.LogKB, row.P99, row.Cores,
-		row.Note)
+		row.Starts, row.Running, row.Role, row.CPU, row.MB, row.Msgs, row.SocketKB, row.Syncs, row.LogKB, row.P99,
+		row.Cores, row.Note)
 	return errs.Pass(err, "print")
 }
--- a/cmd/crosstide-testbed/sim.go
+++ b/cmd/crosstide-testbed/sim.go
@@ -69,19 +69,19 @@
 	results := policysim.RunSeeds(options, first, last, cmd.Int("width"), maxViolated)
 	summary := policysim.Summarize(results, options.Faults)
 	if options.Parties {
-		summary.Require(policysim.BillingPromises)
+		summary.Require(policysim.BillingInvariants)
 	}
 	isTraced := options.WithoutGuard == "" && options.Trace == nil
-	for i, breached := range summary.Breaches {
-		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", breached.Seed, breached.Breach.Promise,
-			breached.Breach.At, breached.Breach.Detail)
-		if i < tracedBreaches && isTraced {
-			fmt.Fprintln(out, "  "+strings.Join(breached.Breach.TraceTail, "\n  "))
+	for i, violated := range summary.Violations {
+		fmt.Fprintf(out, "seed %d breaks %q at %s: %s\n", violated.Seed, violated.Violation.Invariant,
+			violated.Violation.At, violated.Violation.Detail)
+		if i < tracedViolations && isTraced {
+			fmt.Fprintln(out, "  "+strings.Join(violated.Violation.TraceTail, "\n  "))
 		}
 	}
 	if options.WithoutGuard != "" {
-		fmt.Fprintf(out, "without %s: found in %d of %d seeds\n", options.WithoutGuard, summary.Broken, summary.Seeds)
-		if summary.Broken == 0 {
+		fmt.Fprintf(out, "without %s: found in %d of %d seeds\n", options.WithoutGuard, summary.Violated, summary.Seeds)
+		if summary.Violated == 0 {
 			return exitCode{errs.New(errs.Internal, "no seed detected the missing guard"), exitViolated}
 		}
 		return nil
@@ -89,16 +89,16 @@
 	if err := summary.Print(out); err != nil {
 		return errs.Pass(err, "sim")
 	}
-	unexercised := len(summary.UnexercisedPromises) + len(summary.UnexercisedFaults)
-	if summary.Broken > 0 || last > first && unexercised > 0 {
+	unexercised := len(summary.UncheckedInvariants) + len(summary.UnexercisedFaults)
+	if summary.Violated > 0 || last > first && unexercised > 0 {
 		err := errs.New(errs.Internal, "an invariant was violated or never checked, or a fault was never injected")
 		return exitCode{err, exitViolated}
 	}
 	return nil
 }
 
-// tracedBreaches is the number of violations for which the end of the trace is printed.
-const tracedBreaches = 2
+// tracedViolations is the number of violations for which the end of the trace is printed.
+const tracedViolations = 2
 
 // simOptions returns the options that the flags describe. Failure: Settings.
 func simOptions(cmd *cli.Command) (policysim.Options, error) {
--- a/internal/testbed/audit/lags.go
+++ b/internal/testbed/audit/lags.go
@@ -12,7 +12,7 @@
 // Lag is the distribution of how long the fleet took to carry out orders of one kind. An order that affected no run
 // counts as 0.
 type Lag struct {
-	What  string        `json:"what"`
+	Name  string        `json:"what"`
 	Cases int           `json:"cases"`
 	P50   time.Duration `json:"p50_ns"`
 	P99   time.Duration `json:"p99_ns"`
@@ -24,7 +24,7 @@
 	for _, d := range cases {
 		h.Record(d)
 	}
-	l := Lag{What: what, Cases: len(cases), P50: h.Quantile(50), P99: h.Quantile(99)}
+	l := Lag{Name: what, Cases: len(cases), P50: h.Quantile(50), P99: h.Quantile(99)}
 	if len(cases) > 0 {
 		l.Max = slices.Max(cases)
 	}
--- a/internal/testbed/load/generator_test.go
+++ b/internal/testbed/load/generator_test.go
@@ -107,6 +107,6 @@
 		So(caller.calls[0], ShouldNotEqual, caller.calls[1])
 		So(caller.calls[2][:7], ShouldEqual, http.MethodDelete+" ")
 		r := l.counts
-		So([]int{r.Cancels, r.Cancelled, r.Dups, r.DupsRefused}, ShouldResemble, []int{1, 1, 1, 0})
+		So([]int{r.Cancels, r.Cancelled, r.Duplicates, r.DuplicatesRefused}, ShouldResemble, []int{1, 1, 1, 0})
 	})
 }
--- a/internal/testbed/load/job.go
+++ b/internal/testbed/load/job.go
@@ -77,9 +77,9 @@
 	reply, reason := j.callUntilAnswered(ctx, http.MethodPost, "/v1/jobs", j.spec)
 	j.record(Entry{Event: Again, Node: j.nodeName(), Status: reply.Status, State: stateOf(reply), Reason: reason})
 	j.count(func(r *Report) {
-		r.Dups++
+		r.Duplicates++
 		if reason != "" {
-			r.DupsRefused++
+			r.DuplicatesRefused++
 		}
 	})
 }
--- a/internal/testbed/load/report.go
+++ b/internal/testbed/load/report.go
@@ -11,28 +11,28 @@
 
 // Report is the result of a load; `crosstide-testbed load` prints it as JSON.
 type Report struct {
-	Seed        uint64         `json:"seed"`
-	Prefix      string         `json:"prefix"` // of the jobs' keys
-	Offered     int            `json:"offered"`
-	Accepted    int            `json:"accepted"`
-	Done        int            `json:"done"`
-	Failed      int            `json:"fault"`
-	Cancelled   int            `json:"cancelled"`
-	Unknown     int            `json:"unknown"`    // accepted, and answered 404 at least once
-	Unfinished  int            `json:"unfinished"` // accepted, but no poll returned a terminal state
-	Refused     map[string]int `json:"refused"`    // given up, by reason of the last refusal; "lost": no answer
-	Overloaded  map[string]int `json:"overloaded"` // transient refusals and lost answers, by reason
-	Retries     int            `json:"retries"`
-	Polls       int            `json:"polls"`
-	Cancels     int            `json:"cancels"` // acknowledged
-	Dups        int            `json:"dups"`
-	DupsRefused int            `json:"dups_refused"`
-	Seconds     float64        `json:"seconds"` // from the first arrival to the last end
-	Rate        float64        `json:"rate_offered"`
-	StartsPerS  float64        `json:"starts_per_s"` // from the first start to the last in the workers' journals
-	Starts      int            `json:"starts"`
-	Accept      Spread         `json:"accept_ms"`          // from the arrival of a job to its acceptance
-	ToStart     Spread         `json:"accept_to_start_ms"` // from the acceptance to the first start of the job
+	Seed              uint64         `json:"seed"`
+	Prefix            string         `json:"prefix"` // of the jobs' keys
+	Offered           int            `json:"offered"`
+	Accepted          int            `json:"accepted"`
+	Done              int            `json:"done"`
+	Failed            int            `json:"fault"`
+	Cancelled         int            `json:"cancelled"`
+	Unknown           int            `json:"unknown"`    // accepted, and answered 404 at least once
+	Unfinished        int            `json:"unfinished"` // accepted, but no poll returned a terminal state
+	Refused           map[string]int `json:"refused"`    // given up, by reason of the last refusal; "lost": no answer
+	Overloaded        map[string]int `json:"overloaded"` // transient refusals and lost answers, by reason
+	Retries           int            `json:"retries"`
+	Polls             int            `json:"polls"`
+	Cancels           int            `json:"cancels"` // acknowledged
+	Duplicates        int            `json:"dups"`
+	DuplicatesRefused int            `json:"dups_refused"`
+	Seconds           float64        `json:"seconds"` // from the first arrival to the last end
+	Rate              float64        `json:"rate_offered"`
+	StartsPerS        float64        `json:"starts_per_s"` // from the first start to the last in the workers' journals
+	Starts            int            `json:"starts"`
+	Accept            Spread         `json:"accept_ms"`          // from the arrival of a job to its acceptance
+	ToStart           Spread         `json:"accept_to_start_ms"` // from the acceptance to the first start of the job
 }
 
 // Spread holds the quantiles of a distribution in milliseconds.
--- a/internal/testbed/operator/operator.go
+++ b/internal/testbed/operator/operator.go
@@ -35,7 +35,7 @@
 // Options are the options of Run.
 type Options struct {
 	Dir                 string        // folder of the fleet
-	For                 time.Duration // no change begins after it
+	Duration            time.Duration // no change begins after it
 	Seed                uint64        // for all random draws; the fleet's answers and their timing still vary
 	Interval            time.Duration // average time from the end of a change to the next one
 	RaceProbability     float64       // that both operators write a draft on the same base at once
@@ -111,7 +111,7 @@
 
 // run makes changes for the duration For, then lifts the evacuation that is still in force, if there is one.
 func (o *session) run(ctx context.Context) {
-	end := o.clock.Now() + o.For
+	end := o.clock.Now() + o.Duration
 	for i := 0; o.clock.Now() < end && ctx.Err() == nil; i++ {
 		if o.rng.Float64() < o.InvalidProbability {
 			o.submitInvalid(ctx, i)
--- a/internal/testbed/operator/rollout.go
+++ b/internal/testbed/operator/rollout.go
@@ -21,7 +21,7 @@
 // rollout is the part of GET /v1/rollout that the operators read.
 type rollout struct {
 	Version uint64        // in force
-	Force   time.Time     `json:"in_force"` // when Version came into force
+	InForce time.Time     `json:"in_force"` // when Version came into force
 	Nodes   []nodeVersion // as the nodes report themselves
 }
 
@@ -88,7 +88,7 @@
 	for _, n := range current.Nodes {
 		if n.Version == current.Version {
 			o.toNode.Record(time.Duration(n.Since.UnixNano() - at))
-			o.fromForce.Record(n.Since.Sub(current.Force))
+			o.fromForce.Record(n.Since.Sub(current.InForce))
 		}
 	}
 }
--- a/internal/testbed/policysim/billing_test.go
+++ b/internal/testbed/policysim/billing_test.go
@@ -14,7 +14,7 @@
 		for invariant, minimum := range map[string]uint64{
 			"conserved": 3000, "paid for": 500, "bounded below zero": 100, "resumes in time": 6, "attached": 1,
 		} {
-			So(sum.Promise[invariant], ShouldBeGreaterThanOrEqualTo, minimum)
+			So(sum.Cases[invariant], ShouldBeGreaterThanOrEqualTo, minimum)
 		}
 		So(sum.Counts["dry spells"], ShouldBeGreaterThan, 20)
 		So(sum.Counts["top-ups that came again"], ShouldBeGreaterThan, 5)
@@ -34,9 +34,9 @@
 func TestGuards_balance(t *testing.T) {
 	Convey("Without the guard balance, the invariant paid for is violated", t, func() {
 		sum := Summarize(RunSeeds(Options{FaultPeriod: 20 * time.Second, WithoutGuard: "balance"}, 1, 6, 2, 0), nil)
-		So(sum.Broken, ShouldBeGreaterThan, 0)
-		for _, r := range sum.Breaches {
-			So(r.Breach.Promise, ShouldEqual, "paid for")
+		So(sum.Violated, ShouldBeGreaterThan, 0)
+		for _, r := range sum.Violations {
+			So(r.Violation.Invariant, ShouldEqual, "paid for")
 		}
 	})
 }
--- a/internal/testbed/policysim/checkbilling.go
+++ b/internal/testbed/policysim/checkbilling.go
@@ -12,8 +12,8 @@
 	"crosstide/internal/testbed/policyworker"
 )
 
-// BillingPromises are the names of the invariants that are checked only with Options.Parties.
-var BillingPromises = []string{"conserved", "paid for", "bounded below zero", "resumes in time", "attached"}
+// BillingInvariants are the names of the invariants that are checked only with Options.Parties.
+var BillingInvariants = []string{"conserved", "paid for", "bounded below zero", "resumes in time", "attached"}
 
 // billingChecker checks the invariants of billing. It computes its own accounts from the commands in the log and from
 // the times at which handles are created and released, and compares the replicated accounts with them after every
--- a/internal/testbed/policysim/checkprogress_test.go
+++ b/internal/testbed/policysim/checkprogress_test.go
@@ -29,36 +29,36 @@
 			Cores: s.workers[0].cores}
 		Convey("while all nodes run, the invariant is violated after startTimeout", func() {
 			ic.checkPassedOverFor(startTimeout)
-			So(s.report.Breach, ShouldBeNil)
+			So(s.report.Violation, ShouldBeNil)
 			ic.checkPassedOverFor(time.Second)
-			So(s.report.Breach, ShouldNotBeNil)
-			So(s.report.Breach.Promise, ShouldEqual, "not passed over")
+			So(s.report.Violation, ShouldNotBeNil)
+			So(s.report.Violation.Invariant, ShouldEqual, "not passed over")
 		})
 		Convey("without a majority of the store the time does not count; once the majority is back, it does", func() {
 			for _, c := range s.controlPlanes[:3] {
 				c.crash(false)
 			}
 			ic.checkPassedOverFor(recoveryTime)
-			So(s.report.Breach, ShouldBeNil)
+			So(s.report.Violation, ShouldBeNil)
 			s.controlPlanes[0].restart()
 			ic.checkPassedOverFor(startTimeout)
-			So(s.report.Breach, ShouldBeNil)
+			So(s.report.Violation, ShouldBeNil)
 			ic.checkPassedOverFor(time.Second)
-			So(s.report.Breach, ShouldNotBeNil)
+			So(s.report.Violation, ShouldNotBeNil)
 		})
 		Convey("without a data-plane node the time does not count", func() {
 			for _, d := range s.dataPlanes {
 				d.endIncarnation()
 			}
 			ic.checkPassedOverFor(recoveryTime)
-			So(s.report.Breach, ShouldBeNil)
+			So(s.report.Violation, ShouldBeNil)
 		})
 		Convey("with two of five members down the time counts", func() {
 			for _, c := range s.controlPlanes[:2] {
 				c.crash(false)
 			}
 			ic.checkPassedOverFor(startTimeout + time.Second)
-			So(s.report.Breach, ShouldNotBeNil)
+			So(s.report.Violation, ShouldNotBeNil)
 		})
 	})
 }
--- a/internal/testbed/policysim/guards_test.go
+++ b/internal/testbed/policysim/guards_test.go
@@ -26,12 +26,12 @@
 	} {
 		Convey("Without the guard "+test.guard+", the invariant "+test.invariant+" is violated", t, func() {
 			options := Options{FaultPeriod: test.length, Faults: test.faults}
-			So(Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil).Broken, ShouldEqual, 0)
+			So(Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil).Violated, ShouldEqual, 0)
 			options.WithoutGuard = test.guard
 			sum := Summarize(RunSeeds(options, 1, guardSeeds, 2, 0), nil)
 			var violated []string
-			for _, r := range sum.Breaches {
-				violated = append(violated, r.Breach.Promise)
+			for _, r := range sum.Violations {
+				violated = append(violated, r.Violation.Invariant)
 			}
 			So(violated, ShouldContain, test.invariant)
 		})
--- a/internal/testbed/policysim/histories_test.go
+++ b/internal/testbed/policysim/histories_test.go
@@ -21,7 +21,7 @@
 			digest := sha256.New()
 			report := Run(Options{Seed: seed, FaultPeriod: 20 * time.Second, Parties: seed%2 == 0, Trace: digest})
 			fmt.Fprintf(&lines, "seed %d: %d events, %d cases of once at a time, %d starts under faults, %x\n",
-				seed, report.Events, report.Promise["once at a time"], report.Counts["starts under faults"],
+				seed, report.Events, report.Cases["once at a time"], report.Counts["starts under faults"],
 				digest.Sum(nil))
 		}
 		golden.Compare(t, "histories", lines.String())
--- a/internal/testbed/policysim/policysim.go
+++ b/internal/testbed/policysim/policysim.go
@@ -45,8 +45,8 @@
 // Report is the result of a run.
 type Report struct {
 	Seed        uint64
-	Breach      *Violation        // nil: every invariant held
-	Promise     map[string]uint64 // cases checked, by invariant
+	Violation   *Violation        // nil: every invariant held
+	Cases       map[string]uint64 // cases checked, by invariant
 	Faults      map[string]uint64 // cases injected, by fault
 	Counts      map[string]uint64 // other events, by description
 	Events      uint64            // 0: the seed was not run, see RunSeeds
@@ -59,7 +59,7 @@
 
 // Violation describes the first invariant that did not hold in a run.
 type Violation struct {
-	Promise   string // the invariant
+	Invariant string // the invariant
 	At        time.Duration
 	Detail    string
 	TraceTail []string // the newest lines of the trace
@@ -68,13 +68,13 @@
 // Run runs one seed to its end or to the first violation. Example:
 //
 //	r := policysim.Run(policysim.Options{Seed: 7, FaultPeriod: 30 * time.Second})
-//	if r.Breach != nil {
-//		fmt.Println(r.Seed, r.Breach.Promise, r.Breach.Detail)
+//	if r.Violation != nil {
+//		fmt.Println(r.Seed, r.Violation.Invariant, r.Violation.Detail)
 //	}
 func Run(options Options) Report {
 	s := newSim(options)
 	end := s.options.FaultPeriod + s.billing.lastTopUpDelay() + endTimeout
-	for s.queue.Len() > 0 && s.report.Breach == nil {
+	for s.queue.Len() > 0 && s.report.Violation == nil {
 		next := heap.Pop(&s.queue).(event)
 		if s.now = next.at; s.now > end {
 			break
@@ -85,7 +85,7 @@
 			break
 		}
 	}
-	if s.report.Breach == nil {
+	if s.report.Violation == nil {
 		s.checker.checkEnd()
 		s.clients.history.check(s)
 	}
@@ -103,7 +103,7 @@
 	}
 	s := &sim{options: options, rng: rand.New(rand.NewPCG(options.Seed, 0x7469646563726f73)),
 		byAddr: map[string]*process{}, hash: xxhash.New(),
-		report: Report{Seed: options.Seed, Promise: map[string]uint64{}, Faults: map[string]uint64{},
+		report: Report{Seed: options.Seed, Cases: map[string]uint64{}, Faults: map[string]uint64{},
 			Counts: map[string]uint64{}}}
 	s.build()
 	return s
--- a/internal/testbed/policysim/policysim_test.go
+++ b/internal/testbed/policysim/policysim_test.go
@@ -12,18 +12,18 @@
 func runWithoutViolations(t *testing.T, options Options, first, last uint64) Summary {
 	t.Helper()
 	sum := Summarize(RunSeeds(options, first, last, 2, 0), nil)
-	for _, r := range sum.Breaches {
-		t.Errorf("seed %d violates %q at %s: %s", r.Seed, r.Breach.Promise, r.Breach.At, r.Breach.Detail)
+	for _, r := range sum.Violations {
+		t.Errorf("seed %d violates %q at %s: %s", r.Seed, r.Violation.Invariant, r.Violation.At, r.Violation.Detail)
 	}
-	So(sum.Broken, ShouldEqual, 0)
+	So(sum.Violated, ShouldEqual, 0)
 	return sum
 }
 
 func TestSeeds(t *testing.T) {
 	Convey("No invariant is violated in a fixed set of seeds with all faults", t, func() {
 		sum := runWithoutViolations(t, Options{FaultPeriod: 20 * time.Second}, 1, 4)
-		So(sum.Promise["once at a time"], ShouldBeGreaterThan, 200)
-		So(sum.Promise["linear"], ShouldBeGreaterThan, 200)
+		So(sum.Cases["once at a time"], ShouldBeGreaterThan, 200)
+		So(sum.Cases["linear"], ShouldBeGreaterThan, 200)
 	})
 }
 
@@ -44,8 +44,8 @@
 func TestMinutes(t *testing.T) {
 	Convey("No invariant is violated in a few seeds of five minutes with all faults", t, func() {
 		sum := runWithoutViolations(t, Options{FaultPeriod: 5 * time.Minute}, 641000, 641003)
-		So(sum.Promise["not passed over"], ShouldBeGreaterThan, 100)
-		So(sum.Promise["all ends"], ShouldEqual, 4)
+		So(sum.Cases["not passed over"], ShouldBeGreaterThan, 100)
+		So(sum.Cases["all ends"], ShouldEqual, 4)
 	})
 }
 
--- a/internal/testbed/policysim/simulation.go
+++ b/internal/testbed/policysim/simulation.go
@@ -99,12 +99,12 @@
 	s.recentNext = (s.recentNext + 1) % traceTailLines
 }
 
-// countCase counts a check of an invariant in Report.Promise.
-func (s *sim) countCase(invariant string) { s.report.Promise[invariant]++ }
+// countCase counts a check of an invariant in Report.Cases.
+func (s *sim) countCase(invariant string) { s.report.Cases[invariant]++ }
 
 // reportViolation records the first violation of an invariant. The run ends after the current event.
 func (s *sim) reportViolation(invariant, format string, args ...any) {
-	if s.report.Breach != nil {
+	if s.report.Violation != nil {
 		return
 	}
 	detail := fmt.Sprintf(format, args...)
@@ -113,7 +113,7 @@
 	if len(tail) == traceTailLines {
 		tail = append(tail[s.recentNext:], tail[:s.recentNext]...)
 	}
-	s.report.Breach = &Violation{Promise: invariant, At: s.now, Detail: detail, TraceTail: tail}
+	s.report.Violation = &Violation{Invariant: invariant, At: s.now, Detail: detail, TraceTail: tail}
 }
 
 // chance returns true with probability p.
--- a/internal/testbed/policysim/summary.go
+++ b/internal/testbed/policysim/summary.go
@@ -25,7 +25,7 @@
 			reports[i].Seed = seeded.Seed
 			return
 		}
-		if reports[i] = Run(seeded); reports[i].Breach != nil {
+		if reports[i] = Run(seeded); reports[i].Violation != nil {
 			violations.Add(1)
 		}
 	})
@@ -34,17 +34,17 @@
 
 // Summary is the sum of the reports of a set of runs.
 type Summary struct {
-	Seeds, Broken                                         int
+	Seeds, Violated                                       int
 	Events                                                uint64
-	Promise, Faults, Counts                               map[string]uint64 // see Report
-	Breaches                                              []Report          // of the seeds with a violation
-	UnexercisedPromises, UnexercisedFaults                []string          // required, but without a case
+	Cases, Faults, Counts                                 map[string]uint64 // see Report
+	Violations                                            []Report          // of the seeds with a violation
+	UncheckedInvariants, UnexercisedFaults                []string          // required, but without a case
 	ResumeDelays, ResumeDelaysAfterFaults, ReattachDelays []time.Duration   // see Report
 }
 
 // Summarize adds up reports. The faults named in requiredFaults must have cases, as must all of invariants.
 func Summarize(reports []Report, requiredFaults []string) Summary {
-	s := Summary{Promise: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
+	s := Summary{Cases: map[string]uint64{}, Faults: map[string]uint64{}, Counts: map[string]uint64{}}
 	for _, r := range reports {
 		if r.Events > 0 {
 			s.add(r)
@@ -62,15 +62,15 @@
 func (s *Summary) add(r Report) {
 	s.Seeds++
 	s.Events += r.Events
-	addCounts(s.Promise, r.Promise)
+	addCounts(s.Cases, r.Cases)
 	addCounts(s.Faults, r.Faults)
 	addCounts(s.Counts, r.Counts)
 	s.ResumeDelays = append(s.ResumeDelays, r.ResumeDelays...)
 	s.ResumeDelaysAfterFaults = append(s.ResumeDelaysAfterFaults, r.ResumeDelaysAfterFaults...)
 	s.ReattachDelays = append(s.ReattachDelays, r.ReattachDelays...)
-	if r.Breach != nil {
-		s.Broken++
-		s.Breaches = append(s.Breaches, r)
+	if r.Violation != nil {
+		s.Violated++
+		s.Violations = append(s.Violations, r)
 	}
 }
 
@@ -80,11 +80,11 @@
 	}
 }
 
-// Require adds the invariants that have no case to UnexercisedPromises.
+// Require adds the invariants that have no case to UncheckedInvariants.
 func (s *Summary) Require(invariants []string) {
 	for _, invariant := range invariants {
-		if s.Promise[invariant] == 0 {
-			s.UnexercisedPromises = append(s.UnexercisedPromises, invariant)
+		if s.Cases[invariant] == 0 {
+			s.UncheckedInvariants = append(s.UncheckedInvariants, invariant)
 		}
 	}
 }
@@ -109,14 +109,14 @@
 			line("time     %9d  %s: p50 %s, max %s", n, title, sorted[n/2], sorted[n-1])
 		}
 	}
-	line("%d seeds, %d events, %d broken", s.Seeds, s.Events, s.Broken)
-	counts("promise", s.Promise)
+	line("%d seeds, %d events, %d broken", s.Seeds, s.Events, s.Violated)
+	counts("promise", s.Cases)
 	counts("fault", s.Faults)
 	counts("count", s.Counts)
 	times("resumed after a top-up, under faults", s.ResumeDelays)
 	times("resumed after a top-up, after the faults", s.ResumeDelaysAfterFaults)
 	times("long-running task restarted", s.ReattachDelays)
-	for _, invariant := range s.UnexercisedPromises {
+	for _, invariant := range s.UncheckedInvariants {
 		line("NOT EXERCISED promise %s", invariant)
 	}
 	for _, fault := range s.UnexercisedFaults {
--- a/internal/testbed/rehearsal/churn.go
+++ b/internal/testbed/rehearsal/churn.go
@@ -97,8 +97,8 @@
 	})
 	if options.ChangeInterval > 0 {
 		run("bundles", func(ctx context.Context) error {
-			changes, err := operator.Run(ctx, operator.Options{Dir: c.Dir, For: options.Duration, Seed: options.Seed,
-				Interval: options.ChangeInterval, RaceProbability: changeProbability,
+			changes, err := operator.Run(ctx, operator.Options{Dir: c.Dir, Duration: options.Duration,
+				Seed: options.Seed, Interval: options.ChangeInterval, RaceProbability: changeProbability,
 				RepeatProbability: changeProbability})
 			report.Bundles = &changes
 			return errs.Pass(err, "operators")
--- a/internal/testbed/scale/csv.go
+++ b/internal/testbed/scale/csv.go
@@ -20,7 +20,7 @@
 // cells returns pointers to the row's fields, in the order of columns.
 func (r *Row) cells() []any {
 	return []any{&r.Workers, &r.Offered, &r.Starts, &r.Running, &r.P50, &r.P99, &r.Unfinished,
-		&r.Cores, &r.LoopKB, &r.LoopPk, &r.Role, &r.Procs, &r.CPU, &r.MB, &r.Msgs, &r.KB, &r.Net,
+		&r.Cores, &r.LoopKB, &r.LoopPackets, &r.Role, &r.Procs, &r.CPU, &r.MB, &r.Msgs, &r.BodyKB, &r.SocketKB,
 		&r.Syncs, &r.LogKB, &r.Note}
 }
 
--- a/internal/testbed/scale/plot.go
+++ b/internal/testbed/scale/plot.go
@@ -55,7 +55,7 @@
 	}{
 		{"% of a core", func(r Row) float64 { return r.CPU }},
 		{"MB resident", func(r Row) float64 { return r.MB }},
-		{"KB per second", func(r Row) float64 { return r.Net }},
+		{"KB per second", func(r Row) float64 { return r.SocketKB }},
 	} {
 		p, err := newPanel(rows, isPlotted, x, cost.y)
 		if err != nil {
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -40,7 +40,7 @@
 	Syncs       float64       // of the store's log
 	Log         float64       // bytes written to the log and snapshots
 	RunIDs      float64       // assigned by this process as the scheduler's leader
-	Handles     float64       // run IDs in use according to this data plane's replica
+	RunIDsInUse float64       // run IDs in use according to this data plane's replica
 }
 
 // process identifies a process of the fleet.
@@ -89,7 +89,7 @@
 	r.Bytes, r.Msgs = sum(m, "crosstide_rpc_bytes_total"), sum(m, "crosstide_rpc_calls_total")
 	r.AnswerBytes = float64(size)
 	r.Syncs, r.Log = sum(m, "crosstide_store_sync_seconds_count"), sum(m, "crosstide_store_log_bytes_total")
-	r.RunIDs, r.Handles = sum(m, "crosstide_sched_run_ids_total"), sum(m, "crosstide_state_handles")
+	r.RunIDs, r.RunIDsInUse = sum(m, "crosstide_sched_run_ids_total"), sum(m, "crosstide_state_handles")
 	r.Role = roleOf(m)
 	if r.Role == SharedWorker && r.Count == 1 {
 		r.Role = DedicatedWorker
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -106,7 +106,7 @@
 func runningTasks(s Snapshot) float64 {
 	for _, r := range s.Procs {
 		if r.Role == SchedulerLeader {
-			return r.Handles
+			return r.RunIDsInUse
 		}
 	}
 	return 0
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -20,14 +20,14 @@
 			"c1": {Role: Follower, Count: 1, CPU: time.Second, RSS: 4e6, Syncs: 100},
 			"c2": {Role: Leader, Count: 1, CPU: 2 * time.Second},
 			"c3": {Role: Follower, Count: 1, CPU: 3 * time.Second, RSS: 2e6},
-			"d1": {Role: SchedulerLeader, Count: 1, RunIDs: 500, Handles: 7},
+			"d1": {Role: SchedulerLeader, Count: 1, RunIDs: 500, RunIDsInUse: 7},
 			"h1": {Role: SharedWorker, Count: 50, Stream: 1e6, Msgs: 500}}}
 		rows, err := Rows(before, after, Step{Workers: 50, Offered: 60})
 		So(err, ShouldBeNil)
 		So(len(rows), ShouldEqual, 4)
 		So(rows[1], ShouldResemble, Row{Step: Step{Workers: 50, Offered: 60, Starts: 50, Running: 7, Cores: 2, LoopKB: 100},
 			Role: Follower, Procs: 2, CPU: 20, MB: 3, Syncs: 5})
-		So(rows[3].Net, ShouldEqual, 2)
+		So(rows[3].SocketKB, ShouldEqual, 2)
 		So(rows[3].Msgs, ShouldEqual, 1)
 		Convey("rows survive a round trip through CSV and can be plotted", func() {
 			path := filepath.Join(t.TempDir(), "a.csv")
--- a/internal/testbed/scale/slopes.go
+++ b/internal/testbed/scale/slopes.go
@@ -13,7 +13,7 @@
 }{
 	{"cpu %", func(r Row) float64 { return r.CPU }},
 	{"MB", func(r Row) float64 { return r.MB }},
-	{"KB/s", func(r Row) float64 { return r.Net }},
+	{"KB/s", func(r Row) float64 { return r.SocketKB }},
 	{"msg/s", func(r Row) float64 { return r.Msgs }},
 	{loopbackCost, func(r Row) float64 { return r.LoopKB }},
 }
