--- a/cmd/crosstide-controlplane/openstore.go
+++ b/cmd/crosstide-controlplane/openstore.go
@@ -24,7 +24,7 @@
 		return nil, errs.Pass(err, "folder")
 	}
 	options.Disk = disk
-	opened, err := store.OpenWhenDiskHasSpace(ctx, options)
+	opened, err := store.OpenRetryingFullDisk(ctx, options)
 	if !errs.Is(err, errs.Damaged) {
 		return opened, errs.Pass(err, "store")
 	}
@@ -39,7 +39,7 @@
 		}
 		options.Damaged = true
 	}
-	opened, err = store.OpenWhenDiskHasSpace(ctx, options)
+	opened, err = store.OpenRetryingFullDisk(ctx, options)
 	return opened, errs.Pass(err, "store")
 }
 
--- a/cmd/crosstide-controlplane/platformsettings.go
+++ b/cmd/crosstide-controlplane/platformsettings.go
@@ -28,7 +28,7 @@
 	settings := config.DefaultControlPlane()
 	settings.Name, settings.Zone, settings.Region = core.Name, core.Zone, core.Region
 	settings.Addr, settings.Seeds, settings.Data = core.InternalAddress, core.Seeds, core.DataFolder
-	settings.Election, settings.Heartbeat, settings.Lease = platformElection, platformHeartbeat, platformLease
+	settings.ElectionTimeout, settings.Heartbeat, settings.Lease = platformElection, platformHeartbeat, platformLease
 	settings.SnapshotEvery = platformSnapshotEvery
 	settings.OpenMembership, settings.Bootstrap = true, core.Bootstrap
 	if core.Grace > 0 {
--- a/cmd/crosstide-controlplane/platformsettings_test.go
+++ b/cmd/crosstide-controlplane/platformsettings_test.go
@@ -47,7 +47,7 @@
 		So(settings.Data, ShouldEqual, "data")
 		So(settings.Grace, ShouldEqual, 5500*time.Millisecond)
 		So(settings.Lease, ShouldEqual, platformLease)
-		So(settings.Election, ShouldEqual, platformElection)
+		So(settings.ElectionTimeout, ShouldEqual, platformElection)
 		So(settings.Heartbeat, ShouldEqual, platformHeartbeat)
 		So(settings.OpenMembership, ShouldBeTrue)
 		So(settings.Bootstrap, ShouldBeFalse)
--- a/cmd/crosstide-controlplane/policy.go
+++ b/cmd/crosstide-controlplane/policy.go
@@ -49,11 +49,11 @@
 func servePolicyIncarnation(ctx context.Context, settings config.ControlPlane, profiles bool, removed func(),
 	logger log.Logger) error {
 	registry := daemon.Registry()
-	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: 2 * settings.Election, DialOverrides: settings.Via,
+	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: 2 * settings.ElectionTimeout, DialOverrides: settings.Via,
 		Logger: daemon.Part(logger, "caller"), Registry: registry})
 	defer caller.Close()
 	opened, err := openStore(ctx, store.Options{
-		Settings: settings, Net: store.NetworkOf(caller, settings),
+		Settings: settings, Net: store.NewNet(caller, settings),
 		Logger: daemon.Part(logger, "store"), Registry: registry,
 		Fatal: func(err error) {
 			_ = level.Error(logger).Log("msg", "store failed, process exits", "err", err)
--- a/internal/bundle/operators.go
+++ b/internal/bundle/operators.go
@@ -26,15 +26,15 @@
 	for _, o := range list {
 		b.Operators[o.name] = o.key
 	}
-	if invalid := OperatorsError(b.Operators, len(list)); invalid != "" {
+	if invalid := ValidateOperators(b.Operators, len(list)); invalid != "" {
 		r.Reject("operators", "%s", invalid)
 	}
 }
 
-// OperatorsError returns the error message for an invalid set of operators, or "" if it is valid. listed is the number
-// of items that the set was read from: it exceeds the size of the set if a name is listed twice. At least two operators
-// are required, and no two names may share a key, so that nobody can sign under two names.
-func OperatorsError(operators state.Operators, listed int) string {
+// ValidateOperators returns the error message for an invalid set of operators, or "" if it is valid. listed is the
+// number of items that the set was read from: it exceeds the size of the set if a name is listed twice. At least two
+// operators are required, and no two names may share a key, so that nobody can sign under two names.
+func ValidateOperators(operators state.Operators, listed int) string {
 	keys := slices.Sorted(maps.Values(operators))
 	switch {
 	case len(operators) < listed || len(slices.Compact(keys)) < listed:
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -23,10 +23,10 @@
 	Data    string   // data: the store's folder; required
 	Members []Member // members: the store's bootstrap members; required
 
-	Election  time.Duration // election: silence of the leader after which a node starts an election; default 1s
-	Heartbeat time.Duration // heartbeat: the leader's heartbeat interval; default 100ms, less than half of lease
-	Lease     time.Duration // lease: duration of the leader's lease; default 700ms, less than election
-	RoleLease time.Duration // duty_lease: lease duration of a singleton role; default 3s
+	ElectionTimeout time.Duration // election: silence of the leader after which a node starts an election; default 1s
+	Heartbeat       time.Duration // heartbeat: the leader's heartbeat interval; default 100ms, less than half of lease
+	Lease           time.Duration // lease: duration of the leader's lease; default 700ms, less than election
+	RoleLease       time.Duration // duty_lease: lease duration of a singleton role; default 3s
 
 	SnapshotEvery     int           // snapshot_every: log entries between two snapshots; default 20000
 	QueueLimit        int           // queue_limit: maximum number of open jobs; default 60000
@@ -52,7 +52,7 @@
 func DefaultControlPlane() ControlPlane {
 	return ControlPlane{
 		Common:            defaultCommon(),
-		Election:          time.Second,
+		ElectionTimeout:   time.Second,
 		Heartbeat:         100 * time.Millisecond,
 		Lease:             700 * time.Millisecond,
 		RoleLease:         3 * time.Second,
@@ -88,7 +88,7 @@
 	r.Require("data", "members")
 	r.String("data", &c.Data, NotEmpty)
 	c.readMembers(r)
-	r.Duration("election", &c.Election, minDuration, maxDuration)
+	r.Duration("election", &c.ElectionTimeout, minDuration, maxDuration)
 	r.Duration("heartbeat", &c.Heartbeat, minDuration, maxDuration)
 	r.Duration("lease", &c.Lease, minDuration, maxDuration)
 	r.Duration("duty_lease", &c.RoleLease, minDuration, maxDuration)
@@ -107,8 +107,8 @@
 	if c.OpenMembership {
 		c.checkOpenMembership(r)
 	}
-	if c.Lease >= c.Election {
-		r.Reject("lease", "must be less than election (%s), is %s", c.Election, c.Lease)
+	if c.Lease >= c.ElectionTimeout {
+		r.Reject("lease", "must be less than election (%s), is %s", c.ElectionTimeout, c.Lease)
 	}
 	if 2*c.Heartbeat >= c.Lease {
 		r.Reject("heartbeat", "must be less than half of lease (%s), is %s", c.Lease, c.Heartbeat)
@@ -157,8 +157,8 @@
 				host, m.ID)
 		}
 	}
-	if c.RemoveAfter <= c.Election {
-		r.Reject("remove_after", "must be greater than election (%s), is %s", c.Election, c.RemoveAfter)
+	if c.RemoveAfter <= c.ElectionTimeout {
+		r.Reject("remove_after", "must be greater than election (%s), is %s", c.ElectionTimeout, c.RemoveAfter)
 	}
 }
 
--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -42,7 +42,7 @@
 		section := `,"election":"2s","jobs":{"control":"127.0.0.1:7201","lease":"6s","remote_factor":2}`
 		set, err := LoadJobsControlPlane(writeSettings(t, jobsControlPlaneJSON(section)))
 		So(err, ShouldBeNil)
-		got := []any{set.Name, set.Election, set.Control, set.Scheduler.Lease, set.Scheduler.PollWait,
+		got := []any{set.Name, set.ElectionTimeout, set.Control, set.Scheduler.Lease, set.Scheduler.PollWait,
 			set.Scheduler.RemoteFactor, set.KeepFinished}
 		So(got, ShouldResemble, []any{"c1", 2 * time.Second, "127.0.0.1:7201", 6 * time.Second, time.Second,
 			2.0, 10 * time.Minute})
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -30,7 +30,7 @@
 	Convey("Valid files load, missing settings get their defaults, and changed values are validated again", t, func() {
 		c, err := LoadControlPlane(writeSettings(t, controlPlaneJSON))
 		So(err, ShouldBeNil)
-		got := []any{c.Lease, c.Election, c.QueueLimit, c.KeepTombstonesFor, c.Grace, c.Members[1].Zone,
+		got := []any{c.Lease, c.ElectionTimeout, c.QueueLimit, c.KeepTombstonesFor, c.Grace, c.Members[1].Zone,
 			len(c.OperatorKeys)}
 		So(got, ShouldResemble, []any{800 * time.Millisecond, time.Second, 7, 168 * time.Hour, 5 * time.Second, "b", 2})
 		So(CheckControlPlane(c), ShouldBeNil)
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -21,8 +21,8 @@
 
 // commitConfig commits the given version of a configuration with queue q, based on the previous version.
 func commitConfig(store *fakeStore, version uint64) {
-	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/q/", Service: "s", MaxAttempts: 3, Stretch: 2,
-		Target: time.Second, Timeout: time.Second}
+	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/q/", Service: "s", MaxAttempts: 3, LatencyFactor: 2,
+		LatencyTarget: time.Second, Timeout: time.Second}
 	_, err := store.commit(&command.JobConfigure{Configure: jobs.Configure{Base: version - 1, Version: version,
 		Replace: true, Services: []jobs.Service{{Name: "s"}}, Queues: []jobs.Queue{queue}}})
 	So(err, ShouldBeNil)
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -107,7 +107,7 @@
 		leader := newTestLeader(store, clk)
 		sendHeartbeat(leader, heartbeat(1))
 		So(leader.heartbeats.byWorker, ShouldHaveLength, 1)
-		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
+		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, RemoveWorkers: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		leader.pass()
 		So(leader.heartbeats.byWorker, ShouldBeEmpty)
@@ -122,7 +122,7 @@
 		store.term = 0
 		leader.pass()
 		store.term = previousTerm + 1
-		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, Forget: []string{"w1"}}})
+		_, err := store.commit(&command.JobProgress{Progress: jobs.Progress{Term: store.term, RemoveWorkers: []string{"w1"}}})
 		So(err, ShouldBeNil)
 		leader.pass()
 		So(leader.heartbeats.byWorker, ShouldBeEmpty)
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -36,7 +36,7 @@
 
 func (l *Leader) commitProgress(ctx context.Context, term uint64, progress *jobs.Progress) {
 	_, answer, err := l.opt.Store.ProposeIn(ctx, term, &command.JobProgress{Progress: *progress})
-	started, _ := answer.(jobs.Started)
+	started, _ := answer.(jobs.ProgressResult)
 	if err != nil {
 		_ = level.Warn(l.log).Log("msg", "progress commit failed", "err", err)
 	}
--- a/internal/controller/scheduler/cluster_test.go
+++ b/internal/controller/scheduler/cluster_test.go
@@ -47,8 +47,8 @@
 
 // testConfig returns a configuration with a queue q and a more urgent one.
 func testConfig(version uint64, attempts int) jobs.Configure {
-	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts, Stretch: 2,
-		Target: time.Second, Timeout: time.Second}
+	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts, LatencyFactor: 2,
+		LatencyTarget: time.Second, Timeout: time.Second}
 	urgent := queue
 	urgent.Name, urgent.Prefix, urgent.Priority = "urgent", "/urgent/", 0
 	return jobs.Configure{Base: version - 1, Version: version, Digest: fmt.Sprint(version), Replace: true,
--- a/internal/controller/scheduler/commit.go
+++ b/internal/controller/scheduler/commit.go
@@ -36,7 +36,7 @@
 		c.markDurable(highestEnd) // the table no longer has the handles of these runs: nothing to commit
 		return nil
 	}
-	progress := &jobs.Progress{Term: c.term, At: wall, Ends: ends, Starts: starts, Forget: forget}
+	progress := &jobs.Progress{Term: c.term, At: wall, Ends: ends, Starts: starts, RemoveWorkers: forget}
 	c.inFlight = &proposal{progress: progress, highestEnd: highestEnd, starts: map[jobs.RunKey]bool{}}
 	for _, s := range starts {
 		c.inFlight.starts[jobs.RunKey{Task: s.Task, Number: s.Number}] = true
@@ -46,7 +46,7 @@
 
 // Committed handles the outcome of the proposal in flight. After an error its start orders are never sent. If the table
 // recorded the starts in spite of the error, syncTask finds their handles and ends the runs as lost.
-func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.Started, err error) {
+func (c *Core) Committed(now time.Duration, progress *jobs.Progress, started jobs.ProgressResult, err error) {
 	c.now = now
 	if c.term == 0 || c.inFlight == nil || c.inFlight.progress != progress {
 		return
--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -38,8 +38,8 @@
 	queue := testConfig(1, 3).Queues[0]
 	queue.Priority = 0
 	must(f.table.Configure(jobs.Configure{Base: 1, Version: 2, Digest: "second", Queues: []jobs.Queue{queue,
-		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 4,
-			Target: 3 * time.Second, Timeout: time.Second}}}))
+		{Name: "slow", Host: "h", Prefix: "/s/", Service: "s", Priority: 2, MaxAttempts: 2, LatencyFactor: 4,
+			LatencyTarget: 3 * time.Second, Timeout: time.Second}}}))
 	for i := range fleetWorkers {
 		id := fmt.Sprintf("w%03d", i)
 		rack := fmt.Sprintf("r%d", i/12)
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -86,7 +86,7 @@
 			return
 		}
 	}
-	objective := time.Duration(queue.Stretch*float64(criticalPath(j.Spec.Steps))) + queue.Target
+	objective := time.Duration(queue.LatencyFactor*float64(criticalPath(j.Spec.Steps))) + queue.LatencyTarget
 	for stepIndex := range j.Spec.Steps {
 		step := &j.Spec.Steps[stepIndex]
 		indexes := dueTasks(j.Rounds[round][stepIndex], step.Gang)
@@ -95,7 +95,7 @@
 		}
 		u := &unit{job: j, step: step, queue: queue, round: round, stepIndex: stepIndex, taskIndexes: indexes}
 		if step.LongRunning {
-			u.latestStart, u.expiresAt = begin.Add(queue.Target), begin.Add(longRunningExpiry)
+			u.latestStart, u.expiresAt = begin.Add(queue.LatencyTarget), begin.Add(longRunningExpiry)
 		} else {
 			u.latestStart = begin.Add(objective - criticalPathFrom(j.Spec.Steps, stepIndex))
 			u.expiresAt = begin.Add(expiryObjectives * objective)
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -13,7 +13,7 @@
 	// Of the replica.
 	Index, Changes, Bytes, Snapshots uint64
 	Jobs, Handles, Workers, Inbox    int
-	RunningCounts                    map[string]int // number of handles by task type
+	HandlesByType                    map[string]int // number of handles by task type
 
 	// Of the scheduler.
 	Phase              scheduler.Phase
@@ -31,7 +31,7 @@
 	v := metricValues{
 		Index: st.Index, Changes: n.replica.Changes, Bytes: n.replica.Bytes, Snapshots: n.replica.Snapshots,
 		Jobs: len(st.Jobs), Handles: len(st.Handles), Workers: len(st.Workers), Inbox: len(st.Inbox),
-		RunningCounts: st.RunningCounts(),
+		HandlesByType: st.HandlesByType(),
 
 		Phase: n.scheduler.Phase(), Epoch: n.scheduler.Epoch(), QueueLength: n.scheduler.QueueLength(),
 		Counts: n.scheduler.Counts, UnhealthyWorkers: n.scheduler.UnhealthyWorkers(),
@@ -151,7 +151,7 @@
 	for kind, runs := range v.Counts.ProvedDead {
 		ch <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), string(kind))
 	}
-	for taskType, runs := range v.RunningCounts {
+	for taskType, runs := range v.HandlesByType {
 		ch <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
 	}
 }
--- a/internal/dataplane/scheduler/policy_test.go
+++ b/internal/dataplane/scheduler/policy_test.go
@@ -24,7 +24,7 @@
 	base, digest := h.st.Head().Version, signature.Digest([]byte(text))
 	id := fmt.Sprint("o", base)
 	h.apply(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
-		Sig: ada.Sign(signature.Put(id, base, digest))})
+		Sig: ada.Sign(signature.BundlePut(id, base, digest))})
 	for _, key := range []signature.Key{ada, ben} {
 		h.apply(&command.SignBundle{Order: id + key.Name, Version: base + 1, Digest: digest, By: key.Name,
 			Sig: key.Sign(signature.Bundle(base+1, digest))})
--- a/internal/httpapi/jobsapi/calls_test.go
+++ b/internal/httpapi/jobsapi/calls_test.go
@@ -54,7 +54,7 @@
 
 func (f *fakeCore) Config(context.Context, controller.ConfigCall) (jobs.Config, error) {
 	return jobs.Config{Version: 3, Services: []jobs.Service{{Name: "s"}},
-		Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Timeout: time.Minute}}}, f.err
+		Queues: []jobs.Queue{{Name: "q", Service: "s", MaxAttempts: 2, LatencyFactor: 1, Timeout: time.Minute}}}, f.err
 }
 
 func (f *fakeCore) Configure(_ context.Context, change jobs.Configure) (controller.ConfigureAnswer, error) {
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -59,8 +59,8 @@
 
 func queueOf(q jobs.Queue) Queue {
 	return Queue{
-		Name: q.Name, Service: q.Service, Priority: q.Priority, Attempts: q.MaxAttempts, Stretch: q.Stretch,
-		Target: q.Target.String(), Timeout: q.Timeout.String(),
+		Name: q.Name, Service: q.Service, Priority: q.Priority, Attempts: q.MaxAttempts, Stretch: q.LatencyFactor,
+		Target: q.LatencyTarget.String(), Timeout: q.Timeout.String(),
 	}
 }
 
@@ -141,14 +141,14 @@
 }
 
 func readQueue(r *config.Reader, q *jobs.Queue) {
-	q.MaxAttempts, q.Stretch = 1, 1
+	q.MaxAttempts, q.LatencyFactor = 1, 1
 	r.Require("name", "service", "timeout")
 	r.String("name", &q.Name, checkName)
 	r.String("service", &q.Service, checkName)
 	r.Int("priority", &q.Priority, 0, maxPriority)
 	r.Int("attempts", &q.MaxAttempts, 1, maxAttempts)
-	r.Float("stretch", &q.Stretch, 0, maxStretch)
-	r.Duration("target", &q.Target, 0, maxDuration)
+	r.Float("stretch", &q.LatencyFactor, 0, maxStretch)
+	r.Duration("target", &q.LatencyTarget, 0, maxDuration)
 	r.Duration("timeout", &q.Timeout, time.Millisecond, maxDuration)
 	q.Prefix = "/" + q.Name + "/" // the job table requires a distinct prefix for each queue
 }
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -23,9 +23,9 @@
 		So(string(a.Document), ShouldEqual, `{"name":"a","service":"s","priority":2,"attempts":5,"stretch":1.5,`+
 			`"target":"30s","timeout":"1h0m0s"}`)
 		a.Document, b.Document = nil, nil
-		So(a, ShouldResemble, jobs.Queue{Name: "a", Prefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 5, Stretch: 1.5,
-			Target: 30 * time.Second, Timeout: time.Hour})
-		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, Stretch: 1,
+		So(a, ShouldResemble, jobs.Queue{Name: "a", Prefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 5,
+			LatencyFactor: 1.5, LatencyTarget: 30 * time.Second, Timeout: time.Hour})
+		So(b, ShouldResemble, jobs.Queue{Name: "b", Prefix: "/b/", Service: "s", MaxAttempts: 1, LatencyFactor: 1,
 			Timeout: time.Minute})
 		So([]any{change.Services[0].Name, change.Services[0].ChecksCapacity}, ShouldResemble, []any{"s", true})
 	})
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -124,7 +124,7 @@
 
 // log handles GET /v1/bundles.
 func (b bundleRoutes) log(r *http.Request) (any, error) {
-	limit := state.KeepRevisions
+	limit := state.MaxEnforcedRevisions
 	if text := r.URL.Query().Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 {
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -72,7 +72,7 @@
 		put := func(by string, base uint64, text string) (int, string) {
 			order := fmt.Sprint("o", by, base, len(text))
 			q := url.Values{"order": {order}, "base": {fmt.Sprint(base)}, "by": {by},
-				"sig": {keys[by].Sign(signature.Put(order, base, signature.Digest([]byte(text))))}}
+				"sig": {keys[by].Sign(signature.BundlePut(order, base, signature.Digest([]byte(text))))}}
 			return call("POST", "/v1/bundles?"+q.Encode(), []byte(text))
 		}
 		text := "{\"queues\":\t{\"default\":{ }}}\n\n"
--- a/internal/httpapi/operatorapi/orders.go
+++ b/internal/httpapi/operatorapi/orders.go
@@ -38,7 +38,7 @@
 		})
 	}
 	order("/v1/zones/{zone}/evacuate", func(r *http.Request, in Order) command.Command {
-		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), Out: true, By: in.By, Sig: in.Sig}
+		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), Start: true, By: in.By, Sig: in.Sig}
 	})
 	order("/v1/zones/{zone}/lift", func(r *http.Request, in Order) command.Command {
 		return &command.EvacuateZone{Order: in.Order, Zone: r.PathValue("zone"), By: in.By, Sig: in.Sig}
--- a/internal/jobs/changes.go
+++ b/internal/jobs/changes.go
@@ -50,11 +50,11 @@
 // Progress written by the leader of another term is refused. A start whose preconditions no longer hold is not
 // recorded, nor are the other members of its gang.
 type Progress struct {
-	Term   uint64    `json:"term"`
-	At     time.Time `json:"at"`
-	Ends   []End     `json:"ends,omitempty"`
-	Starts []Start   `json:"starts,omitempty"`
-	Forget []string  `json:"forget,omitempty"` // IDs of workers that are gone; those with handles are kept
+	Term          uint64    `json:"term"`
+	At            time.Time `json:"at"`
+	Ends          []End     `json:"ends,omitempty"`
+	Starts        []Start   `json:"starts,omitempty"`
+	RemoveWorkers []string  `json:"forget,omitempty"` // IDs of workers that are gone; those with handles are kept
 }
 
 // EndReason says why a run ended. The strings are stored.
@@ -87,7 +87,7 @@
 	Worker string  `json:"w"`
 }
 
-// Started is the answer to Progress. Recorded[i] reports whether Starts[i] was recorded.
-type Started struct {
+// ProgressResult is the answer to Progress. Recorded[i] reports whether Starts[i] was recorded.
+type ProgressResult struct {
 	Recorded []bool `json:"recorded,omitempty"`
 }
--- a/internal/jobs/event_test.go
+++ b/internal/jobs/event_test.go
@@ -29,7 +29,7 @@
 		So(takeEvents(), ShouldBeEmpty)
 		table.Register(Register{Workers: []Worker{testWorker("w1", "open"), testWorker("w3", "open")}})
 		So(takeEvents(), ShouldResemble, []Event{{WorkerChanged, "w3"}})
-		_, err := table.Progress(testTerm, Progress{Term: testTerm, Forget: []string{"w1", "w3", "w9"}})
+		_, err := table.Progress(testTerm, Progress{Term: testTerm, RemoveWorkers: []string{"w1", "w3", "w9"}})
 		So(err, ShouldBeNil)
 		So(takeEvents(), ShouldResemble, []Event{{WorkerGone, "w3"}})
 		table.Evacuate(Evacuate{Zone: "zone-1", Start: true})
--- a/internal/jobs/generator_test.go
+++ b/internal/jobs/generator_test.go
@@ -105,7 +105,7 @@
 		p.Starts = append(p.Starts, g.starts()...)
 	}
 	if g.number("forget", 0, 9) == 9 {
-		p.Forget = []string{g.worker()}
+		p.RemoveWorkers = []string{g.worker()}
 	}
 	return p
 }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -30,7 +30,7 @@
 		golden.Shape("start", Start{}),
 		golden.Shape("end", End{}),
 		golden.Shape("progress", Progress{}),
-		golden.Shape("started", Started{}),
+		golden.Shape("started", ProgressResult{}),
 		golden.Shape("party", Party{}),
 		golden.Shape("set parties", SetParties{}),
 		golden.Shape("table", Table{}),
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -58,7 +58,7 @@
 	}
 	g.now = g.now.Add(time.Hour)
 	if !g.noForget {
-		g.progress(Progress{Forget: gone})
+		g.progress(Progress{RemoveWorkers: gone})
 	}
 	if !g.noPurge {
 		g.Purge(g.now.Add(-terminalRetention))
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -135,10 +135,10 @@
 	Priority    int    `json:"priority,omitempty"` // 0 is the highest
 	MaxAttempts int    `json:"attempts"`           // a job fails when a task has failed this many times
 
-	// Stretch and Target are the latency objective of a job's round: Stretch times the estimate of its critical path,
-	// plus Target. The objective of a long-running task is to start within Target.
-	Stretch float64       `json:"stretch"`
-	Target  time.Duration `json:"target"`
+	// LatencyFactor and LatencyTarget are the latency objective of a job's round: LatencyFactor times the estimate of
+	// its critical path, plus LatencyTarget. The objective of a long-running task is to start within LatencyTarget.
+	LatencyFactor float64       `json:"stretch"`
+	LatencyTarget time.Duration `json:"target"`
 
 	Timeout  time.Duration   `json:"timeout"` // above 0
 	Document json.RawMessage `json:"doc"`     // the item as the operator sent it
--- a/internal/jobs/progress.go
+++ b/internal/jobs/progress.go
@@ -4,10 +4,10 @@
 
 // Progress records ends, then starts, then deletes workers. entryTerm is the term of the log entry that contains p.
 // Failure: Stale (the leader of another term wrote p, or a newer term has made progress); the table is unchanged.
-func (t *Table) Progress(entryTerm uint64, p Progress) (Started, error) {
+func (t *Table) Progress(entryTerm uint64, p Progress) (ProgressResult, error) {
 	if p.Term != entryTerm || p.Term < t.Term {
-		return Started{}, errs.New(errs.Stale, "progress of term %d in an entry of term %d, after one of term %d",
-			p.Term, entryTerm, t.Term)
+		return ProgressResult{}, errs.New(errs.Stale,
+			"progress of term %d in an entry of term %d, after one of term %d", p.Term, entryTerm, t.Term)
 	}
 	t.Term = p.Term
 	changed := changedJobs{seen: map[string]bool{}}
@@ -25,8 +25,8 @@
 	for _, id := range changed.ids {
 		t.notify(JobChanged, id)
 	}
-	t.dropWorkers(p.Forget)
-	return Started{Recorded: recorded}, nil
+	t.dropWorkers(p.RemoveWorkers)
+	return ProgressResult{Recorded: recorded}, nil
 }
 
 // changedJobs is a set of job IDs in the order of insertion.
--- a/internal/jobs/progress_test.go
+++ b/internal/jobs/progress_test.go
@@ -18,7 +18,7 @@
 		for _, terms := range []struct{ entry, progress uint64 }{
 			{testTerm, testTerm + 1}, {testTerm + 1, testTerm}, {testTerm - 1, testTerm - 1},
 		} {
-			progress := Progress{Term: terms.progress, Starts: starts, Forget: []string{"w2"}}
+			progress := Progress{Term: terms.progress, Starts: starts, RemoveWorkers: []string{"w2"}}
 			started, err := table.Progress(terms.entry, progress)
 			So(err, shouldBeKind, errs.Stale)
 			So(started.Recorded, ShouldBeEmpty)
--- a/internal/jobs/property_test.go
+++ b/internal/jobs/property_test.go
@@ -29,7 +29,7 @@
 			if answer != copyAnswer {
 				rt.Fatalf("%+v: table answers %s, copy answers %s", change, answer, copyAnswer)
 			}
-			if isProgress && answer != fmt.Sprint(Started{Recorded: expected}, nil) {
+			if isProgress && answer != fmt.Sprint(ProgressResult{Recorded: expected}, nil) {
 				rt.Fatalf("%+v: answer %s, the model expects %v", progress, answer, expected)
 			}
 			countCases(seen, live, expected)
@@ -90,7 +90,7 @@
 	case time.Time:
 		t.Purge(c)
 	case Progress:
-		var started Started
+		var started ProgressResult
 		if started, err = t.Progress(testTerm, c); err == nil {
 			return fmt.Sprint(started, nil)
 		}
--- a/internal/jobs/worker_test.go
+++ b/internal/jobs/worker_test.go
@@ -37,7 +37,7 @@
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		table.start(start)
 		forget := func(p Progress) {
-			p.Term, p.Forget = testTerm, []string{"w1"}
+			p.Term, p.RemoveWorkers = testTerm, []string{"w1"}
 			_, err := table.Progress(testTerm, p)
 			must(err)
 		}
--- a/internal/jobsnode/controlplane.go
+++ b/internal/jobsnode/controlplane.go
@@ -50,7 +50,7 @@
 	// ControlAddressOf returns the control address of the node with the given internal address; workers' heartbeats are
 	// then spread over all nodes. If it is nil, all heartbeats go to the leader.
 	ControlAddressOf func(internal string) string
-	// ServeControl adds the endpoints for workers and operators to control; relay answers their calls.
+	// RegisterControl adds the endpoints for workers and operators to control; relay answers their calls.
 	ServeControl func(control *rpc.Server, relay *controller.Relay)
 	// ServeNodes adds further endpoints at the internal address; nil adds none.
 	ServeNodes  func(server *rpc.Server, store *store.Store)
@@ -159,7 +159,7 @@
 func (n *ControlPlaneNode) storeOptions() store.Options {
 	return store.Options{
 		Settings: n.opt.Store,
-		Net:      store.NetworkOf(n.peers, n.opt.Store),
+		Net:      store.NewNet(n.peers, n.opt.Store),
 		Logger:   n.logger("store"),
 		Registry: n.opt.Registry,
 		Fatal:    n.fatal,
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -90,11 +90,11 @@
 	return c.latestConfiguration().members
 }
 
-// clearBlank clears HardState.Blank once a committed set has this node as a learner. As learners have no vote, the
-// node cannot have forgotten one that it cast under its ID.
-func (c *Core) clearBlank(members []Member) {
-	if m, ok := findMember(members, c.cfg.ID); ok && m.Learner && c.hardState.Blank {
-		c.hardState.Blank, c.hardStateChanged = false, true
+// clearVotesUnknown clears HardState.VotesUnknown once a committed set has this node as a learner. As learners have no
+// vote, the node cannot have forgotten one that it cast under its ID.
+func (c *Core) clearVotesUnknown(members []Member) {
+	if m, ok := findMember(members, c.cfg.ID); ok && m.Learner && c.hardState.VotesUnknown {
+		c.hardState.VotesUnknown, c.hardStateChanged = false, true
 	}
 }
 
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -67,7 +67,7 @@
 		if snapshot.Index != 0 || len(initial.Entries) != 0 {
 			return nil, errs.New(errs.Damaged, "the stored log has no members")
 		}
-		c.hardState.Blank, c.hardStateChanged = true, true
+		c.hardState.VotesUnknown, c.hardStateChanged = true, true
 	} else {
 		if err := validateMembers(snapshot.Members); err != nil {
 			return nil, errs.Wrap(err, errs.Damaged, "members of the snapshot at index %d", snapshot.Index)
@@ -77,7 +77,7 @@
 	if err := c.loadEntries(initial.Entries); err != nil {
 		return nil, errs.Pass(err, "stored log")
 	}
-	c.clearBlank(snapshot.Members)
+	c.clearVotesUnknown(snapshot.Members)
 	c.commitTo(min(c.hardState.Commit, c.log.last()))
 	c.election.deadline = now + c.jitter(cfg.HeartbeatInterval)
 	if c.hardState.Leader != cfg.ID {
@@ -135,7 +135,7 @@
 	c.commit = index
 	for len(c.configurations) > 1 && c.configurations[1].index <= index {
 		c.configurations = c.configurations[1:]
-		c.clearBlank(c.configurations[0].members)
+		c.clearVotesUnknown(c.configurations[0].members)
 	}
 }
 
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -34,7 +34,7 @@
 // that may still be the committed set. Without the latter, no node could win an election if this node alone has the
 // entry that removes it. Votes are always counted by the current set, which then excludes its own.
 func (c *Core) promotable() bool {
-	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
+	return !c.hardState.VotesUnknown && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
 		return isVoter(conf.members, c.cfg.ID)
 	})
 }
@@ -151,7 +151,7 @@
 
 // onPreVote replies whether this node would vote for the sender in m.Term. A blank node does not reply.
 func (c *Core) onPreVote(m Message) {
-	if c.hardState.Blank {
+	if c.hardState.VotesUnknown {
 		return
 	}
 	c.releaseStickiness(m)
--- a/internal/raft/initialstate.go
+++ b/internal/raft/initialstate.go
@@ -55,7 +55,7 @@
 	c.log.entries = slices.Clone(entries)
 	c.firstUnstable = c.log.last() + 1
 	if c.hardState.Term < term { // no vote in that term was synced or sent, so the node may still vote
-		c.hardState = HardState{Term: term, Blank: c.hardState.Blank}
+		c.hardState = HardState{Term: term, VotesUnknown: c.hardState.VotesUnknown}
 		c.hardStateChanged = true
 	}
 	return nil
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -57,7 +57,7 @@
 	for _, m := range c.members() {
 		if m.ID != c.cfg.ID && tracked[m.ID] == nil {
 			tracked[m.ID] = &progress{
-				next: c.leadership.firstIndex, lastContact: c.now, ackedSendTime: never, blank: true}
+				next: c.leadership.firstIndex, lastContact: c.now, ackedSendTime: never, votesUnknown: true}
 		}
 	}
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -75,7 +75,7 @@
 	if p == nil {
 		return errs.Field(errs.Invalid, "members", "%s must be a learner before it becomes a voter", id)
 	}
-	if p.blank || p.match < max(c.leadership.caughtUpIndex, c.latestConfiguration().index) {
+	if p.votesUnknown || p.match < max(c.leadership.caughtUpIndex, c.latestConfiguration().index) {
 		return errs.New(errs.Unavailable, "learner %s is not caught up: at index %d of %d", id, p.match, c.commit)
 	}
 	return nil
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -28,18 +28,18 @@
 
 	// PrevIndex is the last index of the candidate's log (PreVote, Vote), the index before Entries (Append), or the
 	// PrevIndex of the append that is answered (AppendReply).
-	PrevIndex uint64        `json:"i,omitempty"`
-	PrevTerm  uint64        `json:"p,omitempty"` // term of the entry at PrevIndex
-	Entries   []Entry       `json:"e,omitempty"` // Append
-	Commit    uint64        `json:"c,omitempty"` // Append: commit index of the leader
-	Sent      time.Duration `json:"s,omitempty"` // Append, Snapshot: send time by the leader's clock; echoed by replies
-	Match     uint64        `json:"m,omitempty"` // AppendReply, SnapshotReply: durable here and equal up to it
-	Hint      uint64        `json:"h,omitempty"` // rejecting AppendReply: highest index at which the logs may match
-	Reject    bool          `json:"r,omitempty"` // replies: the request was rejected
-	Force     bool          `json:"w,omitempty"` // Vote after a transfer: the old leader has ended its lease
-	Blank     bool          `json:"b,omitempty"` // replies: HardState.Blank of the sender
-	Meta      *Meta         `json:"n,omitempty"` // Snapshot: the snapshot that is offered
-	Addr      string        `json:"a,omitempty"` // Snapshot: the address to fetch its body from
+	PrevIndex    uint64        `json:"i,omitempty"`
+	PrevTerm     uint64        `json:"p,omitempty"` // term of the entry at PrevIndex
+	Entries      []Entry       `json:"e,omitempty"` // Append
+	Commit       uint64        `json:"c,omitempty"` // Append: commit index of the leader
+	Sent         time.Duration `json:"s,omitempty"` // Append, Snapshot: send time, leader's clock; echoed by replies
+	Match        uint64        `json:"m,omitempty"` // AppendReply, SnapshotReply: durable here and equal up to it
+	Hint         uint64        `json:"h,omitempty"` // rejecting AppendReply: highest index at which the logs may match
+	Reject       bool          `json:"r,omitempty"` // replies: the request was rejected
+	Force        bool          `json:"w,omitempty"` // Vote after a transfer: the old leader has ended its lease
+	VotesUnknown bool          `json:"b,omitempty"` // replies: HardState.VotesUnknown of the sender
+	Meta         *Meta         `json:"n,omitempty"` // Snapshot: the snapshot that is offered
+	Addr         string        `json:"a,omitempty"` // Snapshot: the address to fetch its body from
 }
 
 // isWellFormed reports whether the entries of an append have consecutive indexes, and terms that never decrease and
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -27,7 +27,7 @@
 	ackedSendTime time.Duration // send time of the newest message that the member has answered; never: none
 	paused        bool          // stateProbe, stateSnapshot: sent; waiting for the reply or the next heartbeat
 	heartbeatDue  bool          // the next Ready sends a message, an empty append if nothing else is due
-	blank         bool          // HardState.Blank in the last reply; true before the first one
+	votesUnknown  bool          // HardState.VotesUnknown in the last reply; true before the first one
 }
 
 // startProbe ends pipelining: the next append starts at next, or after match if that is higher, and no other append is
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -83,7 +83,7 @@
 	Leader string `json:"l,omitempty"`
 	// Blank is set while this node may have forgotten votes that it cast under its ID: it started with an empty folder,
 	// and no committed member set has it as a learner yet. A blank node neither votes nor campaigns.
-	Blank bool `json:"b,omitempty"`
+	VotesUnknown bool `json:"b,omitempty"`
 	// Commit is a lower bound of the commit index. It is stored along with entries, so that a restarted node can apply
 	// them before it receives a message from a leader.
 	Commit uint64 `json:"c,omitempty"`
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -69,7 +69,7 @@
 	if p == nil || m.Match > c.log.last() {
 		return
 	}
-	p.lastContact, p.ackedSendTime, p.blank = c.now, max(p.ackedSendTime, min(m.Sent, c.now)), m.Blank
+	p.lastContact, p.ackedSendTime, p.votesUnknown = c.now, max(p.ackedSendTime, min(m.Sent, c.now)), m.VotesUnknown
 	if m.Reject {
 		p.onReject(m)
 		return
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -63,7 +63,7 @@
 	if meta.Term > c.hardState.Term {
 		c.becomeFollower(meta.Term, "")
 	}
-	c.clearBlank(meta.Members)
+	c.clearVotesUnknown(meta.Members)
 	if c.leader != "" {
 		c.reply(Message{From: c.leader, Sent: never}, Message{Kind: SnapshotReply, Match: meta.Index})
 	}
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -20,7 +20,7 @@
 		c.onPreVoteReply(m)
 		return
 	case Vote:
-		if c.hardState.Blank || m.Term >= c.hardState.Term && !m.Force && c.isStickyToLeader(m.From) {
+		if c.hardState.VotesUnknown || m.Term >= c.hardState.Term && !m.Force && c.isStickyToLeader(m.From) {
 			return
 		}
 	case VoteReply, Append, AppendReply, Snapshot, SnapshotReply, TimeoutNow:
@@ -70,7 +70,7 @@
 // reply sends answer to the sender of m: at once for a pre-vote, which does not bind this node, otherwise once the
 // pending changes are synced. A zero Term is replaced by the current one.
 func (c *Core) reply(m, answer Message) {
-	answer.From, answer.To, answer.Sent, answer.Blank = c.cfg.ID, m.From, m.Sent, c.hardState.Blank
+	answer.From, answer.To, answer.Sent, answer.VotesUnknown = c.cfg.ID, m.From, m.Sent, c.hardState.VotesUnknown
 	answer.Term = cmp.Or(answer.Term, c.hardState.Term)
 	if answer.Kind == PreVoteReply {
 		c.messages = append(c.messages, answer)
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -27,7 +27,7 @@
 // transferee may win at any moment from then on.
 func (c *Core) sendTimeoutNow() {
 	l := &c.leadership
-	if p := l.progress[l.transferee]; p != nil && p.match == c.log.last() && !p.blank {
+	if p := l.progress[l.transferee]; p != nil && p.match == c.log.last() && !p.votesUnknown {
 		l.timeoutNowSent = true
 		c.messages = append(c.messages,
 			Message{Kind: TimeoutNow, From: c.cfg.ID, To: l.transferee, Term: c.hardState.Term})
--- a/internal/signature/texts.go
+++ b/internal/signature/texts.go
@@ -11,14 +11,15 @@
 	return fmt.Sprintf("crosstide bundle\nversion %d\nsha256 %s\n", version, digest)
 }
 
-// Put returns the text of an order that writes a new draft on top of the version base; digest is that of the draft.
-func Put(order string, base uint64, digest string) string {
+// BundlePut returns the text of an order that writes a new draft on top of the version base; digest is that of the
+// draft.
+func BundlePut(order string, base uint64, digest string) string {
 	return fmt.Sprintf("crosstide put\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
 }
 
-// Patch returns the text of an order that writes a new draft by applying a merge patch to the version base; digest is
-// that of the patch.
-func Patch(order string, base uint64, digest string) string {
+// BundlePatch returns the text of an order that writes a new draft by applying a merge patch to the version base;
+// digest is that of the patch.
+func BundlePatch(order string, base uint64, digest string) string {
 	return fmt.Sprintf("crosstide patch\norder %q\nbase %d\nsha256 %s\n", order, base, digest)
 }
 
--- a/internal/state/command/accounts.go
+++ b/internal/state/command/accounts.go
@@ -47,8 +47,8 @@
 	if err := accounts.Create(c.Account, c.Credit); err != nil {
 		return nil, errs.Pass(err, "account %q", c.Account)
 	}
-	s.UseAccounts(accounts)
-	s.NotifyWatcher(state.EventAccountChanged, c.Account)
+	s.SetAccounts(accounts)
+	s.NotifyChange(state.EventAccountChanged, c.Account)
 	return AccountCreated{Account: c.Account, Credit: c.Credit, At: s.At}, nil
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, errs.Pass(err, "top-up")
 	}
-	s.NotifyWatcher(state.EventAccountChanged, c.Account)
+	s.NotifyChange(state.EventAccountChanged, c.Account)
 	return made, nil
 }
 
--- a/internal/state/command/jobs_table_test.go
+++ b/internal/state/command/jobs_table_test.go
@@ -25,7 +25,7 @@
 		first := jobs.RunKey{Task: jobs.TaskRef{Job: "j"}, Number: 1}
 		So(s.must(&JobProgress{jobs.Progress{
 			Term: 1, At: at, Starts: []jobs.Start{{Task: first.Task, Number: 1, Worker: "w"}},
-		}}), ShouldResemble, jobs.Started{Recorded: []bool{true}})
+		}}), ShouldResemble, jobs.ProgressResult{Recorded: []bool{true}})
 		s.must(&JobEvacuate{jobs.Evacuate{Zone: "z", Start: true}})
 
 		data, err := s.Encode()
@@ -36,7 +36,7 @@
 		for _, each := range []testState{s, {decoded}} {
 			So(each.must(&JobProgress{jobs.Progress{
 				Term: 1, At: at, Starts: []jobs.Start{{Task: jobs.TaskRef{Job: "j", Index: 1}, Number: 1, Worker: "w"}},
-			}}), ShouldResemble, jobs.Started{Recorded: []bool{false}})
+			}}), ShouldResemble, jobs.ProgressResult{Recorded: []bool{false}})
 			So(each.must(&JobCancel{jobs.Cancel{ID: "j", At: at}}), ShouldEqual, jobs.Cancelled)
 			each.must(&JobProgress{jobs.Progress{
 				Term: 1, At: at, Ends: []jobs.End{{Key: first, Worker: "w", Reason: jobs.EndStopped}},
@@ -90,7 +90,7 @@
 		s.must(&JobSubmit{jobs.Submit{Spec: jobs.Spec{ID: "j", Queue: "q", Steps: steps}}})
 		start := func(index int) bool {
 			starts := []jobs.Start{{Task: jobs.TaskRef{Job: "j", Index: index}, Number: 1, Worker: "w"}}
-			return s.must(&JobProgress{jobs.Progress{Term: 1, Starts: starts}}).(jobs.Started).Recorded[0]
+			return s.must(&JobProgress{jobs.Progress{Term: 1, Starts: starts}}).(jobs.ProgressResult).Recorded[0]
 		}
 		So(start(0), ShouldBeFalse) // there is no account
 		s.must(&AccountCreate{Order: "open", Account: "acme"})
--- a/internal/state/command/operators.go
+++ b/internal/state/command/operators.go
@@ -20,7 +20,7 @@
 	if len(s.Operators) > 0 {
 		return nil, errs.New(errs.Conflict, "the operators are already set")
 	}
-	if wrong := bundle.OperatorsError(c.Operators, len(c.Operators)); wrong != "" {
+	if wrong := bundle.ValidateOperators(c.Operators, len(c.Operators)); wrong != "" {
 		return nil, errs.Field(errs.Invalid, "operators", "%s", wrong)
 	}
 	s.Operators = c.Operators
--- a/internal/state/command/operators_test.go
+++ b/internal/state/command/operators_test.go
@@ -39,12 +39,12 @@
 }
 
 func (o *operatorsFixture) put(order, by string, base uint64, body string) *PutBundle {
-	text := signature.Put(order, base, bundle.Digest([]byte(body)))
+	text := signature.BundlePut(order, base, bundle.Digest([]byte(body)))
 	return &PutBundle{Order: order, Base: base, By: by, Body: []byte(body), Sig: o.keys[by].Sign(text)}
 }
 
 func (o *operatorsFixture) patch(order, by string, base uint64, patch string) *PatchBundle {
-	text := signature.Patch(order, base, bundle.Digest([]byte(patch)))
+	text := signature.BundlePatch(order, base, bundle.Digest([]byte(patch)))
 	return &PatchBundle{Order: order, Base: base, By: by, Patch: []byte(patch), Sig: o.keys[by].Sign(text)}
 }
 
@@ -62,7 +62,7 @@
 	if !out {
 		text = signature.Lift(zone, o.st.Evacuated[zone])
 	}
-	return &EvacuateZone{Order: order, Zone: zone, Out: out, By: by, Sig: o.keys[by].Sign(text)}
+	return &EvacuateZone{Order: order, Zone: zone, Start: out, By: by, Sig: o.keys[by].Sign(text)}
 }
 
 // putInForce writes a version with the text body, has both operators sign it, and returns its number.
--- a/internal/state/command/order_test.go
+++ b/internal/state/command/order_test.go
@@ -13,14 +13,14 @@
 func TestOrders_repeated(t *testing.T) {
 	Convey("A repeated order gets the first answer and is not applied; another order with its ID conflicts", t, func() {
 		s := newTestState()
-		first, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
+		first, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Start: true})
 		So(err, ShouldBeNil)
 		s.do(&EvacuateZone{Order: "p", Zone: "z1"})
-		again, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Out: true})
+		again, err := s.do(&EvacuateZone{Order: "o", Zone: "z1", Start: true})
 		So(err, ShouldBeNil)
 		So(fmt.Sprint(again), ShouldEqual, fmt.Sprint(first))
 		So(s.Evacuated, ShouldBeEmpty) // not applied a second time
-		_, err = s.do(&EvacuateZone{Order: "o", Zone: "z2", Out: true})
+		_, err = s.do(&EvacuateZone{Order: "o", Zone: "z2", Start: true})
 		So(errs.KindOf(err), ShouldEqual, errs.Conflict)
 	})
 }
@@ -39,7 +39,7 @@
 			{&CloseWorker{Order: "o3", Worker: "m1", Retire: true}, `{"minion":"m1","retired":true}`},
 			{&ReplaceMember{Order: "o4", Old: "c2", New: "c4"}, `{"new":"c4","old":"c2"}`},
 			{&ReplaceMember{Order: "o5", Old: "c&3", New: "c5"}, `{"new":"c5","old":"c\u00263"}`},
-			{&EvacuateZone{Order: "o6", Zone: "z1", Out: true}, `{"zone":"z1","evacuated":true}`},
+			{&EvacuateZone{Order: "o6", Zone: "z1", Start: true}, `{"zone":"z1","evacuated":true}`},
 		} {
 			answer, err := s.do(test.order)
 			if test.answer == "" {
--- a/internal/state/command/policy_bundle.go
+++ b/internal/state/command/policy_bundle.go
@@ -37,7 +37,7 @@
 }
 
 func (c *PutBundle) check(s *state.State) error {
-	text := signature.Put(c.Order, c.Base, bundle.Digest(c.Body))
+	text := signature.BundlePut(c.Order, c.Base, bundle.Digest(c.Body))
 	if err := verifySignature(s, c.By, c.Sig, text); err != nil {
 		return errs.Pass(err, "put")
 	}
@@ -68,7 +68,7 @@
 }
 
 func (c *PatchBundle) check(s *state.State) error {
-	text := signature.Patch(c.Order, c.Base, bundle.Digest(c.Patch))
+	text := signature.BundlePatch(c.Order, c.Base, bundle.Digest(c.Patch))
 	if err := verifySignature(s, c.By, c.Sig, text); err != nil {
 		return errs.Pass(err, "patch")
 	}
--- a/internal/state/command/policy_bundle_test.go
+++ b/internal/state/command/policy_bundle_test.go
@@ -171,11 +171,11 @@
 func TestBundle_bounds(t *testing.T) {
 	Convey("Old bodies are dropped, except those of the version in force and of the newest version", t, func() {
 		fixture := newOperatorsFixture()
-		for i := range state.KeepBodies + 6 {
+		for i := range state.MaxEnforcedBodies + 6 {
 			fixture.putInForce(fmt.Sprintf(zonedBundle, fmt.Sprintf("z%d", i)))
 		}
 		inForce := fixture.st.Bundle.Version
-		for i := range state.KeepDrafts + 6 {
+		for i := range state.MaxDraftBodies + 6 {
 			_, err := fixture.do(fixture.put(
 				fmt.Sprintf("d%d", i), "ben", fixture.st.Head().Version, fmt.Sprintf(zonedBundle, "d"),
 			))
@@ -187,7 +187,7 @@
 				bodies++
 			}
 		}
-		So(bodies, ShouldEqual, state.KeepBodies+state.KeepDrafts+2)
+		So(bodies, ShouldEqual, state.MaxEnforcedBodies+state.MaxDraftBodies+2)
 		So(fixture.st.Revision(2).Body, ShouldBeNil)
 		So(fixture.st.Revision(inForce).Body, ShouldNotBeNil)
 		So(fixture.st.Head().Body, ShouldNotBeNil)
--- a/internal/state/command/policy_cancel.go
+++ b/internal/state/command/policy_cancel.go
@@ -47,9 +47,9 @@
 
 // CancelledMany answers CancelMany with the number of jobs by outcome.
 type CancelledMany struct {
-	Cancelled int      `json:"cancelled"`         // stopped by this entry
-	Over      int      `json:"over,omitempty"`    // already terminal or stopping
-	Unknown   []string `json:"unknown,omitempty"` // keys without a job
+	Cancelled    int      `json:"cancelled"`         // stopped by this entry
+	AlreadyEnded int      `json:"over,omitempty"`    // already terminal or stopping
+	Unknown      []string `json:"unknown,omitempty"` // keys without a job
 }
 
 // Op returns "cancels".
@@ -66,7 +66,7 @@
 			s.StopJob(j, state.JobCancelled, cancelReason)
 			answer.Cancelled++
 		case j != nil || s.Tombstones[key] != nil:
-			answer.Over++
+			answer.AlreadyEnded++
 		default:
 			answer.Unknown = append(answer.Unknown, key)
 		}
--- a/internal/state/command/policy_purge.go
+++ b/internal/state/command/policy_purge.go
@@ -24,7 +24,7 @@
 		if len(s.EndedJobs) <= c.JobsKeep && !s.Jobs[s.EndedJobs[0]].EndedAt.Before(c.JobsBefore) {
 			break
 		}
-		s.BuryOldestJob()
+		s.ReplaceOldestJobByTombstone()
 	}
 	for len(s.TombstoneOrder) > 0 {
 		oldest := s.Tombstones[s.TombstoneOrder[0]]
--- a/internal/state/command/policy_roles.go
+++ b/internal/state/command/policy_roles.go
@@ -24,7 +24,7 @@
 	}
 	role := &state.Role{Holder: c.Holder, Addr: c.Addr, Incarnation: c.Incarnation, Epoch: index}
 	s.Roles[c.Role] = role
-	s.NotifyWatcher(state.EventRoleChanged, c.Role)
+	s.NotifyChange(state.EventRoleChanged, c.Role)
 	return *role, nil
 }
 
@@ -42,7 +42,7 @@
 		return nil, errs.New(errs.Stale, "duty %s is not at epoch %d", c.Role, c.Epoch)
 	}
 	s.Roles[c.Role] = &state.Role{Epoch: index}
-	s.NotifyWatcher(state.EventRoleChanged, c.Role)
+	s.NotifyChange(state.EventRoleChanged, c.Role)
 	return nil, nil
 }
 
--- a/internal/state/command/policy_starts_test.go
+++ b/internal/state/command/policy_starts_test.go
@@ -18,7 +18,7 @@
 		do   func(s testState)
 	}{
 		{"cancel", func(s testState) { s.do(&Cancel{Key: "j"}) }},
-		{"evacuate", func(s testState) { s.do(&EvacuateZone{Order: "o1", Zone: "z1", Out: true}) }},
+		{"evacuate", func(s testState) { s.do(&EvacuateZone{Order: "o1", Zone: "z1", Start: true}) }},
 		{"drain report", func(s testState) {
 			draining := testWorker("m1")
 			draining.Draining = true
@@ -64,6 +64,6 @@
 		s.do(&Plan{Epoch: 1, Dead: []Proof{{RunID: 1, Kind: ProofStop}}})
 		So(s.Jobs["j"].Phase, ShouldEqual, state.JobCancelled)
 		So(s.Handles, ShouldBeEmpty)
-		So(s.RunningCounts(), ShouldBeEmpty)
+		So(s.HandlesByType(), ShouldBeEmpty)
 	})
 }
--- a/internal/state/command/policy_submit_test.go
+++ b/internal/state/command/policy_submit_test.go
@@ -81,7 +81,7 @@
 			}
 			got, err = s.do(&CancelMany{Keys: append(keys, "nobody", keys[0])})
 			So(err, ShouldBeNil)
-			So(got, ShouldResemble, CancelledMany{Cancelled: 10, Over: 1, Unknown: []string{"nobody"}})
+			So(got, ShouldResemble, CancelledMany{Cancelled: 10, AlreadyEnded: 1, Unknown: []string{"nobody"}})
 			for _, bad := range []*CancelMany{{}, {Keys: keys, Team: "a"}} {
 				_, err = s.do(bad)
 				So(errs.KindOf(err), ShouldEqual, errs.Invalid)
--- a/internal/state/command/policy_zone.go
+++ b/internal/state/command/policy_zone.go
@@ -8,12 +8,12 @@
 	"crosstide/internal/state"
 )
 
-// EvacuateZone evacuates a zone (Out) or lifts the evacuation. Once operators are set, one of them must sign an
+// EvacuateZone evacuates a zone (Start) or lifts the evacuation. Once operators are set, one of them must sign an
 // evacuation (signature.Evacuate), and two must sign to lift it (signature.Lift), each with a separate order.
 type EvacuateZone struct {
 	Order string `json:"order"`
 	Zone  string `json:"zone"`
-	Out   bool   `json:"out"`
+	Start bool   `json:"out"`
 	By    string `json:"by,omitempty"`
 	Sig   string `json:"sig,omitempty"`
 }
@@ -34,7 +34,7 @@
 }
 
 func (c *EvacuateZone) check(s *state.State) error {
-	if c.Out {
+	if c.Start {
 		text := signature.Evacuate(c.Order, c.Zone)
 		return errs.Pass(verifyIfOperatorsKnown(s, c.By, c.Sig, text), "evacuate")
 	}
@@ -53,7 +53,7 @@
 }
 
 func (c *EvacuateZone) change(s *state.State) (any, error) {
-	if c.Out {
+	if c.Start {
 		return c.evacuate(s), nil
 	}
 	return c.lift(s), nil
@@ -63,7 +63,7 @@
 func (c *EvacuateZone) evacuate(s *state.State) ZoneEvacuation {
 	s.Evacuated[c.Zone] = s.At
 	delete(s.LiftSignatures, c.Zone)
-	s.NotifyWatcher(state.EventPlacementChanged, c.Zone)
+	s.NotifyChange(state.EventPlacementChanged, c.Zone)
 	return ZoneEvacuation{Zone: c.Zone, Evacuated: true}
 }
 
@@ -79,6 +79,6 @@
 	}
 	delete(s.LiftSignatures, c.Zone)
 	delete(s.Evacuated, c.Zone)
-	s.NotifyWatcher(state.EventPlacementChanged, c.Zone)
+	s.NotifyChange(state.EventPlacementChanged, c.Zone)
 	return ZoneEvacuation{Zone: c.Zone, Signed: signed}
 }
--- a/internal/state/command/policy_zone_test.go
+++ b/internal/state/command/policy_zone_test.go
@@ -12,7 +12,7 @@
 func TestZones(t *testing.T) {
 	Convey("One operator evacuates a zone and two lift that; without operators no signature is needed", t, func() {
 		fixture := newOperatorsFixture()
-		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Out: true}
+		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Start: true}
 		_, err := fixture.do(unsigned)
 		So(errs.KindOf(err), ShouldEqual, errs.Forbidden)
 		_, err = fixture.do(fixture.zone("o1", "ada", "z1", true))
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -25,8 +25,8 @@
 	EventAccountChanged                    // an account was opened or topped up (Name)
 )
 
-// NotifyWatcher calls OnEvent for a change that package command made directly in a record.
-func (s *State) NotifyWatcher(kind EventKind, name string) { s.notify(Event{Kind: kind, Name: name}) }
+// NotifyChange calls OnEvent for a change that package command made directly in a record.
+func (s *State) NotifyChange(kind EventKind, name string) { s.notify(Event{Kind: kind, Name: name}) }
 
 func (s *State) notify(event Event) {
 	if s.OnEvent != nil {
--- a/internal/state/indexes.go
+++ b/internal/state/indexes.go
@@ -41,7 +41,7 @@
 	}
 	if s.Accounts != nil {
 		s.Accounts.Rebuild()
-		s.UseAccounts(s.Accounts)
+		s.SetAccounts(s.Accounts)
 	}
 }
 
@@ -114,8 +114,8 @@
 // RunningCount returns the number of handles of a task type.
 func (s *State) RunningCount(taskType string) int { return s.indexes.runningByType[taskType] }
 
-// RunningCounts returns the number of handles by task type, as a copy.
-func (s *State) RunningCounts() map[string]int { return maps.Clone(s.indexes.runningByType) }
+// HandlesByType returns the number of handles by task type, as a copy.
+func (s *State) HandlesByType() map[string]int { return maps.Clone(s.indexes.runningByType) }
 
 // OpenJobs returns the number of jobs that are not terminal.
 func (s *State) OpenJobs() int { return s.indexes.openJobs }
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -110,7 +110,7 @@
 }
 
 // UseAccounts sets the accounts of the state and of its job table.
-func (s *State) UseAccounts(accounts *account.Table) {
+func (s *State) SetAccounts(accounts *account.Table) {
 	s.Accounts = accounts
 	s.JobTable.Payments = tablePayments{s}
 }
--- a/internal/state/revision.go
+++ b/internal/state/revision.go
@@ -72,11 +72,11 @@
 
 // The limits of State.Revisions. The version in force and the newest one are always kept with their bodies.
 const (
-	KeepBodies     = 64      // bodies of versions that were in force
-	KeepBodyBytes  = 4 << 20 // total size of the bodies
-	KeepDrafts     = 16      // bodies of versions that never were in force
-	KeepRevisions  = 1000    // versions that were in force
-	KeepUnfinished = 200     // versions that never were in force
+	MaxEnforcedBodies      = 64      // bodies of versions that were in force
+	MaxBodyBytes           = 4 << 20 // total size of the bodies
+	MaxDraftBodies         = 16      // bodies of versions that never were in force
+	MaxEnforcedRevisions   = 1000    // versions that were in force
+	MaxUnenforcedRevisions = 200     // versions that never were in force
 )
 
 // SetRevisionPhase changes a revision's phase; no other code may change it. Failure: Stale (revisionTransitions does
@@ -151,14 +151,14 @@
 			keep = append(keep, revision)
 			continue
 		}
-		count, maxBodies, maxRevisions := &drafts, KeepDrafts, KeepUnfinished
+		count, maxBodies, maxRevisions := &drafts, MaxDraftBodies, MaxUnenforcedRevisions
 		if !revision.InForceSince.IsZero() {
-			count, maxBodies, maxRevisions = &enforced, KeepBodies, KeepRevisions
+			count, maxBodies, maxRevisions = &enforced, MaxEnforcedBodies, MaxEnforcedRevisions
 		}
 		if *count++; *count > maxRevisions {
 			continue
 		}
-		if bodyBytes += len(revision.Body); *count > maxBodies || bodyBytes > KeepBodyBytes {
+		if bodyBytes += len(revision.Body); *count > maxBodies || bodyBytes > MaxBodyBytes {
 			bodyBytes -= len(revision.Body)
 			revision.Body = nil
 		}
--- a/internal/state/tombstone.go
+++ b/internal/state/tombstone.go
@@ -11,8 +11,8 @@
 	EndedAt time.Time `json:"e"`
 }
 
-// BuryOldestJob replaces the oldest terminal job, the first of EndedJobs, by its tombstone.
-func (s *State) BuryOldestJob() {
+// ReplaceOldestJobByTombstone replaces the oldest terminal job, the first of EndedJobs, by its tombstone.
+func (s *State) ReplaceOldestJobByTombstone() {
 	job := s.Jobs[s.EndedJobs[0]]
 	s.Tombstones[job.Spec.Key] = &Tombstone{
 		Digest: job.Digest, Team: job.Spec.Team, Phase: job.Phase, Reason: job.Reason, EndedAt: job.EndedAt,
--- a/internal/storage/folder.go
+++ b/internal/storage/folder.go
@@ -138,9 +138,9 @@
 	return nil
 }
 
-// Clear removes the files of a store from a folder, leaves all other files in place, and syncs the folder. No Store may
-// be open on the folder. Failure: Disk.
-func Clear(d Disk) error {
+// RemoveFiles removes the files of a store from a folder, leaves all other files in place, and syncs the folder. No
+// Store may be open on the folder. Failure: Disk.
+func RemoveFiles(d Disk) error {
 	names, err := d.List()
 	if err != nil {
 		return errs.Pass(err, "clear the folder")
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -25,7 +25,7 @@
 		_, err := table.TopUp("acme", "k1", 200, at)
 		So(err, ShouldBeNil)
 		So(table.Reserve(account.Charge{Run: "r", Account: "acme", Rate: 1000, Window: 100 * time.Second}, at), ShouldBeNil)
-		s.live.UseAccounts(table)
+		s.live.SetAccounts(table)
 		warned := accountWarnings{}
 		warnings := func() int {
 			warned.logNew(s)
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -74,7 +74,7 @@
 			So(fleet.nodes[n].Status().Raft.ID, ShouldEqual, n) // bootstrapped, not joined
 		}
 		So(fleet.submitJobs("a", 100), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitInSync()
 
 		joined := fleet.elapsed(func() {
 			fleet.startFresh("c6")
@@ -82,7 +82,7 @@
 		})
 		Printf("\na newcomer is a voter after %s", joined)
 		So(joined, ShouldBeLessThan, time.Second)
-		fleet.waitLevel()
+		fleet.waitInSync()
 
 		leader, addresses := fleet.nodes["c6"].Members()
 		So(leader, ShouldEqual, fleet.leader().settings.Addr)
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -41,7 +41,7 @@
 	if err != nil || !marked {
 		return errs.Pass(err, "read the discard mark")
 	}
-	if err := storage.Clear(disk); err != nil {
+	if err := storage.RemoveFiles(disk); err != nil {
 		return errs.Pass(err, "clear")
 	}
 	if err := writeFile(disk, peersFile, peers); err != nil {
--- a/internal/store/diskfull.go
+++ b/internal/store/diskfull.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// OpenWhenDiskHasSpace is Open, retried while the disk is full. Failures: those of Open; Stopped if ctx ends.
-func OpenWhenDiskHasSpace(ctx context.Context, opt Options) (*Store, error) {
+// OpenRetryingFullDisk is Open, retried while the disk is full. Failures: those of Open; Stopped if ctx ends.
+func OpenRetryingFullDisk(ctx context.Context, opt Options) (*Store, error) {
 	opt = opt.withDefaults()
 	for backoff := diskFullMinBackoff; ; backoff = min(2*backoff, diskFullMaxBackoff) {
 		s, err := Open(opt)
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -47,20 +47,20 @@
 		durable := old.durableIndex()
 		fleet.submitAll("without it", 200)
 		So(old.durableIndex(), ShouldEqual, durable) // the node acknowledges nothing
-		So(fleet.died, ShouldBeEmpty)
+		So(fleet.fatalErrors, ShouldBeEmpty)
 		fleet.advance(30 * time.Second)
-		So(fleet.died, ShouldBeEmpty)
+		So(fleet.fatalErrors, ShouldBeEmpty)
 		So(fleet.leader().settings.Name, ShouldNotEqual, name)
 
 		fleet.setFull(name, false)
-		fleet.waitLevel()
-		So(fleet.died, ShouldBeEmpty)
+		fleet.waitInSync()
+		So(fleet.fatalErrors, ShouldBeEmpty)
 		// Its acknowledgements count again: with one of the other nodes stopped, a majority needs it.
 		gone := fleet.others(name)[0]
 		fleet.kill(gone)
 		fleet.submitAll("with it", 50)
 		fleet.start(gone)
-		fleet.waitLevel()
+		fleet.waitInSync()
 	})
 }
 
@@ -69,15 +69,15 @@
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 20)
 		lead := fleet.leader()
-		fleet.setRefusal(lead.settings.Name, unix.EIO)
+		fleet.setWriteError(lead.settings.Name, unix.EIO)
 		fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
-		fleet.until("the call of Options.Fatal", func() bool { return fleet.died[lead.settings.Name] != nil })
-		So(fleet.died, ShouldHaveLength, 1)
+		fleet.until("the call of Options.Fatal", func() bool { return fleet.fatalErrors[lead.settings.Name] != nil })
+		So(fleet.fatalErrors, ShouldHaveLength, 1)
 		fleet.kill(lead.settings.Name)
-		fleet.setRefusal(lead.settings.Name, nil)
+		fleet.setWriteError(lead.settings.Name, nil)
 		fleet.start(lead.settings.Name)
 		fleet.submitAll("after", 20)
-		fleet.waitLevel()
+		fleet.waitInSync()
 	})
 }
 
@@ -92,7 +92,7 @@
 		var err error
 		done := false
 		fleet.calls.Go(func(ctx context.Context) {
-			s, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
+			s, err = OpenRetryingFullDisk(ctx, fleet.options(name))
 			done = true
 		})
 		fleet.advance(30 * time.Second)
@@ -104,8 +104,8 @@
 		fleet.nodes[name] = s
 		fleet.mu.Unlock()
 		s.Start()
-		fleet.waitLevel()
-		So(fleet.died, ShouldBeEmpty)
+		fleet.waitInSync()
+		So(fleet.fatalErrors, ShouldBeEmpty)
 	})
 }
 
@@ -118,7 +118,7 @@
 		var err error
 		done := false
 		fleet.calls.Go(func(context.Context) {
-			_, err = OpenWhenDiskHasSpace(ctx, fleet.options(name))
+			_, err = OpenRetryingFullDisk(ctx, fleet.options(name))
 			done = true
 		})
 		fleet.advance(time.Second)
@@ -144,9 +144,9 @@
 				return false
 			})
 			fleet.submitAll(m.ID+" hangs", 50+round)
-			So(fleet.died, ShouldBeEmpty)
+			So(fleet.fatalErrors, ShouldBeEmpty)
 			fleet.setHang(m.ID, false)
-			fleet.waitLevel()
+			fleet.waitInSync()
 		}
 	})
 }
--- a/internal/store/diskwriter_test.go
+++ b/internal/store/diskwriter_test.go
@@ -13,11 +13,11 @@
 func TestDiskWriter_groupsCommits(t *testing.T) {
 	withFleet(t, 1<<20, func(fleet *testFleet) { // no snapshots, which would add syncs
 		lead := fleet.leader()
-		fleet.slow.Store(int64(5 * time.Millisecond)) // else the goroutine scheduler decides on the groups
+		fleet.syncDelay.Store(int64(5 * time.Millisecond)) // else the goroutine scheduler decides on the groups
 		before := lead.storage.Stats().Syncs
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
 		So(300/(lead.storage.Stats().Syncs-before), ShouldBeGreaterThan, 10)
-		fleet.slow.Store(0)
+		fleet.syncDelay.Store(0)
 		fleet.clock.Advance(time.Second) // for the syncs that are under way
 	})
 }
@@ -33,11 +33,11 @@
 		} else {
 			So(errs.KindOf(err), ShouldEqual, errs.Timeout)
 		}
-		So(fleet.died[lead.settings.Name], ShouldNotBeNil)
-		So(fleet.died, ShouldHaveLength, 1)
+		So(fleet.fatalErrors[lead.settings.Name], ShouldNotBeNil)
+		So(fleet.fatalErrors, ShouldHaveLength, 1)
 		fleet.kill(lead.settings.Name)
 		So(fleet.submitJobs("b", 20), ShouldBeEmpty)
 		fleet.start(lead.settings.Name)
-		fleet.waitLevel()
+		fleet.waitInSync()
 	})
 }
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -32,7 +32,7 @@
 	withFleet(t, 40, func(fleet *testFleet) {
 		follower := fleet.follower(fleet.leader())
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		at := follower.Status().Applied
 		idle := func(context.Context) {}
 		So(len(fleet.follow(follower, at-3, 0, idle).Changes), ShouldEqual, 3)
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -28,17 +28,17 @@
 		fleet.until("the newcomer is a voter", func() bool { return fresh.Status().Raft.Voter })
 		So(fresh.id, ShouldStartWith, gone+"~")
 		fleet.submitJobs("b", 50)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		So(len(lead.Status().Raft.Members), ShouldEqual, 3)
 		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// The new voter counts towards a majority, and keeps its new ID over a restart.
 		fleet.kill(gone)
 		fleet.start(gone)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		fleet.kill(lead.settings.Name)
 		So(fleet.submitJobs("c", 50), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		So(fleet.nodes[gone].id, ShouldEqual, fresh.id)
 	})
 }
@@ -90,7 +90,7 @@
 				Printf("\nwiped %s is a voter after %s", gone, took)
 				So(took, ShouldBeLessThan, 2500*time.Millisecond) // this may include an election
 				So(fleet.submitJobs(fmt.Sprint(gone, mayBootstrap), 20), ShouldBeEmpty)
-				fleet.waitLevel()
+				fleet.waitInSync()
 			}
 		}
 	})
@@ -128,7 +128,7 @@
 		})
 		fleet.waitVoters(fleet.others()...)
 		So(fleet.submitJobs("c", 50), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitInSync()
 	})
 }
 
@@ -141,7 +141,7 @@
 		// A node is removed while it is down, and every seed is partitioned when it restarts with its disk.
 		fleet.kill("c8")
 		fleet.waitVoters(all[:7]...)
-		fleet.setCut(true, "c1", "c2", "c3")
+		fleet.setPartitioned(true, "c1", "c2", "c3")
 		fleet.start("c8")
 		fleet.until("c8 learns that it was removed", func() bool { return fleet.wasRemoved("c8") })
 		fleet.reopen("c8")
@@ -150,10 +150,10 @@
 
 		// A wiped node that knows only two seeds, both partitioned, learns the leader's address from the leader's calls
 		// to its earlier incarnation.
-		fleet.setCut(false, "c1", "c2", "c3")
+		fleet.setPartitioned(false, "c1", "c2", "c3")
 		fleet.until("all eight are members", func() bool { return slices.Equal(memberIDs(fleet.leader()), fleet.idsOf(all)) })
 		fleet.settings.Members = fleet.settings.Members[:2]
-		fleet.setCut(true, "c1", "c2")
+		fleet.setPartitioned(true, "c1", "c2")
 		lead := fleet.leaderOf("c3", "c4", "c5", "c6", "c7", "c8")
 		gone := "c8"
 		if lead == fleet.nodes["c8"] {
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -89,7 +89,8 @@
 		_ = level.Warn(s.logger).Log("msg", "leadership transfer failed", "err", err)
 		return
 	}
-	for deadline := s.clock.Now() + s.settings.Election; s.clock.Now() < deadline && s.sleep(ctx, pollInterval); {
+	for deadline := s.clock.Now() + s.settings.ElectionTimeout; s.clock.Now() < deadline &&
+		s.sleep(ctx, pollInterval); {
 		s.mu.Lock()
 		isLeader := s.status.Role == raft.Leader
 		s.mu.Unlock()
@@ -103,7 +104,7 @@
 // stepDownIfDiskHangs transfers the leadership when this node's disk hangs. The other members can commit without it,
 // but a node that cannot store entries must not remain the leader. It is called at each tick. s.mu must be held.
 func (s *Store) stepDownIfDiskHangs(now time.Duration) {
-	if s.status.Role != raft.Leader || !s.diskQueue.isHung(now, 2*s.settings.Election) {
+	if s.status.Role != raft.Leader || !s.diskQueue.isHung(now, 2*s.settings.ElectionTimeout) {
 		return
 	}
 	if to := s.successor(); to != "" && s.core.TransferLeadership(now, to) == nil {
@@ -120,7 +121,7 @@
 	var newestContact time.Duration
 	for _, m := range s.status.Members {
 		contact, ok := s.core.LastContact(now, m.ID)
-		if m.ID == s.id || m.Learner || !ok || now-contact >= s.settings.Election {
+		if m.ID == s.id || m.Learner || !ok || now-contact >= s.settings.ElectionTimeout {
 			continue
 		}
 		hasMore := s.status.Match[m.ID] > s.status.Match[to]
--- a/internal/store/leader_test.go
+++ b/internal/store/leader_test.go
@@ -47,7 +47,7 @@
 			}
 			longestRound = max(longestRound, took/time.Duration(rounds))
 			fleet.start(lead)
-			fleet.waitLevel()
+			fleet.waitInSync()
 		}
 		for range 8 {
 			lead := fleet.leader()
@@ -55,7 +55,7 @@
 				fleet.call(func(ctx context.Context) { lead.TransferLeadership(ctx) })
 				fleet.leaderOf(fleet.others(lead.settings.Name)...)
 			}))
-			fleet.waitLevel()
+			fleet.waitInSync()
 		}
 		for range 20 {
 			fleet.seed += 1000
@@ -63,7 +63,7 @@
 				fleet.kill(n)
 			}
 			longestRestart = max(longestRestart, fleet.elapsed(func() { fleet.startAll(); fleet.leader() }))
-			fleet.waitLevel()
+			fleet.waitInSync()
 		}
 		slices.Sort(failovers)
 		Printf("\nmedian failover %s", failovers[len(failovers)/2])
@@ -120,7 +120,7 @@
 		So(errs.KindOf(propose(fleet.follower(lead), term, "b")), ShouldEqual, errs.NotLeader)
 
 		// The lease of a partitioned leader ends before another node can lead.
-		fleet.setCut(true, lead.settings.Name)
+		fleet.setPartitioned(true, lead.settings.Name)
 		fleet.advance(fleet.settings.Lease + fleet.settings.Heartbeat)
 		_, hasLease = lead.LeaderTerm(fleet.clock.Now())
 		So(hasLease, ShouldBeFalse)
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -39,7 +39,7 @@
 	}
 	now := s.clock.Now()
 	for _, m := range s.status.Members {
-		if heard, ok := s.core.LastContact(now, m.ID); !m.Learner && ok && now-heard < s.settings.Election {
+		if heard, ok := s.core.LastContact(now, m.ID); !m.Learner && ok && now-heard < s.settings.ElectionTimeout {
 			addresses = append(addresses, m.Addr)
 		}
 	}
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -90,7 +90,7 @@
 	gauge(descCommit, float64(status.Commit))
 	gauge(descApplied, float64(applied))
 	gauge(descWaiting, float64(waiting))
-	ch <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(status.Refused))
+	ch <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(status.InvariantViolations))
 	ch <- prometheus.MustNewConstMetric(descLogBytes, prometheus.CounterValue, float64(disk.Bytes))
 	ch <- prometheus.MustNewConstMetric(descSnapshots, prometheus.CounterValue, float64(disk.Snapshots))
 	gauge(descObjects, float64(counts.Jobs), "jobs")
@@ -98,7 +98,7 @@
 	gauge(descObjects, float64(counts.Tombstones), "tombs")
 	gauge(descObjects, float64(counts.Handles), "handles")
 	gauge(descObjects, float64(counts.Workers), "minions")
-	for taskType, n := range counts.RunningCounts {
+	for taskType, n := range counts.HandlesByType {
 		gauge(descRunning, float64(n), taskType)
 	}
 	collectAccounts(accounts, ch)
--- a/internal/store/network.go
+++ b/internal/store/network.go
@@ -64,9 +64,9 @@
 	Rollout(ctx context.Context, addr string) (internalapi.RolloutAnswer, error)
 }
 
-// NetworkOf returns a Net that makes its calls through client.
-func NetworkOf(client *rpc.Client, settings config.ControlPlane) Net {
-	return networkCalls{client, settings.Election}
+// NewNet returns a Net that makes its calls through client.
+func NewNet(client *rpc.Client, settings config.ControlPlane) Net {
+	return networkCalls{client, settings.ElectionTimeout}
 }
 
 // networkCalls is Net over RPC. Calls on which an election depends end within half an election timeout.
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -25,7 +25,7 @@
 			fleet := newTestFleet(0, 40)
 			defer fleet.close()
 			fleet.settings.OpenMembership = true
-			fleet.settings.Election = 600 * time.Millisecond
+			fleet.settings.ElectionTimeout = 600 * time.Millisecond
 			fleet.settings.Heartbeat = 120 * time.Millisecond
 			fleet.settings.Lease = 400 * time.Millisecond
 			fleet.setSeeds([]string{"c1", "c2", "c3"})
@@ -41,7 +41,7 @@
 // a synctest bubble cannot wait.
 func (fleet *testFleet) slowSyncs() {
 	fleet.settings.SnapshotEvery = 1 << 20
-	fleet.slow.Store(int64(3 * time.Millisecond))
+	fleet.syncDelay.Store(int64(3 * time.Millisecond))
 }
 
 // nodeName returns the name of node i, counted from 0.
@@ -101,12 +101,12 @@
 	return ids
 }
 
-// setCut partitions nodes from all others, or ends their partition.
-func (fleet *testFleet) setCut(cut bool, names ...string) {
+// setPartitioned partitions nodes from all others, or ends their partition.
+func (fleet *testFleet) setPartitioned(cut bool, names ...string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for _, n := range names {
-		fleet.cut[n] = cut
+		fleet.partitioned[n] = cut
 	}
 }
 
@@ -173,7 +173,7 @@
 						fleet.kill(name)
 					}
 				case 1:
-					fleet.setCut(!fleet.cut[name], name)
+					fleet.setPartitioned(!fleet.partitioned[name], name)
 				case 2: // the node loses its disk
 					fleet.heal(names)
 					fleet.kill(name)
@@ -203,7 +203,7 @@
 			}
 			fleet.heal(names)
 			So(fleet.submitJobs("last", 20), ShouldBeEmpty)
-			fleet.waitLevel()
+			fleet.waitInSync()
 		})
 	}
 }
@@ -227,7 +227,7 @@
 
 // heal ends the partitions of the named nodes, starts all stopped nodes and waits until the named ones are the voters.
 func (fleet *testFleet) heal(names []string) {
-	fleet.setCut(false, names...)
+	fleet.setPartitioned(false, names...)
 	fleet.startAll()
 	fleet.until("the named nodes to be the voters", func() bool {
 		fleet.revive()
@@ -238,7 +238,7 @@
 		}
 		return true
 	})
-	So(fleet.died, ShouldBeEmpty)
+	So(fleet.fatalErrors, ShouldBeEmpty)
 }
 
 // hasMajority reports whether a ready leader can reach a majority of its members.
@@ -246,12 +246,12 @@
 	for _, s := range fleet.nodes {
 		members, reachable := memberIDs(s), 0
 		for _, id := range members {
-			if n := NameOf(id); fleet.nodes[n] != nil && !fleet.cut[n] && fleet.nodes[n].Status().Raft.ID == id {
+			if n := NameOf(id); fleet.nodes[n] != nil && !fleet.partitioned[n] && fleet.nodes[n].Status().Raft.ID == id {
 				reachable++
 			}
 		}
 		st := s.Status()
-		isLeader := st.Ready && st.Raft.Role == raft.Leader && !fleet.cut[s.settings.Name]
+		isLeader := st.Ready && st.Raft.Role == raft.Leader && !fleet.partitioned[s.settings.Name]
 		if isLeader && reachable > len(members)/2 {
 			return true
 		}
--- a/internal/store/propose_test.go
+++ b/internal/store/propose_test.go
@@ -15,7 +15,7 @@
 	withFleet(t, 40, func(fleet *testFleet) {
 		lead := fleet.leader()
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		_, _, err := fleet.follower(lead).Propose(context.Background(), job("x"))
 		So(errs.KindOf(err), ShouldEqual, errs.NotLeader)
 		So(errs.Of(err).Hint, ShouldEqual, lead.settings.Addr)
@@ -26,7 +26,7 @@
 	withFleet(t, 40, func(fleet *testFleet) {
 		other := fleet.follower(fleet.leader())
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitInSync()
 
 		// A linearizable read that follows has the command.
 		var answer []byte
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -57,7 +57,7 @@
 	}
 	core, err := raft.New(raft.Config{
 		ID:                s.id,
-		ElectionTimeout:   s.settings.Election,
+		ElectionTimeout:   s.settings.ElectionTimeout,
 		HeartbeatInterval: s.settings.Heartbeat,
 		LeaseDuration:     s.settings.Lease,
 		Seed:              s.opt.Seed,
--- a/internal/store/removal.go
+++ b/internal/store/removal.go
@@ -36,7 +36,7 @@
 func (s *Store) isLeaderless() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.status.Role != raft.Leader && s.clock.Now()-s.followerProgress.leaderHeardAt > 2*s.settings.Election
+	return s.status.Role != raft.Leader && s.clock.Now()-s.followerProgress.leaderHeardAt > 2*s.settings.ElectionTimeout
 }
 
 // provesRemoval reports whether an answer proves that this node is no longer a member: the answer's member set lacks
--- a/internal/store/removal_test.go
+++ b/internal/store/removal_test.go
@@ -24,14 +24,14 @@
 			}
 			old := fleet.nodes[removed].Status().Raft.ID
 			if mode == "cut" {
-				fleet.setCut(true, removed)
+				fleet.setPartitioned(true, removed)
 			} else {
 				fleet.kill(removed)
 			}
 			fleet.waitVoters(fleet.others(removed)...)
 			So(fleet.submitJobs(mode+removed, 50), ShouldBeEmpty)
 			took := fleet.elapsed(func() {
-				if fleet.setCut(false, removed); mode == "down" {
+				if fleet.setPartitioned(false, removed); mode == "down" {
 					fleet.start(removed)
 				}
 				fleet.until("the node detects its removal", func() bool { return fleet.wasRemoved(removed) })
@@ -42,8 +42,8 @@
 			So(took, ShouldBeLessThan, 3*time.Second)
 			So(fleet.nodes[removed].Status().Raft.ID, ShouldNotEqual, old)
 			So(fleet.submitJobs(mode+removed+"-again", 20), ShouldBeEmpty)
-			fleet.waitLevel()
+			fleet.waitInSync()
 		}
-		So(fleet.died, ShouldBeEmpty)
+		So(fleet.fatalErrors, ShouldBeEmpty)
 	})
 }
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -36,7 +36,7 @@
 	}
 	id, digest := fmt.Sprint("o", base), signature.Digest([]byte(text))
 	propose(&command.PutBundle{Order: id, Base: base, By: "ada", Body: []byte(text),
-		Sig: keys[0].Sign(signature.Put(id, base, digest))})
+		Sig: keys[0].Sign(signature.BundlePut(id, base, digest))})
 	for i, by := range []string{"ada", "ben"} {
 		propose(&command.SignBundle{Order: id + by, Version: base + 1, Digest: digest, By: by,
 			Sig: keys[i].Sign(signature.Bundle(base+1, digest))})
--- a/internal/store/silentmembers.go
+++ b/internal/store/silentmembers.go
@@ -82,7 +82,7 @@
 func (s *Store) hasLiveMajority(now time.Duration, members []raft.Member) bool {
 	heard := 0
 	for _, m := range members {
-		if !m.Learner && s.silentFor(now, m.ID) < s.settings.Election {
+		if !m.Learner && s.silentFor(now, m.ID) < s.settings.ElectionTimeout {
 			heard++
 		}
 	}
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -34,7 +34,7 @@
 		s := fleet.leader()
 		start := fleet.clock.Now()
 		fleet.submitJobs("a", 60)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		So(fleet.clock.Now()-start, ShouldBeLessThan, takeoverPeriod)
 		So(s.Status().Raft.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,7 +20,7 @@
 		fleet.kill(lead.settings.Name)
 		fleet.submitJobs("b", 100) // after these the stopped node needs a snapshot to catch up
 		fleet.start(lead.settings.Name)
-		fleet.waitLevel()
+		fleet.waitInSync()
 		for round := range 3 {
 			for _, m := range fleet.settings.Members {
 				fleet.kill(m.ID)
@@ -30,7 +30,7 @@
 			}
 			So(fleet.submitJobs(fmt.Sprint("c", round), 70), ShouldBeEmpty)
 		}
-		fleet.waitLevel()
+		fleet.waitInSync()
 		So(len(fleet.acked), ShouldEqual, 410)
 
 		// Without a majority no proposal is acknowledged: a proposal times out, with an unknown outcome.
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -341,7 +341,7 @@
 		text := fmt.Sprintf(storedBundle, weight, ada.Public(), ben.Public())
 		digest, order := signature.Digest([]byte(text)), fmt.Sprint("put-", base)
 		digests[base+1] = digest
-		c := map[string]any{"order": order, "base": base, "by": "ada", "body": []byte(text), "sig": ada.Sign(signature.Put(order, uint64(base), digest))}
+		c := map[string]any{"order": order, "base": base, "by": "ada", "body": []byte(text), "sig": ada.Sign(signature.BundlePut(order, uint64(base), digest))}
 		n.do("put", string(encoded(c)))
 	}
 	sign := func(version int, key signature.Key) {
@@ -356,7 +356,7 @@
 	sign(3, ada)
 	patch := []byte(`{"weights": {"parcel": 4}}`)
 	n.do("patch", string(encoded(map[string]any{"order": "patch-3", "base": 3, "by": "ben", "patch": patch,
-		"sig": ben.Sign(signature.Patch("patch-3", 3, signature.Digest(patch)))})))
+		"sig": ben.Sign(signature.BundlePatch("patch-3", 3, signature.Digest(patch)))})))
 	put(4, 5) // replaces draft 4
 	sign(5, ben)
 	for _, zone := range []string{"z8", "z9"} {
--- a/internal/store/testnet_test.go
+++ b/internal/store/testnet_test.go
@@ -17,12 +17,12 @@
 // Unavailable if the node is down.
 func callNode[A any](ctx context.Context, n testNet, addr string, do func(s *Store) (A, error)) (A, error) {
 	n.fleet.mu.Lock()
-	s, cut := n.fleet.nodes[addr], n.fleet.cut[addr] || n.fleet.cut[n.from]
+	s, cut := n.fleet.nodes[addr], n.fleet.partitioned[addr] || n.fleet.partitioned[n.from]
 	n.fleet.mu.Unlock()
 	var zero A
 	if cut {
 		timedOut := make(chan struct{})
-		defer n.fleet.clock.Set(n.fleet.settings.Election/2, func() { close(timedOut) }).Stop()
+		defer n.fleet.clock.Set(n.fleet.settings.ElectionTimeout/2, func() { close(timedOut) }).Stop()
 		select {
 		case <-timedOut:
 		case <-ctx.Done():
--- a/internal/testbed/billingload/operator.go
+++ b/internal/testbed/billingload/operator.go
@@ -136,7 +136,7 @@
 func (o *Operator) patch(ctx context.Context, base uint64, patch []byte) (drafted state.Revision, err error) {
 	id, key := o.newOrderID(), o.keys[0]
 	query := url.Values{"order": {id}, "base": {strconv.FormatUint(base, 10)}, "by": {key.Name},
-		"sig": {key.Sign(signature.Patch(id, base, signature.Digest(patch)))}}
+		"sig": {key.Sign(signature.BundlePatch(id, base, signature.Digest(patch)))}}
 	raw, err := o.call(ctx, http.MethodPost, "/v1/bundles/patch?"+query.Encode(), patch)
 	if err != nil {
 		return drafted, errs.Pass(err, "draft")
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -58,7 +58,7 @@
 				return nil, errs.Pass(err, "disk")
 			}
 			opt.Disk = disk
-			opened, err := store.OpenWhenDiskHasSpace(ctx, opt)
+			opened, err := store.OpenRetryingFullDisk(ctx, opt)
 			return opened, errs.Pass(err, "store")
 		},
 		Workers:      func(leases, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(leases, starts, 0) },
--- a/internal/testbed/jobssim/operator.go
+++ b/internal/testbed/jobssim/operator.go
@@ -87,8 +87,8 @@
 	queue := func(name, service string, priority int) {
 		c.services[name] = service
 		c.change.Queues = append(c.change.Queues, jobs.Queue{Name: name, Host: queueHost, Prefix: "/" + name + "/",
-			Service: service, Priority: priority, MaxAttempts: maxAttempts, Stretch: 2, Target: time.Second,
-			Timeout: time.Second})
+			Service: service, Priority: priority, MaxAttempts: maxAttempts, LatencyFactor: 2,
+			LatencyTarget: time.Second, Timeout: time.Second})
 	}
 	queue("urgent", serviceGuards, 0)
 	queue("bulk", serviceOpen, 2)
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -42,7 +42,7 @@
 		n.startBeforeCommit(term, progress)
 	}
 	n.sim.log.propose(n, term, *progress, func(answer any, err error) {
-		started, _ := answer.(jobs.Started)
+		started, _ := answer.(jobs.ProgressResult)
 		for _, e := range progress.Ends {
 			n.sim.trace("%s commits end of %v on %s: %s (error %v)", n.name, e.Key, e.Worker, e.Reason, err)
 		}
--- a/internal/testbed/operator/change.go
+++ b/internal/testbed/operator/change.go
@@ -101,7 +101,7 @@
 
 // put writes a draft of a complete bundle.
 func (o *session) put(ctx context.Context, id string, key signature.Key, base uint64, text []byte) *draft {
-	query := signedQuery(id, base, key, signature.Put(id, base, signature.Digest(text)))
+	query := signedQuery(id, base, key, signature.BundlePut(id, base, signature.Digest(text)))
 	entry := Entry{Event: Put, Order: id, By: key.Name, Base: base}
 	return o.writeDraft(ctx, "/v1/bundles?"+query, text, text, entry)
 }
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil
 	}
-	query := signedQuery(id, base, key, signature.Patch(id, base, signature.Digest(raw)))
+	query := signedQuery(id, base, key, signature.BundlePatch(id, base, signature.Digest(raw)))
 	entry := Entry{Event: Put, Order: id, By: key.Name, Base: base}
 	return o.writeDraft(ctx, "/v1/bundles/patch?"+query, raw, nil, entry)
 }
@@ -175,7 +175,7 @@
 	}
 	text := []byte(`{"queues":{"default":{"placement":{"zones":[]},"hold":"soon"}},"limits":{"scan":-1},"nope":1}`)
 	id, key := fmt.Sprintf("%s-%d-i", o.prefix, i), o.keys[o.rng.IntN(operators)]
-	query := signedQuery(id, base, key, signature.Put(id, base, signature.Digest(text)))
+	query := signedQuery(id, base, key, signature.BundlePut(id, base, signature.Digest(text)))
 	answer, err := o.sendUntilAnswered(ctx, "/v1/bundles?"+query, text)
 	o.counts.Invalid++
 	isRefused := answer.reply.Status == http.StatusUnprocessableEntity &&
--- a/internal/testbed/policysim/billingscenario.go
+++ b/internal/testbed/policysim/billingscenario.go
@@ -109,8 +109,8 @@
 		credit = amplePayment
 	}
 	return []command.Command{
-		&command.PutBundle{Order: "put", Base: 1, By: "ada", Sig: b.keys["ada"].Sign(signature.Put("put", 1, digest)),
-			Body: body},
+		&command.PutBundle{Order: "put", Base: 1, By: "ada",
+			Sig: b.keys["ada"].Sign(signature.BundlePut("put", 1, digest)), Body: body},
 		sign("sign1", "ada"),
 		b.openAccount(limitedParty, credit), b.openAccount(unlimitedParty, 0),
 		b.topUp(unlimitedParty, amplePayment), b.topUp(limitedParty, 300),
@@ -150,7 +150,7 @@
 	if b == nil {
 		return []command.Command{&z}
 	}
-	if z.Out {
+	if z.Start {
 		z.By, z.Sig = "ada", b.keys["ada"].Sign(signature.Evacuate(z.Order, z.Zone))
 		return []command.Command{&z}
 	}
--- a/internal/testbed/policysim/checkrole.go
+++ b/internal/testbed/policysim/checkrole.go
@@ -44,7 +44,7 @@
 
 // checkRebuilt compares the running counts of a role holder with the handles of its replica (invariant: rebuilt).
 func (ic *invariantChecker) checkRebuilt(d *dataPlane) {
-	want := d.state().RunningCounts()
+	want := d.state().HandlesByType()
 	for taskType, n := range want {
 		if got := d.scheduler.RunningCount(taskType); got != n {
 			ic.sim.reportViolation("rebuilt", "%s has a tally of %d for %s, %d handles are out", d.addr, got, taskType,
--- a/internal/testbed/policysim/controlplaneloop.go
+++ b/internal/testbed/policysim/controlplaneloop.go
@@ -133,8 +133,9 @@
 			s.report.Counts["leaders of the store"]++
 		}
 	}
-	if status.Refused > 0 {
-		s.reportViolation("log", "%s refused %d messages that contradict what is committed", c.addr, status.Refused)
+	if status.InvariantViolations > 0 {
+		s.reportViolation("log", "%s refused %d messages that contradict what is committed",
+			c.addr, status.InvariantViolations)
 	}
 }
 
--- a/internal/testbed/policysim/operators.go
+++ b/internal/testbed/policysim/operators.go
@@ -73,5 +73,5 @@
 
 func (c *clients) evacuationOrder(zone string, evacuate bool) command.EvacuateZone {
 	c.orderCount++
-	return command.EvacuateZone{Order: fmt.Sprintf("o%d", c.orderCount), Zone: zone, Out: evacuate}
+	return command.EvacuateZone{Order: fmt.Sprintf("o%d", c.orderCount), Zone: zone, Start: evacuate}
 }
