--- a/cmd/crosstide-dataplane/policy.go
+++ b/cmd/crosstide-dataplane/policy.go
@@ -81,8 +81,8 @@
 func schedulerConfig(settings config.DataPlane) scheduler.Config {
 	config := scheduler.DefaultConfig()
 	config.RunLease, config.PollWait, config.StartWindow = settings.RunLease, settings.PollWait, settings.StartWindow
-	config.Lateness, config.RoleLeaseMargin = settings.Lateness, settings.LeaseMargin
-	config.Health.MaxShare = float64(settings.MaxUnhealthyShare) / 100
+	config.MaxOrderDelay, config.RoleLeaseMargin = settings.Lateness, settings.LeaseMargin
+	config.Health.MaxEjectedShare = float64(settings.MaxUnhealthyShare) / 100
 	return config
 }
 
--- a/cmd/crosstide-dataplane/policy_test.go
+++ b/cmd/crosstide-dataplane/policy_test.go
@@ -21,9 +21,11 @@
 		So([]any{options.Name, options.Addr, options.QueueLimit, options.CallTimeout}, ShouldResemble,
 			[]any{"d1", "10.0.0.1:7000", 17, time.Second})
 		got := options.Scheduler
-		So([]time.Duration{got.RunLease, got.PollWait, got.StartWindow, got.Lateness, got.RoleLeaseMargin}, ShouldResemble,
+		So([]time.Duration{
+			got.RunLease, got.PollWait, got.StartWindow, got.MaxOrderDelay, got.RoleLeaseMargin,
+		}, ShouldResemble,
 			[]time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second})
-		So(got.Health.MaxShare, ShouldEqual, 0.25)
+		So(got.Health.MaxEjectedShare, ShouldEqual, 0.25)
 	})
 	Convey("The control-plane nodes come from core in the settings, or from seeds if core is empty", t, func() {
 		settings := config.DefaultDataPlane()
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -33,10 +33,10 @@
 	Cancel   bool     `json:"cancel,omitempty"`
 }
 
-// JobAnswer is a job's state. Gone is set if the job does not exist.
+// JobAnswer is a job's state. NotFound is set if the job does not exist.
 type JobAnswer struct {
-	State jobs.JobState `json:"state,omitempty"`
-	Gone  bool          `json:"gone,omitempty"`
+	State    jobs.JobState `json:"state,omitempty"`
+	NotFound bool          `json:"gone,omitempty"`
 }
 
 // CountCall requests the number of a queue's waiting jobs. A job waits until its first run is started.
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -22,12 +22,12 @@
 
 // ClientOptions are the settings of a Client. Caller and Seeds are required.
 type ClientOptions struct {
-	Caller  *rpc.Client
-	Seeds   []string      // internal addresses of control-plane nodes to try in addition to the known members
-	Self    string        // own internal address on a control-plane node, "" elsewhere; called only after a hint
-	Clock   clock.Clock   // default clock.Real
-	Logger  log.Logger    // default: no logging
-	Attempt time.Duration // timeout of one attempt of a call, default 700ms
+	Caller         *rpc.Client
+	Seeds          []string      // internal addresses of control-plane nodes to try in addition to the known members
+	Self           string        // own internal address on a control-plane node, "" elsewhere; called only after a hint
+	Clock          clock.Clock   // default clock.Real
+	Logger         log.Logger    // default: no logging
+	AttemptTimeout time.Duration // timeout of one attempt of a call, default 700ms
 }
 
 // Client calls the store's leader. It caches the leader and the members, follows a node's hint to the leader and, if a
@@ -63,8 +63,8 @@
 	if opt.Logger == nil {
 		opt.Logger = log.NewNopLogger()
 	}
-	if opt.Attempt <= 0 {
-		opt.Attempt = defaultAttemptTimeout
+	if opt.AttemptTimeout <= 0 {
+		opt.AttemptTimeout = defaultAttemptTimeout
 	}
 	c := &Client{
 		opt:       opt,
--- a/internal/controller/client_attempt.go
+++ b/internal/controller/client_attempt.go
@@ -93,7 +93,7 @@
 		c.directory.followHint(addr, errs.Of(r.err).Hint, now)
 	case r.answered:
 		c.directory.clearLeader(addr)
-	case errs.Is(r.err, errs.Timeout) && (ctx.Err() != nil || timeout < c.opt.Attempt):
+	case errs.Is(r.err, errs.Timeout) && (ctx.Err() != nil || timeout < c.opt.AttemptTimeout):
 		// The node had less than a full attempt to answer, so the timeout does not prove that it failed.
 	default:
 		c.directory.recordFailure(addr, now)
--- a/internal/controller/client_call.go
+++ b/internal/controller/client_call.go
@@ -92,9 +92,9 @@
 // attemptTimeout returns the maximum duration of one attempt.
 func (c *Client) attemptTimeout(req request) time.Duration {
 	if req.isLarge {
-		return largeFactor * c.opt.Attempt
+		return largeFactor * c.opt.AttemptTimeout
 	}
-	return c.opt.Attempt
+	return c.opt.AttemptTimeout
 }
 
 // callTimeout returns the maximum duration of a call. It ends answerMargin, or a tenth of the remaining time if that is
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -43,16 +43,16 @@
 		if job := table.Jobs[id]; job != nil {
 			answer.State = job.State
 		} else {
-			answer.Gone = true
+			answer.NotFound = true
 		}
 		return nil
 	})
-	if err != nil || !call.Cancel || answer.Gone {
+	if err != nil || !call.Cancel || answer.NotFound {
 		return answer, errs.Pass(err, "job")
 	}
 	answer.State, err = l.cancelJob(ctx, term, id)
 	if errs.Is(err, errs.Unknown) {
-		return JobAnswer{Gone: true}, nil // deleted since it was read
+		return JobAnswer{NotFound: true}, nil // deleted since it was read
 	}
 	return answer, errs.Pass(err, "cancel")
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -95,13 +95,13 @@
 		Convey("further ones are acknowledged by this leader and by a new one", func() {
 			for _, leader := range []*Leader{leader, newTestLeader(store, clk), leader} {
 				answer, err := leader.Job(ctx, cancel)
-				So([]any{answer.State, answer.Gone, err}, ShouldResemble, []any{jobs.Cancelled, false, nil})
+				So([]any{answer.State, answer.NotFound, err}, ShouldResemble, []any{jobs.Cancelled, false, nil})
 			}
 		})
 		Convey("the cancellation of a purged job is answered with Gone", func() {
 			store.state.JobTable.Purge(clk.Wall().Add(time.Hour))
 			answer, err := leader.Job(ctx, cancel)
-			So([]any{answer.Gone, err}, ShouldResemble, []any{true, nil})
+			So([]any{answer.NotFound, err}, ShouldResemble, []any{true, nil})
 		})
 	})
 }
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -136,7 +136,7 @@
 }
 
 func (n *fakeNode) Job(_ context.Context, call JobCall) (JobAnswer, error) {
-	return JobAnswer{Gone: true}, n.execute("job " + call.Location.Path)
+	return JobAnswer{NotFound: true}, n.execute("job " + call.Location.Path)
 }
 
 func (n *fakeNode) Count(_ context.Context, call CountCall) (CountAnswer, error) {
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -62,7 +62,7 @@
 	})
 }
 
-func startErrorOf(err error) scheduler.StartError {
+func startErrorOf(err error) scheduler.StartOutcome {
 	switch {
 	case err == nil:
 		return scheduler.StartOK
@@ -73,7 +73,7 @@
 	case rpc.IsUnsent(err), errors.Is(err, errNotDelivered):
 		return scheduler.StartUnsent
 	}
-	return scheduler.StartUnknown
+	return scheduler.StartUnconfirmed
 }
 
 func (l *Leader) sendStop(ctx context.Context, term uint64, stop scheduler.StopAction) {
@@ -87,7 +87,7 @@
 	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.StopAnswered(now, id, key, failure) })
 }
 
-func stopErrorOf(err error) scheduler.StopError {
+func stopErrorOf(err error) scheduler.StopOutcome {
 	switch {
 	case err == nil:
 		return scheduler.StopOK
@@ -114,7 +114,7 @@
 	})
 }
 
-func renewalErrorOf(err error) scheduler.RenewalError {
+func renewalErrorOf(err error) scheduler.RenewalOutcome {
 	switch {
 	case err == nil:
 		return scheduler.RenewalOK
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -18,17 +18,17 @@
 	Convey("Each error of an order is mapped to the failure that the scheduler handles", t, func() {
 		for _, c := range []struct {
 			err     error
-			start   scheduler.StartError
-			stop    scheduler.StopError
-			renewal scheduler.RenewalError
+			start   scheduler.StartOutcome
+			stop    scheduler.StopOutcome
+			renewal scheduler.RenewalOutcome
 		}{
 			{nil, scheduler.StartOK, scheduler.StopOK, scheduler.RenewalOK},
 			{errs.New(errs.Unknown, "another incarnation"), scheduler.StartOtherIncarnation, scheduler.StopFailed,
 				scheduler.RenewalOtherIncarnation},
-			{errs.New(errs.Stale, "a higher token"), scheduler.StartUnknown, scheduler.StopFailed, scheduler.RenewalFenced},
+			{errs.New(errs.Stale, "a higher token"), scheduler.StartUnconfirmed, scheduler.StopFailed, scheduler.RenewalFenced},
 			{notDelivered, scheduler.StartUnsent, scheduler.StopFailed, scheduler.RenewalFailed},
-			{errs.New(errs.Unavailable, "refused"), scheduler.StartUnknown, scheduler.StopFailed, scheduler.RenewalFailed},
-			{errs.New(errs.Timeout, "no answer"), scheduler.StartUnknown, scheduler.StopFailed, scheduler.RenewalFailed},
+			{errs.New(errs.Unavailable, "refused"), scheduler.StartUnconfirmed, scheduler.StopFailed, scheduler.RenewalFailed},
+			{errs.New(errs.Timeout, "no answer"), scheduler.StartUnconfirmed, scheduler.StopFailed, scheduler.RenewalFailed},
 		} {
 			err := errs.Pass(c.err, "order")
 			So([]any{c.err, startErrorOf(err), stopErrorOf(err), renewalErrorOf(err)}, ShouldResemble,
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -14,7 +14,7 @@
 
 // longAttemptOptions returns client options with an attempt timeout that is not exceeded on a busy machine.
 func longAttemptOptions(caller *rpc.Client, self string, seeds ...string) ClientOptions {
-	return ClientOptions{Caller: caller, Seeds: seeds, Self: self, Attempt: 30 * time.Second}
+	return ClientOptions{Caller: caller, Seeds: seeds, Self: self, AttemptTimeout: 30 * time.Second}
 }
 
 // relayedCalls is implemented by Client and Relay.
@@ -33,7 +33,7 @@
 	submitted, err := c.Submit(ctx, SubmitCall{Spec: jobs.Spec{ID: "1"}})
 	So([]any{submitted.State, err}, ShouldResemble, []any{jobs.Queued, nil})
 	job, err := c.Job(ctx, JobCall{Location: Location{Path: "/p"}})
-	So([]any{job.Gone, err}, ShouldResemble, []any{true, nil})
+	So([]any{job.NotFound, err}, ShouldResemble, []any{true, nil})
 	count, err := c.Count(ctx, CountCall{Location: Location{Host: "h"}})
 	So([]any{count.Waiting, err}, ShouldResemble, []any{7, nil})
 	heartbeat, err := c.Heartbeat(ctx, HeartbeatCall{Worker: jobs.Worker{ID: "w"}})
--- a/internal/controller/scheduler/cluster_test.go
+++ b/internal/controller/scheduler/cluster_test.go
@@ -47,8 +47,8 @@
 
 // testConfig returns a configuration with a queue q and a more urgent one.
 func testConfig(version uint64, attempts int) jobs.Configure {
-	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts, LatencyFactor: 2,
-		LatencyTarget: time.Second, Timeout: time.Second}
+	queue := jobs.Queue{Name: "q", Host: "h", Prefix: "/p/", Service: "s", Priority: 1, MaxAttempts: attempts,
+		LatencyFactor: 2, LatencyTarget: time.Second, Timeout: time.Second}
 	urgent := queue
 	urgent.Name, urgent.Prefix, urgent.Priority = "urgent", "/urgent/", 0
 	return jobs.Configure{Base: version - 1, Version: version, Digest: fmt.Sprint(version), Replace: true,
@@ -212,7 +212,7 @@
 	for _, start := range c.starts {
 		for _, id := range workers {
 			if start.Worker.ID == id {
-				c.core.StartAnswered(c.now, id, start.Order.Key, StartAnswer{}, StartUnknown)
+				c.core.StartAnswered(c.now, id, start.Order.Key, StartAnswer{}, StartUnconfirmed)
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 // stopOutcome returns the outcome of a stop order that was or wasn't answered.
-func stopOutcome(answered bool) StopError {
+func stopOutcome(answered bool) StopOutcome {
 	if answered {
 		return StopOK
 	}
--- a/internal/controller/scheduler/discard_test.go
+++ b/internal/controller/scheduler/discard_test.go
@@ -68,7 +68,7 @@
 		c.submit("j", jobs.Step{Count: 1, Needs: jobs.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 		c.runPasses()
 		key := c.starts[0].Order.Key
-		c.core.StartAnswered(c.now, "w", key, StartAnswer{}, StartUnknown)
+		c.core.StartAnswered(c.now, "w", key, StartAnswer{}, StartUnconfirmed)
 		c.now += time.Second
 		c.runPasses()
 		c.answer(RenewalAnswer{})
--- a/internal/controller/scheduler/flowcontrol_test.go
+++ b/internal/controller/scheduler/flowcontrol_test.go
@@ -55,7 +55,7 @@
 		c.submit("j", jobs.Step{Count: 1, Estimate: time.Second})
 		c.runPasses()
 		key := c.starts[0].Order.Key
-		c.core.StartAnswered(c.now, "w", key, StartAnswer{}, StartUnknown)
+		c.core.StartAnswered(c.now, "w", key, StartAnswer{}, StartUnconfirmed)
 		Convey("the run is stopped and its task starts again, with one call in flight at a time", func() {
 			for range 400 {
 				actions := c.passAfter(10 * time.Millisecond)
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -95,7 +95,7 @@
 func (m *month) carryOut(actions Actions) {
 	for _, s := range actions.Starts {
 		if !m.isUp(s.Worker.ID) {
-			m.core.StartAnswered(m.now, s.Worker.ID, s.Order.Key, StartAnswer{}, StartUnknown)
+			m.core.StartAnswered(m.now, s.Worker.ID, s.Order.Key, StartAnswer{}, StartUnconfirmed)
 			continue
 		}
 		m.running[s.Worker.ID] = append(m.running[s.Worker.ID], s.Order.Key)
--- a/internal/controller/scheduler/orders.go
+++ b/internal/controller/scheduler/orders.go
@@ -75,7 +75,7 @@
 	Running []ListedRun   `json:"Running"`
 	Ended   []EndedRun    `json:"Ended"` // oldest first
 	// Full is set if an answer can't hold all unacknowledged ends: a run that isn't listed may have ended.
-	Full bool `json:"Full"`
+	Truncated bool `json:"Full"`
 }
 
 // Workers sends calls to workers. Each call returns when the worker has answered or its context is done. Calls may be
--- a/internal/controller/scheduler/reconcile.go
+++ b/internal/controller/scheduler/reconcile.go
@@ -48,7 +48,7 @@
 			delete(w.orphans, key)
 		}
 	}
-	if answer.Full {
+	if answer.Truncated {
 		return // runs that aren't listed may have ended
 	}
 	for _, key := range sortedRuns(w.runs) {
--- a/internal/controller/scheduler/renewal.go
+++ b/internal/controller/scheduler/renewal.go
@@ -126,20 +126,22 @@
 	return false
 }
 
-// RenewalError is the outcome of a lease renewal.
-type RenewalError int
+// RenewalOutcome is the outcome of a lease renewal.
+type RenewalOutcome int
 
 // The outcomes of a lease renewal. RenewalNoConnection is a shortage of this node, not a fault of the worker.
 const (
-	RenewalOK               RenewalError = iota // it was answered
-	RenewalFailed                               // it got no answer
-	RenewalOtherIncarnation                     // another incarnation answered: the worker is gone for good
-	RenewalFenced                               // the worker has seen a higher token: this leader was replaced
-	RenewalNoConnection                         // it was never sent: this node has no free connection
+	RenewalOK               RenewalOutcome = iota // it was answered
+	RenewalFailed                                 // it got no answer
+	RenewalOtherIncarnation                       // another incarnation answered: the worker is gone for good
+	RenewalFenced                                 // the worker has seen a higher token: this leader was replaced
+	RenewalNoConnection                           // it was never sent: this node has no free connection
 )
 
 // RenewalAnswered handles the answer to the renewal with the number, or its failure.
-func (c *Core) RenewalAnswered(now time.Duration, id string, number uint64, answer RenewalAnswer, err RenewalError) {
+func (c *Core) RenewalAnswered(
+	now time.Duration, id string, number uint64, answer RenewalAnswer, outcome RenewalOutcome,
+) {
 	c.now = now
 	w := c.workers[id]
 	if c.term == 0 || w == nil {
@@ -154,8 +156,8 @@
 	default:
 		return // the renewal was sent under an earlier term
 	}
-	if err != RenewalOK {
-		c.renewalFailed(w, err)
+	if outcome != RenewalOK {
+		c.renewalFailed(w, outcome)
 		return
 	}
 	w.markAnswered(now, answer.Clock)
@@ -167,8 +169,8 @@
 }
 
 // renewalFailed handles the failure of a renewal.
-func (c *Core) renewalFailed(w *worker, err RenewalError) {
-	switch err {
+func (c *Core) renewalFailed(w *worker, outcome RenewalOutcome) {
+	switch outcome {
 	case RenewalNoConnection:
 		c.connBackoff.recordFailure(c.cfg, c.now)
 		w.contact.retryAt = max(w.contact.retryAt, c.connBackoff.until)
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -56,20 +56,22 @@
 	c.unsentStarts = unsent
 }
 
-// StartError is the outcome of a start order.
-type StartError int
+// StartOutcome is the outcome of a start order.
+type StartOutcome int
 
 // The outcomes of a start order. StartNoConnection is a shortage of this node, not a fault of the worker.
 const (
-	StartOK               StartError = iota // it was answered
-	StartUnsent                             // no byte of it was sent: it is never carried out
-	StartUnknown                            // it may be carried out, now or later
-	StartOtherIncarnation                   // another incarnation answered: the worker is gone for good
-	StartNoConnection                       // no byte of it was sent: this node has no free connection
+	StartOK               StartOutcome = iota // it was answered
+	StartUnsent                               // no byte of it was sent: it is never carried out
+	StartUnconfirmed                          // it may be carried out, now or later
+	StartOtherIncarnation                     // another incarnation answered: the worker is gone for good
+	StartNoConnection                         // no byte of it was sent: this node has no free connection
 )
 
 // StartAnswered handles the answer to a start order, or its failure.
-func (c *Core) StartAnswered(now time.Duration, workerID string, key jobs.RunKey, answer StartAnswer, err StartError) {
+func (c *Core) StartAnswered(
+	now time.Duration, workerID string, key jobs.RunKey, answer StartAnswer, outcome StartOutcome,
+) {
 	c.now = now
 	w, r := c.workers[workerID], c.runs[key]
 	if c.term == 0 || w == nil {
@@ -77,8 +79,8 @@
 	}
 	c.orderDone(w)
 	c.sequence++
-	if err != StartOK {
-		c.startFailed(w, r, err)
+	if outcome != StartOK {
+		c.startFailed(w, r, outcome)
 		return
 	}
 	w.markAnswered(now, answer.Clock)
@@ -99,8 +101,8 @@
 }
 
 // startFailed handles the failure of a start order; r is nil if its handle has left the table.
-func (c *Core) startFailed(w *worker, r *run, err StartError) {
-	switch err {
+func (c *Core) startFailed(w *worker, r *run, outcome StartOutcome) {
+	switch outcome {
 	case StartNoConnection:
 		c.connBackoff.recordFailure(c.cfg, c.now)
 		c.endUndeliveredRun(r)
@@ -110,7 +112,7 @@
 		c.markUnanswered(w, c.now)
 		w.contact.backOff(c.now, c.cfg)
 		c.endUndeliveredRun(r)
-	case StartUnknown:
+	case StartUnconfirmed:
 		c.orderUnanswered(w)
 		if r != nil && !r.progress.listed {
 			r.start.unconfirmedSeq = c.sequence
--- a/internal/controller/scheduler/start_test.go
+++ b/internal/controller/scheduler/start_test.go
@@ -25,7 +25,7 @@
 			So(c.starts[0].Order.Key, ShouldNotResemble, first)
 		})
 		Convey("when that order gets no answer, the others are never sent, and their tasks are due again at once", func() {
-			c.core.StartAnswered(c.now, "w", first, StartAnswer{}, StartUnknown)
+			c.core.StartAnswered(c.now, "w", first, StartAnswer{}, StartUnconfirmed)
 			c.runPasses()
 			So(c.starts, ShouldBeEmpty)
 			So(c.table.RunsOn("w"), ShouldResemble, []jobs.RunKey{first}) // unconfirmed
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -93,18 +93,18 @@
 	return true
 }
 
-// StopError is the outcome of a stop order.
-type StopError int
+// StopOutcome is the outcome of a stop order.
+type StopOutcome int
 
 // The outcomes of a stop order. StopNoConnection is a shortage of this node, not a fault of the worker.
 const (
-	StopOK           StopError = iota // it was answered
-	StopFailed                        // it got no answer: it may be carried out, now or later
-	StopNoConnection                  // it was never sent: this node has no free connection
+	StopOK           StopOutcome = iota // it was answered
+	StopFailed                          // it got no answer: it may be carried out, now or later
+	StopNoConnection                    // it was never sent: this node has no free connection
 )
 
 // StopAnswered handles the answer to a stop order, or its failure.
-func (c *Core) StopAnswered(now time.Duration, workerID string, key jobs.RunKey, err StopError) {
+func (c *Core) StopAnswered(now time.Duration, workerID string, key jobs.RunKey, outcome StopOutcome) {
 	c.now = now
 	w := c.workers[workerID]
 	if c.term == 0 || w == nil {
@@ -115,7 +115,7 @@
 	retryAt := now + c.cfg.RetryMin
 	if order := w.orphans[key]; order != nil {
 		order.inFlight, order.retryAt = false, retryAt
-		if err == StopOK {
+		if outcome == StopOK {
 			delete(w.orphans, key)
 		}
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	r.stop.order.inFlight = false
-	switch err {
+	switch outcome {
 	case StopNoConnection:
 		r.stop.order.retryAt = retryAt
 	case StopFailed:
--- a/internal/dataplane/scheduler/budget_test.go
+++ b/internal/dataplane/scheduler/budget_test.go
@@ -92,7 +92,7 @@
 		p.advance(20 * time.Second)
 		So(p.core.Counts.Plans, ShouldEqual, plans)
 		So(p.st.Index, ShouldEqual, index)
-		So(p.core.Counts.Refused, ShouldEqual, 0)
+		So(p.core.Counts.StartsRefused, ShouldEqual, 0)
 		p.submitUnpaid("f2")
 		p.advance(100 * time.Millisecond)
 		So(p.startedJobs("f2"), ShouldResemble, []string{"f2"})
@@ -102,7 +102,7 @@
 		So(taskOf(p.harness, "j2").RunID, ShouldBeLessThan, taskOf(p.harness, "j3").RunID)
 		So(taskOf(p.harness, "j3").RunID, ShouldBeLessThan, taskOf(p.harness, "j4").RunID)
 		So(p.core.TasksAwaitingTopUp(), ShouldBeEmpty)
-		So(p.core.Counts.Refused, ShouldEqual, 0)
+		So(p.core.Counts.StartsRefused, ShouldEqual, 0)
 		So(p.st.Accounts.Check(), ShouldBeNil)
 	})
 	Convey("A new leader starts nothing before the top-up, and all after it", t, func() {
@@ -161,7 +161,7 @@
 		plans := p.core.Counts.Plans
 		p.advance(10 * time.Second)
 		So(p.core.Counts.Plans, ShouldEqual, plans)
-		So(p.core.Counts.Refused, ShouldEqual, 0)
+		So(p.core.Counts.StartsRefused, ShouldEqual, 0)
 		So(p.st.Handles, ShouldBeEmpty)
 		p.st.Accounts.Accounts["acme"].Credit = 0
 		p.advance(time.Second)
--- a/internal/dataplane/scheduler/expire.go
+++ b/internal/dataplane/scheduler/expire.go
@@ -68,7 +68,7 @@
 	}
 	margin := expiryMargin
 	if w.obeys() || w.heardAt == 0 {
-		margin += c.cfg.Lateness
+		margin += c.cfg.MaxOrderDelay
 	}
 	var expired bool
 	if r.leaseUntil > 0 && r.leaseIncarnation == w.incarnation && w.heardAt > 0 {
--- a/internal/dataplane/scheduler/health.go
+++ b/internal/dataplane/scheduler/health.go
@@ -13,7 +13,7 @@
 	MinFailures      float64       // a worker with fewer failures of a type, after decay, is not ejected
 	MinExcessRate    float64       // a worker is ejected if its failure rate exceeds its peers' by this much
 	HalfLife         time.Duration // interval after which the weight of an end halves
-	MaxShare         float64       // of a zone's workers that may be ejected at once, at least one; 0 disables ejection
+	MaxEjectedShare  float64       // of a zone's workers that may be ejected at once, at least one; 0 disables ejection
 	ProbeInterval    time.Duration // between probes of an ejected worker; doubles after each failed probe
 	MaxProbeInterval time.Duration
 	RecoverAfter     int // consecutive successful probes that end an ejection
@@ -21,7 +21,7 @@
 
 // defaultHealthConfig returns the values used for parameters that the settings omit.
 func defaultHealthConfig() HealthConfig {
-	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxShare: 0.3,
+	return HealthConfig{MinFailures: 4, MinExcessRate: 0.4, HalfLife: 20 * time.Second, MaxEjectedShare: 0.3,
 		ProbeInterval: 4 * time.Second, MaxProbeInterval: 15 * time.Second, RecoverAfter: 3}
 }
 
@@ -169,10 +169,10 @@
 // ejectIfUnhealthy ejects a worker whose failure rate for a task type clearly exceeds that of its peers, and reports
 // whether it did. inZone is the number of workers in its zone, ejected the number of those that are ejected already.
 func (h *health) ejectIfUnhealthy(now time.Duration, worker, taskType string, inZone, ejected int) bool {
-	if h.cfg.MaxShare == 0 || h.unhealthy[worker] != nil {
+	if h.cfg.MaxEjectedShare == 0 || h.unhealthy[worker] != nil {
 		return false
 	}
-	if float64(ejected+1) > max(1, h.cfg.MaxShare*float64(inZone)) {
+	if float64(ejected+1) > max(1, h.cfg.MaxEjectedShare*float64(inZone)) {
 		return false
 	}
 	own, total := *h.score(worker, taskType), *h.total(taskType)
--- a/internal/dataplane/scheduler/health_test.go
+++ b/internal/dataplane/scheduler/health_test.go
@@ -79,7 +79,7 @@
 				So(h.core.UnhealthyWorkers(), ShouldBeEmpty)
 			})
 			Convey("and a failed probe delays the next one", func() {
-				before := h.core.Counts.RunIDs
+				before := h.core.Counts.RunIDsAssigned
 				starts := map[string]int{}
 				for i := range 100 { // 20 s
 					h.submit(fmt.Sprintf("b%d", i), state.StepSpec{Tasks: 5, Retries: 5})
@@ -87,7 +87,7 @@
 						starts[name] += n
 					}
 				}
-				So(h.core.Counts.RunIDs-before, ShouldBeGreaterThanOrEqualTo, 500)
+				So(h.core.Counts.RunIDsAssigned-before, ShouldBeGreaterThanOrEqualTo, 500)
 				So(starts["m3"], ShouldBeBetween, 0, 5)
 			})
 		})
--- a/internal/dataplane/scheduler/interleaving_test.go
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -97,8 +97,8 @@
 				sentAt := h.now
 				for _, i := range seq {
 					names += events[i].name + " "
-					// A worker of kind obey may execute the order late, by at most Config.Lateness.
-					if events[i].name == "arrive" && kind == "obey" && h.now-sentAt > DefaultConfig().Lateness {
+					// A worker of kind obey may execute the order late, by at most Config.MaxOrderDelay.
+					if events[i].name == "arrive" && kind == "obey" && h.now-sentAt > DefaultConfig().MaxOrderDelay {
 						continue
 					}
 					events[i].run(h, w)
@@ -108,7 +108,7 @@
 							if w.running[1] {
 								panic(fmt.Sprintf("%s: second run ID while the first run executes: %s", kind, names))
 							}
-							if !w.arrived && (kind == "check" || h.now-sentAt <= DefaultConfig().Lateness) {
+							if !w.arrived && (kind == "check" || h.now-sentAt <= DefaultConfig().MaxOrderDelay) {
 								w.receiveOrder(h) // the late order arrives now
 								if w.running[1] {
 									panic(fmt.Sprintf("%s: late order executed beside a second run ID: %s", kind, names))
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -81,11 +81,11 @@
 	for i, start := range inFlight.plan.Starts {
 		runID := planned.RunIDs[i]
 		if runID == 0 {
-			c.Counts.Refused++
+			c.Counts.StartsRefused++
 			c.enqueue(start.Ref)
 			continue
 		}
-		c.Counts.RunIDs++
+		c.Counts.RunIDsAssigned++
 		if r, w := c.runs[runID], c.workers[start.Worker]; r != nil && w != nil {
 			c.queueOrder(now, r, w, sendBy)
 		}
--- a/internal/dataplane/scheduler/reconcile.go
+++ b/internal/dataplane/scheduler/reconcile.go
@@ -109,7 +109,7 @@
 	for _, refusal := range refused {
 		if r := w.runs[refusal.RunID]; r != nil && r.orderCall == call.Call {
 			c.proveDead(r, command.ProofRefuse, "refused by "+w.name+": "+refusal.Why)
-			c.Counts.Refused++
+			c.Counts.StartsRefused++
 		}
 	}
 }
@@ -239,7 +239,7 @@
 // recordAbsence handles a run that has a handle but is missing from a worker's answer. If the worker has not received
 // a floor that covers the run, its order may still arrive, so the floor is raised first. Once the worker has received
 // it, the absence proves the run dead at once if the worker checks orders. A worker of kind obey may execute an order
-// late, so the run must have been absent for Config.Lateness.
+// late, so the run must have been absent for Config.MaxOrderDelay.
 func (c *Core) recordAbsence(now time.Duration, w *worker, r *run, answer internalapi.LeaseAnswer) {
 	if answer.Floor < r.handle.RunID {
 		w.floor = max(w.floor, r.handle.RunID)
@@ -257,7 +257,7 @@
 		}
 		// By the worker's clock: the answer describes the moment at which it was made, and may have been delayed
 		// since.
-		if minElapsed(answer.Clock-r.absentSince) < c.cfg.Lateness {
+		if minElapsed(answer.Clock-r.absentSince) < c.cfg.MaxOrderDelay {
 			return
 		}
 	}
--- a/internal/dataplane/scheduler/renew.go
+++ b/internal/dataplane/scheduler/renew.go
@@ -68,7 +68,7 @@
 		call.Stops = append(call.Stops, internalapi.StopOrder{RunID: runID, Why: w.orphans[runID]})
 	}
 	clear(w.orphans)
-	c.Counts.Stops += uint64(len(call.Stops))
+	c.Counts.StopOrders += uint64(len(call.Stops))
 	return call
 }
 
@@ -107,11 +107,11 @@
 
 // firstLease returns the length of the lease in a start order. A worker of kind obey checks only the lease of an
 // order. If it was suspended before it read the order, it must not execute the order long after the job was cancelled
-// or the zone evacuated. Its first lease is therefore at most Config.Lateness, and is renewed in full after the first
-// answer that lists the run. Other workers check StartBy.
+// or the zone evacuated. Its first lease is therefore at most Config.MaxOrderDelay, and is renewed in full after the
+// first answer that lists the run. Other workers check StartBy.
 func (c *Core) firstLease(w *worker, r *run) time.Duration {
-	if w.obeys() && c.cfg.Lateness > 0 {
-		return min(c.leaseOf(r), c.cfg.Lateness)
+	if w.obeys() && c.cfg.MaxOrderDelay > 0 {
+		return min(c.leaseOf(r), c.cfg.MaxOrderDelay)
 	}
 	return c.leaseOf(r)
 }
@@ -135,7 +135,7 @@
 		r.orderCall, r.inFlight = call.Call, true
 		r.leaseUntil, r.leaseIncarnation = w.clockAt(now)+c.firstLease(w, r), w.incarnation
 		call.Starts = append(call.Starts, startOrder(r, job, startBy))
-		c.Counts.Sent++
+		c.Counts.StartOrders++
 	}
 	w.outbox = nil
 	w.orderCall = call.Call
--- a/internal/dataplane/scheduler/renew_test.go
+++ b/internal/dataplane/scheduler/renew_test.go
@@ -13,7 +13,7 @@
 func TestFirstLease_shortForObeyingWorker(t *testing.T) {
 	Convey("The first lease on a worker of kind obey is short, and is renewed in full once the run is listed", t, func() {
 		cfg := DefaultConfig()
-		for kind, first := range map[string]time.Duration{"check": cfg.RunLease, "obey": cfg.Lateness} {
+		for kind, first := range map[string]time.Duration{"check": cfg.RunLease, "obey": cfg.MaxOrderDelay} {
 			h := newHarness(kind, "m1")
 			h.registerWorkers(kind)
 			h.submit("j", state.StepSpec{})
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -74,21 +74,21 @@
 
 // endReservation ends the reservation, so that its workers are available to all classes.
 func (c *Core) endReservation(now time.Duration) {
-	c.placement.reservation, c.placement.nextReservationAt = nil, now+c.cfg.ReserveRest
+	c.placement.reservation, c.placement.nextReservationAt = nil, now+c.cfg.ReservationPause
 	c.placement.fullScan = true
 }
 
 // isOverdue reports whether a class has been passed over for so long that it gets long reservations.
 func (c *Core) isOverdue(now time.Duration, cls *class) bool {
-	return cls.passedOverSince > 0 && now-cls.passedOverSince >= c.cfg.ReserveLongAfter
+	return cls.passedOverSince > 0 && now-cls.passedOverSince >= c.cfg.LongReservationAfter
 }
 
 // reservationLength returns the duration of a reservation for a class.
 func (c *Core) reservationLength(now time.Duration, cls *class) time.Duration {
 	if c.isOverdue(now, cls) {
-		return c.cfg.ReserveLong
+		return c.cfg.LongReservationDuration
 	}
-	return c.cfg.ReserveFor
+	return c.cfg.ReservationDuration
 }
 
 // retryReservationAt returns the earliest time of a class's next reservation. For an overdue class that is immediately
@@ -97,11 +97,12 @@
 	if c.isOverdue(now, cls) {
 		return c.placement.nextReservationAt + 1
 	}
-	return now + c.cfg.ReserveRetry
+	return now + c.cfg.ReservationRetryInterval
 }
 
 // pickPassedOver returns the class with the oldest task among those passed over for too long, and workers for it, or
-// nil if there is no such class. A class that the cluster cannot hold now is considered again after ReserveRetry.
+// nil if there is no such class. A class that the cluster cannot hold now is considered again after
+// ReservationRetryInterval.
 func (c *Core) pickPassedOver(now time.Duration) (*class, map[string]bool) {
 	type passedOver struct {
 		class *class
@@ -123,7 +124,7 @@
 		if workers := c.workersToReserve(candidate.class); workers != nil {
 			return candidate.class, workers
 		}
-		candidate.class.nextReservationAt = now + c.cfg.ReserveRetry
+		candidate.class.nextReservationAt = now + c.cfg.ReservationRetryInterval
 	}
 	return nil, nil
 }
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -159,13 +159,13 @@
 		longest := c.longestFree("m1", c.now+5*time.Second)
 		Convey("the free core is reserved for it, but not for long", func() {
 			So(longest, ShouldBeGreaterThan, 3*runLengthStep)
-			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().ReserveFor+4*runLengthStep)
+			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().ReservationDuration+4*runLengthStep)
 		})
 		Convey("and is reserved for a bounded time, longer than before, once it has waited for ReserveLongAfter", func() {
-			c.longestFree("m1", c.now+DefaultConfig().ReserveLongAfter)
+			c.longestFree("m1", c.now+DefaultConfig().LongReservationAfter)
 			longest := c.longestFree("m1", c.now+20*time.Second)
-			So(longest, ShouldBeGreaterThan, DefaultConfig().ReserveFor)
-			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().ReserveLong+4*runLengthStep)
+			So(longest, ShouldBeGreaterThan, DefaultConfig().ReservationDuration)
+			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().LongReservationDuration+4*runLengthStep)
 		})
 	})
 }
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 	PollWait         time.Duration // how long a worker may delay the answer to a call without starts
 	StartWindow      time.Duration // longest time from the answer to a run ID's commit until its start order is written
 	PlanWindow       time.Duration // longest time from the proposal of a plan until its start orders are written
-	Lateness         time.Duration // bound on how late a worker of kind obey executes an order
+	MaxOrderDelay    time.Duration // bound on how late a worker of kind obey executes an order
 	RoleLeaseMargin  time.Duration // the node stops acting this long before its role lease ends
 	RetryInterval    time.Duration // between calls to a worker that does not answer
 	PlacementTimeout time.Duration // a worker that has not answered for this long gets no new starts
@@ -51,11 +51,12 @@
 	SweepInterval time.Duration // between passes over all records
 	MaxStarts     int           // per plan
 	// A class that fits on no worker, while younger tasks have started for ReserveAfter, gets workers reserved for
-	// ReserveFor. Reservations are separated by ReserveRest, those of the same class by ReserveRetry.
-	ReserveAfter, ReserveFor, ReserveRest, ReserveRetry time.Duration
-	// Once a class has been passed over for ReserveLongAfter, its reservations last ReserveLong and are separated by
-	// ReserveRest only.
-	ReserveLongAfter, ReserveLong time.Duration
+	// ReservationDuration. Reservations are separated by ReservationPause, those of the same class by
+	// ReservationRetryInterval.
+	ReserveAfter, ReservationDuration, ReservationPause, ReservationRetryInterval time.Duration
+	// Once a class has been passed over for LongReservationAfter, its reservations last LongReservationDuration and are
+	// separated by ReservationPause only.
+	LongReservationAfter, LongReservationDuration time.Duration
 
 	Health HealthConfig
 }
@@ -63,24 +64,24 @@
 // DefaultConfig returns the values used for parameters that the settings omit.
 func DefaultConfig() Config {
 	return Config{
-		RunLease:         20 * time.Second,
-		PollWait:         time.Second,
-		StartWindow:      500 * time.Millisecond,
-		PlanWindow:       1900 * time.Millisecond,
-		Lateness:         2 * time.Second,
-		RoleLeaseMargin:  500 * time.Millisecond,
-		RetryInterval:    500 * time.Millisecond,
-		PlacementTimeout: 2500 * time.Millisecond,
-		OrderTimeout:     1500 * time.Millisecond,
-		SweepInterval:    100 * time.Millisecond,
-		MaxStarts:        1024,
-		ReserveAfter:     5 * time.Second,
-		ReserveFor:       1500 * time.Millisecond,
-		ReserveRest:      time.Second,
-		ReserveRetry:     3 * time.Second,
-		ReserveLongAfter: 10 * time.Second,
-		ReserveLong:      2200 * time.Millisecond,
-		Health:           defaultHealthConfig(),
+		RunLease:                 20 * time.Second,
+		PollWait:                 time.Second,
+		StartWindow:              500 * time.Millisecond,
+		PlanWindow:               1900 * time.Millisecond,
+		MaxOrderDelay:            2 * time.Second,
+		RoleLeaseMargin:          500 * time.Millisecond,
+		RetryInterval:            500 * time.Millisecond,
+		PlacementTimeout:         2500 * time.Millisecond,
+		OrderTimeout:             1500 * time.Millisecond,
+		SweepInterval:            100 * time.Millisecond,
+		MaxStarts:                1024,
+		ReserveAfter:             5 * time.Second,
+		ReservationDuration:      1500 * time.Millisecond,
+		ReservationPause:         time.Second,
+		ReservationRetryInterval: 3 * time.Second,
+		LongReservationAfter:     10 * time.Second,
+		LongReservationDuration:  2200 * time.Millisecond,
+		Health:                   defaultHealthConfig(),
 	}
 }
 
@@ -111,18 +112,18 @@
 
 // Counts are totals since the Core was created.
 type Counts struct {
-	Plans        uint64
-	PlanFailures uint64
-	RunIDs       uint64 // assigned by the store
-	Refused      uint64 // starts refused by the store or by a worker
-	Sent         uint64 // start orders sent
-	Stops        uint64 // stop orders sent
-	Ended        uint64 // ends reported by workers
-	FailedEnds   uint64 // ends of failed runs, included in Ended
-	Unconfirmed  uint64 // runs of which it was unknown whether they had started
-	CallFailures uint64
-	StaleAnswers uint64                       // answers superseded by a newer one, or that name another call
-	ProvedDead   map[command.ProofKind]uint64 // runs proved dead
+	Plans          uint64
+	PlanFailures   uint64
+	RunIDsAssigned uint64 // assigned by the store
+	StartsRefused  uint64 // starts refused by the store or by a worker
+	StartOrders    uint64 // start orders sent
+	StopOrders     uint64 // stop orders sent
+	Ended          uint64 // ends reported by workers
+	FailedEnds     uint64 // ends of failed runs, included in Ended
+	Unconfirmed    uint64 // runs of which it was unknown whether they had started
+	CallFailures   uint64
+	StaleAnswers   uint64                       // answers superseded by a newer one, or that name another call
+	ProvedDead     map[command.ProofKind]uint64 // runs proved dead
 }
 
 // Core has the records of the role and the passes over them. It is not safe for concurrent use: its owner calls it
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -32,7 +32,7 @@
 		h.now += 10 * time.Millisecond
 		h.commitPlans()
 		latePoll := h.polls["m1"]
-		h.now = absentSince + DefaultConfig().Lateness + 100*time.Millisecond
+		h.now = absentSince + DefaultConfig().MaxOrderDelay + 100*time.Millisecond
 		h.answerAt(latePoll, "obey", "b1", absentSince+time.Second, internalapi.LeaseAnswer{})
 		h.commitPlans()
 		So(h.st.Handles[1], ShouldNotBeNil)
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -107,7 +107,7 @@
 	if answer.Running == nil || answer.Ended == nil {
 		return scheduler.RenewalAnswer{}, errs.Field(errs.Malformed, "running", "running and ended are required")
 	}
-	lists := scheduler.RenewalAnswer{Clock: answer.Clock, Full: answer.More}
+	lists := scheduler.RenewalAnswer{Clock: answer.Clock, Truncated: answer.More}
 	for _, r := range answer.Running {
 		run := scheduler.ListedRun{Key: r.Run.Key(), Checkpoint: r.Checkpoint, Percent: r.Percent}
 		lists.Running = append(lists.Running, run)
--- a/internal/httpapi/workerapi/client_test.go
+++ b/internal/httpapi/workerapi/client_test.go
@@ -104,7 +104,7 @@
 			answer, err := c.RenewLease(context.Background(), w,
 				scheduler.LeaseRenewal{Token: 9, AcknowledgedUpTo: 1, LeaseDeadline: 8, Wait: 3})
 			So(err, ShouldBeNil)
-			So(answer, ShouldResemble, scheduler.RenewalAnswer{Clock: 7, Full: true,
+			So(answer, ShouldResemble, scheduler.RenewalAnswer{Clock: 7, Truncated: true,
 				Running: []scheduler.ListedRun{{Key: key, Checkpoint: "c", Percent: 50}},
 				Ended:   []scheduler.EndedRun{{Sequence: 2, Key: key, Reason: jobs.EndDone, Checkpoint: "d"}}})
 			So(called(), ShouldEqual, `{"worker":"w1","token":9,"seen":1,"deadline":8,"wait":3}`+"\n")
--- a/internal/testbed/jobssim/guards.go
+++ b/internal/testbed/jobssim/guards.go
@@ -49,14 +49,14 @@
 }
 
 // startOutcome returns the error passed to the scheduler for a start without an answer.
-func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartError {
+func (n *node) startOutcome(term uint64, start scheduler.StartAction) scheduler.StartOutcome {
 	switch n.sim.options.WithoutGuard {
 	case UnconfirmedIsDead:
 		return scheduler.StartUnsent
 	case UnconfirmedReservesNothing:
 		n.widenCapacity(term, start)
 	}
-	return scheduler.StartUnknown
+	return scheduler.StartUnconfirmed
 }
 
 // proposeAndAnswer proposes a change from a client or an operator and answers with the outcome.
--- a/internal/testbed/jobssim/orders.go
+++ b/internal/testbed/jobssim/orders.go
@@ -53,8 +53,8 @@
 // start sends a start order, unless the node no longer leads, and passes the outcome to the scheduler.
 func (n *node) start(term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
-	answered := func(answer scheduler.StartAnswer, failure scheduler.StartError) {
-		if failure == scheduler.StartUnknown {
+	answered := func(answer scheduler.StartAnswer, failure scheduler.StartOutcome) {
+		if failure == scheduler.StartUnconfirmed {
 			failure = n.startOutcome(term, start)
 		}
 		n.deliver(func(c *scheduler.Core, now time.Duration) { c.StartAnswered(now, id, key, answer, failure) })
@@ -79,7 +79,7 @@
 }
 
 // startError maps the outcome of a start order to the error that is passed to the scheduler.
-func startError(outcome callOutcome) scheduler.StartError {
+func startError(outcome callOutcome) scheduler.StartOutcome {
 	switch outcome {
 	case callAnswered:
 		return scheduler.StartOK
@@ -88,13 +88,13 @@
 	case callUnsent:
 		return scheduler.StartUnsent
 	}
-	return scheduler.StartUnknown
+	return scheduler.StartUnconfirmed
 }
 
 // stop sends a stop order, unless the node no longer leads, and passes the outcome to the scheduler.
 func (n *node) stop(term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
-	done := func(failure scheduler.StopError) {
+	done := func(failure scheduler.StopOutcome) {
 		n.deliver(func(c *scheduler.Core, now time.Duration) { c.StopAnswered(now, id, key, failure) })
 	}
 	if !n.leads(term) {
@@ -126,7 +126,7 @@
 func (n *node) renewLease(term uint64, renewal scheduler.RenewalAction) {
 	id, number, call := renewal.Worker.ID, renewal.Number, renewal.Call
 	n.sim.trace("hold %d to %s wait %s", number, id, call.Wait)
-	done := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalError) {
+	done := func(answer scheduler.RenewalAnswer, failure scheduler.RenewalOutcome) {
 		n.sim.trace("hold %d to %s answered: %d running, %d ended, failure %d", number, id, len(answer.Running),
 			len(answer.Ended), failure)
 		for _, e := range answer.Ended {
--- a/internal/testbed/jobssim/shortage.go
+++ b/internal/testbed/jobssim/shortage.go
@@ -48,13 +48,13 @@
 }
 
 // failStart fails a start that found no connection.
-func (n *node) failStart(answered func(scheduler.StartAnswer, scheduler.StartError)) {
+func (n *node) failStart(answered func(scheduler.StartAnswer, scheduler.StartOutcome)) {
 	n.sim.report.Counts["start without a connection"]++
 	n.after(connectionWait, func() { answered(scheduler.StartAnswer{}, scheduler.StartNoConnection) })
 }
 
 // failStop fails a stop that found no connection.
-func (n *node) failStop(done func(scheduler.StopError)) {
+func (n *node) failStop(done func(scheduler.StopOutcome)) {
 	n.sim.report.Counts["stop without a connection"]++
 	failure := scheduler.StopNoConnection
 	if n.sim.options.WithoutGuard == UnsentStopsCount {
@@ -64,7 +64,7 @@
 }
 
 // failLeaseRenewal fails a lease renewal that found no connection.
-func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalError)) {
+func (n *node) failLeaseRenewal(done func(scheduler.RenewalAnswer, scheduler.RenewalOutcome)) {
 	n.sim.report.Counts["lease renewal without a connection"]++
 	n.after(connectionWait, func() { done(scheduler.RenewalAnswer{}, scheduler.RenewalNoConnection) })
 }
--- a/internal/testbed/jobssim/worker.go
+++ b/internal/testbed/jobssim/worker.go
@@ -256,7 +256,7 @@
 			Percent: r.percent()})
 	}
 	a.Ended = slices.Clone(w.unacknowledged[:min(maxEndsPerAnswer, len(w.unacknowledged))])
-	if a.Full = len(w.unacknowledged) > maxEndsPerAnswer; a.Full {
+	if a.Truncated = len(w.unacknowledged) > maxEndsPerAnswer; a.Truncated {
 		w.host.sim.report.Counts["answer with the maximum number of ends"]++
 	}
 	return leaseReply{answer: a}
