--- a/cmd/crosstide-controlplane/account.go
+++ b/cmd/crosstide-controlplane/account.go
@@ -125,7 +125,7 @@
 
 // exhaustedIn formats the time until the balance runs out at the present rate, or a dash if nothing is drawn.
 func exhaustedIn(v internalapi.AccountView) string {
-	if !v.Draws {
+	if !v.IsDrawing {
 		return "-"
 	}
 	return v.ExhaustedIn.Round(time.Second).String()
--- a/cmd/crosstide-controlplane/bundle.go
+++ b/cmd/crosstide-controlplane/bundle.go
@@ -109,7 +109,7 @@
 	if want := cmd.String("sha"); want != "" && !strings.EqualFold(want, digest) {
 		return errs.Field(errs.Conflict, "sha", "version %d has SHA-256 %s", version, digest)
 	}
-	order := operatorapi.Signing{Order: orderID(cmd), Digest: digest}
+	order := operatorapi.BundleSignature{Order: orderID(cmd), Digest: digest}
 	order.By, order.Sig = signer.sign(signature.Bundle(version, digest))
 	err = printJSONOrder(ctx, cmd, order.Order, path+"/sign", order, func(t table, done command.BundleSigned) {
 		t.row("version", done.Version)
@@ -142,7 +142,7 @@
 	return errs.Pass(printQuery(ctx, cmd, path, renderBundleLog), "log")
 }
 
-func renderBundleLog(t table, log operatorapi.Log) {
+func renderBundleLog(t table, log operatorapi.BundleList) {
 	t.row("VERSION", "BASE", "STATE", "WRITTEN", "BY", "SIGNED", "IN FORCE", "BYTES", "SHA256")
 	for _, v := range log.Versions {
 		t.row(v.Version, v.Base, v.Phase, formatTime(v.WrittenAt), orDash(v.Author), orDash(joined(signerNames(v))),
@@ -167,7 +167,7 @@
 	return errs.Pass(printQuery(ctx, cmd, path, renderDifference), "diff")
 }
 
-func renderDifference(t table, diff operatorapi.Difference) {
+func renderDifference(t table, diff operatorapi.BundleDiff) {
 	t.row("PATH", diff.From, diff.To)
 	for _, change := range diff.Changes {
 		t.row(change.Path, orDash(change.From), orDash(change.To))
--- a/cmd/crosstide-controlplane/jobs.go
+++ b/cmd/crosstide-controlplane/jobs.go
@@ -63,7 +63,7 @@
 		},
 		ControlAddress: settings.Control,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
-			jobsapi.ServeControl(control, relay, settings.CallTimeout)
+			jobsapi.RegisterControl(control, relay, settings.CallTimeout)
 		},
 		ServeNodes: func(server *rpc.Server, store *store.Store) {
 			serveOperators(server, store)
@@ -79,7 +79,7 @@
 // serveOperators registers the operators' calls about the members of the store. A control-plane node of the jobs
 // deployment has no membership list, so these calls list no other nodes.
 func serveOperators(server *rpc.Server, members *store.Store) {
-	operatorapi.Serve(server, members, store.NameOf, func() []membership.MemberStatus { return nil })
+	operatorapi.Register(server, members, store.NameOf, func() []membership.MemberStatus { return nil })
 }
 
 // jobsScheduler maps the settings of the jobs deployment to the scheduler's settings.
--- a/cmd/crosstide-controlplane/member.go
+++ b/cmd/crosstide-controlplane/member.go
@@ -20,7 +20,7 @@
 }
 
 // renderMembers prints the members of the store. MATCH is the index up to which a member's log matches the leader's.
-func renderMembers(t table, who operatorapi.Who) {
+func renderMembers(t table, who operatorapi.ClusterStatus) {
 	t.row("ID", "ADDR", "ZONE", "STANDS", "MATCH")
 	for _, member := range who.Members {
 		role, match := votingRole(member), "-"
--- a/cmd/crosstide-controlplane/platform.go
+++ b/cmd/crosstide-controlplane/platform.go
@@ -28,14 +28,14 @@
 // servePlatform runs a control-plane node until ctx ends. changed receives a signal when the settings have changed;
 // only the seeds are then read again. A new incarnation of the node reads all settings again.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
-	core, first := settings.Core(), true
-	daemon.LimitMemory(core.MemoryBytes)
+	nodeSettings, first := settings.Node(), true
+	daemon.LimitMemory(nodeSettings.MemoryBytes)
 	err := runIncarnations(ctx, func(ctx context.Context, removed func()) error {
 		if !first {
-			core = newestSettings(core, logger)
+			nodeSettings = newestSettings(nodeSettings, logger)
 		}
 		first = false
-		options := controlPlaneOptions(core, logger)
+		options := controlPlaneOptions(nodeSettings, logger)
 		options.OnRemoved = removed
 		node, err := jobsnode.NewControlPlaneNode(ctx, options)
 		if err != nil {
@@ -48,32 +48,32 @@
 }
 
 // newestSettings reads the settings again for a new incarnation of the node. If that fails, it returns the old ones.
-func newestSettings(old platform.CoreSettings, logger log.Logger) platform.CoreSettings {
+func newestSettings(old platform.NodeSettings, logger log.Logger) platform.NodeSettings {
 	settings, err := platform.LoadSettings()
 	if err != nil {
 		_ = level.Warn(logger).Log("msg", "settings reload failed, previous settings kept", "err", err)
 		return old
 	}
-	core := settings.Core()
-	core.Bootstrap = false // a node that was removed from the members knows that the store exists
-	return core
+	node := settings.Node()
+	node.Bootstrap = false // a node that was removed from the members knows that the store exists
+	return node
 }
 
 // controlPlaneOptions maps the platform's settings to a control-plane node's options.
-func controlPlaneOptions(core platform.CoreSettings, logger log.Logger) jobsnode.ControlPlaneOptions {
+func controlPlaneOptions(node platform.NodeSettings, logger log.Logger) jobsnode.ControlPlaneOptions {
 	return jobsnode.ControlPlaneOptions{
-		Store: storeSettings(core), OpenStore: openStore,
-		Scheduler:    schedulerSettings(core.Scheduler, core.ContactTimeout),
-		JobRetention: 2 * core.Scheduler.JobRetention,
+		Store: storeSettings(node), OpenStore: openStore,
+		Scheduler:    schedulerSettings(node.Scheduler, node.ContactTimeout),
+		JobRetention: 2 * node.Scheduler.JobRetention,
 		Workers: func(renewals, starts *rpc.Client) scheduler.Workers {
 			return platform.NewWorkers(exchanger{renewals}, exchanger{starts}, 0)
 		},
-		OrdersByHeartbeat: core.OrdersByHeartbeat,
-		ControlAddress:    core.ControlAddress, ControlAddressOf: core.ControlAddressOf,
+		OrdersByHeartbeat: node.OrdersByHeartbeat,
+		ControlAddress:    node.ControlAddress, ControlAddressOf: node.ControlAddressOf,
 		ServeControl: func(control *rpc.Server, relay *controller.Relay) {
-			platform.NewControlPlane(relay, core.ControlAddress).Routes(control)
+			platform.NewControlPlane(relay, node.ControlAddress).Routes(control)
 		},
-		Descriptors: core.Descriptors, Grace: core.Grace - exitMargin, Logger: logger, Version: version,
+		Descriptors: node.MaxDescriptors, Grace: node.StopGracePeriod - exitMargin, Logger: logger, Version: version,
 	}
 }
 
@@ -90,7 +90,7 @@
 			_ = level.Warn(logger).Log("msg", "settings reload failed, previous seeds kept", "err", err)
 			continue
 		}
-		node.SetSeeds(settings.Core().Seeds)
+		node.SetSeeds(settings.Node().Seeds)
 	}
 }
 
--- a/cmd/crosstide-controlplane/platform_test.go
+++ b/cmd/crosstide-controlplane/platform_test.go
@@ -15,12 +15,12 @@
 
 func TestControlPlaneOptions(t *testing.T) {
 	Convey("The platform's settings are mapped to a control-plane node's options", t, func() {
-		core := platform.CoreSettings{
+		node := platform.NodeSettings{
 			Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", ControlAddress: "10.1.0.10:7800",
-			Grace: 6 * time.Second, OrdersByHeartbeat: true, Descriptors: 4000,
+			StopGracePeriod: 6 * time.Second, OrdersByHeartbeat: true, MaxDescriptors: 4000,
 			Scheduler: platform.SchedulerSettings{JobRetention: time.Minute},
 		}
-		options := controlPlaneOptions(core, log.NewNopLogger())
+		options := controlPlaneOptions(node, log.NewNopLogger())
 		So(options.Store.Addr, ShouldEqual, "10.1.0.10:7720")
 		So(options.ControlAddress, ShouldEqual, "10.1.0.10:7800")
 		So(options.Grace, ShouldEqual, 5500*time.Millisecond)
--- a/cmd/crosstide-controlplane/platformsettings.go
+++ b/cmd/crosstide-controlplane/platformsettings.go
@@ -24,17 +24,17 @@
 
 // storeSettings maps the platform's settings of a control-plane node to the store's settings. The seeds become the
 // bootstrap members.
-func storeSettings(core platform.CoreSettings) config.ControlPlane {
+func storeSettings(node platform.NodeSettings) config.ControlPlane {
 	settings := config.DefaultControlPlane()
-	settings.Name, settings.Zone, settings.Region = core.Name, core.Zone, core.Region
-	settings.Addr, settings.Seeds, settings.Data = core.InternalAddress, core.Seeds, core.DataFolder
+	settings.Name, settings.Zone, settings.Region = node.Name, node.Zone, node.Region
+	settings.Addr, settings.Seeds, settings.Data = node.InternalAddress, node.Seeds, node.DataFolder
 	settings.ElectionTimeout, settings.Heartbeat, settings.Lease = platformElection, platformHeartbeat, platformLease
 	settings.SnapshotEvery = platformSnapshotEvery
-	settings.OpenMembership, settings.Bootstrap = true, core.Bootstrap
-	if core.Grace > 0 {
-		settings.Grace = max(core.Grace-exitMargin, core.Grace/2)
+	settings.OpenMembership, settings.Bootstrap = true, node.Bootstrap
+	if node.StopGracePeriod > 0 {
+		settings.Grace = max(node.StopGracePeriod-exitMargin, node.StopGracePeriod/2)
 	}
-	for _, seed := range core.Seeds {
+	for _, seed := range node.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			continue // the settings were validated when they were read
--- a/cmd/crosstide-controlplane/platformsettings_test.go
+++ b/cmd/crosstide-controlplane/platformsettings_test.go
@@ -33,9 +33,9 @@
 
 func TestStoreSettings(t *testing.T) {
 	Convey("A control-plane node's settings are mapped to the store's, with the seeds as bootstrap members", t, func() {
-		settings := storeSettings(platform.CoreSettings{
+		settings := storeSettings(platform.NodeSettings{
 			Name: "10.1.0.10", InternalAddress: "10.1.0.10:7720", Zone: "a", Region: "r", DataFolder: "data",
-			Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, Grace: 6 * time.Second,
+			Seeds: []string{"10.1.0.10:7720", "10.2.0.10:7720"}, StopGracePeriod: 6 * time.Second,
 		})
 		So(settings.Members, ShouldResemble, []config.Member{
 			{ID: "10.1.0.10", Addr: "10.1.0.10:7720"}, {ID: "10.2.0.10", Addr: "10.2.0.10:7720"},
@@ -51,6 +51,6 @@
 		So(settings.Heartbeat, ShouldEqual, platformHeartbeat)
 		So(settings.OpenMembership, ShouldBeTrue)
 		So(settings.Bootstrap, ShouldBeFalse)
-		So(storeSettings(platform.CoreSettings{Bootstrap: true}).Bootstrap, ShouldBeTrue)
+		So(storeSettings(platform.NodeSettings{Bootstrap: true}).Bootstrap, ShouldBeTrue)
 	})
 }
--- a/cmd/crosstide-controlplane/policy.go
+++ b/cmd/crosstide-controlplane/policy.go
@@ -70,7 +70,7 @@
 		registry, nil)
 	opened.Serve(server)
 	rpc.Handle(server, internalapi.Shuffle, members.Serve)
-	operatorapi.Serve(server, opened, store.NameOf, members.Nodes)
+	operatorapi.Register(server, opened, store.NameOf, members.Nodes)
 	daemon.Routes(server, registry, opened.Ready)
 	if profiles {
 		daemon.Profiles(server)
--- a/cmd/crosstide-controlplane/rollout.go
+++ b/cmd/crosstide-controlplane/rollout.go
@@ -25,7 +25,7 @@
 		}
 		t.row(node.Kind, node.Node, node.Version, formatTime(node.Since), took, formatTime(node.Heard))
 	}
-	for _, name := range rollout.Silent {
+	for _, name := range rollout.Unresponsive {
 		t.row("cplane", name, "no answer", "", "", "")
 	}
 }
--- a/cmd/crosstide-controlplane/who.go
+++ b/cmd/crosstide-controlplane/who.go
@@ -14,7 +14,7 @@
 		Flags: queryFlags(), Action: queryAction("/v1/who", renderWho)}
 }
 
-func renderWho(t table, who operatorapi.Who) {
+func renderWho(t table, who operatorapi.ClusterStatus) {
 	t.line("store", who.Store)
 	t.line("sched", who.Scheduler)
 	for _, member := range who.Members {
--- a/cmd/crosstide-dataplane/jobs.go
+++ b/cmd/crosstide-dataplane/jobs.go
@@ -42,9 +42,9 @@
 func jobsOptions(settings config.JobsDataPlane, profiles bool, logger log.Logger) jobsnode.DataPlaneOptions {
 	registry := daemon.Registry()
 	return jobsnode.DataPlaneOptions{
-		CoreAddresses: settings.ControlPlaneAddresses(), Via: settings.Via, Address: settings.Addr,
+		ControlPlaneAddresses: settings.ControlPlaneAddresses(), Via: settings.Via, Address: settings.Addr,
 		ServeClients: func(server *rpc.Server, client *controller.Client) {
-			jobsapi.ServeClients(server, client, settings.CallTimeout)
+			jobsapi.RegisterClients(server, client, settings.CallTimeout)
 			if profiles {
 				daemon.Profiles(server)
 			}
--- a/cmd/crosstide-dataplane/jobs_test.go
+++ b/cmd/crosstide-dataplane/jobs_test.go
@@ -20,7 +20,7 @@
 		settings.Addr, settings.Zone, settings.Grace = "10.0.0.1:7000", "z", 7*time.Second
 		settings.Seeds = []string{"10.0.1.1:7100"}
 		options := jobsOptions(settings, true, log.NewNopLogger())
-		So(options.CoreAddresses, ShouldResemble, settings.Seeds)
+		So(options.ControlPlaneAddresses, ShouldResemble, settings.Seeds)
 		So(options.Address, ShouldEqual, settings.Addr)
 		So(options.ReadyAddress, ShouldEqual, "")
 		So(options.Grace, ShouldEqual, settings.Grace)
--- a/cmd/crosstide-dataplane/platform.go
+++ b/cmd/crosstide-dataplane/platform.go
@@ -25,9 +25,9 @@
 // servePlatform runs a data-plane node until ctx ends, then drains it. changed receives a signal when the settings have
 // changed; the node then reads its seeds again.
 func servePlatform(ctx context.Context, settings platform.Settings, changed <-chan os.Signal, logger log.Logger) error {
-	core := settings.Core()
-	daemon.LimitMemory(core.MemoryBytes)
-	node, err := jobsnode.NewDataPlaneNode(dataPlaneOptions(core, logger))
+	nodeSettings := settings.Node()
+	daemon.LimitMemory(nodeSettings.MemoryBytes)
+	node, err := jobsnode.NewDataPlaneNode(dataPlaneOptions(nodeSettings, logger))
 	if err != nil {
 		return errs.Pass(err, "create the node")
 	}
@@ -35,17 +35,18 @@
 }
 
 // dataPlaneOptions maps the platform's settings to a data-plane node's options.
-func dataPlaneOptions(core platform.CoreSettings, logger log.Logger) jobsnode.DataPlaneOptions {
+func dataPlaneOptions(node platform.NodeSettings, logger log.Logger) jobsnode.DataPlaneOptions {
 	return jobsnode.DataPlaneOptions{
-		CoreAddresses: core.Seeds, Address: core.ClientAddress, ReadyAddress: core.ReadyAddress,
+		ControlPlaneAddresses: node.Seeds, Address: node.ClientAddress, ReadyAddress: node.ReadyAddress,
 		ServeClients: func(server *rpc.Server, client *controller.Client) {
 			platform.NewIngress(client).Routes(server)
 		},
 		ServeReady: platform.Readiness,
 		ReadSeeds: func() ([]string, error) {
 			settings, err := platform.LoadSettings()
-			return settings.Core().Seeds, errs.Pass(err, "seeds")
+			return settings.Node().Seeds, errs.Pass(err, "seeds")
 		},
-		Descriptors: core.Descriptors, Grace: core.Grace, Logger: logger, Zone: core.Zone, Version: version,
+		Descriptors: node.MaxDescriptors, Grace: node.StopGracePeriod, Logger: logger,
+		Zone: node.Zone, Version: version,
 	}
 }
--- a/cmd/crosstide-dataplane/platform_test.go
+++ b/cmd/crosstide-dataplane/platform_test.go
@@ -40,20 +40,20 @@
 func TestDataPlaneOptions(t *testing.T) {
 	Convey("A data-plane node on the platform forwards clients' calls and reports its readiness", t, func() {
 		leader := startLeader()
-		core := platform.CoreSettings{
+		node := platform.NodeSettings{
 			ClientAddress: "10.0.0.1:80", ReadyAddress: "10.0.0.1:81", Seeds: []string{leader.Addr()},
-			Zone: "z", Grace: 3 * time.Second, Descriptors: 4000,
+			Zone: "z", StopGracePeriod: 3 * time.Second, MaxDescriptors: 4000,
 		}
-		options := dataPlaneOptions(core, log.NewNopLogger())
-		So(options.CoreAddresses, ShouldResemble, core.Seeds)
-		So(options.Address, ShouldEqual, core.ClientAddress)
-		So(options.ReadyAddress, ShouldEqual, core.ReadyAddress)
+		options := dataPlaneOptions(node, log.NewNopLogger())
+		So(options.ControlPlaneAddresses, ShouldResemble, node.Seeds)
+		So(options.Address, ShouldEqual, node.ClientAddress)
+		So(options.ReadyAddress, ShouldEqual, node.ReadyAddress)
 		So(options.Descriptors, ShouldEqual, 4000)
-		So(options.Grace, ShouldEqual, core.Grace)
-		So(options.Zone, ShouldEqual, core.Zone)
+		So(options.Grace, ShouldEqual, node.StopGracePeriod)
+		So(options.Zone, ShouldEqual, node.Zone)
 		server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
 		caller := rpc.NewClient(rpc.ClientOptions{})
-		client := controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: options.CoreAddresses})
+		client := controller.NewClient(controller.ClientOptions{Caller: caller, Seeds: options.ControlPlaneAddresses})
 		options.ServeClients(server, client)
 		ready := errs.New(errs.Unavailable, "not yet")
 		options.ServeReady(server, func() error { return ready })
@@ -69,7 +69,7 @@
 	})
 	Convey("Reading the seeds fails if the settings cannot be read", t, func() {
 		t.Setenv("CROSSTIDE_SETTINGS", "")
-		_, err := dataPlaneOptions(platform.CoreSettings{}, log.NewNopLogger()).ReadSeeds()
+		_, err := dataPlaneOptions(platform.NodeSettings{}, log.NewNopLogger()).ReadSeeds()
 		So(errs.KindOf(err), ShouldEqual, errs.Settings)
 	})
 }
--- a/internal/controller/client_call.go
+++ b/internal/controller/client_call.go
@@ -122,7 +122,7 @@
 	if s.lastErr != nil {
 		reason += ", last error: " + string(errs.KindOf(s.lastErr))
 	}
-	return &errs.Error{Kind: kind, Message: reason, After: retryAfter}
+	return &errs.Error{Kind: kind, Message: reason, RetryAfter: retryAfter}
 }
 
 // refusal returns the error of a call that the leader refused. errs.Overloaded becomes errs.Timeout if an earlier
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -217,7 +217,7 @@
 		f := newFakeCluster(map[string]nodeHandler{"a": connectionRefused, "b": connectionRefused}, "a", "b")
 		begin := f.clock.Now()
 		_, err := f.Submit(f.withDeadline(time.Minute), SubmitCall{})
-		So([]any{errs.KindOf(err), errs.Of(err).After}, ShouldResemble, []any{errs.Unavailable, retryAfter})
+		So([]any{errs.KindOf(err), errs.Of(err).RetryAfter}, ShouldResemble, []any{errs.Unavailable, retryAfter})
 		So(f.clock.Now()-begin, ShouldBeBetween, unreachableTimeout, unreachableTimeout+maxBackoff)
 		f.nodes["a"], f.nodes["b"] = f.connectTimesOut, f.connectTimesOut
 		kind, took := f.submit(time.Minute)
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -36,8 +36,8 @@
 
 	// Temporary errors: the same call may succeed later, or at another node.
 
-	Overloaded  Kind = "overloaded"  // rejected because of load; retry after Error.After
-	Unavailable Kind = "unavailable" // cannot be confirmed now; retry after Error.After
+	Overloaded  Kind = "overloaded"  // rejected because of load; retry after Error.RetryAfter
+	Unavailable Kind = "unavailable" // cannot be confirmed now; retry after Error.RetryAfter
 	NotLeader   Kind = "not_leader"  // another node is the leader; Error.Hint is its address, if known
 	Timeout     Kind = "timeout"     // no response in time: the call may or may not have taken effect
 
@@ -53,9 +53,9 @@
 
 // Reply is the HTTP response to a kind of error.
 type Reply struct {
-	Status int           // HTTP status
-	After  time.Duration // default of Retry-After; 0: the header is not sent
-	Again  bool          // the caller may send the same call again; true if and only if After is set
+	Status     int           // HTTP status
+	RetryAfter time.Duration // default of Retry-After; 0: the header is not sent
+	Retryable  bool          // the caller may send the same call again; true if and only if RetryAfter is set
 }
 
 // replies has an entry for each kind of the closed list.
@@ -67,15 +67,15 @@
 	Conflict:    {Status: http.StatusConflict},
 	Stale:       {Status: http.StatusPreconditionFailed},
 	Forbidden:   {Status: http.StatusForbidden},
-	Overloaded:  {Status: http.StatusTooManyRequests, After: time.Second, Again: true},
-	Unavailable: {Status: http.StatusServiceUnavailable, After: time.Second, Again: true},
-	NotLeader:   {Status: http.StatusMisdirectedRequest, After: time.Second, Again: true},
-	Timeout:     {Status: http.StatusGatewayTimeout, After: time.Second, Again: true},
+	Overloaded:  {Status: http.StatusTooManyRequests, RetryAfter: time.Second, Retryable: true},
+	Unavailable: {Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Retryable: true},
+	NotLeader:   {Status: http.StatusMisdirectedRequest, RetryAfter: time.Second, Retryable: true},
+	Timeout:     {Status: http.StatusGatewayTimeout, RetryAfter: time.Second, Retryable: true},
 	Torn:        {Status: http.StatusInternalServerError},
 	Damaged:     {Status: http.StatusInternalServerError},
 	Disk:        {Status: http.StatusInternalServerError},
 	Settings:    {Status: http.StatusInternalServerError},
-	Stopped:     {Status: http.StatusServiceUnavailable, After: time.Second, Again: true},
+	Stopped:     {Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Retryable: true},
 	Internal:    {Status: http.StatusInternalServerError},
 }
 
@@ -96,9 +96,9 @@
 	Field   string `json:"field,omitempty"` // the invalid field of the call, such as steps[2].tasks; empty: none
 	Message string `json:"message"`         // for people; may change between versions
 	Hint    string `json:"hint,omitempty"`  // NotLeader: address of the leader; empty if unknown
-	// After is how long the caller should wait before a retry, in nanoseconds; 0: Reply.After of the kind.
-	After time.Duration `json:"after,omitempty"`
-	cause error         // nil: none
+	// RetryAfter is how long the caller should wait before a retry, in nanoseconds; 0: Reply.RetryAfter of the kind.
+	RetryAfter time.Duration `json:"after,omitempty"`
+	cause      error         // nil: none
 }
 
 // Error returns the kind, the field, the message and the cause in one line.
@@ -152,8 +152,8 @@
 }
 
 // Of returns the outermost Error in the chain of err, which determines its kind. It returns a new Error of kind
-// Internal if the chain has no Error, and nil if err is nil. The code that created err may set After or Hint in the
-// result.
+// Internal if the chain has no Error, and nil if err is nil. The code that created err may set RetryAfter or Hint in
+// the result.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -15,7 +15,7 @@
 		for _, k := range Kinds() {
 			r := ReplyOf(k)
 			So(http.StatusText(r.Status), ShouldNotBeBlank)
-			So(r.Again, ShouldEqual, r.After > 0)
+			So(r.Retryable, ShouldEqual, r.RetryAfter > 0)
 		}
 		So(ReplyOf("odd"), ShouldResemble, ReplyOf(Internal))
 	})
--- a/internal/errs/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -20,7 +20,7 @@
 	var lines []string
 	for _, k := range append(Kinds(), "no such kind") {
 		r := ReplyOf(k)
-		lines = append(lines, fmt.Sprintf("%s: status %d, retry after %s, again %t", k, r.Status, r.After, r.Again))
+		lines = append(lines, fmt.Sprintf("%s: status %d, retry after %s, again %t", k, r.Status, r.RetryAfter, r.Retryable))
 	}
 	slices.Sort(lines)
 	golden.Compare(t, "enums", golden.Lines("kinds of errors", lines...))
--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -156,7 +156,7 @@
 	}
 	if failure.Kind == errs.Unavailable || failure.Kind == errs.Overloaded {
 		a.mu.Lock()
-		failure.After = time.Duration(1+a.retryJitter.IntN(maxRetryAfter)) * time.Second
+		failure.RetryAfter = time.Duration(1+a.retryJitter.IntN(maxRetryAfter)) * time.Second
 		a.mu.Unlock()
 	}
 	return errs.Pass(&failure, "client")
--- a/internal/httpapi/jobsapi/calls_test.go
+++ b/internal/httpapi/jobsapi/calls_test.go
@@ -85,8 +85,8 @@
 // withServer runs test with a server that passes all calls to core.
 func withServer(core *fakeCore, test func(send sender)) {
 	server := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	ServeClients(server, core, time.Minute)
-	ServeControl(server, core, time.Minute)
+	RegisterClients(server, core, time.Minute)
+	RegisterControl(server, core, time.Minute)
 	So(server.Start(), ShouldBeNil)
 	client := &http.Client{}
 	test(func(method, path, body string) (int, string) {
--- a/internal/httpapi/jobsapi/client_calls.go
+++ b/internal/httpapi/jobsapi/client_calls.go
@@ -42,7 +42,7 @@
 	Next string                  `json:"next,omitempty"`
 }
 
-// ServeClients registers the routes of the clients' calls, which backend executes. timeout bounds each call; 0 means
+// RegisterClients registers the routes of the clients' calls, which backend executes. timeout bounds each call; 0 means
 // defaultTimeout. It must be called before the server starts.
 //
 //	POST   /v2/jobs       200 JobState; idempotent by the job's ID and content
@@ -50,7 +50,7 @@
 //	DELETE /v2/jobs/{id}  200 JobState
 //	GET    /v2/jobs       200 Page; ?queue= &state= &after= &limit= (1 to 1000, 200 if not given)
 //	GET    /v2/queues     200 controller.QueuesAnswer
-func ServeClients(server Router, backend Jobs, timeout time.Duration) {
+func RegisterClients(server Router, backend Jobs, timeout time.Duration) {
 	c := clientCalls{backend: backend}
 	route(server, "POST /v2/jobs", timeout, c.submit)
 	route(server, "GET /v2/jobs", timeout, c.list)
--- a/internal/httpapi/jobsapi/operator_calls.go
+++ b/internal/httpapi/jobsapi/operator_calls.go
@@ -72,7 +72,7 @@
 	Evacuated []string `json:"evacuated"`
 }
 
-// ServeControl registers the routes of the operators' calls and the workers' heartbeats, which backend executes.
+// RegisterControl registers the routes of the operators' calls and the workers' heartbeats, which backend executes.
 // timeout bounds each operator's call; 0 means defaultTimeout. It must be called before the server starts.
 //
 //	GET   /v2/config                    200 Configuration
@@ -83,7 +83,7 @@
 //	GET   /v2/topology                  200 controller.TopologyAnswer
 //	GET   /v2/workers                   200 Workers
 //	POST  /v2/workers/{id}/heartbeat    200 Heartbeat
-func ServeControl(server Router, backend Control, timeout time.Duration) {
+func RegisterControl(server Router, backend Control, timeout time.Duration) {
 	calls := operatorCalls{backend: backend}
 	route(server, "GET /v2/config", timeout, calls.config)
 	route(server, "PUT /v2/config", timeout, calls.configure(parsePut))
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -39,7 +39,7 @@
 	So(err, ShouldBeNil)
 	store := &fakeStore{state.New()}
 	srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-	Serve(srv, store, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
+	Register(srv, store, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
 	So(srv.Start(), ShouldBeNil)
 	t.Cleanup(func() { _ = srv.Stop(time.Second) })
 	c := &accountsServer{store, srv.Addr(), key}
@@ -117,7 +117,7 @@
 		status, raw := c.call("GET", "/v1/accounts/acme", nil)
 		var view internalapi.AccountView
 		So(json.Unmarshal([]byte(raw), &view), ShouldBeNil)
-		So([]any{status, view.Balance, view.ToppedUp, view.Draws, view.Warning}, ShouldResemble,
+		So([]any{status, view.Balance, view.ToppedUp, view.IsDrawing, view.Warning}, ShouldResemble,
 			[]any{200, int64(300), int64(300), false, ""})
 	})
 }
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -12,24 +12,24 @@
 	"crosstide/internal/state/query"
 )
 
-// Signing is the body of POST /v1/bundles/{version}/sign.
-type Signing struct {
+// BundleSignature is the body of POST /v1/bundles/{version}/sign.
+type BundleSignature struct {
 	Order  string `json:"order"`
 	Digest string `json:"sha256"`
 	By     string `json:"by"`
 	Sig    string `json:"sig"`
 }
 
-// Log is the response to GET /v1/bundles, newest version first. Current is the version in force; Newest is the version
-// that a new one must be based on.
-type Log struct {
+// BundleList is the response to GET /v1/bundles, newest version first. Current is the version in force; Newest is the
+// version that a new one must be based on.
+type BundleList struct {
 	Current  uint64           `json:"current"`
 	Newest   uint64           `json:"newest"`
 	Versions []state.Revision `json:"versions"`
 }
 
-// Difference is the response to GET /v1/bundles/{a}/diff/{b}.
-type Difference struct {
+// BundleDiff is the response to GET /v1/bundles/{a}/diff/{b}.
+type BundleDiff struct {
 	From    uint64          `json:"from"`
 	To      uint64          `json:"to"`
 	Changes []bundle.Change `json:"changes"`
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, errs.Field(errs.Invalid, "version", "must be a number, is %q", r.PathValue("version"))
 	}
-	var in Signing
+	var in BundleSignature
 	if err := decode(r, &in, "the body must be {\"order\",\"sha256\",\"by\",\"sig\"}"); err != nil {
 		return nil, errs.Pass(err, "sign")
 	}
@@ -132,9 +132,9 @@
 		}
 		limit = n
 	}
-	var answer Log
+	var answer BundleList
 	err := b.store.Read(r.Context(), func(s *state.State) {
-		answer = Log{s.Bundle.Version, s.Head().Version, query.Revisions(s, limit)}
+		answer = BundleList{s.Bundle.Version, s.Head().Version, query.Revisions(s, limit)}
 	})
 	return answer, errs.Pass(err, "log")
 }
@@ -184,5 +184,5 @@
 		return nil, errs.Pass(err, "diff")
 	}
 	changes, err := bundle.Diff(fromBody, toBody)
-	return Difference{from.Version, to.Version, changes}, errs.Pass(err, "diff")
+	return BundleDiff{from.Version, to.Version, changes}, errs.Pass(err, "diff")
 }
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -59,7 +59,7 @@
 // Once the store has operators, a request that needs a signature and has none fails with Forbidden; before that, orders
 // for zones need none. Errors: Malformed, TooLarge, Forbidden, Invalid, Unknown, Conflict, Overloaded, Unavailable,
 // Timeout (send the same order again).
-func Serve(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
+func Register(srv *rpc.Server, s Store, name func(id string) string, nodes func() []membership.MemberStatus) {
 	serveOrders(srv, s)
 	serveBundles(srv, s)
 	serveRollout(srv, s)
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -56,7 +56,7 @@
 		_, err := store.ProposeOrForward(t.Context(), &command.SetOperators{Operators: public})
 		So(err, ShouldBeNil)
 		srv := rpc.NewServer(rpc.ServerOptions{Addr: "127.0.0.1:0"})
-		Serve(srv, store, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
+		Register(srv, store, func(id string) string { return id }, func() []membership.MemberStatus { return nil })
 		So(srv.Start(), ShouldBeNil)
 		defer func() { _ = srv.Stop(time.Second) }()
 		call := func(method, path string, body []byte) (int, string) {
@@ -88,7 +88,7 @@
 		So(status, ShouldEqual, 409)
 		for _, by := range []string{"ada", "ben"} {
 			digest := signature.Digest([]byte(text))
-			sig := Signing{Order: "s" + by, Digest: digest, By: by, Sig: keys[by].Sign(signature.Bundle(2, digest))}
+			sig := BundleSignature{Order: "s" + by, Digest: digest, By: by, Sig: keys[by].Sign(signature.Bundle(2, digest))}
 			body, err := json.Marshal(sig)
 			So(err, ShouldBeNil)
 			status, raw = call("POST", "/v1/bundles/2/sign", body)
@@ -117,7 +117,7 @@
 		status, raw = call("GET", "/v1/rollout", nil)
 		var rollout Rollout
 		So(json.Unmarshal([]byte(raw), &rollout), ShouldBeNil)
-		So([]any{status, rollout.Version, rollout.Nodes[0].Current, rollout.Nodes[1].Current, rollout.Silent}, ShouldResemble,
+		So([]any{status, rollout.Version, rollout.Nodes[0].Current, rollout.Nodes[1].Current, rollout.Unresponsive}, ShouldResemble,
 			[]any{200, uint64(2), true, false, []string{"c2"}})
 	})
 }
--- a/internal/httpapi/operatorapi/rollout.go
+++ b/internal/httpapi/operatorapi/rollout.go
@@ -22,7 +22,7 @@
 	Version      uint64        `json:"version"`
 	InForceSince time.Time     `json:"in_force,omitzero"`
 	Nodes        []NodeRollout `json:"nodes"`
-	Silent       []string      `json:"silent,omitempty"`
+	Unresponsive []string      `json:"silent,omitempty"`
 }
 
 // NodeRollout is the version of one node. Took is the time from when the version came into force until the node had it,
@@ -59,7 +59,7 @@
 		return answer, errs.Pass(err, "rollout")
 	}
 	nodes, silent := s.Rollout(r.Context())
-	answer.Silent = silent
+	answer.Unresponsive = silent
 	for _, node := range nodes {
 		entry := NodeRollout{NodeBundle: node, Current: node.Version >= answer.Version}
 		if node.Version == answer.Version {
--- a/internal/httpapi/operatorapi/status.go
+++ b/internal/httpapi/operatorapi/status.go
@@ -19,9 +19,9 @@
 	Workers []query.WorkerView `json:"minions"`
 }
 
-// Who is the response to GET /v1/who. Store and Scheduler are the names of the store's leader and of the node with the
-// role sched, empty if no node has the role. Members are the members of the store.
-type Who struct {
+// ClusterStatus is the response to GET /v1/who. Store and Scheduler are the names of the store's leader and of the
+// node with the role sched, empty if no node has the role. Members are the members of the store.
+type ClusterStatus struct {
 	Store     string                    `json:"store"`
 	Scheduler string                    `json:"sched"`
 	Members   []raft.Member             `json:"members"`
@@ -46,8 +46,8 @@
 }
 
 // who returns the response to GET /v1/who without Store and Nodes. Members and Status are set even if it fails.
-func who(ctx context.Context, s Store) (Who, error) {
-	var answer Who
+func who(ctx context.Context, s Store) (ClusterStatus, error) {
+	var answer ClusterStatus
 	err := s.Read(ctx, func(st *state.State) {
 		if role := st.Roles[state.SchedulerRole]; role != nil {
 			answer.Scheduler = role.Holder
--- a/internal/internalapi/account.go
+++ b/internal/internalapi/account.go
@@ -34,8 +34,8 @@
 	Credit      int64         `json:"credit,omitempty"`
 	Runs        int           `json:"runs"`             // runs that the account pays for now
 	Rate        account.Rate  `json:"rate"`             // spending on those runs, in thousandths of a unit per second
-	ExhaustedIn time.Duration `json:"dry_in,omitempty"` // forecast at Rate; 0 with Draws set: it is exhausted
-	Draws       bool          `json:"draws"`            // whether ExhaustedIn is meaningful
+	ExhaustedIn time.Duration `json:"dry_in,omitempty"` // forecast at Rate; 0 with IsDrawing set: it is exhausted
+	IsDrawing   bool          `json:"draws"`            // whether ExhaustedIn is meaningful
 	Warning     string        `json:"warning,omitempty"`
 	Teams       []string      `json:"teams,omitempty"`  // teams that it pays for under the bundle in force
 	Queues      []string      `json:"queues,omitempty"` // queues that it pays for under that bundle
--- a/internal/jobsnode/dataplane.go
+++ b/internal/jobsnode/dataplane.go
@@ -26,15 +26,15 @@
 
 // DataPlaneOptions are the parts and settings of a data-plane node.
 type DataPlaneOptions struct {
-	CoreAddresses []string          // seeds: control-plane nodes called in addition to the known members
-	Via           map[string]string // by address: the address to dial instead
-	Address       string            // listening address for clients
-	// ServeClients adds the endpoints for clients to the server clients; client forwards their calls.
+	ControlPlaneAddresses []string          // seeds: control-plane nodes called in addition to the known members
+	Via                   map[string]string // by address: the address to dial instead
+	Address               string            // listening address for clients
+	// RegisterClients adds the endpoints for clients to the server clients; client forwards their calls.
 	ServeClients func(clients *rpc.Server, client *controller.Client)
 	ReadyAddress string // listening address for readiness checks; empty: Address
 	// ServeReady adds the readiness endpoint to server; check returns nil if the node is ready.
 	ServeReady func(server *rpc.Server, check func() error)
-	// ReadSeeds returns seeds that replace CoreAddresses. If it is nil, CoreAddresses stay in use.
+	// ReadSeeds returns seeds that replace ControlPlaneAddresses. If it is nil, ControlPlaneAddresses stay in use.
 	ReadSeeds   func() ([]string, error)
 	Descriptors int                   // limit of file descriptors; 0: the system's limit
 	Grace       time.Duration         // from the stop signal to the exit; 0: defaultGrace
@@ -78,7 +78,7 @@
 		DialOverrides: opt.Via, Registry: opt.Registry, Logger: n.logger("caller"), Quota: n.quotas.controlPlane,
 	})
 	n.client = controller.NewClient(controller.ClientOptions{
-		Caller: n.caller, Seeds: opt.CoreAddresses, Logger: n.logger("client"),
+		Caller: n.caller, Seeds: opt.ControlPlaneAddresses, Logger: n.logger("client"),
 	})
 	n.readiness.leaderReady, n.readiness.leaderAnswered = n.client.Ready, n.client.CheckLeader
 	n.clientServer = n.newServer(opt.Address, n.quotas.clients)
--- a/internal/jobsnode/dataplane_test.go
+++ b/internal/jobsnode/dataplane_test.go
@@ -62,7 +62,7 @@
 // dataPlaneOptions returns the options of a data-plane node with the given seeds.
 func dataPlaneOptions(seeds ...string) DataPlaneOptions {
 	return DataPlaneOptions{
-		CoreAddresses: seeds, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
+		ControlPlaneAddresses: seeds, Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
 		ServeClients: serveCancel, ServeReady: serveReady,
 		Descriptors: 4000, Grace: 3 * time.Second, Logger: log.NewNopLogger(),
 	}
--- a/internal/rpc/admission.go
+++ b/internal/rpc/admission.go
@@ -53,6 +53,6 @@
 		return nil
 	}
 	err := errs.New(errs.Unavailable, "too many open connections on this node")
-	errs.Of(err).After = retryAfter
+	errs.Of(err).RetryAfter = retryAfter
 	return err
 }
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -14,8 +14,8 @@
 // Call sends call to addr (host:port) and returns the answer. If timeout passes on the client's clock or ctx ends
 // first, also while it waits for a connection or dials, Call resets the connection and fails as Timeout. Other
 // failures: Unavailable for a refused or broken connection; Stopped for a closed client; Malformed for an answer that
-// is not valid JSON for A; and errors that the peer returns, with their kind, field, message, hint and After. IsUnsent
-// tells whether a failed call was not sent, IsRemote whether the peer returned the error. Example:
+// is not valid JSON for A; and errors that the peer returns, with their kind, field, message, hint and RetryAfter.
+// IsUnsent tells whether a failed call was not sent, IsRemote whether the peer returned the error. Example:
 //
 //	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
 func Call[C, A any](
@@ -103,7 +103,7 @@
 	}
 	failure := &errs.Error{Kind: knownKind(b.Kind), Field: b.Field, Message: b.Message, Hint: b.Hint}
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && seconds > 0 {
-		failure.After = time.Duration(seconds) * time.Second
+		failure.RetryAfter = time.Duration(seconds) * time.Second
 	}
 	return &marked[remote]{failure}
 }
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -44,8 +44,8 @@
 		h := newHarness(t)
 		defer h.end(t)
 		_, err := Call(ctx, h.Client, h.Addr(), fail, message{}, time.Second)
-		f := errs.Of(err) // After is rounded up to seconds
-		So([]any{f.Kind, f.Field, f.Message, f.Hint, f.After}, ShouldResemble,
+		f := errs.Of(err) // RetryAfter is rounded up to seconds
+		So([]any{f.Kind, f.Field, f.Message, f.Hint, f.RetryAfter}, ShouldResemble,
 			[]any{errs.NotLeader, "f", "m", "h", 2 * time.Second})
 		_, err = Call(ctx, h.Client, h.Addr(), fail, message{"panic"}, time.Second)
 		So(errs.KindOf(err), ShouldEqual, errs.Internal)
--- a/internal/rpc/connlimiter_test.go
+++ b/internal/rpc/connlimiter_test.go
@@ -94,7 +94,7 @@
 		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
 		err = second.acquire(cancelled)
-		So([]any{errs.KindOf(err), errs.Of(err).After}, ShouldResemble, []any{errs.Overloaded, time.Second})
+		So([]any{errs.KindOf(err), errs.Of(err).RetryAfter}, ShouldResemble, []any{errs.Overloaded, time.Second})
 		So(limiter.Usage()[1].Rejected, ShouldEqual, 1)
 		second.release()
 		So(<-order, ShouldEqual, "first")
--- a/internal/rpc/connquota.go
+++ b/internal/rpc/connquota.go
@@ -74,7 +74,7 @@
 	}
 	q.rejected++
 	err := errs.New(errs.Overloaded, "%s: connection quota exhausted, %d in use", q.name, q.used)
-	errs.Of(err).After = retryAfter
+	errs.Of(err).RetryAfter = retryAfter
 	return err
 }
 
--- a/internal/rpc/harness_test.go
+++ b/internal/rpc/harness_test.go
@@ -55,7 +55,7 @@
 			panic("on purpose")
 		}
 		failure := &errs.Error{
-			Kind: errs.NotLeader, Field: "f", Message: "m", Hint: "h", After: 1500 * time.Millisecond,
+			Kind: errs.NotLeader, Field: "f", Message: "m", Hint: "h", RetryAfter: 1500 * time.Millisecond,
 		}
 		return m, errs.Pass(failure, "more")
 	})
--- a/internal/rpc/respond.go
+++ b/internal/rpc/respond.go
@@ -22,7 +22,7 @@
 // writeFailure is WriteError with an explicit status, which may differ from that of the kind.
 func writeFailure(w http.ResponseWriter, failure *errs.Error, status int) {
 	kind := knownKind(failure.Kind)
-	if after := firstPositive(failure.After, errs.ReplyOf(kind).After); after > 0 {
+	if after := firstPositive(failure.RetryAfter, errs.ReplyOf(kind).RetryAfter); after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10))
 	}
 	if recorder, ok := w.(*responseRecorder); ok {
--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -69,7 +69,7 @@
 		Name: name, Balance: a.Balance, Reserved: a.Reserved, Spent: a.Spent, ToppedUp: a.ToppedUp, Credit: a.Credit,
 		Runs: runs, Rate: a.Rate(), Teams: party.Teams, Queues: party.Queues, Waiting: waiting,
 	}
-	view.ExhaustedIn, view.Draws = a.ExhaustedIn()
+	view.ExhaustedIn, view.IsDrawing = a.ExhaustedIn()
 	view.Warning = balanceWarning(&view, party)
 	return view
 }
@@ -79,7 +79,7 @@
 	switch {
 	case view.Waiting > 0:
 		return fmt.Sprintf("dry: %d jobs wait for a top-up", view.Waiting)
-	case view.Draws && view.ExhaustedIn < party.WarnBefore():
+	case view.IsDrawing && view.ExhaustedIn < party.WarnBefore():
 		return fmt.Sprintf("dry in about %s at the current rate", view.ExhaustedIn.Round(time.Second))
 	}
 	return ""
--- a/internal/store/accounts.go
+++ b/internal/store/accounts.go
@@ -31,7 +31,7 @@
 		gauge(descAccount, float64(account.ToppedUp), account.Name, "topped_up")
 		gauge(descRate, float64(account.Rate)/1000, account.Name)
 		gauge(descAwaitingTopUp, float64(account.Waiting), account.Name)
-		if account.Draws {
+		if account.IsDrawing {
 			gauge(descExhaustedIn, account.ExhaustedIn.Seconds(), account.Name)
 		}
 		warning := 0.0
--- a/internal/store/accounts_test.go
+++ b/internal/store/accounts_test.go
@@ -43,7 +43,7 @@
 	})
 	Convey("Each account has its gauges, and a forecast only while a run draws on it", t, func() {
 		views := []internalapi.AccountView{
-			{Name: "a", Balance: 1, Draws: true, ExhaustedIn: time.Second, Warning: "dry"},
+			{Name: "a", Balance: 1, IsDrawing: true, ExhaustedIn: time.Second, Warning: "dry"},
 			{Name: "b"},
 		}
 		to := make(chan prometheus.Metric, 100)
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -132,7 +132,7 @@
 		if err := json.Unmarshal(response.Body, &failure); err != nil {
 			return false, errs.Wrap(err, errs.Malformed, "decode error of status %d from %s", response.Status, addr)
 		}
-		return errs.ReplyOf(failure.Kind).Again, errs.Field(failure.Kind, failure.Field, "%s", failure.Message)
+		return errs.ReplyOf(failure.Kind).Retryable, errs.Field(failure.Kind, failure.Field, "%s", failure.Message)
 	}
 	if answer == nil {
 		return false, nil
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -62,12 +62,12 @@
 			return opened, errs.Pass(err, "store")
 		},
 		Workers:      func(leases, starts *rpc.Client) scheduler.Workers { return workerapi.NewClient(leases, starts, 0) },
-		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.ServeControl(s, relay, 0) },
+		ServeControl: func(s *rpc.Server, relay *controller.Relay) { jobsapi.RegisterControl(s, relay, 0) },
 	})
 	So(err, ShouldBeNil)
 	dataPlane, err := jobsnode.NewDataPlaneNode(jobsnode.DataPlaneOptions{
-		CoreAddresses: []string{internalAddr}, Address: frontAddr, Logger: logger, Grace: time.Second,
-		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.ServeClients(s, client, 0) },
+		ControlPlaneAddresses: []string{internalAddr}, Address: frontAddr, Logger: logger, Grace: time.Second,
+		ServeClients: func(s *rpc.Server, client *controller.Client) { jobsapi.RegisterClients(s, client, 0) },
 		ServeReady:   func(*rpc.Server, func() error) {}})
 	So(err, ShouldBeNil)
 	s := &testSystem{dir: dir, group: routine.New(context.Background()), stopNodes: stopNodes,
--- a/internal/testbed/jobsworker/host_test.go
+++ b/internal/testbed/jobsworker/host_test.go
@@ -69,7 +69,7 @@
 				rpc.WriteError(w, errs.New(errs.Unavailable, "injected failure"))
 			})
 		})
-		up := serve(func(s *rpc.Server) { jobsapi.ServeControl(s, core, 0) })
+		up := serve(func(s *rpc.Server) { jobsapi.RegisterControl(s, core, 0) })
 		core.leader = up.Addr()
 		settings := Settings{Name: "w", Address: "127.0.0.1:0", Service: "s", Zone: "z", Rack: "r",
 			Labels: []string{"l"}, Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 10, GPUs: 1},
--- a/internal/testbed/rehearsal/scenarios.go
+++ b/internal/testbed/rehearsal/scenarios.go
@@ -139,7 +139,7 @@
 // member with the ID NAME~INCARNATION that is not a learner.
 func (r *caseRun) leaderAfterRepair(ctx context.Context, wiped fleet.Node) (leader string, isRepaired bool) {
 	reply, err := r.Caller.Call(ctx, http.MethodGet, wiped.Addr, "/v1/who", nil, readTimeout)
-	var who operatorapi.Who
+	var who operatorapi.ClusterStatus
 	if err != nil || !reply.IsSuccess() || json.Unmarshal(reply.Body, &who) != nil {
 		return "", false
 	}
