--- a/internal/state/command/policy_bundle.go
+++ b/internal/state/command/policy_bundle.go
@@ -96,7 +96,7 @@
 			author = next.Author
 		}
 		return errs.Field(errs.Conflict, "base",
-			"someone else was first: version %d, by %s, was written against %d; the newest is %d",
+			"conflicting change: version %d, by %s, was written against %d; the newest is %d",
 			base+1, author, base, head.Version)
 	}
 	return nil
@@ -159,7 +159,7 @@
 		return errs.Field(errs.Conflict, "version", "version %d is already in force", revision.Version)
 	case revision.Phase == state.RevisionReplaced:
 		return errs.Field(errs.Conflict, "version",
-			"someone else was first: version %d was replaced, the newest is %d", revision.Version, s.Head().Version)
+			"conflicting change: version %d was replaced, the newest is %d", revision.Version, s.Head().Version)
 	case slices.ContainsFunc(revision.Signed, func(g state.Signature) bool { return g.By == c.By }):
 		return errs.Field(errs.Forbidden, "by",
 			"%s has already signed version %d; another operator must sign too", c.By, revision.Version)
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -53,8 +53,8 @@
 	if s.Accounts == nil || s.Accounts.Accounts[f.Party] == nil {
 		return fmt.Sprintf("party %s has no account", f.Party)
 	}
-	return fmt.Sprintf("party %s has run dry: its balance is %d, a start needs %d; "+
-		"the job goes on by itself after a top-up", f.Party, s.Accounts.Accounts[f.Party].Balance, f.Cost)
+	return fmt.Sprintf("the balance of party %s is insufficient: it is %d, a start needs %d; "+
+		"the job continues automatically after a top-up", f.Party, s.Accounts.Accounts[f.Party].Balance, f.Cost)
 }
 
 // IsRestart reports whether a task is long-running and has been started before.
@@ -109,7 +109,7 @@
 	}
 }
 
-// UseAccounts sets the accounts of the state and of its job table.
+// SetAccounts sets the accounts of the state and of its job table.
 func (s *State) SetAccounts(accounts *account.Table) {
 	s.Accounts = accounts
 	s.JobTable.Payments = tablePayments{s}
--- a/internal/state/query/accounts.go
+++ b/internal/state/query/accounts.go
@@ -78,9 +78,9 @@
 func balanceWarning(view *internalapi.AccountView, party state.Party) string {
 	switch {
 	case view.Waiting > 0:
-		return fmt.Sprintf("dry: %d jobs wait for a top-up", view.Waiting)
+		return fmt.Sprintf("balance exhausted: %d jobs wait for a top-up", view.Waiting)
 	case view.IsDrawing && view.ExhaustedIn < party.WarnBefore():
-		return fmt.Sprintf("dry in about %s at the current rate", view.ExhaustedIn.Round(time.Second))
+		return fmt.Sprintf("balance exhausted in about %s at the current rate", view.ExhaustedIn.Round(time.Second))
 	}
 	return ""
 }
@@ -118,8 +118,8 @@
 	for _, other := range s.Jobs {
 		if other.Phase == state.JobRunning && s.PartyOf(other) == party && isPaidBefore(s, other, job) &&
 			s.UnpaidReason(other) != "" {
-			return fmt.Sprintf("party %s is dry for a job that goes before this one; "+
-				"the job goes on by itself after a top-up", party)
+			return fmt.Sprintf("the balance of party %s is reserved for a job with precedence; "+
+				"the job continues automatically after a top-up", party)
 		}
 	}
 	return ""
--- a/internal/testbed/policyworker/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -174,7 +174,7 @@
 func (h *Host) serveRenewLease(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
-		rpc.WriteError(w, errs.Field(errs.Invalid, "method", "%s is not allowed", r.Method))
+		rpc.WriteError(w, errs.Field(errs.Invalid, "method", "%s is not allowed at this path", r.Method))
 		return
 	}
 	raw, err := rpc.ReadBody(r, rpc.MaxBody)
