--- a/internal/account/doc.go
+++ b/internal/account/doc.go
@@ -11,5 +11,5 @@
 // every node that applied the same entries. It reads no clock; every change carries its time. All amounts are in whole
 // units. It has no lock; the owner of the enclosing state.State serializes all access.
 //
-// Begin with Table (table.go), then Table.Reserve (reservation.go) and Table.Renew (renewal.go).
+// Entry point: Table (table.go), then Table.Reserve (reservation.go) and Table.Renew (renewal.go).
 package account
--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -6,7 +6,7 @@
 // clock and no settings, and the meaning of an older text never changes. A text that was accepted once must be accepted
 // by every later version of this package.
 //
-// Begin with Parse.
+// Entry point: Parse.
 package bundle
 
 import (
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -18,6 +18,6 @@
 // The package does not decide where a run is placed and holds no state that a new leader needs: all such state is
 // committed to the store before it is acknowledged.
 //
-// Start reading at leader.go (the loop), then orders.go (actions), heartbeat.go, commands.go and queries.go (calls),
+// Entry point: leader.go (the loop), then orders.go (actions), heartbeat.go, commands.go and queries.go (calls),
 // and client_call.go (retries on the caller's side).
 package controller
--- a/internal/controller/scheduler/doc.go
+++ b/internal/controller/scheduler/doc.go
@@ -35,5 +35,5 @@
 // unconfirmed until its worker answers a renewal under the new term, whose lists have the run or don't.
 //
 // Variable names are uniform in the package: w is a *worker, r a *run, n a *node, u a *unit, j a *jobs.Job of the
-// table, and rec the record of a worker or job. Core.Pass is the entry point to the code.
+// table, and rec the record of a worker or job. Entry point: Core.Pass.
 package scheduler
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -3,7 +3,7 @@
 // what a daemon serves.
 //
 // A main function makes a Program or a Service for its settings type; its Serve builds the daemon's parts and passes
-// them to Lifecycle.Run. Start reading there.
+// them to Lifecycle.Run, the entry point.
 package daemon
 
 import (
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -1,11 +1,11 @@
-// Package dataplane is the runtime of a data plane node of the policy deployment. It keeps a replica of the store,
+// Package dataplane is the runtime of a data-plane node of the policy deployment. It keeps a replica of the store,
 // competes for the role `sched`, runs the scheduler while it has the role, and serves the reads and commits of the
 // clients' API. It makes no decisions itself: package scheduler decides on which worker a run is placed, and the store
 // is authoritative for all state.
 //
 // Start starts three loops: claimRoleLoop claims the role and renews its lease, passLoop runs the scheduler's passes
 // and carries out the resulting actions, and readIndexer.run asks the leader for the index that the replica must reach
-// before a read. In parallel, the replica follows a control plane node. Start reading at Node.Start, then role.go,
+// before a read. In parallel, the replica follows a control-plane node. Entry point: Node.Start, then role.go,
 // passes.go and requests.go.
 //
 // The scheduler is guarded by the replica's lock: a change of the replica reaches it in the same critical section.
@@ -49,7 +49,7 @@
 	WorkerCaller *rpc.Client
 }
 
-// Node is a data plane node of the policy deployment. Its methods except Start and Stop are safe for concurrent use.
+// Node is a data-plane node of the policy deployment. Its methods except Start and Stop are safe for concurrent use.
 type Node struct {
 	opt          Options
 	controlPlane *controlPlaneClient
--- a/internal/dataplane/scheduler/records.go
+++ b/internal/dataplane/scheduler/records.go
@@ -80,7 +80,7 @@
 func (w *worker) clockAt(now time.Duration) time.Duration { return w.clock + (now - w.heardAt) }
 
 // obeys reports whether the worker is of the kind that executes a start order whenever it arrives, without checking
-// its StartBy, run ID and incarnation. Config.Lateness bounds how late that may be.
+// its StartBy, run ID and incarnation. Config.MaxOrderDelay bounds how late that may be.
 func (w *worker) obeys() bool { return w.kind == "obey" }
 
 // StateChanged updates the records after a change of the replica. The owner must call it under the same lock as the
--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -1,7 +1,7 @@
-// Package clientapi is the clients' API of the policy deployment, served by every data plane node: submit a job, read
+// Package clientapi is the clients' API of the policy deployment, served by every data-plane node: submit a job, read
 // one, list jobs, cancel jobs. A node that cannot confirm that its state is current answers 503, never 404.
 //
-// Begin with Register, which registers the routes; jobs.go and list.go have their handlers. parse.go parses and
+// Entry point: Register, which registers the routes; jobs.go and list.go have their handlers. parse.go parses and
 // validates a job. The package keeps no state of jobs: it reads and commits through Store.
 package clientapi
 
--- a/internal/httpapi/operatorapi/operatorapi.go
+++ b/internal/httpapi/operatorapi/operatorapi.go
@@ -1,9 +1,9 @@
-// Package operatorapi is the operators' API of the policy deployment, served by every control plane node: policy
+// Package operatorapi is the operators' API of the policy deployment, served by every control-plane node: policy
 // bundles, zones, workers, members and accounts. Any node accepts orders, which the leader commits; reads include every
 // commit made before the call. The package keeps no state: it reads and commits through Store.
 //
-// Begin with Serve, which registers all routes. Their handlers are in orders.go (orders whose target is in the path),
-// bundle.go, rollout.go, account.go and status.go.
+// Entry point: Register, which registers all routes. Their handlers are in orders.go (orders whose target is in the
+// path), bundle.go, rollout.go, account.go and status.go.
 package operatorapi
 
 import (
@@ -33,7 +33,7 @@
 	Rollout(ctx context.Context) (nodes []internalapi.NodeBundle, silent []string)
 }
 
-// Serve registers the routes:
+// Register registers the routes:
 //
 //	POST /v1/bundles?order=ID&base=V&by=NAME&sig=S        body: the exact bytes; a draft based on the newest version V
 //	POST /v1/bundles/patch?order=ID&base=V&by=NAME&sig=S  body: a JSON merge patch on V
--- a/internal/httpapi/operatorapi/rollout.go
+++ b/internal/httpapi/operatorapi/rollout.go
@@ -17,7 +17,7 @@
 }
 
 // Rollout is the response to GET /v1/rollout: the version in force, since when it is in force, and the version of each
-// node. Silent lists the members of the store that did not answer.
+// node. Unresponsive lists the members of the store that did not answer.
 type Rollout struct {
 	Version      uint64        `json:"version"`
 	InForceSince time.Time     `json:"in_force,omitzero"`
@@ -26,7 +26,7 @@
 }
 
 // NodeRollout is the version of one node. Took is the time from when the version came into force until the node had it,
-// by the clocks of two control plane nodes; 0 while the node has another version.
+// by the clocks of two control-plane nodes; 0 while the node has another version.
 type NodeRollout struct {
 	internalapi.NodeBundle
 	Current bool          `json:"current"`
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -6,7 +6,7 @@
 // Deadlines are times of the worker's own clock, so clocks of different machines are never compared. Every call has the
 // leader's fencing token: a worker refuses a call whose token is lower than one that it has seen.
 //
-// Begin with the endpoints at the end of workerapi.go, then Client.
+// Entry points: the endpoints at the end of workerapi.go, then Client.
 package workerapi
 
 import (
--- a/internal/internalapi/join.go
+++ b/internal/internalapi/join.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/rpc"
 )
 
-// Discover asks a control plane node which cluster it knows. A node with an empty data folder makes this call first, to
+// Discover asks a control-plane node which cluster it knows. A node with an empty data folder makes this call first, to
 // find out whether a cluster exists already.
 var Discover = rpc.Endpoint[DiscoverCall, DiscoverAnswer]{Path: "/x/found"}
 
--- a/internal/internalapi/lease.go
+++ b/internal/internalapi/lease.go
@@ -95,7 +95,7 @@
 	Why   string `json:"why"` // epoch, boot, run ID, floor, late, room, label, drain
 }
 
-// AnnounceWorker is a worker's announcement to any data plane node, repeated every few seconds: POST /v1/minions.
+// AnnounceWorker is a worker's announcement to any data-plane node, repeated every few seconds: POST /v1/minions.
 var AnnounceWorker = rpc.Endpoint[AnnounceWorkerCall, AnnounceWorkerAnswer]{Path: "/v1/minions"}
 
 // AnnounceWorkerCall describes a worker: its address, location, labels and capacity.
--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -13,5 +13,5 @@
 // which never change.
 //
 // The records are declared in jobs.go, the changes in changes.go; the method that applies a change is in the file named
-// after it. Begin with Table (table.go) and Table.Progress (progress.go).
+// after it. Entry points: Table (table.go) and Table.Progress (progress.go).
 package jobs
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -11,7 +11,7 @@
 // serializes all access. The order of the fields is the order of the keys in snapshots.
 type Table struct {
 	Jobs      map[string]*Job    `json:"jobs"`                // by ID; deleted by Purge
-	Workers   map[string]*Worker `json:"workers"`             // by ID; deleted by Progress.Forget
+	Workers   map[string]*Worker `json:"workers"`             // by ID; deleted by Progress.RemoveWorkers
 	Config    Config             `json:"config"`              // in force
 	Evacuated map[string]bool    `json:"evacuated,omitempty"` // zones being evacuated; no false values
 	Sequence  uint64             `json:"seq"`                 // of the newest accepted job
--- a/internal/jobsnode/doc.go
+++ b/internal/jobsnode/doc.go
@@ -8,5 +8,5 @@
 // defines no wire format: functions in the options add the endpoints for clients, workers and operators. A constructor
 // builds a node and, for a control-plane node, opens its store; Run serves and returns after a graceful shutdown.
 //
-// Start reading at NewControlPlaneNode and ControlPlaneNode.stop, then NewDataPlaneNode and DataPlaneNode.stop.
+// Entry points: NewControlPlaneNode and ControlPlaneNode.stop, then NewDataPlaneNode and DataPlaneNode.stop.
 package jobsnode
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -11,7 +11,7 @@
 // HandleShuffle, which returns the answer. Node is that owner: it has the clock, the goroutines and the mutex, and
 // sends through Options.Send.
 //
-// Start reading at core.go and shuffle.go; merge.go has the rules by which a newer version replaces an older one.
+// Entry points: core.go and shuffle.go; merge.go has the rules by which a newer version replaces an older one.
 package membership
 
 import "cmp"
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -25,7 +25,7 @@
 // At the first start of a cluster every bootstrap member passes Bootstrap(members) to New. This must happen only at
 // the explicit request of an operator.
 //
-// Start reading at Core (core.go) and Step (step.go). The rules of each role are in election.go, leader.go,
+// Entry points: Core (core.go) and Step (step.go). The rules of each role are in election.go, leader.go,
 // replication.go and follower.go; the operations on a leader in propose.go, membership.go and transfer.go; the output
 // in ready.go.
 package raft
@@ -81,8 +81,9 @@
 	Vote string `json:"v,omitempty"` // the candidate this node voted for in Term; empty: none
 	// Leader is the leader of Term, set once this node has become it or followed it; empty: unknown.
 	Leader string `json:"l,omitempty"`
-	// Blank is set while this node may have forgotten votes that it cast under its ID: it started with an empty folder,
-	// and no committed member set has it as a learner yet. A blank node neither votes nor campaigns.
+	// VotesUnknown is set while this node may have forgotten votes that it cast under its ID: it started with an empty
+	// folder, and no committed member set has it as a learner yet. Such a node is blank: it neither votes nor
+	// campaigns.
 	VotesUnknown bool `json:"b,omitempty"`
 	// Commit is a lower bound of the commit index. It is stored along with entries, so that a restarted node can apply
 	// them before it receives a message from a leader.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -6,7 +6,7 @@
 // reads with View, or with Lock if it needs the state for longer. A caller that must see its own write calls
 // WaitForIndex first.
 //
-// Start reading at Replica; pull.go implements the pulling.
+// Entry point: Replica; pull.go implements the pulling.
 package replica
 
 import (
--- a/internal/state/command/doc.go
+++ b/internal/state/command/doc.go
@@ -11,5 +11,5 @@
 // The files named policy_* belong to the policy deployment, those named jobs_* to the jobs deployment, whose changes
 // and checks are in package jobs; members, operators, orders and accounts serve both.
 //
-// Start reading at Command and Apply (entry.go), then Plan (policy_plan.go), which carries the scheduler's decisions.
+// Entry points: Command and Apply (entry.go), then Plan (policy_plan.go), which carries the scheduler's decisions.
 package command
--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -67,8 +67,8 @@
 	return nil, nil
 }
 
-// JobProgress records decisions of the scheduler and reports of workers; the answer is jobs.Started. It is rejected if
-// its log entry has another term than the one in which it was decided.
+// JobProgress records decisions of the scheduler and reports of workers; the answer is jobs.ProgressResult. It is
+// rejected if its log entry has another term than the one in which it was decided.
 type JobProgress struct{ jobs.Progress }
 
 // Op returns "job-progress".
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -14,11 +14,11 @@
 // same entries; package query reads it. The package therefore reads no clock (State.At is the store time) and uses no
 // random numbers, and it sorts the keys of a map wherever their order could affect a record, an event or an answer.
 //
-// State has no lock. Its owner serializes all access: package store on a control plane node, which holds a second State
-// for writing snapshots, and package replica on a data plane node.
+// State has no lock. Its owner serializes all access: package store on a control-plane node, which holds a second State
+// for writing snapshots, and package replica on a data-plane node.
 //
 // Records are stored under the JSON names of their tags; those names and the strings of the phases are part of the
 // stored data and never change. Unexported fields are indexes: Decode rebuilds them, Encode leaves them out.
 //
-// Start reading at State (state.go), then TaskPhase and its transitions (task.go, transition.go).
+// Entry point: State (state.go), then TaskPhase and its transitions (task.go, transition.go).
 package state
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -49,7 +49,7 @@
 
 	Evacuated map[string]time.Time `json:"evacuated"` // zone to the start of its evacuation
 
-	// Successors are the control plane nodes that may join in another's place, by an operator's order: new name to old.
+	// Successors are the control-plane nodes that may join in another's place, by an operator's order: new name to old.
 	Successors map[string]string `json:"successors,omitempty"`
 
 	// LiftSignatures maps each evacuated zone to the operators who have signed for lifting its evacuation.
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -11,7 +11,7 @@
 // unusable, as it is unknown which data is durable. After a write that failed because the disk was full, Resume makes
 // the Store usable again.
 //
-// Start reading at open.go (recovery of a folder) and append.go. snapshot.go writes and reads snapshots; record.go and
+// Entry points: open.go (recovery of a folder) and append.go. snapshot.go writes and reads snapshots; record.go and
 // snapshotfile.go define the formats, logstate.go the meaning of a sequence of records. disk.go has the interface of a
 // folder; osdisk.go and memdisk.go implement it.
 package storage
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,9 +24,7 @@
 //
 // In the deterministic simulator a ManualDriver (manual.go) runs the steps of all these goroutines on a single one.
 //
-// # Where to start reading
-//
-// Read Store, then Store.pass in loop.go, one iteration of the loop. From there:
+// Entry point: Store, then Store.pass in loop.go, one iteration of the loop. From there:
 //
 //	a command        Propose (propose.go), proposals (proposals.go), pass, the core, the disk writers of a majority
 //	                 (diskwriter.go), Store.apply (apply.go), and again Propose, which returns the outcome
@@ -143,7 +141,7 @@
 // Open reads the folder and returns a store that neither sends nor votes before Start. Failures: Settings, Disk,
 // Damaged. Example:
 //
-//	s, err := store.Open(store.Options{Settings: settings, Disk: disk, Net: store.NetworkOf(client, settings),
+//	s, err := store.Open(store.Options{Settings: settings, Disk: disk, Net: store.NewNet(client, settings),
 //		Fatal: die})
 //	s.Serve(server)
 //	s.Start()
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -2,7 +2,7 @@
 // and fault injection wrote during a run of the testbed. It trusts no daemon: Check is a pure function over a History
 // of journal lines, to which CheckFleet adds the answers of the public API at the end of the run.
 //
-// Begin with the table checks. Each invariant is one function, in the file of its subject: runs (spans.go, runs.go),
+// Entry point: the table checks. Each invariant is one function, in the file of its subject: runs (spans.go, runs.go),
 // placement (placement.go), drains and evacuations (windows.go), jobs (jobs.go) and bundle versions (versions.go).
 // MeasureOutage and Lags measure durations and check nothing.
 package audit
--- a/internal/testbed/faults/target.go
+++ b/internal/testbed/faults/target.go
@@ -2,7 +2,7 @@
 // processes, has the network proxy cut links, and evacuates zones. Each fault is journaled in DIR/journal for the
 // audit: the loss of a process with a time before it happens, an operator's order once it is acknowledged.
 //
-// Begin with Open, which returns the fleet as a Target, and the Target's methods. The package generates no load and
+// Entry point: Open, which returns the fleet as a Target, and the Target's methods. The package generates no load and
 // checks no invariants.
 package faults
 
--- a/internal/testbed/jobssim/node.go
+++ b/internal/testbed/jobssim/node.go
@@ -10,7 +10,7 @@
 	"crosstide/internal/jobs"
 )
 
-// node is a control plane node: a replica of the job table and a scheduler.Core, driven as by controller.Leader.
+// node is a control-plane node: a replica of the job table and a scheduler.Core, driven as by controller.Leader.
 type node struct {
 	sim         *simulator
 	name        string
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -4,7 +4,7 @@
 // defines a duration and an outcome.
 //
 // Host is the process: it serves the calls, sends the heartbeats and advances its core at the core's deadlines. The
-// core makes all decisions. Start reading at core.Advance and core.Start.
+// core makes all decisions. Entry points: core.Advance and core.Start.
 package jobsworker
 
 import (
--- a/internal/testbed/netproxy/proxy.go
+++ b/internal/testbed/netproxy/proxy.go
@@ -1,9 +1,9 @@
 // Package netproxy is the network proxy of the testbed: a TCP proxy on the link between any two nodes. While a fault is
 // active, it drops bytes without a reset, or delays them.
 //
-// Begin with Run, which listens on every link and on a control port. Each connection (connection.go) asks the faultSet
-// (fault.go) for the effect of the active faults on each read. A call to the control port adds a Fault, which ends
-// after its duration. The proxy parses no protocol: it neither drops single calls nor changes bytes.
+// Entry point: Run, which listens on every link and on a control port. Each connection (connection.go) asks the
+// faultSet (fault.go) for the effect of the active faults on each read. A call to the control port adds a Fault, which
+// ends after its duration. The proxy parses no protocol: it neither drops single calls nor changes bytes.
 package netproxy
 
 import (
--- a/internal/testbed/policysim/invariants.go
+++ b/internal/testbed/policysim/invariants.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/state"
 )
 
-// invariants are the names of the invariants that every run checks, and the keys of Report.Promise.
+// invariants are the names of the invariants that every run checks, and the keys of Report.Cases.
 var invariants = []string{
 	"once at a time", "not after it ended well", "newer ticket", "fence", "decided in office", "rebuilt", "durable",
 	"ordered once", "not late", "cancelled starts nothing", "known", "done", "not idle beside room", "not passed over",
--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -3,7 +3,7 @@
 //
 // Core is a step function: RenewLease, Tick, Drain and AnswerLost are its inputs, Actions its results. Host runs one or
 // many cores in a process on a real clock; the simulator internal/testbed/policysim drives the same Core on a virtual
-// one. Start reading at Core.process and Core.RenewLease.
+// one. Entry points: Core.process and Core.RenewLease.
 package policyworker
 
 import (
