--- a/internal/controller/client_call.go
+++ b/internal/controller/client_call.go
@@ -92,9 +92,9 @@
 // attemptTimeout returns the maximum duration of one attempt.
 func (c *Client) attemptTimeout(req request) time.Duration {
 	if req.isLarge {
-		return largeFactor * c.opt.Attempt
+		return largeFactor * c.opt.AttemptTimeout
 	}
-	return c.opt.Attempt
+	return c.opt.AttemptTimeout
 }
 
 // callTimeout returns the maximum duration of a call. It ends answerMargin, or a tenth of the remaining time if that is
@@ -122,7 +122,7 @@
 	if s.lastErr != nil {
 		reason += ", last error: " + string(errs.KindOf(s.lastErr))
 	}
-	return &errs.Error{Kind: kind, Message: reason, After: retryAfter}
+	return &errs.Error{Kind: kind, Message: reason, RetryAfter: retryAfter}
 }
 
 // refusal returns the error of a call that the leader refused. errs.Overloaded becomes errs.Timeout if an earlier
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -13,7 +13,7 @@
 	// Of the replica.
 	Index, Changes, Bytes, Snapshots uint64
 	Jobs, Handles, Workers, Inbox    int
-	RunningCounts                    map[string]int // number of handles by task type
+	HandlesByType                    map[string]int // number of handles by task type
 
 	// Of the scheduler.
 	Phase              scheduler.Phase
@@ -31,7 +31,7 @@
 	v := metricValues{
 		Index: st.Index, Changes: n.replica.Changes, Bytes: n.replica.Bytes, Snapshots: n.replica.Snapshots,
 		Jobs: len(st.Jobs), Handles: len(st.Handles), Workers: len(st.Workers), Inbox: len(st.Inbox),
-		RunningCounts: st.RunningCounts(),
+		HandlesByType: st.HandlesByType(),
 
 		Phase: n.scheduler.Phase(), Epoch: n.scheduler.Epoch(), QueueLength: n.scheduler.QueueLength(),
 		Counts: n.scheduler.Counts, UnhealthyWorkers: n.scheduler.UnhealthyWorkers(),
@@ -78,17 +78,17 @@
 	counter("sched_plan_failures_total", "Plans without a valid answer.",
 		func(v metricValues) uint64 { return v.Counts.PlanFailures }),
 	counter("sched_run_ids_total", "Run IDs assigned by the store.",
-		func(v metricValues) uint64 { return v.Counts.RunIDs }),
+		func(v metricValues) uint64 { return v.Counts.RunIDsAssigned }),
 	counter("sched_refused_total", "Starts refused by the store or a worker.",
-		func(v metricValues) uint64 { return v.Counts.Refused }),
-	counter("sched_sent_total", "Start orders sent.", func(v metricValues) uint64 { return v.Counts.Sent }),
+		func(v metricValues) uint64 { return v.Counts.StartsRefused }),
+	counter("sched_sent_total", "Start orders sent.", func(v metricValues) uint64 { return v.Counts.StartOrders }),
 	counter("sched_ends_total", "Ends of runs reported by workers.",
 		func(v metricValues) uint64 { return v.Counts.Ended }),
 	counter("sched_end_failures_total", "Ends of runs reported by workers as failed.",
 		func(v metricValues) uint64 { return v.Counts.FailedEnds }),
 	counter("sched_doubts_total", "Runs for which it was unknown whether they had started.",
 		func(v metricValues) uint64 { return v.Counts.Unconfirmed }),
-	counter("sched_stops_total", "Stop orders sent.", func(v metricValues) uint64 { return v.Counts.Stops }),
+	counter("sched_stops_total", "Stop orders sent.", func(v metricValues) uint64 { return v.Counts.StopOrders }),
 	counter("sched_call_failures_total", "Lease calls to workers without an answer.",
 		func(v metricValues) uint64 { return v.Counts.CallFailures }),
 	counter("sched_crossed_total", "Answers of workers dropped as stale.",
@@ -151,7 +151,7 @@
 	for kind, runs := range v.Counts.ProvedDead {
 		ch <- prometheus.MustNewConstMetric(c.provedDead, prometheus.CounterValue, float64(runs), string(kind))
 	}
-	for taskType, runs := range v.RunningCounts {
+	for taskType, runs := range v.HandlesByType {
 		ch <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(runs), taskType)
 	}
 }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -35,7 +35,7 @@
 // it, possibly no node could win an election: this one would not campaign, and it grants no vote to a node whose log
 // lacks that entry. The current set always decides whose votes count, so a removed node does not count its own.
 func (c *Core) promotable() bool {
-	return !c.hardState.Blank && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
+	return !c.hardState.VotesUnknown && slices.ContainsFunc(c.configurations, func(conf configuration) bool {
 		return isVoter(conf.members, c.cfg.ID)
 	})
 }
@@ -154,7 +154,7 @@
 
 // onPreVote replies whether this node would vote for the sender in m.Term. A blank node does not reply.
 func (c *Core) onPreVote(m Message) {
-	if c.hardState.Blank {
+	if c.hardState.VotesUnknown {
 		return
 	}
 	c.releaseStickiness(m)
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -64,7 +64,7 @@
 	if meta.Term > c.hardState.Term {
 		c.becomeFollower(meta.Term, "")
 	}
-	c.clearBlank(meta.Members)
+	c.clearVotesUnknown(meta.Members)
 	if c.leader != "" {
 		// Sent is never: this answers no message of the leader, so it must not extend the lease.
 		c.reply(Message{From: c.leader, Sent: never}, Message{Kind: SnapshotReply, Match: meta.Index})
