--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -33,11 +33,11 @@
 	settings := &cli.StringFlag{Name: "settings", Usage: "settings `FILE`", Required: true}
 	return []*cli.Command{
 		{Name: "run", Usage: "run until SIGTERM", Action: p.run, Flags: append([]cli.Flag{settings,
-			&cli.StringFlag{Name: "addr", Usage: "`IP:PORT` to listen at, over the settings"},
-			&cli.StringFlag{Name: "zone", Usage: "over the settings"},
-			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error, over the settings"},
-			&cli.DurationFlag{Name: "grace", Usage: "for running calls at the end, over the settings"},
-			&cli.BoolFlag{Name: "pprof", Usage: "show profiles at /debug/pprof/"},
+			&cli.StringFlag{Name: "addr", Usage: "`IP:PORT` to listen at; overrides the settings"},
+			&cli.StringFlag{Name: "zone", Usage: "zone of this node; overrides the settings"},
+			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error; overrides the settings"},
+			&cli.DurationFlag{Name: "grace", Usage: "wait for running calls at shutdown; overrides the settings"},
+			&cli.BoolFlag{Name: "pprof", Usage: "serve profiles at /debug/pprof/"},
 		}, p.Flags...)},
 		{Name: "check", Usage: "print all mistakes in the settings; exit 1 if there are any",
 			Flags: []cli.Flag{settings}, Action: p.check},
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// run starts the shuffles that are due until ctx ends. Each has its own goroutine, so that a slow peer does not delay
-// the next one.
+// run starts each shuffle when it is due, until ctx ends. A shuffle has its own goroutine, so that a slow peer does not
+// delay the next one.
 func (n *Node) run(ctx context.Context) {
 	for {
 		n.mu.Lock()
@@ -130,7 +130,8 @@
 // Serve answers a shuffle of another node. It fails with errs.Invalid if the sender is not a valid member.
 func (n *Node) Serve(_ context.Context, m Message) (Message, error) {
 	if !m.From.isValid() {
-		return Message{}, errs.Field(errs.Invalid, "from", "must have a name and an address, and no oversized field")
+		return Message{}, errs.Field(errs.Invalid, "from",
+			"must have a name and an address, and no text over %d bytes", maxStringBytes)
 	}
 	n.mu.Lock()
 	answer := n.core.HandleShuffle(n.opt.Clock.Now(), m)
