--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -22,7 +22,8 @@
 	Now() time.Duration
 	// Wall returns the time of day, for people and for ages of records, never for leases: it may go back.
 	Wall() time.Time
-	// Set calls fn once, after d, on a goroutine of the clock: fn must not block. The result's Stop cancels the timer.
+	// Set calls fn once, after d, on a goroutine that the clock chooses; fn must not block. The result's Stop cancels
+	// the timer.
 	Set(d time.Duration, fn func()) Stopper
 }
 
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,6 +1,6 @@
 // Package codec decodes JSON that crosstide's own processes encoded: log entries, snapshots and calls between nodes.
-// It uses a fast decoder, as nothing is served while data is decoded: a node decodes a thousand entries before it can
-// serve, and a new leader decodes a call from each of its workers at the same time.
+// It uses a fast decoder because decoding delays service: a node decodes a thousand entries before it can serve, and a
+// new leader decodes a call from each of its workers at the same time.
 //
 // The only function, Decode, validates nothing beyond the types. Bodies from clients, operators and workers are decoded
 // elsewhere, by code that names the invalid field.
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -29,15 +29,15 @@
 	Logger  log.Logger
 	Zone    string
 	Version string
-	Grace   time.Duration // bounds Drain, and then the wait for running calls
+	Grace   time.Duration // limits Drain, and then again the wait for running calls
 
 	Start func()                    // starts the daemon's parts once the server listens
 	Drain func(ctx context.Context) // announces the shutdown to other nodes; its ctx ends after Grace
 	Stop  func()                    // stops the daemon's parts after the server
 }
 
-// Run serves until ctx ends, then drains and stops. It fails only if the server cannot listen, and does not call Start
-// then.
+// Run serves until ctx ends, then drains and stops. It fails only if the server cannot listen; then it calls none of
+// the functions.
 func (l Lifecycle) Run(ctx context.Context) error {
 	if err := l.Server.Start(); err != nil {
 		return errs.Pass(err, "serve")
--- a/internal/internalapi/controlplane.go
+++ b/internal/internalapi/controlplane.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/rpc"
 )
 
-// Raft carries consensus messages between control plane nodes. The answer only confirms their arrival.
+// Raft carries consensus messages between control-plane nodes. The answer only confirms their arrival.
 var Raft = rpc.Endpoint[RaftCall, RaftAnswer]{Path: "/x/quorum"}
 
 // RaftCall is an ordered batch of messages.
@@ -49,7 +49,7 @@
 	Index uint64 `json:"index"`
 }
 
-// Follow returns committed changes that the caller does not have yet. Any control plane node answers it; the answer
+// Follow returns committed changes that the caller does not have yet. Any control-plane node answers it; the answer
 // waits up to Wait for the first change.
 var Follow = rpc.Endpoint[FollowCall, FollowAnswer]{Path: "/x/follow"}
 
@@ -126,7 +126,7 @@
 	TTL    time.Duration `json:"lease"`
 }
 
-// Status asks a control plane node for its state.
+// Status asks a control-plane node for its state.
 var Status = rpc.Endpoint[StatusCall, StatusAnswer]{Path: "/x/status"}
 
 // StatusCall is empty.
--- a/internal/internalapi/join.go
+++ b/internal/internalapi/join.go
@@ -7,7 +7,7 @@
 	"crosstide/internal/rpc"
 )
 
-// Discover asks a control plane node which cluster it knows. A node with an empty data folder makes this call first, to
+// Discover asks a control-plane node which cluster it knows. A node with an empty data folder makes this call first, to
 // find out whether a cluster exists already.
 var Discover = rpc.Endpoint[DiscoverCall, DiscoverAnswer]{Path: "/x/found"}
 
@@ -24,8 +24,9 @@
 	Fresh       bool   `json:"fresh"` // its folder is empty, or bootstrapped without a vote or further entry
 	// Commit is the highest index that it knows to be committed; 1 is the bootstrap entry.
 	Commit uint64 `json:"commit"`
-	// BootstrapIncarnations has the incarnations, by name, of the other nodes that reported to it that they were fresh
-	// before it bootstrapped the cluster. A process that finds its own here has no earlier incarnation in the cluster.
+	// BootstrapIncarnations has, by name, the incarnations of the other nodes that reported to this node that they were
+	// fresh, before it bootstrapped the cluster. A process that finds its own incarnation here had no earlier one in
+	// the cluster.
 	BootstrapIncarnations map[string]string `json:"founders,omitempty"`
 	Digest                string            `json:"digest"` // of the members in its settings
 	// Leader is the address of the leader that it knows in Term, if any. Members is the newest member set that it knows
--- a/internal/internalapi/lease.go
+++ b/internal/internalapi/lease.go
@@ -59,7 +59,7 @@
 	Call        uint64            `json:"call"`
 	Epoch       uint64            `json:"epoch"` // the newest that the worker has seen
 	Incarnation string            `json:"boot"`
-	Clock       time.Duration     `json:"clock"` // the worker's own, of this incarnation; counts suspension
+	Clock       time.Duration     `json:"clock"` // the worker's, in this incarnation; includes suspended time
 	Seen        uint64            `json:"seen"`  // the highest run ID that the worker received in an order
 	Floor       uint64            `json:"floor"` // the highest floor that it received
 	Running     []uint64          `json:"running,omitempty"`
@@ -95,7 +95,7 @@
 	Why   string `json:"why"` // epoch, boot, run ID, floor, late, room, label, drain
 }
 
-// AnnounceWorker is a worker's announcement to any data plane node, repeated every few seconds: POST /v1/minions.
+// AnnounceWorker is a worker's announcement to any data-plane node, repeated every few seconds: POST /v1/minions.
 var AnnounceWorker = rpc.Endpoint[AnnounceWorkerCall, AnnounceWorkerAnswer]{Path: "/v1/minions"}
 
 // AnnounceWorkerCall describes a worker: its address, location, labels and capacity.
--- a/internal/internalapi/membership.go
+++ b/internal/internalapi/membership.go
@@ -5,5 +5,5 @@
 	"crosstide/internal/rpc"
 )
 
-// Shuffle exchanges parts of two nodes' views of the cluster. Every node sends and answers it.
+// Shuffle exchanges parts of two nodes' views of the fleet. Every node sends and answers it.
 var Shuffle = rpc.Endpoint[membership.Message, membership.Message]{Path: "/x/shuffle"}
--- a/internal/jobsnode/controlplane.go
+++ b/internal/jobsnode/controlplane.go
@@ -42,11 +42,11 @@
 	OpenStore    func(ctx context.Context, opt store.Options, logger log.Logger) (*store.Store, error)
 	Scheduler    scheduler.Config
 	JobRetention time.Duration // how long a finished job stays in the table; 0: the controller's default
-	// Workers returns the transport of orders to workers, which sends renewals and stops by one client, starts by the
-	// other. It is not called if OrdersByHeartbeat is set.
+	// Workers returns the transport of orders to workers, which uses the client renewals for lease renewals and stops,
+	// and the client starts for starts. Workers is not called if OrdersByHeartbeat is set.
 	Workers           func(renewals, starts *rpc.Client) scheduler.Workers
 	OrdersByHeartbeat bool   // orders are sent in the answers to workers' heartbeats
-	ControlAddress    string // address for workers and operators
+	ControlAddress    string // listening address for workers and operators
 	// ControlAddressOf returns the control address of the node with the given internal address; workers' heartbeats are
 	// then spread over all nodes. If it is nil, all heartbeats go to the leader.
 	ControlAddressOf func(internal string) string
@@ -192,7 +192,8 @@
 	os.Exit(1)
 }
 
-// Run serves until ctx ends, then transfers leadership and drains. The background functions run while it serves.
+// Run serves until ctx ends, then transfers leadership and drains. The background functions run while it serves. Run
+// fails only if a server cannot start; then it does not run them.
 func (n *ControlPlaneNode) Run(ctx context.Context, background ...func(ctx context.Context)) error {
 	defer n.closeClients()
 	if err := n.start(); err != nil {
--- a/internal/jobsnode/dataplane.go
+++ b/internal/jobsnode/dataplane.go
@@ -18,7 +18,7 @@
 
 const (
 	controlPlaneIdleConns = 64                      // idle connections to each control-plane node
-	drainDelay            = 2500 * time.Millisecond // from not ready to the refusal of calls, as clients still connect
+	drainDelay            = 2500 * time.Millisecond // from reporting not ready to refusing calls: clients still connect
 	exitMargin            = 500 * time.Millisecond  // part of the grace left for the process to exit
 	defaultGrace          = 5 * time.Second
 	seedsInterval         = 10 * time.Second // between reads of the seeds while no leader is known
@@ -101,6 +101,7 @@
 }
 
 // Run serves until ctx ends, then drains the node. changed, which may be nil, signals that the seeds may have changed.
+// Run fails only if a server cannot start.
 func (n *DataPlaneNode) Run(ctx context.Context, changed <-chan os.Signal) error {
 	defer n.caller.Close()
 	if err := n.start(); err != nil {
@@ -142,17 +143,18 @@
 			timer.Stop()
 			return
 		case <-changed:
-			n.readSeeds()
+			n.updateSeeds()
 		case <-due:
 			if n.client.Ready() != nil {
-				n.readSeeds()
+				n.updateSeeds()
 			}
 		}
 		timer.Stop()
 	}
 }
 
-func (n *DataPlaneNode) readSeeds() {
+// updateSeeds reads the seeds and passes them to the client. If the read fails, the client keeps the old ones.
+func (n *DataPlaneNode) updateSeeds() {
 	seeds, err := n.opt.ReadSeeds()
 	if err != nil {
 		_ = level.Warn(n.opt.Logger).Log("msg", "reading seeds failed, old seeds kept", "err", err)
--- a/internal/jobsnode/dataplane_test.go
+++ b/internal/jobsnode/dataplane_test.go
@@ -111,7 +111,7 @@
 		group.Wait()
 		So(cancelJob(node.clientServer.Addr()), ShouldEqual, 0)
 	})
-	Convey("New seeds are read when the settings change", t, func() {
+	Convey("SIGHUP makes the node read its seeds again and call the new ones", t, func() {
 		gate, entered := make(chan struct{}), make(chan struct{}, 10)
 		close(gate)
 		leader, stop := startLeader(gate, entered)
--- a/internal/jobsnode/quotas.go
+++ b/internal/jobsnode/quotas.go
@@ -10,18 +10,18 @@
 // reservedDescriptors is the number of file descriptors kept for the store's files, the listeners and the runtime.
 const reservedDescriptors = 64
 
-// Of a control-plane node's connections, each use has the total divided by its divisor reserved. Any use may take from
-// the rest.
+// Reservations of a control-plane node's connections: the total divided by the divisor is reserved for a use. Any use
+// may take unreserved connections.
 const (
 	peersDivisor    = 16 // calls to other nodes
-	nodesDivisor    = 8  // calls of other nodes
-	controlDivisor  = 4  // heartbeats of workers, operators
+	nodesDivisor    = 8  // calls from other nodes
+	controlDivisor  = 4  // calls from workers, such as heartbeats, and from operators
 	renewalsDivisor = 4  // lease renewals and stops to workers
 	startsDivisor   = 8  // starts to workers
 )
 
-// Of a data-plane node's connections, each use has the total divided by its divisor reserved. Clients may take all of
-// the rest.
+// Reservations of a data-plane node's connections: the total divided by the divisor is reserved for a use. Clients may
+// take all unreserved connections.
 const (
 	controlPlaneDivisor = 8 // calls to control-plane nodes
 	readyDivisor        = 8 // readiness checks
@@ -31,7 +31,7 @@
 // reservation is one use of connections.
 type reservation struct {
 	name    string          // in metrics
-	divisor int             // its quota is the total divided by it
+	divisor int             // the total divided by it is reserved
 	quota   **rpc.ConnQuota // set by reserve
 }
 
@@ -51,9 +51,9 @@
 	return limiter, nil
 }
 
-// controlPlaneQuotas has the quotas of a control-plane node's connections. A connection that becomes free goes to
-// renewals and stops before starts: a lease that is not renewed ends running work, and a gang that cannot be stopped
-// waits for members that never start.
+// controlPlaneQuotas has the quotas of a control-plane node's connections. Waiting calls get connections in the order
+// of the reservations, so renewals and stops come before starts: a lease that is not renewed ends running work, and a
+// gang that cannot be stopped waits for members that never start.
 type controlPlaneQuotas struct {
 	limiter                                 *rpc.ConnLimiter
 	peers, nodes, control, renewals, starts *rpc.ConnQuota
@@ -84,7 +84,7 @@
 }
 
 // maxConnections returns the number of connections that fit into descriptors, or into the system's limit if that is
-// lower or if descriptors is 0.
+// lower or if descriptors is 0. Failure: Settings if that leaves too few for connections.
 func maxConnections(descriptors int) (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -16,7 +16,7 @@
 	// DirectoryTTL is the MemberTTL of directory entries. It is shorter because every message refreshes the directory.
 	DirectoryTTL time.Duration
 	// ShufflesPerSeedVisit is the number of shuffles between two visits to a seed, by control-plane nodes and by nodes
-	// with an empty directory. Other nodes do not visit seeds once they have joined.
+	// with an empty directory. Other nodes visit seeds only to join, and while they have no neighbour to shuffle with.
 	ShufflesPerSeedVisit int
 }
 
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -11,14 +11,14 @@
 // backwards. A Core is not safe for concurrent use.
 type Core struct {
 	cfg        Config
-	self       Member // Age is 0; Heartbeat rises with each message, Incarnation if a newer version of it is received
+	self       Member // Age is 0; Heartbeat rises with each message, Incarnation if a newer version of self is received
 	random     *rand.Rand
 	neighbours []*neighbour          // the partial view: at most ViewSize, names unique, never self
 	directory  []*neighbour          // the known control-plane nodes: at most DirectorySize, names unique, never self
 	tombstones map[string]*tombstone // by name, at most MaxTombstones
 
 	nextShuffle time.Duration
-	round       int // number of shuffles that have been due so far
+	round       int // number of times that Tick was due
 	seeds       seedRotation
 	pending     map[uint64]*pendingCall // calls whose outcome is not known yet, by ID
 	lastCallID  uint64
@@ -99,7 +99,7 @@
 func (c *Core) NextTick() time.Duration { return c.nextShuffle }
 
 // Tick removes expired state and returns the call of a shuffle: with a seed if a visit is due, otherwise with the
-// neighbour whose version is the oldest. It returns no call if it finds neither, nor before NextTick or after Leave.
+// neighbour whose version is the oldest. It returns nil if there is neither, before NextTick, and after Leave.
 func (c *Core) Tick(now time.Duration) []Call {
 	if now < c.nextShuffle || c.leaving {
 		return nil
@@ -108,7 +108,7 @@
 	c.round++
 	c.expire(now)
 	target := c.oldestNeighbour()
-	if addr := c.seedDue(target); addr != "" {
+	if addr := c.takeDueSeed(target); addr != "" {
 		c.Counters.SeedVisits++
 		call := c.newShuffle(now, addr, c.neighbourAt(addr))
 		c.pending[call.ID].isSeedVisit = true
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -255,8 +255,8 @@
 	So(g.isHealthy(), ShouldBeTrue)
 }
 
-func TestFleet_partitionsWithoutSeeds(t *testing.T) {
-	Convey("Two partitions that formed while their seeds were down join once their control planes start", t, func() {
+func TestFleet_controlPlanesStartTogether(t *testing.T) {
+	Convey("Control planes that start together join the nodes that run already, and form no partition", t, func() {
 		f := &fleet{random: rand.New(rand.NewPCG(5, 1)), indexes: map[string]int{}}
 		for _, i := range []int{2, 5, 6, 7} {
 			f.join(i, 1)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,9 +7,10 @@
 )
 
 // The merge functions apply the parts of a received message in a fixed order: departures first, so that a version that
-// has ended is not stored by the same message. now is the current time; at is the time from which the ages in the
-// message are subtracted. reusable has the names of neighbours that were just sent to the other node: if the view is
-// full, a new member replaces the first of them that is still a neighbour, and the name is removed from reusable.
+// has ended is not stored by the same message. Each part is cut to a limit, as a faulty peer may send more. now is the
+// current time; at is the time from which the ages in the message are subtracted. reusable has the names of neighbours
+// that were just sent to the other node: if the view is full, a new member replaces the first of them that is still a
+// neighbour. That name and those before it are removed from reusable.
 
 // mergeCall applies the message of a call. sample has the names of the neighbours in the answer, which new members may
 // replace. The sender is stored first, so that it gets the first place that is free or can be replaced.
@@ -102,8 +103,9 @@
 	}
 }
 
-// addNeighbour stores a member in the directory if it is a control-plane node, and as a neighbour if it is one already,
-// if the view is not full, or if it can replace a neighbour in reusable. A nil reusable permits no replacement.
+// addNeighbour stores a member in the view, and a control-plane node also in the directory. In the view it updates the
+// neighbour of that name. Without one it uses a free place or else replaces a neighbour named in reusable (nil: none).
+// If the directory has a later incarnation of the member, the view gets that one.
 func (c *Core) addNeighbour(now, at time.Duration, member Member, reusable *[]string) {
 	sentAt, ok := c.admit(now, at, member)
 	if !ok {
@@ -173,9 +175,9 @@
 	}
 }
 
-// markLeft removes a member whose incarnation has announced its departure, and adds a tombstone. It ignores departures
-// of an older incarnation than the known one. If the member is this node and this node is not leaving, it raises its
-// own incarnation above that of the member.
+// markLeft removes a member whose incarnation has announced its departure, and adds a tombstone. It ignores the
+// departure of an older incarnation than the known one. If the member is this node, which is not leaving, markLeft
+// raises this node's incarnation above the member's.
 func (c *Core) markLeft(now, at time.Duration, member Member) {
 	if member.Name == c.self.Name && member.Incarnation >= c.self.Incarnation && !c.leaving {
 		c.self.Incarnation, c.self.Heartbeat = member.Incarnation+1, 0
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -18,9 +18,9 @@
 	return r.addrs[r.last]
 }
 
-// seedDue returns the address of the seed to visit in this round, or "" if no visit is due. target is the neighbour to
-// shuffle with otherwise; if it is nil, a visit is always due.
-func (c *Core) seedDue(target *neighbour) string {
+// takeDueSeed returns the address of the seed to visit in this round and schedules the next visit, or returns "" if no
+// visit is due. target is the neighbour to shuffle with otherwise; if it is nil, a visit is always due.
+func (c *Core) takeDueSeed(target *neighbour) string {
 	// A node that joins visits every seed once: nodes that start together may otherwise form a partition.
 	isJoining := c.round <= len(c.seeds.addrs)
 	if target != nil && !isJoining && c.round < c.seeds.nextVisit {
@@ -28,8 +28,8 @@
 	}
 	c.seeds.nextVisit = c.round + c.cfg.ShufflesPerSeedVisit
 	addr := c.seeds.next()
-	// After that, of the nodes with a directory only the few control-plane nodes visit seeds, so that the load on the
-	// seeds does not grow with the fleet.
+	// Of the nodes that have joined and know control-plane nodes, only the few control-plane nodes visit seeds, so that
+	// the load on the seeds does not grow with the fleet.
 	if target == nil || isJoining || c.self.Role == RoleControlPlane || len(c.directory) == 0 {
 		return addr
 	}
--- a/internal/membership/shuffle.go
+++ b/internal/membership/shuffle.go
@@ -79,7 +79,8 @@
 	return answer
 }
 
-// HandleAnswer applies the answer m to the call id. An id that is not pending, such as of an expired call, is ignored.
+// HandleAnswer applies the answer m to the call id. An id that is not pending is ignored: the call may
+// have expired.
 func (c *Core) HandleAnswer(now time.Duration, id uint64, m Message) {
 	call := c.pending[id]
 	if call == nil {
--- a/internal/rpc/addresslimiter.go
+++ b/internal/rpc/addresslimiter.go
@@ -14,7 +14,7 @@
 
 	mu      sync.Mutex           // guards the fields below
 	running map[string]int       // number of concurrent calls by address; no zero entries
-	waiting map[string]waitQueue // by address; a woken call replaces one that ended in running; no empty queues
+	waiting map[string]waitQueue // calls that wait, by address; no empty queues
 }
 
 func newAddressLimiter(limit int) *addressLimiter {
@@ -46,13 +46,14 @@
 	defer l.mu.Unlock()
 	queue = l.waiting[addr]
 	if !queue.leave(acquired) {
-		return nil // woken at the same time as ctx ended: the call may run
+		return nil // release woke the call at the moment when ctx ended: it may run
 	}
 	l.setWaiting(addr, queue)
 	return errs.Wrap(ctx.Err(), errs.Timeout, "wait for earlier calls to %s", addr)
 }
 
-// release ends a call to addr, and starts the one that has waited longest, if any.
+// release ends a call to addr. If others wait, it wakes the one that has waited longest, which takes the place of the
+// ended call: running does not change.
 func (l *addressLimiter) release(addr string) {
 	if l.limit <= 0 {
 		return
--- a/internal/rpc/addresslimiter_test.go
+++ b/internal/rpc/addresslimiter_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAddressLimiter(t *testing.T) {
-	Convey("Calls to an address run in FIFO order, others do not wait; one that never ran is unsent", t, func() {
+	Convey("Calls to one address run in FIFO order, those to others at once; one that never ran is unsent", t, func() {
 		addresses, end := quietPeers(t, 2)
 		defer end()
 		virtual := &clock.Virtual{}
--- a/internal/rpc/admission.go
+++ b/internal/rpc/admission.go
@@ -9,11 +9,12 @@
 )
 
 // admission is a server's admission control: it counts connections in the server's quota. A connection beyond the quota
-// stays open until its first request has been rejected: a client would take a connection that is closed without a
-// response for a node that is down. It is safe for concurrent use.
+// stays open until its first request has been rejected. If it were closed without a response, the client would conclude
+// that the node is down. An admission is safe for concurrent use.
 type admission struct {
 	quota *ConnQuota // nil: every connection is admitted and not counted
-	// admitted maps the peer address of each open connection to whether it was admitted, and so counts in the quota.
+	// admitted has each open connection by its peer's address. The value is true if the connection counts in the quota,
+	// false if its requests are rejected.
 	admitted *xsync.Map[string, bool]
 }
 
@@ -44,7 +45,7 @@
 	}
 }
 
-// check returns errs.Unavailable for a request on a connection that was not admitted.
+// check returns errs.Unavailable if the connection from the address peer was not admitted, nil otherwise.
 func (a admission) check(peer string) error {
 	if a.quota == nil {
 		return nil
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -11,11 +11,12 @@
 	"crosstide/internal/errs"
 )
 
-// Call sends call to addr (host:port) and returns the answer. If timeout passes on the client's clock or ctx ends
-// first, also while it waits for a connection or dials, Call resets the connection and fails as Timeout. Other
-// failures: Unavailable for a refused or broken connection; Stopped for a closed client; Malformed for an answer that
-// is not valid JSON for A; and errors that the peer returns, with their kind, field, message, hint and After. IsUnsent
-// tells whether a failed call was not sent, IsRemote whether the peer returned the error. Example:
+// Call sends call to addr (host:port) and returns the answer. timeout runs on the client's clock and includes the wait
+// for a connection and the dial. If it expires or ctx ends, Call resets the connection and fails as Timeout. Other
+// failures: Unavailable for a refused or broken connection; Stopped for a closed client; TooLarge for a response over
+// ClientOptions.MaxBody; Malformed for an answer that is not valid JSON for A; and errors that the peer returns, with
+// their kind, field, message, hint and After. IsUnsent tells whether a failed call was not sent, IsRemote whether the
+// peer returned the error. Example:
 //
 //	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
 func Call[C, A any](
@@ -90,8 +91,9 @@
 	return buffered[start:]
 }
 
-// decodeError returns the error of a response with a status other than 200. With an error body it is marked for
-// IsRemote; without one, the response came from something between the processes.
+// decodeError returns the error of a response with a status other than 200. An error decoded from an error body is
+// marked for IsRemote. A response without an error body does not come from the peer but from something in between, such
+// as a proxy: its error is Unavailable for a status of 500 or above, otherwise Internal.
 func decodeError(response *http.Response, body []byte) error {
 	var b errorBody
 	if err := json.Unmarshal(body, &b); err != nil || b.Kind == "" {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -24,9 +24,9 @@
 	// connection. Default: the kernel's.
 	UserTimeout       time.Duration
 	DialTimeout       time.Duration         // default 2s
-	DialOverrides     map[string]string     // by address: the one to dial instead, such as a network proxy
+	DialOverrides     map[string]string     // by address: the address to dial instead, as of a network proxy
 	MaxIdlePerAddress int                   // idle connections kept per address, default 16
-	IdleTimeout       time.Duration         // age at which an idle connection is closed, default 1m; servers have 2m
+	IdleTimeout       time.Duration         // idle time after which a connection is closed, default 1m; servers: 2m
 	MaxBody           int64                 // limit of the body of a response in bytes, default MaxBody
 	ReadBuffer        int                   // bytes of the read buffer of each connection, default 4096
 	Logger            log.Logger            // default: none
@@ -96,7 +96,8 @@
 // Close resets every connection, dedicated ones too. Running calls and later ones fail as errs.Stopped.
 func (c *Client) Close() { c.pool.close() }
 
-// dial opens a connection once the client's quota allows one more. It counts in the quota until the pool closes it.
+// dial opens a connection once the client's quota allows one more. The connection counts in the quota until the pool
+// discards it.
 func (c *Client) dial(ctx context.Context, addr string) (*connection, error) {
 	if err := c.opt.Quota.acquire(ctx); err != nil {
 		return nil, errs.Pass(&marked[quotaExhausted]{err}, "dial")
@@ -114,7 +115,7 @@
 	return conn, nil
 }
 
-// connect opens a TCP connection, for which the caller has acquired the quota.
+// connect opens a TCP connection. The caller has acquired the quota for it.
 func (c *Client) connect(ctx context.Context, addr string) (*connection, error) {
 	dialAddr := addr
 	if override := c.opt.DialOverrides[addr]; override != "" {
--- a/internal/rpc/connection.go
+++ b/internal/rpc/connection.go
@@ -72,7 +72,8 @@
 	return err == nil && open && c.reader.Buffered() == 0
 }
 
-// readHead reads the head of the response, and skips interim responses (1xx). The body is read from the response.
+// readHead reads the head of the response and skips interim responses (1xx except 101). The caller reads the body from
+// the result.
 func (c *connection) readHead(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
--- a/internal/rpc/connlimiter_test.go
+++ b/internal/rpc/connlimiter_test.go
@@ -72,7 +72,7 @@
 }
 
 func TestConnLimiter_orderOfWaiters(t *testing.T) {
-	Convey("A released connection goes to a waiter, of the first quota first; a cancelled wait fails", t, func() {
+	Convey("A released connection goes to a waiter of the quota added first; a cancelled wait fails", t, func() {
 		limiter := NewConnLimiter(2)
 		first, err := limiter.NewQuota("first", 0)
 		So(err, ShouldBeNil)
--- a/internal/rpc/connquota.go
+++ b/internal/rpc/connquota.go
@@ -17,12 +17,13 @@
 	name      string
 	reserved  int         // connections that no other quota can use
 	used      int         // connections that are open or being opened
-	waiters   waitQueue   // calls of acquire that wait; a woken one has its connection, which counts in used
+	waiters   waitQueue   // calls of acquire that wait; a call that is woken has a connection, counted in used
 	evictIdle func() bool // closes an idle connection of this quota, see onEvict; nil: idle connections are not kept
 	rejected  uint64      // connections and calls that were rejected
 }
 
-// tryAcquire acquires a connection if one is free, or can be freed by closing idle ones. It does not wait.
+// tryAcquire acquires a connection if one is free, or can be freed by closing idle ones, and reports whether it did. It
+// does not wait.
 func (q *ConnQuota) tryAcquire() bool {
 	if q == nil {
 		return true
@@ -37,7 +38,7 @@
 	}
 }
 
-// takeFree acquires a connection if one is free and no earlier call is waiting.
+// takeFree acquires a connection if one is free and no call is waiting for this quota, and reports whether it did.
 func (q *ConnQuota) takeFree() bool {
 	q.limiter.mu.Lock()
 	defer q.limiter.mu.Unlock()
--- a/internal/rpc/handle.go
+++ b/internal/rpc/handle.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// logFailure logs an error of this node itself, with its causes, which are not sent to the caller.
+// logFailure logs err if its kind is an error of this node itself, such as Disk. The line has the causes of err, which
+// are not sent to the caller.
 func (s *Server) logFailure(path string, err error) {
 	switch errs.KindOf(err) {
 	case errs.Internal, errs.Disk, errs.Damaged, errs.Torn:
--- a/internal/rpc/json.go
+++ b/internal/rpc/json.go
@@ -11,8 +11,8 @@
 // ParseJSON parses the body of a call strictly. The value is valid until the next use of parser. Failure: Malformed;
 // its cause quotes the body.
 //
-// The parser runs before the validator because it limits the nesting depth. The validator, which rejects values that
-// the parser accepts (NaN, invalid escapes), needs time quadratic in the depth, and stack that grows with the depth.
+// The parser runs first because it limits the nesting depth. The validator, which rejects values that the parser
+// accepts (NaN, invalid escapes), has no such limit: its time is quadratic in the depth, and its stack grows with it.
 func ParseJSON(parser *fastjson.Parser, body []byte) (*fastjson.Value, error) {
 	if !utf8.Valid(body) {
 		return nil, errs.New(errs.Malformed, "the body is not UTF-8")
--- a/internal/rpc/nbiolog.go
+++ b/internal/rpc/nbiolog.go
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// boundDescriptors limits the length of nbio's connection tables, which is the number of file descriptors that the
-// process may open. The lowest limit set in the process applies; 0 sets none.
+// boundDescriptors limits the length of nbio's connection tables. nbio's default is the number of file descriptors that
+// the process may open. The lowest limit set in the process applies; a limit of 0 is ignored.
 func boundDescriptors(limit int) {
 	maxOpenFilesMu.Lock()
 	defer maxOpenFilesMu.Unlock()
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -31,11 +31,10 @@
 // exchangeLabel replaces the path of plain requests in the metrics, as the number of their paths is unbounded.
 const exchangeLabel = "exchange"
 
-// Do sends r once to addr (host:port) over a pooled connection and returns the response, whatever its status. If
-// timeout passes on the client's clock or ctx ends first, Do resets the connection and fails as Timeout. Other
-// failures: Unavailable for a refused or broken connection; Stopped for a closed client; Invalid for a request that
-// cannot be encoded; TooLarge for a response over MaxBody. IsUnsent tells whether a failed request was not sent.
-// Example:
+// Do sends r once to addr (host:port) over a pooled connection and returns the response, whatever its status. timeout
+// has the same meaning as for Call. Failures: Timeout; Unavailable for a refused or broken connection; Stopped for a
+// closed client; Invalid for a request that cannot be encoded; TooLarge for a response over ClientOptions.MaxBody.
+// IsUnsent tells whether a failed request was not sent. Example:
 //
 //	response, err := client.Do(ctx, "10.0.0.7:7000", rpc.Request{Method: "GET", Path: "/state"}, time.Second)
 func (c *Client) Do(ctx context.Context, addr string, r Request, timeout time.Duration) (Response, error) {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -4,8 +4,8 @@
 //
 // Handle registers endpoints on a Server, Route other routes; the server then runs from Start to Stop, with a goroutine
 // for each request. A Client makes calls with Call over pooled connections, and with CallDedicated over a connection
-// that nothing else uses. A ConnLimiter limits the connections of all servers and clients of a process. Each of them
-// has its own ConnQuota: a server rejects connections beyond its quota (admission control), a client waits for one.
+// that nothing else uses. A ConnLimiter limits the connections of all servers and clients of a process. Each server and
+// client has its own ConnQuota: a server rejects connections beyond it (admission control), a client waits for one.
 //
 // The server is nbio's nbhttp. The client uses blocking TCP connections of the standard library, not nbhttp's client:
 // that one passes bytes to its event loop, which may keep them in a user-space buffer, while a lease must be checked
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -53,7 +53,7 @@
 	opt      ServerOptions
 	mux      *http.ServeMux // read-only from Start on
 	engine   *nbhttp.Engine
-	requests *routine.Group // runs each request on a goroutine; its context is that of the requests
+	requests *routine.Group // goroutines of the requests; its context is the context of each request
 	metrics  *metrics
 	listener *listener // nil before Start
 	// accepted synchronizes the opening of a connection with its first read: nbio passes a connection from the
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestServer_stopAfterStart(t *testing.T) {
-	Convey("Stop returns right after Start", t, func() {
+	Convey("Stop right after Start returns: no event loop starts too late to see the stop", t, func() {
 		for range 50 {
 			newHarness(t).end(t)
 		}
@@ -124,7 +124,7 @@
 }
 
 func TestServer_startAtTakenAddress(t *testing.T) {
-	Convey("Start at an address that is in use fails immediately, every time", t, func() {
+	Convey("Start at an address that is in use fails, and never waits for a loop that is not running yet", t, func() {
 		first := NewServer(ServerOptions{Addr: "127.0.0.1:0"})
 		So(first.Start(), ShouldBeNil)
 		defer func() { So(first.Stop(0), ShouldBeNil) }()
