--- a/internal/testbed/endtoend/audit.go
+++ b/internal/testbed/endtoend/audit.go
@@ -20,13 +20,14 @@
 	Violations []string               // of invariants; empty if all held
 }
 
-// Evacuation is the period in which a zone was evacuated: from the answer to that order until just before the restore.
+// Evacuation is the period in which no run may start in a zone: from the answer to the evacuate request until just
+// before the restore request is sent.
 type Evacuation struct {
 	Zone     string
 	From, To time.Time
 }
 
-// evacuationGrace is how long after the answer to an evacuation a start order that was sent earlier may still arrive.
+// evacuationGrace is how long after the answer to an evacuate request a start order that was sent earlier may arrive.
 const evacuationGrace = 500 * time.Millisecond
 
 // auditor is an audit in progress: it observes all events in order of time, then checks each job.
@@ -50,7 +51,7 @@
 	began      time.Time
 	reason     jobs.EndReason // empty until it ends
 	resumed    string         // checkpoint that it started from
-	checkpoint string         // at its end
+	checkpoint string         // last one at its end; that of its start if it saved none
 }
 
 func (s *span) hasEnded() bool { return s.reason != "" }
@@ -111,6 +112,7 @@
 	}
 }
 
+// onEnd counts the end of a run and removes the run from those in progress on its worker.
 func (a *auditor) onEnd(e jobsworker.Event) {
 	key, reason := e.Run.Key(), jobs.EndReason(e.Reason)
 	a.report.Ends[reason]++
--- a/internal/testbed/endtoend/audit_jobs.go
+++ b/internal/testbed/endtoend/audit_jobs.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// checkGang checks that every run of a gang that ended done had begun on all members.
+// checkGang checks every run number under which a member of the gang ended done: all members must have begun that run.
 func (a *auditor) checkGang(job string, round, step int) {
 	members := a.specs[job].Steps[step].Count
 	began, isDone := map[int]int{}, map[int]bool{} // by number of the run
@@ -71,11 +71,11 @@
 	return count
 }
 
-// countDone returns how many tasks of a step are done in a round. All members of a gang are done once one is.
+// countDone returns how many tasks of a step are done in a round. Once one member of a gang is done, all count as done.
 func (a *auditor) countDone(job string, round, step int) int {
 	count := 0
 	for index := range a.specs[job].Steps[step].Count {
-		if a.taskDone(jobs.TaskRef{Job: job, Round: round, Step: step, Index: index}) {
+		if a.isDone(jobs.TaskRef{Job: job, Round: round, Step: step, Index: index}) {
 			count++
 		}
 	}
@@ -85,7 +85,8 @@
 	return count
 }
 
-func (a *auditor) taskDone(task jobs.TaskRef) bool {
+// isDone reports whether any run of a task has ended done so far.
+func (a *auditor) isDone(task jobs.TaskRef) bool {
 	taskHistory := a.tasks[task]
 	return taskHistory != nil &&
 		slices.ContainsFunc(taskHistory.spans, func(s *span) bool { return s.reason == jobs.EndDone })
--- a/internal/testbed/endtoend/audit_runs.go
+++ b/internal/testbed/endtoend/audit_runs.go
@@ -8,7 +8,7 @@
 	"crosstide/internal/testbed/jobsworker"
 )
 
-// onStart checks a run that begins and adds it to the auditor's state.
+// onStart adds a run that begins to the auditor's state and checks it against the runs before it.
 func (a *auditor) onStart(e jobsworker.Event) {
 	a.report.Runs++
 	key := e.Run.Key()
@@ -41,8 +41,8 @@
 	for _, before := range taskHistory.spans {
 		switch {
 		case !before.hasEnded():
-			a.violate("%v: run %d began on %s while run %d goes on at %s", s.task, s.number, s.worker, before.number,
-				before.worker)
+			a.violate("%v: run %d began on %s while run %d was in progress on %s", s.task, s.number, s.worker,
+				before.number, before.worker)
 		case before.reason == jobs.EndDone && !a.step(s.task).LongRunning:
 			a.violate("%v: run %d began on %s after run %d was done", s.task, s.number, s.worker, before.number)
 		case before.number >= s.number:
@@ -59,7 +59,7 @@
 	}
 	last := taskHistory.spans[len(taskHistory.spans)-1]
 	if last.hasEnded() && last.checkpoint != s.resumed {
-		a.violate("%v: run %d goes on from %q, run %d had saved %q", s.task, s.number, s.resumed, last.number,
+		a.violate("%v: run %d resumed from %q, but run %d had saved %q", s.task, s.number, s.resumed, last.number,
 			last.checkpoint)
 	}
 }
@@ -77,7 +77,7 @@
 			a.violate("%v began on %s %s after zone %s was evacuated", s.task, s.worker, s.began.Sub(e.From), e.Zone)
 		}
 	}
-	a.checkCapacity(s, worker.Needs, step.MaxPerWorker)
+	a.checkCapacity(s, worker.Needs, step.MaxPerWorker) // Needs of an EventWorkerStart are the worker's capacity
 }
 
 // checkCapacity checks that the runs in progress on a run's worker, including that run, fit its capacity and the
@@ -106,7 +106,7 @@
 	spec := a.specs[s.task.Job]
 	due := spec.FirstRun.Add(time.Duration(s.task.Round) * spec.Interval)
 	if spec.Rounds > 0 && s.began.Before(due) {
-		a.violate("%v began %s before its time", s.task, due.Sub(s.began))
+		a.violate("%v began %s before its round was due", s.task, due.Sub(s.began))
 	}
 	for _, before := range spec.Steps[s.task.Step].After {
 		done, tasks := a.countDone(s.task.Job, s.task.Round, before), spec.Steps[before].Count
--- a/internal/testbed/endtoend/audit_test.go
+++ b/internal/testbed/endtoend/audit_test.go
@@ -96,7 +96,7 @@
 		{"a task runs twice at once", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.succeed("b", runKey(0, 0, 2))
-		}, "goes on at a", nil},
+		}, "was in progress on a", nil},
 		{"a run number is reused", single, func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndStopped)
@@ -131,7 +131,7 @@
 		}, "0 of 1 tasks of step 0 done", nil},
 		{"a round starts before it is due", timed, func(s *eventLog) {
 			s.succeed("a", runKey(0, 0, 1))
-		}, "before its time", nil},
+		}, "before its round was due", nil},
 		{"a round starts when it is due", timed, func(s *eventLog) {
 			s.at = time.Unix(1001, 0)
 			s.succeed("a", runKey(0, 0, 1))
@@ -187,7 +187,7 @@
 			s.start("a", runKey(0, 0, 1))
 			s.endWith("a", runKey(0, 0, 1), jobs.EndStopped, "300")
 			s.succeed("b", runKey(0, 0, 2))
-		}, `goes on from ""`, nil},
+		}, `resumed from "", but run 1 had saved "300"`, nil},
 		{"too few attempts", job(jobs.Failed, smallStep(1)), func(s *eventLog) {
 			s.start("a", runKey(0, 0, 1))
 			s.end("a", runKey(0, 0, 1), jobs.EndFailed)
--- a/internal/testbed/endtoend/client.go
+++ b/internal/testbed/endtoend/client.go
@@ -51,7 +51,8 @@
 	return errs.Pass(err, "cancel %s", id)
 }
 
-// AwaitState polls a job until it is in a state. Failures: Conflict if it ended in another state, Timeout.
+// AwaitState polls a job until it is in a state. Failures: Conflict if it ended in another state, Timeout if ctx ends
+// first, those of Show.
 func (c *client) AwaitState(ctx context.Context, id string, state jobs.JobState) error {
 	for {
 		view, err := c.Show(ctx, id)
@@ -62,10 +63,10 @@
 			return nil
 		}
 		if view.State.IsTerminal() {
-			return errs.New(errs.Conflict, "job %s is %s, not %s", id, view.State, state)
+			return errs.New(errs.Conflict, "job %s ended as %s, expected %s", id, view.State, state)
 		}
 		if !c.sleep(ctx) {
-			return errs.New(errs.Timeout, "job %s is %s, not %s", id, view.State, state)
+			return errs.New(errs.Timeout, "job %s was still %s, expected %s", id, view.State, state)
 		}
 	}
 }
@@ -81,7 +82,7 @@
 	return errs.Pass(c.call(ctx, c.controlAddrs, method, "/v2/config", order, nil), "configure")
 }
 
-// Zone evacuates or restores a zone.
+// Zone sends an operator's request about a zone; verb is "evacuate" or "restore".
 func (c *client) Zone(ctx context.Context, zone, verb string) error {
 	err := c.call(ctx, c.controlAddrs, http.MethodPost, "/v2/zones/"+url.PathEscape(zone)+"/"+verb, nil, nil)
 	return errs.Pass(err, "%s", verb)
@@ -99,7 +100,8 @@
 	return topology, errs.Pass(err, "topology")
 }
 
-// call sends a request to addrs, round-robin, until one answers with success or an error that is not retryable.
+// call sends a request to addrs, round-robin, until one answers with success or an error that is not retryable. It
+// decodes the body of a success into answer, unless answer is nil. If ctx ends, it returns the last attempt's error.
 func (c *client) call(ctx context.Context, addrs []string, method, path string, body, answer any) error {
 	request := rpc.Request{Method: method, Path: path, Header: map[string]string{"Content-Type": "application/json"}}
 	if body != nil {
--- a/internal/testbed/endtoend/jobs.go
+++ b/internal/testbed/endtoend/jobs.go
@@ -93,6 +93,7 @@
 	return s
 }
 
+// newJob returns a job whose tasks all run program, which is its payload.
 func newJob(id, queue string, wantState jobs.JobState, program jobsworker.Program, steps ...Step) Job {
 	payload, err := json.Marshal(program)
 	if err != nil {
@@ -113,7 +114,8 @@
 	return newJob("lasting", Urgent, jobs.Cancelled, jobsworker.Program{MS: -1}, step)
 }
 
-// mixedJobs returns a job of every kind that ends without being cancelled. The timed job is due at first.
+// mixedJobs returns a job of every kind that ends without being cancelled. The first round of the timed job is due at
+// the time first.
 func mixedJobs(first time.Time) []Job {
 	quick, slow := jobsworker.Program{MS: 60}, jobsworker.Program{MS: 300}
 	failing := func(ms, fails int) jobsworker.Program { return jobsworker.Program{MS: ms, Fails: fails} }
--- a/internal/testbed/endtoend/plan.go
+++ b/internal/testbed/endtoend/plan.go
@@ -44,7 +44,7 @@
 		return Plan{}, errs.Field(errs.Invalid, "size", "must be at least one cplane, one dplane and four workers")
 	}
 	if _, err := os.Stat(filepath.Join(dir, "settings")); err == nil {
-		return Plan{}, errs.New(errs.Conflict, "%s already contains the settings of a drill", dir)
+		return Plan{}, errs.New(errs.Conflict, "%s already contains the settings of a scenario", dir)
 	}
 	ports, err := fleet.FreePorts(2*size.ControlPlanes + size.DataPlanes + size.Workers)
 	if err != nil {
@@ -105,7 +105,7 @@
 	Control string `json:"control"`
 }
 
-// writeSettings writes a settings file and returns its path.
+// writeSettings writes a settings file and returns its path. It keeps the first error in p.err.
 func (p *planner) writeSettings(settings nodeSettings) string {
 	path := filepath.Join(p.plan.Dir, "settings", settings.Name+".json")
 	data, err := json.MarshalIndent(settings, "", " ")
--- a/internal/testbed/endtoend/processes.go
+++ b/internal/testbed/endtoend/processes.go
@@ -28,7 +28,8 @@
 	exited chan struct{} // closed when the process has exited
 }
 
-// Start starts all processes of a plan. The caller must call Stop.
+// Start starts all processes of a plan. The caller must call Stop, unless Start fails: then it stops those that it
+// started. Failures: those of Launch.
 func Start(plan Plan) (*Processes, error) {
 	p := &Processes{plan: plan, group: routine.New(context.Background()), running: map[string]*process{}}
 	for _, line := range plan.CommandLines {
@@ -40,7 +41,8 @@
 	return p, nil
 }
 
-// Launch starts the named process, which must not be running. Failures: Unknown, Disk, Settings.
+// Launch starts the named process, which must not be running. Failures: Unknown (not in the plan), Disk (its log cannot
+// be opened), Settings (its program cannot be started).
 func (p *Processes) Launch(name string) error {
 	for _, line := range p.plan.CommandLines {
 		if line.Name == name {
@@ -83,7 +85,8 @@
 	return errs.Wrap(proc.cmd.Process.Signal(signal), errs.Unknown, "signal %s", name)
 }
 
-// Wait waits until a process has exited. It returns false if ctx ends first.
+// Wait waits until a process has exited. It returns false if ctx ends first, and true at once if the process was never
+// started or Stop was called.
 func (p *Processes) Wait(ctx context.Context, name string) bool {
 	p.mu.Lock()
 	proc := p.running[name]
--- a/internal/testbed/endtoend/run_test.go
+++ b/internal/testbed/endtoend/run_test.go
@@ -104,7 +104,7 @@
 			return nil
 		}
 		if !s.client.sleep(ctx) {
-			return errs.New(errs.Timeout, "%s has not started", id)
+			return errs.New(errs.Timeout, "job %s: not as many runs in progress as expected, according to the journals", id)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			return nil
 		}
 		if !s.client.sleep(ctx) {
-			return errs.New(errs.Timeout, "%s does not run as many tasks as expected", id)
+			return errs.New(errs.Timeout, "job %s: not as many tasks running as expected, according to the leader", id)
 		}
 	}
 }
@@ -155,6 +155,8 @@
 	return report
 }
 
+// TestSystem guards against a control plane, data plane and workers that each pass their own tests but lose, repeat or
+// misplace tasks together, as when a retried request submits a job twice.
 func TestSystem(t *testing.T) {
 	Convey("A mix of jobs runs on a control plane, a data plane and workers, and the audit finds no violation", t, func() {
 		s := startSystem(t.TempDir(), newShapes(4))
@@ -206,8 +208,9 @@
 
 		report := s.close(append(accepted, labelled, free), evacuation)
 		So(report.Violations, ShouldBeEmpty)
-		// A job fails exactly at its last attempt. A run that is programmed to fail may be stopped before it does, if
-		// its start is not answered in time; the run that replaces it has a higher number. No other run fails.
+		// The hopeless job fails exactly at its last attempt. The other two may have fewer failed runs than their
+		// programs say: a run that would fail is stopped before it does if its start is not answered in time, and the
+		// run that replaces it has a higher number. No run of another job fails.
 		So(report.Failed["hopeless"], ShouldEqual, Attempts)
 		So(report.Failed["retried"], ShouldBeLessThan, Attempts)
 		So(report.Failed["gang-retried"], ShouldBeLessThanOrEqualTo, 3)
@@ -216,6 +219,8 @@
 	})
 }
 
+// TestSystem_preemptionAndDrain guards against runs that lose their progress when the scheduler stops them. The slow job
+// occupies all cores, so an urgent job preempts it, and the drain of a worker halves the cores.
 func TestSystem_preemptionAndDrain(t *testing.T) {
 	Convey("Runs stopped by preemption or by a leaving worker resume from their checkpoints", t, func() {
 		s := startSystem(t.TempDir(), newShapes(2))
--- a/internal/testbed/endtoend/scenario.go
+++ b/internal/testbed/endtoend/scenario.go
@@ -188,7 +188,7 @@
 }
 
 // evacuate evacuates a zone, submits jobs, waits until they have succeeded in other zones, and restores the zone. Runs
-// that were in progress in the zone end there.
+// that are in progress in the zone are not moved: they continue there until they end.
 func (s *scenario) evacuate(ctx context.Context) error {
 	if err := s.client.Zone(ctx, evacuatedZone, "evacuate"); err != nil {
 		return errs.Pass(err, "evacuate")
