--- a/internal/testbed/jobsworker/core.go
+++ b/internal/testbed/jobsworker/core.go
@@ -26,7 +26,7 @@
 	unacknowledged []workerapi.EndedRun // ends that the leader has not acknowledged, in order of their sequence
 	endSequence    uint64               // of the newest end
 	closedUpTo     map[jobs.TaskRef]int // highest run number stopped or ended; runs up to it must not start
-	record         func(Event)
+	record         func(Event)          // appends an event to the journal
 }
 
 // newCore returns a core without runs. It passes each event to record.
@@ -56,8 +56,9 @@
 	return next, true
 }
 
-// Advance ends the runs whose programs are complete, and all others once the lease has expired. A run that was complete
-// before the lease expired keeps that end reason. It reports whether any run ended.
+// Advance ends the runs whose programs are complete, and all others once the lease has expired. A run whose program was
+// complete before the lease expired ends with the outcome of its program, even if Advance is called later. It reports
+// whether any run ended.
 func (c *core) Advance(now time.Duration) bool {
 	hasEnded := false
 	for _, r := range slices.Clone(c.runs) {
@@ -75,7 +76,8 @@
 	return hasEnded
 }
 
-// end removes a run, lists its end until that is acknowledged, and journals it. Every run ends here.
+// end removes a run, lists its end until that is acknowledged, and journals it. Every run ends here. at is when the run
+// ended, which may be before the current time: it determines the checkpoint.
 func (c *core) end(r *run, at time.Duration, reason jobs.EndReason) {
 	c.runs = slices.DeleteFunc(c.runs, func(other *run) bool { return other == r })
 	c.closeUpTo(r.key)
@@ -173,9 +175,10 @@
 		needs.GPUs <= c.capacity.GPUs
 }
 
-// Stop carries out a stop order, also one that arrives before its start order. Failures: Unknown, Stale if fenced.
+// Stop carries out a stop order. If the order arrives before the start order of its run, that one will be refused.
+// Failures: Unknown if the call is for another incarnation, Stale if fenced.
 func (c *core) Stop(now time.Duration, call workerapi.StopCall) (workerapi.StopAnswer, error) {
-	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
+	if err := c.admitCall(now, call.Worker, call.Token); err != nil {
 		return workerapi.StopAnswer{}, errs.Pass(err, "stop")
 	}
 	key := call.Run.Key()
@@ -186,8 +189,9 @@
 	return workerapi.StopAnswer{Worker: c.id}, nil
 }
 
-// checkCall rejects a call to another incarnation or under a lower token.
-func (c *core) checkCall(now time.Duration, worker string, token uint64) error {
+// admitCall advances the core to now and keeps the call's token. It rejects a call to another incarnation, which has no
+// effect, and one under a lower token.
+func (c *core) admitCall(now time.Duration, worker string, token uint64) error {
 	if err := c.checkWorker(worker); err != nil {
 		return errs.Pass(err, "call")
 	}
@@ -199,9 +203,9 @@
 }
 
 // RenewLease extends the lease and drops the acknowledged ends. The caller answers with Status, at once or later.
-// Failures: Unknown, Stale if fenced.
+// Failures: Unknown if the call is for another incarnation, Stale if fenced.
 func (c *core) RenewLease(now time.Duration, call workerapi.RenewLeaseCall) error {
-	if err := c.checkCall(now, call.Worker, call.Token); err != nil {
+	if err := c.admitCall(now, call.Worker, call.Token); err != nil {
 		return errs.Pass(err, "hold")
 	}
 	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(e workerapi.EndedRun) bool {
--- a/internal/testbed/jobsworker/heartbeat.go
+++ b/internal/testbed/jobsworker/heartbeat.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// nextHeartbeat returns the body and the address of the next heartbeat.
+// nextHeartbeat assigns the next sequence number, and returns the body and the address of that heartbeat.
 func (h *Host) nextHeartbeat(state string) (body heartbeat, addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/jobsworker/host.go
+++ b/internal/testbed/jobsworker/host.go
@@ -115,7 +115,8 @@
 }
 
 // Run answers calls and sends heartbeats until ctx ends. Then the worker drains: it refuses starts, waits up to the
-// grace for its runs to end, stops the remaining ones and reports that it leaves.
+// grace for its runs to end, stops the remaining ones and reports that it leaves. If the journal cannot be written, Run
+// stops the worker without a drain and logs the error. It returns nil in both cases.
 func (h *Host) Run(ctx context.Context) error {
 	h.group.Go(h.advanceLoop)
 	h.group.Go(h.heartbeatLoop)
@@ -129,6 +130,7 @@
 	return nil
 }
 
+// close stops the server and the client, and closes the journal. The loops must have stopped.
 func (h *Host) close() {
 	if err := h.server.Stop(serverGrace); err != nil {
 		_ = level.Warn(h.logger).Log("msg", "calls aborted", "err", err)
--- a/internal/testbed/jobsworker/settings.go
+++ b/internal/testbed/jobsworker/settings.go
@@ -17,7 +17,7 @@
 	Rack              string
 	Labels            []string
 	Capacity          jobs.Resources
-	ControlAddrs      []string      // control addresses of core nodes
+	ControlAddrs      []string      // control addresses of control planes
 	HeartbeatInterval time.Duration // default 1s
 	Grace             time.Duration // in a drain, for runs to end, then again for ends to be acknowledged; default 5s
 	Journal           string        // file; empty: none
--- a/internal/testbed/policyworker/core.go
+++ b/internal/testbed/policyworker/core.go
@@ -34,9 +34,9 @@
 	Cores             int
 	GPUs              int
 	Grace             time.Duration // how long a leaving worker waits for its runs to end and for acknowledgements
-	FailProbability   float64       // of each run
+	FailProbability   float64       // that a run fails
 	SlowFactor        float64       // runs last up to this many times their duration; 1 or less has no effect
-	Seed              uint64        // of both; a run's outcome depends on its ID, not on call order
+	Seed              uint64        // of the draws for both, which depend on the run ID, not on call order
 }
 
 // Reply is the answer to the call with Tag.
@@ -51,7 +51,7 @@
 	Journal []journal.Entry // At is not set
 	Replies []Reply         // a call without a reply in its own step is a long poll
 	WakeAt  time.Duration   // the time on the worker's clock at which to call Tick, or Never
-	Exit    bool            // the process is to exit
+	Exit    bool            // the worker has left: its driver stops
 }
 
 // Core is the step function of one incarnation of a worker: it has no clock, socket or goroutine. Every input carries
@@ -132,7 +132,7 @@
 // checkCall rejects a call to another worker. A checking worker also rejects a call of an older epoch.
 func (c *Core) checkCall(call internalapi.LeaseCall) error {
 	if call.Worker != c.traits.Name {
-		return errs.Field(errs.Unknown, "minion", "this is %s", c.traits.Name)
+		return errs.Field(errs.Unknown, "minion", "call for another worker reached worker %s", c.traits.Name)
 	}
 	if c.traits.Kind == KindCheck && call.Epoch < c.epoch {
 		return errs.Field(errs.Stale, "epoch", "epoch %d is older than epoch %d", call.Epoch, c.epoch)
@@ -154,7 +154,7 @@
 }
 
 // renew extends the leases of the runs that a call lists. RenewUntil is a time on the clock of the incarnation that the
-// call names, so a call that names another incarnation extends nothing.
+// call names, so a call that names another incarnation extends nothing. A call that names none is not checked.
 func (c *Core) renew(call internalapi.LeaseCall) {
 	if call.Incarnation != c.traits.Incarnation && call.Incarnation != "" {
 		return
@@ -184,7 +184,8 @@
 	})
 }
 
-// AnswerLost reports that the answer to the call with tag was not delivered. The next call is answered at once.
+// AnswerLost reports that the answer to the call with tag was not delivered. The next call is answered at once
+// instead of becoming a long poll. If the call with tag is still pending, it gets no answer.
 func (c *Core) AnswerLost(tag uint64) {
 	c.hasUpdate = true
 	if c.pendingPoll != nil && c.pendingPoll.tag == tag {
--- a/internal/testbed/policyworker/core_test.go
+++ b/internal/testbed/policyworker/core_test.go
@@ -79,8 +79,10 @@
 	return permutations
 }
 
+// TestCallsInEveryOrder guards against a run that starts twice, or after the scheduler has given it up. This happens if
+// the network duplicates, delays or reorders calls, so the test delivers the same five calls in all 120 orders.
 func TestCallsInEveryOrder(t *testing.T) {
-	const first, again, floor, renew, delay = 0, 1, 2, 3, 4
+	const first, duplicate, floor, renew, late = 0, 1, 2, 3, 4 // indices of calls
 	start1, start2 := starts(order(1, longRunning, 50*sec)), starts(order(2, longRunning, 50*sec))
 	start2.Starts[0].StartBy = 5 * ms // every call arrives at 10 ms or later
 	calls := []internalapi.LeaseCall{start1, start1, {Floor: 1}, {Renew: []uint64{1}, RenewUntil: 100 * sec}, start2}
@@ -97,16 +99,18 @@
 					answer = h.ask(time.Duration(10+i)*ms, calls[which])
 				}
 				// The expected counts follow from the position of each call.
-				wantStarts1, wantStarts2, wantRenewed := 2, 1, 0 // of run IDs 1 and 2; those of 1 ahead of the renewal
-				for _, which := range []int{first, again} {
+				// wantRenewed is how many starts of run ID 1 precede the renewal, which extends their leases.
+				wantStarts1, wantStarts2, wantRenewed := 2, 1, 0
+				for _, which := range []int{first, duplicate} {
 					if at[which] < at[renew] {
 						wantRenewed++
 					}
 				}
 				if kind == KindCheck {
-					// Run ID 2 is late; run ID 1 starts only if neither run ID 2 nor the floor was seen before.
+					// Run ID 2 is refused as late. Run ID 1 starts at most once, and only if neither the order for
+					// run ID 2 nor the floor arrived before it.
 					wantStarts1, wantStarts2, wantRenewed = 0, 0, 0
-					if begin := min(at[first], at[again]); begin < at[floor] && begin < at[delay] {
+					if begin := min(at[first], at[duplicate]); begin < at[floor] && begin < at[late] {
 						wantStarts1 = 1
 						if begin < at[renew] {
 							wantRenewed = 1
@@ -120,12 +124,12 @@
 				So(h.counts[journal.Order][1]+h.counts[journal.Order][2], ShouldEqual, 3)
 				So([]uint64{answer.Seen, answer.Floor}, ShouldResemble, []uint64{2, 1})
 
-				h.take(h.Tick(50 * sec)) // the first lease has expired
+				h.take(h.Tick(50 * sec)) // leases that were not renewed have expired
 				So(h.counts[journal.Expire][1], ShouldEqual, wantStarts1-wantRenewed)
 				So(h.counts[journal.Expire][2], ShouldEqual, wantStarts2)
 				running := h.ask(60*sec, internalapi.LeaseCall{}).Running
 				So(len(running) == 1, ShouldEqual, wantRenewed > 0)
-				h.take(h.Tick(100 * sec)) // the renewed one has expired, too
+				h.take(h.Tick(100 * sec)) // the renewed leases have expired, too
 				So(h.counts[journal.Expire][1], ShouldEqual, wantStarts1)
 				So(h.ask(101*sec, internalapi.LeaseCall{}).Running, ShouldBeEmpty)
 			}
--- a/internal/testbed/policyworker/driver.go
+++ b/internal/testbed/policyworker/driver.go
@@ -44,7 +44,8 @@
 		rng:     rand.New(rand.NewPCG(h.settings.Seed, xxhash.Sum64String(traits.Name)))}
 }
 
-// step passes an input to the core at the current time and carries out its actions.
+// step passes an input to the core at the current time and carries out its actions. Once the driver is closed, it
+// discards the input.
 func (d *driver) step(input func(now time.Duration) Actions) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +108,7 @@
 }
 
 // renewLease passes a call to the core, after an injected delay if one was drawn, and waits for the answer. isLost
-// reports that the caller must drop the answer.
+// reports that the answer must not be sent, because its loss was drawn or ctx has ended.
 func (d *driver) renewLease(ctx context.Context, call internalapi.LeaseCall) (answer internalapi.LeaseAnswer,
 	isLost bool, err error) {
 	delay, isLost := d.drawFaults(len(call.Starts) > 0)
@@ -122,7 +123,7 @@
 		d.waiting[tag] = wait
 		return d.core.RenewLease(now, tag, call)
 	})
-	if tag == 0 {
+	if tag == 0 { // step discarded the call
 		return answer, false, errs.New(errs.Stopped, "minion %s has left", d.traits.Name)
 	}
 	select {
@@ -153,7 +154,8 @@
 	return delay, isLost
 }
 
-// announceLoop announces the worker's address to a data plane until ctx ends. After a failure it uses the next one.
+// announceLoop announces the worker's address to a data plane until ctx ends. After a failure it goes on with the next
+// data plane.
 func (d *driver) announceLoop(ctx context.Context) {
 	h, t := d.host, d.traits
 	call := internalapi.AnnounceWorkerCall{
--- a/internal/testbed/policyworker/host.go
+++ b/internal/testbed/policyworker/host.go
@@ -78,6 +78,7 @@
 	return h, nil
 }
 
+// addWorker starts a new incarnation of the named worker and journals it.
 func (h *Host) addWorker(name string) error {
 	path := strings.ReplaceAll(h.settings.Journal, "{name}", name)
 	writer, isOpen := h.journals[path]
@@ -151,8 +152,8 @@
 	return h.err
 }
 
-// workerLeft counts a worker that has left. A non-nil err means that it could not write its journal, which ends the
-// host.
+// workerLeft counts a worker that has left. A non-nil err means that the worker could not write its journal: then Run
+// ends, with the first such error.
 func (h *Host) workerLeft(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -184,7 +185,7 @@
 	}
 	var call internalapi.LeaseCall
 	if err := json.Unmarshal(raw, &call); err != nil {
-		err = errs.Wrap(err, errs.Malformed, "body is not a valid hold call")
+		err = errs.Wrap(err, errs.Malformed, "body is not a valid lease call")
 		rpc.WriteError(w, errs.Pass(err, "hold"))
 		return
 	}
--- a/internal/testbed/policyworker/settings.go
+++ b/internal/testbed/policyworker/settings.go
@@ -42,11 +42,11 @@
 	Grace         Duration          `json:"grace"`   // of a leaving worker
 
 	// Injected faults. The answer to a delayed call is lost with a probability of one half.
-	MaxDelay        Duration `json:"late"` // of calls with starts
+	MaxDelay        Duration `json:"late"` // a call with starts is delayed by up to this
 	LossProbability float64  `json:"lose"` // of an answer, after its call was carried out
 	FailProbability float64  `json:"fail"` // of a run
 	SlowFactor      float64  `json:"slow"` // runs last up to this many times their duration
-	Seed            uint64   `json:"seed"` // of all four
+	Seed            uint64   `json:"seed"` // of the draws for the four fields above
 }
 
 // Defaults returns settings in which every optional field has its default.
