--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -37,7 +37,7 @@
 type Finding struct {
 	Invariant string   `json:"promise"`
 	Verdict   string   `json:"verdict"`
-	Cases     int      `json:"cases"` // observations in which the invariant could have been violated
+	Cases     int      `json:"cases"` // observations that could have violated the invariant; each check says which
 	Note      string   `json:"note,omitempty"`
 	Lines     []string `json:"lines,omitempty"` // one text for each violation, with the journal lines that prove it
 }
@@ -52,8 +52,8 @@
 	f.Lines = append(f.Lines, line.String())
 }
 
-// known is the name of the invariant whose cases include the polls of probe.
-const known = "known"
+// knownInvariant is the name of the invariant whose cases include the polls of probe.
+const knownInvariant = "known"
 
 // checks lists the invariants, in the order of the design's table. An invariant that journals cannot prove has no
 // check.
@@ -71,7 +71,7 @@
 	{"drain", checkDrain, ""},
 	{"evacuate", checkEvacuation, ""},
 	{"cancel", checkCancel, ""},
-	{known, checkKnown, ""},
+	{knownInvariant, checkKnown, ""},
 	{"done", checkDone, ""},
 	{"operators", checkOperatorOrders, ""},
 	{"bundle", checkRollout, ""},
@@ -109,17 +109,18 @@
 	return !slices.ContainsFunc(findings, func(f Finding) bool { return f.Verdict == Violated })
 }
 
-// WriteReport writes one line per invariant, and below it at most shown of its violations.
-func WriteReport(w io.Writer, findings []Finding, shown int) error {
+// WriteReport writes one line per invariant, and below it at most maxLines of its violations. Failure: Disk.
+func WriteReport(w io.Writer, findings []Finding, maxLines int) error {
 	for _, f := range findings {
-		if _, err := fmt.Fprintln(w, f.text(shown)); err != nil {
+		if _, err := fmt.Fprintln(w, f.text(maxLines)); err != nil {
 			return errs.Wrap(err, errs.Disk, "print the audit")
 		}
 	}
 	return nil
 }
 
-func (f Finding) text(shown int) string {
+// text returns the finding as WriteReport writes it, without the last line break.
+func (f Finding) text(maxLines int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-13s%s", f.Invariant, f.Verdict)
 	if f.Verdict != NotExercised {
@@ -128,10 +129,10 @@
 	if f.Note != "" {
 		text.WriteString(" (" + f.Note + ")")
 	}
-	for _, line := range f.Lines[:min(len(f.Lines), shown)] {
+	for _, line := range f.Lines[:min(len(f.Lines), maxLines)] {
 		text.WriteString("\n    " + line)
 	}
-	if left := len(f.Lines) - shown; left > 0 {
+	if left := len(f.Lines) - maxLines; left > 0 {
 		fmt.Fprintf(&text, "\n    and %d more", left)
 	}
 	return text.String()
--- a/internal/testbed/audit/jobs.go
+++ b/internal/testbed/audit/jobs.go
@@ -8,11 +8,12 @@
 	"crosstide/internal/testbed/load"
 )
 
-// acceptedJobs returns the first acceptance of every job.
+// acceptedJobs returns the first acceptance of every job, by the job's key.
 func acceptedJobs(h History) map[string]Event {
 	return firstByJob(h.filter(Client, load.Accepted))
 }
 
+// firstByJob returns the first event of every job, by the job's key. events must be sorted by time.
 func firstByJob(events []Event) map[string]Event {
 	first := map[string]Event{}
 	for _, e := range events {
--- a/internal/testbed/audit/placement.go
+++ b/internal/testbed/audit/placement.go
@@ -58,7 +58,7 @@
 	bundle state.Bundle
 }
 
-// versionWindows returns every version that was acknowledged as in force, after the initial one.
+// versionWindows returns the initial version and every version that was acknowledged as in force, sorted by version.
 func versionWindows(h History) []versionWindow {
 	initial, err := bundle.Parse([]byte(state.InitialBundle))
 	if err != nil {
@@ -81,8 +81,8 @@
 	return versions
 }
 
-// unknownVersions returns the periods in which a signature without an answer may have put a version in force. Each ends
-// with the window of the first known version that is newer.
+// unknownVersions returns, for each signature that got no answer, the period in which the signed version may have been
+// in force. The period ends with the earliest end of the window of a newer version in known.
 func unknownVersions(h History, known []versionWindow) []window {
 	var unknown []window
 	for _, e := range h.filter(Operator, operator.Unanswered) {
--- a/internal/testbed/audit/probe.go
+++ b/internal/testbed/audit/probe.go
@@ -36,11 +36,11 @@
 	if len(nodes) == 0 || len(jobs) == 0 {
 		return h, 0
 	}
-	every := max(1, (len(jobs)+maxProbed-1)/maxProbed)
+	stride := max(1, (len(jobs)+maxProbed-1)/maxProbed)
 	var mu sync.Mutex
 	probed, answered := History{Events: slices.Clone(h.Events)}, 0
-	routine.Each((len(jobs)+every-1)/every, probesAtOnce, func(i int) {
-		e, ok := probeJob(ctx, caller, nodes[i%len(nodes)], jobs[i*every])
+	routine.Each((len(jobs)+stride-1)/stride, probesAtOnce, func(i int) {
+		e, ok := probeJob(ctx, caller, nodes[i%len(nodes)], jobs[i*stride])
 		if !ok {
 			return
 		}
@@ -86,7 +86,7 @@
 	}
 	findings := Check(history)
 	for i, f := range findings {
-		if f.Invariant == known {
+		if f.Invariant == knownInvariant {
 			findings[i].Note = strings.TrimPrefix(f.Note+fmt.Sprintf("; %d jobs polled at the end", answered), "; ")
 		}
 	}
--- a/internal/testbed/audit/spans.go
+++ b/internal/testbed/audit/spans.go
@@ -84,8 +84,8 @@
 	return span{start, end.At, true}
 }
 
-// unendedSpan returns the span of a run whose end was never journaled: up to the kill that followed its worker's last
-// line, or up to that line if it was not killed.
+// unendedSpan returns the span of a run whose end was never journaled: up to the kill that followed the last line of
+// the worker's incarnation, or up to that line if no kill was journaled.
 func unendedSpan(start Event, lastLine int64, kills []Event) span {
 	if kill, wasKilled := firstAbout(kills, start.Worker, lastLine); wasKilled {
 		return span{start, kill.At, true}
--- a/internal/testbed/audit/windows.go
+++ b/internal/testbed/audit/windows.go
@@ -51,10 +51,12 @@
 		func(e Event) bool { return e.Event == Evacuate })
 }
 
+// startedOn accepts the starts on a worker.
 func startedOn(worker string) func(Event) bool {
 	return func(e Event) bool { return e.Worker == worker }
 }
 
+// startedIn accepts the starts in a zone.
 func startedIn(zone string) func(Event) bool { return func(e Event) bool { return e.Zone == zone } }
 
 // checkDrain checks that nothing runs on a worker that has been draining for longer than drainGrace, counted from the
--- a/internal/testbed/fleet/caller.go
+++ b/internal/testbed/fleet/caller.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxAnswerBytes  = 16 << 20 // the rest of an answer is not read
+	maxAnswerBytes  = 16 << 20 // a longer answer is cut off without an error
 	idleConnTimeout = 30 * time.Second
 )
 
@@ -47,7 +47,8 @@
 // Caller calls the public APIs of a fleet. It may be used from many goroutines.
 type Caller struct{ client *http.Client }
 
-// NewCaller returns a Caller with at most conns connections to each node.
+// NewCaller returns a Caller with at most conns connections to each node. It returns redirects as replies and does not
+// follow them.
 func NewCaller(conns int) *Caller {
 	return &Caller{&http.Client{
 		Transport: &http.Transport{MaxConnsPerHost: conns, MaxIdleConnsPerHost: conns,
--- a/internal/testbed/fleet/layout.go
+++ b/internal/testbed/fleet/layout.go
@@ -52,7 +52,8 @@
 	return w
 }
 
-// sharedWorkers returns the workers of shared process i. Each shared process is a rack.
+// sharedWorkers returns the workers of shared process i, which are all in one rack. Each shared process of a zone
+// has another rack, counted from r1. Workers with their own process may be in the same rack.
 func (l *layout) sharedWorkers(i int) []Node {
 	process := l.worker("h", i, i/l.shape.Zones)
 	process.Host = process.Name
--- a/internal/testbed/fleet/shape.go
+++ b/internal/testbed/fleet/shape.go
@@ -78,7 +78,7 @@
 // for reconciliation.
 const activationWorkers = 29
 
-// profiles holds the two deployments of the brief at full size.
+// profiles holds the two deployments that crosstide is built for, at full size.
 var profiles = map[string]Shape{
 	// One region of three zones. The tracking service has 48 workers of 16 cores, eight to a rack, which start
 	// whatever they are ordered to.
@@ -100,7 +100,7 @@
 	return p, nil
 }
 
-// setResources sets the cores, GPUs and labels of worker i.
+// setResources sets the cores, GPUs and labels of worker i. Only the deployment mamlaka has GPUs and labels.
 func (s Shape) setResources(i int, worker *Node) {
 	worker.Cores = s.Cores
 	if s.Profile != "mamlaka" {
--- a/internal/testbed/fleet/status.go
+++ b/internal/testbed/fleet/status.go
@@ -62,7 +62,8 @@
 	return notReady
 }
 
-// registeredWorkers returns by name, from the first control plane that answers, whether a worker has an incarnation.
+// registeredWorkers returns by name, from the first control plane that answers, whether a worker has an incarnation. It
+// returns nil if none answers.
 func registeredWorkers(ctx context.Context, c *Caller, n Nodes) map[string]bool {
 	for _, node := range n.ControlPlanes {
 		reply, err := c.Call(ctx, http.MethodGet, node.Addr, "/v1/minions", nil, readTimeout)
--- a/internal/testbed/rehearsal/balances.go
+++ b/internal/testbed/rehearsal/balances.go
@@ -39,7 +39,7 @@
 // BalancesOptions are the options of RunBalances.
 type BalancesOptions struct {
 	Target *faults.Target
-	Rate   float64 // jobs per second, of the paying party and also of unpaid jobs
+	Rate   float64 // jobs per second of the paying party; as many unpaid jobs are offered in addition
 	Seed   uint64
 }
 
@@ -73,8 +73,9 @@
 }
 
 // RunBalances adds a paying party to the bundle and offers jobs of the party, some of them long-running, and unpaid
-// jobs. The balance of the party is exhausted repeatedly while the leader, a worker or a member is lost. Violations are
-// in the report. Failures: those of opening the party's account.
+// jobs. The balance of the party is exhausted repeatedly while the leader, a worker or the data of a follower is lost.
+// Violations are in the report. Failures: those of billingload.New, of adding the party and
+// of its first top-up.
 func RunBalances(ctx context.Context, options BalancesOptions) (BalancesReport, error) {
 	party := fmt.Sprintf("payer-%x", clock.Real{}.Wall().UnixMilli())
 	operator, err := billingload.New(options.Target.Dir, party)
--- a/internal/testbed/rehearsal/balances_check.go
+++ b/internal/testbed/rehearsal/balances_check.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// compareExports returns the first ledger export. All control planes must export the same.
+// compareExports returns the first ledger export, or nil if no control plane exported one. An export that fails or
+// differs from the first is a violation.
 func (b *balances) compareExports(ctx context.Context) (first []byte) {
 	for _, node := range b.Nodes.ControlPlanes {
 		raw, err := b.operator.Export(ctx, node, b.party)
@@ -63,7 +64,7 @@
 			first = raw
 		}
 		if !bytes.Equal(raw, first) {
-			b.violatef("ledger exported at %s differs from the first", node.Name)
+			b.violatef("ledger exported at %s differs from the first export", node.Name)
 		}
 	}
 	return first
--- a/internal/testbed/rehearsal/balances_steps.go
+++ b/internal/testbed/rehearsal/balances_steps.go
@@ -31,7 +31,8 @@
 	return account, errs.Pass(err, "show")
 }
 
-// awaitExhausted waits until the party's balance does not suffice for a start.
+// awaitExhausted waits until the party's balance is below the price of one core for a billing window, which a start
+// of its jobs reserves at least.
 func (b *balances) awaitExhausted(ctx context.Context) error {
 	need := int64(billingload.CorePrice * billingload.Window / time.Second)
 	clk := clock.Real{}
@@ -104,8 +105,8 @@
 	return acknowledgedAt, nil
 }
 
-// topUpAndMeasure tops the party up and measures the time until its jobs start again. It injects a fault concurrently,
-// unless inject is nil.
+// topUpAndMeasure tops the party up by amount, plus the deficit if its balance is negative. It measures the time until
+// the party's jobs start again, and injects a fault concurrently unless inject is nil.
 func (b *balances) topUpAndMeasure(ctx context.Context, amount int64, inject func(context.Context) error) error {
 	account, err := b.readAccount(ctx)
 	if err != nil {
@@ -210,12 +211,13 @@
 	return nil
 }
 
+// killLeaderAtTopUp kills the leader while the party is topped up.
 func (b *balances) killLeaderAtTopUp(ctx context.Context) error {
 	return errs.Pass(b.topUpAndMeasure(ctx, smallTopUp, b.killLeader), "top-up")
 }
 
-// isolateLeader cuts the leader off from the network once the balance is exhausted, and tops the party up before that
-// fault is healed.
+// isolateLeader cuts the leader off from the network once the balance is exhausted, and tops the party up while the
+// leader is still cut off.
 func (b *balances) isolateLeader(ctx context.Context) error {
 	if b.Nodes.ProxyAddr == "" {
 		b.notef("leader isolation not run: the fleet has no proxy")
@@ -239,7 +241,7 @@
 	return errs.Pass(b.topUpAndMeasure(ctx, smallTopUp, nil), "cut")
 }
 
-// wipeMember removes a follower's data while the party has no balance.
+// wipeMember removes a follower's data while the party has no balance, and checks that no job of the party starts.
 func (b *balances) wipeMember(ctx context.Context) error {
 	if err := b.awaitExhausted(ctx); err != nil {
 		return errs.Pass(err, "wipe")
--- a/internal/testbed/rehearsal/cases.go
+++ b/internal/testbed/rehearsal/cases.go
@@ -140,7 +140,7 @@
 		if n := result.Load.Unfinished; n > 0 {
 			r.violatef("%d accepted jobs did not end", n)
 		}
-		r.addNew(ctx, r.Dir, seen)
+		r.addNewViolations(ctx, r.Dir, seen)
 		if result.Outage, err = r.measureOutage(offersEnd); err != nil {
 			r.violatef("read journals: %v", err)
 		}
--- a/internal/testbed/rehearsal/churn.go
+++ b/internal/testbed/rehearsal/churn.go
@@ -28,7 +28,7 @@
 	maxDowntime       = 4 * time.Second // of a killed process
 	maxFreeze         = 6 * time.Second
 	drainDuration     = 3 * time.Second
-	evacuationLength  = 6 * time.Second
+	evacuationTime    = 6 * time.Second
 	gracefulTimeout   = 15 * time.Second // for a worker that is signalled to leave
 	cancelledJobs     = 20
 	changeProbability = 0.2 // of a race between operators, and of a repeated order
@@ -64,7 +64,8 @@
 	counts  map[string]int  // of faults, by kind
 }
 
-// faultKinds are the kinds of faults in the order of the documentation. A seed draws by index, so the order is fixed.
+// faultKinds are the kinds of faults in the order of the documentation. Faults are drawn by index: in another order, a
+// seed would yield other faults.
 var faultKinds = []string{"kill", "freeze", "drain", "leave", "evacuate", "cancel"}
 
 // RunChurn runs a profile's load, operators and random faults concurrently until all three have ended. Failures:
@@ -165,11 +166,13 @@
 	return errs.Pass(c.Restart(context.WithoutCancel(ctx), []string{name}), "back")
 }
 
+// freezeOne freezes a node for less than maxFreeze.
 func (c *churn) freezeOne(ctx context.Context) error {
 	return errs.Pass(c.Freeze(ctx, c.pickAnyNode().Name, c.randomDuration(maxFreeze)), "freeze")
 }
 
-// drainSome drains some workers by operator orders, and undrains them after drainDuration.
+// drainSome drains one worker, and one more for every 16 in the fleet, by operator orders. It undrains them after
+// drainDuration.
 func (c *churn) drainSome(ctx context.Context) error {
 	var drained []fleet.Node
 	for range 1 + len(c.Nodes.Workers)/16 {
@@ -219,9 +222,10 @@
 	return errors.Join(err, c.Restart(context.WithoutCancel(ctx), []string{name}))
 }
 
+// evacuateOne evacuates the zone of a random control plane and lifts the evacuation after evacuationTime.
 func (c *churn) evacuateOne(ctx context.Context) error {
 	zone := c.pickNode(c.Nodes.ControlPlanes).Zone
-	return errs.Pass(c.Evacuate(ctx, zone, evacuationLength), "zone %s", zone)
+	return errs.Pass(c.Evacuate(ctx, zone, evacuationTime), "zone %s", zone)
 }
 
 // cancelMany submits cancelledJobs jobs and cancels each at once.
--- a/internal/testbed/rehearsal/findings.go
+++ b/internal/testbed/rehearsal/findings.go
@@ -31,8 +31,8 @@
 // maxReported limits the violations of one invariant that a case reports.
 const maxReported = 3
 
-// addNew audits the fleet in dir and adds the violations that are not in seen to the findings and to seen.
-func (f *findings) addNew(ctx context.Context, dir string, seen map[string]bool) {
+// addNewViolations audits the fleet in dir and adds the violations that are not in seen to the findings and to seen.
+func (f *findings) addNewViolations(ctx context.Context, dir string, seen map[string]bool) {
 	audited, err := audit.CheckFleet(ctx, dir)
 	if err != nil {
 		f.violatef("audit: %v", err)
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// fileBytes returns the bytes that a process wrote to its log or journal. /proc counts them with the network traffic.
+// fileBytes returns the bytes that a process wrote to files: to its journal if it is a worker, or else to the store's
+// log and snapshots. /proc counts them with the network traffic, from which they are subtracted.
 func (p *Probe) fileBytes(name string, r *Reading) float64 {
 	if r.Role == SharedWorker || r.Role == DedicatedWorker {
 		if info, err := os.Stat(filepath.Join(p.dir, "journal", name+".jsonl")); err == nil {
@@ -117,7 +118,8 @@
 	return total
 }
 
-// roleOf derives a process's role from the metrics that it exports. It returns SharedWorker for all workers.
+// roleOf derives a process's role from the metrics that it exports. It returns SharedWorker for all workers, because
+// the metrics do not show how many share the process.
 func roleOf(m fleet.Metrics) string {
 	isStore, isScheduler := false, false
 	for labels, value := range m.Series("crosstide_store_role") {
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -36,8 +36,8 @@
 }
 
 // Run measures the steps one after the other and passes the rows of each to report. It ends early, with a note in that
-// step's rows, if a step exceeds MaxP99 or leaves jobs unfinished. It returns the errors of Probe.Read and report, and
-// errors of kind Invalid and Unavailable.
+// step's rows, if a step exceeds MaxP99 or leaves jobs unfinished. It returns the errors of Probe.Read, load.Run and
+// report, and errors of kind Stopped, if ctx ends, and Unavailable, if a long task is not accepted.
 func Run(ctx context.Context, plan Plan, probe *Probe, report func([]Row) error) error {
 	if plan.Running > 0 {
 		rows, err := probe.fill(ctx, plan)
@@ -112,7 +112,8 @@
 	return 0
 }
 
-// step measures the fleet under the load of the nth step. isLast is true if the fleet did not keep up with the load.
+// step measures the fleet under the load of one step; nth is its index. isLast is true if the fleet did not keep up
+// with the load.
 func (p *Probe) step(ctx context.Context, plan Plan, nth int, rate float64) (rows []Row, isLast bool, err error) {
 	var report load.Report
 	var loadErr error
