--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -32,7 +32,7 @@
 	PrevTerm     uint64        `json:"p,omitempty"` // PreVote, Vote, Append: term of the entry at PrevIndex
 	Entries      []Entry       `json:"e,omitempty"` // Append
 	Commit       uint64        `json:"c,omitempty"` // Append: commit index of the leader
-	Sent         time.Duration `json:"s,omitempty"` // Append, Snapshot: send time by the leader's clock; echoed by replies
+	Sent         time.Duration `json:"s,omitempty"` // Append, Snapshot: send time, leader's clock; echoed by replies
 	Match        uint64        `json:"m,omitempty"` // AppendReply, SnapshotReply: both logs match up to it, durably
 	Hint         uint64        `json:"h,omitempty"` // rejecting AppendReply: highest index at which the logs may match
 	Reject       bool          `json:"r,omitempty"` // replies: the request was rejected
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -17,7 +17,7 @@
 	First               uint64            `json:"first"` // index of the first entry in memory
 	Members             []Member          `json:"members"`
 	Match               map[string]uint64 `json:"match,omitempty"` // leader: highest durable index by member ID
-	LeaseUntil          time.Duration     `json:"lease_until"`     // leader: end of the lease by its clock; 0: no lease
+	LeaseUntil          time.Duration     `json:"lease_until"`     // leader: lease end by its clock; 0: no lease
 	Voter               bool              `json:"voter"`           // a voter in the current member set, and not blank
 	InvariantViolations uint64            `json:"refused"`         // messages that no correct cluster sends: must stay 0
 }
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -15,8 +15,8 @@
 // for a connection and the dial. If it expires or ctx ends, Call resets the connection and fails as Timeout. Other
 // failures: Unavailable for a refused or broken connection; Stopped for a closed client; TooLarge for a response over
 // ClientOptions.MaxBody; Malformed for an answer that is not valid JSON for A; and errors that the peer returns, with
-// their kind, field, message, hint and RetryAfter. IsUnsent tells whether a failed call was not sent, IsRemote whether the
-// peer returned the error. Example:
+// their kind, field, message, hint and RetryAfter. IsUnsent tells whether a failed call was not sent, IsRemote whether
+// the peer returned the error. Example:
 //
 //	verdict, err := rpc.Call(ctx, client, "10.0.0.7:7000", Vote, ballot, 500*time.Millisecond)
 func Call[C, A any](
