--- a/internal/store/apply.go
+++ b/internal/store/apply.go
@@ -19,7 +19,7 @@
 	catchUpPause = time.Millisecond
 )
 
-// apply queues committed entries, applies one batch of them to the live state, and completes the proposals in it. s.mu
+// apply queues committed entries, applies one batch of them to the live state, and finishes the batch's proposals. s.mu
 // must be held.
 func (s *Store) apply(entries []raft.Entry) {
 	s.unapplied = append(s.unapplied, entries...)
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -28,10 +28,13 @@
 	settingsDiffer // nodes disagree on the bootstrap members
 )
 
-// decideBootstrap decides by the answers of the other members, keyed by ID. If all of them are fresh it also returns
-// their incarnations; previous holds those of the previous round. A bootstrap needs two such rounds in a row with the
-// same incarnations: the first shows which processes run, the second that none of them had campaigned by then. So no
-// earlier incarnation of any of them has voted, and each may be listed as a bootstrap member.
+// decideBootstrap decides by the answers of the other members, keyed by ID; members is the number of bootstrap members.
+// If all of them are fresh it also returns their incarnations; previous holds those of the previous round. A bootstrap
+// needs two such rounds in a row with the same incarnations: the first shows which processes run, the second that none
+// of them had campaigned by then. So no earlier incarnation of any of them has voted, and each may be listed as a
+// bootstrap member.
+//
+// A fleet exists once a member knows a commit index above 1, which is the index of the bootstrap snapshot.
 func decideBootstrap(name, incarnation, digest string, members int, answers map[string]internalapi.DiscoverAnswer,
 	previous map[string]string,
 ) (bootstrapDecision, map[string]string) {
@@ -45,7 +48,7 @@
 		allFresh = allFresh && a.Fresh
 	}
 	if isListed {
-		return mayBootstrap, nil // the others' incarnations were not checked here
+		return mayBootstrap, nil // only the process that found the others fresh lists their incarnations
 	}
 	for _, a := range answers {
 		if a.Commit > 1 {
@@ -74,7 +77,7 @@
 			continue
 		}
 		if a.Digest == digest && a.BootstrapIncarnations[s.settings.Name] == s.incarnation {
-			return mayBootstrap, nil // the others' incarnations were not checked here
+			return mayBootstrap, nil // see decideBootstrap
 		}
 		seedAnswers[m.ID] = a
 	}
@@ -144,6 +147,7 @@
 			answer.Digest = digestOf(seedsOf(answer.Members))
 		}
 		answer.Commit = status.Commit
+		// Term 1 and index 1 are those of the bootstrap snapshot: this node has not voted or stored an entry since.
 		answer.Fresh = status.Term <= 1 && status.Last <= 1 && NameOf(s.id) == s.id
 	}
 	return answer
--- a/internal/store/diskwriter.go
+++ b/internal/store/diskwriter.go
@@ -31,8 +31,8 @@
 	durable   uint64        // the log on disk equals the core's up to this index
 }
 
-// add queues the changes that a Ready requires to be stored, if any. Stored entries that it replaces no longer count as
-// durable.
+// add queues the changes that a Ready requires to be stored, if any. Stored entries that the Ready replaces no longer
+// count as durable.
 func (q *diskQueue) add(ready raft.Ready) {
 	if ready.HardState == nil && len(ready.Entries) == 0 && len(ready.MessagesAfterSync) == 0 {
 		return
--- a/internal/store/emptyfolder.go
+++ b/internal/store/emptyfolder.go
@@ -56,7 +56,7 @@
 // surveyResult is the result of one round of calls to other nodes.
 type surveyResult struct {
 	decision     bootstrapDecision
-	incarnations map[string]string // by ID, of the other members if all are fresh; for bootstrap and the next round
+	incarnations map[string]string // of the other members, by ID; nil unless all are fresh, see decideBootstrap
 	answers      int
 }
 
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -15,12 +15,12 @@
 )
 
 // Follow returns the changes after the version that a data-plane node has, or a snapshot if the log no longer has all
-// of them. If there are no changes it waits for the first, up to call.Wait. Any member can answer, from the entries
-// that it has applied. Failures: Unavailable, Stopped.
+// of them. If there are no changes it waits for the first, up to call.Wait, and returns an empty answer if none comes
+// or ctx ends. Any member can answer, from the entries that it has applied. Failures: Unavailable, Stopped.
 func (s *Store) Follow(ctx context.Context, call internalapi.FollowCall) (internalapi.FollowAnswer, error) {
 	s.recordFollowerBundle(call)
 	version, ok := call.Vector[vectorSource]
-	if !ok && len(call.Vector) > 0 {
+	if !ok && len(call.Vector) > 0 { // the caller has versions of other sources only; without any, it starts from 0
 		return internalapi.FollowAnswer{}, nil
 	}
 	limit := min(max(call.Max, 64<<10), maxFollowBytes)
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// joinOpenFleet is joinFleet for an open fleet, where the leader is found by asking all known nodes.
+// joinOpenFleet is joinFleet for an open fleet, where the leader is found by asking all known nodes. While this node
+// is a voter in its log, it makes no calls and waits until that member set is committed or overwritten.
 func (s *Store) joinOpenFleet(ctx context.Context) {
 	call := s.joinCall()
 	leader := ""
@@ -124,7 +125,7 @@
 	name, incarnation, ok := strings.Cut(call.ID, "~")
 	if !ok || name != call.Name || name == "" || incarnation == "" || call.Addr == "" {
 		return internalapi.JoinAnswer{}, errs.Field(errs.Invalid, "id",
-			"%q must be the name %q, ~ and an incarnation, and have an address", call.ID, call.Name)
+			"got %q, must be NAME~INCARNATION with the name %q, and addr must not be empty", call.ID, call.Name)
 	}
 	s.mu.Lock()
 	err := s.checkLeader()
@@ -223,8 +224,9 @@
 	return errs.Pass(s.changeMembers(plan.from, plan.next), "join as a voter")
 }
 
-// checkNotRemoved rejects a node that is not a member although its folder has it as one: it was removed and must rejoin
-// as a new incarnation. Failures: Stale; Unavailable while the removal is not committed.
+// checkNotRemoved rejects a node that is not a member, but was one in a set that the node has at index call.Since: the
+// node was removed and must rejoin as a new incarnation. Failures: Stale; Unavailable while the removal is not
+// committed.
 func (s *Store) checkNotRemoved(call internalapi.JoinCall) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -18,12 +18,13 @@
 type leadership struct {
 	term      uint64        // the term in which this node leads; 0: it does not lead
 	changedAt time.Duration // when this node began or ceased to lead
-	leases    *roleLeases   // active from when the leader's lease is first confirmed in this term
+	leases    *roleLeases   // active once this node is the confirmed leader of term, see roleLeases
 }
 
-// onStatusChange handles the status of the core after each pass. When this node gains or loses the leadership it fails
-// all proposals and drops the role leases; once the leader's lease is confirmed it activates the role leases. It also
-// starts and stops peers to match the member set. s.mu must be held.
+// onStatusChange handles the status of the core after each pass; before is the status as of the previous pass. When
+// this node gains or loses the leadership it fails all proposals and drops the role leases; once this node is the
+// confirmed leader it activates the role leases. It also starts and stops peers to match the member set. s.mu must be
+// held.
 func (s *Store) onStatusChange(before raft.Status, now time.Duration) {
 	status := &s.status
 	if before.Role != status.Role || before.Leader != status.Leader || before.Term != status.Term {
@@ -49,9 +50,9 @@
 	s.updatePeers()
 }
 
-// LeaderTerm returns the term in which this node leads, 0 if it does not lead. hasLease reports whether, at now on the
-// store's clock, no other node can lead: the leader's lease is valid, and the live state has every entry that earlier
-// leaders committed. Example:
+// LeaderTerm returns the term in which this node leads, or 0 if it does not lead, is halted, or is not yet the
+// confirmed leader of its term. hasLease reports whether no other node can lead at now, on the store's clock: the
+// leader's lease is valid, and the live state has every entry that earlier leaders committed. Example:
 //
 //	if term, hasLease := s.LeaderTerm(clock.Now()); hasLease {
 //		_, _, err = s.ProposeIn(ctx, term, decide())
@@ -73,8 +74,9 @@
 	return s.leadership.term != 0 && s.clock.Now()-s.leadership.changedAt < takeoverPeriod
 }
 
-// TransferLeadership asks another voter to take over if this node leads, and waits until it no longer leads, for one
-// election timeout at most. A failure is only logged: after this node stops, an ordinary election follows.
+// TransferLeadership asks another voter to take over if this node leads, and waits until this node no longer leads, for
+// one election timeout at most. It is called before the node stops. An error is only logged, and a timeout is ignored:
+// after the stop, the other voters elect a leader.
 func (s *Store) TransferLeadership(ctx context.Context) {
 	s.mu.Lock()
 	if s.core == nil || s.status.Role != raft.Leader {
@@ -123,8 +125,8 @@
 		if m.ID == s.id || m.Learner || !ok || now-contact >= s.settings.Election {
 			continue
 		}
-		hasMore := s.status.Match[m.ID] > s.status.Match[to]
-		if to == "" || hasMore || s.status.Match[m.ID] == s.status.Match[to] && contact > newestContact {
+		hasLongerLog := s.status.Match[m.ID] > s.status.Match[to]
+		if to == "" || hasLongerLog || s.status.Match[m.ID] == s.status.Match[to] && contact > newestContact {
 			to, newestContact = m.ID, contact
 		}
 	}
--- a/internal/store/manual.go
+++ b/internal/store/manual.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// JoinCall returns this node's request to join and the leader's address. ok is false if the node is a voter or a
-// bootstrap member, or has no core yet.
+// JoinCall returns this node's request to join and the leader's address, "" if none is known. ok is false if the node
+// is a voter or a bootstrap member, or has no core yet.
 func (d *ManualDriver) JoinCall() (call internalapi.JoinCall, addr string, ok bool) {
 	s := d.store
 	if s.core == nil || s.id == s.settings.Name || s.status.Voter {
@@ -85,7 +85,8 @@
 	Call internalapi.RaftCall
 }
 
-// TakeMessages removes all queued messages and returns them as calls, ordered by the receiver's ID.
+// TakeMessages removes all queued messages and returns them as calls, ordered by the receiver's ID. It returns none if
+// the store is halted.
 func (d *ManualDriver) TakeMessages() (calls []OutboundCall) {
 	if d.store.halted {
 		return nil
@@ -106,7 +107,8 @@
 	writes []diskWrite
 }
 
-// TakeDiskBatch removes all queued writes and returns them; nil if the queue is empty or another batch is being stored.
+// TakeDiskBatch removes all queued writes and returns them. It returns nil if the queue is empty, another batch is
+// being stored or the store is halted.
 func (d *ManualDriver) TakeDiskBatch() *DiskBatch {
 	if d.store.diskQueue.busySince != 0 || d.store.halted {
 		return nil
@@ -184,7 +186,7 @@
 	return &Proposal{d.store, w}, nil
 }
 
-// Done returns the outcome, once only; ok is false while the proposal has no outcome.
+// Done returns the outcome. ok is false while the proposal has none, and after an earlier call returned it.
 func (p *Proposal) Done() (index uint64, answer any, err error, ok bool) {
 	select {
 	case o := <-p.waiter.done:
@@ -208,7 +210,8 @@
 	return answer, current, c, errs.Pass(err, "role %s", call.Role)
 }
 
-// FinishRoleCall answers a call from the outcome of the command that ClaimRole returned.
+// FinishRoleCall returns the answer to a call after its command was proposed. before is the role that ClaimRole
+// returned with the command; index and err are the command's outcome.
 func (d *ManualDriver) FinishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
 	internalapi.RoleLease, error,
 ) {
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -12,7 +12,7 @@
 	maxPeerBytes     = 32 << 20 // in a peer's queue, likewise
 	maxCallBytes     = 8 << 20  // approximate size of one call
 	maxInFlightCalls = 8        // to one peer at once
-	maxLearnedAddrs  = 64
+	maxLearnedAddrs  = 64       // addresses of senders outside the member set
 )
 
 // peers are the other members and the queues of messages to them. A Store owns them; guarded by Store.mu.
@@ -77,8 +77,8 @@
 	return n
 }
 
-// enqueueMessages queues messages for their receivers. It drops messages to a receiver whose address is unknown. s.mu
-// must be held.
+// enqueueMessages queues messages for their receivers. It drops messages to a receiver whose address is unknown, and
+// all messages if the store is halted. s.mu must be held.
 func (s *Store) enqueueMessages(messages []raft.Message) {
 	if s.halted {
 		return
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -149,7 +149,8 @@
 		p.finish(w, outcome{err: cause})
 	}
 	for _, w := range p.pending {
-		p.finish(w, outcome{err: errs.New(errs.Unavailable, "the leader changed before the proposal was in the log")})
+		p.finish(w, outcome{err: errs.New(errs.Unavailable,
+			"the leader changed, or the store stopped, before the proposal was in the log")})
 	}
 	p.pending = nil
 }
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -62,7 +62,7 @@
 // hideNotLeader turns NotLeader into Unavailable: callers outside the store have no use for the leader's address.
 func hideNotLeader(err error) error {
 	if errs.Is(err, errs.NotLeader) {
-		return errs.Wrap(err, errs.Unavailable, "this node knows no leader")
+		return errs.Wrap(err, errs.Unavailable, "no leader is known, or it has just changed; retry")
 	}
 	return err
 }
@@ -133,7 +133,8 @@
 		return errs.Pass(err, "enqueue")
 	}
 	if s.proposals.isFull(len(w.data)) || s.snapshots.unsnapshottedBytes > maxUnsnapshottedBytes {
-		return errs.New(errs.Overloaded, "%d waiting proposals of %d bytes; %d bytes of log since the last snapshot",
+		return errs.New(errs.Overloaded,
+			"%d proposals of %d bytes wait, %d bytes of log are in no snapshot; retry later",
 			s.proposals.count, s.proposals.bytes, s.snapshots.unsnapshottedBytes)
 	}
 	s.proposals.add(w)
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -47,8 +47,9 @@
 		Incarnation: call.Incarnation, After: current.Epoch}, nil
 }
 
-// checkRoleCall checks a call against the role leases. On claimGrantable the role is reserved until finishRoleCall.
-// s.mu must be held; it is released while waiting for a valid leader lease.
+// checkRoleCall checks a call against the role leases, and returns the role as it is in the live state. On
+// claimGrantable the grant, or the release if the call is one, must be proposed, and the role is reserved until
+// finishRoleCall. s.mu must be held; it is released while waiting for a valid leader lease.
 func (s *Store) checkRoleCall(call internalapi.ClaimRoleCall) (current state.Role, result claimResult, err error) {
 	if _, err := s.readIndexLocked(); err != nil {
 		return current, result, errs.Pass(err, "confirm the lease")
@@ -69,8 +70,9 @@
 	return current, claimDenied, nil
 }
 
-// finishRoleCall ends the reservation made by evaluateRoleCall and returns the answer to the call. index and err are
-// the outcome of the command.
+// finishRoleCall ends the reservation made by evaluateRoleCall and returns the answer to the call. before is the role
+// that evaluateRoleCall returned; index and err are the outcome of the command. A Stale command found the role in
+// another epoch: the caller was not granted the role, and the answer names its current holder, if any.
 func (s *Store) finishRoleCall(call internalapi.ClaimRoleCall, before state.Role, index uint64, err error) (
 	internalapi.RoleLease, error,
 ) {
--- a/internal/store/rolelease.go
+++ b/internal/store/rolelease.go
@@ -13,18 +13,21 @@
 const (
 	claimDenied    claimResult = iota // another node holds the lease, or a proposal about the role is in flight
 	claimRenewed                      // the caller's lease is renewed
-	claimGrantable                    // reserved for the caller: propose command.GrantRole, then call ProposalDone
+	claimGrantable                    // reserved for the caller: propose the command, then call ProposalDone
 )
 
-// roleLeases keeps the leases of singleton roles, in memory only. It is active from BecomeLeader to StepDown, which is
-// while this node is the confirmed leader. It has no clock: callers pass the time. leadership owns it; guarded by
-// Store.mu.
+// roleLeases keeps the leases of singleton roles, in memory only. It has no clock: callers pass the time. leadership
+// owns it; guarded by Store.mu.
+//
+// It is active from BecomeLeader to StepDown. BecomeLeader is called once this node is the confirmed leader: it holds a
+// valid leader lease and has applied every entry that earlier leaders committed. StepDown is called when it no longer
+// leads. In between, its leader lease may expire, so the caller of Claim and Release must check the leader lease.
 //
 // A role never has two holders, because a holder counts its lease from before it sent its call, while the leader counts
 // from its answer and adds a margin for clock drift. A new leader does not know when its predecessor last answered, but
-// that was before the new leader was confirmed, so it treats every lease as granted at its own confirmation. Once a
-// command that ends an epoch (a grant or a release) was proposed, its outcome may stay unknown, so this leader never
-// renews that epoch again.
+// that was before the new leader's own lease became valid. So BecomeLeader treats every lease as granted at the time of
+// that call. Once a command that ends an epoch (a grant or a release) was proposed, its outcome may stay unknown, so
+// this leader never renews that epoch again.
 type roleLeases struct {
 	duration time.Duration // of a lease, as its holder counts it
 	margin   time.Duration // added by the leader, for clock drift
@@ -45,7 +48,7 @@
 }
 
 // BecomeLeader activates the leases and treats each as granted now. It must be called once this node is the confirmed
-// leader and its state includes every entry that earlier leaders committed.
+// leader; roles are those of the live state.
 func (l *roleLeases) BecomeLeader(now time.Duration, roles map[string]*state.Role) {
 	l.active, l.leases = true, map[string]*roleLease{}
 	for name, r := range roles {
@@ -77,9 +80,9 @@
 	return lease
 }
 
-// Claim decides a claim that is answered at now; current is the role in the live state. The caller must have confirmed
-// that this node leads at now and that the live state includes every entry committed before. On claimGrantable the role
-// is reserved until ProposalDone. Example:
+// Claim decides a claim that is answered at now; current is the role in the live state. The caller must have checked
+// that this node holds a valid leader lease at now and that the live state includes every entry committed by earlier
+// leaders. On claimGrantable the role is reserved until ProposalDone. Example:
 //
 //	if leases.Claim(now, current, call) == claimRenewed {
 //		return internalapi.RoleLease{Mine: true, Epoch: current.Epoch, TTL: duration}
--- a/internal/store/silentmembers.go
+++ b/internal/store/silentmembers.go
@@ -15,8 +15,8 @@
 )
 
 // removeSilent proposes to remove one silent member, on the leader of an open fleet. It removes a voter only if the
-// number of voters is even, as one fewer tolerates as many failures; without such a voter it removes a learner. It is
-// called at each tick. s.mu must be held.
+// number of voters is even, as a set with one voter fewer then tolerates as many failures. If there is no voter to
+// remove, it removes a learner. It is called at each tick. s.mu must be held.
 func (s *Store) removeSilent(now time.Duration) {
 	if !s.settings.OpenMembership || s.status.Role != raft.Leader {
 		return
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Ready returns nil if this node leads with a valid lease and has applied all commits, or if it knows the leader and
-// had applied all of the leader's commits within the last maxReadyLag. Failure: Unavailable.
+// Ready returns nil if this node leads with a valid lease and has applied all commits, or if it follows a known leader
+// and at most maxReadyLag has passed since it had applied all of the leader's commits. Failure: Unavailable.
 func (s *Store) Ready() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,7 +9,7 @@
 // # Goroutines
 //
 // Open reads the folder and Start starts the goroutines. Store.mu guards the raft core, the live state and the other
-// fields below it in Store; no goroutine waits for the disk or the network while it holds it. Each goroutine owns:
+// fields below it in Store; no goroutine holds it while waiting for the disk or the network. Each goroutine owns:
 //
 //	loop                 the passes: ticks the core, proposes, applies, distributes each raft.Ready (loop.go)
 //	runDiskWriter        writes to the log: one sync for all queued writes (diskwriter.go)
@@ -107,7 +107,7 @@
 	logger      log.Logger
 	group       *routine.Group // of all goroutines
 	metrics     *metrics
-	storage     *storage.Store // locks itself
+	storage     *storage.Store // has its own lock
 	incarnation string         // random ID of this process
 	manual      *ManualDriver  // drives the store instead of its goroutines; nil in a daemon
 	wakeLoop    chan struct{}  // capacity 1; a signal asks the loop for a pass
@@ -128,7 +128,7 @@
 	changed   chan struct{} // closed and replaced when the live state changes
 	unapplied []raft.Entry  // committed and not applied to live yet, in the order of the log
 
-	lastTick         time.Duration // of core, on clock
+	lastTick         time.Duration // when core was last ticked, on clock
 	proposals        proposals
 	diskQueue        diskQueue
 	snapshots        snapshots
