--- a/internal/store/apply_test.go
+++ b/internal/store/apply_test.go
@@ -8,6 +8,8 @@
 	"crosstide/internal/raft"
 )
 
+// TestPass_appliesBoundedBatch checks that one pass applies a bounded batch, so that a leader with many entries to
+// apply sends its heartbeats in between.
 func TestPass_appliesBoundedBatch(t *testing.T) {
 	Convey("Given a store with more committed entries than one pass applies", t, func() {
 		s := &Store{wakeLoop: make(chan struct{}, 1)}
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -62,6 +62,8 @@
 	})
 }
 
+// TestOpenBootstrap_formsFleet checks that the seeds of an open fleet bootstrap it under their own names as IDs, and
+// that all other nodes join it. The seeds start together and must not wait for each other forever.
 func TestOpenBootstrap_formsFleet(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		took := fleet.elapsed(func() {
@@ -74,15 +76,15 @@
 			So(fleet.nodes[n].Status().Raft.ID, ShouldEqual, n) // bootstrapped, not joined
 		}
 		So(fleet.submitJobs("a", 100), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitConverged()
 
 		joined := fleet.elapsed(func() {
 			fleet.startFresh("c6")
 			fleet.waitVoters("c1", "c2", "c3", "c4", "c5", "c6")
 		})
-		Printf("\na newcomer is a voter after %s", joined)
+		Printf("\na new node is a voter after %s", joined)
 		So(joined, ShouldBeLessThan, time.Second)
-		fleet.waitLevel()
+		fleet.waitConverged()
 
 		leader, addresses := fleet.nodes["c6"].Members()
 		So(leader, ShouldEqual, fleet.leader().settings.Addr)
@@ -90,6 +92,8 @@
 	})
 }
 
+// TestOpenBootstrap_waitsForAllSeeds checks that no fleet is bootstrapped while a seed does not answer: that seed may
+// belong to a fleet that exists.
 func TestOpenBootstrap_waitsForAllSeeds(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		for _, n := range []string{"c1", "c2", "c4", "c5"} { // c3 starts later
@@ -104,6 +108,8 @@
 	})
 }
 
+// TestOpenBootstrap_neverWhenDisallowed checks that nodes with Settings.Bootstrap false never bootstrap a fleet, as a
+// node that lost its folder would form a second one beside its own.
 func TestOpenBootstrap_neverWhenDisallowed(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.settings.Bootstrap = false
--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -32,6 +32,8 @@
 	return s.diskQueue.durable
 }
 
+// TestDiskFull_leaderStepsDown checks that a leader whose disk is full loses the leadership and acknowledges nothing,
+// but stays alive and counts towards a majority again once there is space.
 func TestDiskFull_leaderStepsDown(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 50)
@@ -53,14 +55,14 @@
 		So(fleet.leader().settings.Name, ShouldNotEqual, name)
 
 		fleet.setFull(name, false)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		So(fleet.died, ShouldBeEmpty)
 		// Its acknowledgements count again: with one of the other nodes stopped, a majority needs it.
 		gone := fleet.others(name)[0]
 		fleet.kill(gone)
 		fleet.submitAll("with it", 50)
 		fleet.start(gone)
-		fleet.waitLevel()
+		fleet.waitConverged()
 	})
 }
 
@@ -69,18 +71,20 @@
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 20)
 		lead := fleet.leader()
-		fleet.setRefusal(lead.settings.Name, unix.EIO)
+		fleet.setWriteError(lead.settings.Name, unix.EIO)
 		fleet.call(func(ctx context.Context) { _, _, _ = lead.Propose(ctx, job("a")) })
 		fleet.until("the call of Options.Fatal", func() bool { return fleet.died[lead.settings.Name] != nil })
 		So(fleet.died, ShouldHaveLength, 1)
 		fleet.kill(lead.settings.Name)
-		fleet.setRefusal(lead.settings.Name, nil)
+		fleet.setWriteError(lead.settings.Name, nil)
 		fleet.start(lead.settings.Name)
 		fleet.submitAll("after", 20)
-		fleet.waitLevel()
+		fleet.waitConverged()
 	})
 }
 
+// TestDiskFull_atStartWaits checks that a node that starts on a full disk waits for space instead of failing, as Open
+// writes to the disk.
 func TestDiskFull_atStartWaits(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 50)
@@ -104,11 +108,12 @@
 		fleet.nodes[name] = s
 		fleet.mu.Unlock()
 		s.Start()
-		fleet.waitLevel()
+		fleet.waitConverged()
 		So(fleet.died, ShouldBeEmpty)
 	})
 }
 
+// TestDiskFull_startIsCancelled checks that a node that waits for space can be stopped.
 func TestDiskFull_startIsCancelled(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		name := fleet.follower(fleet.leader()).settings.Name
@@ -146,7 +151,7 @@
 			fleet.submitAll(m.ID+" hangs", 50+round)
 			So(fleet.died, ShouldBeEmpty)
 			fleet.setHang(m.ID, false)
-			fleet.waitLevel()
+			fleet.waitConverged()
 		}
 	})
 }
--- a/internal/store/diskwriter_test.go
+++ b/internal/store/diskwriter_test.go
@@ -10,18 +10,22 @@
 	"crosstide/internal/errs"
 )
 
+// TestDiskWriter_groupsCommits checks that writes that are queued during a sync share the next one. With a sync for
+// each proposal, the disk would bound the number of proposals per second.
 func TestDiskWriter_groupsCommits(t *testing.T) {
 	withFleet(t, 1<<20, func(fleet *testFleet) { // no snapshots, which would add syncs
 		lead := fleet.leader()
-		fleet.slow.Store(int64(5 * time.Millisecond)) // else the goroutine scheduler decides on the groups
+		fleet.syncNanos.Store(int64(5 * time.Millisecond)) // else the goroutine scheduler decides on the groups
 		before := lead.storage.Stats().Syncs
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
 		So(300/(lead.storage.Stats().Syncs-before), ShouldBeGreaterThan, 10)
-		fleet.slow.Store(0)
+		fleet.syncNanos.Store(0)
 		fleet.clock.Advance(time.Second) // for the syncs that are under way
 	})
 }
 
+// TestFailedSync_isFatal checks that a node halts after a failed sync, as the content of its disk is then unknown, and
+// that the fleet loses no acknowledged job.
 func TestFailedSync_isFatal(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		lead := fleet.leader()
@@ -38,6 +42,6 @@
 		fleet.kill(lead.settings.Name)
 		So(fleet.submitJobs("b", 20), ShouldBeEmpty)
 		fleet.start(lead.settings.Name)
-		fleet.waitLevel()
+		fleet.waitConverged()
 	})
 }
--- a/internal/store/fleet_test.go
+++ b/internal/store/fleet_test.go
@@ -26,21 +26,21 @@
 // testFleet is a fleet of stores in one process, over memory disks and a virtual clock. It lives in a synctest bubble:
 // the clock advances only when every goroutine waits.
 type testFleet struct {
-	clock    clock.Virtual
-	settings config.ControlPlane // for nodes started from now on, except name, address and zone
-	seed     uint64              // added to the seeds of nodes started from now on
-	slow     atomic.Int64        // nanoseconds that a sync takes on the virtual clock
-	calls    *routine.Group      // runs the calls that wait on a store while the clock advances
-	acked    map[string]uint64   // log indexes of the acknowledged jobs, by key; none may be lost
-	disks    map[string]*storage.MemDisk
-
-	mu      sync.Mutex // guards the fields below; goroutines of the stores use them too
-	nodes   map[string]*Store
-	died    map[string]error // the errors with which nodes called Options.Fatal
-	removed map[string]bool  // nodes that called Options.Removed
-	cut     map[string]bool  // partitioned nodes: calls to and from them time out
-	full    map[string]error // the error that a disk returns for writes
-	hangs   map[string]bool  // nodes whose disks hang: no sync ends
+	clock     clock.Virtual
+	settings  config.ControlPlane // for nodes started from now on, except name, address and zone
+	seed      uint64              // added to the seeds of nodes started from now on
+	syncNanos atomic.Int64        // duration of a sync on the virtual clock, in nanoseconds
+	calls     *routine.Group      // runs the calls that wait on a store while the clock advances
+	acked     map[string]uint64   // log indexes of the acknowledged jobs, by key; none may be lost
+	disks     map[string]*storage.MemDisk
+
+	mu          sync.Mutex // guards the fields below; goroutines of the stores use them too
+	nodes       map[string]*Store
+	died        map[string]error // the errors with which nodes called Options.Fatal
+	removed     map[string]bool  // nodes that called Options.Removed
+	partitioned map[string]bool  // nodes to and from which calls time out
+	writeErrors map[string]error // the errors that disks return for writes, by node
+	hangs       map[string]bool  // nodes whose disks hang: no sync ends
 }
 
 // sleep waits on the fleet's clock.
@@ -52,16 +52,16 @@
 
 func newTestFleet(n, snapshotEvery int, operators ...signature.Key) *testFleet {
 	fleet := &testFleet{
-		settings: config.DefaultControlPlane(),
-		disks:    map[string]*storage.MemDisk{},
-		nodes:    map[string]*Store{},
-		died:     map[string]error{},
-		calls:    routine.New(context.Background()),
-		acked:    map[string]uint64{},
-		cut:      map[string]bool{},
-		full:     map[string]error{},
-		hangs:    map[string]bool{},
-		removed:  map[string]bool{},
+		settings:    config.DefaultControlPlane(),
+		disks:       map[string]*storage.MemDisk{},
+		nodes:       map[string]*Store{},
+		died:        map[string]error{},
+		calls:       routine.New(context.Background()),
+		acked:       map[string]uint64{},
+		partitioned: map[string]bool{},
+		writeErrors: map[string]error{},
+		hangs:       map[string]bool{},
+		removed:     map[string]bool{},
 	}
 	fleet.settings.SnapshotEvery = snapshotEvery
 	for _, key := range operators {
@@ -184,9 +184,9 @@
 	return failures
 }
 
-// waitLevel waits until all nodes have applied the same entries, and checks that their states are equal and have every
-// acknowledged job.
-func (fleet *testFleet) waitLevel() {
+// waitConverged waits until all nodes have applied the same entries, and checks that their states are equal and have
+// every acknowledged job.
+func (fleet *testFleet) waitConverged() {
 	lead := fleet.leader()
 	fleet.until("all nodes to apply the same entries", func() bool {
 		for _, s := range fleet.nodes {
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -28,11 +28,13 @@
 	return answer.Updates[vectorSource]
 }
 
+// TestFollow_returnsChangesOrSnapshot checks that a caller of Follow misses no change: it gets the entries after its
+// version, a snapshot if the log was compacted past that version, and otherwise waits for the next change.
 func TestFollow_returnsChangesOrSnapshot(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		follower := fleet.follower(fleet.leader())
 		So(fleet.submitJobs("a", 300), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		at := follower.Status().Applied
 		idle := func(context.Context) {}
 		So(len(fleet.follow(follower, at-3, 0, idle).Changes), ShouldEqual, 3)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -9,10 +9,10 @@
 
 // TestGoldenMetrics pins the names, help texts and labels of the metrics.
 func TestGoldenMetrics(t *testing.T) {
-	var kept golden.Registry
-	newMetrics().register(nil, &kept)
+	var registry golden.Registry
+	newMetrics().register(nil, &registry)
 	golden.Compare(t, "metrics",
-		golden.Metrics("store", kept.Collectors...),
+		golden.Metrics("store", registry.Collectors...),
 		golden.Metrics("store, told when asked", golden.Descs{descRole, descTerm, descCommit, descApplied, descWaiting,
 			descRefused, descLogBytes, descSnapshots, descObjects, descRunning, descAccount, descRate, descExhaustedIn,
 			descAwaitingTopUp, descWarning}),
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -16,6 +16,8 @@
 	"crosstide/internal/storage"
 )
 
+// TestJoin_afterLostDisk checks that a node that lost its disk rejoins a fixed fleet under a new ID and replaces its
+// earlier incarnation. Under its old ID it could vote twice in a term, or lack entries that it had acknowledged.
 func TestJoin_afterLostDisk(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 200)
@@ -25,24 +27,26 @@
 		fleet.disks[gone] = storage.NewMemDisk()
 		fleet.start(gone)
 		fresh := fleet.nodes[gone]
-		fleet.until("the newcomer is a voter", func() bool { return fresh.Status().Raft.Voter })
+		fleet.until("the rejoined node is a voter", func() bool { return fresh.Status().Raft.Voter })
 		So(fresh.id, ShouldStartWith, gone+"~")
 		fleet.submitJobs("b", 50)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		So(len(lead.Status().Raft.Members), ShouldEqual, 3)
 		So(slices.ContainsFunc(lead.Status().Raft.Members, func(m raft.Member) bool { return m.ID == gone }), ShouldBeFalse)
 
 		// The new voter counts towards a majority, and keeps its new ID over a restart.
 		fleet.kill(gone)
 		fleet.start(gone)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		fleet.kill(lead.settings.Name)
 		So(fleet.submitJobs("c", 50), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		So(fleet.nodes[gone].id, ShouldEqual, fresh.id)
 	})
 }
 
+// TestJoin_asNamedSuccessor checks that a fixed fleet rejects a node with an unknown name until an operator names it as
+// the successor of a member, and that the node then replaces that member.
 func TestJoin_asNamedSuccessor(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 100)
@@ -72,6 +76,8 @@
 	})
 }
 
+// TestOpenJoin_afterWipedDisk checks that each kind of node of an open fleet (a seed, another node, the leader) rejoins
+// within seconds after it lost its disk, whether or not its settings allow it to bootstrap.
 func TestOpenJoin_afterWipedDisk(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.startAll()
@@ -90,12 +96,14 @@
 				Printf("\nwiped %s is a voter after %s", gone, took)
 				So(took, ShouldBeLessThan, 2500*time.Millisecond) // this may include an election
 				So(fleet.submitJobs(fmt.Sprint(gone, mayBootstrap), 20), ShouldBeEmpty)
-				fleet.waitLevel()
+				fleet.waitConverged()
 			}
 		}
 	})
 }
 
+// TestOpenJoin_replacesDeadMember checks that a new node takes the place of a dead one under another name, so that dead
+// voters do not add up to a majority.
 func TestOpenJoin_replacesDeadMember(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.startAll()
@@ -122,16 +130,18 @@
 		fleet.advance(fleet.settings.RemoveAfter + time.Second)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 5) // a silent voter of an odd set is not removed
 		fleet.startFresh("c7")
-		fleet.until("the newcomer is a voter", func() bool {
+		fleet.until("the new node is a voter", func() bool {
 			So(len(memberIDs(fleet.leader())), ShouldBeLessThan, 6)
 			return fleet.nodes["c7"].Status().Raft.Voter
 		})
 		fleet.waitVoters(fleet.others()...)
 		So(fleet.submitJobs("c", 50), ShouldBeEmpty)
-		fleet.waitLevel()
+		fleet.waitConverged()
 	})
 }
 
+// TestOpenJoin_withSeedsDown checks that nodes join an open fleet whose seeds are unreachable, through addresses that
+// they stored, received in calls or were given by LearnAddresses.
 func TestOpenJoin_withSeedsDown(t *testing.T) {
 	withOpenFleet(t, 8, func(fleet *testFleet) {
 		fleet.startAll()
@@ -141,7 +151,7 @@
 		// A node is removed while it is down, and every seed is partitioned when it restarts with its disk.
 		fleet.kill("c8")
 		fleet.waitVoters(all[:7]...)
-		fleet.setCut(true, "c1", "c2", "c3")
+		fleet.setPartitioned(true, "c1", "c2", "c3")
 		fleet.start("c8")
 		fleet.until("c8 learns that it was removed", func() bool { return fleet.wasRemoved("c8") })
 		fleet.reopen("c8")
@@ -150,10 +160,10 @@
 
 		// A wiped node that knows only two seeds, both partitioned, learns the leader's address from the leader's calls
 		// to its earlier incarnation.
-		fleet.setCut(false, "c1", "c2", "c3")
+		fleet.setPartitioned(false, "c1", "c2", "c3")
 		fleet.until("all eight are members", func() bool { return slices.Equal(memberIDs(fleet.leader()), fleet.idsOf(all)) })
 		fleet.settings.Members = fleet.settings.Members[:2]
-		fleet.setCut(true, "c1", "c2")
+		fleet.setPartitioned(true, "c1", "c2")
 		lead := fleet.leaderOf("c3", "c4", "c5", "c6", "c7", "c8")
 		gone := "c8"
 		if lead == fleet.nodes["c8"] {
@@ -169,6 +179,6 @@
 		fleet.advance(3 * time.Second)
 		So(fleet.nodes["c9"].Status().Raft.Members, ShouldBeEmpty)
 		fleet.nodes["c9"].LearnAddresses(lead.settings.Addr)
-		fleet.until("the newcomer is a voter", func() bool { return fleet.nodes["c9"].Status().Raft.Voter })
+		fleet.until("the new node is a voter", func() bool { return fleet.nodes["c9"].Status().Raft.Voter })
 	})
 }
--- a/internal/store/leader_test.go
+++ b/internal/store/leader_test.go
@@ -47,7 +47,7 @@
 			}
 			longestRound = max(longestRound, took/time.Duration(rounds))
 			fleet.start(lead)
-			fleet.waitLevel()
+			fleet.waitConverged()
 		}
 		for range 8 {
 			lead := fleet.leader()
@@ -55,7 +55,7 @@
 				fleet.call(func(ctx context.Context) { lead.TransferLeadership(ctx) })
 				fleet.leaderOf(fleet.others(lead.settings.Name)...)
 			}))
-			fleet.waitLevel()
+			fleet.waitConverged()
 		}
 		for range 20 {
 			fleet.seed += 1000
@@ -63,7 +63,7 @@
 				fleet.kill(n)
 			}
 			longestRestart = max(longestRestart, fleet.elapsed(func() { fleet.startAll(); fleet.leader() }))
-			fleet.waitLevel()
+			fleet.waitConverged()
 		}
 		slices.Sort(failovers)
 		Printf("\nmedian failover %s", failovers[len(failovers)/2])
@@ -76,6 +76,8 @@
 	})
 }
 
+// TestTransferLeadership_skipsDeadPeers checks that the leadership is transferred to a live voter: the length of the
+// log alone does not tell dead voters from live ones.
 func TestTransferLeadership_skipsDeadPeers(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.slowSyncs()
@@ -93,6 +95,8 @@
 	})
 }
 
+// TestLeaderTerm_endsWithLease checks that a decision of an earlier leader never enters the log: LeaderTerm reports no
+// lease once another node may lead, and ProposeIn rejects commands of another term.
 func TestLeaderTerm_endsWithLease(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
 		fleet.startAll()
@@ -120,7 +124,7 @@
 		So(errs.KindOf(propose(fleet.follower(lead), term, "b")), ShouldEqual, errs.NotLeader)
 
 		// The lease of a partitioned leader ends before another node can lead.
-		fleet.setCut(true, lead.settings.Name)
+		fleet.setPartitioned(true, lead.settings.Name)
 		fleet.advance(fleet.settings.Lease + fleet.settings.Heartbeat)
 		_, hasLease = lead.LeaderTerm(fleet.clock.Now())
 		So(hasLease, ShouldBeFalse)
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -41,7 +41,7 @@
 // a synctest bubble cannot wait.
 func (fleet *testFleet) slowSyncs() {
 	fleet.settings.SnapshotEvery = 1 << 20
-	fleet.slow.Store(int64(3 * time.Millisecond))
+	fleet.syncNanos.Store(int64(3 * time.Millisecond))
 }
 
 // nodeName returns the name of node i, counted from 0.
@@ -101,12 +101,12 @@
 	return ids
 }
 
-// setCut partitions nodes from all others, or ends their partition.
-func (fleet *testFleet) setCut(cut bool, names ...string) {
+// setPartitioned partitions nodes from all others, or ends their partition.
+func (fleet *testFleet) setPartitioned(partitioned bool, names ...string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for _, n := range names {
-		fleet.cut[n] = cut
+		fleet.partitioned[n] = partitioned
 	}
 }
 
@@ -173,7 +173,7 @@
 						fleet.kill(name)
 					}
 				case 1:
-					fleet.setCut(!fleet.cut[name], name)
+					fleet.setPartitioned(!fleet.partitioned[name], name)
 				case 2: // the node loses its disk
 					fleet.heal(names)
 					fleet.kill(name)
@@ -196,14 +196,14 @@
 				case 4:
 					fleet.advance(time.Duration(rnd.Intn(5000)) * time.Millisecond)
 				}
-				fleet.revive()
+				fleet.reopenRemoved()
 				if fleet.hasMajority() {
 					fleet.submitJobs(fmt.Sprint("s", step), 10)
 				}
 			}
 			fleet.heal(names)
 			So(fleet.submitJobs("last", 20), ShouldBeEmpty)
-			fleet.waitLevel()
+			fleet.waitConverged()
 		})
 	}
 }
@@ -216,8 +216,8 @@
 	}
 }
 
-// revive reopens the nodes that were removed.
-func (fleet *testFleet) revive() {
+// reopenRemoved reopens the nodes that were removed.
+func (fleet *testFleet) reopenRemoved() {
 	for n := range fleet.nodes {
 		if fleet.wasRemoved(n) {
 			fleet.reopen(n)
@@ -227,10 +227,10 @@
 
 // heal ends the partitions of the named nodes, starts all stopped nodes and waits until the named ones are the voters.
 func (fleet *testFleet) heal(names []string) {
-	fleet.setCut(false, names...)
+	fleet.setPartitioned(false, names...)
 	fleet.startAll()
 	fleet.until("the named nodes to be the voters", func() bool {
-		fleet.revive()
+		fleet.reopenRemoved()
 		for _, n := range names {
 			if s := fleet.nodes[n]; !s.Status().Raft.Voter || !slices.Equal(memberIDs(s), fleet.idsOf(names)) {
 				return false
@@ -246,12 +246,12 @@
 	for _, s := range fleet.nodes {
 		members, reachable := memberIDs(s), 0
 		for _, id := range members {
-			if n := NameOf(id); fleet.nodes[n] != nil && !fleet.cut[n] && fleet.nodes[n].Status().Raft.ID == id {
+			if n := NameOf(id); fleet.nodes[n] != nil && !fleet.partitioned[n] && fleet.nodes[n].Status().Raft.ID == id {
 				reachable++
 			}
 		}
 		st := s.Status()
-		isLeader := st.Ready && st.Raft.Role == raft.Leader && !fleet.cut[s.settings.Name]
+		isLeader := st.Ready && st.Raft.Role == raft.Leader && !fleet.partitioned[s.settings.Name]
 		if isLeader && reachable > len(members)/2 {
 			return true
 		}
--- a/internal/store/removal_test.go
+++ b/internal/store/removal_test.go
@@ -8,6 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// TestRemovedMember_rejoins checks that a node that was removed while it was down or partitioned detects this and
+// rejoins as a new incarnation. Its log still has it as a member and no leader calls it, so it would otherwise stay out
+// of the fleet.
 func TestRemovedMember_rejoins(t *testing.T) {
 	withOpenFleet(t, 6, func(fleet *testFleet) {
 		fleet.settings.SnapshotEvery = 1 << 20 // a snapshot would tell a restarted node its committed membership
@@ -24,14 +27,14 @@
 			}
 			old := fleet.nodes[removed].Status().Raft.ID
 			if mode == "cut" {
-				fleet.setCut(true, removed)
+				fleet.setPartitioned(true, removed)
 			} else {
 				fleet.kill(removed)
 			}
 			fleet.waitVoters(fleet.others(removed)...)
 			So(fleet.submitJobs(mode+removed, 50), ShouldBeEmpty)
 			took := fleet.elapsed(func() {
-				if fleet.setCut(false, removed); mode == "down" {
+				if fleet.setPartitioned(false, removed); mode == "down" {
 					fleet.start(removed)
 				}
 				fleet.until("the node detects its removal", func() bool { return fleet.wasRemoved(removed) })
@@ -42,7 +45,7 @@
 			So(took, ShouldBeLessThan, 3*time.Second)
 			So(fleet.nodes[removed].Status().Raft.ID, ShouldNotEqual, old)
 			So(fleet.submitJobs(mode+removed+"-again", 20), ShouldBeEmpty)
-			fleet.waitLevel()
+			fleet.waitConverged()
 		}
 		So(fleet.died, ShouldBeEmpty)
 	})
--- a/internal/store/role_test.go
+++ b/internal/store/role_test.go
@@ -10,6 +10,8 @@
 	"crosstide/internal/internalapi"
 )
 
+// TestClaimRole_afterLeaderChange checks that a new leader does not grant a role to another node while the holder may
+// still count its lease, although the new leader does not know when its predecessor last renewed that lease.
 func TestClaimRole_afterLeaderChange(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		claim := func(holder string, epoch uint64, release bool) (lease internalapi.RoleLease) {
--- a/internal/store/rollout_test.go
+++ b/internal/store/rollout_test.go
@@ -72,6 +72,9 @@
 	fleet.call(func(ctx context.Context) { _, _ = fleet.nodes[name].Follow(ctx, call) })
 }
 
+// TestRollout_reportsBundleVersions checks that each member stores a bundle byte for byte, over snapshots and a power
+// loss of all members, and reports the newest known version of every node, although each follower calls one member at a
+// time.
 func TestRollout_reportsBundleVersions(t *testing.T) {
 	keys := newOperators(t, "ada", "ben")
 	withFleet(t, 30, func(fleet *testFleet) {
--- a/internal/store/silentmembers_test.go
+++ b/internal/store/silentmembers_test.go
@@ -11,6 +11,9 @@
 	"crosstide/internal/internalapi"
 )
 
+// TestRemoveSilent_bounds checks that a silent voter is removed only after RemoveAfter, and only if at least three
+// voters with a live majority are left. Otherwise an outage of several nodes would shrink the fleet, which would then
+// tolerate fewer failures.
 func TestRemoveSilent_bounds(t *testing.T) {
 	withOpenFleet(t, 4, func(fleet *testFleet) {
 		fleet.startAll()
@@ -43,6 +46,8 @@
 	})
 }
 
+// TestRemoveSilent_dropsLearner checks that a learner that stays silent is removed, and that it cannot rejoin under its
+// old ID.
 func TestRemoveSilent_dropsLearner(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
 		fleet.startAll()
@@ -59,7 +64,7 @@
 			return lead.BootstrapStatus(internalapi.DiscoverCall{}).MembersAt > since
 		})
 
-		// It cannot rejoin under its old ID, as its folder records a membership before the removal.
+		// It cannot rejoin under its old ID if it knows a member set from before the removal that has it.
 		_, err = lead.Join(context.Background(), internalapi.JoinCall{ID: "c9~x", Name: "c9", Addr: "c9", Since: since})
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		// A node whose recorded membership was never committed is not rejected.
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -8,6 +8,8 @@
 	"crosstide/internal/raft"
 )
 
+// TestSnapshotter_waitsForCatchUp checks that the snapshotter does not compete with the catch-up of a restarted node,
+// which would then serve later.
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
 	Convey("The snapshotter takes no entries while the live state is catching up", t, func() {
 		s := &Store{
@@ -29,12 +31,14 @@
 	})
 }
 
+// TestSnapshotter_pausesInTakeover checks that a new leader writes a snapshot that is due only after takeoverPeriod, as
+// encoding would slow the takeover.
 func TestSnapshotter_pausesInTakeover(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		s := fleet.leader()
 		start := fleet.clock.Now()
 		fleet.submitJobs("a", 60)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		So(fleet.clock.Now()-start, ShouldBeLessThan, takeoverPeriod)
 		So(s.Status().Raft.Role, ShouldEqual, raft.Leader)
 		So(newestSnapshot(s), ShouldBeLessThan, 40)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,6 +13,8 @@
 	"crosstide/internal/errs"
 )
 
+// TestStore_keepsAcknowledgedAcrossCrashes checks that no acknowledged job is lost when a leader crashes, a node
+// catches up by a snapshot, or all nodes lose power at once, and that nothing is acknowledged without a majority.
 func TestStore_keepsAcknowledgedAcrossCrashes(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 100)
@@ -20,7 +22,7 @@
 		fleet.kill(lead.settings.Name)
 		fleet.submitJobs("b", 100) // after these the stopped node needs a snapshot to catch up
 		fleet.start(lead.settings.Name)
-		fleet.waitLevel()
+		fleet.waitConverged()
 		for round := range 3 {
 			for _, m := range fleet.settings.Members {
 				fleet.kill(m.ID)
@@ -30,7 +32,7 @@
 			}
 			So(fleet.submitJobs(fmt.Sprint("c", round), 70), ShouldBeEmpty)
 		}
-		fleet.waitLevel()
+		fleet.waitConverged()
 		So(len(fleet.acked), ShouldEqual, 410)
 
 		// Without a majority no proposal is acknowledged: a proposal times out, with an unknown outcome.
@@ -57,6 +59,7 @@
 	return c.Clock.Set(d, call)
 }
 
+// TestIdle_timersPerSecond bounds the timers that an idle node sets, as each of them wakes the process.
 func TestIdle_timersPerSecond(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
 		timers := map[string]*atomic.Int64{}
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -238,6 +238,8 @@
 	return uint64(n)
 }
 
+// TestStoredFolders checks that the current code recovers the same contents from the stored folders, from the snapshot
+// and from the log, and can continue and reopen them. A changed name or meaning in the stored format makes it fail.
 func TestStoredFolders(t *testing.T) {
 	for _, f := range storedFolders {
 		from := filepath.Join("testdata", "stored", f.name)
--- a/internal/store/testdisk_test.go
+++ b/internal/store/testdisk_test.go
@@ -25,7 +25,7 @@
 }
 
 func (d testDisk) Create(name string) (storage.File, error) {
-	if err := d.fleet.refusal(d.name); err != nil {
+	if err := d.fleet.writeError(d.name); err != nil {
 		return nil, err
 	}
 	f, err := d.Disk.Create(name)
@@ -33,49 +33,49 @@
 }
 
 func (f testDiskFile) Write(p []byte) (int, error) {
-	refusal := f.fleet.refusal(f.name)
-	if refusal == nil {
+	writeErr := f.fleet.writeError(f.name)
+	if writeErr == nil {
 		return f.File.Write(p)
 	}
 	n, err := f.File.Write(p[:len(p)/2])
-	return n, cmp.Or(err, refusal)
+	return n, cmp.Or(err, writeErr)
 }
 
 func (f testDiskFile) Sync() error {
-	for f.fleet.doesHang(f.name) {
+	for f.fleet.isDiskHung(f.name) {
 		f.fleet.sleep(10 * time.Millisecond)
 	}
-	if took := time.Duration(f.fleet.slow.Load()); took > 0 {
+	if took := time.Duration(f.fleet.syncNanos.Load()); took > 0 {
 		f.fleet.sleep(took)
 	}
 	return f.File.Sync()
 }
 
-// refusal returns the error that a node's disk returns for writes, or nil if writes succeed.
-func (fleet *testFleet) refusal(name string) error {
+// writeError returns the error that a node's disk returns for writes, or nil if writes succeed.
+func (fleet *testFleet) writeError(name string) error {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	return fleet.full[name]
+	return fleet.writeErrors[name]
 }
 
-// setRefusal makes writes to a node's disk fail with err, or succeed again if err is nil.
-func (fleet *testFleet) setRefusal(name string, err error) {
+// setWriteError makes writes to a node's disk fail with err, or succeed again if err is nil.
+func (fleet *testFleet) setWriteError(name string, err error) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	fleet.full[name] = err
+	fleet.writeErrors[name] = err
 }
 
 // setFull fills a node's disk, or frees space on it again.
 func (fleet *testFleet) setFull(name string, full bool) {
 	if full {
-		fleet.setRefusal(name, unix.ENOSPC)
+		fleet.setWriteError(name, unix.ENOSPC)
 	} else {
-		fleet.setRefusal(name, nil)
+		fleet.setWriteError(name, nil)
 	}
 }
 
-// doesHang reports whether syncs of a node's disk hang.
-func (fleet *testFleet) doesHang(name string) bool {
+// isDiskHung reports whether syncs of a node's disk hang.
+func (fleet *testFleet) isDiskHung(name string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.hangs[name]
--- a/internal/store/testnet_test.go
+++ b/internal/store/testnet_test.go
@@ -17,10 +17,10 @@
 // Unavailable if the node is down.
 func callNode[A any](ctx context.Context, n testNet, addr string, do func(s *Store) (A, error)) (A, error) {
 	n.fleet.mu.Lock()
-	s, cut := n.fleet.nodes[addr], n.fleet.cut[addr] || n.fleet.cut[n.from]
+	s, isPartitioned := n.fleet.nodes[addr], n.fleet.partitioned[addr] || n.fleet.partitioned[n.from]
 	n.fleet.mu.Unlock()
 	var zero A
-	if cut {
+	if isPartitioned {
 		timedOut := make(chan struct{})
 		defer n.fleet.clock.Set(n.fleet.settings.Election/2, func() { close(timedOut) }).Stop()
 		select {
