--- a/internal/store/diskfull_test.go
+++ b/internal/store/diskfull_test.go
@@ -32,6 +32,8 @@
 	return s.diskQueue.durable
 }
 
+// TestDiskFull_leaderStepsDown checks that a leader whose disk is full loses the leadership and acknowledges nothing,
+// but stays alive and counts towards a majority again once there is space.
 func TestDiskFull_leaderStepsDown(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 50)
@@ -81,6 +83,8 @@
 	})
 }
 
+// TestDiskFull_atStartWaits checks that a node that starts on a full disk waits for space instead of failing, as Open
+// writes to the disk.
 func TestDiskFull_atStartWaits(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitAll("before", 50)
@@ -109,6 +113,7 @@
 	})
 }
 
+// TestDiskFull_startIsCancelled checks that a node that waits for space can be stopped.
 func TestDiskFull_startIsCancelled(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		name := fleet.follower(fleet.leader()).settings.Name
--- a/internal/store/diskwriter_test.go
+++ b/internal/store/diskwriter_test.go
@@ -10,6 +10,8 @@
 	"crosstide/internal/errs"
 )
 
+// TestDiskWriter_groupsCommits checks that writes that are queued during a sync share the next one. With a sync for
+// each proposal, the disk would bound the number of proposals per second.
 func TestDiskWriter_groupsCommits(t *testing.T) {
 	withFleet(t, 1<<20, func(fleet *testFleet) { // no snapshots, which would add syncs
 		lead := fleet.leader()
@@ -22,6 +24,8 @@
 	})
 }
 
+// TestFailedSync_isFatal checks that a node halts after a failed sync, as the content of its disk is then unknown, and
+// that the fleet loses no acknowledged job.
 func TestFailedSync_isFatal(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		lead := fleet.leader()
--- a/internal/store/fleet_test.go
+++ b/internal/store/fleet_test.go
@@ -29,7 +29,7 @@
 	clock     clock.Virtual
 	settings  config.ControlPlane // for nodes started from now on, except name, address and zone
 	seed      uint64              // added to the seeds of nodes started from now on
-	syncDelay atomic.Int64        // nanoseconds that a sync takes on the virtual clock
+	syncDelay atomic.Int64        // duration of a sync on the virtual clock, in nanoseconds
 	calls     *routine.Group      // runs the calls that wait on a store while the clock advances
 	acked     map[string]uint64   // log indexes of the acknowledged jobs, by key; none may be lost
 	disks     map[string]*storage.MemDisk
@@ -38,8 +38,8 @@
 	nodes       map[string]*Store
 	fatalErrors map[string]error // the errors with which nodes called Options.Fatal
 	removed     map[string]bool  // nodes that called Options.Removed
-	partitioned map[string]bool  // partitioned nodes: calls to and from them time out
-	writeErrors map[string]error // the error that a disk returns for writes
+	partitioned map[string]bool  // nodes to and from which calls time out
+	writeErrors map[string]error // the errors that disks return for writes, by node
 	hungDisks   map[string]bool  // nodes whose disks hang: no sync ends
 }
 
@@ -184,8 +184,8 @@
 	return failures
 }
 
-// waitInSync waits until all nodes have applied the same entries, and checks that their states are equal and have every
-// acknowledged job.
+// waitInSync waits until all nodes have applied the same entries, and checks that their states are equal and have
+// every acknowledged job.
 func (fleet *testFleet) waitInSync() {
 	lead := fleet.leader()
 	fleet.until("all nodes to apply the same entries", func() bool {
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -16,6 +16,8 @@
 	"crosstide/internal/storage"
 )
 
+// TestJoin_afterLostDisk checks that a node that lost its disk rejoins a fixed fleet under a new ID and replaces its
+// earlier incarnation. Under its old ID it could vote twice in a term, or lack entries that it had acknowledged.
 func TestJoin_afterLostDisk(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 200)
@@ -25,7 +27,7 @@
 		fleet.disks[gone] = storage.NewMemDisk()
 		fleet.start(gone)
 		fresh := fleet.nodes[gone]
-		fleet.until("the newcomer is a voter", func() bool { return fresh.Status().Raft.Voter })
+		fleet.until("the rejoined node is a voter", func() bool { return fresh.Status().Raft.Voter })
 		So(fresh.id, ShouldStartWith, gone+"~")
 		fleet.submitJobs("b", 50)
 		fleet.waitInSync()
@@ -43,6 +45,8 @@
 	})
 }
 
+// TestJoin_asNamedSuccessor checks that a fixed fleet rejects a node with an unknown name until an operator names it as
+// the successor of a member, and that the node then replaces that member.
 func TestJoin_asNamedSuccessor(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 100)
@@ -72,6 +76,8 @@
 	})
 }
 
+// TestOpenJoin_afterWipedDisk checks that each kind of node of an open fleet (a seed, another node, the leader) rejoins
+// within seconds after it lost its disk, whether or not its settings allow it to bootstrap.
 func TestOpenJoin_afterWipedDisk(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.startAll()
@@ -96,6 +102,8 @@
 	})
 }
 
+// TestOpenJoin_replacesDeadMember checks that a new node takes the place of a dead one under another name, so that dead
+// voters do not add up to a majority.
 func TestOpenJoin_replacesDeadMember(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.startAll()
@@ -122,7 +130,7 @@
 		fleet.advance(fleet.settings.RemoveAfter + time.Second)
 		So(memberIDs(fleet.leader()), ShouldHaveLength, 5) // a silent voter of an odd set is not removed
 		fleet.startFresh("c7")
-		fleet.until("the newcomer is a voter", func() bool {
+		fleet.until("the new node is a voter", func() bool {
 			So(len(memberIDs(fleet.leader())), ShouldBeLessThan, 6)
 			return fleet.nodes["c7"].Status().Raft.Voter
 		})
@@ -132,6 +140,8 @@
 	})
 }
 
+// TestOpenJoin_withSeedsDown checks that nodes join an open fleet whose seeds are unreachable, through addresses that
+// they stored, received in calls or were given by LearnAddresses.
 func TestOpenJoin_withSeedsDown(t *testing.T) {
 	withOpenFleet(t, 8, func(fleet *testFleet) {
 		fleet.startAll()
@@ -169,6 +179,6 @@
 		fleet.advance(3 * time.Second)
 		So(fleet.nodes["c9"].Status().Raft.Members, ShouldBeEmpty)
 		fleet.nodes["c9"].LearnAddresses(lead.settings.Addr)
-		fleet.until("the newcomer is a voter", func() bool { return fleet.nodes["c9"].Status().Raft.Voter })
+		fleet.until("the new node is a voter", func() bool { return fleet.nodes["c9"].Status().Raft.Voter })
 	})
 }
--- a/internal/store/leader_test.go
+++ b/internal/store/leader_test.go
@@ -76,6 +76,8 @@
 	})
 }
 
+// TestTransferLeadership_skipsDeadPeers checks that the leadership is transferred to a live voter: the length of the
+// log alone does not tell dead voters from live ones.
 func TestTransferLeadership_skipsDeadPeers(t *testing.T) {
 	withOpenFleet(t, 5, func(fleet *testFleet) {
 		fleet.slowSyncs()
@@ -93,6 +95,8 @@
 	})
 }
 
+// TestLeaderTerm_endsWithLease checks that a decision of an earlier leader never enters the log: LeaderTerm reports no
+// lease once another node may lead, and ProposeIn rejects commands of another term.
 func TestLeaderTerm_endsWithLease(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
 		fleet.startAll()
--- a/internal/store/openfleet_test.go
+++ b/internal/store/openfleet_test.go
@@ -102,11 +102,11 @@
 }
 
 // setPartitioned partitions nodes from all others, or ends their partition.
-func (fleet *testFleet) setPartitioned(cut bool, names ...string) {
+func (fleet *testFleet) setPartitioned(partitioned bool, names ...string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for _, n := range names {
-		fleet.partitioned[n] = cut
+		fleet.partitioned[n] = partitioned
 	}
 }
 
@@ -196,7 +196,7 @@
 				case 4:
 					fleet.advance(time.Duration(rnd.Intn(5000)) * time.Millisecond)
 				}
-				fleet.revive()
+				fleet.reopenRemoved()
 				if fleet.hasMajority() {
 					fleet.submitJobs(fmt.Sprint("s", step), 10)
 				}
@@ -216,8 +216,8 @@
 	}
 }
 
-// revive reopens the nodes that were removed.
-func (fleet *testFleet) revive() {
+// reopenRemoved reopens the nodes that were removed.
+func (fleet *testFleet) reopenRemoved() {
 	for n := range fleet.nodes {
 		if fleet.wasRemoved(n) {
 			fleet.reopen(n)
@@ -230,7 +230,7 @@
 	fleet.setPartitioned(false, names...)
 	fleet.startAll()
 	fleet.until("the named nodes to be the voters", func() bool {
-		fleet.revive()
+		fleet.reopenRemoved()
 		for _, n := range names {
 			if s := fleet.nodes[n]; !s.Status().Raft.Voter || !slices.Equal(memberIDs(s), fleet.idsOf(names)) {
 				return false
--- a/internal/store/propose_test.go
+++ b/internal/store/propose_test.go
@@ -11,6 +11,7 @@
 	"crosstide/internal/state/command"
 )
 
+// TestPropose_rejectedByFollower checks that a follower rejects a proposal with the leader's address as the hint.
 func TestPropose_rejectedByFollower(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		lead := fleet.leader()
@@ -22,6 +23,8 @@
 	})
 }
 
+// TestProposeOrForward_atFollower checks that a follower returns the leader's answer or error, and that a linearizable
+// read at the follower then sees the command although the follower may lag behind the leader.
 func TestProposeOrForward_atFollower(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		other := fleet.follower(fleet.leader())
--- a/internal/store/removal_test.go
+++ b/internal/store/removal_test.go
@@ -8,6 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// TestRemovedMember_rejoins checks that a node that was removed while it was down or partitioned detects this and
+// rejoins as a new incarnation. Its log still has it as a member and no leader calls it, so it would otherwise stay out
+// of the fleet.
 func TestRemovedMember_rejoins(t *testing.T) {
 	withOpenFleet(t, 6, func(fleet *testFleet) {
 		fleet.settings.SnapshotEvery = 1 << 20 // a snapshot would tell a restarted node its committed membership
--- a/internal/store/snapshotter_test.go
+++ b/internal/store/snapshotter_test.go
@@ -8,6 +8,8 @@
 	"crosstide/internal/raft"
 )
 
+// TestSnapshotter_waitsForCatchUp checks that the snapshotter does not compete with the catch-up of a restarted node,
+// which would then serve later.
 func TestSnapshotter_waitsForCatchUp(t *testing.T) {
 	Convey("The snapshotter takes no entries while the live state is catching up", t, func() {
 		s := &Store{
@@ -29,6 +31,8 @@
 	})
 }
 
+// TestSnapshotter_pausesInTakeover checks that a new leader writes a snapshot that is due only after takeoverPeriod, as
+// encoding would slow the takeover.
 func TestSnapshotter_pausesInTakeover(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		s := fleet.leader()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,6 +13,8 @@
 	"crosstide/internal/errs"
 )
 
+// TestStore_keepsAcknowledgedAcrossCrashes checks that no acknowledged job is lost when a leader crashes, a node
+// catches up by a snapshot, or all nodes lose power at once, and that nothing is acknowledged without a majority.
 func TestStore_keepsAcknowledgedAcrossCrashes(t *testing.T) {
 	withFleet(t, 40, func(fleet *testFleet) {
 		fleet.submitJobs("a", 100)
@@ -57,6 +59,7 @@
 	return c.Clock.Set(d, call)
 }
 
+// TestIdle_timersPerSecond bounds the timers that an idle node sets, as each of them wakes the process.
 func TestIdle_timersPerSecond(t *testing.T) {
 	withOpenFleet(t, 3, func(fleet *testFleet) {
 		timers := map[string]*atomic.Int64{}
--- a/internal/store/testdisk_test.go
+++ b/internal/store/testdisk_test.go
@@ -42,7 +42,7 @@
 }
 
 func (f testDiskFile) Sync() error {
-	for f.fleet.doesHang(f.name) {
+	for f.fleet.isDiskHung(f.name) {
 		f.fleet.sleep(10 * time.Millisecond)
 	}
 	if took := time.Duration(f.fleet.syncDelay.Load()); took > 0 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// doesHang reports whether syncs of a node's disk hang.
-func (fleet *testFleet) doesHang(name string) bool {
+// isDiskHung reports whether syncs of a node's disk hang.
+func (fleet *testFleet) isDiskHung(name string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.hungDisks[name]
