--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -41,8 +41,8 @@
 // Rate returns the total rate of the runs that have a reservation on the account.
 func (a *Account) Rate() Rate { return a.rate }
 
-// ExhaustedIn returns the forecast time until the balance is exhausted at the current rate, or 0 if it already is. It
-// reports false if no run draws on the account or the time does not fit a Duration.
+// ExhaustedIn returns the forecast time until the balance is exhausted at the current rate, or 0 if it already is. The
+// credit is not counted. It reports false if no run draws on the account or the time does not fit a Duration.
 func (a *Account) ExhaustedIn() (time.Duration, bool) {
 	switch {
 	case a.Balance <= 0:
--- a/internal/account/ledger.go
+++ b/internal/account/ledger.go
@@ -32,7 +32,8 @@
 	Amount    int64     `json:"u"`
 }
 
-// hash returns the hash of the chain including this entry, in hex; previous is the hash including the entry before.
+// hash returns the hash of the chain up to this entry, in hex. previous is the hash up to the entry before, "" for the
+// first entry.
 func (e *Entry) hash(previous string) string {
 	text := fmt.Sprintf("%s\n%d %d %s %q %d %d\n",
 		previous, e.Number, e.At.UnixNano(), e.Kind, e.Key, e.DrawIndex, e.Amount)
--- a/internal/account/reservation.go
+++ b/internal/account/reservation.go
@@ -70,8 +70,8 @@
 	a.draw(run, r, r.Rate.Cost(at.Sub(r.Start))-r.Drawn, at)
 }
 
-// Refund ends a run that was lost: it releases the reservation of its open window. A run without a reservation is
-// ignored.
+// Refund ends a run that was lost: it releases the reservation of its open window. Amounts that were drawn for
+// earlier windows stay drawn. A run without a reservation is ignored.
 func (t *Table) Refund(run string) {
 	if r := t.remove(run); r != nil {
 		t.Accounts[r.Account].reserve(-r.openCost())
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -7,13 +7,14 @@
 	"crosstide/internal/errs"
 )
 
-// Table holds all accounts and reservations. It has no lock: the owner of its State serializes all access. For Covers,
-// Debit, Refund, Renew, Check and HasReservations a nil table behaves as an empty one.
+// Table holds all accounts and reservations. It has no lock: the owner of the enclosing state.State
+// serializes all access. For Covers, Debit, Refund, Renew, Check and HasReservations a nil table behaves as an empty
+// one.
 type Table struct {
 	Accounts     map[string]*Account     `json:"accounts"`     // by the party's name; never removed
 	Reservations map[string]*Reservation `json:"reservations"` // by run; the account of each is in Accounts
 
-	renewals renewals // has the Until of each reservation, may have ended runs; derived by Rebuild
+	renewals renewals // one for each reservation, and outdated ones of ended runs; derived by Rebuild
 }
 
 // NewTable returns an empty table.
--- a/internal/jobs/changes.go
+++ b/internal/jobs/changes.go
@@ -60,8 +60,8 @@
 // EndReason says why a run ended. The strings are stored.
 type EndReason string
 
-// The reasons of an end. EndDone and EndFailed are outcomes of the task itself; after any other end the task is due
-// again.
+// The reasons of an end. EndDone and EndFailed are outcomes of the task itself. After any other end the task is due
+// again, and no failure is counted.
 const (
 	EndDone         EndReason = "done"
 	EndFailed       EndReason = "failed"
--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -12,6 +12,7 @@
 // the query methods, and must not modify anything. Records and changes are stored under the JSON names of their tags,
 // which never change.
 //
-// The records are declared in jobs.go, the changes in changes.go; the method that applies a change is in the file named
-// after it. Entry points: Table (table.go) and Table.Progress (progress.go).
+// The records are declared in jobs.go, the changes in changes.go, both except for the parties (payment.go). Submit,
+// Configure, Evacuate and Progress are in the files named after them, Cancel and Purge in lifecycle.go, Register in
+// worker.go, and SetParties in payment.go. Entry points: Table (table.go) and Table.Progress (progress.go).
 package jobs
--- a/internal/jobs/growth_test.go
+++ b/internal/jobs/growth_test.go
@@ -18,7 +18,7 @@
 	workers int // registered so far
 
 	noPurge  bool // terminal jobs are not purged
-	noForget bool // records of workers that are gone are not deleted
+	noRemove bool // records of workers that are gone are not deleted
 }
 
 const (
@@ -57,7 +57,7 @@
 		g.Evacuate(Evacuate{Zone: "zone-9", Start: start})
 	}
 	g.now = g.now.Add(time.Hour)
-	if !g.noForget {
+	if !g.noRemove {
 		g.progress(Progress{RemoveWorkers: gone})
 	}
 	if !g.noPurge {
@@ -143,7 +143,7 @@
 
 func TestGrowth_withoutPurging(t *testing.T) {
 	Convey("Without purging jobs, or without deleting workers that are gone, the table keeps growing", t, func() {
-		for _, g := range []*growthTable{{noPurge: true}, {noForget: true}} {
+		for _, g := range []*growthTable{{noPurge: true}, {noRemove: true}} {
 			g.Table, g.now = NewTable(), noon
 			must(g.Configure(testConfig()))
 			sizes := g.simulate(6)
--- a/internal/jobs/lifecycle.go
+++ b/internal/jobs/lifecycle.go
@@ -7,8 +7,8 @@
 	"crosstide/internal/errs"
 )
 
-// Cancel cancels a job that is not terminal, and returns the job's state. Its handles stay until their runs have ended.
-// Failure: Unknown.
+// Cancel cancels a job, and returns its state; a terminal job keeps its state. The job's handles stay until their runs
+// have ended. Failure: Unknown.
 func (t *Table) Cancel(c Cancel) (JobState, error) {
 	job := t.Jobs[c.ID]
 	if job == nil {
--- a/internal/jobs/lifecycle_test.go
+++ b/internal/jobs/lifecycle_test.go
@@ -102,7 +102,7 @@
 }
 
 func TestPurge_lastHandle(t *testing.T) {
-	Convey("A terminal job is deleted once after its last handle was released", t, func() {
+	Convey("A job that succeeds with the end of its last run is retired once, and Purge deletes it once", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
@@ -112,7 +112,7 @@
 		table.OnEvent = func(event Event) { events = append(events, event) }
 		table.Purge(noon.Add(time.Hour))
 		So(events, ShouldResemble, []Event{{JobChanged, "j"}})
-		Convey("and its ID can be reused", func() {
+		Convey("and a new job with its ID is not deleted in its place", func() {
 			So(table.mustSubmit(testJob("j", oneCore(1))).Sequence, ShouldEqual, 2)
 			table.Purge(noon.Add(time.Hour))
 			So(table.Jobs["j"], ShouldNotBeNil)
--- a/internal/jobs/model_test.go
+++ b/internal/jobs/model_test.go
@@ -23,7 +23,7 @@
 		}
 		next, isPlaced := state.decodedCopy(), true
 		for _, member := range group {
-			isPlaced = isPlaced && expectPlacement(next, p.Starts[member])
+			isPlaced = isPlaced && placeIfAllowed(next, p.Starts[member])
 		}
 		if job := state.Jobs[start.Task.Job]; isPlaced && job.Spec.Steps[start.Task.Step].Gang {
 			isPlaced = len(group) == job.Spec.Steps[start.Task.Step].Count
@@ -59,8 +59,9 @@
 	return group
 }
 
-// expectPlacement records the handle of a start if its preconditions hold, without updating the indexes.
-func expectPlacement(t *Table, start Start) bool {
+// placeIfAllowed records the handle of a start if its preconditions hold, and reports whether it did so. It does not
+// update the indexes.
+func placeIfAllowed(t *Table, start Start) bool {
 	job := t.Jobs[start.Task.Job]
 	step := job.Spec.Steps[start.Task.Step]
 	tasks := job.Rounds[start.Task.Round]
--- a/internal/jobs/payment.go
+++ b/internal/jobs/payment.go
@@ -19,7 +19,8 @@
 // Payments reserves and debits the cost of runs on the accounts of parties. The table calls its methods while it
 // applies a change; they use the time of that change.
 type Payments interface {
-	// Covers reports whether a party's balance covers a cost.
+	// Covers reports whether the balance plus the credit of a party's account covers a cost. It is false if the party
+	// has no account.
 	Covers(party string, cost int64) bool
 	// Reserve reserves the first window of a run. A failed call changes nothing.
 	Reserve(charge account.Charge) error
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// Covers reports whether a party's balance covers a cost. Without accounts only a cost of 0 is covered.
+// Covers reports whether a party's balance covers a cost, as Payments.Covers does. A cost of 0 is always covered; while
+// Payments is nil, no other cost is.
 func (t *Table) Covers(party *Party, cost int64) bool {
 	return cost == 0 || t.Payments != nil && t.Payments.Covers(party.Name, cost)
 }
--- a/internal/jobs/progress_end.go
+++ b/internal/jobs/progress_end.go
@@ -61,8 +61,9 @@
 	t.succeedIfDone(job, at)
 }
 
-// countFailure counts a failed run in counter, the task itself or the first member of its gang, and fails the job when
-// the queue's MaxAttempts is reached. A run of a gang counts once, even if several members report a failure.
+// countFailure counts a failed run of a task, and fails the job when the queue's MaxAttempts is reached. counter is the
+// task whose Failures are increased: the first member of a gang, otherwise the task itself. A run of a gang counts
+// once, even if several members report a failure.
 func (t *Table) countFailure(job *Job, task, counter *Task, key RunKey, at time.Time) {
 	step := &job.Spec.Steps[key.Task.Step]
 	if task.Done || job.State.IsTerminal() || step.LongRunning {
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// IsStepReady reports whether all steps that a step depends on are done in a round. It does not check whether the round
-// is due. It returns false for a retired job.
+// IsStepReady reports whether, in the given round, all steps that the given step depends on (Step.After) are done. It
+// does not check whether the round is due. It returns false for a retired job, and if the round or step does not exist.
 func (*Table) IsStepReady(job *Job, round, step int) bool {
 	remaining := job.index.remaining
 	if round < 0 || round >= len(remaining) || step < 0 || step >= len(job.Spec.Steps) {
@@ -21,8 +21,8 @@
 	return true
 }
 
-// QueueFor returns the queue for a request: of the queues of the host, the one whose prefix is the longest that matches
-// the path, or nil if none matches. A port in host is ignored.
+// QueueFor returns the queue that a request addresses: among the queues of the host whose Prefix is a prefix of the
+// path, the one with the longest Prefix, or nil if no queue matches. The case of host and a port in it are ignored.
 func (t *Table) QueueFor(host, path string) *Queue {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/jobs/worker_test.go
+++ b/internal/jobs/worker_test.go
@@ -30,22 +30,22 @@
 	})
 }
 
-func TestForget_workerWithHandles(t *testing.T) {
+func TestRemoveWorkers_withHandles(t *testing.T) {
 	Convey("The record of a worker is deleted only if it has no handles", t, func() {
 		table := testTable()
 		table.mustSubmit(testJob("j", oneCore(1)))
 		start := startOf(taskOf("j", 0, 0), 1, "w1")
 		table.start(start)
-		forget := func(p Progress) {
+		removeWorker := func(p Progress) {
 			p.Term, p.RemoveWorkers = testTerm, []string{"w1"}
 			_, err := table.Progress(testTerm, p)
 			must(err)
 		}
-		forget(Progress{})
+		removeWorker(Progress{})
 		So(table.Workers["w1"], ShouldNotBeNil)
-		forget(Progress{Ends: []End{endOf(start, EndLost)}, Starts: []Start{startOf(start.Task, 2, "w1")}})
+		removeWorker(Progress{Ends: []End{endOf(start, EndLost)}, Starts: []Start{startOf(start.Task, 2, "w1")}})
 		So(table.Workers["w1"], ShouldNotBeNil)
-		forget(Progress{Ends: []End{endOf(startOf(start.Task, 2, "w1"), EndLost)}})
+		removeWorker(Progress{Ends: []End{endOf(startOf(start.Task, 2, "w1"), EndLost)}})
 		So(table.Workers["w1"], ShouldBeNil)
 	})
 }
