--- a/internal/state/bundle.go
+++ b/internal/state/bundle.go
@@ -10,7 +10,7 @@
 type Bundle struct {
 	Version uint64           `json:"version"`
 	Queues  map[string]Queue `json:"queues"`
-	Limits  map[string]int   `json:"limits,omitempty"` // running tasks by type; a type at its limit goes last
+	Limits  map[string]int   `json:"limits,omitempty"` // running tasks by type; types at their limit start last
 	Backoff Backoff          `json:"backoff"`
 	// Retries is the upper limit of StepSpec.Retries; nil means no limit.
 	Retries *int `json:"retries,omitempty"`
--- a/internal/state/command/jobs_table.go
+++ b/internal/state/command/jobs_table.go
@@ -45,7 +45,7 @@
 	return nil, errs.Pass(s.JobTable.Configure(c.Configure), "configure")
 }
 
-// JobEvacuate starts or withdraws the evacuation of a zone.
+// JobEvacuate starts or ends the evacuation of a zone.
 type JobEvacuate struct{ jobs.Evacuate }
 
 // Op returns "job-evacuate".
--- a/internal/state/command/operators_test.go
+++ b/internal/state/command/operators_test.go
@@ -57,12 +57,12 @@
 	return &SignBundle{Order: order, Version: version, Digest: digest, By: by, Sig: o.keys[by].Sign(text)}
 }
 
-func (o *operatorsFixture) zone(order, by, zone string, out bool) *EvacuateZone {
+func (o *operatorsFixture) zone(order, by, zone string, isStart bool) *EvacuateZone {
 	text := signature.Evacuate(order, zone)
-	if !out {
+	if !isStart {
 		text = signature.Lift(zone, o.st.Evacuated[zone])
 	}
-	return &EvacuateZone{Order: order, Zone: zone, Start: out, By: by, Sig: o.keys[by].Sign(text)}
+	return &EvacuateZone{Order: order, Zone: zone, Start: isStart, By: by, Sig: o.keys[by].Sign(text)}
 }
 
 // putInForce writes a version with the text body, has both operators sign it, and returns its number.
--- a/internal/state/command/policy_bundle.go
+++ b/internal/state/command/policy_bundle.go
@@ -11,7 +11,7 @@
 )
 
 // PutBundle writes a version of the bundle as a draft against Base, which must be the newest version. Sig signs the
-// text signature.Put.
+// text signature.BundlePut.
 type PutBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
@@ -50,7 +50,7 @@
 }
 
 // PatchBundle writes a version as a draft: the result of a JSON merge patch of Base, which must be the newest version.
-// The result must be a valid bundle. Sig signs the text signature.Patch.
+// The result must be a valid bundle. Sig signs the text signature.BundlePatch.
 type PatchBundle struct {
 	Order string `json:"order"`
 	Base  uint64 `json:"base"`
--- a/internal/state/command/policy_cancel.go
+++ b/internal/state/command/policy_cancel.go
@@ -38,7 +38,7 @@
 // maxCancels is the maximum number of keys in one CancelMany.
 const maxCancels = 10000
 
-// CancelMany stops many jobs in one entry: those in Keys, or all of a team, of a queue, or of a team in a queue.
+// CancelMany stops many jobs in one entry: those in Keys, or all open jobs of Team, of Queue, or of Team in Queue.
 type CancelMany struct {
 	Keys  []string `json:"keys,omitempty"`
 	Team  string   `json:"team,omitempty"`
--- a/internal/state/command/policy_payment_test.go
+++ b/internal/state/command/policy_payment_test.go
@@ -156,14 +156,14 @@
 }
 
 func TestPayment_ofLongRunningGangs(t *testing.T) {
-	Convey("A gang with a restart starts if the balance covers the other's first run, even below zero", t, func() {
+	Convey("A gang starts if the balance covers its first runs; its restarts may make the balance negative", t, func() {
 		s := newPaidState(200)
 		s.submit("j", state.StepSpec{Name: "s", Type: "t", Tasks: 2, LongRunning: true})
 		s.start(1, startOn("m1", "j", 0))
 		s.plan(Plan{Dead: []Proof{{RunID: 1, Kind: ProofLeaseExpired}}})
 		s.start(1, startOn("m1", "j", 0))
 		s.plan(Plan{Dead: []Proof{{RunID: 2, Kind: ProofLeaseExpired}}})
-		s.Accounts.Accounts["acme"].Balance -= 100 // as if another run had been paid for
+		s.Accounts.Accounts["acme"].Balance -= 100 // as if 100 units less had been topped up
 		s.Accounts.Accounts["acme"].ToppedUp -= 100
 		s.Accounts.Accounts["acme"].Ledger.Head.ToppedUp -= 100
 		first, other := startOn("m1", "j", 0), startOn("m2", "j", 1)
--- a/internal/state/command/policy_purge.go
+++ b/internal/state/command/policy_purge.go
@@ -6,8 +6,9 @@
 	"crosstide/internal/state"
 )
 
-// Purge replaces old terminal jobs by tombstones, and drops old tombstones and answered orders. Age and number limit
-// the jobs and tombstones, age alone the orders.
+// Purge replaces old terminal jobs by tombstones, and drops old tombstones and answered orders. A job is replaced if it
+// ended before JobsBefore or is not among the newest JobsKeep; the same holds for tombstones. An order is dropped if it
+// was answered before OrdersBefore.
 type Purge struct {
 	JobsBefore       time.Time `json:"jobs_before"`
 	JobsKeep         int       `json:"jobs_keep"`
--- a/internal/state/command/policy_runs.go
+++ b/internal/state/command/policy_runs.go
@@ -25,9 +25,9 @@
 // ProofKind is the kind of a proof. The strings are stored.
 type ProofKind string
 
-// The kinds of proof.
+// The kinds of proof. A worker that has received a floor no longer starts run IDs at or below it.
 const (
-	ProofFloor          ProofKind = "floor"  // the worker has a floor at or above the run ID and lists no such run
+	ProofFloor          ProofKind = "floor"  // the worker received a floor at or above the run ID and lists no such run
 	ProofNewIncarnation ProofKind = "boot"   // the worker runs under another incarnation; not written: see recordReport
 	ProofLeaseExpired   ProofKind = "lapse"  // its lease has expired even with clock differences
 	ProofUnsent         ProofKind = "unsent" // the scheduler never sent its start order
--- a/internal/state/command/policy_starts.go
+++ b/internal/state/command/policy_starts.go
@@ -37,7 +37,7 @@
 	if c.BundleVersion != s.Bundle.Version {
 		return RefusedBundle
 	}
-	taken := map[string]capacity{} // by worker: needs of the starts of the group so far
+	taken := map[string]needs{} // by worker: needs of the starts of the group so far
 	var fees groupFees
 	for _, start := range group {
 		if refusal := startRefusal(s, start); refusal != "" {
@@ -86,16 +86,16 @@
 	return &s.Jobs[ref.Job].Spec.Steps[ref.Step]
 }
 
-// capacity is the sum of the needs of starts on a worker.
-type capacity struct{ cores, gpus int }
+// needs is the sum of the resources that some starts need on one worker.
+type needs struct{ cores, gpus int }
 
-func (c capacity) plus(step *state.StepSpec) capacity {
-	return capacity{c.cores + step.Cores, c.gpus + step.GPUs}
+func (n needs) plus(step *state.StepSpec) needs {
+	return needs{n.cores + step.Cores, n.gpus + step.GPUs}
 }
 
-// fits reports whether a worker has this capacity free beside its handles.
-func (c capacity) fits(w *state.Worker, used *state.Usage) bool {
-	return used.Cores+c.cores <= w.Cores && used.GPUs+c.gpus <= w.GPUs
+// fits reports whether a worker has enough free capacity for n beside its handles.
+func (n needs) fits(w *state.Worker, used *state.Usage) bool {
+	return used.Cores+n.cores <= w.Cores && used.GPUs+n.gpus <= w.GPUs
 }
 
 // groupFees is the sum of the fees of a group's starts. All belong to one job, and so to one party.
--- a/internal/state/command/policy_submit.go
+++ b/internal/state/command/policy_submit.go
@@ -8,8 +8,8 @@
 	"crosstide/internal/state"
 )
 
-// Submit puts a job into the inbox. A submission with a known key is the same job if its digest is the same, otherwise
-// a conflict. Bound is the maximum number of open jobs, see State.OverloadReason.
+// Submit puts a job into the inbox. A submission with a known key returns the known job if it has the same digest;
+// otherwise it fails with Conflict. Bound is the maximum number of open jobs, see State.OverloadReason.
 type Submit struct {
 	Spec   state.Spec `json:"spec"`
 	Digest string     `json:"digest"`
--- a/internal/state/command/policy_zone_test.go
+++ b/internal/state/command/policy_zone_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestZones(t *testing.T) {
-	Convey("One operator evacuates a zone and two lift that; without operators no signature is needed", t, func() {
+	Convey("One operator evacuates a zone and two lift the evacuation; without operators none must sign", t, func() {
 		fixture := newOperatorsFixture()
 		unsigned := &EvacuateZone{Order: "o0", Zone: "z1", Start: true}
 		_, err := fixture.do(unsigned)
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -21,7 +21,7 @@
 	EventJobSubmitted                      // a job entered the inbox (Name)
 	EventJobStopping                       // a job's runs are to be stopped (Name)
 	EventRoleChanged                       // a role was granted or released (Name)
-	EventPlacementChanged                  // the bundle in force, an evacuation or the labels in a zone changed
+	EventPlacementChanged                  // the bundle, an evacuation (Name) or labels in a zone changed
 	EventAccountChanged                    // an account was opened or topped up (Name)
 )
 
--- a/internal/state/indexes.go
+++ b/internal/state/indexes.go
@@ -63,6 +63,7 @@
 	}
 }
 
+// usageOf returns the usage of a worker. It first adds an empty one to the index if the worker has none.
 func (x *indexes) usageOf(worker string) *Usage {
 	u := x.usage[worker]
 	if u == nil {
--- a/internal/state/payment.go
+++ b/internal/state/payment.go
@@ -28,7 +28,8 @@
 	return Fee{party, p.rate(&job.Spec.Steps[ref.Step]).Cost(p.Window())}
 }
 
-// Covers reports whether the party's balance covers a fee, which may be the sum of the fees of several starts.
+// Covers reports whether the balance plus the credit of the party's account covers a fee, which may be the
+// sum of the fees of several starts.
 func (s *State) Covers(f Fee) bool { return f.Party == "" || s.Accounts.Covers(f.Party, f.Cost) }
 
 // UnpaidReason returns why due tasks of a job wait for a top-up, or "" if none does.
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -52,7 +52,7 @@
 	return ""
 }
 
-// WaitReason returns why the bundle in force forbids all workers to start tasks of a job, or "" if it does not.
+// WaitReason returns why the bundle in force forbids starting tasks of a job on any worker, or "" if it does not.
 func (s *State) WaitReason(spec *Spec) string {
 	queue, ok := s.Bundle.Queues[spec.Queue]
 	if !ok {
--- a/internal/state/query/jobs.go
+++ b/internal/state/query/jobs.go
@@ -36,7 +36,7 @@
 	Skipped     int    `json:"skipped,omitempty"`
 	Failures    int    `json:"faults,omitempty"` // failed runs of all tasks
 	Lost        int    `json:"lost,omitempty"`   // runs of all tasks proved dead without a reported end
-	Reason      string `json:"reason,omitempty"` // of the newest failure of a task that is not done
+	Reason      string `json:"reason,omitempty"` // Task.Reason of the last task that has one and is not done
 }
 
 // Job returns the view of a job or of its tombstone. Failure: Unknown (the state has neither).
--- a/internal/state/revision.go
+++ b/internal/state/revision.go
@@ -19,6 +19,7 @@
 }
 `
 
+// initialBundleDigest is the SHA-256 of InitialBundle in hex.
 const initialBundleDigest = "be4f1ed5c7468620e0a1d8d4306b21979535183d590194d65345ea610808b8e2"
 
 func initialRevision() *Revision {
@@ -63,7 +64,7 @@
 }
 
 // Signature is an operator's approval of a version. Sig is the base64 signature of the text that signature.Bundle
-// returns for its number and digest.
+// returns for the number and digest of the version.
 type Signature struct {
 	By  string    `json:"by"`
 	At  time.Time `json:"at"`
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TaskPhase is the phase of a task. Only State.SetTaskPhase and the functions beside it change it, and only as
-// taskTransitions allows.
+// TaskPhase is the phase of a task. Only the functions of transition.go change it, and only as taskTransitions
+// allows.
 type TaskPhase string
 
 // The phases of a task. The last three are terminal. The strings are stored.
@@ -12,7 +12,7 @@
 	TaskDue         TaskPhase = "d" // may be assigned from Task.DueAt on
 	TaskAssigned    TaskPhase = "h" // has a handle; its worker has not yet reported it as running
 	TaskRunning     TaskPhase = "r" // reported as running
-	TaskUnconfirmed TaskPhase = "?" // its order or the answer was lost; keeps its handle until reported or proved dead
+	TaskUnconfirmed TaskPhase = "?" // its start order or the answer was lost; the handle stays until a report or proof
 	TaskDone        TaskPhase = "e" // succeeded
 	TaskFailed      TaskPhase = "x" // failed more often than its retries allow
 	TaskSkipped     TaskPhase = "s" // will not run: the job was cancelled or has failed
@@ -43,7 +43,7 @@
 	Lost     int       `json:"l,omitempty"` // number of runs proved dead without a reported end
 	RunID    uint64    `json:"t,omitempty"` // of its newest run, kept after the handle is released
 	DueAt    time.Time `json:"d,omitzero"`  // store time from which it may start
-	Reason   string    `json:"w,omitempty"` // of its newest failure
+	Reason   string    `json:"w,omitempty"` // of its newest failed run, or of a newer lost run that has a reason
 }
 
 // TaskRef identifies a task by the key of its job, the position of its step and its own position in the step.
--- a/internal/state/transition.go
+++ b/internal/state/transition.go
@@ -83,7 +83,7 @@
 }
 
 // applyTaskPhase changes a task's phase and its handle, including the indexes and the reservation of the handle, but
-// does not advance its step or job.
+// does not advance its step or job. The failures are those of SetTaskPhase.
 func (s *State) applyTaskPhase(job *Job, task *Task, ref TaskRef, to TaskPhase, handle *Handle) error {
 	from := task.Phase
 	if !slices.Contains(taskTransitions[from], to) {
@@ -130,7 +130,7 @@
 	s.notify(Event{Kind: EventHandleReleased, Handle: handle, Ref: handle.Ref})
 }
 
-// makeReadyTasksDue makes the waiting tasks due of every step whose preceding steps are done.
+// makeReadyTasksDue makes the waiting tasks of a step due, for every step whose preceding steps (After) are done.
 func (s *State) makeReadyTasksDue(job *Job) {
 	for i := range job.Spec.Steps {
 		if !job.isReady(&job.Spec.Steps[i]) {
