--- a/internal/controller/scheduler/ack_test.go
+++ b/internal/controller/scheduler/ack_test.go
@@ -8,6 +8,8 @@
 	"crosstide/internal/jobs"
 )
 
+// TestLastEndsAreAcknowledged guards against a worker that keeps its last ends forever: without runs it gets no long
+// polls, whose acknowledgements would let it forget them.
 func TestLastEndsAreAcknowledged(t *testing.T) {
 	Convey("The last ends of a worker without runs are acknowledged after ackDelay, once", t, func() {
 		c := newReadyCluster()
--- a/internal/controller/scheduler/commit.go
+++ b/internal/controller/scheduler/commit.go
@@ -9,8 +9,8 @@
 // proposal is a Progress whose commit is in flight. Owned by propose and Committed.
 type proposal struct {
 	progress   *jobs.Progress
-	highestEnd map[string]uint64 // by worker: after the commit, ends up to this number may be acknowledged
-	starts     map[jobs.RunKey]bool
+	highestEnd map[string]uint64    // by worker: after the commit, ends up to this number may be acknowledged
+	starts     map[jobs.RunKey]bool // runs whose handles it records
 }
 
 // propose returns the next Progress to commit, or nil if there is nothing to commit or a proposal is in flight.
@@ -77,7 +77,7 @@
 	}
 }
 
-// isStartInFlight reports whether the handle of a run is part of the proposal in flight.
+// isStartInFlight reports whether the proposal in flight records the handle of a run.
 func (c *Core) isStartInFlight(key jobs.RunKey) bool {
 	return c.inFlight != nil && c.inFlight.starts[key]
 }
--- a/internal/controller/scheduler/config.go
+++ b/internal/controller/scheduler/config.go
@@ -8,14 +8,15 @@
 	Lease time.Duration
 	// RenewalWait is how long a worker may hold a renewal open until a run ends (long poll).
 	RenewalWait time.Duration
-	// RenewalMargin is how long after its RenewalWait a renewal without an answer counts as failed.
+	// RenewalMargin is how long after the end of its LeaseRenewal.Wait a renewal without an answer counts as failed.
 	RenewalMargin time.Duration
 	// SilenceTimeout is how long after its last answer or heartbeat a worker counts as silent. Silent workers are sent
 	// no starts.
 	SilenceTimeout time.Duration
 	// OrderTimeout is the time after which a start or stop without an answer counts as unconfirmed.
 	OrderTimeout time.Duration
-	// RetryMin is the first back-off after a failed call; each further failure doubles it, up to RetryMax.
+	// RetryMin is the first back-off after a failed call; each further failure doubles it, up to RetryMax. A stop order
+	// is sent again after RetryMin each time.
 	RetryMin, RetryMax time.Duration
 	// ExpiryMargin is how long after the end of a lease its worker has certainly killed its runs.
 	ExpiryMargin time.Duration
@@ -40,7 +41,7 @@
 	MaxOrdersInFlight int
 	// MaxPreemptions limits the runs that one pass stops for more urgent work.
 	MaxPreemptions int
-	// MaxProbes limits the workers with an unanswered probe.
+	// MaxProbes limits the workers that were probed within the last probeWindow and have not answered.
 	MaxProbes int
 }
 
--- a/internal/controller/scheduler/contact.go
+++ b/internal/controller/scheduler/contact.go
@@ -12,7 +12,7 @@
 	verifyAt     time.Duration // no starts are sent until an answer newer than this
 
 	failures int           // consecutive calls without an answer
-	retryAt  time.Duration // no renewals are sent before it
+	retryAt  time.Duration // no renewals are sent before this time
 	suspect  bool          // an order got no answer, and no call was answered since
 
 	// throttledUntil is until when only one order may be in flight to the worker, see markUnanswered.
--- a/internal/controller/scheduler/core.go
+++ b/internal/controller/scheduler/core.go
@@ -15,8 +15,8 @@
 	cfg  Config
 	term uint64        // term under which it schedules; 0: not leading
 	now  time.Duration // time of the newest pass, answer or commit
-	// sequence numbers the renewals sent and the answers received, in order and across terms. A renewal sent after an
-	// event has a higher number than the event, so that its answer reflects the event.
+	// sequence numbers the renewals sent and the outcomes of start and stop orders, in order and across terms. If the
+	// number of a renewal is higher than that of an order's outcome, the renewal was sent after the outcome was known.
 	sequence uint64
 
 	termState // state under the term; replaced as a whole when the term changes
--- a/internal/controller/scheduler/failure_test.go
+++ b/internal/controller/scheduler/failure_test.go
@@ -9,6 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
+// TestFailureOfGangMemberCounts guards against a gang that is retried without limit. The first end of a gang stops its
+// other members; if the member that failed is listed later, its failure must still count as an attempt.
 func TestFailureOfGangMemberCounts(t *testing.T) {
 	Convey("The failure of a gang member counts as an attempt even if another member's end was listed first", t, func() {
 		c := newReadyCluster()
@@ -26,6 +28,8 @@
 	})
 }
 
+// TestFailureOfStoppedRunCounts guards against a failure that is ignored because a stop of the run was requested before
+// the worker listed the failure.
 func TestFailureOfStoppedRunCounts(t *testing.T) {
 	Convey("Given a run that fails while it is being stopped", t, func() {
 		c := newCluster(1, "w1")
--- a/internal/controller/scheduler/feasible.go
+++ b/internal/controller/scheduler/feasible.go
@@ -20,7 +20,8 @@
 	lowestPriority int
 }
 
-// feasibleNodes returns the nodes of a service that may be sent starts. All units of a pass share them.
+// feasibleNodes returns the nodes of a service that may be sent starts, without the stalled ones if there are at least
+// minHealthyPerStalled others for each. All units of a pass share the nodes.
 func (p *placement) feasibleNodes(service string) []*node {
 	if nodes, ok := p.feasible[service]; ok {
 		return nodes
--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -14,11 +14,11 @@
 type fleet struct {
 	*cluster
 	random    *rand.Rand
-	callbacks map[time.Duration][]func() // by time, truncated to milliseconds
-	running   map[string]map[jobs.RunKey]span
-	ended     map[string][]EndedRun
-	counts    map[string]uint64
-	longPolls map[string]*RenewalAction
+	callbacks map[time.Duration][]func()      // by time, truncated to milliseconds
+	running   map[string]map[jobs.RunKey]span // by worker
+	ended     map[string][]EndedRun           // by worker
+	counts    map[string]uint64               // by worker: sequence number of its newest end
+	longPolls map[string]*RenewalAction       // by worker: the long poll that it holds open
 	passes    int
 }
 
--- a/internal/controller/scheduler/flowcontrol_test.go
+++ b/internal/controller/scheduler/flowcontrol_test.go
@@ -49,6 +49,8 @@
 	}
 }
 
+// TestWorkerWithoutFreeConnectionsIsThrottled guards against calls that exclude one another: a worker with one free
+// connection resets all further ones. If a long poll or a second order held the connection, the stop would never arrive.
 func TestWorkerWithoutFreeConnectionsIsThrottled(t *testing.T) {
 	Convey("Given a worker that accepts one connection at a time, and a start that got no answer", t, func() {
 		c := newReadyCluster()
--- a/internal/controller/scheduler/lease.go
+++ b/internal/controller/scheduler/lease.go
@@ -56,7 +56,7 @@
 		return false
 	}
 	if !w.lease.fenced && w.lease.until == 0 {
-		return true
+		return true // this leader has granted no lease, and those of earlier leaders have expired
 	}
 	return w.lease.minClock(now, c.cfg.ClockSlack) > w.lease.until+c.cfg.ExpiryMargin
 }
--- a/internal/controller/scheduler/lease_test.go
+++ b/internal/controller/scheduler/lease_test.go
@@ -9,6 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
+// TestLeaseOfSilentWorkerExpires guards against a lease that never expires: each renewal without an answer may have
+// extended it, and heartbeats may be relayed by another node while no call reaches the worker.
 func TestLeaseOfSilentWorkerExpires(t *testing.T) {
 	Convey("The lease of a worker that stops answering expires, however often it is called", t,
 		func() { checkSilentWorkerExpires(false) })
@@ -16,6 +18,8 @@
 		func() { checkSilentWorkerExpires(true) })
 }
 
+// checkSilentWorkerExpires checks that a run on a worker that answers no renewal is kept for the length of a lease and
+// ended at most two seconds later. heartbeats is whether the worker sends heartbeats.
 func checkSilentWorkerExpires(heartbeats bool) {
 	c := newReadyCluster()
 	c.submit("j", jobs.Step{Count: 1, Estimate: time.Hour})
@@ -30,6 +34,8 @@
 	So(c.table.RunsOn("w"), ShouldBeEmpty)
 }
 
+// TestNewLeaderWaitsOutUnconfirmedLease guards against a second run of a task: the worker may have received a renewal
+// whose answer was lost, and its run then lives until the end of that lease.
 func TestNewLeaderWaitsOutUnconfirmedLease(t *testing.T) {
 	Convey("A new leader waits until the lease that its renewals without an answer may have extended expires", t, func() {
 		c := newReadyCluster()
--- a/internal/controller/scheduler/memory_test.go
+++ b/internal/controller/scheduler/memory_test.go
@@ -16,12 +16,12 @@
 // month is a cluster under one term for a simulated month, which alternates between periods of work and idle time.
 type month struct {
 	*cluster
-	workers      []string // IDs of the running ones
-	incarnations int
-	running      map[string][]jobs.RunKey
-	ended        map[string][]EndedRun
-	counts       map[string]uint64
-	jobs         int
+	workers      []string                 // IDs of the running ones
+	incarnations int                      // number of workers started so far
+	running      map[string][]jobs.RunKey // by worker
+	ended        map[string][]EndedRun    // by worker: ends that are not acknowledged yet
+	counts       map[string]uint64        // by worker: sequence number of its newest end
+	jobs         int                      // number of jobs submitted so far
 }
 
 const (
@@ -110,6 +110,9 @@
 	}
 }
 
+// answerRenewal answers a renewal with the worker's lists, after it has ended the runs of the worker by the outcome that
+// their job's ID begins with: "done" and "fails" end at once, "stays" runs until it is stopped. Crashed workers don't
+// answer.
 func (m *month) answerRenewal(renewal RenewalAction) {
 	id := renewal.Worker.ID
 	if !m.isUp(id) {
@@ -134,6 +137,7 @@
 	m.core.RenewalAnswered(m.now, id, renewal.Number, answer, RenewalOK)
 }
 
+// finish ends a run on a worker for a reason, if the worker runs it.
 func (m *month) finish(id string, key jobs.RunKey, reason jobs.EndReason) {
 	for i, other := range m.running[id] {
 		if other == key {
@@ -168,6 +172,8 @@
 	return lengths
 }
 
+// TestMemoryStaysBoundedOverMonth guards against a scheduler that runs out of memory because it keeps an entry for each
+// job, task or worker that was deleted from the table.
 func TestMemoryStaysBoundedOverMonth(t *testing.T) {
 	Convey("No map or slice of the scheduler and its table grows after the third day of a month", t, func() {
 		m := newMonth()
--- a/internal/controller/scheduler/move_test.go
+++ b/internal/controller/scheduler/move_test.go
@@ -49,6 +49,8 @@
 	return stopped
 }
 
+// TestOnlySlowWorkersLoseRuns guards against moves that discard work for nothing: a long task, or one that is away from
+// its data, takes as long on another worker.
 func TestOnlySlowWorkersLoseRuns(t *testing.T) {
 	// usualExcept returns the usual progress on all workers but one.
 	usualExcept := func(id string, percent [2]int) map[string][2]int {
--- a/internal/controller/scheduler/place.go
+++ b/internal/controller/scheduler/place.go
@@ -49,7 +49,9 @@
 			continue
 		}
 		if u.step.Gang && len(p.starts)+len(u.taskIndexes) > budget && budget < c.cfg.MaxOrdersInFlight {
-			c.placementDue = true // all orders of a gang are planned in one pass, once fewer orders are in flight
+			// All orders of a gang are planned in one pass: it waits until fewer orders are in flight. A gang that is
+			// larger than MaxOrdersInFlight is placed when none is.
+			c.placementDue = true
 			continue
 		}
 		planned := len(p.starts)
--- a/internal/controller/scheduler/preempt_test.go
+++ b/internal/controller/scheduler/preempt_test.go
@@ -9,6 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
+// TestPreemptedCapacityIsReserved guards against an urgent task that waits forever: the stopped runs end one after the
+// other, and less urgent tasks would take each freed part before the capacity suffices for the urgent task.
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	Convey("Capacity that preemption frees for an urgent task is not used by less urgent ones", t, func() {
 		c := newReadyCluster()
@@ -59,7 +61,7 @@
 				[]*run{newRun(1, 2, 2, time.Second), newRun(0, 2, 2, time.Second)}, 2, []int{0}, 2},
 			{"a run of the same priority is not stopped",
 				[]*run{newRun(0, 2, 1, time.Second), newRun(1, 2, 2, time.Hour)}, 2, []int{1}, 7200},
-			{"too few runs may be less urgent",
+			{"no run is stopped if the less urgent ones do not free enough capacity",
 				[]*run{newRun(0, 2, 1, time.Second), newRun(1, 2, 2, time.Hour)}, 4, nil, 0},
 			{"a gang member is not stopped", []*run{newRun(0, 2, 2, time.Hour), gang}, 2, []int{0}, 7200},
 			{"a run that is being stopped is not chosen",
--- a/internal/controller/scheduler/queue.go
+++ b/internal/controller/scheduler/queue.go
@@ -18,7 +18,7 @@
 	stepIndex    int
 	taskIndexes  []int         // indexes of the due tasks, ascending
 	waitingSince time.Duration // when the unit was first due under this term
-	latestStart  time.Time     // latest start with which the job can meet its objective; orders the queue
+	latestStart  time.Time     // latest start with which the round can meet its objective; orders the queue
 	expiresAt    time.Time     // afterwards the unit is placed last, and no capacity is freed for it
 }
 
@@ -73,7 +73,8 @@
 )
 
 // addDueUnits adds the due units of a round to the job's record. If the round isn't due yet, it records the due time
-// instead.
+// instead. The objective of a round is to end within the LatencyFactor of its queue times its critical path, plus
+// LatencyTarget.
 func (c *Core) addDueUnits(rec *job, j *jobs.Job, queue *jobs.Queue, round int, wall time.Time) {
 	begin := j.AcceptedAt
 	if j.Spec.Rounds > 0 {
--- a/internal/controller/scheduler/rank.go
+++ b/internal/controller/scheduler/rank.go
@@ -48,7 +48,7 @@
 
 // speedCost returns the part of a node's cost that depends on its speed. Fast nodes are left to urgent work: for work
 // of lower priority speed is ignored, and long-running work, which isn't shorter on a fast node, prefers slower nodes.
-// The cost of a node from tooSlowFactor on is its slowdown, for all kinds of work.
+// If a node's slowdown is at least tooSlowFactor, its cost is the slowdown, for all kinds of work.
 func (u *unit) speedCost(n *node) float64 {
 	rounded := math.Round(n.slowdown*speedSteps) / speedSteps
 	switch {
--- a/internal/controller/scheduler/reserve.go
+++ b/internal/controller/scheduler/reserve.go
@@ -37,7 +37,7 @@
 }
 
 // nodesByFree returns all nodes of a service in descending order of their free processors. Many waiting units follow
-// one another without a planned start in between, so the sorted list is cached until the next planned start.
+// one another without a planned start in between, so the sorted list is cached until a start is planned or undone.
 func (p *placement) nodesByFree(service string, nodes []*node) []*node {
 	sorted, ok := p.byFree[service]
 	if !ok {
--- a/internal/controller/scheduler/reserve_test.go
+++ b/internal/controller/scheduler/reserve_test.go
@@ -30,6 +30,8 @@
 	return c
 }
 
+// TestNodesAreReservedForGang guards against a gang that waits forever because small tasks take each core that becomes
+// free, and against nodes that stay idle for a gang that can't fit.
 func TestNodesAreReservedForGang(t *testing.T) {
 	Convey("Nodes are reserved for a gang that has waited for ReserveAfter and would fit on empty workers", t, func() {
 		So(waitingGang(4).starts, ShouldBeEmpty)
--- a/internal/controller/scheduler/speed.go
+++ b/internal/controller/scheduler/speed.go
@@ -65,7 +65,8 @@
 	return peers.mean, true
 }
 
-// expected returns the expected duration of a run on an average worker, computed from its client's estimate.
+// expected returns the expected duration of a run on an average worker, computed from its client's estimate. It is
+// never shorter than the estimate.
 func (s *speedStats) expected(estimate time.Duration) time.Duration {
 	ratio := max(s.meanRatio, 1)
 	return time.Duration(float64(max(estimate, minEstimate)) * ratio)
@@ -87,8 +88,9 @@
 	return factor
 }
 
-// observeEnd records the end of a run. It ignores ends that don't depend on the worker, and the durations of runs that
-// an earlier leader started.
+// observeEnd records the end of a run with jobs.EndDone or jobs.EndFailed. It ignores long-running tasks and runs that
+// are being stopped. The duration counts only if the run is done, isn't a member of a gang, and was started under this
+// term.
 func (s *speedStats) observeEnd(now time.Duration, r *run, reason jobs.EndReason) {
 	if r.longRunning || r.stop.requested || reason != jobs.EndDone && reason != jobs.EndFailed {
 		return
--- a/internal/controller/scheduler/start.go
+++ b/internal/controller/scheduler/start.go
@@ -21,8 +21,9 @@
 	missing bool
 }
 
-// sendStarts adds the start orders of handles that were committed. A run whose worker has become unreachable since its
-// placement is ended instead: as its order was never sent, its task is due again at once and no start is unconfirmed.
+// sendStarts adds the start orders of handles that were committed. A run is ended instead if, since its placement, its
+// worker has become unreachable or was deleted, its job has ended, or its stop was requested. As its order was never
+// sent, no start is unconfirmed, and the task of a job that goes on is due again at once.
 func (c *Core) sendStarts(actions *Actions) {
 	var unsent []jobs.RunKey
 	for _, key := range c.unsentStarts {
--- a/internal/controller/scheduler/start_test.go
+++ b/internal/controller/scheduler/start_test.go
@@ -9,6 +9,8 @@
 	"crosstide/internal/jobs"
 )
 
+// TestUnsentStartsOfThrottledWorker guards against tasks that wait for the lease of an unreachable worker although their
+// start orders were never sent to it.
 func TestUnsentStartsOfThrottledWorker(t *testing.T) {
 	Convey("Given four starts for a throttled worker, to which one order is sent at a time", t, func() {
 		c := newReadyCluster()
--- a/internal/controller/scheduler/stop.go
+++ b/internal/controller/scheduler/stop.go
@@ -132,6 +132,6 @@
 		r.stop.order.retryAt = retryAt
 	default:
 		r.stop.answeredSeq = c.sequence
-		w.renewal.probeDue = true // a list from after the stop that lacks the run proves it dead
+		w.renewal.probeDue = true // if the answer to this later renewal doesn't list the run, the run is proved dead
 	}
 }
--- a/internal/controller/scheduler/stop_test.go
+++ b/internal/controller/scheduler/stop_test.go
@@ -44,7 +44,7 @@
 		key := jobs.RunKey{Task: jobs.TaskRef{Job: "gone"}, Number: 3}
 		c.core.RenewalAnswered(c.now, "w1", actions.Renewals[0].Number,
 			RenewalAnswer{Clock: c.workerClock(), Running: []ListedRun{{Key: key}}}, RenewalOK)
-		Convey("Then it is sent a stop order, and the orphan is forgotten after the answer", func() {
+		Convey("Then a stop order for the run is sent, and the orphan is forgotten after the answer", func() {
 			stops := c.passAfter(time.Millisecond).Stops
 			So(len(stops), ShouldEqual, 1)
 			So(stops[0].Order.Key, ShouldResemble, key)
--- a/internal/controller/scheduler/worker.go
+++ b/internal/controller/scheduler/worker.go
@@ -79,8 +79,8 @@
 }
 
 // workersToForget returns the workers without runs that were silent for Config.ForgetAfter and are to be deleted from
-// the table. The time must be long enough for a worker that has announced its shutdown: it continues for a while and
-// its heartbeats may come late. If it were deleted too soon, it would register again as a new worker.
+// the table. ForgetAfter must be long enough for a worker that has announced its shutdown: it continues for a while and
+// its heartbeats may come late. If it were deleted too soon, a late heartbeat would register it as a new worker.
 func (c *Core) workersToForget(now time.Duration) []string {
 	var ids []string
 	for _, w := range c.workerList {
--- a/internal/controller/scheduler/zone_test.go
+++ b/internal/controller/scheduler/zone_test.go
@@ -29,6 +29,8 @@
 	return c
 }
 
+// TestZoneIsVerifiedAfterLosses guards against starts that are sent into a lost zone: each stays unconfirmed until the
+// lease of its worker expires.
 func TestZoneIsVerifiedAfterLosses(t *testing.T) {
 	wide := jobs.Step{Count: 9, Estimate: time.Hour, Needs: jobs.Resources{MilliCPU: 1500}}
 	Convey("When several workers of a zone stop answering, its others are sent no starts until they answer", t, func() {
