--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -128,7 +128,7 @@
 	Queue string        `json:"queue,omitempty"`
 	State jobs.JobState `json:"state,omitempty"`
 	After string        `json:"after,omitempty"` // only IDs greater than this one
-	Limit int           `json:"limit"`
+	Limit int           `json:"limit"`           // maximum number of jobs in the answer; 0 or less: none
 }
 
 // JobSummary is a job in a list.
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -79,7 +79,8 @@
 // SetSeeds replaces the seeds.
 func (c *Client) SetSeeds(seeds []string) { c.directory.setSeeds(seeds) }
 
-// Hint makes the client try the given address as the leader's next. An empty address has no effect.
+// Hint makes the client presume that the node at the given address is the leader. It has no effect if the address is
+// empty or has failed within the last failureBackoff.
 func (c *Client) Hint(leader string) { c.directory.followHint("", leader, c.opt.Clock.Now()) }
 
 // Start begins to probe for the leader, which keeps Ready up to date and saves calls the search. Call it once.
--- a/internal/controller/client_call.go
+++ b/internal/controller/client_call.go
@@ -97,8 +97,8 @@
 	return c.opt.AttemptTimeout
 }
 
-// callTimeout returns the maximum duration of a call. It ends answerMargin, or a tenth of the remaining time if that is
-// less, before the deadline of ctx.
+// callTimeout returns the maximum duration of a call. With it the call ends before the deadline of ctx, by answerMargin
+// or by a tenth of the remaining time, whichever is less.
 func (c *Client) callTimeout(ctx context.Context, req request) time.Duration {
 	longest := maxCallDuration
 	if req.timeout > 0 {
--- a/internal/controller/client_directory.go
+++ b/internal/controller/client_directory.go
@@ -65,7 +65,7 @@
 	return d.nextInRotation(now, "")
 }
 
-// pickOther returns the next address in rotation other than except.
+// pickOther returns the next address in rotation other than except, or "" if no other address is known.
 func (d *directory) pickOther(now time.Duration, except string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,8 +93,8 @@
 	return soonest
 }
 
-// followHint records leader, as named by the node at from, as the presumed leader. If the hint is empty or names from
-// itself or a node that is backed off, it only clears the presumed leader if that is from.
+// followHint records leader, which the node at from has named, as the presumed leader. A hint is not followed if it is
+// empty or names from itself or a node that is backed off: it then only clears the presumed leader if that is from.
 func (d *directory) followHint(from, leader string, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -188,6 +188,8 @@
 	})
 }
 
+// TestClientReportsOutcome guards against a failure that is reported as Unavailable, which promises that the call was
+// not executed, after an attempt that may have been executed.
 func TestClientReportsOutcome(t *testing.T) {
 	Convey("At its deadline a call fails as Timeout if an attempt may have been executed, else as Unavailable", t, func() {
 		for _, c := range []struct{ a, b, want errs.Kind }{
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -98,7 +98,7 @@
 				So([]any{answer.State, answer.NotFound, err}, ShouldResemble, []any{jobs.Cancelled, false, nil})
 			}
 		})
-		Convey("the cancellation of a purged job is answered with Gone", func() {
+		Convey("the cancellation of a purged job is answered with NotFound", func() {
 			store.state.JobTable.Purge(clk.Wall().Add(time.Hour))
 			answer, err := leader.Job(ctx, cancel)
 			So([]any{answer.NotFound, err}, ShouldResemble, []any{true, nil})
@@ -106,6 +106,8 @@
 	})
 }
 
+// TestCancelDuringLeaderLoss guards against a client that keeps calling a lost leader for so long that the platform's
+// deadline for the acknowledgement passes, for each way in which calls to that leader can fail.
 func TestCancelDuringLeaderLoss(t *testing.T) {
 	const (
 		ackTime      = 4 * time.Second         // within which the platform requires a cancellation to be acknowledged
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -31,6 +31,8 @@
 	return call
 }
 
+// TestLateHeartbeats guards against starts on a worker that is shutting down: a heartbeat from before it began to drain
+// may be delayed on the network and arrive after newer ones.
 func TestLateHeartbeats(t *testing.T) {
 	Convey("Given a draining worker whose earlier heartbeats arrive late", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
@@ -76,6 +78,8 @@
 	})
 }
 
+// TestLeavingWorker guards against starts on a worker that has deregistered: its heartbeats may arrive afterwards, and
+// the first of them may be the first that the leader receives.
 func TestLeavingWorker(t *testing.T) {
 	Convey("Given a worker that deregisters without draining and continues to send heartbeats", t, func() {
 		store, clk := newFakeStore(), &clock.Virtual{}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -43,14 +43,14 @@
 	ReachableVoters() []string
 }
 
-// LeaderOptions are the dependencies and settings of a Leader.
+// LeaderOptions are the dependencies and settings of a Leader. Store, Workers, Clock and Logger are required.
 type LeaderOptions struct {
 	Store   Store
 	Workers scheduler.Workers // carries orders to workers
 	// Mailboxes is the same value as Workers if heartbeat answers carry the orders, else nil.
 	Mailboxes      *Mailboxes
-	Config         scheduler.Config
-	ControlAddress string // address at which this node receives heartbeats
+	Config         scheduler.Config // with Mailboxes heartbeatOrderTimeout replaces OrderTimeout and RenewalMargin
+	ControlAddress string           // address at which this node receives heartbeats
 	// ControlAddressOf maps a node's internal address to the address at which it receives heartbeats. If it is set,
 	// workers are spread over all members. All heartbeats go to the leader if it is nil, and also with Mailboxes,
 	// because the leader's answers carry the orders.
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -25,8 +25,8 @@
 	intervalPerWorker    = 500 * time.Microsecond
 	// tokensPerTerm is the number of fencing tokens reserved per worker and term. Each answer uses one.
 	tokensPerTerm = 1 << 20
-	// requiredDeliveries is the number of answers that must have carried a stop, or the first renewal in a term, before
-	// a later heartbeat can confirm it: see renewalDeliveries.
+	// requiredDeliveries is the number of answers that must have carried a stop or a probe before a later heartbeat can
+	// confirm it. For other renewals one is enough, see renewalDeliveries.
 	requiredDeliveries = 2
 )
 
@@ -157,8 +157,8 @@
 }
 
 // completeOrders completes the orders that the heartbeat with the given sequence number confirms. Any heartbeat that
-// lists a run confirms or refuses its start. A stop or a renewal is confirmed only by a heartbeat that the worker sent
-// after it received the order.
+// lists a run confirms its start, or refuses it if the run is listed as ended with jobs.EndLost. A stop or a renewal is
+// confirmed only by a heartbeat that was sent after the answers that carried the order, see recordDelivery.
 func (b *mailbox) completeOrders(sequence uint64, listing scheduler.RenewalAnswer) {
 	running, started, refused := map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}, map[jobs.RunKey]bool{}
 	for _, r := range listing.Running {
@@ -209,7 +209,7 @@
 }
 
 // renewalDeliveries returns the number of answers that must have carried a renewal before a heartbeat can confirm it:
-// one if it only renews the lease, requiredDeliveries if the list of runs in its answer serves as a proof.
+// one for a long poll, requiredDeliveries for a probe (without a Wait), whose list of runs serves as a proof.
 func renewalDeliveries(call scheduler.LeaseRenewal) int {
 	if call.Wait > 0 {
 		return 1
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -119,6 +119,8 @@
 	})
 }
 
+// TestMailboxConfirmation guards against a second run of a task: a heartbeat that the worker sent before it received an
+// order doesn't reflect the order, so it must not confirm a stop or prove that a run is dead.
 func TestMailboxConfirmation(t *testing.T) {
 	Convey("Given a stop order for a worker", t, func() {
 		b := newMailboxFixture()
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -48,21 +48,22 @@
 // worker's list of runs.
 func (l *Leader) sendStart(ctx context.Context, term uint64, start scheduler.StartAction) {
 	id, key := start.Worker.ID, start.Order.Key
-	failure := scheduler.StartUnsent
+	outcome := scheduler.StartUnsent
 	var answer scheduler.StartAnswer
 	if l.hasLease(term) {
 		bounded, cancel := withTimeout(ctx, l.clock, l.opt.Config.OrderTimeout)
 		var err error
 		answer, err = l.opt.Workers.Start(bounded, start.Worker, start.Order)
 		cancel()
-		failure = startErrorOf(err)
+		outcome = startOutcomeOf(err)
 	}
 	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) {
-		core.StartAnswered(now, id, key, answer, failure)
+		core.StartAnswered(now, id, key, answer, outcome)
 	})
 }
 
-func startErrorOf(err error) scheduler.StartOutcome {
+// startOutcomeOf returns the outcome of a start order whose call returned err.
+func startOutcomeOf(err error) scheduler.StartOutcome {
 	switch {
 	case err == nil:
 		return scheduler.StartOK
@@ -78,16 +79,17 @@
 
 func (l *Leader) sendStop(ctx context.Context, term uint64, stop scheduler.StopAction) {
 	id, key := stop.Worker.ID, stop.Order.Key
-	failure := scheduler.StopFailed
+	outcome := scheduler.StopFailed
 	if l.hasLease(term) {
 		bounded, cancel := withTimeout(ctx, l.clock, l.opt.Config.OrderTimeout)
-		failure = stopErrorOf(l.opt.Workers.Stop(bounded, stop.Worker, stop.Order))
+		outcome = stopOutcomeOf(l.opt.Workers.Stop(bounded, stop.Worker, stop.Order))
 		cancel()
 	}
-	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.StopAnswered(now, id, key, failure) })
+	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) { core.StopAnswered(now, id, key, outcome) })
 }
 
-func stopErrorOf(err error) scheduler.StopOutcome {
+// stopOutcomeOf returns the outcome of a stop order whose call returned err.
+func stopOutcomeOf(err error) scheduler.StopOutcome {
 	switch {
 	case err == nil:
 		return scheduler.StopOK
@@ -100,21 +102,22 @@
 // renewLease renews a worker's lease and reports the worker's list of runs to the scheduler.
 func (l *Leader) renewLease(ctx context.Context, term uint64, renewal scheduler.RenewalAction) {
 	id, number := renewal.Worker.ID, renewal.Number
-	failure := scheduler.RenewalFailed
+	outcome := scheduler.RenewalFailed
 	var answer scheduler.RenewalAnswer
 	if l.hasLease(term) {
 		bounded, cancel := withTimeout(ctx, l.clock, renewal.Call.Wait+l.opt.Config.RenewalMargin)
 		var err error
 		answer, err = l.opt.Workers.RenewLease(bounded, renewal.Worker, renewal.Call)
 		cancel()
-		failure = renewalErrorOf(err)
+		outcome = renewalOutcomeOf(err)
 	}
 	l.inbox.enqueueEvent(func(core *scheduler.Core, now time.Duration) {
-		core.RenewalAnswered(now, id, number, answer, failure)
+		core.RenewalAnswered(now, id, number, answer, outcome)
 	})
 }
 
-func renewalErrorOf(err error) scheduler.RenewalOutcome {
+// renewalOutcomeOf returns the outcome of a lease renewal whose call returned err.
+func renewalOutcomeOf(err error) scheduler.RenewalOutcome {
 	switch {
 	case err == nil:
 		return scheduler.RenewalOK
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -15,7 +15,7 @@
 
 func TestOrderErrors(t *testing.T) {
 	notDelivered := errs.Wrap(errNotDelivered, errs.Unavailable, "worker w")
-	Convey("Each error of an order is mapped to the failure that the scheduler handles", t, func() {
+	Convey("Each error of an order is mapped to the outcome that the scheduler handles", t, func() {
 		for _, c := range []struct {
 			err     error
 			start   scheduler.StartOutcome
@@ -31,7 +31,7 @@
 			{errs.New(errs.Timeout, "no answer"), scheduler.StartUnconfirmed, scheduler.StopFailed, scheduler.RenewalFailed},
 		} {
 			err := errs.Pass(c.err, "order")
-			So([]any{c.err, startErrorOf(err), stopErrorOf(err), renewalErrorOf(err)}, ShouldResemble,
+			So([]any{c.err, startOutcomeOf(err), stopOutcomeOf(err), renewalOutcomeOf(err)}, ShouldResemble,
 				[]any{c.err, c.start, c.stop, c.renewal})
 		}
 	})
@@ -48,6 +48,8 @@
 	return nil
 }
 
+// TestOrderWithoutLease guards against orders of a node that has lost leadership, and against orders whose outcome is
+// never reported: the scheduler would count them as in flight forever.
 func TestOrderWithoutLease(t *testing.T) {
 	Convey("An order is sent if the node leads in the order's term, and its outcome becomes an event", t, func() {
 		store, workers := newFakeStore(), &countingWorkers{}
@@ -55,7 +57,7 @@
 			Clock: &clock.Virtual{}, Logger: log.NewNopLogger()})
 		leader.sendStop(context.Background(), store.term, scheduler.StopAction{})
 		So([]int{workers.orders, len(leader.inbox.events)}, ShouldResemble, []int{1, 1})
-		Convey("an order of an earlier term is not sent, and the failure becomes an event", func() {
+		Convey("an order of an earlier term is not sent, and its failure becomes an event", func() {
 			leader.sendStop(context.Background(), store.term-1, scheduler.StopAction{})
 			So([]int{workers.orders, len(leader.inbox.events)}, ShouldResemble, []int{1, 2})
 		})
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -49,6 +49,8 @@
 // allCalls are the calls of callAll, as a fakeNode records them.
 var allCalls = []string{"submit 1", "job /p", "count h", "beat w", "config", "configure d", "evacuate z"}
 
+// TestRelay guards against calls that are executed twice, which happens if a node forwards a call that it may have
+// executed, and against calls that fail although another node could answer them.
 func TestRelay(t *testing.T) {
 	Convey("Each call of a client or of a Relay on any node reaches the leader exactly once", t, func() {
 		nodes, caller, stop := startCluster(3)
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -52,11 +52,12 @@
 	handle(s, WorkersEndpoint, local.Workers)
 }
 
-func handle[C, A any](s *rpc.Server, p rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
-	rpc.Handle(s, p, func(ctx context.Context, call C) (A, error) {
+// handle registers one endpoint on s, with serveTimeout as the timeout of its calls.
+func handle[C, A any](s *rpc.Server, endpoint rpc.Endpoint[C, A], serve func(context.Context, C) (A, error)) {
+	rpc.Handle(s, endpoint, func(ctx context.Context, call C) (A, error) {
 		ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 		defer cancel()
 		answer, err := serve(ctx, call)
-		return answer, errs.Pass(err, "%s", p.Path)
+		return answer, errs.Pass(err, "%s", endpoint.Path)
 	})
 }
