--- a/internal/controller/scheduler/fleet_bench_test.go
+++ b/internal/controller/scheduler/fleet_bench_test.go
@@ -67,7 +67,8 @@
 // taskCount returns a random number of tasks, at least 1 and exponentially distributed.
 func (f *fleet) taskCount(mean float64) int { return 1 + int(f.random.ExpFloat64()*mean) }
 
-// step advances the clock by a millisecond and runs a pass.
+// step advances the clock by a millisecond, carries out the callbacks that are due, submits random jobs in proportion to
+// load, and runs a pass.
 func (f *fleet) step(load float64) {
 	f.now += time.Millisecond
 	for _, callback := range f.callbacks[f.now.Truncate(time.Millisecond)] {
@@ -115,6 +116,7 @@
 	}
 }
 
+// start accepts a start order, and ends the run after a random duration of 0.7 to 1.3 times its estimate.
 func (f *fleet) start(s StartAction) {
 	key := s.Order.Key
 	f.core.StartAnswered(f.now, s.Worker.ID, key, StartAnswer{Clock: f.now}, StartOK)
@@ -127,6 +129,7 @@
 	f.schedule(duration, func() { f.end(s.Worker.ID, key, jobs.EndDone) })
 }
 
+// end ends a run on a worker, if the worker runs it, and answers the long poll that the worker holds open.
 func (f *fleet) end(id string, key jobs.RunKey, reason jobs.EndReason) {
 	if _, isRunning := f.running[id][key]; !isRunning {
 		return
@@ -140,6 +143,8 @@
 	}
 }
 
+// renew drops the acknowledged ends of a worker and answers its renewal: at once if it is a probe or there are ends to
+// list, otherwise when a run ends or the Wait is over.
 func (f *fleet) renew(renewal RenewalAction) {
 	id := renewal.Worker.ID
 	for len(f.ended[id]) > 0 && f.ended[id][0].Sequence <= renewal.Call.AcknowledgedUpTo {
