--- a/internal/httpapi/clientapi/clientapi.go
+++ b/internal/httpapi/clientapi/clientapi.go
@@ -37,8 +37,8 @@
 	// Propose commits c at the leader and returns the command's answer. c may have been committed even if Propose
 	// fails, so every command that is proposed must be idempotent.
 	Propose(ctx context.Context, c command.Command) (json.RawMessage, error)
-	// Read runs do, before it returns, on a state at least as new as the beginning of the call. do must not keep the
-	// state. If Read cannot confirm that its state is new enough, it fails with errs.Unavailable and does not run do.
+	// Read runs do on a state that includes every command committed before the call, and returns the error of do. do
+	// must not keep the state. If Read cannot confirm such a state, it fails with errs.Unavailable without running do.
 	Read(ctx context.Context, do func(s *state.State) error) error
 	// QueueLimit returns the maximum number of open jobs.
 	QueueLimit() int
@@ -75,7 +75,7 @@
 //	POST   /v1/jobs        202 {"key","state"} for a new job, 200 if the same job was submitted before
 //	GET    /v1/jobs/{key}  200 query.JobView
 //	DELETE /v1/jobs/{key}  202 {"key","state"} while runs are being stopped, 200 once the job has ended
-//	POST   /v1/jobs/cancel 202 command.CancelledAll; body {"keys":[…]}, or {"team":…,"queue":…} with one or both
+//	POST   /v1/jobs/cancel 202 command.CancelledMany; body {"keys":[…]}, or {"team":…,"queue":…} with one or both
 //	GET    /v1/jobs        200 Listing; ?team= &state= &after= &limit= (1..1000, 200 if not given)
 //
 // Each kind of error has the status that package errs maps it to; 429 and 503 have a Retry-After of 1 to 3 seconds.
@@ -115,7 +115,7 @@
 	})
 }
 
-// propose commits a command and decodes the command's answer.
+// propose commits a command and decodes the command's answer into answer, which is a pointer.
 func (a *api) propose(ctx context.Context, c command.Command, answer any) error {
 	raw, err := a.store.Propose(ctx, c)
 	if err != nil {
--- a/internal/httpapi/clientapi/fields.go
+++ b/internal/httpapi/clientapi/fields.go
@@ -14,8 +14,8 @@
 // fieldReader reads the value v of a field; field is its path, such as steps[0].name.
 type fieldReader func(field string, v *fastjson.Value)
 
-// object passes each field of v to its reader. It rejects unknown and repeated fields, and those of required that are
-// missing.
+// object passes each field of the object v to its reader in fields. It rejects unknown and repeated fields, and
+// required fields that are missing.
 func (r *reader) object(path string, v *fastjson.Value, fields map[string]fieldReader, required ...string) {
 	o, err := v.Object()
 	if err != nil {
@@ -57,7 +57,7 @@
 	return path + "." + name
 }
 
-// array reads an array of least to most entries.
+// array reads an array of least to most entries. It returns nil if v is rejected.
 func (r *reader) array(field string, v *fastjson.Value, least, most int) []*fastjson.Value {
 	list, err := v.Array()
 	if err != nil {
@@ -71,7 +71,7 @@
 	return list
 }
 
-// name reads a string that nameForm matches.
+// name reads a string that nameForm matches. It returns "" if v is rejected.
 func (r *reader) name(field string, v *fastjson.Value) string {
 	raw, err := v.StringBytes()
 	if err != nil {
@@ -101,7 +101,7 @@
 	return names
 }
 
-// number reads a whole number from least to most.
+// number reads a whole number from least to most. It returns 0 if v is rejected.
 func (r *reader) number(field string, v *fastjson.Value, least, most int) int {
 	if v.Type() != fastjson.TypeNumber {
 		r.reject(errs.Malformed, field, "must be a whole number, is %s", v.Type())
@@ -155,8 +155,8 @@
 	return labels
 }
 
-// run reads any JSON and returns it in canonical form, for the digest: no white space, fields sorted, numbers as they
-// were written.
+// run reads the field run, which may be any JSON, and returns it in the canonical form over which the digest is
+// computed: without white space, with sorted fields, and with numbers as they were written.
 func (r *reader) run(field string, v *fastjson.Value) json.RawMessage {
 	r.rejectDuplicates(field, v)
 	decoder := json.NewDecoder(bytes.NewReader(v.MarshalTo(nil)))
--- a/internal/httpapi/clientapi/list.go
+++ b/internal/httpapi/clientapi/list.go
@@ -50,7 +50,7 @@
 	limit       int
 }
 
-// phases are the states that jobs can be filtered by.
+// phases are the valid values of the query parameter state.
 var phases = map[state.JobPhase]bool{
 	state.JobAccepted: true, state.JobRunning: true, state.JobStopping: true,
 	state.JobDone: true, state.JobFailed: true, state.JobCancelled: true,
--- a/internal/httpapi/clientapi/parse.go
+++ b/internal/httpapi/clientapi/parse.go
@@ -95,7 +95,7 @@
 	kind             errs.Kind // of the first error
 	field            string    // of the first error
 	validationErrors []string
-	skipped          int
+	skipped          int // errors beyond maxValidationErrors, which are counted but not listed
 }
 
 // reject records a validation error at a field.
--- a/internal/httpapi/clientapi/routes_test.go
+++ b/internal/httpapi/clientapi/routes_test.go
@@ -88,6 +88,7 @@
 	return w.Code, strings.TrimSpace(w.Body.String()), w
 }
 
+// status makes a request and returns only the status.
 func (a *testAPI) status(method, path, body string) int {
 	code, _, _ := a.call(method, path, body)
 	return code
@@ -188,13 +189,13 @@
 		a := newTestAPI()
 		a.store.entered, a.store.leave = make(chan struct{}), make(chan struct{})
 		g := routine.New(context.Background())
-		late := 0
-		g.Go(func(context.Context) { late = a.status("POST", "/v1/jobs", step("")) })
+		timedOutStatus := 0
+		g.Go(func(context.Context) { timedOutStatus = a.status("POST", "/v1/jobs", step("")) })
 		<-a.store.entered
 		So(a.status("POST", "/v1/jobs", step("")), ShouldEqual, 429)
 		a.clock.Advance(2 * time.Second)
 		g.Wait()
-		So(late, ShouldEqual, 503)
+		So(timedOutStatus, ShouldEqual, 503)
 	})
 }
 
--- a/internal/httpapi/jobsapi/calls_test.go
+++ b/internal/httpapi/jobsapi/calls_test.go
@@ -17,7 +17,7 @@
 	"crosstide/internal/rpc"
 )
 
-// fakeCore answers every call, or fails it with err. It records the latest call that has parameters.
+// fakeCore answers every call, with err if that is set. It records the latest call that has parameters.
 type fakeCore struct {
 	err  error
 	call any
@@ -104,7 +104,7 @@
 }
 
 func TestCalls_answered(t *testing.T) {
-	Convey("Each call is answered", t, func() {
+	Convey("Each call reaches the core, and its answer is written as JSON with status 200", t, func() {
 		core := &fakeCore{}
 		withServer(core, func(send sender) {
 			for _, c := range []struct{ method, path, body, want string }{
@@ -184,7 +184,7 @@
 }
 
 func TestCalls_errors(t *testing.T) {
-	Convey("Each kind of error has its status; callers do not learn which node is the leader", t, func() {
+	Convey("Each kind of error has its status; a node that is not the leader answers 503", t, func() {
 		for kind, want := range map[errs.Kind]int{
 			errs.Unknown: 404, errs.Conflict: 409, errs.Stale: 412, errs.Invalid: 422, errs.Overloaded: 429,
 			errs.Internal: 500, errs.Unavailable: 503, errs.NotLeader: 503, errs.Stopped: 503, errs.Timeout: 504,
--- a/internal/httpapi/jobsapi/configuration.go
+++ b/internal/httpapi/jobsapi/configuration.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// parsePut parses the body of PUT /v2/config: the whole configuration, which replaces version base.
+// parsePut parses the body of PUT /v2/config: a whole configuration, and in base the version that it replaces.
 func parsePut(body []byte) (jobs.Configure, error) {
 	change := jobs.Configure{Replace: true}
 	err := parse(body, func(r *config.Reader) {
@@ -79,7 +79,8 @@
 	return change, errs.Pass(err, "configuration")
 }
 
-// parsePatch parses the body of PATCH /v2/config: items to add or replace in version base, and names to remove from it.
+// parsePatch parses the body of PATCH /v2/config: items to add or replace, names to remove, and in base the version
+// that is changed.
 func parsePatch(body []byte) (jobs.Configure, error) {
 	var change jobs.Configure
 	err := parse(body, func(r *config.Reader) {
@@ -101,7 +102,8 @@
 	return change, errs.Pass(err, "configuration")
 }
 
-// completeChange sets the version of a change, which is its base plus 1, its digest and the documents of its items.
+// completeChange returns change with its version (base plus 1), its digest and the document of each item. The digest
+// covers body and whether the change replaces the whole configuration.
 func completeChange(change jobs.Configure, body []byte) (jobs.Configure, error) {
 	change.Version = change.Base + 1
 	change.Digest = rpc.Digest(fmt.Appendf(nil, "replace %t", change.Replace), body)
@@ -120,7 +122,7 @@
 	return change, nil
 }
 
-// encodeDocument sets the document of an item, its JSON text.
+// encodeDocument sets *to to the JSON text of item. Errors: errs.Internal.
 func encodeDocument(to *json.RawMessage, item any) error {
 	data, err := json.Marshal(item)
 	*to = data
--- a/internal/httpapi/jobsapi/configuration_test.go
+++ b/internal/httpapi/jobsapi/configuration_test.go
@@ -33,7 +33,7 @@
 		queue := func(fields string) string {
 			return `{"base":0,"services":[],"queues":[{"name":"a","service":"s","timeout":"1m"` + fields + `}]}`
 		}
-		shouldRefuse(func(body []byte) error { _, err := parsePut(body); return errs.Pass(err, "put") }, []rejection{
+		checkCases(func(body []byte) error { _, err := parsePut(body); return errs.Pass(err, "put") }, []parseCase{
 			{queue(""), "", ""},
 			{`x`, errs.Malformed, ""},
 			{`{"queues":[],"services":[]}`, errs.Invalid, "base"},
@@ -68,7 +68,7 @@
 		So([]any{change.Services[0].Name, change.RemoveQueues, change.RemoveServices}, ShouldResemble,
 			[]any{"s", []string{"a"}, []string{"t"}})
 	})
-	Convey("The digest differs between bodies, and between divisions of the same text into parts", t, func() {
+	Convey("The digest differs between bodies, and between the same bytes split at different places", t, func() {
 		change, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
 		again, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["a"]}}`))
 		other, _ := parsePatch([]byte(`{"base":3,"remove":{"queues":["b"]}}`))
@@ -77,7 +77,7 @@
 		So(rpc.Digest([]byte("a"), []byte("b")), ShouldNotEqual, rpc.Digest([]byte("ab")))
 	})
 	Convey("An invalid body is rejected with the name of its field", t, func() {
-		shouldRefuse(func(body []byte) error { _, err := parsePatch(body); return errs.Pass(err, "patch") }, []rejection{
+		checkCases(func(body []byte) error { _, err := parsePatch(body); return errs.Pass(err, "patch") }, []parseCase{
 			{`{"base":1,"remove":{"queues":["a"]}}`, "", ""},
 			{`{"base":1}`, errs.Invalid, "put"},
 			{`{"base":1,"put":{},"remove":{}}`, errs.Invalid, "put"},
--- a/internal/httpapi/jobsapi/heartbeat.go
+++ b/internal/httpapi/jobsapi/heartbeat.go
@@ -17,10 +17,11 @@
 	StateLeaving  = "leaving"  // exits now, and all its runs end
 )
 
-// maxLabels bounds the labels of a worker.
+// maxLabels is the maximum number of labels of a worker.
 const maxLabels = 64
 
-// parseHeartbeat parses a heartbeat of the worker with the ID id. Durations are integers in nanoseconds.
+// parseHeartbeat parses a heartbeat of the worker with the ID id. Durations are integers in nanoseconds. A worker that
+// leaves needs to send only its state. Errors: errs.Malformed, and errs.Invalid with the field.
 func parseHeartbeat(id string, body []byte) (controller.HeartbeatCall, error) {
 	call := controller.HeartbeatCall{Worker: jobs.Worker{ID: id}}
 	err := parse(body, func(r *config.Reader) { readHeartbeat(r, &call) })
--- a/internal/httpapi/jobsapi/heartbeat_test.go
+++ b/internal/httpapi/jobsapi/heartbeat_test.go
@@ -37,7 +37,7 @@
 				ID: "w1", Address: "10.0.0.1:7300", Service: "s", Zone: "z", Rack: "r1", Labels: []string{"ssd", "big"},
 				Capacity: jobs.Resources{MilliCPU: 1000, MemoryMB: 512}, Draining: true}})
 	})
-	Convey("A leaving worker needs no other field than its state", t, func() {
+	Convey("A worker that leaves needs to send only its state", t, func() {
 		call, err := parseHeartbeat("w1", []byte(`{"state":"leaving"}`))
 		So([]any{call.Leaving, call.Worker.ID, err}, ShouldResemble, []any{true, "w1", nil})
 	})
@@ -46,7 +46,7 @@
 			_, err := parseHeartbeat("w1", body)
 			return errs.Pass(err, "heartbeat")
 		}
-		shouldRefuse(parse, []rejection{
+		checkCases(parse, []parseCase{
 			{heartbeatJSON(`,"state":"ready"`), "", ""},
 			{`no`, errs.Malformed, ""},
 			{heartbeatJSON(``), errs.Invalid, "state"},
--- a/internal/httpapi/jobsapi/job.go
+++ b/internal/httpapi/jobsapi/job.go
@@ -15,9 +15,9 @@
 // Bounds of a job.
 const (
 	maxSteps    = 1000
-	maxJobTasks = 100_000 // over all rounds
-	maxAmount   = 1 << 30 // of any resource of a task
-	maxPayload  = 16 << 10
+	maxJobTasks = 100_000  // over all rounds
+	maxAmount   = 1 << 30  // of any resource of a task
+	maxPayload  = 16 << 10 // bytes
 	maxDuration = 10 * 365 * 24 * time.Hour
 )
 
--- a/internal/httpapi/jobsapi/job_test.go
+++ b/internal/httpapi/jobsapi/job_test.go
@@ -11,15 +11,16 @@
 	"crosstide/internal/jobs"
 )
 
-// rejection is a body and the error that it must be rejected with; kind is empty if it must be accepted.
-type rejection struct {
+// parseCase is a body, and the kind and field of the error for it. kind is empty if the body must be accepted.
+type parseCase struct {
 	body  string
 	kind  errs.Kind
 	field string
 }
 
-// shouldRefuse checks that parse rejects the body of each case with its kind and field, or accepts it.
-func shouldRefuse(parse func(body []byte) error, cases []rejection) {
+// checkCases checks that parse rejects the body of each case with the case's kind and field, or accepts it if the
+// kind is empty.
+func checkCases(parse func(body []byte) error, cases []parseCase) {
 	for _, c := range cases {
 		err := parse([]byte(c.body))
 		field := ""
@@ -30,8 +31,10 @@
 	}
 }
 
+// job returns the JSON of a valid job with one step; fields is appended to its fields.
 func job(fields string) string { return `{"id":"j","queue":"q","steps":[{}]` + fields + `}` }
 
+// steps returns the JSON of a job with the given JSON as its field steps.
 func steps(steps string) string { return `{"id":"j","queue":"q","steps":` + steps + `}` }
 
 func TestParseJob(t *testing.T) {
@@ -61,8 +64,8 @@
 	})
 }
 
-// wrongJobs are bodies of invalid jobs, and of some valid ones, whose kind is empty.
-var wrongJobs = []rejection{
+// jobCases are bodies of invalid jobs, and of some valid ones.
+var jobCases = []parseCase{
 	{job(""), "", ""},
 	{"", errs.Malformed, ""},
 	{"{", errs.Malformed, ""},
@@ -116,9 +119,9 @@
 
 func TestParseJob_refused(t *testing.T) {
 	Convey("An invalid body is rejected with the name of its field", t, func() {
-		shouldRefuse(func(body []byte) error { _, _, err := ParseJob(body); return errs.Pass(err, "job") }, wrongJobs)
+		checkCases(func(body []byte) error { _, _, err := ParseJob(body); return errs.Pass(err, "job") }, jobCases)
 	})
-	Convey("All validation errors are reported at once, the first one by its field", t, func() {
+	Convey("One error lists up to 20 validation errors and the number of others, with the first one's field", t, func() {
 		_, _, err := ParseJob([]byte(`{"id":"j","steps":[{"gpus":-1}],"x":1}`))
 		So(errs.Of(err).Field, ShouldEqual, "queue")
 		So(errs.Of(err).Message, ShouldContainSubstring, "steps[0].gpus")
--- a/internal/httpapi/operatorapi/account.go
+++ b/internal/httpapi/operatorapi/account.go
@@ -75,7 +75,8 @@
 	return answer, errs.Pass(err, "accounts")
 }
 
-// read runs do with the account name in the path. It returns the error of the store, or else that of do.
+// read runs do on a confirmed state, with the account name in the path. It returns the error of the store if the state
+// could not be confirmed, else the error of do.
 func (a accounts) read(r *http.Request, do func(s *state.State, name string) error) error {
 	var failure error // separate from err: only a confirmed state may report that an account does not exist
 	err := a.store.Read(r.Context(), func(s *state.State) { failure = do(s, r.PathValue("name")) })
@@ -107,7 +108,7 @@
 	return answer, errs.Pass(err, "ledger")
 }
 
-// page returns the parameters after and limit of the query; their defaults are 0 and maxEntries.
+// page returns the parameters after and limit of the query, by default 0 and maxEntries. Errors: errs.Invalid.
 func page(r *http.Request) (after uint64, limit int, err error) {
 	limit = maxEntries
 	if text := r.URL.Query().Get("after"); text != "" {
--- a/internal/httpapi/operatorapi/account_test.go
+++ b/internal/httpapi/operatorapi/account_test.go
@@ -30,7 +30,7 @@
 	key  signature.Key // of ada
 }
 
-// newAccountsServer serves a new store until the test ends.
+// newAccountsServer starts an accountsServer on a new store; it is stopped when the test ends.
 func newAccountsServer(t *testing.T) *accountsServer {
 	t.Helper()
 	key, err := signature.New("ada")
@@ -56,7 +56,7 @@
 		Sig: c.key.Sign(signature.AccountCreate(order, name, 0))})
 }
 
-// waitReason returns why a job waits; "" if it does not.
+// waitReason returns why a job waits, or "" if it does not wait.
 func (c *accountsServer) waitReason(key string) string {
 	job, err := query.Job(c.st, key)
 	So(err, ShouldBeNil)
@@ -70,6 +70,7 @@
 	return view
 }
 
+// call sends in as JSON and returns the status and the body of the response.
 func (c *accountsServer) call(method, path string, in any) (int, string) {
 	body, err := json.Marshal(in)
 	So(err, ShouldBeNil)
@@ -88,6 +89,7 @@
 		Sig: c.key.Sign(signature.AccountTopUp(key, name, amount))})
 }
 
+// order commits a command in the store directly, without the API.
 func (c *accountsServer) order(cmd command.Command) {
 	_, err := c.ProposeOrForward(context.Background(), cmd)
 	So(err, ShouldBeNil)
--- a/internal/httpapi/operatorapi/bundle.go
+++ b/internal/httpapi/operatorapi/bundle.go
@@ -139,8 +139,8 @@
 	return answer, errs.Pass(err, "log")
 }
 
-// revision returns the bundle version that a wildcard of the path names. body is nil if the store no longer keeps its
-// bytes.
+// revision returns the bundle version named in the path by a wildcard: a number, query.Current or query.Newest. body is
+// nil if the store no longer keeps the version's bytes.
 func (b bundleRoutes) revision(r *http.Request, wildcard string) (meta state.Revision, body []byte, err error) {
 	name := r.PathValue(wildcard)
 	version, invalid := strconv.ParseUint(name, 10, 64)
--- a/internal/httpapi/operatorapi/operatorapi_test.go
+++ b/internal/httpapi/operatorapi/operatorapi_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestServe_bundle(t *testing.T) {
-	Convey("A bundle is put, signed twice and read back byte for byte; orders without a signature are 403", t, func() {
+	Convey("A bundle is put, signed twice and read back byte for byte; unsigned orders are answered 403", t, func() {
 		store := &fakeStore{state.New()}
 		keys := map[string]signature.Key{}
 		public := map[string]string{}
--- a/internal/httpapi/operatorapi/orders.go
+++ b/internal/httpapi/operatorapi/orders.go
@@ -57,7 +57,8 @@
 	})
 }
 
-// decode decodes the JSON body of r into target. If that is not possible, it fails with errs.Malformed and message.
+// decode decodes the JSON body of r into target. It fails with errs.TooLarge if the body exceeds maxBody, and with
+// errs.Malformed and message if the body does not fit target.
 func decode(r *http.Request, target any, message string) error {
 	raw, err := rpc.ReadBody(r, maxBody)
 	if err != nil {
--- a/internal/httpapi/workerapi/client.go
+++ b/internal/httpapi/workerapi/client.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	defaultTimeout = 2 * time.Second // of a call, not counting the time by which its answer may be delayed
-	maxWait        = 30 * time.Second
+	defaultTimeout = 2 * time.Second  // of a call, not counting the time by which its answer may be delayed
+	maxWait        = 30 * time.Second // a longer LeaseRenewal.Wait is reduced to it
 )
 
 // Client sends the scheduler's orders to workers. It keeps no state between calls.
@@ -98,7 +98,7 @@
 var endReasons = []jobs.EndReason{jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndLeaseExpired,
 	jobs.EndGangBroken, jobs.EndGangTimeout}
 
-// listsOf validates an answer and returns its lists. The scheduler takes a run that is not listed for ended, so an
+// listsOf validates an answer and returns its lists. The scheduler treats a run that is not listed as ended, so an
 // answer that does not name the worker, or lacks a list, is rejected.
 func listsOf(worker string, answer RenewLeaseAnswer) (scheduler.RenewalAnswer, error) {
 	if err := checkIdentity(worker, answer.Worker, answer.Clock); err != nil {
--- a/internal/httpapi/workerapi/workerapi.go
+++ b/internal/httpapi/workerapi/workerapi.go
@@ -88,7 +88,7 @@
 type RenewLeaseCall struct {
 	Worker           string        `json:"worker"`
 	Token            uint64        `json:"token"`
-	AcknowledgedUpTo uint64        `json:"seen"`               // the worker may drop ends numbered up to it
+	AcknowledgedUpTo uint64        `json:"seen"`               // the worker may drop ended runs up to this Sequence
 	Deadline         time.Duration `json:"deadline,omitempty"` // new end of the lease; 0: not renewed
 	Wait             time.Duration `json:"wait,omitempty"`     // how long the answer may be delayed until a run ends
 }
