--- a/cmd/crosstide-controlplane/flags.go
+++ b/cmd/crosstide-controlplane/flags.go
@@ -18,8 +18,8 @@
 	return &cli.StringFlag{Name: "addr", Usage: "`IP:PORT` of any control-plane node", Required: true}
 }
 
-// jobsAddrFlag returns the flag for the control address of a control-plane node of the jobs deployment. It serves
-// operators there, and other nodes at a different address.
+// jobsAddrFlag returns the flag for the control address of a control-plane node of the jobs deployment. The node serves
+// operators at that address, and other nodes at a different one.
 func jobsAddrFlag() cli.Flag {
 	return &cli.StringFlag{Name: "addr", Usage: "control `IP:PORT` of any control-plane node",
 		Required: true}
@@ -48,7 +48,7 @@
 	return queryFlags(append([]cli.Flag{keyFlag(), orderFlag()}, more...)...)
 }
 
-// exactArgs returns the arguments. Failure: Settings, if their number differs from that of names.
+// exactArgs returns the arguments. It fails with errs.Settings if there are not as many of them as names.
 func exactArgs(cmd *cli.Command, names ...string) ([]string, error) {
 	if cmd.NArg() != len(names) {
 		return nil, errs.Field(errs.Settings, strings.Join(names, " "), "number of arguments must be %d, is %d",
--- a/cmd/crosstide-controlplane/golden_output_test.go
+++ b/cmd/crosstide-controlplane/golden_output_test.go
@@ -31,8 +31,8 @@
 	return strings.TrimPrefix(lines[len(lines)-1], "= ")
 }
 
-// commandCases lists command lines with the answer of the node: a text, a value whose fields are then filled in, or nil
-// for a command that calls no node.
+// commandCases lists command lines with the answer of the node: a text, a value of the answer's type, which runAnswered
+// fills in, or nil for a command that calls no node.
 var commandCases = []struct {
 	line   string
 	answer any
--- a/cmd/crosstide-controlplane/incarnations.go
+++ b/cmd/crosstide-controlplane/incarnations.go
@@ -6,10 +6,10 @@
 	"crosstide/internal/errs"
 )
 
-// runIncarnations runs incarnations of a node, one after another, until ctx ends or one fails. The context of an
-// incarnation ends with ctx or when removed is called. The store calls removed if it finds that the node was removed
-// from the members while it was down. The node then joins again in the same process, because its supervisor would
-// count an exit of the process as a failure.
+// runIncarnations runs incarnations of a node, one after another, until ctx ends or one fails. The context of run ends
+// with ctx, or when removed is called. The store calls removed if it finds that the node was removed from the
+// members while it was down; run then returns, and the next incarnation joins again in the same process, because the
+// supervisor would count an exit of the process as a failure.
 func runIncarnations(ctx context.Context, run func(ctx context.Context, removed func()) error) error {
 	for {
 		incarnation, cancel := context.WithCancel(ctx)
--- a/cmd/crosstide-controlplane/openstore.go
+++ b/cmd/crosstide-controlplane/openstore.go
@@ -15,8 +15,8 @@
 )
 
 // openStore opens the store's data folder, and waits while the disk is full. A damaged folder may lack entries that
-// this member has acknowledged, so the node must not keep its identity. The folder is renamed, or emptied if the
-// membership is open, and the node joins like a replaced machine.
+// this member has acknowledged, so the node must not keep its identity. The folder is then renamed (if the membership
+// is open, only the store's files in it are removed), and the node joins like a replaced machine.
 func openStore(ctx context.Context, options store.Options, logger log.Logger) (*store.Store, error) {
 	folder := filepath.Clean(options.Settings.Data)
 	disk, err := storage.OSDisk(folder)
--- a/cmd/crosstide-controlplane/openstore_test.go
+++ b/cmd/crosstide-controlplane/openstore_test.go
@@ -40,7 +40,7 @@
 
 func TestOpenStore_damagedFolder(t *testing.T) {
 	for _, openMembership := range []bool{false, true} {
-		Convey("A node with a damaged folder joins again and never bootstraps", t, func() {
+		Convey("A node with a damaged folder gets a new identity, keeps it, and does not bootstrap", t, func() {
 			dir := damagedFolder(t)
 			settings := config.DefaultControlPlane()
 			settings.Name, settings.Addr, settings.Data = "10.0.0.1", "10.0.0.1:7000", dir
--- a/cmd/crosstide-controlplane/platformsettings.go
+++ b/cmd/crosstide-controlplane/platformsettings.go
@@ -45,15 +45,15 @@
 	return settings
 }
 
-// minLease is the minimum lease, unless the maximum is even shorter. After a power loss of all control-plane nodes, no
-// lease is renewed for a second and a half, and the last renewal of a worker may already be as old as a renewal call
-// takes. With shorter leases all runs would end.
+// minLease is the minimum lease, unless the platform's maximum is even shorter. After a power loss of all control-plane
+// nodes, no lease is renewed for a second and a half, and the last renewal of a worker may already be as old as a
+// renewal call takes. With a shorter lease all runs would end.
 const minLease = 3 * time.Second
 
-// workerLease returns the lease of workers. It covers contactTimeout, after which operators count a machine as
-// unreachable, the renewal that may have been in flight when contact was lost, and the backoff before the next renewal:
-// the runs of a worker that is back within that time continue. A longer lease would only delay the retry of tasks whose
-// worker is gone for good.
+// workerLease returns the lease duration of workers, from minLease to maxLease. It is the sum of contactTimeout (after
+// which operators count a machine as unreachable), the renewal that may have been in flight when contact was lost, and
+// the backoff before the next renewal: the runs of a worker that is back within that time continue. A longer lease
+// would only delay the retry of tasks whose worker is gone for good.
 func workerLease(contactTimeout, maxLease time.Duration, config scheduler.Config) time.Duration {
 	return min(max(contactTimeout+config.RenewalWait+config.RetryMax, minLease), maxLease)
 }
--- a/cmd/crosstide-controlplane/print.go
+++ b/cmd/crosstide-controlplane/print.go
@@ -33,7 +33,7 @@
 // line prints values separated by spaces, without columns.
 func (t table) line(values ...any) { fmt.Fprintln(t.out, values...) }
 
-// printAnswer prints an answer: unchanged with --json, else with render.
+// printAnswer prints raw, the JSON of an answer: unchanged with --json, else decoded and with render.
 func printAnswer[T any](cmd *cli.Command, raw []byte, render func(t table, answer T)) error {
 	if cmd.Bool("json") {
 		_, err := os.Stdout.Write(append([]byte(strings.TrimSpace(string(raw))), '\n'))
--- a/cmd/crosstide-controlplane/zone.go
+++ b/cmd/crosstide-controlplane/zone.go
@@ -43,7 +43,8 @@
 	return errs.Pass(err, "lift")
 }
 
-// orderZone posts a signed order for the zone named by the argument. signedText returns the text to sign.
+// orderZone posts the order verb (evacuate or lift) for the zone named by the argument, signed if --key is given.
+// signedText returns the text to sign.
 func orderZone(ctx context.Context, cmd *cli.Command, verb string,
 	signedText func(zone, order string) (string, error)) error {
 	args, err := exactArgs(cmd, "ZONE")
--- a/cmd/crosstide-dataplane/jobs_test.go
+++ b/cmd/crosstide-dataplane/jobs_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestJobsOptions(t *testing.T) {
-	Convey("A data-plane node's settings are mapped to its options; one address has calls and readiness", t, func() {
+	Convey("A data-plane node's settings are mapped to its options; one address serves calls and readiness", t, func() {
 		settings := config.DefaultJobsDataPlane()
 		settings.Addr, settings.Zone, settings.Grace = "10.0.0.1:7000", "z", 7*time.Second
 		settings.Seeds = []string{"10.0.1.1:7100"}
--- a/cmd/crosstide-dataplane/policy.go
+++ b/cmd/crosstide-dataplane/policy.go
@@ -38,7 +38,8 @@
 	caller := rpc.NewClient(rpc.ClientOptions{UserTimeout: settings.CallTimeout, DialOverrides: settings.Via,
 		Logger: daemon.Part(logger, "caller"), Registry: registry})
 	defer caller.Close()
-	// The kernel must not resend a start order after the role lease has expired: its timeout is half of the margin.
+	// With a TCP user timeout of half the lease margin, the kernel does not resend a start order after the role lease
+	// has expired.
 	workerCaller := rpc.NewClient(rpc.ClientOptions{UserTimeout: settings.LeaseMargin / 2, DialOverrides: settings.Via,
 		DialTimeout: time.Second, Logger: daemon.Part(logger, "worker-caller"), Registry: registry})
 	defer workerCaller.Close()
--- a/cmd/crosstide-testbed/command.go
+++ b/cmd/crosstide-testbed/command.go
@@ -15,10 +15,10 @@
 	"crosstide/internal/testbed/faults"
 )
 
-// Exit codes besides 0 for success. Every other failure exits with 1.
+// Exit codes besides 0 for success. An error that is not an exitCode exits with 1 too.
 const (
 	exitViolated = 1 // an invariant was violated, or another check failed
-	exitUsage    = 2 // a flag or an argument is wrong
+	exitUsage    = 2 // a flag or an argument is invalid
 )
 
 // exitCode is an error with the exit code that the program ends with.
--- a/cmd/crosstide-testbed/jobs.go
+++ b/cmd/crosstide-testbed/jobs.go
@@ -73,17 +73,18 @@
 	return nil
 }
 
-// jobsFolder returns the absolute path of the folder named, or a new temporary folder if named is empty.
-func jobsFolder(named string) (dir string, isNew bool, err error) {
-	if named != "" {
-		dir, err = filepath.Abs(named)
+// jobsFolder returns the absolute path of the folder path, or a new temporary folder if path is empty.
+func jobsFolder(path string) (dir string, isNew bool, err error) {
+	if path != "" {
+		dir, err = filepath.Abs(path)
 		return dir, false, errs.Wrap(err, errs.Disk, "folder")
 	}
 	dir, err = os.MkdirTemp("", "crosstide-jobs-")
 	return dir, true, errs.Wrap(err, errs.Disk, "folder")
 }
 
-// resultText returns the result of a scenario as text: the counts on one line, then a line for each violation.
+// resultText returns the result of a scenario as text: the counts, the time of the fail-over, then a line for each
+// violation, or one that lists the invariants if all held.
 func resultText(result endtoend.Result) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "jobs %d  runs %d", result.Accepted, result.Runs)
--- a/cmd/crosstide-testbed/main.go
+++ b/cmd/crosstide-testbed/main.go
@@ -1,6 +1,6 @@
 // Command crosstide-testbed is the testbed of crosstide: simulated workers and clients, load, injected faults, audits
-// and simulators. Each file has one command and is named after it. It parses and validates the flags, and calls a
-// package under internal/testbed, which does the work.
+// and simulators. Every file except main.go and command.go has one command and is named after it. It parses and
+// validates the flags, and calls a package under internal/testbed, which does the work.
 package main
 
 import (
--- a/cmd/crosstide-testbed/rehearse.go
+++ b/cmd/crosstide-testbed/rehearse.go
@@ -49,9 +49,9 @@
 	}
 	options := rehearsal.CaseOptions{Target: target, BinDir: binDir(), Rate: cmd.Float("rate"),
 		TaskDuration: time.Duration(cmd.Int("ms")) * time.Millisecond, Seed: cmd.Uint64("seed")}
-	played, violated := 0, 0
+	total, violated := 0, 0
 	err = rehearsal.RunCases(ctx, options, only, func(result rehearsal.CaseResult) error {
-		played++
+		total++
 		if len(result.Violations) > 0 {
 			violated++
 		}
@@ -61,7 +61,7 @@
 		return errs.Pass(err, "rehearse")
 	}
 	if violated > 0 {
-		return exitCode{errs.New(errs.Internal, "%d of %d cases violated an invariant", violated, played), exitViolated}
+		return exitCode{errs.New(errs.Internal, "%d of %d cases violated an invariant", violated, total), exitViolated}
 	}
 	return nil
 }
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// checkOpenMembership validates the settings that an open membership restricts. Above all, each node's name must be the
-// IP of its address.
+// checkOpenMembership validates the settings that an open membership restricts: the number of members, the names of
+// nodes, which must be the IPs of their addresses, and remove_after.
 func (c *ControlPlane) checkOpenMembership(r *Reader) {
 	if len(c.Members) > maxSeedMembers {
 		r.Reject("members", "must have at most %d items with open_membership, got %d", maxSeedMembers, len(c.Members))
--- a/internal/config/jobs_test.go
+++ b/internal/config/jobs_test.go
@@ -32,6 +32,7 @@
 	return strings.Join(fields, " ")
 }
 
+// jobsControlPlaneJSON returns valid settings of ControlPlane, with section appended to its fields.
 func jobsControlPlaneJSON(section string) string {
 	return `{"name":"c1","zone":"z","region":"r","addr":"127.0.0.1:7101","seeds":["127.0.0.1:7102"],"data":"d",
 		"members":[{"id":"c1","addr":"127.0.0.1:7101","zone":"z"}]` + section + `}`
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -30,7 +30,7 @@
 	invalid *ValidationErrors // shared by the readers of one file
 }
 
-// checking reports whether the Reader validates the targets instead of reading an object.
+// checking reports whether the Reader has no object, and so validates the targets.
 func (r *Reader) checking() bool { return r.obj == nil }
 
 // Parse calls into to read data, a JSON object. Fields that into does not read and repeated fields are errors too.
@@ -41,7 +41,7 @@
 //		r.Object("sched", func(r *config.Reader) { r.Duration("lease", &lease, time.Second, time.Minute) })
 //	}) // sched.lease: must be a duration like "3s", is "3 monkeys"
 func Parse(data []byte, into func(r *Reader)) error {
-	var parser fastjson.Parser // its values are valid only while it is
+	var parser fastjson.Parser // v is valid only until the parser is used again
 	v, err := parser.ParseBytes(data)
 	if err != nil {
 		invalid := ValidationErrors{{"", "must be JSON: " + err.Error()}}
@@ -103,7 +103,8 @@
 	return r.path + "." + field
 }
 
-// get returns the value of a field and marks the field as read. It returns nil if the field is missing.
+// get returns the value of a field and marks the field as read. It returns nil if the field is missing or the Reader
+// has no object.
 func (r *Reader) get(field string) *fastjson.Value {
 	r.seen[field] = true
 	if r.checking() {
@@ -178,7 +179,8 @@
 	})
 }
 
-// readItems calls each with the path and the value of every item of an array, and reports whether the field is one.
+// readItems calls each with the path and the value of every item of an array. It returns false if the field is missing
+// or not an array.
 func (r *Reader) readItems(field string, each func(at string, v *fastjson.Value)) bool {
 	v := r.get(field)
 	if v == nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -63,7 +63,7 @@
 	return errs.Wrap(invalid.orNil(), errs.Settings, "%s in the settings", invalid.count())
 }
 
-// checkUnique rejects each item whose key equals that of an earlier item. An empty key is ignored.
+// checkUnique rejects each item whose key, its value of field, equals that of an earlier item. Empty keys may repeat.
 func checkUnique[T any](r *Reader, list, field string, items []T, key func(T) string) {
 	first := map[string]int{}
 	for i, item := range items {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -78,7 +78,7 @@
 		So(errorLines(CheckControlPlane(c))[0], ShouldEqual,
 			"members: must have at most 3 items with open_membership, got 4")
 	})
-	Convey("All errors in a control-plane node's settings file are reported together", t, func() {
+	Convey("All errors in a settings file are reported together, and old names with the new ones", t, func() {
 		text := strings.NewReplacer(`"800ms"`, `"150ms"`, `"queue_limit":7`, `"queue_limit":-1`, firstKey, `"QQ=="`,
 			`"seeds":["10.0.0.2:7000"]`, `"seeds":[]`).Replace(controlPlaneJSON)
 		_, err := LoadControlPlane(writeSettings(t, text))
