--- a/internal/dataplane/passes.go
+++ b/internal/dataplane/passes.go
@@ -74,6 +74,7 @@
 	n.wake()
 }
 
+// proposePlan proposes a plan, and returns its answer once the replica has the plan's changes.
 func (n *Node) proposePlan(ctx context.Context, plan *command.Plan) (planned command.Planned, err error) {
 	answer, err := n.controlPlane.propose(ctx, plan, retryUnexecuted)
 	if err != nil {
--- a/internal/dataplane/role.go
+++ b/internal/dataplane/role.go
@@ -119,8 +119,8 @@
 }
 
 // handleRoleLost stops the scheduler if another node has the role. It ignores an answer whose epoch is not newer than
-// this node's grant. Such an answer was made before the grant, or announces the end of the grant's epoch; in that case
-// the lease expires without further action.
+// this node's grant. Such an answer was made before the grant, or says that the grant has ended without a successor;
+// then the scheduler stops when the lease expires.
 func (n *Node) handleRoleLost(lease internalapi.RoleLease) {
 	n.mu.Lock()
 	lostEpoch := n.grantedEpoch
--- a/internal/dataplane/scheduler/admit.go
+++ b/internal/dataplane/scheduler/admit.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// enqueue adds a due task to the queue. It ignores a task that is already queued or no longer due.
+// enqueue adds a due task to the queue. It ignores a task that is already queued or no longer due. If the task had a
+// run before, enqueue records that run as released, because its successful end may still be accepted.
 func (c *Core) enqueue(ref state.TaskRef) {
 	_, task := c.st.TaskOf(ref)
 	if task == nil || task.Phase != state.TaskDue {
@@ -161,8 +162,9 @@
 	cls.insert(queuedTask{ref, job.Seq})
 }
 
-// classKey returns the key of a task's class. It contains every attribute that decides which workers may run the task.
-// Ties between classes are broken by their keys.
+// classKey returns the key of a task's class. It contains every attribute that decides which workers may run the task,
+// and separates each gang and the restarts of long-running tasks from other tasks. nextClass breaks ties between
+// classes by their keys.
 func (c *Core) classKey(job *state.Job, step *state.StepSpec, ref state.TaskRef) string {
 	var key strings.Builder
 	fmt.Fprintf(&key, "%s|%s|%s|%d|%d", job.Spec.Queue, job.Spec.Team, step.Type, step.Cores, step.GPUs)
@@ -172,7 +174,7 @@
 	if step.Gang {
 		fmt.Fprintf(&key, "|gang|%s|%d", ref.Job, ref.Step)
 	}
-	if !step.Gang && c.st.IsRestart(ref) { // must not wait behind a task that its party's balance does not cover
+	if !step.Gang && c.st.IsRestart(ref) { // needs no fee: must not wait behind an uncovered task
 		key.WriteString("|attached")
 	}
 	return key.String()
--- a/internal/dataplane/scheduler/budget.go
+++ b/internal/dataplane/scheduler/budget.go
@@ -38,12 +38,12 @@
 	}
 	for _, cls := range c.queue.classes {
 		if job, _ := c.peek(cls); job != nil {
-			c.isCovered(cls, job)
+			c.checkCovered(cls, job)
 		}
 	}
 }
 
-// nextFee returns the total fee of the next group of tasks of a class.
+// nextFee returns the total fee of the next group of tasks of a class. Its Party is empty if no party pays for them.
 func (c *Core) nextFee(cls *class, job *state.Job) state.Fee {
 	var sum state.Fee
 	for _, task := range cls.refs[cls.head : cls.head+cls.groupSize()] {
@@ -55,10 +55,10 @@
 	return sum
 }
 
-// isCovered reports whether the party's balance covers the next fee of a class in addition to the fees that the plan
-// has reserved. If not, it records the class's next task as the party's first uncovered one, behind which later tasks
-// wait.
-func (c *Core) isCovered(cls *class, job *state.Job) bool {
+// checkCovered reports whether the party's balance covers the next fee of a class in addition to the fees that the
+// plan has reserved. If not, it records the class's next task as the party's first uncovered one, behind which later
+// tasks wait.
+func (c *Core) checkCovered(cls *class, job *state.Job) bool {
 	fee := c.nextFee(cls, job)
 	if fee.Party == "" {
 		return true
@@ -85,13 +85,13 @@
 
 // awaitsTopUp reports whether the balance of a class's party does not cover its next tasks. Such a class delays no
 // other party: it gets no reservation. It is considered again at the next sweep, and immediately when an account
-// changes.
+// changes. Like checkCovered, awaitsTopUp may record the party's first uncovered task.
 func (c *Core) awaitsTopUp(cls *class) bool {
 	if len(c.st.Bundle.Parties) == 0 {
 		return false
 	}
 	job, _ := c.peek(cls)
-	return job != nil && !c.isCovered(cls, job)
+	return job != nil && !c.checkCovered(cls, job)
 }
 
 // TasksAwaitingTopUp returns the number of due tasks that wait for a top-up, by party, or nil if no task waits.
--- a/internal/dataplane/scheduler/budget_test.go
+++ b/internal/dataplane/scheduler/budget_test.go
@@ -78,6 +78,8 @@
 	return withRunID
 }
 
+// Guards against plans that propose the same uncovered starts again and again while a party awaits a top-up, and
+// against a balance that goes to younger or cheaper tasks first.
 func TestBudget_partyAwaitingTopUp(t *testing.T) {
 	Convey("A party without balance waits without commits, others run, and a top-up goes to old jobs first", t, func() {
 		p := newPaidHarness(200, "m1", "m2")
--- a/internal/dataplane/scheduler/ends_test.go
+++ b/internal/dataplane/scheduler/ends_test.go
@@ -56,6 +56,8 @@
 	})
 }
 
+// Guards against a second run of a task whose first run succeeded: the worker reports that end only after the leader
+// has concluded from the expired lease that the run is dead.
 func TestEnd_whileProofIsCommitted(t *testing.T) {
 	Convey("While the proof of an expired lease is being committed", t, func() {
 		h := newExpiredRun()
--- a/internal/dataplane/scheduler/expire.go
+++ b/internal/dataplane/scheduler/expire.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// maxClockDrift bounds how much slower than this node's clock a worker's clock runs: by at most one part in 500.
+// maxClockDrift is the reciprocal of the largest drift: a worker's clock runs slower than this node's by at most one
+// part in 500.
 const maxClockDrift = 500
 
 // minElapsed returns the least time by which a worker's clock advances while this node's advances by d.
--- a/internal/dataplane/scheduler/expire_test.go
+++ b/internal/dataplane/scheduler/expire_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// newExpiredRun returns a harness with a run that ended while its leader had no role lease and called no worker. When
-// the leader has its role lease again, the run's lease has expired by the clock.
+// newExpiredRun returns a harness with run 1 of job j1 on m1. The run's lease expired while the leader had no role
+// lease and called no worker. The leader has its role lease again, and has not called m1 since.
 func newExpiredRun() *harness {
 	h := newHarness("check", "m1")
 	h.registerWorkers("check")
@@ -72,6 +72,8 @@
 	return h
 }
 
+// Guards against a leader that takes a time in which it called no worker for silence of the workers, proves their runs
+// dead, and runs tasks again that have succeeded.
 func TestLeaseExpiry_workerIsCalledFirst(t *testing.T) {
 	Convey("After a time without role lease the leader calls a worker before it proves the worker's runs dead", t, func() {
 		h := newExpiredRun()
--- a/internal/dataplane/scheduler/interleaving_test.go
+++ b/internal/dataplane/scheduler/interleaving_test.go
@@ -93,10 +93,10 @@
 				calls := h.commitPlans()
 				order := findOrder(calls)
 				w := &workerModel{kind: kind, order: *order, started: map[uint64]int{}, running: map[uint64]bool{}}
-				names := ""
+				history := ""
 				sentAt := h.now
 				for _, i := range seq {
-					names += events[i].name + " "
+					history += events[i].name + " "
 					// A worker of kind obey may execute the order late, by at most Config.MaxOrderDelay.
 					if events[i].name == "arrive" && kind == "obey" && h.now-sentAt > DefaultConfig().MaxOrderDelay {
 						continue
@@ -106,12 +106,12 @@
 						if len(c.Call.Starts) > 0 && c.Call.Starts[0].RunID != 1 {
 							secondRunIDs++
 							if w.running[1] {
-								panic(fmt.Sprintf("%s: second run ID while the first run executes: %s", kind, names))
+								panic(fmt.Sprintf("%s: second run ID while the first run executes: %s", kind, history))
 							}
 							if !w.arrived && (kind == "check" || h.now-sentAt <= DefaultConfig().MaxOrderDelay) {
 								w.receiveOrder(h) // the late order arrives now
 								if w.running[1] {
-									panic(fmt.Sprintf("%s: late order executed beside a second run ID: %s", kind, names))
+									panic(fmt.Sprintf("%s: late order executed beside a second run ID: %s", kind, history))
 								}
 							}
 						}
--- a/internal/dataplane/scheduler/place.go
+++ b/internal/dataplane/scheduler/place.go
@@ -47,11 +47,11 @@
 	startsByTeam  map[string]int
 }
 
-// place adds starts for due tasks to a plan. The order is: urgent queues, types under their limit, types over their
-// limit; among equals the team with the fewest runs for its weight, if the policy has weights, then the oldest job.
+// place adds starts for due tasks to a plan. The order is: urgent queues, types under their limit, types at or over
+// it; among equals the team with the fewest runs for its weight, if the policy has weights, then the oldest job.
 //
-// A class that fits on no worker delays others only by short reservations (see reserve.go). Neither a limit nor a
-// large task keeps capacity idle for long that another due task may use.
+// A class that fits on no worker delays others only by short reservations (see reserve.go). Apart from
+// that, free capacity that a due task may use does not stay idle, not even because of a limit.
 func (c *Core) place(now time.Duration, plan *command.Plan) {
 	c.endBackoffs(now)
 	if c.queue.isIdle() || len(c.placement.ring) == 0 {
@@ -125,7 +125,7 @@
 	return ring
 }
 
-// candidates returns the named workers that may get a start now and have free cores, in the order of names.
+// candidates returns the named workers that may get a start now and have free cores, in the given order.
 func (c *Core) candidates(now time.Duration, names []string) []*candidate {
 	selected := make([]*candidate, 0, len(names))
 	for _, name := range names {
@@ -174,8 +174,8 @@
 // classPriority is the position of a class among those that may be placed next; lower values go first.
 type classPriority struct {
 	rank  rank
-	share float64
-	seq   uint64 // of the oldest job
+	share float64 // of the team, see teamShare
+	seq   uint64  // of the oldest job
 	key   string
 }
 
@@ -232,7 +232,7 @@
 	if cls.unschedulable && !cls.gang || len(round.candidates) == 0 {
 		candidates, next = round.freed, &round.nextFreed
 	}
-	if !c.isCovered(cls, job) {
+	if !c.checkCovered(cls, job) {
 		return false
 	}
 	starts := c.fitGroup(candidates, next, cls, job, size)
--- a/internal/dataplane/scheduler/plan.go
+++ b/internal/dataplane/scheduler/plan.go
@@ -59,8 +59,8 @@
 }
 
 // PlanAnswered handles the answer to the plan in flight. The replica must have reached the plan's index, so that it
-// has the handles of the plan's run IDs. A failed plan may have been committed nevertheless: its contents are
-// proposed again in the next plan, and no order is sent for run IDs that the store assigned to it.
+// has the handles of the plan's run IDs. A failed plan may have been committed nevertheless: planFailed queues its
+// contents again, and no order is sent for run IDs that the store assigned to it.
 func (c *Core) PlanAnswered(now time.Duration, epoch uint64, planned command.Planned, err error) {
 	c.now = now
 	inFlight := c.planInFlight
--- a/internal/dataplane/scheduler/reconcile.go
+++ b/internal/dataplane/scheduler/reconcile.go
@@ -59,8 +59,9 @@
 	return w
 }
 
-// CallAnswered handles the answer to a call. Of an answer older than one handled before, only the ends and refusals
-// are used. If the answer names another call, the call is treated as failed.
+// CallAnswered handles the answer to a call. Of an answer that is older than one handled before, or of a past
+// incarnation of the worker, only the ends and refusals are used. If the answer names another call, the call is treated
+// as failed.
 func (c *Core) CallAnswered(now time.Duration, outgoing OutgoingCall, answer internalapi.LeaseAnswer) {
 	c.now = now
 	call := outgoing.Call
@@ -194,7 +195,7 @@
 }
 
 // reconcile compares the runs that a worker lists with its handles. Listed runs without a handle are orphans and are
-// stopped; runs of handles that the worker does not list are proved dead as soon as the answer suffices.
+// stopped. A handle whose run the answer should list but does not is passed to recordAbsence.
 func (c *Core) reconcile(now time.Duration, w *worker, call internalapi.LeaseCall, answer internalapi.LeaseAnswer) {
 	listed := make(map[uint64]bool, len(answer.Running)+len(answer.Ended))
 	for _, runID := range answer.Running {
@@ -207,9 +208,9 @@
 	c.recordEnds(now, w, answer.Ended)
 	proofs, unconfirmed := len(c.facts.proofs), len(c.facts.unconfirmed)
 	for runID, r := range w.runs {
-		// An order sent after this call may not have arrived when the answer was made.
-		unsent := r.ofThisEpoch && (r.orderCall == 0 || r.orderCall > call.Call)
-		if listed[runID] || r.closing || r.inOutbox || r.inFlight || unsent {
+		// The answer to this call need not reflect an order that was sent after the call, or not at all.
+		unsentAtCall := r.ofThisEpoch && (r.orderCall == 0 || r.orderCall > call.Call)
+		if listed[runID] || r.closing || r.inOutbox || r.inFlight || unsentAtCall {
 			continue
 		}
 		r.listed = false
--- a/internal/dataplane/scheduler/records.go
+++ b/internal/dataplane/scheduler/records.go
@@ -18,7 +18,7 @@
 	inOutbox    bool   // its order is in its worker's outbox
 	orderCall   uint64 // number of the call that carried its order; 0 if this leader sent none
 	inFlight    bool   // that call is unanswered
-	listed      bool   // the latest conclusive answer about it lists it as running
+	listed      bool   // set by an answer that lists it as running, unset by a later one that should but does not
 
 	// The latest lease end that the worker may have received, by its clock in leaseIncarnation; 0 if unknown.
 	leaseUntil       time.Duration
@@ -58,13 +58,13 @@
 
 	// Calls, by number. The number increases by one with each call to the worker under the epoch.
 	lastCall            uint64
-	lastAnswered        uint64 // the latest call whose answer was handled
-	pollCall            uint64 // in flight on the poll connection; 0 if none
-	orderCall           uint64 // in flight on the order connection; 0 if none
-	lastCallBeforePause uint64 // the last call sent before the role lease last kept this node from acting
-	unanswered          bool   // a call after lastCallBeforePause failed, and none has been answered since
-	failures            int    // consecutive failed calls
-	retryAt             time.Duration
+	lastAnswered        uint64        // the latest call whose answer was handled
+	pollCall            uint64        // in flight on the poll connection; 0 if none
+	orderCall           uint64        // in flight on the order connection; 0 if none
+	lastCallBeforePause uint64        // the last call sent before the role lease last kept this node from acting
+	unanswered          bool          // a call after lastCallBeforePause failed, and none has been answered since
+	failures            int           // consecutive failed calls
+	retryAt             time.Duration // no call is sent before it while failures > 0
 
 	// Contents of the next call.
 	floor          uint64   // the worker must not start run IDs at or below it that it has not started yet
@@ -179,8 +179,8 @@
 	}
 }
 
-// reviewRun sets the stop reason of a run: its job is stopping, or the placement policy, an evacuated zone or a
-// draining worker no longer allows it.
+// reviewRun sets or clears the stop reason of a run. A run must stop if its job is stopping, or if the placement
+// policy, an evacuated zone or a draining worker no longer allows it. Its worker is then due for an urgent call.
 func (c *Core) reviewRun(r *run) {
 	job, _ := c.st.TaskOf(r.handle.Ref)
 	reason := ""
--- a/internal/dataplane/scheduler/renew_test.go
+++ b/internal/dataplane/scheduler/renew_test.go
@@ -10,6 +10,8 @@
 	"crosstide/internal/state"
 )
 
+// Guards against a run that starts long after its job was cancelled: a worker of kind obey that was suspended before it
+// read the order checks only the lease in it, so that lease must be short.
 func TestFirstLease_shortForObeyingWorker(t *testing.T) {
 	Convey("The first lease on a worker of kind obey is short, and is renewed in full once the run is listed", t, func() {
 		cfg := DefaultConfig()
--- a/internal/dataplane/scheduler/reserve.go
+++ b/internal/dataplane/scheduler/reserve.go
@@ -172,8 +172,8 @@
 	return tasks
 }
 
-// recordPassedOver marks the classes that the starts of a round passed over: those that fitted on no worker and have a
-// task older than one that got a start in the same rank or a lower-priority one.
+// recordPassedOver sets passedOverSince of the classes that fitted on no worker although a task of a younger job, of
+// the same rank or one with lower priority, got a start in the round.
 func (c *Core) recordPassedOver(now time.Duration, round *placementRound) {
 	var newestStarted [ranks]uint64 // sequence number of the newest job that got a start, by rank
 	for _, start := range round.plan.Starts {
--- a/internal/dataplane/scheduler/reserve_test.go
+++ b/internal/dataplane/scheduler/reserve_test.go
@@ -27,9 +27,9 @@
 }
 
 const (
-	runLengthStep = 50 * time.Millisecond
-	shortestRun   = time.Second // of a narrow task; lengths vary slightly, so that runs end one by one
-	tasksDue      = 8           // number of narrow tasks that are always due
+	runLengthStep = 50 * time.Millisecond // difference between run lengths, and the time that step advances
+	shortestRun   = time.Second           // of a narrow task; lengths vary slightly, so that runs end one by one
+	tasksDue      = 8                     // number of narrow tasks that are always due
 )
 
 // newLoadedCluster returns a loadedCluster of workers with 4 cores each.
@@ -161,7 +161,7 @@
 			So(longest, ShouldBeGreaterThan, 3*runLengthStep)
 			So(longest, ShouldBeLessThanOrEqualTo, DefaultConfig().ReservationDuration+4*runLengthStep)
 		})
-		Convey("and is reserved for a bounded time, longer than before, once it has waited for ReserveLongAfter", func() {
+		Convey("and is reserved for a bounded time, longer than before, once it has waited for LongReservationAfter", func() {
 			c.longestFree("m1", c.now+DefaultConfig().LongReservationAfter)
 			longest := c.longestFree("m1", c.now+20*time.Second)
 			So(longest, ShouldBeGreaterThan, DefaultConfig().ReservationDuration)
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -37,7 +37,7 @@
 
 // Config has the timing parameters and limits of the passes. DefaultConfig returns the defaults.
 type Config struct {
-	RunLease         time.Duration // lease of a run whose placement policy sets none
+	RunLease         time.Duration // lease of a run whose queue sets none in the policy bundle
 	PollWait         time.Duration // how long a worker may delay the answer to a call without starts
 	StartWindow      time.Duration // longest time from the answer to a run ID's commit until its start order is written
 	PlanWindow       time.Duration // longest time from the proposal of a plan until its start orders are written
@@ -46,16 +46,16 @@
 	RetryInterval    time.Duration // between calls to a worker that does not answer
 	PlacementTimeout time.Duration // a worker that has not answered for this long gets no new starts
 	// OrderTimeout is the longest time since a worker's last answer at which an order is still sent to it. The worker
-	// may have begun to drain since that answer, and starts on it must end within 2 s of that.
+	// may have begun to drain since that answer, and no run may start on it more than 2 s after it began to drain.
 	OrderTimeout  time.Duration
 	SweepInterval time.Duration // between passes over all records
 	MaxStarts     int           // per plan
-	// A class that fits on no worker, while younger tasks have started for ReserveAfter, gets workers reserved for
-	// ReservationDuration. Reservations are separated by ReservationPause, those of the same class by
-	// ReservationRetryInterval.
+	// A class is passed over while it fits on no worker and tasks of younger jobs start. Once it has been passed over
+	// for ReserveAfter, workers are reserved for it for ReservationDuration. After a reservation, the next one waits
+	// for ReservationPause, and the next one for the same class for ReservationRetryInterval.
 	ReserveAfter, ReservationDuration, ReservationPause, ReservationRetryInterval time.Duration
-	// Once a class has been passed over for LongReservationAfter, its reservations last LongReservationDuration and are
-	// separated by ReservationPause only.
+	// Once a class has been passed over for LongReservationAfter, its reservations last LongReservationDuration, and
+	// after each of them the next one waits for ReservationPause only.
 	LongReservationAfter, LongReservationDuration time.Duration
 
 	Health HealthConfig
@@ -153,7 +153,8 @@
 	nextGCAt     time.Duration // when records of finished jobs are dropped next
 }
 
-// role is the state of the role on this node. Only the methods of this file change it, but for highestCall.
+// role is the state of the role on this node. Only the methods in this file change it, except highestCall,
+// which newLeaseCall raises.
 type role struct {
 	phase      Phase
 	epoch      uint64        // log index of the grant; kept by StepDown, to detect a return under the same epoch
@@ -161,8 +162,8 @@
 	leaseUntil time.Duration
 	paused     bool // the role lease did not allow the latest pass to act
 
-	// lastInheritedRunID is set when the node takes the role again under the same epoch, and is otherwise 0: the node
-	// may have sent orders for run IDs up to it before.
+	// lastInheritedRunID is the newest run ID at the time at which the node took the role again under the same epoch,
+	// or 0 if it did not. The node may have sent orders for run IDs up to it, but no longer has a record of them.
 	lastInheritedRunID uint64
 	highestCall        uint64 // highest number of a call under the epoch, from which new worker records continue
 }
@@ -176,8 +177,8 @@
 	return c
 }
 
-// clearRecords drops all records but the role, the plan in flight and the ends not committed yet. Ends remain valid,
-// and the workers that reported them may not report them again.
+// clearRecords drops all records but the role, the plan in flight and the ends not committed yet. Ends are kept
+// because they remain valid and their workers may not report them again.
 func (c *Core) clearRecords() {
 	c.runs = map[uint64]*run{}
 	c.released = map[uint64]*releasedRun{}
@@ -207,7 +208,7 @@
 // that older epochs can no longer add a handle. All records are rebuilt before the first placement.
 //
 // If the epoch is the same as before (after a snapshot, for example), this node's record of the orders it sent is
-// lost: existing runs are treated as those of another leader, and none of their orders as provably unsent.
+// lost. It then treats existing runs as those of another leader, and proves none of them dead as unsent.
 func (c *Core) BecomeLeader(now time.Duration, epoch uint64) {
 	c.clearRecords()
 	if c.role.lastInheritedRunID = c.st.LastRunID; epoch != c.role.epoch {
--- a/internal/dataplane/scheduler/staleanswer_test.go
+++ b/internal/dataplane/scheduler/staleanswer_test.go
@@ -17,6 +17,8 @@
 	h.core.CallAnswered(h.now, c, a)
 }
 
+// Guards against conclusions from answers that were delayed in the network. In the first case a worker of kind obey
+// may still execute the order of a run that its answers omit: less than Config.MaxOrderDelay has passed between them.
 func TestLeaseAnswer_late(t *testing.T) {
 	Convey("The time since a run became absent is taken from the clock in the answers, not from their arrival", t, func() {
 		h := newHarness("obey", "m1")
