--- a/internal/testbed/policysim/checkbillingprogress.go
+++ b/internal/testbed/policysim/checkbillingprogress.go
@@ -86,7 +86,8 @@
 	})
 }
 
-// isAfterRecovery reports whether recoveryTime has passed since the faults ended; the timeouts apply only then.
+// isAfterRecovery reports whether, by the time at, recoveryTime had passed since the faults ended. The timeouts apply
+// only then.
 func (bc *billingChecker) isAfterRecovery(at time.Duration) bool {
 	return at > bc.sim.options.FaultPeriod+recoveryTime
 }
--- a/internal/testbed/policysim/checklog.go
+++ b/internal/testbed/policysim/checklog.go
@@ -99,7 +99,7 @@
 	return ids
 }
 
-// isVoter reports whether a wiped control-plane node is a voter again.
+// isVoter reports whether a control-plane node is running and a voter under its current member ID.
 func (ic *invariantChecker) isVoter(c *controlPlane) bool {
 	if !c.alive || c.driver == nil || c.driver.Core() == nil {
 		return false
@@ -128,22 +128,23 @@
 	return slices.ContainsFunc(sets, func(members []raft.Member) bool { return isMajority(members, have) })
 }
 
-// isMajority reports whether the set in contains the IDs of a majority of the voters among members.
-func isMajority(members []raft.Member, in map[string]bool) bool {
+// isMajority reports whether the set ids contains the IDs of a majority of the voters among members.
+func isMajority(members []raft.Member, ids map[string]bool) bool {
 	voters, count := 0, 0
 	for _, member := range members {
 		if member.Learner {
 			continue
 		}
 		voters++
-		if in[member.ID] {
+		if ids[member.ID] {
 			count++
 		}
 	}
 	return 2*count > voters
 }
 
-// compareStates compares the states of all nodes that are at the same index every 2 s (invariant: same state).
+// compareStates checks that all nodes at the same index have equal states (invariant: same state), and schedules the
+// next comparison in 2 s.
 func (ic *invariantChecker) compareStates() {
 	s := ic.sim
 	first := map[uint64][]byte{}
--- a/internal/testbed/policysim/faults.go
+++ b/internal/testbed/policysim/faults.go
@@ -77,7 +77,7 @@
 var Guards = []string{
 	"epoch",   // the store does not check a plan's epoch
 	"rebuild", // a role holder decides before its replica has reached its grant
-	"floor",   // workers ignore the floor of call numbers and the time after which an order is invalid
+	"floor",   // workers ignore the floor of run IDs and the time after which an order is invalid
 	"sync",    // a control-plane node answers before its log is synced
 	"learner", // a wiped control-plane node votes under its old name
 	"reserve", // the scheduler reserves no capacity for tasks that fit nowhere now
@@ -90,7 +90,7 @@
 	sim          *sim
 	enabled      map[string]bool // by the names in Options.Faults
 	meanInterval time.Duration   // mean time between two faults
-	wiped        *controlPlane   // the node wiped last; nil: none. It votes again before another is wiped
+	wiped        *controlPlane   // the node wiped last; nil: none. No other is wiped until it votes again
 }
 
 // start sets the rates of the faults without inject, and schedules the first injection and the end of all faults.
