--- a/internal/dataplane/scheduler/silentworker_test.go
+++ b/internal/dataplane/scheduler/silentworker_test.go
@@ -9,8 +9,8 @@
 	"crosstide/internal/state"
 )
 
-// Guards against starts on a draining worker: it may have begun to drain after its last answer, when the leader does
-// not know of it.
+// Guards against starts on a draining worker: it may have begun to drain after its last answer, and only its next
+// answer reports that.
 func TestOrder_notToSilentWorker(t *testing.T) {
 	// isOrderSent reports whether an order is sent to a worker that last answered silence before the plan's commit.
 	isOrderSent := func(silence time.Duration) bool {
